--- /dev/null
+++ b/internal/agent/fixture_test.go
@@ -0,0 +1,14 @@
+package agent
+
+import (
+	"testing"
+
+	"indigotack/internal/fixture"
+)
+
+// TestCallAndTraceFormsAreUnchanged compares the agent's calls, its record and its files with golden files.
+func TestCallAndTraceFormsAreUnchanged(t *testing.T) {
+	for name, sample := range map[string]any{"card": &Card{}, "status": &Status{}, "order": &Order{}, "trace": &Trace{}} {
+		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
+	}
+}
--- /dev/null
+++ b/internal/fence/fixture_test.go
@@ -0,0 +1,23 @@
+package fence
+
+import (
+	"testing"
+
+	"indigotack/internal/fixture"
+	"indigotack/internal/list"
+)
+
+// TestStoredFencesAreUnchanged compares the guard's file and the header's value with golden files.
+func TestStoredFencesAreUnchanged(t *testing.T) {
+	folder := t.TempDir()
+	g, err := Open(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := list.Fence{Duty: "quota", Fence: 41}
+	if err := g.Check(f); err != nil {
+		t.Fatal(err)
+	}
+	fixture.AssertFile(t, "fences", folder+"/fences")
+	fixture.Assert(t, "header", []byte(Header+": "+Format(f)))
+}
--- /dev/null
+++ b/internal/keeper/fixture_test.go
@@ -0,0 +1,12 @@
+package keeper
+
+import (
+	"testing"
+
+	"indigotack/internal/fixture"
+)
+
+// TestReportFormIsUnchanged compares what /report answers with a golden file.
+func TestReportFormIsUnchanged(t *testing.T) {
+	fixture.AssertJSON(t, "report", &Report{})
+}
--- /dev/null
+++ b/internal/node/view/fixture_test.go
@@ -0,0 +1,14 @@
+package view
+
+import (
+	"testing"
+
+	"indigotack/internal/fixture"
+)
+
+// TestReportAndHandoffFormsAreUnchanged compares what operators read and what a new process takes over with golden files.
+func TestReportAndHandoffFormsAreUnchanged(t *testing.T) {
+	for name, sample := range map[string]any{"report": &Report{}, "handed": &Handed{}} {
+		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
+	}
+}
--- /dev/null
+++ b/internal/quota/holder/fixture_test.go
@@ -0,0 +1,12 @@
+package holder
+
+import (
+	"testing"
+
+	"indigotack/internal/fixture"
+)
+
+// TestNodesRecordIsUnchanged compares the record of enrolled nodes with a golden file.
+func TestNodesRecordIsUnchanged(t *testing.T) {
+	fixture.AssertJSON(t, "nodes", &record{})
+}
--- /dev/null
+++ b/internal/quota/record/fixture_test.go
@@ -0,0 +1,12 @@
+package record
+
+import (
+	"testing"
+
+	"indigotack/internal/fixture"
+)
+
+// TestHolderRecordIsUnchanged compares the record of who allocates with a golden file.
+func TestHolderRecordIsUnchanged(t *testing.T) {
+	fixture.AssertJSON(t, "sharer", &Sharer{})
+}
