--- a/decide/actions.go
+++ b/balancer/actions.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What the module tells its caller to do.
 
@@ -68,6 +68,6 @@
 
 // MostAskWait bounds the wait from ListFailed to the next Subscribe. A change is to be known 6 s after discovery has
 // it and can be reached, whatever calls failed before. A call that began just ahead of that moment may stay silent for
-// 1.5 s, and the next may be answered as late (internal/list/client: graceAsked): 1.5 s + 2.7 s + 1.5 s, and some for
+// 1.5 s, and the next may be answered as late (internal/registry/client: graceAsked): 1.5 s + 2.7 s + 1.5 s, and some for
 // the node's own clock. Where the settings want lists asked for more often, the wait is shorter still.
 const MostAskWait = 2700 * time.Millisecond
--- a/decide/api.go
+++ b/balancer/api.go
@@ -11,7 +11,7 @@
 // what a new process takes over from an old one is in handover.go; servers taken
 // out by hand are in maintenance.go. ring.go keeps the servers and the nodes in
 // order; state.go and module.go hold what all of them share.
-package decide
+package balancer
 
 import "time"
 
--- a/decide/askherd_test.go
+++ b/balancer/askherd_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// fleetCaller is a node that asks: its module, and of its client what the package internal/list/client does with the
+// fleetCaller is a node that asks: its module, and of its client what the package internal/registry/client does with the
 // module's word. A call that isn't held is given up after patience; one that fell silent is made once more within
 // spread; the first that is answered is followed by one that is held.
 type fleetCaller struct {
--- a/decide/asking.go
+++ b/balancer/asking.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // When discovery is called, where lists are asked for. Nothing of a request is decided here. The interface is in api.go.
 
--- a/decide/attempts.go
+++ b/balancer/attempts.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // An attempt: the rules on sending, what counts at its server, its end. The interface is in api.go.
 
--- a/decide/bench_test.go
+++ b/balancer/bench_test.go
@@ -1,11 +1,11 @@
-package decide_test
+package balancer_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // BenchmarkRequest is a request that arrives, is sent and is answered, at a steady 1,000 a second, with its part of the
@@ -17,22 +17,22 @@
 }
 
 func benchmarkRequest(b *testing.B, servers int) {
-	m, now := decide.New(rigSettings(), 1), time.Hour
-	var list []decide.Server
+	m, now := balancer.New(rigSettings(), 1), time.Hour
+	var list []balancer.Server
 	for i := range servers {
-		list = append(list, decide.Server{ID: decide.ServerID(i + 1)})
+		list = append(list, balancer.Server{ID: balancer.ServerID(i + 1)})
 	}
-	m.Handle(now, decide.ListUpdate{Kind: decide.ListCached, Entries: list})
-	ids := make([]decide.RequestID, 1000) // their text is the caller's cost
+	m.Handle(now, balancer.ListUpdate{Kind: balancer.ListCached, Entries: list})
+	ids := make([]balancer.RequestID, 1000) // their text is the caller's cost
 	for i := range ids {
-		ids[i] = decide.RequestID(fmt.Sprint(i))
+		ids[i] = balancer.RequestID(fmt.Sprint(i))
 	}
 	cycle := func(i int) {
 		id, sent := ids[i%len(ids)], false
 		now += time.Millisecond
-		for _, a := range m.Handle(now, decide.RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
-			if s, ok := a.(decide.Send); ok {
-				m.Handle(now, decide.AttemptEnded{ID: id, Server: s.Server, Code: decide.OK, Over: true, Elapsed: time.Millisecond})
+		for _, a := range m.Handle(now, balancer.RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
+			if s, ok := a.(balancer.Send); ok {
+				m.Handle(now, balancer.AttemptEnded{ID: id, Server: s.Server, Code: balancer.OK, Over: true, Elapsed: time.Millisecond})
 				sent = true
 			}
 		}
@@ -40,7 +40,7 @@
 			b.Fatalf("request %d was not sent", i)
 		}
 		if i%25 == 0 {
-			m.Handle(now, decide.TimerFired{})
+			m.Handle(now, balancer.TimerFired{})
 		}
 	}
 	for i := range 5 * servers { // until the module knows its servers
--- a/decide/checker_test.go
+++ b/balancer/checker_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 // The world's independent checker of the rules, which carries out the module's actions.
 
@@ -6,19 +6,19 @@
 	"slices"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // sameGroup is the checker's own reading of the scopes.
-func sameGroup(s decide.Scope, a, b *listed) bool {
-	return s == decide.ScopeAll || s == decide.ScopeZone && a.Zone == b.Zone || s == decide.ScopeCell && a.Cell == b.Cell
+func sameGroup(s balancer.Scope, a, b *listed) bool {
+	return s == balancer.ScopeAll || s == balancer.ScopeZone && a.Zone == b.Zone || s == balancer.ScopeCell && a.Cell == b.Cell
 }
 
-func neverRan(c decide.OutcomeCode) bool {
-	return c == decide.Full || c == decide.ConnectFailed || c == decide.ConnectTimedOut || c == decide.Moot
+func neverRan(c balancer.OutcomeCode) bool {
+	return c == balancer.Full || c == balancer.ConnectFailed || c == balancer.ConnectTimedOut || c == balancer.Moot
 }
 
-func (w *world) checkSend(q *liveRequest, a decide.Send) {
+func (w *world) checkSend(q *liveRequest, a balancer.Send) {
 	s := w.servers[a.Server]
 	if s == nil {
 		w.fault("send to server %d, which was never listed", a.Server)
@@ -47,10 +47,10 @@
 		if !p.ended && !w.set.MayOverlap {
 			w.fault("two attempts out at once")
 		}
-		if p.ended && neverRan(p.code) || q.class.Effect == decide.Safe {
+		if p.ended && neverRan(p.code) || q.class.Effect == balancer.Safe {
 			continue
 		}
-		if q.class.Effect == decide.Unsafe {
+		if q.class.Effect == balancer.Unsafe {
 			w.fault("unsafe request sent again")
 		} else if !sameGroup(q.class.KeyScope, s, w.servers[p.server]) || w.now > p.at+q.class.DedupWindow {
 			w.fault("keyed request sent outside its group or window")
@@ -74,9 +74,9 @@
 	}
 }
 
-func (w *world) carryOut(a decide.Action) {
+func (w *world) carryOut(a balancer.Action) {
 	switch a := a.(type) {
-	case decide.Send:
+	case balancer.Send:
 		q := w.requests[a.ID]
 		if q == nil {
 			w.fault("send for an unknown request")
@@ -89,63 +89,63 @@
 		q.attempts = append(q.attempts, sentAttempt{server: a.Server, at: w.now})
 		w.servers[a.Server].used = w.now
 		w.outcome(a, q, len(q.attempts)-1)
-	case decide.Refuse:
+	case balancer.Refuse:
 		q := w.final(a.ID)
 		if q == nil {
 			return
 		}
 		for _, p := range q.attempts {
 			ran := !p.ended || !neverRan(p.code)
-			if ran && (q.class.Effect == decide.Unsafe ||
-				q.class.Effect == decide.Keyed && q.class.KeyScope != decide.ScopeAll) {
+			if ran && (q.class.Effect == balancer.Unsafe ||
+				q.class.Effect == balancer.Keyed && q.class.KeyScope != balancer.ScopeAll) {
 				w.fault("refused although it may have run")
 			}
 		}
-	case decide.Fail:
+	case balancer.Fail:
 		w.final(a.ID)
-	case decide.CancelAttempt:
+	case balancer.CancelAttempt:
 		q := w.requests[a.ID]
 		if !w.set.MayCancel || q == nil || a.Attempt >= len(q.attempts) {
 			w.fault("forbidden or unknown cancel")
 			return
 		}
-		w.later(time.Millisecond, pending{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
-			Server: q.attempts[a.Attempt].server, Code: decide.Cancelled}})
-	case decide.Probe:
+		w.later(time.Millisecond, pending{id: a.ID, event: balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
+			Server: q.attempts[a.Attempt].server, Code: balancer.Cancelled}})
+	case balancer.Probe:
 		if !w.set.MayProbe {
 			w.fault("forbidden probe")
 		}
-		e := decide.ProbeEnded{Server: a.Server, Code: []decide.OutcomeCode{decide.OK, decide.OK, decide.TimedOut}[w.r.Intn(3)]}
-		if e.Code == decide.OK {
-			e.Report = &decide.Report{InFlight: float64(w.r.Intn(9)), HasInFlight: true, Queue: float64(w.r.Intn(5))}
+		e := balancer.ProbeEnded{Server: a.Server, Code: []balancer.OutcomeCode{balancer.OK, balancer.OK, balancer.TimedOut}[w.r.Intn(3)]}
+		if e.Code == balancer.OK {
+			e.Report = &balancer.Report{InFlight: float64(w.r.Intn(9)), HasInFlight: true, Queue: float64(w.r.Intn(5))}
 		}
 		w.later(time.Duration(w.r.Intn(20))*time.Millisecond, pending{event: e})
-	case decide.CloseIdle:
+	case balancer.CloseIdle:
 		if s := w.servers[a.Server]; s == nil {
 			w.fault("close of connections to an unknown server")
 		} else {
 			s.used = 0
 		}
-	case decide.SendMessage:
+	case balancer.SendMessage:
 		if !w.set.MayMessage || len(a.Data) > 256 {
 			w.fault("forbidden message")
 		}
-	case decide.SetTimer:
+	case balancer.SetTimer:
 		late := time.Duration(0)
 		if w.r.Intn(20) == 0 {
 			late = time.Duration(w.r.Intn(200)) * time.Millisecond
 		}
-		w.later(a.After+late, pending{event: decide.TimerFired{Token: a.Token}})
-	case decide.Subscribe, decide.FetchList:
+		w.later(a.After+late, pending{event: balancer.TimerFired{Token: a.Token}})
+	case balancer.Subscribe, balancer.FetchList:
 		if w.r.Intn(3) == 0 {
-			w.later(time.Second, pending{event: decide.ListUpdate{Kind: decide.ListFailed}})
+			w.later(time.Second, pending{event: balancer.ListUpdate{Kind: balancer.ListFailed}})
 		} else {
-			w.later(50*time.Millisecond, pending{event: decide.ListUpdate{Kind: decide.ListChanges}})
+			w.later(50*time.Millisecond, pending{event: balancer.ListUpdate{Kind: balancer.ListChanges}})
 		}
 	}
 }
 
-func (w *world) final(id decide.RequestID) *liveRequest {
+func (w *world) final(id balancer.RequestID) *liveRequest {
 	q := w.requests[id]
 	if q == nil {
 		w.fault("answer to an unknown request")
--- a/decide/choice.go
+++ b/balancer/choice.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Which server gets a request, if any does. The interface is in api.go.
 
--- a/decide/cold.go
+++ b/balancer/cold.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // How fast work goes to a server that has just started. The interface is in api.go.
 
--- a/decide/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // coldDay is a day on which server 1 starts, played with the real modules of all nodes on one clock.
@@ -46,7 +46,7 @@
 	at   time.Duration
 	node int
 	life int
-	e    decide.Event
+	e    balancer.Event
 	do   func(node int)
 }
 
@@ -66,19 +66,19 @@
 
 type coldFleet struct {
 	coldDay
-	set           decide.Settings
+	set           balancer.Settings
 	r             *rand.Rand
 	now, start    time.Duration
 	queue         coldQueue
-	nodes         []*decide.Module
+	nodes         []*balancer.Module
 	life, number  []int
-	drawn         []int             // nodes in the order of their deaths, the last first
-	order         []decide.ServerID // of the servers in lists
-	told          []time.Duration   // when each node was told of the start
-	free          []time.Duration   // by server: when its queue is empty
-	legs          map[decide.RequestID]int
-	over          map[decide.RequestID]bool
-	work          map[decide.RequestID]float64
+	drawn         []int               // nodes in the order of their deaths, the last first
+	order         []balancer.ServerID // of the servers in lists
+	told          []time.Duration     // when each node was told of the start
+	free          []time.Duration     // by server: when its queue is empty
+	legs          map[balancer.RequestID]int
+	over          map[balancer.RequestID]bool
+	work          map[balancer.RequestID]float64
 	sent          []coldSend // by nodes that had been told of the start
 	next          int
 	entered, left int // nodes that came to work with server 1 by a move, or ceased to
@@ -86,14 +86,14 @@
 
 func playCold(d coldDay, seed int64) *coldFleet {
 	f := &coldFleet{coldDay: d, r: rand.New(rand.NewSource(seed)), now: time.Hour, start: time.Hour + 8*time.Second,
-		nodes: make([]*decide.Module, d.nodes), life: make([]int, d.nodes), number: make([]int, d.nodes), told: make([]time.Duration, d.nodes),
-		free: make([]time.Duration, d.servers+1), legs: map[decide.RequestID]int{}, over: map[decide.RequestID]bool{},
-		work: map[decide.RequestID]float64{}}
-	f.set = decide.Settings{Nodes: d.nodes, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond,
+		nodes: make([]*balancer.Module, d.nodes), life: make([]int, d.nodes), number: make([]int, d.nodes), told: make([]time.Duration, d.nodes),
+		free: make([]time.Duration, d.servers+1), legs: map[balancer.RequestID]int{}, over: map[balancer.RequestID]bool{},
+		work: map[balancer.RequestID]float64{}}
+	f.set = balancer.Settings{Nodes: d.nodes, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond,
 		ConnectTimeout: 100 * time.Millisecond, ColdFrom: coldFrom, ColdTime: d.ramp, OverloadFactor: d.factor,
-		SizeKnown: d.size > 0, OverloadTime: d.window, HoldOffs: true, MaxHoldOff: time.Second, Classes: []decide.Class{
-			{Name: "a", Worth: 3, Aim: time.Second, Deadline: 3 * time.Second, Effect: decide.Safe},
-			{Name: "b", Worth: 1, Aim: 2 * time.Second, Deadline: 4 * time.Second, Effect: decide.Safe}}}
+		SizeKnown: d.size > 0, OverloadTime: d.window, HoldOffs: true, MaxHoldOff: time.Second, Classes: []balancer.Class{
+			{Name: "a", Worth: 3, Aim: time.Second, Deadline: 3 * time.Second, Effect: balancer.Safe},
+			{Name: "b", Worth: 1, Aim: 2 * time.Second, Deadline: 4 * time.Second, Effect: balancer.Safe}}}
 	if f.drawn = rand.New(rand.NewSource(seed)).Perm(d.nodes); d.dead == 0 {
 		slices.Sort(f.drawn)
 	}
@@ -118,7 +118,7 @@
 
 // begin starts a node, with the list as it has been told.
 func (f *coldFleet) begin(i int) {
-	f.nodes[i], f.life[i] = decide.New(f.settings(i), f.r.Int63()), f.life[i]+1
+	f.nodes[i], f.life[i] = balancer.New(f.settings(i), f.r.Int63()), f.life[i]+1
 	f.feed(i, f.list(i))
 }
 
@@ -134,12 +134,12 @@
 		for len(f.queue) > 0 && f.queue[0].at <= arrival {
 			p := heap.Pop(&f.queue).(coldEvent)
 			f.now = p.at
-			switch e, ended := p.e.(decide.AttemptEnded); {
+			switch e, ended := p.e.(balancer.AttemptEnded); {
 			case p.e == nil:
 				p.do(p.node)
 			case p.life > 0 && p.life != f.life[p.node]:
 			case ended:
-				e.Over = f.over[e.ID] || e.Code == decide.OK
+				e.Over = f.over[e.ID] || e.Code == balancer.OK
 				f.over[e.ID] = e.Over
 				f.feed(p.node, e)
 			default:
@@ -148,7 +148,7 @@
 		}
 		f.now = arrival
 		f.next++
-		id, class := decide.RequestID(fmt.Sprint(f.next)), "a"
+		id, class := balancer.RequestID(fmt.Sprint(f.next)), "a"
 		if f.work[id] = 1; f.heavy {
 			f.work[id] = 0.5
 			if f.r.Intn(3) == 0 {
@@ -164,7 +164,7 @@
 			i -= i % 3
 		}
 		i = f.drawn[i]
-		f.feed(i, decide.RequestArrived{ID: id, Class: class, Patience: 2 * time.Second})
+		f.feed(i, balancer.RequestArrived{ID: id, Class: class, Patience: 2 * time.Second})
 	}
 }
 
@@ -173,29 +173,29 @@
 	return coldFrom + (1-coldFrom)*math.Min(1, math.Max(0, float64(at-f.start)/float64(f.ramp)))
 }
 
-func (f *coldFleet) feed(i int, e decide.Event) {
+func (f *coldFleet) feed(i int, e balancer.Event) {
 	for _, a := range f.nodes[i].Handle(f.now, e) {
 		switch a := a.(type) {
-		case decide.Send:
+		case balancer.Send:
 			took, code := f.serve(i, int(a.Server), f.work[a.ID], a.Timeout)
-			end := decide.AttemptEnded{ID: a.ID, Attempt: f.legs[a.ID], Server: a.Server, Code: code, Elapsed: took}
+			end := balancer.AttemptEnded{ID: a.ID, Attempt: f.legs[a.ID], Server: a.Server, Code: code, Elapsed: took}
 			f.legs[a.ID]++
 			heap.Push(&f.queue, coldEvent{f.now + took, i, f.life[i], end, nil})
-		case decide.CancelAttempt:
-			end := decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}
+		case balancer.CancelAttempt:
+			end := balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: balancer.Cancelled}
 			heap.Push(&f.queue, coldEvent{f.now + time.Millisecond, i, f.life[i], end, nil})
-		case decide.Refuse:
+		case balancer.Refuse:
 			f.over[a.ID] = true
-		case decide.Fail:
+		case balancer.Fail:
 			f.over[a.ID] = true
-		case decide.SetTimer:
-			heap.Push(&f.queue, coldEvent{f.now + a.After, i, f.life[i], decide.TimerFired{Token: a.Token}, nil})
+		case balancer.SetTimer:
+			heap.Push(&f.queue, coldEvent{f.now + a.After, i, f.life[i], balancer.TimerFired{Token: a.Token}, nil})
 		}
 	}
 }
 
 // serve is a server's answer: in turn, 30 ms at least. A cold one seems as quick as others while it has room.
-func (f *coldFleet) serve(i, id int, work float64, timeout time.Duration) (time.Duration, decide.OutcomeCode) {
+func (f *coldFleet) serve(i, id int, work float64, timeout time.Duration) (time.Duration, balancer.OutcomeCode) {
 	rate, refused := f.rate*f.sizeOf(id), f.suspects > 0 && id%5 > 1 && f.now > f.start+f.suspects
 	if id == 1 {
 		rate *= f.can(f.now)
@@ -206,7 +206,7 @@
 		}
 	}
 	if refused {
-		return time.Millisecond, decide.ConnectFailed
+		return time.Millisecond, balancer.ConnectFailed
 	}
 	f.free[id] = max(f.free[id], f.now) + time.Duration(work/rate*float64(time.Second))
 	took := max(f.free[id]-f.now, f.base)
@@ -214,9 +214,9 @@
 		took = f.base
 	}
 	if took > timeout && timeout > 0 {
-		return timeout, decide.TimedOut
+		return timeout, balancer.TimedOut
 	}
-	return took, decide.OK
+	return took, balancer.OK
 }
 
 // windows counts the windows, from each send on, in which server 1 gets more than N + 2 x root of N + 2 while it is cold.
--- a/decide/cold_part_test.go
+++ b/balancer/cold_part_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 import (
 	"cmp"
@@ -8,19 +8,19 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 func (f *coldFleet) sort() {
 	for id := 1; id <= f.servers; id++ {
-		f.order = append(f.order, decide.ServerID(id))
+		f.order = append(f.order, balancer.ServerID(id))
 	}
 	if f.parts > 0 {
-		slices.SortFunc(f.order, func(a, b decide.ServerID) int { return cmp.Compare(decide.Place(a), decide.Place(b)) })
+		slices.SortFunc(f.order, func(a, b balancer.ServerID) int { return cmp.Compare(balancer.Place(a), balancer.Place(b)) })
 	}
 }
 
-func (f *coldFleet) settings(i int) decide.Settings {
+func (f *coldFleet) settings(i int) balancer.Settings {
 	set := f.set
 	if set.Self = f.number[i]; f.sizes && i%2 == 1 {
 		set.Nodes /= 2
@@ -39,10 +39,10 @@
 }
 
 // list is what a node is told now: all servers, or those of its part.
-func (f *coldFleet) list(i int) decide.ListUpdate {
-	u := decide.ListUpdate{Kind: decide.ListFull}
+func (f *coldFleet) list(i int) balancer.ListUpdate {
+	u := balancer.ListUpdate{Kind: balancer.ListFull}
 	for _, id := range f.order {
-		s := decide.Server{ID: id, Zone: "z", Size: 8 * f.sizeOf(int(id))}
+		s := balancer.Server{ID: id, Zone: "z", Size: 8 * f.sizeOf(int(id))}
 		if id == 1 && f.now >= f.start {
 			s.StartedAt = f.start
 		}
@@ -51,12 +51,12 @@
 		}
 	}
 	if f.parts > 0 {
-		u.Total, u.From = len(u.Entries), decide.StartPoint(f.number[i])
-		first := sort.Search(u.Total, func(i int) bool { return decide.Place(u.Entries[i].ID) >= u.From })
+		u.Total, u.From = len(u.Entries), balancer.StartPoint(f.number[i])
+		first := sort.Search(u.Total, func(i int) bool { return balancer.Place(u.Entries[i].ID) >= u.From })
 		reach := max(5, 6*u.Total/f.settings(i).Nodes+1)
 		u.Entries = slices.Concat(u.Entries[first:], u.Entries[:first])[:min(u.Total, f.parts*reach)]
 	}
-	if slices.ContainsFunc(u.Entries, func(s decide.Server) bool { return s.StartedAt > 0 }) {
+	if slices.ContainsFunc(u.Entries, func(s balancer.Server) bool { return s.StartedAt > 0 }) {
 		f.told[i] = min(f.told[i], f.now)
 	}
 	return u
@@ -65,7 +65,7 @@
 // tell tells a node of server 1's start, if that is in its part: the change alone.
 func (f *coldFleet) tell(i int) {
 	u := f.list(i)
-	u.Kind, u.Entries = decide.ListChanges, slices.DeleteFunc(u.Entries, func(s decide.Server) bool { return s.ID != 1 })
+	u.Kind, u.Entries = balancer.ListChanges, slices.DeleteFunc(u.Entries, func(s balancer.Server) bool { return s.ID != 1 })
 	f.feed(i, u)
 }
 
@@ -73,7 +73,7 @@
 func (f *coldFleet) move(i int) {
 	before := slices.Contains(f.nodes[i].Homes(), 1)
 	f.number[i] = (f.number[i] + 3) % len(f.nodes)
-	f.feed(i, decide.SettingsChanged{Settings: f.settings(i)})
+	f.feed(i, balancer.SettingsChanged{Settings: f.settings(i)})
 	f.feed(i, f.list(i))
 	if now := slices.Contains(f.nodes[i].Homes(), 1); now && !before {
 		f.entered++
@@ -138,7 +138,7 @@
 // sharers gives the least and the greatest of what nodes take for the number that works with a server, over how many do
 // with those that the node works with, on average; and the mean of all nodes, over that of all servers.
 func (f *coldFleet) sharers() (low, mean, high float64) {
-	with, pairs := map[decide.ServerID]float64{}, 0.0
+	with, pairs := map[balancer.ServerID]float64{}, 0.0
 	for _, m := range f.nodes {
 		for _, id := range m.Homes() {
 			with[id], pairs = with[id]+1, pairs+1
--- a/decide/cold_sum_test.go
+++ b/balancer/cold_sum_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 import (
 	"fmt"
--- a/decide/cold_test.go
+++ b/balancer/cold_test.go
@@ -1,10 +1,10 @@
-package decide_test
+package balancer_test
 
 import (
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // A zone is lost together with the nodes there: its servers fall silent, this node gets twice the traffic, the list tells
@@ -14,11 +14,11 @@
 	s.Nodes = 2
 	r := newRig(t, s, 8)
 	r.run(10*time.Second, 60, "cheap")
-	lost := func(id decide.ServerID) bool { return id > 4 }
+	lost := func(id balancer.ServerID) bool { return id > 4 }
 	up := r.delay
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if lost(id) {
-			return time.Hour, decide.TimedOut
+			return time.Hour, balancer.TimedOut
 		}
 		return up(id)
 	}
@@ -36,12 +36,12 @@
 	if dead > 60 || alive < 300 || r.failed > 0 {
 		t.Errorf("zone lost: %d sends into it, %d to the rest, %d failed", dead, alive, r.failed)
 	}
-	var gone, back []decide.Server
-	for id := decide.ServerID(5); id <= 8; id++ {
-		gone = append(gone, decide.Server{ID: id, Zone: "z", State: decide.Gone})
-		back = append(back, decide.Server{ID: id, Zone: "z", StartedAt: r.now + 2*time.Second})
+	var gone, back []balancer.Server
+	for id := balancer.ServerID(5); id <= 8; id++ {
+		gone = append(gone, balancer.Server{ID: id, Zone: "z", State: balancer.Gone})
+		back = append(back, balancer.Server{ID: id, Zone: "z", StartedAt: r.now + 2*time.Second})
 	}
-	r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: gone})
+	r.feed(balancer.ListUpdate{Kind: balancer.ListChanges, Entries: gone})
 	r.reset()
 	r.run(2*time.Second, 120, "cheap")
 	for id := range r.sent {
@@ -50,7 +50,7 @@
 		}
 	}
 	r.delay = up
-	r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: back})
+	r.feed(balancer.ListUpdate{Kind: balancer.ListChanges, Entries: back})
 	r.reset()
 	r.run(time.Second, 120, "cheap")
 	for id, n := range r.sent {
@@ -74,7 +74,7 @@
 		s.OverloadFactor = factor
 		r := newRig(t, s, 4)
 		r.run(10*time.Second, 100, "cheap")
-		r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Server{{ID: 2, Zone: "z", StartedAt: r.now}}})
+		r.feed(balancer.ListUpdate{Kind: balancer.ListChanges, Entries: []balancer.Server{{ID: 2, Zone: "z", StartedAt: r.now}}})
 		r.run(time.Second, 100, "cheap")
 		r.reset()
 		r.run(2*time.Second, 100, "cheap")
--- a/decide/events.go
+++ b/balancer/events.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What a caller tells the module.
 
--- a/decide/export_test.go
+++ b/balancer/export_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What plays of whole fleets read and no caller needs.
 
--- a/decide/fixture_test.go
+++ b/balancer/fixture_test.go
@@ -1,10 +1,10 @@
-package decide
+package balancer
 
 import (
 	"fmt"
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestHandoffAndNoteFormsAreUnchanged compares what a process hands to the next, and a note to another node, with golden
--- a/decide/handle.go
+++ b/balancer/handle.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What each event leads to, and the round of checks. The interface is in api.go.
 
--- a/decide/handover.go
+++ b/balancer/handover.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What a new process of this node takes over from the one before it. The interface is in api.go.
 
--- a/decide/idle_test.go
+++ b/balancer/idle_test.go
@@ -1,24 +1,24 @@
-package decide_test
+package balancer_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // fallen gives the node of a fleet after ten seconds of traffic, from when on all servers refuse or are silent. Each
 // attempt from then on is told.
-func fallen(t *testing.T, nodes, node, servers int, rate float64, class string, code decide.OutcomeCode, sent func(at time.Duration)) *rig {
+func fallen(t *testing.T, nodes, node, servers int, rate float64, class string, code balancer.OutcomeCode, sent func(at time.Duration)) *rig {
 	s := rigSettings()
 	s.Nodes, s.Self = nodes, node
 	r := newRig(t, s, servers)
 	r.run(10*time.Second, rate, class)
 	start := r.now
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		sent(r.now - start)
-		if code == decide.TimedOut {
+		if code == balancer.TimedOut {
 			return time.Hour, code
 		}
 		return time.Millisecond, code
@@ -30,7 +30,7 @@
 // with the next request that may be repeated. Where none may, nothing is tried, and the first that may is.
 func TestNodeWithoutServersIsNotIdle(t *testing.T) {
 	for _, servers := range []int{1, 2, 10, 40} {
-		for code, name := range map[decide.OutcomeCode]string{decide.ConnectFailed: "refusing", decide.TimedOut: "silent"} {
+		for code, name := range map[balancer.OutcomeCode]string{balancer.ConnectFailed: "refusing", balancer.TimedOut: "silent"} {
 			for _, rate := range []float64{4, 10, 40} {
 				t.Run(fmt.Sprint(servers, " servers, ", name, ", ", rate, " requests a second"), func(t *testing.T) {
 					for node := range 3 {
@@ -47,7 +47,7 @@
 		}
 	}
 	sends := 0
-	r := fallen(t, 1, 0, 2, 40, "once", decide.ConnectFailed, func(time.Duration) { sends++ })
+	r := fallen(t, 1, 0, 2, 40, "once", balancer.ConnectFailed, func(time.Duration) { sends++ })
 	r.run(10*time.Second, 40, "once")
 	before := sends
 	if r.run(time.Minute, 40, "once"); sends != before {
@@ -63,7 +63,7 @@
 	for _, nodes := range []int{30, 300} {
 		seconds, all := map[time.Duration]int{}, 0
 		for node := range nodes {
-			r := fallen(t, nodes, node, 2, 4, "cheap", decide.ConnectFailed, func(at time.Duration) { seconds[at/time.Second]++ })
+			r := fallen(t, nodes, node, 2, 4, "cheap", balancer.ConnectFailed, func(at time.Duration) { seconds[at/time.Second]++ })
 			r.run(time.Minute, 4, "cheap")
 		}
 		for second, n := range seconds {
--- a/decide/learning.go
+++ b/balancer/learning.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What answers teach of the speed of servers and classes. The interface is in api.go.
 
--- a/decide/length_test.go
+++ b/balancer/length_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"os"
@@ -31,7 +31,7 @@
 	var decides []string
 	for _, file := range files {
 		if !strings.HasSuffix(file, "_test.go") && !slices.Contains(interfaceFiles, file) {
-			decides = append(decides, "decide/"+file)
+			decides = append(decides, "balancer/"+file)
 		}
 	}
 	if slices.Sort(deploy.Policy); !slices.Equal(decides, deploy.Policy) {
@@ -47,7 +47,7 @@
 		if len(lines) > 250 {
 			t.Errorf("%s: %d lines, 250 at most", file, len(lines))
 		}
-		if !slices.Contains(decides, "decide/"+file) {
+		if !slices.Contains(decides, "balancer/"+file) {
 			continue
 		}
 		total += len(lines)
--- a/decide/limiting.go
+++ b/balancer/limiting.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What a module keeps of the operators' tables, and how a request comes to them. What they decide is in limits.go.
 
--- a/decide/limits.go
+++ b/balancer/limits.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Whether the operators' limits admit a request. The interface is in api.go, the table in table.go.
 
--- a/decide/limits_test.go
+++ b/balancer/limits_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 )
 
 // Admit says what a plain reading of the table says, and takes all or nothing.
--- a/decide/lists.go
+++ b/balancer/lists.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Which servers there are, and which of them this node works with. The interface is in api.go.
 
--- a/decide/looks.go
+++ b/balancer/looks.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Asking servers for their load before a send. The interface is in api.go.
 
--- a/decide/maintenance.go
+++ b/balancer/maintenance.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Servers taken out by hand, and back. Nothing of a request is decided here. The interface is in api.go.
 
--- a/decide/modes.go
+++ b/balancer/modes.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // The mode of a server: by its count, by reports, or imposed. The interface is in api.go.
 
--- a/decide/module.go
+++ b/balancer/module.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // How a module is made and takes settings, and what its files share. Nothing of a request is decided here.
 
--- a/decide/notes.go
+++ b/balancer/notes.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // The wire form of what nodes tell each other of a server. Nothing is decided here. The interface is in api.go.
 
--- a/decide/overload_test.go
+++ b/balancer/overload_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 import (
 	"fmt"
@@ -6,20 +6,22 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // When all slow down at once nobody is ejected: every server is kept as busy as it was, in requests in flight.
 func TestAllSlowAtOnceEjectsNobody(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.run(5*time.Second, 80, "cheap")
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
+	r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
+		return 150 * time.Millisecond, balancer.OK
+	}
 	r.reset()
 	r.run(5*time.Second, 80, "cheap")
 	if r.accused > 0 {
 		t.Errorf("%d servers were made suspects", r.accused)
 	}
-	for id := decide.ServerID(1); id <= 4; id++ {
+	for id := balancer.ServerID(1); id <= 4; id++ {
 		if r.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
 			t.Errorf("server %d got %d only", id, r.sent[id])
 		}
@@ -42,17 +44,17 @@
 // Overload sheds the cheap class first, and a server list that is empty or drains wholly refuses at once.
 func TestOverloadShedsByWorth(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
-	busy := map[decide.ServerID]time.Duration{}
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	busy := map[balancer.ServerID]time.Duration{}
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) { // one request at a time, 20 ms each
 		busy[id] = max(busy[id], r.now) + 20*time.Millisecond
-		return busy[id] - r.now, decide.OK
+		return busy[id] - r.now, balancer.OK
 	}
 	refused := map[string]int{}
 	for range 400 {
 		for _, c := range []string{"dear", "cheap", "cheap", "cheap"} {
 			before := r.refused
 			r.next++
-			r.feed(decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(r.next)), Class: c, Patience: time.Second})
+			r.feed(balancer.RequestArrived{ID: balancer.RequestID(fmt.Sprint(r.next)), Class: c, Patience: time.Second})
 			refused[c] += r.refused - before
 		}
 		r.run(15*time.Millisecond, 0, "")
@@ -63,26 +65,26 @@
 }
 
 func TestNoUsableServerOrOddSettings(t *testing.T) {
-	drained := []decide.Server{{ID: 1, State: decide.Draining}}
-	for _, list := range [][]decide.Server{nil, drained} {
-		for _, s := range []decide.Settings{{}, rigSettings()} {
+	drained := []balancer.Server{{ID: 1, State: balancer.Draining}}
+	for _, list := range [][]balancer.Server{nil, drained} {
+		for _, s := range []balancer.Settings{{}, rigSettings()} {
 			r := newRig(t, s, 0)
-			r.feed(decide.ListUpdate{Kind: decide.ListFull, Entries: list})
-			r.feed(decide.RequestArrived{ID: "a", Class: "unheard of", Patience: time.Second})
-			if _, ok := r.last["a"].(decide.Refuse); !ok || len(r.sent) != 0 {
+			r.feed(balancer.ListUpdate{Kind: balancer.ListFull, Entries: list})
+			r.feed(balancer.RequestArrived{ID: "a", Class: "unheard of", Patience: time.Second})
+			if _, ok := r.last["a"].(balancer.Refuse); !ok || len(r.sent) != 0 {
 				t.Errorf("%v: answer %v, sends %v", list, r.last["a"], r.sent)
 			}
 		}
 	}
-	r := newRig(t, decide.Settings{}, 2) // no classes at all
-	r.feed(decide.RequestArrived{ID: "a", Class: "x", Patience: 0})
-	if _, ok := r.last["a"].(decide.Refuse); !ok {
+	r := newRig(t, balancer.Settings{}, 2) // no classes at all
+	r.feed(balancer.RequestArrived{ID: "a", Class: "x", Patience: 0})
+	if _, ok := r.last["a"].(balancer.Refuse); !ok {
 		t.Error("zero patience was not refused")
 	}
-	r.feed(decide.RequestArrived{ID: "b", Class: "x", Patience: time.Second})
-	r.feed(decide.AttemptEnded{ID: "nobody", Attempt: 3, Server: 9, Code: decide.OK, Report: &decide.Report{}})
-	r.feed(decide.RequestAbandoned{ID: "nobody"})
-	r.feed(decide.TimerFired{Token: 99})
+	r.feed(balancer.RequestArrived{ID: "b", Class: "x", Patience: time.Second})
+	r.feed(balancer.AttemptEnded{ID: "nobody", Attempt: 3, Server: 9, Code: balancer.OK, Report: &balancer.Report{}})
+	r.feed(balancer.RequestAbandoned{ID: "nobody"})
+	r.feed(balancer.TimerFired{Token: 99})
 	r.run(2*time.Second, 50, "x")
 	if r.sent[1]+r.sent[2] == 0 {
 		t.Error("nothing was sent without classes")
@@ -92,7 +94,7 @@
 // A full answer blocks its server for the validity only.
 func TestFullAnswerLapses(t *testing.T) {
 	r := newRig(t, rigSettings(), 1)
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
+	r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) { return time.Millisecond, balancer.Full }
 	r.run(5*time.Millisecond, 200, "cheap")
 	r.run(100*time.Millisecond, 0, "cheap")
 	r.reset()
@@ -119,7 +121,7 @@
 		}
 	}
 	mixed(10 * time.Second)
-	r.work = func(id decide.RequestID) time.Duration {
+	r.work = func(id balancer.RequestID) time.Duration {
 		if strings.HasPrefix(string(id), "once") {
 			return 500 * time.Millisecond
 		}
@@ -148,12 +150,12 @@
 func TestOverloadWithClientRetries(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.retries, r.patience = 2, 1200*time.Millisecond
-	free := map[decide.ServerID]time.Duration{}
+	free := map[balancer.ServerID]time.Duration{}
 	longest := time.Duration(0)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) { // one request at a time, 20 ms each
 		free[id] = max(free[id], r.now) + 20*time.Millisecond
 		longest = max(longest, free[id]-r.now)
-		return free[id] - r.now, decide.OK
+		return free[id] - r.now, balancer.OK
 	}
 	mixed := func(length time.Duration, rate float64) int {
 		start := r.next
@@ -190,12 +192,12 @@
 	s := rigSettings()
 	s.Classes[1].Aim = 10 * time.Second // an aim far off: only the uncrowded latency bounds the queue
 	r := newRig(t, s, 4)
-	free := map[decide.ServerID]time.Duration{}
+	free := map[balancer.ServerID]time.Duration{}
 	var waits, answers time.Duration
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) { // one request at a time, 20 ms each
 		free[id] = max(free[id], r.now) + 20*time.Millisecond
 		waits, answers = waits+free[id]-r.now, answers+1
-		return free[id] - r.now, decide.OK
+		return free[id] - r.now, balancer.OK
 	}
 	r.run(10*time.Second, 100, "cheap")
 	r.run(10*time.Second, 400, "cheap")
--- a/decide/part_test.go
+++ b/balancer/part_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"cmp"
--- a/decide/peers.go
+++ b/balancer/peers.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What nodes tell each other of the servers that they share. The interface is in api.go.
 
--- a/decide/requests.go
+++ b/balancer/requests.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // A request from its arrival to its one final answer. The interface is in api.go.
 
--- a/decide/retries.go
+++ b/balancer/retries.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Which attempts are given up for another, and how many there may be. The interface is in api.go.
 
--- a/decide/retries_test.go
+++ b/balancer/retries_test.go
@@ -1,10 +1,10 @@
-package decide_test
+package balancer_test
 
 import (
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // Servers that lose an answer now and then are not crowded: what they owe must shed nobody, and a request that may
@@ -17,11 +17,11 @@
 		r, sends := newRig(t, rigSettings(), 4), 0
 		r.run(4*time.Second, 100, c.class)
 		r.reset()
-		r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 			if sends++; sends%20 == 0 {
-				return time.Hour, decide.OK
+				return time.Hour, balancer.OK
 			}
-			return 50 * time.Millisecond, decide.OK
+			return 50 * time.Millisecond, balancer.OK
 		}
 		before, asked := r.inTime[c.class], r.next
 		r.run(10*time.Second, 100, c.class)
@@ -44,7 +44,7 @@
 // An unsafe request at a silent server is failed at its deadline, never repeated and never refused.
 func TestUnsafeTimeOutFails(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
+	r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) { return time.Hour, balancer.TimedOut }
 	r.run(5*time.Millisecond, 200, "once")
 	r.run(3*time.Second, 0, "once")
 	if n := r.sent[1] + r.sent[2] + r.sent[3]; n != 1 || r.failed != 1 || r.refused != 0 {
@@ -56,22 +56,22 @@
 func TestFurtherAttemptsByEffect(t *testing.T) {
 	for _, c := range []struct {
 		class string
-		code  decide.OutcomeCode
+		code  balancer.OutcomeCode
 		again bool
-	}{{"cheap", decide.ServerError, true}, {"cheap", decide.ConnectFailed, true}, {"once", decide.ServerError, false},
-		{"once", decide.Reset, false}, {"once", decide.ConnectFailed, true}, {"once", decide.ConnectTimedOut, true},
-		{"once", decide.Full, true}} {
+	}{{"cheap", balancer.ServerError, true}, {"cheap", balancer.ConnectFailed, true}, {"once", balancer.ServerError, false},
+		{"once", balancer.Reset, false}, {"once", balancer.ConnectFailed, true}, {"once", balancer.ConnectTimedOut, true},
+		{"once", balancer.Full, true}} {
 		r := newRig(t, rigSettings(), 3)
 		r.run(3*time.Second, 100, "cheap")
 		r.run(time.Second, 0, "cheap")
 		r.reset()
 		first := true
-		r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		r.delay = func(balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 			if first {
 				first = false
 				return 10 * time.Millisecond, c.code
 			}
-			return 50 * time.Millisecond, decide.OK
+			return 50 * time.Millisecond, balancer.OK
 		}
 		r.run(5*time.Millisecond, 200, c.class)
 		r.run(time.Second, 0, c.class)
--- a/decide/ring.go
+++ b/balancer/ring.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // The ring: servers by a hash of their ids, and the places on it from which nodes take their own. Nothing of a
 // request is decided here. The interface is in api.go.
--- a/decide/settings.go
+++ b/balancer/settings.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // What a node is told: its classes, tenants and rules.
 
--- a/decide/shedding.go
+++ b/balancer/shedding.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Which requests are refused when no server is normal. The interface is in api.go.
 
--- a/decide/size_test.go
+++ b/balancer/size_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 import (
 	"fmt"
@@ -6,22 +6,22 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // sized is a module of a node that shares its servers with others and knows so many, and what it holds for each.
-func sized(nodes, servers int) (m *decide.Module, each float64) {
+func sized(nodes, servers int) (m *balancer.Module, each float64) {
 	s := rigSettings()
 	s.Nodes, s.Self, s.MayMessage = nodes, nodes/3, true
-	list := make([]decide.Server, servers)
+	list := make([]balancer.Server, servers)
 	for i := range list {
-		list[i] = decide.Server{ID: decide.ServerID(i + 1), Zone: "a", Kind: "k"}
+		list[i] = balancer.Server{ID: balancer.ServerID(i + 1), Zone: "a", Kind: "k"}
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	m = decide.New(s, 1)
-	m.Handle(time.Hour, decide.ListUpdate{Kind: decide.ListFull, Entries: list})
+	m = balancer.New(s, 1)
+	m.Handle(time.Hour, balancer.ListUpdate{Kind: balancer.ListFull, Entries: list})
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(list)
@@ -36,15 +36,15 @@
 			now := time.Hour
 			b.Run(fmt.Sprintf("change/nodes=%d/servers=%d", nodes, servers), func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
-					e := decide.Server{ID: decide.ServerID(1 + i/2*7919%servers), Zone: "a", Kind: "k", State: decide.ServerState(2 - i%2*2)}
-					m.Handle(now, decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Server{e}})
+					e := balancer.Server{ID: balancer.ServerID(1 + i/2*7919%servers), Zone: "a", Kind: "k", State: balancer.ServerState(2 - i%2*2)}
+					m.Handle(now, balancer.ListUpdate{Kind: balancer.ListChanges, Entries: []balancer.Server{e}})
 				}
 				b.ReportMetric(each, "B/server")
 			})
 			b.Run(fmt.Sprintf("tick/nodes=%d/servers=%d", nodes, servers), func(b *testing.B) {
 				for b.Loop() {
 					now += 25 * time.Millisecond
-					m.Handle(now, decide.TimerFired{})
+					m.Handle(now, balancer.TimerFired{})
 					m.Ejected()
 				}
 			})
--- a/decide/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // The state that the decisions keep. Nothing is decided here.
 
--- a/decide/suspicion.go
+++ b/balancer/suspicion.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // Which servers get trial requests only, or nothing, and when they are back. The interface is in api.go.
 
--- a/decide/suspicion_test.go
+++ b/balancer/suspicion_test.go
@@ -1,23 +1,23 @@
-package decide_test
+package balancer_test
 
 import (
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // One lost answer and two requests that have just been sent are no silence: servers that lose a few in a hundred would
 // all be left out in turn.
 func TestRecentSendsAreNoSilence(t *testing.T) {
-	r, sends := newRig(t, rigSettings(), 3), map[decide.ServerID]int{}
+	r, sends := newRig(t, rigSettings(), 3), map[balancer.ServerID]int{}
 	r.run(4*time.Second, 60, "once")
 	r.accused = 0
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if sends[id]++; sends[id]%12 == 0 {
-			return time.Hour, decide.OK
+			return time.Hour, balancer.OK
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, balancer.OK
 	}
 	for range 100 { // pauses, after which a lost answer is the oldest that is out and others come at once
 		r.run(300*time.Millisecond, 40, "once")
@@ -32,12 +32,12 @@
 // Servers that break a quarter of their requests still serve three quarters: leaving most of a fleet out for it would
 // crowd the rest. One that refuses connections is left out at once, and is taken as cold when it answers again.
 func TestServersThatFailAPartStay(t *testing.T) {
-	for _, code := range []decide.OutcomeCode{decide.Reset, decide.ServerError} {
-		r, sends := newRig(t, rigSettings(), 6), map[decide.ServerID]int{}
+	for _, code := range []balancer.OutcomeCode{balancer.Reset, balancer.ServerError} {
+		r, sends := newRig(t, rigSettings(), 6), map[balancer.ServerID]int{}
 		r.run(4*time.Second, 120, "dear")
 		r.reset()
 		good := r.delay
-		r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 			// Three in a row, and nine good ones: by the row alone each would be a suspect soon.
 			if sends[id]++; id > 2 && sends[id]%12 < 3 {
 				return 20 * time.Millisecond, code
@@ -52,9 +52,9 @@
 	r := newRig(t, rigSettings(), 3)
 	r.run(4*time.Second, 60, "dear")
 	good, down := r.delay, true
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if id == 1 && down {
-			return time.Millisecond, decide.ConnectFailed
+			return time.Millisecond, balancer.ConnectFailed
 		}
 		return good(id)
 	}
@@ -75,14 +75,14 @@
 // Of servers to which a third of the connections come up late, two in a row now and then, none is left out: each that is,
 // is tried by few requests and taken as cold then. One to which none comes up is out of reach.
 func TestLateConnectionsAreNoProof(t *testing.T) {
-	r, sends := newRig(t, rigSettings(), 4), map[decide.ServerID]int{}
+	r, sends := newRig(t, rigSettings(), 4), map[balancer.ServerID]int{}
 	r.run(4*time.Second, 60, "dear")
 	r.reset()
 	r.accused = 0
-	good, cut := r.delay, decide.ServerID(0)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	good, cut := r.delay, balancer.ServerID(0)
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if sends[id]++; id == cut || sends[id]%6 < 2 {
-			return 100 * time.Millisecond, decide.ConnectTimedOut
+			return 100 * time.Millisecond, balancer.ConnectTimedOut
 		}
 		return good(id)
 	}
@@ -106,9 +106,9 @@
 	r := newRig(t, s, 5)
 	r.run(5*time.Second, 100, "cheap")
 	quick := r.delay
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if id == 3 {
-			return time.Hour, decide.TimedOut
+			return time.Hour, balancer.TimedOut
 		}
 		return quick(id)
 	}
@@ -135,11 +135,11 @@
 // A server that fails fast must not attract work.
 func TestFastFailerAttractsNothing(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if id == 2 {
-			return time.Millisecond, decide.ServerError
+			return time.Millisecond, balancer.ServerError
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, balancer.OK
 	}
 	r.run(10*time.Second, 100, "cheap")
 	if r.sent[2] > 60 {
@@ -152,13 +152,13 @@
 	r := newRig(t, rigSettings(), 3)
 	r.run(3*time.Second, 100, "cheap")
 	n := 0
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id balancer.ServerID) (time.Duration, balancer.OutcomeCode) {
 		if id == 1 {
 			if n++; n%3 != 0 {
-				return time.Millisecond, decide.Reset
+				return time.Millisecond, balancer.Reset
 			}
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, balancer.OK
 	}
 	r.accused = 0
 	r.run(60*time.Second, 100, "cheap")
--- a/decide/table.go
+++ b/balancer/table.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // The operators' table of limits, as internal/policy compiles it and a node takes it. It is data alone: how a
 // request is judged by it is in limits.go, how it is read and checked in tableread.go.
--- a/decide/tabletree.go
+++ b/balancer/tabletree.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // How the parts of a table nest.
 
--- a/decide/thresholds.go
+++ b/balancer/thresholds.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // How many requests a server may have: H, by what it and the fleet can do. The interface is in api.go.
 
--- a/decide/world_test.go
+++ b/balancer/world_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package balancer_test
 
 // A small world that drives the module through legal but unkind events. Nothing here, in checker_test.go or in
 // happenings_test.go uses the module's own code beyond its interface.
@@ -9,18 +9,18 @@
 	"sort"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 type sentAttempt struct {
-	server decide.ServerID
+	server balancer.ServerID
 	at     time.Duration
 	ended  bool
-	code   decide.OutcomeCode
+	code   balancer.OutcomeCode
 }
 
 type liveRequest struct {
-	class    decide.Class
+	class    balancer.Class
 	deadline time.Duration
 	attempts []sentAttempt
 	final    bool
@@ -28,7 +28,7 @@
 }
 
 type listed struct {
-	decide.Server
+	balancer.Server
 	drainTold time.Duration // when the node was told that it drains or is gone; 0: it is ready
 	startTold bool
 	used      time.Duration // the last notice of a drain, send or outcome; 0: none since the last CloseIdle
@@ -37,24 +37,24 @@
 type pending struct {
 	at    time.Duration
 	order int
-	event decide.Event
-	id    decide.RequestID
+	event balancer.Event
+	id    balancer.RequestID
 }
 
 type world struct {
-	set      decide.Settings
+	set      balancer.Settings
 	r        *rand.Rand
 	now      time.Duration
 	queue    []pending
 	order    int
-	requests map[decide.RequestID]*liveRequest
-	servers  map[decide.ServerID]*listed
-	ids      []decide.ServerID
-	sends    map[decide.ServerID][]time.Duration
+	requests map[balancer.RequestID]*liveRequest
+	servers  map[balancer.ServerID]*listed
+	ids      []balancer.ServerID
+	sends    map[balancer.ServerID][]time.Duration
 	capacity float64 // requests a second that this node's share of a warm server can do
-	module   *decide.Module
-	mutate   func(w *world, a []decide.Action) []decide.Action
-	events   []decide.Event
+	module   *balancer.Module
+	mutate   func(w *world, a []balancer.Action) []balancer.Action
+	events   []balancer.Event
 	times    []time.Duration
 	actions  []string
 	broken   []string
@@ -71,7 +71,7 @@
 	w.queue = append(w.queue, p)
 }
 
-func (w *world) handle(e decide.Event) {
+func (w *world) handle(e balancer.Event) {
 	w.events, w.times = append(w.events, e), append(w.times, w.now)
 	actions := w.module.Handle(w.now, e)
 	w.actions = append(w.actions, fmt.Sprintf("%#v", actions))
@@ -85,43 +85,43 @@
 
 func newWorld(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	w := &world{r: r, now: time.Hour, servers: map[decide.ServerID]*listed{}, sends: map[decide.ServerID][]time.Duration{}}
+	w := &world{r: r, now: time.Hour, servers: map[balancer.ServerID]*listed{}, sends: map[balancer.ServerID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
-	w.set = decide.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
-		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, ReportVia: decide.ReportVia(r.Intn(3)), MayMessage: r.Intn(2) == 0, HoldOffs: r.Intn(2) == 0,
+	w.set = balancer.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
+		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, ReportVia: balancer.ReportVia(r.Intn(3)), MayMessage: r.Intn(2) == 0, HoldOffs: r.Intn(2) == 0,
 		MaxHoldOff: time.Second, ConnectTimeout: 100 * time.Millisecond, MinTick: 5 * time.Millisecond,
 		AskForList: r.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second,
 		DrainGrace: ms(0, 1000), DrainClose: time.Duration(r.Intn(2)) * ms(20, 500),
 		ColdFrom: 0.3, ColdTime: ms(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
 	for i, n := 0, 1+r.Intn(4); i < n; i++ {
 		aim := ms(100, 1500)
-		w.set.Classes = append(w.set.Classes, decide.Class{Name: fmt.Sprint("c", i), Worth: float64(r.Intn(13)), Aim: aim,
-			Deadline: 2*aim + ms(0, 2000), LateWorth: float64(r.Intn(2)) / 2, Effect: decide.Effect(r.Intn(3)),
-			KeyScope: decide.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0,
+		w.set.Classes = append(w.set.Classes, balancer.Class{Name: fmt.Sprint("c", i), Worth: float64(r.Intn(13)), Aim: aim,
+			Deadline: 2*aim + ms(0, 2000), LateWorth: float64(r.Intn(2)) / 2, Effect: balancer.Effect(r.Intn(3)),
+			KeyScope: balancer.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0,
 			OnlyZones: [][]string{nil, nil, {"z0"}, {"z1", "z0"}, {}}[r.Intn(5)],
 			OnlyKinds: [][]string{nil, nil, nil, {"k1"}}[r.Intn(4)]})
 	}
 	if r.Intn(3) == 0 {
-		w.set.Tenants = []decide.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
+		w.set.Tenants = []balancer.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
 	}
 	w.start()
 	return w
 }
 
 func (w *world) start() {
-	w.module = decide.New(w.set, w.r.Int63())
-	w.requests, w.queue = map[decide.RequestID]*liveRequest{}, nil
-	var all []decide.Server
+	w.module = balancer.New(w.set, w.r.Int63())
+	w.requests, w.queue = map[balancer.RequestID]*liveRequest{}, nil
+	var all []balancer.Server
 	for _, id := range w.ids {
-		if e := w.servers[id].Server; e.State != decide.Gone {
+		if e := w.servers[id].Server; e.State != balancer.Gone {
 			all = append(all, e)
 		}
 	}
 	for len(all) < 4 {
 		all = append(all, w.newServer(0))
 	}
-	w.servers, w.ids = map[decide.ServerID]*listed{}, nil
-	w.tell(decide.ListCached, all)
+	w.servers, w.ids = map[balancer.ServerID]*listed{}, nil
+	w.tell(balancer.ListCached, all)
 }
 
 // run plays a stretch of time; restarts says whether the node may be restarted in between.
@@ -148,7 +148,7 @@
 			w.start()
 		}
 		for _, id := range w.ids {
-			if s := w.servers[id]; s.State == decide.Draining && s.used > 0 && w.set.DrainClose > 0 &&
+			if s := w.servers[id]; s.State == balancer.Draining && s.used > 0 && w.set.DrainClose > 0 &&
 				w.now > s.used+w.set.DrainClose {
 				w.fault("connections to server %d, which drains, were left open", id)
 				s.used = 0
--- a/cmd/indigoagent/main.go
+++ b/cmd/wrenspread-agent/main.go
@@ -1,4 +1,4 @@
-// Command indigoagent keeps the servers of one machine running.
+// Command wrenspread-agent keeps the servers of one machine running.
 package main
 
 import (
@@ -7,34 +7,34 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/agent"
-	"indigotack/internal/conf"
+	"wrenspread/internal/agent"
+	"wrenspread/internal/config"
 )
 
-func main() { conf.Main(root()) }
+func main() { config.Main(root()) }
 
 func root() *cobra.Command {
 	d := agent.Default()
 	c := &cobra.Command{
-		Use:   "indigoagent",
+		Use:   "wrenspread-agent",
 		Short: "keep the servers of one machine running",
-		Long: `indigoagent starts the servers that its file names, starts them again when they end, keeps their entries in the list
+		Long: `wrenspread-agent starts the servers that its file names, starts them again when they end, keeps their entries in the list
 service, and replaces them by another version when the holder of a release's duty orders it. The servers outlive it:
 the next agent on the same folder takes them up. A configuration is in docs/agent.md. It runs until SIGTERM.`,
-		Example: "  indigoagent --config agent.toml",
+		Example: "  wrenspread-agent --config agent.toml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if c.Flags().NFlag() == 0 {
 				return c.Help()
 			}
-			config := agent.Default()
-			if err := conf.Load(&config, c.Flags()); err != nil {
+			settings := agent.Default()
+			if err := config.Load(&settings, c.Flags()); err != nil {
 				return err
 			}
-			return agent.Run(c.Context(), config, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("machine", config.Machine))
+			return agent.Run(c.Context(), settings, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("machine", settings.Machine))
 		},
 	}
-	c.Flags().String(conf.FileFlag, "", "a TOML file; flags win over it")
+	c.Flags().String(config.FileFlag, "", "a TOML file; flags win over it")
 	c.Flags().String("listen", d.Listen, "the address for calls")
 	c.Flags().String("folder", d.Folder, "for versions, fences and the servers' output")
 	return c
--- a/cmd/indigokeeper/main.go
+++ b/cmd/wrenspread-controller/main.go
@@ -1,4 +1,4 @@
-// Command indigokeeper looks whether the list of servers, the servers and the nodes agree.
+// Command wrenspread-controller looks whether the list of servers, the servers and the nodes agree.
 package main
 
 import (
@@ -7,35 +7,35 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/conf"
-	"indigotack/internal/keeper"
+	"wrenspread/internal/config"
+	"wrenspread/internal/controller"
 )
 
-func main() { conf.Main(root()) }
+func main() { config.Main(root()) }
 
 func root() *cobra.Command {
-	d := keeper.Default()
+	d := controller.Default()
 	c := &cobra.Command{
-		Use:   "indigokeeper",
+		Use:   "wrenspread-controller",
 		Short: "look whether list, servers and nodes agree",
-		Long: `indigokeeper looks at the list of servers, at each server's address and at each node's control address. What does not
+		Long: `wrenspread-controller looks at the list of servers, at each server's address and at each node's control address. What does not
 agree for a while is reported (/report, /metrics, log); a server that is leaving, takes no connections and that nobody
 would take off the list is taken off. Run it on several machines: one of them holds the duty, the others wait.
 A configuration is in docs/duties.md. It runs until SIGTERM.`,
-		Example: "  indigokeeper --config keeper.toml\n  indigokeeper --process ops-1 --list 127.0.0.1:8500",
+		Example: "  wrenspread-controller --config keeper.toml\n  wrenspread-controller --process ops-1 --list 127.0.0.1:8500",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if c.Flags().NFlag() == 0 {
 				return c.Help()
 			}
-			config := keeper.Default()
-			if err := conf.Load(&config, c.Flags()); err != nil {
+			settings := controller.Default()
+			if err := config.Load(&settings, c.Flags()); err != nil {
 				return err
 			}
-			return keeper.Run(c.Context(), config, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("process", config.Process))
+			return controller.Run(c.Context(), settings, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("process", settings.Process))
 		},
 	}
-	c.Flags().String(conf.FileFlag, "", "a TOML file; flags win over it")
+	c.Flags().String(config.FileFlag, "", "a TOML file; flags win over it")
 	c.Flags().String("process", d.Process, "the name of this process, the same over its restarts")
 	c.Flags().StringSlice("list", nil, "addresses of the list service's replicas")
 	c.Flags().String("listen", d.Listen, "the address for /report, /healthz and /metrics")
--- a/cmd/indigolab/commands.go
+++ b/cmd/wrenspread-lab/commands.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/gauge"
-	"indigotack/internal/lab/report"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/measure"
+	"wrenspread/internal/lab/report"
+	"wrenspread/internal/lab/spec"
 )
 
 // flags that playing takes.
@@ -25,7 +25,7 @@
 func (f *flags) add(c *cobra.Command) {
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "the seed of world, load, emulated work and drawn faults")
 	c.Flags().StringVar(&f.out, "out", "logs/lab", "the folder under which each run gets one of its own")
-	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the indigotack to play with (default: beside indigolab, or built from the project)")
+	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the wrenspread-proxy to play with (default: beside wrenspread-lab, or built from the project)")
 	c.Flags().IntVar(&f.repeat, "repeat", 1, "play so many seeds, from --seed on")
 }
 
@@ -43,7 +43,7 @@
 	c := &cobra.Command{
 		Use:     "run FILE",
 		Short:   "play an experiment",
-		Example: "  indigolab run lab/node-kill.toml\n  indigolab run lab/zone-cut.toml --seed 7 --repeat 3 --out /tmp/runs",
+		Example: "  wrenspread-lab run lab/node-kill.toml\n  wrenspread-lab run lab/zone-cut.toml --seed 7 --repeat 3 --out /tmp/runs",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := spec.LoadFile(args[0])
@@ -62,7 +62,7 @@
 	c := &cobra.Command{
 		Use:     "demo",
 		Short:   "3 nodes, 10 boxes, load, and a node that is killed: 15 seconds, then a report",
-		Example: "  go run ./cmd/indigolab demo",
+		Example: "  go run ./cmd/wrenspread-lab demo",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			e, err := spec.Parse("demo.toml", demoText)
@@ -95,7 +95,7 @@
 	c := &cobra.Command{
 		Use:     "list",
 		Short:   "list the experiments, and what a fault may do",
-		Example: "  indigolab list\n  indigolab list --dir lab",
+		Example: "  wrenspread-lab list\n  wrenspread-lab list --dir lab",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			all, err := experimentsIn(dir)
@@ -122,7 +122,7 @@
 	return &cobra.Command{
 		Use:     "check FILE...",
 		Short:   "read experiments and say what is wrong with them, without playing",
-		Example: "  indigolab check lab/*.toml",
+		Example: "  wrenspread-lab check lab/*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			bad := 0
@@ -147,7 +147,7 @@
 	c := &cobra.Command{
 		Use:     "schedule FILE",
 		Short:   "print the faults that a seed draws, without playing",
-		Example: "  indigolab schedule lab/calm.toml --seed 7",
+		Example: "  wrenspread-lab schedule lab/calm.toml --seed 7",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := spec.LoadFile(args[0])
@@ -169,7 +169,7 @@
 	return &cobra.Command{
 		Use:     "compare A B",
 		Short:   "set the figures of two runs side by side",
-		Example: "  indigolab compare logs/lab/calm-1-20261201T101500.000 logs/lab/calm-1-20261201T103000.000",
+		Example: "  wrenspread-lab compare logs/lab/calm-1-20261201T101500.000 logs/lab/calm-1-20261201T103000.000",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			var runs []report.Run
@@ -192,7 +192,7 @@
 	c := &cobra.Command{
 		Use:     "all",
 		Short:   "play all experiments of a folder",
-		Example: "  indigolab all --quick\n  indigolab all --repeat 3",
+		Example: "  wrenspread-lab all --quick\n  wrenspread-lab all --repeat 3",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			all, err := experimentsIn(dir)
@@ -215,10 +215,10 @@
 	return &cobra.Command{
 		Use:     "cost",
 		Short:   "measure what the lab itself adds and takes on this machine, half a minute",
-		Example: "  indigolab cost",
+		Example: "  wrenspread-lab cost",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := gauge.WriteCost(c.Context(), c.OutOrStdout()); err != nil {
+			if err := measure.WriteCost(c.Context(), c.OutOrStdout()); err != nil {
 				return unplayed{err}
 			}
 			return nil
@@ -231,10 +231,10 @@
 	c := &cobra.Command{
 		Use:     "boxes",
 		Short:   "measure the emulated boxes against the figures they are drawn from",
-		Example: "  indigolab boxes --draw 1000",
+		Example: "  wrenspread-lab boxes --draw 1000",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return gauge.WriteBoxes(c.OutOrStdout(), gauge.Boxes(n))
+			return measure.WriteBoxes(c.OutOrStdout(), measure.Boxes(n))
 		},
 	}
 	c.Flags().IntVar(&n, "draw", n, "how many boxes to draw")
--- a/cmd/indigolab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/lab/duties"
+	"wrenspread/internal/lab/leases"
 )
 
 // dutyFlags are what a series of runs with duties takes.
@@ -24,7 +24,7 @@
 	seed           uint64
 	runs, together int
 	replicas       int
-	crew           duties.CrewOptions
+	crew           leases.CrewOptions
 	length         time.Duration
 	out, bin       string
 	guard          string
@@ -39,7 +39,7 @@
 kills, pauses, cuts off and restarts them as its seed draws. No act under a lower fence may follow one under a higher, no two
 holders' acts may interleave, grants and fenced writes must be those of a lock (porcupine). Of two seeds one has a resource
 that checks fences, and processes that stand still; the other has neither, so that time alone keeps holders apart.`,
-		Example: "  indigolab duties\n  indigolab duties --runs 200 --together 3",
+		Example: "  wrenspread-lab duties\n  wrenspread-lab duties --runs 200 --together 3",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return f.play(c) },
 	}
@@ -54,7 +54,7 @@
 	c.Flags().StringVar(&f.guard, "guard", "by-seed", "does the resource check fences: yes, no or by-seed")
 	c.Flags().DurationVar(&f.length, "length", 8*time.Second, "of each run's faults")
 	c.Flags().StringVar(&f.out, "out", "logs/lab", "the folder under which each run gets one of its own")
-	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the indigolist to play with (default: beside indigolab, or built from the project)")
+	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the wrenspread-registry to play with (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
@@ -62,7 +62,7 @@
 	if f.runs < 1 || f.together < 1 || f.crew.Workers < 1 || f.crew.Duties < 1 || f.length < time.Second || (f.replicas != 1 && f.replicas != 3 && f.replicas != 5) {
 		return unplayed{errors.New("--runs, --together, --workers and --duties are 1 or more, --length 1s or more, --replicas 1, 3 or 5")}
 	}
-	program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "indigolist")
+	program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
 	if err != nil {
 		return err
 	}
@@ -77,19 +77,19 @@
 	})
 }
 
-func (f *dutyFlags) one(ctx context.Context, program string, seed uint64) (duties.Outcome, error) {
+func (f *dutyFlags) one(ctx context.Context, program string, seed uint64) (leases.Outcome, error) {
 	dir, err := filepath.Abs(filepath.Join(f.out, fmt.Sprintf("duties-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))))
 	if err != nil {
-		return duties.Outcome{}, err
+		return leases.Outcome{}, err
 	}
 	own, err := os.Executable()
 	if err != nil {
-		return duties.Outcome{}, err
+		return leases.Outcome{}, err
 	}
 	crew := f.crew
 	crew.Command = []string{own, "duty-worker"}
 	crew.Guarded = f.guard == "yes" || f.guard == "by-seed" && seed%2 == 0
-	return duties.Play(ctx, duties.Options{Crew: crew, Seed: seed, Replicas: f.replicas, Length: f.length, Dir: dir, List: []string{program}})
+	return leases.Play(ctx, leases.Options{Crew: crew, Seed: seed, Replicas: f.replicas, Length: f.length, Dir: dir, List: []string{program}})
 }
 
 func dutyCostCommand() *cobra.Command {
@@ -98,10 +98,10 @@
 	c := &cobra.Command{
 		Use:     "duty-cost",
 		Short:   "measure duties: the time without a holder, and what held duties take",
-		Example: "  indigolab duty-cost --times 50",
+		Example: "  wrenspread-lab duty-cost --times 50",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			program, done, err := findProgram(c.Context(), c.ErrOrStderr(), bin, "indigolist")
+			program, done, err := findProgram(c.Context(), c.ErrOrStderr(), bin, "wrenspread-registry")
 			if err != nil {
 				return err
 			}
@@ -115,7 +115,7 @@
 				return unplayed{err}
 			}
 			defer os.RemoveAll(dir)
-			o := duties.Options{Seed: 1, Replicas: 3, Dir: dir, List: []string{program}, Crew: duties.CrewOptions{Workers: 3, TTL: time.Second, Command: []string{own, "duty-worker"}}}
+			o := leases.Options{Seed: 1, Replicas: 3, Dir: dir, List: []string{program}, Crew: leases.CrewOptions{Workers: 3, TTL: time.Second, Command: []string{own, "duty-worker"}}}
 			if err := dutyCost(c.Context(), c.OutOrStdout(), o, times); err != nil {
 				return unplayed{err}
 			}
@@ -123,7 +123,7 @@
 		},
 	}
 	c.Flags().IntVar(&times, "times", 50, "how many times each kind of change is made")
-	c.Flags().StringVar(&bin, "bin", "", "the folder with the indigolist to measure (default: beside indigolab, or built from the project)")
+	c.Flags().StringVar(&bin, "bin", "", "the folder with the wrenspread-registry to measure (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
@@ -133,29 +133,29 @@
 // election is that of the lab's replicas, up to twice of which one may take.
 const election = 300 * time.Millisecond
 
-func dutyCost(ctx context.Context, w io.Writer, o duties.Options, times int) error {
+func dutyCost(ctx context.Context, w io.Writer, o leases.Options, times int) error {
 	under := o.Dir
 	var mu sync.Mutex // of the output
 	var g errgroup.Group
-	for _, kind := range duties.Kinds {
+	for _, kind := range leases.Kinds {
 		g.Go(func() error {
 			o := o
 			o.Dir = filepath.Join(under, kind)
-			all, err := duties.Changes(ctx, o, kind, times)
+			all, err := leases.Changes(ctx, o, kind, times)
 			if err != nil {
 				return fmt.Errorf("%s: %w", kind, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			fmt.Fprintf(w, "%-8s %d changes: without a holder for %v in the median, %v at the worst; %v on paper\n", kind, len(all),
-				all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond), duties.Bound(kind, o.Crew.TTL, election))
+				all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond), leases.Bound(kind, o.Crew.TTL, election))
 			return nil
 		})
 	}
 	g.Go(func() error {
 		o := o
 		o.Dir = filepath.Join(under, "contest")
-		all, err := duties.Contest(ctx, o, contestants, contests)
+		all, err := leases.Contest(ctx, o, contestants, contests)
 		if err != nil {
 			return fmt.Errorf("%d candidates: %w", contestants, err)
 		}
@@ -171,7 +171,7 @@
 	o.Crew.Workers = 10
 	for _, n := range []int{10, 100, 1000} {
 		o.Dir = filepath.Join(under, fmt.Sprint(n))
-		c, err := duties.Costs(ctx, o, n)
+		c, err := leases.Costs(ctx, o, n)
 		if err != nil {
 			return fmt.Errorf("%d duties: %w", n, err)
 		}
@@ -183,7 +183,7 @@
 
 // dutyWorkerCommand is the process of a worker; the lab starts it.
 func dutyWorkerCommand() *cobra.Command {
-	var o duties.WorkerOptions
+	var o leases.WorkerOptions
 	var addresses, names string
 	c := &cobra.Command{
 		Use:    "duty-worker",
@@ -192,7 +192,7 @@
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			o.List, o.Duties = strings.Split(addresses, ","), strings.Split(names, ",")
-			return duties.Work(c.Context(), o, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			return leases.Work(c.Context(), o, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		},
 	}
 	c.Flags().StringVar(&o.Process, "process", "", "its name")
--- a/cmd/indigolab/duties_test.go
+++ b/cmd/wrenspread-lab/duties_test.go
@@ -13,14 +13,14 @@
 
 	"github.com/spf13/pflag"
 
-	"indigotack/internal/conf"
-	"indigotack/internal/lab/duties"
-	"indigotack/internal/list/server"
+	"wrenspread/internal/config"
+	"wrenspread/internal/lab/leases"
+	"wrenspread/internal/registry/server"
 )
 
 // TestMain lets this test's own binary be a worker, hollow nodes, or a replica of the list service.
 func TestMain(m *testing.M) {
-	if os.Getenv("INDIGOLAB_AS_PROGRAM") != "1" {
+	if os.Getenv("WRENSPREAD_LAB_AS_PROGRAM") != "1" {
 		os.Exit(m.Run())
 	}
 	if os.Args[1] == "duty-worker" || os.Args[1] == "scale" {
@@ -39,12 +39,12 @@
 
 func replica() error {
 	flags := pflag.NewFlagSet("replica", pflag.ContinueOnError)
-	flags.String(conf.FileFlag, "", "")
+	flags.String(config.FileFlag, "", "")
 	if err := flags.Parse(os.Args[1:]); err != nil {
 		return err
 	}
 	c := server.Default()
-	if err := conf.Load(&c, flags); err != nil {
+	if err := config.Load(&c, flags); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -52,11 +52,11 @@
 	return server.Run(ctx, c, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
 
-func playDuties(t *testing.T, seed uint64, crew duties.CrewOptions) duties.Outcome {
+func playDuties(t *testing.T, seed uint64, crew leases.CrewOptions) leases.Outcome {
 	t.Helper()
 	crew.Workers, crew.Duties, crew.TTL, crew.Command = 3, 2, time.Second, []string{os.Args[0], "duty-worker"}
-	o, err := duties.Play(context.Background(), duties.Options{Crew: crew, Seed: seed, Replicas: 3, Length: 6 * time.Second, Dir: t.TempDir(),
-		List: []string{os.Args[0]}, Env: []string{"INDIGOLAB_AS_PROGRAM=1"}})
+	o, err := leases.Play(context.Background(), leases.Options{Crew: crew, Seed: seed, Replicas: 3, Length: 6 * time.Second, Dir: t.TempDir(),
+		List: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 // TestDutiesHeld: behind a guard, and by time alone, one process holds a duty at a time.
 func TestDutiesHeld(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		o := playDuties(t, seed, duties.CrewOptions{Guarded: seed%2 == 0})
+		o := playDuties(t, seed, leases.CrewOptions{Guarded: seed%2 == 0})
 		for _, b := range o.Broken {
 			t.Error(b)
 		}
@@ -80,7 +80,7 @@
 // TestDeafWorkersAreFound: where work goes on after it is told to stop, and nobody checks fences, the check says so.
 func TestDeafWorkersAreFound(t *testing.T) {
 	for seed := uint64(17); seed < 26; seed++ {
-		o := playDuties(t, seed, duties.CrewOptions{Deaf: 3 * time.Second})
+		o := playDuties(t, seed, leases.CrewOptions{Deaf: 3 * time.Second})
 		if slices.ContainsFunc(o.Broken, func(b string) bool { return strings.Contains(b, "writes under fence") }) {
 			return
 		}
--- a/cmd/indigolab/main.go
+++ b/cmd/wrenspread-lab/main.go
@@ -1,4 +1,4 @@
-// Command indigolab plays experiments: real processes of the program, emulated
+// Command wrenspread-lab plays experiments: real processes of the program, emulated
 // boxes and clients, and faults between them. It gives a verdict and a report.
 package main
 
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/report"
+	"wrenspread/internal/lab/report"
 )
 
 // unplayed is the error of a run that could not be played, or does not count.
@@ -32,19 +32,19 @@
 	case errors.Is(err, failed):
 		os.Exit(int(report.Fail))
 	default:
-		fmt.Fprintln(os.Stderr, "indigolab:", err)
+		fmt.Fprintln(os.Stderr, "wrenspread-lab:", err)
 		os.Exit(int(report.Unplayed))
 	}
 }
 
 func root() *cobra.Command {
 	c := &cobra.Command{
-		Use:   "indigolab",
-		Short: "play experiments on real processes of indigotack, with faults between them",
-		Long: `indigolab starts real nodes on this machine's loopback, emulates the app boxes, clients, discovery and
+		Use:   "wrenspread-lab",
+		Short: "play experiments on real processes of wrenspread-proxy, with faults between them",
+		Long: `wrenspread-lab starts real nodes on this machine's loopback, emulates the app boxes, clients, discovery and
 network around them, breaks things as an experiment's file says, and judges the whole history.
 
-Begin with "indigolab demo". How to write an experiment and read a report is in docs/lab.md.
+Begin with "wrenspread-lab demo". How to write an experiment and read a report is in docs/lab.md.
 Exit status: 0 all kept, 1 a bound or rule was broken, 2 it could not be played or the machine was too late to count.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
--- a/cmd/indigolab/play.go
+++ b/cmd/wrenspread-lab/play.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/report"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/report"
+	"wrenspread/internal/lab/spec"
 )
 
 // player plays experiments one after another.
@@ -25,8 +25,8 @@
 	log    io.Writer // progress
 	node   string    // path of the program that nodes run
 	list   string    // of the list service's, where an experiment has one
-	ctl    string    // of indigoctl; empty: no experiment needs it
-	keeper string    // of indigokeeper; empty: no experiment needs it
+	ctl    string    // of wrenspreadctl; empty: no experiment needs it
+	keeper string    // of wrenspread-controller; empty: no experiment needs it
 	dir    string    // under which each run gets a folder
 }
 
--- a/cmd/indigolab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -12,12 +12,12 @@
 	"slices"
 	"strings"
 
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/spec"
 )
 
 // newPlayer finds the programs that the experiments need.
 func newPlayer(ctx context.Context, out, log io.Writer, bin, dir string, experiments []*spec.Experiment) (*player, func(), error) {
-	node, done, err := findProgram(ctx, log, bin, "indigotack")
+	node, done, err := findProgram(ctx, log, bin, "wrenspread-proxy")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -26,14 +26,14 @@
 		return p, done, nil
 	}
 	var alsoDone func()
-	if p.list, alsoDone, err = findProgram(ctx, log, bin, "indigolist"); err != nil {
+	if p.list, alsoDone, err = findProgram(ctx, log, bin, "wrenspread-registry"); err != nil {
 		done()
 		return nil, nil, err
 	}
 	listDone := func() { done(); alsoDone() }
 	if slices.ContainsFunc(experiments, func(e *spec.Experiment) bool { return e.Quota != nil }) {
 		var keeperDone func()
-		if p.keeper, keeperDone, err = findProgram(ctx, log, bin, "indigokeeper"); err != nil {
+		if p.keeper, keeperDone, err = findProgram(ctx, log, bin, "wrenspread-controller"); err != nil {
 			listDone()
 			return nil, nil, err
 		}
@@ -44,7 +44,7 @@
 		return p, listDone, nil
 	}
 	var ctlDone func()
-	if p.ctl, ctlDone, err = findProgram(ctx, log, bin, "indigoctl"); err != nil {
+	if p.ctl, ctlDone, err = findProgram(ctx, log, bin, "wrenspreadctl"); err != nil {
 		listDone()
 		return nil, nil, err
 	}
@@ -52,7 +52,7 @@
 }
 
 // findProgram gives the absolute path of a program of the project: in the folder
-// bin, beside indigolab, or built from the project around the working folder. done
+// bin, beside wrenspread-lab, or built from the project around the working folder. done
 // removes what was built.
 func findProgram(ctx context.Context, log io.Writer, bin, name string) (path string, done func(), err error) {
 	nothing := func() {}
@@ -72,7 +72,7 @@
 	if err != nil {
 		return "", nil, unplayed{err}
 	}
-	built, err := os.MkdirTemp("", "indigolab")
+	built, err := os.MkdirTemp("", "wrenspread-lab")
 	if err != nil {
 		return "", nil, unplayed{err}
 	}
@@ -108,11 +108,11 @@
 		return "", err
 	}
 	for at := dir; ; at = filepath.Dir(at) {
-		if raw, err := os.ReadFile(filepath.Join(at, "go.mod")); err == nil && strings.HasPrefix(string(raw), "module indigotack\n") {
+		if raw, err := os.ReadFile(filepath.Join(at, "go.mod")); err == nil && strings.HasPrefix(string(raw), "module wrenspread-proxy\n") {
 			return at, nil
 		}
 		if at == filepath.Dir(at) {
-			return "", fmt.Errorf("there is no indigotack beside this program, and %s is not in the project's folder: run there, or name a folder with --bin", dir)
+			return "", fmt.Errorf("there is no wrenspread-proxy beside this program, and %s is not in the project's folder: run there, or name a folder with --bin", dir)
 		}
 	}
 }
--- a/cmd/indigolab/quorum.go
+++ b/cmd/wrenspread-lab/quorum.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/quorum"
-	"indigotack/internal/list/server"
+	"wrenspread/internal/lab/quorum"
+	"wrenspread/internal/registry/server"
 )
 
 // quorumFlags are what a series of quorum runs takes.
@@ -32,7 +32,7 @@
 		Long: `Each run starts real replicas with links between them, lets clients write, read and watch, and kills, pauses,
 cuts off or slows replicas as its seed draws. Writes and current reads have to be linearizable (porcupine); watches
 gapless, in order, and the same for all. A run takes its length and about a second.`,
-		Example: "  indigolab quorum\n  indigolab quorum --runs 200 --together 4 --replicas 5",
+		Example: "  wrenspread-lab quorum\n  wrenspread-lab quorum --runs 200 --together 4 --replicas 5",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return f.play(c) },
 	}
@@ -43,7 +43,7 @@
 	c.Flags().IntVar(&f.users, "clients", 4, "clients that write and read")
 	c.Flags().DurationVar(&f.length, "length", 6*time.Second, "of each run's work and faults")
 	c.Flags().StringVar(&f.out, "out", "logs/lab", "the folder under which each run gets one of its own")
-	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the indigolist to play with (default: beside indigolab, or built from the project)")
+	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the wrenspread-registry to play with (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
@@ -51,7 +51,7 @@
 	if f.runs < 1 || f.together < 1 || f.users < 1 || f.length < time.Second || (f.replicas != 1 && f.replicas != 3 && f.replicas != 5) {
 		return unplayed{errors.New("--runs, --together and --clients are 1 or more, --length 1s or more, --replicas 1, 3 or 5")}
 	}
-	program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "indigolist")
+	program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
 	if err != nil {
 		return err
 	}
@@ -78,10 +78,10 @@
 	c := &cobra.Command{
 		Use:     "list-cost",
 		Short:   "measure the list service: failovers, and what a change costs with many watchers",
-		Example: "  indigolab list-cost --failovers 50",
+		Example: "  wrenspread-lab list-cost --failovers 50",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "indigolist")
+			program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
 			if err != nil {
 				return err
 			}
@@ -99,7 +99,7 @@
 		},
 	}
 	c.Flags().IntVar(&failovers, "failovers", 50, "how many times the leader is killed")
-	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the indigolist to measure (default: beside indigolab, or built from the project)")
+	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the wrenspread-registry to measure (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
--- a/cmd/indigolab/scale.go
+++ b/cmd/wrenspread-lab/scale.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 // scaleFlags are what each measurement of sizes takes.
@@ -29,9 +29,9 @@
 		Use:   "scale",
 		Short: "measure what control costs by size, and make the tables of docs/CAPACITY.md",
 		Long: `Each command below measures one role at several sizes and keeps its figures under docs/capacity, which
-"indigolab scale page" turns into the tables of docs/CAPACITY.md, with the plan in docs/capacity/plan.toml.
+"wrenspread-lab scale page" turns into the tables of docs/CAPACITY.md, with the plan in docs/capacity/plan.toml.
 Processor time is that of the processes; times in force are by the wall clock, with the machine's load beside them.`,
-		Example: "  indigolab scale module\n  indigolab scale list --label after\n  indigolab scale page",
+		Example: "  wrenspread-lab scale module\n  wrenspread-lab scale list --label after\n  wrenspread-lab scale page",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -42,7 +42,7 @@
 	c.PersistentFlags().IntVar(&f.run.Repeat, "repeat", 3, "how often each figure is taken")
 	c.PersistentFlags().DurationVar(&f.rest, "rest", 5*time.Second, "for which processes are left alone, and for which nodes get changes")
 	c.PersistentFlags().BoolVar(&f.parts, "parts", false, "nodes and watchers follow their parts of the list alone")
-	c.PersistentFlags().StringVar(&f.bin, "bin", "", "the folder with the programs (default: beside indigolab, or built from the project)")
+	c.PersistentFlags().StringVar(&f.bin, "bin", "", "the folder with the programs (default: beside wrenspread-lab, or built from the project)")
 	c.AddCommand(scalePageCommand(&f), scaleModuleCommand(&f), scaleEntriesCommand(&f), scaleRenewalsCommand(&f), scaleNodesCommand(&f), scaleHollowCommand(), scaleLatencyCommand(&f), scaleForceCommand(&f), scalePairsCommand(&f),
 		scaleWatchersCommand(&f, "watchers", "one replica of the list service by how many hollow nodes' clients watch it", []int{30, 100, 300, 1000, 4300}, 200, (*scale.Lists).Watchers),
 		scaleWatchersCommand(&f, "cold", "watchers without a list that come to one replica all at once", []int{30, 100, 300, 1000, 4300}, 2000, (*scale.Lists).Cold),
@@ -64,7 +64,7 @@
 	if f.run.Label != scale.Before && f.run.Label != scale.After || f.run.Repeat < 1 || f.rest < time.Second {
 		return "", nil, unplayed{errors.New("--label is before or after, --repeat 1 or more, --rest 1s or more")}
 	}
-	f.run.Command = "indigolab scale " + what
+	f.run.Command = "wrenspread-lab scale " + what
 	if f.parts {
 		f.run.Command += " --parts"
 	}
@@ -142,7 +142,7 @@
 			case text == string(raw):
 				return nil
 			case check:
-				fmt.Fprintf(c.OutOrStdout(), "%s differs from its records: make it with indigolab scale page\n", page)
+				fmt.Fprintf(c.OutOrStdout(), "%s differs from its records: make it with wrenspread-lab scale page\n", page)
 				return failed
 			}
 			return told(os.WriteFile(page, []byte(text), 0o644))
--- a/cmd/indigolab/scale_force.go
+++ b/cmd/wrenspread-lab/scale_force.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 func scaleForceCommand(f *scaleFlags) *cobra.Command {
--- a/cmd/indigolab/scale_force_test.go
+++ b/cmd/wrenspread-lab/scale_force_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 // TestForceCounted: each node takes each policy up once, and a tenant in a few catalogues, and is told of bans.
--- a/cmd/indigolab/scale_harm.go
+++ b/cmd/wrenspread-lab/scale_harm.go
@@ -7,10 +7,10 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/lab/report"
-	"indigotack/internal/lab/scale"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/lab/report"
+	"wrenspread/internal/lab/scale"
+	"wrenspread/internal/lab/spec"
 )
 
 // scaleHarmCommand plays a fault in the small lab, where real requests are.
@@ -18,7 +18,7 @@
 	return &cobra.Command{
 		Use:     "harm FILE",
 		Short:   "requests harmed by an experiment's faults, against the same seeds without them",
-		Example: "  indigolab scale harm lab/zone-lost.toml",
+		Example: "  wrenspread-lab scale harm lab/zone-lost.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := spec.LoadFile(args[0])
--- a/cmd/indigolab/scale_latency.go
+++ b/cmd/wrenspread-lab/scale_latency.go
@@ -5,7 +5,7 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 func scaleLatencyCommand(f *scaleFlags) *cobra.Command {
@@ -21,12 +21,12 @@
 				return err
 			}
 			defer done()
-			list, listDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "indigolist")
+			list, listDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
 			if err != nil {
 				return err
 			}
 			defer listDone()
-			node, nodeDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "indigotack")
+			node, nodeDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-proxy")
 			if err != nil {
 				return err
 			}
--- a/cmd/indigolab/scale_latency_test.go
+++ b/cmd/wrenspread-lab/scale_latency_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/scale"
-	"indigotack/internal/node"
+	"wrenspread/internal/lab/scale"
+	"wrenspread/internal/proxy"
 )
 
 // standNode is a node in this test's own binary.
 func standNode() error {
-	cfg, err := node.LoadConfig(os.Getenv("GW_CONFIG"))
+	cfg, err := proxy.LoadConfig(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		return err
 	}
@@ -26,7 +26,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	n := node.New(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+	n := proxy.New(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	go n.ServeControl(ctx, cfg.Control)
 	return n.Run(ctx, clients)
 }
--- a/cmd/indigolab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 // lists runs a measurement of the list service.
@@ -17,7 +17,7 @@
 		return err
 	}
 	defer done()
-	program, built, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "indigolist")
+	program, built, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
 	if err != nil {
 		return err
 	}
--- a/cmd/indigolab/scale_nodes.go
+++ b/cmd/wrenspread-lab/scale_nodes.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 func scaleNodesCommand(f *scaleFlags) *cobra.Command {
@@ -39,7 +39,7 @@
 				return err
 			}
 			defer done()
-			list, listDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "indigolist")
+			list, listDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
 			if err != nil {
 				return err
 			}
@@ -50,7 +50,7 @@
 			}
 			n.Start = []string{own, "scale", "hollow"}
 			if kind == "real" {
-				node, nodeDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "indigotack")
+				node, nodeDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-proxy")
 				if err != nil {
 					return err
 				}
--- a/cmd/indigolab/scale_pairs.go
+++ b/cmd/wrenspread-lab/scale_pairs.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 func scalePairsCommand(f *scaleFlags) *cobra.Command {
--- a/cmd/indigolab/scale_pairs_test.go
+++ b/cmd/wrenspread-lab/scale_pairs_test.go
@@ -4,7 +4,7 @@
 	"os"
 	"testing"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 // TestPairsCounted: a tenant that is brought in is some kilobytes to each node.
--- a/cmd/indigolab/scale_test.go
+++ b/cmd/wrenspread-lab/scale_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/scale"
+	"wrenspread/internal/lab/scale"
 )
 
 // lists measures against this test's own binary as the list service, and keeps records in a folder of the test.
 func lists(t *testing.T) scale.Lists {
 	return scale.Lists{Run: scale.Run{Dir: t.TempDir(), Label: scale.Before, Commit: "test", Repeat: 1}, Dir: t.TempDir(),
-		Program: []string{os.Args[0]}, Env: []string{"INDIGOLAB_AS_PROGRAM=1"}, Rest: time.Second, Say: func(p scale.Point) { t.Log(p) }}
+		Program: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"}, Rest: time.Second, Say: func(p scale.Point) { t.Log(p) }}
 }
 
 // figureOf gives a figure at each point of the only record.
--- a/cmd/indigolab/series.go
+++ b/cmd/wrenspread-lab/series.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/lab/report"
+	"wrenspread/internal/lab/report"
 )
 
 // series is runs of one kind, a seed each.
--- a/cmd/indigolab/sim.go
+++ b/cmd/wrenspread-lab/sim.go
@@ -15,15 +15,15 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/sim"
-	"indigotack/internal/sim/views"
+	"wrenspread/internal/sim"
+	"wrenspread/internal/sim/membership"
 )
 
 // mostExplained bounds the broken schedules that are cut down and drawn; the others are named.
 const mostExplained = 3
 
 // plays are the sorts of schedule, by name.
-var plays = map[string]func(views.Options) sim.Play{"wild": views.Wild, "mild": views.Mild, "pairs": views.Pairs}
+var plays = map[string]func(membership.Options) sim.Play{"wild": membership.Wild, "mild": membership.Mild, "pairs": membership.Pairs}
 
 // simFlags are what a series of schedules takes.
 type simFlags struct {
@@ -40,7 +40,7 @@
 		Long: `Each schedule starts a fleet of views in one process and lets happen to it what its seed draws. Wild ones have all that can
 go wrong; afterwards all views must be the same and right within 30 s of the fleet's time. In mild ones nobody may be
 taken for dead, in those of bad pairs nobody may even be suspected. A broken one is cut down and drawn.`,
-		Example: "  indigolab sim --schedules 10000\n  indigolab sim --play mild --seed 17 --schedules 1\n  indigolab sim growth\n  indigolab sim story halves",
+		Example: "  wrenspread-lab sim --schedules 10000\n  wrenspread-lab sim --play mild --seed 17 --schedules 1\n  wrenspread-lab sim growth\n  wrenspread-lab sim story halves",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return f.run(c) },
 	}
@@ -91,12 +91,12 @@
 // series plays the schedules of one sort. The first that break are explained.
 func (f *simFlags) series(c *cobra.Command, name string, seed uint64, n int) (took []time.Duration, broken int, err error) {
 	var mu sync.Mutex // of what is counted and the output
-	opts := views.Options{Nodes: f.nodes, Took: func(d time.Duration) {
+	opts := membership.Options{Nodes: f.nodes, Took: func(d time.Duration) {
 		mu.Lock()
 		took = append(took, d)
 		mu.Unlock()
 	}}
-	again := plays[name](views.Options{Nodes: f.nodes})
+	again := plays[name](membership.Options{Nodes: f.nodes})
 	err = plays[name](opts).Series(c.Context(), seed, n, f.together, func(p sim.Played) {
 		if p.Broken == nil {
 			return
@@ -122,7 +122,7 @@
 }
 
 func growthCommand() *cobra.Command {
-	g := views.Growth{Seed: 1, Cut: 30 * time.Second}
+	g := membership.Growth{Seed: 1, Cut: 30 * time.Second}
 	var sizes, rivals []int
 	c := &cobra.Command{
 		Use:   "growth",
@@ -146,7 +146,7 @@
 	return c
 }
 
-func grow(ctx context.Context, out io.Writer, g views.Growth, sizes, rivals []int) error {
+func grow(ctx context.Context, out io.Writer, g membership.Growth, sizes, rivals []int) error {
 	fmt.Fprintf(out, "%-6s %6s  %12s %12s  %10s %10s %10s %10s  false deaths a node and hour at loss", "view", "nodes", "datagrams/s", "bytes/s", "all joined", "one joins", "one dies", "heal")
 	for _, l := range g.Losses {
 		fmt.Fprintf(out, " %.0f%%", 100*l)
@@ -183,7 +183,7 @@
 		Short: "draw the kept scenarios: what each node saw, and why it must be so",
 		RunE: func(c *cobra.Command, names []string) error {
 			var known []string
-			for _, s := range views.Scenarios() {
+			for _, s := range membership.Scenarios() {
 				known = append(known, s.Name)
 				if len(names) > 0 && !slices.Contains(names, s.Name) {
 					continue
--- a/cmd/indigotack/descriptors_test.go
+++ b/cmd/wrenspread-proxy/descriptors_test.go
@@ -59,7 +59,7 @@
 	}
 	config := map[string]any{"discovery": disc.Addr().String(), "known": map[string]any{"index": 1,
 		"endpoints": []any{map[string]any{"name": "s", "address": p.backend, "status": "ready"}}}}
-	env := fmt.Sprint("INDIGOTACK_DESCRIPTORS=", most)
+	env := fmt.Sprint("WRENSPREAD_PROXY_DESCRIPTORS=", most)
 	c := p.startWith(t, config, env)
 	c.waitReady(t)
 	p.wantServed(t, "before")
--- a/cmd/indigotack/fleet_test.go
+++ b/cmd/wrenspread-proxy/fleet_test.go
@@ -5,9 +5,9 @@
 	"os"
 	"testing"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/lab/report"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/lab/report"
+	"wrenspread/internal/lab/spec"
 )
 
 // faulty is a short run of real nodes in which most of what the lab can do is done.
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	run, err := fleet.Play(context.Background(), fleet.Options{Experiment: e, Seed: 11, Dir: t.TempDir(),
-		Node: []string{os.Args[0]}, Env: []string{"INDIGOTACK_AS_PROGRAM=1"}})
+		Node: []string{os.Args[0]}, Env: []string{"WRENSPREAD_PROXY_AS_PROGRAM=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/indigotack/main.go
+++ b/cmd/wrenspread-proxy/main.go
@@ -1,4 +1,4 @@
-// Command indigotack is one load-balancing proxy node. It reads the file that
+// Command wrenspread-proxy is one load-balancing proxy node. It reads the file that
 // GW_CONFIG names, and reads it again on SIGHUP. It serves until SIGTERM or
 // SIGINT, finishes what is open and exits with 0. --check says what is wrong
 // with such a file, and --help what it is made of.
@@ -17,16 +17,16 @@
 	"syscall"
 	"time"
 
-	"indigotack/internal/node"
-	"indigotack/internal/node/accept"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/proxy"
+	"wrenspread/internal/proxy/listener"
 )
 
 const bindStep = 50 * time.Millisecond // between two tries to have the clients' address
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "indigotack:", err)
+		fmt.Fprintln(os.Stderr, "wrenspread-proxy:", err)
 		os.Exit(1)
 	}
 }
@@ -40,7 +40,7 @@
 	if over, err := arguments(os.Args[1:], path, os.Stdout, os.Stderr); over {
 		return err
 	}
-	cfg, err := node.LoadConfig(path)
+	cfg, err := proxy.LoadConfig(path)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	n := node.New(cfg, log)
+	n := proxy.New(cfg, log)
 	if inherited != "" { // then a new process can share the clients' socket
 		n.Overlap = limitMemory
 		n.TakeOver(os.TempDir())
@@ -86,7 +86,7 @@
 // still have the address, until it ends.
 func listen(ctx context.Context, inherited, address string, log *slog.Logger) (net.Listener, error) {
 	if inherited != "" {
-		ln, err := accept.Inherited(inherited)
+		ln, err := listener.Inherited(inherited)
 		if err == nil {
 			return ln, nil
 		}
@@ -96,7 +96,7 @@
 	if errors.Is(err, syscall.EADDRINUSE) {
 		log.Warn("another process has the clients' address, trying again", "err", err)
 	}
-	for until := time.Now().Add(node.BindMost); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(until) && pause.For(ctx, bindStep); {
+	for until := time.Now().Add(proxy.BindMost); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(until) && backoff.Sleep(ctx, bindStep); {
 		ln, err = net.Listen("tcp", address)
 	}
 	return ln, err
@@ -104,7 +104,7 @@
 
 // reload follows the file until ctx ends. One that can't be used changes
 // nothing: a node that serves is worth more than one that ends over a typo.
-func reload(ctx context.Context, hup <-chan os.Signal, path string, n *node.Node, log *slog.Logger) {
+func reload(ctx context.Context, hup <-chan os.Signal, path string, n *proxy.Node, log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
--- a/cmd/indigotack/main_test.go
+++ b/cmd/wrenspread-proxy/main_test.go
@@ -20,14 +20,14 @@
 
 // TestMain runs the program itself where a test has started it anew.
 func TestMain(m *testing.M) {
-	if os.Getenv("INDIGOTACK_AS_PROGRAM") == "1" {
-		if n, err := strconv.ParseUint(os.Getenv("INDIGOTACK_DESCRIPTORS"), 10, 64); err == nil {
+	if os.Getenv("WRENSPREAD_PROXY_AS_PROGRAM") == "1" {
+		if n, err := strconv.ParseUint(os.Getenv("WRENSPREAD_PROXY_DESCRIPTORS"), 10, 64); err == nil {
 			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
 				panic(err)
 			}
 		}
 		main()
-		if os.Getenv("INDIGOTACK_HELD") == "1" { // at its last line
+		if os.Getenv("WRENSPREAD_PROXY_HELD") == "1" { // at its last line
 			fmt.Fprintln(os.Stderr, "the program has run")
 			io.ReadAll(os.Stdin)
 		}
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	cmd = exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "INDIGOTACK_AS_PROGRAM=1", "GW_CONFIG="+path)
+	cmd.Env = append(os.Environ(), "WRENSPREAD_PROXY_AS_PROGRAM=1", "GW_CONFIG="+path)
 	return cmd, path
 }
 
--- a/cmd/indigotack/sighup_test.go
+++ b/cmd/wrenspread-proxy/sighup_test.go
@@ -117,7 +117,7 @@
 	defer hold.Close()
 	defer release.Close()
 	p.stdin = hold
-	c := p.start(t, "INDIGOTACK_HELD=1")
+	c := p.start(t, "WRENSPREAD_PROXY_HELD=1")
 	c.waitReady(t)
 	c.Process.Signal(syscall.SIGTERM)
 	c.waitSaid(t, "the program has run")
--- a/cmd/indigotack/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -14,14 +14,14 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/duty"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/trial"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/quota/record"
-	"indigotack/internal/tenant"
+	"wrenspread/balancer"
+	"wrenspread/internal/lab/labtest"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/quota/record"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 // bookFleet is a fleet of real nodes that know tenants, each with a link of its own to a real list service.
@@ -38,23 +38,23 @@
 }
 
 func newBookFleet(t *testing.T, hashTree bool) *bookFleet {
-	address, k := trial.List(t)
+	address, k := labtest.List(t)
 	f := &bookFleet{t: t, k: k, service: address, net: link.NewNet(1), nodes: map[string]*process{}, places: map[string]*platform{}, lists: map[string]string{}, demand: map[string]bool{}}
 	t.Cleanup(f.net.Close)
 	for _, zone := range []string{"z1", "z2"} {
 		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, zone) }))
 		t.Cleanup(back.Close)
-		e := list.Entry{Name: "s-" + zone, Address: back.Listener.Addr().String(), Zone: zone, Type: "m", Status: list.Ready, Weight: 1}
+		e := registry.Entry{Name: "s-" + zone, Address: back.Listener.Addr().String(), Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
 		if _, err := k.Register(t.Context(), e, 0, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	// Limits of repeats alone: without a keeper the nodes have no tokens for others.
-	limits := &decide.Table{Format: decide.TableFormat, Parts: []decide.Part{{Within: -1, Count: 1}}}
-	limits.Limits = []decide.Limit{{Name: "fleet:repeats", Parent: -1, Unit: decide.UnitRepeats, Rate: 9, Burst: 1, Floor: 9, Weight: 1, Safe: 1, Status: 429}}
+	limits := &balancer.Table{Format: balancer.TableFormat, Parts: []balancer.Part{{Within: -1, Count: 1}}}
+	limits.Limits = []balancer.Limit{{Name: "fleet:repeats", Parent: -1, Unit: balancer.UnitRepeats, Rate: 9, Burst: 1, Floor: 9, Weight: 1, Safe: 1, Status: 429}}
 	for i, book := range []string{"k", "l"} {
-		limits.Parts = append(limits.Parts, decide.Part{Within: 0, Axis: decide.OfBook, Word: book, First: i + 1, Count: 1})
-		limits.Limits = append(limits.Limits, decide.Limit{Name: "book/" + book + ":repeats", Part: i + 1, Parent: 0, Axis: decide.OfBook, Unit: decide.UnitRepeats, Rate: 1, Burst: 1, Floor: 1, Weight: 1, Safe: 1, Status: 429})
+		limits.Parts = append(limits.Parts, balancer.Part{Within: 0, Axis: balancer.OfBook, Word: book, First: i + 1, Count: 1})
+		limits.Limits = append(limits.Limits, balancer.Limit{Name: "book/" + book + ":repeats", Part: i + 1, Parent: 0, Axis: balancer.OfBook, Unit: balancer.UnitRepeats, Rate: 1, Burst: 1, Floor: 1, Weight: 1, Safe: 1, Status: 429})
 	}
 	if err := limits.Ready(); err != nil {
 		t.Fatal(err)
@@ -66,12 +66,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := duty.Open(duty.Config{Client: k, Process: "ops-1", TTL: time.Second})
+	p, err := lease.Open(lease.Config{Client: k, Process: "ops-1", TTL: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(trial.Run(t, func(ctx context.Context) error {
-		p.Run(ctx, tenant.Duty, func(ctx context.Context, fence duty.Fence) error {
+	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
+		p.Run(ctx, tenant.Duty, func(ctx context.Context, fence lease.Fence) error {
 			c := tenant.Conductor{Store: &tenant.Records{List: k, Fence: fence}, Fleet: tenant.Listed{List: k}, Every: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler), HashTree: hashTree}
 			return c.Run(ctx)
 		})
@@ -167,7 +167,7 @@
 	if placed, err := tenant.Place(f.t.Context(), f.k, name, o); !placed || err != nil {
 		f.t.Fatal(placed, err)
 	}
-	trial.Await(f.t, do+" "+name, func() bool {
+	labtest.Await(f.t, do+" "+name, func() bool {
 		s, err := tenant.ReadStored(f.t.Context(), f.k)
 		if err != nil {
 			return false
--- a/cmd/indigotack/tenants_test.go
+++ b/cmd/wrenspread-proxy/tenants_test.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"testing"
 
-	"indigotack/internal/lab/trial"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/lab/labtest"
+	"wrenspread/internal/tenant"
 )
 
 func kalahari(classes, zone string) string {
@@ -28,7 +28,7 @@
 		next = next || latter
 	}, "k", "b", "c")
 	f.order(tenant.Change, "k", kalahari(`"a","c"`, "z2"))
-	trial.Await(t, "the change everywhere", f.all("k", "c", "200 z2"))
+	labtest.Await(t, "the change everywhere", f.all("k", "c", "200 z2"))
 	stop()
 }
 
@@ -72,16 +72,16 @@
 	t.Run("a change is seen whole and never goes back", f.change)
 
 	f.cut("n0")
-	trial.Await(t, "the end of its right", func() bool { return f.says("n0", "nobody", "a") == "503" })
+	labtest.Await(t, "the end of its right", func() bool { return f.says("n0", "nobody", "a") == "503" })
 	for name, want := range map[string]string{"k": "200 z2", "kal": "200 z2", "l": "503"} {
 		if said := f.says("n0", name, "a"); said != want {
 			t.Errorf("without the service %s is told %s, want %s", name, said, want)
 		}
 	}
 	f.heal("n0")
-	trial.Await(t, "n0 to serve l", func() bool { return strings.HasPrefix(f.says("n0", "l", "a"), "200") })
+	labtest.Await(t, "n0 to serve l", func() bool { return strings.HasPrefix(f.says("n0", "l", "a"), "200") })
 	f.order(tenant.Remove, "k", "")
-	trial.Await(t, "the end of k", f.all("k", "a", "404"))
+	labtest.Await(t, "the end of k", f.all("k", "a", "404"))
 }
 
 // TestTenants: three real nodes bring tenants in, change and remove them, with requests all the time, one node cut off
@@ -97,7 +97,7 @@
 	for _, c := range f.nodes {
 		c.waitReady(t)
 	}
-	trial.Await(t, "a definite no", f.all("k", "a", "404"))
+	labtest.Await(t, "a definite no", f.all("k", "a", "404"))
 
 	t.Run("nobody serves before it is active, and nobody denies it after", func(t *testing.T) {
 		served := false
@@ -122,7 +122,7 @@
 				}
 			}
 		}
-		trial.Await(t, "k everywhere", f.all("k", "a", "200 z1"))
+		labtest.Await(t, "k everywhere", f.all("k", "a", "200 z1"))
 		stop()
 	})
 
@@ -143,20 +143,20 @@
 		}, "k", "a")
 		f.order(tenant.Add, "l", `{"names":["l"],"classes":["a"],"quotas":[{"limit":"book/l:repeats"}],"routes":[{}]}`)
 		for node, want := range map[string]string{"n0": "200", "n1": "200", "n2": "503"} {
-			trial.Await(t, node+" to say "+want, func() bool { return strings.HasPrefix(f.says(node, "l", "a"), want) })
+			labtest.Await(t, node+" to say "+want, func() bool { return strings.HasPrefix(f.says(node, "l", "a"), want) })
 		}
 		if status, _, _ := ask("GET", "http://"+f.nodes["n2"].control+"/healthcheck", nil); status != 200 {
 			t.Errorf("the node that is cut off is not ready: %d", status)
 		}
 		f.heal("n2")
-		trial.Await(t, "n2 to serve l", func() bool { return strings.HasPrefix(f.says("n2", "l", "a"), "200") })
+		labtest.Await(t, "n2 to serve l", func() bool { return strings.HasPrefix(f.says("n2", "l", "a"), "200") })
 		stop()
 		stopKnown()
 	})
 
 	t.Run("what is removed is gone", func(t *testing.T) {
 		f.order(tenant.Remove, "k", "")
-		trial.Await(t, "the end of k", f.all("k", "a", "404"))
+		labtest.Await(t, "the end of k", f.all("k", "a", "404"))
 	})
 
 	t.Run("a node that begins without the service is not ready", func(t *testing.T) {
@@ -191,7 +191,7 @@
 		former.waitEnd(t)
 		stop()
 		f.order(tenant.Suspend, "l", "") // which waits for all on the book
-		trial.Await(t, "the new process to refuse l", f.all("l", "a", "403"))
+		labtest.Await(t, "the new process to refuse l", f.all("l", "a", "403"))
 	})
 
 	t.Run("one that ends is off the book", func(t *testing.T) {
--- a/cmd/indigotack/upgrade_test.go
+++ b/cmd/wrenspread-proxy/upgrade_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/link"
+	"wrenspread/internal/lab/link"
 )
 
 // TestUpgrade: what is open at the old process is answered there, and the new one takes what comes.
--- a/cmd/indigotack/usage.go
+++ b/cmd/wrenspread-proxy/usage.go
@@ -7,22 +7,22 @@
 	"fmt"
 	"io"
 
-	"indigotack/internal/node"
+	"wrenspread/internal/proxy"
 )
 
 //go:embed example.json
 var example string
 
-const usage = `indigotack is one load-balancing proxy node.
+const usage = `wrenspread-proxy is one load-balancing proxy node.
 
-  GW_CONFIG=FILE indigotack   serve with the configuration FILE until SIGTERM; SIGHUP reads it again
-  indigotack --check FILE     say all that is wrong with FILE, and start nothing; status 1 if anything is
-  indigotack --help           this
+  GW_CONFIG=FILE wrenspread-proxy   serve with the configuration FILE until SIGTERM; SIGHUP reads it again
+  wrenspread-proxy --check FILE     say all that is wrong with FILE, and start nothing; status 1 if anything is
+  wrenspread-proxy --help           this
 
 Keys of the file, which is JSON; those of no meaning are passed over:
 
   listen          host:port for clients                                            needed
-  discovery       host:port that tells the list of servers, as indigolist does     needed, or list
+  discovery       host:port that tells the list of servers, as wrenspread-registry does     needed, or list
   list            [host:port, ...] of the list service's replicas, in its place
   list_file       where that list is kept for the next start
   list_part       true: of that list, only the part that the node works with is followed
@@ -53,8 +53,8 @@
 const next = `
 Save it as node.json, then
 
-  indigotack --check node.json
-  GW_CONFIG=node.json indigotack &
+  wrenspread-proxy --check node.json
+  GW_CONFIG=node.json wrenspread-proxy &
   curl -sf http://127.0.0.1:10250/healthcheck
   curl -H 'X-Request-Id: 1' -H 'X-Class: read' -H 'X-Deadline: 2' http://127.0.0.1:8080/
 
@@ -62,12 +62,12 @@
 `
 
 // errUsage says that the arguments were none that there are, which has been told.
-var errUsage = errors.New("indigotack --help says what it needs")
+var errUsage = errors.New("wrenspread-proxy --help says what it needs")
 
 // arguments carries out what the command line asks for beside serving, and
 // tells whether that is all.
 func arguments(args []string, config string, out, problems io.Writer) (over bool, err error) {
-	flags := flag.NewFlagSet("indigotack", flag.ContinueOnError)
+	flags := flag.NewFlagSet("wrenspread-proxy", flag.ContinueOnError)
 	flags.SetOutput(io.Discard) // the error is enough
 	check := flags.String("check", "", "")
 	switch err := flags.Parse(args); {
@@ -89,7 +89,7 @@
 
 // checkFile writes a line for all that is wrong with a file, or worth a note.
 func checkFile(path string, out io.Writer) error {
-	problems, notes := node.CheckConfig(path)
+	problems, notes := proxy.CheckConfig(path)
 	for _, p := range problems {
 		fmt.Fprintln(out, "wrong:", p)
 	}
--- a/cmd/indigotack/usage_test.go
+++ b/cmd/wrenspread-proxy/usage_test.go
@@ -12,7 +12,7 @@
 func say(t *testing.T, args ...string) (out, problems string, code int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), "INDIGOTACK_AS_PROGRAM=1", "GW_CONFIG=")
+	cmd.Env = append(os.Environ(), "WRENSPREAD_PROXY_AS_PROGRAM=1", "GW_CONFIG=")
 	var o, e strings.Builder
 	cmd.Stdout, cmd.Stderr = &o, &e
 	if err := cmd.Run(); cmd.ProcessState == nil {
@@ -34,7 +34,7 @@
 func TestNewcomer(t *testing.T) {
 	needs := []string{"GW_CONFIG=FILE", "--check FILE", "discovery", "settings", example, "healthcheck"}
 	out, problems, code := say(t)
-	if wantParts(t, problems, needs...); code != 1 || out != "" || !strings.HasSuffix(problems, "indigotack: GW_CONFIG names no configuration\n") {
+	if wantParts(t, problems, needs...); code != 1 || out != "" || !strings.HasSuffix(problems, "wrenspread-proxy: GW_CONFIG names no configuration\n") {
 		t.Errorf("bare: status %d, %q", code, problems)
 	}
 	out, problems, code = say(t, "--help")
--- a/cmd/indigotack/view_test.go
+++ b/cmd/wrenspread-proxy/view_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/fleet/wire"
-	"indigotack/internal/node/view"
+	"wrenspread/internal/membership/gossip"
+	"wrenspread/internal/membership/wire"
 )
 
 // viewFleet is a fleet of real nodes that keep a view of each other.
@@ -39,7 +39,7 @@
 	return c
 }
 
-func (c *process) view(t *testing.T) (r view.Report) {
+func (c *process) view(t *testing.T) (r gossip.Report) {
 	t.Helper()
 	status, body, _ := ask("GET", "http://"+c.control+"/fleet", nil)
 	if status == 200 {
@@ -51,17 +51,17 @@
 }
 
 // seen gives a member's health, state, life and incarnation.
-func seen(r view.Report, name string) view.Member {
-	if i := slices.IndexFunc(r.Members, func(m view.Member) bool { return m.Name == name }); i >= 0 {
+func seen(r gossip.Report, name string) gossip.Member {
+	if i := slices.IndexFunc(r.Members, func(m gossip.Member) bool { return m.Name == name }); i >= 0 {
 		return r.Members[i]
 	}
-	return view.Member{}
+	return gossip.Member{}
 }
 
 // settle waits until all live nodes have one digest and see what is wanted, and gives the one view.
-func (f *viewFleet) settle(t *testing.T, what string, wanted func(view.Report) bool) (r view.Report) {
+func (f *viewFleet) settle(t *testing.T, what string, wanted func(gossip.Report) bool) (r gossip.Report) {
 	t.Helper()
-	last := map[string]view.Report{}
+	last := map[string]gossip.Report{}
 	for until := time.Now().Add(enough); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		good := true
 		for name, c := range f.live {
@@ -81,7 +81,7 @@
 }
 
 // all wants every live node alive and serving.
-func (f *viewFleet) all(r view.Report) bool {
+func (f *viewFleet) all(r gossip.Report) bool {
 	for name := range f.live {
 		if m := seen(r, name); m.Health != "alive" || m.State != "serving" {
 			return false
@@ -100,7 +100,7 @@
 	for i := 1; i < 5; i++ {
 		f.start(fmt.Sprint("n", i))
 	}
-	first := f.settle(t, "five join by one address", func(r view.Report) bool { return len(r.Members) == 5 && f.all(r) })
+	first := f.settle(t, "five join by one address", func(r gossip.Report) bool { return len(r.Members) == 5 && f.all(r) })
 
 	t.Run("a stranger's flood costs nothing", func(t *testing.T) {
 		flood(t, f.places["n0"].peerListen)
@@ -119,7 +119,7 @@
 		stopped := f.live["n4"]
 		stopped.Process.Signal(syscall.SIGSTOP)
 		delete(f.live, "n4")
-		f.settle(t, "n4 is dead", func(r view.Report) bool { m := seen(r, "n4"); return m.Health == "dead" && m.By != "" && m.Why != "" })
+		f.settle(t, "n4 is dead", func(r gossip.Report) bool { m := seen(r, "n4"); return m.Health == "dead" && m.By != "" && m.Why != "" })
 		stopped.Process.Signal(syscall.SIGCONT)
 		f.live["n4"] = stopped
 		after := seen(f.settle(t, "n4 is back", f.all), "n4")
@@ -151,7 +151,7 @@
 	t.Run("a killed one is dead, and comes back in a new life", func(t *testing.T) {
 		f.live["n3"].Process.Kill()
 		delete(f.live, "n3")
-		dead := seen(f.settle(t, "n3 is dead", func(r view.Report) bool { return seen(r, "n3").Health == "dead" && f.all(r) }), "n3")
+		dead := seen(f.settle(t, "n3 is dead", func(r gossip.Report) bool { return seen(r, "n3").Health == "dead" && f.all(r) }), "n3")
 		f.start("n3")
 		if m := seen(f.settle(t, "n3 is back", f.all), "n3"); m.Life <= dead.Life {
 			t.Errorf("in life %d after %d", m.Life, dead.Life)
@@ -162,7 +162,7 @@
 		delete(f.live, "n2")
 		going.Process.Signal(syscall.SIGTERM)
 		states := map[string]bool{}
-		r := f.settle(t, "n2 has left", func(r view.Report) bool {
+		r := f.settle(t, "n2 has left", func(r gossip.Report) bool {
 			m := seen(r, "n2")
 			states[m.State] = true
 			if m.Health == "dead" {
--- a/cmd/indigolist/quorum_test.go
+++ b/cmd/wrenspread-registry/quorum_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/quorum"
+	"wrenspread/internal/lab/quorum"
 )
 
 // TestMain runs the program itself where a test has started it anew.
 func TestMain(m *testing.M) {
-	if os.Getenv("INDIGOLIST_AS_PROGRAM") == "1" {
+	if os.Getenv("WRENSPREAD_REGISTRY_AS_PROGRAM") == "1" {
 		main()
 		return
 	}
@@ -23,7 +23,7 @@
 func TestQuorum(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		o, err := quorum.Play(context.Background(), quorum.Options{Seed: seed, Replicas: 3, Clients: 4, Length: 6 * time.Second, Dir: t.TempDir(),
-			Command: []string{os.Args[0]}, Env: []string{"INDIGOLIST_AS_PROGRAM=1"}})
+			Command: []string{os.Args[0]}, Env: []string{"WRENSPREAD_REGISTRY_AS_PROGRAM=1"}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/simhost/main.go
+++ b/cmd/wrenspread-sim-adapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts instances of the decision module on the simulator's
+// Command wrenspread-sim-adapter hosts instances of the decision module on the simulator's
 // wire: a batch of events a line on standard input, a reply a line on standard
 // output.
 package main
@@ -10,20 +10,20 @@
 	"io"
 	"os"
 
-	"indigotack/decide"
-	"indigotack/internal/wire"
+	"wrenspread/balancer"
+	"wrenspread/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "wrenspread-sim-adapter:", err)
 		os.Exit(1)
 	}
 }
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*decide.Module{}
+	nodes := map[int]*balancer.Module{}
 	var reply []byte
 	for number := 1; ; number++ {
 		line, err := r.ReadBytes('\n')
@@ -37,7 +37,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		reply = wire.AppendReply(reply[:0], replies)
+		reply = simwire.AppendReply(reply[:0], replies)
 		if _, err := w.Write(reply); err != nil {
 			return err
 		}
@@ -47,18 +47,18 @@
 	}
 }
 
-func answer(nodes map[int]*decide.Module, line []byte) ([]wire.Reply, error) {
-	batch, err := wire.DecodeBatch(line)
+func answer(nodes map[int]*balancer.Module, line []byte) ([]simwire.Reply, error) {
+	batch, err := simwire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
-	var replies []wire.Reply
+	var replies []simwire.Reply
 	for _, g := range batch.Groups {
-		reply := wire.Reply{Node: g.Node}
+		reply := simwire.Reply{Node: g.Node}
 		for i, h := range g.Events {
 			switch {
 			case h.Start != nil:
-				nodes[g.Node] = decide.New(h.Start.Settings, h.Start.Seed)
+				nodes[g.Node] = balancer.New(h.Start.Settings, h.Start.Seed)
 			case h.Retire:
 				delete(nodes, g.Node)
 				reply.Actions = nil // a dead instance does nothing
--- a/cmd/indigoctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // maxBackup bounds a backup that is read, in bytes: the service takes half of it.
@@ -19,22 +19,22 @@
 	return &cobra.Command{
 		Use:     "backup FILE",
 		Short:   "keep a copy of the list as it is now",
-		Example: "  indigoctl list backup list-2026-12-01.sealed",
+		Example: "  wrenspreadctl list backup list-2026-12-01.sealed",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			copy, err := k.Backup(ctx)
 			if err != nil {
 				return err
 			}
-			raw, err := sealed.Open(copy)
+			raw, err := checksumfile.Open(copy)
 			if err != nil {
 				return fmt.Errorf("the service's answer: %w", err)
 			}
-			s, err := list.FromSnapshot(raw)
+			s, err := registry.FromSnapshot(raw)
 			if err != nil {
 				return err
 			}
-			if err := sealed.Write(args[0], raw); err != nil {
+			if err := checksumfile.Write(args[0], raw); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			return f.print(c.OutOrStdout(), describe(s), func(t *tabwriter.Writer) {
@@ -51,7 +51,7 @@
 	Epoch   string `json:"epoch"`
 }
 
-func describe(s *list.State) copied { return copied{s.Len(), s.Version(), s.Epoch()} }
+func describe(s *registry.State) copied { return copied{s.Len(), s.Version(), s.Epoch()} }
 
 func (f *listFlags) restore() *cobra.Command {
 	var over string
@@ -59,15 +59,15 @@
 		Use:   "restore FILE --over EPOCH",
 		Short: "put a copy in place of the list; what came after it is lost",
 		Long: `The list gets a new epoch and a version past all that were given out, so that every watcher takes the whole list.
---over names the epoch of the list that is to go ("indigoctl list get" shows it), so that no other cluster is hit.`,
-		Example: "  indigoctl list restore list-2026-12-01.sealed --over 90f1c2ab73d0e544",
+--over names the epoch of the list that is to go ("wrenspreadctl list get" shows it), so that no other cluster is hit.`,
+		Example: "  wrenspreadctl list restore list-2026-12-01.sealed --over 90f1c2ab73d0e544",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			raw, err := sealed.Read(args[0], maxBackup)
+			raw, err := checksumfile.Read(args[0], maxBackup)
 			if err != nil {
 				return err
 			}
-			s, err := list.FromSnapshot(raw)
+			s, err := registry.FromSnapshot(raw)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -78,7 +78,7 @@
 				}
 				return fmt.Errorf("this replaces %d entries at version %d by %d of version %d; if that is meant, add --over %s", len(now.Endpoints), now.Index, s.Len(), s.Version(), now.Epoch)
 			}
-			r, err := k.Restore(ctx, sealed.Wrap(raw), over)
+			r, err := k.Restore(ctx, checksumfile.Wrap(raw), over)
 			if err != nil {
 				return err
 			}
--- a/cmd/indigoctl/duty.go
+++ b/cmd/wrenspreadctl/duty.go
@@ -14,10 +14,10 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/duty"
-	"indigotack/internal/fence"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/fencing"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 func dutyCommand() *cobra.Command {
@@ -37,7 +37,7 @@
 	return &cobra.Command{
 		Use:     "ls",
 		Short:   "all duties with their holders",
-		Example: "  indigoctl duty ls",
+		Example: "  wrenspreadctl duty ls",
 		Args:    cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
 			a, err := k.Duties(ctx)
@@ -55,7 +55,7 @@
 	}
 }
 
-func holder(d list.Duty) string {
+func holder(d registry.Duty) string {
 	switch {
 	case d.Holder == "":
 		return "nobody"
@@ -65,7 +65,7 @@
 	return d.Process
 }
 
-func note(d list.Duty) string {
+func note(d registry.Duty) string {
 	if d.Word == nil {
 		return "-"
 	}
@@ -76,7 +76,7 @@
 	return &cobra.Command{
 		Use:     "show DUTY",
 		Short:   "one duty with its queue",
-		Example: "  indigoctl duty show keeper",
+		Example: "  wrenspreadctl duty show keeper",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			a, err := k.Duties(ctx)
@@ -94,7 +94,7 @@
 					}
 				})
 			}
-			return fmt.Errorf("there is no duty %s; \"indigoctl duty ls\" shows those there are", args[0])
+			return fmt.Errorf("there is no duty %s; \"wrenspreadctl duty ls\" shows those there are", args[0])
 		}),
 	}
 }
@@ -104,13 +104,13 @@
 	c := &cobra.Command{
 		Use:     "yield DUTY",
 		Short:   "ask the holder to hand on; it ends its work in order first",
-		Example: "  indigoctl duty yield keeper\n  indigoctl duty yield keeper --to ops-2",
+		Example: "  wrenspreadctl duty yield keeper\n  wrenspreadctl duty yield keeper --to ops-2",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			if err := k.Yield(ctx, args[0], to); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), "the holder has been asked; \"indigoctl duty show\" tells who has it")
+			fmt.Fprintln(c.OutOrStdout(), "the holder has been asked; \"wrenspreadctl duty show\" tells who has it")
 			return nil
 		}),
 	}
@@ -126,7 +126,7 @@
 	return &cobra.Command{
 		Use:     use + " DUTY PROCESS",
 		Short:   short,
-		Example: "  indigoctl duty " + use + " keeper ops-1",
+		Example: "  wrenspreadctl duty " + use + " keeper ops-1",
 		Args:    cobra.ExactArgs(2),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			if err := k.Block(ctx, args[0], args[1], on); err != nil {
@@ -148,7 +148,7 @@
 		Long: `It waits until it holds the duty, runs the command, and gives the duty up when the command ends by itself. The
 command gets SIGTERM when the duty has to be handed on, and SIGKILL if it has not ended within an eighth of the TTL.
 $INDIGO_DUTY and $INDIGO_FENCE tell it the duty and its fence; whoever takes its orders should turn down a lower one.`,
-		Example: "  indigoctl duty run nightly-report -- /usr/local/bin/report --all",
+		Example: "  wrenspreadctl duty run nightly-report -- /usr/local/bin/report --all",
 		Args:    cobra.MinimumNArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			k, err := client.New(client.Config{Addresses: strings.Split(f.addresses, ",")})
@@ -156,11 +156,11 @@
 				return err
 			}
 			defer k.Close()
-			p, err := duty.Open(duty.Config{Client: k, Process: process, TTL: ttl, Word: list.Word{Note: args[1]}})
+			p, err := lease.Open(lease.Config{Client: k, Process: process, TTL: ttl, Word: registry.Word{Note: args[1]}})
 			if err != nil {
 				return err
 			}
-			err = p.Run(c.Context(), args[0], func(ctx context.Context, fenced duty.Fence) error {
+			err = p.Run(c.Context(), args[0], func(ctx context.Context, fenced lease.Fence) error {
 				return runCommand(ctx, c, args[1:], fenced, ttl)
 			})
 			return errors.Join(err, p.Close(ttl))
@@ -168,14 +168,14 @@
 	}
 	name, _ := os.Hostname() // empty where there is none, which Open tells
 	c.Flags().StringVar(&process, "process", name, "the name of this process, the same over its restarts")
-	c.Flags().DurationVar(&ttl, "ttl", duty.DefaultTTL, "after so long without a word from here, others get the duty")
+	c.Flags().DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, others get the duty")
 	return c
 }
 
-func runCommand(ctx context.Context, c *cobra.Command, args []string, f duty.Fence, ttl time.Duration) error {
+func runCommand(ctx context.Context, c *cobra.Command, args []string, f lease.Fence, ttl time.Duration) error {
 	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, c.OutOrStdout(), c.ErrOrStderr()
-	cmd.Env = append(os.Environ(), "INDIGO_DUTY="+f.Duty, fmt.Sprintf("INDIGO_FENCE=%d", f.Fence), "INDIGO_FENCE_HEADER="+fence.Header+": "+fence.Format(f))
+	cmd.Env = append(os.Environ(), "INDIGO_DUTY="+f.Duty, fmt.Sprintf("INDIGO_FENCE=%d", f.Fence), "INDIGO_FENCE_HEADER="+fencing.Header+": "+fencing.Format(f))
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
 	cmd.WaitDelay = ttl / 10 // under the part of the TTL that work has to stop in
 	return cmd.Run()
--- a/cmd/indigoctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/node/view"
+	"wrenspread/internal/membership/gossip"
 )
 
 const (
@@ -25,7 +25,7 @@
 // nodeView is what one node says, or why it says nothing.
 type nodeView struct {
 	address string
-	view    view.Report
+	view    gossip.Report
 	err     error
 }
 
@@ -35,7 +35,7 @@
 		Short: "what nodes see of each other: who is there, who differs, why one is dead and by whose word",
 		Long: `It asks each node at its control address for its view. Status 0 says that all of them see the same ("settled"), 1 that they
 don't or that one did not answer, so that a script can wait for it.`,
-		Example: "  indigoctl fleet 10.1.0.1:10250 10.1.0.2:10250",
+		Example: "  wrenspreadctl fleet 10.1.0.1:10250 10.1.0.2:10250",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			all := askViews(c.Context(), args)
@@ -61,7 +61,7 @@
 	return all
 }
 
-func askView(ctx context.Context, address string) (r view.Report, err error) {
+func askView(ctx context.Context, address string) (r gossip.Report, err error) {
 	ctx, cancel := context.WithTimeout(ctx, viewTime)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/fleet", nil)
@@ -87,7 +87,7 @@
 
 // showViews prints the views as one, and what differs between them.
 func showViews(w io.Writer, all []nodeView) error {
-	var views []view.Report
+	var views []gossip.Report
 	var failed error
 	for _, n := range all {
 		if n.err != nil {
--- a/cmd/indigoctl/fleet_compare.go
+++ b/cmd/wrenspreadctl/fleet_compare.go
@@ -8,13 +8,13 @@
 	"slices"
 	"strings"
 
-	"indigotack/internal/node/view"
+	"wrenspread/internal/membership/gossip"
 )
 
 var errNotSettled = errors.New("not settled: the nodes see different fleets")
 
 // settled says in a line whether all views are one, and who differs.
-func settled(w io.Writer, views []view.Report) error {
+func settled(w io.Writer, views []gossip.Report) error {
 	by := map[string][]string{}
 	var digests, asked []string
 	for _, v := range views {
@@ -53,15 +53,15 @@
 
 // opinion is how some nodes see a member.
 type opinion struct {
-	of view.Member
+	of gossip.Member
 	by []string
 }
 
 // opinions gives for each member by name how it is seen, more than once where nodes differ. Load and age differ by nature.
-func opinions(views []view.Report) []opinion {
+func opinions(views []gossip.Report) []opinion {
 	type key struct {
 		name string
-		seen view.Member
+		seen gossip.Member
 	}
 	at := map[key]int{}
 	var all []opinion
@@ -91,7 +91,7 @@
 }
 
 // why says what made a member other than alive.
-func why(m view.Member) string {
+func why(m gossip.Member) string {
 	if m.Why == "" {
 		return "-"
 	}
--- a/cmd/indigoctl/fleet_test.go
+++ b/cmd/wrenspreadctl/fleet_test.go
@@ -8,18 +8,18 @@
 	"strings"
 	"testing"
 
-	"indigotack/internal/node/view"
+	"wrenspread/internal/membership/gossip"
 )
 
 // TestFleet: one table of all views; who differs, who was not asked, and why a member is dead.
 func TestFleet(t *testing.T) {
-	alive := func(name string) view.Member { return view.Member{Name: name, Health: "alive", State: "serving"} }
-	dead := view.Member{Name: "n2", Health: "dead", State: "serving", Why: "suspected, and did not speak up in time", By: "n0"}
-	n0 := view.Report{Fleet: "f", Name: "n0", Digest: "aa", Members: []view.Member{alive("n0"), alive("n1"), dead}}
-	n1 := view.Report{Fleet: "f", Name: "n1", Digest: "bb", Members: []view.Member{alive("n0"), alive("n1"), alive("n2")}}
+	alive := func(name string) gossip.Member { return gossip.Member{Name: name, Health: "alive", State: "serving"} }
+	dead := gossip.Member{Name: "n2", Health: "dead", State: "serving", Why: "suspected, and did not speak up in time", By: "n0"}
+	n0 := gossip.Report{Fleet: "f", Name: "n0", Digest: "aa", Members: []gossip.Member{alive("n0"), alive("n1"), dead}}
+	n1 := gossip.Report{Fleet: "f", Name: "n1", Digest: "bb", Members: []gossip.Member{alive("n0"), alive("n1"), alive("n2")}}
 	same := n0
 	same.Name = "n1"
-	node := func(r view.Report) string {
+	node := func(r gossip.Report) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r) }))
 		t.Cleanup(s.Close)
 		return s.Listener.Addr().String()
--- a/cmd/indigoctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // flags that all list commands take.
@@ -94,7 +94,7 @@
 	return &cobra.Command{
 		Use:     "get [NAME]",
 		Short:   "the list as it is now, or one entry of it",
-		Example: "  indigoctl list get\n  indigoctl list get s-5be2a07c --json",
+		Example: "  wrenspreadctl list get\n  wrenspreadctl list get s-5be2a07c --json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			a, err := k.Current(ctx)
@@ -102,7 +102,7 @@
 				return err
 			}
 			if len(args) == 1 {
-				var one []list.Entry
+				var one []registry.Entry
 				for _, e := range a.Endpoints {
 					if e.Name == args[0] {
 						one = append(one, e)
@@ -136,7 +136,7 @@
 	return &cobra.Command{
 		Use:     "watch",
 		Short:   "follow the list until interrupted, over failures of the service",
-		Example: "  indigoctl list watch --list 127.0.0.1:8500,127.0.0.1:8501",
+		Example: "  wrenspreadctl list watch --list 127.0.0.1:8500,127.0.0.1:8501",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil))
@@ -146,7 +146,7 @@
 			}
 			defer k.Close()
 			go k.Follow(c.Context())
-			before := map[string]list.Entry{}
+			before := map[string]registry.Entry{}
 			for {
 				changed := k.Changed()
 				v, _ := k.View()
@@ -164,9 +164,9 @@
 }
 
 // differences prints what a view has that the one before had not, and takes it over.
-func (f *listFlags) differences(w io.Writer, v client.View, before map[string]list.Entry) error {
+func (f *listFlags) differences(w io.Writer, v client.View, before map[string]registry.Entry) error {
 	there := map[string]bool{}
-	var all []list.Entry
+	var all []registry.Entry
 	for _, e := range v.Entries {
 		there[e.Name] = true
 		if before[e.Name] != e {
@@ -176,7 +176,7 @@
 	}
 	for name, e := range before {
 		if !there[name] {
-			e.Status = list.Gone
+			e.Status = registry.Gone
 			all = append(all, e)
 			delete(before, name)
 		}
@@ -185,7 +185,7 @@
 		if f.json {
 			if err := json.NewEncoder(w).Encode(struct {
 				Version uint64 `json:"version"`
-				list.Entry
+				registry.Entry
 			}{v.Version, e}); err != nil {
 				return err
 			}
@@ -197,15 +197,15 @@
 }
 
 func (f *listFlags) register() *cobra.Command {
-	var e list.Entry
+	var e registry.Entry
 	var ttl time.Duration
 	c := &cobra.Command{
 		Use:     "register NAME ADDRESS",
 		Short:   "put a server into the list, or change its entry",
-		Example: "  indigoctl list register s-5be2a07c 10.1.0.18:5000 --zone a --type m2 --group 3\n  indigoctl list register s-new 10.1.0.19:5000 --if 0",
+		Example: "  wrenspreadctl list register s-5be2a07c 10.1.0.18:5000 --zone a --type m2 --group 3\n  wrenspreadctl list register s-new 10.1.0.19:5000 --if 0",
 		Args:    cobra.ExactArgs(2),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			e.Name, e.Address, e.Status = args[0], args[1], list.Ready
+			e.Name, e.Address, e.Status = args[0], args[1], registry.Ready
 			r, err := k.Register(ctx, e, ttl, f.condition())
 			return f.done(c, r, err)
 		}),
@@ -219,7 +219,7 @@
 	return f.conditional(c)
 }
 
-func (f *listFlags) done(c *cobra.Command, r list.Result, err error) error {
+func (f *listFlags) done(c *cobra.Command, r registry.Result, err error) error {
 	if err != nil {
 		return err
 	}
@@ -237,11 +237,11 @@
 }
 
 // onEntry makes a command that changes one entry.
-func (f *listFlags) onEntry(verb, short string, do func(*client.Client, context.Context, string, *uint64) (list.Result, error)) *cobra.Command {
+func (f *listFlags) onEntry(verb, short string, do func(*client.Client, context.Context, string, *uint64) (registry.Result, error)) *cobra.Command {
 	return f.conditional(&cobra.Command{
 		Use:     verb + " NAME",
 		Short:   short,
-		Example: "  indigoctl list " + verb + " s-5be2a07c\n  indigoctl list " + verb + " s-5be2a07c --if 41",
+		Example: "  wrenspreadctl list " + verb + " s-5be2a07c\n  wrenspreadctl list " + verb + " s-5be2a07c --if 41",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			r, err := do(k, ctx, args[0], f.condition())
--- a/cmd/indigoctl/main.go
+++ b/cmd/wrenspreadctl/main.go
@@ -1,19 +1,19 @@
-// Command indigoctl is the operators' command line for the fleet's services.
+// Command wrenspreadctl is the operators' command line for the fleet's services.
 package main
 
 import (
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/conf"
+	"wrenspread/internal/config"
 )
 
-func main() { conf.Main(root()) }
+func main() { config.Main(root()) }
 
 func root() *cobra.Command {
 	c := &cobra.Command{
-		Use:   "indigoctl",
+		Use:   "wrenspreadctl",
 		Short: "operate the fleet's services",
-		Long: `indigoctl asks and orders the fleet's services. Every command names its own --help with an example.
+		Long: `wrenspreadctl asks and orders the fleet's services. Every command names its own --help with an example.
 The list service is looked for at $INDIGO_LIST, or at --list: the replicas' addresses, separated by commas.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
--- a/cmd/indigoctl/members.go
+++ b/cmd/wrenspreadctl/members.go
@@ -7,15 +7,15 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 func (f *listFlags) members() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "members",
 		Short:   "the replicas of the list service, and which of them leads",
-		Example: "  indigoctl list members\n  indigoctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500\n  indigoctl list members remove r0",
+		Example: "  wrenspreadctl list members\n  wrenspreadctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500\n  wrenspreadctl list members remove r0",
 		Args:    cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
 			all, err := k.Members(ctx)
@@ -29,7 +29,7 @@
 	return c
 }
 
-func (f *listFlags) showMembers(c *cobra.Command, all []list.Member) error {
+func (f *listFlags) showMembers(c *cobra.Command, all []registry.Member) error {
 	return f.print(c.OutOrStdout(), all, func(t *tabwriter.Writer) {
 		fmt.Fprintln(t, "NAME\tROLE\tVOTES\tADDED AT")
 		for _, m := range all {
@@ -46,21 +46,21 @@
 }
 
 func (f *listFlags) addMember() *cobra.Command {
-	var at list.Address
+	var at registry.Address
 	c := &cobra.Command{
 		Use:   "add NAME",
 		Short: "add a replica that was started on an empty folder",
 		Long: `The replica is started first: on an empty folder, with a file that names itself and the present replicas, and no
 begin. It learns the list and gets its vote once it is up to date. Without --raft and --http it is meant to be where
 the present replicas' files have it, as one whose folder was lost (remove it first).`,
-		Example: "  indigoctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500",
+		Example: "  wrenspreadctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			m, err := k.AddMember(ctx, args[0], at)
 			if err != nil {
 				return err
 			}
-			return f.showMembers(c, []list.Member{m})
+			return f.showMembers(c, []registry.Member{m})
 		}),
 	}
 	c.Flags().StringVar(&at.Raft, "raft", "", "where the other replicas reach it")
@@ -72,7 +72,7 @@
 	return &cobra.Command{
 		Use:     "remove NAME",
 		Short:   "take a replica out of the cluster; end its process afterwards",
-		Example: "  indigoctl list members remove r0",
+		Example: "  wrenspreadctl list members remove r0",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			if err := k.RemoveMember(ctx, args[0]); err != nil {
--- a/cmd/indigoctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/decide"
-	"indigotack/internal/policy"
-	"indigotack/internal/wire"
+	"wrenspread/balancer"
+	"wrenspread/internal/policy"
+	"wrenspread/internal/simwire"
 )
 
 const mostPolicy = 1 << 20 // bytes that are read of a policy; the compiler's own bound is lower
@@ -40,7 +40,7 @@
 		Long: `check compiles a policy and prints all of its errors, each with its place and a way out, or the summary of its table.
 Names are checked against --settings: a node's configuration, or a file of names such as
 {"sites":["a"],"books":["b"],"pods":["c"],"classes":[{"name":"view","worth":1,"work_ms":40}]}.`,
-		Example: "  indigoctl policy check site.hcl --settings node.json\n  indigoctl policy check site.hcl --limits",
+		Example: "  wrenspreadctl policy check site.hcl --settings node.json\n  wrenspreadctl policy check site.hcl --limits",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			t, err := compilePolicy(c.ErrOrStderr(), args[0], settings)
@@ -57,7 +57,7 @@
 }
 
 // compilePolicy compiles a file by the names that the file settings knows, and prints what is wrong with it.
-func compilePolicy(errs io.Writer, path, settings string) (*decide.Table, error) {
+func compilePolicy(errs io.Writer, path, settings string) (*balancer.Table, error) {
 	known, err := knownNames(settings)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 		return policy.Known{}, fmt.Errorf("%s: %w", path, err)
 	}
 	if in.Settings != nil {
-		s, err := wire.DecodeSettings(in.Settings)
+		s, err := simwire.DecodeSettings(in.Settings)
 		if err != nil {
 			return policy.Known{}, fmt.Errorf("%s: settings: %w", path, err)
 		}
@@ -130,7 +130,7 @@
 	return k, nil
 }
 
-func printTable(w io.Writer, t *decide.Table, limits, asJSON bool) error {
+func printTable(w io.Writer, t *balancer.Table, limits, asJSON bool) error {
 	data := t.JSON()
 	if asJSON {
 		_, err := fmt.Fprintf(w, "%s\n", data)
--- a/cmd/indigoctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/list/client"
-	"indigotack/internal/quota/record"
+	"wrenspread/internal/quota/record"
+	"wrenspread/internal/registry/client"
 )
 
 // apply puts a compiled policy on record; the nodes that follow it take it up from there.
@@ -18,8 +18,8 @@
 		Use:   "apply FILE",
 		Short: "compile a policy and have it hold on all nodes",
 		Long: `apply compiles a policy, as check does, and puts its table on record as the one that holds. Nodes with govern.policy take it up whole, each between
-two requests; indigoctl fleet shows at which version each is. Two that apply at once: the second is turned down and has to look again.`,
-		Example: "  indigoctl policy apply site.hcl --settings node.json",
+two requests; wrenspreadctl fleet shows at which version each is. Two that apply at once: the second is turned down and has to look again.`,
+		Example: "  wrenspreadctl policy apply site.hcl --settings node.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			t, err := compilePolicy(c.ErrOrStderr(), args[0], settings)
@@ -62,7 +62,7 @@
 	c := &cobra.Command{
 		Use:     "show",
 		Short:   "the table that holds",
-		Example: "  indigoctl policy show --limits",
+		Example: "  wrenspreadctl policy show --limits",
 		Args:    cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
 			r, err := k.Record(ctx, record.Current)
--- a/cmd/indigoctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -14,12 +14,12 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/conf"
-	"indigotack/internal/duty"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
-	"indigotack/internal/release"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/config"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/release"
 )
 
 func releaseCommand() *cobra.Command {
@@ -51,7 +51,7 @@
 		Long: `A plan names the versions, selects servers by zone, type or name, and says how many may be out at once. What it does
 not say is as careful as the defaults: one server first, then a tenth, a half and all; one out at a time; 30 s of soak;
 a wait at a halt. An unknown key is an error.`,
-		Example: `  indigoctl release plan app.toml
+		Example: `  wrenspreadctl release plan app.toml
 
   name = "app-42"
   from = "v1"
@@ -82,7 +82,7 @@
 // planned reads a plan, and puts it to the list as it is.
 func planned(ctx context.Context, k *client.Client, path string) (*release.State, error) {
 	plan := release.Default()
-	if err := conf.File(&plan, path); err != nil {
+	if err := config.File(&plan, path); err != nil {
 		return nil, err
 	}
 	if err := plan.Check(); err != nil {
@@ -112,7 +112,7 @@
 	return &cobra.Command{
 		Use:     "start FILE",
 		Short:   "put a release on record; whoever conducts it begins",
-		Example: "  indigoctl release start app.toml",
+		Example: "  wrenspreadctl release start app.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			s, err := planned(ctx, k, args[0])
@@ -122,7 +122,7 @@
 			if err := release.Start(ctx, k, s); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s is on record with %d servers; \"indigoctl release conduct %s\" carries it out\n", s.Plan.Name, len(s.Targets), s.Plan.Name)
+			fmt.Fprintf(c.OutOrStdout(), "%s is on record with %d servers; \"wrenspreadctl release conduct %s\" carries it out\n", s.Plan.Name, len(s.Targets), s.Plan.Name)
 			return nil
 		}),
 	}
@@ -133,7 +133,7 @@
 	c := &cobra.Command{
 		Use:     "status [NAME]",
 		Short:   "how far releases are",
-		Example: "  indigoctl release status\n  indigoctl release status app-42 --watch",
+		Example: "  wrenspreadctl release status\n  wrenspreadctl release status app-42 --watch",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			show := f.with(f.showRelease)
@@ -141,7 +141,7 @@
 				if err := show(c, args); err != nil || !watch || len(args) == 0 {
 					return err
 				}
-				if !pause.For(c.Context(), time.Second) {
+				if !backoff.Sleep(c.Context(), time.Second) {
 					return nil
 				}
 			}
@@ -196,7 +196,7 @@
 	return &cobra.Command{
 		Use:     "history NAME",
 		Short:   "what has happened, with times since its beginning",
-		Example: "  indigoctl release history app-42",
+		Example: "  wrenspreadctl release history app-42",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			s, err := release.Read(ctx, k, args[0])
@@ -217,7 +217,7 @@
 	c := &cobra.Command{
 		Use:     order + " NAME",
 		Short:   short,
-		Example: "  indigoctl release " + order + " app-42",
+		Example: "  wrenspreadctl release " + order + " app-42",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			if _, err := release.Read(ctx, k, args[0]); err != nil {
@@ -226,7 +226,7 @@
 			if err := release.Tell(ctx, k, args[0], order, who, fmt.Sprintf("%s-%d", who, time.Now().UnixNano())); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), "left for the conductor; \"indigoctl release history\" tells what it did")
+			fmt.Fprintln(c.OutOrStdout(), "left for the conductor; \"wrenspreadctl release history\" tells what it did")
 			return nil
 		}),
 	}
@@ -256,21 +256,21 @@
   [[node]]
   name = "n0"
   control = "127.0.0.1:9000"`,
-		Example: "  indigoctl release conduct app-42 --config conductor.toml",
+		Example: "  wrenspreadctl release conduct app-42 --config conductor.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			host, _ := os.Hostname() // empty where there is none, which the duty tells
-			config := conductorConfig{Process: host, Every: time.Second, Grace: 5 * time.Second}
+			settings := conductorConfig{Process: host, Every: time.Second, Grace: 5 * time.Second}
 			if path != "" {
-				if err := conf.File(&config, path); err != nil {
+				if err := config.File(&settings, path); err != nil {
 					return err
 				}
 			}
-			return f.conducting(c, args[0], config, ttl)
+			return f.conducting(c, args[0], settings, ttl)
 		},
 	}
 	c.Flags().StringVar(&path, "config", "", "a TOML file")
-	c.Flags().DurationVar(&ttl, "ttl", duty.DefaultTTL, "after so long without a word from here, another conducts")
+	c.Flags().DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
 	return c
 }
 
@@ -281,12 +281,12 @@
 		return err
 	}
 	defer k.Close()
-	p, err := duty.Open(duty.Config{Client: k, Process: config.Process, TTL: ttl, Word: list.Word{Note: "conducts " + name}, Log: log})
+	p, err := lease.Open(lease.Config{Client: k, Process: config.Process, TTL: ttl, Word: registry.Word{Note: "conducts " + name}, Log: log})
 	if err != nil {
 		return err
 	}
 	h := &http.Client{Timeout: callTime}
-	err = p.Run(c.Context(), release.Duty(name), func(ctx context.Context, fenced duty.Fence) error {
+	err = p.Run(c.Context(), release.Duty(name), func(ctx context.Context, fenced lease.Fence) error {
 		s, err := release.Read(ctx, k, name)
 		if err != nil {
 			return err
--- a/cmd/indigoctl/release_test.go
+++ b/cmd/wrenspreadctl/release_test.go
@@ -17,20 +17,20 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/agent"
-	"indigotack/internal/lab/trial"
-	"indigotack/internal/list/client"
-	"indigotack/internal/release"
+	"wrenspread/internal/agent"
+	"wrenspread/internal/lab/labtest"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/release"
 )
 
-// TestMain lets this test's own binary be indigoctl, or a server that answers with its version.
+// TestMain lets this test's own binary be wrenspreadctl, or a server that answers with its version.
 func TestMain(m *testing.M) {
 	if version := os.Getenv("RELEASE_TEST_VERSION"); version != "" {
 		http.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, version) })
 		http.ListenAndServe(os.Getenv("RELEASE_TEST_ADDRESS"), nil)
 		os.Exit(1)
 	}
-	if os.Getenv("INDIGOCTL_AS_PROGRAM") == "1" {
+	if os.Getenv("WRENSPREADCTL_AS_PROGRAM") == "1" {
 		main()
 		return
 	}
@@ -55,21 +55,21 @@
 func newSite(t *testing.T) *site {
 	quiet := slog.New(slog.DiscardHandler)
 	s := &site{t: t, at: map[string]string{}, folder: t.TempDir(), maint: map[string]bool{}, done: map[string]int{}, failed: map[string]int{}}
-	s.list, s.k = trial.List(t)
+	s.list, s.k = labtest.List(t)
 	ac := agent.Default()
-	ac.Machine, ac.Listen, ac.List, ac.Folder = "m", trial.Address(t), []string{s.list}, s.folder
+	ac.Machine, ac.Listen, ac.List, ac.Folder = "m", labtest.Address(t), []string{s.list}, s.folder
 	for i := range 3 {
 		name := fmt.Sprint("s", i)
-		s.at[name] = trial.Address(t)
+		s.at[name] = labtest.Address(t)
 		ac.Servers = append(ac.Servers, agent.Server{Name: name, Address: s.at[name], Version: "v1", Ready: "/", Grace: time.Second,
 			Command: []string{"/usr/bin/env", "RELEASE_TEST_VERSION={version}", "RELEASE_TEST_ADDRESS=" + s.at[name], os.Args[0]}})
 	}
 	t.Cleanup(s.endServers)
-	t.Cleanup(trial.Run(t, func(ctx context.Context) error { return agent.Run(ctx, ac, quiet) }))
+	t.Cleanup(labtest.Run(t, func(ctx context.Context) error { return agent.Run(ctx, ac, quiet) }))
 	node := httptest.NewServer(http.HandlerFunc(s.serveNode))
 	t.Cleanup(node.Close)
 	s.node = node.Listener.Addr().String()
-	t.Cleanup(trial.Run(t, s.load))
+	t.Cleanup(labtest.Run(t, s.load))
 	return s
 }
 
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// ctl runs indigoctl in this process.
+// ctl runs wrenspreadctl in this process.
 func (s *site) ctl(args ...string) string {
 	s.t.Helper()
 	var out bytes.Buffer
@@ -135,7 +135,7 @@
 	c.SetArgs(append(args, "--list", s.list))
 	c.SetOut(&out)
 	if err := c.Execute(); err != nil {
-		s.t.Fatalf("indigoctl %s: %v", strings.Join(args, " "), err)
+		s.t.Fatalf("wrenspreadctl %s: %v", strings.Join(args, " "), err)
 	}
 	return out.String()
 }
@@ -148,7 +148,7 @@
 		s.t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0], "release", "conduct", name, "--list", s.list, "--config", file, "--ttl", "1s")
-	cmd.Env = append(os.Environ(), "INDIGOCTL_AS_PROGRAM=1")
+	cmd.Env = append(os.Environ(), "WRENSPREADCTL_AS_PROGRAM=1")
 	if err := cmd.Start(); err != nil {
 		s.t.Fatal(err)
 	}
@@ -158,8 +158,8 @@
 
 func (s *site) await(name, what string, is func(*release.State) bool) {
 	s.t.Helper()
-	for until := time.Now().Add(trial.Enough); ; time.Sleep(20 * time.Millisecond) {
-		ctx, cancel := context.WithTimeout(context.Background(), trial.Enough)
+	for until := time.Now().Add(labtest.Enough); ; time.Sleep(20 * time.Millisecond) {
+		ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 		state, err := release.Read(ctx, s.k, name)
 		cancel()
 		if err == nil && is(state) {
@@ -184,7 +184,7 @@
 // second; a bad one goes back by itself; real agents, servers and conductors' processes.
 func TestReleases(t *testing.T) {
 	s := newSite(t)
-	for until := time.Now().Add(trial.Enough); !strings.Contains(s.ctl("list", "get"), "3 entries"); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(labtest.Enough); !strings.Contains(s.ctl("list", "get"), "3 entries"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the servers are not listed")
 		}
--- a/cmd/indigoctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"indigotack/internal/duty"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 func tenantCommand() *cobra.Command {
@@ -53,7 +53,7 @@
 	return &cobra.Command{
 		Use:     do + " " + args,
 		Short:   short,
-		Example: "  indigoctl tenant " + do + " " + strings.ToLower(args) + "\n" + more,
+		Example: "  wrenspreadctl tenant " + do + " " + strings.ToLower(args) + "\n" + more,
 		Args:    cobra.ExactArgs(len(strings.Fields(args))),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			if err := tenant.CheckName(args[0]); err != nil {
@@ -90,11 +90,11 @@
 		if placed {
 			break
 		}
-		if !pause.For(ctx, lookEvery) {
-			return fmt.Errorf("%s: an order waits there already; does a conductor run (indigoctl tenant conduct)?", name)
+		if !backoff.Sleep(ctx, lookEvery) {
+			return fmt.Errorf("%s: an order waits there already; does a conductor run (wrenspreadctl tenant conduct)?", name)
 		}
 	}
-	where := "it waits for a conductor (indigoctl tenant conduct)"
+	where := "it waits for a conductor (wrenspreadctl tenant conduct)"
 	for {
 		done, now, err := came(ctx, k, name, o)
 		if err == nil && done {
@@ -104,7 +104,7 @@
 		if err != nil && ctx.Err() == nil {
 			return err
 		}
-		if where = cmp.Or(now, where); !pause.For(ctx, lookEvery) {
+		if where = cmp.Or(now, where); !backoff.Sleep(ctx, lookEvery) {
 			return fmt.Errorf("%s: %s is not done after %v and goes on: %s", name, o.Do, f.wait, where)
 		}
 	}
@@ -151,7 +151,7 @@
 	return &cobra.Command{
 		Use:     "status [NAME]",
 		Short:   "where tenants are, and which nodes they wait for",
-		Example: "  indigoctl tenant status\n  indigoctl tenant status kalahari --json",
+		Example: "  wrenspreadctl tenant status\n  wrenspreadctl tenant status kalahari --json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			all, err := standings(ctx, k)
@@ -185,7 +185,7 @@
 	c := &cobra.Command{
 		Use:     "conduct",
 		Short:   "carry orders out, as the holder of the duty; run it on several machines",
-		Example: "  indigoctl tenant conduct --process ops-1",
+		Example: "  wrenspreadctl tenant conduct --process ops-1",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil))
@@ -194,11 +194,11 @@
 				return err
 			}
 			defer k.Close()
-			p, err := duty.Open(duty.Config{Client: k, Process: process, TTL: ttl, Word: list.Word{Note: "conducts tenants"}, Log: log})
+			p, err := lease.Open(lease.Config{Client: k, Process: process, TTL: ttl, Word: registry.Word{Note: "conducts tenants"}, Log: log})
 			if err != nil {
 				return err
 			}
-			err = p.Run(c.Context(), tenant.Duty, func(ctx context.Context, fenced duty.Fence) error {
+			err = p.Run(c.Context(), tenant.Duty, func(ctx context.Context, fenced lease.Fence) error {
 				conductor := tenant.Conductor{Store: &tenant.Records{List: k, Fence: fenced}, Fleet: tenant.Listed{List: k}, Every: lookEvery, Times: tenant.DefaultTimes(), Log: log, HashTree: hashTree}
 				return conductor.Run(ctx)
 			})
@@ -210,7 +210,7 @@
 	}
 	host, _ := os.Hostname() // empty where there is none, which the duty tells
 	c.Flags().StringVar(&process, "process", host, "the name of this process, the same over its restarts")
-	c.Flags().DurationVar(&ttl, "ttl", duty.DefaultTTL, "after so long without a word from here, another conducts")
+	c.Flags().DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
 	c.Flags().BoolVar(&hashTree, "hash-tree", false, "write the catalogue as a hash tree, of which a node with govern.tenants_on_demand reads parts; programs before it refuse it")
 	return c
 }
--- a/cmd/indigoctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/duty"
-	"indigotack/internal/lab/trial"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/labtest"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 // desk is a node as far as tenants go: the real Desk and Reader over the real service.
@@ -34,15 +34,15 @@
 func runDesk(t *testing.T, k *client.Client, name string) *desk {
 	d := &desk{core: tenant.NewDesk(uint64(time.Now().UnixMilli()), 0, false), start: time.Now()}
 	r := &tenant.Reader{List: k, Member: d.core.Member(name)}
-	s := list.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Word: list.Word{Note: d.core.Word().Note()}}
-	t.Cleanup(trial.Run(t, func(ctx context.Context) error {
+	s := registry.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Word: registry.Word{Note: d.core.Word().Note()}}
+	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
 		sent := d.clock()
 		if err := k.OpenSession(ctx, s); err != nil {
 			return err
 		}
 		d.handle(ctx, k, &s, tenant.Opened{Sent: sent, TTL: s.TTL})
 		d.handle(ctx, k, &s, tenant.Tables{Table: tenant.Table{Version: 1 << 40, Has: func(string) bool { return true }}})
-		for pause.For(ctx, 100*time.Millisecond) {
+		for backoff.Sleep(ctx, 100*time.Millisecond) {
 			sent := d.clock()
 			if known, err := k.RenewSession(ctx, s.ID); err == nil {
 				d.handle(ctx, k, &s, tenant.Renewed{Sent: sent, Known: known})
@@ -56,7 +56,7 @@
 	return d
 }
 
-func (d *desk) handle(ctx context.Context, k *client.Client, s *list.Session, event any) {
+func (d *desk) handle(ctx context.Context, k *client.Client, s *registry.Session, event any) {
 	for _, a := range d.core.Handle(d.clock(), event) {
 		switch a := a.(type) {
 		case tenant.Swap:
@@ -82,10 +82,10 @@
 // TestTenants: operators bring tenants in, change and remove them on two nodes, over a
 // conductor that hands on in between.
 func TestTenants(t *testing.T) {
-	address, k := trial.List(t)
+	address, k := labtest.List(t)
 	ctx := t.Context()
 	for i, zone := range []string{"a", "b"} {
-		e := list.Entry{Name: fmt.Sprint("s", i), Address: "127.0.0.1:1", Zone: zone, Type: "m", Status: list.Ready, Weight: 1}
+		e := registry.Entry{Name: fmt.Sprint("s", i), Address: "127.0.0.1:1", Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
 		if _, err := k.Register(ctx, e, 0, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -94,12 +94,12 @@
 		t.Fatal(err)
 	}
 	conduct := func(name string) (stop func()) {
-		return trial.Run(t, func(ctx context.Context) error {
-			p, err := duty.Open(duty.Config{Client: k, Process: name, TTL: time.Second})
+		return labtest.Run(t, func(ctx context.Context) error {
+			p, err := lease.Open(lease.Config{Client: k, Process: name, TTL: time.Second})
 			if err != nil {
 				return err
 			}
-			p.Run(ctx, tenant.Duty, func(ctx context.Context, f duty.Fence) error {
+			p.Run(ctx, tenant.Duty, func(ctx context.Context, f lease.Fence) error {
 				c := tenant.Conductor{Store: &tenant.Records{List: k, Fence: f}, Fleet: tenant.Listed{List: k}, Every: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
 				return c.Run(ctx)
 			})
@@ -132,7 +132,7 @@
 	await := func(verdict tenant.Verdict) {
 		t.Helper()
 		for _, n := range nodes {
-			trial.Await(t, verdict.String(), func() bool { return n.says("k", "c") == verdict })
+			labtest.Await(t, verdict.String(), func() bool { return n.says("k", "c") == verdict })
 		}
 	}
 	order("done", "add", "k", file("k", "book/k", "a"))
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/fence"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
+	"wrenspread/internal/fencing"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 const (
@@ -32,7 +32,7 @@
 	c       Config
 	log     *slog.Logger
 	list    *client.Client
-	guard   *fence.Guard
+	guard   *fencing.Guard
 	keeps   map[string]*keeping
 	mu      sync.Mutex // of the file of orders
 	address string
@@ -50,7 +50,7 @@
 		return err
 	}
 	defer a.list.Close()
-	if a.guard, err = fence.Open(c.Folder); err != nil {
+	if a.guard, err = fencing.Open(c.Folder); err != nil {
 		return err
 	}
 	wants, err := a.wants()
@@ -134,8 +134,8 @@
 		http.Error(w, "this agent keeps no "+r.PathValue("name"), http.StatusNotFound)
 		return
 	}
-	if r.Header.Get(fence.Header) == "" {
-		http.Error(w, "an order needs a fence: "+fence.Header+": DUTY NUMBER", http.StatusBadRequest)
+	if r.Header.Get(fencing.Header) == "" {
+		http.Error(w, "an order needs a fence: "+fencing.Header+": DUTY NUMBER", http.StatusBadRequest)
 		return
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
@@ -143,8 +143,8 @@
 	if err == nil {
 		err = json.Unmarshal(raw, &o)
 	}
-	if err == nil && (o.Version == "" || len(o.Version) > list.MaxText) {
-		err = fmt.Errorf("version: want 1 to %d bytes", list.MaxText)
+	if err == nil && (o.Version == "" || len(o.Version) > registry.MaxText) {
+		err = fmt.Errorf("version: want 1 to %d bytes", registry.MaxText)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -168,7 +168,7 @@
 // wants reads what the servers were last ordered to be.
 func (a *agent) wants() (map[string]Order, error) {
 	all := map[string]Order{}
-	raw, err := sealed.Read(a.file(), maxWants)
+	raw, err := checksumfile.Read(a.file(), maxWants)
 	if errors.Is(err, os.ErrNotExist) {
 		return all, nil
 	}
@@ -194,7 +194,7 @@
 	all[server] = o
 	raw, err := json.Marshal(all)
 	if err == nil {
-		err = sealed.Write(a.file(), raw)
+		err = checksumfile.Write(a.file(), raw)
 	}
 	if err != nil {
 		return fmt.Errorf("the order can't be kept: %w", err)
@@ -205,7 +205,7 @@
 // listed keeps a server's entry as the server is: ready, draining while it is to be
 // quiet, and gone while it does not answer. The list drops it if this agent is lost.
 func (a *agent) listed(ctx context.Context, k *keeping) {
-	var has list.Entry // as it was registered; without a name: it is not
+	var has registry.Entry // as it was registered; without a name: it is not
 	var told time.Time
 	for ctx.Err() == nil {
 		status, changed := k.get()
@@ -224,7 +224,7 @@
 			err = a.write(ctx, func(ctx context.Context) error {
 				unknown, err := a.list.Renew(ctx, []string{k.s.Name})
 				if len(unknown) > 0 {
-					has = list.Entry{} // it is registered anew
+					has = registry.Entry{} // it is registered anew
 				}
 				return err
 			})
@@ -244,14 +244,14 @@
 }
 
 // entryOf is the entry that a server is to have; none while it does not answer.
-func (a *agent) entryOf(k *keeping, s Status) list.Entry {
+func (a *agent) entryOf(k *keeping, s Status) registry.Entry {
 	switch {
 	case s.Running && s.Quiet:
-		return k.s.entry(list.Draining, s.Version, s.Since)
+		return k.s.entry(registry.Draining, s.Version, s.Since)
 	case s.Ready:
-		return k.s.entry(list.Ready, s.Version, s.Since)
+		return k.s.entry(registry.Ready, s.Version, s.Since)
 	}
-	return list.Entry{}
+	return registry.Entry{}
 }
 
 func (a *agent) write(ctx context.Context, do func(context.Context) error) error {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/trial"
-	"indigotack/internal/list"
+	"wrenspread/internal/lab/labtest"
+	"wrenspread/internal/registry"
 )
 
 // TestMain lets this test's own binary be a server: it answers with its version,
@@ -41,14 +41,14 @@
 // version that does not run leaves the list and can be taken back.
 func TestLifeOfAServer(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	service, k := trial.List(t)
-	ctx, cancel := context.WithTimeout(context.Background(), trial.Enough)
+	service, k := labtest.List(t)
+	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
 	c := Default()
-	c.Machine, c.Listen, c.List, c.Folder, c.TTL = "m", trial.Address(t), []string{service}, t.TempDir(), 2*time.Second
-	at := trial.Address(t)
+	c.Machine, c.Listen, c.List, c.Folder, c.TTL = "m", labtest.Address(t), []string{service}, t.TempDir(), 2*time.Second
+	at := labtest.Address(t)
 	c.Servers = []Server{{Name: "s", Address: at, Version: "v1", Ready: "/", Grace: time.Second, Command: []string{"/usr/bin/env", "AGENT_TEST_VERSION={version}", "AGENT_TEST_ADDRESS=" + at, os.Args[0]}}}
-	begin := func() func() { return trial.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
+	begin := func() func() { return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
 	listed := func() string {
 		a, err := k.Current(ctx)
 		if err != nil {
@@ -65,40 +65,40 @@
 		return s
 	}
 	order := func(o Order, fence uint64) error {
-		_, err := call.Order(ctx, c.Listen, "s", o, list.Fence{Duty: "release/x", Fence: fence})
+		_, err := call.Order(ctx, c.Listen, "s", o, registry.Fence{Duty: "release/x", Fence: fence})
 		return err
 	}
 	stop := begin()
-	trial.Await(t, "the first version", func() bool { return listed() == "ready v1" })
+	labtest.Await(t, "the first version", func() bool { return listed() == "ready v1" })
 	first, err := adopt(filepath.Join(c.Folder, "s.process"))
 	if err != nil || first == nil {
 		t.Fatal(first, err)
 	}
 	first.signal(syscall.SIGKILL)
-	trial.Await(t, "its next process", func() bool { s := status(); return s.Ready && s.Restarts == 1 })
+	labtest.Await(t, "its next process", func() bool { s := status(); return s.Ready && s.Restarts == 1 })
 
 	if err := order(Order{Version: "v2", Quiet: true}, 5); err != nil {
 		t.Fatal(err)
 	}
-	trial.Await(t, "the second version", func() bool { s := status(); return s.Ready && s.Version == "v2" && listed() == "draining v2" })
+	labtest.Await(t, "the second version", func() bool { s := status(); return s.Ready && s.Version == "v2" && listed() == "draining v2" })
 	if err := order(Order{Version: "v1"}, 4); err == nil || !strings.Contains(err.Error(), "another holds the duty") {
 		t.Errorf("an earlier holder's order: %v", err)
 	}
 	before := status()
 	stop()
 	stop = begin()
-	trial.Await(t, "the same process with the next agent", func() bool { s := status(); return s.Ready && s.Since == before.Since && s.Version == "v2" })
+	labtest.Await(t, "the same process with the next agent", func() bool { s := status(); return s.Ready && s.Since == before.Since && s.Version == "v2" })
 	if err := order(Order{Version: "v1"}, 4); err == nil {
 		t.Error("the next agent takes an earlier holder's order")
 	}
 	if err := order(Order{Version: "bad"}, 6); err != nil {
 		t.Fatal(err)
 	}
-	trial.Await(t, "the list without it", func() bool { return listed() == "nothing" && status().Restarts > 0 })
+	labtest.Await(t, "the list without it", func() bool { return listed() == "nothing" && status().Restarts > 0 })
 	if err := order(Order{Version: "v1"}, 7); err != nil {
 		t.Fatal(err)
 	}
-	trial.Await(t, "the first version again", func() bool { return listed() == "ready v1" })
+	labtest.Await(t, "the first version again", func() bool { return listed() == "ready v1" })
 	stop()
 	last, err := adopt(filepath.Join(c.Folder, "s.process"))
 	if err != nil || last == nil {
@@ -144,14 +144,14 @@
 func TestHandover(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
 	c := Default()
-	at := trial.Address(t)
-	c.Machine, c.Listen, c.List, c.Folder = "m", trial.Address(t), []string{"127.0.0.1:1"}, t.TempDir()
-	c.Servers = []Server{{Name: "n", Address: at, Version: "v1", Ready: "/", Grace: 5 * time.Second, Handover: true, Unlisted: true, Control: []string{trial.Address(t), trial.Address(t)},
+	at := labtest.Address(t)
+	c.Machine, c.Listen, c.List, c.Folder = "m", labtest.Address(t), []string{"127.0.0.1:1"}, t.TempDir()
+	c.Servers = []Server{{Name: "n", Address: at, Version: "v1", Ready: "/", Grace: 5 * time.Second, Handover: true, Unlisted: true, Control: []string{labtest.Address(t), labtest.Address(t)},
 		Command: []string{"/usr/bin/env", "AGENT_TEST_VERSION={version}", os.Args[0]}}}
 	if err := c.Check(); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), trial.Enough)
+	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
 	call := Caller{HTTP: http.DefaultClient}
 	status := func() Status {
@@ -162,13 +162,13 @@
 	order := func(version string) {
 		t.Helper()
 		fence++
-		if _, err := call.Order(ctx, c.Listen, "n", Order{Version: version}, list.Fence{Duty: "release/x", Fence: fence}); err != nil {
+		if _, err := call.Order(ctx, c.Listen, "n", Order{Version: version}, registry.Fence{Duty: "release/x", Fence: fence}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	begin := func() func() { return trial.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
+	begin := func() func() { return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
 	stop := begin()
-	trial.Await(t, "the first version", func() bool { s := status(); return s.Ready && s.Version == "v1" })
+	labtest.Await(t, "the first version", func() bool { s := status(); return s.Ready && s.Version == "v1" })
 	lost := make(chan int)
 	asking, halt := context.WithCancel(ctx)
 	go func() {
@@ -185,17 +185,17 @@
 		lost <- n
 	}()
 	order("v2")
-	trial.Await(t, "the second version", func() bool {
+	labtest.Await(t, "the second version", func() bool {
 		s := status()
 		return s.Ready && s.Version == "v2" && s.Control == c.Servers[0].Control[1]
 	})
 	order("bad")
-	trial.Await(t, "the refusal of one that ends", func() bool { s := status(); return s.Refused == "bad" && s.Version == "v2" })
+	labtest.Await(t, "the refusal of one that ends", func() bool { s := status(); return s.Refused == "bad" && s.Version == "v2" })
 	stop()
 	stop = begin()
-	trial.Await(t, "the same process with the next agent", func() bool { s := status(); return s.Ready && s.Version == "v2" })
+	labtest.Await(t, "the same process with the next agent", func() bool { s := status(); return s.Ready && s.Version == "v2" })
 	order("v3")
-	trial.Await(t, "the third version", func() bool { s := status(); return s.Ready && s.Version == "v3" })
+	labtest.Await(t, "the third version", func() bool { s := status(); return s.Ready && s.Version == "v3" })
 	halt()
 	if n := <-lost; n > 0 {
 		t.Errorf("%d requests were lost", n)
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -13,8 +13,8 @@
 	"net/http"
 	"net/url"
 
-	"indigotack/internal/fence"
-	"indigotack/internal/list"
+	"wrenspread/internal/fencing"
+	"wrenspread/internal/registry"
 )
 
 // RecordPrefix begins the keys of agents' records in the list service.
@@ -71,12 +71,12 @@
 }
 
 // Order tells an agent what a server is to be, under a fence; it does not wait for it.
-func (c Caller) Order(ctx context.Context, address, server string, o Order, f list.Fence) (Status, error) {
+func (c Caller) Order(ctx context.Context, address, server string, o Order, f registry.Fence) (Status, error) {
 	var s Status
 	return s, c.call(ctx, http.MethodPut, address, server, o, &f, &s)
 }
 
-func (c Caller) call(ctx context.Context, method, address, server string, body any, f *list.Fence, into any) error {
+func (c Caller) call(ctx context.Context, method, address, server string, body any, f *registry.Fence, into any) error {
 	var raw []byte
 	if body != nil {
 		var err error
@@ -89,7 +89,7 @@
 		return err
 	}
 	if f != nil {
-		req.Header.Set(fence.Header, fence.Format(*f))
+		req.Header.Set(fencing.Header, fencing.Format(*f))
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -4,8 +4,8 @@
 	"strings"
 	"time"
 
-	"indigotack/internal/conf"
-	"indigotack/internal/list"
+	"wrenspread/internal/config"
+	"wrenspread/internal/registry"
 )
 
 // Config is what an agent is told.
@@ -53,7 +53,7 @@
 
 // Check says what is wrong with a configuration, by its keys.
 func (c Config) Check() error {
-	var f conf.Faults
+	var f config.Faults
 	bad, address := f.Want, f.Address
 	bad(c.Machine != "", "machine: missing; it names this agent, the same over restarts")
 	bad(c.Folder != "", "folder: missing; it is for versions and fences")
@@ -65,11 +65,11 @@
 	for _, a := range c.List {
 		address("list", a)
 	}
-	bad(c.TTL >= list.MinTTL && c.TTL <= list.MaxTTL, "ttl: %v is not between %v and %v", c.TTL, list.MinTTL, list.MaxTTL)
+	bad(c.TTL >= registry.MinTTL && c.TTL <= registry.MaxTTL, "ttl: %v is not between %v and %v", c.TTL, registry.MinTTL, registry.MaxTTL)
 	bad(len(c.Servers) >= 1 && len(c.Servers) <= mostServers, "server: there are %d, want 1 to %d", len(c.Servers), mostServers)
 	names := map[string]bool{}
 	for _, s := range c.Servers {
-		bad(s.Name != "" && len(s.Name) <= list.MaxText && !names[s.Name], "server: name %q is missing, too long or there twice", s.Name)
+		bad(s.Name != "" && len(s.Name) <= registry.MaxText && !names[s.Name], "server: name %q is missing, too long or there twice", s.Name)
 		names[s.Name] = true
 		address("server "+s.Name+": address", s.Address)
 		bad(len(s.Command) > 0, "server %s: command: missing", s.Name)
@@ -101,6 +101,6 @@
 }
 
 // entry is the server's entry in the list.
-func (s Server) entry(status, version string, since int64) list.Entry {
-	return list.Entry{Name: s.Name, Address: s.Address, Zone: s.Zone, Type: s.Type, Group: s.Group, Weight: s.Weight, Status: status, SinceMS: since, Version: version}
+func (s Server) entry(status, version string, since int64) registry.Entry {
+	return registry.Entry{Name: s.Name, Address: s.Address, Zone: s.Zone, Type: s.Type, Group: s.Group, Weight: s.Weight, Status: status, SinceMS: since, Version: version}
 }
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestCallAndTraceFormsAreUnchanged compares the agent's calls, its record and its files with golden files.
--- a/internal/agent/keep.go
+++ b/internal/agent/keep.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
 )
 
 const (
@@ -233,7 +233,7 @@
 				s.Why = ""
 			}
 		})
-		pause.For(ctx, readyLook)
+		backoff.Sleep(ctx, readyLook)
 	}
 }
 
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
 )
 
 // process is a server's process: a child of this agent, or one that an agent
@@ -74,7 +74,7 @@
 func (p *process) keep(trace string) error {
 	raw, err := json.Marshal(p.Trace)
 	if err == nil {
-		err = sealed.Write(trace, raw)
+		err = checksumfile.Write(trace, raw)
 	}
 	if err != nil {
 		return fmt.Errorf("keeping the trace of process %d: %w", p.Pid, err)
@@ -84,7 +84,7 @@
 
 // adopt finds the process of an earlier agent by its trace; nil where it has ended.
 func adopt(trace string) (*process, error) {
-	raw, err := sealed.Read(trace, maxTrace)
+	raw, err := checksumfile.Read(trace, maxTrace)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
--- a/internal/sealed/sealed.go
+++ b/internal/checksumfile/sealed.go
@@ -1,7 +1,7 @@
 // Package sealed keeps a small file whole: a line with the checksum of what
 // follows, then that. The file is there as it was or as it is to be, wherever the
 // writing is cut, and one that was damaged later is told from a good one.
-package sealed
+package checksumfile
 
 import (
 	"bytes"
--- a/internal/sealed/sealed_test.go
+++ b/internal/checksumfile/sealed_test.go
@@ -1,4 +1,4 @@
-package sealed
+package checksumfile
 
 import (
 	"bytes"
--- a/internal/conf/conf.go
+++ b/internal/config/conf.go
@@ -1,6 +1,6 @@
 // Package conf puts a program's configuration together: its defaults, a TOML file, and
 // the flags that were given, of which each wins over those before it.
-package conf
+package config
 
 import (
 	"fmt"
--- a/internal/conf/program.go
+++ b/internal/config/program.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"context"
--- a/internal/keeper/core.go
+++ b/internal/controller/core.go
@@ -1,6 +1,6 @@
 // Package keeper looks whether the list of servers, the servers and the nodes
 // agree. It repairs what is plainly orphaned and reports the rest.
-package keeper
+package controller
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Patience says how long something has to be wrong before it counts.
@@ -20,7 +20,7 @@
 // Look is all that was seen at a time of one monotonic clock.
 type Look struct {
 	At      time.Duration
-	Items   []list.Item
+	Items   []registry.Item
 	Answers map[string]bool // servers, by name, that take connections
 	Nodes   []NodeLook
 }
@@ -105,7 +105,7 @@
 			continue
 		}
 		// One with a lease is taken off by the service. One that is ready may be about to start.
-		if e.Status != list.Draining || i.TTL > 0 {
+		if e.Status != registry.Draining || i.TTL > 0 {
 			note(Silent, e.Name, e.Address+" takes no connections")
 			continue
 		}
--- a/internal/keeper/core_test.go
+++ b/internal/controller/core_test.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // TestJudge: whatever comes and goes, an entry is removed only if it was draining
@@ -19,7 +19,7 @@
 		p := Patience{Settle: 10 * time.Second, Orphan: 60 * time.Second}
 		c := NewCore(p)
 		type state struct {
-			item   list.Item
+			item   registry.Item
 			silent time.Duration // since when it is silent and draining as it is; below 0: it is not
 		}
 		all := map[string]*state{}
@@ -30,8 +30,8 @@
 			name := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "who"))
 			if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
 				version++
-				e := list.Entry{Name: name, Address: name + ":1", Status: rapid.SampledFrom([]string{list.Ready, list.Draining, list.Draining}).Draw(t, "status")}
-				all[name] = &state{list.Item{Entry: e, Version: version, TTL: time.Duration(rapid.IntRange(0, 1).Draw(t, "ttl")) * time.Second}, -1}
+				e := registry.Entry{Name: name, Address: name + ":1", Status: rapid.SampledFrom([]string{registry.Ready, registry.Draining, registry.Draining}).Draw(t, "status")}
+				all[name] = &state{registry.Item{Entry: e, Version: version, TTL: time.Duration(rapid.IntRange(0, 1).Draw(t, "ttl")) * time.Second}, -1}
 			}
 			l := Look{At: now, Answers: map[string]bool{}}
 			for name, s := range all {
@@ -39,7 +39,7 @@
 				if rapid.IntRange(0, 7).Draw(t, "answers") == 0 {
 					l.Answers[name] = true
 				}
-				switch quiet := s.item.Entry.Status == list.Draining && s.item.TTL == 0 && !l.Answers[name]; {
+				switch quiet := s.item.Entry.Status == registry.Draining && s.item.TTL == 0 && !l.Answers[name]; {
 				case !quiet:
 					s.silent = -1
 				case s.silent < 0:
@@ -68,10 +68,10 @@
 // TestFindings: each kind is reported once it has lasted, and not when it is over.
 func TestFindings(t *testing.T) {
 	c := NewCore(Patience{Settle: 10 * time.Second, Orphan: time.Hour})
-	item := func(name, address, status string) list.Item {
-		return list.Item{Entry: list.Entry{Name: name, Address: address, Status: status}, Version: 1}
+	item := func(name, address, status string) registry.Item {
+		return registry.Item{Entry: registry.Entry{Name: name, Address: address, Status: status}, Version: 1}
 	}
-	wrong := Look{Items: []list.Item{item("a", "x:1", list.Ready), item("b", "x:1", list.Draining)},
+	wrong := Look{Items: []registry.Item{item("a", "x:1", registry.Ready), item("b", "x:1", registry.Draining)},
 		Nodes: []NodeLook{{Name: "n0"}, {Name: "n1", Up: true}, {Name: "n2", Up: true, Ready: true, Discovered: 5}, {Name: "n3", Up: true, Ready: true, Discovered: -1}}}
 	right := Look{Items: wrong.Items[:1], Answers: map[string]bool{"a": true}, Nodes: []NodeLook{{Name: "n0", Up: true, Ready: true, Discovered: 1}}}
 	kinds := func(at time.Duration, l Look) (all []string) {
--- a/internal/keeper/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -1,9 +1,9 @@
-package keeper
+package controller
 
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestReportFormIsUnchanged compares what /report answers with a golden file.
--- a/internal/keeper/keeper.go
+++ b/internal/controller/keeper.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/conf"
-	"indigotack/internal/duty"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/config"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // Config is what a keeper is told.
@@ -47,7 +47,7 @@
 
 // Check says what is wrong with a configuration, by its keys.
 func (c Config) Check() error {
-	var f conf.Faults
+	var f config.Faults
 	bad, address := f.Want, f.Address
 	bad(c.Process != "", "process: missing; it names this process, the same over its restarts")
 	bad(len(c.List) > 0, "list: missing; it has the addresses of the list service")
@@ -115,7 +115,7 @@
 	srv := &http.Server{Handler: w.routes(), ReadHeaderTimeout: lookTime}
 	go srv.Serve(ln) // until Close
 	defer srv.Close()
-	p, err := duty.Open(duty.Config{Client: k, Process: c.Process, Word: list.Word{Address: ln.Addr().String(), Note: "keeper"}, Log: log})
+	p, err := lease.Open(lease.Config{Client: k, Process: c.Process, Word: registry.Word{Address: ln.Addr().String(), Note: "keeper"}, Log: log})
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	closed := make(chan error, 1)
 	stop := context.AfterFunc(ctx, func() { closed <- p.Close(patience) }) // while the duties end: without the service they would not
 	err = all.Wait()
-	if errors.Is(err, context.Canceled) || errors.Is(err, duty.ErrClosed) {
+	if errors.Is(err, context.Canceled) || errors.Is(err, lease.ErrClosed) {
 		err = nil
 	}
 	if stop() {
@@ -169,7 +169,7 @@
 }
 
 // work looks again and again, as the holder of the duty.
-func (w *Keeper) work(ctx context.Context, f duty.Fence) error {
+func (w *Keeper) work(ctx context.Context, f lease.Fence) error {
 	w.hold(true)
 	defer w.hold(false)
 	core, start := NewCore(w.c.Patience), time.Now()
@@ -183,7 +183,7 @@
 			w.tell(findings)
 			w.repair(ctx, f, repairs)
 		}
-		pause.For(ctx, w.c.Every)
+		backoff.Sleep(ctx, w.c.Every)
 	}
 	return ctx.Err()
 }
@@ -211,7 +211,7 @@
 }
 
 // repair takes orphans off the list, under the fence and as they were judged.
-func (w *Keeper) repair(ctx context.Context, f duty.Fence, all []Repair) {
+func (w *Keeper) repair(ctx context.Context, f lease.Fence, all []Repair) {
 	if !w.c.Repair {
 		return
 	}
--- a/internal/keeper/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -10,39 +10,39 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/trial"
-	"indigotack/internal/list"
+	"wrenspread/internal/lab/labtest"
+	"wrenspread/internal/registry"
 )
 
 // TestTwoKeepers: one of two takes an orphan off the list, and nothing else; once it
 // ends, the other goes on.
 func TestTwoKeepers(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	service, k := trial.List(t)
-	ctx, cancel := context.WithTimeout(context.Background(), trial.Enough)
+	service, k := labtest.List(t)
+	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
 	alive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer alive.Close()
-	dead := trial.Address(t)
+	dead := labtest.Address(t)
 	add := func(name, at, status string) {
 		t.Helper()
-		if _, err := k.Register(ctx, list.Entry{Name: name, Address: at, Status: status}, 0, nil); err != nil {
+		if _, err := k.Register(ctx, registry.Entry{Name: name, Address: at, Status: status}, 0, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	add("leaves", alive.Addr().String(), list.Draining)
-	add("silent", dead, list.Ready)
-	add("orphan", dead, list.Draining)
+	add("leaves", alive.Addr().String(), registry.Draining)
+	add("silent", dead, registry.Ready)
+	add("orphan", dead, registry.Draining)
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "app.discovered:9|g\n") }))
 	defer node.Close()
 	begin := func(name string) func() {
 		c := Default()
-		c.Process, c.List, c.Listen, c.Every, c.Patience = name, []string{service}, trial.Address(t), 100*time.Millisecond, Patience{300 * time.Millisecond, time.Second}
+		c.Process, c.List, c.Listen, c.Every, c.Patience = name, []string{service}, labtest.Address(t), 100*time.Millisecond, Patience{300 * time.Millisecond, time.Second}
 		c.Nodes = []Node{{"n0", node.Listener.Addr().String()}}
-		return trial.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
+		return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
 	}
 	names := func() (all []string) {
 		a, err := k.Current(ctx)
@@ -65,12 +65,12 @@
 		return ""
 	}
 	stopFirst := begin("one")
-	trial.Await(t, "the first holder", func() bool { return holder() == "one" })
+	labtest.Await(t, "the first holder", func() bool { return holder() == "one" })
 	stopSecond := begin("two")
-	trial.Await(t, "the orphan's end", func() bool { return fmt.Sprint(names()) == "[leaves silent]" })
+	labtest.Await(t, "the orphan's end", func() bool { return fmt.Sprint(names()) == "[leaves silent]" })
 	stopFirst()
-	trial.Await(t, "the second holder", func() bool { return holder() == "two" })
-	add("orphan", dead, list.Draining)
-	trial.Await(t, "the second orphan's end", func() bool { return fmt.Sprint(names()) == "[leaves silent]" })
+	labtest.Await(t, "the second holder", func() bool { return holder() == "two" })
+	add("orphan", dead, registry.Draining)
+	labtest.Await(t, "the second orphan's end", func() bool { return fmt.Sprint(names()) == "[leaves silent]" })
 	stopSecond()
 }
--- a/internal/keeper/look.go
+++ b/internal/controller/look.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 // How the keeper looks at the list, the servers and the nodes.
 
--- a/internal/keeper/shares.go
+++ b/internal/controller/shares.go
@@ -1,4 +1,4 @@
-package keeper
+package controller
 
 import (
 	"context"
@@ -11,16 +11,16 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/decide"
-	"indigotack/internal/conf"
-	"indigotack/internal/duty"
-	"indigotack/internal/fleet"
-	"indigotack/internal/fleet/wire"
-	"indigotack/internal/list/client"
-	"indigotack/internal/node/view"
-	"indigotack/internal/quota"
-	"indigotack/internal/quota/holder"
-	"indigotack/internal/quota/record"
+	"wrenspread/balancer"
+	"wrenspread/internal/config"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/membership/gossip"
+	"wrenspread/internal/membership/wire"
+	"wrenspread/internal/quota"
+	"wrenspread/internal/quota/allocator"
+	"wrenspread/internal/quota/record"
+	"wrenspread/internal/registry/client"
 )
 
 // Shares says by which fleet's view this process shares limits out, whenever it holds the duty for it.
@@ -32,7 +32,7 @@
 	Peers  []string `koanf:"peers"`  // where this process finds the members, by their numbers; without, where they say that they are
 }
 
-func (s Shares) check(f *conf.Faults) {
+func (s Shares) check(f *config.Faults) {
 	if s.Fleet == "" {
 		f.Want(s.Listen == "" && len(s.Join) == 0, "shares: fleet is missing; it names the fleet, as the nodes' configuration does")
 		return
@@ -56,7 +56,7 @@
 )
 
 // run takes part in the view, follows the policy and shares limits out whenever the duty is held, until ctx ends.
-func (s Shares) run(ctx context.Context, name string, k *client.Client, p *duty.Process, log *slog.Logger) error {
+func (s Shares) run(ctx context.Context, name string, k *client.Client, p *lease.Process, log *slog.Logger) error {
 	at, _ := netip.ParseAddrPort(s.Listen) // checked with the configuration
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -75,19 +75,19 @@
 	})
 	all.Go(func() error { return clock(ctx, shell, events) })
 	all.Go(func() error {
-		return holder.Run(ctx, holder.Config{Fleet: wire.FleetHash(s.Fleet), Name: name, List: k, Duties: p, In: in, Send: shell.Tell, Events: events, Log: log})
+		return allocator.Run(ctx, allocator.Config{Fleet: wire.FleetHash(s.Fleet), Name: name, List: k, Duties: p, In: in, Send: shell.Tell, Events: events, Log: log})
 	})
 	return all.Wait()
 }
 
 // join begins to keep the view. This process serves no requests, and so is always joining in the nodes' eyes.
-func (s Shares) join(ctx context.Context, name string, at netip.AddrPort, conn *net.UDPConn, log *slog.Logger) *view.Shell {
+func (s Shares) join(ctx context.Context, name string, at netip.AddrPort, conn *net.UDPConn, log *slog.Logger) *gossip.Shell {
 	number := -1
 	if len(s.Peers) > 0 {
 		number = s.Number
 	}
-	return view.Start(ctx, view.Config{Fleet: s.Fleet, Name: name, Number: number, Addr: at, Seeds: addresses(s.Join), Peers: addresses(s.Peers), Log: log,
-		Doing: func() (fleet.State, uint16) { return fleet.Joining, 0 },
+	return gossip.Start(ctx, gossip.Config{Fleet: s.Fleet, Name: name, Number: number, Addr: at, Seeds: addresses(s.Join), Peers: addresses(s.Peers), Log: log,
+		Doing: func() (membership.State, uint16) { return membership.Joining, 0 },
 		Write: func(to netip.AddrPort, data []byte) { conn.WriteToUDPAddrPort(data, to) }}) // none is owed an arrival
 }
 
@@ -101,7 +101,7 @@
 }
 
 // receive shares the socket between the view and the holder until it is closed. One datagram too many is lost.
-func receive(ctx context.Context, conn *net.UDPConn, shell *view.Shell, in chan<- []byte) error {
+func receive(ctx context.Context, conn *net.UDPConn, shell *gossip.Shell, in chan<- []byte) error {
 	buf := make([]byte, mostDatagram+1)
 	for ctx.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
@@ -124,7 +124,7 @@
 
 // follow tells the holder of each table, with the one before it.
 func follow(ctx context.Context, k *client.Client, events chan<- quota.Event, log *slog.Logger) {
-	var now *decide.Table
+	var now *balancer.Table
 	version := uint64(0)
 	k.FollowRecords(ctx, record.PolicyPrefix, func(r client.Records) {
 		one := record.Find(r, record.Current)
@@ -143,7 +143,7 @@
 }
 
 // clock tells the holder the time of day, and how many nodes there are about.
-func clock(ctx context.Context, shell *view.Shell, events chan<- quota.Event) error {
+func clock(ctx context.Context, shell *gossip.Shell, events chan<- quota.Event) error {
 	t := time.NewTicker(expectEvery)
 	defer t.Stop()
 	var told time.Time
--- a/internal/fence/fence.go
+++ b/internal/fencing/fence.go
@@ -1,7 +1,7 @@
 // Package fence guards whatever takes orders from the holder of a duty: an order
 // of an earlier holder, which may not know yet that it is none any more, is
 // turned down.
-package fence
+package fencing
 
 import (
 	"encoding/json"
@@ -16,8 +16,8 @@
 	"strings"
 	"sync"
 
-	"indigotack/internal/list"
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
+	"wrenspread/internal/registry"
 )
 
 // Header carries a fence on a call: the duty's name, a space and the number.
@@ -25,13 +25,13 @@
 
 // Bounds on what a guard keeps.
 const (
-	MaxDuties = list.MaxDuties
+	MaxDuties = registry.MaxDuties
 	maxFile   = 16 << 20 // bytes
 )
 
 // Stale is the refusal of an order whose holder has been followed by another.
 type Stale struct {
-	list.Fence
+	registry.Fence
 	Has uint64 // the highest that was seen
 }
 
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("fences: %w", err)
 	}
 	g.path = filepath.Join(folder, "fences")
-	raw, err := sealed.Read(g.path, maxFile)
+	raw, err := checksumfile.Read(g.path, maxFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return g, nil
 	}
@@ -74,8 +74,8 @@
 // Check takes an order of a holder, or says why not: *Stale, or an error of the
 // guard's own folder. An order under a higher fence than any before is taken only
 // once that is kept.
-func (g *Guard) Check(f list.Fence) error {
-	if f.Duty == "" || len(f.Duty) > list.MaxText || f.Fence == 0 {
+func (g *Guard) Check(f registry.Fence) error {
+	if f.Duty == "" || len(f.Duty) > registry.MaxText || f.Fence == 0 {
 		return errors.New("fence: want a duty's name and a number above 0")
 	}
 	g.mu.Lock()
@@ -94,7 +94,7 @@
 		next[f.Duty] = f.Fence
 		raw, err := json.Marshal(next)
 		if err == nil {
-			err = sealed.Write(g.path, raw)
+			err = checksumfile.Write(g.path, raw)
 		}
 		if err != nil {
 			return fmt.Errorf("fence: it can't be kept: %w", err)
@@ -105,19 +105,19 @@
 }
 
 // Format gives the header's value.
-func Format(f list.Fence) string { return fmt.Sprintf("%s %d", f.Duty, f.Fence) }
+func Format(f registry.Fence) string { return fmt.Sprintf("%s %d", f.Duty, f.Fence) }
 
 // Parse reads the header's value.
-func Parse(value string) (list.Fence, error) {
+func Parse(value string) (registry.Fence, error) {
 	i := strings.LastIndexByte(value, ' ')
 	if i <= 0 {
-		return list.Fence{}, fmt.Errorf("%s: %q is not a duty's name and a number", Header, value)
+		return registry.Fence{}, fmt.Errorf("%s: %q is not a duty's name and a number", Header, value)
 	}
 	n, err := strconv.ParseUint(value[i+1:], 10, 64)
 	if err != nil {
-		return list.Fence{}, fmt.Errorf("%s: %q is not a duty's name and a number", Header, value)
+		return registry.Fence{}, fmt.Errorf("%s: %q is not a duty's name and a number", Header, value)
 	}
-	return list.Fence{Duty: value[:i], Fence: n}, nil
+	return registry.Fence{Duty: value[:i], Fence: n}, nil
 }
 
 // CheckRequest checks the fence of a call. A call without one passes. status is
--- a/internal/fence/fence_test.go
+++ b/internal/fencing/fence_test.go
@@ -1,4 +1,4 @@
-package fence
+package fencing
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // TestGuard: over restarts, no order goes through after one with a higher fence.
@@ -28,7 +28,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f := list.Fence{Duty: rapid.SampledFrom([]string{"a", "b c"}).Draw(t, "duty"), Fence: rapid.Uint64Range(1, 9).Draw(t, "fence")}
+			f := registry.Fence{Duty: rapid.SampledFrom([]string{"a", "b c"}).Draw(t, "duty"), Fence: rapid.Uint64Range(1, 9).Draw(t, "fence")}
 			r := httptest.NewRequest("POST", "/", nil)
 			r.Header.Set(Header, Format(f))
 			status, err := g.CheckRequest(r)
--- a/internal/fence/fixture_test.go
+++ b/internal/fencing/fixture_test.go
@@ -1,10 +1,10 @@
-package fence
+package fencing
 
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
-	"indigotack/internal/list"
+	"wrenspread/internal/fixture"
+	"wrenspread/internal/registry"
 )
 
 // TestStoredFencesAreUnchanged compares the guard's file and the header's value with golden files.
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := list.Fence{Duty: "quota", Fence: 41}
+	f := registry.Fence{Duty: "quota", Fence: 41}
 	if err := g.Check(f); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/box/box.go
+++ b/internal/lab/backend/box.go
@@ -1,7 +1,7 @@
 // Package box is one emulated app box: a queue whose rate of work changes with
 // its cores, pauses, warmth and troubles. It is pure: events and a time in,
 // what it does out. Times are of the run and never go back.
-package box
+package backend
 
 import (
 	"container/heap"
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/world"
 )
 
 // Job is an attempt that has reached the box.
