--- a/internal/lab/box/box_test.go
+++ b/internal/lab/backend/box_test.go
@@ -1,4 +1,4 @@
-package box
+package backend
 
 import (
 	"testing"
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/world"
 )
 
 func machine(t *rapid.T) world.Machine {
--- a/internal/lab/backend/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -1,4 +1,4 @@
-package backend
+package backendserver
 
 import (
 	"bufio"
@@ -8,9 +8,9 @@
 	"net/http"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/world"
 )
 
 // maxBody bounds a request's body, in bytes.
--- a/internal/lab/backend/host.go
+++ b/internal/lab/backendserver/host.go
@@ -1,16 +1,16 @@
 // Package backend puts sockets around emulated app boxes and writes down every
 // attempt that reaches them.
-package backend
+package backendserver
 
 import (
 	"fmt"
 	"sync"
 
-	"indigotack/internal/lab/box"
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/load"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/backend"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/load"
+	"wrenspread/internal/lab/world"
 )
 
 // Host owns the boxes of a lab.
@@ -29,7 +29,7 @@
 
 type pod struct {
 	sync.Mutex
-	*box.Pod
+	*backend.Pod
 }
 
 // NewHost makes the boxes of a world; they answer at their addresses once started.
@@ -41,7 +41,7 @@
 	}
 	for i, m := range w.Machines {
 		if h.pods[m.Pod] == nil {
-			h.pods[m.Pod] = &pod{Pod: box.NewPod(window + world.SocketSlack)}
+			h.pods[m.Pod] = &pod{Pod: backend.NewPod(window + world.SocketSlack)}
 		}
 		address, free, err := link.Reserve()
 		if err != nil {
@@ -49,7 +49,7 @@
 			return nil, fmt.Errorf("box %s: %w", m.Name, err)
 		}
 		s := &Server{host: h, m: m, Address: address, free: free, seed: seed + uint64(i)<<32, pod: h.pods[m.Pod],
-			attempts: map[uint64]*attempt{}, conns: map[*connection]bool{}, troubles: map[string]box.Trouble{}}
+			attempts: map[uint64]*attempt{}, conns: map[*connection]bool{}, troubles: map[string]backend.Trouble{}}
 		h.boxes[m.Name] = s
 		if err := s.Start(""); err != nil {
 			h.Close()
--- a/internal/lab/backend/server.go
+++ b/internal/lab/backendserver/server.go
@@ -1,4 +1,4 @@
-package backend
+package backendserver
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/box"
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/backend"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/world"
 )
 
 // Server is one box on its socket.
@@ -25,13 +25,13 @@
 
 	mu       sync.Mutex
 	ln       net.Listener // nil while the box is down
-	box      *box.Box
+	box      *backend.Box
 	life     int // starts so far
 	num      uint64
 	timer    *time.Timer
 	attempts map[uint64]*attempt
 	conns    map[*connection]bool
-	troubles map[string]box.Trouble
+	troubles map[string]backend.Trouble
 }
 
 // attempt is a request that a node has sent here.
@@ -57,7 +57,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.life++
-	s.ln, s.box = ln, box.New(s.m, s.pod.Pod, s.seed+uint64(s.life), s.host.log.Now(), since != "")
+	s.ln, s.box = ln, backend.New(s.m, s.pod.Pod, s.seed+uint64(s.life), s.host.log.Now(), since != "")
 	how := "up"
 	if since != "" {
 		how = "cold"
@@ -94,27 +94,27 @@
 
 // Suffer gives the box a trouble of that name, or takes it away with nil. Troubles
 // add up, and go with the machine: a restart does not end them.
-func (s *Server) Suffer(name string, t *box.Trouble) {
+func (s *Server) Suffer(name string, t *backend.Trouble) {
 	s.mu.Lock()
 	delete(s.troubles, name)
 	if t != nil {
 		s.troubles[name] = *t
 	}
 	s.mu.Unlock()
-	s.with(func(b *box.Box, now time.Duration) []box.Out { return b.Suffer(now, s.sum()) })
+	s.with(func(b *backend.Box, now time.Duration) []backend.Out { return b.Suffer(now, s.sum()) })
 }
 
 // sum is all that is wrong with the box. The caller holds the lock.
-func (s *Server) sum() box.Trouble {
-	var sum box.Trouble
+func (s *Server) sum() backend.Trouble {
+	var sum backend.Trouble
 	for _, t := range s.troubles {
-		sum = box.Worse(sum, t)
+		sum = backend.Worse(sum, t)
 	}
 	return sum
 }
 
 // with drives the box and carries out what it does.
-func (s *Server) with(f func(*box.Box, time.Duration) []box.Out) {
+func (s *Server) with(f func(*backend.Box, time.Duration) []backend.Out) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.box == nil {
@@ -135,12 +135,12 @@
 		s.timer.Stop()
 	}
 	s.timer = time.AfterFunc(wait, func() {
-		s.with(func(b *box.Box, now time.Duration) []box.Out { return b.Tick(now) })
+		s.with(func(b *backend.Box, now time.Duration) []backend.Out { return b.Tick(now) })
 	})
 }
 
-func (s *Server) carryOut(o box.Out) {
-	if o.What == box.Fell {
+func (s *Server) carryOut(o backend.Out) {
+	if o.What == backend.Fell {
 		s.host.log.Add(history.Event{Kind: history.Box, Box: s.m.Name, How: "fell"})
 		go s.Crash()
 		return
@@ -154,19 +154,19 @@
 		e.Key, e.Op = op.Key, op.N
 	}
 	switch o.What {
-	case box.Begun:
+	case backend.Begun:
 		e.Kind = history.Begin
-	case box.Dropped:
+	case backend.Dropped:
 		e.Kind = history.Drop
-	case box.Turned:
+	case backend.Turned:
 		e.Kind = history.Turn
 		a.answer <- answer{503, true}
-	case box.Done:
+	case backend.Done:
 		e.Kind, e.Status, e.Took = history.End, o.Status, s.host.log.Now()-a.arrived
 		a.answer <- answer{o.Status, false}
 	}
 	s.host.log.Add(e)
-	if o.What == box.Turned || o.What == box.Done {
+	if o.What == backend.Turned || o.What == backend.Done {
 		delete(s.attempts, o.Num)
 	}
 }
@@ -177,19 +177,19 @@
 	if firstOn {
 		extra = s.m.Handshake
 	}
-	s.with(func(b *box.Box, now time.Duration) []box.Out {
+	s.with(func(b *backend.Box, now time.Duration) []backend.Out {
 		s.num++
 		a.num = s.num
 		s.attempts[a.num] = a
 		chance := rand.New(rand.NewPCG(s.host.seed, idHash(a.id+s.m.Name)))
 		work = time.Duration(float64(work) * world.Spread(chance, s.m.Noise))
-		return b.Arrive(now, box.Job{Num: a.num, Key: key, Work: work}, extra)
+		return b.Arrive(now, backend.Job{Num: a.num, Key: key, Work: work}, extra)
 	})
 }
 
 // left tells the box that a node has ended an attempt. Its work may go on, so it stays known.
 func (s *Server) left(a *attempt) {
-	s.with(func(b *box.Box, now time.Duration) []box.Out { return b.Leave(now, a.num) })
+	s.with(func(b *backend.Box, now time.Duration) []backend.Out { return b.Leave(now, a.num) })
 }
 
 func idHash(s string) uint64 {
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/world"
 )
 
 // Limits is what a run promised its processes.
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 const ms = time.Millisecond
--- a/internal/lab/check/quota.go
+++ b/internal/lab/check/quota.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 // Quota is a limit on the requests of the whole fleet from a time on.
--- a/internal/lab/check/quota_test.go
+++ b/internal/lab/check/quota_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 // arrivals are requests at boxes, evenly at a rate between two times; each comes twice, as a second attempt would.
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/world"
 )
 
 // spell is a time in which something was done to a node. A node that was killed
--- a/internal/lab/check/view.go
+++ b/internal/lab/check/view.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 // shaken is how long past the end of a fault a view may still be wrong about those whom it touched, or be
--- a/internal/lab/check/view_test.go
+++ b/internal/lab/check/view_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 // views of three nodes of which n2 is killed at 2 s and returns at 5 s in a second life.
--- a/internal/lab/check/world.go
+++ b/internal/lab/check/world.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/world"
 )
 
 // cold: no cold box is pushed over by those who were told of its start.
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/load"
-	"indigotack/internal/lab/world"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/load"
+	"wrenspread/internal/lab/world"
 )
 
 // late is how long past a client's patience an answer is still waited for, to
@@ -55,7 +55,7 @@
 	for i := range ops {
 		op := &ops[i]
 		due := start + op.Due
-		if !pause.For(ctx, due-c.log.Now()) {
+		if !backoff.Sleep(ctx, due-c.log.Now()) {
 			break
 		}
 		if c.log.Now()-swept > time.Second {
@@ -102,7 +102,7 @@
 		if op.Heeds && last.retryAfter > 0 {
 			hold = max(hold, min(last.retryAfter, world.MaxRetryAfter))
 		}
-		if c.log.Now()+hold-due >= op.Class.Deadline || !pause.For(ctx, hold) {
+		if c.log.Now()+hold-due >= op.Class.Deadline || !backoff.Sleep(ctx, hold) {
 			break
 		}
 	}
--- a/internal/lab/disco/disco_test.go
+++ b/internal/lab/discovery/disco_test.go
@@ -1,4 +1,4 @@
-package disco
+package discovery
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 )
 
 // TestWatcherHasWhatTheAgentHas: whoever applies the answers in turn, whole lists
--- a/internal/lab/disco/serve.go
+++ b/internal/lab/discovery/serve.go
@@ -1,4 +1,4 @@
-package disco
+package discovery
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 // maxHold bounds a watch, as the protocol does.
--- a/internal/lab/disco/view.go
+++ b/internal/lab/discovery/view.go
@@ -1,26 +1,26 @@
 // Package disco is the lab's stand-in for the platform's discovery: a list with
 // versions, and an agent on each node's machine that hears of changes late.
-package disco
+package discovery
 
 import (
 	"sync"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Entry is one app box in discovery's form.
-type Entry = list.Entry
+type Entry = registry.Entry
 
 // The statuses of an entry. Gone stands only among changes.
 const (
-	Ready    = list.Ready
-	Draining = list.Draining
-	Gone     = list.Gone
+	Ready    = registry.Ready
+	Draining = registry.Draining
+	Gone     = registry.Gone
 )
 
 // Answer is what an agent answers. It knows no epochs.
-type Answer = list.Answer
+type Answer = registry.Answer
 
 // Registry is the list as it is, with all its changes. It is safe for concurrent use.
 type Registry struct {
--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/agent"
-	"indigotack/internal/fence"
-	"indigotack/internal/lab/box"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/spec"
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/agent"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/fencing"
+	"wrenspread/internal/lab/backend"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/spec"
+	"wrenspread/internal/registry"
 )
 
 // agents is the stand-in for the agents of all machines of boxes: their calls and
@@ -23,8 +23,8 @@
 // bad version has its trouble.
 type agents struct {
 	f     *fleet
-	guard *fence.Guard
-	bad   map[string]box.Trouble // by version
+	guard *fencing.Guard
+	bad   map[string]backend.Trouble // by version
 	srv   *http.Server
 	tasks sync.WaitGroup
 
@@ -45,10 +45,10 @@
 )
 
 // newAgents serves until the run ends. All boxes begin in a version.
-func newAgents(f *fleet, version string, bad map[string]box.Trouble) (*agents, error) {
+func newAgents(f *fleet, version string, bad map[string]backend.Trouble) (*agents, error) {
 	a := &agents{f: f, bad: bad, boxes: map[string]*kept{}}
 	var err error
-	if a.guard, err = fence.Open(""); err != nil {
+	if a.guard, err = fencing.Open(""); err != nil {
 		return nil, err
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -137,10 +137,10 @@
 // list has a box's entry be as the box is. The caller holds the lock.
 func (a *agents) list(name string) {
 	k := a.boxes[name]
-	e := a.f.entry(name, list.Ready, strconv.FormatInt(k.Since, 10))
+	e := a.f.entry(name, registry.Ready, strconv.FormatInt(k.Since, 10))
 	e.Version = k.Version
 	if k.Quiet {
-		e.Status = list.Draining
+		e.Status = registry.Draining
 	}
 	a.f.service.boxes.ready(e)
 }
@@ -149,7 +149,7 @@
 func (a *agents) replace(name string) {
 	b := a.f.host.Box(name)
 	b.Crash()
-	pause.For(a.f.service.ctx, replaceTime)
+	backoff.Sleep(a.f.service.ctx, replaceTime)
 	since := a.f.log.At(a.f.log.Now()).UnixMilli()
 	err := b.Start(strconv.FormatInt(since, 10))
 	a.mu.Lock()
--- a/internal/lab/fleet/boxes.go
+++ b/internal/lab/fleet/boxes.go
@@ -7,11 +7,11 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/lab/box"
-	"indigotack/internal/lab/disco"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/spec"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/backend"
+	"wrenspread/internal/lab/discovery"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/spec"
 )
 
 // drainShare is the part of a drain after which the box ends.
@@ -27,29 +27,29 @@
 	case "vanish":
 		f.net.Lay(down, link.Shape{Hold: link.Both, Cut: true}, toBox)
 		b.Crash()
-		f.list(name, disco.Gone, "", true)
+		f.list(name, discovery.Gone, "", true)
 	case "drain":
-		f.list(name, disco.Draining, "", false)
+		f.list(name, discovery.Draining, "", false)
 		served := time.Duration(drainShare * float64(rest))
-		pause.For(ctx, served)
+		backoff.Sleep(ctx, served)
 		rest -= served
 		fallthrough
 	default:
-		f.list(name, disco.Gone, "", false)
+		f.list(name, discovery.Gone, "", false)
 		f.net.Lay(down, link.Shape{Refuse: true}, toBox)
 		b.Crash()
 	}
-	pause.For(ctx, rest)
+	backoff.Sleep(ctx, rest)
 	since := strconv.FormatInt(f.log.At(f.log.Now()).UnixMilli(), 10)
 	err := b.Start(since)
 	f.net.Lift(down)
-	f.list(name, disco.Ready, since, false)
+	f.list(name, discovery.Ready, since, false)
 	return err
 }
 
 // trouble gives boxes what they suffer from, for the step's time. Troubles of a box add up.
 func (f *fleet) trouble(ctx context.Context, s spec.Step) error {
-	t := box.Trouble{Slower: s.Times}
+	t := backend.Trouble{Slower: s.Times}
 	switch s.Do {
 	case "hang":
 		t.Hangs = true
@@ -61,7 +61,7 @@
 	for _, name := range s.On {
 		f.host.Box(name).Suffer(s.Name, &t)
 	}
-	pause.For(ctx, time.Duration(s.For))
+	backoff.Sleep(ctx, time.Duration(s.For))
 	for _, name := range s.On {
 		f.host.Box(name).Suffer(s.Name, nil)
 	}
--- a/internal/lab/fleet/crowd.go
+++ b/internal/lab/fleet/crowd.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/check"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/check"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // crowd is clients that follow the list service beside the nodes.
@@ -34,7 +34,7 @@
 	s.crowd = &crowd{}
 	for i := range n {
 		s.crowd.told = append(s.crowd.told, map[uint64]time.Duration{})
-		k, err := client.New(client.Config{Addresses: doors, Taken: func(a list.Answer) { s.crowd.take(i, s.f.log.Now(), a) }})
+		k, err := client.New(client.Config{Addresses: doors, Taken: func(a registry.Answer) { s.crowd.take(i, s.f.log.Now(), a) }})
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 	}
 	for _, k := range s.crowd.all {
 		for v, _ := k.View(); v.Version < want.Index; v, _ = k.View() {
-			if !pause.For(ctx, 5*time.Millisecond) {
+			if !backoff.Sleep(ctx, 5*time.Millisecond) {
 				s.crowd.fail("a follower stays at version %d, the list is at %d", v.Version, want.Index)
 				return nil
 			}
@@ -75,7 +75,7 @@
 	c.wrong = append(c.wrong, check.Finding{Text: fmt.Sprintf(format, args...)})
 }
 
-func (c *crowd) take(who int, now time.Duration, a list.Answer) {
+func (c *crowd) take(who int, now time.Duration, a registry.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for v := range c.told[who] {
--- a/internal/lab/fleet/drawing.go
+++ b/internal/lab/fleet/drawing.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/timeline"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/timeline"
 )
 
 const (
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -12,17 +12,17 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/backend"
-	"indigotack/internal/lab/check"
-	"indigotack/internal/lab/client"
-	"indigotack/internal/lab/disco"
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/load"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/report"
-	"indigotack/internal/lab/spec"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/backendserver"
+	"wrenspread/internal/lab/check"
+	"wrenspread/internal/lab/client"
+	"wrenspread/internal/lab/discovery"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/load"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/report"
+	"wrenspread/internal/lab/spec"
+	"wrenspread/internal/lab/world"
 )
 
 // Options say what is played.
@@ -31,9 +31,9 @@
 	Seed       uint64
 	Dir        string   // where history, logs and configurations go
 	Node       []string // command of a node
-	Keeper     []string // command of indigokeeper, for those with a quota
+	Keeper     []string // command of wrenspread-controller, for those with a quota
 	List       []string // command of a replica of the list service, for experiments that have one
-	Ctl        []string // command of indigoctl, for those with a release
+	Ctl        []string // command of wrenspreadctl, for those with a release
 	Env        []string // further environment of both
 	Follow     func(history.Event)
 }
@@ -54,10 +54,10 @@
 	rate     float64
 	net      *link.Net
 	book     *load.Book
-	host     *backend.Host
-	registry *disco.Registry // of the lab's own discovery
-	service  *service        // or the project's list service; nil: the former
-	group    *proc.Group
+	host     *backendserver.Host
+	registry *discovery.Registry // of the lab's own discovery
+	service  *service            // or the project's list service; nil: the former
+	group    *process.Group
 	front    *client.Front
 	nodes    map[string]*node
 	names    []string // of nodes, by number
@@ -112,20 +112,20 @@
 	f.book = load.NewBook()
 	f.net = link.NewNet(f.o.Seed)
 	f.atEnd(f.net.Close)
-	f.registry = &disco.Registry{}
+	f.registry = &discovery.Registry{}
 	var err error
-	if f.host, err = backend.NewHost(f.log, f.net, f.book, f.o.Seed, f.w); err != nil {
+	if f.host, err = backendserver.NewHost(f.log, f.net, f.book, f.o.Seed, f.w); err != nil {
 		return err
 	}
 	f.atEnd(f.host.Close)
-	f.group = proc.NewGroup(f.log)
+	f.group = process.NewGroup(f.log)
 	if f.e.List.Replicas > 0 {
 		if f.service, err = f.newService(); err != nil {
 			return err
 		}
 	} else {
 		for _, m := range f.w.Machines {
-			f.list(m.Name, disco.Ready, "0", false)
+			f.list(m.Name, discovery.Ready, "0", false)
 		}
 	}
 	f.front = client.NewFront(f.frontNotice())
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -11,9 +11,9 @@
 
 	"go.uber.org/goleak"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/report"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/report"
+	"wrenspread/internal/lab/spec"
 )
 
 // short is an experiment that shows what each stand-in breaks.
--- a/internal/lab/fleet/judge.go
+++ b/internal/lab/fleet/judge.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"indigotack/internal/lab/check"
-	"indigotack/internal/lab/report"
+	"wrenspread/internal/lab/check"
+	"wrenspread/internal/lab/report"
 )
 
 func (f *fleet) judge() report.Run {
--- a/internal/lab/fleet/lateness.go
+++ b/internal/lab/fleet/lateness.go
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 // Lateness measures how late the lab itself is: its timers, and the sending of operations.
--- a/internal/lab/fleet/life.go
+++ b/internal/lab/fleet/life.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/spec"
 )
 
 // begin starts a process of the node and waits until it says yes.
@@ -30,7 +30,7 @@
 }
 
 // launch starts a process. The caller holds the lock.
-func (n *node) launch() (*proc.Proc, string, error) {
+func (n *node) launch() (*process.Proc, string, error) {
 	control, free, err := link.Reserve()
 	if err != nil {
 		return nil, "", err
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	s := proc.Spec{Name: n.name, Command: n.f.o.Node, Dir: n.dir, FDs: uint64(n.f.e.Fleet.Sockets),
+	s := process.Spec{Name: n.name, Command: n.f.o.Node, Dir: n.dir, FDs: uint64(n.f.e.Fleet.Sockets),
 		Env: append([]string{"GW_NAME=" + n.name, "GW_LISTEN=" + n.listen, "GW_DISCOVERY=" + n.discovery, "GW_CONFIG=" + path,
 			"TMPDIR=" + n.tmp, "PATH=" + os.Getenv("PATH"), "GOMAXPROCS=1"}, n.f.o.Env...)} // its machine has one core
 	if n.accept != nil {
@@ -50,7 +50,7 @@
 	return p, control, err
 }
 
-func (n *node) current() *proc.Proc {
+func (n *node) current() *process.Proc {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.proc
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/spec"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/spec"
 )
 
 // over tells whether a link runs between the ends of a step, and whether it does
@@ -60,7 +60,7 @@
 func (f *fleet) storm(ctx context.Context, s spec.Step) error {
 	for end := f.log.Now() + time.Duration(s.For); ; {
 		f.net.Reset(func(e link.Ends) bool { is, _ := over(s, e); return is })
-		if s.Every == 0 || f.log.Now()+time.Duration(s.Every) > end || !pause.For(ctx, time.Duration(s.Every)) {
+		if s.Every == 0 || f.log.Now()+time.Duration(s.Every) > end || !backoff.Sleep(ctx, time.Duration(s.Every)) {
 			return nil
 		}
 	}
--- a/internal/lab/fleet/net.go
+++ b/internal/lab/fleet/net.go
@@ -11,11 +11,11 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/lab/disco"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/spec"
-	"indigotack/internal/lab/world"
-	"indigotack/internal/list"
+	"wrenspread/internal/lab/discovery"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/spec"
+	"wrenspread/internal/lab/world"
+	"wrenspread/internal/registry"
 )
 
 // adjustNet puts the experiment's own figures in place of drawn ones.
@@ -37,7 +37,7 @@
 }
 
 // lateness says how late the agent of a node hears of changes.
-func (f *fleet) lateness(number int) disco.Lateness {
+func (f *fleet) lateness(number int) discovery.Lateness {
 	r := f.chance(100 + uint64(number))
 	about := func(given spec.Duration, least, most float64) time.Duration {
 		if given > 0 {
@@ -62,7 +62,7 @@
 	f.registry.Set(f.log.Now(), f.entry(box, status, since), silent)
 }
 
-func (f *fleet) entry(box, status, since string) list.Entry {
+func (f *fleet) entry(box, status, since string) registry.Entry {
 	i := slices.IndexFunc(f.w.Machines, func(m world.Machine) bool { return m.Name == box })
 	m := f.w.Machines[i]
 	ms, _ := strconv.ParseInt(since, 10, 64)
@@ -70,7 +70,7 @@
 	if f.service != nil && f.service.doors != nil {
 		address = f.service.doors[box]
 	}
-	return list.Entry{Name: box, Address: address, Zone: m.Zone, Type: m.Kind, Group: m.Pod, Status: status, Weight: 1, SinceMS: ms}
+	return registry.Entry{Name: box, Address: address, Zone: m.Zone, Type: m.Kind, Group: m.Pod, Status: status, Weight: 1, SinceMS: ms}
 }
 
 // connect makes the nodes and all links between the parties.
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -8,11 +8,11 @@
 	"path/filepath"
 	"sync"
 
-	"indigotack/internal/lab/disco"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/platform"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/discovery"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/platform"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/spec"
 )
 
 // node is one node of the fleet, through all its processes.
@@ -22,8 +22,8 @@
 	name, zone string
 	dir, tmp   string
 	listen     string
-	accept     *os.File     // the clients' socket, where the platform holds it
-	agent      *disco.Agent // nil: it follows the list service by itself
+	accept     *os.File         // the clients' socket, where the platform holds it
+	agent      *discovery.Agent // nil: it follows the list service by itself
 	agentAt    string
 	discovery  string   // where the node finds its agent
 	list       []string // where it finds the list service
@@ -31,7 +31,7 @@
 	peers      []string
 
 	mu      sync.Mutex
-	proc    *proc.Proc
+	proc    *process.Proc
 	control string
 	starts  uint64
 	moves   int
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -11,10 +11,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/policy"
-	"indigotack/internal/quota/record"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/policy"
+	"wrenspread/internal/quota/record"
 )
 
 const fleetName = "lab"
@@ -113,7 +113,7 @@
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return &conductor{name: name, spec: proc.Spec{Name: name, Command: append(append([]string(nil), f.o.Keeper...), "--config", file), Dir: dir,
+	return &conductor{name: name, spec: process.Spec{Name: name, Command: append(append([]string(nil), f.o.Keeper...), "--config", file), Dir: dir,
 		Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.o.Env...)}}, nil
 }
 
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -11,12 +11,12 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/box"
-	"indigotack/internal/lab/check"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
-	"indigotack/internal/release"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/backend"
+	"wrenspread/internal/lab/check"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/release"
 )
 
 // releasing is a release that real conductors carry out under the load.
@@ -32,9 +32,9 @@
 // conductor is one process that may conduct, through all its processes.
 type conductor struct {
 	name string
-	spec proc.Spec
+	spec process.Spec
 	mu   sync.Mutex
-	proc *proc.Proc
+	proc *process.Proc
 }
 
 const (
@@ -52,9 +52,9 @@
 		return nil
 	}
 	f.release = &releasing{f: f}
-	bad := map[string]box.Trouble{}
+	bad := map[string]backend.Trouble{}
 	if r.Slower > 1 || r.Fails > 0 {
-		bad[newVersion] = box.Trouble{Slower: r.Slower, Fails: r.Fails}
+		bad[newVersion] = backend.Trouble{Slower: r.Slower, Fails: r.Fails}
 	}
 	var err error
 	if f.release.agents, err = newAgents(f, oldVersion, bad); err != nil {
@@ -101,11 +101,11 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	args := []string{"release", "conduct", releaseName, "--list", strings.Join(doors, ","), "--config", file, "--ttl", conductTTL}
-	return &conductor{name: name, spec: proc.Spec{Name: name, Command: append(append([]string(nil), f.o.Ctl...), args...), Dir: dir,
+	return &conductor{name: name, spec: process.Spec{Name: name, Command: append(append([]string(nil), f.o.Ctl...), args...), Dir: dir,
 		Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.o.Env...), MayEnd: true}}, nil
 }
 
-func (c *conductor) start(g *proc.Group) error {
+func (c *conductor) start(g *process.Group) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, err := g.Start(c.spec)
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	for {
-		if s, err := r.last(ctx); err != nil || string(s.Phase) == r.f.e.Release.End && len(s.Actions()) == 0 || !pause.For(ctx, 100*time.Millisecond) {
+		if s, err := r.last(ctx); err != nil || string(s.Phase) == r.f.e.Release.End && len(s.Actions()) == 0 || !backoff.Sleep(ctx, 100*time.Millisecond) {
 			break
 		}
 	}
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/client"
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/client"
+	"wrenspread/internal/lab/history"
 )
 
 func (f *fleet) startNodes(ctx context.Context) error {
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -8,14 +8,14 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/check"
-	"indigotack/internal/lab/disco"
-	"indigotack/internal/lab/duties"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/check"
+	"wrenspread/internal/lab/discovery"
+	"wrenspread/internal/lab/leases"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // service is the project's own list service in place of the lab's discovery. The
@@ -30,7 +30,7 @@
 	ctx   context.Context
 	crowd *crowd // nil: none
 
-	workers *duties.Crew // nil: none
+	workers *leases.Crew // nil: none
 }
 
 const (
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.boxes = &registrar{client: k, up: map[string]list.Entry{}, wake: make(chan struct{}, 1)}
+	s.boxes = &registrar{client: k, up: map[string]registry.Entry{}, wake: make(chan struct{}, 1)}
 	return s, nil
 }
 
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, m := range s.f.w.Machines {
-		s.boxes.ready(s.f.entry(m.Name, list.Ready, ""))
+		s.boxes.ready(s.f.entry(m.Name, registry.Ready, ""))
 	}
 	if !s.boxes.work(ctx) {
 		return fmt.Errorf("the boxes can't be registered: %w", ctx.Err())
@@ -88,7 +88,7 @@
 	}
 	for _, name := range s.f.names { // so that nodes begin with the whole list
 		for len(s.f.nodes[name].agent.List(0, s.f.log.Now()).Endpoints) < len(s.f.w.Machines) {
-			if !pause.For(ctx, 5*time.Millisecond) {
+			if !backoff.Sleep(ctx, 5*time.Millisecond) {
 				return fmt.Errorf("the agent of %s has no list: %w", name, ctx.Err())
 			}
 		}
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	s.workers, err = duties.NewCrew(duties.CrewOptions{Workers: d.Workers, Duties: d.Count, TTL: time.Duration(d.TTL), Guarded: d.Guard, Spread: d.Spread,
+	s.workers, err = leases.NewCrew(leases.CrewOptions{Workers: d.Workers, Duties: d.Count, TTL: time.Duration(d.TTL), Guarded: d.Guard, Spread: d.Spread,
 		Dir: filepath.Join(s.f.o.Dir, "workers"), Command: []string{own, "duty-worker"}, Env: s.f.o.Env}, s.set, s.f.net, s.f.group)
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 	if err := s.workers.Start(); err != nil {
 		return err
 	}
-	return s.workers.Await(ctx, duties.Now())
+	return s.workers.Await(ctx, leases.Now())
 }
 
 // dutyVerdicts says what the workers' resource saw, and how long a duty had no holder.
@@ -150,7 +150,7 @@
 	if bound == 0 {
 		return []check.Verdict{v}
 	}
-	gaps := duties.Gaps(acts)
+	gaps := leases.Gaps(acts)
 	in := check.Verdict{Name: "bound holder", Timed: true, Seen: len(gaps), Rule: fmt.Sprintf("no duty is without a holder for over %v", bound)}
 	if len(gaps) > 0 {
 		in.Rule += fmt.Sprintf(" (%v at most, %d changes)", gaps[0].Took.Round(time.Millisecond), len(gaps))
@@ -166,9 +166,9 @@
 // change carries out what happens to a box. One that dies says nothing.
 func (s *service) change(box, status, since string, silent bool) {
 	switch {
-	case status == list.Ready:
+	case status == registry.Ready:
 		s.boxes.ready(s.f.entry(box, status, since))
-	case status == list.Draining:
+	case status == registry.Draining:
 		s.boxes.drain(box)
 	case silent:
 		s.boxes.lose(box)
@@ -178,7 +178,7 @@
 }
 
 // agent makes the agent of a node, which hears of changes from the service.
-func (s *service) agent(node string, address func(string) string) (*disco.Agent, error) {
+func (s *service) agent(node string, address func(string) string) (*discovery.Agent, error) {
 	doors, err := s.set.Doors(node)
 	if err != nil {
 		return nil, err
@@ -187,7 +187,7 @@
 	if err != nil {
 		return nil, err
 	}
-	reg := &disco.Registry{}
+	reg := &discovery.Registry{}
 	atOnce := func(bool) time.Duration { return 0 }
 	s.tasks.Go(func() { k.Follow(s.ctx); k.Close() })
 	s.tasks.Go(func() { s.feed(k, reg) })
@@ -195,8 +195,8 @@
 }
 
 // feed tells an agent's registry what its client believes.
-func (s *service) feed(k *client.Client, reg *disco.Registry) {
-	held := map[string]list.Entry{}
+func (s *service) feed(k *client.Client, reg *discovery.Registry) {
+	held := map[string]registry.Entry{}
 	for s.ctx.Err() == nil {
 		changed := k.Changed()
 		v, _ := k.View()
@@ -211,7 +211,7 @@
 		for name, e := range held {
 			if !there[name] {
 				delete(held, name)
-				e.Status = list.Gone
+				e.Status = registry.Gone
 				reg.Set(s.f.log.Now(), e, false)
 			}
 		}
@@ -227,7 +227,7 @@
 type registrar struct {
 	client *client.Client
 	mu     sync.Mutex
-	up     map[string]list.Entry // renewed
+	up     map[string]registry.Entry // renewed
 	queue  []func(context.Context) error
 	wake   chan struct{}
 }
@@ -243,7 +243,7 @@
 	}
 }
 
-func (r *registrar) ready(e list.Entry) {
+func (r *registrar) ready(e registry.Entry) {
 	r.add(func() { r.up[e.Name] = e }, func(ctx context.Context) error {
 		_, err := r.client.Register(ctx, e, boxTTL, nil)
 		return err
@@ -253,7 +253,7 @@
 func (r *registrar) drain(name string) {
 	r.add(func() {
 		e := r.up[name]
-		e.Status = list.Draining
+		e.Status = registry.Draining
 		r.up[name] = e
 	}, func(ctx context.Context) error {
 		_, err := r.client.Drain(ctx, name, nil)
--- a/internal/lab/fleet/standin_test.go
+++ b/internal/lab/fleet/standin_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/disco"
+	"wrenspread/internal/lab/discovery"
 )
 
 // TestMain runs the stand-in node where a test has started it as a process.
@@ -34,7 +34,7 @@
 func standIn(mode string) {
 	var config struct {
 		Listen, Control, Discovery string
-		Known                      disco.Answer
+		Known                      discovery.Answer
 	}
 	raw, err := os.ReadFile(os.Getenv("GW_CONFIG"))
 	if err == nil {
@@ -45,7 +45,7 @@
 	}
 	n := &simple{mode: mode, boxes: config.Known.Endpoints}
 	if mode == "push" {
-		n.boxes = slices.DeleteFunc(n.boxes, func(e disco.Entry) bool { return e.Name != "s1" })
+		n.boxes = slices.DeleteFunc(n.boxes, func(e discovery.Entry) bool { return e.Name != "s1" })
 	}
 	go func() { // told of changes, and heeds none
 		for index := config.Known.Index; ; {
@@ -53,7 +53,7 @@
 			if err != nil {
 				continue
 			}
-			var a disco.Answer
+			var a discovery.Answer
 			json.NewDecoder(resp.Body).Decode(&a)
 			resp.Body.Close()
 			index = max(index, a.Index)
@@ -78,7 +78,7 @@
 
 type simple struct {
 	mode  string
-	boxes []disco.Entry
+	boxes []discovery.Entry
 	count atomic.Int64
 	hoard [][]byte
 	mu    sync.Mutex
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/spec"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/spec"
 )
 
 // carryOut plays the schedule, each step in its own time. A step that can't be
@@ -42,7 +42,7 @@
 
 // sleepUntil waits for a time of the load.
 func (f *fleet) sleepUntil(ctx context.Context, t time.Duration) bool {
-	return pause.For(ctx, f.start+t-f.log.Now())
+	return backoff.Sleep(ctx, f.start+t-f.log.Now())
 }
 
 func (f *fleet) tell(how string, s spec.Step) {
@@ -100,7 +100,7 @@
 		return f.storm(ctx, s)
 	case "cut", "mute", "refuse", "shape", "snip":
 		f.layStep(s)
-		pause.For(ctx, last)
+		backoff.Sleep(ctx, last)
 		f.net.Lift(s.Name)
 		return nil
 	case "crash", "vanish", "drain":
@@ -117,7 +117,7 @@
 	case "upgrade":
 		return n.upgrade(ctx)
 	case "kill":
-		if err := n.kill(); err != nil || !pause.For(ctx, last) {
+		if err := n.kill(); err != nil || !backoff.Sleep(ctx, last) {
 			return err
 		}
 	case "restart":
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/views.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
 )
 
 const (
@@ -36,7 +36,7 @@
 // that is dead or stands still, has none.
 func (n *node) watchView(ctx context.Context) {
 	var last seen
-	for pause.For(ctx, lookEvery) {
+	for backoff.Sleep(ctx, lookEvery) {
 		n.mu.Lock()
 		control := n.control
 		n.mu.Unlock()
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/labtest/trial.go
@@ -1,5 +1,5 @@
 // Package trial helps tests that run several parts of the program at once.
-package trial
+package labtest
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/link"
-	"indigotack/internal/list/client"
-	"indigotack/internal/list/server"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/registry/server"
 )
 
 // Enough is a time that only a hang takes.
--- a/internal/lab/duties/check.go
+++ b/internal/lab/leases/check.go
@@ -1,4 +1,4 @@
-package duties
+package leases
 
 import (
 	"bufio"
--- a/internal/lab/duties/crew.go
+++ b/internal/lab/leases/crew.go
@@ -1,4 +1,4 @@
-package duties
+package leases
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/replicas"
 )
 
 // CrewOptions say which workers there are.
@@ -35,7 +35,7 @@
 // Crew is the workers of a run and the resource that they act on. Workers are d0, d1 and so on.
 type Crew struct {
 	o        CrewOptions
-	group    *proc.Group
+	group    *process.Group
 	Resource *Resource
 	all      []*member
 }
@@ -45,11 +45,11 @@
 	args []string
 	dir  string
 	mu   sync.Mutex
-	proc *proc.Proc
+	proc *process.Proc
 }
 
 // NewCrew lays the workers' links to the list service and the resource.
-func NewCrew(o CrewOptions, set *replicas.Set, net *link.Net, group *proc.Group) (*Crew, error) {
+func NewCrew(o CrewOptions, set *replicas.Set, net *link.Net, group *process.Group) (*Crew, error) {
 	c := &Crew{o: o, group: group}
 	var err error
 	if c.Resource, err = NewResource(o.Guarded); err != nil {
@@ -108,7 +108,7 @@
 func (c *Crew) start(m *member) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p, err := c.group.Start(proc.Spec{Name: m.name, Command: append(slices.Clone(c.o.Command), m.args...), Dir: m.dir,
+	p, err := c.group.Start(process.Spec{Name: m.name, Command: append(slices.Clone(c.o.Command), m.args...), Dir: m.dir,
 		Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + m.dir}, c.o.Env...)})
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 
 // begun waits until a worker has noted its start: before that, a signal to end
 // finds nobody who listens.
-func (m *member) begun(p *proc.Proc) error {
+func (m *member) begun(p *process.Proc) error {
 	mark := fmt.Appendf(nil, `"run":"%s-%d"`, m.name, p.Pid)
 	for until := time.Now().Add(readyTime); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if raw, err := os.ReadFile(m.log()); err == nil && bytes.Contains(raw, mark) || !p.Running() {
@@ -144,7 +144,7 @@
 		if err := c.start(m); err != nil {
 			return err
 		}
-		pause.For(ctx, c.o.TTL) // the new one waits in the queue by then
+		backoff.Sleep(ctx, c.o.TTL) // the new one waits in the queue by then
 		return p.Term(patience)
 	}
 	if again, err := p.Suffer(ctx, do, last, patience); err != nil || !again {
@@ -177,7 +177,7 @@
 		if len(has) == c.o.Duties {
 			return nil
 		}
-		if !pause.For(ctx, 5*time.Millisecond) {
+		if !backoff.Sleep(ctx, 5*time.Millisecond) {
 			return fmt.Errorf("%d of %d duties have a holder: %w", len(has), c.o.Duties, ctx.Err())
 		}
 	}
--- a/internal/lab/duties/measure.go
+++ b/internal/lab/leases/measure.go
@@ -1,4 +1,4 @@
-package duties
+package leases
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/duty"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry/client"
 )
 
 // Kinds are the ways in which a holder can be followed by another.
@@ -30,7 +30,7 @@
 	}
 	defer l.Close()
 	for i := range times {
-		pause.For(ctx, betweenChanges)
+		backoff.Sleep(ctx, betweenChanges)
 		if err := l.Held(ctx); err != nil {
 			return nil, err
 		}
@@ -57,7 +57,7 @@
 	case "cut":
 		name := fmt.Sprint("cut", n)
 		l.net.Lay(name, link.Shape{Hold: link.Both, Cut: true}, func(e link.Ends) bool { return e.From == who && e.To != "resource" })
-		pause.For(ctx, last)
+		backoff.Sleep(ctx, last)
 		l.net.Lift(name)
 		return nil
 	case "kill":
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	for c.last().Fence.Fence <= fence {
-		if !pause.For(ctx, time.Millisecond) {
+		if !backoff.Sleep(ctx, time.Millisecond) {
 			return fmt.Errorf("nobody follows the holder under fence %d: %w", fence, ctx.Err())
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	defer l.Close()
 	c.Duties, c.Settled = duties, time.Since(began)
-	pause.For(ctx, costTime) // what was granted to the first that came goes to whom it belongs
+	backoff.Sleep(ctx, costTime) // what was granted to the first that came goes to whom it belongs
 	pids := func() (workers, replicas []int) {
 		for _, m := range l.Crew.all {
 			workers = append(workers, m.proc.Pid)
@@ -136,7 +136,7 @@
 	if err != nil {
 		return c, err
 	}
-	pause.For(ctx, costTime)
+	backoff.Sleep(ctx, costTime)
 	w1, err := used(workers)
 	if err != nil {
 		return c, err
@@ -152,7 +152,7 @@
 
 func used(pids []int) (sum time.Duration, err error) {
 	for _, pid := range pids {
-		u, err := proc.UseOf(pid)
+		u, err := process.UseOf(pid)
 		if err != nil {
 			return 0, err
 		}
@@ -210,12 +210,12 @@
 		if err != nil {
 			return nil, err
 		}
-		p, err := duty.Open(duty.Config{Client: k, Process: fmt.Sprint("c", i), TTL: o.Crew.TTL})
+		p, err := lease.Open(lease.Config{Client: k, Process: fmt.Sprint("c", i), TTL: o.Crew.TTL})
 		if err != nil {
 			return nil, err
 		}
 		running.Go(func() {
-			p.Run(wanted, "contested", func(ctx context.Context, _ duty.Fence) error {
+			p.Run(wanted, "contested", func(ctx context.Context, _ lease.Fence) error {
 				t := turn{clock(), make(chan struct{})}
 				select {
 				case turns <- t:
@@ -240,7 +240,7 @@
 			if left != 0 {
 				all = append(all, t.begun-left)
 			}
-			pause.For(ctx, betweenChanges)
+			backoff.Sleep(ctx, betweenChanges)
 			left = clock()
 			close(t.leave)
 		case <-time.After(readyTime):
--- a/internal/lab/duties/play.go
+++ b/internal/lab/leases/play.go
@@ -1,4 +1,4 @@
-package duties
+package leases
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/replicas"
 )
 
 // Options say what is played.
@@ -38,7 +38,7 @@
 	o     Options
 	log   *history.Log
 	net   *link.Net
-	group *proc.Group
+	group *process.Group
 	Set   *replicas.Set
 	Crew  *Crew
 }
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l = &Lab{o: o, log: log, net: link.NewNet(o.Seed), group: proc.NewGroup(log)}
+	l = &Lab{o: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -197,7 +197,7 @@
 func (l *Lab) carryOut(ctx context.Context, faults []fault) error {
 	start := l.log.Now()
 	for i, f := range faults {
-		if !pause.For(ctx, start+f.at-l.log.Now()) {
+		if !backoff.Sleep(ctx, start+f.at-l.log.Now()) {
 			return ctx.Err()
 		}
 		if f.who == holder {
@@ -225,7 +225,7 @@
 		l.net.Lay(name, link.Shape{Hold: way, Cut: true}, func(e link.Ends) bool {
 			return e.To != "resource" && (e.From == f.who || strings.HasPrefix(e.To, f.who) && on == "replica" && strings.HasPrefix(e.From, "r"))
 		})
-		pause.For(ctx, f.last)
+		backoff.Sleep(ctx, f.last)
 		l.net.Lift(name)
 		return nil
 	case f.do == "all-kill":
@@ -234,7 +234,7 @@
 				return err
 			}
 		}
-		pause.For(ctx, f.last)
+		backoff.Sleep(ctx, f.last)
 		for _, r := range l.Set.All {
 			if err := l.Set.Start(r); err != nil {
 				return err
--- a/internal/lab/duties/resource.go
+++ b/internal/lab/leases/resource.go
@@ -1,4 +1,4 @@
-package duties
+package leases
 
 import (
 	"encoding/json"
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/fence"
+	"wrenspread/internal/fencing"
 )
 
 // Resource is what holders act on. It takes every write, or with a guard those
 // that no later holder has overtaken, and remembers the order in which they came.
 type Resource struct {
-	guard *fence.Guard // nil: it takes all
+	guard *fencing.Guard // nil: it takes all
 	srv   *http.Server
 	ln    net.Listener
 	mu    sync.Mutex
@@ -31,7 +31,7 @@
 	r := &Resource{}
 	if guarded {
 		var err error
-		if r.guard, err = fence.Open(""); err != nil {
+		if r.guard, err = fencing.Open(""); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/duties/worker.go
+++ b/internal/lab/leases/worker.go
@@ -1,7 +1,7 @@
 // Package duties plays processes that hold duties: real workers that act on a
 // resource outside the list service, faults between them all, and a check of what
 // the resource and the service saw.
-package duties
+package leases
 
 import (
 	"bytes"
@@ -18,11 +18,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigotack/internal/duty"
-	"indigotack/internal/fence"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/fencing"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // WorkerOptions say what a worker's process does.
@@ -51,7 +51,7 @@
 	Process string        `json:"process"`
 	Run     string        `json:"run"` // of the process; another after each restart
 	Do      string        `json:"do"`  // start, hold, note or write
-	list.Fence
+	registry.Fence
 	Done bool `json:"done"` // else it was turned down
 }
 
@@ -84,7 +84,7 @@
 		return fmt.Errorf("worker: %w", err)
 	}
 	defer f.Close()
-	p, err := duty.Open(duty.Config{Client: k, Process: o.Process, TTL: o.TTL, Word: list.Word{Note: "a worker of the lab"}, Log: log})
+	p, err := lease.Open(lease.Config{Client: k, Process: o.Process, TTL: o.TTL, Word: registry.Word{Note: "a worker of the lab"}, Log: log})
 	if err != nil {
 		return err
 	}
@@ -92,9 +92,9 @@
 	w.note(Act{From: clock(), Do: "start"})
 	var all sync.WaitGroup
 	for _, name := range o.Duties {
-		var options []duty.Option
+		var options []lease.Option
 		if o.Spread {
-			options = append(options, duty.Spread(o.Process, name))
+			options = append(options, lease.Spread(o.Process, name))
 		}
 		all.Go(func() { p.Run(context.WithoutCancel(ctx), name, w.work, options...) })
 	}
@@ -105,7 +105,7 @@
 }
 
 // work acts on the resource as long as it may, and now and then on the list.
-func (w *worker) work(ctx context.Context, f duty.Fence) error {
+func (w *worker) work(ctx context.Context, f lease.Fence) error {
 	now := clock()
 	w.note(Act{From: now, To: now, Do: "hold", Fence: f, Done: true})
 	acting := ctx
@@ -122,13 +122,13 @@
 		if n%noteNth == 0 {
 			w.noteInList(acting, f)
 		}
-		pause.For(acting, w.o.Every)
+		backoff.Sleep(acting, w.o.Every)
 	}
 	return ctx.Err()
 }
 
 // act writes to the resource, which is turned down with 409.
-func (w *worker) act(ctx context.Context, f duty.Fence) error {
+func (w *worker) act(ctx context.Context, f lease.Fence) error {
 	raw, err := json.Marshal(Act{From: clock(), Process: w.o.Process, Run: w.run, Do: "write", Fence: f})
 	if err != nil {
 		return err
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set(fence.Header, fence.Format(f))
+	req.Header.Set(fencing.Header, fencing.Format(f))
 	resp, err := w.http.Do(req)
 	if err != nil {
 		return nil // the resource can't be reached now
@@ -151,18 +151,18 @@
 }
 
 // noteInList makes a fenced write to the list.
-func (w *worker) noteInList(ctx context.Context, f duty.Fence) {
+func (w *worker) noteInList(ctx context.Context, f lease.Fence) {
 	ctx, cancel := context.WithTimeout(ctx, actTime)
 	defer cancel()
 	a := Act{From: clock(), Do: "note", Fence: f}
-	e := list.Entry{Name: "note-" + f.Duty, Address: "127.0.0.1:1", Status: list.Ready, SinceMS: int64(a.From)}
+	e := registry.Entry{Name: "note-" + f.Duty, Address: "127.0.0.1:1", Status: registry.Ready, SinceMS: int64(a.From)}
 	_, err := w.list.As(f).Register(ctx, e, 0, nil)
 	a.To = clock()
 	var refused *client.Refused
 	switch {
 	case err == nil:
 		a.Done = true
-	case errors.As(err, &refused) && refused.Code == string(list.Fenced):
+	case errors.As(err, &refused) && refused.Code == string(registry.Fenced):
 	default:
 		return // of unknown end, which changes nothing that is checked
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/world"
 )
 
 // Op is one operation that a client wants done: a first try and, where its
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/world"
 )
 
 // TestDraw: a seed gives the same load again, at the rate and with the shares asked for, and no id twice.
--- a/internal/lab/gauge/boxes.go
+++ b/internal/lab/measure/boxes.go
@@ -1,6 +1,6 @@
 // Package gauge measures the lab itself: its emulated boxes against the brief's
 // figures, what its links add, and how much load it can make before it is late.
-package gauge
+package measure
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"indigotack/internal/lab/box"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/backend"
+	"wrenspread/internal/lab/world"
 )
 
 // Kind is what boxes of one kind of machine do, in the mean over drawn ones.
@@ -60,7 +60,7 @@
 	k.Measured += busy
 	k.Still += m.Pause.Seconds() / (m.PauseEvery + m.Pause).Seconds()
 	k.Full += rate(m, seed, m.Slots, long) / busy
-	b := box.New(m, box.NewPod(time.Second), seed, 0, true)
+	b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 	k.Cold += b.Capacity(0) / m.Capacity()
 	k.Half += b.Capacity(m.ColdTime/2) / m.Capacity()
 	k.WarmIdle += m.ColdTime.Seconds()
@@ -74,13 +74,13 @@
 )
 
 // keep holds so many jobs at a box and gives the work done by then.
-func keep(b *box.Box, jobs int, until time.Duration, stop func(now time.Duration) bool) (done time.Duration) {
+func keep(b *backend.Box, jobs int, until time.Duration, stop func(now time.Duration) bool) (done time.Duration) {
 	held, num := 0, uint64(0)
 	for now := time.Duration(0); now < until && !stop(now); now = min(now+look, max(now+1, b.Next())) {
 		outs := b.Tick(now)
 		for {
 			for _, o := range outs {
-				if o.What == box.Done {
+				if o.What == backend.Done {
 					held--
 					done += jobWork
 				}
@@ -89,7 +89,7 @@
 				break
 			}
 			held, num = held+1, num+1
-			outs = b.Arrive(now, box.Job{Num: num, Work: jobWork}, 0)
+			outs = b.Arrive(now, backend.Job{Num: num, Work: jobWork}, 0)
 		}
 	}
 	return done
@@ -98,13 +98,13 @@
 // rate is the work a second of a warm box that holds so many jobs.
 func rate(m world.Machine, seed uint64, jobs int, long time.Duration) float64 {
 	m.Choke, m.ErrorRate = world.Choke{}, 0
-	b := box.New(m, box.NewPod(time.Second), seed, 0, false)
+	b := backend.New(m, backend.NewPod(time.Second), seed, 0, false)
 	return keep(b, jobs, long, func(time.Duration) bool { return false }).Seconds() / long.Seconds()
 }
 
 func warmBusy(m world.Machine, seed uint64) time.Duration {
 	m.Choke, m.ErrorRate = world.Choke{}, 0
-	b := box.New(m, box.NewPod(time.Second), seed, 0, true)
+	b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 	var warm time.Duration
 	keep(b, m.Cores, time.Minute, func(now time.Duration) bool {
 		warm = now
@@ -117,10 +117,10 @@
 func tips(m world.Machine, seed uint64) float64 {
 	const work = 5 * time.Millisecond
 	for times := 2.0; times < 8; times += 0.1 {
-		b := box.New(m, box.NewPod(time.Second), seed, 0, true)
+		b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 		for now, i := time.Duration(0), uint64(0); now < 2*time.Second; i++ {
-			for _, o := range b.Arrive(now, box.Job{Num: i, Work: work}, 0) {
-				if o.What == box.Fell {
+			for _, o := range b.Arrive(now, backend.Job{Num: i, Work: work}, 0) {
+				if o.What == backend.Fell {
 					return times
 				}
 			}
--- a/internal/lab/gauge/cost.go
+++ b/internal/lab/measure/cost.go
@@ -1,4 +1,4 @@
-package gauge
+package measure
 
 import (
 	"bufio"
@@ -12,12 +12,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"indigotack/internal/lab/client"
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/load"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/client"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/load"
+	"wrenspread/internal/lab/world"
 )
 
 const (
--- a/internal/lab/platform/config.go
+++ b/internal/lab/platform/config.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"indigotack/internal/lab/disco"
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/discovery"
+	"wrenspread/internal/lab/world"
 )
 
 // Node is what differs from node to node.
@@ -30,7 +30,7 @@
 	Govern     bool     // it follows the operators' policy
 	Tenants    bool     // and the catalogue of tenants
 	Fleet      string   // the nodes' own view of each other; empty: they keep none
-	Known      disco.Answer
+	Known      discovery.Answer
 	Seed       uint64
 	MemoryMB   int
 	Sockets    int
--- a/internal/lab/platform/config_test.go
+++ b/internal/lab/platform/config_test.go
@@ -4,9 +4,9 @@
 	"path/filepath"
 	"testing"
 
-	"indigotack/internal/lab/disco"
-	"indigotack/internal/lab/world"
-	"indigotack/internal/node"
+	"wrenspread/internal/lab/discovery"
+	"wrenspread/internal/lab/world"
+	"wrenspread/internal/proxy"
 )
 
 // TestNodeReadsIt: what the lab's platform writes, a node takes whole.
@@ -14,12 +14,12 @@
 	w := world.Draw(1, 3, 4)
 	n := Node{Name: "n1", Number: 1, Nodes: 2, Zone: w.Zones[1], Listen: "127.0.0.1:1", Control: "127.0.0.1:2", Discovery: "127.0.0.1:3",
 		PeerListen: "127.0.0.1:4", Peers: []string{"127.0.0.1:5", "127.0.0.1:4"}, Seed: 1 << 63, MemoryMB: 64, Sockets: 256,
-		Known: disco.Answer{Index: 1, Snapshot: true, Endpoints: []disco.Entry{{Name: "s0", Address: "127.0.0.1:6", Status: disco.Ready}}}}
+		Known: discovery.Answer{Index: 1, Snapshot: true, Endpoints: []discovery.Entry{{Name: "s0", Address: "127.0.0.1:6", Status: discovery.Ready}}}}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := n.Write(path, w, 100); err != nil {
 		t.Fatal(err)
 	}
-	c, err := node.LoadConfig(path)
+	c, err := proxy.LoadConfig(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/proc/capped.go
+++ b/internal/lab/process/capped.go
@@ -1,4 +1,4 @@
-package proc
+package process
 
 import (
 	"fmt"
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/process/proc.go
@@ -1,6 +1,6 @@
 // Package proc starts the real programs that the lab plays with, watches them,
 // and ends them: by id, also when the lab itself is killed.
-package proc
+package process
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
 )
 
 // Spec says what to start.
@@ -172,7 +172,7 @@
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	pause.For(ctx, last)
+	backoff.Sleep(ctx, last)
 	return p.Signal(syscall.SIGCONT)
 }
 
@@ -299,7 +299,7 @@
 		if err := p.KillWait(); err != nil {
 			return false, err
 		}
-		pause.For(ctx, last)
+		backoff.Sleep(ctx, last)
 		return true, nil
 	case "restart":
 		return true, p.Term(patience)
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/process/proc_test.go
@@ -1,4 +1,4 @@
-package proc
+package process
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 const enough = 30 * time.Second // only a hang takes so long
--- a/internal/lab/proc/use.go
+++ b/internal/lab/process/use.go
@@ -1,4 +1,4 @@
-package proc
+package process
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 // tick is the unit of processor time in /proc/PID/stat: USER_HZ, 100 a second on every Linux port that Go has.
--- a/internal/lab/quorum/client.go
+++ b/internal/lab/quorum/client.go
@@ -10,8 +10,8 @@
 	"net/http"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
 )
 
 // The entries that clients write: few, so that they meet.
@@ -81,7 +81,7 @@
 		if o.known {
 			w.last[o.name] = o.version
 		}
-		pause.For(ctx, time.Duration(w.chance.IntN(20))*time.Millisecond)
+		backoff.Sleep(ctx, time.Duration(w.chance.IntN(20))*time.Millisecond)
 	}
 }
 
@@ -99,13 +99,13 @@
 		wait = tryTime
 		switch status {
 		case http.StatusOK:
-			var r list.Result
+			var r registry.Result
 			if json.Unmarshal(body, &r) == nil {
 				o.known, o.status, o.version = true, status, r.Entry
 				return
 			}
 		case http.StatusConflict, http.StatusNotFound:
-			var r list.Refusal
+			var r registry.Refusal
 			if json.Unmarshal(body, &r) == nil {
 				o.known, o.status, o.version = true, status, r.Entry
 				return
@@ -117,12 +117,12 @@
 func (w *worker) call(o *op, id string, wait time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	body := list.Write{ID: id, If: o.cond}
+	body := registry.Write{ID: id, If: o.cond}
 	method, path := http.MethodDelete, "/registry/instances/"+o.name
 	switch o.do {
 	case "register":
 		method = http.MethodPut
-		body.Entry = &list.Entry{Name: o.name, Address: "127.0.0.1:1", Status: list.Ready, Weight: o.weight}
+		body.Entry = &registry.Entry{Name: o.name, Address: "127.0.0.1:1", Status: registry.Ready, Weight: o.weight}
 	case "drain":
 		method, path = http.MethodPost, path+"/drain"
 	}
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(ctx, tryTime)
 	defer cancel()
 	status, body := w.do(ctx, http.MethodGet, "/registry/instances?current=1", nil)
-	var a list.Answer
+	var a registry.Answer
 	if status != http.StatusOK || json.Unmarshal(body, &a) != nil || !a.Snapshot {
 		return
 	}
@@ -172,13 +172,13 @@
 	w       *worker
 	version uint64
 	epoch   string
-	held    map[string]list.Entry
-	told    map[uint64]list.Entry // changes by their versions
+	held    map[string]registry.Entry
+	told    map[uint64]registry.Entry // changes by their versions
 	wrong   []string
 }
 
 func newWatcher(c *cluster, n int) *watcher {
-	return &watcher{w: newWorker(c, n), held: map[string]list.Entry{}, told: map[uint64]list.Entry{}}
+	return &watcher{w: newWorker(c, n), held: map[string]registry.Entry{}, told: map[uint64]registry.Entry{}}
 }
 
 // run watches until ctx ends and it has reached the version that enough gives by then.
@@ -196,7 +196,7 @@
 		path := fmt.Sprintf("/registry/instances?from=%d&epoch=%s&hold_ms=300", v.version, v.epoch)
 		status, body := v.w.do(call, http.MethodGet, path, nil)
 		cancel()
-		var a list.Answer
+		var a registry.Answer
 		if status != http.StatusOK || json.Unmarshal(body, &a) != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -205,7 +205,7 @@
 	}
 }
 
-func (v *watcher) take(a list.Answer) {
+func (v *watcher) take(a registry.Answer) {
 	switch {
 	case v.epoch != "" && a.Epoch != v.epoch:
 		v.wrong = append(v.wrong, fmt.Sprintf("epoch %s after %s, though nothing was lost", a.Epoch, v.epoch))
@@ -221,7 +221,7 @@
 			v.told[v.version+uint64(i)+1] = e
 		}
 		v.held[e.Name] = e
-		if e.Status == list.Gone {
+		if e.Status == registry.Gone {
 			delete(v.held, e.Name)
 		}
 	}
--- a/internal/lab/quorum/failover.go
+++ b/internal/lab/quorum/failover.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry/client"
 )
 
 // Failovers kills the leader so many times, and gives the times from the kill to
@@ -58,7 +58,7 @@
 				return set.All[i], nil
 			}
 		}
-		pause.For(ctx, 5*time.Millisecond)
+		backoff.Sleep(ctx, 5*time.Millisecond)
 	}
 	return nil, fmt.Errorf("nobody leads: %w", ctx.Err())
 }
--- a/internal/lab/quorum/faults.go
+++ b/internal/lab/quorum/faults.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/replicas"
 )
 
 // fault is one thing that goes wrong for a while.
@@ -48,7 +48,7 @@
 // carryOut plays the faults, one after the other.
 func (c *cluster) carryOut(ctx context.Context, start time.Duration, faults []fault) error {
 	for i, f := range faults {
-		if !pause.For(ctx, start+f.at-c.log.Now()) {
+		if !backoff.Sleep(ctx, start+f.at-c.log.Now()) {
 			return nil
 		}
 		name := fmt.Sprintf("%d-%s", i+1, f.do)
@@ -75,7 +75,7 @@
 		return c.together(f.on, func(r *replicas.Replica) error { return c.set.Suffer(ctx, r.Name, do, f.last, endTime) })
 	}
 	c.lay(name, f)
-	pause.For(ctx, f.last)
+	backoff.Sleep(ctx, f.last)
 	c.net.Lift(name)
 	return nil
 }
--- a/internal/lab/quorum/library.go
+++ b/internal/lab/quorum/library.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // follower is the project's own client of the list, which follows it, or a part of it, over all faults.
@@ -22,11 +22,11 @@
 // newFollowers makes one of all of the list, and one of a quarter that goes on around the ring.
 func newFollowers(c *cluster) (all []*follower, err error) {
 	answers := 0
-	around := func(list.Part, int, []list.Entry) list.Part {
+	around := func(registry.Part, int, []registry.Entry) registry.Part {
 		answers++
-		return list.Part{From: uint16(answers/8%16) << 12, Width: 1 << 14}
+		return registry.Part{From: uint16(answers/8%16) << 12, Width: 1 << 14}
 	}
-	for _, part := range []func(list.Part, int, []list.Entry) list.Part{nil, around} {
+	for _, part := range []func(registry.Part, int, []registry.Entry) registry.Part{nil, around} {
 		k, err := client.New(client.Config{Addresses: c.doors, Hold: followHold, Part: part})
 		if err != nil {
 			return nil, err
@@ -56,11 +56,11 @@
 }
 
 // reach waits until the client has the list of the end.
-func (f *follower) reach(last list.Answer) (wrong []string) {
+func (f *follower) reach(last registry.Answer) (wrong []string) {
 	for until := time.Now().Add(readyTime); ; time.Sleep(5 * time.Millisecond) {
 		v, _ := f.client.View()
 		if v.Version == last.Index {
-			want := slices.DeleteFunc(slices.Clone(last.Endpoints), func(e list.Entry) bool { return !v.Part.Holds(list.Point(e.Name)) })
+			want := slices.DeleteFunc(slices.Clone(last.Endpoints), func(e registry.Entry) bool { return !v.Part.Holds(registry.Point(e.Name)) })
 			if !slices.Equal(v.Entries, want) {
 				return append(wrong, fmt.Sprintf("the client holds %v of part %v at %d, the list is %v", v.Entries, v.Part, v.Version, last.Endpoints))
 			}
--- a/internal/lab/quorum/measure.go
+++ b/internal/lab/quorum/measure.go
@@ -13,13 +13,13 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/list/server"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/registry/server"
 )
 
 // measured runs something against a fresh cluster.
@@ -55,10 +55,10 @@
 }
 
 // write makes one change that no other call makes.
-func write(ctx context.Context, k *client.Client, n int) (list.Result, error) {
+func write(ctx context.Context, k *client.Client, n int) (registry.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	return k.Register(ctx, list.Entry{Name: "s", Address: "127.0.0.1:1", Status: list.Ready, SinceMS: int64(2*max(n, -n) + n&1)}, 0, nil)
+	return k.Register(ctx, registry.Entry{Name: "s", Address: "127.0.0.1:1", Status: registry.Ready, SinceMS: int64(2*max(n, -n) + n&1)}, 0, nil)
 }
 
 // Fan is what a change costs with so many watchers at one replica.
@@ -76,7 +76,7 @@
 	o.Replicas = 1
 	err = measured(ctx, o, func(c *cluster, k *client.Client) error {
 		pid := c.set.All[0].Proc().Pid
-		empty, err := proc.UseOf(pid)
+		empty, err := process.UseOf(pid)
 		if err != nil {
 			return err
 		}
@@ -103,14 +103,14 @@
 			version++
 			took = append(took, one...)
 			if round == 0 { // now that each has its call held
-				held, err := proc.UseOf(pid)
+				held, err := process.UseOf(pid)
 				if err != nil {
 					return err
 				}
 				f.Memory, f.CPU = float64(held.RSS-empty.RSS)/float64(watchers), -held.CPU
 			}
 		}
-		last, err := proc.UseOf(pid)
+		last, err := process.UseOf(pid)
 		if err != nil {
 			return err
 		}
@@ -181,7 +181,7 @@
 func held(ctx context.Context, address string, n int) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	want := "\nindigolist_watchers " + strconv.FormatFloat(float64(n), 'g', -1, 64) + "\n"
+	want := "\nwrenspread-registry_watchers " + strconv.FormatFloat(float64(n), 'g', -1, 64) + "\n"
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 		if err != nil {
@@ -196,7 +196,7 @@
 		if err == nil && strings.Contains(string(raw), want) {
 			return nil
 		}
-		if !pause.For(ctx, 5*time.Millisecond) {
+		if !backoff.Sleep(ctx, 5*time.Millisecond) {
 			return fmt.Errorf("waiting for %d watchers: %w", n, ctx.Err())
 		}
 	}
--- a/internal/lab/quorum/model.go
+++ b/internal/lab/quorum/model.go
@@ -6,7 +6,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // known is what the model knows of one entry.
@@ -69,7 +69,7 @@
 
 // unchanged tells whether a write leaves the entry as it is, version included.
 func (k known) unchanged(o op) bool {
-	return k.there && (o.do == "register" && k.weight == o.weight && k.status == list.Ready || o.do == "drain" && k.status == list.Draining)
+	return k.there && (o.do == "register" && k.weight == o.weight && k.status == registry.Ready || o.do == "drain" && k.status == registry.Draining)
 }
 
 // sees tells whether an answer may name that version of the entry.
@@ -95,9 +95,9 @@
 	}
 	switch o.do {
 	case "register":
-		return known{true, o.weight, list.Ready, version, least}
+		return known{true, o.weight, registry.Ready, version, least}
 	case "drain":
-		return known{true, k.weight, list.Draining, version, least}
+		return known{true, k.weight, registry.Draining, version, least}
 	}
 	return known{least: max(least, version)}
 }
--- a/internal/lab/quorum/model_test.go
+++ b/internal/lab/quorum/model_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 func at(v uint64) *uint64 { return &v }
@@ -37,14 +37,14 @@
 		ops   []op
 		legal bool
 	}{
-		"as it should be":              {[]op{none, register(1, 5), read(1, list.Ready), register(1, 5), remove, none}, true},
-		"an old read":                  {[]op{register(1, 5), register(2, 6), read(1, list.Ready)}, false},
+		"as it should be":              {[]op{none, register(1, 5), read(1, registry.Ready), register(1, 5), remove, none}, true},
+		"an old read":                  {[]op{register(1, 5), register(2, 6), read(1, registry.Ready)}, false},
 		"a write that is gone":         {[]op{register(1, 5), none}, false},
-		"a lost write that was done":   {[]op{register(1, 5), lost, read(9, list.Ready)}, true},
-		"a lost write that was not":    {[]op{register(1, 5), lost, read(1, list.Ready)}, true},
-		"a lost write done twice":      {[]op{register(1, 5), lost, read(9, list.Ready), register(1, 7), read(9, list.Ready)}, false},
-		"a condition that was met":     {[]op{register(1, 5), {do: "register", weight: 2, cond: at(5), known: true, status: 200, version: 6}, read(2, list.Ready)}, true},
-		"a condition that was not met": {[]op{register(1, 5), refused, read(1, list.Ready)}, true},
+		"a lost write that was done":   {[]op{register(1, 5), lost, read(9, registry.Ready)}, true},
+		"a lost write that was not":    {[]op{register(1, 5), lost, read(1, registry.Ready)}, true},
+		"a lost write done twice":      {[]op{register(1, 5), lost, read(9, registry.Ready), register(1, 7), read(9, registry.Ready)}, false},
+		"a condition that was met":     {[]op{register(1, 5), {do: "register", weight: 2, cond: at(5), known: true, status: 200, version: 6}, read(2, registry.Ready)}, true},
+		"a condition that was not met": {[]op{register(1, 5), refused, read(1, registry.Ready)}, true},
 		"a condition that was ignored": {[]op{register(1, 5), {do: "register", weight: 2, cond: at(4), known: true, status: 200, version: 6}}, false},
 		"refused for nothing":          {[]op{register(1, 5), {do: "register", weight: 2, cond: at(5), known: true, status: 409, version: 5}}, false},
 		"a version that goes back":     {[]op{register(1, 5), register(2, 4)}, false},
@@ -60,12 +60,12 @@
 
 // TestWatchers: a gap, a step back, a whole list without need, and two that were told different things are each found.
 func TestWatchers(t *testing.T) {
-	s := func(weight float64) list.Entry { return list.Entry{Name: "s", Weight: weight} }
-	first := list.Answer{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []list.Entry{s(1)}}
-	last := list.Answer{Index: 4, Epoch: "e", Snapshot: true, Endpoints: []list.Entry{s(2)}}
-	good := list.Answer{Index: 4, Epoch: "e", Endpoints: []list.Entry{s(2)}}
-	run := func(answers ...list.Answer) *watcher {
-		v := &watcher{held: map[string]list.Entry{}, told: map[uint64]list.Entry{}}
+	s := func(weight float64) registry.Entry { return registry.Entry{Name: "s", Weight: weight} }
+	first := registry.Answer{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Entry{s(1)}}
+	last := registry.Answer{Index: 4, Epoch: "e", Snapshot: true, Endpoints: []registry.Entry{s(2)}}
+	good := registry.Answer{Index: 4, Epoch: "e", Endpoints: []registry.Entry{s(2)}}
+	run := func(answers ...registry.Answer) *watcher {
+		v := &watcher{held: map[string]registry.Entry{}, told: map[uint64]registry.Entry{}}
 		for _, a := range answers {
 			v.take(a)
 		}
@@ -76,11 +76,11 @@
 		want  string
 	}{
 		"nothing":    {run(first, good), ""},
-		"gap":        {run(first, list.Answer{Index: 5, Epoch: "e", Endpoints: []list.Entry{s(2)}}), "changes from"},
-		"back":       {run(first, list.Answer{Index: 2, Epoch: "e"}), "version 2 after 3"},
+		"gap":        {run(first, registry.Answer{Index: 5, Epoch: "e", Endpoints: []registry.Entry{s(2)}}), "changes from"},
+		"back":       {run(first, registry.Answer{Index: 2, Epoch: "e"}), "version 2 after 3"},
 		"whole":      {run(first, last), "whole list"},
-		"epoch":      {run(first, list.Answer{Index: 4, Epoch: "f", Endpoints: []list.Entry{s(2)}}), "epoch f"},
-		"difference": {run(first, list.Answer{Index: 4, Epoch: "e", Endpoints: []list.Entry{s(8)}}), "change 4 is"},
+		"epoch":      {run(first, registry.Answer{Index: 4, Epoch: "f", Endpoints: []registry.Entry{s(2)}}), "epoch f"},
+		"difference": {run(first, registry.Answer{Index: 4, Epoch: "e", Endpoints: []registry.Entry{s(8)}}), "change 4 is"},
 	} {
 		got := strings.Join(agree([]*watcher{run(first, good), c.other}, last), "; ")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -17,12 +17,12 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry"
 )
 
 // Options say what is played.
@@ -49,13 +49,13 @@
 	o     Options
 	log   *history.Log
 	net   *link.Net
-	group *proc.Group
+	group *process.Group
 	set   *replicas.Set
 	doors []string // where clients find the replicas
 }
 
 func newCluster(o Options, log *history.Log) (*cluster, error) {
-	c := &cluster{o: o, log: log, net: link.NewNet(o.Seed), group: proc.NewGroup(log)}
+	c := &cluster{o: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
 	var err error
 	c.set, err = replicas.New(replicas.Options{Count: o.Replicas, Dir: o.Dir, Command: o.Command, Env: o.Env, Seed: o.Seed, Election: o.Election, Snapshot: o.Snapshot}, c.net, c.group)
 	if err == nil {
@@ -160,7 +160,7 @@
 	if err == nil {
 		err = c.set.Ready(ctx)
 	}
-	var last list.Answer
+	var last registry.Answer
 	if err == nil {
 		last, err = c.final(ctx)
 	}
@@ -185,23 +185,23 @@
 }
 
 // final reads the list once all is well again.
-func (c *cluster) final(ctx context.Context) (list.Answer, error) {
+func (c *cluster) final(ctx context.Context) (registry.Answer, error) {
 	w := newWorker(c, 1<<20)
 	defer w.http.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	for ctx.Err() == nil {
 		status, body := w.do(ctx, http.MethodGet, "/registry/instances?current=1", nil)
-		var a list.Answer
+		var a registry.Answer
 		if status == http.StatusOK && json.Unmarshal(body, &a) == nil {
 			return a, nil
 		}
-		pause.For(ctx, 20*time.Millisecond)
+		backoff.Sleep(ctx, 20*time.Millisecond)
 	}
-	return list.Answer{}, fmt.Errorf("the list can't be read %v after the last fault: %w", readyTime, ctx.Err())
+	return registry.Answer{}, fmt.Errorf("the list can't be read %v after the last fault: %w", readyTime, ctx.Err())
 }
 
-func (c *cluster) judge(faults []fault, workers []*worker, watching []*watcher, last list.Answer) Outcome {
+func (c *cluster) judge(faults []fault, workers []*worker, watching []*watcher, last registry.Answer) Outcome {
 	o := Outcome{Seed: c.o.Seed, Faults: len(faults), Changes: last.Index}
 	var ops []op
 	for _, w := range workers {
@@ -224,13 +224,13 @@
 }
 
 // agree checks that all watchers were told the same, and hold the list in the end.
-func agree(watching []*watcher, last list.Answer) []string {
-	want := map[string]list.Entry{}
+func agree(watching []*watcher, last registry.Answer) []string {
+	want := map[string]registry.Entry{}
 	for _, e := range last.Endpoints {
 		want[e.Name] = e
 	}
 	var broken []string
-	told := map[uint64]list.Entry{}
+	told := map[uint64]registry.Entry{}
 	for n, v := range watching {
 		for _, w := range v.wrong {
 			broken = append(broken, fmt.Sprintf("watcher %d: %s", n, w))
--- a/internal/lab/quorum/side.go
+++ b/internal/lab/quorum/side.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/registry/client"
 )
 
 // Side is what clients cost a replica, by watching or by polling.
@@ -44,7 +44,7 @@
 	var read atomic.Int64
 	working, stop := context.WithTimeout(ctx, sideTime)
 	defer stop()
-	before, err := proc.UseOf(r.Proc().Pid)
+	before, err := process.UseOf(r.Proc().Pid)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -53,13 +53,13 @@
 	var all sync.WaitGroup
 	for i := range clients {
 		all.Go(func() {
-			pause.For(working, time.Duration(i)*time.Second/time.Duration(clients))
+			backoff.Sleep(working, time.Duration(i)*time.Second/time.Duration(clients))
 			for from := uint64(0); working.Err() == nil; {
 				n, index := readOnce(working, h, r.Address(), from)
 				read.Add(n)
 				if from = index; !watch {
 					from = 0
-					pause.For(working, time.Second)
+					backoff.Sleep(working, time.Second)
 				}
 			}
 		})
@@ -68,10 +68,10 @@
 		if _, err := write(ctx, k, n); err != nil {
 			return 0, 0, err
 		}
-		pause.For(working, time.Second)
+		backoff.Sleep(working, time.Second)
 	}
 	all.Wait()
-	after, err := proc.UseOf(r.Proc().Pid)
+	after, err := process.UseOf(r.Proc().Pid)
 	return (after.CPU - before.CPU) / time.Duration(sideTime/time.Second), float64(read.Load()) / sideTime.Seconds(), err
 }
 
--- a/internal/lab/quorum/size.go
+++ b/internal/lab/quorum/size.go
@@ -11,9 +11,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // fillers write at once where a list is filled.
@@ -25,7 +25,7 @@
 	g.SetLimit(fillers)
 	for i := range n {
 		g.Go(func() error {
-			e := list.Entry{Name: fmt.Sprintf("s-%08x", i), Address: fmt.Sprintf("10.1.%d.%d:5000", i>>8&255, i&255), Zone: "a", Type: "m2", Group: i % 7, Status: list.Ready, Weight: 1}
+			e := registry.Entry{Name: fmt.Sprintf("s-%08x", i), Address: fmt.Sprintf("10.1.%d.%d:5000", i>>8&255, i&255), Zone: "a", Type: "m2", Group: i % 7, Status: registry.Ready, Weight: 1}
 			_, err := k.Register(ctx, e, 0, nil)
 			return err
 		})
@@ -65,7 +65,7 @@
 			return err
 		}
 		s.Start = time.Since(began)
-		before, err := proc.UseOf(r.Proc().Pid)
+		before, err := process.UseOf(r.Proc().Pid)
 		if err != nil {
 			return err
 		}
@@ -81,7 +81,7 @@
 				return err
 			}
 		}
-		after, err := proc.UseOf(r.Proc().Pid)
+		after, err := process.UseOf(r.Proc().Pid)
 		s.Change = (after.CPU - before.CPU) / changes
 		return err
 	})
@@ -119,7 +119,7 @@
 		var names []string
 		for i := range rateNames {
 			names = append(names, fmt.Sprint("l", i))
-			if _, err := k.Register(ctx, list.Entry{Name: names[i], Address: "127.0.0.1:1", Status: list.Ready}, list.MaxTTL, nil); err != nil {
+			if _, err := k.Register(ctx, registry.Entry{Name: names[i], Address: "127.0.0.1:1", Status: registry.Ready}, registry.MaxTTL, nil); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/replicas/disk.go
+++ b/internal/lab/replicas/disk.go
@@ -11,9 +11,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // fill lets a replica write to no file for a while, which is more than a full disk does.
@@ -31,7 +31,7 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY}, &was); err != nil {
 		return fmt.Errorf("filling the disk of %s: %w", r.Name, err)
 	}
-	pause.For(ctx, last)
+	backoff.Sleep(ctx, last)
 	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &was, nil); err != nil && !errors.Is(err, unix.ESRCH) {
 		return fmt.Errorf("emptying the disk of %s: %w", r.Name, err)
 	}
@@ -101,13 +101,13 @@
 	}
 	defer k.Close()
 	var refused *client.Refused
-	if err := k.RemoveMember(ctx, r.Name); err != nil && !(errors.As(err, &refused) && refused.Code == string(list.Absent)) {
+	if err := k.RemoveMember(ctx, r.Name); err != nil && !(errors.As(err, &refused) && refused.Code == string(registry.Absent)) {
 		return fmt.Errorf("removing %s: %w", r.Name, err)
 	}
 	if err := s.Start(r); err != nil {
 		return err
 	}
-	if _, err := k.AddMember(ctx, r.Name, list.Address{}); err != nil {
+	if _, err := k.AddMember(ctx, r.Name, registry.Address{}); err != nil {
 		return fmt.Errorf("adding %s: %w", r.Name, err)
 	}
 	return nil
--- a/internal/lab/replicas/replicas.go
+++ b/internal/lab/replicas/replicas.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/process"
 )
 
 // Options say what is run.
@@ -43,7 +43,7 @@
 type Set struct {
 	o     Options
 	net   *link.Net
-	group *proc.Group
+	group *process.Group
 	All   []*Replica
 	frees []func()
 }
@@ -54,12 +54,12 @@
 	dir        string
 	http, raft string
 	mu         sync.Mutex
-	proc       *proc.Proc
+	proc       *process.Proc
 }
 
 // New makes the replicas' folders and links. Names are r0, r1 and so on; links
 // between them end at NAME for raft and at NAME/http for what they pass on.
-func New(o Options, net *link.Net, group *proc.Group) (*Set, error) {
+func New(o Options, net *link.Net, group *process.Group) (*Set, error) {
 	s := &Set{o: o, net: net, group: group}
 	for i := range o.Count {
 		dir, err := filepath.Abs(filepath.Join(o.Dir, fmt.Sprint("r", i)))
@@ -140,7 +140,7 @@
 func (s *Set) start(r *Replica, mayFail bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p, err := s.group.Start(proc.Spec{Name: r.Name, Command: append(append([]string(nil), s.o.Command...), "--config", r.file()), Dir: r.dir, MayFail: mayFail,
+	p, err := s.group.Start(process.Spec{Name: r.Name, Command: append(append([]string(nil), s.o.Command...), "--config", r.file()), Dir: r.dir, MayFail: mayFail,
 		Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + r.dir}, s.o.Env...)})
 	if err == nil {
 		r.proc = p
@@ -149,7 +149,7 @@
 }
 
 // Proc is the replica's present process, or its last.
-func (r *Replica) Proc() *proc.Proc {
+func (r *Replica) Proc() *process.Proc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.proc
@@ -197,7 +197,7 @@
 		if err := r.Kill(); err != nil {
 			return err
 		}
-		pause.For(ctx, last)
+		backoff.Sleep(ctx, last)
 		return s.replace(ctx, r)
 	}
 	if again, err := r.Proc().Suffer(ctx, do, last, patience); err != nil || !again {
--- a/internal/lab/report/bounds.go
+++ b/internal/lab/report/bounds.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/lab/check"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/check"
+	"wrenspread/internal/lab/spec"
 )
 
 // Bounds says which of an experiment's bounds the figures break.
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/history"
 )
 
 // Count is what became of a group of operations.
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/check"
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/check"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/spec"
 )
 
 // day is a history of 20 s with 20 operations a second, of which those due from
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
-	"indigotack/internal/lab/check"
-	"indigotack/internal/lab/history"
+	"wrenspread/internal/lab/check"
+	"wrenspread/internal/lab/history"
 )
 
 // Run is what a run shows.
--- a/internal/lab/scale/beside.go
+++ b/internal/lab/scale/beside.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/node"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/proxy"
 )
 
 // Beside runs hollow nodes as Hollow does, from one number on. Where every is not 0 one of them restarts in it, in turn.
@@ -31,7 +31,7 @@
 			}
 		})
 	}
-	for i := 0; every > 0 && pause.For(ctx, every); i++ {
+	for i := 0; every > 0 && backoff.Sleep(ctx, every); i++ {
 		select {
 		case turns[i%nodes] <- struct{}{}:
 		default: // it has not ended its former life yet
@@ -43,13 +43,13 @@
 
 // oneLife runs a node until ctx ends or its turn comes.
 func oneLife(ctx context.Context, config string, turn <-chan struct{}) error {
-	cfg, err := node.LoadConfig(config)
+	cfg, err := proxy.LoadConfig(config)
 	if err != nil {
 		return err
 	}
 	life, end := context.WithCancel(ctx)
 	defer end()
-	n := node.New(cfg, slog.New(slog.DiscardHandler))
+	n := proxy.New(cfg, slog.New(slog.DiscardHandler))
 	var beside sync.WaitGroup
 	beside.Go(func() { n.ServeControl(life, cfg.Control) })
 	beside.Go(func() {
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -9,10 +9,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 const (
@@ -20,7 +20,7 @@
 	few        = 30 // watchers
 	agents     = 200
 	renewTime  = 4 * time.Second
-	renewedTTL = list.MaxTTL // so that the rate is this measurement's alone
+	renewedTTL = registry.MaxTTL // so that the rate is this measurement's alone
 )
 
 // Entries measures one replica by the entries of its list.
@@ -104,7 +104,7 @@
 		defer one.Close()
 		all[i] = one
 		g.Go(func() error {
-			_, err := one.Register(ctx, list.Entry{Name: fmt.Sprint("l", i), Address: "127.0.0.1:1", Status: list.Ready}, renewedTTL, nil)
+			_, err := one.Register(ctx, registry.Entry{Name: fmt.Sprint("l", i), Address: "127.0.0.1:1", Status: registry.Ready}, renewedTTL, nil)
 			return err
 		})
 	}
@@ -124,7 +124,7 @@
 	for i, one := range all {
 		working.Go(func() {
 			for at := start.Add(each * time.Duration(i) / agents); at.Before(start.Add(renewTime)); at = at.Add(each) {
-				pause.For(ctx, time.Until(at))
+				backoff.Sleep(ctx, time.Until(at))
 				if _, errs[i] = one.Renew(ctx, []string{fmt.Sprint("l", i)}); errs[i] != nil {
 					return
 				}
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -10,12 +10,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
-	"indigotack/internal/policy"
-	"indigotack/internal/quota/record"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/policy"
+	"wrenspread/internal/quota/record"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 const (
@@ -195,7 +195,7 @@
 				return err
 			}
 		}
-		if !pause.For(ctx, lookAgain) {
+		if !backoff.Sleep(ctx, lookAgain) {
 			return fmt.Errorf("the %d-th tenant is not served: %w", i, ctx.Err())
 		}
 	}
--- a/internal/lab/scale/force_calls.go
+++ b/internal/lab/scale/force_calls.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
 )
 
 const callTime = 2 * time.Second // a node answers its operators within one
@@ -41,7 +41,7 @@
 		if err == nil && status == http.StatusOK {
 			return nil
 		}
-		if !pause.For(ctx, lookEvery) {
+		if !backoff.Sleep(ctx, lookEvery) {
 			return fmt.Errorf("a node is not ready: %d, %w", status, err)
 		}
 	}
--- a/internal/lab/scale/force_fleet.go
+++ b/internal/lab/scale/force_fleet.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry/client"
 )
 
 // fleet waits until all views are whole, as long as it goes, and takes what the nodes use at rest, and some policies.
@@ -34,7 +34,7 @@
 		return err
 	}
 	began := time.Now()
-	pause.For(ctx, f.Rest)
+	backoff.Sleep(ctx, f.Rest)
 	after, err := ownUse()
 	if err != nil {
 		return err
--- a/internal/lab/scale/force_news.go
+++ b/internal/lab/scale/force_news.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
 )
 
 // newsKinds are the lines of a node's log that tell what it has taken up, with the key of its number.
@@ -79,7 +79,7 @@
 	for i := range n.of[kind] {
 		t := &n.of[kind][i]
 		for t.number.Load() < int64(number) {
-			if !pause.For(ctx, time.Millisecond) {
+			if !backoff.Sleep(ctx, time.Millisecond) {
 				return nil, fmt.Errorf("node %d of %d stays at %s %d, not %d: %w", i, len(n.of[kind]), kind, t.number.Load(), number, ctx.Err())
 			}
 		}
--- a/internal/lab/scale/force_rig.go
+++ b/internal/lab/scale/force_rig.go
@@ -11,12 +11,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/duty"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/platform"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/platform"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 // governed writes the files of nodes that follow the policy, and the tenants if told so, and have a view of each other.
@@ -50,22 +50,22 @@
 
 // holdConduct holds the duty of the tenants' conductor until ctx ends, as the operators' command does.
 func holdConduct(ctx context.Context, k *client.Client) error {
-	p, err := duty.Open(duty.Config{Client: k, Process: "scale", TTL: duty.DefaultTTL})
+	p, err := lease.Open(lease.Config{Client: k, Process: "scale", TTL: lease.DefaultTTL})
 	if err != nil {
 		return err
 	}
 	ended := make(chan error, 1)
 	go func() {
-		ended <- p.Run(ctx, tenant.Duty, func(ctx context.Context, fenced duty.Fence) error {
+		ended <- p.Run(ctx, tenant.Duty, func(ctx context.Context, fenced lease.Fence) error {
 			c := tenant.Conductor{Store: &tenant.Records{List: k, Fence: fenced}, Fleet: tenant.Listed{List: k}, Every: conductEvery, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
 			return c.Run(ctx)
 		})
 	}()
 	select {
 	case err = <-ended:
-		return errors.Join(err, p.Close(duty.DefaultTTL))
+		return errors.Join(err, p.Close(lease.DefaultTTL))
 	case <-ctx.Done(): // without the service the duty is not given up: then closing ends it
-		err = p.Close(duty.DefaultTTL)
+		err = p.Close(lease.DefaultTTL)
 		<-ended
 		return errors.Join(ctx.Err(), err)
 	}
@@ -74,7 +74,7 @@
 // bursts changes the list until ctx ends, several servers at once at drawn times.
 func (f *Force) bursts(ctx context.Context, k *client.Client) error {
 	r := rand.New(rand.NewPCG(1, 0x6275727374))
-	for i := 0; f.Changes > 0 && pause.For(ctx, time.Duration(r.ExpFloat64()*burstOf/f.Changes*float64(time.Second))); i += burstOf {
+	for i := 0; f.Changes > 0 && backoff.Sleep(ctx, time.Duration(r.ExpFloat64()*burstOf/f.Changes*float64(time.Second))); i += burstOf {
 		var g errgroup.Group
 		for j := range burstOf {
 			g.Go(func() error { _, err := change(ctx, k, i+j, forceEntries); return err })
--- a/internal/lab/scale/harm.go
+++ b/internal/lab/scale/harm.go
@@ -4,8 +4,8 @@
 	"context"
 	"fmt"
 
-	"indigotack/internal/lab/report"
-	"indigotack/internal/lab/spec"
+	"wrenspread/internal/lab/report"
+	"wrenspread/internal/lab/spec"
 )
 
 // Harm plays an experiment with its faults and without, a seed each time, and counts the requests that were not
--- a/internal/lab/scale/harm_test.go
+++ b/internal/lab/scale/harm_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/report"
+	"wrenspread/internal/lab/report"
 )
 
 // TestHarmed: what is lost during a fault counts, less what is lost without it; a run that was too late does not.
--- a/internal/lab/scale/herd.go
+++ b/internal/lab/scale/herd.go
@@ -6,9 +6,9 @@
 	"path/filepath"
 	"time"
 
-	"indigotack/internal/lab/quorum"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/lab/quorum"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry/client"
 )
 
 // Cold has watchers without a list come all at once.
--- a/internal/lab/scale/holders.go
+++ b/internal/lab/scale/holders.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/quota"
+	"wrenspread/balancer"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/quota"
 )
 
 // What the pure cores of shares are played with: a holder's session as keepers have it, a datagram's way, and each
@@ -48,7 +48,7 @@
 	until   time.Duration // the holder's session
 	record  []quota.Seat
 	queue   []parcel // by time
-	table   *decide.Table
+	table   *balancer.Table
 
 	level, over float64 // of an exact bucket of the limit; the most beyond its burst
 	admitted    int
@@ -71,8 +71,8 @@
 
 func newShares(n int) (*shares, error) {
 	s := &shares{rate: evenPart * float64(n), nodes: map[string]*quota.Ledger{}, heard: map[string]bool{}, over: -evenPart * float64(n)}
-	s.table = &decide.Table{Format: decide.TableFormat, Version: 1, Parts: []decide.Part{{Within: -1, Count: 1}}}
-	s.table.Limits = []decide.Limit{{Name: s.table.NameOf(0), Parent: -1, Rate: s.rate, Burst: s.rate, Floor: s.rate, Status: 429, Weight: 1, Safe: 0.25}}
+	s.table = &balancer.Table{Format: balancer.TableFormat, Version: 1, Parts: []balancer.Part{{Within: -1, Count: 1}}}
+	s.table.Limits = []balancer.Limit{{Name: s.table.NameOf(0), Parent: -1, Rate: s.rate, Burst: s.rate, Floor: s.rate, Status: 429, Weight: 1, Safe: 0.25}}
 	if err := s.table.Ready(); err != nil {
 		return nil, fmt.Errorf("the limit: %w", err)
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -10,10 +10,10 @@
 	"runtime/debug"
 	"sync"
 
-	"indigotack/internal/node"
+	"wrenspread/internal/proxy"
 )
 
-// gcPercent is that of a node with the usual memory, by cmd/indigotack.
+// gcPercent is that of a node with the usual memory, by cmd/wrenspread-proxy.
 const gcPercent = 300
 
 // silent is a clients' listener to which nobody comes.
@@ -40,11 +40,11 @@
 	var all sync.WaitGroup
 	errs := make([]error, nodes)
 	for i := range nodes {
-		cfg, err := node.LoadConfig(configOf(dir, i))
+		cfg, err := proxy.LoadConfig(configOf(dir, i))
 		if err != nil {
 			return err
 		}
-		n := node.New(cfg, slog.New(log(i)))
+		n := proxy.New(cfg, slog.New(log(i)))
 		all.Go(func() { n.ServeControl(ctx, cfg.Control) })
 		all.Go(func() {
 			if errs[i] = n.Run(ctx, &silent{closed: make(chan struct{})}); errs[i] != nil {
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -8,14 +8,14 @@
 	"path/filepath"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	arrivals "indigotack/internal/lab/load"
-	"indigotack/internal/lab/platform"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	arrivals "wrenspread/internal/lab/load"
+	"wrenspread/internal/lab/platform"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry/client"
 )
 
 const (
@@ -94,9 +94,9 @@
 	if err := c.Write(configOf(dir, 0), drawn, l.Rate); err != nil {
 		return nil, err
 	}
-	group := proc.NewGroup(log)
+	group := process.NewGroup(log)
 	defer group.Close(endTime)
-	p, err := group.Start(proc.Spec{Name: "n0", Command: l.Node, Dir: dir, Env: append([]string{"HOME=" + dir, "TMPDIR=" + dir, "GW_CONFIG=" + configOf(dir, 0)}, l.Env...)})
+	p, err := group.Start(process.Spec{Name: "n0", Command: l.Node, Dir: dir, Env: append([]string{"HOME=" + dir, "TMPDIR=" + dir, "GW_CONFIG=" + configOf(dir, 0)}, l.Env...)})
 	if err != nil {
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 }
 
 // through plays the load through the node, with what the node says of itself.
-func (l *Latency) through(ctx context.Context, c *caller, p *proc.Proc, control, listen string, f map[string]float64) error {
+func (l *Latency) through(ctx context.Context, c *caller, p *process.Proc, control, listen string, f map[string]float64) error {
 	before, err := statsOf(ctx, control)
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	waited, err := proc.UseOf(p.Pid)
+	waited, err := process.UseOf(p.Pid)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	waitedAll, err := proc.UseOf(p.Pid)
+	waitedAll, err := process.UseOf(p.Pid)
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 		return nil
 	}
 	pace := time.Second / time.Duration(l.Changes)
-	for i, start := 0, time.Now(); pause.For(ctx, time.Until(start.Add(time.Duration(i)*pace))); i++ {
+	for i, start := 0, time.Now(); backoff.Sleep(ctx, time.Until(start.Add(time.Duration(i)*pace))); i++ {
 		if err := a.register(ctx, k, i*7919%servers, time.Now()); err != nil && ctx.Err() == nil {
 			return err
 		}
--- a/internal/lab/scale/latency_backend.go
+++ b/internal/lab/scale/latency_backend.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry/client"
 )
 
 // workKey is the request's own statement of its work, in us of a server's time.
--- a/internal/lab/scale/latency_client.go
+++ b/internal/lab/scale/latency_client.go
@@ -13,9 +13,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	arrivals "indigotack/internal/lab/load"
-	"indigotack/internal/lab/world"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	arrivals "wrenspread/internal/lab/load"
+	"wrenspread/internal/lab/world"
 )
 
 const (
@@ -84,7 +84,7 @@
 	var all sync.WaitGroup
 	start := time.Now()
 	for _, op := range ops {
-		if !pause.For(ctx, time.Until(start.Add(op.Due))) {
+		if !backoff.Sleep(ctx, time.Until(start.Add(op.Due))) {
 			break
 		}
 		late := time.Since(start) - op.Due
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -6,11 +6,11 @@
 	"path/filepath"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/lab/platform"
-	"indigotack/internal/lab/world"
-	"indigotack/internal/node"
+	"wrenspread/balancer"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/lab/platform"
+	"wrenspread/internal/lab/world"
+	"wrenspread/internal/proxy"
 )
 
 const (
@@ -21,19 +21,19 @@
 )
 
 // settingsOf is what the lab's platform tells a node of so many, with messages between them.
-func settingsOf(dir string, nodes int) (decide.Settings, error) {
+func settingsOf(dir string, nodes int) (balancer.Settings, error) {
 	path := filepath.Join(dir, "module.json")
 	c := platform.Node{Name: "n", Number: nodes / 3, Nodes: nodes, Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", PeerListen: "127.0.0.1:0"}
 	if err := c.Write(path, drawn, 1); err != nil {
-		return decide.Settings{}, err
+		return balancer.Settings{}, err
 	}
-	cfg, err := node.LoadConfig(path)
+	cfg, err := proxy.LoadConfig(path)
 	return cfg.Settings, err
 }
 
 // drawnServer is one of a drawn list.
-func drawnServer(i int) decide.Server {
-	return decide.Server{ID: decide.ServerID(uint32(i+1) * 2654435761), Zone: zoneOf(i), Kind: kindOf(i), Cell: i / 3, Size: 1}
+func drawnServer(i int) balancer.Server {
+	return balancer.Server{ID: balancer.ServerID(uint32(i+1) * 2654435761), Zone: zoneOf(i), Kind: kindOf(i), Cell: i / 3, Size: 1}
 }
 
 var drawn = world.Draw(1, 3, 1)
@@ -45,7 +45,7 @@
 type Sizes struct{ Backends, Nodes, Placements int }
 
 // place gives classes so many different rules of placement, each open to a third of the servers; one rule is none.
-func place(s *decide.Settings, rules int) {
+func place(s *balancer.Settings, rules int) {
 	plain := s.Classes
 	for i := range rules - 1 {
 		c := plain[i%len(plain)]
@@ -92,32 +92,32 @@
 }
 
 // module measures one module.
-func module(ctx context.Context, settings decide.Settings, backends int) (map[string]float64, error) {
-	list := make([]decide.Server, backends)
+func module(ctx context.Context, settings balancer.Settings, backends int) (map[string]float64, error) {
+	list := make([]balancer.Server, backends)
 	for i := range list {
 		list[i] = drawnServer(i)
 	}
 	empty, _ := heap()
-	m, now := decide.New(settings, 1), time.Hour
+	m, now := balancer.New(settings, 1), time.Hour
 	began := fleet.OwnCPU()
-	m.Handle(now, decide.ListUpdate{Kind: decide.ListFull, Version: 1, Entries: list})
+	m.Handle(now, balancer.ListUpdate{Kind: balancer.ListFull, Version: 1, Entries: list})
 	whole := seconds(fleet.OwnCPU() - began)
 	for i := range warmUp {
 		now += time.Millisecond
-		id := decide.RequestID(fmt.Sprint(i))
-		for _, a := range m.Handle(now, decide.RequestArrived{ID: id, Class: settings.Classes[0].Name, Patience: time.Second}) {
-			if s, ok := a.(decide.Send); ok {
-				m.Handle(now, decide.AttemptEnded{ID: id, Server: s.Server, Code: decide.OK, Over: true, Elapsed: 20 * time.Millisecond})
+		id := balancer.RequestID(fmt.Sprint(i))
+		for _, a := range m.Handle(now, balancer.RequestArrived{ID: id, Class: settings.Classes[0].Name, Patience: time.Second}) {
+			if s, ok := a.(balancer.Send); ok {
+				m.Handle(now, balancer.AttemptEnded{ID: id, Server: s.Server, Code: balancer.OK, Over: true, Elapsed: 20 * time.Millisecond})
 			}
 		}
 		if i%25 == 0 && backends <= 2000 {
-			m.Handle(now, decide.TimerFired{})
+			m.Handle(now, balancer.TimerFired{})
 		}
 	}
 	full, _ := heap()
 	round, roundPieces, err := cost(ctx, leastTicks, func(int) {
 		now += tick
-		m.Handle(now, decide.TimerFired{})
+		m.Handle(now, balancer.TimerFired{})
 	})
 	if err != nil {
 		return nil, err
@@ -125,10 +125,10 @@
 	change, changePieces, err := cost(ctx, 10, func(i int) { // a server drains, or comes back as a new process
 		s := &list[i/2*7919%backends]
 		now += tick
-		if s.State = decide.Draining; i%2 == 1 {
-			s.State, s.StartedAt = decide.Ready, now
+		if s.State = balancer.Draining; i%2 == 1 {
+			s.State, s.StartedAt = balancer.Ready, now
 		}
-		m.Handle(now, decide.ListUpdate{Kind: decide.ListChanges, Version: uint64(i + 2), Entries: []decide.Server{*s}})
+		m.Handle(now, balancer.ListUpdate{Kind: balancer.ListChanges, Version: uint64(i + 2), Entries: []balancer.Server{*s}})
 	})
 	return map[string]float64{"rest_cores": round / tick.Seconds(), "rest_pieces": roundPieces, "change_s": change, "change_pieces": changePieces,
 		"whole_s": whole, "memory_bytes": full - empty}, err
--- a/internal/lab/scale/nodes.go
+++ b/internal/lab/scale/nodes.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
 )
 
 const (
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pause.For(ctx, n.Rest)
+	backoff.Sleep(ctx, n.Rest)
 	rested, err := usedBy(r.nodes)
 	if err != nil {
 		return nil, err
@@ -79,9 +79,9 @@
 		if _, err := change(ctx, r.k, made, r.Backends); err != nil {
 			return nil, err
 		}
-		pause.For(ctx, time.Until(start.Add(time.Duration(made+1)*changePace)))
+		backoff.Sleep(ctx, time.Until(start.Add(time.Duration(made+1)*changePace)))
 	}
-	pause.For(ctx, time.Until(start.Add(n.Rest)))
+	backoff.Sleep(ctx, time.Until(start.Add(n.Rest)))
 	if _, err := r.k.Remove(ctx, fmt.Sprintf("s-%08x", r.Backends-1), nil); err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/page_test.go
+++ b/internal/lab/scale/page_test.go
@@ -27,7 +27,7 @@
 	if got, err := Page(text, records); err != nil {
 		t.Fatal(err)
 	} else if got != text {
-		t.Error("docs/CAPACITY.md differs from its records: make it with indigolab scale page")
+		t.Error("docs/CAPACITY.md differs from its records: make it with wrenspread-lab scale page")
 	}
 }
 
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -8,12 +8,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 const (
@@ -109,7 +109,7 @@
 			if err != nil {
 				return err
 			}
-			group := proc.NewGroup(log)
+			group := process.NewGroup(log)
 			defer group.Close(endTime)
 			r := rig{Sizes: Sizes{Nodes: n}, k: k, service: set.All[0].Proc(), controls: controls}
 			if r.nodes, err = p.begin(ctx, group, dir, controls); err != nil {
@@ -168,11 +168,11 @@
 		uses[i].service, err = useOf(r.service.Pid)
 		return err
 	}
-	pause.For(ctx, time.Second) // the last tenant is served
+	backoff.Sleep(ctx, time.Second) // the last tenant is served
 	if err := look(0); err != nil {
 		return nil, err
 	}
-	pause.For(ctx, p.Rest)
+	backoff.Sleep(ctx, p.Rest)
 	if err := look(1); err != nil {
 		return nil, err
 	}
@@ -182,7 +182,7 @@
 			return nil, err
 		}
 	}
-	pause.For(ctx, time.Second)
+	backoff.Sleep(ctx, time.Second)
 	took := time.Since(began)
 	if err := look(2); err != nil {
 		return nil, err
--- a/internal/lab/scale/rack.go
+++ b/internal/lab/scale/rack.go
@@ -7,13 +7,13 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
 )
 
 // Rack plays a rack gone at once: its nodes are killed, and nobody renews its backends.
 func (n *Nodes) Rack(ctx context.Context, p Plan, sizes []Sizes) error {
-	n.beside = beside{nodes: int(p.Assumed.RackNodes), lease: list.MaxTTL}
+	n.beside = beside{nodes: int(p.Assumed.RackNodes), lease: registry.MaxTTL}
 	return n.played(ctx, "rack", sizes, func(r rig) (map[string]float64, error) {
 		return r.rack(ctx, int(p.Assumed.RackBackends), time.Duration(p.Assumed.TTL*float64(time.Second)))
 	})
@@ -40,7 +40,7 @@
 			})
 		}
 		g.Go(func() error {
-			pause.For(ctx, time.Until(renewed.Add(ttl))) // sooner none expires
+			backoff.Sleep(ctx, time.Until(renewed.Add(ttl))) // sooner none expires
 			err := r.know(ctx, namesOf(lost, r.Backends))
 			settled = time.Since(renewed.Add(ttl))
 			return err
@@ -79,7 +79,7 @@
 	f, err := r.spent(ctx, func() error {
 		start := time.Now()
 		for ; time.Duration(done)*pace < last; done++ {
-			if !pause.For(ctx, time.Until(start.Add(time.Duration(done)*pace))) {
+			if !backoff.Sleep(ctx, time.Until(start.Add(time.Duration(done)*pace))) {
 				return ctx.Err()
 			}
 			if _, err := r.k.Remove(ctx, entryName(done), nil); err != nil {
@@ -89,7 +89,7 @@
 				return err
 			}
 		}
-		pause.For(ctx, time.Until(start.Add(last)))
+		backoff.Sleep(ctx, time.Until(start.Add(last)))
 		written = time.Since(start)
 		err := r.know(ctx, namesOf(done, r.Backends+done))
 		settled = time.Since(start) - written
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -9,24 +9,24 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/lab/history"
-	"indigotack/internal/lab/link"
-	"indigotack/internal/lab/platform"
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/history"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/lab/platform"
+	"wrenspread/internal/lab/process"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry/client"
 )
 
 // rig is nodes that follow one replica.
 type rig struct {
 	Sizes
 	k        *client.Client
-	service  *proc.Proc
-	nodes    []*proc.Proc
-	controls []string   // of the nodes, where operators call
-	beside   *proc.Proc // hollow nodes that are not measured
-	files    []string   // of the nodes' kept lists
+	service  *process.Proc
+	nodes    []*process.Proc
+	controls []string      // of the nodes, where operators call
+	beside   *process.Proc // hollow nodes that are not measured
+	files    []string      // of the nodes' kept lists
 	parts    bool
 	View     bool // the nodes keep one
 }
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		group := proc.NewGroup(log)
+		group := process.NewGroup(log)
 		defer group.Close(endTime)
 		r.controls = controls[:size.Nodes]
 		if r.nodes, err = n.begin(ctx, group, dir, r.controls); err != nil {
@@ -91,7 +91,7 @@
 			}
 			defer c.end()
 		}
-		pause.For(ctx, time.Second) // what begins is over
+		backoff.Sleep(ctx, time.Second) // what begins is over
 		return do(r)
 	})
 }
@@ -139,10 +139,10 @@
 func listFile(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("list", i)) }
 
 // begin starts the processes and waits until each node is ready.
-func (n *Nodes) begin(ctx context.Context, group *proc.Group, dir string, controls []string) (all []*proc.Proc, err error) {
+func (n *Nodes) begin(ctx context.Context, group *process.Group, dir string, controls []string) (all []*process.Proc, err error) {
 	if n.Kind == "hollow" {
 		p, err := n.hollow(ctx, group, dir, "hollow", controls, append(slices.Clone(n.Start), dir, strconv.Itoa(len(controls))))
-		return []*proc.Proc{p}, err
+		return []*process.Proc{p}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
@@ -160,13 +160,13 @@
 }
 
 // begunBeside starts the process of the nodes beside, from the first on.
-func (n *Nodes) begunBeside(ctx context.Context, group *proc.Group, dir string, first int, controls []string) (*proc.Proc, error) {
+func (n *Nodes) begunBeside(ctx context.Context, group *process.Group, dir string, first int, controls []string) (*process.Proc, error) {
 	command := append(slices.Clone(n.Start[:len(n.Start)-1]), "beside", dir, strconv.Itoa(first), strconv.Itoa(len(controls)), n.beside.every.String())
 	return n.hollow(ctx, group, dir, "beside", controls, command)
 }
 
 // hollow starts a process of hollow nodes and waits until each is ready.
-func (n *Nodes) hollow(ctx context.Context, group *proc.Group, dir, name string, controls, command []string) (*proc.Proc, error) {
+func (n *Nodes) hollow(ctx context.Context, group *process.Group, dir, name string, controls, command []string) (*process.Proc, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	p, err := n.start(group, dir, name, "PATH="+os.Getenv("PATH"), command)
@@ -181,12 +181,12 @@
 	return p, nil
 }
 
-func (n *Nodes) start(group *proc.Group, dir, name, env string, command []string) (*proc.Proc, error) {
-	return group.Start(proc.Spec{Name: name, Command: command, Dir: filepath.Join(dir, name), Env: append([]string{"HOME=" + dir, "TMPDIR=" + dir, env}, n.Env...)})
+func (n *Nodes) start(group *process.Group, dir, name, env string, command []string) (*process.Proc, error) {
+	return group.Start(process.Spec{Name: name, Command: command, Dir: filepath.Join(dir, name), Env: append([]string{"HOME=" + dir, "TMPDIR=" + dir, env}, n.Env...)})
 }
 
 // usedBy sums what processes have used.
-func usedBy(all []*proc.Proc) (sum use, err error) {
+func usedBy(all []*process.Proc) (sum use, err error) {
 	for _, p := range all {
 		u, err := useOf(p.Pid)
 		if err != nil {
--- a/internal/lab/scale/settled.go
+++ b/internal/lab/scale/settled.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
-	"indigotack/internal/sealed"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/checksumfile"
+	"wrenspread/internal/registry"
 )
 
 const (
@@ -25,7 +25,7 @@
 	defer cancel()
 	at := make(map[string]uint64, len(names))
 	for _, n := range names {
-		at[n] = list.Point(n)
+		at[n] = registry.Point(n)
 	}
 	for i, file := range r.files {
 		for {
@@ -36,7 +36,7 @@
 			if why == "" {
 				break
 			}
-			if !pause.For(ctx, lookEvery) {
+			if !backoff.Sleep(ctx, lookEvery) {
 				return fmt.Errorf("node %d of %d: %s: %w", i, len(r.files), why, ctx.Err())
 			}
 		}
@@ -46,7 +46,7 @@
 
 // differs says how a node's kept list is not what its part of the list has, by the servers' places; empty: it is that.
 func differs(file string, at map[string]uint64) (why string, err error) {
-	raw, err := sealed.Read(file, maxKept)
+	raw, err := checksumfile.Read(file, maxKept)
 	if err != nil {
 		return "", fmt.Errorf("a node's kept list: %w", err)
 	}
@@ -57,9 +57,9 @@
 	if err := json.Unmarshal(raw, &kept); err != nil {
 		return "", fmt.Errorf("a node's kept list: %w", err)
 	}
-	var part list.Part // all of the list, where it says nothing of one
+	var part registry.Part // all of the list, where it says nothing of one
 	if kept.Of.Part != "" {
-		if part, err = list.ParsePart(kept.Of.Part); err != nil {
+		if part, err = registry.ParsePart(kept.Of.Part); err != nil {
 			return "", err
 		}
 	}
@@ -93,7 +93,7 @@
 			if f[figure] == float64(want) {
 				break
 			}
-			if !pause.For(ctx, lookEvery) {
+			if !backoff.Sleep(ctx, lookEvery) {
 				return fmt.Errorf("node %d of %d has %s %v, not %d: %w", i, len(r.controls), figure, f[figure], want, ctx.Err())
 			}
 		}
--- a/internal/lab/scale/settled_test.go
+++ b/internal/lab/scale/settled_test.go
@@ -6,16 +6,16 @@
 	"strings"
 	"testing"
 
-	"indigotack/internal/list"
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
+	"wrenspread/internal/registry"
 )
 
 // TestDiffers: a kept list is settled if it has all servers of its part and no others.
 func TestDiffers(t *testing.T) {
-	part, at := list.Part{From: 0, Width: 1 << 14}, map[string]uint64{}
+	part, at := registry.Part{From: 0, Width: 1 << 14}, map[string]uint64{}
 	var inside, outside []string
 	for _, name := range namesOf(0, 40) {
-		if at[name] = list.Point(name); part.Holds(at[name]) {
+		if at[name] = registry.Point(name); part.Holds(at[name]) {
 			inside = append(inside, name)
 		} else {
 			outside = append(outside, name)
@@ -40,7 +40,7 @@
 			entries = append(entries, fmt.Sprintf(`{"name":%q}`, n))
 		}
 		file := filepath.Join(t.TempDir(), "list")
-		if err := sealed.Write(file, fmt.Appendf(nil, `{"of":{"part":%q},"entries":[%s]}`, c.of, strings.Join(entries, ","))); err != nil {
+		if err := checksumfile.Write(file, fmt.Appendf(nil, `{"of":{"part":%q},"entries":[%s]}`, c.of, strings.Join(entries, ","))); err != nil {
 			t.Fatal(err)
 		}
 		if why, err := differs(file, at); err != nil || (why == "") != c.same {
--- a/internal/lab/scale/spent.go
+++ b/internal/lab/scale/spent.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"indigotack/internal/lab/proc"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/process"
 )
 
 // A fault's worst second is looked for in steps of a fifth of one.
@@ -19,7 +19,7 @@
 
 // spent does something and gives what each node and the replica have used for it, in all and in the worst second.
 func (r rig) spent(ctx context.Context, do func() error) (map[string]float64, error) {
-	service := []*proc.Proc{r.service}
+	service := []*process.Proc{r.service}
 	nodes, err := usedBy(r.nodes)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	began := time.Now()
 	err = do()
 	took := time.Since(began)
-	pause.For(ctx, time.Second) // what is kept is written, and a second is whole
+	backoff.Sleep(ctx, time.Second) // what is kept is written, and a second is whole
 	stop()
 	peak := <-peaks
 	if err == nil {
@@ -64,7 +64,7 @@
 }
 
 // follow samples the use of nodes and of a service until ctx ends.
-func follow(ctx context.Context, nodes, service []*proc.Proc) (n, s worst, err error) {
+func follow(ctx context.Context, nodes, service []*process.Proc) (n, s worst, err error) {
 	type sample struct {
 		at             time.Time
 		nodes, service use
@@ -83,7 +83,7 @@
 			n.see(one.nodes, first.nodes, one.at.Sub(first.at))
 			s.see(one.service, first.service, one.at.Sub(first.at))
 		}
-		if !pause.For(ctx, sampleEvery) {
+		if !backoff.Sleep(ctx, sampleEvery) {
 			return n, s, nil
 		}
 	}
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -8,9 +8,9 @@
 	"runtime"
 	"time"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/policy"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/policy"
+	"wrenspread/internal/tenant"
 )
 
 // tenantForm is a tenant as the documentation's example has it.
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -9,10 +9,10 @@
 	"runtime"
 	"time"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 // workingSet is how many tenants a node works with in the measurement, of all that there are.
@@ -21,11 +21,11 @@
 // recordStore stands for the list service, whose records are fewer than the plan's tenants. What
 // a node reads is counted as its values' bytes: an answer's head and envelope come on top.
 type recordStore struct {
-	all   map[string]list.Record
+	all   map[string]registry.Record
 	bytes int
 }
 
-func (r *recordStore) Record(_ context.Context, key string) (list.Record, error) {
+func (r *recordStore) Record(_ context.Context, key string) (registry.Record, error) {
 	one, there := r.all[key]
 	if !there {
 		return one, &client.Refused{Status: http.StatusNotFound}
@@ -48,12 +48,12 @@
 	look    tenant.Look
 	now     time.Duration
 	version uint64
-	written int                    // bytes
-	kept    map[string]list.Record // pages that were taken away
+	written int                        // bytes
+	kept    map[string]registry.Record // pages that were taken away
 }
 
 func conduct(n int) (*conducted, error) {
-	c := &conducted{recordStore: recordStore{all: map[string]list.Record{}}, look: tenant.Look{Policy: tenant.Policy{Version: 1, Floors: map[string]float64{}, Whole: float64(2 * n)}}}
+	c := &conducted{recordStore: recordStore{all: map[string]registry.Record{}}, look: tenant.Look{Policy: tenant.Policy{Version: 1, Floors: map[string]float64{}, Whole: float64(2 * n)}}}
 	var s tenant.Stored
 	for i := range n {
 		f := tenantForm(i)
@@ -78,7 +78,7 @@
 			}
 			delete(c.all, p.Key)
 		} else {
-			c.all[p.Key] = list.Record{Key: p.Key, Value: p.Value, Version: c.version}
+			c.all[p.Key] = registry.Record{Key: p.Key, Value: p.Value, Version: c.version}
 		}
 		c.written += len(p.Value)
 		c.m.Wrote(p, c.version)
@@ -91,9 +91,9 @@
 
 // changes has tenants changed one after the other, notes the conductor's costs, and gives the
 // heads of all catalogues, whose pages stay.
-func (c *conducted) changes(ctx context.Context, figures map[string]float64) (heads []list.Record, err error) {
+func (c *conducted) changes(ctx context.Context, figures map[string]float64) (heads []registry.Record, err error) {
 	n := len(c.look.Boxes)
-	c.written, c.kept = 0, map[string]list.Record{}
+	c.written, c.kept = 0, map[string]registry.Record{}
 	began := fleet.OwnCPU()
 	for i := range playedOrders {
 		c.order((i*7919 + n/2) % n)
--- a/internal/lab/scale/use.go
+++ b/internal/lab/scale/use.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/lab/proc"
+	"wrenspread/internal/lab/process"
 )
 
 // use is what a process has used since its start, to the kernel's finest count.
@@ -25,12 +25,12 @@
 
 // useOf reads the use of a process.
 func useOf(pid int) (u use, err error) {
-	coarse, err := proc.UseOf(pid)
+	coarse, err := process.UseOf(pid)
 	if err != nil {
 		return u, err
 	}
 	u.RSS, u.FDs = float64(coarse.RSS), float64(coarse.FDs)
-	if u.CPU, err = proc.Ran(pid); err != nil {
+	if u.CPU, err = process.Ran(pid); err != nil {
 		return u, err
 	}
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"indigotack/internal/lab/fleet"
-	"indigotack/internal/sim/views"
+	"wrenspread/internal/lab/fleet"
+	"wrenspread/internal/sim/membership"
 )
 
 const viewCut = 30 * time.Second // of halves, before they heal
@@ -15,7 +15,7 @@
 func Apart(cut *time.Duration) func(ctx context.Context, run Run, sizes []int, say func(Point)) error {
 	return func(ctx context.Context, run Run, sizes []int, say func(Point)) error {
 		return run.points(ctx, "apart", "members", sizes, map[string]int{"cut_s": int(cut.Seconds())}, say, func(n int) (map[string]float64, error) {
-			g, err := views.Growth{Nodes: n, Seed: 1, Cut: *cut, Moves: max(1, n/40)}.Measure(ctx)
+			g, err := membership.Growth{Nodes: n, Seed: 1, Cut: *cut, Moves: max(1, n/40)}.Measure(ctx)
 			return map[string]float64{"moves": float64(4 * max(1, n/40)), "heal_s": seconds(g.Heal), "peak_bytes_per_s": float64(g.Peak), "datagram_bytes_per_s": g.Bytes}, err
 		})
 	}
@@ -26,7 +26,7 @@
 func View(ctx context.Context, run Run, sizes []int, say func(Point)) error {
 	return run.points(ctx, "view", "members", sizes, nil, say, func(n int) (map[string]float64, error) {
 		began := fleet.OwnCPU()
-		g, err := views.Growth{Nodes: n, Seed: 1, Cut: viewCut}.Measure(ctx)
+		g, err := membership.Growth{Nodes: n, Seed: 1, Cut: viewCut}.Measure(ctx)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/internal/lab/quorum"
-	"indigotack/internal/lab/replicas"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/lab/quorum"
+	"wrenspread/internal/lab/replicas"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 const (
@@ -29,7 +29,7 @@
 type Lists struct {
 	Run
 	Dir     string        // for what the programs keep
-	Program []string      // indigolist
+	Program []string      // wrenspread-registry
 	Env     []string      // of it
 	Parts   bool          // watchers follow the parts of so many nodes as the plan has, each its own
 	Rest    time.Duration // for which nothing happens, and then changes come to nodes
@@ -50,14 +50,14 @@
 }
 
 // change is one change of an entry that every watcher gets: it restarts.
-func change(ctx context.Context, k *client.Client, i, entries int) (list.Result, error) {
+func change(ctx context.Context, k *client.Client, i, entries int) (registry.Result, error) {
 	return k.Register(ctx, entryOf(i%entries), 0, nil)
 }
 
 // entryOf is a server of a drawn list that has just started.
-func entryOf(n int) list.Entry {
-	return list.Entry{Name: entryName(n), Address: fmt.Sprintf("10.1.%d.%d:5000", n>>8&255, n&255), Zone: zoneOf(n), Type: kindOf(n),
-		Group: n / 3, Status: list.Ready, Weight: 1, SinceMS: time.Now().UnixMilli()}
+func entryOf(n int) registry.Entry {
+	return registry.Entry{Name: entryName(n), Address: fmt.Sprintf("10.1.%d.%d:5000", n>>8&255, n&255), Zone: zoneOf(n), Type: kindOf(n),
+		Group: n / 3, Status: registry.Ready, Weight: 1, SinceMS: time.Now().UnixMilli()}
 }
 
 // entryName is that of quorum.Fill.
@@ -69,7 +69,7 @@
 	have   []atomic.Uint64 // the version that each has
 	when   []atomic.Int64  // it came, in ns since begun
 	begun  time.Time
-	part   []atomic.Pointer[list.Part] // that each follows; nil: all
+	part   []atomic.Pointer[registry.Part] // that each follows; nil: all
 	follow sync.WaitGroup
 	stop   context.CancelFunc
 }
@@ -77,18 +77,18 @@
 // gather starts watchers, some together, and waits until all have a version.
 func (l *Lists) gather(ctx context.Context, addresses []string, together, n int, version uint64) (*crowd, error) {
 	following, stop := context.WithCancel(ctx)
-	c := &crowd{all: make([]*client.Client, n), have: make([]atomic.Uint64, n), when: make([]atomic.Int64, n), part: make([]atomic.Pointer[list.Part], n), begun: time.Now(), stop: stop}
+	c := &crowd{all: make([]*client.Client, n), have: make([]atomic.Uint64, n), when: make([]atomic.Int64, n), part: make([]atomic.Pointer[registry.Part], n), begun: time.Now(), stop: stop}
 	for i := range n {
-		conf := client.Config{Addresses: addresses, Hold: holdOfNode, Taken: func(a list.Answer) {
+		conf := client.Config{Addresses: addresses, Hold: holdOfNode, Taken: func(a registry.Answer) {
 			c.when[i].Store(int64(time.Since(c.begun)))
-			if part, err := list.ParsePart(a.Part); err == nil {
+			if part, err := registry.ParsePart(a.Part); err == nil {
 				c.part[i].Store(&part)
 			}
 			c.have[i].Store(a.Index)
 		}}
 		if l.Parts {
-			conf.Part = func(has list.Part, total int, entries []list.Entry) list.Part {
-				return has.Next(i, fleetNodes, total, entries, []list.Group{{}})
+			conf.Part = func(has registry.Part, total int, entries []registry.Entry) registry.Part {
+				return has.Next(i, fleetNodes, total, entries, []registry.Group{{}})
 			}
 		}
 		k, err := client.New(conf)
@@ -116,7 +116,7 @@
 // concerned tells whether a watcher is to hear of an entry: of each, unless it follows a part.
 func (c *crowd) concerned(i int, entry string) bool {
 	part := c.part[i].Load()
-	return part == nil || entry == "" || part.Holds(list.Point(entry))
+	return part == nil || entry == "" || part.Holds(registry.Point(entry))
 }
 
 // await waits until the first so many have a version, those that it concerns where it is of an entry.
@@ -128,7 +128,7 @@
 			continue
 		}
 		for c.have[i].Load() < version {
-			if !pause.For(ctx, time.Millisecond) {
+			if !backoff.Sleep(ctx, time.Millisecond) {
 				return fmt.Errorf("watcher %d of %d stays at version %d, not %d: %w", i, len(c.all), c.have[i].Load(), version, ctx.Err())
 			}
 		}
@@ -198,7 +198,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pause.For(ctx, l.Rest)
+	backoff.Sleep(ctx, l.Rest)
 	rested, err := both(pid)
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/zone.go
+++ b/internal/lab/scale/zone.go
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry/client"
 )
 
 const (
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"indigotack/internal/lab/world"
+	"wrenspread/internal/lab/world"
 )
 
 // The parties that are not numbered.
--- a/internal/duty/core.go
+++ b/internal/lease/core.go
@@ -1,13 +1,13 @@
 // Package duty lets a process hold duties: jobs that one process holds at a time,
 // which the list service gives to the next when it fails.
-package duty
+package lease
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Times of a session. With drift as the most by which a clock's rate is off, a
@@ -48,7 +48,7 @@
 
 // want is one duty that this process wants.
 type want struct {
-	wish    list.Wish
+	wish    registry.Wish
 	rank    int           // at the end those of higher rank are handed on first
 	in      bool          // it waits for it or holds it
 	heard   uint64        // the fence under which it holds it; 0: it does not
@@ -74,7 +74,7 @@
 }
 
 // add begins to want a duty.
-func (c *core) add(wish list.Wish, rank int) *want {
+func (c *core) add(wish registry.Wish, rank int) *want {
 	w := &want{wish: wish, rank: rank, rest: firstRest}
 	c.wants = append(c.wants, w)
 	return w
@@ -106,13 +106,13 @@
 }
 
 // hear takes an answer on the session's duties. One older than another is passed over.
-func (c *core) hear(now time.Duration, session string, a list.DutyAnswer) {
+func (c *core) hear(now time.Duration, session string, a registry.DutyAnswer) {
 	if !c.open || a.Epoch == c.epoch && a.Index < c.index {
 		return
 	}
 	c.index, c.epoch = a.Index, a.Epoch
 	for _, w := range c.wants {
-		i := slices.IndexFunc(a.Duties, func(d list.Duty) bool { return d.Name == w.wish.Duty })
+		i := slices.IndexFunc(a.Duties, func(d registry.Duty) bool { return d.Name == w.wish.Duty })
 		if w.in = i >= 0; !w.in || a.Duties[i].Holder != session {
 			w.heard, w.asked = 0, false
 			continue
@@ -124,7 +124,7 @@
 	}
 	for _, d := range a.Duties { // of a campaign whose end was not known, and that nobody waits for
 		if !slices.ContainsFunc(c.wants, func(w *want) bool { return w.wish.Duty == d.Name }) {
-			w := c.add(list.Wish{Duty: d.Name}, 0)
+			w := c.add(registry.Wish{Duty: d.Name}, 0)
 			w.in, w.over = true, true
 			if d.Holder == session {
 				w.heard, w.heardAt = d.Fence, now
--- a/internal/duty/core_test.go
+++ b/internal/lease/core_test.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // sim plays processes' cores against the service's state machine, on clocks that
@@ -14,8 +14,8 @@
 type sim struct {
 	chance  *rand.Rand
 	real    time.Duration
-	state   *list.State
-	due     *list.Deadlines
+	state   *registry.State
+	due     *registry.Deadlines
 	rate    float64 // of the leader's clock
 	procs   []*player
 	flight  []message
@@ -75,7 +75,7 @@
 	s.flight = append(s.flight, message{s.real + late, do})
 }
 
-func (s *sim) apply(c list.Command) list.Result {
+func (s *sim) apply(c registry.Command) registry.Result {
 	c.Grant = []string{"d"}
 	r := s.state.Apply(c)
 	d, _ := s.state.Duty("d") // forgotten where nobody wants it
@@ -90,13 +90,13 @@
 }
 
 func newSim(seed uint64, ttl time.Duration) *sim {
-	s := &sim{chance: rand.New(rand.NewPCG(seed, 7)), state: list.NewState(), guard: true}
-	s.state.Apply(list.Command{Do: list.DoBegin, Epoch: "e"})
+	s := &sim{chance: rand.New(rand.NewPCG(seed, 7)), state: registry.NewState(), guard: true}
+	s.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
 	s.rate = s.drawRate()
-	s.due = list.NewDeadlines(nil, 0)
+	s.due = registry.NewDeadlines(nil, 0)
 	for range 3 {
 		p := &player{c: &core{ttl: ttl}, rate: s.drawRate()}
-		p.want = p.c.add(list.Wish{Duty: "d", Priority: s.chance.IntN(2), Over: s.chance.IntN(3) == 0}, 0)
+		p.want = p.c.add(registry.Wish{Duty: "d", Priority: s.chance.IntN(2), Over: s.chance.IntN(3) == 0}, 0)
 		s.procs = append(s.procs, p)
 	}
 	return s
@@ -125,13 +125,13 @@
 func (s *sim) serve() {
 	if s.chance.IntN(400) == 0 {
 		s.rate = s.drawRate()
-		s.due = list.NewDeadlines(s.state.Sessions(), s.leader())
+		s.due = registry.NewDeadlines(s.state.Sessions(), s.leader())
 	}
 	if ids := s.due.Due(s.leader()); len(ids) > 0 {
-		s.apply(list.Command{Do: list.DoClose, Sessions: ids})
+		s.apply(registry.Command{Do: registry.DoClose, Sessions: ids})
 	}
 	if s.chance.IntN(300) == 0 {
-		s.apply(list.Command{Do: list.DoYield, Name: "d"})
+		s.apply(registry.Command{Do: registry.DoYield, Name: "d"})
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	if s.chance.IntN(1000) == 0 { // it dies, and a new process comes
 		p.c, p.running, p.stopAt, p.session = &core{ttl: p.c.ttl}, 0, 0, ""
-		p.want = p.c.add(list.Wish{Duty: "d"}, 0)
+		p.want = p.c.add(registry.Wish{Duty: "d"}, 0)
 	}
 	s.talk(i, p)
 	for _, a := range p.c.step(p.now(s)) {
@@ -175,16 +175,16 @@
 	case "stop":
 		p.stopAt = s.real + time.Duration(s.chance.Int64N(int64(simTTL/stopPart-2*simStep)))
 	default:
-		do := list.DoCampaign
+		do := registry.DoCampaign
 		if a.do == "give-up" {
-			do = list.DoGiveUp
+			do = registry.DoGiveUp
 		}
 		answered := false
 		s.send(p, func() {
-			r := s.apply(list.Command{Do: do, Session: &list.Session{ID: id}, Wishes: []list.Wish{w.wish}})
+			r := s.apply(registry.Command{Do: do, Session: &registry.Session{ID: id}, Wishes: []registry.Wish{w.wish}})
 			s.send(p, func() {
 				if answered = true; p.c == c && p.session == id {
-					c.called(w, a.do == "give-up", r.Code == list.Done)
+					c.called(w, a.do == "give-up", r.Code == registry.Done)
 				}
 			})
 		})
@@ -207,8 +207,8 @@
 		p.n++
 		id := fmt.Sprintf("p%d-%d", i, p.n)
 		s.send(p, func() {
-			one := list.Session{ID: id, Process: fmt.Sprint("p", i), TTL: simTTL}
-			s.apply(list.Command{Do: list.DoSession, Session: &one})
+			one := registry.Session{ID: id, Process: fmt.Sprint("p", i), TTL: simTTL}
+			s.apply(registry.Command{Do: registry.DoSession, Session: &one})
 			s.due.Set(one, s.leader())
 			s.send(p, func() {
 				if p.c == c && !c.open {
@@ -235,7 +235,7 @@
 	})
 	s.send(p, func() {
 		all, ok := s.state.Duties(id)
-		a := list.DutyAnswer{Index: s.state.DutiesVersion(), Epoch: "e", Duties: all}
+		a := registry.DutyAnswer{Index: s.state.DutiesVersion(), Epoch: "e", Duties: all}
 		s.send(p, func() {
 			if ok && p.c == c && p.session == id {
 				c.hear(p.now(s), id, a)
@@ -329,10 +329,10 @@
 func TestRanks(t *testing.T) {
 	c := &core{ttl: simTTL}
 	c.opened()
-	a := list.DutyAnswer{Index: 1}
+	a := registry.DutyAnswer{Index: 1}
 	for i, rank := range []int{0, 2, 2, -1} {
-		w := c.add(list.Wish{Duty: fmt.Sprint("d", i)}, rank)
-		a.Duties = append(a.Duties, list.Duty{Name: w.wish.Duty, Holder: "me", Fence: uint64(i + 2)})
+		w := c.add(registry.Wish{Duty: fmt.Sprint("d", i)}, rank)
+		a.Duties = append(a.Duties, registry.Duty{Name: w.wish.Duty, Holder: "me", Fence: uint64(i + 2)})
 	}
 	c.hear(1, "me", a)
 	c.renewed(2)
--- a/internal/duty/process.go
+++ b/internal/lease/process.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // Config says who holds duties, and by which service.
@@ -22,12 +22,12 @@
 	Client  *client.Client // the process's own: it goes on to another replica when one fails
 	Process string         // its name, the same over its restarts
 	TTL     time.Duration  // after so long without a word from it, others get its duties; 0: DefaultTTL
-	Word    list.Word      // what it tells others of itself
+	Word    registry.Word  // what it tells others of itself
 	Log     *slog.Logger   // nil: none
 }
 
 // Fence proves that an order comes from the holder of a duty.
-type Fence = list.Fence
+type Fence = registry.Fence
 
 // ErrClosed ends the wish of a process that closes.
 var ErrClosed = errors.New("duty: this process is closing")
@@ -78,8 +78,8 @@
 	if c.Process == "" || c.Client == nil {
 		return nil, errors.New("duty: a process needs a name and a client of the list service")
 	}
-	if c.TTL < list.MinSessionTTL || c.TTL > list.MaxSessionTTL {
-		return nil, fmt.Errorf("duty: ttl: %v is not between %v and %v", c.TTL, list.MinSessionTTL, list.MaxSessionTTL)
+	if c.TTL < registry.MinSessionTTL || c.TTL > registry.MaxSessionTTL {
+		return nil, fmt.Errorf("duty: ttl: %v is not between %v and %v", c.TTL, registry.MinSessionTTL, registry.MaxSessionTTL)
 	}
 	p := &Process{c: c, log: c.Log, start: time.Now(), core: &core{ttl: c.TTL}, works: map[*want]*work{}, wake: make(chan struct{}, 1),
 		renew: make(chan struct{}, 1), changed: make(chan struct{})}
@@ -97,7 +97,7 @@
 
 // wanted is a wish, with what only its process has to know.
 type wanted struct {
-	list.Wish
+	registry.Wish
 	rank int
 }
 
@@ -130,7 +130,7 @@
 // is done (nil), ctx ends (its error) or the process closes. It returns once the
 // work has stopped and the duty is given up.
 func (p *Process) Run(ctx context.Context, name string, do Work, options ...Option) error {
-	wish := wanted{Wish: list.Wish{Duty: name}}
+	wish := wanted{Wish: registry.Wish{Duty: name}}
 	for _, o := range options {
 		o(&wish)
 	}
@@ -268,7 +268,7 @@
 		p.changed = make(chan struct{})
 		p.mu.Unlock()
 		for do, wants := range calls {
-			for some := range slices.Chunk(wants, list.MaxBatch) {
+			for some := range slices.Chunk(wants, registry.MaxBatch) {
 				p.tasks.Go(func() { p.call(do, session, some) })
 			}
 		}
@@ -326,7 +326,7 @@
 func (p *Process) call(do, session string, wants []*want) {
 	ctx, cancel := context.WithTimeout(p.ctx, callTime)
 	defer cancel()
-	var wishes []list.Wish
+	var wishes []registry.Wish
 	for _, w := range wants {
 		wishes = append(wishes, w.wish)
 	}
@@ -337,7 +337,7 @@
 	_, err := ask(ctx, session, wishes)
 	if err != nil && p.ctx.Err() == nil {
 		p.log.Warn("the list service does not take it", "call", do, "duties", len(wishes), "err", err)
-		pause.For(p.ctx, failWait)
+		backoff.Sleep(p.ctx, failWait)
 	}
 	p.note(func(time.Duration) {
 		if session != p.session {
@@ -383,7 +383,7 @@
 	id := hex.EncodeToString(b)
 	ctx, cancel := context.WithTimeout(p.ctx, max(within, time.Second))
 	defer cancel()
-	if err := p.c.Client.OpenSession(ctx, list.Session{ID: id, Process: p.c.Process, TTL: p.c.TTL, Word: p.c.Word}); err != nil {
+	if err := p.c.Client.OpenSession(ctx, registry.Session{ID: id, Process: p.c.Process, TTL: p.c.TTL, Word: p.c.Word}); err != nil {
 		return err
 	}
 	p.note(func(time.Duration) {
@@ -440,7 +440,7 @@
 		cancel()
 		switch {
 		case err != nil: // also of a replica that lags and does not know the session: the renewal finds out
-			pause.For(p.ctx, failWait)
+			backoff.Sleep(p.ctx, failWait)
 		default:
 			p.note(func(now time.Duration) {
 				if id == p.session {
--- a/internal/duty/process_test.go
+++ b/internal/lease/process_test.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import (
 	"context"
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/trial"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/lab/labtest"
+	"wrenspread/internal/registry/client"
 )
 
 // TestProcesses: a process wants a duty once at a time; work that fails is rested and
 // its duty goes to the next; a process that closes hands on; work that is done ends the wish.
 func TestProcesses(t *testing.T) {
-	service, _ := trial.List(t)
+	service, _ := labtest.List(t)
 	open := func(name string) *Process {
 		k, err := client.New(client.Config{Addresses: []string{service}})
 		if err != nil {
@@ -26,7 +26,7 @@
 		}
 		return p
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), trial.Enough)
+	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
 	a, b := open("a"), open("b")
 	began := make(chan string, 10)
@@ -73,7 +73,7 @@
 	if second <= first {
 		t.Errorf("fence %d after %d", second, first)
 	}
-	if err := b.Close(trial.Enough); err != nil {
+	if err := b.Close(labtest.Enough); err != nil {
 		t.Error(err)
 	}
 	if err := <-ended; !errors.Is(err, ErrClosed) {
@@ -82,7 +82,7 @@
 	if third := next("a"); third <= second {
 		t.Errorf("fence %d after %d", third, second)
 	}
-	if err := a.Close(trial.Enough); err != nil {
+	if err := a.Close(labtest.Enough); err != nil {
 		t.Error(err)
 	}
 	<-ended
@@ -90,7 +90,7 @@
 	if err := c.Run(ctx, "d", func(context.Context, Fence) error { return nil }); err != nil {
 		t.Errorf("work that is done ends with %v", err)
 	}
-	if err := c.Close(trial.Enough); err != nil {
+	if err := c.Close(labtest.Enough); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/duty/race_test.go
+++ b/internal/lease/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package duty
+package lease
 
 const raceDetector = true
--- a/internal/duty/until.go
+++ b/internal/lease/until.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 import "time"
 
--- a/internal/fleet/config.go
+++ b/internal/membership/config.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"net/netip"
 	"time"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // Config is what a Core starts with. Zero durations and counts take the defaults.
--- a/internal/fleet/core.go
+++ b/internal/membership/core.go
@@ -1,9 +1,9 @@
-package fleet
+package membership
 
 import (
 	"math/rand/v2"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // Core is one node's part in keeping the view. It is not safe for use by two goroutines at once.
--- a/internal/fleet/digest.go
+++ b/internal/membership/digest.go
@@ -1,6 +1,6 @@
-package fleet
+package membership
 
-import "indigotack/internal/fleet/wire"
+import "wrenspread/internal/membership/wire"
 
 // The digest of a view is the exclusive or of its members' sums; so are the digests of the 16 and 256 ranges that the hashes of
 // names fall into by their first four and eight bits. At 3,000 members a range of 256 has about twelve: one List.
--- a/internal/fleet/doc.go
+++ b/internal/membership/doc.go
@@ -8,4 +8,4 @@
 // It is written from the published descriptions of SWIM (probes in shuffled rounds, indirect probes, suspicion, news riding on
 // probes) and Lifeguard (local health, fewer accusers means more time, telling the suspect). Its own are the order of lives, the
 // digests of ranges, and the rules for two processes of one name.
-package fleet
+package membership
--- a/internal/fleet/forget.go
+++ b/internal/membership/forget.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 // putAway takes those long dead or left out of the digest, and forgets those longer so. In between they are remembered, so
 // that a stale word can't bring them back.
--- a/internal/fleet/gossip.go
+++ b/internal/membership/gossip.go
@@ -1,10 +1,10 @@
-package fleet
+package membership
 
 import (
 	"math/bits"
 	"slices"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 const (
--- a/internal/node/view/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -1,11 +1,11 @@
-package view
+package gossip
 
 import (
 	"cmp"
 	"context"
 	"log/slog"
 
-	"indigotack/internal/fleet"
+	"wrenspread/internal/membership"
 )
 
 // Lines of the log, a second and at once; more are counted and told with the next.
@@ -15,7 +15,7 @@
 )
 
 // changed keeps what the shell holds beside the core: counts, addresses, numbers.
-func (s *Shell) changed(a fleet.Changed) {
+func (s *Shell) changed(a membership.Changed) {
 	s.changes.Add(1)
 	if b := a.Before; b.Name != "" {
 		s.health[b.Health].Add(-1)
@@ -30,7 +30,7 @@
 	s.health[m.Health].Add(1)
 	s.numbers[m.Name] = m.Number
 	s.note(m)
-	if m.Health <= fleet.Suspect {
+	if m.Health <= membership.Suspect {
 		s.known.Store(m.Addr, true)
 	}
 	if b := a.Before; m.Health != b.Health || m.Life != b.Life || m.Facts.State != b.Facts.State {
--- a/internal/node/view/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -1,11 +1,11 @@
-package view
+package gossip
 
 import (
 	"net/netip"
 	"sync/atomic"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/membership/wire"
 )
 
 // Datagrams of this fleet from addresses of no member, a second and at once: what 300 that join within a second send until they
@@ -37,13 +37,13 @@
 		return
 	}
 	select {
-	case s.events <- fleet.Received{From: from, Data: append([]byte(nil), data...)}:
+	case s.events <- membership.Received{From: from, Data: append([]byte(nil), data...)}:
 	default:
 		s.came.dropped.Add(1)
 	}
 }
 
-func (s *Shell) send(a fleet.Send) {
+func (s *Shell) send(a membership.Send) {
 	to := s.address(a.Name, a.To)
 	if !to.IsValid() {
 		return
--- a/internal/node/view/facts.go
+++ b/internal/membership/gossip/facts.go
@@ -1,6 +1,6 @@
-package view
+package gossip
 
-import "indigotack/internal/fleet"
+import "wrenspread/internal/membership"
 
 type versions struct{ catalogue, policy uint64 }
 
@@ -9,8 +9,8 @@
 func (s *Shell) SetVersions(catalogue, policy uint64) { s.versions.Store(&versions{catalogue, policy}) }
 
 // currentFacts is what the node says of itself now.
-func (s *Shell) currentFacts() fleet.Facts {
+func (s *Shell) currentFacts() membership.Facts {
 	v := s.versions.Load()
 	state, load := s.cfg.Doing()
-	return fleet.Facts{Zone: s.cfg.Zone, Version: s.cfg.Version, Catalogue: v.catalogue, Policy: v.policy, Load: load, State: state}
+	return membership.Facts{Zone: s.cfg.Zone, Version: s.cfg.Version, Catalogue: v.catalogue, Policy: v.policy, Load: load, State: state}
 }
--- a/internal/node/view/fixture_test.go
+++ b/internal/membership/gossip/fixture_test.go
@@ -1,9 +1,9 @@
-package view
+package gossip
 
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestReportAndHandoffFormsAreUnchanged compares what operators read and what a new process takes over with golden files.
--- a/internal/node/view/handover.go
+++ b/internal/membership/gossip/handover.go
@@ -1,9 +1,9 @@
-package view
+package gossip
 
 import (
 	"net/netip"
 
-	"indigotack/internal/fleet"
+	"wrenspread/internal/membership"
 )
 
 // mostHanded bounds the addresses that are handed over. One that answers is enough; 16 are all lost once in 10 to the 8 at a
@@ -14,7 +14,7 @@
 type Handed struct {
 	Life        uint64           `json:"life"`
 	Incarnation uint32           `json:"incarnation"`
-	State       fleet.State      `json:"state"`
+	State       membership.State `json:"state"`
 	Join        []netip.AddrPort `json:"join,omitempty"` // living members, to learn the view from; at most mostHanded count
 }
 
@@ -27,7 +27,7 @@
 		switch to := s.address(m.Name, m.Addr); {
 		case m.Name == s.cfg.Name:
 			h.Life, h.Incarnation, h.State = m.Life, m.Incarnation, m.Facts.State
-		case m.Health == fleet.Alive && to.IsValid() && len(h.Join) < mostHanded:
+		case m.Health == membership.Alive && to.IsValid() && len(h.Join) < mostHanded:
 			h.Join = append(h.Join, to)
 		}
 	}
--- a/internal/node/view/report.go
+++ b/internal/membership/gossip/report.go
@@ -1,11 +1,11 @@
-package view
+package gossip
 
 import (
 	"context"
 	"fmt"
 	"io"
 
-	"indigotack/internal/fleet"
+	"wrenspread/internal/membership"
 )
 
 // Report is what a node says of its view on the control address: at most 4,096 members, as many as the core remembers.
@@ -83,8 +83,8 @@
 func (s *Shell) WriteStats(w io.Writer) {
 	for _, g := range []struct {
 		name   string
-		health fleet.Health
-	}{{"alive", fleet.Alive}, {"suspect", fleet.Suspect}, {"dead", fleet.Dead}} {
+		health membership.Health
+	}{{"alive", membership.Alive}, {"suspect", membership.Suspect}, {"dead", membership.Dead}} {
 		fmt.Fprintf(w, "app.fleet.%s:%d|g\n", g.name, s.health[g.health].Load())
 	}
 	t := s.sent.read()
--- a/internal/node/view/shell.go
+++ b/internal/membership/gossip/shell.go
@@ -1,6 +1,6 @@
 // Package view is the shell of the fleet's view in a node: it gives the core of package fleet its datagrams and its time, and
 // carries out what that decides. It knows neither the node nor its sockets.
-package view
+package gossip
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"golang.org/x/time/rate"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/membership/wire"
 )
 
 // Config is what a Shell starts with.
@@ -26,8 +26,8 @@
 	Peers         []netip.AddrPort // the configured addresses, by members' numbers; they go before what members advertise
 	Period        time.Duration    // 0: the core's
 	Zone, Version string
-	Doing         func() (state fleet.State, load uint16)  // asked in each period by the owner; must not wait
-	Write         func(to netip.AddrPort, datagram []byte) // must not wait for an answer
+	Doing         func() (state membership.State, load uint16) // asked in each period by the owner; must not wait
+	Write         func(to netip.AddrPort, datagram []byte)     // must not wait for an answer
 	Log           *slog.Logger
 	Handed        *Handed // by the process of this node before; nil: there is none
 }
@@ -40,7 +40,7 @@
 	cfg    Config
 	hash   uint32 // of the fleet's name
 	start  time.Time
-	events chan fleet.Event
+	events chan membership.Event
 	calls  chan func()
 	stop   context.CancelFunc
 	ended  chan struct{}
@@ -56,11 +56,11 @@
 	versions  atomic.Pointer[versions]
 
 	// The rest belongs to the owner.
-	core    *fleet.Core
+	core    *membership.Core
 	timer   *time.Timer
 	due     time.Duration
 	worst   time.Duration // lateness of a wake
-	facts   fleet.Facts
+	facts   membership.Facts
 	numbers map[string]int // of members among the peers
 	lines   *rate.Limiter
 	unsaid  int
@@ -72,28 +72,28 @@
 // Start begins to keep the view. cfg has passed Check.
 func Start(ctx context.Context, cfg Config) *Shell {
 	ctx, stop := context.WithCancel(ctx)
-	s := &Shell{cfg: cfg, hash: wire.FleetHash(cfg.Fleet), start: time.Now(), events: make(chan fleet.Event, queued), calls: make(chan func()), stop: stop, ended: make(chan struct{}),
+	s := &Shell{cfg: cfg, hash: wire.FleetHash(cfg.Fleet), start: time.Now(), events: make(chan membership.Event, queued), calls: make(chan func()), stop: stop, ended: make(chan struct{}),
 		strangers: rate.NewLimiter(strangersRate, strangersBurst), lines: rate.NewLimiter(linesRate, linesBurst), numbers: map[string]int{}, peers: map[netip.AddrPort]bool{}, timer: time.NewTimer(0)}
 	for _, a := range cfg.Peers {
 		s.peers[a] = true
 	}
 	s.versions.Store(&versions{})
-	s.health[fleet.Alive].Store(1)
+	s.health[membership.Alive].Store(1)
 	s.facts = s.currentFacts()
-	s.core = fleet.New(s.coreConfig(), s.now())
+	s.core = membership.New(s.coreConfig(), s.now())
 	go s.run(ctx)
 	return s
 }
 
 // Check says what Start could not work with.
 func (cfg Config) Check() error {
-	return fleet.Config{Fleet: cfg.Fleet, Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Facts: fleet.Facts{Zone: cfg.Zone, Version: cfg.Version}}.Check()
+	return membership.Config{Fleet: cfg.Fleet, Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Facts: membership.Facts{Zone: cfg.Zone, Version: cfg.Version}}.Check()
 }
 
 // coreConfig has the node begin a new life, unless one was handed over.
-func (s *Shell) coreConfig() fleet.Config {
+func (s *Shell) coreConfig() membership.Config {
 	cfg := s.cfg
-	c := fleet.Config{Fleet: cfg.Fleet, Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Facts: s.facts, Seeds: cfg.Seeds, Period: cfg.Period,
+	c := membership.Config{Fleet: cfg.Fleet, Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Facts: s.facts, Seeds: cfg.Seeds, Period: cfg.Period,
 		Seed: uint64(s.start.UnixNano()), Life: uint64(s.start.UnixMilli())}
 	if h := cfg.Handed; h != nil {
 		on := c
@@ -107,7 +107,7 @@
 	return c
 }
 
-func (s *Shell) now() fleet.Time { return time.Since(s.start) }
+func (s *Shell) now() membership.Time { return time.Since(s.start) }
 
 // run is the owner.
 func (s *Shell) run(ctx context.Context) {
@@ -124,33 +124,33 @@
 		case <-s.timer.C:
 			if f := s.currentFacts(); f != s.facts {
 				s.facts = f
-				s.handle(fleet.FactsChanged{Facts: f})
+				s.handle(membership.FactsChanged{Facts: f})
 			}
-			s.handle(fleet.Tick{})
+			s.handle(membership.Tick{})
 		}
 	}
 }
 
-func (s *Shell) handle(e fleet.Event) {
+func (s *Shell) handle(e membership.Event) {
 	now := s.now()
 	s.worst = max(s.worst, now-s.due)
 	for _, a := range s.core.Handle(now, e) {
 		switch a := a.(type) {
-		case fleet.Send:
+		case membership.Send:
 			s.send(a)
-		case fleet.Wake:
+		case membership.Wake:
 			s.due = s.now() + a.After
 			s.timer.Reset(a.After)
-		case fleet.Changed:
+		case membership.Changed:
 			s.changed(a)
-		case fleet.Conflict:
+		case membership.Conflict:
 			s.say(slog.LevelError, "another process has this node's name", "life", a.Life, "from", a.From, "yielded", a.Yielded)
 			if a.Yielded {
 				s.due = math.MaxInt64 // it wakes no more
 			}
-		case fleet.Gone:
+		case membership.Gone:
 			s.gone = true
-		case fleet.Log:
+		case membership.Log:
 			s.say(slog.LevelInfo, "fleet: "+a.Text)
 		}
 	}
@@ -172,7 +172,7 @@
 // Leave tells the others that this node goes on purpose, and returns when that has been said or the context ends.
 func (s *Shell) Leave(ctx context.Context) {
 	defer s.stop()
-	if !s.do(ctx, func() { s.handle(fleet.Leave{}) }) {
+	if !s.do(ctx, func() { s.handle(membership.Leave{}) }) {
 		return
 	}
 	select {
--- a/internal/node/view/shell_test.go
+++ b/internal/membership/gossip/shell_test.go
@@ -1,4 +1,4 @@
-package view
+package gossip
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"go.uber.org/goleak"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/membership/wire"
 )
 
 const enough = 30 * time.Second // only a hang takes so long
@@ -27,7 +27,7 @@
 
 func (n *network) start(ctx context.Context, i int, handed *Handed) *Shell {
 	s := Start(ctx, Config{Fleet: "f", Name: string(rune('a' + i)), Number: -1, Addr: addr(i), Seeds: []netip.AddrPort{addr(0)}, Period: 20 * time.Millisecond,
-		Doing: func() (fleet.State, uint16) { return fleet.Serving, 7 }, Log: slog.New(slog.DiscardHandler), Handed: handed,
+		Doing: func() (membership.State, uint16) { return membership.Serving, 7 }, Log: slog.New(slog.DiscardHandler), Handed: handed,
 		Write: func(to netip.AddrPort, data []byte) {
 			if s, ok := n.at.Load(to); ok {
 				s.(*Shell).Receive(addr(i), data)
@@ -73,7 +73,7 @@
 		return len(r.Members) == 2 && r.Members[1].Catalogue == 3 && r.Members[1].Policy == 4 && r.Members[1].Load == 7
 	})
 	h := b.HandOver()
-	if h.Life != r.Members[1].Life || h.State != fleet.Serving || len(h.Join) != 1 || h.Join[0] != addr(0) {
+	if h.Life != r.Members[1].Life || h.State != membership.Serving || len(h.Join) != 1 || h.Join[0] != addr(0) {
 		t.Errorf("handed over %+v of %+v", h, r)
 	}
 	next := n.start(ctx, 1, h)
--- a/internal/node/view/tell.go
+++ b/internal/membership/gossip/tell.go
@@ -1,10 +1,10 @@
-package view
+package gossip
 
 import (
 	"net/netip"
 	"slices"
 
-	"indigotack/internal/fleet"
+	"wrenspread/internal/membership"
 )
 
 // reach is how a member is reached, whether it serves, and which catalogue of tenants it has.
@@ -43,10 +43,10 @@
 }
 
 // note keeps how a member is reached.
-func (s *Shell) note(m fleet.Member) {
+func (s *Shell) note(m membership.Member) {
 	r := reach{at: s.address(m.Name, m.Addr)}
-	if m.Health == fleet.Alive {
-		r.serves, r.catalogue = m.Facts.State == fleet.Serving, m.Facts.Catalogue
+	if m.Health == membership.Alive {
+		r.serves, r.catalogue = m.Facts.State == membership.Serving, m.Facts.Catalogue
 	}
 	s.book.Store(m.Name, r)
 }
--- a/internal/fleet/join.go
+++ b/internal/membership/join.go
@@ -1,11 +1,11 @@
-package fleet
+package membership
 
 import (
 	"math/rand/v2"
 	"net/netip"
 	"slices"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // Periods between questions: to seeds by a node that has met nobody (each), is alone, or has company; and to a dead member. A
--- a/internal/fleet/merge.go
+++ b/internal/membership/merge.go
@@ -1,11 +1,11 @@
-package fleet
+package membership
 
 import (
 	"bytes"
 	"cmp"
 	"slices"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // compare orders two statements on one name: the later life, then the higher incarnation, then the graver health. Two statements
--- a/internal/fleet/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -1,13 +1,13 @@
-package fleet
+package membership
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // drawStatement draws from few values, so that ties are common. Age is what a merge does not promise anything on.
--- a/internal/fleet/name_test.go
+++ b/internal/membership/name_test.go
@@ -1,10 +1,10 @@
-package fleet
+package membership
 
 import (
 	"testing"
 	"time"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // again starts another process of an old one's name at its address.
--- a/internal/fleet/net_test.go
+++ b/internal/membership/net_test.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"container/heap"
--- a/internal/fleet/own.go
+++ b/internal/membership/own.go
@@ -1,11 +1,11 @@
-package fleet
+package membership
 
 import (
 	"fmt"
 	"net/netip"
 	"time"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 const (
--- a/internal/fleet/probe.go
+++ b/internal/membership/probe.go
@@ -1,10 +1,10 @@
-package fleet
+package membership
 
 import (
 	"math/bits"
 	"slices"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // helpers are asked to ask when the direct answer stays out: with three, and a loss of 30% on each way, one probe in nine of a
--- a/internal/fleet/queue_test.go
+++ b/internal/membership/queue_test.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 // event is one at a node: a datagram, or a tick.
 type event struct {
--- a/internal/fleet/receive.go
+++ b/internal/membership/receive.go
@@ -1,9 +1,9 @@
-package fleet
+package membership
 
 import (
 	"net/netip"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // strangersPerPeriod bounds the answers to those who are not known or come from a former life. With it 300 joins in a second over one seed
--- a/internal/fleet/relay.go
+++ b/internal/membership/relay.go
@@ -1,9 +1,9 @@
-package fleet
+package membership
 
 import (
 	"slices"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // maxRelays bounds the members that are asked for others at a time: at most three fall to a node in a period on average, even if all probes fail.
--- a/internal/fleet/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // Joins, a death and a leave, and what a node sends while nothing happens, at three sizes.
--- a/internal/fleet/stranger_test.go
+++ b/internal/membership/stranger_test.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"encoding/binary"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // A flood of garbage, of another fleet and of made-up names costs a bounded number of datagrams and members, and the fleet stays as it is.
--- a/internal/fleet/sync.go
+++ b/internal/membership/sync.go
@@ -1,6 +1,6 @@
-package fleet
+package membership
 
-import "indigotack/internal/fleet/wire"
+import "wrenspread/internal/membership/wire"
 
 // Every datagram carries the digest of its sender's view. A node that has met another digest asks for the difference, once in
 // syncPeriods, or each period as long as it learns that way. It compares 16 sums, goes into at most maxBranches ranges
--- a/internal/fleet/table.go
+++ b/internal/membership/table.go
@@ -1,10 +1,10 @@
-package fleet
+package membership
 
 import (
 	"cmp"
 	"slices"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // record is what the node remembers of one member.
--- a/internal/fleet/view.go
+++ b/internal/membership/view.go
@@ -1,4 +1,4 @@
-package fleet
+package membership
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"indigotack/internal/fleet/wire"
+	"wrenspread/internal/membership/wire"
 )
 
 // The words on members are those of the datagrams.
--- a/internal/fleet/wire/fixture_test.go
+++ b/internal/membership/wire/fixture_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestDatagramsAreUnchanged compares the bytes of each kind of datagram, and of a statement, with golden files.
--- a/internal/policy/degrade.go
+++ b/internal/policy/degrade.go
@@ -7,12 +7,12 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // level is a `degrade` block.
 type level struct {
-	decide.Level
+	balancer.Level
 	name    string
 	at      hcl.Range
 	aboveAt hcl.Range
@@ -56,8 +56,8 @@
 // order puts the levels in order and checks them against each other, and against what the parts say.
 func (c *compiler) order(fleet *part) {
 	slices.SortStableFunc(c.levels, func(a, b *level) int { return cmp.Compare(a.Above, b.Above) })
-	if len(c.levels) > decide.MostLevels {
-		c.fail(c.levels[decide.MostLevels].at, "Too many levels", fmt.Sprintf("There can be %d.", decide.MostLevels))
+	if len(c.levels) > balancer.MostLevels {
+		c.fail(c.levels[balancer.MostLevels].at, "Too many levels", fmt.Sprintf("There can be %d.", balancer.MostLevels))
 		return
 	}
 	first := map[string]*level{}
@@ -78,7 +78,7 @@
 		}
 	}
 	fleet.each(func(p *part) {
-		if l := first[p.word]; p.axis == decide.OfClass && p.priority > 0 && l != nil {
+		if l := first[p.word]; p.axis == balancer.OfClass && p.priority > 0 && l != nil {
 			c.fail(p.priorityAt, "Rules that contradict", fmt.Sprintf("%s always has priority here, and level %q (line %d) refuses it. "+
 				"Drop one of them.", p.path(), l.name, l.where.Start.Line))
 		}
--- a/internal/policy/flatten.go
+++ b/internal/policy/flatten.go
@@ -4,13 +4,13 @@
 	"cmp"
 	"slices"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // flatten puts the parts in the table's order, whatever order the text has.
-func (c *compiler) flatten(fleet *part) *decide.Table {
-	t := &decide.Table{Format: decide.TableFormat, Zone: c.zone, Parts: []decide.Part{}, Limits: []decide.Limit{},
-		Levels: []decide.Level{}}
+func (c *compiler) flatten(fleet *part) *balancer.Table {
+	t := &balancer.Table{Format: balancer.TableFormat, Zone: c.zone, Parts: []balancer.Part{}, Limits: []balancer.Limit{},
+		Levels: []balancer.Level{}}
 	for _, l := range c.levels {
 		t.Levels = append(t.Levels, l.Level)
 	}
@@ -18,9 +18,9 @@
 	return t
 }
 
-func (c *compiler) place(t *decide.Table, p *part, within int, at map[*limit]int) {
+func (c *compiler) place(t *balancer.Table, p *part, within int, at map[*limit]int) {
 	self := len(t.Parts)
-	t.Parts = append(t.Parts, decide.Part{Within: within, Axis: p.axis, Word: p.word, First: len(t.Limits), Priority: p.priority})
+	t.Parts = append(t.Parts, balancer.Part{Within: within, Axis: p.axis, Word: p.word, First: len(t.Limits), Priority: p.priority})
 	for _, l := range p.limits {
 		if l == nil {
 			continue
@@ -41,13 +41,13 @@
 	}
 }
 
-func (l *limit) flat(t *decide.Table, part, parent int) decide.Limit {
+func (l *limit) flat(t *balancer.Table, part, parent int) balancer.Limit {
 	weight := 1.0
 	if l.rough.weight != nil {
 		weight = l.rough.weight.n
 	}
 	f := l.figures
-	flat := decide.Limit{Part: part, Parent: parent, Unit: l.unit, Rate: f.Rate, Burst: f.Burst, Floor: f.Floor, Weight: weight,
+	flat := balancer.Limit{Part: part, Parent: parent, Unit: l.unit, Rate: f.Rate, Burst: f.Burst, Floor: f.Floor, Weight: weight,
 		Borrow: l.rough.borrow == nil || l.rough.borrow.on, Safe: l.safe, Reserve: l.reserve, Slots: l.slots, Status: l.status,
 		Wait: l.wait, Spans: l.spans}
 	flat.Name, flat.Axis = t.Place(part, l.unit)
--- a/internal/policy/floors.go
+++ b/internal/policy/floors.go
@@ -6,18 +6,18 @@
 	"strings"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // checkFloors finds floors of siblings that add up to more than the limit around them has, at any time.
-func (c *compiler) checkFloors(t *decide.Table, fleet *part) {
+func (c *compiler) checkFloors(t *balancer.Table, fleet *part) {
 	type group struct {
 		parent int
-		axis   decide.Axis
+		axis   balancer.Axis
 	}
 	groups, order := map[group][]int{}, []group{}
 	for i, l := range t.Limits {
-		if l.Parent < 0 || l.Unit > decide.UnitOpen {
+		if l.Parent < 0 || l.Unit > balancer.UnitOpen {
 			continue
 		}
 		g := group{l.Parent, l.Axis}
@@ -43,7 +43,7 @@
 }
 
 // tooMuch compares one group's floors with what is there at a time.
-func (c *compiler) tooMuch(t *decide.Table, parent int, group []int, at time.Time, places []*part) bool {
+func (c *compiler) tooMuch(t *balancer.Table, parent int, group []int, at time.Time, places []*part) bool {
 	there, sum, most := t.At(parent, at).Rate, 0.0, group[0]
 	for _, i := range group {
 		sum += t.At(i, at).Floor
@@ -82,7 +82,7 @@
 
 // moments are times, one in each stretch in which no figure of the limits changes: in a month of 31 days, as far from
 // its end as the times tell apart.
-func moments(t *decide.Table, limits []int) (list []time.Time) {
+func moments(t *balancer.Table, limits []int) (list []time.Time) {
 	minutes, left := []int{0}, []int{30}
 	for _, i := range limits {
 		for _, s := range t.Limits[i].Spans {
@@ -105,21 +105,21 @@
 }
 
 // checkSize compares the whole with what a table can hold.
-func (c *compiler) checkSize(t *decide.Table, fleet *part) {
-	if len(t.Limits) > decide.MostLimits {
+func (c *compiler) checkSize(t *balancer.Table, fleet *part) {
+	if len(t.Limits) > balancer.MostLimits {
 		c.fail(fleet.at, "Too many limits", fmt.Sprintf("There are %d, %d at most. Let parts with little to do share one block with the "+
-			"name \"*\".", len(t.Limits), decide.MostLimits))
+			"name \"*\".", len(t.Limits), balancer.MostLimits))
 	}
 	slots := 0
 	for _, l := range t.Limits {
 		slots += l.Slots
 	}
-	if slots > decide.MostSlots {
+	if slots > balancer.MostSlots {
 		c.fail(fleet.at, "Too many slots of keys", fmt.Sprintf("All `key` blocks have %d together, %d at most. Give each fewer slots.",
-			slots, decide.MostSlots))
+			slots, balancer.MostSlots))
 	}
-	if limits, parts := t.Touched(); limits > decide.MostTouched || parts > decide.MostParts {
+	if limits, parts := t.Touched(); limits > balancer.MostTouched || parts > balancer.MostParts {
 		c.fail(fleet.at, "Limits too deep", fmt.Sprintf("One request can touch %d limits in %d parts, %d and %d at most. Drop limits "+
-			"that those around them make needless, or write requests { share = ... } where a part's share makes a limit in each unit.", limits, parts, decide.MostTouched, decide.MostParts))
+			"that those around them make needless, or write requests { share = ... } where a part's share makes a limit in each unit.", limits, parts, balancer.MostTouched, balancer.MostParts))
 	}
 }
--- a/internal/policy/hostile_test.go
+++ b/internal/policy/hostile_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // hostile are texts that ask for much work, depth or memory.
@@ -116,7 +116,7 @@
 				t.Fatal(err)
 			}
 		case err == nil:
-			if _, err := decide.ReadTable(table.JSON()); err != nil {
+			if _, err := balancer.ReadTable(table.JSON()); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // Known are the names that a policy may speak of. A list that is empty is not checked against.
@@ -28,7 +28,7 @@
 }
 
 // KnownOf takes the names from a node's settings. A class's work is not told there.
-func KnownOf(s decide.Settings) Known {
+func KnownOf(s balancer.Settings) Known {
 	k := Known{Sites: s.Zones}
 	for _, t := range s.Tenants {
 		k.Books = append(k.Books, t.Name)
@@ -57,7 +57,7 @@
 }
 
 // Compile makes a file's text into a table, or says all that is wrong with it, as *Errors.
-func Compile(file string, text []byte, known Known) (*decide.Table, error) {
+func Compile(file string, text []byte, known Known) (*balancer.Table, error) {
 	c := &compiler{known: known.sorted(), source: text}
 	if err := c.bounded(); err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	levels []*level
 }
 
-func (c *compiler) compile(file string) *decide.Table {
+func (c *compiler) compile(file string) *balancer.Table {
 	f, diags := hclsyntax.ParseConfig(c.source, file, hcl.InitialPos)
 	if diags.HasErrors() {
 		c.diags = diags
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -8,17 +8,17 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/ext/dynblock"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // part is a block that stands for a part of the requests.
 type part struct {
-	axis     decide.Axis
+	axis     balancer.Axis
 	word     string
 	at       hcl.Range // of its first line
 	up       *part
 	children []*part
-	limits   [decide.UnitKey + 1]*limit
+	limits   [balancer.UnitKey + 1]*limit
 
 	share, weight *given // for its limits that say none
 	borrow        *yesNo
@@ -26,13 +26,13 @@
 	priorityAt    hcl.Range
 }
 
-var axes = map[string]decide.Axis{
-	"site": decide.OfSite, "book": decide.OfBook, "class": decide.OfClass, "pod": decide.OfPod,
+var axes = map[string]balancer.Axis{
+	"site": balancer.OfSite, "book": balancer.OfBook, "class": balancer.OfClass, "pod": balancer.OfPod,
 }
 
-var units = map[string]decide.Unit{
-	"requests": decide.UnitRequests, "work": decide.UnitWork, "open": decide.UnitOpen, "repeats": decide.UnitRepeats,
-	"key": decide.UnitKey,
+var units = map[string]balancer.Unit{
+	"requests": balancer.UnitRequests, "work": balancer.UnitWork, "open": balancer.UnitOpen, "repeats": balancer.UnitRepeats,
+	"key": balancer.UnitKey,
 }
 
 var fileSchema = &hcl.BodySchema{
@@ -128,10 +128,10 @@
 	if len(b.Labels) > 0 {
 		p.word = b.Labels[0]
 	}
-	if c.parts++; c.parts > decide.MostLimits {
-		if c.parts == decide.MostLimits+1 {
+	if c.parts++; c.parts > balancer.MostLimits {
+		if c.parts == balancer.MostLimits+1 {
 			c.fail(b.DefRange, "Too many parts", fmt.Sprintf("A policy has %d at most. Let those with little to do share one "+
-				"block with the name \"*\".", decide.MostLimits))
+				"block with the name \"*\".", balancer.MostLimits))
 		}
 		return p
 	}
--- a/internal/node/attempts.go
+++ b/internal/proxy/attempts.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -6,10 +6,10 @@
 	"net/http"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
-func (n *Node) send(a decide.Send) {
+func (n *Node) send(a balancer.Send) {
 	r := n.requests[a.ID]
 	if r == nil {
 		n.log.Error("the module sends a request that is not open", "id", a.ID)
@@ -26,7 +26,7 @@
 	r.attempts = append(r.attempts, cancel)
 	if r.done || r.running > 0 && !n.cfg.Settings.MayOverlap {
 		cancel()
-		n.queue = append(n.queue, decide.AttemptEnded{ID: r.id, Attempt: number, Server: a.Server, Over: r.done, Code: decide.Moot})
+		n.queue = append(n.queue, balancer.AttemptEnded{ID: r.id, Attempt: number, Server: a.Server, Over: r.done, Code: balancer.Moot})
 		return
 	}
 	r.running++
@@ -53,13 +53,13 @@
 }
 
 // passOn gives a long answer to its request, and returns when that is over.
-func (n *Node) passOn(r *request, number int, server decide.ServerID, took time.Duration, res result) error {
+func (n *Node) passOn(r *request, number int, server balancer.ServerID, took time.Duration, res result) error {
 	n.post(func() {
 		if r.done {
 			res.stream.ended <- errClientGone
 			return
 		}
-		n.handle(decide.StreamStarted{ID: r.id, Attempt: number, Server: server, Elapsed: took})
+		n.handle(balancer.StreamStarted{ID: r.id, Attempt: number, Server: server, Elapsed: took})
 		r.stream = res.stream
 		n.finish(r.id, answer{status: http.StatusOK, header: res.header, stream: res.stream})
 	})
@@ -71,16 +71,16 @@
 	}
 }
 
-func (n *Node) attemptEnded(r *request, number int, server decide.ServerID, took time.Duration, res result) {
+func (n *Node) attemptEnded(r *request, number int, server balancer.ServerID, took time.Duration, res result) {
 	r.running--
-	if res.code == decide.OK {
+	if res.code == balancer.OK {
 		n.finish(r.id, answer{status: http.StatusOK, header: res.header, body: res.body})
 	}
 	if n.cfg.BackendStats {
 		n.stats.attempt(n.ids.byID[server], res.code, took > n.aim(r.class))
 	}
 	over := r.done
-	n.handle(decide.AttemptEnded{ID: r.id, Attempt: number, Server: server, Over: over, Spent: res.spent, Elapsed: took,
+	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Server: server, Over: over, Spent: res.spent, Elapsed: took,
 		Code: res.code, Report: res.report})
 	n.forget(r)
 }
--- a/internal/node/check.go
+++ b/internal/proxy/check.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"net/netip"
 	"os"
 
-	"indigotack/internal/wire"
+	"wrenspread/internal/simwire"
 )
 
 // CheckConfig says what is wrong with the configuration file at path, all of it
@@ -28,7 +28,7 @@
 	k := keys{}
 	k.check("", file, in)
 	if settings := member(file, "settings"); settings != nil {
-		k.check("settings", settings, wire.SettingsForm{})
+		k.check("settings", settings, simwire.SettingsForm{})
 	}
 	problems, notes = k.problems, k.unknown
 	c, wrong := in.config()
--- a/internal/node/config.go
+++ b/internal/proxy/config.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"encoding/json"
@@ -8,9 +8,9 @@
 	"os"
 	"strconv"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
-	"indigotack/internal/wire"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/simwire"
 )
 
 // What a node without stated limits may use.
@@ -33,7 +33,7 @@
 	Seed         int64
 	MemoryMB     int
 	Sockets      int // file descriptors
-	Settings     decide.Settings
+	Settings     balancer.Settings
 
 	PeerListen string           // where other nodes' messages come; empty: nowhere
 	Peers      []netip.AddrPort // of all nodes, by their numbers; invalid: not to be reached
@@ -43,8 +43,8 @@
 
 	Tenants TenantsConfig
 
-	known list.Answer // the servers as the node last had them
-	file  any         // all of the file, as JSON has it
+	known registry.Answer // the servers as the node last had them
+	file  any             // all of the file, as JSON has it
 }
 
 // LoadConfig reads the configuration file at path.
@@ -80,7 +80,7 @@
 	Peers      []string        `json:"peers"`
 	Fleet      *fleetForm      `json:"fleet"`
 	Govern     *governForm     `json:"govern"`
-	Known      list.Answer     `json:"known"`
+	Known      registry.Answer `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 }
 
@@ -100,12 +100,12 @@
 // config makes what the node works with, and says all that is wrong.
 func (in *form) config() (c Config, problems []error) {
 	wrong := func(format string, args ...any) { problems = append(problems, fmt.Errorf(format, args...)) }
-	var settings decide.Settings
+	var settings balancer.Settings
 	if in.Settings == nil {
 		wrong("settings are missing")
 	} else {
 		var all []error
-		settings, all = wire.ReadSettings(in.Settings)
+		settings, all = simwire.ReadSettings(in.Settings)
 		for _, err := range all {
 			wrong("settings: %w", err)
 		}
--- a/internal/node/conn.go
+++ b/internal/proxy/conn.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // strayTime is how long a connection is left alone after an answer. A second
@@ -55,7 +55,7 @@
 }
 
 // get finds an idle connection or dials. An error proves that nothing was sent.
-func (p *pool) get(ctx context.Context, id decide.ServerID) (*conn, error) {
+func (p *pool) get(ctx context.Context, id balancer.ServerID) (*conn, error) {
 	b, c, dialer, err := p.take(id)
 	for ; c != nil; b, c, dialer, err = p.take(id) {
 		// A connection that its server has closed, or on which it said
@@ -87,7 +87,7 @@
 
 // take returns an idle connection, the one used last of those that have rested,
 // or the backend with leave to dial it.
-func (p *pool) take(id decide.ServerID) (*backend, *conn, net.Dialer, error) {
+func (p *pool) take(id balancer.ServerID) (*backend, *conn, net.Dialer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[id]
--- a/internal/node/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // named is an answer that says what it is for.
@@ -40,13 +40,13 @@
 			idle   bool          // it comes while the connection is idle, else upon the next request on it
 			since  time.Duration // the connection has been idle then
 			number int           // of the connection on which that comes
-			want   decide.OutcomeCode
+			want   balancer.OutcomeCode
 		}{
-			{"while idle", true, strayTime, 1, decide.OK},
-			{"late", true, 0, 1, decide.OK},
-			{"as the next request leaves", false, strayTime, 0, decide.ServerError},
+			{"while idle", true, strayTime, 1, balancer.OK},
+			{"late", true, 0, 1, balancer.OK},
+			{"as the next request leaves", false, strayTime, 0, balancer.ServerError},
 		} {
-			if name == "a second answer" && c.want != decide.OK {
+			if name == "a second answer" && c.want != balancer.OK {
 				continue // later than any comes
 			}
 			t.Run(name+" "+c.when, func(t *testing.T) {
@@ -80,10 +80,10 @@
 					speak()
 				}
 				got := ask(p, "/second")
-				if got.code != c.want || got.code == decide.OK && string(got.body) != "/second" {
+				if got.code != c.want || got.code == balancer.OK && string(got.body) != "/second" {
 					t.Errorf("outcome %d with %q, want %d", got.code, got.body, c.want)
 				}
-				if number := wait(t, second, "the second"); number != c.number || got.code != decide.OK && p.open != 0 {
+				if number := wait(t, second, "the second"); number != c.number || got.code != balancer.OK && p.open != 0 {
 					t.Errorf("the second comes on connection %d, want %d; then %d are open", number, c.number, p.open)
 				}
 			})
--- a/internal/node/control.go
+++ b/internal/proxy/control.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
 )
 
 const (
@@ -39,7 +39,7 @@
 			said = true
 			n.log.Error("operators are not served, trying again", "err", err)
 		}
-		pause.For(ctx, controlWait)
+		backoff.Sleep(ctx, controlWait)
 	}
 }
 
--- a/internal/node/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // crossedConn has something happen at its steps.
@@ -48,19 +48,19 @@
 		name      string
 		ends      string // what happens ahead of the write
 		answering func(p *pool, cancel func())
-		want      decide.OutcomeCode
+		want      balancer.OutcomeCode
 		open      int
 	}{
-		{"nothing", "", nil, decide.OK, 1},
-		{"the server closes", "close", nil, decide.Reset, 0},
-		{"the server resets", "reset", nil, decide.ConnectFailed, 0},
-		{"it is called off ahead of the write", "cancel", nil, decide.Moot, 0},
-		{"it is called off behind the last byte", "", func(_ *pool, cancel func()) { cancel() }, decide.OK, 0},
-		{"the server is restarted", "", func(p *pool, _ func()) { p.set(1, p.backends[1].address, 5) }, decide.OK, 0},
-		{"the server leaves the list", "", func(p *pool, _ func()) { p.remove(1) }, decide.OK, 0},
-		{"idle connections are closed", "", func(p *pool, _ func()) { p.closeIdle(1) }, decide.OK, 1},
-		{"idle connections expire", "", func(p *pool, _ func()) { p.expire(time.Now().Add(p.maxIdle)) }, decide.OK, 1},
-		{"another one needs room", "", func(p *pool, _ func()) { p.share(true) }, decide.OK, 1},
+		{"nothing", "", nil, balancer.OK, 1},
+		{"the server closes", "close", nil, balancer.Reset, 0},
+		{"the server resets", "reset", nil, balancer.ConnectFailed, 0},
+		{"it is called off ahead of the write", "cancel", nil, balancer.Moot, 0},
+		{"it is called off behind the last byte", "", func(_ *pool, cancel func()) { cancel() }, balancer.OK, 0},
+		{"the server is restarted", "", func(p *pool, _ func()) { p.set(1, p.backends[1].address, 5) }, balancer.OK, 0},
+		{"the server leaves the list", "", func(p *pool, _ func()) { p.remove(1) }, balancer.OK, 0},
+		{"idle connections are closed", "", func(p *pool, _ func()) { p.closeIdle(1) }, balancer.OK, 1},
+		{"idle connections expire", "", func(p *pool, _ func()) { p.expire(time.Now().Add(p.maxIdle)) }, balancer.OK, 1},
+		{"another one needs room", "", func(p *pool, _ func()) { p.share(true) }, balancer.OK, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			end := make(chan struct{})
@@ -77,7 +77,7 @@
 				}
 			}))
 			p.most = 2
-			if got := ask(p, "/api/x"); got.code != decide.OK {
+			if got := ask(p, "/api/x"); got.code != balancer.OK {
 				t.Fatalf("outcome %d", got.code)
 			}
 			stood(p, strayTime)
@@ -113,7 +113,7 @@
 				}
 			}
 			got := p.attempt(ctx, 1, get("/api/x"), always, nil)
-			if got.code != c.want || got.code == decide.OK && len(got.body) != smallBody+1 {
+			if got.code != c.want || got.code == balancer.OK && len(got.body) != smallBody+1 {
 				t.Errorf("outcome %d with %d bytes, want %d", got.code, len(got.body), c.want)
 			}
 			cancel() // too late to spoil anything
@@ -121,7 +121,7 @@
 				t.Errorf("%d connections open, %d of the room taken, want %d, 0", p.open, len(p.room), c.open)
 			}
 			p.set(1, x.RemoteAddr().String(), 5)
-			if got := ask(p, "/api/x"); got.code != decide.OK || p.open != 1 {
+			if got := ask(p, "/api/x"); got.code != balancer.OK || p.open != 1 {
 				t.Errorf("the next one: outcome %d, %d open", got.code, p.open)
 			}
 		})
--- a/internal/node/drain.go
+++ b/internal/proxy/drain.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"indigotack/internal/node/accept"
+	"wrenspread/internal/proxy/listener"
 )
 
 const (
@@ -21,7 +21,7 @@
 // close; at last it finishes what is open.
 func (f *frontend) serve(ctx context.Context, ln net.Listener) error {
 	srv := f.server()
-	limited := accept.Limit(ln, f.most)
+	limited := listener.Limit(ln, f.most)
 	limited.HeadTime, limited.FullTime = headTime, fullTime
 	srv.ConnState = limited.Note
 	f.clients.Store(limited)
@@ -75,7 +75,7 @@
 // over: then all requests are past their deadlines, and what is left are
 // connections on which none has come. http.Server's Shutdown does not do, as
 // it drops without an answer each request whose head is whole after its call.
-func finish(last context.Context, served <-chan struct{}, limited *accept.Listener) {
+func finish(last context.Context, served <-chan struct{}, limited *listener.Listener) {
 	limited.Drain()
 	select {
 	case <-served:
--- a/internal/node/exchange.go
+++ b/internal/proxy/exchange.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -8,15 +8,15 @@
 	"os"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 const lastWords = 50 * time.Millisecond // from a server that takes no more of a request
 
 // result is how an attempt ended.
 type result struct {
-	code   decide.OutcomeCode
-	report *decide.Report
+	code   balancer.OutcomeCode
+	report *balancer.Report
 	header http.Header // with OK: the answer's
 	body   []byte
 	stream *stream // with OK, for a long answer: instead of the body
@@ -29,21 +29,21 @@
 // may says right before the first byte whether the request may still be sent.
 // A long answer is given to begun, which returns when that is over and tells
 // how it ended; ctx has no part in it any more.
-func (p *pool) attempt(ctx context.Context, id decide.ServerID, o *outbound, may func() bool, begun func(result) error) result {
+func (p *pool) attempt(ctx context.Context, id balancer.ServerID, o *outbound, may func() bool, begun func(result) error) result {
 	end, ok := ctx.Deadline()
 	if !ok {
-		return result{code: decide.Moot} // an attempt without an end could hang for ever
+		return result{code: balancer.Moot} // an attempt without an end could hang for ever
 	}
 	c, err := p.get(ctx, id)
 	if err != nil {
 		if calledOff(ctx) || ownLimit(err) {
-			return result{code: decide.Moot}
+			return result{code: balancer.Moot}
 		}
 		return result{code: unconnected(err)}
 	}
 	if ctx.Err() != nil || p.barred(id, c) || !may() {
 		c.discard() // it has been idle for longer than a release would say
-		return result{code: decide.Moot}
+		return result{code: balancer.Moot}
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -59,7 +59,7 @@
 	}
 	if err != nil {
 		c.discard()
-		if res.code == decide.OK { // nothing better is known
+		if res.code == balancer.OK { // nothing better is known
 			res.code = ending(ctx, c.broken)
 		}
 		return result{code: res.code, report: res.report, spent: res.spent}
@@ -82,10 +82,10 @@
 }
 
 // send writes a request that is kept whole, and counts it.
-func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code decide.OutcomeCode, ok bool) {
+func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code balancer.OutcomeCode, ok bool) {
 	msg, err := o.bytes(time.Until(end))
 	if err != nil {
-		return decide.Moot, false
+		return balancer.Moot, false
 	}
 	sent, err := c.Write(msg)
 	switch {
@@ -93,22 +93,22 @@
 	case sent == len(msg):
 		return ending(ctx, err), false // a last byte that left with an error may have come
 	case calledOff(ctx):
-		return decide.Moot, false
+		return balancer.Moot, false
 	default:
-		return decide.ConnectFailed, false
+		return balancer.ConnectFailed, false
 	}
 	c.pool.forwards.Add(1)
-	return decide.OK, true
+	return balancer.OK, true
 }
 
 // unconnected is the outcome of an attempt that has no connection. Only one that
 // was refused or broken tells that the server is gone.
-func unconnected(err error) decide.OutcomeCode {
+func unconnected(err error) balancer.OutcomeCode {
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		return decide.ConnectTimedOut
+		return balancer.ConnectTimedOut
 	}
-	return decide.ConnectFailed
+	return balancer.ConnectFailed
 }
 
 // calledOff tells that an attempt was ended from here, before its time was over.
@@ -165,15 +165,15 @@
 	res.spent = o.rest.taken.Load()
 	switch {
 	case o.rest.failed():
-		return result{code: decide.Cancelled, spent: true}, false, errClientGone
+		return result{code: balancer.Cancelled, spent: true}, false, errClientGone
 	case werr == nil:
 		return res, clean, err
-	case err == nil && res.code != decide.OK: // a proper word that it is not wanted
+	case err == nil && res.code != balancer.OK: // a proper word that it is not wanted
 		return res, false, nil
 	case calledOff(ctx):
-		return result{code: decide.Cancelled, spent: res.spent}, false, werr
+		return result{code: balancer.Cancelled, spent: res.spent}, false, werr
 	}
-	return result{code: decide.ConnectFailed, spent: res.spent}, false, werr
+	return result{code: balancer.ConnectFailed, spent: res.spent}, false, werr
 }
 
 // pass has a long answer passed on, and ends the attempt with it.
@@ -186,9 +186,9 @@
 		return res
 	case err == nil:
 	case errors.Is(err, errClientGone):
-		res.code = decide.Cancelled
+		res.code = balancer.Cancelled
 	default:
-		res.code = decide.Reset
+		res.code = balancer.Reset
 	}
 	c.discard()
 	return res
@@ -196,14 +196,14 @@
 
 // ending is the outcome of an attempt whose answer did not come: its last byte
 // was written, so it may have run. broken is how the connection ended, if it did.
-func ending(ctx context.Context, broken error) decide.OutcomeCode {
+func ending(ctx context.Context, broken error) balancer.OutcomeCode {
 	switch {
 	case calledOff(ctx):
-		return decide.Cancelled
+		return balancer.Cancelled
 	case ctx.Err() != nil, errors.Is(broken, os.ErrDeadlineExceeded):
-		return decide.TimedOut
+		return balancer.TimedOut
 	case broken != nil:
-		return decide.Reset
+		return balancer.Reset
 	}
-	return decide.ServerError // it can't be read
+	return balancer.ServerError // it can't be read
 }
--- a/internal/node/fixture_test.go
+++ b/internal/proxy/fixture_test.go
@@ -1,9 +1,9 @@
-package node
+package proxy
 
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestHandoffMessageFormIsUnchanged compares a line between an old and a new process with a golden file.
--- a/internal/node/fleet.go
+++ b/internal/proxy/fleet.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"net/netip"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/node/view"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/membership/gossip"
 )
 
 const (
@@ -40,7 +40,7 @@
 }
 
 // startView begins the node's part in the view of the fleet, if its configuration names one, at the peers' socket.
-func (n *Node) startView(p *peers, handed *view.Handed) {
+func (n *Node) startView(p *peers, handed *gossip.Handed) {
 	c := n.cfg.Fleet
 	if c.Name == "" {
 		return
@@ -49,7 +49,7 @@
 	if len(seeds) == 0 {
 		seeds = otherPeers(n.cfg.Peers, n.own.number)
 	}
-	shell := view.Start(n.ctx, view.Config{Fleet: c.Name, Name: n.cfg.Name, Number: n.own.number, Addr: c.Address, Seeds: seeds, Peers: n.cfg.Peers,
+	shell := gossip.Start(n.ctx, gossip.Config{Fleet: c.Name, Name: n.cfg.Name, Number: n.own.number, Addr: c.Address, Seeds: seeds, Peers: n.cfg.Peers,
 		Period: c.Period, Zone: n.own.zone, Version: version(), Doing: n.doing(handed), Write: p.write, Log: n.log, Handed: handed})
 	p.hear[viewKinds], p.hear[viewKindsMore] = shell.Receive, shell.Receive
 	if n.governed != nil {
@@ -68,18 +68,18 @@
 }
 
 // doing tells the fleet what the node does. One that takes over from a process of its own goes on with that one's state until it accepts.
-func (n *Node) doing(handed *view.Handed) func() (fleet.State, uint16) {
-	return func() (fleet.State, uint16) {
+func (n *Node) doing(handed *gossip.Handed) func() (membership.State, uint16) {
+	return func() (membership.State, uint16) {
 		load := uint16(min(1000, max(0, n.stats.outstanding.Load()*1000/n.own.most)))
 		switch {
 		case n.front.draining.Load():
-			return fleet.Draining, load
+			return membership.Draining, load
 		case n.front.serving():
-			return fleet.Serving, load
+			return membership.Serving, load
 		case handed != nil && !n.front.open.Load():
 			return handed.State, load
 		}
-		return fleet.Joining, load
+		return membership.Joining, load
 	}
 }
 
@@ -106,11 +106,11 @@
 }
 
 // readHanded reads what handOverView gave; nil for nothing, and for what can't be read.
-func (n *Node) readHanded(raw json.RawMessage) *view.Handed {
+func (n *Node) readHanded(raw json.RawMessage) *gossip.Handed {
 	if raw == nil {
 		return nil
 	}
-	h := &view.Handed{}
+	h := &gossip.Handed{}
 	if err := json.Unmarshal(raw, h); err != nil {
 		n.log.Warn("the fleet sees a restart: the life of the process before can't be read", "err", err)
 		return nil
--- a/internal/node/fleet_config.go
+++ b/internal/proxy/fleet_config.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"runtime/debug"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/fleet/wire"
-	"indigotack/internal/node/view"
+	"wrenspread/balancer"
+	"wrenspread/internal/membership/gossip"
+	"wrenspread/internal/membership/wire"
 )
 
 // Bounds of the time from one probe to the next. Below, a late scheduler looks like a death; above, a death takes minutes
@@ -21,7 +21,7 @@
 	mostSeeds   = 512 // as many as the core takes
 )
 
-// Version of the program that the fleet is told, to be set by the linker: -X indigotack/internal/node.Version=v7. Else it is the
+// Version of the program that the fleet is told, to be set by the linker: -X wrenspread/internal/proxy.Version=v7. Else it is the
 // revision that it was built from, or unknown to one that was built without.
 var Version string
 
@@ -42,7 +42,7 @@
 }
 
 // config checks the key for a node of this name, which listens there for others. f may be nil.
-func (f *fleetForm) config(node, listen string, s decide.Settings) (c FleetConfig, problems []error) {
+func (f *fleetForm) config(node, listen string, s balancer.Settings) (c FleetConfig, problems []error) {
 	if f == nil {
 		return c, nil
 	}
@@ -75,7 +75,7 @@
 	if listen == "" {
 		wrong("peer_listen is missing: the view goes over that socket")
 	}
-	own := view.Config{Fleet: "any", Name: node, Addr: c.Address, Zone: s.Zone, Version: version()}
+	own := gossip.Config{Fleet: "any", Name: node, Addr: c.Address, Zone: s.Zone, Version: version()}
 	if err := own.Check(); err != nil {
 		wrong("%w", err)
 	}
--- a/internal/node/frontend.go
+++ b/internal/proxy/frontend.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/node/accept"
+	"wrenspread/balancer"
+	"wrenspread/internal/proxy/listener"
 )
 
 const (
@@ -31,10 +31,10 @@
 	linger   func() // goes on accepting for a while after the order to stop
 	ready    atomic.Bool
 	draining atomic.Bool
-	open     atomic.Bool                     // it accepts
-	handed   atomic.Bool                     // to a new process
-	clients  atomic.Pointer[accept.Listener] // nil: it does not serve yet
-	alone    chan struct{}                   // closed when the process has ended that accepts in its place
+	open     atomic.Bool                       // it accepts
+	handed   atomic.Bool                       // to a new process
+	clients  atomic.Pointer[listener.Listener] // nil: it does not serve yet
+	alone    chan struct{}                     // closed when the process has ended that accepts in its place
 	killMost time.Duration
 	latest   atomic.Int64              // deadline of a request read so far, from the node's start
 	answerBy atomic.Pointer[time.Time] // for requests that come from now on; nil: their deadlines
@@ -48,7 +48,7 @@
 
 func (f *frontend) server() *http.Server {
 	return &http.Server{Handler: f, ReadHeaderTimeout: headTime, IdleTimeout: idleTime,
-		MaxHeaderBytes: accept.MaxHead, DisableGeneralOptionsHandler: true, // all requests pass ServeHTTP
+		MaxHeaderBytes: listener.MaxHead, DisableGeneralOptionsHandler: true, // all requests pass ServeHTTP
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		},
@@ -111,7 +111,7 @@
 // askToClose has a client close after the answer that is written next, if the node
 // drains. If some of its next request has been read, that is answered before.
 func (f *frontend) askToClose(w http.ResponseWriter, r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*accept.Conn); f.draining.Load() && !(ok && c.Pending()) {
+	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); f.draining.Load() && !(ok && c.Pending()) {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 // carry has the loop end a request, passes the answer on and tells how it went.
-func (f *frontend) carry(w http.ResponseWriter, r *http.Request, req *request, event decide.RequestArrived) carried {
+func (f *frontend) carry(w http.ResponseWriter, r *http.Request, req *request, event balancer.RequestArrived) carried {
 	var broken <-chan struct{} // closed when an upload has ended, which may be well or not
 	var looks <-chan time.Time // at its client: the server hears nothing ahead of a body's end
 	if req.out.rest != nil {
--- a/internal/node/govern.go
+++ b/internal/proxy/govern.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/fleet/wire"
-	"indigotack/internal/list/client"
-	"indigotack/internal/quota"
-	"indigotack/internal/quota/record"
+	"wrenspread/balancer"
+	"wrenspread/internal/membership/wire"
+	"wrenspread/internal/quota"
+	"wrenspread/internal/quota/record"
+	"wrenspread/internal/registry/client"
 )
 
 const (
@@ -116,15 +116,15 @@
 	n.tenantTable(t)
 	n.tell(quota.Table{Now: t})
 	if t == nil {
-		n.handle(decide.TableChanged{})
+		n.handle(balancer.TableChanged{})
 	} else {
-		n.handle(decide.TableChanged{Table: t, Hand: g.ledger})
+		n.handle(balancer.TableChanged{Table: t, Hand: g.ledger})
 	}
 	n.log.Info("policy", "version", one.Version, "limits", limitsOf(t))
 	n.settleReady()
 }
 
-func limitsOf(t *decide.Table) int {
+func limitsOf(t *balancer.Table) int {
 	if t == nil {
 		return 0
 	}
