--- a/internal/node/ids.go
+++ b/internal/proxy/ids.go
@@ -1,22 +1,22 @@
-package node
+package proxy
 
 import (
 	"hash/fnv"
 	"io"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // ids gives servers their numbers: a hash of the name, so that every node and
 // every restart agrees on them.
 type ids struct {
-	byName map[string]decide.ServerID
-	byID   map[decide.ServerID]string
+	byName map[string]balancer.ServerID
+	byID   map[balancer.ServerID]string
 	hash   func(string) uint32
 }
 
 func newIDs() *ids {
-	return &ids{byName: map[string]decide.ServerID{}, byID: map[decide.ServerID]string{}, hash: func(s string) uint32 {
+	return &ids{byName: map[string]balancer.ServerID{}, byID: map[balancer.ServerID]string{}, hash: func(s string) uint32 {
 		h := fnv.New32a()
 		io.WriteString(h, s) // never fails
 		return h.Sum32()
@@ -26,12 +26,12 @@
 // of finds the number of a name. Of two names with one hash the later listed
 // is hashed again: two servers under one number would share their load and
 // their drains.
-func (d *ids) of(name string) decide.ServerID {
+func (d *ids) of(name string) balancer.ServerID {
 	if id, ok := d.byName[name]; ok {
 		return id
 	}
-	id := decide.ServerID(d.hash(name))
-	for salted := name; ; id = decide.ServerID(d.hash(salted)) {
+	id := balancer.ServerID(d.hash(name))
+	for salted := name; ; id = balancer.ServerID(d.hash(salted)) {
 		if _, taken := d.byID[id]; !taken {
 			break
 		}
--- a/internal/node/left_test.go
+++ b/internal/proxy/left_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // waiting are requests whose next attempt waits for its connection when the client leaves.
@@ -28,7 +28,7 @@
 	{"first of one in chunks", 1, nil, chunkedPost},
 	{"further, as the first has failed", 2, func(_ *running, answer func()) { answer() }, wholeGet},
 	{"further, beside the first", 2, func(n *running, _ func()) {
-		n.do(func() { n.act(decide.Send{ID: "q", Server: n.listed["s-0"], Before: math.MaxInt64}) })
+		n.do(func() { n.act(balancer.Send{ID: "q", Server: n.listed["s-0"], Before: math.MaxInt64}) })
 	}, wholeGet},
 	{"first of a long one, amid it", 1, nil, fmt.Sprintf(postHead+"Content-Length: 1000000\r\n\r\n", "q") + strings.Repeat("x", 70000)},
 	{"first of a long one in chunks, amid it", 1, nil, fmt.Sprintf(postHead+"Transfer-Encoding: chunked\r\n\r\nf4240\r\n", "q") + strings.Repeat("x", 70000)},
@@ -57,7 +57,7 @@
 					n := startNodeWith(t, func(n *Node) {
 						dial = holdDials(n, w.dials)
 						n.cfg.Settings.MayCancel, n.cfg.Settings.MayOverlap = false, true
-						n.module = decide.New(n.cfg.Settings, 1)
+						n.module = balancer.New(n.cfg.Settings, 1)
 					}, backendServer(t, script), backendServer(t, script))
 					if strings.HasPrefix(w.name, "trial") {
 						n.accuse(t)
@@ -94,12 +94,12 @@
 	n.on(t, func() {
 		now := n.now() - 10*time.Second
 		for i := 0; n.module.Ejected() < len(n.listed) && i < 100; i++ {
-			id := decide.RequestID(fmt.Sprint("refused", i))
-			actions := n.module.Handle(now, decide.RequestArrived{ID: id, Class: "saldo", Patience: time.Second})
+			id := balancer.RequestID(fmt.Sprint("refused", i))
+			actions := n.module.Handle(now, balancer.RequestArrived{ID: id, Class: "saldo", Patience: time.Second})
 			for leg := 0; len(actions) > 0; leg++ {
-				s, sent := actions[0].(decide.Send)
+				s, sent := actions[0].(balancer.Send)
 				if actions = nil; sent {
-					actions = n.module.Handle(now, decide.AttemptEnded{ID: id, Attempt: leg, Server: s.Server, Code: decide.ConnectFailed})
+					actions = n.module.Handle(now, balancer.AttemptEnded{ID: id, Attempt: leg, Server: s.Server, Code: balancer.ConnectFailed})
 				}
 			}
 		}
@@ -131,7 +131,7 @@
 			whole: func(time.Duration) {}, gone: func() bool { return true }}
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
 		defer cancel()
-		if res := p.attempt(ctx, 1, o, always, nil); res.code != decide.Cancelled || !res.spent {
+		if res := p.attempt(ctx, 1, o, always, nil); res.code != balancer.Cancelled || !res.spent {
 			t.Errorf("length %d: outcome %d, spent %v", length, res.code, res.spent)
 		}
 		if err := wait(t, whole, "the server"); err == nil {
--- a/internal/node/accept/framing.go
+++ b/internal/proxy/listener/framing.go
@@ -1,4 +1,4 @@
-package accept
+package listener
 
 import (
 	"bytes"
--- a/internal/node/accept/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -1,11 +1,11 @@
-package accept
+package listener
 
 import (
 	"net"
 	"net/http"
 	"time"
 
-	"indigotack/internal/sock"
+	"wrenspread/internal/socketoption"
 )
 
 // state is a connection's, in net/http's terms. A client whose connection
@@ -68,7 +68,7 @@
 func (c *Conn) giveWay(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s == fresh && sock.Readable(c.Conn) || !c.end(s) {
+	if s == fresh && socketoption.Readable(c.Conn) || !c.end(s) {
 		return false
 	}
 	c.mute = s == fresh
--- a/internal/node/accept/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -1,6 +1,6 @@
 // Package accept is what clients' connections pass ahead of the HTTP server:
 // they are bounded in number, and nothing of ambiguous length gets through.
-package accept
+package listener
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"indigotack/internal/pause"
-	"indigotack/internal/sock"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/socketoption"
 )
 
 const (
@@ -159,7 +159,7 @@
 // gives Accept time to take it, unless another process does.
 func (l *Listener) queued() bool {
 	ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	return ok && sock.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueTime)) == nil
+	return ok && socketoption.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueTime)) == nil
 }
 
 // Hurry has connections close at once from now on.
@@ -167,7 +167,7 @@
 
 // Outlive returns when ctx ends, or all connections have and the least time is over.
 func (l *Listener) Outlive(ctx context.Context, least time.Duration) {
-	for ok := pause.For(ctx, least); ok && len(l.slots) > 0; {
-		ok = pause.For(ctx, outliveStep)
+	for ok := backoff.Sleep(ctx, least); ok && len(l.slots) > 0; {
+		ok = backoff.Sleep(ctx, outliveStep)
 	}
 }
--- a/internal/node/lists.go
+++ b/internal/proxy/lists.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // lists is where a node's list of servers comes from. Its methods do not block,
@@ -28,20 +28,20 @@
 // discovery: then the list of before has to do.
 const firstWord = 500 * time.Millisecond
 
-var states = map[string]decide.ServerState{list.Ready: decide.Ready, list.Draining: decide.Draining, list.Gone: decide.Gone}
+var states = map[string]balancer.ServerState{registry.Ready: balancer.Ready, registry.Draining: balancer.Draining, registry.Gone: balancer.Gone}
 
-func kindOf(l list.Answer) decide.ListKind {
+func kindOf(l registry.Answer) balancer.ListKind {
 	if l.Snapshot {
-		return decide.ListFull
+		return balancer.ListFull
 	}
-	return decide.ListChanges
+	return balancer.ListChanges
 }
 
 // newLists makes the client of the project's list service, where it is
 // configured, else the follower of the platform's discovery.
 func (n *Node) newLists() (lists, error) {
-	listed := func(l list.Answer) { n.post(func() { n.follow(l, kindOf(l)) }) }
-	failed := func() { n.post(func() { n.handle(decide.ListUpdate{Kind: decide.ListFailed}) }) }
+	listed := func(l registry.Answer) { n.post(func() { n.follow(l, kindOf(l)) }) }
+	failed := func() { n.post(func() { n.handle(balancer.ListUpdate{Kind: balancer.ListFailed}) }) }
 	if len(n.cfg.List) == 0 {
 		return client.NewPlatform(n.cfg.Discovery, n.cfg.Settings.AskForList, n.cfg.known.Index, n.log, listed, failed), nil
 	}
@@ -70,7 +70,7 @@
 	select {
 	case <-n.told: // by an address to which SIGHUP has moved the node meanwhile: what is known is older
 	default:
-		n.follow(n.cfg.known, decide.ListCached)
+		n.follow(n.cfg.known, balancer.ListCached)
 	}
 	n.cfg.known.Endpoints = nil // what is known is kept in a shorter form from here on
 	if pushed {
@@ -89,7 +89,7 @@
 type service struct {
 	k        *client.Client
 	part     scoped
-	listed   func(list.Answer)
+	listed   func(registry.Answer)
 	watching bool
 }
 
@@ -145,27 +145,27 @@
 
 // follow takes a list from discovery: addresses for the sockets, the rest for
 // the module.
-func (n *Node) follow(l list.Answer, kind decide.ListKind) {
+func (n *Node) follow(l registry.Answer, kind balancer.ListKind) {
 	entries := slices.Clone(l.Endpoints)
 	// In one order whatever the list's, as the numbers of names that share a
 	// hash depend on it. Of entries of one name the last counts.
-	slices.SortStableFunc(entries, func(a, b list.Entry) int { return strings.Compare(a.Name, b.Name) })
-	u := decide.ListUpdate{Kind: kind, Version: l.Index}
+	slices.SortStableFunc(entries, func(a, b registry.Entry) int { return strings.Compare(a.Name, b.Name) })
+	u := balancer.ListUpdate{Kind: kind, Version: l.Index}
 	placePart(&u, l, n.cfg.Settings.Self)
 	missing := map[string]bool{}
-	if kind != decide.ListChanges {
+	if kind != balancer.ListChanges {
 		for name := range n.listed {
 			missing[name] = true
 		}
 	}
 	for _, e := range entries {
 		id, state := n.ids.of(e.Name), states[e.Status]
-		u.Entries = append(u.Entries, decide.Server{ID: id, Zone: e.Zone, Kind: e.Type, Cell: e.Group, State: state,
+		u.Entries = append(u.Entries, balancer.Server{ID: id, Zone: e.Zone, Kind: e.Type, Cell: e.Group, State: state,
 			Size: e.Weight, StartedAt: time.Duration(e.SinceMS) * time.Millisecond})
-		if missing[e.Name] = state == decide.Gone; state != decide.Gone {
+		if missing[e.Name] = state == balancer.Gone; state != balancer.Gone {
 			n.listed[e.Name] = id
 			n.backends.set(id, e.Address, e.SinceMS)
-			n.backends.drain(id, state == decide.Draining)
+			n.backends.drain(id, state == balancer.Draining)
 		}
 	}
 	n.handle(u)
@@ -179,10 +179,10 @@
 		}
 	}
 	n.stats.discovered.Store(int64(len(n.listed)))
-	if kind != decide.ListCached {
+	if kind != balancer.ListCached {
 		n.heard.Do(func() { close(n.told) })
 	}
-	if kind != decide.ListCached || !n.unheard {
+	if kind != balancer.ListCached || !n.unheard {
 		n.welcome()
 	}
 }
--- a/internal/node/lists_test.go
+++ b/internal/proxy/lists_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -51,9 +51,9 @@
 
 func TestFollowSetsAddresses(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), quiet)
-	apply := func(kind decide.ListKind, entries ...string) {
-		var l list.Answer
-		text := fmt.Sprintf(`{"index":1,"snapshot":%v,"endpoints":[%s]}`, kind != decide.ListChanges, strings.Join(entries, ","))
+	apply := func(kind balancer.ListKind, entries ...string) {
+		var l registry.Answer
+		text := fmt.Sprintf(`{"index":1,"snapshot":%v,"endpoints":[%s]}`, kind != balancer.ListChanges, strings.Join(entries, ","))
 		if err := json.Unmarshal([]byte(text), &l); err != nil {
 			t.Fatal(err)
 		}
@@ -74,31 +74,31 @@
 		}
 	}
 	check("at the start", nil)
-	apply(decide.ListCached, entryJSON("a", "127.0.0.1:1", "ready"), entryJSON("b", "127.0.0.1:2", "draining"))
+	apply(balancer.ListCached, entryJSON("a", "127.0.0.1:1", "ready"), entryJSON("b", "127.0.0.1:2", "draining"))
 	check("cached", map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:2"})
-	apply(decide.ListChanges, entryJSON("a", "127.0.0.1:3", "ready"), entryJSON("b", "", "gone"), entryJSON("c", "", "gone"))
+	apply(balancer.ListChanges, entryJSON("a", "127.0.0.1:3", "ready"), entryJSON("b", "", "gone"), entryJSON("c", "", "gone"))
 	check("changes", map[string]string{"a": "127.0.0.1:3"})
-	apply(decide.ListFull, entryJSON("d", "127.0.0.1:4", "ready"))
+	apply(balancer.ListFull, entryJSON("d", "127.0.0.1:4", "ready"))
 	check("full", map[string]string{"d": "127.0.0.1:4"})
-	apply(decide.ListFull)
+	apply(balancer.ListFull)
 	check("empty", nil)
 }
 
 // TestLastEntryOfANameCounts, however many an answer has.
 func TestLastEntryOfANameCounts(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), quiet)
-	l := list.Answer{Index: 2}
-	for _, status := range []string{list.Gone, list.Ready, list.Draining} {
+	l := registry.Answer{Index: 2}
+	for _, status := range []string{registry.Gone, registry.Ready, registry.Draining} {
 		for i := range 50 {
-			l.Endpoints = append(l.Endpoints, list.Entry{Name: fmt.Sprint("moved-", i), Address: "127.0.0.1:1", Status: status})
+			l.Endpoints = append(l.Endpoints, registry.Entry{Name: fmt.Sprint("moved-", i), Address: "127.0.0.1:1", Status: status})
 		}
 	}
-	for _, status := range []string{list.Ready, list.Gone} {
+	for _, status := range []string{registry.Ready, registry.Gone} {
 		for i := range 50 {
-			l.Endpoints = append(l.Endpoints, list.Entry{Name: fmt.Sprint("left-", i), Address: "127.0.0.1:1", Status: status})
+			l.Endpoints = append(l.Endpoints, registry.Entry{Name: fmt.Sprint("left-", i), Address: "127.0.0.1:1", Status: status})
 		}
 	}
-	n.follow(l, decide.ListChanges)
+	n.follow(l, balancer.ListChanges)
 	if len(n.listed) != 50 || len(n.backends.backends) != 50 {
 		t.Errorf("%d are listed, %d in the pool, want 50", len(n.listed), len(n.backends.backends))
 	}
--- a/internal/node/loop.go
+++ b/internal/proxy/loop.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 const inboxSize = 1024
@@ -54,12 +54,12 @@
 
 // now is the module's clock: wall time at the start plus what has passed, so
 // that it reads like the list's times and never steps back.
-func (n *Node) now() decide.Time {
+func (n *Node) now() balancer.Time {
 	return time.Duration(n.start.UnixNano()) + time.Since(n.start)
 }
 
 // handle tells the module of an event and carries out what it decides, in order.
-func (n *Node) handle(e decide.Event) {
+func (n *Node) handle(e balancer.Event) {
 	n.queue = append(n.queue, e)
 	if len(n.queue) > 1 {
 		return // the call further up gets to it
@@ -75,34 +75,34 @@
 	}
 	n.queue = nil
 	switch e.(type) {
-	case decide.TimerFired, decide.Maintenance, decide.ListUpdate: // often enough for a figure
+	case balancer.TimerFired, balancer.Maintenance, balancer.ListUpdate: // often enough for a figure
 		n.stats.ejected.Store(int64(n.module.Ejected()))
 	}
 }
 
-func (n *Node) act(a decide.Action) {
+func (n *Node) act(a balancer.Action) {
 	switch a := a.(type) {
-	case decide.Send:
+	case balancer.Send:
 		n.send(a)
-	case decide.Refuse:
+	case balancer.Refuse:
 		n.finish(a.ID, answer{status: cmp.Or(a.Status, http.StatusServiceUnavailable), holdOff: a.HoldOff})
-	case decide.Fail:
+	case balancer.Fail:
 		n.finish(a.ID, answer{status: http.StatusBadGateway})
-	case decide.CancelAttempt:
+	case balancer.CancelAttempt:
 		if r := n.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			r.attempts[a.Attempt]()
 		}
-	case decide.SetTimer:
-		time.AfterFunc(a.After, func() { n.post(func() { n.handle(decide.TimerFired{Token: a.Token}) }) })
-	case decide.CloseIdle:
+	case balancer.SetTimer:
+		time.AfterFunc(a.After, func() { n.post(func() { n.handle(balancer.TimerFired{Token: a.Token}) }) })
+	case balancer.CloseIdle:
 		n.backends.closeIdle(a.Server)
-	case decide.SendMessage:
+	case balancer.SendMessage:
 		n.message(a)
-	case decide.Subscribe:
+	case balancer.Subscribe:
 		n.lists.Ask(n.ctx, false, a.On)
-	case decide.FetchList:
+	case balancer.FetchList:
 		n.lists.Ask(n.ctx, true, n.cfg.Settings.AskForList)
-	case decide.Log:
+	case balancer.Log:
 		n.log.Info("module: " + a.Line)
 	default:
 		n.log.Warn("action not carried out", "action", a)
@@ -110,7 +110,7 @@
 }
 
 // message passes a message on to one node, or to all others.
-func (n *Node) message(a decide.SendMessage) {
+func (n *Node) message(a balancer.SendMessage) {
 	if !a.ToAll {
 		n.peers.Load().send(a.To, a.Data)
 		return
--- a/internal/node/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -1,9 +1,9 @@
-package node
+package proxy
 
 import (
 	"context"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // maintain puts a server into maintenance or takes it out. It returns when that
@@ -37,7 +37,7 @@
 	n.log.Info("maintenance", "backend", name, "on", on)
 	id := n.ids.of(name)
 	n.backends.hold(id, on)
-	n.handle(decide.Maintenance{Server: id, On: on})
+	n.handle(balancer.Maintenance{Server: id, On: on})
 	if delete(n.banned, name); on {
 		n.banned[name] = true
 	} else if _, listed := n.listed[name]; !listed {
--- a/internal/node/maintenance_test.go
+++ b/internal/proxy/maintenance_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/fence"
-	"indigotack/internal/list"
+	"wrenspread/balancer"
+	"wrenspread/internal/fencing"
+	"wrenspread/internal/registry"
 )
 
 // TestMaintenanceCalls: once the answer is yes, nothing is written to the server, attempts picked before included.
@@ -54,10 +54,10 @@
 	if err := n.maintain(ctx, "s-0", true); err != nil {
 		t.Fatal(err)
 	}
-	id := make(chan decide.ServerID, 2)
+	id := make(chan balancer.ServerID, 2)
 	n.post(func() {
 		id <- n.ids.of("s-0")
-		n.follow(list.Answer{Snapshot: true}, decide.ListFull)
+		n.follow(registry.Answer{Snapshot: true}, balancer.ListFull)
 		id <- n.ids.of("s-0")
 	})
 	if a, b := wait(t, id, "its number"), wait(t, id, "its number"); a != b || !n.backends.isHeld(a) {
@@ -80,7 +80,7 @@
 		}
 	}))
 	p.hold(1, true)
-	if res := try(t, p, enough); res.code != decide.Moot || p.open != 0 {
+	if res := try(t, p, enough); res.code != balancer.Moot || p.open != 0 {
 		t.Errorf("outcome %v with %d connections open", res.code, p.open)
 	}
 	select {
@@ -99,7 +99,7 @@
 	}{{"conductor 7", 200}, {"conductor 7", 200}, {"conductor 6", 409}, {"", 200}, {"other 1", 200}, {"odd", 400}, {"conductor 9", 200}, {"conductor 8", 409}} {
 		r := httptest.NewRequest("POST", "/backends/s-0/maint", nil)
 		if c.value != "" {
-			r.Header.Set(fence.Header, c.value)
+			r.Header.Set(fencing.Header, c.value)
 		}
 		w := httptest.NewRecorder()
 		if n.controlMux().ServeHTTP(w, r); w.Code != c.want {
--- a/internal/node/messages_test.go
+++ b/internal/proxy/messages_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 func udpSocket(t *testing.T) (*net.UDPConn, netip.AddrPort) {
@@ -102,8 +102,8 @@
 	n.front.linger = func() {}
 	go func() { ended <- n.Run(ctx, ln) }()
 	n.post(func() {
-		n.act(decide.SendMessage{To: 1, Data: []byte("one")})
-		n.act(decide.SendMessage{ToAll: true, Data: []byte("all")})
+		n.act(balancer.SendMessage{To: 1, Data: []byte("one")})
+		n.act(balancer.SendMessage{ToAll: true, Data: []byte("all")})
 	})
 	other.SetReadDeadline(time.Now().Add(10 * time.Second))
 	buf := make([]byte, 512)
--- a/internal/node/node.go
+++ b/internal/proxy/node.go
@@ -1,7 +1,7 @@
 // Package node carries out the decisions of package decide on real sockets: it
 // takes clients' requests, sends them to servers, follows the list of servers
 // and answers, each request once and in time.
-package node
+package proxy
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/fence"
-	"indigotack/internal/node/view"
+	"wrenspread/balancer"
+	"wrenspread/internal/fencing"
+	"wrenspread/internal/membership/gossip"
 )
 
 const (
@@ -33,16 +33,16 @@
 
 	backends *pool
 	lists    lists
-	fences   *fence.Guard // of those who order maintenance
-	unfit    error        // why it can not run; nil: it can
+	fences   *fencing.Guard // of those who order maintenance
+	unfit    error          // why it can not run; nil: it can
 	front    *frontend
 	stats    *stats
 	file     any                   // the configuration file last taken; for Reread
 	peers    atomic.Pointer[peers] // nil: this node has no socket for them
 	own      own
-	view     atomic.Pointer[view.Shell] // of the fleet; nil: there is none, or not yet
-	governed *governed                  // nil: no policy is followed
-	tenants  *tenants                   // nil: tenants are not told apart
+	view     atomic.Pointer[gossip.Shell] // of the fleet; nil: there is none, or not yet
+	governed *governed                    // nil: no policy is followed
+	tenants  *tenants                     // nil: tenants are not told apart
 	links    links
 	first    time.Duration // the most that the agent's first word is awaited
 	listTime time.Duration // the same in an upgrade, in which the old process serves meanwhile
@@ -51,26 +51,26 @@
 
 	// The rest belongs to the loop.
 	ctx      context.Context
-	module   *decide.Module
+	module   *balancer.Module
 	ids      *ids
-	listed   map[string]decide.ServerID
+	listed   map[string]balancer.ServerID
 	told     chan struct{}   // closed when discovery has told the list
 	unheard  bool            // the agent's first word is still awaited
 	heard    sync.Once       // for that
 	banned   map[string]bool // names of servers in maintenance
-	requests map[decide.RequestID]*request
-	queue    []decide.Event // that came of actions, to be handled next
+	requests map[balancer.RequestID]*request
+	queue    []balancer.Event // that came of actions, to be handled next
 }
 
 // New makes a node; Run starts it.
 func New(cfg Config, log *slog.Logger) *Node {
 	cfg = cfg.withoutView(log)
 	n := &Node{cfg: cfg, log: log, start: time.Now(), inbox: make(chan func(), inboxSize), calls: make(chan func()), told: make(chan struct{}), ended: make(chan struct{}),
-		module: decide.New(cfg.Settings, cfg.Seed), ids: newIDs(), listed: map[string]decide.ServerID{}, banned: map[string]bool{},
-		requests: map[decide.RequestID]*request{}, stats: newStats(cfg.Settings.Classes, cfg.BackendStats),
+		module: balancer.New(cfg.Settings, cfg.Seed), ids: newIDs(), listed: map[string]balancer.ServerID{}, banned: map[string]bool{},
+		requests: map[balancer.RequestID]*request{}, stats: newStats(cfg.Settings.Classes, cfg.BackendStats),
 		file: cfg.file, first: firstWord, listTime: listTime}
-	if n.fences, n.unfit = fence.Open(cfg.Fences); n.unfit != nil {
-		n.fences, _ = fence.Open("") // of memory alone, which can't fail
+	if n.fences, n.unfit = fencing.Open(cfg.Fences); n.unfit != nil {
+		n.fences, _ = fencing.Open("") // of memory alone, which can't fail
 	}
 	if n.unfit == nil {
 		n.tenants, n.unfit = newTenants(cfg)
--- a/internal/node/part.go
+++ b/internal/proxy/part.go
@@ -1,25 +1,25 @@
-package node
+package proxy
 
 import (
 	"slices"
 	"sync/atomic"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // scope is what of the settings says which part of the list this node works with.
 type scope struct {
 	self, nodes int
-	groups      []list.Group
+	groups      []registry.Group
 }
 
-func scopeOf(s decide.Settings) *scope {
+func scopeOf(s balancer.Settings) *scope {
 	to := &scope{self: s.Self, nodes: s.Nodes}
 	for _, c := range s.Classes {
-		g := list.Group{Zones: c.OnlyZones, Types: c.OnlyKinds}
-		if !slices.ContainsFunc(to.groups, func(o list.Group) bool { return same(o.Zones, g.Zones) && same(o.Types, g.Types) }) {
+		g := registry.Group{Zones: c.OnlyZones, Types: c.OnlyKinds}
+		if !slices.ContainsFunc(to.groups, func(o registry.Group) bool { return same(o.Zones, g.Zones) && same(o.Types, g.Types) }) {
 			to.groups = append(to.groups, g)
 		}
 	}
@@ -33,19 +33,19 @@
 // for from a goroutine of its own.
 type scoped struct{ now atomic.Pointer[scope] }
 
-func (s *scoped) next(has list.Part, total int, entries []list.Entry) list.Part {
+func (s *scoped) next(has registry.Part, total int, entries []registry.Entry) registry.Part {
 	by := s.now.Load()
 	return has.Next(by.self, by.nodes, total, entries, by.groups)
 }
 
 // snapshot is what a client believes, in the form of an answer.
-func snapshot(v client.View) list.Answer {
-	return list.Answer{Index: v.Version, Epoch: v.Epoch, Snapshot: true, Part: v.Part.String(), Total: v.Total, Endpoints: v.Entries}
+func snapshot(v client.View) registry.Answer {
+	return registry.Answer{Index: v.Version, Epoch: v.Epoch, Snapshot: true, Part: v.Part.String(), Total: v.Total, Endpoints: v.Entries}
 }
 
 // placePart says of a list which part of the whole it is; of the whole list it says nothing.
-func placePart(u *decide.ListUpdate, l list.Answer, self int) {
-	if p, err := list.ParsePart(l.Part); err == nil && !p.All() {
-		u.Total, u.From = l.Total, list.Place(self)
+func placePart(u *balancer.ListUpdate, l registry.Answer, self int) {
+	if p, err := registry.ParsePart(l.Part); err == nil && !p.All() {
+		u.Total, u.From = l.Total, registry.Place(self)
 	}
 }
--- a/internal/node/part_test.go
+++ b/internal/proxy/part_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"encoding/json"
@@ -14,49 +14,49 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
 )
 
-func partEntry(i int, address string) list.Entry {
-	return list.Entry{Name: fmt.Sprint("s-", i), Address: address, Zone: "a", Type: "m2", Status: list.Ready, Weight: 1}
+func partEntry(i int, address string) registry.Entry {
+	return registry.Entry{Name: fmt.Sprint("s-", i), Address: address, Zone: "a", Type: "m2", Status: registry.Ready, Weight: 1}
 }
 
 // TestPlacesAgree: the list's ring is the one on which decide takes a node's servers, of a whole list and of a part.
 func TestPlacesAgree(t *testing.T) {
 	const servers, nodes = 3000, 4300
-	var all []list.Entry
+	var all []registry.Entry
 	for i := range servers {
 		all = append(all, partEntry(i, "127.0.0.1:1"))
 	}
-	slices.SortFunc(all, func(a, b list.Entry) int {
-		if list.Point(a.Name) < list.Point(b.Name) {
+	slices.SortFunc(all, func(a, b registry.Entry) int {
+		if registry.Point(a.Name) < registry.Point(b.Name) {
 			return -1
 		}
 		return 1
 	})
 	for _, self := range []int{0, 1, 7, 4299} {
-		part := list.PartOf(self, nodes, servers)
+		part := registry.PartOf(self, nodes, servers)
 		for _, parted := range []bool{false, true} {
 			cfg := testConfig("127.0.0.1:1")
 			cfg.Settings.Nodes, cfg.Settings.Self = nodes, self
 			n := New(cfg, quiet)
-			l := list.Answer{Index: 1, Snapshot: true, Endpoints: all}
+			l := registry.Answer{Index: 1, Snapshot: true, Endpoints: all}
 			first := int(servers * math.Mod(float64(self)*math.Phi, 1))
 			if parted {
 				l.Part, l.Total = part.String(), servers
-				l.Endpoints = slices.DeleteFunc(slices.Clone(all), func(e list.Entry) bool { return !part.Holds(list.Point(e.Name)) })
-				first = slices.IndexFunc(all, func(e list.Entry) bool { return list.Point(e.Name) >= list.Place(self) })
+				l.Endpoints = slices.DeleteFunc(slices.Clone(all), func(e registry.Entry) bool { return !part.Holds(registry.Point(e.Name)) })
+				first = slices.IndexFunc(all, func(e registry.Entry) bool { return registry.Point(e.Name) >= registry.Place(self) })
 			}
-			n.follow(l, decide.ListFull)
+			n.follow(l, balancer.ListFull)
 			want, got := map[string]bool{}, map[string]bool{}
 			for i := range 5 { // decide's least reach
 				want[all[(first+i)%servers].Name] = true
 			}
 			for i := range 200 {
-				e := decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(i)), Class: "saldo", Patience: time.Second}
+				e := balancer.RequestArrived{ID: balancer.RequestID(fmt.Sprint(i)), Class: "saldo", Patience: time.Second}
 				for _, a := range n.module.Handle(n.now(), e) {
-					if s, ok := a.(decide.Send); ok {
+					if s, ok := a.(balancer.Send); ok {
 						got[n.ids.byID[s.Server]] = true
 					}
 				}
@@ -76,7 +76,7 @@
 // partService is a list service of one replica, or one of before that knows no parts.
 type partService struct {
 	mu    sync.Mutex
-	state *list.State
+	state *registry.State
 	old   bool
 	news  chan struct{} // closed and replaced when calls are not to be held any longer
 }
@@ -108,7 +108,7 @@
 	if q.Get("epoch") != s.state.Epoch() {
 		from = 0
 	}
-	part, err := list.ParsePart(q.Get("part"))
+	part, err := registry.ParsePart(q.Get("part"))
 	a := s.state.Since(from)
 	if !s.old && err == nil {
 		a = s.state.PartSince(part, from)
@@ -129,27 +129,27 @@
 	}))
 	defer backend.Close()
 	const servers = 6000
-	s := &partService{state: list.NewState(), news: make(chan struct{})}
-	s.state.Apply(list.Command{Do: list.DoBegin, Epoch: "e"})
+	s := &partService{state: registry.NewState(), news: make(chan struct{})}
+	s.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
 	for i := range servers {
 		e := partEntry(i, backend.Listener.Addr().String())
-		s.state.Apply(list.Command{Do: list.DoRegister, Entry: &e})
+		s.state.Apply(registry.Command{Do: registry.DoRegister, Entry: &e})
 	}
 	service := httptest.NewServer(s)
 	defer service.Close()
 	self, other := 3, 3
-	for ; list.PartOf(other, 4300, servers).Holds(list.Place(self)) || list.PartOf(self, 4300, servers).Holds(list.Place(other)); other++ {
+	for ; registry.PartOf(other, 4300, servers).Holds(registry.Place(self)) || registry.PartOf(self, 4300, servers).Holds(registry.Place(other)); other++ {
 	}
 	n := startNodeWith(t, func(n *Node) {
 		n.cfg.List, n.cfg.ListPart, n.cfg.ListFile = []string{service.Listener.Addr().String()}, true, filepath.Join(t.TempDir(), "list")
 		n.cfg.Settings.Nodes, n.cfg.Settings.Self = 4300, self
 	})
 	defer n.stopNow(t)
-	has := func(when string, part list.Part) {
+	has := func(when string, part registry.Part) {
 		t.Helper()
 		want := 0
 		for i := range servers {
-			if part.Holds(list.Point(fmt.Sprint("s-", i))) {
+			if part.Holds(registry.Point(fmt.Sprint("s-", i))) {
 				want++
 			}
 		}
@@ -157,7 +157,7 @@
 			got, outside := 0, 0
 			n.do(func() {
 				for name := range n.listed {
-					if got++; !part.Holds(list.Point(name)) {
+					if got++; !part.Holds(registry.Point(name)) {
 						outside++
 					}
 				}
@@ -169,15 +169,15 @@
 			}
 		}
 	}
-	has("at first", list.PartOf(self, 4300, servers))
+	has("at first", registry.PartOf(self, 4300, servers))
 	answered := make(chan reply, 1)
 	go func() { answered <- do(t, n.request(t, "GET", "saldo", "x", "30", nil)) }()
 	wait(t, arrived, "the request")
 	cfg := n.config()
 	cfg.Settings.Self = other
 	n.Reload(cfg)
-	s.change(func() { s.state.Apply(list.Command{Do: list.DoPut, Name: "k", Value: json.RawMessage("1")}) })
-	has("under another number", list.PartOf(other, 4300, servers))
+	s.change(func() { s.state.Apply(registry.Command{Do: registry.DoPut, Name: "k", Value: json.RawMessage("1")}) })
+	has("under another number", registry.PartOf(other, 4300, servers))
 	select {
 	case a := <-answered:
 		t.Errorf("the request in flight is answered %+v", a)
@@ -193,9 +193,9 @@
 			t.Error(err)
 		}
 		s.old = true
-		s.state.Apply(list.Command{Do: list.DoRestore, Over: "e", Epoch: "e2", Image: raw})
+		s.state.Apply(registry.Command{Do: registry.DoRestore, Over: "e", Epoch: "e2", Image: raw})
 	})
-	has("of a service that knows no parts", list.Part{})
+	has("of a service that knows no parts", registry.Part{})
 }
 
 func TestBadListPart(t *testing.T) {
--- a/internal/node/peers.go
+++ b/internal/proxy/peers.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/node/view"
-	"indigotack/internal/pause"
+	"wrenspread/balancer"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/membership/gossip"
 )
 
 const peersAgain = time.Second // between two tries to open the socket for other nodes
@@ -107,7 +107,7 @@
 	for ctx.Err() == nil && !p.muted.Load() {
 		n, addr, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			if ctx.Err() == nil && !p.muted.Load() && !pause.For(ctx, shortWait) { // an error here is of one datagram; none may spin
+			if ctx.Err() == nil && !p.muted.Load() && !backoff.Sleep(ctx, shortWait) { // an error here is of one datagram; none may spin
 				return
 			}
 			continue
@@ -141,7 +141,7 @@
 	}
 	n.log.Error("nothing is heard from other nodes, trying again", "err", err)
 	go func() {
-		for pause.For(ctx, peersAgain) {
+		for backoff.Sleep(ctx, peersAgain) {
 			if p, err := listenPeers(n.cfg.PeerListen, n.cfg.Peers, n.log); err == nil {
 				n.startPeers(p, nil)
 				return
@@ -151,10 +151,10 @@
 }
 
 // startPeers begins to hear from other nodes. handed is what the process before this one has handed over, if there was one.
-func (n *Node) startPeers(p *peers, handed *view.Handed) {
+func (n *Node) startPeers(p *peers, handed *gossip.Handed) {
 	n.peers.Store(p)
 	n.startView(p, handed)
 	go p.run(n.ctx, func(from int, data []byte) {
-		n.post(func() { n.handle(decide.MessageReceived{From: from, Data: data}) })
+		n.post(func() { n.handle(balancer.MessageReceived{From: from, Data: data}) })
 	})
 }
--- a/internal/node/pool.go
+++ b/internal/proxy/pool.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/pause"
+	"wrenspread/balancer"
+	"wrenspread/internal/backoff"
 )
 
 const idlePart = 0.75 // of the settings' idle time: the server must never be the first to close
@@ -25,10 +25,10 @@
 	open     int // connections, idle, in use or being dialled
 	most     int
 	shared   bool // with another process of this node: half of them
-	backends map[decide.ServerID]*backend
-	used     []*backend               // those with idle connections, and some that had them lately
-	held     map[decide.ServerID]bool // nothing is written to them
-	room     room                     // for answers that are not small
+	backends map[balancer.ServerID]*backend
+	used     []*backend                 // those with idle connections, and some that had them lately
+	held     map[balancer.ServerID]bool // nothing is written to them
+	room     room                       // for answers that are not small
 }
 
 // backend is one process of a server. A restart or a new address makes a new
@@ -42,16 +42,16 @@
 	idle    []*conn // the one used last comes last
 }
 
-func newPool(s decide.Settings, most int) *pool {
-	p := &pool{most: most, forwards: new(atomic.Int64), backends: map[decide.ServerID]*backend{}, held: map[decide.ServerID]bool{},
-		room: newRoom(defaultMemoryMB), pause: pause.For,
+func newPool(s balancer.Settings, most int) *pool {
+	p := &pool{most: most, forwards: new(atomic.Int64), backends: map[balancer.ServerID]*backend{}, held: map[balancer.ServerID]bool{},
+		room: newRoom(defaultMemoryMB), pause: backoff.Sleep,
 		dialer: net.Dialer{KeepAlive: -1}}
 	p.configure(s)
 	return p
 }
 
 // configure takes the settings that concern connections.
-func (p *pool) configure(s decide.Settings) {
+func (p *pool) configure(s balancer.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer.Timeout = s.ConnectTimeout
@@ -69,7 +69,7 @@
 
 // set takes a server's address from the list. Connections to an earlier
 // process of it are worthless and are closed.
-func (p *pool) set(id decide.ServerID, address string, since int64) {
+func (p *pool) set(id balancer.ServerID, address string, since int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -82,7 +82,7 @@
 	p.backends[id] = &backend{address: address, since: since}
 }
 
-func (p *pool) remove(id decide.ServerID) {
+func (p *pool) remove(id balancer.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -93,7 +93,7 @@
 }
 
 // closeIdle closes the connections to a server that carry nothing.
-func (p *pool) closeIdle(id decide.ServerID) {
+func (p *pool) closeIdle(id balancer.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -120,7 +120,7 @@
 
 // hold has nothing more written to a server, whatever was picked before, or
 // lets it be used again.
-func (p *pool) hold(id decide.ServerID, on bool) {
+func (p *pool) hold(id balancer.ServerID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if delete(p.held, id); on {
@@ -129,7 +129,7 @@
 }
 
 // drain says whether a server takes nothing new.
-func (p *pool) drain(id decide.ServerID, on bool) {
+func (p *pool) drain(id balancer.ServerID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -139,7 +139,7 @@
 
 // barred tells whether nothing may be written on a connection any more: since its server was picked, that has
 // restarted, moved, begun to drain or left the list, or is held.
-func (p *pool) barred(id decide.ServerID, c *conn) bool {
+func (p *pool) barred(id balancer.ServerID, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c.of.closed || c.of.drains || p.held[id]
@@ -193,7 +193,7 @@
 
 // run expires idle connections until ctx ends.
 func (p *pool) run(ctx context.Context) {
-	for pause.For(ctx, max(p.idleTime()/8, 50*time.Millisecond)) {
+	for backoff.Sleep(ctx, max(p.idleTime()/8, 50*time.Millisecond)) {
 		p.expire(time.Now())
 	}
 }
--- a/internal/node/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 func testPool(address string) *pool {
-	p := newPool(decide.Settings{ConnectTimeout: enough, ConnIdle: time.Hour}, 100)
+	p := newPool(balancer.Settings{ConnectTimeout: enough, ConnIdle: time.Hour}, 100)
 	p.set(1, address, 0)
 	return p
 }
@@ -27,7 +27,7 @@
 
 func always() bool { return true }
 
-func (p *pool) isHeld(id decide.ServerID) bool {
+func (p *pool) isHeld(id balancer.ServerID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held[id]
@@ -69,35 +69,35 @@
 	first := make(chan result, 1)
 	go func() { first <- try(t, p, enough) }()
 	wait(t, got, "the attempt that takes the room")
-	if res := try(t, p, enough); res.code != decide.Moot {
+	if res := try(t, p, enough); res.code != balancer.Moot {
 		t.Errorf("no room: code %v, want Moot", res.code)
 	}
 	close(release)
-	if res := wait(t, first, "its answer"); res.code != decide.OK {
+	if res := wait(t, first, "its answer"); res.code != balancer.OK {
 		t.Errorf("the first: code %v", res.code)
 	}
 	p = testPool(refusing(t))
 	p.dialer.Control = func(string, string, syscall.RawConn) error { return syscall.EMFILE }
-	if res := try(t, p, enough); res.code != decide.Moot {
+	if res := try(t, p, enough); res.code != balancer.Moot {
 		t.Errorf("no descriptor: code %v, want Moot", res.code)
 	}
 }
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	if got := try(t, testPool(refusing(t)), enough); got.code != decide.ConnectFailed {
+	if got := try(t, testPool(refusing(t)), enough); got.code != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.code)
 	}
-	p := newPool(decide.Settings{}, 100)
-	if got := try(t, p, enough); got.code != decide.ConnectFailed {
+	p := newPool(balancer.Settings{}, 100)
+	if got := try(t, p, enough); got.code != balancer.ConnectFailed {
 		t.Errorf("outcome %d of a server not listed, want ConnectFailed", got.code)
 	}
 }
 
 // TestLateConnectionNeverRan: one that is not up in time is no proof that the server is gone.
 func TestLateConnectionNeverRan(t *testing.T) {
-	p := newPool(decide.Settings{ConnectTimeout: time.Nanosecond}, 100)
+	p := newPool(balancer.Settings{ConnectTimeout: time.Nanosecond}, 100)
 	p.set(1, serving(t), 0)
-	if got := try(t, p, enough); got.code != decide.ConnectTimedOut || p.open != 0 {
+	if got := try(t, p, enough); got.code != balancer.ConnectTimedOut || p.open != 0 {
 		t.Errorf("outcome %d, want ConnectTimedOut; %d connections counted", got.code, p.open)
 	}
 }
@@ -124,7 +124,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	stood(p, strayTime)
-	if got := try(t, p, enough); got.code != decide.OK {
+	if got := try(t, p, enough); got.code != balancer.OK {
 		t.Errorf("outcome %d, want OK on a new connection", got.code)
 	}
 }
@@ -140,7 +140,7 @@
 			io.WriteString(conn, answer)
 			readRequest(r)
 		}))
-		if got := try(t, p, enough); got.code != decide.OK {
+		if got := try(t, p, enough); got.code != balancer.OK {
 			t.Errorf("%s: outcome %d, want OK", name, got.code)
 		}
 		if p.open != 0 || len(p.backends[1].idle) != 0 {
--- a/internal/node/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"net/http/httptest"
 	"testing"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
 )
 
 // TestReloadMovesDiscovery: after a move the node lets go of the old address,
@@ -99,7 +99,7 @@
 	n := startNodeWith(t, func(n *Node) {
 		n.cfg.Discovery = disc.Listener.Addr().String()
 		n.cfg.Settings.AskForList = true
-		n.module = decide.New(n.cfg.Settings, 1)
+		n.module = balancer.New(n.cfg.Settings, 1)
 	})
 	defer n.stopNow(t)
 	wait(t, watched, "the watch that the module asks for")
@@ -136,7 +136,7 @@
 	defer disc.Close()
 	n := startNodeWith(t, func(n *Node) {
 		n.TakeOver(dir)
-		n.cfg.known = list.Answer{Snapshot: true, Endpoints: []list.Entry{{Name: "old", Address: refusing(t), Status: list.Ready}}}
+		n.cfg.known = registry.Answer{Snapshot: true, Endpoints: []registry.Entry{{Name: "old", Address: refusing(t), Status: registry.Ready}}}
 		told <- n.told
 		cfg := n.cfg
 		cfg.Discovery = disc.Listener.Addr().String()
--- a/internal/node/requests.go
+++ b/internal/proxy/requests.go
@@ -1,12 +1,12 @@
-package node
+package proxy
 
 import (
 	"context"
 	"net/http"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/node/accept"
+	"wrenspread/balancer"
+	"wrenspread/internal/proxy/listener"
 )
 
 const (
@@ -18,7 +18,7 @@
 
 // request is a client's request until it is answered and its attempts have ended.
 type request struct {
-	id        decide.RequestID
+	id        balancer.RequestID
 	class     string
 	settings  int // number of those that its class is of
 	out       *outbound
@@ -32,7 +32,7 @@
 	stream    *stream         // the long answer that has begun; nil: none
 	parked    bool            // it has waited for its tenant's part of the catalogue
 	leaveRoom func()          // gives back what its body has taken; may be nil
-	client    *accept.Conn    // nil: not known
+	client    *listener.Conn  // nil: not known
 	gone      <-chan struct{} // closed when the server knows that the client has left
 }
 
@@ -57,7 +57,7 @@
 
 // open takes a client's request and tells the module of it. The answer comes
 // on r.answer.
-func (n *Node) open(r *request, e decide.RequestArrived) {
+func (n *Node) open(r *request, e balancer.RequestArrived) {
 	if n.requests[r.id] != nil {
 		// Two under one id would get each other's answers.
 		r.done = true
@@ -96,7 +96,7 @@
 	r.deadline = time.Now().Add(wait)
 	r.guard.Stop()
 	n.keepTime(r, wait)
-	n.handle(decide.RequestWhole{ID: r.id, Patience: wait})
+	n.handle(balancer.RequestWhole{ID: r.id, Patience: wait})
 }
 
 // keepTime guards a request's deadline.
@@ -110,7 +110,7 @@
 				for _, cancel := range r.attempts {
 					cancel() // a module that lost the request does not call them off
 				}
-				n.handle(decide.RequestAbandoned{ID: r.id})
+				n.handle(balancer.RequestAbandoned{ID: r.id})
 			}
 		})
 	})
@@ -120,7 +120,7 @@
 func (n *Node) abandon(r *request) {
 	if !r.done {
 		n.close(r)
-		n.handle(decide.RequestAbandoned{ID: r.id})
+		n.handle(balancer.RequestAbandoned{ID: r.id})
 		return
 	}
 	select {
@@ -134,7 +134,7 @@
 
 // finish gives a request its final answer. All answers pass here, and only
 // the first goes on.
-func (n *Node) finish(id decide.RequestID, a answer) {
+func (n *Node) finish(id balancer.RequestID, a answer) {
 	if r := n.requests[id]; r != nil && !r.done {
 		r.answer <- a
 		n.close(r)
--- a/internal/node/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 func TestServes(t *testing.T) {
@@ -115,7 +115,7 @@
 	go func() { answers <- do(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
 	wait(t, got, "the attempt")
 	n.post(func() {
-		n.module = decide.New(n.cfg.Settings, 1)
+		n.module = balancer.New(n.cfg.Settings, 1)
 		n.requests["q"].guard.Reset(0)
 	})
 	if a := wait(t, answers, "the answer"); a.status != http.StatusGatewayTimeout {
--- a/internal/node/response.go
+++ b/internal/proxy/response.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/wire"
+	"wrenspread/balancer"
+	"wrenspread/internal/simwire"
 )
 
 const (
@@ -47,18 +47,18 @@
 		return res, false, err
 	}
 	if long && resp.StatusCode == http.StatusOK {
-		res.code, res.header = decide.OK, resp.Header
+		res.code, res.header = balancer.OK, resp.Header
 		res.stream = &stream{length: resp.ContentLength, start: body, rest: resp.Body, conn: c, ended: make(chan error, 1)}
 		return res, !resp.Close, nil
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		res.code, res.header, res.body = decide.OK, resp.Header, body
+		res.code, res.header, res.body = balancer.OK, resp.Header, body
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Run") == "1":
-		res.code = decide.Full
+		res.code = balancer.Full
 	default:
-		res.code = decide.ServerError
+		res.code = balancer.ServerError
 	}
 	return res, !resp.Close && !long && c.read.Buffered() == 0, nil
 }
@@ -101,11 +101,11 @@
 
 // parseLoad reads a load report. One that is malformed in any part is ignored
 // as a whole: half a report says less than the count it would replace.
-func parseLoad(s string) *decide.Report {
+func parseLoad(s string) *balancer.Report {
 	if s == "" {
 		return nil
 	}
-	var r decide.Report
+	var r balancer.Report
 	known := false
 	for part := range strings.SplitSeq(s, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -116,7 +116,7 @@
 		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return nil
 		}
-		known = wire.SetReportField(&r, name, v) || known
+		known = simwire.SetReportField(&r, name, v) || known
 	}
 	if !known {
 		return nil
--- a/internal/node/running_test.go
+++ b/internal/proxy/running_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -13,18 +13,18 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 func testConfig(discovery string) Config {
-	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, Sockets: 512, Settings: decide.Settings{
+	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, Sockets: 512, Settings: balancer.Settings{
 		Nodes: 1, Zone: "a", Zones: []string{"a"}, Kinds: []string{"m2"}, MaxAttempts: 4, MayCancel: true, HoldOffs: true,
 		MaxHoldOff: 2 * time.Second, ConnectTimeout: enough, ConnIdle: time.Hour, MaxOpen: 1000,
 		DrainGrace: time.Second, ColdFrom: 0.3, ColdTime: time.Second, OverloadFactor: 3, OverloadTime: time.Second,
-		Classes: []decide.Class{
-			{Name: "saldo", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: decide.Safe},
-			{Name: "pedido", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: decide.Keyed, DedupWindow: time.Second},
-			{Name: "pagar", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: decide.Unsafe},
+		Classes: []balancer.Class{
+			{Name: "saldo", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: balancer.Safe},
+			{Name: "pedido", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: balancer.Keyed, DedupWindow: time.Second},
+			{Name: "pagar", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: balancer.Unsafe},
 		}}}
 }
 
--- a/internal/node/settings.go
+++ b/internal/proxy/settings.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // formerLeast is how long requests in the form of the settings before are
@@ -145,22 +145,22 @@
 // swapRules gives the module the node's settings and the front the rules of them,
 // in one step of the loop: each request that it opens has either these or those before.
 func (n *Node) swapRules(next *rules) {
-	n.handle(decide.SettingsChanged{Settings: n.withVariants(n.cfg.Settings)})
+	n.handle(balancer.SettingsChanged{Settings: n.withVariants(n.cfg.Settings)})
 	n.front.rules.Store(next)
 }
 
 // rules is what the front must know of the settings to take a request.
 type rules struct {
-	number      int                      // one more each time that the module is given settings: it knows the last two
-	came        int                      // the number with which the settings first came
-	effects     map[string]decide.Effect // of the classes
-	longest     time.Duration            // deadline of a class
-	former      map[string]decide.Effect // of the settings before
+	number      int                        // one more each time that the module is given settings: it knows the last two
+	came        int                        // the number with which the settings first came
+	effects     map[string]balancer.Effect // of the classes
+	longest     time.Duration              // deadline of a class
+	former      map[string]balancer.Effect // of the settings before
 	formerUntil time.Time
 }
 
-func newRules(s decide.Settings, before *rules) *rules {
-	r := &rules{effects: map[string]decide.Effect{}}
+func newRules(s balancer.Settings, before *rules) *rules {
+	r := &rules{effects: map[string]balancer.Effect{}}
 	for _, c := range s.Classes {
 		r.effects[c.Name] = c.Effect
 		r.longest = max(r.longest, c.Deadline)
@@ -190,7 +190,7 @@
 
 // effect finds what a repeat of a request would do: by its class, or by that
 // class as it was, where only that agrees with the request's form.
-func (r *rules) effect(class string, fits func(decide.Effect) error) (former bool, err error) {
+func (r *rules) effect(class string, fits func(balancer.Effect) error) (former bool, err error) {
 	effect, known := r.effects[class]
 	if known {
 		if err = fits(effect); err == nil {
--- a/internal/node/settings_flight_test.go
+++ b/internal/proxy/settings_flight_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // change gives the node other settings and returns when it has them.
-func (n *running) change(t *testing.T, classes ...decide.Class) {
+func (n *running) change(t *testing.T, classes ...balancer.Class) {
 	t.Helper()
 	cfg := n.config()
 	cfg.Settings.Classes = classes
@@ -24,11 +24,11 @@
 // TestSettingsChangeAmidARequest: new settings come when the head of a request has been read and its body has not. It
 // has the effect that its class had then, or is refused unsent where the module does not know that any more.
 func TestSettingsChangeAmidARequest(t *testing.T) {
-	type settings [][]decide.Class
-	is := func(effect decide.Effect) []decide.Class {
-		return []decide.Class{{Name: "a", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: effect, DedupWindow: enough}}
+	type settings [][]balancer.Class
+	is := func(effect balancer.Effect) []balancer.Class {
+		return []balancer.Class{{Name: "a", Worth: 1, Aim: enough, Deadline: 2 * enough, Effect: effect, DedupWindow: enough}}
 	}
-	gone := is(decide.Unsafe)
+	gone := is(balancer.Unsafe)
 	gone[0].Name = "b"
 	for _, c := range []struct {
 		name           string
@@ -37,14 +37,14 @@
 		changes        settings
 		status, served int
 	}{
-		{"unsafe, then safe", settings{is(decide.Unsafe)}, "POST", "", settings{is(decide.Safe)}, 502, 1},
-		{"keyed in a cell, then safe", settings{is(decide.Keyed)}, "POST", "k", settings{is(decide.Safe)}, 502, 2},
-		{"unsafe, then gone", settings{is(decide.Unsafe)}, "POST", "", settings{gone}, 502, 1},
-		{"safe, then unsafe", settings{is(decide.Safe)}, "GET", "", settings{is(decide.Unsafe)}, 503, 2},
-		{"safe, then gone", settings{is(decide.Safe)}, "GET", "", settings{gone}, 503, 2},
-		{"unsafe, then gone, then safe", settings{is(decide.Unsafe)}, "POST", "", settings{gone, is(decide.Safe)}, 503, 0},
-		{"unsafe, then keyed, then safe", settings{is(decide.Unsafe)}, "POST", "", settings{is(decide.Keyed), is(decide.Safe)}, 503, 0},
-		{"former and unsafe, then keyed", settings{is(decide.Unsafe), is(decide.Safe)}, "POST", "", settings{is(decide.Keyed)}, 503, 0},
+		{"unsafe, then safe", settings{is(balancer.Unsafe)}, "POST", "", settings{is(balancer.Safe)}, 502, 1},
+		{"keyed in a cell, then safe", settings{is(balancer.Keyed)}, "POST", "k", settings{is(balancer.Safe)}, 502, 2},
+		{"unsafe, then gone", settings{is(balancer.Unsafe)}, "POST", "", settings{gone}, 502, 1},
+		{"safe, then unsafe", settings{is(balancer.Safe)}, "GET", "", settings{is(balancer.Unsafe)}, 503, 2},
+		{"safe, then gone", settings{is(balancer.Safe)}, "GET", "", settings{gone}, 503, 2},
+		{"unsafe, then gone, then safe", settings{is(balancer.Unsafe)}, "POST", "", settings{gone, is(balancer.Safe)}, 503, 0},
+		{"unsafe, then keyed, then safe", settings{is(balancer.Unsafe)}, "POST", "", settings{is(balancer.Keyed), is(balancer.Safe)}, 503, 0},
+		{"former and unsafe, then keyed", settings{is(balancer.Unsafe), is(balancer.Safe)}, "POST", "", settings{is(balancer.Keyed)}, 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var served atomic.Int32
@@ -93,7 +93,7 @@
 	answers := make(chan reply, 1)
 	go func() { answers <- do(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
 	wait(t, got, "the attempt")
-	n.change(t, decide.Class{Name: "saldo", Aim: time.Millisecond, Deadline: time.Millisecond, Effect: decide.Safe})
+	n.change(t, balancer.Class{Name: "saldo", Aim: time.Millisecond, Deadline: time.Millisecond, Effect: balancer.Safe})
 	n.stop()
 	n.linger()
 	wait(t, n.tap.closed, "the listener to be closed")
--- a/internal/node/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 const reloadConfig = `{"name":"n0","listen":"127.0.0.1:5000","discovery":"127.0.0.1:1","seed":"1f","limits":{"memory_mb":100,"sockets":512},
@@ -191,10 +191,10 @@
 
 // TestFormerFormRunsUnderFormerClass.
 func TestFormerFormRunsUnderFormerClass(t *testing.T) {
-	r := newRules(decide.Settings{Classes: []decide.Class{{Name: "a", Effect: decide.Unsafe}}},
-		&rules{effects: map[string]decide.Effect{"a": decide.Safe, "b": decide.Safe}})
-	is := func(want decide.Effect) func(decide.Effect) error {
-		return func(e decide.Effect) error {
+	r := newRules(balancer.Settings{Classes: []balancer.Class{{Name: "a", Effect: balancer.Unsafe}}},
+		&rules{effects: map[string]balancer.Effect{"a": balancer.Safe, "b": balancer.Safe}})
+	is := func(want balancer.Effect) func(balancer.Effect) error {
+		return func(e balancer.Effect) error {
 			if e == want {
 				return nil
 			}
@@ -203,11 +203,11 @@
 	}
 	for _, c := range []struct {
 		class    string
-		form     decide.Effect
+		form     balancer.Effect
 		former   bool
 		accepted bool
-	}{{"a", decide.Unsafe, false, true}, {"a", decide.Safe, true, true}, {"a", decide.Keyed, false, false}, {"b", decide.Safe, true, true},
-		{"c", decide.Safe, false, false}} {
+	}{{"a", balancer.Unsafe, false, true}, {"a", balancer.Safe, true, true}, {"a", balancer.Keyed, false, false}, {"b", balancer.Safe, true, true},
+		{"c", balancer.Safe, false, false}} {
 		former, err := r.effect(c.class, is(c.form))
 		if former != c.former || (err == nil) != c.accepted {
 			t.Errorf("class %s in form %d: former %v, error %v", c.class, c.form, former, err)
--- a/internal/node/size_test.go
+++ b/internal/proxy/size_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
 )
 
 // BenchmarkFollow is what a list of some size costs a whole node: one change of it, what runs at rest, memory for a server.
@@ -23,30 +23,30 @@
 		n := New(cfg, quiet)
 		kept = append(kept, n)
 		close(n.ended) // no loop runs: what timers post is dropped
-		entry := func(i int, status string) list.Entry {
-			return list.Entry{Name: fmt.Sprint("service-a-", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256), Zone: "zone-a", Type: "m2", Status: status}
+		entry := func(i int, status string) registry.Entry {
+			return registry.Entry{Name: fmt.Sprint("service-a-", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256), Zone: "zone-a", Type: "m2", Status: status}
 		}
-		whole := list.Answer{Index: 1, Snapshot: true}
+		whole := registry.Answer{Index: 1, Snapshot: true}
 		for i := range servers {
-			whole.Endpoints = append(whole.Endpoints, entry(i, list.Ready))
+			whole.Endpoints = append(whole.Endpoints, entry(i, registry.Ready))
 		}
-		n.follow(whole, decide.ListFull)
+		n.follow(whole, balancer.ListFull)
 		whole.Endpoints = nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.Run(fmt.Sprintf("change/servers=%d", servers), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
-				status := list.Gone
+				status := registry.Gone
 				if i%2 > 0 {
-					status = list.Ready
+					status = registry.Ready
 				}
-				n.follow(list.Answer{Index: uint64(i + 2), Endpoints: []list.Entry{entry(i/2*7919%servers, status)}}, decide.ListChanges)
+				n.follow(registry.Answer{Index: uint64(i + 2), Endpoints: []registry.Entry{entry(i/2*7919%servers, status)}}, balancer.ListChanges)
 			}
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/float64(servers), "B/server")
 		})
 		b.Run(fmt.Sprintf("rest/servers=%d", servers), func(b *testing.B) { // a round of checks, one of idle connections
 			for b.Loop() {
-				n.handle(decide.TimerFired{})
+				n.handle(balancer.TimerFired{})
 				n.backends.expire(time.Now())
 			}
 		})
--- a/internal/node/start.go
+++ b/internal/proxy/start.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import "time"
 
@@ -17,7 +17,7 @@
 // in turn, slowly, or not at all; and clients that fill the descriptors give way
 // to the one that asks for readiness. A node that knows no server from before has to
 // hear of one first: that takes 6 s from when discovery can be reached, by the bound
-// for silence (internal/list/client/silence.go), and then it is ready at once. One that
+// for silence (internal/registry/client/silence.go), and then it is ready at once. One that
 // follows a policy or tells tenants apart waits for the list service as long as it takes.
 const (
 	BindMost  = 5 * time.Second
--- a/internal/node/stats.go
+++ b/internal/proxy/stats.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"sync"
 	"sync/atomic"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // outcome is how a request ended, as operators count it.
@@ -38,7 +38,7 @@
 // attempts are those of one server that ended and say something of it.
 type attempts struct{ succeeded, failed, late int64 } // late ones have succeeded
 
-func newStats(classes []decide.Class, servers bool) *stats {
+func newStats(classes []balancer.Class, servers bool) *stats {
 	s := &stats{results: map[string]*[outcomes]atomic.Int64{}}
 	if servers {
 		s.servers = map[string]*attempts{}
@@ -48,7 +48,7 @@
 }
 
 // add has the figures of further classes begin at zero.
-func (s *stats) add(classes []decide.Class) {
+func (s *stats) add(classes []balancer.Class) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range classes {
@@ -69,8 +69,8 @@
 
 // attempt takes the end of an attempt at a server. One that the node called off, or
 // never sent, says nothing of it.
-func (s *stats) attempt(server string, code decide.OutcomeCode, late bool) {
-	if server == "" || code == decide.Moot || code == decide.Cancelled {
+func (s *stats) attempt(server string, code balancer.OutcomeCode, late bool) {
+	if server == "" || code == balancer.Moot || code == balancer.Cancelled {
 		return
 	}
 	s.mu.Lock()
@@ -81,7 +81,7 @@
 		s.servers[server] = a
 	}
 	switch {
-	case code != decide.OK:
+	case code != balancer.OK:
 		a.failed++
 	case late:
 		a.late++
--- a/internal/node/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // TestFigures: each request counts once where it ends, each attempt when it has
@@ -62,13 +62,13 @@
 
 // TestNamesBreakNoLine: a class named by someone careless stays one word.
 func TestNamesBreakNoLine(t *testing.T) {
-	s := newStats([]decide.Class{{Name: "a.b:1|c\napp.x"}}, true)
+	s := newStats([]balancer.Class{{Name: "a.b:1|c\napp.x"}}, true)
 	s.count("a.b:1|c\napp.x", aborted)
 	s.count("nobody's", aborted)
-	for code, late := range map[decide.OutcomeCode]bool{decide.OK: true, decide.Full: false, decide.Reset: false, decide.Moot: false, decide.Cancelled: false} {
+	for code, late := range map[balancer.OutcomeCode]bool{balancer.OK: true, balancer.Full: false, balancer.Reset: false, balancer.Moot: false, balancer.Cancelled: false} {
 		s.attempt("b c", code, late)
 	}
-	s.attempt("left", decide.OK, false)
+	s.attempt("left", balancer.OK, false)
 	s.forget("left")
 	var b strings.Builder
 	s.write(&b)
--- a/internal/node/tenants.go
+++ b/internal/proxy/tenants.go
@@ -1,12 +1,12 @@
-package node
+package proxy
 
 import (
 	"sync/atomic"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/list/client"
-	"indigotack/internal/tenant"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 // tenants is a node's part in the catalogue of tenants. It is the loop's but for the client, the session and the figures.
@@ -146,7 +146,7 @@
 }
 
 // tenantTable tells the desk of the policy's table that is evaluated; nil for none.
-func (n *Node) tenantTable(table *decide.Table) {
+func (n *Node) tenantTable(table *balancer.Table) {
 	t := n.tenants
 	if t == nil {
 		return
@@ -163,9 +163,9 @@
 }
 
 // bookOf is the name by which a table knows the requests that touch a limit; empty: any.
-func bookOf(t *decide.Table, l decide.Limit) string {
+func bookOf(t *balancer.Table, l balancer.Limit) string {
 	for at := l.Part; at >= 0 && at < len(t.Parts); at = t.Parts[at].Within {
-		if p := t.Parts[at]; p.Axis == decide.OfBook && p.Word != decide.Others {
+		if p := t.Parts[at]; p.Axis == balancer.OfBook && p.Word != balancer.Others {
 			return p.Word
 		}
 	}
--- a/internal/node/tenants_config.go
+++ b/internal/proxy/tenants_config.go
@@ -1,10 +1,10 @@
-package node
+package proxy
 
 import (
 	"fmt"
 	"time"
 
-	"indigotack/internal/tenant"
+	"wrenspread/internal/tenant"
 )
 
 // Bounds of govern.hold_ms: below a few of the session's times a service that is a little late would stop the tenants.
--- a/internal/node/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -1,11 +1,11 @@
-package node
+package proxy
 
 import (
 	"context"
 	"time"
 
-	"indigotack/internal/list/client"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/tenant"
 )
 
 const (
@@ -118,7 +118,7 @@
 			gone = n.await(ctx, leftTime, t.off)
 		}
 		if !gone {
-			n.log.Warn("the tenants' book may still have this node: indigoctl tenant forget")
+			n.log.Warn("the tenants' book may still have this node: wrenspreadctl tenant forget")
 			return
 		}
 		t.session.close()
--- a/internal/node/tenants_judge.go
+++ b/internal/proxy/tenants_judge.go
@@ -1,17 +1,17 @@
-package node
+package proxy
 
 import (
 	"cmp"
 	"net/http"
 
-	"indigotack/decide"
-	"indigotack/internal/tenant"
+	"wrenspread/balancer"
+	"wrenspread/internal/tenant"
 )
 
 // judge answers a request by the catalogue, unless that has it served: then it says to the module which class, variant
 // and tenant it is of. All of it is one step of the loop, as is a new catalogue: no request is judged by one and counted
 // by the next.
-func (n *Node) judge(r *request, e *decide.RequestArrived) (serve bool) {
+func (n *Node) judge(r *request, e *balancer.RequestArrived) (serve bool) {
 	t := n.tenants
 	if t == nil {
 		return true
@@ -71,7 +71,7 @@
 				status = http.StatusBadGateway
 			}
 			n.finish(r.id, answer{status: status})
-			n.handle(decide.RequestAbandoned{ID: r.id})
+			n.handle(balancer.RequestAbandoned{ID: r.id})
 		}
 		for _, cancel := range r.attempts {
 			cancel() // the module may not be allowed to
--- a/internal/node/tenants_lanes.go
+++ b/internal/proxy/tenants_lanes.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/tenant"
+	"wrenspread/balancer"
+	"wrenspread/internal/tenant"
 )
 
 const (
@@ -18,15 +18,15 @@
 // lanes are the routes of the catalogue as the module knows them: variants of classes that are open to some zones and
 // kinds only. A route that names pods has none, as the module does not choose by pods.
 type lanes struct {
-	names map[lane]string         // by route and class: the variant
-	wants map[string]decide.Class // variants of the catalogue
-	has   map[string]decide.Class // variants that the module was given
-	had   map[string]decide.Class // and those with the settings before
-	uses  map[string]int          // of wants: by so many of names
-	parts map[*tenant.Part][]lane // of names, by the parts of the catalogue that have the routes
-	short bool                    // a variant has no room in wants
-	late  bool                    // it is to be given others
-	tried *tenant.Image           // of which names and wants are
+	names map[lane]string           // by route and class: the variant
+	wants map[string]balancer.Class // variants of the catalogue
+	has   map[string]balancer.Class // variants that the module was given
+	had   map[string]balancer.Class // and those with the settings before
+	uses  map[string]int            // of wants: by so many of names
+	parts map[*tenant.Part][]lane   // of names, by the parts of the catalogue that have the routes
+	short bool                      // a variant has no room in wants
+	late  bool                      // it is to be given others
+	tried *tenant.Image             // of which names and wants are
 }
 
 type lane struct {
@@ -35,7 +35,7 @@
 }
 
 func newLanes() lanes {
-	l := lanes{has: map[string]decide.Class{}}
+	l := lanes{has: map[string]balancer.Class{}}
 	l.plan(nil, nil)
 	return l
 }
@@ -60,18 +60,18 @@
 func narrows(r *tenant.Route) bool { return len(r.Zones)+len(r.Kinds)+len(r.Pods) > 0 }
 
 // plan finds the variants that a catalogue needs: equal routes share one.
-func (l *lanes) plan(i *tenant.Image, classes []decide.Class) {
-	l.names, l.wants, l.uses, l.parts, l.short = map[lane]string{}, map[string]decide.Class{}, map[string]int{}, map[*tenant.Part][]lane{}, false
+func (l *lanes) plan(i *tenant.Image, classes []balancer.Class) {
+	l.names, l.wants, l.uses, l.parts, l.short = map[lane]string{}, map[string]balancer.Class{}, map[string]int{}, map[*tenant.Part][]lane{}, false
 	l.follow(i, classes)
 }
 
 // follow finds them by the parts that the catalogue before had not, and those that it had.
-func (l *lanes) follow(i *tenant.Image, classes []decide.Class) {
+func (l *lanes) follow(i *tenant.Image, classes []balancer.Class) {
 	l.tried = i
 	if i == nil {
 		return
 	}
-	byName := map[string]decide.Class{}
+	byName := map[string]balancer.Class{}
 	for _, c := range classes {
 		byName[c.Name] = c
 	}
@@ -99,7 +99,7 @@
 }
 
 // take adds the variants of a part, in the order of its tenants' names.
-func (l *lanes) take(p *tenant.Part, classes map[string]decide.Class) {
+func (l *lanes) take(p *tenant.Part, classes map[string]balancer.Class) {
 	l.parts[p] = []lane{}
 	for _, e := range p.Entries() {
 		for _, f := range []*tenant.Form{e.Now, e.Next} {
@@ -129,7 +129,7 @@
 	delete(l.parts, p)
 }
 
-func (l *lanes) add(p *tenant.Part, r *tenant.Route, c decide.Class) {
+func (l *lanes) add(p *tenant.Part, r *tenant.Route, c balancer.Class) {
 	if r == nil || !narrows(r) || len(r.Pods) > 0 {
 		return
 	}
@@ -148,7 +148,7 @@
 
 // variant is a class with the zones and kinds of a route alone. Its name is the same for equal routes, in every process,
 // and none that a client can send.
-func variant(c decide.Class, r *tenant.Route) decide.Class {
+func variant(c balancer.Class, r *tenant.Route) balancer.Class {
 	zones, kinds := narrow(c.OnlyZones, r.Zones), narrow(c.OnlyKinds, r.Kinds)
 	c.Of = c.Name
 	c.Name = strings.Join([]string{c.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(kinds, "\x00")}, "\x00")
@@ -172,7 +172,7 @@
 }
 
 // withVariants adds the variants that the catalogue needs to settings, for the module alone. It is told of them.
-func (n *Node) withVariants(s decide.Settings) decide.Settings {
+func (n *Node) withVariants(s balancer.Settings) balancer.Settings {
 	t := n.tenants
 	if t == nil {
 		return s
--- a/internal/node/tenants_park.go
+++ b/internal/proxy/tenants_park.go
@@ -1,10 +1,10 @@
-package node
+package proxy
 
 import (
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/tenant"
+	"wrenspread/balancer"
+	"wrenspread/internal/tenant"
 )
 
 // A request that names a tenant whose part of the catalogue is being read waits for it: for
@@ -18,14 +18,14 @@
 // parked is a request that waits for its tenant's part of the catalogue.
 type parked struct {
 	r     *request
-	e     decide.RequestArrived
+	e     balancer.RequestArrived
 	until time.Time
 	came  int // as in rules, of the settings that its class is of; -1: of those before
 }
 
 // park has the part of a request's tenant read, and the request wait for it once. false: it
 // is to be answered now.
-func (n *Node) park(r *request, e decide.RequestArrived) bool {
+func (n *Node) park(r *request, e balancer.RequestArrived) bool {
 	t := n.tenants
 	n.desk(tenant.Asked{Name: e.Tenant})
 	if r.parked || len(t.parked) >= mostParked || !t.desk.Coming(e.Tenant) {
--- a/internal/node/tenants_report.go
+++ b/internal/proxy/tenants_report.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"io"
 	"net/http"
 
-	"indigotack/internal/tenant"
+	"wrenspread/internal/tenant"
 )
 
 // write gives the figures of tenants as lines of text.
--- a/internal/node/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
-	"indigotack/internal/tenant"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/tenant"
 )
 
 const (
@@ -20,7 +20,7 @@
 
 // session is the node's session with the list service. One goroutine makes all calls about it.
 type session struct {
-	is    list.Session
+	is    registry.Session
 	word  atomic.Pointer[tenant.Word] // that it is to have
 	told  *tenant.Word                // that it has; the goroutine's
 	wake  chan struct{}               // there is another word
@@ -31,7 +31,7 @@
 }
 
 func newSession(name string) *session {
-	return &session{is: list.Session{Process: name, TTL: sessionTTL}, wake: make(chan struct{}, 1), reads: make(chan struct{}, 1),
+	return &session{is: registry.Session{Process: name, TTL: sessionTTL}, wake: make(chan struct{}, 1), reads: make(chan struct{}, 1),
 		left: make(chan struct{}), ended: make(chan struct{})}
 }
 
@@ -79,7 +79,7 @@
 	if !n.do(func() { w = t.desk.Word() }) {
 		return false
 	}
-	s.is.ID, s.is.Word, s.told = n.cfg.Name+"-"+crand.Text(), list.Word{Note: w.Note(), Version: version()}, nil
+	s.is.ID, s.is.Word, s.told = n.cfg.Name+"-"+crand.Text(), registry.Word{Note: w.Note(), Version: version()}, nil
 	sent := n.clock()
 	call, done := context.WithTimeout(ctx, sessionCall)
 	defer done()
@@ -146,4 +146,4 @@
 	return true
 }
 
-func pauseAgain(ctx context.Context) { pause.For(ctx, callAgain+rand.N(callAgain)) }
+func pauseAgain(ctx context.Context) { backoff.Sleep(ctx, callAgain+rand.N(callAgain)) }
--- a/internal/node/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/tenant"
+	"wrenspread/balancer"
+	"wrenspread/internal/tenant"
 )
 
 func formOf(drain time.Duration, routes ...tenant.Route) *tenant.Form {
@@ -41,7 +41,7 @@
 	came := make(chan bool, 2)
 	n := startNodeWith(t, func(n *Node) {
 		withTenants(t, n)
-		n.tenantTable(&decide.Table{Limits: []decide.Limit{{Name: "book/k", Part: -1}}})
+		n.tenantTable(&balancer.Table{Limits: []balancer.Limit{{Name: "book/k", Part: -1}}})
 		n.read(1, tenant.Serve, formOf(0, tenant.Route{Zones: []string{"a"}}))
 	}, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for req := readRequest(r); req != nil; req = readRequest(r) {
@@ -105,7 +105,7 @@
 // TestLanes: a class's variant has the zones and kinds that both it and the route have; equal routes share one; a route
 // that names pods has none, nor has one beyond the bound.
 func TestLanes(t *testing.T) {
-	classes := []decide.Class{{Name: "saldo", OnlyZones: []string{"a", "b"}, Worth: 3}, {Name: "pagar", OnlyKinds: []string{}}}
+	classes := []balancer.Class{{Name: "saldo", OnlyZones: []string{"a", "b"}, Worth: 3}, {Name: "pagar", OnlyKinds: []string{}}}
 	l := newLanes()
 	f := formOf(0, tenant.Route{Zones: []string{"b", "c", "b"}, Kinds: []string{"m"}})
 	same := formOf(0, tenant.Route{Zones: []string{"c", "b"}, Kinds: []string{"m"}})
--- a/internal/node/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
 )
 
 // lateDial has a pool's connections come up when they are released, from a number on.
@@ -46,8 +46,8 @@
 
 // TestNothingIsSentOnceItMayNot: what held when a server was chosen has ended when the connection to it is there.
 func TestNothingIsSentOnceItMayNot(t *testing.T) {
-	entry := func(n *running, status string, since int64) list.Entry {
-		return list.Entry{Name: "s-0", Address: n.backends.backends[n.listed["s-0"]].address, Zone: "a", Type: "m2", Status: status, SinceMS: since}
+	entry := func(n *running, status string, since int64) registry.Entry {
+		return registry.Entry{Name: "s-0", Address: n.backends.backends[n.listed["s-0"]].address, Zone: "a", Type: "m2", Status: status, SinceMS: since}
 	}
 	for _, c := range []struct {
 		name   string
@@ -61,19 +61,23 @@
 		{"its client has left, and nothing may be called off", func(t *testing.T, n *running, c raw) {
 			n.on(t, func() {
 				n.cfg.Settings.MayCancel = false
-				n.handle(decide.SettingsChanged{Settings: n.cfg.Settings})
+				n.handle(balancer.SettingsChanged{Settings: n.cfg.Settings})
 			})
 			c.Close()
 			n.gone(t, "q")
 		}, 0},
 		{"its server drains", func(t *testing.T, n *running, _ raw) {
-			n.on(t, func() { n.follow(list.Answer{Endpoints: []list.Entry{entry(n, list.Draining, 0)}}, decide.ListChanges) })
+			n.on(t, func() {
+				n.follow(registry.Answer{Endpoints: []registry.Entry{entry(n, registry.Draining, 0)}}, balancer.ListChanges)
+			})
 		}, 503},
 		{"its server has left", func(t *testing.T, n *running, _ raw) {
-			n.on(t, func() { n.follow(list.Answer{Snapshot: true}, decide.ListFull) })
+			n.on(t, func() { n.follow(registry.Answer{Snapshot: true}, balancer.ListFull) })
 		}, 503},
 		{"its server is another process", func(t *testing.T, n *running, _ raw) {
-			n.on(t, func() { n.follow(list.Answer{Endpoints: []list.Entry{entry(n, list.Ready, 1)}}, decide.ListChanges) })
+			n.on(t, func() {
+				n.follow(registry.Answer{Endpoints: []registry.Entry{entry(n, registry.Ready, 1)}}, balancer.ListChanges)
+			})
 		}, 503},
 		{"its server is in maintenance", func(t *testing.T, n *running, _ raw) {
 			if err := n.maintain(context.Background(), "s-0", true); err != nil {
@@ -103,7 +107,7 @@
 }
 
 // gone waits until the loop knows that the client of a request has left.
-func (n *running) gone(t *testing.T, id decide.RequestID) {
+func (n *running) gone(t *testing.T, id balancer.RequestID) {
 	t.Helper()
 	until(t, "the client's end", func() (done bool) {
 		n.on(t, func() { r := n.requests[id]; done = r == nil || r.done })
@@ -157,7 +161,7 @@
 	for i := range 100 {
 		try(t, p, enough)
 		stood(p, strayTime)
-		if res := p.attempt(ctx, 1, get("/api/x"), always, nil); res.code != decide.Moot {
+		if res := p.attempt(ctx, 1, get("/api/x"), always, nil); res.code != balancer.Moot {
 			t.Fatalf("outcome %d, want Moot", res.code)
 		}
 		if sent := p.forwards.Load(); sent != int64(i+1) || p.open != 0 {
--- a/internal/node/upgrade_new.go
+++ b/internal/proxy/upgrade_new.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 const (
@@ -68,7 +68,7 @@
 	if m.Learned == nil {
 		return
 	}
-	names := map[decide.ServerID]string{}
+	names := map[balancer.ServerID]string{}
 	for name, id := range m.Names {
 		names[id] = name
 	}
@@ -80,7 +80,7 @@
 		}
 	}
 	m.Learned.Servers = servers
-	n.handle(decide.Restored{Learned: *m.Learned})
+	n.handle(balancer.Restored{Learned: *m.Learned})
 	n.log.Info("taken over", "servers", len(servers))
 }
 
--- a/internal/node/upgrade_old.go
+++ b/internal/proxy/upgrade_old.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/pause"
-	"indigotack/internal/quota"
+	"wrenspread/balancer"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/quota"
 )
 
 const mostLinks = 4 // processes that may be at the socket at a time
@@ -34,7 +34,7 @@
 	for {
 		c, err := u.AcceptUnix()
 		if err != nil {
-			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) || !pause.For(ctx, shortWait) {
+			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) || !backoff.Sleep(ctx, shortWait) {
 				return
 			}
 			continue
@@ -75,7 +75,7 @@
 		life := n.handOverView() // before this process drains: the node does not
 		n.front.stopAccepting()
 		n.do(func() {
-			n.handle(decide.HandedOver{})
+			n.handle(balancer.HandedOver{})
 			if n.governed != nil {
 				n.tell(quota.Leave{}) // one process of a name has its shares: the new one, from now on
 			}
@@ -108,7 +108,7 @@
 // known is what a new process is told.
 func (n *Node) known() message {
 	learned := n.module.Learned(n.now())
-	m := message{Version: handoverVersion, Kind: kindState, Learned: &learned, Names: map[string]decide.ServerID{}}
+	m := message{Version: handoverVersion, Kind: kindState, Learned: &learned, Names: map[string]balancer.ServerID{}}
 	for _, s := range learned.Servers {
 		m.Names[n.ids.byID[s.ID]] = s.ID
 	}
--- a/internal/node/upload.go
+++ b/internal/proxy/upload.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/internal/node/accept"
+	"wrenspread/internal/proxy/listener"
 )
 
 const (
@@ -33,7 +33,7 @@
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
 	now := time.Now()
 	b := &bodyReader{body: r.Body, control: http.NewResponseController(w), began: now, head: now, returned: now}
-	if c, ok := r.Context().Value(connKey{}).(*accept.Conn); ok {
+	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); ok {
 		b.began = c.Began()
 	}
 	return b
--- a/internal/node/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
--- a/internal/node/validate.go
+++ b/internal/proxy/validate.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/node/accept"
+	"wrenspread/balancer"
+	"wrenspread/internal/proxy/listener"
 )
 
 const (
@@ -21,11 +21,11 @@
 )
 
 // read checks a request. The status goes with the error.
-func (f *frontend) read(w http.ResponseWriter, r *http.Request) (*request, decide.RequestArrived, int, error) {
-	e := decide.RequestArrived{Class: r.Header.Get("X-Class"), Tenant: r.Header.Get("X-Tenant"),
+func (f *frontend) read(w http.ResponseWriter, r *http.Request) (*request, balancer.RequestArrived, int, error) {
+	e := balancer.RequestArrived{Class: r.Header.Get("X-Class"), Tenant: r.Header.Get("X-Tenant"),
 		Repeat: r.Header.Get("X-Retry") == "1"}
 	var back func()
-	bad := func(status int, format string, args ...any) (*request, decide.RequestArrived, int, error) {
+	bad := func(status int, format string, args ...any) (*request, balancer.RequestArrived, int, error) {
 		if back != nil {
 			back()
 		}
@@ -35,12 +35,12 @@
 	if id == "" || len(id) > maxIDLength || len(r.Header.Values("X-Request-Id")) > 1 {
 		return bad(http.StatusBadRequest, "want one X-Request-Id of at most %d bytes", maxIDLength)
 	}
-	e.ID = decide.RequestID(id)
+	e.ID = balancer.RequestID(id)
 	if f.node.cfg.Tenants.Known && len(r.Header.Values("X-Tenant")) > 1 {
 		return bad(http.StatusBadRequest, "want one X-Tenant")
 	}
 	rules := f.rules.Load()
-	former, err := rules.effect(e.Class, func(effect decide.Effect) error { return fits(r, e.Class, effect) })
+	former, err := rules.effect(e.Class, func(effect balancer.Effect) error { return fits(r, e.Class, effect) })
 	if err != nil {
 		var wrong formError
 		errors.As(err, &wrong)
@@ -82,7 +82,7 @@
 	if long {
 		rest = startUpload(r, reader, len(body), patience)
 	}
-	client, _ := r.Context().Value(connKey{}).(*accept.Conn)
+	client, _ := r.Context().Value(connKey{}).(*listener.Conn)
 	return &request{id: e.ID, settings: rules.of(former), deadline: deadline, leaveRoom: back, class: e.Class, answer: make(chan answer, 1),
 		client: client, gone: r.Context().Done(),
 		out: &outbound{method: r.Method, url: &u, host: r.Host, header: endToEnd(r.Header), body: body, rest: rest}}, e, 0, nil
@@ -111,16 +111,16 @@
 
 // fits checks a request's form. The method and the key tell the server what a
 // repeat would do, so they must agree with what the module believes.
-func fits(r *http.Request, class string, effect decide.Effect) error {
+func fits(r *http.Request, class string, effect balancer.Effect) error {
 	want := http.MethodPost
-	if effect == decide.Safe {
+	if effect == balancer.Safe {
 		want = http.MethodGet
 	}
 	if r.Method != want {
 		return formError{http.StatusMethodNotAllowed, fmt.Sprintf("class %s wants %s", class, want)}
 	}
 	switch keys := r.Header.Values("Idempotency-Key"); {
-	case effect == decide.Keyed && (len(keys) != 1 || keys[0] == ""), effect == decide.Unsafe && len(keys) > 0:
+	case effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""), effect == balancer.Unsafe && len(keys) > 0:
 		return badRequest("class %s and Idempotency-Key do not agree", class)
 	}
 	return nil
--- a/internal/quota/actors_test.go
+++ b/internal/quota/actors_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // node is a process with a ledger, and the clients that come to it.
@@ -127,7 +127,7 @@
 func (n *node) request(limit int) {
 	l := n.w.table.Limits
 	n.led.At(n.clock.at(n.w.now))
-	v := n.w.table.Admit(decide.Ask{Book: n.w.table.Parts[l[limit].Part].Word}, n.led)
+	v := n.w.table.Admit(balancer.Ask{Book: n.w.table.Parts[l[limit].Part].Word}, n.led)
 	if !v.OK {
 		n.w.checks[limit].refused++
 		return
@@ -136,14 +136,14 @@
 	if first := n.w.table.Parts[0]; first.Count > 0 && limit != first.First {
 		n.w.checks[first.First].admitted(n.w.now)
 	}
-	if gen := n.gen; l[limit].Unit == decide.UnitOpen {
+	if gen := n.gen; l[limit].Unit == balancer.UnitOpen {
 		n.open[limit]++
 		n.w.after(time.Duration(n.w.rng.Int64N(int64(time.Second))), func() { n.end(limit, v.Held, gen) })
 	}
 }
 
 // end gives an open request back, as soon as the process runs.
-func (n *node) end(limit int, held decide.Held, gen int) {
+func (n *node) end(limit int, held balancer.Held, gen int) {
 	switch {
 	case n.gen != gen:
 	case n.paused:
--- a/internal/quota/holder/fixture_test.go
+++ b/internal/quota/allocator/fixture_test.go
@@ -1,9 +1,9 @@
-package holder
+package allocator
 
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestNodesRecordIsUnchanged compares the record of enrolled nodes with a golden file.
--- a/internal/quota/holder/holder.go
+++ b/internal/quota/allocator/holder.go
@@ -1,5 +1,5 @@
 // Package holder runs the apportioner in a process that may hold the duty "quota".
-package holder
+package allocator
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/duty"
-	"indigotack/internal/list/client"
-	"indigotack/internal/quota"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/quota"
+	"wrenspread/internal/registry/client"
 )
 
 // Duty is the one whose holder shares limits out.
@@ -23,7 +23,7 @@
 	Fleet  uint32 // the fleet's name as a hash
 	Name   string // by which nodes send to it: that of its member of the view
 	List   *client.Client
-	Duties *duty.Process
+	Duties *lease.Process
 	In     <-chan []byte                // datagrams whose first byte is quota.Ours, no longer the sender's
 	Send   func(to string, data []byte) // to a member of the view; it never waits
 	Events <-chan quota.Event           // Table, Wall, Expect and Forget
@@ -32,14 +32,14 @@
 
 // tenure is a time in which the duty is held.
 type tenure struct {
-	fence   duty.Fence
+	fence   lease.Fence
 	seats   []quota.Seat
 	version uint64 // of the record
 }
 
 // written is the end of a write.
 type written struct {
-	fence   duty.Fence
+	fence   lease.Fence
 	seats   []quota.Seat
 	version uint64
 	err     error
@@ -75,7 +75,7 @@
 }
 
 // work hands a tenure to the loop, and comes back once the loop acts for it no more.
-func (h *holder) work(ctx context.Context, f duty.Fence) error {
+func (h *holder) work(ctx context.Context, f lease.Fence) error {
 	seats, version, err := read(ctx, h.c.List)
 	if err != nil {
 		return err
--- a/internal/quota/holder/holder_test.go
+++ b/internal/quota/allocator/holder_test.go
@@ -1,4 +1,4 @@
-package holder
+package allocator
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/duty"
-	"indigotack/internal/lab/trial"
-	"indigotack/internal/list/client"
-	"indigotack/internal/quota"
+	"wrenspread/balancer"
+	"wrenspread/internal/lab/labtest"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/quota"
+	"wrenspread/internal/registry/client"
 )
 
 // bus carries datagrams between holders and nodes of one test.
@@ -66,10 +66,10 @@
 	return true
 }
 
-func table(t *testing.T) *decide.Table {
-	table := &decide.Table{Format: decide.TableFormat, Version: 1,
-		Parts:  []decide.Part{{Within: -1, Count: 1}},
-		Limits: []decide.Limit{{Name: "fleet", Parent: -1, Rate: 100, Burst: 50, Floor: 100, Weight: 1, Safe: 0.25, Status: 429}},
+func table(t *testing.T) *balancer.Table {
+	table := &balancer.Table{Format: balancer.TableFormat, Version: 1,
+		Parts:  []balancer.Part{{Within: -1, Count: 1}},
+		Limits: []balancer.Limit{{Name: "fleet", Parent: -1, Rate: 100, Burst: 50, Floor: 100, Weight: 1, Safe: 0.25, Status: 429}},
 	}
 	if err := table.Ready(); err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 // TestHoldersShareAndHandOn: a holder leases shares and enrols the nodes in the record; when it ends, the next one
 // leases on under a higher fence.
 func TestHoldersShareAndHandOn(t *testing.T) {
-	service, k := trial.List(t)
+	service, k := labtest.List(t)
 	b := &bus{nodes: map[string]*quota.Ledger{}, boxes: map[string]chan []byte{}, start: time.Now()}
 	limits := table(t)
 	for i := range 3 {
@@ -93,7 +93,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, err := duty.Open(duty.Config{Client: c, Process: name, TTL: time.Second})
+		p, err := lease.Open(lease.Config{Client: c, Process: name, TTL: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,10 +103,10 @@
 		b.mu.Lock()
 		b.boxes[name] = in
 		b.mu.Unlock()
-		stop := trial.Run(t, func(ctx context.Context) error {
+		stop := labtest.Run(t, func(ctx context.Context) error {
 			err := Run(ctx, Config{Fleet: 7, Name: name, List: c, Duties: p, In: in, Send: b.send, Events: events})
 			if errors.Is(err, context.Canceled) {
-				err = p.Close(trial.Enough)
+				err = p.Close(labtest.Enough)
 			}
 			return err
 		})
@@ -119,9 +119,9 @@
 			return b.all(func(s quota.Status, n *quota.Ledger) bool { return s.Fence > above && n.Full(0) >= 10 })
 		}
 	}
-	trial.Await(t, "a lease for each node", leased(0))
+	labtest.Await(t, "a lease for each node", leased(0))
 	var seats []quota.Seat
-	trial.Await(t, "each node's seat", func() (all bool) {
+	labtest.Await(t, "each node's seat", func() (all bool) {
 		b.tick("h0")
 		seats, _, _ = read(t.Context(), k)
 		return len(seats) == 3
@@ -130,7 +130,7 @@
 	b.all(func(s quota.Status, _ *quota.Ledger) bool { fence = s.Fence; return true })
 	last := run("h1")
 	end()
-	trial.Await(t, "the next holder's leases", func() bool {
+	labtest.Await(t, "the next holder's leases", func() bool {
 		b.mu.Lock()
 		for _, n := range b.nodes { // as their watch of the duty tells them
 			b.act(n.Handle(time.Since(b.start), quota.Holder{Name: "h1", Fence: fence + 1}))
--- a/internal/quota/holder/record.go
+++ b/internal/quota/allocator/record.go
@@ -1,4 +1,4 @@
-package holder
+package allocator
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"fmt"
 	"time"
 
-	"indigotack/internal/duty"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/quota"
-	quotarecord "indigotack/internal/quota/record"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/quota"
+	quotarecord "wrenspread/internal/quota/record"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // RecordKey is the record of enrolled nodes.
@@ -35,7 +35,7 @@
 	defer cancel()
 	got, err := k.Record(ctx, RecordKey)
 	var no *client.Refused
-	if errors.As(err, &no) && no.Code == string(list.Absent) {
+	if errors.As(err, &no) && no.Code == string(registry.Absent) {
 		return nil, 0, nil
 	}
 	if err != nil {
@@ -52,7 +52,7 @@
 }
 
 // announce tells the nodes who shares limits out from now on.
-func announce(ctx context.Context, k *client.Client, f duty.Fence, name string) error {
+func announce(ctx context.Context, k *client.Client, f lease.Fence, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	value, err := json.Marshal(quotarecord.Sharer{Name: name, Fence: f.Fence})
@@ -66,7 +66,7 @@
 }
 
 // write replaces the record that has a version, under the fence, and gives its next one.
-func write(ctx context.Context, k *client.Client, f duty.Fence, seats []quota.Seat, version uint64) (uint64, error) {
+func write(ctx context.Context, k *client.Client, f lease.Fence, seats []quota.Seat, version uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	value, err := json.Marshal(record{format, seats})
--- a/internal/quota/check_test.go
+++ b/internal/quota/check_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // check is the bound of one limit over every window, exactly: a bucket that leaks at the limit's rate. Its level is
@@ -18,9 +18,9 @@
 	refused     int
 }
 
-func newCheck(t *decide.Table, i int) *check {
+func newCheck(t *balancer.Table, i int) *check {
 	l := t.Limits[i]
-	if l.Unit == decide.UnitOpen { // nothing leaks: it is given back
+	if l.Unit == balancer.UnitOpen { // nothing leaks: it is given back
 		return &check{burst: l.Rate, worst: -l.Rate}
 	}
 	return &check{rate: l.Rate, burst: l.Burst, worst: -l.Burst}
--- a/internal/quota/cost_test.go
+++ b/internal/quota/cost_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // BenchmarkRequest is what a request pays the ledger for each limit that it touches.
@@ -13,7 +13,7 @@
 	for _, limits := range []int{10, 9_999} {
 		b.Run(fmt.Sprint(limits), func(b *testing.B) {
 			l := NewLedger(NodeConfig{Name: "n", Life: 1})
-			l.Handle(0, Table{Now: books(decide.Limit{}, make([]decide.Limit, limits)...)})
+			l.Handle(0, Table{Now: books(balancer.Limit{}, make([]balancer.Limit, limits)...)})
 			b.ReportAllocs()
 			for i := range b.N {
 				l.At(time.Duration(i))
@@ -32,7 +32,7 @@
 	for _, nodes := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
 			a := NewApportioner(HolderConfig{Name: "h"})
-			table := books(decide.Limit{}, decide.Limit{Rate: 1e5, Burst: 1e5}, decide.Limit{Rate: 10, Burst: 10})
+			table := books(balancer.Limit{}, balancer.Limit{Rate: 1e5, Burst: 1e5}, balancer.Limit{Rate: 10, Burst: 10})
 			a.Handle(0, Table{Now: table})
 			a.Handle(0, Expect{nodes})
 			a.Handle(0, Held{1, time.Hour * 1000})
--- a/internal/quota/fixture_test.go
+++ b/internal/quota/fixture_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestDatagramsAreUnchanged compares the bytes of each kind of datagram, and the status' form, with golden files.
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // limit is one index of a hand as both ends share it out. For limits on requests open at once, rate is the count
@@ -14,7 +14,7 @@
 type limit struct {
 	hash        uint64 // of its name on the wire
 	parent      int32  // -1: none
-	axis        decide.Axis
+	axis        balancer.Axis
 	open        bool
 	borrow      bool
 	rate, burst float64 // units a second, units
@@ -29,7 +29,7 @@
 
 // limits are a table's, by the hand's index.
 type limits struct {
-	table   *decide.Table
+	table   *balancer.Table
 	version uint64
 	slow    float64 // rates are lower by this part, so that no clock that runs fast makes more of them
 	all     []limit
@@ -37,7 +37,7 @@
 }
 
 // newLimits takes a table that is ready.
-func newLimits(t *decide.Table, slow float64) *limits {
+func newLimits(t *balancer.Table, slow float64) *limits {
 	n := &limits{table: t, slow: 1 - slow, byHash: map[uint64]int32{}}
 	if t == nil {
 		return n
@@ -68,7 +68,7 @@
 	from, least := &n.table.Limits[i], n.table.Least(i)
 	l := limit{
 		hash: mix(0, 0, from.Name), parent: int32(from.Parent), axis: from.Axis,
-		open: from.Unit == decide.UnitOpen, borrow: from.Borrow,
+		open: from.Unit == balancer.UnitOpen, borrow: from.Borrow,
 		rate: from.Rate, burst: from.Burst, floor: from.Floor, weight: from.Weight,
 	}
 	pool := least.Burst
--- a/internal/quota/record/fixture_test.go
+++ b/internal/quota/record/fixture_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestHolderRecordIsUnchanged compares the record of who allocates with a golden file.
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"slices"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // Keys of records.
@@ -27,11 +27,11 @@
 }
 
 // Table reads a table. Its version is that of its record; a record that is gone is version 0 and no table.
-func Table(r list.Record) (*decide.Table, error) {
+func Table(r registry.Record) (*balancer.Table, error) {
 	if r.Version == 0 {
 		return nil, nil
 	}
-	t, err := decide.ReadTable(r.Value)
+	t, err := balancer.ReadTable(r.Value)
 	if err != nil {
 		return nil, fmt.Errorf("record %s of version %d: %w", r.Key, r.Version, err)
 	}
@@ -40,25 +40,25 @@
 }
 
 // Value gives the value that a table's record has.
-func Value(t *decide.Table) (json.RawMessage, error) {
+func Value(t *balancer.Table) (json.RawMessage, error) {
 	raw := t.JSON()
-	if len(raw) > list.MaxRecord {
-		return nil, fmt.Errorf("the table has %d bytes, a record %d at most: use fewer limits, or shorter names", len(raw), list.MaxRecord)
+	if len(raw) > registry.MaxRecord {
+		return nil, fmt.Errorf("the table has %d bytes, a record %d at most: use fewer limits, or shorter names", len(raw), registry.MaxRecord)
 	}
 	return raw, nil
 }
 
 // Find gives the record of a key; one that is not there has version 0.
-func Find(all client.Records, key string) list.Record {
-	i := slices.IndexFunc(all.All, func(r list.Record) bool { return r.Key == key })
+func Find(all client.Records, key string) registry.Record {
+	i := slices.IndexFunc(all.All, func(r registry.Record) bool { return r.Key == key })
 	if i < 0 {
-		return list.Record{Key: key}
+		return registry.Record{Key: key}
 	}
 	return all.All[i]
 }
 
 // ReadSharer reads the record of the holder.
-func ReadSharer(r list.Record) (s Sharer, err error) {
+func ReadSharer(r registry.Record) (s Sharer, err error) {
 	if r.Version == 0 {
 		return s, nil
 	}
--- a/internal/quota/spread.go
+++ b/internal/quota/spread.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // spread divides a limit's budget among the members that want it.
@@ -44,7 +44,7 @@
 	out := make([]float64, len(in))
 	for n, e := range in {
 		var most flow
-		for axis := decide.OfFleet; axis <= decide.OfPod; axis++ {
+		for axis := balancer.OfFleet; axis <= balancer.OfPod; axis++ {
 			f := needs[need{i, axis, e.of}]
 			most = flow{max(most.asks, f.asks), max(most.gets, f.gets)}
 		}
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // world plays ledgers, holders and the list service on a fake clock over a drawn network.
@@ -15,7 +15,7 @@
 	now    time.Duration // true time
 	queue  events
 	seq    int
-	table  *decide.Table
+	table  *balancer.Table
 	nodes  map[string]*node
 	names  []string
 	hosts  []*host // processes that may hold the duty
@@ -60,7 +60,7 @@
 	return last
 }
 
-func newWorld(seed uint64, drift float64, table *decide.Table) *world {
+func newWorld(seed uint64, drift float64, table *balancer.Table) *world {
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 7)), t: usual(), table: table, nodes: map[string]*node{},
 		cut: map[[2]string]bool{}, delay: time.Millisecond, sent: map[string]int{}, bytes: map[string]int{},
@@ -152,10 +152,10 @@
 }
 
 // books is a table of a fleet's limit, if fleet.Rate is not 0, and books within it.
-func books(fleet decide.Limit, each ...decide.Limit) *decide.Table {
-	t := &decide.Table{Format: decide.TableFormat, Version: 1, Parts: []decide.Part{{Within: -1}}}
+func books(fleet balancer.Limit, each ...balancer.Limit) *balancer.Table {
+	t := &balancer.Table{Format: balancer.TableFormat, Version: 1, Parts: []balancer.Part{{Within: -1}}}
 	parent := -1
-	add := func(l decide.Limit, part int) {
+	add := func(l balancer.Limit, part int) {
 		l.Part, l.Status = part, 429
 		if l.Weight == 0 {
 			l.Weight = 1
@@ -166,7 +166,7 @@
 		if !l.Borrow {
 			l.Floor = l.Rate
 		}
-		l.Name = t.NameOf(part) + map[decide.Unit]string{decide.UnitOpen: ":open", decide.UnitWork: ":work"}[l.Unit]
+		l.Name = t.NameOf(part) + map[balancer.Unit]string{balancer.UnitOpen: ":open", balancer.UnitWork: ":work"}[l.Unit]
 		t.Limits = append(t.Limits, l)
 		t.Parts[part].Count++
 	}
@@ -175,11 +175,11 @@
 		add(fleet, 0)
 	}
 	for i, l := range each {
-		t.Parts = append(t.Parts, decide.Part{
-			Within: 0, Axis: decide.OfBook, Word: "b" + string(rune('0'+i/1000%10)) + string(rune('0'+i/100%10)) + string(rune('0'+i/10%10)) + string(rune('0'+i%10)),
+		t.Parts = append(t.Parts, balancer.Part{
+			Within: 0, Axis: balancer.OfBook, Word: "b" + string(rune('0'+i/1000%10)) + string(rune('0'+i/100%10)) + string(rune('0'+i/10%10)) + string(rune('0'+i%10)),
 			First: len(t.Limits),
 		})
-		l.Parent, l.Axis = -1, decide.OfBook
+		l.Parent, l.Axis = -1, balancer.OfBook
 		if l.Unit == fleet.Unit {
 			l.Parent = parent
 		}
--- a/internal/seeded/seeded.go
+++ b/internal/rapidseed/seeded.go
@@ -1,6 +1,6 @@
 // Package seeded is imported, without a name, by tests that draw with rapid: the draws are the same each time, so that a
 // run's verdict depends on the code alone, unless the command line names another seed (-rapid.seed; 0 for a new one).
-package seeded
+package rapidseed
 
 import (
 	"flag"
--- a/internal/list/client/belief.go
+++ b/internal/registry/client/belief.go
@@ -7,16 +7,16 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // View is the list as a client believes it.
 type View struct {
-	Epoch   string       `json:"epoch"`
-	Version uint64       `json:"version"`
-	Entries []list.Entry `json:"entries"` // by name
-	Part    list.Part    `json:"-"`       // of the list that it is
-	Total   int          `json:"-"`       // entries in all of the list, where Part is one that was asked for; 0: not told
+	Epoch   string           `json:"epoch"`
+	Version uint64           `json:"version"`
+	Entries []registry.Entry `json:"entries"` // by name
+	Part    registry.Part    `json:"-"`       // of the list that it is
+	Total   int              `json:"-"`       // entries in all of the list, where Part is one that was asked for; 0: not told
 }
 
 // Two kinds of list of another epoch are held back. One that lacks more than
@@ -48,9 +48,9 @@
 	hold    time.Duration // how long a list that lost most is held back
 	epoch   string
 	version uint64
-	part    list.Part // that entries are of
+	part    registry.Part // that entries are of
 	total   int
-	entries map[string]list.Entry
+	entries map[string]registry.Entry
 	next    *candidate
 	whole   bool // what came did not fit
 }
@@ -58,12 +58,12 @@
 // candidate is a list that is held back.
 type candidate struct {
 	since time.Duration
-	list.Answer
+	registry.Answer
 }
 
 // NewBelief begins with a view of before, which may be empty.
 func NewBelief(hold time.Duration, before View) *Belief {
-	b := &Belief{hold: hold, epoch: before.Epoch, version: before.Version, part: before.Part, total: before.Total, entries: map[string]list.Entry{}}
+	b := &Belief{hold: hold, epoch: before.Epoch, version: before.Version, part: before.Part, total: before.Total, entries: map[string]registry.Entry{}}
 	for _, e := range before.Entries {
 		b.entries[e.Name] = e
 	}
@@ -82,12 +82,12 @@
 // View is the list as it is believed.
 func (b *Belief) View() View {
 	all := b.appendTo(nil)
-	slices.SortFunc(all, func(x, y list.Entry) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(all, func(x, y registry.Entry) int { return cmp.Compare(x.Name, y.Name) })
 	return View{b.epoch, b.version, all, b.part, b.total}
 }
 
 // appendTo appends the entries, in no order.
-func (b *Belief) appendTo(all []list.Entry) []list.Entry {
+func (b *Belief) appendTo(all []registry.Entry) []registry.Entry {
 	all = slices.Grow(all, len(b.entries))
 	for _, e := range b.entries {
 		all = append(all, e)
@@ -97,7 +97,7 @@
 
 // Take judges the answer to a call that named version from. One of another part
 // than the entries known has to be whole, and then takes their place.
-func (b *Belief) Take(now time.Duration, from uint64, a list.Answer) Verdict {
+func (b *Belief) Take(now time.Duration, from uint64, a registry.Answer) Verdict {
 	switch {
 	case a.Epoch != b.epoch && (b.epoch != "" || len(b.entries) > 0):
 		return b.other(now, a)
@@ -122,7 +122,7 @@
 }
 
 // other judges a list of another epoch.
-func (b *Belief) other(now time.Duration, a list.Answer) Verdict {
+func (b *Belief) other(now time.Duration, a registry.Answer) Verdict {
 	if !a.Snapshot {
 		b.whole = true
 		return Gap
@@ -141,14 +141,14 @@
 }
 
 // lost tells whether a list lacks most of what was known, though it was not leaving.
-func (b *Belief) lost(a list.Answer) bool {
+func (b *Belief) lost(a registry.Answer) bool {
 	there, part := map[string]bool{}, partOf(a)
 	for _, e := range a.Endpoints {
 		there[e.Name] = true
 	}
 	known, gone := 0, 0
 	for name, e := range b.entries {
-		if e.Status == list.Draining || !part.Holds(list.Point(name)) {
+		if e.Status == registry.Draining || !part.Holds(registry.Point(name)) {
 			continue
 		}
 		known++
@@ -159,13 +159,13 @@
 	return known > lostLeast && float64(gone) > lostShare*float64(known)
 }
 
-func (b *Belief) accept(a list.Answer) {
+func (b *Belief) accept(a registry.Answer) {
 	if a.Snapshot {
 		clear(b.entries)
 	}
 	for _, e := range a.Endpoints {
 		b.entries[e.Name] = e
-		if e.Status == list.Gone {
+		if e.Status == registry.Gone {
 			delete(b.entries, e.Name)
 		}
 	}
@@ -175,7 +175,7 @@
 }
 
 // count takes the length of all of the list. Where an answer of a part says nothing of it, the one known stands.
-func (b *Belief) count(a list.Answer) {
+func (b *Belief) count(a registry.Answer) {
 	if a.Part == "" || a.Total > 0 {
 		b.total = a.Total
 	}
--- a/internal/list/client/broken_test.go
+++ b/internal/registry/client/broken_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // text answers with a body.
@@ -146,7 +146,7 @@
 	defer s.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	NewPlatform(s.Listener.Addr().String(), false, 0, slog.New(slog.DiscardHandler), func(list.Answer) {}, func() {}).Follow(ctx)
+	NewPlatform(s.Listener.Addr().String(), false, 0, slog.New(slog.DiscardHandler), func(registry.Answer) {}, func() {}).Follow(ctx)
 	for i, want := range []string{"", "from=42&hold_ms=3500", "from=42&hold_ms=1", "from=43&hold_ms=3500"} {
 		select {
 		case q := <-queries:
--- a/internal/list/client/call.go
+++ b/internal/registry/client/call.go
@@ -11,7 +11,7 @@
 	"net/http/httptrace"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 const maxPlatform = 4 << 20 // bytes of a list; a thousand servers take a twentieth
@@ -57,7 +57,7 @@
 }
 
 // wholeList says what is wrong with an answer that is, or was to be, the whole list.
-func wholeList(l list.Answer, asked bool) error {
+func wholeList(l registry.Answer, asked bool) error {
 	switch {
 	case asked && !l.Snapshot:
 		return errors.New("the whole list was asked for, and changes came")
@@ -83,7 +83,7 @@
 // get makes one request. net/http would send it again by itself where a
 // connection that was used before breaks, with what is left of its time for the
 // whole hold: a second try finds neither an idle connection nor a new one.
-func (d *Platform) get(ctx context.Context, query string, hold time.Duration) (l list.Answer, err error) {
+func (d *Platform) get(ctx context.Context, query string, hold time.Duration) (l registry.Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+d.grace)
 	defer cancel()
 	d.sends.Store(0)
--- a/internal/list/client/client.go
+++ b/internal/registry/client/client.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Config says where the list is and how to follow it.
@@ -29,11 +29,11 @@
 	// Part, if there is one, says which part of the list to follow for whoever has
 	// part now with these entries, of total in all; entries are nil where none are
 	// known yet. It is called after answers, and must not call the client.
-	Part func(now list.Part, total int, entries []list.Entry) list.Part
+	Part func(now registry.Part, total int, entries []registry.Entry) registry.Part
 
 	// Taken, if there is one, gets every answer that changed the view, in order, from
 	// the goroutine that follows. It must not call the client.
-	Taken func(list.Answer)
+	Taken func(registry.Answer)
 }
 
 const (
@@ -96,9 +96,9 @@
 	}
 	k.belief = NewBelief(c.HoldBack, before)
 	if k.move.to = before.Part; c.Part == nil {
-		k.move.to = list.Part{}
+		k.move.to = registry.Part{}
 	} else if before.Version == 0 {
-		k.move.to = c.Part(list.Part{}, list.MaxEntries, nil)
+		k.move.to = c.Part(registry.Part{}, registry.MaxEntries, nil)
 	}
 	return k, nil
 }
--- a/internal/list/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -16,9 +16,9 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 const enough = 30 * time.Second // only a hang takes so long
@@ -27,15 +27,15 @@
 // goes back, is always a list that was, and reaches the present one.
 func TestBelief(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := list.NewState()
-		s.Apply(list.Command{Do: list.DoBegin, Epoch: "e0"})
-		were := map[string][]list.Entry{} // the list at each epoch and version
+		s := registry.NewState()
+		s.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e0"})
+		were := map[string][]registry.Entry{} // the list at each epoch and version
 		note := func() { were[fmt.Sprint(s.Epoch(), s.Version())] = s.Since(0).Endpoints }
 		note()
-		copies := []*list.State{copied(t, s)} // replicas, as far as they are
+		copies := []*registry.State{copied(t, s)} // replicas, as far as they are
 		b := NewBelief(time.Second, View{})
 		var now time.Duration
-		ask := func(of *list.State) {
+		ask := func(of *registry.State) {
 			from, epoch := b.Ask()
 			if epoch != of.Epoch() {
 				from = 0
@@ -54,11 +54,11 @@
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
-				e := list.Entry{Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name")), Address: "a:1", Status: list.Ready, Weight: float64(n)}
-				s.Apply(list.Command{Do: list.DoRegister, Entry: &e})
+				e := registry.Entry{Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name")), Address: "a:1", Status: registry.Ready, Weight: float64(n)}
+				s.Apply(registry.Command{Do: registry.DoRegister, Entry: &e})
 				note()
 			case 3:
-				s.Apply(list.Command{Do: list.DoRemove, Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name"))})
+				s.Apply(registry.Command{Do: registry.DoRemove, Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name"))})
 				note()
 			case 4:
 				copies = append(copies, copied(t, s))
@@ -67,7 +67,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.Apply(list.Command{Do: list.DoRestore, Epoch: fmt.Sprint("e", n+1), Image: raw})
+				s.Apply(registry.Command{Do: registry.DoRestore, Epoch: fmt.Sprint("e", n+1), Image: raw})
 				note()
 			case 6, 7:
 				ask(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")])
@@ -85,12 +85,12 @@
 	})
 }
 
-func copied(t *rapid.T, s *list.State) *list.State {
+func copied(t *rapid.T, s *registry.State) *registry.State {
 	raw, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := list.FromSnapshot(raw)
+	c, err := registry.FromSnapshot(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,21 +102,21 @@
 	var before View
 	before.Epoch, before.Version = "a", 9
 	for i := range 6 {
-		before.Entries = append(before.Entries, list.Entry{Name: fmt.Sprint("s", i), Status: list.Ready})
+		before.Entries = append(before.Entries, registry.Entry{Name: fmt.Sprint("s", i), Status: registry.Ready})
 	}
 	b := NewBelief(30*time.Second, before)
-	empty := list.Answer{Index: 1, Epoch: "b", Snapshot: true}
+	empty := registry.Answer{Index: 1, Epoch: "b", Snapshot: true}
 	if got := b.Take(0, 9, empty); got != Kept || len(b.View().Entries) != 6 {
 		t.Errorf("at first: %d, with %d entries", got, len(b.View().Entries))
 	}
 	if got := b.Take(29*time.Second, 0, empty); got != Kept {
 		t.Errorf("before its time: %d", got)
 	}
-	full := list.Answer{Index: 7, Epoch: "b", Snapshot: true, Endpoints: before.Entries}
+	full := registry.Answer{Index: 7, Epoch: "b", Snapshot: true, Endpoints: before.Entries}
 	if got := b.Take(30*time.Second, 0, full); got != Taken {
 		t.Errorf("registered anew: %d", got)
 	}
-	if got := b.Take(31*time.Second, 7, list.Answer{Index: 10, Epoch: "a", Snapshot: true}); got != Kept {
+	if got := b.Take(31*time.Second, 7, registry.Answer{Index: 10, Epoch: "a", Snapshot: true}); got != Kept {
 		t.Errorf("the epoch before: %d", got)
 	}
 	b = NewBelief(30*time.Second, before)
@@ -138,7 +138,7 @@
 			<-r.Context().Done()
 			return
 		}
-		json.NewEncoder(w).Encode(list.Answer{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []list.Entry{{Name: "s", Address: "a:1", Status: list.Ready}}})
+		json.NewEncoder(w).Encode(registry.Answer{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Entry{{Name: "s", Address: "a:1", Status: registry.Ready}}})
 	}))
 	bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write([]byte("{")) }))
 	defer bad.Close()
@@ -174,7 +174,7 @@
 // TestCutFile: a kept list that is cut anywhere is told as damaged, never believed.
 func TestCutFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if err := save(path, View{Epoch: "e", Version: 3, Entries: []list.Entry{{Name: "s"}}}); err != nil {
+	if err := save(path, View{Epoch: "e", Version: 3, Entries: []registry.Entry{{Name: "s"}}}); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(path)
@@ -198,9 +198,9 @@
 	for _, away := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 		at := map[time.Duration]int{}
 		for range clients {
-			wait, now := backoff{firstWait}, time.Duration(0)
+			wait, now := watchBackoff(), time.Duration(0)
 			for now < away {
-				now += wait.next(chance.Int64N)
+				now += wait.Next(chance.Int64N)
 			}
 			at[now/bin]++
 			if now > away+mostWait {
--- a/internal/list/client/continue_test.go
+++ b/internal/registry/client/continue_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // TestWatchIsContinued: each next call of a watch comes within 200 ms of the answer before, whether that brought
@@ -34,7 +34,7 @@
 					time.Sleep(hold)
 					fallthrough
 				default: // none, at once
-					json.NewEncoder(w).Encode(list.Answer{Index: uint64(50 + call/3*3)})
+					json.NewEncoder(w).Encode(registry.Answer{Index: uint64(50 + call/3*3)})
 				}
 			}, func(ctx context.Context, s *standIn) {
 				d, _ := s.platform(asked)
@@ -60,9 +60,9 @@
 
 // TestIndentedLists mean the same as others.
 func TestIndentedLists(t *testing.T) {
-	want := list.Answer{Index: 44, Snapshot: true, Endpoints: []list.Entry{
-		{Name: "s", Address: "127.0.0.1:1", Zone: "a", Type: "m2", Group: 3, Status: list.Ready, Weight: 1.5, SinceMS: 7},
-		{Name: "t", Address: "127.0.0.1:2", Status: list.Draining}, {Name: "u", Status: list.Gone}}}
+	want := registry.Answer{Index: 44, Snapshot: true, Endpoints: []registry.Entry{
+		{Name: "s", Address: "127.0.0.1:1", Zone: "a", Type: "m2", Group: 3, Status: registry.Ready, Weight: 1.5, SinceMS: 7},
+		{Name: "t", Address: "127.0.0.1:2", Status: registry.Draining}, {Name: "u", Status: registry.Gone}}}
 	plain, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/list/client/fixture_test.go
+++ b/internal/registry/client/fixture_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
-	"indigotack/internal/list"
+	"wrenspread/internal/fixture"
+	"wrenspread/internal/registry"
 )
 
 // TestCachedListFormIsUnchanged compares the file that a client starts from with golden files.
@@ -13,7 +13,7 @@
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
 	}
 	path := t.TempDir() + "/list"
-	v := View{Epoch: "e", Version: 7, Total: 9, Part: list.Part{From: 4, Width: 16}, Entries: []list.Entry{{Name: "s", Address: "a:1", Status: list.Ready}}}
+	v := View{Epoch: "e", Version: 7, Total: 9, Part: registry.Part{From: 4, Width: 16}, Entries: []registry.Entry{{Name: "s", Address: "a:1", Status: registry.Ready}}}
 	if err := save(path, v); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/list/client/follow.go
+++ b/internal/registry/client/follow.go
@@ -13,28 +13,28 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
 )
 
 // Records are those under a prefix, whole, as of one version of the service.
 type Records struct {
 	Epoch   string
 	Version uint64
-	All     []list.Record // by key, with their values
+	All     []registry.Record // by key, with their values
 }
 
 // follower is what a reader of records knows. It is pure.
 type follower struct {
 	epoch   string
 	version uint64
-	records map[string]list.Record
+	records map[string]registry.Record
 	other   time.Time // since when only another epoch of no higher version answers; zero: it does not
 }
 
 // take judges an answer. A replica that lags, or one of an epoch whose versions do not go past what is known,
 // is stale; the latter until it has held for so long that the service must have lost its state.
-func (f *follower) take(now time.Time, holdBack time.Duration, a list.RecordAnswer) (Verdict, error) {
+func (f *follower) take(now time.Time, holdBack time.Duration, a registry.RecordAnswer) (Verdict, error) {
 	known := f.records
 	switch {
 	case a.Epoch == f.epoch && a.Index < f.version:
@@ -50,7 +50,7 @@
 	if a.Epoch != f.epoch {
 		known = nil
 	}
-	next, changed := make(map[string]list.Record, len(a.Records)), f.epoch != a.Epoch || len(a.Records) != len(known)
+	next, changed := make(map[string]registry.Record, len(a.Records)), f.epoch != a.Epoch || len(a.Records) != len(known)
 	for _, r := range a.Records {
 		if r.Value == nil {
 			has, ok := known[r.Key]
@@ -71,7 +71,7 @@
 }
 
 func (f *follower) view() Records {
-	return Records{f.epoch, f.version, slices.SortedFunc(maps.Values(f.records), func(a, b list.Record) int { return cmp.Compare(a.Key, b.Key) })}
+	return Records{f.epoch, f.version, slices.SortedFunc(maps.Values(f.records), func(a, b registry.Record) int { return cmp.Compare(a.Key, b.Key) })}
 }
 
 // FollowRecords watches the records under a prefix until ctx ends, over whatever failures of the service. taken
@@ -79,7 +79,7 @@
 // was, never an older one after a newer; how old it is, the session of whoever relies on it has to say. A call that
 // comes after a failure is not held, so that its own silence shows soon.
 func (k *Client) FollowRecords(ctx context.Context, prefix string, taken func(Records)) {
-	f, wait, hold := &follower{}, backoff{firstWait}, k.c.Hold
+	f, wait, hold := &follower{}, watchBackoff(), k.c.Hold
 	for ctx.Err() == nil {
 		verdict, err := k.watchRecords(ctx, f, prefix, hold)
 		if ctx.Err() != nil {
@@ -89,7 +89,7 @@
 			if verdict == Taken {
 				taken(f.view())
 			}
-			wait, hold = backoff{firstWait}, k.c.Hold
+			wait, hold = watchBackoff(), k.c.Hold
 			continue
 		}
 		if hold = holdLeast; verdict == Gap {
@@ -97,7 +97,7 @@
 		}
 		k.log.Warn("records are not followed for now; those known stand", "prefix", prefix, "address", k.address(), "err", err)
 		k.turn()
-		if !pause.For(ctx, wait.next(rand.Int64N)) {
+		if !backoff.Sleep(ctx, wait.Next(rand.Int64N)) {
 			return
 		}
 	}
@@ -119,7 +119,7 @@
 	if status != http.StatusOK {
 		return Nothing, refusal(status, body)
 	}
-	var a list.RecordAnswer
+	var a registry.RecordAnswer
 	if err := json.Unmarshal(body, &a); err != nil {
 		return Nothing, fmt.Errorf("an answer that can't be read: %w", err)
 	}
--- a/internal/list/client/follow_test.go
+++ b/internal/registry/client/follow_test.go
@@ -13,18 +13,18 @@
 
 	"pgregory.net/rapid"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
 )
 
 // TestFollowerOfRecords: whichever replica answers, up to date, lagging or restored, a follower has the records of a
 // version that was, never goes back within an epoch, and has today's once an up-to-date one answers.
 func TestFollowerOfRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := list.NewState()
-		s.Apply(list.Command{Do: list.DoBegin, Epoch: "e0"})
+		s := registry.NewState()
+		s.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e0"})
 		were := map[string]map[string]string{}
-		note := func(s *list.State) {
+		note := func(s *registry.State) {
 			at := map[string]string{}
 			for _, r := range s.Records("a/") {
 				whole, _ := s.Record(r.Key)
@@ -33,10 +33,10 @@
 			were[fmt.Sprint(s.Epoch(), s.Version())] = at
 		}
 		note(s)
-		replicas := []*list.State{copied(t, s)}
+		replicas := []*registry.State{copied(t, s)}
 		f := &follower{}
 		now := time.Unix(0, 0)
-		ask := func(of *list.State) {
+		ask := func(of *registry.State) {
 			from, before := f.version, f.version
 			epoch := f.epoch
 			if epoch != of.Epoch() {
@@ -62,7 +62,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
 				key := rapid.SampledFrom([]string{"a/1", "a/2", "a/3", "b/1"}).Draw(t, "key")
-				c := list.Command{Do: list.DoPut, Name: key, Value: json.RawMessage(fmt.Sprint(n))}
+				c := registry.Command{Do: registry.DoPut, Name: key, Value: json.RawMessage(fmt.Sprint(n))}
 				if rapid.IntRange(0, 2).Draw(t, "away") == 0 {
 					c.Value = nil
 				}
@@ -75,7 +75,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.Apply(list.Command{Do: list.DoRestore, Epoch: fmt.Sprint("e", n+1), Over: s.Epoch(), Image: image})
+				s.Apply(registry.Command{Do: registry.DoRestore, Epoch: fmt.Sprint("e", n+1), Over: s.Epoch(), Image: image})
 				note(s)
 			default:
 				ask(replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "replica")])
@@ -94,7 +94,7 @@
 	followers := map[string]func(context.Context, *Client){
 		"records": func(ctx context.Context, k *Client) { k.FollowRecords(ctx, "a/", func(Records) {}) },
 		"session": func(ctx context.Context, k *Client) {
-			for from := uint64(0); pause.For(ctx, 100*time.Millisecond); {
+			for from := uint64(0); backoff.Sleep(ctx, 100*time.Millisecond); {
 				if a, err := k.SessionDuties(ctx, "s", from, hold); err == nil {
 					from = a.Index
 				}
@@ -107,7 +107,7 @@
 				inBubble(t, func(n int, w http.ResponseWriter, r *http.Request) {
 					switch n {
 					case 0, 3:
-						json.NewEncoder(w).Encode(list.RecordAnswer{Index: uint64(7 + n), Epoch: "e", Records: []list.Record{}})
+						json.NewEncoder(w).Encode(registry.RecordAnswer{Index: uint64(7 + n), Epoch: "e", Records: []registry.Record{}})
 					case 1, 2:
 						time.Sleep(how.after)
 						how.serve(w, r)
--- a/internal/list/client/move.go
+++ b/internal/registry/client/move.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"indigotack/internal/sock"
+	"wrenspread/internal/socketoption"
 )
 
 // Move goes on at another address, or in the other way. Versions seen before
@@ -41,7 +41,7 @@
 
 // arriving tells whether something of the answer to the call under way has come, read or not.
 func (d *Platform) arriving() bool {
-	if c := d.conn.Load(); c != nil && sock.Readable(*c) {
+	if c := d.conn.Load(); c != nil && socketoption.Readable(*c) {
 		return true
 	}
 	return d.begun.Load() // after the look at what is not read
@@ -54,7 +54,7 @@
 }
 
 func (c arrival) Read(p []byte) (int, error) {
-	if sock.Await(c.Conn) {
+	if socketoption.Await(c.Conn) {
 		c.of.begun.Store(true) // ahead of the read: by arriving's look something is either to be read or noted
 	}
 	return c.Conn.Read(p)
--- a/internal/list/client/move_test.go
+++ b/internal/registry/client/move_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // TestMovesWhileAListIsTaken: the former address's list goes ahead of the newer one's, and a move that another
@@ -28,7 +28,7 @@
 	}, func(ctx context.Context, s *standIn) {
 		d, _ := s.platform(false)
 		busy, release, order := make(chan bool), make(chan bool), []uint64{}
-		d.listed = func(l list.Answer) {
+		d.listed = func(l registry.Answer) {
 			if l.Index == 42 {
 				close(busy)
 				<-release
--- a/internal/list/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
-	"indigotack/internal/list"
+	"wrenspread/balancer"
+	"wrenspread/internal/registry"
 )
 
 // troubled is a discovery with news that can be reached now and then. A call made in an outage ends in a way that is
@@ -129,23 +129,23 @@
 func modulePlays(ctx context.Context, d *Platform, words chan took, now func() time.Duration, nodes int, seed int64) chan took {
 	lists := make(chan took, 100)
 	go func() {
-		m, clock := decide.New(decide.Settings{Nodes: nodes, AskForList: true, AskWithin: 10 * time.Second, MinTick: time.Millisecond}, seed), time.NewTicker(25*time.Millisecond)
+		m, clock := balancer.New(balancer.Settings{Nodes: nodes, AskForList: true, AskWithin: 10 * time.Second, MinTick: time.Millisecond}, seed), time.NewTicker(25*time.Millisecond)
 		defer clock.Stop()
-		for e := decide.Event(decide.ListUpdate{Kind: decide.ListCached}); ctx.Err() == nil; {
+		for e := balancer.Event(balancer.ListUpdate{Kind: balancer.ListCached}); ctx.Err() == nil; {
 			for _, a := range m.Handle(time.Hour+now(), e) {
-				if a, ok := a.(decide.Subscribe); ok {
+				if a, ok := a.(balancer.Subscribe); ok {
 					d.Ask(ctx, false, a.On)
 				}
 			}
 			select {
 			case l := <-words:
-				e = decide.ListUpdate{Kind: decide.ListFailed}
+				e = balancer.ListUpdate{Kind: balancer.ListFailed}
 				if l.at >= 0 {
-					e = decide.ListUpdate{Kind: decide.ListFull, Version: l.Index}
+					e = balancer.ListUpdate{Kind: balancer.ListFull, Version: l.Index}
 					lists <- l
 				}
 			case <-clock.C:
-				e = decide.TimerFired{}
+				e = balancer.TimerFired{}
 			case <-ctx.Done():
 			}
 		}
@@ -180,7 +180,7 @@
 						defer k.Close()
 						transport := k.http.Transport.(*http.Transport)
 						transport.DialContext = d.dial(transport.DialContext)
-						k.belief = NewBelief(DefaultHoldBack, View{Epoch: "e", Version: 41, Entries: []list.Entry{{Name: "s"}}})
+						k.belief = NewBelief(DefaultHoldBack, View{Epoch: "e", Version: 41, Entries: []registry.Entry{{Name: "s"}}})
 						go k.Follow(ctx)
 					default:
 						p, words := s.platform(true)
--- a/internal/list/client/part.go
+++ b/internal/registry/client/part.go
@@ -9,14 +9,14 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // move is the part that is to be followed. Where another one is known, that one is
 // watched until its time, which is drawn from a whole hold: the nodes that have to
 // move are told so by one change.
 type move struct {
-	to list.Part
+	to registry.Part
 	at time.Duration // since the client's start
 }
 
@@ -25,7 +25,7 @@
 
 // asking is a call that is made, or the answer that it brought.
 type asking struct {
-	part  list.Part
+	part  registry.Part
 	from  uint64
 	epoch string
 	hold  time.Duration
@@ -33,8 +33,8 @@
 }
 
 // partOf is the part that an answer is of; one of a service that knows no parts is all of the list.
-func partOf(a list.Answer) list.Part {
-	p, _ := list.ParsePart(a.Part) // the zero Part is all
+func partOf(a registry.Answer) registry.Part {
+	p, _ := registry.ParsePart(a.Part) // the zero Part is all
 	return p
 }
 
@@ -70,13 +70,13 @@
 
 // fit gives an answer the form of its part. A service that knows no parts says
 // nothing of one: its whole list is taken as that, of its changes what the part has.
-func (q asking) fit(a *list.Answer) error {
+func (q asking) fit(a *registry.Answer) error {
 	switch {
 	case a.Part == q.part.String():
 	case a.Part != "":
 		return errors.New("an answer of another part than was asked for")
 	case !a.Snapshot && !q.part.All():
-		a.Endpoints = slices.DeleteFunc(a.Endpoints, func(e list.Entry) bool { return !q.part.Holds(list.Point(e.Name)) })
+		a.Endpoints = slices.DeleteFunc(a.Endpoints, func(e registry.Entry) bool { return !q.part.Holds(registry.Point(e.Name)) })
 		a.Part = q.part.String()
 	}
 	return nil
@@ -84,7 +84,7 @@
 
 // widens tells whether a whole part that has come is too narrow. Then it is not
 // taken, as the wider one is read at once.
-func (k *Client) widens(q asking, a list.Answer) bool {
+func (k *Client) widens(q asking, a registry.Answer) bool {
 	if k.c.Part == nil || a.Part == "" || !a.Snapshot {
 		return false
 	}
@@ -99,18 +99,18 @@
 }
 
 // settle finds the part to follow from what is believed by now; k.mu is held.
-func (k *Client) settle(a list.Answer) {
+func (k *Client) settle(a registry.Answer) {
 	if k.c.Part == nil {
 		return
 	}
 	if a.Part == "" { // a service that knows no parts
-		k.move = move{to: list.Part{}}
+		k.move = move{to: registry.Part{}}
 		return
 	}
 	if k.belief.total == 0 {
 		return
 	}
-	next := k.c.Part(k.belief.part, k.belief.total, k.belief.appendTo([]list.Entry{}))
+	next := k.c.Part(k.belief.part, k.belief.total, k.belief.appendTo([]registry.Entry{}))
 	if next == k.move.to {
 		return
 	}
--- a/internal/list/client/part_kept_test.go
+++ b/internal/registry/client/part_kept_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // TestReturnWithKeptPart: a node that comes back after an hour serves on the part that it kept, of whatever width, and
@@ -24,7 +24,7 @@
 	}
 	had, _ := k.View()
 	for i := range 11000 { // more than the service can tell by changes
-		s.Apply(list.Command{Do: list.DoRegister, Entry: &list.Entry{Name: fmt.Sprint("s-", i), Address: "b:1", Status: list.Ready}})
+		s.Apply(registry.Command{Do: registry.DoRegister, Entry: &registry.Entry{Name: fmt.Sprint("s-", i), Address: "b:1", Status: registry.Ready}})
 	}
 	nodes = 2000
 	k = partClient(t, 9, &nodes, file, nil)
@@ -39,7 +39,7 @@
 		k.start = k.start.Add(-DefaultHold)
 	}
 	v, _ := k.View()
-	if !slices.Equal(v.Entries, inPart(v.Part, s.Since(0).Endpoints)) || !v.Part.Covers(list.PartOf(9, 2000, 19000)) || calls > 3 {
+	if !slices.Equal(v.Entries, inPart(v.Part, s.Since(0).Endpoints)) || !v.Part.Covers(registry.PartOf(9, 2000, 19000)) || calls > 3 {
 		t.Errorf("after %d calls it has %d of part %v", calls, len(v.Entries), v.Part)
 	}
 	if err := save(file, had); err != nil {
--- a/internal/list/client/part_test.go
+++ b/internal/registry/client/part_test.go
@@ -9,21 +9,21 @@
 
 	"pgregory.net/rapid"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // replica answers as the service does, or as one of before that knows no parts.
 type replica struct {
-	*list.State
+	*registry.State
 	old bool
 }
 
-func (r replica) answer(q asking) (a list.Answer, err error) {
+func (r replica) answer(q asking) (a registry.Answer, err error) {
 	if q.epoch != "" && q.epoch != r.Epoch() {
 		q.from = 0
 	}
 	if q.from > r.Version() {
-		return a, &Refused{Status: 503, Refusal: list.Refusal{Code: "behind"}}
+		return a, &Refused{Status: 503, Refusal: registry.Refusal{Code: "behind"}}
 	}
 	if a = r.Since(q.from); !r.old {
 		a = r.PartSince(q.part, q.from)
@@ -54,16 +54,16 @@
 	return k.take(q.from, a), q, nil
 }
 
-func arcOf(t *rapid.T, name string) list.Part {
+func arcOf(t *rapid.T, name string) registry.Part {
 	arc := 1 << rapid.IntRange(11, 15).Draw(t, name)
 	if arc > 1<<14 {
-		return list.Part{}
+		return registry.Part{}
 	}
-	return list.Part{From: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, name+" from") * arc / 4), Width: uint16(arc)}
+	return registry.Part{From: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, name+" from") * arc / 4), Width: uint16(arc)}
 }
 
-func inPart(p list.Part, all []list.Entry) []list.Entry {
-	return slices.DeleteFunc(slices.Clone(all), func(e list.Entry) bool { return !p.Holds(list.Point(e.Name)) })
+func inPart(p registry.Part, all []registry.Entry) []registry.Entry {
+	return slices.DeleteFunc(slices.Clone(all), func(e registry.Entry) bool { return !p.Holds(registry.Point(e.Name)) })
 }
 
 // TestFollowedPart: whatever changes while a call is out (the part to follow, the list, its epoch, the replica, the
@@ -71,23 +71,23 @@
 // present one of the part that is wanted.
 func TestFollowedPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := list.NewState()
-		s.Apply(list.Command{Do: list.DoBegin, Epoch: "e0"})
-		were := map[string][]list.Entry{}
+		s := registry.NewState()
+		s.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e0"})
+		were := map[string][]registry.Entry{}
 		note := func() { were[fmt.Sprint(s.Epoch(), s.Version())] = s.Since(0).Endpoints }
 		note()
 		replicas := []replica{{s, false}}
 		want := arcOf(t, "part")
-		k, err := New(Config{Addresses: []string{"a:1"}, HoldBack: time.Second, Part: func(list.Part, int, []list.Entry) list.Part { return want }})
+		k, err := New(Config{Addresses: []string{"a:1"}, HoldBack: time.Second, Part: func(registry.Part, int, []registry.Entry) registry.Part { return want }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		happen := func(n int) {
 			switch name := fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "name")); rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3:
-				s.Apply(list.Command{Do: list.DoRegister, Entry: &list.Entry{Name: name, Address: "a:1", Status: list.Ready, Weight: float64(n)}})
+				s.Apply(registry.Command{Do: registry.DoRegister, Entry: &registry.Entry{Name: name, Address: "a:1", Status: registry.Ready, Weight: float64(n)}})
 			case 4:
-				s.Apply(list.Command{Do: list.DoRemove, Name: name})
+				s.Apply(registry.Command{Do: registry.DoRemove, Name: name})
 			case 5, 6:
 				want = arcOf(t, "part")
 			case 7:
@@ -97,7 +97,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.Apply(list.Command{Do: list.DoRestore, Over: s.Epoch(), Epoch: fmt.Sprint("e", n+1), Image: raw})
+				s.Apply(registry.Command{Do: registry.DoRestore, Over: s.Epoch(), Epoch: fmt.Sprint("e", n+1), Image: raw})
 			}
 			note()
 		}
@@ -108,7 +108,7 @@
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
-			if all, ok := were[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]list.Entry{}, v.Entries...), inPart(v.Part, all))) {
+			if all, ok := were[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Entry{}, v.Entries...), inPart(v.Part, all))) {
 				t.Fatalf("asked for %v, it believes part %v at %s %d is %v, the list was %v (%d, %v)", q, v.Part, v.Epoch, v.Version, v.Entries, all, verdict, err)
 			}
 		}
@@ -124,7 +124,7 @@
 				happen(n)
 			}
 		}
-		s.Apply(list.Command{Do: list.DoRegister, Entry: &list.Entry{Name: "last", Address: "a:1", Status: list.Ready}})
+		s.Apply(registry.Command{Do: registry.DoRegister, Entry: &registry.Entry{Name: "last", Address: "a:1", Status: registry.Ready}})
 		note()
 		for range 8 {
 			call(replica{s, false}, func() {})
@@ -137,23 +137,23 @@
 }
 
 // fleetState is a list of so many servers, and a node's client of it.
-func fleetState(t *testing.T, servers int) *list.State {
-	s := list.NewState()
-	s.Apply(list.Command{Do: list.DoBegin, Epoch: "e"})
+func fleetState(t *testing.T, servers int) *registry.State {
+	s := registry.NewState()
+	s.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
 	grow(s, 0, servers)
 	return s
 }
 
-func grow(s *list.State, from, to int) {
+func grow(s *registry.State, from, to int) {
 	for i := from; i < to; i++ {
-		s.Apply(list.Command{Do: list.DoRegister, Entry: &list.Entry{Name: fmt.Sprint("s-", i), Address: "a:1", Status: list.Ready}})
+		s.Apply(registry.Command{Do: registry.DoRegister, Entry: &registry.Entry{Name: fmt.Sprint("s-", i), Address: "a:1", Status: registry.Ready}})
 	}
 }
 
-func partClient(t *testing.T, self int, nodes *int, file string, taken func(list.Answer)) *Client {
+func partClient(t *testing.T, self int, nodes *int, file string, taken func(registry.Answer)) *Client {
 	t.Helper()
-	k, err := New(Config{Addresses: []string{"a:1"}, File: file, Taken: taken, Part: func(p list.Part, total int, entries []list.Entry) list.Part {
-		return p.Next(self, *nodes, total, entries, []list.Group{{}})
+	k, err := New(Config{Addresses: []string{"a:1"}, File: file, Taken: taken, Part: func(p registry.Part, total int, entries []registry.Entry) registry.Part {
+		return p.Next(self, *nodes, total, entries, []registry.Group{{}})
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	for _, servers := range []int{1, 4, 75, 2000, 18000} {
 		nodes, took := 4300, 0
 		s := replica{fleetState(t, servers), false}
-		k := partClient(t, 7, &nodes, "", func(list.Answer) { took++ })
+		k := partClient(t, 7, &nodes, "", func(registry.Answer) { took++ })
 		bytes := 0
 		for calls := 1; took == 0; calls++ {
 			if _, q, err := k.callTo(s, func() {}); err != nil || calls > 10 {
@@ -177,7 +177,7 @@
 			}
 		}
 		v, _ := k.View()
-		if want := list.PartOf(7, nodes, servers); !v.Part.Covers(want) || len(v.Entries) < min(servers, 100) || took != 1 {
+		if want := registry.PartOf(7, nodes, servers); !v.Part.Covers(want) || len(v.Entries) < min(servers, 100) || took != 1 {
 			t.Errorf("%d servers: it takes %v with %d of them, wanted are %v", servers, v.Part, len(v.Entries), want)
 		}
 		if bytes > 4*max(len(v.Entries), 1) {
@@ -192,7 +192,7 @@
 		}
 		k.start = k.start.Add(-DefaultHold)
 		q := k.ask(time.Second)
-		if q.from != 0 || !q.part.Covers(list.PartOf(7, 1000, servers)) || q.part == v.Part {
+		if q.from != 0 || !q.part.Covers(registry.PartOf(7, 1000, servers)) || q.part == v.Part {
 			t.Errorf("it asks for %+v", q)
 		}
 		if !k.failed(q, refusal(429, []byte(`{"code":"paced"}`))) || k.ask(time.Second).part != v.Part {
--- a/internal/list/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
 )
 
 // Platform follows the list at one address, in the way of the platform's agents
@@ -30,7 +30,7 @@
 	whole  bool // the whole list is still to come: index means nothing
 	anew   bool // the call before failed
 	told   int  // answers so far
-	listed func(list.Answer)
+	listed func(registry.Answer)
 	failed func()
 
 	asked bool  // lists come only when they are asked for
@@ -53,8 +53,8 @@
 // NewPlatform makes a follower that knows the list of version index. Where lists
 // come only when they are asked for, asked is true. Both functions are called
 // from one task at a time.
-func NewPlatform(address string, asked bool, index uint64, log *slog.Logger, listed func(list.Answer), failed func()) *Platform {
-	d := &Platform{url: platformURL(address), asked: asked, sleep: pause.For, log: log, index: index, listed: listed, failed: failed, own: &task{},
+func NewPlatform(address string, asked bool, index uint64, log *slog.Logger, listed func(registry.Answer), failed func()) *Platform {
+	d := &Platform{url: platformURL(address), asked: asked, sleep: backoff.Sleep, log: log, index: index, listed: listed, failed: failed, own: &task{},
 		dial: (&net.Dialer{Timeout: graceAsked}).DialContext}
 	d.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: d.connect}}
 	d.pace(asked)
--- a/internal/list/client/platform_test.go
+++ b/internal/registry/client/platform_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 func entryJSON(name, address, status string) string {
@@ -42,8 +42,8 @@
 	defer s.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	lists := make(chan list.Answer, 10)
-	d := NewPlatform(s.Listener.Addr().String(), false, 41, slog.New(slog.DiscardHandler), func(l list.Answer) { lists <- l }, func() { t.Error("told a failure") })
+	lists := make(chan registry.Answer, 10)
+	d := NewPlatform(s.Listener.Addr().String(), false, 41, slog.New(slog.DiscardHandler), func(l registry.Answer) { lists <- l }, func() { t.Error("told a failure") })
 	d.hold = time.Millisecond
 	go d.follow(ctx)
 	select {
@@ -78,8 +78,8 @@
 		}
 	}))
 	defer s.Close()
-	lists, failures := make(chan list.Answer, 10), make(chan bool, 10)
-	d := NewPlatform(s.Listener.Addr().String(), true, 41, slog.New(slog.DiscardHandler), func(l list.Answer) { lists <- l }, func() { failures <- true })
+	lists, failures := make(chan registry.Answer, 10), make(chan bool, 10)
+	d := NewPlatform(s.Listener.Addr().String(), true, 41, slog.New(slog.DiscardHandler), func(l registry.Answer) { lists <- l }, func() { failures <- true })
 	for _, c := range []struct {
 		fetch bool
 		index uint64
--- a/internal/list/client/store.go
+++ b/internal/registry/client/store.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"io/fs"
 
-	"indigotack/internal/list"
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
+	"wrenspread/internal/registry"
 )
 
 // maxFile bounds a kept view that is read, in bytes: a full list takes a tenth, one of the longest entries two thirds.
@@ -36,7 +36,7 @@
 	}
 	raw, err := json.Marshal(k)
 	if err == nil {
-		err = sealed.Write(path, raw)
+		err = checksumfile.Write(path, raw)
 	}
 	if err != nil {
 		return fmt.Errorf("keeping the list: %w", err)
@@ -46,7 +46,7 @@
 
 // load reads a kept view. A file that is not there gives an empty one.
 func load(path string) (View, error) {
-	raw, err := sealed.Read(path, maxFile)
+	raw, err := checksumfile.Read(path, maxFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return View{}, nil
 	}
@@ -56,7 +56,7 @@
 	}
 	if err == nil && k.Of != nil {
 		k.Epoch, k.Version, k.Total = k.Of.Epoch, k.Of.Version, k.Of.Total
-		k.Part, err = list.ParsePart(k.Of.Part)
+		k.Part, err = registry.ParsePart(k.Of.Part)
 	}
 	if err != nil {
 		return View{}, fmt.Errorf("the kept list: %w", err)
--- a/internal/list/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -10,21 +10,21 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
 )
 
 // Follow watches the list until ctx ends, over whatever failures of the service.
 // A watch that comes after a failure is not held, so that its own silence shows soon.
 func (k *Client) Follow(ctx context.Context) {
-	wait, hold := backoff{firstWait}, k.c.Hold
+	wait, hold := watchBackoff(), k.c.Hold
 	for ctx.Err() == nil {
 		verdict, err := k.watch(ctx, hold)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err == nil && (verdict == Taken || verdict == Narrow || verdict == Nothing && k.watching()):
-			wait, hold = backoff{firstWait}, k.c.Hold
+			wait, hold = watchBackoff(), k.c.Hold
 			continue
 		case err != nil:
 			k.log.Warn("the list service does not answer; the last list stands", "address", k.address(), "err", err)
@@ -36,22 +36,14 @@
 		if hold = holdLeast; verdict != Kept {
 			k.turn()
 		}
-		if !pause.For(ctx, wait.next(rand.Int64N)) {
+		if !backoff.Sleep(ctx, wait.Next(rand.Int64N)) {
 			return
 		}
 	}
 }
 
-// backoff is the longest that the next wait may be.
-type backoff struct{ most time.Duration }
-
-// next draws a wait evenly from the whole range, so that those who lost the
-// service together do not return together, and doubles the range up to mostWait.
-func (b *backoff) next(draw func(int64) int64) time.Duration {
-	d := time.Duration(draw(int64(b.most)) + 1)
-	b.most = min(2*b.most, mostWait)
-	return d
-}
+// watchBackoff is the backoff between watches after failures.
+func watchBackoff() backoff.FullJitter { return backoff.FullJitter{First: firstWait, Max: mostWait} }
 
 // watching tells whether the next call is held until there is news; one for the whole list is not.
 func (k *Client) watching() bool {
@@ -93,7 +85,7 @@
 	return k.take(q.from, a), nil
 }
 
-func (k *Client) read(ctx context.Context, asked asking) (a list.Answer, err error) {
+func (k *Client) read(ctx context.Context, asked asking) (a registry.Answer, err error) {
 	q := url.Values{"hold_ms": {strconv.FormatInt(asked.hold.Milliseconds(), 10)}}
 	if k.c.Part != nil {
 		q.Set("part", asked.part.String())
@@ -125,7 +117,7 @@
 	return a, wholeList(a, asked.from == 0)
 }
 
-func (k *Client) take(from uint64, a list.Answer) Verdict {
+func (k *Client) take(from uint64, a registry.Answer) Verdict {
 	k.mu.Lock()
 	verdict := k.belief.Take(time.Since(k.start), from, a)
 	if verdict != Stale {
--- a/internal/list/client/write.go
+++ b/internal/registry/client/write.go
@@ -11,14 +11,14 @@
 	"net/url"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/registry"
 )
 
 // Refused is the answer of a service that did not do what was asked.
 type Refused struct {
 	Status int
-	list.Refusal
+	registry.Refusal
 }
 
 func (r *Refused) Error() string { return fmt.Sprintf("the list service says %s: %s", r.Code, r.Why) }
@@ -45,63 +45,63 @@
 // another, it has to be renewed. cond, if there is one, is the version that the
 // entry must have, 0 for none. Every write is repeated under one id until its end
 // is known or ctx ends.
-func (k *Client) Register(ctx context.Context, e list.Entry, ttl time.Duration, cond *uint64) (list.Result, error) {
-	return k.write(ctx, http.MethodPut, entryPath(e.Name), list.Write{Entry: &e, TTLms: ttl.Milliseconds(), If: cond})
+func (k *Client) Register(ctx context.Context, e registry.Entry, ttl time.Duration, cond *uint64) (registry.Result, error) {
+	return k.write(ctx, http.MethodPut, entryPath(e.Name), registry.Write{Entry: &e, TTLms: ttl.Milliseconds(), If: cond})
 }
 
 // Drain says that an entry finishes what it holds and takes nothing new.
-func (k *Client) Drain(ctx context.Context, name string, cond *uint64) (list.Result, error) {
-	return k.write(ctx, http.MethodPost, entryPath(name)+"/drain", list.Write{If: cond})
+func (k *Client) Drain(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
+	return k.write(ctx, http.MethodPost, entryPath(name)+"/drain", registry.Write{If: cond})
 }
 
 // Remove takes an entry off the list.
-func (k *Client) Remove(ctx context.Context, name string, cond *uint64) (list.Result, error) {
-	return k.write(ctx, http.MethodDelete, entryPath(name), list.Write{If: cond})
+func (k *Client) Remove(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
+	return k.write(ctx, http.MethodDelete, entryPath(name), registry.Write{If: cond})
 }
 
-func (k *Client) write(ctx context.Context, method, path string, w list.Write) (list.Result, error) {
+func (k *Client) write(ctx context.Context, method, path string, w registry.Write) (registry.Result, error) {
 	w.ID = newID()
-	var r list.Result
+	var r registry.Result
 	err := k.send(ctx, method, path, w, &r)
 	return r, err
 }
 
 // Renew gives entries their full time again and names those that have to be registered anew.
 func (k *Client) Renew(ctx context.Context, names []string) (unknown []string, err error) {
-	var r list.Renewal
-	err = k.send(ctx, http.MethodPost, "/registry/renew", list.Renewal{Names: names}, &r)
+	var r registry.Renewal
+	err = k.send(ctx, http.MethodPost, "/registry/renew", registry.Renewal{Names: names}, &r)
 	return r.Unknown, err
 }
 
 // Current reads the list as it is now, not as some replica has it.
-func (k *Client) Current(ctx context.Context) (list.Answer, error) {
-	var a list.Answer
+func (k *Client) Current(ctx context.Context) (registry.Answer, error) {
+	var a registry.Answer
 	err := k.send(ctx, http.MethodGet, "/registry/instances?current=1", nil, &a)
 	return a, err
 }
 
 // Items reads the list as it is now, with the entries' versions and times to live.
-func (k *Client) Items(ctx context.Context) (list.Items, error) {
-	var a list.Items
+func (k *Client) Items(ctx context.Context) (registry.Items, error) {
+	var a registry.Items
 	err := k.send(ctx, http.MethodGet, "/registry/items", nil, &a)
 	return a, err
 }
 
 // Members lists the replicas.
-func (k *Client) Members(ctx context.Context) ([]list.Member, error) {
-	var all []list.Member
+func (k *Client) Members(ctx context.Context) ([]registry.Member, error) {
+	var all []registry.Member
 	err := k.send(ctx, http.MethodGet, "/registry/members", nil, &all)
 	return all, err
 }
 
 // AddMember adds a replica that was started on an empty folder, and waits until it
 // has its vote. Without an address it is where the others' configurations have it.
-func (k *Client) AddMember(ctx context.Context, name string, at list.Address) (m list.Member, err error) {
+func (k *Client) AddMember(ctx context.Context, name string, at registry.Address) (m registry.Member, err error) {
 	for {
 		if err = k.send(ctx, http.MethodPut, "/registry/members/"+url.PathEscape(name), at, &m); err != nil || m.Votes {
 			return m, err
 		}
-		if !pause.For(ctx, betweens) {
+		if !backoff.Sleep(ctx, betweens) {
 			return m, fmt.Errorf("%w: it learns, and is not up to date yet; the same call goes on from here", ctx.Err())
 		}
 	}
@@ -109,7 +109,7 @@
 
 // RemoveMember takes a replica out of the cluster. Its process is to be ended afterwards.
 func (k *Client) RemoveMember(ctx context.Context, name string) error {
-	var r list.Result
+	var r registry.Result
 	return k.send(ctx, http.MethodDelete, "/registry/members/"+url.PathEscape(name), nil, &r)
 }
 
@@ -121,8 +121,8 @@
 }
 
 // Restore puts a copy in place of the list that has that epoch.
-func (k *Client) Restore(ctx context.Context, copy []byte, over string) (list.Result, error) {
-	var r list.Result
+func (k *Client) Restore(ctx context.Context, copy []byte, over string) (registry.Result, error) {
+	var r registry.Result
 	err := k.send(ctx, http.MethodPost, "/registry/restore?"+url.Values{"epoch": {over}, "id": {newID()}}.Encode(), copy, &r)
 	return r, err
 }
@@ -150,7 +150,7 @@
 			return err
 		}
 		k.turn()
-		if !pause.For(ctx, betweens) {
+		if !backoff.Sleep(ctx, betweens) {
 			if method == http.MethodGet {
 				return fmt.Errorf("%w: %w", ctx.Err(), err)
 			}
--- a/internal/list/command.go
+++ b/internal/registry/command.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 import (
 	"encoding/json"
--- a/internal/list/duties_change.go
+++ b/internal/registry/duties_change.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 // What becomes of sessions, duties and their queues.
 
--- a/internal/list/duties_check.go
+++ b/internal/registry/duties_check.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 // Commands on duties, and what is wrong with them or with duties that are read.
 
--- a/internal/list/duties_test.go
+++ b/internal/registry/duties_test.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 )
 
 // drawDuty draws a command on few sessions and duties, so that they meet.
--- a/internal/list/entries.go
+++ b/internal/registry/entries.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 // What becomes of the list's entries.
 
--- a/internal/list/entry.go
+++ b/internal/registry/entry.go
@@ -1,6 +1,6 @@
 // Package list is the list of servers as the list service keeps it: its forms,
 // its state machine, its leases. It is pure: no I/O, no clock.
-package list
+package registry
 
 import (
 	"encoding/json"
--- a/internal/list/fixture_test.go
+++ b/internal/registry/fixture_test.go
@@ -1,9 +1,9 @@
-package list
+package registry
 
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestStoredAndSentFormsAreUnchanged compares the log's commands, the snapshot and the bodies of calls with golden files.
--- a/internal/list/image.go
+++ b/internal/registry/image.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 // The form in which the whole state is kept and copied.
 
--- a/internal/list/part.go
+++ b/internal/registry/part.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 // Parts of the list: which of its servers a node works with, and so has to know.
 
--- a/internal/list/recent.go
+++ b/internal/registry/recent.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 // recent keeps the last few of what is pushed.
 type recent[T any] struct {
--- a/internal/list/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // What watchers and readers of the list are answered.
@@ -31,7 +31,7 @@
 }
 
 // part is what is known of a part. It forgets those that nobody watches, now and then.
-func (h *hub) part(p list.Part) *watched {
+func (h *hub) part(p registry.Part) *watched {
 	w := h.parts[p]
 	if w != nil {
 		return w
@@ -58,7 +58,7 @@
 	}
 }
 
-func (h *hub) keep(p list.Part, from uint64, b body) {
+func (h *hub) keep(p registry.Part, from uint64, b body) {
 	if h.kept+len(b.endpoints) > cacheSize {
 		for _, w := range h.parts {
 			h.forget(w)
@@ -80,7 +80,7 @@
 	if w := h.parts[q.part]; w != nil && q.from <= h.version {
 		b, ok = w.answers[q.from]
 	}
-	a, total := list.Answer{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.total
+	a, total := registry.Answer{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.total
 	h.mu.Unlock()
 	if !ok {
 		h.machine.mu.RLock()
@@ -96,7 +96,7 @@
 		}
 		h.mu.Unlock()
 	}
-	a.Endpoints = []list.Entry{}
+	a.Endpoints = []registry.Entry{}
 	if q.parted {
 		a.Part, a.Total = q.part.String(), total
 	}
--- a/internal/list/server/backup.go
+++ b/internal/registry/server/backup.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"net/http"
 
-	"indigotack/internal/list"
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
+	"wrenspread/internal/registry"
 )
 
 // maxRestore bounds a backup that is brought back, in bytes: a full list with all records takes five sixths.
@@ -25,7 +25,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Write(sealed.Wrap(raw)) // a caller that has left needs nothing
+	w.Write(checksumfile.Wrap(raw)) // a caller that has left needs nothing
 }
 
 // restore puts a backup in place of the list, under a new epoch. The call names
@@ -36,13 +36,13 @@
 	if !ok {
 		return
 	}
-	raw, err := sealed.Open(body)
+	raw, err := checksumfile.Open(body)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("backup: %v", err), 0)
 		return
 	}
 	over, id := r.URL.Query().Get("epoch"), r.URL.Query().Get("id")
-	c := list.Command{Do: list.DoRestore, ID: id, Epoch: newEpoch(), Over: over, Image: raw}
+	c := registry.Command{Do: registry.DoRestore, ID: id, Epoch: newEpoch(), Over: over, Image: raw}
 	if err := c.Check(); err != nil {
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
@@ -52,7 +52,7 @@
 		return
 	}
 	result, err := s.replica.apply(c)
-	if err == nil && result.Code == list.Done {
+	if err == nil && result.Code == registry.Done {
 		s.log.Warn("a backup was brought back", "epoch", c.Epoch, "version", result.Version)
 	}
 	s.finish(w, result, err)
--- a/internal/list/server/config.go
+++ b/internal/registry/server/config.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"indigotack/internal/conf"
-	"indigotack/internal/list"
+	"wrenspread/internal/config"
+	"wrenspread/internal/registry"
 )
 
 // Config is what a replica is told.
@@ -39,7 +39,7 @@
 
 // Check says what is wrong with a configuration, by its keys.
 func (c Config) Check() error {
-	var f conf.Faults
+	var f config.Faults
 	bad, address := f.Want, f.Address
 	bad(c.Name != "", "name: missing")
 	bad(c.Folder != "", "folder: missing; it is where the log and the snapshots go")
@@ -63,7 +63,7 @@
 	}
 	bad(names[c.Name], "replica: %s itself is not among them", c.Name)
 	bad(!c.Begin || len(c.Replicas)%2 == 1 && len(c.Replicas) <= 5, "replica: %d are to begin, want 1, 3 or 5", len(c.Replicas))
-	bad(len(c.Replicas) <= list.MaxMembers, "replica: there are %d, %d at most", len(c.Replicas), list.MaxMembers)
+	bad(len(c.Replicas) <= registry.MaxMembers, "replica: there are %d, %d at most", len(c.Replicas), registry.MaxMembers)
 	return f.Err()
 }
 
--- a/internal/list/server/cutoff_test.go
+++ b/internal/registry/server/cutoff_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // TestElectionReleasesNoHerd: of those that are held at a replica, some while it has a leader and some as they come
@@ -31,9 +31,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
-				m := &machine{state: list.NewState()}
+				m := &machine{state: registry.NewState()}
 				s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), ctx: ctx}
-				m.state.Apply(list.Command{Do: list.DoBegin, Epoch: "e"})
+				m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
 				s.hub.publishList(m.state)
 				go s.hub.run(ctx.Done())
 				type answer struct {
@@ -60,7 +60,7 @@
 				s.contact.set(false)
 				synctest.Wait()
 				m.mu.Lock()
-				m.state.Apply(list.Command{Do: list.DoRegister, Entry: entry("s", 1)})
+				m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry("s", 1)})
 				s.hub.publishList(m.state)
 				m.mu.Unlock()
 				time.Sleep(time.Second)
--- a/internal/list/server/duties.go
+++ b/internal/registry/server/duties.go
@@ -5,33 +5,33 @@
 	"net/http"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // openSession opens the session that the call names, or changes its word.
 func (s *Server) openSession(w http.ResponseWriter, r *http.Request) {
-	var body list.SessionCall
+	var body registry.SessionCall
 	if !readJSON(w, r, &body) {
 		return
 	}
-	if body.TTLms < 0 || body.TTLms > int64(list.MaxSessionTTL/time.Millisecond) {
-		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d, want %d to %d", body.TTLms, list.MinSessionTTL/time.Millisecond, list.MaxSessionTTL/time.Millisecond), 0)
+	if body.TTLms < 0 || body.TTLms > int64(registry.MaxSessionTTL/time.Millisecond) {
+		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d, want %d to %d", body.TTLms, registry.MinSessionTTL/time.Millisecond, registry.MaxSessionTTL/time.Millisecond), 0)
 		return
 	}
-	s.duty(w, list.Command{Do: list.DoSession, Session: &list.Session{ID: r.PathValue("id"), Process: body.Process,
+	s.duty(w, registry.Command{Do: registry.DoSession, Session: &registry.Session{ID: r.PathValue("id"), Process: body.Process,
 		TTL: time.Duration(body.TTLms) * time.Millisecond, Word: body.Word}})
 }
 
 func (s *Server) closeSession(w http.ResponseWriter, r *http.Request) {
-	s.duty(w, list.Command{Do: list.DoClose, Sessions: []string{r.PathValue("id")}})
+	s.duty(w, registry.Command{Do: registry.DoClose, Sessions: []string{r.PathValue("id")}})
 }
 
 // wish makes a handler of a campaign or a giving up.
 func (s *Server) wish(do string) http.HandlerFunc {
 	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
-		var body list.Wishes
+		var body registry.Wishes
 		if readJSON(w, r, &body) {
-			s.duty(w, list.Command{Do: do, Session: &list.Session{ID: r.PathValue("id")}, Wishes: body.Duties})
+			s.duty(w, registry.Command{Do: do, Session: &registry.Session{ID: r.PathValue("id")}, Wishes: body.Duties})
 		}
 	})
 }
@@ -39,14 +39,14 @@
 // order makes a handler of an operator's order.
 func (s *Server) order(do string) http.HandlerFunc {
 	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
-		var body list.DutyOrder
+		var body registry.DutyOrder
 		if readJSON(w, r, &body) {
-			s.duty(w, list.Command{Do: do, Name: r.PathValue("name"), To: body.Process, On: body.On})
+			s.duty(w, registry.Command{Do: do, Name: r.PathValue("name"), To: body.Process, On: body.On})
 		}
 	})
 }
 
-func (s *Server) duty(w http.ResponseWriter, c list.Command) {
+func (s *Server) duty(w http.ResponseWriter, c registry.Command) {
 	if err := c.Check(); err != nil {
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
@@ -59,7 +59,7 @@
 // replica proves to a quorum that it still leads: a later leader then gives these
 // sessions their full time after now.
 func (s *Server) renewSessions(w http.ResponseWriter, r *http.Request) {
-	var body list.SessionRenewal
+	var body registry.SessionRenewal
 	if !readJSON(w, r, &body) {
 		return
 	}
@@ -68,7 +68,7 @@
 		return
 	}
 	if err := s.replica.verify(); err != nil {
-		s.finish(w, list.Result{}, err)
+		s.finish(w, registry.Result{}, err)
 		return
 	}
 	unknown, ok := s.sessions.renew(body.Sessions)
@@ -76,7 +76,7 @@
 		refuse(w, http.StatusServiceUnavailable, "not-leading", "this replica does not lead yet", time.Second)
 		return
 	}
-	writeJSON(w, http.StatusOK, list.SessionRenewal{Unknown: unknown})
+	writeJSON(w, http.StatusOK, registry.SessionRenewal{Unknown: unknown})
 }
 
 // readDuties answers reads and watches of duties, as this replica has them.
@@ -93,7 +93,7 @@
 		return
 	}
 	s.machine.mu.RLock()
-	a := list.DutyAnswer{Index: s.machine.state.DutiesVersion(), Epoch: s.machine.state.Epoch(), Duties: []list.Duty{}}
+	a := registry.DutyAnswer{Index: s.machine.state.DutiesVersion(), Epoch: s.machine.state.Epoch(), Duties: []registry.Duty{}}
 	session := r.URL.Query().Get("session")
 	all, known := s.machine.state.Duties(session)
 	if session == "" {
@@ -101,7 +101,7 @@
 	}
 	s.machine.mu.RUnlock()
 	if !known {
-		refuse(w, http.StatusNotFound, string(list.Absent), "there is no session "+session, 0)
+		refuse(w, http.StatusNotFound, string(registry.Absent), "there is no session "+session, 0)
 		return
 	}
 	a.Duties = append(a.Duties, all...)
--- a/internal/list/server/duties_test.go
+++ b/internal/registry/server/duties_test.go
@@ -7,13 +7,13 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
-func duty(t *testing.T, url, query string) list.DutyAnswer {
+func duty(t *testing.T, url, query string) registry.DutyAnswer {
 	t.Helper()
 	status, body := call(t, "GET", url+"/registry/duties"+query, "")
-	var a list.DutyAnswer
+	var a registry.DutyAnswer
 	if err := json.Unmarshal([]byte(body), &a); status != 200 || err != nil {
 		t.Fatalf("%s: %d %s", query, status, body)
 	}
@@ -31,7 +31,7 @@
 	campaign := func(id string) {
 		sure(t, "POST", url+"/registry/sessions/"+id+"/campaign", `{"duties":[{"duty":"d"}]}`)
 	}
-	held := func(by string) list.Duty { // once it is
+	held := func(by string) registry.Duty { // once it is
 		t.Helper()
 		for a, until := duty(t, url, "?session="+by), time.Now().Add(enough); ; a = duty(t, url, fmt.Sprintf("?session=%s&from=%d&hold_ms=1000", by, a.Index)) {
 			if len(a.Duties) == 1 && a.Duties[0].Holder == by {
--- a/internal/list/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 const (
@@ -20,13 +20,13 @@
 type expiry struct {
 	start   time.Time
 	machine *machine
-	apply   func(list.Command) (list.Result, error)
+	apply   func(registry.Command) (registry.Result, error)
 	log     *slog.Logger
 
 	mu     sync.Mutex
-	leases *list.Leases // nil while another leads
-	kept   int          // overdue entries that are held back
-	count  int          // expired so far
+	leases *registry.Leases // nil while another leads
+	kept   int              // overdue entries that are held back
+	count  int              // expired so far
 }
 
 func (x *expiry) now() time.Duration { return time.Since(x.start) }
@@ -36,7 +36,7 @@
 	x.machine.mu.RLock()
 	items := x.machine.state.Items()
 	x.mu.Lock() // under the other lock, so that no change falls between the two
-	x.leases, x.kept = list.NewLeases(items, x.now()), 0
+	x.leases, x.kept = registry.NewLeases(items, x.now()), 0
 	x.mu.Unlock()
 	x.machine.mu.RUnlock()
 }
@@ -48,27 +48,27 @@
 }
 
 // applied keeps the leases in step with the list. The caller holds the machine's lock.
-func (x *expiry) applied(c list.Command, state *list.State) {
+func (x *expiry) applied(c registry.Command, state *registry.State) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.leases == nil {
 		return
 	}
 	switch c.Do {
-	case list.DoRegister:
+	case registry.DoRegister:
 		if i, ok := state.Item(c.Entry.Name); ok {
 			x.leases.Set(i, x.now())
 		}
-	case list.DoDrain:
+	case registry.DoDrain:
 		if i, ok := state.Item(c.Name); ok {
 			x.leases.Set(i, x.now())
 		}
-	case list.DoRemove:
+	case registry.DoRemove:
 		if _, there := state.Item(c.Name); !there {
 			x.leases.Drop(c.Name)
 		}
-	case list.DoRestore:
-		x.leases = list.NewLeases(state.Items(), x.now())
+	case registry.DoRestore:
+		x.leases = registry.NewLeases(state.Items(), x.now())
 	}
 }
 
@@ -143,9 +143,9 @@
 	x.kept = kept
 	x.mu.Unlock()
 	for len(due) > 0 {
-		some := due[:min(len(due), list.MaxExpire)]
+		some := due[:min(len(due), registry.MaxExpire)]
 		due = due[len(some):]
-		if _, err := x.apply(list.Command{Do: list.DoExpire, Overdue: some}); err != nil {
+		if _, err := x.apply(registry.Command{Do: registry.DoExpire, Overdue: some}); err != nil {
 			x.log.Warn("entries are overdue and stay", "entries", len(some), "err", err)
 			x.again()
 			return
--- a/internal/list/server/folder_test.go
+++ b/internal/registry/server/folder_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"indigotack/internal/lab/link"
-	"indigotack/internal/list"
+	"wrenspread/internal/lab/link"
+	"wrenspread/internal/registry"
 )
 
 // TestDamagedFolder: a log that was cut short or written over anywhere gives a
@@ -66,7 +66,7 @@
 }
 
 // tryFolder runs a replica on a folder until it has a list or ends by itself.
-func tryFolder(t *testing.T, folder string) (a list.Answer, err error) {
+func tryFolder(t *testing.T, folder string) (a registry.Answer, err error) {
 	address, free, err := link.Reserve()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/list/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // TestOlderFolder: what the first programs left is read: commands without a seal, and
@@ -25,7 +25,7 @@
 		t.Error("a later program's command is taken")
 	}
 	entry := `{"name":"a","address":"a:1","zone":"","type":"","group":0,"status":"ready","weight":0,"since_ms":0}`
-	s, err := list.FromSnapshot([]byte(`{"v":1,"epoch":"e","version":7,"items":[{"entry":` + entry + `,"version":7,"ttl":0}],"changes":[{"version":6,"entry":` + entry +
+	s, err := registry.FromSnapshot([]byte(`{"v":1,"epoch":"e","version":7,"items":[{"entry":` + entry + `,"version":7,"ttl":0}],"changes":[{"version":6,"entry":` + entry +
 		`},{"version":7,"entry":` + entry + `}],"writes":[]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 }
 
 func FuzzDecodeCommand(f *testing.F) {
-	raw, err := encode(list.Command{Do: list.DoRemove, Name: "a"})
+	raw, err := encode(registry.Command{Do: registry.DoRemove, Name: "a"})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	f.Add([]byte(`{"v":1,"do":"grant","grant":["d"]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if c, err := decode(raw); err == nil {
-			list.NewState().Apply(c)
+			registry.NewState().Apply(c)
 		}
 	})
 }
--- a/internal/list/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 const (
@@ -18,7 +18,7 @@
 type hub struct {
 	machine *machine
 	mu      sync.Mutex
-	parts   map[list.Part]*watched
+	parts   map[registry.Part]*watched
 	pruneAt int // parts known at which those that nobody watches are forgotten
 	ahead   map[*watcher]bool
 	due     []*group // to be woken
@@ -45,7 +45,7 @@
 }
 
 func newHub(m *machine) *hub {
-	return &hub{machine: m, parts: map[list.Part]*watched{}, ahead: map[*watcher]bool{}, news: make(chan struct{}, 1)}
+	return &hub{machine: m, parts: map[registry.Part]*watched{}, ahead: map[*watcher]bool{}, news: make(chan struct{}, 1)}
 }
 
 // publish says that there is a version, and the newest that watchers are to be
@@ -64,7 +64,7 @@
 }
 
 // publishList is publish for the list, of which it tells those whom its changes concern.
-func (h *hub) publishList(s *list.State) {
+func (h *hub) publishList(s *registry.State) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	version, newest, epoch := s.Version(), s.ListVersion(), s.Epoch()
@@ -75,7 +75,7 @@
 	if newest != h.newest || epoch != h.epoch {
 		if moves, ok := s.Moves(h.newest); ok && epoch == h.epoch {
 			for _, m := range moves {
-				list.EachPart(m.Point, func(p list.Part) { h.move(p, m.Version-1) })
+				registry.EachPart(m.Point, func(p registry.Part) { h.move(p, m.Version-1) })
 			}
 		} else {
 			h.moveAll()
@@ -86,7 +86,7 @@
 }
 
 // move notes the first change of a part past a version.
-func (h *hub) move(p list.Part, after uint64) {
+func (h *hub) move(p registry.Part, after uint64) {
 	w := h.parts[p]
 	if w == nil {
 		return
@@ -164,7 +164,7 @@
 }
 
 // old tells whether there is something to tell whoever has version from of a part.
-func (h *hub) old(p list.Part, from uint64) bool {
+func (h *hub) old(p registry.Part, from uint64) bool {
 	if !p.All() {
 		h.machine.mu.RLock()
 		defer h.machine.mu.RUnlock()
--- a/internal/list/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -8,36 +8,36 @@
 
 	"github.com/hashicorp/raft"
 
-	"indigotack/internal/list"
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
+	"wrenspread/internal/registry"
 )
 
 // machine is the list's state under raft. Others read it under its lock.
 type machine struct {
 	mu      sync.RWMutex
-	state   *list.State
-	applied func(c list.Command, r list.Result) // under the lock; c is empty after a restore
-	broken  func(error)                         // told once, where the log can't be followed any further
-	end     error                               // why that is so
-	index   uint64                              // of the last command in the log that was carried out
+	state   *registry.State
+	applied func(c registry.Command, r registry.Result) // under the lock; c is empty after a restore
+	broken  func(error)                                 // told once, where the log can't be followed any further
+	end     error                                       // why that is so
+	index   uint64                                      // of the last command in the log that was carried out
 }
 
 // encode gives the form of a command in the log: sealed, so that one damaged on
 // the disk is noticed.
-func encode(c list.Command) ([]byte, error) {
+func encode(c registry.Command) ([]byte, error) {
 	raw, err := c.Encode()
-	return sealed.Wrap(raw), err
+	return checksumfile.Wrap(raw), err
 }
 
 // decode reads a command off the log. The first programs logged them without a seal.
-func decode(raw []byte) (list.Command, error) {
+func decode(raw []byte) (registry.Command, error) {
 	if len(raw) > 0 && raw[0] != '{' {
 		var err error
-		if raw, err = sealed.Open(raw); err != nil {
-			return list.Command{}, err
+		if raw, err = checksumfile.Open(raw); err != nil {
+			return registry.Command{}, err
 		}
 	}
-	return list.Decode(raw)
+	return registry.Decode(raw)
 }
 
 // errBroken is what becomes of commands after one that could not be read.
@@ -84,25 +84,25 @@
 	if err != nil {
 		return fmt.Errorf("reading a snapshot: %w", err)
 	}
-	s, err := list.FromSnapshot(raw)
+	s, err := registry.FromSnapshot(raw)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = s
-	m.applied(list.Command{}, list.Result{})
+	m.applied(registry.Command{}, registry.Result{})
 	return nil
 }
 
 // member finds where a replica is that was added while the others served.
-func (m *machine) member(name string) (list.Address, bool) {
+func (m *machine) member(name string) (registry.Address, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.state.Member(name)
 }
 
-type snapshot struct{ list.Image }
+type snapshot struct{ registry.Image }
 
 func (s snapshot) Persist(out raft.SnapshotSink) error {
 	raw, err := s.Encode()
--- a/internal/list/server/members.go
+++ b/internal/registry/server/members.go
@@ -13,7 +13,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 func (s *Server) members(w http.ResponseWriter, _ *http.Request) {
@@ -22,16 +22,16 @@
 		refuse(w, http.StatusServiceUnavailable, "members", err.Error(), time.Second)
 		return
 	}
-	all := []list.Member{}
+	all := []registry.Member{}
 	for _, m := range servers {
 		all = append(all, s.describe(m))
 	}
 	writeJSON(w, http.StatusOK, all)
 }
 
-func (s *Server) describe(m raft.Server) list.Member {
+func (s *Server) describe(m raft.Server) registry.Member {
 	name := string(m.ID)
-	d := list.Member{Name: name, Leads: name == s.replica.leader(), Votes: m.Suffrage == raft.Voter, Itself: name == s.c.Name}
+	d := registry.Member{Name: name, Leads: name == s.replica.leader(), Votes: m.Suffrage == raft.Voter, Itself: name == s.c.Name}
 	if a, ok := s.machine.member(name); ok {
 		d.Added = &a
 	}
@@ -44,13 +44,13 @@
 // until the answer says that it votes. Without an address it is meant to be where
 // the others' configurations have it, such as one whose folder was lost.
 func (s *Server) addMember(w http.ResponseWriter, r *http.Request) {
-	var at list.Address
+	var at registry.Address
 	if !readJSON(w, r, &at) {
 		return
 	}
-	c := list.Command{Do: list.DoMember, Name: r.PathValue("name"), Address: &at}
+	c := registry.Command{Do: registry.DoMember, Name: r.PathValue("name"), Address: &at}
 	known, ok := addresses{s.c, s.machine}.find(c.Name)
-	if at == (list.Address{}) && ok {
+	if at == (registry.Address{}) && ok {
 		at = known
 	}
 	if err := c.Check(); err != nil {
@@ -59,17 +59,17 @@
 	}
 	servers, err := s.replica.servers()
 	if err != nil {
-		s.finish(w, list.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
+		s.finish(w, registry.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
 		return
 	}
 	is := func(m raft.Server) bool { return string(m.ID) == c.Name }
 	i := slices.IndexFunc(servers, is)
-	if i < 0 && len(servers) >= list.MaxMembers {
-		refuse(w, http.StatusInsufficientStorage, string(list.Full), fmt.Sprintf("there are %d replicas already", len(servers)), 0)
+	if i < 0 && len(servers) >= registry.MaxMembers {
+		refuse(w, http.StatusInsufficientStorage, string(registry.Full), fmt.Sprintf("there are %d replicas already", len(servers)), 0)
 		return
 	}
 	if known != at {
-		if result, err := s.replica.apply(c); err != nil || result.Code != list.Done {
+		if result, err := s.replica.apply(c); err != nil || result.Code != registry.Done {
 			s.finish(w, result, err)
 			return
 		}
@@ -84,7 +84,7 @@
 		servers, err = s.replica.servers()
 	}
 	if i = slices.IndexFunc(servers, is); err != nil || i < 0 {
-		s.finish(w, list.Result{}, gone(err))
+		s.finish(w, registry.Result{}, gone(err))
 		return
 	}
 	writeJSON(w, http.StatusOK, s.describe(servers[i]))
@@ -99,7 +99,7 @@
 }
 
 // upToDate tells whether a replica answers, and has the list as it is here.
-func (s *Server) upToDate(ctx context.Context, at list.Address) bool {
+func (s *Server) upToDate(ctx context.Context, at registry.Address) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*behind)
 	defer cancel()
 	version, epoch := s.hub.has()
@@ -123,17 +123,17 @@
 	name := r.PathValue("name")
 	servers, err := s.replica.servers()
 	if err != nil {
-		s.finish(w, list.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
+		s.finish(w, registry.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
 		return
 	}
 	there := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) == name })
 	others := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) != name && m.Suffrage == raft.Voter })
 	switch {
 	case !there:
-		refuse(w, http.StatusNotFound, string(list.Absent), "there is no replica "+name, 0)
+		refuse(w, http.StatusNotFound, string(registry.Absent), "there is no replica "+name, 0)
 		return
 	case !others:
-		refuse(w, http.StatusConflict, string(list.Conflict), name+" is the only one that votes", 0)
+		refuse(w, http.StatusConflict, string(registry.Conflict), name+" is the only one that votes", 0)
 		return
 	case name == s.c.Name:
 		err = s.replica.raft.LeadershipTransfer().Error()
@@ -141,8 +141,8 @@
 		return
 	}
 	if err = judge(s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTime).Error()); err == nil {
-		_, err = s.replica.apply(list.Command{Do: list.DoForget, Name: name})
+		_, err = s.replica.apply(registry.Command{Do: registry.DoForget, Name: name})
 	}
 	version, _ := s.hub.has()
-	s.finish(w, list.Result{Version: version}, err)
+	s.finish(w, registry.Result{Version: version}, err)
 }
--- a/internal/list/server/members_test.go
+++ b/internal/registry/server/members_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/lab/link"
+	"wrenspread/internal/lab/link"
 )
 
 // steady is an election's time, half of which a leader among several may stand still on a loaded machine without losing its place.
--- a/internal/list/server/paced_sockets_test.go
+++ b/internal/registry/server/paced_sockets_test.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"testing"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // counted is what a handler answered.
@@ -33,11 +33,11 @@
 // learn the total and the right one, however often they were sent away. Nothing that had a place is made anew.
 func TestColdFleetOverSockets(t *testing.T) {
 	const clients, places, servers, nodes = 300, 4, 150, 4300
-	m := &machine{state: list.NewState()}
+	m := &machine{state: registry.NewState()}
 	s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), whole: make(chan struct{}, places), ctx: t.Context()}
-	m.state.Apply(list.Command{Do: list.DoBegin, Epoch: "e"})
+	m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
 	for i := range servers {
-		m.state.Apply(list.Command{Do: list.DoRegister, Entry: entry(fmt.Sprint("s", i), 1)})
+		m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry(fmt.Sprint("s", i), 1)})
 	}
 	s.hub.publishList(m.state)
 	s.contact.caught.Store(true)
@@ -64,7 +64,7 @@
 	for range places {
 		s.whole <- struct{}{}
 	}
-	wants := func(i, total int) list.Part { return list.PartOf(i, nodes, eachCounts*total) }
+	wants := func(i, total int) registry.Part { return registry.PartOf(i, nodes, eachCounts*total) }
 	ctx, stop := context.WithCancel(t.Context())
 	var tasks, have sync.WaitGroup
 	defer tasks.Wait()
@@ -72,19 +72,19 @@
 	have.Add(clients)
 	wide := 0
 	for i := range clients {
-		first := wants(i, list.MaxEntries/eachCounts)
+		first := wants(i, registry.MaxEntries/eachCounts)
 		if !first.Covers(wants(i, servers)) {
 			wide++
 		}
 		var once sync.Once
 		k, err := client.New(client.Config{Addresses: []string{strings.TrimPrefix(door.URL, "http://")},
-			Part: func(now list.Part, total int, entries []list.Entry) list.Part {
+			Part: func(now registry.Part, total int, entries []registry.Entry) registry.Part {
 				if entries == nil {
 					return first
 				}
 				return wants(i, total)
 			},
-			Taken: func(a list.Answer) {
+			Taken: func(a registry.Answer) {
 				if a.Part == wants(i, servers).String() {
 					once.Do(have.Done)
 				}
--- a/internal/list/server/paced_test.go
+++ b/internal/registry/server/paced_test.go
@@ -6,16 +6,16 @@
 	"net/http/httptest"
 	"testing"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // TestWholePartsArePaced: those that come while all places are taken are told when to come again; changes, and the
 // list of those that name no part, are not held up.
 func TestWholePartsArePaced(t *testing.T) {
-	m := &machine{state: list.NewState()}
+	m := &machine{state: registry.NewState()}
 	s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), whole: make(chan struct{}, 1), ctx: context.Background()}
-	m.state.Apply(list.Command{Do: list.DoBegin, Epoch: "e"})
-	m.state.Apply(list.Command{Do: list.DoRegister, Entry: entry("s", 1)})
+	m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
+	m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry("s", 1)})
 	s.hub.publishList(m.state)
 	s.contact.caught.Store(true)
 	gone, cancel := context.WithCancel(context.Background())
--- a/internal/list/server/parts_test.go
+++ b/internal/registry/server/parts_test.go
@@ -11,15 +11,15 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // reader is what a watcher of a part has been told.
 type reader struct {
 	query
-	has map[string]list.Entry
+	has map[string]registry.Entry
 	w   *watcher
 }
 
@@ -29,7 +29,7 @@
 		r.from = 0
 	}
 	head, entries, err := h.answer(r.query)
-	var a list.Answer
+	var a registry.Answer
 	if err == nil {
 		err = json.Unmarshal(append(append(slices.Clone(head), entries...), '}'), &a)
 	}
@@ -40,14 +40,14 @@
 		clear(r.has)
 	}
 	for _, e := range a.Endpoints {
-		if r.has[e.Name] = e; e.Status == list.Gone {
+		if r.has[e.Name] = e; e.Status == registry.Gone {
 			delete(r.has, e.Name)
 		}
 	}
 	r.from, r.epoch = a.Index, a.Epoch
-	want := map[string]list.Entry{}
+	want := map[string]registry.Entry{}
 	for _, i := range h.machine.state.Items() {
-		if r.part.Holds(list.Point(i.Entry.Name)) {
+		if r.part.Holds(registry.Point(i.Entry.Name)) {
 			want[i.Entry.Name] = i.Entry
 		}
 	}
@@ -73,44 +73,44 @@
 	}
 }
 
-func entry(name string, weight int) *list.Entry {
-	return &list.Entry{Name: name, Address: "a:1", Status: list.Ready, Weight: float64(weight)}
+func entry(name string, weight int) *registry.Entry {
+	return &registry.Entry{Name: name, Address: "a:1", Status: registry.Ready, Weight: float64(weight)}
 }
 
 // TestWakesThoseConcerned: a change wakes the watchers of the parts that hold its server, and no others. All have at
 // each time what their part has, over restores, snapshots of other replicas and ends of holds, with whatever is kept encoded.
 func TestWakesThoseConcerned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{state: list.NewState()}
+		m := &machine{state: registry.NewState()}
 		h := newHub(m)
-		m.state.Apply(list.Command{Do: list.DoBegin, Epoch: "e"})
+		m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
 		h.publishList(m.state)
 		var readers []*reader
 		for i := range 12 {
-			r := &reader{has: map[string]list.Entry{}, query: query{parted: true}}
+			r := &reader{has: map[string]registry.Entry{}, query: query{parted: true}}
 			if i > 1 {
 				arc := 1 << rapid.IntRange(10, 14).Draw(t, "arc")
-				r.part = list.Part{From: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, "from") * arc / 4), Width: uint16(arc)}
+				r.part = registry.Part{From: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, "from") * arc / 4), Width: uint16(arc)}
 			}
 			r.watch(t, h)
 			readers = append(readers, r)
 		}
 		for n := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			name, concerned := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "name")), func(list.Part) bool { return true }
+			name, concerned := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "name")), func(registry.Part) bool { return true }
 			before := m.state.Version()
 			switch what := rapid.IntRange(0, 12).Draw(t, "what"); what {
 			case 0, 1, 2:
-				do := []string{list.DoRemove, list.DoDrain, list.DoPut}[what]
-				m.state.Apply(list.Command{Do: do, Name: name, Value: json.RawMessage(fmt.Sprint(n))})
-				concerned = func(p list.Part) bool {
-					return do != list.DoPut && m.state.Version() > before && p.Holds(list.Point(name))
+				do := []string{registry.DoRemove, registry.DoDrain, registry.DoPut}[what]
+				m.state.Apply(registry.Command{Do: do, Name: name, Value: json.RawMessage(fmt.Sprint(n))})
+				concerned = func(p registry.Part) bool {
+					return do != registry.DoPut && m.state.Version() > before && p.Holds(registry.Point(name))
 				}
 			case 3:
 				raw, err := m.state.Snapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				m.state.Apply(list.Command{Do: list.DoRestore, Over: m.state.Epoch(), Epoch: fmt.Sprint("e", n), Image: raw})
+				m.state.Apply(registry.Command{Do: registry.DoRestore, Over: m.state.Epoch(), Epoch: fmt.Sprint("e", n), Image: raw})
 			case 4: // a hold ends
 				r := readers[rapid.IntRange(0, len(readers)-1).Draw(t, "reader")]
 				if r.from = h.leave(r.w); r.look(t, h) {
@@ -119,8 +119,8 @@
 				r.watch(t, h)
 				continue
 			default:
-				r := m.state.Apply(list.Command{Do: list.DoRegister, Entry: entry(name, n)})
-				concerned = func(p list.Part) bool { return r.Version > before && p.Holds(list.Point(name)) }
+				r := m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry(name, n)})
+				concerned = func(p registry.Part) bool { return r.Version > before && p.Holds(registry.Point(name)) }
 			}
 			h.publishList(m.state)
 			for h.wakeSome() {
@@ -145,21 +145,21 @@
 // TestQuietPart: however much happens elsewhere, and however long ago its last change is, a watcher is told what is
 // new in its part, by changes, once for all who watch it.
 func TestQuietPart(t *testing.T) {
-	m := &machine{state: list.NewState()}
+	m := &machine{state: registry.NewState()}
 	h := newHub(m)
-	m.state.Apply(list.Command{Do: list.DoBegin, Epoch: "e"})
-	part := list.Part{From: uint16(list.Point("quiet")>>48) / 16 * 16, Width: 64}
+	m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
+	part := registry.Part{From: uint16(registry.Point("quiet")>>48) / 16 * 16, Width: 64}
 	var readers []*reader
 	for i := range 20 {
 		h.publishList(m.state)
-		r := &reader{has: map[string]list.Entry{}, query: query{parted: true, part: part}}
+		r := &reader{has: map[string]registry.Entry{}, query: query{parted: true, part: part}}
 		r.watch(t, h)
 		readers = append(readers, r)
-		m.state.Apply(list.Command{Do: list.DoRegister, Entry: entry("before", i+1)})
+		m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry("before", i+1)})
 	}
 	for i := range 25000 {
-		if name := fmt.Sprint("s", i%100); !part.Holds(list.Point(name)) {
-			m.state.Apply(list.Command{Do: list.DoRegister, Entry: entry(name, i+1)})
+		if name := fmt.Sprint("s", i%100); !part.Holds(registry.Point(name)) {
+			m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry(name, i+1)})
 			h.publishList(m.state)
 		}
 	}
@@ -167,7 +167,7 @@
 	if last.from = h.leave(last.w); last.look(t, h) {
 		t.Error("the end of a hold brings a whole part")
 	}
-	m.state.Apply(list.Command{Do: list.DoRegister, Entry: entry("quiet", 1)})
+	m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry("quiet", 1)})
 	h.publishList(m.state)
 	for h.wakeSome() {
 	}
@@ -183,7 +183,7 @@
 		t.Errorf("%d answers were made for one change", n)
 	}
 	for i := range 5000 { // parts come and go
-		h.part(list.Part{From: uint16(i) * 4, Width: 16})
+		h.part(registry.Part{From: uint16(i) * 4, Width: 16})
 	}
 	if len(h.parts) > 200 {
 		t.Errorf("%d parts are remembered that nobody watches", len(h.parts))
@@ -195,7 +195,7 @@
 func TestPartsOverHTTP(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
-	var first list.Entry
+	var first registry.Entry
 	for i := range 40 {
 		name := fmt.Sprint("s", i)
 		if status, body := put(t, url, name, ""); status != 200 {
@@ -203,7 +203,7 @@
 		}
 	}
 	_, whole := call(t, "GET", url+"/registry/instances", "")
-	var a list.Answer
+	var a registry.Answer
 	if err := json.Unmarshal([]byte(whole), &a); err != nil {
 		t.Fatal(err)
 	}
@@ -215,15 +215,15 @@
 	if all.Part != "all" || all.Total != 40 || !reflect.DeepEqual(all.Endpoints, a.Endpoints) || all.Index != a.Index {
 		t.Errorf("all, by that name, is %+v", all)
 	}
-	part := list.Part{From: uint16(list.Point(first.Name)>>48) / 1024 * 1024, Width: 4096}
+	part := registry.Part{From: uint16(registry.Point(first.Name)>>48) / 1024 * 1024, Width: 4096}
 	some := read(t, url, "?current=1&part="+part.String())
-	want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e list.Entry) bool { return !part.Holds(list.Point(e.Name)) })
+	want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e registry.Entry) bool { return !part.Holds(registry.Point(e.Name)) })
 	if some.Part != part.String() || some.Total != 40 || !some.Snapshot || !reflect.DeepEqual(some.Endpoints, want) {
 		t.Errorf("part %v is %+v, want %v", part, some, want)
 	}
 	call(t, "DELETE", url+"/registry/instances/"+first.Name, "")
 	if changes := read(t, url, fmt.Sprintf("?part=%v&from=%d&epoch=%s", part, some.Index, some.Epoch)); changes.Snapshot || len(changes.Endpoints) != 1 ||
-		changes.Endpoints[0].Status != list.Gone || changes.Total != 39 {
+		changes.Endpoints[0].Status != registry.Gone || changes.Total != 39 {
 		t.Errorf("the part's changes are %+v", changes)
 	}
 	for _, odd := range []string{"", "0", "0-5", "1-1024", "70000-4", "all,all"} {
--- a/internal/list/server/records.go
+++ b/internal/registry/server/records.go
@@ -7,11 +7,11 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // maxPut bounds a record's call, in bytes: the value, and what is around it.
-const maxPut = list.MaxRecord + maxBody
+const maxPut = registry.MaxRecord + maxBody
 
 // record answers with one record as it is now, or with the keys under a prefix.
 func (s *Server) record(w http.ResponseWriter, r *http.Request) {
@@ -22,12 +22,12 @@
 	defer s.machine.mu.RUnlock()
 	key := r.PathValue("key")
 	if key == "" {
-		writeJSON(w, http.StatusOK, append([]list.Record{}, s.machine.state.Records(r.URL.Query().Get("prefix"))...))
+		writeJSON(w, http.StatusOK, append([]registry.Record{}, s.machine.state.Records(r.URL.Query().Get("prefix"))...))
 		return
 	}
 	one, ok := s.machine.state.Record(key)
 	if !ok {
-		refuse(w, http.StatusNotFound, string(list.Absent), "there is no record "+key, 0)
+		refuse(w, http.StatusNotFound, string(registry.Absent), "there is no record "+key, 0)
 		return
 	}
 	writeJSON(w, http.StatusOK, one)
@@ -39,12 +39,12 @@
 	if !ok {
 		return
 	}
-	var in list.Put
+	var in registry.Put
 	if err := json.Unmarshal(body, &in); err != nil {
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
-	c := list.Command{Do: list.DoPut, Name: r.PathValue("key"), Value: in.Value, If: in.If, ID: in.ID, Fence: in.Fence}
+	c := registry.Command{Do: registry.DoPut, Name: r.PathValue("key"), Value: in.Value, If: in.If, ID: in.ID, Fence: in.Fence}
 	if err := c.Check(); err != nil {
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *Server) recordsSince(q query, prefix string, had int) (list.RecordAnswer, bool) {
+func (s *Server) recordsSince(q query, prefix string, had int) (registry.RecordAnswer, bool) {
 	s.machine.mu.RLock()
 	defer s.machine.mu.RUnlock()
 	if q.epoch != s.machine.state.Epoch() {
--- a/internal/list/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 const (
@@ -102,12 +102,12 @@
 	m *machine
 }
 
-func (a addresses) find(name string) (list.Address, bool) {
+func (a addresses) find(name string) (registry.Address, bool) {
 	if at, ok := a.m.member(name); ok {
 		return at, true
 	}
 	o, ok := a.c.find(name)
-	return list.Address{Raft: o.Raft, HTTP: o.HTTP}, ok
+	return registry.Address{Raft: o.Raft, HTTP: o.HTTP}, ok
 }
 
 func (a addresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
@@ -150,22 +150,22 @@
 // errNotLeading marks one that certainly was not.
 var errNotLeading = errors.New("this replica does not lead")
 
-func (r *replica) apply(c list.Command) (list.Result, error) {
+func (r *replica) apply(c registry.Command) (registry.Result, error) {
 	raw, err := encode(c)
 	if err != nil {
-		return list.Result{}, err
+		return registry.Result{}, err
 	}
 	f := r.raft.Apply(raw, applyTime)
 	if err := judge(f.Error()); err != nil {
-		return list.Result{}, err
+		return registry.Result{}, err
 	}
 	switch r := f.Response().(type) {
-	case list.Result:
+	case registry.Result:
 		return r, nil
 	case error:
-		return list.Result{}, fmt.Errorf("%w: %w", errUnknown, r)
+		return registry.Result{}, fmt.Errorf("%w: %w", errUnknown, r)
 	}
-	return list.Result{}, errUnknown
+	return registry.Result{}, errUnknown
 }
 
 // judge tells a write that was certainly not done from one of unknown end.
--- a/internal/list/server/routes.go
+++ b/internal/registry/server/routes.go
@@ -7,15 +7,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", s.instances)
-	mux.HandleFunc("PUT /registry/instances/{name}", s.write(list.DoRegister))
-	mux.HandleFunc("DELETE /registry/instances/{name}", s.write(list.DoRemove))
-	mux.HandleFunc("POST /registry/instances/{name}/drain", s.write(list.DoDrain))
+	mux.HandleFunc("PUT /registry/instances/{name}", s.write(registry.DoRegister))
+	mux.HandleFunc("DELETE /registry/instances/{name}", s.write(registry.DoRemove))
+	mux.HandleFunc("POST /registry/instances/{name}/drain", s.write(registry.DoDrain))
 	mux.HandleFunc("POST /registry/renew", s.leading(maxBody, s.renew))
 	mux.HandleFunc("GET /registry/members", s.members)
 	mux.HandleFunc("PUT /registry/members/{name}", s.leading(maxBody, s.addMember))
@@ -26,11 +26,11 @@
 	mux.HandleFunc("PUT /registry/sessions/{id}", s.leading(maxBody, s.openSession))
 	mux.HandleFunc("DELETE /registry/sessions/{id}", s.leading(maxBody, s.closeSession))
 	mux.HandleFunc("POST /registry/sessions/renew", s.leading(maxBody, s.renewSessions))
-	mux.HandleFunc("POST /registry/sessions/{id}/campaign", s.wish(list.DoCampaign))
-	mux.HandleFunc("POST /registry/sessions/{id}/give-up", s.wish(list.DoGiveUp))
+	mux.HandleFunc("POST /registry/sessions/{id}/campaign", s.wish(registry.DoCampaign))
+	mux.HandleFunc("POST /registry/sessions/{id}/give-up", s.wish(registry.DoGiveUp))
 	mux.HandleFunc("GET /registry/duties", s.readDuties)
-	mux.HandleFunc("POST /registry/duties/{name}/yield", s.order(list.DoYield))
-	mux.HandleFunc("POST /registry/duties/{name}/block", s.order(list.DoBlock))
+	mux.HandleFunc("POST /registry/duties/{name}/yield", s.order(registry.DoYield))
+	mux.HandleFunc("POST /registry/duties/{name}/block", s.order(registry.DoBlock))
 	mux.HandleFunc("GET /registry/records", s.leading(maxBody, s.record))
 	mux.HandleFunc("GET /registry/records/{key}", s.leading(maxBody, s.record))
 	mux.HandleFunc("PUT /registry/records/{key}", s.leading(maxPut, s.putRecord))
--- a/internal/list/server/server.go
+++ b/internal/registry/server/server.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Server is one replica.
@@ -88,12 +88,12 @@
 
 func (s *Server) open() error {
 	s.whole = make(chan struct{}, wholeMost)
-	s.machine = &machine{state: list.NewState(), broken: func(err error) { s.broken <- err }}
+	s.machine = &machine{state: registry.NewState(), broken: func(err error) { s.broken <- err }}
 	s.hub, s.dutyHub, s.docHub = newHub(s.machine), newHub(s.machine), newHub(s.machine)
-	apply := func(c list.Command) (list.Result, error) { return s.replica.apply(c) }
+	apply := func(c registry.Command) (registry.Result, error) { return s.replica.apply(c) }
 	s.expiry = &expiry{start: time.Now(), machine: s.machine, log: s.log, apply: apply}
 	s.sessions = &sessions{start: time.Now(), machine: s.machine, log: s.log, apply: apply}
-	s.machine.applied = func(c list.Command, _ list.Result) {
+	s.machine.applied = func(c registry.Command, _ registry.Result) {
 		s.expiry.applied(c, s.machine.state)
 		s.sessions.applied(c)
 		state := s.machine.state
@@ -134,7 +134,7 @@
 		return err
 	}
 	if _, epoch := s.hub.has(); epoch == "" {
-		if _, err := s.replica.apply(list.Command{Do: list.DoBegin, Epoch: newEpoch()}); err != nil {
+		if _, err := s.replica.apply(registry.Command{Do: registry.DoBegin, Epoch: newEpoch()}); err != nil {
 			return err
 		}
 	}
