--- a/internal/list/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/time/rate"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // One duty is granted at most paceBurst times at once, and then once in paceEvery,
@@ -24,12 +24,12 @@
 type sessions struct {
 	start   time.Time
 	machine *machine
-	apply   func(list.Command) (list.Result, error)
+	apply   func(registry.Command) (registry.Result, error)
 	log     *slog.Logger
 
 	mu        sync.Mutex
-	deadlines *list.Deadlines // nil while another leads
-	doomed    map[string]bool // due, and not known to have ended: none of them can be renewed
+	deadlines *registry.Deadlines // nil while another leads
+	doomed    map[string]bool     // due, and not known to have ended: none of them can be renewed
 	pace      map[string]*rate.Limiter
 	lapsed    int // so far
 }
@@ -42,7 +42,7 @@
 	defer x.machine.mu.RUnlock()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.deadlines, x.doomed, x.pace = list.NewDeadlines(x.machine.state.Sessions(), x.now()), map[string]bool{}, map[string]*rate.Limiter{}
+	x.deadlines, x.doomed, x.pace = registry.NewDeadlines(x.machine.state.Sessions(), x.now()), map[string]bool{}, map[string]*rate.Limiter{}
 }
 
 func (x *sessions) follow() {
@@ -52,18 +52,18 @@
 }
 
 // applied keeps the deadlines in step. The caller holds the machine's lock.
-func (x *sessions) applied(c list.Command) {
+func (x *sessions) applied(c registry.Command) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.deadlines == nil {
 		return
 	}
 	switch c.Do {
-	case list.DoSession:
+	case registry.DoSession:
 		if !x.doomed[c.Session.ID] {
 			x.deadlines.Set(*c.Session, x.now())
 		}
-	case list.DoClose:
+	case registry.DoClose:
 		for _, id := range c.Sessions {
 			x.deadlines.Drop(id)
 			delete(x.doomed, id)
@@ -108,20 +108,20 @@
 }
 
 // freed names the duties that a command of a session may free, or finds free.
-func (x *sessions) freed(c list.Command) (names []string) {
+func (x *sessions) freed(c registry.Command) (names []string) {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
 	look := func(id, name string) {
-		if d, ok := x.machine.state.Duty(name); !ok && c.Do == list.DoCampaign || ok && (d.Holder == id || d.Holder == "") && !slices.Contains(names, name) {
+		if d, ok := x.machine.state.Duty(name); !ok && c.Do == registry.DoCampaign || ok && (d.Holder == id || d.Holder == "") && !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
 	switch c.Do {
-	case list.DoCampaign, list.DoGiveUp:
+	case registry.DoCampaign, registry.DoGiveUp:
 		for _, w := range c.Wishes {
 			look(c.Session.ID, w.Duty)
 		}
-	case list.DoClose:
+	case registry.DoClose:
 		for _, id := range c.Sessions {
 			all, _ := x.machine.state.Duties(id)
 			for _, d := range all {
@@ -133,7 +133,7 @@
 }
 
 // do applies a command on duties, with leave to grant what it frees as far as the pace allows.
-func (x *sessions) do(c list.Command) (list.Result, error) {
+func (x *sessions) do(c registry.Command) (registry.Result, error) {
 	c.Grant = x.paced(x.freed(c))
 	return x.apply(c)
 }
@@ -152,8 +152,8 @@
 	if x.deadlines == nil {
 		return
 	}
-	all := slices.DeleteFunc(x.machine.state.Sessions(), func(s list.Session) bool { return x.doomed[s.ID] })
-	x.deadlines = list.NewDeadlines(all, x.now())
+	all := slices.DeleteFunc(x.machine.state.Sessions(), func(s registry.Session) bool { return x.doomed[s.ID] })
+	x.deadlines = registry.NewDeadlines(all, x.now())
 }
 
 func (x *sessions) once(now time.Duration) {
@@ -174,7 +174,7 @@
 	x.mu.Unlock()
 	if len(ids) > 0 {
 		slices.Sort(ids)
-		if _, err := x.do(list.Command{Do: list.DoClose, Sessions: ids}); err != nil {
+		if _, err := x.do(registry.Command{Do: registry.DoClose, Sessions: ids}); err != nil {
 			x.log.Warn("sessions that lapsed are not ended yet", "sessions", len(ids), "err", err)
 		}
 	}
@@ -182,7 +182,7 @@
 	waiting := x.machine.state.Waiting()
 	x.machine.mu.RUnlock()
 	if may := x.paced(waiting); len(may) > 0 {
-		if _, err := x.apply(list.Command{Do: list.DoGrant, Grant: may}); err != nil {
+		if _, err := x.apply(registry.Command{Do: registry.DoGrant, Grant: may}); err != nil {
 			x.log.Warn("duties stay free", "duties", len(may), "err", err)
 		}
 	}
--- a/internal/list/server/store.go
+++ b/internal/registry/server/store.go
@@ -17,7 +17,7 @@
 	"go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
 
-	"indigotack/internal/sealed"
+	"wrenspread/internal/checksumfile"
 )
 
 const (
@@ -100,7 +100,7 @@
 	if err := os.Rename(fresh, path); err != nil {
 		return err
 	}
-	return sealed.SyncFolder(filepath.Dir(path)) // else a cut could bring the old one back, without what is written next
+	return checksumfile.SyncFolder(filepath.Dir(path)) // else a cut could bring the old one back, without what is written next
 }
 
 func rewrite(path, fresh string, size int64) error {
--- a/internal/list/server/watch_test.go
+++ b/internal/registry/server/watch_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // TestWatchRecords: a reader gets the records under its prefix, then each change there and no other, a removal too,
@@ -65,7 +65,7 @@
 			t.Errorf("%s: %d", odd, status)
 		}
 	}
-	var a list.RecordAnswer
+	var a registry.RecordAnswer
 	_, body := call(t, "GET", url+"/registry/watch/records?prefix=a/", "")
 	if err := json.Unmarshal([]byte(body), &a); err != nil || len(a.Records) != 1 {
 		t.Fatalf("%v %s", err, body)
--- a/internal/list/server/watcher.go
+++ b/internal/registry/server/watcher.go
@@ -1,6 +1,6 @@
 package server
 
-import "indigotack/internal/list"
+import "wrenspread/internal/registry"
 
 // watcher is one call that is held.
 type watcher struct {
@@ -11,7 +11,7 @@
 
 // wait registers a watcher that has version from of a part; it is nil where there
 // is something newer already, and full where there are too many.
-func (h *hub) wait(p list.Part, from uint64, most int) (w *watcher, full bool) {
+func (h *hub) wait(p registry.Part, from uint64, most int) (w *watcher, full bool) {
 	if !p.All() {
 		h.machine.mu.RLock() // nothing is published meanwhile
 		defer h.machine.mu.RUnlock()
--- a/internal/list/server/writes.go
+++ b/internal/registry/server/writes.go
@@ -15,7 +15,7 @@
 	"strconv"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 const (
@@ -24,10 +24,10 @@
 )
 
 func refuse(w http.ResponseWriter, status int, code, why string, after time.Duration) {
-	refuseWith(w, status, list.Refusal{Code: code, Why: why}, after)
+	refuseWith(w, status, registry.Refusal{Code: code, Why: why}, after)
 }
 
-func refuseWith(w http.ResponseWriter, status int, body list.Refusal, after time.Duration) {
+func refuseWith(w http.ResponseWriter, status int, body registry.Refusal, after time.Duration) {
 	if after > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	}
@@ -126,19 +126,19 @@
 // write makes a handler of a command on one entry.
 func (s *Server) write(do string) http.HandlerFunc {
 	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
-		var body list.Write
+		var body registry.Write
 		if !readJSON(w, r, &body) {
 			return
 		}
-		c := list.Command{Do: do, Name: r.PathValue("name"), ID: body.ID, If: body.If, Fence: body.Fence}
-		if do == list.DoRegister {
+		c := registry.Command{Do: do, Name: r.PathValue("name"), ID: body.ID, If: body.If, Fence: body.Fence}
+		if do == registry.DoRegister {
 			if body.Entry == nil || body.Entry.Name != c.Name {
 				refuse(w, http.StatusBadRequest, "bad", "entry: missing, or of another name than the call's", 0)
 				return
 			}
 			c.Entry, c.Name = body.Entry, ""
-			if body.TTLms < 0 || body.TTLms > int64(list.MaxTTL/time.Millisecond) {
-				refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d is not between 0 and %d", body.TTLms, list.MaxTTL/time.Millisecond), 0)
+			if body.TTLms < 0 || body.TTLms > int64(registry.MaxTTL/time.Millisecond) {
+				refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d is not between 0 and %d", body.TTLms, registry.MaxTTL/time.Millisecond), 0)
 				return
 			}
 			c.TTL = time.Duration(body.TTLms) * time.Millisecond
@@ -153,17 +153,17 @@
 }
 
 // statuses of results that changed nothing.
-var statuses = map[list.Code]int{list.Conflict: http.StatusConflict, list.Absent: http.StatusNotFound, list.Full: http.StatusInsufficientStorage,
-	list.Invalid: http.StatusBadRequest, list.Fenced: http.StatusConflict}
+var statuses = map[registry.Code]int{registry.Conflict: http.StatusConflict, registry.Absent: http.StatusNotFound, registry.Full: http.StatusInsufficientStorage,
+	registry.Invalid: http.StatusBadRequest, registry.Fenced: http.StatusConflict}
 
-func (s *Server) finish(w http.ResponseWriter, r list.Result, err error) {
+func (s *Server) finish(w http.ResponseWriter, r registry.Result, err error) {
 	switch {
 	case errors.Is(err, errNotLeading):
 		refuse(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
 	case err != nil:
 		refuse(w, http.StatusGatewayTimeout, "unknown", err.Error(), time.Second)
-	case r.Code != list.Done:
-		refuseWith(w, statuses[r.Code], list.Refusal{Code: string(r.Code), Why: r.Why, Version: r.Version, Entry: r.Entry}, 0)
+	case r.Code != registry.Done:
+		refuseWith(w, statuses[r.Code], registry.Refusal{Code: string(r.Code), Why: r.Why, Version: r.Version, Entry: r.Entry}, 0)
 	default:
 		writeJSON(w, http.StatusOK, r)
 	}
@@ -171,7 +171,7 @@
 
 // renew takes renewals, which stay out of the log.
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
-	var body list.Renewal
+	var body registry.Renewal
 	if !readJSON(w, r, &body) {
 		return
 	}
@@ -184,5 +184,5 @@
 		refuse(w, http.StatusServiceUnavailable, "not-leading", "this replica does not lead yet", time.Second)
 		return
 	}
-	writeJSON(w, http.StatusOK, list.Renewal{Unknown: unknown})
+	writeJSON(w, http.StatusOK, registry.Renewal{Unknown: unknown})
 }
--- a/internal/list/since.go
+++ b/internal/registry/since.go
@@ -1,4 +1,4 @@
-package list
+package registry
 
 // What a reader is told of the list, or of a part of it.
 
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"sync"
 
-	"indigotack/internal/agent"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/agent"
+	"wrenspread/internal/registry/client"
 )
 
 // findAgents reads which agent keeps which server or node: addresses, by name.
--- a/internal/release/fixture_test.go
+++ b/internal/release/fixture_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestRecordFormsAreUnchanged compares a release's record and an operator's order with golden files.
--- a/internal/release/machine.go
+++ b/internal/release/machine.go
@@ -8,7 +8,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 func compare(a, b string) int { return cmp.Compare(a, b) }
@@ -127,7 +127,7 @@
 }
 
 // Listed gives the servers of a list.
-func Listed(all []list.Entry) (targets []Target) {
+func Listed(all []registry.Entry) (targets []Target) {
 	for _, e := range all {
 		targets = append(targets, Target{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Group: e.Group, Version: e.Version})
 	}
--- a/internal/release/machine_test.go
+++ b/internal/release/machine_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // world is a fleet and a store without time: each call of a conductor is a moment
@@ -382,8 +382,8 @@
 		s.Base[fmt.Sprint("node-", i)] = Parts{Counts{1 << 30, 1 << 30, 1 << 30}, Counts{1 << 30, 1 << 30, 1 << 30}}
 	}
 	raw, err := Encode(s)
-	if err != nil || len(raw) > list.MaxRecord {
-		t.Errorf("%d bytes, %d at most; %v", len(raw), list.MaxRecord, err)
+	if err != nil || len(raw) > registry.MaxRecord {
+		t.Errorf("%d bytes, %d at most; %v", len(raw), registry.MaxRecord, err)
 	}
 }
 
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Plan is what a release is to do. Times in its file have units, as in "30s".
@@ -104,7 +104,7 @@
 		}
 	}
 	text := func(key, value string) {
-		bad(value != "" && len(value) <= list.MaxText, "%s: want 1 to %d bytes", key, list.MaxText)
+		bad(value != "" && len(value) <= registry.MaxText, "%s: want 1 to %d bytes", key, registry.MaxText)
 	}
 	text("name", p.Name)
 	text("from", p.From)
--- a/internal/release/programs.go
+++ b/internal/release/programs.go
@@ -5,9 +5,9 @@
 	"errors"
 	"net/http"
 
-	"indigotack/internal/agent"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/agent"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // Programs is the program's nodes, whose agents start a new version beside the old
@@ -15,7 +15,7 @@
 // concurrent use.
 type Programs struct {
 	List  *client.Client
-	Fence list.Fence
+	Fence registry.Fence
 	HTTP  *http.Client
 
 	agents agents
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"net/http"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // Keys of a release in the list service: its record, and the one order of an
@@ -31,7 +31,7 @@
 // Records keeps a release in the list service, under its conductor's fence.
 type Records struct {
 	List  *client.Client
-	Fence list.Fence
+	Fence registry.Fence
 	Name  string
 }
 
@@ -42,7 +42,7 @@
 		return err
 	}
 	none := uint64(0)
-	if _, err = k.Put(ctx, RecordPrefix+s.Plan.Name, raw, &none); is(err, list.Conflict) {
+	if _, err = k.Put(ctx, RecordPrefix+s.Plan.Name, raw, &none); is(err, registry.Conflict) {
 		return fmt.Errorf("there is a release %s already; a plan of another name makes another", s.Plan.Name)
 	}
 	return err
@@ -64,14 +64,14 @@
 		return err
 	}
 	none := uint64(0)
-	if _, err = k.Put(ctx, orderPrefix+name, raw, &none); is(err, list.Conflict) {
+	if _, err = k.Put(ctx, orderPrefix+name, raw, &none); is(err, registry.Conflict) {
 		return errors.New("an order waits there already; does a conductor run?")
 	}
 	return err
 }
 
 // is tells whether the service's refusal has a code.
-func is(err error, code list.Code) bool {
+func is(err error, code registry.Code) bool {
 	var r *client.Refused
 	return errors.As(err, &r) && r.Code == string(code)
 }
@@ -85,7 +85,7 @@
 // Save writes the record.
 func (r Records) Save(ctx context.Context, raw []byte, version uint64) (uint64, error) {
 	got, err := r.List.As(r.Fence).Put(ctx, RecordPrefix+r.Name, raw, &version)
-	if is(err, list.Conflict) || is(err, list.Fenced) {
+	if is(err, registry.Conflict) || is(err, registry.Fenced) {
 		return 0, fmt.Errorf("%w: %w", ErrTaken, err)
 	}
 	return got.Entry, err
@@ -107,7 +107,7 @@
 
 // Taken makes room for the next order.
 func (r Records) Taken(ctx context.Context) error {
-	if _, err := r.List.As(r.Fence).Put(ctx, orderPrefix+r.Name, nil, nil); !is(err, list.Absent) {
+	if _, err := r.List.As(r.Fence).Put(ctx, orderPrefix+r.Name, nil, nil); !is(err, registry.Absent) {
 		return err
 	}
 	return nil
--- a/internal/release/servers.go
+++ b/internal/release/servers.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"indigotack/internal/agent"
-	"indigotack/internal/fence"
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/agent"
+	"wrenspread/internal/fencing"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // Node is a node at which servers are put into maintenance, and whose figures gates read.
@@ -29,7 +29,7 @@
 // Servers is a fleet of servers that agents keep. Its methods are safe for concurrent use.
 type Servers struct {
 	List  *client.Client
-	Fence list.Fence
+	Fence registry.Fence
 	Nodes []Node
 	HTTP  *http.Client
 	Grace time.Duration // for what nodes hold at a server that is in maintenance
@@ -56,7 +56,7 @@
 	listed := map[string]bool{}
 	for _, i := range a.Items {
 		listed[i.Entry.Name] = true
-		if i.Entry.Status != list.Ready {
+		if i.Entry.Status != registry.Ready {
 			v.Out = append(v.Out, Target{Name: i.Entry.Name, Zone: i.Entry.Zone, Type: i.Entry.Type, Group: i.Entry.Group})
 		}
 	}
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set(fence.Header, fence.Format(f.Fence))
+	req.Header.Set(fencing.Header, fencing.Format(f.Fence))
 	resp, err := f.HTTP.Do(req)
 	if err != nil {
 		return fmt.Errorf("node %s: %w", n.Name, err)
--- a/internal/sim/actor.go
+++ b/internal/sim/actor.go
@@ -1,13 +1,13 @@
 // Package sim plays many pure cores on a fake clock and a drawn network, with faults drawn by a seed. The same seed gives the same
 // history. A schedule that breaks a check is cut down to the faults that it takes, and drawn as a timeline.
 //
-// The package knows no core: an Actor wraps one, or several on one node. The play of the view is in internal/sim/views.
+// The package knows no core: an Actor wraps one, or several on one node. The play of the view is in internal/sim/membership.
 package sim
 
 import (
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Actor is one process: a core, or several, with the little that their shell decides.
@@ -38,7 +38,7 @@
 type Answer struct {
 	Call   Call
 	Lost   bool
-	Result list.Result
+	Result registry.Result
 	Seen   Seen
 }
 
@@ -62,10 +62,10 @@
 
 // Call asks the list service. Its Answer comes, or comes as Lost, within CallMost.
 type Call struct {
-	Number  uint64        // the caller's own, to know the answer by
-	Command *list.Command // carried out; or
-	Renew   string        // the session that gets its full time again; or
-	Read    Read          // what is looked at
+	Number  uint64            // the caller's own, to know the answer by
+	Command *registry.Command // carried out; or
+	Renew   string            // the session that gets its full time again; or
+	Read    Read              // what is looked at
 }
 
 // Exit ends the process on purpose.
--- a/internal/sim/views/checks.go
+++ b/internal/sim/membership/checks.go
@@ -1,4 +1,4 @@
-package views
+package membership
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/sim"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/sim"
 )
 
 const (
@@ -67,7 +67,7 @@
 func (f *Fleet) lives() sim.Check {
 	var broken error
 	highest := map[*Node]map[string]uint64{}
-	f.Watch(func(n *Node, _ time.Duration, c fleet.Changed) {
+	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
 		if highest[n] == nil {
 			highest[n] = map[string]uint64{}
 		}
@@ -84,10 +84,10 @@
 // blame says that a node which was woken accuses nobody before it can have heard of anybody.
 func (f *Fleet) blame() sim.Check {
 	var broken error
-	f.Watch(func(n *Node, _ time.Duration, c fleet.Changed) {
+	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
 		e := f.World.End(n.end)
 		mine := slices.Contains(strings.Split(c.Member.By, ","), n.Name)
-		if c.Member.Health == fleet.Suspect && mine && e.Stood >= stoodStill && f.World.Now()-e.Woken < blameless {
+		if c.Member.Health == membership.Suspect && mine && e.Stood >= stoodStill && f.World.Now()-e.Woken < blameless {
 			broken = fmt.Errorf("%s suspects %s %v after it was woken", n.end, c.Member.Name, f.World.Now()-e.Woken)
 		}
 	})
@@ -98,8 +98,8 @@
 // remember it and no other process of the name has come.
 func (f *Fleet) left() sim.Check {
 	var broken error
-	f.Watch(func(n *Node, _ time.Duration, c fleet.Changed) {
-		if c.Before.Health == fleet.Left && c.Member.Health == fleet.Dead && c.Member.Life == c.Before.Life && c.Member.Name != "" {
+	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
+		if c.Before.Health == membership.Left && c.Member.Health == membership.Dead && c.Member.Life == c.Before.Life && c.Member.Name != "" {
 			broken = fmt.Errorf("%s takes %s for dead, which has left", n.end, c.Member.Name)
 		}
 	})
@@ -107,9 +107,9 @@
 }
 
 // never says that nobody is taken for suspect, or dead, by anybody. It is no check for schedules in which that is right.
-func (f *Fleet) never(name string, h fleet.Health) sim.Check {
+func (f *Fleet) never(name string, h membership.Health) sim.Check {
 	var broken error
-	f.Watch(func(n *Node, _ time.Duration, c fleet.Changed) {
+	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
 		if m := c.Member; m.Health == h && n.Name != m.Name {
 			broken = fmt.Errorf("%s has %s %v, accused by %s", n.end, m.Name, m.Health, m.By)
 		}
--- a/internal/sim/views/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -1,4 +1,4 @@
-package views
+package membership
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"net/netip"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/sim"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/sim"
 )
 
 // birth is the wall clock's milliseconds at the beginning of every play, from which lives are drawn.
@@ -16,14 +16,14 @@
 // Fleet is a fleet of nodes in a world.
 type Fleet struct {
 	World *sim.World
-	Seeds []string                                       // ends by whose addresses nodes join
-	Bend  func(cfg *fleet.Config)                        // changes what a core starts with
-	Core  func(cfg fleet.Config, now time.Duration) Core // nil: fleet.New
-	Wall  func() (wrong time.Duration)                   // how wrong a process's wall clock is at its start; nil: it is right
-	Blind bool                                           // stand-in: no node notices that it stood still
-	Quiet bool                                           // nothing is said in the timeline
-	Nodes []*sim.End                                     // without the strangers
-	watch []func(*Node, time.Duration, fleet.Changed)
+	Seeds []string                                            // ends by whose addresses nodes join
+	Bend  func(cfg *membership.Config)                        // changes what a core starts with
+	Core  func(cfg membership.Config, now time.Duration) Core // nil: fleet.New
+	Wall  func() (wrong time.Duration)                        // how wrong a process's wall clock is at its start; nil: it is right
+	Blind bool                                                // stand-in: no node notices that it stood still
+	Quiet bool                                                // nothing is said in the timeline
+	Nodes []*sim.End                                          // without the strangers
+	watch []func(*Node, time.Duration, membership.Changed)
 	addrs map[string]netip.AddrPort
 	ends  map[netip.AddrPort]string
 	old   []sent // to be sent again
@@ -67,8 +67,8 @@
 	if f.Wall != nil {
 		at += f.Wall()
 	}
-	cfg := fleet.Config{Fleet: "books", Name: nameAt(end), Number: -1, Addr: f.address(end), Seed: f.World.Rand().Uint64(),
-		Life: uint64(birth + at.Milliseconds()), Facts: fleet.Facts{Zone: "zone-a", Version: "2.1.0", State: fleet.Serving}}
+	cfg := membership.Config{Fleet: "books", Name: nameAt(end), Number: -1, Addr: f.address(end), Seed: f.World.Rand().Uint64(),
+		Life: uint64(birth + at.Milliseconds()), Facts: membership.Facts{Zone: "zone-a", Version: "2.1.0", State: membership.Serving}}
 	for _, s := range f.Seeds {
 		cfg.Seeds = append(cfg.Seeds, f.address(s))
 	}
@@ -79,14 +79,14 @@
 	if f.Core != nil {
 		core = f.Core(cfg, now)
 	} else {
-		core = fleet.New(cfg, now)
+		core = membership.New(cfg, now)
 	}
 	return &Node{Core: core, Name: cfg.Name, Life: cfg.Life, fleet: f, end: end, living: 1,
-		self: fleet.Member{Name: cfg.Name, Life: cfg.Life, Facts: cfg.Facts}}
+		self: membership.Member{Name: cfg.Name, Life: cfg.Life, Facts: cfg.Facts}}
 }
 
 // Watch has every change of any node's view told.
-func (f *Fleet) Watch(saw func(n *Node, now time.Duration, c fleet.Changed)) {
+func (f *Fleet) Watch(saw func(n *Node, now time.Duration, c membership.Changed)) {
 	f.watch = append(f.watch, saw)
 }
 
@@ -101,13 +101,13 @@
 }
 
 // Member gives what a node believes of a name; without a Name if it knows nothing.
-func (n *Node) Member(name string) fleet.Member {
+func (n *Node) Member(name string) membership.Member {
 	for _, m := range n.Core.View().Members {
 		if m.Name == name {
 			return m
 		}
 	}
-	return fleet.Member{}
+	return membership.Member{}
 }
 
 // StartAll starts nodes of these names, spread over a time.
--- a/internal/sim/views/growth.go
+++ b/internal/sim/membership/growth.go
@@ -1,12 +1,12 @@
-package views
+package membership
 
 import (
 	"context"
 	"fmt"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/sim"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/sim"
 )
 
 // Growth says what is measured, at one size.
@@ -118,25 +118,25 @@
 	m.f.Seeds = Names(1 + min(g.Moves, 1)) // one in each half
 	if g.Rival {
 		m.f.Seeds = append(Names(g.Nodes), newcomer)
-		m.f.Core = func(cfg fleet.Config, now time.Duration) Core { return newRival(cfg, now) }
+		m.f.Core = func(cfg membership.Config, now time.Duration) Core { return newRival(cfg, now) }
 	}
 	m.f.Watch(m.saw)
 	return m
 }
 
-func (m *grower) saw(_ *Node, _ time.Duration, c fleet.Changed) {
-	count := func(x fleet.Member, by int) {
+func (m *grower) saw(_ *Node, _ time.Duration, c membership.Changed) {
+	count := func(x membership.Member, by int) {
 		switch {
 		case x.Name == "":
-		case x.Health <= fleet.Suspect:
+		case x.Health <= membership.Suspect:
 			m.alive[x.Name] += by
-		case x.Health == fleet.Dead:
+		case x.Health == membership.Dead:
 			m.dead[x.Name] += by
 		}
 	}
 	count(c.Before, -1)
 	count(c.Member, 1)
-	if x := c.Member; x.Health == fleet.Dead && m.dead[x.Name] == 1 && m.w.End(x.Name).Up() {
+	if x := c.Member; x.Health == membership.Dead && m.dead[x.Name] == 1 && m.w.End(x.Name).Up() {
 		m.wrong++
 	}
 }
--- a/internal/sim/views/kinds.go
+++ b/internal/sim/membership/kinds.go
@@ -1,4 +1,4 @@
-package views
+package membership
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/fleet/wire"
-	"indigotack/internal/sim"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/membership/wire"
+	"wrenspread/internal/sim"
 )
 
 // The sorts of fault that are about views alone.
@@ -23,7 +23,7 @@
 		e := w.End(f.Who[0])
 		if e.Up() {
 			w.Say(e.Name, "leaves")
-			e.Tell(fleet.Leave{})
+			e.Tell(membership.Leave{})
 		}
 		return func() {
 			if !e.Up() {
@@ -62,8 +62,8 @@
 		return sim.Fault{Who: []string{names[rng.IntN(len(names))]}, Delay: time.Duration(rng.IntN(1000))}
 	}, Do: func(w *sim.World, f sim.Fault) func() {
 		w.Say(f.Who[0], "changes facts")
-		w.End(f.Who[0]).Tell(fleet.FactsChanged{Facts: fleet.Facts{Zone: "zone-b", Version: "2.1.1", Catalogue: uint64(f.Delay),
-			Load: uint16(f.Delay), State: fleet.State(1 + f.Delay%2)}})
+		w.End(f.Who[0]).Tell(membership.FactsChanged{Facts: membership.Facts{Zone: "zone-b", Version: "2.1.1", Catalogue: uint64(f.Delay),
+			Load: uint16(f.Delay), State: membership.State(1 + f.Delay%2)}})
 		return nil
 	}}
 	// stale lets datagrams arrive again that were sent before, by whoever or by the one that is named, to whomever.
--- a/internal/sim/views/node.go
+++ b/internal/sim/membership/node.go
@@ -1,20 +1,20 @@
-// Package views plays the nodes' own view of each other (internal/fleet) in the simulator: drawn schedules of faults with checks, the
-// kept scenarios, and the growth of its cost with the fleet. It is for tests and for indigolab.
-package views
+// Package views plays the nodes' own view of each other (internal/membership) in the simulator: drawn schedules of faults with checks, the
+// kept scenarios, and the growth of its cost with the fleet. It is for tests and for wrenspread-lab.
+package membership
 
 import (
 	"net/netip"
 	"strings"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/sim"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/sim"
 )
 
 // Core is the face of fleet.Core, which a rival has too.
 type Core interface {
-	Handle(now time.Duration, e fleet.Event) []fleet.Action
-	View() fleet.View
+	Handle(now time.Duration, e membership.Event) []membership.Action
+	View() membership.View
 }
 
 // Node is one process with a view.
@@ -26,7 +26,7 @@
 	fleet   *Fleet
 	end     string
 	due     time.Duration
-	self    fleet.Member // as its own view has it
+	self    membership.Member // as its own view has it
 	yielded bool
 	leaving bool
 	living  int // members that it holds alive or suspect, itself too
@@ -36,12 +36,12 @@
 func (n *Node) Handle(now time.Duration, e sim.Event) []sim.Effect {
 	switch e := e.(type) {
 	case sim.Started, sim.Tick:
-		return n.step(now, fleet.Tick{})
+		return n.step(now, membership.Tick{})
 	case sim.Message:
-		return n.step(now, fleet.Received{From: n.fleet.addr(e.From), Data: e.Data})
+		return n.step(now, membership.Received{From: n.fleet.addr(e.From), Data: e.Data})
 	case sim.Told:
-		if ev, ok := e.What.(fleet.Event); ok {
-			if _, leave := ev.(fleet.Leave); leave {
+		if ev, ok := e.What.(membership.Event); ok {
+			if _, leave := ev.(membership.Leave); leave {
 				n.leaving = true
 			}
 			return n.step(now, ev)
@@ -50,37 +50,37 @@
 	return nil
 }
 
-func (n *Node) step(now time.Duration, e fleet.Event) (out []sim.Effect) {
+func (n *Node) step(now time.Duration, e membership.Event) (out []sim.Effect) {
 	if n.fleet.Blind { // a stand-in that does not notice that it stood still
 		for ; n.due > 0 && n.due < now-20*time.Millisecond; n.due += 20 * time.Millisecond {
-			out = append(out, n.carry(n.due, n.Core.Handle(n.due, fleet.Tick{}))...)
+			out = append(out, n.carry(n.due, n.Core.Handle(n.due, membership.Tick{}))...)
 		}
 	}
 	return append(out, n.carry(now, n.Core.Handle(now, e))...)
 }
 
-func (n *Node) carry(now time.Duration, actions []fleet.Action) (out []sim.Effect) {
+func (n *Node) carry(now time.Duration, actions []membership.Action) (out []sim.Effect) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case fleet.Send:
+		case membership.Send:
 			if to, ok := n.fleet.ends[a.To]; ok {
 				out = append(out, sim.Send{To: to, Data: a.Data})
 			}
-		case fleet.Wake:
+		case membership.Wake:
 			n.due = now + a.After
 			out = append(out, sim.Wake{After: a.After})
-		case fleet.Changed:
+		case membership.Changed:
 			if said := n.changed(now, a); said != "" && !n.fleet.Quiet {
 				out = append(out, sim.Say{What: said})
 			}
-		case fleet.Conflict:
+		case membership.Conflict:
 			n.yielded = n.yielded || a.Yielded
 			if a.Yielded {
 				out = append(out, sim.Say{What: "falls silent: a later process has its name"})
 			} else {
 				out = append(out, sim.Say{What: "hears of another of its name"})
 			}
-		case fleet.Gone:
+		case membership.Gone:
 			out = append(out, sim.Exit{})
 		}
 	}
@@ -88,9 +88,9 @@
 }
 
 // changed keeps count and puts the change into a few words.
-func (n *Node) changed(now time.Duration, c fleet.Changed) string {
+func (n *Node) changed(now time.Duration, c membership.Changed) string {
 	m, b := c.Member, c.Before
-	is, was := m.Name != "" && m.Health <= fleet.Suspect, b.Name != "" && b.Health <= fleet.Suspect
+	is, was := m.Name != "" && m.Health <= membership.Suspect, b.Name != "" && b.Health <= membership.Suspect
 	switch {
 	case is && !was:
 		n.living++
@@ -111,7 +111,7 @@
 			return "refutes"
 		}
 		return ""
-	case b.Name == "" && m.Health == fleet.Alive:
+	case b.Name == "" && m.Health == membership.Alive:
 		return "meets: " + m.Name
 	case m.Life > b.Life && b.Name != "" && is:
 		return "new life of: " + m.Name
@@ -120,11 +120,11 @@
 			return m.Facts.State.String() + ": " + m.Name
 		}
 		return ""
-	case m.Health == fleet.Alive && was:
+	case m.Health == membership.Alive && was:
 		return "clears: " + m.Name
-	case m.Health == fleet.Alive:
+	case m.Health == membership.Alive:
 		return "back: " + m.Name
-	case m.Health == fleet.Suspect:
+	case m.Health == membership.Suspect:
 		return "suspects: " + m.Name
 	}
 	return m.Health.String() + ": " + m.Name
--- a/internal/sim/views/play.go
+++ b/internal/sim/membership/play.go
@@ -1,12 +1,12 @@
-package views
+package membership
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/sim"
-	"indigotack/internal/timeline"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/sim"
+	"wrenspread/internal/timeline"
 )
 
 // Options are what a play of the view may be bent by.
@@ -39,7 +39,7 @@
 	p.Kinds = []sim.Kind{sim.OneWay, sim.SlowPair, sim.Lossy, sim.Doubled, facts, stale, flood, short, leaves, joins}
 	p.Build = func(w *sim.World) []sim.Check {
 		f := start(w, o)
-		return append(append(f.checks(), f.never("nobody dead", fleet.Dead)), f.settling(o.Took)...)
+		return append(append(f.checks(), f.never("nobody dead", membership.Dead)), f.settling(o.Took)...)
 	}
 	return p
 }
@@ -51,7 +51,7 @@
 	p.Kinds, p.Most = []sim.Kind{sim.OneWay, sim.SlowPair}, 2 // so that of three helpers one at least has good links
 	p.Build = func(w *sim.World) []sim.Check {
 		f := start(w, o)
-		return append(append(f.checks(), f.never("nobody suspected", fleet.Suspect)), f.settling(o.Took)...)
+		return append(append(f.checks(), f.never("nobody suspected", membership.Suspect)), f.settling(o.Took)...)
 	}
 	return p
 }
--- a/internal/sim/views/rival.go
+++ b/internal/sim/membership/rival.go
@@ -1,10 +1,10 @@
-package views
+package membership
 
 import (
 	"net/netip"
 	"time"
 
-	"indigotack/internal/fleet"
+	"wrenspread/internal/membership"
 )
 
 // rivalMisses is after how many periods without an answer the rival takes a member for dead: 2 s, about as long as the view needs.
@@ -13,7 +13,7 @@
 // rival is the plainest view: everybody asks everybody on a fixed list, each period, and believes only itself. It has the face of
 // fleet.Core, so that it is measured in the same way.
 type rival struct {
-	cfg   fleet.Config
+	cfg   membership.Config
 	peers []rivalPeer
 	at    map[netip.AddrPort]int
 	next  time.Duration
@@ -21,11 +21,11 @@
 
 type rivalPeer struct {
 	addr   netip.AddrPort
-	member fleet.Member
+	member membership.Member
 	missed int
 }
 
-func newRival(cfg fleet.Config, now time.Duration) *rival {
+func newRival(cfg membership.Config, now time.Duration) *rival {
 	r := &rival{cfg: cfg, at: map[netip.AddrPort]int{}, next: now}
 	r.cfg.Period = max(cfg.Period, 200*time.Millisecond)
 	for _, a := range cfg.Seeds {
@@ -38,16 +38,16 @@
 }
 
 // View is empty: what the rival believes is told by its changes alone.
-func (r *rival) View() fleet.View { return fleet.View{Self: r.cfg.Name} }
+func (r *rival) View() membership.View { return membership.View{Self: r.cfg.Name} }
 
 const (
 	rivalAsk = iota
 	rivalAnswer
 )
 
-func (r *rival) Handle(now time.Duration, e fleet.Event) (out []fleet.Action) {
+func (r *rival) Handle(now time.Duration, e membership.Event) (out []membership.Action) {
 	switch e := e.(type) {
-	case fleet.Received:
+	case membership.Received:
 		i, known := r.at[e.From]
 		if !known || len(e.Data) < 2 {
 			break
@@ -58,34 +58,34 @@
 		}
 		p := &r.peers[i]
 		p.missed = 0
-		if p.member.Name == "" || p.member.Health != fleet.Alive {
-			out = append(out, p.become(fleet.Member{Name: string(e.Data[1:]), Addr: p.addr}))
+		if p.member.Name == "" || p.member.Health != membership.Alive {
+			out = append(out, p.become(membership.Member{Name: string(e.Data[1:]), Addr: p.addr}))
 		}
-	case fleet.Tick:
+	case membership.Tick:
 		if now < r.next {
 			break
 		}
 		r.next = now + r.cfg.Period
 		for i := range r.peers {
 			p := &r.peers[i]
-			if p.missed++; p.missed > rivalMisses && p.member.Name != "" && p.member.Health == fleet.Alive {
+			if p.missed++; p.missed > rivalMisses && p.member.Name != "" && p.member.Health == membership.Alive {
 				dead := p.member
-				dead.Health = fleet.Dead
+				dead.Health = membership.Dead
 				out = append(out, p.become(dead))
 			}
 			out = append(out, r.say(rivalAsk, *p))
 		}
-		out = append(out, fleet.Wake{After: r.cfg.Period})
+		out = append(out, membership.Wake{After: r.cfg.Period})
 	}
 	return out
 }
 
-func (p *rivalPeer) become(m fleet.Member) fleet.Action {
+func (p *rivalPeer) become(m membership.Member) membership.Action {
 	was := p.member
 	p.member = m
-	return fleet.Changed{Member: m, Before: was}
+	return membership.Changed{Member: m, Before: was}
 }
 
-func (r *rival) say(kind byte, to rivalPeer) fleet.Action {
-	return fleet.Send{Name: to.member.Name, To: to.addr, Data: append([]byte{kind}, r.cfg.Name...)}
+func (r *rival) say(kind byte, to rivalPeer) membership.Action {
+	return membership.Send{Name: to.member.Name, To: to.addr, Data: append([]byte{kind}, r.cfg.Name...)}
 }
--- a/internal/sim/views/scenarios.go
+++ b/internal/sim/membership/scenarios.go
@@ -1,4 +1,4 @@
-package views
+package membership
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/sim"
-	"indigotack/internal/timeline"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/sim"
+	"wrenspread/internal/timeline"
 )
 
 // Scenario is one hard case, played always the same, so that its drawing can be kept and read.
@@ -52,8 +52,8 @@
 		bend(f)
 	}
 	var broken error
-	f.Watch(func(n *Node, _ time.Duration, c fleet.Changed) {
-		if m := c.Member; m.Health == fleet.Dead && slices.Contains(spared, m.Name) {
+	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
+		if m := c.Member; m.Health == membership.Dead && slices.Contains(spared, m.Name) {
 			broken = fmt.Errorf("%s takes %s for dead, accused by %s", n.end, m.Name, m.By)
 		}
 	})
--- a/internal/sim/views/scenarios_test.go
+++ b/internal/sim/membership/scenarios_test.go
@@ -1,9 +1,9 @@
-package views
+package membership
 
 import (
 	"testing"
 
-	"indigotack/internal/timeline/kept"
+	"wrenspread/internal/timeline/golden"
 )
 
 // Each scenario tells the story that is kept in testdata. Read the drawing before it is taken up anew with -update.
@@ -15,7 +15,7 @@
 			if err != nil {
 				t.Fatalf("%v\n%s", err, drawn)
 			}
-			kept.Same(t, s.Name, drawn)
+			golden.Same(t, s.Name, drawn)
 		})
 	}
 }
--- a/internal/sim/views/settled.go
+++ b/internal/sim/membership/settled.go
@@ -1,11 +1,11 @@
-package views
+package membership
 
 import (
 	"fmt"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/sim"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/sim"
 )
 
 // Settle is the stated time after the last fault in which all views are the same and right. It is the sum of the longest waits:
@@ -16,7 +16,7 @@
 // look is a picture of all live nodes' views.
 type look struct {
 	nodes []*Node
-	views []fleet.View
+	views []membership.View
 	names map[string]*Node
 }
 
@@ -49,7 +49,7 @@
 	for _, v := range l.views {
 		alive := map[string]bool{}
 		for _, m := range v.Members {
-			alive[m.Name] = m.Health == fleet.Alive
+			alive[m.Name] = m.Health == membership.Alive
 		}
 		for _, n := range l.nodes {
 			if !alive[n.Name] {
@@ -64,7 +64,7 @@
 func (l look) clean() error {
 	for _, v := range l.views {
 		for _, m := range v.Members {
-			if m.Health <= fleet.Suspect && l.names[m.Name] == nil {
+			if m.Health <= membership.Suspect && l.names[m.Name] == nil {
 				return fmt.Errorf("%s has %s %v, of which no process runs", v.Self, m.Name, m.Health)
 			}
 		}
--- a/internal/sim/views/standins_test.go
+++ b/internal/sim/membership/standins_test.go
@@ -1,4 +1,4 @@
-package views
+package membership
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/fleet"
-	"indigotack/internal/fleet/wire"
-	"indigotack/internal/sim"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/membership/wire"
+	"wrenspread/internal/sim"
 )
 
 // rewrite gives a stand-in whose datagrams are altered, or dropped by giving nil.
@@ -60,7 +60,7 @@
 	}, []string{"settled", "alive", "dead"}},
 	{"the dead are not asked, nor seeds by those that have met", Wild, []sim.Kind{sim.Halves}, rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 		n, ok := f.World.End(from).Actor().(*Node)
-		return !ok || d.Kind != wire.Ping || n.living == 1 || n.Member(nameAt(to)).Health <= fleet.Suspect
+		return !ok || d.Kind != wire.Ping || n.living == 1 || n.Member(nameAt(to)).Health <= membership.Suspect
 	}), []string{"alive"}},
 	{"lives do not count", Wild, []sim.Kind{sim.Kill}, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		d.Life = birth
@@ -70,40 +70,40 @@
 		return true
 	}), []string{"alive"}},
 	{"deaths are not told, and nobody is suspected", Wild, nil, without(func(_ *Fleet, _, _ string, s wire.Statement) bool {
-		return s.Health == fleet.Suspect || s.Health == fleet.Dead
+		return s.Health == membership.Suspect || s.Health == membership.Dead
 	}), []string{"settled", "alive", "dead"}},
 	{"the dead are forgotten at once", Wild, []sim.Kind{sim.Kill, stale}, func(f *Fleet) {
-		f.Bend = func(cfg *fleet.Config) { cfg.Fresh, cfg.Forget = time.Millisecond, 2*time.Millisecond }
+		f.Bend = func(cfg *membership.Config) { cfg.Fresh, cfg.Forget = time.Millisecond, 2*time.Millisecond }
 	}, []string{"lives", "dead"}},
 	{"lateness is not noticed", Wild, []sim.Kind{sim.Pause}, func(f *Fleet) { f.Blind = true }, []string{"blame"}},
 	{"a twin is not told", Wild, []sim.Kind{twins}, func(f *Fleet) {
 		rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 			to = nameAt(to)
-			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name == to && s.Health == fleet.Alive })
+			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name == to && s.Health == membership.Alive })
 			return nameAt(from) != to
 		})(f)
 	}, []string{"one of a name", "settled", "alive"}},
 	{"nobody is asked for others", Pairs, nil, withoutKinds(wire.PingReq), []string{"nobody suspected"}},
 	{"suspicion is death", Mild, nil, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		for i := range d.Statements {
-			if d.Statements[i].Health == fleet.Suspect {
-				d.Statements[i].Health = fleet.Dead
+			if d.Statements[i].Health == membership.Suspect {
+				d.Statements[i].Health = membership.Dead
 			}
 		}
 		return true
 	}), []string{"nobody dead"}},
 	{"leaving is death", Mild, nil, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		for i := range d.Statements {
-			if d.Statements[i].Health == fleet.Left {
-				d.Statements[i].Health, d.Statements[i].Incarnation = fleet.Dead, d.Statements[i].Incarnation+1
+			if d.Statements[i].Health == membership.Left {
+				d.Statements[i].Health, d.Statements[i].Incarnation = membership.Dead, d.Statements[i].Incarnation+1
 			}
 		}
 		return true
 	}), []string{"nobody dead"}},
 	{"a leave told on is told as a death", Wild, []sim.Kind{leaves}, rewrite(func(_ *Fleet, from, _ string, d *wire.Datagram) bool {
 		for i, s := range d.Statements {
-			if s.Health == fleet.Left && s.Name != nameAt(from) {
-				d.Statements[i].Health, d.Statements[i].Incarnation = fleet.Dead, s.Incarnation+1
+			if s.Health == membership.Left && s.Name != nameAt(from) {
+				d.Statements[i].Health, d.Statements[i].Incarnation = membership.Dead, s.Incarnation+1
 			}
 		}
 		return true
--- a/internal/sim/views/stories.go
+++ b/internal/sim/membership/stories.go
@@ -1,9 +1,9 @@
-package views
+package membership
 
 import (
 	"time"
 
-	"indigotack/internal/sim"
+	"wrenspread/internal/sim"
 )
 
 const second = time.Second
--- a/internal/sim/views/views_test.go
+++ b/internal/sim/membership/views_test.go
@@ -1,12 +1,12 @@
-package views
+package membership
 
 import (
 	"testing"
 
-	"indigotack/internal/sim"
+	"wrenspread/internal/sim"
 )
 
-// Drawn schedules of each sort break nothing. The long series is "indigolab sim".
+// Drawn schedules of each sort break nothing. The long series is "wrenspread-lab sim".
 func TestSchedules(t *testing.T) {
 	for name, play := range map[string]func(Options) sim.Play{"wild": Wild, "mild": Mild, "pairs": Pairs} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/sim/play.go
+++ b/internal/sim/play.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/timeline"
+	"wrenspread/internal/timeline"
 )
 
 // Check is something that must hold of a history.
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 const (
@@ -21,8 +21,8 @@
 // clock. It can be down, and links to it can be cut. It grants without the real one's pace.
 type Service struct {
 	world     *World
-	state     *list.State
-	deadlines *list.Deadlines
+	state     *registry.State
+	deadlines *registry.Deadlines
 	down      bool
 	holders   map[string]uint64 // fence by duty, as last seen
 }
@@ -38,23 +38,23 @@
 // Seen is what a look gave, at one version.
 type Seen struct {
 	Version  uint64
-	Record   list.Record
-	Records  []list.Record
-	Duty     list.Duty
-	Sessions []list.Session
+	Record   registry.Record
+	Records  []registry.Record
+	Duty     registry.Duty
+	Sessions []registry.Session
 }
 
 // AddService gives the world a list service that has begun.
 func (w *World) AddService() *Service {
-	s := &Service{world: w, state: list.NewState(), deadlines: list.NewDeadlines(nil, w.now), holders: map[string]uint64{}}
-	s.state.Apply(list.Command{Do: list.DoBegin, Epoch: "sim"})
+	s := &Service{world: w, state: registry.NewState(), deadlines: registry.NewDeadlines(nil, w.now), holders: map[string]uint64{}}
+	s.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "sim"})
 	w.Service = s
 	s.expire()
 	return s
 }
 
 // State is the state itself, for checks and for what an operator writes.
-func (s *Service) State() *list.State { return s.state }
+func (s *Service) State() *registry.State { return s.state }
 
 // Down ends the service for all; Up brings it back, with every session's full time as a new leader gives it.
 func (s *Service) Down() {
@@ -65,24 +65,24 @@
 // Up is the end of Down.
 func (s *Service) Up() {
 	if s.down {
-		s.down, s.deadlines = false, list.NewDeadlines(s.state.Sessions(), s.world.now)
+		s.down, s.deadlines = false, registry.NewDeadlines(s.state.Sessions(), s.world.now)
 		s.world.Say(ServiceName, "up again")
 	}
 }
 
 // Apply carries out a command at once, granting what it frees or asks for.
-func (s *Service) Apply(c list.Command) list.Result {
+func (s *Service) Apply(c registry.Command) registry.Result {
 	for _, w := range c.Wishes {
 		c.Grant = append(c.Grant, w.Duty)
 	}
 	r := s.state.Apply(c)
-	if c.Do == list.DoSession && r.Code == list.Done {
+	if c.Do == registry.DoSession && r.Code == registry.Done {
 		s.deadlines.Set(*c.Session, s.world.now)
 	}
 	for _, id := range c.Sessions {
 		s.deadlines.Drop(id)
 	}
-	s.state.Apply(list.Command{Do: list.DoGrant, Grant: s.state.Waiting()})
+	s.state.Apply(registry.Command{Do: registry.DoGrant, Grant: s.state.Waiting()})
 	s.tellGrants()
 	return r
 }
@@ -104,7 +104,7 @@
 			for _, id := range due {
 				s.world.Say(ServiceName, "ends session "+id)
 			}
-			s.Apply(list.Command{Do: list.DoClose, Sessions: due})
+			s.Apply(registry.Command{Do: registry.DoClose, Sessions: due})
 		}
 	}
 	s.world.After(expireEvery, s.expire)
@@ -133,7 +133,7 @@
 		a.Result = s.Apply(*c.Command)
 	case c.Renew != "":
 		if !s.deadlines.Renew(c.Renew, s.world.now) {
-			a.Result = list.Result{Code: list.Absent, Why: "there is no session " + c.Renew}
+			a.Result = registry.Result{Code: registry.Absent, Why: "there is no session " + c.Renew}
 		}
 	}
 	a.Seen = s.look(c.Read)
--- a/internal/sim/parts/checks.go
+++ b/internal/sim/subset/checks.go
@@ -1,11 +1,11 @@
-package parts
+package subset
 
 import (
 	"fmt"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/sim"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/sim"
 )
 
 // mostCalls is how many calls a node makes, once nothing changes any more, until it has the newest version of the part that it is to
@@ -60,11 +60,11 @@
 	known := map[string]bool{}
 	for _, n := range f.nodes {
 		for _, e := range n.view.Entries {
-			known[e.Name] = known[e.Name] || e.Status == list.Ready
+			known[e.Name] = known[e.Name] || e.Status == registry.Ready
 		}
 	}
 	for _, name := range f.servers() {
-		if f.now[name].Status == list.Ready && !known[name] {
+		if f.now[name].Status == registry.Ready && !known[name] {
 			return fmt.Errorf("nobody has %s", name)
 		}
 	}
--- a/internal/sim/parts/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -12,7 +12,7 @@
 // Thirteen nodes stand for a fleet that they believe to be of hundreds. With under 5,461 servers no part is narrower than an eighth of
 // the ring, of which three quarters follow the node's place, and no gap between thirteen places is wider than 0.0902 of the ring. So
 // these alone must hold every server.
-package parts
+package subset
 
 import (
 	"fmt"
@@ -20,9 +20,9 @@
 	"slices"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/sim"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/sim"
 )
 
 const (
@@ -37,11 +37,11 @@
 type Fleet struct {
 	World    *sim.World
 	Replicas []string
-	Alter    func(q query, a *list.Answer)                                                               // stand-in: changes an answer; nil: none does
-	Next     func(has list.Part, self, nodes, total int, entries []list.Entry, g []list.Group) list.Part // a node's choice
-	Forgets  bool                                                                                        // stand-in: nodes begin anew at another replica after each watch
+	Alter    func(q query, a *registry.Answer)                                                                           // stand-in: changes an answer; nil: none does
+	Next     func(has registry.Part, self, nodes, total int, entries []registry.Entry, g []registry.Group) registry.Part // a node's choice
+	Forgets  bool                                                                                                        // stand-in: nodes begin anew at another replica after each watch
 
-	leader *list.State
+	leader *registry.State
 	log    []logged
 	disks  map[string]*disk
 	nodes  map[string]*node // the last process of each
@@ -49,9 +49,9 @@
 	files  map[string]client.View
 	epochs int
 
-	now     map[string]list.Entry // the list, kept apart from State
-	history map[string]*history   // by epoch
-	broken  map[string]error      // by check, the first
+	now     map[string]registry.Entry // the list, kept apart from State
+	history map[string]*history       // by epoch
+	broken  map[string]error          // by check, the first
 	mail    mail
 }
 
@@ -59,10 +59,10 @@
 type logged struct {
 	at   time.Duration
 	lost bool // the state is lost before it
-	list.Command
+	registry.Command
 }
 
-var groups = []list.Group{{}, {Types: []string{"big"}}}
+var groups = []registry.Group{{}, {Types: []string{"big"}}}
 
 func names(n int, of string) (all []string) {
 	for i := range n {
@@ -73,8 +73,8 @@
 
 // newFleet gives a fleet without nodes, before a list of total servers.
 func newFleet(w *sim.World, replicas, total int) *Fleet {
-	f := &Fleet{World: w, Replicas: names(replicas, "r"), Next: list.Part.Next, disks: map[string]*disk{}, nodes: map[string]*node{}, sizes: map[string]int{},
-		files: map[string]client.View{}, now: map[string]list.Entry{}, history: map[string]*history{}, broken: map[string]error{}, mail: mail{kept: map[string]any{}, to: map[string][]string{}}}
+	f := &Fleet{World: w, Replicas: names(replicas, "r"), Next: registry.Part.Next, disks: map[string]*disk{}, nodes: map[string]*node{}, sizes: map[string]int{},
+		files: map[string]client.View{}, now: map[string]registry.Entry{}, history: map[string]*history{}, broken: map[string]error{}, mail: mail{kept: map[string]any{}, to: map[string][]string{}}}
 	w.Play = f
 	f.begin()
 	for i := range total {
@@ -86,7 +86,7 @@
 // start starts the replicas, and nodes that have the fleet's size in their settings.
 func (f *Fleet) start(size int, nodes []string) {
 	for _, name := range f.Replicas {
-		f.disks[name] = &disk{state: list.NewState()}
+		f.disks[name] = &disk{state: registry.NewState()}
 		f.World.Add(name, func(time.Duration) sim.Actor { return &replica{fleet: f, disk: f.disks[name]} })
 	}
 	for _, name := range nodes {
@@ -102,8 +102,8 @@
 	}
 }
 
-func server(prefix string, i int) list.Entry {
-	e := list.Entry{Name: fmt.Sprint(prefix, "-", i), Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Type: "small", Status: list.Ready, Weight: 1}
+func server(prefix string, i int) registry.Entry {
+	e := registry.Entry{Name: fmt.Sprint(prefix, "-", i), Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Type: "small", Status: registry.Ready, Weight: 1}
 	if i%12 == 0 {
 		e.Type = "big"
 	}
@@ -112,9 +112,9 @@
 
 // begin begins a list without servers, in an epoch of its own.
 func (f *Fleet) begin() {
-	f.leader = list.NewState()
-	f.now = map[string]list.Entry{}
-	f.write(list.Command{Do: list.DoBegin, Epoch: f.epoch()}, true)
+	f.leader = registry.NewState()
+	f.now = map[string]registry.Entry{}
+	f.write(registry.Command{Do: registry.DoBegin, Epoch: f.epoch()}, true)
 }
 
 func (f *Fleet) epoch() string {
@@ -125,33 +125,35 @@
 }
 
 // write has a command carried out and logged.
-func (f *Fleet) write(c list.Command, lost bool) list.Result {
+func (f *Fleet) write(c registry.Command, lost bool) registry.Result {
 	r := f.leader.Apply(c)
 	f.log = append(f.log, logged{f.World.Now(), lost, c})
 	f.disturb()
 	return r
 }
 
-func (f *Fleet) register(e list.Entry) { f.put(e, list.Command{Do: list.DoRegister, Entry: &e}) }
+func (f *Fleet) register(e registry.Entry) {
+	f.put(e, registry.Command{Do: registry.DoRegister, Entry: &e})
+}
 
 func (f *Fleet) drain(name string) {
 	e := f.now[name]
-	e.Status = list.Draining
-	f.put(e, list.Command{Do: list.DoDrain, Name: name})
+	e.Status = registry.Draining
+	f.put(e, registry.Command{Do: registry.DoDrain, Name: name})
 }
 
 func (f *Fleet) remove(name string) {
 	e := f.now[name]
-	e.Status = list.Gone
-	f.put(e, list.Command{Do: list.DoRemove, Name: name})
+	e.Status = registry.Gone
+	f.put(e, registry.Command{Do: registry.DoRemove, Name: name})
 }
 
-func (f *Fleet) put(e list.Entry, c list.Command) {
+func (f *Fleet) put(e registry.Entry, c registry.Command) {
 	r := f.write(c, false)
 	if f.now[e.Name] == e {
 		return
 	}
-	if f.now[e.Name] = e; e.Status == list.Gone {
+	if f.now[e.Name] = e; e.Status == registry.Gone {
 		delete(f.now, e.Name)
 	}
 	f.history[f.leader.Epoch()].add(r.Version, e)
@@ -165,7 +167,7 @@
 	}
 	was := maps.Clone(f.now)
 	return func() {
-		r := f.write(list.Command{Do: list.DoRestore, Epoch: f.epoch(), Over: f.leader.Epoch(), Image: image}, false)
+		r := f.write(registry.Command{Do: registry.DoRestore, Epoch: f.epoch(), Over: f.leader.Epoch(), Image: image}, false)
 		f.now = maps.Clone(was)
 		for _, e := range f.now {
 			f.history[f.leader.Epoch()].add(r.Version, e)
--- a/internal/sim/parts/history.go
+++ b/internal/sim/subset/history.go
@@ -1,12 +1,12 @@
-package parts
+package subset
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // history is what the list was at each version of an epoch, kept by name, in order, and without the list's own code.
@@ -21,22 +21,22 @@
 
 type change struct {
 	version uint64
-	entry   list.Entry
+	entry   registry.Entry
 }
 
-func (h *history) add(version uint64, e list.Entry) {
+func (h *history) add(version uint64, e registry.Entry) {
 	i, there := slices.BinarySearchFunc(h.servers, e.Name, func(p past, name string) int { return cmp.Compare(p.name, name) })
 	if !there {
-		h.servers = slices.Insert(h.servers, i, past{name: e.Name, point: list.Point(e.Name)})
+		h.servers = slices.Insert(h.servers, i, past{name: e.Name, point: registry.Point(e.Name)})
 	}
 	h.servers[i].changes = append(h.servers[i].changes, change{version, e})
 }
 
 // at is what the server was at a version, nil where it was not listed.
-func (p *past) at(version uint64) *list.Entry {
+func (p *past) at(version uint64) *registry.Entry {
 	for i := len(p.changes) - 1; i >= 0; i-- {
 		if c := &p.changes[i]; c.version <= version {
-			if c.entry.Status == list.Gone {
+			if c.entry.Status == registry.Gone {
 				return nil
 			}
 			return &c.entry
--- a/internal/sim/parts/mail.go
+++ b/internal/sim/subset/mail.go
@@ -1,9 +1,9 @@
-package parts
+package subset
 
 import (
 	"strconv"
 
-	"indigotack/internal/sim"
+	"wrenspread/internal/sim"
 )
 
 // mail is what messages stand for, as answers go without their JSON. Those to a node are let go at its next call, after
--- a/internal/sim/parts/node.go
+++ b/internal/sim/subset/node.go
@@ -1,12 +1,12 @@
-package parts
+package subset
 
 import (
 	"fmt"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	"indigotack/internal/sim"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+	"wrenspread/internal/sim"
 )
 
 const mostWait = 500 * time.Millisecond // after a call that failed
@@ -17,10 +17,10 @@
 	name   string
 	self   int
 	belief *client.Belief
-	view   client.View // of it
-	at     int         // of the replicas
-	has    list.Part   // that is known
-	to     list.Part   // that is to be followed
+	view   client.View   // of it
+	at     int           // of the replicas
+	has    registry.Part // that is known
+	to     registry.Part // that is to be followed
 	asked  query
 	open   bool // a call is
 	failed bool // the last call has
@@ -38,7 +38,7 @@
 		v := n.fleet.files[n.name]
 		n.belief, n.view, n.has, n.to = client.NewBelief(holdBack, v), v, v.Part, v.Part
 		if v.Version == 0 {
-			n.to = n.next(client.View{Total: list.MaxEntries})
+			n.to = n.next(client.View{Total: registry.MaxEntries})
 		}
 		return n.call()
 	case sim.Tick:
@@ -90,7 +90,7 @@
 
 const stale = "passes over what is older"
 
-func (n *node) take(now time.Duration, a *list.Answer) []sim.Effect {
+func (n *node) take(now time.Duration, a *registry.Answer) []sim.Effect {
 	if a == nil {
 		return n.fail("refused by one that is behind", true)
 	}
@@ -118,7 +118,7 @@
 	return append(said, n.call()...)
 }
 
-func told(a *list.Answer, v client.View) string {
+func told(a *registry.Answer, v client.View) string {
 	if a.Snapshot {
 		return fmt.Sprintf("takes %s of %s at version %d: %d of %d", v.Part, v.Epoch, v.Version, len(v.Entries), v.Total)
 	}
@@ -129,6 +129,6 @@
 }
 
 // next is the part to follow for whoever has this.
-func (n *node) next(v client.View) list.Part {
+func (n *node) next(v client.View) registry.Part {
 	return n.fleet.Next(v.Part, n.self, n.fleet.sizes[n.name], v.Total, v.Entries, groups)
 }
--- a/internal/sim/parts/parts_test.go
+++ b/internal/sim/subset/parts_test.go
@@ -1,4 +1,4 @@
-package parts
+package subset
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"runtime"
 	"testing"
 
-	"indigotack/internal/sim"
+	"wrenspread/internal/sim"
 )
 
 var schedules = flag.Int("schedules", 60, "drawn for each number of replicas")
--- a/internal/sim/parts/play.go
+++ b/internal/sim/subset/play.go
@@ -1,10 +1,10 @@
-package parts
+package subset
 
 import (
 	"time"
 
-	"indigotack/internal/sim"
-	"indigotack/internal/timeline"
+	"wrenspread/internal/sim"
+	"wrenspread/internal/timeline"
 )
 
 // play draws what can go wrong before so many replicas. bend, where set, changes a fleet that is not started yet: a broken stand-in.
--- a/internal/sim/parts/replica.go
+++ b/internal/sim/subset/replica.go
@@ -1,11 +1,11 @@
-package parts
+package subset
 
 import (
 	"slices"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/sim"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/sim"
 )
 
 const (
@@ -16,7 +16,7 @@
 // query is a call for a part.
 type query struct {
 	number uint64
-	part   list.Part
+	part   registry.Part
 	from   uint64
 	epoch  string
 	hold   time.Duration
@@ -26,12 +26,12 @@
 // reply is what a call brings; without an answer it is refused, as the replica is behind.
 type reply struct {
 	number uint64
-	answer *list.Answer
+	answer *registry.Answer
 }
 
 // disk is what a replica has after a restart.
 type disk struct {
-	state *list.State
+	state *registry.State
 	done  int // entries of the log
 	lags  int // faults by which it applies nothing that is younger than mostLag
 }
@@ -41,12 +41,12 @@
 	fleet *Fleet
 	*disk
 	held    []held
-	answers map[span]list.Answer // as the state is, for those who ask for the same; nil: it has changed
+	answers map[span]registry.Answer // as the state is, for those who ask for the same; nil: it has changed
 }
 
 // span is what an answer is of: a part, since a version.
 type span struct {
-	part list.Part
+	part registry.Part
 	from uint64
 }
 
@@ -85,7 +85,7 @@
 	for ; r.done < len(r.fleet.log) && r.fleet.log[r.done].at <= max(upTo, 0); r.done++ { // all have what there was at first
 		c := r.fleet.log[r.done]
 		if c.lost {
-			r.state = list.NewState()
+			r.state = registry.NewState()
 		}
 		r.state.Apply(c.Command)
 		r.answers = nil
@@ -93,12 +93,12 @@
 }
 
 // since is PartSince, made once for all who ask for the same.
-func (r *replica) since(p list.Part, from uint64) list.Answer {
+func (r *replica) since(p registry.Part, from uint64) registry.Answer {
 	a, ok := r.answers[span{p, from}]
 	if !ok {
 		a = r.state.PartSince(p, from)
 		if r.answers == nil {
-			r.answers = map[span]list.Answer{}
+			r.answers = map[span]registry.Answer{}
 		}
 		r.answers[span{p, from}] = a
 	}
--- a/internal/sim/parts/stories_test.go
+++ b/internal/sim/subset/stories_test.go
@@ -1,14 +1,14 @@
-package parts
+package subset
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"indigotack/internal/list"
-	"indigotack/internal/sim"
-	"indigotack/internal/timeline"
-	"indigotack/internal/timeline/kept"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/sim"
+	"wrenspread/internal/timeline"
+	"wrenspread/internal/timeline/golden"
 )
 
 // step is something done in a story.
@@ -27,11 +27,11 @@
 }
 
 // first does something to the first server that is in one part and not in others.
-func first(at time.Duration, what string, do func(*Fleet, string), in list.Part, out ...list.Part) step {
+func first(at time.Duration, what string, do func(*Fleet, string), in registry.Part, out ...registry.Part) step {
 	return step{at, func(f *Fleet) {
 		for _, s := range f.servers() {
-			p := list.Point(s)
-			if in.Holds(p) && !slices.ContainsFunc(out, func(o list.Part) bool { return o.Holds(p) }) {
+			p := registry.Point(s)
+			if in.Holds(p) && !slices.ContainsFunc(out, func(o registry.Part) bool { return o.Holds(p) }) {
 				f.World.Say("list", what+" "+s)
 				do(f, s)
 				return
@@ -113,7 +113,7 @@
 			if broken != nil {
 				t.Fatalf("%v\n%s", broken, drawn)
 			}
-			kept.Same(t, s.name, drawn)
+			golden.Same(t, s.name, drawn)
 		})
 	}
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"indigotack/internal/timeline"
+	"wrenspread/internal/timeline"
 )
 
 const (
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // recorder notes what it is given and when, by its own clock.
@@ -115,7 +115,7 @@
 	w, a, _ := pair(1)
 	s := w.AddService()
 	w.Net.Break(func(from, _ string) bool { return from == ServiceName }, Cut)
-	w.call(a, Call{Command: &list.Command{Do: list.DoPut, Name: "k", Value: []byte("1")}})
+	w.call(a, Call{Command: &registry.Command{Do: registry.DoPut, Name: "k", Value: []byte("1")}})
 	w.RunTo(CallMost + time.Millisecond)
 	if _, there := s.State().Record("k"); !there {
 		t.Error("the command was not carried out")
--- a/internal/wire/encode.go
+++ b/internal/simwire/encode.go
@@ -1,17 +1,17 @@
-package wire
+package simwire
 
 import (
 	"encoding/base64"
 	"encoding/json"
 	"strconv"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // Reply holds the actions of one instance.
 type Reply struct {
 	Node    int
-	Actions []decide.Action
+	Actions []balancer.Action
 }
 
 // AppendReply writes the line that answers a batch, with its line end.
@@ -40,44 +40,44 @@
 	return append(b, "]}\n"...)
 }
 
-func appendAction(b []byte, a decide.Action) []byte {
+func appendAction(b []byte, a balancer.Action) []byte {
 	switch a := a.(type) {
-	case decide.Send:
+	case balancer.Send:
 		b = appendText(b, `{"assign":{"req":`, string(a.ID))
 		b = appendInt(b, `,"backend":`, int64(a.Server))
 		if a.Timeout != 0 {
 			b = appendInt(b, `,"try_for_ns":`, int64(a.Timeout))
 		}
-	case decide.Refuse:
+	case balancer.Refuse:
 		b = appendText(b, `{"deny":{"req":`, string(a.ID))
 		if a.HoldOff > 0 {
 			b = appendInt(b, `,"hold_off_ns":`, int64(a.HoldOff))
 		}
-	case decide.Fail:
+	case balancer.Fail:
 		b = appendText(b, `{"fail":{"req":`, string(a.ID))
-	case decide.CancelAttempt:
+	case balancer.CancelAttempt:
 		b = appendText(b, `{"stop_attempt":{"req":`, string(a.ID))
 		b = appendInt(b, `,"leg":`, int64(a.Attempt))
-	case decide.SetTimer:
+	case balancer.SetTimer:
 		b = appendInt(b, `{"arm":{"from_now_ns":`, int64(a.After))
 		b = appendInt(b, `,"label":`, a.Token)
-	case decide.Probe:
+	case balancer.Probe:
 		b = appendInt(b, `{"probe":{"backend":`, int64(a.Server))
-	case decide.SendMessage:
+	case balancer.SendMessage:
 		if a.ToAll {
 			b = append(b, `{"tell":{"dest":"*"`...)
 		} else {
 			b = appendInt(b, `{"tell":{"dest":`, int64(a.To))
 		}
 		b = appendText(b, `,"bytes":`, base64.StdEncoding.EncodeToString(a.Data))
-	case decide.Subscribe:
+	case balancer.Subscribe:
 		b = append(b, `{"subscribe":{"want":`...)
 		b = strconv.AppendBool(b, a.On)
-	case decide.FetchList:
+	case balancer.FetchList:
 		b = append(b, `{"reload":{`...)
-	case decide.CloseIdle:
+	case balancer.CloseIdle:
 		b = appendInt(b, `{"disconnect":{"backend":`, int64(a.Server))
-	case decide.Log:
+	case balancer.Log:
 		b = appendText(b, `{"trace":{"message":`, a.Line)
 	}
 	return append(b, "}}"...)
--- a/internal/wire/event.go
+++ b/internal/simwire/event.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 func decodeEvent(name string, raw json.RawMessage) (Happening, error) {
@@ -33,7 +33,7 @@
 			return Happening{}, missing("patience_left_ns")
 		}
 		tenant, _ := e.Group.(string)
-		return Happening{Event: decide.RequestArrived{ID: decide.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
+		return Happening{Event: balancer.RequestArrived{ID: balancer.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
 			Key: e.Key, Patience: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
 			HasHint: e.Flags&flagHint != 0, Repeat: e.Flags&flagRepeat != 0, Write: e.Flags&flagWrite != 0}}, nil
 	case "attempt_end", "probe_result", "streaming":
@@ -48,7 +48,7 @@
 		if e.Label == nil {
 			return Happening{}, missing("label")
 		}
-		return Happening{Event: decide.TimerFired{Token: *e.Label}}, nil
+		return Happening{Event: balancer.TimerFired{Token: *e.Label}}, nil
 	case "abandoned":
 		var e struct {
 			Req *string `json:"req"`
@@ -59,7 +59,7 @@
 		if e.Req == nil {
 			return Happening{}, missing("req")
 		}
-		return Happening{Event: decide.RequestAbandoned{ID: decide.RequestID(*e.Req)}}, nil
+		return Happening{Event: balancer.RequestAbandoned{ID: balancer.RequestID(*e.Req)}}, nil
 	case "note_from":
 		var e struct {
 			From  *int   `json:"from"`
@@ -71,7 +71,7 @@
 		if e.From == nil {
 			return Happening{}, missing("from")
 		}
-		return Happening{Event: decide.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+		return Happening{Event: balancer.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
 	case "roster_change":
 		return decodeList(raw)
 	case "up":
@@ -98,8 +98,8 @@
 	if e.Backend == nil {
 		return Happening{}, missing("backend")
 	}
-	server, took := decide.ServerID(*e.Backend), time.Duration(e.Delay)
-	var id decide.RequestID
+	server, took := balancer.ServerID(*e.Backend), time.Duration(e.Delay)
+	var id balancer.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
 			return Happening{}, missing("req")
@@ -107,10 +107,10 @@
 		if e.Leg == nil {
 			return Happening{}, missing("leg")
 		}
-		id = decide.RequestID(*e.Req)
+		id = balancer.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return Happening{Event: decide.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+		return Happening{Event: balancer.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
 	}
 	if e.Disposition == nil {
 		return Happening{}, missing("disposition")
@@ -121,9 +121,9 @@
 	}
 	report := decodeReport(e.Feedback)
 	if name == "probe_result" {
-		return Happening{Event: decide.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
+		return Happening{Event: balancer.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
 	}
-	return Happening{Event: decide.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Over: e.Over,
+	return Happening{Event: balancer.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Over: e.Over,
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
--- a/internal/wire/list.go
+++ b/internal/simwire/list.go
@@ -1,11 +1,11 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 type entry struct {
@@ -18,12 +18,12 @@
 	ReadyAt int64   `json:"ready_at_ns"`
 }
 
-var listKinds = map[string]decide.ListKind{
-	"D": decide.ListChanges, "F": decide.ListFull, "C": decide.ListCached, "X": decide.ListFailed,
+var listKinds = map[string]balancer.ListKind{
+	"D": balancer.ListChanges, "F": balancer.ListFull, "C": balancer.ListCached, "X": balancer.ListFailed,
 }
 
-var states = map[string]decide.ServerState{
-	"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone,
+var states = map[string]balancer.ServerState{
+	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Gone,
 }
 
 func decodeList(raw json.RawMessage) (Happening, error) {
@@ -39,7 +39,7 @@
 	if !ok {
 		return Happening{}, fmt.Errorf("unknown how %q", e.How)
 	}
-	l := decide.ListUpdate{Kind: kind, Version: e.Version}
+	l := balancer.ListUpdate{Kind: kind, Version: e.Version}
 	for i, it := range e.Items {
 		if it.Backend == nil {
 			return Happening{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
@@ -48,7 +48,7 @@
 		if !ok {
 			return Happening{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
 		}
-		l.Entries = append(l.Entries, decide.Server{ID: decide.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
+		l.Entries = append(l.Entries, balancer.Server{ID: balancer.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
 			Cell: it.Pod, State: state, Size: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
 	}
 	return Happening{Event: l}, nil
--- a/internal/wire/report.go
+++ b/internal/simwire/report.go
@@ -1,16 +1,16 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
 	"strconv"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // decodeReport skips the keys it does not know; a report with no known key is none.
-func decodeReport(values map[string]json.RawMessage) *decide.Report {
-	var r decide.Report
+func decodeReport(values map[string]json.RawMessage) *balancer.Report {
+	var r balancer.Report
 	known := false
 	for name, raw := range values {
 		v, err := strconv.ParseFloat(string(raw), 64)
@@ -24,7 +24,7 @@
 
 // SetReportField sets the value of a load report that the simulator, or a
 // server on a socket, calls so. It tells whether the name is known.
-func SetReportField(r *decide.Report, name string, v float64) bool {
+func SetReportField(r *balancer.Report, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
 		r.InFlight, r.HasInFlight = v, true
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,19 +1,19 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
-var effects = map[string]decide.Effect{"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
+var effects = map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
 
-var scopes = map[string]decide.Scope{"cell": decide.ScopeCell, "zone": decide.ScopeZone, "all": decide.ScopeAll}
+var scopes = map[string]balancer.Scope{"cell": balancer.ScopeCell, "zone": balancer.ScopeZone, "all": balancer.ScopeAll}
 
-var reportVias = map[string]decide.ReportVia{
-	"none": decide.ReportNone, "probe": decide.ReportProbe, "answers": decide.ReportAnswers,
+var reportVias = map[string]balancer.ReportVia{
+	"none": balancer.ReportNone, "probe": balancer.ReportProbe, "answers": balancer.ReportAnswers,
 }
 
 // The values of weight_kind; a site that states none has no sizes.
@@ -33,17 +33,17 @@
 
 // DecodeSettings reads the settings of an instance, which the simulator and a
 // real node's configuration give in the same form.
-func DecodeSettings(raw json.RawMessage) (decide.Settings, error) {
+func DecodeSettings(raw json.RawMessage) (balancer.Settings, error) {
 	s, problems := ReadSettings(raw)
 	if len(problems) > 0 {
-		return decide.Settings{}, problems[0]
+		return balancer.Settings{}, problems[0]
 	}
 	return s, nil
 }
 
 // ReadSettings is the same, and says all that is wrong with them; of values that
 // have a wrong type, the first.
-func ReadSettings(raw json.RawMessage) (s decide.Settings, problems []error) {
+func ReadSettings(raw json.RawMessage) (s balancer.Settings, problems []error) {
 	var p *SettingsForm
 	if err := json.Unmarshal(raw, &p); err != nil {
 		problems = append(problems, err)
@@ -64,7 +64,7 @@
 			problems = append(problems, fmt.Errorf("unknown %s %q", c.key, c.value))
 		}
 	}
-	s = decide.Settings{Nodes: p.Balancers, Self: p.Slot, Zone: p.Zone, Zones: p.Domains, Kinds: p.Kinds,
+	s = balancer.Settings{Nodes: p.Balancers, Self: p.Slot, Zone: p.Zone, Zones: p.Domains, Kinds: p.Kinds,
 		MaxAttempts: p.Caps.MaxAttempts, MayOverlap: p.Caps.MayDuplicate, MayCancel: p.Caps.Cancel,
 		MayProbe: p.Caps.Probes, MayMessage: p.Caps.Peers, HoldOffs: p.Caps.RetryAfter,
 		MaxHoldOff: time.Duration(p.Caps.MaxRetryAfter), MarksRepeats: p.Habits.MarksRetry,
@@ -81,9 +81,9 @@
 		StreamsPerConn: p.Caps.Multiplex, ConnIdle: time.Duration(p.Caps.ConnIdle), MaxOpen: p.Caps.MostHeld,
 		CPUPerSecond:  time.Duration(p.Caps.CPUPerSecond * float64(time.Microsecond)),
 		CPUPerRequest: time.Duration(p.Caps.CPUPerRequest * float64(time.Microsecond)),
-		Goal: decide.Goal{Whole: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
+		Goal: balancer.Goal{Whole: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
 			WorstTenant: p.Goal.WorstTenant},
-		Prices: decide.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
+		Prices: balancer.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
 			CrossZone: p.Charges.CrossZone, Waste: p.Charges.Waste, LateFail: p.Charges.LateFail,
 			Probe: p.Charges.Probe, Message: p.Charges.Peer, Moves: p.Charges.Moves, Origin: p.Charges.Origin,
 			ListLines: p.Charges.Lines, Fleet: p.Charges.Fleet}}
@@ -93,16 +93,16 @@
 			problems = append(problems, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect))
 		}
 		scope, ok := scopes[c.KeyScope]
-		if !ok && (c.KeyScope != "" || effect == decide.Keyed) {
+		if !ok && (c.KeyScope != "" || effect == balancer.Keyed) {
 			problems = append(problems, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope))
 		}
-		s.Classes = append(s.Classes, decide.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
 			AimStretch: c.AimStretch, Deadline: time.Duration(c.GiveUp), LateWorth: c.LateWorth, Effect: effect,
 			KeyScope: scope, DedupWindow: time.Duration(c.Dedup), Streamed: c.Streamed,
 			OnlyZones: c.Domains, OnlyKinds: c.AllowedOn})
 	}
 	for _, t := range p.Accounts {
-		s.Tenants = append(s.Tenants, decide.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
 	}
 	return s, problems
 }
--- a/internal/wire/settings_form.go
+++ b/internal/simwire/settings_form.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 // SettingsForm is the form of settings: which keys there are, and the types of their values.
 type SettingsForm struct {
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire translates between the simulator's JSON lines and the decision
 // module's types. It decides nothing.
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 // The codes by which the wire names outcomes.
@@ -30,15 +30,15 @@
 	flagWrite  = 4
 )
 
-var outcomes = map[int]decide.OutcomeCode{
-	codeOK: decide.OK, codeCancelled: decide.Cancelled, codeTimeout: decide.TimedOut, codeFull: decide.Full,
-	codeMoot: decide.Moot, codeReset: decide.Reset, codeError: decide.ServerError,
-	codeConnectFailed: decide.ConnectFailed,
+var outcomes = map[int]balancer.OutcomeCode{
+	codeOK: balancer.OK, codeCancelled: balancer.Cancelled, codeTimeout: balancer.TimedOut, codeFull: balancer.Full,
+	codeMoot: balancer.Moot, codeReset: balancer.Reset, codeError: balancer.ServerError,
+	codeConnectFailed: balancer.ConnectFailed,
 }
 
 // Start is an `up`: an instance begins.
 type Start struct {
-	Settings decide.Settings
+	Settings balancer.Settings
 	Seed     int64
 }
 
@@ -46,7 +46,7 @@
 type Happening struct {
 	Start  *Start
 	Retire bool
-	Event  decide.Event
+	Event  balancer.Event
 }
 
 // Group holds the events of one instance.
@@ -57,7 +57,7 @@
 
 // Batch is one line from the simulator.
 type Batch struct {
-	Now    decide.Time
+	Now    balancer.Time
 	Groups []Group
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"indigotack/decide"
+	"wrenspread/balancer"
 )
 
 const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
@@ -36,23 +36,23 @@
 	h := one(t, strings.ReplaceAll(start, "\n", ""))
 	s := h.Start.Settings
 	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.AskForList || !s.SizeLive || !s.MayOverlap ||
-		s.ReportVia != decide.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
+		s.ReportVia != balancer.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
 		t.Errorf("%+v", h.Start)
 	}
 	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpen != 9 || s.ConnIdle != 5 ||
-		s.StreamsPerConn != 100 || s.Prices != (decide.Prices{CrossZone: 0.02, ListLines: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
-		s.Goal != (decide.Goal{Whole: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.WarmKeys || s.PassesDeadline {
+		s.StreamsPerConn != 100 || s.Prices != (balancer.Prices{CrossZone: 0.02, ListLines: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
+		s.Goal != (balancer.Goal{Whole: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.WarmKeys || s.PassesDeadline {
 		t.Errorf("%+v", s)
 	}
 	c := s.Classes[0]
-	if c.Effect != decide.Keyed || c.KeyScope != decide.ScopeCell || c.Worth != 12 || !c.Streamed || c.Deadline != 1200*time.Millisecond {
+	if c.Effect != balancer.Keyed || c.KeyScope != balancer.ScopeCell || c.Worth != 12 || !c.Streamed || c.Deadline != 1200*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 }
 
 // Where a key is absent there is no such rule; an empty list opens nothing.
 func TestPlacementAndDrainClose(t *testing.T) {
-	class := func(extra string) decide.Settings {
+	class := func(extra string) balancer.Settings {
 		return one(t, `{"up":{"seed":1,"profile_data":{"invariants":{"drain_close_ns":500000000},"weight_kind":"rough","classes":[
 			{"name":"x","effect":"retryable"`+extra+`}]}}}`).Start.Settings
 	}
@@ -73,11 +73,11 @@
 }
 
 func TestOutcomeCodes(t *testing.T) {
-	for code, want := range map[string]decide.OutcomeCode{"0": decide.OK, "13": decide.ServerError, "8": decide.Full,
-		"4": decide.TimedOut, "14": decide.ConnectFailed, "10": decide.Reset, "1": decide.Cancelled, "9": decide.Moot} {
+	for code, want := range map[string]balancer.OutcomeCode{"0": balancer.OK, "13": balancer.ServerError, "8": balancer.Full,
+		"4": balancer.TimedOut, "14": balancer.ConnectFailed, "10": balancer.Reset, "1": balancer.Cancelled, "9": balancer.Moot} {
 		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
-		e := h.Event.(decide.AttemptEnded)
+		e := h.Event.(balancer.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.Over || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: %+v", code, e)
 		}
@@ -86,7 +86,7 @@
 
 func TestReportWithNoKnownFieldIsNone(t *testing.T) {
 	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
-	if e := h.Event.(decide.AttemptEnded); e.Report != nil {
+	if e := h.Event.(balancer.AttemptEnded); e.Report != nil {
 		t.Errorf("%+v", e.Report)
 	}
 }
@@ -129,11 +129,11 @@
 }
 
 func TestReplyIsJSON(t *testing.T) {
-	line := AppendReply(nil, []Reply{{Node: 3, Actions: []decide.Action{
-		decide.Send{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}, decide.Refuse{ID: "q", HoldOff: 5},
-		decide.Fail{ID: "q"}, decide.CancelAttempt{ID: "q", Attempt: 1}, decide.SetTimer{After: 5, Token: 77},
-		decide.Probe{Server: 1}, decide.SendMessage{ToAll: true, Data: []byte("hi")}, decide.SendMessage{To: 2},
-		decide.Subscribe{On: true}, decide.FetchList{}, decide.CloseIdle{Server: 1}, decide.Log{Line: "a \"b\""}}}, {Node: 4}})
+	line := AppendReply(nil, []Reply{{Node: 3, Actions: []balancer.Action{
+		balancer.Send{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}, balancer.Refuse{ID: "q", HoldOff: 5},
+		balancer.Fail{ID: "q"}, balancer.CancelAttempt{ID: "q", Attempt: 1}, balancer.SetTimer{After: 5, Token: 77},
+		balancer.Probe{Server: 1}, balancer.SendMessage{ToAll: true, Data: []byte("hi")}, balancer.SendMessage{To: 2},
+		balancer.Subscribe{On: true}, balancer.FetchList{}, balancer.CloseIdle{Server: 1}, balancer.Log{Line: "a \"b\""}}}, {Node: 4}})
 	var v struct {
 		Groups []struct {
 			Node    int                         `json:"node_id"`
--- a/internal/sock/sock.go
+++ b/internal/socketoption/sock.go
@@ -1,5 +1,5 @@
 // Package sock asks the system about sockets, beside those who read them.
-package sock
+package socketoption
 
 import (
 	"syscall"
--- a/internal/tenant/conductor.go
+++ b/internal/tenant/conductor.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/pause"
+	"wrenspread/internal/backoff"
 )
 
 // Duty is the duty whose holder conducts all tenants.
@@ -61,7 +61,7 @@
 			s, err := c.stored(ctx)
 			if err != nil {
 				c.Log.Warn("the tenants' records can't be read", "err", err)
-				pause.For(ctx, failRest)
+				backoff.Sleep(ctx, failRest)
 				continue
 			}
 			m = Load(time.Since(start), s, c.Times, c.HashTree)
@@ -73,9 +73,9 @@
 		case err != nil:
 			c.Log.Warn("a round is broken off; the next begins from the records", "err", err)
 			m = nil
-			pause.For(ctx, failRest)
+			backoff.Sleep(ctx, failRest)
 		default:
-			pause.For(ctx, c.Every)
+			backoff.Sleep(ctx, c.Every)
 		}
 	}
 	return ctx.Err()
--- a/internal/tenant/fixture_test.go
+++ b/internal/tenant/fixture_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"indigotack/internal/fixture"
+	"wrenspread/internal/fixture"
 )
 
 // TestRecordFormsAreUnchanged compares the tenants' records, the catalogue and the reports with golden files.
--- a/internal/tenant/fleet.go
+++ b/internal/tenant/fleet.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"net/http"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
-	quotarecord "indigotack/internal/quota/record"
+	quotarecord "wrenspread/internal/quota/record"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // PolicyKey is the record of the table that holds.
@@ -61,7 +61,7 @@
 func (f Listed) Boxes(ctx context.Context) (all []Box, err error) {
 	a, err := f.List.Current(ctx)
 	for _, e := range a.Endpoints {
-		if e.Status == list.Ready {
+		if e.Status == registry.Ready {
 			all = append(all, Box{e.Zone, e.Type, e.Group})
 		}
 	}
--- a/internal/tenant/form.go
+++ b/internal/tenant/form.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Bounds on what a tenant may have. MaxForm keeps a page of the catalogue, which
@@ -29,7 +29,7 @@
 
 // MaxTreeTenants is how many there may be where the catalogue is a hash tree: with their pages, of
 // which a tenant has its own while there are few, they leave the list service a tenth of its records.
-const MaxTreeTenants = max(min(200_000, list.MaxRecords*9/10-treePages), list.MaxRecords*2/5)
+const MaxTreeTenants = max(min(200_000, registry.MaxRecords*9/10-treePages), registry.MaxRecords*2/5)
 
 // Form is what a tenant is: its namespace, its quotas and its routes, always together.
 type Form struct {
@@ -120,8 +120,8 @@
 			return fmt.Errorf("%s: %d, want %d to %d", c.key, len(c.all), c.least, c.most)
 		}
 		sorted := slices.Sorted(slices.Values(c.all))
-		if len(slices.Compact(sorted)) != len(c.all) || slices.ContainsFunc(c.all, func(s string) bool { return s == "" || len(s) > list.MaxText }) {
-			return fmt.Errorf("%s: want each once, with 1 to %d bytes", c.key, list.MaxText)
+		if len(slices.Compact(sorted)) != len(c.all) || slices.ContainsFunc(c.all, func(s string) bool { return s == "" || len(s) > registry.MaxText }) {
+			return fmt.Errorf("%s: want each once, with 1 to %d bytes", c.key, registry.MaxText)
 		}
 	}
 	if len(f.Routes) > MaxRoutes || len(f.Quotas) > MaxRoutes {
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // The catalogue is written as a head and pages, which are named by their digests and
@@ -87,8 +87,8 @@
 	if raw, err = json.Marshal(p); err != nil {
 		return "", nil, fmt.Errorf("tenant: a page of the catalogue: %w", err)
 	}
-	if len(raw) > list.MaxRecord {
-		return "", nil, fmt.Errorf("tenant: a page of the catalogue has %d bytes, %d at most", len(raw), list.MaxRecord)
+	if len(raw) > registry.MaxRecord {
+		return "", nil, fmt.Errorf("tenant: a page of the catalogue has %d bytes, %d at most", len(raw), registry.MaxRecord)
 	}
 	return digestOf(raw), raw, nil
 }
--- a/internal/tenant/reader.go
+++ b/internal/tenant/reader.go
@@ -9,13 +9,13 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/list"
+	"wrenspread/internal/registry"
 )
 
 // Source has the records: the list service's client, or what stands for it where that is
 // too small. One that is not there is a client.Refused with 404.
 type Source interface {
-	Record(ctx context.Context, key string) (list.Record, error)
+	Record(ctx context.Context, key string) (registry.Record, error)
 }
 
 // Reader reads the catalogue for a node's Desk, from the list service as it is now.
--- a/internal/tenant/standing.go
+++ b/internal/tenant/standing.go
@@ -5,7 +5,7 @@
 	"context"
 	"slices"
 
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry/client"
 )
 
 // Standing is how far a tenant is, as an operator asks.
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -9,32 +9,32 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"indigotack/internal/list"
-	"indigotack/internal/list/client"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
 )
 
 // Records keeps tenants in the list service, under the conductor's fence.
 type Records struct {
 	List  *client.Client
-	Fence list.Fence
+	Fence registry.Fence
 
 	mu   sync.Mutex
-	seen map[string]list.Record // orders by key, as far as they were read
+	seen map[string]registry.Record // orders by key, as far as they were read
 }
 
 // is tells whether the service's refusal has a code.
-func is(err error, code list.Code) bool {
+func is(err error, code registry.Code) bool {
 	var r *client.Refused
 	return errors.As(err, &r) && r.Code == string(code)
 }
 
 // values reads the records under a prefix, as they are now. One that goes in between is passed over.
-func values(ctx context.Context, k *client.Client, prefix string, seen map[string]list.Record) ([]list.Record, error) {
+func values(ctx context.Context, k *client.Client, prefix string, seen map[string]registry.Record) ([]registry.Record, error) {
 	keys, err := k.Records(ctx, prefix)
 	if err != nil {
 		return nil, err
 	}
-	all := make([]list.Record, len(keys))
+	all := make([]registry.Record, len(keys))
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(together)
 	for i, one := range keys {
@@ -159,7 +159,7 @@
 func (r *Records) Asks(ctx context.Context) (all []Ask, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	next := map[string]list.Record{}
+	next := map[string]registry.Record{}
 	for _, prefix := range []string{ForgetPrefix, AskPrefix} {
 		found, err := values(ctx, r.List, prefix, r.seen)
 		if err != nil {
@@ -188,7 +188,7 @@
 	}
 	got, err := r.List.As(r.Fence).Put(ctx, p.Key, p.Value, cond)
 	switch {
-	case is(err, list.Fenced):
+	case is(err, registry.Fenced):
 		return 0, fmt.Errorf("%w: %w", ErrTaken, err)
 	case p.Value == nil && none(err): // it is gone already
 		return 0, nil
@@ -205,7 +205,7 @@
 	}
 	absent := uint64(0)
 	_, err = k.Put(ctx, askKey(o.Do, name), raw, &absent)
-	if is(err, list.Conflict) {
+	if is(err, registry.Conflict) {
 		return false, nil
 	}
 	return err == nil, err
--- a/internal/timeline/kept/kept.go
+++ b/internal/timeline/golden/kept.go
@@ -1,5 +1,5 @@
 // Package kept compares drawings with those kept in testdata. It is for tests.
-package kept
+package golden
 
 import (
 	"testing"
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "indigotack/internal/seeded"
+	_ "wrenspread/internal/rapidseed"
 )
 
 // Whatever happened, it is in the drawing or counted, no line is too wide, and the order of telling does not matter.
