--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -1,73 +1,72 @@
 package balancer
 
-// What the module tells its caller to do.
-
 import "time"
 
-// Action is something the caller is to do. The types below are all there are.
+// Action is something that the caller is to do. The types below are all there are.
 type Action interface{ action() }
 
-// Actions.
-type (
-	// Send starts an attempt; a request's attempts count 0, 1, 2 in this order.
-	Send struct {
-		ID      RequestID
-		Server  ServerID
-		Timeout time.Duration // 0: until the client stops waiting
-		Before  Time          // nothing of it may be written from then on, however late its connection comes up
-	}
-	// Refuse is a final answer: a new try does no harm.
-	Refuse struct {
-		ID      RequestID
-		HoldOff time.Duration // how long the client should wait; 0: no advice
-		Status  int           // that the client is told; 0: 503
-	}
-	// Fail is a final answer that promises nothing.
-	Fail struct{ ID RequestID }
-	// CancelAttempt stops waiting for an attempt.
-	CancelAttempt struct {
-		ID      RequestID
-		Attempt int
-	}
-	// SetTimer asks for a TimerFired.
-	SetTimer struct {
-		After time.Duration
-		Token int64
-	}
-	// Probe checks a server.
-	Probe struct{ Server ServerID }
-	// SendMessage goes to one node, or to all.
-	SendMessage struct {
-		To    int
-		ToAll bool
-		Data  []byte
-	}
-	// Subscribe asks discovery for changes from now on, or stops them. A
-	// ListUpdate answers it sooner or later, ListFailed if the call comes to
-	// nothing.
-	Subscribe struct{ On bool }
-	// FetchList asks discovery for the full list once.
-	FetchList struct{}
-	// CloseIdle closes this node's idle connections to a server.
-	CloseIdle struct{ Server ServerID }
-	// Log is a line for the operators.
-	Log struct{ Line string }
-)
+// StartAttempt forwards a request to an endpoint. A request's attempts are numbered 0, 1, 2 in the order of
+// these actions.
+type StartAttempt struct {
+	ID       RequestID
+	Endpoint EndpointID
+	Timeout  time.Duration // 0: until the client stops waiting
+	WriteBy  Time          // nothing of it may be written from then on, however late its connection comes up
+}
+
+// Reject is a final answer. It promises that a new try does no harm.
+type Reject struct {
+	ID         RequestID
+	RetryAfter time.Duration // how long the client should wait; 0: no advice
+	Status     int           // HTTP status; 0: 503
+}
+
+// Fail is a final answer that promises nothing: the request may have run.
+type Fail struct{ ID RequestID }
+
+// CancelAttempt stops waiting for an attempt, which then ends with Cancelled.
+type CancelAttempt struct {
+	ID      RequestID
+	Attempt int
+}
+
+// SetTimer asks for a TimerFired.
+type SetTimer struct {
+	After time.Duration
+	Token int64
+}
+
+// QueryLoad asks an endpoint for a load report, which LoadQueryEnded brings.
+type QueryLoad struct{ Endpoint EndpointID }
+
+// SendMessage sends gossip to one proxy, or to all.
+type SendMessage struct {
+	To    int // index of the proxy
+	ToAll bool
+	Data  []byte
+}
+
+// Subscribe opens a watch of the endpoint list, or ends it. An EndpointsUpdated answers it sooner or later,
+// of kind UpdateFailed if the call comes to nothing.
+type Subscribe struct{ On bool }
+
+// FetchEndpoints asks discovery for the complete list once.
+type FetchEndpoints struct{}
+
+// CloseIdleConnections closes this proxy's idle connections to an endpoint.
+type CloseIdleConnections struct{ Endpoint EndpointID }
 
-func (Send) action()          {}
-func (Refuse) action()        {}
-func (Fail) action()          {}
-func (CancelAttempt) action() {}
-func (SetTimer) action()      {}
-func (Probe) action()         {}
-func (SendMessage) action()   {}
-func (Subscribe) action()     {}
-func (FetchList) action()     {}
-func (CloseIdle) action()     {}
-func (Log) action()           {}
+// Log is a line for the operators.
+type Log struct{ Line string }
 
-// MostAskWait bounds the wait from ListFailed to the next Subscribe. A change is to be known 6 s after discovery has
-// it and can be reached, whatever calls failed before. A call that began just ahead of that moment may stay silent for
-// 1.5 s, and the next may be answered as late (internal/registry/client: graceAsked): 1.5 s + 2.7 s + 1.5 s, and some for
-// the node's own clock. Where the settings want lists asked for more often, the wait is shorter still.
-const MostAskWait = 2700 * time.Millisecond
+func (StartAttempt) action()         {}
+func (Reject) action()               {}
+func (Fail) action()                 {}
+func (CancelAttempt) action()        {}
+func (SetTimer) action()             {}
+func (QueryLoad) action()            {}
+func (SendMessage) action()          {}
+func (Subscribe) action()            {}
+func (FetchEndpoints) action()       {}
+func (CloseIdleConnections) action() {}
+func (Log) action()                  {}
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -1,108 +1,107 @@
 package balancer
 
-// An attempt: the rules on sending, what counts at its server, its end. The interface is in api.go.
+import (
+	"math"
+	"time"
+)
 
-import "time"
-
-// maySend holds every rule on sending; each send passes it.
-func (m *Module) maySend(r *request, s *server) bool {
-	if r.done || r.started || m.now >= r.deadline || len(r.attempts) >= max(1, min(r.most, m.set.MaxAttempts)) ||
-		s.State != Ready || s.banned || !r.class.group.open(s) || r.out >= 2 || r.out > 0 && !m.set.MayOverlap {
+// startAttempt is the only way to an endpoint. It reports false, and does nothing, if there is none or
+// canSend forbids it.
+func (b *Balancer) startAttempt(r *request, e *endpoint, timeout time.Duration) bool {
+	if e == nil || b.canSend(r, e) != sendAllowed {
 		return false
 	}
-	for i := range r.attempts {
-		a, c := &r.attempts[i], r.class
-		if a.server == s || a.mayRun && c.Effect != Safe && (c.Effect == Unsafe ||
-			m.now+m.set.MinTick >= r.known() || c.KeyScope == ScopeZone && s.Zone != a.server.Zone ||
-			c.KeyScope == ScopeCell && s.Cell != a.server.Cell) {
-			return false
-		}
+	writeBy := min(r.deadline, r.dedupUntil())
+	work := r.relativeWork * r.class.relativeCost
+	r.attempts = append(r.attempts, attempt{
+		endpoint:   e,
+		sentAt:     b.now,
+		mayHaveRun: true,
+		uncounted:  r.incomplete,
+		work:       work,
+	})
+	r.attemptsInFlight++
+	e.slowStartTokens -= work
+	b.lastAttemptAt = b.now
+	b.emit(StartAttempt{ID: r.id, Endpoint: e.ID, Timeout: min(timeout, r.deadline-b.now), WriteBy: writeBy})
+	if !r.incomplete { // else it counts from when its last byte is sent
+		b.addInFlight(&r.attempts[len(r.attempts)-1])
 	}
 	return true
 }
 
-// known is until when a keyed request that may have run is known where it was first sent.
-func (r *request) known() Time {
-	for i := range r.attempts {
-		if a := &r.attempts[i]; a.mayRun && r.class.Effect == Keyed {
-			return a.sent + r.class.DedupWindow
-		}
+// addInFlight counts an attempt that its endpoint now works on.
+func (b *Balancer) addInFlight(a *attempt) {
+	e := a.endpoint
+	a.queuedAhead = e.inFlight
+	e.inFlight++
+	e.unansweredSends++
+	if e.unansweredSends == ejectAfter {
+		b.unresponsive.insert(e)
+		e.unresponsiveSince = b.now // earlier attempts are overdue by the time at which this one is
 	}
-	return forever
+	b.changeLoad(e, a.work, 0)
 }
 
-// send is the only way to a server.
-func (m *Module) send(r *request, s *server, timeout time.Duration) bool {
-	if s == nil || !m.maySend(r, s) {
-		return false
-	}
-	work, before := r.heavy*r.class.relative, min(r.deadline, r.known())
-	r.attempts = append(r.attempts,
-		attempt{server: s, sent: m.now, mayRun: true, lost: r.coming, work: work})
-	r.out++
-	s.tokens, m.sentAt = s.tokens-work, m.now
-	m.do(Send{ID: r.id, Server: s.ID, Timeout: min(timeout, r.deadline-m.now), Before: before})
-	if !r.coming { // else it counts from its last byte on
-		m.count(r, &r.attempts[len(r.attempts)-1])
-	}
-	return true
+// removeInFlight takes an attempt out of its endpoint's count. latency is what it has shown of a mean
+// request, in seconds; 0: nothing.
+func (b *Balancer) removeInFlight(a *attempt, latency float64) {
+	a.uncounted = true
+	a.endpoint.inFlight = max(0, a.endpoint.inFlight-1)
+	b.changeLoad(a.endpoint, -a.work, latency)
 }
 
-// count has an attempt whose server works on it count there.
-func (m *Module) count(r *request, a *attempt) {
-	s := a.server
-	a.ahead = s.n
-	s.n++
-	if s.unanswered++; s.unanswered == suspectAt {
-		m.silent.put(s)
-		s.muteSince = m.now // the earlier ones are overdue by then, and this one must be
+// changeLoad adds work, in mean requests, to what this proxy has in flight at an endpoint, and tells its
+// peers.
+func (b *Balancer) changeLoad(e *endpoint, work, latency float64) {
+	e.inFlightWork = math.Max(0, e.inFlightWork+work)
+	if e.inFlight == 0 {
+		e.inFlightWork = 0 // rounding errors must not add up
+	}
+	if b.takeGossipCPU(e, work < 0) {
+		b.gossipLoad(e, latency)
 	}
-	m.hold(s, a.work, 0)
-}
-
-// uncount takes it out again, with the latency that it has shown, if it has.
-func (m *Module) uncount(a *attempt, latency float64) {
-	a.lost = true
-	a.server.n = max(0, a.server.n-1)
-	m.hold(a.server, -a.work, latency)
 }
 
-// start takes the beginning of an answer. In a class that does not stream, the work is done by then.
-func (m *Module) start(r *request, a *attempt, took time.Duration) {
-	r.started = true
-	m.learn(a, r, took)
-	if !r.class.Streamed && !a.ended && !a.lost {
-		m.uncount(a, took.Seconds()/r.class.relative)
+// responseStarted takes the beginning of a response. In a class that does not stream, the work is done by
+// then.
+func (b *Balancer) responseStarted(r *request, a *attempt, elapsed time.Duration) {
+	r.responseStarted = true
+	b.recordResponse(a, r, elapsed)
+	if !r.class.Streamed && !a.ended && !a.uncounted {
+		b.removeInFlight(a, elapsed.Seconds()/r.class.relativeCost)
 	}
 }
 
-func (m *Module) ended(e AttemptEnded) {
-	r := m.requests[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+// attemptEnded takes the end of an attempt, and ends its request or makes a retry.
+func (b *Balancer) attemptEnded(event AttemptEnded) {
+	r := b.requests[event.ID]
+	if r == nil || event.Attempt < 0 || event.Attempt >= len(r.attempts) || r.attempts[event.Attempt].ended {
 		return
 	}
-	a := &r.attempts[e.Attempt]
-	a.ended, a.mayRun = true, !e.Code.neverSent()
-	r.out--
-	if !a.lost {
-		m.uncount(a, latencySeen(r, e))
+	a := &r.attempts[event.Attempt]
+	a.ended = true
+	a.mayHaveRun = !event.Outcome.provesNotRun()
+	r.attemptsInFlight--
+	if !a.uncounted {
+		b.removeInFlight(a, observedLatency(r, event))
 	}
-	if e.Code == OK || e.Code == ServerError {
-		a.server.heard = max(a.server.heard, a.sent)
+	if event.Outcome == OK || event.Outcome == ServerError {
+		a.endpoint.lastAnsweredSend = max(a.endpoint.lastAnsweredSend, a.sentAt)
 	}
-	if a.server.State != Ready || a.server.banned {
-		m.do(CloseIdle{Server: a.server.ID}) // its connection carries nothing now
+	if a.endpoint.State != Ready || a.endpoint.inMaintenance {
+		b.emit(CloseIdleConnections{Endpoint: a.endpoint.ID}) // its connection is idle now
 	}
-	m.reported(a.server, e.Report)
-	m.judge(a.server, r, e)
+	b.recordLoadReport(a.endpoint, event.LoadReport)
+	b.recordOutcome(a.endpoint, r, event)
 	switch {
-	case r.done && r.out == 0:
-		delete(m.requests, r.id)
-	case e.Over:
-		m.close(r)
-	case r.out == 0 && e.Spent:
-		m.finish(r)
-	case r.out == 0:
-		m.place(r)
+	case r.answered && r.attemptsInFlight == 0:
+		delete(b.requests, r.id)
+	case event.RequestAnswered:
+		b.closeRequest(r)
+	case r.attemptsInFlight == 0 && event.BodyDiscarded:
+		b.giveUp(r)
+	case r.attemptsInFlight == 0:
+		b.dispatch(r)
 	}
 }
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -1,102 +1,104 @@
 package balancer
 
-// What each event leads to, and the round of checks. The interface is in api.go.
+import "time"
 
-import (
-	"math"
-	"time"
-)
+const tickInterval = 25 * time.Millisecond // of the round of checks: well under any latency objective
 
-const tickEvery = 25 * time.Millisecond // s; the round of checks: well under any aim
-
-// Handle takes an event and returns what is to be done about it, in order.
-func (m *Module) Handle(now Time, e Event) []Action {
-	m.now, m.out = now, nil
-	timer := SetTimer{After: max(tickEvery, m.set.MinTick)}
-	if !m.ticking {
-		m.ticking, m.periodAt = true, now
-		m.askAt = now + time.Duration(m.random()*float64(m.askLeast()))
-		m.do(timer)
+// Handle takes an event and returns what is to be done about it, in order. now must not go back.
+func (b *Balancer) Handle(now Time, event Event) []Action {
+	b.now = now
+	b.actions = nil
+	if !b.ticking {
+		b.startTicking()
 	}
-	switch e := e.(type) {
+	switch event := event.(type) {
 	case RequestArrived:
-		m.arrive(e)
+		b.requestArrived(event)
+	case RequestSent:
+		b.requestSent(b.requests[event.ID], event.Timeout)
+	case RequestAbandoned:
+		b.closeRequest(b.requests[event.ID])
+	case AttemptEnded:
+		b.attemptEnded(event)
+	case ResponseStarted:
+		if r := b.requests[event.ID]; r != nil && event.Attempt >= 0 && event.Attempt < len(r.attempts) {
+			b.responseStarted(r, &r.attempts[event.Attempt], event.Elapsed)
+		}
+	case LoadQueryEnded:
+		b.loadQueryEnded(event)
 	case SettingsChanged:
-		m.adopt(e.Settings)
-		m.relist(nil, m.part)
+		b.applySettings(event.Settings)
+		b.rebuildSubsets(nil, b.subset)
+	case EndpointsUpdated:
+		b.updateEndpoints(event)
+	case Maintenance:
+		b.setMaintenance(event)
 	case Restored:
-		m.restore(e.Learned)
+		b.restore(event.Learned)
 	case HandedOver:
-		m.leaving = true
-	case Maintenance:
-		m.maintain(e)
-	case ListUpdate:
-		m.follow(e)
-	case AttemptEnded:
-		m.ended(e)
-	case StreamStarted:
-		if r := m.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
-			m.start(r, &r.attempts[e.Attempt], e.Elapsed)
-		}
-	case RequestWhole:
-		m.whole(m.requests[e.ID], e.Patience)
-	case RequestAbandoned:
-		m.close(m.requests[e.ID])
-	case ProbeEnded:
-		m.looked(e)
+		b.handedOver = true
 	case MessageReceived:
-		m.hear(e)
+		b.receiveGossip(event)
 	case TableChanged:
-		m.take(e)
-	case LevelChanged:
-		m.level = e.Level
+		b.setTable(event)
+	case DegradationChanged:
+		b.degradation = event.Level
 	case TimerFired:
-		if e.Token != lookToken {
-			m.tick()
-			m.do(timer)
+		if event.Token != loadQueryToken {
+			b.tick()
+			b.emit(b.tickTimer())
 		}
-		m.settle()
+		b.finishLoadQueries()
 	}
-	return m.out
+	return b.actions
 }
 
-func (m *Module) tick() {
-	m.survey()
-	m.suspects.keep(func(s *server) bool { return s.suspect })
-	m.silent.keep((*server).mute)
-	m.silent.turn(m.first)
-	for i := range m.silent.servers {
-		s := m.silent.at(i)
-		if m.mean > 0 && (m.now-s.muteSince).Seconds() > muteFactor*math.Max(m.mean, m.latencyOf(s)) {
-			m.accuse(s, "no answer") // to several sends, when the fleet's mean request is long done
-			s.away = true
+func (b *Balancer) tickTimer() SetTimer {
+	return SetTimer{After: max(tickInterval, b.settings.MinEventInterval)}
+}
+
+// startTicking sets the first timer. The first poll of discovery is spread, as proxies may start together.
+func (b *Balancer) startTicking() {
+	b.ticking = true
+	b.periodStart = b.now
+	b.nextPollAt = b.now + time.Duration(b.random()*float64(b.minPollWait()))
+	b.emit(b.tickTimer())
+}
+
+// tick is the round of checks.
+func (b *Balancer) tick() {
+	b.updateCandidates()
+	b.ejectUnresponsive()
+	for _, p := range b.placements {
+		b.updatePooled(p)
+		for _, e := range p.candidates {
+			b.overloadMode(p, e)
+			p.overloadSum += e.overload
+			p.overloadSamples++
 		}
 	}
-	for _, g := range m.groups {
-		m.pool(g)
-		for _, s := range g.near {
-			m.modeOf(g, s)
-			g.filled, g.ticks = g.filled+s.fill, g.ticks+1
+	b.checkOpenRequests()
+	if b.now-b.periodStart >= sheddingPeriod {
+		b.periodStart = b.now
+		for _, p := range b.placements {
+			p.startSheddingPeriod()
 		}
 	}
-	open := m.open[:0]
-	for _, r := range m.open {
-		if !r.done && !r.started && m.now >= r.deadline {
-			m.finish(r) // guards against an outcome that never comes
+	b.pollDiscovery()
+}
+
+// checkOpenRequests ends requests past their deadline, in case an outcome never comes, and gives up lost
+// attempts.
+func (b *Balancer) checkOpenRequests() {
+	open := b.openRequests[:0]
+	for _, r := range b.openRequests {
+		if !r.answered && !r.responseStarted && b.now >= r.deadline {
+			b.giveUp(r)
 		}
-		if !r.done {
-			m.overlook(r)
+		if !r.answered {
+			b.dropLostAttempts(r)
 			open = append(open, r)
 		}
 	}
-	m.open = open
-	if m.now-m.periodAt >= recompute {
-		m.periodAt = m.now
-		for _, g := range m.groups { // with none normal other requests go first, priority ones the nearer to R
-			q := (g.n2 + g.n1*g.filled/math.Max(1, g.ticks)) / math.Max(1, g.n1+g.n2)
-			g.q1, g.q2 = ShedSplit(q, g.n1, g.n2)
-			g.n1, g.n2, g.filled, g.ticks = 0, 0, 0, 0
-		}
-	}
-	m.ask()
+	b.openRequests = open
 }
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -1,111 +1,127 @@
 package balancer
 
-// Whether the operators' limits admit a request. The interface is in api.go, the table in table.go.
-
 import (
-	"slices"
-	"time"
+	"wrenspread/ratelimit"
 )
 
-// Admit judges a request by all limits that it touches, MostTouched at most: it is admitted when each of them
-// has the tokens, and takes them all, or else none. From the leaf to the fleet, the first that lacks them
-// refuses, at once. Requests without priority leave the reserve of a limit alone, and so go first when tokens
-// get scarce.
-func (t *Table) Admit(a Ask, h Hand) Verdict {
-	for i := range t.Levels[:min(max(a.Level, 0), len(t.Levels))] {
-		if _, refused := slices.BinarySearch(t.Levels[i].Refuse, a.Class); refused {
-			return Verdict{Limit: -1, Status: t.Levels[i].Status, RetryAfter: t.Levels[i].Wait}
-		}
-	}
-	parts, n := t.match(&a)
-	for _, p := range parts[:n] { // the one furthest in has the last word on priority, and of two the later axis
-		if part := &t.Parts[p]; part.Priority != 0 {
-			a.Priority = part.Priority > 0
-		}
-	}
-	var at [MostTouched]int
-	var amounts [MostTouched]float64
-	v, k := Verdict{OK: true}, 0
-	for i := n - 1; i >= 0; i-- {
-		part := &t.Parts[parts[i]]
-		for j := part.First; j < part.First+part.Count; j++ {
-			l := &t.Limits[j]
-			slot, amount := t.slot(j, a.Key), l.amount(&a)
-			if amount <= 0 {
-				continue
-			}
-			if h.Left(slot) < l.needed(amount, a.Priority, h, slot) {
-				for i, inner := range at[:k] { // it came to them, too
-					h.Refused(inner, amounts[i])
-				}
-				h.Refused(slot, amount)
-				return Verdict{Limit: j, Status: l.Status, RetryAfter: l.Wait}
-			}
-			at[k], amounts[k] = slot, amount
-			if k++; l.Unit == UnitOpen {
-				v.Held.limits[v.Held.count] = int16(j)
-				v.Held.count++
-			}
-		}
+// LimitCounts says what a table of limits has decided since it was set.
+type LimitCounts struct {
+	Requests        uint64
+	Rejected        uint64
+	Disagreements   uint64   // of a shadow table: the table in force decided otherwise
+	RejectedByLimit []uint64 // by limit; the last is by the degradation level
+}
+
+// The tables that a balancer has.
+const (
+	tableInForce = iota
+	shadowTable  // its decisions are counted alone
+)
+
+// limiter is a table with the proxy's tokens of it.
+type limiter struct {
+	table     *ratelimit.Table
+	tokens    ratelimit.Tokens
+	counts    LimitCounts
+	variantOf map[string]string // class by its variant, as limits know classes alone
+}
+
+// reservation is what an open request holds of a table's limits on concurrency.
+type reservation struct {
+	tokens ratelimit.Tokens
+	taken  ratelimit.Reservation
+}
+
+// LimitCounts returns the counts of the table in force and of the shadow table.
+func (b *Balancer) LimitCounts() (inForce, shadow LimitCounts) {
+	return b.limiters[tableInForce].counts, b.limiters[shadowTable].counts
+}
+
+// setTable replaces a table. Open requests return what they hold to the tokens that they took it from.
+func (b *Balancer) setTable(event TableChanged) {
+	l := limiter{table: event.Table, tokens: event.Tokens, variantOf: b.limiters[tableInForce].variantOf}
+	if event.Table != nil {
+		l.counts.RejectedByLimit = make([]uint64, len(event.Table.Limits)+1)
 	}
-	for i, slot := range at[:k] {
-		h.Take(slot, amounts[i])
+	if event.Shadow {
+		b.limiters[shadowTable] = l
+	} else {
+		b.limiters[tableInForce] = l
 	}
-	return v
 }
 
-// match finds the parts that a request touches, parents before children: of siblings of one axis the one that
-// has its word, or else the one for others.
-func (t *Table) match(a *Ask) (parts [MostParts]int32, n int) {
-	words := [...]string{OfSite: a.Site, OfBook: a.Book, OfClass: a.Class, OfPod: a.Pod}
-	n = 1
-	for i := 0; i < n; i++ {
-		for axis := OfSite; t.axes[parts[i]]>>axis != 0; axis++ {
-			if t.axes[parts[i]]>>axis&1 == 0 {
-				continue
-			}
-			child, ok := t.index[partKey{parts[i], axis, words[axis]}]
-			if !ok {
-				child, ok = t.index[partKey{parts[i], axis, Others}]
-			}
-			if ok {
-				parts[n] = child
-				n++
+// mapVariants tells the limiters which classes are variants, in the settings and in those before.
+func (b *Balancer) mapVariants() {
+	variantOf := map[string]string{}
+	for _, classes := range []map[string]*class{b.previousClasses, b.classes} {
+		for _, c := range classes {
+			if c.VariantOf != "" {
+				variantOf[c.Name] = c.VariantOf
 			}
 		}
 	}
-	return parts, n
+	for i := range b.limiters {
+		b.limiters[i].variantOf = variantOf
+	}
 }
 
-// amount is what a request takes of a limit, in its unit. A request without a key is free of limits by key.
-func (l *Limit) amount(a *Ask) float64 {
-	switch {
-	case l.Unit == UnitWork:
-		return float64(a.Cost) / float64(time.Millisecond)
-	case l.Unit == UnitRepeats && !a.Repeat, l.Unit == UnitKey && a.Key == "":
-		return 0
+// decide asks a table and counts its decision. Without a table everything is admitted.
+func (l *limiter) decide(request ratelimit.Request) ratelimit.Decision {
+	if l.table == nil {
+		return ratelimit.Decision{Admitted: true}
+	}
+	if class, isVariant := l.variantOf[request.Class]; isVariant {
+		request.Class = class
 	}
-	return 1
+	decision := l.table.Admit(request, l.tokens)
+	l.counts.Requests++
+	if !decision.Admitted {
+		l.counts.Rejected++
+		slots := len(l.counts.RejectedByLimit)
+		l.counts.RejectedByLimit[(decision.Limit+slots)%slots]++ // -1, of a degradation level, is the last
+	}
+	return decision
 }
 
-// needed is what must be left of a limit for a request to take its amount. All that a node can hold is enough
-// for any that it can hold.
-func (l *Limit) needed(amount float64, priority bool, h Hand, slot int) float64 {
-	if priority || l.Reserve == 0 {
-		return amount
+// releaseReservations returns what a request has held of limits on concurrency.
+func (r *request) releaseReservations() {
+	for _, held := range r.reservations {
+		if !held.taken.IsEmpty() {
+			held.taken.Release(held.tokens)
+		}
 	}
-	full := h.Full(slot)
-	return max(amount, min(amount+l.Reserve*full, full))
 }
 
-// slot is a limit's index at the hand: for one by key, that of the key's slot.
-func (t *Table) slot(limit int, key string) int {
-	if t.slots[limit] == 0 {
-		return limit
+// admitByLimits asks the table in force and the shadow table, and rejects the request if the former does.
+func (b *Balancer) admitByLimits(r *request, event *RequestArrived) bool {
+	inForce, shadow := &b.limiters[tableInForce], &b.limiters[shadowTable]
+	if inForce.table == nil && shadow.table == nil {
+		return true
+	}
+	request := ratelimit.Request{
+		Site:        b.settings.Zone,
+		Tenant:      event.Tenant,
+		Class:       event.Class,
+		Key:         event.Key,
+		Work:        seconds(r.class.meanWorkHint),
+		Retry:       event.ClientRetry,
+		Priority:    r.priority,
+		Degradation: b.degradation,
+	}
+	if event.HasWorkHint {
+		request.Work = event.WorkHint
+	}
+	decision := inForce.decide(request)
+	shadowDecision := shadow.decide(request)
+	if shadow.table != nil && decision.Admitted != shadowDecision.Admitted {
+		shadow.counts.Disagreements++
 	}
-	hash := uint64(0)
-	for i := range len(key) {
-		hash = mix(hash ^ uint64(key[i]))
+	r.reservations[tableInForce] = reservation{inForce.tokens, decision.Reservation}
+	r.reservations[shadowTable] = reservation{shadow.tokens, shadowDecision.Reservation}
+	if !decision.Admitted {
+		retryAfter := min(b.jitter(decision.RetryAfter), b.settings.MaxRetryAfter)
+		b.emit(Reject{ID: r.id, RetryAfter: retryAfter, Status: decision.Status})
+		b.closeRequest(r)
 	}
-	return int(t.slots[limit]) + int(hash%uint64(t.Limits[limit].Slots))
+	return decision.Admitted
 }
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -1,26 +1,41 @@
 package balancer
 
-// Servers taken out by hand, and back. Nothing of a request is decided here. The interface is in api.go.
-
 import "maps"
 
-// maintain takes a server out by hand, or back. It is restarted meanwhile, so nothing learned of it holds.
-func (m *Module) maintain(e Maintenance) {
-	if s := m.known[e.Server]; e.On != m.banned[e.Server] && s != nil {
-		if s.banned = e.On; e.On {
-			m.do(CloseIdle{Server: s.ID}) // those in use follow as they end
+// setMaintenance takes an endpoint out on an operator's order, or back. It holds whatever the list says. As
+// an endpoint in maintenance is restarted, nothing that was learned of it counts afterwards, and it begins a
+// slow start.
+func (b *Balancer) setMaintenance(event Maintenance) {
+	if event.On != b.maintenance[event.Endpoint] {
+		if e := b.endpoints[event.Endpoint]; e != nil {
+			b.changeMaintenance(e, event.On)
+		}
+		if event.On {
+			b.maintenance[event.Endpoint] = true
 		} else {
-			s.suspect, s.strikes, s.unanswered, s.failing, s.imposedUntil = false, 0, 0, 0, m.now
-			s.excess, s.rate, s.since = 0, 0, m.now
-			m.startCold(s, m.now)
+			b.rememberEndOfMaintenance(event.Endpoint)
+			delete(b.maintenance, event.Endpoint)
 		}
 	}
-	if m.banned[e.Server] && !e.On {
-		maps.DeleteFunc(m.lifted, func(_ ServerID, at Time) bool { return m.now-at > m.set.ColdTime })
-		m.lifted[e.Server] = m.now
-	}
-	if delete(m.banned, e.Server); e.On {
-		m.banned[e.Server] = true
+	b.updateCandidates()
+}
+
+func (b *Balancer) changeMaintenance(e *endpoint, on bool) {
+	e.inMaintenance = on
+	if on {
+		b.emit(CloseIdleConnections{Endpoint: e.ID}) // those in use are closed as their attempts end
+		return
 	}
-	m.survey()
+	e.forgetFailures(b.now)
+	e.excessLatency = 0
+	b.beginSlowStart(e, b.now)
+}
+
+// rememberEndOfMaintenance keeps the time for endpoints that are not listed, or leave the subset and come
+// back, while they may be in their slow start.
+func (b *Balancer) rememberEndOfMaintenance(id EndpointID) {
+	maps.DeleteFunc(b.maintenanceEnded, func(_ EndpointID, endedAt Time) bool {
+		return b.now-endedAt > b.settings.SlowStartDuration
+	})
+	b.maintenanceEnded[id] = b.now
 }
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -1,108 +1,79 @@
 package balancer
 
-// What nodes tell each other of the servers that they share. The interface is in api.go.
-
 import (
 	"math"
-	"time"
-)
-
-const (
-	notePoints = 0.005 // of the result, that telling of each request may cost
-	noteNodes  = 32.0  // nodes on a server beyond which each has better to do than to listen to all
-	noteCost   = 10e-6 // s; of processor time that one takes here and at its receiver, for the system calls
-	noteHolds  = 10.0  // mean latencies; a note holds so long, as the one that ends it may be lost
+	"slices"
+	"sort"
 )
 
-// share finds whether nodes tell each other of the servers that they share: those that each works with.
-// Each is counted once for each node and each of its groups at most.
-func (m *Module) share() {
-	n, pairs := float64(max(len(m.list.servers), m.total)), 0.0
-	m.changes++
-	m.tells, m.shares = false, m.set.MayMessage && !m.looks && m.set.Nodes > 1 && n > 0 && m.sharers <= noteNodes
-	if !m.shares {
-		return
-	}
-	if len(m.nodes) != m.set.Nodes {
-		m.nodes = nodesByStart(m.set.Nodes)
+// peersOf returns the other proxies that work with an endpoint; of one that has left the list, those that did
+// last. They are found when they are first asked for after a change.
+func (b *Balancer) peersOf(e *endpoint) []int {
+	index, listed := b.ring.find(e.ringPosition)
+	if e.peersVersion == b.ringVersion || !listed || b.ring.endpoints[index] != e {
+		return e.peers
 	}
-	dear := func(pairs float64) bool {
-		each := (2*noteBytes + 1) * pairs / n // at its start and at its end
-		return m.set.Prices.Message*each/256 > notePoints
+	e.peers = e.peers[:0]
+	e.peersVersion = b.ringVersion
+	if !b.tracksPeers {
+		return e.peers
 	}
-	others := float64(m.set.Nodes)
-	if m.set.Self >= 0 && m.set.Self < m.set.Nodes {
-		others--
-	}
-	for _, g := range m.groups {
-		pairs += others * g.reach
-	}
-	twice := n * float64(len(m.groups)-1) // the last of one group may be the first of the next
-	if m.total == 0 && dear(pairs) && !dear(pairs-twice) {
-		pairs = 0
-		for _, s := range m.list.servers {
-			pairs += float64(len(m.with(s)))
+	for _, p := range b.placements {
+		indexInPlacement, found := p.ring.find(e.ringPosition)
+		if !found {
+			continue
+		}
+		for _, proxy := range slices.Sorted(slices.Values(b.proxiesReaching(p, indexInPlacement, index))) {
+			n := len(e.peers)
+			duplicate := n > 0 && e.peers[n-1] == proxy // placements share endpoints
+			if proxy != b.settings.ProxyIndex && !duplicate {
+				e.peers = append(e.peers, proxy)
+			}
 		}
 	}
-	m.tells = !dear(pairs)
-}
-
-// tell lets the nodes that share a server know what this one has out there. The note replaces the one before,
-// so nothing adds up if it is lost, late or comes twice. With it goes the latency that an answer shows for a
-// mean request: each node alone has few answers of a server and knows it late.
-func (m *Module) tell(s *server, latency float64) {
-	if !m.tells || s.State != Ready {
-		return
-	}
-	data := encodeNote(s.ID, s.load, latency)
-	for _, node := range m.with(s) {
-		m.do(SendMessage{To: node, Data: data})
-	}
+	return e.peers
 }
 
-// spare takes the notes on an attempt out of the processor time for decisions. Where that is used up, a node
-// says no more that one begins: the next end of one at that server tells it too. Ends are told on credit.
-func (m *Module) spare(s *server, end bool) bool {
-	rate, cost := m.set.CPUPerSecond.Seconds(), noteCost*float64(len(m.with(s)))
-	m.spared = math.Min(rate/10, m.spared+rate*(m.now-m.sparedAt).Seconds())
-	m.sparedAt = m.now
-	if rate > 0 && !end && m.spared < cost {
-		return false
+// proxiesReaching returns the proxies that work with an endpoint of a placement, given by its index in the
+// placement's ring and in the ring of all: those that start at it, or at one of the endpoints before it, as
+// many as a proxy works with. If this proxy's subset begins too close to the endpoint, what is before it is
+// taken to be as dense as the subset.
+func (b *Balancer) proxiesReaching(p *placement, indexInPlacement, index int) []int {
+	if p.subsetSize >= b.placementSize(p) {
+		return b.proxiesByStart
 	}
-	m.spared = math.Max(-rate/10, m.spared-cost)
-	return true
-}
-
-// hear takes a note. One that this node does not understand, or about a server it has not listed, is nothing.
-func (m *Module) hear(e MessageReceived) {
-	id, load, latency, ok := decodeNote(e.Data)
-	s := m.known[id]
-	if !ok || s == nil || e.From < 0 || e.From >= m.set.Nodes || e.From == m.set.Self {
-		return
+	size := len(p.ring.endpoints)
+	reach := int(p.subsetSize)
+	if b.total == 0 {
+		first := p.ring.endpoints[(indexInPlacement-reach+size)%size]
+		before, _ := b.ring.find(first.ringPosition)
+		return b.proxiesStartingBetween(uint64(before), uint64(index))
 	}
-	if latency > 0 && m.mean > 0 {
-		m.weigh(s, latency)
+	position := p.ring.endpoints[indexInPlacement].ringPosition
+	steps := (indexInPlacement - p.ring.start + size) % size // from the start of the subset
+	if steps >= reach {
+		return b.proxiesStartingBetween(p.ring.at(steps-reach).ringPosition, position)
 	}
-	s.heardOf(note{from: e.From, load: load, at: m.now})
-}
-
-// loadOf is the work out at a server, in mean requests: this node's and what it has been told of others'.
-func (m *Module) loadOf(s *server) float64 {
-	load, holds := s.load, time.Duration(noteHolds*m.mean*float64(time.Second))
-	for _, t := range s.notes {
-		if m.now-t.at <= holds {
-			load += t.load
-		}
+	before := uint64(float64(reach-steps) / b.placementSize(p) * (1 << 64))
+	if position-b.start > math.MaxUint64-before {
+		return b.proxiesByStart // all around the ring
 	}
-	return load
+	return b.proxiesStartingBetween(b.start-before, position)
 }
 
-// hold adds an attempt's work to what this node has out at its server, or takes it off, with the latency.
-func (m *Module) hold(s *server, work, latency float64) {
-	if s.load = math.Max(0, s.load+work); s.n == 0 {
-		s.load = 0 // no rounding adds up
+// proxiesStartingBetween returns the proxies that start after one place and up to another. Places are indexes
+// in the ring of all endpoints or, if this proxy has a subset, ring positions.
+func (b *Balancer) proxiesStartingBetween(after, upTo uint64) []int {
+	startsAfter := func(place uint64) int {
+		return sort.Search(len(b.proxiesByStart), func(i int) bool {
+			if b.total > 0 {
+				return startPosition(b.proxiesByStart[i]) > place
+			}
+			return uint64(startIndex(b.proxiesByStart[i], len(b.ring.endpoints))) > place
+		})
 	}
-	if m.spare(s, work < 0) {
-		m.tell(s, latency)
+	if after > upTo {
+		return append(slices.Clone(b.proxiesByStart[startsAfter(after):]), b.proxiesByStart[:startsAfter(upTo)]...)
 	}
+	return b.proxiesByStart[startsAfter(after):startsAfter(upTo)]
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -1,7 +1,5 @@
 package balancer
 
-// A request from its arrival to its one final answer. The interface is in api.go.
-
 import (
 	"math"
 	"slices"
@@ -9,83 +7,145 @@
 )
 
 const (
-	comingMost = time.Hour // s; for a request to come: how fast it must is the caller's to say
-	holdPart   = 0.15      // part of the aim a refused client is told to wait, jittered
+	maxRequestReadTime = time.Hour // for a request to come; the caller enforces how fast it must
+	retryAfterShare    = 0.15      // of the latency objective, as Retry-After of a rejection, before jitter
 )
 
-func (m *Module) arrive(e RequestArrived) {
-	c := m.classOf(e.Class, e.Former)
-	r := &request{id: e.ID, class: c, most: m.set.MaxAttempts, arrived: m.now, deadline: m.now + e.Patience}
-	if r.coming = e.Coming; e.Coming {
-		r.deadline = m.now + comingMost
-	}
-	if e.Repeat { // its client has waited for so long at most
-		r.spent = max(0, c.Deadline-e.Patience)
-	}
-	if r.heavy = 1; e.HasHint && e.WorkHint > 0 {
-		c.hints++
-		c.hint += max(classGain, 1/c.hints) * (e.WorkHint.Seconds() - c.hint)
-		r.heavy = e.WorkHint.Seconds() / c.hint
-	}
-	m.requests[e.ID], m.open = r, append(m.open, r)
-	r.priority = m.random() < rank(c.Worth, c.group.top) && !m.worthless(r, 0)
-	t := m.tenants[e.Tenant] // over its share a request is worth little
-	r.priority = (t == nil || t.within(m.now)) && r.priority
-	if !m.permit(r, &e) {
+// requestArrived takes a new request: it is rejected by the operators' limits, or gets its first attempt, or
+// is shed.
+func (b *Balancer) requestArrived(e RequestArrived) {
+	r := b.newRequest(e)
+	b.requests[e.ID] = r
+	b.openRequests = append(b.openRequests, r)
+
+	r.priority = b.random() < priorityFraction(r.class.PriorityWeight, r.class.placement.maxPriorityWeight) &&
+		!b.isTooLate(r, 0)
+	if t := b.tenants[e.Tenant]; t != nil && !t.takeToken(b.now) {
+		r.priority = false // beyond its tenant's quota a request is worth little
+	}
+	if !b.admitByLimits(r, &e) {
 		return
 	}
-	if c.group.n2++; r.priority {
-		c.group.n1, c.group.n2 = c.group.n1+1, c.group.n2-1
+	if r.priority {
+		r.class.placement.priorityArrivals++
+	} else {
+		r.class.placement.otherArrivals++
+	}
+	b.refillBudgets()
+	if !b.sendRecoveryProbe(r) {
+		b.dispatch(r)
 	}
-	m.budget, m.trials = math.Min(retryBurst, m.budget+retryBudget), math.Min(1, m.trials+retryBudget/2)
-	if !m.tryOut(r) {
-		m.place(r)
+}
+
+func (b *Balancer) newRequest(e RequestArrived) *request {
+	c := b.classNamed(e.Class, e.PreviousSettings)
+	r := &request{id: e.ID, class: c, arrived: b.now, maxAttempts: b.settings.MaxAttempts, relativeWork: 1}
+	r.deadline = b.now + e.Timeout
+	if e.Incomplete {
+		r.incomplete = true
+		r.deadline = b.now + maxRequestReadTime
+	}
+	if e.ClientRetry { // its client has waited for the rest of its deadline, at most
+		r.waitedBefore = max(0, c.Deadline-e.Timeout)
 	}
+	if e.HasWorkHint && e.WorkHint > 0 {
+		hint := e.WorkHint.Seconds()
+		c.workHints++
+		c.meanWorkHint += max(fleetSmoothing, 1/c.workHints) * (hint - c.meanWorkHint)
+		r.relativeWork = hint / c.meanWorkHint
+	}
+	return r
 }
 
-// whole has a request's time begin, and its attempt's: the server starts on it now.
-func (m *Module) whole(r *request, patience time.Duration) {
-	if r == nil || r.done || !r.coming {
+// requestSent starts the time of a request that was incomplete, and that of its attempt: the endpoint starts
+// on it now.
+func (b *Balancer) requestSent(r *request, timeout time.Duration) {
+	if r == nil || r.answered || !r.incomplete {
 		return
 	}
-	r.coming, r.arrived, r.deadline = false, m.now, m.now+patience
+	r.incomplete = false
+	r.arrived = b.now
+	r.deadline = b.now + timeout
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.ended {
-			a.sent, a.lost = m.now, false
-			m.count(r, a)
+			a.sentAt = b.now
+			a.uncounted = false
+			b.addInFlight(a)
+		}
+	}
+}
+
+// dispatch is the one way in which a request gets its first attempt or a retry. If there is neither, and no
+// attempt is in flight, it ends the request.
+func (b *Balancer) dispatch(r *request) {
+	e, mode := b.pickEndpoint(r)
+	if r.awaitingLoad || mode != Normal && b.queryLoad(r) {
+		return
+	}
+	r.loadQueryRounds = 0
+	r.queried = nil
+	if mode != Normal {
+		r.class.placement.overloadedAt = b.now
+	}
+	isRetry := len(r.attempts) > 0
+	costsBudget := isRetry && r.attempts[len(r.attempts)-1].mayHaveRun
+	if isRetry && !b.allowsRetry(r, mode, costsBudget) || !isRetry && b.sheds(r, mode) {
+		e = nil
+	}
+	if b.startAttempt(r, e, r.deadline) {
+		if costsBudget {
+			b.retryBudget--
 		}
+	} else if r.attemptsInFlight == 0 {
+		b.giveUp(r)
 	}
 }
 
-// finish gives the final answer where no server did, a refusal if it may, with a jittered hold-off.
-func (m *Module) finish(r *request) {
-	wait := min(m.jitter(time.Duration(holdPart*float64(r.class.Aim))), m.set.MaxHoldOff)
-	if m.mayRefuse(r) {
-		m.do(Refuse{ID: r.id, HoldOff: wait})
+// giveUp gives the final answer where no endpoint did: a rejection if a new try does no harm, else a failure.
+func (b *Balancer) giveUp(r *request) {
+	objective := float64(r.class.LatencyObjective)
+	retryAfter := min(b.jitter(time.Duration(retryAfterShare*objective)), b.settings.MaxRetryAfter)
+	if r.canReject() {
+		b.emit(Reject{ID: r.id, RetryAfter: retryAfter})
 	} else {
-		m.do(Fail{ID: r.id})
+		b.emit(Fail{ID: r.id})
 	}
-	m.close(r)
+	b.closeRequest(r)
 }
 
-// mayRefuse: a refusal promises that a new try does no harm.
-func (m *Module) mayRefuse(r *request) bool {
-	ran := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayRun })
-	return !ran || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.KeyScope == ScopeAll
+// canReject reports whether a new try does no harm, which a rejection promises: no endpoint may have run the
+// request, or running it again is harmless wherever the new try goes.
+func (r *request) canReject() bool {
+	mayHaveRun := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
+	switch {
+	case !mayHaveRun, r.class.Idempotency == Idempotent:
+		return true
+	case r.class.Idempotency == IdempotentByKey:
+		return r.class.DedupScope == DedupEverywhere
+	}
+	return false
 }
 
-func (m *Module) close(r *request) {
-	if r == nil || r.done {
+// closeRequest ends a request that has its final answer, or needs none. It is forgotten once its attempts
+// have ended.
+func (b *Balancer) closeRequest(r *request) {
+	if r == nil || r.answered {
 		return
 	}
-	r.done = true
-	r.release()
+	r.answered = true
+	r.releaseReservations()
 	for i, a := range r.attempts {
-		if m.set.MayCancel && !a.ended && !r.started {
-			m.do(CancelAttempt{ID: r.id, Attempt: i})
+		if b.settings.AllowCancel && !a.ended && !r.responseStarted {
+			b.emit(CancelAttempt{ID: r.id, Attempt: i})
 		}
 	}
-	if r.out == 0 {
-		delete(m.requests, r.id)
+	if r.attemptsInFlight == 0 {
+		delete(b.requests, r.id)
 	}
 }
+
+// refillBudgets adds what a new request earns to the budgets of retries and of recovery probes.
+func (b *Balancer) refillBudgets() {
+	b.retryBudget = math.Min(maxRetryBudget, b.retryBudget+retryBudgetRatio)
+	b.probeBudget = math.Min(1, b.probeBudget+retryBudgetRatio/2)
+}
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -1,192 +1,146 @@
 package balancer
 
-// The ring: servers by a hash of their ids, and the places on it from which nodes take their own. Nothing of a
-// request is decided here. The interface is in api.go.
-
 import (
 	"cmp"
 	"math"
 	"slices"
-	"sort"
+
+	"wrenspread/internal/splitmix"
 )
 
-// ring holds servers by their place, and is walked from a start on. A change costs what changed, and the moving of
-// pointers.
+// ring is a set of endpoints in the order of their positions, walked from a start on. A change costs what
+// changed and the moving of pointers.
 type ring struct {
-	servers []*server
-	start   int
+	endpoints []*endpoint
+	start     int // index of the first
+}
+
+// subset is the part of the whole endpoint list that a proxy was given.
+type subset struct {
+	total int    // endpoints of the whole list; 0: the proxy has all of it
+	start uint64 // ring position at which the subset begins
 }
 
-func byPlace(a, b *server) int { return cmp.Compare(a.order, b.order) }
+// ringPosition is the position of an endpoint on the ring, the same at every proxy.
+func ringPosition(id EndpointID) uint64 { return splitmix.Mix(uint64(id)) }
 
-// at gives the i-th server from the start on.
-func (r *ring) at(i int) *server {
-	if i += r.start; i >= len(r.servers) {
-		i -= len(r.servers)
+func byRingPosition(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) }
+
+// at returns the i-th endpoint from the start on.
+func (r *ring) at(i int) *endpoint {
+	i += r.start
+	if i >= len(r.endpoints) {
+		i -= len(r.endpoints)
 	}
-	return r.servers[i]
+	return r.endpoints[i]
 }
 
-// find gives where a place is, or would be.
-func (r *ring) find(order uint64) (int, bool) {
-	return slices.BinarySearchFunc(r.servers, order, func(s *server, o uint64) int { return cmp.Compare(s.order, o) })
+// find returns the index of the endpoint at a position, or that at which it would be inserted.
+func (r *ring) find(position uint64) (index int, found bool) {
+	return slices.BinarySearchFunc(r.endpoints, position, func(e *endpoint, position uint64) int {
+		return cmp.Compare(e.ringPosition, position)
+	})
 }
 
-// turn lets the ring be walked from a place on.
-func (r *ring) turn(order uint64) {
-	if r.start, _ = r.find(order); r.start == len(r.servers) {
+// rotateTo makes the ring start at a position.
+func (r *ring) rotateTo(position uint64) {
+	r.start, _ = r.find(position)
+	if r.start == len(r.endpoints) {
 		r.start = 0
 	}
 }
 
-// put adds a server, unless it is there or has left the list.
-func (r *ring) put(s *server) {
-	if i, there := r.find(s.order); !there && s.State != Gone {
-		r.servers = slices.Insert(r.servers, i, s)
+// insert adds an endpoint, unless it is in the ring or removed from the list.
+func (r *ring) insert(e *endpoint) {
+	if i, found := r.find(e.ringPosition); !found && e.State != Removed {
+		r.endpoints = slices.Insert(r.endpoints, i, e)
 	}
 }
 
-// keep leaves out the others.
-func (r *ring) keep(stays func(*server) bool) {
-	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool { return !stays(s) })
+// retain removes the other endpoints.
+func (r *ring) retain(keep func(*endpoint) bool) {
+	r.endpoints = slices.DeleteFunc(r.endpoints, func(e *endpoint) bool { return !keep(e) })
 }
 
-// update takes servers in or out, as each belongs there now. They come by their place, each once.
-func (r *ring) update(changed []*server, belongs func(*server) bool) {
-	var added []*server
-	kept, rest := 0, 0 // what is before kept stays; what is from rest on has not been looked at
-	for _, s := range changed {
-		i, there := (&ring{servers: r.servers[rest:]}).find(s.order)
+// update inserts or removes endpoints as each now belongs to the ring. changed is in ring order without
+// duplicates.
+func (r *ring) update(changed []*endpoint, belongs func(*endpoint) bool) {
+	var added []*endpoint
+	kept := 0 // r.endpoints[:kept] stays
+	rest := 0 // r.endpoints[rest:] has not been looked at
+	for _, e := range changed {
+		i, found := (&ring{endpoints: r.endpoints[rest:]}).find(e.ringPosition)
 		switch {
-		case there && !belongs(s):
-			kept += copy(r.servers[kept:], r.servers[rest:rest+i])
+		case found && !belongs(e):
+			kept += copy(r.endpoints[kept:], r.endpoints[rest:rest+i])
 			rest += i + 1
-		case !there && belongs(s):
-			added = append(added, s)
+		case !found && belongs(e):
+			added = append(added, e)
 		}
 	}
-	kept += copy(r.servers[kept:], r.servers[rest:])
-	clear(r.servers[kept:])
-	r.servers = append(r.servers[:kept], added...)
-	for n, end := len(added)-1, kept; n >= 0; n-- { // from the last place on, so that each moves once
-		i, _ := (&ring{servers: r.servers[:end]}).find(added[n].order)
-		copy(r.servers[i+n+1:], r.servers[i:end])
-		r.servers[i+n], end = added[n], i
+	kept += copy(r.endpoints[kept:], r.endpoints[rest:])
+	clear(r.endpoints[kept:])
+	r.endpoints = append(r.endpoints[:kept], added...)
+	r.mergeTail(kept, added)
+}
+
+// mergeTail merges added endpoints, whose room is at the end of the ring, into the first kept ones. It goes
+// from the last position on, so that each endpoint moves once.
+func (r *ring) mergeTail(kept int, added []*endpoint) {
+	end := kept
+	for n := len(added) - 1; n >= 0; n-- {
+		i, _ := (&ring{endpoints: r.endpoints[:end]}).find(added[n].ringPosition)
+		copy(r.endpoints[i+n+1:], r.endpoints[i:end])
+		r.endpoints[i+n] = added[n]
+		end = i
 	}
 }
 
-// ringStart is the place on a ring of servers from which a node takes its own.
-func ringStart(node, servers int) int { return int(float64(servers) * startPart(node)) }
+// startIndex is the index on a ring of endpoints from which a proxy takes its subset.
+func startIndex(proxy, endpoints int) int { return int(float64(endpoints) * startFraction(proxy)) }
 
-// startPoint is the same on the scale of a server's place, for nodes that know a part of the servers.
-func startPoint(node int) uint64 { return uint64(startPart(node) * (1 << 64)) }
+// startPosition is the same as a ring position, for proxies that know a subset of the endpoints.
+func startPosition(proxy int) uint64 { return uint64(startFraction(proxy) * (1 << 64)) }
 
-func startPart(node int) float64 { return math.Mod(float64(node)*math.Phi, 1) }
+// startFraction spreads the starts of consecutive proxies evenly, however many there are (golden ratio).
+func startFraction(proxy int) float64 { return math.Mod(float64(proxy)*math.Phi, 1) }
 
-// nodesByStart gives the numbers of nodes by their places, of which those on a ring of any size follow.
-func nodesByStart(nodes int) []int {
-	all := make([]int, nodes)
-	for node := range all {
-		all[node] = node
+// sortProxiesByStart returns the indexes of proxies by their starts, which is the same order on a ring of any
+// size.
+func sortProxiesByStart(proxies int) []int {
+	sorted := make([]int, proxies)
+	for proxy := range sorted {
+		sorted[proxy] = proxy
 	}
-	slices.SortFunc(all, func(a, b int) int { return cmp.Compare(startPart(a), startPart(b)) })
-	return all
+	slices.SortFunc(sorted, func(x, y int) int { return cmp.Compare(startFraction(x), startFraction(y)) })
+	return sorted
 }
 
-// part is what a list says of itself where it is a part of all servers.
-type part struct {
-	total int    // servers of the whole list; 0: this is all of it
-	from  uint64 // where it begins
-}
-
-// enlist takes servers that may have changed into the rings where each belongs, or out of them.
-func (m *Module) enlist(changed []*server, p part) {
-	slices.SortFunc(changed, byPlace)
+// updateRings takes endpoints that may have changed into the rings to which each belongs, or out of them.
+func (b *Balancer) updateRings(changed []*endpoint, s subset) {
+	slices.SortFunc(changed, byRingPosition)
 	changed = slices.Compact(changed)
-	for _, s := range changed {
-		if s.State == Gone {
-			m.with(s) // its attempts still know it
-			delete(m.known, s.ID)
+	for _, e := range changed {
+		if e.State == Removed {
+			b.peersOf(e) // found now, as its open attempts still need them
+			delete(b.endpoints, e.ID)
 		}
 	}
-	m.list.update(changed, func(s *server) bool { return s.State != Gone })
-	m.suspects.update(changed, func(s *server) bool { return s.State != Gone && s.suspect })
-	m.silent.update(changed, (*server).mute)
-	for _, g := range m.groups {
-		g.list.update(changed, func(s *server) bool { return s.State != Gone && g.open(s) })
+	isListed := func(e *endpoint) bool { return e.State != Removed }
+	b.ring.update(changed, isListed)
+	b.ejected.update(changed, func(e *endpoint) bool { return isListed(e) && e.ejected })
+	b.unresponsive.update(changed, (*endpoint).isUnresponsive)
+	for _, p := range b.placements {
+		p.ring.update(changed, func(e *endpoint) bool { return isListed(e) && p.allows(e) })
 	}
-	m.part = p
-	if n := len(m.list.servers); m.total > 0 {
-		m.first = m.from
+	b.subset = s
+	if n := len(b.ring.endpoints); b.total > 0 {
+		b.origin = s.start
 	} else if n > 0 {
-		m.first = m.list.servers[ringStart(m.set.Self, n)].order
-	}
-	m.list.turn(m.first)
-	for _, g := range m.groups {
-		g.list.turn(m.first)
-	}
-}
-
-// with gives the other nodes that work with a server, group by group; of one that has left the list, those that did
-// last. They are found when they are first asked for after a change.
-func (m *Module) with(s *server) []int {
-	at, there := m.list.find(s.order)
-	if s.sharedAt == m.changes || !there || m.list.servers[at] != s {
-		return s.shared
-	}
-	s.shared, s.sharedAt = s.shared[:0], m.changes
-	if !m.shares {
-		return s.shared
-	}
-	for _, g := range m.groups {
-		i, in := g.list.find(s.order)
-		if !in {
-			continue
-		}
-		for _, node := range slices.Sorted(slices.Values(m.startsFor(g, i, at))) {
-			if n := len(s.shared); node != m.set.Self && (n == 0 || s.shared[n-1] != node) { // groups share servers
-				s.shared = append(s.shared, node)
-			}
-		}
-	}
-	return s.shared
-}
-
-// startsFor gives the nodes that have the i-th server of a group in reach, which is the at-th of all: those that start
-// at it, or at one before it of so many as are in reach. Of a part that begins too near to it, those are taken to lie
-// as dense as the servers of the part.
-func (m *Module) startsFor(g *group, i, at int) []int {
-	size, reach := len(g.list.servers), int(g.reach)
-	if g.reach >= m.sizeOf(g) {
-		return m.nodes
-	}
-	if m.total == 0 {
-		before, _ := m.list.find(g.list.servers[(i-reach+size)%size].order)
-		return m.startsAmong(uint64(before), uint64(at))
-	}
-	here, steps := g.list.servers[i].order, (i-g.list.start+size)%size
-	if steps >= reach {
-		return m.startsAmong(g.list.at(steps-reach).order, here)
-	}
-	before := uint64(float64(reach-steps) / m.sizeOf(g) * (1 << 64))
-	if here-m.from > math.MaxUint64-before {
-		return m.nodes // all around
-	}
-	return m.startsAmong(m.from-before, here)
-}
-
-// startsAmong gives the nodes that start after one place and up to another: places in the list or, of a part, points.
-func (m *Module) startsAmong(after, upTo uint64) []int {
-	count := func(place uint64) int {
-		return sort.Search(len(m.nodes), func(i int) bool {
-			if m.total > 0 {
-				return startPoint(m.nodes[i]) > place
-			}
-			return uint64(ringStart(m.nodes[i], len(m.list.servers))) > place
-		})
+		b.origin = b.ring.endpoints[startIndex(b.settings.ProxyIndex, n)].ringPosition
 	}
-	if after > upTo {
-		return append(slices.Clone(m.nodes[count(after):]), m.nodes[:count(upTo)]...)
+	b.ring.rotateTo(b.origin)
+	for _, p := range b.placements {
+		p.ring.rotateTo(b.origin)
 	}
-	return m.nodes[count(after):count(upTo)]
 }
--- a/cmd/wrenspread-sim-adapter/main.go
+++ b/cmd/wrenspread-sim-adapter/main.go
@@ -23,7 +23,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*balancer.Module{}
+	nodes := map[int]*balancer.Balancer{}
 	var reply []byte
 	for number := 1; ; number++ {
 		line, err := r.ReadBytes('\n')
@@ -47,7 +47,7 @@
 	}
 }
 
-func answer(nodes map[int]*balancer.Module, line []byte) ([]simwire.Reply, error) {
+func answer(nodes map[int]*balancer.Balancer, line []byte) ([]simwire.Reply, error) {
 	batch, err := simwire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"wrenspread/balancer"
 	"wrenspread/internal/policy"
 	"wrenspread/internal/simwire"
+	"wrenspread/ratelimit"
 )
 
 const mostPolicy = 1 << 20 // bytes that are read of a policy; the compiler's own bound is lower
@@ -57,7 +57,7 @@
 }
 
 // compilePolicy compiles a file by the names that the file settings knows, and prints what is wrong with it.
-func compilePolicy(errs io.Writer, path, settings string) (*balancer.Table, error) {
+func compilePolicy(errs io.Writer, path, settings string) (*ratelimit.Table, error) {
 	known, err := knownNames(settings)
 	if err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 	return k, nil
 }
 
-func printTable(w io.Writer, t *balancer.Table, limits, asJSON bool) error {
+func printTable(w io.Writer, t *ratelimit.Table, limits, asJSON bool) error {
 	data := t.JSON()
 	if asJSON {
 		_, err := fmt.Fprintf(w, "%s\n", data)
@@ -140,18 +140,18 @@
 		out := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 		fmt.Fprintln(out, "LIMIT\tUNIT\tRATE\tBURST\tFLOOR\tWEIGHT\tRESERVE\tTOLD\tTIMES")
 		for _, l := range t.Limits {
-			fmt.Fprintf(out, "%s\t%s\t%.6g\t%.6g\t%.6g\t%.6g\t%.3g\t%d in %v\t%d\n", l.Name, l.Unit, l.Rate, l.Burst, l.Floor, l.Weight, l.Reserve,
-				l.Status, l.Wait, len(l.Spans))
+			fmt.Fprintf(out, "%s\t%s\t%.6g\t%.6g\t%.6g\t%.6g\t%.3g\t%d in %v\t%d\n", l.Name, l.Unit, l.Rate, l.Burst, l.Floor, l.Weight, l.PriorityReserve,
+				l.Status, l.RetryAfter, len(l.Schedule))
 		}
 		if err := out.Flush(); err != nil {
 			return err
 		}
 	}
-	touched, _ := t.Touched()
+	touched, _ := t.MaxMatched()
 	for i, l := range t.Levels {
-		fmt.Fprintf(w, "level %d above %.3g, until below %.3g: refuses %s\n", i+1, l.Above, l.Below, strings.Join(l.Refuse, ", "))
+		fmt.Fprintf(w, "level %d above %.3g, until below %.3g: refuses %s\n", i+1, l.EnterAbove, l.LeaveBelow, strings.Join(l.RejectClasses, ", "))
 	}
-	_, err := fmt.Fprintf(w, "%d parts, %d limits, %d slots of keys; a request touches %d limits at most; %d bytes\ndigest %s\n", len(t.Parts),
-		len(t.Limits), t.Hands()-len(t.Limits), touched, len(data), t.Digest)
+	_, err := fmt.Fprintf(w, "%d parts, %d limits, %d slots of keys; a request touches %d limits at most; %d bytes\ndigest %s\n", len(t.Scopes),
+		len(t.Limits), t.TokenSlots()-len(t.Limits), touched, len(data), t.Digest)
 	return err
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,5 @@
-// Package backoff waits between attempts: for a given time or until a context ends, and for times that grow with each
-// failure and are drawn at random, so that clients that failed together do not return together.
+// Package backoff waits between attempts: for a given time or until a context ends, and for times that grow
+// with each failure and are drawn at random, so that clients that failed together do not return together.
 package backoff
 
 import (
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Sleep waits for d and reports whether it did: false means that ctx ended first. It does not wait if d is 0 or less.
+// Sleep waits for d and reports whether it did: false means that ctx ended first. It does not wait if d is 0
+// or less.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -22,8 +23,9 @@
 	}
 }
 
-// FullJitter is an exponential backoff whose waits are drawn evenly from the whole range up to the present bound. The
-// bound starts at First and doubles with each wait until it reaches Max. It is not safe for concurrent use.
+// FullJitter is an exponential backoff whose waits are drawn evenly from the whole range up to the present
+// bound. The bound starts at First and doubles with each wait until it reaches Max. It is not safe for
+// concurrent use.
 type FullJitter struct {
 	First time.Duration // bound of the first wait
 	Max   time.Duration // the bound never exceeds it
--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -11,7 +11,6 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"wrenspread/balancer"
 	"wrenspread/internal/config"
 	"wrenspread/internal/lease"
 	"wrenspread/internal/membership"
@@ -21,6 +20,7 @@
 	"wrenspread/internal/quota/allocator"
 	"wrenspread/internal/quota/record"
 	"wrenspread/internal/registry/client"
+	"wrenspread/ratelimit"
 )
 
 // Shares says by which fleet's view this process shares limits out, whenever it holds the duty for it.
@@ -124,7 +124,7 @@
 
 // follow tells the holder of each table, with the one before it.
 func follow(ctx context.Context, k *client.Client, events chan<- quota.Event, log *slog.Logger) {
-	var now *balancer.Table
+	var now *ratelimit.Table
 	version := uint64(0)
 	k.FollowRecords(ctx, record.PolicyPrefix, func(r client.Records) {
 		one := record.Find(r, record.Current)
--- a/internal/policy/compare.go
+++ b/internal/policy/compare.go
@@ -7,11 +7,11 @@
 
 	"github.com/hashicorp/hcl/v2"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // compare finds figures that contradict each other or those of the limit around.
-func (c *compiler) compare(p *part, l *limit, r rough, f balancer.Figures, outer *limit) {
+func (c *compiler) compare(p *part, l *limit, r rough, f ratelimit.Rates, outer *limit) {
 	at := l.at
 	if g := first(r.rate, r.part); g != nil {
 		at = g.at
@@ -27,8 +27,8 @@
 		c.fail(at, "Rules that contradict", fmt.Sprintf("%s is sure of %s and can have %s at most. Lower the floor, or raise the rate.",
 			p.path(), figure(f.Floor), figure(f.Rate)))
 	}
-	beside := p.limits[balancer.UnitRequests]
-	if inner := l.unit == balancer.UnitRepeats || l.unit == balancer.UnitKey; inner && beside != nil && f.Rate > beside.figures.Rate*(1+near) {
+	beside := p.limits[ratelimit.UnitRequests]
+	if inner := l.unit == ratelimit.UnitRetries || l.unit == ratelimit.UnitPerKey; inner && beside != nil && f.Rate > beside.figures.Rate*(1+near) {
 		c.fail(at, "A rule that can never matter", fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. "+
 			"Lower this one.", p.path(), figure(beside.figures.Rate), beside.at.Start.Line, figure(f.Rate)))
 	}
@@ -58,7 +58,7 @@
 	switch {
 	case rate == 0 && r.burst == nil: // it is closed
 		return 0
-	case l.unit == balancer.UnitOpen:
+	case l.unit == ratelimit.UnitConcurrency:
 		if g := first(r.rate, r.part); g != nil {
 			at = g.at
 		}
@@ -79,8 +79,8 @@
 }
 
 // largest is the most that one request takes of a limit.
-func (c *compiler) largest(u balancer.Unit) (float64, string) {
-	if u != balancer.UnitWork {
+func (c *compiler) largest(u ratelimit.Unit) (float64, string) {
+	if u != ratelimit.UnitWork {
 		return 1, "one request"
 	}
 	most, name := 0.0, ""
--- a/internal/policy/figures.go
+++ b/internal/policy/figures.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 const near = 1e-9 // relative: sums of parts come out a little off
@@ -27,7 +27,7 @@
 // shared gives a part with a share its limits in the units that the limits around it have, where it says none.
 func (c *compiler) shared(p *part) {
 	found := false
-	for _, u := range []balancer.Unit{balancer.UnitRequests, balancer.UnitWork, balancer.UnitOpen} {
+	for _, u := range []ratelimit.Unit{ratelimit.UnitRequests, ratelimit.UnitWork, ratelimit.UnitConcurrency} {
 		around := p.up.nearest(u)
 		if found = found || around != nil; around != nil && p.limits[u] == nil {
 			p.limits[u] = &limit{figuring: c.usual, unit: u, at: p.at}
@@ -39,7 +39,7 @@
 }
 
 // nearest is the limit of a unit on a part or the nearest part around it.
-func (p *part) nearest(u balancer.Unit) *limit {
+func (p *part) nearest(u ratelimit.Unit) *limit {
 	for ; p != nil; p = p.up {
 		if p.limits[u] != nil {
 			return p.limits[u]
@@ -55,10 +55,10 @@
 		outer = p.up.nearest(l.unit)
 	}
 	whole := outer
-	if l.unit == balancer.UnitRepeats || l.unit == balancer.UnitKey {
-		whole = p.nearest(balancer.UnitRequests)
+	if l.unit == ratelimit.UnitRetries || l.unit == ratelimit.UnitPerKey {
+		whole = p.nearest(ratelimit.UnitRequests)
 	}
-	if l.rough.share == nil && l.rough.floor == nil && l.unit <= balancer.UnitOpen {
+	if l.rough.share == nil && l.rough.floor == nil && l.unit <= ratelimit.UnitConcurrency {
 		l.rough.share = p.share
 	}
 	if l.rough.weight == nil {
@@ -110,7 +110,7 @@
 	}
 	changes := false
 	for _, s := range base.spans {
-		at := &limit{figures: balancer.Figures{Rate: s.Rate, Burst: s.Burst, Floor: s.Floor}, at: base.at}
+		at := &limit{figures: ratelimit.Rates{Rate: s.Rate, Burst: s.Burst, Floor: s.Floor}, at: base.at}
 		around, of := outer, whole
 		if outer == base {
 			around = at
@@ -127,18 +127,18 @@
 	}
 }
 
-func span(s balancer.Span, f balancer.Figures) balancer.Span {
+func span(s ratelimit.ScheduleWindow, f ratelimit.Rates) ratelimit.ScheduleWindow {
 	s.Rate, s.Burst, s.Floor = f.Rate, f.Burst, f.Floor
 	return s
 }
 
 // covered finds an earlier time that holds whenever a later one does.
-func covered(before []times, s balancer.Span) int {
+func covered(before []times, s ratelimit.ScheduleWindow) int {
 	for i, b := range before {
-		all := b.span.From == b.span.To
+		all := b.span.FromMinute == b.span.ToMinute
 		if (b.span.LastDays == 0 || s.LastDays > 0 && s.LastDays <= b.span.LastDays) &&
-			(all || b.span.From == s.From && b.span.To == s.To || s.From < s.To && b.span.From < b.span.To &&
-				b.span.From <= s.From && b.span.To >= s.To) {
+			(all || b.span.FromMinute == s.FromMinute && b.span.ToMinute == s.ToMinute || s.FromMinute < s.ToMinute && b.span.FromMinute < b.span.ToMinute &&
+				b.span.FromMinute <= s.FromMinute && b.span.ToMinute >= s.ToMinute) {
 			return i
 		}
 	}
@@ -168,7 +168,7 @@
 }
 
 // figuresOf works out figures, if there are any, and says what is wrong with them.
-func (c *compiler) figuresOf(p *part, l *limit, r rough, outer, whole *limit) (f balancer.Figures, ok bool) {
+func (c *compiler) figuresOf(p *part, l *limit, r rough, outer, whole *limit) (f ratelimit.Rates, ok bool) {
 	lends := r.borrow == nil || r.borrow.on
 	floor, hasFloor := c.units(r.floor, r.share, whole)
 	rate, hasRate := c.units(r.rate, r.part, whole)
@@ -184,7 +184,7 @@
 		return f, false
 	case !hasRate:
 		c.fail(l.at, "A limit without a figure", fmt.Sprintf("Nothing around %s has a limit on %s that it could keep to. Give it a %s.",
-			p.path(), l.unit, map[bool]string{true: "most", false: "rate"}[l.unit == balancer.UnitOpen]))
+			p.path(), l.unit, map[bool]string{true: "most", false: "rate"}[l.unit == ratelimit.UnitConcurrency]))
 		return f, false
 	}
 	if f.Rate, f.Floor = rate, floor; !lends {
--- a/internal/policy/flatten.go
+++ b/internal/policy/flatten.go
@@ -4,23 +4,23 @@
 	"cmp"
 	"slices"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // flatten puts the parts in the table's order, whatever order the text has.
-func (c *compiler) flatten(fleet *part) *balancer.Table {
-	t := &balancer.Table{Format: balancer.TableFormat, Zone: c.zone, Parts: []balancer.Part{}, Limits: []balancer.Limit{},
-		Levels: []balancer.Level{}}
+func (c *compiler) flatten(fleet *part) *ratelimit.Table {
+	t := &ratelimit.Table{Format: ratelimit.Format, UTCOffset: c.zone, Scopes: []ratelimit.Scope{}, Limits: []ratelimit.Limit{},
+		Levels: []ratelimit.DegradationLevel{}}
 	for _, l := range c.levels {
-		t.Levels = append(t.Levels, l.Level)
+		t.Levels = append(t.Levels, l.DegradationLevel)
 	}
 	c.place(t, fleet, -1, map[*limit]int{})
 	return t
 }
 
-func (c *compiler) place(t *balancer.Table, p *part, within int, at map[*limit]int) {
-	self := len(t.Parts)
-	t.Parts = append(t.Parts, balancer.Part{Within: within, Axis: p.axis, Word: p.word, First: len(t.Limits), Priority: p.priority})
+func (c *compiler) place(t *ratelimit.Table, p *part, within int, at map[*limit]int) {
+	self := len(t.Scopes)
+	t.Scopes = append(t.Scopes, ratelimit.Scope{Parent: within, Attribute: p.axis, Value: p.word, FirstLimit: len(t.Limits), Priority: p.priority})
 	for _, l := range p.limits {
 		if l == nil {
 			continue
@@ -31,7 +31,7 @@
 		}
 		at[l] = len(t.Limits)
 		t.Limits = append(t.Limits, l.flat(t, self, parent))
-		t.Parts[self].Count++
+		t.Scopes[self].LimitCount++
 	}
 	slices.SortFunc(p.children, func(a, b *part) int {
 		return cmp.Or(cmp.Compare(a.axis, b.axis), cmp.Compare(a.word, b.word))
@@ -41,15 +41,15 @@
 	}
 }
 
-func (l *limit) flat(t *balancer.Table, part, parent int) balancer.Limit {
+func (l *limit) flat(t *ratelimit.Table, part, parent int) ratelimit.Limit {
 	weight := 1.0
 	if l.rough.weight != nil {
 		weight = l.rough.weight.n
 	}
 	f := l.figures
-	flat := balancer.Limit{Part: part, Parent: parent, Unit: l.unit, Rate: f.Rate, Burst: f.Burst, Floor: f.Floor, Weight: weight,
-		Borrow: l.rough.borrow == nil || l.rough.borrow.on, Safe: l.safe, Reserve: l.reserve, Slots: l.slots, Status: l.status,
-		Wait: l.wait, Spans: l.spans}
-	flat.Name, flat.Axis = t.Place(part, l.unit)
+	flat := ratelimit.Limit{Scope: part, Parent: parent, Unit: l.unit, Rate: f.Rate, Burst: f.Burst, Floor: f.Floor, Weight: weight,
+		Borrow: l.rough.borrow == nil || l.rough.borrow.on, FallbackShare: l.safe, PriorityReserve: l.reserve, KeySlots: l.slots, Status: l.status,
+		RetryAfter: l.wait, Schedule: l.spans}
+	flat.Name, flat.Attribute = t.LimitName(part, l.unit)
 	return flat
 }
