--- a/internal/policy/names.go
+++ b/internal/policy/names.go
@@ -8,7 +8,7 @@
 	"github.com/agext/levenshtein"
 	"github.com/hashicorp/hcl/v2"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // each visits a part and all within it.
@@ -20,7 +20,7 @@
 }
 
 // within tells that a part, or one around it, is of an axis.
-func (p *part) within(a balancer.Axis) bool {
+func (p *part) within(a ratelimit.Attribute) bool {
 	for ; p.up != nil; p = p.up {
 		if p.axis == a {
 			return true
@@ -29,15 +29,15 @@
 	return false
 }
 
-func (c *compiler) namesOf(axis balancer.Axis) []string {
+func (c *compiler) namesOf(axis ratelimit.Attribute) []string {
 	switch axis {
-	case balancer.OfSite:
+	case ratelimit.AttributeSite:
 		return c.known.Sites
-	case balancer.OfBook:
+	case ratelimit.AttributeTenant:
 		return c.known.Books
-	case balancer.OfClass:
+	case ratelimit.AttributeClass:
 		return c.known.classNames()
-	case balancer.OfPod:
+	case ratelimit.AttributeCell:
 		return c.known.Pods
 	}
 	return nil
@@ -46,10 +46,10 @@
 // checkNames finds names that the fleet doesn't have, and books that a policy forgets.
 func (c *compiler) checkNames(fleet *part) {
 	fleet.each(func(p *part) {
-		if p.up != nil && p.word != balancer.Others {
+		if p.up != nil && p.word != ratelimit.AnyOther {
 			c.name(p.at, p.axis.String(), p.word, c.namesOf(p.axis))
 		}
-		if !p.within(balancer.OfBook) {
+		if !p.within(ratelimit.AttributeTenant) {
 			c.forgotten(p)
 		}
 	})
@@ -58,9 +58,9 @@
 // name checks one, if the fleet's are known.
 func (c *compiler) name(at hcl.Range, axis, name string, known []string) {
 	switch {
-	case name == "" || len(name) > balancer.MostName || strings.ContainsAny(name, "/:"):
+	case name == "" || len(name) > ratelimit.MaxName || strings.ContainsAny(name, "/:"):
 		c.fail(at, "Not a name", fmt.Sprintf("The %s %.40q can be named by no policy: a name has 1 to %d bytes, and no slash or "+
-			"colon.", axis, name, balancer.MostName))
+			"colon.", axis, name, ratelimit.MaxName))
 	case len(known) > 0 && !slices.Contains(known, name):
 		c.fail(at, "A rule that can never match", fmt.Sprintf("The fleet has no %s %q.%s", axis, name, didYouMean(name, known)))
 	}
@@ -87,11 +87,11 @@
 func (c *compiler) forgotten(p *part) {
 	said := map[string]bool{}
 	for _, k := range p.children {
-		if k.axis == balancer.OfBook {
+		if k.axis == ratelimit.AttributeTenant {
 			said[k.word] = true
 		}
 	}
-	if len(said) == 0 || said[balancer.Others] {
+	if len(said) == 0 || said[ratelimit.AnyOther] {
 		return
 	}
 	missing := slices.DeleteFunc(slices.Clone(c.known.Books), func(b string) bool { return said[b] })
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -12,6 +12,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 
 	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // Known are the names that a policy may speak of. A list that is empty is not checked against.
@@ -34,7 +35,7 @@
 		k.Books = append(k.Books, t.Name)
 	}
 	for _, c := range s.Classes {
-		k.Classes = append(k.Classes, Class{Name: c.Name, Worth: c.Worth})
+		k.Classes = append(k.Classes, Class{Name: c.Name, Worth: c.PriorityWeight})
 	}
 	return k
 }
@@ -57,7 +58,7 @@
 }
 
 // Compile makes a file's text into a table, or says all that is wrong with it, as *Errors.
-func Compile(file string, text []byte, known Known) (*balancer.Table, error) {
+func Compile(file string, text []byte, known Known) (*ratelimit.Table, error) {
 	c := &compiler{known: known.sorted(), source: text}
 	if err := c.bounded(); err != nil {
 		return nil, err
@@ -80,7 +81,7 @@
 	levels []*level
 }
 
-func (c *compiler) compile(file string) *balancer.Table {
+func (c *compiler) compile(file string) *ratelimit.Table {
 	f, diags := hclsyntax.ParseConfig(c.source, file, hcl.InitialPos)
 	if diags.HasErrors() {
 		c.diags = diags
@@ -107,7 +108,7 @@
 	if c.diags.HasErrors() {
 		return nil
 	}
-	if err := t.Ready(); err != nil {
+	if err := t.Finalize(); err != nil {
 		c.fail(fleet.at, "No table", err.Error())
 	}
 	return t
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -8,17 +8,17 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/ext/dynblock"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // part is a block that stands for a part of the requests.
 type part struct {
-	axis     balancer.Axis
+	axis     ratelimit.Attribute
 	word     string
 	at       hcl.Range // of its first line
 	up       *part
 	children []*part
-	limits   [balancer.UnitKey + 1]*limit
+	limits   [ratelimit.UnitPerKey + 1]*limit
 
 	share, weight *given // for its limits that say none
 	borrow        *yesNo
@@ -26,13 +26,13 @@
 	priorityAt    hcl.Range
 }
 
-var axes = map[string]balancer.Axis{
-	"site": balancer.OfSite, "book": balancer.OfBook, "class": balancer.OfClass, "pod": balancer.OfPod,
+var axes = map[string]ratelimit.Attribute{
+	"site": ratelimit.AttributeSite, "book": ratelimit.AttributeTenant, "class": ratelimit.AttributeClass, "pod": ratelimit.AttributeCell,
 }
 
-var units = map[string]balancer.Unit{
-	"requests": balancer.UnitRequests, "work": balancer.UnitWork, "open": balancer.UnitOpen, "repeats": balancer.UnitRepeats,
-	"key": balancer.UnitKey,
+var units = map[string]ratelimit.Unit{
+	"requests": ratelimit.UnitRequests, "work": ratelimit.UnitWork, "open": ratelimit.UnitConcurrency, "repeats": ratelimit.UnitRetries,
+	"key": ratelimit.UnitPerKey,
 }
 
 var fileSchema = &hcl.BodySchema{
@@ -128,10 +128,10 @@
 	if len(b.Labels) > 0 {
 		p.word = b.Labels[0]
 	}
-	if c.parts++; c.parts > balancer.MostLimits {
-		if c.parts == balancer.MostLimits+1 {
+	if c.parts++; c.parts > ratelimit.MaxLimits {
+		if c.parts == ratelimit.MaxLimits+1 {
 			c.fail(b.DefRange, "Too many parts", fmt.Sprintf("A policy has %d at most. Let those with little to do share one "+
-				"block with the name \"*\".", balancer.MostLimits))
+				"block with the name \"*\".", ratelimit.MaxLimits))
 		}
 		return p
 	}
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,7 +9,7 @@
 	"wrenspread/balancer"
 )
 
-func (n *Node) send(a balancer.Send) {
+func (n *Node) send(a balancer.StartAttempt) {
 	r := n.requests[a.ID]
 	if r == nil {
 		n.log.Error("the module sends a request that is not open", "id", a.ID)
@@ -24,21 +24,21 @@
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, left)
 	r.attempts = append(r.attempts, cancel)
-	if r.done || r.running > 0 && !n.cfg.Settings.MayOverlap {
+	if r.done || r.running > 0 && !n.cfg.Settings.AllowHedging {
 		cancel()
-		n.queue = append(n.queue, balancer.AttemptEnded{ID: r.id, Attempt: number, Server: a.Server, Over: r.done, Code: balancer.Moot})
+		n.queue = append(n.queue, balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: a.Endpoint, RequestAnswered: r.done, Outcome: balancer.NotSent})
 		return
 	}
 	r.running++
 	began := time.Now()
 	go func() {
 		defer cancel()
-		may := func() bool { return !r.abandoned() && n.now() < a.Before }
-		res := n.backends.attempt(ctx, a.Server, r.out, may, func(res result) error {
-			return n.passOn(r, number, a.Server, time.Since(n.startOf(r, began)), res)
+		may := func() bool { return !r.abandoned() && n.now() < a.WriteBy }
+		res := n.backends.attempt(ctx, a.Endpoint, r.out, may, func(res result) error {
+			return n.passOn(r, number, a.Endpoint, time.Since(n.startOf(r, began)), res)
 		})
 		took := time.Since(n.startOf(r, began))
-		n.post(func() { n.attemptEnded(r, number, a.Server, took, res) })
+		n.post(func() { n.attemptEnded(r, number, a.Endpoint, took, res) })
 	}()
 }
 
@@ -53,13 +53,13 @@
 }
 
 // passOn gives a long answer to its request, and returns when that is over.
-func (n *Node) passOn(r *request, number int, server balancer.ServerID, took time.Duration, res result) error {
+func (n *Node) passOn(r *request, number int, server balancer.EndpointID, took time.Duration, res result) error {
 	n.post(func() {
 		if r.done {
 			res.stream.ended <- errClientGone
 			return
 		}
-		n.handle(balancer.StreamStarted{ID: r.id, Attempt: number, Server: server, Elapsed: took})
+		n.handle(balancer.ResponseStarted{ID: r.id, Attempt: number, Endpoint: server, Elapsed: took})
 		r.stream = res.stream
 		n.finish(r.id, answer{status: http.StatusOK, header: res.header, stream: res.stream})
 	})
@@ -71,7 +71,7 @@
 	}
 }
 
-func (n *Node) attemptEnded(r *request, number int, server balancer.ServerID, took time.Duration, res result) {
+func (n *Node) attemptEnded(r *request, number int, server balancer.EndpointID, took time.Duration, res result) {
 	r.running--
 	if res.code == balancer.OK {
 		n.finish(r.id, answer{status: http.StatusOK, header: res.header, body: res.body})
@@ -80,8 +80,8 @@
 		n.stats.attempt(n.ids.byID[server], res.code, took > n.aim(r.class))
 	}
 	over := r.done
-	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Server: server, Over: over, Spent: res.spent, Elapsed: took,
-		Code: res.code, Report: res.report})
+	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: server, RequestAnswered: over, BodyDiscarded: res.spent, Elapsed: took,
+		Outcome: res.code, LoadReport: res.report})
 	n.forget(r)
 }
 
@@ -89,7 +89,7 @@
 func (n *Node) aim(class string) time.Duration {
 	for _, c := range n.cfg.Settings.Classes {
 		if c.Name == class {
-			return c.Aim
+			return c.LatencyObjective
 		}
 	}
 	return math.MaxInt64
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -53,7 +53,7 @@
 			notes = append(notes, fmt.Sprintf("peers.%d: %q is not to be reached", i, peer))
 		}
 	}
-	if c.Fleet.Name != "" && !c.Settings.MayMessage {
+	if c.Fleet.Name != "" && !c.Settings.AllowGossip {
 		notes = append(notes, "fleet: "+viewOff)
 	}
 	for _, err := range in.Known.Odd {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -109,7 +109,7 @@
 		for _, err := range all {
 			wrong("settings: %w", err)
 		}
-		settings.MayProbe = false // servers take nothing from a node but clients' requests, whatever the simulator's may
+		settings.AllowLoadQueries = false // servers take nothing from a node but clients' requests, whatever the simulator's may
 	}
 	for _, a := range in.addresses() {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
@@ -123,8 +123,8 @@
 	c = Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, List: in.List, ListFile: in.ListFile, ListPart: in.ListPart, Control: in.Control,
 		Fences: in.Fences, BackendStats: in.BackendStats, Seed: int64(seed), MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets,
 		Settings: settings, known: in.Known}
-	if in.ListPart && (len(in.List) == 0 || settings.Self < 0 || settings.Self >= settings.Nodes) {
-		wrong("list_part: only the list service knows parts, of a node with a number: want list, and a slot_no under balancers (%d of %d)", settings.Self, settings.Nodes)
+	if in.ListPart && (len(in.List) == 0 || settings.ProxyIndex < 0 || settings.ProxyIndex >= settings.Proxies) {
+		wrong("list_part: only the list service knows parts, of a node with a number: want list, and a slot_no under balancers (%d of %d)", settings.ProxyIndex, settings.Proxies)
 	}
 	var all []error
 	c.Fleet, all = in.Fleet.config(in.Name, in.PeerListen, settings)
@@ -132,7 +132,7 @@
 	c.Policy = in.Govern != nil && in.Govern.Policy
 	c.Tenants = in.Govern.tenants()
 	problems = append(problems, in.Govern.check(c)...)
-	if settings.MayMessage {
+	if settings.AllowGossip {
 		c.PeerListen = in.PeerListen
 		for _, peer := range in.Peers {
 			a, _ := netip.ParseAddrPort(peer) // a node that can't be told of a load serves all the same
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -55,7 +55,7 @@
 }
 
 // get finds an idle connection or dials. An error proves that nothing was sent.
-func (p *pool) get(ctx context.Context, id balancer.ServerID) (*conn, error) {
+func (p *pool) get(ctx context.Context, id balancer.EndpointID) (*conn, error) {
 	b, c, dialer, err := p.take(id)
 	for ; c != nil; b, c, dialer, err = p.take(id) {
 		// A connection that its server has closed, or on which it said
@@ -87,7 +87,7 @@
 
 // take returns an idle connection, the one used last of those that have rested,
 // or the backend with leave to dial it.
-func (p *pool) take(id balancer.ServerID) (*backend, *conn, net.Dialer, error) {
+func (p *pool) take(id balancer.EndpointID) (*backend, *conn, net.Dialer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[id]
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -15,8 +15,8 @@
 
 // result is how an attempt ended.
 type result struct {
-	code   balancer.OutcomeCode
-	report *balancer.Report
+	code   balancer.Outcome
+	report *balancer.LoadReport
 	header http.Header // with OK: the answer's
 	body   []byte
 	stream *stream // with OK, for a long answer: instead of the body
@@ -29,21 +29,21 @@
 // may says right before the first byte whether the request may still be sent.
 // A long answer is given to begun, which returns when that is over and tells
 // how it ended; ctx has no part in it any more.
-func (p *pool) attempt(ctx context.Context, id balancer.ServerID, o *outbound, may func() bool, begun func(result) error) result {
+func (p *pool) attempt(ctx context.Context, id balancer.EndpointID, o *outbound, may func() bool, begun func(result) error) result {
 	end, ok := ctx.Deadline()
 	if !ok {
-		return result{code: balancer.Moot} // an attempt without an end could hang for ever
+		return result{code: balancer.NotSent} // an attempt without an end could hang for ever
 	}
 	c, err := p.get(ctx, id)
 	if err != nil {
 		if calledOff(ctx) || ownLimit(err) {
-			return result{code: balancer.Moot}
+			return result{code: balancer.NotSent}
 		}
 		return result{code: unconnected(err)}
 	}
 	if ctx.Err() != nil || p.barred(id, c) || !may() {
 		c.discard() // it has been idle for longer than a release would say
-		return result{code: balancer.Moot}
+		return result{code: balancer.NotSent}
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -82,10 +82,10 @@
 }
 
 // send writes a request that is kept whole, and counts it.
-func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code balancer.OutcomeCode, ok bool) {
+func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code balancer.Outcome, ok bool) {
 	msg, err := o.bytes(time.Until(end))
 	if err != nil {
-		return balancer.Moot, false
+		return balancer.NotSent, false
 	}
 	sent, err := c.Write(msg)
 	switch {
@@ -93,7 +93,7 @@
 	case sent == len(msg):
 		return ending(ctx, err), false // a last byte that left with an error may have come
 	case calledOff(ctx):
-		return balancer.Moot, false
+		return balancer.NotSent, false
 	default:
 		return balancer.ConnectFailed, false
 	}
@@ -103,7 +103,7 @@
 
 // unconnected is the outcome of an attempt that has no connection. Only one that
 // was refused or broken tells that the server is gone.
-func unconnected(err error) balancer.OutcomeCode {
+func unconnected(err error) balancer.Outcome {
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
 		return balancer.ConnectTimedOut
@@ -188,7 +188,7 @@
 	case errors.Is(err, errClientGone):
 		res.code = balancer.Cancelled
 	default:
-		res.code = balancer.Reset
+		res.code = balancer.ConnectionReset
 	}
 	c.discard()
 	return res
@@ -196,14 +196,14 @@
 
 // ending is the outcome of an attempt whose answer did not come: its last byte
 // was written, so it may have run. broken is how the connection ended, if it did.
-func ending(ctx context.Context, broken error) balancer.OutcomeCode {
+func ending(ctx context.Context, broken error) balancer.Outcome {
 	switch {
 	case calledOff(ctx):
 		return balancer.Cancelled
 	case ctx.Err() != nil, errors.Is(broken, os.ErrDeadlineExceeded):
 		return balancer.TimedOut
 	case broken != nil:
-		return balancer.Reset
+		return balancer.ConnectionReset
 	}
 	return balancer.ServerError // it can't be read
 }
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -30,10 +30,10 @@
 
 func newOwn(cfg Config, clients int) own {
 	o := own{number: -1, zone: cfg.Settings.Zone, most: int64(clients)}
-	if s := cfg.Settings; s.Nodes > 1 && s.Self >= 0 && s.Self < len(cfg.Peers) {
-		o.number = s.Self
+	if s := cfg.Settings; s.Proxies > 1 && s.ProxyIndex >= 0 && s.ProxyIndex < len(cfg.Peers) {
+		o.number = s.ProxyIndex
 	}
-	if most := cfg.Settings.MaxOpen; most > 0 {
+	if most := cfg.Settings.MaxOpenRequests; most > 0 {
 		o.most = min(o.most, int64(most))
 	}
 	return o
--- a/internal/proxy/fleet_config.go
+++ b/internal/proxy/fleet_config.go
@@ -86,7 +86,7 @@
 
 // withoutView is the configuration of a node that may send no messages to others.
 func (c Config) withoutView(log *slog.Logger) Config {
-	if c.Fleet.Name != "" && !c.Settings.MayMessage {
+	if c.Fleet.Name != "" && !c.Settings.AllowGossip {
 		log.Warn(viewOff, "fleet", c.Fleet.Name)
 		c.Fleet = FleetConfig{}
 	}
--- a/internal/proxy/govern.go
+++ b/internal/proxy/govern.go
@@ -13,6 +13,7 @@
 	"wrenspread/internal/quota"
 	"wrenspread/internal/quota/record"
 	"wrenspread/internal/registry/client"
+	"wrenspread/ratelimit"
 )
 
 const (
@@ -46,7 +47,7 @@
 	if len(c.List) == 0 {
 		problems = append(problems, fmt.Errorf("govern: policy needs the list service: the key list with its addresses"))
 	}
-	if !c.Settings.MayMessage {
+	if !c.Settings.AllowGossip {
 		problems = append(problems, fmt.Errorf("govern: policy needs messages between nodes, which settings.caps.peers does not allow"))
 	}
 	return problems
@@ -118,13 +119,13 @@
 	if t == nil {
 		n.handle(balancer.TableChanged{})
 	} else {
-		n.handle(balancer.TableChanged{Table: t, Hand: g.ledger})
+		n.handle(balancer.TableChanged{Table: t, Tokens: g.ledger})
 	}
 	n.log.Info("policy", "version", one.Version, "limits", limitsOf(t))
 	n.settleReady()
 }
 
-func limitsOf(t *balancer.Table) int {
+func limitsOf(t *ratelimit.Table) int {
 	if t == nil {
 		return 0
 	}
@@ -151,10 +152,10 @@
 	}
 	g.ticks++
 	n.tell(quota.Tick{})
-	s, _ := n.module.Tallies()
+	s, _ := n.module.LimitCounts()
 	st := g.ledger.Status()
-	g.asked.Store(s.Asked)
-	g.refused.Store(s.Refused)
+	g.asked.Store(s.Requests)
+	g.refused.Store(s.Rejected)
 	g.fence.Store(st.Fence)
 	g.resting.Store(st.Resting)
 	g.seated.Store(st.Seated)
--- a/internal/proxy/ids.go
+++ b/internal/proxy/ids.go
@@ -10,13 +10,13 @@
 // ids gives servers their numbers: a hash of the name, so that every node and
 // every restart agrees on them.
 type ids struct {
-	byName map[string]balancer.ServerID
-	byID   map[balancer.ServerID]string
+	byName map[string]balancer.EndpointID
+	byID   map[balancer.EndpointID]string
 	hash   func(string) uint32
 }
 
 func newIDs() *ids {
-	return &ids{byName: map[string]balancer.ServerID{}, byID: map[balancer.ServerID]string{}, hash: func(s string) uint32 {
+	return &ids{byName: map[string]balancer.EndpointID{}, byID: map[balancer.EndpointID]string{}, hash: func(s string) uint32 {
 		h := fnv.New32a()
 		io.WriteString(h, s) // never fails
 		return h.Sum32()
@@ -26,12 +26,12 @@
 // of finds the number of a name. Of two names with one hash the later listed
 // is hashed again: two servers under one number would share their load and
 // their drains.
-func (d *ids) of(name string) balancer.ServerID {
+func (d *ids) of(name string) balancer.EndpointID {
 	if id, ok := d.byName[name]; ok {
 		return id
 	}
-	id := balancer.ServerID(d.hash(name))
-	for salted := name; ; id = balancer.ServerID(d.hash(salted)) {
+	id := balancer.EndpointID(d.hash(name))
+	for salted := name; ; id = balancer.EndpointID(d.hash(salted)) {
 		if _, taken := d.byID[id]; !taken {
 			break
 		}
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -28,22 +28,22 @@
 // discovery: then the list of before has to do.
 const firstWord = 500 * time.Millisecond
 
-var states = map[string]balancer.ServerState{registry.Ready: balancer.Ready, registry.Draining: balancer.Draining, registry.Gone: balancer.Gone}
+var states = map[string]balancer.EndpointState{registry.Ready: balancer.Ready, registry.Draining: balancer.Draining, registry.Gone: balancer.Removed}
 
-func kindOf(l registry.Answer) balancer.ListKind {
+func kindOf(l registry.Answer) balancer.UpdateKind {
 	if l.Snapshot {
-		return balancer.ListFull
+		return balancer.UpdateComplete
 	}
-	return balancer.ListChanges
+	return balancer.UpdateIncremental
 }
 
 // newLists makes the client of the project's list service, where it is
 // configured, else the follower of the platform's discovery.
 func (n *Node) newLists() (lists, error) {
 	listed := func(l registry.Answer) { n.post(func() { n.follow(l, kindOf(l)) }) }
-	failed := func() { n.post(func() { n.handle(balancer.ListUpdate{Kind: balancer.ListFailed}) }) }
+	failed := func() { n.post(func() { n.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
 	if len(n.cfg.List) == 0 {
-		return client.NewPlatform(n.cfg.Discovery, n.cfg.Settings.AskForList, n.cfg.known.Index, n.log, listed, failed), nil
+		return client.NewPlatform(n.cfg.Discovery, n.cfg.Settings.PollForEndpoints, n.cfg.known.Index, n.log, listed, failed), nil
 	}
 	s := &service{listed: listed}
 	c := client.Config{Addresses: n.cfg.List, File: n.cfg.ListFile, Hold: listHold, Log: n.log, Taken: listed}
@@ -62,7 +62,7 @@
 
 // beginLists takes the list of before, and follows where lists are pushed.
 func (n *Node) beginLists(ctx context.Context) {
-	pushed := !n.cfg.Settings.AskForList
+	pushed := !n.cfg.Settings.PollForEndpoints
 	if _, agent := n.lists.(*client.Platform); pushed && agent {
 		n.unheard = true
 		time.AfterFunc(n.first, func() { n.post(n.welcome) })
@@ -70,7 +70,7 @@
 	select {
 	case <-n.told: // by an address to which SIGHUP has moved the node meanwhile: what is known is older
 	default:
-		n.follow(n.cfg.known, balancer.ListCached)
+		n.follow(n.cfg.known, balancer.UpdateCached)
 	}
 	n.cfg.known.Endpoints = nil // what is known is kept in a shorter form from here on
 	if pushed {
@@ -115,7 +115,7 @@
 	switch l := n.lists.(type) {
 	case *service:
 		l.part.now.Store(scopeOf(n.cfg.Settings))
-		if !n.cfg.Settings.AskForList {
+		if !n.cfg.Settings.PollForEndpoints {
 			l.Follow(n.ctx)
 		}
 		if slices.Equal(cfg.List, n.cfg.List) {
@@ -134,7 +134,7 @@
 			n.tenants.k.SetAddresses(cfg.List)
 		}
 	case *client.Platform:
-		asked := n.cfg.Settings.AskForList
+		asked := n.cfg.Settings.PollForEndpoints
 		if cfg.Discovery != n.cfg.Discovery || asked != l.Asked() {
 			n.log.Info("discovery moves", "to", cfg.Discovery, "asked", asked)
 			n.cfg.Discovery = cfg.Discovery
@@ -145,24 +145,24 @@
 
 // follow takes a list from discovery: addresses for the sockets, the rest for
 // the module.
-func (n *Node) follow(l registry.Answer, kind balancer.ListKind) {
+func (n *Node) follow(l registry.Answer, kind balancer.UpdateKind) {
 	entries := slices.Clone(l.Endpoints)
 	// In one order whatever the list's, as the numbers of names that share a
 	// hash depend on it. Of entries of one name the last counts.
 	slices.SortStableFunc(entries, func(a, b registry.Entry) int { return strings.Compare(a.Name, b.Name) })
-	u := balancer.ListUpdate{Kind: kind, Version: l.Index}
-	placePart(&u, l, n.cfg.Settings.Self)
+	u := balancer.EndpointsUpdated{Kind: kind, Version: l.Index}
+	placePart(&u, l, n.cfg.Settings.ProxyIndex)
 	missing := map[string]bool{}
-	if kind != balancer.ListChanges {
+	if kind != balancer.UpdateIncremental {
 		for name := range n.listed {
 			missing[name] = true
 		}
 	}
 	for _, e := range entries {
 		id, state := n.ids.of(e.Name), states[e.Status]
-		u.Entries = append(u.Entries, balancer.Server{ID: id, Zone: e.Zone, Kind: e.Type, Cell: e.Group, State: state,
-			Size: e.Weight, StartedAt: time.Duration(e.SinceMS) * time.Millisecond})
-		if missing[e.Name] = state == balancer.Gone; state != balancer.Gone {
+		u.Endpoints = append(u.Endpoints, balancer.Endpoint{ID: id, Zone: e.Zone, MachineType: e.Type, Cell: e.Group, State: state,
+			Weight: e.Weight, StartedAt: time.Duration(e.SinceMS) * time.Millisecond})
+		if missing[e.Name] = state == balancer.Removed; state != balancer.Removed {
 			n.listed[e.Name] = id
 			n.backends.set(id, e.Address, e.SinceMS)
 			n.backends.drain(id, state == balancer.Draining)
@@ -179,10 +179,10 @@
 		}
 	}
 	n.stats.discovered.Store(int64(len(n.listed)))
-	if kind != balancer.ListCached {
+	if kind != balancer.UpdateCached {
 		n.heard.Do(func() { close(n.told) })
 	}
-	if kind != balancer.ListCached || !n.unheard {
+	if kind != balancer.UpdateCached || !n.unheard {
 		n.welcome()
 	}
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -75,17 +75,17 @@
 	}
 	n.queue = nil
 	switch e.(type) {
-	case balancer.TimerFired, balancer.Maintenance, balancer.ListUpdate: // often enough for a figure
+	case balancer.TimerFired, balancer.Maintenance, balancer.EndpointsUpdated: // often enough for a figure
 		n.stats.ejected.Store(int64(n.module.Ejected()))
 	}
 }
 
 func (n *Node) act(a balancer.Action) {
 	switch a := a.(type) {
-	case balancer.Send:
+	case balancer.StartAttempt:
 		n.send(a)
-	case balancer.Refuse:
-		n.finish(a.ID, answer{status: cmp.Or(a.Status, http.StatusServiceUnavailable), holdOff: a.HoldOff})
+	case balancer.Reject:
+		n.finish(a.ID, answer{status: cmp.Or(a.Status, http.StatusServiceUnavailable), holdOff: a.RetryAfter})
 	case balancer.Fail:
 		n.finish(a.ID, answer{status: http.StatusBadGateway})
 	case balancer.CancelAttempt:
@@ -94,14 +94,14 @@
 		}
 	case balancer.SetTimer:
 		time.AfterFunc(a.After, func() { n.post(func() { n.handle(balancer.TimerFired{Token: a.Token}) }) })
-	case balancer.CloseIdle:
-		n.backends.closeIdle(a.Server)
+	case balancer.CloseIdleConnections:
+		n.backends.closeIdle(a.Endpoint)
 	case balancer.SendMessage:
 		n.message(a)
 	case balancer.Subscribe:
 		n.lists.Ask(n.ctx, false, a.On)
-	case balancer.FetchList:
-		n.lists.Ask(n.ctx, true, n.cfg.Settings.AskForList)
+	case balancer.FetchEndpoints:
+		n.lists.Ask(n.ctx, true, n.cfg.Settings.PollForEndpoints)
 	case balancer.Log:
 		n.log.Info("module: " + a.Line)
 	default:
@@ -116,7 +116,7 @@
 		return
 	}
 	for to := range n.cfg.Peers {
-		if to != n.cfg.Settings.Self {
+		if to != n.cfg.Settings.ProxyIndex {
 			n.peers.Load().send(to, a.Data)
 		}
 	}
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -37,7 +37,7 @@
 	n.log.Info("maintenance", "backend", name, "on", on)
 	id := n.ids.of(name)
 	n.backends.hold(id, on)
-	n.handle(balancer.Maintenance{Server: id, On: on})
+	n.handle(balancer.Maintenance{Endpoint: id, On: on})
 	if delete(n.banned, name); on {
 		n.banned[name] = true
 	} else if _, listed := n.listed[name]; !listed {
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -51,9 +51,9 @@
 
 	// The rest belongs to the loop.
 	ctx      context.Context
-	module   *balancer.Module
+	module   *balancer.Balancer
 	ids      *ids
-	listed   map[string]balancer.ServerID
+	listed   map[string]balancer.EndpointID
 	told     chan struct{}   // closed when discovery has told the list
 	unheard  bool            // the agent's first word is still awaited
 	heard    sync.Once       // for that
@@ -66,7 +66,7 @@
 func New(cfg Config, log *slog.Logger) *Node {
 	cfg = cfg.withoutView(log)
 	n := &Node{cfg: cfg, log: log, start: time.Now(), inbox: make(chan func(), inboxSize), calls: make(chan func()), told: make(chan struct{}), ended: make(chan struct{}),
-		module: balancer.New(cfg.Settings, cfg.Seed), ids: newIDs(), listed: map[string]balancer.ServerID{}, banned: map[string]bool{},
+		module: balancer.New(cfg.Settings, cfg.Seed), ids: newIDs(), listed: map[string]balancer.EndpointID{}, banned: map[string]bool{},
 		requests: map[balancer.RequestID]*request{}, stats: newStats(cfg.Settings.Classes, cfg.BackendStats),
 		file: cfg.file, first: firstWord, listTime: listTime}
 	if n.fences, n.unfit = fencing.Open(cfg.Fences); n.unfit != nil {
--- a/internal/proxy/part.go
+++ b/internal/proxy/part.go
@@ -16,9 +16,9 @@
 }
 
 func scopeOf(s balancer.Settings) *scope {
-	to := &scope{self: s.Self, nodes: s.Nodes}
+	to := &scope{self: s.ProxyIndex, nodes: s.Proxies}
 	for _, c := range s.Classes {
-		g := registry.Group{Zones: c.OnlyZones, Types: c.OnlyKinds}
+		g := registry.Group{Zones: c.AllowedZones, Types: c.AllowedMachineTypes}
 		if !slices.ContainsFunc(to.groups, func(o registry.Group) bool { return same(o.Zones, g.Zones) && same(o.Types, g.Types) }) {
 			to.groups = append(to.groups, g)
 		}
@@ -44,8 +44,8 @@
 }
 
 // placePart says of a list which part of the whole it is; of the whole list it says nothing.
-func placePart(u *balancer.ListUpdate, l registry.Answer, self int) {
+func placePart(u *balancer.EndpointsUpdated, l registry.Answer, self int) {
 	if p, err := registry.ParsePart(l.Part); err == nil && !p.All() {
-		u.Total, u.From = l.Total, registry.Place(self)
+		u.TotalEndpoints, u.SubsetStart = l.Total, registry.Place(self)
 	}
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -25,10 +25,10 @@
 	open     int // connections, idle, in use or being dialled
 	most     int
 	shared   bool // with another process of this node: half of them
-	backends map[balancer.ServerID]*backend
-	used     []*backend                 // those with idle connections, and some that had them lately
-	held     map[balancer.ServerID]bool // nothing is written to them
-	room     room                       // for answers that are not small
+	backends map[balancer.EndpointID]*backend
+	used     []*backend                   // those with idle connections, and some that had them lately
+	held     map[balancer.EndpointID]bool // nothing is written to them
+	room     room                         // for answers that are not small
 }
 
 // backend is one process of a server. A restart or a new address makes a new
@@ -43,7 +43,7 @@
 }
 
 func newPool(s balancer.Settings, most int) *pool {
-	p := &pool{most: most, forwards: new(atomic.Int64), backends: map[balancer.ServerID]*backend{}, held: map[balancer.ServerID]bool{},
+	p := &pool{most: most, forwards: new(atomic.Int64), backends: map[balancer.EndpointID]*backend{}, held: map[balancer.EndpointID]bool{},
 		room: newRoom(defaultMemoryMB), pause: backoff.Sleep,
 		dialer: net.Dialer{KeepAlive: -1}}
 	p.configure(s)
@@ -55,7 +55,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer.Timeout = s.ConnectTimeout
-	if p.maxIdle = time.Duration(idlePart * float64(s.ConnIdle)); s.ConnIdle <= 0 {
+	if p.maxIdle = time.Duration(idlePart * float64(s.ConnectionIdleTimeout)); s.ConnectionIdleTimeout <= 0 {
 		p.maxIdle = time.Minute
 	}
 }
@@ -69,7 +69,7 @@
 
 // set takes a server's address from the list. Connections to an earlier
 // process of it are worthless and are closed.
-func (p *pool) set(id balancer.ServerID, address string, since int64) {
+func (p *pool) set(id balancer.EndpointID, address string, since int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -82,7 +82,7 @@
 	p.backends[id] = &backend{address: address, since: since}
 }
 
-func (p *pool) remove(id balancer.ServerID) {
+func (p *pool) remove(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -93,7 +93,7 @@
 }
 
 // closeIdle closes the connections to a server that carry nothing.
-func (p *pool) closeIdle(id balancer.ServerID) {
+func (p *pool) closeIdle(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -120,7 +120,7 @@
 
 // hold has nothing more written to a server, whatever was picked before, or
 // lets it be used again.
-func (p *pool) hold(id balancer.ServerID, on bool) {
+func (p *pool) hold(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if delete(p.held, id); on {
@@ -129,7 +129,7 @@
 }
 
 // drain says whether a server takes nothing new.
-func (p *pool) drain(id balancer.ServerID, on bool) {
+func (p *pool) drain(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -139,7 +139,7 @@
 
 // barred tells whether nothing may be written on a connection any more: since its server was picked, that has
 // restarted, moved, begun to drain or left the list, or is held.
-func (p *pool) barred(id balancer.ServerID, c *conn) bool {
+func (p *pool) barred(id balancer.EndpointID, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c.of.closed || c.of.drains || p.held[id]
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -65,25 +65,25 @@
 		return
 	}
 	now := n.front.rules.Load().number // those that the module has, as both change in one step
-	if most := n.cfg.Settings.MaxOpen; most > 0 && len(n.requests) >= most || r.settings < now-1 {
+	if most := n.cfg.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most || r.settings < now-1 {
 		// The module does not know its class any more: another of that name may be repeated freely.
 		r.done = true
 		r.answer <- answer{status: http.StatusServiceUnavailable}
 		return
 	}
-	e.Former = r.settings < now
+	e.PreviousSettings = r.settings < now
 	if !n.judge(r, &e) {
 		return
 	}
 	n.requests[r.id] = r
 	if r.out.rest != nil {
-		e.Coming, e.Patience = true, r.out.rest.wait
+		e.Incomplete, e.Timeout = true, r.out.rest.wait
 		r.guard = time.AfterFunc(uploadMost, func() {}) // its time has not begun
 		n.handle(e)
 		return
 	}
-	e.Patience = time.Until(r.deadline)
-	n.keepTime(r, e.Patience)
+	e.Timeout = time.Until(r.deadline)
+	n.keepTime(r, e.Timeout)
 	n.handle(e)
 }
 
@@ -96,7 +96,7 @@
 	r.deadline = time.Now().Add(wait)
 	r.guard.Stop()
 	n.keepTime(r, wait)
-	n.handle(balancer.RequestWhole{ID: r.id, Patience: wait})
+	n.handle(balancer.RequestSent{ID: r.id, Timeout: wait})
 }
 
 // keepTime guards a request's deadline.
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -56,7 +56,7 @@
 		res.code, res.header, res.body = balancer.OK, resp.Header, body
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Run") == "1":
-		res.code = balancer.Full
+		res.code = balancer.Rejected
 	default:
 		res.code = balancer.ServerError
 	}
@@ -101,11 +101,11 @@
 
 // parseLoad reads a load report. One that is malformed in any part is ignored
 // as a whole: half a report says less than the count it would replace.
-func parseLoad(s string) *balancer.Report {
+func parseLoad(s string) *balancer.LoadReport {
 	if s == "" {
 		return nil
 	}
-	var r balancer.Report
+	var r balancer.LoadReport
 	known := false
 	for part := range strings.SplitSeq(s, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -151,18 +151,18 @@
 
 // rules is what the front must know of the settings to take a request.
 type rules struct {
-	number      int                        // one more each time that the module is given settings: it knows the last two
-	came        int                        // the number with which the settings first came
-	effects     map[string]balancer.Effect // of the classes
-	longest     time.Duration              // deadline of a class
-	former      map[string]balancer.Effect // of the settings before
+	number      int                             // one more each time that the module is given settings: it knows the last two
+	came        int                             // the number with which the settings first came
+	effects     map[string]balancer.Idempotency // of the classes
+	longest     time.Duration                   // deadline of a class
+	former      map[string]balancer.Idempotency // of the settings before
 	formerUntil time.Time
 }
 
 func newRules(s balancer.Settings, before *rules) *rules {
-	r := &rules{effects: map[string]balancer.Effect{}}
+	r := &rules{effects: map[string]balancer.Idempotency{}}
 	for _, c := range s.Classes {
-		r.effects[c.Name] = c.Effect
+		r.effects[c.Name] = c.Idempotency
 		r.longest = max(r.longest, c.Deadline)
 	}
 	if before != nil {
@@ -190,7 +190,7 @@
 
 // effect finds what a repeat of a request would do: by its class, or by that
 // class as it was, where only that agrees with the request's form.
-func (r *rules) effect(class string, fits func(balancer.Effect) error) (former bool, err error) {
+func (r *rules) effect(class string, fits func(balancer.Idempotency) error) (former bool, err error) {
 	effect, known := r.effects[class]
 	if known {
 		if err = fits(effect); err == nil {
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -69,8 +69,8 @@
 
 // attempt takes the end of an attempt at a server. One that the node called off, or
 // never sent, says nothing of it.
-func (s *stats) attempt(server string, code balancer.OutcomeCode, late bool) {
-	if server == "" || code == balancer.Moot || code == balancer.Cancelled {
+func (s *stats) attempt(server string, code balancer.Outcome, late bool) {
+	if server == "" || code == balancer.NotSent || code == balancer.Cancelled {
 		return
 	}
 	s.mu.Lock()
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -4,9 +4,9 @@
 	"sync/atomic"
 	"time"
 
-	"wrenspread/balancer"
 	"wrenspread/internal/registry/client"
 	"wrenspread/internal/tenant"
+	"wrenspread/ratelimit"
 )
 
 // tenants is a node's part in the catalogue of tenants. It is the loop's but for the client, the session and the figures.
@@ -146,7 +146,7 @@
 }
 
 // tenantTable tells the desk of the policy's table that is evaluated; nil for none.
-func (n *Node) tenantTable(table *balancer.Table) {
+func (n *Node) tenantTable(table *ratelimit.Table) {
 	t := n.tenants
 	if t == nil {
 		return
@@ -163,10 +163,10 @@
 }
 
 // bookOf is the name by which a table knows the requests that touch a limit; empty: any.
-func bookOf(t *balancer.Table, l balancer.Limit) string {
-	for at := l.Part; at >= 0 && at < len(t.Parts); at = t.Parts[at].Within {
-		if p := t.Parts[at]; p.Axis == balancer.OfBook && p.Word != balancer.Others {
-			return p.Word
+func bookOf(t *ratelimit.Table, l ratelimit.Limit) string {
+	for at := l.Scope; at >= 0 && at < len(t.Scopes); at = t.Scopes[at].Parent {
+		if p := t.Scopes[at]; p.Attribute == ratelimit.AttributeTenant && p.Value != ratelimit.AnyOther {
+			return p.Value
 		}
 	}
 	return ""
--- a/internal/proxy/tenants_lanes.go
+++ b/internal/proxy/tenants_lanes.go
@@ -149,10 +149,10 @@
 // variant is a class with the zones and kinds of a route alone. Its name is the same for equal routes, in every process,
 // and none that a client can send.
 func variant(c balancer.Class, r *tenant.Route) balancer.Class {
-	zones, kinds := narrow(c.OnlyZones, r.Zones), narrow(c.OnlyKinds, r.Kinds)
-	c.Of = c.Name
+	zones, kinds := narrow(c.AllowedZones, r.Zones), narrow(c.AllowedMachineTypes, r.Kinds)
+	c.VariantOf = c.Name
 	c.Name = strings.Join([]string{c.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(kinds, "\x00")}, "\x00")
-	c.OnlyZones, c.OnlyKinds = zones, kinds
+	c.AllowedZones, c.AllowedMachineTypes = zones, kinds
 	return c
 }
 
--- a/internal/proxy/upgrade_link.go
+++ b/internal/proxy/upgrade_link.go
@@ -25,16 +25,16 @@
 
 // message is a line between the old process of a node and the new one.
 type message struct {
-	Version int                          `json:"v,omitempty"`
-	Kind    string                       `json:"kind"`
-	Learned *balancer.Learned            `json:"learned,omitempty"`
-	Names   map[string]balancer.ServerID `json:"names,omitempty"` // of the servers in it
-	Bans    []string                     `json:"bans,omitempty"`
-	Backend string                       `json:"backend,omitempty"`
-	On      bool                         `json:"on,omitempty"`
-	Number  int                          `json:"number,omitempty"`  // of a call that is forwarded
-	Tenants *tenant.Member               `json:"tenants,omitempty"` // how the tenants' book has the node
-	Fleet   json.RawMessage              `json:"fleet,omitempty"`   // a view.Handed, the node's life in the fleet; what can't be read of it costs only the life
+	Version int                            `json:"v,omitempty"`
+	Kind    string                         `json:"kind"`
+	Learned *balancer.LearnedState         `json:"learned,omitempty"`
+	Names   map[string]balancer.EndpointID `json:"names,omitempty"` // of the servers in it
+	Bans    []string                       `json:"bans,omitempty"`
+	Backend string                         `json:"backend,omitempty"`
+	On      bool                           `json:"on,omitempty"`
+	Number  int                            `json:"number,omitempty"`  // of a call that is forwarded
+	Tenants *tenant.Member                 `json:"tenants,omitempty"` // how the tenants' book has the node
+	Fleet   json.RawMessage                `json:"fleet,omitempty"`   // a view.Handed, the node's life in the fleet; what can't be read of it costs only the life
 }
 
 // The kinds of message, in the order in which they come.
--- a/internal/proxy/upgrade_new.go
+++ b/internal/proxy/upgrade_new.go
@@ -68,18 +68,18 @@
 	if m.Learned == nil {
 		return
 	}
-	names := map[balancer.ServerID]string{}
+	names := map[balancer.EndpointID]string{}
 	for name, id := range m.Names {
 		names[id] = name
 	}
-	servers := m.Learned.Servers[:0]
-	for _, s := range m.Learned.Servers {
+	servers := m.Learned.Endpoints[:0]
+	for _, s := range m.Learned.Endpoints {
 		if name, ok := names[s.ID]; ok {
 			s.ID = n.ids.of(name)
 			servers = append(servers, s)
 		}
 	}
-	m.Learned.Servers = servers
+	m.Learned.Endpoints = servers
 	n.handle(balancer.Restored{Learned: *m.Learned})
 	n.log.Info("taken over", "servers", len(servers))
 }
--- a/internal/proxy/upgrade_old.go
+++ b/internal/proxy/upgrade_old.go
@@ -108,8 +108,8 @@
 // known is what a new process is told.
 func (n *Node) known() message {
 	learned := n.module.Learned(n.now())
-	m := message{Version: handoverVersion, Kind: kindState, Learned: &learned, Names: map[string]balancer.ServerID{}}
-	for _, s := range learned.Servers {
+	m := message{Version: handoverVersion, Kind: kindState, Learned: &learned, Names: map[string]balancer.EndpointID{}}
+	for _, s := range learned.Endpoints {
 		m.Names[n.ids.byID[s.ID]] = s.ID
 	}
 	m.Bans = slices.Sorted(maps.Keys(n.banned))
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -23,7 +23,7 @@
 // read checks a request. The status goes with the error.
 func (f *frontend) read(w http.ResponseWriter, r *http.Request) (*request, balancer.RequestArrived, int, error) {
 	e := balancer.RequestArrived{Class: r.Header.Get("X-Class"), Tenant: r.Header.Get("X-Tenant"),
-		Repeat: r.Header.Get("X-Retry") == "1"}
+		ClientRetry: r.Header.Get("X-Retry") == "1"}
 	var back func()
 	bad := func(status int, format string, args ...any) (*request, balancer.RequestArrived, int, error) {
 		if back != nil {
@@ -40,7 +40,7 @@
 		return bad(http.StatusBadRequest, "want one X-Tenant")
 	}
 	rules := f.rules.Load()
-	former, err := rules.effect(e.Class, func(effect balancer.Effect) error { return fits(r, e.Class, effect) })
+	former, err := rules.effect(e.Class, func(effect balancer.Idempotency) error { return fits(r, e.Class, effect) })
 	if err != nil {
 		var wrong formError
 		errors.As(err, &wrong)
@@ -51,7 +51,7 @@
 		return bad(http.StatusBadRequest, "X-Deadline: %w", err)
 	}
 	if hint, err := strconv.ParseFloat(r.Header.Get("X-Cost-Hint"), 64); err == nil && hint >= 0 && hint < 1e12 {
-		e.WorkHint, e.HasHint = time.Duration(hint*float64(time.Microsecond)), true
+		e.WorkHint, e.HasWorkHint = time.Duration(hint*float64(time.Microsecond)), true
 	}
 	e.Key = r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	if r.ContentLength > maxLarge {
@@ -111,16 +111,16 @@
 
 // fits checks a request's form. The method and the key tell the server what a
 // repeat would do, so they must agree with what the module believes.
-func fits(r *http.Request, class string, effect balancer.Effect) error {
+func fits(r *http.Request, class string, effect balancer.Idempotency) error {
 	want := http.MethodPost
-	if effect == balancer.Safe {
+	if effect == balancer.Idempotent {
 		want = http.MethodGet
 	}
 	if r.Method != want {
 		return formError{http.StatusMethodNotAllowed, fmt.Sprintf("class %s wants %s", class, want)}
 	}
 	switch keys := r.Header.Values("Idempotency-Key"); {
-	case effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""), effect == balancer.Unsafe && len(keys) > 0:
+	case effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""), effect == balancer.NotIdempotent && len(keys) > 0:
 		return badRequest("class %s and Idempotency-Key do not agree", class)
 	}
 	return nil
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -79,8 +79,8 @@
 	return l
 }
 
-// Left is how much of the limit a request may take now.
-func (l *Ledger) Left(i int) float64 {
+// Available is how much of the limit a request may take now.
+func (l *Ledger) Available(i int) float64 {
 	s := &l.slots[i]
 	switch {
 	case l.left:
@@ -92,8 +92,8 @@
 	return s.tokens
 }
 
-// Full is the most that Left can come to at the present share.
-func (l *Ledger) Full(i int) float64 {
+// Capacity is the most that Left can come to at the present share.
+func (l *Ledger) Capacity(i int) float64 {
 	s := &l.slots[i]
 	share := l.share(s, l.now)
 	switch {
@@ -116,16 +116,16 @@
 	l.wanted(i, amount)
 }
 
-// Give notes that a request of a limit on open requests has ended.
-func (l *Ledger) Give(i int, amount float64) {
+// Return notes that a request of a limit on open requests has ended.
+func (l *Ledger) Return(i int, amount float64) {
 	if s := &l.slots[i]; s.open {
 		s.out = max(s.out-amount, 0)
 	}
 }
 
-// Refused notes demand that was turned away: by this limit, or by one around it.
-func (l *Ledger) Refused(i int, amount float64) {
-	if l.Left(i) < amount {
+// Rejected notes demand that was turned away: by this limit, or by one around it.
+func (l *Ledger) Rejected(i int, amount float64) {
+	if l.Available(i) < amount {
 		l.slots[i].short += amount
 	}
 	l.wanted(i, amount)
--- a/internal/quota/events.go
+++ b/internal/quota/events.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // Event is what a core is told. Each core ignores what is not for it.
@@ -15,7 +15,7 @@
 	Message struct{ Data []byte } // a datagram has come; the core checks it
 	// Table is the one by which requests are judged from now on. A holder is told the one Before too (nil: none), since
 	// nodes that don't know the new one yet have their safe share of the old.
-	Table struct{ Now, Before *balancer.Table }
+	Table struct{ Now, Before *ratelimit.Table }
 )
 
 // Events of the ledger.
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // NodeConfig is what a ledger is started with.
@@ -54,7 +54,7 @@
 	at     time.Duration
 }
 
-var _ balancer.Hand = (*Ledger)(nil)
+var _ ratelimit.Tokens = (*Ledger)(nil)
 
 // NewLedger gives a ledger that has no table, no share and no seat.
 func NewLedger(cfg NodeConfig) *Ledger {
@@ -157,7 +157,7 @@
 }
 
 // take swaps the table. Shares and tokens of limits that are in both go on, by name.
-func (l *Ledger) take(t *balancer.Table) {
+func (l *Ledger) take(t *ratelimit.Table) {
 	next := newLimits(t, l.t.drift)
 	slots := make([]slot, len(next.all))
 	var listed []int32
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // limit is one index of a hand as both ends share it out. For limits on requests open at once, rate is the count
@@ -14,7 +14,7 @@
 type limit struct {
 	hash        uint64 // of its name on the wire
 	parent      int32  // -1: none
-	axis        balancer.Axis
+	axis        ratelimit.Attribute
 	open        bool
 	borrow      bool
 	rate, burst float64 // units a second, units
@@ -29,7 +29,7 @@
 
 // limits are a table's, by the hand's index.
 type limits struct {
-	table   *balancer.Table
+	table   *ratelimit.Table
 	version uint64
 	slow    float64 // rates are lower by this part, so that no clock that runs fast makes more of them
 	all     []limit
@@ -37,24 +37,24 @@
 }
 
 // newLimits takes a table that is ready.
-func newLimits(t *balancer.Table, slow float64) *limits {
+func newLimits(t *ratelimit.Table, slow float64) *limits {
 	n := &limits{table: t, slow: 1 - slow, byHash: map[uint64]int32{}}
 	if t == nil {
 		return n
 	}
 	n.version = t.Version
-	n.all = make([]limit, t.Hands())
+	n.all = make([]limit, t.TokenSlots())
 	for i := range t.Limits {
 		n.all[i] = n.single(i)
 	}
 	for at := len(t.Limits); at < len(n.all); {
 		of := t.LimitOf(at)
-		for k := range max(t.Limits[of].Slots, 1) {
+		for k := range max(t.Limits[of].KeySlots, 1) {
 			l := n.all[of]
 			l.parent, l.hash = -1, mix(l.hash, uint64(k))
 			n.all[at+k] = l
 		}
-		at += max(t.Limits[of].Slots, 1)
+		at += max(t.Limits[of].KeySlots, 1)
 	}
 	for i := range n.all {
 		if _, there := n.byHash[n.all[i].hash]; !there {
@@ -65,10 +65,10 @@
 }
 
 func (n *limits) single(i int) limit {
-	from, least := &n.table.Limits[i], n.table.Least(i)
+	from, least := &n.table.Limits[i], n.table.Minimum(i)
 	l := limit{
-		hash: mix(0, 0, from.Name), parent: int32(from.Parent), axis: from.Axis,
-		open: from.Unit == balancer.UnitOpen, borrow: from.Borrow,
+		hash: mix(0, 0, from.Name), parent: int32(from.Parent), axis: from.Attribute,
+		open: from.Unit == ratelimit.UnitConcurrency, borrow: from.Borrow,
 		rate: from.Rate, burst: from.Burst, floor: from.Floor, weight: from.Weight,
 	}
 	pool := least.Burst
@@ -77,9 +77,9 @@
 	} else {
 		l.rate, least.Rate = l.rate*n.slow, least.Rate*n.slow
 	}
-	l.safeTokens = uint64(min(max(from.Safe*pool, 0), mostPool))
+	l.safeTokens = uint64(min(max(from.FallbackShare*pool, 0), mostPool))
 	if l.safeTokens > 0 {
-		l.safeRate = from.Safe * least.Rate
+		l.safeRate = from.FallbackShare * least.Rate
 	}
 	return l
 }
@@ -88,7 +88,7 @@
 func (n *limits) at(wall time.Time) {
 	for i := range n.all {
 		of := n.table.LimitOf(i)
-		if i >= len(n.table.Limits) && len(n.table.Limits[of].Spans) == 0 {
+		if i >= len(n.table.Limits) && len(n.table.Limits[of].Schedule) == 0 {
 			continue
 		}
 		f := n.table.At(of, wall)
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // plan sets each member's goal in each limit that anybody wants: first what each limit may have of the one around
@@ -29,7 +29,7 @@
 // need is what a member's inner limits of one axis, which share an outer one, want of it.
 type need struct {
 	limit int32
-	axis  balancer.Axis
+	axis  ratelimit.Attribute
 	of    *member
 }
 
@@ -59,7 +59,7 @@
 func (a *Apportioner) budgets(active []int32) map[int32]float64 {
 	type group struct {
 		around int32
-		axis   balancer.Axis
+		axis   ratelimit.Attribute
 	}
 	out := map[int32]float64{}
 	within := map[group][]int32{}
@@ -70,7 +70,7 @@
 		out[i] = l.rate
 	}
 	for _, i := range active { // outer limits come first
-		for axis := balancer.OfFleet; axis <= balancer.OfPod; axis++ {
+		for axis := ratelimit.AttributeFleet; axis <= ratelimit.AttributeCell; axis++ {
 			inner := within[group{i, axis}]
 			if len(inner) == 0 {
 				continue
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -7,9 +7,9 @@
 	"fmt"
 	"slices"
 
-	"wrenspread/balancer"
 	"wrenspread/internal/registry"
 	"wrenspread/internal/registry/client"
+	"wrenspread/ratelimit"
 )
 
 // Keys of records.
@@ -27,11 +27,11 @@
 }
 
 // Table reads a table. Its version is that of its record; a record that is gone is version 0 and no table.
-func Table(r registry.Record) (*balancer.Table, error) {
+func Table(r registry.Record) (*ratelimit.Table, error) {
 	if r.Version == 0 {
 		return nil, nil
 	}
-	t, err := balancer.ReadTable(r.Value)
+	t, err := ratelimit.Read(r.Value)
 	if err != nil {
 		return nil, fmt.Errorf("record %s of version %d: %w", r.Key, r.Version, err)
 	}
@@ -40,7 +40,7 @@
 }
 
 // Value gives the value that a table's record has.
-func Value(t *balancer.Table) (json.RawMessage, error) {
+func Value(t *ratelimit.Table) (json.RawMessage, error) {
 	raw := t.JSON()
 	if len(raw) > registry.MaxRecord {
 		return nil, fmt.Errorf("the table has %d bytes, a record %d at most: use fewer limits, or shorter names", len(raw), registry.MaxRecord)
--- a/internal/quota/spread.go
+++ b/internal/quota/spread.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"wrenspread/balancer"
+	"wrenspread/ratelimit"
 )
 
 // spread divides a limit's budget among the members that want it.
@@ -44,7 +44,7 @@
 	out := make([]float64, len(in))
 	for n, e := range in {
 		var most flow
-		for axis := balancer.OfFleet; axis <= balancer.OfPod; axis++ {
+		for axis := ratelimit.AttributeFleet; axis <= ratelimit.AttributeCell; axis++ {
 			f := needs[need{i, axis, e.of}]
 			most = flow{max(most.asks, f.asks), max(most.gets, f.gets)}
 		}
--- a/internal/registry/part.go
+++ b/internal/registry/part.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"wrenspread/internal/splitmix"
 )
 
 // The width of a node's part. A node works with the servers that follow its place on the ring, reachLeast at
@@ -25,7 +27,7 @@
 	ring     = 1 << 16            // units of a part's ends
 	leastArc = 4                  // units of the narrowest part
 	mostArc  = ring / 4           // of the widest; beyond it is the whole list
-	golden   = 0x9e3779b97f4a7c15 // 2^64 / math.Phi: places of consecutive numbers lie evenly, however many there are
+	golden   = splitmix.Increment // 2^64 / math.Phi: places of consecutive numbers lie evenly, however many there are
 	silver   = 0x6a09e667f3bcc909 // 2^64 * (math.Sqrt2 - 1): even, too, and of no relation to it
 )
 
@@ -35,10 +37,7 @@
 	for i := range len(name) {
 		h = (h ^ uint32(name[i])) * 16777619
 	}
-	z := uint64(h)
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
-	return z ^ z>>31
+	return splitmix.Mix(uint64(h))
 }
 
 // Place is the point of the ring from which the node of a number takes its servers.
--- a/internal/simwire/list.go
+++ b/internal/simwire/list.go
@@ -18,12 +18,12 @@
 	ReadyAt int64   `json:"ready_at_ns"`
 }
 
-var listKinds = map[string]balancer.ListKind{
-	"D": balancer.ListChanges, "F": balancer.ListFull, "C": balancer.ListCached, "X": balancer.ListFailed,
+var listKinds = map[string]balancer.UpdateKind{
+	"D": balancer.UpdateIncremental, "F": balancer.UpdateComplete, "C": balancer.UpdateCached, "X": balancer.UpdateFailed,
 }
 
-var states = map[string]balancer.ServerState{
-	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Gone,
+var states = map[string]balancer.EndpointState{
+	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Removed,
 }
 
 func decodeList(raw json.RawMessage) (Happening, error) {
@@ -39,7 +39,7 @@
 	if !ok {
 		return Happening{}, fmt.Errorf("unknown how %q", e.How)
 	}
-	l := balancer.ListUpdate{Kind: kind, Version: e.Version}
+	l := balancer.EndpointsUpdated{Kind: kind, Version: e.Version}
 	for i, it := range e.Items {
 		if it.Backend == nil {
 			return Happening{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
@@ -48,8 +48,8 @@
 		if !ok {
 			return Happening{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
 		}
-		l.Entries = append(l.Entries, balancer.Server{ID: balancer.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
-			Cell: it.Pod, State: state, Size: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
+		l.Endpoints = append(l.Endpoints, balancer.Endpoint{ID: balancer.EndpointID(*it.Backend), Zone: it.Zone, MachineType: it.Model,
+			Cell: it.Pod, State: state, Weight: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
 	}
 	return Happening{Event: l}, nil
 }
--- a/internal/simwire/report.go
+++ b/internal/simwire/report.go
@@ -9,8 +9,8 @@
 )
 
 // decodeReport skips the keys it does not know; a report with no known key is none.
-func decodeReport(values map[string]json.RawMessage) *balancer.Report {
-	var r balancer.Report
+func decodeReport(values map[string]json.RawMessage) *balancer.LoadReport {
+	var r balancer.LoadReport
 	known := false
 	for name, raw := range values {
 		v, err := strconv.ParseFloat(string(raw), 64)
@@ -24,18 +24,18 @@
 
 // SetReportField sets the value of a load report that the simulator, or a
 // server on a socket, calls so. It tells whether the name is known.
-func SetReportField(r *balancer.Report, name string, v float64) bool {
+func SetReportField(r *balancer.LoadReport, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
 		r.InFlight, r.HasInFlight = v, true
 	case "waiting", "queue":
-		r.Queue, r.HasQueue = v, true
+		r.QueueLength, r.HasQueueLength = v, true
 	case "cpu", "util":
-		r.Utilisation = v
+		r.Utilization = v
 	case "avg_ms", "latency_ms":
 		r.ServiceTime = time.Duration(v * float64(time.Millisecond))
 	case "rps", "qps":
-		r.Rate = v
+		r.RequestRate = v
 	case "err_rps", "eps":
 		r.ErrorRate = v
 	default:
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -30,9 +30,9 @@
 	flagWrite  = 4
 )
 
-var outcomes = map[int]balancer.OutcomeCode{
-	codeOK: balancer.OK, codeCancelled: balancer.Cancelled, codeTimeout: balancer.TimedOut, codeFull: balancer.Full,
-	codeMoot: balancer.Moot, codeReset: balancer.Reset, codeError: balancer.ServerError,
+var outcomes = map[int]balancer.Outcome{
+	codeOK: balancer.OK, codeCancelled: balancer.Cancelled, codeTimeout: balancer.TimedOut, codeFull: balancer.Rejected,
+	codeMoot: balancer.NotSent, codeReset: balancer.ConnectionReset, codeError: balancer.ServerError,
 	codeConnectFailed: balancer.ConnectFailed,
 }
 
--- /dev/null
+++ b/ratelimit/admit.go
@@ -0,0 +1,152 @@
+package ratelimit
+
+import (
+	"slices"
+	"time"
+
+	"wrenspread/internal/splitmix"
+)
+
+// charge is an amount to be taken of a token slot.
+type charge struct {
+	slot   int
+	amount float64 // in the limit's unit
+}
+
+// Admit decides on a request by all limits that it matches, at most MaxMatchedLimits. It is admitted if each
+// of them has the tokens, which are then taken of all of them; otherwise none is taken, and the first limit
+// that lacks tokens, from the innermost scope outwards, gives the status. Requests without priority leave the
+// priority reserve of a limit alone, so they are the first to be shed as tokens run out.
+func (t *Table) Admit(request Request, tokens Tokens) Decision {
+	if rejected, ok := t.rejectDegraded(&request); ok {
+		return rejected
+	}
+	scopes, matched := t.match(&request)
+	// the innermost scope decides on priority, and of two the later attribute
+	for _, scope := range scopes[:matched] {
+		if priority := t.Scopes[scope].Priority; priority != 0 {
+			request.Priority = priority > 0
+		}
+	}
+	var charges [MaxMatchedLimits]charge
+	decision, charged := Decision{Admitted: true}, 0
+	for i := matched - 1; i >= 0; i-- {
+		scope := &t.Scopes[scopes[i]]
+		for index := scope.FirstLimit; index < scope.FirstLimit+scope.LimitCount; index++ {
+			limit := &t.Limits[index]
+			next := charge{t.tokenSlot(index, request.Key), limit.amount(&request)}
+			if next.amount <= 0 {
+				continue
+			}
+			if tokens.Available(next.slot) < limit.required(next, request.Priority, tokens) {
+				reportRejected(tokens, charges[:charged], next)
+				return Decision{Limit: index, Status: limit.Status, RetryAfter: limit.RetryAfter}
+			}
+			charges[charged] = next
+			charged++
+			if limit.Unit == UnitConcurrency {
+				decision.Reservation.add(index)
+			}
+		}
+	}
+	for _, c := range charges[:charged] {
+		tokens.Take(c.slot, c.amount)
+	}
+	return decision
+}
+
+// rejectDegraded rejects a request whose class the present degradation level, or a lower one, sheds.
+func (t *Table) rejectDegraded(request *Request) (Decision, bool) {
+	levels := min(max(request.Degradation, 0), len(t.Levels))
+	for i := range t.Levels[:levels] {
+		level := &t.Levels[i]
+		if _, shed := slices.BinarySearch(level.RejectClasses, request.Class); shed {
+			return Decision{Limit: -1, Status: level.Status, RetryAfter: level.RetryAfter}, true
+		}
+	}
+	return Decision{}, false
+}
+
+// reportRejected records the demand of a rejected request at the limit that rejected it and at those within,
+// which it came to as well.
+func reportRejected(tokens Tokens, inner []charge, rejecting charge) {
+	for _, c := range inner {
+		tokens.Rejected(c.slot, c.amount)
+	}
+	tokens.Rejected(rejecting.slot, rejecting.amount)
+}
+
+func (r *Reservation) add(limit int) {
+	r.limits[r.count] = int16(limit)
+	r.count++
+}
+
+// match returns the scopes that a request matches, parents before children. Of sibling scopes of one
+// attribute it matches the one with its value, or else the one for any other value.
+func (t *Table) match(request *Request) (scopes [MaxMatchedScopes]int32, count int) {
+	values := [...]string{
+		AttributeSite:   request.Site,
+		AttributeTenant: request.Tenant,
+		AttributeClass:  request.Class,
+		AttributeCell:   request.Cell,
+	}
+	count = 1
+	for i := 0; i < count; i++ {
+		attributes := t.childAttributes[scopes[i]]
+		for attribute := AttributeSite; attributes>>attribute != 0; attribute++ {
+			if attributes>>attribute&1 == 0 {
+				continue
+			}
+			child, ok := t.children[scopeKey{scopes[i], attribute, values[attribute]}]
+			if !ok {
+				child, ok = t.children[scopeKey{scopes[i], attribute, AnyOther}]
+			}
+			if ok {
+				scopes[count] = child
+				count++
+			}
+		}
+	}
+	return scopes, count
+}
+
+// amount is what a request takes of a limit, in the limit's unit.
+func (l *Limit) amount(request *Request) float64 {
+	switch l.Unit {
+	case UnitWork:
+		return float64(request.Work) / float64(time.Millisecond)
+	case UnitRetries:
+		if !request.Retry {
+			return 0
+		}
+	case UnitPerKey:
+		if request.Key == "" {
+			return 0
+		}
+	}
+	return 1
+}
+
+// required is what must be available of a limit for a request to take its amount. A full slot suffices for
+// any amount that it can hold, whatever the reserve.
+func (l *Limit) required(c charge, priority bool, tokens Tokens) float64 {
+	if priority || l.PriorityReserve == 0 {
+		return c.amount
+	}
+	capacity := tokens.Capacity(c.slot)
+	withReserve := c.amount + l.PriorityReserve*capacity
+	return max(c.amount, min(withReserve, capacity))
+}
+
+// tokenSlot returns the token slot of a limit: the limit's index or, for a limit per key, the slot that the
+// key hashes to.
+func (t *Table) tokenSlot(limit int, key string) int {
+	if t.firstKeySlot[limit] == 0 {
+		return limit
+	}
+	hash := uint64(0)
+	for i := range len(key) {
+		hash = splitmix.Mix(hash ^ uint64(key[i]))
+	}
+	return int(t.firstKeySlot[limit]) + int(hash%uint64(t.Limits[limit].KeySlots))
+}
--- /dev/null
+++ b/ratelimit/read.go
@@ -0,0 +1,145 @@
+package ratelimit
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+)
+
+const (
+	maxTableBytes = 16 << 20 // of a table's JSON; 10,000 limits take about 4 MB
+	maxAmount     = 1e12     // of any rate, burst, floor or weight
+	maxRetryAfter = time.Hour
+)
+
+// scopeKey identifies a scope among the children of another.
+type scopeKey struct {
+	parent    int32
+	attribute Attribute
+	value     string
+}
+
+// Errors of Read and Finalize, which say more about the table.
+var (
+	ErrFormat  = errors.New("unknown table format")
+	ErrDigest  = errors.New("table digest does not match its bytes")
+	ErrInvalid = errors.New("invalid table")
+)
+
+// Read decodes a table's canonical JSON, checks it and makes it ready for use. Unknown fields are ignored,
+// but they are covered by the digest, which is taken from the bytes.
+func Read(data []byte) (*Table, error) {
+	if len(data) > maxTableBytes {
+		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalid, len(data), maxTableBytes)
+	}
+	t := &Table{}
+	if err := json.Unmarshal(data, t); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	if t.Format != Format {
+		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrFormat, t.Format, Format)
+	}
+	head := fmt.Appendf(nil, `{"format":%d,"version":%d,"digest":%q,`, t.Format, t.Version, t.Digest)
+	rest, canonical := bytes.CutPrefix(data, head)
+	if !canonical || t.Digest != digest(t.Format, rest) {
+		return nil, fmt.Errorf("%w: %.16q", ErrDigest, t.Digest)
+	}
+	return t, t.prepare()
+}
+
+// digest is the SHA-256 of a table's JSON with version 0 and no digest; rest is the JSON after these fields.
+func digest(format int, rest []byte) string {
+	sum := sha256.New()
+	sum.Write(fmt.Appendf(nil, `{"format":%d,"version":0,"digest":"",`, format)) // a hash never returns an error
+	sum.Write(rest)
+	return hex.EncodeToString(sum.Sum(nil))
+}
+
+// JSON returns the table's canonical bytes. The table must have been made ready for use.
+func (t *Table) JSON() []byte {
+	data, _ := json.Marshal(t) // can't fail: the table has finite numbers and strings alone
+	return data
+}
+
+// Finalize checks a table that was put together, sets its digest and makes it ready for use.
+func (t *Table) Finalize() error {
+	if err := t.prepare(); err != nil {
+		return err
+	}
+	t.Version = 0
+	t.Digest = ""
+	rest := bytes.TrimPrefix(t.JSON(), fmt.Appendf(nil, `{"format":%d,"version":0,"digest":"",`, t.Format))
+	t.Digest = digest(t.Format, rest)
+	return nil
+}
+
+// prepare checks a table and builds the indexes that Admit needs.
+func (t *Table) prepare() error {
+	if err := t.check(); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	if err := t.indexScopes(); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	if limits, scopes := t.MaxMatched(); limits > MaxMatchedLimits || scopes > MaxMatchedScopes {
+		return fmt.Errorf("%w: one request can touch %d limits and %d parts, %d and %d at most", ErrInvalid,
+			limits, scopes, MaxMatchedLimits, MaxMatchedScopes)
+	}
+	t.layOutTokenSlots()
+	if keySlots := t.tokenSlots - len(t.Limits); keySlots > MaxKeySlots {
+		return fmt.Errorf("%w: %d slots of keys, %d at most", ErrInvalid, keySlots, MaxKeySlots)
+	}
+	return nil
+}
+
+func (t *Table) indexScopes() error {
+	t.children = make(map[scopeKey]int32, len(t.Scopes))
+	t.childAttributes = make([]uint8, len(t.Scopes))
+	for i, scope := range t.Scopes[1:] {
+		t.childAttributes[scope.Parent] |= 1 << scope.Attribute
+		key := scopeKey{int32(scope.Parent), scope.Attribute, scope.Value}
+		if _, duplicate := t.children[key]; duplicate {
+			return fmt.Errorf("part %d is there twice", i+1)
+		}
+		t.children[key] = int32(i + 1)
+	}
+	return nil
+}
+
+func (t *Table) layOutTokenSlots() {
+	t.firstKeySlot = make([]int32, len(t.Limits))
+	t.tokenSlots = len(t.Limits)
+	for i, limit := range t.Limits {
+		if limit.KeySlots > 0 {
+			t.firstKeySlot[i] = int32(t.tokenSlots)
+			t.tokenSlots += limit.KeySlots
+		}
+	}
+}
+
+// TokenSlots returns how many slots a Tokens has to keep: one per limit, then the key slots of the limits per
+// key, in the order of the limits. A key slot has its limit's rate and burst.
+func (t *Table) TokenSlots() int { return t.tokenSlots }
+
+// LimitOf returns the limit that a token slot belongs to, -1 if there is no such slot.
+func (t *Table) LimitOf(slot int) int {
+	if slot < len(t.Limits) {
+		return slot
+	}
+	for i, first := range t.firstKeySlot {
+		if first > 0 && slot >= int(first) && slot < int(first)+t.Limits[i].KeySlots {
+			return i
+		}
+	}
+	return -1
+}
+
+func validRejection(status int, retryAfter time.Duration) bool {
+	allowed := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+	return allowed && retryAfter >= 0 && retryAfter <= maxRetryAfter
+}
