--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -44,7 +44,7 @@
 	for _, zone := range []string{"z1", "z2"} {
 		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, zone) }))
 		t.Cleanup(back.Close)
-		e := registry.Entry{Name: "s-" + zone, Address: back.Listener.Addr().String(), Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
+		e := registry.Endpoint{Name: "s-" + zone, Address: back.Listener.Addr().String(), Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
 		if _, err := k.Register(t.Context(), e, 0, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
-		p.Run(ctx, tenant.Duty, func(ctx context.Context, fence lease.Fence) error {
+		p.Run(ctx, tenant.Duty, func(ctx context.Context, fence lease.Token) error {
 			c := tenant.Conductor{Store: &tenant.Records{List: k, Fence: fence}, Fleet: tenant.Listed{List: k}, Every: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler), HashTree: hashTree}
 			return c.Run(ctx)
 		})
--- a/cmd/wrenspreadctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return fmt.Errorf("the service's answer: %w", err)
 			}
-			s, err := registry.FromSnapshot(raw)
+			s, err := registry.DecodeSnapshot(raw)
 			if err != nil {
 				return err
 			}
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := registry.FromSnapshot(raw)
+			s, err := registry.DecodeSnapshot(raw)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/cmd/wrenspreadctl/duty.go
+++ b/cmd/wrenspreadctl/duty.go
@@ -40,36 +40,36 @@
 		Example: "  wrenspreadctl duty ls",
 		Args:    cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
-			a, err := k.Duties(ctx)
+			a, err := k.Leases(ctx)
 			if err != nil {
 				return err
 			}
 			return f.print(c.OutOrStdout(), a, func(t *tabwriter.Writer) {
 				fmt.Fprintln(t, "DUTY\tHOLDER\tFENCE\tWAITING\tBLOCKED\tNOTE")
-				for _, d := range a.Duties {
-					fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", d.Name, holder(d), d.Fence, len(d.Queue), cmp.Or(strings.Join(d.Blocked, ","), "-"), note(d))
+				for _, d := range a.Leases {
+					fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", d.Name, holder(d), d.Token, len(d.Queue), cmp.Or(strings.Join(d.Blocked, ","), "-"), note(d))
 				}
-				fmt.Fprintf(t, "\n%d duties, %d sessions, version %d\n", len(a.Duties), len(a.Sessions), a.Index)
+				fmt.Fprintf(t, "\n%d duties, %d sessions, version %d\n", len(a.Leases), len(a.Sessions), a.Index)
 			})
 		}),
 	}
 }
 
-func holder(d registry.Duty) string {
+func holder(d registry.Lease) string {
 	switch {
 	case d.Holder == "":
 		return "nobody"
-	case d.Asked:
+	case d.TransferRequested:
 		return d.Process + " (asked to hand on)"
 	}
 	return d.Process
 }
 
-func note(d registry.Duty) string {
-	if d.Word == nil {
+func note(d registry.Lease) string {
+	if d.HolderInfo == nil {
 		return "-"
 	}
-	return cmp.Or(strings.TrimSpace(d.Word.Note+" "+d.Word.Address+" "+d.Word.Version), "-")
+	return cmp.Or(strings.TrimSpace(d.HolderInfo.Note+" "+d.HolderInfo.Address+" "+d.HolderInfo.Version), "-")
 }
 
 func (f *listFlags) showDuty() *cobra.Command {
@@ -79,16 +79,16 @@
 		Example: "  wrenspreadctl duty show keeper",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			a, err := k.Duties(ctx)
+			a, err := k.Leases(ctx)
 			if err != nil {
 				return err
 			}
-			for _, d := range a.Duties {
+			for _, d := range a.Leases {
 				if d.Name != args[0] {
 					continue
 				}
 				return f.print(c.OutOrStdout(), d, func(t *tabwriter.Writer) {
-					fmt.Fprintf(t, "duty\t%s\nholder\t%s\nfence\t%d\nsession\t%s\nword\t%s\nblocked\t%s\n", d.Name, holder(d), d.Fence, cmp.Or(d.Holder, "-"), note(d), cmp.Or(strings.Join(d.Blocked, ", "), "nobody"))
+					fmt.Fprintf(t, "duty\t%s\nholder\t%s\nfence\t%d\nsession\t%s\nword\t%s\nblocked\t%s\n", d.Name, holder(d), d.Token, cmp.Or(d.Holder, "-"), note(d), cmp.Or(strings.Join(d.Blocked, ", "), "nobody"))
 					for i, q := range d.Queue {
 						fmt.Fprintf(t, "waiting %d\t%s, priority %d, since version %d\n", i+1, q.Process, q.Priority, q.Since)
 					}
@@ -107,7 +107,7 @@
 		Example: "  wrenspreadctl duty yield keeper\n  wrenspreadctl duty yield keeper --to ops-2",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			if err := k.Yield(ctx, args[0], to); err != nil {
+			if err := k.TransferLease(ctx, args[0], to); err != nil {
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), "the holder has been asked; \"wrenspreadctl duty show\" tells who has it")
@@ -129,7 +129,7 @@
 		Example: "  wrenspreadctl duty " + use + " keeper ops-1",
 		Args:    cobra.ExactArgs(2),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			if err := k.Block(ctx, args[0], args[1], on); err != nil {
+			if err := k.BlockProcess(ctx, args[0], args[1], on); err != nil {
 				return err
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s is %s at %s\n", args[1], done, args[0])
@@ -156,11 +156,11 @@
 				return err
 			}
 			defer k.Close()
-			p, err := lease.Open(lease.Config{Client: k, Process: process, TTL: ttl, Word: registry.Word{Note: args[1]}})
+			p, err := lease.Open(lease.Config{Client: k, Process: process, TTL: ttl, Info: registry.ProcessInfo{Note: args[1]}})
 			if err != nil {
 				return err
 			}
-			err = p.Run(c.Context(), args[0], func(ctx context.Context, fenced lease.Fence) error {
+			err = p.Run(c.Context(), args[0], func(ctx context.Context, fenced lease.Token) error {
 				return runCommand(ctx, c, args[1:], fenced, ttl)
 			})
 			return errors.Join(err, p.Close(ttl))
@@ -172,10 +172,10 @@
 	return c
 }
 
-func runCommand(ctx context.Context, c *cobra.Command, args []string, f lease.Fence, ttl time.Duration) error {
+func runCommand(ctx context.Context, c *cobra.Command, args []string, f lease.Token, ttl time.Duration) error {
 	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, c.OutOrStdout(), c.ErrOrStderr()
-	cmd.Env = append(os.Environ(), "INDIGO_DUTY="+f.Duty, fmt.Sprintf("INDIGO_FENCE=%d", f.Fence), "INDIGO_FENCE_HEADER="+fencing.Header+": "+fencing.Format(f))
+	cmd.Env = append(os.Environ(), "INDIGO_DUTY="+f.Lease, fmt.Sprintf("INDIGO_FENCE=%d", f.Number), "INDIGO_FENCE_HEADER="+fencing.Header+": "+fencing.Format(f))
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
 	cmd.WaitDelay = ttl / 10 // under the part of the TTL that work has to stop in
 	return cmd.Run()
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -58,7 +58,7 @@
 		ctx, cancel := context.WithTimeout(c.Context(), f.wait)
 		defer cancel()
 		err = do(ctx, c, k, args)
-		if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, client.ErrUnknown) {
+		if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, client.ErrOutcomeUnknown) {
 			return fmt.Errorf("%w (asked %s for %v; is it running, and does it have a leader?)", err, f.addresses, f.wait)
 		}
 		return err
@@ -102,7 +102,7 @@
 				return err
 			}
 			if len(args) == 1 {
-				var one []registry.Entry
+				var one []registry.Endpoint
 				for _, e := range a.Endpoints {
 					if e.Name == args[0] {
 						one = append(one, e)
@@ -116,7 +116,7 @@
 			return f.print(c.OutOrStdout(), a, func(t *tabwriter.Writer) {
 				fmt.Fprintln(t, "NAME\tSTATUS\tADDRESS\tZONE\tTYPE\tGROUP\tVERSION\tSINCE")
 				for _, e := range a.Endpoints {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Status, e.Address, cmp.Or(e.Zone, "-"), cmp.Or(e.Type, "-"), e.Group, cmp.Or(e.Version, "-"), since(e.SinceMS))
+					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Status, e.Address, cmp.Or(e.Zone, "-"), cmp.Or(e.Type, "-"), e.Cell, cmp.Or(e.Version, "-"), since(e.StartedAtMS))
 				}
 				fmt.Fprintf(t, "\n%d entries, version %d, epoch %s\n", len(a.Endpoints), a.Index, a.Epoch)
 			})
@@ -146,10 +146,10 @@
 			}
 			defer k.Close()
 			go k.Follow(c.Context())
-			before := map[string]registry.Entry{}
+			before := map[string]registry.Endpoint{}
 			for {
 				changed := k.Changed()
-				v, _ := k.View()
+				v, _ := k.List()
 				if err := f.differences(c.OutOrStdout(), v, before); err != nil {
 					return err
 				}
@@ -164,10 +164,10 @@
 }
 
 // differences prints what a view has that the one before had not, and takes it over.
-func (f *listFlags) differences(w io.Writer, v client.View, before map[string]registry.Entry) error {
+func (f *listFlags) differences(w io.Writer, v client.List, before map[string]registry.Endpoint) error {
 	there := map[string]bool{}
-	var all []registry.Entry
-	for _, e := range v.Entries {
+	var all []registry.Endpoint
+	for _, e := range v.Endpoints {
 		there[e.Name] = true
 		if before[e.Name] != e {
 			all = append(all, e)
@@ -176,7 +176,7 @@
 	}
 	for name, e := range before {
 		if !there[name] {
-			e.Status = registry.Gone
+			e.Status = registry.Removed
 			all = append(all, e)
 			delete(before, name)
 		}
@@ -185,7 +185,7 @@
 		if f.json {
 			if err := json.NewEncoder(w).Encode(struct {
 				Version uint64 `json:"version"`
-				registry.Entry
+				registry.Endpoint
 			}{v.Version, e}); err != nil {
 				return err
 			}
@@ -197,7 +197,7 @@
 }
 
 func (f *listFlags) register() *cobra.Command {
-	var e registry.Entry
+	var e registry.Endpoint
 	var ttl time.Duration
 	c := &cobra.Command{
 		Use:     "register NAME ADDRESS",
@@ -212,9 +212,9 @@
 	}
 	c.Flags().StringVar(&e.Zone, "zone", "", "its zone")
 	c.Flags().StringVar(&e.Type, "type", "", "its kind of machine")
-	c.Flags().IntVar(&e.Group, "group", 0, "its pod")
+	c.Flags().IntVar(&e.Cell, "group", 0, "its pod")
 	c.Flags().Float64Var(&e.Weight, "weight", 1, "its weight")
-	c.Flags().Int64Var(&e.SinceMS, "since-ms", 0, "Unix time of its last start in milliseconds; 0: long ago")
+	c.Flags().Int64Var(&e.StartedAtMS, "since-ms", 0, "Unix time of its last start in milliseconds; 0: long ago")
 	c.Flags().DurationVar(&ttl, "ttl", 0, "it goes unless it is renewed within this time; 0: it stays")
 	return f.conditional(c)
 }
@@ -224,7 +224,7 @@
 		return err
 	}
 	return f.print(c.OutOrStdout(), r, func(t *tabwriter.Writer) {
-		fmt.Fprintf(t, "done: the entry has version %d, the list %d\n", r.Entry, r.Version)
+		fmt.Fprintf(t, "done: the entry has version %d, the list %d\n", r.EntryVersion, r.Version)
 	})
 }
 
--- a/cmd/wrenspreadctl/members.go
+++ b/cmd/wrenspreadctl/members.go
@@ -18,7 +18,7 @@
 		Example: "  wrenspreadctl list members\n  wrenspreadctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500\n  wrenspreadctl list members remove r0",
 		Args:    cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
-			all, err := k.Members(ctx)
+			all, err := k.Replicas(ctx)
 			if err != nil {
 				return err
 			}
@@ -29,18 +29,18 @@
 	return c
 }
 
-func (f *listFlags) showMembers(c *cobra.Command, all []registry.Member) error {
+func (f *listFlags) showMembers(c *cobra.Command, all []registry.Replica) error {
 	return f.print(c.OutOrStdout(), all, func(t *tabwriter.Writer) {
 		fmt.Fprintln(t, "NAME\tROLE\tVOTES\tADDED AT")
 		for _, m := range all {
 			role, at := "follows", "-"
-			if m.Leads {
+			if m.Leader {
 				role = "leads"
 			}
-			if m.Added != nil {
-				at = m.Added.HTTP
+			if m.Address != nil {
+				at = m.Address.HTTP
 			}
-			fmt.Fprintf(t, "%s\t%s\t%v\t%s\n", m.Name, role, m.Votes, at)
+			fmt.Fprintf(t, "%s\t%s\t%v\t%s\n", m.Name, role, m.Voter, at)
 		}
 	})
 }
@@ -56,11 +56,11 @@
 		Example: "  wrenspreadctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			m, err := k.AddMember(ctx, args[0], at)
+			m, err := k.AddReplica(ctx, args[0], at)
 			if err != nil {
 				return err
 			}
-			return f.showMembers(c, []registry.Member{m})
+			return f.showMembers(c, []registry.Replica{m})
 		}),
 	}
 	c.Flags().StringVar(&at.Raft, "raft", "", "where the other replicas reach it")
@@ -75,10 +75,10 @@
 		Example: "  wrenspreadctl list members remove r0",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			if err := k.RemoveMember(ctx, args[0]); err != nil {
+			if err := k.RemoveReplica(ctx, args[0]); err != nil {
 				return err
 			}
-			all, err := k.Members(ctx)
+			all, err := k.Replicas(ctx)
 			if err != nil {
 				return err
 			}
--- a/cmd/wrenspreadctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -38,7 +38,7 @@
 			if err != nil {
 				return fmt.Errorf("the policy of version %d stays: %w", before, err)
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "version %d holds, digest %s, %d limits; version %d before\n", r.Entry, t.Digest, len(t.Limits), before)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "version %d holds, digest %s, %d limits; version %d before\n", r.EntryVersion, t.Digest, len(t.Limits), before)
 			return err
 		}),
 	}
@@ -50,7 +50,7 @@
 // currentPolicy is the version of the table that holds, 0 for none.
 func currentPolicy(ctx context.Context, k *client.Client) (uint64, error) {
 	r, err := k.Record(ctx, record.Current)
-	var no *client.Refused
+	var no *client.Error
 	if errors.As(err, &no) && no.Status == 404 {
 		return 0, nil
 	}
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -281,12 +281,12 @@
 		return err
 	}
 	defer k.Close()
-	p, err := lease.Open(lease.Config{Client: k, Process: config.Process, TTL: ttl, Word: registry.Word{Note: "conducts " + name}, Log: log})
+	p, err := lease.Open(lease.Config{Client: k, Process: config.Process, TTL: ttl, Info: registry.ProcessInfo{Note: "conducts " + name}, Log: log})
 	if err != nil {
 		return err
 	}
 	h := &http.Client{Timeout: callTime}
-	err = p.Run(c.Context(), release.Duty(name), func(ctx context.Context, fenced lease.Fence) error {
+	err = p.Run(c.Context(), release.Duty(name), func(ctx context.Context, fenced lease.Token) error {
 		s, err := release.Read(ctx, k, name)
 		if err != nil {
 			return err
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -194,11 +194,11 @@
 				return err
 			}
 			defer k.Close()
-			p, err := lease.Open(lease.Config{Client: k, Process: process, TTL: ttl, Word: registry.Word{Note: "conducts tenants"}, Log: log})
+			p, err := lease.Open(lease.Config{Client: k, Process: process, TTL: ttl, Info: registry.ProcessInfo{Note: "conducts tenants"}, Log: log})
 			if err != nil {
 				return err
 			}
-			err = p.Run(c.Context(), tenant.Duty, func(ctx context.Context, fenced lease.Fence) error {
+			err = p.Run(c.Context(), tenant.Duty, func(ctx context.Context, fenced lease.Token) error {
 				conductor := tenant.Conductor{Store: &tenant.Records{List: k, Fence: fenced}, Fleet: tenant.Listed{List: k}, Every: lookEvery, Times: tenant.DefaultTimes(), Log: log, HashTree: hashTree}
 				return conductor.Run(ctx)
 			})
--- a/cmd/wrenspreadctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -34,7 +34,7 @@
 func runDesk(t *testing.T, k *client.Client, name string) *desk {
 	d := &desk{core: tenant.NewDesk(uint64(time.Now().UnixMilli()), 0, false), start: time.Now()}
 	r := &tenant.Reader{List: k, Member: d.core.Member(name)}
-	s := registry.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Word: registry.Word{Note: d.core.Word().Note()}}
+	s := registry.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Info: registry.ProcessInfo{Note: d.core.Word().Note()}}
 	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
 		sent := d.clock()
 		if err := k.OpenSession(ctx, s); err != nil {
@@ -64,7 +64,7 @@
 			d.now = a.Catalogue
 			d.mu.Unlock()
 		case tenant.Tell:
-			s.Word.Note = a.Word.Note()
+			s.Info.Note = a.Word.Note()
 			k.OpenSession(ctx, *s) // the desk repeats a word while something moves
 		}
 	}
@@ -85,7 +85,7 @@
 	address, k := labtest.List(t)
 	ctx := t.Context()
 	for i, zone := range []string{"a", "b"} {
-		e := registry.Entry{Name: fmt.Sprint("s", i), Address: "127.0.0.1:1", Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
+		e := registry.Endpoint{Name: fmt.Sprint("s", i), Address: "127.0.0.1:1", Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
 		if _, err := k.Register(ctx, e, 0, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			p.Run(ctx, tenant.Duty, func(ctx context.Context, f lease.Fence) error {
+			p.Run(ctx, tenant.Duty, func(ctx context.Context, f lease.Token) error {
 				c := tenant.Conductor{Store: &tenant.Records{List: k, Fence: f}, Fleet: tenant.Listed{List: k}, Every: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
 				return c.Run(ctx)
 			})
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -205,7 +205,7 @@
 // listed keeps a server's entry as the server is: ready, draining while it is to be
 // quiet, and gone while it does not answer. The list drops it if this agent is lost.
 func (a *agent) listed(ctx context.Context, k *keeping) {
-	var has registry.Entry // as it was registered; without a name: it is not
+	var has registry.Endpoint // as it was registered; without a name: it is not
 	var told time.Time
 	for ctx.Err() == nil {
 		status, changed := k.get()
@@ -224,7 +224,7 @@
 			err = a.write(ctx, func(ctx context.Context) error {
 				unknown, err := a.list.Renew(ctx, []string{k.s.Name})
 				if len(unknown) > 0 {
-					has = registry.Entry{} // it is registered anew
+					has = registry.Endpoint{} // it is registered anew
 				}
 				return err
 			})
@@ -244,14 +244,14 @@
 }
 
 // entryOf is the entry that a server is to have; none while it does not answer.
-func (a *agent) entryOf(k *keeping, s Status) registry.Entry {
+func (a *agent) entryOf(k *keeping, s Status) registry.Endpoint {
 	switch {
 	case s.Running && s.Quiet:
 		return k.s.entry(registry.Draining, s.Version, s.Since)
 	case s.Ready:
 		return k.s.entry(registry.Ready, s.Version, s.Since)
 	}
-	return registry.Entry{}
+	return registry.Endpoint{}
 }
 
 func (a *agent) write(ctx context.Context, do func(context.Context) error) error {
@@ -262,7 +262,7 @@
 
 // gone takes an entry that is not there for one that was removed.
 func gone(err error) error {
-	var refused *client.Refused
+	var refused *client.Error
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return nil
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -65,7 +65,7 @@
 		return s
 	}
 	order := func(o Order, fence uint64) error {
-		_, err := call.Order(ctx, c.Listen, "s", o, registry.Fence{Duty: "release/x", Fence: fence})
+		_, err := call.Order(ctx, c.Listen, "s", o, registry.FencingToken{Lease: "release/x", Number: fence})
 		return err
 	}
 	stop := begin()
@@ -162,7 +162,7 @@
 	order := func(version string) {
 		t.Helper()
 		fence++
-		if _, err := call.Order(ctx, c.Listen, "n", Order{Version: version}, registry.Fence{Duty: "release/x", Fence: fence}); err != nil {
+		if _, err := call.Order(ctx, c.Listen, "n", Order{Version: version}, registry.FencingToken{Lease: "release/x", Number: fence}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -71,12 +71,12 @@
 }
 
 // Order tells an agent what a server is to be, under a fence; it does not wait for it.
-func (c Caller) Order(ctx context.Context, address, server string, o Order, f registry.Fence) (Status, error) {
+func (c Caller) Order(ctx context.Context, address, server string, o Order, f registry.FencingToken) (Status, error) {
 	var s Status
 	return s, c.call(ctx, http.MethodPut, address, server, o, &f, &s)
 }
 
-func (c Caller) call(ctx context.Context, method, address, server string, body any, f *registry.Fence, into any) error {
+func (c Caller) call(ctx context.Context, method, address, server string, body any, f *registry.FencingToken, into any) error {
 	var raw []byte
 	if body != nil {
 		var err error
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -101,6 +101,6 @@
 }
 
 // entry is the server's entry in the list.
-func (s Server) entry(status, version string, since int64) registry.Entry {
-	return registry.Entry{Name: s.Name, Address: s.Address, Zone: s.Zone, Type: s.Type, Group: s.Group, Weight: s.Weight, Status: status, SinceMS: since, Version: version}
+func (s Server) entry(status, version string, since int64) registry.Endpoint {
+	return registry.Endpoint{Name: s.Name, Address: s.Address, Zone: s.Zone, Type: s.Type, Cell: s.Group, Weight: s.Weight, Status: status, StartedAtMS: since, Version: version}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -11,22 +11,22 @@
 	"wrenspread/internal/registry"
 )
 
-// Patience says how long something has to be wrong before it counts.
-type Patience struct {
+// Thresholds says how long something has to be wrong before it counts.
+type Thresholds struct {
 	Settle time.Duration `koanf:"settle"` // until it is reported: news take their time everywhere
 	Orphan time.Duration `koanf:"orphan"` // until an orphan is removed
 }
 
-// Look is all that was seen at a time of one monotonic clock.
-type Look struct {
-	At      time.Duration
-	Items   []registry.Item
-	Answers map[string]bool // servers, by name, that take connections
-	Nodes   []NodeLook
+// Observation is all that was seen at a time of one monotonic clock.
+type Observation struct {
+	At            time.Duration
+	Registrations []registry.Registration
+	Reachable     map[string]bool // servers, by name, that take connections
+	Proxies       []ProxyObservation
 }
 
-// NodeLook is a node as its control address shows it.
-type NodeLook struct {
+// ProxyObservation is a node as its control address shows it.
+type ProxyObservation struct {
 	Name       string
 	Up         bool // it answers
 	Ready      bool // it serves clients
@@ -35,44 +35,46 @@
 
 // Finding is something that does not agree.
 type Finding struct {
-	What   string        `json:"what"`
-	Who    string        `json:"who"`
-	Detail string        `json:"detail"`
-	For    time.Duration `json:"for_ns"` // it has been seen so
+	Kind    string        `json:"what"`
+	Subject string        `json:"who"`
+	Detail  string        `json:"detail"`
+	Lasting time.Duration `json:"for_ns"` // it has been seen so
 }
 
 // Repair takes an orphan off the list, if it still has the version at which it was judged.
 type Repair struct {
 	Name    string
 	Version uint64
-	Why     string
+	Reason  string
 }
 
-// Core judges looks, one after the other. It is pure, and not safe for concurrent use.
-type Core struct {
-	p     Patience
-	since map[key]time.Duration // when something was first seen as it is now
+// Checker judges looks, one after the other. It is pure, and not safe for concurrent use.
+type Checker struct {
+	thresholds Thresholds
+	since      map[findingKey]time.Duration // when something was first seen as it is now
 }
 
-type key struct{ what, who, detail string }
+type findingKey struct{ kind, subject, detail string }
 
-// NewCore begins without having seen anything.
-func NewCore(p Patience) *Core { return &Core{p: p, since: map[key]time.Duration{}} }
+// NewChecker begins without having seen anything.
+func NewChecker(p Thresholds) *Checker {
+	return &Checker{thresholds: p, since: map[findingKey]time.Duration{}}
+}
 
 // The kinds of finding.
 const (
-	Unreachable = "unreachable" // a node that does not answer
-	Unready     = "unready"     // a node that answers and serves nobody
-	Differs     = "differs"     // a node that knows another number of servers than the list has
-	Silent      = "silent"      // a server that is listed, and takes no connections
-	Twice       = "twice"       // two servers at one address
-	Orphan      = "orphan"      // a server that is leaving, takes no connections, and that nobody would take off the list
+	ProxyUnreachable     = "unreachable" // a node that does not answer
+	ProxyNotReady        = "unready"     // a node that answers and serves nobody
+	EndpointCountDiffers = "differs"     // a node that knows another number of servers than the list has
+	EndpointUnreachable  = "silent"      // a server that is listed, and takes no connections
+	DuplicateAddress     = "twice"       // two servers at one address
+	OrphanedEndpoint     = "orphan"      // a server that is leaving, takes no connections, and that nobody would take off the list
 )
 
-// Judge says what does not agree, and has not for long enough, and which of it is to be repaired.
-func (c *Core) Judge(l Look) (findings []Finding, repairs []Repair) {
-	seen := map[key]bool{}
-	lasts := func(k key) time.Duration {
+// Check says what does not agree, and has not for long enough, and which of it is to be repaired.
+func (c *Checker) Check(l Observation) (findings []Finding, repairs []Repair) {
+	seen := map[findingKey]bool{}
+	lasts := func(k findingKey) time.Duration {
 		seen[k] = true
 		if _, ok := c.since[k]; !ok {
 			c.since[k] = l.At
@@ -80,41 +82,41 @@
 		return l.At - c.since[k]
 	}
 	note := func(what, who, detail string) {
-		if d := lasts(key{what, who, detail}); d >= c.p.Settle {
+		if d := lasts(findingKey{what, who, detail}); d >= c.thresholds.Settle {
 			findings = append(findings, Finding{what, who, detail, d})
 		}
 	}
-	for _, n := range l.Nodes {
+	for _, n := range l.Proxies {
 		switch {
 		case !n.Up:
-			note(Unreachable, n.Name, "its control address does not answer")
+			note(ProxyUnreachable, n.Name, "its control address does not answer")
 		case !n.Ready:
-			note(Unready, n.Name, "it answers, but does not serve clients")
-		case n.Discovered >= 0 && n.Discovered != len(l.Items):
-			note(Differs, n.Name, fmt.Sprintf("it knows %d servers, the list has %d", n.Discovered, len(l.Items)))
+			note(ProxyNotReady, n.Name, "it answers, but does not serve clients")
+		case n.Discovered >= 0 && n.Discovered != len(l.Registrations):
+			note(EndpointCountDiffers, n.Name, fmt.Sprintf("it knows %d servers, the list has %d", n.Discovered, len(l.Registrations)))
 		}
 	}
 	at := map[string]string{}
-	for _, i := range l.Items {
-		e := i.Entry
+	for _, i := range l.Registrations {
+		e := i.Endpoint
 		if other, ok := at[e.Address]; ok {
-			note(Twice, e.Name, fmt.Sprintf("%s is at %s, too", other, e.Address))
+			note(DuplicateAddress, e.Name, fmt.Sprintf("%s is at %s, too", other, e.Address))
 		}
 		at[e.Address] = e.Name
-		if l.Answers[e.Name] {
+		if l.Reachable[e.Name] {
 			continue
 		}
 		// One with a lease is taken off by the service. One that is ready may be about to start.
 		if e.Status != registry.Draining || i.TTL > 0 {
-			note(Silent, e.Name, e.Address+" takes no connections")
+			note(EndpointUnreachable, e.Name, e.Address+" takes no connections")
 			continue
 		}
-		k := key{Orphan, e.Name, fmt.Sprintf("draining at version %d, and %s takes no connections", i.Version, e.Address)}
+		k := findingKey{OrphanedEndpoint, e.Name, fmt.Sprintf("draining at version %d, and %s takes no connections", i.Version, e.Address)}
 		d := lasts(k)
-		if d >= c.p.Settle {
-			findings = append(findings, Finding{k.what, k.who, k.detail, d})
+		if d >= c.thresholds.Settle {
+			findings = append(findings, Finding{k.kind, k.subject, k.detail, d})
 		}
-		if d >= c.p.Orphan {
+		if d >= c.thresholds.Orphan {
 			repairs = append(repairs, Repair{e.Name, i.Version, k.detail})
 		}
 	}
@@ -123,6 +125,6 @@
 			delete(c.since, k)
 		}
 	}
-	slices.SortFunc(findings, func(a, b Finding) int { return cmp.Or(cmp.Compare(a.What, b.What), cmp.Compare(a.Who, b.Who)) })
+	slices.SortFunc(findings, func(a, b Finding) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject)) })
 	return findings, repairs
 }
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/keeper_test.go
@@ -29,7 +29,7 @@
 	dead := labtest.Address(t)
 	add := func(name, at, status string) {
 		t.Helper()
-		if _, err := k.Register(ctx, registry.Entry{Name: name, Address: at, Status: status}, 0, nil); err != nil {
+		if _, err := k.Register(ctx, registry.Endpoint{Name: name, Address: at, Status: status}, 0, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -40,8 +40,8 @@
 	defer node.Close()
 	begin := func(name string) func() {
 		c := Default()
-		c.Process, c.List, c.Listen, c.Every, c.Patience = name, []string{service}, labtest.Address(t), 100*time.Millisecond, Patience{300 * time.Millisecond, time.Second}
-		c.Nodes = []Node{{"n0", node.Listener.Addr().String()}}
+		c.Process, c.Registry, c.Listen, c.Every, c.Thresholds = name, []string{service}, labtest.Address(t), 100*time.Millisecond, Thresholds{300 * time.Millisecond, time.Second}
+		c.Proxies = []Proxy{{"n0", node.Listener.Addr().String()}}
 		return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
 	}
 	names := func() (all []string) {
@@ -55,11 +55,11 @@
 		return all
 	}
 	holder := func() string {
-		a, err := k.Duties(ctx)
+		a, err := k.Leases(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, d := range a.Duties {
+		for _, d := range a.Leases {
 			return d.Process
 		}
 		return ""
--- a/internal/controller/look.go
+++ b/internal/controller/look.go
@@ -15,32 +15,32 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// look sees the list, and every server and node at its address.
-func (w *Keeper) look(ctx context.Context) (Look, error) {
-	call, cancel := context.WithTimeout(ctx, writeTime)
+// observe sees the list, and every server and node at its address.
+func (w *Controller) observe(ctx context.Context) (Observation, error) {
+	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	a, err := w.client.Items(call)
+	a, err := w.client.Registrations(call)
 	if err != nil {
-		return Look{}, err
+		return Observation{}, err
 	}
-	l := Look{Items: a.Items, Answers: map[string]bool{}, Nodes: make([]NodeLook, len(w.c.Nodes))}
+	l := Observation{Registrations: a.Registrations, Reachable: map[string]bool{}, Proxies: make([]ProxyObservation, len(w.config.Proxies))}
 	var mu sync.Mutex // of Answers
 	var g errgroup.Group
-	g.SetLimit(together)
-	for _, i := range a.Items {
+	g.SetLimit(maxParallelChecks)
+	for _, i := range a.Registrations {
 		g.Go(func() error {
-			if conn, err := (&net.Dialer{Timeout: lookTime}).DialContext(ctx, "tcp", i.Entry.Address); err == nil {
+			if conn, err := (&net.Dialer{Timeout: callTimeout}).DialContext(ctx, "tcp", i.Endpoint.Address); err == nil {
 				conn.Close()
 				mu.Lock()
-				l.Answers[i.Entry.Name] = true
+				l.Reachable[i.Endpoint.Name] = true
 				mu.Unlock()
 			}
 			return nil
 		})
 	}
-	for i, n := range w.c.Nodes {
+	for i, n := range w.config.Proxies {
 		g.Go(func() error {
-			l.Nodes[i] = w.node(ctx, n)
+			l.Proxies[i] = w.observeProxy(ctx, n)
 			return nil
 		})
 	}
@@ -48,17 +48,17 @@
 	return l, ctx.Err()
 }
 
-func (w *Keeper) node(ctx context.Context, n Node) NodeLook {
-	l := NodeLook{Name: n.Name, Discovered: -1}
+func (w *Controller) observeProxy(ctx context.Context, n Proxy) ProxyObservation {
+	l := ProxyObservation{Name: n.Name, Discovered: -1}
 	status, _, err := w.get(ctx, "http://"+n.Control+"/healthcheck")
 	l.Up, l.Ready = err == nil, status == http.StatusOK
 	if _, body, err := w.get(ctx, "http://"+n.Control+"/stats"); err == nil {
-		l.Discovered = discovered(body)
+		l.Discovered = parseDiscovered(body)
 	}
 	return l
 }
 
-func (w *Keeper) get(ctx context.Context, url string) (int, string, error) {
+func (w *Controller) get(ctx context.Context, url string) (int, string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, "", err
@@ -72,8 +72,8 @@
 	return resp.StatusCode, string(raw), err
 }
 
-// discovered reads the number of servers out of a node's figures, or gives -1.
-func discovered(stats string) int {
+// parseDiscovered reads the number of servers out of a node's figures, or gives -1.
+func parseDiscovered(stats string) int {
 	in := bufio.NewScanner(strings.NewReader(stats))
 	for in.Scan() {
 		if rest, ok := strings.CutPrefix(in.Text(), "app.discovered:"); ok {
--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -23,8 +23,8 @@
 	"wrenspread/ratelimit"
 )
 
-// Shares says by which fleet's view this process shares limits out, whenever it holds the duty for it.
-type Shares struct {
+// Quotas says by which fleet's view this process shares limits out, whenever it holds the duty for it.
+type Quotas struct {
 	Fleet  string   `koanf:"fleet"`  // the fleet's name, as the nodes have it; empty: it shares none out
 	Listen string   `koanf:"listen"` // for datagrams, reachable by the nodes under this very address
 	Join   []string `koanf:"join"`   // members to join by
@@ -32,7 +32,7 @@
 	Peers  []string `koanf:"peers"`  // where this process finds the members, by their numbers; without, where they say that they are
 }
 
-func (s Shares) check(f *config.Faults) {
+func (s Quotas) check(f *config.Faults) {
 	if s.Fleet == "" {
 		f.Want(s.Listen == "" && len(s.Join) == 0, "shares: fleet is missing; it names the fleet, as the nodes' configuration does")
 		return
@@ -47,16 +47,16 @@
 }
 
 const (
-	mostDatagram = 256
-	arrivals     = 4096 // datagrams that wait for the holder: a second's of 300 busy nodes
-	turned       = 16   // events that wait for it
-	expectEvery  = time.Second
-	wallEvery    = time.Minute
-	readAgain    = 50 * time.Millisecond // after a datagram that could not be read
+	maxDatagram    = 256
+	datagramQueue  = 4096 // datagrams that wait for the holder: a second's of 300 busy nodes
+	eventQueue     = 16   // events that wait for it
+	expectInterval = time.Second
+	wallInterval   = time.Minute
+	readErrorPause = 50 * time.Millisecond // after a datagram that could not be read
 )
 
 // run takes part in the view, follows the policy and shares limits out whenever the duty is held, until ctx ends.
-func (s Shares) run(ctx context.Context, name string, k *client.Client, p *lease.Process, log *slog.Logger) error {
+func (s Quotas) run(ctx context.Context, name string, k *client.Client, p *lease.Session, log *slog.Logger) error {
 	at, _ := netip.ParseAddrPort(s.Listen) // checked with the configuration
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -64,16 +64,16 @@
 	}
 	defer conn.Close()
 	shell := s.join(ctx, name, at, conn, log)
-	in, events := make(chan []byte, arrivals), make(chan quota.Event, turned)
+	in, events := make(chan []byte, datagramQueue), make(chan quota.Event, eventQueue)
 	all, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	all.Go(func() error { return receive(ctx, conn, shell, in) })
 	all.Go(func() error {
-		follow(ctx, k, events, log)
+		followPolicy(ctx, k, events, log)
 		return ctx.Err()
 	})
-	all.Go(func() error { return clock(ctx, shell, events) })
+	all.Go(func() error { return reportTimeAndProxies(ctx, shell, events) })
 	all.Go(func() error {
 		return allocator.Run(ctx, allocator.Config{Fleet: wire.FleetHash(s.Fleet), Name: name, List: k, Duties: p, In: in, Send: shell.Tell, Events: events, Log: log})
 	})
@@ -81,18 +81,18 @@
 }
 
 // join begins to keep the view. This process serves no requests, and so is always joining in the nodes' eyes.
-func (s Shares) join(ctx context.Context, name string, at netip.AddrPort, conn *net.UDPConn, log *slog.Logger) *gossip.Shell {
+func (s Quotas) join(ctx context.Context, name string, at netip.AddrPort, conn *net.UDPConn, log *slog.Logger) *gossip.Shell {
 	number := -1
 	if len(s.Peers) > 0 {
 		number = s.Number
 	}
-	return gossip.Start(ctx, gossip.Config{Fleet: s.Fleet, Name: name, Number: number, Addr: at, Seeds: addresses(s.Join), Peers: addresses(s.Peers), Log: log,
+	return gossip.Start(ctx, gossip.Config{Fleet: s.Fleet, Name: name, Number: number, Addr: at, Seeds: parseAddresses(s.Join), Peers: parseAddresses(s.Peers), Log: log,
 		Doing: func() (membership.State, uint16) { return membership.Joining, 0 },
 		Write: func(to netip.AddrPort, data []byte) { conn.WriteToUDPAddrPort(data, to) }}) // none is owed an arrival
 }
 
-// addresses are those of a configuration that has been checked.
-func addresses(texts []string) (all []netip.AddrPort) {
+// parseAddresses are those of a configuration that has been checked.
+func parseAddresses(texts []string) (all []netip.AddrPort) {
 	for _, text := range texts {
 		a, _ := netip.ParseAddrPort(text)
 		all = append(all, a)
@@ -102,14 +102,14 @@
 
 // receive shares the socket between the view and the holder until it is closed. One datagram too many is lost.
 func receive(ctx context.Context, conn *net.UDPConn, shell *gossip.Shell, in chan<- []byte) error {
-	buf := make([]byte, mostDatagram+1)
+	buf := make([]byte, maxDatagram+1)
 	for ctx.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		switch {
 		case ctx.Err() != nil:
 		case err != nil:
-			time.Sleep(readAgain)
-		case n == 0 || n > mostDatagram:
+			time.Sleep(readErrorPause)
+		case n == 0 || n > maxDatagram:
 		case quota.Ours(buf[0]):
 			select {
 			case in <- append([]byte(nil), buf[:n]...):
@@ -122,8 +122,8 @@
 	return ctx.Err()
 }
 
-// follow tells the holder of each table, with the one before it.
-func follow(ctx context.Context, k *client.Client, events chan<- quota.Event, log *slog.Logger) {
+// followPolicy tells the holder of each table, with the one before it.
+func followPolicy(ctx context.Context, k *client.Client, events chan<- quota.Event, log *slog.Logger) {
 	var now *ratelimit.Table
 	version := uint64(0)
 	k.FollowRecords(ctx, record.PolicyPrefix, func(r client.Records) {
@@ -137,22 +137,22 @@
 			return
 		}
 		version = one.Version
-		say(ctx, events, quota.Table{Now: t, Before: now})
+		sendEvent(ctx, events, quota.Table{Now: t, Before: now})
 		now = t
 	})
 }
 
-// clock tells the holder the time of day, and how many nodes there are about.
-func clock(ctx context.Context, shell *gossip.Shell, events chan<- quota.Event) error {
-	t := time.NewTicker(expectEvery)
+// reportTimeAndProxies tells the holder the time of day, and how many nodes there are about.
+func reportTimeAndProxies(ctx context.Context, shell *gossip.Shell, events chan<- quota.Event) error {
+	t := time.NewTicker(expectInterval)
 	defer t.Stop()
 	var told time.Time
 	for {
-		if time.Since(told) >= wallEvery {
+		if time.Since(told) >= wallInterval {
 			told = time.Now()
-			say(ctx, events, quota.Wall{Time: told})
+			sendEvent(ctx, events, quota.Wall{Time: told})
 		}
-		say(ctx, events, quota.Expect{Nodes: len(shell.Serving())})
+		sendEvent(ctx, events, quota.Expect{Nodes: len(shell.Serving())})
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -161,7 +161,7 @@
 	}
 }
 
-func say(ctx context.Context, events chan<- quota.Event, e quota.Event) {
+func sendEvent(ctx context.Context, events chan<- quota.Event, e quota.Event) {
 	select {
 	case events <- e:
 	case <-ctx.Done():
--- a/internal/fencing/fence.go
+++ b/internal/fencing/fence.go
@@ -25,32 +25,32 @@
 
 // Bounds on what a guard keeps.
 const (
-	MaxDuties = registry.MaxDuties
+	MaxLeases = registry.MaxLeases
 	maxFile   = 16 << 20 // bytes
 )
 
-// Stale is the refusal of an order whose holder has been followed by another.
-type Stale struct {
-	registry.Fence
-	Has uint64 // the highest that was seen
+// StaleError is the refusal of an order whose holder has been followed by another.
+type StaleError struct {
+	registry.FencingToken
+	Highest uint64 // the highest that was seen
 }
 
-func (s *Stale) Error() string {
-	return fmt.Sprintf("fence %d of %s is behind %d, which was seen here: another has held it since", s.Fence.Fence, s.Duty, s.Has)
+func (s *StaleError) Error() string {
+	return fmt.Sprintf("fence %d of %s is behind %d, which was seen here: another has held it since", s.FencingToken.Number, s.Lease, s.Highest)
 }
 
 // Guard remembers the highest fence of each duty. It is safe for concurrent use.
 type Guard struct {
-	path string // empty: it forgets with its process
-	mu   sync.Mutex
-	high map[string]uint64
+	path    string // empty: it forgets with its process
+	mu      sync.Mutex
+	highest map[string]uint64
 }
 
 // Open makes a guard that keeps what it has seen in a folder, or only in memory
 // where none is named. A damaged file is an error: to begin without it would let
 // earlier holders in.
 func Open(folder string) (*Guard, error) {
-	g := &Guard{high: map[string]uint64{}}
+	g := &Guard{highest: map[string]uint64{}}
 	if folder == "" {
 		return g, nil
 	}
@@ -63,7 +63,7 @@
 		return g, nil
 	}
 	if err == nil {
-		err = json.Unmarshal(raw, &g.high)
+		err = json.Unmarshal(raw, &g.highest)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("fences: %w", err)
@@ -74,24 +74,24 @@
 // Check takes an order of a holder, or says why not: *Stale, or an error of the
 // guard's own folder. An order under a higher fence than any before is taken only
 // once that is kept.
-func (g *Guard) Check(f registry.Fence) error {
-	if f.Duty == "" || len(f.Duty) > registry.MaxText || f.Fence == 0 {
+func (g *Guard) Check(f registry.FencingToken) error {
+	if f.Lease == "" || len(f.Lease) > registry.MaxText || f.Number == 0 {
 		return errors.New("fence: want a duty's name and a number above 0")
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	has, known := g.high[f.Duty]
+	has, known := g.highest[f.Lease]
 	switch {
-	case f.Fence < has:
-		return &Stale{f, has}
-	case f.Fence == has:
+	case f.Number < has:
+		return &StaleError{f, has}
+	case f.Number == has:
 		return nil
-	case !known && len(g.high) >= MaxDuties:
-		return fmt.Errorf("fence: %d duties have been seen already", len(g.high))
+	case !known && len(g.highest) >= MaxLeases:
+		return fmt.Errorf("fence: %d duties have been seen already", len(g.highest))
 	}
 	if g.path != "" {
-		next := maps.Clone(g.high)
-		next[f.Duty] = f.Fence
+		next := maps.Clone(g.highest)
+		next[f.Lease] = f.Number
 		raw, err := json.Marshal(next)
 		if err == nil {
 			err = checksumfile.Write(g.path, raw)
@@ -100,24 +100,24 @@
 			return fmt.Errorf("fence: it can't be kept: %w", err)
 		}
 	}
-	g.high[f.Duty] = f.Fence
+	g.highest[f.Lease] = f.Number
 	return nil
 }
 
 // Format gives the header's value.
-func Format(f registry.Fence) string { return fmt.Sprintf("%s %d", f.Duty, f.Fence) }
+func Format(f registry.FencingToken) string { return fmt.Sprintf("%s %d", f.Lease, f.Number) }
 
 // Parse reads the header's value.
-func Parse(value string) (registry.Fence, error) {
+func Parse(value string) (registry.FencingToken, error) {
 	i := strings.LastIndexByte(value, ' ')
 	if i <= 0 {
-		return registry.Fence{}, fmt.Errorf("%s: %q is not a duty's name and a number", Header, value)
+		return registry.FencingToken{}, fmt.Errorf("%s: %q is not a duty's name and a number", Header, value)
 	}
 	n, err := strconv.ParseUint(value[i+1:], 10, 64)
 	if err != nil {
-		return registry.Fence{}, fmt.Errorf("%s: %q is not a duty's name and a number", Header, value)
+		return registry.FencingToken{}, fmt.Errorf("%s: %q is not a duty's name and a number", Header, value)
 	}
-	return registry.Fence{Duty: value[:i], Fence: n}, nil
+	return registry.FencingToken{Lease: value[:i], Number: n}, nil
 }
 
 // CheckRequest checks the fence of a call. A call without one passes. status is
@@ -131,7 +131,7 @@
 	if err != nil {
 		return http.StatusBadRequest, err
 	}
-	var stale *Stale
+	var stale *StaleError
 	switch err := g.Check(f); {
 	case err == nil:
 		return http.StatusOK, nil
--- a/internal/fencing/fence_test.go
+++ b/internal/fencing/fence_test.go
@@ -28,15 +28,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f := registry.Fence{Duty: rapid.SampledFrom([]string{"a", "b c"}).Draw(t, "duty"), Fence: rapid.Uint64Range(1, 9).Draw(t, "fence")}
+			f := registry.FencingToken{Lease: rapid.SampledFrom([]string{"a", "b c"}).Draw(t, "duty"), Number: rapid.Uint64Range(1, 9).Draw(t, "fence")}
 			r := httptest.NewRequest("POST", "/", nil)
 			r.Header.Set(Header, Format(f))
 			status, err := g.CheckRequest(r)
-			var stale *Stale
-			if want := f.Fence >= high[f.Duty]; want != (err == nil) || !want && (status != 409 || !errors.As(err, &stale) || stale.Has != high[f.Duty]) {
-				t.Fatalf("%+v after %d: %d, %v", f, high[f.Duty], status, err)
+			var stale *StaleError
+			if want := f.Number >= high[f.Lease]; want != (err == nil) || !want && (status != 409 || !errors.As(err, &stale) || stale.Highest != high[f.Lease]) {
+				t.Fatalf("%+v after %d: %d, %v", f, high[f.Lease], status, err)
 			}
-			high[f.Duty] = max(high[f.Duty], f.Fence)
+			high[f.Lease] = max(high[f.Lease], f.Number)
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
 				g, err = Open(dir)
 			}
--- a/internal/fencing/fixture_test.go
+++ b/internal/fencing/fixture_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := registry.Fence{Duty: "quota", Fence: 41}
+	f := registry.FencingToken{Lease: "quota", Number: 41}
 	if err := g.Check(f); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/discovery/serve.go
+++ b/internal/lab/discovery/serve.go
@@ -50,7 +50,7 @@
 		}
 		for _, e := range out.Endpoints {
 			log.Add(history.Event{Kind: history.Told, Node: a.Node, Box: e.Name, How: e.Status, Index: out.Index,
-				Detail: strconv.FormatInt(e.SinceMS, 10)})
+				Detail: strconv.FormatInt(e.StartedAtMS, 10)})
 		}
 	})
 	return mux
--- a/internal/lab/discovery/view.go
+++ b/internal/lab/discovery/view.go
@@ -10,17 +10,17 @@
 )
 
 // Entry is one app box in discovery's form.
-type Entry = registry.Entry
+type Entry = registry.Endpoint
 
 // The statuses of an entry. Gone stands only among changes.
 const (
 	Ready    = registry.Ready
 	Draining = registry.Draining
-	Gone     = registry.Gone
+	Gone     = registry.Removed
 )
 
 // Answer is what an agent answers. It knows no epochs.
-type Answer = registry.Answer
+type Answer = registry.ListResponse
 
 // Registry is the list as it is, with all its changes. It is safe for concurrent use.
 type Registry struct {
--- a/internal/lab/fleet/crowd.go
+++ b/internal/lab/fleet/crowd.go
@@ -34,7 +34,7 @@
 	s.crowd = &crowd{}
 	for i := range n {
 		s.crowd.told = append(s.crowd.told, map[uint64]time.Duration{})
-		k, err := client.New(client.Config{Addresses: doors, Taken: func(a registry.Answer) { s.crowd.take(i, s.f.log.Now(), a) }})
+		k, err := client.New(client.Config{Addresses: doors, OnChange: func(a registry.ListResponse) { s.crowd.take(i, s.f.log.Now(), a) }})
 		if err != nil {
 			return err
 		}
@@ -56,14 +56,14 @@
 		return fmt.Errorf("the list as the crowd is to have it: %w", err)
 	}
 	for _, k := range s.crowd.all {
-		for v, _ := k.View(); v.Version < want.Index; v, _ = k.View() {
+		for v, _ := k.List(); v.Version < want.Index; v, _ = k.List() {
 			if !backoff.Sleep(ctx, 5*time.Millisecond) {
 				s.crowd.fail("a follower stays at version %d, the list is at %d", v.Version, want.Index)
 				return nil
 			}
 		}
-		if v, _ := k.View(); v.Version == want.Index && !slices.Equal(v.Entries, want.Endpoints) {
-			s.crowd.fail("at version %d a follower has %v, the list is %v", v.Version, v.Entries, want.Endpoints)
+		if v, _ := k.List(); v.Version == want.Index && !slices.Equal(v.Endpoints, want.Endpoints) {
+			s.crowd.fail("at version %d a follower has %v, the list is %v", v.Version, v.Endpoints, want.Endpoints)
 		}
 	}
 	return nil
@@ -75,7 +75,7 @@
 	c.wrong = append(c.wrong, check.Finding{Text: fmt.Sprintf(format, args...)})
 }
 
-func (c *crowd) take(who int, now time.Duration, a registry.Answer) {
+func (c *crowd) take(who int, now time.Duration, a registry.ListResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for v := range c.told[who] {
--- a/internal/lab/fleet/net.go
+++ b/internal/lab/fleet/net.go
@@ -62,7 +62,7 @@
 	f.registry.Set(f.log.Now(), f.entry(box, status, since), silent)
 }
 
-func (f *fleet) entry(box, status, since string) registry.Entry {
+func (f *fleet) entry(box, status, since string) registry.Endpoint {
 	i := slices.IndexFunc(f.w.Machines, func(m world.Machine) bool { return m.Name == box })
 	m := f.w.Machines[i]
 	ms, _ := strconv.ParseInt(since, 10, 64)
@@ -70,7 +70,7 @@
 	if f.service != nil && f.service.doors != nil {
 		address = f.service.doors[box]
 	}
-	return registry.Entry{Name: box, Address: address, Zone: m.Zone, Type: m.Kind, Group: m.Pod, Status: status, Weight: 1, SinceMS: ms}
+	return registry.Endpoint{Name: box, Address: address, Zone: m.Zone, Type: m.Kind, Cell: m.Pod, Status: status, Weight: 1, StartedAtMS: ms}
 }
 
 // connect makes the nodes and all links between the parties.
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -187,7 +187,7 @@
 		return nil, r.err
 	}
 	s, err := release.Read(ctx, r.client, releaseName)
-	var refused *client.Refused
+	var refused *client.Error
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return nil, errors.New("it was not put on record")
 	}
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.boxes = &registrar{client: k, up: map[string]registry.Entry{}, wake: make(chan struct{}, 1)}
+	s.boxes = &registrar{client: k, up: map[string]registry.Endpoint{}, wake: make(chan struct{}, 1)}
 	return s, nil
 }
 
@@ -196,12 +196,12 @@
 
 // feed tells an agent's registry what its client believes.
 func (s *service) feed(k *client.Client, reg *discovery.Registry) {
-	held := map[string]registry.Entry{}
+	held := map[string]registry.Endpoint{}
 	for s.ctx.Err() == nil {
 		changed := k.Changed()
-		v, _ := k.View()
+		v, _ := k.List()
 		there := map[string]bool{}
-		for _, e := range v.Entries {
+		for _, e := range v.Endpoints {
 			there[e.Name] = true
 			if held[e.Name] != e {
 				held[e.Name] = e
@@ -211,7 +211,7 @@
 		for name, e := range held {
 			if !there[name] {
 				delete(held, name)
-				e.Status = registry.Gone
+				e.Status = registry.Removed
 				reg.Set(s.f.log.Now(), e, false)
 			}
 		}
@@ -227,7 +227,7 @@
 type registrar struct {
 	client *client.Client
 	mu     sync.Mutex
-	up     map[string]registry.Entry // renewed
+	up     map[string]registry.Endpoint // renewed
 	queue  []func(context.Context) error
 	wake   chan struct{}
 }
@@ -243,7 +243,7 @@
 	}
 }
 
-func (r *registrar) ready(e registry.Entry) {
+func (r *registrar) ready(e registry.Endpoint) {
 	r.add(func() { r.up[e.Name] = e }, func(ctx context.Context) error {
 		_, err := r.client.Register(ctx, e, boxTTL, nil)
 		return err
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -21,14 +21,14 @@
 	last := map[string]Act{}
 	owner := map[string]string{}
 	for _, a := range acts {
-		if b, ok := last[a.Duty]; ok && a.Fence.Fence < b.Fence.Fence {
-			broken = append(broken, fmt.Sprintf("%s: %s writes under fence %d, %v after %s did under %d", a.Duty, a.Run, a.Fence.Fence, a.To-b.To, b.Run, b.Fence.Fence))
+		if b, ok := last[a.Lease]; ok && a.FencingToken.Number < b.FencingToken.Number {
+			broken = append(broken, fmt.Sprintf("%s: %s writes under fence %d, %v after %s did under %d", a.Lease, a.Run, a.FencingToken.Number, a.To-b.To, b.Run, b.FencingToken.Number))
 		}
-		key := fmt.Sprint(a.Fence.Fence, " ", a.Duty)
+		key := fmt.Sprint(a.FencingToken.Number, " ", a.Lease)
 		if o, ok := owner[key]; ok && o != a.Run {
-			broken = append(broken, fmt.Sprintf("%s: %s and %s both write under fence %d", a.Duty, o, a.Run, a.Fence.Fence))
+			broken = append(broken, fmt.Sprintf("%s: %s and %s both write under fence %d", a.Lease, o, a.Run, a.FencingToken.Number))
 		}
-		owner[key], last[a.Duty] = a.Run, a
+		owner[key], last[a.Lease] = a.Run, a
 	}
 	return broken
 }
@@ -47,7 +47,7 @@
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		for _, o := range all {
-			d := o.Input.(Act).Duty
+			d := o.Input.(Act).Lease
 			by[d] = append(by[d], o)
 		}
 		var parts [][]porcupine.Operation
@@ -60,16 +60,16 @@
 	Step: func(state, input, _ any) (bool, any) {
 		s, a := state.(lock), input.(Act)
 		switch {
-		case a.Do == "hold" && a.Fence.Fence > s.fence:
-			return true, lock{fence: a.Fence.Fence}
+		case a.Do == "hold" && a.FencingToken.Number > s.fence:
+			return true, lock{fence: a.FencingToken.Number}
 		case a.Do == "hold":
-			return a.Fence.Fence == s.fence && !s.dead, s // the same grant again, after a while without the service
+			return a.FencingToken.Number == s.fence && !s.dead, s // the same grant again, after a while without the service
 		case a.Done:
-			return a.Fence.Fence == s.fence && !s.dead, s
-		case a.Fence.Fence == s.fence:
+			return a.FencingToken.Number == s.fence && !s.dead, s
+		case a.FencingToken.Number == s.fence:
 			return true, lock{fence: s.fence, dead: true}
 		}
-		return a.Fence.Fence < s.fence, s
+		return a.FencingToken.Number < s.fence, s
 	},
 }
 
@@ -83,7 +83,7 @@
 			started[a.Run] = a.From
 			continue
 		}
-		key := [2]string{a.Run, a.Duty}
+		key := [2]string{a.Run, a.Lease}
 		if a.Do == "hold" { // its process may have had the grant since its last word on the duty, and hear of it late
 			a.From = max(started[a.Run], last[key])
 		}
@@ -125,10 +125,10 @@
 func Gaps(acts []Act) (all []Gap) {
 	last := map[string]Act{}
 	for _, a := range acts {
-		if b, ok := last[a.Duty]; ok && b.Fence.Fence != a.Fence.Fence {
-			all = append(all, Gap{a.Duty, b.To, a.To - b.To})
+		if b, ok := last[a.Lease]; ok && b.FencingToken.Number != a.FencingToken.Number {
+			all = append(all, Gap{a.Lease, b.To, a.To - b.To})
 		}
-		last[a.Duty] = a
+		last[a.Lease] = a
 	}
 	slices.SortFunc(all, func(a, b Gap) int { return cmp.Compare(b.Took, a.Took) })
 	return all
--- a/internal/lab/leases/crew.go
+++ b/internal/lab/leases/crew.go
@@ -157,7 +157,7 @@
 func (c *Crew) Holding(duty string) string {
 	acts, _ := c.Resource.Acts()
 	for _, a := range slices.Backward(acts) {
-		if a.Duty == duty {
+		if a.Lease == duty {
 			return a.Process
 		}
 	}
@@ -171,7 +171,7 @@
 		has := map[string]bool{}
 		for _, a := range acts {
 			if a.To > after {
-				has[a.Duty] = true
+				has[a.Lease] = true
 			}
 		}
 		if len(has) == c.o.Duties {
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -38,7 +38,7 @@
 		if err := l.change(ctx, kind, before.Process, i); err != nil {
 			return nil, err
 		}
-		if err := l.Crew.followed(ctx, before.Fence.Fence); err != nil {
+		if err := l.Crew.followed(ctx, before.FencingToken.Number); err != nil {
 			return nil, err
 		}
 	}
@@ -76,7 +76,7 @@
 func (c *Crew) followed(ctx context.Context, fence uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	for c.last().Fence.Fence <= fence {
+	for c.last().FencingToken.Number <= fence {
 		if !backoff.Sleep(ctx, time.Millisecond) {
 			return fmt.Errorf("nobody follows the holder under fence %d: %w", fence, ctx.Err())
 		}
@@ -166,7 +166,7 @@
 	acts, _ := c.Resource.Acts()
 	by := map[string]string{}
 	for _, a := range acts {
-		by[a.Duty] = a.Process
+		by[a.Lease] = a.Process
 	}
 	count := map[string]int{}
 	for _, m := range c.all {
@@ -215,7 +215,7 @@
 			return nil, err
 		}
 		running.Go(func() {
-			p.Run(wanted, "contested", func(ctx context.Context, _ lease.Fence) error {
+			p.Run(wanted, "contested", func(ctx context.Context, _ lease.Token) error {
 				t := turn{clock(), make(chan struct{})}
 				select {
 				case turns <- t:
--- a/internal/lab/leases/worker.go
+++ b/internal/lab/leases/worker.go
@@ -51,7 +51,7 @@
 	Process string        `json:"process"`
 	Run     string        `json:"run"` // of the process; another after each restart
 	Do      string        `json:"do"`  // start, hold, note or write
-	registry.Fence
+	registry.FencingToken
 	Done bool `json:"done"` // else it was turned down
 }
 
@@ -84,7 +84,7 @@
 		return fmt.Errorf("worker: %w", err)
 	}
 	defer f.Close()
-	p, err := lease.Open(lease.Config{Client: k, Process: o.Process, TTL: o.TTL, Word: registry.Word{Note: "a worker of the lab"}, Log: log})
+	p, err := lease.Open(lease.Config{Client: k, Process: o.Process, TTL: o.TTL, Info: registry.ProcessInfo{Note: "a worker of the lab"}, Log: log})
 	if err != nil {
 		return err
 	}
@@ -105,9 +105,9 @@
 }
 
 // work acts on the resource as long as it may, and now and then on the list.
-func (w *worker) work(ctx context.Context, f lease.Fence) error {
+func (w *worker) work(ctx context.Context, f lease.Token) error {
 	now := clock()
-	w.note(Act{From: now, To: now, Do: "hold", Fence: f, Done: true})
+	w.note(Act{From: now, To: now, Do: "hold", FencingToken: f, Done: true})
 	acting := ctx
 	if w.o.Deaf > 0 {
 		var cancel context.CancelFunc
@@ -128,8 +128,8 @@
 }
 
 // act writes to the resource, which is turned down with 409.
-func (w *worker) act(ctx context.Context, f lease.Fence) error {
-	raw, err := json.Marshal(Act{From: clock(), Process: w.o.Process, Run: w.run, Do: "write", Fence: f})
+func (w *worker) act(ctx context.Context, f lease.Token) error {
+	raw, err := json.Marshal(Act{From: clock(), Process: w.o.Process, Run: w.run, Do: "write", FencingToken: f})
 	if err != nil {
 		return err
 	}
@@ -151,18 +151,18 @@
 }
 
 // noteInList makes a fenced write to the list.
-func (w *worker) noteInList(ctx context.Context, f lease.Fence) {
+func (w *worker) noteInList(ctx context.Context, f lease.Token) {
 	ctx, cancel := context.WithTimeout(ctx, actTime)
 	defer cancel()
-	a := Act{From: clock(), Do: "note", Fence: f}
-	e := registry.Entry{Name: "note-" + f.Duty, Address: "127.0.0.1:1", Status: registry.Ready, SinceMS: int64(a.From)}
-	_, err := w.list.As(f).Register(ctx, e, 0, nil)
+	a := Act{From: clock(), Do: "note", FencingToken: f}
+	e := registry.Endpoint{Name: "note-" + f.Lease, Address: "127.0.0.1:1", Status: registry.Ready, StartedAtMS: int64(a.From)}
+	_, err := w.list.WithToken(f).Register(ctx, e, 0, nil)
 	a.To = clock()
-	var refused *client.Refused
+	var refused *client.Error
 	switch {
 	case err == nil:
 		a.Done = true
-	case errors.As(err, &refused) && refused.Code == string(registry.Fenced):
+	case errors.As(err, &refused) && refused.Code == string(registry.StaleToken):
 	default:
 		return // of unknown end, which changes nothing that is checked
 	}
--- a/internal/lab/quorum/client.go
+++ b/internal/lab/quorum/client.go
@@ -101,13 +101,13 @@
 		case http.StatusOK:
 			var r registry.Result
 			if json.Unmarshal(body, &r) == nil {
-				o.known, o.status, o.version = true, status, r.Entry
+				o.known, o.status, o.version = true, status, r.EntryVersion
 				return
 			}
 		case http.StatusConflict, http.StatusNotFound:
-			var r registry.Refusal
+			var r registry.ErrorResponse
 			if json.Unmarshal(body, &r) == nil {
-				o.known, o.status, o.version = true, status, r.Entry
+				o.known, o.status, o.version = true, status, r.ConflictingVersion
 				return
 			}
 		}
@@ -117,12 +117,12 @@
 func (w *worker) call(o *op, id string, wait time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	body := registry.Write{ID: id, If: o.cond}
+	body := registry.WriteRequest{ID: id, IfVersion: o.cond}
 	method, path := http.MethodDelete, "/registry/instances/"+o.name
 	switch o.do {
 	case "register":
 		method = http.MethodPut
-		body.Entry = &registry.Entry{Name: o.name, Address: "127.0.0.1:1", Status: registry.Ready, Weight: o.weight}
+		body.Endpoint = &registry.Endpoint{Name: o.name, Address: "127.0.0.1:1", Status: registry.Ready, Weight: o.weight}
 	case "drain":
 		method, path = http.MethodPost, path+"/drain"
 	}
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(ctx, tryTime)
 	defer cancel()
 	status, body := w.do(ctx, http.MethodGet, "/registry/instances?current=1", nil)
-	var a registry.Answer
+	var a registry.ListResponse
 	if status != http.StatusOK || json.Unmarshal(body, &a) != nil || !a.Snapshot {
 		return
 	}
@@ -172,13 +172,13 @@
 	w       *worker
 	version uint64
 	epoch   string
-	held    map[string]registry.Entry
-	told    map[uint64]registry.Entry // changes by their versions
+	held    map[string]registry.Endpoint
+	told    map[uint64]registry.Endpoint // changes by their versions
 	wrong   []string
 }
 
 func newWatcher(c *cluster, n int) *watcher {
-	return &watcher{w: newWorker(c, n), held: map[string]registry.Entry{}, told: map[uint64]registry.Entry{}}
+	return &watcher{w: newWorker(c, n), held: map[string]registry.Endpoint{}, told: map[uint64]registry.Endpoint{}}
 }
 
 // run watches until ctx ends and it has reached the version that enough gives by then.
@@ -196,7 +196,7 @@
 		path := fmt.Sprintf("/registry/instances?from=%d&epoch=%s&hold_ms=300", v.version, v.epoch)
 		status, body := v.w.do(call, http.MethodGet, path, nil)
 		cancel()
-		var a registry.Answer
+		var a registry.ListResponse
 		if status != http.StatusOK || json.Unmarshal(body, &a) != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -205,7 +205,7 @@
 	}
 }
 
-func (v *watcher) take(a registry.Answer) {
+func (v *watcher) take(a registry.ListResponse) {
 	switch {
 	case v.epoch != "" && a.Epoch != v.epoch:
 		v.wrong = append(v.wrong, fmt.Sprintf("epoch %s after %s, though nothing was lost", a.Epoch, v.epoch))
@@ -221,7 +221,7 @@
 			v.told[v.version+uint64(i)+1] = e
 		}
 		v.held[e.Name] = e
-		if e.Status == registry.Gone {
+		if e.Status == registry.Removed {
 			delete(v.held, e.Name)
 		}
 	}
--- a/internal/lab/quorum/failover.go
+++ b/internal/lab/quorum/failover.go
@@ -49,12 +49,12 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	for ctx.Err() == nil {
-		members, err := k.Members(ctx)
+		members, err := k.Replicas(ctx)
 		if err != nil {
 			return nil, err
 		}
 		for i, m := range members {
-			if m.Leads {
+			if m.Leader {
 				return set.All[i], nil
 			}
 		}
--- a/internal/lab/quorum/library.go
+++ b/internal/lab/quorum/library.go
@@ -22,12 +22,12 @@
 // newFollowers makes one of all of the list, and one of a quarter that goes on around the ring.
 func newFollowers(c *cluster) (all []*follower, err error) {
 	answers := 0
-	around := func(registry.Part, int, []registry.Entry) registry.Part {
+	around := func(registry.Subset, int, []registry.Endpoint) registry.Subset {
 		answers++
-		return registry.Part{From: uint16(answers/8%16) << 12, Width: 1 << 14}
+		return registry.Subset{Start: uint16(answers/8%16) << 12, Width: 1 << 14}
 	}
-	for _, part := range []func(registry.Part, int, []registry.Entry) registry.Part{nil, around} {
-		k, err := client.New(client.Config{Addresses: c.doors, Hold: followHold, Part: part})
+	for _, part := range []func(registry.Subset, int, []registry.Endpoint) registry.Subset{nil, around} {
+		k, err := client.New(client.Config{Addresses: c.doors, Hold: followHold, ChooseSubset: part})
 		if err != nil {
 			return nil, err
 		}
@@ -43,7 +43,7 @@
 	var version uint64
 	for ctx.Err() == nil {
 		changed := f.client.Changed()
-		v, _ := f.client.View()
+		v, _ := f.client.List()
 		if v.Version < version {
 			f.wrong = append(f.wrong, fmt.Sprintf("the client goes back from version %d to %d", version, v.Version))
 		}
@@ -56,13 +56,13 @@
 }
 
 // reach waits until the client has the list of the end.
-func (f *follower) reach(last registry.Answer) (wrong []string) {
+func (f *follower) reach(last registry.ListResponse) (wrong []string) {
 	for until := time.Now().Add(readyTime); ; time.Sleep(5 * time.Millisecond) {
-		v, _ := f.client.View()
+		v, _ := f.client.List()
 		if v.Version == last.Index {
-			want := slices.DeleteFunc(slices.Clone(last.Endpoints), func(e registry.Entry) bool { return !v.Part.Holds(registry.Point(e.Name)) })
-			if !slices.Equal(v.Entries, want) {
-				return append(wrong, fmt.Sprintf("the client holds %v of part %v at %d, the list is %v", v.Entries, v.Part, v.Version, last.Endpoints))
+			want := slices.DeleteFunc(slices.Clone(last.Endpoints), func(e registry.Endpoint) bool { return !v.Subset.Contains(registry.Position(e.Name)) })
+			if !slices.Equal(v.Endpoints, want) {
+				return append(wrong, fmt.Sprintf("the client holds %v of part %v at %d, the list is %v", v.Endpoints, v.Subset, v.Version, last.Endpoints))
 			}
 			return nil
 		}
--- a/internal/lab/quorum/measure.go
+++ b/internal/lab/quorum/measure.go
@@ -58,7 +58,7 @@
 func write(ctx context.Context, k *client.Client, n int) (registry.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	return k.Register(ctx, registry.Entry{Name: "s", Address: "127.0.0.1:1", Status: registry.Ready, SinceMS: int64(2*max(n, -n) + n&1)}, 0, nil)
+	return k.Register(ctx, registry.Endpoint{Name: "s", Address: "127.0.0.1:1", Status: registry.Ready, StartedAtMS: int64(2*max(n, -n) + n&1)}, 0, nil)
 }
 
 // Fan is what a change costs with so many watchers at one replica.
--- a/internal/lab/quorum/model_test.go
+++ b/internal/lab/quorum/model_test.go
@@ -60,12 +60,12 @@
 
 // TestWatchers: a gap, a step back, a whole list without need, and two that were told different things are each found.
 func TestWatchers(t *testing.T) {
-	s := func(weight float64) registry.Entry { return registry.Entry{Name: "s", Weight: weight} }
-	first := registry.Answer{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Entry{s(1)}}
-	last := registry.Answer{Index: 4, Epoch: "e", Snapshot: true, Endpoints: []registry.Entry{s(2)}}
-	good := registry.Answer{Index: 4, Epoch: "e", Endpoints: []registry.Entry{s(2)}}
-	run := func(answers ...registry.Answer) *watcher {
-		v := &watcher{held: map[string]registry.Entry{}, told: map[uint64]registry.Entry{}}
+	s := func(weight float64) registry.Endpoint { return registry.Endpoint{Name: "s", Weight: weight} }
+	first := registry.ListResponse{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Endpoint{s(1)}}
+	last := registry.ListResponse{Index: 4, Epoch: "e", Snapshot: true, Endpoints: []registry.Endpoint{s(2)}}
+	good := registry.ListResponse{Index: 4, Epoch: "e", Endpoints: []registry.Endpoint{s(2)}}
+	run := func(answers ...registry.ListResponse) *watcher {
+		v := &watcher{held: map[string]registry.Endpoint{}, told: map[uint64]registry.Endpoint{}}
 		for _, a := range answers {
 			v.take(a)
 		}
@@ -76,11 +76,11 @@
 		want  string
 	}{
 		"nothing":    {run(first, good), ""},
-		"gap":        {run(first, registry.Answer{Index: 5, Epoch: "e", Endpoints: []registry.Entry{s(2)}}), "changes from"},
-		"back":       {run(first, registry.Answer{Index: 2, Epoch: "e"}), "version 2 after 3"},
+		"gap":        {run(first, registry.ListResponse{Index: 5, Epoch: "e", Endpoints: []registry.Endpoint{s(2)}}), "changes from"},
+		"back":       {run(first, registry.ListResponse{Index: 2, Epoch: "e"}), "version 2 after 3"},
 		"whole":      {run(first, last), "whole list"},
-		"epoch":      {run(first, registry.Answer{Index: 4, Epoch: "f", Endpoints: []registry.Entry{s(2)}}), "epoch f"},
-		"difference": {run(first, registry.Answer{Index: 4, Epoch: "e", Endpoints: []registry.Entry{s(8)}}), "change 4 is"},
+		"epoch":      {run(first, registry.ListResponse{Index: 4, Epoch: "f", Endpoints: []registry.Endpoint{s(2)}}), "epoch f"},
+		"difference": {run(first, registry.ListResponse{Index: 4, Epoch: "e", Endpoints: []registry.Endpoint{s(8)}}), "change 4 is"},
 	} {
 		got := strings.Join(agree([]*watcher{run(first, good), c.other}, last), "; ")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -160,7 +160,7 @@
 	if err == nil {
 		err = c.set.Ready(ctx)
 	}
-	var last registry.Answer
+	var last registry.ListResponse
 	if err == nil {
 		last, err = c.final(ctx)
 	}
@@ -185,23 +185,23 @@
 }
 
 // final reads the list once all is well again.
-func (c *cluster) final(ctx context.Context) (registry.Answer, error) {
+func (c *cluster) final(ctx context.Context) (registry.ListResponse, error) {
 	w := newWorker(c, 1<<20)
 	defer w.http.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	for ctx.Err() == nil {
 		status, body := w.do(ctx, http.MethodGet, "/registry/instances?current=1", nil)
-		var a registry.Answer
+		var a registry.ListResponse
 		if status == http.StatusOK && json.Unmarshal(body, &a) == nil {
 			return a, nil
 		}
 		backoff.Sleep(ctx, 20*time.Millisecond)
 	}
-	return registry.Answer{}, fmt.Errorf("the list can't be read %v after the last fault: %w", readyTime, ctx.Err())
+	return registry.ListResponse{}, fmt.Errorf("the list can't be read %v after the last fault: %w", readyTime, ctx.Err())
 }
 
-func (c *cluster) judge(faults []fault, workers []*worker, watching []*watcher, last registry.Answer) Outcome {
+func (c *cluster) judge(faults []fault, workers []*worker, watching []*watcher, last registry.ListResponse) Outcome {
 	o := Outcome{Seed: c.o.Seed, Faults: len(faults), Changes: last.Index}
 	var ops []op
 	for _, w := range workers {
@@ -224,13 +224,13 @@
 }
 
 // agree checks that all watchers were told the same, and hold the list in the end.
-func agree(watching []*watcher, last registry.Answer) []string {
-	want := map[string]registry.Entry{}
+func agree(watching []*watcher, last registry.ListResponse) []string {
+	want := map[string]registry.Endpoint{}
 	for _, e := range last.Endpoints {
 		want[e.Name] = e
 	}
 	var broken []string
-	told := map[uint64]registry.Entry{}
+	told := map[uint64]registry.Endpoint{}
 	for n, v := range watching {
 		for _, w := range v.wrong {
 			broken = append(broken, fmt.Sprintf("watcher %d: %s", n, w))
--- a/internal/lab/replicas/disk.go
+++ b/internal/lab/replicas/disk.go
@@ -100,14 +100,14 @@
 		return err
 	}
 	defer k.Close()
-	var refused *client.Refused
-	if err := k.RemoveMember(ctx, r.Name); err != nil && !(errors.As(err, &refused) && refused.Code == string(registry.Absent)) {
+	var refused *client.Error
+	if err := k.RemoveReplica(ctx, r.Name); err != nil && !(errors.As(err, &refused) && refused.Code == string(registry.NotFound)) {
 		return fmt.Errorf("removing %s: %w", r.Name, err)
 	}
 	if err := s.Start(r); err != nil {
 		return err
 	}
-	if _, err := k.AddMember(ctx, r.Name, registry.Address{}); err != nil {
+	if _, err := k.AddReplica(ctx, r.Name, registry.Address{}); err != nil {
 		return fmt.Errorf("adding %s: %w", r.Name, err)
 	}
 	return nil
--- a/internal/lab/scale/constants.go
+++ b/internal/lab/scale/constants.go
@@ -20,7 +20,7 @@
 // Constants records what the program of this commit refuses beyond.
 func Constants(_ context.Context, run Run, say func(Point)) error {
 	return run.record("constants", func() ([]Point, error) {
-		whole := registry.Answer{Endpoints: []registry.Entry{entryOf(1)}}
+		whole := registry.ListResponse{Endpoints: []registry.Endpoint{entryOf(1)}}
 		one, err := json.Marshal(whole)
 		if err != nil {
 			return nil, err
@@ -31,7 +31,7 @@
 			return nil, err
 		}
 		p := Point{Sizes: map[string]int{}, Figures: map[string]Spread{}}
-		for name, n := range map[string]float64{"entries": registry.MaxEntries, "records": registry.MaxRecords, "record_bytes": registry.MaxRecordBytes, "sessions": registry.MaxSessions,
+		for name, n := range map[string]float64{"entries": registry.MaxEndpoints, "records": registry.MaxRecords, "record_bytes": registry.MaxRecordBytes, "sessions": registry.MaxSessions,
 			"held_calls": float64(server.Default().MaxWatchers), "tenants": tenant.MaxTreeTenants, "enrolled": enrolled,
 			"seats": quota.MostNodes, "members": viewMembers, "policy_bytes": registry.MaxRecord, // as many, by internal/policy
 			"platform_list_bytes": platformList, "entry_bytes": float64(len(two) - len(one))} {
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -104,7 +104,7 @@
 		defer one.Close()
 		all[i] = one
 		g.Go(func() error {
-			_, err := one.Register(ctx, registry.Entry{Name: fmt.Sprint("l", i), Address: "127.0.0.1:1", Status: registry.Ready}, renewedTTL, nil)
+			_, err := one.Register(ctx, registry.Endpoint{Name: fmt.Sprint("l", i), Address: "127.0.0.1:1", Status: registry.Ready}, renewedTTL, nil)
 			return err
 		})
 	}
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -156,7 +156,7 @@
 		return 0, err
 	}
 	r, err := k.Put(ctx, record.Current, raw, nil)
-	return r.Entry, err
+	return r.EntryVersion, err
 }
 
 func (f *Force) policied(ctx context.Context, k *client.Client, n *news, i int, to *tally) error {
--- a/internal/lab/scale/latency_backend.go
+++ b/internal/lab/scale/latency_backend.go
@@ -109,7 +109,7 @@
 // register lists a server as one that came up at a time.
 func (a *answerer) register(ctx context.Context, k *client.Client, i int, up time.Time) error {
 	e := entryOf(i)
-	e.Address, e.SinceMS = a.address(i), up.UnixMilli()
+	e.Address, e.StartedAtMS = a.address(i), up.UnixMilli()
 	_, err := k.Register(ctx, e, 0, nil)
 	return err
 }
--- a/internal/lab/scale/settled.go
+++ b/internal/lab/scale/settled.go
@@ -25,7 +25,7 @@
 	defer cancel()
 	at := make(map[string]uint64, len(names))
 	for _, n := range names {
-		at[n] = registry.Point(n)
+		at[n] = registry.Position(n)
 	}
 	for i, file := range r.files {
 		for {
@@ -57,20 +57,20 @@
 	if err := json.Unmarshal(raw, &kept); err != nil {
 		return "", fmt.Errorf("a node's kept list: %w", err)
 	}
-	var part registry.Part // all of the list, where it says nothing of one
+	var part registry.Subset // all of the list, where it says nothing of one
 	if kept.Of.Part != "" {
-		if part, err = registry.ParsePart(kept.Of.Part); err != nil {
+		if part, err = registry.ParseSubset(kept.Of.Part); err != nil {
 			return "", err
 		}
 	}
 	want := 0
 	for _, p := range at {
-		if part.Holds(p) {
+		if part.Contains(p) {
 			want++
 		}
 	}
 	for _, e := range kept.Entries {
-		if p, there := at[e.Name]; !there || !part.Holds(p) {
+		if p, there := at[e.Name]; !there || !part.Contains(p) {
 			return fmt.Sprintf("it has %s still, which is not in part %v", e.Name, part), nil
 		}
 	}
--- a/internal/lab/scale/settled_test.go
+++ b/internal/lab/scale/settled_test.go
@@ -12,10 +12,10 @@
 
 // TestDiffers: a kept list is settled if it has all servers of its part and no others.
 func TestDiffers(t *testing.T) {
-	part, at := registry.Part{From: 0, Width: 1 << 14}, map[string]uint64{}
+	part, at := registry.Subset{Start: 0, Width: 1 << 14}, map[string]uint64{}
 	var inside, outside []string
 	for _, name := range namesOf(0, 40) {
-		if at[name] = registry.Point(name); part.Holds(at[name]) {
+		if at[name] = registry.Position(name); part.Contains(at[name]) {
 			inside = append(inside, name)
 		} else {
 			outside = append(outside, name)
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -28,7 +28,7 @@
 func (r *recordStore) Record(_ context.Context, key string) (registry.Record, error) {
 	one, there := r.all[key]
 	if !there {
-		return one, &client.Refused{Status: http.StatusNotFound}
+		return one, &client.Error{Status: http.StatusNotFound}
 	}
 	r.bytes += len(one.Value)
 	return one, nil
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -55,9 +55,9 @@
 }
 
 // entryOf is a server of a drawn list that has just started.
-func entryOf(n int) registry.Entry {
-	return registry.Entry{Name: entryName(n), Address: fmt.Sprintf("10.1.%d.%d:5000", n>>8&255, n&255), Zone: zoneOf(n), Type: kindOf(n),
-		Group: n / 3, Status: registry.Ready, Weight: 1, SinceMS: time.Now().UnixMilli()}
+func entryOf(n int) registry.Endpoint {
+	return registry.Endpoint{Name: entryName(n), Address: fmt.Sprintf("10.1.%d.%d:5000", n>>8&255, n&255), Zone: zoneOf(n), Type: kindOf(n),
+		Cell: n / 3, Status: registry.Ready, Weight: 1, StartedAtMS: time.Now().UnixMilli()}
 }
 
 // entryName is that of quorum.Fill.
@@ -69,7 +69,7 @@
 	have   []atomic.Uint64 // the version that each has
 	when   []atomic.Int64  // it came, in ns since begun
 	begun  time.Time
-	part   []atomic.Pointer[registry.Part] // that each follows; nil: all
+	part   []atomic.Pointer[registry.Subset] // that each follows; nil: all
 	follow sync.WaitGroup
 	stop   context.CancelFunc
 }
@@ -77,18 +77,18 @@
 // gather starts watchers, some together, and waits until all have a version.
 func (l *Lists) gather(ctx context.Context, addresses []string, together, n int, version uint64) (*crowd, error) {
 	following, stop := context.WithCancel(ctx)
-	c := &crowd{all: make([]*client.Client, n), have: make([]atomic.Uint64, n), when: make([]atomic.Int64, n), part: make([]atomic.Pointer[registry.Part], n), begun: time.Now(), stop: stop}
+	c := &crowd{all: make([]*client.Client, n), have: make([]atomic.Uint64, n), when: make([]atomic.Int64, n), part: make([]atomic.Pointer[registry.Subset], n), begun: time.Now(), stop: stop}
 	for i := range n {
-		conf := client.Config{Addresses: addresses, Hold: holdOfNode, Taken: func(a registry.Answer) {
+		conf := client.Config{Addresses: addresses, Hold: holdOfNode, OnChange: func(a registry.ListResponse) {
 			c.when[i].Store(int64(time.Since(c.begun)))
-			if part, err := registry.ParsePart(a.Part); err == nil {
+			if part, err := registry.ParseSubset(a.Subset); err == nil {
 				c.part[i].Store(&part)
 			}
 			c.have[i].Store(a.Index)
 		}}
 		if l.Parts {
-			conf.Part = func(has registry.Part, total int, entries []registry.Entry) registry.Part {
-				return has.Next(i, fleetNodes, total, entries, []registry.Group{{}})
+			conf.ChooseSubset = func(has registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
+				return has.Next(i, fleetNodes, total, entries, []registry.Placement{{}})
 			}
 		}
 		k, err := client.New(conf)
@@ -116,7 +116,7 @@
 // concerned tells whether a watcher is to hear of an entry: of each, unless it follows a part.
 func (c *crowd) concerned(i int, entry string) bool {
 	part := c.part[i].Load()
-	return part == nil || entry == "" || part.Holds(registry.Point(entry))
+	return part == nil || entry == "" || part.Contains(registry.Position(entry))
 }
 
 // await waits until the first so many have a version, those that it concerns where it is of an entry.
--- a/internal/lease/core_test.go
+++ b/internal/lease/core_test.go
@@ -15,7 +15,7 @@
 	chance  *rand.Rand
 	real    time.Duration
 	state   *registry.State
-	due     *registry.Deadlines
+	due     *registry.SessionExpiry
 	rate    float64 // of the leader's clock
 	procs   []*player
 	flight  []message
@@ -35,7 +35,7 @@
 
 type player struct {
 	c       *core
-	want    *want
+	want    *candidacy
 	rate    float64
 	session string
 	n       int
@@ -58,7 +58,9 @@
 func (p *player) now(s *sim) time.Duration { return time.Duration(p.rate*float64(s.real)) + 1 }
 
 // drawRate draws a clock's rate, often at its bounds.
-func (s *sim) drawRate() float64 { return []float64{1 - drift, 1, 1 + drift}[s.chance.IntN(3)] }
+func (s *sim) drawRate() float64 {
+	return []float64{1 - maxClockDrift, 1, 1 + maxClockDrift}[s.chance.IntN(3)]
+}
 
 // send has something of a process's done after a while, or never.
 func (s *sim) send(p *player, do func()) {
@@ -78,12 +80,12 @@
 func (s *sim) apply(c registry.Command) registry.Result {
 	c.Grant = []string{"d"}
 	r := s.state.Apply(c)
-	d, _ := s.state.Duty("d") // forgotten where nobody wants it
-	if d.Fence != 0 && d.Fence < s.granted {
-		s.wrong = fmt.Sprintf("fence %d after %d", d.Fence, s.granted)
+	d, _ := s.state.Lease("d") // forgotten where nobody wants it
+	if d.Token != 0 && d.Token < s.granted {
+		s.wrong = fmt.Sprintf("fence %d after %d", d.Token, s.granted)
 	}
-	if d.Fence > s.granted {
-		s.granted = d.Fence
+	if d.Token > s.granted {
+		s.granted = d.Token
 		s.grants++
 	}
 	return r
@@ -91,12 +93,12 @@
 
 func newSim(seed uint64, ttl time.Duration) *sim {
 	s := &sim{chance: rand.New(rand.NewPCG(seed, 7)), state: registry.NewState(), guard: true}
-	s.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
+	s.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	s.rate = s.drawRate()
-	s.due = registry.NewDeadlines(nil, 0)
+	s.due = registry.NewSessionExpiry(nil, 0)
 	for range 3 {
 		p := &player{c: &core{ttl: ttl}, rate: s.drawRate()}
-		p.want = p.c.add(registry.Wish{Duty: "d", Priority: s.chance.IntN(2), Over: s.chance.IntN(3) == 0}, 0)
+		p.want = p.c.add(registry.Candidacy{Lease: "d", Priority: s.chance.IntN(2), Preempt: s.chance.IntN(3) == 0}, 0)
 		s.procs = append(s.procs, p)
 	}
 	return s
@@ -125,13 +127,13 @@
 func (s *sim) serve() {
 	if s.chance.IntN(400) == 0 {
 		s.rate = s.drawRate()
-		s.due = registry.NewDeadlines(s.state.Sessions(), s.leader())
+		s.due = registry.NewSessionExpiry(s.state.Sessions(), s.leader())
 	}
 	if ids := s.due.Due(s.leader()); len(ids) > 0 {
-		s.apply(registry.Command{Do: registry.DoClose, Sessions: ids})
+		s.apply(registry.Command{Op: registry.OpCloseSessions, Sessions: ids})
 	}
 	if s.chance.IntN(300) == 0 {
-		s.apply(registry.Command{Do: registry.DoYield, Name: "d"})
+		s.apply(registry.Command{Op: registry.OpTransfer, Name: "d"})
 	}
 }
 
@@ -151,15 +153,15 @@
 	}
 	if p.stopAt != 0 && s.real >= p.stopAt {
 		p.running, p.stopAt = 0, 0
-		p.c.ended(p.now(s), p.want, []error{nil, fmt.Errorf("failed")}[s.chance.IntN(2)])
-		p.want.over = false // it wants it again
+		p.c.workEnded(p.now(s), p.want, []error{nil, fmt.Errorf("failed")}[s.chance.IntN(2)])
+		p.want.cancelled = false // it wants it again
 	} else if p.running != 0 && p.stopAt == 0 && s.chance.IntN(200) == 0 {
 		p.running = 0 // it fails by itself
-		p.c.ended(p.now(s), p.want, fmt.Errorf("failed"))
+		p.c.workEnded(p.now(s), p.want, fmt.Errorf("failed"))
 	}
 	if s.chance.IntN(1000) == 0 { // it dies, and a new process comes
 		p.c, p.running, p.stopAt, p.session = &core{ttl: p.c.ttl}, 0, 0, ""
-		p.want = p.c.add(registry.Wish{Duty: "d"}, 0)
+		p.want = p.c.add(registry.Candidacy{Lease: "d"}, 0)
 	}
 	s.talk(i, p)
 	for _, a := range p.c.step(p.now(s)) {
@@ -168,29 +170,29 @@
 }
 
 func (s *sim) act(p *player, a action) {
-	c, w, id := p.c, a.want, p.session
-	switch a.do {
+	c, w, id := p.c, a.candidacy, p.session
+	switch a.kind {
 	case "start":
-		p.running = a.fence
+		p.running = a.token
 	case "stop":
-		p.stopAt = s.real + time.Duration(s.chance.Int64N(int64(simTTL/stopPart-2*simStep)))
+		p.stopAt = s.real + time.Duration(s.chance.Int64N(int64(simTTL/stopFraction-2*simStep)))
 	default:
-		do := registry.DoCampaign
-		if a.do == "give-up" {
-			do = registry.DoGiveUp
+		do := registry.OpCampaign
+		if a.kind == "give-up" {
+			do = registry.OpRelease
 		}
 		answered := false
 		s.send(p, func() {
-			r := s.apply(registry.Command{Do: do, Session: &registry.Session{ID: id}, Wishes: []registry.Wish{w.wish}})
+			r := s.apply(registry.Command{Op: do, Session: &registry.Session{ID: id}, Candidacies: []registry.Candidacy{w.spec}})
 			s.send(p, func() {
 				if answered = true; p.c == c && p.session == id {
-					c.called(w, a.do == "give-up", r.Code == registry.Done)
+					c.callEnded(w, a.kind == "give-up", r.Code == registry.Applied)
 				}
 			})
 		})
 		s.flight = append(s.flight, message{s.real + 4*simTTL, func() {
 			if !answered && p.c == c && p.session == id {
-				c.called(w, a.do == "give-up", false)
+				c.callEnded(w, a.kind == "give-up", false)
 			}
 		}})
 	}
@@ -199,7 +201,7 @@
 // talk opens and renews a process's session, and asks for its duties.
 func (s *sim) talk(i int, p *player) {
 	now, c := p.now(s), p.c
-	if now < p.renewAt && !c.unsure() {
+	if now < p.renewAt && !c.needsRenewal() {
 		return
 	}
 	p.renewAt = now + simTTL/4
@@ -208,12 +210,12 @@
 		id := fmt.Sprintf("p%d-%d", i, p.n)
 		s.send(p, func() {
 			one := registry.Session{ID: id, Process: fmt.Sprint("p", i), TTL: simTTL}
-			s.apply(registry.Command{Do: registry.DoSession, Session: &one})
+			s.apply(registry.Command{Op: registry.OpOpenSession, Session: &one})
 			s.due.Set(one, s.leader())
 			s.send(p, func() {
 				if p.c == c && !c.open {
 					p.session = id
-					c.opened()
+					c.sessionOpened()
 				}
 			})
 		})
@@ -229,16 +231,16 @@
 			if known {
 				c.renewed(now)
 			} else {
-				c.lost()
+				c.sessionLost()
 			}
 		})
 	})
 	s.send(p, func() {
-		all, ok := s.state.Duties(id)
-		a := registry.DutyAnswer{Index: s.state.DutiesVersion(), Epoch: "e", Duties: all}
+		all, ok := s.state.Leases(id)
+		a := registry.LeasesResponse{Index: s.state.LeasesVersion(), Epoch: "e", Leases: all}
 		s.send(p, func() {
 			if ok && p.c == c && p.session == id {
-				c.hear(p.now(s), id, a)
+				c.leasesReported(p.now(s), id, a)
 			}
 		})
 	})
@@ -328,28 +330,28 @@
 // TestRanks: at the end what has a higher rank is handed on first, and nothing of a lower one before that is done.
 func TestRanks(t *testing.T) {
 	c := &core{ttl: simTTL}
-	c.opened()
-	a := registry.DutyAnswer{Index: 1}
+	c.sessionOpened()
+	a := registry.LeasesResponse{Index: 1}
 	for i, rank := range []int{0, 2, 2, -1} {
-		w := c.add(registry.Wish{Duty: fmt.Sprint("d", i)}, rank)
-		a.Duties = append(a.Duties, registry.Duty{Name: w.wish.Duty, Holder: "me", Fence: uint64(i + 2)})
+		w := c.add(registry.Candidacy{Lease: fmt.Sprint("d", i)}, rank)
+		a.Leases = append(a.Leases, registry.Lease{Name: w.spec.Lease, Holder: "me", Token: uint64(i + 2)})
 	}
-	c.hear(1, "me", a)
+	c.leasesReported(1, "me", a)
 	c.renewed(2)
 	if n := len(c.step(3)); n != 4 {
 		t.Fatalf("%d begin", n)
 	}
-	c.ending = true
+	c.closing = true
 	for _, want := range []int{2, 1, 1} {
 		stops := c.step(4)
 		for _, s := range stops {
-			c.ended(5, s.want, nil)
+			c.workEnded(5, s.candidacy, nil)
 		}
 		gives := c.step(6)
 		for _, g := range gives {
-			c.called(g.want, true, true)
+			c.callEnded(g.candidacy, true, true)
 		}
-		if len(stops) != want || len(gives) != want || stops[0].do != "stop" || gives[0].do != "give-up" {
+		if len(stops) != want || len(gives) != want || stops[0].kind != "stop" || gives[0].kind != "give-up" {
 			t.Fatalf("%+v and then %+v, want %d", stops, gives, want)
 		}
 	}
--- a/internal/lease/process_test.go
+++ b/internal/lease/process_test.go
@@ -14,7 +14,7 @@
 // its duty goes to the next; a process that closes hands on; work that is done ends the wish.
 func TestProcesses(t *testing.T) {
 	service, _ := labtest.List(t)
-	open := func(name string) *Process {
+	open := func(name string) *Session {
 		k, err := client.New(client.Config{Addresses: []string{service}})
 		if err != nil {
 			t.Fatal(err)
@@ -32,9 +32,9 @@
 	began := make(chan string, 10)
 	fences := make(chan uint64, 10)
 	work := func(name string, end func(ctx context.Context) error) Work {
-		return func(ctx context.Context, f Fence) error {
+		return func(ctx context.Context, f Token) error {
 			began <- name
-			fences <- f.Fence
+			fences <- f.Number
 			return end(ctx)
 		}
 	}
@@ -62,11 +62,11 @@
 	}
 	go func() { ended <- b.Run(ctx, "d", work("b", stay)) }()
 	for waits := false; !waits; {
-		all, err := a.c.Client.Duties(ctx)
+		all, err := a.config.Client.Leases(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		waits = len(all.Duties) == 1 && len(all.Duties[0].Queue) == 1
+		waits = len(all.Leases) == 1 && len(all.Leases[0].Queue) == 1
 	}
 	close(fail)
 	second := next("b")
@@ -87,7 +87,7 @@
 	}
 	<-ended
 	c := open("c")
-	if err := c.Run(ctx, "d", func(context.Context, Fence) error { return nil }); err != nil {
+	if err := c.Run(ctx, "d", func(context.Context, Token) error { return nil }); err != nil {
 		t.Errorf("work that is done ends with %v", err)
 	}
 	if err := c.Close(labtest.Enough); err != nil {
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -56,7 +56,7 @@
 	if c.Fleet.Name != "" && !c.Settings.AllowGossip {
 		notes = append(notes, "fleet: "+viewOff)
 	}
-	for _, err := range in.Known.Odd {
+	for _, err := range in.Known.Skipped {
 		notes = append(notes, "known.endpoints: passed over: "+err.Error())
 	}
 	return problems, notes
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -43,8 +43,8 @@
 
 	Tenants TenantsConfig
 
-	known registry.Answer // the servers as the node last had them
-	file  any             // all of the file, as JSON has it
+	known registry.ListResponse // the servers as the node last had them
+	file  any                   // all of the file, as JSON has it
 }
 
 // LoadConfig reads the configuration file at path.
@@ -76,12 +76,12 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	Fleet      *fleetForm      `json:"fleet"`
-	Govern     *governForm     `json:"govern"`
-	Known      registry.Answer `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	PeerListen string                `json:"peer_listen"`
+	Peers      []string              `json:"peers"`
+	Fleet      *fleetForm            `json:"fleet"`
+	Govern     *governForm           `json:"govern"`
+	Known      registry.ListResponse `json:"known"`
+	Settings   json.RawMessage       `json:"settings"`
 }
 
 func parseConfig(raw []byte) (Config, error) {
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -16,8 +16,8 @@
 type lists interface {
 	// Follow takes lists as they are pushed, the whole one first.
 	Follow(ctx context.Context)
-	// Ask does what the module asks for where lists are not pushed.
-	Ask(ctx context.Context, fetch, watch bool)
+	// Poll does what the module asks for where lists are not pushed.
+	Poll(ctx context.Context, fetch, watch bool)
 }
 
 // listHold is short, so that a node soon notices a replica that is cut off without a word.
@@ -28,9 +28,9 @@
 // discovery: then the list of before has to do.
 const firstWord = 500 * time.Millisecond
 
-var states = map[string]balancer.EndpointState{registry.Ready: balancer.Ready, registry.Draining: balancer.Draining, registry.Gone: balancer.Removed}
+var states = map[string]balancer.EndpointState{registry.Ready: balancer.Ready, registry.Draining: balancer.Draining, registry.Removed: balancer.Removed}
 
-func kindOf(l registry.Answer) balancer.UpdateKind {
+func kindOf(l registry.ListResponse) balancer.UpdateKind {
 	if l.Snapshot {
 		return balancer.UpdateComplete
 	}
@@ -40,21 +40,21 @@
 // newLists makes the client of the project's list service, where it is
 // configured, else the follower of the platform's discovery.
 func (n *Node) newLists() (lists, error) {
-	listed := func(l registry.Answer) { n.post(func() { n.follow(l, kindOf(l)) }) }
+	listed := func(l registry.ListResponse) { n.post(func() { n.follow(l, kindOf(l)) }) }
 	failed := func() { n.post(func() { n.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
 	if len(n.cfg.List) == 0 {
 		return client.NewPlatform(n.cfg.Discovery, n.cfg.Settings.PollForEndpoints, n.cfg.known.Index, n.log, listed, failed), nil
 	}
 	s := &service{listed: listed}
-	c := client.Config{Addresses: n.cfg.List, File: n.cfg.ListFile, Hold: listHold, Log: n.log, Taken: listed}
+	c := client.Config{Addresses: n.cfg.List, File: n.cfg.ListFile, Hold: listHold, Log: n.log, OnChange: listed}
 	if s.part.now.Store(scopeOf(n.cfg.Settings)); n.cfg.ListPart {
-		c.Part = s.part.next
+		c.ChooseSubset = s.part.next
 	}
 	var err error
 	if s.k, err = client.New(c); err != nil {
 		return nil, err
 	}
-	if v, _ := s.k.View(); v.Version > 0 { // kept by the process before
+	if v, _ := s.k.List(); v.Version > 0 { // kept by the process before
 		n.cfg.known = snapshot(v)
 	}
 	return s, nil
@@ -89,7 +89,7 @@
 type service struct {
 	k        *client.Client
 	part     scoped
-	listed   func(registry.Answer)
+	listed   func(registry.ListResponse)
 	watching bool
 }
 
@@ -100,8 +100,8 @@
 	}
 }
 
-func (s *service) Ask(ctx context.Context, fetch, watch bool) {
-	if v, _ := s.k.View(); fetch && v.Version > 0 {
+func (s *service) Poll(ctx context.Context, fetch, watch bool) {
+	if v, _ := s.k.List(); fetch && v.Version > 0 {
 		s.listed(snapshot(v))
 	}
 	if fetch || watch {
@@ -135,7 +135,7 @@
 		}
 	case *client.Platform:
 		asked := n.cfg.Settings.PollForEndpoints
-		if cfg.Discovery != n.cfg.Discovery || asked != l.Asked() {
+		if cfg.Discovery != n.cfg.Discovery || asked != l.Polls() {
 			n.log.Info("discovery moves", "to", cfg.Discovery, "asked", asked)
 			n.cfg.Discovery = cfg.Discovery
 			l.Move(n.ctx, cfg.Discovery, asked)
@@ -145,11 +145,11 @@
 
 // follow takes a list from discovery: addresses for the sockets, the rest for
 // the module.
-func (n *Node) follow(l registry.Answer, kind balancer.UpdateKind) {
+func (n *Node) follow(l registry.ListResponse, kind balancer.UpdateKind) {
 	entries := slices.Clone(l.Endpoints)
 	// In one order whatever the list's, as the numbers of names that share a
 	// hash depend on it. Of entries of one name the last counts.
-	slices.SortStableFunc(entries, func(a, b registry.Entry) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortStableFunc(entries, func(a, b registry.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	u := balancer.EndpointsUpdated{Kind: kind, Version: l.Index}
 	placePart(&u, l, n.cfg.Settings.ProxyIndex)
 	missing := map[string]bool{}
@@ -160,11 +160,11 @@
 	}
 	for _, e := range entries {
 		id, state := n.ids.of(e.Name), states[e.Status]
-		u.Endpoints = append(u.Endpoints, balancer.Endpoint{ID: id, Zone: e.Zone, MachineType: e.Type, Cell: e.Group, State: state,
-			Weight: e.Weight, StartedAt: time.Duration(e.SinceMS) * time.Millisecond})
+		u.Endpoints = append(u.Endpoints, balancer.Endpoint{ID: id, Zone: e.Zone, MachineType: e.Type, Cell: e.Cell, State: state,
+			Weight: e.Weight, StartedAt: time.Duration(e.StartedAtMS) * time.Millisecond})
 		if missing[e.Name] = state == balancer.Removed; state != balancer.Removed {
 			n.listed[e.Name] = id
-			n.backends.set(id, e.Address, e.SinceMS)
+			n.backends.set(id, e.Address, e.StartedAtMS)
 			n.backends.drain(id, state == balancer.Draining)
 		}
 	}
--- a/internal/proxy/lists_test.go
+++ b/internal/proxy/lists_test.go
@@ -52,7 +52,7 @@
 func TestFollowSetsAddresses(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), quiet)
 	apply := func(kind balancer.UpdateKind, entries ...string) {
-		var l registry.Answer
+		var l registry.ListResponse
 		text := fmt.Sprintf(`{"index":1,"snapshot":%v,"endpoints":[%s]}`, kind != balancer.UpdateIncremental, strings.Join(entries, ","))
 		if err := json.Unmarshal([]byte(text), &l); err != nil {
 			t.Fatal(err)
@@ -87,15 +87,15 @@
 // TestLastEntryOfANameCounts, however many an answer has.
 func TestLastEntryOfANameCounts(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), quiet)
-	l := registry.Answer{Index: 2}
-	for _, status := range []string{registry.Gone, registry.Ready, registry.Draining} {
+	l := registry.ListResponse{Index: 2}
+	for _, status := range []string{registry.Removed, registry.Ready, registry.Draining} {
 		for i := range 50 {
-			l.Endpoints = append(l.Endpoints, registry.Entry{Name: fmt.Sprint("moved-", i), Address: "127.0.0.1:1", Status: status})
+			l.Endpoints = append(l.Endpoints, registry.Endpoint{Name: fmt.Sprint("moved-", i), Address: "127.0.0.1:1", Status: status})
 		}
 	}
-	for _, status := range []string{registry.Ready, registry.Gone} {
+	for _, status := range []string{registry.Ready, registry.Removed} {
 		for i := range 50 {
-			l.Endpoints = append(l.Endpoints, registry.Entry{Name: fmt.Sprint("left-", i), Address: "127.0.0.1:1", Status: status})
+			l.Endpoints = append(l.Endpoints, registry.Endpoint{Name: fmt.Sprint("left-", i), Address: "127.0.0.1:1", Status: status})
 		}
 	}
 	n.follow(l, balancer.UpdateIncremental)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -99,9 +99,9 @@
 	case balancer.SendMessage:
 		n.message(a)
 	case balancer.Subscribe:
-		n.lists.Ask(n.ctx, false, a.On)
+		n.lists.Poll(n.ctx, false, a.On)
 	case balancer.FetchEndpoints:
-		n.lists.Ask(n.ctx, true, n.cfg.Settings.PollForEndpoints)
+		n.lists.Poll(n.ctx, true, n.cfg.Settings.PollForEndpoints)
 	case balancer.Log:
 		n.log.Info("module: " + a.Line)
 	default:
--- a/internal/proxy/maintenance_test.go
+++ b/internal/proxy/maintenance_test.go
@@ -57,7 +57,7 @@
 	id := make(chan balancer.EndpointID, 2)
 	n.post(func() {
 		id <- n.ids.of("s-0")
-		n.follow(registry.Answer{Snapshot: true}, balancer.UpdateComplete)
+		n.follow(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete)
 		id <- n.ids.of("s-0")
 	})
 	if a, b := wait(t, id, "its number"), wait(t, id, "its number"); a != b || !n.backends.isHeld(a) {
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -117,7 +117,7 @@
 		}
 	}
 	n.followTenants(inner)
-	for _, err := range n.cfg.known.Odd {
+	for _, err := range n.cfg.known.Skipped {
 		n.log.Warn("list entry skipped", "err", err)
 	}
 	n.post(func() { n.beginLists(inner) })
--- a/internal/proxy/part_test.go
+++ b/internal/proxy/part_test.go
@@ -18,35 +18,35 @@
 	"wrenspread/internal/registry"
 )
 
-func partEntry(i int, address string) registry.Entry {
-	return registry.Entry{Name: fmt.Sprint("s-", i), Address: address, Zone: "a", Type: "m2", Status: registry.Ready, Weight: 1}
+func partEntry(i int, address string) registry.Endpoint {
+	return registry.Endpoint{Name: fmt.Sprint("s-", i), Address: address, Zone: "a", Type: "m2", Status: registry.Ready, Weight: 1}
 }
 
 // TestPlacesAgree: the list's ring is the one on which decide takes a node's servers, of a whole list and of a part.
 func TestPlacesAgree(t *testing.T) {
 	const servers, nodes = 3000, 4300
-	var all []registry.Entry
+	var all []registry.Endpoint
 	for i := range servers {
 		all = append(all, partEntry(i, "127.0.0.1:1"))
 	}
-	slices.SortFunc(all, func(a, b registry.Entry) int {
-		if registry.Point(a.Name) < registry.Point(b.Name) {
+	slices.SortFunc(all, func(a, b registry.Endpoint) int {
+		if registry.Position(a.Name) < registry.Position(b.Name) {
 			return -1
 		}
 		return 1
 	})
 	for _, self := range []int{0, 1, 7, 4299} {
-		part := registry.PartOf(self, nodes, servers)
+		part := registry.SubsetOf(self, nodes, servers)
 		for _, parted := range []bool{false, true} {
 			cfg := testConfig("127.0.0.1:1")
 			cfg.Settings.Proxies, cfg.Settings.ProxyIndex = nodes, self
 			n := New(cfg, quiet)
-			l := registry.Answer{Index: 1, Snapshot: true, Endpoints: all}
+			l := registry.ListResponse{Index: 1, Snapshot: true, Endpoints: all}
 			first := int(servers * math.Mod(float64(self)*math.Phi, 1))
 			if parted {
-				l.Part, l.Total = part.String(), servers
-				l.Endpoints = slices.DeleteFunc(slices.Clone(all), func(e registry.Entry) bool { return !part.Holds(registry.Point(e.Name)) })
-				first = slices.IndexFunc(all, func(e registry.Entry) bool { return registry.Point(e.Name) >= registry.Place(self) })
+				l.Subset, l.Total = part.String(), servers
+				l.Endpoints = slices.DeleteFunc(slices.Clone(all), func(e registry.Endpoint) bool { return !part.Contains(registry.Position(e.Name)) })
+				first = slices.IndexFunc(all, func(e registry.Endpoint) bool { return registry.Position(e.Name) >= registry.StartPosition(self) })
 			}
 			n.follow(l, balancer.UpdateComplete)
 			want, got := map[string]bool{}, map[string]bool{}
@@ -108,11 +108,11 @@
 	if q.Get("epoch") != s.state.Epoch() {
 		from = 0
 	}
-	part, err := registry.ParsePart(q.Get("part"))
+	part, err := registry.ParseSubset(q.Get("part"))
 	a := s.state.Since(from)
 	if !s.old && err == nil {
-		a = s.state.PartSince(part, from)
-		a.Part, a.Total = part.String(), s.state.Len()
+		a = s.state.SubsetSince(part, from)
+		a.Subset, a.Total = part.String(), s.state.Len()
 	}
 	json.NewEncoder(w).Encode(a)
 }
@@ -130,26 +130,26 @@
 	defer backend.Close()
 	const servers = 6000
 	s := &partService{state: registry.NewState(), news: make(chan struct{})}
-	s.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
+	s.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	for i := range servers {
 		e := partEntry(i, backend.Listener.Addr().String())
-		s.state.Apply(registry.Command{Do: registry.DoRegister, Entry: &e})
+		s.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &e})
 	}
 	service := httptest.NewServer(s)
 	defer service.Close()
 	self, other := 3, 3
-	for ; registry.PartOf(other, 4300, servers).Holds(registry.Place(self)) || registry.PartOf(self, 4300, servers).Holds(registry.Place(other)); other++ {
+	for ; registry.SubsetOf(other, 4300, servers).Contains(registry.StartPosition(self)) || registry.SubsetOf(self, 4300, servers).Contains(registry.StartPosition(other)); other++ {
 	}
 	n := startNodeWith(t, func(n *Node) {
 		n.cfg.List, n.cfg.ListPart, n.cfg.ListFile = []string{service.Listener.Addr().String()}, true, filepath.Join(t.TempDir(), "list")
 		n.cfg.Settings.Proxies, n.cfg.Settings.ProxyIndex = 4300, self
 	})
 	defer n.stopNow(t)
-	has := func(when string, part registry.Part) {
+	has := func(when string, part registry.Subset) {
 		t.Helper()
 		want := 0
 		for i := range servers {
-			if part.Holds(registry.Point(fmt.Sprint("s-", i))) {
+			if part.Contains(registry.Position(fmt.Sprint("s-", i))) {
 				want++
 			}
 		}
@@ -157,7 +157,7 @@
 			got, outside := 0, 0
 			n.do(func() {
 				for name := range n.listed {
-					if got++; !part.Holds(registry.Point(name)) {
+					if got++; !part.Contains(registry.Position(name)) {
 						outside++
 					}
 				}
@@ -169,15 +169,17 @@
 			}
 		}
 	}
-	has("at first", registry.PartOf(self, 4300, servers))
+	has("at first", registry.SubsetOf(self, 4300, servers))
 	answered := make(chan reply, 1)
 	go func() { answered <- do(t, n.request(t, "GET", "saldo", "x", "30", nil)) }()
 	wait(t, arrived, "the request")
 	cfg := n.config()
 	cfg.Settings.ProxyIndex = other
 	n.Reload(cfg)
-	s.change(func() { s.state.Apply(registry.Command{Do: registry.DoPut, Name: "k", Value: json.RawMessage("1")}) })
-	has("under another number", registry.PartOf(other, 4300, servers))
+	s.change(func() {
+		s.state.Apply(registry.Command{Op: registry.OpPutRecord, Name: "k", Value: json.RawMessage("1")})
+	})
+	has("under another number", registry.SubsetOf(other, 4300, servers))
 	select {
 	case a := <-answered:
 		t.Errorf("the request in flight is answered %+v", a)
@@ -188,14 +190,14 @@
 		t.Errorf("the request in flight ends with %+v", a)
 	}
 	s.change(func() {
-		raw, err := s.state.Snapshot()
+		raw, err := s.state.EncodeSnapshot()
 		if err != nil {
 			t.Error(err)
 		}
 		s.old = true
-		s.state.Apply(registry.Command{Do: registry.DoRestore, Over: "e", Epoch: "e2", Image: raw})
+		s.state.Apply(registry.Command{Op: registry.OpRestore, ReplacesEpoch: "e", Epoch: "e2", Snapshot: raw})
 	})
-	has("of a service that knows no parts", registry.Part{})
+	has("of a service that knows no parts", registry.Subset{})
 }
 
 func TestBadListPart(t *testing.T) {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -136,7 +136,7 @@
 	defer disc.Close()
 	n := startNodeWith(t, func(n *Node) {
 		n.TakeOver(dir)
-		n.cfg.known = registry.Answer{Snapshot: true, Endpoints: []registry.Entry{{Name: "old", Address: refusing(t), Status: registry.Ready}}}
+		n.cfg.known = registry.ListResponse{Snapshot: true, Endpoints: []registry.Endpoint{{Name: "old", Address: refusing(t), Status: registry.Ready}}}
 		told <- n.told
 		cfg := n.cfg
 		cfg.Discovery = disc.Listener.Addr().String()
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -23,10 +23,10 @@
 		n := New(cfg, quiet)
 		kept = append(kept, n)
 		close(n.ended) // no loop runs: what timers post is dropped
-		entry := func(i int, status string) registry.Entry {
-			return registry.Entry{Name: fmt.Sprint("service-a-", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256), Zone: "zone-a", Type: "m2", Status: status}
+		entry := func(i int, status string) registry.Endpoint {
+			return registry.Endpoint{Name: fmt.Sprint("service-a-", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256), Zone: "zone-a", Type: "m2", Status: status}
 		}
-		whole := registry.Answer{Index: 1, Snapshot: true}
+		whole := registry.ListResponse{Index: 1, Snapshot: true}
 		for i := range servers {
 			whole.Endpoints = append(whole.Endpoints, entry(i, registry.Ready))
 		}
@@ -36,11 +36,11 @@
 		runtime.ReadMemStats(&after)
 		b.Run(fmt.Sprintf("change/servers=%d", servers), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
-				status := registry.Gone
+				status := registry.Removed
 				if i%2 > 0 {
 					status = registry.Ready
 				}
-				n.follow(registry.Answer{Index: uint64(i + 2), Endpoints: []registry.Entry{entry(i/2*7919%servers, status)}}, balancer.UpdateIncremental)
+				n.follow(registry.ListResponse{Index: uint64(i + 2), Endpoints: []registry.Endpoint{entry(i/2*7919%servers, status)}}, balancer.UpdateIncremental)
 			}
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/float64(servers), "B/server")
 		})
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -79,7 +79,7 @@
 	if !n.do(func() { w = t.desk.Word() }) {
 		return false
 	}
-	s.is.ID, s.is.Word, s.told = n.cfg.Name+"-"+crand.Text(), registry.Word{Note: w.Note(), Version: version()}, nil
+	s.is.ID, s.is.Info, s.told = n.cfg.Name+"-"+crand.Text(), registry.ProcessInfo{Note: w.Note(), Version: version()}, nil
 	sent := n.clock()
 	call, done := context.WithTimeout(ctx, sessionCall)
 	defer done()
@@ -130,7 +130,7 @@
 	if w == nil || w == s.told {
 		return true
 	}
-	s.is.Word.Note = w.Note()
+	s.is.Info.Note = w.Note()
 	call, done := context.WithTimeout(ctx, sessionCall)
 	defer done()
 	if err := n.tenants.k.OpenSession(call, s.is); err != nil {
--- a/internal/proxy/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -46,8 +46,8 @@
 
 // TestNothingIsSentOnceItMayNot: what held when a server was chosen has ended when the connection to it is there.
 func TestNothingIsSentOnceItMayNot(t *testing.T) {
-	entry := func(n *running, status string, since int64) registry.Entry {
-		return registry.Entry{Name: "s-0", Address: n.backends.backends[n.listed["s-0"]].address, Zone: "a", Type: "m2", Status: status, SinceMS: since}
+	entry := func(n *running, status string, since int64) registry.Endpoint {
+		return registry.Endpoint{Name: "s-0", Address: n.backends.backends[n.listed["s-0"]].address, Zone: "a", Type: "m2", Status: status, StartedAtMS: since}
 	}
 	for _, c := range []struct {
 		name   string
@@ -68,15 +68,15 @@
 		}, 0},
 		{"its server drains", func(t *testing.T, n *running, _ raw) {
 			n.on(t, func() {
-				n.follow(registry.Answer{Endpoints: []registry.Entry{entry(n, registry.Draining, 0)}}, balancer.UpdateIncremental)
+				n.follow(registry.ListResponse{Endpoints: []registry.Endpoint{entry(n, registry.Draining, 0)}}, balancer.UpdateIncremental)
 			})
 		}, 503},
 		{"its server has left", func(t *testing.T, n *running, _ raw) {
-			n.on(t, func() { n.follow(registry.Answer{Snapshot: true}, balancer.UpdateComplete) })
+			n.on(t, func() { n.follow(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete) })
 		}, 503},
 		{"its server is another process", func(t *testing.T, n *running, _ raw) {
 			n.on(t, func() {
-				n.follow(registry.Answer{Endpoints: []registry.Entry{entry(n, registry.Ready, 1)}}, balancer.UpdateIncremental)
+				n.follow(registry.ListResponse{Endpoints: []registry.Endpoint{entry(n, registry.Ready, 1)}}, balancer.UpdateIncremental)
 			})
 		}, 503},
 		{"its server is in maintenance", func(t *testing.T, n *running, _ raw) {
--- a/internal/proxy/word_test.go
+++ b/internal/proxy/word_test.go
@@ -134,7 +134,7 @@
 // TestIndentedKnown: the list of before may come indented in the configuration, as others may.
 func TestIndentedKnown(t *testing.T) {
 	const config = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f","settings":{},"known":%s}`
-	var plain registry.Answer
+	var plain registry.ListResponse
 	for i, known := range []string{`{"index":7,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:3","status":"ready"}]}`,
 		"{\r\n\t\"index\": 7,\r\n\t\"snapshot\": true,\r\n\t\"endpoints\": [\r\n\t\t{\r\n\t\t\t\"name\": \"s\",\r\n\t\t\t" +
 			"\"address\": \"127.0.0.1:3\",\r\n\t\t\t\"status\": \"ready\"\r\n\t\t}\r\n\t]\r\n}"} {
--- a/internal/quota/allocator/holder.go
+++ b/internal/quota/allocator/holder.go
@@ -23,7 +23,7 @@
 	Fleet  uint32 // the fleet's name as a hash
 	Name   string // by which nodes send to it: that of its member of the view
 	List   *client.Client
-	Duties *lease.Process
+	Duties *lease.Session
 	In     <-chan []byte                // datagrams whose first byte is quota.Ours, no longer the sender's
 	Send   func(to string, data []byte) // to a member of the view; it never waits
 	Events <-chan quota.Event           // Table, Wall, Expect and Forget
@@ -32,14 +32,14 @@
 
 // tenure is a time in which the duty is held.
 type tenure struct {
-	fence   lease.Fence
+	fence   lease.Token
 	seats   []quota.Seat
 	version uint64 // of the record
 }
 
 // written is the end of a write.
 type written struct {
-	fence   lease.Fence
+	fence   lease.Token
 	seats   []quota.Seat
 	version uint64
 	err     error
@@ -75,7 +75,7 @@
 }
 
 // work hands a tenure to the loop, and comes back once the loop acts for it no more.
-func (h *holder) work(ctx context.Context, f lease.Fence) error {
+func (h *holder) work(ctx context.Context, f lease.Token) error {
 	seats, version, err := read(ctx, h.c.List)
 	if err != nil {
 		return err
@@ -109,9 +109,9 @@
 		case t := <-h.tenures:
 			h.now = t
 			h.hold()
-			h.tell(ctx, all, quota.Record{Fence: t.fence.Fence, Seats: t.seats})
+			h.tell(ctx, all, quota.Record{Fence: t.fence.Number, Seats: t.seats})
 		case ended := <-h.ends:
-			h.core.Handle(h.time(), quota.Held{Fence: h.now.fence.Fence})
+			h.core.Handle(h.time(), quota.Held{Fence: h.now.fence.Number})
 			h.now = tenure{}
 			close(ended)
 		case data := <-h.c.In:
@@ -131,14 +131,14 @@
 
 // hold tells the core how long it may act.
 func (h *holder) hold() {
-	if h.now.fence.Fence == 0 {
+	if h.now.fence.Number == 0 {
 		return
 	}
 	var until time.Duration
-	if at := h.c.Duties.Until(h.now.fence); !at.IsZero() {
+	if at := h.c.Duties.HeldUntil(h.now.fence); !at.IsZero() {
 		until = at.Sub(h.start)
 	}
-	h.core.Handle(h.time(), quota.Held{Fence: h.now.fence.Fence, Until: until})
+	h.core.Handle(h.time(), quota.Held{Fence: h.now.fence.Number, Until: until})
 }
 
 // tell gives the core an event at the time at which it has been taken up, and does what comes of it.
@@ -155,7 +155,7 @@
 
 // write begins a write, if none is under way. One that is not begun is asked for again.
 func (h *holder) write(ctx context.Context, all *errgroup.Group, a quota.Write) {
-	if h.writing || a.Fence != h.now.fence.Fence {
+	if h.writing || a.Fence != h.now.fence.Number {
 		return
 	}
 	h.writing = true
@@ -175,7 +175,7 @@
 	case w.fence != h.now.fence:
 	case w.err == nil:
 		h.now.version = w.version
-		h.tell(ctx, all, quota.Record{Fence: w.fence.Fence, Seats: w.seats})
+		h.tell(ctx, all, quota.Record{Fence: w.fence.Number, Seats: w.seats})
 	default:
 		h.c.Log.Warn("the enrolled nodes", "err", w.err)
 		if !w.reading {
--- a/internal/quota/allocator/record.go
+++ b/internal/quota/allocator/record.go
@@ -34,8 +34,8 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	got, err := k.Record(ctx, RecordKey)
-	var no *client.Refused
-	if errors.As(err, &no) && no.Code == string(registry.Absent) {
+	var no *client.Error
+	if errors.As(err, &no) && no.Code == string(registry.NotFound) {
 		return nil, 0, nil
 	}
 	if err != nil {
@@ -52,12 +52,12 @@
 }
 
 // announce tells the nodes who shares limits out from now on.
-func announce(ctx context.Context, k *client.Client, f lease.Fence, name string) error {
+func announce(ctx context.Context, k *client.Client, f lease.Token, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
-	value, err := json.Marshal(quotarecord.Sharer{Name: name, Fence: f.Fence})
+	value, err := json.Marshal(quotarecord.Sharer{Name: name, Fence: f.Number})
 	if err == nil {
-		_, err = k.As(f).Put(ctx, quotarecord.Holder, value, nil)
+		_, err = k.WithToken(f).Put(ctx, quotarecord.Holder, value, nil)
 	}
 	if err != nil {
 		return fmt.Errorf("writing %s: %w", quotarecord.Holder, err)
@@ -66,16 +66,16 @@
 }
 
 // write replaces the record that has a version, under the fence, and gives its next one.
-func write(ctx context.Context, k *client.Client, f lease.Fence, seats []quota.Seat, version uint64) (uint64, error) {
+func write(ctx context.Context, k *client.Client, f lease.Token, seats []quota.Seat, version uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	value, err := json.Marshal(record{format, seats})
 	if err != nil {
 		return 0, fmt.Errorf("writing %s: %w", RecordKey, err)
 	}
-	r, err := k.As(f).Put(ctx, RecordKey, value, &version)
+	r, err := k.WithToken(f).Put(ctx, RecordKey, value, &version)
 	if err != nil {
 		return 0, fmt.Errorf("writing %s: %w", RecordKey, err)
 	}
-	return r.Entry, nil
+	return r.EntryVersion, nil
 }
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -7,13 +7,13 @@
 	"net"
 )
 
-// Write is the body of a write. All of it is optional but the entry of a registration.
-type Write struct {
-	Entry *Entry  `json:"entry,omitempty"`
-	TTLms int64   `json:"ttl_ms,omitempty"` // 0: it stays until it is removed
-	If    *uint64 `json:"if,omitempty"`     // the version that the entry must have; 0: it must be absent
-	ID    string  `json:"id,omitempty"`     // the same for a repeat, which then does not apply twice
-	Fence *Fence  `json:"fence,omitempty"`  // of the duty that the writer holds; 409 if it does not
+// WriteRequest is the body of a write. All of it is optional but the entry of a registration.
+type WriteRequest struct {
+	Endpoint  *Endpoint     `json:"entry,omitempty"`
+	TTLMS     int64         `json:"ttl_ms,omitempty"` // 0: it stays until it is removed
+	IfVersion *uint64       `json:"if,omitempty"`     // the version that the entry must have; 0: it must be absent
+	ID        string        `json:"id,omitempty"`     // the same for a repeat, which then does not apply twice
+	Token     *FencingToken `json:"fence,omitempty"`  // of the duty that the writer holds; 409 if it does not
 }
 
 // Renewal is the body of a renewal, and its answer.
@@ -22,12 +22,12 @@
 	Unknown []string `json:"unknown,omitempty"` // those that have no lease: register them again
 }
 
-// Refusal is the body of every answer that is not 200.
-type Refusal struct {
-	Code    string `json:"code"`
-	Why     string `json:"why"`
-	Version uint64 `json:"version,omitempty"` // of the list
-	Entry   uint64 `json:"entry,omitempty"`   // the version in the way, at a conflict
+// ErrorResponse is the body of every answer that is not 200.
+type ErrorResponse struct {
+	Code               string `json:"code"`
+	Reason             string `json:"why"`
+	Version            uint64 `json:"version,omitempty"` // of the list
+	ConflictingVersion uint64 `json:"entry,omitempty"`   // the version in the way, at a conflict
 }
 
 // Address is where the others reach a replica.
@@ -49,42 +49,42 @@
 	return nil
 }
 
-// Member is one replica as another sees it.
-type Member struct {
-	Name   string   `json:"name"`
-	Leads  bool     `json:"leads"`
-	Votes  bool     `json:"votes"`             // else it learns
-	Itself bool     `json:"itself"`            // the one that answers
-	Added  *Address `json:"address,omitempty"` // of one that was added while the others served
+// Replica is one replica as another sees it.
+type Replica struct {
+	Name    string   `json:"name"`
+	Leader  bool     `json:"leads"`
+	Voter   bool     `json:"votes"`             // else it learns
+	Self    bool     `json:"itself"`            // the one that answers
+	Address *Address `json:"address,omitempty"` // of one that was added while the others served
 }
 
-// Items is the list with what the service knows of each entry, as it is now.
-type Items struct {
-	Index uint64 `json:"index"`
-	Epoch string `json:"epoch"`
-	Items []Item `json:"items"`
+// Registrations is the list with what the service knows of each entry, as it is now.
+type Registrations struct {
+	Index         uint64         `json:"index"`
+	Epoch         string         `json:"epoch"`
+	Registrations []Registration `json:"items"`
 }
 
-// Put is the body of a record's write. Without a value the record goes.
-type Put struct {
-	Value json.RawMessage `json:"value,omitempty"`
-	If    *uint64         `json:"if,omitempty"`
-	ID    string          `json:"id,omitempty"`
-	Fence *Fence          `json:"fence,omitempty"`
+// PutRequest is the body of a record's write. Without a value the record goes.
+type PutRequest struct {
+	Value     json.RawMessage `json:"value,omitempty"`
+	IfVersion *uint64         `json:"if,omitempty"`
+	ID        string          `json:"id,omitempty"`
+	Token     *FencingToken   `json:"fence,omitempty"`
 }
 
-// RecordAnswer is what a watch of records gets: all under its prefix, with the values of those that are new to it.
-type RecordAnswer struct {
+// RecordsResponse is what a watch of records gets: all under its prefix, with the values of those that are new to it.
+type RecordsResponse struct {
 	Index   uint64   `json:"index"`
 	Epoch   string   `json:"epoch,omitempty"`
 	Records []Record `json:"records"`
 }
 
-// SessionCall is the body of a session's opening.
-type SessionCall struct {
-	Process string `json:"process"`
-	TTLms   int64  `json:"ttl_ms"`
-	Word    Word   `json:"word"`
+// OpenSessionRequest is the body of a session's opening.
+type OpenSessionRequest struct {
+	Process string      `json:"process"`
+	TTLMS   int64       `json:"ttl_ms"`
+	Info    ProcessInfo `json:"word"`
 }
 
 // SessionRenewal is the body of a renewal of sessions, and its answer.
@@ -93,21 +93,21 @@
 	Unknown  []string `json:"unknown,omitempty"` // those that have ended
 }
 
-// Wishes is the body of a campaign, and of a giving up.
-type Wishes struct {
-	Duties []Wish `json:"duties"`
+// CandidacyRequest is the body of a campaign, and of a giving up.
+type CandidacyRequest struct {
+	Candidacies []Candidacy `json:"duties"`
 }
 
-// DutyAnswer is what a read or a watch of duties gets: all of them, or those of a session.
-type DutyAnswer struct {
+// LeasesResponse is what a read or a watch of duties gets: all of them, or those of a session.
+type LeasesResponse struct {
 	Index    uint64    `json:"index"`
 	Epoch    string    `json:"epoch,omitempty"`
-	Duties   []Duty    `json:"duties"`
+	Leases   []Lease   `json:"duties"`
 	Sessions []Session `json:"sessions,omitempty"` // where all are asked for
 }
 
-// DutyOrder is the body of an operator's order on a duty.
-type DutyOrder struct {
+// LeaseOrder is the body of an operator's order on a duty.
+type LeaseOrder struct {
 	Process string `json:"process,omitempty"`
-	On      bool   `json:"on,omitempty"` // of a block: to lay it, not to lift it
+	Block   bool   `json:"on,omitempty"` // of a block: to lay it, not to lift it
 }
--- a/internal/registry/client/belief.go
+++ b/internal/registry/client/belief.go
@@ -10,13 +10,13 @@
 	"wrenspread/internal/registry"
 )
 
-// View is the list as a client believes it.
-type View struct {
-	Epoch   string           `json:"epoch"`
-	Version uint64           `json:"version"`
-	Entries []registry.Entry `json:"entries"` // by name
-	Part    registry.Part    `json:"-"`       // of the list that it is
-	Total   int              `json:"-"`       // entries in all of the list, where Part is one that was asked for; 0: not told
+// List is the list as a client believes it.
+type List struct {
+	Epoch     string              `json:"epoch"`
+	Version   uint64              `json:"version"`
+	Endpoints []registry.Endpoint `json:"entries"` // by name
+	Subset    registry.Subset     `json:"-"`       // of the list that it is
+	Total     int                 `json:"-"`       // entries in all of the list, where Part is one that was asked for; 0: not told
 }
 
 // Two kinds of list of another epoch are held back. One that lacks more than
@@ -25,130 +25,130 @@
 // higher version is either that, or a replica that was cut off before a restore:
 // a restore goes past every version that was given out.
 const (
-	lostShare = 0.5
-	lostLeast = 2 // a list of one or two entries says nothing
+	lostShare       = 0.5
+	minKnownForLoss = 2 // a list of one or two entries says nothing
 )
 
-// Verdict is what became of an answer.
-type Verdict int
+// Change is what became of an answer.
+type Change int
 
 // The verdicts.
 const (
-	Nothing Verdict = iota // it brings nothing new
-	Taken                  // the view has changed
-	Stale                  // it is older than what is known: whoever gave it lags, or is cut off
-	Kept                   // it is held back for now
-	Gap                    // it does not fit what is known: ask for the whole list
-	Narrow                 // it is a part with too few servers: a wider one is read in place of it
+	Unchanged     Change = iota // it brings nothing new
+	Changed                     // the view has changed
+	Stale                       // it is older than what is known: whoever gave it lags, or is cut off
+	HeldBack                    // it is held back for now
+	NeedsComplete               // it does not fit what is known: ask for the whole list
+	TooNarrow                   // it is a part with too few servers: a wider one is read in place of it
 )
 
-// Belief decides what to believe. It is pure; times are of one monotonic clock.
+// ListState decides what to believe. It is pure; times are of one monotonic clock.
 // It is not safe for concurrent use.
-type Belief struct {
-	hold    time.Duration // how long a list that lost most is held back
-	epoch   string
-	version uint64
-	part    registry.Part // that entries are of
-	total   int
-	entries map[string]registry.Entry
-	next    *candidate
-	whole   bool // what came did not fit
+type ListState struct {
+	holdBack      time.Duration // how long a list that lost most is held back
+	epoch         string
+	version       uint64
+	subset        registry.Subset // that entries are of
+	total         int
+	endpoints     map[string]registry.Endpoint
+	heldBack      *heldBackList
+	needsComplete bool // what came did not fit
 }
 
-// candidate is a list that is held back.
-type candidate struct {
+// heldBackList is a list that is held back.
+type heldBackList struct {
 	since time.Duration
-	registry.Answer
+	registry.ListResponse
 }
 
-// NewBelief begins with a view of before, which may be empty.
-func NewBelief(hold time.Duration, before View) *Belief {
-	b := &Belief{hold: hold, epoch: before.Epoch, version: before.Version, part: before.Part, total: before.Total, entries: map[string]registry.Entry{}}
-	for _, e := range before.Entries {
-		b.entries[e.Name] = e
+// NewListState begins with a view of before, which may be empty.
+func NewListState(hold time.Duration, before List) *ListState {
+	b := &ListState{holdBack: hold, epoch: before.Epoch, version: before.Version, subset: before.Subset, total: before.Total, endpoints: map[string]registry.Endpoint{}}
+	for _, e := range before.Endpoints {
+		b.endpoints[e.Name] = e
 	}
 	return b
 }
 
-// Ask is what the next call has to name: the version to go on from, and its epoch.
+// Next is what the next call has to name: the version to go on from, and its epoch.
 // While a list is held back, and after a gap, the whole list is asked for.
-func (b *Belief) Ask() (from uint64, epoch string) {
-	if b.next != nil || b.whole {
+func (b *ListState) Next() (from uint64, epoch string) {
+	if b.heldBack != nil || b.needsComplete {
 		return 0, ""
 	}
 	return b.version, b.epoch
 }
 
 // View is the list as it is believed.
-func (b *Belief) View() View {
+func (b *ListState) View() List {
 	all := b.appendTo(nil)
-	slices.SortFunc(all, func(x, y registry.Entry) int { return cmp.Compare(x.Name, y.Name) })
-	return View{b.epoch, b.version, all, b.part, b.total}
+	slices.SortFunc(all, func(x, y registry.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
+	return List{b.epoch, b.version, all, b.subset, b.total}
 }
 
 // appendTo appends the entries, in no order.
-func (b *Belief) appendTo(all []registry.Entry) []registry.Entry {
-	all = slices.Grow(all, len(b.entries))
-	for _, e := range b.entries {
+func (b *ListState) appendTo(all []registry.Endpoint) []registry.Endpoint {
+	all = slices.Grow(all, len(b.endpoints))
+	for _, e := range b.endpoints {
 		all = append(all, e)
 	}
 	return all
 }
 
-// Take judges the answer to a call that named version from. One of another part
+// Apply judges the answer to a call that named version from. One of another part
 // than the entries known has to be whole, and then takes their place.
-func (b *Belief) Take(now time.Duration, from uint64, a registry.Answer) Verdict {
+func (b *ListState) Apply(now time.Duration, from uint64, a registry.ListResponse) Change {
 	switch {
-	case a.Epoch != b.epoch && (b.epoch != "" || len(b.entries) > 0):
-		return b.other(now, a)
+	case a.Epoch != b.epoch && (b.epoch != "" || len(b.endpoints) > 0):
+		return b.applyOtherEpoch(now, a)
 	case a.Index < b.version:
 		return Stale
-	case partOf(a) != b.part && a.Snapshot:
+	case subsetOf(a) != b.subset && a.Snapshot:
 		b.accept(a)
-		return Taken
-	case partOf(a) != b.part:
-		b.whole = true
-		return Gap
+		return Changed
+	case subsetOf(a) != b.subset:
+		b.needsComplete = true
+		return NeedsComplete
 	case a.Index == b.version && a.Epoch == b.epoch:
-		b.count(a)
-		b.next, b.whole = nil, false // also when the list that is known is back
-		return Nothing
+		b.updateTotal(a)
+		b.heldBack, b.needsComplete = nil, false // also when the list that is known is back
+		return Unchanged
 	case !a.Snapshot && from != b.version:
-		b.whole = true
-		return Gap
+		b.needsComplete = true
+		return NeedsComplete
 	}
 	b.accept(a)
-	return Taken
+	return Changed
 }
 
-// other judges a list of another epoch.
-func (b *Belief) other(now time.Duration, a registry.Answer) Verdict {
+// applyOtherEpoch judges a list of another epoch.
+func (b *ListState) applyOtherEpoch(now time.Duration, a registry.ListResponse) Change {
 	if !a.Snapshot {
-		b.whole = true
-		return Gap
+		b.needsComplete = true
+		return NeedsComplete
 	}
-	if a.Index <= b.version || b.lost(a) {
-		if b.next == nil || b.next.Epoch != a.Epoch {
-			b.next = &candidate{since: now}
+	if a.Index <= b.version || b.lostMost(a) {
+		if b.heldBack == nil || b.heldBack.Epoch != a.Epoch {
+			b.heldBack = &heldBackList{since: now}
 		}
-		b.next.Answer = a
-		if now-b.next.since < b.hold {
-			return Kept
+		b.heldBack.ListResponse = a
+		if now-b.heldBack.since < b.holdBack {
+			return HeldBack
 		}
 	}
 	b.accept(a)
-	return Taken
+	return Changed
 }
 
-// lost tells whether a list lacks most of what was known, though it was not leaving.
-func (b *Belief) lost(a registry.Answer) bool {
-	there, part := map[string]bool{}, partOf(a)
+// lostMost tells whether a list lacks most of what was known, though it was not leaving.
+func (b *ListState) lostMost(a registry.ListResponse) bool {
+	there, part := map[string]bool{}, subsetOf(a)
 	for _, e := range a.Endpoints {
 		there[e.Name] = true
 	}
 	known, gone := 0, 0
-	for name, e := range b.entries {
-		if e.Status == registry.Draining || !part.Holds(registry.Point(name)) {
+	for name, e := range b.endpoints {
+		if e.Status == registry.Draining || !part.Contains(registry.Position(name)) {
 			continue
 		}
 		known++
@@ -156,27 +156,27 @@
 			gone++
 		}
 	}
-	return known > lostLeast && float64(gone) > lostShare*float64(known)
+	return known > minKnownForLoss && float64(gone) > lostShare*float64(known)
 }
 
-func (b *Belief) accept(a registry.Answer) {
+func (b *ListState) accept(a registry.ListResponse) {
 	if a.Snapshot {
-		clear(b.entries)
+		clear(b.endpoints)
 	}
 	for _, e := range a.Endpoints {
-		b.entries[e.Name] = e
-		if e.Status == registry.Gone {
-			delete(b.entries, e.Name)
+		b.endpoints[e.Name] = e
+		if e.Status == registry.Removed {
+			delete(b.endpoints, e.Name)
 		}
 	}
-	b.epoch, b.version, b.part = a.Epoch, a.Index, partOf(a)
-	b.next, b.whole = nil, false
-	b.count(a)
+	b.epoch, b.version, b.subset = a.Epoch, a.Index, subsetOf(a)
+	b.heldBack, b.needsComplete = nil, false
+	b.updateTotal(a)
 }
 
-// count takes the length of all of the list. Where an answer of a part says nothing of it, the one known stands.
-func (b *Belief) count(a registry.Answer) {
-	if a.Part == "" || a.Total > 0 {
+// updateTotal takes the length of all of the list. Where an answer of a part says nothing of it, the one known stands.
+func (b *ListState) updateTotal(a registry.ListResponse) {
+	if a.Subset == "" || a.Total > 0 {
 		b.total = a.Total
 	}
 }
--- a/internal/registry/client/broken_test.go
+++ b/internal/registry/client/broken_test.go
@@ -66,8 +66,8 @@
 				}, func(ctx context.Context, s *standIn) {
 					d, lists := s.platform(asked)
 					if asked {
-						most, hold = spreadSilent, holdAsked
-						d.Ask(ctx, true, true)
+						most, hold = spreadSilent, holdPolled
+						d.Poll(ctx, true, true)
 					} else {
 						d.Follow(ctx)
 					}
@@ -146,7 +146,7 @@
 	defer s.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	NewPlatform(s.Listener.Addr().String(), false, 0, slog.New(slog.DiscardHandler), func(registry.Answer) {}, func() {}).Follow(ctx)
+	NewPlatform(s.Listener.Addr().String(), false, 0, slog.New(slog.DiscardHandler), func(registry.ListResponse) {}, func() {}).Follow(ctx)
 	for i, want := range []string{"", "from=42&hold_ms=3500", "from=42&hold_ms=1", "from=43&hold_ms=3500"} {
 		select {
 		case q := <-queries:
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -17,47 +17,47 @@
 const maxPlatform = 4 << 20 // bytes of a list; a thousand servers take a twentieth
 
 var (
-	errResent  = errors.New("the connection broke")
-	errRefused = errors.New("discovery answers")
-	errOlder   = errors.New("discovery's list is older than what it told")
+	errResent    = errors.New("the connection broke")
+	errRejected  = errors.New("discovery answers")
+	errOlderList = errors.New("discovery's list is older than what it told")
 )
 
 // call asks once, for the whole list where that is to come, else for what is
 // newer than the version known, and passes the answer on. After a failure no
 // connection of before is used again: what silenced one may have silenced all.
 func (d *Platform) call(ctx context.Context, hold time.Duration) error {
-	if d.own.leaves.Load() {
-		d.own.stop()
+	if d.running.leaves.Load() {
+		d.running.stop()
 		return ctx.Err()
 	}
 	query := ""
-	if !d.whole {
+	if !d.needsComplete {
 		query = fmt.Sprintf("?from=%d&hold_ms=%d", d.index, hold.Milliseconds())
 	}
 	l, err := d.get(ctx, query, hold)
 	if err == nil {
-		err = wholeList(l, d.whole)
+		err = isCompleteRead(l, d.needsComplete)
 	}
-	if err == nil && !d.whole && l.Index < d.index {
+	if err == nil && !d.needsComplete && l.Index < d.index {
 		// A server that was told to drain would be ready again. The whole list is the truth.
-		d.whole, err = true, errOlder
+		d.needsComplete, err = true, errOlderList
 	}
 	if err != nil {
-		d.anew = d.anew || ctx.Err() == nil
+		d.lastCallFailed = d.lastCallFailed || ctx.Err() == nil
 		d.client.CloseIdleConnections()
 		return err
 	}
-	d.index, d.whole, d.anew = l.Index, false, false
-	d.told++
-	for _, err := range l.Odd {
+	d.index, d.needsComplete, d.lastCallFailed = l.Index, false, false
+	d.answers++
+	for _, err := range l.Skipped {
 		d.log.Warn("list entry skipped", "err", err)
 	}
-	d.listed(l)
+	d.onList(l)
 	return nil
 }
 
-// wholeList says what is wrong with an answer that is, or was to be, the whole list.
-func wholeList(l registry.Answer, asked bool) error {
+// isCompleteRead says what is wrong with an answer that is, or was to be, the whole list.
+func isCompleteRead(l registry.ListResponse, asked bool) error {
 	switch {
 	case asked && !l.Snapshot:
 		return errors.New("the whole list was asked for, and changes came")
@@ -69,7 +69,7 @@
 
 // connect makes the connection of a call, and none for one that was sent already.
 func (d *Platform) connect(ctx context.Context, network, address string) (net.Conn, error) {
-	if d.sends.Load() > 1 {
+	if d.attempts.Load() > 1 {
 		return nil, errResent
 	}
 	c, err := d.dial(ctx, network, address)
@@ -77,20 +77,20 @@
 		return nil, err
 	}
 	d.conn.Store(&c)
-	return arrival{c, d}, nil
+	return observedConn{c, d}, nil
 }
 
 // get makes one request. net/http would send it again by itself where a
 // connection that was used before breaks, with what is left of its time for the
 // whole hold: a second try finds neither an idle connection nor a new one.
-func (d *Platform) get(ctx context.Context, query string, hold time.Duration) (l registry.Answer, err error) {
+func (d *Platform) get(ctx context.Context, query string, hold time.Duration) (l registry.ListResponse, err error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+d.grace)
 	defer cancel()
-	d.sends.Store(0)
-	d.begun.Store(false)
-	defer d.begun.Store(false)
+	d.attempts.Store(0)
+	d.answerBegun.Store(false)
+	defer d.answerBegun.Store(false)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GetConn: func(string) {
-		if d.sends.Add(1) > 1 {
+		if d.attempts.Add(1) > 1 {
 			d.client.CloseIdleConnections()
 		}
 	}})
@@ -104,7 +104,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return l, fmt.Errorf("%w %s", errRefused, resp.Status)
+		return l, fmt.Errorf("%w %s", errRejected, resp.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlatform+1))
 	if err != nil {
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -29,11 +29,11 @@
 	// Part, if there is one, says which part of the list to follow for whoever has
 	// part now with these entries, of total in all; entries are nil where none are
 	// known yet. It is called after answers, and must not call the client.
-	Part func(now registry.Part, total int, entries []registry.Entry) registry.Part
+	ChooseSubset func(now registry.Subset, total int, entries []registry.Endpoint) registry.Subset
 
 	// Taken, if there is one, gets every answer that changed the view, in order, from
 	// the goroutine that follows. It must not call the client.
-	Taken func(registry.Answer)
+	OnChange func(registry.ListResponse)
 }
 
 const (
@@ -45,29 +45,29 @@
 	// What a silent watch misses counts as told 2 s past its hold, what a silent
 	// call for the whole list misses after 6 s: some of that is for the call that
 	// is made anew.
-	grace     = 1500 * time.Millisecond // for an answer, past the hold
-	wholeTime = 5 * time.Second         // for the whole list, which is not held back
-	dialTime  = time.Second
-	firstWait = 250 * time.Millisecond // for a thousand clients that lost one replica, four tries a millisecond
-	mostWait  = 2500 * time.Millisecond
-	maxAnswer = 128 << 20 // bytes of a list; one of the longest entries takes two thirds
+	answerGrace         = 1500 * time.Millisecond // for an answer, past the hold
+	completeReadTimeout = 5 * time.Second         // for the whole list, which is not held back
+	dialTime            = time.Second
+	firstBackoff        = 250 * time.Millisecond // for a thousand clients that lost one replica, four tries a millisecond
+	maxBackoff          = 2500 * time.Millisecond
+	maxAnswer           = 128 << 20 // bytes of a list; one of the longest entries takes two thirds
 )
 
 // Client follows the list service and writes to it. It is safe for concurrent use.
 type Client struct {
-	c    Config
-	log  *slog.Logger
-	http *http.Client
-
-	dutiesFailed atomic.Bool // the last try to read a session's duties
-
-	mu      sync.Mutex
-	belief  *Belief
-	move    move
-	start   time.Time
-	at      int // the address that answered last
-	changed chan struct{}
-	told    time.Time // when the service last answered; zero: never
+	config Config
+	log    *slog.Logger
+	http   *http.Client
+
+	leasesFailed atomic.Bool // the last try to read a session's duties
+
+	mu           sync.Mutex
+	list         *ListState
+	move         subsetMove
+	start        time.Time
+	current      int // the address that answered last
+	changed      chan struct{}
+	lastAnswerAt time.Time // when the service last answered; zero: never
 }
 
 // New makes a client. It begins with the kept list, if there is one that can be
@@ -82,23 +82,23 @@
 	if c.HoldBack == 0 {
 		c.HoldBack = DefaultHoldBack
 	}
-	k := &Client{c: c, log: c.Log, start: time.Now(), changed: make(chan struct{}), at: rand.IntN(len(c.Addresses)),
+	k := &Client{config: c, log: c.Log, start: time.Now(), changed: make(chan struct{}), current: rand.IntN(len(c.Addresses)),
 		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTime}).DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
 	if k.log == nil {
 		k.log = slog.New(slog.DiscardHandler)
 	}
-	var before View
+	var before List
 	if c.File != "" {
 		var err error
-		if before, err = load(c.File); err != nil {
+		if before, err = readCache(c.File); err != nil {
 			k.log.Warn("it begins without a list", "err", err)
 		}
 	}
-	k.belief = NewBelief(c.HoldBack, before)
-	if k.move.to = before.Part; c.Part == nil {
-		k.move.to = registry.Part{}
+	k.list = NewListState(c.HoldBack, before)
+	if k.move.to = before.Subset; c.ChooseSubset == nil {
+		k.move.to = registry.Subset{}
 	} else if before.Version == 0 {
-		k.move.to = c.Part(registry.Part{}, registry.MaxEntries, nil)
+		k.move.to = c.ChooseSubset(registry.Subset{}, registry.MaxEndpoints, nil)
 	}
 	return k, nil
 }
@@ -121,18 +121,18 @@
 		return err
 	}
 	k.mu.Lock()
-	k.c.Addresses, k.at = slices.Clone(all), rand.IntN(len(all))
+	k.config.Addresses, k.current = slices.Clone(all), rand.IntN(len(all))
 	k.mu.Unlock()
 	k.http.CloseIdleConnections()
 	return nil
 }
 
-// View is the list as it is believed, and when the service last answered; zero
+// List is the list as it is believed, and when the service last answered; zero
 // if it never has. A list that is kept serves on for ever.
-func (k *Client) View() (v View, told time.Time) {
+func (k *Client) List() (v List, told time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.belief.View(), k.told
+	return k.list.View(), k.lastAnswerAt
 }
 
 // Changed is closed at the next change of the view.
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -28,46 +28,46 @@
 func TestBelief(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
-		s.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e0"})
-		were := map[string][]registry.Entry{} // the list at each epoch and version
+		s.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e0"})
+		were := map[string][]registry.Endpoint{} // the list at each epoch and version
 		note := func() { were[fmt.Sprint(s.Epoch(), s.Version())] = s.Since(0).Endpoints }
 		note()
 		copies := []*registry.State{copied(t, s)} // replicas, as far as they are
-		b := NewBelief(time.Second, View{})
+		b := NewListState(time.Second, List{})
 		var now time.Duration
 		ask := func(of *registry.State) {
-			from, epoch := b.Ask()
+			from, epoch := b.Next()
 			if epoch != of.Epoch() {
 				from = 0
 			}
 			before := b.View()
-			verdict := b.Take(now, from, of.Since(from))
+			verdict := b.Apply(now, from, of.Since(from))
 			v := b.View()
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
-			if want, ok := were[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || len(want)+len(v.Entries) > 0 && !reflect.DeepEqual(want, v.Entries)) {
-				t.Fatalf("at %s %d it believes %v, the list was %v (%d)", v.Epoch, v.Version, v.Entries, want, verdict)
+			if want, ok := were[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || len(want)+len(v.Endpoints) > 0 && !reflect.DeepEqual(want, v.Endpoints)) {
+				t.Fatalf("at %s %d it believes %v, the list was %v (%d)", v.Epoch, v.Version, v.Endpoints, want, verdict)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2:
-				e := registry.Entry{Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name")), Address: "a:1", Status: registry.Ready, Weight: float64(n)}
-				s.Apply(registry.Command{Do: registry.DoRegister, Entry: &e})
+				e := registry.Endpoint{Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name")), Address: "a:1", Status: registry.Ready, Weight: float64(n)}
+				s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &e})
 				note()
 			case 3:
-				s.Apply(registry.Command{Do: registry.DoRemove, Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name"))})
+				s.Apply(registry.Command{Op: registry.OpRemove, Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name"))})
 				note()
 			case 4:
 				copies = append(copies, copied(t, s))
 			case 5:
-				raw, err := copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")].Snapshot()
+				raw, err := copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")].EncodeSnapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.Apply(registry.Command{Do: registry.DoRestore, Epoch: fmt.Sprint("e", n+1), Image: raw})
+				s.Apply(registry.Command{Op: registry.OpRestore, Epoch: fmt.Sprint("e", n+1), Snapshot: raw})
 				note()
 			case 6, 7:
 				ask(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")])
@@ -86,11 +86,11 @@
 }
 
 func copied(t *rapid.T, s *registry.State) *registry.State {
-	raw, err := s.Snapshot()
+	raw, err := s.EncodeSnapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := registry.FromSnapshot(raw)
+	c, err := registry.DecodeSnapshot(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,29 +99,29 @@
 
 // TestLostList: an epoch that begins anew is believed only after its time, and then the one before is no more.
 func TestLostList(t *testing.T) {
-	var before View
+	var before List
 	before.Epoch, before.Version = "a", 9
 	for i := range 6 {
-		before.Entries = append(before.Entries, registry.Entry{Name: fmt.Sprint("s", i), Status: registry.Ready})
+		before.Endpoints = append(before.Endpoints, registry.Endpoint{Name: fmt.Sprint("s", i), Status: registry.Ready})
 	}
-	b := NewBelief(30*time.Second, before)
-	empty := registry.Answer{Index: 1, Epoch: "b", Snapshot: true}
-	if got := b.Take(0, 9, empty); got != Kept || len(b.View().Entries) != 6 {
-		t.Errorf("at first: %d, with %d entries", got, len(b.View().Entries))
+	b := NewListState(30*time.Second, before)
+	empty := registry.ListResponse{Index: 1, Epoch: "b", Snapshot: true}
+	if got := b.Apply(0, 9, empty); got != HeldBack || len(b.View().Endpoints) != 6 {
+		t.Errorf("at first: %d, with %d entries", got, len(b.View().Endpoints))
 	}
-	if got := b.Take(29*time.Second, 0, empty); got != Kept {
+	if got := b.Apply(29*time.Second, 0, empty); got != HeldBack {
 		t.Errorf("before its time: %d", got)
 	}
-	full := registry.Answer{Index: 7, Epoch: "b", Snapshot: true, Endpoints: before.Entries}
-	if got := b.Take(30*time.Second, 0, full); got != Taken {
+	full := registry.ListResponse{Index: 7, Epoch: "b", Snapshot: true, Endpoints: before.Endpoints}
+	if got := b.Apply(30*time.Second, 0, full); got != Changed {
 		t.Errorf("registered anew: %d", got)
 	}
-	if got := b.Take(31*time.Second, 7, registry.Answer{Index: 10, Epoch: "a", Snapshot: true}); got != Kept {
+	if got := b.Apply(31*time.Second, 7, registry.ListResponse{Index: 10, Epoch: "a", Snapshot: true}); got != HeldBack {
 		t.Errorf("the epoch before: %d", got)
 	}
-	b = NewBelief(30*time.Second, before)
-	b.Take(0, 9, empty)
-	if got := b.Take(30*time.Second, 0, empty); got != Taken || len(b.View().Entries) != 0 {
+	b = NewListState(30*time.Second, before)
+	b.Apply(0, 9, empty)
+	if got := b.Apply(30*time.Second, 0, empty); got != Changed || len(b.View().Endpoints) != 0 {
 		t.Errorf("after its time: %d", got)
 	}
 }
@@ -138,7 +138,7 @@
 			<-r.Context().Done()
 			return
 		}
-		json.NewEncoder(w).Encode(registry.Answer{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Entry{{Name: "s", Address: "a:1", Status: registry.Ready}}})
+		json.NewEncoder(w).Encode(registry.ListResponse{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Endpoint{{Name: "s", Address: "a:1", Status: registry.Ready}}})
 	}))
 	bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write([]byte("{")) }))
 	defer bad.Close()
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, told := again.View(); v.Version != 3 || len(v.Entries) != 1 || !told.IsZero() {
+	if v, told := again.List(); v.Version != 3 || len(v.Endpoints) != 1 || !told.IsZero() {
 		t.Errorf("the next start has %+v, told at %v", v, told)
 	}
 }
@@ -174,7 +174,7 @@
 // TestCutFile: a kept list that is cut anywhere is told as damaged, never believed.
 func TestCutFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if err := save(path, View{Epoch: "e", Version: 3, Entries: []registry.Entry{{Name: "s"}}}); err != nil {
+	if err := writeCache(path, List{Epoch: "e", Version: 3, Endpoints: []registry.Endpoint{{Name: "s"}}}); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(path)
@@ -185,7 +185,7 @@
 		if err := os.WriteFile(path, whole[:n], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if v, err := load(path); err == nil {
+		if v, err := readCache(path); err == nil {
 			t.Fatalf("cut after %d of %d bytes it gives %+v", n, len(whole), v)
 		}
 	}
@@ -203,7 +203,7 @@
 				now += wait.Next(chance.Int64N)
 			}
 			at[now/bin]++
-			if now > away+mostWait {
+			if now > away+maxBackoff {
 				t.Errorf("away for %v, one is back only after %v", away, now)
 			}
 		}
--- a/internal/registry/client/continue_test.go
+++ b/internal/registry/client/continue_test.go
@@ -34,16 +34,16 @@
 					time.Sleep(hold)
 					fallthrough
 				default: // none, at once
-					json.NewEncoder(w).Encode(registry.Answer{Index: uint64(50 + call/3*3)})
+					json.NewEncoder(w).Encode(registry.ListResponse{Index: uint64(50 + call/3*3)})
 				}
 			}, func(ctx context.Context, s *standIn) {
 				d, _ := s.platform(asked)
 				if asked {
-					d.Ask(ctx, false, true)
+					d.Poll(ctx, false, true)
 				} else {
 					d.Follow(ctx)
 				}
-				time.Sleep(4 * (holdAsked + time.Second))
+				time.Sleep(4 * (holdPolled + time.Second))
 				synctest.Wait()
 				if len(s.calls) < calls+1 {
 					t.Fatalf("%d calls, want more than %d", len(s.calls), calls)
@@ -60,9 +60,9 @@
 
 // TestIndentedLists mean the same as others.
 func TestIndentedLists(t *testing.T) {
-	want := registry.Answer{Index: 44, Snapshot: true, Endpoints: []registry.Entry{
-		{Name: "s", Address: "127.0.0.1:1", Zone: "a", Type: "m2", Group: 3, Status: registry.Ready, Weight: 1.5, SinceMS: 7},
-		{Name: "t", Address: "127.0.0.1:2", Status: registry.Draining}, {Name: "u", Status: registry.Gone}}}
+	want := registry.ListResponse{Index: 44, Snapshot: true, Endpoints: []registry.Endpoint{
+		{Name: "s", Address: "127.0.0.1:1", Zone: "a", Type: "m2", Cell: 3, Status: registry.Ready, Weight: 1.5, StartedAtMS: 7},
+		{Name: "t", Address: "127.0.0.1:2", Status: registry.Draining}, {Name: "u", Status: registry.Removed}}}
 	plain, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
@@ -86,11 +86,11 @@
 				}, func(ctx context.Context, s *standIn) {
 					d, lists := s.platform(asked)
 					if asked {
-						d.Ask(ctx, true, true)
+						d.Poll(ctx, true, true)
 					} else {
 						d.Follow(ctx)
 					}
-					if got := next(t, lists).Answer; len(got.Odd) > 0 || !reflect.DeepEqual(got.Endpoints, want.Endpoints) || got.Index != 44 {
+					if got := next(t, lists).ListResponse; len(got.Skipped) > 0 || !reflect.DeepEqual(got.Endpoints, want.Endpoints) || got.Index != 44 {
 						t.Errorf("%+v", got)
 					}
 				})
--- a/internal/registry/client/fixture_test.go
+++ b/internal/registry/client/fixture_test.go
@@ -9,12 +9,12 @@
 
 // TestCachedListFormIsUnchanged compares the file that a client starts from with golden files.
 func TestCachedListFormIsUnchanged(t *testing.T) {
-	for name, sample := range map[string]any{"view": &View{}, "kept": &kept{}} {
+	for name, sample := range map[string]any{"view": &List{}, "kept": &cachedList{}} {
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
 	}
 	path := t.TempDir() + "/list"
-	v := View{Epoch: "e", Version: 7, Total: 9, Part: registry.Part{From: 4, Width: 16}, Entries: []registry.Entry{{Name: "s", Address: "a:1", Status: registry.Ready}}}
-	if err := save(path, v); err != nil {
+	v := List{Epoch: "e", Version: 7, Total: 9, Subset: registry.Subset{Start: 4, Width: 16}, Endpoints: []registry.Endpoint{{Name: "s", Address: "a:1", Status: registry.Ready}}}
+	if err := writeCache(path, v); err != nil {
 		t.Fatal(err)
 	}
 	fixture.AssertFile(t, "cached-part", path)
--- a/internal/registry/client/follow.go
+++ b/internal/registry/client/follow.go
@@ -24,26 +24,26 @@
 	All     []registry.Record // by key, with their values
 }
 
-// follower is what a reader of records knows. It is pure.
-type follower struct {
-	epoch   string
-	version uint64
-	records map[string]registry.Record
-	other   time.Time // since when only another epoch of no higher version answers; zero: it does not
+// recordFollower is what a reader of records knows. It is pure.
+type recordFollower struct {
+	epoch           string
+	version         uint64
+	records         map[string]registry.Record
+	otherEpochSince time.Time // since when only another epoch of no higher version answers; zero: it does not
 }
 
-// take judges an answer. A replica that lags, or one of an epoch whose versions do not go past what is known,
+// apply judges an answer. A replica that lags, or one of an epoch whose versions do not go past what is known,
 // is stale; the latter until it has held for so long that the service must have lost its state.
-func (f *follower) take(now time.Time, holdBack time.Duration, a registry.RecordAnswer) (Verdict, error) {
+func (f *recordFollower) apply(now time.Time, holdBack time.Duration, a registry.RecordsResponse) (Change, error) {
 	known := f.records
 	switch {
 	case a.Epoch == f.epoch && a.Index < f.version:
 		return Stale, nil
 	case a.Epoch != f.epoch && a.Index <= f.version:
-		if f.other.IsZero() {
-			f.other = now
+		if f.otherEpochSince.IsZero() {
+			f.otherEpochSince = now
 		}
-		if now.Sub(f.other) < holdBack {
+		if now.Sub(f.otherEpochSince) < holdBack {
 			return Stale, nil
 		}
 	}
@@ -55,7 +55,7 @@
 		if r.Value == nil {
 			has, ok := known[r.Key]
 			if !ok || has.Version != r.Version {
-				return Gap, fmt.Errorf("record %s of version %d came without its value", r.Key, r.Version)
+				return NeedsComplete, fmt.Errorf("record %s of version %d came without its value", r.Key, r.Version)
 			}
 			r = has
 		} else if known[r.Key].Version != r.Version {
@@ -63,14 +63,14 @@
 		}
 		next[r.Key] = r
 	}
-	f.epoch, f.version, f.records, f.other = a.Epoch, a.Index, next, time.Time{}
+	f.epoch, f.version, f.records, f.otherEpochSince = a.Epoch, a.Index, next, time.Time{}
 	if !changed {
-		return Nothing, nil
+		return Unchanged, nil
 	}
-	return Taken, nil
+	return Changed, nil
 }
 
-func (f *follower) view() Records {
+func (f *recordFollower) snapshot() Records {
 	return Records{f.epoch, f.version, slices.SortedFunc(maps.Values(f.records), func(a, b registry.Record) int { return cmp.Compare(a.Key, b.Key) })}
 }
 
@@ -79,49 +79,49 @@
 // was, never an older one after a newer; how old it is, the session of whoever relies on it has to say. A call that
 // comes after a failure is not held, so that its own silence shows soon.
 func (k *Client) FollowRecords(ctx context.Context, prefix string, taken func(Records)) {
-	f, wait, hold := &follower{}, watchBackoff(), k.c.Hold
+	f, wait, hold := &recordFollower{}, watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
 		verdict, err := k.watchRecords(ctx, f, prefix, hold)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil && verdict != Stale {
-			if verdict == Taken {
-				taken(f.view())
+			if verdict == Changed {
+				taken(f.snapshot())
 			}
-			wait, hold = watchBackoff(), k.c.Hold
+			wait, hold = watchBackoff(), k.config.Hold
 			continue
 		}
-		if hold = holdLeast; verdict == Gap {
-			*f = follower{epoch: f.epoch, other: f.other} // read whole, as of now
+		if hold = minHold; verdict == NeedsComplete {
+			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // read whole, as of now
 		}
 		k.log.Warn("records are not followed for now; those known stand", "prefix", prefix, "address", k.address(), "err", err)
-		k.turn()
+		k.nextAddress()
 		if !backoff.Sleep(ctx, wait.Next(rand.Int64N)) {
 			return
 		}
 	}
 }
 
-func (k *Client) watchRecords(ctx context.Context, f *follower, prefix string, hold time.Duration) (Verdict, error) {
+func (k *Client) watchRecords(ctx context.Context, f *recordFollower, prefix string, hold time.Duration) (Change, error) {
 	q := url.Values{"prefix": {prefix}, "hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)}}
 	if f.epoch != "" {
 		q.Set("epoch", f.epoch)
 		q.Set("from", strconv.FormatUint(f.version, 10))
 		q.Set("had", strconv.Itoa(len(f.records)))
 	}
-	ctx, cancel := context.WithTimeout(ctx, hold+grace)
+	ctx, cancel := context.WithTimeout(ctx, hold+answerGrace)
 	defer cancel()
 	status, body, err := k.call(ctx, http.MethodGet, k.address(), "/registry/watch/records?"+q.Encode(), nil)
 	if err != nil {
-		return Nothing, err
+		return Unchanged, err
 	}
 	if status != http.StatusOK {
-		return Nothing, refusal(status, body)
+		return Unchanged, refusal(status, body)
 	}
-	var a registry.RecordAnswer
+	var a registry.RecordsResponse
 	if err := json.Unmarshal(body, &a); err != nil {
-		return Nothing, fmt.Errorf("an answer that can't be read: %w", err)
+		return Unchanged, fmt.Errorf("an answer that can't be read: %w", err)
 	}
-	return f.take(time.Now(), k.c.HoldBack, a)
+	return f.apply(time.Now(), k.config.HoldBack, a)
 }
--- a/internal/registry/client/follow_test.go
+++ b/internal/registry/client/follow_test.go
@@ -22,7 +22,7 @@
 func TestFollowerOfRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
-		s.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e0"})
+		s.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e0"})
 		were := map[string]map[string]string{}
 		note := func(s *registry.State) {
 			at := map[string]string{}
@@ -34,7 +34,7 @@
 		}
 		note(s)
 		replicas := []*registry.State{copied(t, s)}
-		f := &follower{}
+		f := &recordFollower{}
 		now := time.Unix(0, 0)
 		ask := func(of *registry.State) {
 			from, before := f.version, f.version
@@ -43,14 +43,14 @@
 				from = 0
 			}
 			a, _ := of.RecordsSince("a/", from, len(f.records))
-			if verdict, err := f.take(now, time.Minute, a); verdict == Gap {
+			if verdict, err := f.apply(now, time.Minute, a); verdict == NeedsComplete {
 				t.Fatal(err)
 			}
 			if f.epoch == epoch && f.version < before {
 				t.Fatalf("back from %d to %d", before, f.version)
 			}
 			got := map[string]string{}
-			for _, r := range f.view().All {
+			for _, r := range f.snapshot().All {
 				got[r.Key] = string(r.Value)
 			}
 			if want := were[fmt.Sprint(f.epoch, f.version)]; f.epoch != "" && !reflect.DeepEqual(got, want) {
@@ -62,7 +62,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 2:
 				key := rapid.SampledFrom([]string{"a/1", "a/2", "a/3", "b/1"}).Draw(t, "key")
-				c := registry.Command{Do: registry.DoPut, Name: key, Value: json.RawMessage(fmt.Sprint(n))}
+				c := registry.Command{Op: registry.OpPutRecord, Name: key, Value: json.RawMessage(fmt.Sprint(n))}
 				if rapid.IntRange(0, 2).Draw(t, "away") == 0 {
 					c.Value = nil
 				}
@@ -71,11 +71,11 @@
 			case 3:
 				replicas = append(replicas, copied(t, s))
 			case 4:
-				image, err := s.Snapshot()
+				image, err := s.EncodeSnapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.Apply(registry.Command{Do: registry.DoRestore, Epoch: fmt.Sprint("e", n+1), Over: s.Epoch(), Image: image})
+				s.Apply(registry.Command{Op: registry.OpRestore, Epoch: fmt.Sprint("e", n+1), ReplacesEpoch: s.Epoch(), Snapshot: image})
 				note(s)
 			default:
 				ask(replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "replica")])
@@ -95,7 +95,7 @@
 		"records": func(ctx context.Context, k *Client) { k.FollowRecords(ctx, "a/", func(Records) {}) },
 		"session": func(ctx context.Context, k *Client) {
 			for from := uint64(0); backoff.Sleep(ctx, 100*time.Millisecond); {
-				if a, err := k.SessionDuties(ctx, "s", from, hold); err == nil {
+				if a, err := k.SessionLeases(ctx, "s", from, hold); err == nil {
 					from = a.Index
 				}
 			}
@@ -107,7 +107,7 @@
 				inBubble(t, func(n int, w http.ResponseWriter, r *http.Request) {
 					switch n {
 					case 0, 3:
-						json.NewEncoder(w).Encode(registry.RecordAnswer{Index: uint64(7 + n), Epoch: "e", Records: []registry.Record{}})
+						json.NewEncoder(w).Encode(registry.RecordsResponse{Index: uint64(7 + n), Epoch: "e", Records: []registry.Record{}})
 					case 1, 2:
 						time.Sleep(how.after)
 						how.serve(w, r)
--- a/internal/registry/client/move_test.go
+++ b/internal/registry/client/move_test.go
@@ -28,7 +28,7 @@
 	}, func(ctx context.Context, s *standIn) {
 		d, _ := s.platform(false)
 		busy, release, order := make(chan bool), make(chan bool), []uint64{}
-		d.listed = func(l registry.Answer) {
+		d.onList = func(l registry.ListResponse) {
 			if l.Index == 42 {
 				close(busy)
 				<-release
@@ -53,7 +53,7 @@
 	inBubble(t, func(_ int, w http.ResponseWriter, r *http.Request) { silent(w, r) }, func(ctx context.Context, s *standIn) {
 		d, _ := s.platform(true)
 		d.Move(ctx, "two:1", true)
-		d.Ask(ctx, false, true)
+		d.Poll(ctx, false, true)
 		synctest.Wait()
 		if len(s.calls) != 1 || s.calls[0].host != "two:1" || s.calls[0].from != "" {
 			t.Errorf("calls %+v", s.calls)
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -134,7 +134,7 @@
 		for e := balancer.Event(balancer.EndpointsUpdated{Kind: balancer.UpdateCached}); ctx.Err() == nil; {
 			for _, a := range m.Handle(time.Hour+now(), e) {
 				if a, ok := a.(balancer.Subscribe); ok {
-					d.Ask(ctx, false, a.On)
+					d.Poll(ctx, false, a.On)
 				}
 			}
 			select {
@@ -180,7 +180,7 @@
 						defer k.Close()
 						transport := k.http.Transport.(*http.Transport)
 						transport.DialContext = d.dial(transport.DialContext)
-						k.belief = NewBelief(DefaultHoldBack, View{Epoch: "e", Version: 41, Entries: []registry.Entry{{Name: "s"}}})
+						k.list = NewListState(DefaultHoldBack, List{Epoch: "e", Version: 41, Endpoints: []registry.Endpoint{{Name: "s"}}})
 						go k.Follow(ctx)
 					default:
 						p, words := s.platform(true)
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -18,27 +18,27 @@
 // and its shared service: no epochs, no other replica to ask. Its methods are not
 // safe for concurrent use.
 type Platform struct {
-	url    string
-	client *http.Client
-	dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	sends  atomic.Int32 // of the call under way
-	hold   time.Duration
-	grace  time.Duration
-	sleep  func(context.Context, time.Duration) bool
-	log    *slog.Logger
-	index  uint64
-	whole  bool // the whole list is still to come: index means nothing
-	anew   bool // the call before failed
-	told   int  // answers so far
-	listed func(registry.Answer)
-	failed func()
-
-	asked bool  // lists come only when they are asked for
-	last  *task // begun last
-	own   *task // under way, which owns url, hold, grace, index, whole, anew and told, and this
-
-	begun atomic.Bool              // something of the answer to the call under way has come
-	conn  atomic.Pointer[net.Conn] // made last
+	url            string
+	client         *http.Client
+	dial           func(ctx context.Context, network, address string) (net.Conn, error)
+	attempts       atomic.Int32 // of the call under way
+	hold           time.Duration
+	grace          time.Duration
+	sleep          func(context.Context, time.Duration) bool
+	log            *slog.Logger
+	index          uint64
+	needsComplete  bool // the whole list is still to come: index means nothing
+	lastCallFailed bool // the call before failed
+	answers        int  // answers so far
+	onList         func(registry.ListResponse)
+	onFailure      func()
+
+	polls   bool  // lists come only when they are asked for
+	latest  *task // begun last
+	running *task // under way, which owns url, hold, grace, index, whole, anew and told, and this
+
+	answerBegun atomic.Bool              // something of the answer to the call under way has come
+	conn        atomic.Pointer[net.Conn] // made last
 }
 
 // task is what follows the list, until another one takes its place.
@@ -53,22 +53,22 @@
 // NewPlatform makes a follower that knows the list of version index. Where lists
 // come only when they are asked for, asked is true. Both functions are called
 // from one task at a time.
-func NewPlatform(address string, asked bool, index uint64, log *slog.Logger, listed func(registry.Answer), failed func()) *Platform {
-	d := &Platform{url: platformURL(address), asked: asked, sleep: backoff.Sleep, log: log, index: index, listed: listed, failed: failed, own: &task{},
-		dial: (&net.Dialer{Timeout: graceAsked}).DialContext}
+func NewPlatform(address string, asked bool, index uint64, log *slog.Logger, listed func(registry.ListResponse), failed func()) *Platform {
+	d := &Platform{url: platformURL(address), polls: asked, sleep: backoff.Sleep, log: log, index: index, onList: listed, onFailure: failed, running: &task{},
+		dial: (&net.Dialer{Timeout: gracePolled}).DialContext}
 	d.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: d.connect}}
-	d.pace(asked)
+	d.setTimes(asked)
 	return d
 }
 
-func (d *Platform) pace(asked bool) {
+func (d *Platform) setTimes(asked bool) {
 	if d.hold, d.grace = holdPushed, gracePushed; asked {
-		d.hold, d.grace = holdAsked, graceAsked
+		d.hold, d.grace = holdPolled, gracePolled
 	}
 }
 
-// Asked tells whether lists come only when they are asked for.
-func (d *Platform) Asked() bool { return d.asked }
+// Polls tells whether lists come only when they are asked for.
+func (d *Platform) Polls() bool { return d.polls }
 
 // watch follows the list until a call fails. The calls come back to back, so
 // that discovery counts them as one watch.
@@ -89,7 +89,7 @@
 
 // run watches until a call fails. It begins with one that is not held.
 func (d *Platform) run(ctx context.Context) error {
-	if err := d.call(ctx, holdLeast); err != nil {
+	if err := d.call(ctx, minHold); err != nil {
 		return err
 	}
 	return d.watch(ctx)
@@ -101,12 +101,12 @@
 func (d *Platform) follow(ctx context.Context) {
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
-		began, before := time.Now(), d.told
+		began, before := time.Now(), d.answers
 		err := d.run(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if d.told != before && time.Since(began) > backoffHigh {
+		if d.answers != before && time.Since(began) > backoffHigh {
 			wait = 0
 		}
 		if wait == 0 { // a long outage is one line, not one for each try
@@ -124,7 +124,7 @@
 // with ctx.
 func (d *Platform) Follow(ctx context.Context) {
 	d.begin(ctx, func(ctx context.Context) {
-		d.whole = true
+		d.needsComplete = true
 		d.follow(ctx)
 	})
 }
@@ -133,8 +133,8 @@
 // in order only from one at a time. It does not block, and is not safe for
 // concurrent use.
 func (d *Platform) begin(ctx context.Context, run func(context.Context)) {
-	if d.last != nil {
-		d.last.stop()
+	if d.latest != nil {
+		d.latest.stop()
 	}
 	d.beginAfter(ctx, func(*task) {}, run)
 }
@@ -142,8 +142,8 @@
 // beginAfter has an earlier task end by itself, or by what end does.
 func (d *Platform) beginAfter(ctx context.Context, end func(earlier *task), run func(context.Context)) {
 	ctx, stop := context.WithCancel(ctx)
-	earlier, t := d.last, &task{stop: stop, done: make(chan struct{})}
-	d.last = t
+	earlier, t := d.latest, &task{stop: stop, done: make(chan struct{})}
+	d.latest = t
 	go func() {
 		defer close(t.done)
 		defer stop()
@@ -152,58 +152,60 @@
 			end(earlier)
 			<-earlier.done
 		}
-		d.own = t
+		d.running = t
 		run(ctx)
 	}()
 }
 
-// Ask does what the node's module asked for where lists are not pushed: a fetch, then
+// Poll does what the node's module asked for where lists are not pushed: a fetch, then
 // a watch until it fails.
-func (d *Platform) Ask(ctx context.Context, fetch, watch bool) {
+func (d *Platform) Poll(ctx context.Context, fetch, watch bool) {
 	d.begin(ctx, func(ctx context.Context) {
-		d.whole = d.whole || fetch
+		d.needsComplete = d.needsComplete || fetch
 		var err error
 		if watch {
-			err = d.ask(ctx)
+			err = d.poll(ctx)
 		} else if fetch {
-			err = d.call(ctx, holdLeast)
+			err = d.call(ctx, minHold)
 		}
 		d.end(ctx, err)
 	})
 }
 
-// ask watches until a call fails. It makes one that broke or fell silent anew by
+// poll watches until a call fails. It makes one that broke or fell silent anew by
 // itself, as the module would wait longer than the list's clock allows. Two in a
 // row, or one that is refused, are a discovery that is down, to which the module
 // spreads its calls.
-func (d *Platform) ask(ctx context.Context) (err error) {
+func (d *Platform) poll(ctx context.Context) (err error) {
 	for broke := 0; broke < 2; broke++ {
-		if broke > 0 && !d.sleep(ctx, drawn(spreadSilent)) {
+		if broke > 0 && !d.sleep(ctx, randomUpTo(spreadSilent)) {
 			return ctx.Err()
 		}
-		began, before := time.Now(), d.told
-		if d.whole || d.anew {
+		began, before := time.Now(), d.answers
+		if d.needsComplete || d.lastCallFailed {
 			err = d.run(ctx)
 		} else {
 			err = d.watch(ctx)
 		}
-		if ctx.Err() != nil || errors.Is(err, errRefused) {
+		if ctx.Err() != nil || errors.Is(err, errRejected) {
 			return err
 		}
-		if d.told != before && time.Since(began) > d.grace {
+		if d.answers != before && time.Since(began) > d.grace {
 			broke = 0
 		}
 	}
 	return err
 }
 
-// drawn is a time of up to most.
-func drawn(most time.Duration) time.Duration { return time.Duration(rand.Float64() * float64(most)) }
+// randomUpTo is a time of up to most.
+func randomUpTo(most time.Duration) time.Duration {
+	return time.Duration(rand.Float64() * float64(most))
+}
 
 // end tells the module of a failure, unless the task was ended by another.
 func (d *Platform) end(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
 		d.log.Warn("discovery failed", "err", err)
-		d.failed()
+		d.onFailure()
 	}
 }
--- a/internal/registry/client/platform_test.go
+++ b/internal/registry/client/platform_test.go
@@ -42,8 +42,8 @@
 	defer s.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	lists := make(chan registry.Answer, 10)
-	d := NewPlatform(s.Listener.Addr().String(), false, 41, slog.New(slog.DiscardHandler), func(l registry.Answer) { lists <- l }, func() { t.Error("told a failure") })
+	lists := make(chan registry.ListResponse, 10)
+	d := NewPlatform(s.Listener.Addr().String(), false, 41, slog.New(slog.DiscardHandler), func(l registry.ListResponse) { lists <- l }, func() { t.Error("told a failure") })
 	d.hold = time.Millisecond
 	go d.follow(ctx)
 	select {
@@ -78,13 +78,13 @@
 		}
 	}))
 	defer s.Close()
-	lists, failures := make(chan registry.Answer, 10), make(chan bool, 10)
-	d := NewPlatform(s.Listener.Addr().String(), true, 41, slog.New(slog.DiscardHandler), func(l registry.Answer) { lists <- l }, func() { failures <- true })
+	lists, failures := make(chan registry.ListResponse, 10), make(chan bool, 10)
+	d := NewPlatform(s.Listener.Addr().String(), true, 41, slog.New(slog.DiscardHandler), func(l registry.ListResponse) { lists <- l }, func() { failures <- true })
 	for _, c := range []struct {
 		fetch bool
 		index uint64
 	}{{false, 50}, {true, 42}} {
-		d.Ask(context.Background(), c.fetch, true)
+		d.Poll(context.Background(), c.fetch, true)
 		if l := <-lists; l.Index != c.index {
 			t.Errorf("list %d, want %d", l.Index, c.index)
 		}
--- a/internal/registry/client/records.go
+++ b/internal/registry/client/records.go
@@ -28,15 +28,15 @@
 // Put writes a record; with a nil value it is taken away. cond, if there is one,
 // is the version that the record must have, 0 for none.
 func (k *Client) Put(ctx context.Context, key string, value json.RawMessage, cond *uint64) (registry.Result, error) {
-	return k.put(ctx, key, registry.Put{Value: value, If: cond})
+	return k.put(ctx, key, registry.PutRequest{Value: value, IfVersion: cond})
 }
 
 // Put is Client.Put under the fence.
-func (h Holder) Put(ctx context.Context, key string, value json.RawMessage, cond *uint64) (registry.Result, error) {
-	return h.k.put(ctx, key, registry.Put{Value: value, If: cond, Fence: &h.f})
+func (h FencedClient) Put(ctx context.Context, key string, value json.RawMessage, cond *uint64) (registry.Result, error) {
+	return h.client.put(ctx, key, registry.PutRequest{Value: value, IfVersion: cond, Token: &h.token})
 }
 
-func (k *Client) put(ctx context.Context, key string, p registry.Put) (registry.Result, error) {
+func (k *Client) put(ctx context.Context, key string, p registry.PutRequest) (registry.Result, error) {
 	p.ID = newID()
 	var r registry.Result
 	err := k.send(ctx, http.MethodPut, recordPath(key), p, &r)
--- a/internal/registry/client/silence_test.go
+++ b/internal/registry/client/silence_test.go
@@ -44,8 +44,8 @@
 		{"pushed, a later watch", false, 2, 1, 0},
 		{"pushed, the first two calls", false, 0, 2, 0},
 		{"pushed, the watch and the call anew", false, 1, 2, 0},
-		{"asked for, the watch", true, 0, 1, holdAsked},
-		{"asked for, a later watch", true, 1, 1, holdAsked},
+		{"asked for, the watch", true, 0, 1, holdPolled},
+		{"asked for, a later watch", true, 1, 1, holdPolled},
 	} {
 		for _, how := range silences {
 			t.Run(c.name+" "+how.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 				}, func(ctx context.Context, s *standIn) {
 					d, lists := s.platform(c.asked)
 					if c.asked {
-						d.Ask(ctx, false, true)
+						d.Poll(ctx, false, true)
 					} else {
 						d.Follow(ctx)
 					}
@@ -90,8 +90,8 @@
 func TestDiscoveryThatStaysSilent(t *testing.T) {
 	inBubble(t, func(_ int, w http.ResponseWriter, r *http.Request) { silent(w, r) }, func(ctx context.Context, s *standIn) {
 		d, lists := s.platform(true)
-		d.Ask(ctx, false, true)
-		if l := next(t, lists); l.at > 0 || -l.at > holdAsked+4*time.Second {
+		d.Poll(ctx, false, true)
+		if l := next(t, lists); l.at > 0 || -l.at > holdPolled+4*time.Second {
 			t.Errorf("list %d at %v, want a failure, soon after the second call", l.Index, l.at)
 		}
 		time.Sleep(time.Minute)
@@ -126,7 +126,7 @@
 				}, func(ctx context.Context, s *standIn) {
 					d, lists := s.platform(asked)
 					if asked {
-						d.Ask(ctx, false, true)
+						d.Poll(ctx, false, true)
 					} else {
 						d.Follow(ctx)
 					}
--- a/internal/registry/client/standin_test.go
+++ b/internal/registry/client/standin_test.go
@@ -89,7 +89,7 @@
 
 // took is a list and when it came.
 type took struct {
-	registry.Answer
+	registry.ListResponse
 	at time.Duration
 }
 
@@ -97,7 +97,7 @@
 func (s *standIn) platform(asked bool) (*Platform, chan took) {
 	lists := make(chan took, 100)
 	d := NewPlatform("one:1", asked, 41, slog.New(slog.DiscardHandler),
-		func(l registry.Answer) { lists <- took{l, s.now()} }, func() { lists <- took{at: -s.now()} })
+		func(l registry.ListResponse) { lists <- took{l, s.now()} }, func() { lists <- took{at: -s.now()} })
 	d.dial = s.dial
 	return d, lists
 }
@@ -105,7 +105,7 @@
 // service is a client of the project's own service, which the stand-in plays.
 func (s *standIn) service(hold time.Duration) (*Client, chan took) {
 	lists := make(chan took, 100)
-	k, err := New(Config{Addresses: []string{"one:1"}, Hold: hold, Taken: func(l registry.Answer) { lists <- took{l, s.now()} }})
+	k, err := New(Config{Addresses: []string{"one:1"}, Hold: hold, OnChange: func(l registry.ListResponse) { lists <- took{l, s.now()} }})
 	if err != nil {
 		panic(err)
 	}
@@ -136,6 +136,6 @@
 
 // tell answers with a list of one server.
 func tell(w http.ResponseWriter, index uint64) {
-	json.NewEncoder(w).Encode(registry.Answer{Index: index, Epoch: "e", Snapshot: true,
-		Endpoints: []registry.Entry{{Name: "s", Address: "127.0.0.1:1", Status: registry.Ready}}})
+	json.NewEncoder(w).Encode(registry.ListResponse{Index: index, Epoch: "e", Snapshot: true,
+		Endpoints: []registry.Endpoint{{Name: "s", Address: "127.0.0.1:1", Status: registry.Ready}}})
 }
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -17,24 +17,24 @@
 // Follow watches the list until ctx ends, over whatever failures of the service.
 // A watch that comes after a failure is not held, so that its own silence shows soon.
 func (k *Client) Follow(ctx context.Context) {
-	wait, hold := watchBackoff(), k.c.Hold
+	wait, hold := watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
 		verdict, err := k.watch(ctx, hold)
 		switch {
 		case ctx.Err() != nil:
 			return
-		case err == nil && (verdict == Taken || verdict == Narrow || verdict == Nothing && k.watching()):
-			wait, hold = watchBackoff(), k.c.Hold
+		case err == nil && (verdict == Changed || verdict == TooNarrow || verdict == Unchanged && k.watching()):
+			wait, hold = watchBackoff(), k.config.Hold
 			continue
 		case err != nil:
 			k.log.Warn("the list service does not answer; the last list stands", "address", k.address(), "err", err)
-		case verdict == Kept:
-			k.log.Error("a list of another epoch lacks most entries and is held back", "for", k.c.HoldBack)
+		case verdict == HeldBack:
+			k.log.Error("a list of another epoch lacks most entries and is held back", "for", k.config.HoldBack)
 		case verdict == Stale:
 			k.log.Warn("a replica has an older list than this client", "address", k.address())
 		}
-		if hold = holdLeast; verdict != Kept {
-			k.turn()
+		if hold = minHold; verdict != HeldBack {
+			k.nextAddress()
 		}
 		if !backoff.Sleep(ctx, wait.Next(rand.Int64N)) {
 			return
@@ -43,59 +43,61 @@
 }
 
 // watchBackoff is the backoff between watches after failures.
-func watchBackoff() backoff.FullJitter { return backoff.FullJitter{First: firstWait, Max: mostWait} }
+func watchBackoff() backoff.FullJitter {
+	return backoff.FullJitter{First: firstBackoff, Max: maxBackoff}
+}
 
 // watching tells whether the next call is held until there is news; one for the whole list is not.
 func (k *Client) watching() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	from, _ := k.belief.Ask()
+	from, _ := k.list.Next()
 	return from > 0
 }
 
 func (k *Client) address() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.c.Addresses[k.at]
+	return k.config.Addresses[k.current]
 }
 
-// turn goes on to the next replica.
-func (k *Client) turn() {
+// nextAddress goes on to the next replica.
+func (k *Client) nextAddress() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.at = (k.at + 1) % len(k.c.Addresses)
+	k.current = (k.current + 1) % len(k.config.Addresses)
 }
 
 // watch makes one call and takes its answer.
-func (k *Client) watch(ctx context.Context, hold time.Duration) (Verdict, error) {
-	q := k.ask(hold)
+func (k *Client) watch(ctx context.Context, hold time.Duration) (Change, error) {
+	q := k.nextRead(hold)
 	a, err := k.read(ctx, q)
 	if err != nil {
-		if k.failed(q, err) {
-			return Nothing, nil
+		if k.readFailed(q, err) {
+			return Unchanged, nil
 		}
-		return Nothing, err
+		return Unchanged, err
 	}
-	for _, err := range a.Odd {
+	for _, err := range a.Skipped {
 		k.log.Warn("an entry of the list is passed over", "err", err)
 	}
-	if k.widens(q, a) {
-		return Narrow, nil
+	if k.widensSubset(q, a) {
+		return TooNarrow, nil
 	}
-	return k.take(q.from, a), nil
+	return k.apply(q.from, a), nil
 }
 
-func (k *Client) read(ctx context.Context, asked asking) (a registry.Answer, err error) {
+func (k *Client) read(ctx context.Context, asked listRead) (a registry.ListResponse, err error) {
 	q := url.Values{"hold_ms": {strconv.FormatInt(asked.hold.Milliseconds(), 10)}}
-	if k.c.Part != nil {
-		q.Set("part", asked.part.String())
+	if k.config.ChooseSubset != nil {
+		q.Set("part", asked.subset.String())
 	}
-	most := asked.hold + grace
+	most := asked.hold + answerGrace
 	if asked.from > 0 {
 		q.Set("from", strconv.FormatUint(asked.from, 10))
 		q.Set("epoch", asked.epoch)
 	} else {
-		most = min(k.c.Hold+grace, wholeTime)
+		most = min(k.config.Hold+answerGrace, completeReadTimeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -109,39 +111,39 @@
 	if err := json.Unmarshal(body, &a); err != nil {
 		return a, fmt.Errorf("an answer that can't be read: %w", err)
 	}
-	if k.c.Part != nil {
+	if k.config.ChooseSubset != nil {
 		if err := asked.fit(&a); err != nil {
 			return a, err
 		}
 	}
-	return a, wholeList(a, asked.from == 0)
+	return a, isCompleteRead(a, asked.from == 0)
 }
 
-func (k *Client) take(from uint64, a registry.Answer) Verdict {
+func (k *Client) apply(from uint64, a registry.ListResponse) Change {
 	k.mu.Lock()
-	verdict := k.belief.Take(time.Since(k.start), from, a)
+	verdict := k.list.Apply(time.Since(k.start), from, a)
 	if verdict != Stale {
-		k.told = time.Now()
+		k.lastAnswerAt = time.Now()
 	}
-	if verdict == Taken || verdict == Nothing {
-		k.settle(a)
+	if verdict == Changed || verdict == Unchanged {
+		k.chooseSubset(a)
 	}
-	news := verdict == Taken && (a.Snapshot || len(a.Endpoints) > 0) // else but the version
-	a.Total = k.belief.total
-	var v View
-	if verdict == Taken {
-		if news && k.c.File != "" {
-			v = k.belief.View()
+	news := verdict == Changed && (a.Snapshot || len(a.Endpoints) > 0) // else but the version
+	a.Total = k.list.total
+	var v List
+	if verdict == Changed {
+		if news && k.config.File != "" {
+			v = k.list.View()
 		}
 		close(k.changed)
 		k.changed = make(chan struct{})
 	}
 	k.mu.Unlock()
-	if verdict == Taken && k.c.Taken != nil {
-		k.c.Taken(a)
+	if verdict == Changed && k.config.OnChange != nil {
+		k.config.OnChange(a)
 	}
-	if news && k.c.File != "" {
-		if err := save(k.c.File, v); err != nil {
+	if news && k.config.File != "" {
+		if err := writeCache(k.config.File, v); err != nil {
 			k.log.Warn("the list is not kept for the next start", "err", err)
 		}
 	}
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -15,28 +15,28 @@
 	"wrenspread/internal/registry"
 )
 
-// Refused is the answer of a service that did not do what was asked.
-type Refused struct {
+// Error is the answer of a service that did not do what was asked.
+type Error struct {
 	Status int
-	registry.Refusal
+	registry.ErrorResponse
 }
 
-func (r *Refused) Error() string { return fmt.Sprintf("the list service says %s: %s", r.Code, r.Why) }
+func (r *Error) Error() string { return fmt.Sprintf("the list service says %s: %s", r.Code, r.Reason) }
 
 func refusal(status int, body []byte) error {
-	r := &Refused{Status: status}
-	if json.Unmarshal(body, &r.Refusal) != nil || r.Code == "" {
-		r.Code, r.Why = "odd", fmt.Sprintf("status %d with no reason that can be read", status)
+	r := &Error{Status: status}
+	if json.Unmarshal(body, &r.ErrorResponse) != nil || r.Code == "" {
+		r.Code, r.Reason = "odd", fmt.Sprintf("status %d with no reason that can be read", status)
 	}
 	return r
 }
 
-// ErrUnknown marks a write that may have been done or not, or may still be.
-var ErrUnknown = errors.New("it is not known whether it was done")
+// ErrOutcomeUnknown marks a write that may have been done or not, or may still be.
+var ErrOutcomeUnknown = errors.New("it is not known whether it was done")
 
 const (
-	tryTime  = 8 * time.Second // for one call; a replica answers within its own five or six
-	betweens = 100 * time.Millisecond
+	attemptTimeout = 8 * time.Second // for one call; a replica answers within its own five or six
+	retryPause     = 100 * time.Millisecond
 )
 
 func entryPath(name string) string { return "/registry/instances/" + url.PathEscape(name) }
@@ -45,21 +45,21 @@
 // another, it has to be renewed. cond, if there is one, is the version that the
 // entry must have, 0 for none. Every write is repeated under one id until its end
 // is known or ctx ends.
-func (k *Client) Register(ctx context.Context, e registry.Entry, ttl time.Duration, cond *uint64) (registry.Result, error) {
-	return k.write(ctx, http.MethodPut, entryPath(e.Name), registry.Write{Entry: &e, TTLms: ttl.Milliseconds(), If: cond})
+func (k *Client) Register(ctx context.Context, e registry.Endpoint, ttl time.Duration, cond *uint64) (registry.Result, error) {
+	return k.write(ctx, http.MethodPut, entryPath(e.Name), registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: cond})
 }
 
 // Drain says that an entry finishes what it holds and takes nothing new.
 func (k *Client) Drain(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
-	return k.write(ctx, http.MethodPost, entryPath(name)+"/drain", registry.Write{If: cond})
+	return k.write(ctx, http.MethodPost, entryPath(name)+"/drain", registry.WriteRequest{IfVersion: cond})
 }
 
 // Remove takes an entry off the list.
 func (k *Client) Remove(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
-	return k.write(ctx, http.MethodDelete, entryPath(name), registry.Write{If: cond})
+	return k.write(ctx, http.MethodDelete, entryPath(name), registry.WriteRequest{IfVersion: cond})
 }
 
-func (k *Client) write(ctx context.Context, method, path string, w registry.Write) (registry.Result, error) {
+func (k *Client) write(ctx context.Context, method, path string, w registry.WriteRequest) (registry.Result, error) {
 	w.ID = newID()
 	var r registry.Result
 	err := k.send(ctx, method, path, w, &r)
@@ -74,41 +74,41 @@
 }
 
 // Current reads the list as it is now, not as some replica has it.
-func (k *Client) Current(ctx context.Context) (registry.Answer, error) {
-	var a registry.Answer
+func (k *Client) Current(ctx context.Context) (registry.ListResponse, error) {
+	var a registry.ListResponse
 	err := k.send(ctx, http.MethodGet, "/registry/instances?current=1", nil, &a)
 	return a, err
 }
 
-// Items reads the list as it is now, with the entries' versions and times to live.
-func (k *Client) Items(ctx context.Context) (registry.Items, error) {
-	var a registry.Items
+// Registrations reads the list as it is now, with the entries' versions and times to live.
+func (k *Client) Registrations(ctx context.Context) (registry.Registrations, error) {
+	var a registry.Registrations
 	err := k.send(ctx, http.MethodGet, "/registry/items", nil, &a)
 	return a, err
 }
 
-// Members lists the replicas.
-func (k *Client) Members(ctx context.Context) ([]registry.Member, error) {
-	var all []registry.Member
+// Replicas lists the replicas.
+func (k *Client) Replicas(ctx context.Context) ([]registry.Replica, error) {
+	var all []registry.Replica
 	err := k.send(ctx, http.MethodGet, "/registry/members", nil, &all)
 	return all, err
 }
 
-// AddMember adds a replica that was started on an empty folder, and waits until it
+// AddReplica adds a replica that was started on an empty folder, and waits until it
 // has its vote. Without an address it is where the others' configurations have it.
-func (k *Client) AddMember(ctx context.Context, name string, at registry.Address) (m registry.Member, err error) {
+func (k *Client) AddReplica(ctx context.Context, name string, at registry.Address) (m registry.Replica, err error) {
 	for {
-		if err = k.send(ctx, http.MethodPut, "/registry/members/"+url.PathEscape(name), at, &m); err != nil || m.Votes {
+		if err = k.send(ctx, http.MethodPut, "/registry/members/"+url.PathEscape(name), at, &m); err != nil || m.Voter {
 			return m, err
 		}
-		if !backoff.Sleep(ctx, betweens) {
+		if !backoff.Sleep(ctx, retryPause) {
 			return m, fmt.Errorf("%w: it learns, and is not up to date yet; the same call goes on from here", ctx.Err())
 		}
 	}
 }
 
-// RemoveMember takes a replica out of the cluster. Its process is to be ended afterwards.
-func (k *Client) RemoveMember(ctx context.Context, name string) error {
+// RemoveReplica takes a replica out of the cluster. Its process is to be ended afterwards.
+func (k *Client) RemoveReplica(ctx context.Context, name string) error {
 	var r registry.Result
 	return k.send(ctx, http.MethodDelete, "/registry/members/"+url.PathEscape(name), nil, &r)
 }
@@ -149,18 +149,18 @@
 		if err == nil || final(err) {
 			return err
 		}
-		k.turn()
-		if !backoff.Sleep(ctx, betweens) {
+		k.nextAddress()
+		if !backoff.Sleep(ctx, retryPause) {
 			if method == http.MethodGet {
 				return fmt.Errorf("%w: %w", ctx.Err(), err)
 			}
-			return fmt.Errorf("%w: %w", ErrUnknown, err)
+			return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
 	}
 }
 
 func (k *Client) once(ctx context.Context, method, path string, raw []byte, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	status, body, err := k.call(ctx, method, k.address(), path, raw)
 	if err != nil {
@@ -181,7 +181,7 @@
 
 // final tells whether a refusal would only come again: what is wrong is the call, or the list as it is.
 func final(err error) bool {
-	var r *Refused
+	var r *Error
 	if !errors.As(err, &r) || r.Status == http.StatusTooManyRequests {
 		return false
 	}
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -10,28 +10,28 @@
 
 // What a command does.
 const (
-	DoBegin    = "begin"    // a new epoch, in a cluster that has none
-	DoRegister = "register" // Entry, TTL
-	DoDrain    = "drain"    // Name
-	DoRemove   = "remove"   // Name
-	DoExpire   = "expire"   // Overdue
-	DoRestore  = "restore"  // Image, with a new epoch
-	DoMember   = "member"   // Name, Address: where the others reach a replica
-	DoForget   = "forget"   // Name, of a replica
-
-	DoSession  = "session"  // Session: open, or change its word
-	DoClose    = "close"    // Sessions, Grant
-	DoCampaign = "campaign" // Session's ID, Wishes, Grant
-	DoGiveUp   = "give-up"  // Session's ID, Wishes (their names), Grant
-	DoYield    = "yield"    // Name, To
-	DoBlock    = "block"    // Name, To, On
-	DoGrant    = "grant"    // Grant
-
-	DoPut = "put" // Name, Value: a record; without a value it goes
+	OpBegin         = "begin"    // a new epoch, in a cluster that has none
+	OpRegister      = "register" // Entry, TTL
+	OpDrain         = "drain"    // Name
+	OpRemove        = "remove"   // Name
+	OpExpire        = "expire"   // Overdue
+	OpRestore       = "restore"  // Image, with a new epoch
+	OpAddReplica    = "member"   // Name, Address: where the others reach a replica
+	OpForgetReplica = "forget"   // Name, of a replica
+
+	OpOpenSession   = "session"  // Session: open, or change its word
+	OpCloseSessions = "close"    // Sessions, Grant
+	OpCampaign      = "campaign" // Session's ID, Wishes, Grant
+	OpRelease       = "give-up"  // Session's ID, Wishes (their names), Grant
+	OpTransfer      = "yield"    // Name, To
+	OpBlock         = "block"    // Name, To, On
+	OpGrant         = "grant"    // Grant
+
+	OpPutRecord = "put" // Name, Value: a record; without a value it goes
 )
 
-var known = []string{DoBegin, DoRegister, DoDrain, DoRemove, DoExpire, DoRestore, DoMember, DoForget,
-	DoSession, DoClose, DoCampaign, DoGiveUp, DoYield, DoBlock, DoGrant, DoPut}
+var knownOps = []string{OpBegin, OpRegister, OpDrain, OpRemove, OpExpire, OpRestore, OpAddReplica, OpForgetReplica,
+	OpOpenSession, OpCloseSessions, OpCampaign, OpRelease, OpTransfer, OpBlock, OpGrant, OpPutRecord}
 
 // Bounds on commands.
 const (
@@ -40,37 +40,37 @@
 	MinTTL     = time.Second
 	MaxTTL     = time.Hour
 	MaxCommand = 96 << 20 // bytes of a command as it is logged: a restore of a full list with all records
-	form       = 1
+	format     = 1
 )
 
 // Command is one step of the state machine, as it stands in the log.
 type Command struct {
-	Form    int             `json:"v"`
-	Do      string          `json:"do"`
-	ID      string          `json:"id,omitempty"` // of a write, so that a repeat does not apply twice
-	Name    string          `json:"name,omitempty"`
-	Entry   *Entry          `json:"entry,omitempty"`
-	TTL     time.Duration   `json:"ttl,omitempty"` // 0: the entry stays until it is removed
-	If      *uint64         `json:"if,omitempty"`  // the version that the entry must have; 0: it must be absent
-	Overdue []Lease         `json:"overdue,omitempty"`
-	Epoch   string          `json:"epoch,omitempty"`
-	Over    string          `json:"over,omitempty"` // the epoch that a restore means to replace
-	Image   json.RawMessage `json:"image,omitempty"`
-	Address *Address        `json:"address,omitempty"`
+	Format        int               `json:"v"`
+	Op            string            `json:"do"`
+	ID            string            `json:"id,omitempty"` // of a write, so that a repeat does not apply twice
+	Name          string            `json:"name,omitempty"`
+	Endpoint      *Endpoint         `json:"entry,omitempty"`
+	TTL           time.Duration     `json:"ttl,omitempty"` // 0: the entry stays until it is removed
+	IfVersion     *uint64           `json:"if,omitempty"`  // the version that the entry must have; 0: it must be absent
+	Expired       []EndpointVersion `json:"overdue,omitempty"`
+	Epoch         string            `json:"epoch,omitempty"`
+	ReplacesEpoch string            `json:"over,omitempty"` // the epoch that a restore means to replace
+	Snapshot      json.RawMessage   `json:"image,omitempty"`
+	Address       *Address          `json:"address,omitempty"`
 
 	Value json.RawMessage `json:"value,omitempty"` // of a record
 
-	Fence    *Fence   `json:"fence,omitempty"` // of the holder that writes
-	Session  *Session `json:"session,omitempty"`
-	Sessions []string `json:"sessions,omitempty"`
-	Wishes   []Wish   `json:"wishes,omitempty"`
-	Grant    []string `json:"grant,omitempty"` // duties that may be given on in this step
-	To       string   `json:"to,omitempty"`    // a process
-	On       bool     `json:"on,omitempty"`
+	Token       *FencingToken `json:"fence,omitempty"` // of the holder that writes
+	Session     *Session      `json:"session,omitempty"`
+	Sessions    []string      `json:"sessions,omitempty"`
+	Candidacies []Candidacy   `json:"wishes,omitempty"`
+	Grant       []string      `json:"grant,omitempty"` // duties that may be given on in this step
+	Process     string        `json:"to,omitempty"`    // a process
+	Enable      bool          `json:"on,omitempty"`
 }
 
-// Lease names an entry at the version that is meant.
-type Lease struct {
+// EndpointVersion names an entry at the version that is meant.
+type EndpointVersion struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
@@ -80,20 +80,20 @@
 
 // The codes. Done stands for a command that was carried out, also where it changed nothing.
 const (
-	Done     Code = ""
-	Conflict Code = "conflict" // the entry has another version than the command's
-	Absent   Code = "absent"   // there is no such entry
-	Full     Code = "full"     // the list takes no more entries
-	Invalid  Code = "invalid"
-	Fenced   Code = "fenced" // the writer does not hold the duty that it names
+	Applied          Code = ""
+	Conflict         Code = "conflict" // the entry has another version than the command's
+	NotFound         Code = "absent"   // there is no such entry
+	CapacityExceeded Code = "full"     // the list takes no more entries
+	Invalid          Code = "invalid"
+	StaleToken       Code = "fenced" // the writer does not hold the duty that it names
 )
 
 // Result is what a command came to.
 type Result struct {
-	Code    Code   `json:"code,omitempty"`
-	Why     string `json:"why,omitempty"`
-	Version uint64 `json:"version"`         // of the list, after the command
-	Entry   uint64 `json:"entry,omitempty"` // version of the entry that it is about; of the one in the way, at a conflict
+	Code         Code   `json:"code,omitempty"`
+	Reason       string `json:"why,omitempty"`
+	Version      uint64 `json:"version"`         // of the list, after the command
+	EntryVersion uint64 `json:"entry,omitempty"` // version of the entry that it is about; of the one in the way, at a conflict
 }
 
 // Check says what is wrong with a write before it is logged.
@@ -101,47 +101,47 @@
 	if len(c.ID) > MaxID {
 		return fmt.Errorf("id: %d bytes, %d at most", len(c.ID), MaxID)
 	}
-	switch c.Do {
-	case DoRegister:
-		if c.Entry == nil {
+	switch c.Op {
+	case OpRegister:
+		if c.Endpoint == nil {
 			return errors.New("entry: missing")
 		}
 		if c.TTL != 0 && (c.TTL < MinTTL || c.TTL > MaxTTL) {
 			return fmt.Errorf("ttl: %v, want 0 or %v to %v", c.TTL, MinTTL, MaxTTL)
 		}
-		return c.Entry.Check()
-	case DoDrain, DoRemove:
+		return c.Endpoint.Check()
+	case OpDrain, OpRemove:
 		if c.Name == "" || len(c.Name) > MaxText {
 			return fmt.Errorf("name: want 1 to %d bytes", MaxText)
 		}
-	case DoExpire:
-		if len(c.Overdue) > MaxExpire {
-			return fmt.Errorf("overdue: %d entries, %d at most", len(c.Overdue), MaxExpire)
+	case OpExpire:
+		if len(c.Expired) > MaxExpire {
+			return fmt.Errorf("overdue: %d entries, %d at most", len(c.Expired), MaxExpire)
 		}
-	case DoMember, DoForget:
+	case OpAddReplica, OpForgetReplica:
 		if c.Name == "" || len(c.Name) > MaxText {
 			return fmt.Errorf("name: want 1 to %d bytes", MaxText)
 		}
-		if c.Do == DoMember {
+		if c.Op == OpAddReplica {
 			return c.Address.Check()
 		}
-	case DoBegin, DoRestore:
+	case OpBegin, OpRestore:
 		if c.Epoch == "" || len(c.Epoch) > MaxID {
 			return fmt.Errorf("epoch: want 1 to %d bytes", MaxID)
 		}
-	case DoSession, DoClose, DoCampaign, DoGiveUp, DoYield, DoBlock, DoGrant:
-		return c.checkDuty()
-	case DoPut:
+	case OpOpenSession, OpCloseSessions, OpCampaign, OpRelease, OpTransfer, OpBlock, OpGrant:
+		return c.checkLease()
+	case OpPutRecord:
 		return c.checkRecord()
 	default:
-		return fmt.Errorf("do: %q is nothing that is done here", c.Do)
+		return fmt.Errorf("do: %q is nothing that is done here", c.Op)
 	}
 	return nil
 }
 
 // Encode gives the form in which a command is logged.
 func (c Command) Encode() ([]byte, error) {
-	c.Form = form
+	c.Format = format
 	return json.Marshal(c)
 }
 
@@ -155,11 +155,11 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return c, fmt.Errorf("a command that can't be read: %w", err)
 	}
-	if c.Form != form {
-		return c, fmt.Errorf("a command of form %d, this program knows %d", c.Form, form)
+	if c.Format != format {
+		return c, fmt.Errorf("a command of form %d, this program knows %d", c.Format, format)
 	}
-	if !slices.Contains(known, c.Do) {
-		return c, fmt.Errorf("a command to %q, which a later program may know", c.Do)
+	if !slices.Contains(knownOps, c.Op) {
+		return c, fmt.Errorf("a command to %q, which a later program may know", c.Op)
 	}
 	return c, nil
 }
