--- a/internal/registry/duties_change.go
+++ b/internal/registry/duties_change.go
@@ -10,13 +10,13 @@
 
 func (s *State) openSession(c Command) Result {
 	in := c.Session
-	h, there := s.duties.Sessions[in.ID]
-	if !there && len(s.duties.Sessions) >= MaxSessions {
-		return Result{Code: Full, Why: fmt.Sprintf("there are %d sessions already", len(s.duties.Sessions))}
+	h, there := s.leases.Sessions[in.ID]
+	if !there && len(s.leases.Sessions) >= MaxSessions {
+		return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("there are %d sessions already", len(s.leases.Sessions))}
 	}
 	if !there {
-		h = &held{In: map[string]bool{}}
-		s.duties.Sessions[in.ID] = h
+		h = &openSession{Leases: map[string]bool{}}
+		s.leases.Sessions[in.ID] = h
 	}
 	h.Session = *in
 	return Result{}
@@ -24,50 +24,50 @@
 
 // closeSession ends a session, and with it all that it holds.
 func (s *State) closeSession(id string, grant []string) {
-	h, ok := s.duties.Sessions[id]
+	h, ok := s.leases.Sessions[id]
 	if !ok {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.In)) {
-		s.leaveDuty(h, name, slices.Contains(grant, name))
+	for _, name := range slices.Sorted(maps.Keys(h.Leases)) {
+		s.leaveLease(h, name, slices.Contains(grant, name))
 	}
-	delete(s.duties.Sessions, id)
+	delete(s.leases.Sessions, id)
 }
 
-// leaveDuty takes a session out of a duty and its queue.
-func (s *State) leaveDuty(h *held, name string, grant bool) {
-	d := s.duties.Duties[name]
-	delete(h.In, name)
+// leaveLease takes a session out of a duty and its queue.
+func (s *State) leaveLease(h *openSession, name string, grant bool) {
+	d := s.leases.Leases[name]
+	delete(h.Leases, name)
 	d.Queue = slices.DeleteFunc(d.Queue, func(c Candidate) bool { return c.Session == h.ID })
 	if d.Holder == h.ID {
-		d.Holder, d.Process, d.Word, d.Priority, d.Asked = "", "", nil, 0, false
-		s.dutyChanged()
+		d.Holder, d.Process, d.HolderInfo, d.Priority, d.TransferRequested = "", "", nil, 0, false
+		s.leaseChanged()
 		if grant {
 			s.grant(d)
 		}
 	}
-	s.tidy(d)
+	s.removeIfUnused(d)
 }
 
-// tidy forgets a duty that nobody holds, wants or is kept from. Its name may be
+// removeIfUnused forgets a duty that nobody holds, wants or is kept from. Its name may be
 // used again: fences are versions, so a later grant has a higher one all the same.
-func (s *State) tidy(d *Duty) {
+func (s *State) removeIfUnused(d *Lease) {
 	if d.Holder == "" && len(d.Queue) == 0 && len(d.Blocked) == 0 {
-		delete(s.duties.Duties, d.Name)
+		delete(s.leases.Leases, d.Name)
 	}
 }
 
-func (s *State) dutyChanged() {
+func (s *State) leaseChanged() {
 	s.version++
-	s.duties.Changed = s.version
+	s.leases.Changed = s.version
 }
 
 // next is the candidate that has a duty next, or -1.
-func (d *Duty) next() int {
+func (d *Lease) next() int {
 	best := -1
 	better := func(a, b Candidate) bool {
-		if (a.Process == d.To) != (b.Process == d.To) {
-			return a.Process == d.To
+		if (a.Process == d.Successor) != (b.Process == d.Successor) {
+			return a.Process == d.Successor
 		}
 		return a.Priority > b.Priority // of those alike the first that came
 	}
@@ -80,113 +80,113 @@
 }
 
 // grant gives a free duty to the next in its queue.
-func (s *State) grant(d *Duty) {
+func (s *State) grant(d *Lease) {
 	i := d.next()
 	if d.Holder != "" || i < 0 {
 		return
 	}
 	c := d.Queue[i]
 	d.Queue = slices.Delete(d.Queue, i, i+1)
-	s.dutyChanged()
-	word := s.duties.Sessions[c.Session].Word
-	d.Holder, d.Process, d.Word, d.Priority, d.Fence, d.To = c.Session, c.Process, &word, c.Priority, s.version, ""
-	s.outdo(d)
+	s.leaseChanged()
+	word := s.leases.Sessions[c.Session].Info
+	d.Holder, d.Process, d.HolderInfo, d.Priority, d.Token, d.Successor = c.Session, c.Process, &word, c.Priority, s.version, ""
+	s.preempt(d)
 }
 
-// outdo asks the holder to hand on if somebody waits who goes before it.
-func (s *State) outdo(d *Duty) {
-	if d.Holder == "" || d.Asked {
+// preempt asks the holder to hand on if somebody waits who goes before it.
+func (s *State) preempt(d *Lease) {
+	if d.Holder == "" || d.TransferRequested {
 		return
 	}
-	if i := d.next(); i >= 0 && d.Queue[i].Over && d.Queue[i].Priority > d.Priority {
-		d.Asked = true
-		s.dutyChanged()
+	if i := d.next(); i >= 0 && d.Queue[i].Preempt && d.Queue[i].Priority > d.Priority {
+		d.TransferRequested = true
+		s.leaseChanged()
 	}
 }
 
 func (s *State) campaign(c Command) Result {
-	h, ok := s.duties.Sessions[c.Session.ID]
+	h, ok := s.leases.Sessions[c.Session.ID]
 	if !ok {
-		return Result{Code: Absent, Why: "there is no session " + c.Session.ID}
+		return Result{Code: NotFound, Reason: "there is no session " + c.Session.ID}
 	}
-	for _, w := range c.Wishes {
-		d := s.duties.Duties[w.Duty]
+	for _, w := range c.Candidacies {
+		d := s.leases.Leases[w.Lease]
 		switch {
-		case d == nil && len(s.duties.Duties) >= MaxDuties:
-			return Result{Code: Full, Why: fmt.Sprintf("there are %d duties already", len(s.duties.Duties))}
+		case d == nil && len(s.leases.Leases) >= MaxLeases:
+			return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases))}
 		case d == nil:
-			d = &Duty{Name: w.Duty}
-			s.duties.Duties[w.Duty] = d
-		case h.In[w.Duty]:
+			d = &Lease{Name: w.Lease}
+			s.leases.Leases[w.Lease] = d
+		case h.Leases[w.Lease]:
 			continue // it waits for it or has it already
 		case len(d.Queue) >= MaxCandidates:
-			return Result{Code: Full, Why: fmt.Sprintf("%d wait for %s already", len(d.Queue), w.Duty)}
+			return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("%d wait for %s already", len(d.Queue), w.Lease)}
 		}
-		h.In[w.Duty] = true
-		s.dutyChanged()
-		d.Queue = append(d.Queue, Candidate{Session: h.ID, Process: h.Process, Priority: w.Priority, Over: w.Over, Since: s.version})
-		if slices.Contains(c.Grant, w.Duty) {
+		h.Leases[w.Lease] = true
+		s.leaseChanged()
+		d.Queue = append(d.Queue, Candidate{Session: h.ID, Process: h.Process, Priority: w.Priority, Preempt: w.Preempt, Since: s.version})
+		if slices.Contains(c.Grant, w.Lease) {
 			s.grant(d)
 		}
-		s.outdo(d)
+		s.preempt(d)
 	}
 	return Result{}
 }
 
-func (s *State) giveUp(c Command) Result {
-	h, ok := s.duties.Sessions[c.Session.ID]
+func (s *State) releaseLeases(c Command) Result {
+	h, ok := s.leases.Sessions[c.Session.ID]
 	if !ok {
-		return Result{Code: Absent, Why: "there is no session " + c.Session.ID}
+		return Result{Code: NotFound, Reason: "there is no session " + c.Session.ID}
 	}
-	for _, w := range c.Wishes {
-		if h.In[w.Duty] {
-			s.leaveDuty(h, w.Duty, slices.Contains(c.Grant, w.Duty))
+	for _, w := range c.Candidacies {
+		if h.Leases[w.Lease] {
+			s.leaveLease(h, w.Lease, slices.Contains(c.Grant, w.Lease))
 		}
 	}
 	return Result{}
 }
 
-// yield asks a holder to hand on, to a certain process if one is named.
-func (s *State) yield(c Command) Result {
-	d, ok := s.duties.Duties[c.Name]
+// transferLease asks a holder to hand on, to a certain process if one is named.
+func (s *State) transferLease(c Command) Result {
+	d, ok := s.leases.Leases[c.Name]
 	if !ok || d.Holder == "" {
-		return Result{Code: Absent, Why: "nobody holds " + c.Name}
+		return Result{Code: NotFound, Reason: "nobody holds " + c.Name}
 	}
-	if c.To != "" && !slices.ContainsFunc(d.Queue, func(k Candidate) bool { return k.Process == c.To }) {
-		return Result{Code: Absent, Why: fmt.Sprintf("%s does not wait for %s", c.To, c.Name)}
+	if c.Process != "" && !slices.ContainsFunc(d.Queue, func(k Candidate) bool { return k.Process == c.Process }) {
+		return Result{Code: NotFound, Reason: fmt.Sprintf("%s does not wait for %s", c.Process, c.Name)}
 	}
-	if !d.Asked || d.To != c.To {
-		d.Asked, d.To = true, c.To
-		s.dutyChanged()
+	if !d.TransferRequested || d.Successor != c.Process {
+		d.TransferRequested, d.Successor = true, c.Process
+		s.leaseChanged()
 	}
-	return Result{Entry: d.Fence}
+	return Result{EntryVersion: d.Token}
 }
 
 // block keeps a process from a duty, or lets it again.
 func (s *State) block(c Command) Result {
-	d, ok := s.duties.Duties[c.Name]
+	d, ok := s.leases.Leases[c.Name]
 	if !ok {
-		if len(s.duties.Duties) >= MaxDuties {
-			return Result{Code: Full, Why: fmt.Sprintf("there are %d duties already", len(s.duties.Duties))}
+		if len(s.leases.Leases) >= MaxLeases {
+			return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases))}
 		}
-		d = &Duty{Name: c.Name}
-		s.duties.Duties[c.Name] = d
+		d = &Lease{Name: c.Name}
+		s.leases.Leases[c.Name] = d
 	}
-	is := slices.Contains(d.Blocked, c.To)
+	is := slices.Contains(d.Blocked, c.Process)
 	switch {
-	case c.On && !is && len(d.Blocked) >= MaxCandidates:
-		return Result{Code: Full, Why: fmt.Sprintf("%d processes are blocked already", len(d.Blocked))}
-	case c.On && !is:
-		d.Blocked = append(d.Blocked, c.To)
-		s.dutyChanged()
-		if d.Process == c.To && d.Holder != "" && !d.Asked {
-			d.Asked = true
-			s.dutyChanged()
+	case c.Enable && !is && len(d.Blocked) >= MaxCandidates:
+		return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("%d processes are blocked already", len(d.Blocked))}
+	case c.Enable && !is:
+		d.Blocked = append(d.Blocked, c.Process)
+		s.leaseChanged()
+		if d.Process == c.Process && d.Holder != "" && !d.TransferRequested {
+			d.TransferRequested = true
+			s.leaseChanged()
 		}
-	case !c.On && is:
-		d.Blocked = slices.DeleteFunc(d.Blocked, func(p string) bool { return p == c.To })
-		s.dutyChanged()
+	case !c.Enable && is:
+		d.Blocked = slices.DeleteFunc(d.Blocked, func(p string) bool { return p == c.Process })
+		s.leaseChanged()
 	}
-	s.tidy(d)
+	s.removeIfUnused(d)
 	return Result{}
 }
--- a/internal/registry/duties_check.go
+++ b/internal/registry/duties_check.go
@@ -4,26 +4,26 @@
 
 import "fmt"
 
-// applyDuty carries out a command on duties.
-func (s *State) applyDuty(c Command) Result {
-	switch c.Do {
-	case DoSession:
+// applyLeaseCommand carries out a command on duties.
+func (s *State) applyLeaseCommand(c Command) Result {
+	switch c.Op {
+	case OpOpenSession:
 		return s.openSession(c)
-	case DoClose:
+	case OpCloseSessions:
 		for _, id := range c.Sessions {
 			s.closeSession(id, c.Grant)
 		}
-	case DoCampaign:
+	case OpCampaign:
 		return s.campaign(c)
-	case DoGiveUp:
-		return s.giveUp(c)
-	case DoYield:
-		return s.yield(c)
-	case DoBlock:
+	case OpRelease:
+		return s.releaseLeases(c)
+	case OpTransfer:
+		return s.transferLease(c)
+	case OpBlock:
 		return s.block(c)
-	case DoGrant:
+	case OpGrant:
 		for _, name := range c.Grant {
-			if d, ok := s.duties.Duties[name]; ok {
+			if d, ok := s.leases.Leases[name]; ok {
 				s.grant(d)
 			}
 		}
@@ -31,25 +31,25 @@
 	return Result{}
 }
 
-// checkDuty says what is wrong with a command on duties.
-func (c Command) checkDuty() error {
-	if len(c.Wishes) > MaxBatch || len(c.Sessions) > MaxSessions || len(c.Grant) > MaxDuties {
-		return fmt.Errorf("%d duties or %d sessions are too many for one command", len(c.Wishes), len(c.Sessions))
+// checkLease says what is wrong with a command on duties.
+func (c Command) checkLease() error {
+	if len(c.Candidacies) > MaxLeaseBatch || len(c.Sessions) > MaxSessions || len(c.Grant) > MaxLeases {
+		return fmt.Errorf("%d duties or %d sessions are too many for one command", len(c.Candidacies), len(c.Sessions))
 	}
-	for _, w := range c.Wishes {
-		if w.Duty == "" || len(w.Duty) > MaxText {
+	for _, w := range c.Candidacies {
+		if w.Lease == "" || len(w.Lease) > MaxText {
 			return fmt.Errorf("duty: want 1 to %d bytes", MaxText)
 		}
 	}
-	switch c.Do {
-	case DoSession:
+	switch c.Op {
+	case OpOpenSession:
 		return c.Session.check()
-	case DoCampaign, DoGiveUp:
+	case OpCampaign, OpRelease:
 		if c.Session == nil || c.Session.ID == "" {
 			return fmt.Errorf("session: missing")
 		}
-	case DoYield, DoBlock:
-		if c.Name == "" || len(c.Name) > MaxText || len(c.To) > MaxText || c.Do == DoBlock && c.To == "" {
+	case OpTransfer, OpBlock:
+		if c.Name == "" || len(c.Name) > MaxText || len(c.Process) > MaxText || c.Op == OpBlock && c.Process == "" {
 			return fmt.Errorf("duty and process: want 1 to %d bytes", MaxText)
 		}
 	}
@@ -57,22 +57,22 @@
 }
 
 // check says what is wrong with duties that could not have been.
-func (d *duties) check(version uint64) error {
-	if d.Sessions == nil || d.Duties == nil || d.Changed > version {
+func (d *leaseState) check(version uint64) error {
+	if d.Sessions == nil || d.Leases == nil || d.Changed > version {
 		return fmt.Errorf("duties without sessions, or changed after version %d", version)
 	}
 	for id, h := range d.Sessions {
-		if h == nil || h.ID != id || h.In == nil {
+		if h == nil || h.ID != id || h.Leases == nil {
 			return fmt.Errorf("session %s is not itself", id)
 		}
-		for name := range h.In {
-			if d.Duties[name] == nil {
+		for name := range h.Leases {
+			if d.Leases[name] == nil {
 				return fmt.Errorf("session %s is in %s, which is no duty", id, name)
 			}
 		}
 	}
-	for name, one := range d.Duties {
-		if one == nil || one.Name != name || one.Fence > version || one.Holder != "" && (d.Sessions[one.Holder] == nil || one.Fence == 0) {
+	for name, one := range d.Leases {
+		if one == nil || one.Name != name || one.Token > version || one.Holder != "" && (d.Sessions[one.Holder] == nil || one.Token == 0) {
 			return fmt.Errorf("duty %s has a holder or a fence that can't be", name)
 		}
 		for _, c := range one.Queue {
--- a/internal/registry/entries.go
+++ b/internal/registry/entries.go
@@ -4,43 +4,43 @@
 
 import "fmt"
 
-// meets tells whether an entry has the version that the command asks for; absent, it has 0.
-func (s *State) meets(c Command, name string) (Result, bool) {
-	if has := s.items[name].Version; c.If != nil && *c.If != has {
-		return Result{Code: Conflict, Entry: has, Why: fmt.Sprintf("%s has version %d, not %d", name, has, *c.If)}, false
+// checkVersion tells whether an entry has the version that the command asks for; absent, it has 0.
+func (s *State) checkVersion(c Command, name string) (Result, bool) {
+	if has := s.registrations[name].Version; c.IfVersion != nil && *c.IfVersion != has {
+		return Result{Code: Conflict, EntryVersion: has, Reason: fmt.Sprintf("%s has version %d, not %d", name, has, *c.IfVersion)}, false
 	}
 	return Result{}, true
 }
 
 func (s *State) register(c Command) Result {
-	if r, ok := s.meets(c, c.Entry.Name); !ok {
+	if r, ok := s.checkVersion(c, c.Endpoint.Name); !ok {
 		return r
 	}
-	i, there := s.items[c.Entry.Name]
-	if !there && len(s.items) >= MaxEntries {
-		return Result{Code: Full, Why: fmt.Sprintf("the list has %d entries already", len(s.items))}
+	i, there := s.registrations[c.Endpoint.Name]
+	if !there && len(s.registrations) >= MaxEndpoints {
+		return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("the list has %d entries already", len(s.registrations))}
 	}
-	if there && i.Entry == *c.Entry {
+	if there && i.Endpoint == *c.Endpoint {
 		i.TTL = c.TTL // nobody who watches has anything to learn
-		s.items[c.Entry.Name] = i
-		return Result{Entry: i.Version}
+		s.registrations[c.Endpoint.Name] = i
+		return Result{EntryVersion: i.Version}
 	}
 	if !there {
-		s.arcs.add(c.Entry.Name)
+		s.byPosition.add(c.Endpoint.Name)
 	}
-	s.change(*c.Entry)
-	s.items[c.Entry.Name] = Item{Entry: *c.Entry, Version: s.version, TTL: c.TTL}
-	return Result{Entry: s.version}
+	s.recordChange(*c.Endpoint)
+	s.registrations[c.Endpoint.Name] = Registration{Endpoint: *c.Endpoint, Version: s.version, TTL: c.TTL}
+	return Result{EntryVersion: s.version}
 }
 
 // find gives the entry that a command names, as long as it meets the condition.
-func (s *State) find(c Command) (Item, Result, bool) {
-	i, there := s.items[c.Name]
-	if r, ok := s.meets(c, c.Name); !ok {
+func (s *State) find(c Command) (Registration, Result, bool) {
+	i, there := s.registrations[c.Name]
+	if r, ok := s.checkVersion(c, c.Name); !ok {
 		return i, r, false
 	}
 	if !there {
-		return i, Result{Code: Absent, Why: fmt.Sprintf("there is no %s", c.Name)}, false
+		return i, Result{Code: NotFound, Reason: fmt.Sprintf("there is no %s", c.Name)}, false
 	}
 	return i, Result{}, true
 }
@@ -50,14 +50,14 @@
 	if !ok {
 		return r
 	}
-	if i.Entry.Status == Draining {
-		return Result{Entry: i.Version}
+	if i.Endpoint.Status == Draining {
+		return Result{EntryVersion: i.Version}
 	}
-	i.Entry.Status = Draining
-	s.change(i.Entry)
+	i.Endpoint.Status = Draining
+	s.recordChange(i.Endpoint)
 	i.Version = s.version
-	s.items[c.Name] = i
-	return Result{Entry: i.Version}
+	s.registrations[c.Name] = i
+	return Result{EntryVersion: i.Version}
 }
 
 func (s *State) remove(c Command) Result {
@@ -65,22 +65,22 @@
 	if !ok {
 		return r
 	}
-	s.leave(i.Entry)
-	return Result{Entry: s.version}
+	s.removeEndpoint(i.Endpoint)
+	return Result{EntryVersion: s.version}
 }
 
-func (s *State) leave(e Entry) {
-	delete(s.items, e.Name)
-	s.arcs.remove(e.Name)
-	e.Status = Gone
-	s.change(e)
+func (s *State) removeEndpoint(e Endpoint) {
+	delete(s.registrations, e.Name)
+	s.byPosition.remove(e.Name)
+	e.Status = Removed
+	s.recordChange(e)
 }
 
-// change gives a change the next number.
-func (s *State) change(e Entry) {
+// recordChange gives a change the next number.
+func (s *State) recordChange(e Endpoint) {
 	s.version++
 	if old, full := s.changes.push(Change{s.version, e}); full {
-		s.trimmed = old.Version
+		s.trimmedVersion = old.Version
 	}
 }
 
@@ -89,5 +89,5 @@
 	if n := s.changes.len(); n > 0 {
 		return s.changes.at(n - 1).Version
 	}
-	return s.trimmed
+	return s.trimmedVersion
 }
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -13,31 +13,31 @@
 const (
 	Ready    = "ready"
 	Draining = "draining"
-	Gone     = "gone"
+	Removed  = "gone"
 )
 
 // Bounds on what the list takes.
 const (
-	MaxText    = 256     // bytes of a name, an address, a zone or a type
-	MaxEntries = 1 << 16 // a fifth more than the size to design for, docs/list-design.md
-	MaxMembers = 9       // replicas; raft gains nothing from more than five that vote, and replacing needs some at a time
+	MaxText      = 256     // bytes of a name, an address, a zone or a type
+	MaxEndpoints = 1 << 16 // a fifth more than the size to design for, docs/list-design.md
+	MaxReplicas  = 9       // replicas; raft gains nothing from more than five that vote, and replacing needs some at a time
 )
 
-// Entry is one server, in discovery's form.
-type Entry struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"`
-	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"`          // Unix time of the server's last start; 0: long ago
-	Version string  `json:"version,omitempty"` // of its program, if somebody says; nodes pass over it
+// Endpoint is one server, in discovery's form.
+type Endpoint struct {
+	Name        string  `json:"name"`
+	Address     string  `json:"address"`
+	Zone        string  `json:"zone"`
+	Type        string  `json:"type"`
+	Cell        int     `json:"group"`
+	Status      string  `json:"status"`
+	Weight      float64 `json:"weight"`
+	StartedAtMS int64   `json:"since_ms"`          // Unix time of the server's last start; 0: long ago
+	Version     string  `json:"version,omitempty"` // of its program, if somebody says; nodes pass over it
 }
 
 // Check says what is wrong with an entry that is to be registered.
-func (e Entry) Check() error {
+func (e Endpoint) Check() error {
 	if e.Name == "" {
 		return errors.New("name: missing")
 	}
@@ -52,28 +52,28 @@
 	if _, _, err := net.SplitHostPort(e.Address); err != nil {
 		return fmt.Errorf("address: %w", err)
 	}
-	if e.SinceMS < 0 || !(e.Weight >= 0) { // so that NaN fails, too
+	if e.StartedAtMS < 0 || !(e.Weight >= 0) { // so that NaN fails, too
 		return errors.New("since_ms and weight: want 0 or more")
 	}
 	return nil
 }
 
-// Answer is what a read or a watch gets: the whole list, or what has changed. A
+// ListResponse is what a read or a watch gets: the whole list, or what has changed. A
 // reader that knows no epoch ignores it.
-type Answer struct {
-	Index     uint64  `json:"index"`
-	Epoch     string  `json:"epoch,omitempty"`
-	Snapshot  bool    `json:"snapshot"`
-	Part      string  `json:"part,omitempty"`  // that it is of, for a reader that has named one
-	Total     int     `json:"total,omitempty"` // entries in all of the list, for the same
-	Endpoints []Entry `json:"endpoints"`       // the last, as the service puts it behind the rest
-	Odd       []error `json:"-"`               // what is wrong with entries that were read and passed over
+type ListResponse struct {
+	Index     uint64     `json:"index"`
+	Epoch     string     `json:"epoch,omitempty"`
+	Snapshot  bool       `json:"snapshot"`
+	Subset    string     `json:"part,omitempty"`  // that it is of, for a reader that has named one
+	Total     int        `json:"total,omitempty"` // entries in all of the list, for the same
+	Endpoints []Endpoint `json:"endpoints"`       // the last, as the service puts it behind the rest
+	Skipped   []error    `json:"-"`               // what is wrong with entries that were read and passed over
 }
 
 // UnmarshalJSON reads an answer. An entry that can't be used must not cost a
 // reader the others, so it is passed over.
-func (a *Answer) UnmarshalJSON(raw []byte) error {
-	type plain Answer // without this method
+func (a *ListResponse) UnmarshalJSON(raw []byte) error {
+	type plain ListResponse // without this method
 	in := struct {
 		*plain
 		Endpoints []json.RawMessage `json:"endpoints"`
@@ -81,17 +81,17 @@
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return err
 	}
-	if a.Endpoints, a.Odd = nil, nil; in.Endpoints != nil { // none told is not the same as told that there are none
-		a.Endpoints = []Entry{}
+	if a.Endpoints, a.Skipped = nil, nil; in.Endpoints != nil { // none told is not the same as told that there are none
+		a.Endpoints = []Endpoint{}
 	}
 	for _, one := range in.Endpoints {
-		var e Entry
+		var e Endpoint
 		err := json.Unmarshal(one, &e)
 		if err == nil {
 			err = e.usable()
 		}
 		if err != nil {
-			a.Odd = append(a.Odd, fmt.Errorf("entry %s: %w", one[:min(len(one), 200)], err))
+			a.Skipped = append(a.Skipped, fmt.Errorf("entry %s: %w", one[:min(len(one), 200)], err))
 			continue
 		}
 		a.Endpoints = append(a.Endpoints, e)
@@ -100,12 +100,12 @@
 }
 
 // usable says what is wrong with an entry that is read. One that has left needs no address.
-func (e Entry) usable() error {
+func (e Endpoint) usable() error {
 	if e.Name == "" {
 		return errors.New("no name")
 	}
 	switch e.Status {
-	case Gone:
+	case Removed:
 		return nil
 	case Ready, Draining:
 	default:
@@ -114,7 +114,7 @@
 	if _, _, err := net.SplitHostPort(e.Address); err != nil {
 		return fmt.Errorf("address: %w", err)
 	}
-	if e.SinceMS < 0 || e.Weight < 0 {
+	if e.StartedAtMS < 0 || e.Weight < 0 {
 		return errors.New("negative since_ms or weight")
 	}
 	return nil
--- a/internal/registry/recent.go
+++ b/internal/registry/recent.go
@@ -1,32 +1,32 @@
 package registry
 
-// recent keeps the last few of what is pushed.
-type recent[T any] struct {
-	most  int
-	start int
-	kept  []T
+// ringBuffer keeps the last few of what is pushed.
+type ringBuffer[T any] struct {
+	capacity int
+	start    int
+	values   []T
 }
 
 // push adds one and gives the one that had to go, if any.
-func (r *recent[T]) push(v T) (old T, full bool) {
-	if len(r.kept) < r.most {
-		r.kept = append(r.kept, v)
+func (r *ringBuffer[T]) push(v T) (old T, full bool) {
+	if len(r.values) < r.capacity {
+		r.values = append(r.values, v)
 		return old, false
 	}
-	old = r.kept[r.start]
-	r.kept[r.start] = v
-	r.start = (r.start + 1) % r.most
+	old = r.values[r.start]
+	r.values[r.start] = v
+	r.start = (r.start + 1) % r.capacity
 	return old, true
 }
 
-func (r *recent[T]) len() int { return len(r.kept) }
+func (r *ringBuffer[T]) len() int { return len(r.values) }
 
 // at gives the kept ones by age, the oldest first.
-func (r *recent[T]) at(i int) T { return r.kept[(r.start+i)%len(r.kept)] }
+func (r *ringBuffer[T]) at(i int) T { return r.values[(r.start+i)%len(r.values)] }
 
-func (r *recent[T]) all() []T {
-	all := make([]T, 0, len(r.kept))
-	for i := range r.kept {
+func (r *ringBuffer[T]) all() []T {
+	all := make([]T, 0, len(r.values))
+	for i := range r.values {
 		all = append(all, r.at(i))
 	}
 	return all
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -30,18 +30,18 @@
 
 // Records gives those whose keys begin with a prefix, by key, without their values. It looks at no others.
 func (s *State) Records(prefix string) (all []Record) {
-	s.keys.under(prefix, func(key string) { all = append(all, Record{Key: key, Version: s.records[key].Version}) })
+	s.recordKeys.withPrefix(prefix, func(key string) { all = append(all, Record{Key: key, Version: s.records[key].Version}) })
 	return all
 }
 
 // RecordsVersion is that of the last change of a record.
-func (s *State) RecordsVersion() uint64 { return s.recorded }
+func (s *State) RecordsVersion() uint64 { return s.recordsVersion }
 
 // RecordsSince is the answer to whoever has the records under a prefix as of version from: all their keys and
 // versions, and the values of those that have changed since. A key that it lacks is gone. news is false where
 // nothing is new for a reader that had so many of them: a record that went leaves fewer.
-func (s *State) RecordsSince(prefix string, from uint64, had int) (a RecordAnswer, news bool) {
-	a = RecordAnswer{Index: s.version, Epoch: s.epoch, Records: append([]Record{}, s.Records(prefix)...)}
+func (s *State) RecordsSince(prefix string, from uint64, had int) (a RecordsResponse, news bool) {
+	a = RecordsResponse{Index: s.version, Epoch: s.epoch, Records: append([]Record{}, s.Records(prefix)...)}
 	for i, r := range a.Records {
 		if r.Version > from {
 			a.Records[i].Value, news = s.records[r.Key].Value, true
@@ -54,26 +54,26 @@
 func (s *State) put(c Command) Result {
 	has, there := s.records[c.Name]
 	switch {
-	case c.If != nil && *c.If != has.Version:
-		return Result{Code: Conflict, Entry: has.Version, Why: fmt.Sprintf("%s has version %d, not %d", c.Name, has.Version, *c.If)}
+	case c.IfVersion != nil && *c.IfVersion != has.Version:
+		return Result{Code: Conflict, EntryVersion: has.Version, Reason: fmt.Sprintf("%s has version %d, not %d", c.Name, has.Version, *c.IfVersion)}
 	case c.Value == nil && !there:
-		return Result{Code: Absent, Why: "there is no " + c.Name}
+		return Result{Code: NotFound, Reason: "there is no " + c.Name}
 	case c.Value != nil && (!there && len(s.records) >= MaxRecords || s.recordBytes-len(has.Value)+len(c.Value) > MaxRecordBytes):
-		return Result{Code: Full, Why: fmt.Sprintf("%d records with %d bytes are kept already", len(s.records), s.recordBytes)}
+		return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("%d records with %d bytes are kept already", len(s.records), s.recordBytes)}
 	}
 	s.version++
-	s.recorded = s.version
+	s.recordsVersion = s.version
 	s.recordBytes += len(c.Value) - len(has.Value)
 	if c.Value == nil {
 		delete(s.records, c.Name)
-		s.keys.remove(c.Name)
-		return Result{Entry: s.version}
+		s.recordKeys.remove(c.Name)
+		return Result{EntryVersion: s.version}
 	}
 	if !there {
-		s.keys.add(c.Name)
+		s.recordKeys.add(c.Name)
 	}
 	s.records[c.Name] = Record{Key: c.Name, Version: s.version, Value: c.Value}
-	return Result{Entry: s.version}
+	return Result{EntryVersion: s.version}
 }
 
 func (c Command) checkRecord() error {
@@ -89,14 +89,14 @@
 	return nil
 }
 
-// takeRecords takes the records of an image over.
-func (s *State) takeRecords(all []Record, version uint64) error {
+// restoreRecords takes the records of an image over.
+func (s *State) restoreRecords(all []Record, version uint64) error {
 	for _, r := range all {
 		if _, twice := s.records[r.Key]; twice || r.Key == "" || r.Version > version || len(r.Value) == 0 || len(r.Value) > MaxRecord {
 			return fmt.Errorf("record %q of version %d can't be", r.Key, r.Version)
 		}
 		s.records[r.Key] = r
-		s.keys.add(r.Key)
+		s.recordKeys.add(r.Key)
 		s.recordBytes += len(r.Value)
 	}
 	return nil
@@ -105,6 +105,6 @@
 // allRecords gives the records with their values, by key.
 func (s *State) allRecords() []Record {
 	all := make([]Record, 0, len(s.records))
-	s.keys.under("", func(key string) { all = append(all, s.records[key]) })
+	s.recordKeys.withPrefix("", func(key string) { all = append(all, s.records[key]) })
 	return all
 }
--- a/internal/registry/records_bench_test.go
+++ b/internal/registry/records_bench_test.go
@@ -10,15 +10,15 @@
 // plannedRecords are 200,000 tenants of 231 bytes, and catalogue pages of 2.3 kB for ten of them each.
 func plannedRecords(tenants int) *State {
 	s := NewState()
-	s.Apply(Command{Do: DoBegin, Epoch: "e"})
+	s.Apply(Command{Op: OpBegin, Epoch: "e"})
 	text := func(n int) json.RawMessage { return json.RawMessage(`"` + strings.Repeat("x", n-2) + `"`) }
 	for i := range tenants {
-		s.Apply(Command{Do: DoPut, Name: fmt.Sprintf("tenant/%06d", i*7919%tenants), Value: text(231)})
+		s.Apply(Command{Op: OpPutRecord, Name: fmt.Sprintf("tenant/%06d", i*7919%tenants), Value: text(231)})
 		if i%10 == 0 {
-			s.Apply(Command{Do: DoPut, Name: fmt.Sprintf("catalogue/page/%016x", i*2654435761), Value: text(2310)})
+			s.Apply(Command{Op: OpPutRecord, Name: fmt.Sprintf("catalogue/page/%016x", i*2654435761), Value: text(2310)})
 		}
 	}
-	s.Apply(Command{Do: DoPut, Name: "policy/now", Value: text(1000)})
+	s.Apply(Command{Op: OpPutRecord, Name: "policy/now", Value: text(1000)})
 	return s
 }
 
@@ -26,25 +26,25 @@
 func BenchmarkRecords(b *testing.B) {
 	for _, n := range []int{800, 20000, 200000} {
 		s := plannedRecords(n)
-		raw, err := s.Snapshot()
+		raw, err := s.EncodeSnapshot()
 		if err != nil || len(s.records) != n+n/10+1 {
 			b.Fatal(err, len(s.records))
 		}
 		value := json.RawMessage(`"` + strings.Repeat("y", 229) + `"`)
 		for name, do := range map[string]func(i int){
 			"change": func(i int) {
-				s.Apply(Command{Do: DoPut, Name: fmt.Sprintf("tenant/%06d", i%n), Value: value})
+				s.Apply(Command{Op: OpPutRecord, Name: fmt.Sprintf("tenant/%06d", i%n), Value: value})
 			},
 			"come-and-go": func(i int) {
-				s.Apply(Command{Do: DoPut, Name: "tenant/new", Value: value})
-				s.Apply(Command{Do: DoPut, Name: "tenant/new"})
+				s.Apply(Command{Op: OpPutRecord, Name: "tenant/new", Value: value})
+				s.Apply(Command{Op: OpPutRecord, Name: "tenant/new"})
 			},
 			"woken":    func(int) { s.RecordsSince("policy/", s.version, 1) },
 			"read-all": func(int) { s.Records("tenant/") },
-			"image":    func(int) { s.Image() },
-			"snapshot": func(int) { s.Snapshot() },
+			"image":    func(int) { s.Snapshot() },
+			"snapshot": func(int) { s.EncodeSnapshot() },
 			"restore": func(int) {
-				if _, err := FromSnapshot(raw); err != nil {
+				if _, err := DecodeSnapshot(raw); err != nil {
 					b.Fatal(err)
 				}
 			},
--- a/internal/registry/records_test.go
+++ b/internal/registry/records_test.go
@@ -16,34 +16,34 @@
 func TestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
-		s.Apply(Command{Do: DoBegin, Epoch: "e"})
+		s.Apply(Command{Op: OpBegin, Epoch: "e"})
 		model := map[string]Record{}
 		for range rapid.IntRange(1, 40).Draw(t, "writes") {
-			c := Command{Do: DoPut, Name: fmt.Sprint("k", rapid.IntRange(0, 2).Draw(t, "key"))}
+			c := Command{Op: OpPutRecord, Name: fmt.Sprint("k", rapid.IntRange(0, 2).Draw(t, "key"))}
 			if rapid.IntRange(0, 3).Draw(t, "away") > 0 {
 				c.Value = json.RawMessage(fmt.Sprintf(`{"n":"%s"}`, strings.Repeat("x", rapid.IntRange(0, 9).Draw(t, "length"))))
 			}
 			has, there := model[c.Name]
 			if rapid.Bool().Draw(t, "conditional") {
 				v := has.Version + uint64(rapid.IntRange(0, 1).Draw(t, "other"))
-				c.If = &v
+				c.IfVersion = &v
 			}
 			r := s.Apply(c)
 			switch {
-			case c.If != nil && *c.If != has.Version:
-				if r.Code != Conflict || r.Entry != has.Version {
+			case c.IfVersion != nil && *c.IfVersion != has.Version:
+				if r.Code != Conflict || r.EntryVersion != has.Version {
 					t.Fatalf("%+v at %+v: %+v", c, has, r)
 				}
 			case c.Value == nil && !there:
-				if r.Code != Absent {
+				if r.Code != NotFound {
 					t.Fatalf("%+v: %+v", c, r)
 				}
-			case r.Code != Done:
+			case r.Code != Applied:
 				t.Fatalf("%+v: %+v", c, r)
 			case c.Value == nil:
 				delete(model, c.Name)
 			default:
-				model[c.Name] = Record{c.Name, r.Entry, c.Value}
+				model[c.Name] = Record{c.Name, r.EntryVersion, c.Value}
 			}
 			if rapid.IntRange(0, 5).Draw(t, "copy") == 0 {
 				s = copied(t, s)
@@ -70,20 +70,20 @@
 		for i := range all {
 			all[i] = Record{Key: fmt.Sprint(i), Value: value}
 		}
-		if err := s.takeRecords(all, 0); err != nil {
+		if err := s.restoreRecords(all, 0); err != nil {
 			t.Fatal(err)
 		}
-		for i, want := range []Code{Done, Full} {
-			if r := s.Apply(Command{Do: DoPut, Name: fmt.Sprint("new", i), Value: value}); r.Code != want {
+		for i, want := range []Code{Applied, CapacityExceeded} {
+			if r := s.Apply(Command{Op: OpPutRecord, Name: fmt.Sprint("new", i), Value: value}); r.Code != want {
 				t.Errorf("%d more of %d bytes: %+v", i+1, len(value), r)
 			}
 		}
-		if r := s.Apply(Command{Do: DoPut, Name: "0", Value: value}); r.Code != Done || s.recordBytes > MaxRecordBytes || len(s.records) > MaxRecords {
+		if r := s.Apply(Command{Op: OpPutRecord, Name: "0", Value: value}); r.Code != Applied || s.recordBytes > MaxRecordBytes || len(s.records) > MaxRecords {
 			t.Errorf("%d records with %d bytes; one written over: %+v", len(s.records), s.recordBytes, r)
 		}
 	}
 	s := NewState()
-	for _, bad := range []Command{{Do: DoPut, Value: big}, {Do: DoPut, Name: "k", Value: append(big, ' ')}, {Do: DoPut, Name: "k", Value: json.RawMessage("{")}} {
+	for _, bad := range []Command{{Op: OpPutRecord, Value: big}, {Op: OpPutRecord, Name: "k", Value: append(big, ' ')}, {Op: OpPutRecord, Name: "k", Value: json.RawMessage("{")}} {
 		if r := s.Apply(bad); r.Code != Invalid {
 			t.Errorf("%s: %+v", bad.Name, r)
 		}
@@ -93,7 +93,7 @@
 // TestKeys: beside a plain map, keys come in order, all those of a prefix and no others, and in runs no longer than they may be.
 func TestKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var k keys
+		var k sortedKeys
 		model := map[string]bool{}
 		for range rapid.IntRange(0, 2500).Draw(t, "first") { // enough that runs are divided
 			key := strconv.FormatUint(uint64(len(model))*2654435761%4096, 8)
@@ -118,7 +118,7 @@
 		}
 		prefix := rapid.SampledFrom([]string{"", "1", "37", "777", "9"}).Draw(t, "prefix")
 		var got, want []string
-		k.under(prefix, func(key string) { got = append(got, key) })
+		k.withPrefix(prefix, func(key string) { got = append(got, key) })
 		for key := range model {
 			if strings.HasPrefix(key, prefix) {
 				want = append(want, key)
@@ -128,7 +128,7 @@
 			t.Fatalf("under %q come %d keys, not %d", prefix, len(got), len(want))
 		}
 		for _, r := range k.runs {
-			if len(r) == 0 || len(r) > runMost {
+			if len(r) == 0 || len(r) > maxRun {
 				t.Fatalf("a run of %d", len(r))
 			}
 		}
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -31,7 +31,7 @@
 }
 
 // part is what is known of a part. It forgets those that nobody watches, now and then.
-func (h *hub) part(p registry.Part) *watched {
+func (h *hub) part(p registry.Subset) *watched {
 	w := h.parts[p]
 	if w != nil {
 		return w
@@ -58,7 +58,7 @@
 	}
 }
 
-func (h *hub) keep(p registry.Part, from uint64, b body) {
+func (h *hub) keep(p registry.Subset, from uint64, b body) {
 	if h.kept+len(b.endpoints) > cacheSize {
 		for _, w := range h.parts {
 			h.forget(w)
@@ -80,11 +80,11 @@
 	if w := h.parts[q.part]; w != nil && q.from <= h.version {
 		b, ok = w.answers[q.from]
 	}
-	a, total := registry.Answer{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.total
+	a, total := registry.ListResponse{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.total
 	h.mu.Unlock()
 	if !ok {
 		h.machine.mu.RLock()
-		a, total = h.machine.state.PartSince(q.part, q.from), h.machine.state.Len()
+		a, total = h.machine.state.SubsetSince(q.part, q.from), h.machine.state.Len()
 		h.machine.mu.RUnlock()
 		b = body{snapshot: a.Snapshot}
 		if b.endpoints, err = json.Marshal(a.Endpoints); err != nil {
@@ -96,9 +96,9 @@
 		}
 		h.mu.Unlock()
 	}
-	a.Endpoints = []registry.Entry{}
+	a.Endpoints = []registry.Endpoint{}
 	if q.parted {
-		a.Part, a.Total = q.part.String(), total
+		a.Subset, a.Total = q.part.String(), total
 	}
 	head, err = json.Marshal(a)
 	return head[:len(head)-len("[]}")], b.endpoints, err
--- a/internal/registry/server/backup.go
+++ b/internal/registry/server/backup.go
@@ -17,7 +17,7 @@
 		return
 	}
 	s.machine.mu.RLock()
-	image := s.machine.state.Image()
+	image := s.machine.state.Snapshot()
 	s.machine.mu.RUnlock()
 	raw, err := image.Encode()
 	if err != nil {
@@ -42,7 +42,7 @@
 		return
 	}
 	over, id := r.URL.Query().Get("epoch"), r.URL.Query().Get("id")
-	c := registry.Command{Do: registry.DoRestore, ID: id, Epoch: newEpoch(), Over: over, Image: raw}
+	c := registry.Command{Op: registry.OpRestore, ID: id, Epoch: newEpoch(), ReplacesEpoch: over, Snapshot: raw}
 	if err := c.Check(); err != nil {
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
@@ -52,7 +52,7 @@
 		return
 	}
 	result, err := s.replica.apply(c)
-	if err == nil && result.Code == registry.Done {
+	if err == nil && result.Code == registry.Applied {
 		s.log.Warn("a backup was brought back", "epoch", c.Epoch, "version", result.Version)
 	}
 	s.finish(w, result, err)
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -63,7 +63,7 @@
 	}
 	bad(names[c.Name], "replica: %s itself is not among them", c.Name)
 	bad(!c.Begin || len(c.Replicas)%2 == 1 && len(c.Replicas) <= 5, "replica: %d are to begin, want 1, 3 or 5", len(c.Replicas))
-	bad(len(c.Replicas) <= registry.MaxMembers, "replica: there are %d, %d at most", len(c.Replicas), registry.MaxMembers)
+	bad(len(c.Replicas) <= registry.MaxReplicas, "replica: there are %d, %d at most", len(c.Replicas), registry.MaxReplicas)
 	return f.Err()
 }
 
--- a/internal/registry/server/cutoff_test.go
+++ b/internal/registry/server/cutoff_test.go
@@ -33,7 +33,7 @@
 				defer stop()
 				m := &machine{state: registry.NewState()}
 				s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), ctx: ctx}
-				m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
+				m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 				s.hub.publishList(m.state)
 				go s.hub.run(ctx.Done())
 				type answer struct {
@@ -60,7 +60,7 @@
 				s.contact.set(false)
 				synctest.Wait()
 				m.mu.Lock()
-				m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry("s", 1)})
+				m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("s", 1)})
 				s.hub.publishList(m.state)
 				m.mu.Unlock()
 				time.Sleep(time.Second)
--- a/internal/registry/server/duties.go
+++ b/internal/registry/server/duties.go
@@ -10,28 +10,28 @@
 
 // openSession opens the session that the call names, or changes its word.
 func (s *Server) openSession(w http.ResponseWriter, r *http.Request) {
-	var body registry.SessionCall
+	var body registry.OpenSessionRequest
 	if !readJSON(w, r, &body) {
 		return
 	}
-	if body.TTLms < 0 || body.TTLms > int64(registry.MaxSessionTTL/time.Millisecond) {
-		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d, want %d to %d", body.TTLms, registry.MinSessionTTL/time.Millisecond, registry.MaxSessionTTL/time.Millisecond), 0)
+	if body.TTLMS < 0 || body.TTLMS > int64(registry.MaxSessionTTL/time.Millisecond) {
+		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d, want %d to %d", body.TTLMS, registry.MinSessionTTL/time.Millisecond, registry.MaxSessionTTL/time.Millisecond), 0)
 		return
 	}
-	s.duty(w, registry.Command{Do: registry.DoSession, Session: &registry.Session{ID: r.PathValue("id"), Process: body.Process,
-		TTL: time.Duration(body.TTLms) * time.Millisecond, Word: body.Word}})
+	s.duty(w, registry.Command{Op: registry.OpOpenSession, Session: &registry.Session{ID: r.PathValue("id"), Process: body.Process,
+		TTL: time.Duration(body.TTLMS) * time.Millisecond, Info: body.Info}})
 }
 
 func (s *Server) closeSession(w http.ResponseWriter, r *http.Request) {
-	s.duty(w, registry.Command{Do: registry.DoClose, Sessions: []string{r.PathValue("id")}})
+	s.duty(w, registry.Command{Op: registry.OpCloseSessions, Sessions: []string{r.PathValue("id")}})
 }
 
 // wish makes a handler of a campaign or a giving up.
 func (s *Server) wish(do string) http.HandlerFunc {
 	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
-		var body registry.Wishes
+		var body registry.CandidacyRequest
 		if readJSON(w, r, &body) {
-			s.duty(w, registry.Command{Do: do, Session: &registry.Session{ID: r.PathValue("id")}, Wishes: body.Duties})
+			s.duty(w, registry.Command{Op: do, Session: &registry.Session{ID: r.PathValue("id")}, Candidacies: body.Candidacies})
 		}
 	})
 }
@@ -39,9 +39,9 @@
 // order makes a handler of an operator's order.
 func (s *Server) order(do string) http.HandlerFunc {
 	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
-		var body registry.DutyOrder
+		var body registry.LeaseOrder
 		if readJSON(w, r, &body) {
-			s.duty(w, registry.Command{Do: do, Name: r.PathValue("name"), To: body.Process, On: body.On})
+			s.duty(w, registry.Command{Op: do, Name: r.PathValue("name"), Process: body.Process, Enable: body.Block})
 		}
 	})
 }
@@ -93,18 +93,18 @@
 		return
 	}
 	s.machine.mu.RLock()
-	a := registry.DutyAnswer{Index: s.machine.state.DutiesVersion(), Epoch: s.machine.state.Epoch(), Duties: []registry.Duty{}}
+	a := registry.LeasesResponse{Index: s.machine.state.LeasesVersion(), Epoch: s.machine.state.Epoch(), Leases: []registry.Lease{}}
 	session := r.URL.Query().Get("session")
-	all, known := s.machine.state.Duties(session)
+	all, known := s.machine.state.Leases(session)
 	if session == "" {
 		a.Sessions = s.machine.state.Sessions()
 	}
 	s.machine.mu.RUnlock()
 	if !known {
-		refuse(w, http.StatusNotFound, string(registry.Absent), "there is no session "+session, 0)
+		refuse(w, http.StatusNotFound, string(registry.NotFound), "there is no session "+session, 0)
 		return
 	}
-	a.Duties = append(a.Duties, all...)
+	a.Leases = append(a.Leases, all...)
 	writeJSON(w, http.StatusOK, a)
 }
 
--- a/internal/registry/server/duties_test.go
+++ b/internal/registry/server/duties_test.go
@@ -10,10 +10,10 @@
 	"wrenspread/internal/registry"
 )
 
-func duty(t *testing.T, url, query string) registry.DutyAnswer {
+func duty(t *testing.T, url, query string) registry.LeasesResponse {
 	t.Helper()
 	status, body := call(t, "GET", url+"/registry/duties"+query, "")
-	var a registry.DutyAnswer
+	var a registry.LeasesResponse
 	if err := json.Unmarshal([]byte(body), &a); status != 200 || err != nil {
 		t.Fatalf("%s: %d %s", query, status, body)
 	}
@@ -31,11 +31,11 @@
 	campaign := func(id string) {
 		sure(t, "POST", url+"/registry/sessions/"+id+"/campaign", `{"duties":[{"duty":"d"}]}`)
 	}
-	held := func(by string) registry.Duty { // once it is
+	held := func(by string) registry.Lease { // once it is
 		t.Helper()
 		for a, until := duty(t, url, "?session="+by), time.Now().Add(enough); ; a = duty(t, url, fmt.Sprintf("?session=%s&from=%d&hold_ms=1000", by, a.Index)) {
-			if len(a.Duties) == 1 && a.Duties[0].Holder == by {
-				return a.Duties[0]
+			if len(a.Leases) == 1 && a.Leases[0].Holder == by {
+				return a.Leases[0]
 			} else if time.Now().After(until) {
 				t.Fatalf("%s does not come to hold it: %+v", by, a)
 			}
@@ -47,7 +47,7 @@
 	fenced := func(f uint64) (int, string) {
 		return put(t, url, "a", fmt.Sprintf(`,"fence":{"duty":"d","fence":%d}`, f))
 	}
-	if status, body := fenced(first.Fence); status != 200 {
+	if status, body := fenced(first.Token); status != 200 {
 		t.Error(status, body)
 	}
 	open("x", 600*time.Millisecond) // from here on it does not matter when it lapses
@@ -59,10 +59,10 @@
 	if body := sure(t, "POST", url+"/registry/sessions/renew", `{"sessions":["y"]}`); strings.Contains(body, `"y"`) {
 		t.Error(body)
 	}
-	if second := held("y"); second.Fence <= first.Fence {
-		t.Errorf("fence %d after %d", second.Fence, first.Fence)
+	if second := held("y"); second.Token <= first.Token {
+		t.Errorf("fence %d after %d", second.Token, first.Token)
 	}
-	if status, body := fenced(first.Fence); status != 409 || !strings.Contains(body, `"fenced"`) {
+	if status, body := fenced(first.Token); status != 409 || !strings.Contains(body, `"fenced"`) {
 		t.Errorf("the earlier holder's write: %d %s", status, body)
 	}
 	if status, body := call(t, "POST", url+"/registry/sessions/renew", `{"sessions":["x"]}`); status != 200 || !strings.Contains(body, `"x"`) {
@@ -97,7 +97,7 @@
 	call(t, "PUT", url+"/registry/sessions/last", `{"process":"p","ttl_ms":60000}`)
 	call(t, "POST", url+"/registry/sessions/last/campaign", `{"duties":[{"duty":"d"}]}`)
 	for until := time.Now().Add(enough); ; time.Sleep(5 * time.Millisecond) {
-		if d := duty(t, url, "").Duties; len(d) == 1 && d[0].Holder == "last" {
+		if d := duty(t, url, "").Leases; len(d) == 1 && d[0].Holder == "last" {
 			break
 		} else if time.Now().After(until) {
 			t.Fatalf("the last does not come to hold it: %+v", d)
--- a/internal/registry/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -24,9 +24,9 @@
 	log     *slog.Logger
 
 	mu     sync.Mutex
-	leases *registry.Leases // nil while another leads
-	kept   int              // overdue entries that are held back
-	count  int              // expired so far
+	leases *registry.EndpointExpiry // nil while another leads
+	kept   int                      // overdue entries that are held back
+	count  int                      // expired so far
 }
 
 func (x *expiry) now() time.Duration { return time.Since(x.start) }
@@ -34,9 +34,9 @@
 // lead begins with every entry's full time, once all that was done before is known here.
 func (x *expiry) lead() {
 	x.machine.mu.RLock()
-	items := x.machine.state.Items()
+	items := x.machine.state.Registrations()
 	x.mu.Lock() // under the other lock, so that no change falls between the two
-	x.leases, x.kept = registry.NewLeases(items, x.now()), 0
+	x.leases, x.kept = registry.NewEndpointExpiry(items, x.now()), 0
 	x.mu.Unlock()
 	x.machine.mu.RUnlock()
 }
@@ -54,21 +54,21 @@
 	if x.leases == nil {
 		return
 	}
-	switch c.Do {
-	case registry.DoRegister:
-		if i, ok := state.Item(c.Entry.Name); ok {
+	switch c.Op {
+	case registry.OpRegister:
+		if i, ok := state.Registration(c.Endpoint.Name); ok {
 			x.leases.Set(i, x.now())
 		}
-	case registry.DoDrain:
-		if i, ok := state.Item(c.Name); ok {
+	case registry.OpDrain:
+		if i, ok := state.Registration(c.Name); ok {
 			x.leases.Set(i, x.now())
 		}
-	case registry.DoRemove:
-		if _, there := state.Item(c.Name); !there {
+	case registry.OpRemove:
+		if _, there := state.Registration(c.Name); !there {
 			x.leases.Drop(c.Name)
 		}
-	case registry.DoRestore:
-		x.leases = registry.NewLeases(state.Items(), x.now())
+	case registry.OpRestore:
+		x.leases = registry.NewEndpointExpiry(state.Registrations(), x.now())
 	}
 }
 
@@ -145,7 +145,7 @@
 	for len(due) > 0 {
 		some := due[:min(len(due), registry.MaxExpire)]
 		due = due[len(some):]
-		if _, err := x.apply(registry.Command{Do: registry.DoExpire, Overdue: some}); err != nil {
+		if _, err := x.apply(registry.Command{Op: registry.OpExpire, Expired: some}); err != nil {
 			x.log.Warn("entries are overdue and stay", "entries", len(some), "err", err)
 			x.again()
 			return
--- a/internal/registry/server/folder_test.go
+++ b/internal/registry/server/folder_test.go
@@ -66,7 +66,7 @@
 }
 
 // tryFolder runs a replica on a folder until it has a list or ends by itself.
-func tryFolder(t *testing.T, folder string) (a registry.Answer, err error) {
+func tryFolder(t *testing.T, folder string) (a registry.ListResponse, err error) {
 	address, free, err := link.Reserve()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -18,14 +18,14 @@
 // an image without duties whose changes have all versions.
 func TestOlderFolder(t *testing.T) {
 	c, err := decode([]byte(`{"v":1,"do":"register","entry":{"name":"a","address":"a:1","status":"ready"}}`))
-	if err != nil || c.Entry == nil || c.Entry.Name != "a" {
+	if err != nil || c.Endpoint == nil || c.Endpoint.Name != "a" {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := decode([]byte(`{"v":1,"do":"later"}`)); err == nil {
 		t.Error("a later program's command is taken")
 	}
 	entry := `{"name":"a","address":"a:1","zone":"","type":"","group":0,"status":"ready","weight":0,"since_ms":0}`
-	s, err := registry.FromSnapshot([]byte(`{"v":1,"epoch":"e","version":7,"items":[{"entry":` + entry + `,"version":7,"ttl":0}],"changes":[{"version":6,"entry":` + entry +
+	s, err := registry.DecodeSnapshot([]byte(`{"v":1,"epoch":"e","version":7,"items":[{"entry":` + entry + `,"version":7,"ttl":0}],"changes":[{"version":6,"entry":` + entry +
 		`},{"version":7,"entry":` + entry + `}],"writes":[]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 }
 
 func FuzzDecodeCommand(f *testing.F) {
-	raw, err := encode(registry.Command{Do: registry.DoRemove, Name: "a"})
+	raw, err := encode(registry.Command{Op: registry.OpRemove, Name: "a"})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/registry/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -18,7 +18,7 @@
 type hub struct {
 	machine *machine
 	mu      sync.Mutex
-	parts   map[registry.Part]*watched
+	parts   map[registry.Subset]*watched
 	pruneAt int // parts known at which those that nobody watches are forgotten
 	ahead   map[*watcher]bool
 	due     []*group // to be woken
@@ -45,7 +45,7 @@
 }
 
 func newHub(m *machine) *hub {
-	return &hub{machine: m, parts: map[registry.Part]*watched{}, ahead: map[*watcher]bool{}, news: make(chan struct{}, 1)}
+	return &hub{machine: m, parts: map[registry.Subset]*watched{}, ahead: map[*watcher]bool{}, news: make(chan struct{}, 1)}
 }
 
 // publish says that there is a version, and the newest that watchers are to be
@@ -73,9 +73,9 @@
 		return
 	}
 	if newest != h.newest || epoch != h.epoch {
-		if moves, ok := s.Moves(h.newest); ok && epoch == h.epoch {
+		if moves, ok := s.ChangePositions(h.newest); ok && epoch == h.epoch {
 			for _, m := range moves {
-				registry.EachPart(m.Point, func(p registry.Part) { h.move(p, m.Version-1) })
+				registry.EachSubset(m.Position, func(p registry.Subset) { h.move(p, m.Version-1) })
 			}
 		} else {
 			h.moveAll()
@@ -86,7 +86,7 @@
 }
 
 // move notes the first change of a part past a version.
-func (h *hub) move(p registry.Part, after uint64) {
+func (h *hub) move(p registry.Subset, after uint64) {
 	w := h.parts[p]
 	if w == nil {
 		return
@@ -164,11 +164,11 @@
 }
 
 // old tells whether there is something to tell whoever has version from of a part.
-func (h *hub) old(p registry.Part, from uint64) bool {
-	if !p.All() {
+func (h *hub) old(p registry.Subset, from uint64) bool {
+	if !p.IsAll() {
 		h.machine.mu.RLock()
 		defer h.machine.mu.RUnlock()
-		return h.machine.state.Newer(p, from)
+		return h.machine.state.HasNewer(p, from)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -71,7 +71,7 @@
 	if m.end != nil {
 		return nil, m.end
 	}
-	return snapshot{m.state.Image()}, nil
+	return snapshot{m.state.Snapshot()}, nil
 }
 
 // maxSnapshot bounds a snapshot that is read, in bytes: a full list with all records takes a quarter.
@@ -84,7 +84,7 @@
 	if err != nil {
 		return fmt.Errorf("reading a snapshot: %w", err)
 	}
-	s, err := registry.FromSnapshot(raw)
+	s, err := registry.DecodeSnapshot(raw)
 	if err != nil {
 		return err
 	}
@@ -99,10 +99,10 @@
 func (m *machine) member(name string) (registry.Address, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return m.state.Member(name)
+	return m.state.ReplicaAddress(name)
 }
 
-type snapshot struct{ registry.Image }
+type snapshot struct{ registry.Snapshot }
 
 func (s snapshot) Persist(out raft.SnapshotSink) error {
 	raw, err := s.Encode()
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -22,18 +22,18 @@
 		refuse(w, http.StatusServiceUnavailable, "members", err.Error(), time.Second)
 		return
 	}
-	all := []registry.Member{}
+	all := []registry.Replica{}
 	for _, m := range servers {
 		all = append(all, s.describe(m))
 	}
 	writeJSON(w, http.StatusOK, all)
 }
 
-func (s *Server) describe(m raft.Server) registry.Member {
+func (s *Server) describe(m raft.Server) registry.Replica {
 	name := string(m.ID)
-	d := registry.Member{Name: name, Leads: name == s.replica.leader(), Votes: m.Suffrage == raft.Voter, Itself: name == s.c.Name}
+	d := registry.Replica{Name: name, Leader: name == s.replica.leader(), Voter: m.Suffrage == raft.Voter, Self: name == s.c.Name}
 	if a, ok := s.machine.member(name); ok {
-		d.Added = &a
+		d.Address = &a
 	}
 	return d
 }
@@ -48,7 +48,7 @@
 	if !readJSON(w, r, &at) {
 		return
 	}
-	c := registry.Command{Do: registry.DoMember, Name: r.PathValue("name"), Address: &at}
+	c := registry.Command{Op: registry.OpAddReplica, Name: r.PathValue("name"), Address: &at}
 	known, ok := addresses{s.c, s.machine}.find(c.Name)
 	if at == (registry.Address{}) && ok {
 		at = known
@@ -64,12 +64,12 @@
 	}
 	is := func(m raft.Server) bool { return string(m.ID) == c.Name }
 	i := slices.IndexFunc(servers, is)
-	if i < 0 && len(servers) >= registry.MaxMembers {
-		refuse(w, http.StatusInsufficientStorage, string(registry.Full), fmt.Sprintf("there are %d replicas already", len(servers)), 0)
+	if i < 0 && len(servers) >= registry.MaxReplicas {
+		refuse(w, http.StatusInsufficientStorage, string(registry.CapacityExceeded), fmt.Sprintf("there are %d replicas already", len(servers)), 0)
 		return
 	}
 	if known != at {
-		if result, err := s.replica.apply(c); err != nil || result.Code != registry.Done {
+		if result, err := s.replica.apply(c); err != nil || result.Code != registry.Applied {
 			s.finish(w, result, err)
 			return
 		}
@@ -130,7 +130,7 @@
 	others := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) != name && m.Suffrage == raft.Voter })
 	switch {
 	case !there:
-		refuse(w, http.StatusNotFound, string(registry.Absent), "there is no replica "+name, 0)
+		refuse(w, http.StatusNotFound, string(registry.NotFound), "there is no replica "+name, 0)
 		return
 	case !others:
 		refuse(w, http.StatusConflict, string(registry.Conflict), name+" is the only one that votes", 0)
@@ -141,7 +141,7 @@
 		return
 	}
 	if err = judge(s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTime).Error()); err == nil {
-		_, err = s.replica.apply(registry.Command{Do: registry.DoForget, Name: name})
+		_, err = s.replica.apply(registry.Command{Op: registry.OpForgetReplica, Name: name})
 	}
 	version, _ := s.hub.has()
 	s.finish(w, registry.Result{Version: version}, err)
--- a/internal/registry/server/paced_sockets_test.go
+++ b/internal/registry/server/paced_sockets_test.go
@@ -35,9 +35,9 @@
 	const clients, places, servers, nodes = 300, 4, 150, 4300
 	m := &machine{state: registry.NewState()}
 	s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), whole: make(chan struct{}, places), ctx: t.Context()}
-	m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
+	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	for i := range servers {
-		m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry(fmt.Sprint("s", i), 1)})
+		m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry(fmt.Sprint("s", i), 1)})
 	}
 	s.hub.publishList(m.state)
 	s.contact.caught.Store(true)
@@ -64,7 +64,7 @@
 	for range places {
 		s.whole <- struct{}{}
 	}
-	wants := func(i, total int) registry.Part { return registry.PartOf(i, nodes, eachCounts*total) }
+	wants := func(i, total int) registry.Subset { return registry.SubsetOf(i, nodes, eachCounts*total) }
 	ctx, stop := context.WithCancel(t.Context())
 	var tasks, have sync.WaitGroup
 	defer tasks.Wait()
@@ -72,20 +72,20 @@
 	have.Add(clients)
 	wide := 0
 	for i := range clients {
-		first := wants(i, registry.MaxEntries/eachCounts)
+		first := wants(i, registry.MaxEndpoints/eachCounts)
 		if !first.Covers(wants(i, servers)) {
 			wide++
 		}
 		var once sync.Once
 		k, err := client.New(client.Config{Addresses: []string{strings.TrimPrefix(door.URL, "http://")},
-			Part: func(now registry.Part, total int, entries []registry.Entry) registry.Part {
+			ChooseSubset: func(now registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
 				if entries == nil {
 					return first
 				}
 				return wants(i, total)
 			},
-			Taken: func(a registry.Answer) {
-				if a.Part == wants(i, servers).String() {
+			OnChange: func(a registry.ListResponse) {
+				if a.Subset == wants(i, servers).String() {
 					once.Do(have.Done)
 				}
 			}})
--- a/internal/registry/server/paced_test.go
+++ b/internal/registry/server/paced_test.go
@@ -14,8 +14,8 @@
 func TestWholePartsArePaced(t *testing.T) {
 	m := &machine{state: registry.NewState()}
 	s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), whole: make(chan struct{}, 1), ctx: context.Background()}
-	m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
-	m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry("s", 1)})
+	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
+	m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("s", 1)})
 	s.hub.publishList(m.state)
 	s.contact.caught.Store(true)
 	gone, cancel := context.WithCancel(context.Background())
--- a/internal/registry/server/parts_bench_test.go
+++ b/internal/registry/server/parts_bench_test.go
@@ -12,11 +12,11 @@
 func BenchmarkChange(b *testing.B) {
 	const servers = 54000
 	m := &machine{state: registry.NewState()}
-	m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
+	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	for i := range servers {
 		e := entry(fmt.Sprintf("s-%08x", i), 1)
 		e.Zone, e.Type, e.Address = "a", "m2", "10.1.2.3:5000"
-		m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: e})
+		m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: e})
 	}
 	weight := 1 // another at each change
 	for _, watchers := range []int{300, 1000, 4300} {
@@ -28,7 +28,7 @@
 				for i := range watchers {
 					q := query{parted: parted, from: m.state.Version(), epoch: "e"}
 					if parted {
-						q.part = registry.PartOf(i, 4300, servers)
+						q.part = registry.SubsetOf(i, 4300, servers)
 					}
 					w, _ := h.wait(q.part, q.from, watchers)
 					all[w] = q
@@ -37,7 +37,7 @@
 				b.ResetTimer()
 				for range b.N {
 					weight++
-					m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry(fmt.Sprintf("s-%08x", weight*7919%servers), weight)})
+					m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry(fmt.Sprintf("s-%08x", weight*7919%servers), weight)})
 					h.publishList(m.state)
 					var due []*watcher
 					for _, g := range h.due {
--- a/internal/registry/server/parts_hard_test.go
+++ b/internal/registry/server/parts_hard_test.go
@@ -19,20 +19,20 @@
 // crowd is clients that follow parts as nodes do, in a fleet where each server counts for a hundred.
 type crowd struct {
 	clients []*client.Client
-	wants   func(self, total int) registry.Part
+	wants   func(self, total int) registry.Subset
 	whole   *client.Client // of a program that knows no parts
 }
 
 const eachCounts = 100
 
-func newCrowd(t *testing.T, ctx context.Context, n int, wants func(self, total int) registry.Part, addresses func(i int) []string) *crowd {
+func newCrowd(t *testing.T, ctx context.Context, n int, wants func(self, total int) registry.Subset, addresses func(i int) []string) *crowd {
 	c := &crowd{wants: wants}
 	var tasks sync.WaitGroup
 	t.Cleanup(tasks.Wait)
 	for i := range n + 1 {
 		conf := client.Config{Addresses: addresses(i), File: filepath.Join(t.TempDir(), "list"), Hold: time.Second, HoldBack: time.Second}
 		if i < n {
-			conf.Part = func(_ registry.Part, total int, _ []registry.Entry) registry.Part { return c.wants(i, total) }
+			conf.ChooseSubset = func(_ registry.Subset, total int, _ []registry.Endpoint) registry.Subset { return c.wants(i, total) }
 		}
 		k, err := client.New(conf)
 		if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-func current(t *testing.T, url string) (a registry.Answer) {
+func current(t *testing.T, url string) (a registry.ListResponse) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(sure(t, "GET", url+"/registry/instances?current=1", "")), &a); err != nil {
 		t.Fatal(err)
@@ -71,29 +71,29 @@
 	t.Helper()
 	a := current(t, url)
 	for i, k := range append(slices.Clone(c.clients), c.whole) {
-		part := registry.Part{}
+		part := registry.Subset{}
 		if k != c.whole {
 			part = c.wants(i, len(a.Endpoints))
 		}
-		want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e registry.Entry) bool { return !part.Holds(registry.Point(e.Name)) })
+		want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e registry.Endpoint) bool { return !part.Contains(registry.Position(e.Name)) })
 		late := time.After(enough)
 		for {
 			changed := k.Changed()
-			v, _ := k.View()
-			if v.Epoch == a.Epoch && v.Part == part && slices.Equal(v.Entries, want) {
+			v, _ := k.List()
+			if v.Epoch == a.Epoch && v.Subset == part && slices.Equal(v.Endpoints, want) {
 				break
 			}
 			select {
 			case <-changed:
 			case <-late:
-				t.Fatalf("%s: client %d has %d of part %v at %s %d, want %d of %v at %s %d", when, i, len(v.Entries), v.Part, v.Epoch, v.Version, len(want), part, a.Epoch, a.Index)
+				t.Fatalf("%s: client %d has %d of part %v at %s %d, want %d of %v at %s %d", when, i, len(v.Endpoints), v.Subset, v.Epoch, v.Version, len(want), part, a.Epoch, a.Index)
 			}
 		}
 	}
 }
 
-func believed(nodes int) func(self, total int) registry.Part {
-	return func(self, total int) registry.Part { return registry.PartOf(self, nodes, eachCounts*total) }
+func believed(nodes int) func(self, total int) registry.Subset {
+	return func(self, total int) registry.Subset { return registry.SubsetOf(self, nodes, eachCounts*total) }
 }
 
 // TestPartsOverFailures: three replicas, each behind a link of its own. Clients of parts reach what is there after a
@@ -163,7 +163,7 @@
 	c.settle(t, "at first", url)
 	grow(60, 600)
 	c.settle(t, "ten times as large", url)
-	if parts := map[registry.Part]bool{c.wants(0, 600): true, c.wants(0, 60): true}; len(parts) != 2 {
+	if parts := map[registry.Subset]bool{c.wants(0, 600): true, c.wants(0, 60): true}; len(parts) != 2 {
 		t.Fatal("the fleet is too small to move a part")
 	}
 	net.Lay("silent", link.Shape{Hold: link.Both}, func(e link.Ends) bool { return e.To == "r1" })
@@ -198,14 +198,14 @@
 		put(t, url, fmt.Sprint("s", i), "")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := newCrowd(t, ctx, 12, func(self, total int) registry.Part { return believed(4300/(1+self%3*8))(self, total) },
+	c := newCrowd(t, ctx, 12, func(self, total int) registry.Subset { return believed(4300/(1+self%3*8))(self, total) },
 		func(int) []string { return []string{strings.TrimPrefix(url, "http://")} })
 	t.Cleanup(cancel)
 	c.settle(t, "at first", url)
 	widths := map[uint16]bool{}
 	for _, k := range c.clients {
-		v, _ := k.View()
-		widths[v.Part.Width] = true
+		v, _ := k.List()
+		widths[v.Subset.Width] = true
 	}
 	if len(widths) < 2 {
 		t.Errorf("they follow parts of widths %v", widths)
--- a/internal/registry/server/parts_test.go
+++ b/internal/registry/server/parts_test.go
@@ -19,7 +19,7 @@
 // reader is what a watcher of a part has been told.
 type reader struct {
 	query
-	has map[string]registry.Entry
+	has map[string]registry.Endpoint
 	w   *watcher
 }
 
@@ -29,26 +29,26 @@
 		r.from = 0
 	}
 	head, entries, err := h.answer(r.query)
-	var a registry.Answer
+	var a registry.ListResponse
 	if err == nil {
 		err = json.Unmarshal(append(append(slices.Clone(head), entries...), '}'), &a)
 	}
-	if err != nil || a.Part != r.part.String() || a.Total != h.machine.state.Len() || a.Index != h.machine.state.Version() {
+	if err != nil || a.Subset != r.part.String() || a.Total != h.machine.state.Len() || a.Index != h.machine.state.Version() {
 		t.Fatalf("part %v since %d: %+v, %v", r.part, r.from, a, err)
 	}
 	if a.Snapshot {
 		clear(r.has)
 	}
 	for _, e := range a.Endpoints {
-		if r.has[e.Name] = e; e.Status == registry.Gone {
+		if r.has[e.Name] = e; e.Status == registry.Removed {
 			delete(r.has, e.Name)
 		}
 	}
 	r.from, r.epoch = a.Index, a.Epoch
-	want := map[string]registry.Entry{}
-	for _, i := range h.machine.state.Items() {
-		if r.part.Holds(registry.Point(i.Entry.Name)) {
-			want[i.Entry.Name] = i.Entry
+	want := map[string]registry.Endpoint{}
+	for _, i := range h.machine.state.Registrations() {
+		if r.part.Contains(registry.Position(i.Endpoint.Name)) {
+			want[i.Endpoint.Name] = i.Endpoint
 		}
 	}
 	if !maps.Equal(want, r.has) {
@@ -73,8 +73,8 @@
 	}
 }
 
-func entry(name string, weight int) *registry.Entry {
-	return &registry.Entry{Name: name, Address: "a:1", Status: registry.Ready, Weight: float64(weight)}
+func entry(name string, weight int) *registry.Endpoint {
+	return &registry.Endpoint{Name: name, Address: "a:1", Status: registry.Ready, Weight: float64(weight)}
 }
 
 // TestWakesThoseConcerned: a change wakes the watchers of the parts that hold its server, and no others. All have at
@@ -83,34 +83,34 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{state: registry.NewState()}
 		h := newHub(m)
-		m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
+		m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 		h.publishList(m.state)
 		var readers []*reader
 		for i := range 12 {
-			r := &reader{has: map[string]registry.Entry{}, query: query{parted: true}}
+			r := &reader{has: map[string]registry.Endpoint{}, query: query{parted: true}}
 			if i > 1 {
 				arc := 1 << rapid.IntRange(10, 14).Draw(t, "arc")
-				r.part = registry.Part{From: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, "from") * arc / 4), Width: uint16(arc)}
+				r.part = registry.Subset{Start: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, "from") * arc / 4), Width: uint16(arc)}
 			}
 			r.watch(t, h)
 			readers = append(readers, r)
 		}
 		for n := range rapid.IntRange(1, 40).Draw(t, "steps") {
-			name, concerned := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "name")), func(registry.Part) bool { return true }
+			name, concerned := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "name")), func(registry.Subset) bool { return true }
 			before := m.state.Version()
 			switch what := rapid.IntRange(0, 12).Draw(t, "what"); what {
 			case 0, 1, 2:
-				do := []string{registry.DoRemove, registry.DoDrain, registry.DoPut}[what]
-				m.state.Apply(registry.Command{Do: do, Name: name, Value: json.RawMessage(fmt.Sprint(n))})
-				concerned = func(p registry.Part) bool {
-					return do != registry.DoPut && m.state.Version() > before && p.Holds(registry.Point(name))
+				do := []string{registry.OpRemove, registry.OpDrain, registry.OpPutRecord}[what]
+				m.state.Apply(registry.Command{Op: do, Name: name, Value: json.RawMessage(fmt.Sprint(n))})
+				concerned = func(p registry.Subset) bool {
+					return do != registry.OpPutRecord && m.state.Version() > before && p.Contains(registry.Position(name))
 				}
 			case 3:
-				raw, err := m.state.Snapshot()
+				raw, err := m.state.EncodeSnapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				m.state.Apply(registry.Command{Do: registry.DoRestore, Over: m.state.Epoch(), Epoch: fmt.Sprint("e", n), Image: raw})
+				m.state.Apply(registry.Command{Op: registry.OpRestore, ReplacesEpoch: m.state.Epoch(), Epoch: fmt.Sprint("e", n), Snapshot: raw})
 			case 4: // a hold ends
 				r := readers[rapid.IntRange(0, len(readers)-1).Draw(t, "reader")]
 				if r.from = h.leave(r.w); r.look(t, h) {
@@ -119,8 +119,8 @@
 				r.watch(t, h)
 				continue
 			default:
-				r := m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry(name, n)})
-				concerned = func(p registry.Part) bool { return r.Version > before && p.Holds(registry.Point(name)) }
+				r := m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry(name, n)})
+				concerned = func(p registry.Subset) bool { return r.Version > before && p.Contains(registry.Position(name)) }
 			}
 			h.publishList(m.state)
 			for h.wakeSome() {
@@ -147,19 +147,19 @@
 func TestQuietPart(t *testing.T) {
 	m := &machine{state: registry.NewState()}
 	h := newHub(m)
-	m.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "e"})
-	part := registry.Part{From: uint16(registry.Point("quiet")>>48) / 16 * 16, Width: 64}
+	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
+	part := registry.Subset{Start: uint16(registry.Position("quiet")>>48) / 16 * 16, Width: 64}
 	var readers []*reader
 	for i := range 20 {
 		h.publishList(m.state)
-		r := &reader{has: map[string]registry.Entry{}, query: query{parted: true, part: part}}
+		r := &reader{has: map[string]registry.Endpoint{}, query: query{parted: true, part: part}}
 		r.watch(t, h)
 		readers = append(readers, r)
-		m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry("before", i+1)})
+		m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("before", i+1)})
 	}
 	for i := range 25000 {
-		if name := fmt.Sprint("s", i%100); !part.Holds(registry.Point(name)) {
-			m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry(name, i+1)})
+		if name := fmt.Sprint("s", i%100); !part.Contains(registry.Position(name)) {
+			m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry(name, i+1)})
 			h.publishList(m.state)
 		}
 	}
@@ -167,7 +167,7 @@
 	if last.from = h.leave(last.w); last.look(t, h) {
 		t.Error("the end of a hold brings a whole part")
 	}
-	m.state.Apply(registry.Command{Do: registry.DoRegister, Entry: entry("quiet", 1)})
+	m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("quiet", 1)})
 	h.publishList(m.state)
 	for h.wakeSome() {
 	}
@@ -183,7 +183,7 @@
 		t.Errorf("%d answers were made for one change", n)
 	}
 	for i := range 5000 { // parts come and go
-		h.part(registry.Part{From: uint16(i) * 4, Width: 16})
+		h.part(registry.Subset{Start: uint16(i) * 4, Width: 16})
 	}
 	if len(h.parts) > 200 {
 		t.Errorf("%d parts are remembered that nobody watches", len(h.parts))
@@ -195,7 +195,7 @@
 func TestPartsOverHTTP(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
-	var first registry.Entry
+	var first registry.Endpoint
 	for i := range 40 {
 		name := fmt.Sprint("s", i)
 		if status, body := put(t, url, name, ""); status != 200 {
@@ -203,7 +203,7 @@
 		}
 	}
 	_, whole := call(t, "GET", url+"/registry/instances", "")
-	var a registry.Answer
+	var a registry.ListResponse
 	if err := json.Unmarshal([]byte(whole), &a); err != nil {
 		t.Fatal(err)
 	}
@@ -212,18 +212,18 @@
 		t.Errorf("a reader that names no part gets %s", whole)
 	}
 	all := read(t, url, "?part=all")
-	if all.Part != "all" || all.Total != 40 || !reflect.DeepEqual(all.Endpoints, a.Endpoints) || all.Index != a.Index {
+	if all.Subset != "all" || all.Total != 40 || !reflect.DeepEqual(all.Endpoints, a.Endpoints) || all.Index != a.Index {
 		t.Errorf("all, by that name, is %+v", all)
 	}
-	part := registry.Part{From: uint16(registry.Point(first.Name)>>48) / 1024 * 1024, Width: 4096}
+	part := registry.Subset{Start: uint16(registry.Position(first.Name)>>48) / 1024 * 1024, Width: 4096}
 	some := read(t, url, "?current=1&part="+part.String())
-	want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e registry.Entry) bool { return !part.Holds(registry.Point(e.Name)) })
-	if some.Part != part.String() || some.Total != 40 || !some.Snapshot || !reflect.DeepEqual(some.Endpoints, want) {
+	want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e registry.Endpoint) bool { return !part.Contains(registry.Position(e.Name)) })
+	if some.Subset != part.String() || some.Total != 40 || !some.Snapshot || !reflect.DeepEqual(some.Endpoints, want) {
 		t.Errorf("part %v is %+v, want %v", part, some, want)
 	}
 	call(t, "DELETE", url+"/registry/instances/"+first.Name, "")
 	if changes := read(t, url, fmt.Sprintf("?part=%v&from=%d&epoch=%s", part, some.Index, some.Epoch)); changes.Snapshot || len(changes.Endpoints) != 1 ||
-		changes.Endpoints[0].Status != registry.Gone || changes.Total != 39 {
+		changes.Endpoints[0].Status != registry.Removed || changes.Total != 39 {
 		t.Errorf("the part's changes are %+v", changes)
 	}
 	for _, odd := range []string{"", "0", "0-5", "1-1024", "70000-4", "all,all"} {
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -31,7 +31,7 @@
 	hold    time.Duration
 	epoch   string // that the reader knows, or empty
 	current bool   // as of now, not as this replica has it
-	part    registry.Part
+	part    registry.Subset
 	parted  bool // the reader has named a part
 }
 
@@ -50,7 +50,7 @@
 		q.hold = min(maxHold, time.Duration(ms)*time.Millisecond)
 	}
 	if q.parted = v.Has("part"); q.parted {
-		if q.part, err = registry.ParsePart(v.Get("part")); err != nil {
+		if q.part, err = registry.ParseSubset(v.Get("part")); err != nil {
 			return q, err
 		}
 	}
@@ -110,7 +110,7 @@
 		return
 	}
 	s.machine.mu.RLock()
-	a := registry.Items{Index: s.machine.state.Version(), Epoch: s.machine.state.Epoch(), Items: s.machine.state.Items()}
+	a := registry.Registrations{Index: s.machine.state.Version(), Epoch: s.machine.state.Epoch(), Registrations: s.machine.state.Registrations()}
 	s.machine.mu.RUnlock()
 	writeJSON(w, http.StatusOK, a)
 }
--- a/internal/registry/server/records.go
+++ b/internal/registry/server/records.go
@@ -27,7 +27,7 @@
 	}
 	one, ok := s.machine.state.Record(key)
 	if !ok {
-		refuse(w, http.StatusNotFound, string(registry.Absent), "there is no record "+key, 0)
+		refuse(w, http.StatusNotFound, string(registry.NotFound), "there is no record "+key, 0)
 		return
 	}
 	writeJSON(w, http.StatusOK, one)
@@ -39,12 +39,12 @@
 	if !ok {
 		return
 	}
-	var in registry.Put
+	var in registry.PutRequest
 	if err := json.Unmarshal(body, &in); err != nil {
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
-	c := registry.Command{Do: registry.DoPut, Name: r.PathValue("key"), Value: in.Value, If: in.If, ID: in.ID, Fence: in.Fence}
+	c := registry.Command{Op: registry.OpPutRecord, Name: r.PathValue("key"), Value: in.Value, IfVersion: in.IfVersion, ID: in.ID, Token: in.Token}
 	if err := c.Check(); err != nil {
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *Server) recordsSince(q query, prefix string, had int) (registry.RecordAnswer, bool) {
+func (s *Server) recordsSince(q query, prefix string, had int) (registry.RecordsResponse, bool) {
 	s.machine.mu.RLock()
 	defer s.machine.mu.RUnlock()
 	if q.epoch != s.machine.state.Epoch() {
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -98,7 +98,7 @@
 		s.sessions.applied(c)
 		state := s.machine.state
 		s.hub.publishList(state)
-		s.dutyHub.publish(state.DutiesVersion(), state.DutiesVersion(), state.Epoch())
+		s.dutyHub.publish(state.LeasesVersion(), state.LeasesVersion(), state.Epoch())
 		s.docHub.publish(state.RecordsVersion(), state.RecordsVersion(), state.Epoch())
 	}
 	var err error
@@ -134,7 +134,7 @@
 		return err
 	}
 	if _, epoch := s.hub.has(); epoch == "" {
-		if _, err := s.replica.apply(registry.Command{Do: registry.DoBegin, Epoch: newEpoch()}); err != nil {
+		if _, err := s.replica.apply(registry.Command{Op: registry.OpBegin, Epoch: newEpoch()}); err != nil {
 			return err
 		}
 	}
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -76,10 +76,10 @@
 	return call(t, "PUT", url+"/registry/instances/"+name, fmt.Sprintf(`{"entry":{"name":%q,"address":"127.0.0.1:1","status":"ready","weight":1}%s}`, name, more))
 }
 
-func read(t *testing.T, url, query string) registry.Answer {
+func read(t *testing.T, url, query string) registry.ListResponse {
 	t.Helper()
 	status, body := call(t, "GET", url+"/registry/instances"+query, "")
-	var a registry.Answer
+	var a registry.ListResponse
 	if err := json.Unmarshal([]byte(body), &a); status != 200 || err != nil {
 		t.Fatalf("%s: %d %s", query, status, body)
 	}
@@ -91,7 +91,7 @@
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
 	begun := read(t, url, "")
-	told := make(chan registry.Answer, 1)
+	told := make(chan registry.ListResponse, 1)
 	go func() { told <- read(t, url, fmt.Sprintf("?from=%d&hold_ms=60000", begun.Index)) }()
 	if status, body := put(t, url, "s", `,"if":0,"id":"w1"`); status != 200 {
 		t.Fatal(status, body)
@@ -118,7 +118,7 @@
 	url, stop = serve(t, folder, nil)
 	defer stop()
 	a := read(t, url, fmt.Sprintf("?from=%d&epoch=%s", begun.Index, begun.Epoch))
-	if a.Epoch != begun.Epoch || len(a.Endpoints) != 3 || a.Endpoints[1].Status != registry.Draining || a.Endpoints[2].Status != registry.Gone {
+	if a.Epoch != begun.Epoch || len(a.Endpoints) != 3 || a.Endpoints[1].Status != registry.Draining || a.Endpoints[2].Status != registry.Removed {
 		t.Errorf("after a restart the changes are %+v", a)
 	}
 	if a := read(t, url, "?from=1&epoch=another"); !a.Snapshot || len(a.Endpoints) != 0 {
@@ -154,7 +154,7 @@
 	a := read(t, url, fmt.Sprintf("?from=%d&hold_ms=30000", from))
 	close(stopRenewing)
 	<-renewed
-	if len(a.Endpoints) != 1 || a.Endpoints[0].Name != "b" || a.Endpoints[0].Status != registry.Gone {
+	if len(a.Endpoints) != 1 || a.Endpoints[0].Name != "b" || a.Endpoints[0].Status != registry.Removed {
 		t.Errorf("what goes is %+v", a)
 	}
 	if status, body := call(t, "POST", url+"/registry/renew", `{"names":["a","b"]}`); status != 200 || !strings.Contains(body, `"unknown":["b"]`) {
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -28,8 +28,8 @@
 	log     *slog.Logger
 
 	mu        sync.Mutex
-	deadlines *registry.Deadlines // nil while another leads
-	doomed    map[string]bool     // due, and not known to have ended: none of them can be renewed
+	deadlines *registry.SessionExpiry // nil while another leads
+	doomed    map[string]bool         // due, and not known to have ended: none of them can be renewed
 	pace      map[string]*rate.Limiter
 	lapsed    int // so far
 }
@@ -42,7 +42,7 @@
 	defer x.machine.mu.RUnlock()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.deadlines, x.doomed, x.pace = registry.NewDeadlines(x.machine.state.Sessions(), x.now()), map[string]bool{}, map[string]*rate.Limiter{}
+	x.deadlines, x.doomed, x.pace = registry.NewSessionExpiry(x.machine.state.Sessions(), x.now()), map[string]bool{}, map[string]*rate.Limiter{}
 }
 
 func (x *sessions) follow() {
@@ -58,12 +58,12 @@
 	if x.deadlines == nil {
 		return
 	}
-	switch c.Do {
-	case registry.DoSession:
+	switch c.Op {
+	case registry.OpOpenSession:
 		if !x.doomed[c.Session.ID] {
 			x.deadlines.Set(*c.Session, x.now())
 		}
-	case registry.DoClose:
+	case registry.OpCloseSessions:
 		for _, id := range c.Sessions {
 			x.deadlines.Drop(id)
 			delete(x.doomed, id)
@@ -112,18 +112,18 @@
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
 	look := func(id, name string) {
-		if d, ok := x.machine.state.Duty(name); !ok && c.Do == registry.DoCampaign || ok && (d.Holder == id || d.Holder == "") && !slices.Contains(names, name) {
+		if d, ok := x.machine.state.Lease(name); !ok && c.Op == registry.OpCampaign || ok && (d.Holder == id || d.Holder == "") && !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
-	switch c.Do {
-	case registry.DoCampaign, registry.DoGiveUp:
-		for _, w := range c.Wishes {
-			look(c.Session.ID, w.Duty)
+	switch c.Op {
+	case registry.OpCampaign, registry.OpRelease:
+		for _, w := range c.Candidacies {
+			look(c.Session.ID, w.Lease)
 		}
-	case registry.DoClose:
+	case registry.OpCloseSessions:
 		for _, id := range c.Sessions {
-			all, _ := x.machine.state.Duties(id)
+			all, _ := x.machine.state.Leases(id)
 			for _, d := range all {
 				look(id, d.Name)
 			}
@@ -153,7 +153,7 @@
 		return
 	}
 	all := slices.DeleteFunc(x.machine.state.Sessions(), func(s registry.Session) bool { return x.doomed[s.ID] })
-	x.deadlines = registry.NewDeadlines(all, x.now())
+	x.deadlines = registry.NewSessionExpiry(all, x.now())
 }
 
 func (x *sessions) once(now time.Duration) {
@@ -174,15 +174,15 @@
 	x.mu.Unlock()
 	if len(ids) > 0 {
 		slices.Sort(ids)
-		if _, err := x.do(registry.Command{Do: registry.DoClose, Sessions: ids}); err != nil {
+		if _, err := x.do(registry.Command{Op: registry.OpCloseSessions, Sessions: ids}); err != nil {
 			x.log.Warn("sessions that lapsed are not ended yet", "sessions", len(ids), "err", err)
 		}
 	}
 	x.machine.mu.RLock()
-	waiting := x.machine.state.Waiting()
+	waiting := x.machine.state.UnheldLeases()
 	x.machine.mu.RUnlock()
 	if may := x.paced(waiting); len(may) > 0 {
-		if _, err := x.apply(registry.Command{Do: registry.DoGrant, Grant: may}); err != nil {
+		if _, err := x.apply(registry.Command{Op: registry.OpGrant, Grant: may}); err != nil {
 			x.log.Warn("duties stay free", "duties", len(may), "err", err)
 		}
 	}
--- a/internal/registry/server/watch_test.go
+++ b/internal/registry/server/watch_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("%s: %d", odd, status)
 		}
 	}
-	var a registry.RecordAnswer
+	var a registry.RecordsResponse
 	_, body := call(t, "GET", url+"/registry/watch/records?prefix=a/", "")
 	if err := json.Unmarshal([]byte(body), &a); err != nil || len(a.Records) != 1 {
 		t.Fatalf("%v %s", err, body)
--- a/internal/registry/server/watcher.go
+++ b/internal/registry/server/watcher.go
@@ -11,17 +11,17 @@
 
 // wait registers a watcher that has version from of a part; it is nil where there
 // is something newer already, and full where there are too many.
-func (h *hub) wait(p registry.Part, from uint64, most int) (w *watcher, full bool) {
-	if !p.All() {
+func (h *hub) wait(p registry.Subset, from uint64, most int) (w *watcher, full bool) {
+	if !p.IsAll() {
 		h.machine.mu.RLock() // nothing is published meanwhile
 		defer h.machine.mu.RUnlock()
-		if h.machine.state.Newer(p, from) {
+		if h.machine.state.HasNewer(p, from) {
 			return nil, false
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if p.All() && h.newest > from {
+	if p.IsAll() && h.newest > from {
 		return nil, false
 	}
 	if h.held >= most {
--- a/internal/registry/server/writes.go
+++ b/internal/registry/server/writes.go
@@ -24,10 +24,10 @@
 )
 
 func refuse(w http.ResponseWriter, status int, code, why string, after time.Duration) {
-	refuseWith(w, status, registry.Refusal{Code: code, Why: why}, after)
+	refuseWith(w, status, registry.ErrorResponse{Code: code, Reason: why}, after)
 }
 
-func refuseWith(w http.ResponseWriter, status int, body registry.Refusal, after time.Duration) {
+func refuseWith(w http.ResponseWriter, status int, body registry.ErrorResponse, after time.Duration) {
 	if after > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	}
@@ -126,22 +126,22 @@
 // write makes a handler of a command on one entry.
 func (s *Server) write(do string) http.HandlerFunc {
 	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
-		var body registry.Write
+		var body registry.WriteRequest
 		if !readJSON(w, r, &body) {
 			return
 		}
-		c := registry.Command{Do: do, Name: r.PathValue("name"), ID: body.ID, If: body.If, Fence: body.Fence}
-		if do == registry.DoRegister {
-			if body.Entry == nil || body.Entry.Name != c.Name {
+		c := registry.Command{Op: do, Name: r.PathValue("name"), ID: body.ID, IfVersion: body.IfVersion, Token: body.Token}
+		if do == registry.OpRegister {
+			if body.Endpoint == nil || body.Endpoint.Name != c.Name {
 				refuse(w, http.StatusBadRequest, "bad", "entry: missing, or of another name than the call's", 0)
 				return
 			}
-			c.Entry, c.Name = body.Entry, ""
-			if body.TTLms < 0 || body.TTLms > int64(registry.MaxTTL/time.Millisecond) {
-				refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d is not between 0 and %d", body.TTLms, registry.MaxTTL/time.Millisecond), 0)
+			c.Endpoint, c.Name = body.Endpoint, ""
+			if body.TTLMS < 0 || body.TTLMS > int64(registry.MaxTTL/time.Millisecond) {
+				refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d is not between 0 and %d", body.TTLMS, registry.MaxTTL/time.Millisecond), 0)
 				return
 			}
-			c.TTL = time.Duration(body.TTLms) * time.Millisecond
+			c.TTL = time.Duration(body.TTLMS) * time.Millisecond
 		}
 		if err := c.Check(); err != nil {
 			refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
@@ -153,8 +153,8 @@
 }
 
 // statuses of results that changed nothing.
-var statuses = map[registry.Code]int{registry.Conflict: http.StatusConflict, registry.Absent: http.StatusNotFound, registry.Full: http.StatusInsufficientStorage,
-	registry.Invalid: http.StatusBadRequest, registry.Fenced: http.StatusConflict}
+var statuses = map[registry.Code]int{registry.Conflict: http.StatusConflict, registry.NotFound: http.StatusNotFound, registry.CapacityExceeded: http.StatusInsufficientStorage,
+	registry.Invalid: http.StatusBadRequest, registry.StaleToken: http.StatusConflict}
 
 func (s *Server) finish(w http.ResponseWriter, r registry.Result, err error) {
 	switch {
@@ -162,8 +162,8 @@
 		refuse(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
 	case err != nil:
 		refuse(w, http.StatusGatewayTimeout, "unknown", err.Error(), time.Second)
-	case r.Code != registry.Done:
-		refuseWith(w, statuses[r.Code], registry.Refusal{Code: string(r.Code), Why: r.Why, Version: r.Version, Entry: r.Entry}, 0)
+	case r.Code != registry.Applied:
+		refuseWith(w, statuses[r.Code], registry.ErrorResponse{Code: string(r.Code), Reason: r.Reason, Version: r.Version, ConflictingVersion: r.EntryVersion}, 0)
 	default:
 		writeJSON(w, http.StatusOK, r)
 	}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	keepChanges = 10000 // a watcher further behind gets the whole list
-	keepWrites  = 10000 // write ids whose repeats are known
+	maxKeptChanges = 10000 // a watcher further behind gets the whole list
+	maxKeptWrites  = 10000 // write ids whose repeats are known
 )
 
-// Item is an entry with what the service knows of it.
-type Item struct {
-	Entry   Entry         `json:"entry"`
-	Version uint64        `json:"version"` // of its last change
-	TTL     time.Duration `json:"ttl"`     // 0: it does not expire
+// Registration is an entry with what the service knows of it.
+type Registration struct {
+	Endpoint Endpoint      `json:"entry"`
+	Version  uint64        `json:"version"` // of its last change
+	TTL      time.Duration `json:"ttl"`     // 0: it does not expire
 }
 
 // Change is one change of the list; its number is the version that it made.
 type Change struct {
-	Version uint64 `json:"version"`
-	Entry   Entry  `json:"entry"` // with the status gone once it has left
+	Version uint64   `json:"version"`
+	Entry   Endpoint `json:"entry"` // with the status gone once it has left
 }
 
-// written is a write whose repeat would be known.
-type written struct {
+// writeResult is a write whose repeat would be known.
+type writeResult struct {
 	ID     string `json:"id"`
 	Result Result `json:"result"`
 }
@@ -34,26 +34,26 @@
 // State is the replicated state: the same commands in the same order make the
 // same state everywhere. It is not safe for concurrent use.
 type State struct {
-	epoch   string
-	version uint64
-	items   map[string]Item
-	arcs    arcs // their names, by place
-	changes recent[Change]
-	writes  recent[written]
-	known   map[string]Result // of writes
-	members map[string]Address
-	duties  duties
-	records map[string]Record
-	keys    keys // of records
-
-	recordBytes int    // of all records' values
-	recorded    uint64 // the version of the last change of a record
-	trimmed     uint64 // the version of the last change that is no longer kept; no reader of an older one can be told by changes
+	epoch            string
+	version          uint64
+	registrations    map[string]Registration
+	byPosition       positionIndex // their names, by place
+	changes          ringBuffer[Change]
+	recentWrites     ringBuffer[writeResult]
+	writeResults     map[string]Result // of writes
+	replicaAddresses map[string]Address
+	leases           leaseState
+	records          map[string]Record
+	recordKeys       sortedKeys // of records
+
+	recordBytes    int    // of all records' values
+	recordsVersion uint64 // the version of the last change of a record
+	trimmedVersion uint64 // the version of the last change that is no longer kept; no reader of an older one can be told by changes
 }
 
 // NewState makes an empty list without an epoch.
 func NewState() *State {
-	return &State{items: map[string]Item{}, known: map[string]Result{}, members: map[string]Address{}, duties: newDuties(), records: map[string]Record{}, changes: recent[Change]{most: keepChanges}, writes: recent[written]{most: keepWrites}}
+	return &State{registrations: map[string]Registration{}, writeResults: map[string]Result{}, replicaAddresses: map[string]Address{}, leases: newLeaseState(), records: map[string]Record{}, changes: ringBuffer[Change]{capacity: maxKeptChanges}, recentWrites: ringBuffer[writeResult]{capacity: maxKeptWrites}}
 }
 
 // Version is that of the list.
@@ -63,92 +63,92 @@
 func (s *State) Epoch() string { return s.epoch }
 
 // Len is the number of entries.
-func (s *State) Len() int { return len(s.items) }
+func (s *State) Len() int { return len(s.registrations) }
 
-// Member gives the address of a replica that was added while the others served.
-func (s *State) Member(name string) (Address, bool) {
-	a, ok := s.members[name]
+// ReplicaAddress gives the address of a replica that was added while the others served.
+func (s *State) ReplicaAddress(name string) (Address, bool) {
+	a, ok := s.replicaAddresses[name]
 	return a, ok
 }
 
-// Item gives an entry by name.
-func (s *State) Item(name string) (Item, bool) {
-	i, ok := s.items[name]
+// Registration gives an entry by name.
+func (s *State) Registration(name string) (Registration, bool) {
+	i, ok := s.registrations[name]
 	return i, ok
 }
 
-// Items gives all entries, by name.
-func (s *State) Items() []Item {
-	all := make([]Item, 0, len(s.items))
-	for _, i := range s.items {
+// Registrations gives all entries, by name.
+func (s *State) Registrations() []Registration {
+	all := make([]Registration, 0, len(s.registrations))
+	for _, i := range s.registrations {
 		all = append(all, i)
 	}
-	slices.SortFunc(all, func(a, b Item) int { return cmp.Compare(a.Entry.Name, b.Entry.Name) })
+	slices.SortFunc(all, func(a, b Registration) int { return cmp.Compare(a.Endpoint.Name, b.Endpoint.Name) })
 	return all
 }
 
 // Apply carries out a command. A malformed one changes nothing.
 func (s *State) Apply(c Command) Result {
 	if err := c.Check(); err != nil {
-		return Result{Code: Invalid, Why: err.Error(), Version: s.version}
+		return Result{Code: Invalid, Reason: err.Error(), Version: s.version}
 	}
 	if c.ID != "" {
-		if r, ok := s.known[c.ID]; ok {
+		if r, ok := s.writeResults[c.ID]; ok {
 			return r
 		}
 	}
-	r, ok := s.fenced(c.Fence)
+	r, ok := s.checkToken(c.Token)
 	if ok {
 		r = s.apply(c)
 	}
 	r.Version = s.version
 	if c.ID != "" {
-		s.remember(written{c.ID, r})
+		s.rememberWrite(writeResult{c.ID, r})
 	}
 	return r
 }
 
-func (s *State) remember(w written) {
-	s.known[w.ID] = w.Result
-	if old, full := s.writes.push(w); full {
-		delete(s.known, old.ID)
+func (s *State) rememberWrite(w writeResult) {
+	s.writeResults[w.ID] = w.Result
+	if old, full := s.recentWrites.push(w); full {
+		delete(s.writeResults, old.ID)
 	}
 }
 
 func (s *State) apply(c Command) Result {
-	switch c.Do {
-	case DoBegin:
+	switch c.Op {
+	case OpBegin:
 		if s.epoch == "" {
 			s.epoch = c.Epoch
 			s.version++ // so that no list that has begun is at version 0, which is that of a reader who has none
 		}
 		return Result{}
-	case DoRegister:
+	case OpRegister:
 		return s.register(c)
-	case DoDrain:
+	case OpDrain:
 		return s.drain(c)
-	case DoRemove:
+	case OpRemove:
 		return s.remove(c)
-	case DoExpire:
-		for _, l := range c.Overdue {
-			if i, ok := s.items[l.Name]; ok && i.Version == l.Version {
-				s.leave(i.Entry)
+	case OpExpire:
+		for _, l := range c.Expired {
+			if i, ok := s.registrations[l.Name]; ok && i.Version == l.Version {
+				s.removeEndpoint(i.Endpoint)
 			}
 		}
 		return Result{}
-	case DoMember:
-		if _, there := s.members[c.Name]; !there && len(s.members) >= MaxMembers {
-			return Result{Code: Full, Why: fmt.Sprintf("%d replicas have been added already", len(s.members))}
+	case OpAddReplica:
+		if _, there := s.replicaAddresses[c.Name]; !there && len(s.replicaAddresses) >= MaxReplicas {
+			return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("%d replicas have been added already", len(s.replicaAddresses))}
 		}
-		s.members[c.Name] = *c.Address
+		s.replicaAddresses[c.Name] = *c.Address
 		return Result{}
-	case DoForget:
-		delete(s.members, c.Name)
+	case OpForgetReplica:
+		delete(s.replicaAddresses, c.Name)
 		return Result{}
-	case DoRestore:
+	case OpRestore:
 		return s.restore(c)
-	case DoPut:
+	case OpPutRecord:
 		return s.put(c)
 	}
-	return s.applyDuty(c)
+	return s.applyLeaseCommand(c)
 }
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -12,28 +12,28 @@
 	"pgregory.net/rapid"
 )
 
-func entry(name string) Entry {
-	return Entry{Name: name, Address: "127.0.0.1:1", Status: Ready, Weight: 1}
+func entry(name string) Endpoint {
+	return Endpoint{Name: name, Address: "127.0.0.1:1", Status: Ready, Weight: 1}
 }
 
 // drawCommand draws a command on few names, so that they meet.
 func drawCommand(t *rapid.T, s *State, n int) Command {
 	name := fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "name"))
-	c := Command{Do: rapid.SampledFrom([]string{DoRegister, DoRegister, DoDrain, DoRemove, DoExpire}).Draw(t, "do"), Name: name}
+	c := Command{Op: rapid.SampledFrom([]string{OpRegister, OpRegister, OpDrain, OpRemove, OpExpire}).Draw(t, "do"), Name: name}
 	if rapid.Bool().Draw(t, "conditional") {
-		v := rapid.SampledFrom([]uint64{0, s.items[name].Version, uint64(n)}).Draw(t, "if")
-		c.If = &v
+		v := rapid.SampledFrom([]uint64{0, s.registrations[name].Version, uint64(n)}).Draw(t, "if")
+		c.IfVersion = &v
 	}
 	if rapid.Bool().Draw(t, "named") {
 		c.ID = fmt.Sprint("w", rapid.IntRange(0, 20).Draw(t, "id"))
 	}
-	switch c.Do {
-	case DoRegister:
+	switch c.Op {
+	case OpRegister:
 		e := entry(name)
 		e.Weight = float64(rapid.IntRange(1, 3).Draw(t, "weight"))
-		c.Entry, c.TTL = &e, time.Duration(rapid.IntRange(0, 2).Draw(t, "ttl"))*time.Second
-	case DoExpire:
-		c.Overdue = []Lease{{name, s.items[name].Version - uint64(rapid.IntRange(0, 1).Draw(t, "old"))}}
+		c.Endpoint, c.TTL = &e, time.Duration(rapid.IntRange(0, 2).Draw(t, "ttl"))*time.Second
+	case OpExpire:
+		c.Expired = []EndpointVersion{{name, s.registrations[name].Version - uint64(rapid.IntRange(0, 1).Draw(t, "old"))}}
 	}
 	return c
 }
@@ -44,13 +44,13 @@
 func TestState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, replica := NewState(), NewState()
-		model := map[string]Entry{}
+		model := map[string]Endpoint{}
 		results := map[string]Result{}
-		reader := map[string]Entry{}
+		reader := map[string]Endpoint{}
 		var from uint64
 		for n := range rapid.IntRange(1, 80).Draw(t, "commands") {
 			c := drawCommand(t, s, n)
-			before, has := s.version, s.items[c.Name].Version
+			before, has := s.version, s.registrations[c.Name].Version
 			got := s.Apply(c)
 			if old, repeated := results[c.ID]; repeated && c.ID != "" {
 				if got != old || s.version != before {
@@ -86,36 +86,36 @@
 				t.Fatalf("the reader has %+v, the model %+v", reader[name], e)
 			}
 		}
-		if len(reader) != len(model) || !reflect.DeepEqual(s.Items(), replica.Items()) || s.version != replica.version {
+		if len(reader) != len(model) || !reflect.DeepEqual(s.Registrations(), replica.Registrations()) || s.version != replica.version {
 			t.Fatalf("reader, model and replica have %d, %d and %d entries", len(reader), len(model), replica.Len())
 		}
 	})
 }
 
 // step checks one command against the model and carries it out there.
-func step(t *rapid.T, model map[string]Entry, c Command, has uint64, got Result, made uint64) {
+func step(t *rapid.T, model map[string]Endpoint, c Command, has uint64, got Result, made uint64) {
 	_, there := model[c.Name]
-	if c.If != nil && *c.If != has && c.Do != DoExpire {
+	if c.IfVersion != nil && *c.IfVersion != has && c.Op != OpExpire {
 		if got.Code != Conflict || made != 0 {
 			t.Fatalf("%+v at version %d: %+v", c, has, got)
 		}
 		return
 	}
-	switch c.Do {
-	case DoRegister:
-		if changed := model[c.Name] != *c.Entry; got.Code != Done || (made == 1) != changed {
+	switch c.Op {
+	case OpRegister:
+		if changed := model[c.Name] != *c.Endpoint; got.Code != Applied || (made == 1) != changed {
 			t.Fatalf("registering: %+v, %d changes", got, made)
 		}
-		model[c.Name] = *c.Entry
-	case DoExpire:
-		if there && c.Overdue[0].Version == has {
+		model[c.Name] = *c.Endpoint
+	case OpExpire:
+		if there && c.Expired[0].Version == has {
 			delete(model, c.Name)
 		}
-	case DoDrain, DoRemove:
-		if (got.Code == Done) != there {
-			t.Fatalf("%s of one that is there (%v): %+v", c.Do, there, got)
+	case OpDrain, OpRemove:
+		if (got.Code == Applied) != there {
+			t.Fatalf("%s of one that is there (%v): %+v", c.Op, there, got)
 		}
-		if e := model[c.Name]; there && c.Do == DoDrain {
+		if e := model[c.Name]; there && c.Op == OpDrain {
 			e.Status = Draining
 			model[c.Name] = e
 		} else if there {
@@ -125,11 +125,11 @@
 }
 
 func copied(t *rapid.T, s *State) *State {
-	raw, err := s.Snapshot()
+	raw, err := s.EncodeSnapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := FromSnapshot(raw)
+	c, err := DecodeSnapshot(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 }
 
 // follow lets a reader catch up by the answer for its version.
-func follow(t *rapid.T, reader map[string]Entry, from *uint64, s *State) {
+func follow(t *rapid.T, reader map[string]Endpoint, from *uint64, s *State) {
 	a := s.Since(*from)
 	if a.Index < *from || !a.Snapshot && int(a.Index-*from) != len(a.Endpoints) {
 		t.Fatalf("from %d comes %d with %d changes", *from, a.Index, len(a.Endpoints))
@@ -147,7 +147,7 @@
 	}
 	for _, e := range a.Endpoints {
 		reader[e.Name] = e
-		if e.Status == Gone {
+		if e.Status == Removed {
 			delete(reader, e.Name)
 		}
 	}
@@ -157,44 +157,44 @@
 // TestFarBehind: a reader whose version has been trimmed away gets the whole list, one just within gets all changes.
 func TestFarBehind(t *testing.T) {
 	s := NewState()
-	for i := range keepChanges + 5 {
+	for i := range maxKeptChanges + 5 {
 		e := entry("s")
-		e.SinceMS = int64(i)
-		s.Apply(Command{Do: DoRegister, Entry: &e})
+		e.StartedAtMS = int64(i)
+		s.Apply(Command{Op: OpRegister, Endpoint: &e})
 	}
 	if a := s.Since(4); !a.Snapshot || len(a.Endpoints) != 1 {
 		t.Errorf("a trimmed version gets %d changes", len(a.Endpoints))
 	}
-	if a := s.Since(5); a.Snapshot || len(a.Endpoints) != keepChanges {
+	if a := s.Since(5); a.Snapshot || len(a.Endpoints) != maxKeptChanges {
 		t.Errorf("the oldest version that is kept gets %d changes, whole list %v", len(a.Endpoints), a.Snapshot)
 	}
-	if len(s.known) > keepWrites {
-		t.Errorf("%d writes are known", len(s.known))
+	if len(s.writeResults) > maxKeptWrites {
+		t.Errorf("%d writes are known", len(s.writeResults))
 	}
 }
 
 // TestRestore: the copy's entries, a version past all that was given out, a new epoch, and no changes to tell it by.
 func TestRestore(t *testing.T) {
 	s := NewState()
-	s.Apply(Command{Do: DoBegin, Epoch: "first"})
+	s.Apply(Command{Op: OpBegin, Epoch: "first"})
 	a, b := entry("a"), entry("b")
-	s.Apply(Command{Do: DoRegister, Entry: &a})
-	image, err := s.Snapshot()
+	s.Apply(Command{Op: OpRegister, Endpoint: &a})
+	image, err := s.EncodeSnapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Apply(Command{Do: DoRegister, Entry: &b})
+	s.Apply(Command{Op: OpRegister, Endpoint: &b})
 	before := s.Version()
-	if r := s.Apply(Command{Do: DoRestore, Epoch: "second", Over: "first", Image: image}); r.Code != Done || r.Version <= before+1000 {
+	if r := s.Apply(Command{Op: OpRestore, Epoch: "second", ReplacesEpoch: "first", Snapshot: image}); r.Code != Applied || r.Version <= before+1000 {
 		t.Errorf("%+v after version %d", r, before)
 	}
 	if got := s.Since(before); !got.Snapshot || len(got.Endpoints) != 1 || got.Epoch != "second" {
 		t.Errorf("a reader of version %d gets %+v", before, got)
 	}
-	if r := s.Apply(Command{Do: DoRestore, Epoch: "third", Over: "second", Image: []byte(`{"v":1,"items":[{}]}`)}); r.Code != Invalid || s.Epoch() != "second" {
+	if r := s.Apply(Command{Op: OpRestore, Epoch: "third", ReplacesEpoch: "second", Snapshot: []byte(`{"v":1,"items":[{}]}`)}); r.Code != Invalid || s.Epoch() != "second" {
 		t.Errorf("a bad copy: %+v", r)
 	}
-	if r := s.Apply(Command{Do: DoRestore, Epoch: "third", Over: "first", Image: image}); r.Code != Conflict || s.Epoch() != "second" {
+	if r := s.Apply(Command{Op: OpRestore, Epoch: "third", ReplacesEpoch: "first", Snapshot: image}); r.Code != Conflict || s.Epoch() != "second" {
 		t.Errorf("a copy over another list than is meant: %+v", r)
 	}
 }
@@ -202,19 +202,19 @@
 // TestBadCommands change nothing.
 func TestBadCommands(t *testing.T) {
 	long := strings.Repeat("x", MaxText+1)
-	bad := map[string]func(*Entry){"name": func(e *Entry) { e.Name = "" }, "long": func(e *Entry) { e.Zone = long }, "status": func(e *Entry) { e.Status = Gone },
-		"address": func(e *Entry) { e.Address = "nowhere" }, "weight": func(e *Entry) { e.Weight = math.NaN() }, "since": func(e *Entry) { e.SinceMS = -1 }}
+	bad := map[string]func(*Endpoint){"name": func(e *Endpoint) { e.Name = "" }, "long": func(e *Endpoint) { e.Zone = long }, "status": func(e *Endpoint) { e.Status = Removed },
+		"address": func(e *Endpoint) { e.Address = "nowhere" }, "weight": func(e *Endpoint) { e.Weight = math.NaN() }, "since": func(e *Endpoint) { e.StartedAtMS = -1 }}
 	s := NewState()
 	for name, spoil := range bad {
 		e := entry("a")
 		spoil(&e)
-		if r := s.Apply(Command{Do: DoRegister, Entry: &e}); r.Code != Invalid {
+		if r := s.Apply(Command{Op: OpRegister, Endpoint: &e}); r.Code != Invalid {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
 	e := entry("a")
-	for _, c := range []Command{{Do: "dance"}, {Do: DoRegister}, {Do: DoRegister, Entry: &e, TTL: time.Millisecond}, {Do: DoRegister, Entry: &e, ID: long},
-		{Do: DoDrain}, {Do: DoBegin}, {Do: DoExpire, Overdue: make([]Lease, MaxExpire+1)}} {
+	for _, c := range []Command{{Op: "dance"}, {Op: OpRegister}, {Op: OpRegister, Endpoint: &e, TTL: time.Millisecond}, {Op: OpRegister, Endpoint: &e, ID: long},
+		{Op: OpDrain}, {Op: OpBegin}, {Op: OpExpire, Expired: make([]EndpointVersion, MaxExpire+1)}} {
 		if r := s.Apply(c); r.Code != Invalid || s.Version() != 0 {
 			t.Errorf("%+v: %+v", c, r)
 		}
@@ -227,13 +227,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "entries")
 		const ttl = 5 * time.Second
-		var items []Item
+		var items []Registration
 		last := map[string]time.Duration{}
 		for i := range n {
-			items = append(items, Item{Entry: entry(fmt.Sprint("s", i)), Version: uint64(i + 1), TTL: ttl})
-			last[items[i].Entry.Name] = 0
+			items = append(items, Registration{Endpoint: entry(fmt.Sprint("s", i)), Version: uint64(i + 1), TTL: ttl})
+			last[items[i].Endpoint.Name] = 0
 		}
-		l := NewLeases(items, 0)
+		l := NewEndpointExpiry(items, 0)
 		var now time.Duration
 		var went []time.Duration
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
@@ -254,7 +254,7 @@
 					recent++
 				}
 			}
-			if most := max(expiryLeast, int(expiryShare*float64(held+recent))); len(due)+recent > most {
+			if most := max(minExpiries, int(maxExpiryShare*float64(held+recent))); len(due)+recent > most {
 				t.Fatalf("%d expire, after %d in the window, of %d", len(due), recent, held)
 			}
 			if len(due) > 0 && kept > 0 {
@@ -269,7 +269,7 @@
 			}
 		}
 		for name := range last { // all return but two at most
-			if len(last) > expiryLeast && name != "s0" && name != "s1" {
+			if len(last) > minExpiries && name != "s0" && name != "s1" {
 				l.Renew(name, now+time.Minute)
 			}
 		}
@@ -285,7 +285,7 @@
 
 // TestMalformedEntriesAreSkipped, whoever wrote them; the others are read.
 func TestMalformedEntriesAreSkipped(t *testing.T) {
-	var l Answer
+	var l ListResponse
 	err := json.Unmarshal([]byte(`{"index":4,"snapshot":true,"endpoints":[`+strings.Join([]string{
 		entryJSON("good", "127.0.0.1:1", "ready"), `5`, `null`, `{"name":5}`, entryJSON("", "127.0.0.1:1", "ready"),
 		entryJSON("odd", "127.0.0.1:1", "odd"), entryJSON("nowhere", "127.0.0.1", "ready"), entryJSON("left", "", "gone"),
@@ -294,8 +294,8 @@
 		t.Fatal(err)
 	}
 	got := l.Endpoints
-	want := Entry{Name: "good", Address: "127.0.0.1:1", Zone: "a", Type: "m2", Group: 3, Status: Ready, Weight: 1.5, SinceMS: 7}
-	if len(got) != 2 || got[0] != want || got[1].Name != "left" || len(l.Odd) != 7 || l.Index != 4 || !l.Snapshot {
+	want := Endpoint{Name: "good", Address: "127.0.0.1:1", Zone: "a", Type: "m2", Cell: 3, Status: Ready, Weight: 1.5, StartedAtMS: 7}
+	if len(got) != 2 || got[0] != want || got[1].Name != "left" || len(l.Skipped) != 7 || l.Index != 4 || !l.Snapshot {
 		t.Errorf("%+v, want good and left", l)
 	}
 }
@@ -303,16 +303,16 @@
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(`{"index":4,"snapshot":true,"endpoints":[null,{"name":"a","address":"a:1","status":"ready"}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var a Answer
+		var a ListResponse
 		if json.Unmarshal(raw, &a) != nil {
 			return
 		}
 		again, err := json.Marshal(a)
-		var b Answer
+		var b ListResponse
 		if err == nil {
 			err = json.Unmarshal(again, &b)
 		}
-		if a.Odd = nil; err != nil || !reflect.DeepEqual(a, b) {
+		if a.Skipped = nil; err != nil || !reflect.DeepEqual(a, b) {
 			t.Fatalf("%+v is read again as %+v, %v", a, b, err)
 		}
 	})
@@ -321,22 +321,22 @@
 func FuzzFromSnapshot(f *testing.F) {
 	s := NewState()
 	e := entry("a")
-	s.Apply(Command{Do: DoRegister, Entry: &e, ID: "w"})
-	raw, _ := s.Snapshot()
+	s.Apply(Command{Op: OpRegister, Endpoint: &e, ID: "w"})
+	raw, _ := s.EncodeSnapshot()
 	f.Add(raw)
 	f.Add([]byte(`{"v":1,"version":3,"changes":[{"version":3}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		s, err := FromSnapshot(raw)
+		s, err := DecodeSnapshot(raw)
 		if err != nil {
 			return
 		}
 		s.Since(0)
 		s.Since(s.Version() / 2)
-		again, err := s.Snapshot()
+		again, err := s.EncodeSnapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := FromSnapshot(again); err != nil {
+		if _, err := DecodeSnapshot(again); err != nil {
 			t.Fatalf("a state that was read can't be read again: %v", err)
 		}
 	})
--- a/internal/registry/timers.go
+++ b/internal/registry/timers.go
@@ -9,74 +9,74 @@
 // waits; it is looked at when the deadline that it waits by has passed, and then waits by its present one. Its present
 // one is never before that.
 type timers[T any] struct {
-	all   map[string]*timer[T]
-	queue timerQueue[T] // by the deadlines that they wait by
+	byName map[string]*timer[T]
+	queue  timerQueue[T] // by the deadlines that they wait by
 }
 
 type timer[T any] struct {
-	of       T
-	name     string
-	ttl, at  time.Duration
-	waitsFor time.Duration
-	place    int
+	value          T
+	name           string
+	ttl, deadline  time.Duration
+	queuedDeadline time.Duration
+	index          int
 }
 
-func newTimers[T any]() timers[T] { return timers[T]{all: map[string]*timer[T]{}} }
+func newTimers[T any]() timers[T] { return timers[T]{byName: map[string]*timer[T]{}} }
 
 // set gives a name its full time from now.
 func (t *timers[T]) set(name string, of T, ttl, now time.Duration) {
-	one, there := t.all[name]
+	one, there := t.byName[name]
 	if !there {
-		one = &timer[T]{name: name, waitsFor: now + ttl}
-		t.all[name] = one
+		one = &timer[T]{name: name, queuedDeadline: now + ttl}
+		t.byName[name] = one
 		heap.Push(&t.queue, one)
 	}
-	one.of, one.ttl, one.at = of, ttl, now+ttl
-	if one.at < one.waitsFor {
-		t.wait(one)
+	one.value, one.ttl, one.deadline = of, ttl, now+ttl
+	if one.deadline < one.queuedDeadline {
+		t.requeue(one)
 	}
 }
 
-// wait has one wait for its present deadline.
-func (t *timers[T]) wait(one *timer[T]) {
-	one.waitsFor = one.at
-	heap.Fix(&t.queue, one.place)
+// requeue has one wait for its present deadline.
+func (t *timers[T]) requeue(one *timer[T]) {
+	one.queuedDeadline = one.deadline
+	heap.Fix(&t.queue, one.index)
 }
 
 func (t *timers[T]) drop(name string) {
-	if one, there := t.all[name]; there {
-		heap.Remove(&t.queue, one.place)
-		delete(t.all, name)
+	if one, there := t.byName[name]; there {
+		heap.Remove(&t.queue, one.index)
+		delete(t.byName, name)
 	}
 }
 
 // renew gives a name its full time again; it is false for one that is not there.
 func (t *timers[T]) renew(name string, now time.Duration) bool {
-	one, there := t.all[name]
+	one, there := t.byName[name]
 	if there {
-		one.at = now + one.ttl
+		one.deadline = now + one.ttl
 	}
 	return there
 }
 
-// over takes out those whose deadline has passed.
-func (t *timers[T]) over(now time.Duration) (all []*timer[T]) {
-	for len(t.queue) > 0 && t.queue[0].waitsFor < now {
+// takeExpired takes out those whose deadline has passed.
+func (t *timers[T]) takeExpired(now time.Duration) (all []*timer[T]) {
+	for len(t.queue) > 0 && t.queue[0].queuedDeadline < now {
 		one := t.queue[0]
-		if one.at >= now {
-			t.wait(one)
+		if one.deadline >= now {
+			t.requeue(one)
 			continue
 		}
 		heap.Pop(&t.queue)
-		delete(t.all, one.name)
+		delete(t.byName, one.name)
 		all = append(all, one)
 	}
 	return all
 }
 
-// back puts one in again that was taken out.
-func (t *timers[T]) back(one *timer[T]) {
-	t.all[one.name] = one
+// putBack puts one in again that was taken out.
+func (t *timers[T]) putBack(one *timer[T]) {
+	t.byName[one.name] = one
 	heap.Push(&t.queue, one)
 }
 
@@ -84,15 +84,15 @@
 type timerQueue[T any] []*timer[T]
 
 func (q timerQueue[T]) Len() int           { return len(q) }
-func (q timerQueue[T]) Less(i, j int) bool { return q[i].waitsFor < q[j].waitsFor }
+func (q timerQueue[T]) Less(i, j int) bool { return q[i].queuedDeadline < q[j].queuedDeadline }
 func (q timerQueue[T]) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].place, q[j].place = i, j
+	q[i].index, q[j].index = i, j
 }
 
 func (q *timerQueue[T]) Push(one any) {
 	t := one.(*timer[T])
-	t.place = len(*q)
+	t.index = len(*q)
 	*q = append(*q, t)
 }
 
--- a/internal/registry/timers_test.go
+++ b/internal/registry/timers_test.go
@@ -13,7 +13,7 @@
 // and a look moves those alone that wait by a deadline which has passed, however many there are.
 func TestTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := NewDeadlines(nil, 0)
+		d := NewSessionExpiry(nil, 0)
 		ttl, at := map[string]time.Duration{}, map[string]time.Duration{}
 		var now time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -36,8 +36,8 @@
 				}
 			case 4:
 				waited, due := map[string]time.Duration{}, []string(nil)
-				for id, one := range d.held.all {
-					waited[id] = one.waitsFor
+				for id, one := range d.timers.byName {
+					waited[id] = one.queuedDeadline
 				}
 				for id, end := range at {
 					if now > end {
@@ -49,9 +49,9 @@
 				if got := d.Due(now); !slices.Equal(got, due) {
 					t.Fatalf("%v end, not %v", got, due)
 				}
-				for id, one := range d.held.all {
-					if moved := one.waitsFor != waited[id]; moved != (waited[id] < now) || d.held.queue[one.place] != one {
-						t.Fatalf("%s waited for %v, waits for %v at %v", id, waited[id], one.waitsFor, now)
+				for id, one := range d.timers.byName {
+					if moved := one.queuedDeadline != waited[id]; moved != (waited[id] < now) || d.timers.queue[one.index] != one {
+						t.Fatalf("%s waited for %v, waits for %v at %v", id, waited[id], one.queuedDeadline, now)
 					}
 				}
 			}
--- a/internal/release/machine.go
+++ b/internal/release/machine.go
@@ -127,9 +127,9 @@
 }
 
 // Listed gives the servers of a list.
-func Listed(all []registry.Entry) (targets []Target) {
+func Listed(all []registry.Endpoint) (targets []Target) {
 	for _, e := range all {
-		targets = append(targets, Target{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Group: e.Group, Version: e.Version})
+		targets = append(targets, Target{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Group: e.Cell, Version: e.Version})
 	}
 	return targets
 }
--- a/internal/release/programs.go
+++ b/internal/release/programs.go
@@ -15,7 +15,7 @@
 // concurrent use.
 type Programs struct {
 	List  *client.Client
-	Fence registry.Fence
+	Fence registry.FencingToken
 	HTTP  *http.Client
 
 	agents agents
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -31,7 +31,7 @@
 // Records keeps a release in the list service, under its conductor's fence.
 type Records struct {
 	List  *client.Client
-	Fence registry.Fence
+	Fence registry.FencingToken
 	Name  string
 }
 
@@ -72,7 +72,7 @@
 
 // is tells whether the service's refusal has a code.
 func is(err error, code registry.Code) bool {
-	var r *client.Refused
+	var r *client.Error
 	return errors.As(err, &r) && r.Code == string(code)
 }
 
@@ -84,17 +84,17 @@
 
 // Save writes the record.
 func (r Records) Save(ctx context.Context, raw []byte, version uint64) (uint64, error) {
-	got, err := r.List.As(r.Fence).Put(ctx, RecordPrefix+r.Name, raw, &version)
-	if is(err, registry.Conflict) || is(err, registry.Fenced) {
+	got, err := r.List.WithToken(r.Fence).Put(ctx, RecordPrefix+r.Name, raw, &version)
+	if is(err, registry.Conflict) || is(err, registry.StaleToken) {
 		return 0, fmt.Errorf("%w: %w", ErrTaken, err)
 	}
-	return got.Entry, err
+	return got.EntryVersion, err
 }
 
 // Order reads the order that waits.
 func (r Records) Order(ctx context.Context) (id, what, who string, err error) {
 	one, err := r.List.Record(ctx, orderPrefix+r.Name)
-	var refused *client.Refused
+	var refused *client.Error
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return "", "", "", nil
 	}
@@ -107,7 +107,7 @@
 
 // Taken makes room for the next order.
 func (r Records) Taken(ctx context.Context) error {
-	if _, err := r.List.As(r.Fence).Put(ctx, orderPrefix+r.Name, nil, nil); !is(err, registry.Absent) {
+	if _, err := r.List.WithToken(r.Fence).Put(ctx, orderPrefix+r.Name, nil, nil); !is(err, registry.NotFound) {
 		return err
 	}
 	return nil
--- a/internal/release/servers.go
+++ b/internal/release/servers.go
@@ -29,7 +29,7 @@
 // Servers is a fleet of servers that agents keep. Its methods are safe for concurrent use.
 type Servers struct {
 	List  *client.Client
-	Fence registry.Fence
+	Fence registry.FencingToken
 	Nodes []Node
 	HTTP  *http.Client
 	Grace time.Duration // for what nodes hold at a server that is in maintenance
@@ -44,7 +44,7 @@
 // View gives the servers that the list has as leaving, and those that agents keep
 // and the list does not have.
 func (f *Servers) View(ctx context.Context) (View, error) {
-	a, err := f.List.Items(ctx)
+	a, err := f.List.Registrations(ctx)
 	if err != nil {
 		return View{}, err
 	}
@@ -54,10 +54,10 @@
 	}
 	var v View
 	listed := map[string]bool{}
-	for _, i := range a.Items {
-		listed[i.Entry.Name] = true
-		if i.Entry.Status != registry.Ready {
-			v.Out = append(v.Out, Target{Name: i.Entry.Name, Zone: i.Entry.Zone, Type: i.Entry.Type, Group: i.Entry.Group})
+	for _, i := range a.Registrations {
+		listed[i.Endpoint.Name] = true
+		if i.Endpoint.Status != registry.Ready {
+			v.Out = append(v.Out, Target{Name: i.Endpoint.Name, Zone: i.Endpoint.Zone, Type: i.Endpoint.Type, Group: i.Endpoint.Cell})
 		}
 	}
 	for name, at := range agents {
--- a/internal/sim/holder_test.go
+++ b/internal/sim/holder_test.go
@@ -37,8 +37,8 @@
 		out = append(out, Wake{After: holderTTL / 4})
 		if h.session == "" {
 			h.session = fmt.Sprintf("%s-%d", h.name, now)
-			call(Call{Command: &registry.Command{Do: registry.DoSession, Session: &registry.Session{ID: h.session, Process: h.name, TTL: holderTTL}}})
-			call(Call{Command: &registry.Command{Do: registry.DoCampaign, Session: &registry.Session{ID: h.session}, Wishes: []registry.Wish{{Duty: "pen"}}}})
+			call(Call{Command: &registry.Command{Op: registry.OpOpenSession, Session: &registry.Session{ID: h.session, Process: h.name, TTL: holderTTL}}})
+			call(Call{Command: &registry.Command{Op: registry.OpCampaign, Session: &registry.Session{ID: h.session}, Candidacies: []registry.Candidacy{{Lease: "pen"}}}})
 			break
 		}
 		call(Call{Renew: h.session})
@@ -46,7 +46,7 @@
 		if e.Lost {
 			break
 		}
-		if e.Result.Code == registry.Absent {
+		if e.Result.Code == registry.NotFound {
 			h.session, h.has = "", false
 			break
 		}
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -22,7 +22,7 @@
 type Service struct {
 	world     *World
 	state     *registry.State
-	deadlines *registry.Deadlines
+	deadlines *registry.SessionExpiry
 	down      bool
 	holders   map[string]uint64 // fence by duty, as last seen
 }
@@ -40,14 +40,14 @@
 	Version  uint64
 	Record   registry.Record
 	Records  []registry.Record
-	Duty     registry.Duty
+	Duty     registry.Lease
 	Sessions []registry.Session
 }
 
 // AddService gives the world a list service that has begun.
 func (w *World) AddService() *Service {
-	s := &Service{world: w, state: registry.NewState(), deadlines: registry.NewDeadlines(nil, w.now), holders: map[string]uint64{}}
-	s.state.Apply(registry.Command{Do: registry.DoBegin, Epoch: "sim"})
+	s := &Service{world: w, state: registry.NewState(), deadlines: registry.NewSessionExpiry(nil, w.now), holders: map[string]uint64{}}
+	s.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "sim"})
 	w.Service = s
 	s.expire()
 	return s
@@ -65,34 +65,34 @@
 // Up is the end of Down.
 func (s *Service) Up() {
 	if s.down {
-		s.down, s.deadlines = false, registry.NewDeadlines(s.state.Sessions(), s.world.now)
+		s.down, s.deadlines = false, registry.NewSessionExpiry(s.state.Sessions(), s.world.now)
 		s.world.Say(ServiceName, "up again")
 	}
 }
 
 // Apply carries out a command at once, granting what it frees or asks for.
 func (s *Service) Apply(c registry.Command) registry.Result {
-	for _, w := range c.Wishes {
-		c.Grant = append(c.Grant, w.Duty)
+	for _, w := range c.Candidacies {
+		c.Grant = append(c.Grant, w.Lease)
 	}
 	r := s.state.Apply(c)
-	if c.Do == registry.DoSession && r.Code == registry.Done {
+	if c.Op == registry.OpOpenSession && r.Code == registry.Applied {
 		s.deadlines.Set(*c.Session, s.world.now)
 	}
 	for _, id := range c.Sessions {
 		s.deadlines.Drop(id)
 	}
-	s.state.Apply(registry.Command{Do: registry.DoGrant, Grant: s.state.Waiting()})
+	s.state.Apply(registry.Command{Op: registry.OpGrant, Grant: s.state.UnheldLeases()})
 	s.tellGrants()
 	return r
 }
 
 func (s *Service) tellGrants() {
-	all, _ := s.state.Duties("")
+	all, _ := s.state.Leases("")
 	for _, d := range all {
-		if d.Holder != "" && s.holders[d.Name] != d.Fence {
-			s.holders[d.Name] = d.Fence
-			s.world.Say(ServiceName, fmt.Sprintf("grants %s to %s as %d", d.Name, d.Process, d.Fence))
+		if d.Holder != "" && s.holders[d.Name] != d.Token {
+			s.holders[d.Name] = d.Token
+			s.world.Say(ServiceName, fmt.Sprintf("grants %s to %s as %d", d.Name, d.Process, d.Token))
 		}
 	}
 }
@@ -104,7 +104,7 @@
 			for _, id := range due {
 				s.world.Say(ServiceName, "ends session "+id)
 			}
-			s.Apply(registry.Command{Do: registry.DoClose, Sessions: due})
+			s.Apply(registry.Command{Op: registry.OpCloseSessions, Sessions: due})
 		}
 	}
 	s.world.After(expireEvery, s.expire)
@@ -113,7 +113,7 @@
 func (s *Service) look(r Read) Seen {
 	seen := Seen{Version: s.state.Version()}
 	seen.Record, _ = s.state.Record(r.Record)
-	seen.Duty, _ = s.state.Duty(r.Duty)
+	seen.Duty, _ = s.state.Lease(r.Duty)
 	if r.Prefix != "" {
 		for _, one := range s.state.Records(r.Prefix) {
 			whole, _ := s.state.Record(one.Key)
@@ -133,7 +133,7 @@
 		a.Result = s.Apply(*c.Command)
 	case c.Renew != "":
 		if !s.deadlines.Renew(c.Renew, s.world.now) {
-			a.Result = registry.Result{Code: registry.Absent, Why: "there is no session " + c.Renew}
+			a.Result = registry.Result{Code: registry.NotFound, Reason: "there is no session " + c.Renew}
 		}
 	}
 	a.Seen = s.look(c.Read)
--- a/internal/sim/subset/checks.go
+++ b/internal/sim/subset/checks.go
@@ -14,7 +14,7 @@
 const mostCalls = 6
 
 // saw checks what a node believes after an answer.
-func (f *Fleet) saw(n *node, v client.View) {
+func (f *Fleet) saw(n *node, v client.List) {
 	if err := f.history[v.Epoch].differs(v); err != nil {
 		f.breaks("exact", n, err)
 	}
@@ -59,7 +59,7 @@
 func (f *Fleet) held() error {
 	known := map[string]bool{}
 	for _, n := range f.nodes {
-		for _, e := range n.view.Entries {
+		for _, e := range n.view.Endpoints {
 			known[e.Name] = known[e.Name] || e.Status == registry.Ready
 		}
 	}
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -37,21 +37,21 @@
 type Fleet struct {
 	World    *sim.World
 	Replicas []string
-	Alter    func(q query, a *registry.Answer)                                                                           // stand-in: changes an answer; nil: none does
-	Next     func(has registry.Part, self, nodes, total int, entries []registry.Entry, g []registry.Group) registry.Part // a node's choice
-	Forgets  bool                                                                                                        // stand-in: nodes begin anew at another replica after each watch
+	Alter    func(q query, a *registry.ListResponse)                                                                                // stand-in: changes an answer; nil: none does
+	Next     func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset // a node's choice
+	Forgets  bool                                                                                                                   // stand-in: nodes begin anew at another replica after each watch
 
 	leader *registry.State
 	log    []logged
 	disks  map[string]*disk
 	nodes  map[string]*node // the last process of each
 	sizes  map[string]int   // of the fleet, in each node's settings
-	files  map[string]client.View
+	files  map[string]client.List
 	epochs int
 
-	now     map[string]registry.Entry // the list, kept apart from State
-	history map[string]*history       // by epoch
-	broken  map[string]error          // by check, the first
+	now     map[string]registry.Endpoint // the list, kept apart from State
+	history map[string]*history          // by epoch
+	broken  map[string]error             // by check, the first
 	mail    mail
 }
 
@@ -62,7 +62,7 @@
 	registry.Command
 }
 
-var groups = []registry.Group{{}, {Types: []string{"big"}}}
+var groups = []registry.Placement{{}, {Types: []string{"big"}}}
 
 func names(n int, of string) (all []string) {
 	for i := range n {
@@ -73,8 +73,8 @@
 
 // newFleet gives a fleet without nodes, before a list of total servers.
 func newFleet(w *sim.World, replicas, total int) *Fleet {
-	f := &Fleet{World: w, Replicas: names(replicas, "r"), Next: registry.Part.Next, disks: map[string]*disk{}, nodes: map[string]*node{}, sizes: map[string]int{},
-		files: map[string]client.View{}, now: map[string]registry.Entry{}, history: map[string]*history{}, broken: map[string]error{}, mail: mail{kept: map[string]any{}, to: map[string][]string{}}}
+	f := &Fleet{World: w, Replicas: names(replicas, "r"), Next: registry.Subset.Next, disks: map[string]*disk{}, nodes: map[string]*node{}, sizes: map[string]int{},
+		files: map[string]client.List{}, now: map[string]registry.Endpoint{}, history: map[string]*history{}, broken: map[string]error{}, mail: mail{kept: map[string]any{}, to: map[string][]string{}}}
 	w.Play = f
 	f.begin()
 	for i := range total {
@@ -102,8 +102,8 @@
 	}
 }
 
-func server(prefix string, i int) registry.Entry {
-	e := registry.Entry{Name: fmt.Sprint(prefix, "-", i), Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Type: "small", Status: registry.Ready, Weight: 1}
+func server(prefix string, i int) registry.Endpoint {
+	e := registry.Endpoint{Name: fmt.Sprint(prefix, "-", i), Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Type: "small", Status: registry.Ready, Weight: 1}
 	if i%12 == 0 {
 		e.Type = "big"
 	}
@@ -113,8 +113,8 @@
 // begin begins a list without servers, in an epoch of its own.
 func (f *Fleet) begin() {
 	f.leader = registry.NewState()
-	f.now = map[string]registry.Entry{}
-	f.write(registry.Command{Do: registry.DoBegin, Epoch: f.epoch()}, true)
+	f.now = map[string]registry.Endpoint{}
+	f.write(registry.Command{Op: registry.OpBegin, Epoch: f.epoch()}, true)
 }
 
 func (f *Fleet) epoch() string {
@@ -132,28 +132,28 @@
 	return r
 }
 
-func (f *Fleet) register(e registry.Entry) {
-	f.put(e, registry.Command{Do: registry.DoRegister, Entry: &e})
+func (f *Fleet) register(e registry.Endpoint) {
+	f.put(e, registry.Command{Op: registry.OpRegister, Endpoint: &e})
 }
 
 func (f *Fleet) drain(name string) {
 	e := f.now[name]
 	e.Status = registry.Draining
-	f.put(e, registry.Command{Do: registry.DoDrain, Name: name})
+	f.put(e, registry.Command{Op: registry.OpDrain, Name: name})
 }
 
 func (f *Fleet) remove(name string) {
 	e := f.now[name]
-	e.Status = registry.Gone
-	f.put(e, registry.Command{Do: registry.DoRemove, Name: name})
+	e.Status = registry.Removed
+	f.put(e, registry.Command{Op: registry.OpRemove, Name: name})
 }
 
-func (f *Fleet) put(e registry.Entry, c registry.Command) {
+func (f *Fleet) put(e registry.Endpoint, c registry.Command) {
 	r := f.write(c, false)
 	if f.now[e.Name] == e {
 		return
 	}
-	if f.now[e.Name] = e; e.Status == registry.Gone {
+	if f.now[e.Name] = e; e.Status == registry.Removed {
 		delete(f.now, e.Name)
 	}
 	f.history[f.leader.Epoch()].add(r.Version, e)
@@ -161,13 +161,13 @@
 
 // backup gives what puts today's list back.
 func (f *Fleet) backup() (restore func()) {
-	image, err := f.leader.Snapshot()
+	image, err := f.leader.EncodeSnapshot()
 	if err != nil {
 		panic(err) // it is ours
 	}
 	was := maps.Clone(f.now)
 	return func() {
-		r := f.write(registry.Command{Do: registry.DoRestore, Epoch: f.epoch(), Over: f.leader.Epoch(), Image: image}, false)
+		r := f.write(registry.Command{Op: registry.OpRestore, Epoch: f.epoch(), ReplacesEpoch: f.leader.Epoch(), Snapshot: image}, false)
 		f.now = maps.Clone(was)
 		for _, e := range f.now {
 			f.history[f.leader.Epoch()].add(r.Version, e)
--- a/internal/sim/subset/history.go
+++ b/internal/sim/subset/history.go
@@ -21,22 +21,22 @@
 
 type change struct {
 	version uint64
-	entry   registry.Entry
+	entry   registry.Endpoint
 }
 
-func (h *history) add(version uint64, e registry.Entry) {
+func (h *history) add(version uint64, e registry.Endpoint) {
 	i, there := slices.BinarySearchFunc(h.servers, e.Name, func(p past, name string) int { return cmp.Compare(p.name, name) })
 	if !there {
-		h.servers = slices.Insert(h.servers, i, past{name: e.Name, point: registry.Point(e.Name)})
+		h.servers = slices.Insert(h.servers, i, past{name: e.Name, point: registry.Position(e.Name)})
 	}
 	h.servers[i].changes = append(h.servers[i].changes, change{version, e})
 }
 
 // at is what the server was at a version, nil where it was not listed.
-func (p *past) at(version uint64) *registry.Entry {
+func (p *past) at(version uint64) *registry.Endpoint {
 	for i := len(p.changes) - 1; i >= 0; i-- {
 		if c := &p.changes[i]; c.version <= version {
-			if c.entry.Status == registry.Gone {
+			if c.entry.Status == registry.Removed {
 				return nil
 			}
 			return &c.entry
@@ -46,11 +46,11 @@
 }
 
 // differs says in what a view, which is by name, is not the list of its version within its part.
-func (h *history) differs(v client.View) error {
-	n, left := 0, v.Entries
+func (h *history) differs(v client.List) error {
+	n, left := 0, v.Endpoints
 	for i := range h.servers {
 		p := &h.servers[i]
-		if !v.Part.Holds(p.point) {
+		if !v.Subset.Contains(p.point) {
 			continue
 		}
 		for len(left) > 0 && left[0].Name < p.name { // not of the part
@@ -59,17 +59,17 @@
 		want, there := p.at(v.Version), len(left) > 0 && left[0].Name == p.name
 		switch {
 		case want != nil && !there:
-			return fmt.Errorf("%s of %s at version %d lacks %s", v.Part, v.Epoch, v.Version, p.name)
+			return fmt.Errorf("%s of %s at version %d lacks %s", v.Subset, v.Epoch, v.Version, p.name)
 		case want == nil && there:
-			return fmt.Errorf("%s of %s at version %d still has %s as %s", v.Part, v.Epoch, v.Version, p.name, left[0].Status)
+			return fmt.Errorf("%s of %s at version %d still has %s as %s", v.Subset, v.Epoch, v.Version, p.name, left[0].Status)
 		case want != nil && left[0] != *want:
-			return fmt.Errorf("%s of %s at version %d has %s as %s, not %s", v.Part, v.Epoch, v.Version, p.name, left[0].Status, want.Status)
+			return fmt.Errorf("%s of %s at version %d has %s as %s, not %s", v.Subset, v.Epoch, v.Version, p.name, left[0].Status, want.Status)
 		case want != nil:
 			n++
 		}
 	}
-	if n != len(v.Entries) {
-		return fmt.Errorf("%s of %s at version %d has %d servers that are not of the part", v.Part, v.Epoch, v.Version, len(v.Entries)-n)
+	if n != len(v.Endpoints) {
+		return fmt.Errorf("%s of %s at version %d has %d servers that are not of the part", v.Subset, v.Epoch, v.Version, len(v.Endpoints)-n)
 	}
 	return nil
 }
--- a/internal/sim/subset/kinds.go
+++ b/internal/sim/subset/kinds.go
@@ -69,9 +69,9 @@
 	// racks take all servers of a sixteenth of the ring away, and bring them back.
 	racks = sim.Kind{Name: "rack", Draw: drawn(20*time.Second, func(rng *rand.Rand, _ []string) []string { return []string{number(rng, 16)} }),
 		Do: func(w *sim.World, f sim.Fault) func() {
-			gone := slices.DeleteFunc(of(w).servers(), func(s string) bool { return int(registry.Point(s)>>60)+1 != with(f, 0) })
+			gone := slices.DeleteFunc(of(w).servers(), func(s string) bool { return int(registry.Position(s)>>60)+1 != with(f, 0) })
 			w.Say("list", fmt.Sprintf("loses a rack of %d", len(gone)))
-			var were []registry.Entry
+			var were []registry.Endpoint
 			for _, s := range gone {
 				were = append(were, of(w).now[s])
 				of(w).remove(s)
@@ -129,7 +129,7 @@
 	losses = sim.Kind{Name: "state lost", Draw: drawn(0, func(*rand.Rand, []string) []string { return nil }), Do: func(w *sim.World, _ sim.Fault) func() {
 		f := of(w)
 		w.Say("list", "has lost its state")
-		var were []registry.Entry
+		var were []registry.Endpoint
 		for _, s := range f.servers() {
 			were = append(were, f.now[s])
 		}
--- a/internal/sim/subset/node.go
+++ b/internal/sim/subset/node.go
@@ -16,11 +16,11 @@
 	fleet  *Fleet
 	name   string
 	self   int
-	belief *client.Belief
-	view   client.View   // of it
-	at     int           // of the replicas
-	has    registry.Part // that is known
-	to     registry.Part // that is to be followed
+	belief *client.ListState
+	view   client.List     // of it
+	at     int             // of the replicas
+	has    registry.Subset // that is known
+	to     registry.Subset // that is to be followed
 	asked  query
 	open   bool // a call is
 	failed bool // the last call has
@@ -36,9 +36,9 @@
 	switch e := e.(type) {
 	case sim.Started:
 		v := n.fleet.files[n.name]
-		n.belief, n.view, n.has, n.to = client.NewBelief(holdBack, v), v, v.Part, v.Part
+		n.belief, n.view, n.has, n.to = client.NewListState(holdBack, v), v, v.Subset, v.Subset
 		if v.Version == 0 {
-			n.to = n.next(client.View{Total: registry.MaxEntries})
+			n.to = n.next(client.List{Total: registry.MaxEndpoints})
 		}
 		return n.call()
 	case sim.Tick:
@@ -58,9 +58,9 @@
 func (n *node) call() []sim.Effect {
 	q := query{number: n.asked.number + 1, part: n.has}
 	if n.fleet.Forgets && n.asked.hold > 0 {
-		n.belief, n.at = client.NewBelief(holdBack, client.View{}), (n.at+1)%len(n.fleet.Replicas)
+		n.belief, n.at = client.NewListState(holdBack, client.List{}), (n.at+1)%len(n.fleet.Replicas)
 	}
-	q.from, q.epoch = n.belief.Ask()
+	q.from, q.epoch = n.belief.Next()
 	switch {
 	case q.from == 0:
 		q.part = n.to
@@ -90,37 +90,37 @@
 
 const stale = "passes over what is older"
 
-func (n *node) take(now time.Duration, a *registry.Answer) []sim.Effect {
+func (n *node) take(now time.Duration, a *registry.ListResponse) []sim.Effect {
 	if a == nil {
 		return n.fail("refused by one that is behind", true)
 	}
-	verdict := n.belief.Take(now, n.asked.from, *a)
+	verdict := n.belief.Apply(now, n.asked.from, *a)
 	switch verdict {
 	case client.Stale:
 		return n.fail(stale, true)
-	case client.Gap:
+	case client.NeedsComplete:
 		return n.fail("finds a gap", true)
-	case client.Kept:
+	case client.HeldBack:
 		n.calls--
 		return n.fail(fmt.Sprintf("holds %s back", a.Epoch), false)
 	}
-	if verdict == client.Taken {
+	if verdict == client.Changed {
 		n.view = n.belief.View()
 	}
 	v := n.view
 	var said []sim.Effect
-	if verdict == client.Taken && (a.Snapshot || len(a.Endpoints) > 0) {
+	if verdict == client.Changed && (a.Snapshot || len(a.Endpoints) > 0) {
 		said = append(said, sim.Say{What: told(a, v)})
 	}
-	n.open, n.failed, n.has, n.to = false, false, v.Part, n.next(v)
+	n.open, n.failed, n.has, n.to = false, false, v.Subset, n.next(v)
 	n.fleet.files[n.name] = v
 	n.fleet.saw(n, v)
 	return append(said, n.call()...)
 }
 
-func told(a *registry.Answer, v client.View) string {
+func told(a *registry.ListResponse, v client.List) string {
 	if a.Snapshot {
-		return fmt.Sprintf("takes %s of %s at version %d: %d of %d", v.Part, v.Epoch, v.Version, len(v.Entries), v.Total)
+		return fmt.Sprintf("takes %s of %s at version %d: %d of %d", v.Subset, v.Epoch, v.Version, len(v.Endpoints), v.Total)
 	}
 	if len(a.Endpoints) == 1 {
 		return fmt.Sprintf("hears %s is %s: version %d", a.Endpoints[0].Name, a.Endpoints[0].Status, v.Version)
@@ -129,6 +129,6 @@
 }
 
 // next is the part to follow for whoever has this.
-func (n *node) next(v client.View) registry.Part {
-	return n.fleet.Next(v.Part, n.self, n.fleet.sizes[n.name], v.Total, v.Entries, groups)
+func (n *node) next(v client.List) registry.Subset {
+	return n.fleet.Next(v.Subset, n.self, n.fleet.sizes[n.name], v.Total, v.Endpoints, groups)
 }
--- a/internal/sim/subset/replica.go
+++ b/internal/sim/subset/replica.go
@@ -16,7 +16,7 @@
 // query is a call for a part.
 type query struct {
 	number uint64
-	part   registry.Part
+	part   registry.Subset
 	from   uint64
 	epoch  string
 	hold   time.Duration
@@ -26,7 +26,7 @@
 // reply is what a call brings; without an answer it is refused, as the replica is behind.
 type reply struct {
 	number uint64
-	answer *registry.Answer
+	answer *registry.ListResponse
 }
 
 // disk is what a replica has after a restart.
@@ -41,12 +41,12 @@
 	fleet *Fleet
 	*disk
 	held    []held
-	answers map[span]registry.Answer // as the state is, for those who ask for the same; nil: it has changed
+	answers map[span]registry.ListResponse // as the state is, for those who ask for the same; nil: it has changed
 }
 
 // span is what an answer is of: a part, since a version.
 type span struct {
-	part registry.Part
+	part registry.Subset
 	from uint64
 }
 
@@ -93,12 +93,12 @@
 }
 
 // since is PartSince, made once for all who ask for the same.
-func (r *replica) since(p registry.Part, from uint64) registry.Answer {
+func (r *replica) since(p registry.Subset, from uint64) registry.ListResponse {
 	a, ok := r.answers[span{p, from}]
 	if !ok {
-		a = r.state.PartSince(p, from)
+		a = r.state.SubsetSince(p, from)
 		if r.answers == nil {
-			r.answers = map[span]registry.Answer{}
+			r.answers = map[span]registry.ListResponse{}
 		}
 		r.answers[span{p, from}] = a
 	}
@@ -114,11 +114,11 @@
 	if from > r.state.Version() {
 		return &reply{number: q.number}
 	}
-	if from > 0 && !over && !r.state.Newer(q.part, from) {
+	if from > 0 && !over && !r.state.HasNewer(q.part, from) {
 		return nil
 	}
 	a := r.since(q.part, from)
-	a.Part, a.Total = q.part.String(), r.state.Len()
+	a.Subset, a.Total = q.part.String(), r.state.Len()
 	if r.fleet.Alter != nil {
 		a.Endpoints = slices.Clone(a.Endpoints)
 		r.fleet.Alter(q, &a)
--- a/internal/sim/subset/standins_test.go
+++ b/internal/sim/subset/standins_test.go
@@ -10,22 +10,22 @@
 )
 
 // altering gives a stand-in whose answers are altered.
-func altering(alter func(q query, a *registry.Answer)) func(*Fleet) {
+func altering(alter func(q query, a *registry.ListResponse)) func(*Fleet) {
 	return func(f *Fleet) { f.Alter = alter }
 }
 
 // choosing gives a stand-in whose nodes choose other parts than list.Part.Next says.
-func choosing(choose func(has, right registry.Part, self int) registry.Part) func(*Fleet) {
+func choosing(choose func(has, right registry.Subset, self int) registry.Subset) func(*Fleet) {
 	return func(f *Fleet) {
-		f.Next = func(has registry.Part, self, nodes, total int, entries []registry.Entry, g []registry.Group) registry.Part {
+		f.Next = func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset {
 			return choose(has, has.Next(self, nodes, total, entries, g), self)
 		}
 	}
 }
 
 // arc is the part of a width at a node's place.
-func arc(self int, width uint16) registry.Part {
-	return registry.Part{From: uint16(registry.Place(self)>>48) / (width / 4) * (width / 4), Width: width}
+func arc(self int, width uint16) registry.Subset {
+	return registry.Subset{Start: uint16(registry.StartPosition(self)>>48) / (width / 4) * (width / 4), Width: width}
 }
 
 // standins are broken services and nodes, and the check which must find each.
@@ -36,49 +36,49 @@
 	bend     func(*Fleet)
 	found    string
 }{
-	{"who leaves is not told", 1, []sim.Kind{removes}, altering(func(_ query, a *registry.Answer) {
-		a.Endpoints = slices.DeleteFunc(a.Endpoints, func(e registry.Entry) bool { return e.Status == registry.Gone })
+	{"who leaves is not told", 1, []sim.Kind{removes}, altering(func(_ query, a *registry.ListResponse) {
+		a.Endpoints = slices.DeleteFunc(a.Endpoints, func(e registry.Endpoint) bool { return e.Status == registry.Removed })
 	}), "exact"},
-	{"who is gone is told as draining", 1, []sim.Kind{removes}, altering(func(_ query, a *registry.Answer) {
+	{"who is gone is told as draining", 1, []sim.Kind{removes}, altering(func(_ query, a *registry.ListResponse) {
 		for i := range a.Endpoints {
-			if a.Endpoints[i].Status == registry.Gone {
+			if a.Endpoints[i].Status == registry.Removed {
 				a.Endpoints[i].Status = registry.Draining
 			}
 		}
 	}), "exact"},
-	{"one server is missing from a part that is read in place of another", 1, []sim.Kind{resizes}, altering(func(q query, a *registry.Answer) {
+	{"one server is missing from a part that is read in place of another", 1, []sim.Kind{resizes}, altering(func(q query, a *registry.ListResponse) {
 		if q.moves {
 			a.Endpoints = a.Endpoints[1:]
 		}
 	}), "exact"},
-	{"what left the part stays as draining", 1, []sim.Kind{resizes}, altering(func(q query, a *registry.Answer) {
-		for i := 0; q.moves && !q.part.All(); i++ {
-			if e := server("s", i); !q.part.Holds(registry.Point(e.Name)) {
+	{"what left the part stays as draining", 1, []sim.Kind{resizes}, altering(func(q query, a *registry.ListResponse) {
+		for i := 0; q.moves && !q.part.IsAll(); i++ {
+			if e := server("s", i); !q.part.Contains(registry.Position(e.Name)) {
 				e.Status = registry.Draining
 				a.Endpoints = append(a.Endpoints, e)
 				return
 			}
 		}
 	}), "exact"},
-	{"a watch goes on ahead of what it brings", 1, []sim.Kind{registers}, altering(func(_ query, a *registry.Answer) {
+	{"a watch goes on ahead of what it brings", 1, []sim.Kind{registers}, altering(func(_ query, a *registry.ListResponse) {
 		if !a.Snapshot && len(a.Endpoints) > 1 {
 			a.Endpoints = a.Endpoints[:len(a.Endpoints)-1]
 		}
 	}), "exact"},
 	{"begins anew at another replica after each watch", 3, []sim.Kind{registers, lagging}, func(f *Fleet) { f.Forgets = true }, "forward"},
-	{"a quiet watch ends at the version that it began with", 1, []sim.Kind{drains}, altering(func(q query, a *registry.Answer) {
+	{"a quiet watch ends at the version that it began with", 1, []sim.Kind{drains}, altering(func(q query, a *registry.ListResponse) {
 		if !a.Snapshot && len(a.Endpoints) == 0 {
 			a.Index = q.from
 		}
 	}), "newest"},
-	{"all follow the part of one", 1, []sim.Kind{registers}, choosing(func(_, right registry.Part, _ int) registry.Part {
-		if right.All() {
+	{"all follow the part of one", 1, []sim.Kind{registers}, choosing(func(_, right registry.Subset, _ int) registry.Subset {
+		if right.IsAll() {
 			return right
 		}
 		return arc(0, right.Width)
 	}), "held"},
-	{"parts end at half of their width", 1, []sim.Kind{registers}, choosing(func(_, right registry.Part, _ int) registry.Part {
-		return registry.Part{From: right.From, Width: right.Width / 2}
+	{"parts end at half of their width", 1, []sim.Kind{registers}, choosing(func(_, right registry.Subset, _ int) registry.Subset {
+		return registry.Subset{Start: right.Start, Width: right.Width / 2}
 	}), "held"},
 }
 
--- a/internal/sim/subset/stories_test.go
+++ b/internal/sim/subset/stories_test.go
@@ -27,11 +27,11 @@
 }
 
 // first does something to the first server that is in one part and not in others.
-func first(at time.Duration, what string, do func(*Fleet, string), in registry.Part, out ...registry.Part) step {
+func first(at time.Duration, what string, do func(*Fleet, string), in registry.Subset, out ...registry.Subset) step {
 	return step{at, func(f *Fleet) {
 		for _, s := range f.servers() {
-			p := registry.Point(s)
-			if in.Holds(p) && !slices.ContainsFunc(out, func(o registry.Part) bool { return o.Holds(p) }) {
+			p := registry.Position(s)
+			if in.Contains(p) && !slices.ContainsFunc(out, func(o registry.Subset) bool { return o.Contains(p) }) {
 				f.World.Say("list", what+" "+s)
 				do(f, s)
 				return
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -115,7 +115,7 @@
 	w, a, _ := pair(1)
 	s := w.AddService()
 	w.Net.Break(func(from, _ string) bool { return from == ServiceName }, Cut)
-	w.call(a, Call{Command: &registry.Command{Do: registry.DoPut, Name: "k", Value: []byte("1")}})
+	w.call(a, Call{Command: &registry.Command{Op: registry.OpPutRecord, Name: "k", Value: []byte("1")}})
 	w.RunTo(CallMost + time.Millisecond)
 	if _, there := s.State().Record("k"); !there {
 		t.Error("the command was not carried out")
--- a/internal/tenant/fleet.go
+++ b/internal/tenant/fleet.go
@@ -62,7 +62,7 @@
 	a, err := f.List.Current(ctx)
 	for _, e := range a.Endpoints {
 		if e.Status == registry.Ready {
-			all = append(all, Box{e.Zone, e.Type, e.Group})
+			all = append(all, Box{e.Zone, e.Type, e.Cell})
 		}
 	}
 	return all, err
@@ -70,6 +70,6 @@
 
 // none tells whether an error says that there is no such record.
 func none(err error) bool {
-	var r *client.Refused
+	var r *client.Error
 	return errors.As(err, &r) && r.Status == http.StatusNotFound
 }
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -16,7 +16,7 @@
 // Records keeps tenants in the list service, under the conductor's fence.
 type Records struct {
 	List  *client.Client
-	Fence registry.Fence
+	Fence registry.FencingToken
 
 	mu   sync.Mutex
 	seen map[string]registry.Record // orders by key, as far as they were read
@@ -24,7 +24,7 @@
 
 // is tells whether the service's refusal has a code.
 func is(err error, code registry.Code) bool {
-	var r *client.Refused
+	var r *client.Error
 	return errors.As(err, &r) && r.Code == string(code)
 }
 
@@ -146,9 +146,9 @@
 
 // ReadSessions gives the nodes' sessions, as they are now.
 func ReadSessions(ctx context.Context, k *client.Client) (all []Session, err error) {
-	a, err := k.Duties(ctx)
+	a, err := k.Leases(ctx)
 	for _, s := range a.Sessions {
-		if w, ok := ParseWord(s.Word.Note); ok {
+		if w, ok := ParseWord(s.Info.Note); ok {
 			all = append(all, Session{s.Process, w})
 		}
 	}
@@ -186,14 +186,14 @@
 	if p.Free {
 		cond = nil
 	}
-	got, err := r.List.As(r.Fence).Put(ctx, p.Key, p.Value, cond)
+	got, err := r.List.WithToken(r.Fence).Put(ctx, p.Key, p.Value, cond)
 	switch {
-	case is(err, registry.Fenced):
+	case is(err, registry.StaleToken):
 		return 0, fmt.Errorf("%w: %w", ErrTaken, err)
 	case p.Value == nil && none(err): // it is gone already
 		return 0, nil
 	}
-	return got.Entry, err
+	return got.EntryVersion, err
 }
 
 // Place leaves an order for the conductor. One at a time waits; false where there is one.
