--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -59,9 +59,9 @@
 	if err := limits.Finalize(); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := record.Value(limits)
+	raw, err := record.EncodeTable(limits)
 	if err == nil {
-		_, err = k.Put(t.Context(), record.Current, raw, nil)
+		_, err = k.Put(t.Context(), record.CurrentKey, raw, nil)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/wrenspread-proxy/view_test.go
+++ b/cmd/wrenspread-proxy/view_test.go
@@ -106,7 +106,7 @@
 		flood(t, f.places["n0"].peerListen)
 		after := f.settle(t, "after a flood", f.all)
 		for _, m := range first.Members {
-			if seen(after, m.Name).Life != m.Life || len(after.Members) != 5 {
+			if seen(after, m.Name).Generation != m.Generation || len(after.Members) != 5 {
 				t.Errorf("%+v became %+v", m, seen(after, m.Name))
 			}
 		}
@@ -119,11 +119,14 @@
 		stopped := f.live["n4"]
 		stopped.Process.Signal(syscall.SIGSTOP)
 		delete(f.live, "n4")
-		f.settle(t, "n4 is dead", func(r gossip.Report) bool { m := seen(r, "n4"); return m.Health == "dead" && m.By != "" && m.Why != "" })
+		f.settle(t, "n4 is dead", func(r gossip.Report) bool {
+			m := seen(r, "n4")
+			return m.Health == "dead" && m.Accusers != "" && m.Reason != ""
+		})
 		stopped.Process.Signal(syscall.SIGCONT)
 		f.live["n4"] = stopped
 		after := seen(f.settle(t, "n4 is back", f.all), "n4")
-		if after.Life != before.Life || after.Incarnation <= before.Incarnation {
+		if after.Generation != before.Generation || after.Incarnation <= before.Incarnation {
 			t.Errorf("%+v became %+v", before, after)
 		}
 		if late := stopped.view(t).LateMS; late < 500 {
@@ -132,20 +135,20 @@
 	})
 	t.Run("nobody sees an upgrade", func(t *testing.T) {
 		before := f.live["n1"]
-		life := before.view(t).Life
+		life := before.view(t).Generation
 		next := f.start("n1")
 		for taken := false; !taken; time.Sleep(10 * time.Millisecond) {
-			taken = next.view(t).Life != 0
+			taken = next.view(t).Generation != 0
 			for _, name := range []string{"n0", "n2", "n3", "n4"} {
-				if m := seen(f.live[name].view(t), "n1"); m.Health != "alive" || m.State != "serving" || m.Life != life {
+				if m := seen(f.live[name].view(t), "n1"); m.Health != "alive" || m.State != "serving" || m.Generation != life {
 					t.Fatalf("%s sees %+v", name, m)
 				}
 			}
 		}
 		before.Process.Signal(syscall.SIGTERM)
 		before.waitEnd(t)
-		if m := seen(f.settle(t, "after the upgrade", f.all), "n1"); m.Life != life {
-			t.Errorf("in life %d after %d", m.Life, life)
+		if m := seen(f.settle(t, "after the upgrade", f.all), "n1"); m.Generation != life {
+			t.Errorf("in life %d after %d", m.Generation, life)
 		}
 	})
 	t.Run("a killed one is dead, and comes back in a new life", func(t *testing.T) {
@@ -153,8 +156,8 @@
 		delete(f.live, "n3")
 		dead := seen(f.settle(t, "n3 is dead", func(r gossip.Report) bool { return seen(r, "n3").Health == "dead" && f.all(r) }), "n3")
 		f.start("n3")
-		if m := seen(f.settle(t, "n3 is back", f.all), "n3"); m.Life <= dead.Life {
-			t.Errorf("in life %d after %d", m.Life, dead.Life)
+		if m := seen(f.settle(t, "n3 is back", f.all), "n3"); m.Generation <= dead.Generation {
+			t.Errorf("in life %d after %d", m.Generation, dead.Generation)
 		}
 	})
 	t.Run("an ordered end is no death", func(t *testing.T) {
@@ -197,7 +200,7 @@
 			b[j] = byte(rng.Uint32())
 		}
 		if i%2 == 0 {
-			d := wire.Datagram{Head: wire.Head{Kind: wire.Ping + wire.Kind(rng.IntN(10)), Fleet: wire.FleetHash("windhoek"), Sender: rng.Uint64()}}
+			d := wire.Datagram{Header: wire.Header{Kind: wire.Ping + wire.Kind(rng.IntN(10)), Fleet: wire.FleetHash("windhoek"), Sender: rng.Uint64()}}
 			b = append(d.Encode(), b[:min(len(b), 20)]...)
 		}
 		c.Write(b)
--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -107,14 +107,14 @@
 		for _, m := range v.Members {
 			n[m.Health]++
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms\n", v.Name, v.Digest, v.Number, n["alive"], n["suspect"], n["dead"], n["left"],
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms\n", v.Name, v.Digest, v.Version, n["alive"], n["suspect"], n["dead"], n["left"],
 			v.Sent.Datagrams, v.Received.Datagrams, v.Received.Strangers, v.LateMS)
 	}
 	fmt.Fprintln(t, "\nMEMBER\tHEALTH\tSTATE\tSINCE\tLIFE\tINC\tZONE\tVERSION\tCATALOGUE\tPOLICY\tLOAD\tSEEN SO BY\tWHY")
 	for _, o := range opinions(views) {
 		m := o.of
 		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%d\t%d\t%s\t%s\t%d\t%d\t%.1f%%\t%s\t%s\n", m.Name, m.Health, m.State, (time.Duration(m.AgeMS) * time.Millisecond).Round(100*time.Millisecond),
-			m.Life, m.Incarnation, dash(m.Zone), dash(m.Version), m.Catalogue, m.Policy, float64(m.Load)/10, o.who(len(views)), why(m))
+			m.Generation, m.Incarnation, dash(m.Zone), dash(m.Version), m.Catalogue, m.Policy, float64(m.Load)/10, o.who(len(views)), why(m))
 	}
 	return errors.Join(failed, differ, t.Flush())
 }
--- a/cmd/wrenspreadctl/fleet_compare.go
+++ b/cmd/wrenspreadctl/fleet_compare.go
@@ -68,7 +68,7 @@
 	for _, v := range views {
 		for _, m := range v.Members {
 			k := key{m.Name, m}
-			k.seen.AgeMS, k.seen.Load, k.seen.By = 0, 0, ""
+			k.seen.AgeMS, k.seen.Load, k.seen.Accusers = 0, 0, ""
 			i, known := at[k]
 			if !known {
 				i = len(all)
@@ -92,10 +92,10 @@
 
 // why says what made a member other than alive.
 func why(m gossip.Member) string {
-	if m.Why == "" {
+	if m.Reason == "" {
 		return "-"
 	}
-	return strings.TrimSuffix(m.Why+"; by "+m.By, "; by ")
+	return strings.TrimSuffix(m.Reason+"; by "+m.Accusers, "; by ")
 }
 
 func dash(s string) string { return cmp.Or(s, "-") }
--- a/cmd/wrenspreadctl/fleet_test.go
+++ b/cmd/wrenspreadctl/fleet_test.go
@@ -14,7 +14,7 @@
 // TestFleet: one table of all views; who differs, who was not asked, and why a member is dead.
 func TestFleet(t *testing.T) {
 	alive := func(name string) gossip.Member { return gossip.Member{Name: name, Health: "alive", State: "serving"} }
-	dead := gossip.Member{Name: "n2", Health: "dead", State: "serving", Why: "suspected, and did not speak up in time", By: "n0"}
+	dead := gossip.Member{Name: "n2", Health: "dead", State: "serving", Reason: "suspected, and did not speak up in time", Accusers: "n0"}
 	n0 := gossip.Report{Fleet: "f", Name: "n0", Digest: "aa", Members: []gossip.Member{alive("n0"), alive("n1"), dead}}
 	n1 := gossip.Report{Fleet: "f", Name: "n1", Digest: "bb", Members: []gossip.Member{alive("n0"), alive("n1"), alive("n2")}}
 	same := n0
--- a/cmd/wrenspreadctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			value, err := record.Value(t)
+			value, err := record.EncodeTable(t)
 			if err != nil {
 				return err
 			}
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			r, err := k.Put(ctx, record.Current, value, &before)
+			r, err := k.Put(ctx, record.CurrentKey, value, &before)
 			if err != nil {
 				return fmt.Errorf("the policy of version %d stays: %w", before, err)
 			}
@@ -49,7 +49,7 @@
 
 // currentPolicy is the version of the table that holds, 0 for none.
 func currentPolicy(ctx context.Context, k *client.Client) (uint64, error) {
-	r, err := k.Record(ctx, record.Current)
+	r, err := k.Record(ctx, record.CurrentKey)
 	var no *client.Error
 	if errors.As(err, &no) && no.Status == 404 {
 		return 0, nil
@@ -65,11 +65,11 @@
 		Example: "  wrenspreadctl policy show --limits",
 		Args:    cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
-			r, err := k.Record(ctx, record.Current)
+			r, err := k.Record(ctx, record.CurrentKey)
 			if err != nil {
 				return err
 			}
-			t, err := record.Table(r)
+			t, err := record.DecodeTable(r)
 			if err != nil {
 				return err
 			}
--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -75,20 +75,20 @@
 	})
 	all.Go(func() error { return reportTimeAndProxies(ctx, shell, events) })
 	all.Go(func() error {
-		return allocator.Run(ctx, allocator.Config{Fleet: wire.FleetHash(s.Fleet), Name: name, List: k, Duties: p, In: in, Send: shell.Tell, Events: events, Log: log})
+		return allocator.Run(ctx, allocator.Config{Fleet: wire.FleetHash(s.Fleet), Name: name, Registry: k, Leases: p, In: in, Send: shell.SendTo, Events: events, Log: log})
 	})
 	return all.Wait()
 }
 
 // join begins to keep the view. This process serves no requests, and so is always joining in the nodes' eyes.
-func (s Quotas) join(ctx context.Context, name string, at netip.AddrPort, conn *net.UDPConn, log *slog.Logger) *gossip.Shell {
+func (s Quotas) join(ctx context.Context, name string, at netip.AddrPort, conn *net.UDPConn, log *slog.Logger) *gossip.Server {
 	number := -1
 	if len(s.Peers) > 0 {
 		number = s.Number
 	}
 	return gossip.Start(ctx, gossip.Config{Fleet: s.Fleet, Name: name, Number: number, Addr: at, Seeds: parseAddresses(s.Join), Peers: parseAddresses(s.Peers), Log: log,
-		Doing: func() (membership.State, uint16) { return membership.Joining, 0 },
-		Write: func(to netip.AddrPort, data []byte) { conn.WriteToUDPAddrPort(data, to) }}) // none is owed an arrival
+		LocalState: func() (membership.State, uint16) { return membership.Joining, 0 },
+		Send:       func(to netip.AddrPort, data []byte) { conn.WriteToUDPAddrPort(data, to) }}) // none is owed an arrival
 }
 
 // parseAddresses are those of a configuration that has been checked.
@@ -101,7 +101,7 @@
 }
 
 // receive shares the socket between the view and the holder until it is closed. One datagram too many is lost.
-func receive(ctx context.Context, conn *net.UDPConn, shell *gossip.Shell, in chan<- []byte) error {
+func receive(ctx context.Context, conn *net.UDPConn, shell *gossip.Server, in chan<- []byte) error {
 	buf := make([]byte, maxDatagram+1)
 	for ctx.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
@@ -110,7 +110,7 @@
 		case err != nil:
 			time.Sleep(readErrorPause)
 		case n == 0 || n > maxDatagram:
-		case quota.Ours(buf[0]):
+		case quota.IsOurs(buf[0]):
 			select {
 			case in <- append([]byte(nil), buf[:n]...):
 			default:
@@ -127,8 +127,8 @@
 	var now *ratelimit.Table
 	version := uint64(0)
 	k.FollowRecords(ctx, record.PolicyPrefix, func(r client.Records) {
-		one := record.Find(r, record.Current)
-		t, err := record.Table(one)
+		one := record.Find(r, record.CurrentKey)
+		t, err := record.DecodeTable(one)
 		if err != nil {
 			log.Error("the policy stays as it was", "err", err)
 			return
@@ -137,22 +137,22 @@
 			return
 		}
 		version = one.Version
-		sendEvent(ctx, events, quota.Table{Now: t, Before: now})
+		sendEvent(ctx, events, quota.TableChanged{Current: t, Previous: now})
 		now = t
 	})
 }
 
 // reportTimeAndProxies tells the holder the time of day, and how many nodes there are about.
-func reportTimeAndProxies(ctx context.Context, shell *gossip.Shell, events chan<- quota.Event) error {
+func reportTimeAndProxies(ctx context.Context, shell *gossip.Server, events chan<- quota.Event) error {
 	t := time.NewTicker(expectInterval)
 	defer t.Stop()
 	var told time.Time
 	for {
 		if time.Since(told) >= wallInterval {
 			told = time.Now()
-			sendEvent(ctx, events, quota.Wall{Time: told})
+			sendEvent(ctx, events, quota.WallClock{Time: told})
 		}
-		sendEvent(ctx, events, quota.Expect{Nodes: len(shell.Serving())})
+		sendEvent(ctx, events, quota.ExpectedProxies{Count: len(shell.ServingMembers())})
 		select {
 		case <-t.C:
 		case <-ctx.Done():
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -50,9 +50,9 @@
 	if err != nil {
 		return fmt.Errorf("the lab's policy: %w", err)
 	}
-	value, err := record.Value(t)
+	value, err := record.EncodeTable(t)
 	if err == nil {
-		_, err = f.service.boxes.client.Put(ctx, record.Current, value, nil)
+		_, err = f.service.boxes.client.Put(ctx, record.CurrentKey, value, nil)
 	}
 	if err != nil {
 		return fmt.Errorf("the lab's policy: %w", err)
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -151,11 +151,11 @@
 	if err != nil {
 		return 0, err
 	}
-	raw, err := record.Value(t)
+	raw, err := record.EncodeTable(t)
 	if err != nil {
 		return 0, err
 	}
-	r, err := k.Put(ctx, record.Current, raw, nil)
+	r, err := k.Put(ctx, record.CurrentKey, raw, nil)
 	return r.EntryVersion, err
 }
 
--- a/internal/lab/scale/holders.go
+++ b/internal/lab/scale/holders.go
@@ -42,11 +42,11 @@
 	rate    float64 // of the limit, a second; its burst is as much
 	nodes   map[string]*quota.Ledger
 	names   []string
-	holders [2]*quota.Apportioner
+	holders [2]*quota.Allocator
 	acting  int // which of them runs and holds
 	fence   uint64
 	until   time.Duration // the holder's session
-	record  []quota.Seat
+	record  []quota.Slot
 	queue   []parcel // by time
 	table   *ratelimit.Table
 
@@ -77,14 +77,14 @@
 		return nil, fmt.Errorf("the limit: %w", err)
 	}
 	for i := range s.holders {
-		s.holders[i] = quota.NewApportioner(quota.HolderConfig{Name: fmt.Sprint("h", i)})
-		s.holders[i].Handle(0, quota.Table{Now: s.table})
-		s.holders[i].Handle(0, quota.Expect{Nodes: n})
+		s.holders[i] = quota.NewAllocator(quota.AllocatorConfig{Name: fmt.Sprint("h", i)})
+		s.holders[i].Handle(0, quota.TableChanged{Current: s.table})
+		s.holders[i].Handle(0, quota.ExpectedProxies{Count: n})
 	}
 	for i := range n {
 		name := fmt.Sprintf("n%04d", i)
-		l := quota.NewLedger(quota.NodeConfig{Name: name, Life: 1, Seed: uint64(i + 1)})
-		l.Handle(0, quota.Table{Now: s.table})
+		l := quota.NewLedger(quota.LedgerConfig{Name: name, Generation: 1, Seed: uint64(i + 1)})
+		l.Handle(0, quota.TableChanged{Current: s.table})
 		s.nodes[name], s.names = l, append(s.names, name)
 	}
 	s.take(0)
@@ -95,15 +95,15 @@
 func (s *shares) take(which int) {
 	s.acting, s.fence, s.heard, s.first, s.all = which, s.fence+1, map[string]bool{}, 0, 0
 	s.renew()
-	s.tell(quota.Record{Fence: s.fence, Seats: s.record})
+	s.tell(quota.RecordRead{Token: s.fence, Slots: s.record})
 	for _, name := range s.names {
-		s.post(learning, name, quota.Holder{Name: fmt.Sprint("h", which), Fence: s.fence})
+		s.post(learning, name, quota.AllocatorKnown{Name: fmt.Sprint("h", which), Token: s.fence})
 	}
 }
 
 func (s *shares) renew() {
 	s.until = s.now + holderTTL
-	s.tell(quota.Held{Fence: s.fence, Until: s.now + holderTTL*99/100})
+	s.tell(quota.LeaseHeld{Token: s.fence, Until: s.now + holderTTL*99/100})
 }
 
 func (s *shares) post(way time.Duration, to string, what quota.Event) {
@@ -133,9 +133,9 @@
 			if len(s.heard) == len(s.names) && s.all == 0 {
 				s.all = s.now
 			}
-		case quota.Write:
-			s.record = a.Seats
-			s.post(learning, "", quota.Record{Fence: a.Fence, Seats: a.Seats})
+		case quota.WriteRecord:
+			s.record = a.Slots
+			s.post(learning, "", quota.RecordRead{Token: a.Token, Slots: a.Slots})
 		}
 	}
 }
@@ -187,7 +187,7 @@
 	for i := int(s.now/time.Millisecond) % turns; i < len(s.names); i += turns {
 		l := s.nodes[s.names[i]]
 		s.carry(l.Handle(s.now, quota.Tick{}))
-		l.At(s.now)
+		l.AdvanceTo(s.now)
 		turn := int(s.now / ledgerTick)
 		per := wished * evenPart * ledgerTick.Seconds() // requests a turn
 		for range int(per*float64(turn+1)) - int(per*float64(turn)) {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -15,24 +15,24 @@
 	Name        string // own name, unique in the fleet
 	Number      int    // own place among the configured peers, -1: none
 	Addr        netip.AddrPort
-	Facts       Facts
+	Metadata    Metadata
 	Seeds       []netip.AddrPort // addresses to join by; at most maxSeeds count. One's own among them does no harm
-	Seed        uint64           // of all draws
-	Life        uint64           // Unix milliseconds at the start, or what an upgrade handed over
+	RandomSeed  uint64           // of all draws
+	Generation  uint64           // Unix milliseconds at the start, or what an upgrade handed over
 	Incarnation uint32           // 0, or one more than what an upgrade handed over
 
 	// Period is the time from one probe to the next: 200 ms. A node sends about two datagrams a period, so ten a second, and a
 	// dead one among 30 is off all views in about 2.5 s.
-	Period time.Duration
+	ProbeInterval time.Duration
 	// Answer is the time for a direct answer before others are asked to ask: 60 ms, over 100 times a round trip
 	// within a site, and short enough that the indirect answers have the rest of the period.
-	Answer time.Duration
+	ProbeTimeout time.Duration
 	// Fresh is how long a dead or left member stays in the digest and is told on: 60 s, far beyond the time that news need.
-	Fresh time.Duration
+	DeadGossipTime time.Duration
 	// Forget is how long a dead or left member is remembered, and a dead one asked: 10 min. Longer cuts heal by the seeds.
-	Forget time.Duration
+	DeadReclaimTime time.Duration
 	// Most bounds the members that are remembered, living and dead: 4096. Further strangers are refused.
-	Most int
+	MaxMembers int
 }
 
 const maxSeeds = 512
@@ -43,16 +43,16 @@
 			*d = v
 		}
 	}
-	def(&cfg.Period, 200*time.Millisecond)
-	def(&cfg.Answer, cfg.Period*3/10)
-	def(&cfg.Fresh, time.Minute)
-	def(&cfg.Forget, 10*time.Minute)
-	if cfg.Most <= 0 {
-		cfg.Most = 4096
+	def(&cfg.ProbeInterval, 200*time.Millisecond)
+	def(&cfg.ProbeTimeout, cfg.ProbeInterval*3/10)
+	def(&cfg.DeadGossipTime, time.Minute)
+	def(&cfg.DeadReclaimTime, 10*time.Minute)
+	if cfg.MaxMembers <= 0 {
+		cfg.MaxMembers = 4096
 	}
-	cfg.Answer = min(cfg.Answer, cfg.Period/2)
-	cfg.Fresh = min(cfg.Fresh, maxAge)
-	cfg.Forget = max(cfg.Forget, 2*cfg.Fresh)
+	cfg.ProbeTimeout = min(cfg.ProbeTimeout, cfg.ProbeInterval/2)
+	cfg.DeadGossipTime = min(cfg.DeadGossipTime, maxAge)
+	cfg.DeadReclaimTime = max(cfg.DeadReclaimTime, 2*cfg.DeadGossipTime)
 	cfg.Seeds = cfg.Seeds[:min(len(cfg.Seeds), maxSeeds)]
 	return cfg
 }
@@ -69,5 +69,5 @@
 }
 
 func (cfg Config) own() wire.Statement {
-	return wire.Statement{Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Life: cfg.Life, Incarnation: cfg.Incarnation, Facts: cfg.Facts}
+	return wire.Statement{Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Generation: cfg.Generation, Incarnation: cfg.Incarnation, Metadata: cfg.Metadata}
 }
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -8,41 +8,41 @@
 
 // Core is one node's part in keeping the view. It is not safe for use by two goroutines at once.
 type Core struct {
-	cfg   Config
-	fleet uint32
-	rng   *rand.Rand
-	out   []Action
-	stats Stats
-
-	now, due, next Time // the latest event; when the last Wake runs out; when the next period begins
-	awake          bool
-	beats          uint64 // periods so far
-
-	self         *record
-	byHash       map[uint64]*record
-	order        []*record // by hash
-	living, dead int       // others
+	cfg     Config
+	fleet   uint32
+	random  *rand.Rand
+	actions []Action
+	stats   Stats
+
+	now, wakeAt, nextPeriodAt Time // the latest event; when the last Wake runs out; when the next period begins
+	wakePending               bool
+	periods                   uint64 // periods so far
+
+	self         *memberState
+	byHash       map[uint64]*memberState
+	sorted       []*memberState // by hash
+	living, dead int            // others
 	suspects     int
 
-	number, root uint64
-	sums16       [wire.Fanout]uint64
-	sums256      [wire.Fanout * wire.Fanout]uint64
-
-	news   news
-	agreed int // datagrams in a row whose senders had the same digest
-	round  round
-	probe  probe
-	seq    uint32
-	relays []relay
-	health health
-	sync   syncing
-	join   joining
-	own    own
-
-	strangers     int // answers left for strangers in this period
-	corrections   int // datagrams left in it for senders with an old word of this node
-	yielded, gone bool
-	leaveLeft     int // periods in which the leave is still to be told; 0: not leaving
+	version, digest uint64
+	rangeSums       [wire.Fanout]uint64
+	subrangeSums    [wire.Fanout * wire.Fanout]uint64
+
+	broadcasts      broadcastQueue
+	matchingDigests int // datagrams in a row whose senders had the same digest
+	probeRound      probeRound
+	probe           probe
+	seq             uint32
+	relays          []relay
+	awareness       awareness
+	antiEntropy     antiEntropy
+	join            seedList
+	ownState        ownState
+
+	strangerBudget   int // answers left for strangers in this period
+	correctionBudget int // datagrams left in it for senders with an old word of this node
+	yielded, left    bool
+	leavePeriodsLeft int // periods in which the leave is still to be told; 0: not leaving
 }
 
 // Stats count what the core has done and met since its start.
@@ -62,115 +62,117 @@
 // New gives a core that has not said anything yet; the first Tick starts it. cfg has passed Check.
 func New(cfg Config, now Time) *Core {
 	cfg = cfg.withDefaults()
-	c := &Core{cfg: cfg, fleet: wire.FleetHash(cfg.Fleet), now: now, next: now, due: now, byHash: map[uint64]*record{},
-		rng: rand.New(rand.NewPCG(cfg.Seed, wire.Hash(cfg.Name)))}
-	c.seq = c.rng.Uint32()
-	c.join.set(cfg.Seeds, cfg.Addr, c.rng)
+	c := &Core{cfg: cfg, fleet: wire.FleetHash(cfg.Fleet), now: now, nextPeriodAt: now, wakeAt: now, byHash: map[uint64]*memberState{},
+		random: rand.New(rand.NewPCG(cfg.RandomSeed, wire.Hash(cfg.Name)))}
+	c.seq = c.random.Uint32()
+	c.join.set(cfg.Seeds, cfg.Addr, c.random)
 	st := cfg.own()
-	c.self = c.admit(st)
-	c.set(c.self, st)
-	c.out = nil
+	c.self = c.addMember(st)
+	c.updateMember(c.self, st)
+	c.actions = nil
 	return c
 }
 
 // Stats gives the counts so far.
 func (c *Core) Stats() Stats {
 	s := c.stats
-	s.Health, s.Living, s.Members = c.health.level, c.living, len(c.order)
+	s.Health, s.Living, s.Members = c.awareness.score, c.living, len(c.sorted)
 	return s
 }
 
 // Handle takes an event and gives what is to be done.
 func (c *Core) Handle(now Time, e Event) []Action {
-	c.out = nil
+	c.actions = nil
 	c.now = max(now, c.now)
-	if c.yielded || c.gone {
+	if c.yielded || c.left {
 		return nil
 	}
-	c.noteLate()
+	c.checkWakeLateness()
 	switch e := e.(type) {
 	case Received:
 		c.received(e)
-	case FactsChanged:
-		c.factsChanged(e.Facts)
+	case MetadataChanged:
+		c.metadataChanged(e.Metadata)
 	case Leave:
 		c.leave()
 	case Join:
-		c.join.set(e.Addrs, c.cfg.Addr, c.rng)
+		c.join.set(e.Addrs, c.cfg.Addr, c.random)
 	}
-	if !c.yielded && !c.gone {
-		c.run()
+	if !c.yielded && !c.left {
+		c.runDue()
 	}
-	if _, tick := e.(Tick); !c.yielded && !c.gone {
-		c.wake(tick)
+	if _, tick := e.(Tick); !c.yielded && !c.left {
+		c.requestWake(tick)
 	}
-	return c.out
+	return c.actions
 }
 
-// run does what the time has come for.
-func (c *Core) run() {
-	if c.now >= c.next {
+// runDue does what the time has come for.
+func (c *Core) runDue() {
+	if c.now >= c.nextPeriodAt {
 		c.endProbe()
-		c.beat()
-		c.next = max(c.next+c.period(), c.now+c.period()/2)
+		c.runPeriod()
+		c.nextPeriodAt = max(c.nextPeriodAt+c.probeInterval(), c.now+c.probeInterval()/2)
 	}
-	c.askOthers()
+	c.sendIndirectProbes()
 	c.expireRelays()
 }
 
-// beat is one period: the same few datagrams each time, however large the fleet is.
-func (c *Core) beat() {
-	c.beats++
-	c.strangers, c.corrections, c.sync.credit = strangersPerPeriod, correctionsPerPeriod, syncPerPeriod
+// runPeriod is one period: the same few datagrams each time, however large the fleet is.
+func (c *Core) runPeriod() {
+	c.periods++
+	c.strangerBudget, c.correctionBudget, c.antiEntropy.credit = strangersPerPeriod, correctionsPerPeriod, syncPerPeriod
 	c.expireSuspects()
-	c.putAway()
-	if c.leaveLeft > 0 {
-		c.leaving()
+	c.expireDeparted()
+	if c.leavePeriodsLeft > 0 {
+		c.leavePeriod()
 		return
 	}
 	c.startProbe()
-	c.warnSuspect()
-	c.spread()
-	c.askDead()
-	c.askSeeds()
-	c.startSync()
+	c.notifySuspect()
+	c.gossipBroadcasts()
+	c.probeDead()
+	c.probeSeed()
+	c.startAntiEntropy()
 }
 
-// wake asks for the next tick if it differs from the one asked for, or that one has come.
-func (c *Core) wake(tick bool) {
-	due := c.next
-	if c.probe.waits() {
-		due = min(due, c.probe.askAt)
+// requestWake asks for the next tick if it differs from the one asked for, or that one has come.
+func (c *Core) requestWake(tick bool) {
+	due := c.nextPeriodAt
+	if c.probe.awaitsDirectAck() {
+		due = min(due, c.probe.indirectAt)
 	}
 	for _, r := range c.relays {
 		if !r.nacked {
-			due = min(due, r.due)
+			due = min(due, r.nackAt)
 		}
 	}
-	if tick || due != c.due {
-		c.due = due
-		c.out = append(c.out, Wake{After: due - c.now})
+	if tick || due != c.wakeAt {
+		c.wakeAt = due
+		c.actions = append(c.actions, Wake{After: due - c.now})
 	}
 }
 
-// datagram fills the head.
-func (c *Core) datagram(d wire.Datagram) []byte {
-	d.Fleet, d.Sender, d.Life, d.Digest = c.fleet, c.self.hash, c.self.st.Life, c.root
+// newDatagram fills the head.
+func (c *Core) newDatagram(d wire.Datagram) []byte {
+	d.Fleet, d.Sender, d.Generation, d.Digest = c.fleet, c.self.hash, c.self.statement.Generation, c.digest
 	return d.Encode()
 }
 
-func (c *Core) head(kind wire.Kind) []byte {
-	return c.datagram(wire.Datagram{Head: wire.Head{Kind: kind}})
+func (c *Core) newHeader(kind wire.Kind) []byte {
+	return c.newDatagram(wire.Datagram{Header: wire.Header{Kind: kind}})
 }
 
-func (c *Core) numbered(kind wire.Kind, seq uint32, target uint64) []byte {
-	return c.datagram(wire.Datagram{Head: wire.Head{Kind: kind}, Seq: seq, Target: target})
+func (c *Core) newNumbered(kind wire.Kind, seq uint32, target uint64) []byte {
+	return c.newDatagram(wire.Datagram{Header: wire.Header{Kind: kind}, Seq: seq, Target: target})
 }
 
-func (c *Core) sendTo(r *record, b []byte) { c.send(Send{Name: r.st.Name, To: r.st.Addr, Data: b}) }
+func (c *Core) sendTo(r *memberState, b []byte) {
+	c.send(Send{Name: r.statement.Name, To: r.statement.Addr, Data: b})
+}
 
 func (c *Core) send(s Send) {
 	c.stats.Sent++
 	c.stats.Bytes += uint64(len(s.Data))
-	c.out = append(c.out, s)
+	c.actions = append(c.actions, s)
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -5,33 +5,33 @@
 // The digest of a view is the exclusive or of its members' sums; so are the digests of the 16 and 256 ranges that the hashes of
 // names fall into by their first four and eight bits. At 3,000 members a range of 256 has about twelve: one List.
 
-func (c *Core) flip(r *record) {
-	r.shown = !r.shown
-	c.root ^= r.sum
-	c.sums16[r.hash>>60] ^= r.sum
-	c.sums256[r.hash>>56] ^= r.sum
+func (c *Core) toggleInDigest(r *memberState) {
+	r.inDigest = !r.inDigest
+	c.digest ^= r.sum
+	c.rangeSums[r.hash>>60] ^= r.sum
+	c.subrangeSums[r.hash>>56] ^= r.sum
 }
 
-func (c *Core) hide(r *record) {
-	if r.shown {
-		c.flip(r)
+func (c *Core) excludeFromDigest(r *memberState) {
+	if r.inDigest {
+		c.toggleInDigest(r)
 	}
 }
 
-// show puts r into the digest, unless it has been dead or left for so long that it goes out of use. All nodes agree on
+// includeInDigest puts r into the digest, unless it has been dead or left for so long that it goes out of use. All nodes agree on
 // when, as the age is told along.
-func (c *Core) show(r *record) {
-	if !r.shown && (r.living() || c.now-r.since < c.cfg.Fresh) {
-		c.flip(r)
+func (c *Core) includeInDigest(r *memberState) {
+	if !r.inDigest && (r.living() || c.now-r.since < c.cfg.DeadGossipTime) {
+		c.toggleInDigest(r)
 	}
 }
 
-// sumsOf gives the digests of the ranges below the place-th at depth 0 or 1.
-func (c *Core) sumsOf(depth, place uint8) (sums [wire.Fanout]uint64) {
+// rangeSumsOf gives the digests of the ranges below the place-th at depth 0 or 1.
+func (c *Core) rangeSumsOf(depth, place uint8) (sums [wire.Fanout]uint64) {
 	if depth == 0 {
-		return c.sums16
+		return c.rangeSums
 	}
-	copy(sums[:], c.sums256[int(place)*wire.Fanout:])
+	copy(sums[:], c.subrangeSums[int(place)*wire.Fanout:])
 	return sums
 }
 
@@ -45,12 +45,12 @@
 	return from, from | (1<<shift - 1)
 }
 
-// shownIn gives the members from one hash to another that the digest covers.
-func (c *Core) shownIn(from, to uint64) (in []*record) {
+// membersInRange gives the members from one hash to another that the digest covers.
+func (c *Core) membersInRange(from, to uint64) (in []*memberState) {
 	at, _ := c.find(from)
-	for ; at < len(c.order) && c.order[at].hash <= to; at++ {
-		if c.order[at].shown {
-			in = append(in, c.order[at])
+	for ; at < len(c.sorted) && c.sorted[at].hash <= to; at++ {
+		if c.sorted[at].inDigest {
+			in = append(in, c.sorted[at])
 		}
 	}
 	return in
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -20,8 +20,8 @@
 	Data []byte
 }
 
-// FactsChanged gives the node's own facts anew, whole. Facts out of bounds are dropped with a Log.
-type FactsChanged struct{ Facts Facts }
+// MetadataChanged gives the node's own facts anew, whole. Facts out of bounds are dropped with a Log.
+type MetadataChanged struct{ Metadata Metadata }
 
 // Leave makes the node say that it goes on purpose. Gone follows when it has been said often enough.
 type Leave struct{}
@@ -29,11 +29,11 @@
 // Join replaces the addresses to join by.
 type Join struct{ Addrs []netip.AddrPort }
 
-func (Tick) event()         {}
-func (Received) event()     {}
-func (FactsChanged) event() {}
-func (Leave) event()        {}
-func (Join) event()         {}
+func (Tick) event()            {}
+func (Received) event()        {}
+func (MetadataChanged) event() {}
+func (Leave) event()           {}
+func (Join) event()            {}
 
 // Action is something that the shell is to do: Send, Wake, Changed, Conflict, Gone or Log.
 type Action interface{ action() }
@@ -49,26 +49,26 @@
 // Wake wants a Tick after so long. It replaces the Wake before.
 type Wake struct{ After time.Duration }
 
-// Changed tells that a member is seen differently now, load aside. Before has no Name if the member was not known.
-type Changed struct{ Member, Before Member }
+// MemberChanged tells that a member is seen differently now, load aside. Before has no Name if the member was not known.
+type MemberChanged struct{ Member, Before Member }
 
-// Conflict tells that another living process has the node's own name. With Yielded set this one, having the lower life, has fallen silent:
+// NameConflict tells that another living process has the node's own name. With Yielded set this one, having the lower life, has fallen silent:
 // it neither sends nor changes its view any more.
-type Conflict struct {
-	Life    uint64 // the other's
-	From    netip.AddrPort
-	Yielded bool
+type NameConflict struct {
+	Generation uint64 // the other's
+	From       netip.AddrPort
+	Yielded    bool
 }
 
-// Gone tells that the node has said its leave; the socket may be closed.
-type Gone struct{}
+// LeaveDone tells that the node has said its leave; the socket may be closed.
+type LeaveDone struct{}
 
 // Log is a line for the operator.
 type Log struct{ Text string }
 
-func (Send) action()     {}
-func (Wake) action()     {}
-func (Changed) action()  {}
-func (Conflict) action() {}
-func (Gone) action()     {}
-func (Log) action()      {}
+func (Send) action()          {}
+func (Wake) action()          {}
+func (MemberChanged) action() {}
+func (NameConflict) action()  {}
+func (LeaveDone) action()     {}
+func (Log) action()           {}
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -53,13 +53,13 @@
 		}
 		for _, c := range n.changes {
 			if n != nodes[3] && c.at >= from && c.Member.Health == Dead && c.Member.Name != "n3" {
-				t.Errorf("%s took %s for dead, by %s", n.name, c.Member.Name, c.Member.By)
+				t.Errorf("%s took %s for dead, by %s", n.name, c.Member.Name, c.Member.Accusers)
 			}
 		}
 	}
 	for _, c := range w.suspicions(from + 20*time.Second) {
 		if c.viewer != nodes[3] {
-			t.Errorf("%s took %s for suspect, by %s: a dead one's word", c.viewer.name, c.Member.Name, c.Member.By)
+			t.Errorf("%s took %s for suspect, by %s: a dead one's word", c.viewer.name, c.Member.Name, c.Member.Accusers)
 		}
 	}
 	if slices.ContainsFunc(w.suspicions(from), func(c seen) bool {
@@ -118,7 +118,7 @@
 	late := nodes[3].hash()
 	for _, n := range nodes {
 		for _, c := range n.changes {
-			if c.at >= from && c.Member.Health == Suspect && c.Member.By == "n3" {
+			if c.at >= from && c.Member.Health == Suspect && c.Member.Accusers == "n3" {
 				t.Errorf("%s heard the late one (%x) accuse %s", n.name, late, c.Member.Name)
 			}
 		}
@@ -147,7 +147,7 @@
 		w.run(5 * time.Second)
 		for _, n := range w.nodes {
 			if forget {
-				n.cfg.Fresh, n.cfg.Forget = 5*time.Second, 20*time.Second
+				n.cfg.DeadGossipTime, n.cfg.DeadReclaimTime = 5*time.Second, 20*time.Second
 			} else {
 				w.handle(n, Join{})
 			}
@@ -195,23 +195,23 @@
 	w, nodes := fleetOf(t, 17, 4)
 	for i := range 600 {
 		st := nodes[0].cfg.own()
-		st.Health, st.Name, st.Life, st.Addr = Left, "x"+string(rune('a'+i%26))+string(rune('a'+i/26)), 1, addrOf(1000+i)
+		st.Health, st.Name, st.Generation, st.Addr = Left, "x"+string(rune('a'+i%26))+string(rune('a'+i/26)), 1, addrOf(1000+i)
 		n := nodes[i%4]
-		n.take(st, 0)
-		n.news = news{} // lost
+		n.applyStatement(st, 0)
+		n.broadcasts = broadcastQueue{} // lost
 	}
 	w.loss = 0.3
 	took, ok := w.until(30*time.Second, func() bool {
 		for _, n := range nodes {
-			n.news = news{}
-			if n.root != nodes[0].root {
+			n.broadcasts = broadcastQueue{}
+			if n.digest != nodes[0].digest {
 				return false
 			}
 		}
-		return len(nodes[0].order) == 604
+		return len(nodes[0].sorted) == 604
 	})
 	if !ok {
-		t.Fatalf("views still differ: %d, %d, %d, %d members", len(nodes[0].order), len(nodes[1].order), len(nodes[2].order), len(nodes[3].order))
+		t.Fatalf("views still differ: %d, %d, %d, %d members", len(nodes[0].sorted), len(nodes[1].sorted), len(nodes[2].sorted), len(nodes[3].sorted))
 	}
 	t.Logf("600 members told apart over four nodes: the same everywhere in %v", took)
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -8,130 +8,130 @@
 )
 
 const (
-	ageUnit = 100 * 1e6 // a tenth of a second
-	maxAge  = wire.MaxAge * ageUnit
+	ageResolution = 100 * 1e6 // a tenth of a second
+	maxAge        = wire.MaxAge * ageResolution
 
-	// spreadTo is how many members are told each period while there are news, beside what rides on probes: with
+	// gossipFanout is how many members are told each period while there are news, beside what rides on probes: with
 	// them news reach about four more nodes for each that has them in a period.
-	spreadTo = 2
+	gossipFanout = 2
 )
 
-// news are the members of whom something is to be told, by how often it has been.
-type news struct {
-	times [][]item
-	count int
+// broadcastQueue are the members of whom something is to be told, by how often it has been.
+type broadcastQueue struct {
+	byTransmits [][]queuedBroadcast
+	count       int
 }
 
-// item stands for a telling; a newer one of the same member has another gen.
-type item struct {
-	r   *record
-	gen uint32
+// queuedBroadcast stands for a telling; a newer one of the same member has another gen.
+type queuedBroadcast struct {
+	member   *memberState
+	revision uint32
 }
 
-// tellings is how often one change is told by each node: twice the logarithm, so that in a fleet without loss all but about
+// retransmitLimit is how often one change is told by each node: twice the logarithm, so that in a fleet without loss all but about
 // one in n squared nodes hear of it. The digests find the rest.
-func (c *Core) tellings() int { return 2 * bits.Len(uint(c.living+1)) }
+func (c *Core) retransmitLimit() int { return 2 * bits.Len(uint(c.living+1)) }
 
-// tell makes r's statement one of the news.
-func (c *Core) tell(r *record) {
-	r.gen++
-	c.news.put(0, item{r, r.gen})
-	if c.news.count > 2*len(c.order)+64 {
-		c.news.compact()
+// queueBroadcast makes r's statement one of the news.
+func (c *Core) queueBroadcast(r *memberState) {
+	r.revision++
+	c.broadcasts.push(0, queuedBroadcast{r, r.revision})
+	if c.broadcasts.count > 2*len(c.sorted)+64 {
+		c.broadcasts.compact()
 	}
 }
 
 // compareDigest notes whether another has the same digest. When so many in a row have it as are needed to hear of most of the fleet,
 // there are no news any more.
 func (c *Core) compareDigest(digest uint64) {
-	c.agreed++
-	if digest != c.root {
-		c.agreed = 0
+	c.matchingDigests++
+	if digest != c.digest {
+		c.matchingDigests = 0
 	}
-	if c.agreed >= c.tellings() {
-		c.news = news{}
+	if c.matchingDigests >= c.retransmitLimit() {
+		c.broadcasts = broadcastQueue{}
 	}
 }
 
 // compact drops what newer tellings have replaced: news are bounded by the members, however quickly these change.
-func (n *news) compact() {
+func (n *broadcastQueue) compact() {
 	n.count = 0
-	for i := range n.times {
-		n.times[i] = slices.DeleteFunc(n.times[i], func(it item) bool { return it.gen != it.r.gen })
-		n.count += len(n.times[i])
+	for i := range n.byTransmits {
+		n.byTransmits[i] = slices.DeleteFunc(n.byTransmits[i], func(it queuedBroadcast) bool { return it.revision != it.member.revision })
+		n.count += len(n.byTransmits[i])
 	}
 }
 
-func (n *news) put(times int, it item) {
-	for len(n.times) <= times {
-		n.times = append(n.times, nil)
+func (n *broadcastQueue) push(times int, it queuedBroadcast) {
+	for len(n.byTransmits) <= times {
+		n.byTransmits = append(n.byTransmits, nil)
 	}
-	n.times[times] = append(n.times[times], it)
+	n.byTransmits[times] = append(n.byTransmits[times], it)
 	n.count++
 }
 
 // next takes out the member told least often, the latest first; ok is false if there is none.
-func (n *news) next() (it item, times int, ok bool) {
-	for times := range n.times {
-		for l := len(n.times[times]); l > 0; l = len(n.times[times]) {
-			it := n.times[times][l-1]
-			n.times[times] = n.times[times][:l-1]
+func (n *broadcastQueue) next() (it queuedBroadcast, times int, ok bool) {
+	for times := range n.byTransmits {
+		for l := len(n.byTransmits[times]); l > 0; l = len(n.byTransmits[times]) {
+			it := n.byTransmits[times][l-1]
+			n.byTransmits[times] = n.byTransmits[times][:l-1]
 			n.count--
-			if it.gen == it.r.gen {
+			if it.revision == it.member.revision {
 				return it, times, true
 			}
 		}
 	}
-	return item{}, 0, false
+	return queuedBroadcast{}, 0, false
 }
 
-// told is the statement on r as it is sent, with the age of a death or leave.
-func (c *Core) told(r *record) wire.Statement {
-	st := r.st
+// statementOf is the statement on r as it is sent, with the age of a death or leave.
+func (c *Core) statementOf(r *memberState) wire.Statement {
+	st := r.statement
 	if !r.living() {
-		st.Age = uint16(min((c.now-r.since)/ageUnit, wire.MaxAge))
+		st.Age = uint16(min((c.now-r.since)/ageResolution, wire.MaxAge))
 	}
 	return st
 }
 
-// fill adds statements to a datagram until one does not fit: those that lead, the news, and last the node's own, which brings its load.
-func (c *Core) fill(b []byte, lead ...*record) []byte {
+// appendBroadcasts adds statements to a datagram until one does not fit: those that lead, the news, and last the node's own, which brings its load.
+func (c *Core) appendBroadcasts(b []byte, lead ...*memberState) []byte {
 	for _, r := range lead {
-		b, _ = wire.AppendStatement(b, c.told(r))
+		b, _ = wire.AppendStatement(b, c.statementOf(r))
 	}
-	var again []item
+	var again []queuedBroadcast
 	var at []int
 	own := slices.Contains(lead, c.self)
 	for fits := true; fits; {
-		it, times, ok := c.news.next()
+		it, times, ok := c.broadcasts.next()
 		if !ok {
 			break
 		}
-		if !slices.Contains(lead, it.r) {
-			b, fits = wire.AppendStatement(b, c.told(it.r))
+		if !slices.Contains(lead, it.member) {
+			b, fits = wire.AppendStatement(b, c.statementOf(it.member))
 		}
 		if fits {
-			own = own || it.r == c.self
+			own = own || it.member == c.self
 			times++
 		}
-		if times < c.tellings() {
+		if times < c.retransmitLimit() {
 			again, at = append(again, it), append(at, times)
 		}
 	}
 	for i := len(again) - 1; i >= 0; i-- {
-		c.news.put(at[i], again[i])
+		c.broadcasts.push(at[i], again[i])
 	}
 	if !own {
-		b, _ = wire.AppendStatement(b, c.told(c.self))
+		b, _ = wire.AppendStatement(b, c.statementOf(c.self))
 	}
 	return b
 }
 
-// spread tells news to a few members beside the probes.
-func (c *Core) spread() {
-	for range spreadTo {
-		if to := c.pickLiving(nil); to != nil && c.news.count > 0 {
-			c.sendTo(to, c.fill(c.head(wire.Gossip)))
+// gossipBroadcasts tells news to a few members beside the probes.
+func (c *Core) gossipBroadcasts() {
+	for range gossipFanout {
+		if to := c.pickLiving(nil); to != nil && c.broadcasts.count > 0 {
+			c.sendTo(to, c.appendBroadcasts(c.newHeader(wire.Gossip)))
 		}
 	}
 }
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -10,43 +10,43 @@
 
 // Lines of the log, a second and at once; more are counted and told with the next.
 const (
-	linesRate  = 10
-	linesBurst = 50
+	logRate  = 10
+	logBurst = 50
 )
 
-// changed keeps what the shell holds beside the core: counts, addresses, numbers.
-func (s *Shell) changed(a membership.Changed) {
+// memberChanged keeps what the shell holds beside the core: counts, addresses, numbers.
+func (s *Server) memberChanged(a membership.MemberChanged) {
 	s.changes.Add(1)
 	if b := a.Before; b.Name != "" {
-		s.health[b.Health].Add(-1)
-		s.known.Delete(b.Addr)
+		s.membersByHealth[b.Health].Add(-1)
+		s.memberAddresses.Delete(b.Addr)
 	}
 	m := a.Member
 	if m.Name == "" {
 		delete(s.numbers, a.Before.Name)
-		s.book.Delete(a.Before.Name)
+		s.contacts.Delete(a.Before.Name)
 		return
 	}
-	s.health[m.Health].Add(1)
+	s.membersByHealth[m.Health].Add(1)
 	s.numbers[m.Name] = m.Number
-	s.note(m)
+	s.recordContact(m)
 	if m.Health <= membership.Suspect {
-		s.known.Store(m.Addr, true)
+		s.memberAddresses.Store(m.Addr, true)
 	}
-	if b := a.Before; m.Health != b.Health || m.Life != b.Life || m.Facts.State != b.Facts.State {
-		s.say(slog.LevelInfo, "member", "name", m.Name, "health", m.Health, "state", m.Facts.State, "life", m.Life, "why", cmp.Or(m.Why, "-"), "by", cmp.Or(m.By, "-"))
+	if b := a.Before; m.Health != b.Health || m.Generation != b.Generation || m.Metadata.State != b.Metadata.State {
+		s.logLimited(slog.LevelInfo, "member", "name", m.Name, "health", m.Health, "state", m.Metadata.State, "life", m.Generation, "why", cmp.Or(m.Reason, "-"), "by", cmp.Or(m.Accusers, "-"))
 	}
 }
 
-// say writes a line, unless there were too many: others can bring them about at will.
-func (s *Shell) say(level slog.Level, text string, args ...any) {
-	if !s.lines.Allow() {
-		s.unsaid++
+// logLimited writes a line, unless there were too many: others can bring them about at will.
+func (s *Server) logLimited(level slog.Level, text string, args ...any) {
+	if !s.logLimiter.Allow() {
+		s.suppressedLines++
 		return
 	}
-	if s.unsaid > 0 {
-		args = append(args, "not_logged", s.unsaid)
-		s.unsaid = 0
+	if s.suppressedLines > 0 {
+		args = append(args, "not_logged", s.suppressedLines)
+		s.suppressedLines = 0
 	}
 	s.cfg.Log.Log(context.Background(), level, text, args...)
 }
--- a/internal/membership/gossip/facts.go
+++ b/internal/membership/gossip/facts.go
@@ -6,11 +6,13 @@
 
 // SetVersions gives the versions of the tenants' catalogue and of the policy that this node has; others hear of them
 // within a period. It does not wait.
-func (s *Shell) SetVersions(catalogue, policy uint64) { s.versions.Store(&versions{catalogue, policy}) }
+func (s *Server) SetVersions(catalogue, policy uint64) {
+	s.versions.Store(&versions{catalogue, policy})
+}
 
-// currentFacts is what the node says of itself now.
-func (s *Shell) currentFacts() membership.Facts {
+// currentMetadata is what the node says of itself now.
+func (s *Server) currentMetadata() membership.Metadata {
 	v := s.versions.Load()
-	state, load := s.cfg.Doing()
-	return membership.Facts{Zone: s.cfg.Zone, Version: s.cfg.Version, Catalogue: v.catalogue, Policy: v.policy, Load: load, State: state}
+	state, load := s.cfg.LocalState()
+	return membership.Metadata{Zone: s.cfg.Zone, Version: s.cfg.Version, Catalogue: v.catalogue, Policy: v.policy, Load: load, State: state}
 }
--- a/internal/membership/gossip/report.go
+++ b/internal/membership/gossip/report.go
@@ -12,9 +12,9 @@
 type Report struct {
 	Fleet       string   `json:"fleet"`
 	Name        string   `json:"name"`
-	Life        uint64   `json:"life"`
+	Generation  uint64   `json:"life"`
 	Incarnation uint32   `json:"incarnation"`
-	Number      uint64   `json:"number"`  // rises with each change that the digest covers
+	Version     uint64   `json:"number"`  // rises with each change that the digest covers
 	Digest      string   `json:"digest"`  // 16 hexadecimal digits
 	Yielded     bool     `json:"yielded"` // silent, as another process has the name
 	Members     []Member `json:"members"` // by name, own included
@@ -28,11 +28,11 @@
 	Name        string `json:"name"`
 	Health      string `json:"health"` // alive, suspect, dead, left
 	State       string `json:"state"`  // joining, serving, draining, leaving
-	Life        uint64 `json:"life"`
+	Generation  uint64 `json:"life"`
 	Incarnation uint32 `json:"incarnation"`
 	AgeMS       int64  `json:"age_ms"` // since it has this life and health
-	Why         string `json:"why"`
-	By          string `json:"by"` // names of its accusers, by comma
+	Reason      string `json:"why"`
+	Accusers    string `json:"by"` // names of its accusers, by comma
 	Zone        string `json:"zone"`
 	Version     string `json:"version"`
 	Catalogue   uint64 `json:"catalogue"`
@@ -54,38 +54,38 @@
 }
 
 // Report asks the owner for what it sees. It is false if the owner has ended, or does not get to it before the context ends.
-func (s *Shell) Report(ctx context.Context) (r Report, ok bool) {
-	ok = s.do(ctx, func() { r = s.report() })
+func (s *Server) Report(ctx context.Context) (r Report, ok bool) {
+	ok = s.call(ctx, func() { r = s.report() })
 	return r, ok
 }
 
-func (s *Shell) report() Report {
+func (s *Server) report() Report {
 	v := s.core.View()
-	r := Report{Fleet: s.cfg.Fleet, Name: v.Self, Number: v.Number, Digest: fmt.Sprintf("%016x", v.Digest), Yielded: v.Yielded,
-		Sent: s.sent.read(), Received: Received{Traffic: s.came.read(), Strangers: s.came.strangers.Load(), Dropped: s.came.dropped.Load()},
-		LateMS: s.worst.Milliseconds(), Members: make([]Member, 0, len(v.Members))}
+	r := Report{Fleet: s.cfg.Fleet, Name: v.Self, Version: v.Version, Digest: fmt.Sprintf("%016x", v.Digest), Yielded: v.Yielded,
+		Sent: s.sent.read(), Received: Received{Traffic: s.received.read(), Strangers: s.received.strangers.Load(), Dropped: s.received.dropped.Load()},
+		LateMS: s.maxLateness.Milliseconds(), Members: make([]Member, 0, len(v.Members))}
 	for _, m := range v.Members {
 		if m.Name == v.Self {
-			r.Life, r.Incarnation = m.Life, m.Incarnation
+			r.Generation, r.Incarnation = m.Generation, m.Incarnation
 		}
-		r.Members = append(r.Members, Member{Name: m.Name, Health: m.Health.String(), State: m.Facts.State.String(), Life: m.Life,
-			Incarnation: m.Incarnation, AgeMS: max(0, s.now()-m.Since).Milliseconds(), Why: m.Why, By: m.By, Zone: m.Facts.Zone,
-			Version: m.Facts.Version, Catalogue: m.Facts.Catalogue, Policy: m.Facts.Policy, Load: m.Facts.Load})
+		r.Members = append(r.Members, Member{Name: m.Name, Health: m.Health.String(), State: m.Metadata.State.String(), Generation: m.Generation,
+			Incarnation: m.Incarnation, AgeMS: max(0, s.now()-m.Since).Milliseconds(), Reason: m.Reason, Accusers: m.Accusers, Zone: m.Metadata.Zone,
+			Version: m.Metadata.Version, Catalogue: m.Metadata.Catalogue, Policy: m.Metadata.Policy, Load: m.Metadata.Load})
 	}
 	return r
 }
 
-func (t *traffic) read() Traffic {
+func (t *trafficCounters) read() Traffic {
 	return Traffic{Datagrams: t.datagrams.Load(), Bytes: t.bytes.Load()}
 }
 
 // WriteStats gives the figures of the view as lines of text. It waits for nobody.
-func (s *Shell) WriteStats(w io.Writer) {
+func (s *Server) WriteStats(w io.Writer) {
 	for _, g := range []struct {
 		name   string
 		health membership.Health
 	}{{"alive", membership.Alive}, {"suspect", membership.Suspect}, {"dead", membership.Dead}} {
-		fmt.Fprintf(w, "app.fleet.%s:%d|g\n", g.name, s.health[g.health].Load())
+		fmt.Fprintf(w, "app.fleet.%s:%d|g\n", g.name, s.membersByHealth[g.health].Load())
 	}
 	t := s.sent.read()
 	fmt.Fprintf(w, "app.fleet.changes:%d|c\napp.fleet.datagrams:%d|c\napp.fleet.bytes:%d|c\n", s.changes.Load(), t.Datagrams, t.Bytes)
--- a/internal/membership/gossip/shell_test.go
+++ b/internal/membership/gossip/shell_test.go
@@ -25,12 +25,12 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7000)
 }
 
-func (n *network) start(ctx context.Context, i int, handed *Handed) *Shell {
-	s := Start(ctx, Config{Fleet: "f", Name: string(rune('a' + i)), Number: -1, Addr: addr(i), Seeds: []netip.AddrPort{addr(0)}, Period: 20 * time.Millisecond,
-		Doing: func() (membership.State, uint16) { return membership.Serving, 7 }, Log: slog.New(slog.DiscardHandler), Handed: handed,
-		Write: func(to netip.AddrPort, data []byte) {
+func (n *network) start(ctx context.Context, i int, handed *Handoff) *Server {
+	s := Start(ctx, Config{Fleet: "f", Name: string(rune('a' + i)), Number: -1, Addr: addr(i), Seeds: []netip.AddrPort{addr(0)}, ProbeInterval: 20 * time.Millisecond,
+		LocalState: func() (membership.State, uint16) { return membership.Serving, 7 }, Log: slog.New(slog.DiscardHandler), Handoff: handed,
+		Send: func(to netip.AddrPort, data []byte) {
 			if s, ok := n.at.Load(to); ok {
-				s.(*Shell).Receive(addr(i), data)
+				s.(*Server).Receive(addr(i), data)
 			}
 		}})
 	n.at.Store(addr(i), s)
@@ -38,7 +38,7 @@
 }
 
 // await waits until a shell sees what is wanted.
-func await(t *testing.T, s *Shell, what string, wanted func(Report) bool) (r Report) {
+func await(t *testing.T, s *Server, what string, wanted func(Report) bool) (r Report) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), enough)
 	defer cancel()
@@ -73,12 +73,12 @@
 		return len(r.Members) == 2 && r.Members[1].Catalogue == 3 && r.Members[1].Policy == 4 && r.Members[1].Load == 7
 	})
 	h := b.HandOver()
-	if h.Life != r.Members[1].Life || h.State != membership.Serving || len(h.Join) != 1 || h.Join[0] != addr(0) {
+	if h.Generation != r.Members[1].Generation || h.State != membership.Serving || len(h.Join) != 1 || h.Join[0] != addr(0) {
 		t.Errorf("handed over %+v of %+v", h, r)
 	}
 	next := n.start(ctx, 1, h)
 	await(t, a, "the next process", func(r Report) bool {
-		if m := r.Members[1]; m.Health != "alive" || m.Life != h.Life {
+		if m := r.Members[1]; m.Health != "alive" || m.Generation != h.Generation {
 			t.Fatalf("an upgrade looks like %+v", m)
 		}
 		return r.Members[1].Incarnation > h.Incarnation
@@ -109,10 +109,10 @@
 	a, b := n.start(ctx, 0, nil), n.start(ctx, 1, nil)
 	await(t, a, "b", func(r Report) bool { return healths(r) == "a alive b alive " })
 	rng := rand.New(rand.NewPCG(4, 2))
-	begun, before := time.Now(), a.came.read().Datagrams
+	begun, before := time.Now(), a.received.read().Datagrams
 	const flood = 100_000
 	for i := range flood {
-		d := wire.Datagram{Head: wire.Head{Kind: wire.Ping, Fleet: wire.FleetHash("f"), Sender: rng.Uint64(), Life: 1}}
+		d := wire.Datagram{Header: wire.Header{Kind: wire.Ping, Fleet: wire.FleetHash("f"), Sender: rng.Uint64(), Generation: 1}}
 		data := d.Encode()
 		if i%3 == 0 {
 			data[rng.IntN(5)] ^= byte(1 + rng.IntN(255))
@@ -120,8 +120,8 @@
 		a.Receive(netip.AddrPortFrom(addr(2+i%200).Addr(), uint16(i)), data)
 	}
 	most := int64(strangersBurst + strangersRate*time.Since(begun).Seconds() + 1)
-	let := a.came.read().Datagrams - before - a.came.dropped.Load()
-	if members := a.came.read().Datagrams - before - flood; let > most+members {
+	let := a.received.read().Datagrams - before - a.received.dropped.Load()
+	if members := a.received.read().Datagrams - before - flood; let > most+members {
 		t.Errorf("%d reached the owner, want at most %d and %d of members", let, most, members)
 	}
 	await(t, a, "b still", func(r Report) bool { return healths(r) == "a alive b alive " })
--- a/internal/membership/gossip/tell.go
+++ b/internal/membership/gossip/tell.go
@@ -7,24 +7,24 @@
 	"wrenspread/internal/membership"
 )
 
-// reach is how a member is reached, whether it serves, and which catalogue of tenants it has.
-type reach struct {
-	at        netip.AddrPort
-	serves    bool
+// contact is how a member is reached, whether it serves, and which catalogue of tenants it has.
+type contact struct {
+	address   netip.AddrPort
+	serving   bool
 	catalogue uint64 // 0 of one that is not alive
 }
 
-// Tell sends a datagram of another part of the program to a member by its name, if it is known. It does not wait.
-func (s *Shell) Tell(name string, data []byte) {
-	if r, ok := s.book.Load(name); ok && r.(reach).at.IsValid() {
-		s.cfg.Write(r.(reach).at, data)
+// SendTo sends a datagram of another part of the program to a member by its name, if it is known. It does not wait.
+func (s *Server) SendTo(name string, data []byte) {
+	if r, ok := s.contacts.Load(name); ok && r.(contact).address.IsValid() {
+		s.cfg.Send(r.(contact).address, data)
 	}
 }
 
-// Serving are the members that live and serve, but the own one, by name.
-func (s *Shell) Serving() (all []string) {
-	s.book.Range(func(name, r any) bool {
-		if r.(reach).serves && name != s.cfg.Name {
+// ServingMembers are the members that live and serve, but the own one, by name.
+func (s *Server) ServingMembers() (all []string) {
+	s.contacts.Range(func(name, r any) bool {
+		if r.(contact).serving && name != s.cfg.Name {
 			all = append(all, name.(string))
 		}
 		return true
@@ -33,20 +33,20 @@
 	return all
 }
 
-// Catalogue is the highest number of a catalogue of tenants that a live member says it has.
-func (s *Shell) Catalogue() (number uint64) {
-	s.book.Range(func(_, r any) bool {
-		number = max(number, r.(reach).catalogue)
+// HighestCatalogue is the highest number of a catalogue of tenants that a live member says it has.
+func (s *Server) HighestCatalogue() (number uint64) {
+	s.contacts.Range(func(_, r any) bool {
+		number = max(number, r.(contact).catalogue)
 		return true
 	})
 	return number
 }
 
-// note keeps how a member is reached.
-func (s *Shell) note(m membership.Member) {
-	r := reach{at: s.address(m.Name, m.Addr)}
+// recordContact keeps how a member is reached.
+func (s *Server) recordContact(m membership.Member) {
+	r := contact{address: s.address(m.Name, m.Addr)}
 	if m.Health == membership.Alive {
-		r.serves, r.catalogue = m.Facts.State == membership.Serving, m.Facts.Catalogue
+		r.serving, r.catalogue = m.Metadata.State == membership.Serving, m.Metadata.Catalogue
 	}
-	s.book.Store(m.Name, r)
+	s.contacts.Store(m.Name, r)
 }
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -6,31 +6,31 @@
 // 30% all 24 datagrams are lost once in 10 to the 12.
 const (
 	leavePeriods = 8
-	leaveTo      = 3
+	leaveFanout  = 3
 )
 
 func (c *Core) leave() {
-	if c.leaveLeft > 0 {
+	if c.leavePeriodsLeft > 0 {
 		return
 	}
-	c.leaveLeft = leavePeriods + 1
-	st := c.self.st
+	c.leavePeriodsLeft = leavePeriods + 1
+	st := c.self.statement
 	st.Incarnation++
-	st.Health, st.Facts.State = Left, Leaving
-	c.set(c.self, st)
-	c.leaving()
+	st.Health, st.Metadata.State = Left, Leaving
+	c.updateMember(c.self, st)
+	c.leavePeriod()
 }
 
-// leaving is the period of a node that goes: it probes nobody and answers still.
-func (c *Core) leaving() {
-	c.probe.open = false
-	c.leaveLeft--
-	if c.leaveLeft == 0 || c.living == 0 {
-		c.gone = true
-		c.out = append(c.out, Gone{})
+// leavePeriod is the period of a node that goes: it probes nobody and answers still.
+func (c *Core) leavePeriod() {
+	c.probe.pending = false
+	c.leavePeriodsLeft--
+	if c.leavePeriodsLeft == 0 || c.living == 0 {
+		c.left = true
+		c.actions = append(c.actions, LeaveDone{})
 		return
 	}
-	for range leaveTo {
-		c.sendTo(c.pickLiving(nil), c.fill(c.head(wire.Gossip), c.self))
+	for range leaveFanout {
+		c.sendTo(c.pickLiving(nil), c.appendBroadcasts(c.newHeader(wire.Gossip), c.self))
 	}
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -11,12 +11,12 @@
 // compare orders two statements on one name: the later life, then the higher incarnation, then the graver health. Two statements
 // equal in these but of different facts come from two processes of one name; their bytes decide, so that all nodes agree.
 func compare(a, b wire.Statement) int {
-	return cmp.Or(cmp.Compare(a.Life, b.Life), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Health, b.Health),
+	return cmp.Or(cmp.Compare(a.Generation, b.Generation), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Health, b.Health),
 		compareFacts(a, b))
 }
 
 func compareFacts(a, b wire.Statement) int {
-	if a.Plain() == b.Plain() {
+	if a.WithoutVolatile() == b.WithoutVolatile() {
 		return 0
 	}
 	return bytes.Compare(a.Bytes(), b.Bytes())
@@ -31,11 +31,11 @@
 		high, low = b, a
 	}
 	if order == 0 {
-		high.By = accusers(a.By, b.By)
+		high.Accusers = accusers(a.Accusers, b.Accusers)
 		high.Age = max(a.Age, b.Age)
 	}
-	if low.Life == high.Life && cmp.Or(cmp.Compare(low.LoadSeq, high.LoadSeq), cmp.Compare(low.Facts.Load, high.Facts.Load)) > 0 {
-		high.LoadSeq, high.Facts.Load = low.LoadSeq, low.Facts.Load
+	if low.Generation == high.Generation && cmp.Or(cmp.Compare(low.LoadSeq, high.LoadSeq), cmp.Compare(low.Metadata.Load, high.Metadata.Load)) > 0 {
+		high.LoadSeq, high.Metadata.Load = low.LoadSeq, low.Metadata.Load
 	}
 	return high
 }
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -13,12 +13,12 @@
 // drawStatement draws from few values, so that ties are common. Age is what a merge does not promise anything on.
 func drawStatement(t *rapid.T) wire.Statement {
 	small := rapid.IntRange(0, 2)
-	s := wire.Statement{Name: "n1", Number: small.Draw(t, "number"), Life: uint64(small.Draw(t, "life")), Incarnation: uint32(small.Draw(t, "inc")),
+	s := wire.Statement{Name: "n1", Number: small.Draw(t, "number"), Generation: uint64(small.Draw(t, "life")), Incarnation: uint32(small.Draw(t, "inc")),
 		Health: Health(rapid.IntRange(0, 3).Draw(t, "health"))}
-	s.Facts.Catalogue = uint64(small.Draw(t, "catalogue"))
-	s.Facts.Load, s.LoadSeq = uint16(small.Draw(t, "load")), uint32(small.Draw(t, "seq"))
+	s.Metadata.Catalogue = uint64(small.Draw(t, "catalogue"))
+	s.Metadata.Load, s.LoadSeq = uint16(small.Draw(t, "load")), uint32(small.Draw(t, "seq"))
 	for range small.Draw(t, "accusers") {
-		s.By = accusers(s.By, [3]uint64{uint64(rapid.IntRange(1, 6).Draw(t, "by"))})
+		s.Accusers = accusers(s.Accusers, [3]uint64{uint64(rapid.IntRange(1, 6).Draw(t, "by"))})
 	}
 	return s
 }
@@ -36,12 +36,12 @@
 			t.Fatalf("not idempotent: %+v %+v", a, b)
 		}
 		joint := a
-		joint.By = b.By
-		if m := merge(a, joint); m != merge(joint, a) || m.By != accusers(a.By, b.By) {
-			t.Fatalf("accusers of one suspicion do not add up: %x and %x", a.By, b.By)
+		joint.Accusers = b.Accusers
+		if m := merge(a, joint); m != merge(joint, a) || m.Accusers != accusers(a.Accusers, b.Accusers) {
+			t.Fatalf("accusers of one suspicion do not add up: %x and %x", a.Accusers, b.Accusers)
 		}
 		m := merge(a, b)
-		if m.Life < max(a.Life, b.Life) || (a.Life == b.Life && m.Incarnation < max(a.Incarnation, b.Incarnation)) {
+		if m.Generation < max(a.Generation, b.Generation) || (a.Generation == b.Generation && m.Incarnation < max(a.Incarnation, b.Incarnation)) {
 			t.Fatalf("went back: %+v %+v gave %+v", a, b, m)
 		}
 	})
@@ -55,9 +55,9 @@
 		view := func(sts []wire.Statement) uint64 {
 			c := New(Config{Fleet: "f", Name: "me"}, 0)
 			for _, st := range sts {
-				c.take(st, wire.Gossip)
+				c.applyStatement(st, wire.Gossip)
 			}
-			return c.root
+			return c.digest
 		}
 		if view(all) != view(order) {
 			t.Fatalf("%+v and %+v give different digests", all, order)
--- a/internal/membership/name_test.go
+++ b/internal/membership/name_test.go
@@ -10,7 +10,7 @@
 // again starts another process of an old one's name at its address.
 func (w *network) again(old *node, life uint64, incarnation uint32) *node {
 	cfg := old.cfg
-	cfg.Life, cfg.Incarnation, cfg.Seed = life, incarnation, w.rng.Uint64()
+	cfg.Generation, cfg.Incarnation, cfg.RandomSeed = life, incarnation, w.rng.Uint64()
 	cfg.Seeds = nil
 	for _, n := range w.nodes {
 		if n != old {
@@ -29,8 +29,8 @@
 		w.run(150 * time.Millisecond)
 		n := w.again(nodes[3], life, 0)
 		took := w.mustSettle(10*time.Second, "a restart")
-		if n.yielded || n.self.st.Life <= 1003 || nodes[0].sees("n3").Life != n.self.st.Life {
-			t.Errorf("started with life %d, went on in %d", life, n.self.st.Life)
+		if n.yielded || n.self.statement.Generation <= 1003 || nodes[0].sees("n3").Generation != n.self.statement.Generation {
+			t.Errorf("started with life %d, went on in %d", life, n.self.statement.Generation)
 		}
 		if d := w.deaths(from, n); d > 0 {
 			t.Errorf("life %d: taken for dead %d times", life, d)
@@ -42,12 +42,12 @@
 // An upgrade hands over life and incarnation: nobody sees more than one more incarnation or two.
 func TestUpgrade(t *testing.T) {
 	w, nodes := fleetOf(t, 22, 8)
-	old := nodes[3].self.st
+	old := nodes[3].self.statement
 	nodes[3].up = false
-	n := w.again(nodes[3], old.Life, old.Incarnation) // even with the former process's last incarnation
-	w.handle(n, FactsChanged{Facts{Zone: "zone-a", Version: "1.5.0", State: Serving}})
+	n := w.again(nodes[3], old.Generation, old.Incarnation) // even with the former process's last incarnation
+	w.handle(n, MetadataChanged{Metadata{Zone: "zone-a", Version: "1.5.0", State: Serving}})
 	w.mustSettle(5*time.Second, "an upgrade")
-	if m := nodes[0].sees("n3"); m.Life != old.Life || m.Incarnation > old.Incarnation+2 || m.Facts.Version != "1.5.0" {
+	if m := nodes[0].sees("n3"); m.Generation != old.Generation || m.Incarnation > old.Incarnation+2 || m.Metadata.Version != "1.5.0" {
 		t.Errorf("seen as %+v", m)
 	}
 }
@@ -59,11 +59,11 @@
 		w, nodes := fleetOf(t, 23, 8)
 		w.run(20 * time.Second)
 		cfg := nodes[3].cfg
-		cfg.Life, cfg.Addr, cfg.Seed, cfg.Number = life, addrOf(99), 12345, 7
+		cfg.Generation, cfg.Addr, cfg.RandomSeed, cfg.Number = life, addrOf(99), 12345, 7
 		twin := w.start(cfg)
 		w.until(30*time.Second, func() bool { return twin.yielded || nodes[3].yielded })
 		if twin.yielded == nodes[3].yielded {
-			t.Fatalf("%s life: yielded are %v and %v, lives %d and %d", name, nodes[3].yielded, twin.yielded, nodes[3].self.st.Life, twin.self.st.Life)
+			t.Fatalf("%s life: yielded are %v and %v, lives %d and %d", name, nodes[3].yielded, twin.yielded, nodes[3].self.statement.Generation, twin.self.statement.Generation)
 		}
 		yielder, keeper := twin, nodes[3]
 		if !twin.yielded {
@@ -71,16 +71,16 @@
 		}
 		told := false
 		for _, a := range yielder.acts {
-			conflict, ok := a.(Conflict)
+			conflict, ok := a.(NameConflict)
 			told = told || (ok && conflict.Yielded)
 		}
-		if !told || yielder.self.st.Life > keeper.self.st.Life {
-			t.Errorf("%s life: the one that yielded has life %d, the other %d; told: %v", name, yielder.self.st.Life, keeper.self.st.Life, told)
+		if !told || yielder.self.statement.Generation > keeper.self.statement.Generation {
+			t.Errorf("%s life: the one that yielded has life %d, the other %d; told: %v", name, yielder.self.statement.Generation, keeper.self.statement.Generation, told)
 		}
 		w.mustSettle(10*time.Second, "the conflict")
-		number := nodes[0].number
+		number := nodes[0].version
 		w.run(10 * time.Second)
-		if nodes[0].number != number || keeper.yielded {
+		if nodes[0].version != number || keeper.yielded {
 			t.Errorf("%s life: the view still changes, or both are silent", name)
 		}
 	}
@@ -89,17 +89,17 @@
 // A datagram of a former life changes nothing, and neither does one said before a death.
 func TestStaleDatagram(t *testing.T) {
 	w, nodes := fleetOf(t, 24, 5)
-	old := Received{From: addrOf(3), Data: nodes[3].fill(nodes[3].head(wire.Gossip), nodes[3].self)}
+	old := Received{From: addrOf(3), Data: nodes[3].appendBroadcasts(nodes[3].newHeader(wire.Gossip), nodes[3].self)}
 	nodes[3].up = false
 	w.again(nodes[3], 5000, 0)
 	w.mustSettle(5*time.Second, "a restart")
-	root := nodes[0].root
+	root := nodes[0].digest
 	w.handle(nodes[0], old)
-	if nodes[0].root != root {
+	if nodes[0].digest != root {
 		t.Errorf("a datagram of a former life changed the view: %+v", nodes[0].sees("n3"))
 	}
 	dying := w.nodes[5]
-	last := Received{From: addrOf(3), Data: dying.fill(dying.head(wire.Gossip), dying.self)}
+	last := Received{From: addrOf(3), Data: dying.appendBroadcasts(dying.newHeader(wire.Gossip), dying.self)}
 	dying.up = false
 	w.mustSettle(10*time.Second, "a death")
 	w.handle(nodes[0], last)
@@ -107,7 +107,7 @@
 		t.Error("a word from before its death brought it back")
 	}
 	st := wire.Statement{Name: "gone", Health: Dead, Age: 601}
-	nodes[0].take(st, wire.Gossip)
+	nodes[0].applyStatement(st, wire.Gossip)
 	if nodes[0].sees("gone").Name != "" {
 		t.Error("a death from before the digest's time was taken up")
 	}
@@ -133,8 +133,8 @@
 	}
 	w.run(12 * time.Minute)
 	for _, n := range w.nodes {
-		if n.up && len(n.order) != 5 {
-			t.Errorf("%s still remembers %d members", n.name, len(n.order))
+		if n.up && len(n.sorted) != 5 {
+			t.Errorf("%s still remembers %d members", n.name, len(n.sorted))
 		}
 	}
 	w.mustSettle(time.Second, "forgetting")
@@ -147,7 +147,7 @@
 	from := w.now
 	w.handle(nodes[2], Leave{})
 	w.run(3 * time.Second)
-	if len(nodes[2].acts) != 1 || nodes[2].acts[0] != (Gone{}) || nodes[2].Handle(w.now, Tick{}) != nil {
+	if len(nodes[2].acts) != 1 || nodes[2].acts[0] != (LeaveDone{}) || nodes[2].Handle(w.now, Tick{}) != nil {
 		t.Errorf("after a leave: %v", nodes[2].acts)
 	}
 	w.run(20 * time.Second)
--- a/internal/membership/net_test.go
+++ b/internal/membership/net_test.go
@@ -39,7 +39,7 @@
 
 type change struct {
 	at Time
-	Changed
+	MemberChanged
 }
 
 func newNetwork(t testing.TB, seed uint64) *network {
@@ -53,8 +53,8 @@
 
 // config is that of the i-th process; all join by the 0th.
 func (w *network) config(i int, name string, life uint64) Config {
-	return Config{Fleet: "books", Name: name, Number: -1, Addr: addrOf(i), Seeds: []netip.AddrPort{addrOf(0)}, Seed: uint64(i) + w.rng.Uint64()<<16,
-		Life: life, Facts: Facts{Zone: "zone-a", Version: "1.4.2", State: Serving}}
+	return Config{Fleet: "books", Name: name, Number: -1, Addr: addrOf(i), Seeds: []netip.AddrPort{addrOf(0)}, RandomSeed: uint64(i) + w.rng.Uint64()<<16,
+		Generation: life, Metadata: Metadata{Zone: "zone-a", Version: "1.4.2", State: Serving}}
 }
 
 func (w *network) start(cfg Config) *node {
@@ -85,7 +85,7 @@
 		case Wake:
 			n.wake++
 			w.push(event{at: w.now + a.After, to: n, wake: n.wake, e: Tick{}})
-		case Changed:
+		case MemberChanged:
 			n.changes = append(n.changes, change{w.now, a})
 		default:
 			n.acts = append(n.acts, a)
@@ -157,20 +157,20 @@
 func (w *network) settled() bool {
 	var up []string
 	for _, n := range w.nodes {
-		if n.up && !n.yielded && n.leaveLeft == 0 && !n.gone {
+		if n.up && !n.yielded && n.leavePeriodsLeft == 0 && !n.left {
 			up = append(up, n.name)
 		}
 	}
 	slices.Sort(up)
 	root, first := uint64(0), true
 	for _, n := range w.nodes {
-		if !n.up || n.yielded || n.leaveLeft > 0 || n.gone {
+		if !n.up || n.yielded || n.leavePeriodsLeft > 0 || n.left {
 			continue
 		}
-		if (!first && n.root != root) || n.living != len(up)-1 {
+		if (!first && n.digest != root) || n.living != len(up)-1 {
 			return false
 		}
-		root, first = n.root, false
+		root, first = n.digest, false
 		if seen := n.View().Serving(); !slices.Equal(seen, up) {
 			return false
 		}
@@ -189,9 +189,9 @@
 
 func (w *network) describe() (s string) {
 	for _, n := range w.nodes[:min(len(w.nodes), 6)] {
-		s += fmt.Sprintf("%s up=%v root=%x %+v\n", n.name, n.up, n.root, n.Stats())
-		for _, m := range n.View().Members[:min(len(n.order), 8)] {
-			s += fmt.Sprintf("    %s life %d/%d %v by %q\n", m.Name, m.Life, m.Incarnation, m.Health, m.By)
+		s += fmt.Sprintf("%s up=%v root=%x %+v\n", n.name, n.up, n.digest, n.Stats())
+		for _, m := range n.View().Members[:min(len(n.sorted), 8)] {
+			s += fmt.Sprintf("    %s life %d/%d %v by %q\n", m.Name, m.Generation, m.Incarnation, m.Health, m.Accusers)
 		}
 	}
 	return s
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -16,7 +16,7 @@
 
 // received takes a datagram. What is not of this fleet is dropped by its first five bytes.
 func (c *Core) received(e Received) {
-	if !wire.Ours(e.Data, c.fleet) {
+	if !wire.IsOurs(e.Data, c.fleet) {
 		c.stats.Dropped++
 		return
 	}
@@ -27,42 +27,42 @@
 	}
 	c.stats.Received++
 	if d.Sender == c.self.hash {
-		c.fromOwnName(d, e.From)
+		c.receiveFromOwnName(d, e.From)
 		return
 	}
-	r, tellSelf := c.listen(d, e.From)
+	r, tellSelf := c.applyDatagram(d, e.From)
 	switch {
 	case c.yielded:
 	case r != nil && contradicts(d, r):
 		c.answerStranger(d, e.From, r)
 	case r == nil:
 		c.answerStranger(d, e.From, c.self)
-	case d.Life != r.st.Life:
+	case d.Generation != r.statement.Generation:
 		c.answerStranger(d, e.From, r)
 	default:
-		c.meet(r, d)
-		c.serve(r, d, tellSelf)
+		c.noteContact(r, d)
+		c.answerDatagram(r, d, tellSelf)
 	}
 }
 
-// listen takes up the statements in a datagram, the sender's on itself first. Of a sender that is unknown, of another life, dead or left nothing
+// applyDatagram takes up the statements in a datagram, the sender's on itself first. Of a sender that is unknown, of another life, dead or left nothing
 // else is believed but what concerns this node, which it can refute: so one that was cut off does not spread its deaths. tellSelf says that the sender has an old word of this node.
-func (c *Core) listen(d wire.Datagram, from netip.AddrPort) (r *record, tellSelf bool) {
+func (c *Core) applyDatagram(d wire.Datagram, from netip.AddrPort) (r *memberState, tellSelf bool) {
 	for _, st := range d.Statements {
-		if wire.Hash(st.Name) == d.Sender && st.Life == d.Life {
-			c.take(st, d.Kind)
+		if wire.Hash(st.Name) == d.Sender && st.Generation == d.Generation {
+			c.applyStatement(st, d.Kind)
 		}
 	}
 	r = c.byHash[d.Sender]
-	trusted := r != nil && r.st.Life == d.Life && r.living()
+	trusted := r != nil && r.statement.Generation == d.Generation && r.living()
 	for _, st := range d.Statements {
 		switch hash := wire.Hash(st.Name); {
 		case c.yielded:
 			return r, false
 		case hash == c.self.hash:
-			tellSelf = c.toldOfSelf(st, from) || tellSelf
+			tellSelf = c.receiveOwnStatement(st, from) || tellSelf
 		case trusted && hash != d.Sender:
-			c.take(st, d.Kind)
+			c.applyStatement(st, d.Kind)
 		}
 	}
 	return c.byHash[d.Sender], tellSelf
@@ -70,57 +70,57 @@
 
 // contradicts says that a sender's own statement, already merged, is not what holds of it in its life. It is a process beside another of its
 // name and life, which answers by name would miss, or (harmless) an overtaken datagram.
-func contradicts(d wire.Datagram, r *record) bool {
+func contradicts(d wire.Datagram, r *memberState) bool {
 	for _, st := range d.Statements {
-		if st.Name == r.st.Name && st.Life == r.st.Life {
-			st.Health = r.st.Health
-			return st.Plain() != r.st.Plain()
+		if st.Name == r.statement.Name && st.Generation == r.statement.Generation {
+			st.Health = r.statement.Health
+			return st.WithoutVolatile() != r.statement.WithoutVolatile()
 		}
 	}
 	return false
 }
 
-// take merges a statement on another member into the view.
-func (c *Core) take(st wire.Statement, kind wire.Kind) {
+// applyStatement merges a statement on another member into the view.
+func (c *Core) applyStatement(st wire.Statement, kind wire.Kind) {
 	r := c.byHash[wire.Hash(st.Name)]
 	if r == nil {
-		if st.Health >= Dead && Time(st.Age)*ageUnit >= c.cfg.Fresh {
+		if st.Health >= Dead && Time(st.Age)*ageResolution >= c.cfg.DeadGossipTime {
 			return
 		}
-		if r = c.admit(st); r == nil {
+		if r = c.addMember(st); r == nil {
 			return
 		}
 	} else {
-		if r.st.Name != st.Name {
+		if r.statement.Name != st.Name {
 			return // two names of one hash: the first stays
 		}
-		if st = merge(r.st, st); st == r.st {
+		if st = merge(r.statement, st); st == r.statement {
 			return
 		}
 	}
 	before := r.sum
-	c.set(r, st)
-	if kind == wire.Told && r.sum != before {
-		c.sync.learned = true
+	c.updateMember(r, st)
+	if kind == wire.Answer && r.sum != before {
+		c.antiEntropy.learned = true
 	}
 }
 
-// meet notes that somebody of the fleet is there, and whether its view is another one.
-func (c *Core) meet(r *record, d wire.Datagram) {
-	if !c.own.met {
-		c.own.met, c.own.metAt = true, c.now
+// noteContact notes that somebody of the fleet is there, and whether its view is another one.
+func (c *Core) noteContact(r *memberState, d wire.Datagram) {
+	if !c.ownState.hasMet {
+		c.ownState.hasMet, c.ownState.metAt = true, c.now
 	}
 	c.compareDigest(d.Digest)
-	if d.Digest != c.root && r.living() {
-		c.sync.with = r
+	if d.Digest != c.digest && r.living() {
+		c.antiEntropy.peer = r
 	}
 }
 
-// serve does what the datagram asks for. A sender that is held other than alive is told so, and one with an old word of this node
+// answerDatagram does what the datagram asks for. A sender that is held other than alive is told so, and one with an old word of this node
 // hears the new one.
-func (c *Core) serve(r *record, d wire.Datagram, tellSelf bool) {
-	var lead []*record
-	if r.st.Health != Alive {
+func (c *Core) answerDatagram(r *memberState, d wire.Datagram, tellSelf bool) {
+	var lead []*memberState
+	if r.statement.Health != Alive {
 		lead = append(lead, r)
 	}
 	if tellSelf || introduces(d) {
@@ -128,29 +128,29 @@
 	}
 	switch d.Kind {
 	case wire.Ping:
-		c.sendTo(r, c.fill(c.numbered(wire.Ack, d.Seq, 0), lead...))
+		c.sendTo(r, c.appendBroadcasts(c.newNumbered(wire.Ack, d.Seq, 0), lead...))
 		return
 	case wire.Ack:
-		c.answered(r, d.Seq)
-		c.relayed(r, d.Seq)
-	case wire.Indirect:
-		c.answered(c.byHash[d.Target], d.Seq)
+		c.ackReceived(r, d.Seq)
+		c.finishRelays(r, d.Seq)
+	case wire.IndirectAck:
+		c.ackReceived(c.byHash[d.Target], d.Seq)
 	case wire.Nack:
-		if c.probe.open && d.Seq == c.probe.seq {
+		if c.probe.pending && d.Seq == c.probe.seq {
 			c.probe.nacks++
 		}
 	case wire.PingReq:
-		c.askFor(r, d)
+		c.startRelay(r, d)
 	case wire.Digest:
-		c.compareSums(r, d)
-	case wire.List:
+		c.compareRangeSums(r, d)
+	case wire.RangeList:
 		c.compareList(r, d)
-	case wire.Want:
+	case wire.WantMembers:
 		c.answerWant(r, d)
 	}
-	if tellSelf && c.corrections > 0 {
-		c.corrections--
-		c.sendTo(r, c.fill(c.head(wire.Gossip), lead...))
+	if tellSelf && c.correctionBudget > 0 {
+		c.correctionBudget--
+		c.sendTo(r, c.appendBroadcasts(c.newHeader(wire.Gossip), lead...))
 	}
 }
 
@@ -161,10 +161,10 @@
 
 // answerStranger answers a ping of one that is not known, or of a life that is not the one known, where it came from. It hears
 // what is known of its name, so that it can take a higher life.
-func (c *Core) answerStranger(d wire.Datagram, from netip.AddrPort, lead *record) {
-	if d.Kind != wire.Ping || c.strangers <= 0 || !from.IsValid() {
+func (c *Core) answerStranger(d wire.Datagram, from netip.AddrPort, lead *memberState) {
+	if d.Kind != wire.Ping || c.strangerBudget <= 0 || !from.IsValid() {
 		return
 	}
-	c.strangers--
-	c.send(Send{To: from, Data: c.fill(c.numbered(wire.Ack, d.Seq, 0), lead)})
+	c.strangerBudget--
+	c.send(Send{To: from, Data: c.appendBroadcasts(c.newNumbered(wire.Ack, d.Seq, 0), lead)})
 }
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -32,7 +32,7 @@
 			victim := nodes[size/2]
 			victim.up = false
 			died := w.mustSettle(10*time.Second, "a death")
-			if m := nodes[0].sees(victim.name); m.Health != Dead || m.By == "" || m.Why == "" {
+			if m := nodes[0].sees(victim.name); m.Health != Dead || m.Accusers == "" || m.Reason == "" {
 				t.Errorf("the dead one is seen as %+v", m)
 			}
 			leaver := nodes[size-1]
@@ -89,15 +89,15 @@
 func TestNewsAlone(t *testing.T) {
 	w, nodes := fleetOf(t, 8, 60)
 	w.loss, w.drop[wire.Digest] = 0.1, true
-	f := nodes[7].self.st.Facts
+	f := nodes[7].self.statement.Metadata
 	f.Catalogue = 8
 	all := func(fits func(m Member) bool) (time.Duration, bool) {
 		return w.until(5*time.Second, func() bool {
 			return !slices.ContainsFunc(nodes, func(n *node) bool { return !fits(n.sees("n7")) })
 		})
 	}
-	w.handle(nodes[7], FactsChanged{f})
-	facts, ok := all(func(m Member) bool { return m.Facts == f })
+	w.handle(nodes[7], MetadataChanged{f})
+	facts, ok := all(func(m Member) bool { return m.Metadata == f })
 	if !ok {
 		t.Error("new facts did not reach all")
 	}
@@ -109,7 +109,7 @@
 			left++
 		}
 	}
-	if left < 1+leaveTo {
+	if left < 1+leaveFanout {
 		t.Errorf("a leave is known to %d nodes after 100 ms", left)
 	}
 	took, ok := all(func(m Member) bool { return m.Health == Left })
--- a/internal/membership/stranger_test.go
+++ b/internal/membership/stranger_test.go
@@ -14,28 +14,28 @@
 func TestFlood(t *testing.T) {
 	w, nodes := fleetOf(t, 31, 5)
 	n := nodes[1]
-	n.cfg.Most = 100
+	n.cfg.MaxMembers = 100
 	other := New(Config{Fleet: "other", Name: "n9"}, 0)
 	stranger := New(Config{Fleet: "books", Name: "ghost", Addr: addrOf(500)}, 0)
-	root, sent := n.root, n.Stats().Sent
+	root, sent := n.digest, n.Stats().Sent
 	for i := range 20000 {
 		garbage := make([]byte, w.rng.IntN(300))
 		for j := range garbage {
 			garbage[j] = byte(w.rng.Uint32())
 		}
 		w.handle(n, Received{addrOf(500), garbage})
-		w.handle(n, Received{addrOf(500), other.fill(other.numbered(wire.Ping, uint32(i), 0))})
-		foreign := stranger.numbered(wire.Ping, uint32(i), 0)
+		w.handle(n, Received{addrOf(500), other.appendBroadcasts(other.newNumbered(wire.Ping, uint32(i), 0))})
+		foreign := stranger.newNumbered(wire.Ping, uint32(i), 0)
 		binary.BigEndian.PutUint64(foreign[5:], uint64(i)+1)
 		w.handle(n, Received{addrOf(500), foreign})
 	}
-	if n.root != root || n.Stats().Sent-sent > strangersPerPeriod+10 || len(n.changes) > 10 {
+	if n.digest != root || n.Stats().Sent-sent > strangersPerPeriod+10 || len(n.changes) > 10 {
 		t.Errorf("the flood changed the view or was answered %d times", n.Stats().Sent-sent)
 	}
 	for i := range 500 {
-		stranger.self.st.Name = fmt.Sprintf("ghost-%d", i)
-		stranger.self.hash = wire.Hash(stranger.self.st.Name)
-		w.handle(n, Received{addrOf(500), stranger.fill(stranger.head(wire.Gossip), stranger.self)})
+		stranger.self.statement.Name = fmt.Sprintf("ghost-%d", i)
+		stranger.self.hash = wire.Hash(stranger.self.statement.Name)
+		w.handle(n, Received{addrOf(500), stranger.appendBroadcasts(stranger.newHeader(wire.Gossip), stranger.self)})
 	}
 	if s := n.Stats(); s.Members != 100 || s.Refused != 500-95 {
 		t.Errorf("%d members remembered, %d refused", s.Members, s.Refused)
@@ -48,7 +48,7 @@
 // Load notes of older nodes, the quotas' datagrams and kinds of newer versions are dropped; older nodes drop ours, as all begin above their kinds.
 func TestOtherKinds(t *testing.T) {
 	w, nodes := fleetOf(t, 32, 3)
-	good := nodes[0].fill(nodes[0].head(wire.Gossip))
+	good := nodes[0].appendBroadcasts(nodes[0].newHeader(wire.Gossip))
 	for _, kind := range []byte{0, 1, 0x3f, 0x4a, 0x5f, 0x60, 0x6f, 0x70, 0xff} {
 		b := slices.Clone(good)
 		b[0] = kind
@@ -72,23 +72,23 @@
 // Load is told without a new incarnation and without a change of the digest; other facts with one.
 func TestFacts(t *testing.T) {
 	w, nodes := fleetOf(t, 33, 5)
-	f := nodes[2].self.st.Facts
-	root := nodes[2].root
+	f := nodes[2].self.statement.Metadata
+	root := nodes[2].digest
 	f.Load = 700
-	w.handle(nodes[2], FactsChanged{f})
+	w.handle(nodes[2], MetadataChanged{f})
 	w.run(2 * time.Second)
-	if m := nodes[0].sees("n2"); m.Facts.Load != 700 || m.Incarnation != 0 || nodes[0].root != root {
+	if m := nodes[0].sees("n2"); m.Metadata.Load != 700 || m.Incarnation != 0 || nodes[0].digest != root {
 		t.Errorf("load: %+v", m)
 	}
 	f.Catalogue, f.State = 9, Draining
-	w.handle(nodes[2], FactsChanged{f})
-	took, ok := w.until(3*time.Second, func() bool { return nodes[0].sees("n2").Facts == f })
+	w.handle(nodes[2], MetadataChanged{f})
+	took, ok := w.until(3*time.Second, func() bool { return nodes[0].sees("n2").Metadata == f })
 	if m := nodes[0].sees("n2"); !ok || m.Incarnation != 1 || slices.Contains(nodes[0].View().Serving(), "n2") {
 		t.Errorf("facts: %+v", m)
 	}
 	t.Logf("new facts known after %v", took)
 	f.Zone = "a zone with far too long a name"
-	w.handle(nodes[2], FactsChanged{f})
+	w.handle(nodes[2], MetadataChanged{f})
 	if len(nodes[2].acts) != 1 {
 		t.Errorf("facts out of bounds: %v", nodes[2].acts)
 	}
@@ -102,7 +102,7 @@
 		nodes[5].up = false
 		w.run(20 * time.Second)
 		for _, n := range nodes {
-			s += fmt.Sprintf("%x %d %+v\n", n.root, n.number, n.Stats())
+			s += fmt.Sprintf("%x %d %+v\n", n.digest, n.version, n.Stats())
 		}
 		return s
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -6,58 +6,58 @@
 // syncPeriods, or each period as long as it learns that way. It compares 16 sums, goes into at most maxBranches ranges
 // that differ, drawn anew each time, and spends at most syncPerPeriod datagrams a period on it: about 80 members.
 const (
-	syncPeriods   = 2
-	maxBranches   = 4
-	syncPerPeriod = 24
-	listTold      = 4 // datagrams of statements in answer to one list
+	syncPeriods    = 2
+	maxBranches    = 4
+	syncPerPeriod  = 24
+	maxListAnswers = 4 // datagrams of statements in answer to one list
 )
 
-type syncing struct {
-	with    *record // met with another digest
-	last    uint64  // period of the last question
-	learned bool
-	credit  int
+type antiEntropy struct {
+	peer       *memberState // met with another digest
+	lastPeriod uint64       // period of the last question
+	learned    bool
+	credit     int
 }
 
-func (c *Core) startSync() {
-	s := &c.sync
-	if s.with == nil || !(s.learned || s.last == 0 || c.beats-s.last >= syncPeriods) {
+func (c *Core) startAntiEntropy() {
+	s := &c.antiEntropy
+	if s.peer == nil || !(s.learned || s.lastPeriod == 0 || c.periods-s.lastPeriod >= syncPeriods) {
 		return
 	}
-	to := s.with
-	s.with, s.learned, s.last = nil, false, c.beats
+	to := s.peer
+	s.peer, s.learned, s.lastPeriod = nil, false, c.periods
 	if to.living() {
 		c.stats.Synced++
-		c.sendSums(to, 0, 0)
+		c.sendDigest(to, 0, 0)
 	}
 }
 
-// pay takes one datagram off what this period may spend.
-func (c *Core) pay() bool {
-	c.sync.credit--
-	return c.sync.credit >= 0
+// takeSyncCredit takes one datagram off what this period may spend.
+func (c *Core) takeSyncCredit() bool {
+	c.antiEntropy.credit--
+	return c.antiEntropy.credit >= 0
 }
 
-func (c *Core) sendSums(to *record, depth, place uint8) {
-	if c.pay() {
-		c.sendTo(to, c.datagram(wire.Datagram{Head: wire.Head{Kind: wire.Digest}, Depth: depth, Place: place, Sums: c.sumsOf(depth, place)}))
+func (c *Core) sendDigest(to *memberState, depth, place uint8) {
+	if c.takeSyncCredit() {
+		c.sendTo(to, c.newDatagram(wire.Datagram{Header: wire.Header{Kind: wire.Digest}, Depth: depth, Range: place, Sums: c.rangeSumsOf(depth, place)}))
 	}
 }
 
-// compareSums answers a Digest: a range that differs is listed, or divided further if it holds too many.
-func (c *Core) compareSums(r *record, d wire.Datagram) {
-	mine := c.sumsOf(d.Depth, d.Place)
-	first, branches := c.rng.IntN(wire.Fanout), 0
+// compareRangeSums answers a Digest: a range that differs is listed, or divided further if it holds too many.
+func (c *Core) compareRangeSums(r *memberState, d wire.Datagram) {
+	mine := c.rangeSumsOf(d.Depth, d.Range)
+	first, branches := c.random.IntN(wire.Fanout), 0
 	for i := range wire.Fanout {
 		child := (first + i) % wire.Fanout
 		if mine[child] == d.Sums[child] || branches == maxBranches {
 			continue
 		}
 		branches++
-		from, to := rangeOf(d.Depth, d.Place, child)
-		in := c.shownIn(from, to)
+		from, to := rangeOf(d.Depth, d.Range, child)
+		in := c.membersInRange(from, to)
 		if d.Depth == 0 && len(in) > wire.MaxEntries {
-			c.sendSums(r, 1, uint8(child))
+			c.sendDigest(r, 1, uint8(child))
 		} else {
 			c.sendList(r, from, to, in)
 		}
@@ -65,9 +65,9 @@
 }
 
 // sendList names all members of a range, in as many parts as it takes.
-func (c *Core) sendList(r *record, from, to uint64, in []*record) {
-	for more := true; more && c.pay(); {
-		d := wire.Datagram{Head: wire.Head{Kind: wire.List}, From: from, To: to}
+func (c *Core) sendList(r *memberState, from, to uint64, in []*memberState) {
+	for more := true; more && c.takeSyncCredit(); {
+		d := wire.Datagram{Header: wire.Header{Kind: wire.RangeList}, From: from, To: to}
 		more = len(in) > wire.MaxEntries
 		if more {
 			d.To = in[wire.MaxEntries-1].hash
@@ -77,61 +77,61 @@
 			d.Entries = append(d.Entries, wire.Entry{Hash: m.hash, Sum: uint32(m.sum)})
 		}
 		in = in[len(d.Entries):]
-		c.sendTo(r, c.datagram(d))
+		c.sendTo(r, c.newDatagram(d))
 	}
 }
 
 // compareList answers a List: it tells of members that the other lacks or sees differently, and wants the other's word on those and on the ones that it lacks itself.
-func (c *Core) compareList(r *record, d wire.Datagram) {
+func (c *Core) compareList(r *memberState, d wire.Datagram) {
 	theirs := map[uint64]uint32{}
-	var tell []*record
-	want := wire.Datagram{Head: wire.Head{Kind: wire.Want}}
+	var tell []*memberState
+	want := wire.Datagram{Header: wire.Header{Kind: wire.WantMembers}}
 	for _, e := range d.Entries {
 		theirs[e.Hash] = e.Sum
 		mine := c.byHash[e.Hash]
 		if mine == nil || uint32(mine.sum) != e.Sum {
-			want.Wants = append(want.Wants, e.Hash)
+			want.Wanted = append(want.Wanted, e.Hash)
 		}
 		if mine != nil && uint32(mine.sum) != e.Sum {
 			tell = append(tell, mine)
 		}
 	}
-	for _, m := range c.shownIn(d.From, d.To) {
+	for _, m := range c.membersInRange(d.From, d.To) {
 		if _, has := theirs[m.hash]; !has {
 			tell = append(tell, m)
 		}
 	}
-	c.tellAll(r, tell)
-	if len(want.Wants) > 0 && c.pay() {
-		want.Wants = want.Wants[:min(len(want.Wants), wire.MaxWants)]
-		c.sendTo(r, c.datagram(want))
+	c.sendStatements(r, tell)
+	if len(want.Wanted) > 0 && c.takeSyncCredit() {
+		want.Wanted = want.Wanted[:min(len(want.Wanted), wire.MaxWanted)]
+		c.sendTo(r, c.newDatagram(want))
 	}
 }
 
-func (c *Core) answerWant(r *record, d wire.Datagram) {
-	var tell []*record
-	for _, h := range d.Wants {
+func (c *Core) answerWant(r *memberState, d wire.Datagram) {
+	var tell []*memberState
+	for _, h := range d.Wanted {
 		if m := c.byHash[h]; m != nil {
 			tell = append(tell, m)
 		}
 	}
-	c.tellAll(r, tell)
+	c.sendStatements(r, tell)
 }
 
-// tellAll sends statements in a few datagrams, beginning at a drawn one: what is left over gets its turn another time.
-func (c *Core) tellAll(r *record, tell []*record) {
+// sendStatements sends statements in a few datagrams, beginning at a drawn one: what is left over gets its turn another time.
+func (c *Core) sendStatements(r *memberState, tell []*memberState) {
 	if len(tell) == 0 {
 		return
 	}
-	first := c.rng.IntN(len(tell))
+	first := c.random.IntN(len(tell))
 	at := 0
-	for range listTold {
-		if at == len(tell) || !c.pay() {
+	for range maxListAnswers {
+		if at == len(tell) || !c.takeSyncCredit() {
 			return
 		}
-		b := c.head(wire.Told)
+		b := c.newHeader(wire.Answer)
 		for fits := true; at < len(tell); at++ {
-			if b, fits = wire.AppendStatement(b, c.told(tell[(first+at)%len(tell)])); !fits {
+			if b, fits = wire.AppendStatement(b, c.statementOf(tell[(first+at)%len(tell)])); !fits {
 				break
 			}
 		}
--- a/internal/membership/wire/datagram.go
+++ b/internal/membership/wire/datagram.go
@@ -16,16 +16,16 @@
 type Kind uint8
 
 const (
-	Ping     Kind = 0x40 + iota // are you there? statements ride along
-	Ack                         // the answer, with the ping's number
-	PingReq                     // ask Target for me
-	Nack                        // I asked Target for you, without an answer so far
-	Gossip                      // statements alone
-	Digest                      // sums of 16 ranges of members
-	List                        // all members that the sender has in one range
-	Want                        // please tell me of these members
-	Told                        // statements in answer to List and Want
-	Indirect                    // Target has answered me, whom you had asked to ask
+	Ping        Kind = 0x40 + iota // are you there? statements ride along
+	Ack                            // the answer, with the ping's number
+	PingReq                        // ask Target for me
+	Nack                           // I asked Target for you, without an answer so far
+	Gossip                         // statements alone
+	Digest                         // sums of 16 ranges of members
+	RangeList                      // all members that the sender has in one range
+	WantMembers                    // please tell me of these members
+	Answer                         // statements in answer to List and Want
+	IndirectAck                    // Target has answered me, whom you had asked to ask
 )
 
 // Sizes in a datagram. A new layout gets a new kind, so there is no version beside it.
@@ -36,8 +36,8 @@
 	Fanout = 16
 	// MaxEntries is the most members that a List names.
 	MaxEntries = (MaxSize - headSize - 17) / entrySize
-	// MaxWants is the most members that a Want names.
-	MaxWants = (MaxSize - headSize - 1) / 8
+	// MaxWanted is the most members that a Want names.
+	MaxWanted = (MaxSize - headSize - 1) / 8
 )
 
 // Entry names a member within a List: the hash of its name and the low half of its sum.
@@ -46,34 +46,34 @@
 	Sum  uint32
 }
 
-// Head begins every datagram.
-type Head struct {
-	Kind   Kind
-	Fleet  uint32 // FleetHash of the fleet's name
-	Sender uint64 // Hash of the sender's name
-	Life   uint64 // the sender's
-	Digest uint64 // of the sender's view
+// Header begins every datagram.
+type Header struct {
+	Kind       Kind
+	Fleet      uint32 // FleetHash of the fleet's name
+	Sender     uint64 // Hash of the sender's name
+	Generation uint64 // the sender's
+	Digest     uint64 // of the sender's view
 }
 
 // Datagram is a decoded one. Which fields count depends on its kind.
 type Datagram struct {
-	Head
+	Header
 	Seq          uint32         // Ping, Ack, PingReq, Nack, Indirect
 	Target       uint64         // PingReq, Indirect
-	Depth, Place uint8          // Digest: the range is 1/16^Depth of all, the Place-th
+	Depth, Range uint8          // Digest: the range is 1/16^Depth of all, the Place-th
 	Sums         [Fanout]uint64 // Digest
 	From, To     uint64         // List: hashes, both included
 	Entries      []Entry        // List
-	Wants        []uint64       // Want
+	Wanted       []uint64       // Want
 	Statements   []Statement    // Ping, Ack, Gossip, Told
 }
 
 // FleetHash stands for a fleet's name.
 func FleetHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// Ours says whether b may be a datagram of this fleet, without decoding it.
-func Ours(b []byte, fleet uint32) bool {
-	return len(b) >= headSize && len(b) <= MaxSize && Kind(b[0]) >= Ping && Kind(b[0]) <= Indirect &&
+// IsOurs says whether b may be a datagram of this fleet, without decoding it.
+func IsOurs(b []byte, fleet uint32) bool {
+	return len(b) >= headSize && len(b) <= MaxSize && Kind(b[0]) >= Ping && Kind(b[0]) <= IndirectAck &&
 		binary.BigEndian.Uint32(b[1:]) == fleet
 }
 
@@ -83,20 +83,20 @@
 	b = append(b, byte(d.Kind))
 	b = binary.BigEndian.AppendUint32(b, d.Fleet)
 	b = binary.BigEndian.AppendUint64(b, d.Sender)
-	b = binary.BigEndian.AppendUint64(b, d.Life)
+	b = binary.BigEndian.AppendUint64(b, d.Generation)
 	b = binary.BigEndian.AppendUint64(b, d.Digest)
 	switch d.Kind {
 	case Ping, Ack, Nack:
 		b = binary.BigEndian.AppendUint32(b, d.Seq)
-	case PingReq, Indirect:
+	case PingReq, IndirectAck:
 		b = binary.BigEndian.AppendUint32(b, d.Seq)
 		b = binary.BigEndian.AppendUint64(b, d.Target)
 	case Digest:
-		b = append(b, d.Depth, d.Place)
+		b = append(b, d.Depth, d.Range)
 		for _, s := range d.Sums {
 			b = binary.BigEndian.AppendUint64(b, s)
 		}
-	case List:
+	case RangeList:
 		b = binary.BigEndian.AppendUint64(b, d.From)
 		b = binary.BigEndian.AppendUint64(b, d.To)
 		b = append(b, byte(len(d.Entries)))
@@ -104,9 +104,9 @@
 			b = binary.BigEndian.AppendUint64(b, e.Hash)
 			b = binary.BigEndian.AppendUint32(b, e.Sum)
 		}
-	case Want:
-		b = append(b, byte(len(d.Wants)))
-		for _, h := range d.Wants {
+	case WantMembers:
+		b = append(b, byte(len(d.Wanted)))
+		for _, h := range d.Wanted {
 			b = binary.BigEndian.AppendUint64(b, h)
 		}
 	}
@@ -130,16 +130,16 @@
 	if len(b) > MaxSize {
 		return Datagram{}, fmt.Errorf("datagram of %d bytes, over %d", len(b), MaxSize)
 	}
-	r := reader{b: b}
+	r := reader{data: b}
 	var d Datagram
-	d.Kind, d.Fleet, d.Sender, d.Life, d.Digest = Kind(r.u8()), r.u32(), r.u64(), r.u64(), r.u64()
-	if d.Life >= MaxLife || d.Sender == 0 {
+	d.Kind, d.Fleet, d.Sender, d.Generation, d.Digest = Kind(r.u8()), r.u32(), r.u64(), r.u64(), r.u64()
+	if d.Generation >= MaxGeneration || d.Sender == 0 {
 		return Datagram{}, errors.New("sender out of bounds")
 	}
 	if err := d.readRest(&r); err != nil {
 		return Datagram{}, err
 	}
-	if r.bad {
+	if r.failed {
 		return Datagram{}, errShort
 	}
 	return d, nil
@@ -150,32 +150,32 @@
 	case Ping, Ack:
 		d.Seq = r.u32()
 		return d.readStatements(r)
-	case Gossip, Told:
+	case Gossip, Answer:
 		return d.readStatements(r)
 	case Nack:
 		d.Seq = r.u32()
-	case PingReq, Indirect:
+	case PingReq, IndirectAck:
 		d.Seq, d.Target = r.u32(), r.u64()
 	case Digest:
-		d.Depth, d.Place = r.u8(), r.u8()
-		if d.Depth > 1 || int(d.Place) >= Fanout || (d.Depth == 0 && d.Place != 0) {
-			return fmt.Errorf("digest of range %d at depth %d", d.Place, d.Depth)
+		d.Depth, d.Range = r.u8(), r.u8()
+		if d.Depth > 1 || int(d.Range) >= Fanout || (d.Depth == 0 && d.Range != 0) {
+			return fmt.Errorf("digest of range %d at depth %d", d.Range, d.Depth)
 		}
 		for i := range d.Sums {
 			d.Sums[i] = r.u64()
 		}
-	case List:
+	case RangeList:
 		d.From, d.To = r.u64(), r.u64()
 		for range r.u8() {
 			d.Entries = append(d.Entries, Entry{r.u64(), r.u32()})
-			if r.bad {
+			if r.failed {
 				return errShort
 			}
 		}
-	case Want:
+	case WantMembers:
 		for range r.u8() {
-			d.Wants = append(d.Wants, r.u64())
-			if r.bad {
+			d.Wanted = append(d.Wanted, r.u64())
+			if r.failed {
 				return errShort
 			}
 		}
@@ -186,9 +186,9 @@
 }
 
 func (d *Datagram) readStatements(r *reader) error {
-	for len(r.b) > 0 && !r.bad {
+	for len(r.data) > 0 && !r.failed {
 		body := r.take(int(r.uvarint(MaxSize)))
-		if r.bad {
+		if r.failed {
 			break
 		}
 		s, err := readStatement(body)
--- a/internal/membership/wire/fact.go
+++ b/internal/membership/wire/fact.go
@@ -44,44 +44,44 @@
 	return fmt.Sprintf("state-%d", uint8(s))
 }
 
-// Facts are what a member says of itself. All of them but Load change with its incarnation.
-type Facts struct {
+// Metadata are what a member says of itself. All of them but Load change with its incarnation.
+type Metadata struct {
 	Zone, Version string // printable ASCII, at most MaxText bytes each
 	Catalogue     uint64 // version of the tenants' catalogue that the member has
 	Policy        uint64 // version of the policy that the member has
-	Fence         uint64 // fence under which it holds the duty of sharing out quotas; 0: it doesn't
+	FencingToken  uint64 // fence under which it holds the duty of sharing out quotas; 0: it doesn't
 	Load          uint16 // per mille; told in passing, not covered by the digest
 	State         State
 }
 
 // Statement is what one node tells another of a member. All fields compare with ==.
 type Statement struct {
-	Name        string         // printable ASCII without blanks, 1 to MaxName bytes
-	Number      int            // place among the configured peers, -1: none; at most MaxNumber
-	Addr        netip.AddrPort // advertised by the member; may be none
-	Life        uint64         // below MaxLife
-	Incarnation uint32
-	Health      Health
-	Facts       Facts
-	LoadSeq     uint32    // raised by the member with each new load of a life
-	By          [3]uint64 // hashes of the names of accusers, ascending, 0 last: the three smallest
-	Age         uint16    // of a dead or left one: tenths of a second since; at most MaxAge
-	Extra       string    // fields of newer versions, kept and passed on, at most MaxExtra bytes
+	Name          string         // printable ASCII without blanks, 1 to MaxName bytes
+	Number        int            // place among the configured peers, -1: none; at most MaxNumber
+	Addr          netip.AddrPort // advertised by the member; may be none
+	Generation    uint64         // below MaxLife
+	Incarnation   uint32
+	Health        Health
+	Metadata      Metadata
+	LoadSeq       uint32    // raised by the member with each new load of a life
+	Accusers      [3]uint64 // hashes of the names of accusers, ascending, 0 last: the three smallest
+	Age           uint16    // of a dead or left one: tenths of a second since; at most MaxAge
+	UnknownFields string    // fields of newer versions, kept and passed on, at most MaxExtra bytes
 }
 
 // Bounds of what is told. With all at their most, one statement still fits into one datagram (see the test).
 const (
-	MaxName   = 48
-	MaxText   = 24
-	MaxExtra  = 21
-	MaxNumber = 65534
-	MaxLife   = 1 << 62 // room above any clock's milliseconds to take one more, always
-	MaxAge    = 65535
+	MaxName          = 48
+	MaxText          = 24
+	MaxUnknownFields = 21
+	MaxNumber        = 65534
+	MaxGeneration    = 1 << 62 // room above any clock's milliseconds to take one more, always
+	MaxAge           = 65535
 )
 
-// Plain is the statement without what the digest leaves out: load, accusers, age.
-func (s Statement) Plain() Statement {
-	s.Facts.Load, s.LoadSeq, s.By, s.Age = 0, 0, [3]uint64{}, 0
+// WithoutVolatile is the statement without what the digest leaves out: load, accusers, age.
+func (s Statement) WithoutVolatile() Statement {
+	s.Metadata.Load, s.LoadSeq, s.Accusers, s.Age = 0, 0, [3]uint64{}, 0
 	return s
 }
 
@@ -90,18 +90,18 @@
 	switch {
 	case len(s.Name) < 1 || len(s.Name) > MaxName || !printable(s.Name, '!'):
 		return fmt.Errorf("member's name %.60q: want 1 to %d printable bytes without blanks", s.Name, MaxName)
-	case len(s.Facts.Zone) > MaxText || !printable(s.Facts.Zone, ' '):
-		return fmt.Errorf("zone %.60q of %s: want at most %d printable bytes", s.Facts.Zone, s.Name, MaxText)
-	case len(s.Facts.Version) > MaxText || !printable(s.Facts.Version, ' '):
-		return fmt.Errorf("version %.60q of %s: want at most %d printable bytes", s.Facts.Version, s.Name, MaxText)
+	case len(s.Metadata.Zone) > MaxText || !printable(s.Metadata.Zone, ' '):
+		return fmt.Errorf("zone %.60q of %s: want at most %d printable bytes", s.Metadata.Zone, s.Name, MaxText)
+	case len(s.Metadata.Version) > MaxText || !printable(s.Metadata.Version, ' '):
+		return fmt.Errorf("version %.60q of %s: want at most %d printable bytes", s.Metadata.Version, s.Name, MaxText)
 	case s.Number < -1 || s.Number > MaxNumber:
 		return fmt.Errorf("number %d of %s: want -1 to %d", s.Number, s.Name, MaxNumber)
-	case s.Life >= MaxLife:
-		return fmt.Errorf("life %d of %s: want less than 2^62", s.Life, s.Name)
+	case s.Generation >= MaxGeneration:
+		return fmt.Errorf("life %d of %s: want less than 2^62", s.Generation, s.Name)
 	case s.Health > Left:
 		return fmt.Errorf("health %d of %s: unknown", s.Health, s.Name)
-	case len(s.Extra) > MaxExtra:
-		return fmt.Errorf("%d bytes of unknown fields of %s: want at most %d", len(s.Extra), s.Name, MaxExtra)
+	case len(s.UnknownFields) > MaxUnknownFields:
+		return fmt.Errorf("%d bytes of unknown fields of %s: want at most %d", len(s.UnknownFields), s.Name, MaxUnknownFields)
 	}
 	return nil
 }
--- a/internal/membership/wire/fixture_test.go
+++ b/internal/membership/wire/fixture_test.go
@@ -13,9 +13,9 @@
 	var d Datagram
 	fixture.Fill(&d)
 	s := d.Statements[0]
-	s.Name, s.Facts.Zone, s.Facts.Version, s.Extra, s.Health = "node-a", "z", "v", "x", Suspect
+	s.Name, s.Metadata.Zone, s.Metadata.Version, s.UnknownFields, s.Health = "node-a", "z", "v", "x", Suspect
 	var text bytes.Buffer
-	for d.Kind = Ping; d.Kind <= Indirect; d.Kind++ {
+	for d.Kind = Ping; d.Kind <= IndirectAck; d.Kind++ {
 		fmt.Fprintf(&text, "%#x %x\n", uint8(d.Kind), d.Encode())
 	}
 	with, ok := AppendStatement(nil, s)
--- a/internal/membership/wire/statement.go
+++ b/internal/membership/wire/statement.go
@@ -14,31 +14,31 @@
 // Sum is the statement's part in the digest of a view: load, accusers and age aside.
 func (s Statement) Sum() uint64 {
 	var room [256]byte
-	return xxhash.Sum64(s.Plain().appendBody(room[:0]))
+	return xxhash.Sum64(s.WithoutVolatile().appendBody(room[:0]))
 }
 
 // Bytes is the plain statement as it is told: the same statement, the same bytes.
-func (s Statement) Bytes() []byte { return s.Plain().appendBody(nil) }
+func (s Statement) Bytes() []byte { return s.WithoutVolatile().appendBody(nil) }
 
 // appendBody writes the statement without its length. The statement is within its bounds.
 func (s Statement) appendBody(b []byte) []byte {
 	b = appendText(b, s.Name)
-	b = binary.AppendUvarint(b, s.Life)
+	b = binary.AppendUvarint(b, s.Generation)
 	b = binary.AppendUvarint(b, uint64(s.Incarnation))
 	b = append(b, byte(s.Health))
 	b = binary.BigEndian.AppendUint16(b, uint16(s.Number+1))
 	b = appendAddr(b, s.Addr)
-	b = append(b, byte(s.Facts.State))
-	b = appendText(b, s.Facts.Zone)
-	b = appendText(b, s.Facts.Version)
-	b = binary.AppendUvarint(b, s.Facts.Catalogue)
-	b = binary.AppendUvarint(b, s.Facts.Policy)
-	b = binary.AppendUvarint(b, s.Facts.Fence)
-	b = binary.BigEndian.AppendUint16(b, s.Facts.Load)
+	b = append(b, byte(s.Metadata.State))
+	b = appendText(b, s.Metadata.Zone)
+	b = appendText(b, s.Metadata.Version)
+	b = binary.AppendUvarint(b, s.Metadata.Catalogue)
+	b = binary.AppendUvarint(b, s.Metadata.Policy)
+	b = binary.AppendUvarint(b, s.Metadata.FencingToken)
+	b = binary.BigEndian.AppendUint16(b, s.Metadata.Load)
 	b = binary.AppendUvarint(b, uint64(s.LoadSeq))
-	b = appendAccusers(b, s.By)
+	b = appendAccusers(b, s.Accusers)
 	b = binary.BigEndian.AppendUint16(b, s.Age)
-	return append(b, s.Extra...)
+	return append(b, s.UnknownFields...)
 }
 
 func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
@@ -69,17 +69,17 @@
 
 // reader takes fields off a datagram; once something is wrong it stays so and gives zeros.
 type reader struct {
-	b   []byte
-	bad bool
+	data   []byte
+	failed bool
 }
 
 func (r *reader) take(n int) []byte {
-	if r.bad || n < 0 || n > len(r.b) {
-		r.bad = true
+	if r.failed || n < 0 || n > len(r.data) {
+		r.failed = true
 		return nil
 	}
-	out := r.b[:n]
-	r.b = r.b[n:]
+	out := r.data[:n]
+	r.data = r.data[n:]
 	return out
 }
 
@@ -113,12 +113,12 @@
 
 // uvarint takes a number of at most most. A number written longer than needed is wrong: one value, one writing.
 func (r *reader) uvarint(most uint64) uint64 {
-	v, n := binary.Uvarint(r.b)
-	if r.bad || n <= 0 || v > most || (n > 1 && r.b[n-1] == 0) {
-		r.bad = true
+	v, n := binary.Uvarint(r.data)
+	if r.failed || n <= 0 || v > most || (n > 1 && r.data[n-1] == 0) {
+		r.failed = true
 		return 0
 	}
-	r.b = r.b[n:]
+	r.data = r.data[n:]
 	return v
 }
 
@@ -132,7 +132,7 @@
 	ip, ok := netip.AddrFromSlice(r.take(n))
 	port := r.u16()
 	if !ok || ip.Is4In6() {
-		r.bad = true
+		r.failed = true
 		return netip.AddrPort{}
 	}
 	return netip.AddrPortFrom(ip, port)
@@ -142,13 +142,13 @@
 func (r *reader) accusers() (by [3]uint64) {
 	n := int(r.u8())
 	if n > len(by) {
-		r.bad = true
+		r.failed = true
 		return by
 	}
 	var last uint64
 	for i := range n {
 		by[i] = r.u64()
-		r.bad = r.bad || by[i] <= last
+		r.failed = r.failed || by[i] <= last
 		last = by[i]
 	}
 	return by
@@ -156,18 +156,18 @@
 
 // readStatement takes a statement from exactly b.
 func readStatement(b []byte) (Statement, error) {
-	r := reader{b: b}
-	s := Statement{Name: r.text(), Life: r.uvarint(MaxLife - 1), Incarnation: uint32(r.uvarint(1<<32 - 1)), Health: Health(r.u8())}
+	r := reader{data: b}
+	s := Statement{Name: r.text(), Generation: r.uvarint(MaxGeneration - 1), Incarnation: uint32(r.uvarint(1<<32 - 1)), Health: Health(r.u8())}
 	s.Number = int(r.u16()) - 1
 	s.Addr = r.addr()
-	s.Facts.State = State(r.u8())
-	s.Facts.Zone, s.Facts.Version = r.text(), r.text()
-	s.Facts.Catalogue, s.Facts.Policy, s.Facts.Fence = r.uvarint(1<<64-1), r.uvarint(1<<64-1), r.uvarint(1<<64-1)
-	s.Facts.Load, s.LoadSeq = r.u16(), uint32(r.uvarint(1<<32-1))
-	s.By, s.Age = r.accusers(), r.u16()
-	if r.bad {
+	s.Metadata.State = State(r.u8())
+	s.Metadata.Zone, s.Metadata.Version = r.text(), r.text()
+	s.Metadata.Catalogue, s.Metadata.Policy, s.Metadata.FencingToken = r.uvarint(1<<64-1), r.uvarint(1<<64-1), r.uvarint(1<<64-1)
+	s.Metadata.Load, s.LoadSeq = r.u16(), uint32(r.uvarint(1<<32-1))
+	s.Accusers, s.Age = r.accusers(), r.u16()
+	if r.failed {
 		return Statement{}, errShort
 	}
-	s.Extra = string(r.b[:min(len(r.b), MaxExtra)])
+	s.UnknownFields = string(r.data[:min(len(r.data), MaxUnknownFields)])
 	return s, s.Check()
 }
--- a/internal/membership/wire/wire_test.go
+++ b/internal/membership/wire/wire_test.go
@@ -8,24 +8,24 @@
 )
 
 func largest() Statement {
-	return Statement{Name: strings.Repeat("n", MaxName), Number: MaxNumber, Addr: netip.MustParseAddrPort("[fd00:1:2:3:4:5:6:7]:65535"), Life: MaxLife - 1,
-		Incarnation: 1<<32 - 1, Health: Left, LoadSeq: 1<<32 - 1, By: [3]uint64{1<<64 - 3, 1<<64 - 2, 1<<64 - 1}, Age: MaxAge,
-		Extra: strings.Repeat("x", MaxExtra), Facts: Facts{Zone: strings.Repeat("z", MaxText), Version: strings.Repeat("v", MaxText),
-			Catalogue: 1<<64 - 1, Policy: 1<<64 - 1, Fence: 1<<64 - 1, Load: 1000, State: 200}}
+	return Statement{Name: strings.Repeat("n", MaxName), Number: MaxNumber, Addr: netip.MustParseAddrPort("[fd00:1:2:3:4:5:6:7]:65535"), Generation: MaxGeneration - 1,
+		Incarnation: 1<<32 - 1, Health: Left, LoadSeq: 1<<32 - 1, Accusers: [3]uint64{1<<64 - 3, 1<<64 - 2, 1<<64 - 1}, Age: MaxAge,
+		UnknownFields: strings.Repeat("x", MaxUnknownFields), Metadata: Metadata{Zone: strings.Repeat("z", MaxText), Version: strings.Repeat("v", MaxText),
+			Catalogue: 1<<64 - 1, Policy: 1<<64 - 1, FencingToken: 1<<64 - 1, Load: 1000, State: 200}}
 }
 
 func samples() (out [][]byte) {
-	head := Head{Fleet: FleetHash("books"), Sender: Hash("n1"), Life: 1700000000000, Digest: 1 << 63}
+	head := Header{Fleet: FleetHash("books"), Sender: Hash("n1"), Generation: 1700000000000, Digest: 1 << 63}
 	small := Statement{Name: "n1", Number: -1, Addr: netip.MustParseAddrPort("127.0.0.1:7000")}
-	for k := Ping; k <= Indirect; k++ {
-		d := Datagram{Head: head, Seq: 7, Target: Hash("n2"), Depth: 1, Place: 3, From: 1, To: 1 << 60,
-			Entries: make([]Entry, MaxEntries), Wants: make([]uint64, MaxWants)}
+	for k := Ping; k <= IndirectAck; k++ {
+		d := Datagram{Header: head, Seq: 7, Target: Hash("n2"), Depth: 1, Range: 3, From: 1, To: 1 << 60,
+			Entries: make([]Entry, MaxEntries), Wanted: make([]uint64, MaxWanted)}
 		d.Kind = k
 		for i := range d.Sums {
 			d.Sums[i] = uint64(i) << 60
 		}
 		b := d.Encode()
-		if k == Ping || k == Ack || k == Gossip || k == Told {
+		if k == Ping || k == Ack || k == Gossip || k == Answer {
 			b, _ = AppendStatement(b, small)
 			b, _ = AppendStatement(b, small)
 		}
@@ -39,7 +39,7 @@
 	if err := want.Check(); err != nil {
 		t.Fatal(err)
 	}
-	d := Datagram{Head: Head{Kind: Ping, Sender: 1}}
+	d := Datagram{Header: Header{Kind: Ping, Sender: 1}}
 	b, ok := AppendStatement(d.Encode(), want)
 	if !ok || len(b) != MaxSize {
 		t.Fatalf("fits=%v, %d bytes", ok, len(b))
@@ -49,7 +49,7 @@
 		t.Fatalf("%v: %+v", err, got.Statements)
 	}
 	for _, b := range samples() {
-		if d, err := Decode(b); err != nil || len(b) > MaxSize || !Ours(b, d.Fleet) || b[0] < 0x40 || b[0] >= 0x60 {
+		if d, err := Decode(b); err != nil || len(b) > MaxSize || !IsOurs(b, d.Fleet) || b[0] < 0x40 || b[0] >= 0x60 {
 			t.Errorf("kind %#x of %d bytes: %v", b[0], len(b), err)
 		}
 	}
@@ -57,8 +57,8 @@
 
 // Fields that a newer version adds are kept, told on and part of the sum, up to their bound.
 func TestNewerFields(t *testing.T) {
-	s := Statement{Name: "n1", Extra: "newer"}
-	d := Datagram{Head: Head{Kind: Told, Sender: 1}}
+	s := Statement{Name: "n1", UnknownFields: "newer"}
+	d := Datagram{Header: Header{Kind: Answer, Sender: 1}}
 	b, _ := AppendStatement(d.Encode(), s)
 	got, err := Decode(b)
 	if err != nil || got.Statements[0] != s {
@@ -72,15 +72,15 @@
 func TestBoundsAreChecked(t *testing.T) {
 	for name, spoil := range map[string]func(s *Statement){
 		"no name": func(s *Statement) { s.Name = "" }, "long name": func(s *Statement) { s.Name += "n" },
-		"blank in the name": func(s *Statement) { s.Name = "a b" }, "control byte": func(s *Statement) { s.Facts.Zone = "a\nb" },
-		"long zone": func(s *Statement) { s.Facts.Zone += "z" }, "long version": func(s *Statement) { s.Facts.Version += "v" },
-		"life": func(s *Statement) { s.Life = MaxLife }, "health": func(s *Statement) { s.Health = 4 },
-		"accusers": func(s *Statement) { s.By = [3]uint64{2, 1, 3} },
+		"blank in the name": func(s *Statement) { s.Name = "a b" }, "control byte": func(s *Statement) { s.Metadata.Zone = "a\nb" },
+		"long zone": func(s *Statement) { s.Metadata.Zone += "z" }, "long version": func(s *Statement) { s.Metadata.Version += "v" },
+		"life": func(s *Statement) { s.Generation = MaxGeneration }, "health": func(s *Statement) { s.Health = 4 },
+		"accusers": func(s *Statement) { s.Accusers = [3]uint64{2, 1, 3} },
 	} {
 		s := largest()
-		s.Addr, s.Extra = netip.AddrPort{}, ""
+		s.Addr, s.UnknownFields = netip.AddrPort{}, ""
 		spoil(&s)
-		d := Datagram{Head: Head{Kind: Gossip, Sender: 1}}
+		d := Datagram{Header: Header{Kind: Gossip, Sender: 1}}
 		b, _ := AppendStatement(d.Encode(), s)
 		if _, err := Decode(b); err == nil {
 			t.Errorf("%s: read without an error", name)
@@ -95,7 +95,7 @@
 		f.Add(b[:len(b)-3])
 		f.Add(append(bytes.Clone(b), 0xff, 1, 2))
 	}
-	d := Datagram{Head: Head{Kind: Gossip, Sender: 1}}
+	d := Datagram{Header: Header{Kind: Gossip, Sender: 1}}
 	b, _ := AppendStatement(d.Encode(), largest())
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -103,10 +103,10 @@
 		if err != nil {
 			return
 		}
-		if len(d.Entries) > MaxSize || len(d.Wants) > MaxSize || len(d.Statements) > MaxSize/20 {
+		if len(d.Entries) > MaxSize || len(d.Wanted) > MaxSize || len(d.Statements) > MaxSize/20 {
 			t.Fatalf("unbounded: %+v", d)
 		}
-		again := Datagram{Head: Head{Kind: Told, Sender: 1}}
+		again := Datagram{Header: Header{Kind: Answer, Sender: 1}}
 		for _, s := range d.Statements {
 			if err := s.Check(); err != nil {
 				t.Fatal(err)
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -40,7 +40,7 @@
 }
 
 // startView begins the node's part in the view of the fleet, if its configuration names one, at the peers' socket.
-func (n *Node) startView(p *peers, handed *gossip.Handed) {
+func (n *Node) startView(p *peers, handed *gossip.Handoff) {
 	c := n.cfg.Fleet
 	if c.Name == "" {
 		return
@@ -50,7 +50,7 @@
 		seeds = otherPeers(n.cfg.Peers, n.own.number)
 	}
 	shell := gossip.Start(n.ctx, gossip.Config{Fleet: c.Name, Name: n.cfg.Name, Number: n.own.number, Addr: c.Address, Seeds: seeds, Peers: n.cfg.Peers,
-		Period: c.Period, Zone: n.own.zone, Version: version(), Doing: n.doing(handed), Write: p.write, Log: n.log, Handed: handed})
+		ProbeInterval: c.Period, Zone: n.own.zone, Version: version(), LocalState: n.doing(handed), Send: p.write, Log: n.log, Handoff: handed})
 	p.hear[viewKinds], p.hear[viewKindsMore] = shell.Receive, shell.Receive
 	if n.governed != nil {
 		p.hear[quotaKind] = n.hearShares
@@ -68,7 +68,7 @@
 }
 
 // doing tells the fleet what the node does. One that takes over from a process of its own goes on with that one's state until it accepts.
-func (n *Node) doing(handed *gossip.Handed) func() (membership.State, uint16) {
+func (n *Node) doing(handed *gossip.Handoff) func() (membership.State, uint16) {
 	return func() (membership.State, uint16) {
 		load := uint16(min(1000, max(0, n.stats.outstanding.Load()*1000/n.own.most)))
 		switch {
@@ -106,11 +106,11 @@
 }
 
 // readHanded reads what handOverView gave; nil for nothing, and for what can't be read.
-func (n *Node) readHanded(raw json.RawMessage) *gossip.Handed {
+func (n *Node) readHanded(raw json.RawMessage) *gossip.Handoff {
 	if raw == nil {
 		return nil
 	}
-	h := &gossip.Handed{}
+	h := &gossip.Handoff{}
 	if err := json.Unmarshal(raw, h); err != nil {
 		n.log.Warn("the fleet sees a restart: the life of the process before can't be read", "err", err)
 		return nil
--- a/internal/proxy/govern.go
+++ b/internal/proxy/govern.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	life := uint64(time.Now().UnixMilli())
-	return &governed{k: k, ledger: quota.NewLedger(quota.NodeConfig{Fleet: wire.FleetHash(cfg.Fleet.Name), Name: cfg.Name, Life: life, Seed: uint64(cfg.Seed)})}, nil
+	return &governed{k: k, ledger: quota.NewLedger(quota.LedgerConfig{Fleet: wire.FleetHash(cfg.Fleet.Name), Name: cfg.Name, Generation: life, Seed: uint64(cfg.Seed)})}, nil
 }
 
 // govern follows the policy and has the shares' clock run until ctx ends.
@@ -103,8 +103,8 @@
 // takePolicy takes the table that holds, whole: the shares and the module change over between two events. A table that
 // can't be read changes nothing, as one of a later program may come to nodes of this one.
 func (n *Node) takePolicy(r client.Records) {
-	g, one := n.governed, record.Find(r, record.Current)
-	t, err := record.Table(one)
+	g, one := n.governed, record.Find(r, record.CurrentKey)
+	t, err := record.DecodeTable(one)
 	if err != nil {
 		n.log.Error("the policy stays as it was", "err", err)
 		return
@@ -115,7 +115,7 @@
 	g.told = true
 	g.version.Store(one.Version)
 	n.tenantTable(t)
-	n.tell(quota.Table{Now: t})
+	n.tell(quota.TableChanged{Current: t})
 	if t == nil {
 		n.handle(balancer.TableChanged{})
 	} else {
@@ -133,21 +133,21 @@
 }
 
 func (n *Node) takeSharer(r client.Records) {
-	s, err := record.ReadSharer(record.Find(r, record.Holder))
+	s, err := record.ReadAllocator(record.Find(r, record.AllocatorKey))
 	if err != nil {
 		n.log.Error("who shares limits out can't be read", "err", err)
 		return
 	}
-	if s.Fence > n.governed.holder {
-		n.governed.holder = s.Fence
-		n.tell(quota.Holder{Name: s.Name, Fence: s.Fence})
+	if s.Token > n.governed.holder {
+		n.governed.holder = s.Token
+		n.tell(quota.AllocatorKnown{Name: s.Name, Token: s.Token})
 	}
 }
 
 func (n *Node) shareTick() {
 	g, shell := n.governed, n.view.Load()
 	if shell != nil && g.ticks%peersTick == 0 {
-		n.tell(quota.Peers{Names: shell.Serving()})
+		n.tell(quota.Peers{Names: shell.ServingMembers()})
 		n.tellVersions()
 	}
 	g.ticks++
@@ -156,9 +156,9 @@
 	st := g.ledger.Status()
 	g.asked.Store(s.Requests)
 	g.refused.Store(s.Rejected)
-	g.fence.Store(st.Fence)
-	g.resting.Store(st.Resting)
-	g.seated.Store(st.Seated)
+	g.fence.Store(st.Token)
+	g.resting.Store(st.FallbackSuspended)
+	g.seated.Store(st.HasSlot)
 }
 
 // tell gives the ledger an event and sends what comes of it.
@@ -166,7 +166,7 @@
 	shell := n.view.Load()
 	for _, a := range n.governed.ledger.Handle(time.Since(n.start), e) {
 		if s, ok := a.(quota.Send); ok && shell != nil {
-			shell.Tell(s.To, s.Data)
+			shell.SendTo(s.To, s.Data)
 		}
 	}
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -65,7 +65,7 @@
 		return // the call further up gets to it
 	}
 	if n.governed != nil {
-		n.governed.ledger.At(time.Since(n.start)) // the hand by which requests are judged
+		n.governed.ledger.AdvanceTo(time.Since(n.start)) // the hand by which requests are judged
 	}
 	for len(n.queue) > 0 {
 		for _, a := range n.module.Handle(n.now(), n.queue[0]) {
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -40,9 +40,9 @@
 	file     any                   // the configuration file last taken; for Reread
 	peers    atomic.Pointer[peers] // nil: this node has no socket for them
 	own      own
-	view     atomic.Pointer[gossip.Shell] // of the fleet; nil: there is none, or not yet
-	governed *governed                    // nil: no policy is followed
-	tenants  *tenants                     // nil: tenants are not told apart
+	view     atomic.Pointer[gossip.Server] // of the fleet; nil: there is none, or not yet
+	governed *governed                     // nil: no policy is followed
+	tenants  *tenants                      // nil: tenants are not told apart
 	links    links
 	first    time.Duration // the most that the agent's first word is awaited
 	listTime time.Duration // the same in an upgrade, in which the old process serves meanwhile
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -151,7 +151,7 @@
 }
 
 // startPeers begins to hear from other nodes. handed is what the process before this one has handed over, if there was one.
-func (n *Node) startPeers(p *peers, handed *gossip.Handed) {
+func (n *Node) startPeers(p *peers, handed *gossip.Handoff) {
 	n.peers.Store(p)
 	n.startView(p, handed)
 	go p.run(n.ctx, func(from int, data []byte) {
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -44,7 +44,7 @@
 
 func (n *Node) tenantTick() {
 	if shell := n.view.Load(); shell != nil {
-		n.desk(tenant.Heard{Number: shell.Catalogue()})
+		n.desk(tenant.Heard{Number: shell.HighestCatalogue()})
 	}
 	n.tenants.look = true // some have waited for long enough
 	n.desk(tenant.Tick{})
--- a/internal/quota/actors_test.go
+++ b/internal/quota/actors_test.go
@@ -40,9 +40,9 @@
 	n.crash()
 	n.life++
 	n.clock, n.paused, n.queued = n.w.clock(), false, nil
-	n.led = NewLedger(NodeConfig{Fleet: 1, Name: n.name, Life: n.life, Seed: n.w.rng.Uint64()})
-	n.led.t = n.w.t
-	n.handle(Table{Now: n.w.table})
+	n.led = NewLedger(LedgerConfig{Fleet: 1, Name: n.name, Generation: n.life, Seed: n.w.rng.Uint64()})
+	n.led.times = n.w.t
+	n.handle(TableChanged{Current: n.w.table})
 	for _, name := range n.w.names {
 		n.w.nodes[name].handle(Peers{slices.DeleteFunc(slices.Clone(n.w.names), func(o string) bool { return o == name })})
 	}
@@ -126,7 +126,7 @@
 // request is judged by the table, as on a node.
 func (n *node) request(limit int) {
 	l := n.w.table.Limits
-	n.led.At(n.clock.at(n.w.now))
+	n.led.AdvanceTo(n.clock.at(n.w.now))
 	v := n.w.table.Admit(ratelimit.Request{Tenant: n.w.table.Scopes[l[limit].Scope].Value}, n.led)
 	if !v.Admitted {
 		n.w.checks[limit].refused++
@@ -151,7 +151,7 @@
 	default:
 		n.open[limit]--
 		n.w.checks[limit].level--
-		held.Release(n.led.At(n.clock.at(n.w.now)))
+		held.Release(n.led.AdvanceTo(n.clock.at(n.w.now)))
 	}
 }
 
@@ -160,7 +160,7 @@
 	w      *world
 	name   string
 	clock  clock
-	core   *Apportioner
+	core   *Allocator
 	fence  uint64 // the duty's, as far as it knows
 	until  time.Duration
 	dead   bool
@@ -180,15 +180,15 @@
 func (h *host) start() {
 	h.dead, h.paused, h.fence, h.queued = false, false, 0, nil
 	h.clock = h.w.clock()
-	h.core = NewApportioner(HolderConfig{Fleet: 1, Name: h.name})
-	h.core.t = h.w.t
-	h.handle(Table{Now: h.w.table})
-	h.handle(Expect{len(h.w.nodes)})
+	h.core = NewAllocator(AllocatorConfig{Fleet: 1, Name: h.name})
+	h.core.times = h.w.t
+	h.handle(TableChanged{Current: h.w.table})
+	h.handle(ExpectedProxies{len(h.w.nodes)})
 }
 
 func (h *host) tick() {
 	h.handle(Tick{})
-	if h.w.hook.tick != nil && !h.dead && !h.paused && h.core.acting() {
+	if h.w.hook.tick != nil && !h.dead && !h.paused && h.core.mayGrant() {
 		h.w.hook.tick(h.w, h)
 	}
 	h.w.after(tickEvery, h.tick)
@@ -206,7 +206,7 @@
 		switch a := a.(type) {
 		case Send:
 			h.w.send(h.name, a.To, a.Data)
-		case Write:
+		case WriteRecord:
 			h.w.svc.write(h, a)
 		}
 	}
--- a/internal/quota/allocator/fixture_test.go
+++ b/internal/quota/allocator/fixture_test.go
@@ -8,5 +8,5 @@
 
 // TestNodesRecordIsUnchanged compares the record of enrolled nodes with a golden file.
 func TestNodesRecordIsUnchanged(t *testing.T) {
-	fixture.AssertJSON(t, "nodes", &record{})
+	fixture.AssertJSON(t, "nodes", &slotRecord{})
 }
--- a/internal/quota/allocator/holder_test.go
+++ b/internal/quota/allocator/holder_test.go
@@ -49,7 +49,7 @@
 	defer b.mu.Unlock()
 	for _, n := range b.nodes {
 		now := time.Since(b.start)
-		b.act(n.Handle(now, quota.Holder{Name: holder, Fence: 1}))
+		b.act(n.Handle(now, quota.AllocatorKnown{Name: holder, Token: 1}))
 		n.Rejected(0, 100)
 		b.act(n.Handle(now, quota.Tick{}))
 	}
@@ -84,8 +84,8 @@
 	b := &bus{nodes: map[string]*quota.Ledger{}, boxes: map[string]chan []byte{}, start: time.Now()}
 	limits := table(t)
 	for i := range 3 {
-		n := quota.NewLedger(quota.NodeConfig{Fleet: 7, Name: fmt.Sprintf("n%d", i), Life: 1})
-		n.Handle(0, quota.Table{Now: limits})
+		n := quota.NewLedger(quota.LedgerConfig{Fleet: 7, Name: fmt.Sprintf("n%d", i), Generation: 1})
+		n.Handle(0, quota.TableChanged{Current: limits})
 		b.nodes[fmt.Sprintf("n%d", i)] = n
 	}
 	run := func(name string) (end func()) {
@@ -98,13 +98,13 @@
 			t.Fatal(err)
 		}
 		events := make(chan quota.Event, 1)
-		events <- quota.Table{Now: limits}
+		events <- quota.TableChanged{Current: limits}
 		in := make(chan []byte, 100)
 		b.mu.Lock()
 		b.boxes[name] = in
 		b.mu.Unlock()
 		stop := labtest.Run(t, func(ctx context.Context) error {
-			err := Run(ctx, Config{Fleet: 7, Name: name, List: c, Duties: p, In: in, Send: b.send, Events: events})
+			err := Run(ctx, Config{Fleet: 7, Name: name, Registry: c, Leases: p, In: in, Send: b.send, Events: events})
 			if errors.Is(err, context.Canceled) {
 				err = p.Close(labtest.Enough)
 			}
@@ -116,29 +116,29 @@
 	leased := func(above uint64) func() bool {
 		return func() bool {
 			b.tick(fmt.Sprintf("h%d", min(above, 1)))
-			return b.all(func(s quota.Status, n *quota.Ledger) bool { return s.Fence > above && n.Capacity(0) >= 10 })
+			return b.all(func(s quota.Status, n *quota.Ledger) bool { return s.Token > above && n.Capacity(0) >= 10 })
 		}
 	}
 	labtest.Await(t, "a lease for each node", leased(0))
-	var seats []quota.Seat
+	var seats []quota.Slot
 	labtest.Await(t, "each node's seat", func() (all bool) {
 		b.tick("h0")
-		seats, _, _ = read(t.Context(), k)
+		seats, _, _ = readSlots(t.Context(), k)
 		return len(seats) == 3
 	})
 	var fence uint64
-	b.all(func(s quota.Status, _ *quota.Ledger) bool { fence = s.Fence; return true })
+	b.all(func(s quota.Status, _ *quota.Ledger) bool { fence = s.Token; return true })
 	last := run("h1")
 	end()
 	labtest.Await(t, "the next holder's leases", func() bool {
 		b.mu.Lock()
 		for _, n := range b.nodes { // as their watch of the duty tells them
-			b.act(n.Handle(time.Since(b.start), quota.Holder{Name: "h1", Fence: fence + 1}))
+			b.act(n.Handle(time.Since(b.start), quota.AllocatorKnown{Name: "h1", Token: fence + 1}))
 		}
 		b.mu.Unlock()
 		return leased(fence)()
 	})
-	if now, _, err := read(t.Context(), k); err != nil || len(now) != 3 || now[0] != seats[0] {
+	if now, _, err := readSlots(t.Context(), k); err != nil || len(now) != 3 || now[0] != seats[0] {
 		t.Errorf("seats %v after the change, %v before: %v", now, seats, err)
 	}
 	last()
--- a/internal/quota/allocator/record.go
+++ b/internal/quota/allocator/record.go
@@ -17,21 +17,21 @@
 // RecordKey is the record of enrolled nodes.
 const RecordKey = "fleet/nodes"
 
-// writeTime is how long one call to the list service may take, over its failures. Until it has ended, nothing else
+// registryTimeout is how long one call to the list service may take, over its failures. Until it has ended, nothing else
 // is written.
-const writeTime = 2 * time.Second
+const registryTimeout = 2 * time.Second
 
 const format = 1
 
-// record is what the list service keeps. A later format is refused: its holder has to be of a version that knows it.
-type record struct {
+// slotRecord is what the list service keeps. A later format is refused: its holder has to be of a version that knows it.
+type slotRecord struct {
 	Format int          `json:"format"`
-	Seats  []quota.Seat `json:"seats"`
+	Slots  []quota.Slot `json:"seats"`
 }
 
-// read gives the seats and the record's version, 0 if there is none.
-func read(ctx context.Context, k *client.Client) ([]quota.Seat, uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+// readSlots gives the seats and the record's version, 0 if there is none.
+func readSlots(ctx context.Context, k *client.Client) ([]quota.Slot, uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	got, err := k.Record(ctx, RecordKey)
 	var no *client.Error
@@ -41,35 +41,35 @@
 	if err != nil {
 		return nil, 0, fmt.Errorf("reading %s: %w", RecordKey, err)
 	}
-	var r record
+	var r slotRecord
 	if err := json.Unmarshal(got.Value, &r); err != nil {
 		return nil, 0, fmt.Errorf("reading %s: %w", RecordKey, err)
 	}
 	if r.Format != format {
 		return nil, 0, fmt.Errorf("%s has format %d, this program knows %d", RecordKey, r.Format, format)
 	}
-	return r.Seats, got.Version, nil
+	return r.Slots, got.Version, nil
 }
 
 // announce tells the nodes who shares limits out from now on.
 func announce(ctx context.Context, k *client.Client, f lease.Token, name string) error {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	value, err := json.Marshal(quotarecord.Sharer{Name: name, Fence: f.Number})
+	value, err := json.Marshal(quotarecord.AllocatorRecord{Name: name, Token: f.Number})
 	if err == nil {
-		_, err = k.WithToken(f).Put(ctx, quotarecord.Holder, value, nil)
+		_, err = k.WithToken(f).Put(ctx, quotarecord.AllocatorKey, value, nil)
 	}
 	if err != nil {
-		return fmt.Errorf("writing %s: %w", quotarecord.Holder, err)
+		return fmt.Errorf("writing %s: %w", quotarecord.AllocatorKey, err)
 	}
 	return nil
 }
 
-// write replaces the record that has a version, under the fence, and gives its next one.
-func write(ctx context.Context, k *client.Client, f lease.Token, seats []quota.Seat, version uint64) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+// writeSlots replaces the record that has a version, under the fence, and gives its next one.
+func writeSlots(ctx context.Context, k *client.Client, f lease.Token, seats []quota.Slot, version uint64) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	value, err := json.Marshal(record{format, seats})
+	value, err := json.Marshal(slotRecord{format, seats})
 	if err != nil {
 		return 0, fmt.Errorf("writing %s: %w", RecordKey, err)
 	}
--- a/internal/quota/apportioner.go
+++ b/internal/quota/apportioner.go
@@ -6,141 +6,141 @@
 	"time"
 )
 
-// HolderConfig is what an apportioner is started with.
-type HolderConfig struct {
+// AllocatorConfig is what an apportioner is started with.
+type AllocatorConfig struct {
 	Fleet uint32 // the fleet's name as a hash
 	Name  string // by which nodes send to the holder, at most MostName bytes
 }
 
-// Apportioner shares the limits out among the nodes, for as long as its process holds the duty. It is pure: times
+// Allocator shares the limits out among the nodes, for as long as its process holds the duty. It is pure: times
 // are of the process's monotonic clock.
 //
 // At any time, and for each limit, what it counts for all members together stays within the limit: see count. It
 // rests on the duty's fence and end, on the record of enrolled nodes and on leases; never on the view.
-type Apportioner struct {
-	cfg     HolderConfig
-	t       times
-	now     time.Duration
-	limits  *limits
-	before  *limits // of the table that nodes may still judge by
-	stocks  map[int32]*stock
-	wall    time.Time
-	tableAt time.Duration
+type Allocator struct {
+	cfg            AllocatorConfig
+	times          times
+	now            time.Duration
+	limits         *limits
+	previousLimits *limits // of the table that nodes may still judge by
+	allocations    map[int32]*allocation
+	wall           time.Time
+	tableSince     time.Duration
 
-	fence   uint64
-	until   time.Duration // the duty may be acted on
-	freeAt  time.Duration // no lease of the former holder can be left
-	read    bool          // the record is known under the fence
-	expect  int           // nodes, by the view
-	planned time.Duration
+	token           uint64
+	leaseUntil      time.Duration // the duty may be acted on
+	formerLeasesEnd time.Duration // no lease of the former holder can be left
+	recordKnown     bool          // the record is known under the fence
+	expectedProxies int           // nodes, by the view
+	plannedAt       time.Duration
 
-	members []*member // by name
-	stamp   int       // changes when they, their seats or lives, or the table do
-	gone    []leave   // the last that left
-	dirty   bool      // the record is to be written
-	wrote   time.Duration
-	writing bool
+	members         []*member // by name
+	revision        int       // changes when they, their seats or lives, or the table do
+	departed        []leave   // the last that left
+	recordDirty     bool      // the record is to be written
+	recordWrittenAt time.Duration
+	writePending    bool
 }
 
 // Bounds on what nodes can make the holder keep, and its pace.
 const (
-	mostGone   = 1024
-	planEvery  = 50 * time.Millisecond
-	writeAgain = time.Second // a write that nothing was heard of
+	maxDeparted  = 1024
+	planInterval = 50 * time.Millisecond
+	writeTimeout = time.Second // a write that nothing was heard of
 )
 
-// NewApportioner gives one that holds nothing.
-func NewApportioner(cfg HolderConfig) *Apportioner {
-	return &Apportioner{cfg: cfg, t: usual(), limits: newLimits(nil, 0), before: newLimits(nil, 0), stocks: map[int32]*stock{}, stamp: 1}
+// NewAllocator gives one that holds nothing.
+func NewAllocator(cfg AllocatorConfig) *Allocator {
+	return &Allocator{cfg: cfg, times: defaultTimes(), limits: newLimits(nil, 0), previousLimits: newLimits(nil, 0), allocations: map[int32]*allocation{}, revision: 1}
 }
 
 // Handle takes an event and gives what is to be sent and written.
-func (a *Apportioner) Handle(now time.Duration, e Event) []Action {
+func (a *Allocator) Handle(now time.Duration, e Event) []Action {
 	a.now = max(a.now, now)
 	switch e := e.(type) {
-	case Held:
-		a.hold(e)
-	case Table:
-		a.take(e)
-	case Wall:
+	case LeaseHeld:
+		a.leaseHeld(e)
+	case TableChanged:
+		a.setTable(e)
+	case WallClock:
 		a.wall = e.Time
-		a.limits.at(a.wall)
-	case Expect:
-		a.expect = e.Nodes
-	case Record:
-		a.recorded(e)
+		a.limits.applySchedule(a.wall)
+	case ExpectedProxies:
+		a.expectedProxies = e.Count
+	case RecordRead:
+		a.recordRead(e)
 	case Forget:
 		a.remove(e.Name)
 	case Message:
-		return append(a.message(e.Data), a.write()...)
+		return append(a.message(e.Data), a.writeRecord()...)
 	case Tick:
-		a.forget()
+		a.forgetExpired()
 		a.plan()
-		return a.write()
+		return a.writeRecord()
 	}
 	return nil
 }
 
-// acting says whether grants may be made. What was granted by until has run out a lease, as others see it, later.
-func (a *Apportioner) acting() bool { return a.read && a.now < a.until }
+// mayGrant says whether grants may be made. What was granted by until has run out a lease, as others see it, later.
+func (a *Allocator) mayGrant() bool { return a.recordKnown && a.now < a.leaseUntil }
 
-// hold begins anew under a new fence, knowing nothing; under the same one it goes on for longer.
-func (a *Apportioner) hold(h Held) {
+// leaseHeld begins anew under a new fence, knowing nothing; under the same one it goes on for longer.
+func (a *Allocator) leaseHeld(h LeaseHeld) {
 	switch {
-	case h.Fence < a.fence || h.Fence == 0:
+	case h.Token < a.token || h.Token == 0:
 		return
-	case h.Fence > a.fence:
-		a.fence, a.read, a.members, a.gone, a.dirty, a.writing = h.Fence, false, nil, nil, false, false
-		a.stocks = map[int32]*stock{}
-		a.freeAt = a.now + a.t.leased()
+	case h.Token > a.token:
+		a.token, a.recordKnown, a.members, a.departed, a.recordDirty, a.writePending = h.Token, false, nil, nil, false, false
+		a.allocations = map[int32]*allocation{}
+		a.formerLeasesEnd = a.now + a.times.countedLease()
 	}
-	a.until = h.Until
+	a.leaseUntil = h.Until
 }
 
-// take swaps the table. What members have of a limit goes on, by its name.
-func (a *Apportioner) take(e Table) {
+// setTable swaps the table. What members have of a limit goes on, by its name.
+func (a *Allocator) setTable(e TableChanged) {
 	was := a.limits
-	a.limits, a.before = newLimits(e.Now, a.t.drift), was
-	if e.Before != nil {
-		a.before = newLimits(e.Before, a.t.drift)
+	a.limits, a.previousLimits = newLimits(e.Current, a.times.drift), was
+	if e.Previous != nil {
+		a.previousLimits = newLimits(e.Previous, a.times.drift)
 	}
 	if !a.wall.IsZero() {
-		a.limits.at(a.wall)
+		a.limits.applySchedule(a.wall)
 	}
-	a.stamp++
-	a.stocks, a.tableAt = map[int32]*stock{}, a.now
+	a.revision++
+	a.allocations, a.tableSince = map[int32]*allocation{}, a.now
 	for _, m := range a.members {
-		entries := map[int32]*entry{}
-		for i, held := range m.entries {
+		entries := map[int32]*memberShare{}
+		for i, held := range m.shares {
 			if next, there := a.limits.byHash[was.all[i].hash]; there {
 				entries[next] = held
-				a.stock(next).add(held)
+				a.allocation(next).add(held)
 			}
 		}
-		m.entries = entries
+		m.shares = entries
 	}
 }
 
-func (a *Apportioner) message(data []byte) []Action {
+func (a *Allocator) message(data []byte) []Action {
 	kind, r, err := open(data, a.cfg.Fleet)
-	if err != nil || !a.acting() {
+	if err != nil || !a.mayGrant() {
 		return nil
 	}
 	switch kind {
 	case kindClaim:
-		if c, ok := readClaim(r); ok {
-			return a.claimed(c)
+		if c, ok := decodeClaim(r); ok {
+			return a.answerClaim(c)
 		}
 	case kindLeave:
-		if l, ok := readLeave(r); ok {
-			a.left(l)
+		if l, ok := decodeLeave(r); ok {
+			a.memberLeft(l)
 		}
 	}
 	return nil
 }
 
 // find gives the member of a name and where it is, or where it would be.
-func (a *Apportioner) find(name string) (int, *member) {
+func (a *Allocator) find(name string) (int, *member) {
 	at, there := slices.BinarySearchFunc(a.members, name, func(m *member, n string) int { return cmp.Compare(m.name, n) })
 	if !there {
 		return at, nil
@@ -149,26 +149,26 @@
 }
 
 // remove ends all that a name has: it left, or an operator said that it is no more.
-func (a *Apportioner) remove(name string) {
+func (a *Allocator) remove(name string) {
 	at, m := a.find(name)
 	if m == nil {
 		return
 	}
-	for i, e := range m.entries {
-		a.drop(i, e)
+	for i, e := range m.shares {
+		a.dropShare(i, e)
 	}
 	a.members = slices.Delete(a.members, at, at+1)
-	a.stamp++
-	a.dirty = a.dirty || m.seated
+	a.revision++
+	a.recordDirty = a.recordDirty || m.hasSlot
 }
 
-func (a *Apportioner) left(l leave) {
-	if _, m := a.find(l.name); m == nil || m.life != l.life {
+func (a *Allocator) memberLeft(l leave) {
+	if _, m := a.find(l.name); m == nil || m.generation != l.generation {
 		return
 	}
 	a.remove(l.name)
-	a.gone = append(a.gone, l)
-	if len(a.gone) > mostGone {
-		a.gone = slices.Delete(a.gone, 0, mostGone/2)
+	a.departed = append(a.departed, l)
+	if len(a.departed) > maxDeparted {
+		a.departed = slices.Delete(a.departed, 0, maxDeparted/2)
 	}
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -2,78 +2,78 @@
 
 import "time"
 
-// slot is a node's part of one limit: its lease, its bucket, and the demand that came.
-type slot struct {
-	open   bool
-	tokens float64
-	at     time.Duration // as of
-	lease  size
-	until  time.Duration // of the lease
-	fresh  time.Duration // when the claim was sent that got it, were it prolonged since or not
-	fence  uint64        // of the grant that it is of
-	number uint32
-	kept   bool // without the lease the safe share holds at once
-	safe   size
+// bucket is a node's part of one limit: its lease, its bucket, and the demand that came.
+type bucket struct {
+	concurrency    bool
+	tokens         float64
+	filledAt       time.Duration // as of
+	lease          size
+	leaseUntil     time.Duration // of the lease
+	claimSentAt    time.Duration // when the claim was sent that got it, were it prolonged since or not
+	token          uint64        // of the grant that it is of
+	number         uint32
+	fallbackAtOnce bool // without the lease the safe share holds at once
+	fallback       size
 
-	out       float64 // requests that are open
-	lent      float64 // tokens handed to others: their room stays empty until lentUntil
-	lentUntil time.Duration
-	got       float64 // room for tokens that others handed, until gotUntil
-	gotUntil  time.Duration
+	inFlight      float64 // requests that are open
+	lent          float64 // tokens handed to others: their room stays empty until lentUntil
+	lentUntil     time.Duration
+	borrowed      float64 // room for tokens that others handed, until gotUntil
+	borrowedUntil time.Duration
 
-	came    float64 // asked of it since the last round
-	short   float64 // of that, refused since tokens were last asked for
-	demand  float64 // units a second, or at once
-	last    time.Duration
-	lastAsk time.Duration
-	listed  bool
+	arrived      float64 // asked of it since the last round
+	rejected     float64 // of that, refused since tokens were last asked for
+	demand       float64 // units a second, or at once
+	lastDemandAt time.Duration
+	lastBorrowAt time.Duration
+	claimed      bool
 }
 
-// share is what the slot has at a time: the lease; without one the safe share, unless that is at rest, which leaves
+// currentShare is what the slot has at a time: the lease; without one the safe share, unless that is at rest, which leaves
 // the bucket as it is but does not fill it.
-func (l *Ledger) share(s *slot, at time.Duration) size {
+func (l *Ledger) currentShare(s *bucket, at time.Duration) size {
 	switch {
-	case s.open: // never at rest: what was begun on a borrowed share would outlast the lease
-		if at < s.until {
-			return s.lease.most(s.safe)
+	case s.concurrency: // never at rest: what was begun on a borrowed share would outlast the lease
+		if at < s.leaseUntil {
+			return s.lease.max(s.fallback)
 		}
-		return s.safe
-	case at < s.until:
+		return s.fallback
+	case at < s.leaseUntil:
 		return s.lease
-	case s.kept || at >= l.voidUntil:
-		return s.safe
+	case s.fallbackAtOnce || at >= l.fallbackSuspendedUntil:
+		return s.fallback
 	}
-	return size{burst: s.safe.burst}
+	return size{burst: s.fallback.burst}
 }
 
-func (s *slot) room(share size) float64 { return max(share.burst-s.lent, 0) + s.got }
+func (s *bucket) capacity(share size) float64 { return max(share.burst-s.lent, 0) + s.borrowed }
 
-// fill brings the bucket up to now, piece by piece between the times at which its share or its room changes.
-func (l *Ledger) fill(s *slot) {
-	for s.at < l.now {
+// refill brings the bucket up to now, piece by piece between the times at which its share or its room changes.
+func (l *Ledger) refill(s *bucket) {
+	for s.filledAt < l.now {
 		end := l.now
-		for _, b := range [...]time.Duration{s.until, l.voidUntil, s.lentUntil, s.gotUntil} {
-			if b > s.at && b < end {
+		for _, b := range [...]time.Duration{s.leaseUntil, l.fallbackSuspendedUntil, s.lentUntil, s.borrowedUntil} {
+			if b > s.filledAt && b < end {
 				end = b
 			}
 		}
-		share := l.share(s, s.at)
-		s.tokens = min(s.tokens+share.rate*(end-s.at).Seconds(), s.room(share))
-		s.at = end
+		share := l.currentShare(s, s.filledAt)
+		s.tokens = min(s.tokens+share.rate*(end-s.filledAt).Seconds(), s.capacity(share))
+		s.filledAt = end
 		if s.lentUntil <= end {
 			s.lent = 0
 		}
-		if s.gotUntil <= end {
-			s.got = 0
+		if s.borrowedUntil <= end {
+			s.borrowed = 0
 		}
 	}
-	s.tokens = min(s.tokens, s.room(l.share(s, l.now)))
+	s.tokens = min(s.tokens, s.capacity(l.currentShare(s, l.now)))
 }
 
-// At moves the ledger's time on, for the requests that are judged next.
-func (l *Ledger) At(now time.Duration) *Ledger {
-	if l.born < 0 {
-		l.born = now
+// AdvanceTo moves the ledger's time on, for the requests that are judged next.
+func (l *Ledger) AdvanceTo(now time.Duration) *Ledger {
+	if l.startedAt < 0 {
+		l.startedAt = now
 	}
 	l.now = max(l.now, now)
 	return l
@@ -81,65 +81,65 @@
 
 // Available is how much of the limit a request may take now.
 func (l *Ledger) Available(i int) float64 {
-	s := &l.slots[i]
+	s := &l.buckets[i]
 	switch {
 	case l.left:
 		return 0
-	case s.open:
-		return l.share(s, l.now).rate - s.out
+	case s.concurrency:
+		return l.currentShare(s, l.now).rate - s.inFlight
 	}
-	l.fill(s)
+	l.refill(s)
 	return s.tokens
 }
 
 // Capacity is the most that Left can come to at the present share.
 func (l *Ledger) Capacity(i int) float64 {
-	s := &l.slots[i]
-	share := l.share(s, l.now)
+	s := &l.buckets[i]
+	share := l.currentShare(s, l.now)
 	switch {
 	case l.left:
 		return 0
-	case s.open:
+	case s.concurrency:
 		return share.rate
 	}
-	return s.room(share)
+	return s.capacity(share)
 }
 
 // Take notes that a request was admitted. The caller has asked Left at the same time.
 func (l *Ledger) Take(i int, amount float64) {
-	s := &l.slots[i]
-	if s.open {
-		s.out += amount
+	s := &l.buckets[i]
+	if s.concurrency {
+		s.inFlight += amount
 	} else {
 		s.tokens -= amount
 	}
-	l.wanted(i, amount)
+	l.recordDemand(i, amount)
 }
 
 // Return notes that a request of a limit on open requests has ended.
 func (l *Ledger) Return(i int, amount float64) {
-	if s := &l.slots[i]; s.open {
-		s.out = max(s.out-amount, 0)
+	if s := &l.buckets[i]; s.concurrency {
+		s.inFlight = max(s.inFlight-amount, 0)
 	}
 }
 
 // Rejected notes demand that was turned away: by this limit, or by one around it.
 func (l *Ledger) Rejected(i int, amount float64) {
 	if l.Available(i) < amount {
-		l.slots[i].short += amount
+		l.buckets[i].rejected += amount
 	}
-	l.wanted(i, amount)
+	l.recordDemand(i, amount)
 }
 
-func (l *Ledger) wanted(i int, amount float64) {
-	s := &l.slots[i]
-	if s.demand == 0 && s.came == 0 {
-		l.due = append(l.due, int32(i))
+func (l *Ledger) recordDemand(i int, amount float64) {
+	s := &l.buckets[i]
+	if s.demand == 0 && s.arrived == 0 {
+		l.urgent = append(l.urgent, int32(i))
 	}
-	s.came += amount
-	s.last = l.now
-	if !s.listed {
-		s.listed = true
-		l.listed = append(l.listed, int32(i))
+	s.arrived += amount
+	s.lastDemandAt = l.now
+	if !s.claimed {
+		s.claimed = true
+		l.claimed = append(l.claimed, int32(i))
 	}
 }
--- a/internal/quota/drawn_test.go
+++ b/internal/quota/drawn_test.go
@@ -30,8 +30,8 @@
 	w.hook = hook
 	w.loss, w.dup = w.rng.Float64()*0.3*float64(w.rng.IntN(2)), w.rng.Float64()*0.3
 	w.delay = time.Duration(w.rng.Int64N(int64(60*time.Millisecond))) + time.Millisecond
-	w.t.longer = 5 * time.Second
-	w.t.warm = time.Duration(w.rng.Int64N(int64(3 * time.Second)))
+	w.t.maxRequestTime = 5 * time.Second
+	w.t.warmUp = time.Duration(w.rng.Int64N(int64(3 * time.Second)))
 	w.serve()
 	w.watchInvariant()
 	for i := range 2 + w.rng.IntN(2) {
--- a/internal/quota/enrol.go
+++ b/internal/quota/enrol.go
@@ -2,103 +2,103 @@
 
 import "slices"
 
-// recorded takes the record as it stands under the fence. Seats that it holds may be told; those that this holder
+// recordRead takes the record as it stands under the fence. Seats that it holds may be told; those that this holder
 // has in mind and the record lacks are written again.
-func (a *Apportioner) recorded(r Record) {
-	if r.Fence != a.fence || len(r.Seats) > MostNodes {
+func (a *Allocator) recordRead(r RecordRead) {
+	if r.Token != a.token || len(r.Slots) > MaxProxies {
 		return
 	}
-	if !a.read {
-		a.begin(r.Seats)
+	if !a.recordKnown {
+		a.adoptSlots(r.Slots)
 		return
 	}
-	a.writing = false
-	for _, s := range r.Seats {
-		if _, m := a.find(s.Name); m != nil && m.seated && m.seat == s {
+	a.writePending = false
+	for _, s := range r.Slots {
+		if _, m := a.find(s.Name); m != nil && m.hasSlot && m.slot == s {
 			m.confirmed = true
 		}
 	}
-	if !slices.Equal(r.Seats, a.seats()) {
-		a.dirty = true
+	if !slices.Equal(r.Slots, a.desiredSlots()) {
+		a.recordDirty = true
 	}
 }
 
-// begin takes the seats of the former holder.
-func (a *Apportioner) begin(seats []Seat) {
-	a.read = true
-	a.stamp++
+// adoptSlots takes the seats of the former holder.
+func (a *Allocator) adoptSlots(seats []Slot) {
+	a.recordKnown = true
+	a.revision++
 	for _, s := range seats {
 		at, m := a.find(s.Name)
-		if m != nil || !s.valid() || len(s.Name) == 0 || len(s.Name) > MostName {
+		if m != nil || !s.valid() || len(s.Name) == 0 || len(s.Name) > MaxName {
 			continue
 		}
-		m = &member{name: s.Name, seat: s, seated: true, confirmed: true, since: a.now, first: a.now, entries: map[int32]*entry{}}
+		m = &member{name: s.Name, slot: s, hasSlot: true, confirmed: true, fallbackSince: a.now, firstFallbackAt: a.now, shares: map[int32]*memberShare{}}
 		a.members = slices.Insert(a.members, at, m)
 	}
 }
 
-// seats are those that the record should hold, by name.
-func (a *Apportioner) seats() []Seat {
-	var out []Seat
+// desiredSlots are those that the record should hold, by name.
+func (a *Allocator) desiredSlots() []Slot {
+	var out []Slot
 	for _, m := range a.members {
-		if m.seated {
-			out = append(out, m.seat)
+		if m.hasSlot {
+			out = append(out, m.slot)
 		}
 	}
 	return out
 }
 
-// write asks for the record to be written when it differs from what this holder has in mind.
-func (a *Apportioner) write() []Action {
-	if !a.acting() || !a.dirty && !a.writing || a.writing && a.now-a.wrote < writeAgain {
+// writeRecord asks for the record to be written when it differs from what this holder has in mind.
+func (a *Allocator) writeRecord() []Action {
+	if !a.mayGrant() || !a.recordDirty && !a.writePending || a.writePending && a.now-a.recordWrittenAt < writeTimeout {
 		return nil
 	}
-	a.dirty, a.writing, a.wrote = false, true, a.now
-	return []Action{Write{a.fence, a.seats()}}
+	a.recordDirty, a.writePending, a.recordWrittenAt = false, true, a.now
+	return []Action{WriteRecord{a.token, a.desiredSlots()}}
 }
 
-// enrol gives a member a seat, in mind: it is told of it once the record says so. Without a free place the largest
+// assignSlot gives a member a seat, in mind: it is told of it once the record says so. Without a free place the largest
 // seat of those that are heard is halved first.
-func (a *Apportioner) enrol(m *member) {
-	if m.seated {
+func (a *Allocator) assignSlot(m *member) {
+	if m.hasSlot {
 		return
 	}
-	seats := a.seats()
-	level := wanted(max(a.expect, len(seats)+1))
-	seat, found := free(seats, level)
+	seats := a.desiredSlots()
+	level := slotLevel(max(a.expectedProxies, len(seats)+1))
+	seat, found := findFreeSlot(seats, level)
 	if !found || seat.Level > level {
-		a.halve(level)
+		a.shrinkSlots(level)
 	}
 	if !found {
 		return
 	}
 	seat.Name = m.name
-	a.stamp++
-	m.seat, m.seated, m.confirmed, m.since, m.first, a.dirty = seat, true, false, a.now, a.now, true
+	a.revision++
+	m.slot, m.hasSlot, m.confirmed, m.fallbackSince, m.firstFallbackAt, a.recordDirty = seat, true, false, a.now, a.now, true
 }
 
-// halve begins to tell members with a larger seat than the level's of a smaller one. Only what a node has taken is
+// shrinkSlots begins to tell members with a larger seat than the level's of a smaller one. Only what a node has taken is
 // free.
-func (a *Apportioner) halve(level uint8) {
+func (a *Allocator) shrinkSlots(level uint8) {
 	for _, m := range a.members {
-		if m.seated && m.confirmed && !m.smaller && m.seat.Level < level && a.tell(m).Level != seatNone {
-			m.smaller, m.smallerAt = true, m.number+1
+		if m.hasSlot && m.confirmed && !m.shrinking && m.slot.Level < level && a.slotForGrant(m).Level != slotNone {
+			m.shrinking, m.shrinkingSinceGrant = true, m.number+1
 		}
 	}
 }
 
-// tell gives the seat for a member's next grant: one that the record holds, and whose safe share no lease that is
+// slotForGrant gives the seat for a member's next grant: one that the record holds, and whose safe share no lease that is
 // alive was granted without counting it.
-func (a *Apportioner) tell(m *member) Seat {
-	none := Seat{Level: seatNone}
+func (a *Allocator) slotForGrant(m *member) Slot {
+	none := Slot{Level: slotNone}
 	switch {
-	case !m.seated || !m.confirmed || m.table < a.limits.version:
+	case !m.hasSlot || !m.confirmed || m.tableVersion < a.limits.version:
 		return none
-	case a.now < max(m.since, a.freeAt)+a.t.settled():
+	case a.now < max(m.fallbackSince, a.formerLeasesEnd)+a.times.settleTime():
 		return none
 	}
-	s := m.seat
-	if m.smaller {
+	s := m.slot
+	if m.shrinking {
 		s = s.halved()
 	}
 	s.Name = ""
--- a/internal/quota/entry.go
+++ b/internal/quota/entry.go
@@ -6,116 +6,118 @@
 	"time"
 )
 
-// entry is what a member has of one limit, by grants.
-type entry struct {
-	of      *member
-	cur     lease // by the last grant
-	old     lease // the most by all earlier ones that the node may still live by
-	number  uint32
-	kept    bool   // without a lease it may have its safe share at once, by any grant that may be the last taken
-	curKept bool   // by the last
-	claimed uint32 // the number of the newest claim
-	seen    time.Duration
-	demand  float64
-	out     float64 // open requests, as claimed
-	goal    size
-	counted size // in the limit's sum
+// memberShare is what a member has of one limit, by grants.
+type memberShare struct {
+	member                *member
+	current               shareLease // by the last grant
+	older                 shareLease // the most by all earlier ones that the node may still live by
+	number                uint32
+	fallbackAtOnce        bool   // without a lease it may have its safe share at once, by any grant that may be the last taken
+	currentFallbackAtOnce bool   // by the last
+	claimed               uint32 // the number of the newest claim
+	claimedAt             time.Duration
+	demand                float64
+	inFlight              float64 // open requests, as claimed
+	goal                  size
+	counted               size // in the limit's sum
 }
 
-type lease struct {
+type shareLease struct {
 	size
 	until time.Duration
 }
 
-func (l lease) most(o lease) lease { return lease{l.size.most(o.size), max(l.until, o.until)} }
+func (l shareLease) max(o shareLease) shareLease {
+	return shareLease{l.size.max(o.size), max(l.until, o.until)}
+}
 
 // envelope is the most of the leases that may be alive.
-func (e *entry) envelope(now time.Duration) lease {
-	var most lease
-	for _, l := range [...]lease{e.cur, e.old} {
+func (e *memberShare) envelope(now time.Duration) shareLease {
+	var most shareLease
+	for _, l := range [...]shareLease{e.current, e.older} {
 		if now < l.until {
-			most = most.most(l)
+			most = most.max(l)
 		}
 	}
 	return most
 }
 
-// granted notes a new lease. The node may live by an older one until it says that it has taken this one.
-func (e *entry) granted(now time.Duration, number uint32, s lease, kept bool) {
-	e.old, e.cur, e.number = e.envelope(now), s, number
-	e.curKept, e.kept = kept, e.kept || kept
+// grant notes a new lease. The node may live by an older one until it says that it has taken this one.
+func (e *memberShare) grant(now time.Duration, number uint32, s shareLease, kept bool) {
+	e.older, e.current, e.number = e.envelope(now), s, number
+	e.currentFallbackAtOnce, e.fallbackAtOnce = kept, e.fallbackAtOnce || kept
 }
 
-// taken notes that the node has taken the last grant: it lives by no older one.
-func (e *entry) taken(number uint32) {
+// confirm notes that the node has taken the last grant: it lives by no older one.
+func (e *memberShare) confirm(number uint32) {
 	if number == e.number && number > 0 {
-		e.old, e.kept = lease{}, e.curKept
+		e.older, e.fallbackAtOnce = shareLease{}, e.currentFallbackAtOnce
 	}
 }
 
-// stock is one limit as the holder keeps it: who has a share, and what nobody has, in a bucket of its own. Tokens go
+// allocation is one limit as the holder keeps it: who has a share, and what nobody has, in a bucket of its own. Tokens go
 // from there with the room that a grant adds to a node's bucket.
-type stock struct {
-	entries []*entry // by the members' names
-	tokens  float64
-	at      time.Duration // as of
-	spare   size          // that nobody had since then
-	sum     sum
+type allocation struct {
+	shares   []*memberShare // by the members' names
+	tokens   float64
+	filledAt time.Duration // as of
+	spare    size          // that nobody had since then
+	sum      sum
 }
 
-// stock gives a limit's, which has been idle if there is none yet.
-func (a *Apportioner) stock(i int32) *stock {
-	s := a.stocks[i]
+// allocation gives a limit's, which has been idle if there is none yet.
+func (a *Allocator) allocation(i int32) *allocation {
+	s := a.allocations[i]
 	if s == nil {
-		s = &stock{at: max(a.freeAt, a.tableAt), spare: a.idle(i)}
-		a.stocks[i] = s
+		s = &allocation{filledAt: max(a.formerLeasesEnd, a.tableSince), spare: a.unclaimed(i)}
+		a.allocations[i] = s
 	}
 	return s
 }
 
-// idle is what nobody can have of a limit in which no member has a share.
-func (a *Apportioner) idle(i int32) size {
+// unclaimed is what nobody can have of a limit in which no member has a share.
+func (a *Allocator) unclaimed(i int32) size {
 	l := &a.limits.all[i]
-	rate, pool := l.safeRate, l.safeTokens
-	if was, there := a.before.byHash[l.hash]; there {
-		rate, pool = max(rate, a.before.all[was].safeRate), max(pool, a.before.all[was].safeTokens)
+	rate, pool := l.fallbackRate, l.fallbackTokens
+	if was, there := a.previousLimits.byHash[l.hash]; there {
+		rate, pool = max(rate, a.previousLimits.all[was].fallbackRate), max(pool, a.previousLimits.all[was].fallbackTokens)
 	}
 	return size{max(l.rate-rate, 0), max(l.burst-float64(pool), 0)}
 }
 
-func (s *stock) place(name string) (int, bool) {
-	return slices.BinarySearchFunc(s.entries, name, func(e *entry, n string) int { return cmp.Compare(e.of.name, n) })
+func (s *allocation) find(name string) (int, bool) {
+	return slices.BinarySearchFunc(s.shares, name, func(e *memberShare, n string) int { return cmp.Compare(e.member.name, n) })
 }
 
-func (s *stock) add(e *entry) {
-	if at, there := s.place(e.of.name); !there {
-		s.entries = slices.Insert(s.entries, at, e)
-		s.sum.stamp = 0
+func (s *allocation) add(e *memberShare) {
+	if at, there := s.find(e.member.name); !there {
+		s.shares = slices.Insert(s.shares, at, e)
+		s.sum.revision = 0
 	}
 }
 
-func (a *Apportioner) drop(i int32, e *entry) {
-	s := a.stock(i)
-	if at, there := s.place(e.of.name); there {
-		s.fill(a.now, a.t.lease)
-		s.entries = slices.Delete(s.entries, at, at+1)
-		s.sum.stamp = 0
-		if len(s.entries) == 0 {
-			s.spare = a.idle(i)
+func (a *Allocator) dropShare(i int32, e *memberShare) {
+	s := a.allocation(i)
+	if at, there := s.find(e.member.name); there {
+		s.refill(a.now, a.times.lease)
+		s.shares = slices.Delete(s.shares, at, at+1)
+		s.sum.revision = 0
+		if len(s.shares) == 0 {
+			s.spare = a.unclaimed(i)
 		}
 	}
-	delete(e.of.entries, i)
+	delete(e.member.shares, i)
 }
 
-// fill brings the stock's bucket up to now. While members have shares, what was spare is so for a lease at most.
-func (s *stock) fill(now time.Duration, lease time.Duration) {
-	if now <= s.at {
+// refill brings the stock's bucket up to now. While members have shares, what was spare is so for a lease at most.
+func (s *allocation) refill(now time.Duration, lease time.Duration) {
+	if now <= s.filledAt {
 		return
 	}
-	since := now - s.at
-	if len(s.entries) > 0 {
+	since := now - s.filledAt
+	if len(s.shares) > 0 {
 		since = min(since, lease)
 	}
 	s.tokens = min(s.tokens+s.spare.rate*since.Seconds(), s.spare.burst)
-	s.at = now
+	s.filledAt = now
 }
--- a/internal/quota/events_test.go
+++ b/internal/quota/events_test.go
@@ -11,7 +11,7 @@
 
 // A holder that goes on although its duty has ended, and word of it that comes late: nodes that know the higher
 // fence take nothing from it.
-func formerHolderGoesOn(mutate func(n *node, e *Holder)) *world {
+func formerHolderGoesOn(mutate func(n *node, e *AllocatorKnown)) *world {
 	w := newWorld(3, Drift, books(ratelimit.Limit{}, ratelimit.Limit{Rate: 300, Burst: 100}))
 	w.hook.told = mutate
 	w.serve()
@@ -25,9 +25,9 @@
 	w.run(5 * time.Second)
 	old.alone = true
 	old.wake()
-	old.handle(Held{1, old.clock.at(w.now) + time.Hour})
+	old.handle(LeaseHeld{1, old.clock.at(w.now) + time.Hour})
 	for i := range 4 {
-		e := Holder{"h0", 1}
+		e := AllocatorKnown{"h0", 1}
 		n := w.nodes[fmt.Sprintf("n%03d", i)]
 		if mutate != nil {
 			mutate(n, &e)
@@ -44,7 +44,7 @@
 		t.Errorf("over the bound by %v", w.checks[0].worst)
 	}
 	atLeast(t, "use", w.used(0, 2*time.Second), 0.95)
-	if !formerHolderGoesOn(func(n *node, _ *Holder) { n.led.fence = 0 }).broken() {
+	if !formerHolderGoesOn(func(n *node, _ *AllocatorKnown) { n.led.token = 0 }).broken() {
 		t.Error("the check does not find nodes that take a lower fence")
 	}
 }
@@ -60,11 +60,11 @@
 	before := w.table
 	w.table = books(ratelimit.Limit{}, ratelimit.Limit{Rate: 100, Burst: 50})
 	w.table.Version = 2
-	w.hosts[0].handle(Table{Now: w.table, Before: before})
+	w.hosts[0].handle(TableChanged{Current: w.table, Previous: before})
 	for _, n := range w.names[4:] {
-		w.nodes[n].handle(Table{Now: w.table})
+		w.nodes[n].handle(TableChanged{Current: w.table})
 	}
-	w.run(w.t.leased())
+	w.run(w.t.countedLease())
 	w.checks[0].lower(w.now, 100, 50)
 	w.run(3 * time.Second)
 	// What is kept for nodes that may still judge by the old table is lost to the others.
@@ -119,12 +119,12 @@
 }
 
 func TestJudgingAllocatesNothing(t *testing.T) {
-	l := NewLedger(NodeConfig{Name: "n", Life: 1})
-	l.Handle(0, Table{Now: drawnTable(1)})
+	l := NewLedger(LedgerConfig{Name: "n", Generation: 1})
+	l.Handle(0, TableChanged{Current: drawnTable(1)})
 	now := time.Duration(0)
 	if got := testing.AllocsPerRun(1000, func() {
 		now += time.Millisecond
-		l.At(now)
+		l.AdvanceTo(now)
 		if l.Available(1) >= 1 {
 			l.Take(1, 1)
 		} else {
@@ -139,9 +139,9 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	w := fleetOf(t, drawnTable(1), 3)
 	kinds := [][]byte{
-		(&claim{fence: 1, life: 1, number: 1, name: "n000", items: make([]claimItem, 3)}).bytes(1),
-		(&grant{fence: 1, life: 1, claim: 1, number: 1, items: make([]grantItem, 3)}).bytes(1),
-		(&hello{1, "h"}).bytes(1), (&leave{1, "x"}).bytes(1), (&ask{1, 2, 3, "n001"}).bytes(1), (&give{1, 2, 3}).bytes(1),
+		(&claim{token: 1, generation: 1, number: 1, name: "n000", items: make([]claimItem, 3)}).encode(1),
+		(&grant{token: 1, generation: 1, claim: 1, number: 1, items: make([]grantItem, 3)}).encode(1),
+		(&announcement{1, "h"}).encode(1), (&leave{1, "x"}).encode(1), (&borrowRequest{1, 2, 3, "n001"}).encode(1), (&loan{1, 2, 3}).encode(1),
 	}
 	for range 20_000 {
 		d := append([]byte(nil), pick(rng, kinds)...)
@@ -152,7 +152,7 @@
 		w.nodes["n001"].led.Handle(w.now, Message{d})
 		w.hosts[0].core.Handle(w.now, Message{d})
 	}
-	if n := len(w.hosts[0].core.members); n > MostNodes {
+	if n := len(w.hosts[0].core.members); n > MaxProxies {
 		t.Errorf("%d members", n)
 	}
 }
--- a/internal/quota/handover.go
+++ b/internal/quota/handover.go
@@ -8,103 +8,103 @@
 
 // Bounds of handing over.
 const (
-	askEvery  = 50 * time.Millisecond // for one limit
-	mostAsked = 64                    // answers awaited at once
-	mostNonce = 4096                  // answered ones remembered
+	borrowInterval  = 50 * time.Millisecond // for one limit
+	maxPendingLoans = 64                    // answers awaited at once
+	maxLentNonces   = 4096                  // answered ones remembered
 )
 
-// asked is tokens that are awaited.
-type asked struct {
+// pendingLoan is tokens that are awaited.
+type pendingLoan struct {
 	limit int32
 	hash  uint64
 	need  float64
 	at    time.Duration
 }
 
-// alone says whether the slot lives by its safe share because no holder answers.
-func (l *Ledger) alone(s *slot) bool {
-	return !s.open && l.now >= s.until && l.now >= l.voidUntil && (l.heard == 0 || l.now-l.heard > l.t.lease)
+// withoutAllocator says whether the slot lives by its safe share because no holder answers.
+func (l *Ledger) withoutAllocator(s *bucket) bool {
+	return !s.concurrency && l.now >= s.leaseUntil && l.now >= l.fallbackSuspendedUntil && (l.lastGrantAt == 0 || l.now-l.lastGrantAt > l.times.lease)
 }
 
-// askAround asks one peer for tokens of each limit that ran short.
-func (l *Ledger) askAround() []Action {
-	for nonce, a := range l.asked {
-		if l.now-a.at > l.t.credit {
-			delete(l.asked, nonce)
+// borrowTokens asks one peer for tokens of each limit that ran short.
+func (l *Ledger) borrowTokens() []Action {
+	for nonce, a := range l.borrowing {
+		if l.now-a.at > l.times.loanTimeout {
+			delete(l.borrowing, nonce)
 		}
 	}
 	var out []Action
-	for _, i := range l.listed {
-		s := &l.slots[i]
-		if s.short < 1 || l.now-s.lastAsk < askEvery || len(l.peers) == 0 || len(l.asked) >= mostAsked {
+	for _, i := range l.claimed {
+		s := &l.buckets[i]
+		if s.rejected < 1 || l.now-s.lastBorrowAt < borrowInterval || len(l.peers) == 0 || len(l.borrowing) >= maxPendingLoans {
 			continue
 		}
-		need := math.Floor(s.short)
-		s.short, s.lastAsk = 0, l.now
-		if !l.alone(s) {
+		need := math.Floor(s.rejected)
+		s.rejected, s.lastBorrowAt = 0, l.now
+		if !l.withoutAllocator(s) {
 			continue
 		}
-		a := ask{nonce: l.rng.Uint64(), hash: l.limits.all[i].hash, need: down(need), name: l.cfg.Name}
-		l.asked[a.nonce] = asked{i, a.hash, a.need, l.now}
-		out = append(out, Send{l.peers[l.rng.IntN(len(l.peers))], a.bytes(l.cfg.Fleet)})
+		a := borrowRequest{nonce: l.random.Uint64(), hash: l.limits.all[i].hash, need: down(need), name: l.cfg.Name}
+		l.borrowing[a.nonce] = pendingLoan{i, a.hash, a.need, l.now}
+		out = append(out, Send{l.peers[l.random.IntN(len(l.peers))], a.encode(l.cfg.Fleet)})
 	}
 	return out
 }
 
-// hand gives tokens, whole ones, once a nonce. They are debited before they are sent, and their room in the bucket
+// lendTokens gives tokens, whole ones, once a nonce. They are debited before they are sent, and their room in the bucket
 // stays empty until they can't be used any more: so what all nodes hold and what is on the way never exceeds what
 // the buckets of their safe shares hold together.
-func (l *Ledger) hand(a ask) []Action {
+func (l *Ledger) lendTokens(a borrowRequest) []Action {
 	i, there := l.limits.byHash[a.hash]
-	if _, again := l.answered[a.nonce]; !there || again || !l.alone(&l.slots[i]) {
+	if _, again := l.lentNonces[a.nonce]; !there || again || !l.withoutAllocator(&l.buckets[i]) {
 		return nil
 	}
-	s := &l.slots[i]
-	l.fill(s)
-	spare := min(s.tokens, s.safe.burst-s.lent)
-	if s.came > 0 || s.demand > 0 {
+	s := &l.buckets[i]
+	l.refill(s)
+	spare := min(s.tokens, s.fallback.burst-s.lent)
+	if s.arrived > 0 || s.demand > 0 {
 		spare /= 2
 	}
 	amount := math.Floor(min(spare, a.need))
-	if amount < 1 || len(l.answered) >= mostNonce && !l.forgetAnswered() {
+	if amount < 1 || len(l.lentNonces) >= maxLentNonces && !l.forgetNonces() {
 		return nil
 	}
-	l.answered[a.nonce] = l.now
+	l.lentNonces[a.nonce] = l.now
 	s.tokens -= amount
 	s.lent += amount
-	s.lentUntil = l.now + l.t.over(l.t.hold)
+	s.lentUntil = l.now + l.times.atMost(l.times.loanUse)
 	l.lentUntil = s.lentUntil
-	g := give{nonce: a.nonce, hash: a.hash, amount: amount}
-	return []Action{Send{a.name, g.bytes(l.cfg.Fleet)}}
+	g := loan{nonce: a.nonce, hash: a.hash, amount: amount}
+	return []Action{Send{a.name, g.encode(l.cfg.Fleet)}}
 }
 
-// forgetAnswered drops nonces whose askers wait no longer.
-func (l *Ledger) forgetAnswered() bool {
-	for nonce, at := range l.answered {
-		if l.now-at > 2*l.t.credit {
-			delete(l.answered, nonce)
+// forgetNonces drops nonces whose askers wait no longer.
+func (l *Ledger) forgetNonces() bool {
+	for nonce, at := range l.lentNonces {
+		if l.now-at > 2*l.times.loanTimeout {
+			delete(l.lentNonces, nonce)
 		}
 	}
-	return len(l.answered) < mostNonce
+	return len(l.lentNonces) < maxLentNonces
 }
 
-// credit takes tokens that were asked for, once, and only soon after. The room for them ends soon after, too.
-func (l *Ledger) credit(g give) {
-	a, there := l.asked[g.nonce]
+// receiveLoan takes tokens that were asked for, once, and only soon after. The room for them ends soon after, too.
+func (l *Ledger) receiveLoan(g loan) {
+	a, there := l.borrowing[g.nonce]
 	if !there || a.hash != g.hash || g.amount > a.need {
 		return
 	}
-	delete(l.asked, g.nonce)
+	delete(l.borrowing, g.nonce)
 	i, there := l.limits.byHash[g.hash]
-	if !there || l.now-a.at > l.t.credit || !slices.Contains(l.listed, i) {
+	if !there || l.now-a.at > l.times.loanTimeout || !slices.Contains(l.claimed, i) {
 		return
 	}
-	s := &l.slots[i]
-	l.fill(s)
-	if until := a.at + l.t.hold; s.got == 0 || until < s.gotUntil {
-		s.gotUntil = until
+	s := &l.buckets[i]
+	l.refill(s)
+	if until := a.at + l.times.loanUse; s.borrowed == 0 || until < s.borrowedUntil {
+		s.borrowedUntil = until
 	}
-	s.got += g.amount
+	s.borrowed += g.amount
 	s.tokens += g.amount
-	l.fill(s)
+	l.refill(s)
 }
--- a/internal/quota/invariant_test.go
+++ b/internal/quota/invariant_test.go
@@ -34,16 +34,16 @@
 			if n.led == nil {
 				continue
 			}
-			n.led.At(n.clock.at(w.now))
-			s := &n.led.slots[i]
-			n.led.fill(s)
+			n.led.AdvanceTo(n.clock.at(w.now))
+			s := &n.led.buckets[i]
+			n.led.refill(s)
 			if lent += s.lent; n.led.left {
 				continue
 			}
-			share := n.led.share(s, n.led.now)
+			share := n.led.currentShare(s, n.led.now)
 			rate += share.rate * n.clock.rate
-			room += s.room(share)
-			got += s.got
+			room += s.capacity(share)
+			got += s.borrowed
 		}
 		w.inv.rate = max(w.inv.rate, rate/l.Rate-1)
 		w.inv.room = max(w.inv.room, room/l.Burst-1)
@@ -61,8 +61,8 @@
 	if n.led == nil {
 		return
 	}
-	for i := range n.led.slots {
-		if s := &n.led.slots[i]; s.lent > 0 {
+	for i := range n.led.buckets {
+		if s := &n.led.buckets[i]; s.lent > 0 {
 			left := time.Duration(float64(s.lentUntil-n.clock.at(w.now)) / n.clock.rate)
 			w.inv.ghosts = append(w.inv.ghosts, ghost{i, s.lent, w.now + left})
 		}
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -12,33 +12,33 @@
 // limit is one index of a hand as both ends share it out. For limits on requests open at once, rate is the count
 // that may be open and burst is 0.
 type limit struct {
-	hash        uint64 // of its name on the wire
-	parent      int32  // -1: none
-	axis        ratelimit.Attribute
-	open        bool
-	borrow      bool
-	rate, burst float64 // units a second, units
-	floor       float64
-	weight      float64
-	safeRate    float64 // of all enrolled nodes together, at the smallest figures that the limit ever has
-	safeTokens  uint64  // whole ones
+	hash           uint64 // of its name on the wire
+	parent         int32  // -1: none
+	attribute      ratelimit.Attribute
+	concurrency    bool
+	borrow         bool
+	rate, burst    float64 // units a second, units
+	floor          float64
+	weight         float64
+	fallbackRate   float64 // of all enrolled nodes together, at the smallest figures that the limit ever has
+	fallbackTokens uint64  // whole ones
 }
 
-// mostPool keeps a seat's arithmetic within 64 bits.
-const mostPool = 1 << 30
+// maxPool keeps a seat's arithmetic within 64 bits.
+const maxPool = 1 << 30
 
 // limits are a table's, by the hand's index.
 type limits struct {
-	table   *ratelimit.Table
-	version uint64
-	slow    float64 // rates are lower by this part, so that no clock that runs fast makes more of them
-	all     []limit
-	byHash  map[uint64]int32
+	table         *ratelimit.Table
+	version       uint64
+	rateReduction float64 // rates are lower by this part, so that no clock that runs fast makes more of them
+	all           []limit
+	byHash        map[uint64]int32
 }
 
 // newLimits takes a table that is ready.
 func newLimits(t *ratelimit.Table, slow float64) *limits {
-	n := &limits{table: t, slow: 1 - slow, byHash: map[uint64]int32{}}
+	n := &limits{table: t, rateReduction: 1 - slow, byHash: map[uint64]int32{}}
 	if t == nil {
 		return n
 	}
@@ -67,56 +67,56 @@
 func (n *limits) single(i int) limit {
 	from, least := &n.table.Limits[i], n.table.Minimum(i)
 	l := limit{
-		hash: mix(0, 0, from.Name), parent: int32(from.Parent), axis: from.Attribute,
-		open: from.Unit == ratelimit.UnitConcurrency, borrow: from.Borrow,
+		hash: mix(0, 0, from.Name), parent: int32(from.Parent), attribute: from.Attribute,
+		concurrency: from.Unit == ratelimit.UnitConcurrency, borrow: from.Borrow,
 		rate: from.Rate, burst: from.Burst, floor: from.Floor, weight: from.Weight,
 	}
 	pool := least.Burst
-	if l.open {
+	if l.concurrency {
 		pool = least.Rate
 	} else {
-		l.rate, least.Rate = l.rate*n.slow, least.Rate*n.slow
+		l.rate, least.Rate = l.rate*n.rateReduction, least.Rate*n.rateReduction
 	}
-	l.safeTokens = uint64(min(max(from.FallbackShare*pool, 0), mostPool))
-	if l.safeTokens > 0 {
-		l.safeRate = from.FallbackShare * least.Rate
+	l.fallbackTokens = uint64(min(max(from.FallbackShare*pool, 0), maxPool))
+	if l.fallbackTokens > 0 {
+		l.fallbackRate = from.FallbackShare * least.Rate
 	}
 	return l
 }
 
-// at sets the figures of a time of the wall clock, which the holder alone does: a node's safe share is by the least.
-func (n *limits) at(wall time.Time) {
+// applySchedule sets the figures of a time of the wall clock, which the holder alone does: a node's safe share is by the least.
+func (n *limits) applySchedule(wall time.Time) {
 	for i := range n.all {
 		of := n.table.LimitOf(i)
 		if i >= len(n.table.Limits) && len(n.table.Limits[of].Schedule) == 0 {
 			continue
 		}
 		f := n.table.At(of, wall)
-		if !n.all[i].open {
-			f.Rate *= n.slow
+		if !n.all[i].concurrency {
+			f.Rate *= n.rateReduction
 		}
 		n.all[i].rate, n.all[i].burst, n.all[i].floor = f.Rate, f.Burst, f.Floor
 	}
 }
 
-// safe is a seat's part of the limit without a lease. It is nothing where it holds no whole token, since a bucket
+// fallback is a seat's part of the limit without a lease. It is nothing where it holds no whole token, since a bucket
 // that can't hold one never admits anything.
 // For limits on open requests the seat has to be older.
-func (l *limit) safe(s Seat, openToo bool) size {
-	if l.safeTokens == 0 || s.Level == seatNone || l.open && !openToo {
+func (l *limit) fallback(s Slot, openToo bool) size {
+	if l.fallbackTokens == 0 || s.Level == slotNone || l.concurrency && !openToo {
 		return size{}
 	}
-	tokens := float64(s.tokens(l.safeTokens, l.hash))
-	if l.open {
+	tokens := float64(s.tokens(l.fallbackTokens, l.hash))
+	if l.concurrency {
 		return size{rate: tokens}
 	}
-	return size{rate: l.safeRate * tokens / float64(l.safeTokens), burst: tokens}
+	return size{rate: l.fallbackRate * tokens / float64(l.fallbackTokens), burst: tokens}
 }
 
 // size is a share: units a second (or open at once), and the most that its bucket holds.
 type size struct{ rate, burst float64 }
 
-func (s size) most(o size) size { return size{max(s.rate, o.rate), max(s.burst, o.burst)} }
+func (s size) max(o size) size { return size{max(s.rate, o.rate), max(s.burst, o.burst)} }
 
 func (s size) plus(o size) size { return size{s.rate + o.rate, s.burst + o.burst} }
 
--- a/internal/quota/member.go
+++ b/internal/quota/member.go
@@ -7,118 +7,120 @@
 
 // member is a node as the holder knows it: enrolled, or heard of.
 type member struct {
-	name    string
-	life    uint64
-	table   uint64
-	entries map[int32]*entry // by the limit's index
+	name         string
+	generation   uint64
+	tableVersion uint64
+	shares       map[int32]*memberShare // by the limit's index
 
-	seat      Seat // its safe share is counted by
-	seated    bool
-	confirmed bool          // the record holds it, or one around it
-	since     time.Duration // its safe share has been counted, in its present life
-	first     time.Duration // and in any
-	smaller   bool          // it is being told a seat of half the size
-	smallerAt uint32        // in the grant that told it first
+	slot                Slot // its safe share is counted by
+	hasSlot             bool
+	confirmed           bool          // the record holds it, or one around it
+	fallbackSince       time.Duration // its safe share has been counted, in its present life
+	firstFallbackAt     time.Duration // and in any
+	shrinking           bool          // it is being told a seat of half the size
+	shrinkingSinceGrant uint32        // in the grant that told it first
 
-	number    uint32 // of the last grant
-	grants    [32]told
-	voidUntil time.Duration // its safe share is at rest at least so long
+	number                 uint32 // of the last grant
+	grants                 [32]sentGrant
+	fallbackSuspendedUntil time.Duration // its safe share is at rest at least so long
 }
 
-// told is a grant as the holder remembers it.
-type told struct {
-	number uint32
-	at     time.Duration // when it was sent
-	base   time.Duration // its claim was sent after this
-	void   bool
+// sentGrant is a grant as the holder remembers it.
+type sentGrant struct {
+	number            uint32
+	at                time.Duration // when it was sent
+	base              time.Duration // its claim was sent after this
+	fallbackSuspended bool
 }
 
-func (m *member) told(number uint32) (told, bool) {
+func (m *member) sentGrant(number uint32) (sentGrant, bool) {
 	t := m.grants[number%uint32(len(m.grants))]
 	return t, number > 0 && t.number == number
 }
 
 // member gives the one that a claim comes from. A new life starts with nothing told: its safe share counts from now
 // on, beside what is left of the former life's leases.
-func (a *Apportioner) member(c claim) *member {
+func (a *Allocator) member(c claim) *member {
 	at, m := a.find(c.name)
 	if m == nil {
-		if len(a.members) >= MostNodes || slices.Contains(a.gone, leave{c.life, c.name}) {
+		if len(a.members) >= MaxProxies || slices.Contains(a.departed, leave{c.generation, c.name}) {
 			return nil
 		}
-		m = &member{name: c.name, life: c.life, entries: map[int32]*entry{}, since: a.now, first: a.now}
+		m = &member{name: c.name, generation: c.generation, shares: map[int32]*memberShare{}, fallbackSince: a.now, firstFallbackAt: a.now}
 		a.members = slices.Insert(a.members, at, m)
 	}
 	switch {
-	case c.life < m.life:
+	case c.generation < m.generation:
 		return nil
-	case c.life > m.life && m.life != 0:
-		m.voidUntil, m.since, m.smaller = 0, a.now, false
-		m.grants = [32]told{}
-		a.stamp++
-		for i, e := range m.entries {
-			if a.limits.all[i].open { // its requests ended with it
-				e.cur, e.out = lease{}, 0
-				e.old = lease{}
+	case c.generation > m.generation && m.generation != 0:
+		m.fallbackSuspendedUntil, m.fallbackSince, m.shrinking = 0, a.now, false
+		m.grants = [32]sentGrant{}
+		a.revision++
+		for i, e := range m.shares {
+			if a.limits.all[i].concurrency { // its requests ended with it
+				e.current, e.inFlight = shareLease{}, 0
+				e.older = shareLease{}
 			}
-			e.old, e.cur, e.kept, e.claimed, e.number = e.envelope(a.now), lease{}, false, 0, 0
+			e.older, e.current, e.fallbackAtOnce, e.claimed, e.number = e.envelope(a.now), shareLease{}, false, 0, 0
 		}
 	}
-	m.life = c.life
+	m.generation = c.generation
 	return m
 }
 
-// heard takes what a claim's echo proves: the node has taken that grant, and so no older one, and has its safe share
+// grantConfirmed takes what a claim's echo proves: the node has taken that grant, and so no older one, and has its safe share
 // at rest for a while after that grant's claim, which it sent after the grant that the claim echoed.
-func (a *Apportioner) heard(m *member, c claim) (base time.Duration) {
-	m.table = max(m.table, c.table)
-	t, known := m.told(c.echo)
+func (a *Allocator) grantConfirmed(m *member, c claim) (base time.Duration) {
+	m.tableVersion = max(m.tableVersion, c.table)
+	t, known := m.sentGrant(c.lastGrant)
 	if !known {
 		return 0
 	}
-	if t.void && t.base > 0 {
-		m.voidUntil = max(m.voidUntil, t.base+a.t.under(a.t.void))
+	if t.fallbackSuspended && t.base > 0 {
+		m.fallbackSuspendedUntil = max(m.fallbackSuspendedUntil, t.base+a.times.atLeast(a.times.fallbackSuspension))
 	}
-	if m.smaller && c.echo >= m.smallerAt {
-		m.seat, m.smaller, a.dirty = m.seat.halved(), false, true // the record's covers it
-		a.stamp++
+	if m.shrinking && c.lastGrant >= m.shrinkingSinceGrant {
+		m.slot, m.shrinking, a.recordDirty = m.slot.halved(), false, true // the record's covers it
+		a.revision++
 	}
 	return t.at
 }
 
-// safe is what the node may have of a limit without any lease, by the larger of the two tables that it may know.
-func (a *Apportioner) safe(m *member, i int32) size {
-	if !m.seated {
+// fallback is what the node may have of a limit without any lease, by the larger of the two tables that it may know.
+func (a *Allocator) fallback(m *member, i int32) size {
+	if !m.hasSlot {
 		return size{}
 	}
 	l := &a.limits.all[i]
-	s := l.safe(m.seat, true)
-	if m.table < a.limits.version {
-		if was, there := a.before.byHash[l.hash]; there {
-			s = s.most(a.before.all[was].safe(m.seat, true))
+	s := l.fallback(m.slot, true)
+	if m.tableVersion < a.limits.version {
+		if was, there := a.previousLimits.byHash[l.hash]; there {
+			s = s.max(a.previousLimits.all[was].fallback(m.slot, true))
 		}
 	}
 	return s
 }
 
-// resting says whether the node's safe share may be lent: it stays at rest for longer than any lease can live that
+// fallbackSuspended says whether the node's safe share may be lent: it stays at rest for longer than any lease can live that
 // is granted now.
-func (a *Apportioner) resting(m *member) bool { return a.now+a.t.settled()+2*sumEvery <= m.voidUntil }
+func (a *Allocator) fallbackSuspended(m *member) bool {
+	return a.now+a.times.settleTime()+2*sumInterval <= m.fallbackSuspendedUntil
+}
 
-// count is the most that the member may have of a limit: what any grant gave that it may still live by, and its
+// maxShare is the most that the member may have of a limit: what any grant gave that it may still live by, and its
 // safe share unless that is at rest. The room of the safe share's bucket always counts.
-func (a *Apportioner) count(m *member, i int32) size {
-	e := m.entries[i]
-	safe := a.safe(m, i)
-	if !a.limits.all[i].open && a.resting(m) && (e == nil || !e.kept) {
+func (a *Allocator) maxShare(m *member, i int32) size {
+	e := m.shares[i]
+	safe := a.fallback(m, i)
+	if !a.limits.all[i].concurrency && a.fallbackSuspended(m) && (e == nil || !e.fallbackAtOnce) {
 		safe.rate = 0
 	}
 	if e == nil {
 		return safe
 	}
 	held := e.envelope(a.now)
-	if a.now < e.seen+a.t.leased()+a.t.longer {
-		held.rate = max(held.rate, e.out)
+	if a.now < e.claimedAt+a.times.countedLease()+a.times.maxRequestTime {
+		held.rate = max(held.rate, e.inFlight)
 	}
 	return size{max(held.rate, safe.rate), max(held.burst, safe.burst)}
 }
--- a/internal/quota/mutation_test.go
+++ b/internal/quota/mutation_test.go
@@ -11,7 +11,7 @@
 // Each way of breaking the cores has to be found by the check, which shows that it can fail.
 func TestCheckFindsBrokenCores(t *testing.T) {
 	for name, hook := range map[string]hooks{
-		"no drift margin": {tick: func(_ *world, h *host) { h.core.t.drift = 0 }},
+		"no drift margin": {tick: func(_ *world, h *host) { h.core.times.drift = 0 }},
 		"no reserve for the silent": {tick: func(w *world, h *host) {
 			for _, m := range h.core.members { // as if the view's word that a node is dead were enough
 				if silent(h, m) {
@@ -22,23 +22,23 @@
 		}},
 		"credited twice": {
 			message: func(n *node, data []byte) {
-				if data[0] == kindGive {
+				if data[0] == kindLoan {
 					n.handle(Message{data})
 					restore(n, data, n.led.now)
 				}
 			},
 		},
 		"credited late": {message: func(n *node, data []byte) {
-			if data[0] == kindGive {
+			if data[0] == kindLoan {
 				restore(n, data, n.led.now)
 			}
 		}},
 		"new holder grants at once": {holder: func(h *host) {
-			h.core.freeAt = 0
+			h.core.formerLeasesEnd = 0
 		}},
 		"lent while at rest": {tick: func(_ *world, h *host) {
 			for _, m := range h.core.members {
-				m.voidUntil += time.Second / 20
+				m.fallbackSuspendedUntil += time.Second / 20
 			}
 		}},
 	} {
@@ -94,19 +94,19 @@
 
 func silent(h *host, m *member) bool {
 	for _, t := range m.grants {
-		if t.number > 0 && h.core.now-t.at < h.core.t.lease {
+		if t.number > 0 && h.core.now-t.at < h.core.times.lease {
 			return false
 		}
 	}
-	return h.core.now-m.since > h.core.t.lease
+	return h.core.now-m.fallbackSince > h.core.times.lease
 }
 
 // restore makes the ledger await tokens that it has, or that it no longer awaits.
 func restore(n *node, data []byte, at time.Duration) {
 	_, r, _ := open(data, 1)
-	g, _ := readGive(r)
+	g, _ := decodeLoan(r)
 	i, there := n.led.limits.byHash[g.hash]
 	if there {
-		n.led.asked[g.nonce] = asked{limit: i, hash: g.hash, need: g.amount, at: at}
+		n.led.borrowing[g.nonce] = pendingLoan{limit: i, hash: g.hash, need: g.amount, at: at}
 	}
 }
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -10,53 +10,53 @@
 // plan sets each member's goal in each limit that anybody wants: first what each limit may have of the one around
 // it, from the outside inwards; then who gets how much of it, from the inside outwards, since a node needs as much
 // of an outer limit as it has of the inner ones.
-func (a *Apportioner) plan() {
-	if a.now-a.planned < planEvery || a.now < a.freeAt {
+func (a *Allocator) plan() {
+	if a.now-a.plannedAt < planInterval || a.now < a.formerLeasesEnd {
 		return
 	}
-	a.planned = a.now
-	if !slices.ContainsFunc(a.members, func(m *member) bool { return m.seated && m.table < a.limits.version }) {
-		a.before = newLimits(nil, 0) // nobody judges by it any more
+	a.plannedAt = a.now
+	if !slices.ContainsFunc(a.members, func(m *member) bool { return m.hasSlot && m.tableVersion < a.limits.version }) {
+		a.previousLimits = newLimits(nil, 0) // nobody judges by it any more
 	}
-	active := a.active()
+	active := a.activeLimits()
 	budgets := a.budgets(active)
 	needs := map[need]flow{}
 	for _, i := range slices.Backward(active) {
-		a.spread(i, budgets[i], needs)
+		a.allocate(i, budgets[i], needs)
 	}
 }
 
 // need is what a member's inner limits of one axis, which share an outer one, want of it.
 type need struct {
-	limit int32
-	axis  ratelimit.Attribute
-	of    *member
+	limit     int32
+	attribute ratelimit.Attribute
+	member    *member
 }
 
 // flow is what comes to them, and what they get.
-type flow struct{ asks, gets float64 }
+type flow struct{ wants, gets float64 }
 
-// active gives the limits that members have shares of, in order.
-func (a *Apportioner) active() []int32 {
-	return slices.DeleteFunc(slices.Sorted(maps.Keys(a.stocks)), func(i int32) bool { return len(a.stocks[i].entries) == 0 })
+// activeLimits gives the limits that members have shares of, in order.
+func (a *Allocator) activeLimits() []int32 {
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(a.allocations)), func(i int32) bool { return len(a.allocations[i].shares) == 0 })
 }
 
-// forget drops shares that are over. It is never called while one is given.
-func (a *Apportioner) forget() {
-	for _, i := range a.active() {
-		for _, e := range slices.Clone(a.stocks[i].entries) {
-			if a.now-e.seen > a.t.lease {
+// forgetExpired drops shares that are over. It is never called while one is given.
+func (a *Allocator) forgetExpired() {
+	for _, i := range a.activeLimits() {
+		for _, e := range slices.Clone(a.allocations[i].shares) {
+			if a.now-e.claimedAt > a.times.lease {
 				e.demand = 0
 			}
-			if e.demand == 0 && !e.kept && a.beyond(e, i) == (size{}) {
-				a.drop(i, e)
+			if e.demand == 0 && !e.fallbackAtOnce && a.beyondFallback(e, i) == (size{}) {
+				a.dropShare(i, e)
 			}
 		}
 	}
 }
 
 // budgets is how much each limit may have in all: its rate, or its part of the one around it.
-func (a *Apportioner) budgets(active []int32) map[int32]float64 {
+func (a *Allocator) budgets(active []int32) map[int32]float64 {
 	type group struct {
 		around int32
 		axis   ratelimit.Attribute
@@ -65,7 +65,7 @@
 	within := map[group][]int32{}
 	for _, i := range active {
 		l := &a.limits.all[i]
-		g := group{l.parent, l.axis}
+		g := group{l.parent, l.attribute}
 		within[g] = append(within[g], i)
 		out[i] = l.rate
 	}
@@ -83,7 +83,7 @@
 	return out
 }
 
-func (a *Apportioner) claimants(of []int32) []claimant {
+func (a *Allocator) claimants(of []int32) []claimant {
 	out := make([]claimant, len(of))
 	for n, i := range of {
 		l := &a.limits.all[i]
@@ -91,7 +91,7 @@
 		if !l.borrow {
 			out[n].most = min(l.floor, l.rate)
 		}
-		for _, e := range a.stocks[i].entries {
+		for _, e := range a.allocations[i].shares {
 			out[n].want += e.demand
 		}
 	}
--- a/internal/quota/record/fixture_test.go
+++ b/internal/quota/record/fixture_test.go
@@ -8,5 +8,5 @@
 
 // TestHolderRecordIsUnchanged compares the record of who allocates with a golden file.
 func TestHolderRecordIsUnchanged(t *testing.T) {
-	fixture.AssertJSON(t, "sharer", &Sharer{})
+	fixture.AssertJSON(t, "sharer", &AllocatorRecord{})
 }
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -15,19 +15,19 @@
 // Keys of records.
 const (
 	PolicyPrefix = "policy/"
-	Current      = PolicyPrefix + "current" // the table that holds: its canonical bytes, version 0
+	CurrentKey   = PolicyPrefix + "current" // the table that holds: its canonical bytes, version 0
 	QuotaPrefix  = "quota/"
-	Holder       = QuotaPrefix + "holder" // who shares limits out
+	AllocatorKey = QuotaPrefix + "holder" // who shares limits out
 )
 
-// Sharer is the process that shares limits out. A node takes one with a higher fence than any before.
-type Sharer struct {
+// AllocatorRecord is the process that shares limits out. A node takes one with a higher fence than any before.
+type AllocatorRecord struct {
 	Name  string `json:"name"` // of its member of the view
-	Fence uint64 `json:"fence"`
+	Token uint64 `json:"fence"`
 }
 
-// Table reads a table. Its version is that of its record; a record that is gone is version 0 and no table.
-func Table(r registry.Record) (*ratelimit.Table, error) {
+// DecodeTable reads a table. Its version is that of its record; a record that is gone is version 0 and no table.
+func DecodeTable(r registry.Record) (*ratelimit.Table, error) {
 	if r.Version == 0 {
 		return nil, nil
 	}
@@ -39,8 +39,8 @@
 	return t, nil
 }
 
-// Value gives the value that a table's record has.
-func Value(t *ratelimit.Table) (json.RawMessage, error) {
+// EncodeTable gives the value that a table's record has.
+func EncodeTable(t *ratelimit.Table) (json.RawMessage, error) {
 	raw := t.JSON()
 	if len(raw) > registry.MaxRecord {
 		return nil, fmt.Errorf("the table has %d bytes, a record %d at most: use fewer limits, or shorter names", len(raw), registry.MaxRecord)
@@ -57,13 +57,13 @@
 	return all.All[i]
 }
 
-// ReadSharer reads the record of the holder.
-func ReadSharer(r registry.Record) (s Sharer, err error) {
+// ReadAllocator reads the record of the holder.
+func ReadAllocator(r registry.Record) (s AllocatorRecord, err error) {
 	if r.Version == 0 {
 		return s, nil
 	}
 	if err := json.Unmarshal(r.Value, &s); err != nil {
-		return Sharer{}, fmt.Errorf("record %s: %w", r.Key, err)
+		return AllocatorRecord{}, fmt.Errorf("record %s: %w", r.Key, err)
 	}
 	return s, nil
 }
--- a/internal/quota/seat.go
+++ b/internal/quota/seat.go
@@ -8,73 +8,73 @@
 
 // Bounds of the record of enrolled nodes.
 const (
-	MostNodes = 4096
-	MostName  = 64 // bytes
-	mostLevel = 16
-	seatNone  = 0xff
-	seatUnit  = 32 // bits of a seat's place on the circle
+	MaxProxies   = 4096
+	MaxName      = 64 // bytes
+	maxSlotLevel = 16
+	slotNone     = 0xff
+	circleBits   = 32 // bits of a seat's place on the circle
 )
 
-// Seat is an enrolled node's part of the safe shares: the piece Index of 2^Level equal pieces of a circle. Pieces of
+// Slot is an enrolled node's part of the safe shares: the piece Index of 2^Level equal pieces of a circle. Pieces of
 // different nodes never overlap, so that safe shares never add up to more than the limit's safe part.
-type Seat struct {
+type Slot struct {
 	Name  string `json:"name"`
 	Level uint8  `json:"level"`
 	Index uint32 `json:"index"`
 }
 
 // valid seats are what a record or datagram may hold.
-func (s Seat) valid() bool { return s.Level <= mostLevel && s.Index < 1<<s.Level }
+func (s Slot) valid() bool { return s.Level <= maxSlotLevel && s.Index < 1<<s.Level }
 
 // span is the seat's place on the circle, whose length is 1<<seatUnit.
-func (s Seat) span() (start, length uint64) {
-	length = 1 << (seatUnit - s.Level)
+func (s Slot) span() (start, length uint64) {
+	length = 1 << (circleBits - s.Level)
 	return uint64(s.Index) * length, length
 }
 
-func (s Seat) meets(o Seat) bool {
+func (s Slot) overlaps(o Slot) bool {
 	a, al := s.span()
 	b, bl := o.span()
 	return a < b+bl && b < a+al
 }
 
 // halved gives up the second half.
-func (s Seat) halved() Seat {
+func (s Slot) halved() Slot {
 	s.Level, s.Index = s.Level+1, s.Index*2
 	return s
 }
 
 // tokens is how many of pool whole tokens lie in the seat, with the circle turned by a limit's hash, so that the
 // seats that get the odd one differ from limit to limit. Over a whole circle the sum is pool.
-func (s Seat) tokens(pool uint64, hash uint64) uint64 {
+func (s Slot) tokens(pool uint64, hash uint64) uint64 {
 	start, length := s.span()
-	start = (start + hash>>32) % (1 << seatUnit)
-	return (start+length)*pool>>seatUnit - start*pool>>seatUnit
+	start = (start + hash>>32) % (1 << circleBits)
+	return (start+length)*pool>>circleBits - start*pool>>circleBits
 }
 
-// wanted is the level at which so many nodes have a seat each, with at least four seats.
-func wanted(nodes int) uint8 {
-	return uint8(min(max(bits.Len(uint(max(nodes, 1)-1)), 2), mostLevel))
+// slotLevel is the level at which so many nodes have a seat each, with at least four seats.
+func slotLevel(nodes int) uint8 {
+	return uint8(min(max(bits.Len(uint(max(nodes, 1)-1)), 2), maxSlotLevel))
 }
 
-// free finds a place of the level or a smaller one, lowest level first, that meets none of the seats.
-func free(seats []Seat, level uint8) (Seat, bool) {
+// findFreeSlot finds a place of the level or a smaller one, lowest level first, that meets none of the seats.
+func findFreeSlot(seats []Slot, level uint8) (Slot, bool) {
 	taken := slices.Clone(seats)
-	slices.SortFunc(taken, func(a, b Seat) int {
+	slices.SortFunc(taken, func(a, b Slot) int {
 		x, _ := a.span()
 		y, _ := b.span()
 		return cmp.Compare(x, y)
 	})
-	for ; level <= mostLevel; level++ {
-		_, length := Seat{Level: level}.span()
+	for ; level <= maxSlotLevel; level++ {
+		_, length := Slot{Level: level}.span()
 		at := uint64(0)
 		for i := 0; i <= len(taken); i++ {
-			end := uint64(1) << seatUnit
+			end := uint64(1) << circleBits
 			if i < len(taken) {
 				end, _ = taken[i].span()
 			}
 			if up := (at + length - 1) / length * length; up+length <= end {
-				return Seat{Level: level, Index: uint32(up / length)}, true
+				return Slot{Level: level, Index: uint32(up / length)}, true
 			}
 			if i < len(taken) {
 				start, l := taken[i].span()
@@ -82,5 +82,5 @@
 			}
 		}
 	}
-	return Seat{}, false
+	return Slot{}, false
 }
--- a/internal/quota/service_test.go
+++ b/internal/quota/service_test.go
@@ -12,7 +12,7 @@
 	fence   uint64
 	holder  *host
 	renewed time.Duration
-	record  []Seat
+	record  []Slot
 	version int
 	onWrite func(h *host) // between writing and telling
 }
@@ -50,7 +50,7 @@
 		}
 		defer func() {
 			fence, seats := s.fence, slices.Clone(s.record)
-			s.w.after(5*time.Millisecond, func() { h.handle(Record{fence, seats}) })
+			s.w.after(5*time.Millisecond, func() { h.handle(RecordRead{fence, seats}) })
 			if s.w.hook.holder != nil {
 				s.w.hook.holder(h)
 			}
@@ -58,7 +58,7 @@
 	}
 	s.renewed = s.w.now
 	stop := time.Duration(float64(sessionTTL) * (1 - 3*s.w.t.drift))
-	h.handle(Held{s.fence, h.clock.at(s.w.now) + stop})
+	h.handle(LeaseHeld{s.fence, h.clock.at(s.w.now) + stop})
 }
 
 // watch tells a node, some time later, who holds the duty now.
@@ -66,7 +66,7 @@
 	if s.holder == nil || s.down {
 		return
 	}
-	e := Holder{s.holder.name, s.fence}
+	e := AllocatorKnown{s.holder.name, s.fence}
 	s.w.after(time.Duration(s.w.rng.ExpFloat64()*float64(20*time.Millisecond)), func() {
 		if s.w.cut[[2]string{"service", n.name}] {
 			return
@@ -78,17 +78,17 @@
 	})
 }
 
-func (s *service) write(h *host, a Write) {
+func (s *service) write(h *host, a WriteRecord) {
 	version := s.version
 	s.w.after(time.Duration(s.w.rng.ExpFloat64()*float64(10*time.Millisecond)), func() {
-		if s.down || h.alone || a.Fence != s.fence || version != s.version {
+		if s.down || h.alone || a.Token != s.fence || version != s.version {
 			return
 		}
 		s.version++
-		s.record = slices.Clone(a.Seats)
+		s.record = slices.Clone(a.Slots)
 		if s.onWrite != nil {
 			s.onWrite(h)
 		}
-		s.w.after(5*time.Millisecond, func() { h.handle(Record{a.Fence, slices.Clone(a.Seats)}) })
+		s.w.after(5*time.Millisecond, func() { h.handle(RecordRead{a.Token, slices.Clone(a.Slots)}) })
 	})
 }
--- a/internal/quota/spread.go
+++ b/internal/quota/spread.go
@@ -8,14 +8,14 @@
 	"wrenspread/ratelimit"
 )
 
-// spread divides a limit's budget among the members that want it.
-func (a *Apportioner) spread(i int32, budget float64, needs map[need]flow) {
+// allocate divides a limit's budget among the members that want it.
+func (a *Allocator) allocate(i int32, budget float64, needs map[need]flow) {
 	l := &a.limits.all[i]
-	var in []*entry
-	s := a.stock(i)
-	a.resum(i, s)
+	var in []*memberShare
+	s := a.allocation(i)
+	a.renewSum(i, s)
 	left := s.sum.all
-	for _, e := range s.entries {
+	for _, e := range s.shares {
 		e.goal = size{}
 		if e.demand > 0 {
 			in = append(in, e)
@@ -23,42 +23,42 @@
 		}
 	}
 	free := size{max(min(budget, l.rate-left.rate), 0), max(l.burst-left.burst, 0)}
-	wants := a.wants(i, in, needs)
-	if l.open {
-		a.spreadWhole(i, free.rate, in, wants)
+	wants := a.usableBy(i, in, needs)
+	if l.concurrency {
+		a.allocateConcurrency(i, free.rate, in, wants)
 	} else {
-		a.spreadRate(i, free, in, wants)
+		a.allocateRate(i, free, in, wants)
 	}
 	if l.parent < 0 {
 		return
 	}
 	for _, e := range in {
-		at := need{l.parent, l.axis, e.of}
+		at := need{l.parent, l.attribute, e.member}
 		f := needs[at]
-		needs[at] = flow{f.asks + e.demand, f.gets + min(e.demand, e.goal.rate)}
+		needs[at] = flow{f.wants + e.demand, f.gets + min(e.demand, e.goal.rate)}
 	}
 }
 
-// wants is how much each member can use: of an outer limit, what its inner ones get, and what comes past them.
-func (a *Apportioner) wants(i int32, in []*entry, needs map[need]flow) []float64 {
+// usableBy is how much each member can use: of an outer limit, what its inner ones get, and what comes past them.
+func (a *Allocator) usableBy(i int32, in []*memberShare, needs map[need]flow) []float64 {
 	out := make([]float64, len(in))
 	for n, e := range in {
 		var most flow
 		for axis := ratelimit.AttributeFleet; axis <= ratelimit.AttributeCell; axis++ {
-			f := needs[need{i, axis, e.of}]
-			most = flow{max(most.asks, f.asks), max(most.gets, f.gets)}
+			f := needs[need{i, axis, e.member}]
+			most = flow{max(most.wants, f.wants), max(most.gets, f.gets)}
 		}
-		out[n] = max(most.gets+max(e.demand-most.asks, 0), smallDemand)
+		out[n] = max(most.gets+max(e.demand-most.wants, 0), minDemand)
 	}
 	return out
 }
 
-// spreadRate divides rate by max-min, what nobody wants by want, and the bucket's room by rate. Where there is not a
+// allocateRate divides rate by max-min, what nobody wants by want, and the bucket's room by rate. Where there is not a
 // whole token's room for each, some have all, in turn: a bucket that can't hold a token never admits.
-func (a *Apportioner) spreadRate(i int32, free size, in []*entry, wants []float64) {
+func (a *Allocator) allocateRate(i int32, free size, in []*memberShare, wants []float64) {
 	whole := int(min(free.burst, float64(len(in))))
 	if whole < len(in) {
-		in, wants = a.inTurn(i, in, wants, whole)
+		in, wants = a.chooseInTurn(i, in, wants, whole)
 	}
 	if len(in) == 0 {
 		return
@@ -66,7 +66,7 @@
 	rates := share(free.rate, wants)
 	rest := free.burst
 	for n, e := range in {
-		e.goal = size{rates[n], max(1, a.safe(e.of, i).burst)}
+		e.goal = size{rates[n], max(1, a.fallback(e.member, i).burst)}
 		rest -= e.goal.burst
 	}
 	all := total(rates)
@@ -77,11 +77,11 @@
 	}
 }
 
-// spreadWhole divides what may be open at once: whole requests.
-func (a *Apportioner) spreadWhole(i int32, free float64, in []*entry, wants []float64) {
+// allocateConcurrency divides what may be open at once: whole requests.
+func (a *Allocator) allocateConcurrency(i int32, free float64, in []*memberShare, wants []float64) {
 	whole := int(min(free, float64(len(in))))
 	if whole < len(in) {
-		in, wants = a.inTurn(i, in, wants, whole)
+		in, wants = a.chooseInTurn(i, in, wants, whole)
 	}
 	if len(in) == 0 {
 		return
@@ -103,24 +103,24 @@
 	return out
 }
 
-// turn is how long a member keeps its turn at a limit that has fewer whole tokens than members want it.
-func turn(rate float64) time.Duration {
+// turnLength is how long a member keeps its turn at a limit that has fewer whole tokens than members want it.
+func turnLength(rate float64) time.Duration {
 	return max(2*time.Second, time.Duration(min(4/max(rate, 1e-3), 60)*float64(time.Second)))
 }
 
-// inTurn chooses by a hash of name and time, so that who comes and goes moves nobody else.
-func (a *Apportioner) inTurn(i int32, in []*entry, wants []float64, whole int) ([]*entry, []float64) {
+// chooseInTurn chooses by a hash of name and time, so that who comes and goes moves nobody else.
+func (a *Allocator) chooseInTurn(i int32, in []*memberShare, wants []float64, whole int) ([]*memberShare, []float64) {
 	l := &a.limits.all[i]
-	now := uint64(a.now / turn(l.rate))
+	now := uint64(a.now / turnLength(l.rate))
 	order := make([]int, len(in))
 	luck := make([]uint64, len(in))
 	for n, e := range in {
-		order[n], luck[n] = n, mix(l.hash, now, e.of.name)
+		order[n], luck[n] = n, mix(l.hash, now, e.member.name)
 	}
 	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(luck[x], luck[y]) })
 	order = order[:whole]
 	slices.Sort(order)
-	var chosen []*entry
+	var chosen []*memberShare
 	var some []float64
 	for _, n := range order {
 		chosen, some = append(chosen, in[n]), append(some, wants[n])
