--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -4,23 +4,23 @@
 
 // Status is what a node tells of its shares.
 type Status struct {
-	Holder  string        `json:"holder"` // the newest known
-	Fence   uint64        `json:"fence"`
-	Heard   time.Duration `json:"heard"` // since the last grant; 0: none yet
-	Seated  bool          `json:"seated"`
-	Resting bool          `json:"resting"` // its safe share is lent to others
-	Busy    int           `json:"busy"`    // limits that it claims
-	Table   uint64        `json:"table"`
+	Allocator         string        `json:"holder"` // the newest known
+	Token             uint64        `json:"fence"`
+	SinceGrant        time.Duration `json:"heard"` // since the last grant; 0: none yet
+	HasSlot           bool          `json:"seated"`
+	FallbackSuspended bool          `json:"resting"` // its safe share is lent to others
+	ClaimedLimits     int           `json:"busy"`    // limits that it claims
+	TableVersion      uint64        `json:"table"`
 }
 
 // Status is as of the last At or Handle.
 func (l *Ledger) Status() Status {
 	s := Status{
-		Holder: l.holder, Fence: l.fence, Seated: l.seat.Level != seatNone, Resting: l.now < l.voidUntil,
-		Busy: len(l.listed), Table: l.limits.version,
+		Allocator: l.allocator, Token: l.token, HasSlot: l.slot.Level != slotNone, FallbackSuspended: l.now < l.fallbackSuspendedUntil,
+		ClaimedLimits: len(l.claimed), TableVersion: l.limits.version,
 	}
-	if l.heard > 0 {
-		s.Heard = l.now - l.heard
+	if l.lastGrantAt > 0 {
+		s.SinceGrant = l.now - l.lastGrantAt
 	}
 	return s
 }
--- a/internal/quota/times.go
+++ b/internal/quota/times.go
@@ -7,50 +7,50 @@
 
 // times are the spans that both ends reckon with. Tests alone set others.
 type times struct {
-	lease  time.Duration // a share holds so long after its claim was sent
-	renew  time.Duration // between a node's claims
-	early  time.Duration // least wait before a claim out of turn, for a limit that has just got demand
-	void   time.Duration // a node that took a grant keeps its safe share at rest so long after the claim was sent
-	credit time.Duration // tokens handed over count only so soon after the asking
-	hold   time.Duration // and have to be used so soon after it
-	quiet  time.Duration // a limit without demand is claimed so long yet
-	warm   time.Duration // a new node fills the buckets of limits without demand so long
-	longer time.Duration // the longest that an open request is out: holders count it so long past its lease
-	drift  float64
+	lease              time.Duration // a share holds so long after its claim was sent
+	renew              time.Duration // between a node's claims
+	minClaimInterval   time.Duration // least wait before a claim out of turn, for a limit that has just got demand
+	fallbackSuspension time.Duration // a node that took a grant keeps its safe share at rest so long after the claim was sent
+	loanTimeout        time.Duration // tokens handed over count only so soon after the asking
+	loanUse            time.Duration // and have to be used so soon after it
+	idleClaimTime      time.Duration // a limit without demand is claimed so long yet
+	warmUp             time.Duration // a new node fills the buckets of limits without demand so long
+	maxRequestTime     time.Duration // the longest that an open request is out: holders count it so long past its lease
+	drift              float64
 }
 
 // DefaultLease is short enough that shares follow a jump of demand within 2 s, and long enough that a node may lose
 // four claims in a row.
 const DefaultLease = time.Second
 
-func usual() times {
+func defaultTimes() times {
 	return times{
-		lease:  DefaultLease,
-		renew:  DefaultLease / 5,
-		early:  20 * time.Millisecond,
-		void:   4 * DefaultLease,
-		credit: 200 * time.Millisecond,
-		hold:   400 * time.Millisecond,
-		quiet:  3 * time.Second,
-		warm:   5 * time.Second,
-		longer: 30 * time.Second,
-		drift:  Drift,
+		lease:              DefaultLease,
+		renew:              DefaultLease / 5,
+		minClaimInterval:   20 * time.Millisecond,
+		fallbackSuspension: 4 * DefaultLease,
+		loanTimeout:        200 * time.Millisecond,
+		loanUse:            400 * time.Millisecond,
+		idleClaimTime:      3 * time.Second,
+		warmUp:             5 * time.Second,
+		maxRequestTime:     30 * time.Second,
+		drift:              Drift,
 	}
 }
 
-// over is what takes d on another's clock, at the longest: 1 + 2 x drift, and a little.
-func (t times) over(d time.Duration) time.Duration {
+// atMost is what takes d on another's clock, at the longest: 1 + 2 x drift, and a little.
+func (t times) atMost(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + t.drift) / (1 - t.drift))
 }
 
-// under is what takes d on another's clock, at the shortest.
-func (t times) under(d time.Duration) time.Duration {
+// atLeast is what takes d on another's clock, at the shortest.
+func (t times) atLeast(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - t.drift) / (1 + t.drift))
 }
 
-// leased is how long a holder counts a lease from the receipt of its claim.
-func (t times) leased() time.Duration { return t.over(t.lease) }
+// countedLease is how long a holder counts a lease from the receipt of its claim.
+func (t times) countedLease() time.Duration { return t.atMost(t.lease) }
 
-// settled is how long any lease can live on that was granted before now: to its end, prolonged once by a new holder
+// settleTime is how long any lease can live on that was granted before now: to its end, prolonged once by a new holder
 // that is still waiting, and once more within that wait. What is lent to nobody for so long is nobody's.
-func (t times) settled() time.Duration { return 3 * t.over(t.over(t.lease)) }
+func (t times) settleTime() time.Duration { return 3 * t.atMost(t.atMost(t.lease)) }
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -9,36 +9,36 @@
 // Datagrams between nodes and the holder, big-endian. The first byte is the kind, the second the version, the next
 // four the fleet's name as a hash; what follows the known fields is ignored.
 const (
-	MostDatagram = 256
-	version      = 1
-
-	kindClaim = 0x60
-	kindGrant = 0x61
-	kindHello = 0x62
-	kindLeave = 0x63
-	kindAsk   = 0x64
-	kindGive  = 0x65
+	MaxDatagram = 256
+	version     = 1
+
+	kindClaim        = 0x60
+	kindGrant        = 0x61
+	kindAnnouncement = 0x62
+	kindLeave        = 0x63
+	kindBorrow       = 0x64
+	kindLoan         = 0x65
 )
 
-// Ours says whether a datagram's first byte is of this package.
-func Ours(kind byte) bool { return kind >= 0x60 && kind <= 0x6f }
+// IsOurs says whether a datagram's first byte is of this package.
+func IsOurs(kind byte) bool { return kind >= 0x60 && kind <= 0x6f }
 
 // claim is a node's word to the holder: what it wants and what it holds.
 type claim struct {
-	fence  uint64 // the holder that it is for
-	life   uint64 // of the node's process
-	number uint32 // grows with each claim of a life
-	echo   uint32 // the highest number of a grant that the node took of this fence
-	table  uint64 // the version by which it judges requests
-	void   bool   // its safe share may be put to rest
-	name   string
-	items  []claimItem
+	token               uint64 // the holder that it is for
+	generation          uint64 // of the node's process
+	number              uint32 // grows with each claim of a life
+	lastGrant           uint32 // the highest number of a grant that the node took of this fence
+	table               uint64 // the version by which it judges requests
+	fallbackSuspendable bool   // its safe share may be put to rest
+	name                string
+	items               []claimItem
 }
 
 type claimItem struct {
 	hash   uint64
 	demand float64 // units a second, or at once, that came
-	held   size    // by a live lease; of limits on open requests, at least what is out
+	leased size    // by a live lease; of limits on open requests, at least what is out
 	number uint32  // the grant that its share is of
 }
 
@@ -47,49 +47,49 @@
 	claimSize = 8 + 4 + 4 + 4 + 4
 )
 
-// claimRoom is how many limits fit into one claim of a node.
-func claimRoom(name string) int { return (MostDatagram - claimHead - len(name)) / claimSize }
+// claimCapacity is how many limits fit into one claim of a node.
+func claimCapacity(name string) int { return (MaxDatagram - claimHead - len(name)) / claimSize }
 
 // grant answers one claim.
 type grant struct {
-	fence  uint64
-	life   uint64 // of the node that it is for
-	claim  uint32
-	number uint32 // grows with each grant to a node
-	seat   Seat   // Level seatNone: no word of it
-	void   bool   // the node's safe share is at rest
-	waits  bool   // the holder only prolongs what the node had
-	open   bool   // the seat holds for limits on open requests too
-	items  []grantItem
+	token                 uint64
+	generation            uint64 // of the node that it is for
+	claim                 uint32
+	number                uint32 // grows with each grant to a node
+	slot                  Slot   // Level seatNone: no word of it
+	fallbackSuspended     bool   // the node's safe share is at rest
+	extendsOnly           bool   // the holder only prolongs what the node had
+	slotCoversConcurrency bool   // the seat holds for limits on open requests too
+	items                 []grantItem
 }
 
 type grantItem struct {
-	hash   uint64
-	size   size
-	tokens float64 // that come with it
-	kept   bool    // without the lease the node has its safe share of this limit at once
+	hash           uint64
+	size           size
+	tokens         float64 // that come with it
+	fallbackAtOnce bool    // without the lease the node has its safe share of this limit at once
 }
 
-// hello tells a node who holds the duty.
-type hello struct {
-	fence uint64
+// announcement tells a node who holds the duty.
+type announcement struct {
+	token uint64
 	name  string
 }
 
 // leave says that a process admits nothing any more.
 type leave struct {
-	life uint64
-	name string
+	generation uint64
+	name       string
 }
 
-// ask and give hand tokens from node to node.
-type ask struct {
+// borrowRequest and give hand tokens from node to node.
+type borrowRequest struct {
 	nonce, hash uint64
 	need        float64
 	name        string
 }
 
-type give struct {
+type loan struct {
 	nonce, hash uint64
 	amount      float64
 }
@@ -98,7 +98,7 @@
 type writer []byte
 
 func begin(kind byte, fleet uint32) writer {
-	return binary.BigEndian.AppendUint32(append(make(writer, 0, MostDatagram), kind, version), fleet)
+	return binary.BigEndian.AppendUint32(append(make(writer, 0, MaxDatagram), kind, version), fleet)
 }
 
 func (w *writer) u8(v uint8)    { *w = append(*w, v) }
@@ -147,7 +147,7 @@
 
 func (r *reader) text() string {
 	n := int(r.u8())
-	if n == 0 || n > MostName {
+	if n == 0 || n > MaxName {
 		r.bad = true
 		return ""
 	}
@@ -156,7 +156,7 @@
 
 // open checks what is common to all datagrams and gives the kind.
 func open(data []byte, fleet uint32) (byte, *reader, error) {
-	if len(data) < 6 || len(data) > MostDatagram {
+	if len(data) < 6 || len(data) > MaxDatagram {
 		return 0, nil, fmt.Errorf("quota datagram of %d bytes", len(data))
 	}
 	r := &reader{data: data[2:]}
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -33,11 +33,11 @@
 
 // hooks break the cores on purpose.
 type hooks struct {
-	holder  func(h *host)              // after it begins to hold
-	message func(n *node, data []byte) // before it is handled
-	after   func(n *node, data []byte) // and after
-	tick    func(w *world, h *host)    // of an acting holder
-	told    func(n *node, e *Holder)   // before the ledger is told
+	holder  func(h *host)                    // after it begins to hold
+	message func(n *node, data []byte)       // before it is handled
+	after   func(n *node, data []byte)       // and after
+	tick    func(w *world, h *host)          // of an acting holder
+	told    func(n *node, e *AllocatorKnown) // before the ledger is told
 }
 
 type happening struct {
@@ -62,7 +62,7 @@
 
 func newWorld(seed uint64, drift float64, table *ratelimit.Table) *world {
 	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 7)), t: usual(), table: table, nodes: map[string]*node{},
+		rng: rand.New(rand.NewPCG(seed, 7)), t: defaultTimes(), table: table, nodes: map[string]*node{},
 		cut: map[[2]string]bool{}, delay: time.Millisecond, sent: map[string]int{}, bytes: map[string]int{},
 	}
 	w.t.drift = drift
@@ -90,7 +90,7 @@
 
 // send carries a datagram, or loses it, or carries it twice.
 func (w *world) send(from, to string, data []byte) {
-	if len(data) > MostDatagram {
+	if len(data) > MaxDatagram {
 		panic("datagram too long")
 	}
 	w.sent[from]++
--- a/internal/sim/membership/checks.go
+++ b/internal/sim/membership/checks.go
@@ -67,15 +67,15 @@
 func (f *Fleet) lives() sim.Check {
 	var broken error
 	highest := map[*Node]map[string]uint64{}
-	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
+	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
 		if highest[n] == nil {
 			highest[n] = map[string]uint64{}
 		}
 		if m := c.Member; m.Name != "" {
-			if m.Life < highest[n][m.Name] {
-				broken = fmt.Errorf("%s goes back to life %d of %s after %d", n.end, m.Life, m.Name, highest[n][m.Name])
+			if m.Generation < highest[n][m.Name] {
+				broken = fmt.Errorf("%s goes back to life %d of %s after %d", n.end, m.Generation, m.Name, highest[n][m.Name])
 			}
-			highest[n][m.Name] = max(highest[n][m.Name], m.Life)
+			highest[n][m.Name] = max(highest[n][m.Name], m.Generation)
 		}
 	})
 	return holds("lives", &broken)
@@ -84,9 +84,9 @@
 // blame says that a node which was woken accuses nobody before it can have heard of anybody.
 func (f *Fleet) blame() sim.Check {
 	var broken error
-	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
+	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
 		e := f.World.End(n.end)
-		mine := slices.Contains(strings.Split(c.Member.By, ","), n.Name)
+		mine := slices.Contains(strings.Split(c.Member.Accusers, ","), n.Name)
 		if c.Member.Health == membership.Suspect && mine && e.Stood >= stoodStill && f.World.Now()-e.Woken < blameless {
 			broken = fmt.Errorf("%s suspects %s %v after it was woken", n.end, c.Member.Name, f.World.Now()-e.Woken)
 		}
@@ -98,8 +98,8 @@
 // remember it and no other process of the name has come.
 func (f *Fleet) left() sim.Check {
 	var broken error
-	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
-		if c.Before.Health == membership.Left && c.Member.Health == membership.Dead && c.Member.Life == c.Before.Life && c.Member.Name != "" {
+	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
+		if c.Before.Health == membership.Left && c.Member.Health == membership.Dead && c.Member.Generation == c.Before.Generation && c.Member.Name != "" {
 			broken = fmt.Errorf("%s takes %s for dead, which has left", n.end, c.Member.Name)
 		}
 	})
@@ -109,9 +109,9 @@
 // never says that nobody is taken for suspect, or dead, by anybody. It is no check for schedules in which that is right.
 func (f *Fleet) never(name string, h membership.Health) sim.Check {
 	var broken error
-	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
+	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
 		if m := c.Member; m.Health == h && n.Name != m.Name {
-			broken = fmt.Errorf("%s has %s %v, accused by %s", n.end, m.Name, m.Health, m.By)
+			broken = fmt.Errorf("%s has %s %v, accused by %s", n.end, m.Name, m.Health, m.Accusers)
 		}
 	})
 	return holds(name, &broken)
--- a/internal/sim/membership/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -23,7 +23,7 @@
 	Blind bool                                                // stand-in: no node notices that it stood still
 	Quiet bool                                                // nothing is said in the timeline
 	Nodes []*sim.End                                          // without the strangers
-	watch []func(*Node, time.Duration, membership.Changed)
+	watch []func(*Node, time.Duration, membership.MemberChanged)
 	addrs map[string]netip.AddrPort
 	ends  map[netip.AddrPort]string
 	old   []sent // to be sent again
@@ -67,8 +67,8 @@
 	if f.Wall != nil {
 		at += f.Wall()
 	}
-	cfg := membership.Config{Fleet: "books", Name: nameAt(end), Number: -1, Addr: f.address(end), Seed: f.World.Rand().Uint64(),
-		Life: uint64(birth + at.Milliseconds()), Facts: membership.Facts{Zone: "zone-a", Version: "2.1.0", State: membership.Serving}}
+	cfg := membership.Config{Fleet: "books", Name: nameAt(end), Number: -1, Addr: f.address(end), RandomSeed: f.World.Rand().Uint64(),
+		Generation: uint64(birth + at.Milliseconds()), Metadata: membership.Metadata{Zone: "zone-a", Version: "2.1.0", State: membership.Serving}}
 	for _, s := range f.Seeds {
 		cfg.Seeds = append(cfg.Seeds, f.address(s))
 	}
@@ -81,12 +81,12 @@
 	} else {
 		core = membership.New(cfg, now)
 	}
-	return &Node{Core: core, Name: cfg.Name, Life: cfg.Life, fleet: f, end: end, living: 1,
-		self: membership.Member{Name: cfg.Name, Life: cfg.Life, Facts: cfg.Facts}}
+	return &Node{Core: core, Name: cfg.Name, Life: cfg.Generation, fleet: f, end: end, living: 1,
+		self: membership.Member{Name: cfg.Name, Generation: cfg.Generation, Metadata: cfg.Metadata}}
 }
 
 // Watch has every change of any node's view told.
-func (f *Fleet) Watch(saw func(n *Node, now time.Duration, c membership.Changed)) {
+func (f *Fleet) Watch(saw func(n *Node, now time.Duration, c membership.MemberChanged)) {
 	f.watch = append(f.watch, saw)
 }
 
--- a/internal/sim/membership/growth.go
+++ b/internal/sim/membership/growth.go
@@ -124,7 +124,7 @@
 	return m
 }
 
-func (m *grower) saw(_ *Node, _ time.Duration, c membership.Changed) {
+func (m *grower) saw(_ *Node, _ time.Duration, c membership.MemberChanged) {
 	count := func(x membership.Member, by int) {
 		switch {
 		case x.Name == "":
--- a/internal/sim/membership/kinds.go
+++ b/internal/sim/membership/kinds.go
@@ -62,7 +62,7 @@
 		return sim.Fault{Who: []string{names[rng.IntN(len(names))]}, Delay: time.Duration(rng.IntN(1000))}
 	}, Do: func(w *sim.World, f sim.Fault) func() {
 		w.Say(f.Who[0], "changes facts")
-		w.End(f.Who[0]).Tell(membership.FactsChanged{Facts: membership.Facts{Zone: "zone-b", Version: "2.1.1", Catalogue: uint64(f.Delay),
+		w.End(f.Who[0]).Tell(membership.MetadataChanged{Metadata: membership.Metadata{Zone: "zone-b", Version: "2.1.1", Catalogue: uint64(f.Delay),
 			Load: uint16(f.Delay), State: membership.State(1 + f.Delay%2)}})
 		return nil
 	}}
@@ -130,7 +130,7 @@
 
 func (f *Fleet) junk(w *sim.World) {
 	rng := w.Rand()
-	d := wire.Datagram{Head: wire.Head{Kind: wire.Ping, Fleet: wire.FleetHash("books"), Sender: 1 + rng.Uint64()>>1, Life: rng.Uint64N(1 << 40)}, Seq: rng.Uint32()}
+	d := wire.Datagram{Header: wire.Header{Kind: wire.Ping, Fleet: wire.FleetHash("books"), Sender: 1 + rng.Uint64()>>1, Generation: rng.Uint64N(1 << 40)}, Seq: rng.Uint32()}
 	if rng.IntN(2) == 0 {
 		d.Fleet = wire.FleetHash("others")
 	}
--- a/internal/sim/membership/node.go
+++ b/internal/sim/membership/node.go
@@ -69,18 +69,18 @@
 		case membership.Wake:
 			n.due = now + a.After
 			out = append(out, sim.Wake{After: a.After})
-		case membership.Changed:
+		case membership.MemberChanged:
 			if said := n.changed(now, a); said != "" && !n.fleet.Quiet {
 				out = append(out, sim.Say{What: said})
 			}
-		case membership.Conflict:
+		case membership.NameConflict:
 			n.yielded = n.yielded || a.Yielded
 			if a.Yielded {
 				out = append(out, sim.Say{What: "falls silent: a later process has its name"})
 			} else {
 				out = append(out, sim.Say{What: "hears of another of its name"})
 			}
-		case membership.Gone:
+		case membership.LeaveDone:
 			out = append(out, sim.Exit{})
 		}
 	}
@@ -88,7 +88,7 @@
 }
 
 // changed keeps count and puts the change into a few words.
-func (n *Node) changed(now time.Duration, c membership.Changed) string {
+func (n *Node) changed(now time.Duration, c membership.MemberChanged) string {
 	m, b := c.Member, c.Before
 	is, was := m.Name != "" && m.Health <= membership.Suspect, b.Name != "" && b.Health <= membership.Suspect
 	switch {
@@ -107,17 +107,17 @@
 	case m.Name == "":
 		return "forgets: " + b.Name
 	case m.Name == n.Name:
-		if b.Name != "" && m.Incarnation > b.Incarnation && m.Facts == b.Facts && m.Health == b.Health {
+		if b.Name != "" && m.Incarnation > b.Incarnation && m.Metadata == b.Metadata && m.Health == b.Health {
 			return "refutes"
 		}
 		return ""
 	case b.Name == "" && m.Health == membership.Alive:
 		return "meets: " + m.Name
-	case m.Life > b.Life && b.Name != "" && is:
+	case m.Generation > b.Generation && b.Name != "" && is:
 		return "new life of: " + m.Name
 	case m.Health == b.Health:
-		if m.Facts.State != b.Facts.State {
-			return m.Facts.State.String() + ": " + m.Name
+		if m.Metadata.State != b.Metadata.State {
+			return m.Metadata.State.String() + ": " + m.Name
 		}
 		return ""
 	case m.Health == membership.Alive && was:
--- a/internal/sim/membership/rival.go
+++ b/internal/sim/membership/rival.go
@@ -27,7 +27,7 @@
 
 func newRival(cfg membership.Config, now time.Duration) *rival {
 	r := &rival{cfg: cfg, at: map[netip.AddrPort]int{}, next: now}
-	r.cfg.Period = max(cfg.Period, 200*time.Millisecond)
+	r.cfg.ProbeInterval = max(cfg.ProbeInterval, 200*time.Millisecond)
 	for _, a := range cfg.Seeds {
 		if a != cfg.Addr {
 			r.at[a] = len(r.peers)
@@ -65,7 +65,7 @@
 		if now < r.next {
 			break
 		}
-		r.next = now + r.cfg.Period
+		r.next = now + r.cfg.ProbeInterval
 		for i := range r.peers {
 			p := &r.peers[i]
 			if p.missed++; p.missed > rivalMisses && p.member.Name != "" && p.member.Health == membership.Alive {
@@ -75,7 +75,7 @@
 			}
 			out = append(out, r.say(rivalAsk, *p))
 		}
-		out = append(out, membership.Wake{After: r.cfg.Period})
+		out = append(out, membership.Wake{After: r.cfg.ProbeInterval})
 	}
 	return out
 }
@@ -83,7 +83,7 @@
 func (p *rivalPeer) become(m membership.Member) membership.Action {
 	was := p.member
 	p.member = m
-	return membership.Changed{Member: m, Before: was}
+	return membership.MemberChanged{Member: m, Before: was}
 }
 
 func (r *rival) say(kind byte, to rivalPeer) membership.Action {
--- a/internal/sim/membership/scenarios.go
+++ b/internal/sim/membership/scenarios.go
@@ -52,9 +52,9 @@
 		bend(f)
 	}
 	var broken error
-	f.Watch(func(n *Node, _ time.Duration, c membership.Changed) {
+	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
 		if m := c.Member; m.Health == membership.Dead && slices.Contains(spared, m.Name) {
-			broken = fmt.Errorf("%s takes %s for dead, accused by %s", n.end, m.Name, m.By)
+			broken = fmt.Errorf("%s takes %s for dead, accused by %s", n.end, m.Name, m.Accusers)
 		}
 	})
 	p := sim.Play{Kinds: kinds(), Warm: s.Warm, Quiet: s.Length, Every: 250 * time.Millisecond, Build: func(*sim.World) []sim.Check {
--- a/internal/sim/membership/settled.go
+++ b/internal/sim/membership/settled.go
@@ -36,8 +36,8 @@
 			return fmt.Errorf("%s has the digest %016x, %s has %016x", v.Self, v.Digest, l.views[0].Self, l.views[0].Digest)
 		}
 		for _, m := range v.Members {
-			if n := l.names[m.Name]; i == 0 && n != nil && m.Life != n.self.Life {
-				return fmt.Errorf("%s has %s in life %d, which is in life %d", v.Self, m.Name, m.Life, n.self.Life)
+			if n := l.names[m.Name]; i == 0 && n != nil && m.Generation != n.self.Generation {
+				return fmt.Errorf("%s has %s in life %d, which is in life %d", v.Self, m.Name, m.Generation, n.self.Generation)
 			}
 		}
 	}
--- a/internal/sim/membership/standins_test.go
+++ b/internal/sim/membership/standins_test.go
@@ -55,7 +55,7 @@
 	{"no digests, and news that get lost", Wild, []sim.Kind{joins, facts}, func(f *Fleet) {
 		rewrite(func(f *Fleet, from, _ string, d *wire.Datagram) bool {
 			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name != nameAt(from) && f.draws.IntN(10) > 0 })
-			return d.Kind < wire.Digest || d.Kind > wire.Told
+			return d.Kind < wire.Digest || d.Kind > wire.Answer
 		})(f)
 	}, []string{"settled", "alive", "dead"}},
 	{"the dead are not asked, nor seeds by those that have met", Wild, []sim.Kind{sim.Halves}, rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
@@ -63,9 +63,9 @@
 		return !ok || d.Kind != wire.Ping || n.living == 1 || n.Member(nameAt(to)).Health <= membership.Suspect
 	}), []string{"alive"}},
 	{"lives do not count", Wild, []sim.Kind{sim.Kill}, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
-		d.Life = birth
+		d.Generation = birth
 		for i := range d.Statements {
-			d.Statements[i].Life = birth
+			d.Statements[i].Generation = birth
 		}
 		return true
 	}), []string{"alive"}},
@@ -73,7 +73,9 @@
 		return s.Health == membership.Suspect || s.Health == membership.Dead
 	}), []string{"settled", "alive", "dead"}},
 	{"the dead are forgotten at once", Wild, []sim.Kind{sim.Kill, stale}, func(f *Fleet) {
-		f.Bend = func(cfg *membership.Config) { cfg.Fresh, cfg.Forget = time.Millisecond, 2*time.Millisecond }
+		f.Bend = func(cfg *membership.Config) {
+			cfg.DeadGossipTime, cfg.DeadReclaimTime = time.Millisecond, 2*time.Millisecond
+		}
 	}, []string{"lives", "dead"}},
 	{"lateness is not noticed", Wild, []sim.Kind{sim.Pause}, func(f *Fleet) { f.Blind = true }, []string{"blame"}},
 	{"a twin is not told", Wild, []sim.Kind{twins}, func(f *Fleet) {
@@ -113,7 +115,7 @@
 			return true
 		}
 		if n, ok := f.World.End(from).Actor().(*Node); ok {
-			ack := wire.Datagram{Head: wire.Head{Kind: wire.Ack, Fleet: d.Fleet, Sender: wire.Hash(nameAt(to)), Life: n.Member(nameAt(to)).Life, Digest: d.Digest}, Seq: d.Seq}
+			ack := wire.Datagram{Header: wire.Header{Kind: wire.Ack, Fleet: d.Fleet, Sender: wire.Hash(nameAt(to)), Generation: n.Member(nameAt(to)).Generation, Digest: d.Digest}, Seq: d.Seq}
 			f.World.Inject(to, from, ack.Encode())
 		}
 		return true
@@ -121,7 +123,7 @@
 	{"one is told other facts", Wild, nil, rewrite(func(_ *Fleet, _, to string, d *wire.Datagram) bool {
 		for i, s := range d.Statements {
 			if to == "n1" && s.Name == "n2" {
-				d.Statements[i].Facts.Zone = "zone-z"
+				d.Statements[i].Metadata.Zone = "zone-z"
 			}
 		}
 		return true
--- a/internal/tenant/fleet.go
+++ b/internal/tenant/fleet.go
@@ -13,7 +13,7 @@
 )
 
 // PolicyKey is the record of the table that holds.
-const PolicyKey = quotarecord.Current
+const PolicyKey = quotarecord.CurrentKey
 
 // Listed is a fleet as the list service has it: the policy's table on record and the
 // servers on the list.
