--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -71,8 +71,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
-		p.Run(ctx, tenant.Duty, func(ctx context.Context, fence lease.Token) error {
-			c := tenant.Conductor{Store: &tenant.Records{List: k, Fence: fence}, Fleet: tenant.Listed{List: k}, Every: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler), HashTree: hashTree}
+		p.Run(ctx, tenant.LeaseName, func(ctx context.Context, fence lease.Token) error {
+			c := tenant.Controller{Store: &tenant.Records{Registry: k, Token: fence}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler), HashTree: hashTree}
 			return c.Run(ctx)
 		})
 		return p.Close(time.Second)
@@ -158,13 +158,13 @@
 // order has the conductor do something, and returns once it is done everywhere.
 func (f *bookFleet) order(do, name, form string) {
 	f.t.Helper()
-	o := tenant.Order{ID: fmt.Sprint(time.Now().UnixNano()), Do: do, Who: "the test"}
+	o := tenant.Order{ID: fmt.Sprint(time.Now().UnixNano()), Op: do, Operator: "the test"}
 	if form != "" {
-		if err := json.Unmarshal([]byte(form), &o.Form); err != nil {
+		if err := json.Unmarshal([]byte(form), &o.Spec); err != nil {
 			f.t.Fatal(err)
 		}
 	}
-	if placed, err := tenant.Place(f.t.Context(), f.k, name, o); !placed || err != nil {
+	if placed, err := tenant.SubmitOrder(f.t.Context(), f.k, name, o); !placed || err != nil {
 		f.t.Fatal(placed, err)
 	}
 	labtest.Await(f.t, do+" "+name, func() bool {
@@ -172,10 +172,10 @@
 		if err != nil {
 			return false
 		}
-		for _, one := range tenant.Standings(s, nil) {
+		for _, one := range tenant.AllProgress(s, nil) {
 			if out, done := one.Outcome(o.ID); one.Name == name && done {
-				if out.Why != "" {
-					f.t.Fatalf("%s %s: %s", do, name, out.Why)
+				if out.Reason != "" {
+					f.t.Fatalf("%s %s: %s", do, name, out.Reason)
 				}
 				return true
 			}
--- a/cmd/wrenspread-proxy/tenants_test.go
+++ b/cmd/wrenspread-proxy/tenants_test.go
@@ -27,7 +27,7 @@
 		}
 		next = next || latter
 	}, "k", "b", "c")
-	f.order(tenant.Change, "k", kalahari(`"a","c"`, "z2"))
+	f.order(tenant.OrderChange, "k", kalahari(`"a","c"`, "z2"))
 	labtest.Await(t, "the change everywhere", f.all("k", "c", "200 z2"))
 	stop()
 }
@@ -53,8 +53,8 @@
 		f.lay(name)
 		f.start(name).waitReady(t)
 	}
-	f.order(tenant.Add, "k", kalahari(`"a","b"`, "z1"))
-	f.order(tenant.Add, "l", `{"names":["l"],"classes":["a"],"quotas":[{"limit":"book/l:repeats"}],"routes":[{}]}`)
+	f.order(tenant.OrderAdd, "k", kalahari(`"a","b"`, "z1"))
+	f.order(tenant.OrderAdd, "l", `{"names":["l"],"classes":["a"],"quotas":[{"limit":"book/l:repeats"}],"routes":[{}]}`)
 	if n0, n1 := f.knows("n0"), f.knows("n1"); len(n0) != 0 || !slices.Equal(n1, []string{"k", "l"}) {
 		t.Errorf("before the first request they know %v and %v", n0, n1)
 	}
@@ -80,7 +80,7 @@
 	}
 	f.heal("n0")
 	labtest.Await(t, "n0 to serve l", func() bool { return strings.HasPrefix(f.says("n0", "l", "a"), "200") })
-	f.order(tenant.Remove, "k", "")
+	f.order(tenant.OrderRemove, "k", "")
 	labtest.Await(t, "the end of k", f.all("k", "a", "404"))
 }
 
@@ -114,7 +114,7 @@
 				t.Errorf("%s says %s, served before: %v", node, said, served)
 			}
 		}, "kal", "a")
-		f.order(tenant.Add, "k", kalahari(`"a","b"`, "z1"))
+		f.order(tenant.OrderAdd, "k", kalahari(`"a","b"`, "z1"))
 		for range 5 {
 			for node := range f.nodes {
 				if said := f.says(node, "k", "a"); said == "404" || said == "403" {
@@ -141,7 +141,7 @@
 				t.Errorf("%s says %s of a tenant that it knows", node, said)
 			}
 		}, "k", "a")
-		f.order(tenant.Add, "l", `{"names":["l"],"classes":["a"],"quotas":[{"limit":"book/l:repeats"}],"routes":[{}]}`)
+		f.order(tenant.OrderAdd, "l", `{"names":["l"],"classes":["a"],"quotas":[{"limit":"book/l:repeats"}],"routes":[{}]}`)
 		for node, want := range map[string]string{"n0": "200", "n1": "200", "n2": "503"} {
 			labtest.Await(t, node+" to say "+want, func() bool { return strings.HasPrefix(f.says(node, "l", "a"), want) })
 		}
@@ -155,7 +155,7 @@
 	})
 
 	t.Run("what is removed is gone", func(t *testing.T) {
-		f.order(tenant.Remove, "k", "")
+		f.order(tenant.OrderRemove, "k", "")
 		labtest.Await(t, "the end of k", f.all("k", "a", "404"))
 	})
 
@@ -190,7 +190,7 @@
 		former.Process.Signal(syscall.SIGTERM)
 		former.waitEnd(t)
 		stop()
-		f.order(tenant.Suspend, "l", "") // which waits for all on the book
+		f.order(tenant.OrderSuspend, "l", "") // which waits for all on the book
 		labtest.Await(t, "the new process to refuse l", f.all("l", "a", "403"))
 	})
 
@@ -199,8 +199,8 @@
 		c.Process.Signal(syscall.SIGTERM)
 		c.waitEnd(t)
 		s, err := tenant.ReadStored(t.Context(), f.k)
-		if err != nil || slices.ContainsFunc(s.Book.Members, func(m tenant.Member) bool { return m.Name == "n0" }) {
-			t.Errorf("%v: the book has %v", err, s.Book.Members)
+		if err != nil || slices.ContainsFunc(s.Members.Members, func(m tenant.Member) bool { return m.Name == "n0" }) {
+			t.Errorf("%v: the book has %v", err, s.Members.Members)
 		}
 	})
 }
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -123,9 +123,9 @@
 		}
 		return policy.KnownOf(s), nil
 	}
-	k := policy.Known{Sites: in.Sites, Books: in.Books, Pods: in.Pods}
+	k := policy.Known{Sites: in.Sites, Tenants: in.Books, Cells: in.Pods}
 	for _, c := range in.Classes {
-		k.Classes = append(k.Classes, policy.Class{Name: c.Name, Worth: c.Worth, Work: time.Duration(c.Work * float64(time.Millisecond))})
+		k.Classes = append(k.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Worth, Work: time.Duration(c.Work * float64(time.Millisecond))})
 	}
 	return k, nil
 }
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -33,11 +33,11 @@
 	f.add(c)
 	c.AddCommand(f.planRelease(), f.startRelease(), f.releaseStatus(), f.releaseHistory(), f.conduct())
 	for order, short := range map[string]string{
-		release.OrderPause:  "begin nothing new until it is resumed; what is out comes back",
-		release.OrderResume: "go on after a pause or a halt",
-		release.OrderSkip:   "pass over the rest of this wave's soak, and its gate",
-		release.OrderAbort:  "end it; what is released stays so, what is out comes back",
-		release.OrderBack:   "take what is released back to the former version",
+		release.OrderPause:    "begin nothing new until it is resumed; what is out comes back",
+		release.OrderResume:   "go on after a pause or a halt",
+		release.OrderSkip:     "pass over the rest of this wave's soak, and its gate",
+		release.OrderAbort:    "end it; what is released stays so, what is out comes back",
+		release.OrderRollBack: "take what is released back to the former version",
 	} {
 		c.AddCommand(f.orderRelease(order, short))
 	}
@@ -70,7 +70,7 @@
 			plan := s.Plan
 			return f.print(c.OutOrStdout(), s.Waves(), func(t *tabwriter.Writer) {
 				fmt.Fprintf(t, "%s: %d servers from %s to %s, %d out at once, %v of soak after each wave, at a halt: %s\n\nWAVE\tSERVERS\tNAMES\n",
-					plan.Name, len(s.Targets), plan.From, plan.To, plan.Limits.Out, plan.Soak, plan.Halt)
+					plan.Name, len(s.Targets), plan.From, plan.To, plan.Limits.Total, plan.Soak, plan.Halt)
 				for i, names := range s.Waves() {
 					fmt.Fprintf(t, "%d\t%d\t%s\n", i+1, len(names), strings.Join(names, " "))
 				}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := release.Begin(plan, targets)
+	s, err := release.NewForPlan(plan, targets)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -101,11 +101,11 @@
 
 // targetsOf gives all servers, or all nodes, that a plan could be about.
 func targetsOf(ctx context.Context, k *client.Client, plan release.Plan) ([]release.Target, error) {
-	if plan.Program() {
-		return release.NodesOf(ctx, k, &http.Client{Timeout: callTime})
+	if plan.IsForProxies() {
+		return release.ProxyTargets(ctx, k, &http.Client{Timeout: callTime})
 	}
 	a, err := k.Current(ctx)
-	return release.Listed(a.Endpoints), err
+	return release.TargetsOf(a.Endpoints), err
 }
 
 func (f *listFlags) startRelease() *cobra.Command {
@@ -175,7 +175,7 @@
 		fmt.Fprintln(t, "RELEASE\tPHASE\tWAVE\tRELEASED\tOUT\tWHY")
 		for _, s := range states {
 			released, out := s.Count()
-			fmt.Fprintf(t, "%s\t%s\t%d of %d\t%d of %d\t%d\t%s\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), out, cmp.Or(s.Why, "-"))
+			fmt.Fprintf(t, "%s\t%s\t%d of %d\t%d of %d\t%d\t%s\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), out, cmp.Or(s.HaltReason, "-"))
 		}
 	})
 }
@@ -183,12 +183,12 @@
 func oneRelease(t *tabwriter.Writer, s *release.State) {
 	released, out := s.Count()
 	fmt.Fprintf(t, "%s: %s, wave %d of %d, %d of %d servers in %s, %d out\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), s.Plan.To, out)
-	if s.Why != "" {
-		fmt.Fprintf(t, "why: %s\n", s.Why)
+	if s.HaltReason != "" {
+		fmt.Fprintf(t, "why: %s\n", s.HaltReason)
 	}
 	fmt.Fprintln(t, "\nSERVER\tZONE\tVERSION\tSTEP\tTROUBLE")
 	for _, one := range s.Targets {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", one.Name, cmp.Or(one.Zone, "-"), one.Version, one.Step, cmp.Or(one.Why, "-"))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", one.Name, cmp.Or(one.Zone, "-"), one.Version, one.Step, cmp.Or(one.Reason, "-"))
 	}
 }
 
@@ -205,7 +205,7 @@
 			}
 			return f.print(c.OutOrStdout(), s.History, func(t *tabwriter.Writer) {
 				for _, n := range s.History {
-					fmt.Fprintf(t, "%v\t%s\n", n.At.Round(time.Millisecond), n.What)
+					fmt.Fprintf(t, "%v\t%s\n", n.At.Round(time.Millisecond), n.Text)
 				}
 			})
 		}),
@@ -223,7 +223,7 @@
 			if _, err := release.Read(ctx, k, args[0]); err != nil {
 				return err
 			}
-			if err := release.Tell(ctx, k, args[0], order, who, fmt.Sprintf("%s-%d", who, time.Now().UnixNano())); err != nil {
+			if err := release.SubmitOrder(ctx, k, args[0], order, who, fmt.Sprintf("%s-%d", who, time.Now().UnixNano())); err != nil {
 				return err
 			}
 			fmt.Fprintln(c.OutOrStdout(), "left for the conductor; \"wrenspreadctl release history\" tells what it did")
@@ -236,10 +236,10 @@
 
 // conductorConfig is what a conductor is told.
 type conductorConfig struct {
-	Process string         `koanf:"process"`
-	Every   time.Duration  `koanf:"every"` // between two looks
-	Grace   time.Duration  `koanf:"grace"` // for what nodes hold at a server that is in maintenance
-	Nodes   []release.Node `koanf:"node"`
+	Process string          `koanf:"process"`
+	Every   time.Duration   `koanf:"every"` // between two looks
+	Grace   time.Duration   `koanf:"grace"` // for what nodes hold at a server that is in maintenance
+	Nodes   []release.Proxy `koanf:"node"`
 }
 
 func (f *listFlags) conduct() *cobra.Command {
@@ -286,16 +286,16 @@
 		return err
 	}
 	h := &http.Client{Timeout: callTime}
-	err = p.Run(c.Context(), release.Duty(name), func(ctx context.Context, fenced lease.Token) error {
+	err = p.Run(c.Context(), release.LeaseName(name), func(ctx context.Context, fenced lease.Token) error {
 		s, err := release.Read(ctx, k, name)
 		if err != nil {
 			return err
 		}
-		var fleet release.Fleet = &release.Servers{List: k, Fence: fenced, Nodes: config.Nodes, HTTP: h, Grace: config.Grace}
-		if s.Plan.Program() {
-			fleet = &release.Programs{List: k, Fence: fenced, HTTP: h}
+		var fleet release.Executor = &release.ServerExecutor{Registry: k, Token: fenced, Proxies: config.Nodes, HTTP: h, Grace: config.Grace}
+		if s.Plan.IsForProxies() {
+			fleet = &release.ProxyExecutor{Registry: k, Token: fenced, HTTP: h}
 		}
-		conductor := &release.Conductor{Store: release.Records{List: k, Fence: fenced, Name: name}, Fleet: fleet, Every: config.Every, Log: log}
+		conductor := &release.Controller{Store: release.Records{Registry: k, Token: fenced, Name: name}, Executor: fleet, Interval: config.Every, Log: log}
 		return conductor.Run(ctx)
 	})
 	if errors.Is(err, context.Canceled) {
--- a/cmd/wrenspreadctl/release_test.go
+++ b/cmd/wrenspreadctl/release_test.go
@@ -205,7 +205,7 @@
 	}
 	s.ctl("release", "start", s.plan("worse", "v2", "bad"))
 	s.conduct("worse", "a")
-	s.await("worse", "the way back", func(r *release.State) bool { return r.Phase == release.Returned })
+	s.await("worse", "the way back", func(r *release.State) bool { return r.Phase == release.RolledBack })
 	if out := s.ctl("release", "history", "worse"); !strings.Contains(out, "the gate of wave 1 failed") {
 		t.Errorf("the history is %s", out)
 	}
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -34,12 +34,12 @@
 	f.wait = time.Minute
 	c.PersistentFlags().Lookup("wait").DefValue = f.wait.String()
 	c.AddCommand(
-		f.orderTenant(tenant.Add, "NAME FILE", "bring a tenant in; FILE is its form in JSON", formExample),
-		f.orderTenant(tenant.Change, "NAME FILE", "give a tenant another form, on all nodes or on none", ""),
-		f.orderTenant(tenant.Suspend, "NAME", "have all nodes refuse a tenant's requests", ""),
-		f.orderTenant(tenant.Resume, "NAME", "serve a suspended tenant again", ""),
-		f.orderTenant(tenant.Remove, "NAME", "refuse a tenant, let what is open end, and free its quotas", ""),
-		f.orderTenant(tenant.Forget, "NODE", "vouch that a node that is gone serves nothing any more, so that nobody waits for it", ""),
+		f.orderTenant(tenant.OrderAdd, "NAME FILE", "bring a tenant in; FILE is its form in JSON", formExample),
+		f.orderTenant(tenant.OrderChange, "NAME FILE", "give a tenant another form, on all nodes or on none", ""),
+		f.orderTenant(tenant.OrderSuspend, "NAME", "have all nodes refuse a tenant's requests", ""),
+		f.orderTenant(tenant.OrderResume, "NAME", "serve a suspended tenant again", ""),
+		f.orderTenant(tenant.OrderRemove, "NAME", "refuse a tenant, let what is open end, and free its quotas", ""),
+		f.orderTenant(tenant.OrderForgetMember, "NODE", "vouch that a node that is gone serves nothing any more, so that nobody waits for it", ""),
 		f.tenantStatus(), f.conductTenants())
 	return c
 }
@@ -60,16 +60,16 @@
 				return err
 			}
 			who := cmp.Or(os.Getenv("USER"), "an operator")
-			o := tenant.Order{ID: fmt.Sprintf("%s-%d", who, time.Now().UnixNano()), Do: do, Who: who}
+			o := tenant.Order{ID: fmt.Sprintf("%s-%d", who, time.Now().UnixNano()), Op: do, Operator: who}
 			if len(args) > 1 {
 				raw, err := os.ReadFile(args[1])
 				if err != nil {
 					return err
 				}
-				if err := json.Unmarshal(raw, &o.Form); err != nil {
+				if err := json.Unmarshal(raw, &o.Spec); err != nil {
 					return fmt.Errorf("%s: %w", args[1], err)
 				}
-				if err := o.Form.Check(); err != nil {
+				if err := o.Spec.Check(); err != nil {
 					return fmt.Errorf("%s: %w", args[1], err)
 				}
 			}
@@ -83,7 +83,7 @@
 // await places an order once no other waits, and follows it to its end.
 func (f *listFlags) await(ctx context.Context, c *cobra.Command, k *client.Client, name string, o tenant.Order) error {
 	for {
-		placed, err := tenant.Place(ctx, k, name, o)
+		placed, err := tenant.SubmitOrder(ctx, k, name, o)
 		if err != nil {
 			return err
 		}
@@ -98,53 +98,53 @@
 	for {
 		done, now, err := came(ctx, k, name, o)
 		if err == nil && done {
-			fmt.Fprintf(c.OutOrStdout(), "%s: %s is done\n", name, o.Do)
+			fmt.Fprintf(c.OutOrStdout(), "%s: %s is done\n", name, o.Op)
 			return nil
 		}
 		if err != nil && ctx.Err() == nil {
 			return err
 		}
 		if where = cmp.Or(now, where); !backoff.Sleep(ctx, lookEvery) {
-			return fmt.Errorf("%s: %s is not done after %v and goes on: %s", name, o.Do, f.wait, where)
+			return fmt.Errorf("%s: %s is not done after %v and goes on: %s", name, o.Op, f.wait, where)
 		}
 	}
 }
 
 // came tells whether an order is done, or where it stands; one that was not followed is an error.
 func came(ctx context.Context, k *client.Client, name string, o tenant.Order) (done bool, where string, err error) {
-	if o.Do == tenant.Forget {
-		waits, err := tenant.Waiting(ctx, k, name, o)
+	if o.Op == tenant.OrderForgetMember {
+		waits, err := tenant.OrderPending(ctx, k, name, o)
 		return !waits, "", err
 	}
-	s, there, err := tenant.ReadStanding(ctx, k, name)
+	s, there, err := tenant.ReadProgress(ctx, k, name)
 	if err != nil || !there {
 		return false, "", err
 	}
-	if out, over := s.Outcome(o.ID); over && out.Why != "" {
-		return false, "", errors.New(out.Why)
+	if out, over := s.Outcome(o.ID); over && out.Reason != "" {
+		return false, "", errors.New(out.Reason)
 	} else if over {
 		return true, "", nil
 	}
 	return false, standing(s), nil
 }
 
-func standing(s tenant.Standing) string {
+func standing(s tenant.Progress) string {
 	where := string(s.State)
 	if !s.Published {
 		where += ", nodes are not told yet"
-	} else if len(s.Waits) > 0 {
-		where += ", waits for " + strings.Join(s.Waits, ", ")
+	} else if len(s.WaitingFor) > 0 {
+		where += ", waits for " + strings.Join(s.WaitingFor, ", ")
 	}
 	return where
 }
 
-func standings(ctx context.Context, k *client.Client) ([]tenant.Standing, error) {
+func standings(ctx context.Context, k *client.Client) ([]tenant.Progress, error) {
 	s, err := tenant.ReadStored(ctx, k)
 	if err != nil {
 		return nil, err
 	}
 	sessions, err := tenant.ReadSessions(ctx, k)
-	return tenant.Standings(s, sessions), err
+	return tenant.AllProgress(s, sessions), err
 }
 
 func (f *listFlags) tenantStatus() *cobra.Command {
@@ -159,7 +159,7 @@
 				return err
 			}
 			if len(args) == 1 {
-				if all = slices.DeleteFunc(all, func(s tenant.Standing) bool { return s.Name != args[0] }); len(all) == 0 {
+				if all = slices.DeleteFunc(all, func(s tenant.Progress) bool { return s.Name != args[0] }); len(all) == 0 {
 					return fmt.Errorf("there is no tenant %s", args[0])
 				}
 			}
@@ -167,8 +167,8 @@
 				fmt.Fprintln(t, "TENANT\tSTANDS\tCATALOGUE\tLAST ORDER")
 				for _, s := range all {
 					last := "-"
-					if n := len(s.Done); n > 0 {
-						last = cmp.Or(s.Done[n-1].Why, "done")
+					if n := len(s.Outcomes); n > 0 {
+						last = cmp.Or(s.Outcomes[n-1].Reason, "done")
 					}
 					fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", s.Name, standing(s), s.Number, last)
 				}
@@ -198,8 +198,8 @@
 			if err != nil {
 				return err
 			}
-			err = p.Run(c.Context(), tenant.Duty, func(ctx context.Context, fenced lease.Token) error {
-				conductor := tenant.Conductor{Store: &tenant.Records{List: k, Fence: fenced}, Fleet: tenant.Listed{List: k}, Every: lookEvery, Times: tenant.DefaultTimes(), Log: log, HashTree: hashTree}
+			err = p.Run(c.Context(), tenant.LeaseName, func(ctx context.Context, fenced lease.Token) error {
+				conductor := tenant.Controller{Store: &tenant.Records{Registry: k, Token: fenced}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: lookEvery, Times: tenant.DefaultTimes(), Log: log, HashTree: hashTree}
 				return conductor.Run(ctx)
 			})
 			if errors.Is(err, context.Canceled) {
--- a/cmd/wrenspreadctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -23,7 +23,7 @@
 // desk is a node as far as tenants go: the real Desk and Reader over the real service.
 type desk struct {
 	mu    sync.Mutex
-	core  *tenant.Desk
+	core  *tenant.Cache
 	now   *tenant.Catalogue
 	start time.Time
 }
@@ -32,22 +32,22 @@
 
 // runDesk has a node with a session, until the test ends; it reads and renews each 100 ms.
 func runDesk(t *testing.T, k *client.Client, name string) *desk {
-	d := &desk{core: tenant.NewDesk(uint64(time.Now().UnixMilli()), 0, false), start: time.Now()}
-	r := &tenant.Reader{List: k, Member: d.core.Member(name)}
-	s := registry.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Info: registry.ProcessInfo{Note: d.core.Word().Note()}}
+	d := &desk{core: tenant.NewCache(uint64(time.Now().UnixMilli()), 0, false), start: time.Now()}
+	r := &tenant.Reader{Source: k, Member: d.core.Member(name)}
+	s := registry.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Info: registry.ProcessInfo{Note: d.core.Status().Encode()}}
 	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
 		sent := d.clock()
 		if err := k.OpenSession(ctx, s); err != nil {
 			return err
 		}
-		d.handle(ctx, k, &s, tenant.Opened{Sent: sent, TTL: s.TTL})
-		d.handle(ctx, k, &s, tenant.Tables{Table: tenant.Table{Version: 1 << 40, Has: func(string) bool { return true }}})
+		d.handle(ctx, k, &s, tenant.SessionOpened{Sent: sent, TTL: s.TTL})
+		d.handle(ctx, k, &s, tenant.PolicyChanged{PolicyTable: tenant.PolicyTable{Version: 1 << 40, HasLimit: func(string) bool { return true }}})
 		for backoff.Sleep(ctx, 100*time.Millisecond) {
 			sent := d.clock()
 			if known, err := k.RenewSession(ctx, s.ID); err == nil {
-				d.handle(ctx, k, &s, tenant.Renewed{Sent: sent, Known: known})
+				d.handle(ctx, k, &s, tenant.SessionRenewed{Sent: sent, Known: known})
 			}
-			if read, err := r.Read(ctx, d.clock, d.core.Want()); err == nil {
+			if read, err := r.Read(ctx, d.clock, d.core.Wanted()); err == nil {
 				d.handle(ctx, k, &s, read)
 			}
 		}
@@ -59,24 +59,24 @@
 func (d *desk) handle(ctx context.Context, k *client.Client, s *registry.Session, event any) {
 	for _, a := range d.core.Handle(d.clock(), event) {
 		switch a := a.(type) {
-		case tenant.Swap:
+		case tenant.SwapCatalogue:
 			d.mu.Lock()
 			d.now = a.Catalogue
 			d.mu.Unlock()
-		case tenant.Tell:
-			s.Info.Note = a.Word.Note()
+		case tenant.TellStatus:
+			s.Info.Note = a.Status.Encode()
 			k.OpenSession(ctx, *s) // the desk repeats a word while something moves
 		}
 	}
 }
 
-func (d *desk) says(name, class string) tenant.Verdict {
+func (d *desk) says(name, class string) tenant.DecisionKind {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.now == nil {
-		return tenant.Unsure
+		return tenant.Unavailable
 	}
-	return d.now.Answer(d.clock(), name, class, "").Verdict
+	return d.now.Decide(d.clock(), name, class, "").Kind
 }
 
 // TestTenants: operators bring tenants in, change and remove them on two nodes, over a
@@ -99,8 +99,8 @@
 			if err != nil {
 				return err
 			}
-			p.Run(ctx, tenant.Duty, func(ctx context.Context, f lease.Token) error {
-				c := tenant.Conductor{Store: &tenant.Records{List: k, Fence: f}, Fleet: tenant.Listed{List: k}, Every: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
+			p.Run(ctx, tenant.LeaseName, func(ctx context.Context, f lease.Token) error {
+				c := tenant.Controller{Store: &tenant.Records{Registry: k, Token: f}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
 				return c.Run(ctx)
 			})
 			return p.Close(time.Second)
@@ -129,22 +129,22 @@
 			t.Fatalf("%v: %s, want %q", args, got, want)
 		}
 	}
-	await := func(verdict tenant.Verdict) {
+	await := func(verdict tenant.DecisionKind) {
 		t.Helper()
 		for _, n := range nodes {
 			labtest.Await(t, verdict.String(), func() bool { return n.says("k", "c") == verdict })
 		}
 	}
 	order("done", "add", "k", file("k", "book/k", "a"))
-	await(tenant.Served)
+	await(tenant.Routed)
 	order("come to 12, of 10", "add", "l", file("l", "book/l", "b"))
 	order("has 0 boxes", "change", "k", file("k", "book/k", "z"))
 	stop()
 	order("done", "suspend", "k")
-	await(tenant.Declined)
+	await(tenant.Forbidden)
 	order("suspended", "status", "k")
 	order("done", "remove", "k")
-	await(tenant.Unknown)
+	await(tenant.NotFound)
 	order("tombstone", "add", "k", file("k", "book/k", "a"))
 	order("done", "add", "l", file("l", "book/l", "b"))
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,21 +21,21 @@
 )
 
 const (
-	callTime  = 5 * time.Second
-	writeTime = 10 * time.Second // for one write to the list
-	renewPart = 3                // of a TTL between two renewals
-	maxWants  = 1 << 20
+	callTimeout    = 5 * time.Second
+	writeTimeout   = 10 * time.Second // for one write to the list
+	renewalsPerTTL = 3                // of a TTL between two renewals
+	maxDesiredFile = 1 << 20
 )
 
 // agent is one machine's agent at work.
 type agent struct {
-	c       Config
-	log     *slog.Logger
-	list    *client.Client
-	guard   *fencing.Guard
-	keeps   map[string]*keeping
-	mu      sync.Mutex // of the file of orders
-	address string
+	config      Config
+	log         *slog.Logger
+	registry    *client.Client
+	guard       *fencing.Guard
+	supervisors map[string]*supervisor
+	mu          sync.Mutex // of the file of orders
+	address     string
 }
 
 // Run keeps the machine's servers until ctx ends. They outlive it: the next agent
@@ -44,16 +44,16 @@
 	if err := c.Check(); err != nil {
 		return err
 	}
-	a := &agent{c: c, log: log, keeps: map[string]*keeping{}}
+	a := &agent{config: c, log: log, supervisors: map[string]*supervisor{}}
 	var err error
-	if a.list, err = client.New(client.Config{Addresses: c.List}); err != nil {
+	if a.registry, err = client.New(client.Config{Addresses: c.List}); err != nil {
 		return err
 	}
-	defer a.list.Close()
+	defer a.registry.Close()
 	if a.guard, err = fencing.Open(c.Folder); err != nil {
 		return err
 	}
-	wants, err := a.wants()
+	wants, err := a.loadDesired()
 	if err != nil {
 		return err
 	}
@@ -75,20 +75,20 @@
 		defer out.Close()
 		o, ok := wants[s.Name]
 		if !ok {
-			o = Order{Version: s.Version}
+			o = DesiredState{Version: s.Version}
 		}
-		k := newKeeping(s, o.Version, filepath.Join(c.Folder, s.Name+".process"), out, log)
-		k.status.Quiet = o.Quiet
-		a.keeps[s.Name] = k
+		k := newSupervisor(s, o.Version, filepath.Join(c.Folder, s.Name+".process"), out, log)
+		k.status.KeepDraining = o.KeepDraining
+		a.supervisors[s.Name] = k
 	}
-	for _, k := range a.keeps {
+	for _, k := range a.supervisors {
 		tasks.Go(func() { k.run(ctx) })
-		if !k.s.Unlisted {
-			tasks.Go(func() { a.listed(ctx, k) })
+		if !k.server.Unlisted {
+			tasks.Go(func() { a.maintainEntry(ctx, k) })
 		}
 	}
-	tasks.Go(func() { a.announce(ctx) })
-	srv := &http.Server{Handler: a.routes(), ReadTimeout: callTime, WriteTimeout: callTime}
+	tasks.Go(func() { a.publishRecord(ctx) })
+	srv := &http.Server{Handler: a.routes(), ReadTimeout: callTimeout, WriteTimeout: callTimeout}
 	stop := context.AfterFunc(ctx, func() { srv.Close() })
 	defer stop()
 	log.Info("serving", "listen", ln.Addr().String(), "servers", len(c.Servers))
@@ -103,16 +103,16 @@
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("GET /servers", func(w http.ResponseWriter, _ *http.Request) {
 		all := []Status{}
-		for _, s := range a.c.Servers {
-			status, _ := a.keeps[s.Name].get()
+		for _, s := range a.config.Servers {
+			status, _ := a.supervisors[s.Name].current()
 			all = append(all, status)
 		}
-		answer(w, all)
+		writeJSON(w, all)
 	})
 	mux.HandleFunc("GET /servers/{name}", func(w http.ResponseWriter, r *http.Request) {
-		if k := a.keeps[r.PathValue("name")]; k != nil {
-			status, _ := k.get()
-			answer(w, status)
+		if k := a.supervisors[r.PathValue("name")]; k != nil {
+			status, _ := k.current()
+			writeJSON(w, status)
 			return
 		}
 		http.Error(w, "this agent keeps no "+r.PathValue("name"), http.StatusNotFound)
@@ -121,7 +121,7 @@
 	return mux
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v) // a caller that has left needs nothing
 }
@@ -129,7 +129,7 @@
 // order takes what a server is to be, from the present holder of a duty alone. It
 // is kept before it is carried out, and the same order twice has the effect of one.
 func (a *agent) order(w http.ResponseWriter, r *http.Request) {
-	k := a.keeps[r.PathValue("name")]
+	k := a.supervisors[r.PathValue("name")]
 	if k == nil {
 		http.Error(w, "this agent keeps no "+r.PathValue("name"), http.StatusNotFound)
 		return
@@ -139,7 +139,7 @@
 		return
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
-	var o Order
+	var o DesiredState
 	if err == nil {
 		err = json.Unmarshal(raw, &o)
 	}
@@ -154,21 +154,21 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	if err := a.keep(k.s.Name, o); err != nil {
+	if err := a.storeDesired(k.server.Name, o); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	k.want(o)
-	status, _ := k.get()
-	answer(w, status)
+	k.setDesired(o)
+	status, _ := k.current()
+	writeJSON(w, status)
 }
 
-func (a *agent) file() string { return filepath.Join(a.c.Folder, "orders") }
+func (a *agent) desiredFile() string { return filepath.Join(a.config.Folder, "orders") }
 
-// wants reads what the servers were last ordered to be.
-func (a *agent) wants() (map[string]Order, error) {
-	all := map[string]Order{}
-	raw, err := checksumfile.Read(a.file(), maxWants)
+// loadDesired reads what the servers were last ordered to be.
+func (a *agent) loadDesired() (map[string]DesiredState, error) {
+	all := map[string]DesiredState{}
+	raw, err := checksumfile.Read(a.desiredFile(), maxDesiredFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return all, nil
 	}
@@ -181,10 +181,10 @@
 	return all, nil
 }
 
-func (a *agent) keep(server string, o Order) error {
+func (a *agent) storeDesired(server string, o DesiredState) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	all, err := a.wants()
+	all, err := a.loadDesired()
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 	all[server] = o
 	raw, err := json.Marshal(all)
 	if err == nil {
-		err = checksumfile.Write(a.file(), raw)
+		err = checksumfile.Write(a.desiredFile(), raw)
 	}
 	if err != nil {
 		return fmt.Errorf("the order can't be kept: %w", err)
@@ -202,27 +202,33 @@
 	return nil
 }
 
-// listed keeps a server's entry as the server is: ready, draining while it is to be
+// maintainEntry keeps a server's entry as the server is: ready, draining while it is to be
 // quiet, and gone while it does not answer. The list drops it if this agent is lost.
-func (a *agent) listed(ctx context.Context, k *keeping) {
+func (a *agent) maintainEntry(ctx context.Context, k *supervisor) {
 	var has registry.Endpoint // as it was registered; without a name: it is not
 	var told time.Time
 	for ctx.Err() == nil {
-		status, changed := k.get()
-		want := a.entryOf(k, status)
+		status, changed := k.current()
+		want := a.endpointOf(k, status)
 		var err error
 		switch {
 		case want != has && want.Name != "":
-			if err = a.write(ctx, func(ctx context.Context) error { _, err := a.list.Register(ctx, want, a.c.TTL, nil); return err }); err == nil {
+			if err = a.writeWithTimeout(ctx, func(ctx context.Context) error {
+				_, err := a.registry.Register(ctx, want, a.config.TTL, nil)
+				return err
+			}); err == nil {
 				has, told = want, time.Now()
 			}
 		case want != has:
-			if err = a.write(ctx, func(ctx context.Context) error { _, err := a.list.Remove(ctx, k.s.Name, nil); return gone(err) }); err == nil {
+			if err = a.writeWithTimeout(ctx, func(ctx context.Context) error {
+				_, err := a.registry.Remove(ctx, k.server.Name, nil)
+				return ignoreNotFound(err)
+			}); err == nil {
 				has = want
 			}
-		case has.Name != "" && time.Since(told) >= a.c.TTL/renewPart:
-			err = a.write(ctx, func(ctx context.Context) error {
-				unknown, err := a.list.Renew(ctx, []string{k.s.Name})
+		case has.Name != "" && time.Since(told) >= a.config.TTL/renewalsPerTTL:
+			err = a.writeWithTimeout(ctx, func(ctx context.Context) error {
+				unknown, err := a.registry.Renew(ctx, []string{k.server.Name})
 				if len(unknown) > 0 {
 					has = registry.Endpoint{} // it is registered anew
 				}
@@ -231,9 +237,9 @@
 			told = time.Now()
 		}
 		if err != nil && ctx.Err() == nil {
-			a.log.Warn("the list does not take it", "server", k.s.Name, "err", err)
+			a.log.Warn("the list does not take it", "server", k.server.Name, "err", err)
 		}
-		t := time.NewTimer(a.c.TTL / (2 * renewPart))
+		t := time.NewTimer(a.config.TTL / (2 * renewalsPerTTL))
 		select {
 		case <-changed:
 		case <-t.C:
@@ -243,25 +249,25 @@
 	}
 }
 
-// entryOf is the entry that a server is to have; none while it does not answer.
-func (a *agent) entryOf(k *keeping, s Status) registry.Endpoint {
+// endpointOf is the entry that a server is to have; none while it does not answer.
+func (a *agent) endpointOf(k *supervisor, s Status) registry.Endpoint {
 	switch {
-	case s.Running && s.Quiet:
-		return k.s.entry(registry.Draining, s.Version, s.Since)
+	case s.Running && s.KeepDraining:
+		return k.server.entry(registry.Draining, s.Version, s.StartedAtMS)
 	case s.Ready:
-		return k.s.entry(registry.Ready, s.Version, s.Since)
+		return k.server.entry(registry.Ready, s.Version, s.StartedAtMS)
 	}
 	return registry.Endpoint{}
 }
 
-func (a *agent) write(ctx context.Context, do func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+func (a *agent) writeWithTimeout(ctx context.Context, do func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return do(ctx)
 }
 
-// gone takes an entry that is not there for one that was removed.
-func gone(err error) error {
+// ignoreNotFound takes an entry that is not there for one that was removed.
+func ignoreNotFound(err error) error {
 	var refused *client.Error
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return nil
@@ -269,16 +275,16 @@
 	return err
 }
 
-// announce keeps this agent's record in the list service, where releases look for it.
-func (a *agent) announce(ctx context.Context) {
-	card := Card{Machine: a.c.Machine, Address: a.address}
-	for _, s := range a.c.Servers {
+// publishRecord keeps this agent's record in the list service, where releases look for it.
+func (a *agent) publishRecord(ctx context.Context) {
+	card := Record{Machine: a.config.Machine, Address: a.address}
+	for _, s := range a.config.Servers {
 		card.Servers = append(card.Servers, s.Name)
 	}
 	raw, err := json.Marshal(card)
 	for err == nil && ctx.Err() == nil {
-		if e := a.write(ctx, func(ctx context.Context) error {
-			_, err := a.list.Put(ctx, RecordPrefix+a.c.Machine, raw, nil)
+		if e := a.writeWithTimeout(ctx, func(ctx context.Context) error {
+			_, err := a.registry.Put(ctx, RecordPrefix+a.config.Machine, raw, nil)
 			return err
 		}); e == nil {
 			return
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -64,7 +64,7 @@
 		s, _ := call.Status(ctx, c.Listen, "s") // an agent that is not there yet has none
 		return s
 	}
-	order := func(o Order, fence uint64) error {
+	order := func(o DesiredState, fence uint64) error {
 		_, err := call.Order(ctx, c.Listen, "s", o, registry.FencingToken{Lease: "release/x", Number: fence})
 		return err
 	}
@@ -77,25 +77,25 @@
 	first.signal(syscall.SIGKILL)
 	labtest.Await(t, "its next process", func() bool { s := status(); return s.Ready && s.Restarts == 1 })
 
-	if err := order(Order{Version: "v2", Quiet: true}, 5); err != nil {
+	if err := order(DesiredState{Version: "v2", KeepDraining: true}, 5); err != nil {
 		t.Fatal(err)
 	}
 	labtest.Await(t, "the second version", func() bool { s := status(); return s.Ready && s.Version == "v2" && listed() == "draining v2" })
-	if err := order(Order{Version: "v1"}, 4); err == nil || !strings.Contains(err.Error(), "another holds the duty") {
+	if err := order(DesiredState{Version: "v1"}, 4); err == nil || !strings.Contains(err.Error(), "another holds the duty") {
 		t.Errorf("an earlier holder's order: %v", err)
 	}
 	before := status()
 	stop()
 	stop = begin()
-	labtest.Await(t, "the same process with the next agent", func() bool { s := status(); return s.Ready && s.Since == before.Since && s.Version == "v2" })
-	if err := order(Order{Version: "v1"}, 4); err == nil {
+	labtest.Await(t, "the same process with the next agent", func() bool { s := status(); return s.Ready && s.StartedAtMS == before.StartedAtMS && s.Version == "v2" })
+	if err := order(DesiredState{Version: "v1"}, 4); err == nil {
 		t.Error("the next agent takes an earlier holder's order")
 	}
-	if err := order(Order{Version: "bad"}, 6); err != nil {
+	if err := order(DesiredState{Version: "bad"}, 6); err != nil {
 		t.Fatal(err)
 	}
 	labtest.Await(t, "the list without it", func() bool { return listed() == "nothing" && status().Restarts > 0 })
-	if err := order(Order{Version: "v1"}, 7); err != nil {
+	if err := order(DesiredState{Version: "v1"}, 7); err != nil {
 		t.Fatal(err)
 	}
 	labtest.Await(t, "the first version again", func() bool { return listed() == "ready v1" })
@@ -162,7 +162,7 @@
 	order := func(version string) {
 		t.Helper()
 		fence++
-		if _, err := call.Order(ctx, c.Listen, "n", Order{Version: version}, registry.FencingToken{Lease: "release/x", Number: fence}); err != nil {
+		if _, err := call.Order(ctx, c.Listen, "n", DesiredState{Version: version}, registry.FencingToken{Lease: "release/x", Number: fence}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -190,7 +190,7 @@
 		return s.Ready && s.Version == "v2" && s.Control == c.Servers[0].Control[1]
 	})
 	order("bad")
-	labtest.Await(t, "the refusal of one that ends", func() bool { s := status(); return s.Refused == "bad" && s.Version == "v2" })
+	labtest.Await(t, "the refusal of one that ends", func() bool { s := status(); return s.RejectedVersion == "bad" && s.Version == "v2" })
 	stop()
 	stop = begin()
 	labtest.Await(t, "the same process with the next agent", func() bool { s := status(); return s.Ready && s.Version == "v2" })
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -20,8 +20,8 @@
 // RecordPrefix begins the keys of agents' records in the list service.
 const RecordPrefix = "agent/"
 
-// Card is what an agent tells of itself in its record.
-type Card struct {
+// Record is what an agent tells of itself in its record.
+type Record struct {
 	Machine string   `json:"machine"`
 	Address string   `json:"address"` // where it takes calls
 	Servers []string `json:"servers"` // that it keeps
@@ -29,29 +29,29 @@
 
 // Status is a server as its agent sees it.
 type Status struct {
-	Name     string `json:"name"`
-	Zone     string `json:"zone"`
-	Type     string `json:"type"`
-	Group    int    `json:"group"`
-	Address  string `json:"address"`
-	Version  string `json:"version"`         // that its process has, or had last
-	Want     string `json:"want"`            // that it is to have
-	Running  bool   `json:"running"`         // its process is there
-	Ready    bool   `json:"ready"`           // it answers
-	Restarts int    `json:"restarts"`        // of this version, by itself
-	Why      string `json:"why,omitempty"`   // it is not ready
-	Since    int64  `json:"since_ms"`        // Unix time of the process's start
-	Quiet    bool   `json:"quiet,omitempty"` // it is not to be listed as ready: it is being replaced
+	Name          string `json:"name"`
+	Zone          string `json:"zone"`
+	Type          string `json:"type"`
+	Cell          int    `json:"group"`
+	Address       string `json:"address"`
+	Version       string `json:"version"`         // that its process has, or had last
+	WantedVersion string `json:"want"`            // that it is to have
+	Running       bool   `json:"running"`         // its process is there
+	Ready         bool   `json:"ready"`           // it answers
+	Restarts      int    `json:"restarts"`        // of this version, by itself
+	Reason        string `json:"why,omitempty"`   // it is not ready
+	StartedAtMS   int64  `json:"since_ms"`        // Unix time of the process's start
+	KeepDraining  bool   `json:"quiet,omitempty"` // it is not to be listed as ready: it is being replaced
 
-	Handover bool   `json:"handover,omitempty"` // its versions replace each other without an end in between
-	Control  string `json:"control,omitempty"`  // where operators call such a one
-	Refused  string `json:"refused,omitempty"`  // a version that did not get ready beside the one that runs, which stayed
+	Handover        bool   `json:"handover,omitempty"` // its versions replace each other without an end in between
+	Control         string `json:"control,omitempty"`  // where operators call such a one
+	RejectedVersion string `json:"refused,omitempty"`  // a version that did not get ready beside the one that runs, which stayed
 }
 
-// Order is what a server is to be.
-type Order struct {
-	Version string `json:"version"`
-	Quiet   bool   `json:"quiet"` // it stays draining in the list until an order without quiet
+// DesiredState is what a server is to be.
+type DesiredState struct {
+	Version      string `json:"version"`
+	KeepDraining bool   `json:"quiet"` // it stays draining in the list until an order without quiet
 }
 
 const maxCall = 64 << 10 // bytes of a call or an answer
@@ -71,7 +71,7 @@
 }
 
 // Order tells an agent what a server is to be, under a fence; it does not wait for it.
-func (c Caller) Order(ctx context.Context, address, server string, o Order, f registry.FencingToken) (Status, error) {
+func (c Caller) Order(ctx context.Context, address, server string, o DesiredState, f registry.FencingToken) (Status, error) {
 	var s Status
 	return s, c.call(ctx, http.MethodPut, address, server, o, &f, &s)
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -26,7 +26,7 @@
 	Address string        `koanf:"address"` // where nodes reach it
 	Zone    string        `koanf:"zone"`
 	Type    string        `koanf:"type"`
-	Group   int           `koanf:"group"`
+	Cell    int           `koanf:"group"`
 	Weight  float64       `koanf:"weight"`
 	Version string        `koanf:"version"` // with which it begins on an empty folder
 	Command []string      `koanf:"command"`
@@ -47,7 +47,7 @@
 
 const (
 	defaultGrace = 10 * time.Second
-	mostServers  = 200 // on one machine
+	maxServers   = 200 // on one machine
 	versionMark  = "{version}"
 )
 
@@ -66,7 +66,7 @@
 		address("list", a)
 	}
 	bad(c.TTL >= registry.MinTTL && c.TTL <= registry.MaxTTL, "ttl: %v is not between %v and %v", c.TTL, registry.MinTTL, registry.MaxTTL)
-	bad(len(c.Servers) >= 1 && len(c.Servers) <= mostServers, "server: there are %d, want 1 to %d", len(c.Servers), mostServers)
+	bad(len(c.Servers) >= 1 && len(c.Servers) <= maxServers, "server: there are %d, want 1 to %d", len(c.Servers), maxServers)
 	names := map[string]bool{}
 	for _, s := range c.Servers {
 		bad(s.Name != "" && len(s.Name) <= registry.MaxText && !names[s.Name], "server: name %q is missing, too long or there twice", s.Name)
@@ -102,5 +102,5 @@
 
 // entry is the server's entry in the list.
 func (s Server) entry(status, version string, since int64) registry.Endpoint {
-	return registry.Endpoint{Name: s.Name, Address: s.Address, Zone: s.Zone, Type: s.Type, Cell: s.Group, Weight: s.Weight, Status: status, StartedAtMS: since, Version: version}
+	return registry.Endpoint{Name: s.Name, Address: s.Address, Zone: s.Zone, Type: s.Type, Cell: s.Cell, Weight: s.Weight, Status: status, StartedAtMS: since, Version: version}
 }
--- a/internal/agent/keep.go
+++ b/internal/agent/keep.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	firstRest = 500 * time.Millisecond // before a process that ended by itself is started again; it doubles
-	mostRest  = 30 * time.Second
-	steady    = time.Minute // one that ran so long has its rest begin anew
-	readyLook = 200 * time.Millisecond
-	readyTime = 2 * time.Second // for one look
+	minRestartBackoff = 500 * time.Millisecond // before a process that ended by itself is started again; it doubles
+	maxRestartBackoff = 30 * time.Second
+	stableRunTime     = time.Minute // one that ran so long has its rest begin anew
+	readyInterval     = 200 * time.Millisecond
+	readyTimeout      = 2 * time.Second // for one look
 )
 
-// keeping keeps one server's process: the version that is wanted, started again
+// supervisor keeps one server's process: the version that is wanted, started again
 // when it ends by itself, replaced when another version is wanted.
-type keeping struct {
-	s      Server
-	log    *slog.Logger
-	out    *os.File // of its processes
-	trace  string   // the file for a process's trace
-	http   *http.Client
-	socket *os.File // of the clients, where versions hand over; nil: not had yet
+type supervisor struct {
+	server     Server
+	log        *slog.Logger
+	output     *os.File // of its processes
+	recordFile string   // the file for a process's trace
+	http       *http.Client
+	socket     *os.File // of the clients, where versions hand over; nil: not had yet
 
 	mu      sync.Mutex
 	status  Status
@@ -39,21 +39,21 @@
 	wake    chan struct{} // a version may be wanted
 }
 
-func newKeeping(s Server, version, trace string, out *os.File, log *slog.Logger) *keeping {
-	return &keeping{s: s, log: log.With("server", s.Name), trace: trace, out: out, changed: make(chan struct{}), wake: make(chan struct{}, 1),
-		http: &http.Client{Timeout: readyTime, Transport: &http.Transport{DisableKeepAlives: true}},
-		status: Status{Name: s.Name, Zone: s.Zone, Type: s.Type, Group: s.Group, Address: s.Address, Handover: s.Handover, Want: version, Version: version,
-			Why: "it has not been started"}}
+func newSupervisor(s Server, version, trace string, out *os.File, log *slog.Logger) *supervisor {
+	return &supervisor{server: s, log: log.With("server", s.Name), recordFile: trace, output: out, changed: make(chan struct{}), wake: make(chan struct{}, 1),
+		http: &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		status: Status{Name: s.Name, Zone: s.Zone, Type: s.Type, Cell: s.Cell, Address: s.Address, Handover: s.Handover, WantedVersion: version, Version: version,
+			Reason: "it has not been started"}}
 }
 
 // Status is the server as it is now, and a channel that is closed when that changes.
-func (k *keeping) get() (Status, <-chan struct{}) {
+func (k *supervisor) current() (Status, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.status, k.changed
 }
 
-func (k *keeping) set(change func(*Status)) {
+func (k *supervisor) updateStatus(change func(*Status)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := k.status
@@ -63,9 +63,9 @@
 	}
 }
 
-// want has another version run, or the same go on.
-func (k *keeping) want(o Order) {
-	k.set(func(s *Status) { s.Want, s.Quiet = o.Version, o.Quiet })
+// setDesired has another version run, or the same go on.
+func (k *supervisor) setDesired(o DesiredState) {
+	k.updateStatus(func(s *Status) { s.WantedVersion, s.KeepDraining = o.Version, o.KeepDraining })
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -73,33 +73,33 @@
 }
 
 // run keeps the process until ctx ends. The process goes on then.
-func (k *keeping) run(ctx context.Context) {
-	rest := firstRest
+func (k *supervisor) run(ctx context.Context) {
+	rest := minRestartBackoff
 	for ctx.Err() == nil {
-		status, _ := k.get()
-		version := status.Want
-		if version == status.Refused {
+		status, _ := k.current()
+		version := status.WantedVersion
+		if version == status.RejectedVersion {
 			version = status.Version // that ran, and ended since
 		}
 		began := time.Now()
-		told, err := k.once(ctx, version)
+		told, err := k.runProcess(ctx, version)
 		if ctx.Err() != nil || told {
-			rest = firstRest
-			k.set(func(s *Status) { s.Restarts = 0 })
+			rest = minRestartBackoff
+			k.updateStatus(func(s *Status) { s.Restarts = 0 })
 			continue
 		}
 		k.log.Error("its process ended by itself", "version", version, "after", time.Since(began), "err", err)
-		k.set(func(s *Status) { s.Restarts, s.Why = s.Restarts+1, fmt.Sprintf("its process ended: %v", err) })
-		if time.Since(began) > steady {
-			rest = firstRest
+		k.updateStatus(func(s *Status) { s.Restarts, s.Reason = s.Restarts+1, fmt.Sprintf("its process ended: %v", err) })
+		if time.Since(began) > stableRunTime {
+			rest = minRestartBackoff
 		}
 		k.sleep(ctx, rest)
-		rest = min(2*rest, mostRest)
+		rest = min(2*rest, maxRestartBackoff)
 	}
 }
 
 // sleep waits, or until another version is wanted.
-func (k *keeping) sleep(ctx context.Context, d time.Duration) {
+func (k *supervisor) sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -109,38 +109,38 @@
 	}
 }
 
-// once runs one process to its end: its own, or the one that it is told to come to.
+// runProcess runs one process to its end: its own, or the one that it is told to come to.
 // At the end of the agent it is left running, for the agent's successor.
-func (k *keeping) once(ctx context.Context, version string) (told bool, err error) {
-	p, err := k.begin(version)
+func (k *supervisor) runProcess(ctx context.Context, version string) (told bool, err error) {
+	p, err := k.adoptOrStart(version)
 	if err != nil {
 		return false, err
 	}
 	defer func() { p.close() }()
-	k.show(p)
+	k.publishProcess(p)
 	looking, stop := context.WithCancel(ctx)
 	defer func() { stop() }()
 	var looks sync.WaitGroup
-	looks.Go(func() { k.look(looking, p.Control) })
+	looks.Go(func() { k.checkReadiness(looking, p.ControlIndex) })
 	for over := false; !over; {
-		if s, _ := k.get(); s.Want != p.Version && k.s.Handover {
-			if s.Want != s.Refused {
-				if next := k.upgrade(ctx, p, s.Want); next != nil {
+		if s, _ := k.current(); s.WantedVersion != p.Version && k.server.Handover {
+			if s.WantedVersion != s.RejectedVersion {
+				if next := k.upgrade(ctx, p, s.WantedVersion); next != nil {
 					stop()
 					looks.Wait()
-					k.end(p) // it lets go by itself; its end is no error of the one that goes on
+					k.stopProcess(p) // it lets go by itself; its end is no error of the one that goes on
 					p.close()
 					p = next
-					k.show(p)
+					k.publishProcess(p)
 					looking, stop = context.WithCancel(ctx)
-					looks.Go(func() { k.look(looking, p.Control) })
+					looks.Go(func() { k.checkReadiness(looking, p.ControlIndex) })
 				}
 				continue
 			}
-		} else if s.Want != p.Version {
+		} else if s.WantedVersion != p.Version {
 			stop()
 			looks.Wait()
-			told, err = true, k.end(p)
+			told, err = true, k.stopProcess(p)
 			break
 		}
 		select {
@@ -154,102 +154,102 @@
 	stop()
 	looks.Wait()
 	if ctx.Err() == nil {
-		k.set(func(s *Status) { s.Running, s.Ready, s.Why = false, false, "its process has ended" })
+		k.updateStatus(func(s *Status) { s.Running, s.Ready, s.Reason = false, false, "its process has ended" })
 	}
 	return told, err
 }
 
-// begin takes up the process that an earlier agent left, or starts one.
-func (k *keeping) begin(version string) (*process, error) {
-	p, err := adopt(k.trace)
+// adoptOrStart takes up the process that an earlier agent left, or starts one.
+func (k *supervisor) adoptOrStart(version string) (*process, error) {
+	p, err := adopt(k.recordFile)
 	if err != nil {
 		k.log.Warn("an earlier process is not taken up", "err", err)
 	}
 	if p != nil {
-		k.log.Info("taken up", "version", p.Version, "pid", p.Pid)
+		k.log.Info("taken up", "version", p.Version, "pid", p.PID)
 		return p, nil
 	}
-	return k.start(nil, version, 0, k.trace)
+	return k.start(nil, version, 0, k.recordFile)
 }
 
 // start starts a process. beside is the one that runs already, if one does.
-func (k *keeping) start(beside *process, version string, control int, trace string) (*process, error) {
-	args, dir := k.s.command(version)
+func (k *supervisor) start(beside *process, version string, control int, trace string) (*process, error) {
+	args, dir := k.server.command(version)
 	cmd := exec.Command(args[0], args[1:]...)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, k.out, k.out
-	if k.s.Handover {
+	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, k.output, k.output
+	if k.server.Handover {
 		if err := k.open(beside); err != nil {
 			return nil, err
 		}
 		cmd.ExtraFiles = []*os.File{k.socket}
-		cmd.Env = append(os.Environ(), "GW_ACCEPT_FD=3", "GW_CONTROL="+k.s.Control[control])
+		cmd.Env = append(os.Environ(), "GW_ACCEPT_FD=3", "GW_CONTROL="+k.server.Control[control])
 	}
 	p, err := startProcess(cmd, version, control, trace)
 	if err == nil {
-		k.log.Info("started", "version", version, "pid", p.Pid)
+		k.log.Info("started", "version", version, "pid", p.PID)
 	}
 	return p, err
 }
 
-// show puts a process into the status.
-func (k *keeping) show(p *process) {
-	k.set(func(s *Status) {
-		s.Version, s.Running, s.Ready, s.Why, s.Since, s.Refused = p.Version, true, false, "it does not answer yet", p.Since, ""
-		if k.s.Handover {
-			s.Control = k.s.Control[p.Control]
+// publishProcess puts a process into the status.
+func (k *supervisor) publishProcess(p *process) {
+	k.updateStatus(func(s *Status) {
+		s.Version, s.Running, s.Ready, s.Reason, s.StartedAtMS, s.RejectedVersion = p.Version, true, false, "it does not answer yet", p.StartedAtMS, ""
+		if k.server.Handover {
+			s.Control = k.server.Control[p.ControlIndex]
 		}
 	})
 }
 
-// end tells a process to end, and kills it after its grace.
-func (k *keeping) end(p *process) error {
-	k.set(func(s *Status) { s.Ready, s.Why = false, "it is told to end" })
+// stopProcess tells a process to end, and kills it after its grace.
+func (k *supervisor) stopProcess(p *process) error {
+	k.updateStatus(func(s *Status) { s.Ready, s.Reason = false, "it is told to end" })
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return <-p.ended // it has ended just now
 	}
-	t := time.NewTimer(k.s.grace())
+	t := time.NewTimer(k.server.grace())
 	defer t.Stop()
 	select {
 	case err := <-p.ended:
 		return err
 	case <-t.C:
-		k.log.Warn("it does not end and is killed", "pid", p.Pid, "grace", k.s.grace())
+		k.log.Warn("it does not end and is killed", "pid", p.PID, "grace", k.server.grace())
 		p.signal(syscall.SIGKILL)
 		return <-p.ended
 	}
 }
 
-// look asks the server again and again whether it is ready.
-func (k *keeping) look(ctx context.Context, control int) {
+// checkReadiness asks the server again and again whether it is ready.
+func (k *supervisor) checkReadiness(ctx context.Context, control int) {
 	for ctx.Err() == nil {
-		err := k.answers(ctx, control)
+		err := k.probeReady(ctx, control)
 		if ctx.Err() != nil {
 			return
 		}
-		k.set(func(s *Status) {
+		k.updateStatus(func(s *Status) {
 			if s.Ready = err == nil; err != nil {
-				s.Why = err.Error()
+				s.Reason = err.Error()
 			} else {
-				s.Why = ""
+				s.Reason = ""
 			}
 		})
-		backoff.Sleep(ctx, readyLook)
+		backoff.Sleep(ctx, readyInterval)
 	}
 }
 
-func (k *keeping) answers(ctx context.Context, control int) error {
-	address := k.s.Address
-	if k.s.Handover {
-		address = k.s.Control[control]
+func (k *supervisor) probeReady(ctx context.Context, control int) error {
+	address := k.server.Address
+	if k.server.Handover {
+		address = k.server.Control[control]
 	}
-	if k.s.Ready == "" {
-		c, err := (&net.Dialer{Timeout: readyTime}).DialContext(ctx, "tcp", address)
+	if k.server.Ready == "" {
+		c, err := (&net.Dialer{Timeout: readyTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
 			c.Close()
 		}
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+k.s.Ready, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+k.server.Ready, nil)
 	if err != nil {
 		return err
 	}
@@ -259,7 +259,7 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %s", k.s.Ready, resp.Status)
+		return fmt.Errorf("%s answers %s", k.server.Ready, resp.Status)
 	}
 	return nil
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -19,23 +19,23 @@
 // process is a server's process: a child of this agent, or one that an agent
 // before it started and that outlived it.
 type process struct {
-	Trace
+	ProcessRecord
 	fd    int // pidfd, so that a signal can't reach another process
 	ended chan error
 }
 
-// Trace is what an agent keeps of a process that it started.
-type Trace struct {
-	Pid     int    `json:"pid"`
-	Start   uint64 `json:"start"` // in the kernel's ticks since boot: a number may be used again
-	Version string `json:"version"`
-	Since   int64  `json:"since_ms"`
-	Control int    `json:"control,omitempty"` // which of the control addresses it has
+// ProcessRecord is what an agent keeps of a process that it started.
+type ProcessRecord struct {
+	PID          int    `json:"pid"`
+	StartTicks   uint64 `json:"start"` // in the kernel's ticks since boot: a number may be used again
+	Version      string `json:"version"`
+	StartedAtMS  int64  `json:"since_ms"`
+	ControlIndex int    `json:"control,omitempty"` // which of the control addresses it has
 }
 
 const (
-	maxTrace  = 4 << 10
-	fdPolling = 500 * time.Millisecond
+	maxRecordFile    = 4 << 10
+	exitPollInterval = 500 * time.Millisecond
 )
 
 // startProcess starts a command and keeps its trace in a file.
@@ -44,10 +44,10 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p := &process{Trace: Trace{Pid: cmd.Process.Pid, Version: version, Since: time.Now().UnixMilli(), Control: control}, ended: make(chan error, 1)}
+	p := &process{ProcessRecord: ProcessRecord{PID: cmd.Process.Pid, Version: version, StartedAtMS: time.Now().UnixMilli(), ControlIndex: control}, ended: make(chan error, 1)}
 	err := p.open()
 	if err == nil {
-		err = p.keep(trace)
+		err = p.writeRecord(trace)
 	}
 	if err != nil {
 		cmd.Process.Kill()
@@ -60,43 +60,43 @@
 }
 
 func (p *process) open() (err error) {
-	if p.Start, err = startOf(p.Pid); err != nil {
+	if p.StartTicks, err = processStartTicks(p.PID); err != nil {
 		return err
 	}
-	p.fd, err = unix.PidfdOpen(p.Pid, 0)
+	p.fd, err = unix.PidfdOpen(p.PID, 0)
 	if err != nil {
 		p.fd = 0
-		return fmt.Errorf("process %d: %w", p.Pid, err)
+		return fmt.Errorf("process %d: %w", p.PID, err)
 	}
 	return nil
 }
 
-func (p *process) keep(trace string) error {
-	raw, err := json.Marshal(p.Trace)
+func (p *process) writeRecord(trace string) error {
+	raw, err := json.Marshal(p.ProcessRecord)
 	if err == nil {
 		err = checksumfile.Write(trace, raw)
 	}
 	if err != nil {
-		return fmt.Errorf("keeping the trace of process %d: %w", p.Pid, err)
+		return fmt.Errorf("keeping the trace of process %d: %w", p.PID, err)
 	}
 	return nil
 }
 
 // adopt finds the process of an earlier agent by its trace; nil where it has ended.
 func adopt(trace string) (*process, error) {
-	raw, err := checksumfile.Read(trace, maxTrace)
+	raw, err := checksumfile.Read(trace, maxRecordFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	p := &process{ended: make(chan error, 1)}
 	if err == nil {
-		err = json.Unmarshal(raw, &p.Trace)
+		err = json.Unmarshal(raw, &p.ProcessRecord)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("the trace of a process: %w", err)
 	}
-	was := p.Start
-	if err := p.open(); err != nil || p.Start != was {
+	was := p.StartTicks
+	if err := p.open(); err != nil || p.StartTicks != was {
 		p.close()
 		return nil, nil
 	}
@@ -107,7 +107,7 @@
 // await waits for the end of a process that is not a child.
 func (p *process) await() {
 	for {
-		n, err := unix.Poll([]unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}, int(fdPolling/time.Millisecond))
+		n, err := unix.Poll([]unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}, int(exitPollInterval/time.Millisecond))
 		if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
 			p.ended <- errors.New("it has ended, and was no child of this agent")
 			return
@@ -123,8 +123,8 @@
 	}
 }
 
-// startOf reads when a process was started.
-func startOf(pid int) (uint64, error) {
+// processStartTicks reads when a process was started.
+func processStartTicks(pid int) (uint64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -15,36 +15,38 @@
 )
 
 const (
-	upgradeTime = 30 * time.Second // for a version to get ready beside the one that runs
-	nextSuffix  = ".next"          // of the trace of one that is not ready yet
+	upgradeTimeout = 30 * time.Second // for a version to get ready beside the one that runs
+	nextSuffix     = ".next"          // of the trace of one that is not ready yet
 )
 
 // upgrade starts another version beside a process, and gives it once it is ready.
 // One that does not get ready is ended, the old one goes on, and the version is
 // refused until another order: nil.
-func (k *keeping) upgrade(ctx context.Context, old *process, version string) *process {
-	next, err := k.beside(ctx, old, version)
+func (k *supervisor) upgrade(ctx context.Context, old *process, version string) *process {
+	next, err := k.startBeside(ctx, old, version)
 	if err == nil {
-		k.log.Info("the next version is ready", "version", version, "pid", next.Pid)
+		k.log.Info("the next version is ready", "version", version, "pid", next.PID)
 		return next
 	}
 	k.log.Error("the next version is refused, the old one goes on", "version", version, "old", old.Version, "err", err)
-	k.set(func(s *Status) { s.Refused, s.Why = version, fmt.Sprintf("%s was refused: %v", version, err) })
+	k.updateStatus(func(s *Status) {
+		s.RejectedVersion, s.Reason = version, fmt.Sprintf("%s was refused: %v", version, err)
+	})
 	return nil
 }
 
-func (k *keeping) beside(ctx context.Context, old *process, version string) (*process, error) {
+func (k *supervisor) startBeside(ctx context.Context, old *process, version string) (*process, error) {
 	if err := k.clear(); err != nil {
 		return nil, err
 	}
-	next, err := k.start(old, version, 1-old.Control, k.trace+nextSuffix)
+	next, err := k.start(old, version, 1-old.ControlIndex, k.recordFile+nextSuffix)
 	if err != nil {
 		return nil, err
 	}
-	within, cancel := context.WithTimeout(ctx, upgradeTime)
+	within, cancel := context.WithTimeout(ctx, upgradeTimeout)
 	defer cancel()
 	for {
-		if err = k.answers(within, next.Control); err == nil {
+		if err = k.probeReady(within, next.ControlIndex); err == nil {
 			break
 		}
 		select {
@@ -53,44 +55,44 @@
 			return nil, fmt.Errorf("it ended before it was ready: %w", end)
 		case <-within.Done():
 			defer next.close()
-			return nil, errors.Join(fmt.Errorf("it was not ready within %v: %w", upgradeTime, err), k.end(next))
-		case <-time.After(readyLook):
+			return nil, errors.Join(fmt.Errorf("it was not ready within %v: %w", upgradeTimeout, err), k.stopProcess(next))
+		case <-time.After(readyInterval):
 		}
 	}
-	if err := os.Rename(k.trace+nextSuffix, k.trace); err != nil {
+	if err := os.Rename(k.recordFile+nextSuffix, k.recordFile); err != nil {
 		defer next.close()
-		return nil, errors.Join(err, k.end(next))
+		return nil, errors.Join(err, k.stopProcess(next))
 	}
 	return next, nil
 }
 
 // clear ends the process of an upgrade that an earlier agent did not bring to its end.
-func (k *keeping) clear() error {
-	left, err := adopt(k.trace + nextSuffix)
+func (k *supervisor) clear() error {
+	left, err := adopt(k.recordFile + nextSuffix)
 	if err != nil || left == nil {
 		return err
 	}
 	defer left.close()
-	k.log.Warn("an upgrade that was not ended is given up", "version", left.Version, "pid", left.Pid)
-	k.end(left)
+	k.log.Warn("an upgrade that was not ended is given up", "version", left.Version, "pid", left.PID)
+	k.stopProcess(left)
 	return nil
 }
 
 // open has the clients' socket at hand: this agent's own, or that of the process
 // which an earlier agent gave it to.
-func (k *keeping) open(beside *process) error {
+func (k *supervisor) open(beside *process) error {
 	if k.socket != nil {
 		return nil
 	}
 	if beside != nil {
-		fd, err := beside.listening(k.s.Address)
+		fd, err := beside.listening(k.server.Address)
 		if err != nil {
-			return fmt.Errorf("the clients' socket can't be had from process %d: %w", beside.Pid, err)
+			return fmt.Errorf("the clients' socket can't be had from process %d: %w", beside.PID, err)
 		}
 		k.socket = os.NewFile(uintptr(fd), "clients")
 		return nil
 	}
-	ln, err := net.Listen("tcp", k.s.Address)
+	ln, err := net.Listen("tcp", k.server.Address)
 	if err != nil {
 		return fmt.Errorf("the clients' socket: %w", err)
 	}
@@ -108,7 +110,7 @@
 	if err != nil {
 		return 0, err
 	}
-	folder := fmt.Sprintf("/proc/%d/fd", p.Pid)
+	folder := fmt.Sprintf("/proc/%d/fd", p.PID)
 	all, err := os.ReadDir(folder)
 	if err != nil {
 		return 0, err
--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -60,10 +60,10 @@
 		ln.Close()
 		return nil, err
 	}
-	card := agent.Card{Machine: agentsRecord, Address: door}
+	card := agent.Record{Machine: agentsRecord, Address: door}
 	for _, m := range f.w.Machines {
 		card.Servers = append(card.Servers, m.Name)
-		a.boxes[m.Name] = &kept{Status: agent.Status{Name: m.Name, Version: version, Want: version, Running: true, Ready: true}}
+		a.boxes[m.Name] = &kept{Status: agent.Status{Name: m.Name, Version: version, WantedVersion: version, Running: true, Ready: true}}
 		a.list(m.Name)
 	}
 	raw, err := json.Marshal(card)
@@ -94,7 +94,7 @@
 }
 
 func (a *agents) put(w http.ResponseWriter, r *http.Request) {
-	var o agent.Order
+	var o agent.DesiredState
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -111,11 +111,11 @@
 		http.NotFound(w, r)
 		return
 	}
-	if changed := k.Quiet != o.Quiet; changed {
-		k.Quiet = o.Quiet
+	if changed := k.KeepDraining != o.KeepDraining; changed {
+		k.KeepDraining = o.KeepDraining
 		a.list(name)
 	}
-	if k.Want = o.Version; k.Want != k.Version && !k.busy {
+	if k.WantedVersion = o.Version; k.WantedVersion != k.Version && !k.busy {
 		k.busy, k.Running, k.Ready = true, false, false
 		a.tasks.Go(func() { a.replace(name) })
 	}
@@ -127,7 +127,7 @@
 func (a *agents) count() {
 	out := 0
 	for _, k := range a.boxes {
-		if k.Quiet || !k.Ready {
+		if k.KeepDraining || !k.Ready {
 			out++
 		}
 	}
@@ -137,9 +137,9 @@
 // list has a box's entry be as the box is. The caller holds the lock.
 func (a *agents) list(name string) {
 	k := a.boxes[name]
-	e := a.f.entry(name, registry.Ready, strconv.FormatInt(k.Since, 10))
+	e := a.f.entry(name, registry.Ready, strconv.FormatInt(k.StartedAtMS, 10))
 	e.Version = k.Version
-	if k.Quiet {
+	if k.KeepDraining {
 		e.Status = registry.Draining
 	}
 	a.f.service.boxes.ready(e)
@@ -155,9 +155,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k := a.boxes[name]
-	k.Version, k.Since, k.busy = k.Want, since, false
+	k.Version, k.StartedAtMS, k.busy = k.WantedVersion, since, false
 	if k.Running, k.Ready = err == nil, err == nil; err != nil {
-		k.Why = err.Error()
+		k.Reason = err.Error()
 	}
 	b.Suffer("version", nil)
 	if t, ok := a.bad[k.Version]; ok {
@@ -172,7 +172,7 @@
 	defer a.mu.Unlock()
 	by = map[string]int{}
 	for _, k := range a.boxes {
-		if k.Ready && !k.Quiet {
+		if k.Ready && !k.KeepDraining {
 			by[k.Version]++
 		}
 	}
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -130,10 +130,10 @@
 func (r *releasing) put(ctx context.Context) error {
 	e := r.f.e.Release
 	p := release.Default()
-	p.Name, p.From, p.To, p.Limits, p.Soak, p.Halt = releaseName, oldVersion, newVersion, release.Limits{Out: e.Out}, time.Duration(e.Soak), e.Halt
-	p.Gate.Least, p.Gate.Most = e.Least, 0.5 // what a version does wrong has to show beside the rest
+	p.Name, p.From, p.To, p.Limits, p.Soak, p.Halt = releaseName, oldVersion, newVersion, release.Limits{Total: e.Out}, time.Duration(e.Soak), e.Halt
+	p.Gate.MinRequests, p.Gate.IncidentThreshold = e.Least, 0.5 // what a version does wrong has to show beside the rest
 	if p.Waves = nil; e.Gateless {
-		p.Gate = release.Gate{Failed: 1, Late: 1, Most: 1}
+		p.Gate = release.Gate{MaxFailedExcess: 1, MaxLateExcess: 1, IncidentThreshold: 1}
 	}
 	for _, w := range e.Waves {
 		p.Waves = append(p.Waves, release.Wave{Share: w})
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := release.Begin(p, release.Listed(a.Endpoints))
+	s, err := release.NewForPlan(p, release.TargetsOf(a.Endpoints))
 	if err != nil {
 		return err
 	}
@@ -169,12 +169,12 @@
 	by, out := r.agents.versions()
 	v.Rule += fmt.Sprintf(" (%v; %d out at the most, wave %d of %d)", by, out, s.Wave+1, len(s.Plan.Waves))
 	if s.Phase != release.Phase(e.End) {
-		fail("it is %s: %s", s.Phase, s.Why)
+		fail("it is %s: %s", s.Phase, s.HaltReason)
 	}
 	if out > e.Out {
 		fail("%d boxes were out at once, %d may be", out, e.Out)
 	}
-	want := map[release.Phase]string{release.Finished: newVersion, release.Returned: oldVersion}[s.Phase]
+	want := map[release.Phase]string{release.Finished: newVersion, release.RolledBack: oldVersion}[s.Phase]
 	if want != "" && by[want] != len(r.agents.boxes) {
 		fail("%d of %d boxes serve in %s", by[want], len(r.agents.boxes), want)
 	}
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -144,8 +144,8 @@
 func (f *Force) policy(ctx context.Context, k *client.Client, i int) (version uint64, err error) {
 	known, text := policy.Known{}, fmt.Appendf(nil, "fleet {\n requests { rate = %d }\n", 1_000_000+i)
 	for j := range f.Each {
-		known.Books = append(known.Books, tenantForm(j).Names[0])
-		text = fmt.Appendf(text, " book %q {\n  requests { rate = 10 }\n }\n", known.Books[j])
+		known.Tenants = append(known.Tenants, tenantForm(j).Names[0])
+		text = fmt.Appendf(text, " book %q {\n  requests { rate = 10 }\n }\n", known.Tenants[j])
 	}
 	t, err := policy.Compile("force.hcl", append(text, "}\n"...), known)
 	if err != nil {
@@ -184,9 +184,9 @@
 		if err != nil {
 			return err
 		}
-		if s.Image != nil {
-			all := s.Image.Sorted()
-			at := slices.IndexFunc(all, func(e *tenant.Entry) bool { return e.Name == tenantForm(i).Names[0] && e.Phase == tenant.Serve })
+		if s.Snapshot != nil {
+			all := s.Snapshot.Sorted()
+			at := slices.IndexFunc(all, func(e *tenant.Entry) bool { return e.Name == tenantForm(i).Names[0] && e.Phase == tenant.PhaseServe })
 			if at >= 0 {
 				times, err := n.await(ctx, "tenants", all[at].Since, acknowledged)
 				if err == nil {
--- a/internal/lab/scale/force_rig.go
+++ b/internal/lab/scale/force_rig.go
@@ -56,8 +56,8 @@
 	}
 	ended := make(chan error, 1)
 	go func() {
-		ended <- p.Run(ctx, tenant.Duty, func(ctx context.Context, fenced lease.Token) error {
-			c := tenant.Conductor{Store: &tenant.Records{List: k, Fence: fenced}, Fleet: tenant.Listed{List: k}, Every: conductEvery, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
+		ended <- p.Run(ctx, tenant.LeaseName, func(ctx context.Context, fenced lease.Token) error {
+			c := tenant.Controller{Store: &tenant.Records{Registry: k, Token: fenced}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: conductEvery, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
 			return c.Run(ctx)
 		})
 	}()
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -151,7 +151,7 @@
 // order leaves the order that brings the i-th tenant in.
 func order(ctx context.Context, k *client.Client, i int) error {
 	form := tenantForm(i)
-	placed, err := tenant.Place(ctx, k, form.Names[0], tenant.Order{ID: fmt.Sprint("scale-", i), Do: tenant.Add, Form: form})
+	placed, err := tenant.SubmitOrder(ctx, k, form.Names[0], tenant.Order{ID: fmt.Sprint("scale-", i), Op: tenant.OrderAdd, Spec: form})
 	if err == nil && !placed {
 		err = fmt.Errorf("an order for %s waits already", form.Names[0])
 	}
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -14,10 +14,10 @@
 )
 
 // tenantForm is a tenant as the documentation's example has it.
-func tenantForm(i int) *tenant.Form {
+func tenantForm(i int) *tenant.Spec {
 	name := fmt.Sprintf("tenant-%06d", i)
-	return &tenant.Form{Names: []string{name}, Classes: []string{drawn.Classes[0].Name, drawn.Classes[1].Name}, DrainMS: 5000,
-		Quotas: []tenant.Quota{{Limit: "book/" + name}}, Routes: []tenant.Route{{Zones: []string{zoneOf(i)}, Least: 2}}}
+	return &tenant.Spec{Names: []string{name}, Classes: []string{drawn.Classes[0].Name, drawn.Classes[1].Name}, DrainMS: 5000,
+		Quotas: []tenant.QuotaRef{{Limit: "book/" + name}}, Routes: []tenant.Route{{Zones: []string{zoneOf(i)}, MinEndpoints: 2}}}
 }
 
 // Tenants measures a node's desk alone, by the tenants of the catalogue; the conductor takes no more than it states.
@@ -27,25 +27,25 @@
 		entries, bytes := make([]*tenant.Entry, n), 0
 		for i := range n {
 			f := tenantForm(i)
-			e := &tenant.Entry{Name: f.Names[0], Phase: tenant.Serve, Now: f, Since: 1}
+			e := &tenant.Entry{Name: f.Names[0], Phase: tenant.PhaseServe, Current: f, Since: 1}
 			raw, err := json.Marshal(e)
 			if err != nil {
 				return nil, err
 			}
 			entries[i], bytes = e, bytes+len(raw)
 		}
-		d := tenant.NewDesk(1, 0, false)
-		d.Handle(0, tenant.Tables{Table: tenant.Table{Version: 1, Has: func(string) bool { return true }}})
-		d.Handle(0, tenant.Opened{TTL: time.Minute})
-		d.Handle(1, tenant.Read{Began: 1, Enrolled: true, Image: tenant.NewImage(1, entries...)})
+		d := tenant.NewCache(1, 0, false)
+		d.Handle(0, tenant.PolicyChanged{PolicyTable: tenant.PolicyTable{Version: 1, HasLimit: func(string) bool { return true }}})
+		d.Handle(0, tenant.SessionOpened{TTL: time.Minute})
+		d.Handle(1, tenant.CatalogueRead{StartedAt: 1, Enrolled: true, Snapshot: tenant.NewSnapshot(1, entries...)})
 		full, _ := heap()
 		number := uint64(1)
 		change, pieces, err := cost(ctx, 3, func(i int) { // the next catalogue differs in one tenant
 			number++
 			f := tenantForm(i % n)
-			entries[i%n] = &tenant.Entry{Name: f.Names[0], Phase: tenant.Serve, Now: f, Since: number}
-			next := tenant.NewImage(number, entries...)
-			d.Handle(time.Duration(number), tenant.Read{Began: time.Duration(number), Enrolled: true, Image: next})
+			entries[i%n] = &tenant.Entry{Name: f.Names[0], Phase: tenant.PhaseServe, Current: f, Since: number}
+			next := tenant.NewSnapshot(number, entries...)
+			d.Handle(time.Duration(number), tenant.CatalogueRead{StartedAt: time.Duration(number), Enrolled: true, Snapshot: next})
 		})
 		return map[string]float64{"memory_bytes": full - empty, "catalogue_bytes": float64(bytes), "change_s": change, "change_pieces": pieces}, err
 	})
@@ -57,7 +57,7 @@
 		known, text := policy.Known{}, []byte("fleet {\n requests { rate = 1000000 }\n")
 		for i := range n {
 			name := fmt.Sprintf("tenant-%06d", i)
-			known.Books = append(known.Books, name)
+			known.Tenants = append(known.Tenants, name)
 			text = fmt.Appendf(text, " book %q {\n  requests { rate = %d }\n }\n", name, 1+i%9)
 		}
 		text = append(text, "}\n"...)
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -44,8 +44,8 @@
 // conducted is the conductor's machine over records, with all its tenants at rest.
 type conducted struct {
 	recordStore
-	m       *tenant.Machine
-	look    tenant.Look
+	m       *tenant.StateMachine
+	look    tenant.Observation
 	now     time.Duration
 	version uint64
 	written int                        // bytes
@@ -53,13 +53,13 @@
 }
 
 func conduct(n int) (*conducted, error) {
-	c := &conducted{recordStore: recordStore{all: map[string]registry.Record{}}, look: tenant.Look{Policy: tenant.Policy{Version: 1, Floors: map[string]float64{}, Whole: float64(2 * n)}}}
+	c := &conducted{recordStore: recordStore{all: map[string]registry.Record{}}, look: tenant.Observation{Policy: tenant.PolicyFloors{Version: 1, Floors: map[string]float64{}, TotalFloor: float64(2 * n)}}}
 	var s tenant.Stored
 	for i := range n {
 		f := tenantForm(i)
-		s.Tenants = append(s.Tenants, &tenant.Tenant{V: 1, Name: f.Names[0], State: tenant.Active, Now: f})
+		s.Tenants = append(s.Tenants, &tenant.Tenant{Format: 1, Name: f.Names[0], State: tenant.Active, Current: f})
 		c.look.Policy.Floors[f.Quotas[0].Limit] = 1
-		c.look.Boxes = append(c.look.Boxes, tenant.Box{Zone: zoneOf(i), Kind: "m"}) // as many, so that each route has its own
+		c.look.Endpoints = append(c.look.Endpoints, tenant.Endpoint{Zone: zoneOf(i), MachineType: "m"}) // as many, so that each route has its own
 	}
 	c.m = tenant.Load(0, s, tenant.DefaultTimes(), true)
 	return c, c.round()
@@ -69,7 +69,7 @@
 func (c *conducted) round() error {
 	c.now += 200 * time.Millisecond
 	puts, err := c.m.Handle(c.now, c.look)
-	c.look.Asks = nil
+	c.look.Orders = nil
 	for _, p := range puts {
 		c.version++
 		if p.Value == nil {
@@ -81,7 +81,7 @@
 			c.all[p.Key] = registry.Record{Key: p.Key, Value: p.Value, Version: c.version}
 		}
 		c.written += len(p.Value)
-		c.m.Wrote(p, c.version)
+		c.m.RecordWritten(p, c.version)
 	}
 	return err
 }
@@ -92,7 +92,7 @@
 // changes has tenants changed one after the other, notes the conductor's costs, and gives the
 // heads of all catalogues, whose pages stay.
 func (c *conducted) changes(ctx context.Context, figures map[string]float64) (heads []registry.Record, err error) {
-	n := len(c.look.Boxes)
+	n := len(c.look.Endpoints)
 	c.written, c.kept = 0, map[string]registry.Record{}
 	began := fleet.OwnCPU()
 	for i := range playedOrders {
@@ -115,12 +115,12 @@
 	f := tenantForm(i)
 	c.version++
 	f.DrainMS = int64(c.version % 60000)
-	c.look.Asks = []tenant.Ask{{Key: tenant.AskPrefix + f.Names[0], Name: f.Names[0], Version: c.version, Order: tenant.Order{V: 1, ID: fmt.Sprint(c.version), Do: tenant.Change, Form: f}}}
+	c.look.Orders = []tenant.PendingOrder{{Key: tenant.OrderPrefix + f.Names[0], Name: f.Names[0], Version: c.version, Order: tenant.Order{Format: 1, ID: fmt.Sprint(c.version), Op: tenant.OrderChange, Spec: f}}}
 }
 
 // demanding is a node's desk with its reader, on demand.
 type demanding struct {
-	*tenant.Desk
+	*tenant.Cache
 	*tenant.Reader
 	now time.Duration
 }
@@ -128,7 +128,7 @@
 // read has the desk take up what it wants.
 func (d *demanding) read(ctx context.Context) error {
 	d.now += time.Second
-	got, err := d.Reader.Read(ctx, func() time.Duration { return d.now }, d.Want())
+	got, err := d.Reader.Read(ctx, func() time.Duration { return d.now }, d.Wanted())
 	got.Enrolled = true
 	d.Handle(d.now, got)
 	return err
@@ -145,23 +145,23 @@
 		figures := map[string]float64{}
 		empty, _ := heap()
 		figures["conductor_memory_bytes"] = empty - none // with the records
-		d := &demanding{Desk: tenant.NewDesk(1, 0, true), Reader: &tenant.Reader{List: &c.recordStore}, now: time.Second}
-		d.Handle(d.now, tenant.Tables{Table: tenant.Table{Version: 1, Has: func(string) bool { return true }}})
-		d.Handle(d.now, tenant.Opened{TTL: time.Hour})
+		d := &demanding{Cache: tenant.NewCache(1, 0, true), Reader: &tenant.Reader{Source: &c.recordStore}, now: time.Second}
+		d.Handle(d.now, tenant.PolicyChanged{PolicyTable: tenant.PolicyTable{Version: 1, HasLimit: func(string) bool { return true }}})
+		d.Handle(d.now, tenant.SessionOpened{TTL: time.Hour})
 		if err := d.read(ctx); err != nil {
 			return nil, err
 		}
 		figures["start_bytes"] = c.read()
 		began, set := fleet.OwnCPU(), min(n, workingSet)
 		for i := range set {
-			d.Handle(d.now, tenant.Asked{Name: tenantForm(i * n / set).Names[0]})
+			d.Handle(d.now, tenant.LeafMissing{Name: tenantForm(i * n / set).Names[0]})
 			if i%64 == 63 || i == set-1 {
 				if err := d.read(ctx); err != nil {
 					return nil, err
 				}
 			}
 		}
-		figures["working_bytes"], figures["working_s"], figures["known"] = c.read(), seconds(fleet.OwnCPU()-began), float64(d.Known())
+		figures["working_bytes"], figures["working_s"], figures["known"] = c.read(), seconds(fleet.OwnCPU()-began), float64(d.TenantCount())
 		full, _ := heap()
 		figures["memory_bytes"] = full - empty
 
@@ -169,7 +169,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.m, c.look, c.kept = nil, tenant.Look{}, nil // else their garbage would be counted, too
+		c.m, c.look, c.kept = nil, tenant.Observation{}, nil // else their garbage would be counted, too
 		_, before := heap()
 		began = fleet.OwnCPU()
 		for _, head := range heads {
--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -9,17 +9,17 @@
 
 // Bounds of a text: they keep compiling it under about ten seconds and a few hundred MB, whatever it says.
 const (
-	mostText     = 256 << 10 // bytes: 1,000 books of some lines each
-	mostNested   = 32        // brackets or signs within each other: the parser goes down a level for each
-	mostElements = 1_000     // of a list or map: the most books that a fleet is planned for
-	mostNodes    = 50e6      // of expressions worked out, counted with each round of what is repeated
-	mostWord     = 128       // bytes of a text in a local
+	maxText        = 256 << 10 // bytes: 1,000 books of some lines each
+	maxNesting     = 32        // brackets or signs within each other: the parser goes down a level for each
+	maxElements    = 1_000     // of a list or map: the most books that a fleet is planned for
+	maxEvaluations = 50e6      // of expressions worked out, counted with each round of what is repeated
+	maxLocalText   = 128       // bytes of a text in a local
 )
 
-// bounded looks at the raw text, before the parser does.
-func (c *compiler) bounded() error {
-	if len(c.source) > mostText {
-		return fmt.Errorf("a policy of %d bytes: %d at most", len(c.source), mostText)
+// checkBounds looks at the raw text, before the parser does.
+func (c *compiler) checkBounds() error {
+	if len(c.source) > maxText {
+		return fmt.Errorf("a policy of %d bytes: %d at most", len(c.source), maxText)
 	}
 	tokens, _ := hclsyntax.LexConfig(c.source, "", hcl.InitialPos)
 	depth, run := 0, 0
@@ -36,43 +36,43 @@
 		case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion:
 			run++
 		}
-		if depth > mostNested || run > mostNested {
-			return fmt.Errorf("line %d: a policy nests %d deep at most", t.Range.Start.Line, mostNested)
+		if depth > maxNesting || run > maxNesting {
+			return fmt.Errorf("line %d: a policy nests %d deep at most", t.Range.Start.Line, maxNesting)
 		}
 	}
 	return nil
 }
 
-// affordable bounds the work that the expressions take: a for expression, a splat and a dynamic block are taken to go
+// checkCost bounds the work that the expressions take: a for expression, a splat and a dynamic block are taken to go
 // round as often as their literal list has elements, or mostElements times; and literal lists and all values of locals are kept to so many.
-func (c *compiler) affordable(body *hclsyntax.Body) bool {
-	m := &meter{times: 1}
+func (c *compiler) checkCost(body *hclsyntax.Body) bool {
+	m := &costMeter{times: 1}
 	hclsyntax.Walk(body, m)
-	if m.long != nil {
-		c.fail(*m.long, "A list too long", fmt.Sprintf("A list or map has %d elements at most. Split it.", mostElements))
+	if m.tooLong != nil {
+		c.addError(*m.tooLong, "A list too long", fmt.Sprintf("A list or map has %d elements at most. Split it.", maxElements))
 	}
-	if m.nodes > mostNodes {
-		c.fail(body.MissingItemRange(), "A policy that takes too long to work out", "Its for expressions and dynamic blocks, "+
+	if m.nodes > maxEvaluations {
+		c.addError(body.MissingItemRange(), "A policy that takes too long to work out", "Its for expressions and dynamic blocks, "+
 			"each counted as 1,000 rounds, come to too much work. Nest fewer of them in each other.")
 	}
 	return !c.diags.HasErrors()
 }
 
-type meter struct {
+type costMeter struct {
 	nodes, times float64
-	long         *hcl.Range
+	tooLong      *hcl.Range
 }
 
-// rounds is how often what is in a node is worked out, for each time that the node is.
-func rounds(n hclsyntax.Node) float64 {
+// repetitions is how often what is in a node is worked out, for each time that the node is.
+func repetitions(n hclsyntax.Node) float64 {
 	switch n := n.(type) {
 	case *hclsyntax.ForExpr:
-		return elementsAtMost(n.CollExpr)
+		return maxElementsOf(n.CollExpr)
 	case *hclsyntax.SplatExpr:
-		return mostElements
+		return maxElements
 	case *hclsyntax.Block:
 		if over := n.Body.Attributes["for_each"]; n.Type == "dynamic" && over != nil {
-			return elementsAtMost(over.Expr)
+			return maxElementsOf(over.Expr)
 		}
 	case *hclsyntax.TemplateExpr:
 		if len(n.Parts) > 1 {
@@ -82,18 +82,18 @@
 	return 1
 }
 
-func elementsAtMost(list hclsyntax.Expression) float64 {
+func maxElementsOf(list hclsyntax.Expression) float64 {
 	switch list := list.(type) {
 	case *hclsyntax.TupleConsExpr:
 		return float64(max(1, len(list.Exprs)))
 	case *hclsyntax.ObjectConsExpr:
 		return float64(max(1, len(list.Items)))
 	}
-	return mostElements
+	return maxElements
 }
 
-func (m *meter) Enter(n hclsyntax.Node) hcl.Diagnostics {
-	m.times *= rounds(n)
+func (m *costMeter) Enter(n hclsyntax.Node) hcl.Diagnostics {
+	m.times *= repetitions(n)
 	m.nodes += m.times
 	elements := 0
 	switch n := n.(type) {
@@ -102,14 +102,14 @@
 	case *hclsyntax.ObjectConsExpr:
 		elements = len(n.Items)
 	}
-	if elements > mostElements && m.long == nil {
+	if elements > maxElements && m.tooLong == nil {
 		at := n.Range()
-		m.long = &at
+		m.tooLong = &at
 	}
 	return nil
 }
 
-func (m *meter) Exit(n hclsyntax.Node) hcl.Diagnostics {
-	m.times /= rounds(n)
+func (m *costMeter) Exit(n hclsyntax.Node) hcl.Diagnostics {
+	m.times /= repetitions(n)
 	return nil
 }
--- a/internal/policy/compare.go
+++ b/internal/policy/compare.go
@@ -11,33 +11,33 @@
 )
 
 // compare finds figures that contradict each other or those of the limit around.
-func (c *compiler) compare(p *part, l *limit, r rough, f ratelimit.Rates, outer *limit) {
-	at := l.at
-	if g := first(r.rate, r.part); g != nil {
-		at = g.at
+func (c *compiler) compare(p *scope, l *limit, r rawRates, f ratelimit.Rates, outer *limit) {
+	at := l.source
+	if g := firstGiven(r.rate, r.fraction); g != nil {
+		at = g.source
 	}
-	if outer != nil && f.Rate > outer.figures.Rate*(1+near) {
-		c.fail(at, "A rule that can never matter", fmt.Sprintf("%s can have %s, and the limit around it (line %d) ends at %s. Give it "+
-			"that or less.", p.path(), figure(f.Rate), outer.at.Start.Line, figure(outer.figures.Rate)))
+	if outer != nil && f.Rate > outer.rates.Rate*(1+tolerance) {
+		c.addError(at, "A rule that can never matter", fmt.Sprintf("%s can have %s, and the limit around it (line %d) ends at %s. Give it "+
+			"that or less.", p.path(), formatNumber(f.Rate), outer.source.Start.Line, formatNumber(outer.rates.Rate)))
 	}
-	if f.Floor > f.Rate*(1+near) {
-		if g := first(r.floor, r.share); g != nil {
-			at = g.at
+	if f.Floor > f.Rate*(1+tolerance) {
+		if g := firstGiven(r.floor, r.share); g != nil {
+			at = g.source
 		}
-		c.fail(at, "Rules that contradict", fmt.Sprintf("%s is sure of %s and can have %s at most. Lower the floor, or raise the rate.",
-			p.path(), figure(f.Floor), figure(f.Rate)))
+		c.addError(at, "Rules that contradict", fmt.Sprintf("%s is sure of %s and can have %s at most. Lower the floor, or raise the rate.",
+			p.path(), formatNumber(f.Floor), formatNumber(f.Rate)))
 	}
 	beside := p.limits[ratelimit.UnitRequests]
-	if inner := l.unit == ratelimit.UnitRetries || l.unit == ratelimit.UnitPerKey; inner && beside != nil && f.Rate > beside.figures.Rate*(1+near) {
-		c.fail(at, "A rule that can never matter", fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. "+
-			"Lower this one.", p.path(), figure(beside.figures.Rate), beside.at.Start.Line, figure(f.Rate)))
+	if inner := l.unit == ratelimit.UnitRetries || l.unit == ratelimit.UnitPerKey; inner && beside != nil && f.Rate > beside.rates.Rate*(1+tolerance) {
+		c.addError(at, "A rule that can never matter", fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. "+
+			"Lower this one.", p.path(), formatNumber(beside.rates.Rate), beside.source.Start.Line, formatNumber(f.Rate)))
 	}
 }
 
-// figure writes a number for people.
-func figure(n float64) string { return strconv.FormatFloat(n, 'g', 6, 64) }
+// formatNumber writes a number for people.
+func formatNumber(n float64) string { return strconv.FormatFloat(n, 'g', 6, 64) }
 
-func first(list ...*given) *given {
+func firstGiven(list ...*number) *number {
 	for _, g := range list {
 		if g != nil {
 			return g
@@ -48,34 +48,34 @@
 
 // burstOf is what may come at once: as said, or a second's worth, no more than the limit around lets in, and room for
 // one request.
-func (c *compiler) burstOf(l *limit, r rough, rate float64, outer *limit) float64 {
+func (c *compiler) burstOf(l *limit, r rawRates, rate float64, outer *limit) float64 {
 	most, what := c.largest(l.unit)
-	at, burst := l.at, rate
+	at, burst := l.source, rate
 	if outer != nil {
-		burst = min(burst, outer.figures.Burst)
+		burst = min(burst, outer.rates.Burst)
 	}
 	burst = max(burst, most)
 	switch {
 	case rate == 0 && r.burst == nil: // it is closed
 		return 0
 	case l.unit == ratelimit.UnitConcurrency:
-		if g := first(r.rate, r.part); g != nil {
-			at = g.at
+		if g := firstGiven(r.rate, r.fraction); g != nil {
+			at = g.source
 		}
 		if burst = 0; rate < most {
-			c.exceeded(at, rate, what)
+			c.addExceeded(at, rate, what)
 		}
 	case r.burst != nil:
-		if at, burst = r.burst.at, r.burst.n; burst < most {
-			c.exceeded(at, burst, what)
+		if at, burst = r.burst.source, r.burst.value; burst < most {
+			c.addExceeded(at, burst, what)
 		}
 	}
 	return burst
 }
 
-func (c *compiler) exceeded(at hcl.Range, there float64, what string) {
-	c.fail(at, "A limit that one request exceeds", fmt.Sprintf("%s is less than %s, so that none would ever be let in. Raise it, or "+
-		"write rate = 0 to close the part.", figure(there), what))
+func (c *compiler) addExceeded(at hcl.Range, there float64, what string) {
+	c.addError(at, "A limit that one request exceeds", fmt.Sprintf("%s is less than %s, so that none would ever be let in. Raise it, or "+
+		"write rate = 0 to close the part.", formatNumber(there), what))
 }
 
 // largest is the most that one request takes of a limit.
--- a/internal/policy/drawn_test.go
+++ b/internal/policy/drawn_test.go
@@ -83,7 +83,7 @@
 	}
 	if depth < 2 {
 		axis := rapid.SampledFrom([]string{"book", "class", "site"}).Draw(t, "axis")
-		names := map[string][]string{"book": site.Books, "class": site.classNames(), "site": site.Sites}[axis]
+		names := map[string][]string{"book": site.Tenants, "class": site.classNames(), "site": site.Sites}[axis]
 		for _, n := range rapid.SliceOfNDistinct(rapid.SampledFrom(append(slices.Clone(names), "*")), 0, 3, rapid.ID).Draw(t, "names") {
 			b.kids = append(b.kids, drawPart(t, fmt.Sprintf("%s %q", axis, n), depth+1))
 		}
@@ -101,7 +101,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawPart(t, "fleet", 0)
 		known := site
-		known.Books = nil // else most would forget some
+		known.Tenants = nil // else most would forget some
 		table, err := Compile("a.hcl", []byte(fleet.text(nil)), known)
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
 		for range 3 {
@@ -149,7 +149,7 @@
 func BenchmarkCompile(b *testing.B) {
 	known := Known{}
 	for i := range 1000 {
-		known.Books = append(known.Books, fmt.Sprintf("book-%04d", i))
+		known.Tenants = append(known.Tenants, fmt.Sprintf("book-%04d", i))
 	}
 	text := []byte(`
 fleet {
--- a/internal/policy/errors.go
+++ b/internal/policy/errors.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	mostTold = 100 // errors that are printed
-	width    = 100 // of a line, in characters
+	maxPrinted = 100 // errors that are printed
+	lineWidth  = 100 // of a line, in characters
 )
 
-// fail notes an error: what is wrong where, and a way out.
-func (c *compiler) fail(at hcl.Range, what, wayOut string) {
+// addError notes an error: what is wrong where, and a way out.
+func (c *compiler) addError(at hcl.Range, what, wayOut string) {
 	c.diags = append(c.diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: what, Detail: wayOut, Subject: at.Ptr()})
 }
 
-// inOrder has the errors by their places, each once.
-func (c *compiler) inOrder() hcl.Diagnostics {
+// sortedErrors has the errors by their places, each once.
+func (c *compiler) sortedErrors() hcl.Diagnostics {
 	at := func(d *hcl.Diagnostic) int {
 		if d.Subject == nil {
 			return 0
@@ -55,10 +55,10 @@
 // Print writes each error with its file, line and column, the offending words and a way out.
 func (e *Errors) Print(w io.Writer) error {
 	var b strings.Builder
-	for _, d := range e.diags[:min(len(e.diags), mostTold)] {
+	for _, d := range e.diags[:min(len(e.diags), maxPrinted)] {
 		e.write(&b, d)
 	}
-	if more := len(e.diags) - mostTold; more > 0 {
+	if more := len(e.diags) - maxPrinted; more > 0 {
 		fmt.Fprintf(&b, "and %d more\n", more)
 	}
 	_, err := io.WriteString(w, b.String())
@@ -80,13 +80,13 @@
 			to = len(runes)
 		}
 		first := 0 // of a line too long to show
-		if len(runes) > width {
-			first, runes = max(0, from-width/4), runes[max(0, from-width/4):]
-			runes = runes[:min(len(runes), width)]
+		if len(runes) > lineWidth {
+			first, runes = max(0, from-lineWidth/4), runes[max(0, from-lineWidth/4):]
+			runes = runes[:min(len(runes), lineWidth)]
 		}
 		from, to = from-first, min(to-first, len(runes))
 		fmt.Fprintf(b, "    %s\n    %s%s\n", string(runes), strings.Repeat(" ", from), strings.Repeat("^", max(1, to-from)))
 	}
-	detail := wordwrap.WrapString(strings.ToValidUTF8(d.Detail, "?"), width-2)
+	detail := wordwrap.WrapString(strings.ToValidUTF8(d.Detail, "?"), lineWidth-2)
 	fmt.Fprintf(b, "  %s\n", strings.ReplaceAll(detail, "\n", "\n  "))
 }
--- a/internal/policy/figures.go
+++ b/internal/policy/figures.go
@@ -7,16 +7,16 @@
 	"wrenspread/ratelimit"
 )
 
-const near = 1e-9 // relative: sums of parts come out a little off
+const tolerance = 1e-9 // relative: sums of parts come out a little off
 
 // resolve works out all limits, from the fleet inwards.
-func (c *compiler) resolve(p *part) {
+func (c *compiler) resolve(p *scope) {
 	if p.share != nil {
-		c.shared(p)
+		c.addImpliedLimits(p)
 	}
 	for _, l := range p.limits {
 		if l != nil {
-			c.limitOf(p, l)
+			c.resolveLimit(p, l)
 		}
 	}
 	for _, k := range p.children {
@@ -24,23 +24,23 @@
 	}
 }
 
-// shared gives a part with a share its limits in the units that the limits around it have, where it says none.
-func (c *compiler) shared(p *part) {
+// addImpliedLimits gives a part with a share its limits in the units that the limits around it have, where it says none.
+func (c *compiler) addImpliedLimits(p *scope) {
 	found := false
 	for _, u := range []ratelimit.Unit{ratelimit.UnitRequests, ratelimit.UnitWork, ratelimit.UnitConcurrency} {
-		around := p.up.nearest(u)
+		around := p.parent.nearest(u)
 		if found = found || around != nil; around != nil && p.limits[u] == nil {
-			p.limits[u] = &limit{figuring: c.usual, unit: u, at: p.at}
+			p.limits[u] = &limit{settings: c.defaultSettings, unit: u, source: p.source}
 		}
 	}
-	if !found && p.up != nil {
-		c.fail(p.share.at, "A share of nothing", fmt.Sprintf("No part around %s has a limit. Give one a rate, or this one.", p.path()))
+	if !found && p.parent != nil {
+		c.addError(p.share.source, "A share of nothing", fmt.Sprintf("No part around %s has a limit. Give one a rate, or this one.", p.path()))
 	}
 }
 
 // nearest is the limit of a unit on a part or the nearest part around it.
-func (p *part) nearest(u ratelimit.Unit) *limit {
-	for ; p != nil; p = p.up {
+func (p *scope) nearest(u ratelimit.Unit) *limit {
+	for ; p != nil; p = p.parent {
 		if p.limits[u] != nil {
 			return p.limits[u]
 		}
@@ -48,69 +48,69 @@
 	return nil
 }
 
-// limitOf works out one limit. Its outer limit bounds it; its whole is what its parts are parts of.
-func (c *compiler) limitOf(p *part, l *limit) {
+// resolveLimit works out one limit. Its outer limit bounds it; its whole is what its parts are parts of.
+func (c *compiler) resolveLimit(p *scope, l *limit) {
 	var outer *limit
-	if p.up != nil {
-		outer = p.up.nearest(l.unit)
+	if p.parent != nil {
+		outer = p.parent.nearest(l.unit)
 	}
 	whole := outer
 	if l.unit == ratelimit.UnitRetries || l.unit == ratelimit.UnitPerKey {
 		whole = p.nearest(ratelimit.UnitRequests)
 	}
-	if l.rough.share == nil && l.rough.floor == nil && l.unit <= ratelimit.UnitConcurrency {
-		l.rough.share = p.share
+	if l.raw.share == nil && l.raw.floor == nil && l.unit <= ratelimit.UnitConcurrency {
+		l.raw.share = p.share
 	}
-	if l.rough.weight == nil {
-		l.rough.weight = p.weight
+	if l.raw.weight == nil {
+		l.raw.weight = p.weight
 	}
-	if l.rough.borrow == nil {
-		l.rough.borrow = p.borrow
+	if l.raw.borrow == nil {
+		l.raw.borrow = p.borrow
 	}
-	if l.broken = l.rough.broken || outer != nil && outer.broken || whole != nil && whole.broken; l.broken {
+	if l.broken = l.raw.broken || outer != nil && outer.broken || whole != nil && whole.broken; l.broken {
 		return
 	}
 	bad, ok := len(c.diags), false
-	if l.figures, ok = c.figuresOf(p, l, l.rough, outer, whole); !ok || len(c.diags) > bad {
+	if l.rates, ok = c.resolveRates(p, l, l.raw, outer, whole); !ok || len(c.diags) > bad {
 		l.broken = !ok
 		return // the same would be wrong at each time
 	}
-	c.spansOf(p, l, outer, whole)
+	c.resolveSchedule(p, l, outer, whole)
 	if r := l.reserve; r > 0 && p.priority > 0 {
-		c.fail(l.at, "Rules that contradict", fmt.Sprintf("All requests here have priority (line %d), so that a reserve for those with "+
-			"priority keeps nothing back. Drop one of the two.", p.priorityAt.Start.Line))
+		c.addError(l.source, "Rules that contradict", fmt.Sprintf("All requests here have priority (line %d), so that a reserve for those with "+
+			"priority keeps nothing back. Drop one of the two.", p.prioritySource.Start.Line))
 	}
 }
 
-// spansOf works out the times with other figures: the limit's own, or those that follow from the whole's.
-func (c *compiler) spansOf(p *part, l *limit, outer, whole *limit) {
+// resolveSchedule works out the times with other figures: the limit's own, or those that follow from the whole's.
+func (c *compiler) resolveSchedule(p *scope, l *limit, outer, whole *limit) {
 	base := outer
-	if l.rough.part != nil || l.rough.share != nil {
+	if l.raw.fraction != nil || l.raw.share != nil {
 		base = whole
 	}
-	timed := base != nil && base != l && len(base.spans) > 0
-	if timed && len(l.times) > 0 {
-		c.fail(l.times[0].at, "Times within times", fmt.Sprintf("The limit around this one (line %d) has times of its own, which "+
-			"shares of it follow by themselves. Give times to one of the two.", base.at.Start.Line))
+	timed := base != nil && base != l && len(base.windows) > 0
+	if timed && len(l.schedule) > 0 {
+		c.addError(l.schedule[0].source, "Times within times", fmt.Sprintf("The limit around this one (line %d) has times of its own, which "+
+			"shares of it follow by themselves. Give times to one of the two.", base.source.Start.Line))
 		return
 	}
-	for i, t := range l.times {
-		if j := covered(l.times[:i], t.span); j >= 0 {
-			c.fail(t.at, "A rule that can never match", fmt.Sprintf("Whenever it would hold, the one on line %d does, which comes first. "+
-				"Put the narrower time first.", l.times[j].at.Start.Line))
+	for i, t := range l.schedule {
+		if j := coveringWindow(l.schedule[:i], t.window); j >= 0 {
+			c.addError(t.source, "A rule that can never match", fmt.Sprintf("Whenever it would hold, the one on line %d does, which comes first. "+
+				"Put the narrower time first.", l.schedule[j].source.Start.Line))
 		}
-		if t.rough.broken {
+		if t.raw.broken {
 			continue
 		}
-		f, _ := c.figuresOf(p, l, l.rough.with(t.rough), outer, whole)
-		l.spans = append(l.spans, span(t.span, f))
+		f, _ := c.resolveRates(p, l, l.raw.overriddenBy(t.raw), outer, whole)
+		l.windows = append(l.windows, windowWith(t.window, f))
 	}
 	if !timed {
 		return
 	}
 	changes := false
-	for _, s := range base.spans {
-		at := &limit{figures: ratelimit.Rates{Rate: s.Rate, Burst: s.Burst, Floor: s.Floor}, at: base.at}
+	for _, s := range base.windows {
+		at := &limit{rates: ratelimit.Rates{Rate: s.Rate, Burst: s.Burst, Floor: s.Floor}, source: base.source}
 		around, of := outer, whole
 		if outer == base {
 			around = at
@@ -118,37 +118,37 @@
 		if whole == base {
 			of = at
 		}
-		f, _ := c.figuresOf(p, l, l.rough.follow(s.Rate), around, of)
-		changes = changes || f != l.figures
-		l.spans = append(l.spans, span(s, f))
+		f, _ := c.resolveRates(p, l, l.raw.limitedTo(s.Rate), around, of)
+		changes = changes || f != l.rates
+		l.windows = append(l.windows, windowWith(s, f))
 	}
 	if !changes {
-		l.spans = nil
+		l.windows = nil
 	}
 }
 
-func span(s ratelimit.ScheduleWindow, f ratelimit.Rates) ratelimit.ScheduleWindow {
+func windowWith(s ratelimit.ScheduleWindow, f ratelimit.Rates) ratelimit.ScheduleWindow {
 	s.Rate, s.Burst, s.Floor = f.Rate, f.Burst, f.Floor
 	return s
 }
 
-// covered finds an earlier time that holds whenever a later one does.
-func covered(before []times, s ratelimit.ScheduleWindow) int {
+// coveringWindow finds an earlier time that holds whenever a later one does.
+func coveringWindow(before []scheduleEntry, s ratelimit.ScheduleWindow) int {
 	for i, b := range before {
-		all := b.span.FromMinute == b.span.ToMinute
-		if (b.span.LastDays == 0 || s.LastDays > 0 && s.LastDays <= b.span.LastDays) &&
-			(all || b.span.FromMinute == s.FromMinute && b.span.ToMinute == s.ToMinute || s.FromMinute < s.ToMinute && b.span.FromMinute < b.span.ToMinute &&
-				b.span.FromMinute <= s.FromMinute && b.span.ToMinute >= s.ToMinute) {
+		all := b.window.FromMinute == b.window.ToMinute
+		if (b.window.LastDays == 0 || s.LastDays > 0 && s.LastDays <= b.window.LastDays) &&
+			(all || b.window.FromMinute == s.FromMinute && b.window.ToMinute == s.ToMinute || s.FromMinute < s.ToMinute && b.window.FromMinute < b.window.ToMinute &&
+				b.window.FromMinute <= s.FromMinute && b.window.ToMinute >= s.ToMinute) {
 			return i
 		}
 	}
 	return -1
 }
 
-// with is a limit's figures at a time that gives others.
-func (r rough) with(t rough) rough {
-	if t.rate != nil || t.part != nil {
-		r.rate, r.part = t.rate, t.part
+// overriddenBy is a limit's figures at a time that gives others.
+func (r rawRates) overriddenBy(t rawRates) rawRates {
+	if t.rate != nil || t.fraction != nil {
+		r.rate, r.fraction = t.rate, t.fraction
 	}
 	if t.floor != nil || t.share != nil {
 		r.floor, r.share = t.floor, t.share
@@ -159,31 +159,31 @@
 	return r
 }
 
-// follow is a limit's figures while the limit around it has so much: a rate beyond gives way.
-func (r rough) follow(most float64) rough {
-	if r.rate != nil && r.rate.n > most {
-		r.rate = &given{most, r.rate.at}
+// limitedTo is a limit's figures while the limit around it has so much: a rate beyond gives way.
+func (r rawRates) limitedTo(most float64) rawRates {
+	if r.rate != nil && r.rate.value > most {
+		r.rate = &number{most, r.rate.source}
 	}
 	return r
 }
 
-// figuresOf works out figures, if there are any, and says what is wrong with them.
-func (c *compiler) figuresOf(p *part, l *limit, r rough, outer, whole *limit) (f ratelimit.Rates, ok bool) {
-	lends := r.borrow == nil || r.borrow.on
+// resolveRates works out figures, if there are any, and says what is wrong with them.
+func (c *compiler) resolveRates(p *scope, l *limit, r rawRates, outer, whole *limit) (f ratelimit.Rates, ok bool) {
+	lends := r.borrow == nil || r.borrow.value
 	floor, hasFloor := c.units(r.floor, r.share, whole)
-	rate, hasRate := c.units(r.rate, r.part, whole)
+	rate, hasRate := c.units(r.rate, r.fraction, whole)
 	switch {
-	case hasRate && hasFloor && !lends && math.Abs(rate-floor) > near*rate:
-		c.fail(r.borrow.at, "Rules that contradict", fmt.Sprintf("Without borrowing %s has its floor, %s, and no more, yet its rate is "+
-			"%s. Give one of the two.", p.path(), figure(floor), figure(rate)))
+	case hasRate && hasFloor && !lends && math.Abs(rate-floor) > tolerance*rate:
+		c.addError(r.borrow.source, "Rules that contradict", fmt.Sprintf("Without borrowing %s has its floor, %s, and no more, yet its rate is "+
+			"%s. Give one of the two.", p.path(), formatNumber(floor), formatNumber(rate)))
 	case !hasRate && hasFloor && !lends:
 		rate = floor
 	case !hasRate && outer != nil:
-		rate = outer.figures.Rate
-	case !hasRate && r.part != nil: // of nothing, as has been told
+		rate = outer.rates.Rate
+	case !hasRate && r.fraction != nil: // of nothing, as has been told
 		return f, false
 	case !hasRate:
-		c.fail(l.at, "A limit without a figure", fmt.Sprintf("Nothing around %s has a limit on %s that it could keep to. Give it a %s.",
+		c.addError(l.source, "A limit without a figure", fmt.Sprintf("Nothing around %s has a limit on %s that it could keep to. Give it a %s.",
 			p.path(), l.unit, map[bool]string{true: "most", false: "rate"}[l.unit == ratelimit.UnitConcurrency]))
 		return f, false
 	}
@@ -196,14 +196,14 @@
 }
 
 // units are a figure in units, given so or as a part of the whole.
-func (c *compiler) units(n, part *given, whole *limit) (float64, bool) {
+func (c *compiler) units(n, part *number, whole *limit) (float64, bool) {
 	switch {
 	case n != nil:
-		return n.n, true
+		return n.value, true
 	case part != nil && whole != nil:
-		return part.n * whole.figures.Rate, true
+		return part.value * whole.rates.Rate, true
 	case part != nil:
-		c.fail(part.at, "A part of nothing", "There is no limit that it could be a part of: give one around it, or units here.")
+		c.addError(part.source, "A part of nothing", "There is no limit that it could be a part of: give one around it, or units here.")
 	}
 	return 0, false
 }
--- a/internal/policy/floors.go
+++ b/internal/policy/floors.go
@@ -10,7 +10,7 @@
 )
 
 // checkFloors finds floors of siblings that add up to more than the limit around them has, at any time.
-func (c *compiler) checkFloors(t *ratelimit.Table, fleet *part) {
+func (c *compiler) checkFloors(t *ratelimit.Table, fleet *scope) {
 	type group struct {
 		parent int
 		axis   ratelimit.Attribute
@@ -26,24 +26,24 @@
 		}
 		groups[g] = append(groups[g], i)
 	}
-	places := placesOf(fleet)
+	places := scopesInOrder(fleet)
 	for _, g := range order {
 		at := moments(t, append([]int{g.parent}, groups[g]...))
-		if len(at) > mostMoments {
-			c.fail(places[t.Limits[g.parent].Scope].at, "Too many times", "The limits within this one change at too many different "+
+		if len(at) > maxMoments {
+			c.addError(places[t.Limits[g.parent].Scope].source, "Too many times", "The limits within this one change at too many different "+
 				"times of day. Let them begin and end together.")
 			continue
 		}
 		for _, at := range at {
-			if c.tooMuch(t, g.parent, groups[g], at, places) {
+			if c.checkFloorsAt(t, g.parent, groups[g], at, places) {
 				break // once for each group
 			}
 		}
 	}
 }
 
-// tooMuch compares one group's floors with what is there at a time.
-func (c *compiler) tooMuch(t *ratelimit.Table, parent int, group []int, at time.Time, places []*part) bool {
+// checkFloorsAt compares one group's floors with what is there at a time.
+func (c *compiler) checkFloorsAt(t *ratelimit.Table, parent int, group []int, at time.Time, places []*scope) bool {
 	there, sum, most := t.At(parent, at).Rate, 0.0, group[0]
 	for _, i := range group {
 		sum += t.At(i, at).Floor
@@ -51,13 +51,13 @@
 			most = i
 		}
 	}
-	if sum <= there*(1+near) {
+	if sum <= there*(1+tolerance) {
 		return false
 	}
 	var names []string
 	for _, i := range group {
 		if f := t.At(i, at).Floor; f > 0 && len(names) < 8 {
-			names = append(names, fmt.Sprintf("%s %s", t.Limits[i].Name, figure(f)))
+			names = append(names, fmt.Sprintf("%s %s", t.Limits[i].Name, formatNumber(f)))
 		}
 	}
 	p := places[t.Limits[most].Scope]
@@ -65,20 +65,20 @@
 	if t.Limits[parent].Schedule != nil || slices.ContainsFunc(group, func(i int) bool { return t.Limits[i].Schedule != nil }) {
 		when = at.Add(time.Duration(t.UTCOffset)*time.Minute).Format(" at 15:04 on day 2") + " of a month of 31 days"
 	}
-	c.fail(p.at, "Floors that add up to more than is there", fmt.Sprintf("%s has %s%s, and the floors within it come to %s (%s). "+
-		"Lower some by %s together, or raise %s.", t.Limits[parent].Name, figure(there), when, figure(sum),
-		strings.Join(names, ", "), figure(sum-there),
+	c.addError(p.source, "Floors that add up to more than is there", fmt.Sprintf("%s has %s%s, and the floors within it come to %s (%s). "+
+		"Lower some by %s together, or raise %s.", t.Limits[parent].Name, formatNumber(there), when, formatNumber(sum),
+		strings.Join(names, ", "), formatNumber(sum-there),
 		t.Limits[parent].Name))
 	return true
 }
 
-// placesOf gives the blocks by the table's parts.
-func placesOf(fleet *part) (places []*part) {
-	fleet.each(func(p *part) { places = append(places, p) }) // flatten has put them in order
+// scopesInOrder gives the blocks by the table's parts.
+func scopesInOrder(fleet *scope) (places []*scope) {
+	fleet.each(func(p *scope) { places = append(places, p) }) // flatten has put them in order
 	return places
 }
 
-const mostMoments = 2_000 // times at which a limit's floors are added up: 30 times of day on each day of a month
+const maxMoments = 2_000 // times at which a limit's floors are added up: 30 times of day on each day of a month
 
 // moments are times, one in each stretch in which no figure of the limits changes: in a month of 31 days, as far from
 // its end as the times tell apart.
@@ -105,9 +105,9 @@
 }
 
 // checkSize compares the whole with what a table can hold.
-func (c *compiler) checkSize(t *ratelimit.Table, fleet *part) {
+func (c *compiler) checkSize(t *ratelimit.Table, fleet *scope) {
 	if len(t.Limits) > ratelimit.MaxLimits {
-		c.fail(fleet.at, "Too many limits", fmt.Sprintf("There are %d, %d at most. Let parts with little to do share one block with the "+
+		c.addError(fleet.source, "Too many limits", fmt.Sprintf("There are %d, %d at most. Let parts with little to do share one block with the "+
 			"name \"*\".", len(t.Limits), ratelimit.MaxLimits))
 	}
 	slots := 0
@@ -115,11 +115,11 @@
 		slots += l.KeySlots
 	}
 	if slots > ratelimit.MaxKeySlots {
-		c.fail(fleet.at, "Too many slots of keys", fmt.Sprintf("All `key` blocks have %d together, %d at most. Give each fewer slots.",
+		c.addError(fleet.source, "Too many slots of keys", fmt.Sprintf("All `key` blocks have %d together, %d at most. Give each fewer slots.",
 			slots, ratelimit.MaxKeySlots))
 	}
 	if limits, parts := t.MaxMatched(); limits > ratelimit.MaxMatchedLimits || parts > ratelimit.MaxMatchedScopes {
-		c.fail(fleet.at, "Limits too deep", fmt.Sprintf("One request can touch %d limits in %d parts, %d and %d at most. Drop limits "+
+		c.addError(fleet.source, "Limits too deep", fmt.Sprintf("One request can touch %d limits in %d parts, %d and %d at most. Drop limits "+
 			"that those around them make needless, or write requests { share = ... } where a part's share makes a limit in each unit.", limits, parts, ratelimit.MaxMatchedLimits, ratelimit.MaxMatchedScopes))
 	}
 }
--- a/internal/policy/locals.go
+++ b/internal/policy/locals.go
@@ -12,16 +12,16 @@
 	"github.com/zclconf/go-cty/cty/function/stdlib"
 )
 
-// surroundings are what expressions can speak of: the fleet's names, and functions in the operators' terms.
-func (c *compiler) surroundings() *hcl.EvalContext {
+// evalContext are what expressions can speak of: the fleet's names, and functions in the operators' terms.
+func (c *compiler) evalContext() *hcl.EvalContext {
 	return &hcl.EvalContext{
 		Variables: map[string]cty.Value{
-			"sites": texts(c.known.Sites), "books": texts(c.known.Books), "pods": texts(c.known.Pods),
+			"sites": texts(c.known.Sites), "books": texts(c.known.Tenants), "pods": texts(c.known.Cells),
 			"classes": texts(c.known.classNames()),
 		},
 		Functions: map[string]function.Function{
 			"per_second": scaled(1), "per_minute": scaled(1. / 60), "per_hour": scaled(1. / 3600),
-			"percent": scaled(1. / 100), "seconds": scaled(1000), "worth": c.worth(),
+			"percent": scaled(1. / 100), "seconds": scaled(1000), "worth": c.priorityWeightFunction(),
 			"min": stdlib.MinFunc, "max": stdlib.MaxFunc, "ceil": stdlib.CeilFunc, "floor": stdlib.FloorFunc,
 			"contains": stdlib.ContainsFunc, "length": stdlib.LengthFunc, "keys": stdlib.KeysFunc,
 			"values": stdlib.ValuesFunc, "setsubtract": stdlib.SetSubtractFunc, "toset": stdlib.MakeToFunc(cty.Set(cty.String)),
@@ -57,7 +57,7 @@
 	})
 }
 
-func (c *compiler) worth() function.Function {
+func (c *compiler) priorityWeightFunction() function.Function {
 	return function.New(&function.Spec{
 		Params: []function.Parameter{{Name: "class", Type: cty.String}},
 		Type:   function.StaticReturnType(cty.Number),
@@ -67,14 +67,14 @@
 				return cty.NilVal, function.NewArgErrorf(0, "no class %q is known.%s", args[0].AsString(),
 					strings.TrimRight(didYouMean(args[0].AsString(), c.known.classNames()), ".?"))
 			}
-			return cty.NumberFloatVal(c.known.Classes[i].Worth), nil
+			return cty.NumberFloatVal(c.known.Classes[i].PriorityWeight), nil
 		},
 	})
 }
 
-// locals works out the names that the text gives to values, each after those that it speaks of. One that can't be is
+// evalLocals works out the names that the text gives to values, each after those that it speaks of. One that can't be is
 // unknown to the others, so that its error is told once.
-func (c *compiler) locals(attrs hcl.Attributes) {
+func (c *compiler) evalLocals(attrs hcl.Attributes) {
 	values := map[string]cty.Value{}
 	var path []string
 	var visit func(string)
@@ -84,7 +84,7 @@
 			return
 		}
 		if i := slices.Index(path, name); i >= 0 {
-			c.fail(attr.Range, "Locals go round in a cycle", fmt.Sprintf("%s -> %s: each needs the next to be worked out. "+
+			c.addError(attr.Range, "Locals go round in a cycle", fmt.Sprintf("%s -> %s: each needs the next to be worked out. "+
 				"Give one of them a value of its own.", strings.Join(path[i:], " -> "), name))
 			values[name] = cty.DynamicVal
 			return
@@ -104,9 +104,9 @@
 		if c.diags = append(c.diags, diags...); diags.HasErrors() {
 			v = cty.DynamicVal
 		}
-		if elements(v) > mostElements {
-			c.fail(attr.Expr.Range(), "A value too large", fmt.Sprintf("A local has %d elements at most, and no text "+
-				"over %d bytes. Split it.", mostElements, mostWord))
+		if elements(v) > maxElements {
+			c.addError(attr.Expr.Range(), "A value too large", fmt.Sprintf("A local has %d elements at most, and no text "+
+				"over %d bytes. Split it.", maxElements, maxLocalText))
 			v = cty.DynamicVal
 		}
 		values[name] = v
@@ -130,10 +130,10 @@
 func elements(v cty.Value) int {
 	n := 0
 	_ = cty.Walk(v, func(_ cty.Path, v cty.Value) (bool, error) {
-		if n++; v.Type() == cty.String && v.IsKnown() && !v.IsNull() && len(v.AsString()) > mostWord {
-			n = mostElements + 2
+		if n++; v.Type() == cty.String && v.IsKnown() && !v.IsNull() && len(v.AsString()) > maxLocalText {
+			n = maxElements + 2
 		}
-		if n > mostElements+1 {
+		if n > maxElements+1 {
 			return false, fmt.Errorf("too many")
 		}
 		return true, nil
--- a/internal/policy/names.go
+++ b/internal/policy/names.go
@@ -12,17 +12,17 @@
 )
 
 // each visits a part and all within it.
-func (p *part) each(do func(*part)) {
+func (p *scope) each(do func(*scope)) {
 	do(p)
 	for _, k := range p.children {
 		k.each(do)
 	}
 }
 
-// within tells that a part, or one around it, is of an axis.
-func (p *part) within(a ratelimit.Attribute) bool {
-	for ; p.up != nil; p = p.up {
-		if p.axis == a {
+// isWithin tells that a part, or one around it, is of an axis.
+func (p *scope) isWithin(a ratelimit.Attribute) bool {
+	for ; p.parent != nil; p = p.parent {
+		if p.attribute == a {
 			return true
 		}
 	}
@@ -34,23 +34,23 @@
 	case ratelimit.AttributeSite:
 		return c.known.Sites
 	case ratelimit.AttributeTenant:
-		return c.known.Books
+		return c.known.Tenants
 	case ratelimit.AttributeClass:
 		return c.known.classNames()
 	case ratelimit.AttributeCell:
-		return c.known.Pods
+		return c.known.Cells
 	}
 	return nil
 }
 
 // checkNames finds names that the fleet doesn't have, and books that a policy forgets.
-func (c *compiler) checkNames(fleet *part) {
-	fleet.each(func(p *part) {
-		if p.up != nil && p.word != ratelimit.AnyOther {
-			c.name(p.at, p.axis.String(), p.word, c.namesOf(p.axis))
+func (c *compiler) checkNames(fleet *scope) {
+	fleet.each(func(p *scope) {
+		if p.parent != nil && p.value != ratelimit.AnyOther {
+			c.name(p.source, p.attribute.String(), p.value, c.namesOf(p.attribute))
 		}
-		if !p.within(ratelimit.AttributeTenant) {
-			c.forgotten(p)
+		if !p.isWithin(ratelimit.AttributeTenant) {
+			c.checkForgotten(p)
 		}
 	})
 }
@@ -59,10 +59,10 @@
 func (c *compiler) name(at hcl.Range, axis, name string, known []string) {
 	switch {
 	case name == "" || len(name) > ratelimit.MaxName || strings.ContainsAny(name, "/:"):
-		c.fail(at, "Not a name", fmt.Sprintf("The %s %.40q can be named by no policy: a name has 1 to %d bytes, and no slash or "+
+		c.addError(at, "Not a name", fmt.Sprintf("The %s %.40q can be named by no policy: a name has 1 to %d bytes, and no slash or "+
 			"colon.", axis, name, ratelimit.MaxName))
 	case len(known) > 0 && !slices.Contains(known, name):
-		c.fail(at, "A rule that can never match", fmt.Sprintf("The fleet has no %s %q.%s", axis, name, didYouMean(name, known)))
+		c.addError(at, "A rule that can never match", fmt.Sprintf("The fleet has no %s %q.%s", axis, name, didYouMean(name, known)))
 	}
 }
 
@@ -83,31 +83,31 @@
 	return fmt.Sprintf(" It has %s.", strings.Join(known, ", "))
 }
 
-// forgotten finds the known books that a part which tells books apart says nothing of.
-func (c *compiler) forgotten(p *part) {
+// checkForgotten finds the known books that a part which tells books apart says nothing of.
+func (c *compiler) checkForgotten(p *scope) {
 	said := map[string]bool{}
 	for _, k := range p.children {
-		if k.axis == ratelimit.AttributeTenant {
-			said[k.word] = true
+		if k.attribute == ratelimit.AttributeTenant {
+			said[k.value] = true
 		}
 	}
 	if len(said) == 0 || said[ratelimit.AnyOther] {
 		return
 	}
-	missing := slices.DeleteFunc(slices.Clone(c.known.Books), func(b string) bool { return said[b] })
+	missing := slices.DeleteFunc(slices.Clone(c.known.Tenants), func(b string) bool { return said[b] })
 	if len(missing) > 0 {
-		c.fail(p.at, "A book without a rule", fmt.Sprintf("%s tells books apart and says nothing of %s. Give each a block, or all "+
+		c.addError(p.source, "A book without a rule", fmt.Sprintf("%s tells books apart and says nothing of %s. Give each a block, or all "+
 			"of them one with the name \"*\".", p.path(), strings.Join(missing, ", ")))
 	}
 }
 
 // checkShape finds blocks that can't match where they are.
-func (c *compiler) checkShape(fleet *part) {
-	fleet.each(func(p *part) {
-		for up := p.up; up != nil; up = up.up {
-			if up.axis == p.axis && p.up != nil && up.up != nil {
-				c.fail(p.at, "A rule that can never match", fmt.Sprintf("It is within %s, and a request has one %s alone. "+
-					"Put it beside that block.", up.path(), p.axis))
+func (c *compiler) checkShape(fleet *scope) {
+	fleet.each(func(p *scope) {
+		for up := p.parent; up != nil; up = up.parent {
+			if up.attribute == p.attribute && p.parent != nil && up.parent != nil {
+				c.addError(p.source, "A rule that can never match", fmt.Sprintf("It is within %s, and a request has one %s alone. "+
+					"Put it beside that block.", up.path(), p.attribute))
 				return
 			}
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -17,25 +17,25 @@
 
 // Known are the names that a policy may speak of. A list that is empty is not checked against.
 type Known struct {
-	Sites, Books, Pods []string
-	Classes            []Class
+	Sites, Tenants, Cells []string
+	Classes               []Class
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name  string
-	Worth float64
-	Work  time.Duration // of its heaviest request; 0: not known
+	Name           string
+	PriorityWeight float64
+	Work           time.Duration // of its heaviest request; 0: not known
 }
 
 // KnownOf takes the names from a node's settings. A class's work is not told there.
 func KnownOf(s balancer.Settings) Known {
 	k := Known{Sites: s.Zones}
 	for _, t := range s.Tenants {
-		k.Books = append(k.Books, t.Name)
+		k.Tenants = append(k.Tenants, t.Name)
 	}
 	for _, c := range s.Classes {
-		k.Classes = append(k.Classes, Class{Name: c.Name, Worth: c.PriorityWeight})
+		k.Classes = append(k.Classes, Class{Name: c.Name, PriorityWeight: c.PriorityWeight})
 	}
 	return k
 }
@@ -46,7 +46,7 @@
 	classes := slices.Clone(k.Classes)
 	slices.SortStableFunc(classes, func(a, b Class) int { return strings.Compare(a.Name, b.Name) })
 	classes = slices.CompactFunc(classes, func(a, b Class) bool { return a.Name == b.Name })
-	return Known{names(k.Sites), names(k.Books), names(k.Pods), classes}
+	return Known{names(k.Sites), names(k.Tenants), names(k.Cells), classes}
 }
 
 func (k Known) classNames() []string {
@@ -60,25 +60,25 @@
 // Compile makes a file's text into a table, or says all that is wrong with it, as *Errors.
 func Compile(file string, text []byte, known Known) (*ratelimit.Table, error) {
 	c := &compiler{known: known.sorted(), source: text}
-	if err := c.bounded(); err != nil {
+	if err := c.checkBounds(); err != nil {
 		return nil, err
 	}
 	table := c.compile(file)
 	if c.diags.HasErrors() {
-		return nil, &Errors{diags: c.inOrder(), file: file, text: text}
+		return nil, &Errors{diags: c.sortedErrors(), file: file, text: text}
 	}
 	return table, nil
 }
 
 type compiler struct {
-	known  Known
-	source []byte
-	diags  hcl.Diagnostics
-	ctx    *hcl.EvalContext
-	parts  int      // made so far
-	usual  figuring // for all limits
-	zone   int
-	levels []*level
+	known           Known
+	source          []byte
+	diags           hcl.Diagnostics
+	ctx             *hcl.EvalContext
+	scopes          int      // made so far
+	defaultSettings settings // for all limits
+	zone            int
+	levels          []*degradeLevel
 }
 
 func (c *compiler) compile(file string) *ratelimit.Table {
@@ -88,7 +88,7 @@
 		return nil
 	}
 	body := f.Body.(*hclsyntax.Body)
-	if !c.affordable(body) {
+	if !c.checkCost(body) {
 		return nil
 	}
 	fleet := c.file(body)
@@ -98,18 +98,18 @@
 	c.checkNames(fleet)
 	c.checkShape(fleet)
 	c.resolve(fleet)
-	c.order(fleet)
+	c.sortLevels(fleet)
 	if c.diags.HasErrors() { // sums of figures that aren't there would only add to the noise
 		return nil
 	}
-	t := c.flatten(fleet)
+	t := c.buildTable(fleet)
 	c.checkFloors(t, fleet)
 	c.checkSize(t, fleet)
 	if c.diags.HasErrors() {
 		return nil
 	}
 	if err := t.Finalize(); err != nil {
-		c.fail(fleet.at, "No table", err.Error())
+		c.addError(fleet.source, "No table", err.Error())
 	}
 	return t
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -16,10 +16,10 @@
 
 var site = Known{
 	Sites: []string{"klein-windhoek", "southern-ind", "okuryangava"},
-	Books: []string{"kalahari-core", "namib-factors", "oshana-credit", "erongo-trade", "kalahari-agri", "kunene-mining",
+	Tenants: []string{"kalahari-core", "namib-factors", "oshana-credit", "erongo-trade", "kalahari-agri", "kunene-mining",
 		"otjozondjupa-sme"},
-	Classes: []Class{{Name: "ledger-view", Worth: 1}, {Name: "aging-report", Worth: 1, Work: 400 * time.Millisecond},
-		{Name: "payment-post", Worth: 6}, {Name: "advance-release", Worth: 8}},
+	Classes: []Class{{Name: "ledger-view", PriorityWeight: 1}, {Name: "aging-report", PriorityWeight: 1, Work: 400 * time.Millisecond},
+		{Name: "payment-post", PriorityWeight: 6}, {Name: "advance-release", PriorityWeight: 8}},
 }
 
 func read(t *testing.T, path string) []byte {
@@ -97,7 +97,7 @@
 			t.Errorf("no limit %s", want.limit)
 		}
 	}
-	again, err := Compile("other-name.hcl", text, Known{site.Sites, site.Books, nil, site.Classes})
+	again, err := Compile("other-name.hcl", text, Known{site.Sites, site.Tenants, nil, site.Classes})
 	if err != nil || !bytes.Equal(again.JSON(), table.JSON()) {
 		t.Errorf("the same text gives other bytes, %v", err)
 	}
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -11,22 +11,22 @@
 	"wrenspread/ratelimit"
 )
 
-// part is a block that stands for a part of the requests.
-type part struct {
-	axis     ratelimit.Attribute
-	word     string
-	at       hcl.Range // of its first line
-	up       *part
-	children []*part
-	limits   [ratelimit.UnitPerKey + 1]*limit
-
-	share, weight *given // for its limits that say none
-	borrow        *yesNo
-	priority      int
-	priorityAt    hcl.Range
+// scope is a block that stands for a part of the requests.
+type scope struct {
+	attribute ratelimit.Attribute
+	value     string
+	source    hcl.Range // of its first line
+	parent    *scope
+	children  []*scope
+	limits    [ratelimit.UnitPerKey + 1]*limit
+
+	share, weight  *number // for its limits that say none
+	borrow         *boolean
+	priority       int
+	prioritySource hcl.Range
 }
 
-var axes = map[string]ratelimit.Attribute{
+var attributeNames = map[string]ratelimit.Attribute{
 	"site": ratelimit.AttributeSite, "book": ratelimit.AttributeTenant, "class": ratelimit.AttributeClass, "pod": ratelimit.AttributeCell,
 }
 
@@ -41,9 +41,9 @@
 		{Type: "degrade", LabelNames: []string{"name"}}},
 }
 
-var partSchema = &hcl.BodySchema{
+var scopeSchema = &hcl.BodySchema{
 	Attributes: attributes("share", "weight", "borrow", "priority"),
-	Blocks:     partBlocks(),
+	Blocks:     scopeBlocks(),
 }
 
 func attributes(names ...string) (list []hcl.AttributeSchema) {
@@ -53,8 +53,8 @@
 	return list
 }
 
-func partBlocks() (list []hcl.BlockHeaderSchema) {
-	for _, name := range slices.Sorted(maps.Keys(axes)) {
+func scopeBlocks() (list []hcl.BlockHeaderSchema) {
+	for _, name := range slices.Sorted(maps.Keys(attributeNames)) {
 		list = append(list, hcl.BlockHeaderSchema{Type: name, LabelNames: []string{"name"}})
 	}
 	for _, name := range slices.Sorted(maps.Keys(units)) {
@@ -71,8 +71,8 @@
 }
 
 // file reads the outermost blocks and gives the fleet's.
-func (c *compiler) file(body hcl.Body) *part {
-	c.ctx = c.surroundings()
+func (c *compiler) file(body hcl.Body) *scope {
+	c.ctx = c.evalContext()
 	content := c.content(body, fileSchema)
 	locals := hcl.Attributes{}
 	for _, b := range content.Blocks.OfType("locals") {
@@ -80,113 +80,113 @@
 		c.diags = append(c.diags, diags...)
 		for name, a := range attrs {
 			if locals[name] != nil {
-				c.fail(a.NameRange, "A local given twice", fmt.Sprintf("%q has a value already. Drop one of them.", name))
+				c.addError(a.NameRange, "A local given twice", fmt.Sprintf("%q has a value already. Drop one of them.", name))
 			}
 			locals[name] = a
 		}
 	}
-	if len(locals) > mostElements {
-		c.fail(body.MissingItemRange(), "Too many locals", fmt.Sprintf("A policy has %d at most.", mostElements))
+	if len(locals) > maxElements {
+		c.addError(body.MissingItemRange(), "Too many locals", fmt.Sprintf("A policy has %d at most.", maxElements))
 		return nil
 	}
-	c.locals(locals)
+	c.evalLocals(locals)
 	c.zone = c.clockZone(content.Attributes["clock"])
-	c.usual = usualFigures()
+	c.defaultSettings = defaultCommon()
 	for i, b := range content.Blocks.OfType("defaults") {
 		if i > 0 {
-			c.twice(b, "")
+			c.checkDuplicate(b, "")
 			continue
 		}
 		c.defaults(b.Body)
 	}
 	for _, b := range content.Blocks.OfType("degrade") {
-		c.degrade(b)
+		c.degradeBlock(b)
 	}
 	fleets := content.Blocks.OfType("fleet")
 	if len(fleets) == 0 {
-		c.fail(body.MissingItemRange(), "No fleet", "A policy has one block `fleet { ... }`, in which all limits nest.")
+		c.addError(body.MissingItemRange(), "No fleet", "A policy has one block `fleet { ... }`, in which all limits nest.")
 		return nil
 	}
 	for _, b := range fleets[1:] {
-		c.twice(b, "")
+		c.checkDuplicate(b, "")
 	}
-	return c.part(fleets[0], nil)
+	return c.scopeBlock(fleets[0], nil)
 }
 
-// twice notes a block that is there already.
-func (c *compiler) twice(b *hcl.Block, name string) {
+// checkDuplicate notes a block that is there already.
+func (c *compiler) checkDuplicate(b *hcl.Block, name string) {
 	if name != "" {
 		name = fmt.Sprintf(" %q", name)
 	}
-	c.fail(b.DefRange, "The same block twice", fmt.Sprintf("There is a block `%s%s` in this place already, and two of them "+
+	c.addError(b.DefRange, "The same block twice", fmt.Sprintf("There is a block `%s%s` in this place already, and two of them "+
 		"would contradict each other. Put them together in one.", b.Type, name))
 }
 
-// part reads a part's block and all within it.
-func (c *compiler) part(b *hcl.Block, up *part) *part {
-	p := &part{axis: axes[b.Type], at: b.DefRange, up: up}
+// scopeBlock reads a part's block and all within it.
+func (c *compiler) scopeBlock(b *hcl.Block, up *scope) *scope {
+	p := &scope{attribute: attributeNames[b.Type], source: b.DefRange, parent: up}
 	if len(b.Labels) > 0 {
-		p.word = b.Labels[0]
+		p.value = b.Labels[0]
 	}
-	if c.parts++; c.parts > ratelimit.MaxLimits {
-		if c.parts == ratelimit.MaxLimits+1 {
-			c.fail(b.DefRange, "Too many parts", fmt.Sprintf("A policy has %d at most. Let those with little to do share one "+
+	if c.scopes++; c.scopes > ratelimit.MaxLimits {
+		if c.scopes == ratelimit.MaxLimits+1 {
+			c.addError(b.DefRange, "Too many parts", fmt.Sprintf("A policy has %d at most. Let those with little to do share one "+
 				"block with the name \"*\".", ratelimit.MaxLimits))
 		}
 		return p
 	}
-	content := c.content(dynblock.Expand(b.Body, c.ctx), partSchema)
-	c.partAttributes(p, content.Attributes)
+	content := c.content(dynblock.Expand(b.Body, c.ctx), scopeSchema)
+	c.scopeAttributes(p, content.Attributes)
 	names := map[string]bool{}
 	for _, inner := range content.Blocks {
 		if unit, ok := units[inner.Type]; ok {
 			if p.limits[unit] != nil {
-				c.twice(inner, "")
+				c.checkDuplicate(inner, "")
 				continue
 			}
 			p.limits[unit] = c.limit(inner, unit)
 			continue
 		}
 		if key := inner.Type + "/" + inner.Labels[0]; names[key] {
-			c.twice(inner, inner.Labels[0])
+			c.checkDuplicate(inner, inner.Labels[0])
 		} else {
 			names[key] = true
-			p.children = append(p.children, c.part(inner, p))
+			p.children = append(p.children, c.scopeBlock(inner, p))
 		}
 	}
 	if up != nil && len(content.Attributes) == 0 && len(content.Blocks) == 0 {
-		c.fail(b.DefRange, "A block that says nothing", "It changes nothing for any request. Give it a share, a limit or a "+
+		c.addError(b.DefRange, "A block that says nothing", "It changes nothing for any request. Give it a share, a limit or a "+
 			"priority, or drop it.")
 	}
 	return p
 }
 
-func (c *compiler) partAttributes(p *part, attrs hcl.Attributes) {
+func (c *compiler) scopeAttributes(p *scope, attrs hcl.Attributes) {
 	p.share, p.weight, p.borrow = c.fraction(attrs["share"]), c.amount(attrs["weight"]), c.flag(attrs["borrow"])
 	if a := attrs["priority"]; a != nil {
-		p.priorityAt = a.Expr.Range()
+		p.prioritySource = a.Expr.Range()
 		switch word, ok := c.text(a); {
 		case ok && word == "always":
 			p.priority = 1
 		case ok && word == "never":
 			p.priority = -1
 		case ok:
-			c.fail(p.priorityAt, "Not a priority", fmt.Sprintf("%q is none: write \"always\" or \"never\", or leave it out and "+
+			c.addError(p.prioritySource, "Not a priority", fmt.Sprintf("%q is none: write \"always\" or \"never\", or leave it out and "+
 				"the node judges by worth.", word))
 		}
 	}
-	if p.share != nil && p.up == nil {
-		c.fail(p.share.at, "A share of nothing", "Nothing is around the fleet that it could have a share of. Give its limits a rate.")
+	if p.share != nil && p.parent == nil {
+		c.addError(p.share.source, "A share of nothing", "Nothing is around the fleet that it could have a share of. Give its limits a rate.")
 	}
 }
 
 // path is a part's name for people.
-func (p *part) path() string {
-	if p.up == nil {
+func (p *scope) path() string {
+	if p.parent == nil {
 		return "fleet"
 	}
-	if p.up.up == nil {
-		return p.axis.String() + "/" + p.word
+	if p.parent.parent == nil {
+		return p.attribute.String() + "/" + p.value
 	}
-	return p.up.path() + "/" + p.axis.String() + "/" + p.word
+	return p.parent.path() + "/" + p.attribute.String() + "/" + p.value
 }
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -12,12 +12,12 @@
 // tenants is a node's part in the catalogue of tenants. It is the loop's but for the client, the session and the figures.
 type tenants struct {
 	k       *client.Client // for the catalogue and the session alone
-	desk    *tenant.Desk
-	as      tenant.Member     // how the book is to have this node
-	now     *tenant.Catalogue // that requests are answered from
-	queue   []any             // events for the desk, the first of which is being handled
-	table   tenant.Table      // the policy's, as the desk has it
-	books   map[string]string // by limit of the policy's table: the name under which that knows its tenant
+	desk    *tenant.Cache
+	as      tenant.Member      // how the book is to have this node
+	now     *tenant.Catalogue  // that requests are answered from
+	queue   []any              // events for the desk, the first of which is being handled
+	table   tenant.PolicyTable // the policy's, as the desk has it
+	books   map[string]string  // by limit of the policy's table: the name under which that knows its tenant
 	lanes   lanes
 	session *session
 	parked  []parked
@@ -45,7 +45,7 @@
 
 // begin makes the desk of a life in which nothing has been heard or said yet.
 func (t *tenants) begin(cfg Config, life uint64) {
-	t.desk = tenant.NewDesk(life, cfg.Tenants.Hold, cfg.Tenants.OnDemand)
+	t.desk = tenant.NewCache(life, cfg.Tenants.Hold, cfg.Tenants.OnDemand)
 	t.as = t.desk.Member(cfg.Name)
 }
 
@@ -56,12 +56,12 @@
 	if t == nil || before == nil {
 		return
 	}
-	if before.HoldMS == t.as.HoldMS {
-		t.begin(n.cfg, before.Life)
+	if before.MaxStalenessMS == t.as.MaxStalenessMS {
+		t.begin(n.cfg, before.Generation)
 	} else {
-		t.begin(n.cfg, max(t.as.Life, before.Life+1))
+		t.begin(n.cfg, max(t.as.Generation, before.Generation+1))
 	}
-	n.desk(tenant.Tables{Table: t.table})
+	n.desk(tenant.PolicyChanged{PolicyTable: t.table})
 }
 
 // member is what the next process of this node is told; nil where tenants are not told apart.
@@ -95,14 +95,14 @@
 	for len(t.queue) > 0 {
 		for _, a := range t.desk.Handle(n.clock(), t.queue[0]) {
 			switch a := a.(type) {
-			case tenant.Swap:
+			case tenant.SwapCatalogue:
 				t.now, t.look = a.Catalogue, true
 				n.swapped()
-			case tenant.Tell:
-				t.session.tell(a.Word)
-			case tenant.Fetch:
+			case tenant.TellStatus:
+				t.session.tell(a.Status)
+			case tenant.ReadCatalogue:
 				t.session.ask()
-			case tenant.Cut:
+			case tenant.CutRequests:
 				n.cutTenant(a.Tenant)
 			}
 		}
@@ -120,9 +120,9 @@
 	t := n.tenants
 	if number := t.desk.Number(); number != t.number.Load() {
 		t.number.Store(number)
-		t.known.Store(uint64(t.desk.Known()))
+		t.known.Store(uint64(t.desk.TenantCount()))
 		n.tellVersions()
-		n.log.Info("tenants", "catalogue", number, "known", t.desk.Known())
+		n.log.Info("tenants", "catalogue", number, "known", t.desk.TenantCount())
 	}
 	if t.now.Ready() {
 		select {
@@ -152,14 +152,14 @@
 		return
 	}
 	t.books = map[string]string{}
-	t.table = tenant.Table{Has: func(limit string) bool { _, ok := t.books[limit]; return ok }}
+	t.table = tenant.PolicyTable{HasLimit: func(limit string) bool { _, ok := t.books[limit]; return ok }}
 	if table != nil {
 		t.table.Version = table.Version
 		for _, l := range table.Limits {
 			t.books[l.Name] = bookOf(table, l)
 		}
 	}
-	n.desk(tenant.Tables{Table: t.table})
+	n.desk(tenant.PolicyChanged{PolicyTable: t.table})
 }
 
 // bookOf is the name by which a table knows the requests that touch a limit; empty: any.
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -24,7 +24,7 @@
 	t.session.close = stop
 	go n.keepSession(open)
 	go n.readTenants(ctx)
-	for _, key := range []string{tenant.HeadKey, tenant.BookKey} { // the pages are read as they are wanted
+	for _, key := range []string{tenant.HeadKey, tenant.MembersKey} { // the pages are read as they are wanted
 		go t.k.FollowRecords(ctx, key, func(client.Records) { t.session.ask() })
 	}
 	go func() {
@@ -44,7 +44,7 @@
 
 func (n *Node) tenantTick() {
 	if shell := n.view.Load(); shell != nil {
-		n.desk(tenant.Heard{Number: shell.HighestCatalogue()})
+		n.desk(tenant.PeerHasCatalogue{Number: shell.HighestCatalogue()})
 	}
 	n.tenants.look = true // some have waited for long enough
 	n.desk(tenant.Tick{})
@@ -54,15 +54,15 @@
 // readTenants reads the catalogue whenever it is asked to, until that has worked.
 func (n *Node) readTenants(ctx context.Context) {
 	t := n.tenants
-	r := &tenant.Reader{List: t.k, Member: t.as}
+	r := &tenant.Reader{Source: t.k, Member: t.as}
 	for failed := false; ; {
 		select {
 		case <-t.session.reads:
 		case <-ctx.Done():
 			return
 		}
-		want := tenant.Want{}
-		if !n.do(func() { want = t.desk.Want() }) {
+		want := tenant.WantedLeaves{}
+		if !n.do(func() { want = t.desk.Wanted() }) {
 			return
 		}
 		call, done := context.WithTimeout(ctx, readTries)
@@ -82,16 +82,16 @@
 }
 
 // takeTenants takes what was read. The routes come first: what the desk then says to be taken up can be served.
-func (n *Node) takeTenants(got tenant.Read) {
+func (n *Node) takeTenants(got tenant.CatalogueRead) {
 	t := n.tenants
-	if got.Image != nil && got.Image.Number >= t.desk.Number() {
-		n.planLanes(got.Image)
+	if got.Snapshot != nil && got.Snapshot.Number >= t.desk.Number() {
+		n.planLanes(got.Snapshot)
 	}
 	n.desk(got)
 	if t.now.Ready() || got.Enrolled {
 		return
 	}
-	if w := t.desk.Word(); w.Left {
+	if w := t.desk.Status(); w.Left {
 		select {
 		case <-t.off:
 		default:
--- a/internal/proxy/tenants_judge.go
+++ b/internal/proxy/tenants_judge.go
@@ -16,31 +16,31 @@
 	if t == nil {
 		return true
 	}
-	v := t.now.Answer(n.clock(), e.Tenant, e.Class, e.Key)
+	v := t.now.Decide(n.clock(), e.Tenant, e.Class, e.Key)
 	lane := ""
-	if v.Verdict == tenant.Served {
+	if v.Kind == tenant.Routed {
 		if lane = t.lanes.of(v.Route, e.Class, e.PreviousSettings); lane == "" {
-			v = tenant.Answer{Verdict: tenant.Unsure, Retry: laneRetry}
+			v = tenant.Decision{Kind: tenant.Unavailable, RetryAfter: laneRetry}
 		}
 	}
 	a := answer{}
-	switch v.Verdict {
-	case tenant.Served:
+	switch v.Kind {
+	case tenant.Routed:
 		e.Tenant, e.Class = cmp.Or(t.books[v.Limit], v.Tenant), lane
 		r.tenant = v.Tenant
-		n.desk(tenant.Begun{Tenant: v.Tenant})
+		n.desk(tenant.RequestStarted{Tenant: v.Tenant})
 		return true
-	case tenant.Declined:
+	case tenant.Forbidden:
 		a.status = http.StatusForbidden
 		t.declined.Add(1)
-	case tenant.Unknown:
+	case tenant.NotFound:
 		a.status = http.StatusNotFound
 		t.unknown.Add(1)
 	default:
-		if v.Why == tenant.WhyUnread && n.park(r, *e) {
+		if v.Reason == tenant.ReasonLeafMissing && n.park(r, *e) {
 			return false
 		}
-		a.status, a.holdOff = http.StatusServiceUnavailable, v.Retry
+		a.status, a.holdOff = http.StatusServiceUnavailable, v.RetryAfter
 		t.unsure.Add(1)
 	}
 	r.done = true
@@ -52,7 +52,7 @@
 func (n *Node) overTenant(r *request) {
 	if name := r.tenant; name != "" {
 		r.tenant = ""
-		n.desk(tenant.Over{Tenant: name})
+		n.desk(tenant.RequestEnded{Tenant: name})
 	}
 }
 
--- a/internal/proxy/tenants_lanes.go
+++ b/internal/proxy/tenants_lanes.go
@@ -23,10 +23,10 @@
 	has   map[string]balancer.Class // variants that the module was given
 	had   map[string]balancer.Class // and those with the settings before
 	uses  map[string]int            // of wants: by so many of names
-	parts map[*tenant.Part][]lane   // of names, by the parts of the catalogue that have the routes
+	parts map[*tenant.Leaf][]lane   // of names, by the parts of the catalogue that have the routes
 	short bool                      // a variant has no room in wants
 	late  bool                      // it is to be given others
-	tried *tenant.Image             // of which names and wants are
+	tried *tenant.Snapshot          // of which names and wants are
 }
 
 type lane struct {
@@ -57,16 +57,16 @@
 	return ""
 }
 
-func narrows(r *tenant.Route) bool { return len(r.Zones)+len(r.Kinds)+len(r.Pods) > 0 }
+func narrows(r *tenant.Route) bool { return len(r.Zones)+len(r.MachineTypes)+len(r.Cells) > 0 }
 
 // plan finds the variants that a catalogue needs: equal routes share one.
-func (l *lanes) plan(i *tenant.Image, classes []balancer.Class) {
-	l.names, l.wants, l.uses, l.parts, l.short = map[lane]string{}, map[string]balancer.Class{}, map[string]int{}, map[*tenant.Part][]lane{}, false
+func (l *lanes) plan(i *tenant.Snapshot, classes []balancer.Class) {
+	l.names, l.wants, l.uses, l.parts, l.short = map[lane]string{}, map[string]balancer.Class{}, map[string]int{}, map[*tenant.Leaf][]lane{}, false
 	l.follow(i, classes)
 }
 
 // follow finds them by the parts that the catalogue before had not, and those that it had.
-func (l *lanes) follow(i *tenant.Image, classes []balancer.Class) {
+func (l *lanes) follow(i *tenant.Snapshot, classes []balancer.Class) {
 	l.tried = i
 	if i == nil {
 		return
@@ -75,9 +75,9 @@
 	for _, c := range classes {
 		byName[c.Name] = c
 	}
-	there := map[*tenant.Part]bool{}
+	there := map[*tenant.Leaf]bool{}
 	var more []int
-	for n, p := range i.Parts() {
+	for n, p := range i.Leaves() {
 		if there[p] = true; l.parts[p] == nil {
 			more = append(more, n)
 		}
@@ -94,15 +94,15 @@
 	}
 	slices.Sort(more)
 	for _, n := range more {
-		l.take(i.Parts()[n], byName)
+		l.take(i.Leaves()[n], byName)
 	}
 }
 
 // take adds the variants of a part, in the order of its tenants' names.
-func (l *lanes) take(p *tenant.Part, classes map[string]balancer.Class) {
+func (l *lanes) take(p *tenant.Leaf, classes map[string]balancer.Class) {
 	l.parts[p] = []lane{}
 	for _, e := range p.Entries() {
-		for _, f := range []*tenant.Form{e.Now, e.Next} {
+		for _, f := range []*tenant.Spec{e.Current, e.Next} {
 			if f == nil {
 				continue
 			}
@@ -116,7 +116,7 @@
 }
 
 // drop takes away what only a part that is gone needed.
-func (l *lanes) drop(p *tenant.Part) {
+func (l *lanes) drop(p *tenant.Leaf) {
 	for _, one := range l.parts[p] {
 		name := l.names[one]
 		delete(l.names, one)
@@ -129,8 +129,8 @@
 	delete(l.parts, p)
 }
 
-func (l *lanes) add(p *tenant.Part, r *tenant.Route, c balancer.Class) {
-	if r == nil || !narrows(r) || len(r.Pods) > 0 {
+func (l *lanes) add(p *tenant.Leaf, r *tenant.Route, c balancer.Class) {
+	if r == nil || !narrows(r) || len(r.Cells) > 0 {
 		return
 	}
 	v, one := variant(c, r), lane{r, c.Name}
@@ -149,7 +149,7 @@
 // variant is a class with the zones and kinds of a route alone. Its name is the same for equal routes, in every process,
 // and none that a client can send.
 func variant(c balancer.Class, r *tenant.Route) balancer.Class {
-	zones, kinds := narrow(c.AllowedZones, r.Zones), narrow(c.AllowedMachineTypes, r.Kinds)
+	zones, kinds := narrow(c.AllowedZones, r.Zones), narrow(c.AllowedMachineTypes, r.MachineTypes)
 	c.VariantOf = c.Name
 	c.Name = strings.Join([]string{c.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(kinds, "\x00")}, "\x00")
 	c.AllowedZones, c.AllowedMachineTypes = zones, kinds
@@ -187,7 +187,7 @@
 }
 
 // planLanes follows a catalogue up.
-func (n *Node) planLanes(i *tenant.Image) {
+func (n *Node) planLanes(i *tenant.Snapshot) {
 	l := &n.tenants.lanes
 	if l.tried == i {
 		return
--- a/internal/proxy/tenants_park.go
+++ b/internal/proxy/tenants_park.go
@@ -27,8 +27,8 @@
 // is to be answered now.
 func (n *Node) park(r *request, e balancer.RequestArrived) bool {
 	t := n.tenants
-	n.desk(tenant.Asked{Name: e.Tenant})
-	if r.parked || len(t.parked) >= mostParked || !t.desk.Coming(e.Tenant) {
+	n.desk(tenant.LeafMissing{Name: e.Tenant})
+	if r.parked || len(t.parked) >= mostParked || !t.desk.IsLeafRequested(e.Tenant) {
 		return false
 	}
 	r.parked = true
@@ -54,7 +54,7 @@
 	for _, p := range all {
 		switch {
 		case p.r.done: // its client has gone, or its time has
-		case t.now.Holds(p.e.Tenant) || !t.now.Ready() || !time.Now().Before(p.until):
+		case t.now.HasLeaf(p.e.Tenant) || !t.now.Ready() || !time.Now().Before(p.until):
 			p.r.guard.Stop()
 			delete(n.requests, p.r.id)
 			if rules := n.front.rules.Load(); p.came == rules.came { // the module has the same once more, with new routes
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -21,13 +21,13 @@
 // session is the node's session with the list service. One goroutine makes all calls about it.
 type session struct {
 	is    registry.Session
-	word  atomic.Pointer[tenant.Word] // that it is to have
-	told  *tenant.Word                // that it has; the goroutine's
-	wake  chan struct{}               // there is another word
-	reads chan struct{}               // the catalogue is to be read
-	left  chan struct{}               // closed when it is told that the node has left
-	ended chan struct{}               // closed when it is closed
-	close context.CancelFunc          // set before it begins
+	word  atomic.Pointer[tenant.Status] // that it is to have
+	told  *tenant.Status                // that it has; the goroutine's
+	wake  chan struct{}                 // there is another word
+	reads chan struct{}                 // the catalogue is to be read
+	left  chan struct{}                 // closed when it is told that the node has left
+	ended chan struct{}                 // closed when it is closed
+	close context.CancelFunc            // set before it begins
 }
 
 func newSession(name string) *session {
@@ -36,7 +36,7 @@
 }
 
 // tell gives it another word. It does not wait: only the last one counts.
-func (s *session) tell(w tenant.Word) {
+func (s *session) tell(w tenant.Status) {
 	s.word.Store(&w)
 	poke(s.wake)
 }
@@ -75,11 +75,11 @@
 // openSession makes one try under a new id: a former one may have come to something, and then runs out.
 func (n *Node) openSession(ctx context.Context) bool {
 	t := n.tenants
-	s, w := t.session, tenant.Word{}
-	if !n.do(func() { w = t.desk.Word() }) {
+	s, w := t.session, tenant.Status{}
+	if !n.do(func() { w = t.desk.Status() }) {
 		return false
 	}
-	s.is.ID, s.is.Info, s.told = n.cfg.Name+"-"+crand.Text(), registry.ProcessInfo{Note: w.Note(), Version: version()}, nil
+	s.is.ID, s.is.Info, s.told = n.cfg.Name+"-"+crand.Text(), registry.ProcessInfo{Note: w.Encode(), Version: version()}, nil
 	sent := n.clock()
 	call, done := context.WithTimeout(ctx, sessionCall)
 	defer done()
@@ -87,7 +87,7 @@
 		n.log.Warn("no session with the list service yet", "err", err)
 		return false
 	}
-	n.post(func() { n.desk(tenant.Opened{Sent: sent, TTL: s.is.TTL}) })
+	n.post(func() { n.desk(tenant.SessionOpened{Sent: sent, TTL: s.is.TTL}) })
 	return true
 }
 
@@ -115,7 +115,7 @@
 			due.Reset(callAgain)
 			continue
 		}
-		n.post(func() { n.desk(tenant.Renewed{Sent: sent, Known: known}) })
+		n.post(func() { n.desk(tenant.SessionRenewed{Sent: sent, Known: known}) })
 		if !known {
 			return
 		}
@@ -130,7 +130,7 @@
 	if w == nil || w == s.told {
 		return true
 	}
-	s.is.Info.Note = w.Note()
+	s.is.Info.Note = w.Encode()
 	call, done := context.WithTimeout(ctx, sessionCall)
 	defer done()
 	if err := n.tenants.k.OpenSession(call, s.is); err != nil {
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -17,8 +17,8 @@
 	"wrenspread/ratelimit"
 )
 
-func formOf(drain time.Duration, routes ...tenant.Route) *tenant.Form {
-	return &tenant.Form{Names: []string{"k"}, Classes: []string{"saldo", "pagar"}, Quotas: []tenant.Quota{{Limit: "book/k"}}, Routes: routes, DrainMS: drain.Milliseconds()}
+func formOf(drain time.Duration, routes ...tenant.Route) *tenant.Spec {
+	return &tenant.Spec{Names: []string{"k"}, Classes: []string{"saldo", "pagar"}, Quotas: []tenant.QuotaRef{{Limit: "book/k"}}, Routes: routes, DrainMS: drain.Milliseconds()}
 }
 
 // withTenants has a node know tenants, with no list service: what that would tell comes by the test.
@@ -31,9 +31,9 @@
 	n.cfg.List = nil
 }
 
-func (n *Node) read(number uint64, phase tenant.Phase, f *tenant.Form) {
-	i := tenant.NewImage(number, &tenant.Entry{Name: "k", Phase: phase, Now: f, Since: number})
-	n.takeTenants(tenant.Read{Began: n.clock(), Enrolled: true, Image: i})
+func (n *Node) read(number uint64, phase tenant.Phase, f *tenant.Spec) {
+	i := tenant.NewSnapshot(number, &tenant.Entry{Name: "k", Phase: phase, Current: f, Since: number})
+	n.takeTenants(tenant.CatalogueRead{StartedAt: n.clock(), Enrolled: true, Snapshot: i})
 }
 
 // TestTenantIsCutOff: when a tenant drains, what may have run is no refusal, what has begun at its client breaks off, and
@@ -43,7 +43,7 @@
 	n := startNodeWith(t, func(n *Node) {
 		withTenants(t, n)
 		n.tenantTable(&ratelimit.Table{Limits: []ratelimit.Limit{{Name: "book/k", Scope: -1}}})
-		n.read(1, tenant.Serve, formOf(0, tenant.Route{Zones: []string{"a"}}))
+		n.read(1, tenant.PhaseServe, formOf(0, tenant.Route{Zones: []string{"a"}}))
 	}, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for req := readRequest(r); req != nil; req = readRequest(r) {
 			if req.Header.Get("X-Request-Id") == "long" {
@@ -66,7 +66,7 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
-	n.do(func() { n.read(2, tenant.Drain, formOf(0, tenant.Route{})) })
+	n.do(func() { n.read(2, tenant.PhaseDrain, formOf(0, tenant.Route{})) })
 	if status := open.status(t); status != http.StatusBadGateway {
 		t.Errorf("what may have run is answered with %d", status)
 	}
@@ -77,7 +77,7 @@
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		var r tenant.Report
 		n.do(func() { r = n.tenants.desk.Report(n.clock()) })
-		if len(r.Tenants) == 1 && r.Tenants[0].Open == 0 {
+		if len(r.Tenants) == 1 && r.Tenants[0].OpenRequests == 0 {
 			break
 		}
 		if time.Now().After(until) {
@@ -95,7 +95,7 @@
 	n := New(testConfig("127.0.0.1:1"), quiet)
 	withTenants(t, n)
 	n.listed["s"] = 1
-	for i, event := range []any{tenant.Tables{}, tenant.Read{Enrolled: true}, tenant.Read{Image: tenant.NewImage(1)}, tenant.Read{Enrolled: true, Image: tenant.NewImage(1)}} {
+	for i, event := range []any{tenant.PolicyChanged{}, tenant.CatalogueRead{Enrolled: true}, tenant.CatalogueRead{Snapshot: tenant.NewSnapshot(1)}, tenant.CatalogueRead{Enrolled: true, Snapshot: tenant.NewSnapshot(1)}} {
 		n.desk(event)
 		if n.settleReady(); n.front.ready.Load() != (i == 3) {
 			t.Errorf("ready is wrong after %d events", i+1)
@@ -108,11 +108,11 @@
 func TestLanes(t *testing.T) {
 	classes := []balancer.Class{{Name: "saldo", AllowedZones: []string{"a", "b"}, PriorityWeight: 3}, {Name: "pagar", AllowedMachineTypes: []string{}}}
 	l := newLanes()
-	f := formOf(0, tenant.Route{Zones: []string{"b", "c", "b"}, Kinds: []string{"m"}})
-	same := formOf(0, tenant.Route{Zones: []string{"c", "b"}, Kinds: []string{"m"}})
-	pods := formOf(0, tenant.Route{Pods: []int{1}})
-	entries := []*tenant.Entry{{Name: "x", Now: f, Next: same}, {Name: "y", Now: pods}}
-	l.plan(tenant.NewImage(1, entries...), classes)
+	f := formOf(0, tenant.Route{Zones: []string{"b", "c", "b"}, MachineTypes: []string{"m"}})
+	same := formOf(0, tenant.Route{Zones: []string{"c", "b"}, MachineTypes: []string{"m"}})
+	pods := formOf(0, tenant.Route{Cells: []int{1}})
+	entries := []*tenant.Entry{{Name: "x", Current: f, Next: same}, {Name: "y", Current: pods}}
+	l.plan(tenant.NewSnapshot(1, entries...), classes)
 	l.has = l.wants
 	one := l.of(&f.Routes[0], "saldo", false)
 	if v := l.has[one]; v.VariantOf != "saldo" || v.PriorityWeight != 3 || !slices.Equal(v.AllowedZones, []string{"b"}) || !slices.Equal(v.AllowedMachineTypes, []string{"m"}) {
@@ -130,21 +130,21 @@
 	if name := l.of(&pods.Routes[0], "saldo", false); name != "" {
 		t.Errorf("a route of pods has %q", name)
 	}
-	if name := l.of(&tenant.Route{Least: 2}, "saldo", false); name != "saldo" {
+	if name := l.of(&tenant.Route{MinEndpoints: 2}, "saldo", false); name != "saldo" {
 		t.Errorf("a route of everything has %q", name)
 	}
 	for i := range mostVariants {
-		entries = append(entries, &tenant.Entry{Name: fmt.Sprint(i), Now: formOf(0, tenant.Route{Zones: []string{fmt.Sprint(i)}})})
+		entries = append(entries, &tenant.Entry{Name: fmt.Sprint(i), Current: formOf(0, tenant.Route{Zones: []string{fmt.Sprint(i)}})})
 	}
-	if l.plan(tenant.NewImage(2, entries...), classes); len(l.wants) != mostVariants {
+	if l.plan(tenant.NewSnapshot(2, entries...), classes); len(l.wants) != mostVariants {
 		t.Errorf("%d variants", len(l.wants))
 	}
-	last := entries[len(entries)-2:]                                                                       // which had no room
-	if l.follow(tenant.NewImage(3, last...), classes); len(l.wants) != 3 || len(l.names) != 4 || l.short { // saldo has no zone of either
+	last := entries[len(entries)-2:]                                                                          // which had no room
+	if l.follow(tenant.NewSnapshot(3, last...), classes); len(l.wants) != 3 || len(l.names) != 4 || l.short { // saldo has no zone of either
 		t.Errorf("after the others have gone: %d variants of %d routes", len(l.wants), len(l.names))
 	}
-	again := []*tenant.Entry{last[0], {Name: "new", Now: formOf(0, tenant.Route{Zones: []string{last[1].Now.Routes[0].Zones[0]}})}}
-	if l.follow(tenant.NewImage(4, again...), classes); len(l.wants) != 3 || len(l.names) != 4 {
+	again := []*tenant.Entry{last[0], {Name: "new", Current: formOf(0, tenant.Route{Zones: []string{last[1].Current.Routes[0].Zones[0]}})}}
+	if l.follow(tenant.NewSnapshot(4, again...), classes); len(l.wants) != 3 || len(l.names) != 4 {
 		t.Errorf("after one has changed: %d variants of %d routes", len(l.wants), len(l.names))
 	}
 }
--- a/internal/registry/client/belief.go
+++ b/internal/registry/client/belief.go
@@ -79,8 +79,8 @@
 	return b.version, b.epoch
 }
 
-// View is the list as it is believed.
-func (b *ListState) View() List {
+// List is the list as it is believed.
+func (b *ListState) List() List {
 	all := b.appendTo(nil)
 	slices.SortFunc(all, func(x, y registry.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
 	return List{b.epoch, b.version, all, b.subset, b.total}
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -132,7 +132,7 @@
 func (k *Client) List() (v List, told time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.list.View(), k.lastAnswerAt
+	return k.list.List(), k.lastAnswerAt
 }
 
 // Changed is closed at the next change of the view.
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -40,9 +40,9 @@
 			if epoch != of.Epoch() {
 				from = 0
 			}
-			before := b.View()
+			before := b.List()
 			verdict := b.Apply(now, from, of.Since(from))
-			v := b.View()
+			v := b.List()
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
@@ -79,7 +79,7 @@
 			ask(s)
 			now += 2 * time.Second // past what is held back
 		}
-		if v := b.View(); v.Version != s.Version() || v.Epoch != s.Epoch() {
+		if v := b.List(); v.Version != s.Version() || v.Epoch != s.Epoch() {
 			t.Fatalf("it stays at %s %d, the list is at %s %d", v.Epoch, v.Version, s.Epoch(), s.Version())
 		}
 	})
@@ -106,8 +106,8 @@
 	}
 	b := NewListState(30*time.Second, before)
 	empty := registry.ListResponse{Index: 1, Epoch: "b", Snapshot: true}
-	if got := b.Apply(0, 9, empty); got != HeldBack || len(b.View().Endpoints) != 6 {
-		t.Errorf("at first: %d, with %d entries", got, len(b.View().Endpoints))
+	if got := b.Apply(0, 9, empty); got != HeldBack || len(b.List().Endpoints) != 6 {
+		t.Errorf("at first: %d, with %d entries", got, len(b.List().Endpoints))
 	}
 	if got := b.Apply(29*time.Second, 0, empty); got != HeldBack {
 		t.Errorf("before its time: %d", got)
@@ -121,7 +121,7 @@
 	}
 	b = NewListState(30*time.Second, before)
 	b.Apply(0, 9, empty)
-	if got := b.Apply(30*time.Second, 0, empty); got != Changed || len(b.View().Endpoints) != 0 {
+	if got := b.Apply(30*time.Second, 0, empty); got != Changed || len(b.List().Endpoints) != 0 {
 		t.Errorf("after its time: %d", got)
 	}
 }
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -133,7 +133,7 @@
 	var v List
 	if verdict == Changed {
 		if news && k.config.File != "" {
-			v = k.list.View()
+			v = k.list.List()
 		}
 		close(k.changed)
 		k.changed = make(chan struct{})
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			return nil, err
 		}
-		var card agent.Card
+		var card agent.Record
 		if err := json.Unmarshal(one.Value, &card); err != nil {
 			return nil, fmt.Errorf("%s: %w", r.Key, err)
 		}
@@ -34,45 +34,45 @@
 	return found, nil
 }
 
-// agents are the addresses of agents by what they keep, as they were last read. It
+// agentDirectory are the addresses of agents by what they keep, as they were last read. It
 // is safe for concurrent use.
-type agents struct {
-	mu sync.Mutex
-	at map[string]string
+type agentDirectory struct {
+	mu        sync.Mutex
+	addresses map[string]string
 }
 
 // read reads them anew.
-func (a *agents) read(ctx context.Context, k *client.Client) (map[string]string, error) {
+func (a *agentDirectory) read(ctx context.Context, k *client.Client) (map[string]string, error) {
 	found, err := findAgents(ctx, k)
 	if err != nil {
 		return nil, err
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.at = found
+	a.addresses = found
 	return found, nil
 }
 
-// of finds the agent that keeps a server or a node.
-func (a *agents) of(name string) (string, error) {
+// find finds the agent that keeps a server or a node.
+func (a *agentDirectory) find(name string) (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if at := a.at[name]; at != "" {
+	if at := a.addresses[name]; at != "" {
 		return at, nil
 	}
 	return "", fmt.Errorf("no agent keeps %s", name)
 }
 
 // all gives every agent by what it keeps.
-func (a *agents) all() map[string]string {
+func (a *agentDirectory) all() map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.at
+	return a.addresses
 }
 
-// NodesOf gives the program's nodes as their agents have them. An agent that does
+// ProxyTargets gives the program's nodes as their agents have them. An agent that does
 // not answer is an error: a plan is checked whole.
-func NodesOf(ctx context.Context, k *client.Client, h *http.Client) ([]Target, error) {
+func ProxyTargets(ctx context.Context, k *client.Client, h *http.Client) ([]Target, error) {
 	agents, err := findAgents(ctx, k)
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 			return nil, err
 		}
 		if s.Handover {
-			all = append(all, Target{Name: name, Address: s.Address, Zone: s.Zone, Type: s.Type, Group: s.Group, Version: s.Version})
+			all = append(all, Target{Name: name, Address: s.Address, Zone: s.Zone, Type: s.Type, Cell: s.Cell, Version: s.Version})
 		}
 	}
 	return all, nil
--- a/internal/release/conductor.go
+++ b/internal/release/conductor.go
@@ -18,48 +18,48 @@
 	// Order gives the operator's order that waits, if one does.
 	Order(ctx context.Context) (id, order, who string, err error)
 	// Taken makes room for the next order, once the record says that this one was taken.
-	Taken(ctx context.Context) error
+	ClearOrder(ctx context.Context) error
 }
 
-// ErrTaken ends a conductor that another has followed.
-var ErrTaken = errors.New("release: another conductor has it")
+// ErrSuperseded ends a conductor that another has followed.
+var ErrSuperseded = errors.New("release: another conductor has it")
 
-// Fleet carries out what a release wants.
-type Fleet interface {
+// Executor carries out what a release wants.
+type Executor interface {
 	// View tells what else does not serve.
-	View(ctx context.Context) (View, error)
+	Unavailable(ctx context.Context) (Unavailable, error)
 	// Do carries an action out, or a part of it. It is done once done is true, and
 	// may be called again at any time, also for one that was done.
 	Do(ctx context.Context, a Action) (done bool, err error)
 	// Counts tells what the named servers, and the rest, have done so far, by the node
 	// that counted it. A node that can't be asked is not there.
-	Counts(ctx context.Context, named []string) (map[string]Parts, error)
+	Counts(ctx context.Context, named []string) (map[string]Comparison, error)
 }
 
-// Conductor carries a release out. It is the work of a duty.
-type Conductor struct {
-	Store Store
-	Fleet Fleet
-	Every time.Duration // between two looks
-	Log   *slog.Logger
-	Clock func() time.Duration // a monotonic clock; nil: the machine's
-
-	state   *State
-	version uint64
-	began   time.Duration // of this conductor, by its clock
-	from    time.Duration // the release's clock then
+// Controller carries a release out. It is the work of a duty.
+type Controller struct {
+	Store    Store
+	Executor Executor
+	Interval time.Duration // between two looks
+	Log      *slog.Logger
+	Clock    func() time.Duration // a monotonic clock; nil: the machine's
+
+	state              *State
+	version            uint64
+	startedAt          time.Duration // of this conductor, by its clock
+	releaseTimeAtStart time.Duration // the release's clock then
 }
 
 const (
-	doTime   = 10 * time.Second // for one action, or a part of it
-	together = 16               // actions carried out at once
+	actionTimeout      = 10 * time.Second // for one action, or a part of it
+	maxParallelActions = 16               // actions carried out at once
 )
 
-func (c *Conductor) now() time.Duration { return c.from + c.Clock() - c.began }
+func (c *Controller) now() time.Duration { return c.releaseTimeAtStart + c.Clock() - c.startedAt }
 
 // Run carries the release on from its record until it is over and nothing is out,
 // until ctx ends, or another conductor has it.
-func (c *Conductor) Run(ctx context.Context) error {
+func (c *Controller) Run(ctx context.Context) error {
 	raw, version, err := c.Store.Load(ctx)
 	if err != nil {
 		return fmt.Errorf("release: loading the record: %w", err)
@@ -71,14 +71,14 @@
 		start := time.Now()
 		c.Clock = func() time.Duration { return time.Since(start) }
 	}
-	c.version, c.began, c.from = version, c.Clock(), c.state.Clock
-	t := time.NewTicker(c.Every)
+	c.version, c.startedAt, c.releaseTimeAtStart = version, c.Clock(), c.state.Clock
+	t := time.NewTicker(c.Interval)
 	defer t.Stop()
 	for {
-		if err := c.once(ctx); err != nil {
+		if err := c.runRound(ctx); err != nil {
 			return err
 		}
-		if c.state.Phase.Over() && len(c.state.Actions()) == 0 {
+		if c.state.Phase.IsFinal() && len(c.state.Actions()) == 0 {
 			return nil
 		}
 		select {
@@ -89,13 +89,13 @@
 	}
 }
 
-// once makes one round: orders, what begins, what is carried out, what came of it.
-func (c *Conductor) once(ctx context.Context) error {
-	told, err := c.obey(ctx)
+// runRound makes one round: orders, what begins, what is carried out, what came of it.
+func (c *Controller) runRound(ctx context.Context) error {
+	told, err := c.followOrder(ctx)
 	if err != nil {
 		return err
 	}
-	view, err := c.Fleet.View(ctx)
+	view, err := c.Executor.Unavailable(ctx)
 	if err != nil { // nothing new begins on a guess
 		c.Log.Warn("the fleet can't be seen", "err", err)
 	} else {
@@ -105,7 +105,7 @@
 		return err
 	}
 	if told {
-		if err := c.Store.Taken(ctx); err != nil {
+		if err := c.Store.ClearOrder(ctx); err != nil {
 			return err
 		}
 	}
@@ -117,23 +117,23 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	c.judge(ctx)
+	c.evaluateGate(ctx)
 	return c.save(ctx)
 }
 
-// obey follows the order that waits, and tells whether there is one. Its id goes
+// followOrder follows the order that waits, and tells whether there is one. Its id goes
 // into the record, so that it is followed once.
-func (c *Conductor) obey(ctx context.Context) (told bool, err error) {
+func (c *Controller) followOrder(ctx context.Context) (told bool, err error) {
 	id, order, who, err := c.Store.Order(ctx)
 	if err != nil || id == "" {
 		return false, err
 	}
-	if id == c.state.Taken {
+	if id == c.state.LastOrder {
 		return true, nil
 	}
-	c.state.Taken = id
+	c.state.LastOrder = id
 	if err := c.state.Order(c.now(), order, who); err != nil {
-		c.state.note(c.now(), "not followed: %v, ordered by %s", err, who)
+		c.state.addNote(c.now(), "not followed: %v, ordered by %s", err, who)
 		c.Log.Warn("an order is not followed", "err", err, "by", who)
 	}
 	return true, nil
@@ -141,7 +141,7 @@
 
 // save writes the record, also where only its clock has moved: the write tells a
 // conductor whether another has followed it.
-func (c *Conductor) save(ctx context.Context) error {
+func (c *Controller) save(ctx context.Context) error {
 	c.state.Clock = c.now()
 	raw, err := Encode(c.state)
 	if err != nil {
@@ -160,17 +160,17 @@
 	err    error
 }
 
-func (c *Conductor) carryOut(ctx context.Context, all []Action) []result {
+func (c *Controller) carryOut(ctx context.Context, all []Action) []result {
 	results := make([]result, len(all))
-	room := make(chan bool, together)
+	room := make(chan bool, maxParallelActions)
 	var open sync.WaitGroup
 	for i, a := range all {
 		room <- true
 		open.Go(func() {
 			defer func() { <-room }()
-			call, cancel := context.WithTimeout(ctx, doTime)
+			call, cancel := context.WithTimeout(ctx, actionTimeout)
 			defer cancel()
-			done, err := c.Fleet.Do(call, a)
+			done, err := c.Executor.Do(call, a)
 			results[i] = result{a, done, err}
 		})
 	}
@@ -178,8 +178,8 @@
 	return results
 }
 
-// judge notes the figures at the beginning of a soak, and asks for a verdict at its end.
-func (c *Conductor) judge(ctx context.Context) {
+// evaluateGate notes the figures at the beginning of a soak, and asks for a verdict at its end.
+func (c *Controller) evaluateGate(ctx context.Context) {
 	s := c.state
 	if s.Phase != Soaking {
 		return
@@ -188,19 +188,19 @@
 	for _, t := range s.targetsOf(s.Wave) {
 		named = append(named, t.Name)
 	}
-	now, err := c.Fleet.Counts(ctx, named)
+	now, err := c.Executor.Counts(ctx, named)
 	if err != nil {
 		c.Log.Warn("the gate has no figures", "err", err)
 		return
 	}
-	if s.Base == nil {
-		s.Base = now
+	if s.Baseline == nil {
+		s.Baseline = now
 		return
 	}
 	if !s.Soaked(c.now()) {
 		return
 	}
-	those, rest := Since(s.Base, now)
+	those, rest := Since(s.Baseline, now)
 	verdict := s.Plan.Gate.Judge(those, rest, len(named) == len(s.Targets))
 	s.Judged(c.now(), verdict, fmt.Sprintf("gate: %s, %d of %d failed and %d were late, of the rest %d of %d and %d", verdict, those.Failed, those.Requests, those.Late,
 		rest.Failed, rest.Requests, rest.Late))
@@ -215,8 +215,8 @@
 	if err := json.Unmarshal(raw, s); err != nil {
 		return nil, fmt.Errorf("release: a record that can't be read: %w", err)
 	}
-	if s.Form != form {
-		return nil, fmt.Errorf("release: a record of form %d, this program knows %d", s.Form, form)
+	if s.Format != format {
+		return nil, fmt.Errorf("release: a record of form %d, this program knows %d", s.Format, format)
 	}
 	if err := s.Plan.Check(); err != nil {
 		return nil, fmt.Errorf("release: the record's plan: %w", err)
--- a/internal/release/machine_test.go
+++ b/internal/release/machine_test.go
@@ -81,7 +81,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if version != w.version {
-		return 0, ErrTaken
+		return 0, ErrSuperseded
 	}
 	w.raw = raw
 	w.version++
@@ -95,7 +95,7 @@
 	return fmt.Sprint(w.orders), w.order, "somebody", w.call(ctx)
 }
 
-func (w *world) Taken(ctx context.Context) error {
+func (w *world) ClearOrder(ctx context.Context) error {
 	if err := w.call(ctx); err != nil {
 		return err
 	}
@@ -103,7 +103,9 @@
 	return nil
 }
 
-func (w *world) View(ctx context.Context) (View, error) { return View{}, w.call(ctx) }
+func (w *world) Unavailable(ctx context.Context) (Unavailable, error) {
+	return Unavailable{}, w.call(ctx)
+}
 
 // Do checks that the action's intent is in the record, and the limits.
 func (w *world) Do(ctx context.Context, a Action) (bool, error) {
@@ -138,7 +140,7 @@
 
 func (w *world) carryOut(is *server, a Action) error {
 	switch a.Step {
-	case Maint:
+	case Maintenance:
 		is.maint = true
 	case Replace:
 		if !is.maint {
@@ -155,7 +157,7 @@
 		if is.Version != a.Version {
 			w.fail("%s has %s, not %s", is.Name, is.Version, a.Version)
 		}
-	case Lift:
+	case Restore:
 		if is.Version != a.Version {
 			w.fail("%s is registered as %s and has %s", is.Name, a.Version, is.Version)
 		}
@@ -173,31 +175,31 @@
 		}
 	}
 	for z, n := range zone {
-		if out > w.plan.Limits.Out || w.plan.Limits.Zone > 0 && n > w.plan.Limits.Zone {
+		if out > w.plan.Limits.Total || w.plan.Limits.Zone > 0 && n > w.plan.Limits.Zone {
 			w.fail("%d are out, %d of zone %s", out, n, z)
 		}
 	}
 }
 
-func (w *world) Counts(ctx context.Context, named []string) (map[string]Parts, error) {
+func (w *world) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
 	n := w.calls // each look finds more
 	those := Counts{Requests: 1000 * n}
 	if w.worse {
 		those.Failed = 300 * n
 	}
-	return map[string]Parts{"n0": {those, Counts{Requests: 1000 * n}}}, w.call(ctx)
+	return map[string]Comparison{"n0": {those, Counts{Requests: 1000 * n}}}, w.call(ctx)
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }, n int, change func(*Plan)) *world {
 	p := Default()
-	p.Name, p.From, p.To, p.Soak, p.Limits = "r", "v1", "v2", 0, Limits{Out: 3, Zone: 2, Pod: 1}
+	p.Name, p.From, p.To, p.Soak, p.Limits = "r", "v1", "v2", 0, Limits{Total: 3, Zone: 2, Cell: 1}
 	if change != nil {
 		change(&p)
 	}
 	w := &world{t: t, plan: p, servers: map[string]*server{}}
 	var all []Target
 	for i := range n {
-		one := Target{Name: fmt.Sprint("s", i), Zone: string(rune('a' + i%3)), Type: "m", Group: i % 2, Version: p.From}
+		one := Target{Name: fmt.Sprint("s", i), Zone: string(rune('a' + i%3)), Type: "m", Cell: i % 2, Version: p.From}
 		all = append(all, one)
 		w.servers[one.Name] = &server{Target: one}
 	}
@@ -254,9 +256,9 @@
 		calls := 0
 		for at := 0; at == 0 || at <= calls; at++ {
 			w := newWorld(t, 7, func(p *Plan) {
-				p.Halt, p.Deadline.Ready = HaltBack, time.Second
+				p.Halt, p.Deadline.Ready = HaltRollBack, time.Second
 				if name == "bad" {
-					p.Limits = Limits{Out: 1}
+					p.Limits = Limits{Total: 1}
 				}
 			})
 			prepare(w)
@@ -265,8 +267,8 @@
 			if at == 0 {
 				calls = w.calls
 			}
-			if want := map[string]Phase{"good": Finished, "worse": Returned, "bad": Returned}[name]; s.Phase != want {
-				t.Fatalf("%s, dead at call %d: %s, %s", name, at, s.Phase, s.Why)
+			if want := map[string]Phase{"good": Finished, "worse": RolledBack, "bad": RolledBack}[name]; s.Phase != want {
+				t.Fatalf("%s, dead at call %d: %s, %s", name, at, s.Phase, s.HaltReason)
 			}
 			w.has(t, map[string]string{"good": "v2", "worse": "v1", "bad": "v1"}[name])
 			if w.replaced > 2*len(w.servers) {
@@ -281,8 +283,8 @@
 }
 
 // conductor makes one whose clock goes on by a step with each of its calls.
-func (w *world) conductor() *Conductor {
-	return &Conductor{Store: w, Fleet: w, Every: time.Microsecond, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
+func (w *world) conductor() *Controller {
+	return &Controller{Store: w, Executor: w, Interval: time.Microsecond, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return time.Duration(w.calls) * 10 * time.Millisecond
@@ -294,9 +296,9 @@
 func TestDrawn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.IntRange(1, 12).Draw(t, "servers"), func(p *Plan) {
-			p.Limits.Out = rapid.IntRange(1, 4).Draw(t, "out")
-			p.Limits.Zone, p.Limits.Pod = min(p.Limits.Out, 2), 0
-			p.Halt = rapid.SampledFrom([]string{HaltWait, HaltBack}).Draw(t, "halt")
+			p.Limits.Total = rapid.IntRange(1, 4).Draw(t, "out")
+			p.Limits.Zone, p.Limits.Cell = min(p.Limits.Total, 2), 0
+			p.Halt = rapid.SampledFrom([]string{HaltWait, HaltRollBack}).Draw(t, "halt")
 		})
 		w.worse = rapid.IntRange(0, 3).Draw(t, "worse") == 0
 		failing := rapid.SliceOfN(rapid.SampledFrom([]failure{fine, fine, undone, unsaid}), 0, 60).Draw(t, "failing")
@@ -308,7 +310,7 @@
 			failing = failing[1:]
 			return f
 		}
-		orders := rapid.SliceOfN(rapid.SampledFrom([]string{"", OrderPause, OrderResume, OrderSkip, OrderBack, "dance"}), 0, 6).Draw(t, "orders")
+		orders := rapid.SliceOfN(rapid.SampledFrom([]string{"", OrderPause, OrderResume, OrderSkip, OrderRollBack, "dance"}), 0, 6).Draw(t, "orders")
 		var s *State
 		for _, o := range append(orders, OrderResume, OrderAbort) {
 			w.orders++
@@ -344,15 +346,15 @@
 	if s := w.conduct(1); s.Phase != Finished {
 		t.Fatal(s.Phase)
 	}
-	if err := c.once(context.Background()); !errors.Is(err, ErrTaken) {
+	if err := c.runRound(context.Background()); !errors.Is(err, ErrSuperseded) {
 		t.Errorf("the first conductor goes on: %v", err)
 	}
 }
 
 // TestSince: a node that began anew, and one that was not there, do not spoil the figures of others.
 func TestSince(t *testing.T) {
-	base := map[string]Parts{"a": {Counts{100, 10, 5}, Counts{1000, 0, 0}}, "b": {Counts{500, 50, 0}, Counts{}}, "gone": {}}
-	now := map[string]Parts{"a": {Counts{150, 12, 5}, Counts{1300, 1, 0}}, "b": {Counts{20, 1, 1}, Counts{7, 0, 0}}, "new": {Counts{9999, 9999, 0}, Counts{}}}
+	base := map[string]Comparison{"a": {Counts{100, 10, 5}, Counts{1000, 0, 0}}, "b": {Counts{500, 50, 0}, Counts{}}, "gone": {}}
+	now := map[string]Comparison{"a": {Counts{150, 12, 5}, Counts{1300, 1, 0}}, "b": {Counts{20, 1, 1}, Counts{7, 0, 0}}, "new": {Counts{9999, 9999, 0}, Counts{}}}
 	if those, rest := Since(base, now); those != (Counts{70, 3, 1}) || rest != (Counts{307, 1, 0}) {
 		t.Errorf("%+v and %+v", those, rest)
 	}
@@ -363,7 +365,7 @@
 	long := strings.Repeat("x", 64)
 	var all []Target
 	for i := range MaxTargets {
-		all = append(all, Target{Name: fmt.Sprint(long[:32], i), Address: "255.255.255.255:65535", Zone: long[:16], Type: long[:16], Group: i, Version: "v1"})
+		all = append(all, Target{Name: fmt.Sprint(long[:32], i), Address: "255.255.255.255:65535", Zone: long[:16], Type: long[:16], Cell: i, Version: "v1"})
 	}
 	p := Default()
 	p.Name, p.From, p.To = "r", "v1", "v2"
@@ -372,14 +374,14 @@
 		t.Fatal(err)
 	}
 	for i := range s.Targets {
-		s.Targets[i].Why, s.Targets[i].Since = long, time.Hour
+		s.Targets[i].Reason, s.Targets[i].Since = long, time.Hour
 	}
-	for range mostNotes {
-		s.note(time.Hour, "%s%s", long, long)
+	for range maxNotes {
+		s.addNote(time.Hour, "%s%s", long, long)
 	}
-	s.Base = map[string]Parts{}
+	s.Baseline = map[string]Comparison{}
 	for i := range 300 {
-		s.Base[fmt.Sprint("node-", i)] = Parts{Counts{1 << 30, 1 << 30, 1 << 30}, Counts{1 << 30, 1 << 30, 1 << 30}}
+		s.Baseline[fmt.Sprint("node-", i)] = Comparison{Counts{1 << 30, 1 << 30, 1 << 30}, Counts{1 << 30, 1 << 30, 1 << 30}}
 	}
 	raw, err := Encode(s)
 	if err != nil || len(raw) > registry.MaxRecord {
@@ -388,7 +390,7 @@
 }
 
 func TestGate(t *testing.T) {
-	g := Gate{Least: 100, Failed: 0.02, Late: 0.05, Most: 0.1}
+	g := Gate{MinRequests: 100, MaxFailedExcess: 0.02, MaxLateExcess: 0.05, IncidentThreshold: 0.1}
 	for _, c := range []struct {
 		those, rest Counts
 		alone       bool
@@ -418,7 +420,7 @@
 		}
 		return failed
 	}
-	g := Gate{Least: 25, Failed: 0.01, Late: 0.05, Most: 0.9}
+	g := Gate{MinRequests: 25, MaxFailedExcess: 0.01, MaxLateExcess: 0.05, IncidentThreshold: 0.9}
 	const gates = 5000
 	falsely, found := 0, 0
 	for range gates {
@@ -438,9 +440,9 @@
 
 // TestBadPlans are told by their keys.
 func TestBadPlans(t *testing.T) {
-	for want, spoil := range map[string]func(*Plan){"name:": func(p *Plan) { p.Name = "" }, "to:": func(p *Plan) { p.To = p.From }, "limits.out": func(p *Plan) { p.Limits.Out = 0 },
+	for want, spoil := range map[string]func(*Plan){"name:": func(p *Plan) { p.Name = "" }, "to:": func(p *Plan) { p.To = p.From }, "limits.out": func(p *Plan) { p.Limits.Total = 0 },
 		"limits.zone": func(p *Plan) { p.Limits.Zone = 9 }, "wave 1": func(p *Plan) { p.Waves = []Wave{{}} }, "wave:": func(p *Plan) { p.Waves = nil }, "halt:": func(p *Plan) { p.Halt = "" },
-		"gate.failed": func(p *Plan) { p.Gate.Failed = 2 }, "deadline.ready": func(p *Plan) { p.Deadline.Ready = 0 }, "what.names": func(p *Plan) { p.What.Names = []string{"["} }} {
+		"gate.failed": func(p *Plan) { p.Gate.MaxFailedExcess = 2 }, "deadline.ready": func(p *Plan) { p.Deadline.Ready = 0 }, "what.names": func(p *Plan) { p.Selector.Names = []string{"["} }} {
 		p := Default()
 		p.Name, p.From, p.To = "r", "v1", "v2"
 		if err := p.Check(); err != nil {
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -16,13 +16,13 @@
 
 // Plan is what a release is to do. Times in its file have units, as in "30s".
 type Plan struct {
-	Name   string `koanf:"name" json:"name"`
-	Kind   string `koanf:"kind" json:"kind,omitempty"` // servers, also where it is absent, or program: the nodes themselves
-	From   string `koanf:"from" json:"from"`           // version
-	To     string `koanf:"to" json:"to"`
-	What   What   `koanf:"what" json:"what"`
-	Limits Limits `koanf:"limits" json:"limits"`
-	Waves  []Wave `koanf:"wave" json:"waves"`
+	Name     string   `koanf:"name" json:"name"`
+	Kind     string   `koanf:"kind" json:"kind,omitempty"` // servers, also where it is absent, or program: the nodes themselves
+	From     string   `koanf:"from" json:"from"`           // version
+	To       string   `koanf:"to" json:"to"`
+	Selector Selector `koanf:"what" json:"what"`
+	Limits   Limits   `koanf:"limits" json:"limits"`
+	Waves    []Wave   `koanf:"wave" json:"waves"`
 
 	Soak     time.Duration `koanf:"soak" json:"soak_ns"` // after a wave's last server is back, before it is judged
 	Gate     Gate          `koanf:"gate" json:"gate"`
@@ -30,8 +30,8 @@
 	Deadline Deadline      `koanf:"deadline" json:"deadline"`
 }
 
-// What selects the servers: those that match all that is given. Names may have * and ?.
-type What struct {
+// Selector selects the servers: those that match all that is given. Names may have * and ?.
+type Selector struct {
 	Zones []string `koanf:"zones" json:"zones,omitempty"`
 	Types []string `koanf:"types" json:"types,omitempty"`
 	Names []string `koanf:"names" json:"names,omitempty"`
@@ -39,9 +39,9 @@
 
 // Limits say how many servers may be out at once, for whatever reason.
 type Limits struct {
-	Out  int `koanf:"out" json:"out"`   // in all
-	Zone int `koanf:"zone" json:"zone"` // in a zone; 0: as many as in all
-	Pod  int `koanf:"pod" json:"pod"`   // in a pod of a type; 0: as many as in all
+	Total int `koanf:"out" json:"out"`   // in all
+	Zone  int `koanf:"zone" json:"zone"` // in a zone; 0: as many as in all
+	Cell  int `koanf:"pod" json:"pod"`   // in a pod of a type; 0: as many as in all
 }
 
 // Wave is a number or a share of the servers; the last takes all that are left.
@@ -52,10 +52,10 @@
 
 // Gate compares the released servers with the rest over the soak.
 type Gate struct {
-	Least  int     `koanf:"least" json:"least"`   // requests that each part must have had, else it is undecided
-	Failed float64 `koanf:"failed" json:"failed"` // the released part's share of failures may be so much above the rest's
-	Late   float64 `koanf:"late" json:"late"`     // the same, of requests past their aim
-	Most   float64 `koanf:"most" json:"most"`     // failures of either part above this share are an incident of its own; 0: 0.1
+	MinRequests       int     `koanf:"least" json:"least"`   // requests that each part must have had, else it is undecided
+	MaxFailedExcess   float64 `koanf:"failed" json:"failed"` // the released part's share of failures may be so much above the rest's
+	MaxLateExcess     float64 `koanf:"late" json:"late"`     // the same, of requests past their aim
+	IncidentThreshold float64 `koanf:"most" json:"most"`     // failures of either part above this share are an incident of its own; 0: 0.1
 }
 
 // Deadline says how long a step may take.
@@ -69,29 +69,29 @@
 // What is released.
 const (
 	KindServers = "servers"
-	KindProgram = "program"
+	KindProxies = "program"
 )
 
-// Program tells whether the plan is about the program's nodes.
-func (p Plan) Program() bool { return p.Kind == KindProgram }
+// IsForProxies tells whether the plan is about the program's nodes.
+func (p Plan) IsForProxies() bool { return p.Kind == KindProxies }
 
 // What a halt may do by itself.
 const (
-	HaltWait = "wait"
-	HaltBack = "back"
+	HaltWait     = "wait"
+	HaltRollBack = "back"
 )
 
 // Bounds on plans.
 const (
-	MaxTargets = 500 // whose record has to fit into one of the list service
-	maxWaves   = 50
-	mostTime   = 24 * time.Hour
+	MaxTargets  = 500 // whose record has to fit into one of the list service
+	maxWaves    = 50
+	maxDuration = 24 * time.Hour
 )
 
 // Default is a careful plan but for its name, versions and servers.
 func Default() Plan {
-	return Plan{Limits: Limits{Out: 1}, Waves: []Wave{{Count: 1}, {Share: 0.1}, {Share: 0.5}, {Share: 1}}, Soak: 30 * time.Second, Halt: HaltWait,
-		Gate:     Gate{Least: 200, Failed: 0.01, Late: 0.05, Most: 0.1},
+	return Plan{Limits: Limits{Total: 1}, Waves: []Wave{{Count: 1}, {Share: 0.1}, {Share: 0.5}, {Share: 1}}, Soak: 30 * time.Second, Halt: HaltWait,
+		Gate:     Gate{MinRequests: 200, MaxFailedExcess: 0.01, MaxLateExcess: 0.05, IncidentThreshold: 0.1},
 		Deadline: Deadline{Drain: time.Minute, Replace: 2 * time.Minute, Ready: time.Minute, Judge: 2 * time.Minute}}
 }
 
@@ -109,22 +109,22 @@
 	text("name", p.Name)
 	text("from", p.From)
 	text("to", p.To)
-	bad(p.Kind == "" || p.Kind == KindServers || p.Kind == KindProgram, "kind: %q is neither %q nor %q", p.Kind, KindServers, KindProgram)
+	bad(p.Kind == "" || p.Kind == KindServers || p.Kind == KindProxies, "kind: %q is neither %q nor %q", p.Kind, KindServers, KindProxies)
 	bad(p.From != p.To, "to: %q is the version that is there already", p.To)
-	for _, n := range p.What.Names {
+	for _, n := range p.Selector.Names {
 		_, err := path.Match(n, "")
 		bad(err == nil, "what.names: %q is no pattern", n)
 	}
 	l := p.Limits
-	bad(l.Out >= 1, "limits.out: %d is under 1, so nothing could ever be released", l.Out)
-	bad(l.Zone >= 0 && l.Zone <= l.Out, "limits.zone: %d is not between 0 and limits.out", l.Zone)
-	bad(l.Pod >= 0 && l.Pod <= l.Out, "limits.pod: %d is not between 0 and limits.out", l.Pod)
+	bad(l.Total >= 1, "limits.out: %d is under 1, so nothing could ever be released", l.Total)
+	bad(l.Zone >= 0 && l.Zone <= l.Total, "limits.zone: %d is not between 0 and limits.out", l.Zone)
+	bad(l.Cell >= 0 && l.Cell <= l.Total, "limits.pod: %d is not between 0 and limits.out", l.Cell)
 	bad(len(p.Waves) >= 1 && len(p.Waves) <= maxWaves, "wave: there are %d, want 1 to %d", len(p.Waves), maxWaves)
 	for i, w := range p.Waves {
 		bad((w.Count > 0) != (w.Share > 0) && w.Count >= 0 && w.Share >= 0 && w.Share <= 1, "wave %d: give either count, above 0, or share, above 0 and at most 1", i+1)
 	}
 	span := func(key string, d time.Duration, least time.Duration) {
-		bad(d >= least && d <= mostTime, "%s: %v is not between %v and %v", key, d, least, mostTime)
+		bad(d >= least && d <= maxDuration, "%s: %v is not between %v and %v", key, d, least, maxDuration)
 	}
 	span("soak", p.Soak, 0)
 	span("deadline.drain", p.Deadline.Drain, time.Second)
@@ -132,26 +132,26 @@
 	span("deadline.ready", p.Deadline.Ready, time.Second)
 	span("deadline.judge", p.Deadline.Judge, 0)
 	g := p.Gate
-	bad(g.Least >= 0, "gate.least: %d is under 0", g.Least)
-	for key, v := range map[string]float64{"gate.failed": g.Failed, "gate.late": g.Late, "gate.most": g.Most} {
+	bad(g.MinRequests >= 0, "gate.least: %d is under 0", g.MinRequests)
+	for key, v := range map[string]float64{"gate.failed": g.MaxFailedExcess, "gate.late": g.MaxLateExcess, "gate.most": g.IncidentThreshold} {
 		bad(v >= 0 && v <= 1, "%s: %v is not between 0 and 1", key, v)
 	}
-	bad(p.Halt == HaltWait || p.Halt == HaltBack, "halt: %q is neither %q nor %q", p.Halt, HaltWait, HaltBack)
+	bad(p.Halt == HaltWait || p.Halt == HaltRollBack, "halt: %q is neither %q nor %q", p.Halt, HaltWait, HaltRollBack)
 	return errors.Join(errs...)
 }
 
 // Matches tells whether a server or a node is one of those that the plan is about.
 func (p Plan) Matches(t Target) bool {
 	one := func(all []string, is string) bool { return len(all) == 0 || slices.Contains(all, is) }
-	named := len(p.What.Names) == 0 || slices.ContainsFunc(p.What.Names, func(n string) bool {
+	named := len(p.Selector.Names) == 0 || slices.ContainsFunc(p.Selector.Names, func(n string) bool {
 		ok, err := path.Match(n, t.Name)
 		return ok && err == nil
 	})
-	return one(p.What.Zones, t.Zone) && one(p.What.Types, t.Type) && named
+	return one(p.Selector.Zones, t.Zone) && one(p.Selector.Types, t.Type) && named
 }
 
-// ends gives, for each wave, how many of n servers are released by its end.
-func (p Plan) ends(n int) (all []int) {
+// waveEnds gives, for each wave, how many of n servers are released by its end.
+func (p Plan) waveEnds(n int) (all []int) {
 	done := 0
 	for i, w := range p.Waves {
 		if w.Count > 0 {
@@ -178,7 +178,7 @@
 	}
 	var in []ranked
 	for _, t := range slices.SortedFunc(slices.Values(all), func(a, b Target) int { return compare(a.Name, b.Name) }) {
-		pod := t.pod()
+		pod := t.cell()
 		in = append(in, ranked{t, count[pod], 0})
 		count[pod]++
 	}
--- a/internal/release/programs.go
+++ b/internal/release/programs.go
@@ -10,47 +10,47 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Programs is the program's nodes, whose agents start a new version beside the old
+// ProxyExecutor is the program's nodes, whose agents start a new version beside the old
 // one and hand over. Nothing has to be drained or listed. Its methods are safe for
 // concurrent use.
-type Programs struct {
-	List  *client.Client
-	Fence registry.FencingToken
-	HTTP  *http.Client
+type ProxyExecutor struct {
+	Registry *client.Client
+	Token    registry.FencingToken
+	HTTP     *http.Client
 
-	agents agents
+	agents agentDirectory
 }
 
-// View gives the nodes that do not serve.
-func (f *Programs) View(ctx context.Context) (View, error) {
-	agents, err := f.agents.read(ctx, f.List)
+// Unavailable gives the nodes that do not serve.
+func (f *ProxyExecutor) Unavailable(ctx context.Context) (Unavailable, error) {
+	agents, err := f.agents.read(ctx, f.Registry)
 	if err != nil {
-		return View{}, err
+		return Unavailable{}, err
 	}
-	var v View
+	var v Unavailable
 	for name, at := range agents {
 		s, err := agent.Caller{HTTP: f.HTTP}.Status(ctx, at, name)
 		if err != nil { // its machine may be lost
-			v.Out = append(v.Out, Target{Name: name})
+			v.Endpoints = append(v.Endpoints, Target{Name: name})
 		} else if s.Handover && !s.Ready {
-			v.Out = append(v.Out, Target{Name: name, Zone: s.Zone, Type: s.Type, Group: s.Group})
+			v.Endpoints = append(v.Endpoints, Target{Name: name, Zone: s.Zone, Type: s.Type, Cell: s.Cell})
 		}
 	}
 	return v, nil
 }
 
 // Do carries an action out.
-func (f *Programs) Do(ctx context.Context, a Action) (done bool, err error) {
-	at, err := f.agents.of(a.Target.Name)
+func (f *ProxyExecutor) Do(ctx context.Context, a Action) (done bool, err error) {
+	at, err := f.agents.find(a.Target.Name)
 	if err != nil {
 		return false, err
 	}
 	call := agent.Caller{HTTP: f.HTTP}
 	switch a.Step {
-	case Maint, Drain, Lift: // the handover does it
+	case Maintenance, Drain, Restore: // the handover does it
 		return true, nil
 	case Replace:
-		s, err := call.Order(ctx, at, a.Target.Name, agent.Order{Version: a.Version}, f.Fence)
+		s, err := call.Order(ctx, at, a.Target.Name, agent.DesiredState{Version: a.Version}, f.Token)
 		return err == nil && s.Version == a.Version, wrong(s, a, err)
 	}
 	s, err := call.Status(ctx, at, a.Target.Name)
@@ -62,20 +62,20 @@
 	switch {
 	case err != nil:
 		return err
-	case s.Refused == a.Version, s.Version == a.Version && !s.Ready:
-		return errors.New(s.Why)
+	case s.RejectedVersion == a.Version, s.Version == a.Version && !s.Ready:
+		return errors.New(s.Reason)
 	}
 	return nil
 }
 
 // Counts asks every node, at the control address that its agent tells. Whatever was
 // not served counts as failed: a version that refuses more than the others is worse.
-func (f *Programs) Counts(ctx context.Context, named []string) (map[string]Parts, error) {
+func (f *ProxyExecutor) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
 	is := map[string]bool{}
 	for _, n := range named {
 		is[n] = true
 	}
-	all := map[string]Parts{}
+	all := map[string]Comparison{}
 	for name, at := range f.agents.all() {
 		s, err := agent.Caller{HTTP: f.HTTP}.Status(ctx, at, name)
 		if err != nil || !s.Handover || s.Control == "" {
@@ -92,9 +92,9 @@
 				c.Failed += n
 			}
 		})
-		p := Parts{Rest: c}
+		p := Comparison{Rest: c}
 		if is[name] {
-			p = Parts{Those: c}
+			p = Comparison{Released: c}
 		}
 		all[name] = p
 	}
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -18,21 +18,21 @@
 	orderPrefix  = "release-order/"
 )
 
-// Duty is the duty whose holder conducts a release.
-func Duty(name string) string { return RecordPrefix + name }
+// LeaseName is the duty whose holder conducts a release.
+func LeaseName(name string) string { return RecordPrefix + name }
 
-// waiting is an operator's order in its record.
-type waiting struct {
-	ID    string `json:"id"`
-	Order string `json:"order"`
-	Who   string `json:"who"`
+// pendingOrder is an operator's order in its record.
+type pendingOrder struct {
+	ID       string `json:"id"`
+	Order    string `json:"order"`
+	Operator string `json:"who"`
 }
 
 // Records keeps a release in the list service, under its conductor's fence.
 type Records struct {
-	List  *client.Client
-	Fence registry.FencingToken
-	Name  string
+	Registry *client.Client
+	Token    registry.FencingToken
+	Name     string
 }
 
 // Start puts a new release on record; there must be none of that name.
@@ -42,7 +42,7 @@
 		return err
 	}
 	none := uint64(0)
-	if _, err = k.Put(ctx, RecordPrefix+s.Plan.Name, raw, &none); is(err, registry.Conflict) {
+	if _, err = k.Put(ctx, RecordPrefix+s.Plan.Name, raw, &none); hasCode(err, registry.Conflict) {
 		return fmt.Errorf("there is a release %s already; a plan of another name makes another", s.Plan.Name)
 	}
 	return err
@@ -57,57 +57,57 @@
 	return Decode(r.Value)
 }
 
-// Tell leaves an operator's order for the conductor. One at a time waits.
-func Tell(ctx context.Context, k *client.Client, name, what, who, id string) error {
-	raw, err := json.Marshal(waiting{id, what, who})
+// SubmitOrder leaves an operator's order for the conductor. One at a time waits.
+func SubmitOrder(ctx context.Context, k *client.Client, name, what, who, id string) error {
+	raw, err := json.Marshal(pendingOrder{id, what, who})
 	if err != nil {
 		return err
 	}
 	none := uint64(0)
-	if _, err = k.Put(ctx, orderPrefix+name, raw, &none); is(err, registry.Conflict) {
+	if _, err = k.Put(ctx, orderPrefix+name, raw, &none); hasCode(err, registry.Conflict) {
 		return errors.New("an order waits there already; does a conductor run?")
 	}
 	return err
 }
 
-// is tells whether the service's refusal has a code.
-func is(err error, code registry.Code) bool {
+// hasCode tells whether the service's refusal has a code.
+func hasCode(err error, code registry.Code) bool {
 	var r *client.Error
 	return errors.As(err, &r) && r.Code == string(code)
 }
 
 // Load reads the record.
 func (r Records) Load(ctx context.Context) ([]byte, uint64, error) {
-	one, err := r.List.Record(ctx, RecordPrefix+r.Name)
+	one, err := r.Registry.Record(ctx, RecordPrefix+r.Name)
 	return one.Value, one.Version, err
 }
 
 // Save writes the record.
 func (r Records) Save(ctx context.Context, raw []byte, version uint64) (uint64, error) {
-	got, err := r.List.WithToken(r.Fence).Put(ctx, RecordPrefix+r.Name, raw, &version)
-	if is(err, registry.Conflict) || is(err, registry.StaleToken) {
-		return 0, fmt.Errorf("%w: %w", ErrTaken, err)
+	got, err := r.Registry.WithToken(r.Token).Put(ctx, RecordPrefix+r.Name, raw, &version)
+	if hasCode(err, registry.Conflict) || hasCode(err, registry.StaleToken) {
+		return 0, fmt.Errorf("%w: %w", ErrSuperseded, err)
 	}
 	return got.EntryVersion, err
 }
 
 // Order reads the order that waits.
 func (r Records) Order(ctx context.Context) (id, what, who string, err error) {
-	one, err := r.List.Record(ctx, orderPrefix+r.Name)
+	one, err := r.Registry.Record(ctx, orderPrefix+r.Name)
 	var refused *client.Error
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return "", "", "", nil
 	}
-	var o waiting
+	var o pendingOrder
 	if err == nil {
 		err = json.Unmarshal(one.Value, &o)
 	}
-	return o.ID, o.Order, o.Who, err
+	return o.ID, o.Order, o.Operator, err
 }
 
-// Taken makes room for the next order.
-func (r Records) Taken(ctx context.Context) error {
-	if _, err := r.List.WithToken(r.Fence).Put(ctx, orderPrefix+r.Name, nil, nil); !is(err, registry.NotFound) {
+// ClearOrder makes room for the next order.
+func (r Records) ClearOrder(ctx context.Context) error {
+	if _, err := r.Registry.WithToken(r.Token).Put(ctx, orderPrefix+r.Name, nil, nil); !hasCode(err, registry.NotFound) {
 		return err
 	}
 	return nil
