--- a/internal/release/servers.go
+++ b/internal/release/servers.go
@@ -20,44 +20,44 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Node is a node at which servers are put into maintenance, and whose figures gates read.
-type Node struct {
+// Proxy is a node at which servers are put into maintenance, and whose figures gates read.
+type Proxy struct {
 	Name    string `koanf:"name"`
 	Control string `koanf:"control"`
 }
 
-// Servers is a fleet of servers that agents keep. Its methods are safe for concurrent use.
-type Servers struct {
-	List  *client.Client
-	Fence registry.FencingToken
-	Nodes []Node
-	HTTP  *http.Client
-	Grace time.Duration // for what nodes hold at a server that is in maintenance
+// ServerExecutor is a fleet of servers that agents keep. Its methods are safe for concurrent use.
+type ServerExecutor struct {
+	Registry *client.Client
+	Token    registry.FencingToken
+	Proxies  []Proxy
+	HTTP     *http.Client
+	Grace    time.Duration // for what nodes hold at a server that is in maintenance
 
-	mu     sync.Mutex
-	agents agents
-	empty  map[string]time.Time // when a server has nothing left, since it was seen draining
+	mu         sync.Mutex
+	agents     agentDirectory
+	emptySince map[string]time.Time // when a server has nothing left, since it was seen draining
 }
 
 const maxStats = 4 << 20 // bytes of a node's figures
 
-// View gives the servers that the list has as leaving, and those that agents keep
+// Unavailable gives the servers that the list has as leaving, and those that agents keep
 // and the list does not have.
-func (f *Servers) View(ctx context.Context) (View, error) {
-	a, err := f.List.Registrations(ctx)
+func (f *ServerExecutor) Unavailable(ctx context.Context) (Unavailable, error) {
+	a, err := f.Registry.Registrations(ctx)
 	if err != nil {
-		return View{}, err
+		return Unavailable{}, err
 	}
-	agents, err := f.agents.read(ctx, f.List)
+	agents, err := f.agents.read(ctx, f.Registry)
 	if err != nil {
-		return View{}, err
+		return Unavailable{}, err
 	}
-	var v View
+	var v Unavailable
 	listed := map[string]bool{}
 	for _, i := range a.Registrations {
 		listed[i.Endpoint.Name] = true
 		if i.Endpoint.Status != registry.Ready {
-			v.Out = append(v.Out, Target{Name: i.Endpoint.Name, Zone: i.Endpoint.Zone, Type: i.Endpoint.Type, Group: i.Endpoint.Cell})
+			v.Endpoints = append(v.Endpoints, Target{Name: i.Endpoint.Name, Zone: i.Endpoint.Zone, Type: i.Endpoint.Type, Cell: i.Endpoint.Cell})
 		}
 	}
 	for name, at := range agents {
@@ -66,71 +66,71 @@
 		}
 		// Its zone went with its entry; one that hands over is a node, and in no list.
 		if s, err := (agent.Caller{HTTP: f.HTTP}).Status(ctx, at, name); err != nil || !s.Handover {
-			v.Out = append(v.Out, Target{Name: name, Zone: s.Zone, Type: s.Type, Group: s.Group})
+			v.Endpoints = append(v.Endpoints, Target{Name: name, Zone: s.Zone, Type: s.Type, Cell: s.Cell})
 		}
 	}
 	return v, nil
 }
 
 // Do carries an action out.
-func (f *Servers) Do(ctx context.Context, a Action) (done bool, err error) {
-	at, err := f.agents.of(a.Target.Name)
+func (f *ServerExecutor) Do(ctx context.Context, a Action) (done bool, err error) {
+	at, err := f.agents.find(a.Target.Name)
 	if err != nil {
 		return false, err
 	}
 	call, name := agent.Caller{HTTP: f.HTTP}, a.Target.Name
 	switch a.Step {
-	case Maint:
-		err := f.atNodes(ctx, name, "maint")
+	case Maintenance:
+		err := f.callProxies(ctx, name, "maint")
 		return err == nil, err
 	case Drain:
-		_, err := call.Order(ctx, at, name, agent.Order{Version: a.Target.Version, Quiet: true}, f.Fence)
-		return err == nil && f.drained(name), err
+		_, err := call.Order(ctx, at, name, agent.DesiredState{Version: a.Target.Version, KeepDraining: true}, f.Token)
+		return err == nil && f.isDrained(name), err
 	case Replace:
-		s, err := call.Order(ctx, at, name, agent.Order{Version: a.Version, Quiet: true}, f.Fence)
+		s, err := call.Order(ctx, at, name, agent.DesiredState{Version: a.Version, KeepDraining: true}, f.Token)
 		return err == nil && s.Version == a.Version && s.Running, err
 	case Ready:
 		s, err := call.Status(ctx, at, name)
 		if err == nil && s.Version == a.Version && !s.Ready {
-			err = errors.New(s.Why)
+			err = errors.New(s.Reason)
 		}
 		return err == nil && s.Version == a.Version, err
 	}
-	s, err := call.Order(ctx, at, name, agent.Order{Version: a.Version}, f.Fence)
+	s, err := call.Order(ctx, at, name, agent.DesiredState{Version: a.Version}, f.Token)
 	if err != nil || !s.Ready || s.Version != a.Version {
 		return false, err
 	}
-	err = f.atNodes(ctx, name, "ready")
+	err = f.callProxies(ctx, name, "ready")
 	return err == nil, err
 }
 
-// drained tells whether a server has been in maintenance for its grace.
-func (f *Servers) drained(name string) bool {
+// isDrained tells whether a server has been in maintenance for its grace.
+func (f *ServerExecutor) isDrained(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.empty == nil {
-		f.empty = map[string]time.Time{}
+	if f.emptySince == nil {
+		f.emptySince = map[string]time.Time{}
 	}
-	at, ok := f.empty[name]
+	at, ok := f.emptySince[name]
 	if !ok {
 		at = time.Now().Add(f.Grace)
-		f.empty[name] = at
+		f.emptySince[name] = at
 	}
 	if time.Now().Before(at) {
 		return false
 	}
-	delete(f.empty, name)
+	delete(f.emptySince, name)
 	return true
 }
 
-// atNodes has every node put a server into maintenance, or take it out. A node
+// callProxies has every node put a server into maintenance, or take it out. A node
 // that is not there sends nothing to anybody: nobody listens at its control
 // address. One that is there and does not answer is waited for.
-func (f *Servers) atNodes(ctx context.Context, server, call string) error {
-	errs := make(chan error, len(f.Nodes))
-	for _, n := range f.Nodes {
+func (f *ServerExecutor) callProxies(ctx context.Context, server, call string) error {
+	errs := make(chan error, len(f.Proxies))
+	for _, n := range f.Proxies {
 		go func() {
-			err := f.atNode(ctx, n, server, call)
+			err := f.callProxy(ctx, n, server, call)
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				err = nil
 			}
@@ -138,18 +138,18 @@
 		}()
 	}
 	var all []error
-	for range f.Nodes {
+	for range f.Proxies {
 		all = append(all, <-errs)
 	}
 	return errors.Join(all...)
 }
 
-func (f *Servers) atNode(ctx context.Context, n Node, server, call string) error {
+func (f *ServerExecutor) callProxy(ctx context.Context, n Proxy, server, call string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Control+"/backends/"+url.PathEscape(server)+"/"+call, nil)
 	if err != nil {
 		return err
 	}
-	req.Header.Set(fencing.Header, fencing.Format(f.Fence))
+	req.Header.Set(fencing.Header, fencing.Format(f.Token))
 	resp, err := f.HTTP.Do(req)
 	if err != nil {
 		return fmt.Errorf("node %s: %w", n.Name, err)
@@ -159,7 +159,7 @@
 	case http.StatusOK, http.StatusNotFound: // one that does not know the server sends it nothing
 		return nil
 	case http.StatusConflict:
-		return fmt.Errorf("node %s: %w", n.Name, ErrTaken)
+		return fmt.Errorf("node %s: %w", n.Name, ErrSuperseded)
 	}
 	return fmt.Errorf("node %s: %s", n.Name, resp.Status)
 }
@@ -215,28 +215,28 @@
 }
 
 // Counts asks every node.
-func (f *Servers) Counts(ctx context.Context, named []string) (map[string]Parts, error) {
+func (f *ServerExecutor) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
 	is := map[string]bool{}
 	for _, n := range named {
 		is[n] = true
 	}
-	all := map[string]Parts{}
-	for _, n := range f.Nodes {
+	all := map[string]Comparison{}
+	for _, n := range f.Proxies {
 		text, err := readControl(ctx, f.HTTP, n.Control)
 		if err != nil {
 			continue // one that is not there counts nothing
 		}
-		var p Parts
+		var p Comparison
 		for name, c := range readStats(text) {
 			if is[name] {
-				p.Those = p.Those.plus(c)
+				p.Released = p.Released.plus(c)
 			} else {
 				p.Rest = p.Rest.plus(c)
 			}
 		}
 		all[n.Name] = p
 	}
-	if len(all) == 0 && len(f.Nodes) > 0 {
+	if len(all) == 0 && len(f.Proxies) > 0 {
 		return nil, errors.New("no node tells its figures")
 	}
 	return all, nil
--- a/internal/sim/subset/node.go
+++ b/internal/sim/subset/node.go
@@ -105,7 +105,7 @@
 		return n.fail(fmt.Sprintf("holds %s back", a.Epoch), false)
 	}
 	if verdict == client.Changed {
-		n.view = n.belief.View()
+		n.view = n.belief.List()
 	}
 	v := n.view
 	var said []sim.Effect
--- a/internal/tenant/catalogue.go
+++ b/internal/tenant/catalogue.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Verdict is what a node does with a request of a tenant.
-type Verdict uint8
+// DecisionKind is what a node does with a request of a tenant.
+type DecisionKind uint8
 
 // The verdicts, with what a client is told.
 const (
-	Unsure   Verdict = iota // 503 with Retry-After: this node can't be sure
-	Served                  // on its route, within its limit
-	Declined                // 403: known, and not to be served
-	Unknown                 // 404: a definite no
+	Unavailable DecisionKind = iota // 503 with Retry-After: this node can't be sure
+	Routed                          // on its route, within its limit
+	Forbidden                       // 403: known, and not to be served
+	NotFound                        // 404: a definite no
 )
 
-// Answer is the verdict on one request.
-type Answer struct {
-	Verdict Verdict
-	Why     string        // a constant: of Unsure and Declined
-	Retry   time.Duration // of Unsure
-	Number  uint64        // of the catalogue it comes from
-	Tenant  string        // by its name in the catalogue, where it is known
-	Route   *Route        // of Served, as is Limit; never the one without the other
-	Limit   string
+// Decision is the verdict on one request.
+type Decision struct {
+	Kind            DecisionKind
+	Reason          string        // a constant: of Unsure and Declined
+	RetryAfter      time.Duration // of Unsure
+	CatalogueNumber uint64        // of the catalogue it comes from
+	Tenant          string        // by its name in the catalogue, where it is known
+	Route           *Route        // of Served, as is Limit; never the one without the other
+	Limit           string
 }
 
 // Why a node declines, or is not sure.
 const (
-	WhySuspended = "the tenant is suspended"
-	WhyClass     = "the class is not open to the tenant"
-	WhyKey       = "the key is outside the tenant's part of the key space"
-	WhyLeaving   = "the tenant is leaving"
-	WhyNotReady  = "this node has no catalogue yet"
-	WhyNoWord    = "this node has had no word of the catalogue for too long"
-	WhyBehind    = "this node is behind the catalogue"
-	WhyComing    = "the tenant is being brought in"
-	WhyChanging  = "the tenant is being changed"
-	WhyQuota     = "the tenant's limit is not in this node's policy yet"
-	WhyUnread    = "the tenant's part of the catalogue is being read"
-	WhyPhase     = "this node is older than the tenant's state"
+	ReasonSuspended    = "the tenant is suspended"
+	ReasonClass        = "the class is not open to the tenant"
+	ReasonKey          = "the key is outside the tenant's part of the key space"
+	ReasonLeaving      = "the tenant is leaving"
+	ReasonNotReady     = "this node has no catalogue yet"
+	ReasonStale        = "this node has had no word of the catalogue for too long"
+	ReasonBehind       = "this node is behind the catalogue"
+	ReasonPreparing    = "the tenant is being brought in"
+	ReasonChanging     = "the tenant is being changed"
+	ReasonLimitMissing = "the tenant's limit is not in this node's policy yet"
+	ReasonLeafMissing  = "the tenant's part of the catalogue is being read"
+	ReasonUnknownPhase = "this node is older than the tenant's state"
 )
 
 // What a client is told to wait: once for a step of the conductor, longer where the
@@ -57,112 +57,114 @@
 // into tables of classes and at most 2 x MaxKeys comparisons of a prefix; nothing is
 // allocated. One thing is noted: when a part was last asked for.
 type Catalogue struct {
-	number uint64
-	levels int           // of the tree whose leaves the parts are; 0: one part has all
-	whole  bool          // a part that is not held has no tenants
-	held   map[int]*held // parts, by number
-	ready  bool          // the node is on the book, and has read a catalogue since
-	sure   bool          // read since the present session began
-	until  time.Duration // the session's right ends then
-	stop   time.Duration // by its hold it serves no tenant from then on; 0: there is none
-	behind bool          // there is a newer catalogue, by what a peer said
+	number         uint64
+	levels         int                 // of the tree whose leaves the parts are; 0: one part has all
+	complete       bool                // a part that is not held has no tenants
+	leaves         map[int]*cachedLeaf // parts, by number
+	ready          bool                // the node is on the book, and has read a catalogue since
+	authoritative  bool                // read since the present session began
+	authorityUntil time.Duration       // the session's right ends then
+	stopServingAt  time.Duration       // by its hold it serves no tenant from then on; 0: there is none
+	behind         bool                // there is a newer catalogue, by what a peer said
 }
 
 // Ready tells whether the node may take requests of tenants at all.
 func (c *Catalogue) Ready() bool { return c.ready }
 
-// right tells whether the node may say a definite no.
-func (c *Catalogue) right(now time.Duration) bool { return c.sure && now < c.until && !c.behind }
+// isAuthoritative tells whether the node may say a definite no.
+func (c *Catalogue) isAuthoritative(now time.Duration) bool {
+	return c.authoritative && now < c.authorityUntil && !c.behind
+}
 
-// Holds tells whether the node holds the part of a name.
-func (c *Catalogue) Holds(tenant string) bool {
-	return c.whole || c.held[leafOf(tenant, c.levels)] != nil
+// HasLeaf tells whether the node holds the part of a name.
+func (c *Catalogue) HasLeaf(tenant string) bool {
+	return c.complete || c.leaves[leafOf(tenant, c.levels)] != nil
 }
 
-// Answer gives the verdict on a request. tenant is as in X-Tenant.
-func (c *Catalogue) Answer(now time.Duration, tenant, class, key string) Answer {
-	unsure := func(why string, retry time.Duration) Answer {
-		return Answer{Why: why, Retry: retry, Number: c.number}
+// Decide gives the verdict on a request. tenant is as in X-Tenant.
+func (c *Catalogue) Decide(now time.Duration, tenant, class, key string) Decision {
+	unsure := func(why string, retry time.Duration) Decision {
+		return Decision{Reason: why, RetryAfter: retry, CatalogueNumber: c.number}
 	}
 	switch {
 	case !c.ready:
-		return unsure(WhyNotReady, retrySoon)
-	case c.stop > 0 && now >= c.stop:
-		return unsure(WhyNoWord, retryLater)
+		return unsure(ReasonNotReady, retrySoon)
+	case c.stopServingAt > 0 && now >= c.stopServingAt:
+		return unsure(ReasonStale, retryLater)
 	}
-	part := c.held[leafOf(tenant, c.levels)]
-	var p *place
+	part := c.leaves[leafOf(tenant, c.levels)]
+	var p *compiledEntry
 	if part != nil {
-		part.used.Store(int64(now))
+		part.usedAt.Store(int64(now))
 		p = part.names[tenant]
 	}
 	switch {
-	case part == nil && !c.whole && now < c.until:
-		return unsure(WhyUnread, retrySoon)
-	case part == nil && !c.whole: // it can't be read for now
-		return unsure(WhyNoWord, retryLater)
-	case p == nil && c.right(now):
-		return Answer{Verdict: Unknown, Number: c.number}
+	case part == nil && !c.complete && now < c.authorityUntil:
+		return unsure(ReasonLeafMissing, retrySoon)
+	case part == nil && !c.complete: // it can't be read for now
+		return unsure(ReasonStale, retryLater)
+	case p == nil && c.isAuthoritative(now):
+		return Decision{Kind: NotFound, CatalogueNumber: c.number}
 	case p == nil && c.behind:
-		return unsure(WhyBehind, retrySoon)
+		return unsure(ReasonBehind, retrySoon)
 	case p == nil:
-		return unsure(WhyNoWord, retryLater)
+		return unsure(ReasonStale, retryLater)
 	}
-	a := p.answer(class, key, c.behind)
-	if p.phase == Drain && !c.right(now) { // the name may be another tenant's by now
-		a = unsure(WhyNoWord, retryLater)
+	a := p.decide(class, key, c.behind)
+	if p.phase == PhaseDrain && !c.isAuthoritative(now) { // the name may be another tenant's by now
+		a = unsure(ReasonStale, retryLater)
 	}
-	a.Number, a.Tenant = c.number, p.name
+	a.CatalogueNumber, a.Tenant = c.number, p.name
 	return a
 }
 
-// answer gives the verdict of an entry.
-func (p *place) answer(class, key string, behind bool) Answer {
+// decide gives the verdict of an entry.
+func (p *compiledEntry) decide(class, key string, behind bool) Decision {
 	switch p.phase {
-	case Serve:
-		return p.now.answer(class, key)
-	case Drain:
-		return Answer{Verdict: Declined, Why: WhyLeaving}
-	case Prepare, Hold:
+	case PhaseServe:
+		return p.current.decide(class, key)
+	case PhaseDrain:
+		return Decision{Kind: Forbidden, Reason: ReasonLeaving}
+	case PhasePrepare, PhaseHold:
 	default:
-		return Answer{Why: WhyPhase, Retry: retryLater}
+		return Decision{Reason: ReasonUnknownPhase, RetryAfter: retryLater}
 	}
-	if p.phase == Prepare && !behind {
-		if p.now == nil {
-			return Answer{Why: WhyComing, Retry: retrySoon}
+	if p.phase == PhasePrepare && !behind {
+		if p.current == nil {
+			return Decision{Reason: ReasonPreparing, RetryAfter: retrySoon}
 		}
-		return p.now.answer(class, key)
+		return p.current.decide(class, key)
 	}
-	if p.now == nil || p.next == nil {
-		return Answer{Why: WhyChanging, Retry: retrySoon}
+	if p.current == nil || p.next == nil {
+		return Decision{Reason: ReasonChanging, RetryAfter: retrySoon}
 	}
-	a, b := p.now.answer(class, key), p.next.answer(class, key)
-	if a.Verdict == b.Verdict && a.Why == b.Why && (a.Verdict != Served || p.now.lanes[class].same) {
+	a, b := p.current.decide(class, key), p.next.decide(class, key)
+	if a.Kind == b.Kind && a.Reason == b.Reason && (a.Kind != Routed || p.current.classes[class].unchanged) {
 		return a
 	}
-	return Answer{Why: WhyChanging, Retry: retrySoon}
+	return Decision{Reason: ReasonChanging, RetryAfter: retrySoon}
 }
 
-// answer gives the verdict of a form.
-func (c *compiled) answer(class, key string) Answer {
+// decide gives the verdict of a form.
+func (c *compiledSpec) decide(class, key string) Decision {
 	if c == nil {
-		return Answer{Why: WhyPhase, Retry: retryLater}
+		return Decision{Reason: ReasonUnknownPhase, RetryAfter: retryLater}
 	}
-	switch l, open := c.lanes[class]; {
+	switch l, open := c.classes[class]; {
 	case c.suspended:
-		return Answer{Verdict: Declined, Why: WhySuspended}
+		return Decision{Kind: Forbidden, Reason: ReasonSuspended}
 	case !open:
-		return Answer{Verdict: Declined, Why: WhyClass}
-	case !c.inside(key):
-		return Answer{Verdict: Declined, Why: WhyKey}
-	case !c.quota:
-		return Answer{Why: WhyQuota, Retry: retrySoon}
+		return Decision{Kind: Forbidden, Reason: ReasonClass}
+	case !c.ownsKey(key):
+		return Decision{Kind: Forbidden, Reason: ReasonKey}
+	case !c.limitsKnown:
+		return Decision{Reason: ReasonLimitMissing, RetryAfter: retrySoon}
 	default:
-		return Answer{Verdict: Served, Route: l.route, Limit: l.limit}
+		return Decision{Kind: Routed, Route: l.route, Limit: l.limit}
 	}
 }
 
-func (c *compiled) inside(key string) bool {
+func (c *compiledSpec) ownsKey(key string) bool {
 	for _, prefix := range c.keys {
 		if strings.HasPrefix(key, prefix) {
 			return true
@@ -172,7 +174,7 @@
 }
 
 // String is for logs.
-func (v Verdict) String() string {
+func (v DecisionKind) String() string {
 	if int(v) < len(verdicts) {
 		return verdicts[v]
 	}
--- a/internal/tenant/check.go
+++ b/internal/tenant/check.go
@@ -8,7 +8,7 @@
 
 // check says why a tenant can't have a form: names that are another's, limits that the
 // policy has not or another has, floors that do not add up, routes without boxes.
-func (m *Machine) check(r *round, t *Tenant, next *Form) (why string) {
+func (m *StateMachine) check(r *round, t *Tenant, next *Spec) (why string) {
 	if err := next.Check(); err != nil {
 		return err.Error()
 	}
@@ -22,20 +22,20 @@
 			return fmt.Sprintf("quotas: %s is that of %s", q.Limit, o)
 		}
 	}
-	if why := m.floors(r, next); why != "" {
+	if why := m.checkFloors(r, next); why != "" {
 		return why
 	}
-	return routed(r, next)
+	return checkRoutes(r, next)
 }
 
 // recheck looks again, just before a form takes effect, at what may have changed since:
 // the policy's table and the boxes.
-func (m *Machine) recheck(r *round, t *Tenant) (why string) {
+func (m *StateMachine) recheck(r *round, t *Tenant) (why string) {
 	if t.Next == nil || t.Next.Suspended {
 		return ""
 	}
-	if why = m.floors(r, t.Next); why == "" {
-		why = routed(r, t.Next)
+	if why = m.checkFloors(r, t.Next); why == "" {
+		why = checkRoutes(r, t.Next)
 	}
 	if why != "" {
 		why = "taken back: " + why
@@ -47,7 +47,7 @@
 // what has been let in since. So nothing is free before that is on record.
 type claims struct {
 	names, limits map[string]string  // their tenants
-	of            map[string][]claim // by tenant
+	byTenant      map[string][]claim // by tenant
 }
 
 // claim is what one tenant has: names, of one that is gone, too, and limits.
@@ -65,13 +65,13 @@
 		}
 		c.limits[limit] = t.Name
 	}
-	c.of[t.Name] = append(c.of[t.Name], one)
+	c.byTenant[t.Name] = append(c.byTenant[t.Name], one)
 	return taken
 }
 
 // drop takes all away that a tenant has.
 func (c *claims) drop(tenant string) {
-	for _, one := range c.of[tenant] {
+	for _, one := range c.byTenant[tenant] {
 		for _, name := range one.names {
 			delete(c.names, name)
 		}
@@ -79,17 +79,17 @@
 			delete(c.limits, limit)
 		}
 	}
-	delete(c.of, tenant)
+	delete(c.byTenant, tenant)
 }
 
 func (t *Tenant) claim() (c claim) {
-	for _, f := range []*Form{t.Now, t.Next} {
+	for _, f := range []*Spec{t.Current, t.Next} {
 		if f == nil {
 			continue
 		}
 		c.names = append(c.names, f.Names...)
 		for _, q := range f.Quotas {
-			if t.State.owns() {
+			if t.State.ownsLimits() {
 				c.limits = append(c.limits, q.Limit)
 			}
 		}
@@ -97,31 +97,31 @@
 	return c
 }
 
-// settled notes a tenant whose record has changed or is gone, at the end of a round: what it
+// tenantSettled notes a tenant whose record has changed or is gone, at the end of a round: what it
 // does not have any more is free, and whether there is anything to be done about it.
-func (m *Machine) settled(name string) {
+func (m *StateMachine) tenantSettled(name string) {
 	m.claims.drop(name)
-	delete(m.live, name)
+	delete(m.unsettled, name)
 	if t := m.tenants[name]; t != nil {
 		m.claims.add(t)
-		if !t.State.rests() || t.Until > 0 {
-			m.live[name] = t
+		if !t.State.isSettled() || t.ExpiresAt > 0 {
+			m.unsettled[name] = t
 		}
 	}
 }
 
-// floors says whether the floors of all tenants' limits fit once one has its next form,
+// checkFloors says whether the floors of all tenants' limits fit once one has its next form,
 // too. What is taken is no count that is kept, but the sum over the states on record:
 // so nothing is taken or freed twice, whoever dies in between. A round has it once.
-func (m *Machine) floors(r *round, next *Form) (why string) {
-	if !r.summed {
-		r.sum = 0
+func (m *StateMachine) checkFloors(r *round, next *Spec) (why string) {
+	if !r.floorSumKnown {
+		r.floorSum = 0
 		for _, limit := range slices.Sorted(maps.Keys(m.claims.limits)) {
-			r.sum += r.Policy.Floors[limit]
+			r.floorSum += r.Policy.Floors[limit]
 		}
-		r.summed = true
+		r.floorSumKnown = true
 	}
-	sum, seen := r.sum, map[string]bool{}
+	sum, seen := r.floorSum, map[string]bool{}
 	for _, q := range next.Quotas {
 		floor, there := r.Policy.Floors[q.Limit]
 		if !there {
@@ -132,23 +132,23 @@
 		}
 		seen[q.Limit] = true
 	}
-	if sum > r.Policy.Whole {
-		return fmt.Sprintf("quotas: the floors of all tenants come to %g, of %g", sum, r.Policy.Whole)
+	if sum > r.Policy.TotalFloor {
+		return fmt.Sprintf("quotas: the floors of all tenants come to %g, of %g", sum, r.Policy.TotalFloor)
 	}
 	return ""
 }
 
-// routed says whether each route has its boxes.
-func routed(r *round, next *Form) (why string) {
+// checkRoutes says whether each route has its boxes.
+func checkRoutes(r *round, next *Spec) (why string) {
 	for i := range next.Routes {
 		route, n := &next.Routes[i], 0
-		for _, b := range r.Boxes {
-			if route.Takes(b) {
+		for _, b := range r.Endpoints {
+			if route.Allows(b) {
 				n++
 			}
 		}
-		if n < max(1, route.Least) {
-			return fmt.Sprintf("routes: the one for %v has %d boxes, want %d", route.Classes, n, max(1, route.Least))
+		if n < max(1, route.MinEndpoints) {
+			return fmt.Sprintf("routes: the one for %v has %d boxes, want %d", route.Classes, n, max(1, route.MinEndpoints))
 		}
 	}
 	return ""
--- a/internal/tenant/compile.go
+++ b/internal/tenant/compile.go
@@ -2,83 +2,83 @@
 
 import "reflect"
 
-// place is an entry as requests find it.
-type place struct {
-	name  string
-	phase Phase
-	now   *compiled // nil: the name is not in effect
-	next  *compiled
+// compiledEntry is an entry as requests find it.
+type compiledEntry struct {
+	name    string
+	phase   Phase
+	current *compiledSpec // nil: the name is not in effect
+	next    *compiledSpec
 }
 
-// compiled is a form ready for requests.
-type compiled struct {
-	suspended bool
-	quota     bool // the node's policy table has its limits
-	lanes     map[string]lane
-	keys      []string
+// compiledSpec is a form ready for requests.
+type compiledSpec struct {
+	suspended   bool
+	limitsKnown bool // the node's policy table has its limits
+	classes     map[string]classRoute
+	keys        []string
 }
 
-type lane struct {
-	route *Route
-	limit string
-	same  bool // at a change: the other form says the same for the class
+type classRoute struct {
+	route     *Route
+	limit     string
+	unchanged bool // at a change: the other form says the same for the class
 }
 
-func compile(f *Form, t Table) *compiled {
-	c := &compiled{suspended: f.Suspended, quota: t.covers(f), lanes: map[string]lane{}, keys: f.Keys}
+func compile(f *Spec, t PolicyTable) *compiledSpec {
+	c := &compiledSpec{suspended: f.Suspended, limitsKnown: t.covers(f), classes: map[string]classRoute{}, keys: f.KeyPrefixes}
 	for _, class := range f.Classes {
 		if r, l := f.Route(class), f.limit(class); r != nil && l != "" {
-			c.lanes[class] = lane{route: r, limit: l}
+			c.classes[class] = classRoute{route: r, limit: l}
 		}
 	}
 	return c
 }
 
-// match marks what two forms of a tenant answer alike.
-func match(a, b *compiled) {
-	for class, x := range a.lanes {
-		if y, both := b.lanes[class]; both && x.limit == y.limit && reflect.DeepEqual(x.route, y.route) {
-			x.same, y.same = true, true
-			a.lanes[class], b.lanes[class] = x, y
+// markUnchanged marks what two forms of a tenant answer alike.
+func markUnchanged(a, b *compiledSpec) {
+	for class, x := range a.classes {
+		if y, both := b.classes[class]; both && x.limit == y.limit && reflect.DeepEqual(x.route, y.route) {
+			x.unchanged, y.unchanged = true, true
+			a.classes[class], b.classes[class] = x, y
 		}
 	}
 }
 
-// Table is a node's policy table, as far as tenants need it.
-type Table struct {
-	Version uint64
-	Has     func(limit string) bool
+// PolicyTable is a node's policy table, as far as tenants need it.
+type PolicyTable struct {
+	Version  uint64
+	HasLimit func(limit string) bool
 }
 
 // covers tells whether a table has what a form needs.
-func (t Table) covers(f *Form) bool {
-	if t.Has == nil || t.Version < f.Policy {
+func (t PolicyTable) covers(f *Spec) bool {
+	if t.HasLimit == nil || t.Version < f.PolicyVersion {
 		return false
 	}
 	for _, q := range f.Quotas {
-		if !t.Has(q.Limit) {
+		if !t.HasLimit(q.Limit) {
 			return false
 		}
 	}
 	return true
 }
 
-// places gives the names by which requests find the entries of a part. An entry is found
+// compileLeaf gives the names by which requests find the entries of a part. An entry is found
 // by a name in the part of that name alone: others may have another part's word for it.
-func places(p *Part, in func(name string) bool, t Table) map[string]*place {
-	all := map[string]*place{}
+func compileLeaf(p *Leaf, in func(name string) bool, t PolicyTable) map[string]*compiledEntry {
+	all := map[string]*compiledEntry{}
 	for _, e := range p.entries {
-		var now, next *compiled
-		if e.Now != nil {
-			now = compile(e.Now, t)
+		var now, next *compiledSpec
+		if e.Current != nil {
+			now = compile(e.Current, t)
 		}
 		if e.Next != nil {
 			next = compile(e.Next, t)
 		}
 		if now != nil && next != nil {
-			match(now, next)
+			markUnchanged(now, next)
 		}
-		put := func(f *Form, set func(*place)) {
+		put := func(f *Spec, set func(*compiledEntry)) {
 			if f == nil {
 				return
 			}
@@ -87,13 +87,13 @@
 					continue
 				}
 				if all[name] == nil {
-					all[name] = &place{name: e.Name, phase: e.Phase}
+					all[name] = &compiledEntry{name: e.Name, phase: e.Phase}
 				}
 				set(all[name])
 			}
 		}
-		put(e.Now, func(p *place) { p.now = now })
-		put(e.Next, func(p *place) { p.next = next })
+		put(e.Current, func(p *compiledEntry) { p.current = now })
+		put(e.Next, func(p *compiledEntry) { p.next = next })
 	}
 	return all
 }
--- a/internal/tenant/conductor.go
+++ b/internal/tenant/conductor.go
@@ -12,87 +12,87 @@
 	"wrenspread/internal/backoff"
 )
 
-// Duty is the duty whose holder conducts all tenants.
-const Duty = "tenants"
+// LeaseName is the duty whose holder conducts all tenants.
+const LeaseName = "tenants"
 
 // Store keeps the records, and tells of sessions, as they are now: a read that lags
 // would let a step pass without a node that it has to wait for.
 type Store interface {
 	Stored(ctx context.Context) (Stored, error)
 	Sessions(ctx context.Context) ([]Session, error)
-	Asks(ctx context.Context) ([]Ask, error)
+	PendingOrders(ctx context.Context) ([]PendingOrder, error)
 	// Put fails with ErrTaken where the fence is not the last any more.
-	Put(ctx context.Context, p Put) (version uint64, err error)
+	Put(ctx context.Context, p RecordWrite) (version uint64, err error)
 }
 
-// Fleet tells what tenants are checked against.
-type Fleet interface {
-	Policy(ctx context.Context) (Policy, error)
-	Boxes(ctx context.Context) ([]Box, error)
+// Environment tells what tenants are checked against.
+type Environment interface {
+	Policy(ctx context.Context) (PolicyFloors, error)
+	Endpoints(ctx context.Context) ([]Endpoint, error)
 }
 
-// ErrTaken ends a conductor that another has followed.
-var ErrTaken = errors.New("tenant: another conductor has it")
+// ErrSuperseded ends a conductor that another has followed.
+var ErrSuperseded = errors.New("tenant: another conductor has it")
 
 const (
-	roundTime = 20 * time.Second // for one round's calls
-	together  = 16               // writes at once
-	failRest  = 500 * time.Millisecond
+	roundTimeout      = 20 * time.Second // for one round's calls
+	maxParallelWrites = 16               // writes at once
+	failurePause      = 500 * time.Millisecond
 )
 
-// Conductor brings tenants in, changes and removes them. It is the work of a duty.
-type Conductor struct {
-	Store Store
-	Fleet Fleet
-	Every time.Duration // between two looks
-	Times Times
-	Log   *slog.Logger
+// Controller brings tenants in, changes and removes them. It is the work of a duty.
+type Controller struct {
+	Store       Store
+	Environment Environment
+	Interval    time.Duration // between two looks
+	Times       Times
+	Log         *slog.Logger
 
 	HashTree bool // it writes the catalogue as a hash tree, of which a node may read parts
 }
 
 // Run conducts until ctx ends or another conductor follows. After a call that failed it
 // begins from what is on record: whatever a write came to, the next round sees it.
-func (c *Conductor) Run(ctx context.Context) error {
+func (c *Controller) Run(ctx context.Context) error {
 	start := time.Now()
-	var m *Machine
+	var m *StateMachine
 	for ctx.Err() == nil {
 		if m == nil {
 			s, err := c.stored(ctx)
 			if err != nil {
 				c.Log.Warn("the tenants' records can't be read", "err", err)
-				backoff.Sleep(ctx, failRest)
+				backoff.Sleep(ctx, failurePause)
 				continue
 			}
 			m = Load(time.Since(start), s, c.Times, c.HashTree)
 		}
-		err := c.round(ctx, m, func() time.Duration { return time.Since(start) })
+		err := c.runRound(ctx, m, func() time.Duration { return time.Since(start) })
 		switch {
-		case errors.Is(err, ErrTaken):
+		case errors.Is(err, ErrSuperseded):
 			return err
 		case err != nil:
 			c.Log.Warn("a round is broken off; the next begins from the records", "err", err)
 			m = nil
-			backoff.Sleep(ctx, failRest)
+			backoff.Sleep(ctx, failurePause)
 		default:
-			backoff.Sleep(ctx, c.Every)
+			backoff.Sleep(ctx, c.Interval)
 		}
 	}
 	return ctx.Err()
 }
 
-func (c *Conductor) stored(ctx context.Context) (Stored, error) {
-	ctx, cancel := context.WithTimeout(ctx, roundTime)
+func (c *Controller) stored(ctx context.Context) (Stored, error) {
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	return c.Store.Stored(ctx)
 }
 
-// round makes one look and carries out what it calls for. The clock is read after the
+// runRound makes one look and carries out what it calls for. The clock is read after the
 // look: a member counts as away only from when that is known.
-func (c *Conductor) round(ctx context.Context, m *Machine, now func() time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, roundTime)
+func (c *Controller) runRound(ctx context.Context, m *StateMachine, now func() time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	l, err := c.look(ctx, m.Rests())
+	l, err := c.observe(ctx, m.IsIdle())
 	if err != nil {
 		return err
 	}
@@ -113,17 +113,17 @@
 	return nil
 }
 
-// look reads what the machine needs; what tenants are checked against only where one is
+// observe reads what the machine needs; what tenants are checked against only where one is
 // to be. Sessions come last: who is waited for is decided by them.
-func (c *Conductor) look(ctx context.Context, rests bool) (l Look, err error) {
-	if l.Asks, err = c.Store.Asks(ctx); err != nil {
+func (c *Controller) observe(ctx context.Context, rests bool) (l Observation, err error) {
+	if l.Orders, err = c.Store.PendingOrders(ctx); err != nil {
 		return l, fmt.Errorf("tenant: orders: %w", err)
 	}
-	if len(l.Asks) > 0 || !rests {
-		if l.Policy, err = c.Fleet.Policy(ctx); err != nil {
+	if len(l.Orders) > 0 || !rests {
+		if l.Policy, err = c.Environment.Policy(ctx); err != nil {
 			return l, fmt.Errorf("tenant: policy: %w", err)
 		}
-		if l.Boxes, err = c.Fleet.Boxes(ctx); err != nil {
+		if l.Endpoints, err = c.Environment.Endpoints(ctx); err != nil {
 			return l, fmt.Errorf("tenant: boxes: %w", err)
 		}
 	}
@@ -134,10 +134,10 @@
 }
 
 // write carries out the writes of one stage.
-func (c *Conductor) write(ctx context.Context, m *Machine, puts []Put) error {
+func (c *Controller) write(ctx context.Context, m *StateMachine, puts []RecordWrite) error {
 	versions := make([]uint64, len(puts))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(together)
+	g.SetLimit(maxParallelWrites)
 	for i, p := range puts {
 		g.Go(func() (err error) {
 			if versions[i], err = c.Store.Put(ctx, p); err != nil {
@@ -150,7 +150,7 @@
 		return err
 	}
 	for i, p := range puts {
-		m.Wrote(p, versions[i])
+		m.RecordWritten(p, versions[i])
 		c.Log.Debug("written", "key", p.Key, "version", versions[i])
 	}
 	return nil
--- a/internal/tenant/conductor_test.go
+++ b/internal/tenant/conductor_test.go
@@ -12,7 +12,7 @@
 	fence  uint64
 	rate   float64
 	tree   bool
-	m      *Machine
+	m      *StateMachine
 	dead   bool
 	asleep time.Duration
 }
@@ -69,7 +69,7 @@
 			c.load()
 			return
 		}
-		c.m = Load(c.clock(), s, Times{Prepare: 6 * time.Second, Switch: 1500 * time.Millisecond, Tomb: c.w.tomb()}, c.tree)
+		c.m = Load(c.clock(), s, Times{Prepare: 6 * time.Second, Switch: 1500 * time.Millisecond, Tombstone: c.w.tomb()}, c.tree)
 		c.round()
 	})
 }
@@ -82,7 +82,7 @@
 }
 
 func (c *conductor) round() {
-	var l Look
+	var l Observation
 	c.call(func() { l = c.w.look() }, func(ok bool) {
 		if !ok {
 			c.load()
@@ -97,7 +97,7 @@
 }
 
 // carryOut makes the writes of the first stage at once, and the others after them.
-func (c *conductor) carryOut(puts []Put) {
+func (c *conductor) carryOut(puts []RecordWrite) {
 	if len(puts) == 0 {
 		c.w.after(150*time.Millisecond, func() { c.wake(c.round) })
 		return
@@ -112,12 +112,12 @@
 		var err error
 		c.call(func() { version, err = c.w.put(p, c.fence) }, func(ok bool) {
 			if left--; ok && err == nil {
-				c.m.Wrote(p, version)
+				c.m.RecordWritten(p, version)
 			}
 			failed = failed || !ok || err != nil
 			switch {
 			case left > 0:
-			case failed && errors.Is(err, ErrTaken) && c.fence != c.w.fence:
+			case failed && errors.Is(err, ErrSuperseded) && c.fence != c.w.fence:
 				c.dead = true
 			case failed:
 				c.load()
--- a/internal/tenant/desk.go
+++ b/internal/tenant/desk.go
@@ -6,235 +6,239 @@
 	"time"
 )
 
-// Desk decides what a node knows of tenants, and how sure it may be. It is pure. Its
+// Cache decides what a node knows of tenants, and how sure it may be. It is pure. Its
 // safety rests on the session and on reads of the records; the view (Heard) only makes
 // it more careful, and quicker.
-type Desk struct {
-	life uint64
-	hold time.Duration
-
-	image    *Image
-	enrolled bool
-	leaving  bool
-	table    Table
-	tables   int               // that it has had
-	entries  map[string]*Entry // those of image, by tenant
-	moving   map[string]*Entry // those of them that are not simply served
-
-	onDemand bool          // it reads the parts that requests name, where the catalogue has parts
-	held     map[int]*held // the parts of image, ready for requests
-	asked    map[int]bool  // parts that are to be read, too
-	reads    bucket        // of parts that may be read now
-	idle     time.Duration // parts that have not been asked for so long are let go
-	letGoAt  time.Duration // when idle parts were last looked for
-
-	open  bool          // there is a session
-	ttl   time.Duration // of it
-	from  time.Duration // its unbroken right began: only what was read since is sure
-	until time.Duration // its right ends
-	sent  time.Duration // of the last renewal that was answered
-	sure  bool
-	word  time.Duration // of the last renewal while it was sure
-
-	heard   uint64
-	heardAt time.Duration
-	denied  uint64 // a number that was heard of, and that a later read did not bear out
-
-	busy   map[string]int           // open requests by tenant
-	leave  map[string]time.Duration // since when a tenant is known to go
-	told   Word
-	tells  bool // told was told
-	toldAt time.Duration
+type Cache struct {
+	generation   uint64
+	maxStaleness time.Duration
+
+	snapshot      *Snapshot
+	enrolled      bool
+	leaving       bool
+	policy        PolicyTable
+	policyChanges int               // that it has had
+	entries       map[string]*Entry // those of image, by tenant
+	inTransition  map[string]*Entry // those of them that are not simply served
+
+	onDemand        bool                // it reads the parts that requests name, where the catalogue has parts
+	leaves          map[int]*cachedLeaf // the parts of image, ready for requests
+	requestedLeaves map[int]bool        // parts that are to be read, too
+	readBudget      tokenBucket         // of parts that may be read now
+	idleTimeout     time.Duration       // parts that have not been asked for so long are let go
+	evictedAt       time.Duration       // when idle parts were last looked for
+
+	sessionOpen    bool          // there is a session
+	sessionTTL     time.Duration // of it
+	authoritySince time.Duration // its unbroken right began: only what was read since is sure
+	authorityUntil time.Duration // its right ends
+	renewalSentAt  time.Duration // of the last renewal that was answered
+	authoritative  bool
+	confirmedAt    time.Duration // of the last renewal while it was sure
+
+	peerNumber    uint64
+	peerNumberAt  time.Duration
+	refutedNumber uint64 // a number that was heard of, and that a later read did not bear out
+
+	openRequests   map[string]int           // open requests by tenant
+	departingSince map[string]time.Duration // since when a tenant is known to go
+	toldStatus     Status
+	hasTold        bool // told was told
+	toldAt         time.Duration
 }
 
 // A word is told again so often while a tenant moves: an earlier one that was long on
 // its way may have come to the service after it.
-const tellEvery = 5 * time.Second
+const tellInterval = 5 * time.Second
 
-// NewDesk makes the desk of a node that knows nothing yet. life is of this process,
+// NewCache makes the desk of a node that knows nothing yet. life is of this process,
 // higher than of the one before under its name. With a hold above 0 it serves no
 // tenant after so long without word; it should be several TTLs. On demand it reads of
 // a catalogue with parts only those that its requests name.
-func NewDesk(life uint64, hold time.Duration, onDemand bool) *Desk {
-	return &Desk{life: life, hold: min(hold, maxHold).Truncate(time.Millisecond), onDemand: onDemand, reads: bucket{left: readsAtOnce}, idle: idleTime,
-		entries: map[string]*Entry{}, moving: map[string]*Entry{}, asked: map[int]bool{}, busy: map[string]int{}, leave: map[string]time.Duration{}}
+func NewCache(life uint64, hold time.Duration, onDemand bool) *Cache {
+	return &Cache{generation: life, maxStaleness: min(hold, maxMaxStaleness).Truncate(time.Millisecond), onDemand: onDemand, readBudget: tokenBucket{left: readBurst}, idleTimeout: idleTime,
+		entries: map[string]*Entry{}, inTransition: map[string]*Entry{}, requestedLeaves: map[int]bool{}, openRequests: map[string]int{}, departingSince: map[string]time.Duration{}}
 }
 
 // Member is how the book has this node when it is enrolled.
-func (d *Desk) Member(name string) Member { return Member{name, d.life, d.hold.Milliseconds()} }
+func (d *Cache) Member(name string) Member {
+	return Member{name, d.generation, d.maxStaleness.Milliseconds()}
+}
 
 // Handle takes an event and gives what is to be done about it.
-func (d *Desk) Handle(now time.Duration, event any) (do []any) {
+func (d *Cache) Handle(now time.Duration, event any) (do []any) {
 	swap := true
 	switch e := event.(type) {
-	case Opened:
-		d.open, d.ttl, d.from, d.sent, d.sure, d.tells = true, e.TTL, now, e.Sent, false, false
-		d.until = e.Sent + early(e.TTL)
-		do = append(do, Fetch{})
-	case Renewed:
-		do = append(do, d.renewed(now, e)...)
-	case Read:
-		do = append(do, d.read(now, e)...)
-	case Asked:
-		return d.ask(now, e.Name)
-	case Heard:
-		if e.Number <= max(d.number(), d.heard) || e.Number == d.denied {
+	case SessionOpened:
+		d.sessionOpen, d.sessionTTL, d.authoritySince, d.renewalSentAt, d.authoritative, d.hasTold = true, e.TTL, now, e.Sent, false, false
+		d.authorityUntil = e.Sent + shortened(e.TTL)
+		do = append(do, ReadCatalogue{})
+	case SessionRenewed:
+		do = append(do, d.sessionRenewed(now, e)...)
+	case CatalogueRead:
+		do = append(do, d.catalogueRead(now, e)...)
+	case LeafMissing:
+		return d.requestLeaf(now, e.Name)
+	case PeerHasCatalogue:
+		if e.Number <= max(d.number(), d.peerNumber) || e.Number == d.refutedNumber {
 			return nil
 		}
-		d.heard, d.heardAt = e.Number, now
-		do = append(do, Fetch{})
-	case Tables:
-		d.table, d.tables = e.Table, d.tables+1
-		d.take(now, d.image)
-	case Begun:
-		d.busy[e.Tenant]++
+		d.peerNumber, d.peerNumberAt = e.Number, now
+		do = append(do, ReadCatalogue{})
+	case PolicyChanged:
+		d.policy, d.policyChanges = e.PolicyTable, d.policyChanges+1
+		d.applySnapshot(now, d.snapshot)
+	case RequestStarted:
+		d.openRequests[e.Tenant]++
 		return nil
-	case Over:
-		if d.busy[e.Tenant]--; d.busy[e.Tenant] > 0 {
+	case RequestEnded:
+		if d.openRequests[e.Tenant]--; d.openRequests[e.Tenant] > 0 {
 			return nil
 		}
-		delete(d.busy, e.Tenant)
-		if _, going := d.leave[e.Tenant]; !going && !d.leaving {
+		delete(d.openRequests, e.Tenant)
+		if _, going := d.departingSince[e.Tenant]; !going && !d.leaving {
 			return nil
 		}
 		swap = false
 	case Leave:
 		d.leaving = true
 	default:
-		swap = d.letGo(now)
+		swap = d.evictIdle(now)
 	}
 	if swap {
-		do = append(do, Swap{d.catalogue()})
+		do = append(do, SwapCatalogue{d.buildCatalogue()})
 	}
-	do = append(do, d.cuts(now)...)
-	return append(do, d.tell(now)...)
+	do = append(do, d.cutDeparting(now)...)
+	return append(do, d.tellStatus(now)...)
 }
 
-// renewed prolongs the right. Where it had run out before the answer came, the session
+// sessionRenewed prolongs the right. Where it had run out before the answer came, the session
 // may have ended and begun again in between: what was read before is not sure any more.
-func (d *Desk) renewed(now time.Duration, e Renewed) []any {
-	if !e.Known || !d.open {
-		d.open, d.sure = false, false
+func (d *Cache) sessionRenewed(now time.Duration, e SessionRenewed) []any {
+	if !e.Known || !d.sessionOpen {
+		d.sessionOpen, d.authoritative = false, false
 		return nil
 	}
-	broken := now >= d.until
-	d.until, d.sent = max(d.until, e.Sent+early(d.ttl)), max(d.sent, e.Sent)
+	broken := now >= d.authorityUntil
+	d.authorityUntil, d.renewalSentAt = max(d.authorityUntil, e.Sent+shortened(d.sessionTTL)), max(d.renewalSentAt, e.Sent)
 	if broken {
-		d.sure, d.from = false, now
-		return []any{Fetch{}}
+		d.authoritative, d.authoritySince = false, now
+		return []any{ReadCatalogue{}}
 	}
-	if d.sure {
-		d.word = d.sent
+	if d.authoritative {
+		d.confirmedAt = d.renewalSentAt
 	}
 	return nil
 }
 
-// read takes a catalogue up: as one, and never one before that which it has.
-func (d *Desk) read(now time.Duration, e Read) []any {
-	if e.Image == nil {
+// catalogueRead takes a catalogue up: as one, and never one before that which it has.
+func (d *Cache) catalogueRead(now time.Duration, e CatalogueRead) []any {
+	if e.Snapshot == nil {
 		return nil
 	}
 	d.enrolled = e.Enrolled
-	if !e.Image.covers(d.image, d.needed()) {
-		return []any{Fetch{}}
+	if !e.Snapshot.covers(d.snapshot, d.neededLeaves()) {
+		return []any{ReadCatalogue{}}
 	}
-	older := e.Image.Number < d.number() // the service's state is from a copy: the conductor makes a new one
-	if d.image == nil || e.Image.Number > d.image.Number || e.Image.Number == d.image.Number && e.Image.levels > 0 {
-		d.take(now, e.Image)
+	older := e.Snapshot.Number < d.number() // the service's state is from a copy: the conductor makes a new one
+	if d.snapshot == nil || e.Snapshot.Number > d.snapshot.Number || e.Snapshot.Number == d.snapshot.Number && e.Snapshot.levels > 0 {
+		d.applySnapshot(now, e.Snapshot)
 	}
-	if d.open && e.Began >= d.from && !older {
-		d.sure, d.word = true, d.sent
+	if d.sessionOpen && e.StartedAt >= d.authoritySince && !older {
+		d.authoritative, d.confirmedAt = true, d.renewalSentAt
 	}
-	if d.heard > e.Image.Number && e.Began >= d.heardAt {
-		d.denied, d.heard = d.heard, e.Image.Number
+	if d.peerNumber > e.Snapshot.Number && e.StartedAt >= d.peerNumberAt {
+		d.refutedNumber, d.peerNumber = d.peerNumber, e.Snapshot.Number
 	}
 	return nil
 }
 
-func (d *Desk) number() uint64 {
-	if d.image == nil {
+func (d *Cache) number() uint64 {
+	if d.snapshot == nil {
 		return 0
 	}
-	return d.image.Number
+	return d.snapshot.Number
 }
 
-// stop is when the node stops serving tenants for want of word; 0: never.
-func (d *Desk) stop() time.Duration {
-	if d.hold == 0 {
+// stopServingAt is when the node stops serving tenants for want of word; 0: never.
+func (d *Cache) stopServingAt() time.Duration {
+	if d.maxStaleness == 0 {
 		return 0
 	}
-	return d.word + d.hold
+	return d.confirmedAt + d.maxStaleness
 }
 
-func (d *Desk) catalogue() *Catalogue {
-	c := &Catalogue{number: d.number(), held: d.held, ready: d.enrolled && d.image != nil && !d.leaving, sure: d.sure, until: d.until,
-		stop: d.stop(), behind: d.heard > d.number()}
-	if d.image != nil {
-		c.levels, c.whole = d.image.levels, d.image.whole
+func (d *Cache) buildCatalogue() *Catalogue {
+	c := &Catalogue{number: d.number(), leaves: d.leaves, ready: d.enrolled && d.snapshot != nil && !d.leaving, authoritative: d.authoritative, authorityUntil: d.authorityUntil,
+		stopServingAt: d.stopServingAt(), behind: d.peerNumber > d.number()}
+	if d.snapshot != nil {
+		c.levels, c.complete = d.snapshot.levels, d.snapshot.complete
 	}
 	return c
 }
 
-// going tells whether what is open of an entry is to end.
-func (e *Entry) going() bool { return e.Phase == Drain || e.Phase == Hold && e.Next == nil }
+// isDeparting tells whether what is open of an entry is to end.
+func (e *Entry) isDeparting() bool {
+	return e.Phase == PhaseDrain || e.Phase == PhaseHold && e.Next == nil
+}
 
-// cuts ends what has had its time: of a tenant that drains; of one that is about to,
+// cutDeparting ends what has had its time: of a tenant that drains; of one that is about to,
 // where this node has no right any more, so that the conductor need not wait for its
 // return; of all, where its hold has stopped it; of one that is gone, at once.
-func (d *Desk) cuts(now time.Duration) (do []any) {
-	right := d.sure && now < d.until
+func (d *Cache) cutDeparting(now time.Duration) (do []any) {
+	right := d.authoritative && now < d.authorityUntil
 	over := map[string]bool{}
-	for _, e := range d.moving {
-		if !e.going() {
+	for _, e := range d.inTransition {
+		if !e.isDeparting() {
 			continue
 		}
-		if _, known := d.leave[e.Name]; !known {
-			d.leave[e.Name] = now
+		if _, known := d.departingSince[e.Name]; !known {
+			d.departingSince[e.Name] = now
 		}
-		over[e.Name] = now >= d.leave[e.Name]+e.drain() && (e.Phase == Drain || !right)
+		over[e.Name] = now >= d.departingSince[e.Name]+e.drainTime() && (e.Phase == PhaseDrain || !right)
 	}
-	for _, name := range d.Busy() {
+	for _, name := range d.OpenTenants() {
 		e := d.entries[name]
-		if e == nil || over[name] || d.hold > 0 && now >= d.stop()+e.drain() {
-			do = append(do, Cut{name})
+		if e == nil || over[name] || d.maxStaleness > 0 && now >= d.stopServingAt()+e.drainTime() {
+			do = append(do, CutRequests{name})
 		}
 	}
 	return do
 }
 
-// Word is what a session has to be opened with: one that is open without it would let
+// Status is what a session has to be opened with: one that is open without it would let
 // the conductor pass by a node that has its right already.
-func (d *Desk) Word() Word {
-	w := Word{Life: d.life, Prepared: d.number(), Ended: d.number(), Hold: d.hold, Left: d.leaving && len(d.busy) == 0}
-	if d.image != nil {
-		for _, n := range d.image.needs { // of parts that are not held, too: they may be tomorrow
-			if d.table.Version < n.Policy {
+func (d *Cache) Status() Status {
+	w := Status{Generation: d.generation, Prepared: d.number(), DrainedUpTo: d.number(), MaxStaleness: d.maxStaleness, Left: d.leaving && len(d.openRequests) == 0}
+	if d.snapshot != nil {
+		for _, n := range d.snapshot.needs { // of parts that are not held, too: they may be tomorrow
+			if d.policy.Version < n.Policy {
 				w.Prepared = min(w.Prepared, n.Since-1)
 			}
 		}
 	}
-	for _, e := range d.moving {
-		known := e.Phase == Prepare || e.Phase == Hold || e.Phase == Drain
-		if !known || e.Next != nil && !e.Next.Suspended && !d.table.covers(e.Next) {
+	for _, e := range d.inTransition {
+		known := e.Phase == PhasePrepare || e.Phase == PhaseHold || e.Phase == PhaseDrain
+		if !known || e.Next != nil && !e.Next.Suspended && !d.policy.covers(e.Next) {
 			w.Prepared = min(w.Prepared, e.Since-1)
 		}
-		if e.Phase == Drain && d.busy[e.Name] > 0 {
-			w.Ended = min(w.Ended, e.Since-1)
+		if e.Phase == PhaseDrain && d.openRequests[e.Name] > 0 {
+			w.DrainedUpTo = min(w.DrainedUpTo, e.Since-1)
 		}
 	}
 	return w
 }
 
-// tell gives the session's word where it has changed.
-func (d *Desk) tell(now time.Duration) []any {
-	w := d.Word()
-	again := len(d.moving) > 0 && now-d.toldAt >= tellEvery
-	if !d.open || d.tells && w == d.told && !again {
+// tellStatus gives the session's word where it has changed.
+func (d *Cache) tellStatus(now time.Duration) []any {
+	w := d.Status()
+	again := len(d.inTransition) > 0 && now-d.toldAt >= tellInterval
+	if !d.sessionOpen || d.hasTold && w == d.toldStatus && !again {
 		return nil
 	}
-	d.told, d.tells, d.toldAt = w, true, now
-	return []any{Tell{w}}
+	d.toldStatus, d.hasTold, d.toldAt = w, true, now
+	return []any{TellStatus{w}}
 }
 
-// Busy gives the tenants with open requests, by name.
-func (d *Desk) Busy() []string { return slices.Sorted(maps.Keys(d.busy)) }
+// OpenTenants gives the tenants with open requests, by name.
+func (d *Cache) OpenTenants() []string { return slices.Sorted(maps.Keys(d.openRequests)) }
--- a/internal/tenant/events.go
+++ b/internal/tenant/events.go
@@ -5,32 +5,32 @@
 // What happens at a node. Sent and Began are times of the node's own clock at which a
 // call was begun, however late its answer.
 type (
-	// Opened tells of a session that was opened with the desk's Word.
-	Opened struct {
+	// SessionOpened tells of a session that was opened with the desk's Word.
+	SessionOpened struct {
 		Sent time.Duration
 		TTL  time.Duration
 	}
-	// Renewed tells of a renewal that was answered; Known is false where the session has ended.
-	Renewed struct {
+	// SessionRenewed tells of a renewal that was answered; Known is false where the session has ended.
+	SessionRenewed struct {
 		Sent  time.Duration
 		Known bool
 	}
-	// Read brings the catalogue as it is now, as far as Want said when the read began, read after the book said what Enrolled tells:
+	// CatalogueRead brings the catalogue as it is now, as far as Want said when the read began, read after the book said what Enrolled tells:
 	// whether this node is in it, in its life and with its hold.
-	Read struct {
-		Began    time.Duration
-		Enrolled bool
-		Image    *Image
+	CatalogueRead struct {
+		StartedAt time.Duration
+		Enrolled  bool
+		Snapshot  *Snapshot
 	}
-	// Heard tells of a catalogue's number by a peer's facts.
-	Heard struct{ Number uint64 }
-	// Tables tells of the policy table that the node evaluates.
-	Tables struct{ Table }
-	// Asked tells of a request of a part that the node does not hold, by what X-Tenant says.
-	Asked struct{ Name string }
-	// Begun and Over tell of a request that was served for a tenant, by its name in the catalogue.
-	Begun struct{ Tenant string }
-	Over  struct{ Tenant string }
+	// PeerHasCatalogue tells of a catalogue's number by a peer's facts.
+	PeerHasCatalogue struct{ Number uint64 }
+	// PolicyChanged tells of the policy table that the node evaluates.
+	PolicyChanged struct{ PolicyTable }
+	// LeafMissing tells of a request of a part that the node does not hold, by what X-Tenant says.
+	LeafMissing struct{ Name string }
+	// RequestStarted and Over tell of a request that was served for a tenant, by its name in the catalogue.
+	RequestStarted struct{ Tenant string }
+	RequestEnded   struct{ Tenant string }
 	// Tick has the node look at its clock; it comes at least each half second.
 	Tick struct{}
 	// Leave has it serve no tenant any more.
@@ -39,14 +39,14 @@
 
 // What a node's shell is to do.
 type (
-	// Swap answers requests from another catalogue from now on. It is carried out before
+	// SwapCatalogue answers requests from another catalogue from now on. It is carried out before
 	// a Tell that comes with it.
-	Swap struct{ *Catalogue }
-	// Tell changes the word of the session.
-	Tell struct{ Word Word }
-	// Fetch reads the book and then the catalogue, as they are now; one read at a time,
+	SwapCatalogue struct{ *Catalogue }
+	// TellStatus changes the word of the session.
+	TellStatus struct{ Status Status }
+	// ReadCatalogue reads the book and then the catalogue, as they are now; one read at a time,
 	// and another after it where it was asked for in between.
-	Fetch struct{}
-	// Cut ends what is open of a tenant.
-	Cut struct{ Tenant string }
+	ReadCatalogue struct{}
+	// CutRequests ends what is open of a tenant.
+	CutRequests struct{ Tenant string }
 )
--- a/internal/tenant/fixture_test.go
+++ b/internal/tenant/fixture_test.go
@@ -9,7 +9,7 @@
 // TestRecordFormsAreUnchanged compares the tenants' records, the catalogue and the reports with golden files.
 func TestRecordFormsAreUnchanged(t *testing.T) {
 	for name, sample := range map[string]any{
-		"tenant": &Tenant{}, "form": &Form{}, "order": &Order{}, "book": &Book{}, "head": &Head{}, "page": &page{},
+		"tenant": &Tenant{}, "form": &Spec{}, "order": &Order{}, "book": &MemberRecord{}, "head": &Head{}, "page": &page{},
 		"entry": &Entry{}, "report": &Report{},
 	} {
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
--- a/internal/tenant/fleet.go
+++ b/internal/tenant/fleet.go
@@ -15,9 +15,9 @@
 // PolicyKey is the record of the table that holds.
 const PolicyKey = quotarecord.CurrentKey
 
-// Listed is a fleet as the list service has it: the policy's table on record and the
+// RegistryEnvironment is a fleet as the list service has it: the policy's table on record and the
 // servers on the list.
-type Listed struct{ List *client.Client }
+type RegistryEnvironment struct{ Registry *client.Client }
 
 // table is what is needed of a policy's table; its form is decide's.
 type table struct {
@@ -33,43 +33,43 @@
 // Policy gives the limits of requests a second with their floors. All floors together
 // fit into the rate of the first limit that is within none: the fleet's. Of a limit in
 // another unit no floor counts. Without a table there is no limit to name.
-func (f Listed) Policy(ctx context.Context) (Policy, error) {
-	r, err := f.List.Record(ctx, PolicyKey)
-	if none(err) {
-		return Policy{}, nil
+func (f RegistryEnvironment) Policy(ctx context.Context) (PolicyFloors, error) {
+	r, err := f.Registry.Record(ctx, PolicyKey)
+	if isNotFound(err) {
+		return PolicyFloors{}, nil
 	}
 	if err != nil {
-		return Policy{}, err
+		return PolicyFloors{}, err
 	}
 	var t table
 	if err := json.Unmarshal(r.Value, &t); err != nil {
-		return Policy{}, fmt.Errorf("the table on record can't be read: %w", err)
+		return PolicyFloors{}, fmt.Errorf("the table on record can't be read: %w", err)
 	}
-	p := Policy{Version: r.Version, Floors: map[string]float64{}}
+	p := PolicyFloors{Version: r.Version, Floors: map[string]float64{}}
 	for _, l := range t.Limits {
 		if l.Unit != 0 {
 			l.Floor = 0
-		} else if l.Parent < 0 && p.Whole == 0 {
-			p.Whole = l.Rate
+		} else if l.Parent < 0 && p.TotalFloor == 0 {
+			p.TotalFloor = l.Rate
 		}
 		p.Floors[l.Name] = l.Floor
 	}
 	return p, nil
 }
 
-// Boxes gives the servers that are ready.
-func (f Listed) Boxes(ctx context.Context) (all []Box, err error) {
-	a, err := f.List.Current(ctx)
+// Endpoints gives the servers that are ready.
+func (f RegistryEnvironment) Endpoints(ctx context.Context) (all []Endpoint, err error) {
+	a, err := f.Registry.Current(ctx)
 	for _, e := range a.Endpoints {
 		if e.Status == registry.Ready {
-			all = append(all, Box{e.Zone, e.Type, e.Cell})
+			all = append(all, Endpoint{e.Zone, e.Type, e.Cell})
 		}
 	}
 	return all, err
 }
 
-// none tells whether an error says that there is no such record.
-func none(err error) bool {
+// isNotFound tells whether an error says that there is no such record.
+func isNotFound(err error) bool {
 	var r *client.Error
 	return errors.As(err, &r) && r.Status == http.StatusNotFound
 }
--- a/internal/tenant/form.go
+++ b/internal/tenant/form.go
@@ -19,7 +19,7 @@
 // holds two forms of each tenant on it, within a record.
 const (
 	MaxTenants = 800  // in the flat form: 25 on each of its pages
-	MaxForm    = 2048 // bytes of one form
+	MaxSpec    = 2048 // bytes of one form
 	MaxNames   = 8
 	MaxClasses = 32
 	MaxKeys    = 16 // prefixes: the most that a request's key is compared with
@@ -31,67 +31,67 @@
 // which a tenant has its own while there are few, they leave the list service a tenth of its records.
 const MaxTreeTenants = max(min(200_000, registry.MaxRecords*9/10-treePages), registry.MaxRecords*2/5)
 
-// Form is what a tenant is: its namespace, its quotas and its routes, always together.
-type Form struct {
-	Names     []string `json:"names"`          // in X-Tenant
-	Classes   []string `json:"classes"`        // open to it
-	Keys      []string `json:"keys,omitempty"` // prefixes of its part of the key space; none: all of it
-	Quotas    []Quota  `json:"quotas"`
-	Routes    []Route  `json:"routes"`
-	Policy    uint64   `json:"policy,omitempty"` // a table of this version has its limits; set by the conductor
-	Suspended bool     `json:"suspended,omitempty"`
-	DrainMS   int64    `json:"drain_ms,omitempty"` // what is open has so long to end once the tenant goes
-
-	more fields
+// Spec is what a tenant is: its namespace, its quotas and its routes, always together.
+type Spec struct {
+	Names         []string   `json:"names"`          // in X-Tenant
+	Classes       []string   `json:"classes"`        // open to it
+	KeyPrefixes   []string   `json:"keys,omitempty"` // prefixes of its part of the key space; none: all of it
+	Quotas        []QuotaRef `json:"quotas"`
+	Routes        []Route    `json:"routes"`
+	PolicyVersion uint64     `json:"policy,omitempty"` // a table of this version has its limits; set by the conductor
+	Suspended     bool       `json:"suspended,omitempty"`
+	DrainMS       int64      `json:"drain_ms,omitempty"` // what is open has so long to end once the tenant goes
+
+	unknownFields rawFields
 }
 
-// Quota names the limit of the policy's table that holds for some classes.
-type Quota struct {
+// QuotaRef names the limit of the policy's table that holds for some classes.
+type QuotaRef struct {
 	Limit   string   `json:"limit"`
 	Classes []string `json:"classes,omitempty"` // none: all that are open
 }
 
 // Route says where some classes are served. The first that has a class is its route.
 type Route struct {
-	Classes []string `json:"classes,omitempty"` // none: all that are open
-	Zones   []string `json:"zones,omitempty"`   // none: all
-	Kinds   []string `json:"kinds,omitempty"`
-	Pods    []int    `json:"pods,omitempty"`
-	Least   int      `json:"least,omitempty"` // boxes that must be there when it is brought in; 0 counts as 1
+	Classes      []string `json:"classes,omitempty"` // none: all that are open
+	Zones        []string `json:"zones,omitempty"`   // none: all
+	MachineTypes []string `json:"kinds,omitempty"`
+	Cells        []int    `json:"pods,omitempty"`
+	MinEndpoints int      `json:"least,omitempty"` // boxes that must be there when it is brought in; 0 counts as 1
 }
 
-// Box is a server as far as routes go.
-type Box struct {
-	Zone, Kind string
-	Pod        int
+// Endpoint is a server as far as routes go.
+type Endpoint struct {
+	Zone, MachineType string
+	Cell              int
 }
 
-// Takes tells whether a route may use a box.
-func (r *Route) Takes(b Box) bool {
-	return has(r.Zones, b.Zone) && has(r.Kinds, b.Kind) && has(r.Pods, b.Pod)
+// Allows tells whether a route may use a box.
+func (r *Route) Allows(b Endpoint) bool {
+	return choiceHas(r.Zones, b.Zone) && choiceHas(r.MachineTypes, b.MachineType) && choiceHas(r.Cells, b.Cell)
 }
 
-// has tells whether a choice includes a value; an empty choice includes all.
-func has[T comparable](choice []T, value T) bool {
+// choiceHas tells whether a choice includes a value; an empty choice includes all.
+func choiceHas[T comparable](choice []T, value T) bool {
 	return len(choice) == 0 || slices.Contains(choice, value)
 }
 
-// Drain is how long what is open has to end.
-func (f *Form) Drain() time.Duration { return time.Duration(f.DrainMS) * time.Millisecond }
+// DrainTime is how long what is open has to end.
+func (f *Spec) DrainTime() time.Duration { return time.Duration(f.DrainMS) * time.Millisecond }
 
 // Route and limit give what holds for a class; nil and "" where nothing does.
-func (f *Form) Route(class string) *Route {
+func (f *Spec) Route(class string) *Route {
 	for i := range f.Routes {
-		if has(f.Routes[i].Classes, class) {
+		if choiceHas(f.Routes[i].Classes, class) {
 			return &f.Routes[i]
 		}
 	}
 	return nil
 }
 
-func (f *Form) limit(class string) string {
+func (f *Spec) limit(class string) string {
 	for _, q := range f.Quotas {
-		if has(q.Classes, class) {
+		if choiceHas(q.Classes, class) {
 			return q.Limit
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // Check says what is wrong with a form by itself.
-func (f *Form) Check() error {
+func (f *Spec) Check() error {
 	if f == nil {
 		return errors.New("form: missing")
 	}
@@ -115,7 +115,7 @@
 		key         string
 		all         []string
 		least, most int
-	}{{"names", f.Names, 1, MaxNames}, {"classes", f.Classes, 1, MaxClasses}, {"keys", f.Keys, 0, MaxKeys}} {
+	}{{"names", f.Names, 1, MaxNames}, {"classes", f.Classes, 1, MaxClasses}, {"keys", f.KeyPrefixes, 0, MaxKeys}} {
 		if len(c.all) < c.least || len(c.all) > c.most {
 			return fmt.Errorf("%s: %d, want %d to %d", c.key, len(c.all), c.least, c.most)
 		}
@@ -135,12 +135,12 @@
 			return fmt.Errorf("quotas: none has class %s", class)
 		}
 	}
-	if f.DrainMS < 0 || f.Drain() > MaxDrain {
+	if f.DrainMS < 0 || f.DrainTime() > MaxDrain {
 		return fmt.Errorf("drain_ms: %d, want 0 to %d", f.DrainMS, MaxDrain.Milliseconds())
 	}
 	raw, err := json.Marshal(f)
-	if err == nil && len(raw) > MaxForm {
-		err = fmt.Errorf("it has %d bytes, %d at most", len(raw), MaxForm)
+	if err == nil && len(raw) > MaxSpec {
+		err = fmt.Errorf("it has %d bytes, %d at most", len(raw), MaxSpec)
 	}
 	return err
 }
--- a/internal/tenant/held_test.go
+++ b/internal/tenant/held_test.go
@@ -13,7 +13,7 @@
 	entries := map[string]*Entry{}
 	for i := range n {
 		name := fmt.Sprint("t", i)
-		entries[name] = &Entry{Name: name, Phase: Serve, Now: testForm(name, 1), Since: number}
+		entries[name] = &Entry{Name: name, Phase: PhaseServe, Current: testForm(name, 1), Since: number}
 	}
 	tree, raw, err := treeOf(3, entries)
 	if err != nil {
@@ -41,12 +41,12 @@
 		tree, entries, has := newTree(levels), map[string]*Entry{}, map[string]bool{}
 		for step := range 60 {
 			name := fmt.Sprint("t", step*7%20)
-			c := change{was: entries[name]}
-			if step%3 == 2 && c.was != nil {
+			c := change{before: entries[name]}
+			if step%3 == 2 && c.before != nil {
 				delete(entries, name)
 			} else {
-				c.now = &Entry{Name: name, Phase: Serve, Now: testForm(name, step), Since: uint64(step)}
-				entries[name] = c.now
+				c.after = &Entry{Name: name, Phase: PhaseServe, Current: testForm(name, step), Since: uint64(step)}
+				entries[name] = c.after
 			}
 			raw, left, err := tree.apply([]change{c})
 			if err != nil {
@@ -65,9 +65,9 @@
 			if len(all) != len(has) || slices.ContainsFunc(slices.Collect(maps.Keys(all)), func(d string) bool { return !has[d] }) {
 				t.Fatalf("%d levels, step %d: %d pages were told of, it has %d", levels, step, len(has), len(all))
 			}
-			w := gather(whole.head(1, nil), decoded(t, all), true, nil, nil)
-			if w.err != nil || len(w.missing) > 0 || len(w.image.byName()) != len(entries) {
-				t.Fatalf("%d levels, step %d: %d entries of %d, %v", levels, step, len(w.image.byName()), len(entries), w.err)
+			w := assemble(whole.head(1, nil), decoded(t, all), true, nil, nil)
+			if w.err != nil || len(w.missing) > 0 || len(w.snapshot.byName()) != len(entries) {
+				t.Fatalf("%d levels, step %d: %d entries of %d, %v", levels, step, len(w.snapshot.byName()), len(entries), w.err)
 			}
 		}
 	}
@@ -78,58 +78,58 @@
 func TestOnDemandIsBounded(t *testing.T) {
 	head, pages := treeImage(t, 1, 3000)
 	now := time.Second
-	d := NewDesk(1, 0, true)
-	d.Handle(now, Tables{Table{1, func(string) bool { return true }}})
-	d.Handle(now, Opened{now, time.Hour})
+	d := NewCache(1, 0, true)
+	d.Handle(now, PolicyChanged{PolicyTable{1, func(string) bool { return true }}})
+	d.Handle(now, SessionOpened{now, time.Hour})
 	read := func() {
-		want := d.Want()
-		d.Handle(now, Read{now, true, gather(head, pages, want.whole, want.at(head.Levels), nil).image})
+		want := d.Wanted()
+		d.Handle(now, CatalogueRead{now, true, assemble(head, pages, want.complete, want.since(head.Levels), nil).snapshot})
 	}
 	read()
-	if c := d.catalogue(); !c.Ready() || d.Known() != 0 || c.Answer(now, "x-t1", "a", "").Why != WhyUnread {
-		t.Errorf("before the first request it knows %d", d.Known())
+	if c := d.buildCatalogue(); !c.Ready() || d.TenantCount() != 0 || c.Decide(now, "x-t1", "a", "").Reason != ReasonLeafMissing {
+		t.Errorf("before the first request it knows %d", d.TenantCount())
 	}
-	d.Handle(now, Asked{"x-t1"})
-	d.Handle(now, Asked{"x-t1"})
-	if read(); d.catalogue().Answer(now, "x-t1", "a", "").Verdict != Served || len(d.held) != 1 {
-		t.Errorf("it holds %d parts", len(d.held))
+	d.Handle(now, LeafMissing{"x-t1"})
+	d.Handle(now, LeafMissing{"x-t1"})
+	if read(); d.buildCatalogue().Decide(now, "x-t1", "a", "").Kind != Routed || len(d.leaves) != 1 {
+		t.Errorf("it holds %d parts", len(d.leaves))
 	}
-	d.Handle(now, Begun{"t1"})
-	d.idle = 2 * time.Hour
+	d.Handle(now, RequestStarted{"t1"})
+	d.idleTimeout = 2 * time.Hour
 	for round := 1; round <= 3; round++ { // the bound on reads is met in each, that on parts in the last
 		fetches := 0
-		for i := range 4 * readsAtOnce {
-			if len(d.Handle(now, Asked{fmt.Sprint("made-up-", round, "-", i)})) > 0 {
+		for i := range 4 * readBurst {
+			if len(d.Handle(now, LeafMissing{fmt.Sprint("made-up-", round, "-", i)})) > 0 {
 				fetches++
 			}
-			if i%mostAsked == 0 {
+			if i%maxRequestedLeaves == 0 {
 				read()
 			}
 		}
 		read()
-		now += readsAtOnce * readsEvery
-		if d.Handle(now, Tick{}); fetches > readsAtOnce || len(d.held) > mostParts || round == 1 && len(d.held) < readsAtOnce-mostAsked {
-			t.Errorf("round %d: %d reads, %d parts", round, fetches, len(d.held))
+		now += readBurst * readInterval
+		if d.Handle(now, Tick{}); fetches > readBurst || len(d.leaves) > maxCachedLeaves || round == 1 && len(d.leaves) < readBurst-maxRequestedLeaves {
+			t.Errorf("round %d: %d reads, %d parts", round, fetches, len(d.leaves))
 		}
 	}
-	d.idle = idleTime
-	d.catalogue().Answer(now+idleTime, "x-t1", "a", "")
-	now += idleTime + lookEvery
-	if d.Handle(now, Tick{}); len(d.held) != 2 { // by each of its names
-		t.Errorf("idle: it holds %d parts", len(d.held))
+	d.idleTimeout = idleTime
+	d.buildCatalogue().Decide(now+idleTime, "x-t1", "a", "")
+	now += idleTime + evictInterval
+	if d.Handle(now, Tick{}); len(d.leaves) != 2 { // by each of its names
+		t.Errorf("idle: it holds %d parts", len(d.leaves))
 	}
 	now += idleTime
-	if d.Handle(now, Tick{}); len(d.held) != 2 || d.catalogue().Answer(now, "x-t1", "a", "").Verdict != Served {
-		t.Errorf("what is open is let go: it holds %d parts", len(d.held))
+	if d.Handle(now, Tick{}); len(d.leaves) != 2 || d.buildCatalogue().Decide(now, "x-t1", "a", "").Kind != Routed {
+		t.Errorf("what is open is let go: it holds %d parts", len(d.leaves))
 	}
-	d.Handle(now, Over{"t1"})
-	d.catalogue().Answer(now+idleTime, "x-t1", "a", "")
-	now += idleTime + lookEvery
-	if d.Handle(now, Tick{}); len(d.held) != 1 || d.Known() == 0 || d.entries["t1"] == nil {
-		t.Errorf("by one of its names: it holds %d parts", len(d.held))
+	d.Handle(now, RequestEnded{"t1"})
+	d.buildCatalogue().Decide(now+idleTime, "x-t1", "a", "")
+	now += idleTime + evictInterval
+	if d.Handle(now, Tick{}); len(d.leaves) != 1 || d.TenantCount() == 0 || d.entries["t1"] == nil {
+		t.Errorf("by one of its names: it holds %d parts", len(d.leaves))
 	}
 	now += idleTime
-	if d.Handle(now, Tick{}); len(d.held) != 0 {
-		t.Errorf("idle: it holds %d parts", len(d.held))
+	if d.Handle(now, Tick{}); len(d.leaves) != 0 {
+		t.Errorf("idle: it holds %d parts", len(d.leaves))
 	}
 }
--- a/internal/tenant/members.go
+++ b/internal/tenant/members.go
@@ -7,82 +7,82 @@
 	"time"
 )
 
-// enrol keeps the book: who comes, who has left, who must have stopped. A node serves
+// updateMembers keeps the book: who comes, who has left, who must have stopped. A node serves
 // nothing before the book has it in its present life and hold.
-func (m *Machine) enrol(r *round) {
-	m.book.Members = slices.DeleteFunc(slices.Clone(m.book.Members), func(member Member) bool {
+func (m *StateMachine) updateMembers(r *round) {
+	m.members.Members = slices.DeleteFunc(slices.Clone(m.members.Members), func(member Member) bool {
 		words := r.sessions[member.Name]
 		if len(words) > 0 {
-			delete(m.absent, member.Name)
-			left := !slices.ContainsFunc(words, func(w Word) bool { return !w.Left })
-			m.dirty = m.dirty || left
+			delete(m.absentSince, member.Name)
+			left := !slices.ContainsFunc(words, func(w Status) bool { return !w.Left })
+			m.membersDirty = m.membersDirty || left
 			return left
 		}
-		if _, known := m.absent[member.Name]; !known {
-			m.absent[member.Name] = r.now
+		if _, known := m.absentSince[member.Name]; !known {
+			m.absentSince[member.Name] = r.now
 		}
-		over := member.HoldMS > 0 && m.away(r, member) >= late(member.Hold()+MaxDrain)+cutSlack // it serves nothing, and nothing is open there
-		m.dirty = m.dirty || over
+		over := member.MaxStalenessMS > 0 && m.absentFor(r, member) >= lengthened(member.MaxStaleness()+MaxDrain)+drainSlack // it serves nothing, and nothing is open there
+		m.membersDirty = m.membersDirty || over
 		return over
 	})
 	for _, s := range r.Sessions {
-		if s.Word.Left {
+		if s.Status.Left {
 			continue
 		}
-		now := Member{s.Node, s.Word.Life, s.Word.Hold.Milliseconds()}
-		i, known := slices.BinarySearchFunc(m.book.Members, now, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+		now := Member{s.Proxy, s.Status.Generation, s.Status.MaxStaleness.Milliseconds()}
+		i, known := slices.BinarySearchFunc(m.members.Members, now, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 		switch {
-		case !known && len(m.book.Members) < enrolMost:
-			m.book.Members = slices.Insert(m.book.Members, i, now)
-			m.dirty = true
-		case known && m.book.Members[i].Life < now.Life:
-			m.book.Members[i] = now
-			m.dirty = true
+		case !known && len(m.members.Members) < maxMembers:
+			m.members.Members = slices.Insert(m.members.Members, i, now)
+			m.membersDirty = true
+		case known && m.members.Members[i].Generation < now.Generation:
+			m.members.Members[i] = now
+			m.membersDirty = true
 		}
 	}
-	for _, t := range m.live {
-		m.dirty = m.dirty || t.Until > 0 && m.clockAt(r.now)-m.book.Clock >= clockEvery
+	for _, t := range m.unsettled {
+		m.membersDirty = m.membersDirty || t.ExpiresAt > 0 && m.clockAt(r.now)-m.members.Clock >= clockInterval
 	}
 }
 
-// away is how long a member has had no session, as this conductor saw it.
-func (m *Machine) away(r *round, member Member) time.Duration {
-	since, absent := m.absent[member.Name]
+// absentFor is how long a member has had no session, as this conductor saw it.
+func (m *StateMachine) absentFor(r *round, member Member) time.Duration {
+	since, absent := m.absentSince[member.Name]
 	if !absent {
 		return 0
 	}
 	return r.now - since
 }
 
-// need is who has to be waited for.
-type need int
+// waitScope is who has to be waited for.
+type waitScope int
 
 const (
-	needSure  need = iota // those that may say a definite no: members with a session; without one their right has run out
-	needAll               // all members; one without a session counts once its hold must have stopped it
-	needEnded             // all members' open requests; one without a session counts once it must have cut them
+	waitAuthoritative waitScope = iota // those that may say a definite no: members with a session; without one their right has run out
+	waitAllMembers                     // all members; one without a session counts once its hold must have stopped it
+	waitDrained                        // all members' open requests; one without a session counts once it must have cut them
 )
 
-// need is who a tenant in a state waits for.
-func (s State) need() need {
+// waitScope is who a tenant in a state waits for.
+func (s State) waitScope() waitScope {
 	switch s {
 	case Reserved:
-		return needSure
+		return waitAuthoritative
 	case Draining:
-		return needEnded
+		return waitDrained
 	}
-	return needAll
+	return waitAllMembers
 }
 
-// behind gives the members that are not yet at a number of the catalogue.
-func (m *Machine) behind(r *round, number uint64, n need, drain time.Duration) (wait []string) {
-	for _, member := range m.book.Members {
+// membersBehind gives the members that are not yet at a number of the catalogue.
+func (m *StateMachine) membersBehind(r *round, number uint64, n waitScope, drain time.Duration) (wait []string) {
+	for _, member := range m.members.Members {
 		words := r.sessions[member.Name]
-		done := len(words) > 0 || n == needSure || m.stopped(r, member, n, drain)
+		done := len(words) > 0 || n == waitAuthoritative || m.hasStopped(r, member, n, drain)
 		for _, w := range words {
 			at := w.Prepared
-			if n == needEnded {
-				at = w.Ended
+			if n == waitDrained {
+				at = w.DrainedUpTo
 			}
 			done = done && (at >= number || w.Left)
 		}
@@ -93,43 +93,43 @@
 	return wait
 }
 
-// stopped tells whether a member without a session must have stopped serving tenants,
+// hasStopped tells whether a member without a session must have stopped serving tenants,
 // or have ended what it had open. Neither rests on the view.
-func (m *Machine) stopped(r *round, member Member, n need, drain time.Duration) bool {
-	away := m.away(r, member)
-	if n == needEnded {
-		return away >= late(member.Hold()+drain)+cutSlack
+func (m *StateMachine) hasStopped(r *round, member Member, n waitScope, drain time.Duration) bool {
+	away := m.absentFor(r, member)
+	if n == waitDrained {
+		return away >= lengthened(member.MaxStaleness()+drain)+drainSlack
 	}
-	return member.HoldMS > 0 && away >= late(member.Hold())+cutSlack
+	return member.MaxStalenessMS > 0 && away >= lengthened(member.MaxStaleness())+drainSlack
 }
 
-// patience is how long an order may wait for nodes to prepare: at least until those
+// prepareTimeout is how long an order may wait for nodes to prepare: at least until those
 // that are away must have stopped, where they ever do.
-func (m *Machine) patience() time.Duration {
+func (m *StateMachine) prepareTimeout() time.Duration {
 	most := m.times.Prepare
-	for _, member := range m.book.Members {
-		if _, absent := m.absent[member.Name]; absent && member.HoldMS > 0 {
-			most = max(most, late(member.Hold())+cutSlack+m.times.Prepare)
+	for _, member := range m.members.Members {
+		if _, absent := m.absentSince[member.Name]; absent && member.MaxStalenessMS > 0 {
+			most = max(most, lengthened(member.MaxStaleness())+drainSlack+m.times.Prepare)
 		}
 	}
 	return most
 }
 
-// forget takes a member off the book by an operator's word.
-func (m *Machine) forget(r *round, a Ask) {
-	m.book.Members = slices.DeleteFunc(m.book.Members, func(member Member) bool {
+// forgetMember takes a member off the book by an operator's word.
+func (m *StateMachine) forgetMember(r *round, a PendingOrder) {
+	m.members.Members = slices.DeleteFunc(m.members.Members, func(member Member) bool {
 		if member.Name != a.Name || len(r.sessions[member.Name]) > 0 { // one that is there can't be forgotten
 			return false
 		}
-		m.dirty = true
-		delete(m.absent, a.Name)
+		m.membersDirty = true
+		delete(m.absentSince, a.Name)
 		return true
 	})
-	r.puts = append(r.puts, Put{Stage: stageAfter, Key: a.Key, Version: a.Version})
+	r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: a.Key, Version: a.Version})
 }
 
-// names shortens a list of members for a line of text.
-func names(all []string) string {
+// joinNames shortens a list of members for a line of text.
+func joinNames(all []string) string {
 	if len(all) > 3 {
 		return fmt.Sprintf("%s, %s, %s and %d more", all[0], all[1], all[2], len(all)-3)
 	}
--- a/internal/tenant/mutated_test.go
+++ b/internal/tenant/mutated_test.go
@@ -1,24 +1,24 @@
 package tenant
 
 // mutated is a catalogue as a node would have it that leaves something out.
-func (n *node) mutated(i *Image) *Image {
+func (n *node) mutated(i *Snapshot) *Snapshot {
 	m := *i
-	m.parts = map[int]*Part{}
-	for k, p := range i.parts {
-		m.parts[k] = p
+	m.leaves = map[int]*Leaf{}
+	for k, p := range i.leaves {
+		m.leaves[k] = p
 		switch {
-		case n.w.broken["older part"] && n.desk.held[k] != nil && n.w.seq%2 == 0:
-			m.parts[k] = n.desk.held[k].part
+		case n.w.broken["older part"] && n.desk.leaves[k] != nil && n.w.seq%2 == 0:
+			m.leaves[k] = n.desk.leaves[k].leaf
 		case n.w.broken["no barrier"]:
-			served := &Part{}
+			served := &Leaf{}
 			for _, e := range p.entries {
 				copied := *e
-				if e.Phase == Hold {
-					copied.Phase = Prepare
+				if e.Phase == PhaseHold {
+					copied.Phase = PhasePrepare
 				}
 				served.entries = append(served.entries, &copied)
 			}
-			m.parts[k] = served
+			m.leaves[k] = served
 		}
 	}
 	if n.w.broken["prepared unseen"] {
--- a/internal/tenant/node_test.go
+++ b/internal/tenant/node_test.go
@@ -10,7 +10,7 @@
 	w       *world
 	name    string
 	rate    float64
-	desk    *Desk
+	desk    *Cache
 	cat     *Catalogue
 	dead    bool
 	cutOff  bool
@@ -20,7 +20,7 @@
 	calling bool
 	reading bool
 	again   bool
-	word    *Word
+	word    *Status
 	table   int64 // policy version that it has; -1 while it takes none
 	open    map[string]int
 	left    bool
@@ -33,12 +33,12 @@
 	if name == "n0" || name == "n3" {
 		hold = 3 * ttl
 	}
-	n.desk = NewDesk(uint64(w.now)+1+uint64(len(w.nodes)), hold, w.tree && len(w.nodes)%3 != 1)
-	n.desk.idle = 1500 * time.Millisecond
+	n.desk = NewCache(uint64(w.now)+1+uint64(len(w.nodes)), hold, w.tree && len(w.nodes)%3 != 1)
+	n.desk.idleTimeout = 1500 * time.Millisecond
 	if w.broken["no hold"] {
-		n.desk.hold = 0
+		n.desk.maxStaleness = 0
 	}
-	n.cat = n.desk.catalogue()
+	n.cat = n.desk.buildCatalogue()
 	w.nodes = append(w.nodes, n)
 	n.every(100*time.Millisecond, n.tick)
 	n.every(ttl/4, n.renew)
@@ -81,38 +81,38 @@
 		if n.w.broken["no quota"] {
 			v = 1 << 40
 		}
-		n.handle(Tables{Table{uint64(v), func(limit string) bool { return inTable(limit, v) }}})
+		n.handle(PolicyChanged{PolicyTable{uint64(v), func(limit string) bool { return inTable(limit, v) }}})
 	}
-	busy := n.desk.busy
+	busy := n.desk.openRequests
 	if n.w.broken["open let go"] {
-		n.desk.busy = map[string]int{}
-		n.desk.letGo(n.clock())
+		n.desk.openRequests = map[string]int{}
+		n.desk.evictIdle(n.clock())
 	}
-	n.desk.busy = busy
+	n.desk.openRequests = busy
 	n.handle(Tick{})
 }
 
 func (n *node) handle(event any) {
 	for _, a := range n.desk.Handle(n.clock(), event) {
 		switch a := a.(type) {
-		case Swap:
+		case SwapCatalogue:
 			c := *a.Catalogue
 			n.cat = &c
-			n.cat.whole = n.cat.whole || n.w.broken["no without its part"]
+			n.cat.complete = n.cat.complete || n.w.broken["no without its part"]
 			if n.w.broken["stale no"] {
-				n.cat.until, n.cat.sure, n.cat.behind = 1<<60, true, false
+				n.cat.authorityUntil, n.cat.authoritative, n.cat.behind = 1<<60, true, false
 			}
 			n.cat.ready = n.cat.ready || n.w.broken["not enrolled"] && n.cat.number > 0
-		case Tell:
-			n.word = &a.Word
-			n.w.checkWord(n, a.Word)
+		case TellStatus:
+			n.word = &a.Status
+			n.w.checkWord(n, a.Status)
 			if n.name == "n0" && n.w.broken["no hold"] {
-				n.word.Hold = 3 * ttl
+				n.word.MaxStaleness = 3 * ttl
 			}
 			n.tell()
-		case Fetch:
+		case ReadCatalogue:
 			n.fetch()
-		case Cut:
+		case CutRequests:
 			n.w.checkCut(n, a.Tenant)
 			if !n.w.broken["no cut"] {
 				for range n.open[a.Tenant] {
@@ -126,7 +126,7 @@
 // over ends one request of a tenant.
 func (n *node) over(name string) {
 	n.open[name]--
-	n.w.after(0, func() { n.wake(func() { n.handle(Over{name}) }) })
+	n.w.after(0, func() { n.wake(func() { n.handle(RequestEnded{name}) }) })
 }
 
 func (n *node) renew() {
@@ -138,7 +138,7 @@
 	if id == "" {
 		n.w.asked++
 		id = fmt.Sprint(n.name, "-", n.w.asked)
-		word := n.desk.Word()
+		word := n.desk.Status()
 		n.call(func() {
 			n.w.sessions[id] = &session{n.name, &word, n.w.now + ttl}
 			if n.w.broken["mute opening"] {
@@ -147,7 +147,7 @@
 		}, func(ok bool) {
 			if n.calling = false; ok {
 				n.id = id
-				n.handle(Opened{sent, ttl})
+				n.handle(SessionOpened{sent, ttl})
 			}
 		})
 		return
@@ -163,9 +163,9 @@
 		if !known {
 			n.id = ""
 		}
-		n.handle(Renewed{sent, known})
+		n.handle(SessionRenewed{sent, known})
 		if n.w.broken["right mends"] && known {
-			n.desk.sure, n.cat.sure = true, true
+			n.desk.authoritative, n.cat.authoritative = true, true
 		}
 	})
 }
@@ -205,7 +205,7 @@
 		return
 	}
 	n.reading, n.again = true, false
-	began, enrolled, want := n.clock(), false, n.desk.Want()
+	began, enrolled, want := n.clock(), false, n.desk.Wanted()
 	n.call(func() {
 		for _, m := range n.w.book().Members {
 			enrolled = enrolled || m == n.desk.Member(n.name) || n.w.broken["no hold"] && m.Name == n.name
@@ -215,13 +215,13 @@
 			n.reading = false
 			return
 		}
-		var image *Image
+		var image *Snapshot
 		n.call(func() { image = n.w.read(want) }, func(ok bool) {
 			if n.reading = false; ok {
 				if image != nil {
 					image = n.mutated(image)
 				}
-				n.handle(Read{began, enrolled, image})
+				n.handle(CatalogueRead{began, enrolled, image})
 			}
 			if n.again {
 				n.fetch()
@@ -233,6 +233,6 @@
 func (n *node) gossip() {
 	peer := n.w.nodes[n.w.IntN(len(n.w.nodes))]
 	if peer != n && !peer.dead && peer.asleep <= n.w.now && n.w.IntN(3) > 0 {
-		n.handle(Heard{peer.cat.number})
+		n.handle(PeerHasCatalogue{peer.cat.number})
 	}
 }
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -23,35 +23,35 @@
 	fanBits    = 5
 	fanOut     = 1 << fanBits                                 // pages that the head names, or a page between: a head has 1.2 kB
 	leafSize   = 16                                           // tenants for a leaf, on average, at which the tree gets another level
-	leastDepth = 2                                            // of a tree
-	mostDepth  = 4                                            // 1,048,576 leaves
+	minDepth   = 2                                            // of a tree
+	maxDepth   = 4                                            // 1,048,576 leaves
 	treePages  = 1<<(3*fanBits) + 1<<(2*fanBits) + 1<<fanBits // of three levels
-	treeForm   = 2                                            // of a head; programs that know the flat form alone refuse it
+	treeFormat = 2                                            // of a head; programs that know the flat form alone refuse it
 )
 
 // Head names the catalogue's uppermost pages by their digests.
 type Head struct {
-	V      int      `json:"v"`
-	Number uint64   `json:"number"`           // of the catalogue; each is higher than the last
-	Levels int      `json:"levels,omitempty"` // of pages below the head of a tree; 0: the flat form
-	Pages  []string `json:"pages"`            // digests; "" for one without entries
-	Needs  []Need   `json:"needs,omitempty"`  // what a node can't see that has not read all leaves
+	Format      int          `json:"v"`
+	Number      uint64       `json:"number"`           // of the catalogue; each is higher than the last
+	Levels      int          `json:"levels,omitempty"` // of pages below the head of a tree; 0: the flat form
+	Pages       []string     `json:"pages"`            // digests; "" for one without entries
+	PolicyNeeds []PolicyNeed `json:"needs,omitempty"`  // what a node can't see that has not read all leaves
 }
 
-// Need says that some next forms, the first of them new in a catalogue, have their limits in a
+// PolicyNeed says that some next forms, the first of them new in a catalogue, have their limits in a
 // policy's table: a node without it has not prepared them, whether it holds them or not.
-type Need struct {
+type PolicyNeed struct {
 	Policy uint64 `json:"policy"`
 	Since  uint64 `json:"since"`
 }
 
 // page is a leaf, with entries, or a page between, with digests.
 type page struct {
-	V       int      `json:"v"`
+	Format  int      `json:"v"`
 	Entries []*Entry `json:"entries,omitempty"` // by name
 	Pages   []string `json:"pages,omitempty"`
 
-	part *Part
+	leaf *Leaf
 }
 
 // hash is FNV-1a. A request costs it once, without allocation.
@@ -83,7 +83,7 @@
 	if len(p.Entries) == 0 && !slices.ContainsFunc(p.Pages, func(d string) bool { return d != "" }) {
 		return "", nil, nil
 	}
-	p.V = form
+	p.Format = format
 	if raw, err = json.Marshal(p); err != nil {
 		return "", nil, fmt.Errorf("tenant: a page of the catalogue: %w", err)
 	}
@@ -104,10 +104,10 @@
 	if err := json.Unmarshal(raw, &h); err != nil {
 		return h, fmt.Errorf("tenant: the catalogue's head can't be read: %w", err)
 	}
-	flat := h.V == form && h.Levels == 0 && len(h.Pages) <= 1024
-	tree := h.V == treeForm && h.Levels >= leastDepth && h.Levels <= mostDepth && len(h.Pages) == fanOut
+	flat := h.Format == format && h.Levels == 0 && len(h.Pages) <= 1024
+	tree := h.Format == treeFormat && h.Levels >= minDepth && h.Levels <= maxDepth && len(h.Pages) == fanOut
 	if !flat && !tree {
-		return h, fmt.Errorf("tenant: a catalogue of form %d with %d pages on %d levels, this program knows forms %d and %d", h.V, len(h.Pages), h.Levels, form, treeForm)
+		return h, fmt.Errorf("tenant: a catalogue of form %d with %d pages on %d levels, this program knows forms %d and %d", h.Format, len(h.Pages), h.Levels, format, treeFormat)
 	}
 	return h, nil
 }
@@ -124,33 +124,33 @@
 	if slices.ContainsFunc(p.Entries, func(e *Entry) bool { return e == nil || e.Name == "" }) {
 		return nil, fmt.Errorf("tenant: page %s of the catalogue has an entry without a name", digest)
 	}
-	p.part = &Part{p.Entries, len(raw)}
+	p.leaf = &Leaf{p.Entries, len(raw)}
 	return p, nil
 }
 
 // errMissing tells of a page that has gone: there is a newer head.
 var errMissing = errors.New("tenant: a page is not there")
 
-// walk is a way from a head down to some leaves.
-type walk struct {
+// treeWalk is a way from a head down to some leaves.
+type treeWalk struct {
 	Head
-	have    map[string]*page // by digest
-	whole   bool             // to all leaves
-	image   *Image
-	used    map[string]*page // those of them on the way; nil: nobody asks
-	count   int              // of them
-	missing []string
-	err     error
+	known    map[string]*page // by digest
+	complete bool             // to all leaves
+	snapshot *Snapshot
+	used     map[string]*page // those of them on the way; nil: nobody asks
+	count    int              // of them
+	missing  []string
+	err      error
 }
 
-// gather makes the catalogue of a head, whole or with the parts that are wanted (sorted), from
+// assemble makes the catalogue of a head, whole or with the parts that are wanted (sorted), from
 // pages by digest. A page that is not there is told as missing: then there is no catalogue
 // yet.
-func gather(h Head, have map[string]*page, whole bool, parts []int, used map[string]*page) *walk {
-	w := &walk{Head: h, have: have, used: used, whole: whole || h.Levels == 0}
-	w.image = &Image{Number: h.Number, levels: h.Levels, whole: w.whole, parts: map[int]*Part{}, needs: h.Needs}
+func assemble(h Head, have map[string]*page, whole bool, parts []int, used map[string]*page) *treeWalk {
+	w := &treeWalk{Head: h, known: have, used: used, complete: whole || h.Levels == 0}
+	w.snapshot = &Snapshot{Number: h.Number, levels: h.Levels, complete: w.complete, leaves: map[int]*Leaf{}, needs: h.PolicyNeeds}
 	if h.Levels > 0 {
-		w.down(h.Pages, 1, 0, parts)
+		w.descend(h.Pages, 1, 0, parts)
 		return w
 	}
 	entries := map[string]*Entry{}
@@ -161,12 +161,12 @@
 			}
 		}
 	}
-	w.image = NewImage(h.Number, slices.Collect(maps.Values(entries))...)
+	w.snapshot = NewSnapshot(h.Number, slices.Collect(maps.Values(entries))...)
 	return w
 }
 
-// down goes on from the digests of one page.
-func (w *walk) down(digests []string, level, prefix int, parts []int) {
+// descend goes on from the digests of one page.
+func (w *treeWalk) descend(digests []string, level, prefix int, parts []int) {
 	for n, digest := range digests {
 		at := prefix<<fanBits | n
 		here := 0 // so many parts lie below
@@ -176,29 +176,29 @@
 		below := parts[:here]
 		parts = parts[here:]
 		switch {
-		case !w.whole && here == 0 || w.whole && digest == "":
+		case !w.complete && here == 0 || w.complete && digest == "":
 		case digest == "":
 			for _, part := range below {
-				w.image.parts[part] = noEntries
+				w.snapshot.leaves[part] = noEntries
 			}
 		case level < w.Levels:
 			if p := w.page(digest, false); p != nil {
-				w.down(p.Pages, level+1, at, below)
+				w.descend(p.Pages, level+1, at, below)
 			}
 		default:
 			if p := w.page(digest, true); p != nil {
-				w.image.parts[at] = p.part
+				w.snapshot.leaves[at] = p.leaf
 			}
 		}
 	}
 }
 
 // page gives a page by its digest, if it is there.
-func (w *walk) page(digest string, leaf bool) *page {
+func (w *treeWalk) page(digest string, leaf bool) *page {
 	if digest == "" {
 		return nil
 	}
-	p := w.have[digest]
+	p := w.known[digest]
 	switch {
 	case p == nil:
 		w.missing = append(w.missing, digest)
--- a/internal/tenant/publish.go
+++ b/internal/tenant/publish.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// Put is a write under the conductor's fence, conditional on the version that it
+// RecordWrite is a write under the conductor's fence, conditional on the version that it
 // replaces. Puts of one stage may go together; a later stage waits for the earlier:
 // intent (tenants, members), pages, head, what is done with (orders, old pages).
-type Put struct {
-	Stage   int
-	Key     string
-	Value   []byte // nil: the record goes
-	Version uint64 // that it must have; 0: none
-	Free    bool   // it is not conditional: a page is what its key says
+type RecordWrite struct {
+	Stage         int
+	Key           string
+	Value         []byte // nil: the record goes
+	Version       uint64 // that it must have; 0: none
+	Unconditional bool   // it is not conditional: a page is what its key says
 }
 
 // The stages.
@@ -26,64 +26,64 @@
 	stageAfter
 )
 
-// restored tells whether a node has a higher catalogue than there is: the service's
+// wasRestored tells whether a node has a higher catalogue than there is: the service's
 // state is from a copy. All is published anew, above what any node has.
-func (m *Machine) restored(r *round) bool {
-	return slices.ContainsFunc(r.Sessions, func(s Session) bool { return s.Word.Prepared > m.head.Number })
+func (m *StateMachine) wasRestored(r *round) bool {
+	return slices.ContainsFunc(r.Sessions, func(s Session) bool { return s.Status.Prepared > m.head.Number })
 }
 
 // publish makes the next catalogue if what is on record differs from the last.
-func (m *Machine) publish(r *round) error {
-	number, anew := m.head.Number+1, m.restored(r)
+func (m *StateMachine) publish(r *round) error {
+	number, anew := m.head.Number+1, m.wasRestored(r)
 	for _, s := range r.Sessions {
-		number = max(number, s.Word.Prepared+1)
+		number = max(number, s.Status.Prepared+1)
 	}
 	levels := depth(m.hashTree, m.head.Levels, len(m.tenants))
-	changes := m.changes(r, number, anew)
-	if len(changes) == 0 && !anew && m.headVer > 0 && levels == m.head.Levels {
+	changes := m.catalogueChanges(r, number, anew)
+	if len(changes) == 0 && !anew && m.headVersion > 0 && levels == m.head.Levels {
 		return nil
 	}
 	for _, c := range changes {
-		if c.was != nil {
-			delete(m.entries, c.was.Name)
-			delete(m.moving, c.was.Name)
+		if c.before != nil {
+			delete(m.entries, c.before.Name)
+			delete(m.inTransition, c.before.Name)
 		}
-		if c.now != nil {
-			m.entries[c.now.Name] = c.now
-			if c.now.Phase != Serve {
-				m.moving[c.now.Name] = c.now
+		if c.after != nil {
+			m.entries[c.after.Name] = c.after
+			if c.after.Phase != PhaseServe {
+				m.inTransition[c.after.Name] = c.after
 			}
 		}
 	}
-	raw, left, err := m.grow(levels, changes)
+	raw, left, err := m.updateTree(levels, changes)
 	if err != nil {
 		return err
 	}
 	for _, digest := range slices.Sorted(maps.Keys(raw)) { // one that lies there may be about to go, by a call that is under way
-		r.puts = append(r.puts, Put{Stage: stagePages, Key: PagePrefix + digest, Value: raw[digest], Free: true})
+		r.writes = append(r.writes, RecordWrite{Stage: stagePages, Key: PagePrefix + digest, Value: raw[digest], Unconditional: true})
 	}
-	m.head = m.tree.head(number, needsOf(m.moving))
+	m.head = m.tree.head(number, policyNeeds(m.inTransition))
 	b, err := json.Marshal(m.head)
 	if err != nil {
 		return fmt.Errorf("tenant: the catalogue's head: %w", err)
 	}
-	r.puts = append(r.puts, Put{Stage: stageHead, Key: HeadKey, Value: b, Version: m.headVer})
-	for _, digest := range slices.Sorted(slices.Values(m.left)) { // what only this head leaves stays for who reads it now
+	r.writes = append(r.writes, RecordWrite{Stage: stageHead, Key: HeadKey, Value: b, Version: m.headVersion})
+	for _, digest := range slices.Sorted(slices.Values(m.stalePages)) { // what only this head leaves stays for who reads it now
 		if version, there := m.pages[digest]; there && m.tree.uses[digest] == 0 {
-			r.puts = append(r.puts, Put{Stage: stageAfter, Key: PagePrefix + digest, Version: version})
+			r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: PagePrefix + digest, Version: version})
 			delete(m.pages, digest)
 		}
 	}
-	m.left = left
+	m.stalePages = left
 	return nil
 }
 
-// changes gives the entries that differ from the last catalogue: among the tenants that
+// catalogueChanges gives the entries that differ from the last catalogue: among the tenants that
 // changed in this round; in a conductor's first round, or anew, among all.
-func (m *Machine) changes(r *round, number uint64, anew bool) (all []change) {
+func (m *StateMachine) catalogueChanges(r *round, number uint64, anew bool) (all []change) {
 	look := maps.Clone(r.changed)
-	maps.Copy(look, r.gone)
-	if !m.looked || anew {
+	maps.Copy(look, r.removed)
+	if !m.comparedOnce || anew {
 		for name := range m.tenants {
 			look[name] = true
 		}
@@ -91,7 +91,7 @@
 			look[name] = true
 		}
 	}
-	m.looked = true
+	m.comparedOnce = true
 	for name := range look {
 		was := m.entries[name]
 		var e *Entry
@@ -99,11 +99,11 @@
 			e = entryOf(t)
 		}
 		if e != nil && was != nil {
-			e.more = was.more
+			e.unknownFields = was.unknownFields
 		}
-		if e.same(was) && !(anew && e != nil) {
+		if e.equivalent(was) && !(anew && e != nil) {
 			if e != nil {
-				was.Now, was.Next = e.Now, e.Next // the next comparison is one of pointers
+				was.Current, was.Next = e.Current, e.Next // the next comparison is one of pointers
 			}
 			continue
 		}
@@ -115,9 +115,9 @@
 	return all
 }
 
-// grow brings the tree up to the entries. It gives the pages that are to be written, and
+// updateTree brings the tree up to the entries. It gives the pages that are to be written, and
 // the digests of those that the last catalogue had and this one has not.
-func (m *Machine) grow(levels int, changes []change) (raw map[string][]byte, left []string, err error) {
+func (m *StateMachine) updateTree(levels int, changes []change) (raw map[string][]byte, left []string, err error) {
 	former := m.tree
 	if former != nil && former.levels == levels {
 		return former.apply(changes)
@@ -126,7 +126,7 @@
 		return nil, nil, err
 	}
 	for digest := range m.pages {
-		if m.tree.uses[digest] == 0 && !slices.Contains(m.left, digest) {
+		if m.tree.uses[digest] == 0 && !slices.Contains(m.stalePages, digest) {
 			left = append(left, digest)
 		}
 	}
@@ -136,17 +136,17 @@
 	return raw, left, nil
 }
 
-// plant makes the tree of the catalogue on record. Where its pages are not what this
+// loadTree makes the tree of the catalogue on record. Where its pages are not what this
 // program makes of their entries, there is none, and the next catalogue is written whole.
-func (m *Machine) plant() {
+func (m *StateMachine) loadTree() {
 	t, _, err := treeOf(m.head.Levels, m.entries)
-	if err != nil || m.headVer == 0 || !slices.Equal(t.head(0, nil).Pages, m.head.Pages) {
+	if err != nil || m.headVersion == 0 || !slices.Equal(t.head(0, nil).Pages, m.head.Pages) {
 		return
 	}
 	m.tree = t
 	for digest := range m.pages {
 		if t.uses[digest] == 0 {
-			m.left = append(m.left, digest)
+			m.stalePages = append(m.stalePages, digest)
 		}
 	}
 }
--- a/internal/tenant/reader.go
+++ b/internal/tenant/reader.go
@@ -21,29 +21,29 @@
 // Reader reads the catalogue for a node's Desk, from the list service as it is now.
 // Pages that it has already are not read again. It is for one goroutine at a time.
 type Reader struct {
-	List   Source
+	Source Source
 	Member Member // as the book has to have the node
 
-	image *Image
-	parts []int            // of image, that were wanted
-	pages map[string]*page // that it was made of, and as many more, by digest
+	snapshot *Snapshot
+	leaves   []int            // of image, that were wanted
+	pages    map[string]*page // that it was made of, and as many more, by digest
 }
 
-// readTries is how often the catalogue may change while it is read.
-const readTries = 3
+// readAttempts is how often the catalogue may change while it is read.
+const readAttempts = 3
 
 // Read reads the book and then the catalogue, as far as it is wanted. clock is the node's,
 // of its Desk.
-func (r *Reader) Read(ctx context.Context, clock func() time.Duration, want Want) (Read, error) {
-	got := Read{Began: clock()}
-	var b Book
-	if _, err := record(ctx, r.List, BookKey, &b); err != nil {
+func (r *Reader) Read(ctx context.Context, clock func() time.Duration, want WantedLeaves) (CatalogueRead, error) {
+	got := CatalogueRead{StartedAt: clock()}
+	var b MemberRecord
+	if _, err := readRecord(ctx, r.Source, MembersKey, &b); err != nil {
 		return got, err
 	}
 	got.Enrolled = slices.Contains(b.Members, r.Member)
 	var err error
-	for range readTries {
-		if got.Image, err = r.catalogue(ctx, want); !none(err) {
+	for range readAttempts {
+		if got.Snapshot, err = r.catalogue(ctx, want); !isNotFound(err) {
 			return got, err
 		}
 	}
@@ -52,9 +52,9 @@
 
 // catalogue reads the head and the pages that are missing; nil where there is no
 // catalogue yet. A page that has gone in between is an error with 404.
-func (r *Reader) catalogue(ctx context.Context, want Want) (*Image, error) {
-	one, err := r.List.Record(ctx, HeadKey)
-	if none(err) {
+func (r *Reader) catalogue(ctx context.Context, want WantedLeaves) (*Snapshot, error) {
+	one, err := r.Source.Record(ctx, HeadKey)
+	if isNotFound(err) {
 		return nil, nil
 	}
 	if err != nil {
@@ -64,26 +64,26 @@
 	if err != nil {
 		return nil, err
 	}
-	parts := want.at(head.Levels)
-	if r.image != nil && r.image.Number == head.Number && (r.image.whole || !want.whole && slices.Equal(parts, r.parts)) {
-		return r.image, nil
+	parts := want.since(head.Levels)
+	if r.snapshot != nil && r.snapshot.Number == head.Number && (r.snapshot.complete || !want.complete && slices.Equal(parts, r.leaves)) {
+		return r.snapshot, nil
 	}
-	if r.pages == nil || len(r.pages) > mostKept {
+	if r.pages == nil || len(r.pages) > maxKeptPages {
 		r.pages = map[string]*page{}
 	}
 	for {
-		w := gather(head, r.pages, want.whole, parts, nil)
+		w := assemble(head, r.pages, want.complete, parts, nil)
 		if w.err != nil {
 			return nil, w.err
 		}
 		if len(w.missing) == 0 {
-			r.image, r.parts = w.image, parts
+			r.snapshot, r.leaves = w.snapshot, parts
 			if len(r.pages) > 2*w.count+fanOut {
 				used := map[string]*page{}
-				gather(head, r.pages, want.whole, parts, used)
+				assemble(head, r.pages, want.complete, parts, used)
 				r.pages = used
 			}
-			return r.image, nil
+			return r.snapshot, nil
 		}
 		if err := r.fetch(ctx, w.missing); err != nil {
 			return nil, err
@@ -91,17 +91,17 @@
 	}
 }
 
-// mostKept pages are kept of reads that failed, besides.
-const mostKept = 1 << 17
+// maxKeptPages pages are kept of reads that failed, besides.
+const maxKeptPages = 1 << 17
 
 // fetch reads the pages that are missing on one level, some at a time.
 func (r *Reader) fetch(ctx context.Context, digests []string) error {
 	var mu sync.Mutex
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(together)
+	g.SetLimit(maxParallelWrites)
 	for _, digest := range slices.Compact(slices.Sorted(slices.Values(digests))) {
 		g.Go(func() error {
-			one, err := r.List.Record(ctx, PagePrefix+digest)
+			one, err := r.Source.Record(ctx, PagePrefix+digest)
 			if err != nil {
 				return err
 			}
--- a/internal/tenant/rules_test.go
+++ b/internal/tenant/rules_test.go
@@ -29,7 +29,7 @@
 )
 
 // tag names what a form says of a class.
-func tag(f *Form, class string) string {
+func tag(f *Spec, class string) string {
 	if f.Suspended {
 		return suspended
 	}
@@ -37,7 +37,7 @@
 }
 
 // written notes what a write means, and checks what records must keep to.
-func (t *truth) written(w *world, p Put) {
+func (t *truth) written(w *world, p RecordWrite) {
 	if name, is := keyName(p.Key, Prefix); is && p.Value != nil {
 		one, err := DecodeTenant(p.Value, 0)
 		if err != nil {
@@ -45,13 +45,13 @@
 			return
 		}
 		if one.State != t.state[name] {
-			w.note("%s is %s %v", name, one.State, one.Done)
+			w.note("%s is %s %v", name, one.State, one.Outcomes)
 			if n := w.nodes[w.IntN(len(w.nodes))]; w.ambush > 0 && !w.quiet {
 				w.ambush--
 				w.after(time.Duration(w.IntN(300))*time.Millisecond, func() { w.cutOff(n, 9*time.Second) })
 			}
 		}
-		if one.State == Gone && t.state[name] != Gone {
+		if one.State == Removed && t.state[name] != Removed {
 			t.freed[name] = w.now
 		}
 		t.state[name] = one.State
@@ -65,8 +65,8 @@
 // sum checks that the floors of all limits that are taken fit, and that no two tenants have one.
 func (t *truth) sum(w *world, one *Tenant) {
 	t.taken = slices.DeleteFunc(t.taken, func(l [2]string) bool { return l[1] == one.Name })
-	for _, f := range []*Form{one.Now, one.Next} {
-		if f == nil || one.State == Refused || one.State == Gone {
+	for _, f := range []*Spec{one.Current, one.Next} {
+		if f == nil || one.State == Rejected || one.State == Removed {
 			continue
 		}
 		for _, q := range f.Quotas {
@@ -78,8 +78,8 @@
 			}
 		}
 	}
-	if sum := float64(len(t.taken)); sum > w.policy.Whole { // each floor of the test's policy is 1
-		w.fail("the floors that are taken come to %g of %g", sum, w.policy.Whole)
+	if sum := float64(len(t.taken)); sum > w.policy.TotalFloor { // each floor of the test's policy is 1
+		w.fail("the floors that are taken come to %g of %g", sum, w.policy.TotalFloor)
 	}
 }
 
@@ -103,10 +103,10 @@
 			switch {
 			case e == nil:
 				t.told[key] = ""
-			case e.Phase == Drain:
+			case e.Phase == PhaseDrain:
 				t.told[key] = leaving
-			case e.Now != nil && (e.Phase == Serve || e.Phase == Prepare):
-				if t.told[key] = tag(e.Now, class); was == "" && class == "a" {
+			case e.Current != nil && (e.Phase == PhaseServe || e.Phase == PhasePrepare):
+				if t.told[key] = tag(e.Current, class); was == "" && class == "a" {
 					t.active[name]++
 					if at, gone := t.freed[name]; gone && w.now-at < testTomb/2 {
 						w.fail("%s is back %v after it was gone", name, w.now-at)
@@ -138,20 +138,20 @@
 				by = alias(name, k)
 			}
 		}
-		a := n.cat.Answer(n.clock(), by, class, "any")
-		if a.Why == WhyUnread {
-			n.handle(Asked{by})
+		a := n.cat.Decide(n.clock(), by, class, "any")
+		if a.Reason == ReasonLeafMissing {
+			n.handle(LeafMissing{by})
 		}
-		switch a.Verdict {
-		case Served:
+		switch a.Kind {
+		case Routed:
 			if got := a.Route.Zones[0] + " " + a.Limit; got != told {
-				w.fail("%s at catalogue %d serves %s %s by %q, what is told is %q", n.name, a.Number, name, class, got, told)
+				w.fail("%s at catalogue %d serves %s %s by %q, what is told is %q", n.name, a.CatalogueNumber, name, class, got, told)
 			}
 			if !inTable(a.Limit, n.table) {
 				w.fail("%s serves %s without its quota", n.name, name)
 			}
 			n.open[name]++
-			n.handle(Begun{name})
+			n.handle(RequestStarted{name})
 			w.after(time.Duration(w.IntN(8000))*time.Millisecond, func() {
 				n.wake(func() {
 					if n.open[name] > 0 {
@@ -159,26 +159,26 @@
 					}
 				})
 			})
-		case Declined:
-			if a.Why == WhySuspended && told != suspended || a.Why == WhyLeaving && told != leaving && told != "" || a.Why != WhySuspended && a.Why != WhyLeaving {
-				w.fail("%s at catalogue %d declines %s: %s; what is told is %q", n.name, a.Number, name, a.Why, told)
+		case Forbidden:
+			if a.Reason == ReasonSuspended && told != suspended || a.Reason == ReasonLeaving && told != leaving && told != "" || a.Reason != ReasonSuspended && a.Reason != ReasonLeaving {
+				w.fail("%s at catalogue %d declines %s: %s; what is told is %q", n.name, a.CatalogueNumber, name, a.Reason, told)
 			}
-		case Unknown:
+		case NotFound:
 			if told != "" {
-				w.fail("%s at catalogue %d does not know %s; what is told is %q", n.name, a.Number, name, told)
+				w.fail("%s at catalogue %d does not know %s; what is told is %q", n.name, a.CatalogueNumber, name, told)
 			}
 		}
 	})
 }
 
 // checkWord checks that what a node says to have prepared has its limits in the node's table.
-func (w *world) checkWord(n *node, word Word) {
+func (w *world) checkWord(n *node, word Status) {
 	image := w.images[n.desk.Number()]
 	if image == nil {
 		return
 	}
 	for _, e := range image.Sorted() {
-		if e.Phase == Serve || e.Next == nil || e.Next.Suspended || e.Since > word.Prepared {
+		if e.Phase == PhaseServe || e.Next == nil || e.Next.Suspended || e.Since > word.Prepared {
 			continue
 		}
 		for _, q := range e.Next.Quotas {
@@ -192,7 +192,7 @@
 // checkCut checks that requests are cut off only of what goes, or where the hold is over.
 func (w *world) checkCut(n *node, name string) {
 	d := n.desk
-	if s := w.truth.state[name]; (s == Active || s == Suspended) && !w.removed[name] && !(d.hold > 0 && n.clock() >= d.stop()) {
+	if s := w.truth.state[name]; (s == Active || s == Suspended) && !w.removed[name] && !(d.maxStaleness > 0 && n.clock() >= d.stopServingAt()) {
 		w.fail("%s cuts requests of %s, which is %s", n.name, name, s)
 	}
 }
--- a/internal/tenant/service_test.go
+++ b/internal/tenant/service_test.go
@@ -46,10 +46,10 @@
 }
 
 // put writes a record as the list service does.
-func (w *world) put(p Put, fence uint64) (uint64, error) {
+func (w *world) put(p RecordWrite, fence uint64) (uint64, error) {
 	has := w.records[p.Key]
-	if !w.broken["no fence"] && (fence != w.fence || !p.Free && has.version != p.Version) {
-		return 0, ErrTaken
+	if !w.broken["no fence"] && (fence != w.fence || !p.Unconditional && has.version != p.Version) {
+		return 0, ErrSuperseded
 	}
 	w.version++
 	if p.Value == nil {
@@ -62,7 +62,7 @@
 }
 
 // read is the catalogue as it is on record, as far as it is wanted.
-func (w *world) read(want Want) *Image {
+func (w *world) read(want WantedLeaves) *Snapshot {
 	r, ok := w.records[HeadKey]
 	if !ok {
 		return nil
@@ -80,18 +80,18 @@
 			}
 		}
 	}
-	got := gather(head, w.have, want.whole, want.at(head.Levels), nil)
+	got := assemble(head, w.have, want.complete, want.since(head.Levels), nil)
 	if err != nil || got.err != nil || len(got.missing) > 0 {
 		w.fail("the catalogue is not whole: %v, %v, without %v", err, got.err, got.missing)
 	}
-	return got.image
+	return got.snapshot
 }
 
 // image is the whole catalogue.
-func (w *world) image() *Image { return w.read(Want{whole: true}) }
+func (w *world) image() *Snapshot { return w.read(WantedLeaves{complete: true}) }
 
-func (w *world) book() (b Book) {
-	if r, ok := w.records[BookKey]; ok {
+func (w *world) book() (b MemberRecord) {
+	if r, ok := w.records[MembersKey]; ok {
 		if err := json.Unmarshal(r.value, &b); err != nil {
 			w.fail("the book: %v", err)
 		}
@@ -115,8 +115,8 @@
 			s.Tenants = append(s.Tenants, t)
 		}
 	}
-	s.Book, s.BookVersion = w.book(), w.records[BookKey].version
-	if s.Image = w.image(); s.Image != nil {
+	s.Members, s.MembersVersion = w.book(), w.records[MembersKey].version
+	if s.Snapshot = w.image(); s.Snapshot != nil {
 		s.Head, _ = DecodeHead(w.records[HeadKey].value)
 		s.HeadVersion = w.records[HeadKey].version
 	}
@@ -124,7 +124,7 @@
 }
 
 // look gives what a conductor sees.
-func (w *world) look() (l Look) {
+func (w *world) look() (l Observation) {
 	w.expire()
 	for _, id := range sortedKeys(w.sessions) {
 		s := w.sessions[id]
@@ -133,25 +133,25 @@
 		}
 		word := *s.word
 		if w.broken["no waiting"] && s.word.Prepared > 0 {
-			word.Prepared, word.Ended = w.truth.number, w.truth.number
+			word.Prepared, word.DrainedUpTo = w.truth.number, w.truth.number
 		}
 		l.Sessions = append(l.Sessions, Session{s.node, word})
 	}
 	l.Policy = w.policy
 	if w.broken["free twice"] {
-		l.Policy.Whole *= 2
+		l.Policy.TotalFloor *= 2
 	}
 	for k := range 40 {
-		l.Boxes = append(l.Boxes, Box{Zone: fmt.Sprint("z", k), Kind: "k"})
+		l.Endpoints = append(l.Endpoints, Endpoint{Zone: fmt.Sprint("z", k), MachineType: "k"})
 	}
 	for _, key := range sortedKeys(w.records) {
-		for _, prefix := range []string{AskPrefix, ForgetPrefix} {
+		for _, prefix := range []string{OrderPrefix, ForgetPrefix} {
 			if name, is := keyName(key, prefix); is {
-				a := Ask{Key: key, Name: name, Version: w.records[key].version}
+				a := PendingOrder{Key: key, Name: name, Version: w.records[key].version}
 				if err := json.Unmarshal(w.records[key].value, &a.Order); err != nil {
 					w.fail("%v", err)
 				}
-				l.Asks = append(l.Asks, a)
+				l.Orders = append(l.Orders, a)
 			}
 		}
 	}
--- a/internal/tenant/sim_test.go
+++ b/internal/tenant/sim_test.go
@@ -42,7 +42,7 @@
 		if w.IntN(4) > 0 {
 			w.after(long, func() { w.start(n.name) })
 		} else { // an operator saw to it
-			w.after(long, func() { w.ask(n.name, Forget, 0) })
+			w.after(long, func() { w.ask(n.name, OrderForgetMember, 0) })
 		}
 	case 4:
 		w.note("%s leaves", n.name)
@@ -71,7 +71,7 @@
 	if w.quiet {
 		return
 	}
-	do := []string{Add, Add, Add, Change, Change, Suspend, Resume, Remove, Remove}[w.IntN(9)]
+	do := []string{OrderAdd, OrderAdd, OrderAdd, OrderChange, OrderChange, OrderSuspend, OrderResume, OrderRemove, OrderRemove}[w.IntN(9)]
 	k := w.IntN(40)
 	if w.IntN(2) == 0 {
 		k = limitsOf(int64(w.policy.Version)) - 1 - w.IntN(5) // of the newest limits
@@ -91,7 +91,7 @@
 	w.quiet = true
 	for _, n := range w.nodes {
 		if n.cutOff = false; n.dead && !w.alive(n.name) {
-			w.ask(n.name, Forget, 0)
+			w.ask(n.name, OrderForgetMember, 0)
 		}
 	}
 	w.run(w.now + 25*time.Second)
@@ -108,15 +108,15 @@
 		return
 	}
 	for _, name := range sortedKeys(w.truth.state) {
-		if !w.truth.state[name].rests() {
+		if !w.truth.state[name].isSettled() {
 			w.fail("%s is %s still", name, w.truth.state[name])
 		}
 	}
 	for _, n := range w.nodes {
 		for t := range w.tenants {
 			n.wake(func() {
-				n.cat.Answer(n.clock(), fmt.Sprint("x-t", t), "a", "") // it is in use, or else it is asked for
-				n.handle(Asked{fmt.Sprint("x-t", t)})
+				n.cat.Decide(n.clock(), fmt.Sprint("x-t", t), "a", "") // it is in use, or else it is asked for
+				n.handle(LeafMissing{fmt.Sprint("x-t", t)})
 			})
 		}
 	}
@@ -127,9 +127,9 @@
 			if n.dead || n.left {
 				continue
 			}
-			a, told := n.cat.Answer(n.clock(), "x-"+name, "a", ""), w.truth.told[name+" a"]
-			if (a.Verdict == Unsure) || (a.Verdict == Unknown) != (told == "") {
-				w.fail("%s at rest says %v (%s) of %s, told is %q", n.name, a.Verdict, a.Why, name, told)
+			a, told := n.cat.Decide(n.clock(), "x-"+name, "a", ""), w.truth.told[name+" a"]
+			if (a.Kind == Unavailable) || (a.Kind == NotFound) != (told == "") {
+				w.fail("%s at rest says %v (%s) of %s, told is %q", n.name, a.Kind, a.Reason, name, told)
 			}
 		}
 	}
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -15,28 +15,28 @@
 
 // Records keeps tenants in the list service, under the conductor's fence.
 type Records struct {
-	List  *client.Client
-	Fence registry.FencingToken
+	Registry *client.Client
+	Token    registry.FencingToken
 
-	mu   sync.Mutex
-	seen map[string]registry.Record // orders by key, as far as they were read
+	mu         sync.Mutex
+	seenOrders map[string]registry.Record // orders by key, as far as they were read
 }
 
-// is tells whether the service's refusal has a code.
-func is(err error, code registry.Code) bool {
+// hasCode tells whether the service's refusal has a code.
+func hasCode(err error, code registry.Code) bool {
 	var r *client.Error
 	return errors.As(err, &r) && r.Code == string(code)
 }
 
-// values reads the records under a prefix, as they are now. One that goes in between is passed over.
-func values(ctx context.Context, k *client.Client, prefix string, seen map[string]registry.Record) ([]registry.Record, error) {
+// readRecords reads the records under a prefix, as they are now. One that goes in between is passed over.
+func readRecords(ctx context.Context, k *client.Client, prefix string, seen map[string]registry.Record) ([]registry.Record, error) {
 	keys, err := k.Records(ctx, prefix)
 	if err != nil {
 		return nil, err
 	}
 	all := make([]registry.Record, len(keys))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(together)
+	g.SetLimit(maxParallelWrites)
 	for i, one := range keys {
 		if old, ok := seen[one.Key]; ok && old.Version == one.Version {
 			all[i] = old
@@ -44,7 +44,7 @@
 		}
 		g.Go(func() error {
 			r, err := k.Record(ctx, one.Key)
-			if none(err) {
+			if isNotFound(err) {
 				return nil
 			}
 			all[i] = r
@@ -63,10 +63,10 @@
 	return there, nil
 }
 
-// record reads one record into v; a record that is not there has version 0.
-func record(ctx context.Context, k Source, key string, v any) (uint64, error) {
+// readRecord reads one record into v; a record that is not there has version 0.
+func readRecord(ctx context.Context, k Source, key string, v any) (uint64, error) {
 	r, err := k.Record(ctx, key)
-	if none(err) {
+	if isNotFound(err) {
 		return 0, nil
 	}
 	if err != nil {
@@ -79,12 +79,14 @@
 }
 
 // Stored reads all that a conductor begins from.
-func (r *Records) Stored(ctx context.Context) (s Stored, err error) { return ReadStored(ctx, r.List) }
+func (r *Records) Stored(ctx context.Context) (s Stored, err error) {
+	return ReadStored(ctx, r.Registry)
+}
 
 // ReadStored reads all that is on record. The catalogue may change while it is read by
 // one who does not hold the fence; then it is read again.
 func ReadStored(ctx context.Context, k *client.Client) (s Stored, err error) {
-	tenants, err := values(ctx, k, Prefix, nil)
+	tenants, err := readRecords(ctx, k, Prefix, nil)
 	if err != nil {
 		return s, err
 	}
@@ -95,10 +97,10 @@
 		}
 		s.Tenants = append(s.Tenants, t)
 	}
-	if s.BookVersion, err = record(ctx, k, BookKey, &s.Book); err != nil {
+	if s.MembersVersion, err = readRecord(ctx, k, MembersKey, &s.Members); err != nil {
 		return s, err
 	}
-	for range readTries {
+	for range readAttempts {
 		if err = s.catalogue(ctx, k); !errors.Is(err, errMissing) {
 			break
 		}
@@ -109,11 +111,11 @@
 // catalogue reads the head and then all pages that there are.
 func (s *Stored) catalogue(ctx context.Context, k *client.Client) error {
 	one, err := k.Record(ctx, HeadKey)
-	if err != nil && !none(err) {
+	if err != nil && !isNotFound(err) {
 		return err
 	}
 	there := err == nil
-	found, err := values(ctx, k, PagePrefix, nil)
+	found, err := readRecords(ctx, k, PagePrefix, nil)
 	if err != nil {
 		return err
 	}
@@ -133,8 +135,8 @@
 		return err
 	}
 	s.HeadVersion = one.Version
-	w := gather(s.Head, pages, true, nil, nil)
-	s.Image = w.image
+	w := assemble(s.Head, pages, true, nil, nil)
+	s.Snapshot = w.snapshot
 	if len(w.missing) > 0 {
 		return fmt.Errorf("%w: page %s of catalogue %d", errMissing, w.missing[0], s.Head.Number)
 	}
@@ -142,78 +144,80 @@
 }
 
 // Sessions gives the nodes' sessions.
-func (r *Records) Sessions(ctx context.Context) ([]Session, error) { return ReadSessions(ctx, r.List) }
+func (r *Records) Sessions(ctx context.Context) ([]Session, error) {
+	return ReadSessions(ctx, r.Registry)
+}
 
 // ReadSessions gives the nodes' sessions, as they are now.
 func ReadSessions(ctx context.Context, k *client.Client) (all []Session, err error) {
 	a, err := k.Leases(ctx)
 	for _, s := range a.Sessions {
-		if w, ok := ParseWord(s.Info.Note); ok {
+		if w, ok := ParseStatus(s.Info.Note); ok {
 			all = append(all, Session{s.Process, w})
 		}
 	}
 	return all, err
 }
 
-// Asks gives the orders that wait. One that can't be read is no order, which goes on record.
-func (r *Records) Asks(ctx context.Context) (all []Ask, err error) {
+// PendingOrders gives the orders that wait. One that can't be read is no order, which goes on record.
+func (r *Records) PendingOrders(ctx context.Context) (all []PendingOrder, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := map[string]registry.Record{}
-	for _, prefix := range []string{ForgetPrefix, AskPrefix} {
-		found, err := values(ctx, r.List, prefix, r.seen)
+	for _, prefix := range []string{ForgetPrefix, OrderPrefix} {
+		found, err := readRecords(ctx, r.Registry, prefix, r.seenOrders)
 		if err != nil {
 			return nil, err
 		}
 		for _, one := range found {
 			next[one.Key] = one
-			a := Ask{Version: one.Version}
+			a := PendingOrder{Version: one.Version}
 			a.Name, _ = keyName(one.Key, prefix)
-			if json.Unmarshal(one.Value, &a.Order) != nil || a.Order.V != form || a.Order.ID == "" || (prefix == ForgetPrefix) != (a.Order.Do == Forget) {
-				a.Order = Order{ID: fmt.Sprint("unreadable-", one.Version), Do: "unreadable"}
+			if json.Unmarshal(one.Value, &a.Order) != nil || a.Order.Format != format || a.Order.ID == "" || (prefix == ForgetPrefix) != (a.Order.Op == OrderForgetMember) {
+				a.Order = Order{ID: fmt.Sprint("unreadable-", one.Version), Op: "unreadable"}
 			}
 			a.Key = one.Key
 			all = append(all, a)
 		}
 	}
-	r.seen = next
+	r.seenOrders = next
 	return all, nil
 }
 
 // Put carries a write out under the fence.
-func (r *Records) Put(ctx context.Context, p Put) (uint64, error) {
+func (r *Records) Put(ctx context.Context, p RecordWrite) (uint64, error) {
 	cond := &p.Version
-	if p.Free {
+	if p.Unconditional {
 		cond = nil
 	}
-	got, err := r.List.WithToken(r.Fence).Put(ctx, p.Key, p.Value, cond)
+	got, err := r.Registry.WithToken(r.Token).Put(ctx, p.Key, p.Value, cond)
 	switch {
-	case is(err, registry.StaleToken):
-		return 0, fmt.Errorf("%w: %w", ErrTaken, err)
-	case p.Value == nil && none(err): // it is gone already
+	case hasCode(err, registry.StaleToken):
+		return 0, fmt.Errorf("%w: %w", ErrSuperseded, err)
+	case p.Value == nil && isNotFound(err): // it is gone already
 		return 0, nil
 	}
 	return got.EntryVersion, err
 }
 
-// Place leaves an order for the conductor. One at a time waits; false where there is one.
-func Place(ctx context.Context, k *client.Client, name string, o Order) (bool, error) {
-	o.V = form
+// SubmitOrder leaves an order for the conductor. One at a time waits; false where there is one.
+func SubmitOrder(ctx context.Context, k *client.Client, name string, o Order) (bool, error) {
+	o.Format = format
 	raw, err := json.Marshal(o)
 	if err != nil {
 		return false, err
 	}
 	absent := uint64(0)
-	_, err = k.Put(ctx, askKey(o.Do, name), raw, &absent)
-	if is(err, registry.Conflict) {
+	_, err = k.Put(ctx, orderKey(o.Op, name), raw, &absent)
+	if hasCode(err, registry.Conflict) {
 		return false, nil
 	}
 	return err == nil, err
 }
 
-// Waiting tells whether an order still waits to be taken.
-func Waiting(ctx context.Context, k *client.Client, name string, o Order) (bool, error) {
+// OrderPending tells whether an order still waits to be taken.
+func OrderPending(ctx context.Context, k *client.Client, name string, o Order) (bool, error) {
 	var waits Order
-	version, err := record(ctx, k, askKey(o.Do, name), &waits)
+	version, err := readRecord(ctx, k, orderKey(o.Op, name), &waits)
 	return version > 0 && waits.ID == o.ID, err
 }
--- a/internal/tenant/tree.go
+++ b/internal/tenant/tree.go
@@ -28,14 +28,14 @@
 	t := newTree(levels)
 	all := make([]change, 0, len(entries))
 	for _, e := range entries {
-		all = append(all, change{now: e})
+		all = append(all, change{after: e})
 	}
 	raw, _, err := t.apply(all)
 	return t, raw, err
 }
 
 // change is of one entry, nil where there is none.
-type change struct{ was, now *Entry }
+type change struct{ before, after *Entry }
 
 // apply makes changes, and gives the pages that are new by their digests, and the digests
 // that are not used any more.
@@ -51,13 +51,13 @@
 		}
 	}
 	for _, c := range changes {
-		edit(c.was, func(all []*Entry, i int, there bool) []*Entry {
+		edit(c.before, func(all []*Entry, i int, there bool) []*Entry {
 			if there {
 				all = slices.Delete(all, i, i+1)
 			}
 			return all
 		})
-		edit(c.now, func(all []*Entry, i int, _ bool) []*Entry { return slices.Insert(all, i, c.now) })
+		edit(c.after, func(all []*Entry, i int, _ bool) []*Entry { return slices.Insert(all, i, c.after) })
 	}
 	for level := len(t.digests) - 1; level >= 0; level-- {
 		above := map[int]bool{}
@@ -106,10 +106,10 @@
 }
 
 // head names the tree's uppermost pages.
-func (t *tree) head(number uint64, needs []Need) Head {
-	h := Head{V: form, Number: number, Levels: t.levels, Pages: make([]string, fanOut)}
+func (t *tree) head(number uint64, needs []PolicyNeed) Head {
+	h := Head{Format: format, Number: number, Levels: t.levels, Pages: make([]string, fanOut)}
 	if t.levels > 0 {
-		h.V, h.Needs = treeForm, needs
+		h.Format, h.PolicyNeeds = treeFormat, needs
 	}
 	for n := range h.Pages {
 		h.Pages[n] = t.digests[0][n]
@@ -123,40 +123,40 @@
 	if !hashTree {
 		return 0
 	}
-	levels := max(leastDepth, before)
-	for levels < mostDepth && tenants > leafSize<<(fanBits*levels) {
+	levels := max(minDepth, before)
+	for levels < maxDepth && tenants > leafSize<<(fanBits*levels) {
 		levels++
 	}
 	return levels
 }
 
-// most is how many tenants there may be.
-func (m *Machine) most() int {
+// maxTenants is how many tenants there may be.
+func (m *StateMachine) maxTenants() int {
 	if m.hashTree {
 		return MaxTreeTenants
 	}
 	return MaxTenants
 }
 
-// needsOf gives what the next forms of entries need that move: of each policy, since when.
-func needsOf(moving map[string]*Entry) (all []Need) {
+// policyNeeds gives what the next forms of entries need that move: of each policy, since when.
+func policyNeeds(moving map[string]*Entry) (all []PolicyNeed) {
 	since := map[uint64]uint64{}
 	for _, e := range moving {
 		if n := e.Next; n != nil && !n.Suspended {
-			if at, there := since[n.Policy]; !there || e.Since < at {
-				since[n.Policy] = e.Since
+			if at, there := since[n.PolicyVersion]; !there || e.Since < at {
+				since[n.PolicyVersion] = e.Since
 			}
 		}
 	}
 	policies := slices.Sorted(maps.Keys(since))
-	for len(policies) > mostNeeds { // the newer table is needed since earlier, then: that is safe
+	for len(policies) > maxPolicyNeeds { // the newer table is needed since earlier, then: that is safe
 		since[policies[1]] = min(since[policies[0]], since[policies[1]])
 		policies = policies[1:]
 	}
 	for _, p := range policies {
-		all = append(all, Need{p, since[p]})
+		all = append(all, PolicyNeed{p, since[p]})
 	}
 	return all
 }
 
-const mostNeeds = 8 // in a head; policies rarely change while a tenant moves
+const maxPolicyNeeds = 8 // in a head; policies rarely change while a tenant moves
--- a/internal/tenant/unknown.go
+++ b/internal/tenant/unknown.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// fields are those of a document that this version of the program does not know. They
+// rawFields are those of a document that this version of the program does not know. They
 // are written again as they were read, so that an older conductor takes nothing from a
 // newer operator's form.
-type fields map[string]json.RawMessage
+type rawFields map[string]json.RawMessage
 
-// readKept reads a document into plain, and gives the fields that plain has not.
-func readKept(raw []byte, plain any) (fields, error) {
+// decodeKeeping reads a document into plain, and gives the fields that plain has not.
+func decodeKeeping(raw []byte, plain any) (rawFields, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	if d.DisallowUnknownFields(); d.Decode(plain) == nil { // nearly always: it costs one pass
 		return nil, nil
@@ -23,7 +23,7 @@
 	if err := json.Unmarshal(raw, plain); err != nil {
 		return nil, err
 	}
-	var all fields
+	var all rawFields
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return nil, err
 	}
@@ -38,8 +38,8 @@
 	return all, nil
 }
 
-// writeKept gives the document of plain with the fields beside it, by name.
-func writeKept(plain any, more fields) ([]byte, error) {
+// encodeKeeping gives the document of plain with the fields beside it, by name.
+func encodeKeeping(plain any, more rawFields) ([]byte, error) {
 	raw, err := json.Marshal(plain)
 	if err != nil || len(more) == 0 {
 		return raw, err
@@ -60,28 +60,32 @@
 
 // The documents without their methods.
 type (
-	plainForm   Form
+	plainSpec   Spec
 	plainTenant Tenant
 	plainEntry  Entry
 )
 
-func (f *Form) UnmarshalJSON(raw []byte) (err error) {
-	f.more, err = readKept(raw, (*plainForm)(f))
+func (f *Spec) UnmarshalJSON(raw []byte) (err error) {
+	f.unknownFields, err = decodeKeeping(raw, (*plainSpec)(f))
 	return err
 }
 
-func (f *Form) MarshalJSON() ([]byte, error) { return writeKept((*plainForm)(f), f.more) }
+func (f *Spec) MarshalJSON() ([]byte, error) { return encodeKeeping((*plainSpec)(f), f.unknownFields) }
 
 func (t *Tenant) UnmarshalJSON(raw []byte) (err error) {
-	t.more, err = readKept(raw, (*plainTenant)(t))
+	t.unknownFields, err = decodeKeeping(raw, (*plainTenant)(t))
 	return err
 }
 
-func (t *Tenant) MarshalJSON() ([]byte, error) { return writeKept((*plainTenant)(t), t.more) }
+func (t *Tenant) MarshalJSON() ([]byte, error) {
+	return encodeKeeping((*plainTenant)(t), t.unknownFields)
+}
 
 func (e *Entry) UnmarshalJSON(raw []byte) (err error) {
-	e.more, err = readKept(raw, (*plainEntry)(e))
+	e.unknownFields, err = decodeKeeping(raw, (*plainEntry)(e))
 	return err
 }
 
-func (e *Entry) MarshalJSON() ([]byte, error) { return writeKept((*plainEntry)(e), e.more) }
+func (e *Entry) MarshalJSON() ([]byte, error) {
+	return encodeKeeping((*plainEntry)(e), e.unknownFields)
+}
--- a/internal/tenant/walk_test.go
+++ b/internal/tenant/walk_test.go
@@ -15,7 +15,7 @@
 	orders := []struct {
 		name, do string
 		k        int
-	}{{"t0", Add, 1}, {"t1", Add, 1}, {"t0", Change, 2}, {"t1", Remove, 0}, {"t0", Suspend, 0}, {"t0", Resume, 0}, {"t0", Change, 3}}
+	}{{"t0", OrderAdd, 1}, {"t1", OrderAdd, 1}, {"t0", OrderChange, 2}, {"t1", OrderRemove, 0}, {"t0", OrderSuspend, 0}, {"t0", OrderResume, 0}, {"t0", OrderChange, 3}}
 	for i := 0; i < len(orders) && w.wrong == ""; {
 		if w.ask(orders[i].name, orders[i].do, orders[i].k) {
 			i++
@@ -43,7 +43,7 @@
 			each(calls/step+1, func(i int) bool {
 				at := i * step
 				w := script(seed, at, sleeps)
-				if a, b := w.truth.told["t0 a"], w.truth.state["t1"]; w.wrong == "" && (a != tag(testForm("t0", 3), "a") || b != Gone || w.truth.active["t1"] != 1) {
+				if a, b := w.truth.told["t0 a"], w.truth.state["t1"]; w.wrong == "" && (a != tag(testForm("t0", 3), "a") || b != Removed || w.truth.active["t1"] != 1) {
 					w.fail("t0 is %q, t1 %q", a, b)
 				}
 				if w.wrong != "" {
@@ -63,8 +63,8 @@
 	w.after(0, w.clients)
 	w.run(2 * time.Second)
 	for i := range w.tenants {
-		w.ask(fmt.Sprint("t", i), Add, 1)
-		w.ask(fmt.Sprint("t", i), Change, 2) // it does not wait: there is an order
+		w.ask(fmt.Sprint("t", i), OrderAdd, 1)
+		w.ask(fmt.Sprint("t", i), OrderChange, 2) // it does not wait: there is an order
 	}
 	began, catalogues := w.now, w.truth.number
 	w.run(w.now + 100*time.Millisecond)
@@ -94,18 +94,18 @@
 	for i := range MaxTenants {
 		name := fmt.Sprint("t", i)
 		f := testForm(name, i%40)
-		f.Keys = []string{"a/", "b/"}
-		entries = append(entries, &Entry{Name: name, Phase: []Phase{Serve, Hold, Drain, "later"}[i%4], Now: f, Next: testForm(name, 41), Since: 3})
+		f.KeyPrefixes = []string{"a/", "b/"}
+		entries = append(entries, &Entry{Name: name, Phase: []Phase{PhaseServe, PhaseHold, PhaseDrain, "later"}[i%4], Current: f, Next: testForm(name, 41), Since: 3})
 	}
-	d := NewDesk(1, 0, false)
-	d.Handle(0, Tables{Table{1, func(string) bool { return true }}})
-	d.Handle(0, Opened{0, ttl})
-	d.Handle(1, Read{1, true, NewImage(3, entries...)})
-	c := d.catalogue()
-	seen := map[Verdict]bool{}
+	d := NewCache(1, 0, false)
+	d.Handle(0, PolicyChanged{PolicyTable{1, func(string) bool { return true }}})
+	d.Handle(0, SessionOpened{0, ttl})
+	d.Handle(1, CatalogueRead{1, true, NewSnapshot(3, entries...)})
+	c := d.buildCatalogue()
+	seen := map[DecisionKind]bool{}
 	for _, ask := range [][3]string{{"x-t0", "a", "a/1"}, {"x-t0", "a", "c"}, {"x-t0", "z", "a/1"}, {"x-t1", "a", "a/1"}, {"x-t1", "b", "b/1"}, {"x-t2", "a", "a/1"}, {"x-t3", "a", "a/1"}, {"nobody", "a", "a/1"}} {
-		seen[c.Answer(2, ask[0], ask[1], ask[2]).Verdict] = true
-		if n := testing.AllocsPerRun(100, func() { c.Answer(2, ask[0], ask[1], ask[2]) }); n != 0 {
+		seen[c.Decide(2, ask[0], ask[1], ask[2]).Kind] = true
+		if n := testing.AllocsPerRun(100, func() { c.Decide(2, ask[0], ask[1], ask[2]) }); n != 0 {
 			t.Errorf("%v allocates %v times", ask, n)
 		}
 	}
--- a/internal/tenant/world_test.go
+++ b/internal/tenant/world_test.go
@@ -28,11 +28,11 @@
 	pages    map[string]*page // that were read, by digest
 	have     map[string]*page // those that are on record at haveAt
 	haveAt   uint64
-	images   map[uint64]*Image
+	images   map[uint64]*Snapshot
 
 	nodes      []*node
 	conductors []*conductor
-	policy     Policy
+	policy     PolicyFloors
 	truth      truth
 	quiet      bool // no more faults
 	ambush     int  // so many nodes are cut off just as a tenant comes into a state
@@ -54,7 +54,7 @@
 
 type session struct {
 	node string
-	word *Word
+	word *Status
 	at   time.Duration // it ends
 }
 
@@ -86,7 +86,7 @@
 )
 
 func newWorld(seed uint64, nodes, tenants int, what broken) *world {
-	w := &world{Rand: rand.New(rand.NewPCG(seed, 7)), records: map[string]record0{}, sessions: map[string]*session{}, tree: seed%2 == 1, pages: map[string]*page{}, images: map[uint64]*Image{}, removed: map[string]bool{}, broken: what, tenants: tenants, truth: newTruth()}
+	w := &world{Rand: rand.New(rand.NewPCG(seed, 7)), records: map[string]record0{}, sessions: map[string]*session{}, tree: seed%2 == 1, pages: map[string]*page{}, images: map[uint64]*Snapshot{}, removed: map[string]bool{}, broken: what, tenants: tenants, truth: newTruth()}
 	w.newPolicy()
 	for i := range nodes {
 		w.start(fmt.Sprint("n", i))
@@ -97,7 +97,7 @@
 
 // newPolicy makes the next table: each has more limits than the one before.
 func (w *world) newPolicy() {
-	w.policy = Policy{Version: w.policy.Version + 1, Floors: map[string]float64{}, Whole: 9 * float64(w.tenants) / 4}
+	w.policy = PolicyFloors{Version: w.policy.Version + 1, Floors: map[string]float64{}, TotalFloor: 9 * float64(w.tenants) / 4}
 	for t := range w.tenants {
 		w.policy.Floors[fmt.Sprintf("t%d.p", t)] = 1
 		for k := range limitsOf(int64(w.policy.Version)) {
@@ -145,9 +145,9 @@
 }
 
 // testForm is form k of a tenant: class a's route and quota carry k, as does a second name; class b's never change.
-func testForm(name string, k int) *Form {
-	return &Form{Names: []string{"x-" + name, alias(name, k)}, Classes: []string{"a", "b"}, DrainMS: testDrain.Milliseconds(),
-		Quotas: []Quota{{fmt.Sprintf("%s.q%d", name, k), []string{"a"}}, {name + ".p", []string{"b"}}},
+func testForm(name string, k int) *Spec {
+	return &Spec{Names: []string{"x-" + name, alias(name, k)}, Classes: []string{"a", "b"}, DrainMS: testDrain.Milliseconds(),
+		Quotas: []QuotaRef{{fmt.Sprintf("%s.q%d", name, k), []string{"a"}}, {name + ".p", []string{"b"}}},
 		Routes: []Route{{Classes: []string{"a"}, Zones: []string{fmt.Sprint("z", k)}}, {Classes: []string{"b"}, Zones: []string{"z0"}}}}
 }
 
@@ -155,15 +155,15 @@
 
 // ask leaves an order, unless one waits.
 func (w *world) ask(name, do string, k int) bool {
-	key := askKey(do, name)
+	key := orderKey(do, name)
 	if _, waits := w.records[key]; waits {
 		return false
 	}
 	w.asked++
-	w.removed[name] = w.removed[name] || do == Remove
-	o := Order{V: form, ID: fmt.Sprint("o", w.asked), Do: do}
-	if do == Add || do == Change {
-		o.Form = testForm(name, k)
+	w.removed[name] = w.removed[name] || do == OrderRemove
+	o := Order{Format: format, ID: fmt.Sprint("o", w.asked), Op: do}
+	if do == OrderAdd || do == OrderChange {
+		o.Spec = testForm(name, k)
 	}
 	raw, _ := json.Marshal(o)
 	w.version++
