--- a/cmd/wrenspread-proxy/main.go
+++ b/cmd/wrenspread-proxy/main.go
@@ -96,7 +96,7 @@
 	if errors.Is(err, syscall.EADDRINUSE) {
 		log.Warn("another process has the clients' address, trying again", "err", err)
 	}
-	for until := time.Now().Add(proxy.BindMost); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(until) && backoff.Sleep(ctx, bindStep); {
+	for until := time.Now().Add(proxy.MaxBindTime); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(until) && backoff.Sleep(ctx, bindStep); {
 		ln, err = net.Listen("tcp", address)
 	}
 	return ln, err
@@ -104,7 +104,7 @@
 
 // reload follows the file until ctx ends. One that can't be used changes
 // nothing: a node that serves is worth more than one that ends over a typo.
-func reload(ctx context.Context, hup <-chan os.Signal, path string, n *proxy.Node, log *slog.Logger) {
+func reload(ctx context.Context, hup <-chan os.Signal, path string, n *proxy.Server, log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
--- a/cmd/wrenspread-sim-adapter/main.go
+++ b/cmd/wrenspread-sim-adapter/main.go
@@ -54,18 +54,18 @@
 	}
 	var replies []simwire.Reply
 	for _, g := range batch.Groups {
-		reply := simwire.Reply{Node: g.Node}
+		reply := simwire.Reply{Proxy: g.Proxy}
 		for i, h := range g.Events {
 			switch {
 			case h.Start != nil:
-				nodes[g.Node] = balancer.New(h.Start.Settings, h.Start.Seed)
+				nodes[g.Proxy] = balancer.New(h.Start.Settings, h.Start.Seed)
 			case h.Retire:
-				delete(nodes, g.Node)
+				delete(nodes, g.Proxy)
 				reply.Actions = nil // a dead instance does nothing
 			default:
-				m := nodes[g.Node]
+				m := nodes[g.Proxy]
 				if m == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", g.Node, i)
+					return nil, fmt.Errorf("node %d, event %d: no up came before it", g.Proxy, i)
 				}
 				reply.Actions = append(reply.Actions, m.Handle(batch.Now, h.Event)...)
 			}
--- a/cmd/wrenspreadctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			raw, err := checksumfile.Open(copy)
+			raw, err := checksumfile.Decode(copy)
 			if err != nil {
 				return fmt.Errorf("the service's answer: %w", err)
 			}
@@ -78,7 +78,7 @@
 				}
 				return fmt.Errorf("this replaces %d entries at version %d by %d of version %d; if that is meant, add --over %s", len(now.Endpoints), now.Index, s.Len(), s.Version(), now.Epoch)
 			}
-			r, err := k.Restore(ctx, checksumfile.Wrap(raw), over)
+			r, err := k.Restore(ctx, checksumfile.Encode(raw), over)
 			if err != nil {
 				return err
 			}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -53,8 +53,8 @@
 
 // Check says what is wrong with a configuration, by its keys.
 func (c Config) Check() error {
-	var f config.Faults
-	bad, address := f.Want, f.Address
+	var f config.Problems
+	bad, address := f.Require, f.RequireAddress
 	bad(c.Machine != "", "machine: missing; it names this agent, the same over restarts")
 	bad(c.Folder != "", "folder: missing; it is for versions and fences")
 	address("listen", c.Listen)
--- a/internal/checksumfile/sealed.go
+++ b/internal/checksumfile/sealed.go
@@ -14,11 +14,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Wrap puts the line with the checksum before raw.
-func Wrap(raw []byte) []byte { return append(fmt.Appendf(nil, "%016x\n", xxhash.Sum64(raw)), raw...) }
+// Encode puts the line with the checksum before raw.
+func Encode(raw []byte) []byte { return append(fmt.Appendf(nil, "%016x\n", xxhash.Sum64(raw)), raw...) }
 
-// Open gives back what was wrapped, or says that it is damaged.
-func Open(text []byte) ([]byte, error) {
+// Decode gives back what was wrapped, or says that it is damaged.
+func Decode(text []byte) ([]byte, error) {
 	sum, raw, _ := bytes.Cut(text, []byte("\n"))
 	if want, err := strconv.ParseUint(string(sum), 16, 64); err != nil || xxhash.Sum64(raw) != want {
 		return nil, fmt.Errorf("%d bytes that are damaged: their checksum is not theirs", len(text))
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer os.Remove(f.Name()) // once renamed, there is none
-	_, err = f.Write(Wrap(raw))
+	_, err = f.Write(Encode(raw))
 	if err == nil {
 		err = f.Sync()
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	raw, err := Open(text)
+	raw, err := Decode(text)
 	if err != nil {
 		return nil, &fs.PathError{Op: "read", Path: path, Err: err}
 	}
--- a/internal/checksumfile/sealed_test.go
+++ b/internal/checksumfile/sealed_test.go
@@ -32,7 +32,7 @@
 		other := bytes.Clone(whole)
 		other[n] ^= 1
 		for _, text := range [][]byte{whole[:n], other} {
-			if raw, err := Open(text); err == nil && !bytes.Equal(raw, []byte("something to keep")) {
+			if raw, err := Decode(text); err == nil && !bytes.Equal(raw, []byte("something to keep")) {
 				t.Errorf("damaged at %d it reads %q", n, raw)
 			}
 		}
@@ -40,10 +40,10 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	f.Add(Wrap([]byte("x")))
+	f.Add(Encode([]byte("x")))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if raw, err := Open(text); err == nil {
-			if again, err := Open(Wrap(raw)); err != nil || !bytes.Equal(again, raw) {
+		if raw, err := Decode(text); err == nil {
+			if again, err := Decode(Encode(raw)); err != nil || !bytes.Equal(again, raw) {
 				t.Fatalf("%q: %v", raw, err)
 			}
 		}
--- a/internal/config/conf.go
+++ b/internal/config/conf.go
@@ -37,7 +37,7 @@
 	if err := k.Load(posflag.Provider(given, ".", k), nil); err != nil {
 		return err
 	}
-	return into(k, c, path)
+	return unmarshal(k, c, path)
 }
 
 // File changes c, which has the defaults, by a TOML file. An unknown key is an error.
@@ -46,10 +46,10 @@
 	if err := k.Load(file.Provider(path), toml.Parser()); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return into(k, c, path)
+	return unmarshal(k, c, path)
 }
 
-func into[T any](k *koanf.Koanf, c *T, path string) error {
+func unmarshal[T any](k *koanf.Koanf, c *T, path string) error {
 	err := k.UnmarshalWithConf("", c, koanf.UnmarshalConf{DecoderConfig: &mapstructure.DecoderConfig{Result: c, TagName: "koanf", ErrorUnused: true,
 		ZeroFields: true, // a list in a file takes the place of the default's, and is not mixed with it
 		DecodeHook: mapstructure.DecodeHookFuncType(duration), WeaklyTypedInput: false}})
--- a/internal/config/faults.go
+++ b/internal/config/faults.go
@@ -6,21 +6,21 @@
 	"net"
 )
 
-// Faults collects what is wrong with a configuration, by its keys.
-type Faults struct{ all []error }
+// Problems collects what is wrong with a configuration, by its keys.
+type Problems struct{ errs []error }
 
-// Want notes what the text says unless ok.
-func (f *Faults) Want(ok bool, format string, args ...any) {
+// Require notes what the text says unless ok.
+func (f *Problems) Require(ok bool, format string, args ...any) {
 	if !ok {
-		f.all = append(f.all, fmt.Errorf(format, args...))
+		f.errs = append(f.errs, fmt.Errorf(format, args...))
 	}
 }
 
-// Address wants a value to be host:port.
-func (f *Faults) Address(key, value string) {
+// RequireAddress wants a value to be host:port.
+func (f *Problems) RequireAddress(key, value string) {
 	_, _, err := net.SplitHostPort(value)
-	f.Want(err == nil, "%s: %q is not host:port", key, value)
+	f.Require(err == nil, "%s: %q is not host:port", key, value)
 }
 
 // Err is all of it, or nil.
-func (f *Faults) Err() error { return errors.Join(f.all...) }
+func (f *Problems) Err() error { return errors.Join(f.errs...) }
--- a/internal/controller/keeper.go
+++ b/internal/controller/keeper.go
@@ -47,8 +47,8 @@
 
 // Check says what is wrong with a configuration, by its keys.
 func (c Config) Check() error {
-	var f config.Faults
-	bad, address := f.Want, f.Address
+	var f config.Problems
+	bad, address := f.Require, f.RequireAddress
 	bad(c.Process != "", "process: missing; it names this process, the same over its restarts")
 	bad(len(c.Registry) > 0, "list: missing; it has the addresses of the list service")
 	for _, a := range c.Registry {
--- a/internal/controller/shares.go
+++ b/internal/controller/shares.go
@@ -32,17 +32,17 @@
 	Peers  []string `koanf:"peers"`  // where this process finds the members, by their numbers; without, where they say that they are
 }
 
-func (s Quotas) check(f *config.Faults) {
+func (s Quotas) check(f *config.Problems) {
 	if s.Fleet == "" {
-		f.Want(s.Listen == "" && len(s.Join) == 0, "shares: fleet is missing; it names the fleet, as the nodes' configuration does")
+		f.Require(s.Listen == "" && len(s.Join) == 0, "shares: fleet is missing; it names the fleet, as the nodes' configuration does")
 		return
 	}
-	f.Want(len(s.Fleet) <= wire.MaxName, "shares.fleet: %d bytes, %d at most", len(s.Fleet), wire.MaxName)
-	f.Want(len(s.Join) > 0, "shares.join: missing; it has the peer addresses of some nodes")
-	f.Want(len(s.Peers) == 0 || s.Number >= 0 && s.Number < len(s.Peers), "shares.number: %d is no place among %d peers", s.Number, len(s.Peers))
+	f.Require(len(s.Fleet) <= wire.MaxName, "shares.fleet: %d bytes, %d at most", len(s.Fleet), wire.MaxName)
+	f.Require(len(s.Join) > 0, "shares.join: missing; it has the peer addresses of some nodes")
+	f.Require(len(s.Peers) == 0 || s.Number >= 0 && s.Number < len(s.Peers), "shares.number: %d is no place among %d peers", s.Number, len(s.Peers))
 	for _, a := range slices.Concat([]string{s.Listen}, s.Join, s.Peers) {
 		_, err := netip.ParseAddrPort(a)
-		f.Want(err == nil, "shares: %q is no address: want one such as 127.0.0.1:7946", a)
+		f.Require(err == nil, "shares: %q is no address: want one such as 127.0.0.1:7946", a)
 	}
 }
 
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,59 +9,59 @@
 	"wrenspread/balancer"
 )
 
-func (n *Node) send(a balancer.StartAttempt) {
+func (n *Server) startAttempt(a balancer.StartAttempt) {
 	r := n.requests[a.ID]
 	if r == nil {
 		n.log.Error("the module sends a request that is not open", "id", a.ID)
 		return
 	}
-	number := len(r.attempts)
+	number := len(r.cancelAttempts)
 	left := time.Until(r.deadline)
-	if r.out.rest != nil {
-		left = uploadMost // how fast it must come is another matter
+	if r.outbound.upload != nil {
+		left = maxUploadTime // how fast it must come is another matter
 	} else if a.Timeout != 0 {
 		left = min(left, a.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(n.ctx, left)
-	r.attempts = append(r.attempts, cancel)
-	if r.done || r.running > 0 && !n.cfg.Settings.AllowHedging {
+	ctx, cancel := context.WithTimeout(n.loopContext, left)
+	r.cancelAttempts = append(r.cancelAttempts, cancel)
+	if r.answered || r.runningAttempts > 0 && !n.config.Settings.AllowHedging {
 		cancel()
-		n.queue = append(n.queue, balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: a.Endpoint, RequestAnswered: r.done, Outcome: balancer.NotSent})
+		n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: a.Endpoint, RequestAnswered: r.answered, Outcome: balancer.NotSent})
 		return
 	}
-	r.running++
+	r.runningAttempts++
 	began := time.Now()
 	go func() {
 		defer cancel()
 		may := func() bool { return !r.abandoned() && n.now() < a.WriteBy }
-		res := n.backends.attempt(ctx, a.Endpoint, r.out, may, func(res result) error {
-			return n.passOn(r, number, a.Endpoint, time.Since(n.startOf(r, began)), res)
+		res := n.pool.attempt(ctx, a.Endpoint, r.outbound, may, func(res result) error {
+			return n.streamResponse(r, number, a.Endpoint, time.Since(n.serviceStart(r, began)), res)
 		})
-		took := time.Since(n.startOf(r, began))
+		took := time.Since(n.serviceStart(r, began))
 		n.post(func() { n.attemptEnded(r, number, a.Endpoint, took, res) })
 	}()
 }
 
-// startOf is when a server could begin on a request: at its last byte.
-func (n *Node) startOf(r *request, began time.Time) time.Time {
-	if r.out.rest != nil {
-		if at := r.out.rest.wholeAt.Load(); at != 0 {
+// serviceStart is when a server could begin on a request: at its last byte.
+func (n *Server) serviceStart(r *request, began time.Time) time.Time {
+	if r.outbound.upload != nil {
+		if at := r.outbound.upload.completedAt.Load(); at != 0 {
 			return time.Unix(0, at)
 		}
 	}
 	return began
 }
 
-// passOn gives a long answer to its request, and returns when that is over.
-func (n *Node) passOn(r *request, number int, server balancer.EndpointID, took time.Duration, res result) error {
+// streamResponse gives a long answer to its request, and returns when that is over.
+func (n *Server) streamResponse(r *request, number int, server balancer.EndpointID, took time.Duration, res result) error {
 	n.post(func() {
-		if r.done {
+		if r.answered {
 			res.stream.ended <- errClientGone
 			return
 		}
 		n.handle(balancer.ResponseStarted{ID: r.id, Attempt: number, Endpoint: server, Elapsed: took})
 		r.stream = res.stream
-		n.finish(r.id, answer{status: http.StatusOK, header: res.header, stream: res.stream})
+		n.answerRequest(r.id, response{status: http.StatusOK, header: res.header, stream: res.stream})
 	})
 	select {
 	case err := <-res.stream.ended:
@@ -71,23 +71,23 @@
 	}
 }
 
-func (n *Node) attemptEnded(r *request, number int, server balancer.EndpointID, took time.Duration, res result) {
-	r.running--
-	if res.code == balancer.OK {
-		n.finish(r.id, answer{status: http.StatusOK, header: res.header, body: res.body})
+func (n *Server) attemptEnded(r *request, number int, server balancer.EndpointID, took time.Duration, res result) {
+	r.runningAttempts--
+	if res.outcome == balancer.OK {
+		n.answerRequest(r.id, response{status: http.StatusOK, header: res.header, body: res.body})
 	}
-	if n.cfg.BackendStats {
-		n.stats.attempt(n.ids.byID[server], res.code, took > n.aim(r.class))
+	if n.config.BackendStats {
+		n.stats.attempt(n.endpointIDs.byID[server], res.outcome, took > n.latencyObjective(r.class))
 	}
-	over := r.done
-	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: server, RequestAnswered: over, BodyDiscarded: res.spent, Elapsed: took,
-		Outcome: res.code, LoadReport: res.report})
-	n.forget(r)
+	over := r.answered
+	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: server, RequestAnswered: over, BodyDiscarded: res.bodyDiscarded, Elapsed: took,
+		Outcome: res.outcome, LoadReport: res.loadReport})
+	n.forgetRequest(r)
 }
 
-// aim is the time in which an answer of a class has its full worth; without a class, any.
-func (n *Node) aim(class string) time.Duration {
-	for _, c := range n.cfg.Settings.Classes {
+// latencyObjective is the time in which an answer of a class has its full worth; without a class, any.
+func (n *Server) latencyObjective(class string) time.Duration {
+	for _, c := range n.config.Settings.Classes {
 		if c.Name == class {
 			return c.LatencyObjective
 		}
--- a/internal/proxy/behind_test.go
+++ b/internal/proxy/behind_test.go
@@ -85,7 +85,7 @@
 				io.WriteString(c, nextGet[:split])
 				until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+int64(split) })
 				n.stop()
-				until(t, "the drain", n.front.draining.Load)
+				until(t, "the drain", n.frontend.draining.Load)
 				if late {
 					n.linger()
 					wait(t, n.tap.closed, "the listener's end")
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -56,10 +56,10 @@
 	cfg := testConfig(disc.Listener.Addr().String())
 	change(&cfg)
 	n := New(cfg, quiet)
-	n.front.linger = func() {}
+	n.frontend.keepAccepting = func() {}
 	go n.Run(ctx, ln)
 	b.Cleanup(func() { stop(); disc.CloseClientConnections(); disc.Close(); <-n.ended })
-	if !n.await(ctx, enough, n.told) {
+	if !n.waitFor(ctx, enough, n.listKnown) {
 		b.Fatal("the node hears of no server")
 	}
 	c, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -21,11 +21,11 @@
 	}
 	var file any
 	if err := json.Unmarshal(raw, &file); err != nil {
-		return []string{place(raw, err)}, nil
+		return []string{jsonErrorPosition(raw, err)}, nil
 	}
-	var in form
+	var in configForm
 	json.Unmarshal(raw, &in) // keys finds what is wrong with it, each value by itself
-	k := keys{}
+	k := typeChecker{}
 	k.check("", file, in)
 	if settings := member(file, "settings"); settings != nil {
 		k.check("settings", settings, simwire.SettingsForm{})
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	c.file = file
+	c.rawFile = file
 	if err := checkSettings(c); err != nil {
 		notes = append(notes, err.Error()+": it starts so, but a SIGHUP would turn the file down")
 	}
@@ -53,8 +53,8 @@
 			notes = append(notes, fmt.Sprintf("peers.%d: %q is not to be reached", i, peer))
 		}
 	}
-	if c.Fleet.Name != "" && !c.Settings.AllowGossip {
-		notes = append(notes, "fleet: "+viewOff)
+	if c.Membership.Name != "" && !c.Settings.AllowGossip {
+		notes = append(notes, "fleet: "+membershipOff)
 	}
 	for _, err := range in.Known.Skipped {
 		notes = append(notes, "known.endpoints: passed over: "+err.Error())
@@ -62,8 +62,8 @@
 	return problems, notes
 }
 
-// place says where in a file its JSON ends to be any.
-func place(raw []byte, err error) string {
+// jsonErrorPosition says where in a file its JSON ends to be any.
+func jsonErrorPosition(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) {
 		return err.Error()
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -21,30 +21,30 @@
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name         string
-	Listen       string   // where clients connect
-	Discovery    string   // where the list of servers comes from, unless List says so
-	List         []string // addresses of the project's own list service; it goes before Discovery
-	ListFile     string   // where the list is kept for the next start; empty: nowhere
-	ListPart     bool     // of the list service's list, the part that the node works with is followed
-	Control      string   // where operators call; empty: nowhere
-	Fences       string   // folder for the fences seen there; empty: they are forgotten with the process
-	BackendStats bool     // the figures for operators tell servers apart
-	Seed         int64
-	MemoryMB     int
-	Sockets      int // file descriptors
-	Settings     balancer.Settings
+	Name           string
+	Listen         string   // where clients connect
+	Discovery      string   // where the list of servers comes from, unless List says so
+	Registry       []string // addresses of the project's own list service; it goes before Discovery
+	RegistryCache  string   // where the list is kept for the next start; empty: nowhere
+	RegistrySubset bool     // of the list service's list, the part that the node works with is followed
+	Control        string   // where operators call; empty: nowhere
+	FencingFolder  string   // folder for the fences seen there; empty: they are forgotten with the process
+	BackendStats   bool     // the figures for operators tell servers apart
+	Seed           int64
+	MemoryMB       int
+	MaxDescriptors int // file descriptors
+	Settings       balancer.Settings
 
 	PeerListen string           // where other nodes' messages come; empty: nowhere
 	Peers      []netip.AddrPort // of all nodes, by their numbers; invalid: not to be reached
 
-	Fleet  FleetConfig // the view of the fleet
-	Policy bool        // the operators' policy is followed, and its limits are shared with the other nodes
+	Membership MembershipConfig // the view of the fleet
+	Policy     bool             // the operators' policy is followed, and its limits are shared with the other nodes
 
 	Tenants TenantsConfig
 
-	known registry.ListResponse // the servers as the node last had them
-	file  any                   // all of the file, as JSON has it
+	initialList registry.ListResponse // the servers as the node last had them
+	rawFile     any                   // all of the file, as JSON has it
 }
 
 // LoadConfig reads the configuration file at path.
@@ -60,8 +60,8 @@
 	return c, nil
 }
 
-// form is the form of a configuration file.
-type form struct {
+// configForm is the form of a configuration file.
+type configForm struct {
 	Name         string   `json:"name"`
 	Listen       string   `json:"listen"`
 	Discovery    string   `json:"discovery"`
@@ -79,13 +79,13 @@
 	PeerListen string                `json:"peer_listen"`
 	Peers      []string              `json:"peers"`
 	Fleet      *fleetForm            `json:"fleet"`
-	Govern     *governForm           `json:"govern"`
+	Policy     *policyForm           `json:"govern"`
 	Known      registry.ListResponse `json:"known"`
 	Settings   json.RawMessage       `json:"settings"`
 }
 
 func parseConfig(raw []byte) (Config, error) {
-	var in form
+	var in configForm
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return Config{}, err
 	}
@@ -93,12 +93,12 @@
 	if len(problems) > 0 {
 		return Config{}, problems[0]
 	}
-	c.file = decodeAny(raw)
+	c.rawFile = decodeAny(raw)
 	return c, nil
 }
 
 // config makes what the node works with, and says all that is wrong.
-func (in *form) config() (c Config, problems []error) {
+func (in *configForm) config() (c Config, problems []error) {
 	wrong := func(format string, args ...any) { problems = append(problems, fmt.Errorf(format, args...)) }
 	var settings balancer.Settings
 	if in.Settings == nil {
@@ -120,18 +120,18 @@
 	if err != nil {
 		wrong("seed: %w", err)
 	}
-	c = Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, List: in.List, ListFile: in.ListFile, ListPart: in.ListPart, Control: in.Control,
-		Fences: in.Fences, BackendStats: in.BackendStats, Seed: int64(seed), MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets,
-		Settings: settings, known: in.Known}
+	c = Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Registry: in.List, RegistryCache: in.ListFile, RegistrySubset: in.ListPart, Control: in.Control,
+		FencingFolder: in.Fences, BackendStats: in.BackendStats, Seed: int64(seed), MemoryMB: in.Limits.MemoryMB, MaxDescriptors: in.Limits.Sockets,
+		Settings: settings, initialList: in.Known}
 	if in.ListPart && (len(in.List) == 0 || settings.ProxyIndex < 0 || settings.ProxyIndex >= settings.Proxies) {
 		wrong("list_part: only the list service knows parts, of a node with a number: want list, and a slot_no under balancers (%d of %d)", settings.ProxyIndex, settings.Proxies)
 	}
 	var all []error
-	c.Fleet, all = in.Fleet.config(in.Name, in.PeerListen, settings)
+	c.Membership, all = in.Fleet.config(in.Name, in.PeerListen, settings)
 	problems = append(problems, all...)
-	c.Policy = in.Govern != nil && in.Govern.Policy
-	c.Tenants = in.Govern.tenants()
-	problems = append(problems, in.Govern.check(c)...)
+	c.Policy = in.Policy != nil && in.Policy.Policy
+	c.Tenants = in.Policy.tenants()
+	problems = append(problems, in.Policy.check(c)...)
 	if settings.AllowGossip {
 		c.PeerListen = in.PeerListen
 		for _, peer := range in.Peers {
@@ -142,28 +142,28 @@
 	if c.MemoryMB <= 0 {
 		c.MemoryMB = defaultMemoryMB
 	}
-	if c.Sockets <= 0 {
-		c.Sockets = defaultSockets
+	if c.MaxDescriptors <= 0 {
+		c.MaxDescriptors = defaultSockets
 	}
-	if c.Sockets < leastSockets {
-		wrong("limits: %d sockets are too few, want %d or more", c.Sockets, leastSockets)
+	if c.MaxDescriptors < minDescriptors {
+		wrong("limits: %d sockets are too few, want %d or more", c.MaxDescriptors, minDescriptors)
 	}
 	return c, problems
 }
 
-type keyed struct{ key, value string }
+type keyedValue struct{ key, value string }
 
 // addresses gives those without which the node does not start.
-func (in *form) addresses() []keyed {
-	all := []keyed{{"listen", in.Listen}}
+func (in *configForm) addresses() []keyedValue {
+	all := []keyedValue{{"listen", in.Listen}}
 	for _, a := range in.List {
-		all = append(all, keyed{"list", a})
+		all = append(all, keyedValue{"list", a})
 	}
 	if len(in.List) == 0 || in.Discovery != "" {
-		all = append(all, keyed{"discovery", in.Discovery})
+		all = append(all, keyedValue{"discovery", in.Discovery})
 	}
 	if in.Control != "" {
-		all = append(all, keyed{"control", in.Control})
+		all = append(all, keyedValue{"control", in.Control})
 	}
 	return all
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -23,8 +23,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Listen != "127.0.0.1:5000" || c.Discovery != "127.0.0.1:8500" || c.Sockets != 512 || c.MemoryMB != 100 ||
-		uint64(c.Seed) != 0xfc1f30d27a5be964 || c.known.Index != 41 || len(c.known.Endpoints) != 1 ||
+	if c.Name != "n3" || c.Listen != "127.0.0.1:5000" || c.Discovery != "127.0.0.1:8500" || c.MaxDescriptors != 512 || c.MemoryMB != 100 ||
+		uint64(c.Seed) != 0xfc1f30d27a5be964 || c.initialList.Index != 41 || len(c.initialList.Endpoints) != 1 ||
 		c.Settings.ProxyIndex != 3 || c.Settings.ConnectTimeout != 120*time.Millisecond || c.Settings.Classes[0].Name != "saldo" {
 		t.Errorf("%+v", c)
 	}
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -14,20 +14,20 @@
 	"wrenspread/balancer"
 )
 
-// strayTime is how long a connection is left alone after an answer. A second
+// lateResponseRest is how long a connection is left alone after an answer. A second
 // answer to the same request comes some milliseconds late, and nothing in it
 // tells it from the next request's; by then it shows as something unasked. The
 // next request waits for the rest of it, which takes no longer than a new
 // connection and costs the server nothing.
-const strayTime = 5 * time.Millisecond
+const lateResponseRest = 5 * time.Millisecond
 
-// errCrowded says that this node has no room for a connection.
-var errCrowded = errors.New("too many connections")
+// errNoCapacity says that this node has no room for a connection.
+var errNoCapacity = errors.New("too many connections")
 
 // ownLimit tells whether the node itself could not open a connection, which
 // says nothing of the server.
 func ownLimit(err error) bool {
-	for _, limit := range []error{errCrowded, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
+	for _, limit := range []error{errNoCapacity, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, limit) {
 			return true
 		}
@@ -37,20 +37,20 @@
 
 type conn struct {
 	net.Conn
-	of     *backend
-	pool   *pool
-	budget io.LimitedReader // what one answer may take
-	read   *bufio.Reader
-	broken error  // how reading ended, if the connection did
-	room   func() // gives back what its answer has taken of the pool's; nil: nothing
-	idleAt time.Time
+	backend       *backend
+	pool          *pool
+	budget        io.LimitedReader // what one answer may take
+	reader        *bufio.Reader
+	readError     error  // how reading ended, if the connection did
+	releaseMemory func() // gives back what its answer has taken of the pool's; nil: nothing
+	idleAt        time.Time
 }
 
 // Read notes how the connection ended, which tells a break from an answer
 // that can't be read, or is longer than its budget.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.broken = err
+	c.readError = err
 	return n, err
 }
 
@@ -61,10 +61,10 @@
 		// A connection that its server has closed, or on which it said
 		// something unasked, would end as a reset that may have run. Nothing
 		// has been sent on it, so another one can do.
-		if p.pause(ctx, strayTime-time.Since(c.idleAt)) && silent(c.Conn) {
+		if p.pause(ctx, lateResponseRest-time.Since(c.idleAt)) && isQuiet(c.Conn) {
 			return c, nil
 		}
-		c.discard()
+		c.closeDirty()
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
@@ -79,9 +79,9 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	c = &conn{Conn: raw, of: b, pool: p}
+	c = &conn{Conn: raw, backend: b, pool: p}
 	c.budget.R = c
-	c.read = bufio.NewReader(&c.budget)
+	c.reader = bufio.NewReader(&c.budget)
 	return c, nil
 }
 
@@ -98,7 +98,7 @@
 	p.dropOld(b, now)
 	if n := len(b.idle); n > 0 {
 		i := n - 1
-		for i > 0 && now.Sub(b.idle[i].idleAt) < strayTime {
+		for i > 0 && now.Sub(b.idle[i].idleAt) < lateResponseRest {
 			i--
 		}
 		c := b.idle[i]
@@ -106,15 +106,15 @@
 		return b, c, p.dialer, nil
 	}
 	if p.open >= p.limit() && !p.evict() {
-		return nil, nil, p.dialer, errCrowded
+		return nil, nil, p.dialer, errNoCapacity
 	}
 	p.open++
 	return b, nil, p.dialer, nil
 }
 
-// discard closes a connection that is not known to be at an answer's end.
-func (c *conn) discard() {
-	c.leaveRoom()
+// closeDirty closes a connection that is not known to be at an answer's end.
+func (c *conn) closeDirty() {
+	c.releaseBudget()
 	c.Conn.Close()
 	c.pool.mu.Lock()
 	c.pool.open--
@@ -123,23 +123,23 @@
 
 // release puts a connection back that has been read cleanly to its end.
 func (c *conn) release() {
-	c.leaveRoom() // from here on it is the next attempt's
+	c.releaseBudget() // from here on it is the next attempt's
 	c.SetDeadline(time.Time{})
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if c.of.closed {
+	if c.backend.closed {
 		c.Conn.Close()
 		c.pool.open--
 		return
 	}
 	c.idleAt = time.Now()
-	if c.of.idle = append(c.of.idle, c); !c.of.used {
-		c.of.used, c.pool.used = true, append(c.pool.used, c.of)
+	if c.backend.idle = append(c.backend.idle, c); !c.backend.hasUsed {
+		c.backend.hasUsed, c.pool.used = true, append(c.pool.used, c.backend)
 	}
 }
 
-// silent tells whether an idle connection is open with nothing to read.
-func silent(c net.Conn) bool {
+// isQuiet tells whether an idle connection is open with nothing to read.
+func isQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -42,9 +42,9 @@
 			number int           // of the connection on which that comes
 			want   balancer.Outcome
 		}{
-			{"while idle", true, strayTime, 1, balancer.OK},
+			{"while idle", true, lateResponseRest, 1, balancer.OK},
 			{"late", true, 0, 1, balancer.OK},
-			{"as the next request leaves", false, strayTime, 0, balancer.ServerError},
+			{"as the next request leaves", false, lateResponseRest, 0, balancer.ServerError},
 		} {
 			if name == "a second answer" && c.want != balancer.OK {
 				continue // later than any comes
@@ -62,7 +62,7 @@
 					}
 				}))
 				if got := ask(p, "/first"); string(got.body) != "/first" {
-					t.Fatalf("outcome %d, %q", got.code, got.body)
+					t.Fatalf("outcome %d, %q", got.outcome, got.body)
 				}
 				here := p.backends[1].idle[0].Conn
 				speak := func() {
@@ -80,10 +80,10 @@
 					speak()
 				}
 				got := ask(p, "/second")
-				if got.code != c.want || got.code == balancer.OK && string(got.body) != "/second" {
-					t.Errorf("outcome %d with %q, want %d", got.code, got.body, c.want)
+				if got.outcome != c.want || got.outcome == balancer.OK && string(got.body) != "/second" {
+					t.Errorf("outcome %d with %q, want %d", got.outcome, got.body, c.want)
 				}
-				if number := wait(t, second, "the second"); number != c.number || got.code != balancer.OK && p.open != 0 {
+				if number := wait(t, second, "the second"); number != c.number || got.outcome != balancer.OK && p.open != 0 {
 					t.Errorf("the second comes on connection %d, want %d; then %d are open", number, c.number, p.open)
 				}
 			})
@@ -94,7 +94,7 @@
 // awaitWord returns once a connection has something to read, or its end.
 func awaitWord(t *testing.T, c net.Conn) {
 	t.Helper()
-	for until := time.Now().Add(enough); silent(c); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(enough); isQuiet(c); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("what the server says never shows")
 		}
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -88,7 +88,7 @@
 	n := startNode(t, refusing(t))
 	address := n.operate(t)
 	var conns []net.Conn
-	for i := range 2 * mostCallers {
+	for i := range 2 * maxOperatorConns {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -43,7 +43,7 @@
 // TestCrossings: whatever crosses an attempt on a connection that has been used before, its outcome claims no more than is
 // known, its connection is closed or can be used, and what its answer took of the room is back before another can have it.
 func TestCrossings(t *testing.T) {
-	answer := named(strings.Repeat("x", smallBody+1)) // takes room
+	answer := named(strings.Repeat("x", maxSmallBody+1)) // takes room
 	for _, c := range []struct {
 		name      string
 		ends      string // what happens ahead of the write
@@ -56,11 +56,11 @@
 		{"the server resets", "reset", nil, balancer.ConnectFailed, 0},
 		{"it is called off ahead of the write", "cancel", nil, balancer.NotSent, 0},
 		{"it is called off behind the last byte", "", func(_ *pool, cancel func()) { cancel() }, balancer.OK, 0},
-		{"the server is restarted", "", func(p *pool, _ func()) { p.set(1, p.backends[1].address, 5) }, balancer.OK, 0},
-		{"the server leaves the list", "", func(p *pool, _ func()) { p.remove(1) }, balancer.OK, 0},
+		{"the server is restarted", "", func(p *pool, _ func()) { p.setBackend(1, p.backends[1].address, 5) }, balancer.OK, 0},
+		{"the server leaves the list", "", func(p *pool, _ func()) { p.removeBackend(1) }, balancer.OK, 0},
 		{"idle connections are closed", "", func(p *pool, _ func()) { p.closeIdle(1) }, balancer.OK, 1},
 		{"idle connections expire", "", func(p *pool, _ func()) { p.expire(time.Now().Add(p.maxIdle)) }, balancer.OK, 1},
-		{"another one needs room", "", func(p *pool, _ func()) { p.share(true) }, balancer.OK, 1},
+		{"another one needs room", "", func(p *pool, _ func()) { p.halve(true) }, balancer.OK, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			end := make(chan struct{})
@@ -76,11 +76,11 @@
 					}
 				}
 			}))
-			p.most = 2
-			if got := ask(p, "/api/x"); got.code != balancer.OK {
-				t.Fatalf("outcome %d", got.code)
+			p.maxConnections = 2
+			if got := ask(p, "/api/x"); got.outcome != balancer.OK {
+				t.Fatalf("outcome %d", got.outcome)
 			}
-			stood(p, strayTime)
+			stood(p, lateResponseRest)
 			ctx, cancel := context.WithTimeout(context.Background(), enough)
 			defer cancel()
 			spoilt := make(chan struct{})
@@ -89,7 +89,7 @@
 			x := &crossedConn{TCPConn: idle.Conn.(*net.TCPConn), left: len(answer)}
 			idle.Conn = x
 			x.deadline = func(at time.Time) {
-				if at.IsZero() && len(p.room) != 0 {
+				if at.IsZero() && len(p.memory) != 0 {
 					t.Error("the next one can have it before its room is given back")
 				} else if !at.IsZero() {
 					spoil()
@@ -113,16 +113,16 @@
 				}
 			}
 			got := p.attempt(ctx, 1, get("/api/x"), always, nil)
-			if got.code != c.want || got.code == balancer.OK && len(got.body) != smallBody+1 {
-				t.Errorf("outcome %d with %d bytes, want %d", got.code, len(got.body), c.want)
+			if got.outcome != c.want || got.outcome == balancer.OK && len(got.body) != maxSmallBody+1 {
+				t.Errorf("outcome %d with %d bytes, want %d", got.outcome, len(got.body), c.want)
 			}
 			cancel() // too late to spoil anything
-			if p.open != c.open || len(p.room) != 0 {
-				t.Errorf("%d connections open, %d of the room taken, want %d, 0", p.open, len(p.room), c.open)
+			if p.open != c.open || len(p.memory) != 0 {
+				t.Errorf("%d connections open, %d of the room taken, want %d, 0", p.open, len(p.memory), c.open)
 			}
-			p.set(1, x.RemoteAddr().String(), 5)
-			if got := ask(p, "/api/x"); got.code != balancer.OK || p.open != 1 {
-				t.Errorf("the next one: outcome %d, %d open", got.code, p.open)
+			p.setBackend(1, x.RemoteAddr().String(), 5)
+			if got := ask(p, "/api/x"); got.outcome != balancer.OK || p.open != 1 {
+				t.Errorf("the next one: outcome %d, %d open", got.outcome, p.open)
 			}
 		})
 	}
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -11,23 +11,23 @@
 // while discovery is away, and it, a server, an operator and the next process
 // of this node find one.
 const (
-	clientPart = 0.5 // of those that are not spare
-	// spareSockets are for discovery or the list service (3, and 6 with a policy and
+	clientShare = 0.5 // of those that are not spare
+	// reservedDescriptors are for discovery or the list service (3, and 6 with a policy and
 	// tenants), operators (17), the next processes (6), files that are read or kept (3),
 	// the sockets that listen (4), a client that is shut (1), and the runtime (8).
-	spareSockets = 48
-	leastSockets = 64 // below this no node can serve
+	reservedDescriptors = 48
+	minDescriptors      = 64 // below this no node can serve
 )
 
-// mostSockets is the number of descriptors that the node may use: as configured, but no more than the system
+// maxDescriptors is the number of descriptors that the node may use: as configured, but no more than the system
 // gives this process, or accepting would take the last one.
-func mostSockets(configured int, log *slog.Logger) (int, error) {
+func maxDescriptors(configured int, log *slog.Logger) (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(configured) {
 		return configured, nil
 	}
-	if limit.Cur < leastSockets {
-		return leastSockets, fmt.Errorf("limits: the system gives %d descriptors, want %d or more", limit.Cur, leastSockets)
+	if limit.Cur < minDescriptors {
+		return minDescriptors, fmt.Errorf("limits: the system gives %d descriptors, want %d or more", limit.Cur, minDescriptors)
 	}
 	log.Warn("the system gives fewer descriptors than limits.sockets", "gives", limit.Cur, "sockets", configured)
 	return int(limit.Cur), nil
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	lingerTime  = 600 * time.Millisecond // after SIGTERM new connections still come for a while
-	finishSlack = 100 * time.Millisecond // what is open then may take the longest deadline and this
-	fullTime    = 600 * time.Millisecond // without a place for clients, after which they are shut: one that was idle has let go of its own by then
-	killMost    = 3 * time.Second        // SIGKILL may come so long after lingerTime and finishSlack, or a longest deadline that is shorter
+	acceptLinger   = 600 * time.Millisecond // after SIGTERM new connections still come for a while
+	finishSlack    = 100 * time.Millisecond // what is open then may take the longest deadline and this
+	fullTimeout    = 600 * time.Millisecond // without a place for clients, after which they are shut: one that was idle has let go of its own by then
+	maxKillTimeout = 3 * time.Second        // SIGKILL may come so long after lingerTime and finishSlack, or a longest deadline that is shorter
 )
 
 // serve takes requests until ctx ends. Then it goes on for a while, as the
 // front sends new connections until it has noticed, but asks each client to
 // close; at last it finishes what is open.
 func (f *frontend) serve(ctx context.Context, ln net.Listener) error {
-	srv := f.server()
-	limited := listener.Limit(ln, f.most)
-	limited.HeadTime, limited.FullTime = headTime, fullTime
-	srv.ConnState = limited.Note
+	srv := f.newHTTPServer()
+	limited := listener.Limit(ln, f.maxConnections)
+	limited.HeadTimeout, limited.FullTimeout = headTimeout, fullTimeout
+	srv.ConnState = limited.TrackState
 	f.clients.Store(limited)
-	if f.handed.Load() { // before there was anything to close
+	if f.handedOff.Load() { // before there was anything to close
 		limited.Close()
 	}
-	f.open.Store(true)
+	f.accepting.Store(true)
 	var failed error
 	served := make(chan struct{})
 	go func() {
@@ -37,45 +37,45 @@
 	}()
 	select {
 	case <-served:
-		if !f.handed.Load() {
+		if !f.handedOff.Load() {
 			return fmt.Errorf("serving clients: %w", failed)
 		}
 		beside, end := context.WithCancel(ctx)
 		go func() {
 			defer end()
 			select {
-			case <-f.alone: // nobody accepts until this process ends and another is started
+			case <-f.successorEnded: // nobody accepts until this process ends and another is started
 			case <-beside.Done():
 			}
 		}()
-		limited.Outlive(beside, outliveLeast)
+		limited.WaitForConns(beside, minOutlive)
 		end()
 	case <-ctx.Done():
 	}
 	f.draining.Store(true)
-	longest := f.rules.Load().longest
+	longest := f.rules.Load().longestDeadline
 	if ctx.Err() != nil {
-		last := time.Now().Add(lingerTime + min(longest, f.killMost))
-		f.linger()
+		last := time.Now().Add(acceptLinger + min(longest, f.killTimeout))
+		f.keepAccepting()
 		f.answerBy.Store(&last)
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.longestLeft())
+	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.longestTimeLeft())
 	defer cancel()
-	finish(last, served, limited)
+	finishConnections(last, served, limited)
 	limited.CloseNew()
 	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishSlack)
 	defer cancel()
-	limited.Outlive(end, 0)
-	limited.Hurry()
+	limited.WaitForConns(end, 0)
+	limited.SkipLinger()
 	srv.Close()
 	return nil
 }
 
-// finish ends what is idle and waits until the rest has been answered, or last is
+// finishConnections ends what is idle and waits until the rest has been answered, or last is
 // over: then all requests are past their deadlines, and what is left are
 // connections on which none has come. http.Server's Shutdown does not do, as
 // it drops without an answer each request whose head is whole after its call.
-func finish(last context.Context, served <-chan struct{}, limited *listener.Listener) {
+func finishConnections(last context.Context, served <-chan struct{}, limited *listener.Listener) {
 	limited.Drain()
 	select {
 	case <-served:
@@ -83,18 +83,18 @@
 		limited.Close()
 		<-served // what it accepts in that moment is known from here on
 	}
-	limited.Outlive(last, 0)
+	limited.WaitForConns(last, 0)
 }
 
-// longestLeft is how long a request that is open, or comes yet, may take: by its settings, which may be earlier ones.
-func (f *frontend) longestLeft() time.Duration {
-	return max(f.rules.Load().longest, time.Duration(f.latest.Load())-time.Since(f.node.start))
+// longestTimeLeft is how long a request that is open, or comes yet, may take: by its settings, which may be earlier ones.
+func (f *frontend) longestTimeLeft() time.Duration {
+	return max(f.rules.Load().longestDeadline, time.Duration(f.latestDeadline.Load())-time.Since(f.server.start))
 }
 
-// left is how much of the time of a request, whose last byte is here now, there
+// timeLeft is how much of the time of a request, whose last byte is here now, there
 // is for its answer: what comes late after the order to stop has to be answered
 // ahead of SIGKILL.
-func (f *frontend) left(wait time.Duration) time.Duration {
+func (f *frontend) timeLeft(wait time.Duration) time.Duration {
 	if last := f.answerBy.Load(); last != nil {
 		return min(wait, time.Until(*last))
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -11,16 +11,16 @@
 	"wrenspread/balancer"
 )
 
-const lastWords = 50 * time.Millisecond // from a server that takes no more of a request
+const earlyResponseWait = 50 * time.Millisecond // from a server that takes no more of a request
 
 // result is how an attempt ended.
 type result struct {
-	code   balancer.Outcome
-	report *balancer.LoadReport
-	header http.Header // with OK: the answer's
-	body   []byte
-	stream *stream // with OK, for a long answer: instead of the body
-	spent  bool    // no other attempt can be made, as what was sent is not kept
+	outcome       balancer.Outcome
+	loadReport    *balancer.LoadReport
+	header        http.Header // with OK: the answer's
+	body          []byte
+	stream        *responseStream // with OK, for a long answer: instead of the body
+	bodyDiscarded bool            // no other attempt can be made, as what was sent is not kept
 }
 
 // attempt sends a request once and waits for its answer until ctx ends. When
@@ -32,58 +32,58 @@
 func (p *pool) attempt(ctx context.Context, id balancer.EndpointID, o *outbound, may func() bool, begun func(result) error) result {
 	end, ok := ctx.Deadline()
 	if !ok {
-		return result{code: balancer.NotSent} // an attempt without an end could hang for ever
+		return result{outcome: balancer.NotSent} // an attempt without an end could hang for ever
 	}
 	c, err := p.get(ctx, id)
 	if err != nil {
-		if calledOff(ctx) || ownLimit(err) {
-			return result{code: balancer.NotSent}
+		if wasCancelled(ctx) || ownLimit(err) {
+			return result{outcome: balancer.NotSent}
 		}
-		return result{code: unconnected(err)}
+		return result{outcome: connectOutcome(err)}
 	}
-	if ctx.Err() != nil || p.barred(id, c) || !may() {
-		c.discard() // it has been idle for longer than a release would say
-		return result{code: balancer.NotSent}
+	if ctx.Err() != nil || p.isBarred(id, c) || !may() {
+		c.closeDirty() // it has been idle for longer than a release would say
+		return result{outcome: balancer.NotSent}
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	var res result
 	var clean bool
-	if o.rest != nil {
-		res, clean, err = c.exchange(ctx, o)
+	if o.upload != nil {
+		res, clean, err = c.sendStreaming(ctx, o)
 	} else if code, ok := c.send(ctx, o, end); ok {
 		res, clean, err = c.receive(ctx, o.method)
 	} else {
-		c.discard()
-		return result{code: code}
+		c.closeDirty()
+		return result{outcome: code}
 	}
 	if err != nil {
-		c.discard()
-		if res.code == balancer.OK { // nothing better is known
-			res.code = ending(ctx, c.broken)
+		c.closeDirty()
+		if res.outcome == balancer.OK { // nothing better is known
+			res.outcome = failedOutcome(ctx, c.readError)
 		}
-		return result{code: res.code, report: res.report, spent: res.spent}
+		return result{outcome: res.outcome, loadReport: res.loadReport, bodyDiscarded: res.bodyDiscarded}
 	}
 	if res.stream != nil {
 		if !stop() {
-			c.discard()
-			return result{code: ending(ctx, nil), report: res.report, spent: res.spent}
+			c.closeDirty()
+			return result{outcome: failedOutcome(ctx, nil), loadReport: res.loadReport, bodyDiscarded: res.bodyDiscarded}
 		}
-		return c.pass(res, clean, begun)
+		return c.streamResult(res, clean, begun)
 	}
 	// Once the watch on ctx cannot be stopped it may yet spoil the deadline of
 	// whoever has the connection next.
 	if clean && stop() {
 		c.release()
 	} else {
-		c.discard()
+		c.closeDirty()
 	}
 	return res
 }
 
 // send writes a request that is kept whole, and counts it.
 func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code balancer.Outcome, ok bool) {
-	msg, err := o.bytes(time.Until(end))
+	msg, err := o.encode(time.Until(end))
 	if err != nil {
 		return balancer.NotSent, false
 	}
@@ -91,8 +91,8 @@
 	switch {
 	case err == nil:
 	case sent == len(msg):
-		return ending(ctx, err), false // a last byte that left with an error may have come
-	case calledOff(ctx):
+		return failedOutcome(ctx, err), false // a last byte that left with an error may have come
+	case wasCancelled(ctx):
 		return balancer.NotSent, false
 	default:
 		return balancer.ConnectFailed, false
@@ -101,9 +101,9 @@
 	return balancer.OK, true
 }
 
-// unconnected is the outcome of an attempt that has no connection. Only one that
+// connectOutcome is the outcome of an attempt that has no connection. Only one that
 // was refused or broken tells that the server is gone.
-func unconnected(err error) balancer.Outcome {
+func connectOutcome(err error) balancer.Outcome {
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
 		return balancer.ConnectTimedOut
@@ -111,42 +111,42 @@
 	return balancer.ConnectFailed
 }
 
-// calledOff tells that an attempt was ended from here, before its time was over.
-func calledOff(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
+// wasCancelled tells that an attempt was ended from here, before its time was over.
+func wasCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
-// progress writes to a server that may take its time, but may not stand still.
-type progress struct {
+// progressWriter writes to a server that may take its time, but may not stand still.
+type progressWriter struct {
 	*conn
 	ctx context.Context
 }
 
-func (p progress) Write(b []byte) (int, error) {
-	p.SetWriteDeadline(time.Now().Add(progressTime))
+func (p progressWriter) Write(b []byte) (int, error) {
+	p.SetWriteDeadline(time.Now().Add(progressTimeout))
 	if p.ctx.Err() != nil { // it may have ended just before
 		p.SetWriteDeadline(time.Unix(1, 0))
 	}
 	return p.Conn.Write(b)
 }
 
-// exchange sends a long request as its client gives it, and hears meanwhile
+// sendStreaming sends a long request as its client gives it, and hears meanwhile
 // whether the server turns it away. The time for the answer runs from the last
 // byte. What broke before that one never ran.
-func (c *conn) exchange(ctx context.Context, o *outbound) (res result, clean bool, err error) {
+func (c *conn) sendStreaming(ctx context.Context, o *outbound) (res result, clean bool, err error) {
 	sent := make(chan error, 1)
 	sending, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
-		err := o.request(sending, o.rest.wait).Write(progress{c, sending})
+		err := o.request(sending, o.upload.wait).Write(progressWriter{c, sending})
 		if err == nil {
 			c.pool.forwards.Add(1)
-			o.rest.wholeAt.Store(time.Now().UnixNano())
-			o.rest.whole(o.rest.wait)
-			c.SetReadDeadline(time.Now().Add(o.rest.wait))
+			o.upload.completedAt.Store(time.Now().UnixNano())
+			o.upload.onComplete(o.upload.wait)
+			c.SetReadDeadline(time.Now().Add(o.upload.wait))
 			if ctx.Err() != nil {
 				c.SetReadDeadline(time.Unix(1, 0))
 			}
 		} else {
-			c.SetReadDeadline(time.Now().Add(lastWords)) // why the server has closed may be on its way
+			c.SetReadDeadline(time.Now().Add(earlyResponseWait)) // why the server has closed may be on its way
 		}
 		sent <- err
 	}()
@@ -157,48 +157,48 @@
 	default: // it has answered early, or the connection has broken
 		stop()
 		c.SetWriteDeadline(time.Unix(1, 0))
-		if o.rest.taken.Load() {
-			o.rest.pipe.Close()
+		if o.upload.taken.Load() {
+			o.upload.pipe.Close()
 		}
 		werr = <-sent
 	}
-	res.spent = o.rest.taken.Load()
+	res.bodyDiscarded = o.upload.taken.Load()
 	switch {
-	case o.rest.failed():
-		return result{code: balancer.Cancelled, spent: true}, false, errClientGone
+	case o.upload.failed():
+		return result{outcome: balancer.Cancelled, bodyDiscarded: true}, false, errClientGone
 	case werr == nil:
 		return res, clean, err
-	case err == nil && res.code != balancer.OK: // a proper word that it is not wanted
+	case err == nil && res.outcome != balancer.OK: // a proper word that it is not wanted
 		return res, false, nil
-	case calledOff(ctx):
-		return result{code: balancer.Cancelled, spent: res.spent}, false, werr
+	case wasCancelled(ctx):
+		return result{outcome: balancer.Cancelled, bodyDiscarded: res.bodyDiscarded}, false, werr
 	}
-	return result{code: balancer.ConnectFailed, spent: res.spent}, false, werr
+	return result{outcome: balancer.ConnectFailed, bodyDiscarded: res.bodyDiscarded}, false, werr
 }
 
-// pass has a long answer passed on, and ends the attempt with it.
-func (c *conn) pass(res result, clean bool, begun func(result) error) result {
+// streamResult has a long answer passed on, and ends the attempt with it.
+func (c *conn) streamResult(res result, clean bool, begun func(result) error) result {
 	err := begun(res)
 	res.stream = nil
 	switch {
-	case err == nil && clean && c.read.Buffered() == 0:
+	case err == nil && clean && c.reader.Buffered() == 0:
 		c.release()
 		return res
 	case err == nil:
 	case errors.Is(err, errClientGone):
-		res.code = balancer.Cancelled
+		res.outcome = balancer.Cancelled
 	default:
-		res.code = balancer.ConnectionReset
+		res.outcome = balancer.ConnectionReset
 	}
-	c.discard()
+	c.closeDirty()
 	return res
 }
 
-// ending is the outcome of an attempt whose answer did not come: its last byte
+// failedOutcome is the outcome of an attempt whose answer did not come: its last byte
 // was written, so it may have run. broken is how the connection ended, if it did.
-func ending(ctx context.Context, broken error) balancer.Outcome {
+func failedOutcome(ctx context.Context, broken error) balancer.Outcome {
 	switch {
-	case calledOff(ctx):
+	case wasCancelled(ctx):
 		return balancer.Cancelled
 	case ctx.Err() != nil, errors.Is(broken, os.ErrDeadlineExceeded):
 		return balancer.TimedOut
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -51,10 +51,10 @@
 				}
 			}))
 			got := try(t, p, enough)
-			if got.code != c.want {
-				t.Errorf("outcome %d, want %d", got.code, c.want)
+			if got.outcome != c.want {
+				t.Errorf("outcome %d, want %d", got.outcome, c.want)
 			}
-			if got.code == balancer.OK && string(got.body) != "hi" {
+			if got.outcome == balancer.OK && string(got.body) != "hi" {
 				t.Errorf("body %q", got.body)
 			}
 		})
@@ -75,14 +75,14 @@
 			io.WriteString(conn, okAnswer)
 		}
 	}))
-	if got := try(t, p, enough); got.code != balancer.OK {
-		t.Fatalf("outcome %d, want OK", got.code)
+	if got := try(t, p, enough); got.outcome != balancer.OK {
+		t.Fatalf("outcome %d, want OK", got.outcome)
 	}
-	stood(p, strayTime)
+	stood(p, lateResponseRest)
 	idle := p.backends[1].idle
 	idle[0].Conn = shortConn{idle[0].Conn.(*net.TCPConn)}
-	if got := try(t, p, enough); got.code != balancer.ConnectFailed {
-		t.Errorf("outcome %d, want ConnectFailed", got.code)
+	if got := try(t, p, enough); got.outcome != balancer.ConnectFailed {
+		t.Errorf("outcome %d, want ConnectFailed", got.outcome)
 	}
 }
 
@@ -99,12 +99,12 @@
 			io.WriteString(conn, okAnswer)
 		}
 	}))
-	if got := try(t, p, enough); got.code != balancer.OK {
-		t.Fatalf("outcome %d, want OK", got.code)
+	if got := try(t, p, enough); got.outcome != balancer.OK {
+		t.Fatalf("outcome %d, want OK", got.outcome)
 	}
-	stood(p, strayTime)
-	if got := try(t, p, enough); got.code != balancer.ConnectionReset {
-		t.Errorf("outcome %d, want Reset", got.code)
+	stood(p, lateResponseRest)
+	if got := try(t, p, enough); got.outcome != balancer.ConnectionReset {
+		t.Errorf("outcome %d, want Reset", got.outcome)
 	}
 	if n := len(requests); n != 2 {
 		t.Errorf("%d requests came, want 2", n)
@@ -135,8 +135,8 @@
 		}
 		res := p.attempt(ctx, 1, get("/api/x"), always, nil)
 		cancel()
-		if res.code != want {
-			t.Errorf("%s: outcome %d, want %d", name, res.code, want)
+		if res.outcome != want {
+			t.Errorf("%s: outcome %d, want %d", name, res.outcome, want)
 		}
 		if p.open != 0 {
 			t.Errorf("%s: the connection is still open", name)
@@ -185,16 +185,16 @@
 	}
 	c.Conn = heldConn{c.Conn.(*net.TCPConn), sync.OnceFunc(func() { close(began) }), sync.OnceFunc(func() { close(up) }), up}
 	c.release()
-	stood(p, strayTime)
+	stood(p, lateResponseRest)
 	rest, client := io.Pipe()
 	go func() { client.Write(pattern(10)); client.Close() }()
 	o := get("/api/x")
 	o.method, o.body = "POST", pattern(maxBody+1)
-	o.rest = &upload{length: maxBody + 11, pipe: rest, wait: enough, ended: make(chan struct{}), whole: func(time.Duration) {},
-		gone: func() bool { return false }}
+	o.upload = &upload{length: maxBody + 11, pipe: rest, wait: enough, readingEnded: make(chan struct{}), onComplete: func(time.Duration) {},
+		clientGone: func() bool { return false }}
 	got := p.attempt(ctx, 1, o, always, nil)
-	if got.code != balancer.Rejected || got.spent || p.forwards.Load() != 0 {
-		t.Errorf("outcome %d, spent %v, %d written whole; want one that never ran and is left whole", got.code, got.spent, p.forwards.Load())
+	if got.outcome != balancer.Rejected || got.bodyDiscarded || p.forwards.Load() != 0 {
+		t.Errorf("outcome %d, spent %v, %d written whole; want one that never ran and is left whole", got.outcome, got.bodyDiscarded, p.forwards.Load())
 	}
 	rest.Close()
 }
--- a/internal/proxy/fixture_test.go
+++ b/internal/proxy/fixture_test.go
@@ -8,5 +8,5 @@
 
 // TestHandoffMessageFormIsUnchanged compares a line between an old and a new process with a golden file.
 func TestHandoffMessageFormIsUnchanged(t *testing.T) {
-	fixture.AssertJSON(t, "message", &message{})
+	fixture.AssertJSON(t, "message", &handoffMessage{})
 }
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	// leaveTime bounds how long the process stays to tell the others that it goes on purpose: eight periods of 200 ms, and
+	// leaveTimeout bounds how long the process stays to tell the others that it goes on purpose: eight periods of 200 ms, and
 	// some for a node that is late.
-	leaveTime = 2500 * time.Millisecond
-	// reportTime is for the view's owner to get to a call: it has a millisecond of work at a time.
-	reportTime = 800 * time.Millisecond
+	leaveTimeout = 2500 * time.Millisecond
+	// reportTimeout is for the view's owner to get to a call: it has a millisecond of work at a time.
+	reportTimeout = 800 * time.Millisecond
 	// Datagrams that begin with 0x40 to 0x5f are the view's, by their first four bits.
-	viewKinds, viewKindsMore = 0x4, 0x5
+	membershipKinds, membershipKindsMore = 0x4, 0x5
 )
 
-// own is what the node says of itself in its life.
-type own struct {
-	number int // among the peers, -1: none
-	zone   string
-	most   int64 // requests that it may have open
+// identity is what the node says of itself in its life.
+type identity struct {
+	number          int // among the peers, -1: none
+	zone            string
+	maxOpenRequests int64 // requests that it may have open
 }
 
-func newOwn(cfg Config, clients int) own {
-	o := own{number: -1, zone: cfg.Settings.Zone, most: int64(clients)}
+func newIdentity(cfg Config, clients int) identity {
+	o := identity{number: -1, zone: cfg.Settings.Zone, maxOpenRequests: int64(clients)}
 	if s := cfg.Settings; s.Proxies > 1 && s.ProxyIndex >= 0 && s.ProxyIndex < len(cfg.Peers) {
 		o.number = s.ProxyIndex
 	}
 	if most := cfg.Settings.MaxOpenRequests; most > 0 {
-		o.most = min(o.most, int64(most))
+		o.maxOpenRequests = min(o.maxOpenRequests, int64(most))
 	}
 	return o
 }
 
-// startView begins the node's part in the view of the fleet, if its configuration names one, at the peers' socket.
-func (n *Node) startView(p *peers, handed *gossip.Handoff) {
-	c := n.cfg.Fleet
+// startMembership begins the node's part in the view of the fleet, if its configuration names one, at the peers' socket.
+func (n *Server) startMembership(p *peerSocket, handed *gossip.Handoff) {
+	c := n.config.Membership
 	if c.Name == "" {
 		return
 	}
 	seeds := c.Join
 	if len(seeds) == 0 {
-		seeds = otherPeers(n.cfg.Peers, n.own.number)
+		seeds = otherPeers(n.config.Peers, n.identity.number)
 	}
-	shell := gossip.Start(n.ctx, gossip.Config{Fleet: c.Name, Name: n.cfg.Name, Number: n.own.number, Addr: c.Address, Seeds: seeds, Peers: n.cfg.Peers,
-		ProbeInterval: c.Period, Zone: n.own.zone, Version: version(), LocalState: n.doing(handed), Send: p.write, Log: n.log, Handoff: handed})
-	p.hear[viewKinds], p.hear[viewKindsMore] = shell.Receive, shell.Receive
-	if n.governed != nil {
-		p.hear[quotaKind] = n.hearShares
+	shell := gossip.Start(n.loopContext, gossip.Config{Fleet: c.Name, Name: n.config.Name, Number: n.identity.number, Addr: c.Address, Seeds: seeds, Peers: n.config.Peers,
+		ProbeInterval: c.ProbeInterval, Zone: n.identity.zone, Version: version(), LocalState: n.localState(handed), Send: p.write, Log: n.log, Handoff: handed})
+	p.handlers[membershipKinds], p.handlers[membershipKindsMore] = shell.Receive, shell.Receive
+	if n.policy != nil {
+		p.handlers[quotaKind] = n.receiveQuotaDatagram
 	}
-	n.view.Store(shell)
+	n.membership.Store(shell)
 }
 
 func otherPeers(all []netip.AddrPort, own int) (others []netip.AddrPort) {
@@ -67,34 +67,34 @@
 	return others
 }
 
-// doing tells the fleet what the node does. One that takes over from a process of its own goes on with that one's state until it accepts.
-func (n *Node) doing(handed *gossip.Handoff) func() (membership.State, uint16) {
+// localState tells the fleet what the node does. One that takes over from a process of its own goes on with that one's state until it accepts.
+func (n *Server) localState(handed *gossip.Handoff) func() (membership.State, uint16) {
 	return func() (membership.State, uint16) {
-		load := uint16(min(1000, max(0, n.stats.outstanding.Load()*1000/n.own.most)))
+		load := uint16(min(1000, max(0, n.stats.outstanding.Load()*1000/n.identity.maxOpenRequests)))
 		switch {
-		case n.front.draining.Load():
+		case n.frontend.draining.Load():
 			return membership.Draining, load
-		case n.front.serving():
+		case n.frontend.serving():
 			return membership.Serving, load
-		case handed != nil && !n.front.open.Load():
+		case handed != nil && !n.frontend.accepting.Load():
 			return handed.State, load
 		}
 		return membership.Joining, load
 	}
 }
 
-// leaveView tells the fleet that this node goes on purpose. A node that handed over has nothing to tell.
-func (n *Node) leaveView(ctx context.Context) {
-	if shell := n.view.Load(); shell != nil {
-		ctx, cancel := context.WithTimeout(ctx, leaveTime)
+// leaveMembership tells the fleet that this node goes on purpose. A node that handed over has nothing to tell.
+func (n *Server) leaveMembership(ctx context.Context) {
+	if shell := n.membership.Load(); shell != nil {
+		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
 		shell.Leave(ctx)
 	}
 }
 
-// handOverView ends the view in this process, and gives what the next one goes on with; nil without a view.
-func (n *Node) handOverView() json.RawMessage {
-	shell := n.view.Load()
+// handOffMembership ends the view in this process, and gives what the next one goes on with; nil without a view.
+func (n *Server) handOffMembership() json.RawMessage {
+	shell := n.membership.Load()
 	if shell == nil {
 		return nil
 	}
@@ -105,8 +105,8 @@
 	return handed
 }
 
-// readHanded reads what handOverView gave; nil for nothing, and for what can't be read.
-func (n *Node) readHanded(raw json.RawMessage) *gossip.Handoff {
+// decodeHandoff reads what handOverView gave; nil for nothing, and for what can't be read.
+func (n *Server) decodeHandoff(raw json.RawMessage) *gossip.Handoff {
 	if raw == nil {
 		return nil
 	}
@@ -118,11 +118,11 @@
 	return h
 }
 
-// answerFleet tells an operator what the node sees.
-func (n *Node) answerFleet(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), reportTime)
+// serveFleet tells an operator what the node sees.
+func (n *Server) serveFleet(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), reportTimeout)
 	defer cancel()
-	shell := n.view.Load()
+	shell := n.membership.Load()
 	if shell == nil {
 		http.Error(w, "the view has not begun: this process has no socket for other nodes yet", http.StatusServiceUnavailable)
 		return
--- a/internal/proxy/fleet_config.go
+++ b/internal/proxy/fleet_config.go
@@ -16,21 +16,21 @@
 // Bounds of the time from one probe to the next. Below, a late scheduler looks like a death; above, a death takes minutes
 // to be known.
 const (
-	leastPeriod = 20 * time.Millisecond
-	mostPeriod  = 10 * time.Second
-	mostSeeds   = 512 // as many as the core takes
+	minProbeInterval = 20 * time.Millisecond
+	maxProbeInterval = 10 * time.Second
+	maxSeeds         = 512 // as many as the core takes
 )
 
 // Version of the program that the fleet is told, to be set by the linker: -X wrenspread/internal/proxy.Version=v7. Else it is the
 // revision that it was built from, or unknown to one that was built without.
 var Version string
 
-// FleetConfig is what the view of the fleet needs. Without a Name there is no view.
-type FleetConfig struct {
-	Name    string
-	Join    []netip.AddrPort // to join by; none: the configured peers
-	Address netip.AddrPort   // where others reach this node
-	Period  time.Duration    // from one probe to the next; 0: the usual one
+// MembershipConfig is what the view of the fleet needs. Without a Name there is no view.
+type MembershipConfig struct {
+	Name          string
+	Join          []netip.AddrPort // to join by; none: the configured peers
+	Address       netip.AddrPort   // where others reach this node
+	ProbeInterval time.Duration    // from one probe to the next; 0: the usual one
 }
 
 // fleetForm is the form of the key fleet in the configuration file.
@@ -42,20 +42,20 @@
 }
 
 // config checks the key for a node of this name, which listens there for others. f may be nil.
-func (f *fleetForm) config(node, listen string, s balancer.Settings) (c FleetConfig, problems []error) {
+func (f *fleetForm) config(node, listen string, s balancer.Settings) (c MembershipConfig, problems []error) {
 	if f == nil {
 		return c, nil
 	}
 	wrong := func(format string, args ...any) { problems = append(problems, fmt.Errorf("fleet: "+format, args...)) }
-	c = FleetConfig{Name: f.Name, Period: time.Duration(f.PeriodMS) * time.Millisecond}
+	c = MembershipConfig{Name: f.Name, ProbeInterval: time.Duration(f.PeriodMS) * time.Millisecond}
 	if f.Name == "" || len(f.Name) > wire.MaxName {
 		wrong("name: want the fleet's name, of at most %d bytes", wire.MaxName)
 	}
-	if c.Period != 0 && (c.Period < leastPeriod || c.Period > mostPeriod) {
-		wrong("period_ms: %d: want %d to %d", f.PeriodMS, leastPeriod.Milliseconds(), mostPeriod.Milliseconds())
+	if c.ProbeInterval != 0 && (c.ProbeInterval < minProbeInterval || c.ProbeInterval > maxProbeInterval) {
+		wrong("period_ms: %d: want %d to %d", f.PeriodMS, minProbeInterval.Milliseconds(), maxProbeInterval.Milliseconds())
 	}
-	if len(f.Join) > mostSeeds {
-		wrong("join: %d addresses: want at most %d", len(f.Join), mostSeeds)
+	if len(f.Join) > maxSeeds {
+		wrong("join: %d addresses: want at most %d", len(f.Join), maxSeeds)
 	}
 	for i, text := range f.Join {
 		a, err := reachable(text)
@@ -82,13 +82,13 @@
 	return c, problems
 }
 
-const viewOff = "the view stays off, as the settings allow no messages between nodes (settings.caps.peers)"
+const membershipOff = "the view stays off, as the settings allow no messages between nodes (settings.caps.peers)"
 
-// withoutView is the configuration of a node that may send no messages to others.
-func (c Config) withoutView(log *slog.Logger) Config {
-	if c.Fleet.Name != "" && !c.Settings.AllowGossip {
-		log.Warn(viewOff, "fleet", c.Fleet.Name)
-		c.Fleet = FleetConfig{}
+// withoutMembership is the configuration of a node that may send no messages to others.
+func (c Config) withoutMembership(log *slog.Logger) Config {
+	if c.Membership.Name != "" && !c.Settings.AllowGossip {
+		log.Warn(membershipOff, "fleet", c.Membership.Name)
+		c.Membership = MembershipConfig{}
 	}
 	return c
 }
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -22,7 +22,7 @@
 	defer free.Close()
 	a := free.LocalAddr().(*net.UDPAddr).AddrPort()
 	c.Name, c.PeerListen, c.Settings.AllowGossip = "n"+a.String()[len("127.0.0.1:"):], a.String(), true
-	c.Fleet = FleetConfig{Name: "windhoek", Join: join, Address: a}
+	c.Membership = MembershipConfig{Name: "windhoek", Join: join, Address: a}
 }
 
 // TestDatagramsGoByTheirFirstByte: a kind that somebody takes is taken from whoever sends it; load notes are the peers' alone.
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	heard := make(chan string, 10)
-	p.hear[0x6] = func(_ netip.AddrPort, data []byte) { heard <- "claim " + string(data[1:]) }
+	p.handlers[0x6] = func(_ netip.AddrPort, data []byte) { heard <- "claim " + string(data[1:]) }
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go p.run(ctx, func(_ int, data []byte) { heard <- "note " + string(data[1:]) })
@@ -63,8 +63,8 @@
 		var said bytes.Buffer
 		n := New(cfg, slog.New(slog.NewTextHandler(&said, nil)))
 		ctx, stop := context.WithCancel(t.Context())
-		n.ctx = ctx
-		if n.hears() {
+		n.loopContext = ctx
+		if n.lacksPeerSocket() {
 			n.listenPeers(ctx)
 		}
 		rec := httptest.NewRecorder()
@@ -72,7 +72,7 @@
 		if want := map[bool]int{false: 404, true: 200}[may]; rec.Code != want {
 			t.Errorf("messages %v: status %d, want %d: %s", may, rec.Code, want, rec.Body.String())
 		}
-		if strings.Contains(said.String(), viewOff) == may {
+		if strings.Contains(said.String(), membershipOff) == may {
 			t.Errorf("messages %v: the log says %q", may, said.String())
 		}
 		stop()
@@ -82,7 +82,7 @@
 // BenchmarkInFleet is the same request as BenchmarkWhole's, in a node that keeps a view with another one.
 func BenchmarkInFleet(b *testing.B) {
 	first := netip.AddrPort{}
-	benchNode(b, 0, func(c *Config) { inFleet(b, c); first = c.Fleet.Address })
+	benchNode(b, 0, func(c *Config) { inFleet(b, c); first = c.Membership.Address })
 	c := benchNode(b, 0, func(c *Config) { inFleet(b, c, first) })
 	time.Sleep(time.Second) // they have met
 	benchRequests(b, c, "GET", "saldo", 0)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	headTime  = 2500 * time.Millisecond // for a request's head: a slow client takes 2 s
-	readTime  = 2700 * time.Millisecond // for a request that stops: any peer is owed an error or a close within 3 s
-	writeTime = 5 * time.Second         // for an answer
-	idleTime  = 2 * time.Minute         // for a connection between requests
+	headTimeout  = 2500 * time.Millisecond // for a request's head: a slow client takes 2 s
+	readTimeout  = 2700 * time.Millisecond // for a request that stops: any peer is owed an error or a close within 3 s
+	writeTimeout = 5 * time.Second         // for an answer
+	idleTimeout  = 2 * time.Minute         // for a connection between requests
 )
 
 type connKey struct{}
 
 // frontend takes clients' requests and writes their answers.
 type frontend struct {
-	node     *Node
-	most     int // connections
-	rules    atomic.Pointer[rules]
-	room     room   // for requests that are not small
-	linger   func() // goes on accepting for a while after the order to stop
-	ready    atomic.Bool
-	draining atomic.Bool
-	open     atomic.Bool                       // it accepts
-	handed   atomic.Bool                       // to a new process
-	clients  atomic.Pointer[listener.Listener] // nil: it does not serve yet
-	alone    chan struct{}                     // closed when the process has ended that accepts in its place
-	killMost time.Duration
-	latest   atomic.Int64              // deadline of a request read so far, from the node's start
-	answerBy atomic.Pointer[time.Time] // for requests that come from now on; nil: their deadlines
+	server         *Server
+	maxConnections int // connections
+	rules          atomic.Pointer[requestRules]
+	memory         memoryBudget // for requests that are not small
+	keepAccepting  func()       // goes on accepting for a while after the order to stop
+	ready          atomic.Bool
+	draining       atomic.Bool
+	accepting      atomic.Bool                       // it accepts
+	handedOff      atomic.Bool                       // to a new process
+	clients        atomic.Pointer[listener.Listener] // nil: it does not serve yet
+	successorEnded chan struct{}                     // closed when the process has ended that accepts in its place
+	killTimeout    time.Duration
+	latestDeadline atomic.Int64              // deadline of a request read so far, from the node's start
+	answerBy       atomic.Pointer[time.Time] // for requests that come from now on; nil: their deadlines
 }
 
-func newFrontend(n *Node, most int) *frontend {
-	f := &frontend{node: n, most: most, linger: func() { time.Sleep(lingerTime) }, alone: make(chan struct{}), killMost: killMost}
-	f.rules.Store(newRules(n.cfg.Settings, nil))
+func newFrontend(n *Server, most int) *frontend {
+	f := &frontend{server: n, maxConnections: most, keepAccepting: func() { time.Sleep(acceptLinger) }, successorEnded: make(chan struct{}), killTimeout: maxKillTimeout}
+	f.rules.Store(newRules(n.config.Settings, nil))
 	return f
 }
 
-func (f *frontend) server() *http.Server {
-	return &http.Server{Handler: f, ReadHeaderTimeout: headTime, IdleTimeout: idleTime,
+func (f *frontend) newHTTPServer() *http.Server {
+	return &http.Server{Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: listener.MaxHead, DisableGeneralOptionsHandler: true, // all requests pass ServeHTTP
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		},
-		ErrorLog: slog.NewLogLogger(f.node.log.Handler(), slog.LevelDebug)}
+		ErrorLog: slog.NewLogLogger(f.server.log.Handler(), slog.LevelDebug)}
 }
 
 // ServeHTTP answers the health checks and passes requests to the loop.
@@ -65,7 +65,7 @@
 	switch r.URL.Path {
 	case "/health/ready":
 		f.askToClose(w, r)
-		if !f.welcomes() && !f.handed.Load() { // the new process has this address too
+		if !f.acceptsNow() && !f.handedOff.Load() { // the new process has this address too
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -76,34 +76,34 @@
 		return
 	}
 	req, event, status, err := f.read(w, r)
-	if req != nil && req.leaveRoom != nil {
-		defer req.leaveRoom()
+	if req != nil && req.releaseMemory != nil {
+		defer req.releaseMemory()
 	}
 	if err != nil {
 		f.askToClose(w, r)
 		http.Error(w, err.Error(), status)
 		return
 	}
-	outstanding := &f.node.stats.outstanding
-	if up := req.out.rest; up != nil {
+	outstanding := &f.server.stats.outstanding
+	if up := req.outbound.upload; up != nil {
 		http.NewResponseController(w).EnableFullDuplex() // an answer may come ahead of the body's end
-		up.gone = req.abandoned
-		up.whole = func(wait time.Duration) { f.node.post(func() { f.node.whole(req, f.left(wait)) }) }
+		up.clientGone = req.abandoned
+		up.onComplete = func(wait time.Duration) { f.server.post(func() { f.server.requestSent(req, f.timeLeft(wait)) }) }
 		defer up.close()
 	} else {
 		outstanding.Add(1)
 	}
-	o := f.carry(w, r, req, event)
-	f.node.stats.count(req.class, o.outcome)
-	if up := req.out.rest; up != nil {
-		if up.end(outstanding); o.answered {
+	o := f.handleRequest(w, r, req, event)
+	f.server.stats.count(req.class, o.outcome)
+	if up := req.outbound.upload; up != nil {
+		if up.countEnd(outstanding); o.answered {
 			http.NewResponseController(w).Flush()
 			up.drain()
 		}
 	} else {
 		outstanding.Add(-1)
 	}
-	if o.cut {
+	if o.truncated {
 		panic(http.ErrAbortHandler) // closes the connection short of the answer's end, so that the client can tell
 	}
 }
@@ -117,50 +117,50 @@
 }
 
 // serving tells whether the node takes new clients.
-func (f *frontend) serving() bool { return f.ready.Load() && f.open.Load() && !f.draining.Load() }
+func (f *frontend) serving() bool { return f.ready.Load() && f.accepting.Load() && !f.draining.Load() }
 
-// welcomes tells whether it takes them now: it does not while all places are in use.
-func (f *frontend) welcomes() bool {
+// acceptsNow tells whether it takes them now: it does not while all places are in use.
+func (f *frontend) acceptsNow() bool {
 	limited := f.clients.Load()
 	return f.serving() && limited != nil && !limited.Full()
 }
 
-// carried is how a request ended, whether its client has an answer to read, and
+// requestResult is how a request ended, whether its client has an answer to read, and
 // whether that stopped short.
-type carried struct {
-	outcome       outcome
-	answered, cut bool
+type requestResult struct {
+	outcome             requestOutcome
+	answered, truncated bool
 }
 
-// carry has the loop end a request, passes the answer on and tells how it went.
-func (f *frontend) carry(w http.ResponseWriter, r *http.Request, req *request, event balancer.RequestArrived) carried {
+// handleRequest has the loop end a request, passes the answer on and tells how it went.
+func (f *frontend) handleRequest(w http.ResponseWriter, r *http.Request, req *request, event balancer.RequestArrived) requestResult {
 	var broken <-chan struct{} // closed when an upload has ended, which may be well or not
 	var looks <-chan time.Time // at its client: the server hears nothing ahead of a body's end
-	if req.out.rest != nil {
-		broken = req.out.rest.ended
-		often := time.NewTicker(goneTime / 2)
+	if req.outbound.upload != nil {
+		broken = req.outbound.upload.readingEnded
+		often := time.NewTicker(clientGoneLimit / 2)
 		defer often.Stop()
 		looks = often.C
 	}
-	f.node.post(func() { f.node.open(req, event) })
+	f.server.post(func() { f.server.openRequest(req, event) })
 	for {
 		select {
 		case <-broken:
-			if broken = nil; req.out.rest.err == nil {
+			if broken = nil; req.outbound.upload.err == nil {
 				continue
 			}
-			f.node.post(func() { f.node.abandon(req) })
+			f.server.post(func() { f.server.abandonRequest(req) })
 			f.askToClose(w, r)
 			http.Error(w, "the body is not whole", http.StatusBadRequest)
-			return carried{outcome: aborted}
+			return requestResult{outcome: outcomeAborted}
 		default:
 		}
 		select {
 		case <-broken:
 			continue // see above
-		case a := <-req.answer:
+		case a := <-req.response:
 			f.askToClose(w, r)
-			return f.passOn(w, req, a)
+			return f.writeResponse(w, req, a)
 		case <-looks:
 			if !req.abandoned() {
 				continue
@@ -168,36 +168,36 @@
 			f.abandon(w, req)
 		case <-r.Context().Done():
 			f.abandon(w, req)
-		case <-f.node.ended:
+		case <-f.server.ended:
 			http.Error(w, "the node has ended", http.StatusBadGateway)
 		}
-		return carried{outcome: aborted}
+		return requestResult{outcome: outcomeAborted}
 	}
 }
 
 // abandon ends a request whose client has left, or has only ended its sending and can still read. Without a word from
 // here the server would tell it 200, which no backend said.
 func (f *frontend) abandon(w http.ResponseWriter, req *request) {
-	f.node.post(func() { f.node.abandon(req) })
-	write(w, answer{status: http.StatusBadGateway})
+	f.server.post(func() { f.server.abandonRequest(req) })
+	write(w, response{status: http.StatusBadGateway})
 }
 
-// passOn gives a client its answer.
-func (f *frontend) passOn(w http.ResponseWriter, req *request, a answer) carried {
-	if up := req.out.rest; up != nil {
-		if up.pipe.Close(); up.wholeAt.Load() == 0 {
+// writeResponse gives a client its answer.
+func (f *frontend) writeResponse(w http.ResponseWriter, req *request, a response) requestResult {
+	if up := req.outbound.upload; up != nil {
+		if up.pipe.Close(); up.completedAt.Load() == 0 {
 			w.Header().Set("Connection", "close") // what it has still to send is not read
 		}
 	}
 	if a.stream == nil {
-		return carried{outcome: write(w, a), answered: true}
+		return requestResult{outcome: write(w, a), answered: true}
 	}
 	writeHeader(w, a, a.stream.length)
-	err := a.stream.pass(w, req.deadline)
+	err := a.stream.writeTo(w, req.deadline)
 	a.stream.ended <- err
 	if err != nil {
-		f.node.log.Info("a long answer breaks off", "id", req.id, "err", err)
-		return carried{outcome: aborted, cut: true}
+		f.server.log.Info("a long answer breaks off", "id", req.id, "err", err)
+		return requestResult{outcome: outcomeAborted, truncated: true}
 	}
-	return carried{outcome: succeeded, answered: true}
+	return requestResult{outcome: outcomeSucceeded, answered: true}
 }
--- a/internal/proxy/full_test.go
+++ b/internal/proxy/full_test.go
@@ -11,12 +11,12 @@
 // that the node is ready; both do once a place is free.
 func TestReadinessWhereNobodyCanBeTaken(t *testing.T) {
 	server, got, _ := silentServer(t)
-	n := startNodeWith(t, func(n *Node) { n.front.most = 2 }, server)
+	n := startNodeWith(t, func(n *Server) { n.frontend.maxConnections = 2 }, server)
 	ready := func() int {
 		w := httptest.NewRecorder()
 		n.controlMux().ServeHTTP(w, httptest.NewRequest("GET", "/healthcheck", nil))
 		probe := httptest.NewRecorder()
-		n.front.ServeHTTP(probe, httptest.NewRequest("GET", "/health/ready", nil))
+		n.frontend.ServeHTTP(probe, httptest.NewRequest("GET", "/health/ready", nil))
 		if w.Code != probe.Code {
 			t.Errorf("operators hear %d, clients %d", w.Code, probe.Code)
 		}
--- a/internal/proxy/ids.go
+++ b/internal/proxy/ids.go
@@ -7,26 +7,26 @@
 	"wrenspread/balancer"
 )
 
-// ids gives servers their numbers: a hash of the name, so that every node and
+// endpointIDs gives servers their numbers: a hash of the name, so that every node and
 // every restart agrees on them.
-type ids struct {
+type endpointIDs struct {
 	byName map[string]balancer.EndpointID
 	byID   map[balancer.EndpointID]string
 	hash   func(string) uint32
 }
 
-func newIDs() *ids {
-	return &ids{byName: map[string]balancer.EndpointID{}, byID: map[balancer.EndpointID]string{}, hash: func(s string) uint32 {
+func newEndpointIDs() *endpointIDs {
+	return &endpointIDs{byName: map[string]balancer.EndpointID{}, byID: map[balancer.EndpointID]string{}, hash: func(s string) uint32 {
 		h := fnv.New32a()
 		io.WriteString(h, s) // never fails
 		return h.Sum32()
 	}}
 }
 
-// of finds the number of a name. Of two names with one hash the later listed
+// idOf finds the number of a name. Of two names with one hash the later listed
 // is hashed again: two servers under one number would share their load and
 // their drains.
-func (d *ids) of(name string) balancer.EndpointID {
+func (d *endpointIDs) idOf(name string) balancer.EndpointID {
 	if id, ok := d.byName[name]; ok {
 		return id
 	}
@@ -41,7 +41,7 @@
 	return id
 }
 
-func (d *ids) forget(name string) {
+func (d *endpointIDs) forget(name string) {
 	delete(d.byID, d.byName[name])
 	delete(d.byName, name)
 }
--- a/internal/proxy/keys.go
+++ b/internal/proxy/keys.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// keys finds which values of a file don't have the type of their key, and which
+// typeChecker finds which values of a file don't have the type of their key, and which
 // keys have no meaning.
-type keys struct{ problems, unknown []string }
+type typeChecker struct{ problems, unknown []string }
 
 // check goes through what JSON has under path, which is to have the type of like.
-func (k *keys) check(path string, value, like any) { k.walk(path, value, reflect.TypeOf(like)) }
+func (k *typeChecker) check(path string, value, like any) { k.walk(path, value, reflect.TypeOf(like)) }
 
-func (k *keys) walk(path string, value any, t reflect.Type) {
+func (k *typeChecker) walk(path string, value any, t reflect.Type) {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -28,7 +28,7 @@
 	case t.Kind() == reflect.Slice:
 		all, ok := value.([]any)
 		if !ok {
-			k.wrong(path, value, "a list")
+			k.addProblem(path, value, "a list")
 		}
 		for i, e := range all {
 			k.walk(fmt.Sprintf("%s.%d", path, i), e, t.Elem())
@@ -39,15 +39,15 @@
 			err = json.Unmarshal(text, reflect.New(t).Interface())
 		}
 		if err != nil {
-			k.wrong(path, value, kinds[t.Kind()])
+			k.addProblem(path, value, kinds[t.Kind()])
 		}
 	}
 }
 
-func (k *keys) object(path string, value any, t reflect.Type) {
+func (k *typeChecker) object(path string, value any, t reflect.Type) {
 	o, ok := value.(map[string]any)
 	if !ok {
-		k.wrong(path, value, "an object")
+		k.addProblem(path, value, "an object")
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(o)) {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (k *keys) wrong(path string, value any, want string) {
+func (k *typeChecker) addProblem(path string, value any, want string) {
 	text, _ := json.Marshal(value) // it comes from JSON
 	if len(text) > 40 {
 		text = append(text[:40], "..."...)
--- a/internal/proxy/leash.go
+++ b/internal/proxy/leash.go
@@ -5,49 +5,49 @@
 	"sync"
 )
 
-// errCut ends an answer that this node may not go on with.
-var errCut = errors.New("the answer is cut off")
+// errResponseCut ends an answer that this node may not go on with.
+var errResponseCut = errors.New("the answer is cut off")
 
-// leash ends from elsewhere what one goroutine is busy with, and never what comes after that.
-type leash struct {
-	mu   sync.Mutex
-	end  func() // breaks what is under way; nil: it has not begun, or is over
-	over bool
-	cut  bool
+// canceller ends from elsewhere what one goroutine is busy with, and never what comes after that.
+type canceller struct {
+	mu        sync.Mutex
+	breakOff  func() // breaks what is under way; nil: it has not begun, or is over
+	finished  bool
+	cancelled bool
 }
 
-// take begins what end breaks.
-func (l *leash) take(end func()) {
+// begin begins what end breaks.
+func (l *canceller) begin(end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.end = end
+	l.breakOff = end
 }
 
-// pull ends it.
-func (l *leash) pull() {
+// cancel ends it.
+func (l *canceller) cancel() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.finished {
 		return
 	}
-	if l.cut = true; l.end != nil {
-		l.end()
+	if l.cancelled = true; l.breakOff != nil {
+		l.breakOff()
 	}
 }
 
-// pulled tells whether it is to end. It is asked after all that would undo what end did.
-func (l *leash) pulled() bool {
+// isCancelled tells whether it is to end. It is asked after all that would undo what end did.
+func (l *canceller) isCancelled() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.cancelled
 }
 
-// drop says that it is over, and how.
-func (l *leash) drop(err error) error {
+// finish says that it is over, and how.
+func (l *canceller) finish(err error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over, l.end = true, nil; l.cut {
-		return errCut
+	if l.finished, l.breakOff = true, nil; l.cancelled {
+		return errResponseCut
 	}
 	return err
 }
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -28,7 +28,9 @@
 	{"first of one in chunks", 1, nil, chunkedPost},
 	{"further, as the first has failed", 2, func(_ *running, answer func()) { answer() }, wholeGet},
 	{"further, beside the first", 2, func(n *running, _ func()) {
-		n.do(func() { n.act(balancer.StartAttempt{ID: "q", Endpoint: n.listed["s-0"], WriteBy: math.MaxInt64}) })
+		n.do(func() {
+			n.carryOut(balancer.StartAttempt{ID: "q", Endpoint: n.listedEndpoints["s-0"], WriteBy: math.MaxInt64})
+		})
 	}, wholeGet},
 	{"first of a long one, amid it", 1, nil, fmt.Sprintf(postHead+"Content-Length: 1000000\r\n\r\n", "q") + strings.Repeat("x", 70000)},
 	{"first of a long one in chunks, amid it", 1, nil, fmt.Sprintf(postHead+"Transfer-Encoding: chunked\r\n\r\nf4240\r\n", "q") + strings.Repeat("x", 70000)},
@@ -54,10 +56,10 @@
 						io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
 					}
 					var dial lateDial
-					n := startNodeWith(t, func(n *Node) {
+					n := startNodeWith(t, func(n *Server) {
 						dial = holdDials(n, w.dials)
-						n.cfg.Settings.AllowCancel, n.cfg.Settings.AllowHedging = false, true
-						n.module = balancer.New(n.cfg.Settings, 1)
+						n.config.Settings.AllowCancel, n.config.Settings.AllowHedging = false, true
+						n.balancer = balancer.New(n.config.Settings, 1)
 					}, backendServer(t, script), backendServer(t, script))
 					if strings.HasPrefix(w.name, "trial") {
 						n.accuse(t)
@@ -93,17 +95,17 @@
 	t.Helper()
 	n.on(t, func() {
 		now := n.now() - 10*time.Second
-		for i := 0; n.module.Ejected() < len(n.listed) && i < 100; i++ {
+		for i := 0; n.balancer.Ejected() < len(n.listedEndpoints) && i < 100; i++ {
 			id := balancer.RequestID(fmt.Sprint("refused", i))
-			actions := n.module.Handle(now, balancer.RequestArrived{ID: id, Class: "saldo", Timeout: time.Second})
+			actions := n.balancer.Handle(now, balancer.RequestArrived{ID: id, Class: "saldo", Timeout: time.Second})
 			for leg := 0; len(actions) > 0; leg++ {
 				s, sent := actions[0].(balancer.StartAttempt)
 				if actions = nil; sent {
-					actions = n.module.Handle(now, balancer.AttemptEnded{ID: id, Attempt: leg, Endpoint: s.Endpoint, Outcome: balancer.ConnectFailed})
+					actions = n.balancer.Handle(now, balancer.AttemptEnded{ID: id, Attempt: leg, Endpoint: s.Endpoint, Outcome: balancer.ConnectFailed})
 				}
 			}
 		}
-		if n.module.Ejected() < len(n.listed) {
+		if n.balancer.Ejected() < len(n.listedEndpoints) {
 			t.Error("there are servers that are no suspects")
 		}
 	})
@@ -127,12 +129,12 @@
 		}()
 		o := get("/api/x")
 		o.method, o.body = http.MethodPost, make([]byte, maxBody)
-		o.rest = &upload{length: length, pipe: read, wait: enough, ended: make(chan struct{}),
-			whole: func(time.Duration) {}, gone: func() bool { return true }}
+		o.upload = &upload{length: length, pipe: read, wait: enough, readingEnded: make(chan struct{}),
+			onComplete: func(time.Duration) {}, clientGone: func() bool { return true }}
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
 		defer cancel()
-		if res := p.attempt(ctx, 1, o, always, nil); res.code != balancer.Cancelled || !res.spent {
-			t.Errorf("length %d: outcome %d, spent %v", length, res.code, res.spent)
+		if res := p.attempt(ctx, 1, o, always, nil); res.outcome != balancer.Cancelled || !res.bodyDiscarded {
+			t.Errorf("length %d: outcome %d, spent %v", length, res.outcome, res.bodyDiscarded)
 		}
 		if err := wait(t, whole, "the server"); err == nil {
 			t.Errorf("length %d: a whole request came", length)
--- a/internal/proxy/listener/close_test.go
+++ b/internal/proxy/listener/close_test.go
@@ -73,14 +73,14 @@
 		served.Add(1)
 		h(w, r)
 	}), ConnState: func(c net.Conn, s http.ConnState) {
-		l.Note(c, s)
+		l.TrackState(c, s)
 		if s == http.StateNew || s == http.StateIdle {
 			states <- true
 		}
 	}}
 	go srv.Serve(l)
 	t.Cleanup(func() {
-		l.Hurry()
+		l.SkipLinger()
 		srv.Close()
 	})
 	return served, states
@@ -183,7 +183,7 @@
 func TestNextRequestThatStops(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln, 1)
-	l.HeadTime = 50 * time.Millisecond
+	l.HeadTimeout = 50 * time.Millisecond
 	_, states := serve(t, l, func(http.ResponseWriter, *http.Request) {})
 	conn := dial(t, ln)
 	io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/internal/proxy/listener/conn.go
+++ b/internal/proxy/listener/conn.go
@@ -14,28 +14,28 @@
 	// lingerTime is for a client to close after the node has: a round trip,
 	// around the planet at most, and a busy client's own time.
 	lingerTime = 500 * time.Millisecond
-	// lingerBytes are read of what a client still sends then: some of the
+	// maxLingerBytes are read of what a client still sends then: some of the
 	// longest requests. One that sends more reads no answer.
-	lingerBytes = 256 << 10
-	aheadStep   = 1 << 10 // bytes read at a time behind a request in flight
+	maxLingerBytes    = 256 << 10
+	pipelinedReadSize = 1 << 10 // bytes read at a time behind a request in flight
 )
 
 // Conn is a client's connection.
 type Conn struct {
 	net.Conn
-	listener *Listener
-	began    atomic.Int64 // when the request under way did, or the connection
-	free     func()
+	listener  *Listener
+	startedAt atomic.Int64 // when the request under way did, or the connection
+	release   func()
 
-	mu       sync.Mutex // of what follows
-	state    state
-	mute     bool  // it gave way ahead of its first byte
-	ended    error // how the client's side has; nil: it has not
-	unread   bool  // there are bytes ahead of that
-	framing  framing
-	inFlight bool   // the server has a whole request, and has not ended it
-	served   bool   // something has come before
-	behind   []byte // what came after the end of a request
+	mu        sync.Mutex // of what follows
+	state     state
+	gaveWay   bool  // it gave way ahead of its first byte
+	readError error // how the client's side has; nil: it has not
+	unread    bool  // there are bytes ahead of that
+	framing   framing
+	inFlight  bool   // the server has a whole request, and has not ended it
+	served    bool   // something has come before
+	pipelined []byte // what came after the end of a request
 }
 
 // Read holds back what follows a head of ambiguous length. It ends at the end
@@ -44,40 +44,40 @@
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	watches := c.watches(p)
+	watches := c.isBackgroundRead(p)
 	for buf := p; ; {
 		switch {
 		case c.framing.err != nil:
 			return 0, c.framing.err
-		case c.ended != nil:
-			return 0, c.ended // whatever is kept: a client that has left is owed no more
-		case len(c.behind) > 0 && !watches:
-			n, err := c.pass(p[:copy(p, c.behind)])
-			c.behind = c.behind[n:]
+		case c.readError != nil:
+			return 0, c.readError // whatever is kept: a client that has left is owed no more
+		case len(c.pipelined) > 0 && !watches:
+			n, err := c.followFraming(p[:copy(p, c.pipelined)])
+			c.pipelined = c.pipelined[n:]
 			return n, err
-		case len(c.behind) >= MaxHead:
-			return 0, c.awaitEnd()
+		case len(c.pipelined) >= MaxHead:
+			return 0, c.waitForClientEnd()
 		}
 		n, err := c.receive(buf)
 		if err != nil {
 			return 0, err
 		}
 		if !watches {
-			passed, err := c.pass(p[:n])
-			c.behind = append([]byte(nil), p[passed:n]...)
+			passed, err := c.followFraming(p[:n])
+			c.pipelined = append([]byte(nil), p[passed:n]...)
 			return passed, err
 		}
-		if c.behind = append(c.behind, buf[:n]...); len(buf) < aheadStep {
-			buf = make([]byte, aheadStep)
+		if c.pipelined = append(c.pipelined, buf[:n]...); len(buf) < pipelinedReadSize {
+			buf = make([]byte, pipelinedReadSize)
 		}
 	}
 }
 
-// watches tells whether a read is the server's beside a handler, by which it
+// isBackgroundRead tells whether a read is the server's beside a handler, by which it
 // hears that the client leaves. It asks for one byte, and hears nothing more once
 // it has one: so it gets none. Where the request ends is not known of one in
 // chunks, but there the server reads one byte at no other time.
-func (c *Conn) watches(p []byte) bool { return c.inFlight || c.framing.chunked && len(p) == 1 }
+func (c *Conn) isBackgroundRead(p []byte) bool { return c.inFlight || c.framing.chunked && len(p) == 1 }
 
 // receive takes what the client has sent, unless the connection has been closed.
 func (c *Conn) receive(p []byte) (int, error) {
@@ -86,7 +86,7 @@
 	c.mu.Lock()
 	if n == 0 && err != nil {
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.ended = err
+			c.readError = err
 		}
 		return 0, err
 	}
@@ -97,17 +97,17 @@
 	return n, nil
 }
 
-// pass follows what the server is given, and tells how much that is.
-func (c *Conn) pass(p []byte) (int, error) {
-	if c.framing.between() && c.served {
+// followFraming follows what the server is given, and tells how much that is.
+func (c *Conn) followFraming(p []byte) (int, error) {
+	if c.framing.isBetweenRequests() && c.served {
 		now := time.Now()
-		c.began.Store(now.UnixNano())
-		if d := c.listener.HeadTime; d > 0 { // the server begins to count at the fourth byte
+		c.startedAt.Store(now.UnixNano())
+		if d := c.listener.HeadTimeout; d > 0 { // the server begins to count at the fourth byte
 			c.Conn.SetReadDeadline(now.Add(d))
 		}
 	}
 	c.served = true
-	n := c.framing.pass(p)
+	n := c.framing.follow(p)
 	if n == 0 && c.framing.err != nil {
 		return 0, c.framing.err
 	}
@@ -125,14 +125,14 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Began is when the first byte of the request under way came, or the connection.
-func (c *Conn) Began() time.Time { return time.Unix(0, c.began.Load()) }
+// StartedAt is when the first byte of the request under way came, or the connection.
+func (c *Conn) StartedAt() time.Time { return time.Unix(0, c.startedAt.Load()) }
 
 // Pending tells whether something has been read behind the request under way.
 func (c *Conn) Pending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.behind) > 0
+	return len(c.pipelined) > 0
 }
 
 // Close ends the connection, and then gives its place to another. A close over
@@ -141,13 +141,13 @@
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.state = closed
-	ended := c.ended != nil && !c.unread || c.mute
+	ended := c.readError != nil && !c.unread || c.gaveWay
 	c.mu.Unlock()
-	if !ended && !c.listener.hurried.Load() {
+	if !ended && !c.listener.skipLinger.Load() {
 		c.linger()
 	}
 	err := c.Conn.Close()
-	c.free()
+	c.release()
 	return err
 }
 
@@ -159,7 +159,7 @@
 	}
 	c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
 	buf := make([]byte, 1<<10)
-	for got := 0; got < lingerBytes; {
+	for got := 0; got < maxLingerBytes; {
 		n, err := c.Conn.Read(buf)
 		if err != nil {
 			return
--- a/internal/proxy/listener/framing.go
+++ b/internal/proxy/listener/framing.go
@@ -17,28 +17,30 @@
 // settles on one without a word, and what the client holds to be body may be
 // taken for a request that it never sent. Such a head is not let through.
 type framing struct {
-	line    []byte // of a head, so far
-	begun   bool   // the head's first line is over
-	old     bool   // that line names no HTTP/1.1
-	lengths []string
-	codings int
-	body    int64 // bytes still to come
-	chunked bool  // this one ends where the server says; what follows is never served
-	ended   bool  // a request has, of which the server has been given the last byte
-	err     error
+	headLine       []byte // of a head, so far
+	hasRequestLine bool   // the head's first line is over
+	isOldVersion   bool   // that line names no HTTP/1.1
+	lengths        []string
+	codings        int
+	bodyLeft       int64 // bytes still to come
+	chunked        bool  // this one ends where the server says; what follows is never served
+	ended          bool  // a request has, of which the server has been given the last byte
+	err            error
 }
 
-// between tells that the next byte begins a request.
-func (f *framing) between() bool { return !f.begun && len(f.line) == 0 && f.body == 0 && !f.chunked }
+// isBetweenRequests tells that the next byte begins a request.
+func (f *framing) isBetweenRequests() bool {
+	return !f.hasRequestLine && len(f.headLine) == 0 && f.bodyLeft == 0 && !f.chunked
+}
 
-// pass follows what was read, and tells how much of it may go on: up to the end
+// follow follows what was read, and tells how much of it may go on: up to the end
 // of a request, or all but the end of a head that leaves f.err.
-func (f *framing) pass(p []byte) int {
+func (f *framing) follow(p []byte) int {
 	for i := 0; i < len(p) && !f.chunked; {
-		if f.body > 0 {
-			n := int(min(f.body, int64(len(p)-i)))
-			f.body -= int64(n)
-			if i += n; f.body == 0 {
+		if f.bodyLeft > 0 {
+			n := int(min(f.bodyLeft, int64(len(p)-i)))
+			f.bodyLeft -= int64(n)
+			if i += n; f.bodyLeft == 0 {
 				f.ended = true
 				return i
 			}
@@ -46,16 +48,16 @@
 		}
 		end := bytes.IndexByte(p[i:], '\n')
 		if end < 0 {
-			f.keep(p[i:])
+			f.appendLine(p[i:])
 			break
 		}
-		f.keep(p[i : i+end])
+		f.appendLine(p[i : i+end])
 		whole, err := f.endLine()
 		if err != nil {
 			f.err = err
 			return i + end
 		}
-		if i += end + 1; whole && f.body == 0 && !f.chunked {
+		if i += end + 1; whole && f.bodyLeft == 0 && !f.chunked {
 			f.ended = true
 			return i
 		}
@@ -63,19 +65,19 @@
 	return len(p)
 }
 
-// keep holds a line to the size of a head: the server refuses a longer one.
-func (f *framing) keep(p []byte) {
-	f.line = append(f.line, p[:min(len(p), MaxHead-len(f.line))]...)
+// appendLine holds a line to the size of a head: the server refuses a longer one.
+func (f *framing) appendLine(p []byte) {
+	f.headLine = append(f.headLine, p[:min(len(p), MaxHead-len(f.headLine))]...)
 }
 
 // endLine tells whether the head is whole.
 func (f *framing) endLine() (whole bool, err error) {
-	line := bytes.TrimSuffix(f.line, []byte("\r"))
-	f.line = f.line[:0] // its bytes are as they were until the next line comes
+	line := bytes.TrimSuffix(f.headLine, []byte("\r"))
+	f.headLine = f.headLine[:0] // its bytes are as they were until the next line comes
 	switch {
-	case !f.begun && len(line) == 0: // allowed ahead of a request
-	case !f.begun:
-		f.begun, f.old = true, !bytes.HasSuffix(line, []byte(" HTTP/1.1"))
+	case !f.hasRequestLine && len(line) == 0: // allowed ahead of a request
+	case !f.hasRequestLine:
+		f.hasRequestLine, f.isOldVersion = true, !bytes.HasSuffix(line, []byte(" HTTP/1.1"))
 	case len(line) == 0:
 		return true, f.endHead()
 	case line[0] == ' ' || line[0] == '\t': // a folded line hides a header from some readers
@@ -96,7 +98,7 @@
 // and the server would skip the header.
 func (f *framing) endHead() error {
 	switch {
-	case f.codings > 0 && (f.codings > 1 || len(f.lengths) > 0 || f.old), len(f.lengths) > 1:
+	case f.codings > 0 && (f.codings > 1 || len(f.lengths) > 0 || f.isOldVersion), len(f.lengths) > 1:
 		return errFraming
 	case f.codings > 0:
 		f.chunked = true
@@ -105,8 +107,8 @@
 		if err != nil {
 			return errFraming
 		}
-		f.body = int64(n)
+		f.bodyLeft = int64(n)
 	}
-	f.begun, f.lengths = false, f.lengths[:0]
+	f.hasRequestLine, f.lengths = false, f.lengths[:0]
 	return nil
 }
--- a/internal/proxy/listener/full_test.go
+++ b/internal/proxy/listener/full_test.go
@@ -36,7 +36,7 @@
 func TestClientsThatCanNotBeTaken(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln.TCPListener, 1)
-	l.FullTime = 2 * lingerTime
+	l.FullTimeout = 2 * lingerTime
 	began, release := make(chan bool, 2), make(chan bool, 2)
 	_, states := serve(t, l, func(http.ResponseWriter, *http.Request) {
 		began <- true
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	c.(*Conn).inFlight = true
-	l.Note(c, http.StateIdle)
+	l.TrackState(c, http.StateIdle)
 	short.times = 2
 	dial(t, ln)
 	if _, err := l.Accept(); err != nil {
--- a/internal/proxy/listener/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -21,9 +21,9 @@
 	closed // what is read later is not taken
 )
 
-// Note follows which connections are idle, for http.Server's ConnState. The server
+// TrackState follows which connections are idle, for http.Server's ConnState. The server
 // calls it while it does not read.
-func (l *Listener) Note(c net.Conn, s http.ConnState) {
+func (l *Listener) TrackState(c net.Conn, s http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.idle, c)
@@ -31,35 +31,35 @@
 	if s == http.StateNew {
 		l.fresh[c] = time.Now()
 	}
-	if s != http.StateIdle || !c.(*Conn).goIdle() {
+	if s != http.StateIdle || !c.(*Conn).markIdle() {
 		return
 	}
 	if l.ending {
-		c.(*Conn).closeAt(idle)
+		c.(*Conn).closeInState(idle)
 		return
 	}
 	l.idle[c] = time.Now()
 	l.full.Store(false) // this one gives way
 }
 
-// goIdle marks a connection as idle, unless something of a next request is here.
-func (c *Conn) goIdle() bool {
+// markIdle marks a connection as idle, unless something of a next request is here.
+func (c *Conn) markIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight = false
-	if !c.framing.between() || len(c.behind) > 0 {
+	if !c.framing.isBetweenRequests() || len(c.pipelined) > 0 {
 		return false
 	}
 	c.state = idle
 	return true
 }
 
-// closeAt closes a connection that is in a state, in which nobody is owed an
+// closeInState closes a connection that is in a state, in which nobody is owed an
 // answer: the server's read ends, upon which the server closes it.
-func (c *Conn) closeAt(s state) bool {
+func (c *Conn) closeInState(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.end(s)
+	return c.closeInStateLocked(s)
 }
 
 // giveWay is closeAt for one that makes room. One that has sent nothing, neither,
@@ -68,15 +68,15 @@
 func (c *Conn) giveWay(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s == fresh && socketoption.Readable(c.Conn) || !c.end(s) {
+	if s == fresh && socketoption.Readable(c.Conn) || !c.closeInStateLocked(s) {
 		return false
 	}
-	c.mute = s == fresh
+	c.gaveWay = s == fresh
 	return true
 }
 
-// end is closeAt for whoever holds the lock.
-func (c *Conn) end(s state) bool {
+// closeInStateLocked is closeAt for whoever holds the lock.
+func (c *Conn) closeInStateLocked(s state) bool {
 	if c.state != s {
 		return false
 	}
@@ -85,17 +85,17 @@
 	return true
 }
 
-// evict closes the connection that has been idle longest or, with none idle, the
+// evictIdle closes the connection that has been idle longest or, with none idle, the
 // one that has sent nothing for longest since it is new. It is false if there is none.
-func (l *Listener) evict() bool {
+func (l *Listener) evictIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	if closeOldest(l.idle, idle, now) {
-		l.fullAt = now // its client has lingerTime
+		l.fullSince = now // its client has lingerTime
 		return true
 	}
-	return closeOldest(l.fresh, fresh, now.Add(-freshLeast))
+	return closeOldest(l.fresh, fresh, now.Add(-minFreshTime))
 }
 
 // closeOldest closes the connection that has been in a state for longest, since a time or before.
@@ -124,7 +124,7 @@
 	defer l.mu.Unlock()
 	l.ending = true
 	for c := range l.idle {
-		c.(*Conn).closeAt(idle)
+		c.(*Conn).closeInState(idle)
 	}
 	clear(l.idle)
 }
@@ -134,6 +134,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.fresh {
-		c.(*Conn).closeAt(fresh)
+		c.(*Conn).closeInState(fresh)
 	}
 }
--- a/internal/proxy/listener/inherited.go
+++ b/internal/proxy/listener/inherited.go
@@ -24,16 +24,16 @@
 	defer f.Close()
 	ln, err := net.FileListener(f)
 	if tcp, ok := ln.(*net.TCPListener); ok {
-		return shared{tcp}, nil
+		return sharedListener{tcp}, nil
 	}
 	return ln, err
 }
 
-// shared is a socket whose mode belongs to all processes that have it. Whoever passes it on to the next one may set
+// sharedListener is a socket whose mode belongs to all processes that have it. Whoever passes it on to the next one may set
 // it to block meanwhile, as os/exec does: an accept that finds nobody would then hold up even Close until a client comes.
-type shared struct{ *net.TCPListener }
+type sharedListener struct{ *net.TCPListener }
 
-func (l shared) Accept() (net.Conn, error) {
+func (l sharedListener) Accept() (net.Conn, error) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), true) })
 	}
--- a/internal/proxy/listener/left.go
+++ b/internal/proxy/listener/left.go
@@ -9,32 +9,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Left tells whether the client has ended its connection, or its sending, as far as the system knows, also behind bytes
+// ClientGone tells whether the client has ended its connection, or its sending, as far as the system knows, also behind bytes
 // that nobody has read. The server's own read, which waits for that, may come later than an attempt.
-func (c *Conn) Left() bool {
+func (c *Conn) ClientGone() bool {
 	raw, err := c.socket()
 	if err != nil {
 		return true // closed
 	}
 	left := false
-	err = raw.Control(func(fd uintptr) { left = ended(int(fd)) }) // not Read, which would wait for the server's
+	err = raw.Control(func(fd uintptr) { left = hasEnded(int(fd)) }) // not Read, which would wait for the server's
 	return left || err != nil
 }
 
-// awaitEnd waits until the client has, and reads nothing meanwhile: there is no room to keep more. An error other than
+// waitForClientEnd waits until the client has, and reads nothing meanwhile: there is no room to keep more. An error other than
 // io.EOF says that the wait was called off.
-func (c *Conn) awaitEnd() error {
+func (c *Conn) waitForClientEnd() error {
 	raw, err := c.socket()
 	if err != nil {
 		return err
 	}
 	c.mu.Unlock()
-	err = raw.Read(func(fd uintptr) bool { return ended(int(fd)) }) // asked whenever something has come
+	err = raw.Read(func(fd uintptr) bool { return hasEnded(int(fd)) }) // asked whenever something has come
 	c.mu.Lock()
 	if err != nil {
 		return err
 	}
-	c.ended, c.unread = io.EOF, true
+	c.readError, c.unread = io.EOF, true
 	return io.EOF
 }
 
@@ -46,8 +46,8 @@
 	return sc.SyscallConn()
 }
 
-// ended tells whether nothing more comes on a socket but what is there to be read.
-func ended(fd int) bool {
+// hasEnded tells whether nothing more comes on a socket but what is there to be read.
+func hasEnded(fd int) bool {
 	var b [1]byte
 	if n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); n <= 0 {
 		return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	outliveStep = 50 * time.Millisecond // between two looks at connections that are to end
-	queueTime   = 50 * time.Millisecond // to accept a connection that waits already
-	evictStep   = 20 * time.Millisecond // for a client that is told to close to do so, before another is told
-	// freshLeast is for a new client's first byte to come, before it may give way: a
+	connCheckInterval = 50 * time.Millisecond // between two looks at connections that are to end
+	queueAcceptTime   = 50 * time.Millisecond // to accept a connection that waits already
+	evictPause        = 20 * time.Millisecond // for a client that is told to close to do so, before another is told
+	// minFreshTime is for a new client's first byte to come, before it may give way: a
 	// round trip, or two. Clients connect when they have something to send.
-	freshLeast = 100 * time.Millisecond
+	minFreshTime = 100 * time.Millisecond
 )
 
 // Listener holds accepted connections to a number, so that clients leave
 // descriptors for the servers.
 type Listener struct {
 	net.Listener
-	HeadTime time.Duration // for a later request's head to come, from its first byte on; 0: the server's matter
-	FullTime time.Duration // with all places taken and none idle, after which those who can't be taken are shut; 0: they wait
-	slots    chan struct{}
-	full     atomic.Bool // clients who come now are shut
-	hurried  atomic.Bool // no client's close is waited for
-	shut     chan struct{}
-	once     sync.Once // for that
+	HeadTimeout time.Duration // for a later request's head to come, from its first byte on; 0: the server's matter
+	FullTimeout time.Duration // with all places taken and none idle, after which those who can't be taken are shut; 0: they wait
+	slots       chan struct{}
+	full        atomic.Bool // clients who come now are shut
+	skipLinger  atomic.Bool // no client's close is waited for
+	closed      chan struct{}
+	closeOnce   sync.Once // for that
 
-	fullAt time.Time // Accept's: since when it has found places taken and none idle; zero: the last one was there at once
+	fullSince time.Time // Accept's: since when it has found places taken and none idle; zero: the last one was there at once
 
 	mu     sync.Mutex
 	idle   map[net.Conn]time.Time // since when
@@ -47,7 +47,7 @@
 
 // Limit has ln accept most connections at a time.
 func Limit(ln net.Listener, most int) *Listener {
-	return &Listener{Listener: ln, slots: make(chan struct{}, most), shut: make(chan struct{}), idle: map[net.Conn]time.Time{}, fresh: map[net.Conn]time.Time{}}
+	return &Listener{Listener: ln, slots: make(chan struct{}, most), closed: make(chan struct{}), idle: map[net.Conn]time.Time{}, fresh: map[net.Conn]time.Time{}}
 }
 
 // Accept makes room by closing a connection that is not in use: clients that
@@ -58,7 +58,7 @@
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		placed := l.takeSlot()
-		c, err := l.next()
+		c, err := l.acceptNext()
 		if err == nil && !placed {
 			if placed = l.takeSlot(); !placed {
 				c.Close()
@@ -67,20 +67,20 @@
 		}
 		if err != nil {
 			if placed {
-				l.leaveSlot()
+				l.releaseSlot()
 			}
 			return nil, err
 		}
-		lc := &Conn{Conn: c, listener: l, free: sync.OnceFunc(l.leaveSlot)}
-		lc.began.Store(time.Now().UnixNano())
+		lc := &Conn{Conn: c, listener: l, release: sync.OnceFunc(l.releaseSlot)}
+		lc.startedAt.Store(time.Now().UnixNano())
 		return lc, nil
 	}
 }
 
-// next takes the next connection off the queue. Where the system has no
+// acceptNext takes the next connection off the queue. Where the system has no
 // descriptor left, a client that is not in use gives up its own; the server
 // would wait for up to a second.
-func (l *Listener) next() (net.Conn, error) {
+func (l *Listener) acceptNext() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		switch {
@@ -88,8 +88,8 @@
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, net.ErrClosed // the server goes on after a timeout
 		case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-			l.evict()
-			time.Sleep(evictStep)
+			l.evictIdle()
+			time.Sleep(evictPause)
 		default:
 			return c, err
 		}
@@ -101,17 +101,17 @@
 func (l *Listener) takeSlot() bool {
 	select {
 	case l.slots <- struct{}{}:
-		l.fullAt = time.Time{}
+		l.fullSince = time.Time{}
 		return true
 	default:
 	}
-	if l.fullAt.IsZero() {
-		l.fullAt = time.Now()
+	if l.fullSince.IsZero() {
+		l.fullSince = time.Now()
 	}
-	again := time.NewTicker(evictStep)
+	again := time.NewTicker(evictPause)
 	defer again.Stop()
 	for {
-		full := !l.evict() && l.FullTime > 0 && time.Since(l.fullAt) >= l.FullTime
+		full := !l.evictIdle() && l.FullTimeout > 0 && time.Since(l.fullSince) >= l.FullTimeout
 		l.full.Store(full) // ahead of the last look for a place
 		select {
 		case l.slots <- struct{}{}:
@@ -125,14 +125,14 @@
 		select {
 		case l.slots <- struct{}{}:
 			return true
-		case <-l.shut:
+		case <-l.closed:
 			return false
 		case <-again.C: // the client has not closed, or none gave way
 		}
 	}
 }
 
-func (l *Listener) leaveSlot() {
+func (l *Listener) releaseSlot() {
 	<-l.slots
 	l.full.Store(false)
 }
@@ -142,7 +142,7 @@
 
 // Close leaves what waits in the queue to other processes, if there are any.
 func (l *Listener) Close() error {
-	l.once.Do(func() { close(l.shut) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
@@ -159,15 +159,15 @@
 // gives Accept time to take it, unless another process does.
 func (l *Listener) queued() bool {
 	ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	return ok && socketoption.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueTime)) == nil
+	return ok && socketoption.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueAcceptTime)) == nil
 }
 
-// Hurry has connections close at once from now on.
-func (l *Listener) Hurry() { l.hurried.Store(true) }
+// SkipLinger has connections close at once from now on.
+func (l *Listener) SkipLinger() { l.skipLinger.Store(true) }
 
-// Outlive returns when ctx ends, or all connections have and the least time is over.
-func (l *Listener) Outlive(ctx context.Context, least time.Duration) {
+// WaitForConns returns when ctx ends, or all connections have and the least time is over.
+func (l *Listener) WaitForConns(ctx context.Context, least time.Duration) {
 	for ok := backoff.Sleep(ctx, least); ok && len(l.slots) > 0; {
-		ok = backoff.Sleep(ctx, outliveStep)
+		ok = backoff.Sleep(ctx, connCheckInterval)
 	}
 }
--- a/internal/proxy/listener/listener_test.go
+++ b/internal/proxy/listener/listener_test.go
@@ -20,7 +20,7 @@
 	l := Limit(ln, 2)
 	idle := make(chan struct{}, 10)
 	srv := &http.Server{Handler: http.NotFoundHandler(), ConnState: func(c net.Conn, s http.ConnState) {
-		l.Note(c, s)
+		l.TrackState(c, s)
 		if s == http.StateIdle {
 			idle <- struct{}{}
 		}
@@ -112,7 +112,7 @@
 				t.Errorf("inherited %v: TCP_NODELAY is %d, %v", inherited, on, err)
 			}
 		})
-		l.Hurry()
+		l.SkipLinger()
 		c.Close()
 	}
 }
@@ -150,6 +150,6 @@
 			}
 			c.Close()
 		}
-		wait(t, l.shut, "the end of accepting")
+		wait(t, l.closed, "the end of accepting")
 	}
 }
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -11,9 +11,9 @@
 	"wrenspread/internal/registry/client"
 )
 
-// lists is where a node's list of servers comes from. Its methods do not block,
+// endpointSource is where a node's list of servers comes from. Its methods do not block,
 // and are the loop's alone.
-type lists interface {
+type endpointSource interface {
 	// Follow takes lists as they are pushed, the whole one first.
 	Follow(ctx context.Context)
 	// Poll does what the module asks for where lists are not pushed.
@@ -23,166 +23,166 @@
 // listHold is short, so that a node soon notices a replica that is cut off without a word.
 const listHold = 5 * time.Second
 
-// firstWord is how long a new process waits for what the agent holds, which
+// agentAnswerTimeout is how long a new process waits for what the agent holds, which
 // counts from its first moment. An agent answers at once, or is silent with
 // discovery: then the list of before has to do.
-const firstWord = 500 * time.Millisecond
+const agentAnswerTimeout = 500 * time.Millisecond
 
-var states = map[string]balancer.EndpointState{registry.Ready: balancer.Ready, registry.Draining: balancer.Draining, registry.Removed: balancer.Removed}
+var endpointStates = map[string]balancer.EndpointState{registry.Ready: balancer.Ready, registry.Draining: balancer.Draining, registry.Removed: balancer.Removed}
 
-func kindOf(l registry.ListResponse) balancer.UpdateKind {
+func updateKindOf(l registry.ListResponse) balancer.UpdateKind {
 	if l.Snapshot {
 		return balancer.UpdateComplete
 	}
 	return balancer.UpdateIncremental
 }
 
-// newLists makes the client of the project's list service, where it is
+// newEndpointSource makes the client of the project's list service, where it is
 // configured, else the follower of the platform's discovery.
-func (n *Node) newLists() (lists, error) {
-	listed := func(l registry.ListResponse) { n.post(func() { n.follow(l, kindOf(l)) }) }
+func (n *Server) newEndpointSource() (endpointSource, error) {
+	listed := func(l registry.ListResponse) { n.post(func() { n.applyList(l, updateKindOf(l)) }) }
 	failed := func() { n.post(func() { n.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
-	if len(n.cfg.List) == 0 {
-		return client.NewPlatform(n.cfg.Discovery, n.cfg.Settings.PollForEndpoints, n.cfg.known.Index, n.log, listed, failed), nil
+	if len(n.config.Registry) == 0 {
+		return client.NewPlatform(n.config.Discovery, n.config.Settings.PollForEndpoints, n.config.initialList.Index, n.log, listed, failed), nil
 	}
-	s := &service{listed: listed}
-	c := client.Config{Addresses: n.cfg.List, File: n.cfg.ListFile, Hold: listHold, Log: n.log, OnChange: listed}
-	if s.part.now.Store(scopeOf(n.cfg.Settings)); n.cfg.ListPart {
-		c.ChooseSubset = s.part.next
+	s := &registrySource{onList: listed}
+	c := client.Config{Addresses: n.config.Registry, File: n.config.RegistryCache, Hold: listHold, Log: n.log, OnChange: listed}
+	if s.subset.inputs.Store(subsetInputsOf(n.config.Settings)); n.config.RegistrySubset {
+		c.ChooseSubset = s.subset.next
 	}
 	var err error
-	if s.k, err = client.New(c); err != nil {
+	if s.client, err = client.New(c); err != nil {
 		return nil, err
 	}
-	if v, _ := s.k.List(); v.Version > 0 { // kept by the process before
-		n.cfg.known = snapshot(v)
+	if v, _ := s.client.List(); v.Version > 0 { // kept by the process before
+		n.config.initialList = responseOf(v)
 	}
 	return s, nil
 }
 
-// beginLists takes the list of before, and follows where lists are pushed.
-func (n *Node) beginLists(ctx context.Context) {
-	pushed := !n.cfg.Settings.PollForEndpoints
-	if _, agent := n.lists.(*client.Platform); pushed && agent {
-		n.unheard = true
-		time.AfterFunc(n.first, func() { n.post(n.welcome) })
+// startEndpointSource takes the list of before, and follows where lists are pushed.
+func (n *Server) startEndpointSource(ctx context.Context) {
+	pushed := !n.config.Settings.PollForEndpoints
+	if _, agent := n.endpointSource.(*client.Platform); pushed && agent {
+		n.awaitingAgent = true
+		time.AfterFunc(n.firstListTimeout, func() { n.post(n.agentAnswered) })
 	}
 	select {
-	case <-n.told: // by an address to which SIGHUP has moved the node meanwhile: what is known is older
+	case <-n.listKnown: // by an address to which SIGHUP has moved the node meanwhile: what is known is older
 	default:
-		n.follow(n.cfg.known, balancer.UpdateCached)
+		n.applyList(n.config.initialList, balancer.UpdateCached)
 	}
-	n.cfg.known.Endpoints = nil // what is known is kept in a shorter form from here on
+	n.config.initialList.Endpoints = nil // what is known is kept in a shorter form from here on
 	if pushed {
-		n.lists.Follow(ctx)
+		n.endpointSource.Follow(ctx)
 	}
 }
 
-// welcome tells the front that clients may come, as far as the agent's first word is concerned.
-func (n *Node) welcome() {
-	n.unheard = false
-	n.settleReady()
+// agentAnswered tells the front that clients may come, as far as the agent's first word is concerned.
+func (n *Server) agentAnswered() {
+	n.awaitingAgent = false
+	n.updateReady()
 }
 
-// service is the list service with its several replicas. It pushes lists for ever,
+// registrySource is the list service with its several replicas. It pushes lists for ever,
 // so a module that asks is told what is there.
-type service struct {
-	k        *client.Client
-	part     scoped
-	listed   func(registry.ListResponse)
+type registrySource struct {
+	client   *client.Client
+	subset   subsetChooser
+	onList   func(registry.ListResponse)
 	watching bool
 }
 
-func (s *service) Follow(ctx context.Context) {
+func (s *registrySource) Follow(ctx context.Context) {
 	if !s.watching {
 		s.watching = true
-		go s.k.Follow(ctx)
+		go s.client.Follow(ctx)
 	}
 }
 
-func (s *service) Poll(ctx context.Context, fetch, watch bool) {
-	if v, _ := s.k.List(); fetch && v.Version > 0 {
-		s.listed(snapshot(v))
+func (s *registrySource) Poll(ctx context.Context, fetch, watch bool) {
+	if v, _ := s.client.List(); fetch && v.Version > 0 {
+		s.onList(responseOf(v))
 	}
 	if fetch || watch {
 		s.Follow(ctx)
 	}
 }
 
-// moveLists goes on where a new configuration says, and in the way that it says, if that has turned: a module that
+// moveEndpointSource goes on where a new configuration says, and in the way that it says, if that has turned: a module that
 // lists are pushed to does not ask for them when a watch fails.
-func (n *Node) moveLists(cfg Config) {
-	switch l := n.lists.(type) {
-	case *service:
-		l.part.now.Store(scopeOf(n.cfg.Settings))
-		if !n.cfg.Settings.PollForEndpoints {
-			l.Follow(n.ctx)
+func (n *Server) moveEndpointSource(cfg Config) {
+	switch l := n.endpointSource.(type) {
+	case *registrySource:
+		l.subset.inputs.Store(subsetInputsOf(n.config.Settings))
+		if !n.config.Settings.PollForEndpoints {
+			l.Follow(n.loopContext)
 		}
-		if slices.Equal(cfg.List, n.cfg.List) {
+		if slices.Equal(cfg.Registry, n.config.Registry) {
 			return
 		}
-		if err := l.k.SetAddresses(cfg.List); err != nil {
+		if err := l.client.SetAddresses(cfg.Registry); err != nil {
 			n.log.Error("the list service does not move", "err", err)
 			return
 		}
-		n.log.Info("the list service moves", "to", cfg.List)
-		n.cfg.List = cfg.List
-		if n.governed != nil {
-			n.governed.k.SetAddresses(cfg.List) // as good as the ones just taken
+		n.log.Info("the list service moves", "to", cfg.Registry)
+		n.config.Registry = cfg.Registry
+		if n.policy != nil {
+			n.policy.client.SetAddresses(cfg.Registry) // as good as the ones just taken
 		}
 		if n.tenants != nil {
-			n.tenants.k.SetAddresses(cfg.List)
+			n.tenants.client.SetAddresses(cfg.Registry)
 		}
 	case *client.Platform:
-		asked := n.cfg.Settings.PollForEndpoints
-		if cfg.Discovery != n.cfg.Discovery || asked != l.Polls() {
+		asked := n.config.Settings.PollForEndpoints
+		if cfg.Discovery != n.config.Discovery || asked != l.Polls() {
 			n.log.Info("discovery moves", "to", cfg.Discovery, "asked", asked)
-			n.cfg.Discovery = cfg.Discovery
-			l.Move(n.ctx, cfg.Discovery, asked)
+			n.config.Discovery = cfg.Discovery
+			l.Move(n.loopContext, cfg.Discovery, asked)
 		}
 	}
 }
 
-// follow takes a list from discovery: addresses for the sockets, the rest for
+// applyList takes a list from discovery: addresses for the sockets, the rest for
 // the module.
-func (n *Node) follow(l registry.ListResponse, kind balancer.UpdateKind) {
+func (n *Server) applyList(l registry.ListResponse, kind balancer.UpdateKind) {
 	entries := slices.Clone(l.Endpoints)
 	// In one order whatever the list's, as the numbers of names that share a
 	// hash depend on it. Of entries of one name the last counts.
 	slices.SortStableFunc(entries, func(a, b registry.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	u := balancer.EndpointsUpdated{Kind: kind, Version: l.Index}
-	placePart(&u, l, n.cfg.Settings.ProxyIndex)
+	setSubset(&u, l, n.config.Settings.ProxyIndex)
 	missing := map[string]bool{}
 	if kind != balancer.UpdateIncremental {
-		for name := range n.listed {
+		for name := range n.listedEndpoints {
 			missing[name] = true
 		}
 	}
 	for _, e := range entries {
-		id, state := n.ids.of(e.Name), states[e.Status]
+		id, state := n.endpointIDs.idOf(e.Name), endpointStates[e.Status]
 		u.Endpoints = append(u.Endpoints, balancer.Endpoint{ID: id, Zone: e.Zone, MachineType: e.Type, Cell: e.Cell, State: state,
 			Weight: e.Weight, StartedAt: time.Duration(e.StartedAtMS) * time.Millisecond})
 		if missing[e.Name] = state == balancer.Removed; state != balancer.Removed {
-			n.listed[e.Name] = id
-			n.backends.set(id, e.Address, e.StartedAtMS)
-			n.backends.drain(id, state == balancer.Draining)
+			n.listedEndpoints[e.Name] = id
+			n.pool.setBackend(id, e.Address, e.StartedAtMS)
+			n.pool.setDraining(id, state == balancer.Draining)
 		}
 	}
 	n.handle(u)
 	for name, gone := range missing {
 		if gone {
-			n.backends.remove(n.ids.of(name))
-			if delete(n.listed, name); !n.banned[name] {
-				n.ids.forget(name)
+			n.pool.removeBackend(n.endpointIDs.idOf(name))
+			if delete(n.listedEndpoints, name); !n.inMaintenance[name] {
+				n.endpointIDs.forget(name)
 				n.stats.forget(name)
 			}
 		}
 	}
-	n.stats.discovered.Store(int64(len(n.listed)))
+	n.stats.discovered.Store(int64(len(n.listedEndpoints)))
 	if kind != balancer.UpdateCached {
-		n.heard.Do(func() { close(n.told) })
+		n.listKnownOnce.Do(func() { close(n.listKnown) })
 	}
-	if kind != balancer.UpdateCached || !n.unheard {
-		n.welcome()
+	if kind != balancer.UpdateCached || !n.awaitingAgent {
+		n.agentAnswered()
 	}
 }
--- a/internal/proxy/lists_test.go
+++ b/internal/proxy/lists_test.go
@@ -23,20 +23,20 @@
 }
 
 func TestIDs(t *testing.T) {
-	a, b := newIDs(), newIDs()
-	if a.of("s-1") != a.of("s-1") || a.of("s-1") == a.of("s-2") {
+	a, b := newEndpointIDs(), newEndpointIDs()
+	if a.idOf("s-1") != a.idOf("s-1") || a.idOf("s-1") == a.idOf("s-2") {
 		t.Error("one name has two numbers, or two names one")
 	}
-	if b.of("s-2") != a.of("s-2") {
+	if b.idOf("s-2") != a.idOf("s-2") {
 		t.Error("numbers depend on the order of the names")
 	}
 	a.hash = func(s string) uint32 { return uint32(strings.Count(s, "\x00")) }
-	x, y := a.of("x"), a.of("y")
-	if x == y || a.of("x") != x || a.of("y") != y {
+	x, y := a.idOf("x"), a.idOf("y")
+	if x == y || a.idOf("x") != x || a.idOf("y") != y {
 		t.Errorf("names with one hash get numbers %d and %d", x, y)
 	}
 	a.forget("x")
-	if a.of("z") != x {
+	if a.idOf("z") != x {
 		t.Error("a forgotten number stays taken")
 	}
 }
@@ -57,19 +57,19 @@
 		if err := json.Unmarshal([]byte(text), &l); err != nil {
 			t.Fatal(err)
 		}
-		n.follow(l, kind)
+		n.applyList(l, kind)
 	}
 	check := func(when string, want map[string]string) {
 		t.Helper()
-		if len(n.listed) != len(want) || len(n.backends.backends) != len(want) {
-			t.Errorf("%s: %d listed, %d in the pool, want %d", when, len(n.listed), len(n.backends.backends), len(want))
+		if len(n.listedEndpoints) != len(want) || len(n.pool.backends) != len(want) {
+			t.Errorf("%s: %d listed, %d in the pool, want %d", when, len(n.listedEndpoints), len(n.pool.backends), len(want))
 		}
 		for name, address := range want {
-			if b := n.backends.backends[n.listed[name]]; b == nil || b.address != address {
+			if b := n.pool.backends[n.listedEndpoints[name]]; b == nil || b.address != address {
 				t.Errorf("%s: %s is at %+v, want %s", when, name, b, address)
 			}
 		}
-		if n.front.ready.Load() != (len(want) > 0) {
+		if n.frontend.ready.Load() != (len(want) > 0) {
 			t.Errorf("%s: ready is wrong", when)
 		}
 	}
@@ -98,11 +98,11 @@
 			l.Endpoints = append(l.Endpoints, registry.Endpoint{Name: fmt.Sprint("left-", i), Address: "127.0.0.1:1", Status: status})
 		}
 	}
-	n.follow(l, balancer.UpdateIncremental)
-	if len(n.listed) != 50 || len(n.backends.backends) != 50 {
-		t.Errorf("%d are listed, %d in the pool, want 50", len(n.listed), len(n.backends.backends))
+	n.applyList(l, balancer.UpdateIncremental)
+	if len(n.listedEndpoints) != 50 || len(n.pool.backends) != 50 {
+		t.Errorf("%d are listed, %d in the pool, want 50", len(n.listedEndpoints), len(n.pool.backends))
 	}
-	for name := range n.listed {
+	for name := range n.listedEndpoints {
 		if !strings.HasPrefix(name, "moved-") {
 			t.Errorf("%s has left", name)
 		}
@@ -120,9 +120,9 @@
 		<-r.Context().Done()
 	}))
 	defer discovery.Close()
-	n := startNodeWith(t, func(n *Node) { n.cfg.Discovery = discovery.Listener.Addr().String() })
+	n := startNodeWith(t, func(n *Server) { n.config.Discovery = discovery.Listener.Addr().String() })
 	defer n.stopNow(t)
-	cfg := n.config()
+	cfg := n.configOf()
 	for _, want := range []string{"from=9&hold_ms=3500", "from=9&hold_ms=20000", "from=9&hold_ms=3500"} {
 		got := "none"
 		for got != "" { // what the former way still asks for
@@ -156,9 +156,9 @@
 		when string
 		list []string
 	}{{"with one replica of two", []string{"127.0.0.1:1", at}}, {"with none", []string{"127.0.0.1:1"}}} {
-		n := startNodeWith(t, func(n *Node) { n.cfg.List, n.cfg.ListFile = c.list, file })
+		n := startNodeWith(t, func(n *Server) { n.config.Registry, n.config.RegistryCache = c.list, file })
 		for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
-			if _, err := os.Stat(file); err == nil && n.front.ready.Load() { // it serves first, and keeps the list then
+			if _, err := os.Stat(file); err == nil && n.frontend.ready.Load() { // it serves first, and keeps the list then
 				break
 			}
 			if time.Now().After(until) {
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -8,14 +8,14 @@
 
 // maintain puts a server into maintenance or takes it out. It returns when that
 // is in force for all later sends.
-func (n *Node) maintain(ctx context.Context, name string, on bool) error {
-	ctx, cancel := context.WithTimeout(ctx, maintainTime)
+func (n *Server) maintain(ctx context.Context, name string, on bool) error {
+	ctx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
 	defer cancel()
 	done := make(chan error, 1)
 	select {
 	case n.calls <- func() {
-		if _, listed := n.listed[name]; !listed && !n.banned[name] {
-			done <- errUnknown
+		if _, listed := n.listedEndpoints[name]; !listed && !n.inMaintenance[name] {
+			done <- errUnknownBackend
 			return
 		}
 		n.setMaintenance(name, on)
@@ -28,19 +28,19 @@
 	}
 	err := <-done // the loop has it in hand
 	if err == nil {
-		n.forward(nil, name, on)
+		n.forwardMaintenance(nil, name, on)
 	}
 	return err
 }
 
-func (n *Node) setMaintenance(name string, on bool) {
+func (n *Server) setMaintenance(name string, on bool) {
 	n.log.Info("maintenance", "backend", name, "on", on)
-	id := n.ids.of(name)
-	n.backends.hold(id, on)
+	id := n.endpointIDs.idOf(name)
+	n.pool.holdBackend(id, on)
 	n.handle(balancer.Maintenance{Endpoint: id, On: on})
-	if delete(n.banned, name); on {
-		n.banned[name] = true
-	} else if _, listed := n.listed[name]; !listed {
-		n.ids.forget(name)
+	if delete(n.inMaintenance, name); on {
+		n.inMaintenance[name] = true
+	} else if _, listed := n.listedEndpoints[name]; !listed {
+		n.endpointIDs.forget(name)
 	}
 }
--- a/internal/proxy/maintenance_test.go
+++ b/internal/proxy/maintenance_test.go
@@ -56,11 +56,11 @@
 	}
 	id := make(chan balancer.EndpointID, 2)
 	n.post(func() {
-		id <- n.ids.of("s-0")
-		n.follow(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete)
-		id <- n.ids.of("s-0")
+		id <- n.endpointIDs.idOf("s-0")
+		n.applyList(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete)
+		id <- n.endpointIDs.idOf("s-0")
 	})
-	if a, b := wait(t, id, "its number"), wait(t, id, "its number"); a != b || !n.backends.isHeld(a) {
+	if a, b := wait(t, id, "its number"), wait(t, id, "its number"); a != b || !n.pool.isHeld(a) {
 		t.Errorf("number %d, later %d", a, b)
 	}
 	if err := n.maintain(ctx, "s-0", false); err != nil {
@@ -79,9 +79,9 @@
 			got <- true
 		}
 	}))
-	p.hold(1, true)
-	if res := try(t, p, enough); res.code != balancer.NotSent || p.open != 0 {
-		t.Errorf("outcome %v with %d connections open", res.code, p.open)
+	p.holdBackend(1, true)
+	if res := try(t, p, enough); res.outcome != balancer.NotSent || p.open != 0 {
+		t.Errorf("outcome %v with %d connections open", res.outcome, p.open)
 	}
 	select {
 	case <-got:
--- a/internal/proxy/messages_test.go
+++ b/internal/proxy/messages_test.go
@@ -99,11 +99,11 @@
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	n.front.linger = func() {}
+	n.frontend.keepAccepting = func() {}
 	go func() { ended <- n.Run(ctx, ln) }()
 	n.post(func() {
-		n.act(balancer.SendMessage{To: 1, Data: []byte("one")})
-		n.act(balancer.SendMessage{ToAll: true, Data: []byte("all")})
+		n.carryOut(balancer.SendMessage{To: 1, Data: []byte("one")})
+		n.carryOut(balancer.SendMessage{ToAll: true, Data: []byte("all")})
 	})
 	other.SetReadDeadline(time.Now().Add(10 * time.Second))
 	buf := make([]byte, 512)
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -22,12 +22,12 @@
 	host   string
 	header http.Header // end to end ones
 	body   []byte
-	rest   *upload // what follows the body above; nil: it is all
+	upload *upload // what follows the body above; nil: it is all
 }
 
-// bytes writes the request in full, so that one write sends it and its result
+// encode writes the request in full, so that one write sends it and its result
 // tells whether the last byte left.
-func (o *outbound) bytes(wait time.Duration) ([]byte, error) {
+func (o *outbound) encode(wait time.Duration) ([]byte, error) {
 	uri := o.url.RequestURI()
 	if o.host == "" || strings.ContainsFunc(o.host+uri, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
 		return nil, errors.New("not a request that can be sent")
@@ -67,13 +67,13 @@
 
 // request is the same for a long request, which goes out as it comes until ctx ends.
 func (o *outbound) request(ctx context.Context, wait time.Duration) *http.Request {
-	body := io.MultiReader(bytes.NewReader(o.body), &taking{ctx, o.rest, o.rest.length - int64(len(o.body))})
-	if o.rest.length >= 0 {
+	body := io.MultiReader(bytes.NewReader(o.body), &attemptUpload{ctx, o.upload, o.upload.length - int64(len(o.body))})
+	if o.upload.length >= 0 {
 		// Writing reads on past a stated length. The answer may be here by then, and the upload closed.
-		body = io.LimitReader(body, o.rest.length)
+		body = io.LimitReader(body, o.upload.length)
 	}
 	r := &http.Request{Method: o.method, URL: o.url, Host: o.host, Header: o.header.Clone(),
-		Body: io.NopCloser(body), ContentLength: o.rest.length}
+		Body: io.NopCloser(body), ContentLength: o.upload.length}
 	r.Header.Set(deadlineHeader, strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	if _, ok := r.Header["User-Agent"]; !ok {
 		r.Header["User-Agent"] = nil // none was sent, none is made up
--- a/internal/proxy/outbound_test.go
+++ b/internal/proxy/outbound_test.go
@@ -14,7 +14,7 @@
 	u := &url.URL{Path: "/api/a/b", RawPath: "/api/a%2Fb", RawQuery: "x=1&y=%20"}
 	o := &outbound{method: "POST", url: u, host: "app.svc", body: []byte("body"),
 		header: http.Header{"X-Request-Id": {"q"}, "Idempotency-Key": {"k"}, "X-Deadline": {"9"}}}
-	raw, err := o.bytes(1500 * time.Millisecond)
+	raw, err := o.encode(1500 * time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 		{method: "GET", url: &url.URL{Path: "/x"}, host: ""},
 		{method: "GET", url: &url.URL{Path: "/x", RawQuery: "a b\r\nX: y"}, host: "a"},
 	} {
-		if b, err := o.bytes(time.Second); err == nil {
+		if b, err := o.encode(time.Second); err == nil {
 			t.Errorf("sent %q", b)
 		}
 	}
@@ -46,7 +46,7 @@
 		read.Close() // as the answer's coming does
 	}()
 	o := outbound{method: "POST", url: &url.URL{Path: "/api"}, host: "app.svc", body: []byte("ab"), header: http.Header{},
-		rest: &upload{length: 6, pipe: read, gone: func() bool { return false }}}
+		upload: &upload{length: 6, pipe: read, clientGone: func() bool { return false }}}
 	var sent strings.Builder
 	if err := o.request(context.Background(), time.Second).Write(&sent); err != nil || !strings.HasSuffix(sent.String(), "\r\n\r\nabcdef") {
 		t.Errorf("%q, %v", sent.String(), err)
--- a/internal/proxy/part.go
+++ b/internal/proxy/part.go
@@ -9,42 +9,44 @@
 	"wrenspread/internal/registry/client"
 )
 
-// scope is what of the settings says which part of the list this node works with.
-type scope struct {
-	self, nodes int
-	groups      []registry.Placement
+// subsetInputs is what of the settings says which part of the list this node works with.
+type subsetInputs struct {
+	proxyIndex, proxies int
+	placements          []registry.Placement
 }
 
-func scopeOf(s balancer.Settings) *scope {
-	to := &scope{self: s.ProxyIndex, nodes: s.Proxies}
+func subsetInputsOf(s balancer.Settings) *subsetInputs {
+	to := &subsetInputs{proxyIndex: s.ProxyIndex, proxies: s.Proxies}
 	for _, c := range s.Classes {
 		g := registry.Placement{Zones: c.AllowedZones, Types: c.AllowedMachineTypes}
-		if !slices.ContainsFunc(to.groups, func(o registry.Placement) bool { return same(o.Zones, g.Zones) && same(o.Types, g.Types) }) {
-			to.groups = append(to.groups, g)
+		if !slices.ContainsFunc(to.placements, func(o registry.Placement) bool {
+			return samePlacement(o.Zones, g.Zones) && samePlacement(o.Types, g.Types)
+		}) {
+			to.placements = append(to.placements, g)
 		}
 	}
 	return to
 }
 
-// same tells placements apart: nil is all, and empty none.
-func same(a, b []string) bool { return slices.Equal(a, b) && (a == nil) == (b == nil) }
+// samePlacement tells placements apart: nil is all, and empty none.
+func samePlacement(a, b []string) bool { return slices.Equal(a, b) && (a == nil) == (b == nil) }
 
-// scoped is the node's choice of a part, which the client of the list service asks
+// subsetChooser is the node's choice of a part, which the client of the list service asks
 // for from a goroutine of its own.
-type scoped struct{ now atomic.Pointer[scope] }
+type subsetChooser struct{ inputs atomic.Pointer[subsetInputs] }
 
-func (s *scoped) next(has registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
-	by := s.now.Load()
-	return has.Next(by.self, by.nodes, total, entries, by.groups)
+func (s *subsetChooser) next(has registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
+	by := s.inputs.Load()
+	return has.Next(by.proxyIndex, by.proxies, total, entries, by.placements)
 }
 
-// snapshot is what a client believes, in the form of an answer.
-func snapshot(v client.List) registry.ListResponse {
+// responseOf is what a client believes, in the form of an answer.
+func responseOf(v client.List) registry.ListResponse {
 	return registry.ListResponse{Index: v.Version, Epoch: v.Epoch, Snapshot: true, Subset: v.Subset.String(), Total: v.Total, Endpoints: v.Endpoints}
 }
 
-// placePart says of a list which part of the whole it is; of the whole list it says nothing.
-func placePart(u *balancer.EndpointsUpdated, l registry.ListResponse, self int) {
+// setSubset says of a list which part of the whole it is; of the whole list it says nothing.
+func setSubset(u *balancer.EndpointsUpdated, l registry.ListResponse, self int) {
 	if p, err := registry.ParseSubset(l.Subset); err == nil && !p.IsAll() {
 		u.TotalEndpoints, u.SubsetStart = l.Total, registry.StartPosition(self)
 	}
--- a/internal/proxy/part_test.go
+++ b/internal/proxy/part_test.go
@@ -48,16 +48,16 @@
 				l.Endpoints = slices.DeleteFunc(slices.Clone(all), func(e registry.Endpoint) bool { return !part.Contains(registry.Position(e.Name)) })
 				first = slices.IndexFunc(all, func(e registry.Endpoint) bool { return registry.Position(e.Name) >= registry.StartPosition(self) })
 			}
-			n.follow(l, balancer.UpdateComplete)
+			n.applyList(l, balancer.UpdateComplete)
 			want, got := map[string]bool{}, map[string]bool{}
 			for i := range 5 { // decide's least reach
 				want[all[(first+i)%servers].Name] = true
 			}
 			for i := range 200 {
 				e := balancer.RequestArrived{ID: balancer.RequestID(fmt.Sprint(i)), Class: "saldo", Timeout: time.Second}
-				for _, a := range n.module.Handle(n.now(), e) {
+				for _, a := range n.balancer.Handle(n.now(), e) {
 					if s, ok := a.(balancer.StartAttempt); ok {
-						got[n.ids.byID[s.Endpoint]] = true
+						got[n.endpointIDs.byID[s.Endpoint]] = true
 					}
 				}
 			}
@@ -140,9 +140,9 @@
 	self, other := 3, 3
 	for ; registry.SubsetOf(other, 4300, servers).Contains(registry.StartPosition(self)) || registry.SubsetOf(self, 4300, servers).Contains(registry.StartPosition(other)); other++ {
 	}
-	n := startNodeWith(t, func(n *Node) {
-		n.cfg.List, n.cfg.ListPart, n.cfg.ListFile = []string{service.Listener.Addr().String()}, true, filepath.Join(t.TempDir(), "list")
-		n.cfg.Settings.Proxies, n.cfg.Settings.ProxyIndex = 4300, self
+	n := startNodeWith(t, func(n *Server) {
+		n.config.Registry, n.config.RegistrySubset, n.config.RegistryCache = []string{service.Listener.Addr().String()}, true, filepath.Join(t.TempDir(), "list")
+		n.config.Settings.Proxies, n.config.Settings.ProxyIndex = 4300, self
 	})
 	defer n.stopNow(t)
 	has := func(when string, part registry.Subset) {
@@ -156,7 +156,7 @@
 		for until := time.Now().Add(enough); ; time.Sleep(5 * time.Millisecond) {
 			got, outside := 0, 0
 			n.do(func() {
-				for name := range n.listed {
+				for name := range n.listedEndpoints {
 					if got++; !part.Contains(registry.Position(name)) {
 						outside++
 					}
@@ -173,7 +173,7 @@
 	answered := make(chan reply, 1)
 	go func() { answered <- do(t, n.request(t, "GET", "saldo", "x", "30", nil)) }()
 	wait(t, arrived, "the request")
-	cfg := n.config()
+	cfg := n.configOf()
 	cfg.Settings.ProxyIndex = other
 	n.Reload(cfg)
 	s.change(func() {
@@ -210,7 +210,7 @@
 	} {
 		text := strings.Replace(strings.Replace(goodConfig, `"slot_no":3`, `"slot_no":`+c.slot, 1), `"seed"`, c.new, 1)
 		cfg, err := parseConfig([]byte(text))
-		if c.want == "" && (err != nil || !cfg.ListPart) || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
+		if c.want == "" && (err != nil || !cfg.RegistrySubset) || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("slot %s, %s: %v, want %q", c.slot, c.new, err, c.want)
 		}
 	}
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -14,28 +14,28 @@
 	"wrenspread/internal/membership/gossip"
 )
 
-const peersAgain = time.Second // between two tries to open the socket for other nodes
+const peerSocketRetry = time.Second // between two tries to open the socket for other nodes
 
 // maxMessage is the longest datagram between nodes; a longer one breaks the protocol.
 const maxMessage = 256
 
-// peers carries the module's messages to the other nodes and theirs to it, as
+// peerSocket carries the module's messages to the other nodes and theirs to it, as
 // datagrams that may be lost, late or repeated.
-type peers struct {
-	conn  *net.UDPConn
-	addrs []netip.AddrPort
-	from  map[netip.AddrPort]int
-	log   *slog.Logger
-	hear  [16]datagrams // by the first four bits of a datagram; those that have none here are load notes
-	muted atomic.Bool   // another process reads the socket
-	ended chan struct{} // closed when this one no longer does
+type peerSocket struct {
+	conn      *net.UDPConn
+	addrs     []netip.AddrPort
+	byAddress map[netip.AddrPort]int
+	log       *slog.Logger
+	handlers  [16]datagramHandler // by the first four bits of a datagram; those that have none here are load notes
+	muted     atomic.Bool         // another process reads the socket
+	ended     chan struct{}       // closed when this one no longer does
 }
 
-// datagrams takes those of one kind, from whatever address they come. It does not wait, and does not keep data.
-type datagrams func(from netip.AddrPort, data []byte)
+// datagramHandler takes those of one kind, from whatever address they come. It does not wait, and does not keep data.
+type datagramHandler func(from netip.AddrPort, data []byte)
 
 // listenPeers opens the socket, or gives nil where nodes have none.
-func listenPeers(listen string, addrs []netip.AddrPort, log *slog.Logger) (*peers, error) {
+func listenPeers(listen string, addrs []netip.AddrPort, log *slog.Logger) (*peerSocket, error) {
 	if listen == "" {
 		return nil, nil
 	}
@@ -47,14 +47,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening for other nodes: %w", err)
 	}
-	return newPeers(conn, addrs, log), nil
+	return newPeerSocket(conn, addrs, log), nil
 }
 
-func newPeers(conn *net.UDPConn, addrs []netip.AddrPort, log *slog.Logger) *peers {
-	p := &peers{conn: conn, addrs: addrs, from: map[netip.AddrPort]int{}, log: log, ended: make(chan struct{})}
+func newPeerSocket(conn *net.UDPConn, addrs []netip.AddrPort, log *slog.Logger) *peerSocket {
+	p := &peerSocket{conn: conn, addrs: addrs, byAddress: map[netip.AddrPort]int{}, log: log, ended: make(chan struct{})}
 	for i, a := range addrs {
 		if a.IsValid() {
-			p.from[a] = i
+			p.byAddress[a] = i
 		}
 	}
 	return p
@@ -63,7 +63,7 @@
 // handOver ends the reading and gives the socket's descriptor to f, to be passed
 // on. This process goes on sending by it, as nodes know each other by address.
 // Without a socket the descriptor is negative.
-func (p *peers) handOver(f func(fd int)) {
+func (p *peerSocket) handOver(f func(fd int)) {
 	if p == nil {
 		f(-1)
 		return
@@ -81,7 +81,7 @@
 }
 
 // send passes a message to one node. It does not wait, and none is owed an arrival.
-func (p *peers) send(to int, data []byte) {
+func (p *peerSocket) send(to int, data []byte) {
 	if p == nil || to < 0 || to >= len(p.addrs) || !p.addrs[to].IsValid() {
 		return
 	}
@@ -92,7 +92,7 @@
 	p.write(p.addrs[to], data)
 }
 
-func (p *peers) write(to netip.AddrPort, data []byte) {
+func (p *peerSocket) write(to netip.AddrPort, data []byte) {
 	if _, err := p.conn.WriteToUDPAddrPort(data, to); err != nil {
 		p.log.Debug("message not sent", "to", to, "err", err)
 	}
@@ -100,7 +100,7 @@
 
 // run passes messages on until ctx ends, which closes the socket, or another process does. What is longer
 // than any message is dropped, and so is a load note from an address of no node.
-func (p *peers) run(ctx context.Context, received func(from int, data []byte)) {
+func (p *peerSocket) run(ctx context.Context, received func(from int, data []byte)) {
 	defer close(p.ended)
 	context.AfterFunc(ctx, func() { p.conn.Close() })
 	buf := make([]byte, maxMessage+1)
@@ -116,33 +116,33 @@
 		if n > maxMessage {
 			continue
 		}
-		if n > 0 && p.hear[buf[0]>>4] != nil {
-			p.hear[buf[0]>>4](addr, buf[:n])
+		if n > 0 && p.handlers[buf[0]>>4] != nil {
+			p.handlers[buf[0]>>4](addr, buf[:n])
 			continue
 		}
-		if from, known := p.from[addr]; known {
+		if from, known := p.byAddress[addr]; known {
 			received(from, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
 
-// hears tells whether this node still lacks a socket that it ought to have.
-func (n *Node) hears() bool {
-	return n.cfg.PeerListen != "" && (len(n.cfg.Peers) > 0 || n.cfg.Fleet.Name != "") && n.peers.Load() == nil
+// lacksPeerSocket tells whether this node still lacks a socket that it ought to have.
+func (n *Server) lacksPeerSocket() bool {
+	return n.config.PeerListen != "" && (len(n.config.Peers) > 0 || n.config.Membership.Name != "") && n.peers.Load() == nil
 }
 
 // listenPeers opens the socket for other nodes' messages. If it can't be had,
 // clients are served all the same, and it is tried again.
-func (n *Node) listenPeers(ctx context.Context) {
-	p, err := listenPeers(n.cfg.PeerListen, n.cfg.Peers, n.log)
+func (n *Server) listenPeers(ctx context.Context) {
+	p, err := listenPeers(n.config.PeerListen, n.config.Peers, n.log)
 	if err == nil {
 		n.startPeers(p, nil)
 		return
 	}
 	n.log.Error("nothing is heard from other nodes, trying again", "err", err)
 	go func() {
-		for backoff.Sleep(ctx, peersAgain) {
-			if p, err := listenPeers(n.cfg.PeerListen, n.cfg.Peers, n.log); err == nil {
+		for backoff.Sleep(ctx, peerSocketRetry) {
+			if p, err := listenPeers(n.config.PeerListen, n.config.Peers, n.log); err == nil {
 				n.startPeers(p, nil)
 				return
 			}
@@ -151,10 +151,10 @@
 }
 
 // startPeers begins to hear from other nodes. handed is what the process before this one has handed over, if there was one.
-func (n *Node) startPeers(p *peers, handed *gossip.Handoff) {
+func (n *Server) startPeers(p *peerSocket, handed *gossip.Handoff) {
 	n.peers.Store(p)
-	n.startView(p, handed)
-	go p.run(n.ctx, func(from int, data []byte) {
+	n.startMembership(p, handed)
+	go p.run(n.loopContext, func(from int, data []byte) {
 		n.post(func() { n.handle(balancer.MessageReceived{From: from, Data: data}) })
 	})
 }
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -14,7 +14,7 @@
 // The terms: a connection on which no request is open may go after 2 s, and
 // whoever connects gets an error or a close within 3 s.
 func TestPeersGetTheirDueInTime(t *testing.T) {
-	srv := New(testConfig("127.0.0.1:1"), quiet).front.server()
+	srv := New(testConfig("127.0.0.1:1"), quiet).frontend.newHTTPServer()
 	if h := srv.ReadHeaderTimeout; h <= 2*time.Second || h > 2500*time.Millisecond {
 		t.Errorf("%v for a head", h)
 	}
@@ -28,14 +28,14 @@
 		least, most time.Duration // from the first byte, for the next part
 	}{
 		{"stops at once", 0, 0, 0, 2500 * time.Millisecond, 2800 * time.Millisecond},
-		{"stops behind a slow head", headTime, 0, 0, headTime, 2950 * time.Millisecond},
+		{"stops behind a slow head", headTimeout, 0, 0, headTimeout, 2950 * time.Millisecond},
 		{"64 kB a second", 2 * time.Second, 0, 320 << 10, 8 * time.Second, 13 * time.Second},
 		{"one byte and another", 0, 0, 5, 2500 * time.Millisecond, 2800 * time.Millisecond},
 		{"held back by the server", 0, 20 * time.Second, 32 << 10, 21 * time.Second, 22 * time.Second},
 	} {
 		began := time.Now()
-		b := bodyReader{began: began, head: began.Add(c.head).Add(c.after), got: c.got}
-		if by := b.by().Sub(began); by < c.least || by > c.most {
+		b := bodyReader{startedAt: began, headEnd: began.Add(c.head).Add(c.after), received: c.got}
+		if by := b.progressDeadline().Sub(began); by < c.least || by > c.most {
 			t.Errorf("%s: %v, want %v to %v", c.name, by, c.least, c.most)
 		}
 	}
@@ -65,7 +65,7 @@
 func TestWaitingClientHasNotLeft(t *testing.T) {
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
-			time.Sleep(readTime + 200*time.Millisecond)
+			time.Sleep(readTimeout + 200*time.Millisecond)
 			io.WriteString(c, okAnswer)
 		}
 	}))
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -12,7 +12,7 @@
 	"wrenspread/internal/backoff"
 )
 
-const idlePart = 0.75 // of the settings' idle time: the server must never be the first to close
+const idleTimeoutShare = 0.75 // of the settings' idle time: the server must never be the first to close
 
 // pool keeps connections to servers. It never sends anything itself.
 type pool struct {
@@ -21,30 +21,30 @@
 	maxIdle  time.Duration
 	forwards *atomic.Int64 // attempts written whole
 
-	mu       sync.Mutex
-	open     int // connections, idle, in use or being dialled
-	most     int
-	shared   bool // with another process of this node: half of them
-	backends map[balancer.EndpointID]*backend
-	used     []*backend                   // those with idle connections, and some that had them lately
-	held     map[balancer.EndpointID]bool // nothing is written to them
-	room     room                         // for answers that are not small
+	mu             sync.Mutex
+	open           int // connections, idle, in use or being dialled
+	maxConnections int
+	halved         bool // with another process of this node: half of them
+	backends       map[balancer.EndpointID]*backend
+	used           []*backend                   // those with idle connections, and some that had them lately
+	heldBackends   map[balancer.EndpointID]bool // nothing is written to them
+	memory         memoryBudget                 // for answers that are not small
 }
 
 // backend is one process of a server. A restart or a new address makes a new
 // one, to which the old one's connections never return.
 type backend struct {
-	address string
-	since   int64
-	closed  bool
-	drains  bool    // nothing new is to be written to it
-	used    bool    // it is among the pool's used ones
-	idle    []*conn // the one used last comes last
+	address     string
+	startedAtMS int64
+	closed      bool
+	draining    bool    // nothing new is to be written to it
+	hasUsed     bool    // it is among the pool's used ones
+	idle        []*conn // the one used last comes last
 }
 
 func newPool(s balancer.Settings, most int) *pool {
-	p := &pool{most: most, forwards: new(atomic.Int64), backends: map[balancer.EndpointID]*backend{}, held: map[balancer.EndpointID]bool{},
-		room: newRoom(defaultMemoryMB), pause: backoff.Sleep,
+	p := &pool{maxConnections: most, forwards: new(atomic.Int64), backends: map[balancer.EndpointID]*backend{}, heldBackends: map[balancer.EndpointID]bool{},
+		memory: newMemoryBudget(defaultMemoryMB), pause: backoff.Sleep,
 		dialer: net.Dialer{KeepAlive: -1}}
 	p.configure(s)
 	return p
@@ -55,7 +55,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer.Timeout = s.ConnectTimeout
-	if p.maxIdle = time.Duration(idlePart * float64(s.ConnectionIdleTimeout)); s.ConnectionIdleTimeout <= 0 {
+	if p.maxIdle = time.Duration(idleTimeoutShare * float64(s.ConnectionIdleTimeout)); s.ConnectionIdleTimeout <= 0 {
 		p.maxIdle = time.Minute
 	}
 }
@@ -67,22 +67,22 @@
 	return p.maxIdle
 }
 
-// set takes a server's address from the list. Connections to an earlier
+// setBackend takes a server's address from the list. Connections to an earlier
 // process of it are worthless and are closed.
-func (p *pool) set(id balancer.EndpointID, address string, since int64) {
+func (p *pool) setBackend(id balancer.EndpointID, address string, since int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
-		if b.address == address && b.since == since {
+		if b.address == address && b.startedAtMS == since {
 			return
 		}
 		b.closed = true
 		p.drop(b)
 	}
-	p.backends[id] = &backend{address: address, since: since}
+	p.backends[id] = &backend{address: address, startedAtMS: since}
 }
 
-func (p *pool) remove(id balancer.EndpointID) {
+func (p *pool) removeBackend(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
@@ -101,48 +101,48 @@
 	}
 }
 
-// share leaves half of the connections to another process of this node, or
+// halve leaves half of the connections to another process of this node, or
 // takes them back.
-func (p *pool) share(on bool) {
+func (p *pool) halve(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shared = on
+	p.halved = on
 	for p.open > p.limit() && p.evict() {
 	}
 }
 
 func (p *pool) limit() int {
-	if p.shared {
-		return max(1, p.most/2)
+	if p.halved {
+		return max(1, p.maxConnections/2)
 	}
-	return p.most
+	return p.maxConnections
 }
 
-// hold has nothing more written to a server, whatever was picked before, or
+// holdBackend has nothing more written to a server, whatever was picked before, or
 // lets it be used again.
-func (p *pool) hold(id balancer.EndpointID, on bool) {
+func (p *pool) holdBackend(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if delete(p.held, id); on {
-		p.held[id] = true
+	if delete(p.heldBackends, id); on {
+		p.heldBackends[id] = true
 	}
 }
 
-// drain says whether a server takes nothing new.
-func (p *pool) drain(id balancer.EndpointID, on bool) {
+// setDraining says whether a server takes nothing new.
+func (p *pool) setDraining(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
-		b.drains = on
+		b.draining = on
 	}
 }
 
-// barred tells whether nothing may be written on a connection any more: since its server was picked, that has
+// isBarred tells whether nothing may be written on a connection any more: since its server was picked, that has
 // restarted, moved, begun to drain or left the list, or is held.
-func (p *pool) barred(id balancer.EndpointID, c *conn) bool {
+func (p *pool) isBarred(id balancer.EndpointID, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.of.closed || c.of.drains || p.held[id]
+	return c.backend.closed || c.backend.draining || p.heldBackends[id]
 }
 
 func (p *pool) drop(b *backend) {
@@ -176,8 +176,8 @@
 	defer p.mu.Unlock()
 	p.used = slices.DeleteFunc(p.used, func(b *backend) bool {
 		p.dropOld(b, now)
-		b.used = len(b.idle) > 0
-		return !b.used
+		b.hasUsed = len(b.idle) > 0
+		return !b.hasUsed
 	})
 }
 
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -17,7 +17,7 @@
 
 func testPool(address string) *pool {
 	p := newPool(balancer.Settings{ConnectTimeout: enough, ConnectionIdleTimeout: time.Hour}, 100)
-	p.set(1, address, 0)
+	p.setBackend(1, address, 0)
 	return p
 }
 
@@ -30,7 +30,7 @@
 func (p *pool) isHeld(id balancer.EndpointID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held[id]
+	return p.heldBackends[id]
 }
 
 // stood has all idle connections be idle since so long ago.
@@ -65,40 +65,40 @@
 			io.WriteString(c, okAnswer)
 		}
 	}))
-	p.most = 1
+	p.maxConnections = 1
 	first := make(chan result, 1)
 	go func() { first <- try(t, p, enough) }()
 	wait(t, got, "the attempt that takes the room")
-	if res := try(t, p, enough); res.code != balancer.NotSent {
-		t.Errorf("no room: code %v, want Moot", res.code)
+	if res := try(t, p, enough); res.outcome != balancer.NotSent {
+		t.Errorf("no room: code %v, want Moot", res.outcome)
 	}
 	close(release)
-	if res := wait(t, first, "its answer"); res.code != balancer.OK {
-		t.Errorf("the first: code %v", res.code)
+	if res := wait(t, first, "its answer"); res.outcome != balancer.OK {
+		t.Errorf("the first: code %v", res.outcome)
 	}
 	p = testPool(refusing(t))
 	p.dialer.Control = func(string, string, syscall.RawConn) error { return syscall.EMFILE }
-	if res := try(t, p, enough); res.code != balancer.NotSent {
-		t.Errorf("no descriptor: code %v, want Moot", res.code)
+	if res := try(t, p, enough); res.outcome != balancer.NotSent {
+		t.Errorf("no descriptor: code %v, want Moot", res.outcome)
 	}
 }
 
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	if got := try(t, testPool(refusing(t)), enough); got.code != balancer.ConnectFailed {
-		t.Errorf("outcome %d, want ConnectFailed", got.code)
+	if got := try(t, testPool(refusing(t)), enough); got.outcome != balancer.ConnectFailed {
+		t.Errorf("outcome %d, want ConnectFailed", got.outcome)
 	}
 	p := newPool(balancer.Settings{}, 100)
-	if got := try(t, p, enough); got.code != balancer.ConnectFailed {
-		t.Errorf("outcome %d of a server not listed, want ConnectFailed", got.code)
+	if got := try(t, p, enough); got.outcome != balancer.ConnectFailed {
+		t.Errorf("outcome %d of a server not listed, want ConnectFailed", got.outcome)
 	}
 }
 
 // TestLateConnectionNeverRan: one that is not up in time is no proof that the server is gone.
 func TestLateConnectionNeverRan(t *testing.T) {
 	p := newPool(balancer.Settings{ConnectTimeout: time.Nanosecond}, 100)
-	p.set(1, serving(t), 0)
-	if got := try(t, p, enough); got.code != balancer.ConnectTimedOut || p.open != 0 {
-		t.Errorf("outcome %d, want ConnectTimedOut; %d connections counted", got.code, p.open)
+	p.setBackend(1, serving(t), 0)
+	if got := try(t, p, enough); got.outcome != balancer.ConnectTimedOut || p.open != 0 {
+		t.Errorf("outcome %d, want ConnectTimedOut; %d connections counted", got.outcome, p.open)
 	}
 }
 
@@ -117,15 +117,15 @@
 	try(t, p, enough)
 	<-closed
 	// The close has been sent; wait until it shows on this side.
-	for until := time.Now().Add(enough); len(p.backends[1].idle) > 0 && silent(p.backends[1].idle[0].Conn); {
+	for until := time.Now().Add(enough); len(p.backends[1].idle) > 0 && isQuiet(p.backends[1].idle[0].Conn); {
 		if time.Now().After(until) {
 			t.Fatal("the close never shows")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	stood(p, strayTime)
-	if got := try(t, p, enough); got.code != balancer.OK {
-		t.Errorf("outcome %d, want OK on a new connection", got.code)
+	stood(p, lateResponseRest)
+	if got := try(t, p, enough); got.outcome != balancer.OK {
+		t.Errorf("outcome %d, want OK on a new connection", got.outcome)
 	}
 }
 
@@ -140,8 +140,8 @@
 			io.WriteString(conn, answer)
 			readRequest(r)
 		}))
-		if got := try(t, p, enough); got.code != balancer.OK {
-			t.Errorf("%s: outcome %d, want OK", name, got.code)
+		if got := try(t, p, enough); got.outcome != balancer.OK {
+			t.Errorf("%s: outcome %d, want OK", name, got.outcome)
 		}
 		if p.open != 0 || len(p.backends[1].idle) != 0 {
 			t.Errorf("%s: %d connections open, want 0", name, p.open)
@@ -160,11 +160,11 @@
 	a, b := serve("a"), serve("b")
 	p := testPool(a)
 	try(t, p, enough)
-	p.set(1, a, 0)
+	p.setBackend(1, a, 0)
 	if len(p.backends[1].idle) != 1 {
 		t.Error("the same entry again costs the connection")
 	}
-	p.set(1, a, 5)
+	p.setBackend(1, a, 5)
 	if p.open != 0 {
 		t.Errorf("%d connections open after a restart, want 0", p.open)
 	}
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.set(1, b, 5)
+	p.setBackend(1, b, 5)
 	c.release()
 	if p.open != 0 {
 		t.Errorf("%d connections open after a new address, want 0", p.open)
@@ -191,8 +191,8 @@
 		}
 	})
 	p := testPool(address)
-	p.most = 2
-	p.set(2, address, 0)
+	p.maxConnections = 2
+	p.setBackend(2, address, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), enough)
 	defer cancel()
 	var cs []*conn
@@ -208,7 +208,7 @@
 	}
 	cs[1].release()
 	cs[0].release()
-	stood(p, strayTime)
+	stood(p, lateResponseRest)
 	if c, _ := p.get(ctx, 1); c != cs[0] {
 		t.Error("the one used last is not taken first")
 	} else {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -47,7 +47,7 @@
 	}))
 	defer next.Close()
 	defer n.stopNow(t)
-	cfg := n.config()
+	cfg := n.configOf()
 	cfg.Discovery = next.Listener.Addr().String()
 	n.Reload(cfg)
 	n.Reload(cfg) // once more changes nothing
@@ -79,7 +79,7 @@
 func (n *running) stopNow(t *testing.T) {
 	n.stop()
 	n.linger()
-	<-n.Node.ended
+	<-n.Server.ended
 }
 
 // TestReloadTurnsPushed: where lists have been asked for and are pushed from now on, at the same address, the node
@@ -96,14 +96,14 @@
 		fmt.Fprint(w, `{"index":1,"snapshot":true,"endpoints":[]}`)
 	}))
 	defer disc.Close()
-	n := startNodeWith(t, func(n *Node) {
-		n.cfg.Discovery = disc.Listener.Addr().String()
-		n.cfg.Settings.PollForEndpoints = true
-		n.module = balancer.New(n.cfg.Settings, 1)
+	n := startNodeWith(t, func(n *Server) {
+		n.config.Discovery = disc.Listener.Addr().String()
+		n.config.Settings.PollForEndpoints = true
+		n.balancer = balancer.New(n.config.Settings, 1)
 	})
 	defer n.stopNow(t)
 	wait(t, watched, "the watch that the module asks for")
-	cfg := n.config()
+	cfg := n.configOf()
 	cfg.Settings.PollForEndpoints = false
 	n.Reload(cfg)
 	wait(t, whole, "the node's own call")
@@ -134,11 +134,11 @@
 		}
 	}))
 	defer disc.Close()
-	n := startNodeWith(t, func(n *Node) {
+	n := startNodeWith(t, func(n *Server) {
 		n.TakeOver(dir)
-		n.cfg.known = registry.ListResponse{Snapshot: true, Endpoints: []registry.Endpoint{{Name: "old", Address: refusing(t), Status: registry.Ready}}}
-		told <- n.told
-		cfg := n.cfg
+		n.config.initialList = registry.ListResponse{Snapshot: true, Endpoints: []registry.Endpoint{{Name: "old", Address: refusing(t), Status: registry.Ready}}}
+		told <- n.listKnown
+		cfg := n.config
 		cfg.Discovery = disc.Listener.Addr().String()
 		n.Reload(cfg) // carried out as soon as the loop runs
 	})
@@ -166,9 +166,9 @@
 			watch <- c
 			io.Copy(io.Discard, r)
 		})
-		n := startNodeWith(t, func(n *Node) { n.cfg.Discovery = disc })
+		n := startNodeWith(t, func(n *Server) { n.config.Discovery = disc })
 		c, next := wait(t, watch, "the watch"), newAgent(t)
-		cfg := n.config()
+		cfg := n.configOf()
 		cfg.Discovery = next.address
 		answer, cut := say("draining"), 0
 		if i%2 == 0 {
@@ -182,7 +182,7 @@
 		}
 		wait(t, next.calls, "the call to the new address")
 		told := make(chan bool, 1)
-		n.post(func() { told <- n.backends.backends[n.listed["s"]].drains })
+		n.post(func() { told <- n.pool.backends[n.listedEndpoints["s"]].draining })
 		if !wait(t, told, "the list") {
 			t.Errorf("round %d, %d bytes to come: the server does not drain", i, cut)
 		}
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -10,8 +10,8 @@
 )
 
 // write passes an answer on, and tells what it was to the client.
-func write(w http.ResponseWriter, a answer) outcome {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTime))
+func write(w http.ResponseWriter, a response) requestOutcome {
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	if a.status != http.StatusOK {
 		a.body = []byte(http.StatusText(a.status) + "\n")
 	}
@@ -19,17 +19,17 @@
 	_, err := w.Write(a.body) // if it fails, the client has gone
 	switch {
 	case err != nil:
-		return aborted
+		return outcomeAborted
 	case a.status == http.StatusOK:
-		return succeeded
+		return outcomeSucceeded
 	case a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests, a.status == http.StatusForbidden || a.status == http.StatusNotFound:
-		return declined
+		return outcomeDeclined
 	}
-	return aborted
+	return outcomeAborted
 }
 
 // writeHeader begins an answer. Without a length it goes in chunks.
-func writeHeader(w http.ResponseWriter, a answer, length int64) {
+func writeHeader(w http.ResponseWriter, a response, length int64) {
 	h := w.Header()
 	for name, values := range endToEnd(a.header) {
 		h[name] = values
@@ -37,8 +37,8 @@
 	if a.status != http.StatusOK {
 		h.Set("Content-Type", "text/plain; charset=utf-8")
 	}
-	if a.holdOff > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.holdOff.Seconds(), 'f', 3, 64))
+	if a.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -10,104 +10,104 @@
 )
 
 const (
-	guardDelay = 4 * time.Millisecond // after which the node itself ends what the module has not ended
-	uploadMost = time.Hour            // for a long request to come, at half of the slowest rate and with long waits
-	// goneTime is the most after which nothing begins for a client that has left.
-	goneTime = 100 * time.Millisecond
+	guardDelay    = 4 * time.Millisecond // after which the node itself ends what the module has not ended
+	maxUploadTime = time.Hour            // for a long request to come, at half of the slowest rate and with long waits
+	// clientGoneLimit is the most after which nothing begins for a client that has left.
+	clientGoneLimit = 100 * time.Millisecond
 )
 
 // request is a client's request until it is answered and its attempts have ended.
 type request struct {
-	id        balancer.RequestID
-	class     string
-	settings  int // number of those that its class is of
-	out       *outbound
-	deadline  time.Time
-	answer    chan answer // takes the one final answer
-	done      bool
-	attempts  []context.CancelFunc
-	running   int
-	guard     *time.Timer
-	tenant    string          // by its name in the catalogue, until the request is over; empty: tenants are not told apart
-	stream    *stream         // the long answer that has begun; nil: none
-	parked    bool            // it has waited for its tenant's part of the catalogue
-	leaveRoom func()          // gives back what its body has taken; may be nil
-	client    *listener.Conn  // nil: not known
-	gone      <-chan struct{} // closed when the server knows that the client has left
+	id              balancer.RequestID
+	class           string
+	settingsNumber  int // number of those that its class is of
+	outbound        *outbound
+	deadline        time.Time
+	response        chan response // takes the one final answer
+	answered        bool
+	cancelAttempts  []context.CancelFunc
+	runningAttempts int
+	deadlineGuard   *time.Timer
+	tenant          string          // by its name in the catalogue, until the request is over; empty: tenants are not told apart
+	stream          *responseStream // the long answer that has begun; nil: none
+	parked          bool            // it has waited for its tenant's part of the catalogue
+	releaseMemory   func()          // gives back what its body has taken; may be nil
+	client          *listener.Conn  // nil: not known
+	clientGone      <-chan struct{} // closed when the server knows that the client has left
 }
 
 // abandoned tells whether a request's client has left, which the loop may not know yet.
 func (r *request) abandoned() bool {
 	select {
-	case <-r.gone:
+	case <-r.clientGone:
 		return true
 	default:
-		return r.client != nil && r.client.Left()
+		return r.client != nil && r.client.ClientGone()
 	}
 }
 
-// answer is a final answer to a client.
-type answer struct {
-	status  int
-	holdOff time.Duration // of a refusal; 0: no advice
-	header  http.Header
-	body    []byte
-	stream  *stream // instead of the body, if it is long
+// response is a final answer to a client.
+type response struct {
+	status     int
+	retryAfter time.Duration // of a refusal; 0: no advice
+	header     http.Header
+	body       []byte
+	stream     *responseStream // instead of the body, if it is long
 }
 
-// open takes a client's request and tells the module of it. The answer comes
+// openRequest takes a client's request and tells the module of it. The answer comes
 // on r.answer.
-func (n *Node) open(r *request, e balancer.RequestArrived) {
+func (n *Server) openRequest(r *request, e balancer.RequestArrived) {
 	if n.requests[r.id] != nil {
 		// Two under one id would get each other's answers.
-		r.done = true
-		r.answer <- answer{status: http.StatusConflict}
+		r.answered = true
+		r.response <- response{status: http.StatusConflict}
 		return
 	}
-	now := n.front.rules.Load().number // those that the module has, as both change in one step
-	if most := n.cfg.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most || r.settings < now-1 {
+	now := n.frontend.rules.Load().number // those that the module has, as both change in one step
+	if most := n.config.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most || r.settingsNumber < now-1 {
 		// The module does not know its class any more: another of that name may be repeated freely.
-		r.done = true
-		r.answer <- answer{status: http.StatusServiceUnavailable}
+		r.answered = true
+		r.response <- response{status: http.StatusServiceUnavailable}
 		return
 	}
-	e.PreviousSettings = r.settings < now
-	if !n.judge(r, &e) {
+	e.PreviousSettings = r.settingsNumber < now
+	if !n.decideTenant(r, &e) {
 		return
 	}
 	n.requests[r.id] = r
-	if r.out.rest != nil {
-		e.Incomplete, e.Timeout = true, r.out.rest.wait
-		r.guard = time.AfterFunc(uploadMost, func() {}) // its time has not begun
+	if r.outbound.upload != nil {
+		e.Incomplete, e.Timeout = true, r.outbound.upload.wait
+		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // its time has not begun
 		n.handle(e)
 		return
 	}
 	e.Timeout = time.Until(r.deadline)
-	n.keepTime(r, e.Timeout)
+	n.guardDeadline(r, e.Timeout)
 	n.handle(e)
 }
 
-// whole begins the time of a request whose last byte has gone out just now.
-func (n *Node) whole(r *request, wait time.Duration) {
-	if r.done {
+// requestSent begins the time of a request whose last byte has gone out just now.
+func (n *Server) requestSent(r *request, wait time.Duration) {
+	if r.answered {
 		return
 	}
-	r.out.rest.take(&n.stats.outstanding)
+	r.outbound.upload.countStart(&n.stats.outstanding)
 	r.deadline = time.Now().Add(wait)
-	r.guard.Stop()
-	n.keepTime(r, wait)
+	r.deadlineGuard.Stop()
+	n.guardDeadline(r, wait)
 	n.handle(balancer.RequestSent{ID: r.id, Timeout: wait})
 }
 
-// keepTime guards a request's deadline.
-func (n *Node) keepTime(r *request, patience time.Duration) {
+// guardDeadline guards a request's deadline.
+func (n *Server) guardDeadline(r *request, patience time.Duration) {
 	// The module ends a request at its deadline. The guard is for one that it
 	// does not end, as an answer in time is owed whatever it does.
-	r.guard = time.AfterFunc(patience+guardDelay, func() {
+	r.deadlineGuard = time.AfterFunc(patience+guardDelay, func() {
 		n.post(func() {
-			if !r.done {
-				n.finish(r.id, answer{status: http.StatusGatewayTimeout})
-				for _, cancel := range r.attempts {
+			if !r.answered {
+				n.answerRequest(r.id, response{status: http.StatusGatewayTimeout})
+				for _, cancel := range r.cancelAttempts {
 					cancel() // a module that lost the request does not call them off
 				}
 				n.handle(balancer.RequestAbandoned{ID: r.id})
@@ -116,15 +116,15 @@
 	})
 }
 
-// abandon ends a request whose client has gone.
-func (n *Node) abandon(r *request) {
-	if !r.done {
-		n.close(r)
+// abandonRequest ends a request whose client has gone.
+func (n *Server) abandonRequest(r *request) {
+	if !r.answered {
+		n.closeRequest(r)
 		n.handle(balancer.RequestAbandoned{ID: r.id})
 		return
 	}
 	select {
-	case a := <-r.answer: // it came too late
+	case a := <-r.response: // it came too late
 		if a.stream != nil {
 			a.stream.ended <- errClientGone
 		}
@@ -132,24 +132,24 @@
 	}
 }
 
-// finish gives a request its final answer. All answers pass here, and only
+// answerRequest gives a request its final answer. All answers pass here, and only
 // the first goes on.
-func (n *Node) finish(id balancer.RequestID, a answer) {
-	if r := n.requests[id]; r != nil && !r.done {
-		r.answer <- a
-		n.close(r)
+func (n *Server) answerRequest(id balancer.RequestID, a response) {
+	if r := n.requests[id]; r != nil && !r.answered {
+		r.response <- a
+		n.closeRequest(r)
 	}
 }
 
-func (n *Node) close(r *request) {
-	r.done = true
-	r.guard.Stop()
-	n.forget(r)
+func (n *Server) closeRequest(r *request) {
+	r.answered = true
+	r.deadlineGuard.Stop()
+	n.forgetRequest(r)
 }
 
-func (n *Node) forget(r *request) {
-	if r.done && r.running == 0 {
+func (n *Server) forgetRequest(r *request) {
+	if r.answered && r.runningAttempts == 0 {
 		delete(n.requests, r.id)
-		n.overTenant(r)
+		n.tenantRequestEnded(r)
 	}
 }
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -115,8 +115,8 @@
 	go func() { answers <- do(t, n.request(t, "GET", "saldo", "q", "60", nil)) }()
 	wait(t, got, "the attempt")
 	n.post(func() {
-		n.module = balancer.New(n.cfg.Settings, 1)
-		n.requests["q"].guard.Reset(0)
+		n.balancer = balancer.New(n.config.Settings, 1)
+		n.requests["q"].deadlineGuard.Reset(0)
 	})
 	if a := wait(t, answers, "the answer"); a.status != http.StatusGatewayTimeout {
 		t.Errorf("answer %+v, want 504", a)
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -26,7 +26,7 @@
 	c.budget.N = maxHead + maxBody
 	var resp *http.Response
 	for i := 0; ; i++ {
-		resp, err = http.ReadResponse(c.read, &http.Request{Method: method})
+		resp, err = http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return res, false, err
 		}
@@ -37,36 +37,36 @@
 			return res, false, fmt.Errorf("unexpected answer %s", resp.Status)
 		}
 	}
-	res.report = parseLoad(resp.Header.Get("X-Load"))
+	res.loadReport = parseLoad(resp.Header.Get("X-Load"))
 	if resp.ContentLength > maxLarge {
-		return res, false, errLong
+		return res, false, errTooLong
 	}
 	c.budget.N = math.MaxInt64 // the body is held to its own size
-	body, long, err := readAnswer(ctx, resp, c.pool.room.on(&c.room))
+	body, long, err := readAnswer(ctx, resp, c.pool.memory.reserveOnce(&c.releaseMemory))
 	if err != nil {
 		return res, false, err
 	}
 	if long && resp.StatusCode == http.StatusOK {
-		res.code, res.header = balancer.OK, resp.Header
-		res.stream = &stream{length: resp.ContentLength, start: body, rest: resp.Body, conn: c, ended: make(chan error, 1)}
+		res.outcome, res.header = balancer.OK, resp.Header
+		res.stream = &responseStream{length: resp.ContentLength, start: body, rest: resp.Body, conn: c, ended: make(chan error, 1)}
 		return res, !resp.Close, nil
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		res.code, res.header, res.body = balancer.OK, resp.Header, body
+		res.outcome, res.header, res.body = balancer.OK, resp.Header, body
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Run") == "1":
-		res.code = balancer.Rejected
+		res.outcome = balancer.Rejected
 	default:
-		res.code = balancer.ServerError
+		res.outcome = balancer.ServerError
 	}
-	return res, !resp.Close && !long && c.read.Buffered() == 0, nil
+	return res, !resp.Close && !long && c.reader.Buffered() == 0, nil
 }
 
 // readAnswer reads an answer's body. Where that is long, or may be and takes its
 // time, it is not read to its end.
 func readAnswer(ctx context.Context, resp *http.Response, room func(context.Context) error) (body []byte, long bool, err error) {
-	if resp.ContentLength > smallBody {
+	if resp.ContentLength > maxSmallBody {
 		if err := room(ctx); err != nil {
 			return nil, false, err
 		}
@@ -88,7 +88,7 @@
 		if err != nil {
 			return nil, false, err
 		}
-		if len(body) > smallBody {
+		if len(body) > maxSmallBody {
 			if err := room(ctx); err != nil {
 				return nil, false, err
 			}
--- a/internal/proxy/response_test.go
+++ b/internal/proxy/response_test.go
@@ -112,12 +112,12 @@
 	if want == balancer.TimedOut {
 		time /= 100
 	}
-	if got := try(t, p, time); got.code != want {
-		t.Errorf("outcome %d, want %d", got.code, want)
+	if got := try(t, p, time); got.outcome != want {
+		t.Errorf("outcome %d, want %d", got.outcome, want)
 	}
 	p.closeIdle(1)
 	wait(t, over, "the end of its server's part")
-	if p.open != 0 || len(p.room) != 0 {
-		t.Errorf("%d connections open, %d of the room taken", p.open, len(p.room))
+	if p.open != 0 || len(p.memory) != 0 {
+		t.Errorf("%d connections open, %d of the room taken", p.open, len(p.memory))
 	}
 }
--- a/internal/proxy/running_test.go
+++ b/internal/proxy/running_test.go
@@ -17,7 +17,7 @@
 )
 
 func testConfig(discovery string) Config {
-	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, Sockets: 512, Settings: balancer.Settings{
+	return Config{Name: "n0", Discovery: discovery, Seed: 1, MemoryMB: 192, MaxDescriptors: 512, Settings: balancer.Settings{
 		Proxies: 1, Zone: "a", Zones: []string{"a"}, MachineTypes: []string{"m2"}, MaxAttempts: 4, AllowCancel: true, SendRetryAfter: true,
 		MaxRetryAfter: 2 * time.Second, ConnectTimeout: enough, ConnectionIdleTimeout: time.Hour, MaxOpenRequests: 1000,
 		DrainGrace: time.Second, SlowStartInitial: 0.3, SlowStartDuration: time.Second, OverloadFactor: 3, OverloadDuration: time.Second,
@@ -30,7 +30,7 @@
 
 // running is a node under test, with a discovery that knows its servers.
 type running struct {
-	*Node
+	*Server
 	address string
 	stop    context.CancelFunc
 	linger  func() // ends the time in which a stopped node goes on accepting
@@ -40,11 +40,11 @@
 
 func startNode(t *testing.T, servers ...string) *running {
 	t.Helper()
-	return startNodeWith(t, func(*Node) {}, servers...)
+	return startNodeWith(t, func(*Server) {}, servers...)
 }
 
 // startNodeWith has a node prepared before it runs.
-func startNodeWith(t *testing.T, prepare func(*Node), servers ...string) *running {
+func startNodeWith(t *testing.T, prepare func(*Server), servers ...string) *running {
 	t.Helper()
 	var entries []string
 	for i, s := range servers {
@@ -66,19 +66,19 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &running{Node: New(testConfig(disc.Listener.Addr().String()), quiet), address: ln.Addr().String(), stop: stop,
+	n := &running{Server: New(testConfig(disc.Listener.Addr().String()), quiet), address: ln.Addr().String(), stop: stop,
 		ended: make(chan error, 1), tap: &tapped{TCPListener: ln.(*net.TCPListener), closed: make(chan struct{})}}
 	lingered := make(chan struct{})
 	n.linger = sync.OnceFunc(func() { close(lingered) })
-	n.front.linger = func() { <-lingered }
-	prepare(n.Node)
+	n.frontend.keepAccepting = func() { <-lingered }
+	prepare(n.Server)
 	go func() { n.ended <- n.Run(ctx, n.tap) }()
 	t.Cleanup(func() {
 		stop()
 		n.linger()
 		close(hung)
 		disc.Close()
-		<-n.Node.ended
+		<-n.Server.ended
 	})
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		resp, err := http.Get("http://" + n.address + "/health/ready")
@@ -95,8 +95,8 @@
 }
 
 // config is the loop's, which changes it.
-func (n *running) config() (cfg Config) {
-	n.do(func() { cfg = n.cfg })
+func (n *running) configOf() (cfg Config) {
+	n.do(func() { cfg = n.config })
 	return cfg
 }
 
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -13,27 +13,27 @@
 	"wrenspread/balancer"
 )
 
-// formerLeast is how long requests in the form of the settings before are
+// minPreviousForm is how long requests in the form of the settings before are
 // taken, at least: clients learn of a change at their own time.
-const formerLeast = 2 * time.Second
+const minPreviousForm = 2 * time.Second
 
 // optionalKeys of the settings may be absent, as the wire's page says.
 var optionalKeys = []string{"aim_stretch", "allowed_on", "failure_domains_open", "passes_deadline", "warm_keys"}
 
 // Reread takes the file at path over the running configuration, or turns it
 // down whole and says why. It is for one goroutine.
-func (n *Node) Reread(path string) error {
-	cfg, err := n.checked(path)
+func (n *Server) Reread(path string) error {
+	cfg, err := n.loadAndCheck(path)
 	if err != nil {
 		n.stats.sighupRejected.Add(1)
 		return fmt.Errorf("config %s: %w", path, err)
 	}
-	n.file = cfg.file
+	n.rawConfig = cfg.rawFile
 	n.Reload(cfg)
 	return nil
 }
 
-func (n *Node) checked(path string) (Config, error) {
+func (n *Server) loadAndCheck(path string) (Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return Config{}, err
@@ -42,7 +42,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if err := lacks("", n.file, cfg.file); err != nil {
+	if err := missingKey("", n.rawConfig, cfg.rawFile); err != nil {
 		return Config{}, err
 	}
 	return cfg, checkSettings(cfg)
@@ -50,7 +50,7 @@
 
 // checkSettings turns down what a running node could not keep its rules with.
 func checkSettings(cfg Config) error {
-	if n := cfg.Settings.MaxAttempts; n <= 0 && member(cfg.file, "settings", "caps", "max_attempts") != nil {
+	if n := cfg.Settings.MaxAttempts; n <= 0 && member(cfg.rawFile, "settings", "caps", "max_attempts") != nil {
 		return fmt.Errorf("settings: caps.max_attempts: %d is no number of attempts", n)
 	}
 	names := map[string]bool{}
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// lacks finds a key of the running file that another one does not have. Of a
+// missingKey finds a key of the running file that another one does not have. Of a
 // list of objects each must have the keys that all have in the running file.
 // What the servers were at a start is no setting: only its key must be there.
-func lacks(path string, old, new any) error {
+func missingKey(path string, old, new any) error {
 	switch old := old.(type) {
 	case map[string]any:
 		next, ok := new.(map[string]any)
@@ -88,7 +88,7 @@
 			if path == "" && key == "known" {
 				continue
 			}
-			if err := lacks(path+key+".", old[key], next[key]); err != nil {
+			if err := missingKey(path+key+".", old[key], next[key]); err != nil {
 				return err
 			}
 		}
@@ -102,7 +102,7 @@
 		}
 		shared := sharedKeys(old)
 		for i, e := range next {
-			if err := lacks(fmt.Sprintf("%s%d.", path, i), shared, e); len(shared) > 0 && err != nil {
+			if err := missingKey(fmt.Sprintf("%s%d.", path, i), shared, e); len(shared) > 0 && err != nil {
 				return err
 			}
 		}
@@ -128,70 +128,70 @@
 
 // Reload takes what may change under a running node from a new configuration:
 // the address of discovery and the settings.
-func (n *Node) Reload(cfg Config) {
+func (n *Server) Reload(cfg Config) {
 	n.post(func() {
-		if !reflect.DeepEqual(cfg.Settings, n.cfg.Settings) {
+		if !reflect.DeepEqual(cfg.Settings, n.config.Settings) {
 			n.log.Info("new settings", "classes", len(cfg.Settings.Classes), "attempts", cfg.Settings.MaxAttempts)
-			n.cfg.Settings = cfg.Settings
+			n.config.Settings = cfg.Settings
 			n.stats.add(cfg.Settings.Classes)
-			n.backends.configure(cfg.Settings)
-			n.swapRules(newRules(cfg.Settings, n.front.rules.Load()))
+			n.pool.configure(cfg.Settings)
+			n.applySettings(newRules(cfg.Settings, n.frontend.rules.Load()))
 		}
-		n.moveLists(cfg)
+		n.moveEndpointSource(cfg)
 		n.stats.sighupApplied.Add(1)
 	})
 }
 
-// swapRules gives the module the node's settings and the front the rules of them,
+// applySettings gives the module the node's settings and the front the rules of them,
 // in one step of the loop: each request that it opens has either these or those before.
-func (n *Node) swapRules(next *rules) {
-	n.handle(balancer.SettingsChanged{Settings: n.withVariants(n.cfg.Settings)})
-	n.front.rules.Store(next)
+func (n *Server) applySettings(next *requestRules) {
+	n.handle(balancer.SettingsChanged{Settings: n.withVariants(n.config.Settings)})
+	n.frontend.rules.Store(next)
 }
 
-// rules is what the front must know of the settings to take a request.
-type rules struct {
-	number      int                             // one more each time that the module is given settings: it knows the last two
-	came        int                             // the number with which the settings first came
-	effects     map[string]balancer.Idempotency // of the classes
-	longest     time.Duration                   // deadline of a class
-	former      map[string]balancer.Idempotency // of the settings before
-	formerUntil time.Time
+// requestRules is what the front must know of the settings to take a request.
+type requestRules struct {
+	number          int                             // one more each time that the module is given settings: it knows the last two
+	firstNumber     int                             // the number with which the settings first came
+	idempotency     map[string]balancer.Idempotency // of the classes
+	longestDeadline time.Duration                   // deadline of a class
+	previous        map[string]balancer.Idempotency // of the settings before
+	previousUntil   time.Time
 }
 
-func newRules(s balancer.Settings, before *rules) *rules {
-	r := &rules{effects: map[string]balancer.Idempotency{}}
+func newRules(s balancer.Settings, before *requestRules) *requestRules {
+	r := &requestRules{idempotency: map[string]balancer.Idempotency{}}
 	for _, c := range s.Classes {
-		r.effects[c.Name] = c.Idempotency
-		r.longest = max(r.longest, c.Deadline)
+		r.idempotency[c.Name] = c.Idempotency
+		r.longestDeadline = max(r.longestDeadline, c.Deadline)
 	}
 	if before != nil {
 		r.number = before.number + 1
-		r.came = r.number
-		r.former, r.formerUntil = before.effects, time.Now().Add(max(formerLeast, before.longest))
+		r.firstNumber = r.number
+		r.previous, r.previousUntil = before.idempotency, time.Now().Add(max(minPreviousForm, before.longestDeadline))
 	}
 	return r
 }
 
-// again is for the same settings, given once more.
-func (r *rules) again() *rules {
+// renumbered is for the same settings, given once more.
+func (r *requestRules) renumbered() *requestRules {
 	next := *r
-	next.number, next.former = r.number+1, nil
+	next.number, next.previous = r.number+1, nil
 	return &next
 }
 
-// of is the number of the settings of which a request has the form.
-func (r *rules) of(former bool) int {
+// numberFor is the number of the settings of which a request has the form.
+func (r *requestRules) numberFor(former bool) int {
 	if former {
 		return r.number - 1
 	}
 	return r.number
 }
 
-// effect finds what a repeat of a request would do: by its class, or by that
+// idempotencyOf finds what a repeat of a request would do: by its class, or by that
 // class as it was, where only that agrees with the request's form.
-func (r *rules) effect(class string, fits func(balancer.Idempotency) error) (former bool, err error) {
-	effect, known := r.effects[class]
+func (r *requestRules) idempotencyOf(class string, fits func(balancer.Idempotency) error) (former bool, err error) {
+	effect, known := r.idempotency[class]
 	if known {
 		if err = fits(effect); err == nil {
 			return false, nil
@@ -199,7 +199,7 @@
 	} else {
 		err = badRequest("unknown X-Class %q", class)
 	}
-	if effect, known = r.former[class]; known && fits(effect) == nil && time.Now().Before(r.formerUntil) {
+	if effect, known = r.previous[class]; known && fits(effect) == nil && time.Now().Before(r.previousUntil) {
 		return true, nil
 	}
 	return false, err
--- a/internal/proxy/settings_flight_test.go
+++ b/internal/proxy/settings_flight_test.go
@@ -15,7 +15,7 @@
 // change gives the node other settings and returns when it has them.
 func (n *running) change(t *testing.T, classes ...balancer.Class) {
 	t.Helper()
-	cfg := n.config()
+	cfg := n.configOf()
 	cfg.Settings.Classes = classes
 	n.Reload(cfg)
 	n.on(t, func() {})
@@ -97,7 +97,7 @@
 	n.stop()
 	n.linger()
 	wait(t, n.tap.closed, "the listener to be closed")
-	if left := n.front.longestLeft(); left < enough {
+	if left := n.frontend.longestTimeLeft(); left < enough {
 		t.Errorf("the front stays for %v", left)
 	}
 	close(release)
--- a/internal/proxy/settings_odd_test.go
+++ b/internal/proxy/settings_odd_test.go
@@ -30,14 +30,14 @@
 		"no hold-offs, no cold rules": func(s *balancer.Settings) { s.SendRetryAfter, s.SlowStartInitial, s.SlowStartDuration = false, 0, 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := startNodeWith(t, func(n *Node) {
-				change(&n.cfg.Settings)
-				n.module = balancer.New(n.cfg.Settings, 1)
-				n.front.rules.Store(newRules(n.cfg.Settings, nil))
-				n.backends.configure(n.cfg.Settings)
+			n := startNodeWith(t, func(n *Server) {
+				change(&n.config.Settings)
+				n.balancer = balancer.New(n.config.Settings, 1)
+				n.frontend.rules.Store(newRules(n.config.Settings, nil))
+				n.pool.configure(n.config.Settings)
 			}, serving(t))
 			for _, c := range []struct{ method, class string }{{"GET", "saldo"}, {"POST", "pagar"}} {
-				if c.class == "pagar" && len(n.cfg.Settings.Classes) == 1 {
+				if c.class == "pagar" && len(n.config.Settings.Classes) == 1 {
 					continue
 				}
 				if a := do(t, n.request(t, c.method, c.class, c.class, "20", strings.NewReader(""))); a.status != 200 {
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -22,16 +22,16 @@
 func rereader(t *testing.T, servers ...string) (n *running, reread func(config string) error) {
 	t.Helper()
 	n = startNode(t, servers...)
-	file := strings.Replace(reloadConfig, "127.0.0.1:1\",\"seed", n.cfg.Discovery+"\",\"seed", 1)
+	file := strings.Replace(reloadConfig, "127.0.0.1:1\",\"seed", n.config.Discovery+"\",\"seed", 1)
 	cfg, err := parseConfig([]byte(file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.file = cfg.file
+	n.rawConfig = cfg.rawFile
 	n.Reload(cfg)
 	path := filepath.Join(t.TempDir(), "config.json")
 	return n, func(config string) error {
-		if err := os.WriteFile(path, []byte(strings.Replace(config, "127.0.0.1:1\",\"seed", n.cfg.Discovery+"\",\"seed", 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(config, "127.0.0.1:1\",\"seed", n.config.Discovery+"\",\"seed", 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return n.Reread(path)
@@ -82,8 +82,8 @@
 		t.Error("a missing file is taken")
 	}
 	n.post(func() {
-		if len(n.cfg.Settings.Classes) != 2 || n.cfg.Settings.MaxAttempts != 4 {
-			t.Errorf("settings are now %+v", n.cfg.Settings)
+		if len(n.config.Settings.Classes) != 2 || n.config.Settings.MaxAttempts != 4 {
+			t.Errorf("settings are now %+v", n.config.Settings)
 		}
 	})
 	figure(t, address, "app.sighup_applied:1|c")
@@ -129,18 +129,18 @@
 		{"GET", "saldo", "", 200, 405}, {"POST", "pagar", "", 200, 400}, {"GET", "girar", "", 405, 405},
 	} {
 		n.post(func() {
-			r := *n.front.rules.Load()
-			r.formerUntil = r.formerUntil.Add(enough)
-			n.front.rules.Store(&r)
+			r := *n.frontend.rules.Load()
+			r.previousUntil = r.previousUntil.Add(enough)
+			n.frontend.rules.Store(&r)
 		})
 		if status := ask(c.method, c.class, c.key); status != c.while {
 			t.Errorf("%s %s soon after: %d, want %d", c.method, c.class, status, c.while)
 		}
 		over := make(chan bool)
 		n.post(func() {
-			r := *n.front.rules.Load()
-			r.formerUntil = r.formerUntil.Add(-1000 * enough)
-			n.front.rules.Store(&r)
+			r := *n.frontend.rules.Load()
+			r.previousUntil = r.previousUntil.Add(-1000 * enough)
+			n.frontend.rules.Store(&r)
 			close(over)
 		})
 		<-over
@@ -148,9 +148,9 @@
 			t.Errorf("%s %s long after: %d, want %d", c.method, c.class, status, c.later)
 		}
 		n.post(func() {
-			r := *n.front.rules.Load()
-			r.formerUntil = r.formerUntil.Add(1000 * enough)
-			n.front.rules.Store(&r)
+			r := *n.frontend.rules.Load()
+			r.previousUntil = r.previousUntil.Add(1000 * enough)
+			n.frontend.rules.Store(&r)
 		})
 	}
 	figure(t, address, "app.results.pagar.succeeded:1|c")
@@ -168,8 +168,8 @@
 		t.Errorf("answer %+v", a)
 	}
 	n.do(func() {
-		if n.cfg.Settings.MaxAttempts != 2 || n.cfg.Name != "n0" || n.cfg.Sockets != 512 || n.front.most < 100 {
-			t.Errorf("it is %+v", n.cfg)
+		if n.config.Settings.MaxAttempts != 2 || n.config.Name != "n0" || n.config.MaxDescriptors != 512 || n.frontend.maxConnections < 100 {
+			t.Errorf("it is %+v", n.config)
 		}
 	})
 	if err := n.Reread(t.TempDir()); err == nil {
@@ -192,7 +192,7 @@
 // TestFormerFormRunsUnderFormerClass.
 func TestFormerFormRunsUnderFormerClass(t *testing.T) {
 	r := newRules(balancer.Settings{Classes: []balancer.Class{{Name: "a", Idempotency: balancer.NotIdempotent}}},
-		&rules{effects: map[string]balancer.Idempotency{"a": balancer.Idempotent, "b": balancer.Idempotent}})
+		&requestRules{idempotency: map[string]balancer.Idempotency{"a": balancer.Idempotent, "b": balancer.Idempotent}})
 	is := func(want balancer.Idempotency) func(balancer.Idempotency) error {
 		return func(e balancer.Idempotency) error {
 			if e == want {
@@ -208,7 +208,7 @@
 		accepted bool
 	}{{"a", balancer.NotIdempotent, false, true}, {"a", balancer.Idempotent, true, true}, {"a", balancer.IdempotentByKey, false, false}, {"b", balancer.Idempotent, true, true},
 		{"c", balancer.Idempotent, false, false}} {
-		former, err := r.effect(c.class, is(c.form))
+		former, err := r.idempotencyOf(c.class, is(c.form))
 		if former != c.former || (err == nil) != c.accepted {
 			t.Errorf("class %s in form %d: former %v, error %v", c.class, c.form, former, err)
 		}
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -12,7 +12,7 @@
 
 // BenchmarkFollow is what a list of some size costs a whole node: one change of it, what runs at rest, memory for a server.
 func BenchmarkFollow(b *testing.B) {
-	var kept []*Node // their timers hold them for a while, which must not spoil the memory of the next
+	var kept []*Server // their timers hold them for a while, which must not spoil the memory of the next
 	defer func() { runtime.KeepAlive(kept) }()
 	for _, servers := range []int{200, 2000, 20000, 54000} {
 		var before, after runtime.MemStats
@@ -30,7 +30,7 @@
 		for i := range servers {
 			whole.Endpoints = append(whole.Endpoints, entry(i, registry.Ready))
 		}
-		n.follow(whole, balancer.UpdateComplete)
+		n.applyList(whole, balancer.UpdateComplete)
 		whole.Endpoints = nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -40,14 +40,14 @@
 				if i%2 > 0 {
 					status = registry.Ready
 				}
-				n.follow(registry.ListResponse{Index: uint64(i + 2), Endpoints: []registry.Endpoint{entry(i/2*7919%servers, status)}}, balancer.UpdateIncremental)
+				n.applyList(registry.ListResponse{Index: uint64(i + 2), Endpoints: []registry.Endpoint{entry(i/2*7919%servers, status)}}, balancer.UpdateIncremental)
 			}
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/float64(servers), "B/server")
 		})
 		b.Run(fmt.Sprintf("rest/servers=%d", servers), func(b *testing.B) { // a round of checks, one of idle connections
 			for b.Loop() {
 				n.handle(balancer.TimerFired{})
-				n.backends.expire(time.Now())
+				n.pool.expire(time.Now())
 			}
 		})
 	}
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -20,20 +20,20 @@
 // for silence (internal/registry/client/silence.go), and then it is ready at once. One that
 // follows a policy or tells tenants apart waits for the list service as long as it takes.
 const (
-	BindMost  = 5 * time.Second
-	readyMost = max(BindMost+firstWord, stateTime+listTime+yoursTime) // 5.5 s
+	MaxBindTime  = 5 * time.Second
+	maxReadyTime = max(MaxBindTime+agentAnswerTimeout, stateTimeout+handoffListTimeout+releaseTimeout) // 5.5 s
 )
 
-// settleReady lets clients in once there are servers and, where a policy is followed, it has been heard of: before that
+// updateReady lets clients in once there are servers and, where a policy is followed, it has been heard of: before that
 // the node would admit what no limit bounds. Where tenants are known, it has the catalogue, too, and is on the book.
-func (n *Node) settleReady() {
-	n.front.ready.Store(len(n.listed) > 0 && !n.unheard && (n.governed == nil || n.governed.told) && (n.tenants == nil || n.tenants.now.Ready()))
+func (n *Server) updateReady() {
+	n.frontend.ready.Store(len(n.listedEndpoints) > 0 && !n.awaitingAgent && (n.policy == nil || n.policy.policyKnown) && (n.tenants == nil || n.tenants.catalogue.Ready()))
 }
 
-// sayWhatLacks is for whoever looks for the reason of a node that is not ready in its time.
-func (n *Node) sayWhatLacks() {
-	if !n.front.ready.Load() {
-		n.log.Warn("not ready yet", "after", readyMost, "servers", len(n.listed), "agent", !n.unheard,
-			"policy", n.governed == nil || n.governed.told, "tenants", n.tenants == nil || n.tenants.now.Ready())
+// logMissing is for whoever looks for the reason of a node that is not ready in its time.
+func (n *Server) logMissing() {
+	if !n.frontend.ready.Load() {
+		n.log.Warn("not ready yet", "after", maxReadyTime, "servers", len(n.listedEndpoints), "agent", !n.awaitingAgent,
+			"policy", n.policy == nil || n.policy.policyKnown, "tenants", n.tenants == nil || n.tenants.catalogue.Ready())
 	}
 }
