--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -62,8 +62,8 @@
 // within 10 s of their start.
 func TestThirtyStartsTogether(t *testing.T) {
 	const starts, within = 30, 10 * time.Second
-	if readyMost >= within {
-		t.Errorf("the waits add up to %v", readyMost)
+	if maxReadyTime >= within {
+		t.Errorf("the waits add up to %v", maxReadyTime)
 	}
 	for _, c := range []struct {
 		name       string
@@ -84,9 +84,9 @@
 			t.Run(fmt.Sprintf("%s, asked for %v", c.name, asked), func(t *testing.T) {
 				d := newDiscovery(t, c.each, c.down, c.silent, asked)
 				cfg := testConfig(d.address)
-				cfg.Sockets, cfg.Settings.Proxies, cfg.Settings.PollForEndpoints, cfg.Settings.PollInterval = 64, starts, asked, within
+				cfg.MaxDescriptors, cfg.Settings.Proxies, cfg.Settings.PollForEndpoints, cfg.Settings.PollInterval = 64, starts, asked, within
 				if !c.unknown {
-					if err := json.Unmarshal([]byte(listOf(7, entryJSON("s", "127.0.0.1:1", "ready"))), &cfg.known); err != nil {
+					if err := json.Unmarshal([]byte(listOf(7, entryJSON("s", "127.0.0.1:1", "ready"))), &cfg.initialList); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -119,7 +119,7 @@
 		return enough
 	}
 	n, ended := New(cfg, quiet), make(chan error, 1)
-	n.front.linger = func() {}
+	n.frontend.keepAccepting = func() {}
 	ctx, stop := context.WithCancel(context.Background())
 	defer func() { stop(); <-ended }() // after the crowd has gone
 	for range crowd {
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -12,17 +12,17 @@
 	"wrenspread/balancer"
 )
 
-// outcome is how a request ended, as operators count it.
-type outcome int
+// requestOutcome is how a request ended, as operators count it.
+type requestOutcome int
 
 const (
-	succeeded outcome = iota
-	declined
-	aborted
-	outcomes
+	outcomeSucceeded requestOutcome = iota
+	outcomeDeclined
+	outcomeAborted
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"succeeded", "declined", "aborted"}
+var outcomeNames = [outcomeCount]string{"succeeded", "declined", "aborted"}
 
 // stats holds the figures for operators. They are kept where things happen, so
 // that whoever reads them waits for nobody.
@@ -30,18 +30,18 @@
 	forwards, outstanding, discovered, ejected atomic.Int64
 	sighupApplied, sighupRejected              atomic.Int64
 
-	mu      sync.RWMutex
-	results map[string]*[outcomes]atomic.Int64 // by class; one that was dropped keeps its count
-	servers map[string]*attempts               // nil: they are not told apart
+	mu        sync.RWMutex
+	results   map[string]*[outcomeCount]atomic.Int64 // by class; one that was dropped keeps its count
+	endpoints map[string]*endpointCounts             // nil: they are not told apart
 }
 
-// attempts are those of one server that ended and say something of it.
-type attempts struct{ succeeded, failed, late int64 } // late ones have succeeded
+// endpointCounts are those of one server that ended and say something of it.
+type endpointCounts struct{ succeeded, failed, late int64 } // late ones have succeeded
 
 func newStats(classes []balancer.Class, servers bool) *stats {
-	s := &stats{results: map[string]*[outcomes]atomic.Int64{}}
+	s := &stats{results: map[string]*[outcomeCount]atomic.Int64{}}
 	if servers {
-		s.servers = map[string]*attempts{}
+		s.endpoints = map[string]*endpointCounts{}
 	}
 	s.add(classes)
 	return s
@@ -53,13 +53,13 @@
 	defer s.mu.Unlock()
 	for _, c := range classes {
 		if s.results[c.Name] == nil {
-			s.results[c.Name] = new([outcomes]atomic.Int64)
+			s.results[c.Name] = new([outcomeCount]atomic.Int64)
 		}
 	}
 }
 
 // count takes the end of a request.
-func (s *stats) count(class string, o outcome) {
+func (s *stats) count(class string, o requestOutcome) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if r := s.results[class]; r != nil {
@@ -75,10 +75,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.servers[server]
+	a := s.endpoints[server]
 	if a == nil {
-		a = &attempts{}
-		s.servers[server] = a
+		a = &endpointCounts{}
+		s.endpoints[server] = a
 	}
 	switch {
 	case code != balancer.OK:
@@ -95,7 +95,7 @@
 func (s *stats) forget(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.servers, server)
+	delete(s.endpoints, server)
 }
 
 // write gives the figures as lines of text, classes in the order of their names.
@@ -112,8 +112,8 @@
 			fmt.Fprintf(w, "app.results.%s.%s:%d|c\n", label(name), r, s.results[name][o].Load())
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.servers)) {
-		a := s.servers[name]
+	for _, name := range slices.Sorted(maps.Keys(s.endpoints)) {
+		a := s.endpoints[name]
 		fmt.Fprintf(w, "app.backends.%s.succeeded:%d|c\napp.backends.%s.failed:%d|c\napp.backends.%s.late:%d|c\n", label(name), a.succeeded, label(name), a.failed, label(name), a.late)
 	}
 	for _, f := range []struct {
--- a/internal/proxy/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -63,8 +63,8 @@
 // TestNamesBreakNoLine: a class named by someone careless stays one word.
 func TestNamesBreakNoLine(t *testing.T) {
 	s := newStats([]balancer.Class{{Name: "a.b:1|c\napp.x"}}, true)
-	s.count("a.b:1|c\napp.x", aborted)
-	s.count("nobody's", aborted)
+	s.count("a.b:1|c\napp.x", outcomeAborted)
+	s.count("nobody's", outcomeAborted)
 	for code, late := range map[balancer.Outcome]bool{balancer.OK: true, balancer.Rejected: false, balancer.ConnectionReset: false, balancer.NotSent: false, balancer.Cancelled: false} {
 		s.attempt("b c", code, late)
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -109,7 +109,7 @@
 	}
 	ended := make(chan int, 1)
 	n.post(func() { // its time is over
-		attempts := n.requests["q"].attempts
+		attempts := n.requests["q"].cancelAttempts
 		for _, cancel := range attempts {
 			cancel()
 		}
@@ -203,11 +203,11 @@
 		if cancel(); err != nil {
 			t.Fatal(err)
 		}
-		s := &stream{length: c.length, start: make([]byte, c.start), rest: conn.Conn, conn: conn}
+		s := &responseStream{length: c.length, start: make([]byte, c.start), rest: conn.Conn, conn: conn}
 		w := httptest.NewRecorder()
-		if err := s.pass(w, time.Now().Add(c.due)); (err == nil) != c.whole || c.whole && w.Body.Len() != c.start+10 {
+		if err := s.writeTo(w, time.Now().Add(c.due)); (err == nil) != c.whole || c.whole && w.Body.Len() != c.start+10 {
 			t.Errorf("%+v: %d bytes, %v", c, w.Body.Len(), err)
 		}
-		conn.discard()
+		conn.closeDirty()
 	}
 }
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -9,71 +9,71 @@
 	"wrenspread/ratelimit"
 )
 
-// tenants is a node's part in the catalogue of tenants. It is the loop's but for the client, the session and the figures.
-type tenants struct {
-	k       *client.Client // for the catalogue and the session alone
-	desk    *tenant.Cache
-	as      tenant.Member      // how the book is to have this node
-	now     *tenant.Catalogue  // that requests are answered from
-	queue   []any              // events for the desk, the first of which is being handled
-	table   tenant.PolicyTable // the policy's, as the desk has it
-	books   map[string]string  // by limit of the policy's table: the name under which that knows its tenant
-	lanes   lanes
-	session *session
-	parked  []parked
-	look    bool          // there is another catalogue: some of parked may go on
-	ready   chan struct{} // closed when it has the catalogue and is on the book, for the first time
-	off     chan struct{} // closed when it leaves and the book does not have it any more
+// tenantService is a node's part in the catalogue of tenants. It is the loop's but for the client, the session and the figures.
+type tenantService struct {
+	client           *client.Client // for the catalogue and the session alone
+	cache            *tenant.Cache
+	self             tenant.Member      // how the book is to have this node
+	catalogue        *tenant.Catalogue  // that requests are answered from
+	pendingEvents    []any              // events for the desk, the first of which is being handled
+	policy           tenant.PolicyTable // the policy's, as the desk has it
+	tenantByLimit    map[string]string  // by limit of the policy's table: the name under which that knows its tenant
+	routes           routeVariants
+	session          *registrySession
+	parked           []parkedRequest
+	catalogueChanged bool          // there is another catalogue: some of parked may go on
+	ready            chan struct{} // closed when it has the catalogue and is on the book, for the first time
+	left             chan struct{} // closed when it leaves and the book does not have it any more
 
-	number, known             atomic.Uint64 // of the catalogue; tenants in it
-	unsure, declined, unknown atomic.Uint64 // requests
+	number, tenantCount              atomic.Uint64 // of the catalogue; tenants in it
+	unavailable, forbidden, notFound atomic.Uint64 // requests
 }
 
-// newTenants gives nil where tenants are not told apart.
-func newTenants(cfg Config) (*tenants, error) {
-	if !cfg.Tenants.Known {
+// newTenantService gives nil where tenants are not told apart.
+func newTenantService(cfg Config) (*tenantService, error) {
+	if !cfg.Tenants.Enabled {
 		return nil, nil
 	}
-	k, err := client.New(client.Config{Addresses: cfg.List, Hold: listHold})
+	k, err := client.New(client.Config{Addresses: cfg.Registry, Hold: listHold})
 	if err != nil {
 		return nil, err
 	}
-	t := &tenants{k: k, now: &tenant.Catalogue{}, lanes: newLanes(), session: newSession(cfg.Name), ready: make(chan struct{}), off: make(chan struct{})}
-	t.begin(cfg, uint64(time.Now().UnixMilli()))
+	t := &tenantService{client: k, catalogue: &tenant.Catalogue{}, routes: newRouteVariants(), session: newRegistrySession(cfg.Name), ready: make(chan struct{}), left: make(chan struct{})}
+	t.startGeneration(cfg, uint64(time.Now().UnixMilli()))
 	return t, nil
 }
 
-// begin makes the desk of a life in which nothing has been heard or said yet.
-func (t *tenants) begin(cfg Config, life uint64) {
-	t.desk = tenant.NewCache(life, cfg.Tenants.Hold, cfg.Tenants.OnDemand)
-	t.as = t.desk.Member(cfg.Name)
+// startGeneration makes the desk of a life in which nothing has been heard or said yet.
+func (t *tenantService) startGeneration(cfg Config, life uint64) {
+	t.cache = tenant.NewCache(life, cfg.Tenants.MaxStaleness, cfg.Tenants.OnDemand)
+	t.self = t.cache.Member(cfg.Name)
 }
 
 // succeed goes on in the life of the process before, so that the book has both while both serve. One with another hold
 // is another member: it begins a later life.
-func (n *Node) succeedTenants(before *tenant.Member) {
+func (n *Server) continueGeneration(before *tenant.Member) {
 	t := n.tenants
 	if t == nil || before == nil {
 		return
 	}
-	if before.MaxStalenessMS == t.as.MaxStalenessMS {
-		t.begin(n.cfg, before.Generation)
+	if before.MaxStalenessMS == t.self.MaxStalenessMS {
+		t.startGeneration(n.config, before.Generation)
 	} else {
-		t.begin(n.cfg, max(t.as.Generation, before.Generation+1))
+		t.startGeneration(n.config, max(t.self.Generation, before.Generation+1))
 	}
-	n.desk(tenant.PolicyChanged{PolicyTable: t.table})
+	n.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
 // member is what the next process of this node is told; nil where tenants are not told apart.
-func (t *tenants) member() *tenant.Member {
+func (t *tenantService) member() *tenant.Member {
 	if t == nil {
 		return nil
 	}
-	return &t.as
+	return &t.self
 }
 
 // isReady is closed once tenants can be served.
-func (t *tenants) isReady() <-chan struct{} {
+func (t *tenantService) isReady() <-chan struct{} {
 	if t == nil {
 		done := make(chan struct{})
 		close(done)
@@ -82,88 +82,88 @@
 	return t.ready
 }
 
-// clock is that of the desk: it never steps.
-func (n *Node) clock() time.Duration { return time.Since(n.start) }
+// tenantClock is that of the desk: it never steps.
+func (n *Server) tenantClock() time.Duration { return time.Since(n.start) }
 
-// desk gives an event to the desk and carries out what it says, before whatever event comes of that.
-func (n *Node) desk(event any) {
+// handleTenantEvent gives an event to the desk and carries out what it says, before whatever event comes of that.
+func (n *Server) handleTenantEvent(event any) {
 	t := n.tenants
-	t.queue = append(t.queue, event)
-	if len(t.queue) > 1 {
+	t.pendingEvents = append(t.pendingEvents, event)
+	if len(t.pendingEvents) > 1 {
 		return // the call further up gets to it
 	}
-	for len(t.queue) > 0 {
-		for _, a := range t.desk.Handle(n.clock(), t.queue[0]) {
+	for len(t.pendingEvents) > 0 {
+		for _, a := range t.cache.Handle(n.tenantClock(), t.pendingEvents[0]) {
 			switch a := a.(type) {
 			case tenant.SwapCatalogue:
-				t.now, t.look = a.Catalogue, true
-				n.swapped()
+				t.catalogue, t.catalogueChanged = a.Catalogue, true
+				n.catalogueSwapped()
 			case tenant.TellStatus:
-				t.session.tell(a.Status)
+				t.session.setStatus(a.Status)
 			case tenant.ReadCatalogue:
-				t.session.ask()
+				t.session.requestRead()
 			case tenant.CutRequests:
-				n.cutTenant(a.Tenant)
+				n.cutTenantRequests(a.Tenant)
 			}
 		}
-		t.queue = t.queue[1:]
+		t.pendingEvents = t.pendingEvents[1:]
 	}
-	t.queue = nil
-	if t.look {
-		t.look = false
-		n.unpark()
+	t.pendingEvents = nil
+	if t.catalogueChanged {
+		t.catalogueChanged = false
+		n.resumeParked()
 	}
 }
 
-// swapped follows a new catalogue up.
-func (n *Node) swapped() {
+// catalogueSwapped follows a new catalogue up.
+func (n *Server) catalogueSwapped() {
 	t := n.tenants
-	if number := t.desk.Number(); number != t.number.Load() {
+	if number := t.cache.Number(); number != t.number.Load() {
 		t.number.Store(number)
-		t.known.Store(uint64(t.desk.TenantCount()))
-		n.tellVersions()
-		n.log.Info("tenants", "catalogue", number, "known", t.desk.TenantCount())
+		t.tenantCount.Store(uint64(t.cache.TenantCount()))
+		n.announceVersions()
+		n.log.Info("tenants", "catalogue", number, "known", t.cache.TenantCount())
 	}
-	if t.now.Ready() {
+	if t.catalogue.Ready() {
 		select {
 		case <-t.ready:
 		default:
 			close(t.ready)
 		}
 	}
-	n.settleReady()
+	n.updateReady()
 }
 
-// tellVersions tells other nodes which policy and which catalogue this one has.
-func (n *Node) tellVersions() {
+// announceVersions tells other nodes which policy and which catalogue this one has.
+func (n *Server) announceVersions() {
 	catalogue := uint64(0)
 	if n.tenants != nil {
 		catalogue = n.tenants.number.Load()
 	}
-	if shell := n.view.Load(); shell != nil {
-		shell.SetVersions(catalogue, n.governed.version.Load())
+	if shell := n.membership.Load(); shell != nil {
+		shell.SetVersions(catalogue, n.policy.version.Load())
 	}
 }
 
-// tenantTable tells the desk of the policy's table that is evaluated; nil for none.
-func (n *Node) tenantTable(table *ratelimit.Table) {
+// setTenantPolicy tells the desk of the policy's table that is evaluated; nil for none.
+func (n *Server) setTenantPolicy(table *ratelimit.Table) {
 	t := n.tenants
 	if t == nil {
 		return
 	}
-	t.books = map[string]string{}
-	t.table = tenant.PolicyTable{HasLimit: func(limit string) bool { _, ok := t.books[limit]; return ok }}
+	t.tenantByLimit = map[string]string{}
+	t.policy = tenant.PolicyTable{HasLimit: func(limit string) bool { _, ok := t.tenantByLimit[limit]; return ok }}
 	if table != nil {
-		t.table.Version = table.Version
+		t.policy.Version = table.Version
 		for _, l := range table.Limits {
-			t.books[l.Name] = bookOf(table, l)
+			t.tenantByLimit[l.Name] = tenantOf(table, l)
 		}
 	}
-	n.desk(tenant.PolicyChanged{PolicyTable: t.table})
+	n.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
-// bookOf is the name by which a table knows the requests that touch a limit; empty: any.
-func bookOf(t *ratelimit.Table, l ratelimit.Limit) string {
+// tenantOf is the name by which a table knows the requests that touch a limit; empty: any.
+func tenantOf(t *ratelimit.Table, l ratelimit.Limit) string {
 	for at := l.Scope; at >= 0 && at < len(t.Scopes); at = t.Scopes[at].Parent {
 		if p := t.Scopes[at]; p.Attribute == ratelimit.AttributeTenant && p.Value != ratelimit.AnyOther {
 			return p.Value
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	readTries  = 5 * time.Second        // for one read of the catalogue
-	tenantTick = 250 * time.Millisecond // of the desk's clock: it wants each half second
-	leftTime   = 2 * time.Second        // for the word that the node has left, and for the book to follow
+	catalogueReadTimeout = 5 * time.Second        // for one read of the catalogue
+	tenantTick           = 250 * time.Millisecond // of the desk's clock: it wants each half second
+	leftTimeout          = 2 * time.Second        // for the word that the node has left, and for the book to follow
 )
 
 // followTenants keeps the session, reads the catalogue and has the desk's clock run until ctx ends.
-func (n *Node) followTenants(ctx context.Context) {
+func (n *Server) followTenants(ctx context.Context) {
 	t := n.tenants
 	if t == nil {
 		return
@@ -23,12 +23,12 @@
 	open, stop := context.WithCancel(ctx)
 	t.session.close = stop
 	go n.keepSession(open)
-	go n.readTenants(ctx)
+	go n.readCatalogue(ctx)
 	for _, key := range []string{tenant.HeadKey, tenant.MembersKey} { // the pages are read as they are wanted
-		go t.k.FollowRecords(ctx, key, func(client.Records) { t.session.ask() })
+		go t.client.FollowRecords(ctx, key, func(client.Records) { t.session.requestRead() })
 	}
 	go func() {
-		defer t.k.Close()
+		defer t.client.Close()
 		every := time.NewTicker(tenantTick)
 		defer every.Stop()
 		for {
@@ -42,60 +42,60 @@
 	}()
 }
 
-func (n *Node) tenantTick() {
-	if shell := n.view.Load(); shell != nil {
-		n.desk(tenant.PeerHasCatalogue{Number: shell.HighestCatalogue()})
+func (n *Server) tenantTick() {
+	if shell := n.membership.Load(); shell != nil {
+		n.handleTenantEvent(tenant.PeerHasCatalogue{Number: shell.HighestCatalogue()})
 	}
-	n.tenants.look = true // some have waited for long enough
-	n.desk(tenant.Tick{})
-	n.giveLanes()
+	n.tenants.catalogueChanged = true // some have waited for long enough
+	n.handleTenantEvent(tenant.Tick{})
+	n.applyRoutes()
 }
 
-// readTenants reads the catalogue whenever it is asked to, until that has worked.
-func (n *Node) readTenants(ctx context.Context) {
+// readCatalogue reads the catalogue whenever it is asked to, until that has worked.
+func (n *Server) readCatalogue(ctx context.Context) {
 	t := n.tenants
-	r := &tenant.Reader{Source: t.k, Member: t.as}
+	r := &tenant.Reader{Source: t.client, Member: t.self}
 	for failed := false; ; {
 		select {
-		case <-t.session.reads:
+		case <-t.session.readRequests:
 		case <-ctx.Done():
 			return
 		}
 		want := tenant.WantedLeaves{}
-		if !n.do(func() { want = t.desk.Wanted() }) {
+		if !n.do(func() { want = t.cache.Wanted() }) {
 			return
 		}
-		call, done := context.WithTimeout(ctx, readTries)
-		got, err := r.Read(call, n.clock, want)
+		call, done := context.WithTimeout(ctx, catalogueReadTimeout)
+		got, err := r.Read(call, n.tenantClock, want)
 		done()
 		if err != nil {
 			if !failed {
 				n.log.Warn("the catalogue of tenants can't be read for now", "err", err)
 			}
-			t.session.ask()
-			pauseAgain(ctx)
+			t.session.requestRead()
+			pauseBeforeRetry(ctx)
 		} else {
-			n.post(func() { n.takeTenants(got) })
+			n.post(func() { n.applyCatalogue(got) })
 		}
 		failed = err != nil
 	}
 }
 
-// takeTenants takes what was read. The routes come first: what the desk then says to be taken up can be served.
-func (n *Node) takeTenants(got tenant.CatalogueRead) {
+// applyCatalogue takes what was read. The routes come first: what the desk then says to be taken up can be served.
+func (n *Server) applyCatalogue(got tenant.CatalogueRead) {
 	t := n.tenants
-	if got.Snapshot != nil && got.Snapshot.Number >= t.desk.Number() {
-		n.planLanes(got.Snapshot)
+	if got.Snapshot != nil && got.Snapshot.Number >= t.cache.Number() {
+		n.planRoutes(got.Snapshot)
 	}
-	n.desk(got)
-	if t.now.Ready() || got.Enrolled {
+	n.handleTenantEvent(got)
+	if t.catalogue.Ready() || got.Enrolled {
 		return
 	}
-	if w := t.desk.Status(); w.Left {
+	if w := t.cache.Status(); w.Left {
 		select {
-		case <-t.off:
+		case <-t.left:
 		default:
-			close(t.off)
+			close(t.left)
 		}
 	}
 }
@@ -103,25 +103,25 @@
 // leaveTenants says that this process serves no tenant any more, once it has ended all its requests. wait returns when
 // the book has followed, or late, with the session closed: until then changes of tenants wait for this node. One whose
 // word has not been seen runs out by itself, so that it still can be.
-func (n *Node) leaveTenants(ctx context.Context) (wait func()) {
+func (n *Server) leaveTenants(ctx context.Context) (wait func()) {
 	t := n.tenants
 	if t == nil {
 		return func() {}
 	}
-	ctx, stop := context.WithTimeout(ctx, leftTime)
-	n.post(func() { n.desk(tenant.Leave{}) })
+	ctx, stop := context.WithTimeout(ctx, leftTimeout)
+	n.post(func() { n.handleTenantEvent(tenant.Leave{}) })
 	return func() {
 		defer stop()
-		gone := n.await(ctx, leftTime, t.session.left)
-		if gone && !n.front.handed.Load() { // else the book goes on to have the process that follows
-			t.session.ask()
-			gone = n.await(ctx, leftTime, t.off)
+		gone := n.waitFor(ctx, leftTimeout, t.session.left)
+		if gone && !n.frontend.handedOff.Load() { // else the book goes on to have the process that follows
+			t.session.requestRead()
+			gone = n.waitFor(ctx, leftTimeout, t.left)
 		}
 		if !gone {
 			n.log.Warn("the tenants' book may still have this node: wrenspreadctl tenant forget")
 			return
 		}
 		t.session.close()
-		n.await(ctx, leftTime, t.session.ended)
+		n.waitFor(ctx, leftTimeout, t.session.ended)
 	}
 }
--- a/internal/proxy/tenants_report.go
+++ b/internal/proxy/tenants_report.go
@@ -10,15 +10,15 @@
 )
 
 // write gives the figures of tenants as lines of text.
-func (t *tenants) write(w io.Writer) {
+func (t *tenantService) write(w io.Writer) {
 	fmt.Fprintf(w, "app.tenants.number:%d|g\napp.tenants.known:%d|g\napp.tenants.unsure:%d|c\napp.tenants.declined:%d|c\napp.tenants.unknown:%d|c\n",
-		t.number.Load(), t.known.Load(), t.unsure.Load(), t.declined.Load(), t.unknown.Load())
+		t.number.Load(), t.tenantCount.Load(), t.unavailable.Load(), t.forbidden.Load(), t.notFound.Load())
 }
 
-// answerTenants tells an operator what this node knows of tenants, MaxTenants at most.
-func (n *Node) answerTenants(w http.ResponseWriter, _ *http.Request) {
+// serveTenants tells an operator what this node knows of tenants, MaxTenants at most.
+func (n *Server) serveTenants(w http.ResponseWriter, _ *http.Request) {
 	var r tenant.Report
-	if !n.do(func() { r = n.tenants.desk.Report(n.clock()) }) {
+	if !n.do(func() { r = n.tenants.cache.Report(n.tenantClock()) }) {
 		http.Error(w, "the node has ended", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	sessionTTL  = 3 * time.Second        // without the list service, a definite no ends so long after the last word
-	sessionCall = time.Second            // for one call about the session: what is late by more is made anew
-	callAgain   = 200 * time.Millisecond // and as much again at random, after a call that failed
+	sessionTTL         = 3 * time.Second        // without the list service, a definite no ends so long after the last word
+	sessionCallTimeout = time.Second            // for one call about the session: what is late by more is made anew
+	retryPause         = 200 * time.Millisecond // and as much again at random, after a call that failed
 )
 
-// session is the node's session with the list service. One goroutine makes all calls about it.
-type session struct {
-	is    registry.Session
-	word  atomic.Pointer[tenant.Status] // that it is to have
-	told  *tenant.Status                // that it has; the goroutine's
-	wake  chan struct{}                 // there is another word
-	reads chan struct{}                 // the catalogue is to be read
-	left  chan struct{}                 // closed when it is told that the node has left
-	ended chan struct{}                 // closed when it is closed
-	close context.CancelFunc            // set before it begins
+// registrySession is the node's session with the list service. One goroutine makes all calls about it.
+type registrySession struct {
+	session      registry.Session
+	status       atomic.Pointer[tenant.Status] // that it is to have
+	sentStatus   *tenant.Status                // that it has; the goroutine's
+	wake         chan struct{}                 // there is another word
+	readRequests chan struct{}                 // the catalogue is to be read
+	left         chan struct{}                 // closed when it is told that the node has left
+	ended        chan struct{}                 // closed when it is closed
+	close        context.CancelFunc            // set before it begins
 }
 
-func newSession(name string) *session {
-	return &session{is: registry.Session{Process: name, TTL: sessionTTL}, wake: make(chan struct{}, 1), reads: make(chan struct{}, 1),
+func newRegistrySession(name string) *registrySession {
+	return &registrySession{session: registry.Session{Process: name, TTL: sessionTTL}, wake: make(chan struct{}, 1), readRequests: make(chan struct{}, 1),
 		left: make(chan struct{}), ended: make(chan struct{})}
 }
 
-// tell gives it another word. It does not wait: only the last one counts.
-func (s *session) tell(w tenant.Status) {
-	s.word.Store(&w)
-	poke(s.wake)
+// setStatus gives it another word. It does not wait: only the last one counts.
+func (s *registrySession) setStatus(w tenant.Status) {
+	s.status.Store(&w)
+	signal(s.wake)
 }
 
-// ask has the catalogue read, after a read that is under way.
-func (s *session) ask() { poke(s.reads) }
+// requestRead has the catalogue read, after a read that is under way.
+func (s *registrySession) requestRead() { signal(s.readRequests) }
 
-func poke(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -52,53 +52,53 @@
 }
 
 // keepSession has the node have a session until ctx ends, and closes the last one.
-func (n *Node) keepSession(ctx context.Context) {
+func (n *Server) keepSession(ctx context.Context) {
 	s := n.tenants.session
 	defer close(s.ended)
 	for ctx.Err() == nil {
 		if n.openSession(ctx) {
 			n.renewSession(ctx)
 		} else {
-			pauseAgain(ctx)
+			pauseBeforeRetry(ctx)
 		}
 	}
-	if s.is.ID == "" {
+	if s.session.ID == "" {
 		return
 	}
-	call, done := context.WithTimeout(context.WithoutCancel(ctx), sessionCall)
+	call, done := context.WithTimeout(context.WithoutCancel(ctx), sessionCallTimeout)
 	defer done()
-	if err := n.tenants.k.CloseSession(call, s.is.ID); err != nil {
+	if err := n.tenants.client.CloseSession(call, s.session.ID); err != nil {
 		n.log.Warn("the session runs out by itself", "err", err)
 	}
 }
 
 // openSession makes one try under a new id: a former one may have come to something, and then runs out.
-func (n *Node) openSession(ctx context.Context) bool {
+func (n *Server) openSession(ctx context.Context) bool {
 	t := n.tenants
 	s, w := t.session, tenant.Status{}
-	if !n.do(func() { w = t.desk.Status() }) {
+	if !n.do(func() { w = t.cache.Status() }) {
 		return false
 	}
-	s.is.ID, s.is.Info, s.told = n.cfg.Name+"-"+crand.Text(), registry.ProcessInfo{Note: w.Encode(), Version: version()}, nil
-	sent := n.clock()
-	call, done := context.WithTimeout(ctx, sessionCall)
+	s.session.ID, s.session.Info, s.sentStatus = n.config.Name+"-"+crand.Text(), registry.ProcessInfo{Note: w.Encode(), Version: version()}, nil
+	sent := n.tenantClock()
+	call, done := context.WithTimeout(ctx, sessionCallTimeout)
 	defer done()
-	if err := t.k.OpenSession(call, s.is); err != nil {
+	if err := t.client.OpenSession(call, s.session); err != nil {
 		n.log.Warn("no session with the list service yet", "err", err)
 		return false
 	}
-	n.post(func() { n.desk(tenant.SessionOpened{Sent: sent, TTL: s.is.TTL}) })
+	n.post(func() { n.handleTenantEvent(tenant.SessionOpened{Sent: sent, TTL: s.session.TTL}) })
 	return true
 }
 
 // renewSession keeps a session, and has it say what the desk last said, until it has ended or ctx does.
-func (n *Node) renewSession(ctx context.Context) {
+func (n *Server) renewSession(ctx context.Context) {
 	s := n.tenants.session
-	due := time.NewTimer(s.is.TTL / 3)
+	due := time.NewTimer(s.session.TTL / 3)
 	defer due.Stop()
 	for {
-		if !n.passWord(ctx) {
-			due.Reset(callAgain)
+		if !n.sendStatus(ctx) {
+			due.Reset(retryPause)
 		}
 		select {
 		case <-s.wake:
@@ -107,36 +107,36 @@
 		case <-ctx.Done():
 			return
 		}
-		sent := n.clock()
-		call, done := context.WithTimeout(ctx, sessionCall)
-		known, err := n.tenants.k.RenewSession(call, s.is.ID)
+		sent := n.tenantClock()
+		call, done := context.WithTimeout(ctx, sessionCallTimeout)
+		known, err := n.tenants.client.RenewSession(call, s.session.ID)
 		done()
 		if err != nil {
-			due.Reset(callAgain)
+			due.Reset(retryPause)
 			continue
 		}
-		n.post(func() { n.desk(tenant.SessionRenewed{Sent: sent, Known: known}) })
+		n.post(func() { n.handleTenantEvent(tenant.SessionRenewed{Sent: sent, Known: known}) })
 		if !known {
 			return
 		}
-		due.Reset(s.is.TTL / 3)
+		due.Reset(s.session.TTL / 3)
 	}
 }
 
-// passWord tells the service the desk's last word, unless it has it.
-func (n *Node) passWord(ctx context.Context) bool {
+// sendStatus tells the service the desk's last word, unless it has it.
+func (n *Server) sendStatus(ctx context.Context) bool {
 	s := n.tenants.session
-	w := s.word.Load()
-	if w == nil || w == s.told {
+	w := s.status.Load()
+	if w == nil || w == s.sentStatus {
 		return true
 	}
-	s.is.Info.Note = w.Encode()
-	call, done := context.WithTimeout(ctx, sessionCall)
+	s.session.Info.Note = w.Encode()
+	call, done := context.WithTimeout(ctx, sessionCallTimeout)
 	defer done()
-	if err := n.tenants.k.OpenSession(call, s.is); err != nil {
+	if err := n.tenants.client.OpenSession(call, s.session); err != nil {
 		return false
 	}
-	if s.told = w; w.Left {
+	if s.sentStatus = w; w.Left {
 		select {
 		case <-s.left:
 		default:
@@ -146,4 +146,4 @@
 	return true
 }
 
-func pauseAgain(ctx context.Context) { backoff.Sleep(ctx, callAgain+rand.N(callAgain)) }
+func pauseBeforeRetry(ctx context.Context) { backoff.Sleep(ctx, retryPause+rand.N(retryPause)) }
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -22,27 +22,27 @@
 }
 
 // withTenants has a node know tenants, with no list service: what that would tell comes by the test.
-func withTenants(t *testing.T, n *Node) {
-	n.cfg.Tenants.Known, n.cfg.List = true, []string{"127.0.0.1:1"}
+func withTenants(t *testing.T, n *Server) {
+	n.config.Tenants.Enabled, n.config.Registry = true, []string{"127.0.0.1:1"}
 	var err error
-	if n.tenants, err = newTenants(n.cfg); err != nil {
+	if n.tenants, err = newTenantService(n.config); err != nil {
 		t.Fatal(err)
 	}
-	n.cfg.List = nil
+	n.config.Registry = nil
 }
 
-func (n *Node) read(number uint64, phase tenant.Phase, f *tenant.Spec) {
+func (n *Server) read(number uint64, phase tenant.Phase, f *tenant.Spec) {
 	i := tenant.NewSnapshot(number, &tenant.Entry{Name: "k", Phase: phase, Current: f, Since: number})
-	n.takeTenants(tenant.CatalogueRead{StartedAt: n.clock(), Enrolled: true, Snapshot: i})
+	n.applyCatalogue(tenant.CatalogueRead{StartedAt: n.tenantClock(), Enrolled: true, Snapshot: i})
 }
 
 // TestTenantIsCutOff: when a tenant drains, what may have run is no refusal, what has begun at its client breaks off, and
 // both are over for the word that the node gives.
 func TestTenantIsCutOff(t *testing.T) {
 	came := make(chan bool, 2)
-	n := startNodeWith(t, func(n *Node) {
+	n := startNodeWith(t, func(n *Server) {
 		withTenants(t, n)
-		n.tenantTable(&ratelimit.Table{Limits: []ratelimit.Limit{{Name: "book/k", Scope: -1}}})
+		n.setTenantPolicy(&ratelimit.Table{Limits: []ratelimit.Limit{{Name: "book/k", Scope: -1}}})
 		n.read(1, tenant.PhaseServe, formOf(0, tenant.Route{Zones: []string{"a"}}))
 	}, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for req := readRequest(r); req != nil; req = readRequest(r) {
@@ -70,13 +70,13 @@
 	if status := open.status(t); status != http.StatusBadGateway {
 		t.Errorf("what may have run is answered with %d", status)
 	}
-	long.SetReadDeadline(time.Now().Add(progressTime / 2)) // before its standstill would end it
+	long.SetReadDeadline(time.Now().Add(progressTimeout / 2)) // before its standstill would end it
 	if _, err := io.ReadAll(resp.Body); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a long answer goes on: %v", err)
 	}
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		var r tenant.Report
-		n.do(func() { r = n.tenants.desk.Report(n.clock()) })
+		n.do(func() { r = n.tenants.cache.Report(n.tenantClock()) })
 		if len(r.Tenants) == 1 && r.Tenants[0].OpenRequests == 0 {
 			break
 		}
@@ -94,10 +94,10 @@
 func TestTenantsKeepAFrontShut(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), quiet)
 	withTenants(t, n)
-	n.listed["s"] = 1
+	n.listedEndpoints["s"] = 1
 	for i, event := range []any{tenant.PolicyChanged{}, tenant.CatalogueRead{Enrolled: true}, tenant.CatalogueRead{Snapshot: tenant.NewSnapshot(1)}, tenant.CatalogueRead{Enrolled: true, Snapshot: tenant.NewSnapshot(1)}} {
-		n.desk(event)
-		if n.settleReady(); n.front.ready.Load() != (i == 3) {
+		n.handleTenantEvent(event)
+		if n.updateReady(); n.frontend.ready.Load() != (i == 3) {
 			t.Errorf("ready is wrong after %d events", i+1)
 		}
 	}
@@ -107,44 +107,44 @@
 // that names pods has none, nor has one beyond the bound.
 func TestLanes(t *testing.T) {
 	classes := []balancer.Class{{Name: "saldo", AllowedZones: []string{"a", "b"}, PriorityWeight: 3}, {Name: "pagar", AllowedMachineTypes: []string{}}}
-	l := newLanes()
+	l := newRouteVariants()
 	f := formOf(0, tenant.Route{Zones: []string{"b", "c", "b"}, MachineTypes: []string{"m"}})
 	same := formOf(0, tenant.Route{Zones: []string{"c", "b"}, MachineTypes: []string{"m"}})
 	pods := formOf(0, tenant.Route{Cells: []int{1}})
 	entries := []*tenant.Entry{{Name: "x", Current: f, Next: same}, {Name: "y", Current: pods}}
 	l.plan(tenant.NewSnapshot(1, entries...), classes)
-	l.has = l.wants
-	one := l.of(&f.Routes[0], "saldo", false)
-	if v := l.has[one]; v.VariantOf != "saldo" || v.PriorityWeight != 3 || !slices.Equal(v.AllowedZones, []string{"b"}) || !slices.Equal(v.AllowedMachineTypes, []string{"m"}) {
+	l.current = l.wanted
+	one := l.classFor(&f.Routes[0], "saldo", false)
+	if v := l.current[one]; v.VariantOf != "saldo" || v.PriorityWeight != 3 || !slices.Equal(v.AllowedZones, []string{"b"}) || !slices.Equal(v.AllowedMachineTypes, []string{"m"}) {
 		t.Errorf("%q: %+v", one, v)
 	}
-	if v := l.has[l.of(&f.Routes[0], "pagar", false)]; v.AllowedMachineTypes == nil || len(v.AllowedMachineTypes) != 0 || !slices.Equal(v.AllowedZones, []string{"b", "c"}) {
+	if v := l.current[l.classFor(&f.Routes[0], "pagar", false)]; v.AllowedMachineTypes == nil || len(v.AllowedMachineTypes) != 0 || !slices.Equal(v.AllowedZones, []string{"b", "c"}) {
 		t.Errorf("%+v", v)
 	}
-	if name := l.of(&f.Routes[0], "saldo", true); name != "" { // the module's former class of that name may be none
+	if name := l.classFor(&f.Routes[0], "saldo", true); name != "" { // the module's former class of that name may be none
 		t.Errorf("a variant that the settings before had not: %q", name)
 	}
-	if other := l.of(&same.Routes[0], "saldo", false); other != one || len(l.has) != 2 {
-		t.Errorf("equal routes have %q and %q of %d", one, other, len(l.has))
+	if other := l.classFor(&same.Routes[0], "saldo", false); other != one || len(l.current) != 2 {
+		t.Errorf("equal routes have %q and %q of %d", one, other, len(l.current))
 	}
-	if name := l.of(&pods.Routes[0], "saldo", false); name != "" {
+	if name := l.classFor(&pods.Routes[0], "saldo", false); name != "" {
 		t.Errorf("a route of pods has %q", name)
 	}
-	if name := l.of(&tenant.Route{MinEndpoints: 2}, "saldo", false); name != "saldo" {
+	if name := l.classFor(&tenant.Route{MinEndpoints: 2}, "saldo", false); name != "saldo" {
 		t.Errorf("a route of everything has %q", name)
 	}
-	for i := range mostVariants {
+	for i := range maxVariants {
 		entries = append(entries, &tenant.Entry{Name: fmt.Sprint(i), Current: formOf(0, tenant.Route{Zones: []string{fmt.Sprint(i)}})})
 	}
-	if l.plan(tenant.NewSnapshot(2, entries...), classes); len(l.wants) != mostVariants {
-		t.Errorf("%d variants", len(l.wants))
+	if l.plan(tenant.NewSnapshot(2, entries...), classes); len(l.wanted) != maxVariants {
+		t.Errorf("%d variants", len(l.wanted))
 	}
-	last := entries[len(entries)-2:]                                                                          // which had no room
-	if l.follow(tenant.NewSnapshot(3, last...), classes); len(l.wants) != 3 || len(l.names) != 4 || l.short { // saldo has no zone of either
-		t.Errorf("after the others have gone: %d variants of %d routes", len(l.wants), len(l.names))
+	last := entries[len(entries)-2:]                                                                                   // which had no room
+	if l.follow(tenant.NewSnapshot(3, last...), classes); len(l.wanted) != 3 || len(l.variantOf) != 4 || l.overLimit { // saldo has no zone of either
+		t.Errorf("after the others have gone: %d variants of %d routes", len(l.wanted), len(l.variantOf))
 	}
 	again := []*tenant.Entry{last[0], {Name: "new", Current: formOf(0, tenant.Route{Zones: []string{last[1].Current.Routes[0].Zones[0]}})}}
-	if l.follow(tenant.NewSnapshot(4, again...), classes); len(l.wants) != 3 || len(l.names) != 4 {
-		t.Errorf("after one has changed: %d variants of %d routes", len(l.wants), len(l.names))
+	if l.follow(tenant.NewSnapshot(4, again...), classes); len(l.wanted) != 3 || len(l.variantOf) != 4 {
+		t.Errorf("after one has changed: %d variants of %d routes", len(l.wanted), len(l.variantOf))
 	}
 }
--- a/internal/proxy/term_test.go
+++ b/internal/proxy/term_test.go
@@ -132,7 +132,7 @@
 						n.handOver(t)
 					}
 					n.stop()
-					until(t, "the drain", n.front.draining.Load)
+					until(t, "the drain", n.frontend.draining.Load)
 					if late {
 						n.linger()
 						if rest, err := io.ReadAll(idle); err != nil || len(rest) > 0 {
@@ -169,7 +169,7 @@
 	n, release := startHolding(t, false)
 	close(release)
 	n.stop()
-	until(t, "the drain", n.front.draining.Load)
+	until(t, "the drain", n.frontend.draining.Load)
 	for range 20 {
 		c := n.dial(t)
 		c.ask(t, "saldo", "q", "60")
@@ -184,12 +184,12 @@
 // TestLateRequestIsAnsweredAheadOfSIGKILL, though its own time would go on after it and no server answers.
 func TestLateRequestIsAnsweredAheadOfSIGKILL(t *testing.T) {
 	server, _, _ := silentServer(t)
-	n := startNodeWith(t, func(n *Node) { n.front.killMost = 100 * time.Millisecond }, server)
+	n := startNodeWith(t, func(n *Server) { n.frontend.killTimeout = 100 * time.Millisecond }, server)
 	c := [2]raw{n.opened(t), n.opened(t)}
 	n.stop()
 	n.linger()
 	wait(t, n.tap.closed, "the listener's end")
-	until(t, "the last time", func() bool { return n.front.answerBy.Load() != nil })
+	until(t, "the last time", func() bool { return n.frontend.answerBy.Load() != nil })
 	for i, c := range c { // the second comes when its time is over
 		io.WriteString(c, strings.Replace(wholeGet, "Id: q", fmt.Sprint("Id: q", i), 1))
 		if s := c.status(t); s < 500 {
@@ -215,8 +215,8 @@
 			io.WriteString(c, okAnswer)
 		}
 	})
-	return startNodeWith(t, func(n *Node) {
-		if n.front.killMost = enough; upgrades {
+	return startNodeWith(t, func(n *Server) {
+		if n.frontend.killTimeout = enough; upgrades {
 			n.TakeOver(meetingPlace(t))
 		}
 	}, server), release
@@ -225,7 +225,7 @@
 // handOver plays a new process that has become ready.
 func (n *running) handOver(t *testing.T) {
 	t.Helper()
-	o := meet(t, strings.TrimSuffix(n.meeting, "/"+handoverName))
+	o := meet(t, strings.TrimSuffix(n.handoffPath, "/"+handoffSocket))
 	o.say(t, hello)
 	o.hear(t, kindState)
 	o.say(t, `{"kind":"ready"}`)
--- a/internal/proxy/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -24,9 +24,9 @@
 	release chan struct{}
 }
 
-func holdDials(n *Node, from int32) lateDial {
+func holdDials(n *Server, from int32) lateDial {
 	h, dials := lateDial{make(chan struct{}, 10), make(chan struct{})}, atomic.Int32{}
-	n.backends.dialer.Control = func(string, string, syscall.RawConn) error {
+	n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 		if dials.Add(1) >= from {
 			h.began <- struct{}{}
 			<-h.release
@@ -37,7 +37,7 @@
 }
 
 // on runs f on a node's loop.
-func (n *Node) on(t *testing.T, f func()) {
+func (n *Server) on(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	n.post(func() { f(); close(done) })
@@ -47,7 +47,7 @@
 // TestNothingIsSentOnceItMayNot: what held when a server was chosen has ended when the connection to it is there.
 func TestNothingIsSentOnceItMayNot(t *testing.T) {
 	entry := func(n *running, status string, since int64) registry.Endpoint {
-		return registry.Endpoint{Name: "s-0", Address: n.backends.backends[n.listed["s-0"]].address, Zone: "a", Type: "m2", Status: status, StartedAtMS: since}
+		return registry.Endpoint{Name: "s-0", Address: n.pool.backends[n.listedEndpoints["s-0"]].address, Zone: "a", Type: "m2", Status: status, StartedAtMS: since}
 	}
 	for _, c := range []struct {
 		name   string
@@ -60,23 +60,23 @@
 		}, 0},
 		{"its client has left, and nothing may be called off", func(t *testing.T, n *running, c raw) {
 			n.on(t, func() {
-				n.cfg.Settings.AllowCancel = false
-				n.handle(balancer.SettingsChanged{Settings: n.cfg.Settings})
+				n.config.Settings.AllowCancel = false
+				n.handle(balancer.SettingsChanged{Settings: n.config.Settings})
 			})
 			c.Close()
 			n.gone(t, "q")
 		}, 0},
 		{"its server drains", func(t *testing.T, n *running, _ raw) {
 			n.on(t, func() {
-				n.follow(registry.ListResponse{Endpoints: []registry.Endpoint{entry(n, registry.Draining, 0)}}, balancer.UpdateIncremental)
+				n.applyList(registry.ListResponse{Endpoints: []registry.Endpoint{entry(n, registry.Draining, 0)}}, balancer.UpdateIncremental)
 			})
 		}, 503},
 		{"its server has left", func(t *testing.T, n *running, _ raw) {
-			n.on(t, func() { n.follow(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete) })
+			n.on(t, func() { n.applyList(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete) })
 		}, 503},
 		{"its server is another process", func(t *testing.T, n *running, _ raw) {
 			n.on(t, func() {
-				n.follow(registry.ListResponse{Endpoints: []registry.Endpoint{entry(n, registry.Ready, 1)}}, balancer.UpdateIncremental)
+				n.applyList(registry.ListResponse{Endpoints: []registry.Endpoint{entry(n, registry.Ready, 1)}}, balancer.UpdateIncremental)
 			})
 		}, 503},
 		{"its server is in maintenance", func(t *testing.T, n *running, _ raw) {
@@ -87,7 +87,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var dial lateDial
-			n := startNodeWith(t, func(n *Node) { dial = holdDials(n, 1) }, serving(t))
+			n := startNodeWith(t, func(n *Server) { dial = holdDials(n, 1) }, serving(t))
 			conn := n.dial(t)
 			conn.ask(t, "saldo", "q", "60")
 			wait(t, dial.began, "the connection to begin")
@@ -110,7 +110,7 @@
 func (n *running) gone(t *testing.T, id balancer.RequestID) {
 	t.Helper()
 	until(t, "the client's end", func() (done bool) {
-		n.on(t, func() { r := n.requests[id]; done = r == nil || r.done })
+		n.on(t, func() { r := n.requests[id]; done = r == nil || r.answered })
 		return done
 	})
 }
@@ -134,7 +134,7 @@
 			}
 		})
 	}
-	n := startNodeWith(t, func(n *Node) { dial = holdDials(n, 2) }, failing(), failing())
+	n := startNodeWith(t, func(n *Server) { dial = holdDials(n, 2) }, failing(), failing())
 	before := n.now()
 	answered := make(chan reply, 1)
 	go func() {
@@ -160,9 +160,9 @@
 	cancel()
 	for i := range 100 {
 		try(t, p, enough)
-		stood(p, strayTime)
-		if res := p.attempt(ctx, 1, get("/api/x"), always, nil); res.code != balancer.NotSent {
-			t.Fatalf("outcome %d, want Moot", res.code)
+		stood(p, lateResponseRest)
+		if res := p.attempt(ctx, 1, get("/api/x"), always, nil); res.outcome != balancer.NotSent {
+			t.Fatalf("outcome %d, want Moot", res.outcome)
 		}
 		if sent := p.forwards.Load(); sent != int64(i+1) || p.open != 0 {
 			t.Fatalf("%d requests sent, %d connections open, want %d and none", sent, p.open, i+1)
--- a/internal/proxy/upgrade_calls_test.go
+++ b/internal/proxy/upgrade_calls_test.go
@@ -11,7 +11,7 @@
 // of the call behind the state, which may be from before it.
 func TestCallBesideTheState(t *testing.T) {
 	dir := meetingPlace(t)
-	n := startNodeWith(t, func(n *Node) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
 	if err := n.maintain(context.Background(), "s-0", true); err != nil {
 		t.Fatal(err)
 	}
@@ -27,16 +27,16 @@
 		}
 	}
 	forwarded := make(chan struct{})
-	go func() { defer close(forwarded); n.forward(nil, "s-0", false) }() // as a call does that is in force
-	n.links.mu.Lock()
-	l := n.links.successor
-	n.links.mu.Unlock()
+	go func() { defer close(forwarded); n.forwardMaintenance(nil, "s-0", false) }() // as a call does that is in force
+	n.handoffLinks.mu.Lock()
+	l := n.handoffLinks.successor
+	n.handoffLinks.mu.Unlock()
 	if l.mu.TryLock() { // nothing holds it back
 		l.mu.Unlock()
 		o.hear(t, kindState)
 	}
 	close(release)
-	if m := o.hear(t, kindState); len(m.Bans) != 1 {
+	if m := o.hear(t, kindState); len(m.InMaintenance) != 1 {
 		t.Errorf("the state is %+v", m)
 	}
 	if m := o.hear(t, kindCall); m.Backend != "s-0" || m.On {
@@ -57,11 +57,11 @@
 		io.Copy(io.Discard, o)
 	})
 	early := make(chan bool, 1)
-	n := startNodeWith(t, func(n *Node) {
+	n := startNodeWith(t, func(n *Server) {
 		n.TakeOver(dir)
 		n.Overlap = func(on bool) {
 			if on {
-				n.do(func() { early <- n.banned["s-0"] })
+				n.do(func() { early <- n.inMaintenance["s-0"] })
 			}
 		}
 	}, serving(t))
--- a/internal/proxy/upgrade_link.go
+++ b/internal/proxy/upgrade_link.go
@@ -19,22 +19,22 @@
 const (
 	handoverVersion = 1
 	maxHandoverLine = 4 << 20                // bytes; the state of a thousand servers takes a tenth
-	helloTime       = 2 * time.Second        // for the other end's first words
-	forwardTime     = 400 * time.Millisecond // for the other process to take a maintenance call
+	helloTimeout    = 2 * time.Second        // for the other end's first words
+	forwardTimeout  = 400 * time.Millisecond // for the other process to take a maintenance call
 )
 
-// message is a line between the old process of a node and the new one.
-type message struct {
-	Version int                            `json:"v,omitempty"`
-	Kind    string                         `json:"kind"`
-	Learned *balancer.LearnedState         `json:"learned,omitempty"`
-	Names   map[string]balancer.EndpointID `json:"names,omitempty"` // of the servers in it
-	Bans    []string                       `json:"bans,omitempty"`
-	Backend string                         `json:"backend,omitempty"`
-	On      bool                           `json:"on,omitempty"`
-	Number  int                            `json:"number,omitempty"`  // of a call that is forwarded
-	Tenants *tenant.Member                 `json:"tenants,omitempty"` // how the tenants' book has the node
-	Fleet   json.RawMessage                `json:"fleet,omitempty"`   // a view.Handed, the node's life in the fleet; what can't be read of it costs only the life
+// handoffMessage is a line between the old process of a node and the new one.
+type handoffMessage struct {
+	Version       int                            `json:"v,omitempty"`
+	Kind          string                         `json:"kind"`
+	Learned       *balancer.LearnedState         `json:"learned,omitempty"`
+	Names         map[string]balancer.EndpointID `json:"names,omitempty"` // of the servers in it
+	InMaintenance []string                       `json:"bans,omitempty"`
+	Backend       string                         `json:"backend,omitempty"`
+	On            bool                           `json:"on,omitempty"`
+	Number        int                            `json:"number,omitempty"`  // of a call that is forwarded
+	Tenants       *tenant.Member                 `json:"tenants,omitempty"` // how the tenants' book has the node
+	Membership    json.RawMessage                `json:"fleet,omitempty"`   // a view.Handed, the node's life in the fleet; what can't be read of it costs only the life
 }
 
 // The kinds of message, in the order in which they come.
@@ -45,41 +45,41 @@
 	kindCall    = "call"    // either way: maintenance
 	kindDone    = "done"    // its answer
 	kindReady   = "ready"   // new to old
-	kindYours   = "yours"   // old to new, with the peers' socket
+	kindRelease = "yours"   // old to new, with the peers' socket
 )
 
-// link is the connection between the two processes.
-type link struct {
-	conn *net.UnixConn
-	scan *bufio.Scanner
-	fds  []int // that came with the lines read so far
+// handoffLink is the connection between the two processes.
+type handoffLink struct {
+	conn        *net.UnixConn
+	scanner     *bufio.Scanner
+	descriptors []int // that came with the lines read so far
 
-	mu      sync.Mutex // of what follows, and for writing
-	number  int
-	waiting map[int]chan struct{}
-	closed  bool
+	mu         sync.Mutex // of what follows, and for writing
+	lastNumber int
+	waiting    map[int]chan struct{}
+	closed     bool
 }
 
-func newLink(c *net.UnixConn) *link {
-	l := &link{conn: c, waiting: map[int]chan struct{}{}}
-	l.scan = bufio.NewScanner(l)
-	l.scan.Buffer(nil, maxHandoverLine)
+func newHandoffLink(c *net.UnixConn) *handoffLink {
+	l := &handoffLink{conn: c, waiting: map[int]chan struct{}{}}
+	l.scanner = bufio.NewScanner(l)
+	l.scanner.Buffer(nil, maxHandoverLine)
 	return l
 }
 
 // Read takes in descriptors beside the bytes.
-func (l *link) Read(p []byte) (int, error) {
+func (l *handoffLink) Read(p []byte) (int, error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
 	n, oobn, _, _, err := l.conn.ReadMsgUnix(p, oob)
 	if oobn > 0 {
 		if msgs, err := syscall.ParseSocketControlMessage(oob[:oobn]); err == nil {
 			for _, m := range msgs {
 				if fds, err := syscall.ParseUnixRights(&m); err == nil {
-					l.fds = append(l.fds, fds...) // one at most, for want of room
+					l.descriptors = append(l.descriptors, fds...) // one at most, for want of room
 				}
 			}
 		}
-		if len(l.fds) > 1 { // nobody sends a second one
+		if len(l.descriptors) > 1 { // nobody sends a second one
 			return 0, errors.New("handover: too many descriptors")
 		}
 	}
@@ -89,33 +89,33 @@
 	return n, err
 }
 
-// next reads one message, by a time unless that is zero.
-func (l *link) next(by time.Time) (m message, err error) {
+// receive reads one message, by a time unless that is zero.
+func (l *handoffLink) receive(by time.Time) (m handoffMessage, err error) {
 	l.conn.SetReadDeadline(by)
-	if !l.scan.Scan() {
-		if err = l.scan.Err(); err == nil {
+	if !l.scanner.Scan() {
+		if err = l.scanner.Err(); err == nil {
 			err = io.EOF
 		}
 		return m, err
 	}
-	return m, json.Unmarshal(l.scan.Bytes(), &m)
+	return m, json.Unmarshal(l.scanner.Bytes(), &m)
 }
 
-// say writes one message, with a descriptor unless that is negative.
-func (l *link) say(m message, fd int) error {
+// send writes one message, with a descriptor unless that is negative.
+func (l *handoffLink) send(m handoffMessage, fd int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.write(m, fd)
+	return l.writeLocked(m, fd)
 }
 
-// write is say for whoever holds the lock.
-func (l *link) write(m message, fd int) error {
+// writeLocked is say for whoever holds the lock.
+func (l *handoffLink) writeLocked(m handoffMessage, fd int) error {
 	line, err := json.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	line = append(line, '\n')
-	l.conn.SetWriteDeadline(time.Now().Add(helloTime))
+	l.conn.SetWriteDeadline(time.Now().Add(helloTimeout))
 	if fd >= 0 {
 		_, _, err = l.conn.WriteMsgUnix(line, syscall.UnixRights(fd), nil)
 	} else {
@@ -124,16 +124,16 @@
 	return err
 }
 
-// call forwards a maintenance call and waits until the other end has taken it.
-func (l *link) call(ctx context.Context, name string, on bool) {
+// forwardMaintenance forwards a maintenance call and waits until the other end has taken it.
+func (l *handoffLink) forwardMaintenance(ctx context.Context, name string, on bool) {
 	done := make(chan struct{})
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
 		return
 	}
-	l.number++
-	number := l.number
+	l.lastNumber++
+	number := l.lastNumber
 	l.waiting[number] = done
 	l.mu.Unlock()
 	defer func() {
@@ -141,10 +141,10 @@
 		delete(l.waiting, number)
 		l.mu.Unlock()
 	}()
-	if l.say(message{Kind: kindCall, Backend: name, On: on, Number: number}, -1) != nil {
+	if l.send(handoffMessage{Kind: kindCall, Backend: name, On: on, Number: number}, -1) != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, forwardTime)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	select {
 	case <-done:
@@ -152,7 +152,7 @@
 	}
 }
 
-func (l *link) done(number int) {
+func (l *handoffLink) maintenanceDone(number int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.waiting[number]; c != nil {
@@ -162,7 +162,7 @@
 }
 
 // close ends the link and all that wait on it.
-func (l *link) close() {
+func (l *handoffLink) close() {
 	l.conn.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,12 +173,12 @@
 	}
 }
 
-// drop closes descriptors that nobody took.
-func (l *link) drop() {
-	for _, fd := range l.fds {
+// closeUnused closes descriptors that nobody took.
+func (l *handoffLink) closeUnused() {
+	for _, fd := range l.descriptors {
 		if fd >= 0 {
 			syscall.Close(fd)
 		}
 	}
-	l.fds = nil
+	l.descriptors = nil
 }
--- a/internal/proxy/upgrade_link_test.go
+++ b/internal/proxy/upgrade_link_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (o other) hear(t *testing.T, kind string) (m message) {
+func (o other) hear(t *testing.T, kind string) (m handoffMessage) {
 	t.Helper()
 	o.SetDeadline(time.Now().Add(enough))
 	line, err := o.read.ReadBytes('\n')
@@ -53,7 +53,7 @@
 func meet(t *testing.T, dir string) other {
 	t.Helper()
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
-		c, err := net.Dial("unix", filepath.Join(dir, handoverName))
+		c, err := net.Dial("unix", filepath.Join(dir, handoffSocket))
 		if err == nil {
 			t.Cleanup(func() { c.Close() })
 			return other{c.(*net.UnixConn), bufio.NewReader(c)}
@@ -66,9 +66,9 @@
 
 // mayOpen is how many connections to servers the node may have now.
 func (n *running) mayOpen() int {
-	n.backends.mu.Lock()
-	defer n.backends.mu.Unlock()
-	return n.backends.limit()
+	n.pool.mu.Lock()
+	defer n.pool.mu.Unlock()
+	return n.pool.limit()
 }
 
 const hello = `{"v":1,"kind":"hello"}`
--- a/internal/proxy/upgrade_links.go
+++ b/internal/proxy/upgrade_links.go
@@ -7,86 +7,86 @@
 	"time"
 )
 
-const outliveLeast = 5 * time.Second // the old process stays so long, for operators that still call it
+const minOutlive = 5 * time.Second // the old process stays so long, for operators that still call it
 
-// links are the processes of this node that this one speaks with: the one
+// handoffLinks are the processes of this node that this one speaks with: the one
 // before it, while that ends, and the one after it.
-type links struct {
+type handoffLinks struct {
 	mu        sync.Mutex
-	all       []*link
-	successor *link
+	all       []*handoffLink
+	successor *handoffLink
 }
 
-// join takes in another process, but no second one that would succeed.
-func (n *Node) join(l *link, successor bool) bool {
-	n.links.mu.Lock()
-	defer n.links.mu.Unlock()
+// joinLink takes in another process, but no second one that would succeed.
+func (n *Server) joinLink(l *handoffLink, successor bool) bool {
+	n.handoffLinks.mu.Lock()
+	defer n.handoffLinks.mu.Unlock()
 	if successor {
-		if n.links.successor != nil {
+		if n.handoffLinks.successor != nil {
 			return false
 		}
-		n.links.successor = l
+		n.handoffLinks.successor = l
 	}
-	n.links.all = append(n.links.all, l)
-	n.overlap(true)
+	n.handoffLinks.all = append(n.handoffLinks.all, l)
+	n.shareLimits(true)
 	return true
 }
 
-// leave ends what two processes share.
-func (n *Node) leave(l *link) {
+// leaveLink ends what two processes share.
+func (n *Server) leaveLink(l *handoffLink) {
 	l.close()
-	n.links.mu.Lock()
-	defer n.links.mu.Unlock()
-	if n.links.successor == l {
-		n.links.successor = nil
+	n.handoffLinks.mu.Lock()
+	defer n.handoffLinks.mu.Unlock()
+	if n.handoffLinks.successor == l {
+		n.handoffLinks.successor = nil
 	}
-	n.links.all = slices.DeleteFunc(n.links.all, func(o *link) bool { return o == l })
-	n.overlap(len(n.links.all) > 0)
+	n.handoffLinks.all = slices.DeleteFunc(n.handoffLinks.all, func(o *handoffLink) bool { return o == l })
+	n.shareLimits(len(n.handoffLinks.all) > 0)
 }
 
-// overlap halves what this process may use, or takes it all back.
-func (n *Node) overlap(on bool) {
-	n.backends.share(on)
+// shareLimits halves what this process may use, or takes it all back.
+func (n *Server) shareLimits(on bool) {
+	n.pool.halve(on)
 	if n.Overlap != nil {
 		n.Overlap(on)
 	}
 }
 
-// attend takes what the other process says until the link ends.
-func (n *Node) attend(l *link, other func(message)) {
-	stop := context.AfterFunc(n.ctx, l.close)
+// serveLink takes what the other process says until the link ends.
+func (n *Server) serveLink(l *handoffLink, other func(handoffMessage)) {
+	stop := context.AfterFunc(n.loopContext, l.close)
 	defer stop()
-	defer l.drop()
+	defer l.closeUnused()
 	for {
-		m, err := l.next(time.Time{})
+		m, err := l.receive(time.Time{})
 		if err != nil {
 			return
 		}
 		if m.Kind != kindCall {
 			if m.Kind == kindDone {
-				l.done(m.Number)
+				l.maintenanceDone(m.Number)
 			} else {
 				other(m)
 			}
 			continue
 		}
 		n.do(func() { n.setMaintenance(m.Backend, m.On) })
-		n.forward(l, m.Backend, m.On)
-		if l.say(message{Kind: kindDone, Number: m.Number}, -1) != nil {
+		n.forwardMaintenance(l, m.Backend, m.On)
+		if l.send(handoffMessage{Kind: kindDone, Number: m.Number}, -1) != nil {
 			return
 		}
 	}
 }
 
-// forward tells the other processes of a maintenance call. They stand in a row,
+// forwardMaintenance tells the other processes of a maintenance call. They stand in a row,
 // so that none hears of it twice.
-func (n *Node) forward(from *link, name string, on bool) {
-	n.links.mu.Lock()
-	all := slices.Clone(n.links.all)
-	n.links.mu.Unlock()
+func (n *Server) forwardMaintenance(from *handoffLink, name string, on bool) {
+	n.handoffLinks.mu.Lock()
+	all := slices.Clone(n.handoffLinks.all)
+	n.handoffLinks.mu.Unlock()
 	for _, l := range all {
 		if l != from {
-			l.call(n.ctx, name, on)
+			l.forwardMaintenance(n.loopContext, name, on)
 		}
 	}
 }
--- a/internal/proxy/upgrade_new_test.go
+++ b/internal/proxy/upgrade_new_test.go
@@ -16,7 +16,7 @@
 // oldProcess plays a process that serves: it hears hello, and goes on with script.
 func oldProcess(t *testing.T, dir string, script func(other)) {
 	t.Helper()
-	ln, err := net.Listen("unix", filepath.Join(dir, handoverName))
+	ln, err := net.Listen("unix", filepath.Join(dir, handoffSocket))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 				}
 				c.script(o)
 			})
-			n := startNodeWith(t, func(n *Node) { n.TakeOver(dir) }, serving(t))
+			n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
 			if a := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); a.status != 200 {
 				t.Errorf("answer %+v", a)
 			}
@@ -87,7 +87,7 @@
 // TestBansAreTakenOver before any list, and calls go to whoever else serves.
 func TestBansAreTakenOver(t *testing.T) {
 	dir := meetingPlace(t)
-	calls := make(chan message, 1)
+	calls := make(chan handoffMessage, 1)
 	oldProcess(t, dir, func(o other) {
 		o.read.ReadString('\n')
 		o.say(t, `{"v":1,"kind":"state","bans":["s-0"]}`)
@@ -98,7 +98,7 @@
 		calls <- m
 		io.Copy(io.Discard, o)
 	})
-	n := startNodeWith(t, func(n *Node) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
 	if a := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); a.status != 503 {
 		t.Errorf("answer %+v, want a refusal", a)
 	}
@@ -108,7 +108,7 @@
 	if m := wait(t, calls, "the call at the old process"); m.Backend != "s-0" || m.On {
 		t.Errorf("it hears %+v", m)
 	}
-	if held := n.backends.isHeld(balancer.EndpointID(newIDs().of("s-0"))); held {
+	if held := n.pool.isHeld(balancer.EndpointID(newEndpointIDs().idOf("s-0"))); held {
 		t.Error("the ban is still in force")
 	}
 	n.stopNow(t)
--- a/internal/proxy/upgrade_old_test.go
+++ b/internal/proxy/upgrade_old_test.go
@@ -13,7 +13,7 @@
 // TestNewProcessEndsBeforeItIsReady: the old one serves on, with all it may use, and the next one is welcome.
 func TestNewProcessEndsBeforeItIsReady(t *testing.T) {
 	dir := meetingPlace(t)
-	n := startNodeWith(t, func(n *Node) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
 	full := n.mayOpen()
 	for range 2 {
 		o := meet(t, dir)
@@ -42,7 +42,7 @@
 // TestNoiseAtTheMeetingPlace: whoever calls there with something else does no harm.
 func TestNoiseAtTheMeetingPlace(t *testing.T) {
 	dir := meetingPlace(t)
-	n := startNodeWith(t, func(n *Node) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
 	for _, noise := range []string{"", "\n", "{}", `{"v":2,"kind":"hello"}`, `{"v":1,"kind":"ready"}`, "GET / HTTP/1.1\r\n\r\n",
 		`[1]`, "\x00\xff"} {
 		o := meet(t, dir)
@@ -70,7 +70,7 @@
 // TestStopBeforeTheNewProcessIsReady is a stop like any other, and the new process hears of it by the link's end.
 func TestStopBeforeTheNewProcessIsReady(t *testing.T) {
 	dir := meetingPlace(t)
-	n := startNodeWith(t, func(n *Node) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
 	o := meet(t, dir)
 	o.say(t, hello)
 	o.hear(t, kindState)
@@ -89,9 +89,9 @@
 	dir := meetingPlace(t)
 	conn, own := udpSocket(t)
 	far, to := udpSocket(t)
-	old := startNodeWith(t, func(n *Node) { n.TakeOver(dir) }, serving(t))
+	old := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
 	heard := make(chan string, 10)
-	p := newPeers(conn, []netip.AddrPort{own, to}, quiet)
+	p := newPeerSocket(conn, []netip.AddrPort{own, to}, quiet)
 	old.peers.Store(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -103,18 +103,18 @@
 	o := meet(t, dir)
 	o.say(t, hello)
 	o.hear(t, kindState)
-	l := newLink(o.UnixConn)
+	l := newHandoffLink(o.UnixConn)
 	o.say(t, `{"kind":"ready"}`)
-	if m, err := l.next(time.Now().Add(enough)); err != nil || m.Kind != kindYours || len(l.fds) != 1 {
-		t.Fatalf("%+v, %v, descriptors %v", m, err, l.fds)
+	if m, err := l.receive(time.Now().Add(enough)); err != nil || m.Kind != kindRelease || len(l.descriptors) != 1 {
+		t.Fatalf("%+v, %v, descriptors %v", m, err, l.descriptors)
 	}
-	next := &Node{log: quiet, cfg: Config{PeerListen: own.String(), Peers: []netip.AddrPort{own, to}}, inbox: make(chan func(), 10),
-		ended: make(chan struct{}), ctx: ctx}
-	next.takePeers(l, nil)
+	next := &Server{log: quiet, config: Config{PeerListen: own.String(), Peers: []netip.AddrPort{own, to}}, inbox: make(chan func(), 10),
+		ended: make(chan struct{}), loopContext: ctx}
+	next.takePeerSocket(l, nil)
 	far.WriteToUDPAddrPort([]byte("2"), own)
 	wait(t, next.inbox, "the message at the new process")
 	buf := make([]byte, 10)
-	for i, n := range []*peers{old.peers.Load(), next.peers.Load()} {
+	for i, n := range []*peerSocket{old.peers.Load(), next.peers.Load()} {
 		n.send(1, []byte("x"))
 		far.SetReadDeadline(time.Now().Add(enough))
 		if _, from, err := far.ReadFromUDPAddrPort(buf); err != nil || from != own {
--- a/internal/proxy/upgrade_signal_test.go
+++ b/internal/proxy/upgrade_signal_test.go
@@ -11,8 +11,8 @@
 // first. What is open is answered, what connects then is the other process's, and the end is no error.
 func TestHandOverAndSIGTERM(t *testing.T) {
 	handed := func(n *running) {
-		n.front.handed.Store(true)
-		n.front.stopAccepting()
+		n.frontend.handedOff.Store(true)
+		n.frontend.stopAccepting()
 	}
 	for _, c := range []struct {
 		name  string
@@ -74,7 +74,7 @@
 func TestNewProcessEndsBehindTheHandOver(t *testing.T) {
 	dir := meetingPlace(t)
 	release, got := make(chan struct{}), make(chan bool, 2)
-	n := startNodeWith(t, func(n *Node) { n.TakeOver(dir) }, backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for req := readRequest(r); req != nil; req = readRequest(r) {
 			if got <- true; req.Header.Get("X-Request-Id") == "q" {
 				<-release
@@ -90,7 +90,7 @@
 	o.say(t, hello)
 	o.hear(t, kindState)
 	o.say(t, `{"kind":"ready"}`)
-	o.hear(t, kindYours)
+	o.hear(t, kindRelease)
 	o.Close()
 	if _, err := idle.read.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection ends with %v", err)
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -13,50 +13,50 @@
 )
 
 const (
-	bodyGrace = 400 * time.Millisecond // for a body to begin, behind a head that took all its time
-	bodyRate  = 32 << 10               // bytes a second, half of what the slowest client sends
+	bodyStartGrace = 400 * time.Millisecond // for a body to begin, behind a head that took all its time
+	minBodyRate    = 32 << 10               // bytes a second, half of what the slowest client sends
 )
 
 // bodyReader reads a request's body in the time that is its due: as long as it
 // comes at half of the least rate that clients have, and not under readTime
 // from the request's first byte. Time in which nobody reads does not count.
 type bodyReader struct {
-	body     io.Reader
-	stopped  atomic.Bool
-	control  *http.ResponseController
-	began    time.Time // the request's first byte
-	head     time.Time // its last one of the head, moved on by time not spent in reading
-	returned time.Time // from the last read
-	got      int64
+	body       io.Reader
+	stopped    atomic.Bool
+	control    *http.ResponseController
+	startedAt  time.Time // the request's first byte
+	headEnd    time.Time // its last one of the head, moved on by time not spent in reading
+	lastReadAt time.Time // from the last read
+	received   int64
 }
 
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
 	now := time.Now()
-	b := &bodyReader{body: r.Body, control: http.NewResponseController(w), began: now, head: now, returned: now}
+	b := &bodyReader{body: r.Body, control: http.NewResponseController(w), startedAt: now, headEnd: now, lastReadAt: now}
 	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); ok {
-		b.began = c.Began()
+		b.startedAt = c.StartedAt()
 	}
 	return b
 }
 
-// by is when the next part of the body must have come.
-func (b *bodyReader) by() time.Time {
-	by := b.head.Add(bodyGrace + time.Duration(b.got)*time.Second/bodyRate)
-	if least := b.began.Add(readTime); by.Before(least) {
+// progressDeadline is when the next part of the body must have come.
+func (b *bodyReader) progressDeadline() time.Time {
+	by := b.headEnd.Add(bodyStartGrace + time.Duration(b.received)*time.Second/minBodyRate)
+	if least := b.startedAt.Add(readTimeout); by.Before(least) {
 		return least
 	}
 	return by
 }
 
 func (b *bodyReader) Read(p []byte) (int, error) {
-	b.head = b.head.Add(time.Since(b.returned))
-	b.control.SetReadDeadline(b.by())
+	b.headEnd = b.headEnd.Add(time.Since(b.lastReadAt))
+	b.control.SetReadDeadline(b.progressDeadline())
 	if b.stopped.Load() {
 		b.control.SetReadDeadline(time.Unix(1, 0))
 	}
 	n, err := b.body.Read(p)
-	b.got += int64(n)
-	b.returned = time.Now()
+	b.received += int64(n)
+	b.lastReadAt = time.Now()
 	if err == io.EOF { // the server goes on reading, to hear whether the client leaves
 		b.control.SetReadDeadline(time.Time{})
 	}
@@ -72,30 +72,30 @@
 // upload is what is still to come of a body too long to be kept: it goes from
 // the client to a server as that takes it.
 type upload struct {
-	length  int64 // of the whole body; negative: not stated
-	pipe    *io.PipeReader
-	reader  *bodyReader
-	wholeAt atomic.Int64  // when its last byte went out; 0: not yet
-	taken   atomic.Bool   // some of it has been, so that no other attempt can have it
-	gone    func() bool   // tells whether the client has left
-	quit    atomic.Bool   // it had when its last byte was to go out
-	ended   chan struct{} // closed when nothing more is read from the client
-	err     error         // how reading from the client failed, once ended is closed
-	whole   func(wait time.Duration)
-	wait    time.Duration // from its last byte on
-
-	mu    sync.Mutex
-	begun bool // it counts as taken from its client
-	over  bool // and as ended
+	length          int64 // of the whole body; negative: not stated
+	pipe            *io.PipeReader
+	reader          *bodyReader
+	completedAt     atomic.Int64  // when its last byte went out; 0: not yet
+	taken           atomic.Bool   // some of it has been, so that no other attempt can have it
+	clientGone      func() bool   // tells whether the client has left
+	clientGoneAtEnd atomic.Bool   // it had when its last byte was to go out
+	readingEnded    chan struct{} // closed when nothing more is read from the client
+	err             error         // how reading from the client failed, once ended is closed
+	onComplete      func(wait time.Duration)
+	wait            time.Duration // from its last byte on
+
+	mu      sync.Mutex
+	counted bool // it counts as taken from its client
+	ended   bool // and as ended
 }
 
 // pump reads a body to its end, as fast as the upload is taken.
 func (u *upload) pump(most int64, w *io.PipeWriter) {
-	defer close(u.ended)
+	defer close(u.readingEnded)
 	n, err := io.CopyBuffer(struct{ io.Writer }{w}, io.LimitReader(u.reader, most+1), make([]byte, copyBuffer))
 	switch {
 	case err == nil && n > most:
-		err = errLong
+		err = errTooLong
 	case errors.Is(err, io.ErrClosedPipe): // nobody wants the rest
 		io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, most), make([]byte, copyBuffer))
 		return
@@ -104,17 +104,17 @@
 	w.CloseWithError(err)
 }
 
-// taking is an upload as an attempt reads it until ctx ends.
-type taking struct {
+// attemptUpload is an upload as an attempt reads it until ctx ends.
+type attemptUpload struct {
 	ctx context.Context
 	*upload
-	more int64 // bytes until its end; negative: not stated
+	remaining int64 // bytes until its end; negative: not stated
 }
 
 // Read takes some of it. Whoever ends ctx before it asks whether some has been
 // taken hears of it, or no more will be. A server begins at the last byte, so
 // none gets that of a client that has left.
-func (t *taking) Read(p []byte) (int, error) {
+func (t *attemptUpload) Read(p []byte) (int, error) {
 	if t.ctx.Err() == nil {
 		t.taken.Store(true)
 	}
@@ -122,9 +122,9 @@
 		return 0, err
 	}
 	n, err := t.pipe.Read(p)
-	t.more -= int64(n)
-	if (t.more == 0 || err == io.EOF) && t.gone() {
-		t.quit.Store(true)
+	t.remaining -= int64(n)
+	if (t.remaining == 0 || err == io.EOF) && t.clientGone() {
+		t.clientGoneAtEnd.Store(true)
 		return 0, errClientGone
 	}
 	return n, err
@@ -133,7 +133,7 @@
 // close ends the reading from the client, if that goes on.
 func (u *upload) close() {
 	select {
-	case <-u.ended:
+	case <-u.readingEnded:
 	default:
 		u.reader.stop()
 		u.drain()
@@ -145,99 +145,101 @@
 // read the answer that waits for it.
 func (u *upload) drain() {
 	u.pipe.Close()
-	<-u.ended
+	<-u.readingEnded
 }
 
 // failed tells that the client has broken off.
 func (u *upload) failed() bool {
 	select {
-	case <-u.ended:
-		return u.err != nil || u.quit.Load()
+	case <-u.readingEnded:
+		return u.err != nil || u.clientGoneAtEnd.Load()
 	default:
-		return u.quit.Load()
+		return u.clientGoneAtEnd.Load()
 	}
 }
 
-// take counts the request as taken, once its last byte has gone out.
-func (u *upload) take(outstanding *atomic.Int64) {
+// countStart counts the request as taken, once its last byte has gone out.
+func (u *upload) countStart(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.begun && !u.over {
-		u.begun = true
+	if !u.counted && !u.ended {
+		u.counted = true
 		outstanding.Add(1)
 	}
 }
 
-// end counts it as ended.
-func (u *upload) end(outstanding *atomic.Int64) {
+// countEnd counts it as ended.
+func (u *upload) countEnd(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.over = true; u.begun {
+	if u.ended = true; u.counted {
 		outstanding.Add(-1)
 	}
 }
 
-// errLong says that a message is longer than any may be.
-var errLong = errors.New("it is too long")
+// errTooLong says that a message is longer than any may be.
+var errTooLong = errors.New("it is too long")
 
 // readStart reads a body to its end, or to the size that is kept; rest tells
 // that there is more.
 func readStart(ctx context.Context, body io.Reader, room func(context.Context) error) (start []byte, rest bool, err error) {
-	if start, err = io.ReadAll(io.LimitReader(body, smallBody+1)); err != nil || len(start) <= smallBody {
+	if start, err = io.ReadAll(io.LimitReader(body, maxSmallBody+1)); err != nil || len(start) <= maxSmallBody {
 		return start, false, err
 	}
 	if err = room(ctx); err != nil {
 		return nil, false, err
 	}
-	more, err := io.ReadAll(io.LimitReader(body, maxBody-smallBody))
+	more, err := io.ReadAll(io.LimitReader(body, maxBody-maxSmallBody))
 	start = append(start, more...)
 	return start, len(start) > maxBody, err
 }
 
-// room bounds how many messages that are not small are held at a time, each
+// memoryBudget bounds how many messages that are not small are held at a time, each
 // way, so that an eighth of the memory does for them.
-type room chan struct{}
+type memoryBudget chan struct{}
 
 const (
-	smallBody = 16 << 10
-	roomEach  = maxBody + 2*copyBuffer
-	roomTime  = 5 * time.Second // to wait for some
+	maxSmallBody  = 16 << 10
+	messageMemory = maxBody + 2*copyBuffer
+	memoryWait    = 5 * time.Second // to wait for some
 )
 
-var errNoRoom = errors.New("no room for long messages")
+var errNoMemory = errors.New("no room for long messages")
 
-func newRoom(memoryMB int) room { return make(room, max(8, memoryMB<<20/8/roomEach)) }
+func newMemoryBudget(memoryMB int) memoryBudget {
+	return make(memoryBudget, max(8, memoryMB<<20/8/messageMemory))
+}
 
-// on gives a way to take room once, and notes how to give it back.
-func (r room) on(back *func()) func(context.Context) error {
+// reserveOnce gives a way to take room once, and notes how to give it back.
+func (r memoryBudget) reserveOnce(back *func()) func(context.Context) error {
 	return func(ctx context.Context) error {
 		if *back != nil {
 			return nil
 		}
-		ctx, cancel := context.WithTimeout(ctx, roomTime)
+		ctx, cancel := context.WithTimeout(ctx, memoryWait)
 		defer cancel()
 		select {
 		case r <- struct{}{}:
 			*back = func() { <-r }
 			return nil
 		case <-ctx.Done():
-			return errNoRoom
+			return errNoMemory
 		}
 	}
 }
 
-// leaveRoom gives back what an answer has taken.
-func (c *conn) leaveRoom() {
-	if c.room != nil {
-		c.room()
-		c.room = nil
+// releaseBudget gives back what an answer has taken.
+func (c *conn) releaseBudget() {
+	if c.releaseMemory != nil {
+		c.releaseMemory()
+		c.releaseMemory = nil
 	}
 }
 
 // startUpload goes on with a body whose start has been read.
 func startUpload(r *http.Request, body *bodyReader, start int, wait time.Duration) *upload {
 	read, write := io.Pipe()
-	u := &upload{length: r.ContentLength, pipe: read, reader: body, wait: wait, ended: make(chan struct{}), whole: func(time.Duration) {}, gone: func() bool { return false }}
+	u := &upload{length: r.ContentLength, pipe: read, reader: body, wait: wait, readingEnded: make(chan struct{}), onComplete: func(time.Duration) {}, clientGone: func() bool { return false }}
 	go u.pump(maxLarge-int64(start), write)
 	return u
 }
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -17,7 +17,7 @@
 // TestLongRequests come out as they went in, of stated length and in chunks.
 func TestLongRequests(t *testing.T) {
 	n := startNode(t, digests(t))
-	for _, size := range []int{0, 1, smallBody, smallBody + 1, maxBody - 1, maxBody, maxBody + 1, 300000, maxLarge} {
+	for _, size := range []int{0, 1, maxSmallBody, maxSmallBody + 1, maxBody - 1, maxBody, maxBody + 1, 300000, maxLarge} {
 		body := pattern(size)
 		for _, chunked := range []bool{false, true} {
 			var sent io.Reader = bytes.NewReader(body)
@@ -30,7 +30,7 @@
 			}
 		}
 	}
-	if left := len(n.front.room); left != 0 {
+	if left := len(n.frontend.memory); left != 0 {
 		t.Errorf("%d are still held", left)
 	}
 }
@@ -79,7 +79,7 @@
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		left := make(chan int, 1)
 		n.post(func() { left <- len(n.requests) })
-		if <-left == 0 && len(n.front.room) == 0 {
+		if <-left == 0 && len(n.frontend.memory) == 0 {
 			return
 		}
 		if time.Now().After(until) {
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -36,11 +36,11 @@
 		return bad(http.StatusBadRequest, "want one X-Request-Id of at most %d bytes", maxIDLength)
 	}
 	e.ID = balancer.RequestID(id)
-	if f.node.cfg.Tenants.Known && len(r.Header.Values("X-Tenant")) > 1 {
+	if f.server.config.Tenants.Enabled && len(r.Header.Values("X-Tenant")) > 1 {
 		return bad(http.StatusBadRequest, "want one X-Tenant")
 	}
 	rules := f.rules.Load()
-	former, err := rules.effect(e.Class, func(effect balancer.Idempotency) error { return fits(r, e.Class, effect) })
+	former, err := rules.idempotencyOf(e.Class, func(effect balancer.Idempotency) error { return fits(r, e.Class, effect) })
 	if err != nil {
 		var wrong formError
 		errors.As(err, &wrong)
@@ -63,10 +63,10 @@
 	var reader *bodyReader
 	if r.Body != http.NoBody {
 		reader = newBodyReader(w, r)
-		body, long, err = readStart(r.Context(), reader, f.room.on(&back))
+		body, long, err = readStart(r.Context(), reader, f.memory.reserveOnce(&back))
 	}
 	switch {
-	case errors.Is(err, errNoRoom):
+	case errors.Is(err, errNoMemory):
 		w.Header().Set("Connection", "close")
 		return bad(http.StatusServiceUnavailable, "%w", err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -74,24 +74,24 @@
 	case err != nil:
 		return bad(http.StatusBadRequest, "reading the body: %w", err)
 	}
-	patience = f.left(patience - answerMargin)
+	patience = f.timeLeft(patience - answerMargin)
 	u := url.URL{Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery}
 	deadline := time.Now().Add(patience) // its last byte has come now, and its client waits from there
-	f.keepLatest(deadline)
+	f.updateLatestDeadline(deadline)
 	var rest *upload
 	if long {
 		rest = startUpload(r, reader, len(body), patience)
 	}
 	client, _ := r.Context().Value(connKey{}).(*listener.Conn)
-	return &request{id: e.ID, settings: rules.of(former), deadline: deadline, leaveRoom: back, class: e.Class, answer: make(chan answer, 1),
-		client: client, gone: r.Context().Done(),
-		out: &outbound{method: r.Method, url: &u, host: r.Host, header: endToEnd(r.Header), body: body, rest: rest}}, e, 0, nil
+	return &request{id: e.ID, settingsNumber: rules.numberFor(former), deadline: deadline, releaseMemory: back, class: e.Class, response: make(chan response, 1),
+		client: client, clientGone: r.Context().Done(),
+		outbound: &outbound{method: r.Method, url: &u, host: r.Host, header: endToEnd(r.Header), body: body, upload: rest}}, e, 0, nil
 }
 
-// keepLatest notes how long the front may have to stay, whatever its settings say by then.
-func (f *frontend) keepLatest(deadline time.Time) {
-	for at := int64(deadline.Sub(f.node.start)); ; {
-		if before := f.latest.Load(); at <= before || f.latest.CompareAndSwap(before, at) {
+// updateLatestDeadline notes how long the front may have to stay, whatever its settings say by then.
+func (f *frontend) updateLatestDeadline(deadline time.Time) {
+	for at := int64(deadline.Sub(f.server.start)); ; {
+		if before := f.latestDeadline.Load(); at <= before || f.latestDeadline.CompareAndSwap(before, at) {
 			return
 		}
 	}
--- a/internal/proxy/word_test.go
+++ b/internal/proxy/word_test.go
@@ -37,11 +37,11 @@
 }
 
 // startKnowing starts a node that knows of servers from before, with an agent.
-func startKnowing(t *testing.T, a *agent, prepare func(*Node), entries ...string) *running {
+func startKnowing(t *testing.T, a *agent, prepare func(*Server), entries ...string) *running {
 	t.Helper()
-	return startNodeWith(t, func(n *Node) {
-		n.cfg.Discovery = a.address
-		if err := json.Unmarshal([]byte(listOf(7, entries...)), &n.cfg.known); err != nil {
+	return startNodeWith(t, func(n *Server) {
+		n.config.Discovery = a.address
+		if err := json.Unmarshal([]byte(listOf(7, entries...)), &n.config.initialList); err != nil {
 			t.Fatal(err)
 		}
 		prepare(n)
@@ -67,7 +67,7 @@
 	a := newAgent(t)
 	gone, was := echoServer(t)
 	server, now := echoServer(t)
-	n := startKnowing(t, a, func(n *Node) { n.first = enough }, entryJSON("old", gone, "ready"))
+	n := startKnowing(t, a, func(n *Server) { n.firstListTimeout = enough }, entryJSON("old", gone, "ready"))
 	if q := wait(t, a.calls, "the first call"); q != "" {
 		t.Errorf("the first call asks for %q, want the whole list", q)
 	}
@@ -86,14 +86,14 @@
 	a := newAgent(t)
 	before, was := echoServer(t)
 	after, now := echoServer(t)
-	n := startKnowing(t, a, func(n *Node) { n.first = time.Millisecond }, entryJSON("old", before, "ready"))
+	n := startKnowing(t, a, func(n *Server) { n.firstListTimeout = time.Millisecond }, entryJSON("old", before, "ready"))
 	a.answers <- ""
 	until(t, "the node to be ready", func() bool { return n.ready(t) })
 	if got := do(t, n.request(t, "GET", "saldo", "x", "20", nil)); got.body != "x" || wait(t, was, "the attempt") != "x" {
 		t.Errorf("answer %+v", got)
 	}
 	a.answers <- listOf(9, entryJSON("new", after, "ready"))
-	wait(t, n.told, "the list")
+	wait(t, n.listKnown, "the list")
 	if got := do(t, n.request(t, "GET", "saldo", "y", "20", nil)); got.body != "y" || wait(t, now, "the attempt") != "y" {
 		t.Errorf("answer %+v", got)
 	}
@@ -112,7 +112,7 @@
 		o.hear(t, kindReady)
 		<-started
 		select {
-		case <-n.told:
+		case <-n.listKnown:
 			told <- true
 		default:
 			told <- false
@@ -121,7 +121,7 @@
 	})
 	a.answers <- ""
 	a.answers <- listOf(9, entryJSON("new", server, "ready"))
-	n = startKnowing(t, a, func(n *Node) { n.TakeOver(dir); n.listTime = enough })
+	n = startKnowing(t, a, func(n *Server) { n.TakeOver(dir); n.handoffListTimeout = enough })
 	close(started)
 	if !wait(t, told, "the new process to be ready") {
 		t.Error("it is ready ahead of the list")
@@ -143,9 +143,9 @@
 			t.Fatal(err)
 		}
 		if i == 0 {
-			plain = cfg.known
+			plain = cfg.initialList
 		}
-		if got, want := fmt.Sprint(cfg.known), fmt.Sprint(plain); got != want || len(cfg.known.Endpoints) != 1 {
+		if got, want := fmt.Sprint(cfg.initialList), fmt.Sprint(plain); got != want || len(cfg.initialList.Endpoints) != 1 {
 			t.Errorf("%s, want %s", got, want)
 		}
 	}
--- a/internal/registry/server/backup.go
+++ b/internal/registry/server/backup.go
@@ -25,7 +25,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Write(checksumfile.Wrap(raw)) // a caller that has left needs nothing
+	w.Write(checksumfile.Encode(raw)) // a caller that has left needs nothing
 }
 
 // restore puts a backup in place of the list, under a new epoch. The call names
@@ -36,7 +36,7 @@
 	if !ok {
 		return
 	}
-	raw, err := checksumfile.Open(body)
+	raw, err := checksumfile.Decode(body)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("backup: %v", err), 0)
 		return
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -39,8 +39,8 @@
 
 // Check says what is wrong with a configuration, by its keys.
 func (c Config) Check() error {
-	var f config.Faults
-	bad, address := f.Want, f.Address
+	var f config.Problems
+	bad, address := f.Require, f.RequireAddress
 	bad(c.Name != "", "name: missing")
 	bad(c.Folder != "", "folder: missing; it is where the log and the snapshots go")
 	address("listen", c.Listen)
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -26,14 +26,14 @@
 // the disk is noticed.
 func encode(c registry.Command) ([]byte, error) {
 	raw, err := c.Encode()
-	return checksumfile.Wrap(raw), err
+	return checksumfile.Encode(raw), err
 }
 
 // decode reads a command off the log. The first programs logged them without a seal.
 func decode(raw []byte) (registry.Command, error) {
 	if len(raw) > 0 && raw[0] != '{' {
 		var err error
-		if raw, err = checksumfile.Open(raw); err != nil {
+		if raw, err = checksumfile.Decode(raw); err != nil {
 			return registry.Command{}, err
 		}
 	}
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -10,7 +10,7 @@
 
 // Reply holds the actions of one instance.
 type Reply struct {
-	Node    int
+	Proxy   int
 	Actions []balancer.Action
 }
 
@@ -27,7 +27,7 @@
 		}
 		first = false
 		b = append(b, `{"node_id":`...)
-		b = strconv.AppendInt(b, int64(r.Node), 10)
+		b = strconv.AppendInt(b, int64(r.Proxy), 10)
 		b = append(b, `,"actions":[`...)
 		for i, a := range r.Actions {
 			if i > 0 {
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -11,7 +11,7 @@
 	"wrenspread/balancer"
 )
 
-func decodeEvent(name string, raw json.RawMessage) (Happening, error) {
+func decodeEvent(name string, raw json.RawMessage) (ScheduledEvent, error) {
 	switch name {
 	case "submit":
 		var e struct {
@@ -24,18 +24,18 @@
 			Flags    int     `json:"flags"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return ScheduledEvent{}, err
 		}
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return ScheduledEvent{}, missing("req")
 		}
 		if e.Patience == nil {
-			return Happening{}, missing("patience_left_ns")
+			return ScheduledEvent{}, missing("patience_left_ns")
 		}
 		tenant, _ := e.Group.(string)
-		return Happening{Event: balancer.RequestArrived{ID: balancer.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
+		return ScheduledEvent{Event: balancer.RequestArrived{ID: balancer.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
 			Key: e.Key, Timeout: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
-			HasWorkHint: e.Flags&flagHint != 0, ClientRetry: e.Flags&flagRepeat != 0, Write: e.Flags&flagWrite != 0}}, nil
+			HasWorkHint: e.Flags&flagWorkHint != 0, ClientRetry: e.Flags&flagClientRetry != 0, Write: e.Flags&flagWrite != 0}}, nil
 	case "attempt_end", "probe_result", "streaming":
 		return decodeOutcome(name, raw)
 	case "due":
@@ -43,46 +43,46 @@
 			Label *int64 `json:"label"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return ScheduledEvent{}, err
 		}
 		if e.Label == nil {
-			return Happening{}, missing("label")
+			return ScheduledEvent{}, missing("label")
 		}
-		return Happening{Event: balancer.TimerFired{Token: *e.Label}}, nil
+		return ScheduledEvent{Event: balancer.TimerFired{Token: *e.Label}}, nil
 	case "abandoned":
 		var e struct {
 			Req *string `json:"req"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return ScheduledEvent{}, err
 		}
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return ScheduledEvent{}, missing("req")
 		}
-		return Happening{Event: balancer.RequestAbandoned{ID: balancer.RequestID(*e.Req)}}, nil
+		return ScheduledEvent{Event: balancer.RequestAbandoned{ID: balancer.RequestID(*e.Req)}}, nil
 	case "note_from":
 		var e struct {
 			From  *int   `json:"from"`
 			Bytes []byte `json:"bytes"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return ScheduledEvent{}, err
 		}
 		if e.From == nil {
-			return Happening{}, missing("from")
+			return ScheduledEvent{}, missing("from")
 		}
-		return Happening{Event: balancer.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+		return ScheduledEvent{Event: balancer.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
 	case "roster_change":
 		return decodeList(raw)
 	case "up":
 		return decodeStart(raw)
 	case "retire":
-		return Happening{Retire: true}, nil
+		return ScheduledEvent{Retire: true}, nil
 	}
-	return Happening{}, errors.New("unknown event")
+	return ScheduledEvent{}, errors.New("unknown event")
 }
 
-func decodeOutcome(name string, raw json.RawMessage) (Happening, error) {
+func decodeOutcome(name string, raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
 		Req         *string                    `json:"req"`
 		Leg         *int                       `json:"leg"`
@@ -93,65 +93,65 @@
 		Feedback    map[string]json.RawMessage `json:"feedback"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return ScheduledEvent{}, err
 	}
 	if e.Backend == nil {
-		return Happening{}, missing("backend")
+		return ScheduledEvent{}, missing("backend")
 	}
 	server, took := balancer.EndpointID(*e.Backend), time.Duration(e.Delay)
 	var id balancer.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return ScheduledEvent{}, missing("req")
 		}
 		if e.Leg == nil {
-			return Happening{}, missing("leg")
+			return ScheduledEvent{}, missing("leg")
 		}
 		id = balancer.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return Happening{Event: balancer.ResponseStarted{ID: id, Attempt: *e.Leg, Endpoint: server, Elapsed: took}}, nil
+		return ScheduledEvent{Event: balancer.ResponseStarted{ID: id, Attempt: *e.Leg, Endpoint: server, Elapsed: took}}, nil
 	}
 	if e.Disposition == nil {
-		return Happening{}, missing("disposition")
+		return ScheduledEvent{}, missing("disposition")
 	}
 	code, ok := outcomes[*e.Disposition]
 	if !ok {
-		return Happening{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
+		return ScheduledEvent{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
 	}
 	report := decodeReport(e.Feedback)
 	if name == "probe_result" {
-		return Happening{Event: balancer.LoadQueryEnded{Endpoint: server, Outcome: code, Elapsed: took, LoadReport: report}}, nil
+		return ScheduledEvent{Event: balancer.LoadQueryEnded{Endpoint: server, Outcome: code, Elapsed: took, LoadReport: report}}, nil
 	}
-	return Happening{Event: balancer.AttemptEnded{ID: id, Attempt: *e.Leg, Endpoint: server, RequestAnswered: e.Over,
+	return ScheduledEvent{Event: balancer.AttemptEnded{ID: id, Attempt: *e.Leg, Endpoint: server, RequestAnswered: e.Over,
 		Elapsed: took, Outcome: code, LoadReport: report}}, nil
 }
 
-func decodeStart(raw json.RawMessage) (Happening, error) {
+func decodeStart(raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
 		Seed    *json.Number    `json:"seed"`
 		Profile json.RawMessage `json:"profile_data"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return ScheduledEvent{}, err
 	}
 	if e.Seed == nil {
-		return Happening{}, missing("seed")
+		return ScheduledEvent{}, missing("seed")
 	}
 	if e.Profile == nil {
-		return Happening{}, missing("profile_data")
+		return ScheduledEvent{}, missing("profile_data")
 	}
 	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
 	if err != nil {
 		f, ferr := e.Seed.Float64()
 		if ferr != nil {
-			return Happening{}, fmt.Errorf("seed: %w", err)
+			return ScheduledEvent{}, fmt.Errorf("seed: %w", err)
 		}
 		seed = math.Float64bits(f)
 	}
 	s, err := DecodeSettings(e.Profile)
 	if err != nil {
-		return Happening{}, err
+		return ScheduledEvent{}, err
 	}
-	return Happening{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
+	return ScheduledEvent{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
 }
--- a/internal/simwire/list.go
+++ b/internal/simwire/list.go
@@ -18,7 +18,7 @@
 	ReadyAt int64   `json:"ready_at_ns"`
 }
 
-var listKinds = map[string]balancer.UpdateKind{
+var updateKinds = map[string]balancer.UpdateKind{
 	"D": balancer.UpdateIncremental, "F": balancer.UpdateComplete, "C": balancer.UpdateCached, "X": balancer.UpdateFailed,
 }
 
@@ -26,30 +26,30 @@
 	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Removed,
 }
 
-func decodeList(raw json.RawMessage) (Happening, error) {
+func decodeList(raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
 		How     string  `json:"how"`
 		Version uint64  `json:"version"`
 		Items   []entry `json:"items"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return ScheduledEvent{}, err
 	}
-	kind, ok := listKinds[e.How]
+	kind, ok := updateKinds[e.How]
 	if !ok {
-		return Happening{}, fmt.Errorf("unknown how %q", e.How)
+		return ScheduledEvent{}, fmt.Errorf("unknown how %q", e.How)
 	}
 	l := balancer.EndpointsUpdated{Kind: kind, Version: e.Version}
 	for i, it := range e.Items {
 		if it.Backend == nil {
-			return Happening{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
+			return ScheduledEvent{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
 		}
 		state, ok := states[it.State]
 		if !ok {
-			return Happening{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
+			return ScheduledEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
 		}
 		l.Endpoints = append(l.Endpoints, balancer.Endpoint{ID: balancer.EndpointID(*it.Backend), Zone: it.Zone, MachineType: it.Model,
 			Cell: it.Pod, State: state, Weight: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
 	}
-	return Happening{Event: l}, nil
+	return ScheduledEvent{Event: l}, nil
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,23 +8,23 @@
 	"wrenspread/balancer"
 )
 
-var effects = map[string]balancer.Idempotency{"retryable": balancer.Idempotent, "dedup": balancer.IdempotentByKey, "fragile": balancer.NotIdempotent}
+var idempotencies = map[string]balancer.Idempotency{"retryable": balancer.Idempotent, "dedup": balancer.IdempotentByKey, "fragile": balancer.NotIdempotent}
 
 var scopes = map[string]balancer.DedupScope{"cell": balancer.DedupInCell, "zone": balancer.DedupInZone, "all": balancer.DedupEverywhere}
 
-var reportVias = map[string]balancer.LoadReportSource{
+var loadReportSources = map[string]balancer.LoadReportSource{
 	"none": balancer.LoadReportsNone, "probe": balancer.LoadReportsByQuery, "answers": balancer.LoadReportsInResponses,
 }
 
 // The values of weight_kind; a site that states none has no sizes.
 const (
-	sizeNone = iota
-	sizeExact
-	sizeRough
-	sizeLive
+	weightNone = iota
+	weightExact
+	weightApproximate
+	weightDynamic
 )
 
-var sizes = map[string]int{"none": sizeNone, "nominal": sizeExact, "rough": sizeRough, "live": sizeLive}
+var weightKinds = map[string]int{"none": weightNone, "nominal": weightExact, "rough": weightApproximate, "live": weightDynamic}
 
 func has[V any](m map[string]V, key string) bool {
 	_, ok := m[key]
@@ -56,39 +56,39 @@
 		known      bool
 	}{
 		{"membership_mode", p.Membership, p.Membership == "pushed" || p.Membership == "on_request"},
-		{"report.how", p.Report.How, has(reportVias, p.Report.How)},
-		{"weight_kind", p.WeightKind, has(sizes, p.WeightKind)},
+		{"report.how", p.Report.How, has(loadReportSources, p.Report.How)},
+		{"weight_kind", p.WeightKind, has(weightKinds, p.WeightKind)},
 		{"worth_by", p.WorthBy, p.WorthBy == "request" || p.WorthBy == "work"},
 	} {
 		if c.value != "" && !c.known {
 			problems = append(problems, fmt.Errorf("unknown %s %q", c.key, c.value))
 		}
 	}
-	s = balancer.Settings{Proxies: p.Balancers, ProxyIndex: p.Slot, Zone: p.Zone, Zones: p.Domains, MachineTypes: p.Kinds,
-		MaxAttempts: p.Caps.MaxAttempts, AllowHedging: p.Caps.MayDuplicate, AllowCancel: p.Caps.Cancel,
-		AllowLoadQueries: p.Caps.Probes, AllowGossip: p.Caps.Peers, SendRetryAfter: p.Caps.RetryAfter,
-		MaxRetryAfter: time.Duration(p.Caps.MaxRetryAfter), ClientsMarkRetries: p.Habits.MarksRetry,
-		ConnectTimeout: time.Duration(p.Caps.ConnectTimeout), MinEventInterval: time.Duration(p.Tick),
-		PollForEndpoints: p.Membership == "on_request", WeightKnown: sizes[p.WeightKind] != sizeNone,
-		WeightApproximate: sizes[p.WeightKind] == sizeRough, WeightDynamic: sizes[p.WeightKind] == sizeLive,
-		OverQuotaWeight: p.OverShare, WeightByWork: p.WorthBy == "work", LoadReports: reportVias[p.Report.How], LoadReportFields: p.Report.Fields,
+	s = balancer.Settings{Proxies: p.Balancers, ProxyIndex: p.ProxyIndex, Zone: p.Zone, Zones: p.Zones, MachineTypes: p.Kinds,
+		MaxAttempts: p.Capabilities.MaxAttempts, AllowHedging: p.Capabilities.MayDuplicate, AllowCancel: p.Capabilities.Cancel,
+		AllowLoadQueries: p.Capabilities.Probes, AllowGossip: p.Capabilities.Peers, SendRetryAfter: p.Capabilities.RetryAfter,
+		MaxRetryAfter: time.Duration(p.Capabilities.MaxRetryAfter), ClientsMarkRetries: p.ClientBehavior.MarksRetry,
+		ConnectTimeout: time.Duration(p.Capabilities.ConnectTimeout), MinEventInterval: time.Duration(p.Tick),
+		PollForEndpoints: p.Membership == "on_request", WeightKnown: weightKinds[p.WeightKind] != weightNone,
+		WeightApproximate: weightKinds[p.WeightKind] == weightApproximate, WeightDynamic: weightKinds[p.WeightKind] == weightDynamic,
+		OverQuotaWeight: p.OverQuotaWeight, WeightByWork: p.WorthBy == "work", LoadReports: loadReportSources[p.Report.How], LoadReportFields: p.Report.Fields,
 		ResponseSlack: time.Duration(p.Invariants.AnswerSlack), PollInterval: time.Duration(p.Invariants.AskWithin),
 		DrainGrace: time.Duration(p.Invariants.DrainGrace),
 		DrainClose: time.Duration(p.Invariants.DrainClose), SlowStartInitial: p.Invariants.ColdFrom,
 		SlowStartDuration: time.Duration(p.Invariants.Cold), OverloadFactor: p.Invariants.OverloadFactor,
 		OverloadDuration: time.Duration(p.Invariants.TipAfter), Family: p.Family, Tier: p.Tier, Tiers: p.Tiers,
 		KeyAffinity: p.Specifics.WarmKeys, ForwardsDeadline: p.Specifics.PassesDeadline,
-		AttemptsPerConnection: p.Caps.Multiplex, ConnectionIdleTimeout: time.Duration(p.Caps.ConnIdle), MaxOpenRequests: p.Caps.MostHeld,
-		CPUPerSecond:  time.Duration(p.Caps.CPUPerSecond * float64(time.Microsecond)),
-		CPUPerRequest: time.Duration(p.Caps.CPUPerRequest * float64(time.Microsecond)),
+		AttemptsPerConnection: p.Capabilities.Multiplex, ConnectionIdleTimeout: time.Duration(p.Capabilities.ConnIdle), MaxOpenRequests: p.Capabilities.MostHeld,
+		CPUPerSecond:  time.Duration(p.Capabilities.CPUPerSecond * float64(time.Microsecond)),
+		CPUPerRequest: time.Duration(p.Capabilities.CPUPerRequest * float64(time.Microsecond)),
 		Goal: balancer.Goal{WholeDay: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
 			WorstTenant: p.Goal.WorstTenant},
-		Prices: balancer.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
-			CrossZone: p.Charges.CrossZone, WastedWork: p.Charges.Waste, LateFailure: p.Charges.LateFail,
-			LoadQuery: p.Charges.Probe, Message: p.Charges.Peer, Migrations: p.Charges.Moves, OriginRead: p.Charges.Origin,
-			EndpointUpdates: p.Charges.Lines, Fleet: p.Charges.Fleet}}
+		Prices: balancer.Prices{Connection: p.Prices.Connection, Handshake: p.Prices.Handshake,
+			CrossZone: p.Prices.CrossZone, WastedWork: p.Prices.Waste, LateFailure: p.Prices.LateFail,
+			LoadQuery: p.Prices.Probe, Message: p.Prices.Peer, Migrations: p.Prices.Moves, OriginRead: p.Prices.Origin,
+			EndpointUpdates: p.Prices.Lines, Fleet: p.Prices.Fleet}}
 	for _, c := range p.Classes {
-		effect, ok := effects[c.Effect]
+		effect, ok := idempotencies[c.Effect]
 		if !ok {
 			problems = append(problems, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect))
 		}
@@ -101,7 +101,7 @@
 			DedupScope: scope, DedupWindow: time.Duration(c.Dedup), Streamed: c.Streamed,
 			AllowedZones: c.Domains, AllowedMachineTypes: c.AllowedOn})
 	}
-	for _, t := range p.Accounts {
+	for _, t := range p.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, QuotaShare: t.Fraction})
 	}
 	return s, problems
--- a/internal/simwire/settings_form.go
+++ b/internal/simwire/settings_form.go
@@ -2,13 +2,13 @@
 
 // SettingsForm is the form of settings: which keys there are, and the types of their values.
 type SettingsForm struct {
-	Accounts []struct {
+	Tenants []struct {
 		Name     string  `json:"name"`
 		Quota    float64 `json:"quota_per_s"`
 		Fraction float64 `json:"fraction"`
 	} `json:"accounts"`
-	Balancers int `json:"balancers"`
-	Caps      struct {
+	Balancers    int `json:"balancers"`
+	Capabilities struct {
 		Cancel         bool    `json:"cancel"`
 		ConnIdle       int64   `json:"conn_idle_ns"`
 		ConnectTimeout int64   `json:"connect_timeout_ns"`
@@ -23,7 +23,7 @@
 		Probes         bool    `json:"probes"`
 		RetryAfter     bool    `json:"retry_after"`
 	} `json:"caps"`
-	Charges struct {
+	Prices struct {
 		Connection float64 `json:"connection"`
 		CrossZone  float64 `json:"cross_zone"`
 		Fleet      float64 `json:"fleet"`
@@ -50,26 +50,26 @@
 		Name       string   `json:"name"`
 		Streamed   bool     `json:"streamed"`
 	} `json:"classes"`
-	Habits struct {
+	ClientBehavior struct {
 		MarksRetry bool `json:"marks_retry"`
 	} `json:"client_habits"`
-	Domains []string `json:"failure_domains"`
-	Family  string   `json:"family"`
-	Goal    struct {
+	Zones  []string `json:"failure_domains"`
+	Family string   `json:"family"`
+	Goal   struct {
 		Whole       float64 `json:"whole"`
 		WorstClass  float64 `json:"worst_class"`
 		WorstTenant float64 `json:"worst_tenant"`
 		WorstWindow float64 `json:"worst_window"`
 	} `json:"goal"`
-	Kinds      []string `json:"kinds"`
-	Membership string   `json:"membership_mode"`
-	OverShare  float64  `json:"over_share_worth"`
-	Report     struct {
+	Kinds           []string `json:"kinds"`
+	Membership      string   `json:"membership_mode"`
+	OverQuotaWeight float64  `json:"over_share_worth"`
+	Report          struct {
 		Fields []string `json:"fields"`
 		How    string   `json:"how"`
 	} `json:"report"`
-	Slot      int `json:"slot_no"`
-	Specifics struct {
+	ProxyIndex int `json:"slot_no"`
+	Specifics  struct {
 		PassesDeadline bool `json:"passes_deadline"`
 		WarmKeys       bool `json:"warm_keys"`
 	} `json:"specifics"`
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -16,8 +16,8 @@
 	codeOK            = 0
 	codeCancelled     = 1
 	codeTimeout       = 4
-	codeFull          = 8
-	codeMoot          = 9
+	codeRejected      = 8
+	codeNotSent       = 9
 	codeReset         = 10
 	codeError         = 13
 	codeConnectFailed = 14
@@ -25,14 +25,14 @@
 
 // The bits of a submit's flags.
 const (
-	flagHint   = 1
-	flagRepeat = 2
-	flagWrite  = 4
+	flagWorkHint    = 1
+	flagClientRetry = 2
+	flagWrite       = 4
 )
 
 var outcomes = map[int]balancer.Outcome{
-	codeOK: balancer.OK, codeCancelled: balancer.Cancelled, codeTimeout: balancer.TimedOut, codeFull: balancer.Rejected,
-	codeMoot: balancer.NotSent, codeReset: balancer.ConnectionReset, codeError: balancer.ServerError,
+	codeOK: balancer.OK, codeCancelled: balancer.Cancelled, codeTimeout: balancer.TimedOut, codeRejected: balancer.Rejected,
+	codeNotSent: balancer.NotSent, codeReset: balancer.ConnectionReset, codeError: balancer.ServerError,
 	codeConnectFailed: balancer.ConnectFailed,
 }
 
@@ -42,8 +42,8 @@
 	Seed     int64
 }
 
-// Happening is one event for an instance: a start, an end, or one for the module.
-type Happening struct {
+// ScheduledEvent is one event for an instance: a start, an end, or one for the module.
+type ScheduledEvent struct {
 	Start  *Start
 	Retire bool
 	Event  balancer.Event
@@ -51,8 +51,8 @@
 
 // Group holds the events of one instance.
 type Group struct {
-	Node   int
-	Events []Happening
+	Proxy  int
+	Events []ScheduledEvent
 }
 
 // Batch is one line from the simulator.
@@ -81,7 +81,7 @@
 		if g.Node == nil {
 			return Batch{}, fmt.Errorf("group %d: node_id is missing", i)
 		}
-		out := Group{Node: *g.Node}
+		out := Group{Proxy: *g.Node}
 		for j, ev := range g.Happened {
 			where := fmt.Sprintf("node %d, event %d", *g.Node, j)
 			if len(ev) != 1 {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -23,7 +23,7 @@
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
-func one(t *testing.T, event string) Happening {
+func one(t *testing.T, event string) ScheduledEvent {
 	t.Helper()
 	b, err := DecodeBatch([]byte(batch(event)))
 	if err != nil {
@@ -129,11 +129,11 @@
 }
 
 func TestReplyIsJSON(t *testing.T) {
-	line := AppendReply(nil, []Reply{{Node: 3, Actions: []balancer.Action{
+	line := AppendReply(nil, []Reply{{Proxy: 3, Actions: []balancer.Action{
 		balancer.StartAttempt{ID: "q", Endpoint: 4294967295, Timeout: 80 * time.Millisecond}, balancer.Reject{ID: "q", RetryAfter: 5},
 		balancer.Fail{ID: "q"}, balancer.CancelAttempt{ID: "q", Attempt: 1}, balancer.SetTimer{After: 5, Token: 77},
 		balancer.QueryLoad{Endpoint: 1}, balancer.SendMessage{ToAll: true, Data: []byte("hi")}, balancer.SendMessage{To: 2},
-		balancer.Subscribe{On: true}, balancer.FetchEndpoints{}, balancer.CloseIdleConnections{Endpoint: 1}, balancer.Log{Line: "a \"b\""}}}, {Node: 4}})
+		balancer.Subscribe{On: true}, balancer.FetchEndpoints{}, balancer.CloseIdleConnections{Endpoint: 1}, balancer.Log{Line: "a \"b\""}}}, {Proxy: 4}})
 	var v struct {
 		Groups []struct {
 			Node    int                         `json:"node_id"`
