--- a/cmd/wrenspread-lab/commands.go
+++ b/cmd/wrenspread-lab/commands.go
@@ -9,6 +9,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/measure"
 	"wrenspread/internal/lab/report"
 	"wrenspread/internal/lab/spec"
@@ -69,7 +70,7 @@
 			if err != nil {
 				return unplayed{err}
 			}
-			fmt.Fprintln(c.ErrOrStderr(), "3 nodes, 10 boxes; n1 is killed at 5 s and started again at 8 s")
+			besteffort.Output(fmt.Fprintln(c.ErrOrStderr(), "3 nodes, 10 boxes; n1 is killed at 5 s and started again at 8 s"))
 			return f.play(c, e)
 		},
 	}
@@ -104,12 +105,12 @@
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 			for _, e := range all {
-				fmt.Fprintf(t, "%s\t%v\t%d nodes, %d boxes\t%s\n", e.Name, time.Duration(e.Length), e.Fleet.Nodes, e.Fleet.Boxes, e.About)
+				besteffort.Output(fmt.Fprintf(t, "%s\t%v\t%d nodes, %d boxes\t%s\n", e.Name, time.Duration(e.Length), e.Fleet.Nodes, e.Fleet.Boxes, e.About))
 			}
-			t.Flush()
-			fmt.Fprintln(c.OutOrStdout(), "\nfaults:")
+			besteffort.Encode(t.Flush())
+			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "\nfaults:"))
 			for _, a := range spec.Acts() {
-				fmt.Fprintln(c.OutOrStdout(), "  "+a)
+				besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "  "+a))
 			}
 			return nil
 		},
@@ -129,10 +130,10 @@
 			for _, path := range args {
 				if _, err := spec.LoadFile(path); err != nil {
 					bad++
-					fmt.Fprintln(c.OutOrStdout(), err)
+					besteffort.Output(fmt.Fprintln(c.OutOrStdout(), err))
 					continue
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: can be played\n", path)
+				besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: can be played\n", path))
 			}
 			if bad > 0 {
 				return unplayed{fmt.Errorf("%d of %d files can't be played", bad, len(args))}
@@ -156,7 +157,7 @@
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 			for _, s := range e.Schedule(seed) {
-				fmt.Fprintf(t, "%v\t%v\t%s\t%v\t%v\n", time.Duration(s.At), time.Duration(s.For), s.Name, s.On, s.To)
+				besteffort.Output(fmt.Fprintf(t, "%v\t%v\t%s\t%v\t%v\n", time.Duration(s.At), time.Duration(s.For), s.Name, s.On, s.To))
 			}
 			return t.Flush()
 		},
--- a/cmd/wrenspread-lab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -16,6 +16,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/leases"
 )
 
@@ -114,7 +115,7 @@
 			if err != nil {
 				return unplayed{err}
 			}
-			defer os.RemoveAll(dir)
+			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 			o := leases.Options{Seed: 1, Replicas: 3, Dir: dir, List: []string{program}, Crew: leases.CrewOptions{Workers: 3, TTL: time.Second, Command: []string{own, "duty-worker"}}}
 			if err := dutyCost(c.Context(), c.OutOrStdout(), o, times); err != nil {
 				return unplayed{err}
@@ -147,8 +148,8 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			fmt.Fprintf(w, "%-8s %d changes: without a holder for %v in the median, %v at the worst; %v on paper\n", kind, len(all),
-				all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond), leases.Bound(kind, o.Crew.TTL, election))
+			besteffort.Output(fmt.Fprintf(w, "%-8s %d changes: without a holder for %v in the median, %v at the worst; %v on paper\n", kind, len(all),
+				all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond), leases.Bound(kind, o.Crew.TTL, election)))
 			return nil
 		})
 	}
@@ -161,8 +162,8 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		fmt.Fprintf(w, "%d candidates at one duty, %d changes: %v in the median, %v at the worst\n", contestants, len(all),
-			all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond))
+		besteffort.Output(fmt.Fprintf(w, "%d candidates at one duty, %d changes: %v in the median, %v at the worst\n", contestants, len(all),
+			all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond)))
 		return nil
 	})
 	if err := g.Wait(); err != nil {
@@ -175,8 +176,8 @@
 		if err != nil {
 			return fmt.Errorf("%d duties: %w", n, err)
 		}
-		fmt.Fprintf(w, "%4d duties in 10 processes: held after %v, %d to %d by each; workers take %v of processor a second in all, replicas %v\n", c.Duties, c.Settled.Round(10*time.Millisecond),
-			c.Held[0], c.Held[len(c.Held)-1], c.Workers.Round(100*time.Microsecond), c.Replicas.Round(100*time.Microsecond))
+		besteffort.Output(fmt.Fprintf(w, "%4d duties in 10 processes: held after %v, %d to %d by each; workers take %v of processor a second in all, replicas %v\n", c.Duties, c.Settled.Round(10*time.Millisecond),
+			c.Held[0], c.Held[len(c.Held)-1], c.Workers.Round(100*time.Microsecond), c.Replicas.Round(100*time.Microsecond)))
 	}
 	return nil
 }
--- a/cmd/wrenspread-lab/duties_test.go
+++ b/cmd/wrenspread-lab/duties_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/spf13/pflag"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/config"
 	"wrenspread/internal/lab/leases"
 	"wrenspread/internal/registry/server"
@@ -32,7 +33,7 @@
 		program = standNode
 	}
 	if err := program(); err != nil {
-		os.Stderr.WriteString(err.Error() + "\n")
+		besteffort.Output(os.Stderr.WriteString(err.Error() + "\n"))
 		os.Exit(1)
 	}
 }
--- a/cmd/wrenspread-lab/main.go
+++ b/cmd/wrenspread-lab/main.go
@@ -20,8 +20,8 @@
 
 func (u unplayed) Unwrap() error { return u.error }
 
-// failed is the error of a run in which a rule or bound was broken. It has been told already.
-var failed = errors.New("a bound or a rule was broken")
+// errRuleBroken is the error of a run in which a rule or bound was broken. It has been told already.
+var errRuleBroken = errors.New("a bound or a rule was broken")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -29,7 +29,7 @@
 	err := root().ExecuteContext(ctx)
 	switch {
 	case err == nil:
-	case errors.Is(err, failed):
+	case errors.Is(err, errRuleBroken):
 		os.Exit(int(report.Fail))
 	default:
 		fmt.Fprintln(os.Stderr, "wrenspread-lab:", err)
--- a/cmd/wrenspread-lab/play.go
+++ b/cmd/wrenspread-lab/play.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/fleet"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/report"
@@ -37,23 +38,23 @@
 	run, err := fleet.Play(ctx, fleet.Options{Experiment: e, Seed: seed, Dir: dir, Node: []string{p.node}, List: []string{p.list}, Keeper: []string{p.keeper}, Ctl: []string{p.ctl}, Follow: live.follow})
 	live.end()
 	if err != nil {
-		fmt.Fprintf(p.out, "VOID %s: seed %d, could not be played: %s\n", e.Name, seed, oneLine(err))
+		besteffort.Output(fmt.Fprintf(p.out, "VOID %s: seed %d, could not be played: %s\n", e.Name, seed, oneLine(err)))
 		return report.Unplayed, unplayed{fmt.Errorf("%s: %w", e.Name, err)}
 	}
 	page, err := run.Write(dir)
 	if err != nil {
 		return report.Unplayed, unplayed{err}
 	}
-	fmt.Fprintf(p.log, "report: %s\n", page)
+	besteffort.Output(fmt.Fprintf(p.log, "report: %s\n", page))
 	if run.Late != "" {
-		fmt.Fprintf(p.log, "the machine was late: %s\n", run.Late)
+		besteffort.Output(fmt.Fprintf(p.log, "the machine was late: %s\n", run.Late))
 	}
 	for _, v := range run.Verdicts {
 		for _, m := range v.Measured {
-			fmt.Fprintf(p.log, "%s: %s\n", v.Name, m)
+			besteffort.Output(fmt.Fprintf(p.log, "%s: %s\n", v.Name, m))
 		}
 	}
-	fmt.Fprintln(p.out, run.Line())
+	besteffort.Output(fmt.Fprintln(p.out, run.Line()))
 	return run.Result(), nil
 }
 
@@ -87,12 +88,12 @@
 		if len(experiments) == 1 {
 			name = experiments[0].Name
 		}
-		fmt.Fprintf(p.out, "%s %s: %d runs, %d passed, %d failed, %d do not count\n", words[worst], name, runs, counts[report.Pass],
-			counts[report.Fail], counts[report.Unplayed])
+		besteffort.Output(fmt.Fprintf(p.out, "%s %s: %d runs, %d passed, %d failed, %d do not count\n", words[worst], name, runs, counts[report.Pass],
+			counts[report.Fail], counts[report.Unplayed]))
 	}
 	switch {
 	case worst == report.Fail:
-		return failed
+		return errRuleBroken
 	case len(errs) > 0:
 		return unplayed{errors.Join(errs...)}
 	case worst == report.Unplayed:
@@ -208,9 +209,9 @@
 	text := fmt.Sprintf("%s %5.1f s: ended %d, served %d, refused %d, failed %d; faults on: %s", l.name, l.at.Seconds(), n["all"], n[history.Served],
 		n[history.Refused], n["all"]-n[history.Served]-n[history.Refused], cmp.Or(strings.Join(l.on, ", "), "none"))
 	if l.tty {
-		fmt.Fprintf(l.w, "\r\033[K%s", text)
+		besteffort.Output(fmt.Fprintf(l.w, "\r\033[K%s", text))
 	} else {
-		fmt.Fprintln(l.w, text)
+		besteffort.Output(fmt.Fprintln(l.w, text))
 	}
 }
 
@@ -218,6 +219,6 @@
 	close(l.done)
 	<-l.over
 	if l.tty {
-		fmt.Fprint(l.w, "\r\033[K")
+		besteffort.Output(fmt.Fprint(l.w, "\r\033[K"))
 	}
 }
--- a/cmd/wrenspread-lab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -12,6 +12,7 @@
 	"slices"
 	"strings"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/spec"
 )
 
@@ -59,7 +60,7 @@
 	if bin != "" {
 		path = filepath.Join(bin, name)
 		if !fileThere(path) {
-			return "", nil, unplayed{fmt.Errorf("--bin: there is no %s; build with: go build -o %s/ ./cmd/...", path, bin)}
+			return "", nil, unplayed{fmt.Errorf("--bin: there is no %s; to build it: go build -o %s ./cmd/*", path, bin)}
 		}
 		return absolute(path, nothing)
 	}
@@ -76,7 +77,7 @@
 	if err != nil {
 		return "", nil, unplayed{err}
 	}
-	done = func() { os.RemoveAll(built) }
+	done = func() { besteffort.Cleanup(os.RemoveAll(built)) }
 	path = filepath.Join(built, name)
 	cmd := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, "./cmd/"+name)
 	cmd.Dir, cmd.Stderr = root, log
--- a/cmd/wrenspread-lab/quorum.go
+++ b/cmd/wrenspread-lab/quorum.go
@@ -11,6 +11,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/quorum"
 	"wrenspread/internal/registry/server"
 )
@@ -90,7 +91,7 @@
 			if err != nil {
 				return unplayed{err}
 			}
-			defer os.RemoveAll(dir)
+			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 			o := quorum.Options{Seed: 1, Replicas: 3, Dir: dir, Command: []string{program}}
 			if err := listCost(c.Context(), c.OutOrStdout(), o, failovers); err != nil {
 				return unplayed{err}
@@ -111,8 +112,8 @@
 		if err != nil {
 			return fmt.Errorf("%d watchers: %w", watchers, err)
 		}
-		fmt.Fprintf(w, "%5d watchers: a change reaches the median after %v, 99%% after %v; %.1f kB a watcher, and %v of processor a change\n", f.Watchers,
-			f.P50.Round(10*time.Microsecond), f.P99.Round(10*time.Microsecond), f.Memory/1000, f.CPU.Round(100*time.Microsecond))
+		besteffort.Output(fmt.Fprintf(w, "%5d watchers: a change reaches the median after %v, 99%% after %v; %.1f kB a watcher, and %v of processor a change\n", f.Watchers,
+			f.P50.Round(10*time.Microsecond), f.P99.Round(10*time.Microsecond), f.Memory/1000, f.CPU.Round(100*time.Microsecond)))
 	}
 	if err := listSizes(ctx, w, o, under); err != nil {
 		return err
@@ -124,8 +125,8 @@
 			return fmt.Errorf("failovers: %w", err)
 		}
 		if len(all) > 0 {
-			fmt.Fprintf(w, "%d failovers with an election time of %v, from the leader's kill to the end of the next write: median %v, worst %v\n", len(all),
-				o.Election, all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond))
+			besteffort.Output(fmt.Fprintf(w, "%d failovers with an election time of %v, from the leader's kill to the end of the next write: median %v, worst %v\n", len(all),
+				o.Election, all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond)))
 		}
 	}
 	return nil
@@ -139,30 +140,30 @@
 		if err != nil {
 			return fmt.Errorf("%d entries: %w", entries, err)
 		}
-		fmt.Fprintf(w, "%5d entries: filled in %v, started from disk in %v, %.1f MB on disk, %.1f MB in memory, %v of processor a change\n", s.Entries,
-			s.Fill.Round(time.Millisecond), s.Start.Round(time.Millisecond), float64(s.Disk)/1e6, float64(s.RSS)/1e6, s.Change.Round(time.Microsecond))
+		besteffort.Output(fmt.Fprintf(w, "%5d entries: filled in %v, started from disk in %v, %.1f MB on disk, %.1f MB in memory, %v of processor a change\n", s.Entries,
+			s.Fill.Round(time.Millisecond), s.Start.Round(time.Millisecond), float64(s.Disk)/1e6, float64(s.RSS)/1e6, s.Change.Round(time.Microsecond)))
 	}
 	for _, callers := range []int{1, 10, 100} {
 		r, err := quorum.Rated(ctx, fresh(fmt.Sprint("rate", callers)), callers)
 		if err != nil {
 			return fmt.Errorf("%d callers: %w", callers, err)
 		}
-		fmt.Fprintf(w, "%5d callers: %.0f writes a second, %.0f entries renewed a second\n", callers, r.Writes, r.Renewed)
+		besteffort.Output(fmt.Fprintf(w, "%5d callers: %.0f writes a second, %.0f entries renewed a second\n", callers, r.Writes, r.Renewed))
 	}
 	for _, n := range [][2]int{{200, 300}, {2000, 300}, {200, 3000}} {
 		took, err := quorum.Arrival(ctx, fresh(fmt.Sprint("arrival", n)), n[0], n[1])
 		if err != nil {
 			return fmt.Errorf("%d servers arrive: %w", n[0], err)
 		}
-		fmt.Fprintf(w, "%5d servers register and %d clients come at once: all have all after %v\n", n[0], n[1], took.Round(time.Millisecond))
+		besteffort.Output(fmt.Fprintf(w, "%5d servers register and %d clients come at once: all have all after %v\n", n[0], n[1], took.Round(time.Millisecond)))
 	}
 	for _, entries := range []int{100, 1000} {
 		s, err := quorum.SideBySide(ctx, fresh(fmt.Sprint("side", entries)), entries, 300)
 		if err != nil {
 			return fmt.Errorf("watching beside polling: %w", err)
 		}
-		fmt.Fprintf(w, "%5d entries, 300 clients, a change a second: watching takes %v of processor and %.0f kB a second, reading all each second %v and %.0f kB\n",
-			entries, s.Watch.Round(100*time.Microsecond), s.WatchBytes/1e3, s.Poll.Round(100*time.Microsecond), s.PollBytes/1e3)
+		besteffort.Output(fmt.Fprintf(w, "%5d entries, 300 clients, a change a second: watching takes %v of processor and %.0f kB a second, reading all each second %v and %.0f kB\n",
+			entries, s.Watch.Round(100*time.Microsecond), s.WatchBytes/1e3, s.Poll.Round(100*time.Microsecond), s.PollBytes/1e3))
 	}
 	return nil
 }
--- a/cmd/wrenspread-lab/scale.go
+++ b/cmd/wrenspread-lab/scale.go
@@ -11,6 +11,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/scale"
 )
 
@@ -78,7 +79,7 @@
 	if dir, err = os.MkdirTemp("", "scale"); err != nil {
 		return "", nil, unplayed{err}
 	}
-	return dir, func() { os.RemoveAll(dir) }, nil
+	return dir, func() { besteffort.Cleanup(os.RemoveAll(dir)) }, nil
 }
 
 func scaleModuleCommand(f *scaleFlags) *cobra.Command {
@@ -113,7 +114,7 @@
 
 // saying prints points as they come.
 func saying(c *cobra.Command) func(scale.Point) {
-	return func(p scale.Point) { fmt.Fprintln(c.OutOrStdout(), p) }
+	return func(p scale.Point) { besteffort.Output(fmt.Fprintln(c.OutOrStdout(), p)) }
 }
 
 func told(err error) error {
@@ -142,8 +143,8 @@
 			case text == string(raw):
 				return nil
 			case check:
-				fmt.Fprintf(c.OutOrStdout(), "%s differs from its records: make it with wrenspread-lab scale page\n", page)
-				return failed
+				besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s differs from its records: make it with wrenspread-lab scale page\n", page))
+				return errRuleBroken
 			}
 			return told(os.WriteFile(page, []byte(text), 0o644))
 		},
--- a/cmd/wrenspread-lab/scale_pairs.go
+++ b/cmd/wrenspread-lab/scale_pairs.go
@@ -26,10 +26,10 @@
 			return f.lists(c, func(ctx context.Context, l *scale.Lists) error {
 				p.Lists = *l
 				p.Command += " " + args[0]
-				switch {
-				case args[0] == "backends":
+				switch args[0] {
+				case "backends":
 					return p.Backends(ctx, nodes, backends)
-				case args[0] == "routes":
+				case "routes":
 					return p.Routes(ctx, services, routes)
 				}
 				if len(tenants) == 0 {
--- a/cmd/wrenspread-lab/series.go
+++ b/cmd/wrenspread-lab/series.go
@@ -8,6 +8,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/report"
 )
 
@@ -43,7 +44,7 @@
 			if err != nil {
 				return unplayed{fmt.Errorf("seed %d: %w", s.seed+uint64(i), err)}
 			}
-			fmt.Fprintln(c.OutOrStdout(), o.line)
+			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), o.line))
 			switch {
 			case o.broken:
 				t.broken++
@@ -62,10 +63,10 @@
 	} else if t.passed < s.runs {
 		worst = report.Unplayed
 	}
-	fmt.Fprintf(c.OutOrStdout(), "%s %s: %s\n", words[worst], s.kind, about(t, s.runs-t.passed-t.broken-t.unsure))
+	besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s %s: %s\n", words[worst], s.kind, about(t, s.runs-t.passed-t.broken-t.unsure)))
 	switch {
 	case t.broken > 0:
-		return failed
+		return errRuleBroken
 	case err != nil:
 		return err
 	case t.unsure > 0:
--- a/cmd/wrenspread-lab/sim.go
+++ b/cmd/wrenspread-lab/sim.go
@@ -15,6 +15,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/sim"
 	"wrenspread/internal/sim/membership"
 )
@@ -65,7 +66,7 @@
 	began := time.Now()
 	var broken int
 	t := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "play\tschedules\tbroken\tsettled after: median\t99%\tmost")
+	besteffort.Output(fmt.Fprintln(t, "play\tschedules\tbroken\tsettled after: median\t99%\tmost"))
 	for i, name := range names {
 		n := (f.schedules + len(names) - 1 - i) / len(names)
 		if n == 0 {
@@ -76,14 +77,14 @@
 			return unplayed{err}
 		}
 		broken += bad
-		fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\n", name, n, bad, part(took, 0.5), part(took, 0.99), part(took, 1))
+		besteffort.Output(fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\n", name, n, bad, part(took, 0.5), part(took, 0.99), part(took, 1)))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), "%d schedules of %d nodes in %v: %d broken\n", f.schedules, f.nodes, time.Since(began).Round(time.Second/10), broken)
+	besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%d schedules of %d nodes in %v: %d broken\n", f.schedules, f.nodes, time.Since(began).Round(time.Second/10), broken))
 	if broken > 0 {
-		return failed
+		return errRuleBroken
 	}
 	return nil
 }
@@ -104,10 +105,10 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if broken++; broken > mostExplained {
-			fmt.Fprintf(c.OutOrStdout(), "%s: seed %d: %v\n", name, p.Seed, p.Broken)
+			besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: seed %d: %v\n", name, p.Seed, p.Broken))
 			return
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", name, again.Explain(p.Seed, p.Faults, p.Broken))
+		besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", name, again.Explain(p.Seed, p.Faults, p.Broken)))
 	})
 	slices.Sort(took)
 	return took, broken, err
@@ -147,11 +148,11 @@
 }
 
 func grow(ctx context.Context, out io.Writer, g membership.Growth, sizes, rivals []int) error {
-	fmt.Fprintf(out, "%-6s %6s  %12s %12s  %10s %10s %10s %10s  false deaths a node and hour at loss", "view", "nodes", "datagrams/s", "bytes/s", "all joined", "one joins", "one dies", "heal")
+	besteffort.Output(fmt.Fprintf(out, "%-6s %6s  %12s %12s  %10s %10s %10s %10s  false deaths a node and hour at loss", "view", "nodes", "datagrams/s", "bytes/s", "all joined", "one joins", "one dies", "heal"))
 	for _, l := range g.Losses {
-		fmt.Fprintf(out, " %.0f%%", 100*l)
+		besteffort.Output(fmt.Fprintf(out, " %.0f%%", 100*l))
 	}
-	fmt.Fprintln(out)
+	besteffort.Output(fmt.Fprintln(out))
 	for _, r := range []bool{false, true} {
 		g.Rival = r
 		name := "ours"
@@ -163,7 +164,7 @@
 			if err != nil {
 				return unplayed{err}
 			}
-			fmt.Fprintf(out, "%-6s %6d  %12.1f %12.0f  %10v %10v %10v %10v  %s\n", name, o.Nodes, o.Sent, o.Bytes, o.Joined, o.Join, o.Death, o.Heal, figures(o.False))
+			besteffort.Output(fmt.Fprintf(out, "%-6s %6d  %12.1f %12.0f  %10v %10v %10v %10v  %s\n", name, o.Nodes, o.Sent, o.Bytes, o.Joined, o.Join, o.Death, o.Heal, figures(o.False)))
 		}
 	}
 	return nil
@@ -189,7 +190,7 @@
 					continue
 				}
 				drawn, err := s.Play(nil)
-				fmt.Fprintf(c.OutOrStdout(), "%s\n\n%s\n", s.Name, drawn)
+				besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s\n\n%s\n", s.Name, drawn))
 				if err != nil {
 					return fmt.Errorf("%s: %w", s.Name, err)
 				}
--- a/cmd/wrenspread-proxy/descriptors_test.go
+++ b/cmd/wrenspread-proxy/descriptors_test.go
@@ -10,6 +10,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // crowd is clients that only hold their connections: one half has sent nothing, the other has had an answer.
@@ -24,15 +26,15 @@
 		if all = append(all, c); i%2 == 0 {
 			continue
 		}
-		c.SetDeadline(time.Now().Add(enough))
-		io.WriteString(c, "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
+		besteffort.SocketOption(c.SetDeadline(time.Now().Add(enough)))
+		besteffort.Output(io.WriteString(c, "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"))
 		if _, err := c.Read(make([]byte, 12)); err != nil {
 			t.Fatalf("client %d of the crowd has no answer: %v", i, err)
 		}
 	}
 	return func() {
 		for _, c := range all {
-			c.Close()
+			besteffort.Close(c)
 		}
 	}
 }
@@ -79,8 +81,8 @@
 		called <- true
 		<-r.Context().Done()
 	})}
-	go back.Serve(disc)
-	t.Cleanup(func() { back.Close() })
+	go func() { _ = back.Serve(disc) }()
+	t.Cleanup(func() { besteffort.Close(back) })
 	wantCall := func(what string) {
 		t.Helper()
 		select {
@@ -92,12 +94,12 @@
 	wantCall("discovery that is back")
 	next := httptest.NewServer(back.Handler)
 	t.Cleanup(func() { next.CloseClientConnections(); next.Close() })
-	back.Close()
+	besteffort.Close(back)
 	c.rewrite(t, "discovery", next.Listener.Addr().String())
 	for len(called) > 0 {
 		<-called
 	}
-	c.Process.Signal(syscall.SIGHUP)
+	besteffort.Signal(c.Process.Signal(syscall.SIGHUP))
 	wantCall("the new discovery")
 	leave()
 	for until := time.Now().Add(enough); c.descriptors(t) > before+2; time.Sleep(10 * time.Millisecond) { // discovery's, the server's
@@ -114,7 +116,7 @@
 	after.waitReady(t)
 	p.wantServed(t, "by the next process")
 	for _, ends := range []*process{c, after} {
-		ends.Process.Signal(syscall.SIGTERM)
+		besteffort.Signal(ends.Process.Signal(syscall.SIGTERM))
 		ends.waitEnd(t)
 	}
 }
--- a/cmd/wrenspread-proxy/main_test.go
+++ b/cmd/wrenspread-proxy/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,6 +17,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestMain runs the program itself where a test has started it anew.
@@ -29,7 +32,7 @@
 		main()
 		if os.Getenv("WRENSPREAD_PROXY_HELD") == "1" { // at its last line
 			fmt.Fprintln(os.Stderr, "the program has run")
-			io.ReadAll(os.Stdin)
+			_, _ = io.ReadAll(os.Stdin)
 		}
 		return
 	}
@@ -50,7 +53,8 @@
 func TestBadConfigIsOneLineAndNonZero(t *testing.T) {
 	cmd, _ := program(t, `{"settings":{}}`)
 	out, err := cmd.CombinedOutput()
-	if _, ok := err.(*exec.ExitError); !ok || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "listen") {
+	var exitError *exec.ExitError
+	if !errors.As(err, &exitError) || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "listen") {
 		t.Errorf("ends with %v and says %q, want a non-zero status and one line on listen", err, out)
 	}
 }
@@ -64,10 +68,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer ln.Close()
+		defer besteffort.Close(ln)
 		free[i] = ln.Addr().String()
 		if i == 0 {
-			ln.Close()
+			besteffort.Close(ln)
 		}
 	}
 	config := `{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","settings":{},
@@ -80,7 +84,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer cmd.Process.Kill()
+	defer func() { besteffort.Signal(cmd.Process.Kill()) }()
 	said := make(chan string, 100)
 	go func() {
 		defer close(said)
@@ -93,7 +97,7 @@
 		if err != nil {
 			return false
 		}
-		resp.Body.Close()
+		besteffort.Close(resp.Body)
 		return resp.StatusCode == http.StatusOK
 	}
 	for until := time.Now().Add(30 * time.Second); !ready(); time.Sleep(5 * time.Millisecond) {
@@ -153,15 +157,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer former.Close()
+	defer besteffort.Close(former)
 	p := newPlatform(t)
 	p.address = former.Addr().String()
 	c := p.start(t, "GW_ACCEPT_FD=")
 	c.waitSaid(t, "another process has the clients' address")
-	former.Close()
+	besteffort.Close(former)
 	c.waitReady(t)
 	p.wantServed(t, "on the address")
-	c.Process.Signal(syscall.SIGTERM)
+	besteffort.Signal(c.Process.Signal(syscall.SIGTERM))
 	c.waitEnd(t)
 }
 
--- a/cmd/wrenspread-proxy/platform_test.go
+++ b/cmd/wrenspread-proxy/platform_test.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 const enough = 30 * time.Second // only a hang takes so long
@@ -34,24 +36,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer besteffort.Close(ln)
 	f, err := ln.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &platform{socket: f, address: ln.Addr().String(), fetches: make(chan bool, 100)}
-	t.Cleanup(func() { f.Close() })
+	t.Cleanup(func() { besteffort.Close(f) })
 	// The usual folder of a test may have too long a name for a socket.
 	if p.dir, err = os.MkdirTemp("", "up"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { os.RemoveAll(p.dir) })
+	t.Cleanup(func() { besteffort.Cleanup(os.RemoveAll(p.dir)) })
 	back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.served.Add(1)
 		if hold := p.hold.Load(); hold != nil {
 			<-*hold
 		}
-		io.WriteString(w, r.Header.Get("X-Request-Id"))
+		besteffort.Output(io.WriteString(w, r.Header.Get("X-Request-Id")))
 	}))
 	t.Cleanup(back.Close)
 	p.backend = back.Listener.Addr().String()
@@ -59,7 +61,7 @@
 	disc := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "" || r.URL.Query().Get("from") == "0" {
 			p.fetches <- true
-			io.WriteString(w, entries)
+			besteffort.Output(io.WriteString(w, entries))
 			return
 		}
 		<-r.Context().Done()
@@ -71,7 +73,7 @@
 		t.Fatal(err)
 	}
 	p.peerListen = udp.LocalAddr().String()
-	udp.Close()
+	besteffort.Close(udp)
 	return p
 }
 
--- a/cmd/wrenspread-proxy/process_test.go
+++ b/cmd/wrenspread-proxy/process_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // process is one process of the node.
@@ -34,7 +36,7 @@
 		t.Fatal(err)
 	}
 	control := free.Addr().String()
-	free.Close()
+	besteffort.Close(free)
 	config := map[string]any{"name": "n0", "listen": p.address, "discovery": p.discovery, "seed": "1f", "control": control,
 		"peer_listen": p.peerListen, "peers": []string{p.peerListen, "127.0.0.1:9"},
 		"settings": map[string]any{"balancers": 2, "caps": map[string]any{"peers": true, "max_attempts": 3,
@@ -71,7 +73,7 @@
 		close(c.said)
 		c.ended <- cmd.Wait()
 	}()
-	t.Cleanup(func() { cmd.Process.Kill() })
+	t.Cleanup(func() { besteffort.Signal(cmd.Process.Kill()) })
 	return c
 }
 
@@ -88,7 +90,7 @@
 	if err != nil {
 		return 0, "", false
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	b, _ := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(b), resp.Close
 }
--- a/cmd/wrenspread-proxy/sighup_test.go
+++ b/cmd/wrenspread-proxy/sighup_test.go
@@ -9,6 +9,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // rewrite changes a key of the configuration file of a process that runs.
@@ -103,7 +105,7 @@
 	case <-time.After(enough):
 		t.Error("the new discovery is not called")
 	}
-	c.Process.Signal(syscall.SIGTERM)
+	besteffort.Signal(c.Process.Signal(syscall.SIGTERM))
 	c.waitEnd(t)
 }
 
@@ -114,19 +116,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hold.Close()
-	defer release.Close()
+	defer besteffort.Close(hold)
+	defer besteffort.Close(release)
 	p.stdin = hold
 	c := p.start(t, "WRENSPREAD_PROXY_HELD=1")
 	c.waitReady(t)
-	c.Process.Signal(syscall.SIGTERM)
+	besteffort.Signal(c.Process.Signal(syscall.SIGTERM))
 	c.waitSaid(t, "the program has run")
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 		if err := c.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	release.Close()
+	besteffort.Close(release)
 	c.waitEnd(t)
 }
 
--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/labtest"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/lease"
@@ -42,7 +43,7 @@
 	f := &bookFleet{t: t, k: k, service: address, net: link.NewNet(1), nodes: map[string]*process{}, places: map[string]*platform{}, lists: map[string]string{}, demand: map[string]bool{}}
 	t.Cleanup(f.net.Close)
 	for _, zone := range []string{"z1", "z2"} {
-		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, zone) }))
+		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { besteffort.Output(io.WriteString(w, zone)) }))
 		t.Cleanup(back.Close)
 		e := registry.Endpoint{Name: "s-" + zone, Address: back.Listener.Addr().String(), Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
 		if _, err := k.Register(t.Context(), e, 0, nil); err != nil {
@@ -71,7 +72,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
-		p.Run(ctx, tenant.LeaseName, func(ctx context.Context, fence lease.Token) error {
+		_ = p.Run(ctx, tenant.LeaseName, func(ctx context.Context, fence lease.Token) error {
 			c := tenant.Controller{Store: &tenant.Records{Registry: k, Token: fence}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler), HashTree: hashTree}
 			return c.Run(ctx)
 		})
@@ -133,7 +134,7 @@
 			return err.Error()
 		}
 		body, _ := io.ReadAll(resp.Body)
-		resp.Body.Close()
+		besteffort.Close(resp.Body)
 		switch {
 		case resp.StatusCode == 200:
 			return "200 " + string(body)
--- a/cmd/wrenspread-proxy/tenants_test.go
+++ b/cmd/wrenspread-proxy/tenants_test.go
@@ -8,6 +8,7 @@
 	"syscall"
 	"testing"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/labtest"
 	"wrenspread/internal/tenant"
 )
@@ -187,7 +188,7 @@
 		}, "l", "a")
 		f.start("n1").waitReady(t)
 		former.waitSaid(t, "handing over")
-		former.Process.Signal(syscall.SIGTERM)
+		besteffort.Signal(former.Process.Signal(syscall.SIGTERM))
 		former.waitEnd(t)
 		stop()
 		f.order(tenant.OrderSuspend, "l", "") // which waits for all on the book
@@ -196,7 +197,7 @@
 
 	t.Run("one that ends is off the book", func(t *testing.T) {
 		c := f.nodes["n0"]
-		c.Process.Signal(syscall.SIGTERM)
+		besteffort.Signal(c.Process.Signal(syscall.SIGTERM))
 		c.waitEnd(t)
 		s, err := tenant.ReadStored(t.Context(), f.k)
 		if err != nil || slices.ContainsFunc(s.Members.Members, func(m tenant.Member) bool { return m.Name == "n0" }) {
--- a/cmd/wrenspread-proxy/upgrade_test.go
+++ b/cmd/wrenspread-proxy/upgrade_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/link"
 )
 
@@ -80,7 +81,7 @@
 func TestUnusableDescriptor(t *testing.T) {
 	for _, fd := range []string{"three", "-1", "77"} {
 		p := newPlatform(t)
-		p.socket.Close()
+		besteffort.Close(p.socket)
 		address, free, err := link.Reserve() // nobody else can take it meanwhile
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/wrenspread-proxy/usage.go
+++ b/cmd/wrenspread-proxy/usage.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/proxy"
 )
 
@@ -72,7 +73,7 @@
 	check := flags.String("check", "", "")
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
-		fmt.Fprint(out, usage, example, next)
+		besteffort.Output(fmt.Fprint(out, usage, example, next))
 		return true, nil
 	case err != nil:
 		return true, fmt.Errorf("%w; %w", err, errUsage)
@@ -81,7 +82,7 @@
 	case flags.NFlag() > 0:
 		return true, checkFile(*check, out)
 	case config == "":
-		fmt.Fprint(problems, usage, example, next)
+		besteffort.Output(fmt.Fprint(problems, usage, example, next))
 		return true, errors.New("GW_CONFIG names no configuration")
 	}
 	return false, nil
@@ -91,14 +92,14 @@
 func checkFile(path string, out io.Writer) error {
 	problems, notes := proxy.CheckConfig(path)
 	for _, p := range problems {
-		fmt.Fprintln(out, "wrong:", p)
+		besteffort.Output(fmt.Fprintln(out, "wrong:", p))
 	}
 	for _, n := range notes {
-		fmt.Fprintln(out, "note:", n)
+		besteffort.Output(fmt.Fprintln(out, "note:", n))
 	}
 	if len(problems) > 0 {
 		return fmt.Errorf("%s: %d found wrong", path, len(problems))
 	}
-	fmt.Fprintln(out, path+": good")
+	besteffort.Output(fmt.Fprintln(out, path+": good"))
 	return nil
 }
--- a/cmd/wrenspread-proxy/view_test.go
+++ b/cmd/wrenspread-proxy/view_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership/gossip"
 	"wrenspread/internal/membership/wire"
 )
@@ -117,13 +118,13 @@
 	t.Run("one that was stopped refutes its death", func(t *testing.T) {
 		before := seen(first, "n4")
 		stopped := f.live["n4"]
-		stopped.Process.Signal(syscall.SIGSTOP)
+		besteffort.Signal(stopped.Process.Signal(syscall.SIGSTOP))
 		delete(f.live, "n4")
 		f.settle(t, "n4 is dead", func(r gossip.Report) bool {
 			m := seen(r, "n4")
 			return m.Health == "dead" && m.Accusers != "" && m.Reason != ""
 		})
-		stopped.Process.Signal(syscall.SIGCONT)
+		besteffort.Signal(stopped.Process.Signal(syscall.SIGCONT))
 		f.live["n4"] = stopped
 		after := seen(f.settle(t, "n4 is back", f.all), "n4")
 		if after.Generation != before.Generation || after.Incarnation <= before.Incarnation {
@@ -145,14 +146,14 @@
 				}
 			}
 		}
-		before.Process.Signal(syscall.SIGTERM)
+		besteffort.Signal(before.Process.Signal(syscall.SIGTERM))
 		before.waitEnd(t)
 		if m := seen(f.settle(t, "after the upgrade", f.all), "n1"); m.Generation != life {
 			t.Errorf("in life %d after %d", m.Generation, life)
 		}
 	})
 	t.Run("a killed one is dead, and comes back in a new life", func(t *testing.T) {
-		f.live["n3"].Process.Kill()
+		besteffort.Signal(f.live["n3"].Process.Kill())
 		delete(f.live, "n3")
 		dead := seen(f.settle(t, "n3 is dead", func(r gossip.Report) bool { return seen(r, "n3").Health == "dead" && f.all(r) }), "n3")
 		f.start("n3")
@@ -163,7 +164,7 @@
 	t.Run("an ordered end is no death", func(t *testing.T) {
 		going := f.live["n2"]
 		delete(f.live, "n2")
-		going.Process.Signal(syscall.SIGTERM)
+		besteffort.Signal(going.Process.Signal(syscall.SIGTERM))
 		states := map[string]bool{}
 		r := f.settle(t, "n2 has left", func(r gossip.Report) bool {
 			m := seen(r, "n2")
@@ -192,7 +193,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer besteffort.Close(c)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 20_000 {
 		b := make([]byte, 1+rng.IntN(300))
@@ -203,6 +204,6 @@
 			d := wire.Datagram{Header: wire.Header{Kind: wire.Ping + wire.Kind(rng.IntN(10)), Fleet: wire.FleetHash("windhoek"), Sender: rng.Uint64()}}
 			b = append(d.Encode(), b[:min(len(b), 20)]...)
 		}
-		c.Write(b)
+		besteffort.Output(c.Write(b))
 	}
 }
--- a/cmd/wrenspreadctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -7,6 +7,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/checksumfile"
 	"wrenspread/internal/registry"
 	"wrenspread/internal/registry/client"
@@ -38,7 +39,7 @@
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			return f.print(c.OutOrStdout(), describe(s), func(t *tabwriter.Writer) {
-				fmt.Fprintf(t, "%s has %d entries, version %d, epoch %s\n", args[0], s.Len(), s.Version(), s.Epoch())
+				besteffort.Output(fmt.Fprintf(t, "%s has %d entries, version %d, epoch %s\n", args[0], s.Len(), s.Version(), s.Epoch()))
 			})
 		}),
 	}
@@ -83,7 +84,7 @@
 				return err
 			}
 			return f.print(c.OutOrStdout(), r, func(t *tabwriter.Writer) {
-				fmt.Fprintf(t, "done: %d entries, the list has version %d\n", s.Len(), r.Version)
+				besteffort.Output(fmt.Fprintf(t, "done: %d entries, the list has version %d\n", s.Len(), r.Version))
 			})
 		}),
 	}
--- a/cmd/wrenspreadctl/duty.go
+++ b/cmd/wrenspreadctl/duty.go
@@ -14,6 +14,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/fencing"
 	"wrenspread/internal/lease"
 	"wrenspread/internal/registry"
@@ -45,11 +46,11 @@
 				return err
 			}
 			return f.print(c.OutOrStdout(), a, func(t *tabwriter.Writer) {
-				fmt.Fprintln(t, "DUTY\tHOLDER\tFENCE\tWAITING\tBLOCKED\tNOTE")
+				besteffort.Output(fmt.Fprintln(t, "DUTY\tHOLDER\tFENCE\tWAITING\tBLOCKED\tNOTE"))
 				for _, d := range a.Leases {
-					fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", d.Name, holder(d), d.Token, len(d.Queue), cmp.Or(strings.Join(d.Blocked, ","), "-"), note(d))
+					besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", d.Name, holder(d), d.Token, len(d.Queue), cmp.Or(strings.Join(d.Blocked, ","), "-"), note(d)))
 				}
-				fmt.Fprintf(t, "\n%d duties, %d sessions, version %d\n", len(a.Leases), len(a.Sessions), a.Index)
+				besteffort.Output(fmt.Fprintf(t, "\n%d duties, %d sessions, version %d\n", len(a.Leases), len(a.Sessions), a.Index))
 			})
 		}),
 	}
@@ -88,9 +89,9 @@
 					continue
 				}
 				return f.print(c.OutOrStdout(), d, func(t *tabwriter.Writer) {
-					fmt.Fprintf(t, "duty\t%s\nholder\t%s\nfence\t%d\nsession\t%s\nword\t%s\nblocked\t%s\n", d.Name, holder(d), d.Token, cmp.Or(d.Holder, "-"), note(d), cmp.Or(strings.Join(d.Blocked, ", "), "nobody"))
+					besteffort.Output(fmt.Fprintf(t, "duty\t%s\nholder\t%s\nfence\t%d\nsession\t%s\nword\t%s\nblocked\t%s\n", d.Name, holder(d), d.Token, cmp.Or(d.Holder, "-"), note(d), cmp.Or(strings.Join(d.Blocked, ", "), "nobody")))
 					for i, q := range d.Queue {
-						fmt.Fprintf(t, "waiting %d\t%s, priority %d, since version %d\n", i+1, q.Process, q.Priority, q.Since)
+						besteffort.Output(fmt.Fprintf(t, "waiting %d\t%s, priority %d, since version %d\n", i+1, q.Process, q.Priority, q.Since))
 					}
 				})
 			}
@@ -110,7 +111,7 @@
 			if err := k.TransferLease(ctx, args[0], to); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), "the holder has been asked; \"wrenspreadctl duty show\" tells who has it")
+			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "the holder has been asked; \"wrenspreadctl duty show\" tells who has it"))
 			return nil
 		}),
 	}
@@ -132,7 +133,7 @@
 			if err := k.BlockProcess(ctx, args[0], args[1], on); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s is %s at %s\n", args[1], done, args[0])
+			besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s is %s at %s\n", args[1], done, args[0]))
 			return nil
 		}),
 	}
--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership/gossip"
 )
 
@@ -57,7 +58,7 @@
 			return nil
 		})
 	}
-	g.Wait() // none returns an error
+	_ = g.Wait() // what a proxy answers, or does not, is in its place: no error comes of it // none returns an error
 	return all
 }
 
@@ -72,7 +73,7 @@
 	if err != nil {
 		return r, err
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	body := io.LimitReader(resp.Body, viewMost)
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -101,20 +102,20 @@
 	}
 	differ := settled(w, views)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "\nNODE\tDIGEST\tCHANGES\tALIVE\tSUSPECT\tDEAD\tLEFT\tSENT\tRECEIVED\tSTRANGERS\tLATE")
+	besteffort.Output(fmt.Fprintln(t, "\nNODE\tDIGEST\tCHANGES\tALIVE\tSUSPECT\tDEAD\tLEFT\tSENT\tRECEIVED\tSTRANGERS\tLATE"))
 	for _, v := range views {
 		n := map[string]int{}
 		for _, m := range v.Members {
 			n[m.Health]++
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms\n", v.Name, v.Digest, v.Version, n["alive"], n["suspect"], n["dead"], n["left"],
-			v.Sent.Datagrams, v.Received.Datagrams, v.Received.Strangers, v.LateMS)
+		besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms\n", v.Name, v.Digest, v.Version, n["alive"], n["suspect"], n["dead"], n["left"],
+			v.Sent.Datagrams, v.Received.Datagrams, v.Received.Strangers, v.LateMS))
 	}
-	fmt.Fprintln(t, "\nMEMBER\tHEALTH\tSTATE\tSINCE\tLIFE\tINC\tZONE\tVERSION\tCATALOGUE\tPOLICY\tLOAD\tSEEN SO BY\tWHY")
+	besteffort.Output(fmt.Fprintln(t, "\nMEMBER\tHEALTH\tSTATE\tSINCE\tLIFE\tINC\tZONE\tVERSION\tCATALOGUE\tPOLICY\tLOAD\tSEEN SO BY\tWHY"))
 	for _, o := range opinions(views) {
 		m := o.of
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%d\t%d\t%s\t%s\t%d\t%d\t%.1f%%\t%s\t%s\n", m.Name, m.Health, m.State, (time.Duration(m.AgeMS) * time.Millisecond).Round(100*time.Millisecond),
-			m.Generation, m.Incarnation, dash(m.Zone), dash(m.Version), m.Catalogue, m.Policy, float64(m.Load)/10, o.who(len(views)), why(m))
+		besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%d\t%d\t%s\t%s\t%d\t%d\t%.1f%%\t%s\t%s\n", m.Name, m.Health, m.State, (time.Duration(m.AgeMS) * time.Millisecond).Round(100*time.Millisecond),
+			m.Generation, m.Incarnation, dash(m.Zone), dash(m.Version), m.Catalogue, m.Policy, float64(m.Load)/10, o.who(len(views)), why(m)))
 	}
 	return errors.Join(failed, differ, t.Flush())
 }
--- a/cmd/wrenspreadctl/fleet_compare.go
+++ b/cmd/wrenspreadctl/fleet_compare.go
@@ -8,6 +8,7 @@
 	"slices"
 	"strings"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership/gossip"
 )
 
@@ -25,15 +26,15 @@
 		by[key] = append(by[key], v.Name)
 		asked = append(asked, v.Name)
 		if v.Yielded {
-			fmt.Fprintf(w, "%s is silent: another process has its name\n", v.Name)
+			besteffort.Output(fmt.Fprintf(w, "%s is silent: another process has its name\n", v.Name))
 		}
 	}
 	if len(digests) == 1 {
-		fmt.Fprintf(w, "settled: %d asked, fleet %s\n", len(views), digests[0])
+		besteffort.Output(fmt.Fprintf(w, "settled: %d asked, fleet %s\n", len(views), digests[0]))
 	}
 	for _, d := range digests {
 		if len(digests) > 1 {
-			fmt.Fprintf(w, "not settled: fleet %s at %s\n", d, strings.Join(by[d], ", "))
+			besteffort.Output(fmt.Fprintf(w, "not settled: fleet %s at %s\n", d, strings.Join(by[d], ", ")))
 		}
 	}
 	var others []string
@@ -43,7 +44,7 @@
 		}
 	}
 	if len(others) > 0 {
-		fmt.Fprintf(w, "alive and not asked: %s\n", strings.Join(others, ", "))
+		besteffort.Output(fmt.Fprintf(w, "alive and not asked: %s\n", strings.Join(others, ", ")))
 	}
 	if len(digests) > 1 {
 		return errNotSettled
--- a/cmd/wrenspreadctl/fleet_test.go
+++ b/cmd/wrenspreadctl/fleet_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership/gossip"
 )
 
@@ -20,7 +21,7 @@
 	same := n0
 	same.Name = "n1"
 	node := func(r gossip.Report) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r) }))
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { besteffort.Encode(json.NewEncoder(w).Encode(r)) }))
 		t.Cleanup(s.Close)
 		return s.Listener.Addr().String()
 	}
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -15,6 +15,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 	"wrenspread/internal/registry/client"
 )
@@ -114,11 +115,11 @@
 				a.Endpoints = one
 			}
 			return f.print(c.OutOrStdout(), a, func(t *tabwriter.Writer) {
-				fmt.Fprintln(t, "NAME\tSTATUS\tADDRESS\tZONE\tTYPE\tGROUP\tVERSION\tSINCE")
+				besteffort.Output(fmt.Fprintln(t, "NAME\tSTATUS\tADDRESS\tZONE\tTYPE\tGROUP\tVERSION\tSINCE"))
 				for _, e := range a.Endpoints {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Status, e.Address, cmp.Or(e.Zone, "-"), cmp.Or(e.Type, "-"), e.Cell, cmp.Or(e.Version, "-"), since(e.StartedAtMS))
+					besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Status, e.Address, cmp.Or(e.Zone, "-"), cmp.Or(e.Type, "-"), e.Cell, cmp.Or(e.Version, "-"), since(e.StartedAtMS)))
 				}
-				fmt.Fprintf(t, "\n%d entries, version %d, epoch %s\n", len(a.Endpoints), a.Index, a.Epoch)
+				besteffort.Output(fmt.Fprintf(t, "\n%d entries, version %d, epoch %s\n", len(a.Endpoints), a.Index, a.Epoch))
 			})
 		}),
 	}
@@ -224,7 +225,7 @@
 		return err
 	}
 	return f.print(c.OutOrStdout(), r, func(t *tabwriter.Writer) {
-		fmt.Fprintf(t, "done: the entry has version %d, the list %d\n", r.EntryVersion, r.Version)
+		besteffort.Output(fmt.Fprintf(t, "done: the entry has version %d, the list %d\n", r.EntryVersion, r.Version))
 	})
 }
 
--- a/cmd/wrenspreadctl/members.go
+++ b/cmd/wrenspreadctl/members.go
@@ -7,6 +7,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 	"wrenspread/internal/registry/client"
 )
@@ -31,7 +32,7 @@
 
 func (f *listFlags) showMembers(c *cobra.Command, all []registry.Replica) error {
 	return f.print(c.OutOrStdout(), all, func(t *tabwriter.Writer) {
-		fmt.Fprintln(t, "NAME\tROLE\tVOTES\tADDED AT")
+		besteffort.Output(fmt.Fprintln(t, "NAME\tROLE\tVOTES\tADDED AT"))
 		for _, m := range all {
 			role, at := "follows", "-"
 			if m.Leader {
@@ -40,7 +41,7 @@
 			if m.Address != nil {
 				at = m.Address.HTTP
 			}
-			fmt.Fprintf(t, "%s\t%s\t%v\t%s\n", m.Name, role, m.Voter, at)
+			besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%v\t%s\n", m.Name, role, m.Voter, at))
 		}
 	})
 }
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -12,6 +12,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/policy"
 	"wrenspread/internal/simwire"
 	"wrenspread/ratelimit"
@@ -85,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	data, err := io.ReadAll(io.LimitReader(f, most+1))
 	if err == nil && int64(len(data)) > most {
 		err = fmt.Errorf("%s: more than %d bytes", path, most)
@@ -138,10 +139,10 @@
 	}
 	if limits {
 		out := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(out, "LIMIT\tUNIT\tRATE\tBURST\tFLOOR\tWEIGHT\tRESERVE\tTOLD\tTIMES")
+		besteffort.Output(fmt.Fprintln(out, "LIMIT\tUNIT\tRATE\tBURST\tFLOOR\tWEIGHT\tRESERVE\tTOLD\tTIMES"))
 		for _, l := range t.Limits {
-			fmt.Fprintf(out, "%s\t%s\t%.6g\t%.6g\t%.6g\t%.6g\t%.3g\t%d in %v\t%d\n", l.Name, l.Unit, l.Rate, l.Burst, l.Floor, l.Weight, l.PriorityReserve,
-				l.Status, l.RetryAfter, len(l.Schedule))
+			besteffort.Output(fmt.Fprintf(out, "%s\t%s\t%.6g\t%.6g\t%.6g\t%.6g\t%.3g\t%d in %v\t%d\n", l.Name, l.Unit, l.Rate, l.Burst, l.Floor, l.Weight, l.PriorityReserve,
+				l.Status, l.RetryAfter, len(l.Schedule)))
 		}
 		if err := out.Flush(); err != nil {
 			return err
@@ -149,7 +150,7 @@
 	}
 	touched, _ := t.MaxMatched()
 	for i, l := range t.Levels {
-		fmt.Fprintf(w, "level %d above %.3g, until below %.3g: refuses %s\n", i+1, l.EnterAbove, l.LeaveBelow, strings.Join(l.RejectClasses, ", "))
+		besteffort.Output(fmt.Fprintf(w, "level %d above %.3g, until below %.3g: refuses %s\n", i+1, l.EnterAbove, l.LeaveBelow, strings.Join(l.RejectClasses, ", ")))
 	}
 	_, err := fmt.Fprintf(w, "%d parts, %d limits, %d slots of keys; a request touches %d limits at most; %d bytes\ndigest %s\n", len(t.Scopes),
 		len(t.Limits), t.TokenSlots()-len(t.Limits), touched, len(data), t.Digest)
--- a/cmd/wrenspreadctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -7,6 +7,7 @@
 
 	"github.com/spf13/cobra"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/quota/record"
 	"wrenspread/internal/registry/client"
 )
@@ -74,7 +75,7 @@
 				return err
 			}
 			if !f.json {
-				fmt.Fprintf(c.OutOrStdout(), "version %d\n", r.Version)
+				besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "version %d\n", r.Version))
 			}
 			return printTable(c.OutOrStdout(), t, limits, f.json)
 		}),
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -15,6 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/config"
 	"wrenspread/internal/lease"
 	"wrenspread/internal/registry"
@@ -69,10 +70,10 @@
 			}
 			plan := s.Plan
 			return f.print(c.OutOrStdout(), s.Waves(), func(t *tabwriter.Writer) {
-				fmt.Fprintf(t, "%s: %d servers from %s to %s, %d out at once, %v of soak after each wave, at a halt: %s\n\nWAVE\tSERVERS\tNAMES\n",
-					plan.Name, len(s.Targets), plan.From, plan.To, plan.Limits.Total, plan.Soak, plan.Halt)
+				besteffort.Output(fmt.Fprintf(t, "%s: %d servers from %s to %s, %d out at once, %v of soak after each wave, at a halt: %s\n\nWAVE\tSERVERS\tNAMES\n",
+					plan.Name, len(s.Targets), plan.From, plan.To, plan.Limits.Total, plan.Soak, plan.Halt))
 				for i, names := range s.Waves() {
-					fmt.Fprintf(t, "%d\t%d\t%s\n", i+1, len(names), strings.Join(names, " "))
+					besteffort.Output(fmt.Fprintf(t, "%d\t%d\t%s\n", i+1, len(names), strings.Join(names, " ")))
 				}
 			})
 		}),
@@ -122,7 +123,7 @@
 			if err := release.Start(ctx, k, s); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s is on record with %d servers; \"wrenspreadctl release conduct %s\" carries it out\n", s.Plan.Name, len(s.Targets), s.Plan.Name)
+			besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s is on record with %d servers; \"wrenspreadctl release conduct %s\" carries it out\n", s.Plan.Name, len(s.Targets), s.Plan.Name))
 			return nil
 		}),
 	}
@@ -172,23 +173,23 @@
 		states = append(states, s)
 	}
 	return f.print(c.OutOrStdout(), states, func(t *tabwriter.Writer) {
-		fmt.Fprintln(t, "RELEASE\tPHASE\tWAVE\tRELEASED\tOUT\tWHY")
+		besteffort.Output(fmt.Fprintln(t, "RELEASE\tPHASE\tWAVE\tRELEASED\tOUT\tWHY"))
 		for _, s := range states {
 			released, out := s.Count()
-			fmt.Fprintf(t, "%s\t%s\t%d of %d\t%d of %d\t%d\t%s\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), out, cmp.Or(s.HaltReason, "-"))
+			besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%d of %d\t%d of %d\t%d\t%s\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), out, cmp.Or(s.HaltReason, "-")))
 		}
 	})
 }
 
 func oneRelease(t *tabwriter.Writer, s *release.State) {
 	released, out := s.Count()
-	fmt.Fprintf(t, "%s: %s, wave %d of %d, %d of %d servers in %s, %d out\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), s.Plan.To, out)
+	besteffort.Output(fmt.Fprintf(t, "%s: %s, wave %d of %d, %d of %d servers in %s, %d out\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), s.Plan.To, out))
 	if s.HaltReason != "" {
-		fmt.Fprintf(t, "why: %s\n", s.HaltReason)
+		besteffort.Output(fmt.Fprintf(t, "why: %s\n", s.HaltReason))
 	}
-	fmt.Fprintln(t, "\nSERVER\tZONE\tVERSION\tSTEP\tTROUBLE")
+	besteffort.Output(fmt.Fprintln(t, "\nSERVER\tZONE\tVERSION\tSTEP\tTROUBLE"))
 	for _, one := range s.Targets {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", one.Name, cmp.Or(one.Zone, "-"), one.Version, one.Step, cmp.Or(one.Reason, "-"))
+		besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", one.Name, cmp.Or(one.Zone, "-"), one.Version, one.Step, cmp.Or(one.Reason, "-")))
 	}
 }
 
@@ -205,7 +206,7 @@
 			}
 			return f.print(c.OutOrStdout(), s.History, func(t *tabwriter.Writer) {
 				for _, n := range s.History {
-					fmt.Fprintf(t, "%v\t%s\n", n.At.Round(time.Millisecond), n.Text)
+					besteffort.Output(fmt.Fprintf(t, "%v\t%s\n", n.At.Round(time.Millisecond), n.Text))
 				}
 			})
 		}),
@@ -226,7 +227,7 @@
 			if err := release.SubmitOrder(ctx, k, args[0], order, who, fmt.Sprintf("%s-%d", who, time.Now().UnixNano())); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), "left for the conductor; \"wrenspreadctl release history\" tells what it did")
+			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "left for the conductor; \"wrenspreadctl release history\" tells what it did"))
 			return nil
 		}),
 	}
--- a/cmd/wrenspreadctl/release_test.go
+++ b/cmd/wrenspreadctl/release_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"wrenspread/internal/agent"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/labtest"
 	"wrenspread/internal/registry/client"
 	"wrenspread/internal/release"
@@ -26,8 +27,8 @@
 // TestMain lets this test's own binary be wrenspreadctl, or a server that answers with its version.
 func TestMain(m *testing.M) {
 	if version := os.Getenv("RELEASE_TEST_VERSION"); version != "" {
-		http.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, version) })
-		http.ListenAndServe(os.Getenv("RELEASE_TEST_ADDRESS"), nil)
+		http.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { besteffort.Output(fmt.Fprint(w, version)) })
+		_ = http.ListenAndServe(os.Getenv("RELEASE_TEST_ADDRESS"), nil)
 		os.Exit(1)
 	}
 	if os.Getenv("WRENSPREADCTL_AS_PROGRAM") == "1" {
@@ -80,7 +81,7 @@
 		var pid int
 		if _, text, ok := bytes.Cut(raw, []byte("\n")); err == nil && ok {
 			if _, err := fmt.Sscanf(string(text), `{"pid":%d`, &pid); err == nil && pid > 0 {
-				syscall.Kill(pid, syscall.SIGKILL)
+				besteffort.Signal(syscall.Kill(pid, syscall.SIGKILL))
 			}
 		}
 	}
@@ -91,7 +92,7 @@
 	defer s.mu.Unlock()
 	if r.URL.Path == "/stats" {
 		for name, n := range s.done {
-			fmt.Fprintf(w, "app.backends.%s.succeeded:%d|c\napp.backends.%s.failed:%d|c\n", name, n-s.failed[name], name, s.failed[name])
+			besteffort.Output(fmt.Fprintf(w, "app.backends.%s.succeeded:%d|c\napp.backends.%s.failed:%d|c\n", name, n-s.failed[name], name, s.failed[name]))
 		}
 		return
 	}
@@ -113,7 +114,7 @@
 			body := ""
 			if resp, err := h.Get("http://" + at); err == nil {
 				raw, _ := io.ReadAll(resp.Body)
-				resp.Body.Close()
+				besteffort.Close(resp.Body)
 				body = string(raw)
 			}
 			s.mu.Lock()
@@ -152,7 +153,7 @@
 	if err := cmd.Start(); err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
+	s.t.Cleanup(func() { besteffort.Signal(cmd.Process.Kill()); _ = cmd.Wait() })
 	return cmd
 }
 
@@ -196,8 +197,8 @@
 	s.ctl("release", "start", good)
 	first := s.conduct("good", "a")
 	s.await("good", "the first server", func(r *release.State) bool { released, out := r.Count(); return released+out > 0 })
-	first.Process.Kill()
-	first.Wait()
+	besteffort.Signal(first.Process.Kill())
+	_ = first.Wait()
 	s.conduct("good", "b")
 	s.await("good", "the end", func(r *release.State) bool { return r.Phase == release.Finished })
 	if out := s.ctl("release", "status"); !strings.Contains(out, "3 of 3") {
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -16,6 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lease"
 	"wrenspread/internal/registry"
 	"wrenspread/internal/registry/client"
@@ -98,7 +99,7 @@
 	for {
 		done, now, err := came(ctx, k, name, o)
 		if err == nil && done {
-			fmt.Fprintf(c.OutOrStdout(), "%s: %s is done\n", name, o.Op)
+			besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: %s is done\n", name, o.Op))
 			return nil
 		}
 		if err != nil && ctx.Err() == nil {
@@ -164,13 +165,13 @@
 				}
 			}
 			return f.print(c.OutOrStdout(), all, func(t *tabwriter.Writer) {
-				fmt.Fprintln(t, "TENANT\tSTANDS\tCATALOGUE\tLAST ORDER")
+				besteffort.Output(fmt.Fprintln(t, "TENANT\tSTANDS\tCATALOGUE\tLAST ORDER"))
 				for _, s := range all {
 					last := "-"
 					if n := len(s.Outcomes); n > 0 {
 						last = cmp.Or(s.Outcomes[n-1].Reason, "done")
 					}
-					fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", s.Name, standing(s), s.Number, last)
+					besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%d\t%s\n", s.Name, standing(s), s.Number, last))
 				}
 			})
 		}),
--- a/cmd/wrenspreadctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -65,7 +65,7 @@
 			d.mu.Unlock()
 		case tenant.TellStatus:
 			s.Info.Note = a.Status.Encode()
-			k.OpenSession(ctx, *s) // the desk repeats a word while something moves
+			_ = k.OpenSession(ctx, *s) // the desk repeats a word while something moves
 		}
 	}
 }
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			p.Run(ctx, tenant.LeaseName, func(ctx context.Context, f lease.Token) error {
+			_ = p.Run(ctx, tenant.LeaseName, func(ctx context.Context, f lease.Token) error {
 				c := tenant.Controller{Store: &tenant.Records{Registry: k, Token: f}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
 				return c.Run(ctx)
 			})
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -14,6 +14,7 @@
 	"sync"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/checksumfile"
 	"wrenspread/internal/fencing"
 	"wrenspread/internal/registry"
@@ -69,10 +70,10 @@
 	for _, s := range c.Servers {
 		out, err := os.OpenFile(filepath.Join(c.Folder, s.Name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
-			ln.Close()
+			besteffort.Close(ln)
 			return fmt.Errorf("server %s: %w", s.Name, err)
 		}
-		defer out.Close()
+		defer besteffort.Close(out)
 		o, ok := wants[s.Name]
 		if !ok {
 			o = DesiredState{Version: s.Version}
@@ -89,7 +90,7 @@
 	}
 	tasks.Go(func() { a.publishRecord(ctx) })
 	srv := &http.Server{Handler: a.routes(), ReadTimeout: callTimeout, WriteTimeout: callTimeout}
-	stop := context.AfterFunc(ctx, func() { srv.Close() })
+	stop := context.AfterFunc(ctx, func() { besteffort.Close(srv) })
 	defer stop()
 	log.Info("serving", "listen", ln.Addr().String(), "servers", len(c.Servers))
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -123,7 +124,7 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(v) // a caller that has left needs nothing
+	besteffort.Encode(json.NewEncoder(w).Encode(v)) // a caller that has left needs nothing
 }
 
 // order takes what a server is to be, from the present holder of a duty alone. It
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/labtest"
 	"wrenspread/internal/registry"
 )
@@ -26,11 +27,11 @@
 		if version == "bad" {
 			os.Exit(3)
 		}
-		http.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, version) })
+		http.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { besteffort.Output(fmt.Fprint(w, version)) })
 		if os.Getenv("GW_ACCEPT_FD") == "3" {
 			handOver(version)
 		}
-		http.ListenAndServe(os.Getenv("AGENT_TEST_ADDRESS"), nil)
+		_ = http.ListenAndServe(os.Getenv("AGENT_TEST_ADDRESS"), nil)
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
@@ -74,7 +75,7 @@
 	if err != nil || first == nil {
 		t.Fatal(first, err)
 	}
-	first.signal(syscall.SIGKILL)
+	besteffort.Signal(first.signal(syscall.SIGKILL))
 	labtest.Await(t, "its next process", func() bool { s := status(); return s.Ready && s.Restarts == 1 })
 
 	if err := order(DesiredState{Version: "v2", KeepDraining: true}, 5); err != nil {
@@ -104,15 +105,15 @@
 	if err != nil || last == nil {
 		t.Fatal(last, err)
 	}
-	last.signal(syscall.SIGKILL)
-	<-last.ended
+	besteffort.Signal(last.signal(syscall.SIGKILL))
+	besteffort.Ended(<-last.ended)
 }
 
 // handOver is a server that takes the clients' socket over, and ends in order. One
 // whose version is mute never gets ready.
 func handOver(version string) {
 	if version != "mute" {
-		go http.ListenAndServe(os.Getenv("GW_CONTROL"), nil)
+		go func() { _ = http.ListenAndServe(os.Getenv("GW_CONTROL"), nil) }()
 	}
 	ln, err := net.FileListener(os.NewFile(3, "clients"))
 	if err != nil {
@@ -120,9 +121,10 @@
 	}
 	var open sync.WaitGroup
 	srv := &http.Server{ConnState: func(_ net.Conn, s http.ConnState) {
-		if s == http.StateNew {
+		switch s {
+		case http.StateNew:
 			open.Add(1)
-		} else if s == http.StateClosed {
+		case http.StateClosed:
 			open.Done()
 		}
 	}}
@@ -130,9 +132,9 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	served := make(chan bool)
-	go func() { srv.Serve(ln); close(served) }()
+	go func() { _ = srv.Serve(ln); close(served) }()
 	<-ctx.Done()
-	ln.Close()
+	besteffort.Close(ln)
 	<-served
 	open.Wait() // Shutdown would drop what was accepted and not read
 	os.Exit(0)
@@ -180,7 +182,7 @@
 				n++
 				continue
 			}
-			resp.Body.Close()
+			besteffort.Close(resp.Body)
 		}
 		lost <- n
 	}()
@@ -205,6 +207,6 @@
 	if err != nil || last == nil {
 		t.Fatal(last, err)
 	}
-	last.signal(syscall.SIGKILL)
-	<-last.ended
+	besteffort.Signal(last.signal(syscall.SIGKILL))
+	besteffort.Ended(<-last.ended)
 }
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -13,6 +13,7 @@
 	"net/http"
 	"net/url"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/fencing"
 	"wrenspread/internal/registry"
 )
@@ -95,7 +96,7 @@
 	if err != nil {
 		return fmt.Errorf("agent at %s: %w", address, err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxCall))
 	switch {
 	case err != nil:
--- a/internal/agent/keep.go
+++ b/internal/agent/keep.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -128,7 +129,9 @@
 				if next := k.upgrade(ctx, p, s.WantedVersion); next != nil {
 					stop()
 					looks.Wait()
-					k.stopProcess(p) // it lets go by itself; its end is no error of the one that goes on
+					if err := k.stopProcess(p); err != nil { // it has handed off; the next one goes on all the same
+						k.log.Debug("the previous process ended with an error", "version", p.Version, "err", err)
+					}
 					p.close()
 					p = next
 					k.publishProcess(p)
@@ -214,7 +217,7 @@
 		return err
 	case <-t.C:
 		k.log.Warn("it does not end and is killed", "pid", p.PID, "grace", k.server.grace())
-		p.signal(syscall.SIGKILL)
+		besteffort.Signal(p.signal(syscall.SIGKILL))
 		return <-p.ended
 	}
 }
@@ -245,7 +248,7 @@
 	if k.server.Ready == "" {
 		c, err := (&net.Dialer{Timeout: readyTimeout}).DialContext(ctx, "tcp", address)
 		if err == nil {
-			c.Close()
+			besteffort.Close(c)
 		}
 		return err
 	}
@@ -257,7 +260,7 @@
 	if err != nil {
 		return err
 	}
-	resp.Body.Close()
+	besteffort.Close(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s answers %s", k.server.Ready, resp.Status)
 	}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -13,6 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/checksumfile"
 )
 
@@ -50,8 +51,8 @@
 		err = p.writeRecord(trace)
 	}
 	if err != nil {
-		cmd.Process.Kill()
-		cmd.Wait()
+		besteffort.Signal(cmd.Process.Kill())
+		_ = cmd.Wait() // it was killed; the error that led to this is returned
 		p.close()
 		return nil, err
 	}
@@ -119,7 +120,7 @@
 
 func (p *process) close() {
 	if p.fd > 0 {
-		unix.Close(p.fd)
+		_ = unix.Close(p.fd) // a pidfd has nothing to lose
 	}
 }
 
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -74,7 +76,9 @@
 	}
 	defer left.close()
 	k.log.Warn("an upgrade that was not ended is given up", "version", left.Version, "pid", left.PID)
-	k.stopProcess(left)
+	if err := k.stopProcess(left); err != nil {
+		k.log.Debug("the abandoned process ended with an error", "version", left.Version, "err", err)
+	}
 	return nil
 }
 
@@ -96,7 +100,7 @@
 	if err != nil {
 		return fmt.Errorf("the clients' socket: %w", err)
 	}
-	defer ln.Close()
+	defer besteffort.Close(ln)
 	if k.socket, err = ln.(*net.TCPListener).File(); err != nil {
 		return fmt.Errorf("the clients' socket: %w", err)
 	}
@@ -127,7 +131,7 @@
 		if listensAt(fd, want) {
 			return fd, nil
 		}
-		unix.Close(fd)
+		_ = unix.Close(fd) // a duplicate that was only looked at
 	}
 	return 0, fmt.Errorf("none of its descriptors listens at %s", address)
 }
--- /dev/null
+++ b/internal/checksumfile/checksumfile.go
@@ -0,0 +1,91 @@
+// Package checksumfile stores small files atomically and with a checksum. Wherever writing is interrupted,
+// the file has its old or its new content, and a file that was damaged later is detected.
+//
+// The first line of a file is the xxHash64 of the rest in 16 hexadecimal digits.
+package checksumfile
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strconv"
+
+	"github.com/cespare/xxhash/v2"
+
+	"wrenspread/internal/besteffort"
+)
+
+// ErrDamaged means that content does not match its checksum.
+var ErrDamaged = errors.New("damaged: the checksum does not match")
+
+// Encode returns raw with its checksum line before it.
+func Encode(raw []byte) []byte { return append(fmt.Appendf(nil, "%016x\n", xxhash.Sum64(raw)), raw...) }
+
+// Decode returns what Encode was given. It returns ErrDamaged if the checksum is missing or does not match.
+func Decode(text []byte) ([]byte, error) {
+	sum, raw, _ := bytes.Cut(text, []byte("\n"))
+	want, err := strconv.ParseUint(string(sum), 16, 64)
+	if err != nil || xxhash.Sum64(raw) != want {
+		return nil, fmt.Errorf("%d bytes: %w", len(text), ErrDamaged)
+	}
+	return raw, nil
+}
+
+// Write replaces the file at path by one with this content. It returns after the content is on the disk.
+func Write(path string, raw []byte) error {
+	temporary, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
+	if err != nil {
+		return err
+	}
+	defer func() { besteffort.Cleanup(os.Remove(temporary.Name())) }() // after the rename there is none
+	if err := writeAndSync(temporary, Encode(raw)); err != nil {
+		return err
+	}
+	if err := os.Rename(temporary.Name(), path); err != nil {
+		return err
+	}
+	return SyncFolder(filepath.Dir(path))
+}
+
+func writeAndSync(f *os.File, content []byte) error {
+	_, err := f.Write(content)
+	if err == nil {
+		err = f.Sync()
+	}
+	return errors.Join(err, f.Close())
+}
+
+// SyncFolder makes renames in a folder survive a crash of the machine.
+func SyncFolder(path string) error {
+	folder, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer besteffort.Close(folder)
+	return folder.Sync()
+}
+
+// Read returns the content of the file at path, which may have maxSize bytes. The error is fs.ErrNotExist if
+// there is no file, and ErrDamaged if its checksum does not match.
+func Read(path string, maxSize int64) ([]byte, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Size() > maxSize {
+		err := fmt.Errorf("%d bytes, at most %d", info.Size(), maxSize)
+		return nil, &fs.PathError{Op: "read", Path: path, Err: err}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	raw, err := Decode(text)
+	if err != nil {
+		return nil, &fs.PathError{Op: "read", Path: path, Err: err}
+	}
+	return raw, nil
+}
--- a/internal/checksumfile/sealed_test.go
+++ b/internal/checksumfile/checksumfile_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// TestCutAnywhere: a file that is cut or changed anywhere is told as damaged, one that is too long is not read.
+// TestCutAnywhere: a file that is cut or changed anywhere is told as damaged, one that is too long is not
+// read.
 func TestCutAnywhere(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	if _, err := Read(path, 1); !errors.Is(err, fs.ErrNotExist) {
--- a/internal/config/conf.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package conf puts a program's configuration together: its defaults, a TOML file, and
-// the flags that were given, of which each wins over those before it.
+// Package config assembles a program's configuration from its defaults, a TOML file and command-line flags,
+// of which each overrides those before it.
 package config
 
 import (
@@ -18,8 +18,8 @@
 // FileFlag is the flag that names the file.
 const FileFlag = "config"
 
-// Load changes c, which has the defaults, by the file that --config names, if it
-// does, and by the other flags that were given. An unknown key is an error.
+// Load overrides c, which has the defaults, by the file that --config names, if there is one, and by the
+// other flags that were given. An unknown key is an error.
 func Load[T any](c *T, flags *pflag.FlagSet) error {
 	k := koanf.New(".")
 	path := flags.Lookup(FileFlag).Value.String()
@@ -40,7 +40,7 @@
 	return unmarshal(k, c, path)
 }
 
-// File changes c, which has the defaults, by a TOML file. An unknown key is an error.
+// File overrides c, which has the defaults, by a TOML file. An unknown key is an error.
 func File[T any](c *T, path string) error {
 	k := koanf.New(".")
 	if err := k.Load(file.Provider(path), toml.Parser()); err != nil {
@@ -50,23 +50,27 @@
 }
 
 func unmarshal[T any](k *koanf.Koanf, c *T, path string) error {
-	err := k.UnmarshalWithConf("", c, koanf.UnmarshalConf{DecoderConfig: &mapstructure.DecoderConfig{Result: c, TagName: "koanf", ErrorUnused: true,
-		ZeroFields: true, // a list in a file takes the place of the default's, and is not mixed with it
-		DecodeHook: mapstructure.DecodeHookFuncType(duration), WeaklyTypedInput: false}})
-	if err != nil {
+	decoder := &mapstructure.DecoderConfig{
+		Result:      c,
+		TagName:     "koanf",
+		ErrorUnused: true,
+		ZeroFields:  true, // a list in a file replaces the default's instead of being merged with it
+		DecodeHook:  mapstructure.DecodeHookFuncType(decodeDuration),
+	}
+	if err := k.UnmarshalWithConf("", c, koanf.UnmarshalConf{DecoderConfig: decoder}); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
-// duration reads a time with its unit. A bare number would be nanoseconds, which nobody means.
-func duration(from, to reflect.Type, data any) (any, error) {
+// decodeDuration reads a duration with its unit. A bare number would be nanoseconds, which nobody means.
+func decodeDuration(from, to reflect.Type, data any) (any, error) {
 	if to != reflect.TypeFor[time.Duration]() || from == to {
 		return data, nil
 	}
 	text, ok := data.(string)
 	if !ok {
-		return nil, fmt.Errorf("%v is no time; want a number with its unit, as in \"30s\"", data)
+		return nil, fmt.Errorf("%v is no duration; want a number with its unit, as in \"30s\"", data)
 	}
 	return time.ParseDuration(text)
 }
--- a/internal/controller/core_test.go
+++ b/internal/controller/checker_test.go
@@ -30,8 +30,20 @@
 			name := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "who"))
 			if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
 				version++
-				e := registry.Endpoint{Name: name, Address: name + ":1", Status: rapid.SampledFrom([]string{registry.Ready, registry.Draining, registry.Draining}).Draw(t, "status")}
-				all[name] = &state{registry.Registration{Endpoint: e, Version: version, TTL: time.Duration(rapid.IntRange(0, 1).Draw(t, "ttl")) * time.Second}, -1}
+				e := registry.Endpoint{
+					Name:    name,
+					Address: name + ":1",
+					Status: rapid.SampledFrom([]string{registry.Ready, registry.Draining, registry.Draining}).
+						Draw(t, "status"),
+				}
+				all[name] = &state{
+					registry.Registration{
+						Endpoint: e,
+						Version:  version,
+						TTL:      time.Duration(rapid.IntRange(0, 1).Draw(t, "ttl")) * time.Second,
+					},
+					-1,
+				}
 			}
 			l := Observation{At: now, Reachable: map[string]bool{}}
 			for name, s := range all {
@@ -69,11 +81,28 @@
 func TestFindings(t *testing.T) {
 	c := NewChecker(Thresholds{Settle: 10 * time.Second, Orphan: time.Hour})
 	item := func(name, address, status string) registry.Registration {
-		return registry.Registration{Endpoint: registry.Endpoint{Name: name, Address: address, Status: status}, Version: 1}
+		return registry.Registration{
+			Endpoint: registry.Endpoint{Name: name, Address: address, Status: status},
+			Version:  1,
+		}
+	}
+	wrong := Observation{
+		Registrations: []registry.Registration{
+			item("a", "x:1", registry.Ready),
+			item("b", "x:1", registry.Draining),
+		},
+		Proxies: []ProxyObservation{
+			{Name: "n0"},
+			{Name: "n1", Up: true},
+			{Name: "n2", Up: true, Ready: true, Discovered: 5},
+			{Name: "n3", Up: true, Ready: true, Discovered: -1},
+		},
+	}
+	right := Observation{
+		Registrations: wrong.Registrations[:1],
+		Reachable:     map[string]bool{"a": true},
+		Proxies:       []ProxyObservation{{Name: "n0", Up: true, Ready: true, Discovered: 1}},
 	}
-	wrong := Observation{Registrations: []registry.Registration{item("a", "x:1", registry.Ready), item("b", "x:1", registry.Draining)},
-		Proxies: []ProxyObservation{{Name: "n0"}, {Name: "n1", Up: true}, {Name: "n2", Up: true, Ready: true, Discovered: 5}, {Name: "n3", Up: true, Ready: true, Discovered: -1}}}
-	right := Observation{Registrations: wrong.Registrations[:1], Reachable: map[string]bool{"a": true}, Proxies: []ProxyObservation{{Name: "n0", Up: true, Ready: true, Discovered: 1}}}
 	kinds := func(at time.Duration, l Observation) (all []string) {
 		l.At = at
 		findings, _ := c.Check(l)
--- /dev/null
+++ b/internal/controller/controller.go
@@ -0,0 +1,280 @@
+// Package controller runs the singleton jobs of a fleet, each under a lease, so that of several controller
+// processes one does each job: comparing the registry with what endpoints and proxies answer, and allocating
+// the limits of the operators' policy to proxies (Quotas).
+//
+// The comparison repairs what is plainly orphaned, under its fencing token and by the version that was
+// checked, and reports the rest.
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+	"golang.org/x/sync/errgroup"
+
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
+	"wrenspread/internal/config"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/registry"
+	"wrenspread/internal/registry/client"
+)
+
+// Config configures a controller process.
+type Config struct {
+	Process    string        `koanf:"process"` // name of this process, the same over its restarts
+	Registry   []string      `koanf:"list"`    // addresses of the registry's replicas
+	Listen     string        `koanf:"listen"`  // for /report, /healthz and /metrics
+	Every      time.Duration `koanf:"every"`   // between two comparisons
+	Repair     bool          `koanf:"repair"`  // false: it only reports
+	Proxies    []Proxy       `koanf:"node"`    // that are compared
+	Quotas     Quotas        `koanf:"shares"`  // without a fleet this process allocates no limits
+	Thresholds `koanf:",squash"`
+}
+
+// Proxy is a proxy that is compared with the registry.
+type Proxy struct {
+	Name    string `koanf:"name"`
+	Control string `koanf:"control"` // its control address
+}
+
+// Default returns the configuration but for names and addresses.
+func Default() Config {
+	return Config{
+		Listen:     "127.0.0.1:8700",
+		Every:      5 * time.Second,
+		Repair:     true,
+		Thresholds: Thresholds{Settle: 15 * time.Second, Orphan: 5 * time.Minute},
+	}
+}
+
+const minInterval = 100 * time.Millisecond // between two comparisons
+
+// Check returns all that is wrong with a configuration, by its keys.
+func (c Config) Check() error {
+	var problems config.Problems
+	problems.Require(c.Process != "", "process: missing; it names this process, the same over its restarts")
+	problems.Require(len(c.Registry) > 0, "list: missing; it has the addresses of the registry")
+	for _, address := range c.Registry {
+		problems.RequireAddress("list", address)
+	}
+	problems.RequireAddress("listen", c.Listen)
+	problems.Require(c.Every >= minInterval, "every: %v is under %v", c.Every, minInterval)
+	problems.Require(c.Settle > 0 && c.Orphan >= c.Settle,
+		"settle and orphan: %v and %v, want the second not below the first", c.Settle, c.Orphan)
+	for _, proxy := range c.Proxies {
+		problems.Require(proxy.Name != "", "node: one has no name")
+		problems.RequireAddress("node "+proxy.Name+": control", proxy.Control)
+	}
+	c.Quotas.check(&problems)
+	return problems.Err()
+}
+
+const (
+	callTimeout       = 2 * time.Second // for one address to answer
+	registryTimeout   = 10 * time.Second
+	closeTimeout      = 5 * time.Second
+	maxParallelChecks = 32
+	maxStats          = 1 << 20        // bytes of a proxy's statistics
+	leaseName         = "keeper"       // as the registry and operators know it
+	metricNamespace   = "indigokeeper" // as dashboards know it
+)
+
+// Controller is one process that may hold the lease of the comparison.
+type Controller struct {
+	config Config
+	log    *slog.Logger
+	client *client.Client
+	http   *http.Client
+
+	mu        sync.Mutex // guards what follows
+	holding   bool
+	checkedAt time.Time
+	findings  []Finding
+	repairs   int
+}
+
+// Report is what /report shows.
+type Report struct {
+	Process   string    `json:"process"`
+	Holding   bool      `json:"holds"` // the lease; false: another process compares
+	CheckedAt time.Time `json:"looked"`
+	Findings  []Finding `json:"findings"`
+	Repairs   int       `json:"repairs"` // by this process
+}
+
+// Run does the jobs whose leases this process holds, until ctx ends.
+func Run(ctx context.Context, config Config, log *slog.Logger) error {
+	if err := config.Check(); err != nil {
+		return err
+	}
+	registryClient, err := client.New(client.Config{Addresses: config.Registry})
+	if err != nil {
+		return err
+	}
+	defer registryClient.Close()
+	listener, err := net.Listen("tcp", config.Listen)
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	controller := &Controller{config: config, log: log, client: registryClient, http: newHTTPClient()}
+	defer controller.serve(listener)()
+	info := registry.ProcessInfo{Address: listener.Addr().String(), Note: leaseName}
+	session, err := lease.Open(
+		lease.Config{Client: registryClient, Process: config.Process, Info: info, Log: log},
+	)
+	if err != nil {
+		return err
+	}
+	log.Info("controller started", "listen", listener.Addr().String(), "proxies", len(config.Proxies))
+	return controller.runJobs(ctx, session)
+}
+
+func newHTTPClient() *http.Client {
+	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+}
+
+// serve answers HTTP calls until stop is called.
+func (c *Controller) serve(listener net.Listener) (stop func()) {
+	server := &http.Server{Handler: c.routes(), ReadHeaderTimeout: callTimeout}
+	go func() {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			c.log.Error("reports are not served any more", "err", err)
+		}
+	}()
+	return func() { besteffort.Close(server) }
+}
+
+// runJobs does the jobs until ctx ends, and closes the session. The session is closed while the jobs end:
+// without the registry they would not end by themselves.
+func (c *Controller) runJobs(ctx context.Context, session *lease.Session) error {
+	jobs, ctx := errgroup.WithContext(ctx)
+	jobs.Go(func() error { return session.Run(ctx, leaseName, c.checkRepeatedly) })
+	if c.config.Quotas.Fleet != "" {
+		jobs.Go(func() error { return c.config.Quotas.run(ctx, c.config.Process, c.client, session, c.log) })
+	}
+	closed := make(chan error, 1)
+	stop := context.AfterFunc(ctx, func() { closed <- session.Close(closeTimeout) })
+	err := jobs.Wait()
+	if errors.Is(err, context.Canceled) || errors.Is(err, lease.ErrClosed) {
+		err = nil
+	}
+	if stop() {
+		return errors.Join(err, session.Close(closeTimeout))
+	}
+	return errors.Join(err, <-closed)
+}
+
+func (c *Controller) routes() http.Handler {
+	metrics := prometheus.NewRegistry()
+	gauge := func(name, help string, value func() float64) {
+		options := prometheus.GaugeOpts{Namespace: metricNamespace, Name: name, Help: help}
+		metrics.MustRegister(prometheus.NewGaugeFunc(options, value))
+	}
+	gauge("holds", "1 if this process holds the keeper's duty", func() float64 {
+		if c.Report().Holding {
+			return 1
+		}
+		return 0
+	})
+	gauge("findings", "what does not agree", func() float64 { return float64(len(c.Report().Findings)) })
+	repairs := prometheus.CounterOpts{
+		Namespace: metricNamespace,
+		Name:      "repairs_total",
+		Help:      "orphans taken off the list by this process",
+	}
+	metrics.MustRegister(
+		prometheus.NewCounterFunc(repairs, func() float64 { return float64(c.Report().Repairs) }),
+	)
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
+	mux.Handle("GET /metrics", promhttp.HandlerFor(metrics, promhttp.HandlerOpts{}))
+	mux.HandleFunc("GET /report", func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Type", "application/json")
+		besteffort.Encode(json.NewEncoder(w).Encode(c.Report()))
+	})
+	return mux
+}
+
+// Report returns the findings of the last comparison.
+func (c *Controller) Report() Report {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return Report{c.config.Process, c.holding, c.checkedAt, c.findings, c.repairs}
+}
+
+// checkRepeatedly compares at intervals, as the holder of the lease.
+func (c *Controller) checkRepeatedly(ctx context.Context, token lease.Token) error {
+	c.setHolding(true)
+	defer c.setHolding(false)
+	checker, start := NewChecker(c.config.Thresholds), time.Now()
+	for ctx.Err() == nil {
+		observed, err := c.observe(ctx)
+		if err != nil { // nobody is blamed for it
+			c.log.Warn("reading the registry failed", "err", err)
+		} else {
+			observed.At = time.Since(start)
+			findings, repairs := checker.Check(observed)
+			c.recordFindings(findings)
+			c.removeOrphans(ctx, token, repairs)
+		}
+		backoff.Sleep(ctx, c.config.Every)
+	}
+	return ctx.Err()
+}
+
+func (c *Controller) setHolding(holding bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.holding = holding
+	c.findings = nil
+}
+
+// recordFindings keeps the findings for reports, and logs those that are new.
+func (c *Controller) recordFindings(findings []Finding) {
+	c.mu.Lock()
+	known := map[findingKey]bool{}
+	for _, finding := range c.findings {
+		known[finding.key()] = true
+	}
+	c.findings = findings
+	c.checkedAt = time.Now()
+	c.mu.Unlock()
+	for _, finding := range findings {
+		if !known[finding.key()] {
+			c.log.Warn("inconsistency found", "kind", finding.Kind, "subject", finding.Subject,
+				"detail", finding.Detail, "lasting", finding.Lasting)
+		}
+	}
+}
+
+func (f Finding) key() findingKey { return findingKey{f.Kind, f.Subject, f.Detail} }
+
+// removeOrphans removes orphaned endpoints under the fencing token, at the versions that were checked.
+func (c *Controller) removeOrphans(ctx context.Context, token lease.Token, repairs []Repair) {
+	if !c.config.Repair {
+		return
+	}
+	for _, repair := range repairs {
+		call, cancel := context.WithTimeout(ctx, registryTimeout)
+		_, err := c.client.WithToken(token).Remove(call, repair.Name, &repair.Version)
+		cancel()
+		if err != nil {
+			c.log.Warn("removing an orphaned endpoint failed", "endpoint", repair.Name, "err", err)
+			continue
+		}
+		c.log.Warn("orphaned endpoint removed", "endpoint", repair.Name, "reason", repair.Reason)
+		c.mu.Lock()
+		c.repairs++
+		c.mu.Unlock()
+	}
+}
--- a/internal/controller/keeper_test.go
+++ b/internal/controller/controller_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/labtest"
 	"wrenspread/internal/registry"
 )
@@ -25,22 +26,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer alive.Close()
+	defer besteffort.Close(alive)
 	dead := labtest.Address(t)
 	add := func(name, at, status string) {
 		t.Helper()
-		if _, err := k.Register(ctx, registry.Endpoint{Name: name, Address: at, Status: status}, 0, nil); err != nil {
+		if _, err := k.Register(
+			ctx,
+			registry.Endpoint{Name: name, Address: at, Status: status},
+			0,
+			nil,
+		); err != nil {
 			t.Fatal(err)
 		}
 	}
 	add("leaves", alive.Addr().String(), registry.Draining)
 	add("silent", dead, registry.Ready)
 	add("orphan", dead, registry.Draining)
-	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "app.discovered:9|g\n") }))
+	node := httptest.NewServer(
+		http.HandlerFunc(
+			func(w http.ResponseWriter, r *http.Request) { besteffort.Output(fmt.Fprint(w, "app.discovered:9|g\n")) },
+		),
+	)
 	defer node.Close()
 	begin := func(name string) func() {
 		c := Default()
-		c.Process, c.Registry, c.Listen, c.Every, c.Thresholds = name, []string{service}, labtest.Address(t), 100*time.Millisecond, Thresholds{300 * time.Millisecond, time.Second}
+		c.Process, c.Registry, c.Listen, c.Every, c.Thresholds = name, []string{
+			service,
+		}, labtest.Address(
+			t,
+		), 100*time.Millisecond, Thresholds{
+			300 * time.Millisecond,
+			time.Second,
+		}
 		c.Proxies = []Proxy{{"n0", node.Listener.Addr().String()}}
 		return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
 	}
--- /dev/null
+++ b/internal/controller/quotas.go
@@ -0,0 +1,217 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/netip"
+	"slices"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
+	"wrenspread/internal/config"
+	"wrenspread/internal/lease"
+	"wrenspread/internal/membership"
+	"wrenspread/internal/membership/gossip"
+	"wrenspread/internal/membership/wire"
+	"wrenspread/internal/quota"
+	"wrenspread/internal/quota/allocator"
+	"wrenspread/internal/quota/record"
+	"wrenspread/internal/registry/client"
+	"wrenspread/ratelimit"
+)
+
+// Quotas configures the allocation of limits to the proxies of a fleet, which this process does whenever it
+// holds the lease for it. It takes part in the fleet's membership, to reach the proxies.
+type Quotas struct {
+	Fleet  string   `koanf:"fleet"`  // name of the fleet, as the proxies have it; empty: it allocates nothing
+	Listen string   `koanf:"listen"` // for datagrams; proxies must reach this very address
+	Join   []string `koanf:"join"`   // peer addresses of some members
+	Number int      `koanf:"number"` // index of this process among the peers, if there are any
+	Peers  []string `koanf:"peers"`  // members' addresses by their numbers; empty: those that they advertise
+}
+
+func (q Quotas) check(problems *config.Problems) {
+	if q.Fleet == "" {
+		problems.Require(q.Listen == "" && len(q.Join) == 0,
+			"shares: fleet is missing; it names the fleet, as the proxies' configuration does")
+		return
+	}
+	problems.Require(
+		len(q.Fleet) <= wire.MaxName,
+		"shares.fleet: %d bytes, at most %d",
+		len(q.Fleet),
+		wire.MaxName,
+	)
+	problems.Require(len(q.Join) > 0, "shares.join: missing; it has the peer addresses of some proxies")
+	problems.Require(len(q.Peers) == 0 || q.Number >= 0 && q.Number < len(q.Peers),
+		"shares.number: %d is not an index of %d peers", q.Number, len(q.Peers))
+	for _, address := range slices.Concat([]string{q.Listen}, q.Join, q.Peers) {
+		_, err := netip.ParseAddrPort(address)
+		problems.Require(err == nil, "shares: %q is no address: want one such as 127.0.0.1:7946", address)
+	}
+}
+
+const (
+	maxDatagram    = 256  // bytes
+	datagramQueue  = 4096 // datagrams that wait for the allocator: a second's of 300 busy proxies
+	eventQueue     = 16   // events that wait for it
+	expectInterval = time.Second
+	wallInterval   = time.Minute
+	readErrorPause = 50 * time.Millisecond
+)
+
+// run takes part in the membership, follows the policy and allocates limits whenever the lease is held, until
+// ctx ends.
+func (q Quotas) run(
+	ctx context.Context, name string, registryClient *client.Client, session *lease.Session, log *slog.Logger,
+) error {
+	address, _ := netip.ParseAddrPort(q.Listen) // checked with the configuration
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
+	if err != nil {
+		return fmt.Errorf("shares.listen: %w", err)
+	}
+	defer besteffort.Close(conn)
+	members := q.join(ctx, name, address, conn, log)
+	datagrams := make(chan []byte, datagramQueue)
+	events := make(chan quota.Event, eventQueue)
+	jobs, ctx := errgroup.WithContext(ctx)
+	stop := context.AfterFunc(ctx, func() { besteffort.Close(conn) }) // ends receive
+	defer stop()
+	jobs.Go(func() error { return receive(ctx, conn, members, datagrams) })
+	jobs.Go(func() error {
+		followPolicy(ctx, registryClient, events, log)
+		return ctx.Err()
+	})
+	jobs.Go(func() error { return reportTimeAndProxies(ctx, members, events) })
+	jobs.Go(func() error {
+		return allocator.Run(ctx, allocator.Config{
+			Fleet:    wire.FleetHash(q.Fleet),
+			Name:     name,
+			Registry: registryClient,
+			Leases:   session,
+			In:       datagrams,
+			Send:     members.SendTo,
+			Events:   events,
+			Log:      log,
+		})
+	})
+	return jobs.Wait()
+}
+
+// join takes part in the fleet's membership. This process serves no requests, so for proxies it is always
+// joining.
+func (q Quotas) join(
+	ctx context.Context, name string, address netip.AddrPort, conn *net.UDPConn, log *slog.Logger,
+) *gossip.Server {
+	number := -1
+	if len(q.Peers) > 0 {
+		number = q.Number
+	}
+	return gossip.Start(ctx, gossip.Config{
+		Fleet:      q.Fleet,
+		Name:       name,
+		Number:     number,
+		Addr:       address,
+		Seeds:      parseAddresses(q.Join),
+		Peers:      parseAddresses(q.Peers),
+		Log:        log,
+		LocalState: func() (membership.State, uint16) { return membership.Joining, 0 },
+		Send: func(to netip.AddrPort, data []byte) {
+			besteffort.Datagram(conn.WriteToUDPAddrPort(data, to))
+		},
+	})
+}
+
+// parseAddresses parses the addresses of a configuration that was checked.
+func parseAddresses(texts []string) (addresses []netip.AddrPort) {
+	for _, text := range texts {
+		address, _ := netip.ParseAddrPort(text)
+		addresses = append(addresses, address)
+	}
+	return addresses
+}
+
+// receive divides the socket's datagrams between the membership and the allocator, until the socket is
+// closed. A datagram for which the allocator has no time is lost.
+func receive(
+	ctx context.Context,
+	conn *net.UDPConn,
+	members *gossip.Server,
+	toAllocator chan<- []byte,
+) error {
+	buffer := make([]byte, maxDatagram+1)
+	for ctx.Err() == nil {
+		n, from, err := conn.ReadFromUDPAddrPort(buffer)
+		switch {
+		case ctx.Err() != nil:
+		case err != nil:
+			backoff.Sleep(ctx, readErrorPause)
+		case n == 0 || n > maxDatagram:
+		case quota.IsOurs(buffer[0]):
+			select {
+			case toAllocator <- slices.Clone(buffer[:n]):
+			default:
+			}
+		default:
+			members.Receive(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buffer[:n])
+		}
+	}
+	return ctx.Err()
+}
+
+// followPolicy tells the allocator of each table, with the one before it.
+func followPolicy(
+	ctx context.Context,
+	registryClient *client.Client,
+	events chan<- quota.Event,
+	log *slog.Logger,
+) {
+	var current *ratelimit.Table
+	version := uint64(0)
+	registryClient.FollowRecords(ctx, record.PolicyPrefix, func(records client.Records) {
+		found := record.Find(records, record.CurrentKey)
+		table, err := record.DecodeTable(found)
+		if err != nil {
+			log.Error("the new policy is invalid, keeping the present one", "err", err)
+			return
+		}
+		if found.Version == version {
+			return
+		}
+		version = found.Version
+		sendEvent(ctx, events, quota.TableChanged{Current: table, Previous: current})
+		current = table
+	})
+}
+
+// reportTimeAndProxies tells the allocator the time of day, and about how many proxies there are, until ctx
+// ends.
+func reportTimeAndProxies(ctx context.Context, members *gossip.Server, events chan<- quota.Event) error {
+	ticker := time.NewTicker(expectInterval)
+	defer ticker.Stop()
+	var reported time.Time
+	for {
+		if time.Since(reported) >= wallInterval {
+			reported = time.Now()
+			sendEvent(ctx, events, quota.WallClock{Time: reported})
+		}
+		sendEvent(ctx, events, quota.ExpectedProxies{Count: len(members.ServingMembers())})
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+func sendEvent(ctx context.Context, events chan<- quota.Event, event quota.Event) {
+	select {
+	case events <- event:
+	case <-ctx.Done():
+	}
+}
--- a/internal/fencing/fence_test.go
+++ b/internal/fencing/fencing_test.go
@@ -11,6 +11,7 @@
 
 	_ "wrenspread/internal/rapidseed"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -21,24 +22,30 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer os.RemoveAll(dir)
+		defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 		high := map[string]uint64{}
 		g, err := Open(dir)
 		for range rapid.IntRange(1, 30).Draw(t, "orders") {
 			if err != nil {
 				t.Fatal(err)
 			}
-			f := registry.FencingToken{Lease: rapid.SampledFrom([]string{"a", "b c"}).Draw(t, "duty"), Number: rapid.Uint64Range(1, 9).Draw(t, "fence")}
+			f := registry.FencingToken{
+				Lease:  rapid.SampledFrom([]string{"a", "b c"}).Draw(t, "duty"),
+				Number: rapid.Uint64Range(1, 9).Draw(t, "fence"),
+			}
 			r := httptest.NewRequest("POST", "/", nil)
 			r.Header.Set(Header, Format(f))
 			status, err := g.CheckRequest(r)
 			var stale *StaleError
-			if want := f.Number >= high[f.Lease]; want != (err == nil) || !want && (status != 409 || !errors.As(err, &stale) || stale.Highest != high[f.Lease]) {
+			if want := f.Number >= high[f.Lease]; want != (err == nil) ||
+				!want && (status != 409 || !errors.As(err, &stale) || stale.Highest != high[f.Lease]) {
 				t.Fatalf("%+v after %d: %d, %v", f, high[f.Lease], status, err)
 			}
 			high[f.Lease] = max(high[f.Lease], f.Number)
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
-				g, err = Open(dir)
+				if g, err = Open(dir); err != nil {
+					t.Fatal(err)
+				}
 			}
 		}
 	})
--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/box.go
@@ -108,7 +108,6 @@
 	Job
 	arrived time.Duration
 	ends    float64 // value of served at which it is done
-	left    bool    // its node has ended the attempt
 }
 
 type parcel struct {
--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/lab/world"
@@ -46,7 +47,7 @@
 		full := len(s.conns) > s.m.Connections
 		s.mu.Unlock()
 		if !up {
-			tcp.Close()
+			besteffort.Close(tcp)
 			return
 		}
 		s.host.tasks.Add(2)
@@ -80,7 +81,7 @@
 	defer c.server.host.tasks.Done()
 	defer func() {
 		close(c.over)
-		c.tcp.Close()
+		besteffort.Close(c.tcp)
 		c.server.mu.Lock()
 		delete(c.server.conns, c)
 		c.server.mu.Unlock()
@@ -161,7 +162,7 @@
 	if notRun != "" {
 		head += "X-Not-Run: " + notRun + "\r\n"
 	}
-	c.tcp.SetWriteDeadline(time.Now().Add(writeTime))
+	besteffort.SocketOption(c.tcp.SetWriteDeadline(time.Now().Add(writeTime)))
 	_, err := io.WriteString(c.tcp, head+"\r\n"+body)
 	return err == nil
 }
--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/backend"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/world"
@@ -77,7 +78,7 @@
 		s.mu.Unlock()
 		return
 	}
-	s.ln.Close()
+	besteffort.Close(s.ln)
 	s.ln, s.box = nil, nil
 	if s.timer != nil {
 		s.timer.Stop()
@@ -87,8 +88,8 @@
 	s.conns, s.attempts = map[*connection]bool{}, map[uint64]*attempt{}
 	s.mu.Unlock()
 	for c := range conns {
-		c.tcp.SetLinger(0)
-		c.tcp.Close()
+		besteffort.SocketOption(c.tcp.SetLinger(0))
+		besteffort.Close(c.tcp)
 	}
 }
 
@@ -194,6 +195,6 @@
 
 func idHash(s string) uint64 {
 	h := fnv.New64a()
-	io.WriteString(h, s) // never fails
+	besteffort.Response(io.WriteString(h, s)) // never fails
 	return h.Sum64()
 }
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/load"
 	"wrenspread/internal/lab/world"
@@ -140,7 +141,7 @@
 	if r.how == history.Broken && cn.used && !r.begun && !c.Disturbed(node) && !c.book.Met(id) {
 		// The node's close crossed the request: it goes out once more.
 		c.log.Add(history.Event{Kind: history.Cross, Op: op.N, ID: id, Node: node})
-		cn.Close()
+		besteffort.Close(cn)
 		if cn, err = c.pool.take(node, address, true); err != nil {
 			return node, c.unreached(op, id, node)
 		}
@@ -156,7 +157,7 @@
 		cn.used, cn.lastID = true, id
 		c.pool.put(address, cn)
 	} else {
-		cn.Close()
+		besteffort.Close(cn)
 	}
 	return node, r
 }
@@ -168,7 +169,7 @@
 
 // exchange sends one request and waits for its answer. keep says that the connection can be used again.
 func (c *Clients) exchange(cn *conn, op *load.Op, id string, try int, wait time.Duration) (r result, keep bool) {
-	cn.SetDeadline(time.Now().Add(wait + late))
+	besteffort.SocketOption(cn.SetDeadline(time.Now().Add(wait + late)))
 	if _, err := io.WriteString(cn, request(op, id, try, wait)); err != nil {
 		return result{how: history.Broken}, false
 	}
@@ -187,7 +188,7 @@
 		return result{how: history.Broken, took: c.log.Now() - sent, begun: true}, false
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-	resp.Body.Close()
+	besteffort.Close(resp.Body)
 	r = result{status: resp.StatusCode, took: c.log.Now() - sent, begun: true}
 	if err != nil {
 		r.how = history.Broken
--- a/internal/lab/client/front.go
+++ b/internal/lab/client/front.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // Front admits a node once its /health/ready has answered 200, and notices only
@@ -79,7 +81,7 @@
 	if err != nil {
 		return false
 	}
-	resp.Body.Close()
+	besteffort.Close(resp.Body)
 	return resp.StatusCode == http.StatusOK
 }
 
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"wrenspread/internal/besteffort"
 )
 
 // conn is a connection to a node, for one request at a time.
@@ -47,7 +49,7 @@
 		if c.quiet(p.extra) {
 			return c, nil
 		}
-		c.Close()
+		besteffort.Close(c)
 	}
 	nc, err := net.DialTimeout("tcp4", address, dialTime)
 	if err != nil {
@@ -93,7 +95,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		c.Close()
+		besteffort.Close(c)
 		return
 	}
 	p.idle[address] = append(p.idle[address], kept{c, time.Now()})
@@ -106,7 +108,7 @@
 	for address, all := range p.idle {
 		old := 0
 		for old < len(all) && (p.closed || time.Since(all[old].since) > idleTime) {
-			all[old].Close()
+			besteffort.Close(all[old])
 			old++
 		}
 		p.idle[address] = all[old:]
--- a/internal/lab/discovery/serve.go
+++ b/internal/lab/discovery/serve.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 )
 
@@ -27,9 +28,9 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		srv.Serve(ln) // its error is that it was closed
+		_ = srv.Serve(ln) // its error is that it was closed
 	}()
-	return ln.Addr().String(), func() { cancel(); srv.Close(); <-ended }, nil
+	return ln.Addr().String(), func() { cancel(); besteffort.Close(srv); <-ended }, nil
 }
 
 func (a *Agent) handler(log *history.Log) http.Handler {
--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -11,6 +11,7 @@
 
 	"wrenspread/internal/agent"
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/fencing"
 	"wrenspread/internal/lab/backend"
 	"wrenspread/internal/lab/link"
@@ -57,7 +58,7 @@
 	}
 	door, err := f.net.Connect(link.Ends{From: spec.Conductors, To: spec.Agents}, ln.Addr().String())
 	if err != nil {
-		ln.Close()
+		besteffort.Close(ln)
 		return nil, err
 	}
 	card := agent.Record{Machine: agentsRecord, Address: door}
@@ -74,8 +75,8 @@
 	mux.HandleFunc("GET /servers/{name}", a.get)
 	mux.HandleFunc("PUT /servers/{name}", a.put)
 	a.srv = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
-	go a.srv.Serve(ln) // until the run ends
-	f.atEnd(func() { a.srv.Close(); a.tasks.Wait() })
+	go func() { _ = a.srv.Serve(ln) }() // until Close
+	f.atEnd(func() { besteffort.Close(a.srv); a.tasks.Wait() })
 	ctx, cancel := context.WithTimeout(f.service.ctx, readyTime)
 	defer cancel()
 	_, err = f.service.boxes.client.Put(ctx, agent.RecordPrefix+agentsRecord, raw, nil)
@@ -90,7 +91,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	json.NewEncoder(w).Encode(k.Status)
+	besteffort.Encode(json.NewEncoder(w).Encode(k.Status))
 }
 
 func (a *agents) put(w http.ResponseWriter, r *http.Request) {
@@ -120,7 +121,7 @@
 		a.tasks.Go(func() { a.replace(name) })
 	}
 	a.count()
-	json.NewEncoder(w).Encode(k.Status)
+	besteffort.Encode(json.NewEncoder(w).Encode(k.Status))
 }
 
 // count notes how many boxes do not serve. The caller holds the lock.
--- a/internal/lab/fleet/lateness.go
+++ b/internal/lab/fleet/lateness.go
@@ -8,6 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 )
 
@@ -32,7 +33,7 @@
 func (l *Lateness) Add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hist.RecordValue(min(lateTop, max(0, int64(d))))
+	besteffort.Sample(l.hist.RecordValue(min(lateTop, max(0, int64(d)))))
 }
 
 // Watch measures until ctx ends and writes a line a second.
--- a/internal/lab/fleet/net.go
+++ b/internal/lab/fleet/net.go
@@ -11,6 +11,7 @@
 	"strconv"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/discovery"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/lab/spec"
@@ -107,7 +108,7 @@
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("an address for messages: %w", err)
 	}
-	defer c.Close()
+	defer besteffort.Close(c)
 	a := c.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), nil
 }
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -8,6 +8,7 @@
 	"path/filepath"
 	"sync"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/discovery"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/lab/platform"
@@ -47,7 +48,7 @@
 	if n.tmp, err = os.MkdirTemp("", "lab"); err != nil { // short, as a Unix socket's name goes there
 		return nil, fmt.Errorf("%s: %w", n.name, err)
 	}
-	f.atEnd(func() { os.RemoveAll(n.tmp) })
+	f.atEnd(func() { besteffort.Cleanup(os.RemoveAll(n.tmp)) })
 	if err := n.reserve(); err != nil {
 		return nil, err
 	}
@@ -110,11 +111,11 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", n.name, err)
 	}
-	defer ln.Close()
+	defer besteffort.Close(ln)
 	if n.accept, err = ln.(*net.TCPListener).File(); err != nil {
 		return fmt.Errorf("%s: %w", n.name, err)
 	}
-	n.f.atEnd(func() { n.accept.Close() })
+	n.f.atEnd(func() { besteffort.Close(n.accept) })
 	return nil
 }
 
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -304,7 +304,7 @@
 		r.queue = r.queue[1:]
 		r.mu.Unlock()
 		one, cancel := context.WithTimeout(ctx, writeTime)
-		do(one)
+		_ = do(one) // what it came to is in the history
 		cancel()
 	}
 	return false
--- a/internal/lab/fleet/standin_test.go
+++ b/internal/lab/fleet/standin_test.go
@@ -17,6 +17,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/discovery"
 )
 
@@ -54,17 +55,17 @@
 				continue
 			}
 			var a discovery.Answer
-			json.NewDecoder(resp.Body).Decode(&a)
-			resp.Body.Close()
+			_ = json.NewDecoder(resp.Body).Decode(&a)
+			besteffort.Close(resp.Body)
 			index = max(index, a.Index)
 		}
 	}()
 	ok := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {})
-	go http.ListenAndServe(config.Control, ok)
+	go func() { _ = http.ListenAndServe(config.Control, ok) }()
 	mux := http.NewServeMux()
 	mux.Handle("/health/ready", ok)
 	mux.HandleFunc("/", n.serve)
-	go http.ListenAndServe(config.Listen, mux)
+	go func() { _ = http.ListenAndServe(config.Listen, mux) }()
 	terms := make(chan os.Signal, 1)
 	signal.Notify(terms, syscall.SIGTERM)
 	<-terms
@@ -94,10 +95,10 @@
 	}
 	switch {
 	case n.mode == "invent" && nth%10 == 0:
-		io.WriteString(w, r.Header.Get("X-Request-Id")+" s0")
+		besteffort.Output(io.WriteString(w, r.Header.Get("X-Request-Id")+" s0"))
 		return
 	case n.mode == "swap" && nth%10 == 0:
-		io.WriteString(w, "another s0")
+		besteffort.Output(io.WriteString(w, "another s0"))
 		return
 	case n.mode == "lose" && nth%10 == 0:
 		n.send(r, body) // begun, and then nobody is told
@@ -116,7 +117,7 @@
 	}
 	status, answer := n.send(r, body)
 	w.WriteHeader(status)
-	w.Write(answer)
+	besteffort.Output(w.Write(answer))
 }
 
 func (n *simple) send(r *http.Request, body []byte) (int, []byte) {
@@ -129,7 +130,7 @@
 	if err != nil {
 		return http.StatusBadGateway, nil
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return http.StatusBadGateway, nil
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/views.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 )
 
@@ -67,7 +68,7 @@
 	if err != nil {
 		return s, err
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("status %d", resp.StatusCode)
 	}
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
+
+	"wrenspread/internal/besteffort"
 )
 
 // checkTime bounds the search for an order in which a lock could have been held.
@@ -21,12 +23,12 @@
 	last := map[string]Act{}
 	owner := map[string]string{}
 	for _, a := range acts {
-		if b, ok := last[a.Lease]; ok && a.FencingToken.Number < b.FencingToken.Number {
-			broken = append(broken, fmt.Sprintf("%s: %s writes under fence %d, %v after %s did under %d", a.Lease, a.Run, a.FencingToken.Number, a.To-b.To, b.Run, b.FencingToken.Number))
+		if b, ok := last[a.Lease]; ok && a.Number < b.Number {
+			broken = append(broken, fmt.Sprintf("%s: %s writes under fence %d, %v after %s did under %d", a.Lease, a.Run, a.Number, a.To-b.To, b.Run, b.Number))
 		}
-		key := fmt.Sprint(a.FencingToken.Number, " ", a.Lease)
+		key := fmt.Sprint(a.Number, " ", a.Lease)
 		if o, ok := owner[key]; ok && o != a.Run {
-			broken = append(broken, fmt.Sprintf("%s: %s and %s both write under fence %d", a.Lease, o, a.Run, a.FencingToken.Number))
+			broken = append(broken, fmt.Sprintf("%s: %s and %s both write under fence %d", a.Lease, o, a.Run, a.Number))
 		}
 		owner[key], last[a.Lease] = a.Run, a
 	}
@@ -60,16 +62,16 @@
 	Step: func(state, input, _ any) (bool, any) {
 		s, a := state.(lock), input.(Act)
 		switch {
-		case a.Do == "hold" && a.FencingToken.Number > s.fence:
-			return true, lock{fence: a.FencingToken.Number}
+		case a.Do == "hold" && a.Number > s.fence:
+			return true, lock{fence: a.Number}
 		case a.Do == "hold":
-			return a.FencingToken.Number == s.fence && !s.dead, s // the same grant again, after a while without the service
+			return a.Number == s.fence && !s.dead, s // the same grant again, after a while without the service
 		case a.Done:
-			return a.FencingToken.Number == s.fence && !s.dead, s
-		case a.FencingToken.Number == s.fence:
+			return a.Number == s.fence && !s.dead, s
+		case a.Number == s.fence:
 			return true, lock{fence: s.fence, dead: true}
 		}
-		return a.FencingToken.Number < s.fence, s
+		return a.Number < s.fence, s
 	},
 }
 
@@ -103,7 +105,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("a worker's history: %w", err)
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	in := bufio.NewScanner(f)
 	for in.Scan() {
 		var a Act
@@ -125,7 +127,7 @@
 func Gaps(acts []Act) (all []Gap) {
 	last := map[string]Act{}
 	for _, a := range acts {
-		if b, ok := last[a.Lease]; ok && b.FencingToken.Number != a.FencingToken.Number {
+		if b, ok := last[a.Lease]; ok && b.Number != a.Number {
 			all = append(all, Gap{a.Lease, b.To, a.To - b.To})
 		}
 		last[a.Lease] = a
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/lab/process"
 	"wrenspread/internal/lease"
@@ -28,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
+	defer besteffort.Close(l)
 	for i := range times {
 		backoff.Sleep(ctx, betweenChanges)
 		if err := l.Held(ctx); err != nil {
@@ -38,7 +39,7 @@
 		if err := l.change(ctx, kind, before.Process, i); err != nil {
 			return nil, err
 		}
-		if err := l.Crew.followed(ctx, before.FencingToken.Number); err != nil {
+		if err := l.Crew.followed(ctx, before.Number); err != nil {
 			return nil, err
 		}
 	}
@@ -76,7 +77,7 @@
 func (c *Crew) followed(ctx context.Context, fence uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	for c.last().FencingToken.Number <= fence {
+	for c.last().Number <= fence {
 		if !backoff.Sleep(ctx, time.Millisecond) {
 			return fmt.Errorf("nobody follows the holder under fence %d: %w", fence, ctx.Err())
 		}
@@ -115,7 +116,7 @@
 	if err != nil {
 		return c, err
 	}
-	defer l.Close()
+	defer besteffort.Close(l)
 	c.Duties, c.Settled = duties, time.Since(began)
 	backoff.Sleep(ctx, costTime) // what was granted to the first that came goes to whom it belongs
 	pids := func() (workers, replicas []int) {
@@ -145,7 +146,7 @@
 	if err != nil {
 		return c, err
 	}
-	c.Workers, c.Replicas = (w1-w0)/time.Duration(costTime/time.Second), (r1-r0)/time.Duration(costTime/time.Second)
+	c.Workers, c.Replicas = (w1-w0)/(costTime/time.Second), (r1-r0)/(costTime/time.Second)
 	c.Held = l.Crew.shares()
 	return c, l.Crew.End(endTime)
 }
@@ -191,7 +192,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
+	defer besteffort.Close(l)
 	var addresses []string
 	for _, r := range l.Set.All {
 		addresses = append(addresses, r.Address())
@@ -215,7 +216,7 @@
 			return nil, err
 		}
 		running.Go(func() {
-			p.Run(wanted, "contested", func(ctx context.Context, _ lease.Token) error {
+			_ = p.Run(wanted, "contested", func(ctx context.Context, _ lease.Token) error {
 				t := turn{clock(), make(chan struct{})}
 				select {
 				case turns <- t:
@@ -229,7 +230,7 @@
 				}
 				return ctx.Err()
 			})
-			p.Close(endTime)
+			_ = p.Close(endTime) // the measurement is over
 			k.Close()
 		})
 	}
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/lab/process"
@@ -55,7 +56,7 @@
 	l = &Lab{o: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
 	defer func() {
 		if err != nil {
-			l.Close()
+			besteffort.Close(l)
 		}
 	}()
 	if l.Set, err = replicas.New(replicas.Options{Count: o.Replicas, Dir: o.Dir, Command: o.List, Env: o.Env, Seed: o.Seed}, l.net, l.group); err != nil {
--- a/internal/lab/leases/resource.go
+++ b/internal/lab/leases/resource.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/fencing"
 )
 
@@ -40,7 +41,7 @@
 		return nil, fmt.Errorf("resource: %w", err)
 	}
 	r.ln, r.srv = ln, &http.Server{Handler: r, ReadHeaderTimeout: time.Minute}
-	go r.srv.Serve(ln) // until Close
+	go func() { _ = r.srv.Serve(ln) }() // until Close
 	return r, nil
 }
 
@@ -48,7 +49,7 @@
 func (r *Resource) Address() string { return r.ln.Addr().String() }
 
 // Close ends it.
-func (r *Resource) Close() { r.srv.Close() }
+func (r *Resource) Close() { besteffort.Close(r.srv) }
 
 func (r *Resource) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxAct))
--- a/internal/lab/leases/worker.go
+++ b/internal/lab/leases/worker.go
@@ -19,6 +19,7 @@
 	"golang.org/x/sys/unix"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/fencing"
 	"wrenspread/internal/lease"
 	"wrenspread/internal/registry"
@@ -58,7 +59,7 @@
 // clock reads the machine's monotonic clock, which all processes share.
 func clock() time.Duration {
 	var t unix.Timespec
-	unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // never fails for this clock
+	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // never fails for this clock
 	return time.Duration(t.Nano())
 }
 
@@ -83,7 +84,7 @@
 	if err != nil {
 		return fmt.Errorf("worker: %w", err)
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	p, err := lease.Open(lease.Config{Client: k, Process: o.Process, TTL: o.TTL, Info: registry.ProcessInfo{Note: "a worker of the lab"}, Log: log})
 	if err != nil {
 		return err
@@ -96,7 +97,7 @@
 		if o.Spread {
 			options = append(options, lease.Spread(o.Process, name))
 		}
-		all.Go(func() { p.Run(context.WithoutCancel(ctx), name, w.work, options...) })
+		all.Go(func() { _ = p.Run(context.WithoutCancel(ctx), name, w.work, options...) }) // it ends with the session
 	}
 	<-ctx.Done()
 	err = p.Close(handTime)
@@ -142,8 +143,8 @@
 	if err != nil {
 		return nil // the resource can't be reached now
 	}
-	defer resp.Body.Close()
-	io.Copy(io.Discard, resp.Body)
+	defer besteffort.Close(resp.Body)
+	besteffort.Drained(io.Copy(io.Discard, resp.Body))
 	if resp.StatusCode == http.StatusConflict {
 		return errors.New("another holds the duty")
 	}
@@ -177,5 +178,5 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.file.Write(append(raw, '\n')) // a line that is missing takes nothing from the check
+	besteffort.Response(w.file.Write(append(raw, '\n'))) // a line that is missing takes nothing from the check
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -13,6 +13,8 @@
 
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
+
+	"wrenspread/internal/besteffort"
 )
 
 const enough = 30 * time.Second // only a hang takes so long
@@ -45,9 +47,9 @@
 	}()
 	t.Cleanup(func() {
 		n.Close()
-		ln.Close()
+		besteffort.Close(ln)
 		for c := range taken {
-			c.Close()
+			besteffort.Close(c)
 		}
 		goleak.VerifyNone(t)
 	})
@@ -60,8 +62,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(enough))
+	t.Cleanup(func() { besteffort.Close(c) })
+	besteffort.SocketOption(c.SetDeadline(time.Now().Add(enough)))
 	return c
 }
 
@@ -100,16 +102,16 @@
 			}
 			far := <-taken
 			go func() { // an echo
-				io.Copy(far, far)
-				far.Close()
+				_, _ = io.Copy(far, far)
+				besteffort.Close(far)
 			}()
 			go func() {
 				for rest := sent; len(rest) > 0; {
 					k := min(len(rest), 1+rng.IntN(100_000))
-					c.Write(rest[:k])
+					besteffort.Output(c.Write(rest[:k]))
 					rest = rest[k:]
 				}
-				c.(*net.TCPConn).CloseWrite()
+				_ = c.(*net.TCPConn).CloseWrite()
 			}()
 			if got, err := io.ReadAll(c); err != nil || !bytes.Equal(got, sent) {
 				t.Errorf("%d bytes come back of %d, unchanged: %v, %v", len(got), len(sent), bytes.Equal(got, sent), err)
@@ -124,23 +126,23 @@
 	c := dial(t, address)
 	far := <-taken
 	n.Lay("cut", Shape{Hold: Both, Cut: true}, everything)
-	io.WriteString(c, "held")
+	besteffort.Output(io.WriteString(c, "held"))
 	if extra, err := net.DialTimeout("tcp4", address, 300*time.Millisecond); err == nil {
-		extra.Close()
+		besteffort.Close(extra)
 		t.Error("a new connection comes up over a cut link")
 	}
-	far.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	besteffort.SocketOption(far.SetReadDeadline(time.Now().Add(50 * time.Millisecond)))
 	if k, err := far.Read(make([]byte, 9)); k > 0 || !errors.Is(err, syscall.EAGAIN) && !isTimeout(err) {
 		t.Errorf("over a cut link come %d bytes and %v", k, err)
 	}
 	n.Lift("cut")
-	far.SetReadDeadline(time.Now().Add(enough))
+	besteffort.SocketOption(far.SetReadDeadline(time.Now().Add(enough)))
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(far, got); err != nil || string(got) != "held" {
 		t.Errorf("after the heal come %q, %v", got, err)
 	}
 	dial(t, address)
-	(<-taken).Close()
+	besteffort.Close((<-taken))
 }
 
 func isTimeout(err error) bool {
@@ -154,13 +156,13 @@
 	c := dial(t, address)
 	far := <-taken
 	n.Lay("cut", Shape{Hold: Forward}, everything)
-	io.WriteString(c, "x")
-	io.WriteString(far, "y")
+	besteffort.Output(io.WriteString(c, "x"))
+	besteffort.Output(io.WriteString(far, "y"))
 	got := make([]byte, 1)
 	if _, err := c.Read(got); err != nil || got[0] != 'y' {
 		t.Errorf("back come %q, %v", got, err)
 	}
-	far.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	besteffort.SocketOption(far.SetReadDeadline(time.Now().Add(50 * time.Millisecond)))
 	if k, _ := far.Read(got); k > 0 {
 		t.Error("the held direction passes")
 	}
@@ -176,7 +178,7 @@
 		t.Fatalf("stream %v of %+v, left though it stays", ok, s)
 	}
 	n.Lay("cut", Shape{Hold: Both}, everything)
-	c.Close()
+	besteffort.Close(c)
 	for until := time.Now().Add(enough); !s.LeftByOpener(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("nobody notices that it has left")
@@ -193,7 +195,7 @@
 		t.Errorf("a refusing link gives %v", err)
 	}
 	n.Reset(everything)
-	far.SetDeadline(time.Now().Add(enough))
+	besteffort.SocketOption(far.SetDeadline(time.Now().Add(enough)))
 	for _, end := range []net.Conn{c, far} {
 		if _, err := end.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("after a reset: %v", err)
@@ -201,7 +203,7 @@
 	}
 	n.Lift("down")
 	dial(t, address)
-	(<-taken).Close()
+	besteffort.Close((<-taken))
 }
 
 // TestSnip: what comes is a beginning of what was sent, and then the end.
@@ -211,8 +213,8 @@
 	c := dial(t, address)
 	far := <-taken
 	sent := bytes.Repeat([]byte("0123456789"), 20)
-	c.Write(sent)
-	far.SetDeadline(time.Now().Add(enough))
+	besteffort.Output(c.Write(sent))
+	besteffort.SocketOption(far.SetDeadline(time.Now().Add(enough)))
 	got, _ := io.ReadAll(far)
 	if len(got) > 100 || !bytes.HasPrefix(sent, got) {
 		t.Errorf("%d bytes come, a beginning of what was sent: %v", len(got), bytes.HasPrefix(sent, got))
@@ -228,34 +230,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
+	defer besteffort.Close(a)
 	b, err := listenUDP()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
+	defer besteffort.Close(b)
 	bSeen, aSeen, err := n.Pair(ends, local(a), local(b))
 	if err != nil {
 		t.Fatal(err)
 	}
 	hear := func(at *net.UDPConn, wait time.Duration) (string, netip.AddrPort) {
 		buf := make([]byte, 100)
-		at.SetReadDeadline(time.Now().Add(wait))
+		besteffort.SocketOption(at.SetReadDeadline(time.Now().Add(wait)))
 		k, from, _ := at.ReadFromUDPAddrPort(buf)
 		return string(buf[:k]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	}
-	a.WriteToUDPAddrPort([]byte("hello"), bSeen)
+	besteffort.Datagram(a.WriteToUDPAddrPort([]byte("hello"), bSeen))
 	if got, from := hear(b, enough); got != "hello" || from != aSeen {
 		t.Errorf("b hears %q from %v, want it from %v", got, from, aSeen)
 	}
 	n.Lay("cut", Shape{Hold: Forward}, everything)
 	n.links[ends].datagram(a, []byte("lost"), local(b), Forward, nil) // at once, so that what comes after it shows its loss
-	b.WriteToUDPAddrPort([]byte("back"), aSeen)
+	besteffort.Datagram(b.WriteToUDPAddrPort([]byte("back"), aSeen))
 	if got, from := hear(a, enough); got != "back" || from != bSeen {
 		t.Errorf("a hears %q from %v, want it from %v", got, from, bSeen)
 	}
 	n.Lift("cut")
-	a.WriteToUDPAddrPort([]byte("again"), bSeen)
+	besteffort.Datagram(a.WriteToUDPAddrPort([]byte("again"), bSeen))
 	if got, _ := hear(b, enough); got != "again" {
 		t.Errorf("after the cut b hears %q", got)
 	}
--- a/internal/lab/link/net.go
+++ b/internal/lab/link/net.go
@@ -183,7 +183,7 @@
 		return "", nil, fmt.Errorf("reserving a port: %w", err)
 	}
 	fail := func(err error) (string, func(), error) {
-		unix.Close(fd)
+		_ = unix.Close(fd) // a socket without data
 		return "", nil, fmt.Errorf("reserving a port: %w", err)
 	}
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
@@ -196,5 +196,5 @@
 	if err != nil {
 		return fail(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port), func() { unix.Close(fd) }, nil
+	return fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port), func() { _ = unix.Close(fd) }, nil
 }
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -80,7 +82,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ln != nil {
-		p.ln.Close()
+		besteffort.Close(p.ln)
 		p.ln = nil
 	}
 	p.unfill()
@@ -92,7 +94,7 @@
 	case after.Refuse && !before.Refuse:
 		p.close()
 	case !after.Refuse && before.Refuse:
-		p.open() // the port is reserved, so only a want of descriptors fails it; the next change tries again
+		_ = p.open() // the port is reserved, so only a want of descriptors fails it; the next change tries again
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +103,7 @@
 	} else if p.filler != nil && !after.Cut {
 		p.listen(backlog)
 		p.unfill()
-		p.ln.SetDeadline(time.Time{})
+		besteffort.SocketOption(p.ln.SetDeadline(time.Time{}))
 	}
 	select {
 	case p.wake <- struct{}{}:
@@ -112,7 +114,7 @@
 // fill stops accepting and fills the queue of the listener, so that the kernel
 // answers no further connection: with a queue of length 0 one fits.
 func (p *proxy) fill() {
-	p.ln.SetDeadline(time.Unix(1, 0))
+	besteffort.SocketOption(p.ln.SetDeadline(time.Unix(1, 0)))
 	for !p.parked { // an Accept that was under way would take what is to fill the queue
 		p.parks.Wait()
 	}
@@ -124,7 +126,7 @@
 
 func (p *proxy) unfill() {
 	if p.filler != nil {
-		p.filler.Close()
+		besteffort.Close(p.filler)
 		p.filler = nil
 	}
 }
@@ -133,7 +135,7 @@
 func (p *proxy) listen(queue int) {
 	raw, err := p.ln.SyscallConn()
 	if err == nil {
-		raw.Control(func(fd uintptr) { unix.Listen(int(fd), queue) })
+		besteffort.SocketOption(raw.Control(func(fd uintptr) { besteffort.SocketOption(unix.Listen(int(fd), queue)) }))
 	}
 }
 
@@ -187,7 +189,7 @@
 	own := p.filled == a.RemoteAddr().String()
 	p.mu.Unlock()
 	if own { // after a cut
-		a.Close()
+		besteffort.Close(a)
 		return
 	}
 	p.net.tasks.Add(1)
@@ -219,8 +221,8 @@
 	p.state.mu.Unlock()
 	key, err := p.net.known.dial(s, p.target)
 	if err != nil {
-		a.SetLinger(0)
-		a.Close()
+		besteffort.SocketOption(a.SetLinger(0))
+		besteffort.Close(a)
 		return
 	}
 	defer p.net.known.forget(key)
@@ -259,25 +261,25 @@
 		return true
 	}
 	left := true // a closed socket has no state to ask for
-	raw.Control(func(fd uintptr) {
+	besteffort.SocketOption(raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			left = info.State != unix.BPF_TCP_ESTABLISHED
 		}
-	})
+	}))
 	return left
 }
 
 func (s *Stream) end() {
 	s.once.Do(func() {
 		close(s.gone)
-		s.a.Close()
-		s.b.Close()
+		besteffort.Close(s.a)
+		besteffort.Close(s.b)
 	})
 }
 
 func (s *Stream) reset() {
-	s.a.SetLinger(0)
-	s.b.SetLinger(0)
+	besteffort.SocketOption(s.a.SetLinger(0))
+	besteffort.SocketOption(s.b.SetLinger(0))
 	s.end()
 }
 
@@ -362,7 +364,7 @@
 		if buf := p.data[:cap(p.data)]; cap(buf) == piece {
 			pieces.Put(&buf)
 		}
-		if p.err == io.EOF {
+		if errors.Is(p.err, io.EOF) {
 			return to.CloseWrite()
 		}
 		if p.err != nil {
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -7,6 +7,8 @@
 	"net"
 	"net/netip"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // maxDatagram bounds what is passed on; a longer one comes cut, so that its reader sees that it is too long.
@@ -22,11 +24,11 @@
 	}
 	far, err := listenUDP()
 	if err != nil {
-		near.Close()
+		besteffort.Close(near)
 		return toSeen, fromSeen, fmt.Errorf("link %s: %w", e, err)
 	}
 	l := newState(n, e)
-	closing := func() { near.Close(); far.Close() }
+	closing := func() { besteffort.Close(near); besteffort.Close(far) }
 	if err := n.add(e, l, closing); err != nil {
 		closing()
 		return toSeen, fromSeen, err
@@ -70,9 +72,9 @@
 	}
 	lag := now.lag(chance)
 	if lag == 0 {
-		out.WriteToUDPAddrPort(b, receiver)
+		besteffort.Datagram(out.WriteToUDPAddrPort(b, receiver))
 		return
 	}
 	kept := append([]byte(nil), b...)
-	time.AfterFunc(lag, func() { out.WriteToUDPAddrPort(kept, receiver) })
+	time.AfterFunc(lag, func() { besteffort.Datagram(out.WriteToUDPAddrPort(kept, receiver)) })
 }
--- a/internal/lab/measure/boxes.go
+++ b/internal/lab/measure/boxes.go
@@ -8,6 +8,7 @@
 	"text/tabwriter"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/backend"
 	"wrenspread/internal/lab/world"
 )
@@ -133,10 +134,10 @@
 // WriteBoxes writes the table.
 func WriteBoxes(w io.Writer, kinds []Kind) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "kind\tdrawn\tstated\tmeasured\tstill\tslots full\tcold\tat half time\twarm idle\twarm busy\tfalls at\t")
+	besteffort.Output(fmt.Fprintln(t, "kind\tdrawn\tstated\tmeasured\tstill\tslots full\tcold\tat half time\twarm idle\twarm busy\tfalls at\t"))
 	for _, k := range kinds {
-		fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.1f%%\t%.2f\t%.2f\t%.2f\t%.1f s\t%.1f s\t%.1f x\t\n", k.Name, k.Drawn, k.Stated, k.Measured, 100*k.Still,
-			k.Full, k.Cold, k.Half, k.WarmIdle, k.WarmBusy, k.Tips)
+		besteffort.Output(fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.1f%%\t%.2f\t%.2f\t%.2f\t%.1f s\t%.1f s\t%.1f x\t\n", k.Name, k.Drawn, k.Stated, k.Measured, 100*k.Still,
+			k.Full, k.Cold, k.Half, k.WarmIdle, k.WarmBusy, k.Tips))
 	}
 	return t.Flush()
 }
--- a/internal/lab/measure/cost.go
+++ b/internal/lab/measure/cost.go
@@ -12,6 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/client"
 	"wrenspread/internal/lab/fleet"
 	"wrenspread/internal/lab/history"
@@ -34,14 +35,14 @@
 	if err != nil {
 		return straight, linked, err
 	}
-	defer ln.Close()
+	defer besteffort.Close(ln)
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); io.Copy(c, c) }()
+			go func() { defer besteffort.Close(c); besteffort.Drained(io.Copy(c, c)) }()
 		}
 	}()
 	n := link.NewNet(1)
@@ -62,7 +63,7 @@
 	if err != nil {
 		return Trip{}, err
 	}
-	defer c.Close()
+	defer besteffort.Close(c)
 	h := hdrhistogram.New(1000, int64(time.Minute), 3)
 	in, out := bufio.NewReader(c), make([]byte, message)
 	for range trips {
@@ -73,7 +74,7 @@
 		if _, err := io.ReadFull(in, out); err != nil {
 			return Trip{}, err
 		}
-		h.RecordValue(int64(time.Since(before)))
+		besteffort.Sample(h.RecordValue(int64(time.Since(before))))
 	}
 	return Trip{time.Duration(h.ValueAtQuantile(50)), time.Duration(h.ValueAtQuantile(99))}, nil
 }
@@ -112,13 +113,13 @@
 		return Step{}, err
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, r.Header.Get("X-Request-Id")+" s0")
+		besteffort.Response(io.WriteString(w, r.Header.Get("X-Request-Id")+" s0"))
 	})}
 	var serving sync.WaitGroup
 	serving.Add(1)
-	go func() { defer serving.Done(); srv.Serve(ln) }()
+	go func() { defer serving.Done(); _ = srv.Serve(ln) }() // until Close
 	defer serving.Wait()
-	defer srv.Close()
+	defer besteffort.Close(srv)
 	n := link.NewNet(1)
 	defer n.Close()
 	at, err := n.Connect(link.Ends{From: "clients", To: "n0"}, ln.Addr().String())
@@ -168,15 +169,15 @@
 	if err != nil {
 		return fmt.Errorf("measuring links: %w", err)
 	}
-	fmt.Fprintf(w, "round trip of %d bytes, %d times: median and 99th percentile\n", message, trips)
-	fmt.Fprintf(w, "  straight            %v  %v\n  over an idle link   %v  %v\n", straight.P50, straight.P99, linked.P50, linked.P99)
+	besteffort.Output(fmt.Fprintf(w, "round trip of %d bytes, %d times: median and 99th percentile\n", message, trips))
+	besteffort.Output(fmt.Fprintf(w, "  straight            %v  %v\n  over an idle link   %v  %v\n", straight.P50, straight.P99, linked.P50, linked.P99))
 	steps, err := Lateness(ctx, 500, 64000, 5*time.Millisecond)
 	if err != nil {
 		return fmt.Errorf("measuring lateness: %w", err)
 	}
-	fmt.Fprintln(w, "operations a second, over a link, to one in the lab's own process that answers at once:")
+	besteffort.Output(fmt.Fprintln(w, "operations a second, over a link, to one in the lab's own process that answers at once:"))
 	for _, s := range steps {
-		fmt.Fprintf(w, "  %6.0f: late by %v at the 99th percentile of the worst second, %.2f cores\n", s.Rate, s.P99.Round(10*time.Microsecond), s.Cores)
+		besteffort.Output(fmt.Fprintf(w, "  %6.0f: late by %v at the 99th percentile of the worst second, %.2f cores\n", s.Rate, s.P99.Round(10*time.Microsecond), s.Cores))
 	}
 	return nil
 }
--- a/internal/lab/process/capped.go
+++ b/internal/lab/process/capped.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"os"
 	"sync"
+
+	"wrenspread/internal/besteffort"
 )
 
 // MaxLog is how much of a process's output is kept, in bytes. The rest is read
@@ -34,7 +36,7 @@
 	defer c.mu.Unlock()
 	n := min(len(b), c.room)
 	if c.file != nil && n > 0 {
-		c.file.Write(b[:n])
+		besteffort.Response(c.file.Write(b[:n]))
 	}
 	c.room -= n
 	c.lost += int64(len(b) - n)
@@ -49,8 +51,8 @@
 		return
 	}
 	if c.lost > 0 {
-		fmt.Fprintf(c.file, "\n(the lab kept %d bytes and passed over %d more)\n", MaxLog, c.lost)
+		besteffort.Output(fmt.Fprintf(c.file, "\n(the lab kept %d bytes and passed over %d more)\n", MaxLog, c.lost))
 	}
-	c.file.Close()
+	besteffort.Close(c.file)
 	c.file = nil
 }
--- a/internal/lab/process/proc.go
+++ b/internal/lab/process/proc.go
@@ -19,6 +19,7 @@
 	"golang.org/x/sys/unix"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 )
 
@@ -113,8 +114,8 @@
 	if s.FDs > 0 {
 		limit := unix.Rlimit{Cur: s.FDs, Max: s.FDs}
 		if err := unix.Prlimit(p.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
-			cmd.Process.Kill()
-			cmd.Wait()
+			besteffort.Signal(cmd.Process.Kill())
+			_ = cmd.Wait() // it was killed
 			return nil, fmt.Errorf("limiting %s: %w", s.Name, err)
 		}
 	}
@@ -129,7 +130,7 @@
 }
 
 func (p *Proc) wait() {
-	p.cmd.Wait() // its error says no more than the state does
+	_ = p.cmd.Wait() // its error says no more than the state does
 	p.state = p.cmd.ProcessState
 	p.out.Close()
 	p.say("exit", p.state.String(), !p.asOrdered())
@@ -210,7 +211,7 @@
 	case <-time.After(patience):
 	}
 	p.say("overdue", fmt.Sprintf("still runs %v after SIGTERM", patience), true)
-	p.cmd.Process.Signal(syscall.SIGQUIT) // a Go program writes into its log what it hangs on
+	besteffort.Signal(p.cmd.Process.Signal(syscall.SIGQUIT)) // a Go program writes into its log what it hangs on
 	select {
 	case <-p.exited:
 		return nil
@@ -235,7 +236,7 @@
 			return fmt.Errorf("asking %s: %w", p.Name, err)
 		}
 		if resp, err := client.Do(req); err == nil {
-			resp.Body.Close()
+			besteffort.Close(resp.Body)
 			if resp.StatusCode == http.StatusOK {
 				p.say("ready", "", false)
 				return nil
@@ -266,8 +267,8 @@
 		go func() {
 			defer ends.Done()
 			if p.Running() {
-				p.cmd.Process.Signal(syscall.SIGCONT) // one that is stopped could not end
-				p.Term(patience)
+				besteffort.Signal(p.cmd.Process.Signal(syscall.SIGCONT)) // one that is stopped could not end
+				_ = p.Term(patience)                                     // one that does not end is killed and said so
 			}
 		}()
 	}
--- a/internal/lab/process/proc_test.go
+++ b/internal/lab/process/proc_test.go
@@ -16,6 +16,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 )
 
@@ -169,15 +170,15 @@
 	if _, err := UseOf(pid); err != nil {
 		t.Fatalf("the process does not run: %v", err)
 	}
-	cmd.Process.Kill()
-	io.Copy(io.Discard, in)
-	cmd.Wait()
+	besteffort.Signal(cmd.Process.Kill())
+	_, _ = io.Copy(io.Discard, in)
+	_ = cmd.Wait()
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		if !alive(pid) {
 			return
 		}
 		if time.Now().After(until) {
-			syscall.Kill(pid, syscall.SIGKILL)
+			besteffort.Signal(syscall.Kill(pid, syscall.SIGKILL))
 			t.Fatal("what a killed lab had started still runs")
 		}
 	}
--- a/internal/lab/quorum/client.go
+++ b/internal/lab/quorum/client.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -142,7 +143,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, 1<<24))
 	if err != nil {
 		return 0, nil
--- a/internal/lab/quorum/measure.go
+++ b/internal/lab/quorum/measure.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/process"
 	"wrenspread/internal/lab/replicas"
@@ -87,7 +88,7 @@
 		conns, err := dialAll(c.set.All[0].Address(), watchers)
 		defer func() {
 			for _, w := range conns {
-				w.Close()
+				besteffort.Close(w)
 			}
 		}()
 		if err != nil {
@@ -138,7 +139,7 @@
 func fanRound(ctx context.Context, c *cluster, k *client.Client, conns []net.Conn, version uint64, n int) ([]time.Duration, error) {
 	request := fmt.Sprintf("GET /registry/instances?from=%d&hold_ms=60000 HTTP/1.1\r\nHost: list\r\n\r\n", version)
 	for _, w := range conns {
-		w.SetDeadline(time.Now().Add(readyTime))
+		besteffort.SocketOption(w.SetDeadline(time.Now().Add(readyTime)))
 		if _, err := io.WriteString(w, request); err != nil {
 			return nil, err
 		}
@@ -159,7 +160,7 @@
 			var resp *http.Response
 			if resp, errs[i] = http.ReadResponse(in, nil); errs[i] == nil {
 				_, errs[i] = io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
+				besteffort.Close(resp.Body)
 			}
 		})
 	}
@@ -192,7 +193,7 @@
 			return fmt.Errorf("waiting for %d watchers: %w", n, err)
 		}
 		raw, err := io.ReadAll(resp.Body)
-		resp.Body.Close()
+		besteffort.Close(resp.Body)
 		if err == nil && strings.Contains(string(raw), want) {
 			return nil
 		}
--- a/internal/lab/quorum/side.go
+++ b/internal/lab/quorum/side.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/process"
 	"wrenspread/internal/registry/client"
 )
@@ -72,7 +73,7 @@
 	}
 	all.Wait()
 	after, err := process.UseOf(r.Proc().Pid)
-	return (after.CPU - before.CPU) / time.Duration(sideTime/time.Second), float64(read.Load()) / sideTime.Seconds(), err
+	return (after.CPU - before.CPU) / (sideTime / time.Second), float64(read.Load()) / sideTime.Seconds(), err
 }
 
 // readOnce makes one read, or one watch from a version, and gives the bytes and the version that came.
@@ -89,7 +90,7 @@
 	if err != nil {
 		return 0, from
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, from
--- a/internal/lab/quorum/size.go
+++ b/internal/lab/quorum/size.go
@@ -89,7 +89,7 @@
 }
 
 func sizeOf(dir string) (n int64) {
-	filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
+	_ = filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
 		if err == nil && !d.IsDir() {
 			if info, err := d.Info(); err == nil {
 				n += info.Size()
--- a/internal/lab/replicas/disk.go
+++ b/internal/lab/replicas/disk.go
@@ -101,7 +101,7 @@
 	}
 	defer k.Close()
 	var refused *client.Error
-	if err := k.RemoveReplica(ctx, r.Name); err != nil && !(errors.As(err, &refused) && refused.Code == string(registry.NotFound)) {
+	if err := k.RemoveReplica(ctx, r.Name); err != nil && (!errors.As(err, &refused) || refused.Code != string(registry.NotFound)) {
 		return fmt.Errorf("removing %s: %w", r.Name, err)
 	}
 	if err := s.Start(r); err != nil {
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -4,15 +4,17 @@
 	"fmt"
 	"io"
 	"text/tabwriter"
+
+	"wrenspread/internal/besteffort"
 )
 
 // Compare writes the figures of two runs side by side.
 func Compare(w io.Writer, a, b Run) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	row := func(name string, x, y float64, form string) {
-		fmt.Fprintf(t, "%s\t"+form+"\t"+form+"\t%+.4f\n", name, x, y, y-x)
+		besteffort.Output(fmt.Fprintf(t, "%s\t"+form+"\t"+form+"\t%+.4f\n", name, x, y, y-x))
 	}
-	fmt.Fprintf(t, "\t%s (seed %d)\t%s (seed %d)\tdifference\n", a.Figures.Name, a.Figures.Seed, b.Figures.Name, b.Figures.Seed)
+	besteffort.Output(fmt.Fprintf(t, "\t%s (seed %d)\t%s (seed %d)\tdifference\n", a.Figures.Name, a.Figures.Seed, b.Figures.Name, b.Figures.Seed))
 	counts := func(name string, x, y Count) {
 		row(name+" asked", float64(x.Asked), float64(y.Asked), "%.0f")
 		row(name+" in time", x.Served(), y.Served(), "%.4f")
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -10,6 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 )
 
@@ -191,7 +192,7 @@
 			hists[e.Class] = hdrhistogram.New(int64(10*time.Microsecond), latencyTop, 3)
 		}
 		second.took = append(second.took, e.Took)
-		hists[e.Class].RecordValue(min(latencyTop, int64(e.Took)))
+		besteffort.Sample(hists[e.Class].RecordValue(min(latencyTop, int64(e.Took))))
 	}
 }
 
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -7,6 +7,8 @@
 	"os"
 	"path/filepath"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 //go:embed page.html
@@ -57,7 +59,7 @@
 	if err != nil {
 		return "", fmt.Errorf("report: %w", err)
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	err = page.Execute(f, struct {
 		Run
 		Plots []template.HTML
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -80,7 +80,7 @@
 		if err != nil {
 			return nil, err
 		}
-		box.Color, box.LineStyle.Width = shaded, 0
+		box.Color, box.Width = shaded, 0
 		p.Add(box)
 	}
 	for _, l := range lines {
--- a/internal/lab/scale/asked.go
+++ b/internal/lab/scale/asked.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"regexp"
 	"strconv"
+
+	"wrenspread/internal/besteffort"
 )
 
 // sent is what nodes have sent each other.
@@ -25,7 +27,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("a node's figures: %w", err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return nil, fmt.Errorf("a node's figures: %w", err)
@@ -56,7 +58,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("an address for messages: %w", err)
 		}
-		defer c.Close() // once all are had: one that is free again may come twice
+		defer besteffort.Close(c) // once all are had: one that is free again may come twice
 		all = append(all, c.LocalAddr().String())
 	}
 	return all, nil
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/replicas"
 	"wrenspread/internal/policy"
 	"wrenspread/internal/quota/record"
@@ -57,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 	controls, free, err := governed(dir, nodes, service, f.Parts, !f.Fleet)
 	defer free()
 	if err != nil {
--- a/internal/lab/scale/force_calls.go
+++ b/internal/lab/scale/force_calls.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 )
 
 const callTime = 2 * time.Second // a node answers its operators within one
@@ -27,7 +28,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("a call to a node: %w", err)
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	_, err = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, err
 }
--- a/internal/lab/scale/force_rig.go
+++ b/internal/lab/scale/force_rig.go
@@ -12,6 +12,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/lab/platform"
 	"wrenspread/internal/lease"
@@ -66,7 +67,7 @@
 		return errors.Join(err, p.Close(lease.DefaultTTL))
 	case <-ctx.Done(): // without the service the duty is not given up: then closing ends it
 		err = p.Close(lease.DefaultTTL)
-		<-ended
+		besteffort.Ended(<-ended) // it has lost its session
 		return errors.Join(ctx.Err(), err)
 	}
 }
--- a/internal/lab/scale/holders.go
+++ b/internal/lab/scale/holders.go
@@ -135,7 +135,7 @@
 			}
 		case quota.WriteRecord:
 			s.record = a.Slots
-			s.post(learning, "", quota.RecordRead{Token: a.Token, Slots: a.Slots})
+			s.post(learning, "", quota.RecordRead(a))
 		}
 	}
 }
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/link"
 	arrivals "wrenspread/internal/lab/load"
@@ -73,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 	log, err := history.New("")
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/latency_backend.go
+++ b/internal/lab/scale/latency_backend.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry/client"
 )
 
@@ -54,8 +55,8 @@
 
 // close ends the server and its connections.
 func (a *answerer) close() {
-	a.serve.Close()
-	<-a.ended
+	besteffort.Close(&a.serve)
+	besteffort.Ended(<-a.ended)
 }
 
 // answer has a request wait for its work, and says when it came, when it was done, and the how manieth of its connection it is.
@@ -72,7 +73,7 @@
 	case <-r.Context().Done():
 		return
 	}
-	fmt.Fprintf(w, "%s %d %d %d", r.Header.Get("X-Request-Id"), began, time.Since(a.base), nth)
+	besteffort.Output(fmt.Fprintf(w, "%s %d %d %d", r.Header.Get("X-Request-Id"), began, time.Since(a.base), nth))
 }
 
 // stated is what a server says of a request.
--- a/internal/lab/scale/latency_client.go
+++ b/internal/lab/scale/latency_client.go
@@ -14,6 +14,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	arrivals "wrenspread/internal/lab/load"
 	"wrenspread/internal/lab/world"
 )
@@ -97,7 +98,7 @@
 	all.Wait()
 	for _, some := range c.idle {
 		for _, cn := range some {
-			cn.Close()
+			besteffort.Close(cn)
 		}
 	}
 }
@@ -105,7 +106,7 @@
 func (c *caller) count(late, sent, came time.Duration, s stated, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.late.RecordValue(int64(max(0, late)))
+	besteffort.Sample(c.late.RecordValue(int64(max(0, late))))
 	at := c.calm[int(sent/time.Second)]
 	if at == nil {
 		at = &second{}
@@ -118,14 +119,14 @@
 	}
 	c.served++
 	for way, d := range map[int]time.Duration{wayAll: came - sent - (s.ended - s.began), wayIn: s.began - sent, wayOut: came - s.ended} {
-		c.took[way].RecordValue(int64(max(0, d)))
+		besteffort.Sample(c.took[way].RecordValue(int64(max(0, d))))
 	}
 	at.added = append(at.added, came-sent-(s.ended-s.began))
 	kept := inKept
 	if s.nth == 1 {
 		kept = inMade
 	}
-	c.took[kept].RecordValue(int64(max(0, s.began-sent)))
+	besteffort.Sample(c.took[kept].RecordValue(int64(max(0, s.began-sent))))
 }
 
 // call makes a request on a kept connection, or a new one.
@@ -135,19 +136,19 @@
 		return s, fmt.Errorf("no connection")
 	}
 	id := op.ID(c.seed, 0)
-	cn.SetDeadline(time.Now().Add(patience))
+	besteffort.SocketOption(cn.SetDeadline(time.Now().Add(patience)))
 	if _, err := io.WriteString(cn, text(op, id)); err != nil {
-		cn.Close()
+		besteffort.Close(cn)
 		return s, fmt.Errorf("not sent")
 	}
 	resp, err := http.ReadResponse(cn.in, nil)
 	if err != nil {
-		cn.Close()
+		besteffort.Close(cn)
 		return s, fmt.Errorf("no answer")
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
 	if err != nil || resp.Close {
-		cn.Close()
+		besteffort.Close(cn)
 	} else {
 		c.put(address, cn)
 	}
@@ -179,7 +180,7 @@
 			c.mu.Unlock()
 			return cn, nil
 		}
-		cn.Close()
+		besteffort.Close(cn)
 	}
 	c.mu.Unlock()
 	c.opened.Add(1)
@@ -214,7 +215,7 @@
 		}
 		quiet++
 		for _, d := range s.added {
-			calm.RecordValue(int64(max(0, d)))
+			besteffort.Sample(calm.RecordValue(int64(max(0, d))))
 		}
 	}
 	into[prefix+"calm_share"] = float64(quiet) / float64(max(1, len(c.calm)))
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -9,6 +9,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/process"
 	"wrenspread/internal/lab/replicas"
@@ -95,7 +96,7 @@
 			if err != nil {
 				return err
 			}
-			defer os.RemoveAll(dir)
+			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 			controls, free, err := governed(dir, n, set.All[0].Address(), p.Parts, true)
 			defer free()
 			if err != nil {
@@ -104,7 +105,7 @@
 			conducting, stop := context.WithCancel(ctx)
 			ended := make(chan error, 1)
 			go func() { ended <- holdConduct(conducting, k) }()
-			defer func() { stop(); <-ended }()
+			defer func() { stop(); besteffort.Ended(<-ended) }()
 			log, err := history.New("")
 			if err != nil {
 				return err
--- a/internal/lab/scale/pairs_fit.go
+++ b/internal/lab/scale/pairs_fit.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -95,7 +96,8 @@
 		one.Set(i, 0, 1)
 	}
 	if err := got.Solve(x, one); err != nil {
-		if _, rough := err.(mat.Condition); !rough { // sizes go over decades: a rough solution is one
+		var condition mat.Condition
+		if !errors.As(err, &condition) { // sizes go over decades: a rough solution is one
 			return t, 0, fmt.Errorf("a fit of two sizes: %w", err)
 		}
 	}
@@ -107,7 +109,8 @@
 		for j, v := range f.row(as[i], bs[i]) {
 			sum += t[j] * v
 		}
-		left += math.Pow((sum-y)/y, 2)
+		relative := (sum - y) / y
+		left += relative * relative
 	}
 	return t, left, nil
 }
--- a/internal/lab/scale/pairs_routes.go
+++ b/internal/lab/scale/pairs_routes.go
@@ -14,7 +14,7 @@
 // Routes measures a node's decisions alone by services, which are classes here, and routes, which are the different
 // rules of placement that classes have; one is none.
 func (p *Pairs) Routes(ctx context.Context, services, routes []int) error {
-	settings, err := settingsOf(p.Lists.Dir, routedNodes)
+	settings, err := settingsOf(p.Dir, routedNodes)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/history"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/lab/platform"
@@ -49,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), parts: n.Parts, View: n.View}
 		var free func()
 		controls, free, err := n.configure(dir, size.Nodes+n.beside.nodes, set.All[0].Address())
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -128,7 +128,7 @@
 // read has the desk take up what it wants.
 func (d *demanding) read(ctx context.Context) error {
 	d.now += time.Second
-	got, err := d.Reader.Read(ctx, func() time.Duration { return d.now }, d.Wanted())
+	got, err := d.Read(ctx, func() time.Duration { return d.now }, d.Wanted())
 	got.Enrolled = true
 	d.Handle(d.now, got)
 	return err
--- a/internal/lab/spec/spec_test.go
+++ b/internal/lab/spec/spec_test.go
@@ -31,11 +31,11 @@
 func TestBadFiles(t *testing.T) {
 	fault := func(lines string) string { return "length = \"30s\"\n[[fault]]\nat = \"1s\"\n" + lines }
 	for text, want := range map[string]string{
-		"length = ":                    "x.toml:1: ",
-		"length = 30":                  "x.toml:1: length: ",
-		"length = \"30\"":              "x.toml:1: length: ",
-		"length = \"1ms\"":             "x.toml:1: length: 1ms is not between",
-		"length = \"30s\"\nlenght = 1": "x.toml:2: lenght: unknown key",
+		"length = ":                     "x.toml:1: ",
+		"length = 30":                   "x.toml:1: length: ",
+		"length = \"30\"":               "x.toml:1: length: ",
+		"length = \"1ms\"":              "x.toml:1: length: 1ms is not between",
+		"length = \"30s\"\nlengths = 1": "x.toml:2: lengths: unknown key",
 		"length = \"30s\"\n[fleet]\nnodes = 3\nboxs = 3":                                         "x.toml:4: fleet.boxs: unknown key",
 		"length = \"30s\"\n[fleet]\nnodes = 301":                                                 "x.toml:3: fleet.nodes: ",
 		"length = \"30s\"\n[fleet]\nnodes = 2\nzones = 3":                                        "x.toml:4: fleet.zones: ",
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -1,5 +1,3 @@
-// Package duty lets a process hold duties: jobs that one process holds at a time,
-// which the list service gives to the next when it fails.
 package lease
 
 import (
@@ -10,11 +8,11 @@
 	"wrenspread/internal/registry"
 )
 
-// Times of a session. With drift as the most by which a clock's rate is off, a
-// session that was renewed can't lapse by the service's clock before TTL/(1+drift)
-// has passed, which this process may read as TTL x (1-drift)/(1+drift). stopPart of
-// the TTL is left for work to stop in.
+// Times of a session. If clock rates are off by maxClockDrift at most, a session that was renewed can't
+// expire by the registry's clock before TTL/(1+drift) of true time has passed. On this process's clock that
+// is TTL*(1-drift)/(1+drift) at least, of which TTL/stopFraction is left for work to stop in.
 const (
+	// DefaultTTL is the time after which others get the leases of a process that does not renew its session.
 	DefaultTTL    = 4 * time.Second
 	maxClockDrift = 0.01
 	stopFraction  = 8
@@ -25,78 +23,99 @@
 	return time.Duration(float64(ttl)*(1-maxClockDrift)/(1+maxClockDrift)) - ttl/stopFraction
 }
 
-// Work that fails at once is begun again only after a wait that doubles.
 const (
-	minBackoff      = time.Second
-	maxBackoff      = time.Minute
-	transferBackoff = 10 * time.Second // after one that goes over others was asked to hand on
+	minBackoff = time.Second // before a campaign after work that failed; doubles
+	maxBackoff = time.Minute // the longest such wait; work that ran for longer resets it
+	// before a process that may preempt others campaigns after it was asked to transfer
+	transferBackoff = 10 * time.Second
 )
 
-// core decides what a process's session does. It is pure; times are of the
-// process's own monotonic clock. What comes from outside is noted by its methods,
-// and step gives what is to be done about it all.
+// core decides what a process's session does. It is pure: times are of the process's own monotonic clock.
+// Methods tell it what has happened, and step returns what is to be done. It is not safe for concurrent use.
 type core struct {
 	ttl           time.Duration
-	open          bool          // the session is there, as far as is known
-	renewalSentAt time.Duration // when the last renewal that was answered was sent
+	open          bool          // the session exists, as far as is known
+	renewalSentAt time.Duration // of the last renewal that was answered
 	safeUntil     time.Duration // work may go on until then
-	index         uint64        // of the last answer
-	epoch         string
-	candidacies   []*candidacy // in the order in which they came
-	closing       bool
+	index         uint64        // of the last answer on leases
+	epoch         string        // the same
+	candidacies   []*candidacy  // in the order in which they were added
+	closing       bool          // leases are to be released, by their release order
 }
 
-// candidacy is one duty that this process wants.
+// candidacy is one lease that this process wants to hold.
 type candidacy struct {
-	spec              registry.Candidacy
-	releaseOrder      int           // at the end those of higher rank are handed on first
-	registered        bool          // it waits for it or holds it
-	token             uint64        // the fence under which it holds it; 0: it does not
-	grantedAt         time.Duration // when that was heard of
-	releasedToken     uint64        // the highest fence that was given up
-	transferRequested bool          // to hand on
-	releasing         bool          // it is to be given up before anything else
-	cancelled         bool          // nobody wants it any more
-
-	runningToken    uint64        // the fence of the work under way; 0: there is none
+	spec         registry.Candidacy
+	releaseOrder int // when the process closes, those of a higher order are released first
+
+	registered        bool          // the registry has it: it waits for the lease or holds it
+	token             uint64        // fencing token under which it holds the lease; 0: it does not
+	grantedAt         time.Duration // when that was learned
+	releasedToken     uint64        // the highest token that was released
+	transferRequested bool
+
+	releasing bool // the lease is to be released before anything else
+	cancelled bool // nobody wants the lease any more
+
+	runningToken    uint64        // of the work that runs; 0: none does
 	stopRequestedAt time.Duration // when that was told to stop; 0: it was not
-	startedAt       time.Duration
-	callPending     bool // a campaign or a giving up is under way
-	backoff         time.Duration
-	nextCampaignAt  time.Duration // no campaign before
+	startedAt       time.Duration // when it was started
+
+	callPending    bool // a campaign or a release is under way
+	backoff        time.Duration
+	nextCampaignAt time.Duration // no campaign before
 }
 
-// action is one thing to be done.
+// actionKind is what an action does.
+type actionKind int
+
+const (
+	startWork actionKind = iota
+	stopWork
+	campaign
+	releaseLease
+)
+
+// action is one thing to be done for a candidacy.
 type action struct {
-	kind      string // start, stop, campaign or give-up
+	kind      actionKind
 	candidacy *candidacy
-	token     uint64
+	token     uint64 // that it is about; 0 for a campaign
 }
 
-// add begins to want a duty.
-func (c *core) add(wish registry.Candidacy, rank int) *candidacy {
-	w := &candidacy{spec: wish, releaseOrder: rank, backoff: minBackoff}
-	c.candidacies = append(c.candidacies, w)
-	return w
+// add begins to want a lease.
+func (c *core) add(spec registry.Candidacy, releaseOrder int) *candidacy {
+	added := &candidacy{spec: spec, releaseOrder: releaseOrder, backoff: minBackoff}
+	c.candidacies = append(c.candidacies, added)
+	return added
 }
 
-// remove forgets a want that is over and has been left.
-func (c *core) remove(w *candidacy) {
-	c.candidacies = slices.DeleteFunc(c.candidacies, func(o *candidacy) bool { return o == w })
+// remove forgets a candidacy that is over.
+func (c *core) remove(over *candidacy) {
+	c.candidacies = slices.DeleteFunc(c.candidacies, func(other *candidacy) bool { return other == over })
 }
 
-// sessionOpened notes a session that was opened.
-func (c *core) sessionOpened() { c.open, c.index = true, 0 }
+// sessionOpened records that a session was opened.
+func (c *core) sessionOpened() {
+	c.open = true
+	c.index = 0
+}
 
-// sessionLost notes that the session has ended.
+// sessionLost records that the session has expired.
 func (c *core) sessionLost() {
-	c.open, c.safeUntil, c.renewalSentAt = false, 0, 0
-	for _, w := range c.candidacies {
-		w.registered, w.token, w.transferRequested, w.releasing, w.callPending = false, 0, false, false, false
+	c.open = false
+	c.safeUntil = 0
+	c.renewalSentAt = 0
+	for _, one := range c.candidacies {
+		one.registered = false
+		one.token = 0
+		one.transferRequested = false
+		one.releasing = false
+		one.callPending = false
 	}
 }
 
-// renewed notes the answer to a renewal that was sent at a time.
+// renewed records the answer to a renewal that was sent at a time.
 func (c *core) renewed(sent time.Duration) {
 	if !c.open {
 		return
@@ -105,132 +124,188 @@
 	c.safeUntil = max(c.safeUntil, sent+safeDuration(c.ttl))
 }
 
-// leasesReported takes an answer on the session's duties. One older than another is passed over.
-func (c *core) leasesReported(now time.Duration, session string, a registry.LeasesResponse) {
-	if !c.open || a.Epoch == c.epoch && a.Index < c.index {
+// leasesReported takes an answer on the session's leases. One that is older than another is ignored.
+func (c *core) leasesReported(now time.Duration, session string, answer registry.LeasesResponse) {
+	if !c.open || answer.Epoch == c.epoch && answer.Index < c.index {
 		return
 	}
-	c.index, c.epoch = a.Index, a.Epoch
-	for _, w := range c.candidacies {
-		i := slices.IndexFunc(a.Leases, func(d registry.Lease) bool { return d.Name == w.spec.Lease })
-		if w.registered = i >= 0; !w.registered || a.Leases[i].Holder != session {
-			w.token, w.transferRequested = 0, false
+	c.index = answer.Index
+	c.epoch = answer.Epoch
+	for _, one := range c.candidacies {
+		i := slices.IndexFunc(answer.Leases, func(l registry.Lease) bool { return l.Name == one.spec.Lease })
+		one.registered = i >= 0
+		if !one.registered || answer.Leases[i].Holder != session {
+			one.token = 0
+			one.transferRequested = false
 			continue
 		}
-		if d := a.Leases[i]; d.Token != w.token {
-			w.token, w.grantedAt = d.Token, now
-		}
-		w.transferRequested = a.Leases[i].TransferRequested
-	}
-	for _, d := range a.Leases { // of a campaign whose end was not known, and that nobody waits for
-		if !slices.ContainsFunc(c.candidacies, func(w *candidacy) bool { return w.spec.Lease == d.Name }) {
-			w := c.add(registry.Candidacy{Lease: d.Name}, 0)
-			w.registered, w.cancelled = true, true
-			if d.Holder == session {
-				w.token, w.grantedAt = d.Token, now
-			}
-		}
+		one.granted(now, answer.Leases[i].Token)
+		one.transferRequested = answer.Leases[i].TransferRequested
+	}
+	for _, l := range answer.Leases {
+		c.adoptUnwanted(now, session, l)
+	}
+}
+
+// adoptUnwanted takes up a lease that nobody here wants, after a campaign whose result was not known, so that
+// it is released.
+func (c *core) adoptUnwanted(now time.Duration, session string, l registry.Lease) {
+	if slices.ContainsFunc(c.candidacies, func(one *candidacy) bool { return one.spec.Lease == l.Name }) {
+		return
+	}
+	unwanted := c.add(registry.Candidacy{Lease: l.Name}, 0)
+	unwanted.registered = true
+	unwanted.cancelled = true
+	if l.Holder == session {
+		unwanted.token = l.Token
+		unwanted.grantedAt = now
 	}
 }
 
-// isOver tells whether a want is over, and nothing is left of it to be ended.
-func (c *core) isOver(w *candidacy) bool {
-	return (w.cancelled || c.closing) && w.runningToken == 0 && !w.callPending && (!w.registered || !c.open)
+func (one *candidacy) granted(now time.Duration, token uint64) {
+	if token != one.token {
+		one.token = token
+		one.grantedAt = now
+	}
+}
+
+// isOver reports whether a candidacy has ended and nothing is left of it to be stopped or released.
+func (c *core) isOver(one *candidacy) bool {
+	ended := one.cancelled || c.closing
+	return ended && one.runningToken == 0 && !one.callPending && (!one.registered || !c.open)
 }
 
-// holds tells whether a want's duty is held now, beyond doubt.
-func (c *core) holds(w *candidacy, now time.Duration) bool {
-	return c.open && w.token > w.releasedToken && c.renewalSentAt >= w.grantedAt && now < c.safeUntil
+// holds reports whether the lease is held now, beyond doubt: a renewal that was sent after the grant was
+// learned has been answered, and its time is not up.
+func (c *core) holds(one *candidacy, now time.Duration) bool {
+	return c.open && one.token > one.releasedToken && c.renewalSentAt >= one.grantedAt && now < c.safeUntil
 }
 
-// needsRenewal tells whether a renewal now would settle a grant that was heard of.
+// needsRenewal reports whether a renewal now would confirm a grant.
 func (c *core) needsRenewal() bool {
-	return slices.ContainsFunc(c.candidacies, func(w *candidacy) bool { return c.open && w.token > w.releasedToken && c.renewalSentAt < w.grantedAt })
+	return slices.ContainsFunc(c.candidacies, func(one *candidacy) bool {
+		return c.open && one.token > one.releasedToken && c.renewalSentAt < one.grantedAt
+	})
 }
 
-// workEnded notes the end of work. Work that ends by itself without an error is done
-// for good; after an error the duty is given up and wanted again later.
-func (c *core) workEnded(now time.Duration, w *candidacy, err error) {
+// workEnded records the end of work. Work that ends by itself without an error is done for good; after an
+// error the lease is released and wanted again later.
+func (c *core) workEnded(now time.Duration, one *candidacy, err error) {
 	switch {
-	case w.stopRequestedAt != 0:
-		if w.transferRequested {
-			w.releasing = true
-			if w.spec.Preempt { // else it would ask for it back at once
-				w.nextCampaignAt = now + transferBackoff
+	case one.stopRequestedAt != 0:
+		if one.transferRequested {
+			one.releasing = true
+			if one.spec.Preempt { // else it would preempt the successor at once
+				one.nextCampaignAt = now + transferBackoff
 			}
 		}
 	case err == nil:
-		w.cancelled = true
+		one.cancelled = true
 	default:
-		w.releasing = true
-		if now-w.startedAt > maxBackoff {
-			w.backoff = minBackoff
+		one.releasing = true
+		if now-one.startedAt > maxBackoff {
+			one.backoff = minBackoff
+		}
+		one.nextCampaignAt = now + one.backoff
+		one.backoff = min(2*one.backoff, maxBackoff)
+	}
+	one.runningToken = 0
+	one.stopRequestedAt = 0
+}
+
+// callEnded records the end of a campaign or a release, and whether the registry has done it.
+func (c *core) callEnded(kind actionKind, one *candidacy, ok bool) {
+	if kind == releaseLease {
+		c.releaseEnded(one, ok)
+	} else {
+		c.campaignEnded(one, ok)
+	}
+}
+
+func (c *core) campaignEnded(one *candidacy, ok bool) {
+	one.callPending = false
+	if ok {
+		one.registered = true
+	}
+}
+
+func (c *core) releaseEnded(one *candidacy, ok bool) {
+	one.callPending = false
+	if !ok {
+		return
+	}
+	one.releasedToken = max(one.releasedToken, one.token)
+	one.registered = false
+	one.token = 0
+	one.transferRequested = false
+	one.releasing = false
+}
+
+// step returns what is to be done now.
+func (c *core) step(now time.Duration) (actions []action) {
+	order := c.highestReleaseOrder()
+	for _, one := range c.candidacies {
+		if next, ok := c.stepOne(now, one, order); ok {
+			actions = append(actions, next)
 		}
-		w.nextCampaignAt, w.backoff = now+w.backoff, min(2*w.backoff, maxBackoff)
 	}
-	w.runningToken, w.stopRequestedAt = 0, 0
+	return actions
 }
 
-// callEnded notes the end of a campaign or a giving up.
-func (c *core) callEnded(w *candidacy, gave bool, ok bool) {
-	w.callPending = false
+// stepOne returns what is to be done for one candidacy, if anything. releaseOrder is the one whose turn it is
+// while the process closes.
+func (c *core) stepOne(now time.Duration, one *candidacy, releaseOrder int) (next action, ok bool) {
+	leaves := one.cancelled || one.releasing || one.transferRequested ||
+		c.closing && one.releaseOrder >= releaseOrder
 	switch {
-	case gave && ok:
-		w.releasedToken, w.registered, w.token, w.transferRequested, w.releasing = max(w.releasedToken, w.token), false, 0, false, false
-	case ok:
-		w.registered = true
-	}
-}
-
-// step gives what is to be done now.
-func (c *core) step(now time.Duration) (all []action) {
-	first := c.highestOrder()
-	for _, w := range c.candidacies {
-		leave := w.cancelled || w.releasing || w.transferRequested || c.closing && w.releaseOrder >= first
-		switch {
-		case w.runningToken != 0:
-			if w.stopRequestedAt == 0 && (leave || w.token != w.runningToken || !c.holds(w, now)) {
-				w.stopRequestedAt = max(now, 1)
-				all = append(all, action{"stop", w, w.runningToken})
-			}
-		case !c.open || w.callPending:
-		case leave && w.registered:
-			w.callPending = true
-			all = append(all, action{"give-up", w, w.token})
-		case leave:
-			w.releasing = false // there is nothing to give up
-		case c.closing: // its turn to be handed on has not come
-		case c.holds(w, now):
-			w.runningToken, w.startedAt = w.token, now
-			all = append(all, action{"start", w, w.token})
-		case !w.registered && now >= w.nextCampaignAt:
-			w.callPending = true
-			all = append(all, action{"campaign", w, 0})
+	case one.runningToken != 0:
+		mustStop := leaves || one.token != one.runningToken || !c.holds(one, now)
+		if one.stopRequestedAt != 0 || !mustStop {
+			return action{}, false
 		}
+		one.stopRequestedAt = max(now, 1) // 0 stands for never
+		return action{stopWork, one, one.runningToken}, true
+	case !c.open || one.callPending:
+		return action{}, false
+	case leaves && one.registered:
+		one.callPending = true
+		return action{releaseLease, one, one.token}, true
+	case leaves:
+		one.releasing = false // there is nothing to release
+		return action{}, false
+	case c.closing: // its turn to be released has not come
+		return action{}, false
+	case c.holds(one, now):
+		one.runningToken = one.token
+		one.startedAt = now
+		return action{startWork, one, one.token}, true
+	case !one.registered && now >= one.nextCampaignAt:
+		one.callPending = true
+		return action{campaign, one, 0}, true
 	}
-	return all
+	return action{}, false
 }
 
-// highestOrder is the highest rank of which something is left to be handed on.
-func (c *core) highestOrder() (rank int) {
-	rank = math.MinInt
-	for _, w := range c.candidacies {
-		if !c.isOver(w) {
-			rank = max(rank, w.releaseOrder)
+// highestReleaseOrder is that of the candidacies of which something is left to be stopped or released.
+func (c *core) highestReleaseOrder() int {
+	highest := math.MinInt
+	for _, one := range c.candidacies {
+		if !c.isOver(one) {
+			highest = max(highest, one.releaseOrder)
 		}
 	}
-	return rank
+	return highest
 }
 
-// nextStepAt is the time at which step may have something to do by itself.
+// nextStepAt is the time at which step may have something to do without anything having happened.
 func (c *core) nextStepAt(now time.Duration) time.Duration {
 	at := now + c.ttl
 	if c.safeUntil > now {
 		at = min(at, c.safeUntil)
 	}
-	for _, w := range c.candidacies {
-		if w.nextCampaignAt > now {
-			at = min(at, w.nextCampaignAt)
+	for _, one := range c.candidacies {
+		if one.nextCampaignAt > now {
+			at = min(at, one.nextCampaignAt)
 		}
 	}
 	return at
--- a/internal/lease/core_test.go
+++ b/internal/lease/core_test.go
@@ -44,7 +44,6 @@
 	still   time.Duration // until then it stands still
 	cut     time.Duration // until then it is cut off from the service
 	renewAt time.Duration // local
-	dead    bool
 }
 
 const (
@@ -98,7 +97,10 @@
 	s.due = registry.NewSessionExpiry(nil, 0)
 	for range 3 {
 		p := &player{c: &core{ttl: ttl}, rate: s.drawRate()}
-		p.want = p.c.add(registry.Candidacy{Lease: "d", Priority: s.chance.IntN(2), Preempt: s.chance.IntN(3) == 0}, 0)
+		p.want = p.c.add(
+			registry.Candidacy{Lease: "d", Priority: s.chance.IntN(2), Preempt: s.chance.IntN(3) == 0},
+			0,
+		)
 		s.procs = append(s.procs, p)
 	}
 	return s
@@ -172,27 +174,29 @@
 func (s *sim) act(p *player, a action) {
 	c, w, id := p.c, a.candidacy, p.session
 	switch a.kind {
-	case "start":
+	case startWork:
 		p.running = a.token
-	case "stop":
+	case stopWork:
 		p.stopAt = s.real + time.Duration(s.chance.Int64N(int64(simTTL/stopFraction-2*simStep)))
 	default:
 		do := registry.OpCampaign
-		if a.kind == "give-up" {
+		if a.kind == releaseLease {
 			do = registry.OpRelease
 		}
 		answered := false
 		s.send(p, func() {
-			r := s.apply(registry.Command{Op: do, Session: &registry.Session{ID: id}, Candidacies: []registry.Candidacy{w.spec}})
+			r := s.apply(
+				registry.Command{Op: do, Session: &registry.Session{ID: id}, Candidacies: []registry.Candidacy{w.spec}},
+			)
 			s.send(p, func() {
 				if answered = true; p.c == c && p.session == id {
-					c.callEnded(w, a.kind == "give-up", r.Code == registry.Applied)
+					c.callEnded(a.kind, w, r.Code == registry.Applied)
 				}
 			})
 		})
 		s.flight = append(s.flight, message{s.real + 4*simTTL, func() {
 			if !answered && p.c == c && p.session == id {
-				c.callEnded(w, a.kind == "give-up", false)
+				c.callEnded(a.kind, w, false)
 			}
 		}})
 	}
@@ -309,7 +313,10 @@
 func TestTheChecksCanFail(t *testing.T) {
 	margin, fences := 0, 0
 	for seed := range uint64(200) {
-		s := newSim(seed, simTTL*7/6) // safe then gives all of the lease: nothing is left for drift and for the work to stop in
+		s := newSim(
+			seed,
+			simTTL*7/6,
+		) // safe then gives all of the lease: nothing is left for drift and for the work to stop in
 		s.run()
 		if s.wrong != "" {
 			margin++
@@ -349,9 +356,9 @@
 		}
 		gives := c.step(6)
 		for _, g := range gives {
-			c.callEnded(g.candidacy, true, true)
+			c.callEnded(g.kind, g.candidacy, true)
 		}
-		if len(stops) != want || len(gives) != want || stops[0].kind != "stop" || gives[0].kind != "give-up" {
+		if len(stops) != want || len(gives) != want || stops[0].kind != stopWork || gives[0].kind != releaseLease {
 			t.Fatalf("%+v and then %+v, want %d", stops, gives, want)
 		}
 	}
--- a/internal/lease/process_test.go
+++ b/internal/lease/session_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/labtest"
 	"wrenspread/internal/registry/client"
 )
@@ -85,7 +86,7 @@
 	if err := a.Close(labtest.Enough); err != nil {
 		t.Error(err)
 	}
-	<-ended
+	besteffort.Ended(<-ended) // of the one that has closed
 	c := open("c")
 	if err := c.Run(ctx, "d", func(context.Context, Token) error { return nil }); err != nil {
 		t.Errorf("work that is done ends with %v", err)
--- a/internal/membership/gossip/report.go
+++ b/internal/membership/gossip/report.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership"
 )
 
@@ -85,8 +86,8 @@
 		name   string
 		health membership.Health
 	}{{"alive", membership.Alive}, {"suspect", membership.Suspect}, {"dead", membership.Dead}} {
-		fmt.Fprintf(w, "app.fleet.%s:%d|g\n", g.name, s.membersByHealth[g.health].Load())
+		besteffort.Output(fmt.Fprintf(w, "app.fleet.%s:%d|g\n", g.name, s.membersByHealth[g.health].Load()))
 	}
 	t := s.sent.read()
-	fmt.Fprintf(w, "app.fleet.changes:%d|c\napp.fleet.datagrams:%d|c\napp.fleet.bytes:%d|c\n", s.changes.Load(), t.Datagrams, t.Bytes)
+	besteffort.Output(fmt.Fprintf(w, "app.fleet.changes:%d|c\napp.fleet.datagrams:%d|c\napp.fleet.bytes:%d|c\n", s.changes.Load(), t.Datagrams, t.Bytes))
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -21,7 +21,7 @@
 
 func (c *Core) startAntiEntropy() {
 	s := &c.antiEntropy
-	if s.peer == nil || !(s.learned || s.lastPeriod == 0 || c.periods-s.lastPeriod >= syncPeriods) {
+	if s.peer == nil || (!s.learned && s.lastPeriod != 0 && c.periods-s.lastPeriod < syncPeriods) {
 		return
 	}
 	to := s.peer
@@ -130,7 +130,8 @@
 			return
 		}
 		b := c.newHeader(wire.Answer)
-		for fits := true; at < len(tell); at++ {
+		for ; at < len(tell); at++ {
+			var fits bool
 			if b, fits = wire.AppendStatement(b, c.statementOf(tell[(first+at)%len(tell)])); !fits {
 				break
 			}
--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -47,7 +47,7 @@
 // round as often as their literal list has elements, or mostElements times; and literal lists and all values of locals are kept to so many.
 func (c *compiler) checkCost(body *hclsyntax.Body) bool {
 	m := &costMeter{times: 1}
-	hclsyntax.Walk(body, m)
+	_ = hclsyntax.Walk(body, m) // the meter adds its findings itself
 	if m.tooLong != nil {
 		c.addError(*m.tooLong, "A list too long", fmt.Sprintf("A list or map has %d elements at most. Split it.", maxElements))
 	}
--- a/internal/policy/figures.go
+++ b/internal/policy/figures.go
@@ -70,7 +70,8 @@
 	if l.broken = l.raw.broken || outer != nil && outer.broken || whole != nil && whole.broken; l.broken {
 		return
 	}
-	bad, ok := len(c.diags), false
+	bad := len(c.diags)
+	var ok bool
 	if l.rates, ok = c.resolveRates(p, l, l.raw, outer, whole); !ok || len(c.diags) > bad {
 		l.broken = !ok
 		return // the same would be wrong at each time
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -9,6 +9,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // enough bounds what a test waits for; a passing one takes far less.
@@ -21,16 +23,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { besteffort.Close(ln) })
 	go func() {
 		for i := 0; ; i++ {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(3 * enough)) // a test that waits for the other side fails first
+			besteffort.SocketOption(c.SetDeadline(time.Now().Add(3 * enough))) // a test that waits for the other side fails first
 			go func() {
-				defer c.Close()
+				defer besteffort.Close(c)
 				script(i, c, bufio.NewReader(c))
 			}()
 		}
@@ -44,7 +46,7 @@
 	if err != nil {
 		return nil
 	}
-	io.Copy(io.Discard, req.Body)
+	_, _ = io.Copy(io.Discard, req.Body)
 	return req
 }
 
@@ -55,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
+	besteffort.Close(ln)
 	return ln.Addr().String()
 }
 
@@ -71,7 +73,7 @@
 		}
 		id := req.Header.Get("X-Request-Id")
 		got <- id
-		r.ReadByte()
+		_, _ = r.ReadByte()
 		gone <- id
 	}), got, gone
 }
@@ -79,7 +81,7 @@
 func serving(t *testing.T) string {
 	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	})
 }
@@ -107,7 +109,7 @@
 				return
 			}
 			says := fmt.Sprintf("%d %x", n, h.Sum(nil))
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(says), says)
+			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(says), says))
 		}
 	})
 }
--- a/internal/proxy/behind_test.go
+++ b/internal/proxy/behind_test.go
@@ -6,6 +6,8 @@
 	"net/http"
 	"strings"
 	"testing"
+
+	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -15,9 +17,9 @@
 
 // leavings are the ways in which a client goes.
 var leavings = map[string]func(raw){
-	"closed":      func(c raw) { c.Close() },
-	"reset":       func(c raw) { c.SetLinger(0); c.Close() },
-	"half-closed": func(c raw) { c.CloseWrite() },
+	"closed":      func(c raw) { besteffort.Close(c) },
+	"reset":       func(c raw) { besteffort.SocketOption(c.SetLinger(0)); besteffort.Close(c) },
+	"half-closed": func(c raw) { _ = c.CloseWrite() },
 }
 
 // TestClientThatLeavesIsHeard, whatever it has sent behind its request, which is then not sent on and counts no more.
@@ -29,10 +31,10 @@
 			for how, leave := range leavings {
 				t.Run(fmt.Sprintf("%s, %d bytes behind, %s", request, len(behind), how), func(t *testing.T) {
 					c := n.opened(t)
-					io.WriteString(c, sent)
+					besteffort.Output(io.WriteString(c, sent))
 					wait(t, got, "the attempt")
 					before := n.tap.read.Load()
-					io.WriteString(c, behind)
+					besteffort.Output(io.WriteString(c, behind))
 					until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+min(int64(len(behind)), 16<<10) })
 					leave(c)
 					if id := wait(t, gone, "the attempt's end"); id != "q" {
@@ -60,7 +62,7 @@
 			c := n.opened(t)
 			n.send(t, c, wholePost)
 			before := n.tap.read.Load()
-			io.WriteString(c, behind)
+			besteffort.Output(io.WriteString(c, behind))
 			until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+min(int64(len(behind)), 16<<10) })
 			close(release)
 			for range 1 + strings.Count(behind, "HTTP/1.1") {
@@ -82,7 +84,7 @@
 				c := n.opened(t)
 				n.send(t, c, wholeGet)
 				before := n.tap.read.Load()
-				io.WriteString(c, nextGet[:split])
+				besteffort.Output(io.WriteString(c, nextGet[:split]))
 				until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+int64(split) })
 				n.stop()
 				until(t, "the drain", n.frontend.draining.Load)
@@ -96,15 +98,15 @@
 					if err != nil {
 						t.Fatalf("answer %d: %v", i, err)
 					}
-					io.Copy(io.Discard, resp.Body)
+					_, _ = io.Copy(io.Discard, resp.Body)
 					if resp.StatusCode != http.StatusOK || resp.Close != last {
 						t.Errorf("answer %d: %s, told to close %v", i, resp.Status, resp.Close)
 					}
 					if !last {
-						io.WriteString(c, nextGet[split:])
+						besteffort.Output(io.WriteString(c, nextGet[split:]))
 					}
 				}
-				c.Close()
+				besteffort.Close(c)
 				n.linger()
 				n.wantEnd(t)
 			})
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"syscall"
 	"testing"
+
+	"wrenspread/internal/besteffort"
 )
 
 // skipHead reads a head and as many bytes of a body, without allocation.
@@ -31,19 +33,19 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { server.Close() })
+	b.Cleanup(func() { besteffort.Close(server) })
 	go func() { // each ends with its connection
 		for c, err := server.Accept(); err == nil; c, err = server.Accept() {
 			go func() {
 				r := bufio.NewReader(c)
-				for says := []byte(okAnswer); skipHead(r, body) == nil; c.Write(says) {
+				for says := []byte(okAnswer); skipHead(r, body) == nil; besteffort.Output(c.Write(says)) {
 				}
 			}()
 		}
 	}()
 	disc := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if from := r.URL.Query().Get("from"); from == "0" || from == "" {
-			fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":%q,"zone":"a","type":"m2","status":"ready"}]}`, server.Addr())
+			besteffort.Output(fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":%q,"zone":"a","type":"m2","status":"ready"}]}`, server.Addr()))
 			return
 		}
 		<-r.Context().Done()
@@ -57,7 +59,7 @@
 	change(&cfg)
 	n := New(cfg, quiet)
 	n.frontend.keepAccepting = func() {}
-	go n.Run(ctx, ln)
+	go func() { _ = n.Run(ctx, ln) }()
 	b.Cleanup(func() { stop(); disc.CloseClientConnections(); disc.Close(); <-n.ended })
 	if !n.waitFor(ctx, enough, n.listKnown) {
 		b.Fatal("the node hears of no server")
@@ -66,7 +68,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { c.Close() })
+	b.Cleanup(func() { besteffort.Close(c) })
 	return c
 }
 
@@ -89,7 +91,7 @@
 	r, sent := bufio.NewReader(c), []byte(method+fmt.Sprintf(head, class, body)+strings.Repeat("x", body))
 	b.ReportAllocs()
 	var before, after syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 	for b.Loop() {
 		if _, err := c.Write(sent); err != nil {
 			b.Fatal(err)
@@ -98,7 +100,7 @@
 			b.Fatalf("answer %q, %v", first, err)
 		}
 	}
-	syscall.Getrusage(syscall.RUSAGE_SELF, &after)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
 	cpu := after.Utime.Nano() + after.Stime.Nano() - before.Utime.Nano() - before.Stime.Nano()
 	b.ReportMetric(float64(cpu)/float64(b.N), "cpu-ns/op")
 }
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -24,7 +24,7 @@
 		return []string{jsonErrorPosition(raw, err)}, nil
 	}
 	var in configForm
-	json.Unmarshal(raw, &in) // keys finds what is wrong with it, each value by itself
+	_ = json.Unmarshal(raw, &in) // the type checker finds what is wrong with it, each value by itself
 	k := typeChecker{}
 	k.check("", file, in)
 	if settings := member(file, "settings"); settings != nil {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // lateResponseRest is how long a connection is left alone after an answer. A second
@@ -115,7 +116,7 @@
 // closeDirty closes a connection that is not known to be at an answer's end.
 func (c *conn) closeDirty() {
 	c.releaseBudget()
-	c.Conn.Close()
+	besteffort.Close(c.Conn)
 	c.pool.mu.Lock()
 	c.pool.open--
 	c.pool.mu.Unlock()
@@ -124,11 +125,11 @@
 // release puts a connection back that has been read cleanly to its end.
 func (c *conn) release() {
 	c.releaseBudget() // from here on it is the next attempt's
-	c.SetDeadline(time.Time{})
+	besteffort.SocketOption(c.SetDeadline(time.Time{}))
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if c.backend.closed {
-		c.Conn.Close()
+		besteffort.Close(c.Conn)
 		c.pool.open--
 		return
 	}
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // named is an answer that says what it is for.
@@ -56,9 +57,9 @@
 						if req.URL.Path == "/first" {
 							first <- conn
 						} else if second <- number; number == 0 {
-							io.WriteString(conn, unasked)
+							besteffort.Output(io.WriteString(conn, unasked))
 						}
-						io.WriteString(conn, named(req.URL.Path))
+						besteffort.Output(io.WriteString(conn, named(req.URL.Path)))
 					}
 				}))
 				if got := ask(p, "/first"); string(got.body) != "/first" {
@@ -66,7 +67,7 @@
 				}
 				here := p.backends[1].idle[0].Conn
 				speak := func() {
-					io.WriteString(<-first, unasked)
+					besteffort.Output(io.WriteString(<-first, unasked))
 					awaitWord(t, here)
 				}
 				stood(p, c.since)
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -50,7 +51,7 @@
 			return context.WithValue(ctx, operatorConnKey{}, c)
 		}}
 	srv.SetKeepAlivesEnabled(false)
-	stop := context.AfterFunc(ctx, func() { srv.Close() })
+	stop := context.AfterFunc(ctx, func() { besteffort.Close(srv) })
 	defer stop()
 	return srv.Serve(&operatorListener{Listener: ln})
 }
@@ -62,7 +63,7 @@
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
-		fmt.Fprintln(w, "ok")
+		besteffort.Output(fmt.Fprintln(w, "ok"))
 	})
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -110,7 +111,7 @@
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		fmt.Fprintln(w, "ok")
+		besteffort.Output(fmt.Fprintln(w, "ok"))
 	}
 }
 
@@ -140,7 +141,7 @@
 		if in := l.admit(c); in != nil {
 			return in, nil
 		}
-		c.Close()
+		besteffort.Close(c)
 	}
 }
 
@@ -152,7 +153,7 @@
 		if i < 0 {
 			return nil
 		}
-		l.open[i].Conn.Close()
+		besteffort.Close(l.open[i].Conn)
 		l.open = slices.Delete(l.open, i, i+1)
 	}
 	in := &operatorConn{Conn: c, listener: l}
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // operate opens a node's address for operators.
@@ -19,7 +21,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); n.serveControl(ctx, ln) }()
+	go func() { defer close(ended); _ = n.serveControl(ctx, ln) }()
 	t.Cleanup(func() { stop(); <-ended })
 	return ln.Addr().String()
 }
@@ -93,16 +95,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer besteffort.Close(c)
 		if i%2 == 1 {
-			io.WriteString(c, "GET /sta")
+			besteffort.Output(io.WriteString(c, "GET /sta"))
 		}
 		conns = append(conns, c)
 	}
 	if status, _ := call(t, address, "GET", "/stats"); status != 200 {
 		t.Errorf("among them a call gets %d", status)
 	}
-	conns[0].SetDeadline(time.Now().Add(enough))
+	besteffort.SocketOption(conns[0].SetDeadline(time.Now().Add(enough)))
 	if b, err := io.ReadAll(conns[0]); err != nil && len(b) > 0 {
 		t.Errorf("the first is told %q, %v", b, err)
 	}
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // crossedConn has something happen at its steps.
@@ -66,11 +67,11 @@
 			end := make(chan struct{})
 			p := testPool(backendServer(t, func(number int, conn net.Conn, r *bufio.Reader) {
 				for readRequest(r) != nil {
-					io.WriteString(conn, answer)
+					besteffort.Output(io.WriteString(conn, answer))
 					if number == 0 && c.ends != "" {
 						<-end
 						if c.ends == "reset" {
-							conn.(*net.TCPConn).SetLinger(0)
+							besteffort.SocketOption(conn.(*net.TCPConn).SetLinger(0))
 						}
 						return
 					}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -6,6 +6,7 @@
 	"net"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/proxy/listener"
 )
 
@@ -26,7 +27,7 @@
 	srv.ConnState = limited.TrackState
 	f.clients.Store(limited)
 	if f.handedOff.Load() { // before there was anything to close
-		limited.Close()
+		besteffort.Close(limited)
 	}
 	f.accepting.Store(true)
 	var failed error
@@ -67,7 +68,7 @@
 	defer cancel()
 	limited.WaitForConns(end, 0)
 	limited.SkipLinger()
-	srv.Close()
+	besteffort.Close(srv)
 	return nil
 }
 
@@ -80,7 +81,7 @@
 	select {
 	case <-served:
 	case <-last.Done():
-		limited.Close()
+		besteffort.Close(limited)
 		<-served // what it accepts in that moment is known from here on
 	}
 	limited.WaitForConns(last, 0)
@@ -107,6 +108,6 @@
 func (f *frontend) stopAccepting() {
 	f.draining.Store(true)
 	if limited := f.clients.Load(); limited != nil {
-		limited.Close()
+		besteffort.Close(limited)
 	}
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -6,6 +6,8 @@
 	"net"
 	"net/http"
 	"testing"
+
+	"wrenspread/internal/besteffort"
 )
 
 func TestReadyOnlyWithServers(t *testing.T) {
@@ -15,7 +17,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
+		besteffort.Close(resp.Body)
 		if resp.StatusCode != want {
 			t.Errorf("%s: %d, want %d", path, resp.StatusCode, want)
 		}
@@ -30,7 +32,7 @@
 		for readRequest(r) != nil {
 			got <- true
 			<-release
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}))
 	answers := make(chan reply, 2)
@@ -56,7 +58,7 @@
 		t.Errorf("the node ends with %v", err)
 	}
 	if c, err := net.Dial("tcp", n.address); err == nil {
-		c.Close()
+		besteffort.Close(c)
 		t.Error("it listens on")
 	}
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 const earlyResponseWait = 50 * time.Millisecond // from a server that takes no more of a request
@@ -45,7 +46,7 @@
 		c.closeDirty() // it has been idle for longer than a release would say
 		return result{outcome: balancer.NotSent}
 	}
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { besteffort.SocketOption(c.SetDeadline(time.Unix(1, 0))) })
 	defer stop()
 	var res result
 	var clean bool
@@ -121,9 +122,9 @@
 }
 
 func (p progressWriter) Write(b []byte) (int, error) {
-	p.SetWriteDeadline(time.Now().Add(progressTimeout))
+	besteffort.SocketOption(p.SetWriteDeadline(time.Now().Add(progressTimeout)))
 	if p.ctx.Err() != nil { // it may have ended just before
-		p.SetWriteDeadline(time.Unix(1, 0))
+		besteffort.SocketOption(p.SetWriteDeadline(time.Unix(1, 0)))
 	}
 	return p.Conn.Write(b)
 }
@@ -141,12 +142,12 @@
 			c.pool.forwards.Add(1)
 			o.upload.completedAt.Store(time.Now().UnixNano())
 			o.upload.onComplete(o.upload.wait)
-			c.SetReadDeadline(time.Now().Add(o.upload.wait))
+			besteffort.SocketOption(c.SetReadDeadline(time.Now().Add(o.upload.wait)))
 			if ctx.Err() != nil {
-				c.SetReadDeadline(time.Unix(1, 0))
+				besteffort.SocketOption(c.SetReadDeadline(time.Unix(1, 0)))
 			}
 		} else {
-			c.SetReadDeadline(time.Now().Add(earlyResponseWait)) // why the server has closed may be on its way
+			besteffort.SocketOption(c.SetReadDeadline(time.Now().Add(earlyResponseWait))) // why the server has closed may be on its way
 		}
 		sent <- err
 	}()
@@ -156,9 +157,9 @@
 	case werr = <-sent:
 	default: // it has answered early, or the connection has broken
 		stop()
-		c.SetWriteDeadline(time.Unix(1, 0))
+		besteffort.SocketOption(c.SetWriteDeadline(time.Unix(1, 0)))
 		if o.upload.taken.Load() {
-			o.upload.pipe.Close()
+			besteffort.Close(o.upload.pipe)
 		}
 		werr = <-sent
 	}
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 func TestOutcomes(t *testing.T) {
@@ -47,7 +48,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				if readRequest(r) != nil {
-					io.WriteString(conn, c.answer)
+					besteffort.Output(io.WriteString(conn, c.answer))
 				}
 			}))
 			got := try(t, p, enough)
@@ -72,7 +73,7 @@
 func TestBreakBeforeTheLastByteNeverRan(t *testing.T) {
 	p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
-			io.WriteString(conn, okAnswer)
+			besteffort.Output(io.WriteString(conn, okAnswer))
 		}
 	}))
 	if got := try(t, p, enough); got.outcome != balancer.OK {
@@ -96,7 +97,7 @@
 			if i == 1 {
 				return
 			}
-			io.WriteString(conn, okAnswer)
+			besteffort.Output(io.WriteString(conn, okAnswer))
 		}
 	}))
 	if got := try(t, p, enough); got.outcome != balancer.OK {
@@ -124,7 +125,7 @@
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			readRequest(r)
 			close(got)
-			r.ReadByte() // until the node closes
+			_, _ = r.ReadByte() // until the node closes
 			close(gone)
 		}))
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
@@ -174,7 +175,7 @@
 	began, up := make(chan struct{}), make(chan struct{})
 	p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		<-began
-		io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+		besteffort.Output(io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 		readRequest(r)
 	}))
 	ctx, cancel := context.WithTimeout(context.Background(), enough)
@@ -187,7 +188,7 @@
 	c.release()
 	stood(p, lateResponseRest)
 	rest, client := io.Pipe()
-	go func() { client.Write(pattern(10)); client.Close() }()
+	go func() { besteffort.Output(client.Write(pattern(10))); besteffort.Close(client) }()
 	o := get("/api/x")
 	o.method, o.body = "POST", pattern(maxBody+1)
 	o.upload = &upload{length: maxBody + 11, pipe: rest, wait: enough, readingEnded: make(chan struct{}), onComplete: func(time.Duration) {},
@@ -196,5 +197,5 @@
 	if got.outcome != balancer.Rejected || got.bodyDiscarded || p.forwards.Load() != 0 {
 		t.Errorf("outcome %d, spent %v, %d written whole; want one that never ran and is left whole", got.outcome, got.bodyDiscarded, p.forwards.Load())
 	}
-	rest.Close()
+	besteffort.Close(rest)
 }
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -7,6 +7,7 @@
 	"net/netip"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership"
 	"wrenspread/internal/membership/gossip"
 )
@@ -133,5 +134,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(report)
+	besteffort.Encode(json.NewEncoder(w).Encode(report))
 }
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // inFleet has a configuration keep the view of a fleet, at a socket of its own.
@@ -19,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer free.Close()
+	defer besteffort.Close(free)
 	a := free.LocalAddr().(*net.UDPAddr).AddrPort()
 	c.Name, c.PeerListen, c.Settings.AllowGossip = "n"+a.String()[len("127.0.0.1:"):], a.String(), true
 	c.Membership = MembershipConfig{Name: "windhoek", Join: join, Address: a}
--- a/internal/proxy/flood_test.go
+++ b/internal/proxy/flood_test.go
@@ -7,6 +7,8 @@
 	"runtime"
 	"strings"
 	"testing"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestFloodOfBadPeers: each gets an error or a close, though it does not close itself, and a burst of clients that leave
@@ -28,14 +30,14 @@
 		wholePost[:len(wholePost)-2], "x\r\n\r\n" + strings.Repeat("x", 300<<10)} {
 		for range 20 {
 			c := n.dial(t)
-			go io.WriteString(c, text)
+			go func() { besteffort.Output(io.WriteString(c, text)) }()
 			peers = append(peers, c)
 		}
 	}
 	var leavers []raw
 	for range 4 {
 		c := n.opened(t)
-		io.WriteString(c, strings.Replace(wholeGet, "Id: q", "Id: "+c.LocalAddr().String(), 1))
+		besteffort.Output(io.WriteString(c, strings.Replace(wholeGet, "Id: q", "Id: "+c.LocalAddr().String(), 1)))
 		wait(t, got, "the attempt")
 		leavers = append(leavers, c)
 	}
@@ -45,7 +47,7 @@
 		}
 	}
 	for _, c := range append(peers, leavers...) {
-		c.Close()
+		besteffort.Close(c)
 	}
 	until(t, "descriptors and goroutines to return", func() bool { return open() <= fds && runtime.NumGoroutine() <= goroutines })
 	n.empty(t)
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"strings"
 	"testing"
+
+	"wrenspread/internal/besteffort"
 )
 
 // rawPost is a request as bytes, so that its framing can be wrong.
@@ -23,7 +25,7 @@
 		for req := readRequest(r); req != nil; req = readRequest(r) {
 			id := req.Header.Get("X-Request-Id")
 			got <- id
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
+			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id))
 		}
 	}), got
 }
@@ -67,12 +69,12 @@
 				conn := n.dial(t)
 				go func() { // a close that crosses the rest is no fault
 					if whole {
-						io.WriteString(conn, c.sent)
+						besteffort.Output(io.WriteString(conn, c.sent))
 						return
 					}
-					conn.SetNoDelay(true)
+					besteffort.SocketOption(conn.SetNoDelay(true))
 					for i := range len(c.sent) {
-						io.WriteString(conn, c.sent[i:i+1])
+						besteffort.Output(io.WriteString(conn, c.sent[i:i+1]))
 					}
 				}()
 				for i, want := range c.answers {
@@ -123,13 +125,13 @@
 			part := fmt.Sprintf(form, "part")
 			for cut := range len(part) {
 				c := n.dial(t)
-				io.WriteString(c, part[:cut])
-				c.CloseWrite()
-				io.Copy(io.Discard, c) // the node is done with it
+				besteffort.Output(io.WriteString(c, part[:cut]))
+				_ = c.CloseWrite()
+				_, _ = io.Copy(io.Discard, c) // the node is done with it
 			}
 			c := n.dial(t)
 			for _, b := range fmt.Sprintf(form, "whole") {
-				io.WriteString(c, string(b))
+				besteffort.Output(io.WriteString(c, string(b)))
 			}
 			a := c.answer(t)
 			if strings.Contains(form, "Expect") && a == "100" {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/proxy/listener"
 )
 
@@ -72,7 +73,7 @@
 		fallthrough
 	case "/health/live":
 		f.askToClose(w, r)
-		io.WriteString(w, "ok\n")
+		besteffort.Response(io.WriteString(w, "ok\n"))
 		return
 	}
 	req, event, status, err := f.read(w, r)
@@ -86,7 +87,7 @@
 	}
 	outstanding := &f.server.stats.outstanding
 	if up := req.outbound.upload; up != nil {
-		http.NewResponseController(w).EnableFullDuplex() // an answer may come ahead of the body's end
+		_ = http.NewResponseController(w).EnableFullDuplex() // HTTP/1 always has it; an answer may come ahead of the body's end
 		up.clientGone = req.abandoned
 		up.onComplete = func(wait time.Duration) { f.server.post(func() { f.server.requestSent(req, f.timeLeft(wait)) }) }
 		defer up.close()
@@ -97,7 +98,7 @@
 	f.server.stats.count(req.class, o.outcome)
 	if up := req.outbound.upload; up != nil {
 		if up.countEnd(outstanding); o.answered {
-			http.NewResponseController(w).Flush()
+			besteffort.Encode(http.NewResponseController(w).Flush())
 			up.drain()
 		}
 	} else {
@@ -111,7 +112,7 @@
 // askToClose has a client close after the answer that is written next, if the node
 // drains. If some of its next request has been read, that is answered before.
 func (f *frontend) askToClose(w http.ResponseWriter, r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); f.draining.Load() && !(ok && c.Pending()) {
+	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); f.draining.Load() && (!ok || !c.Pending()) {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -185,7 +186,7 @@
 // writeResponse gives a client its answer.
 func (f *frontend) writeResponse(w http.ResponseWriter, req *request, a response) requestResult {
 	if up := req.outbound.upload; up != nil {
-		if up.pipe.Close(); up.completedAt.Load() == 0 {
+		if besteffort.Close(up.pipe); up.completedAt.Load() == 0 {
 			w.Header().Set("Connection", "close") // what it has still to send is not read
 		}
 	}
--- a/internal/proxy/full_test.go
+++ b/internal/proxy/full_test.go
@@ -5,6 +5,8 @@
 	"net/http/httptest"
 	"os"
 	"testing"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestReadinessWhereNobodyCanBeTaken: with all places in use a client that comes is shut, and neither health check says
@@ -37,6 +39,6 @@
 	if code := ready(); code != http.StatusServiceUnavailable {
 		t.Errorf("full, the node says %d", code)
 	}
-	open[0].Close()
+	besteffort.Close(open[0])
 	until(t, "a place to be free", func() bool { return ready() == http.StatusOK })
 }
--- a/internal/proxy/govern.go
+++ b/internal/proxy/govern.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership/wire"
 	"wrenspread/internal/quota"
 	"wrenspread/internal/quota/record"
@@ -201,6 +202,6 @@
 
 // write gives the figures of the policy as lines of text.
 func (g *policyFollower) write(w io.Writer) {
-	fmt.Fprintf(w, "app.policy.version:%d|g\napp.policy.asked:%d|c\napp.policy.refused:%d|c\napp.policy.fence:%d|g\napp.policy.resting:%d|g\napp.policy.seated:%d|g\n",
-		g.version.Load(), g.requests.Load(), g.rejected.Load(), g.token.Load(), one(g.fallbackSuspended.Load()), one(g.hasSlot.Load()))
+	besteffort.Output(fmt.Fprintf(w, "app.policy.version:%d|g\napp.policy.asked:%d|c\napp.policy.refused:%d|c\napp.policy.fence:%d|g\napp.policy.resting:%d|g\napp.policy.seated:%d|g\n",
+		g.version.Load(), g.requests.Load(), g.rejected.Load(), g.token.Load(), one(g.fallbackSuspended.Load()), one(g.hasSlot.Load())))
 }
--- a/internal/proxy/ids.go
+++ b/internal/proxy/ids.go
@@ -5,6 +5,7 @@
 	"io"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // endpointIDs gives servers their numbers: a hash of the name, so that every node and
@@ -18,7 +19,7 @@
 func newEndpointIDs() *endpointIDs {
 	return &endpointIDs{byName: map[string]balancer.EndpointID{}, byID: map[balancer.EndpointID]string{}, hash: func(s string) uint32 {
 		h := fnv.New32a()
-		io.WriteString(h, s) // never fails
+		besteffort.Response(io.WriteString(h, s)) // never fails
 		return h.Sum32()
 	}}
 }
