--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // waiting are requests whose next attempt waits for its connection when the client leaves.
@@ -53,7 +54,7 @@
 						began <- true
 						readRequest(r)
 						<-let
-						io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
+						besteffort.Output(io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"))
 					}
 					var dial lateDial
 					n := startNodeWith(t, func(n *Server) {
@@ -65,7 +66,7 @@
 						n.accuse(t)
 					}
 					c := n.dial(t)
-					io.WriteString(c, w.sent)
+					besteffort.Output(io.WriteString(c, w.sent))
 					answered := false
 					answer := func() { answered = true; close(let) }
 					if w.next != nil {
@@ -73,7 +74,7 @@
 						w.next(n, answer)
 					}
 					wait(t, dial.began, "the connection to begin")
-					io.WriteString(c, strings.Repeat("x", behind))
+					besteffort.Output(io.WriteString(c, strings.Repeat("x", behind)))
 					leave(c)
 					n.gone(t, "q")
 					close(dial.release)
@@ -124,8 +125,8 @@
 		}))
 		read, write := io.Pipe()
 		go func() {
-			io.WriteString(write, "xxxxx")
-			write.Close()
+			besteffort.Output(io.WriteString(write, "xxxxx"))
+			besteffort.Close(write)
 		}()
 		o := get("/api/x")
 		o.method, o.body = http.MethodPost, make([]byte, maxBody)
--- a/internal/proxy/listener/close_test.go
+++ b/internal/proxy/listener/close_test.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 const enough = 30 * time.Second
@@ -78,10 +80,10 @@
 			states <- true
 		}
 	}}
-	go srv.Serve(l)
+	go func() { _ = srv.Serve(l) }()
 	t.Cleanup(func() {
 		l.SkipLinger()
-		srv.Close()
+		besteffort.Close(srv)
 	})
 	return served, states
 }
@@ -92,8 +94,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(enough))
+	t.Cleanup(func() { besteffort.Close(c) })
+	besteffort.SocketOption(c.SetDeadline(time.Now().Add(enough)))
 	return c.(*net.TCPConn)
 }
 
@@ -133,7 +135,7 @@
 				ln := listen(t)
 				l := Limit(ln, 2)
 				conn := dial(t, ln)
-				io.WriteString(conn, c.sent) // all of it is here before the server reads
+				besteffort.Output(io.WriteString(conn, c.sent)) // all of it is here before the server reads
 				served, states := serve(t, l, func(http.ResponseWriter, *http.Request) {})
 				if c.want > 0 {
 					wait(t, states, "the connection")
@@ -152,7 +154,7 @@
 				}
 				select {
 				case let := <-ln.halved:
-					io.WriteString(conn, c.crossing)
+					besteffort.Output(io.WriteString(conn, c.crossing))
 					let()
 				case <-ln.closed:
 					t.Fatalf("closed at once: %v", endOf(read))
@@ -163,7 +165,7 @@
 					t.Errorf("it ends with %v", err)
 				}
 				if polite {
-					conn.Close()
+					besteffort.Close(conn)
 				}
 				wait(t, ln.closed, "the close")
 				if n := served.Load(); n > 1 {
@@ -186,10 +188,10 @@
 	l.HeadTimeout = 50 * time.Millisecond
 	_, states := serve(t, l, func(http.ResponseWriter, *http.Request) {})
 	conn := dial(t, ln)
-	io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+	besteffort.Output(io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	wait(t, states, "the connection")
 	wait(t, states, "the connection to go idle")
-	io.WriteString(conn, "GE")
+	besteffort.Output(io.WriteString(conn, "GE"))
 	wait(t, ln.halved, "the half-close")()
 }
 
@@ -203,14 +205,14 @@
 		read := bufio.NewReader(conn)
 		wait(t, states, "the connection")
 		for range first {
-			io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+			besteffort.Output(io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 			if _, err := http.ReadResponse(read, nil); err != nil {
 				t.Fatal(err)
 			}
 			wait(t, states, "the connection to go idle")
 		}
 		ln.hold.Store(true)
-		io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+		besteffort.Output(io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		let := wait(t, ln.held, "the read")
 		l.Drain()
 		l.CloseNew()
--- a/internal/proxy/listener/conn.go
+++ b/internal/proxy/listener/conn.go
@@ -8,6 +8,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -103,7 +105,7 @@
 		now := time.Now()
 		c.startedAt.Store(now.UnixNano())
 		if d := c.listener.HeadTimeout; d > 0 { // the server begins to count at the fourth byte
-			c.Conn.SetReadDeadline(now.Add(d))
+			besteffort.SocketOption(c.Conn.SetReadDeadline(now.Add(d)))
 		}
 	}
 	c.served = true
@@ -157,7 +159,7 @@
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
+	besteffort.SocketOption(c.Conn.SetReadDeadline(time.Now().Add(lingerTime)))
 	buf := make([]byte, 1<<10)
 	for got := 0; got < maxLingerBytes; {
 		n, err := c.Conn.Read(buf)
--- a/internal/proxy/listener/full_test.go
+++ b/internal/proxy/listener/full_test.go
@@ -9,6 +9,8 @@
 	"os"
 	"syscall"
 	"testing"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestSilentClientsGiveWay: clients that connect, send nothing and do not close must not shut out others, however many.
@@ -21,12 +23,12 @@
 	}
 	served, _ := serve(t, l, func(http.ResponseWriter, *http.Request) {})
 	c := dial(t, ln)
-	io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+	besteffort.Output(io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 || served.Load() != 1 {
 		t.Errorf("answer %v, %v, requests %d", resp, err, served.Load())
 	}
 	for i, c := range silent[:7] {
-		if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 			t.Errorf("silent client %d reads %d bytes, %v", i, n, err)
 		}
 	}
@@ -44,7 +46,7 @@
 	})
 	ask := func() *net.TCPConn {
 		c := dial(t, ln)
-		io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+		besteffort.Output(io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		return c
 	}
 	first := ask()
@@ -90,7 +92,7 @@
 	ln := listen(t)
 	short := &noDescriptors{Listener: ln.TCPListener}
 	l := Limit(short, 5)
-	defer l.Close()
+	defer besteffort.Close(l)
 	idle := dial(t, ln)
 	c, err := l.Accept()
 	if err != nil {
@@ -106,5 +108,5 @@
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the idle client's read ends with %v", err)
 	}
-	idle.Close()
+	besteffort.Close(idle)
 }
--- a/internal/proxy/listener/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/socketoption"
 )
 
@@ -81,7 +82,7 @@
 		return false
 	}
 	c.state = closed
-	c.Conn.SetReadDeadline(time.Unix(1, 0))
+	besteffort.SocketOption(c.Conn.SetReadDeadline(time.Unix(1, 0)))
 	return true
 }
 
--- a/internal/proxy/listener/inherited.go
+++ b/internal/proxy/listener/inherited.go
@@ -6,6 +6,8 @@
 	"os"
 	"strconv"
 	"syscall"
+
+	"wrenspread/internal/besteffort"
 )
 
 // Inherited gives the clients' socket that the platform holds, whose
@@ -21,7 +23,7 @@
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d can't be used", fd)
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	ln, err := net.FileListener(f)
 	if tcp, ok := ln.(*net.TCPListener); ok {
 		return sharedListener{tcp}, nil
@@ -35,7 +37,7 @@
 
 func (l sharedListener) Accept() (net.Conn, error) {
 	if raw, err := l.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), true) })
+		besteffort.SocketOption(raw.Control(func(fd uintptr) { besteffort.SocketOption(syscall.SetNonblock(int(fd), true)) }))
 	}
 	return l.TCPListener.Accept()
 }
--- a/internal/proxy/listener/inherited_test.go
+++ b/internal/proxy/listener/inherited_test.go
@@ -9,15 +9,17 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestAcceptingEndsOnASharedSocket also if another process has set it to block.
 func TestAcceptingEndsOnASharedSocket(t *testing.T) {
-	f, err := listen(t).TCPListener.File()
+	f, err := listen(t).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer besteffort.Close(f)
 	fd, err := syscall.Dup(int(f.Fd())) // Inherited closes it
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +36,7 @@
 	if _, err := l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	syscall.SetNonblock(int(f.Fd()), false)
+	besteffort.SocketOption(syscall.SetNonblock(int(f.Fd()), false))
 	go func() {
 		_, err := l.Accept()
 		ended <- err
@@ -43,7 +45,7 @@
 		b := make([]byte, 1<<20)
 		stacks = string(b[:runtime.Stack(b, true)])
 	}
-	go l.Close()
+	go besteffort.Close(l)
 	if err := wait(t, ended, "the end of accepting"); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("it ends with %v", err)
 	}
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/socketoption"
 )
 
@@ -61,7 +62,7 @@
 		c, err := l.acceptNext()
 		if err == nil && !placed {
 			if placed = l.takeSlot(); !placed {
-				c.Close()
+				besteffort.Close(c)
 				continue
 			}
 		}
@@ -151,7 +152,7 @@
 func (l *Listener) Drain() {
 	l.closeAllIdle()
 	if ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); !ok || ln.SetDeadline(time.Unix(1, 0)) != nil {
-		l.Close()
+		besteffort.Close(l)
 	}
 }
 
--- a/internal/proxy/listener/listener_test.go
+++ b/internal/proxy/listener/listener_test.go
@@ -9,6 +9,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestIdleClientsGiveWay: clients that hold connections and send nothing must not shut out others.
@@ -25,21 +27,21 @@
 			idle <- struct{}{}
 		}
 	}}
-	go srv.Serve(l)
-	defer srv.Close()
+	go func() { _ = srv.Serve(l) }()
+	defer besteffort.Close(srv)
 	var conns []net.Conn
 	for i := range 5 {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(30 * time.Second))
-		io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+		defer besteffort.Close(c)
+		besteffort.SocketOption(c.SetDeadline(time.Now().Add(30 * time.Second)))
+		besteffort.Output(io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		} else {
-			resp.Body.Close()
+			besteffort.Close(resp.Body)
 		}
 		select {
 		case <-idle:
@@ -68,10 +70,10 @@
 		}
 	}()
 	first := dial(t, ln)
-	io.WriteString(first, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+	besteffort.Output(io.WriteString(first, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	wait(t, began, "the request")
 	second := dial(t, ln)
-	io.WriteString(second, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+	besteffort.Output(io.WriteString(second, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	release <- true
 	release <- true
 	if _, err := http.ReadResponse(bufio.NewReader(second), nil); err != nil {
@@ -95,7 +97,7 @@
 			if ln, err = Inherited(strconv.Itoa(fd)); err != nil {
 				t.Fatal(err)
 			}
-			f.Close()
+			besteffort.Close(f)
 		}
 		l := Limit(ln, 1)
 		dial(t, ln)
@@ -107,13 +109,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw.Control(func(fd uintptr) {
+		_ = raw.Control(func(fd uintptr) {
 			if on, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY); err != nil || on == 0 {
 				t.Errorf("inherited %v: TCP_NODELAY is %d, %v", inherited, on, err)
 			}
 		})
 		l.SkipLinger()
-		c.Close()
+		besteffort.Close(c)
 	}
 }
 
@@ -130,13 +132,13 @@
 		}
 		if taken {
 			serve(t, l, handle)
-			io.WriteString(dial(t, ln), "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+			besteffort.Output(io.WriteString(dial(t, ln), "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 			wait(t, began, "the request")
 		}
 		var queue []*net.TCPConn
 		for range 3 {
 			c := dial(t, ln)
-			io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+			besteffort.Output(io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 			queue = append(queue, c)
 		}
 		l.Drain()
@@ -148,7 +150,7 @@
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 				t.Errorf("taken %v: connection %d: %v, %v", taken, i, resp, err)
 			}
-			c.Close()
+			besteffort.Close(c)
 		}
 		wait(t, l.closed, "the end of accepting")
 	}
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -128,10 +128,10 @@
 		n.log.Info("the list service moves", "to", cfg.Registry)
 		n.config.Registry = cfg.Registry
 		if n.policy != nil {
-			n.policy.client.SetAddresses(cfg.Registry) // as good as the ones just taken
+			_ = n.policy.client.SetAddresses(cfg.Registry) // valid, as they were taken just now
 		}
 		if n.tenants != nil {
-			n.tenants.client.SetAddresses(cfg.Registry)
+			_ = n.tenants.client.SetAddresses(cfg.Registry) // the same
 		}
 	case *client.Platform:
 		asked := n.config.Settings.PollForEndpoints
--- a/internal/proxy/lists_test.go
+++ b/internal/proxy/lists_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -24,7 +25,8 @@
 
 func TestIDs(t *testing.T) {
 	a, b := newEndpointIDs(), newEndpointIDs()
-	if a.idOf("s-1") != a.idOf("s-1") || a.idOf("s-1") == a.idOf("s-2") {
+	first := a.idOf("s-1")
+	if first != a.idOf("s-1") || a.idOf("s-1") == a.idOf("s-2") {
 		t.Error("one name has two numbers, or two names one")
 	}
 	if b.idOf("s-2") != a.idOf("s-2") {
@@ -114,7 +116,7 @@
 	calls := make(chan string, 100)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls <- r.URL.RawQuery; r.URL.RawQuery == "" {
-			fmt.Fprint(w, listOf(9))
+			besteffort.Output(fmt.Fprint(w, listOf(9)))
 			return
 		}
 		<-r.Context().Done()
@@ -148,7 +150,7 @@
 			<-r.Context().Done()
 			return
 		}
-		fmt.Fprintf(w, `{"index":7,"epoch":"e","snapshot":true,"endpoints":[%s]}`, entryJSON("s", server, "ready"))
+		besteffort.Output(fmt.Fprintf(w, `{"index":7,"epoch":"e","snapshot":true,"endpoints":[%s]}`, entryJSON("s", server, "ready")))
 	}))
 	file := filepath.Join(t.TempDir(), "list")
 	at := replica.Listener.Addr().String()
--- a/internal/proxy/maintenance_test.go
+++ b/internal/proxy/maintenance_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/fencing"
 	"wrenspread/internal/registry"
 )
@@ -18,7 +19,7 @@
 func TestMaintenanceCalls(t *testing.T) {
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}
 	n := startNode(t, backendServer(t, serve))
--- a/internal/proxy/messages_test.go
+++ b/internal/proxy/messages_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 func udpSocket(t *testing.T) (*net.UDPConn, netip.AddrPort) {
@@ -22,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { besteffort.Close(c) })
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
@@ -73,7 +74,7 @@
 	p.send(-1, []byte("nobody"))
 	p.send(1, bytes.Repeat([]byte("z"), maxMessage+1))
 	p.send(1, []byte("hello"))
-	one.SetReadDeadline(time.Now().Add(10 * time.Second))
+	besteffort.SocketOption(one.SetReadDeadline(time.Now().Add(10 * time.Second)))
 	buf := make([]byte, 512)
 	if n, from, err := one.ReadFromUDPAddrPort(buf); err != nil || from != here || string(buf[:n]) != "hello" {
 		t.Errorf("%q from %v, err %v", buf[:n], from, err)
@@ -105,7 +106,7 @@
 		n.carryOut(balancer.SendMessage{To: 1, Data: []byte("one")})
 		n.carryOut(balancer.SendMessage{ToAll: true, Data: []byte("all")})
 	})
-	other.SetReadDeadline(time.Now().Add(10 * time.Second))
+	besteffort.SocketOption(other.SetReadDeadline(time.Now().Add(10 * time.Second)))
 	buf := make([]byte, 512)
 	for _, want := range []string{"one", "all"} {
 		size, from, err := other.ReadFromUDPAddrPort(buf)
@@ -130,7 +131,7 @@
 // A socket that can't be had, or addresses that can't be read, must not keep a node from serving.
 func TestPeersThatCannotBeReached(t *testing.T) {
 	taken, addr := udpSocket(t)
-	defer taken.Close()
+	defer besteffort.Close(taken)
 	if p, err := listenPeers(addr.String(), []netip.AddrPort{addr}, quiet); err == nil {
 		t.Errorf("%v on an address that is taken", p)
 	}
@@ -162,8 +163,8 @@
 				t.Errorf("the server got %q for %s, %v", body, req.RequestURI, err)
 			}
 			at := cut.Load()
-			io.WriteString(c, answers[:at])
-			io.WriteString(c, answers[at:])
+			besteffort.Output(io.WriteString(c, answers[:at]))
+			besteffort.Output(io.WriteString(c, answers[at:]))
 		}
 	}))
 	for i := range max(len(sent), len(answers)) {
@@ -171,8 +172,8 @@
 		request := fmt.Sprintf(sent, i)
 		cut.Store(int64(min(i, len(answers))))
 		at := min(i, len(request))
-		io.WriteString(c, request[:at])
-		io.WriteString(c, request[at:])
+		besteffort.Output(io.WriteString(c, request[:at]))
+		besteffort.Output(io.WriteString(c, request[at:]))
 		resp, err := http.ReadResponse(c.read, nil)
 		if err != nil {
 			t.Fatalf("cut at %d: %v", i, err)
@@ -181,6 +182,6 @@
 		if err != nil || resp.StatusCode != 200 || string(body) != "hello world" || resp.Header.Get("X-App") != "a, b" {
 			t.Errorf("cut at %d: %s %q %v", i, resp.Status, body, err)
 		}
-		c.Close()
+		besteffort.Close(c)
 	}
 }
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/fencing"
 	"wrenspread/internal/membership/gossip"
 )
@@ -123,7 +124,7 @@
 	n.post(func() { n.startEndpointSource(inner) })
 	time.AfterFunc(maxReadyTime, func() { n.post(n.logMissing) })
 	if old != nil && !n.takeOver(ctx, old) {
-		ln.Close()
+		besteffort.Close(ln)
 		stop()
 		<-n.ended
 		return nil
--- a/internal/proxy/outbound_test.go
+++ b/internal/proxy/outbound_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 func TestRequestGoesOnUnchanged(t *testing.T) {
@@ -42,8 +44,8 @@
 func TestAnswerAheadOfTheUploadsEnd(t *testing.T) {
 	read, write := io.Pipe()
 	go func() {
-		io.WriteString(write, "cdef")
-		read.Close() // as the answer's coming does
+		besteffort.Output(io.WriteString(write, "cdef"))
+		besteffort.Close(read) // as the answer's coming does
 	}()
 	o := outbound{method: "POST", url: &url.URL{Path: "/api"}, host: "app.svc", body: []byte("ab"), header: http.Header{},
 		upload: &upload{length: 6, pipe: read, clientGone: func() bool { return false }}}
--- a/internal/proxy/part_test.go
+++ b/internal/proxy/part_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -114,7 +115,7 @@
 		a = s.state.SubsetSince(part, from)
 		a.Subset, a.Total = part.String(), s.state.Len()
 	}
-	json.NewEncoder(w).Encode(a)
+	besteffort.Encode(json.NewEncoder(w).Encode(a))
 }
 
 // TestListPart: a node follows its part of the list, and goes on to another when its number changes. A request that is
@@ -125,7 +126,7 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		arrived <- r.URL.Path
 		<-release
-		fmt.Fprint(w, "done")
+		besteffort.Output(fmt.Fprint(w, "done"))
 	}))
 	defer backend.Close()
 	const servers = 6000
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -11,6 +11,7 @@
 
 	"wrenspread/balancer"
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership/gossip"
 )
 
@@ -69,7 +70,7 @@
 		return
 	}
 	p.muted.Store(true)
-	p.conn.SetReadDeadline(time.Unix(1, 0))
+	besteffort.SocketOption(p.conn.SetReadDeadline(time.Unix(1, 0)))
 	<-p.ended
 	raw, err := p.conn.SyscallConn()
 	if err == nil {
@@ -102,7 +103,7 @@
 // than any message is dropped, and so is a load note from an address of no node.
 func (p *peerSocket) run(ctx context.Context, received func(from int, data []byte)) {
 	defer close(p.ended)
-	context.AfterFunc(ctx, func() { p.conn.Close() })
+	context.AfterFunc(ctx, func() { besteffort.Close(p.conn) })
 	buf := make([]byte, maxMessage+1)
 	for ctx.Err() == nil && !p.muted.Load() {
 		n, addr, err := p.conn.ReadFromUDPAddrPort(buf)
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // The terms: a connection on which no request is open may go after 2 s, and
@@ -46,13 +48,13 @@
 	server, got, _ := silentServer(t)
 	n := startNode(t, server)
 	c := n.dial(t)
-	io.WriteString(c, "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\n"+
-		"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+	besteffort.Output(io.WriteString(c, "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: pagar\r\nX-Deadline: 60\r\n"+
+		"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
 	if line, err := c.read.ReadString('\n'); err != nil || !strings.Contains(line, " 100 ") {
 		t.Fatalf("%q, %v, want the word to go on", line, err)
 	}
 	before := time.Now()
-	io.WriteString(c, "ab")
+	besteffort.Output(io.WriteString(c, "ab"))
 	wait(t, got, "the attempt")
 	deadline := make(chan time.Time, 1)
 	n.post(func() { deadline <- n.requests["q"].deadline })
@@ -66,7 +68,7 @@
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
 			time.Sleep(readTimeout + 200*time.Millisecond)
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}))
 	if a := do(t, n.request(t, "POST", "pagar", "q", "60", strings.NewReader("x"))); a.status != 200 {
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -10,6 +10,7 @@
 
 	"wrenspread/balancer"
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 )
 
 const idleTimeoutShare = 0.75 // of the settings' idle time: the server must never be the first to close
@@ -147,7 +148,7 @@
 
 func (p *pool) drop(b *backend) {
 	for _, c := range b.idle {
-		c.Conn.Close()
+		besteffort.Close(c.Conn)
 		p.open--
 	}
 	b.idle = nil
@@ -164,7 +165,7 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.idle[0].Conn.Close()
+	besteffort.Close(oldest.idle[0].Conn)
 	oldest.idle = oldest.idle[1:]
 	p.open--
 	return true
@@ -184,7 +185,7 @@
 func (p *pool) dropOld(b *backend, now time.Time) {
 	old := 0
 	for old < len(b.idle) && now.Sub(b.idle[old].idleAt) >= p.maxIdle {
-		b.idle[old].Conn.Close()
+		besteffort.Close(b.idle[old].Conn)
 		old++
 	}
 	p.open -= old
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 func testPool(address string) *pool {
@@ -62,7 +63,7 @@
 		if readRequest(r) != nil {
 			got <- true
 			<-release
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}))
 	p.maxConnections = 1
@@ -106,9 +107,9 @@
 	closed := make(chan struct{})
 	p := testPool(backendServer(t, func(number int, conn net.Conn, r *bufio.Reader) {
 		readRequest(r)
-		io.WriteString(conn, okAnswer)
+		besteffort.Output(io.WriteString(conn, okAnswer))
 		if number == 0 {
-			conn.Close()
+			besteffort.Close(conn)
 			close(closed)
 		} else {
 			readRequest(r)
@@ -137,7 +138,7 @@
 	} {
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			readRequest(r)
-			io.WriteString(conn, answer)
+			besteffort.Output(io.WriteString(conn, answer))
 			readRequest(r)
 		}))
 		if got := try(t, p, enough); got.outcome != balancer.OK {
@@ -153,7 +154,7 @@
 	serve := func(name string) string {
 		return backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			for readRequest(r) != nil {
-				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(name), name)
+				besteffort.Output(fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(name), name))
 			}
 		})
 	}
@@ -187,7 +188,7 @@
 func TestIdleConnections(t *testing.T) {
 	address := backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
-			io.WriteString(conn, okAnswer)
+			besteffort.Output(io.WriteString(conn, okAnswer))
 		}
 	})
 	p := testPool(address)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -22,7 +23,7 @@
 		for readRequest(r) != nil {
 			got <- true
 			<-release
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	})
 	server, ids := echoServer(t)
@@ -36,12 +37,12 @@
 		from := r.URL.Query().Get("from")
 		calls <- from
 		if from == "" {
-			fmt.Fprintf(w, `{"index":0,"snapshot":true,"endpoints":[%s]}`, entryJSON("new", server, "ready"))
+			besteffort.Output(fmt.Fprintf(w, `{"index":0,"snapshot":true,"endpoints":[%s]}`, entryJSON("new", server, "ready")))
 			return
 		}
 		select {
 		case change := <-news:
-			fmt.Fprintf(w, `{"index":1,"snapshot":false,"endpoints":[%s]}`, change)
+			besteffort.Output(fmt.Fprintf(w, `{"index":1,"snapshot":false,"endpoints":[%s]}`, change))
 		case <-r.Context().Done():
 		}
 	}))
@@ -93,7 +94,7 @@
 			return
 		}
 		whole <- true
-		fmt.Fprint(w, `{"index":1,"snapshot":true,"endpoints":[]}`)
+		besteffort.Output(fmt.Fprint(w, `{"index":1,"snapshot":true,"endpoints":[]}`))
 	}))
 	defer disc.Close()
 	n := startNodeWith(t, func(n *Server) {
@@ -115,12 +116,12 @@
 func TestReloadBeforeTheFirstList(t *testing.T) {
 	dir, told := meetingPlace(t), make(chan chan struct{}, 1)
 	oldProcess(t, dir, func(o other) {
-		o.read.ReadString('\n')
+		_, _ = o.read.ReadString('\n')
 		<-<-told
 		o.say(t, `{"v":1,"kind":"state"}`)
 		o.hear(t, kindReady)
 		o.say(t, `{"kind":"yours"}`)
-		io.Copy(io.Discard, o)
+		_, _ = io.Copy(io.Discard, o)
 	})
 	server, ids := echoServer(t)
 	first := make(chan bool, 1)
@@ -128,7 +129,7 @@
 	disc := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-first:
-			fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[%s]}`, entryJSON("new", server, "ready"))
+			besteffort.Output(fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[%s]}`, entryJSON("new", server, "ready")))
 		default: // silent from then on
 			<-r.Context().Done()
 		}
@@ -161,10 +162,10 @@
 		}
 		disc := backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			readRequest(r)
-			io.WriteString(c, say("ready"))
+			besteffort.Output(io.WriteString(c, say("ready")))
 			readRequest(r)
 			watch <- c
-			io.Copy(io.Discard, r)
+			_, _ = io.Copy(io.Discard, r)
 		})
 		n := startNodeWith(t, func(n *Server) { n.config.Discovery = disc })
 		c, next := wait(t, watch, "the watch"), newAgent(t)
@@ -174,11 +175,11 @@
 		if i%2 == 0 {
 			cut = 20
 		}
-		io.WriteString(c, answer[:len(answer)-cut])
+		besteffort.Output(io.WriteString(c, answer[:len(answer)-cut]))
 		n.Reload(cfg)
 		if cut > 0 {
 			n.do(func() {}) // it moves
-			io.WriteString(c, answer[len(answer)-cut:])
+			besteffort.Output(io.WriteString(c, answer[len(answer)-cut:]))
 		}
 		wait(t, next.calls, "the call to the new address")
 		told := make(chan bool, 1)
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -7,11 +7,13 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // write passes an answer on, and tells what it was to the client.
 func write(w http.ResponseWriter, a response) requestOutcome {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	besteffort.SocketOption(http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)))
 	if a.status != http.StatusOK {
 		a.body = []byte(http.StatusText(a.status) + "\n")
 	}
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 func TestServes(t *testing.T) {
@@ -26,7 +27,7 @@
 		}
 		body, _ := io.ReadAll(req.Body)
 		seen <- req
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\nX-Load: nonsense\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\nX-Load: nonsense\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	}))
 	req := n.request(t, "POST", "pedido", "id-1", "20", strings.NewReader("rent"))
 	req.Header.Set("Idempotency-Key", "k-1")
@@ -56,10 +57,10 @@
 			return
 		}
 		if number.Add(1) == 1 {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal")
+			besteffort.Output(io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal"))
 			return
 		}
-		io.WriteString(c, okAnswer)
+		besteffort.Output(io.WriteString(c, okAnswer))
 	}
 	n := startNode(t, backendServer(t, serve), backendServer(t, serve))
 	if got := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); got.status != 200 || got.body != "hi" || number.Load() != 2 {
@@ -157,7 +158,7 @@
 		if readRequest(r) != nil {
 			got <- true
 			<-release
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}))
 	first := make(chan reply, 1)
@@ -181,8 +182,8 @@
 		c := n.dial(t)
 		c.ask(t, "saldo", fmt.Sprint(behind), "60")
 		wait(t, got, "the attempt")
-		io.WriteString(c, strings.Repeat("x", behind))
-		c.CloseWrite()
+		besteffort.Output(io.WriteString(c, strings.Repeat("x", behind)))
+		_ = c.CloseWrite()
 		wait(t, gone, "the attempt's end")
 		if s := c.status(t); s < 500 {
 			t.Errorf("%d bytes behind: answer %d, want a failure", behind, s)
--- a/internal/proxy/response_test.go
+++ b/internal/proxy/response_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 func TestParseLoad(t *testing.T) {
@@ -62,10 +63,10 @@
 			}
 			t.Run(c.name+", "+end, func(t *testing.T) {
 				endsAs(t, want, func(conn net.Conn, r *bufio.Reader) {
-					if io.WriteString(conn, c.answer); end == "silent" {
-						r.ReadByte()
+					if besteffort.Output(io.WriteString(conn, c.answer)); end == "silent" {
+						_, _ = r.ReadByte()
 					} else if end == "reset" {
-						conn.(*net.TCPConn).SetLinger(0)
+						besteffort.SocketOption(conn.(*net.TCPConn).SetLinger(0))
 					}
 				})
 			})
--- a/internal/proxy/running_test.go
+++ b/internal/proxy/running_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 func testConfig(discovery string) Config {
@@ -53,7 +54,7 @@
 	hung := make(chan struct{})
 	disc := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if from := r.URL.Query().Get("from"); from == "0" || from == "" {
-			fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ","))
+			besteffort.Output(fmt.Fprintf(w, `{"index":1,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ",")))
 			return
 		}
 		select {
@@ -83,7 +84,7 @@
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		resp, err := http.Get("http://" + n.address + "/health/ready")
 		if err == nil {
-			resp.Body.Close()
+			besteffort.Close(resp.Body)
 		}
 		if err == nil && resp.StatusCode == http.StatusOK || len(servers) == 0 {
 			return n
@@ -128,7 +129,7 @@
 		t.Error(err)
 		return reply{}
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Error(err)
@@ -158,8 +159,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(enough))
+	t.Cleanup(func() { besteffort.Close(c) })
+	besteffort.SocketOption(c.SetDeadline(time.Now().Add(enough)))
 	return raw{c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
@@ -177,6 +178,6 @@
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
-	io.Copy(io.Discard, resp.Body)
+	_, _ = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode
 }
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -216,6 +216,6 @@
 
 // decodeAny keeps a file's keys, to compare the next one with.
 func decodeAny(raw []byte) (file any) {
-	json.Unmarshal(raw, &file) // it has been read once without an error
+	_ = json.Unmarshal(raw, &file) // it has been read once without an error
 	return file
 }
--- a/internal/proxy/settings_flight_test.go
+++ b/internal/proxy/settings_flight_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // change gives the node other settings and returns when it has them.
@@ -58,20 +59,20 @@
 				n.change(t, classes...)
 			}
 			conn := n.dial(t)
-			fmt.Fprintf(conn, "%s /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: a\r\nX-Deadline: 20\r\n"+
-				"Expect: 100-continue\r\nContent-Length: 1\r\n", c.method)
+			besteffort.Output(fmt.Fprintf(conn, "%s /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: a\r\nX-Deadline: 20\r\n"+
+				"Expect: 100-continue\r\nContent-Length: 1\r\n", c.method))
 			if c.key != "" {
-				fmt.Fprintf(conn, "Idempotency-Key: %s\r\n", c.key)
+				besteffort.Output(fmt.Fprintf(conn, "Idempotency-Key: %s\r\n", c.key))
 			}
-			fmt.Fprint(conn, "\r\n")
+			besteffort.Output(fmt.Fprint(conn, "\r\n"))
 			if line, err := conn.read.ReadString('\n'); err != nil || line != "HTTP/1.1 100 Continue\r\n" { // its head is read
 				t.Fatalf("%q, %v", line, err)
 			}
-			conn.read.ReadString('\n')
+			_, _ = conn.read.ReadString('\n')
 			for _, classes := range c.changes {
 				n.change(t, classes...)
 			}
-			fmt.Fprint(conn, "x")
+			besteffort.Output(fmt.Fprint(conn, "x"))
 			if status := conn.status(t); status != c.status || int(served.Load()) != c.served {
 				t.Errorf("%d after %d attempts, want %d after %d", status, served.Load(), c.status, c.served)
 			}
@@ -87,7 +88,7 @@
 		if readRequest(r) != nil {
 			got <- true
 			<-release
-			io.WriteString(conn, okAnswer)
+			besteffort.Output(io.WriteString(conn, okAnswer))
 		}
 	}))
 	answers := make(chan reply, 1)
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 const reloadConfig = `{"name":"n0","listen":"127.0.0.1:5000","discovery":"127.0.0.1:1","seed":"1f","limits":{"memory_mb":100,"sockets":512},
@@ -100,7 +101,7 @@
 func TestNewClassIsServed(t *testing.T) {
 	n, reread := rereader(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}))
 	address := n.operate(t)
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -10,6 +10,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // oneDiscovery answers calls from a moment on, each in some time: all in turn where it is asked, as one serves all nodes,
@@ -30,15 +32,15 @@
 	}
 	d := &oneDiscovery{address: ln.Addr().String(), each: each, silent: silent, asked: asked}
 	srv := &http.Server{Handler: d}
-	t.Cleanup(func() { srv.Close() })
+	t.Cleanup(func() { besteffort.Close(srv) })
 	if down == 0 {
-		go srv.Serve(ln)
+		go func() { _ = srv.Serve(ln) }()
 		return d
 	}
-	ln.Close()
+	besteffort.Close(ln)
 	back := time.AfterFunc(down, func() {
 		if ln, err := net.Listen("tcp", d.address); err == nil { // else discovery stays down
-			srv.Serve(ln)
+			_ = srv.Serve(ln)
 		}
 	})
 	t.Cleanup(func() { back.Stop() })
@@ -55,7 +57,7 @@
 		defer d.turn.Unlock()
 	}
 	time.Sleep(d.each)
-	io.WriteString(w, listOf(9, entryJSON("s", "127.0.0.1:1", "ready")))
+	besteffort.Output(io.WriteString(w, listOf(9, entryJSON("s", "127.0.0.1:1", "ready"))))
 }
 
 // TestThirtyStartsTogether: whatever discovery does, and with clients that fill all places, nine in ten nodes are ready
@@ -121,14 +123,14 @@
 	n, ended := New(cfg, quiet), make(chan error, 1)
 	n.frontend.keepAccepting = func() {}
 	ctx, stop := context.WithCancel(context.Background())
-	defer func() { stop(); <-ended }() // after the crowd has gone
+	defer func() { stop(); besteffort.Ended(<-ended) }() // after the crowd has gone
 	for range crowd {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Error(err)
 			break
 		}
-		defer c.Close()
+		defer besteffort.Close(c)
 	}
 	began := time.Now()
 	go func() { ended <- n.Run(ctx, ln) }()
@@ -136,7 +138,7 @@
 	for time.Since(began) < enough {
 		resp, err := probe.Get("http://" + ln.Addr().String() + "/health/ready")
 		if err == nil {
-			resp.Body.Close()
+			besteffort.Close(resp.Body)
 		}
 		if err == nil && resp.StatusCode == http.StatusOK {
 			break
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // requestOutcome is how a request ended, as operators count it.
@@ -109,12 +110,12 @@
 	slices.Sort(names)
 	for _, name := range names {
 		for o, r := range outcomeNames {
-			fmt.Fprintf(w, "app.results.%s.%s:%d|c\n", label(name), r, s.results[name][o].Load())
+			besteffort.Output(fmt.Fprintf(w, "app.results.%s.%s:%d|c\n", label(name), r, s.results[name][o].Load()))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.endpoints)) {
 		a := s.endpoints[name]
-		fmt.Fprintf(w, "app.backends.%s.succeeded:%d|c\napp.backends.%s.failed:%d|c\napp.backends.%s.late:%d|c\n", label(name), a.succeeded, label(name), a.failed, label(name), a.late)
+		besteffort.Output(fmt.Fprintf(w, "app.backends.%s.succeeded:%d|c\napp.backends.%s.failed:%d|c\napp.backends.%s.late:%d|c\n", label(name), a.succeeded, label(name), a.failed, label(name), a.late))
 	}
 	for _, f := range []struct {
 		name, kind string
@@ -123,7 +124,7 @@
 		{"forwards", "c", &s.forwards}, {"outstanding", "g", &s.outstanding}, {"discovered", "g", &s.discovered},
 		{"ejected", "g", &s.ejected}, {"sighup_applied", "c", &s.sighupApplied}, {"sighup_rejected", "c", &s.sighupRejected},
 	} {
-		fmt.Fprintf(w, "app.%s:%d|%s\n", f.name, f.value.Load(), f.kind)
+		besteffort.Output(fmt.Fprintf(w, "app.%s:%d|%s\n", f.name, f.value.Load(), f.kind))
 	}
 }
 
--- a/internal/proxy/stats_test.go
+++ b/internal/proxy/stats_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // TestFigures: each request counts once where it ends, each attempt when it has
@@ -20,11 +21,11 @@
 		for req := readRequest(r); req != nil; req = readRequest(r) {
 			switch req.Header.Get("X-Request-Id") {
 			case "served":
-				io.WriteString(c, okAnswer)
+				besteffort.Output(io.WriteString(c, okAnswer))
 			case "failed":
-				io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+				besteffort.Output(io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 			case "refused":
-				io.WriteString(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+				besteffort.Output(io.WriteString(c, "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 			}
 		}
 	}))
@@ -56,7 +57,7 @@
 	wait(t, got, "the attempt")
 	figure(t, address, "app.outstanding:1|g")
 	cancel()
-	wait(t, left, "the client")
+	_ = wait(t, left, "the client")
 	figure(t, address, "app.outstanding:0|g")
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -5,6 +5,8 @@
 	"io"
 	"net/http"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -33,8 +35,8 @@
 func (s *responseStream) writeTo(w http.ResponseWriter, due time.Time) error {
 	control := http.NewResponseController(w)
 	s.begin(func() {
-		s.conn.SetDeadline(time.Unix(1, 0))
-		control.SetWriteDeadline(time.Unix(1, 0))
+		besteffort.SocketOption(s.conn.SetDeadline(time.Unix(1, 0)))
+		besteffort.SocketOption(control.SetWriteDeadline(time.Unix(1, 0)))
 	})
 	return s.finish(s.copyTo(w, control, due))
 }
@@ -44,7 +46,7 @@
 		if len(p) == 0 {
 			return nil
 		}
-		control.SetWriteDeadline(time.Now().Add(progressTimeout))
+		besteffort.SocketOption(control.SetWriteDeadline(time.Now().Add(progressTimeout)))
 		if s.isCancelled() {
 			return errResponseCut
 		}
@@ -63,7 +65,7 @@
 		var n int
 		var rerr error
 		due = due.Add(time.Since(returned)) // only the server's time counts
-		s.conn.SetReadDeadline(s.progressDeadline(due, passed))
+		besteffort.SocketOption(s.conn.SetReadDeadline(s.progressDeadline(due, passed)))
 		if s.isCancelled() {
 			return errResponseCut
 		}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -11,6 +11,8 @@
 	"net/http/httptest"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestLongAnswers come out as they went in, in each form, and leave the connection in use where their end is told.
@@ -19,22 +21,22 @@
 		body := pattern(size)
 		for form, answer := range map[string]func(c net.Conn){
 			"length": func(c net.Conn) {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\nContent-Length: %d\r\n\r\n", size)
-				c.Write(body)
+				besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\nContent-Length: %d\r\n\r\n", size))
+				besteffort.Output(c.Write(body))
 			},
 			"chunks": func(c net.Conn) {
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\nTransfer-Encoding: chunked\r\n\r\n")
+				besteffort.Output(io.WriteString(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\nTransfer-Encoding: chunked\r\n\r\n"))
 				for rest := body; len(rest) > 0; {
 					n := min(len(rest), 50000)
-					fmt.Fprintf(c, "%x\r\n%s\r\n", n, rest[:n])
+					besteffort.Output(fmt.Fprintf(c, "%x\r\n%s\r\n", n, rest[:n]))
 					rest = rest[n:]
 				}
-				io.WriteString(c, "0\r\n\r\n")
+				besteffort.Output(io.WriteString(c, "0\r\n\r\n"))
 			},
 			"close": func(c net.Conn) {
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\n\r\n")
-				c.Write(body)
-				c.Close()
+				besteffort.Output(io.WriteString(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\n\r\n"))
+				besteffort.Output(c.Write(body))
+				besteffort.Close(c)
 			},
 		} {
 			n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -63,11 +65,11 @@
 		begun := make(chan bool, 1)
 		n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if readRequest(r) != nil {
-				io.WriteString(c, head)
-				c.Write(pattern(300000))
+				besteffort.Output(io.WriteString(c, head))
+				besteffort.Output(c.Write(pattern(300000)))
 				if form == "reset" { // else it discards what has not left
 					<-begun
-					c.(*net.TCPConn).SetLinger(0)
+					besteffort.SocketOption(c.(*net.TCPConn).SetLinger(0))
 				}
 			}
 		}))
@@ -92,10 +94,10 @@
 	goOn := make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBody+10)
-			c.Write(make([]byte, maxBody))
+			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBody+10))
+			besteffort.Output(c.Write(make([]byte, maxBody)))
 			<-goOn
-			c.Write(make([]byte, 10))
+			besteffort.Output(c.Write(make([]byte, 10)))
 		}
 	}))
 	c := n.dial(t)
@@ -131,10 +133,10 @@
 		if readRequest(r) == nil {
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxLarge)
+		besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxLarge))
 		body := pattern(maxLarge)
 		for len(body) > 0 {
-			c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
+			besteffort.SocketOption(c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)))
 			k, err := c.Write(body)
 			if body = body[k:]; err != nil {
 				select {
@@ -170,7 +172,7 @@
 		for over := time.Now().Add(enough / 2); err == nil && time.Now().Before(over); time.Sleep(20 * time.Millisecond) {
 			_, err = io.WriteString(conn, "1\r\nx\r\n")
 		}
-		io.WriteString(conn, "0\r\n\r\n")
+		besteffort.Output(io.WriteString(conn, "0\r\n\r\n"))
 	}))
 	c := n.dial(t)
 	c.ask(t, "saldo", "q", "3")
@@ -197,7 +199,7 @@
 		{-1, maxBody + 1, -time.Hour, true},
 		{maxBody + 20, 10, -time.Hour, true},
 	} {
-		p := testPool(backendServer(t, func(_ int, conn net.Conn, _ *bufio.Reader) { conn.Write(make([]byte, 10)) }))
+		p := testPool(backendServer(t, func(_ int, conn net.Conn, _ *bufio.Reader) { besteffort.Output(conn.Write(make([]byte, 10))) }))
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
 		conn, err := p.get(ctx, 1)
 		if cancel(); err != nil {
--- a/internal/proxy/tenants_report.go
+++ b/internal/proxy/tenants_report.go
@@ -6,13 +6,14 @@
 	"io"
 	"net/http"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/tenant"
 )
 
 // write gives the figures of tenants as lines of text.
 func (t *tenantService) write(w io.Writer) {
-	fmt.Fprintf(w, "app.tenants.number:%d|g\napp.tenants.known:%d|g\napp.tenants.unsure:%d|c\napp.tenants.declined:%d|c\napp.tenants.unknown:%d|c\n",
-		t.number.Load(), t.tenantCount.Load(), t.unavailable.Load(), t.forbidden.Load(), t.notFound.Load())
+	besteffort.Output(fmt.Fprintf(w, "app.tenants.number:%d|g\napp.tenants.known:%d|g\napp.tenants.unsure:%d|c\napp.tenants.declined:%d|c\napp.tenants.unknown:%d|c\n",
+		t.number.Load(), t.tenantCount.Load(), t.unavailable.Load(), t.forbidden.Load(), t.notFound.Load()))
 }
 
 // serveTenants tells an operator what this node knows of tenants, MaxTenants at most.
@@ -24,5 +25,5 @@
 	}
 	r.Tenants = r.Tenants[:min(len(r.Tenants), tenant.MaxTenants)]
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(r)
+	besteffort.Encode(json.NewEncoder(w).Encode(r))
 }
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/tenant"
 	"wrenspread/ratelimit"
 )
@@ -47,15 +48,15 @@
 	}, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for req := readRequest(r); req != nil; req = readRequest(r) {
 			if req.Header.Get("X-Request-Id") == "long" {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*maxBody)
-				c.Write(make([]byte, maxBody+1))
+				besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*maxBody))
+				besteffort.Output(c.Write(make([]byte, maxBody+1)))
 			}
 			came <- true
 		}
 	}))
 	send := func(id string) raw {
 		c := n.dial(t)
-		fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: saldo\r\nX-Tenant: k\r\nX-Deadline: 20\r\n\r\n", id)
+		besteffort.Output(fmt.Fprintf(c, "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: saldo\r\nX-Tenant: k\r\nX-Deadline: 20\r\n\r\n", id))
 		return c
 	}
 	open, long := send("open"), send("long")
@@ -70,7 +71,7 @@
 	if status := open.status(t); status != http.StatusBadGateway {
 		t.Errorf("what may have run is answered with %d", status)
 	}
-	long.SetReadDeadline(time.Now().Add(progressTimeout / 2)) // before its standstill would end it
+	besteffort.SocketOption(long.SetReadDeadline(time.Now().Add(progressTimeout / 2))) // before its standstill would end it
 	if _, err := io.ReadAll(resp.Body); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a long answer goes on: %v", err)
 	}
--- a/internal/proxy/term_test.go
+++ b/internal/proxy/term_test.go
@@ -11,6 +11,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // tapped is the clients' socket of a node under test. It tells what the node has taken from it.
@@ -85,7 +87,7 @@
 	t.Helper()
 	for _, part := range []string{text[:1], text[1:]} {
 		before := n.tap.read.Load()
-		io.WriteString(c, part)
+		besteffort.Output(io.WriteString(c, part))
 		until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+int64(len(part)) })
 	}
 }
@@ -138,14 +140,14 @@
 						if rest, err := io.ReadAll(idle); err != nil || len(rest) > 0 {
 							t.Errorf("an idle connection ends with %q, %v", rest, err)
 						}
-						idle.Close()
+						besteffort.Close(idle)
 						if c.idle {
-							conn.Close()
+							besteffort.Close(conn)
 							n.wantEnd(t)
 							return
 						}
 					}
-					io.WriteString(conn, c.text[c.split:])
+					besteffort.Output(io.WriteString(conn, c.text[c.split:]))
 					close(release)
 					resp, err := http.ReadResponse(conn.read, nil)
 					if err != nil {
@@ -154,8 +156,8 @@
 					if _, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 						t.Errorf("answer %s, told to close %v, %v", resp.Status, resp.Close, err)
 					}
-					conn.Close()
-					idle.Close()
+					besteffort.Close(conn)
+					besteffort.Close(idle)
 					n.linger()
 					n.wantEnd(t)
 				})
@@ -191,7 +193,7 @@
 	wait(t, n.tap.closed, "the listener's end")
 	until(t, "the last time", func() bool { return n.frontend.answerBy.Load() != nil })
 	for i, c := range c { // the second comes when its time is over
-		io.WriteString(c, strings.Replace(wholeGet, "Id: q", fmt.Sprint("Id: q", i), 1))
+		besteffort.Output(io.WriteString(c, strings.Replace(wholeGet, "Id: q", fmt.Sprint("Id: q", i), 1)))
 		if s := c.status(t); s < 500 {
 			t.Errorf("answer %d", s)
 		}
@@ -212,7 +214,7 @@
 			if req.Header.Get("X-Request-Id") == "q" {
 				<-release
 			}
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	})
 	return startNodeWith(t, func(n *Server) {
--- a/internal/proxy/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -55,7 +56,7 @@
 		status int // of the answer; 0: nobody is there to read it
 	}{
 		{"its client has left", func(t *testing.T, n *running, c raw) {
-			c.Close()
+			besteffort.Close(c)
 			n.gone(t, "q")
 		}, 0},
 		{"its client has left, and nothing may be called off", func(t *testing.T, n *running, c raw) {
@@ -63,7 +64,7 @@
 				n.config.Settings.AllowCancel = false
 				n.handle(balancer.SettingsChanged{Settings: n.config.Settings})
 			})
-			c.Close()
+			besteffort.Close(c)
 			n.gone(t, "q")
 		}, 0},
 		{"its server drains", func(t *testing.T, n *running, _ raw) {
@@ -130,7 +131,7 @@
 	failing := func() string {
 		return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			for readRequest(r) != nil {
-				io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
+				besteffort.Output(io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"))
 			}
 		})
 	}
@@ -193,8 +194,8 @@
 		n.tap.reads.Store(&[]chan struct{}{first, second})
 		c := n.dial(t)
 		c.ask(t, "saldo", "q", "60")
-		io.WriteString(c, strings.Repeat("x", behind))
-		c.CloseWrite()
+		besteffort.Output(io.WriteString(c, strings.Repeat("x", behind)))
+		_ = c.CloseWrite()
 		until(t, "the node's system to have it", func() bool { return tcpState(t, c.TCPConn) == finWait2 })
 		close(first)
 		if s := c.status(t); s != http.StatusServiceUnavailable {
--- a/internal/proxy/upgrade_calls_test.go
+++ b/internal/proxy/upgrade_calls_test.go
@@ -5,6 +5,8 @@
 	"io"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestCallBesideTheState: an operator calls while the old process is about to say what it knows. The new one hears
@@ -42,7 +44,7 @@
 	if m := o.hear(t, kindCall); m.Backend != "s-0" || m.On {
 		t.Errorf("the call is %+v", m)
 	}
-	o.Close()
+	besteffort.Close(o)
 	wait(t, forwarded, "the call's end")
 }
 
@@ -50,11 +52,11 @@
 func TestJoinedBeforeBansHold(t *testing.T) {
 	dir := meetingPlace(t)
 	oldProcess(t, dir, func(o other) {
-		o.read.ReadString('\n')
+		_, _ = o.read.ReadString('\n')
 		o.say(t, `{"v":1,"kind":"state","bans":["s-0"]}`)
 		o.hear(t, kindReady)
 		o.say(t, `{"kind":"yours"}`)
-		io.Copy(io.Discard, o)
+		_, _ = io.Copy(io.Discard, o)
 	})
 	early := make(chan bool, 1)
 	n := startNodeWith(t, func(n *Server) {
--- a/internal/proxy/upgrade_link.go
+++ b/internal/proxy/upgrade_link.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/tenant"
 )
 
@@ -91,7 +92,7 @@
 
 // receive reads one message, by a time unless that is zero.
 func (l *handoffLink) receive(by time.Time) (m handoffMessage, err error) {
-	l.conn.SetReadDeadline(by)
+	besteffort.SocketOption(l.conn.SetReadDeadline(by))
 	if !l.scanner.Scan() {
 		if err = l.scanner.Err(); err == nil {
 			err = io.EOF
@@ -115,7 +116,7 @@
 		return fmt.Errorf("handover: %w", err)
 	}
 	line = append(line, '\n')
-	l.conn.SetWriteDeadline(time.Now().Add(helloTimeout))
+	besteffort.SocketOption(l.conn.SetWriteDeadline(time.Now().Add(helloTimeout)))
 	if fd >= 0 {
 		_, _, err = l.conn.WriteMsgUnix(line, syscall.UnixRights(fd), nil)
 	} else {
@@ -163,7 +164,7 @@
 
 // close ends the link and all that wait on it.
 func (l *handoffLink) close() {
-	l.conn.Close()
+	besteffort.Close(l.conn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
@@ -177,7 +178,7 @@
 func (l *handoffLink) closeUnused() {
 	for _, fd := range l.descriptors {
 		if fd >= 0 {
-			syscall.Close(fd)
+			_ = syscall.Close(fd) // nobody has used it
 		}
 	}
 	l.descriptors = nil
--- a/internal/proxy/upgrade_link_test.go
+++ b/internal/proxy/upgrade_link_test.go
@@ -9,6 +9,8 @@
 	"path/filepath"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // meetingPlace is a folder whose name is short enough for a socket.
@@ -18,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { os.RemoveAll(dir) })
+	t.Cleanup(func() { besteffort.Cleanup(os.RemoveAll(dir)) })
 	return dir
 }
 
@@ -37,7 +39,7 @@
 
 func (o other) hear(t *testing.T, kind string) (m handoffMessage) {
 	t.Helper()
-	o.SetDeadline(time.Now().Add(enough))
+	besteffort.SocketOption(o.SetDeadline(time.Now().Add(enough)))
 	line, err := o.read.ReadBytes('\n')
 	if err != nil {
 		t.Errorf("waited for %q: %v", kind, err)
@@ -55,7 +57,7 @@
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("unix", filepath.Join(dir, handoffSocket))
 		if err == nil {
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { besteffort.Close(c) })
 			return other{c.(*net.UnixConn), bufio.NewReader(c)}
 		}
 		if time.Now().After(until) {
--- a/internal/proxy/upgrade_new.go
+++ b/internal/proxy/upgrade_new.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -139,7 +140,7 @@
 		syscall.CloseOnExec(fd)
 		f := os.NewFile(uintptr(fd), "peers")
 		c, err := net.FilePacketConn(f)
-		f.Close()
+		besteffort.Close(f)
 		u, ok := c.(*net.UDPConn)
 		if err != nil || !ok {
 			n.log.Error("the socket of the old process can't be used", "err", err)
--- a/internal/proxy/upgrade_new_test.go
+++ b/internal/proxy/upgrade_new_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"wrenspread/balancer"
+	"wrenspread/internal/besteffort"
 )
 
 // oldProcess plays a process that serves: it hears hello, and goes on with script.
@@ -24,14 +24,14 @@
 	go func() {
 		defer close(ended)
 		c, err := ln.Accept()
-		ln.Close()
+		besteffort.Close(ln)
 		if err != nil {
 			return
 		}
-		defer c.Close()
+		defer besteffort.Close(c)
 		script(other{c.(*net.UnixConn), bufio.NewReader(c)})
 	}()
-	t.Cleanup(func() { ln.Close(); <-ended })
+	t.Cleanup(func() { besteffort.Close(ln); <-ended })
 }
 
 // TestOldProcessFails: whatever it says or leaves out, the new one serves.
@@ -46,7 +46,7 @@
 		{"another version", func(o other) { o.say(t, `{"v":2,"kind":"state"}`) }},
 		{"refuses", func(o other) { o.say(t, `{"kind":"refused"}`) }},
 		{"endless line", func(o other) {
-			for o.SetDeadline(time.Now().Add(enough)); ; {
+			for besteffort.SocketOption(o.SetDeadline(time.Now().Add(enough))); ; {
 				if _, err := o.Write(make([]byte, 1<<20)); err != nil {
 					return
 				}
@@ -61,7 +61,7 @@
 			o.say(t, state)
 			o.hear(t, kindReady)
 			o.say(t, `{"kind":"yours"}`)
-			io.Copy(io.Discard, o)
+			_, _ = io.Copy(io.Discard, o)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -89,14 +89,14 @@
 	dir := meetingPlace(t)
 	calls := make(chan handoffMessage, 1)
 	oldProcess(t, dir, func(o other) {
-		o.read.ReadString('\n')
+		_, _ = o.read.ReadString('\n')
 		o.say(t, `{"v":1,"kind":"state","bans":["s-0"]}`)
 		o.hear(t, kindReady)
 		o.say(t, `{"kind":"yours"}`)
 		m := o.hear(t, kindCall)
 		o.say(t, fmt.Sprintf(`{"kind":"done","number":%d}`, m.Number))
 		calls <- m
-		io.Copy(io.Discard, o)
+		_, _ = io.Copy(io.Discard, o)
 	})
 	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
 	if a := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); a.status != 503 {
@@ -108,7 +108,7 @@
 	if m := wait(t, calls, "the call at the old process"); m.Backend != "s-0" || m.On {
 		t.Errorf("it hears %+v", m)
 	}
-	if held := n.pool.isHeld(balancer.EndpointID(newEndpointIDs().idOf("s-0"))); held {
+	if held := n.pool.isHeld(newEndpointIDs().idOf("s-0")); held {
 		t.Error("the ban is still in force")
 	}
 	n.stopNow(t)
--- a/internal/proxy/upgrade_old.go
+++ b/internal/proxy/upgrade_old.go
@@ -12,6 +12,7 @@
 
 	"wrenspread/balancer"
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/quota"
 )
 
@@ -20,7 +21,7 @@
 // awaitSuccessor listens for a new process until this one has handed over or
 // ctx ends.
 func (n *Server) awaitSuccessor(ctx context.Context) {
-	os.Remove(n.handoffPath) // of a process that has ended
+	besteffort.Cleanup(os.Remove(n.handoffPath)) // of a process that has ended
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "unix", n.handoffPath)
 	if err != nil {
 		n.log.Error("no new process can take over", "err", err)
@@ -28,7 +29,7 @@
 	}
 	u := ln.(*net.UnixListener)
 	u.SetUnlinkOnClose(false) // the next process may listen there by then
-	stop := context.AfterFunc(ctx, func() { u.Close() })
+	stop := context.AfterFunc(ctx, func() { besteffort.Close(u) })
 	defer stop()
 	links := make(chan struct{}, maxLinks)
 	for {
@@ -46,7 +47,7 @@
 				n.handOff(newHandoffLink(c), u)
 			}()
 		default:
-			c.Close()
+			besteffort.Close(c)
 		}
 	}
 }
@@ -71,7 +72,7 @@
 		}
 		handed = true
 		n.log.Info("handing over")
-		meeting.Close()
+		besteffort.Close(meeting)
 		life := n.handOffMembership() // before this process drains: the node does not
 		n.frontend.stopAccepting()
 		n.do(func() {
@@ -98,7 +99,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !n.joinLink(l, true) {
-		l.writeLocked(handoffMessage{Kind: kindRefused}, -1)
+		_ = l.writeLocked(handoffMessage{Kind: kindRefused}, -1) // a process that is gone needs no answer
 		return false
 	}
 	var m handoffMessage
--- a/internal/proxy/upgrade_old_test.go
+++ b/internal/proxy/upgrade_old_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestNewProcessEndsBeforeItIsReady: the old one serves on, with all it may use, and the next one is welcome.
@@ -27,7 +29,7 @@
 		late := meet(t, dir)
 		late.say(t, hello)
 		late.hear(t, kindRefused) // one at a time
-		o.Close()
+		besteffort.Close(o)
 		for until := time.Now().Add(enough); n.mayOpen() != full; time.Sleep(time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("it does not take its connections back")
@@ -47,7 +49,7 @@
 		`[1]`, "\x00\xff"} {
 		o := meet(t, dir)
 		o.say(t, noise)
-		o.SetDeadline(time.Now().Add(enough))
+		besteffort.SocketOption(o.SetDeadline(time.Now().Add(enough)))
 		if b, err := io.ReadAll(o); err != nil && !strings.Contains(err.Error(), "reset") || len(b) > 0 {
 			t.Errorf("%q is told %q, %v", noise, b, err)
 		}
@@ -96,7 +98,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go p.run(ctx, func(_ int, data []byte) { heard <- "old " + string(data) })
-	far.WriteToUDPAddrPort([]byte("1"), own)
+	besteffort.Datagram(far.WriteToUDPAddrPort([]byte("1"), own))
 	if got := wait(t, heard, "a message"); got != "old 1" {
 		t.Errorf("heard %q", got)
 	}
@@ -111,12 +113,12 @@
 	next := &Server{log: quiet, config: Config{PeerListen: own.String(), Peers: []netip.AddrPort{own, to}}, inbox: make(chan func(), 10),
 		ended: make(chan struct{}), loopContext: ctx}
 	next.takePeerSocket(l, nil)
-	far.WriteToUDPAddrPort([]byte("2"), own)
+	besteffort.Datagram(far.WriteToUDPAddrPort([]byte("2"), own))
 	wait(t, next.inbox, "the message at the new process")
 	buf := make([]byte, 10)
 	for i, n := range []*peerSocket{old.peers.Load(), next.peers.Load()} {
 		n.send(1, []byte("x"))
-		far.SetReadDeadline(time.Now().Add(enough))
+		besteffort.SocketOption(far.SetReadDeadline(time.Now().Add(enough)))
 		if _, from, err := far.ReadFromUDPAddrPort(buf); err != nil || from != own {
 			t.Errorf("process %d sends from %v, %v", i, from, err)
 		}
--- a/internal/proxy/upgrade_signal_test.go
+++ b/internal/proxy/upgrade_signal_test.go
@@ -5,6 +5,8 @@
 	"io"
 	"net"
 	"testing"
+
+	"wrenspread/internal/besteffort"
 )
 
 // TestHandOverAndSIGTERM: both come at one moment, in either order, or the second while the process lingers after the
@@ -28,7 +30,7 @@
 				if readRequest(r) != nil {
 					got <- true
 					<-release
-					io.WriteString(conn, okAnswer)
+					besteffort.Output(io.WriteString(conn, okAnswer))
 				}
 			}))
 			shared, err := n.tap.File()
@@ -36,11 +38,11 @@
 				t.Fatal(err)
 			}
 			next, err := net.FileListener(shared) // of the other process
-			shared.Close()
+			besteffort.Close(shared)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer next.Close()
+			defer besteffort.Close(next)
 			open := n.opened(t)
 			open.ask(t, "saldo", "q", "60")
 			wait(t, got, "the attempt")
@@ -79,7 +81,7 @@
 			if got <- true; req.Header.Get("X-Request-Id") == "q" {
 				<-release
 			}
-			io.WriteString(conn, okAnswer)
+			besteffort.Output(io.WriteString(conn, okAnswer))
 		}
 	}))
 	idle, open := n.kept(t), n.opened(t)
@@ -91,7 +93,7 @@
 	o.hear(t, kindState)
 	o.say(t, `{"kind":"ready"}`)
 	o.hear(t, kindRelease)
-	o.Close()
+	besteffort.Close(o)
 	if _, err := idle.read.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection ends with %v", err)
 	}
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/proxy/listener"
 )
 
@@ -50,15 +51,15 @@
 
 func (b *bodyReader) Read(p []byte) (int, error) {
 	b.headEnd = b.headEnd.Add(time.Since(b.lastReadAt))
-	b.control.SetReadDeadline(b.progressDeadline())
+	besteffort.SocketOption(b.control.SetReadDeadline(b.progressDeadline()))
 	if b.stopped.Load() {
-		b.control.SetReadDeadline(time.Unix(1, 0))
+		besteffort.SocketOption(b.control.SetReadDeadline(time.Unix(1, 0)))
 	}
 	n, err := b.body.Read(p)
 	b.received += int64(n)
 	b.lastReadAt = time.Now()
 	if err == io.EOF { // the server goes on reading, to hear whether the client leaves
-		b.control.SetReadDeadline(time.Time{})
+		besteffort.SocketOption(b.control.SetReadDeadline(time.Time{}))
 	}
 	return n, err
 }
@@ -66,7 +67,7 @@
 // stop ends a read under way and all later ones.
 func (b *bodyReader) stop() {
 	b.stopped.Store(true)
-	b.control.SetReadDeadline(time.Unix(1, 0))
+	besteffort.SocketOption(b.control.SetReadDeadline(time.Unix(1, 0)))
 }
 
 // upload is what is still to come of a body too long to be kept: it goes from
@@ -97,7 +98,7 @@
 	case err == nil && n > most:
 		err = errTooLong
 	case errors.Is(err, io.ErrClosedPipe): // nobody wants the rest
-		io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, most), make([]byte, copyBuffer))
+		besteffort.Drained(io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, most), make([]byte, copyBuffer)))
 		return
 	}
 	u.err = err
@@ -123,7 +124,7 @@
 	}
 	n, err := t.pipe.Read(p)
 	t.remaining -= int64(n)
-	if (t.remaining == 0 || err == io.EOF) && t.clientGone() {
+	if (t.remaining == 0 || errors.Is(err, io.EOF)) && t.clientGone() {
 		t.clientGoneAtEnd.Store(true)
 		return 0, errClientGone
 	}
@@ -144,7 +145,7 @@
 // and returns at its end. A client that is cut off while it sends may never
 // read the answer that waits for it.
 func (u *upload) drain() {
-	u.pipe.Close()
+	besteffort.Close(u.pipe)
 	<-u.readingEnded
 }
 
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"wrenspread/internal/besteffort"
 )
 
 const postHead = "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: 20\r\n"
@@ -39,13 +41,13 @@
 func TestTooLongRequests(t *testing.T) {
 	n := startNode(t, digests(t))
 	c := n.dial(t)
-	fmt.Fprintf(c, postHead+"Content-Length: %d\r\n\r\n", "q", maxLarge+1)
+	besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: %d\r\n\r\n", "q", maxLarge+1))
 	if s := c.status(t); s != http.StatusRequestEntityTooLarge {
 		t.Errorf("answer %d, want 413", s)
 	}
 	c = n.dial(t)
-	fmt.Fprintf(c, postHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n", "q", maxLarge+2)
-	go c.Write(make([]byte, maxLarge+1))
+	besteffort.Output(fmt.Fprintf(c, postHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n", "q", maxLarge+2))
+	go func() { besteffort.Output(c.Write(make([]byte, maxLarge+1))) }()
 	if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode < 400 {
 		t.Errorf("in chunks: %s", resp.Status)
 	}
@@ -66,10 +68,10 @@
 	address := n.operate(t)
 	for _, framing := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"} {
 		c := n.dial(t)
-		fmt.Fprintf(c, postHead+framing, framing[:1]) // an id of its own, as the one before may not have ended
-		c.Write(make([]byte, 200000))
+		besteffort.Output(fmt.Fprintf(c, postHead+framing, framing[:1])) // an id of its own, as the one before may not have ended
+		besteffort.Output(c.Write(make([]byte, 200000)))
 		wait(t, got, "the head")
-		c.Close()
+		besteffort.Close(c)
 		if err := wait(t, broken, "the body's end"); err == nil {
 			t.Errorf("%s: a whole request came", framing)
 		}
@@ -97,13 +99,13 @@
 	} {
 		n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if req, err := http.ReadRequest(r); err == nil {
-				io.CopyN(io.Discard, req.Body, maxBody+50000)
-				io.WriteString(c, says)
+				_, _ = io.CopyN(io.Discard, req.Body, maxBody+50000)
+				besteffort.Output(io.WriteString(c, says))
 			}
 		}))
 		c := n.dial(t)
-		fmt.Fprintf(c, postHead+"Content-Length: 1000000\r\n\r\n", "q")
-		c.Write(make([]byte, 200000))
+		besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: 1000000\r\n\r\n", "q"))
+		besteffort.Output(c.Write(make([]byte, 200000)))
 		if s := c.status(t); s != http.StatusServiceUnavailable {
 			t.Errorf("%s: answer %d, want a refusal", name, s)
 		}
@@ -116,7 +118,7 @@
 	n := startNode(t, refusing(t))
 	address := n.operate(t)
 	c := n.dial(t)
-	fmt.Fprintf(c, postHead+"Content-Length: 30000000\r\n\r\n", "q")
+	besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: 30000000\r\n\r\n", "q"))
 	for sent := 0; sent < 30000000; sent += 100000 {
 		if _, err := c.Write(make([]byte, 100000)); err != nil {
 			t.Fatalf("cut off after %d bytes: %v", sent, err)
@@ -149,21 +151,21 @@
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if req, err := http.ReadRequest(r); err == nil {
 			came <- true
-			io.Copy(io.Discard, req.Body)
+			_, _ = io.Copy(io.Discard, req.Body)
 			came <- true
 			<-hold
-			io.WriteString(c, okAnswer)
+			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}))
 	address := n.operate(t)
 	c := n.dial(t)
 	body := pattern(200000)
-	fmt.Fprintf(c, strings.Replace(postHead, "20", "60", 1)+"Content-Length: %d\r\n\r\n", "q", len(body))
-	c.Write(body[:150000])
+	besteffort.Output(fmt.Fprintf(c, strings.Replace(postHead, "20", "60", 1)+"Content-Length: %d\r\n\r\n", "q", len(body)))
+	besteffort.Output(c.Write(body[:150000]))
 	wait(t, came, "its head")
 	figure(t, address, "app.outstanding:0|g")
 	before := time.Now()
-	c.Write(body[150000:])
+	besteffort.Output(c.Write(body[150000:]))
 	wait(t, came, "its end")
 	figure(t, address, "app.outstanding:1|g")
 	deadline := make(chan time.Time, 1)
@@ -188,7 +190,7 @@
 	for i := range 3 {
 		fmt.Fprintf(&all, postHead+"Content-Length: %d\r\n\r\n%s", fmt.Sprint("q", i), len(body), body)
 	}
-	go c.Write(all.Bytes())
+	go func() { besteffort.Output(c.Write(all.Bytes())) }()
 	for i := range 3 {
 		resp, err := http.ReadResponse(c.read, nil)
 		if err != nil {
--- a/internal/proxy/word_test.go
+++ b/internal/proxy/word_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -25,7 +26,7 @@
 		a.calls <- r.URL.RawQuery
 		select {
 		case answer := <-a.answers:
-			if fmt.Fprint(w, answer); answer == "" {
+			if besteffort.Output(fmt.Fprint(w, answer)); answer == "" {
 				<-r.Context().Done()
 			}
 		case <-r.Context().Done():
@@ -58,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
+	besteffort.Close(resp.Body)
 	return resp.StatusCode == http.StatusOK
 }
 
@@ -107,7 +108,7 @@
 	var n *running
 	started := make(chan struct{})
 	oldProcess(t, dir, func(o other) {
-		o.read.ReadString('\n')
+		_, _ = o.read.ReadString('\n')
 		o.say(t, `{"v":1,"kind":"state"}`)
 		o.hear(t, kindReady)
 		<-started
--- a/internal/quota/actors_test.go
+++ b/internal/quota/actors_test.go
@@ -162,7 +162,6 @@
 	clock  clock
 	core   *Allocator
 	fence  uint64 // the duty's, as far as it knows
-	until  time.Duration
 	dead   bool
 	paused bool
 	alone  bool // cut off from the service
--- a/internal/quota/seat.go
+++ b/internal/quota/seat.go
@@ -32,12 +32,6 @@
 	return uint64(s.Index) * length, length
 }
 
-func (s Slot) overlaps(o Slot) bool {
-	a, al := s.span()
-	b, bl := o.span()
-	return a < b+bl && b < a+al
-}
-
 // halved gives up the second half.
 func (s Slot) halved() Slot {
 	s.Level, s.Index = s.Level+1, s.Index*2
--- a/internal/registry/client/broken_test.go
+++ b/internal/registry/client/broken_test.go
@@ -12,12 +12,13 @@
 	"testing/synctest"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
 // text answers with a body.
 func text(body string) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, body) }
+	return func(w http.ResponseWriter, _ *http.Request) { besteffort.Output(io.WriteString(w, body)) }
 }
 
 // TestAnswerThatIsNotTaken, or none: what is known stands, and the next call comes at once, on a connection of its
@@ -135,8 +136,8 @@
 		default:
 			if r.URL.Query().Get("from") == "42" {
 				if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
-					c.(*net.TCPConn).SetLinger(0)
-					c.Close()
+					besteffort.SocketOption(c.(*net.TCPConn).SetLinger(0))
+					besteffort.Close(c)
 				}
 				return
 			}
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -11,6 +11,7 @@
 	"net/http/httptrace"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -102,7 +103,7 @@
 	if err != nil {
 		return l, err
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	if resp.StatusCode != http.StatusOK {
 		return l, fmt.Errorf("%w %s", errRejected, resp.Status)
 	}
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -15,6 +15,7 @@
 	"sync/atomic"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -155,7 +156,7 @@
 		k.http.CloseIdleConnections() // what silenced one may have silenced all
 		return 0, nil, err
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	return resp.StatusCode, raw, err
 }
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -18,6 +18,7 @@
 
 	_ "wrenspread/internal/rapidseed"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -138,9 +139,9 @@
 			<-r.Context().Done()
 			return
 		}
-		json.NewEncoder(w).Encode(registry.ListResponse{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Endpoint{{Name: "s", Address: "a:1", Status: registry.Ready}}})
+		besteffort.Encode(json.NewEncoder(w).Encode(registry.ListResponse{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Endpoint{{Name: "s", Address: "a:1", Status: registry.Ready}}}))
 	}))
-	bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write([]byte("{")) }))
+	bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { besteffort.Output(w.Write([]byte("{"))) }))
 	defer bad.Close()
 	file := filepath.Join(t.TempDir(), "list")
 	c := Config{Addresses: []string{"127.0.0.1:1", bad.Listener.Addr().String(), ok.Listener.Addr().String()}, File: file}
--- a/internal/registry/client/continue_test.go
+++ b/internal/registry/client/continue_test.go
@@ -11,6 +11,7 @@
 	"testing/synctest"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -34,7 +35,7 @@
 					time.Sleep(hold)
 					fallthrough
 				default: // none, at once
-					json.NewEncoder(w).Encode(registry.ListResponse{Index: uint64(50 + call/3*3)})
+					besteffort.Encode(json.NewEncoder(w).Encode(registry.ListResponse{Index: uint64(50 + call/3*3)}))
 				}
 			}, func(ctx context.Context, s *standIn) {
 				d, _ := s.platform(asked)
@@ -71,7 +72,7 @@
 		{"not", "", "", "\n"}, {"by blanks", "", "  ", "\n"}, {"by tabs", "\t", "\t", "\n"}, {"with carriage returns", " ", "    ", "\r\n"},
 	} {
 		var b bytes.Buffer
-		json.Indent(&b, plain, form.ahead, form.indent)
+		_ = json.Indent(&b, plain, form.ahead, form.indent)
 		text := form.end + form.ahead + strings.ReplaceAll(b.String(), "\n", form.end) + form.end
 		for name, asked := range map[string]bool{"pushed": false, "asked for": true} {
 			t.Run(name+" "+form.name, func(t *testing.T) {
@@ -80,7 +81,7 @@
 						silent(w, r)
 					}
 					for _, line := range strings.SplitAfter(text, "\n") { // as they come from a slow writer
-						w.Write([]byte(line))
+						besteffort.Output(w.Write([]byte(line)))
 						w.(http.Flusher).Flush()
 					}
 				}, func(ctx context.Context, s *standIn) {
--- a/internal/registry/client/follow_test.go
+++ b/internal/registry/client/follow_test.go
@@ -14,6 +14,7 @@
 	"pgregory.net/rapid"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -107,7 +108,7 @@
 				inBubble(t, func(n int, w http.ResponseWriter, r *http.Request) {
 					switch n {
 					case 0, 3:
-						json.NewEncoder(w).Encode(registry.RecordsResponse{Index: uint64(7 + n), Epoch: "e", Records: []registry.Record{}})
+						besteffort.Encode(json.NewEncoder(w).Encode(registry.RecordsResponse{Index: uint64(7 + n), Epoch: "e", Records: []registry.Record{}}))
 					case 1, 2:
 						time.Sleep(how.after)
 						how.serve(w, r)
@@ -134,7 +135,7 @@
 func refuse(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 
 func cut(w http.ResponseWriter, _ *http.Request) {
-	io.WriteString(w, `{"index":43,"snapshot":true,"endpoi`)
+	besteffort.Output(io.WriteString(w, `{"index":43,"snapshot":true,"endpoi`))
 	w.(http.Flusher).Flush()
 	panic(http.ErrAbortHandler)
 }
--- a/internal/registry/client/platform_test.go
+++ b/internal/registry/client/platform_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -30,11 +31,11 @@
 		case 2:
 			panic(http.ErrAbortHandler) // a reset
 		case 3:
-			fmt.Fprint(w, `{"index":`)
+			besteffort.Output(fmt.Fprint(w, `{"index":`))
 		case 4:
 			<-r.Context().Done() // silent until the node gives up
 		case 5:
-			fmt.Fprintf(w, `{"index":43,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining"))
+			besteffort.Output(fmt.Fprintf(w, `{"index":43,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining")))
 		default:
 			<-r.Context().Done()
 		}
@@ -70,9 +71,9 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("from") {
 		case "": // the whole list
-			fmt.Fprint(w, `{"index":42,"snapshot":true,"endpoints":[]}`)
+			besteffort.Output(fmt.Fprint(w, `{"index":42,"snapshot":true,"endpoints":[]}`))
 		case "41":
-			fmt.Fprint(w, `{"index":50,"snapshot":false,"endpoints":[]}`)
+			besteffort.Output(fmt.Fprint(w, `{"index":50,"snapshot":false,"endpoints":[]}`))
 		default:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
--- a/internal/registry/client/standin_test.go
+++ b/internal/registry/client/standin_test.go
@@ -13,6 +13,7 @@
 	"testing/synctest"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -74,7 +75,7 @@
 			s.calls[n].over = s.now()
 			s.mu.Unlock()
 		}), ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
-		go s.server.Serve(s)
+		go func() { _ = s.server.Serve(s) }()
 		ctx, cancel := context.WithCancel(context.Background())
 		play(ctx, s)
 		cancel()
@@ -83,7 +84,7 @@
 		s.down = s.now() + time.Hour
 		close(s.conns)
 		s.mu.Unlock()
-		s.server.Close()
+		besteffort.Close(s.server)
 	})
 }
 
@@ -129,13 +130,13 @@
 func silent(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 func half(w http.ResponseWriter, r *http.Request) {
-	io.WriteString(w, `{"index":43,"snapshot":true,"endpoints":[{"name":"s","addr`)
+	besteffort.Output(io.WriteString(w, `{"index":43,"snapshot":true,"endpoints":[{"name":"s","addr`))
 	w.(http.Flusher).Flush()
 	silent(w, r)
 }
 
 // tell answers with a list of one server.
 func tell(w http.ResponseWriter, index uint64) {
-	json.NewEncoder(w).Encode(registry.ListResponse{Index: index, Epoch: "e", Snapshot: true,
-		Endpoints: []registry.Endpoint{{Name: "s", Address: "127.0.0.1:1", Status: registry.Ready}}})
+	besteffort.Encode(json.NewEncoder(w).Encode(registry.ListResponse{Index: index, Epoch: "e", Snapshot: true,
+		Endpoints: []registry.Endpoint{{Name: "s", Address: "127.0.0.1:1", Status: registry.Ready}}}))
 }
--- a/internal/registry/records_bench_test.go
+++ b/internal/registry/records_bench_test.go
@@ -42,7 +42,7 @@
 			"woken":    func(int) { s.RecordsSince("policy/", s.version, 1) },
 			"read-all": func(int) { s.Records("tenant/") },
 			"image":    func(int) { s.Snapshot() },
-			"snapshot": func(int) { s.EncodeSnapshot() },
+			"snapshot": func(int) { _, _ = s.EncodeSnapshot() },
 			"restore": func(int) {
 				if _, err := DecodeSnapshot(raw); err != nil {
 					b.Fatal(err)
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -123,8 +124,8 @@
 		}
 		defer func() { <-s.whole }()
 		send := http.NewResponseController(w)
-		send.SetWriteDeadline(time.Now().Add(wholeTime)) // a writer that knows none needs none
-		defer send.SetWriteDeadline(time.Time{})
+		besteffort.SocketOption(send.SetWriteDeadline(time.Now().Add(wholeTime))) // a writer that knows none needs none
+		defer func() { besteffort.SocketOption(send.SetWriteDeadline(time.Time{})) }()
 	}
 	head, entries, err := s.hub.answer(q)
 	if err != nil {
@@ -134,7 +135,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(head)+len(entries)+1))
 	for _, b := range [][]byte{head, entries, []byte("}")} {
-		w.Write(b) // a reader that has left needs nothing
+		besteffort.Response(w.Write(b)) // a reader that has left needs nothing
 	}
 }
 
--- a/internal/registry/server/backup.go
+++ b/internal/registry/server/backup.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net/http"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/checksumfile"
 	"wrenspread/internal/registry"
 )
@@ -25,7 +26,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Write(checksumfile.Encode(raw)) // a caller that has left needs nothing
+	besteffort.Response(w.Write(checksumfile.Encode(raw))) // a caller that has left needs nothing
 }
 
 // restore puts a backup in place of the list, under a new epoch. The call names
--- a/internal/registry/server/folder_test.go
+++ b/internal/registry/server/folder_test.go
@@ -16,6 +16,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/registry"
 )
@@ -87,7 +88,7 @@
 		if status, body := call(t, "GET", "http://"+address+"/registry/instances?current=1", ""); status == 200 {
 			err := json.Unmarshal([]byte(body), &a)
 			cancel()
-			<-ended
+			besteffort.Ended(<-ended)
 			return a, err
 		}
 	}
@@ -101,7 +102,7 @@
 	close(stop)
 	go func() {
 		defer close(ended)
-		patient{failing{}, slog.New(slog.DiscardHandler), stop}.SetUint64(nil, 1)
+		_ = patient{failing{}, slog.New(slog.DiscardHandler), stop}.SetUint64(nil, 1)
 		t.Error("raft is told of an error")
 	}()
 	<-ended
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -55,8 +55,8 @@
 func FuzzReadEntry(f *testing.F) {
 	f.Add(uint64(1), []byte{0x80})
 	f.Fuzz(func(t *testing.T, index uint64, v []byte) {
-		defer func() { recover() }() // as where a log is opened: raft panics at its own entries
-		readEntry(binary.BigEndian.AppendUint64(nil, index), v)
+		defer func() { _ = recover() }() // as where a log is opened: raft panics at its own entries
+		_, _ = readEntry(binary.BigEndian.AppendUint64(nil, index), v)
 	})
 }
 
@@ -73,7 +73,7 @@
 	s.tasks.Go(func() { s.dutyHub.run(s.ctx.Done()) })
 	s.tasks.Go(s.followLeader)
 	s.http = &http.Server{}
-	f.Cleanup(func() { s.end() })
+	f.Cleanup(func() { _ = s.end() })
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		if _, epoch := s.hub.has(); epoch != "" {
 			break
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -8,6 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/checksumfile"
 	"wrenspread/internal/registry"
 )
@@ -79,7 +80,7 @@
 
 // Restore puts a snapshot in place of the state.
 func (m *machine) Restore(in io.ReadCloser) error {
-	defer in.Close()
+	defer besteffort.Close(in)
 	raw, err := io.ReadAll(io.LimitReader(in, maxSnapshot))
 	if err != nil {
 		return fmt.Errorf("reading a snapshot: %w", err)
@@ -110,7 +111,7 @@
 		_, err = out.Write(raw)
 	}
 	if err != nil {
-		out.Cancel()
+		err = errors.Join(err, out.Cancel())
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
 	return out.Close()
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -13,6 +13,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -112,8 +113,8 @@
 	if err != nil {
 		return false
 	}
-	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)) // for the connection's sake alone
+	defer besteffort.Close(resp.Body)
+	besteffort.Drained(io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)))
 	return resp.StatusCode == http.StatusOK
 }
 
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -13,6 +13,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -49,8 +50,8 @@
 	}
 	r.store = store
 	if r.found, err = store.LastIndex(); err != nil {
-		store.Close()
-		lock.Close()
+		besteffort.Close(store)
+		besteffort.Close(lock)
 		return nil, fmt.Errorf("the log in %s: %w", c.Folder, err)
 	}
 	r.closers = append(r.closers, store, lock)
@@ -201,7 +202,7 @@
 // stop hands leadership on, if there is whom to, and ends.
 func (r *replica) stop() error {
 	if servers, err := r.servers(); err == nil && len(servers) > 1 && r.leads() {
-		r.raft.LeadershipTransfer().Error() // without a successor the others elect one in their time
+		_ = r.raft.LeadershipTransfer().Error() // without a successor the others elect a leader after a timeout
 	}
 	close(r.ending)
 	ended := make(chan error, 1)
@@ -218,7 +219,7 @@
 
 func (r *replica) close() {
 	for _, c := range r.closers {
-		c.Close()
+		besteffort.Close(c)
 	}
 	r.closers = nil
 }
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -12,6 +12,7 @@
 	"sync"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -61,7 +62,7 @@
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	defer s.stop()
 	if err := s.open(); err != nil {
-		ln.Close()
+		besteffort.Close(ln)
 		return err
 	}
 	s.tasks.Go(func() { s.hub.run(s.ctx.Done()) })
@@ -159,7 +160,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), endTime)
 	defer cancel()
 	if e := s.http.Shutdown(ctx); e != nil {
-		s.http.Close()
+		besteffort.Close(s.http)
 	}
 	s.tasks.Wait()
 	return err
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/link"
 	"wrenspread/internal/registry"
 )
@@ -66,7 +67,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	raw, _ := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(raw)
 }
@@ -186,7 +187,7 @@
 	if a := read(t, url, fmt.Sprintf("?from=%d", ahead)); a.Index < ahead || len(a.Endpoints) > 0 {
 		t.Errorf("a reader that is ahead, without an epoch, gets %+v", a)
 	}
-	go http.Get(url + fmt.Sprintf("/registry/instances?from=%d&hold_ms=60000", ahead)) // ends with the replica
+	go func() { _, _ = http.Get(url + fmt.Sprintf("/registry/instances?from=%d&hold_ms=60000", ahead)) }() // ends with the replica
 	for until := time.Now().Add(enough); ; {
 		if _, body := call(t, "GET", url+"/metrics", ""); strings.Contains(body, "indigolist_watchers 1\n") {
 			break
@@ -206,9 +207,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer raw.Close()
-	io.WriteString(raw, "\x00\x01 nonsense\r\n\r\n")
-	raw.SetReadDeadline(time.Now().Add(enough))
+	defer besteffort.Close(raw)
+	besteffort.Output(io.WriteString(raw, "\x00\x01 nonsense\r\n\r\n"))
+	besteffort.SocketOption(raw.SetReadDeadline(time.Now().Add(enough)))
 	if b, err := io.ReadAll(raw); err != nil || !strings.HasPrefix(string(b), "HTTP/1.1 400") {
 		t.Errorf("nonsense gets %q, %v", b, err)
 	}
--- a/internal/registry/server/store.go
+++ b/internal/registry/server/store.go
@@ -17,6 +17,7 @@
 	"go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/checksumfile"
 )
 
@@ -48,7 +49,7 @@
 		err = fmt.Errorf("%s: %w", path, err)
 	}
 	if err != nil {
-		lock.Close()
+		besteffort.Close(lock)
 		return nil, nil, err
 	}
 	return store, lock, nil
@@ -65,7 +66,7 @@
 			return f, nil
 		}
 		if time.Now().After(until) {
-			f.Close()
+			besteffort.Close(f)
 			return nil, fmt.Errorf("folder %s: another process holds it: %w", folder, err)
 		}
 	}
@@ -108,12 +109,12 @@
 	if err != nil {
 		return fmt.Errorf("the log can't be read: %w", err)
 	}
-	defer old.Close()
+	defer besteffort.Close(old)
 	into, err := raftboltdb.New(raftboltdb.Options{Path: fresh, BoltOptions: &bbolt.Options{Timeout: openTime}, NoSync: true})
 	if err != nil {
 		return err
 	}
-	defer into.Close()
+	defer besteffort.Close(into)
 	err = old.View(func(tx *bbolt.Tx) error {
 		if says := tx.Size(); says > size {
 			return fmt.Errorf("the log is damaged: it was cut short, from %d bytes to %d", says, size)
@@ -197,8 +198,12 @@
 	if err := into.GetLog(last, &e); err != nil {
 		return err
 	}
-	if term, err := into.GetUint64([]byte("CurrentTerm")); err != nil || term < e.Term {
-		return fmt.Errorf("the log is damaged: its term is %d, that of the last entry %d (%v)", term, e.Term, err)
+	term, err := into.GetUint64([]byte("CurrentTerm"))
+	if err != nil {
+		return fmt.Errorf("the log is damaged: its term can't be read: %w", err)
+	}
+	if term < e.Term {
+		return fmt.Errorf("the log is damaged: its term is %d, that of the last entry %d", term, e.Term)
 	}
 	return nil
 }
--- a/internal/registry/server/writes.go
+++ b/internal/registry/server/writes.go
@@ -15,6 +15,7 @@
 	"strconv"
 	"time"
 
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/registry"
 )
 
@@ -42,7 +43,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	w.Write(raw) // a caller that has left needs nothing
+	besteffort.Response(w.Write(raw)) // a caller that has left needs nothing
 }
 
 // forwarded marks a call that another replica has passed on.
--- a/internal/registry/size_bench_test.go
+++ b/internal/registry/size_bench_test.go
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprint("snapshot/", n), func(b *testing.B) {
 			b.ReportMetric(float64(len(raw)), "bytes")
 			for range b.N {
-				s.EncodeSnapshot()
+				_, _ = s.EncodeSnapshot()
 			}
 		})
 		b.Run(fmt.Sprint("restore/", n), func(b *testing.B) {
--- a/internal/release/servers.go
+++ b/internal/release/servers.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"wrenspread/internal/agent"
+	"wrenspread/internal/besteffort"
 	"wrenspread/internal/fencing"
 	"wrenspread/internal/registry"
 	"wrenspread/internal/registry/client"
@@ -154,7 +155,7 @@
 	if err != nil {
 		return fmt.Errorf("node %s: %w", n.Name, err)
 	}
-	resp.Body.Close()
+	besteffort.Close(resp.Body)
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusNotFound: // one that does not know the server sends it nothing
 		return nil
@@ -174,7 +175,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer resp.Body.Close()
+	defer besteffort.Close(resp.Body)
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxStats))
 	return string(raw), err
 }
--- a/internal/sim/membership/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -75,7 +75,7 @@
 	if f.Bend != nil {
 		f.Bend(&cfg)
 	}
-	core := Core(nil)
+	var core Core
 	if f.Core != nil {
 		core = f.Core(cfg, now)
 	} else {
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -93,7 +93,7 @@
 		f.sizes[name] = size
 		f.World.Add(name, func(time.Duration) sim.Actor {
 			n := &node{fleet: f, name: name, highest: map[string]uint64{}}
-			fmt.Sscanf(name, "n%d", &n.self)
+			_, _ = fmt.Sscanf(name, "n%d", &n.self) // names are made here
 			n.self--
 			n.at = n.self % len(f.Replicas)
 			f.nodes[name] = n
--- /dev/null
+++ b/internal/socketoption/socketoption.go
@@ -0,0 +1,56 @@
+// Package socketoption asks the system about the state of sockets, without taking data from their readers.
+package socketoption
+
+import (
+	"syscall"
+
+	"golang.org/x/sys/unix"
+
+	"wrenspread/internal/besteffort"
+)
+
+// Readable reports whether a read or an accept would not block: there is a connection, data or an end of the
+// stream. It does not wait. It returns false for what is not an open socket.
+func Readable(socket any) bool {
+	raw := rawConn(socket)
+	if raw == nil {
+		return false
+	}
+	poll := []unix.PollFd{{Events: unix.POLLIN}}
+	besteffort.SocketOption(raw.Control(func(fd uintptr) {
+		poll[0].Fd = int32(fd)
+		_, _ = unix.Poll(poll, 0) // after an error nothing is known to be readable
+	}))
+	return poll[0].Revents&unix.POLLIN != 0
+}
+
+// Await waits until a socket has data to be read. It returns false if none will come: the stream has ended,
+// or this is not an open socket.
+func Await(socket any) bool {
+	raw := rawConn(socket)
+	if raw == nil {
+		return false
+	}
+	available := 0
+	err := raw.Read(func(fd uintptr) (done bool) {
+		var peeked [1]byte
+		var err error
+		available, _, err = syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		// a system call's own error is not wrapped
+		return err != syscall.EAGAIN && err != syscall.EINTR //nolint:errorlint
+	})
+	return err == nil && available > 0
+}
+
+// rawConn returns nil for what is not an open socket.
+func rawConn(socket any) syscall.RawConn {
+	conn, ok := socket.(syscall.Conn)
+	if !ok {
+		return nil
+	}
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return nil
+	}
+	return raw
+}
--- a/internal/tenant/publish.go
+++ b/internal/tenant/publish.go
@@ -101,7 +101,7 @@
 		if e != nil && was != nil {
 			e.unknownFields = was.unknownFields
 		}
-		if e.equivalent(was) && !(anew && e != nil) {
+		if e.equivalent(was) && (!anew || e == nil) {
 			if e != nil {
 				was.Current, was.Next = e.Current, e.Next // the next comparison is one of pointers
 			}
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -140,7 +140,7 @@
 		return nil, fmt.Errorf("tenant: record %q of form %d, this program knows %d", t.Name, t.Format, format)
 	}
 	served := t.State == Active || t.State == Suspended || t.State == Changing || t.State == Switching || t.State == Draining
-	if !served && !(t.State == Reserved && t.Next != nil) && t.State != Rejected && t.State != Removed || served && t.Current == nil {
+	if !served && (t.State != Reserved || t.Next == nil) && t.State != Rejected && t.State != Removed || served && t.Current == nil {
 		return nil, fmt.Errorf("tenant: %s is %q and lacks a form", t.Name, t.State)
 	}
 	return t, nil
--- a/internal/tenant/rules_test.go
+++ b/internal/tenant/rules_test.go
@@ -134,7 +134,7 @@
 	n.wake(func() {
 		told, by := w.truth.told[name+" "+class], "x-"+name
 		if k := -1; w.seq%2 == 0 {
-			if fmt.Sscanf(w.truth.told[name+" a"], "z%d", &k); k >= 0 {
+			if _, _ = fmt.Sscanf(w.truth.told[name+" a"], "z%d", &k); k >= 0 {
 				by = alias(name, k)
 			}
 		}
@@ -192,7 +192,7 @@
 // checkCut checks that requests are cut off only of what goes, or where the hold is over.
 func (w *world) checkCut(n *node, name string) {
 	d := n.desk
-	if s := w.truth.state[name]; (s == Active || s == Suspended) && !w.removed[name] && !(d.maxStaleness > 0 && n.clock() >= d.stopServingAt()) {
+	if s := w.truth.state[name]; (s == Active || s == Suspended) && !w.removed[name] && (d.maxStaleness <= 0 || n.clock() < d.stopServingAt()) {
 		w.fail("%s cuts requests of %s, which is %s", n.name, name, s)
 	}
 }
--- a/internal/timeline/cell.go
+++ b/internal/timeline/cell.go
@@ -35,8 +35,8 @@
 	for _, k := range kinds {
 		var named []string
 		for _, o := range k.objects {
-			switch n := k.times[o]; {
-			case o == "":
+			switch n := k.times[o]; o {
+			case "":
 				out = append(out, k.word+times(n))
 			default:
 				named = append(named, o+times(n))
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Formatting, vet, and all tests under the race detector. Needs the Go tool chain, a C compiler and, once, the module mirror.
+# Formatting, linter and all tests under the race detector. Needs the Go tool chain, a C compiler and, once, the module
+# mirror.
 set -eu
 cd "$(dirname "$0")"
 export GOFLAGS=-buildvcs=false GOTOOLCHAIN=local
@@ -10,4 +11,5 @@
 fi
 go mod download
 go vet ./...
+go tool -modfile=tools/go.mod golangci-lint run --timeout 5m ./...
 go test -race -count=1 ./...
