--- a/cmd/wrenspread-agent/main.go
+++ b/cmd/wrenspread-agent/main.go
@@ -31,7 +31,11 @@
 			if err := config.Load(&settings, c.Flags()); err != nil {
 				return err
 			}
-			return agent.Run(c.Context(), settings, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("machine", settings.Machine))
+			return agent.Run(
+				c.Context(),
+				settings,
+				slog.New(slog.NewTextHandler(os.Stderr, nil)).With("machine", settings.Machine),
+			)
 		},
 	}
 	c.Flags().String(config.FileFlag, "", "a TOML file; flags win over it")
--- a/cmd/wrenspread-controller/main.go
+++ b/cmd/wrenspread-controller/main.go
@@ -32,7 +32,11 @@
 			if err := config.Load(&settings, c.Flags()); err != nil {
 				return err
 			}
-			return controller.Run(c.Context(), settings, slog.New(slog.NewTextHandler(os.Stderr, nil)).With("process", settings.Process))
+			return controller.Run(
+				c.Context(),
+				settings,
+				slog.New(slog.NewTextHandler(os.Stderr, nil)).With("process", settings.Process),
+			)
 		},
 	}
 	c.Flags().String(config.FileFlag, "", "a TOML file; flags win over it")
--- a/cmd/wrenspread-lab/commands.go
+++ b/cmd/wrenspread-lab/commands.go
@@ -26,7 +26,8 @@
 func (f *flags) add(c *cobra.Command) {
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "the seed of world, load, emulated work and drawn faults")
 	c.Flags().StringVar(&f.out, "out", "logs/lab", "the folder under which each run gets one of its own")
-	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the wrenspread-proxy to play with (default: beside wrenspread-lab, or built from the project)")
+	c.Flags().
+		StringVar(&f.bin, "bin", "", "the folder with the wrenspread-proxy to play with (default: beside wrenspread-lab, or built from the project)")
 	c.Flags().IntVar(&f.repeat, "repeat", 1, "play so many seeds, from --seed on")
 }
 
@@ -70,7 +71,9 @@
 			if err != nil {
 				return unplayed{err}
 			}
-			besteffort.Output(fmt.Fprintln(c.ErrOrStderr(), "3 nodes, 10 boxes; n1 is killed at 5 s and started again at 8 s"))
+			besteffort.Output(
+				fmt.Fprintln(c.ErrOrStderr(), "3 nodes, 10 boxes; n1 is killed at 5 s and started again at 8 s"),
+			)
 			return f.play(c, e)
 		},
 	}
@@ -105,7 +108,17 @@
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 			for _, e := range all {
-				besteffort.Output(fmt.Fprintf(t, "%s\t%v\t%d nodes, %d boxes\t%s\n", e.Name, time.Duration(e.Length), e.Fleet.Nodes, e.Fleet.Boxes, e.About))
+				besteffort.Output(
+					fmt.Fprintf(
+						t,
+						"%s\t%v\t%d nodes, %d boxes\t%s\n",
+						e.Name,
+						time.Duration(e.Length),
+						e.Fleet.Nodes,
+						e.Fleet.Boxes,
+						e.About,
+					),
+				)
 			}
 			besteffort.Encode(t.Flush())
 			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "\nfaults:"))
@@ -157,7 +170,9 @@
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 			for _, s := range e.Schedule(seed) {
-				besteffort.Output(fmt.Fprintf(t, "%v\t%v\t%s\t%v\t%v\n", time.Duration(s.At), time.Duration(s.For), s.Name, s.On, s.To))
+				besteffort.Output(
+					fmt.Fprintf(t, "%v\t%v\t%s\t%v\t%v\n", time.Duration(s.At), time.Duration(s.For), s.Name, s.On, s.To),
+				)
 			}
 			return t.Flush()
 		},
--- a/cmd/wrenspread-lab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -51,17 +51,24 @@
 	c.Flags().IntVar(&f.crew.Workers, "workers", 3, "processes")
 	c.Flags().IntVar(&f.crew.Duties, "duties", 2, "that all of them want")
 	c.Flags().DurationVar(&f.crew.TTL, "ttl", time.Second, "of their sessions")
-	c.Flags().DurationVar(&f.crew.Deaf, "deaf", 0, "a broken stand-in: work goes on for so long after it is told to stop")
+	c.Flags().
+		DurationVar(&f.crew.Deaf, "deaf", 0, "a broken stand-in: work goes on for so long after it is told to stop")
 	c.Flags().StringVar(&f.guard, "guard", "by-seed", "does the resource check fences: yes, no or by-seed")
 	c.Flags().DurationVar(&f.length, "length", 8*time.Second, "of each run's faults")
 	c.Flags().StringVar(&f.out, "out", "logs/lab", "the folder under which each run gets one of its own")
-	c.Flags().StringVar(&f.bin, "bin", "", "the folder with the wrenspread-registry to play with (default: beside wrenspread-lab, or built from the project)")
+	c.Flags().
+		StringVar(&f.bin, "bin", "", "the folder with the wrenspread-registry to play with (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
 func (f *dutyFlags) play(c *cobra.Command) error {
-	if f.runs < 1 || f.together < 1 || f.crew.Workers < 1 || f.crew.Duties < 1 || f.length < time.Second || (f.replicas != 1 && f.replicas != 3 && f.replicas != 5) {
-		return unplayed{errors.New("--runs, --together, --workers and --duties are 1 or more, --length 1s or more, --replicas 1, 3 or 5")}
+	if f.runs < 1 || f.together < 1 || f.crew.Workers < 1 || f.crew.Duties < 1 || f.length < time.Second ||
+		(f.replicas != 1 && f.replicas != 3 && f.replicas != 5) {
+		return unplayed{
+			errors.New(
+				"--runs, --together, --workers and --duties are 1 or more, --length 1s or more, --replicas 1, 3 or 5",
+			),
+		}
 	}
 	program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
 	if err != nil {
@@ -74,12 +81,22 @@
 		grants.Add(int64(o.Grants))
 		return outcome{o.Line(), len(o.Broken) > 0, o.Unsure}, err
 	}, func(t tally, unplayed int) string {
-		return fmt.Sprintf("%d runs of %v, %d passed, %d broken, %d not played or not decided, %d grants", f.runs, f.length, t.passed, t.broken, t.unsure+unplayed, grants.Load())
+		return fmt.Sprintf(
+			"%d runs of %v, %d passed, %d broken, %d not played or not decided, %d grants",
+			f.runs,
+			f.length,
+			t.passed,
+			t.broken,
+			t.unsure+unplayed,
+			grants.Load(),
+		)
 	})
 }
 
 func (f *dutyFlags) one(ctx context.Context, program string, seed uint64) (leases.Outcome, error) {
-	dir, err := filepath.Abs(filepath.Join(f.out, fmt.Sprintf("duties-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))))
+	dir, err := filepath.Abs(
+		filepath.Join(f.out, fmt.Sprintf("duties-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))),
+	)
 	if err != nil {
 		return leases.Outcome{}, err
 	}
@@ -90,7 +107,17 @@
 	crew := f.crew
 	crew.Command = []string{own, "duty-worker"}
 	crew.Guarded = f.guard == "yes" || f.guard == "by-seed" && seed%2 == 0
-	return leases.Play(ctx, leases.Options{Crew: crew, Seed: seed, Replicas: f.replicas, Length: f.length, Dir: dir, List: []string{program}})
+	return leases.Play(
+		ctx,
+		leases.Options{
+			Crew:     crew,
+			Seed:     seed,
+			Replicas: f.replicas,
+			Length:   f.length,
+			Dir:      dir,
+			List:     []string{program},
+		},
+	)
 }
 
 func dutyCostCommand() *cobra.Command {
@@ -116,7 +143,13 @@
 				return unplayed{err}
 			}
 			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-			o := leases.Options{Seed: 1, Replicas: 3, Dir: dir, List: []string{program}, Crew: leases.CrewOptions{Workers: 3, TTL: time.Second, Command: []string{own, "duty-worker"}}}
+			o := leases.Options{
+				Seed:     1,
+				Replicas: 3,
+				Dir:      dir,
+				List:     []string{program},
+				Crew:     leases.CrewOptions{Workers: 3, TTL: time.Second, Command: []string{own, "duty-worker"}},
+			}
 			if err := dutyCost(c.Context(), c.OutOrStdout(), o, times); err != nil {
 				return unplayed{err}
 			}
@@ -124,7 +157,8 @@
 		},
 	}
 	c.Flags().IntVar(&times, "times", 50, "how many times each kind of change is made")
-	c.Flags().StringVar(&bin, "bin", "", "the folder with the wrenspread-registry to measure (default: beside wrenspread-lab, or built from the project)")
+	c.Flags().
+		StringVar(&bin, "bin", "", "the folder with the wrenspread-registry to measure (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
@@ -148,8 +182,19 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			besteffort.Output(fmt.Fprintf(w, "%-8s %d changes: without a holder for %v in the median, %v at the worst; %v on paper\n", kind, len(all),
-				all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond), leases.Bound(kind, o.Crew.TTL, election)))
+			besteffort.Output(
+				fmt.Fprintf(
+					w,
+					"%-8s %d changes: without a holder for %v in the median, %v at the worst; %v on paper\n",
+					kind,
+					len(all),
+					all[len(all)/2].Round(
+						time.Millisecond,
+					),
+					all[len(all)-1].Round(time.Millisecond),
+					leases.Bound(kind, o.Crew.TTL, election),
+				),
+			)
 			return nil
 		})
 	}
@@ -162,8 +207,16 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		besteffort.Output(fmt.Fprintf(w, "%d candidates at one duty, %d changes: %v in the median, %v at the worst\n", contestants, len(all),
-			all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond)))
+		besteffort.Output(
+			fmt.Fprintf(
+				w,
+				"%d candidates at one duty, %d changes: %v in the median, %v at the worst\n",
+				contestants,
+				len(all),
+				all[len(all)/2].Round(time.Millisecond),
+				all[len(all)-1].Round(time.Millisecond),
+			),
+		)
 		return nil
 	})
 	if err := g.Wait(); err != nil {
@@ -176,8 +229,18 @@
 		if err != nil {
 			return fmt.Errorf("%d duties: %w", n, err)
 		}
-		besteffort.Output(fmt.Fprintf(w, "%4d duties in 10 processes: held after %v, %d to %d by each; workers take %v of processor a second in all, replicas %v\n", c.Duties, c.Settled.Round(10*time.Millisecond),
-			c.Held[0], c.Held[len(c.Held)-1], c.Workers.Round(100*time.Microsecond), c.Replicas.Round(100*time.Microsecond)))
+		besteffort.Output(
+			fmt.Fprintf(
+				w,
+				"%4d duties in 10 processes: held after %v, %d to %d by each; workers take %v of processor a second in all, replicas %v\n",
+				c.Duties,
+				c.Settled.Round(10*time.Millisecond),
+				c.Held[0],
+				c.Held[len(c.Held)-1],
+				c.Workers.Round(100*time.Microsecond),
+				c.Replicas.Round(100*time.Microsecond),
+			),
+		)
 	}
 	return nil
 }
--- a/cmd/wrenspread-lab/main.go
+++ b/cmd/wrenspread-lab/main.go
@@ -51,6 +51,23 @@
 		Args:          cobra.NoArgs,
 		RunE:          func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(demoCommand(), runCommand(), listCommand(), checkCommand(), compareCommand(), allCommand(), scheduleCommand(), quorumCommand(), listCostCommand(), dutiesCommand(), dutyCostCommand(), dutyWorkerCommand(), boxesCommand(), costCommand(), simCommand(), scaleCommand())
+	c.AddCommand(
+		demoCommand(),
+		runCommand(),
+		listCommand(),
+		checkCommand(),
+		compareCommand(),
+		allCommand(),
+		scheduleCommand(),
+		quorumCommand(),
+		listCostCommand(),
+		dutiesCommand(),
+		dutyCostCommand(),
+		dutyWorkerCommand(),
+		boxesCommand(),
+		costCommand(),
+		simCommand(),
+		scaleCommand(),
+	)
 	return c
 }
--- a/cmd/wrenspread-lab/play.go
+++ b/cmd/wrenspread-lab/play.go
@@ -33,12 +33,29 @@
 
 // play plays one run, writes its report and prints its line.
 func (p *player) play(ctx context.Context, e *spec.Experiment, seed uint64) (report.Result, error) {
-	dir := filepath.Join(p.dir, fmt.Sprintf("%s-%d-%s", e.Name, seed, time.Now().UTC().Format("20060102T150405.000")))
+	dir := filepath.Join(
+		p.dir,
+		fmt.Sprintf("%s-%d-%s", e.Name, seed, time.Now().UTC().Format("20060102T150405.000")),
+	)
 	live := newLive(p.log, e.Name)
-	run, err := fleet.Play(ctx, fleet.Options{Experiment: e, Seed: seed, Dir: dir, Node: []string{p.node}, List: []string{p.list}, Keeper: []string{p.keeper}, Ctl: []string{p.ctl}, Follow: live.follow})
+	run, err := fleet.Play(
+		ctx,
+		fleet.Options{
+			Experiment: e,
+			Seed:       seed,
+			Dir:        dir,
+			Node:       []string{p.node},
+			List:       []string{p.list},
+			Keeper:     []string{p.keeper},
+			Ctl:        []string{p.ctl},
+			Follow:     live.follow,
+		},
+	)
 	live.end()
 	if err != nil {
-		besteffort.Output(fmt.Fprintf(p.out, "VOID %s: seed %d, could not be played: %s\n", e.Name, seed, oneLine(err)))
+		besteffort.Output(
+			fmt.Fprintf(p.out, "VOID %s: seed %d, could not be played: %s\n", e.Name, seed, oneLine(err)),
+		)
 		return report.Unplayed, unplayed{fmt.Errorf("%s: %w", e.Name, err)}
 	}
 	page, err := run.Write(dir)
@@ -88,8 +105,18 @@
 		if len(experiments) == 1 {
 			name = experiments[0].Name
 		}
-		besteffort.Output(fmt.Fprintf(p.out, "%s %s: %d runs, %d passed, %d failed, %d do not count\n", words[worst], name, runs, counts[report.Pass],
-			counts[report.Fail], counts[report.Unplayed]))
+		besteffort.Output(
+			fmt.Fprintf(
+				p.out,
+				"%s %s: %d runs, %d passed, %d failed, %d do not count\n",
+				words[worst],
+				name,
+				runs,
+				counts[report.Pass],
+				counts[report.Fail],
+				counts[report.Unplayed],
+			),
+		)
 	}
 	switch {
 	case worst == report.Fail:
@@ -206,8 +233,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.n
-	text := fmt.Sprintf("%s %5.1f s: ended %d, served %d, refused %d, failed %d; faults on: %s", l.name, l.at.Seconds(), n["all"], n[history.Served],
-		n[history.Refused], n["all"]-n[history.Served]-n[history.Refused], cmp.Or(strings.Join(l.on, ", "), "none"))
+	text := fmt.Sprintf(
+		"%s %5.1f s: ended %d, served %d, refused %d, failed %d; faults on: %s",
+		l.name,
+		l.at.Seconds(),
+		n["all"],
+		n[history.Served],
+		n[history.Refused],
+		n["all"]-n[history.Served]-n[history.Refused],
+		cmp.Or(strings.Join(l.on, ", "), "none"),
+	)
 	if l.tty {
 		besteffort.Output(fmt.Fprintf(l.w, "\r\033[K%s", text))
 	} else {
--- a/cmd/wrenspread-lab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -17,7 +17,12 @@
 )
 
 // newPlayer finds the programs that the experiments need.
-func newPlayer(ctx context.Context, out, log io.Writer, bin, dir string, experiments []*spec.Experiment) (*player, func(), error) {
+func newPlayer(
+	ctx context.Context,
+	out, log io.Writer,
+	bin, dir string,
+	experiments []*spec.Experiment,
+) (*player, func(), error) {
 	node, done, err := findProgram(ctx, log, bin, "wrenspread-proxy")
 	if err != nil {
 		return nil, nil, err
@@ -60,7 +65,9 @@
 	if bin != "" {
 		path = filepath.Join(bin, name)
 		if !fileThere(path) {
-			return "", nil, unplayed{fmt.Errorf("--bin: there is no %s; to build it: go build -o %s ./cmd/*", path, bin)}
+			return "", nil, unplayed{
+				fmt.Errorf("--bin: there is no %s; to build it: go build -o %s ./cmd/*", path, bin),
+			}
 		}
 		return absolute(path, nothing)
 	}
@@ -109,11 +116,17 @@
 		return "", err
 	}
 	for at := dir; ; at = filepath.Dir(at) {
-		if raw, err := os.ReadFile(filepath.Join(at, "go.mod")); err == nil && strings.HasPrefix(string(raw), "module wrenspread-proxy\n") {
+		if raw, err := os.ReadFile(
+			filepath.Join(at, "go.mod"),
+		); err == nil &&
+			strings.HasPrefix(string(raw), "module wrenspread-proxy\n") {
 			return at, nil
 		}
 		if at == filepath.Dir(at) {
-			return "", fmt.Errorf("there is no wrenspread-proxy beside this program, and %s is not in the project's folder: run there, or name a folder with --bin", dir)
+			return "", fmt.Errorf(
+				"there is no wrenspread-proxy beside this program, and %s is not in the project's folder: run there, or name a folder with --bin",
+				dir,
+			)
 		}
 	}
 }
--- a/cmd/wrenspread-lab/scale.go
+++ b/cmd/wrenspread-lab/scale.go
@@ -37,26 +37,107 @@
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.PersistentFlags().StringVar(&f.run.Dir, "records", "docs/capacity", "the folder of the records")
-	c.PersistentFlags().StringVar(&f.run.Label, "label", scale.Before, "before or after: of the mechanism that the page compares")
-	c.PersistentFlags().StringVar(&f.run.Commit, "commit", "", "of the programs (default: the project's present one)")
-	c.PersistentFlags().StringVar(&f.run.Trial, "trial", "", "how the programs differ from the commit, where they are those of a trial")
+	c.PersistentFlags().
+		StringVar(&f.run.Label, "label", scale.Before, "before or after: of the mechanism that the page compares")
+	c.PersistentFlags().
+		StringVar(&f.run.Commit, "commit", "", "of the programs (default: the project's present one)")
+	c.PersistentFlags().
+		StringVar(&f.run.Trial, "trial", "", "how the programs differ from the commit, where they are those of a trial")
 	c.PersistentFlags().IntVar(&f.run.Repeat, "repeat", 3, "how often each figure is taken")
-	c.PersistentFlags().DurationVar(&f.rest, "rest", 5*time.Second, "for which processes are left alone, and for which nodes get changes")
-	c.PersistentFlags().BoolVar(&f.parts, "parts", false, "nodes and watchers follow their parts of the list alone")
-	c.PersistentFlags().StringVar(&f.bin, "bin", "", "the folder with the programs (default: beside wrenspread-lab, or built from the project)")
-	c.AddCommand(scalePageCommand(&f), scaleModuleCommand(&f), scaleEntriesCommand(&f), scaleRenewalsCommand(&f), scaleNodesCommand(&f), scaleHollowCommand(), scaleLatencyCommand(&f), scaleForceCommand(&f), scalePairsCommand(&f),
-		scaleWatchersCommand(&f, "watchers", "one replica of the list service by how many hollow nodes' clients watch it", []int{30, 100, 300, 1000, 4300}, 200, (*scale.Lists).Watchers),
-		scaleWatchersCommand(&f, "cold", "watchers without a list that come to one replica all at once", []int{30, 100, 300, 1000, 4300}, 2000, (*scale.Lists).Cold),
-		scaleWatchersCommand(&f, "lost", "the leader of three replicas killed under watchers, and a change", []int{30, 100, 300, 1000, 4300}, 200, (*scale.Lists).Lost),
-		scaleCoreCommand(&f, "view", "members", "the view of the fleet by its members, in the simulator", []int{10, 30, 100, 300, 1000}, scale.View),
-		scaleApartCommand(&f), scaleHarmCommand(&f), scaleBesideCommand(),
-		scaleCoreCommand(&f, "holders", "nodes", "the holder of shares killed with another in wait, in the pure cores, by nodes", []int{30, 100, 300, 1000, 4000}, scale.Holders),
-		scaleCoreCommand(&f, "tenants", "tenants", "a node's desk by the tenants of its catalogue", []int{50, 200, 800, 3200, 12800, 50000}, scale.Tenants),
-		scaleCoreCommand(&f, "tenants-demand", "tenants", "a node that reads the tenants that its requests name, and their conductor, by the tenants that there are", []int{200, 2000, 20000, 50000, 200000}, scale.TenantsOnDemand),
-		scaleCoreCommand(&f, "policy", "books", "a policy's text, its making and its table by the books that it names", []int{50, 200, 800, 1600, 3200}, scale.Policy),
-		scaleCoreCommand(&f, "constants", "", "what the programs refuse beyond", nil, func(ctx context.Context, run scale.Run, _ []int, say func(scale.Point)) error {
-			return scale.Constants(ctx, run, say)
-		}))
+	c.PersistentFlags().
+		DurationVar(&f.rest, "rest", 5*time.Second, "for which processes are left alone, and for which nodes get changes")
+	c.PersistentFlags().
+		BoolVar(&f.parts, "parts", false, "nodes and watchers follow their parts of the list alone")
+	c.PersistentFlags().
+		StringVar(&f.bin, "bin", "", "the folder with the programs (default: beside wrenspread-lab, or built from the project)")
+	c.AddCommand(
+		scalePageCommand(&f),
+		scaleModuleCommand(&f),
+		scaleEntriesCommand(&f),
+		scaleRenewalsCommand(&f),
+		scaleNodesCommand(&f),
+		scaleHollowCommand(),
+		scaleLatencyCommand(&f),
+		scaleForceCommand(&f),
+		scalePairsCommand(&f),
+		scaleWatchersCommand(
+			&f,
+			"watchers",
+			"one replica of the list service by how many hollow nodes' clients watch it",
+			[]int{30, 100, 300, 1000, 4300},
+			200,
+			(*scale.Lists).Watchers,
+		),
+		scaleWatchersCommand(
+			&f,
+			"cold",
+			"watchers without a list that come to one replica all at once",
+			[]int{30, 100, 300, 1000, 4300},
+			2000,
+			(*scale.Lists).Cold,
+		),
+		scaleWatchersCommand(
+			&f,
+			"lost",
+			"the leader of three replicas killed under watchers, and a change",
+			[]int{30, 100, 300, 1000, 4300},
+			200,
+			(*scale.Lists).Lost,
+		),
+		scaleCoreCommand(
+			&f,
+			"view",
+			"members",
+			"the view of the fleet by its members, in the simulator",
+			[]int{10, 30, 100, 300, 1000},
+			scale.View,
+		),
+		scaleApartCommand(&f),
+		scaleHarmCommand(&f),
+		scaleBesideCommand(),
+		scaleCoreCommand(
+			&f,
+			"holders",
+			"nodes",
+			"the holder of shares killed with another in wait, in the pure cores, by nodes",
+			[]int{30, 100, 300, 1000, 4000},
+			scale.Holders,
+		),
+		scaleCoreCommand(
+			&f,
+			"tenants",
+			"tenants",
+			"a node's desk by the tenants of its catalogue",
+			[]int{50, 200, 800, 3200, 12800, 50000},
+			scale.Tenants,
+		),
+		scaleCoreCommand(
+			&f,
+			"tenants-demand",
+			"tenants",
+			"a node that reads the tenants that its requests name, and their conductor, by the tenants that there are",
+			[]int{200, 2000, 20000, 50000, 200000},
+			scale.TenantsOnDemand,
+		),
+		scaleCoreCommand(
+			&f,
+			"policy",
+			"books",
+			"a policy's text, its making and its table by the books that it names",
+			[]int{50, 200, 800, 1600, 3200},
+			scale.Policy,
+		),
+		scaleCoreCommand(
+			&f,
+			"constants",
+			"",
+			"what the programs refuse beyond",
+			nil,
+			func(ctx context.Context, run scale.Run, _ []int, say func(scale.Point)) error {
+				return scale.Constants(ctx, run, say)
+			},
+		),
+	)
 	return c
 }
 
@@ -108,7 +189,8 @@
 	}
 	c.Flags().IntSliceVar(&backends, "backends", []int{200, 2000, 5000, 20000, 54000}, "how many there are")
 	c.Flags().IntSliceVar(&nodes, "nodes", []int{30, 100, 300, 1000, 4300}, "how many there are")
-	c.Flags().IntSliceVar(&placements, "placements", []int{4, 16, 64, 256}, "rules of placement, at 2,000 backends and 300 nodes")
+	c.Flags().
+		IntSliceVar(&placements, "placements", []int{4, 16, 64, 256}, "rules of placement, at 2,000 backends and 300 nodes")
 	return c
 }
 
@@ -143,7 +225,13 @@
 			case text == string(raw):
 				return nil
 			case check:
-				besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s differs from its records: make it with wrenspread-lab scale page\n", page))
+				besteffort.Output(
+					fmt.Fprintf(
+						c.OutOrStdout(),
+						"%s differs from its records: make it with wrenspread-lab scale page\n",
+						page,
+					),
+				)
 				return errRuleBroken
 			}
 			return told(os.WriteFile(page, []byte(text), 0o644))
--- a/cmd/wrenspread-lab/scale_force.go
+++ b/cmd/wrenspread-lab/scale_force.go
@@ -27,7 +27,8 @@
 	}
 	c.Flags().IntSliceVar(&nodes, "nodes", []int{30, 300, 1000}, "how many run")
 	c.Flags().IntVar(&all.Each, "each", 10, "changes of each kind")
-	c.Flags().BoolVar(&all.Fleet, "fleet", false, "in place of tenants and bans: what so many nodes take in one process, and when their views are whole")
+	c.Flags().
+		BoolVar(&all.Fleet, "fleet", false, "in place of tenants and bans: what so many nodes take in one process, and when their views are whole")
 	c.Flags().Float64Var(&all.Changes, "changes", 0, "of the list a second meanwhile, ten at once")
 	return c
 }
--- a/cmd/wrenspread-lab/scale_harm.go
+++ b/cmd/wrenspread-lab/scale_harm.go
@@ -30,18 +30,43 @@
 				return err
 			}
 			defer done()
-			p, found, err := newPlayer(c.Context(), c.OutOrStdout(), c.ErrOrStderr(), f.bin, dir, []*spec.Experiment{e})
+			p, found, err := newPlayer(
+				c.Context(),
+				c.OutOrStdout(),
+				c.ErrOrStderr(),
+				f.bin,
+				dir,
+				[]*spec.Experiment{e},
+			)
 			if err != nil {
 				return err
 			}
 			defer found()
-			return told(scale.Harm(c.Context(), f.run, e, func(ctx context.Context, e *spec.Experiment, seed uint64) (report.Run, error) {
-				run, err := os.MkdirTemp(dir, e.Name)
-				if err != nil {
-					return report.Run{}, err
-				}
-				return fleet.Play(ctx, fleet.Options{Experiment: e, Seed: seed, Dir: run, Node: []string{p.node}, List: []string{p.list}, Keeper: []string{p.keeper}})
-			}, saying(c)))
+			return told(
+				scale.Harm(
+					c.Context(),
+					f.run,
+					e,
+					func(ctx context.Context, e *spec.Experiment, seed uint64) (report.Run, error) {
+						run, err := os.MkdirTemp(dir, e.Name)
+						if err != nil {
+							return report.Run{}, err
+						}
+						return fleet.Play(
+							ctx,
+							fleet.Options{
+								Experiment: e,
+								Seed:       seed,
+								Dir:        run,
+								Node:       []string{p.node},
+								List:       []string{p.list},
+								Keeper:     []string{p.keeper},
+							},
+						)
+					},
+					saying(c),
+				),
+			)
 		},
 	}
 }
--- a/cmd/wrenspread-lab/scale_latency.go
+++ b/cmd/wrenspread-lab/scale_latency.go
@@ -31,7 +31,16 @@
 				return err
 			}
 			defer nodeDone()
-			l.Lists, l.Node = scale.Lists{Run: f.run, Dir: dir, Program: []string{list}, Parts: f.parts, Rest: f.rest, Say: saying(c)}, []string{node}
+			l.Lists, l.Node = scale.Lists{
+				Run:     f.run,
+				Dir:     dir,
+				Program: []string{list},
+				Parts:   f.parts,
+				Rest:    f.rest,
+				Say:     saying(c),
+			}, []string{
+				node,
+			}
 			return told(l.Measure(c.Context(), servers))
 		},
 	}
@@ -39,7 +48,9 @@
 	c.Flags().Float64Var(&l.Rate, "rate", 1.3e6/4300, "requests a second at the node")
 	c.Flags().DurationVar(&l.Length, "length", 30*time.Second, "of the requests that are counted")
 	c.Flags().IntVar(&l.Changes, "changes", 0, "of the list a second: a server restarts")
-	c.Flags().Float64Var(&l.PerNode, "per-node", 54000.0/4300, "servers to a node of the fleet that the node is told of")
-	c.Flags().Float64Var(&l.Use, "use", 0.25, "of what a node's part of the servers can do, by the requests' work")
+	c.Flags().
+		Float64Var(&l.PerNode, "per-node", 54000.0/4300, "servers to a node of the fleet that the node is told of")
+	c.Flags().
+		Float64Var(&l.Use, "use", 0.25, "of what a node's part of the servers can do, by the requests' work")
 	return c
 }
--- a/cmd/wrenspread-lab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -22,17 +22,38 @@
 		return err
 	}
 	defer built()
-	return told(do(c.Context(), &scale.Lists{Run: f.run, Dir: dir, Program: []string{program}, Parts: f.parts, Rest: f.rest, Say: saying(c)}))
+	return told(
+		do(
+			c.Context(),
+			&scale.Lists{
+				Run:     f.run,
+				Dir:     dir,
+				Program: []string{program},
+				Parts:   f.parts,
+				Rest:    f.rest,
+				Say:     saying(c),
+			},
+		),
+	)
 }
 
 // scaleWatchersCommand measures one replica, or three, by watchers.
-func scaleWatchersCommand(f *scaleFlags, name, short string, sizes []int, entries int, measure func(*scale.Lists, context.Context, []int, int) error) *cobra.Command {
+func scaleWatchersCommand(
+	f *scaleFlags,
+	name, short string,
+	sizes []int,
+	entries int,
+	measure func(*scale.Lists, context.Context, []int, int) error,
+) *cobra.Command {
 	c := &cobra.Command{
 		Use:   name,
 		Short: short,
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return f.lists(c, func(ctx context.Context, l *scale.Lists) error { return measure(l, ctx, sizes, entries) })
+			return f.lists(
+				c,
+				func(ctx context.Context, l *scale.Lists) error { return measure(l, ctx, sizes, entries) },
+			)
 		},
 	}
 	c.Flags().IntSliceVar(&sizes, "watchers", sizes, "how many watch")
@@ -69,7 +90,12 @@
 }
 
 // scaleCoreCommand measures a part of a node alone, in this process.
-func scaleCoreCommand(f *scaleFlags, name, along, short string, sizes []int, measure func(context.Context, scale.Run, []int, func(scale.Point)) error) *cobra.Command {
+func scaleCoreCommand(
+	f *scaleFlags,
+	name, along, short string,
+	sizes []int,
+	measure func(context.Context, scale.Run, []int, func(scale.Point)) error,
+) *cobra.Command {
 	c := &cobra.Command{
 		Use:   name,
 		Short: short,
@@ -97,7 +123,14 @@
 // scaleApartCommand measures the view after regions that were apart.
 func scaleApartCommand(f *scaleFlags) *cobra.Command {
 	cut := time.Hour
-	c := scaleCoreCommand(f, "apart", "members", "the view of the fleet once its halves were apart, with changes on both sides, in the simulator", []int{30, 100, 300}, scale.Apart(&cut))
+	c := scaleCoreCommand(
+		f,
+		"apart",
+		"members",
+		"the view of the fleet once its halves were apart, with changes on both sides, in the simulator",
+		[]int{30, 100, 300},
+		scale.Apart(&cut),
+	)
 	c.Flags().DurationVar(&cut, "cut", cut, "for which they are apart, on the simulator's clock")
 	return c
 }
--- a/cmd/wrenspread-lab/scale_nodes.go
+++ b/cmd/wrenspread-lab/scale_nodes.go
@@ -57,7 +57,14 @@
 				defer nodeDone()
 				n.Start = []string{node}
 			}
-			n.Lists, n.Kind = scale.Lists{Run: f.run, Dir: dir, Program: []string{list}, Parts: f.parts, Rest: f.rest, Say: saying(c)}, kind
+			n.Lists, n.Kind = scale.Lists{
+				Run:     f.run,
+				Dir:     dir,
+				Program: []string{list},
+				Parts:   f.parts,
+				Rest:    f.rest,
+				Say:     saying(c),
+			}, kind
 			var sizes []scale.Sizes
 			for _, m := range nodes {
 				for _, b := range backends {
@@ -80,12 +87,14 @@
 	}
 	c.Flags().StringVar(&kind, "kind", "hollow", "hollow or real")
 	c.Flags().IntSliceVar(&nodes, "nodes", []int{10}, "how many run")
-	c.Flags().IntSliceVar(&backends, "backends", []int{200, 1000, 2000, 5000, 10000, 20000}, "how many there are")
+	c.Flags().
+		IntSliceVar(&backends, "backends", []int{200, 1000, 2000, 5000, 10000, 20000}, "how many there are")
 	c.Flags().BoolVar(&zone, "zone", false, "a seventh of the backends is gone at once, and back at once")
 	c.Flags().BoolVar(&rack, "rack", false, "the plan's rack is gone at once: nodes are killed, backends expire")
 	c.Flags().BoolVar(&roll, "roll", false, "nodes and backends are replaced by the second")
 	c.MarkFlagsMutuallyExclusive("zone", "rack", "roll")
-	c.Flags().IntSliceVar(&restarts, "restarts", []int{625, 12500, 58300}, "an hour, of nodes and backends in the plan's proportion, with --roll")
+	c.Flags().
+		IntSliceVar(&restarts, "restarts", []int{625, 12500, 58300}, "an hour, of nodes and backends in the plan's proportion, with --roll")
 	c.Flags().DurationVar(&last, "last", time.Minute, "of a roll")
 	c.Flags().BoolVar(&n.View, "view", true, "they keep the view of the fleet")
 	c.Flags().IntVar(&n.Watchers, "watchers", 0, "further hollow clients at the replica")
--- a/cmd/wrenspread-lab/scale_pairs.go
+++ b/cmd/wrenspread-lab/scale_pairs.go
@@ -16,7 +16,11 @@
 	c := &cobra.Command{
 		Use:   "pairs backends|tenants|routes",
 		Short: "hollow nodes and their replica by nodes and backends together, or by nodes and tenants; a node's decisions by services and routes",
-		Args:  cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs), ValidArgs: []string{"backends", "tenants", "routes"},
+		Args: cobra.MatchAll(
+			cobra.ExactArgs(1),
+			cobra.OnlyValidArgs,
+		),
+		ValidArgs: []string{"backends", "tenants", "routes"},
 		RunE: func(c *cobra.Command, args []string) error {
 			own, err := os.Executable()
 			if err != nil {
@@ -41,10 +45,14 @@
 	}
 	c.Flags().IntSliceVar(&nodes, "nodes", []int{10, 30, 100}, "how many run")
 	c.Flags().IntSliceVar(&backends, "backends", []int{200, 2000, 10000}, "how many there are")
-	c.Flags().IntSliceVar(&tenants, "tenants", []int{25, 100, 400}, "of the catalogue, one after another before the same nodes: from few to many")
+	c.Flags().
+		IntSliceVar(&tenants, "tenants", []int{25, 100, 400}, "of the catalogue, one after another before the same nodes: from few to many")
 	c.Flags().IntSliceVar(&services, "services", []int{4, 100, 500, 2000}, "classes of the settings")
-	c.Flags().IntSliceVar(&routes, "routes", []int{1, 16, 64, 128}, "different rules of placement; a node takes 128 from tenants")
-	c.Flags().BoolVar(&p.View, "view", true, "they keep the view of the fleet, where backends are the other size")
-	c.Flags().IntVar(&p.Told, "told", 4300, "how many nodes they are told that there are, at least, where backends are the other size")
+	c.Flags().
+		IntSliceVar(&routes, "routes", []int{1, 16, 64, 128}, "different rules of placement; a node takes 128 from tenants")
+	c.Flags().
+		BoolVar(&p.View, "view", true, "they keep the view of the fleet, where backends are the other size")
+	c.Flags().
+		IntVar(&p.Told, "told", 4300, "how many nodes they are told that there are, at least, where backends are the other size")
 	return c
 }
--- a/cmd/wrenspread-lab/series.go
+++ b/cmd/wrenspread-lab/series.go
@@ -31,7 +31,11 @@
 
 // play plays all runs and prints a line for each, and one for all: about gives what
 // that one says after the kind.
-func (s series) play(c *cobra.Command, one func(seed uint64) (outcome, error), about func(t tally, unplayed int) string) error {
+func (s series) play(
+	c *cobra.Command,
+	one func(seed uint64) (outcome, error),
+	about func(t tally, unplayed int) string,
+) error {
 	var mu sync.Mutex // of the tally and the output
 	var t tally
 	var g errgroup.Group
@@ -63,7 +67,15 @@
 	} else if t.passed < s.runs {
 		worst = report.Unplayed
 	}
-	besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s %s: %s\n", words[worst], s.kind, about(t, s.runs-t.passed-t.broken-t.unsure)))
+	besteffort.Output(
+		fmt.Fprintf(
+			c.OutOrStdout(),
+			"%s %s: %s\n",
+			words[worst],
+			s.kind,
+			about(t, s.runs-t.passed-t.broken-t.unsure),
+		),
+	)
 	switch {
 	case t.broken > 0:
 		return errRuleBroken
--- a/cmd/wrenspread-lab/sim.go
+++ b/cmd/wrenspread-lab/sim.go
@@ -24,7 +24,11 @@
 const mostExplained = 3
 
 // plays are the sorts of schedule, by name.
-var plays = map[string]func(membership.Options) sim.Play{"wild": membership.Wild, "mild": membership.Mild, "pairs": membership.Pairs}
+var plays = map[string]func(membership.Options) sim.Play{
+	"wild":  membership.Wild,
+	"mild":  membership.Mild,
+	"pairs": membership.Pairs,
+}
 
 // simFlags are what a series of schedules takes.
 type simFlags struct {
@@ -60,7 +64,9 @@
 		names = []string{f.play}
 	}
 	if f.schedules < 1 || f.together < 1 || f.nodes < 2 || f.nodes > 1000 || plays[names[0]] == nil {
-		return unplayed{errors.New("--schedules and --together are 1 or more, --nodes 2 to 1000, --play wild, mild, pairs or all")}
+		return unplayed{
+			errors.New("--schedules and --together are 1 or more, --nodes 2 to 1000, --play wild, mild, pairs or all"),
+		}
 	}
 	debug.SetGCPercent(400) // small worlds that live for milliseconds: collecting took half of the time
 	began := time.Now()
@@ -77,12 +83,23 @@
 			return unplayed{err}
 		}
 		broken += bad
-		besteffort.Output(fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\n", name, n, bad, part(took, 0.5), part(took, 0.99), part(took, 1)))
+		besteffort.Output(
+			fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\n", name, n, bad, part(took, 0.5), part(took, 0.99), part(took, 1)),
+		)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%d schedules of %d nodes in %v: %d broken\n", f.schedules, f.nodes, time.Since(began).Round(time.Second/10), broken))
+	besteffort.Output(
+		fmt.Fprintf(
+			c.OutOrStdout(),
+			"%d schedules of %d nodes in %v: %d broken\n",
+			f.schedules,
+			f.nodes,
+			time.Since(began).Round(time.Second/10),
+			broken,
+		),
+	)
 	if broken > 0 {
 		return errRuleBroken
 	}
@@ -90,7 +107,12 @@
 }
 
 // series plays the schedules of one sort. The first that break are explained.
-func (f *simFlags) series(c *cobra.Command, name string, seed uint64, n int) (took []time.Duration, broken int, err error) {
+func (f *simFlags) series(
+	c *cobra.Command,
+	name string,
+	seed uint64,
+	n int,
+) (took []time.Duration, broken int, err error) {
 	var mu sync.Mutex // of what is counted and the output
 	opts := membership.Options{Nodes: f.nodes, Took: func(d time.Duration) {
 		mu.Lock()
@@ -132,7 +154,8 @@
 were cut off. False deaths are of running nodes in anybody's view, a node and hour. 1,000 nodes take 2 minutes of one processor and 0.8 GB, 3,000 nine times as much.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if g.Hours < 0 || slices.ContainsFunc(slices.Concat(sizes, rivals), func(n int) bool { return n < 2 || n > 5000 }) ||
+			if g.Hours < 0 ||
+				slices.ContainsFunc(slices.Concat(sizes, rivals), func(n int) bool { return n < 2 || n > 5000 }) ||
 				slices.ContainsFunc(g.Losses, func(l float64) bool { return l < 0 || l >= 1 }) {
 				return unplayed{errors.New("--nodes and --rival are 2 to 5000, --losses 0 to below 1, --hours 0 or more")}
 			}
@@ -141,14 +164,28 @@
 	}
 	c.Flags().IntSliceVar(&sizes, "nodes", []int{3, 30, 300}, "sizes of the fleet")
 	c.Flags().IntSliceVar(&rivals, "rival", []int{3, 30, 100}, "sizes of the rival's fleet")
-	c.Flags().Float64SliceVar(&g.Losses, "losses", []float64{0, 0.1, 0.2, 0.3}, "at which false deaths are counted")
+	c.Flags().
+		Float64SliceVar(&g.Losses, "losses", []float64{0, 0.1, 0.2, 0.3}, "at which false deaths are counted")
 	c.Flags().Float64Var(&g.Hours, "hours", 10, "node hours of counting, at each loss")
 	c.Flags().Uint64Var(&g.Seed, "seed", 1, "of all draws")
 	return c
 }
 
 func grow(ctx context.Context, out io.Writer, g membership.Growth, sizes, rivals []int) error {
-	besteffort.Output(fmt.Fprintf(out, "%-6s %6s  %12s %12s  %10s %10s %10s %10s  false deaths a node and hour at loss", "view", "nodes", "datagrams/s", "bytes/s", "all joined", "one joins", "one dies", "heal"))
+	besteffort.Output(
+		fmt.Fprintf(
+			out,
+			"%-6s %6s  %12s %12s  %10s %10s %10s %10s  false deaths a node and hour at loss",
+			"view",
+			"nodes",
+			"datagrams/s",
+			"bytes/s",
+			"all joined",
+			"one joins",
+			"one dies",
+			"heal",
+		),
+	)
 	for _, l := range g.Losses {
 		besteffort.Output(fmt.Fprintf(out, " %.0f%%", 100*l))
 	}
@@ -164,7 +201,21 @@
 			if err != nil {
 				return unplayed{err}
 			}
-			besteffort.Output(fmt.Fprintf(out, "%-6s %6d  %12.1f %12.0f  %10v %10v %10v %10v  %s\n", name, o.Nodes, o.Sent, o.Bytes, o.Joined, o.Join, o.Death, o.Heal, figures(o.False)))
+			besteffort.Output(
+				fmt.Fprintf(
+					out,
+					"%-6s %6d  %12.1f %12.0f  %10v %10v %10v %10v  %s\n",
+					name,
+					o.Nodes,
+					o.Sent,
+					o.Bytes,
+					o.Joined,
+					o.Join,
+					o.Death,
+					o.Heal,
+					figures(o.False),
+				),
+			)
 		}
 	}
 	return nil
--- a/cmd/wrenspread-proxy/main.go
+++ b/cmd/wrenspread-proxy/main.go
@@ -65,8 +65,9 @@
 		n.Overlap = limitMemory
 		n.TakeOver(os.TempDir())
 	}
-	control := cmp.Or(os.Getenv("GW_CONTROL"), cfg.Control)   // the environment is this process's own
-	operated, end := context.WithCancel(context.Background()) // until Run returns: also while it finishes what is open
+	control := cmp.Or(os.Getenv("GW_CONTROL"), cfg.Control) // the environment is this process's own
+	// until Run returns: also while it finishes what is open
+	operated, end := context.WithCancel(context.Background())
 	defer end()
 	if control != "" {
 		go n.ServeControl(operated, control)
--- a/cmd/wrenspreadctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -39,7 +39,9 @@
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			return f.print(c.OutOrStdout(), describe(s), func(t *tabwriter.Writer) {
-				besteffort.Output(fmt.Fprintf(t, "%s has %d entries, version %d, epoch %s\n", args[0], s.Len(), s.Version(), s.Epoch()))
+				besteffort.Output(
+					fmt.Fprintf(t, "%s has %d entries, version %d, epoch %s\n", args[0], s.Len(), s.Version(), s.Epoch()),
+				)
 			})
 		}),
 	}
@@ -77,7 +79,14 @@
 				if err != nil {
 					return err
 				}
-				return fmt.Errorf("this replaces %d entries at version %d by %d of version %d; if that is meant, add --over %s", len(now.Endpoints), now.Index, s.Len(), s.Version(), now.Epoch)
+				return fmt.Errorf(
+					"this replaces %d entries at version %d by %d of version %d; if that is meant, add --over %s",
+					len(now.Endpoints),
+					now.Index,
+					s.Len(),
+					s.Version(),
+					now.Epoch,
+				)
 			}
 			r, err := k.Restore(ctx, checksumfile.Encode(raw), over)
 			if err != nil {
--- a/cmd/wrenspreadctl/duty.go
+++ b/cmd/wrenspreadctl/duty.go
@@ -48,9 +48,22 @@
 			return f.print(c.OutOrStdout(), a, func(t *tabwriter.Writer) {
 				besteffort.Output(fmt.Fprintln(t, "DUTY\tHOLDER\tFENCE\tWAITING\tBLOCKED\tNOTE"))
 				for _, d := range a.Leases {
-					besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\n", d.Name, holder(d), d.Token, len(d.Queue), cmp.Or(strings.Join(d.Blocked, ","), "-"), note(d)))
+					besteffort.Output(
+						fmt.Fprintf(
+							t,
+							"%s\t%s\t%d\t%d\t%s\t%s\n",
+							d.Name,
+							holder(d),
+							d.Token,
+							len(d.Queue),
+							cmp.Or(strings.Join(d.Blocked, ","), "-"),
+							note(d),
+						),
+					)
 				}
-				besteffort.Output(fmt.Fprintf(t, "\n%d duties, %d sessions, version %d\n", len(a.Leases), len(a.Sessions), a.Index))
+				besteffort.Output(
+					fmt.Fprintf(t, "\n%d duties, %d sessions, version %d\n", len(a.Leases), len(a.Sessions), a.Index),
+				)
 			})
 		}),
 	}
@@ -89,9 +102,22 @@
 					continue
 				}
 				return f.print(c.OutOrStdout(), d, func(t *tabwriter.Writer) {
-					besteffort.Output(fmt.Fprintf(t, "duty\t%s\nholder\t%s\nfence\t%d\nsession\t%s\nword\t%s\nblocked\t%s\n", d.Name, holder(d), d.Token, cmp.Or(d.Holder, "-"), note(d), cmp.Or(strings.Join(d.Blocked, ", "), "nobody")))
+					besteffort.Output(
+						fmt.Fprintf(
+							t,
+							"duty\t%s\nholder\t%s\nfence\t%d\nsession\t%s\nword\t%s\nblocked\t%s\n",
+							d.Name,
+							holder(d),
+							d.Token,
+							cmp.Or(d.Holder, "-"),
+							note(d),
+							cmp.Or(strings.Join(d.Blocked, ", "), "nobody"),
+						),
+					)
 					for i, q := range d.Queue {
-						besteffort.Output(fmt.Fprintf(t, "waiting %d\t%s, priority %d, since version %d\n", i+1, q.Process, q.Priority, q.Since))
+						besteffort.Output(
+							fmt.Fprintf(t, "waiting %d\t%s, priority %d, since version %d\n", i+1, q.Process, q.Priority, q.Since),
+						)
 					}
 				})
 			}
@@ -111,7 +137,9 @@
 			if err := k.TransferLease(ctx, args[0], to); err != nil {
 				return err
 			}
-			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "the holder has been asked; \"wrenspreadctl duty show\" tells who has it"))
+			besteffort.Output(
+				fmt.Fprintln(c.OutOrStdout(), "the holder has been asked; \"wrenspreadctl duty show\" tells who has it"),
+			)
 			return nil
 		}),
 	}
@@ -157,7 +185,9 @@
 				return err
 			}
 			defer k.Close()
-			p, err := lease.Open(lease.Config{Client: k, Process: process, TTL: ttl, Info: registry.ProcessInfo{Note: args[1]}})
+			p, err := lease.Open(
+				lease.Config{Client: k, Process: process, TTL: ttl, Info: registry.ProcessInfo{Note: args[1]}},
+			)
 			if err != nil {
 				return err
 			}
@@ -169,14 +199,26 @@
 	}
 	name, _ := os.Hostname() // empty where there is none, which Open tells
 	c.Flags().StringVar(&process, "process", name, "the name of this process, the same over its restarts")
-	c.Flags().DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, others get the duty")
+	c.Flags().
+		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, others get the duty")
 	return c
 }
 
-func runCommand(ctx context.Context, c *cobra.Command, args []string, f lease.Token, ttl time.Duration) error {
+func runCommand(
+	ctx context.Context,
+	c *cobra.Command,
+	args []string,
+	f lease.Token,
+	ttl time.Duration,
+) error {
 	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, c.OutOrStdout(), c.ErrOrStderr()
-	cmd.Env = append(os.Environ(), "INDIGO_DUTY="+f.Lease, fmt.Sprintf("INDIGO_FENCE=%d", f.Number), "INDIGO_FENCE_HEADER="+fencing.Header+": "+fencing.Format(f))
+	cmd.Env = append(
+		os.Environ(),
+		"INDIGO_DUTY="+f.Lease,
+		fmt.Sprintf("INDIGO_FENCE=%d", f.Number),
+		"INDIGO_FENCE_HEADER="+fencing.Header+": "+fencing.Format(f),
+	)
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
 	cmd.WaitDelay = ttl / 10 // under the part of the TTL that work has to stop in
 	return cmd.Run()
--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -58,7 +58,7 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // what a proxy answers, or does not, is in its place: no error comes of it // none returns an error
+	_ = g.Wait() // what a proxy answers, or does not, is in its place: no error comes of it
 	return all
 }
 
@@ -80,7 +80,9 @@
 		err = json.NewDecoder(body).Decode(&r)
 		return r, err
 	case http.StatusNotFound:
-		return r, errors.New("it keeps no view: its configuration has no key \"fleet\", or its settings allow no messages between nodes")
+		return r, errors.New(
+			"it keeps no view: its configuration has no key \"fleet\", or its settings allow no messages between nodes",
+		)
 	}
 	text, _ := io.ReadAll(io.LimitReader(body, 200))
 	return r, fmt.Errorf("%s: %q", resp.Status, text)
@@ -102,20 +104,59 @@
 	}
 	differ := settled(w, views)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	besteffort.Output(fmt.Fprintln(t, "\nNODE\tDIGEST\tCHANGES\tALIVE\tSUSPECT\tDEAD\tLEFT\tSENT\tRECEIVED\tSTRANGERS\tLATE"))
+	besteffort.Output(
+		fmt.Fprintln(t, "\nNODE\tDIGEST\tCHANGES\tALIVE\tSUSPECT\tDEAD\tLEFT\tSENT\tRECEIVED\tSTRANGERS\tLATE"),
+	)
 	for _, v := range views {
 		n := map[string]int{}
 		for _, m := range v.Members {
 			n[m.Health]++
 		}
-		besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms\n", v.Name, v.Digest, v.Version, n["alive"], n["suspect"], n["dead"], n["left"],
-			v.Sent.Datagrams, v.Received.Datagrams, v.Received.Strangers, v.LateMS))
+		besteffort.Output(
+			fmt.Fprintf(
+				t,
+				"%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d ms\n",
+				v.Name,
+				v.Digest,
+				v.Version,
+				n["alive"],
+				n["suspect"],
+				n["dead"],
+				n["left"],
+				v.Sent.Datagrams,
+				v.Received.Datagrams,
+				v.Received.Strangers,
+				v.LateMS,
+			),
+		)
 	}
-	besteffort.Output(fmt.Fprintln(t, "\nMEMBER\tHEALTH\tSTATE\tSINCE\tLIFE\tINC\tZONE\tVERSION\tCATALOGUE\tPOLICY\tLOAD\tSEEN SO BY\tWHY"))
+	besteffort.Output(
+		fmt.Fprintln(
+			t,
+			"\nMEMBER\tHEALTH\tSTATE\tSINCE\tLIFE\tINC\tZONE\tVERSION\tCATALOGUE\tPOLICY\tLOAD\tSEEN SO BY\tWHY",
+		),
+	)
 	for _, o := range opinions(views) {
 		m := o.of
-		besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%d\t%d\t%s\t%s\t%d\t%d\t%.1f%%\t%s\t%s\n", m.Name, m.Health, m.State, (time.Duration(m.AgeMS) * time.Millisecond).Round(100*time.Millisecond),
-			m.Generation, m.Incarnation, dash(m.Zone), dash(m.Version), m.Catalogue, m.Policy, float64(m.Load)/10, o.who(len(views)), why(m)))
+		besteffort.Output(
+			fmt.Fprintf(
+				t,
+				"%s\t%s\t%s\t%v\t%d\t%d\t%s\t%s\t%d\t%d\t%.1f%%\t%s\t%s\n",
+				m.Name,
+				m.Health,
+				m.State,
+				(time.Duration(m.AgeMS) * time.Millisecond).Round(100*time.Millisecond),
+				m.Generation,
+				m.Incarnation,
+				dash(m.Zone),
+				dash(m.Version),
+				m.Catalogue,
+				m.Policy,
+				float64(m.Load)/10,
+				o.who(len(views)),
+				why(m),
+			),
+		)
 	}
 	return errors.Join(failed, differ, t.Flush())
 }
--- a/cmd/wrenspreadctl/fleet_compare.go
+++ b/cmd/wrenspreadctl/fleet_compare.go
@@ -58,7 +58,8 @@
 	by []string
 }
 
-// opinions gives for each member by name how it is seen, more than once where nodes differ. Load and age differ by nature.
+// opinions gives for each member by name how it is seen, more than once where nodes differ. Load and age
+// differ by nature.
 func opinions(views []gossip.Report) []opinion {
 	type key struct {
 		name string
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -43,13 +43,16 @@
 
 // add gives a command and those under it the flags.
 func (f *listFlags) add(c *cobra.Command) {
-	c.PersistentFlags().StringVar(&f.addresses, "list", cmp.Or(os.Getenv("INDIGO_LIST"), "127.0.0.1:8500"), "addresses of the list service's replicas, separated by commas")
+	c.PersistentFlags().
+		StringVar(&f.addresses, "list", cmp.Or(os.Getenv("INDIGO_LIST"), "127.0.0.1:8500"), "addresses of the list service's replicas, separated by commas")
 	c.PersistentFlags().BoolVar(&f.json, "json", false, "print JSON in place of tables")
 	c.PersistentFlags().DurationVar(&f.wait, "wait", 10*time.Second, "how long to try")
 }
 
 // with runs a command against the service, for as long as it may take.
-func (f *listFlags) with(do func(context.Context, *cobra.Command, *client.Client, []string) error) func(*cobra.Command, []string) error {
+func (f *listFlags) with(
+	do func(context.Context, *cobra.Command, *client.Client, []string) error,
+) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
 		k, err := client.New(client.Config{Addresses: strings.Split(f.addresses, ",")})
 		if err != nil {
@@ -60,7 +63,12 @@
 		defer cancel()
 		err = do(ctx, c, k, args)
 		if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, client.ErrOutcomeUnknown) {
-			return fmt.Errorf("%w (asked %s for %v; is it running, and does it have a leader?)", err, f.addresses, f.wait)
+			return fmt.Errorf(
+				"%w (asked %s for %v; is it running, and does it have a leader?)",
+				err,
+				f.addresses,
+				f.wait,
+			)
 		}
 		return err
 	}
@@ -117,9 +125,24 @@
 			return f.print(c.OutOrStdout(), a, func(t *tabwriter.Writer) {
 				besteffort.Output(fmt.Fprintln(t, "NAME\tSTATUS\tADDRESS\tZONE\tTYPE\tGROUP\tVERSION\tSINCE"))
 				for _, e := range a.Endpoints {
-					besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Status, e.Address, cmp.Or(e.Zone, "-"), cmp.Or(e.Type, "-"), e.Cell, cmp.Or(e.Version, "-"), since(e.StartedAtMS)))
+					besteffort.Output(
+						fmt.Fprintf(
+							t,
+							"%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n",
+							e.Name,
+							e.Status,
+							e.Address,
+							cmp.Or(e.Zone, "-"),
+							cmp.Or(e.Type, "-"),
+							e.Cell,
+							cmp.Or(e.Version, "-"),
+							since(e.StartedAtMS),
+						),
+					)
 				}
-				besteffort.Output(fmt.Fprintf(t, "\n%d entries, version %d, epoch %s\n", len(a.Endpoints), a.Index, a.Epoch))
+				besteffort.Output(
+					fmt.Fprintf(t, "\n%d entries, version %d, epoch %s\n", len(a.Endpoints), a.Index, a.Epoch),
+				)
 			})
 		}),
 	}
@@ -225,12 +248,18 @@
 		return err
 	}
 	return f.print(c.OutOrStdout(), r, func(t *tabwriter.Writer) {
-		besteffort.Output(fmt.Fprintf(t, "done: the entry has version %d, the list %d\n", r.EntryVersion, r.Version))
+		besteffort.Output(
+			fmt.Fprintf(t, "done: the entry has version %d, the list %d\n", r.EntryVersion, r.Version),
+		)
 	})
 }
 
 func (f *listFlags) drain() *cobra.Command {
-	return f.onEntry("drain", "let a server finish what it holds; nodes send it nothing new", (*client.Client).Drain)
+	return f.onEntry(
+		"drain",
+		"let a server finish what it holds; nodes send it nothing new",
+		(*client.Client).Drain,
+	)
 }
 
 func (f *listFlags) remove() *cobra.Command {
@@ -238,7 +267,10 @@
 }
 
 // onEntry makes a command that changes one entry.
-func (f *listFlags) onEntry(verb, short string, do func(*client.Client, context.Context, string, *uint64) (registry.Result, error)) *cobra.Command {
+func (f *listFlags) onEntry(
+	verb, short string,
+	do func(*client.Client, context.Context, string, *uint64) (registry.Result, error),
+) *cobra.Command {
 	return f.conditional(&cobra.Command{
 		Use:     verb + " NAME",
 		Short:   short,
--- a/cmd/wrenspreadctl/main.go
+++ b/cmd/wrenspreadctl/main.go
@@ -18,6 +18,13 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(listCommand(), dutyCommand(), releaseCommand(), policyCommand(), fleetCommand(), tenantCommand())
+	c.AddCommand(
+		listCommand(),
+		dutyCommand(),
+		releaseCommand(),
+		policyCommand(),
+		fleetCommand(),
+		tenantCommand(),
+	)
 	return c
 }
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -126,7 +126,14 @@
 	}
 	k := policy.Known{Sites: in.Sites, Tenants: in.Books, Cells: in.Pods}
 	for _, c := range in.Classes {
-		k.Classes = append(k.Classes, policy.Class{Name: c.Name, PriorityWeight: c.Worth, Work: time.Duration(c.Work * float64(time.Millisecond))})
+		k.Classes = append(
+			k.Classes,
+			policy.Class{
+				Name:           c.Name,
+				PriorityWeight: c.Worth,
+				Work:           time.Duration(c.Work * float64(time.Millisecond)),
+			},
+		)
 	}
 	return k, nil
 }
@@ -141,8 +148,22 @@
 		out := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 		besteffort.Output(fmt.Fprintln(out, "LIMIT\tUNIT\tRATE\tBURST\tFLOOR\tWEIGHT\tRESERVE\tTOLD\tTIMES"))
 		for _, l := range t.Limits {
-			besteffort.Output(fmt.Fprintf(out, "%s\t%s\t%.6g\t%.6g\t%.6g\t%.6g\t%.3g\t%d in %v\t%d\n", l.Name, l.Unit, l.Rate, l.Burst, l.Floor, l.Weight, l.PriorityReserve,
-				l.Status, l.RetryAfter, len(l.Schedule)))
+			besteffort.Output(
+				fmt.Fprintf(
+					out,
+					"%s\t%s\t%.6g\t%.6g\t%.6g\t%.6g\t%.3g\t%d in %v\t%d\n",
+					l.Name,
+					l.Unit,
+					l.Rate,
+					l.Burst,
+					l.Floor,
+					l.Weight,
+					l.PriorityReserve,
+					l.Status,
+					l.RetryAfter,
+					len(l.Schedule),
+				),
+			)
 		}
 		if err := out.Flush(); err != nil {
 			return err
@@ -150,9 +171,26 @@
 	}
 	touched, _ := t.MaxMatched()
 	for i, l := range t.Levels {
-		besteffort.Output(fmt.Fprintf(w, "level %d above %.3g, until below %.3g: refuses %s\n", i+1, l.EnterAbove, l.LeaveBelow, strings.Join(l.RejectClasses, ", ")))
-	}
-	_, err := fmt.Fprintf(w, "%d parts, %d limits, %d slots of keys; a request touches %d limits at most; %d bytes\ndigest %s\n", len(t.Scopes),
-		len(t.Limits), t.TokenSlots()-len(t.Limits), touched, len(data), t.Digest)
+		besteffort.Output(
+			fmt.Fprintf(
+				w,
+				"level %d above %.3g, until below %.3g: refuses %s\n",
+				i+1,
+				l.EnterAbove,
+				l.LeaveBelow,
+				strings.Join(l.RejectClasses, ", "),
+			),
+		)
+	}
+	_, err := fmt.Fprintf(
+		w,
+		"%d parts, %d limits, %d slots of keys; a request touches %d limits at most; %d bytes\ndigest %s\n",
+		len(t.Scopes),
+		len(t.Limits),
+		t.TokenSlots()-len(t.Limits),
+		touched,
+		len(data),
+		t.Digest,
+	)
 	return err
 }
--- a/cmd/wrenspreadctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -39,7 +39,14 @@
 			if err != nil {
 				return fmt.Errorf("the policy of version %d stays: %w", before, err)
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "version %d holds, digest %s, %d limits; version %d before\n", r.EntryVersion, t.Digest, len(t.Limits), before)
+			_, err = fmt.Fprintf(
+				c.OutOrStdout(),
+				"version %d holds, digest %s, %d limits; version %d before\n",
+				r.EntryVersion,
+				t.Digest,
+				len(t.Limits),
+				before,
+			)
 			return err
 		}),
 	}
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -70,8 +70,19 @@
 			}
 			plan := s.Plan
 			return f.print(c.OutOrStdout(), s.Waves(), func(t *tabwriter.Writer) {
-				besteffort.Output(fmt.Fprintf(t, "%s: %d servers from %s to %s, %d out at once, %v of soak after each wave, at a halt: %s\n\nWAVE\tSERVERS\tNAMES\n",
-					plan.Name, len(s.Targets), plan.From, plan.To, plan.Limits.Total, plan.Soak, plan.Halt))
+				besteffort.Output(
+					fmt.Fprintf(
+						t,
+						"%s: %d servers from %s to %s, %d out at once, %v of soak after each wave, at a halt: %s\n\nWAVE\tSERVERS\tNAMES\n",
+						plan.Name,
+						len(s.Targets),
+						plan.From,
+						plan.To,
+						plan.Limits.Total,
+						plan.Soak,
+						plan.Halt,
+					),
+				)
 				for i, names := range s.Waves() {
 					besteffort.Output(fmt.Fprintf(t, "%d\t%d\t%s\n", i+1, len(names), strings.Join(names, " ")))
 				}
@@ -123,7 +134,15 @@
 			if err := release.Start(ctx, k, s); err != nil {
 				return err
 			}
-			besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s is on record with %d servers; \"wrenspreadctl release conduct %s\" carries it out\n", s.Plan.Name, len(s.Targets), s.Plan.Name))
+			besteffort.Output(
+				fmt.Fprintf(
+					c.OutOrStdout(),
+					"%s is on record with %d servers; \"wrenspreadctl release conduct %s\" carries it out\n",
+					s.Plan.Name,
+					len(s.Targets),
+					s.Plan.Name,
+				),
+			)
 			return nil
 		}),
 	}
@@ -152,7 +171,12 @@
 	return c
 }
 
-func (f *listFlags) showRelease(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
+func (f *listFlags) showRelease(
+	ctx context.Context,
+	c *cobra.Command,
+	k *client.Client,
+	args []string,
+) error {
 	if len(args) == 1 {
 		s, err := release.Read(ctx, k, args[0])
 		if err != nil {
@@ -176,20 +200,56 @@
 		besteffort.Output(fmt.Fprintln(t, "RELEASE\tPHASE\tWAVE\tRELEASED\tOUT\tWHY"))
 		for _, s := range states {
 			released, out := s.Count()
-			besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%d of %d\t%d of %d\t%d\t%s\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), out, cmp.Or(s.HaltReason, "-")))
+			besteffort.Output(
+				fmt.Fprintf(
+					t,
+					"%s\t%s\t%d of %d\t%d of %d\t%d\t%s\n",
+					s.Plan.Name,
+					s.Phase,
+					s.Wave+1,
+					len(s.Plan.Waves),
+					released,
+					len(s.Targets),
+					out,
+					cmp.Or(s.HaltReason, "-"),
+				),
+			)
 		}
 	})
 }
 
 func oneRelease(t *tabwriter.Writer, s *release.State) {
 	released, out := s.Count()
-	besteffort.Output(fmt.Fprintf(t, "%s: %s, wave %d of %d, %d of %d servers in %s, %d out\n", s.Plan.Name, s.Phase, s.Wave+1, len(s.Plan.Waves), released, len(s.Targets), s.Plan.To, out))
+	besteffort.Output(
+		fmt.Fprintf(
+			t,
+			"%s: %s, wave %d of %d, %d of %d servers in %s, %d out\n",
+			s.Plan.Name,
+			s.Phase,
+			s.Wave+1,
+			len(s.Plan.Waves),
+			released,
+			len(s.Targets),
+			s.Plan.To,
+			out,
+		),
+	)
 	if s.HaltReason != "" {
 		besteffort.Output(fmt.Fprintf(t, "why: %s\n", s.HaltReason))
 	}
 	besteffort.Output(fmt.Fprintln(t, "\nSERVER\tZONE\tVERSION\tSTEP\tTROUBLE"))
 	for _, one := range s.Targets {
-		besteffort.Output(fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", one.Name, cmp.Or(one.Zone, "-"), one.Version, one.Step, cmp.Or(one.Reason, "-")))
+		besteffort.Output(
+			fmt.Fprintf(
+				t,
+				"%s\t%s\t%s\t%s\t%s\n",
+				one.Name,
+				cmp.Or(one.Zone, "-"),
+				one.Version,
+				one.Step,
+				cmp.Or(one.Reason, "-"),
+			),
+		)
 	}
 }
 
@@ -224,10 +284,22 @@
 			if _, err := release.Read(ctx, k, args[0]); err != nil {
 				return err
 			}
-			if err := release.SubmitOrder(ctx, k, args[0], order, who, fmt.Sprintf("%s-%d", who, time.Now().UnixNano())); err != nil {
+			if err := release.SubmitOrder(
+				ctx,
+				k,
+				args[0],
+				order,
+				who,
+				fmt.Sprintf("%s-%d", who, time.Now().UnixNano()),
+			); err != nil {
 				return err
 			}
-			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "left for the conductor; \"wrenspreadctl release history\" tells what it did"))
+			besteffort.Output(
+				fmt.Fprintln(
+					c.OutOrStdout(),
+					"left for the conductor; \"wrenspreadctl release history\" tells what it did",
+				),
+			)
 			return nil
 		}),
 	}
@@ -271,18 +343,32 @@
 		},
 	}
 	c.Flags().StringVar(&path, "config", "", "a TOML file")
-	c.Flags().DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
+	c.Flags().
+		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
 	return c
 }
 
-func (f *listFlags) conducting(c *cobra.Command, name string, config conductorConfig, ttl time.Duration) error {
+func (f *listFlags) conducting(
+	c *cobra.Command,
+	name string,
+	config conductorConfig,
+	ttl time.Duration,
+) error {
 	log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil)).With("release", name)
 	k, err := client.New(client.Config{Addresses: strings.Split(f.addresses, ",")})
 	if err != nil {
 		return err
 	}
 	defer k.Close()
-	p, err := lease.Open(lease.Config{Client: k, Process: config.Process, TTL: ttl, Info: registry.ProcessInfo{Note: "conducts " + name}, Log: log})
+	p, err := lease.Open(
+		lease.Config{
+			Client:  k,
+			Process: config.Process,
+			TTL:     ttl,
+			Info:    registry.ProcessInfo{Note: "conducts " + name},
+			Log:     log,
+		},
+	)
 	if err != nil {
 		return err
 	}
@@ -296,7 +382,12 @@
 		if s.Plan.IsForProxies() {
 			fleet = &release.ProxyExecutor{Registry: k, Token: fenced, HTTP: h}
 		}
-		conductor := &release.Controller{Store: release.Records{Registry: k, Token: fenced, Name: name}, Executor: fleet, Interval: config.Every, Log: log}
+		conductor := &release.Controller{
+			Store:    release.Records{Registry: k, Token: fenced, Name: name},
+			Executor: fleet,
+			Interval: config.Every,
+			Log:      log,
+		}
 		return conductor.Run(ctx)
 	})
 	if errors.Is(err, context.Canceled) {
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -40,8 +40,15 @@
 		f.orderTenant(tenant.OrderSuspend, "NAME", "have all nodes refuse a tenant's requests", ""),
 		f.orderTenant(tenant.OrderResume, "NAME", "serve a suspended tenant again", ""),
 		f.orderTenant(tenant.OrderRemove, "NAME", "refuse a tenant, let what is open end, and free its quotas", ""),
-		f.orderTenant(tenant.OrderForgetMember, "NODE", "vouch that a node that is gone serves nothing any more, so that nobody waits for it", ""),
-		f.tenantStatus(), f.conductTenants())
+		f.orderTenant(
+			tenant.OrderForgetMember,
+			"NODE",
+			"vouch that a node that is gone serves nothing any more, so that nobody waits for it",
+			"",
+		),
+		f.tenantStatus(),
+		f.conductTenants(),
+	)
 	return c
 }
 
@@ -82,7 +89,13 @@
 const lookEvery = 200 * time.Millisecond
 
 // await places an order once no other waits, and follows it to its end.
-func (f *listFlags) await(ctx context.Context, c *cobra.Command, k *client.Client, name string, o tenant.Order) error {
+func (f *listFlags) await(
+	ctx context.Context,
+	c *cobra.Command,
+	k *client.Client,
+	name string,
+	o tenant.Order,
+) error {
 	for {
 		placed, err := tenant.SubmitOrder(ctx, k, name, o)
 		if err != nil {
@@ -92,7 +105,10 @@
 			break
 		}
 		if !backoff.Sleep(ctx, lookEvery) {
-			return fmt.Errorf("%s: an order waits there already; does a conductor run (wrenspreadctl tenant conduct)?", name)
+			return fmt.Errorf(
+				"%s: an order waits there already; does a conductor run (wrenspreadctl tenant conduct)?",
+				name,
+			)
 		}
 	}
 	where := "it waits for a conductor (wrenspreadctl tenant conduct)"
@@ -112,7 +128,12 @@
 }
 
 // came tells whether an order is done, or where it stands; one that was not followed is an error.
-func came(ctx context.Context, k *client.Client, name string, o tenant.Order) (done bool, where string, err error) {
+func came(
+	ctx context.Context,
+	k *client.Client,
+	name string,
+	o tenant.Order,
+) (done bool, where string, err error) {
 	if o.Op == tenant.OrderForgetMember {
 		waits, err := tenant.OrderPending(ctx, k, name, o)
 		return !waits, "", err
@@ -160,7 +181,12 @@
 				return err
 			}
 			if len(args) == 1 {
-				if all = slices.DeleteFunc(all, func(s tenant.Progress) bool { return s.Name != args[0] }); len(all) == 0 {
+				if all = slices.DeleteFunc(
+					all,
+					func(s tenant.Progress) bool { return s.Name != args[0] },
+				); len(
+					all,
+				) == 0 {
 					return fmt.Errorf("there is no tenant %s", args[0])
 				}
 			}
@@ -195,12 +221,27 @@
 				return err
 			}
 			defer k.Close()
-			p, err := lease.Open(lease.Config{Client: k, Process: process, TTL: ttl, Info: registry.ProcessInfo{Note: "conducts tenants"}, Log: log})
+			p, err := lease.Open(
+				lease.Config{
+					Client:  k,
+					Process: process,
+					TTL:     ttl,
+					Info:    registry.ProcessInfo{Note: "conducts tenants"},
+					Log:     log,
+				},
+			)
 			if err != nil {
 				return err
 			}
 			err = p.Run(c.Context(), tenant.LeaseName, func(ctx context.Context, fenced lease.Token) error {
-				conductor := tenant.Controller{Store: &tenant.Records{Registry: k, Token: fenced}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: lookEvery, Times: tenant.DefaultTimes(), Log: log, HashTree: hashTree}
+				conductor := tenant.Controller{
+					Store:       &tenant.Records{Registry: k, Token: fenced},
+					Environment: tenant.RegistryEnvironment{Registry: k},
+					Interval:    lookEvery,
+					Times:       tenant.DefaultTimes(),
+					Log:         log,
+					HashTree:    hashTree,
+				}
 				return conductor.Run(ctx)
 			})
 			if errors.Is(err, context.Canceled) {
@@ -211,7 +252,9 @@
 	}
 	host, _ := os.Hostname() // empty where there is none, which the duty tells
 	c.Flags().StringVar(&process, "process", host, "the name of this process, the same over its restarts")
-	c.Flags().DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
-	c.Flags().BoolVar(&hashTree, "hash-tree", false, "write the catalogue as a hash tree, of which a node with govern.tenants_on_demand reads parts; programs before it refuse it")
+	c.Flags().
+		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
+	c.Flags().
+		BoolVar(&hashTree, "hash-tree", false, "write the catalogue as a hash tree, of which a node with govern.tenants_on_demand reads parts; programs before it refuse it")
 	return c
 }
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -44,9 +44,11 @@
 	StartedAtMS   int64  `json:"since_ms"`        // Unix time of the process's start
 	KeepDraining  bool   `json:"quiet,omitempty"` // it is not to be listed as ready: it is being replaced
 
-	Handover        bool   `json:"handover,omitempty"` // its versions replace each other without an end in between
-	Control         string `json:"control,omitempty"`  // where operators call such a one
-	RejectedVersion string `json:"refused,omitempty"`  // a version that did not get ready beside the one that runs, which stayed
+	// its versions replace each other without an end in between
+	Handover bool   `json:"handover,omitempty"`
+	Control  string `json:"control,omitempty"` // where operators call such a one
+	// a version that did not get ready beside the one that runs, which stayed
+	RejectedVersion string `json:"refused,omitempty"`
 }
 
 // DesiredState is what a server is to be.
@@ -72,12 +74,23 @@
 }
 
 // Order tells an agent what a server is to be, under a fence; it does not wait for it.
-func (c Caller) Order(ctx context.Context, address, server string, o DesiredState, f registry.FencingToken) (Status, error) {
+func (c Caller) Order(
+	ctx context.Context,
+	address, server string,
+	o DesiredState,
+	f registry.FencingToken,
+) (Status, error) {
 	var s Status
 	return s, c.call(ctx, http.MethodPut, address, server, o, &f, &s)
 }
 
-func (c Caller) call(ctx context.Context, method, address, server string, body any, f *registry.FencingToken, into any) error {
+func (c Caller) call(
+	ctx context.Context,
+	method, address, server string,
+	body any,
+	f *registry.FencingToken,
+	into any,
+) error {
 	var raw []byte
 	if body != nil {
 		var err error
@@ -85,7 +98,12 @@
 			return err
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+"/servers/"+url.PathEscape(server), bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(
+		ctx,
+		method,
+		"http://"+address+"/servers/"+url.PathEscape(server),
+		bytes.NewReader(raw),
+	)
 	if err != nil {
 		return err
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -22,17 +22,18 @@
 // Server is one server that the agent keeps. In its command and folder {version}
 // stands for the version.
 type Server struct {
-	Name    string        `koanf:"name"`
-	Address string        `koanf:"address"` // where nodes reach it
-	Zone    string        `koanf:"zone"`
-	Type    string        `koanf:"type"`
-	Cell    int           `koanf:"group"`
-	Weight  float64       `koanf:"weight"`
-	Version string        `koanf:"version"` // with which it begins on an empty folder
-	Command []string      `koanf:"command"`
-	Dir     string        `koanf:"dir"`
-	Ready   string        `koanf:"ready"` // path that answers 200 once it is ready; empty: once it takes connections
-	Grace   time.Duration `koanf:"grace"` // between SIGTERM and SIGKILL
+	Name    string   `koanf:"name"`
+	Address string   `koanf:"address"` // where nodes reach it
+	Zone    string   `koanf:"zone"`
+	Type    string   `koanf:"type"`
+	Cell    int      `koanf:"group"`
+	Weight  float64  `koanf:"weight"`
+	Version string   `koanf:"version"` // with which it begins on an empty folder
+	Command []string `koanf:"command"`
+	Dir     string   `koanf:"dir"`
+	// path that answers 200 once it is ready; empty: once it takes connections
+	Ready string        `koanf:"ready"`
+	Grace time.Duration `koanf:"grace"` // between SIGTERM and SIGKILL
 
 	// Of a server that hands over, such as a node: this agent holds the clients' socket,
 	// which its processes get as descriptor 3 ($GW_ACCEPT_FD), and another version is
@@ -65,18 +66,38 @@
 	for _, a := range c.List {
 		address("list", a)
 	}
-	bad(c.TTL >= registry.MinTTL && c.TTL <= registry.MaxTTL, "ttl: %v is not between %v and %v", c.TTL, registry.MinTTL, registry.MaxTTL)
-	bad(len(c.Servers) >= 1 && len(c.Servers) <= maxServers, "server: there are %d, want 1 to %d", len(c.Servers), maxServers)
+	bad(
+		c.TTL >= registry.MinTTL && c.TTL <= registry.MaxTTL,
+		"ttl: %v is not between %v and %v",
+		c.TTL,
+		registry.MinTTL,
+		registry.MaxTTL,
+	)
+	bad(
+		len(c.Servers) >= 1 && len(c.Servers) <= maxServers,
+		"server: there are %d, want 1 to %d",
+		len(c.Servers),
+		maxServers,
+	)
 	names := map[string]bool{}
 	for _, s := range c.Servers {
-		bad(s.Name != "" && len(s.Name) <= registry.MaxText && !names[s.Name], "server: name %q is missing, too long or there twice", s.Name)
+		bad(
+			s.Name != "" && len(s.Name) <= registry.MaxText && !names[s.Name],
+			"server: name %q is missing, too long or there twice",
+			s.Name,
+		)
 		names[s.Name] = true
 		address("server "+s.Name+": address", s.Address)
 		bad(len(s.Command) > 0, "server %s: command: missing", s.Name)
 		bad(s.Version != "", "server %s: version: missing", s.Name)
 		bad(s.Weight >= 0, "server %s: weight: %v is under 0", s.Name, s.Weight)
 		bad(s.Grace >= 0, "server %s: grace: %v is under 0", s.Name, s.Grace)
-		bad(!s.Handover || len(s.Control) == 2, "server %s: control: there are %d, want two addresses that are used in turn", s.Name, len(s.Control))
+		bad(
+			!s.Handover || len(s.Control) == 2,
+			"server %s: control: there are %d, want two addresses that are used in turn",
+			s.Name,
+			len(s.Control),
+		)
 		for _, a := range s.Control {
 			address("server "+s.Name+": control", a)
 		}
@@ -102,5 +123,15 @@
 
 // entry is the server's entry in the list.
 func (s Server) entry(status, version string, since int64) registry.Endpoint {
-	return registry.Endpoint{Name: s.Name, Address: s.Address, Zone: s.Zone, Type: s.Type, Cell: s.Cell, Weight: s.Weight, Status: status, StartedAtMS: since, Version: version}
+	return registry.Endpoint{
+		Name:        s.Name,
+		Address:     s.Address,
+		Zone:        s.Zone,
+		Type:        s.Type,
+		Cell:        s.Cell,
+		Weight:      s.Weight,
+		Status:      status,
+		StartedAtMS: since,
+		Version:     version,
+	}
 }
--- a/internal/agent/keep.go
+++ b/internal/agent/keep.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	minRestartBackoff = 500 * time.Millisecond // before a process that ended by itself is started again; it doubles
+	// before a process that ended by itself is started again; it doubles
+	minRestartBackoff = 500 * time.Millisecond
 	maxRestartBackoff = 30 * time.Second
 	stableRunTime     = time.Minute // one that ran so long has its rest begin anew
 	readyInterval     = 200 * time.Millisecond
@@ -41,10 +42,26 @@
 }
 
 func newSupervisor(s Server, version, trace string, out *os.File, log *slog.Logger) *supervisor {
-	return &supervisor{server: s, log: log.With("server", s.Name), recordFile: trace, output: out, changed: make(chan struct{}), wake: make(chan struct{}, 1),
-		http: &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
-		status: Status{Name: s.Name, Zone: s.Zone, Type: s.Type, Cell: s.Cell, Address: s.Address, Handover: s.Handover, WantedVersion: version, Version: version,
-			Reason: "it has not been started"}}
+	return &supervisor{
+		server:     s,
+		log:        log.With("server", s.Name),
+		recordFile: trace,
+		output:     out,
+		changed:    make(chan struct{}),
+		wake:       make(chan struct{}, 1),
+		http:       &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		status: Status{
+			Name:          s.Name,
+			Zone:          s.Zone,
+			Type:          s.Type,
+			Cell:          s.Cell,
+			Address:       s.Address,
+			Handover:      s.Handover,
+			WantedVersion: version,
+			Version:       version,
+			Reason:        "it has not been started",
+		},
+	}
 }
 
 // Status is the server as it is now, and a channel that is closed when that changes.
@@ -90,7 +107,9 @@
 			continue
 		}
 		k.log.Error("its process ended by itself", "version", version, "after", time.Since(began), "err", err)
-		k.updateStatus(func(s *Status) { s.Restarts, s.Reason = s.Restarts+1, fmt.Sprintf("its process ended: %v", err) })
+		k.updateStatus(
+			func(s *Status) { s.Restarts, s.Reason = s.Restarts+1, fmt.Sprintf("its process ended: %v", err) },
+		)
 		if time.Since(began) > stableRunTime {
 			rest = minRestartBackoff
 		}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -41,11 +41,20 @@
 
 // startProcess starts a command and keeps its trace in a file.
 func startProcess(cmd *exec.Cmd, version string, control int, trace string) (*process, error) {
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal to the agent's group is not one to its servers
+	// a signal to the agent's group is not one to its servers
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p := &process{ProcessRecord: ProcessRecord{PID: cmd.Process.Pid, Version: version, StartedAtMS: time.Now().UnixMilli(), ControlIndex: control}, ended: make(chan error, 1)}
+	p := &process{
+		ProcessRecord: ProcessRecord{
+			PID:          cmd.Process.Pid,
+			Version:      version,
+			StartedAtMS:  time.Now().UnixMilli(),
+			ControlIndex: control,
+		},
+		ended: make(chan error, 1),
+	}
 	err := p.open()
 	if err == nil {
 		err = p.writeRecord(trace)
@@ -108,7 +117,10 @@
 // await waits for the end of a process that is not a child.
 func (p *process) await() {
 	for {
-		n, err := unix.Poll([]unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}}, int(exitPollInterval/time.Millisecond))
+		n, err := unix.Poll(
+			[]unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}},
+			int(exitPollInterval/time.Millisecond),
+		)
 		if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
 			p.ended <- errors.New("it has ended, and was no child of this agent")
 			return
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -30,7 +30,15 @@
 		k.log.Info("the next version is ready", "version", version, "pid", next.PID)
 		return next
 	}
-	k.log.Error("the next version is refused, the old one goes on", "version", version, "old", old.Version, "err", err)
+	k.log.Error(
+		"the next version is refused, the old one goes on",
+		"version",
+		version,
+		"old",
+		old.Version,
+		"err",
+		err,
+	)
 	k.updateStatus(func(s *Status) {
 		s.RejectedVersion, s.Reason = version, fmt.Sprintf("%s was refused: %v", version, err)
 	})
@@ -57,7 +65,10 @@
 			return nil, fmt.Errorf("it ended before it was ready: %w", end)
 		case <-within.Done():
 			defer next.close()
-			return nil, errors.Join(fmt.Errorf("it was not ready within %v: %w", upgradeTimeout, err), k.stopProcess(next))
+			return nil, errors.Join(
+				fmt.Errorf("it was not ready within %v: %w", upgradeTimeout, err),
+				k.stopProcess(next),
+			)
 		case <-time.After(readyInterval):
 		}
 	}
@@ -121,7 +132,10 @@
 	}
 	for _, e := range all {
 		n, err := strconv.Atoi(e.Name())
-		if to, e := os.Readlink(folder + "/" + e.Name()); err != nil || e != nil || !strings.HasPrefix(to, "socket:") {
+		if to, e := os.Readlink(
+			folder + "/" + e.Name(),
+		); err != nil || e != nil ||
+			!strings.HasPrefix(to, "socket:") {
 			continue
 		}
 		fd, err := unix.PidfdGetfd(p.fd, n, 0)
--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/box.go
@@ -48,8 +48,12 @@
 
 // Worse is two troubles at once. Their order makes no difference.
 func Worse(a, b Trouble) Trouble {
-	return Trouble{Slower: max(1, a.Slower) * max(1, b.Slower), Hangs: a.Hangs || b.Hangs, Fails: 1 - (1-a.Fails)*(1-b.Fails),
-		Taken: 1 - (1-a.Taken)*(1-b.Taken)}
+	return Trouble{
+		Slower: max(1, a.Slower) * max(1, b.Slower),
+		Hangs:  a.Hangs || b.Hangs,
+		Fails:  1 - (1-a.Fails)*(1-b.Fails),
+		Taken:  1 - (1-a.Taken)*(1-b.Taken),
+	}
 }
 
 // Pod is what the boxes of one pod share: the keys they have begun. It keeps all
--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -35,7 +35,12 @@
 		if err != nil {
 			return // closed: the box is down
 		}
-		c := &connection{server: s, tcp: tcp.(*net.TCPConn), requests: make(chan *http.Request), over: make(chan struct{})}
+		c := &connection{
+			server:   s,
+			tcp:      tcp.(*net.TCPConn),
+			requests: make(chan *http.Request),
+			over:     make(chan struct{}),
+		}
 		if st, ok := s.host.net.Lookup(tcp.RemoteAddr().String()); ok {
 			c.stream, c.node = st, st.Ends.From
 		}
@@ -124,7 +129,9 @@
 	}
 	s.host.log.Add(e)
 	if req.Header.Get("Idempotency-Key") != op.Key {
-		s.host.log.Add(history.Event{Kind: history.Arrive, ID: id, Box: s.m.Name, Node: c.node, Bad: true, How: "another key"})
+		s.host.log.Add(
+			history.Event{Kind: history.Arrive, ID: id, Box: s.m.Name, Node: c.node, Bad: true, How: "another key"},
+		)
 	}
 	if full {
 		s.host.log.Add(history.Event{Kind: history.Turn, ID: id, Box: s.m.Name, How: "connections"})
@@ -144,7 +151,16 @@
 	case _, more := <-c.requests:
 		s.host.log.Add(history.Event{Kind: history.Shut, ID: id, Box: s.m.Name, Node: c.node})
 		if more {
-			s.host.log.Add(history.Event{Kind: history.Arrive, ID: id, Box: s.m.Name, Node: c.node, Bad: true, How: "two on one connection"})
+			s.host.log.Add(
+				history.Event{
+					Kind: history.Arrive,
+					ID:   id,
+					Box:  s.m.Name,
+					Node: c.node,
+					Bad:  true,
+					How:  "two on one connection",
+				},
+			)
 		}
 		s.left(a)
 		return false
--- a/internal/lab/backendserver/host.go
+++ b/internal/lab/backendserver/host.go
@@ -34,7 +34,15 @@
 
 // NewHost makes the boxes of a world; they answer at their addresses once started.
 func NewHost(log *history.Log, net *link.Net, book *load.Book, seed uint64, w world.World) (*Host, error) {
-	h := &Host{log: log, net: net, book: book, seed: seed, boxes: map[string]*Server{}, open: map[string][]*attempt{}, pods: map[int]*pod{}}
+	h := &Host{
+		log:   log,
+		net:   net,
+		book:  book,
+		seed:  seed,
+		boxes: map[string]*Server{},
+		open:  map[string][]*attempt{},
+		pods:  map[int]*pod{},
+	}
 	var window = w.Classes[0].Window
 	for _, c := range w.Classes {
 		window = max(window, c.Window)
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -59,14 +59,30 @@
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.T, b.T) })
 	return []Verdict{
-		answered(events), ended(events), ownAnswer(events), onceUnsafe(events), onceKeyed(events, l.Slack), oneAtATime(events),
-		asSent(events), drains(events, l.Slack), cold(events), processes(events), use(events, l), growth(events),
+		answered(
+			events,
+		),
+		ended(events),
+		ownAnswer(events),
+		onceUnsafe(events),
+		onceKeyed(events, l.Slack),
+		oneAtATime(events),
+		asSent(events),
+		drains(events, l.Slack),
+		cold(events),
+		processes(events),
+		use(events, l),
+		growth(events),
 	}
 }
 
 // answered: each request that a node took gets one final answer.
 func answered(events []history.Event) Verdict {
-	v := Verdict{Name: "answered", Rule: "each request that was taken gets one final answer in its time", Timed: true}
+	v := Verdict{
+		Name:  "answered",
+		Rule:  "each request that was taken gets one final answer in its time",
+		Timed: true,
+	}
 	faults := faultsOf(events)
 	sent := map[string]history.Event{}
 	answers := map[string]int{}
@@ -91,7 +107,13 @@
 				fresh++
 				continue
 			}
-			v.fail(e, "%s ends it %s, %v after it was sent, and nothing had been done to that node", e.Node, e.How, e.T-s.T)
+			v.fail(
+				e,
+				"%s ends it %s, %v after it was sent, and nothing had been done to that node",
+				e.Node,
+				e.How,
+				e.T-s.T,
+			)
 		}
 	}
 	v.Seen = len(sent)
@@ -102,7 +124,10 @@
 	}
 	// A first request on a connection that is closed unread has failed and is not lost, up to one in 200.
 	if fresh*200 > max(all, 200) {
-		v.Broken = append(v.Broken, Finding{Text: fmt.Sprintf("%d of %d requests were closed unheard, more than one in 200", fresh, all)})
+		v.Broken = append(
+			v.Broken,
+			Finding{Text: fmt.Sprintf("%d of %d requests were closed unheard, more than one in 200", fresh, all)},
+		)
 	}
 	return v
 }
@@ -179,7 +204,10 @@
 // sent to the same pod within the window, and came later than that. The network
 // may hold a request back for longer than a pod remembers.
 func onceKeyed(events []history.Event, slack time.Duration) Verdict {
-	v := Verdict{Name: "key-once", Rule: "no key begins twice: repeats are sent to the same pod and within the window"}
+	v := Verdict{
+		Name: "key-once",
+		Rule: "no key begins twice: repeats are sent to the same pod and within the window",
+	}
 	type at struct{ id, box string }
 	sent := map[at]time.Duration{}
 	first := map[string]history.Event{}
@@ -196,7 +224,15 @@
 			}
 			apart := sent[at{e.ID, e.Box}] - sent[at{f.ID, f.Box}]
 			if e.Pod != f.Pod || apart > world.KeyWindow+world.SocketSlack+slack {
-				v.fail(e, "the key begins at %s, after %s at %v (request %s), sent %v later", e.Box, f.Box, f.T, f.ID, apart)
+				v.fail(
+					e,
+					"the key begins at %s, after %s at %v (request %s), sent %v later",
+					e.Box,
+					f.Box,
+					f.T,
+					f.ID,
+					apart,
+				)
 			}
 		}
 	}
@@ -220,7 +256,10 @@
 
 // asSent: what reaches a box is what a client sent.
 func asSent(events []history.Event) Verdict {
-	v := Verdict{Name: "as-sent", Rule: "what reaches a box is a request that a client sent, with its id and key, one to a connection"}
+	v := Verdict{
+		Name: "as-sent",
+		Rule: "what reaches a box is a request that a client sent, with its id and key, one to a connection",
+	}
 	for _, e := range events {
 		if e.Kind != history.Arrive {
 			continue
--- a/internal/lab/check/quota.go
+++ b/internal/lab/check/quota.go
@@ -14,18 +14,23 @@
 	Rate, Burst float64 // requests a second; at once
 }
 
-// Slack of the check: a request is judged at a node and seen at a box, by as much later as links and a node that
-// waits for a core make it. And a lowered limit holds from when the last lease by the one before has run out: a lease,
-// another for a holder that changes at the same time, and the way to the nodes.
+// Slack of the check: a request is judged at a node and seen at a box, by as much later as links and a node
+// that waits for a core make it. And a lowered limit holds from when the last lease by the one before has run
+// out: a lease, another for a holder that changes at the same time, and the way to the nodes.
 const (
 	quotaSeen  = 300 * time.Millisecond
 	quotaLower = 4 * time.Second
 )
 
-// Quotas judges what all nodes together let through to boxes: in any window at most rate x window + burst, as a bucket that
-// leaks at the rate tells exactly. used is the least part of the quota to be used between two times; 0: not judged.
+// Quotas judges what all nodes together let through to boxes: in any window at most rate x window + burst, as
+// a bucket that leaks at the rate tells exactly. used is the least part of the quota to be used between two
+// times; 0: not judged.
 func Quotas(events []history.Event, all []Quota, from, to time.Duration, used float64) Verdict {
-	v := Verdict{Name: "quota", Rule: "all nodes together let no more through in any window than the limit's rate x window + burst", Timed: true}
+	v := Verdict{
+		Name:  "quota",
+		Rule:  "all nodes together let no more through in any window than the limit's rate x window + burst",
+		Timed: true,
+	}
 	seen := map[string]bool{}
 	var at []time.Duration
 	for _, e := range events {
@@ -43,7 +48,13 @@
 		last = t
 		worst = max(worst, (level-q.Burst)/q.Rate)
 		if level > q.Burst+q.Rate*quotaSeen.Seconds() {
-			v.fail(history.Event{T: t}, "%.1f requests more than leak away at %.1f a second, the burst is %.1f", level, q.Rate, q.Burst)
+			v.fail(
+				history.Event{T: t},
+				"%.1f requests more than leak away at %.1f a second, the burst is %.1f",
+				level,
+				q.Rate,
+				q.Burst,
+			)
 			level = 0 // one finding for one flood
 		}
 		if t >= from && t < to {
@@ -54,10 +65,19 @@
 	for t := from; t < to; t += 100 * time.Millisecond {
 		quota += lowest(all, t).Rate / 10
 	}
-	v.Measured = append(v.Measured, fmt.Sprintf("%.1f%% of the quota was used; at the worst it was ahead of rate and burst by %.0f ms of the rate", 100*float64(inside)/quota,
-		1000*max(0, worst)))
+	v.Measured = append(
+		v.Measured,
+		fmt.Sprintf(
+			"%.1f%% of the quota was used; at the worst it was ahead of rate and burst by %.0f ms of the rate",
+			100*float64(inside)/quota,
+			1000*max(0, worst),
+		),
+	)
 	if used > 0 && float64(inside) < used*quota {
-		v.Broken = append(v.Broken, Finding{Text: fmt.Sprintf("%.3f of the quota was used, want %v at least", float64(inside)/quota, used)})
+		v.Broken = append(
+			v.Broken,
+			Finding{Text: fmt.Sprintf("%.3f of the quota was used, want %v at least", float64(inside)/quota, used)},
+		)
 	}
 	return v
 }
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -76,7 +76,11 @@
 // drains: nothing new reaches a box past the grace after its drain was told. A
 // node that stood still in that time has as much longer.
 func drains(events []history.Event, slack time.Duration) Verdict {
-	v := Verdict{Name: "drains", Rule: "nothing new reaches a box past the grace after the node was told that it drains or is gone", Timed: true}
+	v := Verdict{
+		Name:  "drains",
+		Rule:  "nothing new reaches a box past the grace after the node was told that it drains or is gone",
+		Timed: true,
+	}
 	type pair struct{ node, box string }
 	told := map[pair]time.Duration{}
 	still := stopped(events)
@@ -93,7 +97,8 @@
 		case e.Kind == history.Arrive:
 			since, ok := told[p]
 			sent := max(e.Sent, since) // what was sent before it was told may come late
-			if limit := world.DrainGrace + world.SocketSlack + slack; ok && sent-since-still(e.Node, since, sent) > limit {
+			if limit := world.DrainGrace + world.SocketSlack + slack; ok &&
+				sent-since-still(e.Node, since, sent) > limit {
 				v.fail(e, "%s sends %s work %v after it was told that it leaves", e.Node, e.Box, sent-since)
 			}
 		}
@@ -129,7 +134,10 @@
 
 // growth: memory and descriptors do not go on growing.
 func growth(events []history.Event) Verdict {
-	v := Verdict{Name: "growth", Rule: "memory and descriptors of a process do not go on growing through the last half of its life"}
+	v := Verdict{
+		Name: "growth",
+		Rule: "memory and descriptors of a process do not go on growing through the last half of its life",
+	}
 	lives := map[int][]history.Event{}
 	for _, e := range events {
 		if e.Kind == history.Sample {
--- a/internal/lab/check/view.go
+++ b/internal/lab/check/view.go
@@ -32,12 +32,22 @@
 	return all
 }
 
-// View judges what the nodes saw of each other: at the end all that run have one view, with just those alive that
-// run; nobody whom no fault touched was taken for dead by another like that; an ordered end was not taken for a
-// death, nor an upgrade for any end; and no life went back in the eyes of one process.
+// View judges what the nodes saw of each other: at the end all that run have one view, with just those alive
+// that run; nobody whom no fault touched was taken for dead by another like that; an ordered end was not
+// taken for a death, nor an upgrade for any end; and no life went back in the eyes of one process.
 func View(events []history.Event) Verdict {
-	v := Verdict{Name: "view", Rule: "views settle after the last fault, take no undisturbed node for dead, and never go back", Timed: true}
-	w := views{v: &v, faults: touchedBy(events), running: map[string]int{}, last: map[string]history.Event{}, ordered: map[string]bool{}}
+	v := Verdict{
+		Name:  "view",
+		Rule:  "views settle after the last fault, take no undisturbed node for dead, and never go back",
+		Timed: true,
+	}
+	w := views{
+		v:       &v,
+		faults:  touchedBy(events),
+		running: map[string]int{},
+		last:    map[string]history.Event{},
+		ordered: map[string]bool{},
+	}
 	for _, e := range events {
 		switch e.Kind {
 		case history.Proc:
@@ -128,7 +138,16 @@
 	for _, name := range slices.Sorted(maps.Keys(now)) {
 		s := now[name]
 		if b, ok := before[name]; ok && (s.life < b.life || s.life == b.life && s.incarnation < b.incarnation) {
-			w.v.fail(e, "%s sees %s go back from life %d, %d to %d, %d", e.Node, name, b.life, b.incarnation, s.life, s.incarnation)
+			w.v.fail(
+				e,
+				"%s sees %s go back from life %d, %d to %d, %d",
+				e.Node,
+				name,
+				b.life,
+				b.incarnation,
+				s.life,
+				s.incarnation,
+			)
 		}
 		if s.health != "dead" || before[name].health == "dead" && before[name].life == s.life {
 			continue
@@ -174,7 +193,10 @@
 		}
 	}
 	if w.end > 0 {
-		w.v.Measured = append(w.v.Measured, fmt.Sprintf("the last view changed %.2f s after the end of the last fault", (w.changed-w.end).Seconds()))
+		w.v.Measured = append(
+			w.v.Measured,
+			fmt.Sprintf("the last view changed %.2f s after the end of the last fault", (w.changed-w.end).Seconds()),
+		)
 	}
 	for _, l := range w.lost {
 		var all []time.Duration
@@ -182,8 +204,11 @@
 			all = append(all, took)
 		}
 		if slices.Sort(all); len(all) > 0 {
-			w.v.Measured = append(w.v.Measured, fmt.Sprintf("%s was dead in %d views after %.2f s in the median, %.2f s in the last", l.name, len(all),
-				all[len(all)/2].Seconds(), all[len(all)-1].Seconds()))
+			w.v.Measured = append(
+				w.v.Measured,
+				fmt.Sprintf("%s was dead in %d views after %.2f s in the median, %.2f s in the last", l.name, len(all),
+					all[len(all)/2].Seconds(), all[len(all)-1].Seconds()),
+			)
 		}
 	}
 }
--- a/internal/lab/check/world.go
+++ b/internal/lab/check/world.go
@@ -11,7 +11,11 @@
 
 // cold: no cold box is pushed over by those who were told of its start.
 func cold(events []history.Event) Verdict {
-	v := Verdict{Name: "cold", Rule: "no cold box falls over under what nodes send that were told of its start", Timed: true}
+	v := Verdict{
+		Name:  "cold",
+		Rule:  "no cold box falls over under what nodes send that were told of its start",
+		Timed: true,
+	}
 	since := map[string]string{}           // of a box's last listed start
 	told := map[string]map[string]string{} // by box and node
 	sent := map[string][]history.Event{}   // to a box
@@ -39,7 +43,14 @@
 				}
 			}
 			if 3*knowing >= 2*sum {
-				v.fail(e, "%s falls over; %v of the %v of work of the last %v came from nodes that knew", e.Box, knowing, sum, world.FallTime)
+				v.fail(
+					e,
+					"%s falls over; %v of the %v of work of the last %v came from nodes that knew",
+					e.Box,
+					knowing,
+					sum,
+					world.FallTime,
+				)
 			}
 		}
 	}
@@ -48,7 +59,10 @@
 
 // processes: every process ends as it was ordered.
 func processes(events []history.Event) Verdict {
-	v := Verdict{Name: "processes", Rule: "every process ends as ordered: with 0 after SIGTERM, and not by itself"}
+	v := Verdict{
+		Name: "processes",
+		Rule: "every process ends as ordered: with 0 after SIGTERM, and not by itself",
+	}
 	running := map[int]history.Event{}
 	for _, e := range events {
 		if e.Kind != history.Proc {
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -64,7 +64,9 @@
 			swept = c.log.Now()
 		}
 		c.Late(c.log.Now() - due)
-		c.log.Add(history.Event{T: due, Kind: history.Due, Op: op.N, Class: op.Class.Name, Tenant: op.Tenant, Zone: op.Zone})
+		c.log.Add(
+			history.Event{T: due, Kind: history.Due, Op: op.N, Class: op.Class.Name, Tenant: op.Tenant, Zone: op.Zone},
+		)
 		c.ops.Add(1)
 		go func() {
 			defer c.ops.Done()
@@ -110,8 +112,21 @@
 	if tries == 0 { // the lab itself was too late to send it
 		last.how = history.Unreached
 	}
-	c.log.Add(history.Event{Kind: history.Over, Op: op.N, Class: op.Class.Name, Tenant: op.Tenant, Zone: op.Zone, Node: node,
-		How: last.how, Status: last.status, Took: c.log.Now() - due, Tries: tries, Box: last.box})
+	c.log.Add(
+		history.Event{
+			Kind:   history.Over,
+			Op:     op.N,
+			Class:  op.Class.Name,
+			Tenant: op.Tenant,
+			Zone:   op.Zone,
+			Node:   node,
+			How:    last.how,
+			Status: last.status,
+			Took:   c.log.Now() - due,
+			Tries:  tries,
+			Box:    last.box,
+		},
+	)
 }
 
 // again tells whether a client tries again: a safe operation after anything but
@@ -147,8 +162,17 @@
 		}
 		r, keep = c.exchange(cn, op, id, try, wait)
 	}
-	e := history.Event{Kind: history.Answer, Op: op.N, ID: id, Class: op.Class.Name, Node: node, How: r.how, Status: r.status,
-		Took: r.took, Box: r.box}
+	e := history.Event{
+		Kind:   history.Answer,
+		Op:     op.N,
+		ID:     id,
+		Class:  op.Class.Name,
+		Node:   node,
+		How:    r.how,
+		Status: r.status,
+		Took:   r.took,
+		Box:    r.box,
+	}
 	if !cn.used && !r.begun {
 		e.Detail = history.Fresh
 	}
@@ -163,18 +187,44 @@
 }
 
 func (c *Clients) unreached(op *load.Op, id, node string) result {
-	c.log.Add(history.Event{Kind: history.Answer, Op: op.N, ID: id, Class: op.Class.Name, Node: node, How: history.Unreached})
+	c.log.Add(
+		history.Event{
+			Kind:  history.Answer,
+			Op:    op.N,
+			ID:    id,
+			Class: op.Class.Name,
+			Node:  node,
+			How:   history.Unreached,
+		},
+	)
 	return result{how: history.Unreached}
 }
 
 // exchange sends one request and waits for its answer. keep says that the connection can be used again.
-func (c *Clients) exchange(cn *conn, op *load.Op, id string, try int, wait time.Duration) (r result, keep bool) {
+func (c *Clients) exchange(
+	cn *conn,
+	op *load.Op,
+	id string,
+	try int,
+	wait time.Duration,
+) (r result, keep bool) {
 	besteffort.SocketOption(cn.SetDeadline(time.Now().Add(wait + late)))
 	if _, err := io.WriteString(cn, request(op, id, try, wait)); err != nil {
 		return result{how: history.Broken}, false
 	}
 	sent := c.log.Now()
-	c.log.Add(history.Event{T: sent, Kind: history.Sent, Op: op.N, ID: id, Class: op.Class.Name, Node: cn.node, Key: op.Key, Wait: wait})
+	c.log.Add(
+		history.Event{
+			T:     sent,
+			Kind:  history.Sent,
+			Op:    op.N,
+			ID:    id,
+			Class: op.Class.Name,
+			Node:  cn.node,
+			Key:   op.Key,
+			Wait:  wait,
+		},
+	)
 	first, err := cn.in.Peek(1)
 	if err != nil {
 		r = result{how: history.Broken, took: c.log.Now() - sent, begun: len(first) > 0}
@@ -225,8 +275,17 @@
 	if op.Class.Effect != world.Safe {
 		method, body = http.MethodPost, `{"op":`+strconv.Itoa(op.N)+`}`
 	}
-	fmt.Fprintf(&b, "%s /api/%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: %.6f\r\nX-Cost-Hint: %d\r\n",
-		method, op.Class.Name, id, op.Class.Name, op.Tenant, wait.Seconds(), op.Hint.Microseconds())
+	fmt.Fprintf(
+		&b,
+		"%s /api/%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: %.6f\r\nX-Cost-Hint: %d\r\n",
+		method,
+		op.Class.Name,
+		id,
+		op.Class.Name,
+		op.Tenant,
+		wait.Seconds(),
+		op.Hint.Microseconds(),
+	)
 	if op.Key != "" {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", op.Key)
 	}
--- a/internal/lab/discovery/view.go
+++ b/internal/lab/discovery/view.go
@@ -58,16 +58,30 @@
 	reg     *Registry
 	address func(box string) string // where this node finds a box
 	late    Lateness
-	due     []time.Duration // under the registry's lock; when change i reaches the agent, never before those ahead of it
-	wake    chan struct{}   // under the registry's lock; closed and replaced at each change
-	now     func() time.Duration
+	// under the registry's lock; when change i reaches the agent, never before those ahead of it
+	due  []time.Duration
+	wake chan struct{} // under the registry's lock; closed and replaced at each change
+	now  func() time.Duration
 }
 
 // Agent adds the agent of a node. It has at once all that is listed now.
-func (r *Registry) Agent(node string, now func() time.Duration, late Lateness, address func(box string) string) *Agent {
+func (r *Registry) Agent(
+	node string,
+	now func() time.Duration,
+	late Lateness,
+	address func(box string) string,
+) *Agent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := &Agent{Node: node, reg: r, address: address, late: late, now: now, wake: make(chan struct{}), due: make([]time.Duration, len(r.changes))}
+	a := &Agent{
+		Node:    node,
+		reg:     r,
+		address: address,
+		late:    late,
+		now:     now,
+		wake:    make(chan struct{}),
+		due:     make([]time.Duration, len(r.changes)),
+	}
 	r.agents = append(r.agents, a)
 	return a
 }
@@ -88,7 +102,8 @@
 	a.wake = make(chan struct{})
 }
 
-// state is the index that the agent has, when the next change reaches it (0: none is on its way), and what wakes whoever waits.
+// state is the index that the agent has, when the next change reaches it (0: none is on its way), and what
+// wakes whoever waits.
 func (a *Agent) state(now time.Duration) (index uint64, next time.Duration, wake <-chan struct{}) {
 	a.reg.mu.Lock()
 	defer a.reg.mu.Unlock()
--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -64,7 +64,9 @@
 	card := agent.Record{Machine: agentsRecord, Address: door}
 	for _, m := range f.w.Machines {
 		card.Servers = append(card.Servers, m.Name)
-		a.boxes[m.Name] = &kept{Status: agent.Status{Name: m.Name, Version: version, WantedVersion: version, Running: true, Ready: true}}
+		a.boxes[m.Name] = &kept{
+			Status: agent.Status{Name: m.Name, Version: version, WantedVersion: version, Running: true, Ready: true},
+		}
 		a.list(m.Name)
 	}
 	raw, err := json.Marshal(card)
--- a/internal/lab/fleet/crowd.go
+++ b/internal/lab/fleet/crowd.go
@@ -34,7 +34,12 @@
 	s.crowd = &crowd{}
 	for i := range n {
 		s.crowd.told = append(s.crowd.told, map[uint64]time.Duration{})
-		k, err := client.New(client.Config{Addresses: doors, OnChange: func(a registry.ListResponse) { s.crowd.take(i, s.f.log.Now(), a) }})
+		k, err := client.New(
+			client.Config{
+				Addresses: doors,
+				OnChange:  func(a registry.ListResponse) { s.crowd.take(i, s.f.log.Now(), a) },
+			},
+		)
 		if err != nil {
 			return err
 		}
@@ -80,7 +85,10 @@
 	defer c.mu.Unlock()
 	for v := range c.told[who] {
 		if v >= a.Index {
-			c.wrong = append(c.wrong, check.Finding{T: now, Text: fmt.Sprintf("follower %d comes to version %d after %d", who, a.Index, v)})
+			c.wrong = append(
+				c.wrong,
+				check.Finding{T: now, Text: fmt.Sprintf("follower %d comes to version %d after %d", who, a.Index, v)},
+			)
 		}
 	}
 	c.told[who][a.Index] = now
@@ -119,11 +127,27 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	longest, versions := c.slowest()
-	all := []check.Verdict{{Name: "followers", Rule: "every client of the list service reaches the list as it is, and never goes back", Seen: len(c.all), Broken: c.wrong}}
+	all := []check.Verdict{
+		{
+			Name:   "followers",
+			Rule:   "every client of the list service reaches the list as it is, and never goes back",
+			Seen:   len(c.all),
+			Broken: c.wrong,
+		},
+	}
 	if bound == 0 {
 		return all
 	}
-	in := check.Verdict{Name: "bound followers", Rule: fmt.Sprintf("99%% of the clients know of a change within %v of the first one (%v)", bound, longest.Round(time.Millisecond)), Timed: true, Seen: versions}
+	in := check.Verdict{
+		Name: "bound followers",
+		Rule: fmt.Sprintf(
+			"99%% of the clients know of a change within %v of the first one (%v)",
+			bound,
+			longest.Round(time.Millisecond),
+		),
+		Timed: true,
+		Seen:  versions,
+	}
 	if longest > bound {
 		in.Broken = []check.Finding{{Text: fmt.Sprintf("it took %v", longest.Round(time.Millisecond))}}
 	}
--- a/internal/lab/fleet/drawing.go
+++ b/internal/lab/fleet/drawing.go
@@ -20,7 +20,12 @@
 // draw puts the history of the nodes and their views into the run's folder, as text with a column for each.
 func (f *fleet) draw() error {
 	columns := append([]string{lab}, f.names[:min(len(f.names), mostColumns)]...)
-	text := timeline.Drawing{Says: fmt.Sprintf("%s, seed %d. %s.", f.e.Name, f.o.Seed, f.e.About), Columns: columns}.Draw(drawn(f.log.Events()))
+	text := timeline.Drawing{
+		Says:    fmt.Sprintf("%s, seed %d. %s.", f.e.Name, f.o.Seed, f.e.About),
+		Columns: columns,
+	}.Draw(
+		drawn(f.log.Events()),
+	)
 	if err := os.WriteFile(filepath.Join(f.o.Dir, drawingFile), []byte(text), 0o644); err != nil {
 		return fmt.Errorf("drawing: %w", err)
 	}
@@ -39,7 +44,13 @@
 			return all
 		case history.Fault:
 			_, do, _ := strings.Cut(e.Detail, "-")
-			tell(e, lab, "%s: %s", map[string]string{"begin": do, "end": "end of " + do}[e.How], strings.Join(e.Also, ", "))
+			tell(
+				e,
+				lab,
+				"%s: %s",
+				map[string]string{"begin": do, "end": "end of " + do}[e.How],
+				strings.Join(e.Also, ", "),
+			)
 		case history.Proc:
 			tell(e, e.Node, "%s", strings.TrimSpace(e.How+" "+e.Detail))
 		case history.View:
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -83,7 +83,14 @@
 		return report.Run{}, err
 	}
 	log.Follow(o.Follow)
-	log.Add(history.Event{Kind: history.Meta, Detail: o.Experiment.Name, Seed: o.Seed, Took: time.Duration(o.Experiment.Length)})
+	log.Add(
+		history.Event{
+			Kind:   history.Meta,
+			Detail: o.Experiment.Name,
+			Seed:   o.Seed,
+			Took:   time.Duration(o.Experiment.Length),
+		},
+	)
 	f := &fleet{o: o, e: o.Experiment, log: log, nodes: map[string]*node{}}
 	err = f.setUp(ctx)
 	if err == nil {
@@ -104,9 +111,18 @@
 	if f.rate == 0 {
 		f.rate = e.Load.Use * f.w.Capacity() / f.w.MeanWork().Seconds()
 	}
-	shape := load.Shape{Rate: f.rate, Length: time.Duration(e.Length), Bursty: e.Load.Bursty, Swing: e.Load.Swing, Skew: e.Load.Skew}
+	shape := load.Shape{
+		Rate:   f.rate,
+		Length: time.Duration(e.Length),
+		Bursty: e.Load.Bursty,
+		Swing:  e.Load.Swing,
+		Skew:   e.Load.Skew,
+	}
 	for _, s := range e.Load.Surges {
-		shape.Surges = append(shape.Surges, load.Surge{From: time.Duration(s.At), To: time.Duration(s.At + s.For), Times: s.Times})
+		shape.Surges = append(
+			shape.Surges,
+			load.Surge{From: time.Duration(s.At), To: time.Duration(s.At + s.For), Times: s.Times},
+		)
 	}
 	f.ops = load.Draw(f.o.Seed, f.w, shape)
 	f.book = load.NewBook()
--- a/internal/lab/fleet/judge.go
+++ b/internal/lab/fleet/judge.go
@@ -23,7 +23,10 @@
 		for _, c := range q.Changes {
 			limits = append(limits, check.Quota{From: f.start + time.Duration(c.At), Rate: c.Rate, Burst: c.Burst})
 		}
-		o.Verdicts = append(o.Verdicts, check.Quotas(events, limits, f.start, f.start+time.Duration(f.e.Length), f.e.Bounds.Used))
+		o.Verdicts = append(
+			o.Verdicts,
+			check.Quotas(events, limits, f.start, f.start+time.Duration(f.e.Length), f.e.Bounds.Used),
+		)
 	}
 	if f.e.Fleet.View {
 		o.Verdicts = append(o.Verdicts, check.View(events))
--- a/internal/lab/fleet/lateness.go
+++ b/internal/lab/fleet/lateness.go
@@ -57,7 +57,9 @@
 	p99, worst := l.hist.ValueAtQuantile(99), l.hist.Max()
 	l.hist.Reset()
 	l.mu.Unlock()
-	l.log.Add(history.Event{Kind: history.Lab, P99: time.Duration(p99), Took: time.Duration(worst), CPU: OwnCPU()})
+	l.log.Add(
+		history.Event{Kind: history.Lab, P99: time.Duration(p99), Took: time.Duration(worst), CPU: OwnCPU()},
+	)
 }
 
 // OwnCPU is the processor time that the lab's process has taken.
--- a/internal/lab/fleet/life.go
+++ b/internal/lab/fleet/life.go
@@ -40,9 +40,16 @@
 	if err != nil {
 		return nil, "", err
 	}
-	s := process.Spec{Name: n.name, Command: n.f.o.Node, Dir: n.dir, FDs: uint64(n.f.e.Fleet.Sockets),
-		Env: append([]string{"GW_NAME=" + n.name, "GW_LISTEN=" + n.listen, "GW_DISCOVERY=" + n.discovery, "GW_CONFIG=" + path,
-			"TMPDIR=" + n.tmp, "PATH=" + os.Getenv("PATH"), "GOMAXPROCS=1"}, n.f.o.Env...)} // its machine has one core
+	s := process.Spec{
+		Name:    n.name,
+		Command: n.f.o.Node,
+		Dir:     n.dir,
+		FDs:     uint64(n.f.e.Fleet.Sockets),
+		Env: append(
+			[]string{"GW_NAME=" + n.name, "GW_LISTEN=" + n.listen, "GW_DISCOVERY=" + n.discovery, "GW_CONFIG=" + path,
+				"TMPDIR=" + n.tmp, "PATH=" + os.Getenv("PATH"), "GOMAXPROCS=1"},
+			n.f.o.Env...),
+	} // its machine has one core
 	if n.accept != nil {
 		s.Files, s.Env = []*os.File{n.accept}, append(s.Env, "GW_ACCEPT_FD=3")
 	}
@@ -68,7 +75,11 @@
 }
 
 func (n *node) refuse() {
-	n.f.net.Lay("down-"+n.name, link.Shape{Refuse: true}, func(e link.Ends) bool { return e.From == spec.Clients && e.To == n.name })
+	n.f.net.Lay(
+		"down-"+n.name,
+		link.Shape{Refuse: true},
+		func(e link.Ends) bool { return e.From == spec.Clients && e.To == n.name },
+	)
 }
 
 // arriving is how long new connections go on to come to a node that was told to
@@ -110,7 +121,10 @@
 		old = fmt.Sprint(spec.Discovery, "-", n.moves)
 	}
 	n.moves++
-	address, err := n.f.net.Connect(link.Ends{From: n.name, To: fmt.Sprint(spec.Discovery, "-", n.moves)}, n.agentAt)
+	address, err := n.f.net.Connect(
+		link.Ends{From: n.name, To: fmt.Sprint(spec.Discovery, "-", n.moves)},
+		n.agentAt,
+	)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -53,7 +53,12 @@
 	case "snip":
 		return link.Shape{Snip: s.Bytes}
 	}
-	return link.Shape{Delay: time.Duration(s.Delay), Jitter: time.Duration(s.Jitter), Loss: s.Loss, Rate: int64(s.Rate)}
+	return link.Shape{
+		Delay:  time.Duration(s.Delay),
+		Jitter: time.Duration(s.Jitter),
+		Loss:   s.Loss,
+		Rate:   int64(s.Rate),
+	}
 }
 
 // storm resets the connections of a step's links, once or again and again.
--- a/internal/lab/fleet/net.go
+++ b/internal/lab/fleet/net.go
@@ -71,7 +71,16 @@
 	if f.service != nil && f.service.doors != nil {
 		address = f.service.doors[box]
 	}
-	return registry.Endpoint{Name: box, Address: address, Zone: m.Zone, Type: m.Kind, Cell: m.Pod, Status: status, Weight: 1, StartedAtMS: ms}
+	return registry.Endpoint{
+		Name:        box,
+		Address:     address,
+		Zone:        m.Zone,
+		Type:        m.Kind,
+		Cell:        m.Pod,
+		Status:      status,
+		Weight:      1,
+		StartedAtMS: ms,
+	}
 }
 
 // connect makes the nodes and all links between the parties.
@@ -139,10 +148,18 @@
 	f.net.Lay("net", shape(f.w.Same), func(e link.Ends) bool { return e.From == "nodes" }) // in no zone
 	messages := func(e link.Ends) bool { return isNode(e.From) && isNode(e.To) }
 	f.net.Lay("net", shape(f.w.Client), func(e link.Ends) bool { return e.From == spec.Clients })
-	f.net.Lay("net", shape(f.w.Same), func(e link.Ends) bool { return zones[e.To] != "" && zones[e.From] == zones[e.To] && !messages(e) })
+	f.net.Lay(
+		"net",
+		shape(f.w.Same),
+		func(e link.Ends) bool { return zones[e.To] != "" && zones[e.From] == zones[e.To] && !messages(e) },
+	)
 	f.net.Lay("net", shape(f.w.Cross), func(e link.Ends) bool {
 		return isNode(e.From) && zones[e.To] != "" && zones[e.From] != zones[e.To] && !messages(e)
 	})
 	// Messages take 1.1 to 17 ms, whatever the zone.
-	f.net.Lay("net", link.Shape{Delay: 1100 * time.Microsecond, Jitter: 15900 * time.Microsecond, Loss: f.e.Net.Loss}, messages)
+	f.net.Lay(
+		"net",
+		link.Shape{Delay: 1100 * time.Microsecond, Jitter: 15900 * time.Microsecond, Loss: f.e.Net.Loss},
+		messages,
+	)
 }
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -39,7 +39,13 @@
 }
 
 func (f *fleet) newNode(i int) (*node, error) {
-	n := &node{f: f, number: i, name: fmt.Sprint("n", i), zone: f.w.Zones[i%len(f.w.Zones)], peers: make([]string, f.e.Fleet.Nodes)}
+	n := &node{
+		f:      f,
+		number: i,
+		name:   fmt.Sprint("n", i),
+		zone:   f.w.Zones[i%len(f.w.Zones)],
+		peers:  make([]string, f.e.Fleet.Nodes),
+	}
 	dir, err := filepath.Abs(filepath.Join(f.o.Dir, n.name))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", n.name, err)
@@ -72,7 +78,10 @@
 	}
 	boxes := map[string]string{}
 	for _, m := range f.w.Machines {
-		if boxes[m.Name], err = f.net.Connect(link.Ends{From: n.name, To: m.Name}, f.host.Box(m.Name).Address); err != nil {
+		if boxes[m.Name], err = f.net.Connect(
+			link.Ends{From: n.name, To: m.Name},
+			f.host.Box(m.Name).Address,
+		); err != nil {
 			return err
 		}
 	}
@@ -123,9 +132,21 @@
 func (n *node) write(control string) (path string, err error) {
 	f := n.f
 	n.starts++
-	c := platform.Node{Name: n.name, Number: n.number, Nodes: f.e.Fleet.Nodes, Zone: n.zone, Listen: n.listen, Control: control,
-		Discovery: n.discovery, List: n.list, ListFile: filepath.Join(n.dir, "list"), ByServer: f.e.Release != nil, Seed: f.o.Seed<<16 + uint64(n.number)<<8 + n.starts,
-		MemoryMB: f.e.Fleet.MemoryMB, Sockets: f.e.Fleet.Sockets}
+	c := platform.Node{
+		Name:      n.name,
+		Number:    n.number,
+		Nodes:     f.e.Fleet.Nodes,
+		Zone:      n.zone,
+		Listen:    n.listen,
+		Control:   control,
+		Discovery: n.discovery,
+		List:      n.list,
+		ListFile:  filepath.Join(n.dir, "list"),
+		ByServer:  f.e.Release != nil,
+		Seed:      f.o.Seed<<16 + uint64(n.number)<<8 + n.starts,
+		MemoryMB:  f.e.Fleet.MemoryMB,
+		Sockets:   f.e.Fleet.Sockets,
+	}
 	if n.agent != nil {
 		c.Known = n.agent.List(0, f.log.Now())
 	}
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -77,7 +77,8 @@
 	return done
 }
 
-// newKeeper lays a keeper's links to the list service and to each node, and writes its file. To nodes it is one more peer.
+// newKeeper lays a keeper's links to the list service and to each node, and writes its file. To nodes it is
+// one more peer.
 func (f *fleet) newKeeper(i int) (*conductor, error) {
 	name := fmt.Sprint("k", i)
 	dir, err := filepath.Abs(filepath.Join(f.o.Dir, name))
@@ -101,8 +102,22 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := toml.Marshal(map[string]any{"process": name, "list": doors, "listen": report, "repair": false, "every": "1s",
-		"shares": map[string]any{"fleet": fleetName, "listen": listen.String(), "join": peers[:len(f.names)], "number": len(f.names) + i, "peers": peers}})
+	text, err := toml.Marshal(
+		map[string]any{
+			"process": name,
+			"list":    doors,
+			"listen":  report,
+			"repair":  false,
+			"every":   "1s",
+			"shares": map[string]any{
+				"fleet":  fleetName,
+				"listen": listen.String(),
+				"join":   peers[:len(f.names)],
+				"number": len(f.names) + i,
+				"peers":  peers,
+			},
+		},
+	)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -113,11 +128,19 @@
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return &conductor{name: name, spec: process.Spec{Name: name, Command: append(append([]string(nil), f.o.Keeper...), "--config", file), Dir: dir,
-		Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.o.Env...)}}, nil
+	return &conductor{
+		name: name,
+		spec: process.Spec{
+			Name:    name,
+			Command: append(append([]string(nil), f.o.Keeper...), "--config", file),
+			Dir:     dir,
+			Env:     append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.o.Env...),
+		},
+	}, nil
 }
 
-// pairKeeper lays the links between a keeper and the nodes, and gives where the keeper finds the peers that there are so far.
+// pairKeeper lays the links between a keeper and the nodes, and gives where the keeper finds the peers that
+// there are so far.
 func (f *fleet) pairKeeper(name string, listen netip.AddrPort) (peers []string, err error) {
 	for _, n := range f.names {
 		toSeen, fromSeen, err := f.net.Pair(link.Ends{From: n, To: name}, f.nodes[n].peerListen, listen)
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -100,9 +100,22 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o644); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	args := []string{"release", "conduct", releaseName, "--list", strings.Join(doors, ","), "--config", file, "--ttl", conductTTL}
-	return &conductor{name: name, spec: process.Spec{Name: name, Command: append(append([]string(nil), f.o.Ctl...), args...), Dir: dir,
-		Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.o.Env...), MayEnd: true}}, nil
+	args := []string{
+		"release",
+		"conduct",
+		releaseName,
+		"--list",
+		strings.Join(doors, ","),
+		"--config",
+		file,
+		"--ttl",
+		conductTTL,
+	}
+	return &conductor{
+		name: name,
+		spec: process.Spec{Name: name, Command: append(append([]string(nil), f.o.Ctl...), args...), Dir: dir,
+			Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.o.Env...), MayEnd: true},
+	}, nil
 }
 
 func (c *conductor) start(g *process.Group) error {
@@ -130,15 +143,25 @@
 func (r *releasing) put(ctx context.Context) error {
 	e := r.f.e.Release
 	p := release.Default()
-	p.Name, p.From, p.To, p.Limits, p.Soak, p.Halt = releaseName, oldVersion, newVersion, release.Limits{Total: e.Out}, time.Duration(e.Soak), e.Halt
-	p.Gate.MinRequests, p.Gate.IncidentThreshold = e.Least, 0.5 // what a version does wrong has to show beside the rest
+	p.Name, p.From, p.To, p.Limits, p.Soak, p.Halt = releaseName, oldVersion, newVersion, release.Limits{
+		Total: e.Out,
+	}, time.Duration(
+		e.Soak,
+	), e.Halt
+	// what a version does wrong has to show beside the rest
+	p.Gate.MinRequests, p.Gate.IncidentThreshold = e.Least, 0.5
 	if p.Waves = nil; e.Gateless {
 		p.Gate = release.Gate{MaxFailedExcess: 1, MaxLateExcess: 1, IncidentThreshold: 1}
 	}
 	for _, w := range e.Waves {
 		p.Waves = append(p.Waves, release.Wave{Share: w})
 	}
-	p.Deadline = release.Deadline{Drain: 10 * time.Second, Replace: 10 * time.Second, Ready: 10 * time.Second, Judge: 10 * time.Second}
+	p.Deadline = release.Deadline{
+		Drain:   10 * time.Second,
+		Replace: 10 * time.Second,
+		Ready:   10 * time.Second,
+		Judge:   10 * time.Second,
+	}
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	a, err := r.client.Current(ctx)
@@ -155,7 +178,11 @@
 // verdicts says where the release came to.
 func (r *releasing) verdicts() []check.Verdict {
 	e := r.f.e.Release
-	v := check.Verdict{Name: "release", Rule: "the release comes to be " + e.End + ", with no more out than it may", Seen: len(r.agents.boxes)}
+	v := check.Verdict{
+		Name: "release",
+		Rule: "the release comes to be " + e.End + ", with no more out than it may",
+		Seen: len(r.agents.boxes),
+	}
 	fail := func(format string, args ...any) {
 		v.Broken = append(v.Broken, check.Finding{Text: fmt.Sprintf(format, args...)})
 	}
@@ -200,7 +227,10 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	for {
-		if s, err := r.last(ctx); err != nil || string(s.Phase) == r.f.e.Release.End && len(s.Actions()) == 0 || !backoff.Sleep(ctx, 100*time.Millisecond) {
+		if s, err := r.last(
+			ctx,
+		); err != nil || string(s.Phase) == r.f.e.Release.End && len(s.Actions()) == 0 ||
+			!backoff.Sleep(ctx, 100*time.Millisecond) {
 			break
 		}
 	}
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -42,7 +42,17 @@
 )
 
 func (f *fleet) newService() (*service, error) {
-	set, err := replicas.New(replicas.Options{Count: f.e.List.Replicas, Dir: filepath.Join(f.o.Dir, "list"), Command: f.o.List, Env: f.o.Env, Seed: f.o.Seed}, f.net, f.group)
+	set, err := replicas.New(
+		replicas.Options{
+			Count:   f.e.List.Replicas,
+			Dir:     filepath.Join(f.o.Dir, "list"),
+			Command: f.o.List,
+			Env:     f.o.Env,
+			Seed:    f.o.Seed,
+		},
+		f.net,
+		f.group,
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -121,8 +131,24 @@
 	if err != nil {
 		return err
 	}
-	s.workers, err = leases.NewCrew(leases.CrewOptions{Workers: d.Workers, Duties: d.Count, TTL: time.Duration(d.TTL), Guarded: d.Guard, Spread: d.Spread,
-		Dir: filepath.Join(s.f.o.Dir, "workers"), Command: []string{own, "duty-worker"}, Env: s.f.o.Env}, s.set, s.f.net, s.f.group)
+	s.workers, err = leases.NewCrew(
+		leases.CrewOptions{
+			Workers: d.Workers,
+			Duties:  d.Count,
+			TTL:     time.Duration(d.TTL),
+			Guarded: d.Guard,
+			Spread:  d.Spread,
+			Dir: filepath.Join(
+				s.f.o.Dir,
+				"workers",
+			),
+			Command: []string{own, "duty-worker"},
+			Env:     s.f.o.Env,
+		},
+		s.set,
+		s.f.net,
+		s.f.group,
+	)
 	if err != nil {
 		return err
 	}
@@ -136,7 +162,11 @@
 // dutyVerdicts says what the workers' resource saw, and how long a duty had no holder.
 func (s *service) dutyVerdicts(bound time.Duration) []check.Verdict {
 	acts, _ := s.workers.Resource.Acts()
-	v := check.Verdict{Name: "duties", Rule: "one process holds a duty at a time: no act under a lower fence after one under a higher, none interleaved", Seen: len(acts)}
+	v := check.Verdict{
+		Name: "duties",
+		Rule: "one process holds a duty at a time: no act under a lower fence after one under a higher, none interleaved",
+		Seen: len(acts),
+	}
 	broken, sure, err := s.workers.Judge()
 	if err != nil {
 		broken = append(broken, err.Error())
@@ -151,13 +181,21 @@
 		return []check.Verdict{v}
 	}
 	gaps := leases.Gaps(acts)
-	in := check.Verdict{Name: "bound holder", Timed: true, Seen: len(gaps), Rule: fmt.Sprintf("no duty is without a holder for over %v", bound)}
+	in := check.Verdict{
+		Name:  "bound holder",
+		Timed: true,
+		Seen:  len(gaps),
+		Rule:  fmt.Sprintf("no duty is without a holder for over %v", bound),
+	}
 	if len(gaps) > 0 {
 		in.Rule += fmt.Sprintf(" (%v at most, %d changes)", gaps[0].Took.Round(time.Millisecond), len(gaps))
 	}
 	for _, g := range gaps {
 		if g.Took > bound {
-			in.Broken = append(in.Broken, check.Finding{Text: fmt.Sprintf("%s had none for %v", g.Duty, g.Took.Round(time.Millisecond))})
+			in.Broken = append(
+				in.Broken,
+				check.Finding{Text: fmt.Sprintf("%s had none for %v", g.Duty, g.Took.Round(time.Millisecond))},
+			)
 		}
 	}
 	return []check.Verdict{v, in}
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -47,7 +47,15 @@
 
 func (f *fleet) tell(how string, s spec.Step) {
 	f.disturbed.note(f.touched(s), how == "begin")
-	f.log.Add(history.Event{Kind: history.Fault, How: how, Detail: s.Name, Nodes: f.touched(s), Also: append(slices.Clone(s.On), s.To...)})
+	f.log.Add(
+		history.Event{
+			Kind:   history.Fault,
+			How:    how,
+			Detail: s.Name,
+			Nodes:  f.touched(s),
+			Also:   append(slices.Clone(s.On), s.To...),
+		},
+	)
 }
 
 // touched lists the nodes that can't be held to answering their clients while the step lasts.
@@ -58,7 +66,8 @@
 		switch s.Do {
 		case "kill", "pause":
 		case "cut", "mute", "refuse", "reset", "shape", "snip":
-			named = named && slices.Contains(s.To, spec.Clients) || slices.Contains(s.On, spec.Clients) && slices.Contains(s.To, n)
+			named = named && slices.Contains(s.To, spec.Clients) ||
+				slices.Contains(s.On, spec.Clients) && slices.Contains(s.To, n)
 		default:
 			named = false
 		}
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/views.go
@@ -33,8 +33,8 @@
 	} `json:"members"`
 }
 
-// watchView keeps the changes of a node's view in the history until ctx ends. A node that does not answer, as one
-// that is dead or stands still, has none.
+// watchView keeps the changes of a node's view in the history until ctx ends. A node that does not answer, as
+// one that is dead or stands still, has none.
 func (n *node) watchView(ctx context.Context) {
 	var last seen
 	for backoff.Sleep(ctx, lookEvery) {
@@ -49,7 +49,13 @@
 			continue
 		}
 		last = s
-		e := history.Event{Kind: history.View, Node: n.name, Index: s.Number, How: s.Digest, Detail: strconv.FormatUint(s.Life, 10)}
+		e := history.Event{
+			Kind:   history.View,
+			Node:   n.name,
+			Index:  s.Number,
+			How:    s.Digest,
+			Detail: strconv.FormatUint(s.Life, 10),
+		}
 		for _, m := range s.Members {
 			e.Also = append(e.Also, fmt.Sprintf("%s %s %d %d", m.Name, m.Health, m.Life, m.Incarnation))
 		}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -19,25 +19,36 @@
 
 // The kinds, with the fields that each has beside T.
 const (
-	Due    Kind = "due"    // an operation is wanted: Op, Class, Tenant, Zone
-	Sent   Kind = "sent"   // a try's last byte was written to a node: Op, ID, Class, Node, Key, Wait (how long the client waits)
-	Answer Kind = "answer" // what came of a try: Op, ID, Node, How, Status, Took (from Sent), Box (who made the body), Detail (Fresh)
-	Cross  Kind = "cross"  // a node's close crossed a request on a used connection, which was sent once more: Op, ID, Node
-	Extra  Kind = "extra"  // bytes came after an answer: Node, ID of the answer
-	Over   Kind = "over"   // an operation ended: Op, Class, Tenant, Zone, Node of the last try, How, Took (from Due), Tries
-	Arrive Kind = "arrive" // an attempt's last byte reached a box: Op, ID, Class, Key, Box, Node, Took (its work), Sent (when the node wrote its last byte), Also (boxes where it is still open), Bad and How (what no node may send)
-	Begin  Kind = "begin"  // a box began the work, so that it may have an effect: ID, Key, Box, Pod
-	Drop   Kind = "drop"   // a box's pod dropped the repeat of a key: ID, Key, Box
-	Turn   Kind = "turn"   // a box turned an attempt away unseen: ID, Box, How
-	End    Kind = "end"    // a box answered: ID, Box, Status, Took (from Arrive)
-	Shut   Kind = "shut"   // the node ended an attempt that was open: ID, Box, Node
-	Told   Kind = "told"   // discovery wrote an entry to a node: Node, Box, How (the status), Index, Detail (since_ms)
-	Box    Kind = "box"    // a box changed: Box, How, Detail (since_ms, of a start that is listed)
-	View   Kind = "view"   // a node's view of the fleet changed: Node, Index (its number), How (its digest), Detail (the node's own life), Also ("name health life incarnation" of each member)
-	Proc   Kind = "proc"   // a process: Node, Pid, How (start, ready, signal, exit), Detail, Bad (not as ordered)
+	Due Kind = "due" // an operation is wanted: Op, Class, Tenant, Zone
+	// a try's last byte was written to a node: Op, ID, Class, Node, Key, Wait (how long the client waits)
+	Sent Kind = "sent"
+	// what came of a try: Op, ID, Node, How, Status, Took (from Sent), Box (who made the body), Detail (Fresh)
+	Answer Kind = "answer"
+	// a node's close crossed a request on a used connection, which was sent once more: Op, ID, Node
+	Cross Kind = "cross"
+	Extra Kind = "extra" // bytes came after an answer: Node, ID of the answer
+	// an operation ended: Op, Class, Tenant, Zone, Node of the last try, How, Took (from Due), Tries
+	Over Kind = "over"
+	// an attempt's last byte reached a box: Op, ID, Class, Key, Box, Node, Took (its work), Sent (when the node
+	// wrote its last byte), Also (boxes where it is still open), Bad and How (what no node may send)
+	Arrive Kind = "arrive"
+	Begin  Kind = "begin" // a box began the work, so that it may have an effect: ID, Key, Box, Pod
+	Drop   Kind = "drop"  // a box's pod dropped the repeat of a key: ID, Key, Box
+	Turn   Kind = "turn"  // a box turned an attempt away unseen: ID, Box, How
+	End    Kind = "end"   // a box answered: ID, Box, Status, Took (from Arrive)
+	Shut   Kind = "shut"  // the node ended an attempt that was open: ID, Box, Node
+	// discovery wrote an entry to a node: Node, Box, How (the status), Index, Detail (since_ms)
+	Told Kind = "told"
+	Box  Kind = "box" // a box changed: Box, How, Detail (since_ms, of a start that is listed)
+	// a node's view of the fleet changed: Node, Index (its number), How (its digest), Detail (the node's own
+	// life), Also ("name health life incarnation" of each member)
+	View Kind = "view"
+	// a process: Node, Pid, How (start, ready, signal, exit), Detail, Bad (not as ordered)
+	Proc   Kind = "proc"
 	Sample Kind = "sample" // a process's use: Node, Pid, RSS, FDs, CPU, Stall (both in all since its start)
 	Fault  Kind = "fault"  // a fault: How (begin or end), Detail, Nodes (processes that it touches)
-	Lab    Kind = "lab"    // the lab's own lateness in the second before: Took (worst), P99, CPU (of the lab, in all)
+	// the lab's own lateness in the second before: Took (worst), P99, CPU (of the lab, in all)
+	Lab    Kind = "lab"
 	Meta   Kind = "meta"   // the run: Detail (experiment), Seed, Took (planned length)
 	Ending Kind = "ending" // all is over; the processes are about to be ended
 )
--- a/internal/lab/labtest/trial.go
+++ b/internal/lab/labtest/trial.go
@@ -55,7 +55,9 @@
 	t.Helper()
 	c := server.Default()
 	c.Folder, c.Listen, c.Election = t.TempDir(), Address(t), 50*time.Millisecond
-	t.Cleanup(Run(t, func(ctx context.Context) error { return server.Run(ctx, c, slog.New(slog.DiscardHandler)) }))
+	t.Cleanup(
+		Run(t, func(ctx context.Context) error { return server.Run(ctx, c, slog.New(slog.DiscardHandler)) }),
+	)
 	k, err := client.New(client.Config{Addresses: []string{c.Listen}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -24,11 +24,25 @@
 	owner := map[string]string{}
 	for _, a := range acts {
 		if b, ok := last[a.Lease]; ok && a.Number < b.Number {
-			broken = append(broken, fmt.Sprintf("%s: %s writes under fence %d, %v after %s did under %d", a.Lease, a.Run, a.Number, a.To-b.To, b.Run, b.Number))
+			broken = append(
+				broken,
+				fmt.Sprintf(
+					"%s: %s writes under fence %d, %v after %s did under %d",
+					a.Lease,
+					a.Run,
+					a.Number,
+					a.To-b.To,
+					b.Run,
+					b.Number,
+				),
+			)
 		}
 		key := fmt.Sprint(a.Number, " ", a.Lease)
 		if o, ok := owner[key]; ok && o != a.Run {
-			broken = append(broken, fmt.Sprintf("%s: %s and %s both write under fence %d", a.Lease, o, a.Run, a.Number))
+			broken = append(
+				broken,
+				fmt.Sprintf("%s: %s and %s both write under fence %d", a.Lease, o, a.Run, a.Number),
+			)
 		}
 		owner[key], last[a.Lease] = a.Run, a
 	}
@@ -86,11 +100,15 @@
 			continue
 		}
 		key := [2]string{a.Run, a.Lease}
-		if a.Do == "hold" { // its process may have had the grant since its last word on the duty, and hear of it late
+		// its process may have had the grant since its last word on the duty, and hear of it late
+		if a.Do == "hold" {
 			a.From = max(started[a.Run], last[key])
 		}
 		last[key] = a.To
-		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: a, Call: int64(a.From), Return: int64(a.To)})
+		ops = append(
+			ops,
+			porcupine.Operation{ClientId: len(ops), Input: a, Call: int64(a.From), Return: int64(a.To)},
+		)
 	}
 	result := porcupine.CheckOperationsTimeout(lockModel, ops, checkTime)
 	return result != porcupine.Illegal, result != porcupine.Unknown
--- a/internal/lab/leases/crew.go
+++ b/internal/lab/leases/crew.go
@@ -75,8 +75,25 @@
 			c.Resource.Close()
 			return nil, err
 		}
-		m.args = []string{"--process", m.name, "--list", strings.Join(doors, ","), "--resource", resource, "--duties", strings.Join(names, ","),
-			"--ttl", o.TTL.String(), "--every", o.every().String(), "--log", m.log(), fmt.Sprintf("--spread=%v", o.Spread), "--deaf", o.Deaf.String()}
+		m.args = []string{
+			"--process",
+			m.name,
+			"--list",
+			strings.Join(doors, ","),
+			"--resource",
+			resource,
+			"--duties",
+			strings.Join(names, ","),
+			"--ttl",
+			o.TTL.String(),
+			"--every",
+			o.every().String(),
+			"--log",
+			m.log(),
+			fmt.Sprintf("--spread=%v", o.Spread),
+			"--deaf",
+			o.Deaf.String(),
+		}
 		c.all = append(c.all, m)
 	}
 	return c, nil
@@ -108,8 +125,10 @@
 func (c *Crew) start(m *member) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p, err := c.group.Start(process.Spec{Name: m.name, Command: append(slices.Clone(c.o.Command), m.args...), Dir: m.dir,
-		Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + m.dir}, c.o.Env...)})
+	p, err := c.group.Start(
+		process.Spec{Name: m.name, Command: append(slices.Clone(c.o.Command), m.args...), Dir: m.dir,
+			Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + m.dir}, c.o.Env...)},
+	)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -57,7 +57,11 @@
 	switch kind {
 	case "cut":
 		name := fmt.Sprint("cut", n)
-		l.net.Lay(name, link.Shape{Hold: link.Both, Cut: true}, func(e link.Ends) bool { return e.From == who && e.To != "resource" })
+		l.net.Lay(
+			name,
+			link.Shape{Hold: link.Both, Cut: true},
+			func(e link.Ends) bool { return e.From == who && e.To != "resource" },
+		)
 		backoff.Sleep(ctx, last)
 		l.net.Lift(name)
 		return nil
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -59,7 +59,11 @@
 			besteffort.Close(l)
 		}
 	}()
-	if l.Set, err = replicas.New(replicas.Options{Count: o.Replicas, Dir: o.Dir, Command: o.List, Env: o.Env, Seed: o.Seed}, l.net, l.group); err != nil {
+	if l.Set, err = replicas.New(
+		replicas.Options{Count: o.Replicas, Dir: o.Dir, Command: o.List, Env: o.Env, Seed: o.Seed},
+		l.net,
+		l.group,
+	); err != nil {
 		return nil, err
 	}
 	if err := l.Set.Begin(ctx); err != nil {
@@ -127,8 +131,16 @@
 	case o.Unsure:
 		return fmt.Sprintf("VOID duties: seed %d, the check took over %v", o.Seed, checkTime)
 	}
-	return fmt.Sprintf("PASS duties: seed %d, %s, %d faults, %d grants, %d acts taken, %d turned down, %v at most without a holder", o.Seed, what, o.Faults,
-		o.Grants, o.Acts, o.Down, o.Longest.Round(time.Millisecond))
+	return fmt.Sprintf(
+		"PASS duties: seed %d, %s, %d faults, %d grants, %d acts taken, %d turned down, %v at most without a holder",
+		o.Seed,
+		what,
+		o.Faults,
+		o.Grants,
+		o.Acts,
+		o.Down,
+		o.Longest.Round(time.Millisecond),
+	)
 }
 
 // Play plays one run. Where the resource has no guard, processes and replicas are
@@ -173,13 +185,26 @@
 // draw draws the faults of a run by its seed.
 func draw(o Options) []fault {
 	chance := rand.New(rand.NewPCG(o.Seed, 0x64757479))
-	menu := []string{"worker-kill", "worker-restart", "worker-upgrade", "worker-cut", "worker-cut-back", "replica-kill", "replica-cut", "all-kill"}
+	menu := []string{
+		"worker-kill",
+		"worker-restart",
+		"worker-upgrade",
+		"worker-cut",
+		"worker-cut-back",
+		"replica-kill",
+		"replica-cut",
+		"all-kill",
+	}
 	if o.Crew.Guarded {
 		menu = append(menu, "worker-pause", "worker-pause", "replica-pause", "worker-kill-replica")
 	}
 	var all []fault
 	for at := 200 * time.Millisecond; ; {
-		f := fault{at: at, do: menu[chance.IntN(len(menu))], last: time.Duration(chance.Int64N(int64(3*o.Crew.TTL))) + 50*time.Millisecond}
+		f := fault{
+			at:   at,
+			do:   menu[chance.IntN(len(menu))],
+			last: time.Duration(chance.Int64N(int64(3*o.Crew.TTL))) + 50*time.Millisecond,
+		}
 		if f.at+f.last > o.Length {
 			return all
 		}
@@ -224,7 +249,8 @@
 			way = link.Back
 		}
 		l.net.Lay(name, link.Shape{Hold: way, Cut: true}, func(e link.Ends) bool {
-			return e.To != "resource" && (e.From == f.who || strings.HasPrefix(e.To, f.who) && on == "replica" && strings.HasPrefix(e.From, "r"))
+			return e.To != "resource" &&
+				(e.From == f.who || strings.HasPrefix(e.To, f.who) && on == "replica" && strings.HasPrefix(e.From, "r"))
 		})
 		backoff.Sleep(ctx, f.last)
 		l.net.Lift(name)
--- a/internal/lab/leases/worker.go
+++ b/internal/lab/leases/worker.go
@@ -85,11 +85,25 @@
 		return fmt.Errorf("worker: %w", err)
 	}
 	defer besteffort.Close(f)
-	p, err := lease.Open(lease.Config{Client: k, Process: o.Process, TTL: o.TTL, Info: registry.ProcessInfo{Note: "a worker of the lab"}, Log: log})
+	p, err := lease.Open(
+		lease.Config{
+			Client:  k,
+			Process: o.Process,
+			TTL:     o.TTL,
+			Info:    registry.ProcessInfo{Note: "a worker of the lab"},
+			Log:     log,
+		},
+	)
 	if err != nil {
 		return err
 	}
-	w := &worker{o: o, run: fmt.Sprint(o.Process, "-", os.Getpid()), list: k, file: f, http: &http.Client{Timeout: actTime}}
+	w := &worker{
+		o:    o,
+		run:  fmt.Sprint(o.Process, "-", os.Getpid()),
+		list: k,
+		file: f,
+		http: &http.Client{Timeout: actTime},
+	}
 	w.note(Act{From: clock(), Do: "start"})
 	var all sync.WaitGroup
 	for _, name := range o.Duties {
@@ -97,7 +111,8 @@
 		if o.Spread {
 			options = append(options, lease.Spread(o.Process, name))
 		}
-		all.Go(func() { _ = p.Run(context.WithoutCancel(ctx), name, w.work, options...) }) // it ends with the session
+		// it ends with the session
+		all.Go(func() { _ = p.Run(context.WithoutCancel(ctx), name, w.work, options...) })
 	}
 	<-ctx.Done()
 	err = p.Close(handTime)
@@ -134,7 +149,12 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.o.Resource+"/", bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodPost,
+		"http://"+w.o.Resource+"/",
+		bytes.NewReader(raw),
+	)
 	if err != nil {
 		return err
 	}
@@ -156,7 +176,12 @@
 	ctx, cancel := context.WithTimeout(ctx, actTime)
 	defer cancel()
 	a := Act{From: clock(), Do: "note", FencingToken: f}
-	e := registry.Endpoint{Name: "note-" + f.Lease, Address: "127.0.0.1:1", Status: registry.Ready, StartedAtMS: int64(a.From)}
+	e := registry.Endpoint{
+		Name:        "note-" + f.Lease,
+		Address:     "127.0.0.1:1",
+		Status:      registry.Ready,
+		StartedAtMS: int64(a.From),
+	}
 	_, err := w.list.WithToken(f).Register(ctx, e, 0, nil)
 	a.To = clock()
 	var refused *client.Error
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -88,7 +88,8 @@
 	p.unfill()
 }
 
-// follow brings the listener into the state that the link's shape asks for. The caller holds the state's lock.
+// follow brings the listener into the state that the link's shape asks for. The caller holds the state's
+// lock.
 func (p *proxy) follow(before, after Shape) {
 	switch {
 	case after.Refuse && !before.Refuse:
@@ -135,7 +136,9 @@
 func (p *proxy) listen(queue int) {
 	raw, err := p.ln.SyscallConn()
 	if err == nil {
-		besteffort.SocketOption(raw.Control(func(fd uintptr) { besteffort.SocketOption(unix.Listen(int(fd), queue)) }))
+		besteffort.SocketOption(
+			raw.Control(func(fd uintptr) { besteffort.SocketOption(unix.Listen(int(fd), queue)) }),
+		)
 	}
 }
 
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -17,7 +17,10 @@
 // Pair lays a link for datagrams between two parties, which listen at the
 // addresses given. Each gets the address at which it finds the other, and from
 // which the other's datagrams come.
-func (n *Net) Pair(e Ends, fromListens, toListens netip.AddrPort) (toSeen, fromSeen netip.AddrPort, err error) {
+func (n *Net) Pair(
+	e Ends,
+	fromListens, toListens netip.AddrPort,
+) (toSeen, fromSeen netip.AddrPort, err error) {
 	near, err := listenUDP()
 	if err != nil {
 		return toSeen, fromSeen, fmt.Errorf("link %s: %w", e, err)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -98,9 +98,21 @@
 	zones[0] += s.Skew
 	class := w.Classes[choose(r, classes)]
 	work := time.Duration(float64(class.Work) * world.Spread(r, class.CV))
-	op := Op{N: n, Due: due, Class: class, Tenant: w.Tenants[choose(r, books)].Name, Zone: w.Zones[choose(r, zones)], Work: work,
-		Hint: time.Duration(float64(work) * world.Spread(r, 0.4)), Share: 0.5 + 0.3*r.Float64(), Retries: 1 + r.IntN(2),
-		Heeds: r.Float64() < 0.85, Pick: r.Uint64()}
+	op := Op{
+		N:      n,
+		Due:    due,
+		Class:  class,
+		Tenant: w.Tenants[choose(r, books)].Name,
+		Zone:   w.Zones[choose(r, zones)],
+		Work:   work,
+		Hint: time.Duration(
+			float64(work) * world.Spread(r, 0.4),
+		),
+		Share:   0.5 + 0.3*r.Float64(),
+		Retries: 1 + r.IntN(2),
+		Heeds:   r.Float64() < 0.85,
+		Pick:    r.Uint64(),
+	}
 	wait := (18 + 122*r.Float64()) * float64(time.Millisecond)
 	for i := range op.Retries {
 		op.Backoff = append(op.Backoff, time.Duration(wait*float64(int(1)<<i)*(0.5+r.Float64())))
--- a/internal/lab/measure/boxes.go
+++ b/internal/lab/measure/boxes.go
@@ -75,7 +75,12 @@
 )
 
 // keep holds so many jobs at a box and gives the work done by then.
-func keep(b *backend.Box, jobs int, until time.Duration, stop func(now time.Duration) bool) (done time.Duration) {
+func keep(
+	b *backend.Box,
+	jobs int,
+	until time.Duration,
+	stop func(now time.Duration) bool,
+) (done time.Duration) {
 	held, num := 0, uint64(0)
 	for now := time.Duration(0); now < until && !stop(now); now = min(now+look, max(now+1, b.Next())) {
 		outs := b.Tick(now)
@@ -134,10 +139,30 @@
 // WriteBoxes writes the table.
 func WriteBoxes(w io.Writer, kinds []Kind) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
-	besteffort.Output(fmt.Fprintln(t, "kind\tdrawn\tstated\tmeasured\tstill\tslots full\tcold\tat half time\twarm idle\twarm busy\tfalls at\t"))
+	besteffort.Output(
+		fmt.Fprintln(
+			t,
+			"kind\tdrawn\tstated\tmeasured\tstill\tslots full\tcold\tat half time\twarm idle\twarm busy\tfalls at\t",
+		),
+	)
 	for _, k := range kinds {
-		besteffort.Output(fmt.Fprintf(t, "%s\t%d\t%.3f\t%.3f\t%.1f%%\t%.2f\t%.2f\t%.2f\t%.1f s\t%.1f s\t%.1f x\t\n", k.Name, k.Drawn, k.Stated, k.Measured, 100*k.Still,
-			k.Full, k.Cold, k.Half, k.WarmIdle, k.WarmBusy, k.Tips))
+		besteffort.Output(
+			fmt.Fprintf(
+				t,
+				"%s\t%d\t%.3f\t%.3f\t%.1f%%\t%.2f\t%.2f\t%.2f\t%.1f s\t%.1f s\t%.1f x\t\n",
+				k.Name,
+				k.Drawn,
+				k.Stated,
+				k.Measured,
+				100*k.Still,
+				k.Full,
+				k.Cold,
+				k.Half,
+				k.WarmIdle,
+				k.WarmBusy,
+				k.Tips,
+			),
+		)
 	}
 	return t.Flush()
 }
--- a/internal/lab/measure/cost.go
+++ b/internal/lab/measure/cost.go
@@ -169,15 +169,36 @@
 	if err != nil {
 		return fmt.Errorf("measuring links: %w", err)
 	}
-	besteffort.Output(fmt.Fprintf(w, "round trip of %d bytes, %d times: median and 99th percentile\n", message, trips))
-	besteffort.Output(fmt.Fprintf(w, "  straight            %v  %v\n  over an idle link   %v  %v\n", straight.P50, straight.P99, linked.P50, linked.P99))
+	besteffort.Output(
+		fmt.Fprintf(w, "round trip of %d bytes, %d times: median and 99th percentile\n", message, trips),
+	)
+	besteffort.Output(
+		fmt.Fprintf(
+			w,
+			"  straight            %v  %v\n  over an idle link   %v  %v\n",
+			straight.P50,
+			straight.P99,
+			linked.P50,
+			linked.P99,
+		),
+	)
 	steps, err := Lateness(ctx, 500, 64000, 5*time.Millisecond)
 	if err != nil {
 		return fmt.Errorf("measuring lateness: %w", err)
 	}
-	besteffort.Output(fmt.Fprintln(w, "operations a second, over a link, to one in the lab's own process that answers at once:"))
+	besteffort.Output(
+		fmt.Fprintln(w, "operations a second, over a link, to one in the lab's own process that answers at once:"),
+	)
 	for _, s := range steps {
-		besteffort.Output(fmt.Fprintf(w, "  %6.0f: late by %v at the 99th percentile of the worst second, %.2f cores\n", s.Rate, s.P99.Round(10*time.Microsecond), s.Cores))
+		besteffort.Output(
+			fmt.Fprintf(
+				w,
+				"  %6.0f: late by %v at the 99th percentile of the worst second, %.2f cores\n",
+				s.Rate,
+				s.P99.Round(10*time.Microsecond),
+				s.Cores,
+			),
+		)
 	}
 	return nil
 }
--- a/internal/lab/platform/config.go
+++ b/internal/lab/platform/config.go
@@ -55,8 +55,20 @@
 }
 
 func (n Node) config(w world.World, rate float64) object {
-	c := object{"name": n.Name, "listen": n.Listen, "discovery": n.Discovery, "control": n.Control, "seed": fmt.Sprintf("%016x", n.Seed),
-		"limits": object{"cores": 1.0, "memory_mb": n.MemoryMB, "sockets": n.Sockets}, "known": n.Known, "settings": n.settings(w, rate)}
+	c := object{
+		"name":      n.Name,
+		"listen":    n.Listen,
+		"discovery": n.Discovery,
+		"control":   n.Control,
+		"seed":      fmt.Sprintf("%016x", n.Seed),
+		"limits": object{
+			"cores":     1.0,
+			"memory_mb": n.MemoryMB,
+			"sockets":   n.Sockets,
+		},
+		"known":    n.Known,
+		"settings": n.settings(w, rate),
+	}
 	if len(n.List) > 0 {
 		delete(c, "discovery")
 		c["list"], c["list_file"] = n.List, n.ListFile
@@ -84,29 +96,87 @@
 func (n Node) settings(w world.World, rate float64) object {
 	var classes, accounts []object
 	for _, c := range w.Classes {
-		k := object{"name": c.Name, "effect": effects[c.Effect], "aim_ns": c.Aim, "give_up_ns": c.Deadline, "importance": c.Worth,
-			"late_worth": 0.0, "streamed": false, "key_scope": "all", "dedup_window_ns": 5 * time.Second}
+		k := object{
+			"name":            c.Name,
+			"effect":          effects[c.Effect],
+			"aim_ns":          c.Aim,
+			"give_up_ns":      c.Deadline,
+			"importance":      c.Worth,
+			"late_worth":      0.0,
+			"streamed":        false,
+			"key_scope":       "all",
+			"dedup_window_ns": 5 * time.Second,
+		}
 		if c.Effect == world.Keyed {
 			k["key_scope"], k["dedup_window_ns"] = "cell", c.Window
 		}
 		classes = append(classes, k)
 	}
 	for _, t := range w.Tenants {
-		accounts = append(accounts, object{"name": t.Name, "fraction": t.Share, "quota_per_s": t.Share * rate * quota})
+		accounts = append(
+			accounts,
+			object{"name": t.Name, "fraction": t.Share, "quota_per_s": t.Share * rate * quota},
+		)
 	}
 	return object{
-		"balancers": n.Nodes, "slot_no": n.Number, "zone": n.Zone, "failure_domains": w.Zones, "kinds": w.Kinds, "family": "proxy",
-		"classes": classes, "accounts": accounts, "membership_mode": "pushed", "over_share_worth": 0.2, "worth_by": "work",
-		"weight_kind": "none", "tick_ns": 4 * time.Millisecond, "tier": 0, "tiers": []string{"funding-web"},
-		"report": object{"fields": []string{}, "how": "none"}, "specifics": object{"warm_keys": false}, "client_habits": object{"marks_retry": true},
-		"goal": object{"whole": 0.65, "worst_class": 0.2, "worst_tenant": 0.1, "worst_window": 0.05},
-		"caps": object{"cancel": true, "conn_idle_ns": world.IdleClose, "connect_timeout_ns": world.ConnectTimeout, "cpu_us_per_request": 0.0,
-			"cpu_us_per_s": 8000, "max_attempts": world.MaxAttempts, "max_retry_after_ns": world.MaxRetryAfter, "may_duplicate": false,
-			"most_held": 20000, "multiplex": 1, "peers": n.PeerListen != "", "probes": false, "retry_after": true},
-		"charges": object{"connection": 0.0, "cross_zone": 0.03, "handshake": 0.02, "late_fail": 0.08, "membership_mode": 0.0, "moves": 0.0,
-			"origin": 0.0, "peer": 0.01, "probe": 0.0, "waste": 0.04},
-		"invariants": object{"answer_slack_ns": world.AnswerSlack, "ask_within_ns": 10 * time.Second, "cold_from": world.ColdFrom,
-			"cold_ns": world.ColdTime, "drain_grace_ns": world.DrainGrace, "overload_factor": world.FallMultiple, "tip_after_ns": world.FallTime},
+		"balancers":        n.Nodes,
+		"slot_no":          n.Number,
+		"zone":             n.Zone,
+		"failure_domains":  w.Zones,
+		"kinds":            w.Kinds,
+		"family":           "proxy",
+		"classes":          classes,
+		"accounts":         accounts,
+		"membership_mode":  "pushed",
+		"over_share_worth": 0.2,
+		"worth_by":         "work",
+		"weight_kind":      "none",
+		"tick_ns":          4 * time.Millisecond,
+		"tier":             0,
+		"tiers":            []string{"funding-web"},
+		"report": object{
+			"fields": []string{},
+			"how":    "none",
+		},
+		"specifics":     object{"warm_keys": false},
+		"client_habits": object{"marks_retry": true},
+		"goal":          object{"whole": 0.65, "worst_class": 0.2, "worst_tenant": 0.1, "worst_window": 0.05},
+		"caps": object{
+			"cancel":             true,
+			"conn_idle_ns":       world.IdleClose,
+			"connect_timeout_ns": world.ConnectTimeout,
+			"cpu_us_per_request": 0.0,
+			"cpu_us_per_s":       8000,
+			"max_attempts":       world.MaxAttempts,
+			"max_retry_after_ns": world.MaxRetryAfter,
+			"may_duplicate":      false,
+			"most_held":          20000,
+			"multiplex":          1,
+			"peers":              n.PeerListen != "",
+			"probes":             false,
+			"retry_after":        true,
+		},
+		"charges": object{
+			"connection":      0.0,
+			"cross_zone":      0.03,
+			"handshake":       0.02,
+			"late_fail":       0.08,
+			"membership_mode": 0.0,
+			"moves":           0.0,
+			"origin":          0.0,
+			"peer":            0.01,
+			"probe":           0.0,
+			"waste":           0.04,
+		},
+		"invariants": object{
+			"answer_slack_ns": world.AnswerSlack,
+			"ask_within_ns":   10 * time.Second,
+			"cold_from":       world.ColdFrom,
+			"cold_ns":         world.ColdTime,
+			"drain_grace_ns":  world.DrainGrace,
+			"overload_factor": world.FallMultiple,
+			"tip_after_ns":    world.FallTime,
+		},
 	}
 }
 
--- a/internal/lab/process/capped.go
+++ b/internal/lab/process/capped.go
@@ -51,7 +51,9 @@
 		return
 	}
 	if c.lost > 0 {
-		besteffort.Output(fmt.Fprintf(c.file, "\n(the lab kept %d bytes and passed over %d more)\n", MaxLog, c.lost))
+		besteffort.Output(
+			fmt.Fprintf(c.file, "\n(the lab kept %d bytes and passed over %d more)\n", MaxLog, c.lost),
+		)
 	}
 	besteffort.Close(c.file)
 	c.file = nil
--- a/internal/lab/process/proc.go
+++ b/internal/lab/process/proc.go
@@ -31,8 +31,9 @@
 	Dir     string   // its folder; its log is there too
 	Files   []*os.File
 	FDs     uint64 // limit on descriptors; 0: the lab's own
-	MayFail bool   // it may end by itself with an error of its own (status 1), as one that finds its folder damaged
-	MayEnd  bool   // it may end by itself once its work is done (status 0)
+	// it may end by itself with an error of its own (status 1), as one that finds its folder damaged
+	MayFail bool
+	MayEnd  bool // it may end by itself once its work is done (status 0)
 }
 
 // Group owns the processes of a run.
@@ -48,7 +49,8 @@
 // NewGroup makes a group whose events go to log. It must be closed.
 func NewGroup(log *history.Log) *Group {
 	g := &Group{log: log, starts: make(chan func()), done: make(chan struct{})}
-	// The kernel kills a child when the thread that started it ends, so one thread starts all and never ends before the lab.
+	// The kernel kills a child when the thread that started it ends, so one thread starts all and never ends
+	// before the lab.
 	go func() {
 		runtime.LockOSThread()
 		for {
@@ -110,7 +112,15 @@
 		out.Close()
 		return nil, fmt.Errorf("starting %s: %w", s.Name, err)
 	}
-	p := &Proc{Name: s.Name, Pid: cmd.Process.Pid, log: g.log, cmd: cmd, exited: make(chan struct{}), out: out, may: map[int]bool{0: s.MayEnd, 1: s.MayFail}}
+	p := &Proc{
+		Name:   s.Name,
+		Pid:    cmd.Process.Pid,
+		log:    g.log,
+		cmd:    cmd,
+		exited: make(chan struct{}),
+		out:    out,
+		may:    map[int]bool{0: s.MayEnd, 1: s.MayFail},
+	}
 	if s.FDs > 0 {
 		limit := unix.Rlimit{Cur: s.FDs, Max: s.FDs}
 		if err := unix.Prlimit(p.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
--- a/internal/lab/process/use.go
+++ b/internal/lab/process/use.go
@@ -10,7 +10,8 @@
 	"wrenspread/internal/lab/history"
 )
 
-// tick is the unit of processor time in /proc/PID/stat: USER_HZ, 100 a second on every Linux port that Go has.
+// tick is the unit of processor time in /proc/PID/stat: USER_HZ, 100 a second on every Linux port that Go
+// has.
 const tick = 10 * time.Millisecond
 
 // Use is what a process uses.
@@ -80,7 +81,17 @@
 func (g *Group) Sample() {
 	for _, p := range g.Running() {
 		if u, err := UseOf(p.Pid); err == nil { // else it has just ended
-			g.log.Add(history.Event{Kind: history.Sample, Node: p.Name, Pid: p.Pid, RSS: u.RSS, FDs: u.FDs, CPU: u.CPU, Stall: u.Stall})
+			g.log.Add(
+				history.Event{
+					Kind:  history.Sample,
+					Node:  p.Name,
+					Pid:   p.Pid,
+					RSS:   u.RSS,
+					FDs:   u.FDs,
+					CPU:   u.CPU,
+					Stall: u.Stall,
+				},
+			)
 		}
 	}
 }
--- a/internal/lab/quorum/client.go
+++ b/internal/lab/quorum/client.go
@@ -50,13 +50,24 @@
 }
 
 func newWorker(c *cluster, n int) *worker {
-	return &worker{c: c, n: n, chance: rand.New(rand.NewPCG(c.o.Seed, uint64(n))), http: &http.Client{Transport: &http.Transport{}}, last: map[string]uint64{}}
+	return &worker{
+		c:      c,
+		n:      n,
+		chance: rand.New(rand.NewPCG(c.o.Seed, uint64(n))),
+		http:   &http.Client{Transport: &http.Transport{}},
+		last:   map[string]uint64{},
+	}
 }
 
 func (w *worker) run(ctx context.Context) {
 	defer w.http.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
-		o := op{client: w.n, name: fmt.Sprint("s", w.chance.IntN(names)), weight: float64(w.chance.IntN(1000)), do: "read"}
+		o := op{
+			client: w.n,
+			name:   fmt.Sprint("s", w.chance.IntN(names)),
+			weight: float64(w.chance.IntN(1000)),
+			do:     "read",
+		}
 		switch k := w.chance.IntN(10); {
 		case k < 4:
 			o.do = "register"
@@ -123,7 +134,12 @@
 	switch o.do {
 	case "register":
 		method = http.MethodPut
-		body.Endpoint = &registry.Endpoint{Name: o.name, Address: "127.0.0.1:1", Status: registry.Ready, Weight: o.weight}
+		body.Endpoint = &registry.Endpoint{
+			Name:    o.name,
+			Address: "127.0.0.1:1",
+			Status:  registry.Ready,
+			Weight:  o.weight,
+		}
 	case "drain":
 		method, path = http.MethodPost, path+"/drain"
 	}
@@ -179,7 +195,11 @@
 }
 
 func newWatcher(c *cluster, n int) *watcher {
-	return &watcher{w: newWorker(c, n), held: map[string]registry.Endpoint{}, told: map[uint64]registry.Endpoint{}}
+	return &watcher{
+		w:    newWorker(c, n),
+		held: map[string]registry.Endpoint{},
+		told: map[uint64]registry.Endpoint{},
+	}
 }
 
 // run watches until ctx ends and it has reached the version that enough gives by then.
@@ -213,7 +233,10 @@
 	case a.Index < v.version:
 		v.wrong = append(v.wrong, fmt.Sprintf("version %d after %d", a.Index, v.version))
 	case a.Snapshot && v.version > 0:
-		v.wrong = append(v.wrong, fmt.Sprintf("a whole list at %d, though version %d can't have been trimmed", a.Index, v.version))
+		v.wrong = append(
+			v.wrong,
+			fmt.Sprintf("a whole list at %d, though version %d can't have been trimmed", a.Index, v.version),
+		)
 	case !a.Snapshot && a.Index-v.version != uint64(len(a.Endpoints)):
 		v.wrong = append(v.wrong, fmt.Sprintf("%d changes from %d to %d", len(a.Endpoints), v.version, a.Index))
 	}
--- a/internal/lab/quorum/faults.go
+++ b/internal/lab/quorum/faults.go
@@ -22,7 +22,18 @@
 	on       []int // replicas
 }
 
-var menu = []string{"kill", "kill-all", "pause", "cut", "cut-in", "cut-out", "late", "restart", "full", "corrupt"}
+var menu = []string{
+	"kill",
+	"kill-all",
+	"pause",
+	"cut",
+	"cut-in",
+	"cut-out",
+	"late",
+	"restart",
+	"full",
+	"corrupt",
+}
 
 // draw draws the faults of a run, by seed alone: no two touch a replica at once.
 func draw(seed uint64, replicas int, length time.Duration) []fault {
@@ -71,8 +82,15 @@
 }
 
 func (c *cluster) suffer(ctx context.Context, name string, f fault) error {
-	if do, _, _ := strings.Cut(f.do, "-"); do == "kill" || do == "restart" || do == "pause" || do == "full" || do == "corrupt" {
-		return c.together(f.on, func(r *replicas.Replica) error { return c.set.Suffer(ctx, r.Name, do, f.last, endTime) })
+	if do, _, _ := strings.Cut(
+		f.do,
+		"-",
+	); do == "kill" || do == "restart" || do == "pause" || do == "full" ||
+		do == "corrupt" {
+		return c.together(
+			f.on,
+			func(r *replicas.Replica) error { return c.set.Suffer(ctx, r.Name, do, f.last, endTime) },
+		)
 	}
 	c.lay(name, f)
 	backoff.Sleep(ctx, f.last)
@@ -95,7 +113,12 @@
 	case "cut-out":
 		in, out = link.Shape{Hold: link.Back, Cut: true}, link.Shape{Hold: link.Forward, Cut: true}
 	case "late":
-		in, out = link.Shape{Delay: 60 * time.Millisecond, Jitter: 60 * time.Millisecond}, link.Shape{Delay: 60 * time.Millisecond}
+		in, out = link.Shape{
+			Delay:  60 * time.Millisecond,
+			Jitter: 60 * time.Millisecond,
+		}, link.Shape{
+			Delay: 60 * time.Millisecond,
+		}
 	}
 	c.net.Lay(name, in, to)
 	c.net.Lay(name, out, from)
--- a/internal/lab/quorum/library.go
+++ b/internal/lab/quorum/library.go
@@ -60,9 +60,21 @@
 	for until := time.Now().Add(readyTime); ; time.Sleep(5 * time.Millisecond) {
 		v, _ := f.client.List()
 		if v.Version == last.Index {
-			want := slices.DeleteFunc(slices.Clone(last.Endpoints), func(e registry.Endpoint) bool { return !v.Subset.Contains(registry.Position(e.Name)) })
+			want := slices.DeleteFunc(
+				slices.Clone(last.Endpoints),
+				func(e registry.Endpoint) bool { return !v.Subset.Contains(registry.Position(e.Name)) },
+			)
 			if !slices.Equal(v.Endpoints, want) {
-				return append(wrong, fmt.Sprintf("the client holds %v of part %v at %d, the list is %v", v.Endpoints, v.Subset, v.Version, last.Endpoints))
+				return append(
+					wrong,
+					fmt.Sprintf(
+						"the client holds %v of part %v at %d, the list is %v",
+						v.Endpoints,
+						v.Subset,
+						v.Version,
+						last.Endpoints,
+					),
+				)
 			}
 			return nil
 		}
--- a/internal/lab/quorum/measure.go
+++ b/internal/lab/quorum/measure.go
@@ -59,7 +59,17 @@
 func write(ctx context.Context, k *client.Client, n int) (registry.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	return k.Register(ctx, registry.Endpoint{Name: "s", Address: "127.0.0.1:1", Status: registry.Ready, StartedAtMS: int64(2*max(n, -n) + n&1)}, 0, nil)
+	return k.Register(
+		ctx,
+		registry.Endpoint{
+			Name:        "s",
+			Address:     "127.0.0.1:1",
+			Status:      registry.Ready,
+			StartedAtMS: int64(2*max(n, -n) + n&1),
+		},
+		0,
+		nil,
+	)
 }
 
 // Fan is what a change costs with so many watchers at one replica.
@@ -136,8 +146,18 @@
 }
 
 // fanRound has all watch from a version, makes a change, and gives the times to each.
-func fanRound(ctx context.Context, c *cluster, k *client.Client, conns []net.Conn, version uint64, n int) ([]time.Duration, error) {
-	request := fmt.Sprintf("GET /registry/instances?from=%d&hold_ms=60000 HTTP/1.1\r\nHost: list\r\n\r\n", version)
+func fanRound(
+	ctx context.Context,
+	c *cluster,
+	k *client.Client,
+	conns []net.Conn,
+	version uint64,
+	n int,
+) ([]time.Duration, error) {
+	request := fmt.Sprintf(
+		"GET /registry/instances?from=%d&hold_ms=60000 HTTP/1.1\r\nHost: list\r\n\r\n",
+		version,
+	)
 	for _, w := range conns {
 		besteffort.SocketOption(w.SetDeadline(time.Now().Add(readyTime)))
 		if _, err := io.WriteString(w, request); err != nil {
--- a/internal/lab/quorum/model.go
+++ b/internal/lab/quorum/model.go
@@ -69,7 +69,8 @@
 
 // unchanged tells whether a write leaves the entry as it is, version included.
 func (k known) unchanged(o op) bool {
-	return k.there && (o.do == "register" && k.weight == o.weight && k.status == registry.Ready || o.do == "drain" && k.status == registry.Draining)
+	return k.there &&
+		(o.do == "register" && k.weight == o.weight && k.status == registry.Ready || o.do == "drain" && k.status == registry.Draining)
 }
 
 // sees tells whether an answer may name that version of the entry.
@@ -102,7 +103,8 @@
 	return known{least: max(least, version)}
 }
 
-// operations gives the history in porcupine's form. A write of unknown end may take effect at any time after its call.
+// operations gives the history in porcupine's form. A write of unknown end may take effect at any time after
+// its call.
 func operations(ops []op) []porcupine.Operation {
 	var all []porcupine.Operation
 	for _, o := range ops {
@@ -110,7 +112,10 @@
 		if !o.known {
 			to = math.MaxInt64
 		}
-		all = append(all, porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.from), Output: o, Return: to})
+		all = append(
+			all,
+			porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.from), Output: o, Return: to},
+		)
 	}
 	return all
 }
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -57,7 +57,19 @@
 func newCluster(o Options, log *history.Log) (*cluster, error) {
 	c := &cluster{o: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
 	var err error
-	c.set, err = replicas.New(replicas.Options{Count: o.Replicas, Dir: o.Dir, Command: o.Command, Env: o.Env, Seed: o.Seed, Election: o.Election, Snapshot: o.Snapshot}, c.net, c.group)
+	c.set, err = replicas.New(
+		replicas.Options{
+			Count:    o.Replicas,
+			Dir:      o.Dir,
+			Command:  o.Command,
+			Env:      o.Env,
+			Seed:     o.Seed,
+			Election: o.Election,
+			Snapshot: o.Snapshot,
+		},
+		c.net,
+		c.group,
+	)
 	if err == nil {
 		c.doors, err = c.set.Doors("clients")
 	}
@@ -93,9 +105,21 @@
 	case len(o.Broken) > 0:
 		return fmt.Sprintf("FAIL quorum: seed %d, %s (and %d more)", o.Seed, o.Broken[0], len(o.Broken)-1)
 	case o.Unsure:
-		return fmt.Sprintf("VOID quorum: seed %d, the check of %d operations took over %v", o.Seed, o.Ops, checkTime)
+		return fmt.Sprintf(
+			"VOID quorum: seed %d, the check of %d operations took over %v",
+			o.Seed,
+			o.Ops,
+			checkTime,
+		)
 	}
-	return fmt.Sprintf("PASS quorum: seed %d, %d operations, %d of unknown end, %d changes, %d faults", o.Seed, o.Ops, o.Unknown, o.Changes, o.Faults)
+	return fmt.Sprintf(
+		"PASS quorum: seed %d, %d operations, %d of unknown end, %d changes, %d faults",
+		o.Seed,
+		o.Ops,
+		o.Unknown,
+		o.Changes,
+		o.Faults,
+	)
 }
 
 // watchers is how many clients watch in a run.
@@ -198,10 +222,19 @@
 		}
 		backoff.Sleep(ctx, 20*time.Millisecond)
 	}
-	return registry.ListResponse{}, fmt.Errorf("the list can't be read %v after the last fault: %w", readyTime, ctx.Err())
+	return registry.ListResponse{}, fmt.Errorf(
+		"the list can't be read %v after the last fault: %w",
+		readyTime,
+		ctx.Err(),
+	)
 }
 
-func (c *cluster) judge(faults []fault, workers []*worker, watching []*watcher, last registry.ListResponse) Outcome {
+func (c *cluster) judge(
+	faults []fault,
+	workers []*worker,
+	watching []*watcher,
+	last registry.ListResponse,
+) Outcome {
 	o := Outcome{Seed: c.o.Seed, Faults: len(faults), Changes: last.Index}
 	var ops []op
 	for _, w := range workers {
@@ -236,11 +269,17 @@
 			broken = append(broken, fmt.Sprintf("watcher %d: %s", n, w))
 		}
 		if v.version == last.Index && !maps.Equal(v.held, want) {
-			broken = append(broken, fmt.Sprintf("watcher %d holds %v at %d, the list is %v", n, v.held, v.version, want))
+			broken = append(
+				broken,
+				fmt.Sprintf("watcher %d holds %v at %d, the list is %v", n, v.held, v.version, want),
+			)
 		}
 		for version, e := range v.told {
 			if other, ok := told[version]; ok && other != e {
-				broken = append(broken, fmt.Sprintf("change %d is %+v to one watcher and %+v to another", version, e, other))
+				broken = append(
+					broken,
+					fmt.Sprintf("change %d is %+v to one watcher and %+v to another", version, e, other),
+				)
 			}
 			told[version] = e
 		}
--- a/internal/lab/quorum/side.go
+++ b/internal/lab/quorum/side.go
@@ -40,7 +40,13 @@
 	return s, err
 }
 
-func side(ctx context.Context, c *cluster, k *client.Client, clients int, watch bool) (cpu time.Duration, bytes float64, err error) {
+func side(
+	ctx context.Context,
+	c *cluster,
+	k *client.Client,
+	clients int,
+	watch bool,
+) (cpu time.Duration, bytes float64, err error) {
 	r := c.set.All[0]
 	var read atomic.Int64
 	working, stop := context.WithTimeout(ctx, sideTime)
--- a/internal/lab/quorum/size.go
+++ b/internal/lab/quorum/size.go
@@ -25,7 +25,15 @@
 	g.SetLimit(fillers)
 	for i := range n {
 		g.Go(func() error {
-			e := registry.Endpoint{Name: fmt.Sprintf("s-%08x", i), Address: fmt.Sprintf("10.1.%d.%d:5000", i>>8&255, i&255), Zone: "a", Type: "m2", Cell: i % 7, Status: registry.Ready, Weight: 1}
+			e := registry.Endpoint{
+				Name:    fmt.Sprintf("s-%08x", i),
+				Address: fmt.Sprintf("10.1.%d.%d:5000", i>>8&255, i&255),
+				Zone:    "a",
+				Type:    "m2",
+				Cell:    i % 7,
+				Status:  registry.Ready,
+				Weight:  1,
+			}
 			_, err := k.Register(ctx, e, 0, nil)
 			return err
 		})
@@ -119,7 +127,12 @@
 		var names []string
 		for i := range rateNames {
 			names = append(names, fmt.Sprint("l", i))
-			if _, err := k.Register(ctx, registry.Endpoint{Name: names[i], Address: "127.0.0.1:1", Status: registry.Ready}, registry.MaxTTL, nil); err != nil {
+			if _, err := k.Register(
+				ctx,
+				registry.Endpoint{Name: names[i], Address: "127.0.0.1:1", Status: registry.Ready},
+				registry.MaxTTL,
+				nil,
+			); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/replicas/disk.go
+++ b/internal/lab/replicas/disk.go
@@ -28,7 +28,12 @@
 	}
 	pid := r.Proc().Pid
 	var was unix.Rlimit
-	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY}, &was); err != nil {
+	if err := unix.Prlimit(
+		pid,
+		unix.RLIMIT_FSIZE,
+		&unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY},
+		&was,
+	); err != nil {
 		return fmt.Errorf("filling the disk of %s: %w", r.Name, err)
 	}
 	backoff.Sleep(ctx, last)
@@ -101,7 +106,11 @@
 	}
 	defer k.Close()
 	var refused *client.Error
-	if err := k.RemoveReplica(ctx, r.Name); err != nil && (!errors.As(err, &refused) || refused.Code != string(registry.NotFound)) {
+	if err := k.RemoveReplica(
+		ctx,
+		r.Name,
+	); err != nil &&
+		(!errors.As(err, &refused) || refused.Code != string(registry.NotFound)) {
 		return fmt.Errorf("removing %s: %w", r.Name, err)
 	}
 	if err := s.Start(r); err != nil {
--- a/internal/lab/replicas/replicas.go
+++ b/internal/lab/replicas/replicas.go
@@ -90,8 +90,17 @@
 // configure lays a replica's links and writes its file.
 func (s *Set) configure(r *Replica) error {
 	var text strings.Builder
-	fmt.Fprintf(&text, "name = %q\nfolder = %q\nlisten = %q\nraft = %q\nbegin = %v\nelection = %q\nsnapshot = %d\nmax_writes = 100000.0\n", r.Name,
-		r.folder(), r.http, r.raft, r == s.All[0], cmp.Or(s.o.Election, election), cmp.Or(s.o.Snapshot, snapshotAfter))
+	fmt.Fprintf(
+		&text,
+		"name = %q\nfolder = %q\nlisten = %q\nraft = %q\nbegin = %v\nelection = %q\nsnapshot = %d\nmax_writes = 100000.0\n",
+		r.Name,
+		r.folder(),
+		r.http,
+		r.raft,
+		r == s.All[0],
+		cmp.Or(s.o.Election, election),
+		cmp.Or(s.o.Snapshot, snapshotAfter),
+	)
 	for _, o := range s.All {
 		raft, http := r.raft, r.http
 		if o != r {
@@ -140,8 +149,15 @@
 func (s *Set) start(r *Replica, mayFail bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p, err := s.group.Start(process.Spec{Name: r.Name, Command: append(append([]string(nil), s.o.Command...), "--config", r.file()), Dir: r.dir, MayFail: mayFail,
-		Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + r.dir}, s.o.Env...)})
+	p, err := s.group.Start(
+		process.Spec{
+			Name:    r.Name,
+			Command: append(append([]string(nil), s.o.Command...), "--config", r.file()),
+			Dir:     r.dir,
+			MayFail: mayFail,
+			Env:     append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + r.dir}, s.o.Env...),
+		},
+	)
 	if err == nil {
 		r.proc = p
 	}
--- a/internal/lab/report/bounds.go
+++ b/internal/lab/report/bounds.go
@@ -44,7 +44,13 @@
 	if b.Recovered > 0 {
 		level := b.Level * f.Before()
 		got := f.Recovered(level)
-		want(got >= 0 && got <= time.Duration(b.Recovered), "back at %.4f %v after the last fault (negative: never), want %v at most", level, got, time.Duration(b.Recovered))
+		want(
+			got >= 0 && got <= time.Duration(b.Recovered),
+			"back at %.4f %v after the last fault (negative: never), want %v at most",
+			level,
+			got,
+			time.Duration(b.Recovered),
+		)
 	}
 	if b.Attempts > 0 {
 		want(f.Attempts <= b.Attempts, "%.3f attempts an operation, want %v at most", f.Attempts, b.Attempts)
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -14,7 +14,16 @@
 	row := func(name string, x, y float64, form string) {
 		besteffort.Output(fmt.Fprintf(t, "%s\t"+form+"\t"+form+"\t%+.4f\n", name, x, y, y-x))
 	}
-	besteffort.Output(fmt.Fprintf(t, "\t%s (seed %d)\t%s (seed %d)\tdifference\n", a.Figures.Name, a.Figures.Seed, b.Figures.Name, b.Figures.Seed))
+	besteffort.Output(
+		fmt.Fprintf(
+			t,
+			"\t%s (seed %d)\t%s (seed %d)\tdifference\n",
+			a.Figures.Name,
+			a.Figures.Seed,
+			b.Figures.Name,
+			b.Figures.Seed,
+		),
+	)
 	counts := func(name string, x, y Count) {
 		row(name+" asked", float64(x.Asked), float64(y.Asked), "%.0f")
 		row(name+" in time", x.Served(), y.Served(), "%.4f")
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -103,7 +103,8 @@
 	WorstLab time.Duration        `json:"worst_lab"`
 	LabCPU   float64              `json:"lab_cpu"`   // cores, in the mean
 	NodesCPU float64              `json:"nodes_cpu"` // of all nodes together
-	Stalled  float64              `json:"stalled"`   // share of the time that a node's threads waited for a core, in the mean
+	// share of the time that a node's threads waited for a core, in the mean
+	Stalled float64 `json:"stalled"`
 }
 
 // latencyTop bounds what the histograms tell apart.
@@ -111,7 +112,12 @@
 
 // Of makes the figures of a history. aims are those of the classes.
 func Of(events []history.Event, aims map[string]time.Duration) Figures {
-	f := Figures{Classes: map[string]Count{}, Latency: map[string]Quantiles{}, Nodes: map[string]NodeUse{}, Boxes: map[string]BoxUse{}}
+	f := Figures{
+		Classes: map[string]Count{},
+		Latency: map[string]Quantiles{},
+		Nodes:   map[string]NodeUse{},
+		Boxes:   map[string]BoxUse{},
+	}
 	due := map[int]time.Duration{}
 	hists := map[string]*hdrhistogram.Histogram{}
 	type life struct{ first, last history.Event }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -57,7 +57,11 @@
 
 // asked plots the load.
 func (f Figures) asked() (*plot.Plot, error) {
-	return f.overTime("operations asked for in a second", 0, []line{{"asked for", blue, func(s Second) float64 { return float64(s.Asked) }}})
+	return f.overTime(
+		"operations asked for in a second",
+		0,
+		[]line{{"asked for", blue, func(s Second) float64 { return float64(s.Asked) }}},
+	)
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -76,7 +80,9 @@
 	p.X.Min, p.X.Max = 0, float64(max(1, len(f.Seconds)))
 	for _, s := range f.Faults {
 		from, to := s.From.Seconds(), math.Max(s.To.Seconds(), s.From.Seconds()+leastWidth)
-		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: p.Y.Max}, {X: from, Y: p.Y.Max}})
+		box, err := plotter.NewPolygon(
+			plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: p.Y.Max}, {X: from, Y: p.Y.Max}},
+		)
 		if err != nil {
 			return nil, err
 		}
@@ -96,7 +102,8 @@
 		p.Add(drawn)
 		p.Legend.Add(l.name, drawn)
 	}
-	p.Legend.Top, p.Legend.Left, p.Legend.YOffs = true, true, -1.6*vg.Centimeter // between what is near 0 and near 1
+	// between what is near 0 and near 1
+	p.Legend.Top, p.Legend.Left, p.Legend.YOffs = true, true, -1.6*vg.Centimeter
 	return p, nil
 }
 
@@ -131,7 +138,8 @@
 		if err := os.WriteFile(filepath.Join(dir, p.name+".svg"), text, 0o644); err != nil {
 			return nil, fmt.Errorf("plot %s: %w", p.name, err)
 		}
-		if _, body, ok := bytes.Cut(text, []byte("<svg")); ok { // without the lines ahead that only a file of its own needs
+		// without the lines ahead that only a file of its own needs
+		if _, body, ok := bytes.Cut(text, []byte("<svg")); ok {
 			text = append([]byte("<svg"), body...)
 		}
 		all = append(all, text)
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -73,7 +73,8 @@
 	return ""
 }
 
-// Line is the run in one line: PASS, FAIL or VOID, its name, and its figures, what broke or why it does not count.
+// Line is the run in one line: PASS, FAIL or VOID, its name, and its figures, what broke or why it does not
+// count.
 func (r Run) Line() string {
 	f := r.Figures
 	switch r.Result() {
@@ -90,8 +91,17 @@
 	case Unplayed:
 		return fmt.Sprintf("VOID %s: seed %d, the machine was too late to count: %s", f.Name, f.Seed, r.Late)
 	}
-	return fmt.Sprintf("PASS %s: seed %d, asked %d, in time %.4f, late %.4f, refused %.4f, failed %.4f, attempts %.3f", f.Name, f.Seed, f.All.Asked,
-		f.All.Served(), f.All.part(f.All.Late), f.All.part(f.All.Refused), f.All.part(f.All.Failed), f.Attempts)
+	return fmt.Sprintf(
+		"PASS %s: seed %d, asked %d, in time %.4f, late %.4f, refused %.4f, failed %.4f, attempts %.3f",
+		f.Name,
+		f.Seed,
+		f.All.Asked,
+		f.All.Served(),
+		f.All.part(f.All.Late),
+		f.All.part(f.All.Refused),
+		f.All.part(f.All.Failed),
+		f.Attempts,
+	)
 }
 
 const summaryFile = "summary.json"
--- a/internal/lab/scale/beside.go
+++ b/internal/lab/scale/beside.go
@@ -12,7 +12,8 @@
 	"wrenspread/internal/proxy"
 )
 
-// Beside runs hollow nodes as Hollow does, from one number on. Where every is not 0 one of them restarts in it, in turn.
+// Beside runs hollow nodes as Hollow does, from one number on. Where every is not 0 one of them restarts in
+// it, in turn.
 func Beside(ctx context.Context, dir string, first, nodes int, every time.Duration) error {
 	debug.SetGCPercent(gcPercent)
 	ctx, stop := context.WithCancel(ctx)
--- a/internal/lab/scale/constants.go
+++ b/internal/lab/scale/constants.go
@@ -33,7 +33,8 @@
 		p := Point{Sizes: map[string]int{}, Figures: map[string]Spread{}}
 		for name, n := range map[string]float64{"entries": registry.MaxEndpoints, "records": registry.MaxRecords, "record_bytes": registry.MaxRecordBytes, "sessions": registry.MaxSessions,
 			"held_calls": float64(server.Default().MaxWatchers), "tenants": tenant.MaxTreeTenants, "enrolled": enrolled,
-			"seats": quota.MaxProxies, "members": viewMembers, "policy_bytes": registry.MaxRecord, // as many, by internal/policy
+			// as many, by internal/policy
+			"seats": quota.MaxProxies, "members": viewMembers, "policy_bytes": registry.MaxRecord,
 			"platform_list_bytes": platformList, "entry_bytes": float64(len(two) - len(one))} {
 			p.Figures[name] = Spread{n, n, n}
 		}
--- a/internal/lab/scale/cost_lines.go
+++ b/internal/lab/scale/cost_lines.go
@@ -37,7 +37,11 @@
 }
 
 // at gives a figure at a size, by the fit along one direction with the others as they were played.
-func (m measured) at(what, along, figure string, n float64, others map[string]int) (value float64, on grounds, err error) {
+func (m measured) at(
+	what, along, figure string,
+	n float64,
+	others map[string]int,
+) (value float64, on grounds, err error) {
 	r, has := m.of[what]
 	if !has {
 		return 0, grounds{}, errNotRun
@@ -96,7 +100,8 @@
 	return t.total()
 }
 
-// nodeMemory is a hollow node's, and what a process of its own has beside it: a real one's limit hides what it wants.
+// nodeMemory is a hollow node's, and what a process of its own has beside it: a real one's limit hides what
+// it wants.
 func nodeMemory(m measured, p Plan) (float64, grounds, error) {
 	t := &terms{}
 	t.add(1)(m.at("hollow", "backends", "memory_bytes", p.Plan.Backends, nodeFew))
@@ -109,7 +114,11 @@
 func nodeBytes(m measured, p Plan) (float64, grounds, error) {
 	t := &terms{}
 	for _, way := range []string{"in", "out"} {
-		t.add(p.listChanges())(m.at("watchers", "watchers", "watcher_change_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil))
+		t.add(
+			p.listChanges(),
+		)(
+			m.at("watchers", "watchers", "watcher_change_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil),
+		)
 		t.add(1)(m.at("watchers", "watchers", "watcher_rest_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil))
 	}
 	t.add(2)(m.at("view", "members", "datagram_bytes_per_s", p.Plan.Nodes, nil))
@@ -118,9 +127,16 @@
 
 func nodeLines() []Line {
 	return []Line{
-		{Role: "node", What: "processor at the peak, each change taken alone", Unit: "cores", Command: "nodes --kind real",
-			Mechanism: "one module, one list client, a kept list written whole at each change", Next: "the tick and each change walk all backends",
-			budget: func(p Plan) float64 { return p.Plan.NodeCores }, cost: nodeCores},
+		{
+			Role:      "node",
+			What:      "processor at the peak, each change taken alone",
+			Unit:      "cores",
+			Command:   "nodes --kind real",
+			Mechanism: "one module, one list client, a kept list written whole at each change",
+			Next:      "the tick and each change walk all backends",
+			budget:    func(p Plan) float64 { return p.Plan.NodeCores },
+			cost:      nodeCores,
+		},
 		{Role: "node", What: "memory, without a limit of its own", Unit: "bytes", Command: "nodes --kind hollow",
 			Mechanism: "module, list client, pools", Next: "every backend is held three times: client, module, pool",
 			budget: func(p Plan) float64 { return p.Plan.NodeMemory }, cost: nodeMemory},
@@ -134,40 +150,88 @@
 				v, on, err := m.at("entries", "entries", "whole_bytes", p.Plan.Backends, nil)
 				return v / p.Plan.NodeBytes, on, err
 			}},
-		{Role: "node", What: "a zone's backends gone: from the last write until ten nodes know", Unit: "s", Command: "nodes --zone",
-			Mechanism: "changes of one answer are taken together", Next: "the kept list is written before the next answer is asked for",
-			budget: func(p Plan) float64 { return p.Plan.InForce },
+		{
+			Role:      "node",
+			What:      "a zone's backends gone: from the last write until ten nodes know",
+			Unit:      "s",
+			Command:   "nodes --zone",
+			Mechanism: "changes of one answer are taken together",
+			Next:      "the kept list is written before the next answer is asked for",
+			budget:    func(p Plan) float64 { return p.Plan.InForce },
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				return m.at("zone", "backends", "settled_s", p.Plan.Backends, nodeFew)
-			}},
-		{Role: "node", What: "kept list written at the peak", Unit: "bytes/s", Command: "nodes --kind hollow",
-			Mechanism: "the whole list to disk, with fsync, at each change", Next: "no budget is stated for a node's disk",
+			},
+		},
+		{
+			Role:      "node",
+			What:      "kept list written at the peak",
+			Unit:      "bytes/s",
+			Command:   "nodes --kind hollow",
+			Mechanism: "the whole list to disk, with fsync, at each change",
+			Next:      "no budget is stated for a node's disk",
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				v, on, err := m.at("hollow", "backends", "change_bytes_out", p.Plan.Backends, nodeFew)
 				return v * p.listChanges(), on, err
-			}},
-		{Role: "node", What: "descriptors for control", Unit: "descriptors", Command: "nodes --kind real", Mechanism: "listeners, the watch, the view's socket", Next: "clients and servers take the rest",
+			},
+		},
+		{
+			Role:      "node",
+			What:      "descriptors for control",
+			Unit:      "descriptors",
+			Command:   "nodes --kind real",
+			Mechanism: "listeners, the watch, the view's socket",
+			Next:      "clients and servers take the rest",
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				return m.at("real", "backends", "descriptors", p.Plan.Backends, nodeFew)
-			}},
-		{Role: "node", What: "datagrams of the view a second, out", Unit: "datagrams/s", Command: "view", Mechanism: "a probe a period, news on probes", Next: "its rate is the same at all sizes",
+			},
+		},
+		{
+			Role:      "node",
+			What:      "datagrams of the view a second, out",
+			Unit:      "datagrams/s",
+			Command:   "view",
+			Mechanism: "a probe a period, news on probes",
+			Next:      "its rate is the same at all sizes",
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				return m.at("view", "members", "datagrams_per_s", p.Plan.Nodes, nil)
-			}},
-		{Role: "node", What: "halves that were apart 30 s have one view", Unit: "s", Command: "view", Mechanism: "each learns of half of the fleet at a bounded pace", Next: "its time goes with the fleet",
+			},
+		},
+		{
+			Role:      "node",
+			What:      "halves that were apart 30 s have one view",
+			Unit:      "s",
+			Command:   "view",
+			Mechanism: "each learns of half of the fleet at a bounded pace",
+			Next:      "its time goes with the fleet",
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				return m.at("view", "members", "heal_s", p.Plan.Nodes, nil)
-			}},
-		constant("node", "members of the view", "members", "members", func(p Plan) float64 { return p.Plan.Nodes }, "every node knows every node", "strangers beyond are refused"),
-		{Role: "node", What: "answer of the platform's discovery", Unit: "bytes", Command: "constants", Mechanism: "one answer with every entry, parts or not",
-			Next: "the answer is refused, the node keeps the list of before", limit: "platform_list_bytes",
+			},
+		},
+		constant(
+			"node",
+			"members of the view",
+			"members",
+			"members",
+			func(p Plan) float64 { return p.Plan.Nodes },
+			"every node knows every node",
+			"strangers beyond are refused",
+		),
+		{
+			Role:      "node",
+			What:      "answer of the platform's discovery",
+			Unit:      "bytes",
+			Command:   "constants",
+			Mechanism: "one answer with every entry, parts or not",
+			Next:      "the answer is refused, the node keeps the list of before",
+			limit:     "platform_list_bytes",
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				r, has := m.of["constants"]
 				if !has {
 					return 0, grounds{}, errNotRun
 				}
 				return r.Points[0].Figures["entry_bytes"].Median * p.Plan.Backends, grounds{}, nil
-			}},
+			},
+		},
 	}
 }
 
@@ -185,9 +249,16 @@
 	replica := "list replica"
 	machineCores := func(p Plan) float64 { return p.Assumed.MachineCores }
 	return []Line{
-		{Role: replica, What: "processor at the peak, the leader's", Unit: "cores", Command: "watchers, renewals",
-			Mechanism: "answers made once for all, watchers woken in batches, renewals out of the log", Next: "renewals, one call for each backend",
-			budget: machineCores, cost: listCores},
+		{
+			Role:      replica,
+			What:      "processor at the peak, the leader's",
+			Unit:      "cores",
+			Command:   "watchers, renewals",
+			Mechanism: "answers made once for all, watchers woken in batches, renewals out of the log",
+			Next:      "renewals, one call for each backend",
+			budget:    machineCores,
+			cost:      listCores,
+		},
 		{Role: replica, What: "bytes out at the peak", Unit: "bytes/s", Command: "watchers",
 			Mechanism: "a third of the nodes watch each replica", Next: "each change goes to every node",
 			budget: func(p Plan) float64 { return p.Assumed.MachineBytes },
@@ -197,37 +268,87 @@
 				t.add(1)(m.at("watchers", "watchers", "rest_bytes_out", p.Plan.Nodes/p.Assumed.Replicas, nil))
 				return t.total()
 			}},
-		{Role: replica, What: "memory", Unit: "bytes", Command: "entries, watchers",
-			Mechanism: "entries, ring of changes, held calls", Next: "answers for watchers that stand at many versions",
-			budget: func(p Plan) float64 { return p.Assumed.MachineMemory },
+		{
+			Role:      replica,
+			What:      "memory",
+			Unit:      "bytes",
+			Command:   "entries, watchers",
+			Mechanism: "entries, ring of changes, held calls",
+			Next:      "answers for watchers that stand at many versions",
+			budget:    func(p Plan) float64 { return p.Assumed.MachineMemory },
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				t := &terms{}
 				t.add(1)(m.at("entries", "entries", "memory_bytes", p.Plan.Backends, nil))
 				t.add(1)(m.at("watchers", "watchers", "memory_bytes", p.Plan.Nodes/p.Assumed.Replicas, nil))
 				return t.total()
-			}},
-		{Role: replica, What: "whole lists to all nodes at once", Unit: "s", Command: "entries",
-			Mechanism: "one encoded answer for all who need it, by three replicas", Next: "nothing paces those who come at once",
-			budget: func(p Plan) float64 { return p.Assumed.Start },
+			},
+		},
+		{
+			Role:      replica,
+			What:      "whole lists to all nodes at once",
+			Unit:      "s",
+			Command:   "entries",
+			Mechanism: "one encoded answer for all who need it, by three replicas",
+			Next:      "nothing paces those who come at once",
+			budget:    func(p Plan) float64 { return p.Assumed.Start },
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				v, on, err := m.at("entries", "entries", "whole_bytes", p.Plan.Backends, nil)
 				return v * p.Plan.Nodes / p.Assumed.Replicas / p.Assumed.MachineBytes, on, err
-			}},
+			},
+		},
 		{Role: replica, What: "in force: the last of its watchers", Unit: "s", Command: "watchers",
 			Mechanism: "held watches", Next: "the node's own time for the change comes to it",
 			budget: func(p Plan) float64 { return p.Plan.InForce },
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				return m.at("watchers", "watchers", "last_worst_s", p.Plan.Nodes/p.Assumed.Replicas, nil)
 			}},
-		{Role: replica, What: "descriptors", Unit: "descriptors", Command: "watchers", Mechanism: "one for each watcher and caller", Next: "the limit of the process, which its machine sets",
+		{
+			Role:      replica,
+			What:      "descriptors",
+			Unit:      "descriptors",
+			Command:   "watchers",
+			Mechanism: "one for each watcher and caller",
+			Next:      "the limit of the process, which its machine sets",
 			cost: func(m measured, p Plan) (float64, grounds, error) {
 				return m.at("watchers", "watchers", "descriptors", p.Plan.Nodes/p.Assumed.Replicas, nil)
-			}},
-		constant(replica, "entries", "entries", "entries", func(p Plan) float64 { return p.Plan.Backends }, "the list", "registrations are refused"),
-		constant(replica, "held calls", "calls", "held_calls", func(p Plan) float64 { return 3 * p.Plan.Nodes / p.Assumed.Replicas },
-			"three watches a node: list, policy, catalogue", "watches are refused with 429"),
-		constant(replica, "sessions", "sessions", "sessions", func(p Plan) float64 { return p.Plan.Nodes }, "a session for each node with tenants or shares", "opening is refused"),
-		constant(replica, "records", "records", "records", func(p Plan) float64 { return p.Plan.Tenants }, "a record for each tenant, and the agents' own", "writes are refused as full"),
+			},
+		},
+		constant(
+			replica,
+			"entries",
+			"entries",
+			"entries",
+			func(p Plan) float64 { return p.Plan.Backends },
+			"the list",
+			"registrations are refused",
+		),
+		constant(
+			replica,
+			"held calls",
+			"calls",
+			"held_calls",
+			func(p Plan) float64 { return 3 * p.Plan.Nodes / p.Assumed.Replicas },
+			"three watches a node: list, policy, catalogue",
+			"watches are refused with 429",
+		),
+		constant(
+			replica,
+			"sessions",
+			"sessions",
+			"sessions",
+			func(p Plan) float64 { return p.Plan.Nodes },
+			"a session for each node with tenants or shares",
+			"opening is refused",
+		),
+		constant(
+			replica,
+			"records",
+			"records",
+			"records",
+			func(p Plan) float64 { return p.Plan.Tenants },
+			"a record for each tenant, and the agents' own",
+			"writes are refused as full",
+		),
 	}
 }
 
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -25,17 +25,30 @@
 
 // Entries measures one replica by the entries of its list.
 func (l *Lists) Entries(ctx context.Context, sizes []int) error {
-	return l.points(ctx, "entries", "entries", sizes, map[string]int{"watchers": few}, l.Say, func(n int) (f map[string]float64, err error) {
-		err = l.fresh(ctx, n, func(set *replicas.Set, k *client.Client) error {
-			f, err = l.sized(ctx, set, k, n)
-			return err
-		})
-		return f, err
-	})
+	return l.points(
+		ctx,
+		"entries",
+		"entries",
+		sizes,
+		map[string]int{"watchers": few},
+		l.Say,
+		func(n int) (f map[string]float64, err error) {
+			err = l.fresh(ctx, n, func(set *replicas.Set, k *client.Client) error {
+				f, err = l.sized(ctx, set, k, n)
+				return err
+			})
+			return f, err
+		},
+	)
 }
 
 // sized measures changes and whole lists of a list of so many.
-func (l *Lists) sized(ctx context.Context, set *replicas.Set, k *client.Client, entries int) (map[string]float64, error) {
+func (l *Lists) sized(
+	ctx context.Context,
+	set *replicas.Set,
+	k *client.Client,
+	entries int,
+) (map[string]float64, error) {
 	now, err := k.Current(ctx)
 	if err != nil {
 		return nil, err
@@ -64,7 +77,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for range readers { // one after the other, as new nodes: the list is made for the first and kept for the rest
+	// one after the other, as new nodes: the list is made for the first and kept for the rest
+	for range readers {
 		one, err := l.gather(ctx, addresses, 1, 1, now.Index)
 		if err != nil {
 			return nil, err
@@ -76,20 +90,35 @@
 		return nil, err
 	}
 	work, whole := told.minus(begun), read.minus(told)
-	return map[string]float64{"change_cpu_s": seconds(work.service.CPU) / changes, "change_bytes": work.service.Written / changes,
-		"whole_cpu_s": seconds(whole.service.CPU) / readers, "whole_bytes": whole.own.Read / readers, "reader_cpu_s": seconds(whole.own.CPU) / readers,
-		"memory_bytes": read.service.RSS}, nil
+	return map[string]float64{
+		"change_cpu_s": seconds(work.service.CPU) / changes,
+		"change_bytes": work.service.Written / changes,
+		"whole_cpu_s": seconds(
+			whole.service.CPU,
+		) / readers,
+		"whole_bytes":  whole.own.Read / readers,
+		"reader_cpu_s": seconds(whole.own.CPU) / readers,
+		"memory_bytes": read.service.RSS,
+	}, nil
 }
 
 // Renewals measures the leader by how many renewals a second come, one server a call as agents make them.
 func (l *Lists) Renewals(ctx context.Context, rates []int) error {
-	return l.points(ctx, "renewals", "renewals", rates, nil, l.Say, func(n int) (f map[string]float64, err error) {
-		err = l.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
-			f, err = renewed(ctx, set, k, n)
-			return err
-		})
-		return f, err
-	})
+	return l.points(
+		ctx,
+		"renewals",
+		"renewals",
+		rates,
+		nil,
+		l.Say,
+		func(n int) (f map[string]float64, err error) {
+			err = l.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
+				f, err = renewed(ctx, set, k, n)
+				return err
+			})
+			return f, err
+		},
+	)
 }
 
 // renewed has hollow agents renew at a rate, each its own servers on its own connection.
@@ -104,7 +133,12 @@
 		defer one.Close()
 		all[i] = one
 		g.Go(func() error {
-			_, err := one.Register(ctx, registry.Endpoint{Name: fmt.Sprint("l", i), Address: "127.0.0.1:1", Status: registry.Ready}, renewedTTL, nil)
+			_, err := one.Register(
+				ctx,
+				registry.Endpoint{Name: fmt.Sprint("l", i), Address: "127.0.0.1:1", Status: registry.Ready},
+				renewedTTL,
+				nil,
+			)
 			return err
 		})
 	}
@@ -144,6 +178,12 @@
 		return nil, err
 	}
 	work, n := ended.minus(begun), float64(made.Load())
-	return map[string]float64{"made_per_s": n / took, "cores": seconds(work.service.CPU) / took, "cpu_s": seconds(work.service.CPU) / n,
-		"bytes_in": work.service.Read / n, "bytes_out": work.service.Written / n, "agent_cpu_s": seconds(work.own.CPU) / n}, nil
+	return map[string]float64{
+		"made_per_s":  n / took,
+		"cores":       seconds(work.service.CPU) / took,
+		"cpu_s":       seconds(work.service.CPU) / n,
+		"bytes_in":    work.service.Read / n,
+		"bytes_out":   work.service.Written / n,
+		"agent_cpu_s": seconds(work.own.CPU) / n,
+	}, nil
 }
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -26,12 +26,14 @@
 	lookAgain    = 20 * time.Millisecond
 )
 
-// Force measures policies, tenants and bans, from the operator's call to the last of many hollow nodes in this process.
+// Force measures policies, tenants and bans, from the operator's call to the last of many hollow nodes in
+// this process.
 type Force struct {
 	Lists
 	Each    int     // changes of each kind
 	Changes float64 // of the list a second meanwhile, in bursts; 0: none
-	Fleet   bool    // in place of tenants and bans: what so many nodes take in one process, and when their views are whole
+	// in place of tenants and bans: what so many nodes take in one process, and when their views are whole
+	Fleet bool
 }
 
 // Measure measures it by nodes.
@@ -40,17 +42,30 @@
 	if f.Fleet {
 		what = "fleet"
 	}
-	return f.points(ctx, what, "nodes", sizes, map[string]int{"changes": int(f.Changes + 0.5)}, f.Say, func(n int) (got map[string]float64, err error) {
-		err = f.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
-			got, err = f.one(ctx, k, set.All[0].Address(), n)
-			return err
-		})
-		return got, err
-	})
+	return f.points(
+		ctx,
+		what,
+		"nodes",
+		sizes,
+		map[string]int{"changes": int(f.Changes + 0.5)},
+		f.Say,
+		func(n int) (got map[string]float64, err error) {
+			err = f.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
+				got, err = f.one(ctx, k, set.All[0].Address(), n)
+				return err
+			})
+			return got, err
+		},
+	)
 }
 
 // one runs so many nodes, and a conductor of tenants, and makes the changes.
-func (f *Force) one(ctx context.Context, k *client.Client, service string, nodes int) (map[string]float64, error) {
+func (f *Force) one(
+	ctx context.Context,
+	k *client.Client,
+	service string,
+	nodes int,
+) (map[string]float64, error) {
 	if err := f.prepare(ctx, k); err != nil {
 		return nil, err
 	}
@@ -103,7 +118,14 @@
 }
 
 // play makes the changes before nodes that run. free gives up what kept their addresses for them.
-func (f *Force) play(ctx context.Context, k *client.Client, controls []string, free func(), n *news, got map[string]float64) error {
+func (f *Force) play(
+	ctx context.Context,
+	k *client.Client,
+	controls []string,
+	free func(),
+	n *news,
+	got map[string]float64,
+) error {
 	begun := time.Now()
 	for _, at := range controls {
 		if err := ready(ctx, at); err != nil {
@@ -119,14 +141,22 @@
 	if err != nil {
 		return err
 	}
-	got["memory_bytes"], got["descriptors"], got["load"] = used.RSS/float64(len(controls)), used.FDs/float64(len(controls)), load()
+	got["memory_bytes"], got["descriptors"], got["load"] = used.RSS/float64(
+		len(controls),
+	), used.FDs/float64(
+		len(controls),
+	), load()
 	busy, calm := context.WithCancel(ctx)
 	changing := make(chan error, 1)
 	go func() { changing <- f.bursts(busy, k) }()
 	var policies, tenants, bans tally
 	policiesBefore, tenantsBefore := n.times("policy"), n.times("tenants")
 	for i := range f.Each {
-		if err = errors.Join(f.policied(ctx, k, n, i+1, &policies), f.tenanted(ctx, k, n, i, &tenants), banned(ctx, controls, i, &bans)); err != nil {
+		if err = errors.Join(
+			f.policied(ctx, k, n, i+1, &policies),
+			f.tenanted(ctx, k, n, i, &tenants),
+			banned(ctx, controls, i, &bans),
+		); err != nil {
 			break
 		}
 	}
@@ -134,7 +164,11 @@
 	if err = errors.Join(err, <-changing); err != nil {
 		return err
 	}
-	got["policy_taken"], got["tenant_taken"] = (n.times("policy")-policiesBefore)/float64(f.Each), (n.times("tenants")-tenantsBefore)/float64(f.Each)
+	got["policy_taken"], got["tenant_taken"] = (n.times("policy")-policiesBefore)/float64(
+		f.Each,
+	), (n.times("tenants")-tenantsBefore)/float64(
+		f.Each,
+	)
 	policies.figures("policy", got)
 	tenants.figures("tenant", got)
 	bans.figures("ban", got)
@@ -187,7 +221,10 @@
 		}
 		if s.Snapshot != nil {
 			all := s.Snapshot.Sorted()
-			at := slices.IndexFunc(all, func(e *tenant.Entry) bool { return e.Name == tenantForm(i).Names[0] && e.Phase == tenant.PhaseServe })
+			at := slices.IndexFunc(
+				all,
+				func(e *tenant.Entry) bool { return e.Name == tenantForm(i).Names[0] && e.Phase == tenant.PhaseServe },
+			)
 			if at >= 0 {
 				times, err := n.await(ctx, "tenants", all[at].Since, acknowledged)
 				if err == nil {
--- a/internal/lab/scale/force_calls.go
+++ b/internal/lab/scale/force_calls.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// callAll makes a call at every node, as many at once as operators write, and gives the times to each answer, in order.
+// callAll makes a call at every node, as many at once as operators write, and gives the times to each answer,
+// in order.
 func callAll(ctx context.Context, controls []string, path string) ([]float64, error) {
 	all, start := make([]float64, len(controls)), time.Now()
 	var g errgroup.Group
--- a/internal/lab/scale/force_fleet.go
+++ b/internal/lab/scale/force_fleet.go
@@ -8,9 +8,16 @@
 	"wrenspread/internal/registry/client"
 )
 
-// fleet waits until all views are whole, as long as it goes, and takes what the nodes use at rest, and some policies.
-// Their process is this one, so its few callers are counted with them.
-func (f *Force) fleet(ctx context.Context, k *client.Client, controls []string, n *news, begun time.Time, got map[string]float64) error {
+// fleet waits until all views are whole, as long as it goes, and takes what the nodes use at rest, and some
+// policies. Their process is this one, so its few callers are counted with them.
+func (f *Force) fleet(
+	ctx context.Context,
+	k *client.Client,
+	controls []string,
+	n *news,
+	begun time.Time,
+	got map[string]float64,
+) error {
 	each := float64(len(controls))
 	r := rig{Sizes: Sizes{Nodes: len(controls)}, controls: controls}
 	if err := r.all(ctx, "fleet.alive", len(controls)); err != nil && ctx.Err() != nil {
@@ -44,8 +51,12 @@
 	if err != nil {
 		return err
 	}
-	got["rest_cores"], got["memory_bytes"], got["descriptors"] = seconds(after.minus(before).CPU)/took/each, after.RSS/each, after.FDs/each
-	got["datagrams_per_s"], got["load"] = (sentAfter.datagrams-sentBefore.datagrams)/took/float64(len(asked)), load()
+	got["rest_cores"], got["memory_bytes"], got["descriptors"] = seconds(
+		after.minus(before).CPU,
+	)/took/each, after.RSS/each, after.FDs/each
+	got["datagrams_per_s"], got["load"] = (sentAfter.datagrams-sentBefore.datagrams)/took/float64(
+		len(asked),
+	), load()
 	var policies tally
 	for i := range f.Each {
 		if err := f.policied(ctx, k, n, i+1, &policies); err != nil {
--- a/internal/lab/scale/force_news.go
+++ b/internal/lab/scale/force_news.go
@@ -70,8 +70,8 @@
 	return float64(sum) / float64(len(n.of[kind]))
 }
 
-// await waits until every node has a number of a kind, and gives the times from a moment until each had it, in order;
-// 0 for one that had it before. No higher one may come meanwhile.
+// await waits until every node has a number of a kind, and gives the times from a moment until each had it,
+// in order; 0 for one that had it before. No higher one may come meanwhile.
 func (n *news) await(ctx context.Context, kind string, number uint64, since time.Time) ([]float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
@@ -80,7 +80,15 @@
 		t := &n.of[kind][i]
 		for t.number.Load() < int64(number) {
 			if !backoff.Sleep(ctx, time.Millisecond) {
-				return nil, fmt.Errorf("node %d of %d stays at %s %d, not %d: %w", i, len(n.of[kind]), kind, t.number.Load(), number, ctx.Err())
+				return nil, fmt.Errorf(
+					"node %d of %d stays at %s %d, not %d: %w",
+					i,
+					len(n.of[kind]),
+					kind,
+					t.number.Load(),
+					number,
+					ctx.Err(),
+				)
 			}
 		}
 		all = append(all, max(0, seconds(time.Duration(t.when.Load())-since.Sub(n.begun))))
@@ -94,11 +102,26 @@
 
 func (t *tally) add(times []float64) {
 	n := len(times)
-	t.half, t.most, t.last = append(t.half, times[n/2]), append(t.most, times[n*99/100]), append(t.last, times[n-1])
+	t.half, t.most, t.last = append(
+		t.half,
+		times[n/2],
+	), append(
+		t.most,
+		times[n*99/100],
+	), append(
+		t.last,
+		times[n-1],
+	)
 }
 
 // figures gives the medians over the changes, and the worst last one.
 func (t *tally) figures(what string, into map[string]float64) {
 	into[what+"_last_worst_s"] = slices.Max(t.last)
-	into[what+"_half_s"], into[what+"_most99_s"], into[what+"_last_s"] = spreadOf(t.half).Median, spreadOf(t.most).Median, spreadOf(t.last).Median
+	into[what+"_half_s"], into[what+"_most99_s"], into[what+"_last_s"] = spreadOf(
+		t.half,
+	).Median, spreadOf(
+		t.most,
+	).Median, spreadOf(
+		t.last,
+	).Median
 }
--- a/internal/lab/scale/force_rig.go
+++ b/internal/lab/scale/force_rig.go
@@ -20,8 +20,14 @@
 	"wrenspread/internal/tenant"
 )
 
-// governed writes the files of nodes that follow the policy, and the tenants if told so, and have a view of each other.
-func governed(dir string, nodes int, service string, parts, tenants bool) (controls []string, free func(), err error) {
+// governed writes the files of nodes that follow the policy, and the tenants if told so, and have a view of
+// each other.
+func governed(
+	dir string,
+	nodes int,
+	service string,
+	parts, tenants bool,
+) (controls []string, free func(), err error) {
 	var frees []func()
 	free = func() {
 		for _, f := range frees {
@@ -39,8 +45,26 @@
 			return nil, free, err
 		}
 		frees = append(frees, done)
-		c := platform.Node{Name: fmt.Sprint("n", i), Number: i, Nodes: nodes, Zone: zoneOf(i), Listen: "127.0.0.1:1", Control: control, List: []string{service},
-			ListFile: filepath.Join(dir, fmt.Sprint("list", i)), ListPart: parts, PeerListen: peers[i], Peers: peers, Fleet: "scale", Govern: true, Tenants: tenants, Seed: uint64(i + 1)}
+		c := platform.Node{
+			Name:    fmt.Sprint("n", i),
+			Number:  i,
+			Nodes:   nodes,
+			Zone:    zoneOf(i),
+			Listen:  "127.0.0.1:1",
+			Control: control,
+			List:    []string{service},
+			ListFile: filepath.Join(
+				dir,
+				fmt.Sprint("list", i),
+			),
+			ListPart:   parts,
+			PeerListen: peers[i],
+			Peers:      peers,
+			Fleet:      "scale",
+			Govern:     true,
+			Tenants:    tenants,
+			Seed:       uint64(i + 1),
+		}
 		if err := c.Write(configOf(dir, i), drawn, 1); err != nil {
 			return nil, free, err
 		}
--- a/internal/lab/scale/harm.go
+++ b/internal/lab/scale/harm.go
@@ -8,25 +8,35 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// Harm plays an experiment with its faults and without, a seed each time, and counts the requests that were not
-// served within their aim while the faults were on, beyond those of the play without.
-func Harm(ctx context.Context, run Run, e *spec.Experiment, play func(context.Context, *spec.Experiment, uint64) (report.Run, error), say func(Point)) error {
+// Harm plays an experiment with its faults and without, a seed each time, and counts the requests that were
+// not served within their aim while the faults were on, beyond those of the play without.
+func Harm(
+	ctx context.Context,
+	run Run,
+	e *spec.Experiment,
+	play func(context.Context, *spec.Experiment, uint64) (report.Run, error),
+	say func(Point),
+) error {
 	return run.record(e.Name, func() ([]Point, error) {
 		seed := uint64(0)
-		p, err := repeated(run.Repeat, map[string]int{"nodes": e.Fleet.Nodes, "boxes": e.Fleet.Boxes}, func() (map[string]float64, error) {
-			seed++
-			hit, err := play(ctx, e, seed)
-			if err != nil {
-				return nil, err
-			}
-			spared := *e
-			spared.Faults = nil
-			calm, err := play(ctx, &spared, seed)
-			if err != nil {
-				return nil, err
-			}
-			return harmed(hit, calm)
-		})
+		p, err := repeated(
+			run.Repeat,
+			map[string]int{"nodes": e.Fleet.Nodes, "boxes": e.Fleet.Boxes},
+			func() (map[string]float64, error) {
+				seed++
+				hit, err := play(ctx, e, seed)
+				if err != nil {
+					return nil, err
+				}
+				spared := *e
+				spared.Faults = nil
+				calm, err := play(ctx, &spared, seed)
+				if err != nil {
+					return nil, err
+				}
+				return harmed(hit, calm)
+			},
+		)
 		if err != nil {
 			return nil, err
 		}
@@ -76,7 +86,17 @@
 			broken++
 		}
 	}
-	return map[string]float64{"asked": float64(during.Asked), "harmed_share": spared.Served() - during.Served(), "failed_share": share(during.Failed, during.Asked),
-		"refused_share": share(during.Refused, during.Asked), "late_share": share(during.Late, during.Asked), "spared_share": 1 - spared.Served(),
-		"whole_run_share": allSpared.Served() - all.Served(), "broken_checks": float64(broken)}, nil
+	return map[string]float64{
+		"asked":        float64(during.Asked),
+		"harmed_share": spared.Served() - during.Served(),
+		"failed_share": share(during.Failed, during.Asked),
+		"refused_share": share(
+			during.Refused,
+			during.Asked,
+		),
+		"late_share":      share(during.Late, during.Asked),
+		"spared_share":    1 - spared.Served(),
+		"whole_run_share": allSpared.Served() - all.Served(),
+		"broken_checks":   float64(broken),
+	}, nil
 }
