--- a/internal/lab/scale/herd.go
+++ b/internal/lab/scale/herd.go
@@ -32,8 +32,16 @@
 			took := c.since(start, "")
 			ended, err := both(set.All[0].Proc().Pid)
 			work := ended.minus(begun)
-			f = map[string]float64{"entries": float64(entries), "half_s": took[n/2], "most99_s": took[n*99/100], "last_s": took[n-1], "replica_cpu_s": seconds(work.service.CPU),
-				"replica_bytes_out": work.service.Written, "replica_bytes_held": ended.service.RSS, "watcher_cpu_s": seconds(work.own.CPU) / float64(n)}
+			f = map[string]float64{
+				"entries":            float64(entries),
+				"half_s":             took[n/2],
+				"most99_s":           took[n*99/100],
+				"last_s":             took[n-1],
+				"replica_cpu_s":      seconds(work.service.CPU),
+				"replica_bytes_out":  work.service.Written,
+				"replica_bytes_held": ended.service.RSS,
+				"watcher_cpu_s":      seconds(work.own.CPU) / float64(n),
+			}
 			return err
 		})
 		return f, err
@@ -44,7 +52,13 @@
 func (l *Lists) Lost(ctx context.Context, sizes []int, entries int) error {
 	return l.points(ctx, "lost", "watchers", sizes, nil, l.Say, func(n int) (f map[string]float64, err error) {
 		l.number++
-		o := quorum.Options{Seed: 1, Replicas: 3, Dir: filepath.Join(l.Dir, fmt.Sprint("list", l.number)), Command: l.Program, Env: l.Env}
+		o := quorum.Options{
+			Seed:     1,
+			Replicas: 3,
+			Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.number)),
+			Command:  l.Program,
+			Env:      l.Env,
+		}
 		err = quorum.Measure(ctx, o, func(set *replicas.Set, k *client.Client) error {
 			if err := quorum.Fill(ctx, k, entries); err != nil {
 				return err
@@ -79,7 +93,13 @@
 				return err
 			}
 			took := c.since(acknowledged, entryName(0))
-			f = map[string]float64{"entries": float64(entries), "written_s": seconds(acknowledged.Sub(killed)), "half_s": took[n/2], "most99_s": took[n*99/100], "last_s": took[n-1]}
+			f = map[string]float64{
+				"entries":   float64(entries),
+				"written_s": seconds(acknowledged.Sub(killed)),
+				"half_s":    took[n/2],
+				"most99_s":  took[n*99/100],
+				"last_s":    took[n-1],
+			}
 			return nil
 		})
 		return f, err
--- a/internal/lab/scale/holders.go
+++ b/internal/lab/scale/holders.go
@@ -10,8 +10,8 @@
 	"wrenspread/ratelimit"
 )
 
-// What the pure cores of shares are played with: a holder's session as keepers have it, a datagram's way, and each
-// node's wish, which is twice its even part of the limit.
+// What the pure cores of shares are played with: a holder's session as keepers have it, a datagram's way, and
+// each node's wish, which is twice its even part of the limit.
 const (
 	holderTTL   = time.Second
 	renewHolder = holderTTL / 5
@@ -24,8 +24,8 @@
 	afterKilled = 10 * time.Second
 )
 
-// Holders kills the holder of shares under nodes that all want more than their part, with another one in wait, in the
-// pure cores on a fake clock: one limit, clocks that run alike, no datagram lost.
+// Holders kills the holder of shares under nodes that all want more than their part, with another one in
+// wait, in the pure cores on a fake clock: one limit, clocks that run alike, no datagram lost.
 func Holders(ctx context.Context, run Run, sizes []int, say func(Point)) error {
 	return run.points(ctx, "holders", "nodes", sizes, nil, say, func(n int) (map[string]float64, error) {
 		s, err := newShares(n)
@@ -70,9 +70,29 @@
 }
 
 func newShares(n int) (*shares, error) {
-	s := &shares{rate: evenPart * float64(n), nodes: map[string]*quota.Ledger{}, heard: map[string]bool{}, over: -evenPart * float64(n)}
-	s.table = &ratelimit.Table{Format: ratelimit.Format, Version: 1, Scopes: []ratelimit.Scope{{Parent: -1, LimitCount: 1}}}
-	s.table.Limits = []ratelimit.Limit{{Name: s.table.ScopeName(0), Parent: -1, Rate: s.rate, Burst: s.rate, Floor: s.rate, Status: 429, Weight: 1, FallbackShare: 0.25}}
+	s := &shares{
+		rate:  evenPart * float64(n),
+		nodes: map[string]*quota.Ledger{},
+		heard: map[string]bool{},
+		over:  -evenPart * float64(n),
+	}
+	s.table = &ratelimit.Table{
+		Format:  ratelimit.Format,
+		Version: 1,
+		Scopes:  []ratelimit.Scope{{Parent: -1, LimitCount: 1}},
+	}
+	s.table.Limits = []ratelimit.Limit{
+		{
+			Name:          s.table.ScopeName(0),
+			Parent:        -1,
+			Rate:          s.rate,
+			Burst:         s.rate,
+			Floor:         s.rate,
+			Status:        429,
+			Weight:        1,
+			FallbackShare: 0.25,
+		},
+	}
 	if err := s.table.Finalize(); err != nil {
 		return nil, fmt.Errorf("the limit: %w", err)
 	}
--- a/internal/lab/scale/holders_lost.go
+++ b/internal/lab/scale/holders_lost.go
@@ -25,8 +25,13 @@
 	killed := s.now
 	s.acting = -1
 	s.first = 0
-	f := map[string]float64{"used_before": before, "holder_cores": seconds(calm.cpu) / 2, "holder_datagrams_per_s": calm.datagrams / 2,
-		"holder_bytes_in": calm.in / 2, "holder_bytes_out": calm.out / 2}
+	f := map[string]float64{
+		"used_before":            before,
+		"holder_cores":           seconds(calm.cpu) / 2,
+		"holder_datagrams_per_s": calm.datagrams / 2,
+		"holder_bytes_in":        calm.in / 2,
+		"holder_bytes_out":       calm.out / 2,
+	}
 	least, worst := before, 0.0
 	for second := 1; s.now < killed+afterKilled; second++ {
 		s.work = holderWork{}
@@ -39,7 +44,11 @@
 		}
 		least, worst = min(least, u), max(worst, seconds(s.work.cpu))
 	}
-	f["heard_first_s"], f["heard_all_s"], f["holder_peak_cores"], f["used_least"] = seconds(s.first-killed), seconds(s.all-killed), worst, least
+	f["heard_first_s"], f["heard_all_s"], f["holder_peak_cores"], f["used_least"] = seconds(
+		s.first-killed,
+	), seconds(
+		s.all-killed,
+	), worst, least
 	f["over_burst"], f["admitted"] = max(0, s.over), float64(s.admitted)
 	if s.all == 0 {
 		return nil, fmt.Errorf("%d of %d nodes heard of the second holder", len(s.heard), len(s.names))
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -26,8 +26,9 @@
 func (l *silent) Close() error              { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *silent) Addr() net.Addr            { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// Hollow runs so many nodes of the program in this process until ctx ends: all of a node but its clients' listener
-// and, per process, the runtime and the text of the program. Their files are n0.json and so on in dir.
+// Hollow runs so many nodes of the program in this process until ctx ends: all of a node but its clients'
+// listener and, per process, the runtime and the text of the program. Their files are n0.json and so on in
+// dir.
 func Hollow(ctx context.Context, dir string, nodes int) error {
 	return hollow(ctx, dir, nodes, func(int) slog.Handler { return slog.DiscardHandler })
 }
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	warming    = 4 * time.Second // of load that is not counted: a node that has just started takes little at first
+	// of load that is not counted: a node that has just started takes little at first
+	warming    = 4 * time.Second
 	directTime = 3 * time.Second
 	leastSent  = 0.5 // of the requests, else the time of those that were served says little
 )
@@ -52,10 +53,14 @@
 					return err
 				}
 				seed := uint64(0)
-				p, err = repeated(l.Repeat, map[string]int{"servers": n, "changes": l.Changes, "part": partOf(l.Parts)}, func() (map[string]float64, error) {
-					seed++
-					return l.one(ctx, a, k, set.All[0].Address(), n, seed)
-				})
+				p, err = repeated(
+					l.Repeat,
+					map[string]int{"servers": n, "changes": l.Changes, "part": partOf(l.Parts)},
+					func() (map[string]float64, error) {
+						seed++
+						return l.one(ctx, a, k, set.All[0].Address(), n, seed)
+					},
+				)
 				return err
 			})
 			if err != nil {
@@ -69,7 +74,14 @@
 }
 
 // one measures a fresh node, after the same requests sent straight to the server.
-func (l *Latency) one(ctx context.Context, a *answerer, k *client.Client, service string, servers int, seed uint64) (map[string]float64, error) {
+func (l *Latency) one(
+	ctx context.Context,
+	a *answerer,
+	k *client.Client,
+	service string,
+	servers int,
+	seed uint64,
+) (map[string]float64, error) {
 	dir, err := os.MkdirTemp(l.Dir, "latency")
 	if err != nil {
 		return nil, err
@@ -90,14 +102,31 @@
 	}
 	defer freeControl()
 	nodes := max(1, int(float64(servers)/l.PerNode+0.5))
-	c := platform.Node{Name: "n0", Number: nodes / 2, Nodes: nodes, Zone: zoneOf(0), Listen: listen, Control: control,
-		List: []string{service}, ListFile: filepath.Join(dir, "list"), ListPart: l.Parts, Seed: seed}
+	c := platform.Node{
+		Name:     "n0",
+		Number:   nodes / 2,
+		Nodes:    nodes,
+		Zone:     zoneOf(0),
+		Listen:   listen,
+		Control:  control,
+		List:     []string{service},
+		ListFile: filepath.Join(dir, "list"),
+		ListPart: l.Parts,
+		Seed:     seed,
+	}
 	if err := c.Write(configOf(dir, 0), drawn, l.Rate); err != nil {
 		return nil, err
 	}
 	group := process.NewGroup(log)
 	defer group.Close(endTime)
-	p, err := group.Start(process.Spec{Name: "n0", Command: l.Node, Dir: dir, Env: append([]string{"HOME=" + dir, "TMPDIR=" + dir, "GW_CONFIG=" + configOf(dir, 0)}, l.Env...)})
+	p, err := group.Start(
+		process.Spec{
+			Name:    "n0",
+			Command: l.Node,
+			Dir:     dir,
+			Env:     append([]string{"HOME=" + dir, "TMPDIR=" + dir, "GW_CONFIG=" + configOf(dir, 0)}, l.Env...),
+		},
+	)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +161,14 @@
 }
 
 // send plays a load and adds its figures. What is not served is not timed, so there may be little of it.
-func (l *Latency) send(ctx context.Context, c *caller, prefix string, length time.Duration, to string, into map[string]float64) error {
+func (l *Latency) send(
+	ctx context.Context,
+	c *caller,
+	prefix string,
+	length time.Duration,
+	to string,
+	into map[string]float64,
+) error {
 	ops := l.draw(c.seed, length)
 	c.run(ctx, ops, to)
 	if err := ctx.Err(); err != nil {
@@ -147,7 +183,13 @@
 }
 
 // through plays the load through the node, with what the node says of itself.
-func (l *Latency) through(ctx context.Context, c *caller, p *process.Proc, control, listen string, f map[string]float64) error {
+func (l *Latency) through(
+	ctx context.Context,
+	c *caller,
+	p *process.Proc,
+	control, listen string,
+	f map[string]float64,
+) error {
 	before, err := statsOf(ctx, control)
 	if err != nil {
 		return err
@@ -181,7 +223,8 @@
 	f["attempts"] = (after["forwards"] - before["forwards"]) / f["requests"]
 	f["made_share"] = float64(c.took[inMade].TotalCount()) / f["requests"]
 	f["node_cores"], f["node_request_cpu_s"] = seconds(work.CPU)/seconds(took), seconds(work.CPU)/f["requests"]
-	f["node_request_wait_s"] = seconds(waitedAll.Stall-waited.Stall) / f["requests"] // for a core that another has
+	// for a core that another has
+	f["node_request_wait_s"] = seconds(waitedAll.Stall-waited.Stall) / f["requests"]
 	f["node_memory_bytes"], f["node_descriptors"], f["known"], f["load"] = ended.RSS, ended.FDs, after["discovered"], load()
 	return nil
 }
--- a/internal/lab/scale/latency_backend.go
+++ b/internal/lab/scale/latency_backend.go
@@ -22,8 +22,8 @@
 // workKey is the request's own statement of its work, in us of a server's time.
 const workKey = "work_us"
 
-// answerer is one server behind all addresses of a list: it listens on the loopback device, whatever the address, and
-// states of each answer when it had the request and when it began to write.
+// answerer is one server behind all addresses of a list: it listens on the loopback device, whatever the
+// address, and states of each answer when it had the request and when it began to write.
 type answerer struct {
 	base  time.Time
 	port  int
@@ -45,10 +45,14 @@
 		return nil, fmt.Errorf("a server on the loopback device: %w", err)
 	}
 	a := &answerer{base: base, port: l.Addr().(*net.TCPAddr).Port, ended: make(chan error, 1)}
-	a.serve = http.Server{Handler: http.HandlerFunc(a.answer), ReadHeaderTimeout: patience, IdleTimeout: drawnIdle,
+	a.serve = http.Server{
+		Handler:           http.HandlerFunc(a.answer),
+		ReadHeaderTimeout: patience,
+		IdleTimeout:       drawnIdle,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, new(atomic.Int64))
-		}}
+		},
+	}
 	go func() { a.ended <- a.serve.Serve(l) }()
 	return a, nil
 }
@@ -59,7 +63,8 @@
 	besteffort.Ended(<-a.ended)
 }
 
-// answer has a request wait for its work, and says when it came, when it was done, and the how manieth of its connection it is.
+// answer has a request wait for its work, and says when it came, when it was done, and the how manieth of its
+// connection it is.
 func (a *answerer) answer(w http.ResponseWriter, r *http.Request) {
 	began := time.Since(a.base)
 	work, err := strconv.Atoi(r.URL.Query().Get(workKey))
@@ -73,7 +78,9 @@
 	case <-r.Context().Done():
 		return
 	}
-	besteffort.Output(fmt.Fprintf(w, "%s %d %d %d", r.Header.Get("X-Request-Id"), began, time.Since(a.base), nth))
+	besteffort.Output(
+		fmt.Fprintf(w, "%s %d %d %d", r.Header.Get("X-Request-Id"), began, time.Since(a.base), nth),
+	)
 }
 
 // stated is what a server says of a request.
--- a/internal/lab/scale/latency_client.go
+++ b/internal/lab/scale/latency_client.go
@@ -59,7 +59,8 @@
 	added []time.Duration
 }
 
-// calmLate is how late a caller may be in a second that counts as calm: in others the machine, not the node, keeps it waiting.
+// calmLate is how late a caller may be in a second that counts as calm: in others the machine, not the node,
+// keeps it waiting.
 const calmLate = 2 * time.Millisecond
 
 type callerConn struct {
@@ -69,7 +70,14 @@
 }
 
 func newCaller(base time.Time, seed uint64) *caller {
-	c := &caller{base: base, seed: seed, idle: map[string][]*callerConn{}, failed: map[string]int{}, calm: map[int]*second{}, late: newTimes()}
+	c := &caller{
+		base:   base,
+		seed:   seed,
+		idle:   map[string][]*callerConn{},
+		failed: map[string]int{},
+		calm:   map[int]*second{},
+		late:   newTimes(),
+	}
 	for i := range c.took {
 		c.took[i] = newTimes()
 	}
@@ -167,8 +175,19 @@
 	if op.Key != "" {
 		more += "Idempotency-Key: " + op.Key + "\r\n"
 	}
-	return fmt.Sprintf("%s /api/%s?%s=%d HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: %.6f\r\nX-Cost-Hint: %d\r\n%s\r\n",
-		method, op.Class.Name, workKey, op.Work.Microseconds(), id, op.Class.Name, op.Tenant, patience.Seconds(), op.Hint.Microseconds(), more)
+	return fmt.Sprintf(
+		"%s /api/%s?%s=%d HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline: %.6f\r\nX-Cost-Hint: %d\r\n%s\r\n",
+		method,
+		op.Class.Name,
+		workKey,
+		op.Work.Microseconds(),
+		id,
+		op.Class.Name,
+		op.Tenant,
+		patience.Seconds(),
+		op.Hint.Microseconds(),
+		more,
+	)
 }
 
 func (c *caller) take(address string) (*callerConn, error) {
@@ -220,7 +239,11 @@
 	}
 	into[prefix+"calm_share"] = float64(quiet) / float64(max(1, len(c.calm)))
 	if quiet > 0 {
-		into[prefix+"calm_p50_s"], into[prefix+"calm_p99_s"] = seconds(time.Duration(calm.ValueAtQuantile(50))), seconds(time.Duration(calm.ValueAtQuantile(99)))
+		into[prefix+"calm_p50_s"], into[prefix+"calm_p99_s"] = seconds(
+			time.Duration(calm.ValueAtQuantile(50)),
+		), seconds(
+			time.Duration(calm.ValueAtQuantile(99)),
+		)
 	}
 	into[prefix+"requests"] = float64(c.served)
 	into[prefix+"late_p99_s"] = seconds(time.Duration(c.late.ValueAtQuantile(99)))
--- a/internal/lab/scale/latency_table.go
+++ b/internal/lab/scale/latency_table.go
@@ -13,16 +13,79 @@
 			all := func(name string) string { return p.shown(name, "s") }
 			at := []string{knows(p), number(float64(p.Sizes["servers"])), number(float64(p.Sizes["changes"]))}
 			share := percent(p.Figures["added_p99_s"].Median / s.plan.Plan.Added)
-			whole = append(whole, append(at[:3:3], all("direct_added_p50_s"), all("direct_added_p99_s"), all("added_p50_s"), all("added_p99_s")+", "+share, all("added_p999_s"), all("direct_calm_p99_s"), all("calm_p99_s"), calmOf(p),
-				fmt.Sprintf("%s of %s", p.shown("failed", ""), p.shown("requests", ""))))
-			ways = append(ways, append(at[:3:3], all("direct_in_p50_s"), all("direct_out_p50_s"), all("in_kept_p50_s"), all("in_kept_p99_s"), all("in_made_p50_s"), percent(p.Figures["made_share"].Median), all("out_p50_s"), all("out_p99_s"),
-				p.shown("attempts", ""), all("node_request_cpu_s"), all("node_request_wait_s"), p.shown("load", "")))
+			whole = append(
+				whole,
+				append(
+					at[:3:3],
+					all("direct_added_p50_s"),
+					all("direct_added_p99_s"),
+					all("added_p50_s"),
+					all("added_p99_s")+", "+share,
+					all("added_p999_s"),
+					all("direct_calm_p99_s"),
+					all("calm_p99_s"),
+					calmOf(p),
+					fmt.Sprintf("%s of %s", p.shown("failed", ""), p.shown("requests", "")),
+				),
+			)
+			ways = append(
+				ways,
+				append(
+					at[:3:3],
+					all("direct_in_p50_s"),
+					all("direct_out_p50_s"),
+					all("in_kept_p50_s"),
+					all("in_kept_p99_s"),
+					all("in_made_p50_s"),
+					percent(p.Figures["made_share"].Median),
+					all("out_p50_s"),
+					all("out_p99_s"),
+					p.shown("attempts", ""),
+					all("node_request_cpu_s"),
+					all("node_request_wait_s"),
+					p.shown("load", ""),
+				),
+			)
 		}
 	}
-	return table([]string{"known of the list", "servers", "changes a second", "straight to the server: 50%", "99%", "through the node: 50%", "99%, of the budget", "99.9%", "in calm seconds, straight: 99%", "through the node: 99%", "calm seconds", "refused beside those timed"}, orNotRun(whole, 12)) +
+	return table(
+		[]string{
+			"known of the list",
+			"servers",
+			"changes a second",
+			"straight to the server: 50%",
+			"99%",
+			"through the node: 50%",
+			"99%, of the budget",
+			"99.9%",
+			"in calm seconds, straight: 99%",
+			"through the node: 99%",
+			"calm seconds",
+			"refused beside those timed",
+		},
+		orNotRun(whole, 12),
+	) +
 		"\nOf which, through the node:\n\n" +
-		table([]string{"known of the list", "servers", "changes a second", "straight, in: 50%", "out: 50%", "through the node, in, on a kept connection: 50%", "99%", "in, on one just made: 50%", "so many of them", "out: 50%", "99%", "attempts a request",
-			"node's processor a request", "its threads' wait for a core a request", "load"}, orNotRun(ways, 15)), nil
+		table(
+			[]string{
+				"known of the list",
+				"servers",
+				"changes a second",
+				"straight, in: 50%",
+				"out: 50%",
+				"through the node, in, on a kept connection: 50%",
+				"99%",
+				"in, on one just made: 50%",
+				"so many of them",
+				"out: 50%",
+				"99%",
+				"attempts a request",
+				"node's processor a request",
+				"its threads' wait for a core a request",
+				"load",
+			},
+			orNotRun(ways, 15),
+		), nil
 }
 
 // orNotRun is rows, or one that says that there are none.
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -14,16 +14,24 @@
 )
 
 const (
-	tick       = 25 * time.Millisecond // between a module's rounds of checks
-	warmUp     = 25000                 // requests, after which a module has learned: two a server in reach, of all groups
-	leastTicks = 40                    // a second of them
+	tick = 25 * time.Millisecond // between a module's rounds of checks
+	// requests, after which a module has learned: two a server in reach, of all groups
+	warmUp     = 25000
+	leastTicks = 40 // a second of them
 	enough     = 200 * time.Millisecond
 )
 
 // settingsOf is what the lab's platform tells a node of so many, with messages between them.
 func settingsOf(dir string, nodes int) (balancer.Settings, error) {
 	path := filepath.Join(dir, "module.json")
-	c := platform.Node{Name: "n", Number: nodes / 3, Nodes: nodes, Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", PeerListen: "127.0.0.1:0"}
+	c := platform.Node{
+		Name:       "n",
+		Number:     nodes / 3,
+		Nodes:      nodes,
+		Listen:     "127.0.0.1:0",
+		Discovery:  "127.0.0.1:1",
+		PeerListen: "127.0.0.1:0",
+	}
 	if err := c.Write(path, drawn, 1); err != nil {
 		return balancer.Settings{}, err
 	}
@@ -33,7 +41,13 @@
 
 // drawnServer is one of a drawn list.
 func drawnServer(i int) balancer.Endpoint {
-	return balancer.Endpoint{ID: balancer.EndpointID(uint32(i+1) * 2654435761), Zone: zoneOf(i), MachineType: kindOf(i), Cell: i / 3, Weight: 1}
+	return balancer.Endpoint{
+		ID:          balancer.EndpointID(uint32(i+1) * 2654435761),
+		Zone:        zoneOf(i),
+		MachineType: kindOf(i),
+		Cell:        i / 3,
+		Weight:      1,
+	}
 }
 
 var drawn = world.Draw(1, 3, 1)
@@ -44,7 +58,8 @@
 // Sizes are what a node's module is told of.
 type Sizes struct{ Backends, Nodes, Placements int }
 
-// place gives classes so many different rules of placement, each open to a third of the servers; one rule is none.
+// place gives classes so many different rules of placement, each open to a third of the servers; one rule is
+// none.
 func place(s *balancer.Settings, rules int) {
 	plain := s.Classes
 	for i := range rules - 1 {
@@ -64,7 +79,11 @@
 			}
 			place(&settings, size.Placements)
 			by := map[string]int{"backends": size.Backends, "nodes": size.Nodes, "placements": size.Placements}
-			p, err := repeated(run.Repeat, by, func() (map[string]float64, error) { return module(ctx, settings, size.Backends) })
+			p, err := repeated(
+				run.Repeat,
+				by,
+				func() (map[string]float64, error) { return module(ctx, settings, size.Backends) },
+			)
 			if err != nil {
 				return nil, err
 			}
@@ -107,7 +126,16 @@
 		id := balancer.RequestID(fmt.Sprint(i))
 		for _, a := range m.Handle(now, balancer.RequestArrived{ID: id, Class: settings.Classes[0].Name, Timeout: time.Second}) {
 			if s, ok := a.(balancer.StartAttempt); ok {
-				m.Handle(now, balancer.AttemptEnded{ID: id, Endpoint: s.Endpoint, Outcome: balancer.OK, RequestAnswered: true, Elapsed: 20 * time.Millisecond})
+				m.Handle(
+					now,
+					balancer.AttemptEnded{
+						ID:              id,
+						Endpoint:        s.Endpoint,
+						Outcome:         balancer.OK,
+						RequestAnswered: true,
+						Elapsed:         20 * time.Millisecond,
+					},
+				)
 			}
 		}
 		if i%25 == 0 && backends <= 2000 {
@@ -128,8 +156,21 @@
 		if s.State = balancer.Draining; i%2 == 1 {
 			s.State, s.StartedAt = balancer.Ready, now
 		}
-		m.Handle(now, balancer.EndpointsUpdated{Kind: balancer.UpdateIncremental, Version: uint64(i + 2), Endpoints: []balancer.Endpoint{*s}})
+		m.Handle(
+			now,
+			balancer.EndpointsUpdated{
+				Kind:      balancer.UpdateIncremental,
+				Version:   uint64(i + 2),
+				Endpoints: []balancer.Endpoint{*s},
+			},
+		)
 	})
-	return map[string]float64{"rest_cores": round / tick.Seconds(), "rest_pieces": roundPieces, "change_s": change, "change_pieces": changePieces,
-		"whole_s": whole, "memory_bytes": full - empty}, err
+	return map[string]float64{
+		"rest_cores":    round / tick.Seconds(),
+		"rest_pieces":   roundPieces,
+		"change_s":      change,
+		"change_pieces": changePieces,
+		"whole_s":       whole,
+		"memory_bytes":  full - empty,
+	}, err
 }
--- a/internal/lab/scale/nodes.go
+++ b/internal/lab/scale/nodes.go
@@ -33,7 +33,12 @@
 }
 
 // played records something that is done with fresh nodes of each size.
-func (n *Nodes) played(ctx context.Context, what string, sizes []Sizes, do func(rig) (map[string]float64, error)) error {
+func (n *Nodes) played(
+	ctx context.Context,
+	what string,
+	sizes []Sizes,
+	do func(rig) (map[string]float64, error),
+) error {
 	return n.record(what, func() (all []Point, err error) {
 		for _, size := range sizes {
 			by := map[string]int{"nodes": size.Nodes, "backends": size.Backends}
@@ -105,8 +110,22 @@
 	perChange := func(rest, work float64) float64 {
 		return max(0, work-rest) / float64(made) / each
 	}
-	return map[string]float64{"rest_cores": perRest(seconds(rest.CPU)), "rest_bytes_in": perRest(rest.Read), "rest_bytes_out": perRest(rest.Written),
-		"change_cpu_s": perChange(seconds(rest.CPU), seconds(work.CPU)), "change_bytes_in": perChange(rest.Read, work.Read),
-		"change_bytes_out": perChange(rest.Written, work.Written), "memory_bytes": worked.RSS / each, "descriptors": worked.FDs / each,
-		"datagrams_per_s": (sentAll.datagrams - sent.datagrams) / took, "datagram_bytes_per_s": (sentAll.bytes - sent.bytes) / took}, nil
+	return map[string]float64{
+		"rest_cores":     perRest(seconds(rest.CPU)),
+		"rest_bytes_in":  perRest(rest.Read),
+		"rest_bytes_out": perRest(rest.Written),
+		"change_cpu_s": perChange(
+			seconds(rest.CPU),
+			seconds(work.CPU),
+		),
+		"change_bytes_in": perChange(rest.Read, work.Read),
+		"change_bytes_out": perChange(
+			rest.Written,
+			work.Written,
+		),
+		"memory_bytes":         worked.RSS / each,
+		"descriptors":          worked.FDs / each,
+		"datagrams_per_s":      (sentAll.datagrams - sent.datagrams) / took,
+		"datagram_bytes_per_s": (sentAll.bytes - sent.bytes) / took,
+	}, nil
 }
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -22,8 +22,19 @@
 
 // tables are the makers of the page's tables, by name.
 var tables = map[string]func(sheet) (string, error){
-	"assumptions": assumptions, "costs": costs, "sides": sides, "walls": wallsTable, "force": inForce,
-	"faults": faults, "honest": honest, "slopes": slopes, "runs": runs, "latency": latencyTable, "orders": ordersTable, "pairs": pairsTable, "fleet": fleetTable,
+	"assumptions": assumptions,
+	"costs":       costs,
+	"sides":       sides,
+	"walls":       wallsTable,
+	"force":       inForce,
+	"faults":      faults,
+	"honest":      honest,
+	"slopes":      slopes,
+	"runs":        runs,
+	"latency":     latencyTable,
+	"orders":      ordersTable,
+	"pairs":       pairsTable,
+	"fleet":       fleetTable,
 }
 
 // Page puts the tables, made from the records and the plan of a folder, into a page's text.
@@ -36,7 +47,12 @@
 	if err != nil {
 		return "", err
 	}
-	s := sheet{plan: plan, before: measured{Before, map[string]Record{}}, after: measured{After, map[string]Record{}}, all: all}
+	s := sheet{
+		plan:   plan,
+		before: measured{Before, map[string]Record{}},
+		after:  measured{After, map[string]Record{}},
+		all:    all,
+	}
 	for _, r := range all {
 		for _, m := range []measured{s.before, s.after} {
 			if r.Label == m.label {
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -41,7 +41,9 @@
 				}
 				after, err := useOf(r.service.Pid)
 				work, took := after.minus(before), 2*p.Rest.Seconds()
-				f["replica_cores"], f["replica_bytes_out_per_s"], f["replica_memory_bytes"] = seconds(work.CPU)/took, work.Written/took, after.RSS
+				f["replica_cores"], f["replica_bytes_out_per_s"], f["replica_memory_bytes"] = seconds(
+					work.CPU,
+				)/took, work.Written/took, after.RSS
 				add(b, f)
 				return err
 			})
@@ -54,7 +56,11 @@
 }
 
 // grid records what one gives for each number of nodes, at sizes of another kind.
-func (p *Pairs) grid(nodes []int, other, what string, one func(n int, add func(size int, f map[string]float64)) error) error {
+func (p *Pairs) grid(
+	nodes []int,
+	other, what string,
+	one func(n int, add func(size int, f map[string]float64)) error,
+) error {
 	return p.record(what, func() (all []Point, err error) {
 		for _, n := range nodes {
 			found := map[int]map[string][]float64{}
@@ -72,7 +78,10 @@
 				}
 			}
 			for _, size := range sorted(found) {
-				at := Point{Sizes: map[string]int{"nodes": n, other: size, "part": partOf(p.Parts)}, Figures: map[string]Spread{}}
+				at := Point{
+					Sizes:   map[string]int{"nodes": n, other: size, "part": partOf(p.Parts)},
+					Figures: map[string]Spread{},
+				}
 				for name, v := range found[size] {
 					at.Figures[name] = spreadOf(v)
 				}
@@ -84,7 +93,8 @@
 	})
 }
 
-// Tenants measures nodes and their replica by nodes and the tenants of the catalogue, which a conductor brings in.
+// Tenants measures nodes and their replica by nodes and the tenants of the catalogue, which a conductor
+// brings in.
 func (p *Pairs) Tenants(ctx context.Context, nodes, tenants []int) error {
 	return p.grid(nodes, "tenants", "pairs-tenants", func(n int, add func(int, map[string]float64)) error {
 		return p.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
@@ -152,7 +162,12 @@
 // order leaves the order that brings the i-th tenant in.
 func order(ctx context.Context, k *client.Client, i int) error {
 	form := tenantForm(i)
-	placed, err := tenant.SubmitOrder(ctx, k, form.Names[0], tenant.Order{ID: fmt.Sprint("scale-", i), Op: tenant.OrderAdd, Spec: form})
+	placed, err := tenant.SubmitOrder(
+		ctx,
+		k,
+		form.Names[0],
+		tenant.Order{ID: fmt.Sprint("scale-", i), Op: tenant.OrderAdd, Spec: form},
+	)
 	if err == nil && !placed {
 		err = fmt.Errorf("an order for %s waits already", form.Names[0])
 	}
@@ -192,8 +207,20 @@
 	restService, workService := uses[1].service.minus(uses[0].service), uses[2].service.minus(uses[1].service)
 	longer := seconds(took) / p.Rest.Seconds()
 	perChange := func(work, rest float64) float64 { return max(0, work-rest*longer) / pairChanges }
-	return map[string]float64{"rest_cores": seconds(rest.CPU) / p.Rest.Seconds() / each, "memory_bytes": uses[2].nodes.RSS / each,
-		"change_cpu_s": perChange(seconds(work.CPU), seconds(rest.CPU)) / each, "change_bytes_in": perChange(work.Read, rest.Read) / each,
-		"replica_memory_bytes": uses[2].service.RSS, "replica_change_cpu_s": perChange(seconds(workService.CPU), seconds(restService.CPU)),
-		"replica_change_bytes_out": perChange(workService.Written, restService.Written), "known_s": seconds(took-time.Second) / pairChanges}, nil
+	return map[string]float64{
+		"rest_cores":   seconds(rest.CPU) / p.Rest.Seconds() / each,
+		"memory_bytes": uses[2].nodes.RSS / each,
+		"change_cpu_s": perChange(
+			seconds(work.CPU),
+			seconds(rest.CPU),
+		) / each,
+		"change_bytes_in":      perChange(work.Read, rest.Read) / each,
+		"replica_memory_bytes": uses[2].service.RSS,
+		"replica_change_cpu_s": perChange(seconds(workService.CPU), seconds(restService.CPU)),
+		"replica_change_bytes_out": perChange(
+			workService.Written,
+			restService.Written,
+		),
+		"known_s": seconds(took-time.Second) / pairChanges,
+	}, nil
 }
--- a/internal/lab/scale/pairs_fit.go
+++ b/internal/lab/scale/pairs_fit.go
@@ -10,12 +10,12 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// pairForms are those in which a cost may go with one of two sizes: three sizes of each don't tell more apart. What a
-// node works with, its reach, falls as nodes come: 1/n.
+// pairForms are those in which a cost may go with one of two sizes: three sizes of each don't tell more
+// apart. What a node works with, its reach, falls as nodes come: 1/n.
 var pairForms = append(slices.Clone(forms[1:3]), form{"1/n", func(n float64) float64 { return 1 / n }})
 
-// counts is how rarely chance alone may make a product look as it does, for it to count: in one of twenty tables, each
-// of which is looked at in all pairs of forms.
+// counts is how rarely chance alone may make a product look as it does, for it to count: in one of twenty
+// tables, each of which is looked at in all pairs of forms.
 const counts = 0.05 / 9
 
 // PairFit is a cost by two sizes: terms of 1, a, b and a*b, each size in its form.
@@ -46,8 +46,8 @@
 	return [4]float64{1, f.a(a), f.b(b), f.a(a) * f.b(b)}
 }
 
-// fitPair finds the forms with the least residual, and whether their product counts, by what it takes off the squares.
-// Each point counts by its relative error.
+// fitPair finds the forms with the least residual, and whether their product counts, by what it takes off the
+// squares. Each point counts by its relative error.
 func fitPair(as, bs, ys []float64) (PairFit, error) {
 	best := PairFit{Residual: math.Inf(1)}
 	if len(ys) < 9 || len(as) != len(ys) || len(bs) != len(ys) {
@@ -70,7 +70,12 @@
 				return best, err
 			}
 			free := float64(len(ys) - 4)
-			f.Chance = distuv.F{D1: 1, D2: free}.Survival(max(0, sum3-sum4) / (sum4/free + math.SmallestNonzeroFloat64))
+			f.Chance = distuv.F{
+				D1: 1,
+				D2: free,
+			}.Survival(
+				max(0, sum3-sum4) / (sum4/free + math.SmallestNonzeroFloat64),
+			)
 			if f.Terms, f.Residual = without, math.Sqrt(sum3/(free+1)); f.Product() {
 				f.Terms, f.Residual = with, math.Sqrt(sum4/free)
 			}
--- a/internal/lab/scale/pairs_routes.go
+++ b/internal/lab/scale/pairs_routes.go
@@ -11,8 +11,8 @@
 	routedNodes    = 300
 )
 
-// Routes measures a node's decisions alone by services, which are classes here, and routes, which are the different
-// rules of placement that classes have; one is none.
+// Routes measures a node's decisions alone by services, which are classes here, and routes, which are the
+// different rules of placement that classes have; one is none.
 func (p *Pairs) Routes(ctx context.Context, services, routes []int) error {
 	settings, err := settingsOf(p.Dir, routedNodes)
 	if err != nil {
@@ -29,7 +29,11 @@
 					at.Classes = append(at.Classes, c)
 				}
 				place(&at, r)
-				one, err := repeated(p.Repeat, map[string]int{"services": s, "routes": r}, func() (map[string]float64, error) { return module(ctx, at, routedBackends) })
+				one, err := repeated(
+					p.Repeat,
+					map[string]int{"services": s, "routes": r},
+					func() (map[string]float64, error) { return module(ctx, at, routedBackends) },
+				)
 				if err != nil {
 					return nil, err
 				}
--- a/internal/lab/scale/pairs_table.go
+++ b/internal/lab/scale/pairs_table.go
@@ -7,13 +7,28 @@
 	"strings"
 )
 
-// pairsTable is what was measured by two sizes together: its ends, its joint fit, and whether their product counts.
+// pairsTable is what was measured by two sizes together: its ends, its joint fit, and whether their product
+// counts.
 func pairsTable(s sheet) (string, error) {
 	var rows [][]string
-	figures := [][2]string{{"rest_cores", "cores"}, {"change_cpu_s", "s"}, {"change_bytes_in", "bytes"}, {"memory_bytes", "bytes"},
-		{"replica_cores", "cores"}, {"replica_bytes_out_per_s", "bytes/s"}, {"replica_memory_bytes", "bytes"}}
-	ofTenants := [][2]string{{"rest_cores", "cores"}, {"change_cpu_s", "s"}, {"change_bytes_in", "bytes"}, {"memory_bytes", "bytes"},
-		{"replica_change_cpu_s", "s"}, {"replica_change_bytes_out", "bytes"}, {"replica_memory_bytes", "bytes"}}
+	figures := [][2]string{
+		{"rest_cores", "cores"},
+		{"change_cpu_s", "s"},
+		{"change_bytes_in", "bytes"},
+		{"memory_bytes", "bytes"},
+		{"replica_cores", "cores"},
+		{"replica_bytes_out_per_s", "bytes/s"},
+		{"replica_memory_bytes", "bytes"},
+	}
+	ofTenants := [][2]string{
+		{"rest_cores", "cores"},
+		{"change_cpu_s", "s"},
+		{"change_bytes_in", "bytes"},
+		{"memory_bytes", "bytes"},
+		{"replica_change_cpu_s", "s"},
+		{"replica_change_bytes_out", "bytes"},
+		{"replica_memory_bytes", "bytes"},
+	}
 	for _, k := range []struct {
 		what, of, a, b string
 		others         map[string]int
@@ -31,25 +46,58 @@
 				continue
 			}
 			for _, f := range k.figures {
-				at := append([]string{m.label, k.of, k.a + ", " + k.b, "`" + f[0] + "`"}, corners(r, k.a, k.b, f[0], f[1], k.others)...)
+				at := append(
+					[]string{m.label, k.of, k.a + ", " + k.b, "`" + f[0] + "`"},
+					corners(r, k.a, k.b, f[0], f[1], k.others)...)
 				fit, err := fitPairOf(r, k.a, k.b, f[0], k.others)
 				if err != nil {
 					rows = append(rows, append(at, "no fit: "+err.Error(), "", ""))
 					continue
 				}
-				text := fmt.Sprintf("%.3g + %.3g × %s + %.3g × %s", fit.Terms[0], fit.Terms[1], strings.Replace(fit.A, "n", "A", 1), fit.Terms[2], strings.Replace(fit.B, "n", "B", 1))
+				text := fmt.Sprintf(
+					"%.3g + %.3g × %s + %.3g × %s",
+					fit.Terms[0],
+					fit.Terms[1],
+					strings.Replace(fit.A, "n", "A", 1),
+					fit.Terms[2],
+					strings.Replace(fit.B, "n", "B", 1),
+				)
 				says := fmt.Sprintf("no (chance %s)", percent(fit.Chance))
 				if fit.Product() {
-					text, says = text+fmt.Sprintf(" + %.3g × their product", fit.Terms[3]), fmt.Sprintf("yes (chance %s)", percent(fit.Chance))
+					text, says = text+fmt.Sprintf(
+						" + %.3g × their product",
+						fit.Terms[3],
+					), fmt.Sprintf(
+						"yes (chance %s)",
+						percent(fit.Chance),
+					)
 				}
-				rows = append(rows, append(at, fmt.Sprintf("%s; residual %s, %d points", text, percent(fit.Residual), fit.Points), says))
+				rows = append(
+					rows,
+					append(at, fmt.Sprintf("%s; residual %s, %d points", text, percent(fit.Residual), fit.Points), says),
+				)
 			}
 		}
 	}
-	return table([]string{"program", "of", "A, B", "figure", "least of both", "most of A", "most of B", "most of both", "fit", "product counts"}, rows), nil
+	return table(
+		[]string{
+			"program",
+			"of",
+			"A, B",
+			"figure",
+			"least of both",
+			"most of A",
+			"most of B",
+			"most of both",
+			"fit",
+			"product counts",
+		},
+		rows,
+	), nil
 }
 
-// corners are a figure at the ends of two sizes: least of both, most of the first, most of the second, most of both.
+// corners are a figure at the ends of two sizes: least of both, most of the first, most of the second, most
+// of both.
 func corners(r Record, a, b, figure, unit string, others map[string]int) []string {
 	var as, bs [2]int
 	for _, p := range r.Points {
--- a/internal/lab/scale/played.go
+++ b/internal/lab/scale/played.go
@@ -28,12 +28,24 @@
 		}
 		return all
 	}
-	return play{point: slices.MaxFunc(r.Points, func(a, b Point) int { return cmp.Compare(product(a), product(b)) }), has: true}
+	return play{
+		point: slices.MaxFunc(r.Points, func(a, b Point) int { return cmp.Compare(product(a), product(b)) }),
+		has:   true,
+	}
 }
 
 // sizeWords are what a play's sizes are called, in the order in which they are told.
-var sizeWords = [][2]string{{"backends", "backends"}, {"nodes", "nodes"}, {"boxes", "boxes"}, {"beside", "more nodes that go or restart"}, {"members", "members"}, {"watchers", "watchers"}, {"entries", "entries"},
-	{"restarts_per_h", "restarts an hour"}, {"cut_s", "s apart"}}
+var sizeWords = [][2]string{
+	{"backends", "backends"},
+	{"nodes", "nodes"},
+	{"boxes", "boxes"},
+	{"beside", "more nodes that go or restart"},
+	{"members", "members"},
+	{"watchers", "watchers"},
+	{"entries", "entries"},
+	{"restarts_per_h", "restarts an hour"},
+	{"cut_s", "s apart"},
+}
 
 func (p play) sizes() string {
 	if !p.has {
@@ -104,6 +116,14 @@
 		return notRun
 	}
 	f := p.point.Figures["harmed_share"]
-	return fmt.Sprintf("%s (%s to %s) of those due meanwhile, at %s: ", percent(f.Median), percent(f.Least), percent(f.Most), p.sizes()) +
-		p.say("{failed_share:share} failed, {refused_share:share} refused, {late_share:share} late; without the fault {spared_share:share} are not in time")
+	return fmt.Sprintf(
+		"%s (%s to %s) of those due meanwhile, at %s: ",
+		percent(f.Median),
+		percent(f.Least),
+		percent(f.Most),
+		p.sizes(),
+	) +
+		p.say(
+			"{failed_share:share} failed, {refused_share:share} refused, {late_share:share} late; without the fault {spared_share:share} are not in time",
+		)
 }
--- a/internal/lab/scale/rack.go
+++ b/internal/lab/scale/rack.go
@@ -19,7 +19,8 @@
 	})
 }
 
-// rack leaves the rack's backends without renewals. All entries are leased, as what may expire at once is a share of those.
+// rack leaves the rack's backends without renewals. All entries are leased, as what may expire at once is a
+// share of those.
 func (r rig) rack(ctx context.Context, lost int, ttl time.Duration) (map[string]float64, error) {
 	if err := together(ctx, 0, lost, registering(r.k, ttl)); err != nil {
 		return nil, err
@@ -62,7 +63,12 @@
 	for _, perHour := range restarts {
 		share := float64(perHour) / (p.Plan.Nodes + p.Plan.Backends) / time.Hour.Seconds() // of the fleet, a second
 		n.beside = beside{nodes: int(p.Assumed.RackNodes), every: every(share * p.Plan.Nodes), restarts: perHour}
-		err := n.played(ctx, "roll", sizes, func(r rig) (map[string]float64, error) { return r.roll(ctx, every(share*p.Plan.Backends), last) })
+		err := n.played(
+			ctx,
+			"roll",
+			sizes,
+			func(r rig) (map[string]float64, error) { return r.roll(ctx, every(share*p.Plan.Backends), last) },
+		)
 		if err != nil {
 			return fmt.Errorf("%d restarts an hour: %w", perHour, err)
 		}
@@ -72,7 +78,8 @@
 
 func every(perSecond float64) time.Duration { return time.Duration(float64(time.Second) / perSecond) }
 
-// roll replaces backends one by one, each by one of another name, and waits until every node knows those that are left.
+// roll replaces backends one by one, each by one of another name, and waits until every node knows those that
+// are left.
 func (r rig) roll(ctx context.Context, pace, last time.Duration) (map[string]float64, error) {
 	var done int
 	var written, settled time.Duration
@@ -99,8 +106,20 @@
 		return nil, err
 	}
 	over := f["took_s"] + 1 // that spent goes on for
-	return map[string]float64{"replaced": float64(done), "replaced_per_s": float64(done) / seconds(written), "settled_s": seconds(settled),
-		"node_cores": f["node_cpu_s"] / over, "node_bytes_in": f["node_bytes_in"] / over, "node_bytes_kept": f["node_bytes_kept"] / over, "node_peak_cores": f["node_peak_cores"],
-		"node_peak_bytes": f["node_peak_bytes"], "node_memory_bytes": f["node_memory_bytes"], "replica_cores": f["replica_cpu_s"] / over, "replica_bytes_out": f["replica_bytes_out"] / over,
-		"replica_peak_cores": f["replica_peak_cores"], "replica_peak_bytes": f["replica_peak_bytes"], "replica_memory_bytes": f["replica_memory_bytes"]}, nil
+	return map[string]float64{
+		"replaced":             float64(done),
+		"replaced_per_s":       float64(done) / seconds(written),
+		"settled_s":            seconds(settled),
+		"node_cores":           f["node_cpu_s"] / over,
+		"node_bytes_in":        f["node_bytes_in"] / over,
+		"node_bytes_kept":      f["node_bytes_kept"] / over,
+		"node_peak_cores":      f["node_peak_cores"],
+		"node_peak_bytes":      f["node_peak_bytes"],
+		"node_memory_bytes":    f["node_memory_bytes"],
+		"replica_cores":        f["replica_cpu_s"] / over,
+		"replica_bytes_out":    f["replica_bytes_out"] / over,
+		"replica_peak_cores":   f["replica_peak_cores"],
+		"replica_peak_bytes":   f["replica_peak_bytes"],
+		"replica_memory_bytes": f["replica_memory_bytes"],
+	}, nil
 }
--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -19,19 +19,21 @@
 
 // Record is one command's measurements, as the repository keeps them.
 type Record struct {
-	What    string     `json:"what"`
-	Label   string     `json:"label"`  // before or after the mechanism
-	Commit  string     `json:"commit"` // of the programs that were measured
-	Command string     `json:"command"`
-	Cores   int        `json:"cores"`
-	Load    [2]float64 `json:"load"` // of the machine over a minute: the least and the most, at the beginnings and ends of runs
-	Points  []Point    `json:"points"`
+	What    string `json:"what"`
+	Label   string `json:"label"`  // before or after the mechanism
+	Commit  string `json:"commit"` // of the programs that were measured
+	Command string `json:"command"`
+	Cores   int    `json:"cores"`
+	// of the machine over a minute: the least and the most, at the beginnings and ends of runs
+	Load   [2]float64 `json:"load"`
+	Points []Point    `json:"points"`
 }
 
 // Point is the figures at one choice of sizes.
 type Point struct {
-	Sizes   map[string]int    `json:"sizes"`
-	Trial   string            `json:"trial,omitempty"` // how the programs differ from the commit; empty: not at all
+	Sizes map[string]int `json:"sizes"`
+	// how the programs differ from the commit; empty: not at all
+	Trial   string            `json:"trial,omitempty"`
 	Figures map[string]Spread `json:"figures"`
 }
 
@@ -160,10 +162,20 @@
 
 // record puts what measure gives into a record: that of before, if it is of the same commit, else a new one.
 func (run Run) record(what string, measure func() ([]Point, error)) error {
-	r := Record{What: what, Label: run.Label, Commit: run.Commit, Cores: cores(), Load: [2]float64{math.Inf(1), 0}}
-	if former, err := read(r.File(run.Dir)); err == nil && former.Commit == run.Commit && former.Cores == r.Cores {
+	r := Record{
+		What:   what,
+		Label:  run.Label,
+		Commit: run.Commit,
+		Cores:  cores(),
+		Load:   [2]float64{math.Inf(1), 0},
+	}
+	if former, err := read(
+		r.File(run.Dir),
+	); err == nil && former.Commit == run.Commit &&
+		former.Cores == r.Cores {
 		r = former
-	} else if err != nil && !errors.Is(err, fs.ErrNotExist) {
+	} else if err != nil &&
+		!errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	r.Command = run.Command
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -121,8 +121,21 @@
 		}
 	}
 	for i := range nodes {
-		c := platform.Node{Name: fmt.Sprint("n", i), Number: i, Nodes: max(n.Told, nodes), Zone: zoneOf(i), Listen: reserve(), Control: reserve(),
-			List: []string{service}, ListFile: listFile(dir, i), ListPart: n.Parts, PeerListen: peers[i], Seed: uint64(i + 1)}
+		c := platform.Node{
+			Name:    fmt.Sprint("n", i),
+			Number:  i,
+			Nodes:   max(n.Told, nodes),
+			Zone:    zoneOf(i),
+			Listen:  reserve(),
+			Control: reserve(),
+			List: []string{
+				service,
+			},
+			ListFile:   listFile(dir, i),
+			ListPart:   n.Parts,
+			PeerListen: peers[i],
+			Seed:       uint64(i + 1),
+		}
 		if n.View {
 			c.Peers, c.Fleet = peers, "scale"
 		}
@@ -140,9 +153,21 @@
 func listFile(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("list", i)) }
 
 // begin starts the processes and waits until each node is ready.
-func (n *Nodes) begin(ctx context.Context, group *process.Group, dir string, controls []string) (all []*process.Proc, err error) {
+func (n *Nodes) begin(
+	ctx context.Context,
+	group *process.Group,
+	dir string,
+	controls []string,
+) (all []*process.Proc, err error) {
 	if n.Kind == "hollow" {
-		p, err := n.hollow(ctx, group, dir, "hollow", controls, append(slices.Clone(n.Start), dir, strconv.Itoa(len(controls))))
+		p, err := n.hollow(
+			ctx,
+			group,
+			dir,
+			"hollow",
+			controls,
+			append(slices.Clone(n.Start), dir, strconv.Itoa(len(controls))),
+		)
 		return []*process.Proc{p}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
@@ -161,13 +186,31 @@
 }
 
 // begunBeside starts the process of the nodes beside, from the first on.
-func (n *Nodes) begunBeside(ctx context.Context, group *process.Group, dir string, first int, controls []string) (*process.Proc, error) {
-	command := append(slices.Clone(n.Start[:len(n.Start)-1]), "beside", dir, strconv.Itoa(first), strconv.Itoa(len(controls)), n.beside.every.String())
+func (n *Nodes) begunBeside(
+	ctx context.Context,
+	group *process.Group,
+	dir string,
+	first int,
+	controls []string,
+) (*process.Proc, error) {
+	command := append(
+		slices.Clone(n.Start[:len(n.Start)-1]),
+		"beside",
+		dir,
+		strconv.Itoa(first),
+		strconv.Itoa(len(controls)),
+		n.beside.every.String(),
+	)
 	return n.hollow(ctx, group, dir, "beside", controls, command)
 }
 
 // hollow starts a process of hollow nodes and waits until each is ready.
-func (n *Nodes) hollow(ctx context.Context, group *process.Group, dir, name string, controls, command []string) (*process.Proc, error) {
+func (n *Nodes) hollow(
+	ctx context.Context,
+	group *process.Group,
+	dir, name string,
+	controls, command []string,
+) (*process.Proc, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	p, err := n.start(group, dir, name, "PATH="+os.Getenv("PATH"), command)
@@ -183,7 +226,14 @@
 }
 
 func (n *Nodes) start(group *process.Group, dir, name, env string, command []string) (*process.Proc, error) {
-	return group.Start(process.Spec{Name: name, Command: command, Dir: filepath.Join(dir, name), Env: append([]string{"HOME=" + dir, "TMPDIR=" + dir, env}, n.Env...)})
+	return group.Start(
+		process.Spec{
+			Name:    name,
+			Command: command,
+			Dir:     filepath.Join(dir, name),
+			Env:     append([]string{"HOME=" + dir, "TMPDIR=" + dir, env}, n.Env...),
+		},
+	)
 }
 
 // usedBy sums what processes have used.
@@ -193,7 +243,14 @@
 		if err != nil {
 			return sum, err
 		}
-		sum = use{sum.CPU + u.CPU, sum.Read + u.Read, sum.Written + u.Written, sum.Calls + u.Calls, sum.RSS + u.RSS, sum.FDs + u.FDs}
+		sum = use{
+			sum.CPU + u.CPU,
+			sum.Read + u.Read,
+			sum.Written + u.Written,
+			sum.Calls + u.Calls,
+			sum.RSS + u.RSS,
+			sum.FDs + u.FDs,
+		}
 	}
 	return sum, nil
 }
--- a/internal/lab/scale/settled.go
+++ b/internal/lab/scale/settled.go
@@ -44,7 +44,8 @@
 	return nil
 }
 
-// differs says how a node's kept list is not what its part of the list has, by the servers' places; empty: it is that.
+// differs says how a node's kept list is not what its part of the list has, by the servers' places; empty: it
+// is that.
 func differs(file string, at map[string]uint64) (why string, err error) {
 	raw, err := checksumfile.Read(file, maxKept)
 	if err != nil {
@@ -94,7 +95,15 @@
 				break
 			}
 			if !backoff.Sleep(ctx, lookEvery) {
-				return fmt.Errorf("node %d of %d has %s %v, not %d: %w", i, len(r.controls), figure, f[figure], want, ctx.Err())
+				return fmt.Errorf(
+					"node %d of %d has %s %v, not %d: %w",
+					i,
+					len(r.controls),
+					figure,
+					f[figure],
+					want,
+					ctx.Err(),
+				)
 			}
 		}
 	}
--- a/internal/lab/scale/sides.go
+++ b/internal/lab/scale/sides.go
@@ -65,11 +65,34 @@
 				f := p.Figures[name]
 				return fmt.Sprintf("%s (%s to %s)", shown(f.Median, "s"), shown(f.Least, "s"), shown(f.Most, "s"))
 			}
-			rows = append(rows, []string{m.label, number(float64(p.Sizes["watchers"])), number(float64(p.Sizes["entries"])), t("half_s"), t("most99_s"), t("last_s"), t("last_worst_s"),
-				fmt.Sprintf("%s to %s", number(r.Load[0]), number(r.Load[1]))})
+			rows = append(
+				rows,
+				[]string{
+					m.label,
+					number(float64(p.Sizes["watchers"])),
+					number(float64(p.Sizes["entries"])),
+					t("half_s"),
+					t("most99_s"),
+					t("last_s"),
+					t("last_worst_s"),
+					fmt.Sprintf("%s to %s", number(r.Load[0]), number(r.Load[1])),
+				},
+			)
 		}
 	}
-	return table([]string{"program", "watchers of one replica", "entries", "half of those concerned", "99%", "the last", "the last, worst of 20 changes", "load on 8 cores"}, rows), nil
+	return table(
+		[]string{
+			"program",
+			"watchers of one replica",
+			"entries",
+			"half of those concerned",
+			"99%",
+			"the last",
+			"the last, worst of 20 changes",
+			"load on 8 cores",
+		},
+		rows,
+	), nil
 }
 
 // honest sets hollow nodes beside real ones, at the same sizes and changes.
@@ -84,7 +107,8 @@
 		}
 		for _, h := range hollow.Points {
 			for _, r := range real.Points {
-				if h.Sizes["nodes"] != r.Sizes["nodes"] || h.Sizes["backends"] != r.Sizes["backends"] || h.Sizes["backends"] != 200 {
+				if h.Sizes["nodes"] != r.Sizes["nodes"] || h.Sizes["backends"] != r.Sizes["backends"] ||
+					h.Sizes["backends"] != 200 {
 					continue
 				}
 				for _, f := range [][2]string{{"datagrams_per_s", "/s"}, {"datagram_bytes_per_s", "bytes/s"}, {"change_bytes_in", "bytes"}, {"change_bytes_out", "bytes"},
@@ -96,12 +120,25 @@
 							says = fmt.Sprintf("factor %s", number(b/a))
 						}
 					}
-					rows = append(rows, []string{m.label, number(float64(h.Sizes["nodes"])), "`" + f[0] + "`", shown(a, f[1]), shown(b, f[1]), says})
+					rows = append(
+						rows,
+						[]string{
+							m.label,
+							number(float64(h.Sizes["nodes"])),
+							"`" + f[0] + "`",
+							shown(a, f[1]),
+							shown(b, f[1]),
+							says,
+						},
+					)
 				}
 			}
 		}
 	}
-	return table([]string{"program", "nodes, 200 backends", "figure, a node", "hollow", "real", "real over hollow"}, rows), nil
+	return table(
+		[]string{"program", "nodes, 200 backends", "figure, a node", "hollow", "real", "real over hollow"},
+		rows,
+	), nil
 }
 
 // runs say where the figures come from.
@@ -114,8 +151,18 @@
 				trial = append(trial, Point{Sizes: p.Sizes}.String()+"with "+p.Trial)
 			}
 		}
-		rows = append(rows, []string{r.What, r.Label, r.Commit, "`" + r.Command + "`", fmt.Sprint(len(r.Points)), fmt.Sprintf("%s to %s on %d cores", number(r.Load[0]), number(r.Load[1]), r.Cores),
-			strings.Join(trial, "; ")})
+		rows = append(
+			rows,
+			[]string{
+				r.What,
+				r.Label,
+				r.Commit,
+				"`" + r.Command + "`",
+				fmt.Sprint(len(r.Points)),
+				fmt.Sprintf("%s to %s on %d cores", number(r.Load[0]), number(r.Load[1]), r.Cores),
+				strings.Join(trial, "; "),
+			},
+		)
 	}
 	return table([]string{"record", "program", "commit", "last made by", "points", "load", "trials"}, rows), nil
 }
--- a/internal/lab/scale/spent.go
+++ b/internal/lab/scale/spent.go
@@ -17,7 +17,8 @@
 // worst is the most that processes have used in a second, and the most memory that they had.
 type worst struct{ cores, read, written, rss float64 }
 
-// spent does something and gives what each node and the replica have used for it, in all and in the worst second.
+// spent does something and gives what each node and the replica have used for it, in all and in the worst
+// second.
 func (r rig) spent(ctx context.Context, do func() error) (map[string]float64, error) {
 	service := []*process.Proc{r.service}
 	nodes, err := usedBy(r.nodes)
@@ -57,10 +58,20 @@
 	}
 	after, err := usedBy(service)
 	work, served, each := nodesAfter.minus(nodes), after.minus(before), float64(r.Nodes)
-	return map[string]float64{"took_s": seconds(took), "node_cpu_s": seconds(work.CPU) / each, "node_bytes_in": work.Read / each, "node_bytes_kept": work.Written / each,
-		"replica_cpu_s": seconds(served.CPU), "replica_bytes_out": served.Written,
-		"node_peak_cores": peak.nodes.cores / each, "node_peak_bytes": peak.nodes.read / each, "node_memory_bytes": peak.nodes.rss / each,
-		"replica_peak_cores": peak.service.cores, "replica_peak_bytes": peak.service.written, "replica_memory_bytes": peak.service.rss}, err
+	return map[string]float64{
+		"took_s":               seconds(took),
+		"node_cpu_s":           seconds(work.CPU) / each,
+		"node_bytes_in":        work.Read / each,
+		"node_bytes_kept":      work.Written / each,
+		"replica_cpu_s":        seconds(served.CPU),
+		"replica_bytes_out":    served.Written,
+		"node_peak_cores":      peak.nodes.cores / each,
+		"node_peak_bytes":      peak.nodes.read / each,
+		"node_memory_bytes":    peak.nodes.rss / each,
+		"replica_peak_cores":   peak.service.cores,
+		"replica_peak_bytes":   peak.service.written,
+		"replica_memory_bytes": peak.service.rss,
+	}, err
 }
 
 // follow samples the use of nodes and of a service until ctx ends.
@@ -91,5 +102,10 @@
 
 func (w *worst) see(now, before use, took time.Duration) {
 	did, per := now.minus(before), took.Seconds()
-	*w = worst{max(w.cores, seconds(did.CPU)/per), max(w.read, did.Read/per), max(w.written, did.Written/per), max(w.rss, now.RSS)}
+	*w = worst{
+		max(w.cores, seconds(did.CPU)/per),
+		max(w.read, did.Read/per),
+		max(w.written, did.Written/per),
+		max(w.rss, now.RSS),
+	}
 }
--- a/internal/lab/scale/tables.go
+++ b/internal/lab/scale/tables.go
@@ -9,16 +9,74 @@
 func assumptions(s sheet) (string, error) {
 	p, a := s.plan.Plan, s.plan.Assumed
 	return table([]string{"assumed", "its effect"}, [][]string{
-		{fmt.Sprintf("the peak of changes is %s times the day's mean", number(a.Peak)), fmt.Sprintf("%s changes of the list a second; twice the peak is twice all that is by change", number(s.plan.listChanges()))},
-		{fmt.Sprintf("a restart is %s changes of the list, beside the changes of configuration", number(a.RestartChanges)), fmt.Sprintf("%s of the day's %s changes", number(a.RestartChanges*p.Restarts), number(p.Changes+a.RestartChanges*p.Restarts))},
-		{fmt.Sprintf("an entry's TTL is %s s, its agent renews it three times in it, one server a call", number(a.TTL)), fmt.Sprintf("%s renewals a second at the leader", number(s.plan.renewals()))},
-		{fmt.Sprintf("a node that starts without what was kept has %s s for a whole list, and as long for a whole catalogue", number(a.Start)), "twice the time is twice the f of those two walls; one that kept them reads changes"},
-		{fmt.Sprintf("watchers are spread evenly over %s replicas", number(a.Replicas)), fmt.Sprintf("%s nodes at each; with one lost, half as many again", number(p.Nodes/a.Replicas))},
-		{fmt.Sprintf("a control machine has %s cores, %s and %s a second", number(a.MachineCores), shown(a.MachineMemory, "bytes"), shown(a.MachineBytes, "bytes")), "the budget of replicas, conductors and holders"},
-		{"requests come evenly to all nodes", fmt.Sprintf("%s a second at a node at the peak", number(p.Requests/p.Nodes))},
-		{"every node has every service, route and tenant", "a node's part of them is all of them; services were not measured by themselves, rules of placement were"},
-		{fmt.Sprintf("all %d zones have the same part of nodes and backends, all in one list over both regions", p.Zones), fmt.Sprintf("a zone is %s nodes and %s backends", number(p.Nodes/float64(p.Zones)), number(p.Backends/float64(p.Zones)))},
-		{fmt.Sprintf("a rack has %s nodes and %s backends", number(a.RackNodes), number(a.RackBackends)), "the first row of the faults"},
+		{
+			fmt.Sprintf("the peak of changes is %s times the day's mean", number(a.Peak)),
+			fmt.Sprintf(
+				"%s changes of the list a second; twice the peak is twice all that is by change",
+				number(s.plan.listChanges()),
+			),
+		},
+		{
+			fmt.Sprintf(
+				"a restart is %s changes of the list, beside the changes of configuration",
+				number(a.RestartChanges),
+			),
+			fmt.Sprintf(
+				"%s of the day's %s changes",
+				number(a.RestartChanges*p.Restarts),
+				number(p.Changes+a.RestartChanges*p.Restarts),
+			),
+		},
+		{
+			fmt.Sprintf(
+				"an entry's TTL is %s s, its agent renews it three times in it, one server a call",
+				number(a.TTL),
+			),
+			fmt.Sprintf("%s renewals a second at the leader", number(s.plan.renewals())),
+		},
+		{
+			fmt.Sprintf(
+				"a node that starts without what was kept has %s s for a whole list, and as long for a whole catalogue",
+				number(a.Start),
+			),
+			"twice the time is twice the f of those two walls; one that kept them reads changes",
+		},
+		{
+			fmt.Sprintf("watchers are spread evenly over %s replicas", number(a.Replicas)),
+			fmt.Sprintf("%s nodes at each; with one lost, half as many again", number(p.Nodes/a.Replicas)),
+		},
+		{
+			fmt.Sprintf(
+				"a control machine has %s cores, %s and %s a second",
+				number(a.MachineCores),
+				shown(a.MachineMemory, "bytes"),
+				shown(a.MachineBytes, "bytes"),
+			),
+			"the budget of replicas, conductors and holders",
+		},
+		{
+			"requests come evenly to all nodes",
+			fmt.Sprintf("%s a second at a node at the peak", number(p.Requests/p.Nodes)),
+		},
+		{
+			"every node has every service, route and tenant",
+			"a node's part of them is all of them; services were not measured by themselves, rules of placement were",
+		},
+		{
+			fmt.Sprintf(
+				"all %d zones have the same part of nodes and backends, all in one list over both regions",
+				p.Zones,
+			),
+			fmt.Sprintf(
+				"a zone is %s nodes and %s backends",
+				number(p.Nodes/float64(p.Zones)),
+				number(p.Backends/float64(p.Zones)),
+			),
+		},
+		{
+			fmt.Sprintf("a rack has %s nodes and %s backends", number(a.RackNodes), number(a.RackBackends)),
+			"the first row of the faults",
+		},
 	}), nil
 }
 
@@ -39,7 +97,18 @@
 		}
 		rows = append(rows, []string{l.Role, l.What, bound, l.show(b), l.show(a), l.Mechanism, l.Next})
 	}
-	return table([]string{"role", "cost at the plan's size", "budget", "before", "after", "what carries it", "what gives first"}, rows), nil
+	return table(
+		[]string{
+			"role",
+			"cost at the plan's size",
+			"budget",
+			"before",
+			"after",
+			"what carries it",
+			"what gives first",
+		},
+		rows,
+	), nil
 }
 
 // show is a cost with the share of its budget and what it rests on.
@@ -63,8 +132,15 @@
 // wallsTable is the limits on the way, and the ends of that way.
 func wallsTable(s sheet) (string, error) {
 	var rows [][]string
-	text := fmt.Sprintf("f = 1 is the plan. Today's %s backends and %s nodes are f = %s and %s; the way begins at the lower.\n\n",
-		number(s.plan.Today.Backends), number(s.plan.Today.Nodes), number(s.plan.Today.Backends/s.plan.Plan.Backends), number(s.plan.Today.Nodes/s.plan.Plan.Nodes))
+	text := fmt.Sprintf(
+		"f = 1 is the plan. Today's %s backends and %s nodes are f = %s and %s; the way begins at the lower.\n\n",
+		number(
+			s.plan.Today.Backends,
+		),
+		number(s.plan.Today.Nodes),
+		number(s.plan.Today.Backends/s.plan.Plan.Backends),
+		number(s.plan.Today.Nodes/s.plan.Plan.Nodes),
+	)
 	for _, m := range []measured{s.before, s.after} {
 		if len(m.of) == 0 {
 			rows = append(rows, []string{m.label, "", notRun, "", "", ""})
@@ -83,7 +159,17 @@
 			if w.Command == "" {
 				rests = "the plan's number"
 			}
-			rows = append(rows, []string{m.label, at, w.Role + ": " + w.What, kind + ": " + shown(w.bound, w.Unit), shown(w.full, w.Unit), rests})
+			rows = append(
+				rows,
+				[]string{
+					m.label,
+					at,
+					w.Role + ": " + w.What,
+					kind + ": " + shown(w.bound, w.Unit),
+					shown(w.full, w.Unit),
+					rests,
+				},
+			)
 		}
 		var names []string
 		for _, l := range untold {
@@ -93,7 +179,10 @@
 			rows = append(rows, []string{m.label, notRun, strings.Join(names, "; "), "", "", ""})
 		}
 	}
-	return text + table([]string{"program", "f", "limit", "what it is", "at f = 1", "rests, at that f, on"}, rows), nil
+	return text + table(
+		[]string{"program", "f", "limit", "what it is", "at f = 1", "rests, at that f, on"},
+		rows,
+	), nil
 }
 
 // slopes are all fits that the costs rest on.
@@ -160,5 +249,13 @@
 	if f.grow != nil {
 		text += fmt.Sprintf(" + %.3g × %s", f.Slope, f.Form)
 	}
-	return fmt.Sprintf("%s (%s); residual %s, %d sizes to %s, spread to %s", text, f.Form, percent(f.Residual), f.Sizes, number(f.Largest), percent(spread))
+	return fmt.Sprintf(
+		"%s (%s); residual %s, %d sizes to %s, spread to %s",
+		text,
+		f.Form,
+		percent(f.Residual),
+		f.Sizes,
+		number(f.Largest),
+		percent(spread),
+	)
 }
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -16,11 +16,19 @@
 // tenantForm is a tenant as the documentation's example has it.
 func tenantForm(i int) *tenant.Spec {
 	name := fmt.Sprintf("tenant-%06d", i)
-	return &tenant.Spec{Names: []string{name}, Classes: []string{drawn.Classes[0].Name, drawn.Classes[1].Name}, DrainMS: 5000,
-		Quotas: []tenant.QuotaRef{{Limit: "book/" + name}}, Routes: []tenant.Route{{Zones: []string{zoneOf(i)}, MinEndpoints: 2}}}
+	return &tenant.Spec{
+		Names:   []string{name},
+		Classes: []string{drawn.Classes[0].Name, drawn.Classes[1].Name},
+		DrainMS: 5000,
+		Quotas: []tenant.QuotaRef{
+			{Limit: "book/" + name},
+		},
+		Routes: []tenant.Route{{Zones: []string{zoneOf(i)}, MinEndpoints: 2}},
+	}
 }
 
-// Tenants measures a node's desk alone, by the tenants of the catalogue; the conductor takes no more than it states.
+// Tenants measures a node's desk alone, by the tenants of the catalogue; the conductor takes no more than it
+// states.
 func Tenants(ctx context.Context, run Run, sizes []int, say func(Point)) error {
 	return run.points(ctx, "tenants", "tenants", sizes, nil, say, func(n int) (map[string]float64, error) {
 		empty, _ := heap()
@@ -35,7 +43,12 @@
 			entries[i], bytes = e, bytes+len(raw)
 		}
 		d := tenant.NewCache(1, 0, false)
-		d.Handle(0, tenant.PolicyChanged{PolicyTable: tenant.PolicyTable{Version: 1, HasLimit: func(string) bool { return true }}})
+		d.Handle(
+			0,
+			tenant.PolicyChanged{
+				PolicyTable: tenant.PolicyTable{Version: 1, HasLimit: func(string) bool { return true }},
+			},
+		)
 		d.Handle(0, tenant.SessionOpened{TTL: time.Minute})
 		d.Handle(1, tenant.CatalogueRead{StartedAt: 1, Enrolled: true, Snapshot: tenant.NewSnapshot(1, entries...)})
 		full, _ := heap()
@@ -45,9 +58,17 @@
 			f := tenantForm(i % n)
 			entries[i%n] = &tenant.Entry{Name: f.Names[0], Phase: tenant.PhaseServe, Current: f, Since: number}
 			next := tenant.NewSnapshot(number, entries...)
-			d.Handle(time.Duration(number), tenant.CatalogueRead{StartedAt: time.Duration(number), Enrolled: true, Snapshot: next})
+			d.Handle(
+				time.Duration(number),
+				tenant.CatalogueRead{StartedAt: time.Duration(number), Enrolled: true, Snapshot: next},
+			)
 		})
-		return map[string]float64{"memory_bytes": full - empty, "catalogue_bytes": float64(bytes), "change_s": change, "change_pieces": pieces}, err
+		return map[string]float64{
+			"memory_bytes":    full - empty,
+			"catalogue_bytes": float64(bytes),
+			"change_s":        change,
+			"change_pieces":   pieces,
+		}, err
 	})
 }
 
@@ -70,12 +91,23 @@
 		took := seconds(fleet.OwnCPU() - began)
 		full, _ := heap()
 		runtime.KeepAlive(table)
-		return map[string]float64{"text_bytes": float64(len(text)), "compile_s": took, "memory_bytes": full - empty}, nil
+		return map[string]float64{
+			"text_bytes":   float64(len(text)),
+			"compile_s":    took,
+			"memory_bytes": full - empty,
+		}, nil
 	})
 }
 
 // points measures at each size of one direction; the others stay as fixed says, nil: nothing of them.
-func (run Run) points(ctx context.Context, what, along string, sizes []int, fixed map[string]int, say func(Point), one func(n int) (map[string]float64, error)) error {
+func (run Run) points(
+	ctx context.Context,
+	what, along string,
+	sizes []int,
+	fixed map[string]int,
+	say func(Point),
+	one func(n int) (map[string]float64, error),
+) error {
 	return run.record(what, func() (all []Point, err error) {
 		for _, n := range sizes {
 			if ctx.Err() != nil {
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -53,13 +53,19 @@
 }
 
 func conduct(n int) (*conducted, error) {
-	c := &conducted{recordStore: recordStore{all: map[string]registry.Record{}}, look: tenant.Observation{Policy: tenant.PolicyFloors{Version: 1, Floors: map[string]float64{}, TotalFloor: float64(2 * n)}}}
+	c := &conducted{
+		recordStore: recordStore{all: map[string]registry.Record{}},
+		look: tenant.Observation{
+			Policy: tenant.PolicyFloors{Version: 1, Floors: map[string]float64{}, TotalFloor: float64(2 * n)},
+		},
+	}
 	var s tenant.Stored
 	for i := range n {
 		f := tenantForm(i)
 		s.Tenants = append(s.Tenants, &tenant.Tenant{Format: 1, Name: f.Names[0], State: tenant.Active, Current: f})
 		c.look.Policy.Floors[f.Quotas[0].Limit] = 1
-		c.look.Endpoints = append(c.look.Endpoints, tenant.Endpoint{Zone: zoneOf(i), MachineType: "m"}) // as many, so that each route has its own
+		// as many, so that each route has its own
+		c.look.Endpoints = append(c.look.Endpoints, tenant.Endpoint{Zone: zoneOf(i), MachineType: "m"})
 	}
 	c.m = tenant.Load(0, s, tenant.DefaultTimes(), true)
 	return c, c.round()
@@ -91,7 +97,10 @@
 
 // changes has tenants changed one after the other, notes the conductor's costs, and gives the
 // heads of all catalogues, whose pages stay.
-func (c *conducted) changes(ctx context.Context, figures map[string]float64) (heads []registry.Record, err error) {
+func (c *conducted) changes(
+	ctx context.Context,
+	figures map[string]float64,
+) (heads []registry.Record, err error) {
 	n := len(c.look.Endpoints)
 	c.written, c.kept = 0, map[string]registry.Record{}
 	began := fleet.OwnCPU()
@@ -104,7 +113,11 @@
 			heads = append(heads, c.all[tenant.HeadKey])
 		}
 	}
-	figures["conductor_order_s"], figures["conductor_order_bytes"] = seconds(fleet.OwnCPU()-began)/playedOrders, float64(c.written)/playedOrders
+	figures["conductor_order_s"], figures["conductor_order_bytes"] = seconds(
+		fleet.OwnCPU()-began,
+	)/playedOrders, float64(
+		c.written,
+	)/playedOrders
 	figures["conductor_rest_s"], _, err = cost(ctx, 3, func(int) { err = errors.Join(err, c.round()) })
 	maps.Copy(c.all, c.kept)
 	return heads, err
@@ -115,7 +128,14 @@
 	f := tenantForm(i)
 	c.version++
 	f.DrainMS = int64(c.version % 60000)
-	c.look.Orders = []tenant.PendingOrder{{Key: tenant.OrderPrefix + f.Names[0], Name: f.Names[0], Version: c.version, Order: tenant.Order{Format: 1, ID: fmt.Sprint(c.version), Op: tenant.OrderChange, Spec: f}}}
+	c.look.Orders = []tenant.PendingOrder{
+		{
+			Key:     tenant.OrderPrefix + f.Names[0],
+			Name:    f.Names[0],
+			Version: c.version,
+			Order:   tenant.Order{Format: 1, ID: fmt.Sprint(c.version), Op: tenant.OrderChange, Spec: f},
+		},
+	}
 }
 
 // demanding is a node's desk with its reader, on demand.
@@ -134,55 +154,77 @@
 	return err
 }
 
-// TenantsOnDemand measures a node that reads what its requests name, and the conductor that writes for it, by the tenants that there are.
+// TenantsOnDemand measures a node that reads what its requests name, and the conductor that writes for it, by
+// the tenants that there are.
 func TenantsOnDemand(ctx context.Context, run Run, sizes []int, say func(Point)) error {
-	return run.points(ctx, "tenants-demand", "tenants", sizes, nil, say, func(n int) (map[string]float64, error) {
-		none, _ := heap()
-		c, err := conduct(n)
-		if err != nil {
-			return nil, err
-		}
-		figures := map[string]float64{}
-		empty, _ := heap()
-		figures["conductor_memory_bytes"] = empty - none // with the records
-		d := &demanding{Cache: tenant.NewCache(1, 0, true), Reader: &tenant.Reader{Source: &c.recordStore}, now: time.Second}
-		d.Handle(d.now, tenant.PolicyChanged{PolicyTable: tenant.PolicyTable{Version: 1, HasLimit: func(string) bool { return true }}})
-		d.Handle(d.now, tenant.SessionOpened{TTL: time.Hour})
-		if err := d.read(ctx); err != nil {
-			return nil, err
-		}
-		figures["start_bytes"] = c.read()
-		began, set := fleet.OwnCPU(), min(n, workingSet)
-		for i := range set {
-			d.Handle(d.now, tenant.LeafMissing{Name: tenantForm(i * n / set).Names[0]})
-			if i%64 == 63 || i == set-1 {
-				if err := d.read(ctx); err != nil {
-					return nil, err
-				}
+	return run.points(
+		ctx,
+		"tenants-demand",
+		"tenants",
+		sizes,
+		nil,
+		say,
+		func(n int) (map[string]float64, error) {
+			none, _ := heap()
+			c, err := conduct(n)
+			if err != nil {
+				return nil, err
 			}
-		}
-		figures["working_bytes"], figures["working_s"], figures["known"] = c.read(), seconds(fleet.OwnCPU()-began), float64(d.TenantCount())
-		full, _ := heap()
-		figures["memory_bytes"] = full - empty
-
-		heads, err := c.changes(ctx, figures)
-		if err != nil {
-			return nil, err
-		}
-		c.m, c.look, c.kept = nil, tenant.Observation{}, nil // else their garbage would be counted, too
-		_, before := heap()
-		began = fleet.OwnCPU()
-		for _, head := range heads {
-			c.all[tenant.HeadKey] = head
+			figures := map[string]float64{}
+			empty, _ := heap()
+			figures["conductor_memory_bytes"] = empty - none // with the records
+			d := &demanding{
+				Cache:  tenant.NewCache(1, 0, true),
+				Reader: &tenant.Reader{Source: &c.recordStore},
+				now:    time.Second,
+			}
+			d.Handle(
+				d.now,
+				tenant.PolicyChanged{
+					PolicyTable: tenant.PolicyTable{Version: 1, HasLimit: func(string) bool { return true }},
+				},
+			)
+			d.Handle(d.now, tenant.SessionOpened{TTL: time.Hour})
 			if err := d.read(ctx); err != nil {
 				return nil, err
 			}
-		}
-		took := seconds(fleet.OwnCPU() - began)
-		_, after := heap()
-		catalogues := float64(len(heads))
-		figures["change_s"], figures["change_pieces"], figures["change_bytes"] = took/catalogues, (after-before)/catalogues, c.read()/catalogues
-		runtime.KeepAlive(d)
-		return figures, err
-	})
+			figures["start_bytes"] = c.read()
+			began, set := fleet.OwnCPU(), min(n, workingSet)
+			for i := range set {
+				d.Handle(d.now, tenant.LeafMissing{Name: tenantForm(i * n / set).Names[0]})
+				if i%64 == 63 || i == set-1 {
+					if err := d.read(ctx); err != nil {
+						return nil, err
+					}
+				}
+			}
+			figures["working_bytes"], figures["working_s"], figures["known"] = c.read(), seconds(
+				fleet.OwnCPU()-began,
+			), float64(
+				d.TenantCount(),
+			)
+			full, _ := heap()
+			figures["memory_bytes"] = full - empty
+
+			heads, err := c.changes(ctx, figures)
+			if err != nil {
+				return nil, err
+			}
+			c.m, c.look, c.kept = nil, tenant.Observation{}, nil // else their garbage would be counted, too
+			_, before := heap()
+			began = fleet.OwnCPU()
+			for _, head := range heads {
+				c.all[tenant.HeadKey] = head
+				if err := d.read(ctx); err != nil {
+					return nil, err
+				}
+			}
+			took := seconds(fleet.OwnCPU() - began)
+			_, after := heap()
+			catalogues := float64(len(heads))
+			figures["change_s"], figures["change_pieces"], figures["change_bytes"] = took/catalogues, (after-before)/catalogues, c.read()/catalogues
+			runtime.KeepAlive(d)
+			return figures, err
+		},
+	)
 }
--- a/internal/lab/scale/use.go
+++ b/internal/lab/scale/use.go
@@ -48,7 +48,14 @@
 }
 
 func (u use) minus(v use) use {
-	return use{u.CPU - v.CPU, u.Read - v.Read, u.Written - v.Written, u.Calls - v.Calls, u.RSS - v.RSS, u.FDs - v.FDs}
+	return use{
+		u.CPU - v.CPU,
+		u.Read - v.Read,
+		u.Written - v.Written,
+		u.Calls - v.Calls,
+		u.RSS - v.RSS,
+		u.FDs - v.FDs,
+	}
 }
 
 func ownUse() (use, error) { return useOf(os.Getpid()) }
--- a/internal/lab/scale/walls.go
+++ b/internal/lab/scale/walls.go
@@ -15,7 +15,8 @@
 	on    grounds // of the cost, at f
 }
 
-// walls finds the limits that are met between today's size and the plan, the nearest first, and those that can't be told.
+// walls finds the limits that are met between today's size and the plan, the nearest first, and those that
+// can't be told.
 func walls(m measured, p Plan) (all []wall, untold []Line) {
 	for _, l := range Lines() {
 		w, met, err := l.wall(m, p)
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -38,9 +38,19 @@
 }
 
 // fresh is one replica that is alone, on an empty folder.
-func (l *Lists) fresh(ctx context.Context, entries int, do func(set *replicas.Set, k *client.Client) error) error {
+func (l *Lists) fresh(
+	ctx context.Context,
+	entries int,
+	do func(set *replicas.Set, k *client.Client) error,
+) error {
 	l.number++
-	o := quorum.Options{Seed: 1, Replicas: 1, Dir: filepath.Join(l.Dir, fmt.Sprint("list", l.number)), Command: l.Program, Env: l.Env}
+	o := quorum.Options{
+		Seed:     1,
+		Replicas: 1,
+		Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.number)),
+		Command:  l.Program,
+		Env:      l.Env,
+	}
 	return quorum.Measure(ctx, o, func(set *replicas.Set, k *client.Client) error {
 		if err := quorum.Fill(ctx, k, entries); err != nil {
 			return err
@@ -56,8 +66,16 @@
 
 // entryOf is a server of a drawn list that has just started.
 func entryOf(n int) registry.Endpoint {
-	return registry.Endpoint{Name: entryName(n), Address: fmt.Sprintf("10.1.%d.%d:5000", n>>8&255, n&255), Zone: zoneOf(n), Type: kindOf(n),
-		Cell: n / 3, Status: registry.Ready, Weight: 1, StartedAtMS: time.Now().UnixMilli()}
+	return registry.Endpoint{
+		Name:        entryName(n),
+		Address:     fmt.Sprintf("10.1.%d.%d:5000", n>>8&255, n&255),
+		Zone:        zoneOf(n),
+		Type:        kindOf(n),
+		Cell:        n / 3,
+		Status:      registry.Ready,
+		Weight:      1,
+		StartedAtMS: time.Now().UnixMilli(),
+	}
 }
 
 // entryName is that of quorum.Fill.
@@ -75,9 +93,21 @@
 }
 
 // gather starts watchers, some together, and waits until all have a version.
-func (l *Lists) gather(ctx context.Context, addresses []string, together, n int, version uint64) (*crowd, error) {
+func (l *Lists) gather(
+	ctx context.Context,
+	addresses []string,
+	together, n int,
+	version uint64,
+) (*crowd, error) {
 	following, stop := context.WithCancel(ctx)
-	c := &crowd{all: make([]*client.Client, n), have: make([]atomic.Uint64, n), when: make([]atomic.Int64, n), part: make([]atomic.Pointer[registry.Subset], n), begun: time.Now(), stop: stop}
+	c := &crowd{
+		all:   make([]*client.Client, n),
+		have:  make([]atomic.Uint64, n),
+		when:  make([]atomic.Int64, n),
+		part:  make([]atomic.Pointer[registry.Subset], n),
+		begun: time.Now(),
+		stop:  stop,
+	}
 	for i := range n {
 		conf := client.Config{Addresses: addresses, Hold: holdOfNode, OnChange: func(a registry.ListResponse) {
 			c.when[i].Store(int64(time.Since(c.begun)))
@@ -129,7 +159,14 @@
 		}
 		for c.have[i].Load() < version {
 			if !backoff.Sleep(ctx, time.Millisecond) {
-				return fmt.Errorf("watcher %d of %d stays at version %d, not %d: %w", i, len(c.all), c.have[i].Load(), version, ctx.Err())
+				return fmt.Errorf(
+					"watcher %d of %d stays at version %d, not %d: %w",
+					i,
+					len(c.all),
+					c.have[i].Load(),
+					version,
+					ctx.Err(),
+				)
 			}
 		}
 	}
@@ -150,17 +187,30 @@
 
 // Watchers measures a change and the rest between changes by how many watch one replica.
 func (l *Lists) Watchers(ctx context.Context, sizes []int, entries int) error {
-	return l.points(ctx, "watchers", "watchers", sizes, map[string]int{"entries": entries}, l.Say, func(n int) (f map[string]float64, err error) {
-		err = l.fresh(ctx, entries, func(set *replicas.Set, k *client.Client) error {
-			f, err = l.watched(ctx, set, k, n, entries)
-			return err
-		})
-		return f, err
-	})
+	return l.points(
+		ctx,
+		"watchers",
+		"watchers",
+		sizes,
+		map[string]int{"entries": entries},
+		l.Say,
+		func(n int) (f map[string]float64, err error) {
+			err = l.fresh(ctx, entries, func(set *replicas.Set, k *client.Client) error {
+				f, err = l.watched(ctx, set, k, n, entries)
+				return err
+			})
+			return f, err
+		},
+	)
 }
 
 // watched measures one replica with so many watchers.
-func (l *Lists) watched(ctx context.Context, set *replicas.Set, k *client.Client, n, entries int) (map[string]float64, error) {
+func (l *Lists) watched(
+	ctx context.Context,
+	set *replicas.Set,
+	k *client.Client,
+	n, entries int,
+) (map[string]float64, error) {
 	now, err := k.Current(ctx)
 	if err != nil {
 		return nil, err
@@ -205,13 +255,28 @@
 	}
 	work, rest := told.minus(begun), rested.minus(told)
 	each, whole := float64(n), l.Rest.Seconds()
-	return map[string]float64{"change_cpu_s": seconds(work.service.CPU) / changes, "change_bytes": work.service.Written / changes,
-		"watcher_change_bytes_in": work.own.Read / changes / each, "watcher_change_bytes_out": work.own.Written / changes / each,
-		"watcher_change_cpu_s": seconds(work.own.CPU) / changes / each,
-		"rest_cores":           seconds(rest.service.CPU) / whole, "rest_bytes_out": rest.service.Written / whole, "rest_bytes_in": rest.service.Read / whole,
-		"watcher_rest_bytes_in": rest.own.Read / whole / each, "watcher_rest_bytes_out": rest.own.Written / whole / each,
-		"memory_bytes": rested.service.RSS - empty.RSS, "descriptors": rested.service.FDs,
-		"half_s": spreadOf(median).Median, "most99_s": spreadOf(most99).Median, "last_s": spreadOf(last).Median, "last_worst_s": slices.Max(last)}, nil
+	return map[string]float64{
+		"change_cpu_s":             seconds(work.service.CPU) / changes,
+		"change_bytes":             work.service.Written / changes,
+		"watcher_change_bytes_in":  work.own.Read / changes / each,
+		"watcher_change_bytes_out": work.own.Written / changes / each,
+		"watcher_change_cpu_s":     seconds(work.own.CPU) / changes / each,
+		"rest_cores": seconds(
+			rest.service.CPU,
+		) / whole,
+		"rest_bytes_out":         rest.service.Written / whole,
+		"rest_bytes_in":          rest.service.Read / whole,
+		"watcher_rest_bytes_in":  rest.own.Read / whole / each,
+		"watcher_rest_bytes_out": rest.own.Written / whole / each,
+		"memory_bytes":           rested.service.RSS - empty.RSS,
+		"descriptors":            rested.service.FDs,
+		"half_s": spreadOf(
+			median,
+		).Median,
+		"most99_s":     spreadOf(most99).Median,
+		"last_s":       spreadOf(last).Median,
+		"last_worst_s": slices.Max(last),
+	}, nil
 }
 
 // pair is what a replica and this process, with its hollow parts, have used.
--- a/internal/lab/scale/zone.go
+++ b/internal/lab/scale/zone.go
@@ -36,8 +36,14 @@
 	return gone, err
 }
 
-// wave makes changes as fast as they are taken, and waits until every node knows of these servers and no others.
-func (r rig) wave(ctx context.Context, changes int, left []string, one func(context.Context, int) error) (map[string]float64, error) {
+// wave makes changes as fast as they are taken, and waits until every node knows of these servers and no
+// others.
+func (r rig) wave(
+	ctx context.Context,
+	changes int,
+	left []string,
+	one func(context.Context, int) error,
+) (map[string]float64, error) {
 	var written, settled time.Duration
 	f, err := r.spent(ctx, func() error {
 		began := time.Now()
--- a/internal/lab/spec/check.go
+++ b/internal/lab/spec/check.go
@@ -27,53 +27,153 @@
 		}
 	}
 	length := time.Duration(e.Length)
-	bad("", "length", length >= leastLength && length <= mostLength, "%v is not between %v and %v", length, leastLength, mostLength)
+	bad(
+		"",
+		"length",
+		length >= leastLength && length <= mostLength,
+		"%v is not between %v and %v",
+		length,
+		leastLength,
+		mostLength,
+	)
 	f := e.Fleet
-	bad("[fleet]", "nodes", f.Nodes >= 1 && f.Nodes <= mostNodes, "%d is not between 1 and %d", f.Nodes, mostNodes)
-	bad("[fleet]", "boxes", f.Boxes >= 1 && f.Boxes <= mostBoxes, "%d is not between 1 and %d", f.Boxes, mostBoxes)
-	bad("[fleet]", "zones", f.Zones >= 1 && f.Zones <= min(f.Nodes, f.Boxes), "%d is not between 1 and the number of nodes and of boxes", f.Zones)
+	bad(
+		"[fleet]",
+		"nodes",
+		f.Nodes >= 1 && f.Nodes <= mostNodes,
+		"%d is not between 1 and %d",
+		f.Nodes,
+		mostNodes,
+	)
+	bad(
+		"[fleet]",
+		"boxes",
+		f.Boxes >= 1 && f.Boxes <= mostBoxes,
+		"%d is not between 1 and %d",
+		f.Boxes,
+		mostBoxes,
+	)
+	bad(
+		"[fleet]",
+		"zones",
+		f.Zones >= 1 && f.Zones <= min(f.Nodes, f.Boxes),
+		"%d is not between 1 and the number of nodes and of boxes",
+		f.Zones,
+	)
 	bad("[fleet]", "memory_mb", f.MemoryMB >= 16, "%d MB are too few, want 16 or more", f.MemoryMB)
 	bad("[fleet]", "sockets", f.Sockets >= 64, "%d are too few, want 64 or more", f.Sockets)
 	bad("[fleet]", "view", !f.View || f.Messages, "a view needs messages = true")
 	absent, err := e.Parties(f.Absent)
 	bad("[fleet]", "absent", err == nil, "%v", err)
-	bad("[fleet]", "absent", len(absent) < f.Nodes && !slices.ContainsFunc(absent, func(p string) bool { return kindOf(p) != "node" }), "want nodes, and not all of them")
+	bad(
+		"[fleet]",
+		"absent",
+		len(absent) < f.Nodes && !slices.ContainsFunc(absent, func(p string) bool { return kindOf(p) != "node" }),
+		"want nodes, and not all of them",
+	)
 	l := e.Load
 	bad("[load]", "rate", l.Rate >= 0 && (l.Rate == 0 || l.Use == 0), "give either rate or use, 0 or more")
 	bad("[load]", "use", l.Use >= 0 && l.Use <= 20, "%v is not between 0 and 20", l.Use)
 	bad("[load]", "swing", l.Swing >= 0 && l.Swing < 1, "%v is not between 0 and 1", l.Swing)
 	for i, s := range l.Surges {
 		if s.At < 0 || s.For <= 0 || s.At+s.For > e.Length || s.Times < 0 {
-			errs = append(errs, e.at("[[load.surge]]", i, "at", "a surge has to lie within the length of %v, with for and times above 0", length))
+			errs = append(
+				errs,
+				e.at(
+					"[[load.surge]]",
+					i,
+					"at",
+					"a surge has to lie within the length of %v, with for and times above 0",
+					length,
+				),
+			)
 		}
 	}
 	bad("[net]", "loss", e.Net.Loss >= 0 && e.Net.Loss < 1, "%v is not between 0 and 1", e.Net.Loss)
 	r := e.List.Replicas
 	bad("[discovery]", "replicas", r == 0 || r == 1 || r == 3 || r == 5, "%d is not 1, 3 or 5", r)
-	bad("[discovery]", "replicas", r == 0 || e.List.Notice == 0 && e.List.Silent == 0, "notice and silent are the lab's discovery's")
-	bad("[discovery]", "direct", r > 0 || !e.List.Direct && e.List.Followers == 0, "direct and followers need replicas")
-	bad("[discovery]", "followers", e.List.Followers >= 0 && e.List.Followers <= mostFollowers, "%d is not between 0 and %d", e.List.Followers, mostFollowers)
+	bad(
+		"[discovery]",
+		"replicas",
+		r == 0 || e.List.Notice == 0 && e.List.Silent == 0,
+		"notice and silent are the lab's discovery's",
+	)
+	bad(
+		"[discovery]",
+		"direct",
+		r > 0 || !e.List.Direct && e.List.Followers == 0,
+		"direct and followers need replicas",
+	)
+	bad(
+		"[discovery]",
+		"followers",
+		e.List.Followers >= 0 && e.List.Followers <= mostFollowers,
+		"%d is not between 0 and %d",
+		e.List.Followers,
+		mostFollowers,
+	)
 	d := e.Duties
-	bad("[duties]", "workers", d.Workers >= 0 && d.Workers <= mostWorkers && (d.Workers == 0 || r > 0), "want 0 to %d, and replicas of the list service", mostWorkers)
-	bad("[duties]", "count", d.Workers == 0 || d.Count >= 1 && d.Count <= 10000, "%d is not between 1 and 10000", d.Count)
-	bad("[duties]", "ttl", d.Workers == 0 || d.TTL >= Duration(500*time.Millisecond) && d.TTL <= Duration(time.Minute), "%v is not between 500ms and 1m", time.Duration(d.TTL))
+	bad(
+		"[duties]",
+		"workers",
+		d.Workers >= 0 && d.Workers <= mostWorkers && (d.Workers == 0 || r > 0),
+		"want 0 to %d, and replicas of the list service",
+		mostWorkers,
+	)
+	bad(
+		"[duties]",
+		"count",
+		d.Workers == 0 || d.Count >= 1 && d.Count <= 10000,
+		"%d is not between 1 and 10000",
+		d.Count,
+	)
+	bad(
+		"[duties]",
+		"ttl",
+		d.Workers == 0 || d.TTL >= Duration(500*time.Millisecond) && d.TTL <= Duration(time.Minute),
+		"%v is not between 500ms and 1m",
+		time.Duration(d.TTL),
+	)
 	if v := e.Release; v != nil {
-		bad("[release]", "conductors", v.Conductors >= 1 && v.Conductors <= 10 && r > 0 && e.List.Direct, "want 1 to 10, and nodes that follow the list service directly")
+		bad(
+			"[release]",
+			"conductors",
+			v.Conductors >= 1 && v.Conductors <= 10 && r > 0 && e.List.Direct,
+			"want 1 to 10, and nodes that follow the list service directly",
+		)
 		bad("[release]", "out", v.Out >= 1, "%d is under 1", v.Out)
 		bad("[release]", "waves", len(v.Waves) > 0, "there are none")
 		bad("[release]", "end", v.End != "", "the phase that it has to come to is missing")
 		bad("[release]", "at", v.At >= 0 && v.At < e.Length, "%v lies outside of the run", time.Duration(v.At))
 	}
 	if q := e.Quota; q != nil {
-		bad("[quota]", "holders", q.Holders >= 1 && q.Holders <= 10 && r > 0 && e.List.Direct && f.View, "want 1 to 10, nodes that follow the list service directly, and fleet.view = true")
+		bad(
+			"[quota]",
+			"holders",
+			q.Holders >= 1 && q.Holders <= 10 && r > 0 && e.List.Direct && f.View,
+			"want 1 to 10, nodes that follow the list service directly, and fleet.view = true",
+		)
 		bad("[quota]", "rate", q.Rate > 0 && q.Burst >= 1, "want a rate above 0 and a burst of 1 or more")
 		for i, c := range q.Changes {
 			if c.At <= 0 || c.At >= e.Length || c.Rate <= 0 || c.Burst < 1 {
-				errs = append(errs, e.at("[[quota.change]]", i, "at", "a change lies within the run, with a rate above 0 and a burst of 1 or more"))
+				errs = append(
+					errs,
+					e.at(
+						"[[quota.change]]",
+						i,
+						"at",
+						"a change lies within the run, with a rate above 0 and a burst of 1 or more",
+					),
+				)
 			}
 		}
 	}
-	bad("[bounds]", "used", e.Bounds.Used >= 0 && e.Bounds.Used <= 1 && (e.Bounds.Used == 0 || e.Quota != nil), "want 0 to 1, and a quota")
+	bad(
+		"[bounds]",
+		"used",
+		e.Bounds.Used >= 0 && e.Bounds.Used <= 1 && (e.Bounds.Used == 0 || e.Quota != nil),
+		"want 0 to 1, and a quota",
+	)
 	for i, fault := range e.Faults {
 		errs = append(errs, e.checkFault(i, fault)...)
 	}
@@ -93,10 +193,25 @@
 	}
 	a, ok := acts[f.Do]
 	if !ok {
-		return []error{e.at("[[fault]]", i, "do", "%q is not a fault; there are %s", f.Do, strings.Join(slices.Sorted(maps.Keys(acts)), ", "))}
+		return []error{
+			e.at(
+				"[[fault]]",
+				i,
+				"do",
+				"%q is not a fault; there are %s",
+				f.Do,
+				strings.Join(slices.Sorted(maps.Keys(acts)), ", "),
+			),
+		}
 	}
 	bad("at", f.At >= 0, "%v lies before the run", time.Duration(f.At))
-	bad("at", f.At+f.For <= e.Length, "it ends at %v, after the run's %v", time.Duration(f.At+f.For), time.Duration(e.Length))
+	bad(
+		"at",
+		f.At+f.For <= e.Length,
+		"it ends at %v, after the run's %v",
+		time.Duration(f.At+f.For),
+		time.Duration(e.Length),
+	)
 	bad("for", !a.lasts || f.For > 0, "%s needs a length", f.Do)
 	bad("for", a.lasts || f.For == 0 || f.Every > 0, "%s is of one moment and takes no length", f.Do)
 	bad("for", f.Do != "drain" || time.Duration(f.For) >= leastDrain, "a drain takes %v or more", leastDrain)
@@ -105,8 +220,17 @@
 		bad(key, !given || a.keys[key], "%s takes no %s", f.Do, key)
 		bad(key, given || !slices.Contains(a.needs, key), "%s needs it", f.Do)
 	}
-	bad("every", f.Every == 0 || (f.For > 0 && time.Duration(f.Every) >= 10*time.Millisecond), "it needs for, and 10ms or more")
-	bad("way", f.Way == "" || f.Way == "both" || f.Way == "forward" || f.Way == "back", "%q is not both, forward or back", f.Way)
+	bad(
+		"every",
+		f.Every == 0 || (f.For > 0 && time.Duration(f.Every) >= 10*time.Millisecond),
+		"it needs for, and 10ms or more",
+	)
+	bad(
+		"way",
+		f.Way == "" || f.Way == "both" || f.Way == "forward" || f.Way == "back",
+		"%q is not both, forward or back",
+		f.Way,
+	)
 	bad("loss", f.Loss >= 0 && f.Loss < 1, "%v is not between 0 and 1", f.Loss)
 	bad("part", f.Part >= 0 && f.Part <= 1, "%v is not between 0 and 1", f.Part)
 	bad("times", f.Times == 0 || f.Times > 1, "%v is not above 1", f.Times)
@@ -114,11 +238,20 @@
 	bad("delay", f.Delay >= 0 && f.Jitter >= 0, "a delay is 0 or more")
 	bad("share", f.Share >= 0 && f.Share <= 1, "%v is not between 0 and 1", f.Share)
 	bad("to", a.on == "link" || len(f.To) == 0, "%s has no other end", f.Do)
-	bad("do", f.Do != "upgrade" || e.Fleet.Accept || !slices.ContainsFunc(f.On, func(p string) bool { return strings.HasPrefix(p, "n") }), "an upgrade needs fleet.accept_fd = true")
+	bad(
+		"do",
+		f.Do != "upgrade" || e.Fleet.Accept ||
+			!slices.ContainsFunc(f.On, func(p string) bool { return strings.HasPrefix(p, "n") }),
+		"an upgrade needs fleet.accept_fd = true",
+	)
 	if f.Do == "join" {
 		absent, _ := e.Parties(e.Fleet.Absent)
 		joins, _ := e.Parties(f.On)
-		bad("on", !slices.ContainsFunc(joins, func(p string) bool { return !slices.Contains(absent, p) }), "only those of fleet.absent can join")
+		bad(
+			"on",
+			!slices.ContainsFunc(joins, func(p string) bool { return !slices.Contains(absent, p) }),
+			"only those of fleet.absent can join",
+		)
 	}
 	if a.on == "discovery" {
 		bad("on", len(f.On) == 0, "%s is done to discovery alone", f.Do)
@@ -129,7 +262,14 @@
 			got, err := e.Parties([]string{name})
 			bad(key, err == nil, "%v", err)
 			if kind := a.on; err == nil && kind != "link" {
-				bad(key, slices.ContainsFunc(got, func(p string) bool { return suits(f.Do, p) }), "%s is done to a %s, and %q names none", f.Do, kind, name)
+				bad(
+					key,
+					slices.ContainsFunc(got, func(p string) bool { return suits(f.Do, p) }),
+					"%s is done to a %s, and %q names none",
+					f.Do,
+					kind,
+					name,
+				)
 			}
 		}
 	}
@@ -138,7 +278,8 @@
 	return errs
 }
 
-// overlaps finds faults that can't both be carried out: two that stop or start one process, or one box, at once.
+// overlaps finds faults that can't both be carried out: two that stop or start one process, or one box, at
+// once.
 func (e *Experiment) overlaps() []error {
 	type span struct {
 		i    int
@@ -157,7 +298,19 @@
 			}
 			for _, s := range held[p] {
 				if f.At <= s.b && s.a <= f.At+f.For {
-					errs = append(errs, e.at("[[fault]]", i, "at", "%s of %s overlaps with its %s at %v", f.Do, p, e.Faults[s.i].Do, time.Duration(s.a)))
+					errs = append(
+						errs,
+						e.at(
+							"[[fault]]",
+							i,
+							"at",
+							"%s of %s overlaps with its %s at %v",
+							f.Do,
+							p,
+							e.Faults[s.i].Do,
+							time.Duration(s.a),
+						),
+					)
 				}
 			}
 			held[p] = append(held[p], span{i, f.At, f.At + f.For})
@@ -173,11 +326,32 @@
 		errs = append(errs, e.at("[draw]", 0, "faults", "%d is not between 1 and 1000", d.Faults))
 	}
 	if d.From < 0 || d.Until > e.Length || d.Until-d.From < Duration(leastLength) {
-		errs = append(errs, e.at("[draw]", 0, "until", "faults need %v or more from %v on, within the run's %v", leastLength, time.Duration(d.From), time.Duration(e.Length)))
+		errs = append(
+			errs,
+			e.at(
+				"[draw]",
+				0,
+				"until",
+				"faults need %v or more from %v on, within the run's %v",
+				leastLength,
+				time.Duration(d.From),
+				time.Duration(e.Length),
+			),
+		)
 	}
 	for _, do := range d.Menu {
 		if _, ok := menu[do]; !ok {
-			errs = append(errs, e.at("[draw]", 0, "menu", "%q can't be drawn; there are %s", do, strings.Join(slices.Sorted(maps.Keys(menu)), ", ")))
+			errs = append(
+				errs,
+				e.at(
+					"[draw]",
+					0,
+					"menu",
+					"%q can't be drawn; there are %s",
+					do,
+					strings.Join(slices.Sorted(maps.Keys(menu)), ", "),
+				),
+			)
 		}
 		if do == "upgrade" && !e.Fleet.Accept {
 			errs = append(errs, e.at("[draw]", 0, "menu", "an upgrade needs fleet.accept_fd = true"))
--- a/internal/lab/spec/parse.go
+++ b/internal/lab/spec/parse.go
@@ -48,14 +48,23 @@
 		var all []error
 		for i := range unknown.Errors {
 			line, _ := unknown.Errors[i].Position()
-			all = append(all, fmt.Errorf("%s:%d: %s: unknown key", e.path, line, strings.Join(unknown.Errors[i].Key(), ".")))
+			all = append(
+				all,
+				fmt.Errorf("%s:%d: %s: unknown key", e.path, line, strings.Join(unknown.Errors[i].Key(), ".")),
+			)
 		}
 		return errors.Join(all...)
 	}
 	var bad *toml.DecodeError
 	if errors.As(err, &bad) {
 		line, _ := bad.Position()
-		return fmt.Errorf("%s:%d: %s: %s", e.path, line, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: "))
+		return fmt.Errorf(
+			"%s:%d: %s: %s",
+			e.path,
+			line,
+			strings.Join(bad.Key(), "."),
+			strings.TrimPrefix(bad.Error(), "toml: "),
+		)
 	}
 	return fmt.Errorf("%s: %w", e.path, err)
 }
@@ -108,5 +117,12 @@
 	if name != "" {
 		name += "."
 	}
-	return fmt.Errorf("%s:%d: %s%s: %s", e.path, e.line(header, nth, key), name, key, fmt.Sprintf(format, args...))
+	return fmt.Errorf(
+		"%s:%d: %s%s: %s",
+		e.path,
+		e.line(header, nth, key),
+		name,
+		key,
+		fmt.Sprintf(format, args...),
+	)
 }
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -52,11 +52,18 @@
 			got = []string{name}
 		case name == "boxes":
 			got = numbered("s", e.Fleet.Boxes)
-		case slices.Contains(numbered("n", e.Fleet.Nodes), name), slices.Contains(numbered("s", e.Fleet.Boxes), name):
+		case slices.Contains(numbered("n", e.Fleet.Nodes), name),
+			slices.Contains(numbered("s", e.Fleet.Boxes), name):
 			got = []string{name}
 		default:
-			return nil, fmt.Errorf("%q is nobody here; there are n0 to n%d, s0 to s%d, nodes, boxes, zone:NAME, %s and %s, and replicas where discovery.replicas is given",
-				name, e.Fleet.Nodes-1, e.Fleet.Boxes-1, Clients, Discovery)
+			return nil, fmt.Errorf(
+				"%q is nobody here; there are n0 to n%d, s0 to s%d, nodes, boxes, zone:NAME, %s and %s, and replicas where discovery.replicas is given",
+				name,
+				e.Fleet.Nodes-1,
+				e.Fleet.Boxes-1,
+				Clients,
+				Discovery,
+			)
 		}
 		for _, p := range got {
 			if !slices.Contains(all, p) {
@@ -99,7 +106,8 @@
 func suits(do, party string) bool {
 	kind := kindOf(party)
 	process := do == "kill" || do == "pause" || do == "restart"
-	return kind == acts[do].on || (kind == "replica" || kind == "conductor" || kind == "keeper") && process || kind == "worker" && (process || do == "upgrade")
+	return kind == acts[do].on || (kind == "replica" || kind == "conductor" || kind == "keeper") && process ||
+		kind == "worker" && (process || do == "upgrade")
 }
 
 // Zones are the zones' names.
@@ -149,7 +157,11 @@
 	"mute":  func(r *rand.Rand, room time.Duration) Fault { return Fault{For: upTo(r, room, 5)} },
 	"reset": func(r *rand.Rand, room time.Duration) Fault { return Fault{} },
 	"shape": func(r *rand.Rand, room time.Duration) Fault {
-		return Fault{For: upTo(r, room, 6), Delay: Duration(time.Duration(5+r.IntN(60)) * time.Millisecond), Loss: 0.2 * r.Float64()}
+		return Fault{
+			For:   upTo(r, room, 6),
+			Delay: Duration(time.Duration(5+r.IntN(60)) * time.Millisecond),
+			Loss:  0.2 * r.Float64(),
+		}
 	},
 	"snip": func(r *rand.Rand, room time.Duration) Fault {
 		return Fault{For: upTo(r, room, 3), Bytes: 200 + r.IntN(4000)}
@@ -235,7 +247,8 @@
 	return s
 }
 
-const settle = Duration(2 * time.Second) // a process or a box is left alone so long between two faults of its own
+// a process or a box is left alone so long between two faults of its own
+const settle = Duration(2 * time.Second)
 
 func clashes(s Step, others []Step) bool {
 	for _, o := range others {
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -106,7 +106,8 @@
 	Notice Duration `toml:"notice"` // a change reaches a node so late, give or take half; 0: drawn
 	Silent Duration `toml:"silent"` // the loss of a box that says nothing; 0: drawn
 
-	Replicas  int  `toml:"replicas"`  // of the project's own list service, in place of the lab's discovery; 0: none
+	// of the project's own list service, in place of the lab's discovery; 0: none
+	Replicas  int  `toml:"replicas"`
 	Direct    bool `toml:"direct"`    // nodes follow the service by themselves, without an agent
 	Followers int  `toml:"followers"` // further clients that follow the service
 }
@@ -188,9 +189,11 @@
 	Holder    Duration           `toml:"holder"`    // the longest that a duty may be without a holder
 	Followers Duration           `toml:"followers"` // until 99% of them know of a change, from the first on
 	Recovered Duration           `toml:"recovered"`
-	Level     float64            `toml:"recovered_at"` // part of what was served before the first fault that counts as recovered; 0: recoveredAt
-	Used      float64            `toml:"used"`         // least part of the quota that is used, over the whole run
-	Attempts  float64            `toml:"attempts"`     // most attempts at boxes for an operation, in the mean
+	// part of what was served before the first fault that counts as recovered; 0: recoveredAt
+	Level float64 `toml:"recovered_at"`
+	// least part of the quota that is used, over the whole run
+	Used     float64 `toml:"used"`
+	Attempts float64 `toml:"attempts"` // most attempts at boxes for an operation, in the mean
 }
 
 // recoveredAt leaves room for what single seconds of a hundred operations differ by.
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -156,9 +156,12 @@
 		w.Tenants = append(w.Tenants, Tenant{Name: t.name, Share: t.share, Usage: in(t.least, t.most)})
 	}
 	for _, c := range classes {
-		w.Classes = append(w.Classes, Class{Name: c.name, Effect: c.effect, Share: c.share, Work: ms(c.least, c.most),
-			CV: in(c.cvMin, c.cvMax), Aim: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline), Worth: c.worth,
-			Window: time.Duration(c.windowS * float64(time.Second))})
+		w.Classes = append(
+			w.Classes,
+			Class{Name: c.name, Effect: c.effect, Share: c.share, Work: ms(c.least, c.most),
+				CV: in(c.cvMin, c.cvMax), Aim: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline), Worth: c.worth,
+				Window: time.Duration(c.windowS * float64(time.Second))},
+		)
 	}
 	for _, k := range kinds {
 		w.Kinds = append(w.Kinds, k.name)
@@ -183,13 +186,38 @@
 		k = next
 	}
 	cores := float64(k.cores)
-	m := Machine{Kind: k.name, Cores: k.cores, Speed: in(k.slow, k.fast), Slots: int(in(4, 12) * cores),
-		Queue: int(in(k.queueMin, k.queueMax) * cores), Thrash: in(k.thrashMin, 0.14), ThrashAt: in(6.8, 12),
-		ColdFrom: in(ColdFrom, 0.32), ColdTime: ms(1000*k.coldMin, 1000*k.coldMax), PauseEvery: ms(1000*k.everyMin, 1000*k.everyMax),
-		Pause: ms(37, k.pauseMax), ErrorRate: in(0, 0.001), DropsCancelled: r.IntN(2) == 0, Connections: int(in(600, 900) * cores),
-		Handshake: ms(0.59, 1.7), Noise: in(0.087, 0.55)}
+	m := Machine{
+		Kind:     k.name,
+		Cores:    k.cores,
+		Speed:    in(k.slow, k.fast),
+		Slots:    int(in(4, 12) * cores),
+		Queue:    int(in(k.queueMin, k.queueMax) * cores),
+		Thrash:   in(k.thrashMin, 0.14),
+		ThrashAt: in(6.8, 12),
+		ColdFrom: in(
+			ColdFrom,
+			0.32,
+		),
+		ColdTime:   ms(1000*k.coldMin, 1000*k.coldMax),
+		PauseEvery: ms(1000*k.everyMin, 1000*k.everyMax),
+		Pause: ms(
+			37,
+			k.pauseMax,
+		),
+		ErrorRate:      in(0, 0.001),
+		DropsCancelled: r.IntN(2) == 0,
+		Connections:    int(in(600, 900) * cores),
+		Handshake:      ms(0.59, 1.7),
+		Noise:          in(0.087, 0.55),
+	}
 	if r.Float64() < 0.6 {
-		m.Choke = Choke{At: in(4, 7), Over: ms(1500, 2500), Slower: in(2.2, 3.2), Rest: ms(2400, 5000), Most: ms(21000, 33000)}
+		m.Choke = Choke{
+			At:     in(4, 7),
+			Over:   ms(1500, 2500),
+			Slower: in(2.2, 3.2),
+			Rest:   ms(2400, 5000),
+			Most:   ms(21000, 33000),
+		}
 	}
 	return m
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -11,25 +11,28 @@
 
 // Config is what a Core starts with. Zero durations and counts take the defaults.
 type Config struct {
-	Fleet       string // name of the fleet: datagrams of another one are dropped
-	Name        string // own name, unique in the fleet
-	Number      int    // own place among the configured peers, -1: none
-	Addr        netip.AddrPort
-	Metadata    Metadata
-	Seeds       []netip.AddrPort // addresses to join by; at most maxSeeds count. One's own among them does no harm
-	RandomSeed  uint64           // of all draws
-	Generation  uint64           // Unix milliseconds at the start, or what an upgrade handed over
-	Incarnation uint32           // 0, or one more than what an upgrade handed over
+	Fleet    string // name of the fleet: datagrams of another one are dropped
+	Name     string // own name, unique in the fleet
+	Number   int    // own place among the configured peers, -1: none
+	Addr     netip.AddrPort
+	Metadata Metadata
+	// addresses to join by; at most maxSeeds count. One's own among them does no harm
+	Seeds       []netip.AddrPort
+	RandomSeed  uint64 // of all draws
+	Generation  uint64 // Unix milliseconds at the start, or what an upgrade handed over
+	Incarnation uint32 // 0, or one more than what an upgrade handed over
 
-	// Period is the time from one probe to the next: 200 ms. A node sends about two datagrams a period, so ten a second, and a
-	// dead one among 30 is off all views in about 2.5 s.
+	// Period is the time from one probe to the next: 200 ms. A node sends about two datagrams a period, so ten a
+	// second, and a dead one among 30 is off all views in about 2.5 s.
 	ProbeInterval time.Duration
 	// Answer is the time for a direct answer before others are asked to ask: 60 ms, over 100 times a round trip
 	// within a site, and short enough that the indirect answers have the rest of the period.
 	ProbeTimeout time.Duration
-	// Fresh is how long a dead or left member stays in the digest and is told on: 60 s, far beyond the time that news need.
+	// Fresh is how long a dead or left member stays in the digest and is told on: 60 s, far beyond the time that
+	// news need.
 	DeadGossipTime time.Duration
-	// Forget is how long a dead or left member is remembered, and a dead one asked: 10 min. Longer cuts heal by the seeds.
+	// Forget is how long a dead or left member is remembered, and a dead one asked: 10 min. Longer cuts heal by
+	// the seeds.
 	DeadReclaimTime time.Duration
 	// Most bounds the members that are remembered, living and dead: 4096. Further strangers are refused.
 	MaxMembers int
@@ -69,5 +72,12 @@
 }
 
 func (cfg Config) own() wire.Statement {
-	return wire.Statement{Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Generation: cfg.Generation, Incarnation: cfg.Incarnation, Metadata: cfg.Metadata}
+	return wire.Statement{
+		Name:        cfg.Name,
+		Number:      cfg.Number,
+		Addr:        cfg.Addr,
+		Generation:  cfg.Generation,
+		Incarnation: cfg.Incarnation,
+		Metadata:    cfg.Metadata,
+	}
 }
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -62,8 +62,15 @@
 // New gives a core that has not said anything yet; the first Tick starts it. cfg has passed Check.
 func New(cfg Config, now Time) *Core {
 	cfg = cfg.withDefaults()
-	c := &Core{cfg: cfg, fleet: wire.FleetHash(cfg.Fleet), now: now, nextPeriodAt: now, wakeAt: now, byHash: map[uint64]*memberState{},
-		random: rand.New(rand.NewPCG(cfg.RandomSeed, wire.Hash(cfg.Name)))}
+	c := &Core{
+		cfg:          cfg,
+		fleet:        wire.FleetHash(cfg.Fleet),
+		now:          now,
+		nextPeriodAt: now,
+		wakeAt:       now,
+		byHash:       map[uint64]*memberState{},
+		random:       rand.New(rand.NewPCG(cfg.RandomSeed, wire.Hash(cfg.Name))),
+	}
 	c.seq = c.random.Uint32()
 	c.join.set(cfg.Seeds, cfg.Addr, c.random)
 	st := cfg.own()
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -2,8 +2,9 @@
 
 import "wrenspread/internal/membership/wire"
 
-// The digest of a view is the exclusive or of its members' sums; so are the digests of the 16 and 256 ranges that the hashes of
-// names fall into by their first four and eight bits. At 3,000 members a range of 256 has about twelve: one List.
+// The digest of a view is the exclusive or of its members' sums; so are the digests of the 16 and 256 ranges
+// that the hashes of names fall into by their first four and eight bits. At 3,000 members a range of 256 has
+// about twelve: one List.
 
 func (c *Core) toggleInDigest(r *memberState) {
 	r.inDigest = !r.inDigest
@@ -18,8 +19,8 @@
 	}
 }
 
-// includeInDigest puts r into the digest, unless it has been dead or left for so long that it goes out of use. All nodes agree on
-// when, as the age is told along.
+// includeInDigest puts r into the digest, unless it has been dead or left for so long that it goes out of
+// use. All nodes agree on when, as the age is told along.
 func (c *Core) includeInDigest(r *memberState) {
 	if !r.inDigest && (r.living() || c.now-r.since < c.cfg.DeadGossipTime) {
 		c.toggleInDigest(r)
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Time is a reading of the owner's monotonic clock. All that a Core is given must not go back; what does is taken as no time.
+// Time is a reading of the owner's monotonic clock. All that a Core is given must not go back; what does is
+// taken as no time.
 type Time = time.Duration
 
 // Event is something that happened to the node: Tick, Received, FactsChanged, Leave or Join.
@@ -38,8 +39,8 @@
 // Action is something that the shell is to do: Send, Wake, Changed, Conflict, Gone or Log.
 type Action interface{ action() }
 
-// Send wants a datagram sent. Name is the member it is for; the shell may know a better address for it than To. For a stranger or a
-// seed Name is empty.
+// Send wants a datagram sent. Name is the member it is for; the shell may know a better address for it than
+// To. For a stranger or a seed Name is empty.
 type Send struct {
 	Name string
 	To   netip.AddrPort
@@ -49,11 +50,12 @@
 // Wake wants a Tick after so long. It replaces the Wake before.
 type Wake struct{ After time.Duration }
 
-// MemberChanged tells that a member is seen differently now, load aside. Before has no Name if the member was not known.
+// MemberChanged tells that a member is seen differently now, load aside. Before has no Name if the member was
+// not known.
 type MemberChanged struct{ Member, Before Member }
 
-// NameConflict tells that another living process has the node's own name. With Yielded set this one, having the lower life, has fallen silent:
-// it neither sends nor changes its view any more.
+// NameConflict tells that another living process has the node's own name. With Yielded set this one, having
+// the lower life, has fallen silent: it neither sends nor changes its view any more.
 type NameConflict struct {
 	Generation uint64 // the other's
 	From       netip.AddrPort
--- a/internal/membership/forget.go
+++ b/internal/membership/forget.go
@@ -1,7 +1,7 @@
 package membership
 
-// expireDeparted takes those long dead or left out of the digest, and forgets those longer so. In between they are remembered, so
-// that a stale word can't bring them back.
+// expireDeparted takes those long dead or left out of the digest, and forgets those longer so. In between
+// they are remembered, so that a stale word can't bring them back.
 func (c *Core) expireDeparted() {
 	if c.living == len(c.sorted)-1 {
 		return
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -11,8 +11,8 @@
 	ageResolution = 100 * 1e6 // a tenth of a second
 	maxAge        = wire.MaxAge * ageResolution
 
-	// gossipFanout is how many members are told each period while there are news, beside what rides on probes: with
-	// them news reach about four more nodes for each that has them in a period.
+	// gossipFanout is how many members are told each period while there are news, beside what rides on probes:
+	// with them news reach about four more nodes for each that has them in a period.
 	gossipFanout = 2
 )
 
@@ -28,8 +28,8 @@
 	revision uint32
 }
 
-// retransmitLimit is how often one change is told by each node: twice the logarithm, so that in a fleet without loss all but about
-// one in n squared nodes hear of it. The digests find the rest.
+// retransmitLimit is how often one change is told by each node: twice the logarithm, so that in a fleet
+// without loss all but about one in n squared nodes hear of it. The digests find the rest.
 func (c *Core) retransmitLimit() int { return 2 * bits.Len(uint(c.living+1)) }
 
 // queueBroadcast makes r's statement one of the news.
@@ -41,8 +41,8 @@
 	}
 }
 
-// compareDigest notes whether another has the same digest. When so many in a row have it as are needed to hear of most of the fleet,
-// there are no news any more.
+// compareDigest notes whether another has the same digest. When so many in a row have it as are needed to
+// hear of most of the fleet, there are no news any more.
 func (c *Core) compareDigest(digest uint64) {
 	c.matchingDigests++
 	if digest != c.digest {
@@ -53,11 +53,15 @@
 	}
 }
 
-// compact drops what newer tellings have replaced: news are bounded by the members, however quickly these change.
+// compact drops what newer tellings have replaced: news are bounded by the members, however quickly these
+// change.
 func (n *broadcastQueue) compact() {
 	n.count = 0
 	for i := range n.byTransmits {
-		n.byTransmits[i] = slices.DeleteFunc(n.byTransmits[i], func(it queuedBroadcast) bool { return it.revision != it.member.revision })
+		n.byTransmits[i] = slices.DeleteFunc(
+			n.byTransmits[i],
+			func(it queuedBroadcast) bool { return it.revision != it.member.revision },
+		)
 		n.count += len(n.byTransmits[i])
 	}
 }
@@ -94,7 +98,8 @@
 	return st
 }
 
-// appendBroadcasts adds statements to a datagram until one does not fit: those that lead, the news, and last the node's own, which brings its load.
+// appendBroadcasts adds statements to a datagram until one does not fit: those that lead, the news, and last
+// the node's own, which brings its load.
 func (c *Core) appendBroadcasts(b []byte, lead ...*memberState) []byte {
 	for _, r := range lead {
 		b, _ = wire.AppendStatement(b, c.statementOf(r))
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -33,8 +33,24 @@
 	if m.Health <= membership.Suspect {
 		s.memberAddresses.Store(m.Addr, true)
 	}
-	if b := a.Before; m.Health != b.Health || m.Generation != b.Generation || m.Metadata.State != b.Metadata.State {
-		s.logLimited(slog.LevelInfo, "member", "name", m.Name, "health", m.Health, "state", m.Metadata.State, "life", m.Generation, "why", cmp.Or(m.Reason, "-"), "by", cmp.Or(m.Accusers, "-"))
+	if b := a.Before; m.Health != b.Health || m.Generation != b.Generation ||
+		m.Metadata.State != b.Metadata.State {
+		s.logLimited(
+			slog.LevelInfo,
+			"member",
+			"name",
+			m.Name,
+			"health",
+			m.Health,
+			"state",
+			m.Metadata.State,
+			"life",
+			m.Generation,
+			"why",
+			cmp.Or(m.Reason, "-"),
+			"by",
+			cmp.Or(m.Accusers, "-"),
+		)
 	}
 }
 
--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -8,8 +8,8 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Datagrams of this fleet from addresses of no member, a second and at once: what 300 that join within a second send until they
-// are known, and some. Decoding so many takes about a millisecond.
+// Datagrams of this fleet from addresses of no member, a second and at once: what 300 that join within a
+// second send until they are known, and some. Decoding so many takes about a millisecond.
 const (
 	strangersRate  = 500
 	strangersBurst = 500
@@ -20,8 +20,8 @@
 	strangers, dropped atomic.Int64
 }
 
-// Receive takes a datagram from the socket. It does not wait, and data is not kept. What is not of this fleet, too much of
-// what strangers send, and what the owner has no time for is dropped.
+// Receive takes a datagram from the socket. It does not wait, and data is not kept. What is not of this
+// fleet, too much of what strangers send, and what the owner has no time for is dropped.
 func (s *Server) Receive(from netip.AddrPort, data []byte) {
 	s.received.datagrams.Add(1)
 	s.received.bytes.Add(int64(len(data)))
@@ -55,7 +55,8 @@
 
 // address is the configured one of a member that has a number here, else what it advertises.
 func (s *Server) address(name string, advertised netip.AddrPort) netip.AddrPort {
-	if number, ok := s.numbers[name]; ok && number >= 0 && number < len(s.cfg.Peers) && s.cfg.Peers[number].IsValid() {
+	if number, ok := s.numbers[name]; ok && number >= 0 && number < len(s.cfg.Peers) &&
+		s.cfg.Peers[number].IsValid() {
 		return s.cfg.Peers[number]
 	}
 	return advertised
--- a/internal/membership/gossip/facts.go
+++ b/internal/membership/gossip/facts.go
@@ -4,8 +4,8 @@
 
 type versions struct{ catalogue, policy uint64 }
 
-// SetVersions gives the versions of the tenants' catalogue and of the policy that this node has; others hear of them
-// within a period. It does not wait.
+// SetVersions gives the versions of the tenants' catalogue and of the policy that this node has; others hear
+// of them within a period. It does not wait.
 func (s *Server) SetVersions(catalogue, policy uint64) {
 	s.versions.Store(&versions{catalogue, policy})
 }
@@ -14,5 +14,12 @@
 func (s *Server) currentMetadata() membership.Metadata {
 	v := s.versions.Load()
 	state, load := s.cfg.LocalState()
-	return membership.Metadata{Zone: s.cfg.Zone, Version: s.cfg.Version, Catalogue: v.catalogue, Policy: v.policy, Load: load, State: state}
+	return membership.Metadata{
+		Zone:      s.cfg.Zone,
+		Version:   s.cfg.Version,
+		Catalogue: v.catalogue,
+		Policy:    v.policy,
+		Load:      load,
+		State:     state,
+	}
 }
--- a/internal/membership/gossip/handover.go
+++ b/internal/membership/gossip/handover.go
@@ -6,16 +6,18 @@
 	"wrenspread/internal/membership"
 )
 
-// maxHandoffAddresses bounds the addresses that are handed over. One that answers is enough; 16 are all lost once in 10 to the 8 at a
-// loss of 30%.
+// maxHandoffAddresses bounds the addresses that are handed over. One that answers is enough; 16 are all lost
+// once in 10 to the 8 at a loss of 30%.
 const maxHandoffAddresses = 16
 
-// Handoff is what one process of a node hands to the next, so that others see neither a death nor a second process.
+// Handoff is what one process of a node hands to the next, so that others see neither a death nor a second
+// process.
 type Handoff struct {
 	Generation  uint64           `json:"life"`
 	Incarnation uint32           `json:"incarnation"`
 	State       membership.State `json:"state"`
-	Join        []netip.AddrPort `json:"join,omitempty"` // living members, to learn the view from; at most mostHanded count
+	// living members, to learn the view from; at most mostHanded count
+	Join []netip.AddrPort `json:"join,omitempty"`
 }
 
 // HandOver ends the view here without a word to the others, and gives what the next process goes on with.
--- a/internal/membership/gossip/report.go
+++ b/internal/membership/gossip/report.go
@@ -9,7 +9,8 @@
 	"wrenspread/internal/membership"
 )
 
-// Report is what a node says of its view on the control address: at most 4,096 members, as many as the core remembers.
+// Report is what a node says of its view on the control address: at most 4,096 members, as many as the core
+// remembers.
 type Report struct {
 	Fleet       string   `json:"fleet"`
 	Name        string   `json:"name"`
@@ -51,10 +52,12 @@
 type Received struct {
 	Traffic
 	Strangers int64 `json:"strangers"` // datagrams from addresses of no member
-	Dropped   int64 `json:"dropped"`   // datagrams that were not looked into: of no fleet or another one, too many
+	// datagrams that were not looked into: of no fleet or another one, too many
+	Dropped int64 `json:"dropped"`
 }
 
-// Report asks the owner for what it sees. It is false if the owner has ended, or does not get to it before the context ends.
+// Report asks the owner for what it sees. It is false if the owner has ended, or does not get to it before
+// the context ends.
 func (s *Server) Report(ctx context.Context) (r Report, ok bool) {
 	ok = s.call(ctx, func() { r = s.report() })
 	return r, ok
@@ -62,16 +65,43 @@
 
 func (s *Server) report() Report {
 	v := s.core.View()
-	r := Report{Fleet: s.cfg.Fleet, Name: v.Self, Version: v.Version, Digest: fmt.Sprintf("%016x", v.Digest), Yielded: v.Yielded,
-		Sent: s.sent.read(), Received: Received{Traffic: s.received.read(), Strangers: s.received.strangers.Load(), Dropped: s.received.dropped.Load()},
-		LateMS: s.maxLateness.Milliseconds(), Members: make([]Member, 0, len(v.Members))}
+	r := Report{
+		Fleet:   s.cfg.Fleet,
+		Name:    v.Self,
+		Version: v.Version,
+		Digest:  fmt.Sprintf("%016x", v.Digest),
+		Yielded: v.Yielded,
+		Sent:    s.sent.read(),
+		Received: Received{
+			Traffic:   s.received.read(),
+			Strangers: s.received.strangers.Load(),
+			Dropped:   s.received.dropped.Load(),
+		},
+		LateMS:  s.maxLateness.Milliseconds(),
+		Members: make([]Member, 0, len(v.Members)),
+	}
 	for _, m := range v.Members {
 		if m.Name == v.Self {
 			r.Generation, r.Incarnation = m.Generation, m.Incarnation
 		}
-		r.Members = append(r.Members, Member{Name: m.Name, Health: m.Health.String(), State: m.Metadata.State.String(), Generation: m.Generation,
-			Incarnation: m.Incarnation, AgeMS: max(0, s.now()-m.Since).Milliseconds(), Reason: m.Reason, Accusers: m.Accusers, Zone: m.Metadata.Zone,
-			Version: m.Metadata.Version, Catalogue: m.Metadata.Catalogue, Policy: m.Metadata.Policy, Load: m.Metadata.Load})
+		r.Members = append(
+			r.Members,
+			Member{
+				Name:        m.Name,
+				Health:      m.Health.String(),
+				State:       m.Metadata.State.String(),
+				Generation:  m.Generation,
+				Incarnation: m.Incarnation,
+				AgeMS:       max(0, s.now()-m.Since).Milliseconds(),
+				Reason:      m.Reason,
+				Accusers:    m.Accusers,
+				Zone:        m.Metadata.Zone,
+				Version:     m.Metadata.Version,
+				Catalogue:   m.Metadata.Catalogue,
+				Policy:      m.Metadata.Policy,
+				Load:        m.Metadata.Load,
+			},
+		)
 	}
 	return r
 }
@@ -89,5 +119,13 @@
 		besteffort.Output(fmt.Fprintf(w, "app.fleet.%s:%d|g\n", g.name, s.membersByHealth[g.health].Load()))
 	}
 	t := s.sent.read()
-	besteffort.Output(fmt.Fprintf(w, "app.fleet.changes:%d|c\napp.fleet.datagrams:%d|c\napp.fleet.bytes:%d|c\n", s.changes.Load(), t.Datagrams, t.Bytes))
+	besteffort.Output(
+		fmt.Fprintf(
+			w,
+			"app.fleet.changes:%d|c\napp.fleet.datagrams:%d|c\napp.fleet.bytes:%d|c\n",
+			s.changes.Load(),
+			t.Datagrams,
+			t.Bytes,
+		),
+	)
 }
--- a/internal/membership/gossip/shell.go
+++ b/internal/membership/gossip/shell.go
@@ -1,5 +1,5 @@
-// Package view is the shell of the fleet's view in a node: it gives the core of package fleet its datagrams and its time, and
-// carries out what that decides. It knows neither the node nor its sockets.
+// Package view is the shell of the fleet's view in a node: it gives the core of package fleet its datagrams
+// and its time, and carries out what that decides. It knows neither the node nor its sockets.
 package gossip
 
 import (
@@ -19,23 +19,27 @@
 
 // Config is what a Shell starts with.
 type Config struct {
-	Fleet, Name   string
-	Number        int              // own place among Peers, -1: none
-	Addr          netip.AddrPort   // at which members without a number for this node reach it
-	Seeds         []netip.AddrPort // to join by
-	Peers         []netip.AddrPort // the configured addresses, by members' numbers; they go before what members advertise
-	ProbeInterval time.Duration    // 0: the core's
+	Fleet, Name string
+	Number      int              // own place among Peers, -1: none
+	Addr        netip.AddrPort   // at which members without a number for this node reach it
+	Seeds       []netip.AddrPort // to join by
+	// the configured addresses, by members' numbers; they go before what members advertise
+	Peers         []netip.AddrPort
+	ProbeInterval time.Duration // 0: the core's
 	Zone, Version string
-	LocalState    func() (state membership.State, load uint16) // asked in each period by the owner; must not wait
-	Send          func(to netip.AddrPort, datagram []byte)     // must not wait for an answer
-	Log           *slog.Logger
-	Handoff       *Handoff // by the process of this node before; nil: there is none
+	// asked in each period by the owner; must not wait
+	LocalState func() (state membership.State, load uint16)
+	Send       func(to netip.AddrPort, datagram []byte) // must not wait for an answer
+	Log        *slog.Logger
+	Handoff    *Handoff // by the process of this node before; nil: there is none
 }
 
-// eventQueue bounds the datagrams that wait for the owner: 128 kB. At 10 a second from each of 30 members, that is over a second.
+// eventQueue bounds the datagrams that wait for the owner: 128 kB. At 10 a second from each of 30 members,
+// that is over a second.
 const eventQueue = 512
 
-// Server keeps one node's view. Its goroutine is the one owner of the core; it ends with the context, with Leave or with HandOver.
+// Server keeps one node's view. Its goroutine is the one owner of the core; it ends with the context, with
+// Leave or with HandOver.
 type Server struct {
 	cfg    Config
 	hash   uint32 // of the fleet's name
@@ -72,8 +76,23 @@
 // Start begins to keep the view. cfg has passed Check.
 func Start(ctx context.Context, cfg Config) *Server {
 	ctx, stop := context.WithCancel(ctx)
-	s := &Server{cfg: cfg, hash: wire.FleetHash(cfg.Fleet), start: time.Now(), events: make(chan membership.Event, eventQueue), calls: make(chan func()), stop: stop, ended: make(chan struct{}),
-		strangerLimiter: rate.NewLimiter(strangersRate, strangersBurst), logLimiter: rate.NewLimiter(logRate, logBurst), numbers: map[string]int{}, peers: map[netip.AddrPort]bool{}, timer: time.NewTimer(0)}
+	s := &Server{
+		cfg:    cfg,
+		hash:   wire.FleetHash(cfg.Fleet),
+		start:  time.Now(),
+		events: make(chan membership.Event, eventQueue),
+		calls:  make(chan func()),
+		stop:   stop,
+		ended:  make(chan struct{}),
+		strangerLimiter: rate.NewLimiter(
+			strangersRate,
+			strangersBurst,
+		),
+		logLimiter: rate.NewLimiter(logRate, logBurst),
+		numbers:    map[string]int{},
+		peers:      map[netip.AddrPort]bool{},
+		timer:      time.NewTimer(0),
+	}
 	for _, a := range cfg.Peers {
 		s.peers[a] = true
 	}
@@ -87,14 +106,29 @@
 
 // Check says what Start could not work with.
 func (cfg Config) Check() error {
-	return membership.Config{Fleet: cfg.Fleet, Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Metadata: membership.Metadata{Zone: cfg.Zone, Version: cfg.Version}}.Check()
+	return membership.Config{
+		Fleet:    cfg.Fleet,
+		Name:     cfg.Name,
+		Number:   cfg.Number,
+		Addr:     cfg.Addr,
+		Metadata: membership.Metadata{Zone: cfg.Zone, Version: cfg.Version},
+	}.Check()
 }
 
 // coreConfig has the node begin a new life, unless one was handed over.
 func (s *Server) coreConfig() membership.Config {
 	cfg := s.cfg
-	c := membership.Config{Fleet: cfg.Fleet, Name: cfg.Name, Number: cfg.Number, Addr: cfg.Addr, Metadata: s.metadata, Seeds: cfg.Seeds, ProbeInterval: cfg.ProbeInterval,
-		RandomSeed: uint64(s.start.UnixNano()), Generation: uint64(s.start.UnixMilli())}
+	c := membership.Config{
+		Fleet:         cfg.Fleet,
+		Name:          cfg.Name,
+		Number:        cfg.Number,
+		Addr:          cfg.Addr,
+		Metadata:      s.metadata,
+		Seeds:         cfg.Seeds,
+		ProbeInterval: cfg.ProbeInterval,
+		RandomSeed:    uint64(s.start.UnixNano()),
+		Generation:    uint64(s.start.UnixMilli()),
+	}
 	if h := cfg.Handoff; h != nil {
 		on := c
 		on.Generation, on.Incarnation = h.Generation, h.Incarnation+1
@@ -102,7 +136,13 @@
 		if err := on.Check(); err == nil && h.Incarnation+1 > 0 {
 			return on
 		}
-		cfg.Log.Warn("the life of the process before can't be gone on with", "life", h.Generation, "incarnation", h.Incarnation)
+		cfg.Log.Warn(
+			"the life of the process before can't be gone on with",
+			"life",
+			h.Generation,
+			"incarnation",
+			h.Incarnation,
+		)
 	}
 	return c
 }
@@ -144,7 +184,16 @@
 		case membership.MemberChanged:
 			s.memberChanged(a)
 		case membership.NameConflict:
-			s.logLimited(slog.LevelError, "another process has this node's name", "life", a.Generation, "from", a.From, "yielded", a.Yielded)
+			s.logLimited(
+				slog.LevelError,
+				"another process has this node's name",
+				"life",
+				a.Generation,
+				"from",
+				a.From,
+				"yielded",
+				a.Yielded,
+			)
 			if a.Yielded {
 				s.wakeAt = math.MaxInt64 // it wakes no more
 			}
@@ -169,7 +218,8 @@
 	return false
 }
 
-// Leave tells the others that this node goes on purpose, and returns when that has been said or the context ends.
+// Leave tells the others that this node goes on purpose, and returns when that has been said or the context
+// ends.
 func (s *Server) Leave(ctx context.Context) {
 	defer s.stop()
 	if !s.call(ctx, func() { s.handle(membership.Leave{}) }) {
--- a/internal/membership/gossip/tell.go
+++ b/internal/membership/gossip/tell.go
@@ -14,7 +14,8 @@
 	catalogue uint64 // 0 of one that is not alive
 }
 
-// SendTo sends a datagram of another part of the program to a member by its name, if it is known. It does not wait.
+// SendTo sends a datagram of another part of the program to a member by its name, if it is known. It does not
+// wait.
 func (s *Server) SendTo(name string, data []byte) {
 	if r, ok := s.contacts.Load(name); ok && r.(contact).address.IsValid() {
 		s.cfg.Send(r.(contact).address, data)
--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -8,14 +8,16 @@
 // maxAwareness bounds the stretching of time-outs: five times, so a period of one second.
 const maxAwareness = 4
 
-// maxAccusationHold is how long a node whose probes fail in many places accuses nobody. After that it believes what it
-// sees: it may be the only one left.
+// maxAccusationHold is how long a node whose probes fail in many places accuses nobody. After that it
+// believes what it sees: it may be the only one left.
 const maxAccusationHold = 10 * time.Second
 
-// lateHoldPeriods is how long after a late wake a node accuses nobody: the answers to what it sent before have come by then.
+// lateHoldPeriods is how long after a late wake a node accuses nobody: the answers to what it sent before
+// have come by then.
 const lateHoldPeriods = 3
 
-// awareness is how far the node trusts its own probes: when it is late, or many fail, the fault is likely to be here.
+// awareness is how far the node trusts its own probes: when it is late, or many fail, the fault is likely to
+// be here.
 type awareness struct {
 	score          int
 	lateUntil      Time
@@ -32,8 +34,8 @@
 	return c.cfg.ProbeTimeout * time.Duration(1+c.awareness.score)
 }
 
-// checkWakeLateness compares the time with that of the last Wake. A node that was stopped has heard nothing meanwhile: its open probe and its
-// suspects' time do not count for that long.
+// checkWakeLateness compares the time with that of the last Wake. A node that was stopped has heard nothing
+// meanwhile: its open probe and its suspects' time do not count for that long.
 func (c *Core) checkWakeLateness() {
 	late := c.now - c.wakeAt
 	if !c.wakePending || late <= c.cfg.ProbeTimeout {
@@ -56,8 +58,9 @@
 func (h *awareness) degrade() { h.score = min(h.score+1, maxAwareness) }
 func (h *awareness) recover() { h.score = max(h.score-1, 0) }
 
-// recordProbe notes at whom a probe failed, 0 if it did not; again if the one before was of the same member and counts no more. When three of the
-// last four members did not answer, the node holds its accusations back. In a fleet of three it never does: there the other two may well both be gone.
+// recordProbe notes at whom a probe failed, 0 if it did not; again if the one before was of the same member
+// and counts no more. When three of the last four members did not answer, the node holds its accusations
+// back. In a fleet of three it never does: there the other two may well both be gone.
 func (h *awareness) recordProbe(now Time, failed uint64, again bool) {
 	if again {
 		h.nextFailure = (h.nextFailure + len(h.recentFailures) - 1) % len(h.recentFailures)
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -8,16 +8,18 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Periods between questions: to seeds by a node that has met nobody (each), is alone, or has company; and to a dead member. A
-// seed is asked for ever, so that halves find each other even after they have forgotten each other.
+// Periods between questions: to seeds by a node that has met nobody (each), is alone, or has company; and to
+// a dead member. A seed is asked for ever, so that halves find each other even after they have forgotten each
+// other.
 const (
 	aloneSeedPeriods = 5
 	seedPeriods      = 50
 	deadPeriods      = 5
 )
 
-// Nodes that start together may meet in islands, or while a cut still lasts. So a new node goes on asking seeds, though it has met
-// somebody: one a period through its first round, of mostAtFirst at most, and then as one that is alone does, for youngPeriods.
+// Nodes that start together may meet in islands, or while a cut still lasts. So a new node goes on asking
+// seeds, though it has met somebody: one a period through its first round, of mostAtFirst at most, and then
+// as one that is alone does, for youngPeriods.
 const (
 	maxFirstRoundSeeds = 16
 	youngPeriods       = 300 // a minute: what starts a whole fleet is over by then
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -8,11 +8,16 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// compare orders two statements on one name: the later life, then the higher incarnation, then the graver health. Two statements
-// equal in these but of different facts come from two processes of one name; their bytes decide, so that all nodes agree.
+// compare orders two statements on one name: the later life, then the higher incarnation, then the graver
+// health. Two statements equal in these but of different facts come from two processes of one name; their
+// bytes decide, so that all nodes agree.
 func compare(a, b wire.Statement) int {
-	return cmp.Or(cmp.Compare(a.Generation, b.Generation), cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Health, b.Health),
-		compareFacts(a, b))
+	return cmp.Or(
+		cmp.Compare(a.Generation, b.Generation),
+		cmp.Compare(a.Incarnation, b.Incarnation),
+		cmp.Compare(a.Health, b.Health),
+		compareFacts(a, b),
+	)
 }
 
 func compareFacts(a, b wire.Statement) int {
@@ -22,8 +27,9 @@
 	return bytes.Compare(a.Bytes(), b.Bytes())
 }
 
-// merge gives what holds of two statements on one name: the higher one. Load goes by its own count within a life, so that it needs no
-// incarnation. Accusers of the same suspicion add up. It is commutative, associative and idempotent, Age aside.
+// merge gives what holds of two statements on one name: the higher one. Load goes by its own count within a
+// life, so that it needs no incarnation. Accusers of the same suspicion add up. It is commutative,
+// associative and idempotent, Age aside.
 func merge(a, b wire.Statement) wire.Statement {
 	high, low := a, b
 	order := compare(a, b)
@@ -34,7 +40,8 @@
 		high.Accusers = accusers(a.Accusers, b.Accusers)
 		high.Age = max(a.Age, b.Age)
 	}
-	if low.Generation == high.Generation && cmp.Or(cmp.Compare(low.LoadSeq, high.LoadSeq), cmp.Compare(low.Metadata.Load, high.Metadata.Load)) > 0 {
+	if low.Generation == high.Generation &&
+		cmp.Or(cmp.Compare(low.LoadSeq, high.LoadSeq), cmp.Compare(low.Metadata.Load, high.Metadata.Load)) > 0 {
 		high.LoadSeq, high.Metadata.Load = low.LoadSeq, low.Metadata.Load
 	}
 	return high
--- a/internal/membership/own.go
+++ b/internal/membership/own.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// youngTime is how long after it has met the fleet a process may find that its own former life is remembered as a higher one: its clock
-	// has gone back. Later a higher life is another process.
+	// youngTime is how long after it has met the fleet a process may find that its own former life is remembered
+	// as a higher one: its clock has gone back. Later a higher life is another process.
 	youngTime = 10 * time.Second
-	// maxOwnEchoes is how many words of its own name and life that it never said a process puts down to an upgrade; further ones come
-	// from a twin.
+	// maxOwnEchoes is how many words of its own name and life that it never said a process puts down to an
+	// upgrade; further ones come from a twin.
 	maxOwnEchoes = 3
-	// loadStep is the change of load, per mille, that is told at once. Smaller ones ride on the node's own datagrams.
+	// loadStep is the change of load, per mille, that is told at once. Smaller ones ride on the node's own
+	// datagrams.
 	loadStep = 100
 )
 
@@ -85,17 +86,26 @@
 	return true
 }
 
-// meetHigherGeneration hears of a life of its own name above its own. A young process that hears it for the first time takes one more: that was
-// itself before a restart. Any other yields: there is a second process, and the later one keeps the name. As a process
-// raises its life once, this ends.
+// meetHigherGeneration hears of a life of its own name above its own. A young process that hears it for the
+// first time takes one more: that was itself before a restart. Any other yields: there is a second process,
+// and the later one keeps the name. As a process raises its life once, this ends.
 func (c *Core) meetHigherGeneration(life uint64, from netip.AddrPort) {
 	if !c.ownState.hasRaised && (!c.ownState.hasMet || c.now-c.ownState.metAt < youngTime) {
 		c.raiseGeneration(life + 1)
 		return
 	}
 	c.yielded = true
-	c.actions = append(c.actions, NameConflict{Generation: life, From: from, Yielded: true},
-		Log{Text: fmt.Sprintf("another process named %s, of the later life %d, keeps the name: this one is silent", c.self.statement.Name, life)})
+	c.actions = append(
+		c.actions,
+		NameConflict{Generation: life, From: from, Yielded: true},
+		Log{
+			Text: fmt.Sprintf(
+				"another process named %s, of the later life %d, keeps the name: this one is silent",
+				c.self.statement.Name,
+				life,
+			),
+		},
+	)
 }
 
 // raiseGeneration goes on in a life of at least this number.
@@ -104,13 +114,23 @@
 		return
 	}
 	c.ownState.hasRaised, c.ownState.echoes = true, 0
-	c.actions = append(c.actions, Log{Text: fmt.Sprintf("%s goes on in life %d, as its name is known in a former one", c.self.statement.Name, life)})
+	c.actions = append(
+		c.actions,
+		Log{
+			Text: fmt.Sprintf(
+				"%s goes on in life %d, as its name is known in a former one",
+				c.self.statement.Name,
+				life,
+			),
+		},
+	)
 	st := c.self.statement
 	st.Generation, st.Incarnation = life, 0
 	c.updateMember(c.self, st)
 }
 
-// receiveFromOwnName is a datagram of a process of the same name. Own ones that come back through a seed are of the same life.
+// receiveFromOwnName is a datagram of a process of the same name. Own ones that come back through a seed are
+// of the same life.
 func (c *Core) receiveFromOwnName(d wire.Datagram, from netip.AddrPort) {
 	if d.Generation > c.self.statement.Generation {
 		c.meetHigherGeneration(d.Generation, from)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,17 +7,19 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// indirectProbes are asked to ask when the direct answer stays out: with three, and a loss of 30% on each way, one probe in nine of a
-// living member fails (0.51 x 0.51 x 0.76^3). So nobody is accused before several in a row have failed: see tries.
+// indirectProbes are asked to ask when the direct answer stays out: with three, and a loss of 30% on each
+// way, one probe in nine of a living member fails (0.51 x 0.51 x 0.76^3). So nobody is accused before several
+// in a row have failed: see tries.
 const indirectProbes = 3
 
-// failedProbesToAccuse is how many probes of a member, one a period, fail before it is accused: two, and three from 512 members on. At a loss of 30% that leaves
-// one accusation in 80 (700) probes of the living, about 20 a second in a fleet of 300 (2,000), whose news and refutations still
-// have room on the datagrams. A death is found one period (two) later.
+// failedProbesToAccuse is how many probes of a member, one a period, fail before it is accused: two, and
+// three from 512 members on. At a loss of 30% that leaves one accusation in 80 (700) probes of the living,
+// about 20 a second in a fleet of 300 (2,000), whose news and refutations still have room on the datagrams. A
+// death is found one period (two) later.
 func (c *Core) failedProbesToAccuse() int { return max(2, (bits.Len(uint(c.living+1))+2)/4) }
 
-// probeRound is the order of probes: all living members once, shuffled, then again. So a member is asked at the latest after two rounds,
-// and by somebody after 1.6 periods on average, however large the fleet is.
+// probeRound is the order of probes: all living members once, shuffled, then again. So a member is asked at
+// the latest after two rounds, and by somebody after 1.6 periods on average, however large the fleet is.
 type probeRound struct {
 	members []*memberState
 	next    int
@@ -83,7 +85,13 @@
 	c.probe = probe{}
 	if r != nil {
 		c.stats.Probes++
-		c.probe = probe{target: r, seq: c.sendPing(r), indirectAt: c.now + c.probeTimeout(), pending: true, failed: failed}
+		c.probe = probe{
+			target:     r,
+			seq:        c.sendPing(r),
+			indirectAt: c.now + c.probeTimeout(),
+			pending:    true,
+			failed:     failed,
+		}
 	}
 }
 
@@ -129,7 +137,8 @@
 	}
 }
 
-// endProbe judges the one of the last period. That no helper even said that it has no answer hints at a fault on this side.
+// endProbe judges the one of the last period. That no helper even said that it has no answer hints at a fault
+// on this side.
 func (c *Core) endProbe() {
 	p := &c.probe
 	if !p.pending {
--- a/internal/membership/relay.go
+++ b/internal/membership/relay.go
@@ -6,7 +6,8 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// maxRelays bounds the members that are asked for others at a time: at most three fall to a node in a period on average, even if all probes fail.
+// maxRelays bounds the members that are asked for others at a time: at most three fall to a node in a period
+// on average, even if all probes fail.
 const maxRelays = 64
 
 // relay is a member that is asked for somebody else.
@@ -23,7 +24,10 @@
 	if target == nil || target == c.self || len(c.relays) >= maxRelays {
 		return
 	}
-	c.relays = append(c.relays, relay{origin, target, d.Seq, c.sendPing(target), c.now + c.probeTimeout(), false})
+	c.relays = append(
+		c.relays,
+		relay{origin, target, d.Seq, c.sendPing(target), c.now + c.probeTimeout(), false},
+	)
 }
 
 // finishRelays passes an answer on to those who wait for it.
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// Three periods times one plus the logarithm of the fleet is the time in which a suspect can speak up against three accusers: an
-// accusation needs about so many periods to reach it, and its word to come back. With one accuser it has three times as long.
+// Three periods times one plus the logarithm of the fleet is the time in which a suspect can speak up against
+// three accusers: an accusation needs about so many periods to reach it, and its word to come back. With one
+// accuser it has three times as long.
 const (
 	suspectPeriods    = 3
 	loneAccuserFactor = 3
 )
 
-// suspicionShrink is how much of the time between lone and joint accusation is off, per mille, by the number of accusers: its logarithm to base 3.
+// suspicionShrink is how much of the time between lone and joint accusation is off, per mille, by the number
+// of accusers: its logarithm to base 3.
 var suspicionShrink = [4]time.Duration{0, 0, 631, 1000}
 
 // suspicionTimeout is how long a suspect has. Integers throughout, so that it is the same on every machine.
@@ -41,7 +43,12 @@
 		return
 	}
 	for _, r := range c.sorted {
-		if r.statement.Health == Suspect && c.now-r.suspectSince >= suspicionTimeout(c.cfg.ProbeInterval, c.living+1, countAccusers(r.statement.Accusers)) {
+		if r.statement.Health == Suspect &&
+			c.now-r.suspectSince >= suspicionTimeout(
+				c.cfg.ProbeInterval,
+				c.living+1,
+				countAccusers(r.statement.Accusers),
+			) {
 			st := r.statement
 			st.Health = Dead
 			c.updateMember(r, st)
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -2,9 +2,10 @@
 
 import "wrenspread/internal/membership/wire"
 
-// Every datagram carries the digest of its sender's view. A node that has met another digest asks for the difference, once in
-// syncPeriods, or each period as long as it learns that way. It compares 16 sums, goes into at most maxBranches ranges
-// that differ, drawn anew each time, and spends at most syncPerPeriod datagrams a period on it: about 80 members.
+// Every datagram carries the digest of its sender's view. A node that has met another digest asks for the
+// difference, once in syncPeriods, or each period as long as it learns that way. It compares 16 sums, goes
+// into at most maxBranches ranges that differ, drawn anew each time, and spends at most syncPerPeriod
+// datagrams a period on it: about 80 members.
 const (
 	syncPeriods    = 2
 	maxBranches    = 4
@@ -40,7 +41,17 @@
 
 func (c *Core) sendDigest(to *memberState, depth, place uint8) {
 	if c.takeSyncCredit() {
-		c.sendTo(to, c.newDatagram(wire.Datagram{Header: wire.Header{Kind: wire.Digest}, Depth: depth, Range: place, Sums: c.rangeSumsOf(depth, place)}))
+		c.sendTo(
+			to,
+			c.newDatagram(
+				wire.Datagram{
+					Header: wire.Header{Kind: wire.Digest},
+					Depth:  depth,
+					Range:  place,
+					Sums:   c.rangeSumsOf(depth, place),
+				},
+			),
+		)
 	}
 }
 
@@ -81,7 +92,8 @@
 	}
 }
 
-// compareList answers a List: it tells of members that the other lacks or sees differently, and wants the other's word on those and on the ones that it lacks itself.
+// compareList answers a List: it tells of members that the other lacks or sees differently, and wants the
+// other's word on those and on the ones that it lacks itself.
 func (c *Core) compareList(r *memberState, d wire.Datagram) {
 	theirs := map[uint64]uint32{}
 	var tell []*memberState
@@ -118,7 +130,8 @@
 	c.sendStatements(r, tell)
 }
 
-// sendStatements sends statements in a few datagrams, beginning at a drawn one: what is left over gets its turn another time.
+// sendStatements sends statements in a few datagrams, beginning at a drawn one: what is left over gets its
+// turn another time.
 func (c *Core) sendStatements(r *memberState, tell []*memberState) {
 	if len(tell) == 0 {
 		return
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -22,7 +22,11 @@
 func (r *memberState) living() bool { return r.statement.Health <= Suspect }
 
 func (c *Core) find(hash uint64) (int, bool) {
-	return slices.BinarySearchFunc(c.sorted, hash, func(r *memberState, h uint64) int { return cmp.Compare(r.hash, h) })
+	return slices.BinarySearchFunc(
+		c.sorted,
+		hash,
+		func(r *memberState, h uint64) int { return cmp.Compare(r.hash, h) },
+	)
 }
 
 // addMember makes room for a name that is not known yet; nil if there is none.
@@ -38,7 +42,8 @@
 	return r
 }
 
-// updateMember takes up a statement as what holds of r. It keeps sums, counts, the round and the news right, and reports the change.
+// updateMember takes up a statement as what holds of r. It keeps sums, counts, the round and the news right,
+// and reports the change.
 func (c *Core) updateMember(r *memberState, st wire.Statement) {
 	before, known := r.statement, r.statement.Name != ""
 	was := Member{}
@@ -48,7 +53,8 @@
 	age := Time(st.Age) * ageResolution
 	st.Age = 0
 	plain := known && before.WithoutVolatile() == st.WithoutVolatile()
-	if !known || before.Generation != st.Generation || before.Health != st.Health || (!r.living() && before.Incarnation != st.Incarnation) {
+	if !known || before.Generation != st.Generation || before.Health != st.Health ||
+		(!r.living() && before.Incarnation != st.Incarnation) {
 		r.since = c.now - age
 	} else if !r.living() {
 		r.since = min(r.since, c.now-age)
@@ -86,7 +92,8 @@
 	}
 }
 
-// pick draws one of the members that fit; nil if there is none. After eight misses it takes the next that fits.
+// pick draws one of the members that fit; nil if there is none. After eight misses it takes the next that
+// fits.
 func (c *Core) pick(fits func(*memberState) bool) *memberState {
 	at := 0
 	for range 8 {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -30,19 +30,21 @@
 
 // Member is what the node believes of one member.
 type Member struct {
-	Name             string
-	Number           int // place among the configured peers, -1: none
-	Addr             netip.AddrPort
-	Generation       uint64
-	Incarnation      uint32
-	Health           Health
-	Metadata         Metadata
-	Since            Time   // since when it has this life and health, on the owner's clock
-	Reason, Accusers string // why it is suspect, dead or left, and the names of its accusers (at most three, by comma)
+	Name        string
+	Number      int // place among the configured peers, -1: none
+	Addr        netip.AddrPort
+	Generation  uint64
+	Incarnation uint32
+	Health      Health
+	Metadata    Metadata
+	Since       Time // since when it has this life and health, on the owner's clock
+	// why it is suspect, dead or left, and the names of its accusers (at most three, by comma)
+	Reason, Accusers string
 }
 
-// View is what the node believes at one moment. Number rises with each change that the digest covers; two nodes with the same
-// Digest see the same members with the same lives, incarnations, healths and facts, load aside.
+// View is what the node believes at one moment. Number rises with each change that the digest covers; two
+// nodes with the same Digest see the same members with the same lives, incarnations, healths and facts, load
+// aside.
 type View struct {
 	Version uint64
 	Digest  uint64
@@ -73,8 +75,16 @@
 }
 
 func (c *Core) member(st wire.Statement, since Time) Member {
-	m := Member{Name: st.Name, Number: st.Number, Addr: st.Addr, Generation: st.Generation, Incarnation: st.Incarnation, Health: st.Health,
-		Metadata: st.Metadata, Since: since}
+	m := Member{
+		Name:        st.Name,
+		Number:      st.Number,
+		Addr:        st.Addr,
+		Generation:  st.Generation,
+		Incarnation: st.Incarnation,
+		Health:      st.Health,
+		Metadata:    st.Metadata,
+		Since:       since,
+	}
 	var by []string
 	for _, h := range st.Accusers {
 		if r := c.byHash[h]; r != nil {
--- a/internal/membership/wire/datagram.go
+++ b/internal/membership/wire/datagram.go
@@ -11,8 +11,8 @@
 // MaxSize is the most bytes that a datagram between nodes may have.
 const MaxSize = 256
 
-// Kind is a datagram's first byte. All are 0x40 or more: nodes that know only load notes (kind 1) drop them. 0x60 to 0x6f
-// belong to the quotas' claims and grants on the same socket.
+// Kind is a datagram's first byte. All are 0x40 or more: nodes that know only load notes (kind 1) drop them.
+// 0x60 to 0x6f belong to the quotas' claims and grants on the same socket.
 type Kind uint8
 
 const (
--- a/internal/membership/wire/fact.go
+++ b/internal/membership/wire/fact.go
@@ -1,6 +1,6 @@
-// Package wire is the one definition of the datagrams that nodes send each other to keep their view, and of the statements
-// in them. It has no state: bytes in, values out, and back. Whatever comes in is bounded by the datagram's 256 bytes; what
-// can't be read is an error, never a panic.
+// Package wire is the one definition of the datagrams that nodes send each other to keep their view, and of
+// the statements in them. It has no state: bytes in, values out, and back. Whatever comes in is bounded by
+// the datagram's 256 bytes; what can't be read is an error, never a panic.
 package wire
 
 import (
@@ -8,7 +8,8 @@
 	"net/netip"
 )
 
-// Health is what others, or the member itself, say of a member. Within one life and incarnation the higher one holds.
+// Health is what others, or the member itself, say of a member. Within one life and incarnation the higher
+// one holds.
 type Health uint8
 
 // Left is said by the member alone; Suspect and Dead are said by others.
@@ -26,8 +27,8 @@
 	return fmt.Sprintf("health-%d", uint8(h))
 }
 
-// State is the member's own word on what it is doing. Values beyond the known ones come from newer versions: they are kept
-// and passed on.
+// State is the member's own word on what it is doing. Values beyond the known ones come from newer versions:
+// they are kept and passed on.
 type State uint8
 
 const (
@@ -93,7 +94,12 @@
 	case len(s.Metadata.Zone) > MaxText || !printable(s.Metadata.Zone, ' '):
 		return fmt.Errorf("zone %.60q of %s: want at most %d printable bytes", s.Metadata.Zone, s.Name, MaxText)
 	case len(s.Metadata.Version) > MaxText || !printable(s.Metadata.Version, ' '):
-		return fmt.Errorf("version %.60q of %s: want at most %d printable bytes", s.Metadata.Version, s.Name, MaxText)
+		return fmt.Errorf(
+			"version %.60q of %s: want at most %d printable bytes",
+			s.Metadata.Version,
+			s.Name,
+			MaxText,
+		)
 	case s.Number < -1 || s.Number > MaxNumber:
 		return fmt.Errorf("number %d of %s: want -1 to %d", s.Number, s.Name, MaxNumber)
 	case s.Generation >= MaxGeneration:
@@ -101,7 +107,12 @@
 	case s.Health > Left:
 		return fmt.Errorf("health %d of %s: unknown", s.Health, s.Name)
 	case len(s.UnknownFields) > MaxUnknownFields:
-		return fmt.Errorf("%d bytes of unknown fields of %s: want at most %d", len(s.UnknownFields), s.Name, MaxUnknownFields)
+		return fmt.Errorf(
+			"%d bytes of unknown fields of %s: want at most %d",
+			len(s.UnknownFields),
+			s.Name,
+			MaxUnknownFields,
+		)
 	}
 	return nil
 }
--- a/internal/membership/wire/statement.go
+++ b/internal/membership/wire/statement.go
@@ -111,7 +111,8 @@
 	return 0
 }
 
-// uvarint takes a number of at most most. A number written longer than needed is wrong: one value, one writing.
+// uvarint takes a number of at most most. A number written longer than needed is wrong: one value, one
+// writing.
 func (r *reader) uvarint(most uint64) uint64 {
 	v, n := binary.Uvarint(r.data)
 	if r.failed || n <= 0 || v > most || (n > 1 && r.data[n-1] == 0) {
@@ -157,12 +158,23 @@
 // readStatement takes a statement from exactly b.
 func readStatement(b []byte) (Statement, error) {
 	r := reader{data: b}
-	s := Statement{Name: r.text(), Generation: r.uvarint(MaxGeneration - 1), Incarnation: uint32(r.uvarint(1<<32 - 1)), Health: Health(r.u8())}
+	s := Statement{
+		Name:        r.text(),
+		Generation:  r.uvarint(MaxGeneration - 1),
+		Incarnation: uint32(r.uvarint(1<<32 - 1)),
+		Health:      Health(r.u8()),
+	}
 	s.Number = int(r.u16()) - 1
 	s.Addr = r.addr()
 	s.Metadata.State = State(r.u8())
 	s.Metadata.Zone, s.Metadata.Version = r.text(), r.text()
-	s.Metadata.Catalogue, s.Metadata.Policy, s.Metadata.FencingToken = r.uvarint(1<<64-1), r.uvarint(1<<64-1), r.uvarint(1<<64-1)
+	s.Metadata.Catalogue, s.Metadata.Policy, s.Metadata.FencingToken = r.uvarint(
+		1<<64-1,
+	), r.uvarint(
+		1<<64-1,
+	), r.uvarint(
+		1<<64-1,
+	)
 	s.Metadata.Load, s.LoadSeq = r.u16(), uint32(r.uvarint(1<<32-1))
 	s.Accusers, s.Age = r.accusers(), r.u16()
 	if r.failed {
--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -43,17 +43,26 @@
 	return nil
 }
 
-// checkCost bounds the work that the expressions take: a for expression, a splat and a dynamic block are taken to go
-// round as often as their literal list has elements, or mostElements times; and literal lists and all values of locals are kept to so many.
+// checkCost bounds the work that the expressions take: a for expression, a splat and a dynamic block are
+// taken to go round as often as their literal list has elements, or mostElements times; and literal lists and
+// all values of locals are kept to so many.
 func (c *compiler) checkCost(body *hclsyntax.Body) bool {
 	m := &costMeter{times: 1}
 	_ = hclsyntax.Walk(body, m) // the meter adds its findings itself
 	if m.tooLong != nil {
-		c.addError(*m.tooLong, "A list too long", fmt.Sprintf("A list or map has %d elements at most. Split it.", maxElements))
+		c.addError(
+			*m.tooLong,
+			"A list too long",
+			fmt.Sprintf("A list or map has %d elements at most. Split it.", maxElements),
+		)
 	}
 	if m.nodes > maxEvaluations {
-		c.addError(body.MissingItemRange(), "A policy that takes too long to work out", "Its for expressions and dynamic blocks, "+
-			"each counted as 1,000 rounds, come to too much work. Nest fewer of them in each other.")
+		c.addError(
+			body.MissingItemRange(),
+			"A policy that takes too long to work out",
+			"Its for expressions and dynamic blocks, "+
+				"each counted as 1,000 rounds, come to too much work. Nest fewer of them in each other.",
+		)
 	}
 	return !c.diags.HasErrors()
 }
--- a/internal/policy/compare.go
+++ b/internal/policy/compare.go
@@ -17,20 +17,34 @@
 		at = g.source
 	}
 	if outer != nil && f.Rate > outer.rates.Rate*(1+tolerance) {
-		c.addError(at, "A rule that can never matter", fmt.Sprintf("%s can have %s, and the limit around it (line %d) ends at %s. Give it "+
-			"that or less.", p.path(), formatNumber(f.Rate), outer.source.Start.Line, formatNumber(outer.rates.Rate)))
+		c.addError(
+			at,
+			"A rule that can never matter",
+			fmt.Sprintf("%s can have %s, and the limit around it (line %d) ends at %s. Give it "+
+				"that or less.", p.path(), formatNumber(f.Rate), outer.source.Start.Line, formatNumber(outer.rates.Rate)),
+		)
 	}
 	if f.Floor > f.Rate*(1+tolerance) {
 		if g := firstGiven(r.floor, r.share); g != nil {
 			at = g.source
 		}
-		c.addError(at, "Rules that contradict", fmt.Sprintf("%s is sure of %s and can have %s at most. Lower the floor, or raise the rate.",
-			p.path(), formatNumber(f.Floor), formatNumber(f.Rate)))
+		c.addError(
+			at,
+			"Rules that contradict",
+			fmt.Sprintf("%s is sure of %s and can have %s at most. Lower the floor, or raise the rate.",
+				p.path(), formatNumber(f.Floor), formatNumber(f.Rate)),
+		)
 	}
 	beside := p.limits[ratelimit.UnitRequests]
-	if inner := l.unit == ratelimit.UnitRetries || l.unit == ratelimit.UnitPerKey; inner && beside != nil && f.Rate > beside.rates.Rate*(1+tolerance) {
-		c.addError(at, "A rule that can never matter", fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. "+
-			"Lower this one.", p.path(), formatNumber(beside.rates.Rate), beside.source.Start.Line, formatNumber(f.Rate)))
+	if inner := l.unit == ratelimit.UnitRetries ||
+		l.unit == ratelimit.UnitPerKey; inner && beside != nil &&
+		f.Rate > beside.rates.Rate*(1+tolerance) {
+		c.addError(
+			at,
+			"A rule that can never matter",
+			fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. "+
+				"Lower this one.", p.path(), formatNumber(beside.rates.Rate), beside.source.Start.Line, formatNumber(f.Rate)),
+		)
 	}
 }
 
@@ -46,8 +60,8 @@
 	return nil
 }
 
-// burstOf is what may come at once: as said, or a second's worth, no more than the limit around lets in, and room for
-// one request.
+// burstOf is what may come at once: as said, or a second's worth, no more than the limit around lets in, and
+// room for one request.
 func (c *compiler) burstOf(l *limit, r rawRates, rate float64, outer *limit) float64 {
 	most, what := c.largest(l.unit)
 	at, burst := l.source, rate
@@ -74,8 +88,12 @@
 }
 
 func (c *compiler) addExceeded(at hcl.Range, there float64, what string) {
-	c.addError(at, "A limit that one request exceeds", fmt.Sprintf("%s is less than %s, so that none would ever be let in. Raise it, or "+
-		"write rate = 0 to close the part.", formatNumber(there), what))
+	c.addError(
+		at,
+		"A limit that one request exceeds",
+		fmt.Sprintf("%s is less than %s, so that none would ever be let in. Raise it, or "+
+			"write rate = 0 to close the part.", formatNumber(there), what),
+	)
 }
 
 // largest is the most that one request takes of a limit.
--- a/internal/policy/degrade.go
+++ b/internal/policy/degrade.go
@@ -25,13 +25,21 @@
 	l.RejectClasses, l.Status, l.RetryAfter = c.texts(attrs["refuse"]), 503, defaultRetryAfter
 	if g := c.fraction(attrs["above"]); g != nil {
 		if l.EnterAbove, l.LeaveBelow, l.aboveSource = g.value, g.value/2, g.source; g.value == 0 || g.value == 1 {
-			c.addError(g.source, "A level that never comes or always holds", "Give a part between 0 and 1 of the fleet's requests, such as percent(5).")
+			c.addError(
+				g.source,
+				"A level that never comes or always holds",
+				"Give a part between 0 and 1 of the fleet's requests, such as percent(5).",
+			)
 		}
 	}
 	if g := c.fraction(attrs["below"]); g != nil {
 		if l.LeaveBelow = g.value; g.value >= l.EnterAbove {
-			c.addError(g.source, "A level that is left as it is taken", fmt.Sprintf("below is %v and above %v: the fleet would go to and fro. "+
-				"Put below well under above.", g.value, l.EnterAbove))
+			c.addError(
+				g.source,
+				"A level that is left as it is taken",
+				fmt.Sprintf("below is %v and above %v: the fleet would go to and fro. "+
+					"Put below well under above.", g.value, l.EnterAbove),
+			)
 		}
 	}
 	if n, ok := c.status(attrs["status"]); ok {
@@ -42,7 +50,11 @@
 	}
 	if a := attrs["refuse"]; a != nil {
 		if l.classesSource = a.Expr.Range(); l.RejectClasses == nil {
-			c.addError(l.classesSource, "A level that refuses nothing", "Name the classes that go first: refuse = [\"aging-report\"].")
+			c.addError(
+				l.classesSource,
+				"A level that refuses nothing",
+				"Name the classes that go first: refuse = [\"aging-report\"].",
+			)
 		}
 	}
 	for _, before := range c.levels {
@@ -55,22 +67,37 @@
 
 // sortLevels puts the levels in order and checks them against each other, and against what the parts say.
 func (c *compiler) sortLevels(fleet *scope) {
-	slices.SortStableFunc(c.levels, func(a, b *degradeLevel) int { return cmp.Compare(a.EnterAbove, b.EnterAbove) })
+	slices.SortStableFunc(
+		c.levels,
+		func(a, b *degradeLevel) int { return cmp.Compare(a.EnterAbove, b.EnterAbove) },
+	)
 	if len(c.levels) > ratelimit.MaxLevels {
-		c.addError(c.levels[ratelimit.MaxLevels].source, "Too many levels", fmt.Sprintf("There can be %d.", ratelimit.MaxLevels))
+		c.addError(
+			c.levels[ratelimit.MaxLevels].source,
+			"Too many levels",
+			fmt.Sprintf("There can be %d.", ratelimit.MaxLevels),
+		)
 		return
 	}
 	first := map[string]*degradeLevel{}
 	for i, l := range c.levels {
 		if i > 0 && l.EnterAbove == c.levels[i-1].EnterAbove {
-			c.addError(l.aboveSource, "Two levels at once", fmt.Sprintf("Level %q begins above %v as well. Put them together, or apart.",
-				c.levels[i-1].name, l.EnterAbove))
+			c.addError(
+				l.aboveSource,
+				"Two levels at once",
+				fmt.Sprintf("Level %q begins above %v as well. Put them together, or apart.",
+					c.levels[i-1].name, l.EnterAbove),
+			)
 		}
 		l.RejectClasses = slices.Compact(slices.Sorted(slices.Values(l.RejectClasses)))
 		for _, class := range l.RejectClasses {
 			if before := first[class]; before != nil {
-				c.addError(l.classesSource, "A rule that can never matter", fmt.Sprintf("%q is refused from level %q on already, which is below "+
-					"this one. Drop it here.", class, before.name))
+				c.addError(
+					l.classesSource,
+					"A rule that can never matter",
+					fmt.Sprintf("%q is refused from level %q on already, which is below "+
+						"this one. Drop it here.", class, before.name),
+				)
 				continue
 			}
 			first[class] = l
@@ -79,8 +106,12 @@
 	}
 	fleet.each(func(p *scope) {
 		if l := first[p.value]; p.attribute == ratelimit.AttributeClass && p.priority > 0 && l != nil {
-			c.addError(p.prioritySource, "Rules that contradict", fmt.Sprintf("%s always has priority here, and level %q (line %d) refuses it. "+
-				"Drop one of them.", p.path(), l.name, l.classesSource.Start.Line))
+			c.addError(
+				p.prioritySource,
+				"Rules that contradict",
+				fmt.Sprintf("%s always has priority here, and level %q (line %d) refuses it. "+
+					"Drop one of them.", p.path(), l.name, l.classesSource.Start.Line),
+			)
 		}
 	})
 }
--- a/internal/policy/errors.go
+++ b/internal/policy/errors.go
@@ -18,7 +18,10 @@
 
 // addError notes an error: what is wrong where, and a way out.
 func (c *compiler) addError(at hcl.Range, what, wayOut string) {
-	c.diags = append(c.diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: what, Detail: wayOut, Subject: at.Ptr()})
+	c.diags = append(
+		c.diags,
+		&hcl.Diagnostic{Severity: hcl.DiagError, Summary: what, Detail: wayOut, Subject: at.Ptr()},
+	)
 }
 
 // sortedErrors has the errors by their places, each once.
@@ -85,7 +88,13 @@
 			runes = runes[:min(len(runes), lineWidth)]
 		}
 		from, to = from-first, min(to-first, len(runes))
-		fmt.Fprintf(b, "    %s\n    %s%s\n", string(runes), strings.Repeat(" ", from), strings.Repeat("^", max(1, to-from)))
+		fmt.Fprintf(
+			b,
+			"    %s\n    %s%s\n",
+			string(runes),
+			strings.Repeat(" ", from),
+			strings.Repeat("^", max(1, to-from)),
+		)
 	}
 	detail := wordwrap.WrapString(strings.ToValidUTF8(d.Detail, "?"), lineWidth-2)
 	fmt.Fprintf(b, "  %s\n", strings.ReplaceAll(detail, "\n", "\n  "))
--- a/internal/policy/figures.go
+++ b/internal/policy/figures.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// addImpliedLimits gives a part with a share its limits in the units that the limits around it have, where it says none.
+// addImpliedLimits gives a part with a share its limits in the units that the limits around it have, where it
+// says none.
 func (c *compiler) addImpliedLimits(p *scope) {
 	found := false
 	for _, u := range []ratelimit.Unit{ratelimit.UnitRequests, ratelimit.UnitWork, ratelimit.UnitConcurrency} {
@@ -34,7 +35,11 @@
 		}
 	}
 	if !found && p.parent != nil {
-		c.addError(p.share.source, "A share of nothing", fmt.Sprintf("No part around %s has a limit. Give one a rate, or this one.", p.path()))
+		c.addError(
+			p.share.source,
+			"A share of nothing",
+			fmt.Sprintf("No part around %s has a limit. Give one a rate, or this one.", p.path()),
+		)
 	}
 }
 
@@ -78,12 +83,17 @@
 	}
 	c.resolveSchedule(p, l, outer, whole)
 	if r := l.reserve; r > 0 && p.priority > 0 {
-		c.addError(l.source, "Rules that contradict", fmt.Sprintf("All requests here have priority (line %d), so that a reserve for those with "+
-			"priority keeps nothing back. Drop one of the two.", p.prioritySource.Start.Line))
+		c.addError(
+			l.source,
+			"Rules that contradict",
+			fmt.Sprintf("All requests here have priority (line %d), so that a reserve for those with "+
+				"priority keeps nothing back. Drop one of the two.", p.prioritySource.Start.Line),
+		)
 	}
 }
 
-// resolveSchedule works out the times with other figures: the limit's own, or those that follow from the whole's.
+// resolveSchedule works out the times with other figures: the limit's own, or those that follow from the
+// whole's.
 func (c *compiler) resolveSchedule(p *scope, l *limit, outer, whole *limit) {
 	base := outer
 	if l.raw.fraction != nil || l.raw.share != nil {
@@ -91,14 +101,22 @@
 	}
 	timed := base != nil && base != l && len(base.windows) > 0
 	if timed && len(l.schedule) > 0 {
-		c.addError(l.schedule[0].source, "Times within times", fmt.Sprintf("The limit around this one (line %d) has times of its own, which "+
-			"shares of it follow by themselves. Give times to one of the two.", base.source.Start.Line))
+		c.addError(
+			l.schedule[0].source,
+			"Times within times",
+			fmt.Sprintf("The limit around this one (line %d) has times of its own, which "+
+				"shares of it follow by themselves. Give times to one of the two.", base.source.Start.Line),
+		)
 		return
 	}
 	for i, t := range l.schedule {
 		if j := coveringWindow(l.schedule[:i], t.window); j >= 0 {
-			c.addError(t.source, "A rule that can never match", fmt.Sprintf("Whenever it would hold, the one on line %d does, which comes first. "+
-				"Put the narrower time first.", l.schedule[j].source.Start.Line))
+			c.addError(
+				t.source,
+				"A rule that can never match",
+				fmt.Sprintf("Whenever it would hold, the one on line %d does, which comes first. "+
+					"Put the narrower time first.", l.schedule[j].source.Start.Line),
+			)
 		}
 		if t.raw.broken {
 			continue
@@ -169,14 +187,23 @@
 }
 
 // resolveRates works out figures, if there are any, and says what is wrong with them.
-func (c *compiler) resolveRates(p *scope, l *limit, r rawRates, outer, whole *limit) (f ratelimit.Rates, ok bool) {
+func (c *compiler) resolveRates(
+	p *scope,
+	l *limit,
+	r rawRates,
+	outer, whole *limit,
+) (f ratelimit.Rates, ok bool) {
 	lends := r.borrow == nil || r.borrow.value
 	floor, hasFloor := c.units(r.floor, r.share, whole)
 	rate, hasRate := c.units(r.rate, r.fraction, whole)
 	switch {
 	case hasRate && hasFloor && !lends && math.Abs(rate-floor) > tolerance*rate:
-		c.addError(r.borrow.source, "Rules that contradict", fmt.Sprintf("Without borrowing %s has its floor, %s, and no more, yet its rate is "+
-			"%s. Give one of the two.", p.path(), formatNumber(floor), formatNumber(rate)))
+		c.addError(
+			r.borrow.source,
+			"Rules that contradict",
+			fmt.Sprintf("Without borrowing %s has its floor, %s, and no more, yet its rate is "+
+				"%s. Give one of the two.", p.path(), formatNumber(floor), formatNumber(rate)),
+		)
 	case !hasRate && hasFloor && !lends:
 		rate = floor
 	case !hasRate && outer != nil:
@@ -184,8 +211,12 @@
 	case !hasRate && r.fraction != nil: // of nothing, as has been told
 		return f, false
 	case !hasRate:
-		c.addError(l.source, "A limit without a figure", fmt.Sprintf("Nothing around %s has a limit on %s that it could keep to. Give it a %s.",
-			p.path(), l.unit, map[bool]string{true: "most", false: "rate"}[l.unit == ratelimit.UnitConcurrency]))
+		c.addError(
+			l.source,
+			"A limit without a figure",
+			fmt.Sprintf("Nothing around %s has a limit on %s that it could keep to. Give it a %s.",
+				p.path(), l.unit, map[bool]string{true: "most", false: "rate"}[l.unit == ratelimit.UnitConcurrency]),
+		)
 		return f, false
 	}
 	if f.Rate, f.Floor = rate, floor; !lends {
@@ -204,7 +235,11 @@
 	case part != nil && whole != nil:
 		return part.value * whole.rates.Rate, true
 	case part != nil:
-		c.addError(part.source, "A part of nothing", "There is no limit that it could be a part of: give one around it, or units here.")
+		c.addError(
+			part.source,
+			"A part of nothing",
+			"There is no limit that it could be a part of: give one around it, or units here.",
+		)
 	}
 	return 0, false
 }
--- a/internal/policy/flatten.go
+++ b/internal/policy/flatten.go
@@ -9,8 +9,13 @@
 
 // buildTable puts the parts in the table's order, whatever order the text has.
 func (c *compiler) buildTable(fleet *scope) *ratelimit.Table {
-	t := &ratelimit.Table{Format: ratelimit.Format, UTCOffset: c.zone, Scopes: []ratelimit.Scope{}, Limits: []ratelimit.Limit{},
-		Levels: []ratelimit.DegradationLevel{}}
+	t := &ratelimit.Table{
+		Format:    ratelimit.Format,
+		UTCOffset: c.zone,
+		Scopes:    []ratelimit.Scope{},
+		Limits:    []ratelimit.Limit{},
+		Levels:    []ratelimit.DegradationLevel{},
+	}
 	for _, l := range c.levels {
 		t.Levels = append(t.Levels, l.DegradationLevel)
 	}
@@ -20,7 +25,16 @@
 
 func (c *compiler) addScope(t *ratelimit.Table, p *scope, within int, at map[*limit]int) {
 	self := len(t.Scopes)
-	t.Scopes = append(t.Scopes, ratelimit.Scope{Parent: within, Attribute: p.attribute, Value: p.value, FirstLimit: len(t.Limits), Priority: p.priority})
+	t.Scopes = append(
+		t.Scopes,
+		ratelimit.Scope{
+			Parent:     within,
+			Attribute:  p.attribute,
+			Value:      p.value,
+			FirstLimit: len(t.Limits),
+			Priority:   p.priority,
+		},
+	)
 	for _, l := range p.limits {
 		if l == nil {
 			continue
@@ -47,9 +61,23 @@
 		weight = l.raw.weight.value
 	}
 	f := l.rates
-	flat := ratelimit.Limit{Scope: part, Parent: parent, Unit: l.unit, Rate: f.Rate, Burst: f.Burst, Floor: f.Floor, Weight: weight,
-		Borrow: l.raw.borrow == nil || l.raw.borrow.value, FallbackShare: l.fallbackShare, PriorityReserve: l.reserve, KeySlots: l.slots, Status: l.status,
-		RetryAfter: l.retryAfter, Schedule: l.windows}
+	flat := ratelimit.Limit{
+		Scope:  part,
+		Parent: parent,
+		Unit:   l.unit,
+		Rate:   f.Rate,
+		Burst:  f.Burst,
+		Floor:  f.Floor,
+		Weight: weight,
+		Borrow: l.raw.borrow == nil ||
+			l.raw.borrow.value,
+		FallbackShare:   l.fallbackShare,
+		PriorityReserve: l.reserve,
+		KeySlots:        l.slots,
+		Status:          l.status,
+		RetryAfter:      l.retryAfter,
+		Schedule:        l.windows,
+	}
 	flat.Name, flat.Attribute = t.LimitName(part, l.unit)
 	return flat
 }
--- a/internal/policy/limit.go
+++ b/internal/policy/limit.go
@@ -9,7 +9,8 @@
 	"wrenspread/ratelimit"
 )
 
-// limit is a block that bounds a part in one unit. Its figures come out of rough when what is around it is known.
+// limit is a block that bounds a part in one unit. Its figures come out of rough when what is around it is
+// known.
 type limit struct {
 	settings
 	unit     ratelimit.Unit
@@ -60,7 +61,8 @@
 var (
 	defaultsSchema = &hcl.BodySchema{Attributes: attributes("safe", "reserve", "status", "wait")}
 	limitSchema    = &hcl.BodySchema{
-		Attributes: append(attributes("rate", "most", "part", "floor", "share", "burst", "weight", "borrow", "slots"),
+		Attributes: append(
+			attributes("rate", "most", "part", "floor", "share", "burst", "weight", "borrow", "slots"),
 			defaultsSchema.Attributes...),
 		Blocks: []hcl.BlockHeaderSchema{{Type: "at"}},
 	}
@@ -68,8 +70,13 @@
 		Attributes: attributes("from", "to", "last_days", "rate", "most", "part", "floor", "share", "burst"),
 	}
 	degradeSchema = &hcl.BodySchema{
-		Attributes: []hcl.AttributeSchema{{Name: "above", Required: true}, {Name: "below"}, {Name: "refuse", Required: true},
-			{Name: "status"}, {Name: "wait"}},
+		Attributes: []hcl.AttributeSchema{
+			{Name: "above", Required: true},
+			{Name: "below"},
+			{Name: "refuse", Required: true},
+			{Name: "status"},
+			{Name: "wait"},
+		},
 	}
 )
 
@@ -80,12 +87,20 @@
 func (c *compiler) commonSettings(f *settings, attrs hcl.Attributes) {
 	if g := c.fraction(attrs["safe"]); g != nil {
 		if f.fallbackShare = g.value; g.value == 0 {
-			c.addError(g.source, "Nothing is safe", "A node without a lease would refuse everything. Give it a part above 0, such as percent(25).")
+			c.addError(
+				g.source,
+				"Nothing is safe",
+				"A node without a lease would refuse everything. Give it a part above 0, such as percent(25).",
+			)
 		}
 	}
 	if g := c.fraction(attrs["reserve"]); g != nil {
 		if f.reserve, f.reserveAt = g.value, g.source; g.value == 1 {
-			c.addError(g.source, "All of it in reserve", "Requests without priority would never get in. Leave them a part: percent(99) at most.")
+			c.addError(
+				g.source,
+				"All of it in reserve",
+				"Requests without priority would never get in. Leave them a part: percent(99) at most.",
+			)
 		}
 	}
 	if n, ok := c.status(attrs["status"]); ok {
@@ -116,27 +131,49 @@
 		l.schedule = append(l.schedule, c.scheduleBlock(inner, u))
 	}
 	if len(l.schedule) > ratelimit.MaxWindows {
-		c.addError(l.schedule[ratelimit.MaxWindows].source, "Too many times", fmt.Sprintf("A limit has %d `at` blocks at most.", ratelimit.MaxWindows))
+		c.addError(
+			l.schedule[ratelimit.MaxWindows].source,
+			"Too many times",
+			fmt.Sprintf("A limit has %d `at` blocks at most.", ratelimit.MaxWindows),
+		)
 	}
 	return l
 }
 
 func (c *compiler) rawRates(attrs hcl.Attributes, u ratelimit.Unit) rawRates {
-	r := rawRates{rate: c.amount(attrs["rate"]), fraction: c.fraction(attrs["part"]), floor: c.amount(attrs["floor"]),
-		share: c.fraction(attrs["share"]), burst: c.amount(attrs["burst"])}
+	r := rawRates{
+		rate:     c.amount(attrs["rate"]),
+		fraction: c.fraction(attrs["part"]),
+		floor:    c.amount(attrs["floor"]),
+		share:    c.fraction(attrs["share"]),
+		burst:    c.amount(attrs["burst"]),
+	}
 	most := attrs["most"]
 	switch {
 	case u == ratelimit.UnitConcurrency && attrs["rate"] != nil:
-		c.addError(attrs["rate"].NameRange, "An odd unit", "Open requests are counted, not by the second. Write most = how many at once.")
+		c.addError(
+			attrs["rate"].NameRange,
+			"An odd unit",
+			"Open requests are counted, not by the second. Write most = how many at once.",
+		)
 	case u == ratelimit.UnitConcurrency && attrs["burst"] != nil:
-		c.addError(attrs["burst"].NameRange, "An odd unit", "Open requests have no burst: `most` is all that there is.")
+		c.addError(
+			attrs["burst"].NameRange,
+			"An odd unit",
+			"Open requests have no burst: `most` is all that there is.",
+		)
 	case u == ratelimit.UnitConcurrency:
 		r.rate = c.amount(most)
 	case most != nil:
-		c.addError(most.NameRange, "An odd unit", "`most` counts open requests. This goes by the second: write rate, and burst.")
+		c.addError(
+			most.NameRange,
+			"An odd unit",
+			"`most` counts open requests. This goes by the second: write rate, and burst.",
+		)
 	}
 	r.broken = (attrs["rate"] != nil || attrs["most"] != nil) && r.rate == nil || attrs["part"] != nil && r.fraction == nil ||
-		attrs["floor"] != nil && r.floor == nil || attrs["share"] != nil && r.share == nil || attrs["burst"] != nil && r.burst == nil
+		attrs["floor"] != nil && r.floor == nil || attrs["share"] != nil && r.share == nil ||
+		attrs["burst"] != nil && r.burst == nil
 	c.exclusive(attrs, "rate", "part")
 	c.exclusive(attrs, "most", "part")
 	c.exclusive(attrs, "floor", "share")
@@ -146,8 +183,12 @@
 // exclusive notes two attributes that would say the same thing twice.
 func (c *compiler) exclusive(attrs hcl.Attributes, a, b string) {
 	if attrs[a] != nil && attrs[b] != nil {
-		c.addError(attrs[b].Range, "Two figures for one thing", fmt.Sprintf("%s is given as %s as well, which contradicts it. "+
-			"Keep one of them.", b, a))
+		c.addError(
+			attrs[b].Range,
+			"Two figures for one thing",
+			fmt.Sprintf("%s is given as %s as well, which contradicts it. "+
+				"Keep one of them.", b, a),
+		)
 	}
 }
 
@@ -162,7 +203,11 @@
 	t.window.ToMinute, ends = c.minute(attrs["to"])
 	t.window.LastDays, _ = c.integer(attrs["last_days"], 1, 31)
 	if begins && ends && t.window.FromMinute == t.window.ToMinute {
-		c.addError(attrs["from"].Range, "A time that never comes", "It ends as it begins. For all day leave out `from` and `to`.")
+		c.addError(
+			attrs["from"].Range,
+			"A time that never comes",
+			"It ends as it begins. For all day leave out `from` and `to`.",
+		)
 	}
 	if attrs["from"] == nil && attrs["to"] == nil && attrs["last_days"] == nil {
 		c.addError(b.DefRange, "No time", "Say when: from and to as times of day, or last_days of the month.")
--- a/internal/policy/locals.go
+++ b/internal/policy/locals.go
@@ -20,11 +20,22 @@
 			"classes": texts(c.known.classNames()),
 		},
 		Functions: map[string]function.Function{
-			"per_second": scaled(1), "per_minute": scaled(1. / 60), "per_hour": scaled(1. / 3600),
-			"percent": scaled(1. / 100), "seconds": scaled(1000), "worth": c.priorityWeightFunction(),
-			"min": stdlib.MinFunc, "max": stdlib.MaxFunc, "ceil": stdlib.CeilFunc, "floor": stdlib.FloorFunc,
-			"contains": stdlib.ContainsFunc, "length": stdlib.LengthFunc, "keys": stdlib.KeysFunc,
-			"values": stdlib.ValuesFunc, "setsubtract": stdlib.SetSubtractFunc, "toset": stdlib.MakeToFunc(cty.Set(cty.String)),
+			"per_second":  scaled(1),
+			"per_minute":  scaled(1. / 60),
+			"per_hour":    scaled(1. / 3600),
+			"percent":     scaled(1. / 100),
+			"seconds":     scaled(1000),
+			"worth":       c.priorityWeightFunction(),
+			"min":         stdlib.MinFunc,
+			"max":         stdlib.MaxFunc,
+			"ceil":        stdlib.CeilFunc,
+			"floor":       stdlib.FloorFunc,
+			"contains":    stdlib.ContainsFunc,
+			"length":      stdlib.LengthFunc,
+			"keys":        stdlib.KeysFunc,
+			"values":      stdlib.ValuesFunc,
+			"setsubtract": stdlib.SetSubtractFunc,
+			"toset":       stdlib.MakeToFunc(cty.Set(cty.String)),
 		},
 	}
 }
@@ -72,8 +83,8 @@
 	})
 }
 
-// evalLocals works out the names that the text gives to values, each after those that it speaks of. One that can't be is
-// unknown to the others, so that its error is told once.
+// evalLocals works out the names that the text gives to values, each after those that it speaks of. One that
+// can't be is unknown to the others, so that its error is told once.
 func (c *compiler) evalLocals(attrs hcl.Attributes) {
 	values := map[string]cty.Value{}
 	var path []string
@@ -84,8 +95,12 @@
 			return
 		}
 		if i := slices.Index(path, name); i >= 0 {
-			c.addError(attr.Range, "Locals go round in a cycle", fmt.Sprintf("%s -> %s: each needs the next to be worked out. "+
-				"Give one of them a value of its own.", strings.Join(path[i:], " -> "), name))
+			c.addError(
+				attr.Range,
+				"Locals go round in a cycle",
+				fmt.Sprintf("%s -> %s: each needs the next to be worked out. "+
+					"Give one of them a value of its own.", strings.Join(path[i:], " -> "), name),
+			)
 			values[name] = cty.DynamicVal
 			return
 		}
@@ -105,8 +120,12 @@
 			v = cty.DynamicVal
 		}
 		if elements(v) > maxElements {
-			c.addError(attr.Expr.Range(), "A value too large", fmt.Sprintf("A local has %d elements at most, and no text "+
-				"over %d bytes. Split it.", maxElements, maxLocalText))
+			c.addError(
+				attr.Expr.Range(),
+				"A value too large",
+				fmt.Sprintf("A local has %d elements at most, and no text "+
+					"over %d bytes. Split it.", maxElements, maxLocalText),
+			)
 			v = cty.DynamicVal
 		}
 		values[name] = v
--- a/internal/policy/names.go
+++ b/internal/policy/names.go
@@ -59,10 +59,18 @@
 func (c *compiler) name(at hcl.Range, axis, name string, known []string) {
 	switch {
 	case name == "" || len(name) > ratelimit.MaxName || strings.ContainsAny(name, "/:"):
-		c.addError(at, "Not a name", fmt.Sprintf("The %s %.40q can be named by no policy: a name has 1 to %d bytes, and no slash or "+
-			"colon.", axis, name, ratelimit.MaxName))
+		c.addError(
+			at,
+			"Not a name",
+			fmt.Sprintf("The %s %.40q can be named by no policy: a name has 1 to %d bytes, and no slash or "+
+				"colon.", axis, name, ratelimit.MaxName),
+		)
 	case len(known) > 0 && !slices.Contains(known, name):
-		c.addError(at, "A rule that can never match", fmt.Sprintf("The fleet has no %s %q.%s", axis, name, didYouMean(name, known)))
+		c.addError(
+			at,
+			"A rule that can never match",
+			fmt.Sprintf("The fleet has no %s %q.%s", axis, name, didYouMean(name, known)),
+		)
 	}
 }
 
@@ -96,8 +104,12 @@
 	}
 	missing := slices.DeleteFunc(slices.Clone(c.known.Tenants), func(b string) bool { return said[b] })
 	if len(missing) > 0 {
-		c.addError(p.source, "A book without a rule", fmt.Sprintf("%s tells books apart and says nothing of %s. Give each a block, or all "+
-			"of them one with the name \"*\".", p.path(), strings.Join(missing, ", ")))
+		c.addError(
+			p.source,
+			"A book without a rule",
+			fmt.Sprintf("%s tells books apart and says nothing of %s. Give each a block, or all "+
+				"of them one with the name \"*\".", p.path(), strings.Join(missing, ", ")),
+		)
 	}
 }
 
@@ -106,8 +118,12 @@
 	fleet.each(func(p *scope) {
 		for up := p.parent; up != nil; up = up.parent {
 			if up.attribute == p.attribute && p.parent != nil && up.parent != nil {
-				c.addError(p.source, "A rule that can never match", fmt.Sprintf("It is within %s, and a request has one %s alone. "+
-					"Put it beside that block.", up.path(), p.attribute))
+				c.addError(
+					p.source,
+					"A rule that can never match",
+					fmt.Sprintf("It is within %s, and a request has one %s alone. "+
+						"Put it beside that block.", up.path(), p.attribute),
+				)
 				return
 			}
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy is the operators' language of rate limits: text in HCL's syntax is read, checked as a whole, and
-// compiled to the flat table that nodes judge requests by (decide.Table). It is pure: same text, same known names, same
-// bytes. Nodes take tables and never link this package.
+// Package policy is the operators' language of rate limits: text in HCL's syntax is read, checked as a whole,
+// and compiled to the flat table that nodes judge requests by (decide.Table). It is pure: same text, same
+// known names, same bytes. Nodes take tables and never link this package.
 package policy
 
 import (
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -27,12 +27,18 @@
 }
 
 var attributeNames = map[string]ratelimit.Attribute{
-	"site": ratelimit.AttributeSite, "book": ratelimit.AttributeTenant, "class": ratelimit.AttributeClass, "pod": ratelimit.AttributeCell,
+	"site":  ratelimit.AttributeSite,
+	"book":  ratelimit.AttributeTenant,
+	"class": ratelimit.AttributeClass,
+	"pod":   ratelimit.AttributeCell,
 }
 
 var units = map[string]ratelimit.Unit{
-	"requests": ratelimit.UnitRequests, "work": ratelimit.UnitWork, "open": ratelimit.UnitConcurrency, "repeats": ratelimit.UnitRetries,
-	"key": ratelimit.UnitPerKey,
+	"requests": ratelimit.UnitRequests,
+	"work":     ratelimit.UnitWork,
+	"open":     ratelimit.UnitConcurrency,
+	"repeats":  ratelimit.UnitRetries,
+	"key":      ratelimit.UnitPerKey,
 }
 
 var fileSchema = &hcl.BodySchema{
@@ -80,7 +86,11 @@
 		c.diags = append(c.diags, diags...)
 		for name, a := range attrs {
 			if locals[name] != nil {
-				c.addError(a.NameRange, "A local given twice", fmt.Sprintf("%q has a value already. Drop one of them.", name))
+				c.addError(
+					a.NameRange,
+					"A local given twice",
+					fmt.Sprintf("%q has a value already. Drop one of them.", name),
+				)
 			}
 			locals[name] = a
 		}
@@ -104,7 +114,11 @@
 	}
 	fleets := content.Blocks.OfType("fleet")
 	if len(fleets) == 0 {
-		c.addError(body.MissingItemRange(), "No fleet", "A policy has one block `fleet { ... }`, in which all limits nest.")
+		c.addError(
+			body.MissingItemRange(),
+			"No fleet",
+			"A policy has one block `fleet { ... }`, in which all limits nest.",
+		)
 		return nil
 	}
 	for _, b := range fleets[1:] {
@@ -118,8 +132,12 @@
 	if name != "" {
 		name = fmt.Sprintf(" %q", name)
 	}
-	c.addError(b.DefRange, "The same block twice", fmt.Sprintf("There is a block `%s%s` in this place already, and two of them "+
-		"would contradict each other. Put them together in one.", b.Type, name))
+	c.addError(
+		b.DefRange,
+		"The same block twice",
+		fmt.Sprintf("There is a block `%s%s` in this place already, and two of them "+
+			"would contradict each other. Put them together in one.", b.Type, name),
+	)
 }
 
 // scopeBlock reads a part's block and all within it.
@@ -130,8 +148,12 @@
 	}
 	if c.scopes++; c.scopes > ratelimit.MaxLimits {
 		if c.scopes == ratelimit.MaxLimits+1 {
-			c.addError(b.DefRange, "Too many parts", fmt.Sprintf("A policy has %d at most. Let those with little to do share one "+
-				"block with the name \"*\".", ratelimit.MaxLimits))
+			c.addError(
+				b.DefRange,
+				"Too many parts",
+				fmt.Sprintf("A policy has %d at most. Let those with little to do share one "+
+					"block with the name \"*\".", ratelimit.MaxLimits),
+			)
 		}
 		return p
 	}
@@ -155,8 +177,12 @@
 		}
 	}
 	if up != nil && len(content.Attributes) == 0 && len(content.Blocks) == 0 {
-		c.addError(b.DefRange, "A block that says nothing", "It changes nothing for any request. Give it a share, a limit or a "+
-			"priority, or drop it.")
+		c.addError(
+			b.DefRange,
+			"A block that says nothing",
+			"It changes nothing for any request. Give it a share, a limit or a "+
+				"priority, or drop it.",
+		)
 	}
 	return p
 }
@@ -171,12 +197,20 @@
 		case ok && word == "never":
 			p.priority = -1
 		case ok:
-			c.addError(p.prioritySource, "Not a priority", fmt.Sprintf("%q is none: write \"always\" or \"never\", or leave it out and "+
-				"the node judges by worth.", word))
+			c.addError(
+				p.prioritySource,
+				"Not a priority",
+				fmt.Sprintf("%q is none: write \"always\" or \"never\", or leave it out and "+
+					"the node judges by worth.", word),
+			)
 		}
 	}
 	if p.share != nil && p.parent == nil {
-		c.addError(p.share.source, "A share of nothing", "Nothing is around the fleet that it could have a share of. Give its limits a rate.")
+		c.addError(
+			p.share.source,
+			"A share of nothing",
+			"Nothing is around the fleet that it could have a share of. Give its limits a rate.",
+		)
 	}
 }
 
--- a/internal/policy/values.go
+++ b/internal/policy/values.go
@@ -37,14 +37,22 @@
 		return cty.NilVal, false
 	}
 	if v.IsNull() {
-		c.addError(a.Expr.Range(), "No value", fmt.Sprintf("%s has none here. Give it one, or leave it out.", a.Name))
+		c.addError(
+			a.Expr.Range(),
+			"No value",
+			fmt.Sprintf("%s has none here. Give it one, or leave it out.", a.Name),
+		)
 		return cty.NilVal, false
 	}
 	got := v.Type()
 	v, err := convert.Convert(v, want)
 	if err != nil || want == cty.Number && got != cty.Number {
-		c.addError(a.Expr.Range(), "Not of the right kind", fmt.Sprintf("%s takes a %s, and this is a %s.%s", a.Name,
-			want.FriendlyName(), got.FriendlyName(), remedy(want, got)))
+		c.addError(
+			a.Expr.Range(),
+			"Not of the right kind",
+			fmt.Sprintf("%s takes a %s, and this is a %s.%s", a.Name,
+				want.FriendlyName(), got.FriendlyName(), remedy(want, got)),
+		)
 		return cty.NilVal, false
 	}
 	return v, true
@@ -70,7 +78,11 @@
 func (c *compiler) amount(a *hcl.Attribute) *number {
 	g := c.number(a)
 	if g != nil && !(g.value >= 0 && g.value <= maxUnits) {
-		c.addError(g.source, "A number out of bounds", fmt.Sprintf("%s is %v: it can be 0 to %v.", a.Name, g.value, maxUnits))
+		c.addError(
+			g.source,
+			"A number out of bounds",
+			fmt.Sprintf("%s is %v: it can be 0 to %v.", a.Name, g.value, maxUnits),
+		)
 		return nil
 	}
 	return g
@@ -126,7 +138,11 @@
 		return 0, false
 	}
 	if g.value != math.Trunc(g.value) || g.value < float64(least) || g.value > float64(most) {
-		c.addError(g.source, "A number out of bounds", fmt.Sprintf("%s is %v: it can be a whole number from %d to %d.", a.Name, g.value, least, most))
+		c.addError(
+			g.source,
+			"A number out of bounds",
+			fmt.Sprintf("%s is %v: it can be a whole number from %d to %d.", a.Name, g.value, least, most),
+		)
 		return 0, false
 	}
 	return int(g.value), true
@@ -140,8 +156,12 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 || d > time.Hour {
-		c.addError(a.Expr.Range(), "Not a time to wait", fmt.Sprintf("%s is %q: write a number with its unit, such as \"500ms\" or "+
-			"\"2s\", one hour at most.", a.Name, text))
+		c.addError(
+			a.Expr.Range(),
+			"Not a time to wait",
+			fmt.Sprintf("%s is %q: write a number with its unit, such as \"500ms\" or "+
+				"\"2s\", one hour at most.", a.Name, text),
+		)
 		return 0, false
 	}
 	return d, true
@@ -154,8 +174,12 @@
 		return 0, false
 	}
 	if n.value != 429 && n.value != 503 {
-		c.addError(n.source, "Not a status for a refusal", fmt.Sprintf("%s is %v: write 429 (this client asks too much) or 503 (the "+
-			"service has no room).", a.Name, n.value))
+		c.addError(
+			n.source,
+			"Not a status for a refusal",
+			fmt.Sprintf("%s is %v: write 429 (this client asks too much) or 503 (the "+
+				"service has no room).", a.Name, n.value),
+		)
 		ok = false
 	}
 	return int(n.value), ok
@@ -169,7 +193,11 @@
 	}
 	t, err := time.Parse("15:04", text)
 	if err != nil {
-		c.addError(a.Expr.Range(), "Not a time of day", fmt.Sprintf("%s is %q: write hours and minutes, \"00:00\" to \"23:59\".", a.Name, text))
+		c.addError(
+			a.Expr.Range(),
+			"Not a time of day",
+			fmt.Sprintf("%s is %q: write hours and minutes, \"00:00\" to \"23:59\".", a.Name, text),
+		)
 		return 0, false
 	}
 	return t.Hour()*60 + t.Minute(), true
@@ -183,8 +211,12 @@
 	}
 	t, err := time.Parse("-07:00", text)
 	if err != nil {
-		c.addError(a.Expr.Range(), "Not a clock", fmt.Sprintf("%s is %q: write how far the operators' clock is ahead of UTC, such as "+
-			"\"+02:00\".", a.Name, text))
+		c.addError(
+			a.Expr.Range(),
+			"Not a clock",
+			fmt.Sprintf("%s is %q: write how far the operators' clock is ahead of UTC, such as "+
+				"\"+02:00\".", a.Name, text),
+		)
 		return 0
 	}
 	_, ahead := t.Zone()
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -26,7 +26,16 @@
 	r.cancelAttempts = append(r.cancelAttempts, cancel)
 	if r.answered || r.runningAttempts > 0 && !n.config.Settings.AllowHedging {
 		cancel()
-		n.pendingEvents = append(n.pendingEvents, balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: a.Endpoint, RequestAnswered: r.answered, Outcome: balancer.NotSent})
+		n.pendingEvents = append(
+			n.pendingEvents,
+			balancer.AttemptEnded{
+				ID:              r.id,
+				Attempt:         number,
+				Endpoint:        a.Endpoint,
+				RequestAnswered: r.answered,
+				Outcome:         balancer.NotSent,
+			},
+		)
 		return
 	}
 	r.runningAttempts++
@@ -53,7 +62,13 @@
 }
 
 // streamResponse gives a long answer to its request, and returns when that is over.
-func (n *Server) streamResponse(r *request, number int, server balancer.EndpointID, took time.Duration, res result) error {
+func (n *Server) streamResponse(
+	r *request,
+	number int,
+	server balancer.EndpointID,
+	took time.Duration,
+	res result,
+) error {
 	n.post(func() {
 		if r.answered {
 			res.stream.ended <- errClientGone
@@ -71,7 +86,13 @@
 	}
 }
 
-func (n *Server) attemptEnded(r *request, number int, server balancer.EndpointID, took time.Duration, res result) {
+func (n *Server) attemptEnded(
+	r *request,
+	number int,
+	server balancer.EndpointID,
+	took time.Duration,
+	res result,
+) {
 	r.runningAttempts--
 	if res.outcome == balancer.OK {
 		n.answerRequest(r.id, response{status: http.StatusOK, header: res.header, body: res.body})
@@ -80,8 +101,18 @@
 		n.stats.attempt(n.endpointIDs.byID[server], res.outcome, took > n.latencyObjective(r.class))
 	}
 	over := r.answered
-	n.handle(balancer.AttemptEnded{ID: r.id, Attempt: number, Endpoint: server, RequestAnswered: over, BodyDiscarded: res.bodyDiscarded, Elapsed: took,
-		Outcome: res.outcome, LoadReport: res.loadReport})
+	n.handle(
+		balancer.AttemptEnded{
+			ID:              r.id,
+			Attempt:         number,
+			Endpoint:        server,
+			RequestAnswered: over,
+			BodyDiscarded:   res.bodyDiscarded,
+			Elapsed:         took,
+			Outcome:         res.outcome,
+			LoadReport:      res.loadReport,
+		},
+	)
 	n.forgetRequest(r)
 }
 
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -39,7 +39,8 @@
 	Peers      []netip.AddrPort // of all nodes, by their numbers; invalid: not to be reached
 
 	Membership MembershipConfig // the view of the fleet
-	Policy     bool             // the operators' policy is followed, and its limits are shared with the other nodes
+	// the operators' policy is followed, and its limits are shared with the other nodes
+	Policy bool
 
 	Tenants TenantsConfig
 
@@ -109,7 +110,8 @@
 		for _, err := range all {
 			wrong("settings: %w", err)
 		}
-		settings.AllowLoadQueries = false // servers take nothing from a node but clients' requests, whatever the simulator's may
+		// servers take nothing from a node but clients' requests, whatever the simulator's may
+		settings.AllowLoadQueries = false
 	}
 	for _, a := range in.addresses() {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
@@ -120,11 +122,28 @@
 	if err != nil {
 		wrong("seed: %w", err)
 	}
-	c = Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Registry: in.List, RegistryCache: in.ListFile, RegistrySubset: in.ListPart, Control: in.Control,
-		FencingFolder: in.Fences, BackendStats: in.BackendStats, Seed: int64(seed), MemoryMB: in.Limits.MemoryMB, MaxDescriptors: in.Limits.Sockets,
-		Settings: settings, initialList: in.Known}
+	c = Config{
+		Name:           in.Name,
+		Listen:         in.Listen,
+		Discovery:      in.Discovery,
+		Registry:       in.List,
+		RegistryCache:  in.ListFile,
+		RegistrySubset: in.ListPart,
+		Control:        in.Control,
+		FencingFolder:  in.Fences,
+		BackendStats:   in.BackendStats,
+		Seed:           int64(seed),
+		MemoryMB:       in.Limits.MemoryMB,
+		MaxDescriptors: in.Limits.Sockets,
+		Settings:       settings,
+		initialList:    in.Known,
+	}
 	if in.ListPart && (len(in.List) == 0 || settings.ProxyIndex < 0 || settings.ProxyIndex >= settings.Proxies) {
-		wrong("list_part: only the list service knows parts, of a node with a number: want list, and a slot_no under balancers (%d of %d)", settings.ProxyIndex, settings.Proxies)
+		wrong(
+			"list_part: only the list service knows parts, of a node with a number: want list, and a slot_no under balancers (%d of %d)",
+			settings.ProxyIndex,
+			settings.Proxies,
+		)
 	}
 	var all []error
 	c.Membership, all = in.Fleet.config(in.Name, in.PeerListen, settings)
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -45,11 +45,16 @@
 }
 
 func (n *Server) serveControl(ctx context.Context, ln net.Listener) error {
-	srv := &http.Server{Handler: n.controlMux(), ReadTimeout: operatorCallTimeout, WriteTimeout: operatorCallTimeout + time.Second, MaxHeaderBytes: maxCall,
-		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
+	srv := &http.Server{
+		Handler:        n.controlMux(),
+		ReadTimeout:    operatorCallTimeout,
+		WriteTimeout:   operatorCallTimeout + time.Second,
+		MaxHeaderBytes: maxCall,
+		ErrorLog:       slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, operatorConnKey{}, c)
-		}}
+		},
+	}
 	srv.SetKeepAlivesEnabled(false)
 	stop := context.AfterFunc(ctx, func() { besteffort.Close(srv) })
 	defer stop()
@@ -84,8 +89,14 @@
 	if n.config.Tenants.Enabled {
 		mux.HandleFunc("GET /tenants", n.serveTenants)
 	}
-	mux.HandleFunc("POST /backends/{id}/maint", func(w http.ResponseWriter, r *http.Request) { n.serveMaintenance(w, r, true) })
-	mux.HandleFunc("POST /backends/{id}/ready", func(w http.ResponseWriter, r *http.Request) { n.serveMaintenance(w, r, false) })
+	mux.HandleFunc(
+		"POST /backends/{id}/maint",
+		func(w http.ResponseWriter, r *http.Request) { n.serveMaintenance(w, r, true) },
+	)
+	mux.HandleFunc(
+		"POST /backends/{id}/ready",
+		func(w http.ResponseWriter, r *http.Request) { n.serveMaintenance(w, r, false) },
+	)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(operatorConnKey{}).(*operatorConn); ok {
 			c.hasCalled.Store(true)
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -19,15 +19,19 @@
 	minDescriptors      = 64 // below this no node can serve
 )
 
-// maxDescriptors is the number of descriptors that the node may use: as configured, but no more than the system
-// gives this process, or accepting would take the last one.
+// maxDescriptors is the number of descriptors that the node may use: as configured, but no more than the
+// system gives this process, or accepting would take the last one.
 func maxDescriptors(configured int, log *slog.Logger) (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(configured) {
 		return configured, nil
 	}
 	if limit.Cur < minDescriptors {
-		return minDescriptors, fmt.Errorf("limits: the system gives %d descriptors, want %d or more", limit.Cur, minDescriptors)
+		return minDescriptors, fmt.Errorf(
+			"limits: the system gives %d descriptors, want %d or more",
+			limit.Cur,
+			minDescriptors,
+		)
 	}
 	log.Warn("the system gives fewer descriptors than limits.sockets", "gives", limit.Cur, "sockets", configured)
 	return int(limit.Cur), nil
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -11,10 +11,12 @@
 )
 
 const (
-	acceptLinger   = 600 * time.Millisecond // after SIGTERM new connections still come for a while
-	finishSlack    = 100 * time.Millisecond // what is open then may take the longest deadline and this
-	fullTimeout    = 600 * time.Millisecond // without a place for clients, after which they are shut: one that was idle has let go of its own by then
-	maxKillTimeout = 3 * time.Second        // SIGKILL may come so long after lingerTime and finishSlack, or a longest deadline that is shorter
+	acceptLinger = 600 * time.Millisecond // after SIGTERM new connections still come for a while
+	finishSlack  = 100 * time.Millisecond // what is open then may take the longest deadline and this
+	// without a place for clients, after which they are shut: one that was idle has let go of its own by then
+	fullTimeout = 600 * time.Millisecond
+	// SIGKILL may come so long after lingerTime and finishSlack, or a longest deadline that is shorter
+	maxKillTimeout = 3 * time.Second
 )
 
 // serve takes requests until ctx ends. Then it goes on for a while, as the
@@ -87,7 +89,8 @@
 	limited.WaitForConns(last, 0)
 }
 
-// longestTimeLeft is how long a request that is open, or comes yet, may take: by its settings, which may be earlier ones.
+// longestTimeLeft is how long a request that is open, or comes yet, may take: by its settings, which may be
+// earlier ones.
 func (f *frontend) longestTimeLeft() time.Duration {
 	return max(f.rules.Load().longestDeadline, time.Duration(f.latestDeadline.Load())-time.Since(f.server.start))
 }
