--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -30,7 +30,13 @@
 // may says right before the first byte whether the request may still be sent.
 // A long answer is given to begun, which returns when that is over and tells
 // how it ended; ctx has no part in it any more.
-func (p *pool) attempt(ctx context.Context, id balancer.EndpointID, o *outbound, may func() bool, begun func(result) error) result {
+func (p *pool) attempt(
+	ctx context.Context,
+	id balancer.EndpointID,
+	o *outbound,
+	may func() bool,
+	begun func(result) error,
+) result {
 	end, ok := ctx.Deadline()
 	if !ok {
 		return result{outcome: balancer.NotSent} // an attempt without an end could hang for ever
@@ -68,7 +74,11 @@
 	if res.stream != nil {
 		if !stop() {
 			c.closeDirty()
-			return result{outcome: failedOutcome(ctx, nil), loadReport: res.loadReport, bodyDiscarded: res.bodyDiscarded}
+			return result{
+				outcome:       failedOutcome(ctx, nil),
+				loadReport:    res.loadReport,
+				bodyDiscarded: res.bodyDiscarded,
+			}
 		}
 		return c.streamResult(res, clean, begun)
 	}
@@ -147,7 +157,8 @@
 				besteffort.SocketOption(c.SetReadDeadline(time.Unix(1, 0)))
 			}
 		} else {
-			besteffort.SocketOption(c.SetReadDeadline(time.Now().Add(earlyResponseWait))) // why the server has closed may be on its way
+			// why the server has closed may be on its way
+			besteffort.SocketOption(c.SetReadDeadline(time.Now().Add(earlyResponseWait)))
 		}
 		sent <- err
 	}()
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// leaveTimeout bounds how long the process stays to tell the others that it goes on purpose: eight periods of 200 ms, and
-	// some for a node that is late.
+	// leaveTimeout bounds how long the process stays to tell the others that it goes on purpose: eight periods
+	// of 200 ms, and some for a node that is late.
 	leaveTimeout = 2500 * time.Millisecond
 	// reportTimeout is for the view's owner to get to a call: it has a millisecond of work at a time.
 	reportTimeout = 800 * time.Millisecond
@@ -40,7 +40,8 @@
 	return o
 }
 
-// startMembership begins the node's part in the view of the fleet, if its configuration names one, at the peers' socket.
+// startMembership begins the node's part in the view of the fleet, if its configuration names one, at the
+// peers' socket.
 func (n *Server) startMembership(p *peerSocket, handed *gossip.Handoff) {
 	c := n.config.Membership
 	if c.Name == "" {
@@ -50,8 +51,24 @@
 	if len(seeds) == 0 {
 		seeds = otherPeers(n.config.Peers, n.identity.number)
 	}
-	shell := gossip.Start(n.loopContext, gossip.Config{Fleet: c.Name, Name: n.config.Name, Number: n.identity.number, Addr: c.Address, Seeds: seeds, Peers: n.config.Peers,
-		ProbeInterval: c.ProbeInterval, Zone: n.identity.zone, Version: version(), LocalState: n.localState(handed), Send: p.write, Log: n.log, Handoff: handed})
+	shell := gossip.Start(
+		n.loopContext,
+		gossip.Config{
+			Fleet:         c.Name,
+			Name:          n.config.Name,
+			Number:        n.identity.number,
+			Addr:          c.Address,
+			Seeds:         seeds,
+			Peers:         n.config.Peers,
+			ProbeInterval: c.ProbeInterval,
+			Zone:          n.identity.zone,
+			Version:       version(),
+			LocalState:    n.localState(handed),
+			Send:          p.write,
+			Log:           n.log,
+			Handoff:       handed,
+		},
+	)
 	p.handlers[membershipKinds], p.handlers[membershipKindsMore] = shell.Receive, shell.Receive
 	if n.policy != nil {
 		p.handlers[quotaKind] = n.receiveQuotaDatagram
@@ -68,7 +85,8 @@
 	return others
 }
 
-// localState tells the fleet what the node does. One that takes over from a process of its own goes on with that one's state until it accepts.
+// localState tells the fleet what the node does. One that takes over from a process of its own goes on with
+// that one's state until it accepts.
 func (n *Server) localState(handed *gossip.Handoff) func() (membership.State, uint16) {
 	return func() (membership.State, uint16) {
 		load := uint16(min(1000, max(0, n.stats.outstanding.Load()*1000/n.identity.maxOpenRequests)))
@@ -84,7 +102,8 @@
 	}
 }
 
-// leaveMembership tells the fleet that this node goes on purpose. A node that handed over has nothing to tell.
+// leaveMembership tells the fleet that this node goes on purpose. A node that handed over has nothing to
+// tell.
 func (n *Server) leaveMembership(ctx context.Context) {
 	if shell := n.membership.Load(); shell != nil {
 		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
@@ -93,7 +112,8 @@
 	}
 }
 
-// handOffMembership ends the view in this process, and gives what the next one goes on with; nil without a view.
+// handOffMembership ends the view in this process, and gives what the next one goes on with; nil without a
+// view.
 func (n *Server) handOffMembership() json.RawMessage {
 	shell := n.membership.Load()
 	if shell == nil {
@@ -125,7 +145,11 @@
 	defer cancel()
 	shell := n.membership.Load()
 	if shell == nil {
-		http.Error(w, "the view has not begun: this process has no socket for other nodes yet", http.StatusServiceUnavailable)
+		http.Error(
+			w,
+			"the view has not begun: this process has no socket for other nodes yet",
+			http.StatusServiceUnavailable,
+		)
 		return
 	}
 	report, ok := shell.Report(ctx)
--- a/internal/proxy/fleet_config.go
+++ b/internal/proxy/fleet_config.go
@@ -13,16 +13,17 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Bounds of the time from one probe to the next. Below, a late scheduler looks like a death; above, a death takes minutes
-// to be known.
+// Bounds of the time from one probe to the next. Below, a late scheduler looks like a death; above, a death
+// takes minutes to be known.
 const (
 	minProbeInterval = 20 * time.Millisecond
 	maxProbeInterval = 10 * time.Second
 	maxSeeds         = 512 // as many as the core takes
 )
 
-// Version of the program that the fleet is told, to be set by the linker: -X wrenspread/internal/proxy.Version=v7. Else it is the
-// revision that it was built from, or unknown to one that was built without.
+// Version of the program that the fleet is told, to be set by the linker: -X
+// wrenspread/internal/proxy.Version=v7. Else it is the revision that it was built from, or unknown to one
+// that was built without.
 var Version string
 
 // MembershipConfig is what the view of the fleet needs. Without a Name there is no view.
@@ -52,7 +53,12 @@
 		wrong("name: want the fleet's name, of at most %d bytes", wire.MaxName)
 	}
 	if c.ProbeInterval != 0 && (c.ProbeInterval < minProbeInterval || c.ProbeInterval > maxProbeInterval) {
-		wrong("period_ms: %d: want %d to %d", f.PeriodMS, minProbeInterval.Milliseconds(), maxProbeInterval.Milliseconds())
+		wrong(
+			"period_ms: %d: want %d to %d",
+			f.PeriodMS,
+			minProbeInterval.Milliseconds(),
+			maxProbeInterval.Milliseconds(),
+		)
 	}
 	if len(f.Join) > maxSeeds {
 		wrong("join: %d addresses: want at most %d", len(f.Join), maxSeeds)
@@ -97,7 +103,10 @@
 func reachable(text string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err == nil && (!a.Addr().Is4() || a.Addr().IsUnspecified() || a.Port() == 0) {
-		err = fmt.Errorf("%q is not to be reached: want an IPv4 address that others can send to, and a port above 0", text)
+		err = fmt.Errorf(
+			"%q is not to be reached: want an IPv4 address that others can send to, and a port above 0",
+			text,
+		)
 	}
 	return a, err
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -15,10 +15,11 @@
 )
 
 const (
-	headTimeout  = 2500 * time.Millisecond // for a request's head: a slow client takes 2 s
-	readTimeout  = 2700 * time.Millisecond // for a request that stops: any peer is owed an error or a close within 3 s
-	writeTimeout = 5 * time.Second         // for an answer
-	idleTimeout  = 2 * time.Minute         // for a connection between requests
+	headTimeout = 2500 * time.Millisecond // for a request's head: a slow client takes 2 s
+	// for a request that stops: any peer is owed an error or a close within 3 s
+	readTimeout  = 2700 * time.Millisecond
+	writeTimeout = 5 * time.Second // for an answer
+	idleTimeout  = 2 * time.Minute // for a connection between requests
 )
 
 type connKey struct{}
@@ -35,14 +36,21 @@
 	accepting      atomic.Bool                       // it accepts
 	handedOff      atomic.Bool                       // to a new process
 	clients        atomic.Pointer[listener.Listener] // nil: it does not serve yet
-	successorEnded chan struct{}                     // closed when the process has ended that accepts in its place
+	// closed when the process has ended that accepts in its place
+	successorEnded chan struct{}
 	killTimeout    time.Duration
 	latestDeadline atomic.Int64              // deadline of a request read so far, from the node's start
 	answerBy       atomic.Pointer[time.Time] // for requests that come from now on; nil: their deadlines
 }
 
 func newFrontend(n *Server, most int) *frontend {
-	f := &frontend{server: n, maxConnections: most, keepAccepting: func() { time.Sleep(acceptLinger) }, successorEnded: make(chan struct{}), killTimeout: maxKillTimeout}
+	f := &frontend{
+		server:         n,
+		maxConnections: most,
+		keepAccepting:  func() { time.Sleep(acceptLinger) },
+		successorEnded: make(chan struct{}),
+		killTimeout:    maxKillTimeout,
+	}
 	f.rules.Store(newRules(n.config.Settings, nil))
 	return f
 }
@@ -87,7 +95,8 @@
 	}
 	outstanding := &f.server.stats.outstanding
 	if up := req.outbound.upload; up != nil {
-		_ = http.NewResponseController(w).EnableFullDuplex() // HTTP/1 always has it; an answer may come ahead of the body's end
+		// HTTP/1 always has it; an answer may come ahead of the body's end
+		_ = http.NewResponseController(w).EnableFullDuplex()
 		up.clientGone = req.abandoned
 		up.onComplete = func(wait time.Duration) { f.server.post(func() { f.server.requestSent(req, f.timeLeft(wait)) }) }
 		defer up.close()
@@ -134,7 +143,12 @@
 }
 
 // handleRequest has the loop end a request, passes the answer on and tells how it went.
-func (f *frontend) handleRequest(w http.ResponseWriter, r *http.Request, req *request, event balancer.RequestArrived) requestResult {
+func (f *frontend) handleRequest(
+	w http.ResponseWriter,
+	r *http.Request,
+	req *request,
+	event balancer.RequestArrived,
+) requestResult {
 	var broken <-chan struct{} // closed when an upload has ended, which may be well or not
 	var looks <-chan time.Time // at its client: the server hears nothing ahead of a body's end
 	if req.outbound.upload != nil {
@@ -176,8 +190,8 @@
 	}
 }
 
-// abandon ends a request whose client has left, or has only ended its sending and can still read. Without a word from
-// here the server would tell it 200, which no backend said.
+// abandon ends a request whose client has left, or has only ended its sending and can still read. Without a
+// word from here the server would tell it 200, which no backend said.
 func (f *frontend) abandon(w http.ResponseWriter, req *request) {
 	f.server.post(func() { f.server.abandonRequest(req) })
 	write(w, response{status: http.StatusBadGateway})
--- a/internal/proxy/govern.go
+++ b/internal/proxy/govern.go
@@ -43,18 +43,28 @@
 		return problems
 	}
 	if c.Membership.Name == "" {
-		problems = append(problems, fmt.Errorf("govern: policy needs the view of the fleet: the key fleet with its name"))
+		problems = append(
+			problems,
+			fmt.Errorf("govern: policy needs the view of the fleet: the key fleet with its name"),
+		)
 	}
 	if len(c.Registry) == 0 {
-		problems = append(problems, fmt.Errorf("govern: policy needs the list service: the key list with its addresses"))
+		problems = append(
+			problems,
+			fmt.Errorf("govern: policy needs the list service: the key list with its addresses"),
+		)
 	}
 	if !c.Settings.AllowGossip {
-		problems = append(problems, fmt.Errorf("govern: policy needs messages between nodes, which settings.caps.peers does not allow"))
+		problems = append(
+			problems,
+			fmt.Errorf("govern: policy needs messages between nodes, which settings.caps.peers does not allow"),
+		)
 	}
 	return problems
 }
 
-// policyFollower is a node's part in the operators' policy and in the shares of its limits. Only figures are not the loop's.
+// policyFollower is a node's part in the operators' policy and in the shares of its limits. Only figures are
+// not the loop's.
 type policyFollower struct {
 	client       *client.Client // for records alone
 	ledger       *quota.Ledger
@@ -75,7 +85,17 @@
 		return nil, err
 	}
 	life := uint64(time.Now().UnixMilli())
-	return &policyFollower{client: k, ledger: quota.NewLedger(quota.LedgerConfig{Fleet: wire.FleetHash(cfg.Membership.Name), Name: cfg.Name, Generation: life, Seed: uint64(cfg.Seed)})}, nil
+	return &policyFollower{
+		client: k,
+		ledger: quota.NewLedger(
+			quota.LedgerConfig{
+				Fleet:      wire.FleetHash(cfg.Membership.Name),
+				Name:       cfg.Name,
+				Generation: life,
+				Seed:       uint64(cfg.Seed),
+			},
+		),
+	}, nil
 }
 
 // followPolicy follows the policy and has the shares' clock run until ctx ends.
@@ -84,8 +104,16 @@
 	if g == nil {
 		return
 	}
-	go g.client.FollowRecords(ctx, record.PolicyPrefix, func(r client.Records) { n.post(func() { n.applyPolicy(r) }) })
-	go g.client.FollowRecords(ctx, record.QuotaPrefix, func(r client.Records) { n.post(func() { n.applyAllocator(r) }) })
+	go g.client.FollowRecords(
+		ctx,
+		record.PolicyPrefix,
+		func(r client.Records) { n.post(func() { n.applyPolicy(r) }) },
+	)
+	go g.client.FollowRecords(
+		ctx,
+		record.QuotaPrefix,
+		func(r client.Records) { n.post(func() { n.applyAllocator(r) }) },
+	)
 	go func() {
 		defer g.client.Close()
 		t := time.NewTicker(quotaTickInterval)
@@ -101,8 +129,8 @@
 	}()
 }
 
-// applyPolicy takes the table that holds, whole: the shares and the module change over between two events. A table that
-// can't be read changes nothing, as one of a later program may come to nodes of this one.
+// applyPolicy takes the table that holds, whole: the shares and the module change over between two events. A
+// table that can't be read changes nothing, as one of a later program may come to nodes of this one.
 func (n *Server) applyPolicy(r client.Records) {
 	g, one := n.policy, record.Find(r, record.CurrentKey)
 	t, err := record.DecodeTable(one)
@@ -172,7 +200,8 @@
 	}
 }
 
-// receiveQuotaDatagram takes a datagram of the shares off the socket. It does not wait for the loop: one too many is lost.
+// receiveQuotaDatagram takes a datagram of the shares off the socket. It does not wait for the loop: one too
+// many is lost.
 func (n *Server) receiveQuotaDatagram(_ netip.AddrPort, data []byte) {
 	kept := append([]byte(nil), data...)
 	select {
@@ -202,6 +231,16 @@
 
 // write gives the figures of the policy as lines of text.
 func (g *policyFollower) write(w io.Writer) {
-	besteffort.Output(fmt.Fprintf(w, "app.policy.version:%d|g\napp.policy.asked:%d|c\napp.policy.refused:%d|c\napp.policy.fence:%d|g\napp.policy.resting:%d|g\napp.policy.seated:%d|g\n",
-		g.version.Load(), g.requests.Load(), g.rejected.Load(), g.token.Load(), one(g.fallbackSuspended.Load()), one(g.hasSlot.Load())))
+	besteffort.Output(
+		fmt.Fprintf(
+			w,
+			"app.policy.version:%d|g\napp.policy.asked:%d|c\napp.policy.refused:%d|c\napp.policy.fence:%d|g\napp.policy.resting:%d|g\napp.policy.seated:%d|g\n",
+			g.version.Load(),
+			g.requests.Load(),
+			g.rejected.Load(),
+			g.token.Load(),
+			one(g.fallbackSuspended.Load()),
+			one(g.hasSlot.Load()),
+		),
+	)
 }
--- a/internal/proxy/ids.go
+++ b/internal/proxy/ids.go
@@ -17,11 +17,15 @@
 }
 
 func newEndpointIDs() *endpointIDs {
-	return &endpointIDs{byName: map[string]balancer.EndpointID{}, byID: map[balancer.EndpointID]string{}, hash: func(s string) uint32 {
-		h := fnv.New32a()
-		besteffort.Response(io.WriteString(h, s)) // never fails
-		return h.Sum32()
-	}}
+	return &endpointIDs{
+		byName: map[string]balancer.EndpointID{},
+		byID:   map[balancer.EndpointID]string{},
+		hash: func(s string) uint32 {
+			h := fnv.New32a()
+			besteffort.Response(io.WriteString(h, s)) // never fails
+			return h.Sum32()
+		},
+	}
 }
 
 // idOf finds the number of a name. Of two names with one hash the later listed
--- a/internal/proxy/keys.go
+++ b/internal/proxy/keys.go
@@ -69,10 +69,19 @@
 	if len(text) > 40 {
 		text = append(text[:40], "..."...)
 	}
-	k.problems = append(k.problems, strings.TrimPrefix(fmt.Sprintf("%s: want %s, have %s", path, want, text), ": "))
+	k.problems = append(
+		k.problems,
+		strings.TrimPrefix(fmt.Sprintf("%s: want %s, have %s", path, want, text), ": "),
+	)
 }
 
 var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
 
-var kinds = map[reflect.Kind]string{reflect.String: "a string", reflect.Bool: "true or false", reflect.Int: "a whole number",
-	reflect.Int64: "a whole number", reflect.Float64: "a number", reflect.Struct: "an object"}
+var kinds = map[reflect.Kind]string{
+	reflect.String:  "a string",
+	reflect.Bool:    "true or false",
+	reflect.Int:     "a whole number",
+	reflect.Int64:   "a whole number",
+	reflect.Float64: "a number",
+	reflect.Struct:  "an object",
+}
--- a/internal/proxy/listener/inherited.go
+++ b/internal/proxy/listener/inherited.go
@@ -31,13 +31,16 @@
 	return ln, err
 }
 
-// sharedListener is a socket whose mode belongs to all processes that have it. Whoever passes it on to the next one may set
-// it to block meanwhile, as os/exec does: an accept that finds nobody would then hold up even Close until a client comes.
+// sharedListener is a socket whose mode belongs to all processes that have it. Whoever passes it on to the
+// next one may set it to block meanwhile, as os/exec does: an accept that finds nobody would then hold up
+// even Close until a client comes.
 type sharedListener struct{ *net.TCPListener }
 
 func (l sharedListener) Accept() (net.Conn, error) {
 	if raw, err := l.SyscallConn(); err == nil {
-		besteffort.SocketOption(raw.Control(func(fd uintptr) { besteffort.SocketOption(syscall.SetNonblock(int(fd), true)) }))
+		besteffort.SocketOption(
+			raw.Control(func(fd uintptr) { besteffort.SocketOption(syscall.SetNonblock(int(fd), true)) }),
+		)
 	}
 	return l.TCPListener.Accept()
 }
--- a/internal/proxy/listener/left.go
+++ b/internal/proxy/listener/left.go
@@ -9,20 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClientGone tells whether the client has ended its connection, or its sending, as far as the system knows, also behind bytes
-// that nobody has read. The server's own read, which waits for that, may come later than an attempt.
+// ClientGone tells whether the client has ended its connection, or its sending, as far as the system knows,
+// also behind bytes that nobody has read. The server's own read, which waits for that, may come later than an
+// attempt.
 func (c *Conn) ClientGone() bool {
 	raw, err := c.socket()
 	if err != nil {
 		return true // closed
 	}
 	left := false
-	err = raw.Control(func(fd uintptr) { left = hasEnded(int(fd)) }) // not Read, which would wait for the server's
+	// not Read, which would wait for the server's
+	err = raw.Control(func(fd uintptr) { left = hasEnded(int(fd)) })
 	return left || err != nil
 }
 
-// waitForClientEnd waits until the client has, and reads nothing meanwhile: there is no room to keep more. An error other than
-// io.EOF says that the wait was called off.
+// waitForClientEnd waits until the client has, and reads nothing meanwhile: there is no room to keep more. An
+// error other than io.EOF says that the wait was called off.
 func (c *Conn) waitForClientEnd() error {
 	raw, err := c.socket()
 	if err != nil {
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -20,7 +20,8 @@
 const (
 	connCheckInterval = 50 * time.Millisecond // between two looks at connections that are to end
 	queueAcceptTime   = 50 * time.Millisecond // to accept a connection that waits already
-	evictPause        = 20 * time.Millisecond // for a client that is told to close to do so, before another is told
+	// for a client that is told to close to do so, before another is told
+	evictPause = 20 * time.Millisecond
 	// minFreshTime is for a new client's first byte to come, before it may give way: a
 	// round trip, or two. Clients connect when they have something to send.
 	minFreshTime = 100 * time.Millisecond
@@ -30,15 +31,18 @@
 // descriptors for the servers.
 type Listener struct {
 	net.Listener
-	HeadTimeout time.Duration // for a later request's head to come, from its first byte on; 0: the server's matter
-	FullTimeout time.Duration // with all places taken and none idle, after which those who can't be taken are shut; 0: they wait
+	// for a later request's head to come, from its first byte on; 0: the server's matter
+	HeadTimeout time.Duration
+	// with all places taken and none idle, after which those who can't be taken are shut; 0: they wait
+	FullTimeout time.Duration
 	slots       chan struct{}
 	full        atomic.Bool // clients who come now are shut
 	skipLinger  atomic.Bool // no client's close is waited for
 	closed      chan struct{}
 	closeOnce   sync.Once // for that
 
-	fullSince time.Time // Accept's: since when it has found places taken and none idle; zero: the last one was there at once
+	// Accept's: since when it has found places taken and none idle; zero: the last one was there at once
+	fullSince time.Time
 
 	mu     sync.Mutex
 	idle   map[net.Conn]time.Time // since when
@@ -48,7 +52,13 @@
 
 // Limit has ln accept most connections at a time.
 func Limit(ln net.Listener, most int) *Listener {
-	return &Listener{Listener: ln, slots: make(chan struct{}, most), closed: make(chan struct{}), idle: map[net.Conn]time.Time{}, fresh: map[net.Conn]time.Time{}}
+	return &Listener{
+		Listener: ln,
+		slots:    make(chan struct{}, most),
+		closed:   make(chan struct{}),
+		idle:     map[net.Conn]time.Time{},
+		fresh:    map[net.Conn]time.Time{},
+	}
 }
 
 // Accept makes room by closing a connection that is not in use: clients that
@@ -151,7 +161,8 @@
 // resets what waits in its queue, so that is accepted first, as places get free.
 func (l *Listener) Drain() {
 	l.closeAllIdle()
-	if ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); !ok || ln.SetDeadline(time.Unix(1, 0)) != nil {
+	if ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); !ok ||
+		ln.SetDeadline(time.Unix(1, 0)) != nil {
 		besteffort.Close(l)
 	}
 }
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -28,7 +28,11 @@
 // discovery: then the list of before has to do.
 const agentAnswerTimeout = 500 * time.Millisecond
 
-var endpointStates = map[string]balancer.EndpointState{registry.Ready: balancer.Ready, registry.Draining: balancer.Draining, registry.Removed: balancer.Removed}
+var endpointStates = map[string]balancer.EndpointState{
+	registry.Ready:    balancer.Ready,
+	registry.Draining: balancer.Draining,
+	registry.Removed:  balancer.Removed,
+}
 
 func updateKindOf(l registry.ListResponse) balancer.UpdateKind {
 	if l.Snapshot {
@@ -43,10 +47,23 @@
 	listed := func(l registry.ListResponse) { n.post(func() { n.applyList(l, updateKindOf(l)) }) }
 	failed := func() { n.post(func() { n.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
 	if len(n.config.Registry) == 0 {
-		return client.NewPlatform(n.config.Discovery, n.config.Settings.PollForEndpoints, n.config.initialList.Index, n.log, listed, failed), nil
+		return client.NewPlatform(
+			n.config.Discovery,
+			n.config.Settings.PollForEndpoints,
+			n.config.initialList.Index,
+			n.log,
+			listed,
+			failed,
+		), nil
 	}
 	s := &registrySource{onList: listed}
-	c := client.Config{Addresses: n.config.Registry, File: n.config.RegistryCache, Hold: listHold, Log: n.log, OnChange: listed}
+	c := client.Config{
+		Addresses: n.config.Registry,
+		File:      n.config.RegistryCache,
+		Hold:      listHold,
+		Log:       n.log,
+		OnChange:  listed,
+	}
 	if s.subset.inputs.Store(subsetInputsOf(n.config.Settings)); n.config.RegistrySubset {
 		c.ChooseSubset = s.subset.next
 	}
@@ -109,8 +126,8 @@
 	}
 }
 
-// moveEndpointSource goes on where a new configuration says, and in the way that it says, if that has turned: a module that
-// lists are pushed to does not ask for them when a watch fails.
+// moveEndpointSource goes on where a new configuration says, and in the way that it says, if that has turned:
+// a module that lists are pushed to does not ask for them when a watch fails.
 func (n *Server) moveEndpointSource(cfg Config) {
 	switch l := n.endpointSource.(type) {
 	case *registrySource:
@@ -160,8 +177,11 @@
 	}
 	for _, e := range entries {
 		id, state := n.endpointIDs.idOf(e.Name), endpointStates[e.Status]
-		u.Endpoints = append(u.Endpoints, balancer.Endpoint{ID: id, Zone: e.Zone, MachineType: e.Type, Cell: e.Cell, State: state,
-			Weight: e.Weight, StartedAt: time.Duration(e.StartedAtMS) * time.Millisecond})
+		u.Endpoints = append(
+			u.Endpoints,
+			balancer.Endpoint{ID: id, Zone: e.Zone, MachineType: e.Type, Cell: e.Cell, State: state,
+				Weight: e.Weight, StartedAt: time.Duration(e.StartedAtMS) * time.Millisecond},
+		)
 		if missing[e.Name] = state == balancer.Removed; state != balancer.Removed {
 			n.listedEndpoints[e.Name] = id
 			n.pool.setBackend(id, e.Address, e.StartedAtMS)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -85,7 +85,10 @@
 	case balancer.StartAttempt:
 		n.startAttempt(a)
 	case balancer.Reject:
-		n.answerRequest(a.ID, response{status: cmp.Or(a.Status, http.StatusServiceUnavailable), retryAfter: a.RetryAfter})
+		n.answerRequest(
+			a.ID,
+			response{status: cmp.Or(a.Status, http.StatusServiceUnavailable), retryAfter: a.RetryAfter},
+		)
 	case balancer.Fail:
 		n.answerRequest(a.ID, response{status: http.StatusBadGateway})
 	case balancer.CancelAttempt:
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -20,7 +20,8 @@
 
 const (
 	answerMargin = 10 * time.Millisecond // an answer leaves so long before its client stops waiting
-	shortWait    = 50 * time.Millisecond // between two looks at something that ends soon, or after an error that may come again at once
+	// between two looks at something that ends soon, or after an error that may come again at once
+	shortWait = 50 * time.Millisecond
 )
 
 // Server is one load-balancing proxy node.
@@ -48,7 +49,8 @@
 	firstListTimeout   time.Duration // the most that the agent's first word is awaited
 	handoffListTimeout time.Duration // the same in an upgrade, in which the old process serves meanwhile
 	handoffPath        string        // where processes of this node meet; empty: nowhere
-	Overlap            func(bool)    // told when another process of this node begins and ends to share its limits; may be nil
+	// told when another process of this node begins and ends to share its limits; may be nil
+	Overlap func(bool)
 
 	// The rest belongs to the loop.
 	loopContext     context.Context
@@ -66,10 +68,27 @@
 // New makes a node; Run starts it.
 func New(cfg Config, log *slog.Logger) *Server {
 	cfg = cfg.withoutMembership(log)
-	n := &Server{config: cfg, log: log, start: time.Now(), inbox: make(chan func(), inboxSize), calls: make(chan func()), listKnown: make(chan struct{}), ended: make(chan struct{}),
-		balancer: balancer.New(cfg.Settings, cfg.Seed), endpointIDs: newEndpointIDs(), listedEndpoints: map[string]balancer.EndpointID{}, inMaintenance: map[string]bool{},
-		requests: map[balancer.RequestID]*request{}, stats: newStats(cfg.Settings.Classes, cfg.BackendStats),
-		rawConfig: cfg.rawFile, firstListTimeout: agentAnswerTimeout, handoffListTimeout: handoffListTimeout}
+	n := &Server{
+		config:    cfg,
+		log:       log,
+		start:     time.Now(),
+		inbox:     make(chan func(), inboxSize),
+		calls:     make(chan func()),
+		listKnown: make(chan struct{}),
+		ended:     make(chan struct{}),
+		balancer: balancer.New(
+			cfg.Settings,
+			cfg.Seed,
+		),
+		endpointIDs:        newEndpointIDs(),
+		listedEndpoints:    map[string]balancer.EndpointID{},
+		inMaintenance:      map[string]bool{},
+		requests:           map[balancer.RequestID]*request{},
+		stats:              newStats(cfg.Settings.Classes, cfg.BackendStats),
+		rawConfig:          cfg.rawFile,
+		firstListTimeout:   agentAnswerTimeout,
+		handoffListTimeout: handoffListTimeout,
+	}
 	if n.fencing, n.startupError = fencing.Open(cfg.FencingFolder); n.startupError != nil {
 		n.fencing, _ = fencing.Open("") // of memory alone, which can't fail
 	}
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -67,7 +67,10 @@
 
 // request is the same for a long request, which goes out as it comes until ctx ends.
 func (o *outbound) request(ctx context.Context, wait time.Duration) *http.Request {
-	body := io.MultiReader(bytes.NewReader(o.body), &attemptUpload{ctx, o.upload, o.upload.length - int64(len(o.body))})
+	body := io.MultiReader(
+		bytes.NewReader(o.body),
+		&attemptUpload{ctx, o.upload, o.upload.length - int64(len(o.body))},
+	)
 	if o.upload.length >= 0 {
 		// Writing reads on past a stated length. The answer may be here by then, and the upload closed.
 		body = io.LimitReader(body, o.upload.length)
--- a/internal/proxy/part.go
+++ b/internal/proxy/part.go
@@ -42,7 +42,14 @@
 
 // responseOf is what a client believes, in the form of an answer.
 func responseOf(v client.List) registry.ListResponse {
-	return registry.ListResponse{Index: v.Version, Epoch: v.Epoch, Snapshot: true, Subset: v.Subset.String(), Total: v.Total, Endpoints: v.Endpoints}
+	return registry.ListResponse{
+		Index:     v.Version,
+		Epoch:     v.Epoch,
+		Snapshot:  true,
+		Subset:    v.Subset.String(),
+		Total:     v.Total,
+		Endpoints: v.Endpoints,
+	}
 }
 
 // setSubset says of a list which part of the whole it is; of the whole list it says nothing.
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -27,12 +27,14 @@
 	addrs     []netip.AddrPort
 	byAddress map[netip.AddrPort]int
 	log       *slog.Logger
-	handlers  [16]datagramHandler // by the first four bits of a datagram; those that have none here are load notes
-	muted     atomic.Bool         // another process reads the socket
-	ended     chan struct{}       // closed when this one no longer does
+	// by the first four bits of a datagram; those that have none here are load notes
+	handlers [16]datagramHandler
+	muted    atomic.Bool   // another process reads the socket
+	ended    chan struct{} // closed when this one no longer does
 }
 
-// datagramHandler takes those of one kind, from whatever address they come. It does not wait, and does not keep data.
+// datagramHandler takes those of one kind, from whatever address they come. It does not wait, and does not
+// keep data.
 type datagramHandler func(from netip.AddrPort, data []byte)
 
 // listenPeers opens the socket, or gives nil where nodes have none.
@@ -52,7 +54,13 @@
 }
 
 func newPeerSocket(conn *net.UDPConn, addrs []netip.AddrPort, log *slog.Logger) *peerSocket {
-	p := &peerSocket{conn: conn, addrs: addrs, byAddress: map[netip.AddrPort]int{}, log: log, ended: make(chan struct{})}
+	p := &peerSocket{
+		conn:      conn,
+		addrs:     addrs,
+		byAddress: map[netip.AddrPort]int{},
+		log:       log,
+		ended:     make(chan struct{}),
+	}
 	for i, a := range addrs {
 		if a.IsValid() {
 			p.byAddress[a] = i
@@ -108,7 +116,8 @@
 	for ctx.Err() == nil && !p.muted.Load() {
 		n, addr, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			if ctx.Err() == nil && !p.muted.Load() && !backoff.Sleep(ctx, shortWait) { // an error here is of one datagram; none may spin
+			// an error here is of one datagram; none may spin
+			if ctx.Err() == nil && !p.muted.Load() && !backoff.Sleep(ctx, shortWait) {
 				return
 			}
 			continue
@@ -129,7 +138,8 @@
 
 // lacksPeerSocket tells whether this node still lacks a socket that it ought to have.
 func (n *Server) lacksPeerSocket() bool {
-	return n.config.PeerListen != "" && (len(n.config.Peers) > 0 || n.config.Membership.Name != "") && n.peers.Load() == nil
+	return n.config.PeerListen != "" && (len(n.config.Peers) > 0 || n.config.Membership.Name != "") &&
+		n.peers.Load() == nil
 }
 
 // listenPeers opens the socket for other nodes' messages. If it can't be had,
@@ -151,7 +161,8 @@
 	}()
 }
 
-// startPeers begins to hear from other nodes. handed is what the process before this one has handed over, if there was one.
+// startPeers begins to hear from other nodes. handed is what the process before this one has handed over, if
+// there was one.
 func (n *Server) startPeers(p *peerSocket, handed *gossip.Handoff) {
 	n.peers.Store(p)
 	n.startMembership(p, handed)
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -44,9 +44,15 @@
 }
 
 func newPool(s balancer.Settings, most int) *pool {
-	p := &pool{maxConnections: most, forwards: new(atomic.Int64), backends: map[balancer.EndpointID]*backend{}, heldBackends: map[balancer.EndpointID]bool{},
-		memory: newMemoryBudget(defaultMemoryMB), pause: backoff.Sleep,
-		dialer: net.Dialer{KeepAlive: -1}}
+	p := &pool{
+		maxConnections: most,
+		forwards:       new(atomic.Int64),
+		backends:       map[balancer.EndpointID]*backend{},
+		heldBackends:   map[balancer.EndpointID]bool{},
+		memory:         newMemoryBudget(defaultMemoryMB),
+		pause:          backoff.Sleep,
+		dialer:         net.Dialer{KeepAlive: -1},
+	}
 	p.configure(s)
 	return p
 }
@@ -56,7 +62,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer.Timeout = s.ConnectTimeout
-	if p.maxIdle = time.Duration(idleTimeoutShare * float64(s.ConnectionIdleTimeout)); s.ConnectionIdleTimeout <= 0 {
+	if p.maxIdle = time.Duration(
+		idleTimeoutShare * float64(s.ConnectionIdleTimeout),
+	); s.ConnectionIdleTimeout <= 0 {
 		p.maxIdle = time.Minute
 	}
 }
@@ -138,8 +146,8 @@
 	}
 }
 
-// isBarred tells whether nothing may be written on a connection any more: since its server was picked, that has
-// restarted, moved, begun to drain or left the list, or is held.
+// isBarred tells whether nothing may be written on a connection any more: since its server was picked, that
+// has restarted, moved, begun to drain or left the list, or is held.
 func (p *pool) isBarred(id balancer.EndpointID, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/reply.go
+++ b/internal/proxy/reply.go
@@ -24,7 +24,8 @@
 		return outcomeAborted
 	case a.status == http.StatusOK:
 		return outcomeSucceeded
-	case a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests, a.status == http.StatusForbidden || a.status == http.StatusNotFound:
+	case a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests,
+		a.status == http.StatusForbidden || a.status == http.StatusNotFound:
 		return outcomeDeclined
 	}
 	return outcomeAborted
@@ -49,8 +50,19 @@
 }
 
 // perHop lists the headers that concern one connection only.
-var perHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
-	"Expect", "Content-Length", "X-Load", "X-Not-Run"}
+var perHop = []string{
+	"Connection",
+	"Keep-Alive",
+	"Proxy-Connection",
+	"Te",
+	"Trailer",
+	"Transfer-Encoding",
+	"Upgrade",
+	"Expect",
+	"Content-Length",
+	"X-Load",
+	"X-Not-Run",
+}
 
 // endToEnd gives the headers that are passed on. Their values are shared.
 func endToEnd(h http.Header) http.Header {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	guardDelay    = 4 * time.Millisecond // after which the node itself ends what the module has not ended
-	maxUploadTime = time.Hour            // for a long request to come, at half of the slowest rate and with long waits
+	guardDelay = 4 * time.Millisecond // after which the node itself ends what the module has not ended
+	// for a long request to come, at half of the slowest rate and with long waits
+	maxUploadTime = time.Hour
 	// clientGoneLimit is the most after which nothing begins for a client that has left.
 	clientGoneLimit = 100 * time.Millisecond
 )
@@ -28,12 +29,13 @@
 	cancelAttempts  []context.CancelFunc
 	runningAttempts int
 	deadlineGuard   *time.Timer
-	tenant          string          // by its name in the catalogue, until the request is over; empty: tenants are not told apart
-	stream          *responseStream // the long answer that has begun; nil: none
-	parked          bool            // it has waited for its tenant's part of the catalogue
-	releaseMemory   func()          // gives back what its body has taken; may be nil
-	client          *listener.Conn  // nil: not known
-	clientGone      <-chan struct{} // closed when the server knows that the client has left
+	// by its name in the catalogue, until the request is over; empty: tenants are not told apart
+	tenant        string
+	stream        *responseStream // the long answer that has begun; nil: none
+	parked        bool            // it has waited for its tenant's part of the catalogue
+	releaseMemory func()          // gives back what its body has taken; may be nil
+	client        *listener.Conn  // nil: not known
+	clientGone    <-chan struct{} // closed when the server knows that the client has left
 }
 
 // abandoned tells whether a request's client has left, which the loop may not know yet.
@@ -65,7 +67,8 @@
 		return
 	}
 	now := n.frontend.rules.Load().number // those that the module has, as both change in one step
-	if most := n.config.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most || r.settingsNumber < now-1 {
+	if most := n.config.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most ||
+		r.settingsNumber < now-1 {
 		// The module does not know its class any more: another of that name may be repeated freely.
 		r.answered = true
 		r.response <- response{status: http.StatusServiceUnavailable}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -48,7 +48,13 @@
 	}
 	if long && resp.StatusCode == http.StatusOK {
 		res.outcome, res.header = balancer.OK, resp.Header
-		res.stream = &responseStream{length: resp.ContentLength, start: body, rest: resp.Body, conn: c, ended: make(chan error, 1)}
+		res.stream = &responseStream{
+			length: resp.ContentLength,
+			start:  body,
+			rest:   resp.Body,
+			conn:   c,
+			ended:  make(chan error, 1),
+		}
 		return res, !resp.Close, nil
 	}
 	switch {
@@ -65,7 +71,11 @@
 
 // readAnswer reads an answer's body. Where that is long, or may be and takes its
 // time, it is not read to its end.
-func readAnswer(ctx context.Context, resp *http.Response, room func(context.Context) error) (body []byte, long bool, err error) {
+func readAnswer(
+	ctx context.Context,
+	resp *http.Response,
+	room func(context.Context) error,
+) (body []byte, long bool, err error) {
 	if resp.ContentLength > maxSmallBody {
 		if err := room(ctx); err != nil {
 			return nil, false, err
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -18,7 +18,13 @@
 const minPreviousForm = 2 * time.Second
 
 // optionalKeys of the settings may be absent, as the wire's page says.
-var optionalKeys = []string{"aim_stretch", "allowed_on", "failure_domains_open", "passes_deadline", "warm_keys"}
+var optionalKeys = []string{
+	"aim_stretch",
+	"allowed_on",
+	"failure_domains_open",
+	"passes_deadline",
+	"warm_keys",
+}
 
 // Reread takes the file at path over the running configuration, or turns it
 // down whole and says why. It is for one goroutine.
@@ -151,7 +157,8 @@
 
 // requestRules is what the front must know of the settings to take a request.
 type requestRules struct {
-	number          int                             // one more each time that the module is given settings: it knows the last two
+	// one more each time that the module is given settings: it knows the last two
+	number          int
 	firstNumber     int                             // the number with which the settings first came
 	idempotency     map[string]balancer.Idempotency // of the classes
 	longestDeadline time.Duration                   // deadline of a class
@@ -168,7 +175,8 @@
 	if before != nil {
 		r.number = before.number + 1
 		r.firstNumber = r.number
-		r.previous, r.previousUntil = before.idempotency, time.Now().Add(max(minPreviousForm, before.longestDeadline))
+		r.previous, r.previousUntil = before.idempotency, time.Now().
+			Add(max(minPreviousForm, before.longestDeadline))
 	}
 	return r
 }
@@ -190,7 +198,10 @@
 
 // idempotencyOf finds what a repeat of a request would do: by its class, or by that
 // class as it was, where only that agrees with the request's form.
-func (r *requestRules) idempotencyOf(class string, fits func(balancer.Idempotency) error) (former bool, err error) {
+func (r *requestRules) idempotencyOf(
+	class string,
+	fits func(balancer.Idempotency) error,
+) (former bool, err error) {
 	effect, known := r.idempotency[class]
 	if known {
 		if err = fits(effect); err == nil {
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -24,16 +24,31 @@
 	maxReadyTime = max(MaxBindTime+agentAnswerTimeout, stateTimeout+handoffListTimeout+releaseTimeout) // 5.5 s
 )
 
-// updateReady lets clients in once there are servers and, where a policy is followed, it has been heard of: before that
-// the node would admit what no limit bounds. Where tenants are known, it has the catalogue, too, and is on the book.
+// updateReady lets clients in once there are servers and, where a policy is followed, it has been heard of:
+// before that the node would admit what no limit bounds. Where tenants are known, it has the catalogue, too,
+// and is on the book.
 func (n *Server) updateReady() {
-	n.frontend.ready.Store(len(n.listedEndpoints) > 0 && !n.awaitingAgent && (n.policy == nil || n.policy.policyKnown) && (n.tenants == nil || n.tenants.catalogue.Ready()))
+	n.frontend.ready.Store(
+		len(n.listedEndpoints) > 0 && !n.awaitingAgent && (n.policy == nil || n.policy.policyKnown) &&
+			(n.tenants == nil || n.tenants.catalogue.Ready()),
+	)
 }
 
 // logMissing is for whoever looks for the reason of a node that is not ready in its time.
 func (n *Server) logMissing() {
 	if !n.frontend.ready.Load() {
-		n.log.Warn("not ready yet", "after", maxReadyTime, "servers", len(n.listedEndpoints), "agent", !n.awaitingAgent,
-			"policy", n.policy == nil || n.policy.policyKnown, "tenants", n.tenants == nil || n.tenants.catalogue.Ready())
+		n.log.Warn(
+			"not ready yet",
+			"after",
+			maxReadyTime,
+			"servers",
+			len(n.listedEndpoints),
+			"agent",
+			!n.awaitingAgent,
+			"policy",
+			n.policy == nil || n.policy.policyKnown,
+			"tenants",
+			n.tenants == nil || n.tenants.catalogue.Ready(),
+		)
 	}
 }
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -115,7 +115,18 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.endpoints)) {
 		a := s.endpoints[name]
-		besteffort.Output(fmt.Fprintf(w, "app.backends.%s.succeeded:%d|c\napp.backends.%s.failed:%d|c\napp.backends.%s.late:%d|c\n", label(name), a.succeeded, label(name), a.failed, label(name), a.late))
+		besteffort.Output(
+			fmt.Fprintf(
+				w,
+				"app.backends.%s.succeeded:%d|c\napp.backends.%s.failed:%d|c\napp.backends.%s.late:%d|c\n",
+				label(name),
+				a.succeeded,
+				label(name),
+				a.failed,
+				label(name),
+				a.late,
+			),
+		)
 	}
 	for _, f := range []struct {
 		name, kind string
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -41,7 +41,11 @@
 	return s.finish(s.copyTo(w, control, due))
 }
 
-func (s *responseStream) copyTo(w http.ResponseWriter, control *http.ResponseController, due time.Time) error {
+func (s *responseStream) copyTo(
+	w http.ResponseWriter,
+	control *http.ResponseController,
+	due time.Time,
+) error {
 	put := func(p []byte) error {
 		if len(p) == 0 {
 			return nil
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -9,15 +9,17 @@
 	"wrenspread/ratelimit"
 )
 
-// tenantService is a node's part in the catalogue of tenants. It is the loop's but for the client, the session and the figures.
+// tenantService is a node's part in the catalogue of tenants. It is the loop's but for the client, the
+// session and the figures.
 type tenantService struct {
-	client           *client.Client // for the catalogue and the session alone
-	cache            *tenant.Cache
-	self             tenant.Member      // how the book is to have this node
-	catalogue        *tenant.Catalogue  // that requests are answered from
-	pendingEvents    []any              // events for the desk, the first of which is being handled
-	policy           tenant.PolicyTable // the policy's, as the desk has it
-	tenantByLimit    map[string]string  // by limit of the policy's table: the name under which that knows its tenant
+	client        *client.Client // for the catalogue and the session alone
+	cache         *tenant.Cache
+	self          tenant.Member      // how the book is to have this node
+	catalogue     *tenant.Catalogue  // that requests are answered from
+	pendingEvents []any              // events for the desk, the first of which is being handled
+	policy        tenant.PolicyTable // the policy's, as the desk has it
+	// by limit of the policy's table: the name under which that knows its tenant
+	tenantByLimit    map[string]string
 	routes           routeVariants
 	session          *registrySession
 	parked           []parkedRequest
@@ -38,7 +40,14 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &tenantService{client: k, catalogue: &tenant.Catalogue{}, routes: newRouteVariants(), session: newRegistrySession(cfg.Name), ready: make(chan struct{}), left: make(chan struct{})}
+	t := &tenantService{
+		client:    k,
+		catalogue: &tenant.Catalogue{},
+		routes:    newRouteVariants(),
+		session:   newRegistrySession(cfg.Name),
+		ready:     make(chan struct{}),
+		left:      make(chan struct{}),
+	}
 	t.startGeneration(cfg, uint64(time.Now().UnixMilli()))
 	return t, nil
 }
@@ -49,8 +58,8 @@
 	t.self = t.cache.Member(cfg.Name)
 }
 
-// succeed goes on in the life of the process before, so that the book has both while both serve. One with another hold
-// is another member: it begins a later life.
+// succeed goes on in the life of the process before, so that the book has both while both serve. One with
+// another hold is another member: it begins a later life.
 func (n *Server) continueGeneration(before *tenant.Member) {
 	t := n.tenants
 	if t == nil || before == nil {
@@ -85,7 +94,8 @@
 // tenantClock is that of the desk: it never steps.
 func (n *Server) tenantClock() time.Duration { return time.Since(n.start) }
 
-// handleTenantEvent gives an event to the desk and carries out what it says, before whatever event comes of that.
+// handleTenantEvent gives an event to the desk and carries out what it says, before whatever event comes of
+// that.
 func (n *Server) handleTenantEvent(event any) {
 	t := n.tenants
 	t.pendingEvents = append(t.pendingEvents, event)
@@ -152,7 +162,9 @@
 		return
 	}
 	t.tenantByLimit = map[string]string{}
-	t.policy = tenant.PolicyTable{HasLimit: func(limit string) bool { _, ok := t.tenantByLimit[limit]; return ok }}
+	t.policy = tenant.PolicyTable{
+		HasLimit: func(limit string) bool { _, ok := t.tenantByLimit[limit]; return ok },
+	}
 	if table != nil {
 		t.policy.Version = table.Version
 		for _, l := range table.Limits {
--- a/internal/proxy/tenants_config.go
+++ b/internal/proxy/tenants_config.go
@@ -7,7 +7,8 @@
 	"wrenspread/internal/tenant"
 )
 
-// Bounds of govern.hold_ms: below a few of the session's times a service that is a little late would stop the tenants.
+// Bounds of govern.hold_ms: below a few of the session's times a service that is a little late would stop the
+// tenants.
 const (
 	minMaxStaleness = 2 * sessionTTL
 	maxMaxStaleness = 24 * time.Hour
@@ -23,7 +24,11 @@
 // tenants gives what the key govern says of tenants. g may be nil.
 func (g *policyForm) tenants() (c TenantsConfig) {
 	if g != nil && g.Tenants {
-		c = TenantsConfig{Enabled: true, MaxStaleness: time.Duration(g.MaxStalenessMS) * time.Millisecond, OnDemand: g.TenantsOnDemand}
+		c = TenantsConfig{
+			Enabled:      true,
+			MaxStaleness: time.Duration(g.MaxStalenessMS) * time.Millisecond,
+			OnDemand:     g.TenantsOnDemand,
+		}
 	}
 	return c
 }
@@ -36,10 +41,22 @@
 		return problems
 	}
 	if !g.Policy {
-		problems = append(problems, fmt.Errorf("govern: tenants need the policy that has their limits: policy must be true"))
+		problems = append(
+			problems,
+			fmt.Errorf("govern: tenants need the policy that has their limits: policy must be true"),
+		)
 	}
-	if g.MaxStalenessMS != 0 && (g.MaxStalenessMS < minMaxStaleness.Milliseconds() || g.MaxStalenessMS > maxMaxStaleness.Milliseconds()) {
-		problems = append(problems, fmt.Errorf("govern: hold_ms: %d: want 0, or %d to %d", g.MaxStalenessMS, minMaxStaleness.Milliseconds(), maxMaxStaleness.Milliseconds()))
+	if g.MaxStalenessMS != 0 &&
+		(g.MaxStalenessMS < minMaxStaleness.Milliseconds() || g.MaxStalenessMS > maxMaxStaleness.Milliseconds()) {
+		problems = append(
+			problems,
+			fmt.Errorf(
+				"govern: hold_ms: %d: want 0, or %d to %d",
+				g.MaxStalenessMS,
+				minMaxStaleness.Milliseconds(),
+				maxMaxStaleness.Milliseconds(),
+			),
+		)
 	}
 	if err := tenant.CheckName(c.Name); err != nil {
 		problems = append(problems, fmt.Errorf("govern: tenants: the node's %w", err))
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -11,7 +11,8 @@
 const (
 	catalogueReadTimeout = 5 * time.Second        // for one read of the catalogue
 	tenantTick           = 250 * time.Millisecond // of the desk's clock: it wants each half second
-	leftTimeout          = 2 * time.Second        // for the word that the node has left, and for the book to follow
+	// for the word that the node has left, and for the book to follow
+	leftTimeout = 2 * time.Second
 )
 
 // followTenants keeps the session, reads the catalogue and has the desk's clock run until ctx ends.
@@ -81,7 +82,8 @@
 	}
 }
 
-// applyCatalogue takes what was read. The routes come first: what the desk then says to be taken up can be served.
+// applyCatalogue takes what was read. The routes come first: what the desk then says to be taken up can be
+// served.
 func (n *Server) applyCatalogue(got tenant.CatalogueRead) {
 	t := n.tenants
 	if got.Snapshot != nil && got.Snapshot.Number >= t.cache.Number() {
@@ -100,9 +102,9 @@
 	}
 }
 
-// leaveTenants says that this process serves no tenant any more, once it has ended all its requests. wait returns when
-// the book has followed, or late, with the session closed: until then changes of tenants wait for this node. One whose
-// word has not been seen runs out by itself, so that it still can be.
+// leaveTenants says that this process serves no tenant any more, once it has ended all its requests. wait
+// returns when the book has followed, or late, with the session closed: until then changes of tenants wait
+// for this node. One whose word has not been seen runs out by itself, so that it still can be.
 func (n *Server) leaveTenants(ctx context.Context) (wait func()) {
 	t := n.tenants
 	if t == nil {
--- a/internal/proxy/tenants_judge.go
+++ b/internal/proxy/tenants_judge.go
@@ -8,9 +8,9 @@
 	"wrenspread/internal/tenant"
 )
 
-// decideTenant answers a request by the catalogue, unless that has it served: then it says to the module which class, variant
-// and tenant it is of. All of it is one step of the loop, as is a new catalogue: no request is judged by one and counted
-// by the next.
+// decideTenant answers a request by the catalogue, unless that has it served: then it says to the module
+// which class, variant and tenant it is of. All of it is one step of the loop, as is a new catalogue: no
+// request is judged by one and counted by the next.
 func (n *Server) decideTenant(r *request, e *balancer.RequestArrived) (serve bool) {
 	t := n.tenants
 	if t == nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// cutTenantRequests ends what is open of a tenant. What has been sent may have run, and is not refused; what has begun at the
-// client breaks off.
+// cutTenantRequests ends what is open of a tenant. What has been sent may have run, and is not refused; what
+// has begun at the client breaks off.
 func (n *Server) cutTenantRequests(name string) {
 	cut := 0
 	for _, r := range n.requests {
--- a/internal/proxy/tenants_lanes.go
+++ b/internal/proxy/tenants_lanes.go
@@ -15,8 +15,8 @@
 	routeRetryAfter = time.Second // told to a request whose route the module does not have
 )
 
-// routeVariants are the routes of the catalogue as the module knows them: variants of classes that are open to some zones and
-// kinds only. A route that names pods has none, as the module does not choose by pods.
+// routeVariants are the routes of the catalogue as the module knows them: variants of classes that are open
+// to some zones and kinds only. A route that names pods has none, as the module does not choose by pods.
 type routeVariants struct {
 	variantOf  map[routedClass]string         // by route and class: the variant
 	wanted     map[string]balancer.Class      // variants of the catalogue
@@ -40,8 +40,8 @@
 	return l
 }
 
-// classFor gives the class by which the module places a request; empty: it can't. One in the form of the settings before
-// is placed by a variant that came with those.
+// classFor gives the class by which the module places a request; empty: it can't. One in the form of the
+// settings before is placed by a variant that came with those.
 func (l *routeVariants) classFor(route *tenant.Route, class string, former bool) string {
 	if !narrows(route) {
 		return class
@@ -146,12 +146,15 @@
 	l.byLeaf[p] = append(l.byLeaf[p], one)
 }
 
-// variant is a class with the zones and kinds of a route alone. Its name is the same for equal routes, in every process,
-// and none that a client can send.
+// variant is a class with the zones and kinds of a route alone. Its name is the same for equal routes, in
+// every process, and none that a client can send.
 func variant(c balancer.Class, r *tenant.Route) balancer.Class {
 	zones, kinds := intersect(c.AllowedZones, r.Zones), intersect(c.AllowedMachineTypes, r.MachineTypes)
 	c.VariantOf = c.Name
-	c.Name = strings.Join([]string{c.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(kinds, "\x00")}, "\x00")
+	c.Name = strings.Join(
+		[]string{c.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(kinds, "\x00")},
+		"\x00",
+	)
 	c.AllowedZones, c.AllowedMachineTypes = zones, kinds
 	return c
 }
@@ -171,7 +174,8 @@
 	return slices.Compact(both)
 }
 
-// withVariants adds the variants that the catalogue needs to settings, for the module alone. It is told of them.
+// withVariants adds the variants that the catalogue needs to settings, for the module alone. It is told of
+// them.
 func (n *Server) withVariants(s balancer.Settings) balancer.Settings {
 	t := n.tenants
 	if t == nil {
@@ -201,8 +205,8 @@
 	n.applyRoutes()
 }
 
-// applyRoutes gives the module the variants that it lacks. While requests still come in the form of the settings before,
-// which it would forget, it waits: until then the routes that are new get a 503.
+// applyRoutes gives the module the variants that it lacks. While requests still come in the form of the
+// settings before, which it would forget, it waits: until then the routes that are new get a 503.
 func (n *Server) applyRoutes() {
 	if n.tenants.routes.outdated && time.Now().After(n.frontend.rules.Load().previousUntil) {
 		n.applySettings(n.frontend.rules.Load().renumbered())
--- a/internal/proxy/tenants_park.go
+++ b/internal/proxy/tenants_park.go
@@ -57,7 +57,8 @@
 		case t.catalogue.HasLeaf(p.event.Tenant) || !t.catalogue.Ready() || !time.Now().Before(p.until):
 			p.request.deadlineGuard.Stop()
 			delete(n.requests, p.request.id)
-			if rules := n.frontend.rules.Load(); p.firstNumber == rules.firstNumber { // the module has the same once more, with new routes
+			// the module has the same once more, with new routes
+			if rules := n.frontend.rules.Load(); p.firstNumber == rules.firstNumber {
 				p.request.settingsNumber = rules.number
 			}
 			n.openRequest(p.request, p.event)
--- a/internal/proxy/tenants_report.go
+++ b/internal/proxy/tenants_report.go
@@ -12,8 +12,17 @@
 
 // write gives the figures of tenants as lines of text.
 func (t *tenantService) write(w io.Writer) {
-	besteffort.Output(fmt.Fprintf(w, "app.tenants.number:%d|g\napp.tenants.known:%d|g\napp.tenants.unsure:%d|c\napp.tenants.declined:%d|c\napp.tenants.unknown:%d|c\n",
-		t.number.Load(), t.tenantCount.Load(), t.unavailable.Load(), t.forbidden.Load(), t.notFound.Load()))
+	besteffort.Output(
+		fmt.Fprintf(
+			w,
+			"app.tenants.number:%d|g\napp.tenants.known:%d|g\napp.tenants.unsure:%d|c\napp.tenants.declined:%d|c\napp.tenants.unknown:%d|c\n",
+			t.number.Load(),
+			t.tenantCount.Load(),
+			t.unavailable.Load(),
+			t.forbidden.Load(),
+			t.notFound.Load(),
+		),
+	)
 }
 
 // serveTenants tells an operator what this node knows of tenants, MaxTenants at most.
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -13,8 +13,10 @@
 )
 
 const (
-	sessionTTL         = 3 * time.Second        // without the list service, a definite no ends so long after the last word
-	sessionCallTimeout = time.Second            // for one call about the session: what is late by more is made anew
+	// without the list service, a definite no ends so long after the last word
+	sessionTTL = 3 * time.Second
+	// for one call about the session: what is late by more is made anew
+	sessionCallTimeout = time.Second
 	retryPause         = 200 * time.Millisecond // and as much again at random, after a call that failed
 )
 
@@ -31,8 +33,13 @@
 }
 
 func newRegistrySession(name string) *registrySession {
-	return &registrySession{session: registry.Session{Process: name, TTL: sessionTTL}, wake: make(chan struct{}, 1), readRequests: make(chan struct{}, 1),
-		left: make(chan struct{}), ended: make(chan struct{})}
+	return &registrySession{
+		session:      registry.Session{Process: name, TTL: sessionTTL},
+		wake:         make(chan struct{}, 1),
+		readRequests: make(chan struct{}, 1),
+		left:         make(chan struct{}),
+		ended:        make(chan struct{}),
+	}
 }
 
 // setStatus gives it another word. It does not wait: only the last one counts.
@@ -79,7 +86,10 @@
 	if !n.do(func() { w = t.cache.Status() }) {
 		return false
 	}
-	s.session.ID, s.session.Info, s.sentStatus = n.config.Name+"-"+crand.Text(), registry.ProcessInfo{Note: w.Encode(), Version: version()}, nil
+	s.session.ID, s.session.Info, s.sentStatus = n.config.Name+"-"+crand.Text(), registry.ProcessInfo{
+		Note:    w.Encode(),
+		Version: version(),
+	}, nil
 	sent := n.tenantClock()
 	call, done := context.WithTimeout(ctx, sessionCallTimeout)
 	defer done()
--- a/internal/proxy/upgrade_link.go
+++ b/internal/proxy/upgrade_link.go
@@ -35,7 +35,8 @@
 	On            bool                           `json:"on,omitempty"`
 	Number        int                            `json:"number,omitempty"`  // of a call that is forwarded
 	Tenants       *tenant.Member                 `json:"tenants,omitempty"` // how the tenants' book has the node
-	Membership    json.RawMessage                `json:"fleet,omitempty"`   // a view.Handed, the node's life in the fleet; what can't be read of it costs only the life
+	// a view.Handed, the node's life in the fleet; what can't be read of it costs only the life
+	Membership json.RawMessage `json:"fleet,omitempty"`
 }
 
 // The kinds of message, in the order in which they come.
--- a/internal/proxy/upgrade_new.go
+++ b/internal/proxy/upgrade_new.go
@@ -20,7 +20,8 @@
 	handoffSocket      = "handover.sock"         // in $TMPDIR
 	stateTimeout       = 2500 * time.Millisecond // for the old process to say what it knows
 	handoffListTimeout = 2 * time.Second         // for discovery to tell the new process the list
-	releaseTimeout     = time.Second             // for the old process to let go: all this is under the 6 s that an upgrade has
+	// for the old process to let go: all this is under the 6 s that an upgrade has
+	releaseTimeout = time.Second
 )
 
 // TakeOver prepares a node for upgrades: by a process that serves already, and
@@ -85,9 +86,9 @@
 	n.log.Info("taken over", "servers", len(servers))
 }
 
-// takeOver goes on where greet ended, with a link that has been joined: it waits for the list, has the old process
-// let go, and stays linked with it until it ends. It returns when this process
-// is to serve, and false if that has been told to end before: the old one serves on.
+// takeOver goes on where greet ended, with a link that has been joined: it waits for the list, has the old
+// process let go, and stays linked with it until it ends. It returns when this process is to serve, and false
+// if that has been told to end before: the old one serves on.
 func (n *Server) takeOver(ctx context.Context, l *handoffLink) bool {
 	yours := make(chan struct{})
 	let := sync.OnceFunc(func() { close(yours) })
--- a/internal/proxy/upgrade_old.go
+++ b/internal/proxy/upgrade_old.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// sendState joins a new process and tells it what this one knows. A maintenance call is part of that, or goes out
-// behind it: whoever forwards one from the joining on has to wait for the lock.
+// sendState joins a new process and tells it what this one knows. A maintenance call is part of that, or goes
+// out behind it: whoever forwards one from the joining on has to wait for the lock.
 func (n *Server) sendState(l *handoffLink) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +109,12 @@
 // handoffState is what a new process is told.
 func (n *Server) handoffState() handoffMessage {
 	learned := n.balancer.Learned(n.now())
-	m := handoffMessage{Version: handoverVersion, Kind: kindState, Learned: &learned, Names: map[string]balancer.EndpointID{}}
+	m := handoffMessage{
+		Version: handoverVersion,
+		Kind:    kindState,
+		Learned: &learned,
+		Names:   map[string]balancer.EndpointID{},
+	}
 	for _, s := range learned.Endpoints {
 		m.Names[n.endpointIDs.byID[s.ID]] = s.ID
 	}
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -33,7 +33,13 @@
 
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
 	now := time.Now()
-	b := &bodyReader{body: r.Body, control: http.NewResponseController(w), startedAt: now, headEnd: now, lastReadAt: now}
+	b := &bodyReader{
+		body:       r.Body,
+		control:    http.NewResponseController(w),
+		startedAt:  now,
+		headEnd:    now,
+		lastReadAt: now,
+	}
 	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); ok {
 		b.startedAt = c.StartedAt()
 	}
@@ -98,7 +104,9 @@
 	case err == nil && n > most:
 		err = errTooLong
 	case errors.Is(err, io.ErrClosedPipe): // nobody wants the rest
-		besteffort.Drained(io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, most), make([]byte, copyBuffer)))
+		besteffort.Drained(
+			io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, most), make([]byte, copyBuffer)),
+		)
 		return
 	}
 	u.err = err
@@ -183,7 +191,11 @@
 
 // readStart reads a body to its end, or to the size that is kept; rest tells
 // that there is more.
-func readStart(ctx context.Context, body io.Reader, room func(context.Context) error) (start []byte, rest bool, err error) {
+func readStart(
+	ctx context.Context,
+	body io.Reader,
+	room func(context.Context) error,
+) (start []byte, rest bool, err error) {
 	if start, err = io.ReadAll(io.LimitReader(body, maxSmallBody+1)); err != nil || len(start) <= maxSmallBody {
 		return start, false, err
 	}
@@ -240,7 +252,15 @@
 // startUpload goes on with a body whose start has been read.
 func startUpload(r *http.Request, body *bodyReader, start int, wait time.Duration) *upload {
 	read, write := io.Pipe()
-	u := &upload{length: r.ContentLength, pipe: read, reader: body, wait: wait, readingEnded: make(chan struct{}), onComplete: func(time.Duration) {}, clientGone: func() bool { return false }}
+	u := &upload{
+		length:       r.ContentLength,
+		pipe:         read,
+		reader:       body,
+		wait:         wait,
+		readingEnded: make(chan struct{}),
+		onComplete:   func(time.Duration) {},
+		clientGone:   func() bool { return false },
+	}
 	go u.pump(maxLarge-int64(start), write)
 	return u
 }
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -21,7 +21,10 @@
 )
 
 // read checks a request. The status goes with the error.
-func (f *frontend) read(w http.ResponseWriter, r *http.Request) (*request, balancer.RequestArrived, int, error) {
+func (f *frontend) read(
+	w http.ResponseWriter,
+	r *http.Request,
+) (*request, balancer.RequestArrived, int, error) {
 	e := balancer.RequestArrived{Class: r.Header.Get("X-Class"), Tenant: r.Header.Get("X-Tenant"),
 		ClientRetry: r.Header.Get("X-Retry") == "1"}
 	var back func()
@@ -40,7 +43,10 @@
 		return bad(http.StatusBadRequest, "want one X-Tenant")
 	}
 	rules := f.rules.Load()
-	former, err := rules.idempotencyOf(e.Class, func(effect balancer.Idempotency) error { return fits(r, e.Class, effect) })
+	former, err := rules.idempotencyOf(
+		e.Class,
+		func(effect balancer.Idempotency) error { return fits(r, e.Class, effect) },
+	)
 	if err != nil {
 		var wrong formError
 		errors.As(err, &wrong)
@@ -75,7 +81,12 @@
 		return bad(http.StatusBadRequest, "reading the body: %w", err)
 	}
 	patience = f.timeLeft(patience - answerMargin)
-	u := url.URL{Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery}
+	u := url.URL{
+		Path:       r.URL.Path,
+		RawPath:    r.URL.RawPath,
+		RawQuery:   r.URL.RawQuery,
+		ForceQuery: r.URL.ForceQuery,
+	}
 	deadline := time.Now().Add(patience) // its last byte has come now, and its client waits from there
 	f.updateLatestDeadline(deadline)
 	var rest *upload
@@ -83,9 +94,24 @@
 		rest = startUpload(r, reader, len(body), patience)
 	}
 	client, _ := r.Context().Value(connKey{}).(*listener.Conn)
-	return &request{id: e.ID, settingsNumber: rules.numberFor(former), deadline: deadline, releaseMemory: back, class: e.Class, response: make(chan response, 1),
-		client: client, clientGone: r.Context().Done(),
-		outbound: &outbound{method: r.Method, url: &u, host: r.Host, header: endToEnd(r.Header), body: body, upload: rest}}, e, 0, nil
+	return &request{
+		id:             e.ID,
+		settingsNumber: rules.numberFor(former),
+		deadline:       deadline,
+		releaseMemory:  back,
+		class:          e.Class,
+		response:       make(chan response, 1),
+		client:         client,
+		clientGone:     r.Context().Done(),
+		outbound: &outbound{
+			method: r.Method,
+			url:    &u,
+			host:   r.Host,
+			header: endToEnd(r.Header),
+			body:   body,
+			upload: rest,
+		},
+	}, e, 0, nil
 }
 
 // updateLatestDeadline notes how long the front may have to stay, whatever its settings say by then.
@@ -120,7 +146,8 @@
 		return formError{http.StatusMethodNotAllowed, fmt.Sprintf("class %s wants %s", class, want)}
 	}
 	switch keys := r.Header.Values("Idempotency-Key"); {
-	case effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""), effect == balancer.NotIdempotent && len(keys) > 0:
+	case effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""),
+		effect == balancer.NotIdempotent && len(keys) > 0:
 		return badRequest("class %s and Idempotency-Key do not agree", class)
 	}
 	return nil
--- a/internal/quota/allocator/holder.go
+++ b/internal/quota/allocator/holder.go
@@ -65,8 +65,15 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	h := &server{
-		config: c, core: quota.NewAllocator(quota.AllocatorConfig{Fleet: c.Fleet, Name: c.Name}), start: time.Now(),
-		tenures: make(chan tenure), tenureEnds: make(chan chan struct{}), writes: make(chan writeResult, 1), done: make(chan struct{}),
+		config: c,
+		core:   quota.NewAllocator(quota.AllocatorConfig{Fleet: c.Fleet, Name: c.Name}),
+		start:  time.Now(),
+		tenures: make(
+			chan tenure,
+		),
+		tenureEnds: make(chan chan struct{}),
+		writes:     make(chan writeResult, 1),
+		done:       make(chan struct{}),
 	}
 	all, ctx := errgroup.WithContext(ctx)
 	all.Go(func() error { h.loop(ctx, all); return ctx.Err() })
@@ -167,8 +174,8 @@
 	})
 }
 
-// writeEnded tells the core of a record as it is. After a write that did not come through it is read again, since it may
-// have been written all the same; what is missing in it the core asks for once more.
+// writeEnded tells the core of a record as it is. After a write that did not come through it is read again,
+// since it may have been written all the same; what is missing in it the core asks for once more.
 func (h *server) writeEnded(ctx context.Context, all *errgroup.Group, w writeResult) {
 	h.writing = false
 	switch {
--- a/internal/quota/allocator/record.go
+++ b/internal/quota/allocator/record.go
@@ -17,13 +17,14 @@
 // RecordKey is the record of enrolled nodes.
 const RecordKey = "fleet/nodes"
 
-// registryTimeout is how long one call to the list service may take, over its failures. Until it has ended, nothing else
-// is written.
+// registryTimeout is how long one call to the list service may take, over its failures. Until it has ended,
+// nothing else is written.
 const registryTimeout = 2 * time.Second
 
 const format = 1
 
-// slotRecord is what the list service keeps. A later format is refused: its holder has to be of a version that knows it.
+// slotRecord is what the list service keeps. A later format is refused: its holder has to be of a version
+// that knows it.
 type slotRecord struct {
 	Format int          `json:"format"`
 	Slots  []quota.Slot `json:"seats"`
@@ -66,7 +67,13 @@
 }
 
 // writeSlots replaces the record that has a version, under the fence, and gives its next one.
-func writeSlots(ctx context.Context, k *client.Client, f lease.Token, seats []quota.Slot, version uint64) (uint64, error) {
+func writeSlots(
+	ctx context.Context,
+	k *client.Client,
+	f lease.Token,
+	seats []quota.Slot,
+	version uint64,
+) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	value, err := json.Marshal(slotRecord{format, seats})
--- a/internal/quota/apportioner.go
+++ b/internal/quota/apportioner.go
@@ -12,11 +12,11 @@
 	Name  string // by which nodes send to the holder, at most MostName bytes
 }
 
-// Allocator shares the limits out among the nodes, for as long as its process holds the duty. It is pure: times
-// are of the process's monotonic clock.
+// Allocator shares the limits out among the nodes, for as long as its process holds the duty. It is pure:
+// times are of the process's monotonic clock.
 //
-// At any time, and for each limit, what it counts for all members together stays within the limit: see count. It
-// rests on the duty's fence and end, on the record of enrolled nodes and on leases; never on the view.
+// At any time, and for each limit, what it counts for all members together stays within the limit: see count.
+// It rests on the duty's fence and end, on the record of enrolled nodes and on leases; never on the view.
 type Allocator struct {
 	cfg            AllocatorConfig
 	times          times
@@ -51,7 +51,14 @@
 
 // NewAllocator gives one that holds nothing.
 func NewAllocator(cfg AllocatorConfig) *Allocator {
-	return &Allocator{cfg: cfg, times: defaultTimes(), limits: newLimits(nil, 0), previousLimits: newLimits(nil, 0), allocations: map[int32]*allocation{}, revision: 1}
+	return &Allocator{
+		cfg:            cfg,
+		times:          defaultTimes(),
+		limits:         newLimits(nil, 0),
+		previousLimits: newLimits(nil, 0),
+		allocations:    map[int32]*allocation{},
+		revision:       1,
+	}
 }
 
 // Handle takes an event and gives what is to be sent and written.
@@ -81,7 +88,8 @@
 	return nil
 }
 
-// mayGrant says whether grants may be made. What was granted by until has run out a lease, as others see it, later.
+// mayGrant says whether grants may be made. What was granted by until has run out a lease, as others see it,
+// later.
 func (a *Allocator) mayGrant() bool { return a.recordKnown && a.now < a.leaseUntil }
 
 // leaseHeld begins anew under a new fence, knowing nothing; under the same one it goes on for longer.
@@ -141,7 +149,11 @@
 
 // find gives the member of a name and where it is, or where it would be.
 func (a *Allocator) find(name string) (int, *member) {
-	at, there := slices.BinarySearchFunc(a.members, name, func(m *member, n string) int { return cmp.Compare(m.name, n) })
+	at, there := slices.BinarySearchFunc(
+		a.members,
+		name,
+		func(m *member, n string) int { return cmp.Compare(m.name, n) },
+	)
 	if !there {
 		return at, nil
 	}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -29,8 +29,8 @@
 	claimed      bool
 }
 
-// currentShare is what the slot has at a time: the lease; without one the safe share, unless that is at rest, which leaves
-// the bucket as it is but does not fill it.
+// currentShare is what the slot has at a time: the lease; without one the safe share, unless that is at rest,
+// which leaves the bucket as it is but does not fill it.
 func (l *Ledger) currentShare(s *bucket, at time.Duration) size {
 	switch {
 	case s.concurrency: // never at rest: what was begun on a borrowed share would outlast the lease
@@ -48,7 +48,8 @@
 
 func (s *bucket) capacity(share size) float64 { return max(share.burst-s.lent, 0) + s.borrowed }
 
-// refill brings the bucket up to now, piece by piece between the times at which its share or its room changes.
+// refill brings the bucket up to now, piece by piece between the times at which its share or its room
+// changes.
 func (l *Ledger) refill(s *bucket) {
 	for s.filledAt < l.now {
 		end := l.now
--- a/internal/quota/claims.go
+++ b/internal/quota/claims.go
@@ -9,8 +9,9 @@
 // minDemand, in units a second, is taken for none.
 const minDemand = 0.1
 
-// measureDemand brings the demand of what is listed up to date. What can't be chance is followed at once when it rises and
-// soon when it falls; all else by a quarter, so that no share swings, or is larger than its use, by chance.
+// measureDemand brings the demand of what is listed up to date. What can't be chance is followed at once when
+// it rises and soon when it falls; all else by a quarter, so that no share swings, or is larger than its use,
+// by chance.
 func (l *Ledger) measureDemand(since time.Duration) {
 	seconds := max(since, l.times.renew).Seconds()
 	l.claimed = slices.DeleteFunc(l.claimed, func(i int32) bool {
@@ -34,13 +35,14 @@
 		if now == 0 && s.demand < minDemand {
 			s.demand = 0
 		}
-		s.claimed = s.demand > 0 || s.fallbackAtOnce || s.inFlight > 0 || l.now-s.lastDemandAt < l.times.idleClaimTime
+		s.claimed = s.demand > 0 || s.fallbackAtOnce || s.inFlight > 0 ||
+			l.now-s.lastDemandAt < l.times.idleClaimTime
 		return !s.claimed
 	})
 }
 
-// sendClaims tells the holder of some limits, in as many datagrams as it takes. All others are idle here: they cost
-// nothing, and the holder may lend their safe share to others.
+// sendClaims tells the holder of some limits, in as many datagrams as it takes. All others are idle here:
+// they cost nothing, and the holder may lend their safe share to others.
 func (l *Ledger) sendClaims(which []int32) []Action {
 	if l.allocator == "" {
 		return nil
@@ -59,8 +61,13 @@
 	l.lastClaim++
 	l.sentClaims[l.lastClaim%uint32(len(l.sentClaims))] = sentClaim{l.lastClaim, l.token, l.now}
 	c := claim{
-		token: l.token, generation: l.cfg.Generation, number: l.lastClaim, lastGrant: l.lastGrant, table: l.limits.version,
-		fallbackSuspendable: l.now-l.startedAt >= l.times.warmUp, name: l.cfg.Name,
+		token:               l.token,
+		generation:          l.cfg.Generation,
+		number:              l.lastClaim,
+		lastGrant:           l.lastGrant,
+		table:               l.limits.version,
+		fallbackSuspendable: l.now-l.startedAt >= l.times.warmUp,
+		name:                l.cfg.Name,
 	}
 	for _, i := range which {
 		c.items = append(c.items, l.claimItem(i))
@@ -84,12 +91,13 @@
 	return item
 }
 
-// applyGrant takes what answers one of the last claims, if its holder is the newest known. Leases run from when the
-// claim was sent. While tokens handed to others may still be used there, no share may fall below them, so that
-// nothing is taken; having heard of the holder, the node hands out no more.
+// applyGrant takes what answers one of the last claims, if its holder is the newest known. Leases run from
+// when the claim was sent. While tokens handed to others may still be used there, no share may fall below
+// them, so that nothing is taken; having heard of the holder, the node hands out no more.
 func (l *Ledger) applyGrant(g grant) {
 	c := l.sentClaims[g.claim%uint32(len(l.sentClaims))]
-	if g.generation != l.cfg.Generation || g.token != l.token || c.token != g.token || c.number != g.claim || g.claim == 0 {
+	if g.generation != l.cfg.Generation || g.token != l.token || c.token != g.token || c.number != g.claim ||
+		g.claim == 0 {
 		return
 	}
 	until := c.at + l.times.lease
--- a/internal/quota/enrol.go
+++ b/internal/quota/enrol.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// recordRead takes the record as it stands under the fence. Seats that it holds may be told; those that this holder
-// has in mind and the record lacks are written again.
+// recordRead takes the record as it stands under the fence. Seats that it holds may be told; those that this
+// holder has in mind and the record lacks are written again.
 func (a *Allocator) recordRead(r RecordRead) {
 	if r.Token != a.token || len(r.Slots) > MaxProxies {
 		return
@@ -32,7 +32,15 @@
 		if m != nil || !s.valid() || len(s.Name) == 0 || len(s.Name) > MaxName {
 			continue
 		}
-		m = &member{name: s.Name, slot: s, hasSlot: true, confirmed: true, fallbackSince: a.now, firstFallbackAt: a.now, shares: map[int32]*memberShare{}}
+		m = &member{
+			name:            s.Name,
+			slot:            s,
+			hasSlot:         true,
+			confirmed:       true,
+			fallbackSince:   a.now,
+			firstFallbackAt: a.now,
+			shares:          map[int32]*memberShare{},
+		}
 		a.members = slices.Insert(a.members, at, m)
 	}
 }
@@ -50,15 +58,16 @@
 
 // writeRecord asks for the record to be written when it differs from what this holder has in mind.
 func (a *Allocator) writeRecord() []Action {
-	if !a.mayGrant() || !a.recordDirty && !a.writePending || a.writePending && a.now-a.recordWrittenAt < writeTimeout {
+	if !a.mayGrant() || !a.recordDirty && !a.writePending ||
+		a.writePending && a.now-a.recordWrittenAt < writeTimeout {
 		return nil
 	}
 	a.recordDirty, a.writePending, a.recordWrittenAt = false, true, a.now
 	return []Action{WriteRecord{a.token, a.desiredSlots()}}
 }
 
-// assignSlot gives a member a seat, in mind: it is told of it once the record says so. Without a free place the largest
-// seat of those that are heard is halved first.
+// assignSlot gives a member a seat, in mind: it is told of it once the record says so. Without a free place
+// the largest seat of those that are heard is halved first.
 func (a *Allocator) assignSlot(m *member) {
 	if m.hasSlot {
 		return
@@ -77,8 +86,8 @@
 	m.slot, m.hasSlot, m.confirmed, m.fallbackSince, m.firstFallbackAt, a.recordDirty = seat, true, false, a.now, a.now, true
 }
 
-// shrinkSlots begins to tell members with a larger seat than the level's of a smaller one. Only what a node has taken is
-// free.
+// shrinkSlots begins to tell members with a larger seat than the level's of a smaller one. Only what a node
+// has taken is free.
 func (a *Allocator) shrinkSlots(level uint8) {
 	for _, m := range a.members {
 		if m.hasSlot && m.confirmed && !m.shrinking && m.slot.Level < level && a.slotForGrant(m).Level != slotNone {
@@ -87,8 +96,8 @@
 	}
 }
 
-// slotForGrant gives the seat for a member's next grant: one that the record holds, and whose safe share no lease that is
-// alive was granted without counting it.
+// slotForGrant gives the seat for a member's next grant: one that the record holds, and whose safe share no
+// lease that is alive was granted without counting it.
 func (a *Allocator) slotForGrant(m *member) Slot {
 	none := Slot{Level: slotNone}
 	switch {
--- a/internal/quota/entry.go
+++ b/internal/quota/entry.go
@@ -8,11 +8,12 @@
 
 // memberShare is what a member has of one limit, by grants.
 type memberShare struct {
-	member                *member
-	current               shareLease // by the last grant
-	older                 shareLease // the most by all earlier ones that the node may still live by
-	number                uint32
-	fallbackAtOnce        bool   // without a lease it may have its safe share at once, by any grant that may be the last taken
+	member  *member
+	current shareLease // by the last grant
+	older   shareLease // the most by all earlier ones that the node may still live by
+	number  uint32
+	// without a lease it may have its safe share at once, by any grant that may be the last taken
+	fallbackAtOnce        bool
 	currentFallbackAtOnce bool   // by the last
 	claimed               uint32 // the number of the newest claim
 	claimedAt             time.Duration
@@ -55,8 +56,8 @@
 	}
 }
 
-// allocation is one limit as the holder keeps it: who has a share, and what nobody has, in a bucket of its own. Tokens go
-// from there with the room that a grant adds to a node's bucket.
+// allocation is one limit as the holder keeps it: who has a share, and what nobody has, in a bucket of its
+// own. Tokens go from there with the room that a grant adds to a node's bucket.
 type allocation struct {
 	shares   []*memberShare // by the members' names
 	tokens   float64
@@ -80,13 +81,23 @@
 	l := &a.limits.all[i]
 	rate, pool := l.fallbackRate, l.fallbackTokens
 	if was, there := a.previousLimits.byHash[l.hash]; there {
-		rate, pool = max(rate, a.previousLimits.all[was].fallbackRate), max(pool, a.previousLimits.all[was].fallbackTokens)
+		rate, pool = max(
+			rate,
+			a.previousLimits.all[was].fallbackRate,
+		), max(
+			pool,
+			a.previousLimits.all[was].fallbackTokens,
+		)
 	}
 	return size{max(l.rate-rate, 0), max(l.burst-float64(pool), 0)}
 }
 
 func (s *allocation) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(s.shares, name, func(e *memberShare, n string) int { return cmp.Compare(e.member.name, n) })
+	return slices.BinarySearchFunc(
+		s.shares,
+		name,
+		func(e *memberShare, n string) int { return cmp.Compare(e.member.name, n) },
+	)
 }
 
 func (s *allocation) add(e *memberShare) {
@@ -109,7 +120,8 @@
 	delete(e.member.shares, i)
 }
 
-// refill brings the stock's bucket up to now. While members have shares, what was spare is so for a lease at most.
+// refill brings the stock's bucket up to now. While members have shares, what was spare is so for a lease at
+// most.
 func (s *allocation) refill(now time.Duration, lease time.Duration) {
 	if now <= s.filledAt {
 		return
--- a/internal/quota/events.go
+++ b/internal/quota/events.go
@@ -13,8 +13,8 @@
 type (
 	Tick    struct{}              // time has passed; every 20 ms or so
 	Message struct{ Data []byte } // a datagram has come; the core checks it
-	// TableChanged is the one by which requests are judged from now on. A holder is told the one Before too (nil: none), since
-	// nodes that don't know the new one yet have their safe share of the old.
+	// TableChanged is the one by which requests are judged from now on. A holder is told the one Before too
+	// (nil: none), since nodes that don't know the new one yet have their safe share of the old.
 	TableChanged struct{ Current, Previous *ratelimit.Table }
 )
 
--- a/internal/quota/fair.go
+++ b/internal/quota/fair.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// fair divides a budget by max-min: nobody gets more than it wants, and who gets less has as much by weight as
-// anybody.
+// fair divides a budget by max-min: nobody gets more than it wants, and who gets less has as much by weight
+// as anybody.
 func fair(budget float64, wants, weights []float64) []float64 {
 	order := make([]int, len(wants))
 	rest := 0.0
@@ -14,7 +14,10 @@
 		order[i] = i
 		rest += weights[i]
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(wants[a]*weights[b], wants[b]*weights[a]) })
+	slices.SortStableFunc(
+		order,
+		func(a, b int) int { return cmp.Compare(wants[a]*weights[b], wants[b]*weights[a]) },
+	)
 	out := make([]float64, len(wants))
 	for _, i := range order {
 		out[i] = max(min(wants[i], budget*weights[i]/rest), 0)
@@ -29,8 +32,8 @@
 	want, floor, most, weight float64
 }
 
-// divide gives each claimant its floor as far as it wants it, then what more they want by weight, then what nobody
-// wants, so that a jump of demand finds it there.
+// divide gives each claimant its floor as far as it wants it, then what more they want by weight, then what
+// nobody wants, so that a jump of demand finds it there.
 func divide(budget float64, all []claimant) []float64 {
 	n := len(all)
 	first, more, spare, weights := make([]float64, n), make([]float64, n), make([]float64, n), make([]float64, n)
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// answerClaim answers a claim, if it was sent to this holder under its present fence: so it was sent after the former
-// holder's end, and what it says to hold was counted by that one to its last moment.
+// answerClaim answers a claim, if it was sent to this holder under its present fence: so it was sent after
+// the former holder's end, and what it says to hold was counted by that one to its last moment.
 func (a *Allocator) answerClaim(c claim) []Action {
 	switch {
 	case c.token > a.token:
@@ -23,8 +23,17 @@
 	base := a.grantConfirmed(m, c)
 	a.assignSlot(m)
 	m.number++
-	g := grant{token: a.token, generation: c.generation, claim: c.number, number: m.number, slot: a.slotForGrant(m)}
-	g.extendsOnly, g.slotCoversConcurrency = a.now < a.formerLeasesEnd, a.now >= max(m.firstFallbackAt, a.formerLeasesEnd)+a.times.settleTime()+a.times.maxRequestTime
+	g := grant{
+		token:      a.token,
+		generation: c.generation,
+		claim:      c.number,
+		number:     m.number,
+		slot:       a.slotForGrant(m),
+	}
+	g.extendsOnly, g.slotCoversConcurrency = a.now < a.formerLeasesEnd, a.now >= max(
+		m.firstFallbackAt,
+		a.formerLeasesEnd,
+	)+a.times.settleTime()+a.times.maxRequestTime
 	g.fallbackSuspended = c.fallbackSuspendable && a.now >= a.formerLeasesEnd
 	m.grants[m.number%uint32(len(m.grants))] = sentGrant{m.number, a.now, base, g.fallbackSuspended}
 	for _, item := range c.items {
@@ -77,8 +86,8 @@
 	return item, true
 }
 
-// nextLease is what a member's next lease is: its goal, as far as the others leave room. While leases of a former holder
-// may be alive, it is what the node holds by one, which adds nothing.
+// nextLease is what a member's next lease is: its goal, as far as the others leave room. While leases of a
+// former holder may be alive, it is what the node holds by one, which adds nothing.
 func (a *Allocator) nextLease(e *memberShare, i int32, c claimItem) (size, bool) {
 	l := &a.limits.all[i]
 	if a.now < a.formerShareEnd(i) {
@@ -112,8 +121,8 @@
 	return goal
 }
 
-// formerShareEnd is when nothing of a limit can be left that a former holder gave: of open requests, the last that were begun
-// under its leases have ended.
+// formerShareEnd is when nothing of a limit can be left that a former holder gave: of open requests, the last
+// that were begun under its leases have ended.
 func (a *Allocator) formerShareEnd(i int32) time.Duration {
 	if a.limits.all[i].concurrency {
 		return a.formerLeasesEnd + a.times.maxRequestTime
--- a/internal/quota/handover.go
+++ b/internal/quota/handover.go
@@ -23,7 +23,8 @@
 
 // withoutAllocator says whether the slot lives by its safe share because no holder answers.
 func (l *Ledger) withoutAllocator(s *bucket) bool {
-	return !s.concurrency && l.now >= s.leaseUntil && l.now >= l.fallbackSuspendedUntil && (l.lastGrantAt == 0 || l.now-l.lastGrantAt > l.times.lease)
+	return !s.concurrency && l.now >= s.leaseUntil && l.now >= l.fallbackSuspendedUntil &&
+		(l.lastGrantAt == 0 || l.now-l.lastGrantAt > l.times.lease)
 }
 
 // borrowTokens asks one peer for tokens of each limit that ran short.
@@ -36,7 +37,8 @@
 	var out []Action
 	for _, i := range l.claimed {
 		s := &l.buckets[i]
-		if s.rejected < 1 || l.now-s.lastBorrowAt < borrowInterval || len(l.peers) == 0 || len(l.borrowing) >= maxPendingLoans {
+		if s.rejected < 1 || l.now-s.lastBorrowAt < borrowInterval || len(l.peers) == 0 ||
+			len(l.borrowing) >= maxPendingLoans {
 			continue
 		}
 		need := math.Floor(s.rejected)
@@ -51,9 +53,9 @@
 	return out
 }
 
-// lendTokens gives tokens, whole ones, once a nonce. They are debited before they are sent, and their room in the bucket
-// stays empty until they can't be used any more: so what all nodes hold and what is on the way never exceeds what
-// the buckets of their safe shares hold together.
+// lendTokens gives tokens, whole ones, once a nonce. They are debited before they are sent, and their room in
+// the bucket stays empty until they can't be used any more: so what all nodes hold and what is on the way
+// never exceeds what the buckets of their safe shares hold together.
 func (l *Ledger) lendTokens(a borrowRequest) []Action {
 	i, there := l.limits.byHash[a.hash]
 	if _, again := l.lentNonces[a.nonce]; !there || again || !l.withoutAllocator(&l.buckets[i]) {
@@ -88,7 +90,8 @@
 	return len(l.lentNonces) < maxLentNonces
 }
 
-// receiveLoan takes tokens that were asked for, once, and only soon after. The room for them ends soon after, too.
+// receiveLoan takes tokens that were asked for, once, and only soon after. The room for them ends soon after,
+// too.
 func (l *Ledger) receiveLoan(g loan) {
 	a, there := l.borrowing[g.nonce]
 	if !there || a.hash != g.hash || g.amount > a.need {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -15,9 +15,9 @@
 	Seed       uint64
 }
 
-// Ledger holds a node's share of each limit. It is pure: times are of the process's monotonic clock, from 0 or more,
-// and one goroutine uses it at a time. It is the decide.Hand that requests are judged with, as of the last At or
-// Handle, and allocates nothing for them.
+// Ledger holds a node's share of each limit. It is pure: times are of the process's monotonic clock, from 0
+// or more, and one goroutine uses it at a time. It is the decide.Hand that requests are judged with, as of
+// the last At or Handle, and allocates nothing for them.
 type Ledger struct {
 	cfg       LedgerConfig
 	times     times
@@ -140,8 +140,8 @@
 	return append(out, l.borrowTokens()...)
 }
 
-// leave tells the holder, again and again for as long as the process lives, that it admits nothing any more and
-// that nothing of its share is in use elsewhere: what it handed to others, and requests that are open.
+// leave tells the holder, again and again for as long as the process lives, that it admits nothing any more
+// and that nothing of its share is in use elsewhere: what it handed to others, and requests that are open.
 func (l *Ledger) leave() []Action {
 	if l.allocator == "" || l.now < l.lentUntil || l.now-l.lastRoundAt < l.times.renew {
 		return nil
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -9,8 +9,8 @@
 	"wrenspread/ratelimit"
 )
 
-// limit is one index of a hand as both ends share it out. For limits on requests open at once, rate is the count
-// that may be open and burst is 0.
+// limit is one index of a hand as both ends share it out. For limits on requests open at once, rate is the
+// count that may be open and burst is 0.
 type limit struct {
 	hash           uint64 // of its name on the wire
 	parent         int32  // -1: none
@@ -84,7 +84,8 @@
 	return l
 }
 
-// applySchedule sets the figures of a time of the wall clock, which the holder alone does: a node's safe share is by the least.
+// applySchedule sets the figures of a time of the wall clock, which the holder alone does: a node's safe
+// share is by the least.
 func (n *limits) applySchedule(wall time.Time) {
 	for i := range n.all {
 		of := n.table.LimitOf(i)
@@ -99,9 +100,8 @@
 	}
 }
 
-// fallback is a seat's part of the limit without a lease. It is nothing where it holds no whole token, since a bucket
-// that can't hold one never admits anything.
-// For limits on open requests the seat has to be older.
+// fallback is a seat's part of the limit without a lease. It is nothing where it holds no whole token, since
+// a bucket that can't hold one never admits anything. For limits on open requests the seat has to be older.
 func (l *limit) fallback(s Slot, openToo bool) size {
 	if l.fallbackTokens == 0 || s.Level == slotNone || l.concurrency && !openToo {
 		return size{}
--- a/internal/quota/member.go
+++ b/internal/quota/member.go
@@ -38,15 +38,21 @@
 	return t, number > 0 && t.number == number
 }
 
-// member gives the one that a claim comes from. A new life starts with nothing told: its safe share counts from now
-// on, beside what is left of the former life's leases.
+// member gives the one that a claim comes from. A new life starts with nothing told: its safe share counts
+// from now on, beside what is left of the former life's leases.
 func (a *Allocator) member(c claim) *member {
 	at, m := a.find(c.name)
 	if m == nil {
 		if len(a.members) >= MaxProxies || slices.Contains(a.departed, leave{c.generation, c.name}) {
 			return nil
 		}
-		m = &member{name: c.name, generation: c.generation, shares: map[int32]*memberShare{}, fallbackSince: a.now, firstFallbackAt: a.now}
+		m = &member{
+			name:            c.name,
+			generation:      c.generation,
+			shares:          map[int32]*memberShare{},
+			fallbackSince:   a.now,
+			firstFallbackAt: a.now,
+		}
 		a.members = slices.Insert(a.members, at, m)
 	}
 	switch {
@@ -68,8 +74,9 @@
 	return m
 }
 
-// grantConfirmed takes what a claim's echo proves: the node has taken that grant, and so no older one, and has its safe share
-// at rest for a while after that grant's claim, which it sent after the grant that the claim echoed.
+// grantConfirmed takes what a claim's echo proves: the node has taken that grant, and so no older one, and
+// has its safe share at rest for a while after that grant's claim, which it sent after the grant that the
+// claim echoed.
 func (a *Allocator) grantConfirmed(m *member, c claim) (base time.Duration) {
 	m.tableVersion = max(m.tableVersion, c.table)
 	t, known := m.sentGrant(c.lastGrant)
@@ -86,7 +93,8 @@
 	return t.at
 }
 
-// fallback is what the node may have of a limit without any lease, by the larger of the two tables that it may know.
+// fallback is what the node may have of a limit without any lease, by the larger of the two tables that it
+// may know.
 func (a *Allocator) fallback(m *member, i int32) size {
 	if !m.hasSlot {
 		return size{}
@@ -101,14 +109,14 @@
 	return s
 }
 
-// fallbackSuspended says whether the node's safe share may be lent: it stays at rest for longer than any lease can live that
-// is granted now.
+// fallbackSuspended says whether the node's safe share may be lent: it stays at rest for longer than any
+// lease can live that is granted now.
 func (a *Allocator) fallbackSuspended(m *member) bool {
 	return a.now+a.times.settleTime()+2*sumInterval <= m.fallbackSuspendedUntil
 }
 
-// maxShare is the most that the member may have of a limit: what any grant gave that it may still live by, and its
-// safe share unless that is at rest. The room of the safe share's bucket always counts.
+// maxShare is the most that the member may have of a limit: what any grant gave that it may still live by,
+// and its safe share unless that is at rest. The room of the safe share's bucket always counts.
 func (a *Allocator) maxShare(m *member, i int32) size {
 	e := m.shares[i]
 	safe := a.fallback(m, i)
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -7,15 +7,18 @@
 	"wrenspread/ratelimit"
 )
 
-// plan sets each member's goal in each limit that anybody wants: first what each limit may have of the one around
-// it, from the outside inwards; then who gets how much of it, from the inside outwards, since a node needs as much
-// of an outer limit as it has of the inner ones.
+// plan sets each member's goal in each limit that anybody wants: first what each limit may have of the one
+// around it, from the outside inwards; then who gets how much of it, from the inside outwards, since a node
+// needs as much of an outer limit as it has of the inner ones.
 func (a *Allocator) plan() {
 	if a.now-a.plannedAt < planInterval || a.now < a.formerLeasesEnd {
 		return
 	}
 	a.plannedAt = a.now
-	if !slices.ContainsFunc(a.members, func(m *member) bool { return m.hasSlot && m.tableVersion < a.limits.version }) {
+	if !slices.ContainsFunc(
+		a.members,
+		func(m *member) bool { return m.hasSlot && m.tableVersion < a.limits.version },
+	) {
 		a.previousLimits = newLimits(nil, 0) // nobody judges by it any more
 	}
 	active := a.activeLimits()
@@ -38,7 +41,10 @@
 
 // activeLimits gives the limits that members have shares of, in order.
 func (a *Allocator) activeLimits() []int32 {
-	return slices.DeleteFunc(slices.Sorted(maps.Keys(a.allocations)), func(i int32) bool { return len(a.allocations[i].shares) == 0 })
+	return slices.DeleteFunc(
+		slices.Sorted(maps.Keys(a.allocations)),
+		func(i int32) bool { return len(a.allocations[i].shares) == 0 },
+	)
 }
 
 // forgetExpired drops shares that are over. It is never called while one is given.
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -1,5 +1,5 @@
-// Package record is the one definition of what the list service keeps of policies and of who shares their limits out,
-// for those who write it and for those who follow it.
+// Package record is the one definition of what the list service keeps of policies and of who shares their
+// limits out, for those who write it and for those who follow it.
 package record
 
 import (
@@ -20,13 +20,15 @@
 	AllocatorKey = QuotaPrefix + "holder" // who shares limits out
 )
 
-// AllocatorRecord is the process that shares limits out. A node takes one with a higher fence than any before.
+// AllocatorRecord is the process that shares limits out. A node takes one with a higher fence than any
+// before.
 type AllocatorRecord struct {
 	Name  string `json:"name"` // of its member of the view
 	Token uint64 `json:"fence"`
 }
 
-// DecodeTable reads a table. Its version is that of its record; a record that is gone is version 0 and no table.
+// DecodeTable reads a table. Its version is that of its record; a record that is gone is version 0 and no
+// table.
 func DecodeTable(r registry.Record) (*ratelimit.Table, error) {
 	if r.Version == 0 {
 		return nil, nil
@@ -43,7 +45,11 @@
 func EncodeTable(t *ratelimit.Table) (json.RawMessage, error) {
 	raw := t.JSON()
 	if len(raw) > registry.MaxRecord {
-		return nil, fmt.Errorf("the table has %d bytes, a record %d at most: use fewer limits, or shorter names", len(raw), registry.MaxRecord)
+		return nil, fmt.Errorf(
+			"the table has %d bytes, a record %d at most: use fewer limits, or shorter names",
+			len(raw),
+			registry.MaxRecord,
+		)
 	}
 	return raw, nil
 }
--- a/internal/quota/seat.go
+++ b/internal/quota/seat.go
@@ -15,8 +15,9 @@
 	circleBits   = 32 // bits of a seat's place on the circle
 )
 
-// Slot is an enrolled node's part of the safe shares: the piece Index of 2^Level equal pieces of a circle. Pieces of
-// different nodes never overlap, so that safe shares never add up to more than the limit's safe part.
+// Slot is an enrolled node's part of the safe shares: the piece Index of 2^Level equal pieces of a circle.
+// Pieces of different nodes never overlap, so that safe shares never add up to more than the limit's safe
+// part.
 type Slot struct {
 	Name  string `json:"name"`
 	Level uint8  `json:"level"`
@@ -38,8 +39,8 @@
 	return s
 }
 
-// tokens is how many of pool whole tokens lie in the seat, with the circle turned by a limit's hash, so that the
-// seats that get the odd one differ from limit to limit. Over a whole circle the sum is pool.
+// tokens is how many of pool whole tokens lie in the seat, with the circle turned by a limit's hash, so that
+// the seats that get the odd one differ from limit to limit. Over a whole circle the sum is pool.
 func (s Slot) tokens(pool uint64, hash uint64) uint64 {
 	start, length := s.span()
 	start = (start + hash>>32) % (1 << circleBits)
--- a/internal/quota/spread.go
+++ b/internal/quota/spread.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// usableBy is how much each member can use: of an outer limit, what its inner ones get, and what comes past them.
+// usableBy is how much each member can use: of an outer limit, what its inner ones get, and what comes past
+// them.
 func (a *Allocator) usableBy(i int32, in []*memberShare, needs map[need]flow) []float64 {
 	out := make([]float64, len(in))
 	for n, e := range in {
@@ -53,8 +54,9 @@
 	return out
 }
 
-// allocateRate divides rate by max-min, what nobody wants by want, and the bucket's room by rate. Where there is not a
-// whole token's room for each, some have all, in turn: a bucket that can't hold a token never admits.
+// allocateRate divides rate by max-min, what nobody wants by want, and the bucket's room by rate. Where there
+// is not a whole token's room for each, some have all, in turn: a bucket that can't hold a token never
+// admits.
 func (a *Allocator) allocateRate(i int32, free size, in []*memberShare, wants []float64) {
 	whole := int(min(free.burst, float64(len(in))))
 	if whole < len(in) {
@@ -109,7 +111,12 @@
 }
 
 // chooseInTurn chooses by a hash of name and time, so that who comes and goes moves nobody else.
-func (a *Allocator) chooseInTurn(i int32, in []*memberShare, wants []float64, whole int) ([]*memberShare, []float64) {
+func (a *Allocator) chooseInTurn(
+	i int32,
+	in []*memberShare,
+	wants []float64,
+	whole int,
+) ([]*memberShare, []float64) {
 	l := &a.limits.all[i]
 	now := uint64(a.now / turnLength(l.rate))
 	order := make([]int, len(in))
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -16,8 +16,12 @@
 // Status is as of the last At or Handle.
 func (l *Ledger) Status() Status {
 	s := Status{
-		Allocator: l.allocator, Token: l.token, HasSlot: l.slot.Level != slotNone, FallbackSuspended: l.now < l.fallbackSuspendedUntil,
-		ClaimedLimits: len(l.claimed), TableVersion: l.limits.version,
+		Allocator:         l.allocator,
+		Token:             l.token,
+		HasSlot:           l.slot.Level != slotNone,
+		FallbackSuspended: l.now < l.fallbackSuspendedUntil,
+		ClaimedLimits:     len(l.claimed),
+		TableVersion:      l.limits.version,
 	}
 	if l.lastGrantAt > 0 {
 		s.SinceGrant = l.now - l.lastGrantAt
--- a/internal/quota/sum.go
+++ b/internal/quota/sum.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// sumInterval is how long a limit's sum is used before it is made anew. In between only what is granted changes it:
-// shares that run out make it smaller, which may wait, and safe shares that wake are counted for twice as long
-// before they do (resting).
+// sumInterval is how long a limit's sum is used before it is made anew. In between only what is granted
+// changes it: shares that run out make it smaller, which may wait, and safe shares that wake are counted for
+// twice as long before they do (resting).
 const sumInterval = 50 * time.Millisecond
 
 // sum is what all members may have of a limit together.
--- a/internal/quota/times.go
+++ b/internal/quota/times.go
@@ -2,25 +2,29 @@
 
 import "time"
 
-// Drift is the most by which a clock's rate is off from true time, as a part. Two clocks are apart by twice as much.
+// Drift is the most by which a clock's rate is off from true time, as a part. Two clocks are apart by twice
+// as much.
 const Drift = 0.001
 
 // times are the spans that both ends reckon with. Tests alone set others.
 type times struct {
-	lease              time.Duration // a share holds so long after its claim was sent
-	renew              time.Duration // between a node's claims
-	minClaimInterval   time.Duration // least wait before a claim out of turn, for a limit that has just got demand
-	fallbackSuspension time.Duration // a node that took a grant keeps its safe share at rest so long after the claim was sent
+	lease time.Duration // a share holds so long after its claim was sent
+	renew time.Duration // between a node's claims
+	// least wait before a claim out of turn, for a limit that has just got demand
+	minClaimInterval time.Duration
+	// a node that took a grant keeps its safe share at rest so long after the claim was sent
+	fallbackSuspension time.Duration
 	loanTimeout        time.Duration // tokens handed over count only so soon after the asking
 	loanUse            time.Duration // and have to be used so soon after it
 	idleClaimTime      time.Duration // a limit without demand is claimed so long yet
 	warmUp             time.Duration // a new node fills the buckets of limits without demand so long
-	maxRequestTime     time.Duration // the longest that an open request is out: holders count it so long past its lease
-	drift              float64
+	// the longest that an open request is out: holders count it so long past its lease
+	maxRequestTime time.Duration
+	drift          float64
 }
 
-// DefaultLease is short enough that shares follow a jump of demand within 2 s, and long enough that a node may lose
-// four claims in a row.
+// DefaultLease is short enough that shares follow a jump of demand within 2 s, and long enough that a node
+// may lose four claims in a row.
 const DefaultLease = time.Second
 
 func defaultTimes() times {
@@ -51,6 +55,7 @@
 // countedLease is how long a holder counts a lease from the receipt of its claim.
 func (t times) countedLease() time.Duration { return t.atMost(t.lease) }
 
-// settleTime is how long any lease can live on that was granted before now: to its end, prolonged once by a new holder
-// that is still waiting, and once more within that wait. What is lent to nobody for so long is nobody's.
+// settleTime is how long any lease can live on that was granted before now: to its end, prolonged once by a
+// new holder that is still waiting, and once more within that wait. What is lent to nobody for so long is
+// nobody's.
 func (t times) settleTime() time.Duration { return 3 * t.atMost(t.atMost(t.lease)) }
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -6,8 +6,8 @@
 	"math"
 )
 
-// Datagrams between nodes and the holder, big-endian. The first byte is the kind, the second the version, the next
-// four the fleet's name as a hash; what follows the known fields is ignored.
+// Datagrams between nodes and the holder, big-endian. The first byte is the kind, the second the version, the
+// next four the fleet's name as a hash; what follows the known fields is ignored.
 const (
 	MaxDatagram = 256
 	version     = 1
@@ -115,7 +115,8 @@
 	}
 }
 
-// reader takes fields apart; bad is set once something is missing or out of bounds, and zeros come from then on.
+// reader takes fields apart; bad is set once something is missing or out of bounds, and zeros come from then
+// on.
 type reader struct {
 	data []byte
 	bad  bool
--- a/internal/quota/wireread.go
+++ b/internal/quota/wireread.go
@@ -23,9 +23,20 @@
 }
 
 func decodeClaim(r *reader) (c claim, ok bool) {
-	c = claim{token: r.u64(), generation: r.u64(), number: r.u32(), lastGrant: r.u32(), table: r.u64(), fallbackSuspendable: r.u8() == 1, name: r.text()}
+	c = claim{
+		token:               r.u64(),
+		generation:          r.u64(),
+		number:              r.u32(),
+		lastGrant:           r.u32(),
+		table:               r.u64(),
+		fallbackSuspendable: r.u8() == 1,
+		name:                r.text(),
+	}
 	for n := int(r.u8()); n > 0 && !r.bad; n-- {
-		c.items = append(c.items, claimItem{hash: r.u64(), demand: r.f32(), leased: size{r.f32(), r.f32()}, number: r.u32()})
+		c.items = append(
+			c.items,
+			claimItem{hash: r.u64(), demand: r.f32(), leased: size{r.f32(), r.f32()}, number: r.u32()},
+		)
 	}
 	return c, !r.bad
 }
@@ -60,7 +71,10 @@
 	}
 	g.fallbackSuspended, g.extendsOnly, g.slotCoversConcurrency = r.u8() == 1, r.u8() == 1, r.u8() == 1
 	for n := int(r.u8()); n > 0 && !r.bad; n-- {
-		g.items = append(g.items, grantItem{hash: r.u64(), size: size{r.f32(), r.f32()}, tokens: r.f32(), fallbackAtOnce: r.u8() == 1})
+		g.items = append(
+			g.items,
+			grantItem{hash: r.u64(), size: size{r.f32(), r.f32()}, tokens: r.f32(), fallbackAtOnce: r.u8() == 1},
+		)
 	}
 	return g, !r.bad
 }
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -9,11 +9,12 @@
 
 // WriteRequest is the body of a write. All of it is optional but the entry of a registration.
 type WriteRequest struct {
-	Endpoint  *Endpoint     `json:"entry,omitempty"`
-	TTLMS     int64         `json:"ttl_ms,omitempty"` // 0: it stays until it is removed
-	IfVersion *uint64       `json:"if,omitempty"`     // the version that the entry must have; 0: it must be absent
-	ID        string        `json:"id,omitempty"`     // the same for a repeat, which then does not apply twice
-	Token     *FencingToken `json:"fence,omitempty"`  // of the duty that the writer holds; 409 if it does not
+	Endpoint *Endpoint `json:"entry,omitempty"`
+	TTLMS    int64     `json:"ttl_ms,omitempty"` // 0: it stays until it is removed
+	// the version that the entry must have; 0: it must be absent
+	IfVersion *uint64       `json:"if,omitempty"`
+	ID        string        `json:"id,omitempty"`    // the same for a repeat, which then does not apply twice
+	Token     *FencingToken `json:"fence,omitempty"` // of the duty that the writer holds; 409 if it does not
 }
 
 // Renewal is the body of a renewal, and its answer.
@@ -73,7 +74,8 @@
 	Token     *FencingToken   `json:"fence,omitempty"`
 }
 
-// RecordsResponse is what a watch of records gets: all under its prefix, with the values of those that are new to it.
+// RecordsResponse is what a watch of records gets: all under its prefix, with the values of those that are
+// new to it.
 type RecordsResponse struct {
 	Index   uint64   `json:"index"`
 	Epoch   string   `json:"epoch,omitempty"`
--- a/internal/registry/client/belief.go
+++ b/internal/registry/client/belief.go
@@ -16,7 +16,8 @@
 	Version   uint64              `json:"version"`
 	Endpoints []registry.Endpoint `json:"entries"` // by name
 	Subset    registry.Subset     `json:"-"`       // of the list that it is
-	Total     int                 `json:"-"`       // entries in all of the list, where Part is one that was asked for; 0: not told
+	// entries in all of the list, where Part is one that was asked for; 0: not told
+	Total int `json:"-"`
 }
 
 // Two kinds of list of another epoch are held back. One that lacks more than
@@ -63,7 +64,14 @@
 
 // NewListState begins with a view of before, which may be empty.
 func NewListState(hold time.Duration, before List) *ListState {
-	b := &ListState{holdBack: hold, epoch: before.Epoch, version: before.Version, subset: before.Subset, total: before.Total, endpoints: map[string]registry.Endpoint{}}
+	b := &ListState{
+		holdBack:  hold,
+		epoch:     before.Epoch,
+		version:   before.Version,
+		subset:    before.Subset,
+		total:     before.Total,
+		endpoints: map[string]registry.Endpoint{},
+	}
 	for _, e := range before.Endpoints {
 		b.endpoints[e.Name] = e
 	}
@@ -174,7 +182,8 @@
 	b.updateTotal(a)
 }
 
-// updateTotal takes the length of all of the list. Where an answer of a part says nothing of it, the one known stands.
+// updateTotal takes the length of all of the list. Where an answer of a part says nothing of it, the one
+// known stands.
 func (b *ListState) updateTotal(a registry.ListResponse) {
 	if a.Subset == "" || a.Total > 0 {
 		b.total = a.Total
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -10,12 +10,13 @@
 	"wrenspread/internal/registry"
 )
 
-// maxCacheFile bounds a cache file that is read, in bytes: a full list takes a tenth, one of the longest entries two
-// thirds.
+// maxCacheFile bounds a cache file that is read, in bytes: a full list takes a tenth, one of the longest
+// entries two thirds.
 const maxCacheFile = 128 << 20
 
-// cachedList is the form of a list in its cache file. The epoch and version of a subset stand in a place of their own:
-// to a program that knows no subsets the file is a list without a version, which makes it ask for the complete list.
+// cachedList is the form of a list in its cache file. The epoch and version of a subset stand in a place of
+// their own: to a program that knows no subsets the file is a list without a version, which makes it ask for
+// the complete list.
 type cachedList struct {
 	List
 	SubsetState *cachedSubset `json:"of,omitempty"`
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -84,7 +84,11 @@
 // get makes one request. net/http would send it again by itself where a
 // connection that was used before breaks, with what is left of its time for the
 // whole hold: a second try finds neither an idle connection nor a new one.
-func (d *Platform) get(ctx context.Context, query string, hold time.Duration) (l registry.ListResponse, err error) {
+func (d *Platform) get(
+	ctx context.Context,
+	query string,
+	hold time.Duration,
+) (l registry.ListResponse, err error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+d.grace)
 	defer cancel()
 	d.attempts.Store(0)
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -49,9 +49,10 @@
 	answerGrace         = 1500 * time.Millisecond // for an answer, past the hold
 	completeReadTimeout = 5 * time.Second         // for the whole list, which is not held back
 	dialTime            = time.Second
-	firstBackoff        = 250 * time.Millisecond // for a thousand clients that lost one replica, four tries a millisecond
-	maxBackoff          = 2500 * time.Millisecond
-	maxAnswer           = 128 << 20 // bytes of a list; one of the longest entries takes two thirds
+	// for a thousand clients that lost one replica, four tries a millisecond
+	firstBackoff = 250 * time.Millisecond
+	maxBackoff   = 2500 * time.Millisecond
+	maxAnswer    = 128 << 20 // bytes of a list; one of the longest entries takes two thirds
 )
 
 // Client follows the list service and writes to it. It is safe for concurrent use.
@@ -83,8 +84,20 @@
 	if c.HoldBack == 0 {
 		c.HoldBack = DefaultHoldBack
 	}
-	k := &Client{config: c, log: c.Log, start: time.Now(), changed: make(chan struct{}), current: rand.IntN(len(c.Addresses)),
-		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTime}).DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
+	k := &Client{
+		config:  c,
+		log:     c.Log,
+		start:   time.Now(),
+		changed: make(chan struct{}),
+		current: rand.IntN(len(c.Addresses)),
+		http: &http.Client{
+			Transport: &http.Transport{
+				DialContext:         (&net.Dialer{Timeout: dialTime}).DialContext,
+				MaxIdleConnsPerHost: 2,
+				IdleConnTimeout:     time.Minute,
+			},
+		},
+	}
 	if k.log == nil {
 		k.log = slog.New(slog.DiscardHandler)
 	}
--- a/internal/registry/client/follow.go
+++ b/internal/registry/client/follow.go
@@ -32,9 +32,13 @@
 	otherEpochSince time.Time // since when only another epoch of no higher version answers; zero: it does not
 }
 
-// apply judges an answer. A replica that lags, or one of an epoch whose versions do not go past what is known,
-// is stale; the latter until it has held for so long that the service must have lost its state.
-func (f *recordFollower) apply(now time.Time, holdBack time.Duration, a registry.RecordsResponse) (Change, error) {
+// apply judges an answer. A replica that lags, or one of an epoch whose versions do not go past what is
+// known, is stale; the latter until it has held for so long that the service must have lost its state.
+func (f *recordFollower) apply(
+	now time.Time,
+	holdBack time.Duration,
+	a registry.RecordsResponse,
+) (Change, error) {
 	known := f.records
 	switch {
 	case a.Epoch == f.epoch && a.Index < f.version:
@@ -50,7 +54,11 @@
 	if a.Epoch != f.epoch {
 		known = nil
 	}
-	next, changed := make(map[string]registry.Record, len(a.Records)), f.epoch != a.Epoch || len(a.Records) != len(known)
+	next, changed := make(
+		map[string]registry.Record,
+		len(a.Records),
+	), f.epoch != a.Epoch ||
+		len(a.Records) != len(known)
 	for _, r := range a.Records {
 		if r.Value == nil {
 			has, ok := known[r.Key]
@@ -71,13 +79,20 @@
 }
 
 func (f *recordFollower) snapshot() Records {
-	return Records{f.epoch, f.version, slices.SortedFunc(maps.Values(f.records), func(a, b registry.Record) int { return cmp.Compare(a.Key, b.Key) })}
+	return Records{
+		f.epoch,
+		f.version,
+		slices.SortedFunc(
+			maps.Values(f.records),
+			func(a, b registry.Record) int { return cmp.Compare(a.Key, b.Key) },
+		),
+	}
 }
 
-// FollowRecords watches the records under a prefix until ctx ends, over whatever failures of the service. taken
-// gets them whole: at first, and after each change, in order, from this goroutine. What it gets is a state that
-// was, never an older one after a newer; how old it is, the session of whoever relies on it has to say. A call that
-// comes after a failure is not held, so that its own silence shows soon.
+// FollowRecords watches the records under a prefix until ctx ends, over whatever failures of the service.
+// taken gets them whole: at first, and after each change, in order, from this goroutine. What it gets is a
+// state that was, never an older one after a newer; how old it is, the session of whoever relies on it has to
+// say. A call that comes after a failure is not held, so that its own silence shows soon.
 func (k *Client) FollowRecords(ctx context.Context, prefix string, taken func(Records)) {
 	f, wait, hold := &recordFollower{}, watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
@@ -95,7 +110,15 @@
 		if hold = minHold; verdict == NeedsComplete {
 			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // read whole, as of now
 		}
-		k.log.Warn("records are not followed for now; those known stand", "prefix", prefix, "address", k.address(), "err", err)
+		k.log.Warn(
+			"records are not followed for now; those known stand",
+			"prefix",
+			prefix,
+			"address",
+			k.address(),
+			"err",
+			err,
+		)
 		k.nextAddress()
 		if !backoff.Sleep(ctx, wait.Next(rand.Int64N)) {
 			return
@@ -103,7 +126,12 @@
 	}
 }
 
-func (k *Client) watchRecords(ctx context.Context, f *recordFollower, prefix string, hold time.Duration) (Change, error) {
+func (k *Client) watchRecords(
+	ctx context.Context,
+	f *recordFollower,
+	prefix string,
+	hold time.Duration,
+) (Change, error) {
 	q := url.Values{"prefix": {prefix}, "hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)}}
 	if f.epoch != "" {
 		q.Set("epoch", f.epoch)
--- a/internal/registry/client/move.go
+++ b/internal/registry/client/move.go
@@ -26,8 +26,8 @@
 	})
 }
 
-// endForMove ends a task for a move. What the former address has written by then counts as told, whatever the next one
-// says, and when: an answer that has begun to come is read to its end.
+// endForMove ends a task for a move. What the former address has written by then counts as told, whatever the
+// next one says, and when: an answer that has begun to come is read to its end.
 func (d *Platform) endForMove(t *task) {
 	if d.answerArriving() {
 		whole, stop := context.WithTimeout(context.Background(), moveGrace)
@@ -55,7 +55,8 @@
 
 func (c observedConn) Read(p []byte) (int, error) {
 	if socketoption.Await(c.Conn) {
-		c.platform.answerBegun.Store(true) // ahead of the read: by arriving's look something is either to be read or noted
+		// ahead of the read: by arriving's look something is either to be read or noted
+		c.platform.answerBegun.Store(true)
 	}
 	return c.Conn.Read(p)
 }
--- a/internal/registry/client/part.go
+++ b/internal/registry/client/part.go
@@ -76,7 +76,10 @@
 	case a.Subset != "":
 		return errors.New("an answer of another part than was asked for")
 	case !a.Snapshot && !q.subset.IsAll():
-		a.Endpoints = slices.DeleteFunc(a.Endpoints, func(e registry.Endpoint) bool { return !q.subset.Contains(registry.Position(e.Name)) })
+		a.Endpoints = slices.DeleteFunc(
+			a.Endpoints,
+			func(e registry.Endpoint) bool { return !q.subset.Contains(registry.Position(e.Name)) },
+		)
 		a.Subset = q.subset.String()
 	}
 	return nil
@@ -116,6 +119,14 @@
 	}
 	k.move = subsetMove{next, time.Since(k.start) + rand.N(k.config.Hold)}
 	if next != k.list.subset {
-		k.log.Info("another part of the list is to be followed", "from", k.list.subset, "to", next, "of", k.list.total)
+		k.log.Info(
+			"another part of the list is to be followed",
+			"from",
+			k.list.subset,
+			"to",
+			next,
+			"of",
+			k.list.total,
+		)
 	}
 }
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -53,9 +53,25 @@
 // NewPlatform makes a follower that knows the list of version index. Where lists
 // come only when they are asked for, asked is true. Both functions are called
 // from one task at a time.
-func NewPlatform(address string, asked bool, index uint64, log *slog.Logger, listed func(registry.ListResponse), failed func()) *Platform {
-	d := &Platform{url: platformURL(address), polls: asked, sleep: backoff.Sleep, log: log, index: index, onList: listed, onFailure: failed, running: &task{},
-		dial: (&net.Dialer{Timeout: gracePolled}).DialContext}
+func NewPlatform(
+	address string,
+	asked bool,
+	index uint64,
+	log *slog.Logger,
+	listed func(registry.ListResponse),
+	failed func(),
+) *Platform {
+	d := &Platform{
+		url:       platformURL(address),
+		polls:     asked,
+		sleep:     backoff.Sleep,
+		log:       log,
+		index:     index,
+		onList:    listed,
+		onFailure: failed,
+		running:   &task{},
+		dial:      (&net.Dialer{Timeout: gracePolled}).DialContext,
+	}
 	d.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: d.connect}}
 	d.setTimes(asked)
 	return d
--- a/internal/registry/client/records.go
+++ b/internal/registry/client/records.go
@@ -27,12 +27,22 @@
 
 // Put writes a record; with a nil value it is taken away. cond, if there is one,
 // is the version that the record must have, 0 for none.
-func (k *Client) Put(ctx context.Context, key string, value json.RawMessage, cond *uint64) (registry.Result, error) {
+func (k *Client) Put(
+	ctx context.Context,
+	key string,
+	value json.RawMessage,
+	cond *uint64,
+) (registry.Result, error) {
 	return k.put(ctx, key, registry.PutRequest{Value: value, IfVersion: cond})
 }
 
 // Put is Client.Put under the fence.
-func (h FencedClient) Put(ctx context.Context, key string, value json.RawMessage, cond *uint64) (registry.Result, error) {
+func (h FencedClient) Put(
+	ctx context.Context,
+	key string,
+	value json.RawMessage,
+	cond *uint64,
+) (registry.Result, error) {
 	return h.client.put(ctx, key, registry.PutRequest{Value: value, IfVersion: cond, Token: &h.token})
 }
 
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -15,7 +15,13 @@
 // OpenSession opens a session under a new id, or changes the word of one that is open.
 func (k *Client) OpenSession(ctx context.Context, s registry.Session) error {
 	var r registry.Result
-	return k.send(ctx, http.MethodPut, sessionPath(s.ID), registry.OpenSessionRequest{Process: s.Process, TTLMS: s.TTL.Milliseconds(), Info: s.Info}, &r)
+	return k.send(
+		ctx,
+		http.MethodPut,
+		sessionPath(s.ID),
+		registry.OpenSessionRequest{Process: s.Process, TTLMS: s.TTL.Milliseconds(), Info: s.Info},
+		&r,
+	)
 }
 
 // CloseSession ends a session; what it holds goes to the next.
@@ -37,22 +43,47 @@
 }
 
 // Campaign has a session wait for duties.
-func (k *Client) Campaign(ctx context.Context, id string, wishes []registry.Candidacy) (registry.Result, error) {
+func (k *Client) Campaign(
+	ctx context.Context,
+	id string,
+	wishes []registry.Candidacy,
+) (registry.Result, error) {
 	var r registry.Result
-	err := k.send(ctx, http.MethodPost, sessionPath(id)+"/campaign", registry.CandidacyRequest{Candidacies: wishes}, &r)
+	err := k.send(
+		ctx,
+		http.MethodPost,
+		sessionPath(id)+"/campaign",
+		registry.CandidacyRequest{Candidacies: wishes},
+		&r,
+	)
 	return r, err
 }
 
 // ReleaseLeases has a session leave duties and their queues.
-func (k *Client) ReleaseLeases(ctx context.Context, id string, wishes []registry.Candidacy) (registry.Result, error) {
+func (k *Client) ReleaseLeases(
+	ctx context.Context,
+	id string,
+	wishes []registry.Candidacy,
+) (registry.Result, error) {
 	var r registry.Result
-	err := k.send(ctx, http.MethodPost, sessionPath(id)+"/give-up", registry.CandidacyRequest{Candidacies: wishes}, &r)
+	err := k.send(
+		ctx,
+		http.MethodPost,
+		sessionPath(id)+"/give-up",
+		registry.CandidacyRequest{Candidacies: wishes},
+		&r,
+	)
 	return r, err
 }
 
-// SessionLeases makes one try to read the duties of a session once they are newer than a version. A try that comes
-// after one that failed is not held, so that its own silence shows soon.
-func (k *Client) SessionLeases(ctx context.Context, id string, from uint64, hold time.Duration) (registry.LeasesResponse, error) {
+// SessionLeases makes one try to read the duties of a session once they are newer than a version. A try that
+// comes after one that failed is not held, so that its own silence shows soon.
+func (k *Client) SessionLeases(
+	ctx context.Context,
+	id string,
+	from uint64,
+	hold time.Duration,
+) (registry.LeasesResponse, error) {
 	if k.leasesFailed.Load() {
 		hold = min(hold, minHold)
 	}
@@ -81,13 +112,25 @@
 // TransferLease asks the holder of a duty to hand on, to a certain process if one is named.
 func (k *Client) TransferLease(ctx context.Context, duty, to string) error {
 	var r registry.Result
-	return k.send(ctx, http.MethodPost, "/registry/duties/"+url.PathEscape(duty)+"/yield", registry.LeaseOrder{Process: to}, &r)
+	return k.send(
+		ctx,
+		http.MethodPost,
+		"/registry/duties/"+url.PathEscape(duty)+"/yield",
+		registry.LeaseOrder{Process: to},
+		&r,
+	)
 }
 
 // BlockProcess keeps a process from a duty, or lets it again.
 func (k *Client) BlockProcess(ctx context.Context, duty, process string, on bool) error {
 	var r registry.Result
-	return k.send(ctx, http.MethodPost, "/registry/duties/"+url.PathEscape(duty)+"/block", registry.LeaseOrder{Process: process, Block: on}, &r)
+	return k.send(
+		ctx,
+		http.MethodPost,
+		"/registry/duties/"+url.PathEscape(duty)+"/block",
+		registry.LeaseOrder{Process: process, Block: on},
+		&r,
+	)
 }
 
 // FencedClient writes to the list as the holder of a duty: each write is turned down
@@ -101,16 +144,36 @@
 func (k *Client) WithToken(f registry.FencingToken) FencedClient { return FencedClient{k, f} }
 
 // Register is Client.Register under the fence.
-func (h FencedClient) Register(ctx context.Context, e registry.Endpoint, ttl time.Duration, cond *uint64) (registry.Result, error) {
-	return h.client.write(ctx, http.MethodPut, entryPath(e.Name), registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: cond, Token: &h.token})
+func (h FencedClient) Register(
+	ctx context.Context,
+	e registry.Endpoint,
+	ttl time.Duration,
+	cond *uint64,
+) (registry.Result, error) {
+	return h.client.write(
+		ctx,
+		http.MethodPut,
+		entryPath(e.Name),
+		registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: cond, Token: &h.token},
+	)
 }
 
 // Drain is Client.Drain under the fence.
 func (h FencedClient) Drain(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
-	return h.client.write(ctx, http.MethodPost, entryPath(name)+"/drain", registry.WriteRequest{IfVersion: cond, Token: &h.token})
+	return h.client.write(
+		ctx,
+		http.MethodPost,
+		entryPath(name)+"/drain",
+		registry.WriteRequest{IfVersion: cond, Token: &h.token},
+	)
 }
 
 // Remove is Client.Remove under the fence.
 func (h FencedClient) Remove(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
-	return h.client.write(ctx, http.MethodDelete, entryPath(name), registry.WriteRequest{IfVersion: cond, Token: &h.token})
+	return h.client.write(
+		ctx,
+		http.MethodDelete,
+		entryPath(name),
+		registry.WriteRequest{IfVersion: cond, Token: &h.token},
+	)
 }
--- a/internal/registry/client/silence.go
+++ b/internal/registry/client/silence.go
@@ -26,17 +26,23 @@
 // what fleets of over 36 nodes do when calls stay silent for long. The project's list service, once a list is
 // known: grace, mostWait, an answer within grace, 5.5 s.
 const (
-	holdPushed  = 3500 * time.Millisecond // a watch on the agent costs it nothing, and the node little
-	holdPolled  = 20 * time.Second        // a call to the shared service costs it work
-	minHold     = time.Millisecond        // of a call to be answered at once with what is new
-	gracePushed = time.Second             // the agent is on this machine; three calls fit into the 4 s after a move
+	holdPushed = 3500 * time.Millisecond // a watch on the agent costs it nothing, and the node little
+	holdPolled = 20 * time.Second        // a call to the shared service costs it work
+	minHold    = time.Millisecond        // of a call to be answered at once with what is new
+	// the agent is on this machine; three calls fit into the 4 s after a move
+	gracePushed = time.Second
 	gracePolled = 1500 * time.Millisecond // the shared service takes calls in turn
-	notHeld     = 100 * time.Millisecond  // before a call that follows an answer that was not held; 200 ms would end the watch
+	// before a call that follows an answer that was not held; 200 ms would end the watch
+	notHeld = 100 * time.Millisecond
 
 	backoffLow  = 50 * time.Millisecond  // before the second call that fails in a row
 	backoffHigh = 250 * time.Millisecond // what the agent holds counts as told, outage or not
 
-	spreadSilent = 250 * time.Millisecond // over which nodes ask again whose calls to the shared service fell silent or broke together
-	spreadMove   = 600 * time.Millisecond // and whose discovery moved: two calls fit into what is left of the 4 s
-	moveGrace    = 500 * time.Millisecond // for the rest of an answer that has begun to come by then: it passes during spreadMove, or ahead of the three calls
+	// over which nodes ask again whose calls to the shared service fell silent or broke together
+	spreadSilent = 250 * time.Millisecond
+	// and whose discovery moved: two calls fit into what is left of the 4 s
+	spreadMove = 600 * time.Millisecond
+	// for the rest of an answer that has begun to come by then: it passes during spreadMove, or ahead of the
+	// three calls
+	moveGrace = 500 * time.Millisecond
 )
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -45,8 +45,18 @@
 // another, it has to be renewed. cond, if there is one, is the version that the
 // entry must have, 0 for none. Every write is repeated under one id until its end
 // is known or ctx ends.
-func (k *Client) Register(ctx context.Context, e registry.Endpoint, ttl time.Duration, cond *uint64) (registry.Result, error) {
-	return k.write(ctx, http.MethodPut, entryPath(e.Name), registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: cond})
+func (k *Client) Register(
+	ctx context.Context,
+	e registry.Endpoint,
+	ttl time.Duration,
+	cond *uint64,
+) (registry.Result, error) {
+	return k.write(
+		ctx,
+		http.MethodPut,
+		entryPath(e.Name),
+		registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: cond},
+	)
 }
 
 // Drain says that an entry finishes what it holds and takes nothing new.
@@ -59,7 +69,11 @@
 	return k.write(ctx, http.MethodDelete, entryPath(name), registry.WriteRequest{IfVersion: cond})
 }
 
-func (k *Client) write(ctx context.Context, method, path string, w registry.WriteRequest) (registry.Result, error) {
+func (k *Client) write(
+	ctx context.Context,
+	method, path string,
+	w registry.WriteRequest,
+) (registry.Result, error) {
 	w.ID = newID()
 	var r registry.Result
 	err := k.send(ctx, method, path, w, &r)
@@ -96,13 +110,27 @@
 
 // AddReplica adds a replica that was started on an empty folder, and waits until it
 // has its vote. Without an address it is where the others' configurations have it.
-func (k *Client) AddReplica(ctx context.Context, name string, at registry.Address) (m registry.Replica, err error) {
+func (k *Client) AddReplica(
+	ctx context.Context,
+	name string,
+	at registry.Address,
+) (m registry.Replica, err error) {
 	for {
-		if err = k.send(ctx, http.MethodPut, "/registry/members/"+url.PathEscape(name), at, &m); err != nil || m.Voter {
+		if err = k.send(
+			ctx,
+			http.MethodPut,
+			"/registry/members/"+url.PathEscape(name),
+			at,
+			&m,
+		); err != nil ||
+			m.Voter {
 			return m, err
 		}
 		if !backoff.Sleep(ctx, retryPause) {
-			return m, fmt.Errorf("%w: it learns, and is not up to date yet; the same call goes on from here", ctx.Err())
+			return m, fmt.Errorf(
+				"%w: it learns, and is not up to date yet; the same call goes on from here",
+				ctx.Err(),
+			)
 		}
 	}
 }
@@ -123,7 +151,13 @@
 // Restore puts a copy in place of the list that has that epoch.
 func (k *Client) Restore(ctx context.Context, copy []byte, over string) (registry.Result, error) {
 	var r registry.Result
-	err := k.send(ctx, http.MethodPost, "/registry/restore?"+url.Values{"epoch": {over}, "id": {newID()}}.Encode(), copy, &r)
+	err := k.send(
+		ctx,
+		http.MethodPost,
+		"/registry/restore?"+url.Values{"epoch": {over}, "id": {newID()}}.Encode(),
+		copy,
+		&r,
+	)
 	return r, err
 }
 
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -30,8 +30,24 @@
 	OpPutRecord = "put" // Name, Value: a record; without a value it goes
 )
 
-var knownOps = []string{OpBegin, OpRegister, OpDrain, OpRemove, OpExpire, OpRestore, OpAddReplica, OpForgetReplica,
-	OpOpenSession, OpCloseSessions, OpCampaign, OpRelease, OpTransfer, OpBlock, OpGrant, OpPutRecord}
+var knownOps = []string{
+	OpBegin,
+	OpRegister,
+	OpDrain,
+	OpRemove,
+	OpExpire,
+	OpRestore,
+	OpAddReplica,
+	OpForgetReplica,
+	OpOpenSession,
+	OpCloseSessions,
+	OpCampaign,
+	OpRelease,
+	OpTransfer,
+	OpBlock,
+	OpGrant,
+	OpPutRecord,
+}
 
 // Bounds on commands.
 const (
@@ -45,13 +61,14 @@
 
 // Command is one step of the state machine, as it stands in the log.
 type Command struct {
-	Format        int               `json:"v"`
-	Op            string            `json:"do"`
-	ID            string            `json:"id,omitempty"` // of a write, so that a repeat does not apply twice
-	Name          string            `json:"name,omitempty"`
-	Endpoint      *Endpoint         `json:"entry,omitempty"`
-	TTL           time.Duration     `json:"ttl,omitempty"` // 0: the entry stays until it is removed
-	IfVersion     *uint64           `json:"if,omitempty"`  // the version that the entry must have; 0: it must be absent
+	Format   int           `json:"v"`
+	Op       string        `json:"do"`
+	ID       string        `json:"id,omitempty"` // of a write, so that a repeat does not apply twice
+	Name     string        `json:"name,omitempty"`
+	Endpoint *Endpoint     `json:"entry,omitempty"`
+	TTL      time.Duration `json:"ttl,omitempty"` // 0: the entry stays until it is removed
+	// the version that the entry must have; 0: it must be absent
+	IfVersion     *uint64           `json:"if,omitempty"`
 	Expired       []EndpointVersion `json:"overdue,omitempty"`
 	Epoch         string            `json:"epoch,omitempty"`
 	ReplacesEpoch string            `json:"over,omitempty"` // the epoch that a restore means to replace
@@ -90,10 +107,11 @@
 
 // Result is what a command came to.
 type Result struct {
-	Code         Code   `json:"code,omitempty"`
-	Reason       string `json:"why,omitempty"`
-	Version      uint64 `json:"version"`         // of the list, after the command
-	EntryVersion uint64 `json:"entry,omitempty"` // version of the entry that it is about; of the one in the way, at a conflict
+	Code    Code   `json:"code,omitempty"`
+	Reason  string `json:"why,omitempty"`
+	Version uint64 `json:"version"` // of the list, after the command
+	// version of the entry that it is about; of the one in the way, at a conflict
+	EntryVersion uint64 `json:"entry,omitempty"`
 }
 
 // Check says what is wrong with a write before it is logged.
--- a/internal/registry/duties.go
+++ b/internal/registry/duties.go
@@ -70,16 +70,17 @@
 
 // Lease is one duty with its holder, if it has one.
 type Lease struct {
-	Name              string       `json:"name"`
-	Holder            string       `json:"holder,omitempty"` // session
-	Process           string       `json:"process,omitempty"`
-	HolderInfo        *ProcessInfo `json:"word,omitempty"`
-	Priority          int          `json:"priority,omitempty"` // of the holder
-	Token             uint64       `json:"fence"`              // the version of the last grant; 0: there was none
-	TransferRequested bool         `json:"asked,omitempty"`    // to hand on
-	Successor         string       `json:"to,omitempty"`       // the process that is to have it next
-	Queue             []Candidate  `json:"queue,omitempty"`    // in the order in which they came
-	Blocked           []string     `json:"blocked,omitempty"`  // processes that may not hold it
+	Name       string       `json:"name"`
+	Holder     string       `json:"holder,omitempty"` // session
+	Process    string       `json:"process,omitempty"`
+	HolderInfo *ProcessInfo `json:"word,omitempty"`
+	Priority   int          `json:"priority,omitempty"` // of the holder
+	// the version of the last grant; 0: there was none
+	Token             uint64      `json:"fence"`
+	TransferRequested bool        `json:"asked,omitempty"`   // to hand on
+	Successor         string      `json:"to,omitempty"`      // the process that is to have it next
+	Queue             []Candidate `json:"queue,omitempty"`   // in the order in which they came
+	Blocked           []string    `json:"blocked,omitempty"` // processes that may not hold it
 }
 
 // FencingToken proves to whoever takes orders that they come from the holder of a duty.
@@ -186,7 +187,16 @@
 		if ok {
 			now = d.Token
 		}
-		return Result{Code: StaleToken, EntryVersion: now, Reason: fmt.Sprintf("fence %d of %s is not that of its holder; the last grant was %d", f.Number, f.Lease, now)}, false
+		return Result{
+			Code:         StaleToken,
+			EntryVersion: now,
+			Reason: fmt.Sprintf(
+				"fence %d of %s is not that of its holder; the last grant was %d",
+				f.Number,
+				f.Lease,
+				now,
+			),
+		}, false
 	}
 	return Result{}, true
 }
--- a/internal/registry/duties_change.go
+++ b/internal/registry/duties_change.go
@@ -12,7 +12,10 @@
 	in := c.Session
 	h, there := s.leases.Sessions[in.ID]
 	if !there && len(s.leases.Sessions) >= MaxSessions {
-		return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("there are %d sessions already", len(s.leases.Sessions))}
+		return Result{
+			Code:   CapacityExceeded,
+			Reason: fmt.Sprintf("there are %d sessions already", len(s.leases.Sessions)),
+		}
 	}
 	if !there {
 		h = &openSession{Leases: map[string]bool{}}
@@ -113,7 +116,10 @@
 		d := s.leases.Leases[w.Lease]
 		switch {
 		case d == nil && len(s.leases.Leases) >= MaxLeases:
-			return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases))}
+			return Result{
+				Code:   CapacityExceeded,
+				Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases)),
+			}
 		case d == nil:
 			d = &Lease{Name: w.Lease}
 			s.leases.Leases[w.Lease] = d
@@ -124,7 +130,10 @@
 		}
 		h.Leases[w.Lease] = true
 		s.leaseChanged()
-		d.Queue = append(d.Queue, Candidate{Session: h.ID, Process: h.Process, Priority: w.Priority, Preempt: w.Preempt, Since: s.version})
+		d.Queue = append(
+			d.Queue,
+			Candidate{Session: h.ID, Process: h.Process, Priority: w.Priority, Preempt: w.Preempt, Since: s.version},
+		)
 		if slices.Contains(c.Grant, w.Lease) {
 			s.grant(d)
 		}
@@ -152,7 +161,8 @@
 	if !ok || d.Holder == "" {
 		return Result{Code: NotFound, Reason: "nobody holds " + c.Name}
 	}
-	if c.Process != "" && !slices.ContainsFunc(d.Queue, func(k Candidate) bool { return k.Process == c.Process }) {
+	if c.Process != "" &&
+		!slices.ContainsFunc(d.Queue, func(k Candidate) bool { return k.Process == c.Process }) {
 		return Result{Code: NotFound, Reason: fmt.Sprintf("%s does not wait for %s", c.Process, c.Name)}
 	}
 	if !d.TransferRequested || d.Successor != c.Process {
@@ -167,7 +177,10 @@
 	d, ok := s.leases.Leases[c.Name]
 	if !ok {
 		if len(s.leases.Leases) >= MaxLeases {
-			return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases))}
+			return Result{
+				Code:   CapacityExceeded,
+				Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases)),
+			}
 		}
 		d = &Lease{Name: c.Name}
 		s.leases.Leases[c.Name] = d
@@ -175,7 +188,10 @@
 	is := slices.Contains(d.Blocked, c.Process)
 	switch {
 	case c.Enable && !is && len(d.Blocked) >= MaxCandidates:
-		return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("%d processes are blocked already", len(d.Blocked))}
+		return Result{
+			Code:   CapacityExceeded,
+			Reason: fmt.Sprintf("%d processes are blocked already", len(d.Blocked)),
+		}
 	case c.Enable && !is:
 		d.Blocked = append(d.Blocked, c.Process)
 		s.leaseChanged()
--- a/internal/registry/duties_check.go
+++ b/internal/registry/duties_check.go
@@ -34,7 +34,11 @@
 // checkLease says what is wrong with a command on duties.
 func (c Command) checkLease() error {
 	if len(c.Candidacies) > MaxLeaseBatch || len(c.Sessions) > MaxSessions || len(c.Grant) > MaxLeases {
-		return fmt.Errorf("%d duties or %d sessions are too many for one command", len(c.Candidacies), len(c.Sessions))
+		return fmt.Errorf(
+			"%d duties or %d sessions are too many for one command",
+			len(c.Candidacies),
+			len(c.Sessions),
+		)
 	}
 	for _, w := range c.Candidacies {
 		if w.Lease == "" || len(w.Lease) > MaxText {
@@ -72,7 +76,8 @@
 		}
 	}
 	for name, one := range d.Leases {
-		if one == nil || one.Name != name || one.Token > version || one.Holder != "" && (d.Sessions[one.Holder] == nil || one.Token == 0) {
+		if one == nil || one.Name != name || one.Token > version ||
+			one.Holder != "" && (d.Sessions[one.Holder] == nil || one.Token == 0) {
 			return fmt.Errorf("duty %s has a holder or a fence that can't be", name)
 		}
 		for _, c := range one.Queue {
--- a/internal/registry/entries.go
+++ b/internal/registry/entries.go
@@ -7,7 +7,11 @@
 // checkVersion tells whether an entry has the version that the command asks for; absent, it has 0.
 func (s *State) checkVersion(c Command, name string) (Result, bool) {
 	if has := s.registrations[name].Version; c.IfVersion != nil && *c.IfVersion != has {
-		return Result{Code: Conflict, EntryVersion: has, Reason: fmt.Sprintf("%s has version %d, not %d", name, has, *c.IfVersion)}, false
+		return Result{
+			Code:         Conflict,
+			EntryVersion: has,
+			Reason:       fmt.Sprintf("%s has version %d, not %d", name, has, *c.IfVersion),
+		}, false
 	}
 	return Result{}, true
 }
@@ -18,7 +22,10 @@
 	}
 	i, there := s.registrations[c.Endpoint.Name]
 	if !there && len(s.registrations) >= MaxEndpoints {
-		return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("the list has %d entries already", len(s.registrations))}
+		return Result{
+			Code:   CapacityExceeded,
+			Reason: fmt.Sprintf("the list has %d entries already", len(s.registrations)),
+		}
 	}
 	if there && i.Endpoint == *c.Endpoint {
 		i.TTL = c.TTL // nobody who watches has anything to learn
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -20,7 +20,8 @@
 const (
 	MaxText      = 256     // bytes of a name, an address, a zone or a type
 	MaxEndpoints = 1 << 16 // a fifth more than the size to design for, docs/list-design.md
-	MaxReplicas  = 9       // replicas; raft gains nothing from more than five that vote, and replacing needs some at a time
+	// replicas; raft gains nothing from more than five that vote, and replacing needs some at a time
+	MaxReplicas = 9
 )
 
 // Endpoint is one server, in discovery's form.
@@ -81,7 +82,8 @@
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return err
 	}
-	if a.Endpoints, a.Skipped = nil, nil; in.Endpoints != nil { // none told is not the same as told that there are none
+	// none told is not the same as told that there are none
+	if a.Endpoints, a.Skipped = nil, nil; in.Endpoints != nil {
 		a.Endpoints = []Endpoint{}
 	}
 	for _, one := range in.Endpoints {
--- a/internal/registry/image.go
+++ b/internal/registry/image.go
@@ -8,20 +8,22 @@
 	"maps"
 )
 
-const restoreVersionStep = 1 << 32 // versions that a restore passes over, more than could have been used since the copy
+// versions that a restore passes over, more than could have been used since the copy
+const restoreVersionStep = 1 << 32
 
 // snapshotData is the form of a snapshot and of a backup.
 type snapshotData struct {
-	Format         int                `json:"v"`
-	Epoch          string             `json:"epoch"`
-	Version        uint64             `json:"version"`
-	Registrations  []Registration     `json:"items"`
-	Changes        []Change           `json:"changes"`
-	Writes         []writeResult      `json:"writes"`
-	Replicas       map[string]Address `json:"members,omitempty"`
-	Leases         leaseState         `json:"duties"`
-	Records        []Record           `json:"records,omitempty"`
-	TrimmedVersion *uint64            `json:"trimmed,omitempty"` // absent in the first programs' images, whose changes have all versions
+	Format        int                `json:"v"`
+	Epoch         string             `json:"epoch"`
+	Version       uint64             `json:"version"`
+	Registrations []Registration     `json:"items"`
+	Changes       []Change           `json:"changes"`
+	Writes        []writeResult      `json:"writes"`
+	Replicas      map[string]Address `json:"members,omitempty"`
+	Leases        leaseState         `json:"duties"`
+	Records       []Record           `json:"records,omitempty"`
+	// absent in the first programs' images, whose changes have all versions
+	TrimmedVersion *uint64 `json:"trimmed,omitempty"`
 
 	RecordsVersion uint64 `json:"recorded,omitempty"` // absent in the first programs' images
 }
@@ -32,7 +34,21 @@
 // Snapshot copies the state without encoding it. Values of records are never changed, so they are shared.
 func (s *State) Snapshot() Snapshot {
 	trimmed := s.trimmedVersion
-	return Snapshot{snapshotData{format, s.epoch, s.version, s.Registrations(), s.changes.all(), s.recentWrites.all(), maps.Clone(s.replicaAddresses), s.leases.copy(), s.allRecords(), &trimmed, s.recordsVersion}}
+	return Snapshot{
+		snapshotData{
+			format,
+			s.epoch,
+			s.version,
+			s.Registrations(),
+			s.changes.all(),
+			s.recentWrites.all(),
+			maps.Clone(s.replicaAddresses),
+			s.leases.copy(),
+			s.allRecords(),
+			&trimmed,
+			s.recordsVersion,
+		},
+	}
 }
 
 // Encode gives the form of a snapshot and of a backup.
@@ -57,7 +73,12 @@
 			return nil, fmt.Errorf("a snapshot with a bad entry: %w", err)
 		}
 		if _, twice := s.registrations[i.Endpoint.Name]; twice || i.Version > in.Version || i.Version == 0 {
-			return nil, fmt.Errorf("a snapshot of version %d with %s twice, or at version %d", in.Version, i.Endpoint.Name, i.Version)
+			return nil, fmt.Errorf(
+				"a snapshot of version %d with %s twice, or at version %d",
+				in.Version,
+				i.Endpoint.Name,
+				i.Version,
+			)
 		}
 		s.registrations[i.Endpoint.Name] = i
 		s.byPosition.add(i.Endpoint.Name)
@@ -69,7 +90,13 @@
 	last := s.trimmedVersion
 	for k, c := range in.Changes {
 		if c.Version <= last || c.Version > in.Version || k >= maxKeptChanges {
-			return nil, fmt.Errorf("a snapshot of version %d whose change %d of %d has version %d", in.Version, k+1, len(in.Changes), c.Version)
+			return nil, fmt.Errorf(
+				"a snapshot of version %d whose change %d of %d has version %d",
+				in.Version,
+				k+1,
+				len(in.Changes),
+				c.Version,
+			)
 		}
 		last = c.Version
 		s.changes.push(c)
@@ -100,7 +127,10 @@
 // have been given out since the copy was made, and nothing to be told by changes.
 func (s *State) restore(c Command) Result {
 	if c.ReplacesEpoch != s.epoch {
-		return Result{Code: Conflict, Reason: fmt.Sprintf("the list has epoch %s, not %s", s.epoch, c.ReplacesEpoch)}
+		return Result{
+			Code:   Conflict,
+			Reason: fmt.Sprintf("the list has epoch %s, not %s", s.epoch, c.ReplacesEpoch),
+		}
 	}
 	from, err := DecodeSnapshot(c.Snapshot)
 	if err != nil {
@@ -108,8 +138,11 @@
 	}
 	from.epoch = c.Epoch
 	from.version = max(from.version, s.version) + restoreVersionStep
-	from.changes, from.trimmedVersion, from.recordsVersion = ringBuffer[Change]{capacity: maxKeptChanges}, from.version, from.version
-	from.replicaAddresses, from.leases = s.replicaAddresses, s.leases // the copy says nothing of the replicas and the holders of today
+	from.changes, from.trimmedVersion, from.recordsVersion = ringBuffer[Change]{
+		capacity: maxKeptChanges,
+	}, from.version, from.version
+	// the copy says nothing of the replicas and the holders of today
+	from.replicaAddresses, from.leases = s.replicaAddresses, s.leases
 	*s = *from
 	return Result{}
 }
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -5,15 +5,19 @@
 	"strings"
 )
 
-// sortedKeys are the records' keys in order, in runs of at most runMost: a key that comes or goes moves those of its run
-// alone, and what begins with a prefix is found without a look at the rest.
+// sortedKeys are the records' keys in order, in runs of at most runMost: a key that comes or goes moves those
+// of its run alone, and what begins with a prefix is found without a look at the rest.
 type sortedKeys struct{ runs [][]string }
 
 const maxRun = 512
 
 // find gives the run and the place in it where a key is, or would be put.
 func (k *sortedKeys) find(key string) (run, at int, there bool) {
-	run, there = slices.BinarySearchFunc(k.runs, key, func(r []string, key string) int { return strings.Compare(r[0], key) })
+	run, there = slices.BinarySearchFunc(
+		k.runs,
+		key,
+		func(r []string, key string) int { return strings.Compare(r[0], key) },
+	)
 	if there {
 		return run, 0, true
 	}
@@ -23,7 +27,8 @@
 	return run, at, there
 }
 
-// add puts a key in that is not there. Only one that comes last begins a run of its own, so that keys read in order fill theirs.
+// add puts a key in that is not there. Only one that comes last begins a run of its own, so that keys read in
+// order fill theirs.
 func (k *sortedKeys) add(key string) {
 	run, at, _ := k.find(key)
 	if run == len(k.runs) || run == len(k.runs)-1 && at == maxRun {
--- a/internal/registry/part.go
+++ b/internal/registry/part.go
@@ -12,22 +12,24 @@
 )
 
 // The width of a node's part. A node works with the servers that follow its place on the ring, reachLeast at
-// least, and as many as let perServer nodes work with each: decide's reach. It holds reserve times as many, so
-// that it goes on where most of them are ill and nobody can be asked, and partLeast at least, of which a node's
-// own cost is small and chance leaves none without a zone.
+// least, and as many as let perServer nodes work with each: decide's reach. It holds reserve times as many,
+// so that it goes on where most of them are ill and nobody can be asked, and partLeast at least, of which a
+// node's own cost is small and chance leaves none without a zone.
 const (
 	proxiesPerEndpoint = 6
 	spareFactor        = 4
 	minSubsetEndpoints = 256
-	minPerPlacement    = 4 * 5 // ready servers that a part has of each group of classes: reserve times decide's least reach
-	maxSubsetEndpoints = 8192  // servers up to which a part grows for a group that is short: 1 MB to read
+	// ready servers that a part has of each group of classes: reserve times decide's least reach
+	minPerPlacement    = 4 * 5
+	maxSubsetEndpoints = 8192 // servers up to which a part grows for a group that is short: 1 MB to read
 )
 
 const (
-	ringUnits  = 1 << 16            // units of a part's ends
-	minWidth   = 4                  // units of the narrowest part
-	maxWidth   = ringUnits / 4      // of the widest; beyond it is the whole list
-	goldenStep = splitmix.Increment // 2^64 / math.Phi: places of consecutive numbers lie evenly, however many there are
+	ringUnits = 1 << 16       // units of a part's ends
+	minWidth  = 4             // units of the narrowest part
+	maxWidth  = ringUnits / 4 // of the widest; beyond it is the whole list
+	// 2^64 / math.Phi: places of consecutive numbers lie evenly, however many there are
+	goldenStep = splitmix.Increment
 	silverStep = 0x6a09e667f3bcc909 // 2^64 * (math.Sqrt2 - 1): even, too, and of no relation to it
 )
 
@@ -43,8 +45,9 @@
 // StartPosition is the point of the ring from which the node of a number takes its servers.
 func StartPosition(self int) uint64 { return uint64(self) * goldenStep }
 
-// Subset is an arc of the ring, in units of 2^-16 of it. Widths are powers of two, and an arc begins at a quarter of
-// its width, so that nodes with places near each other have the same one. The zero Part is all of the list.
+// Subset is an arc of the ring, in units of 2^-16 of it. Widths are powers of two, and an arc begins at a
+// quarter of its width, so that nodes with places near each other have the same one. The zero Part is all of
+// the list.
 type Subset struct{ Start, Width uint16 }
 
 // allSubsets is the text form of all of the list.
@@ -68,9 +71,15 @@
 	first, second, _ := strings.Cut(s, "-")
 	from, err := strconv.ParseUint(first, 10, 16)
 	width, err2 := strconv.ParseUint(second, 10, 16)
-	if err != nil || err2 != nil || width < minWidth || width > maxWidth || width&(width-1) != 0 || from%(width/4) != 0 {
-		return Subset{}, fmt.Errorf("part: %q is neither %q nor FROM-WIDTH with a power of two from %d to %d and a multiple of its quarter",
-			s[:min(len(s), 40)], allSubsets, minWidth, maxWidth)
+	if err != nil || err2 != nil || width < minWidth || width > maxWidth || width&(width-1) != 0 ||
+		from%(width/4) != 0 {
+		return Subset{}, fmt.Errorf(
+			"part: %q is neither %q nor FROM-WIDTH with a power of two from %d to %d and a multiple of its quarter",
+			s[:min(len(s), 40)],
+			allSubsets,
+			minWidth,
+			maxWidth,
+		)
 	}
 	return Subset{uint16(from), uint16(width)}, nil
 }
@@ -111,9 +120,10 @@
 	return Subset{uint16(StartPosition(self)>>48) / step * step, uint16(arc)}
 }
 
-// SubsetOf is the part that the node of a number needs where so many nodes work with a list of total servers. Two
-// nodes that believe in other numbers have parts of other widths around the same place. The size at which a part's
-// width doubles differs by half from node to node, so that no single server or node moves many parts.
+// SubsetOf is the part that the node of a number needs where so many nodes work with a list of total servers.
+// Two nodes that believe in other numbers have parts of other widths around the same place. The size at which
+// a part's width doubles differs by half from node to node, so that no single server or node moves many
+// parts.
 func SubsetOf(self, nodes, total int) Subset {
 	if nodes <= 0 || total <= 0 {
 		return Subset{}
@@ -127,11 +137,13 @@
 	return subsetAt(self, arc)
 }
 
-// Placement is a placement that classes of requests share: the zones and types of the servers open to them, all where nil.
+// Placement is a placement that classes of requests share: the zones and types of the servers open to them,
+// all where nil.
 type Placement struct{ Zones, Types []string }
 
 func (g Placement) allows(e Endpoint) bool {
-	return (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) && (g.Types == nil || slices.Contains(g.Types, e.Type))
+	return (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
+		(g.Types == nil || slices.Contains(g.Types, e.Type))
 }
 
 // suffices tells whether q, of which entries are all at least, has servers enough for each group.
@@ -156,9 +168,9 @@
 	return true
 }
 
-// Next is the part to follow for a node that has p, and these entries of it. It grows at once, and where a group
-// is short of servers up to partMost; it shrinks only to under a quarter, so that nothing goes to and fro. Entries
-// are nil where none are known yet.
+// Next is the part to follow for a node that has p, and these entries of it. It grows at once, and where a
+// group is short of servers up to partMost; it shrinks only to under a quarter, so that nothing goes to and
+// fro. Entries are nil where none are known yet.
 func (p Subset) Next(self, nodes, total int, entries []Endpoint, groups []Placement) Subset {
 	next := SubsetOf(self, nodes, total)
 	for entries != nil && p.Covers(next) && !next.IsAll() && !next.suffices(entries, groups) {
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -6,9 +6,10 @@
 	"fmt"
 )
 
-// Bounds on records. The size to design for has 200,000 tenants and 20,000 pages of their catalogue. A change, and a
-// watcher that it wakes, cost the same with so many as with 800 (BenchmarkRecords). Their bytes are bounded by what has
-// to come back in one command when a backup is restored: more of them make the leader lose its place over it.
+// Bounds on records. The size to design for has 200,000 tenants and 20,000 pages of their catalogue. A
+// change, and a watcher that it wakes, cost the same with so many as with 800 (BenchmarkRecords). Their bytes
+// are bounded by what has to come back in one command when a backup is restored: more of them make the leader
+// lose its place over it.
 const (
 	MaxRecords     = 1 << 18
 	MaxRecord      = 256 << 10 // bytes of one's value
@@ -30,7 +31,10 @@
 
 // Records gives those whose keys begin with a prefix, by key, without their values. It looks at no others.
 func (s *State) Records(prefix string) (all []Record) {
-	s.recordKeys.withPrefix(prefix, func(key string) { all = append(all, Record{Key: key, Version: s.records[key].Version}) })
+	s.recordKeys.withPrefix(
+		prefix,
+		func(key string) { all = append(all, Record{Key: key, Version: s.records[key].Version}) },
+	)
 	return all
 }
 
@@ -55,11 +59,18 @@
 	has, there := s.records[c.Name]
 	switch {
 	case c.IfVersion != nil && *c.IfVersion != has.Version:
-		return Result{Code: Conflict, EntryVersion: has.Version, Reason: fmt.Sprintf("%s has version %d, not %d", c.Name, has.Version, *c.IfVersion)}
+		return Result{
+			Code:         Conflict,
+			EntryVersion: has.Version,
+			Reason:       fmt.Sprintf("%s has version %d, not %d", c.Name, has.Version, *c.IfVersion),
+		}
 	case c.Value == nil && !there:
 		return Result{Code: NotFound, Reason: "there is no " + c.Name}
 	case c.Value != nil && (!there && len(s.records) >= MaxRecords || s.recordBytes-len(has.Value)+len(c.Value) > MaxRecordBytes):
-		return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("%d records with %d bytes are kept already", len(s.records), s.recordBytes)}
+		return Result{
+			Code:   CapacityExceeded,
+			Reason: fmt.Sprintf("%d records with %d bytes are kept already", len(s.records), s.recordBytes),
+		}
 	}
 	s.version++
 	s.recordsVersion = s.version
@@ -92,7 +103,8 @@
 // restoreRecords takes the records of an image over.
 func (s *State) restoreRecords(all []Record, version uint64) error {
 	for _, r := range all {
-		if _, twice := s.records[r.Key]; twice || r.Key == "" || r.Version > version || len(r.Value) == 0 || len(r.Value) > MaxRecord {
+		if _, twice := s.records[r.Key]; twice || r.Key == "" || r.Version > version || len(r.Value) == 0 ||
+			len(r.Value) > MaxRecord {
 			return fmt.Errorf("record %q of version %d can't be", r.Key, r.Version)
 		}
 		s.records[r.Key] = r
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -18,7 +18,8 @@
 	cacheMost = 64       // answers kept of one part; watchers stand at few versions
 	cacheSize = 64 << 20 // bytes of all of them; one that is larger is kept alone
 
-	wholeMost  = 64              // whole parts that are made and sent at once: a fleet that comes together gets them in turn
+	// whole parts that are made and sent at once: a fleet that comes together gets them in turn
+	wholeMost  = 64
 	wholeWait  = time.Second     // for one's turn, before a reader is told to come again
 	wholeTime  = 5 * time.Second // for sending one: a reader that takes longer has given up
 	wholeAgain = 4               // s, over which those that are turned away are spread
@@ -119,12 +120,19 @@
 	}
 	if q.parted && q.from == 0 {
 		if !s.turn(r) {
-			refuse(w, http.StatusTooManyRequests, "paced", "too many read whole parts here", time.Second*time.Duration(1+rand.IntN(wholeAgain)))
+			refuse(
+				w,
+				http.StatusTooManyRequests,
+				"paced",
+				"too many read whole parts here",
+				time.Second*time.Duration(1+rand.IntN(wholeAgain)),
+			)
 			return
 		}
 		defer func() { <-s.whole }()
 		send := http.NewResponseController(w)
-		besteffort.SocketOption(send.SetWriteDeadline(time.Now().Add(wholeTime))) // a writer that knows none needs none
+		// a writer that knows none needs none
+		besteffort.SocketOption(send.SetWriteDeadline(time.Now().Add(wholeTime)))
 		defer func() { besteffort.SocketOption(send.SetWriteDeadline(time.Time{})) }()
 	}
 	head, entries, err := s.hub.answer(q)
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -12,14 +12,18 @@
 
 // Config is what a replica is told.
 type Config struct {
-	Name     string        `koanf:"name"`     // of this replica
-	Folder   string        `koanf:"folder"`   // where its log and snapshots are
-	Listen   string        `koanf:"listen"`   // HTTP
-	Raft     string        `koanf:"raft"`     // where the other replicas reach it; without it, it stays alone
-	Begin    bool          `koanf:"begin"`    // begin the cluster if the folder is empty: for one replica of several, once
-	Election time.Duration `koanf:"election"` // without a word from the leader for so long, up to twice, another is elected
-	Replicas []Replica     `koanf:"replica"`  // those that begin, or that this one finds when it is added; this one included
-	Snapshot uint64        `koanf:"snapshot"` // entries of the log after which a snapshot is made; half as many are kept behind it
+	Name   string `koanf:"name"`   // of this replica
+	Folder string `koanf:"folder"` // where its log and snapshots are
+	Listen string `koanf:"listen"` // HTTP
+	Raft   string `koanf:"raft"`   // where the other replicas reach it; without it, it stays alone
+	// begin the cluster if the folder is empty: for one replica of several, once
+	Begin bool `koanf:"begin"`
+	// without a word from the leader for so long, up to twice, another is elected
+	Election time.Duration `koanf:"election"`
+	// those that begin, or that this one finds when it is added; this one included
+	Replicas []Replica `koanf:"replica"`
+	// entries of the log after which a snapshot is made; half as many are kept behind it
+	Snapshot uint64 `koanf:"snapshot"`
 
 	MaxWatchers int     `koanf:"max_watchers"` // calls that may be held at once
 	MaxWrites   float64 `koanf:"max_writes"`   // writes a second for one client, twice as many at once
@@ -34,7 +38,14 @@
 
 // Default is the configuration of one process on a folder.
 func Default() Config {
-	return Config{Name: "r0", Listen: "127.0.0.1:8500", Election: 500 * time.Millisecond, Snapshot: 8192, MaxWatchers: 20000, MaxWrites: 200}
+	return Config{
+		Name:        "r0",
+		Listen:      "127.0.0.1:8500",
+		Election:    500 * time.Millisecond,
+		Snapshot:    8192,
+		MaxWatchers: 20000,
+		MaxWrites:   200,
+	}
 }
 
 // Check says what is wrong with a configuration, by its keys.
@@ -44,7 +55,11 @@
 	bad(c.Name != "", "name: missing")
 	bad(c.Folder != "", "folder: missing; it is where the log and the snapshots go")
 	address("listen", c.Listen)
-	bad(c.Election >= 50*time.Millisecond && c.Election <= time.Minute, "election: %v is not between 50ms and 1m", c.Election)
+	bad(
+		c.Election >= 50*time.Millisecond && c.Election <= time.Minute,
+		"election: %v is not between 50ms and 1m",
+		c.Election,
+	)
 	bad(c.MaxWatchers > 0, "max_watchers: %d is not above 0", c.MaxWatchers)
 	bad(c.MaxWrites > 0, "max_writes: %v is not above 0", c.MaxWrites)
 	bad(c.Snapshot >= 16, "snapshot: %d entries are too few, want 16 or more", c.Snapshot)
@@ -62,8 +77,17 @@
 		address(fmt.Sprintf("replica %s: http", r.Name), r.HTTP)
 	}
 	bad(names[c.Name], "replica: %s itself is not among them", c.Name)
-	bad(!c.Begin || len(c.Replicas)%2 == 1 && len(c.Replicas) <= 5, "replica: %d are to begin, want 1, 3 or 5", len(c.Replicas))
-	bad(len(c.Replicas) <= registry.MaxReplicas, "replica: there are %d, %d at most", len(c.Replicas), registry.MaxReplicas)
+	bad(
+		!c.Begin || len(c.Replicas)%2 == 1 && len(c.Replicas) <= 5,
+		"replica: %d are to begin, want 1, 3 or 5",
+		len(c.Replicas),
+	)
+	bad(
+		len(c.Replicas) <= registry.MaxReplicas,
+		"replica: there are %d, %d at most",
+		len(c.Replicas),
+		registry.MaxReplicas,
+	)
 	return f.Err()
 }
 
--- a/internal/registry/server/duties.go
+++ b/internal/registry/server/duties.go
@@ -15,11 +15,28 @@
 		return
 	}
 	if body.TTLMS < 0 || body.TTLMS > int64(registry.MaxSessionTTL/time.Millisecond) {
-		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d, want %d to %d", body.TTLMS, registry.MinSessionTTL/time.Millisecond, registry.MaxSessionTTL/time.Millisecond), 0)
+		refuse(
+			w,
+			http.StatusBadRequest,
+			"bad",
+			fmt.Sprintf(
+				"ttl_ms: %d, want %d to %d",
+				body.TTLMS,
+				registry.MinSessionTTL/time.Millisecond,
+				registry.MaxSessionTTL/time.Millisecond,
+			),
+			0,
+		)
 		return
 	}
-	s.duty(w, registry.Command{Op: registry.OpOpenSession, Session: &registry.Session{ID: r.PathValue("id"), Process: body.Process,
-		TTL: time.Duration(body.TTLMS) * time.Millisecond, Info: body.Info}})
+	s.duty(
+		w,
+		registry.Command{
+			Op: registry.OpOpenSession,
+			Session: &registry.Session{ID: r.PathValue("id"), Process: body.Process,
+				TTL: time.Duration(body.TTLMS) * time.Millisecond, Info: body.Info},
+		},
+	)
 }
 
 func (s *Server) closeSession(w http.ResponseWriter, r *http.Request) {
@@ -31,7 +48,14 @@
 	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.CandidacyRequest
 		if readJSON(w, r, &body) {
-			s.duty(w, registry.Command{Op: do, Session: &registry.Session{ID: r.PathValue("id")}, Candidacies: body.Candidacies})
+			s.duty(
+				w,
+				registry.Command{
+					Op:          do,
+					Session:     &registry.Session{ID: r.PathValue("id")},
+					Candidacies: body.Candidacies,
+				},
+			)
 		}
 	})
 }
@@ -64,7 +88,13 @@
 		return
 	}
 	if len(body.Sessions) == 0 || len(body.Sessions) > maxNames {
-		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("sessions: %d, want 1 to %d", len(body.Sessions), maxNames), 0)
+		refuse(
+			w,
+			http.StatusBadRequest,
+			"bad",
+			fmt.Sprintf("sessions: %d, want 1 to %d", len(body.Sessions), maxNames),
+			0,
+		)
 		return
 	}
 	if err := s.replica.verify(); err != nil {
@@ -93,7 +123,11 @@
 		return
 	}
 	s.machine.mu.RLock()
-	a := registry.LeasesResponse{Index: s.machine.state.LeasesVersion(), Epoch: s.machine.state.Epoch(), Leases: []registry.Lease{}}
+	a := registry.LeasesResponse{
+		Index:  s.machine.state.LeasesVersion(),
+		Epoch:  s.machine.state.Epoch(),
+		Leases: []registry.Lease{},
+	}
 	session := r.URL.Query().Get("session")
 	all, known := s.machine.state.Leases(session)
 	if session == "" {
@@ -108,8 +142,8 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// holdDuties waits until a duty changes after the reader's version: few do, and not for a moment at a replica that is
-// cut off. It is false where the call has been answered.
+// holdDuties waits until a duty changes after the reader's version: few do, and not for a moment at a replica
+// that is cut off. It is false where the call has been answered.
 func (s *Server) holdDuties(w http.ResponseWriter, r *http.Request, q query) bool {
 	_, ok := s.await(w, r, s.dutyHub, query{from: q.from}, q.hold, 0)
 	return ok
--- a/internal/registry/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -98,7 +98,12 @@
 
 // every looks at deadlines again and again until ctx ends, and says before a look
 // if the process stood still since the one before.
-func every(ctx context.Context, now func() time.Duration, stoodStill func(time.Duration), look func(now time.Duration)) {
+func every(
+	ctx context.Context,
+	now func() time.Duration,
+	stoodStill func(time.Duration),
+	look func(now time.Duration),
+) {
 	t := time.NewTicker(expiryEvery)
 	defer t.Stop()
 	for last := now(); ; {
--- a/internal/registry/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	wakeBatch = 128                    // watchers that are woken at once
-	wakePause = 200 * time.Microsecond // between two batches, so that a change does not make all of them run at once
+	wakeBatch = 128 // watchers that are woken at once
+	// between two batches, so that a change does not make all of them run at once
+	wakePause = 200 * time.Microsecond
 )
 
 // hub holds watchers until there is something newer than what they have, and
@@ -45,7 +46,12 @@
 }
 
 func newHub(m *machine) *hub {
-	return &hub{machine: m, parts: map[registry.Subset]*watched{}, ahead: map[*watcher]bool{}, news: make(chan struct{}, 1)}
+	return &hub{
+		machine: m,
+		parts:   map[registry.Subset]*watched{},
+		ahead:   map[*watcher]bool{},
+		news:    make(chan struct{}, 1),
+	}
 }
 
 // publish says that there is a version, and the newest that watchers are to be
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -32,7 +32,12 @@
 
 func (s *Server) describe(m raft.Server) registry.Replica {
 	name := string(m.ID)
-	d := registry.Replica{Name: name, Leader: name == s.replica.leader(), Voter: m.Suffrage == raft.Voter, Self: name == s.c.Name}
+	d := registry.Replica{
+		Name:   name,
+		Leader: name == s.replica.leader(),
+		Voter:  m.Suffrage == raft.Voter,
+		Self:   name == s.c.Name,
+	}
 	if a, ok := s.machine.member(name); ok {
 		d.Address = &a
 	}
@@ -66,7 +71,13 @@
 	is := func(m raft.Server) bool { return string(m.ID) == c.Name }
 	i := slices.IndexFunc(servers, is)
 	if i < 0 && len(servers) >= registry.MaxReplicas {
-		refuse(w, http.StatusInsufficientStorage, string(registry.CapacityExceeded), fmt.Sprintf("there are %d replicas already", len(servers)), 0)
+		refuse(
+			w,
+			http.StatusInsufficientStorage,
+			string(registry.CapacityExceeded),
+			fmt.Sprintf("there are %d replicas already", len(servers)),
+			0,
+		)
 		return
 	}
 	if known != at {
@@ -77,9 +88,13 @@
 	}
 	switch {
 	case i < 0:
-		err = judge(s.replica.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTime).Error())
+		err = judge(
+			s.replica.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTime).Error(),
+		)
 	case servers[i].Suffrage != raft.Voter && s.upToDate(r.Context(), at):
-		err = judge(s.replica.raft.AddVoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTime).Error())
+		err = judge(
+			s.replica.raft.AddVoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTime).Error(),
+		)
 	}
 	if err == nil {
 		servers, err = s.replica.servers()
@@ -105,7 +120,12 @@
 	defer cancel()
 	version, epoch := s.hub.has()
 	q := url.Values{"from": {strconv.FormatUint(version, 10)}, "epoch": {epoch}}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.HTTP+"/registry/instances?"+q.Encode(), nil)
+	req, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodGet,
+		"http://"+at.HTTP+"/registry/instances?"+q.Encode(),
+		nil,
+	)
 	if err != nil {
 		return false
 	}
@@ -128,7 +148,10 @@
 		return
 	}
 	there := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) == name })
-	others := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) != name && m.Suffrage == raft.Voter })
+	others := slices.ContainsFunc(
+		servers,
+		func(m raft.Server) bool { return string(m.ID) != name && m.Suffrage == raft.Voter },
+	)
 	switch {
 	case !there:
 		refuse(w, http.StatusNotFound, string(registry.NotFound), "there is no replica "+name, 0)
@@ -138,7 +161,13 @@
 		return
 	case name == s.c.Name:
 		err = s.replica.raft.LeadershipTransfer().Error()
-		refuse(w, http.StatusServiceUnavailable, "not-leading", fmt.Sprintf("this replica is to go, and hands leadership on (%v)", err), time.Second)
+		refuse(
+			w,
+			http.StatusServiceUnavailable,
+			"not-leading",
+			fmt.Sprintf("this replica is to go, and hands leadership on (%v)", err),
+			time.Second,
+		)
 		return
 	}
 	if err = judge(s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTime).Error()); err == nil {
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -17,9 +17,10 @@
 // behind is how long a call that has seen more than this replica waits for it, whatever its hold.
 const behind = time.Second
 
-// cutOffHold is the longest that a call is held on at a replica that is cut off. Half of it, past the call's own hold,
-// is a third of what a client grants an answer there; all of it, with two of the default election's times to lose a
-// leader, two to be cut off for it, and a client's wait and grace for the next call, is 4.8 s of the 6 s in which a change is told.
+// cutOffHold is the longest that a call is held on at a replica that is cut off. Half of it, past the call's
+// own hold, is a third of what a client grants an answer there; all of it, with two of the default election's
+// times to lose a leader, two to be cut off for it, and a client's wait and grace for the next call, is 4.8 s
+// of the 6 s in which a change is told.
 const (
 	cutOffHold = time.Second
 	never      = time.Duration(math.MaxInt64) // a reader without an epoch is never sent elsewhere
@@ -70,7 +71,13 @@
 	}
 	_, epoch := s.hub.has()
 	if epoch == "" || q.from == 0 && !s.contact.caught.Load() {
-		refuse(w, http.StatusServiceUnavailable, "not-begun", "this replica has no list yet, or replays its log", time.Second)
+		refuse(
+			w,
+			http.StatusServiceUnavailable,
+			"not-begun",
+			"this replica has no list yet, or replays its log",
+			time.Second,
+		)
 		return
 	}
 	if q.epoch != "" && q.epoch != epoch {
@@ -110,7 +117,11 @@
 		return
 	}
 	s.machine.mu.RLock()
-	a := registry.Registrations{Index: s.machine.state.Version(), Epoch: s.machine.state.Epoch(), Registrations: s.machine.state.Registrations()}
+	a := registry.Registrations{
+		Index:         s.machine.state.Version(),
+		Epoch:         s.machine.state.Epoch(),
+		Registrations: s.machine.state.Registrations(),
+	}
 	s.machine.mu.RUnlock()
 	writeJSON(w, http.StatusOK, a)
 }
@@ -133,12 +144,19 @@
 	return s.await(w, r, s.hub, q, wait, cut)
 }
 
-// await holds a call until its hub has something newer than its version, or its time is over. Where this replica is
-// cut off, it is held for a drawn time of up to cut, half of that once its own time is over, and refused unless there
-// is a leader again by then. So an election under thousands of watchers costs them no call, and a longer one sends them
-// elsewhere one after the other. It gives the version up to which nothing that the call asks for has changed, and is false where
-// the call has been answered, or has no caller any more.
-func (s *Server) await(w http.ResponseWriter, r *http.Request, h *hub, q query, wait, cut time.Duration) (from uint64, ok bool) {
+// await holds a call until its hub has something newer than its version, or its time is over. Where this
+// replica is cut off, it is held for a drawn time of up to cut, half of that once its own time is over, and
+// refused unless there is a leader again by then. So an election under thousands of watchers costs them no
+// call, and a longer one sends them elsewhere one after the other. It gives the version up to which nothing
+// that the call asks for has changed, and is false where the call has been answered, or has no caller any
+// more.
+func (s *Server) await(
+	w http.ResponseWriter,
+	r *http.Request,
+	h *hub,
+	q query,
+	wait, cut time.Duration,
+) (from uint64, ok bool) {
 	watcher, full := h.wait(q.part, q.from, s.c.MaxWatchers)
 	if full {
 		refuse(w, http.StatusTooManyRequests, "watchers", "too many calls are held here", time.Second)
@@ -168,7 +186,13 @@
 		case <-news:
 		case <-leave:
 			h.leave(watcher)
-			refuse(w, http.StatusServiceUnavailable, "cut-off", "this replica has been without a leader; ask another", 0)
+			refuse(
+				w,
+				http.StatusServiceUnavailable,
+				"cut-off",
+				"this replica has been without a leader; ask another",
+				0,
+			)
 			return 0, false
 		case <-end.C:
 			over, leave = true, nil
--- a/internal/registry/server/records.go
+++ b/internal/registry/server/records.go
@@ -22,7 +22,11 @@
 	defer s.machine.mu.RUnlock()
 	key := r.PathValue("key")
 	if key == "" {
-		writeJSON(w, http.StatusOK, append([]registry.Record{}, s.machine.state.Records(r.URL.Query().Get("prefix"))...))
+		writeJSON(
+			w,
+			http.StatusOK,
+			append([]registry.Record{}, s.machine.state.Records(r.URL.Query().Get("prefix"))...),
+		)
 		return
 	}
 	one, ok := s.machine.state.Record(key)
@@ -44,7 +48,14 @@
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
-	c := registry.Command{Op: registry.OpPutRecord, Name: r.PathValue("key"), Value: in.Value, IfVersion: in.IfVersion, ID: in.ID, Token: in.Token}
+	c := registry.Command{
+		Op:        registry.OpPutRecord,
+		Name:      r.PathValue("key"),
+		Value:     in.Value,
+		IfVersion: in.IfVersion,
+		ID:        in.ID,
+		Token:     in.Token,
+	}
 	if err := c.Check(); err != nil {
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -55,7 +55,9 @@
 		return nil, fmt.Errorf("the log in %s: %w", c.Folder, err)
 	}
 	r.closers = append(r.closers, store, lock)
-	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lines{log}, DisableTime: true})
+	logger := hclog.New(
+		&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lines{log}, DisableTime: true},
+	)
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, keepSnapshots, logger)
 	if err != nil {
 		return nil, fmt.Errorf("snapshots in %s: %w", c.Folder, err)
@@ -68,7 +70,14 @@
 	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = c.Election, c.Election, c.Election/2
 	conf.CommitTimeout = c.Election / 20
 	conf.SnapshotThreshold, conf.TrailingLogs = c.Snapshot, c.Snapshot/2
-	if r.raft, err = raft.NewRaft(conf, m, r.store, patient{r.store, log, r.ending}, snaps, r.trans); err != nil {
+	if r.raft, err = raft.NewRaft(
+		conf,
+		m,
+		r.store,
+		patient{r.store, log, r.ending},
+		snaps,
+		r.trans,
+	); err != nil {
 		return nil, fmt.Errorf("starting raft on %s: %w", c.Folder, err)
 	}
 	return r, r.begin(c)
@@ -86,8 +95,12 @@
 	}
 	// One call at a time to each: with more, raft sends in a pipeline, which hangs for good when
 	// the other end breaks off while it is full (docs/findings/raft-pipeline.md).
-	t, err := raft.NewTCPTransportWithConfig(c.Raft, own, &raft.NetworkTransportConfig{MaxPool: raftPool, MaxRPCsInFlight: 1, Timeout: raftTime,
-		Logger: logger, ServerAddressProvider: addresses{c, m}})
+	t, err := raft.NewTCPTransportWithConfig(
+		c.Raft,
+		own,
+		&raft.NetworkTransportConfig{MaxPool: raftPool, MaxRPCsInFlight: 1, Timeout: raftTime,
+			Logger: logger, ServerAddressProvider: addresses{c, m}},
+	)
 	if err != nil {
 		return fmt.Errorf("raft: listening at %s: %w", c.Raft, err)
 	}
@@ -174,7 +187,9 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress), errors.Is(err, raft.ErrEnqueueTimeout),
+	case errors.Is(err, raft.ErrNotLeader),
+		errors.Is(err, raft.ErrLeadershipTransferInProgress),
+		errors.Is(err, raft.ErrEnqueueTimeout),
 		errors.Is(err, raft.ErrRaftShutdown):
 		return fmt.Errorf("%w: %w", errNotLeading, err)
 	default:
--- a/internal/registry/server/routes.go
+++ b/internal/registry/server/routes.go
@@ -45,7 +45,13 @@
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	_, epoch := s.hub.has()
 	if epoch == "" || s.replica.leader() == "" || !s.contact.caught.Load() {
-		refuse(w, http.StatusServiceUnavailable, "not-ready", "no list yet, no leader is known, or the log is being replayed", time.Second)
+		refuse(
+			w,
+			http.StatusServiceUnavailable,
+			"not-ready",
+			"no list yet, no leader is known, or the log is being replayed",
+			time.Second,
+		)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -57,7 +63,9 @@
 func newFigures(s *Server) *figures {
 	f := &figures{prometheus.NewRegistry()}
 	gauge := func(name, help string, value func() float64) {
-		f.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "indigolist", Name: name, Help: help}, value))
+		f.registry.MustRegister(
+			prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "indigolist", Name: name, Help: help}, value),
+		)
 	}
 	gauge("entries", "entries in the list", func() float64 {
 		s.machine.mu.RLock()
@@ -66,17 +74,32 @@
 	})
 	gauge("version", "version of the list", func() float64 { v, _ := s.hub.has(); return float64(v) })
 	gauge("watchers", "calls that are held", func() float64 { return float64(s.hub.watchers()) })
-	gauge("parts", "parts of the list that are watched or kept encoded", func() float64 { return float64(s.hub.partsKnown()) })
+	gauge(
+		"parts",
+		"parts of the list that are watched or kept encoded",
+		func() float64 { return float64(s.hub.partsKnown()) },
+	)
 	gauge("leads", "1 if this replica leads", func() float64 {
 		if s.replica.leads() {
 			return 1
 		}
 		return 0
 	})
-	gauge("overdue_kept", "overdue entries that are held back, as too many are", func() float64 { kept, _ := s.expiry.figures(); return float64(kept) })
-	f.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "indigolist", Name: "expired_total",
-		Help: "entries expired by this replica"}, func() float64 { _, n := s.expiry.figures(); return float64(n) }))
-	f.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "indigolist", Name: "lapsed_total",
-		Help: "sessions that lapsed at this replica"}, func() float64 { return float64(s.sessions.figures()) }))
+	gauge(
+		"overdue_kept",
+		"overdue entries that are held back, as too many are",
+		func() float64 { kept, _ := s.expiry.figures(); return float64(kept) },
+	)
+	f.registry.MustRegister(
+		prometheus.NewCounterFunc(prometheus.CounterOpts{
+			Namespace: "indigolist",
+			Name:      "expired_total",
+			Help:      "entries expired by this replica",
+		}, func() float64 { _, n := s.expiry.figures(); return float64(n) }),
+	)
+	f.registry.MustRegister(
+		prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "indigolist", Name: "lapsed_total",
+			Help: "sessions that lapsed at this replica"}, func() float64 { return float64(s.sessions.figures()) }),
+	)
 	return f
 }
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -58,7 +58,13 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	s := &Server{c: c, log: log, rates: newRates(c.MaxWrites), contact: newContact(), broken: make(chan error, 1)}
+	s := &Server{
+		c:       c,
+		log:     log,
+		rates:   newRates(c.MaxWrites),
+		contact: newContact(),
+		broken:  make(chan error, 1),
+	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	defer s.stop()
 	if err := s.open(); err != nil {
@@ -73,8 +79,14 @@
 	s.tasks.Go(s.followLeader)
 	s.tasks.Go(func() { s.contact.run(s.ctx, c.Election, s.replica.leader) })
 	s.tasks.Go(func() { s.contact.replay(s.ctx, replayLook, s.replica, s.machine) })
-	s.http = &http.Server{Handler: s.routes(), ReadHeaderTimeout: headTime, ReadTimeout: readTime, IdleTimeout: idleTime, MaxHeaderBytes: maxHead,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+	s.http = &http.Server{
+		Handler:           s.routes(),
+		ReadHeaderTimeout: headTime,
+		ReadTimeout:       readTime,
+		IdleTimeout:       idleTime,
+		MaxHeaderBytes:    maxHead,
+		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
 	served := make(chan error, 1)
 	go func() { served <- s.http.Serve(ln) }()
 	log.Info("serving", "listen", ln.Addr().String(), "folder", c.Folder, "named", len(c.Replicas))
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -42,7 +42,10 @@
 	defer x.machine.mu.RUnlock()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.deadlines, x.doomed, x.pace = registry.NewSessionExpiry(x.machine.state.Sessions(), x.now()), map[string]bool{}, map[string]*rate.Limiter{}
+	x.deadlines, x.doomed, x.pace = registry.NewSessionExpiry(
+		x.machine.state.Sessions(),
+		x.now(),
+	), map[string]bool{}, map[string]*rate.Limiter{}
 }
 
 func (x *sessions) follow() {
@@ -112,7 +115,10 @@
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
 	look := func(id, name string) {
-		if d, ok := x.machine.state.Lease(name); !ok && c.Op == registry.OpCampaign || ok && (d.Holder == id || d.Holder == "") && !slices.Contains(names, name) {
+		if d, ok := x.machine.state.Lease(
+			name,
+		); !ok && c.Op == registry.OpCampaign ||
+			ok && (d.Holder == id || d.Holder == "") && !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
--- a/internal/registry/server/store.go
+++ b/internal/registry/server/store.go
@@ -44,7 +44,11 @@
 	}
 	path := filepath.Join(folder, logName)
 	if err = renew(path); err != nil {
-		err = fmt.Errorf("%s: %w; if it is damaged, a replica of several is removed from the cluster and added again on an empty folder, one that is alone needs a backup (docs/list.md)", path, err)
+		err = fmt.Errorf(
+			"%s: %w; if it is damaged, a replica of several is removed from the cluster and added again on an empty folder, one that is alone needs a backup (docs/list.md)",
+			path,
+			err,
+		)
 	} else if store, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: openTime}}); err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
@@ -101,7 +105,8 @@
 	if err := os.Rename(fresh, path); err != nil {
 		return err
 	}
-	return checksumfile.SyncFolder(filepath.Dir(path)) // else a cut could bring the old one back, without what is written next
+	// else a cut could bring the old one back, without what is written next
+	return checksumfile.SyncFolder(filepath.Dir(path))
 }
 
 func rewrite(path, fresh string, size int64) error {
@@ -110,7 +115,9 @@
 		return fmt.Errorf("the log can't be read: %w", err)
 	}
 	defer besteffort.Close(old)
-	into, err := raftboltdb.New(raftboltdb.Options{Path: fresh, BoltOptions: &bbolt.Options{Timeout: openTime}, NoSync: true})
+	into, err := raftboltdb.New(
+		raftboltdb.Options{Path: fresh, BoltOptions: &bbolt.Options{Timeout: openTime}, NoSync: true},
+	)
 	if err != nil {
 		return err
 	}
--- a/internal/registry/server/writes.go
+++ b/internal/registry/server/writes.go
@@ -89,22 +89,38 @@
 		Transport: passing,
 		ErrorLog:  s.http.ErrorLog,
 		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, err error) {
-			refuse(w, http.StatusGatewayTimeout, "unknown", fmt.Sprintf("the leader %s did not answer, so it may be done or not: %v", name, err), time.Second)
+			refuse(
+				w,
+				http.StatusGatewayTimeout,
+				"unknown",
+				fmt.Sprintf("the leader %s did not answer, so it may be done or not: %v", name, err),
+				time.Second,
+			)
 		},
 	}
 	proxy.ServeHTTP(w, r)
 }
 
 // passing waits for the leader a little longer than the leader waits for the log.
-var passing = &http.Transport{ResponseHeaderTimeout: applyTime + time.Second, MaxIdleConnsPerHost: 32, IdleConnTimeout: idleTime,
-	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
+var passing = &http.Transport{
+	ResponseHeaderTimeout: applyTime + time.Second,
+	MaxIdleConnsPerHost:   32,
+	IdleConnTimeout:       idleTime,
+	DialContext:           (&net.Dialer{Timeout: time.Second}).DialContext,
+}
 
 func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 	var long *http.MaxBytesError
 	switch {
 	case errors.As(err, &long):
-		refuse(w, http.StatusRequestEntityTooLarge, "large", fmt.Sprintf("a write of over %d bytes", most), time.Second)
+		refuse(
+			w,
+			http.StatusRequestEntityTooLarge,
+			"large",
+			fmt.Sprintf("a write of over %d bytes", most),
+			time.Second,
+		)
 	case err != nil:
 		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
 	}
@@ -131,7 +147,13 @@
 		if !readJSON(w, r, &body) {
 			return
 		}
-		c := registry.Command{Op: do, Name: r.PathValue("name"), ID: body.ID, IfVersion: body.IfVersion, Token: body.Token}
+		c := registry.Command{
+			Op:        do,
+			Name:      r.PathValue("name"),
+			ID:        body.ID,
+			IfVersion: body.IfVersion,
+			Token:     body.Token,
+		}
 		if do == registry.OpRegister {
 			if body.Endpoint == nil || body.Endpoint.Name != c.Name {
 				refuse(w, http.StatusBadRequest, "bad", "entry: missing, or of another name than the call's", 0)
@@ -139,7 +161,13 @@
 			}
 			c.Endpoint, c.Name = body.Endpoint, ""
 			if body.TTLMS < 0 || body.TTLMS > int64(registry.MaxTTL/time.Millisecond) {
-				refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("ttl_ms: %d is not between 0 and %d", body.TTLMS, registry.MaxTTL/time.Millisecond), 0)
+				refuse(
+					w,
+					http.StatusBadRequest,
+					"bad",
+					fmt.Sprintf("ttl_ms: %d is not between 0 and %d", body.TTLMS, registry.MaxTTL/time.Millisecond),
+					0,
+				)
 				return
 			}
 			c.TTL = time.Duration(body.TTLMS) * time.Millisecond
@@ -154,8 +182,13 @@
 }
 
 // statuses of results that changed nothing.
-var statuses = map[registry.Code]int{registry.Conflict: http.StatusConflict, registry.NotFound: http.StatusNotFound, registry.CapacityExceeded: http.StatusInsufficientStorage,
-	registry.Invalid: http.StatusBadRequest, registry.StaleToken: http.StatusConflict}
+var statuses = map[registry.Code]int{
+	registry.Conflict:         http.StatusConflict,
+	registry.NotFound:         http.StatusNotFound,
+	registry.CapacityExceeded: http.StatusInsufficientStorage,
+	registry.Invalid:          http.StatusBadRequest,
+	registry.StaleToken:       http.StatusConflict,
+}
 
 func (s *Server) finish(w http.ResponseWriter, r registry.Result, err error) {
 	switch {
@@ -164,7 +197,17 @@
 	case err != nil:
 		refuse(w, http.StatusGatewayTimeout, "unknown", err.Error(), time.Second)
 	case r.Code != registry.Applied:
-		refuseWith(w, statuses[r.Code], registry.ErrorResponse{Code: string(r.Code), Reason: r.Reason, Version: r.Version, ConflictingVersion: r.EntryVersion}, 0)
+		refuseWith(
+			w,
+			statuses[r.Code],
+			registry.ErrorResponse{
+				Code:               string(r.Code),
+				Reason:             r.Reason,
+				Version:            r.Version,
+				ConflictingVersion: r.EntryVersion,
+			},
+			0,
+		)
 	default:
 		writeJSON(w, http.StatusOK, r)
 	}
@@ -177,7 +220,13 @@
 		return
 	}
 	if len(body.Names) == 0 || len(body.Names) > maxNames {
-		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("names: %d, want 1 to %d", len(body.Names), maxNames), 0)
+		refuse(
+			w,
+			http.StatusBadRequest,
+			"bad",
+			fmt.Sprintf("names: %d, want 1 to %d", len(body.Names), maxNames),
+			0,
+		)
 		return
 	}
 	unknown, ok := s.expiry.renew(body.Names)
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -48,12 +48,21 @@
 
 	recordBytes    int    // of all records' values
 	recordsVersion uint64 // the version of the last change of a record
-	trimmedVersion uint64 // the version of the last change that is no longer kept; no reader of an older one can be told by changes
+	// the version of the last change that is no longer kept; no reader of an older one can be told by changes
+	trimmedVersion uint64
 }
 
 // NewState makes an empty list without an epoch.
 func NewState() *State {
-	return &State{registrations: map[string]Registration{}, writeResults: map[string]Result{}, replicaAddresses: map[string]Address{}, leases: newLeaseState(), records: map[string]Record{}, changes: ringBuffer[Change]{capacity: maxKeptChanges}, recentWrites: ringBuffer[writeResult]{capacity: maxKeptWrites}}
+	return &State{
+		registrations:    map[string]Registration{},
+		writeResults:     map[string]Result{},
+		replicaAddresses: map[string]Address{},
+		leases:           newLeaseState(),
+		records:          map[string]Record{},
+		changes:          ringBuffer[Change]{capacity: maxKeptChanges},
+		recentWrites:     ringBuffer[writeResult]{capacity: maxKeptWrites},
+	}
 }
 
 // Version is that of the list.
@@ -138,7 +147,10 @@
 		return Result{}
 	case OpAddReplica:
 		if _, there := s.replicaAddresses[c.Name]; !there && len(s.replicaAddresses) >= MaxReplicas {
-			return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("%d replicas have been added already", len(s.replicaAddresses))}
+			return Result{
+				Code:   CapacityExceeded,
+				Reason: fmt.Sprintf("%d replicas have been added already", len(s.replicaAddresses)),
+			}
 		}
 		s.replicaAddresses[c.Name] = *c.Address
 		return Result{}
--- a/internal/registry/timers.go
+++ b/internal/registry/timers.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// timers find what is overdue without a walk over all. Renewals, which are most of what comes, leave a timer where it
-// waits; it is looked at when the deadline that it waits by has passed, and then waits by its present one. Its present
-// one is never before that.
+// timers find what is overdue without a walk over all. Renewals, which are most of what comes, leave a timer
+// where it waits; it is looked at when the deadline that it waits by has passed, and then waits by its
+// present one. Its present one is never before that.
 type timers[T any] struct {
 	byName map[string]*timer[T]
 	queue  timerQueue[T] // by the deadlines that they wait by
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -84,7 +84,10 @@
 			return nil, err
 		}
 		if s.Handover {
-			all = append(all, Target{Name: name, Address: s.Address, Zone: s.Zone, Type: s.Type, Cell: s.Cell, Version: s.Version})
+			all = append(
+				all,
+				Target{Name: name, Address: s.Address, Zone: s.Zone, Type: s.Type, Cell: s.Cell, Version: s.Version},
+			)
 		}
 	}
 	return all, nil
--- a/internal/release/conductor.go
+++ b/internal/release/conductor.go
@@ -202,8 +202,20 @@
 	}
 	those, rest := Since(s.Baseline, now)
 	verdict := s.Plan.Gate.Judge(those, rest, len(named) == len(s.Targets))
-	s.Judged(c.now(), verdict, fmt.Sprintf("gate: %s, %d of %d failed and %d were late, of the rest %d of %d and %d", verdict, those.Failed, those.Requests, those.Late,
-		rest.Failed, rest.Requests, rest.Late))
+	s.Judged(
+		c.now(),
+		verdict,
+		fmt.Sprintf(
+			"gate: %s, %d of %d failed and %d were late, of the rest %d of %d and %d",
+			verdict,
+			those.Failed,
+			those.Requests,
+			those.Late,
+			rest.Failed,
+			rest.Requests,
+			rest.Late,
+		),
+	)
 }
 
 // Encode gives the form of a record.
@@ -225,7 +237,12 @@
 		return nil, fmt.Errorf("release: a record whose goal is %q", s.Goal)
 	}
 	if s.Wave < 0 || s.Wave >= len(s.Plan.Waves) || len(s.Targets) == 0 || len(s.Targets) > MaxTargets {
-		return nil, fmt.Errorf("release: a record at wave %d of %d with %d servers", s.Wave+1, len(s.Plan.Waves), len(s.Targets))
+		return nil, fmt.Errorf(
+			"release: a record at wave %d of %d with %d servers",
+			s.Wave+1,
+			len(s.Plan.Waves),
+			len(s.Targets),
+		)
 	}
 	return s, nil
 }
--- a/internal/release/machine.go
+++ b/internal/release/machine.go
@@ -28,7 +28,13 @@
 	Released    Step = "released" // it serves
 )
 
-var nextStep = map[Step]Step{Maintenance: Drain, Drain: Replace, Replace: Ready, Ready: Restore, Restore: Released}
+var nextStep = map[Step]Step{
+	Maintenance: Drain,
+	Drain:       Replace,
+	Replace:     Ready,
+	Ready:       Restore,
+	Restore:     Released,
+}
 
 // Phase is where a release is.
 type Phase string
@@ -129,7 +135,10 @@
 // TargetsOf gives the servers of a list.
 func TargetsOf(all []registry.Endpoint) (targets []Target) {
 	for _, e := range all {
-		targets = append(targets, Target{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Cell: e.Cell, Version: e.Version})
+		targets = append(
+			targets,
+			Target{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Cell: e.Cell, Version: e.Version},
+		)
 	}
 	return targets
 }
@@ -270,12 +279,27 @@
 // checkDeadlines finds steps that take too long.
 func (s *State) checkDeadlines(now time.Duration) {
 	d := s.Plan.Deadline
-	most := map[Step]time.Duration{Maintenance: d.Drain, Drain: d.Drain, Replace: d.Replace, Ready: d.Ready, Restore: d.Ready}
+	most := map[Step]time.Duration{
+		Maintenance: d.Drain,
+		Drain:       d.Drain,
+		Replace:     d.Replace,
+		Ready:       d.Ready,
+		Restore:     d.Ready,
+	}
 	for i := range s.Targets {
 		t := &s.Targets[i]
 		if t.isOut() && !t.Stuck && now-t.Since > most[t.Step] {
 			t.Stuck = true
-			s.handleFault(now, fmt.Sprintf("%s has not got past %s within %v: %s", t.Name, t.Step, most[t.Step], cmp.Or(t.Reason, "no word")))
+			s.handleFault(
+				now,
+				fmt.Sprintf(
+					"%s has not got past %s within %v: %s",
+					t.Name,
+					t.Step,
+					most[t.Step],
+					cmp.Or(t.Reason, "no word"),
+				),
+			)
 		}
 	}
 	if s.Phase == Soaking && now-s.Since > s.Plan.Soak+d.Judge {
