--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -16,15 +16,17 @@
 
 // Plan is what a release is to do. Times in its file have units, as in "30s".
 type Plan struct {
-	Name     string   `koanf:"name" json:"name"`
-	Kind     string   `koanf:"kind" json:"kind,omitempty"` // servers, also where it is absent, or program: the nodes themselves
-	From     string   `koanf:"from" json:"from"`           // version
+	Name string `koanf:"name" json:"name"`
+	// servers, also where it is absent, or program: the nodes themselves
+	Kind     string   `koanf:"kind" json:"kind,omitempty"`
+	From     string   `koanf:"from" json:"from"` // version
 	To       string   `koanf:"to" json:"to"`
 	Selector Selector `koanf:"what" json:"what"`
 	Limits   Limits   `koanf:"limits" json:"limits"`
 	Waves    []Wave   `koanf:"wave" json:"waves"`
 
-	Soak     time.Duration `koanf:"soak" json:"soak_ns"` // after a wave's last server is back, before it is judged
+	// after a wave's last server is back, before it is judged
+	Soak     time.Duration `koanf:"soak" json:"soak_ns"`
 	Gate     Gate          `koanf:"gate" json:"gate"`
 	Halt     string        `koanf:"halt" json:"halt"` // wait, or back
 	Deadline Deadline      `koanf:"deadline" json:"deadline"`
@@ -52,10 +54,13 @@
 
 // Gate compares the released servers with the rest over the soak.
 type Gate struct {
-	MinRequests       int     `koanf:"least" json:"least"`   // requests that each part must have had, else it is undecided
-	MaxFailedExcess   float64 `koanf:"failed" json:"failed"` // the released part's share of failures may be so much above the rest's
-	MaxLateExcess     float64 `koanf:"late" json:"late"`     // the same, of requests past their aim
-	IncidentThreshold float64 `koanf:"most" json:"most"`     // failures of either part above this share are an incident of its own; 0: 0.1
+	// requests that each part must have had, else it is undecided
+	MinRequests int `koanf:"least" json:"least"`
+	// the released part's share of failures may be so much above the rest's
+	MaxFailedExcess float64 `koanf:"failed" json:"failed"`
+	MaxLateExcess   float64 `koanf:"late" json:"late"` // the same, of requests past their aim
+	// failures of either part above this share are an incident of its own; 0: 0.1
+	IncidentThreshold float64 `koanf:"most" json:"most"`
 }
 
 // Deadline says how long a step may take.
@@ -90,9 +95,19 @@
 
 // Default is a careful plan but for its name, versions and servers.
 func Default() Plan {
-	return Plan{Limits: Limits{Total: 1}, Waves: []Wave{{Count: 1}, {Share: 0.1}, {Share: 0.5}, {Share: 1}}, Soak: 30 * time.Second, Halt: HaltWait,
-		Gate:     Gate{MinRequests: 200, MaxFailedExcess: 0.01, MaxLateExcess: 0.05, IncidentThreshold: 0.1},
-		Deadline: Deadline{Drain: time.Minute, Replace: 2 * time.Minute, Ready: time.Minute, Judge: 2 * time.Minute}}
+	return Plan{
+		Limits: Limits{Total: 1},
+		Waves:  []Wave{{Count: 1}, {Share: 0.1}, {Share: 0.5}, {Share: 1}},
+		Soak:   30 * time.Second,
+		Halt:   HaltWait,
+		Gate:   Gate{MinRequests: 200, MaxFailedExcess: 0.01, MaxLateExcess: 0.05, IncidentThreshold: 0.1},
+		Deadline: Deadline{
+			Drain:   time.Minute,
+			Replace: 2 * time.Minute,
+			Ready:   time.Minute,
+			Judge:   2 * time.Minute,
+		},
+	}
 }
 
 // Check says what is wrong with a plan, by its keys.
@@ -109,7 +124,13 @@
 	text("name", p.Name)
 	text("from", p.From)
 	text("to", p.To)
-	bad(p.Kind == "" || p.Kind == KindServers || p.Kind == KindProxies, "kind: %q is neither %q nor %q", p.Kind, KindServers, KindProxies)
+	bad(
+		p.Kind == "" || p.Kind == KindServers || p.Kind == KindProxies,
+		"kind: %q is neither %q nor %q",
+		p.Kind,
+		KindServers,
+		KindProxies,
+	)
 	bad(p.From != p.To, "to: %q is the version that is there already", p.To)
 	for _, n := range p.Selector.Names {
 		_, err := path.Match(n, "")
@@ -119,9 +140,18 @@
 	bad(l.Total >= 1, "limits.out: %d is under 1, so nothing could ever be released", l.Total)
 	bad(l.Zone >= 0 && l.Zone <= l.Total, "limits.zone: %d is not between 0 and limits.out", l.Zone)
 	bad(l.Cell >= 0 && l.Cell <= l.Total, "limits.pod: %d is not between 0 and limits.out", l.Cell)
-	bad(len(p.Waves) >= 1 && len(p.Waves) <= maxWaves, "wave: there are %d, want 1 to %d", len(p.Waves), maxWaves)
+	bad(
+		len(p.Waves) >= 1 && len(p.Waves) <= maxWaves,
+		"wave: there are %d, want 1 to %d",
+		len(p.Waves),
+		maxWaves,
+	)
 	for i, w := range p.Waves {
-		bad((w.Count > 0) != (w.Share > 0) && w.Count >= 0 && w.Share >= 0 && w.Share <= 1, "wave %d: give either count, above 0, or share, above 0 and at most 1", i+1)
+		bad(
+			(w.Count > 0) != (w.Share > 0) && w.Count >= 0 && w.Share >= 0 && w.Share <= 1,
+			"wave %d: give either count, above 0, or share, above 0 and at most 1",
+			i+1,
+		)
 	}
 	span := func(key string, d time.Duration, least time.Duration) {
 		bad(d >= least && d <= maxDuration, "%s: %v is not between %v and %v", key, d, least, maxDuration)
@@ -136,7 +166,13 @@
 	for key, v := range map[string]float64{"gate.failed": g.MaxFailedExcess, "gate.late": g.MaxLateExcess, "gate.most": g.IncidentThreshold} {
 		bad(v >= 0 && v <= 1, "%s: %v is not between 0 and 1", key, v)
 	}
-	bad(p.Halt == HaltWait || p.Halt == HaltRollBack, "halt: %q is neither %q nor %q", p.Halt, HaltWait, HaltRollBack)
+	bad(
+		p.Halt == HaltWait || p.Halt == HaltRollBack,
+		"halt: %q is neither %q nor %q",
+		p.Halt,
+		HaltWait,
+		HaltRollBack,
+	)
 	return errors.Join(errs...)
 }
 
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -107,7 +107,11 @@
 
 // ClearOrder makes room for the next order.
 func (r Records) ClearOrder(ctx context.Context) error {
-	if _, err := r.Registry.WithToken(r.Token).Put(ctx, orderPrefix+r.Name, nil, nil); !hasCode(err, registry.NotFound) {
+	if _, err := r.Registry.WithToken(r.Token).
+		Put(ctx, orderPrefix+r.Name, nil, nil); !hasCode(
+		err,
+		registry.NotFound,
+	) {
 		return err
 	}
 	return nil
--- a/internal/release/servers.go
+++ b/internal/release/servers.go
@@ -58,7 +58,10 @@
 	for _, i := range a.Registrations {
 		listed[i.Endpoint.Name] = true
 		if i.Endpoint.Status != registry.Ready {
-			v.Endpoints = append(v.Endpoints, Target{Name: i.Endpoint.Name, Zone: i.Endpoint.Zone, Type: i.Endpoint.Type, Cell: i.Endpoint.Cell})
+			v.Endpoints = append(
+				v.Endpoints,
+				Target{Name: i.Endpoint.Name, Zone: i.Endpoint.Zone, Type: i.Endpoint.Type, Cell: i.Endpoint.Cell},
+			)
 		}
 	}
 	for name, at := range agents {
@@ -85,7 +88,13 @@
 		err := f.callProxies(ctx, name, "maint")
 		return err == nil, err
 	case Drain:
-		_, err := call.Order(ctx, at, name, agent.DesiredState{Version: a.Target.Version, KeepDraining: true}, f.Token)
+		_, err := call.Order(
+			ctx,
+			at,
+			name,
+			agent.DesiredState{Version: a.Target.Version, KeepDraining: true},
+			f.Token,
+		)
 		return err == nil && f.isDrained(name), err
 	case Replace:
 		s, err := call.Order(ctx, at, name, agent.DesiredState{Version: a.Version, KeepDraining: true}, f.Token)
@@ -146,7 +155,12 @@
 }
 
 func (f *ServerExecutor) callProxy(ctx context.Context, n Proxy, server, call string) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Control+"/backends/"+url.PathEscape(server)+"/"+call, nil)
+	req, err := http.NewRequestWithContext(
+		ctx,
+		http.MethodPost,
+		"http://"+n.Control+"/backends/"+url.PathEscape(server)+"/"+call,
+		nil,
+	)
 	if err != nil {
 		return err
 	}
--- a/internal/sim/actor.go
+++ b/internal/sim/actor.go
@@ -1,7 +1,9 @@
-// Package sim plays many pure cores on a fake clock and a drawn network, with faults drawn by a seed. The same seed gives the same
-// history. A schedule that breaks a check is cut down to the faults that it takes, and drawn as a timeline.
+// Package sim plays many pure cores on a fake clock and a drawn network, with faults drawn by a seed. The
+// same seed gives the same history. A schedule that breaks a check is cut down to the faults that it takes,
+// and drawn as a timeline.
 //
-// The package knows no core: an Actor wraps one, or several on one node. The play of the view is in internal/sim/membership.
+// The package knows no core: an Actor wraps one, or several on one node. The play of the view is in
+// internal/sim/membership.
 package sim
 
 import (
--- a/internal/sim/end.go
+++ b/internal/sim/end.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// inbox is how many datagrams wait for a process that stands still: as many small ones as the kernel keeps in a
-	// socket's usual buffer of 212,992 bytes, at 768 bytes each.
+	// inbox is how many datagrams wait for a process that stands still: as many small ones as the kernel keeps
+	// in a socket's usual buffer of 212,992 bytes, at 768 bytes each.
 	inbox   = 277
 	anyLife = -1 // a datagram is for whoever is there when it arrives
 )
 
 // End is a place in the network where a process may run: a machine with one socket.
 type End struct {
-	Name          string
-	Sent, Bytes   int           // datagrams so far
-	Biggest, Lost int           // bytes of the biggest; datagrams that came while nobody was there or the buffer was full
+	Name        string
+	Sent, Bytes int // datagrams so far
+	// bytes of the biggest; datagrams that came while nobody was there or the buffer was full
+	Biggest, Lost int
 	Woken, Stood  time.Duration // true time of the last Resume, and how long it had stood still
 
 	world   *World
@@ -67,7 +68,8 @@
 	}
 }
 
-// Resume wakes the process: what came and what fell due meanwhile comes now, the datagrams or the timers first as it is drawn.
+// Resume wakes the process: what came and what fell due meanwhile comes now, the datagrams or the timers
+// first as it is drawn.
 func (e *End) Resume() {
 	if !e.still {
 		return
--- a/internal/sim/fault.go
+++ b/internal/sim/fault.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong in a schedule. All that it draws is in it, so that it does the same when others are dropped.
+// Fault is one thing that goes wrong in a schedule. All that it draws is in it, so that it does the same when
+// others are dropped.
 type Fault struct {
 	Kind  string
 	At    time.Duration // after the play's warming up
@@ -60,7 +61,11 @@
 }
 
 // broken gives a Do that changes links while it lasts, and says so in the columns of those that it is about.
-func broken(begins, ends string, on func(f Fault) func(from, to string) bool, change func(f Fault) func(*Link)) func(*World, Fault) func() {
+func broken(
+	begins, ends string,
+	on func(f Fault) func(from, to string) bool,
+	change func(f Fault) func(*Link),
+) func(*World, Fault) func() {
 	return func(w *World, f Fault) func() {
 		sayAll(w, f.Who, begins)
 		wrong := w.Net.Break(on(f), change(f))
--- a/internal/sim/membership/checks.go
+++ b/internal/sim/membership/checks.go
@@ -12,14 +12,16 @@
 
 const (
 	mostDatagram = 256
-	// mostPace is the most datagrams a node may send within paceTime, on average a second. Each period of 200 ms it may begin a probe
-	// with three helpers, warn a suspect, tell news, ask a dead member and a seed, and spend 24 datagrams on digests; besides
-	// it answers what it is asked, which is as much again on average.
+	// mostPace is the most datagrams a node may send within paceTime, on average a second. Each period of 200 ms
+	// it may begin a probe with three helpers, warn a suspect, tell news, ask a dead member and a seed, and
+	// spend 24 datagrams on digests; besides it answers what it is asked, which is as much again on average.
 	mostPace = 2 * 5 * (7 + 24)
 	paceTime = 10 * time.Second
-	// blameless is how long a woken node may accuse nobody: the answers to what it sent before it stood still must come first.
+	// blameless is how long a woken node may accuse nobody: the answers to what it sent before it stood still
+	// must come first.
 	blameless = 400 * time.Millisecond
-	// stoodStill is a pause that a node must notice: it waits 60 ms for an answer, and a shorter one is no lateness.
+	// stoodStill is a pause that a node must notice: it waits 60 ms for an answer, and a shorter one is no
+	// lateness.
 	stoodStill = 100 * time.Millisecond
 )
 
@@ -73,7 +75,13 @@
 		}
 		if m := c.Member; m.Name != "" {
 			if m.Generation < highest[n][m.Name] {
-				broken = fmt.Errorf("%s goes back to life %d of %s after %d", n.end, m.Generation, m.Name, highest[n][m.Name])
+				broken = fmt.Errorf(
+					"%s goes back to life %d of %s after %d",
+					n.end,
+					m.Generation,
+					m.Name,
+					highest[n][m.Name],
+				)
 			}
 			highest[n][m.Name] = max(highest[n][m.Name], m.Generation)
 		}
@@ -87,26 +95,30 @@
 	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
 		e := f.World.End(n.end)
 		mine := slices.Contains(strings.Split(c.Member.Accusers, ","), n.Name)
-		if c.Member.Health == membership.Suspect && mine && e.Stood >= stoodStill && f.World.Now()-e.Woken < blameless {
+		if c.Member.Health == membership.Suspect && mine && e.Stood >= stoodStill &&
+			f.World.Now()-e.Woken < blameless {
 			broken = fmt.Errorf("%s suspects %s %v after it was woken", n.end, c.Member.Name, f.World.Now()-e.Woken)
 		}
 	})
 	return holds("blame", &broken)
 }
 
-// left says that whoever has said that it leaves and was gone thereby is not taken for dead by those that knew it, while they
-// remember it and no other process of the name has come.
+// left says that whoever has said that it leaves and was gone thereby is not taken for dead by those that
+// knew it, while they remember it and no other process of the name has come.
 func (f *Fleet) left() sim.Check {
 	var broken error
 	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
-		if c.Before.Health == membership.Left && c.Member.Health == membership.Dead && c.Member.Generation == c.Before.Generation && c.Member.Name != "" {
+		if c.Before.Health == membership.Left && c.Member.Health == membership.Dead &&
+			c.Member.Generation == c.Before.Generation &&
+			c.Member.Name != "" {
 			broken = fmt.Errorf("%s takes %s for dead, which has left", n.end, c.Member.Name)
 		}
 	})
 	return holds("left", &broken)
 }
 
-// never says that nobody is taken for suspect, or dead, by anybody. It is no check for schedules in which that is right.
+// never says that nobody is taken for suspect, or dead, by anybody. It is no check for schedules in which
+// that is right.
 func (f *Fleet) never(name string, h membership.Health) sim.Check {
 	var broken error
 	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
--- a/internal/sim/membership/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -19,10 +19,11 @@
 	Seeds []string                                            // ends by whose addresses nodes join
 	Bend  func(cfg *membership.Config)                        // changes what a core starts with
 	Core  func(cfg membership.Config, now time.Duration) Core // nil: fleet.New
-	Wall  func() (wrong time.Duration)                        // how wrong a process's wall clock is at its start; nil: it is right
-	Blind bool                                                // stand-in: no node notices that it stood still
-	Quiet bool                                                // nothing is said in the timeline
-	Nodes []*sim.End                                          // without the strangers
+	// how wrong a process's wall clock is at its start; nil: it is right
+	Wall  func() (wrong time.Duration)
+	Blind bool       // stand-in: no node notices that it stood still
+	Quiet bool       // nothing is said in the timeline
+	Nodes []*sim.End // without the strangers
 	watch []func(*Node, time.Duration, membership.MemberChanged)
 	addrs map[string]netip.AddrPort
 	ends  map[netip.AddrPort]string
@@ -67,8 +68,17 @@
 	if f.Wall != nil {
 		at += f.Wall()
 	}
-	cfg := membership.Config{Fleet: "books", Name: nameAt(end), Number: -1, Addr: f.address(end), RandomSeed: f.World.Rand().Uint64(),
-		Generation: uint64(birth + at.Milliseconds()), Metadata: membership.Metadata{Zone: "zone-a", Version: "2.1.0", State: membership.Serving}}
+	cfg := membership.Config{
+		Fleet:      "books",
+		Name:       nameAt(end),
+		Number:     -1,
+		Addr:       f.address(end),
+		RandomSeed: f.World.Rand().Uint64(),
+		Generation: uint64(
+			birth + at.Milliseconds(),
+		),
+		Metadata: membership.Metadata{Zone: "zone-a", Version: "2.1.0", State: membership.Serving},
+	}
 	for _, s := range f.Seeds {
 		cfg.Seeds = append(cfg.Seeds, f.address(s))
 	}
--- a/internal/sim/membership/growth.go
+++ b/internal/sim/membership/growth.go
@@ -20,7 +20,8 @@
 	Moves  int           // deaths and joins in each half, evenly over the cut
 }
 
-// Grown is what it came to. Times are until all running nodes know, by the changes that they tell; 0: not within mostWait.
+// Grown is what it came to. Times are until all running nodes know, by the changes that they tell; 0: not
+// within mostWait.
 type Grown struct {
 	Nodes       int
 	Sent, Bytes float64 // a node and second, with nothing happening
@@ -69,7 +70,10 @@
 		return out, err
 	}
 	m.f.Start(newcomer)
-	if out.Join, err = m.until("a join is known", func() bool { return m.alive[newcomer] >= live && m.whole() }); err != nil {
+	if out.Join, err = m.until(
+		"a join is known",
+		func() bool { return m.alive[newcomer] >= live && m.whole() },
+	); err != nil {
 		return out, err
 	}
 	half := m.w.Net.Break(func(from, to string) bool { return m.side(from) != m.side(to) }, sim.Cut)
@@ -80,7 +84,10 @@
 	m.run(g.Cut / time.Duration(g.Moves+1))
 	m.w.Net.Mend(half)
 	peak := m.peak()
-	if out.Heal, err = m.until("the halves are one", func() bool { out.Peak = peak(); return m.whole() }); err != nil {
+	if out.Heal, err = m.until(
+		"the halves are one",
+		func() bool { out.Peak = peak(); return m.whole() },
+	); err != nil {
 		return out, err
 	}
 	m.run(time.Second) // a heal may be shorter than the second that is counted
--- a/internal/sim/membership/kinds.go
+++ b/internal/sim/membership/kinds.go
@@ -62,11 +62,13 @@
 		return sim.Fault{Who: []string{names[rng.IntN(len(names))]}, Delay: time.Duration(rng.IntN(1000))}
 	}, Do: func(w *sim.World, f sim.Fault) func() {
 		w.Say(f.Who[0], "changes facts")
-		w.End(f.Who[0]).Tell(membership.MetadataChanged{Metadata: membership.Metadata{Zone: "zone-b", Version: "2.1.1", Catalogue: uint64(f.Delay),
-			Load: uint16(f.Delay), State: membership.State(1 + f.Delay%2)}})
+		w.End(f.Who[0]).
+			Tell(membership.MetadataChanged{Metadata: membership.Metadata{Zone: "zone-b", Version: "2.1.1", Catalogue: uint64(f.Delay),
+				Load: uint16(f.Delay), State: membership.State(1 + f.Delay%2)}})
 		return nil
 	}}
-	// stale lets datagrams arrive again that were sent before, by whoever or by the one that is named, to whomever.
+	// stale lets datagrams arrive again that were sent before, by whoever or by the one that is named, to
+	// whomever.
 	stale = sim.Kind{Name: "stale", Draw: func(rng *rand.Rand, _ []string) sim.Fault {
 		return sim.Fault{For: time.Second + time.Duration(rng.Int64N(int64(10*time.Second)))}
 	}, Do: func(w *sim.World, f sim.Fault) func() {
@@ -77,7 +79,8 @@
 		}
 		return of(w).again(w, 20*time.Millisecond, func(w *sim.World) { of(w).replay(w, old) })
 	}}
-	// flood lets a stranger send garbage, datagrams of another fleet, and pings of names that nobody knows: 500 a second to each.
+	// flood lets a stranger send garbage, datagrams of another fleet, and pings of names that nobody knows: 500
+	// a second to each.
 	flood = sim.Kind{Name: "flood", Draw: func(rng *rand.Rand, _ []string) sim.Fault {
 		return sim.Fault{For: time.Second + time.Duration(rng.Int64N(int64(5*time.Second)))}
 	}, Do: func(w *sim.World, f sim.Fault) func() { return of(w).again(w, 2*time.Millisecond, of(w).junk) }}
@@ -105,7 +108,8 @@
 	data []byte
 }
 
-// mostSent bounds the datagrams remembered for stale ones: those of the whole play are drawn from, by replacing any of them.
+// mostSent bounds the datagrams remembered for stale ones: those of the whole play are drawn from, by
+// replacing any of them.
 const mostSent = 2000
 
 // remember keeps a drawn part of what is sent.
@@ -130,7 +134,15 @@
 
 func (f *Fleet) junk(w *sim.World) {
 	rng := w.Rand()
-	d := wire.Datagram{Header: wire.Header{Kind: wire.Ping, Fleet: wire.FleetHash("books"), Sender: 1 + rng.Uint64()>>1, Generation: rng.Uint64N(1 << 40)}, Seq: rng.Uint32()}
+	d := wire.Datagram{
+		Header: wire.Header{
+			Kind:       wire.Ping,
+			Fleet:      wire.FleetHash("books"),
+			Sender:     1 + rng.Uint64()>>1,
+			Generation: rng.Uint64N(1 << 40),
+		},
+		Seq: rng.Uint32(),
+	}
 	if rng.IntN(2) == 0 {
 		d.Fleet = wire.FleetHash("others")
 	}
--- a/internal/sim/membership/node.go
+++ b/internal/sim/membership/node.go
@@ -1,5 +1,6 @@
-// Package views plays the nodes' own view of each other (internal/membership) in the simulator: drawn schedules of faults with checks, the
-// kept scenarios, and the growth of its cost with the fleet. It is for tests and for wrenspread-lab.
+// Package views plays the nodes' own view of each other (internal/membership) in the simulator: drawn
+// schedules of faults with checks, the kept scenarios, and the growth of its cost with the fleet. It is for
+// tests and for wrenspread-lab.
 package membership
 
 import (
@@ -130,7 +131,8 @@
 	return m.Health.String() + ": " + m.Name
 }
 
-// twinMark parts a second process of a name from the name: the end n3'b is another machine with a node named n3.
+// twinMark parts a second process of a name from the name: the end n3'b is another machine with a node named
+// n3.
 const twinMark = "'"
 
 // nameAt is the fleet's name of the node at an end.
--- a/internal/sim/membership/play.go
+++ b/internal/sim/membership/play.go
@@ -29,14 +29,29 @@
 	return p
 }
 
-// Mild draws only what a fleet must bear without taking anybody for dead: a bad pair, a lossy network, a short pause.
+// Mild draws only what a fleet must bear without taking anybody for dead: a bad pair, a lossy network, a
+// short pause.
 func Mild(o Options) sim.Play {
 	p := base(o)
 	short := sim.Pause
 	short.Draw = func(rng *rand.Rand, names []string) sim.Fault {
-		return sim.Fault{Who: []string{names[rng.IntN(len(names))]}, For: time.Duration(rng.Int64N(int64(800 * time.Millisecond)))}
+		return sim.Fault{
+			Who: []string{names[rng.IntN(len(names))]},
+			For: time.Duration(rng.Int64N(int64(800 * time.Millisecond))),
+		}
+	}
+	p.Kinds = []sim.Kind{
+		sim.OneWay,
+		sim.SlowPair,
+		sim.Lossy,
+		sim.Doubled,
+		facts,
+		stale,
+		flood,
+		short,
+		leaves,
+		joins,
 	}
-	p.Kinds = []sim.Kind{sim.OneWay, sim.SlowPair, sim.Lossy, sim.Doubled, facts, stale, flood, short, leaves, joins}
 	p.Build = func(w *sim.World) []sim.Check {
 		f := start(w, o)
 		return append(append(f.checks(), f.never("nobody dead", membership.Dead)), f.settling(o.Took)...)
@@ -44,11 +59,14 @@
 	return p
 }
 
-// Pairs draws pairs that can't talk well, and nothing else: others vouch for both, so that nobody is even suspected.
+// Pairs draws pairs that can't talk well, and nothing else: others vouch for both, so that nobody is even
+// suspected.
 func Pairs(o Options) sim.Play {
 	p := base(o)
-	p.Warm = 15 * time.Second                                 // groups that found each other first may ask a seed of the others 10 s later
-	p.Kinds, p.Most = []sim.Kind{sim.OneWay, sim.SlowPair}, 2 // so that of three helpers one at least has good links
+	// groups that found each other first may ask a seed of the others 10 s later
+	p.Warm = 15 * time.Second
+	// so that of three helpers one at least has good links
+	p.Kinds, p.Most = []sim.Kind{sim.OneWay, sim.SlowPair}, 2
 	p.Build = func(w *sim.World) []sim.Check {
 		f := start(w, o)
 		return append(append(f.checks(), f.never("nobody suspected", membership.Suspect)), f.settling(o.Took)...)
@@ -58,12 +76,18 @@
 
 func base(o Options) sim.Play {
 	names := Names(o.Nodes)
-	return sim.Play{Names: names, Most: 8, Warm: 5 * time.Second, Length: 40 * time.Second, Every: 250 * time.Millisecond,
-		Drawn: timeline.Drawing{Columns: names, Step: 500 * time.Millisecond, Fold: 3 * time.Second}}
+	return sim.Play{
+		Names:  names,
+		Most:   8,
+		Warm:   5 * time.Second,
+		Length: 40 * time.Second,
+		Every:  250 * time.Millisecond,
+		Drawn:  timeline.Drawing{Columns: names, Step: 500 * time.Millisecond, Fold: 3 * time.Second},
+	}
 }
 
-// start starts a fleet within two seconds; all nodes know all addresses, as a node's settings name its peers. One process in
-// four starts with a wall clock that is up to ten minutes wrong.
+// start starts a fleet within two seconds; all nodes know all addresses, as a node's settings name its peers.
+// One process in four starts with a wall clock that is up to ten minutes wrong.
 func start(w *sim.World, o Options) *Fleet {
 	f := NewFleet(w)
 	w.Play = f
--- a/internal/sim/membership/rival.go
+++ b/internal/sim/membership/rival.go
@@ -7,11 +7,12 @@
 	"wrenspread/internal/membership"
 )
 
-// rivalMisses is after how many periods without an answer the rival takes a member for dead: 2 s, about as long as the view needs.
+// rivalMisses is after how many periods without an answer the rival takes a member for dead: 2 s, about as
+// long as the view needs.
 const rivalMisses = 10
 
-// rival is the plainest view: everybody asks everybody on a fixed list, each period, and believes only itself. It has the face of
-// fleet.Core, so that it is measured in the same way.
+// rival is the plainest view: everybody asks everybody on a fixed list, each period, and believes only
+// itself. It has the face of fleet.Core, so that it is measured in the same way.
 type rival struct {
 	cfg   membership.Config
 	peers []rivalPeer
--- a/internal/sim/membership/scenarios.go
+++ b/internal/sim/membership/scenarios.go
@@ -28,8 +28,8 @@
 	Spared []string
 }
 
-// Play plays a scenario and gives its drawing. It is an error if a spared node was taken for dead, a check was
-// broken, or the views are not the same and right at the end.
+// Play plays a scenario and gives its drawing. It is an error if a spared node was taken for dead, a check
+// was broken, or the views are not the same and right at the end.
 func (s Scenario) Play(bend func(*Fleet)) (string, error) {
 	w := sim.New(7)
 	f := NewFleet(w)
@@ -57,10 +57,16 @@
 			broken = fmt.Errorf("%s takes %s for dead, accused by %s", n.end, m.Name, m.Accusers)
 		}
 	})
-	p := sim.Play{Kinds: kinds(), Warm: s.Warm, Quiet: s.Length, Every: 250 * time.Millisecond, Build: func(*sim.World) []sim.Check {
-		f.StartAll(names, time.Duration(s.Nodes)*300*time.Millisecond)
-		return append(f.checks(), holds("spared", &broken), sim.Check{Name: "settled", End: f.Settled})
-	}}
+	p := sim.Play{
+		Kinds: kinds(),
+		Warm:  s.Warm,
+		Quiet: s.Length,
+		Every: 250 * time.Millisecond,
+		Build: func(*sim.World) []sim.Check {
+			f.StartAll(names, time.Duration(s.Nodes)*300*time.Millisecond)
+			return append(f.checks(), holds("spared", &broken), sim.Check{Name: "settled", End: f.Settled})
+		},
+	}
 	b := p.RunIn(w, s.Faults)
 	d := timeline.Drawing{Says: s.Says, Columns: s.Columns, Step: s.Step, Fold: s.Fold}
 	if d.Columns == nil {
@@ -80,6 +86,23 @@
 }
 
 func kinds() []sim.Kind {
-	return []sim.Kind{sim.Kill, sim.Pause, sim.Late, sim.CutOff, sim.OneWay, sim.Deaf, sim.SlowPair, sim.Halves, sim.Lossy, sim.Doubled,
-		sim.Flap, leaves, joins, twins, facts, stale, flood}
+	return []sim.Kind{
+		sim.Kill,
+		sim.Pause,
+		sim.Late,
+		sim.CutOff,
+		sim.OneWay,
+		sim.Deaf,
+		sim.SlowPair,
+		sim.Halves,
+		sim.Lossy,
+		sim.Doubled,
+		sim.Flap,
+		leaves,
+		joins,
+		twins,
+		facts,
+		stale,
+		flood,
+	}
 }
--- a/internal/sim/membership/settled.go
+++ b/internal/sim/membership/settled.go
@@ -8,9 +8,10 @@
 	"wrenspread/internal/sim"
 )
 
-// Settle is the stated time after the last fault in which all views are the same and right. It is the sum of the longest waits:
-// a node that has just been accused by one is suspect for three times the joint time (6 s in a fleet of 30), holds its own accusations
-// back for 10 s where many probes fail, and asks a dead member each second, and a seed each ten.
+// Settle is the stated time after the last fault in which all views are the same and right. It is the sum of
+// the longest waits: a node that has just been accused by one is suspect for three times the joint time (6 s
+// in a fleet of 30), holds its own accusations back for 10 s where many probes fail, and asks a dead member
+// each second, and a seed each ten.
 const Settle = 30 * time.Second
 
 // look is a picture of all live nodes' views.
@@ -33,11 +34,23 @@
 func (l look) same() error {
 	for i, v := range l.views {
 		if v.Digest != l.views[0].Digest {
-			return fmt.Errorf("%s has the digest %016x, %s has %016x", v.Self, v.Digest, l.views[0].Self, l.views[0].Digest)
+			return fmt.Errorf(
+				"%s has the digest %016x, %s has %016x",
+				v.Self,
+				v.Digest,
+				l.views[0].Self,
+				l.views[0].Digest,
+			)
 		}
 		for _, m := range v.Members {
 			if n := l.names[m.Name]; i == 0 && n != nil && m.Generation != n.self.Generation {
-				return fmt.Errorf("%s has %s in life %d, which is in life %d", v.Self, m.Name, m.Generation, n.self.Generation)
+				return fmt.Errorf(
+					"%s has %s in life %d, which is in life %d",
+					v.Self,
+					m.Name,
+					m.Generation,
+					n.self.Generation,
+				)
 			}
 		}
 	}
--- a/internal/sim/play.go
+++ b/internal/sim/play.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// Shrink drops faults from a schedule as long as the same check breaks, halves first, then single ones, and gives what is left.
+// Shrink drops faults from a schedule as long as the same check breaks, halves first, then single ones, and
+// gives what is left.
 func (p Play) Shrink(seed uint64, faults []Fault, check string) []Fault {
 	breaks := func(f []Fault) bool {
 		_, b := p.Run(seed, f)
--- a/internal/sim/series.go
+++ b/internal/sim/series.go
@@ -13,7 +13,8 @@
 	Broken *Broken // nil: all held
 }
 
-// Series plays the schedules of seeds from first on, some at once, until ctx ends. Each is told, from several goroutines.
+// Series plays the schedules of seeds from first on, some at once, until ctx ends. Each is told, from several
+// goroutines.
 func (p Play) Series(ctx context.Context, first uint64, n, together int, told func(Played)) error {
 	var g errgroup.Group
 	g.SetLimit(together)
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -17,8 +17,9 @@
 	expireEvery = 100 * time.Millisecond
 )
 
-// Service is a model of the list service: its real state machine, one that never forgets, with deadlines of sessions on the true
-// clock. It can be down, and links to it can be cut. It grants without the real one's pace.
+// Service is a model of the list service: its real state machine, one that never forgets, with deadlines of
+// sessions on the true clock. It can be down, and links to it can be cut. It grants without the real one's
+// pace.
 type Service struct {
 	world     *World
 	state     *registry.State
@@ -46,7 +47,12 @@
 
 // AddService gives the world a list service that has begun.
 func (w *World) AddService() *Service {
-	s := &Service{world: w, state: registry.NewState(), deadlines: registry.NewSessionExpiry(nil, w.now), holders: map[string]uint64{}}
+	s := &Service{
+		world:     w,
+		state:     registry.NewState(),
+		deadlines: registry.NewSessionExpiry(nil, w.now),
+		holders:   map[string]uint64{},
+	}
 	s.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "sim"})
 	w.Service = s
 	s.expire()
--- a/internal/sim/subset/checks.go
+++ b/internal/sim/subset/checks.go
@@ -8,9 +8,10 @@
 	"wrenspread/internal/sim"
 )
 
-// mostCalls is how many calls a node makes, once nothing changes any more, until it has the newest version of the part that it is to
-// follow: one that is lost or passed over at each of two replicas, a watch, the move, a wider part, and a watch that finds nothing new.
-// Calls whose answer is held back for holdBack are not counted: these are a matter of time.
+// mostCalls is how many calls a node makes, once nothing changes any more, until it has the newest version of
+// the part that it is to follow: one that is lost or passed over at each of two replicas, a watch, the move,
+// a wider part, and a watch that finds nothing new. Calls whose answer is held back for holdBack are not
+// counted: these are a matter of time.
 const mostCalls = 6
 
 // saw checks what a node believes after an answer.
@@ -36,8 +37,10 @@
 func (f *Fleet) checks() []sim.Check {
 	broken := func(name string) func() error { return func() error { return f.broken[name] } }
 	return []sim.Check{
-		{Name: "exact", Throughout: broken("exact")},     // what a node has at a version is the list of that version within its part
-		{Name: "forward", Throughout: broken("forward")}, // its version never goes back within an epoch, as long as it runs
+		// what a node has at a version is the list of that version within its part
+		{Name: "exact", Throughout: broken("exact")},
+		// its version never goes back within an epoch, as long as it runs
+		{Name: "forward", Throughout: broken("forward")},
 		{Name: "newest", End: f.newest},
 		{Name: "held", End: f.held},
 	}
@@ -49,7 +52,17 @@
 		n := f.nodes[name]
 		v := n.view
 		if !n.settled || n.took > mostCalls {
-			return fmt.Errorf("%s has version %d of %s, not %d of %s, and follows %s, not %s, after %d calls", name, v.Version, v.Epoch, f.leader.Version(), f.leader.Epoch(), n.has, n.to, n.took)
+			return fmt.Errorf(
+				"%s has version %d of %s, not %d of %s, and follows %s, not %s, after %d calls",
+				name,
+				v.Version,
+				v.Epoch,
+				f.leader.Version(),
+				f.leader.Epoch(),
+				n.has,
+				n.to,
+				n.took,
+			)
 		}
 	}
 	return nil
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -1,17 +1,20 @@
-// Package parts plays subscriptions to parts of the server list: nodes that follow their parts at one or three replicas, on a fake
-// clock and a drawn network, with faults drawn by a seed.
+// Package parts plays subscriptions to parts of the server list: nodes that follow their parts at one or
+// three replicas, on a fake clock and a drawn network, with faults drawn by a seed.
 //
-// Real, line for line: the replicas' list.State (PartSince, Newer, restore), the client's Belief (Ask, Take, View) and list.Part (Next).
+// Real, line for line: the replicas' list.State (PartSince, Newer, restore), the client's Belief (Ask, Take,
+// View) and list.Part (Next).
 //
-// What stands in for the rest. A log, whose entries each replica applies after a moment, stands for raft: writes never fail, and no
-// replica answers without what is older than mostLag, less than the time for which a list of another epoch is held back. A replica
-// holds a watch until Newer, in place of the server's hub, and refuses whoever is ahead of it; nothing is paced, and answers pass
-// without their JSON. A node's own loop stands for the client's (ask, fit, settle, widens): it moves at the next call, not after a
-// drawn time, watches once between two tries at a move, and takes a part that is too narrow before it reads the wider one.
+// What stands in for the rest. A log, whose entries each replica applies after a moment, stands for raft:
+// writes never fail, and no replica answers without what is older than mostLag, less than the time for which
+// a list of another epoch is held back. A replica holds a watch until Newer, in place of the server's hub,
+// and refuses whoever is ahead of it; nothing is paced, and answers pass without their JSON. A node's own
+// loop stands for the client's (ask, fit, settle, widens): it moves at the next call, not after a drawn time,
+// watches once between two tries at a move, and takes a part that is too narrow before it reads the wider
+// one.
 //
-// Thirteen nodes stand for a fleet that they believe to be of hundreds. With under 5,461 servers no part is narrower than an eighth of
-// the ring, of which three quarters follow the node's place, and no gap between thirteen places is wider than 0.0902 of the ring. So
-// these alone must hold every server.
+// Thirteen nodes stand for a fleet that they believe to be of hundreds. With under 5,461 servers no part is
+// narrower than an eighth of the ring, of which three quarters follow the node's place, and no gap between
+// thirteen places is wider than 0.0902 of the ring. So these alone must hold every server.
 package subset
 
 import (
@@ -37,9 +40,12 @@
 type Fleet struct {
 	World    *sim.World
 	Replicas []string
-	Alter    func(q query, a *registry.ListResponse)                                                                                // stand-in: changes an answer; nil: none does
-	Next     func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset // a node's choice
-	Forgets  bool                                                                                                                   // stand-in: nodes begin anew at another replica after each watch
+	// stand-in: changes an answer; nil: none does
+	Alter func(q query, a *registry.ListResponse)
+	// a node's choice
+	Next func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset
+	// stand-in: nodes begin anew at another replica after each watch
+	Forgets bool
 
 	leader *registry.State
 	log    []logged
@@ -73,8 +79,19 @@
 
 // newFleet gives a fleet without nodes, before a list of total servers.
 func newFleet(w *sim.World, replicas, total int) *Fleet {
-	f := &Fleet{World: w, Replicas: names(replicas, "r"), Next: registry.Subset.Next, disks: map[string]*disk{}, nodes: map[string]*node{}, sizes: map[string]int{},
-		files: map[string]client.List{}, now: map[string]registry.Endpoint{}, history: map[string]*history{}, broken: map[string]error{}, mail: mail{kept: map[string]any{}, to: map[string][]string{}}}
+	f := &Fleet{
+		World:    w,
+		Replicas: names(replicas, "r"),
+		Next:     registry.Subset.Next,
+		disks:    map[string]*disk{},
+		nodes:    map[string]*node{},
+		sizes:    map[string]int{},
+		files:    map[string]client.List{},
+		now:      map[string]registry.Endpoint{},
+		history:  map[string]*history{},
+		broken:   map[string]error{},
+		mail:     mail{kept: map[string]any{}, to: map[string][]string{}},
+	}
 	w.Play = f
 	f.begin()
 	for i := range total {
@@ -103,7 +120,14 @@
 }
 
 func server(prefix string, i int) registry.Endpoint {
-	e := registry.Endpoint{Name: fmt.Sprint(prefix, "-", i), Address: "10.0.0.1:80", Zone: fmt.Sprint("z", i%3), Type: "small", Status: registry.Ready, Weight: 1}
+	e := registry.Endpoint{
+		Name:    fmt.Sprint(prefix, "-", i),
+		Address: "10.0.0.1:80",
+		Zone:    fmt.Sprint("z", i%3),
+		Type:    "small",
+		Status:  registry.Ready,
+		Weight:  1,
+	}
 	if i%12 == 0 {
 		e.Type = "big"
 	}
@@ -167,7 +191,15 @@
 	}
 	was := maps.Clone(f.now)
 	return func() {
-		r := f.write(registry.Command{Op: registry.OpRestore, Epoch: f.epoch(), ReplacesEpoch: f.leader.Epoch(), Snapshot: image}, false)
+		r := f.write(
+			registry.Command{
+				Op:            registry.OpRestore,
+				Epoch:         f.epoch(),
+				ReplacesEpoch: f.leader.Epoch(),
+				Snapshot:      image,
+			},
+			false,
+		)
 		f.now = maps.Clone(was)
 		for _, e := range f.now {
 			f.history[f.leader.Epoch()].add(r.Version, e)
--- a/internal/sim/subset/history.go
+++ b/internal/sim/subset/history.go
@@ -9,7 +9,8 @@
 	"wrenspread/internal/registry/client"
 )
 
-// history is what the list was at each version of an epoch, kept by name, in order, and without the list's own code.
+// history is what the list was at each version of an epoch, kept by name, in order, and without the list's
+// own code.
 type history struct{ servers []past }
 
 // past is what a server was.
@@ -25,7 +26,11 @@
 }
 
 func (h *history) add(version uint64, e registry.Endpoint) {
-	i, there := slices.BinarySearchFunc(h.servers, e.Name, func(p past, name string) int { return cmp.Compare(p.name, name) })
+	i, there := slices.BinarySearchFunc(
+		h.servers,
+		e.Name,
+		func(p past, name string) int { return cmp.Compare(p.name, name) },
+	)
 	if !there {
 		h.servers = slices.Insert(h.servers, i, past{name: e.Name, point: registry.Position(e.Name)})
 	}
@@ -61,15 +66,36 @@
 		case want != nil && !there:
 			return fmt.Errorf("%s of %s at version %d lacks %s", v.Subset, v.Epoch, v.Version, p.name)
 		case want == nil && there:
-			return fmt.Errorf("%s of %s at version %d still has %s as %s", v.Subset, v.Epoch, v.Version, p.name, left[0].Status)
+			return fmt.Errorf(
+				"%s of %s at version %d still has %s as %s",
+				v.Subset,
+				v.Epoch,
+				v.Version,
+				p.name,
+				left[0].Status,
+			)
 		case want != nil && left[0] != *want:
-			return fmt.Errorf("%s of %s at version %d has %s as %s, not %s", v.Subset, v.Epoch, v.Version, p.name, left[0].Status, want.Status)
+			return fmt.Errorf(
+				"%s of %s at version %d has %s as %s, not %s",
+				v.Subset,
+				v.Epoch,
+				v.Version,
+				p.name,
+				left[0].Status,
+				want.Status,
+			)
 		case want != nil:
 			n++
 		}
 	}
 	if n != len(v.Endpoints) {
-		return fmt.Errorf("%s of %s at version %d has %d servers that are not of the part", v.Subset, v.Epoch, v.Version, len(v.Endpoints)-n)
+		return fmt.Errorf(
+			"%s of %s at version %d has %d servers that are not of the part",
+			v.Subset,
+			v.Epoch,
+			v.Version,
+			len(v.Endpoints)-n,
+		)
 	}
 	return nil
 }
--- a/internal/sim/subset/kinds.go
+++ b/internal/sim/subset/kinds.go
@@ -18,7 +18,10 @@
 }
 
 // drawn gives a Draw of faults that last up to most; who gives what else is drawn.
-func drawn(most time.Duration, who func(rng *rand.Rand, names []string) []string) func(*rand.Rand, []string) sim.Fault {
+func drawn(
+	most time.Duration,
+	who func(rng *rand.Rand, names []string) []string,
+) func(*rand.Rand, []string) sim.Fault {
 	return func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{Who: who(rng, names)}
 		if most > 0 {
@@ -67,9 +70,14 @@
 	drains  = leaving("drain", (*Fleet).drain)
 	removes = leaving("remove", (*Fleet).remove)
 	// racks take all servers of a sixteenth of the ring away, and bring them back.
-	racks = sim.Kind{Name: "rack", Draw: drawn(20*time.Second, func(rng *rand.Rand, _ []string) []string { return []string{number(rng, 16)} }),
+	racks = sim.Kind{
+		Name: "rack",
+		Draw: drawn(20*time.Second, func(rng *rand.Rand, _ []string) []string { return []string{number(rng, 16)} }),
 		Do: func(w *sim.World, f sim.Fault) func() {
-			gone := slices.DeleteFunc(of(w).servers(), func(s string) bool { return int(registry.Position(s)>>60)+1 != with(f, 0) })
+			gone := slices.DeleteFunc(
+				of(w).servers(),
+				func(s string) bool { return int(registry.Position(s)>>60)+1 != with(f, 0) },
+			)
 			w.Say("list", fmt.Sprintf("loses a rack of %d", len(gone)))
 			var were []registry.Endpoint
 			for _, s := range gone {
@@ -82,7 +90,8 @@
 					of(w).register(e)
 				}
 			}
-		}}
+		},
+	}
 	// resizes put another size of the fleet into the settings of some nodes.
 	resizes = sim.Kind{Name: "resize", Draw: drawn(0, func(rng *rand.Rand, names []string) []string {
 		sizes := []string{"1", "150", "300", "600", "2000"}
@@ -95,7 +104,12 @@
 		return nil
 	}}
 	// lagging lets a replica apply nothing younger than mostLag.
-	lagging = sim.Kind{Name: "lag", Draw: drawn(20*time.Second, func(rng *rand.Rand, names []string) []string { return anyOne(rng, replicasOf(names)) }),
+	lagging = sim.Kind{
+		Name: "lag",
+		Draw: drawn(
+			20*time.Second,
+			func(rng *rand.Rand, names []string) []string { return anyOne(rng, replicasOf(names)) },
+		),
 		Do: func(w *sim.World, f sim.Fault) func() {
 			w.Say(f.Who[0], "lags")
 			of(w).disks[f.Who[0]].lags++
@@ -103,7 +117,8 @@
 				w.Say(f.Who[0], "lags no more")
 				of(w).disks[f.Who[0]].lags--
 			}
-		}}
+		},
+	}
 	// kills end processes; one of three replicas may be lost for good, and a node's kept list with it.
 	kills = sim.Kind{Name: "kill", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{Who: anyOne(rng, names), For: upTo(rng, 100*time.Millisecond, 15*time.Second)}
@@ -126,36 +141,49 @@
 		return nil
 	}}
 	// losses are of the service's state: it begins anew, and the servers' agents register within seconds.
-	losses = sim.Kind{Name: "state lost", Draw: drawn(0, func(*rand.Rand, []string) []string { return nil }), Do: func(w *sim.World, _ sim.Fault) func() {
-		f := of(w)
-		w.Say("list", "has lost its state")
-		var were []registry.Endpoint
-		for _, s := range f.servers() {
-			were = append(were, f.now[s])
-		}
-		f.begin()
-		epoch := f.leader.Epoch()
-		const batches = 3
-		for k := range batches {
-			w.After(time.Duration(k+1)*time.Second, func() {
-				for i := k; i < len(were) && f.leader.Epoch() == epoch; i += batches {
-					f.register(were[i])
-				}
-			})
-		}
-		return nil
-	}}
+	losses = sim.Kind{
+		Name: "state lost",
+		Draw: drawn(0, func(*rand.Rand, []string) []string { return nil }),
+		Do: func(w *sim.World, _ sim.Fault) func() {
+			f := of(w)
+			w.Say("list", "has lost its state")
+			var were []registry.Endpoint
+			for _, s := range f.servers() {
+				were = append(were, f.now[s])
+			}
+			f.begin()
+			epoch := f.leader.Epoch()
+			const batches = 3
+			for k := range batches {
+				w.After(time.Duration(k+1)*time.Second, func() {
+					for i := k; i < len(were) && f.leader.Epoch() == epoch; i += batches {
+						f.register(were[i])
+					}
+				})
+			}
+			return nil
+		},
+	}
 	// restores put back at their end what was there at their beginning.
-	restores = sim.Kind{Name: "restore", Draw: drawn(15*time.Second, func(*rand.Rand, []string) []string { return nil }), Do: func(w *sim.World, _ sim.Fault) func() {
-		w.Say("list", "is copied")
-		restore := of(w).backup()
-		return func() { w.Say("list", "is restored"); restore() }
-	}}
+	restores = sim.Kind{
+		Name: "restore",
+		Draw: drawn(15*time.Second, func(*rand.Rand, []string) []string { return nil }),
+		Do: func(w *sim.World, _ sim.Fault) func() {
+			w.Say("list", "is copied")
+			restore := of(w).backup()
+			return func() { w.Say("list", "is restored"); restore() }
+		},
+	}
 )
 
 // leaving has something done to drawn servers, by their order.
 func leaving(name string, do func(*Fleet, string)) sim.Kind {
-	return sim.Kind{Name: name, Draw: drawn(0, func(rng *rand.Rand, _ []string) []string { return []string{number(rng, 40), number(rng, 5000)} }),
+	return sim.Kind{
+		Name: name,
+		Draw: drawn(
+			0,
+			func(rng *rand.Rand, _ []string) []string { return []string{number(rng, 40), number(rng, 5000)} },
+		),
 		Do: func(w *sim.World, f sim.Fault) func() {
 			w.Say("list", name+" "+f.Who[0])
 			all := of(w).servers()
@@ -163,7 +191,8 @@
 				do(of(w), all[(with(f, 1)+i*7)%len(all)])
 			}
 			return nil
-		}}
+		},
+	}
 }
 
 // noted has the calls counted from a fault's beginning, and from its end.
--- a/internal/sim/subset/mail.go
+++ b/internal/sim/subset/mail.go
@@ -6,8 +6,8 @@
 	"wrenspread/internal/sim"
 )
 
-// mail is what messages stand for, as answers go without their JSON. Those to a node are let go at its next call, after
-// which it takes none of them; calls, which are small, are kept.
+// mail is what messages stand for, as answers go without their JSON. Those to a node are let go at its next
+// call, after which it takes none of them; calls, which are small, are kept.
 type mail struct {
 	posted int
 	kept   map[string]any
--- a/internal/sim/subset/node.go
+++ b/internal/sim/subset/node.go
@@ -72,9 +72,15 @@
 	n.fleet.mail.forget(n.name)
 	n.asked, n.open, n.putOff = q, true, false
 	n.calls++
-	out := []sim.Effect{sim.Send{To: n.fleet.Replicas[n.at], Data: n.fleet.mail.post("", q)}, sim.Wake{After: q.hold + grace}}
+	out := []sim.Effect{
+		sim.Send{To: n.fleet.Replicas[n.at], Data: n.fleet.mail.post("", q)},
+		sim.Wake{After: q.hold + grace},
+	}
 	if q.moves {
-		out = append(out, sim.Say{What: fmt.Sprintf("asks %s for %s whole; %s stands", n.fleet.Replicas[n.at], q.part, n.has)})
+		out = append(
+			out,
+			sim.Say{What: fmt.Sprintf("asks %s for %s whole; %s stands", n.fleet.Replicas[n.at], q.part, n.has)},
+		)
 	}
 	return out
 }
@@ -85,7 +91,10 @@
 		n.at = (n.at + 1) % len(n.fleet.Replicas)
 	}
 	n.putOff = n.asked.moves && why != stale
-	return []sim.Effect{sim.Say{What: why}, sim.Wake{After: time.Duration(n.fleet.World.Rand().Int64N(int64(mostWait)))}}
+	return []sim.Effect{
+		sim.Say{What: why},
+		sim.Wake{After: time.Duration(n.fleet.World.Rand().Int64N(int64(mostWait)))},
+	}
 }
 
 const stale = "passes over what is older"
@@ -120,7 +129,14 @@
 
 func told(a *registry.ListResponse, v client.List) string {
 	if a.Snapshot {
-		return fmt.Sprintf("takes %s of %s at version %d: %d of %d", v.Subset, v.Epoch, v.Version, len(v.Endpoints), v.Total)
+		return fmt.Sprintf(
+			"takes %s of %s at version %d: %d of %d",
+			v.Subset,
+			v.Epoch,
+			v.Version,
+			len(v.Endpoints),
+			v.Total,
+		)
 	}
 	if len(a.Endpoints) == 1 {
 		return fmt.Sprintf("hears %s is %s: version %d", a.Endpoints[0].Name, a.Endpoints[0].Status, v.Version)
--- a/internal/sim/subset/replica.go
+++ b/internal/sim/subset/replica.go
@@ -40,8 +40,9 @@
 type replica struct {
 	fleet *Fleet
 	*disk
-	held    []held
-	answers map[span]registry.ListResponse // as the state is, for those who ask for the same; nil: it has changed
+	held []held
+	// as the state is, for those who ask for the same; nil: it has changed
+	answers map[span]registry.ListResponse
 }
 
 // span is what an answer is of: a part, since a version.
@@ -82,7 +83,8 @@
 	if r.lags > 0 {
 		upTo = r.fleet.World.Now() - mostLag
 	}
-	for ; r.done < len(r.fleet.log) && r.fleet.log[r.done].at <= max(upTo, 0); r.done++ { // all have what there was at first
+	// all have what there was at first
+	for ; r.done < len(r.fleet.log) && r.fleet.log[r.done].at <= max(upTo, 0); r.done++ {
 		c := r.fleet.log[r.done]
 		if c.lost {
 			r.state = registry.NewState()
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// Drift is how far the rate of a process's clock may be from the true one: the stated bound of fleet control.
+	// Drift is how far the rate of a process's clock may be from the true one: the stated bound of fleet
+	// control.
 	Drift = 0.001
 	// mostLog bounds the words kept of one history; a play that says more is drawn without its end.
 	mostLog = 200_000
@@ -19,8 +20,8 @@
 type World struct {
 	Net     Net
 	Service *Service // nil: none
-	// Pass, where set, sees each datagram before the network does, and gives what is sent in its place. Broken stand-ins
-	// of a core are made with it.
+	// Pass, where set, sees each datagram before the network does, and gives what is sent in its place. Broken
+	// stand-ins of a core are made with it.
 	Pass func(from, to string, data []byte) [][]byte
 	Play any // what a play keeps beside, for its own sorts of fault
 
@@ -53,12 +54,19 @@
 // Log is what was said so far.
 func (w *World) Log() []timeline.Event { return w.log }
 
-// Add makes a named end whose processes are made by start, and starts the first one. The names are also the addresses.
+// Add makes a named end whose processes are made by start, and starts the first one. The names are also the
+// addresses.
 func (w *World) Add(name string, start func(now time.Duration) Actor) *End {
 	if w.ends[name] != nil {
 		panic(fmt.Sprintf("two ends named %s", name))
 	}
-	e := &End{Name: name, world: w, start: start, rate: 1 + Drift*(2*w.rng.Float64()-1), skew: time.Duration(w.rng.Int64N(int64(time.Hour)))}
+	e := &End{
+		Name:  name,
+		world: w,
+		start: start,
+		rate:  1 + Drift*(2*w.rng.Float64()-1),
+		skew:  time.Duration(w.rng.Int64N(int64(time.Hour))),
+	}
 	w.ends[name] = e
 	w.order = append(w.order, e)
 	e.Start()
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -33,9 +33,19 @@
 			return ScheduledEvent{}, missing("patience_left_ns")
 		}
 		tenant, _ := e.Group.(string)
-		return ScheduledEvent{Event: balancer.RequestArrived{ID: balancer.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
-			Key: e.Key, Timeout: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
-			HasWorkHint: e.Flags&flagWorkHint != 0, ClientRetry: e.Flags&flagClientRetry != 0, Write: e.Flags&flagWrite != 0}}, nil
+		return ScheduledEvent{
+			Event: balancer.RequestArrived{
+				ID:          balancer.RequestID(*e.Req),
+				Class:       e.Band,
+				Tenant:      tenant,
+				Key:         e.Key,
+				Timeout:     time.Duration(*e.Patience),
+				WorkHint:    time.Duration(e.Cost),
+				HasWorkHint: e.Flags&flagWorkHint != 0,
+				ClientRetry: e.Flags&flagClientRetry != 0,
+				Write:       e.Flags&flagWrite != 0,
+			},
+		}, nil
 	case "attempt_end", "probe_result", "streaming":
 		return decodeOutcome(name, raw)
 	case "due":
@@ -110,7 +120,9 @@
 		id = balancer.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return ScheduledEvent{Event: balancer.ResponseStarted{ID: id, Attempt: *e.Leg, Endpoint: server, Elapsed: took}}, nil
+		return ScheduledEvent{
+			Event: balancer.ResponseStarted{ID: id, Attempt: *e.Leg, Endpoint: server, Elapsed: took},
+		}, nil
 	}
 	if e.Disposition == nil {
 		return ScheduledEvent{}, missing("disposition")
@@ -121,10 +133,14 @@
 	}
 	report := decodeReport(e.Feedback)
 	if name == "probe_result" {
-		return ScheduledEvent{Event: balancer.LoadQueryEnded{Endpoint: server, Outcome: code, Elapsed: took, LoadReport: report}}, nil
+		return ScheduledEvent{
+			Event: balancer.LoadQueryEnded{Endpoint: server, Outcome: code, Elapsed: took, LoadReport: report},
+		}, nil
 	}
-	return ScheduledEvent{Event: balancer.AttemptEnded{ID: id, Attempt: *e.Leg, Endpoint: server, RequestAnswered: e.Over,
-		Elapsed: took, Outcome: code, LoadReport: report}}, nil
+	return ScheduledEvent{
+		Event: balancer.AttemptEnded{ID: id, Attempt: *e.Leg, Endpoint: server, RequestAnswered: e.Over,
+			Elapsed: took, Outcome: code, LoadReport: report},
+	}, nil
 }
 
 func decodeStart(raw json.RawMessage) (ScheduledEvent, error) {
--- a/internal/simwire/list.go
+++ b/internal/simwire/list.go
@@ -19,7 +19,10 @@
 }
 
 var updateKinds = map[string]balancer.UpdateKind{
-	"D": balancer.UpdateIncremental, "F": balancer.UpdateComplete, "C": balancer.UpdateCached, "X": balancer.UpdateFailed,
+	"D": balancer.UpdateIncremental,
+	"F": balancer.UpdateComplete,
+	"C": balancer.UpdateCached,
+	"X": balancer.UpdateFailed,
 }
 
 var states = map[string]balancer.EndpointState{
@@ -48,8 +51,11 @@
 		if !ok {
 			return ScheduledEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
 		}
-		l.Endpoints = append(l.Endpoints, balancer.Endpoint{ID: balancer.EndpointID(*it.Backend), Zone: it.Zone, MachineType: it.Model,
-			Cell: it.Pod, State: state, Weight: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
+		l.Endpoints = append(
+			l.Endpoints,
+			balancer.Endpoint{ID: balancer.EndpointID(*it.Backend), Zone: it.Zone, MachineType: it.Model,
+				Cell: it.Pod, State: state, Weight: it.Nominal, StartedAt: time.Duration(it.ReadyAt)},
+		)
 	}
 	return ScheduledEvent{Event: l}, nil
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,12 +8,22 @@
 	"wrenspread/balancer"
 )
 
-var idempotencies = map[string]balancer.Idempotency{"retryable": balancer.Idempotent, "dedup": balancer.IdempotentByKey, "fragile": balancer.NotIdempotent}
+var idempotencies = map[string]balancer.Idempotency{
+	"retryable": balancer.Idempotent,
+	"dedup":     balancer.IdempotentByKey,
+	"fragile":   balancer.NotIdempotent,
+}
 
-var scopes = map[string]balancer.DedupScope{"cell": balancer.DedupInCell, "zone": balancer.DedupInZone, "all": balancer.DedupEverywhere}
+var scopes = map[string]balancer.DedupScope{
+	"cell": balancer.DedupInCell,
+	"zone": balancer.DedupInZone,
+	"all":  balancer.DedupEverywhere,
+}
 
 var loadReportSources = map[string]balancer.LoadReportSource{
-	"none": balancer.LoadReportsNone, "probe": balancer.LoadReportsByQuery, "answers": balancer.LoadReportsInResponses,
+	"none":    balancer.LoadReportsNone,
+	"probe":   balancer.LoadReportsByQuery,
+	"answers": balancer.LoadReportsInResponses,
 }
 
 // The values of weight_kind; a site that states none has no sizes.
@@ -24,7 +34,12 @@
 	weightDynamic
 )
 
-var weightKinds = map[string]int{"none": weightNone, "nominal": weightExact, "rough": weightApproximate, "live": weightDynamic}
+var weightKinds = map[string]int{
+	"none":    weightNone,
+	"nominal": weightExact,
+	"rough":   weightApproximate,
+	"live":    weightDynamic,
+}
 
 func has[V any](m map[string]V, key string) bool {
 	_, ok := m[key]
@@ -64,29 +79,55 @@
 			problems = append(problems, fmt.Errorf("unknown %s %q", c.key, c.value))
 		}
 	}
-	s = balancer.Settings{Proxies: p.Balancers, ProxyIndex: p.ProxyIndex, Zone: p.Zone, Zones: p.Zones, MachineTypes: p.Kinds,
-		MaxAttempts: p.Capabilities.MaxAttempts, AllowHedging: p.Capabilities.MayDuplicate, AllowCancel: p.Capabilities.Cancel,
-		AllowLoadQueries: p.Capabilities.Probes, AllowGossip: p.Capabilities.Peers, SendRetryAfter: p.Capabilities.RetryAfter,
-		MaxRetryAfter: time.Duration(p.Capabilities.MaxRetryAfter), ClientsMarkRetries: p.ClientBehavior.MarksRetry,
-		ConnectTimeout: time.Duration(p.Capabilities.ConnectTimeout), MinEventInterval: time.Duration(p.Tick),
-		PollForEndpoints: p.Membership == "on_request", WeightKnown: weightKinds[p.WeightKind] != weightNone,
-		WeightApproximate: weightKinds[p.WeightKind] == weightApproximate, WeightDynamic: weightKinds[p.WeightKind] == weightDynamic,
-		OverQuotaWeight: p.OverQuotaWeight, WeightByWork: p.WorthBy == "work", LoadReports: loadReportSources[p.Report.How], LoadReportFields: p.Report.Fields,
-		ResponseSlack: time.Duration(p.Invariants.AnswerSlack), PollInterval: time.Duration(p.Invariants.AskWithin),
-		DrainGrace: time.Duration(p.Invariants.DrainGrace),
-		DrainClose: time.Duration(p.Invariants.DrainClose), SlowStartInitial: p.Invariants.ColdFrom,
-		SlowStartDuration: time.Duration(p.Invariants.Cold), OverloadFactor: p.Invariants.OverloadFactor,
-		OverloadDuration: time.Duration(p.Invariants.TipAfter), Family: p.Family, Tier: p.Tier, Tiers: p.Tiers,
-		KeyAffinity: p.Specifics.WarmKeys, ForwardsDeadline: p.Specifics.PassesDeadline,
-		AttemptsPerConnection: p.Capabilities.Multiplex, ConnectionIdleTimeout: time.Duration(p.Capabilities.ConnIdle), MaxOpenRequests: p.Capabilities.MostHeld,
-		CPUPerSecond:  time.Duration(p.Capabilities.CPUPerSecond * float64(time.Microsecond)),
-		CPUPerRequest: time.Duration(p.Capabilities.CPUPerRequest * float64(time.Microsecond)),
+	s = balancer.Settings{
+		Proxies:               p.Balancers,
+		ProxyIndex:            p.ProxyIndex,
+		Zone:                  p.Zone,
+		Zones:                 p.Zones,
+		MachineTypes:          p.Kinds,
+		MaxAttempts:           p.Capabilities.MaxAttempts,
+		AllowHedging:          p.Capabilities.MayDuplicate,
+		AllowCancel:           p.Capabilities.Cancel,
+		AllowLoadQueries:      p.Capabilities.Probes,
+		AllowGossip:           p.Capabilities.Peers,
+		SendRetryAfter:        p.Capabilities.RetryAfter,
+		MaxRetryAfter:         time.Duration(p.Capabilities.MaxRetryAfter),
+		ClientsMarkRetries:    p.ClientBehavior.MarksRetry,
+		ConnectTimeout:        time.Duration(p.Capabilities.ConnectTimeout),
+		MinEventInterval:      time.Duration(p.Tick),
+		PollForEndpoints:      p.Membership == "on_request",
+		WeightKnown:           weightKinds[p.WeightKind] != weightNone,
+		WeightApproximate:     weightKinds[p.WeightKind] == weightApproximate,
+		WeightDynamic:         weightKinds[p.WeightKind] == weightDynamic,
+		OverQuotaWeight:       p.OverQuotaWeight,
+		WeightByWork:          p.WorthBy == "work",
+		LoadReports:           loadReportSources[p.Report.How],
+		LoadReportFields:      p.Report.Fields,
+		ResponseSlack:         time.Duration(p.Invariants.AnswerSlack),
+		PollInterval:          time.Duration(p.Invariants.AskWithin),
+		DrainGrace:            time.Duration(p.Invariants.DrainGrace),
+		DrainClose:            time.Duration(p.Invariants.DrainClose),
+		SlowStartInitial:      p.Invariants.ColdFrom,
+		SlowStartDuration:     time.Duration(p.Invariants.Cold),
+		OverloadFactor:        p.Invariants.OverloadFactor,
+		OverloadDuration:      time.Duration(p.Invariants.TipAfter),
+		Family:                p.Family,
+		Tier:                  p.Tier,
+		Tiers:                 p.Tiers,
+		KeyAffinity:           p.Specifics.WarmKeys,
+		ForwardsDeadline:      p.Specifics.PassesDeadline,
+		AttemptsPerConnection: p.Capabilities.Multiplex,
+		ConnectionIdleTimeout: time.Duration(p.Capabilities.ConnIdle),
+		MaxOpenRequests:       p.Capabilities.MostHeld,
+		CPUPerSecond:          time.Duration(p.Capabilities.CPUPerSecond * float64(time.Microsecond)),
+		CPUPerRequest:         time.Duration(p.Capabilities.CPUPerRequest * float64(time.Microsecond)),
 		Goal: balancer.Goal{WholeDay: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
 			WorstTenant: p.Goal.WorstTenant},
 		Prices: balancer.Prices{Connection: p.Prices.Connection, Handshake: p.Prices.Handshake,
 			CrossZone: p.Prices.CrossZone, WastedWork: p.Prices.Waste, LateFailure: p.Prices.LateFail,
 			LoadQuery: p.Prices.Probe, Message: p.Prices.Peer, Migrations: p.Prices.Moves, OriginRead: p.Prices.Origin,
-			EndpointUpdates: p.Prices.Lines, Fleet: p.Prices.Fleet}}
+			EndpointUpdates: p.Prices.Lines, Fleet: p.Prices.Fleet},
+	}
 	for _, c := range p.Classes {
 		effect, ok := idempotencies[c.Effect]
 		if !ok {
@@ -96,10 +137,23 @@
 		if !ok && (c.KeyScope != "" || effect == balancer.IdempotentByKey) {
 			problems = append(problems, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope))
 		}
-		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, PriorityWeight: c.Importance, LatencyObjective: time.Duration(c.Aim),
-			ObjectivePerWork: c.AimStretch, Deadline: time.Duration(c.GiveUp), LateWeight: c.LateWorth, Idempotency: effect,
-			DedupScope: scope, DedupWindow: time.Duration(c.Dedup), Streamed: c.Streamed,
-			AllowedZones: c.Domains, AllowedMachineTypes: c.AllowedOn})
+		s.Classes = append(
+			s.Classes,
+			balancer.Class{
+				Name:                c.Name,
+				PriorityWeight:      c.Importance,
+				LatencyObjective:    time.Duration(c.Aim),
+				ObjectivePerWork:    c.AimStretch,
+				Deadline:            time.Duration(c.GiveUp),
+				LateWeight:          c.LateWorth,
+				Idempotency:         effect,
+				DedupScope:          scope,
+				DedupWindow:         time.Duration(c.Dedup),
+				Streamed:            c.Streamed,
+				AllowedZones:        c.Domains,
+				AllowedMachineTypes: c.AllowedOn,
+			},
+		)
 	}
 	for _, t := range p.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, QuotaShare: t.Fraction})
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -31,8 +31,13 @@
 )
 
 var outcomes = map[int]balancer.Outcome{
-	codeOK: balancer.OK, codeCancelled: balancer.Cancelled, codeTimeout: balancer.TimedOut, codeRejected: balancer.Rejected,
-	codeNotSent: balancer.NotSent, codeReset: balancer.ConnectionReset, codeError: balancer.ServerError,
+	codeOK:            balancer.OK,
+	codeCancelled:     balancer.Cancelled,
+	codeTimeout:       balancer.TimedOut,
+	codeRejected:      balancer.Rejected,
+	codeNotSent:       balancer.NotSent,
+	codeReset:         balancer.ConnectionReset,
+	codeError:         balancer.ServerError,
 	codeConnectFailed: balancer.ConnectFailed,
 }
 
--- a/internal/tenant/check.go
+++ b/internal/tenant/check.go
@@ -148,7 +148,12 @@
 			}
 		}
 		if n < max(1, route.MinEndpoints) {
-			return fmt.Sprintf("routes: the one for %v has %d boxes, want %d", route.Classes, n, max(1, route.MinEndpoints))
+			return fmt.Sprintf(
+				"routes: the one for %v has %d boxes, want %d",
+				route.Classes,
+				n,
+				max(1, route.MinEndpoints),
+			)
 		}
 	}
 	return ""
--- a/internal/tenant/compile.go
+++ b/internal/tenant/compile.go
@@ -25,7 +25,12 @@
 }
 
 func compile(f *Spec, t PolicyTable) *compiledSpec {
-	c := &compiledSpec{suspended: f.Suspended, limitsKnown: t.covers(f), classes: map[string]classRoute{}, keys: f.KeyPrefixes}
+	c := &compiledSpec{
+		suspended:   f.Suspended,
+		limitsKnown: t.covers(f),
+		classes:     map[string]classRoute{},
+		keys:        f.KeyPrefixes,
+	}
 	for _, class := range f.Classes {
 		if r, l := f.Route(class), f.limit(class); r != nil && l != "" {
 			c.classes[class] = classRoute{route: r, limit: l}
--- a/internal/tenant/desk.go
+++ b/internal/tenant/desk.go
@@ -56,8 +56,18 @@
 // tenant after so long without word; it should be several TTLs. On demand it reads of
 // a catalogue with parts only those that its requests name.
 func NewCache(life uint64, hold time.Duration, onDemand bool) *Cache {
-	return &Cache{generation: life, maxStaleness: min(hold, maxMaxStaleness).Truncate(time.Millisecond), onDemand: onDemand, readBudget: tokenBucket{left: readBurst}, idleTimeout: idleTime,
-		entries: map[string]*Entry{}, inTransition: map[string]*Entry{}, requestedLeaves: map[int]bool{}, openRequests: map[string]int{}, departingSince: map[string]time.Duration{}}
+	return &Cache{
+		generation:      life,
+		maxStaleness:    min(hold, maxMaxStaleness).Truncate(time.Millisecond),
+		onDemand:        onDemand,
+		readBudget:      tokenBucket{left: readBurst},
+		idleTimeout:     idleTime,
+		entries:         map[string]*Entry{},
+		inTransition:    map[string]*Entry{},
+		requestedLeaves: map[int]bool{},
+		openRequests:    map[string]int{},
+		departingSince:  map[string]time.Duration{},
+	}
 }
 
 // Member is how the book has this node when it is enrolled.
@@ -120,7 +130,13 @@
 		return nil
 	}
 	broken := now >= d.authorityUntil
-	d.authorityUntil, d.renewalSentAt = max(d.authorityUntil, e.Sent+shortened(d.sessionTTL)), max(d.renewalSentAt, e.Sent)
+	d.authorityUntil, d.renewalSentAt = max(
+		d.authorityUntil,
+		e.Sent+shortened(d.sessionTTL),
+	), max(
+		d.renewalSentAt,
+		e.Sent,
+	)
 	if broken {
 		d.authoritative, d.authoritySince = false, now
 		return []any{ReadCatalogue{}}
@@ -141,7 +157,8 @@
 		return []any{ReadCatalogue{}}
 	}
 	older := e.Snapshot.Number < d.number() // the service's state is from a copy: the conductor makes a new one
-	if d.snapshot == nil || e.Snapshot.Number > d.snapshot.Number || e.Snapshot.Number == d.snapshot.Number && e.Snapshot.levels > 0 {
+	if d.snapshot == nil || e.Snapshot.Number > d.snapshot.Number ||
+		e.Snapshot.Number == d.snapshot.Number && e.Snapshot.levels > 0 {
 		d.applySnapshot(now, e.Snapshot)
 	}
 	if d.sessionOpen && e.StartedAt >= d.authoritySince && !older {
@@ -169,8 +186,15 @@
 }
 
 func (d *Cache) buildCatalogue() *Catalogue {
-	c := &Catalogue{number: d.number(), leaves: d.leaves, ready: d.enrolled && d.snapshot != nil && !d.leaving, authoritative: d.authoritative, authorityUntil: d.authorityUntil,
-		stopServingAt: d.stopServingAt(), behind: d.peerNumber > d.number()}
+	c := &Catalogue{
+		number:         d.number(),
+		leaves:         d.leaves,
+		ready:          d.enrolled && d.snapshot != nil && !d.leaving,
+		authoritative:  d.authoritative,
+		authorityUntil: d.authorityUntil,
+		stopServingAt:  d.stopServingAt(),
+		behind:         d.peerNumber > d.number(),
+	}
 	if d.snapshot != nil {
 		c.levels, c.complete = d.snapshot.levels, d.snapshot.complete
 	}
@@ -209,7 +233,13 @@
 // Status is what a session has to be opened with: one that is open without it would let
 // the conductor pass by a node that has its right already.
 func (d *Cache) Status() Status {
-	w := Status{Generation: d.generation, Prepared: d.number(), DrainedUpTo: d.number(), MaxStaleness: d.maxStaleness, Left: d.leaving && len(d.openRequests) == 0}
+	w := Status{
+		Generation:   d.generation,
+		Prepared:     d.number(),
+		DrainedUpTo:  d.number(),
+		MaxStaleness: d.maxStaleness,
+		Left:         d.leaving && len(d.openRequests) == 0,
+	}
 	if d.snapshot != nil {
 		for _, n := range d.snapshot.needs { // of parts that are not held, too: they may be tomorrow
 			if d.policy.Version < n.Policy {
--- a/internal/tenant/events.go
+++ b/internal/tenant/events.go
@@ -15,8 +15,8 @@
 		Sent  time.Duration
 		Known bool
 	}
-	// CatalogueRead brings the catalogue as it is now, as far as Want said when the read began, read after the book said what Enrolled tells:
-	// whether this node is in it, in its life and with its hold.
+	// CatalogueRead brings the catalogue as it is now, as far as Want said when the read began, read after the
+	// book said what Enrolled tells: whether this node is in it, in its life and with its hold.
 	CatalogueRead struct {
 		StartedAt time.Duration
 		Enrolled  bool
--- a/internal/tenant/form.go
+++ b/internal/tenant/form.go
@@ -33,14 +33,15 @@
 
 // Spec is what a tenant is: its namespace, its quotas and its routes, always together.
 type Spec struct {
-	Names         []string   `json:"names"`          // in X-Tenant
-	Classes       []string   `json:"classes"`        // open to it
-	KeyPrefixes   []string   `json:"keys,omitempty"` // prefixes of its part of the key space; none: all of it
-	Quotas        []QuotaRef `json:"quotas"`
-	Routes        []Route    `json:"routes"`
-	PolicyVersion uint64     `json:"policy,omitempty"` // a table of this version has its limits; set by the conductor
-	Suspended     bool       `json:"suspended,omitempty"`
-	DrainMS       int64      `json:"drain_ms,omitempty"` // what is open has so long to end once the tenant goes
+	Names       []string   `json:"names"`          // in X-Tenant
+	Classes     []string   `json:"classes"`        // open to it
+	KeyPrefixes []string   `json:"keys,omitempty"` // prefixes of its part of the key space; none: all of it
+	Quotas      []QuotaRef `json:"quotas"`
+	Routes      []Route    `json:"routes"`
+	// a table of this version has its limits; set by the conductor
+	PolicyVersion uint64 `json:"policy,omitempty"`
+	Suspended     bool   `json:"suspended,omitempty"`
+	DrainMS       int64  `json:"drain_ms,omitempty"` // what is open has so long to end once the tenant goes
 
 	unknownFields rawFields
 }
@@ -57,7 +58,8 @@
 	Zones        []string `json:"zones,omitempty"`   // none: all
 	MachineTypes []string `json:"kinds,omitempty"`
 	Cells        []int    `json:"pods,omitempty"`
-	MinEndpoints int      `json:"least,omitempty"` // boxes that must be there when it is brought in; 0 counts as 1
+	// boxes that must be there when it is brought in; 0 counts as 1
+	MinEndpoints int `json:"least,omitempty"`
 }
 
 // Endpoint is a server as far as routes go.
@@ -120,7 +122,8 @@
 			return fmt.Errorf("%s: %d, want %d to %d", c.key, len(c.all), c.least, c.most)
 		}
 		sorted := slices.Sorted(slices.Values(c.all))
-		if len(slices.Compact(sorted)) != len(c.all) || slices.ContainsFunc(c.all, func(s string) bool { return s == "" || len(s) > registry.MaxText }) {
+		if len(slices.Compact(sorted)) != len(c.all) ||
+			slices.ContainsFunc(c.all, func(s string) bool { return s == "" || len(s) > registry.MaxText }) {
 			return fmt.Errorf("%s: want each once, with 1 to %d bytes", c.key, registry.MaxText)
 		}
 	}
--- a/internal/tenant/held.go
+++ b/internal/tenant/held.go
@@ -17,9 +17,9 @@
 	idleTime        = 10 * time.Minute
 	evictInterval   = time.Second
 
-	// A part that is not held is read once, and then, however many names are made up, no more than readsAtOnce (a
-	// node's usual parts when it starts) and readsEvery after it: 4 a second, with two pages between, are 15 kB of
-	// a budget of 25 kB a second. mostAsked are read with one head.
+	// A part that is not held is read once, and then, however many names are made up, no more than readsAtOnce
+	// (a node's usual parts when it starts) and readsEvery after it: 4 a second, with two pages between, are 15
+	// kB of a budget of 25 kB a second. mostAsked are read with one head.
 	readBurst          = 2048
 	readInterval       = time.Second / 4
 	maxRequestedLeaves = 64
@@ -132,7 +132,8 @@
 		return nil
 	}
 	part := leafOf(name, d.snapshot.levels)
-	if d.snapshot.hasLeaf(part) || d.requestedLeaves[part] || len(d.requestedLeaves) >= maxRequestedLeaves || !d.readBudget.take(now) {
+	if d.snapshot.hasLeaf(part) || d.requestedLeaves[part] || len(d.requestedLeaves) >= maxRequestedLeaves ||
+		!d.readBudget.take(now) {
 		return nil // it is asked for by a later request again
 	}
 	d.requestedLeaves[part] = true
@@ -221,10 +222,14 @@
 	for _, h := range next {
 		bytes += h.leaf.bytes
 	}
-	byUse := slices.SortedFunc(maps.Keys(next), func(a, b int) int { return cmp.Compare(next[a].usedAt.Load(), next[b].usedAt.Load()) })
+	byUse := slices.SortedFunc(
+		maps.Keys(next),
+		func(a, b int) int { return cmp.Compare(next[a].usedAt.Load(), next[b].usedAt.Load()) },
+	)
 	for _, n := range byUse {
 		h := next[n]
-		over := now-time.Duration(h.usedAt.Load()) >= d.idleTimeout || len(next) > maxCachedLeaves || bytes > maxCachedBytes
+		over := now-time.Duration(h.usedAt.Load()) >= d.idleTimeout || len(next) > maxCachedLeaves ||
+			bytes > maxCachedBytes
 		if over && !needed[n] {
 			delete(next, n)
 			bytes -= h.leaf.bytes
--- a/internal/tenant/image.go
+++ b/internal/tenant/image.go
@@ -54,7 +54,8 @@
 	if e == nil || o == nil {
 		return e == o
 	}
-	if e.Phase == o.Phase && e.Current == o.Current && e.Next == o.Next { // forms are not changed once they are there
+	// forms are not changed once they are there
+	if e.Phase == o.Phase && e.Current == o.Current && e.Next == o.Next {
 		return true
 	}
 	a, b := *e, *o
@@ -92,7 +93,11 @@
 
 // find gives the entry of a tenant, if it is here.
 func (p *Leaf) find(name string) []*Entry {
-	i, there := slices.BinarySearchFunc(p.entries, name, func(e *Entry, name string) int { return cmp.Compare(e.Name, name) })
+	i, there := slices.BinarySearchFunc(
+		p.entries,
+		name,
+		func(e *Entry, name string) int { return cmp.Compare(e.Name, name) },
+	)
 	if !there {
 		return nil
 	}
@@ -103,7 +108,10 @@
 
 // NewSnapshot is a catalogue that is whole, in one part.
 func NewSnapshot(number uint64, entries ...*Entry) *Snapshot {
-	all := slices.SortedFunc(slices.Values(entries), func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) })
+	all := slices.SortedFunc(
+		slices.Values(entries),
+		func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) },
+	)
 	return &Snapshot{Number: number, complete: true, leaves: map[int]*Leaf{0: {entries: all}}}
 }
 
@@ -130,5 +138,8 @@
 
 // Sorted gives the entries by name.
 func (i *Snapshot) Sorted() []*Entry {
-	return slices.SortedFunc(maps.Values(i.byName()), func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(
+		maps.Values(i.byName()),
+		func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) },
+	)
 }
--- a/internal/tenant/machine.go
+++ b/internal/tenant/machine.go
@@ -11,8 +11,9 @@
 
 // Times of a conductor's waits. docs/tenants.md has what ends each.
 type Times struct {
-	Prepare   time.Duration // from an order's taking: nodes that have not prepared it by then have it taken back
-	Switch    time.Duration // of 503 for what differs; after it the former form is served again, and it is prepared anew
+	Prepare time.Duration // from an order's taking: nodes that have not prepared it by then have it taken back
+	// of 503 for what differs; after it the former form is served again, and it is prepared anew
+	Switch    time.Duration
 	Tombstone time.Duration // names of one that is gone, or was refused, stay on record so long
 }
 
@@ -95,9 +96,29 @@
 // Load begins a conductor's work. Waits that were under way begin anew. With hashTree the
 // catalogue is written as a hash tree, else flat, whichever it is on record.
 func Load(now time.Duration, s Stored, t Times, hashTree bool) *StateMachine {
-	m := &StateMachine{times: t, hashTree: hashTree, tenants: map[string]*Tenant{}, entries: map[string]*Entry{}, inTransition: map[string]*Entry{}, unsettled: map[string]*Tenant{},
-		claims: claims{map[string]string{}, map[string]string{}, map[string][]claim{}}, head: s.Head, headVersion: s.HeadVersion, pages: maps.Clone(s.Pages), members: s.Members, membersVersion: s.MembersVersion,
-		startedAt: now, clockAtStart: s.Members.Clock, absentSince: map[string]time.Duration{}, orderSeenAt: map[string]time.Duration{}, stateSince: map[string]time.Duration{}}
+	m := &StateMachine{
+		times:        t,
+		hashTree:     hashTree,
+		tenants:      map[string]*Tenant{},
+		entries:      map[string]*Entry{},
+		inTransition: map[string]*Entry{},
+		unsettled:    map[string]*Tenant{},
+		claims: claims{
+			map[string]string{},
+			map[string]string{},
+			map[string][]claim{},
+		},
+		head:           s.Head,
+		headVersion:    s.HeadVersion,
+		pages:          maps.Clone(s.Pages),
+		members:        s.Members,
+		membersVersion: s.MembersVersion,
+		startedAt:      now,
+		clockAtStart:   s.Members.Clock,
+		absentSince:    map[string]time.Duration{},
+		orderSeenAt:    map[string]time.Duration{},
+		stateSince:     map[string]time.Duration{},
+	}
 	if s.Snapshot != nil {
 		m.entries = s.Snapshot.byName()
 	}
@@ -143,7 +164,13 @@
 // Handle gives the writes that a look calls for. All are carried out, and told by
 // Wrote, before the next.
 func (m *StateMachine) Handle(now time.Duration, l Observation) ([]RecordWrite, error) {
-	r := &round{Observation: l, now: now, sessions: map[string][]Status{}, changed: map[string]bool{}, removed: map[string]bool{}}
+	r := &round{
+		Observation: l,
+		now:         now,
+		sessions:    map[string][]Status{},
+		changed:     map[string]bool{},
+		removed:     map[string]bool{},
+	}
 	m.waitingFor = map[string][]string{}
 	r.Sessions = slices.Clone(l.Sessions)
 	for i, s := range r.Sessions {
@@ -215,10 +242,16 @@
 		if err != nil {
 			return fmt.Errorf("tenant: record of %s: %w", name, err)
 		}
-		r.writes = append(r.writes, RecordWrite{Stage: stageIntent, Key: Prefix + name, Value: raw, Version: t.version})
+		r.writes = append(
+			r.writes,
+			RecordWrite{Stage: stageIntent, Key: Prefix + name, Value: raw, Version: t.version},
+		)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.removed)) {
-		r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: Prefix + name, Version: m.tenants[name].version})
+		r.writes = append(
+			r.writes,
+			RecordWrite{Stage: stageAfter, Key: Prefix + name, Version: m.tenants[name].version},
+		)
 		delete(m.tenants, name)
 	}
 	if m.membersDirty {
@@ -227,7 +260,10 @@
 		if err != nil {
 			return fmt.Errorf("tenant: the members: %w", err)
 		}
-		r.writes = append(r.writes, RecordWrite{Stage: stageIntent, Key: MembersKey, Value: raw, Version: m.membersVersion})
+		r.writes = append(
+			r.writes,
+			RecordWrite{Stage: stageIntent, Key: MembersKey, Value: raw, Version: m.membersVersion},
+		)
 		m.membersDirty = false
 	}
 	return nil
--- a/internal/tenant/members.go
+++ b/internal/tenant/members.go
@@ -21,7 +21,9 @@
 		if _, known := m.absentSince[member.Name]; !known {
 			m.absentSince[member.Name] = r.now
 		}
-		over := member.MaxStalenessMS > 0 && m.absentFor(r, member) >= lengthened(member.MaxStaleness()+MaxDrain)+drainSlack // it serves nothing, and nothing is open there
+		// it serves nothing, and nothing is open there
+		over := member.MaxStalenessMS > 0 &&
+			m.absentFor(r, member) >= lengthened(member.MaxStaleness()+MaxDrain)+drainSlack
 		m.membersDirty = m.membersDirty || over
 		return over
 	})
@@ -30,7 +32,11 @@
 			continue
 		}
 		now := Member{s.Proxy, s.Status.Generation, s.Status.MaxStaleness.Milliseconds()}
-		i, known := slices.BinarySearchFunc(m.members.Members, now, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+		i, known := slices.BinarySearchFunc(
+			m.members.Members,
+			now,
+			func(a, b Member) int { return cmp.Compare(a.Name, b.Name) },
+		)
 		switch {
 		case !known && len(m.members.Members) < maxMembers:
 			m.members.Members = slices.Insert(m.members.Members, i, now)
@@ -58,9 +64,12 @@
 type waitScope int
 
 const (
-	waitAuthoritative waitScope = iota // those that may say a definite no: members with a session; without one their right has run out
-	waitAllMembers                     // all members; one without a session counts once its hold must have stopped it
-	waitDrained                        // all members' open requests; one without a session counts once it must have cut them
+	// those that may say a definite no: members with a session; without one their right has run out
+	waitAuthoritative waitScope = iota
+	// all members; one without a session counts once its hold must have stopped it
+	waitAllMembers
+	// all members' open requests; one without a session counts once it must have cut them
+	waitDrained
 )
 
 // waitScope is who a tenant in a state waits for.
@@ -75,7 +84,12 @@
 }
 
 // membersBehind gives the members that are not yet at a number of the catalogue.
-func (m *StateMachine) membersBehind(r *round, number uint64, n waitScope, drain time.Duration) (wait []string) {
+func (m *StateMachine) membersBehind(
+	r *round,
+	number uint64,
+	n waitScope,
+	drain time.Duration,
+) (wait []string) {
 	for _, member := range m.members.Members {
 		words := r.sessions[member.Name]
 		done := len(words) > 0 || n == waitAuthoritative || m.hasStopped(r, member, n, drain)
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -20,13 +20,16 @@
 // name that requests use: who has a request's name finds its leaf by levels-1 pages
 // between.
 const (
-	fanBits    = 5
-	fanOut     = 1 << fanBits                                 // pages that the head names, or a page between: a head has 1.2 kB
-	leafSize   = 16                                           // tenants for a leaf, on average, at which the tree gets another level
-	minDepth   = 2                                            // of a tree
-	maxDepth   = 4                                            // 1,048,576 leaves
-	treePages  = 1<<(3*fanBits) + 1<<(2*fanBits) + 1<<fanBits // of three levels
-	treeFormat = 2                                            // of a head; programs that know the flat form alone refuse it
+	fanBits = 5
+	// pages that the head names, or a page between: a head has 1.2 kB
+	fanOut = 1 << fanBits
+	// tenants for a leaf, on average, at which the tree gets another level
+	leafSize  = 16
+	minDepth  = 2                                            // of a tree
+	maxDepth  = 4                                            // 1,048,576 leaves
+	treePages = 1<<(3*fanBits) + 1<<(2*fanBits) + 1<<fanBits // of three levels
+	// of a head; programs that know the flat form alone refuse it
+	treeFormat = 2
 )
 
 // Head names the catalogue's uppermost pages by their digests.
@@ -66,7 +69,8 @@
 // leafOf gives the leaf of a name, by the number of levels.
 func leafOf(name string, levels int) int { return int(hash(name)) & (1<<(fanBits*levels) - 1) }
 
-// leavesOf gives the leaves of an entry: in the flat form that of the tenant, in a tree those of all names that requests use.
+// leavesOf gives the leaves of an entry: in the flat form that of the tenant, in a tree those of all names
+// that requests use.
 func leavesOf(e *Entry, levels int) (all []int) {
 	if levels == 0 {
 		return []int{leafOf(e.Name, 1)}
@@ -88,7 +92,11 @@
 		return "", nil, fmt.Errorf("tenant: a page of the catalogue: %w", err)
 	}
 	if len(raw) > registry.MaxRecord {
-		return "", nil, fmt.Errorf("tenant: a page of the catalogue has %d bytes, %d at most", len(raw), registry.MaxRecord)
+		return "", nil, fmt.Errorf(
+			"tenant: a page of the catalogue has %d bytes, %d at most",
+			len(raw),
+			registry.MaxRecord,
+		)
 	}
 	return digestOf(raw), raw, nil
 }
@@ -107,7 +115,14 @@
 	flat := h.Format == format && h.Levels == 0 && len(h.Pages) <= 1024
 	tree := h.Format == treeFormat && h.Levels >= minDepth && h.Levels <= maxDepth && len(h.Pages) == fanOut
 	if !flat && !tree {
-		return h, fmt.Errorf("tenant: a catalogue of form %d with %d pages on %d levels, this program knows forms %d and %d", h.Format, len(h.Pages), h.Levels, format, treeFormat)
+		return h, fmt.Errorf(
+			"tenant: a catalogue of form %d with %d pages on %d levels, this program knows forms %d and %d",
+			h.Format,
+			len(h.Pages),
+			h.Levels,
+			format,
+			treeFormat,
+		)
 	}
 	return h, nil
 }
@@ -148,7 +163,13 @@
 // yet.
 func assemble(h Head, have map[string]*page, whole bool, parts []int, used map[string]*page) *treeWalk {
 	w := &treeWalk{Head: h, known: have, used: used, complete: whole || h.Levels == 0}
-	w.snapshot = &Snapshot{Number: h.Number, levels: h.Levels, complete: w.complete, leaves: map[int]*Leaf{}, needs: h.PolicyNeeds}
+	w.snapshot = &Snapshot{
+		Number:   h.Number,
+		levels:   h.Levels,
+		complete: w.complete,
+		leaves:   map[int]*Leaf{},
+		needs:    h.PolicyNeeds,
+	}
 	if h.Levels > 0 {
 		w.descend(h.Pages, 1, 0, parts)
 		return w
--- a/internal/tenant/publish.go
+++ b/internal/tenant/publish.go
@@ -59,8 +59,12 @@
 	if err != nil {
 		return err
 	}
-	for _, digest := range slices.Sorted(maps.Keys(raw)) { // one that lies there may be about to go, by a call that is under way
-		r.writes = append(r.writes, RecordWrite{Stage: stagePages, Key: PagePrefix + digest, Value: raw[digest], Unconditional: true})
+	// one that lies there may be about to go, by a call that is under way
+	for _, digest := range slices.Sorted(maps.Keys(raw)) {
+		r.writes = append(
+			r.writes,
+			RecordWrite{Stage: stagePages, Key: PagePrefix + digest, Value: raw[digest], Unconditional: true},
+		)
 	}
 	m.head = m.tree.head(number, policyNeeds(m.inTransition))
 	b, err := json.Marshal(m.head)
@@ -68,7 +72,8 @@
 		return fmt.Errorf("tenant: the catalogue's head: %w", err)
 	}
 	r.writes = append(r.writes, RecordWrite{Stage: stageHead, Key: HeadKey, Value: b, Version: m.headVersion})
-	for _, digest := range slices.Sorted(slices.Values(m.stalePages)) { // what only this head leaves stays for who reads it now
+	// what only this head leaves stays for who reads it now
+	for _, digest := range slices.Sorted(slices.Values(m.stalePages)) {
 		if version, there := m.pages[digest]; there && m.tree.uses[digest] == 0 {
 			r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: PagePrefix + digest, Version: version})
 			delete(m.pages, digest)
@@ -117,7 +122,10 @@
 
 // updateTree brings the tree up to the entries. It gives the pages that are to be written, and
 // the digests of those that the last catalogue had and this one has not.
-func (m *StateMachine) updateTree(levels int, changes []change) (raw map[string][]byte, left []string, err error) {
+func (m *StateMachine) updateTree(
+	levels int,
+	changes []change,
+) (raw map[string][]byte, left []string, err error) {
 	former := m.tree
 	if former != nil && former.levels == levels {
 		return former.apply(changes)
--- a/internal/tenant/reader.go
+++ b/internal/tenant/reader.go
@@ -34,7 +34,11 @@
 
 // Read reads the book and then the catalogue, as far as it is wanted. clock is the node's,
 // of its Desk.
-func (r *Reader) Read(ctx context.Context, clock func() time.Duration, want WantedLeaves) (CatalogueRead, error) {
+func (r *Reader) Read(
+	ctx context.Context,
+	clock func() time.Duration,
+	want WantedLeaves,
+) (CatalogueRead, error) {
 	got := CatalogueRead{StartedAt: clock()}
 	var b MemberRecord
 	if _, err := readRecord(ctx, r.Source, MembersKey, &b); err != nil {
@@ -65,7 +69,8 @@
 		return nil, err
 	}
 	parts := want.since(head.Levels)
-	if r.snapshot != nil && r.snapshot.Number == head.Number && (r.snapshot.complete || !want.complete && slices.Equal(parts, r.leaves)) {
+	if r.snapshot != nil && r.snapshot.Number == head.Number &&
+		(r.snapshot.complete || !want.complete && slices.Equal(parts, r.leaves)) {
 		return r.snapshot, nil
 	}
 	if r.pages == nil || len(r.pages) > maxKeptPages {
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -32,14 +32,15 @@
 
 // Tenant is a tenant on record.
 type Tenant struct {
-	Format    int           `json:"v"`
-	Name      string        `json:"name"`
-	State     State         `json:"state"`
-	Current   *Spec         `json:"now,omitempty"`      // in effect; of one that is gone, the last
-	Next      *Spec         `json:"next,omitempty"`     // to come; none while it goes
-	Order     string        `json:"order,omitempty"`    // the id of the last order that was taken
-	Outcomes  []Outcome     `json:"done,omitempty"`     // of the last orders, as many as mostDone
-	ExpiresAt time.Duration `json:"until_ns,omitempty"` // on the conductors' clock: a tombstone or a refusal goes then
+	Format   int       `json:"v"`
+	Name     string    `json:"name"`
+	State    State     `json:"state"`
+	Current  *Spec     `json:"now,omitempty"`   // in effect; of one that is gone, the last
+	Next     *Spec     `json:"next,omitempty"`  // to come; none while it goes
+	Order    string    `json:"order,omitempty"` // the id of the last order that was taken
+	Outcomes []Outcome `json:"done,omitempty"`  // of the last orders, as many as mostDone
+	// on the conductors' clock: a tombstone or a refusal goes then
+	ExpiresAt time.Duration `json:"until_ns,omitempty"`
 
 	unknownFields rawFields
 	version       uint64
@@ -95,8 +96,9 @@
 // forgotten, or must have stopped by its own hold: a step that has to have all nodes
 // waits for it, there or not.
 type Member struct {
-	Name           string `json:"name"`
-	Generation     uint64 `json:"life"`              // a restart is another; it serves nothing before the book has it
+	Name string `json:"name"`
+	// a restart is another; it serves nothing before the book has it
+	Generation     uint64 `json:"life"`
 	MaxStalenessMS int64  `json:"hold_ms,omitempty"` // it stops after so long without word; 0: never
 }
 
@@ -139,8 +141,10 @@
 	if t.Format != format || t.Name == "" {
 		return nil, fmt.Errorf("tenant: record %q of form %d, this program knows %d", t.Name, t.Format, format)
 	}
-	served := t.State == Active || t.State == Suspended || t.State == Changing || t.State == Switching || t.State == Draining
-	if !served && (t.State != Reserved || t.Next == nil) && t.State != Rejected && t.State != Removed || served && t.Current == nil {
+	served := t.State == Active || t.State == Suspended || t.State == Changing || t.State == Switching ||
+		t.State == Draining
+	if !served && (t.State != Reserved || t.Next == nil) && t.State != Rejected && t.State != Removed ||
+		served && t.Current == nil {
 		return nil, fmt.Errorf("tenant: %s is %q and lacks a form", t.Name, t.State)
 	}
 	return t, nil
--- a/internal/tenant/report.go
+++ b/internal/tenant/report.go
@@ -8,12 +8,13 @@
 
 // Report is what a node tells an operator of its tenants.
 type Report struct {
-	Number        uint64        `json:"number"` // of the catalogue it answers from; 0: none
-	Ready         bool          `json:"ready"`
-	Authoritative bool          `json:"sure"`     // it may say a definite no
-	AuthorityMS   int64         `json:"until_ms"` // its right to that ends in so many ms, unless its session is renewed
-	Behind        bool          `json:"behind"`   // a peer has a newer catalogue
-	Tenants       []KnownTenant `json:"tenants"`  // by name
+	Number        uint64 `json:"number"` // of the catalogue it answers from; 0: none
+	Ready         bool   `json:"ready"`
+	Authoritative bool   `json:"sure"` // it may say a definite no
+	// its right to that ends in so many ms, unless its session is renewed
+	AuthorityMS int64         `json:"until_ms"`
+	Behind      bool          `json:"behind"`  // a peer has a newer catalogue
+	Tenants     []KnownTenant `json:"tenants"` // by name
 }
 
 // KnownTenant is a tenant as a node knows it.
@@ -33,7 +34,13 @@
 // Report tells how it stands.
 func (d *Cache) Report(now time.Duration) Report {
 	c := d.buildCatalogue()
-	r := Report{Number: c.number, Ready: c.ready, Authoritative: c.isAuthoritative(now), Behind: c.behind, Tenants: []KnownTenant{}}
+	r := Report{
+		Number:        c.number,
+		Ready:         c.ready,
+		Authoritative: c.isAuthoritative(now),
+		Behind:        c.behind,
+		Tenants:       []KnownTenant{},
+	}
 	if d.authoritative {
 		r.AuthorityMS = max(0, (d.authorityUntil - now).Milliseconds())
 	}
--- a/internal/tenant/standing.go
+++ b/internal/tenant/standing.go
@@ -40,8 +40,8 @@
 	return all
 }
 
-// ReadProgress tells how far one tenant is, from its own record and the parts of the catalogue with
-// its names. One that is refused has none left, and all is read. there is false where there is no such tenant.
+// ReadProgress tells how far one tenant is, from its own record and the parts of the catalogue with its
+// names. One that is refused has none left, and all is read. there is false where there is no such tenant.
 func ReadProgress(ctx context.Context, k *client.Client, name string) (s Progress, there bool, err error) {
 	one, err := k.Record(ctx, Prefix+name)
 	if isNotFound(err) {
@@ -64,7 +64,12 @@
 		}
 		r := Reader{Source: k}
 		for range readAttempts { // it may change meanwhile
-			if stored.Snapshot, err = r.catalogue(ctx, WantedLeaves{snapshot: NewSnapshot(0, &Entry{Name: name, Current: t.Current, Next: t.Next})}); !isNotFound(err) {
+			if stored.Snapshot, err = r.catalogue(
+				ctx,
+				WantedLeaves{snapshot: NewSnapshot(0, &Entry{Name: name, Current: t.Current, Next: t.Next})},
+			); !isNotFound(
+				err,
+			) {
 				break
 			}
 		}
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -29,7 +29,12 @@
 }
 
 // readRecords reads the records under a prefix, as they are now. One that goes in between is passed over.
-func readRecords(ctx context.Context, k *client.Client, prefix string, seen map[string]registry.Record) ([]registry.Record, error) {
+func readRecords(
+	ctx context.Context,
+	k *client.Client,
+	prefix string,
+	seen map[string]registry.Record,
+) ([]registry.Record, error) {
 	keys, err := k.Records(ctx, prefix)
 	if err != nil {
 		return nil, err
@@ -173,7 +178,8 @@
 			next[one.Key] = one
 			a := PendingOrder{Version: one.Version}
 			a.Name, _ = keyName(one.Key, prefix)
-			if json.Unmarshal(one.Value, &a.Order) != nil || a.Order.Format != format || a.Order.ID == "" || (prefix == ForgetPrefix) != (a.Order.Op == OrderForgetMember) {
+			if json.Unmarshal(one.Value, &a.Order) != nil || a.Order.Format != format || a.Order.ID == "" ||
+				(prefix == ForgetPrefix) != (a.Order.Op == OrderForgetMember) {
 				a.Order = Order{ID: fmt.Sprint("unreadable-", one.Version), Op: "unreadable"}
 			}
 			a.Key = one.Key
--- a/internal/tenant/tree.go
+++ b/internal/tenant/tree.go
@@ -16,7 +16,12 @@
 }
 
 func newTree(levels int) *tree {
-	t := &tree{levels: levels, leaves: map[int][]*Entry{}, uses: map[string]int{}, digests: make([]map[int]string, max(1, levels))}
+	t := &tree{
+		levels:  levels,
+		leaves:  map[int][]*Entry{},
+		uses:    map[string]int{},
+		digests: make([]map[int]string, max(1, levels)),
+	}
 	for i := range t.digests {
 		t.digests[i] = map[int]string{}
 	}
@@ -46,7 +51,11 @@
 			return
 		}
 		for _, leaf := range leavesOf(e, t.levels) {
-			i, there := slices.BinarySearchFunc(t.leaves[leaf], e, func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) })
+			i, there := slices.BinarySearchFunc(
+				t.leaves[leaf],
+				e,
+				func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) },
+			)
 			t.leaves[leaf], touched[leaf] = do(t.leaves[leaf], i, there), true
 		}
 	}
--- a/internal/tenant/word.go
+++ b/internal/tenant/word.go
@@ -18,7 +18,13 @@
 
 // Encode is the word's form in a session. Other words may stand beside it.
 func (w Status) Encode() string {
-	s := fmt.Sprintf("life=%d catalogue=%d ended=%d hold_ms=%d", w.Generation, w.Prepared, w.DrainedUpTo, w.MaxStaleness.Milliseconds())
+	s := fmt.Sprintf(
+		"life=%d catalogue=%d ended=%d hold_ms=%d",
+		w.Generation,
+		w.Prepared,
+		w.DrainedUpTo,
+		w.MaxStaleness.Milliseconds(),
+	)
 	if w.Left {
 		s += " left=1"
 	}
--- a/internal/timeline/golden/kept.go
+++ b/internal/timeline/golden/kept.go
@@ -12,5 +12,6 @@
 // the new one instead: read it before it is committed.
 func Same(t *testing.T, name, drawing string) {
 	t.Helper()
-	goldie.New(t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".timeline"), goldie.WithDiffEngine(goldie.ClassicDiff)).Assert(t, name, []byte(drawing))
+	goldie.New(t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".timeline"), goldie.WithDiffEngine(goldie.ClassicDiff)).
+		Assert(t, name, []byte(drawing))
 }
