--- a/cmd/wrenspread-lab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -20,7 +20,7 @@
 	"wrenspread/internal/lab/leases"
 )
 
-// dutyFlags are what a series of runs with duties takes.
+// dutyFlags are what a series of runs with leases takes.
 type dutyFlags struct {
 	seed           uint64
 	runs, together int
--- a/cmd/wrenspread-lab/duties_test.go
+++ b/cmd/wrenspread-lab/duties_test.go
@@ -19,7 +19,7 @@
 	"wrenspread/internal/registry/server"
 )
 
-// TestMain lets this test's own binary be a worker, hollow nodes, or a replica of the list service.
+// TestMain lets this test's own binary be a worker, hollow nodes, or a replica of the registry.
 func TestMain(m *testing.M) {
 	if os.Getenv("WRENSPREAD_LAB_AS_PROGRAM") != "1" {
 		os.Exit(m.Run())
@@ -65,7 +65,7 @@
 	return o
 }
 
-// TestDutiesHeld: behind a guard, and by time alone, one process holds a duty at a time.
+// TestDutiesHeld: behind a guard, and by time alone, one process holds a lease at a time.
 func TestDutiesHeld(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		o := playDuties(t, seed, leases.CrewOptions{Guarded: seed%2 == 0})
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestDeafWorkersAreFound: where work goes on after it is told to stop, and nobody checks fences, the check says so.
+// TestDeafWorkersAreFound: where work goes on after it is told to stop, and nobody checks fencing tokens, the check says so.
 func TestDeafWorkersAreFound(t *testing.T) {
 	for seed := uint64(17); seed < 26; seed++ {
 		o := playDuties(t, seed, leases.CrewOptions{Deaf: 3 * time.Second})
--- a/cmd/wrenspread-lab/main.go
+++ b/cmd/wrenspread-lab/main.go
@@ -1,5 +1,5 @@
 // Command wrenspread-lab plays experiments: real processes of the program, emulated
-// boxes and clients, and faults between them. It gives a verdict and a report.
+// backends and clients, and faults between them. It gives a verdict and a report.
 package main
 
 import (
--- a/cmd/wrenspread-lab/play.go
+++ b/cmd/wrenspread-lab/play.go
@@ -25,7 +25,7 @@
 	out    io.Writer // results
 	log    io.Writer // progress
 	node   string    // path of the program that nodes run
-	list   string    // of the list service's, where an experiment has one
+	list   string    // of the registry's, where an experiment has one
 	ctl    string    // of wrenspreadctl; empty: no experiment needs it
 	keeper string    // of wrenspread-controller; empty: no experiment needs it
 	dir    string    // under which each run gets a folder
--- a/cmd/wrenspread-lab/scale_force_test.go
+++ b/cmd/wrenspread-lab/scale_force_test.go
@@ -14,7 +14,7 @@
 	}
 	for name, in := range map[string][2]float64{
 		"policy_taken":  {1, 1},
-		"tenant_taken":  {2, 4}, // prepared, then served; the book may take another
+		"tenant_taken":  {2, 4}, // prepared, then served; the member record may take another
 		"policy_last_s": {0, 60},
 		"tenant_last_s": {0, 60},
 		"ban_last_s":    {0, 60},
--- a/cmd/wrenspread-lab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -10,7 +10,7 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// lists runs a measurement of the list service.
+// lists runs a measurement of the registry.
 func (f *scaleFlags) lists(c *cobra.Command, do func(context.Context, *scale.Lists) error) error {
 	dir, done, err := f.begin(c.Context(), c.Name())
 	if err != nil {
--- a/cmd/wrenspread-lab/scale_test.go
+++ b/cmd/wrenspread-lab/scale_test.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// lists measures against this test's own binary as the list service, and keeps records in a folder of the test.
+// lists measures against this test's own binary as the registry, and keeps records in a folder of the test.
 func lists(t *testing.T) scale.Lists {
 	return scale.Lists{Run: scale.Run{Dir: t.TempDir(), Label: scale.Before, Commit: "test", Repeat: 1}, Dir: t.TempDir(),
 		Program: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"}, Rest: time.Second, Say: func(p scale.Point) { t.Log(p) }}
@@ -71,7 +71,7 @@
 	}
 	for name, in := range map[string][2]float64{
 		"change_bytes_in":  {100, 1500},                          // a change reaches each
-		"change_bytes_out": {50 * backends, 200*backends + 1500}, // and is kept, with the whole list
+		"change_bytes_out": {50 * backends, 200*backends + 1500}, // and is kept, with the complete list
 		"datagrams_per_s":  {1, 60},
 		"descriptors":      {1, 12},
 	} {
--- a/cmd/wrenspread-proxy/fleet_test.go
+++ b/cmd/wrenspread-proxy/fleet_test.go
@@ -10,7 +10,7 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// faulty is a short run of real nodes in which most of what the lab can do is done.
+// faulty is a short run of real proxies in which most of what the lab can do is done.
 const faulty = `
 length = "9s"
 [fleet]
@@ -58,8 +58,8 @@
 do = "move"
 `
 
-// TestFleetUnderFaults: three real nodes keep every rule while processes, links,
-// boxes and discovery fail. On a machine that is late, times are not judged.
+// TestFleetUnderFaults: three real proxies keep every rule while processes, links,
+// backends and discovery fail. On a machine that is late, times are not judged.
 func TestFleetUnderFaults(t *testing.T) {
 	e, err := spec.Parse("faulty.toml", faulty)
 	if err != nil {
--- a/cmd/wrenspread-proxy/main.go
+++ b/cmd/wrenspread-proxy/main.go
@@ -1,4 +1,4 @@
-// Command wrenspread-proxy is one load-balancing proxy node. It reads the file that
+// Command wrenspread-proxy is one load-balancing proxy. It reads the file that
 // GW_CONFIG names, and reads it again on SIGHUP. It serves until SIGTERM or
 // SIGINT, finishes what is open and exits with 0. --check says what is wrong
 // with such a file, and --help what it is made of.
@@ -44,10 +44,10 @@
 	if err != nil {
 		return err
 	}
-	// The collector works harder well before the machine's limit kills the node.
+	// The collector works harder well before the machine's limit kills the proxy.
 	limitMemory := func(shared bool) {
 		mb := cfg.MemoryMB
-		if shared { // with another process of this node
+		if shared { // with another process of this proxy
 			mb /= 2
 		}
 		debug.SetMemoryLimit(int64(mb) << 20 * 3 / 4)
@@ -77,7 +77,7 @@
 }
 
 // gcPercent lets the heap grow to a fifth of the memory between collections,
-// and to no more than four times what is in use: a node has a part of a core,
+// and to no more than four times what is in use: a proxy has a part of a core,
 // and what it holds is so small that the usual measure has it collect all the
 // time.
 func gcPercent(memoryMB int) int { return min(300, max(100, memoryMB*5)) }
@@ -91,11 +91,11 @@
 		if err == nil {
 			return ln, nil
 		}
-		log.Error("GW_ACCEPT_FD can't be used", "err", err)
+		log.Error("GW_ACCEPT_FD is not usable", "err", err)
 	}
 	ln, err := net.Listen("tcp", address)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		log.Warn("another process has the clients' address, trying again", "err", err)
+		log.Warn("address in use, retrying", "err", err)
 	}
 	for until := time.Now().Add(proxy.MaxBindTime); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(until) && backoff.Sleep(ctx, bindStep); {
 		ln, err = net.Listen("tcp", address)
@@ -104,7 +104,7 @@
 }
 
 // reload follows the file until ctx ends. One that can't be used changes
-// nothing: a node that serves is worth more than one that ends over a typo.
+// nothing: a proxy that serves is worth more than one that ends over a typo.
 func reload(ctx context.Context, hup <-chan os.Signal, path string, n *proxy.Server, log *slog.Logger) {
 	for {
 		select {
@@ -113,7 +113,7 @@
 			return
 		}
 		if err := n.Reread(path); err != nil {
-			log.Error("configuration kept as it was", "err", err)
+			log.Error("configuration rejected, keeping the present one", "err", err)
 		}
 	}
 }
--- a/cmd/wrenspread-proxy/main_test.go
+++ b/cmd/wrenspread-proxy/main_test.go
@@ -124,7 +124,7 @@
 		if !ok {
 			t.Fatal("it ends on SIGHUP")
 		}
-		if strings.Contains(line, "kept as it was") {
+		if strings.Contains(line, "keeping the present one") {
 			break
 		}
 	}
@@ -151,7 +151,7 @@
 	next.Close()
 }
 
-// TestAddressStillHeld by the process before: the next one waits for it, and is ready once that has ended.
+// TestAddressStillHeld by the previous process: the next one waits for it, and is ready once that has ended.
 func TestAddressStillHeld(t *testing.T) {
 	former, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -161,7 +161,7 @@
 	p := newPlatform(t)
 	p.address = former.Addr().String()
 	c := p.start(t, "GW_ACCEPT_FD=")
-	c.waitSaid(t, "another process has the clients' address")
+	c.waitSaid(t, "address in use, retrying")
 	besteffort.Close(former)
 	c.waitReady(t)
 	p.wantServed(t, "on the address")
--- a/cmd/wrenspread-proxy/process_test.go
+++ b/cmd/wrenspread-proxy/process_test.go
@@ -15,7 +15,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// process is one process of the node.
+// process is one process of the proxy.
 type process struct {
 	*exec.Cmd
 	control string
--- a/cmd/wrenspread-proxy/sighup_test.go
+++ b/cmd/wrenspread-proxy/sighup_test.go
@@ -133,7 +133,7 @@
 }
 
 // TestSignalsAfterSIGTERM: neither a second one nor a new configuration ends what is open. A process that is to end
-// before it is ready leaves the node to the one that serves.
+// before it is ready leaves the proxy to the one that serves.
 func TestSignalsAfterSIGTERM(t *testing.T) {
 	after := []os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT, syscall.SIGHUP}
 	signal := func(c *process, signals ...os.Signal) {
@@ -150,7 +150,7 @@
 	hold := make(chan struct{})
 	open := p.waitOpen(t, hold)
 	early := p.startWith(t, map[string]any{"discovery": "127.0.0.1:9"}) // no list comes
-	c.waitSaid(t, "a new process is here")
+	c.waitSaid(t, "new process connected")
 	signal(early, syscall.SIGTERM)
 	signal(early, after...)
 	early.waitEnd(t)
--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -25,7 +25,7 @@
 	"wrenspread/ratelimit"
 )
 
-// bookFleet is a fleet of real nodes that know tenants, each with a link of its own to a real list service.
+// bookFleet is a fleet of real proxies that know tenants, each with a link of its own to a real registry.
 type bookFleet struct {
 	t       *testing.T
 	k       *client.Client
@@ -35,7 +35,7 @@
 	places  map[string]*platform
 	lists   map[string]string // where each finds the service
 	done    atomic.Int32      // orders that have returned
-	demand  map[string]bool   // nodes that read what their requests name
+	demand  map[string]bool   // proxies that read what their requests name
 }
 
 func newBookFleet(t *testing.T, hashTree bool) *bookFleet {
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 	}
-	// Limits of repeats alone: without a keeper the nodes have no tokens for others.
+	// Limits of repeats alone: without a controller the proxies have no tokens for others.
 	limits := &ratelimit.Table{Format: ratelimit.Format, Scopes: []ratelimit.Scope{{Parent: -1, LimitCount: 1}}}
 	limits.Limits = []ratelimit.Limit{{Name: "fleet:repeats", Parent: -1, Unit: ratelimit.UnitRetries, Rate: 9, Burst: 1, Floor: 9, Weight: 1, FallbackShare: 1, Status: 429}}
 	for i, book := range []string{"k", "l"} {
@@ -81,7 +81,7 @@
 	return f
 }
 
-// lay has a node find the service by a link of its own.
+// lay has a proxy find the service by a link of its own.
 func (f *bookFleet) lay(name string) {
 	f.t.Helper()
 	var err error
@@ -91,7 +91,7 @@
 	f.places[name] = newPlatform(f.t)
 }
 
-// start begins a process of a node, a first one or a further one.
+// start begins a process of a proxy, a first one or a further one.
 func (f *bookFleet) start(name string) *process {
 	f.t.Helper()
 	p, seeds := f.places[name], []string{}
@@ -118,7 +118,7 @@
 
 func (f *bookFleet) heal(name string) { f.net.Lift("cut-" + name) }
 
-// says asks a node for a tenant's class. What the module sheds, with no Retry-After here, says nothing of tenants and is
+// says asks a proxy for a tenant's class. What the balancer sheds, with no Retry-After here, says nothing of tenants and is
 // asked again.
 func (f *bookFleet) says(node, name, class string) string {
 	for until := time.Now().Add(enough); time.Now().Before(until); {
@@ -156,7 +156,7 @@
 	}
 }
 
-// order has the conductor do something, and returns once it is done everywhere.
+// order has the controller do something, and returns once it is done everywhere.
 func (f *bookFleet) order(do, name, form string) {
 	f.t.Helper()
 	o := tenant.Order{ID: fmt.Sprint(time.Now().UnixNano()), Op: do, Operator: "the test"}
@@ -196,7 +196,7 @@
 	return ""
 }
 
-// watch asks all nodes in turn all the time, and gives each answer to judge, until stop is called. done is how many
+// watch asks all proxies in turn all the time, and gives each answer to judge, until stop is called. done is how many
 // orders had returned when it asked.
 func (f *bookFleet) watch(t *testing.T, judge func(done int32, node, class, said string), name string, classes ...string) (stop func()) {
 	names := []string{}
--- a/cmd/wrenspread-proxy/tenants_test.go
+++ b/cmd/wrenspread-proxy/tenants_test.go
@@ -33,7 +33,7 @@
 	stop()
 }
 
-// knows are the tenants that a node tells its operator of.
+// knows are the tenants that a proxy tells its operator of.
 func (f *bookFleet) knows(node string) (all []string) {
 	var r tenant.Report
 	_, body, _ := ask("GET", "http://"+f.nodes[node].control+"/tenants", nil)
@@ -46,7 +46,7 @@
 	return all
 }
 
-// TestTenantsOnDemand: of a catalogue that is a hash tree one node reads what its requests name, another all of it.
+// TestTenantsOnDemand: of a catalogue that is a hash tree one proxy reads what its requests name, another all of it.
 func TestTenantsOnDemand(t *testing.T) {
 	f := newBookFleet(t, true)
 	f.demand["n0"] = true
@@ -85,8 +85,8 @@
 	labtest.Await(t, "the end of k", f.all("k", "a", "404"))
 }
 
-// TestTenants: three real nodes bring tenants in, change and remove them, with requests all the time, one node cut off
-// from the list service, one that leaves and one that begins without the service.
+// TestTenants: three real proxies bring tenants in, change and remove them, with requests all the time, one proxy cut off
+// from the registry, one that leaves and one that begins without the service.
 func TestTenants(t *testing.T) {
 	f := newBookFleet(t, false)
 	for _, name := range []string{"n0", "n1", "n2"} {
@@ -164,8 +164,8 @@
 		f.lay("n3")
 		f.cut("n3")
 		late := f.start("n3")
-		late.waitSaid(t, "no session with the list service yet")
-		late.waitSaid(t, "no session with the list service yet")
+		late.waitSaid(t, "no session with the registry")
+		late.waitSaid(t, "no session with the registry")
 		if status, _, _ := ask("GET", "http://"+late.control+"/healthcheck", nil); status != 503 {
 			t.Errorf("it is ready: %d", status)
 		}
@@ -191,7 +191,7 @@
 		besteffort.Signal(former.Process.Signal(syscall.SIGTERM))
 		former.waitEnd(t)
 		stop()
-		f.order(tenant.OrderSuspend, "l", "") // which waits for all on the book
+		f.order(tenant.OrderSuspend, "l", "") // which waits for all on the member record
 		labtest.Await(t, "the new process to refuse l", f.all("l", "a", "403"))
 	})
 
--- a/cmd/wrenspread-proxy/upgrade_test.go
+++ b/cmd/wrenspread-proxy/upgrade_test.go
@@ -77,7 +77,7 @@
 	refused("told by way of the old process")
 }
 
-// TestUnusableDescriptor: the node serves at its address all the same.
+// TestUnusableDescriptor: the proxy serves at its address all the same.
 func TestUnusableDescriptor(t *testing.T) {
 	for _, fd := range []string{"three", "-1", "77"} {
 		p := newPlatform(t)
--- a/cmd/wrenspread-proxy/view_test.go
+++ b/cmd/wrenspread-proxy/view_test.go
@@ -15,7 +15,7 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// viewFleet is a fleet of real nodes that keep a view of each other.
+// viewFleet is a fleet of real proxies that keep a view of each other.
 type viewFleet struct {
 	t      *testing.T // whose end is the processes' end
 	places map[string]*platform
@@ -23,7 +23,7 @@
 	seeds  []string
 }
 
-// start begins a process of a node, a first one or a further one.
+// start begins a process of a proxy, a first one or a further one.
 func (f *viewFleet) start(name string) *process {
 	f.t.Helper()
 	p := f.places[name]
@@ -59,7 +59,7 @@
 	return gossip.Member{}
 }
 
-// settle waits until all live nodes have one digest and see what is wanted, and gives the one view.
+// settle waits until all live proxies have one digest and see what is wanted, and gives the one view.
 func (f *viewFleet) settle(t *testing.T, what string, wanted func(gossip.Report) bool) (r gossip.Report) {
 	t.Helper()
 	last := map[string]gossip.Report{}
@@ -81,7 +81,7 @@
 	return r
 }
 
-// all wants every live node alive and serving.
+// all wants every live proxy alive and serving.
 func (f *viewFleet) all(r gossip.Report) bool {
 	for name := range f.live {
 		if m := seen(r, name); m.Health != "alive" || m.State != "serving" {
@@ -91,7 +91,7 @@
 	return true
 }
 
-// TestView: five real nodes and an older one, in one history.
+// TestView: five real proxies and an older one, in one history.
 func TestView(t *testing.T) {
 	f := &viewFleet{t: t, places: map[string]*platform{}, live: map[string]*process{}}
 	old := newPlatform(t)
--- a/cmd/wrenspread-registry/main.go
+++ b/cmd/wrenspread-registry/main.go
@@ -1,4 +1,4 @@
-// Command wrenspread-registry is one replica of the list service.
+// Command wrenspread-registry is one replica of the registry.
 package main
 
 import (
--- a/cmd/wrenspreadctl/duty.go
+++ b/cmd/wrenspreadctl/duty.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// runDuty runs a command of any kind while this process holds a duty.
+// runDuty runs a command of any kind while this process holds a lease.
 func (f *listFlags) runDuty() *cobra.Command {
 	var process string
 	var ttl time.Duration
--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	viewTime   = 2 * time.Second // for a node to answer; it gives itself 0.8 s
+	viewTime   = 2 * time.Second // for a proxy to answer; it gives itself 0.8 s
 	viewMost   = 8 << 20         // bytes of an answer; 4,096 members take two million
-	askAtATime = 32              // nodes
+	askAtATime = 32              // proxies
 )
 
-// nodeView is what one node says, or why it says nothing.
+// nodeView is what one proxy says, or why it says nothing.
 type nodeView struct {
 	address string
 	view    gossip.Report
@@ -46,7 +46,7 @@
 	}
 }
 
-// askViews asks all nodes, and gives their answers in the order of the addresses.
+// askViews asks all proxies, and gives their answers in the order of the addresses.
 func askViews(ctx context.Context, addresses []string) []nodeView {
 	all := make([]nodeView, len(addresses))
 	var g errgroup.Group
--- a/cmd/wrenspreadctl/fleet_compare.go
+++ b/cmd/wrenspreadctl/fleet_compare.go
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// opinion is how some nodes see a member.
+// opinion is how some proxies see a member.
 type opinion struct {
 	of gossip.Member
 	by []string
 }
 
-// opinions gives for each member by name how it is seen, more than once where nodes differ. Load and age
+// opinions gives for each member by name how it is seen, more than once where proxies differ. Load and age
 // differ by nature.
 func opinions(views []gossip.Report) []opinion {
 	type key struct {
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -94,7 +94,7 @@
 	return data, err
 }
 
-// knownNames reads a node's configuration, or a file of names. Without a file no names are checked.
+// knownNames reads a proxy's configuration, or a file of names. Without a file no names are checked.
 func knownNames(path string) (policy.Known, error) {
 	if path == "" {
 		return policy.Known{}, nil
--- a/cmd/wrenspreadctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -12,7 +12,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// apply puts a compiled policy on record; the nodes that follow it take it up from there.
+// apply puts a compiled policy on record; the proxies that follow it take it up from there.
 func (f *listFlags) applyPolicy() *cobra.Command {
 	var settings string
 	c := &cobra.Command{
--- a/cmd/wrenspreadctl/policy_test.go
+++ b/cmd/wrenspreadctl/policy_test.go
@@ -10,7 +10,7 @@
 	"wrenspread/ratelimit"
 )
 
-// policy check gives the table that nodes take, or all errors and a failure.
+// policy check gives the table that proxies take, or all errors and a failure.
 func TestPolicyCheck(t *testing.T) {
 	run := func(args ...string) (string, string, error) {
 		var out, errs bytes.Buffer
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -111,7 +111,7 @@
 	return s, nil
 }
 
-// targetsOf gives all servers, or all nodes, that a plan could be about.
+// targetsOf gives all servers, or all proxies, that a plan could be about.
 func targetsOf(ctx context.Context, k *client.Client, plan release.Plan) ([]release.Target, error) {
 	if plan.IsForProxies() {
 		return release.ProxyTargets(ctx, k, &http.Client{Timeout: callTime})
@@ -307,11 +307,11 @@
 	return c
 }
 
-// conductorConfig is what a conductor is told.
+// conductorConfig is what a controller is told.
 type conductorConfig struct {
 	Process string          `koanf:"process"`
 	Every   time.Duration   `koanf:"every"` // between two looks
-	Grace   time.Duration   `koanf:"grace"` // for what nodes hold at a server that is in maintenance
+	Grace   time.Duration   `koanf:"grace"` // for what proxies hold at a server that is in maintenance
 	Nodes   []release.Proxy `koanf:"node"`
 }
 
@@ -332,7 +332,7 @@
 		Example: "  wrenspreadctl release conduct app-42 --config conductor.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			host, _ := os.Hostname() // empty where there is none, which the duty tells
+			host, _ := os.Hostname() // empty where there is none, which the lease tells
 			settings := conductorConfig{Process: host, Every: time.Second, Grace: 5 * time.Second}
 			if path != "" {
 				if err := config.File(&settings, path); err != nil {
@@ -396,5 +396,5 @@
 	return errors.Join(err, p.Close(ttl))
 }
 
-// callTime is for one call to a node or an agent.
+// callTime is for one call to a proxy or an agent.
 const callTime = 3 * time.Second
--- a/cmd/wrenspreadctl/release_test.go
+++ b/cmd/wrenspreadctl/release_test.go
@@ -38,8 +38,8 @@
 	os.Exit(m.Run())
 }
 
-// site is a list service, an agent with three servers, and a node that counts what
-// a node would: each server's answers, those of the version "bad" as failures.
+// site is a registry, an agent with three servers, and a proxy that counts what
+// a proxy would: each server's answers, those of the version "bad" as failures.
 type site struct {
 	t      *testing.T
 	list   string
@@ -141,7 +141,7 @@
 	return out.String()
 }
 
-// conduct starts a conductor's process.
+// conduct starts a controller's process.
 func (s *site) conduct(name, process string) *exec.Cmd {
 	file := filepath.Join(s.t.TempDir(), "conductor.toml")
 	text := fmt.Sprintf("process = %q\nevery = \"50ms\"\ngrace = \"100ms\"\n[[node]]\nname = \"n0\"\ncontrol = %q\n", process, s.node)
@@ -181,8 +181,8 @@
 	return path
 }
 
-// TestReleases: a good one whose first conductor is killed comes to its end under the
-// second; a bad one goes back by itself; real agents, servers and conductors' processes.
+// TestReleases: a good one whose first controller is killed comes to its end under the
+// second; a bad one goes back by itself; real agents, servers and controllers' processes.
 func TestReleases(t *testing.T) {
 	s := newSite(t)
 	for until := time.Now().Add(labtest.Enough); !strings.Contains(s.ctl("list", "get"), "3 entries"); time.Sleep(20 * time.Millisecond) {
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -56,7 +56,7 @@
   {"names": ["kalahari"], "classes": ["ledger-view"], "drain_ms": 5000,
    "quotas": [{"limit": "book/kalahari"}], "routes": [{"zones": ["a", "b"], "kinds": ["m"], "least": 2}]}`
 
-// orderTenant leaves an order for the conductor, and waits until it is done.
+// orderTenant leaves an order for the controller, and waits until it is done.
 func (f *listFlags) orderTenant(do, args, short, more string) *cobra.Command {
 	return &cobra.Command{
 		Use:     do + " " + args,
@@ -204,7 +204,7 @@
 	}
 }
 
-// conductTenants holds the duty of the tenants' conductor.
+// conductTenants holds the lease of the tenants' controller.
 func (f *listFlags) conductTenants() *cobra.Command {
 	var ttl time.Duration
 	var process string
@@ -250,7 +250,7 @@
 			return errors.Join(err, p.Close(ttl))
 		},
 	}
-	host, _ := os.Hostname() // empty where there is none, which the duty tells
+	host, _ := os.Hostname() // empty where there is none, which the lease tells
 	c.Flags().StringVar(&process, "process", host, "the name of this process, the same over its restarts")
 	c.Flags().
 		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
--- a/cmd/wrenspreadctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -20,7 +20,7 @@
 	"wrenspread/internal/tenant"
 )
 
-// desk is a node as far as tenants go: the real Desk and Reader over the real service.
+// cache is a proxy as far as tenants go: the real Desk and Reader over the real service.
 type desk struct {
 	mu    sync.Mutex
 	core  *tenant.Cache
@@ -30,7 +30,7 @@
 
 func (d *desk) clock() time.Duration { return time.Since(d.start) }
 
-// runDesk has a node with a session, until the test ends; it reads and renews each 100 ms.
+// runDesk has a proxy with a session, until the test ends; it reads and renews each 100 ms.
 func runDesk(t *testing.T, k *client.Client, name string) *desk {
 	d := &desk{core: tenant.NewCache(uint64(time.Now().UnixMilli()), 0, false), start: time.Now()}
 	r := &tenant.Reader{Source: k, Member: d.core.Member(name)}
@@ -65,7 +65,7 @@
 			d.mu.Unlock()
 		case tenant.TellStatus:
 			s.Info.Note = a.Status.Encode()
-			_ = k.OpenSession(ctx, *s) // the desk repeats a word while something moves
+			_ = k.OpenSession(ctx, *s) // the cache repeats a word while something moves
 		}
 	}
 }
@@ -79,8 +79,8 @@
 	return d.now.Decide(d.clock(), name, class, "").Kind
 }
 
-// TestTenants: operators bring tenants in, change and remove them on two nodes, over a
-// conductor that hands on in between.
+// TestTenants: operators bring tenants in, change and remove them on two proxies, over a
+// controller that transfers in between.
 func TestTenants(t *testing.T) {
 	address, k := labtest.List(t)
 	ctx := t.Context()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -127,7 +127,7 @@
 	besteffort.Encode(json.NewEncoder(w).Encode(v)) // a caller that has left needs nothing
 }
 
-// order takes what a server is to be, from the present holder of a duty alone. It
+// order takes what a server is to be, from the present lease holder alone. It
 // is kept before it is carried out, and the same order twice has the effect of one.
 func (a *agent) order(w http.ResponseWriter, r *http.Request) {
 	k := a.supervisors[r.PathValue("name")]
@@ -238,7 +238,7 @@
 			told = time.Now()
 		}
 		if err != nil && ctx.Err() == nil {
-			a.log.Warn("the list does not take it", "server", k.server.Name, "err", err)
+			a.log.Warn("registry write failed", "server", k.server.Name, "err", err)
 		}
 		t := time.NewTimer(a.config.TTL / (2 * renewalsPerTTL))
 		select {
@@ -276,7 +276,7 @@
 	return err
 }
 
-// publishRecord keeps this agent's record in the list service, where releases look for it.
+// publishRecord keeps this agent's record in the registry, where releases look for it.
 func (a *agent) publishRecord(ctx context.Context) {
 	card := Record{Machine: a.config.Machine, Address: a.address}
 	for _, s := range a.config.Servers {
@@ -290,7 +290,7 @@
 		}); e == nil {
 			return
 		} else if ctx.Err() == nil {
-			a.log.Warn("this agent's record is not taken", "err", e)
+			a.log.Warn("publishing the agent's record failed", "err", e)
 		}
 	}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestLifeOfAServer: it is started and listed; killed, it is started again; it is
-// replaced under a fence, and not by an earlier holder; it outlives its agent; a
+// replaced under a fencing token, and not by an earlier holder; it outlives its agent; a
 // version that does not run leaves the list and can be taken back.
 func TestLifeOfAServer(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
--- a/internal/agent/calls.go
+++ b/internal/agent/calls.go
@@ -1,6 +1,6 @@
 // Package agent keeps the servers of one machine running: it starts, watches and
 // replaces their processes, keeps their entries in the list, and takes orders from
-// the holder of a release's duty.
+// the holder of a release's lease.
 package agent
 
 import (
@@ -18,7 +18,7 @@
 	"wrenspread/internal/registry"
 )
 
-// RecordPrefix begins the keys of agents' records in the list service.
+// RecordPrefix begins the keys of agents' records in the registry.
 const RecordPrefix = "agent/"
 
 // Record is what an agent tells of itself in its record.
@@ -73,7 +73,7 @@
 	return s, c.call(ctx, http.MethodGet, address, server, nil, nil, &s)
 }
 
-// Order tells an agent what a server is to be, under a fence; it does not wait for it.
+// Order tells an agent what a server is to be, under a fencing token; it does not wait for it.
 func (c Caller) Order(
 	ctx context.Context,
 	address, server string,
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -13,7 +13,7 @@
 	Machine string        `koanf:"machine"` // its name, the same over restarts
 	Listen  string        `koanf:"listen"`  // for calls
 	Address string        `koanf:"address"` // where others reach it; empty: at listen
-	List    []string      `koanf:"list"`    // replicas of the list service
+	List    []string      `koanf:"list"`    // replicas of the registry
 	Folder  string        `koanf:"folder"`  // for what it has to know after a restart
 	TTL     time.Duration `koanf:"ttl"`     // of its servers' entries
 	Servers []Server      `koanf:"server"`
@@ -23,7 +23,7 @@
 // stands for the version.
 type Server struct {
 	Name    string   `koanf:"name"`
-	Address string   `koanf:"address"` // where nodes reach it
+	Address string   `koanf:"address"` // where proxies reach it
 	Zone    string   `koanf:"zone"`
 	Type    string   `koanf:"type"`
 	Cell    int      `koanf:"group"`
@@ -35,7 +35,7 @@
 	Ready string        `koanf:"ready"`
 	Grace time.Duration `koanf:"grace"` // between SIGTERM and SIGKILL
 
-	// Of a server that hands over, such as a node: this agent holds the clients' socket,
+	// Of a server that hands over, such as a proxy: this agent holds the clients' socket,
 	// which its processes get as descriptor 3 ($GW_ACCEPT_FD), and another version is
 	// started beside the old one, at the other of two control addresses ($GW_CONTROL).
 	Handover bool     `koanf:"handover"`
--- a/internal/agent/keep.go
+++ b/internal/agent/keep.go
@@ -106,7 +106,7 @@
 			k.updateStatus(func(s *Status) { s.Restarts = 0 })
 			continue
 		}
-		k.log.Error("its process ended by itself", "version", version, "after", time.Since(began), "err", err)
+		k.log.Error("process ended unexpectedly", "version", version, "after", time.Since(began), "err", err)
 		k.updateStatus(
 			func(s *Status) { s.Restarts, s.Reason = s.Restarts+1, fmt.Sprintf("its process ended: %v", err) },
 		)
@@ -185,7 +185,7 @@
 func (k *supervisor) adoptOrStart(version string) (*process, error) {
 	p, err := adopt(k.recordFile)
 	if err != nil {
-		k.log.Warn("an earlier process is not taken up", "err", err)
+		k.log.Warn("adopting an earlier process failed", "err", err)
 	}
 	if p != nil {
 		k.log.Info("taken up", "version", p.Version, "pid", p.PID)
@@ -235,7 +235,7 @@
 	case err := <-p.ended:
 		return err
 	case <-t.C:
-		k.log.Warn("it does not end and is killed", "pid", p.PID, "grace", k.server.grace())
+		k.log.Warn("process does not end, killing it", "pid", p.PID, "grace", k.server.grace())
 		besteffort.Signal(p.signal(syscall.SIGKILL))
 		return <-p.ended
 	}
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -31,7 +31,7 @@
 		return next
 	}
 	k.log.Error(
-		"the next version is refused, the old one goes on",
+		"upgrade rejected, keeping the running version",
 		"version",
 		version,
 		"old",
@@ -86,7 +86,7 @@
 		return err
 	}
 	defer left.close()
-	k.log.Warn("an upgrade that was not ended is given up", "version", left.Version, "pid", left.PID)
+	k.log.Warn("abandoning an unfinished upgrade", "version", left.Version, "pid", left.PID)
 	if err := k.stopProcess(left); err != nil {
 		k.log.Debug("the abandoned process ended with an error", "version", left.Version, "err", err)
 	}
--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/box.go
@@ -1,4 +1,4 @@
-// Package box is one emulated app box: a queue whose rate of work changes with
+// Package backend is one emulated app backend: a queue whose rate of work changes with
 // its cores, pauses, warmth and troubles. It is pure: events and a time in,
 // what it does out. Times are of the run and never go back.
 package backend
@@ -12,25 +12,25 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Job is an attempt that has reached the box.
+// Job is an attempt that has reached the backend.
 type Job struct {
-	Num  uint64 // names it at this box
+	Num  uint64 // names it at this backend
 	Key  string // or empty
 	Work time.Duration
 }
 
-// What a box does with a job.
+// What a backend does with a job.
 type What int
 
 const (
 	Begun   What = iota // its work starts, so that it may have an effect
 	Dropped             // it repeats a key that its pod has seen
-	Turned              // turned away unseen; Why says why
+	Turned              // rejected unseen; Why says why
 	Done                // answered with Status
-	Fell                // the box has fallen over; it answers nothing more
+	Fell                // the backend has fallen over; it answers nothing more
 )
 
-// Out is one thing that a box does.
+// Out is one thing that a backend does.
 type Out struct {
 	What   What
 	Num    uint64
@@ -38,7 +38,7 @@
 	Why    string
 }
 
-// Trouble is what goes wrong with a box. The zero value is none.
+// Trouble is what goes wrong with a backend. The zero value is none.
 type Trouble struct {
 	Slower float64 // so many times; 0 or 1: not
 	Hangs  bool    // takes work, answers nothing
@@ -56,7 +56,7 @@
 	}
 }
 
-// Pod is what the boxes of one pod share: the keys they have begun. It keeps all
+// Pod is what the backends of one pod share: the keys they have begun. It keeps all
 // of a run, since a job may wait for longer than the window. It is not safe for
 // concurrent use.
 type Pod struct {
@@ -81,10 +81,10 @@
 // step bounds how long a rate that changes by itself is held constant.
 const step = 50 * time.Millisecond
 
-// fallSlack is what a cold box takes beyond the rule's budget, for chance.
+// fallSlack is what a cold backend takes beyond the rule's budget, for chance.
 const fallSlack = 1.1
 
-// Box is the state of one box.
+// Backend is the state of one backend.
 type Box struct {
 	m       world.Machine
 	pod     *Pod
@@ -119,7 +119,7 @@
 	work float64
 }
 
-// New makes a box that is warm, or as cold as one that has just started.
+// New makes a backend that is warm, or as cold as one that has just started.
 func New(m world.Machine, pod *Pod, seed uint64, now time.Duration, cold bool) *Box {
 	b := &Box{m: m, pod: pod, chance: rand.New(rand.NewPCG(seed, 0x626f78)), now: now, started: now, cold: cold,
 		crowdedSince: -1, restingSince: -1}
@@ -136,7 +136,7 @@
 	b.pauseFrom, b.pauseTo = after+gap, after+gap+b.m.Pause
 }
 
-// Capacity is the work that the box could do in a second now, but for standstills
+// Capacity is the work that the backend could do in a second now, but for standstills
 // and troubles, in seconds on a standard core.
 func (b *Box) Capacity(now time.Duration) float64 { return b.m.Capacity() * b.warmth(now) }
 
@@ -168,7 +168,7 @@
 	return r
 }
 
-// Next is when the box wants Tick, if nothing else comes before.
+// Next is when the backend wants Tick, if nothing else comes before.
 func (b *Box) Next() time.Duration {
 	next := b.pauseFrom
 	if b.now >= b.pauseFrom {
@@ -237,7 +237,7 @@
 	return append(outs, Out{What: Begun, Num: j.Num})
 }
 
-// crowd follows whether the box holds too much, or has rested enough.
+// crowd follows whether the backend holds too much, or has rested enough.
 func (b *Box) crowd() {
 	c := b.m.Choke
 	if c.At <= 0 {
@@ -301,7 +301,7 @@
 	return []Out{first, {What: Done, Num: j.Num, Status: 500}}
 }
 
-// pushedOver notes work sent to a cold box and tells whether it is too much.
+// pushedOver notes work sent to a cold backend and tells whether it is too much.
 func (b *Box) pushedOver(work float64) bool {
 	b.sent = append(b.sent, parcel{b.now, work})
 	for b.now-b.sent[0].at > world.FallTime {
@@ -312,7 +312,7 @@
 		sum += p.work
 		most = max(most, p.work)
 	}
-	// One heavy request alone can't push a box over.
+	// One heavy request alone can't push a backend over.
 	return sum-most > fallSlack*world.FallMultiple*b.Capacity(b.now)*world.FallTime.Seconds()
 }
 
@@ -328,7 +328,7 @@
 	return outs
 }
 
-// Suffer changes what is wrong with the box.
+// Suffer changes what is wrong with the backend.
 func (b *Box) Suffer(now time.Duration, t Trouble) []Out {
 	outs := b.pass(now, nil)
 	b.trouble = t
--- a/internal/lab/backend/box_test.go
+++ b/internal/lab/backend/box_test.go
@@ -17,7 +17,7 @@
 	return m
 }
 
-// TestEveryJobEndsOnce: whatever happens to a box, a job begins at most once, is
+// TestEveryJobEndsOnce: whatever happens to a backend, a job begins at most once, is
 // answered once, no more work is done than the machine can, and no key begins
 // again for a job that came within the window.
 func TestEveryJobEndsOnce(t *testing.T) {
@@ -88,7 +88,7 @@
 	})
 }
 
-// TestWorkIsTheSameInAnySteps: how often a box is looked at changes nothing.
+// TestWorkIsTheSameInAnySteps: how often a backend is looked at changes nothing.
 func TestWorkIsTheSameInAnySteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := machine(t)
@@ -141,7 +141,7 @@
 	}
 }
 
-// pushed sends a cold box so many times what it can do, for three seconds.
+// pushed sends a cold backend so many times what it can do, for three seconds.
 func pushed(m world.Machine, seed uint64, times float64) bool {
 	b := New(m, NewPod(time.Second), seed, 0, true)
 	const work = 10 * time.Millisecond
--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -33,7 +33,7 @@
 	for {
 		tcp, err := ln.Accept()
 		if err != nil {
-			return // closed: the box is down
+			return // closed: the backend is down
 		}
 		c := &connection{
 			server:   s,
@@ -167,7 +167,7 @@
 	}
 }
 
-// Body is what a box answers, so that a client can tell whose answer it got.
+// Body is what a backend answers, so that a client can tell whose answer it got.
 func Body(id, box string) string { return id + " " + box }
 
 // writeTime bounds the writing of an answer to a node that does not read.
--- a/internal/lab/backendserver/host.go
+++ b/internal/lab/backendserver/host.go
@@ -1,4 +1,4 @@
-// Package backend puts sockets around emulated app boxes and writes down every
+// Package backend puts sockets around emulated app backends and writes down every
 // attempt that reaches them.
 package backendserver
 
@@ -13,7 +13,7 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Host owns the boxes of a lab.
+// Host owns the backends of a lab.
 type Host struct {
 	log   *history.Log
 	net   *link.Net
@@ -22,7 +22,7 @@
 	boxes map[string]*Server
 	tasks sync.WaitGroup
 
-	mu   sync.Mutex // never held while a box's is taken
+	mu   sync.Mutex // never held while a backend's is taken
 	open map[string][]*attempt
 	pods map[int]*pod
 }
@@ -32,7 +32,7 @@
 	*backend.Pod
 }
 
-// NewHost makes the boxes of a world; they answer at their addresses once started.
+// NewHost makes the backends of a world; they answer at their addresses once started.
 func NewHost(log *history.Log, net *link.Net, book *load.Book, seed uint64, w world.World) (*Host, error) {
 	h := &Host{
 		log:   log,
@@ -67,10 +67,10 @@
 	return h, nil
 }
 
-// Box finds a box by its name, or nil.
+// Backend finds a backend by its name, or nil.
 func (h *Host) Box(name string) *Server { return h.boxes[name] }
 
-// Close ends all boxes and waits for all that serves them.
+// Close ends all backends and waits for all that serves them.
 func (h *Host) Close() {
 	for _, s := range h.boxes {
 		s.Crash()
@@ -79,7 +79,7 @@
 	h.tasks.Wait()
 }
 
-// enter notes that an attempt is open and gives the boxes where the same
+// enter notes that an attempt is open and gives the backends where the same
 // request is open too: those of which the kernel says that the node has not
 // ended the connection.
 func (h *Host) enter(a *attempt) []string {
--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -15,7 +15,7 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Server is one box on its socket.
+// Server is one backend on its socket.
 type Server struct {
 	Address string
 	host    *Host
@@ -25,7 +25,7 @@
 	free    func()
 
 	mu       sync.Mutex
-	ln       net.Listener // nil while the box is down
+	ln       net.Listener // nil while the backend is down
 	box      *backend.Box
 	life     int // starts so far
 	num      uint64
@@ -49,7 +49,7 @@
 	turned bool
 }
 
-// Start brings the box up: warm, or cold where it is listed as started at since.
+// Start brings the backend up: warm, or cold where it is listed as started at since.
 func (s *Server) Start(since string) error {
 	ln, err := net.Listen("tcp4", s.Address)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Crash ends the box as the death of its process does: connections are reset and new ones refused.
+// Crash ends the backend as the death of its process does: connections are reset and new ones refused.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	if s.ln == nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Suffer gives the box a trouble of that name, or takes it away with nil. Troubles
+// Suffer gives the backend a trouble of that name, or takes it away with nil. Troubles
 // add up, and go with the machine: a restart does not end them.
 func (s *Server) Suffer(name string, t *backend.Trouble) {
 	s.mu.Lock()
@@ -105,7 +105,7 @@
 	s.with(func(b *backend.Box, now time.Duration) []backend.Out { return b.Suffer(now, s.sum()) })
 }
 
-// sum is all that is wrong with the box. The caller holds the lock.
+// sum is all that is wrong with the backend. The caller holds the lock.
 func (s *Server) sum() backend.Trouble {
 	var sum backend.Trouble
 	for _, t := range s.troubles {
@@ -114,7 +114,7 @@
 	return sum
 }
 
-// with drives the box and carries out what it does.
+// with drives the backend and carries out what it does.
 func (s *Server) with(f func(*backend.Box, time.Duration) []backend.Out) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +172,7 @@
 	}
 }
 
-// take gives an attempt to the box. firstOn says that it is the first on its connection.
+// take gives an attempt to the backend. firstOn says that it is the first on its connection.
 func (s *Server) take(a *attempt, work time.Duration, key string, firstOn bool) {
 	var extra time.Duration
 	if firstOn {
@@ -188,7 +188,7 @@
 	})
 }
 
-// left tells the box that a node has ended an attempt. Its work may go on, so it stays known.
+// left tells the backend that a node has ended an attempt. Its work may go on, so it stays known.
 func (s *Server) left(a *attempt) {
 	s.with(func(b *backend.Box, now time.Duration) []backend.Out { return b.Leave(now, a.num) })
 }
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -154,7 +154,7 @@
 	return v
 }
 
-// ownAnswer: what is served is what a box answered to that request.
+// ownAnswer: what is served is what a backend answered to that request.
 func ownAnswer(events []history.Event) Verdict {
 	v := Verdict{Name: "own-answer", Rule: "what a node serves is what a box answered to that very request"}
 	type made struct{ id, box string }
@@ -254,7 +254,7 @@
 	return v
 }
 
-// asSent: what reaches a box is what a client sent.
+// asSent: what reaches a backend is what a client sent.
 func asSent(events []history.Event) Verdict {
 	v := Verdict{
 		Name: "as-sent",
--- a/internal/lab/check/quota.go
+++ b/internal/lab/check/quota.go
@@ -14,17 +14,17 @@
 	Rate, Burst float64 // requests a second; at once
 }
 
-// Slack of the check: a request is judged at a node and seen at a box, by as much later as links and a node
-// that waits for a core make it. And a lowered limit holds from when the last lease by the one before has run
-// out: a lease, another for a holder that changes at the same time, and the way to the nodes.
+// Slack of the check: a request is judged at a node and seen at a backend, by as much later as links and a
+// node that waits for a core make it. And a lowered limit holds from when the last lease by the one before
+// has run out: a lease, another for a holder that changes at the same time, and the way to the nodes.
 const (
 	quotaSeen  = 300 * time.Millisecond
 	quotaLower = 4 * time.Second
 )
 
-// Quotas judges what all nodes together let through to boxes: in any window at most rate x window + burst, as
-// a bucket that leaks at the rate tells exactly. used is the least part of the quota to be used between two
-// times; 0: not judged.
+// Quotas judges what all nodes together let through to backends: in any window at most rate x window + burst,
+// as a bucket that leaks at the rate tells exactly. used is the least part of the quota to be used between
+// two times; 0: not judged.
 func Quotas(events []history.Event, all []Quota, from, to time.Duration, used float64) Verdict {
 	v := Verdict{
 		Name:  "quota",
--- a/internal/lab/check/quota_test.go
+++ b/internal/lab/check/quota_test.go
@@ -9,7 +9,7 @@
 	"wrenspread/internal/lab/history"
 )
 
-// arrivals are requests at boxes, evenly at a rate between two times; each comes twice, as a second attempt would.
+// arrivals are requests at backends, evenly at a rate between two times; each comes twice, as a second attempt would.
 func arrivals(rate float64, from, to time.Duration) (events []history.Event) {
 	for t := from; t < to; t += time.Duration(float64(time.Second) / rate) {
 		for range 2 {
@@ -19,7 +19,7 @@
 	return events
 }
 
-// TestQuotas: a fleet that keeps to its limit passes, and one that goes on by the former one for too long, that lets a
+// TestQuotas: a fleet that keeps to its limit passes, and one that goes on by the previous one for too long, that lets a
 // burst through, or that leaves too much of it unused is found.
 func TestQuotas(t *testing.T) {
 	const s = time.Second
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// drains: nothing new reaches a box past the grace after its drain was told. A
+// drains: nothing new reaches a backend past the grace after its drain was told. A
 // node that stood still in that time has as much longer.
 func drains(events []history.Event, slack time.Duration) Verdict {
 	v := Verdict{
@@ -127,7 +127,7 @@
 // Growth is judged on processes that live for grownAge; a part of it is start-up.
 const (
 	grownAge    = 40 * time.Second
-	grownPart   = 0.25     // from the third to the last quarter of its life
+	grownPart   = 0.25     // from the third to the last quarter of its generation
 	grownMemory = 16 << 20 // what a heap between two collections may differ by, in bytes
 	grownFDs    = 64       // what a burst of connections may differ by
 )
--- a/internal/lab/check/world.go
+++ b/internal/lab/check/world.go
@@ -1,6 +1,6 @@
 package check
 
-// What becomes of boxes and processes.
+// What becomes of backends and processes.
 
 import (
 	"time"
@@ -9,16 +9,16 @@
 	"wrenspread/internal/lab/world"
 )
 
-// cold: no cold box is pushed over by those who were told of its start.
+// cold: no cold backend is pushed over by those who were told of its start.
 func cold(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "cold",
 		Rule:  "no cold box falls over under what nodes send that were told of its start",
 		Timed: true,
 	}
-	since := map[string]string{}           // of a box's last listed start
-	told := map[string]map[string]string{} // by box and node
-	sent := map[string][]history.Event{}   // to a box
+	since := map[string]string{}           // of a backend's last listed start
+	told := map[string]map[string]string{} // by backend and node
+	sent := map[string][]history.Event{}   // to a backend
 	for _, e := range events {
 		switch {
 		case e.Kind == history.Box && e.How == "cold":
--- a/internal/lab/discovery/view.go
+++ b/internal/lab/discovery/view.go
@@ -9,7 +9,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Entry is one app box in discovery's form.
+// Entry is one app backend in discovery's form.
 type Entry = registry.Endpoint
 
 // The statuses of an entry. Gone stands only among changes.
@@ -35,7 +35,7 @@
 }
 
 // Set makes a change, told to the agents as late as they hear of things. silent
-// says that the box left without a word, which takes longer to be noticed.
+// says that the backend left without a word, which takes longer to be noticed.
 func (r *Registry) Set(now time.Duration, e Entry, silent bool) {
 	r.mu.Lock()
 	r.changes = append(r.changes, change{now, e})
@@ -56,7 +56,7 @@
 type Agent struct {
 	Node    string
 	reg     *Registry
-	address func(box string) string // where this node finds a box
+	address func(box string) string // where this node finds a backend
 	late    Lateness
 	// under the registry's lock; when change i reaches the agent, never before those ahead of it
 	due  []time.Duration
@@ -117,7 +117,7 @@
 }
 
 // List is the answer to whoever has the list of version from: what has changed, or
-// the whole list where from is 0 or not a version that the agent has had.
+// the complete list where from is 0 or not a version that the agent has had.
 func (a *Agent) List(from uint64, now time.Duration) Answer {
 	index, _, _ := a.state(now)
 	a.reg.mu.Lock()
--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -19,8 +19,8 @@
 	"wrenspread/internal/registry"
 )
 
-// agents is the stand-in for the agents of all machines of boxes: their calls and
-// fences are those of the real one, their servers the emulated boxes. A box of a
+// agents is the stand-in for the agents of all machines of backends: their calls and
+// fencing tokens are those of the real one, their servers the emulated backends. A backend of a
 // bad version has its trouble.
 type agents struct {
 	f     *fleet
@@ -31,10 +31,10 @@
 
 	mu      sync.Mutex
 	boxes   map[string]*kept
-	mostOut int // boxes that did not serve at once, at the most
+	mostOut int // backends that did not serve at once, at the most
 }
 
-// kept is one box as its agent has it.
+// kept is one backend as its agent has it.
 type kept struct {
 	agent.Status
 	busy bool // a replacement is under way
@@ -42,10 +42,10 @@
 
 const (
 	agentsRecord = "lab"
-	replaceTime  = 400 * time.Millisecond // from the end of a box's process to the start of the next
+	replaceTime  = 400 * time.Millisecond // from the end of a backend's process to the start of the next
 )
 
-// newAgents serves until the run ends. All boxes begin in a version.
+// newAgents serves until the run ends. All backends begin in a version.
 func newAgents(f *fleet, version string, bad map[string]backend.Trouble) (*agents, error) {
 	a := &agents{f: f, bad: bad, boxes: map[string]*kept{}}
 	var err error
@@ -126,7 +126,7 @@
 	besteffort.Encode(json.NewEncoder(w).Encode(k.Status))
 }
 
-// count notes how many boxes do not serve. The caller holds the lock.
+// count notes how many backends do not serve. The caller holds the lock.
 func (a *agents) count() {
 	out := 0
 	for _, k := range a.boxes {
@@ -137,7 +137,7 @@
 	a.mostOut = max(a.mostOut, out)
 }
 
-// list has a box's entry be as the box is. The caller holds the lock.
+// list has a backend's entry be as the backend is. The caller holds the lock.
 func (a *agents) list(name string) {
 	k := a.boxes[name]
 	e := a.f.entry(name, registry.Ready, strconv.FormatInt(k.StartedAtMS, 10))
@@ -148,7 +148,7 @@
 	a.f.service.boxes.ready(e)
 }
 
-// replace ends a box's process and starts it, cold, in the version that is wanted.
+// replace ends a backend's process and starts it, cold, in the version that is wanted.
 func (a *agents) replace(name string) {
 	b := a.f.host.Box(name)
 	b.Crash()
@@ -169,7 +169,7 @@
 	a.list(name)
 }
 
-// versions counts the boxes that serve, by version.
+// versions counts the backends that serve, by version.
 func (a *agents) versions() (by map[string]int, mostOut int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/fleet/boxes.go
+++ b/internal/lab/fleet/boxes.go
@@ -1,6 +1,6 @@
 package fleet
 
-// What a step does to boxes.
+// What a step does to backends.
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// drainShare is the part of a drain after which the box ends.
+// drainShare is the part of a drain after which the backend ends.
 const drainShare = 0.6
 
-// loseBox takes a box away and brings it back cold.
+// loseBox takes a backend away and brings it back cold.
 func (f *fleet) loseBox(ctx context.Context, s spec.Step, name string) error {
 	toBox := func(e link.Ends) bool { return e.To == name }
 	down := "down-" + name
@@ -47,7 +47,7 @@
 	return err
 }
 
-// trouble gives boxes what they suffer from, for the step's time. Troubles of a box add up.
+// trouble gives backends what they suffer from, for the step's time. Troubles of a backend add up.
 func (f *fleet) trouble(ctx context.Context, s spec.Step) error {
 	t := backend.Trouble{Slower: s.Times}
 	switch s.Do {
--- a/internal/lab/fleet/crowd.go
+++ b/internal/lab/fleet/crowd.go
@@ -13,7 +13,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// crowd is clients that follow the list service beside the nodes.
+// crowd is clients that follow the registry beside the nodes.
 type crowd struct {
 	mu    sync.Mutex
 	told  []map[uint64]time.Duration // when each came to a version, by the lab's clock
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -32,7 +32,7 @@
 	Dir        string   // where history, logs and configurations go
 	Node       []string // command of a node
 	Keeper     []string // command of wrenspread-controller, for those with a quota
-	List       []string // command of a replica of the list service, for experiments that have one
+	List       []string // command of a replica of the registry, for experiments that have one
 	Ctl        []string // command of wrenspreadctl, for those with a release
 	Env        []string // further environment of both
 	Follow     func(history.Event)
@@ -56,7 +56,7 @@
 	book     *load.Book
 	host     *backendserver.Host
 	registry *discovery.Registry // of the lab's own discovery
-	service  *service            // or the project's list service; nil: the former
+	service  *service            // or the project's registry; nil: the previous
 	group    *process.Group
 	front    *client.Front
 	nodes    map[string]*node
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -30,7 +30,7 @@
 rate = 60
 `
 
-// drained also drains a box, whose process stays until 2.4 s later.
+// drained also drains a backend, whose process stays until 2.4 s later.
 const drained = `
 length = "6s"
 [fleet]
@@ -48,7 +48,7 @@
 on = ["s1"]
 `
 
-// returned also has a box return cold, after half a second.
+// returned also has a backend return cold, after half a second.
 const returned = short + `
 [[fault]]
 at = "100ms"
--- a/internal/lab/fleet/net.go
+++ b/internal/lab/fleet/net.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// list changes a box's entry in discovery.
+// list changes a backend's entry in discovery.
 func (f *fleet) list(box, status, since string, silent bool) {
 	if f.service != nil {
 		f.service.change(box, status, since, silent)
@@ -122,7 +122,7 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), nil
 }
 
-// zoneOf is the zone of a node or a box; others have none.
+// zoneOf is the zone of a node or a backend; others have none.
 func (f *fleet) zoneOf(party string) string {
 	if n, ok := f.nodes[party]; ok {
 		return n.zone
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -24,10 +24,10 @@
 	dir, tmp   string
 	listen     string
 	accept     *os.File         // the clients' socket, where the platform holds it
-	agent      *discovery.Agent // nil: it follows the list service by itself
+	agent      *discovery.Agent // nil: it follows the registry by itself
 	agentAt    string
 	discovery  string   // where the node finds its agent
-	list       []string // where it finds the list service
+	list       []string // where it finds the registry
 	peerListen netip.AddrPort
 	peers      []string
 
@@ -69,7 +69,7 @@
 	return n, nil
 }
 
-// connect lays the node's links to the boxes, and to whoever tells it the list.
+// connect lays the node's links to the backends, and to whoever tells it the list.
 func (n *node) connect() (err error) {
 	f := n.f
 	if f.e.List.Direct {
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -77,7 +77,7 @@
 	return done
 }
 
-// newKeeper lays a keeper's links to the list service and to each node, and writes its file. To nodes it is
+// newKeeper lays a controller's links to the registry and to each node, and writes its file. To nodes it is
 // one more peer.
 func (f *fleet) newKeeper(i int) (*conductor, error) {
 	name := fmt.Sprint("k", i)
@@ -139,8 +139,8 @@
 	}, nil
 }
 
-// pairKeeper lays the links between a keeper and the nodes, and gives where the keeper finds the peers that
-// there are so far.
+// pairKeeper lays the links between a controller and the nodes, and gives where the controller finds the
+// peers that there are so far.
 func (f *fleet) pairKeeper(name string, listen netip.AddrPort) (peers []string, err error) {
 	for _, n := range f.names {
 		toSeen, fromSeen, err := f.net.Pair(link.Ends{From: n, To: name}, f.nodes[n].peerListen, listen)
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -19,7 +19,7 @@
 	"wrenspread/internal/release"
 )
 
-// releasing is a release that real conductors carry out under the load.
+// releasing is a release that real controllers carry out under the load.
 type releasing struct {
 	f      *fleet
 	client *client.Client
@@ -29,7 +29,7 @@
 	done   sync.WaitGroup
 }
 
-// conductor is one process that may conduct, through all its processes.
+// controller is one process that may conduct, through all its processes.
 type conductor struct {
 	name string
 	spec process.Spec
@@ -45,7 +45,7 @@
 	conductEvery = 250 * time.Millisecond
 )
 
-// startRelease starts the conductors, and puts the release on record at its time.
+// startRelease starts the controllers, and puts the release on record at its time.
 func (f *fleet) startRelease(ctx context.Context) error {
 	r := f.e.Release
 	if r == nil {
@@ -128,7 +128,7 @@
 	return err
 }
 
-// suffer does to a conductor what a step orders.
+// suffer does to a controller what a step orders.
 func (c *conductor) suffer(ctx context.Context, f *fleet, do string, last time.Duration) error {
 	c.mu.Lock()
 	p := c.proc
@@ -221,7 +221,7 @@
 	return s, err
 }
 
-// end waits a little for the release to come to its end, and ends the conductors.
+// end waits a little for the release to come to its end, and ends the controllers.
 func (r *releasing) end(ctx context.Context) error {
 	r.done.Wait()
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
@@ -238,7 +238,7 @@
 	return endAll(r.all)
 }
 
-// endAll ends conductors and keepers ahead of the list service, to which they give their duties back.
+// endAll ends controllers and keepers ahead of the registry, to which they give their leases back.
 func endAll(all []*conductor) error {
 	var errs []error
 	for _, c := range all {
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -18,14 +18,14 @@
 	"wrenspread/internal/registry/client"
 )
 
-// service is the project's own list service in place of the lab's discovery. The
-// boxes' entries are registered, renewed and drained by a registrar; the agent
+// service is the project's own registry in place of the lab's discovery. The
+// backends' entries are registered, renewed and drained by a registrar; the agent
 // on each node's machine follows the service and answers its node.
 type service struct {
 	f     *fleet
 	set   *replicas.Set
 	boxes *registrar
-	doors map[string]string // to boxes, of all nodes; nil: each has its own
+	doors map[string]string // to backends, of all nodes; nil: each has its own
 	tasks sync.WaitGroup
 	ctx   context.Context
 	crowd *crowd // nil: none
@@ -37,7 +37,7 @@
 	boxTTL     = 5 * time.Second
 	renewEvery = time.Second
 	writeTime  = time.Minute // for one write of the registrar, over the service's failures
-	registrars = "registrar" // the party that writes for the boxes
+	registrars = "registrar" // the party that writes for the backends
 	agentHold  = 2 * time.Second
 )
 
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-// begin starts the replicas and has all boxes registered before nodes look.
+// begin starts the replicas and has all backends registered before nodes look.
 func (s *service) begin(ctx context.Context) error {
 	if err := s.set.Begin(ctx); err != nil {
 		return err
@@ -96,7 +96,7 @@
 	if err := s.startFollowers(); err != nil || s.f.e.List.Direct {
 		return err
 	}
-	for _, name := range s.f.names { // so that nodes begin with the whole list
+	for _, name := range s.f.names { // so that nodes begin with the complete list
 		for len(s.f.nodes[name].agent.List(0, s.f.log.Now()).Endpoints) < len(s.f.w.Machines) {
 			if !backoff.Sleep(ctx, 5*time.Millisecond) {
 				return fmt.Errorf("the agent of %s has no list: %w", name, ctx.Err())
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// commonDoors lays one link to each box that all nodes find in the list: without
+// commonDoors lays one link to each backend that all nodes find in the list: without
 // agents there is nobody to tell each node its own.
 func (s *service) commonDoors() error {
 	s.doors = map[string]string{}
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// startWorkers starts those that hold duties, and waits until all duties are held.
+// startWorkers starts those that hold leases, and waits until all leases are held.
 func (s *service) startWorkers(ctx context.Context) error {
 	d := s.f.e.Duties
 	if d.Workers == 0 {
@@ -159,7 +159,7 @@
 	return s.workers.Await(ctx, leases.Now())
 }
 
-// dutyVerdicts says what the workers' resource saw, and how long a duty had no holder.
+// dutyVerdicts says what the workers' resource saw, and how long a lease had no holder.
 func (s *service) dutyVerdicts(bound time.Duration) []check.Verdict {
 	acts, _ := s.workers.Resource.Acts()
 	v := check.Verdict{
@@ -201,7 +201,7 @@
 	return []check.Verdict{v, in}
 }
 
-// change carries out what happens to a box. One that dies says nothing.
+// change carries out what happens to a backend. One that dies says nothing.
 func (s *service) change(box, status, since string, silent bool) {
 	switch {
 	case status == registry.Ready:
@@ -260,7 +260,7 @@
 	}
 }
 
-// registrar keeps the boxes' entries: what it is told goes out in that order,
+// registrar keeps the backends' entries: what it is told goes out in that order,
 // however long the service is away.
 type registrar struct {
 	client *client.Client
@@ -306,7 +306,7 @@
 	})
 }
 
-// lose is a box that says nothing any more: its entry is left to expire.
+// lose is a backend that says nothing any more: its entry is left to expire.
 func (r *registrar) lose(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -22,24 +22,25 @@
 	Due Kind = "due" // an operation is wanted: Op, Class, Tenant, Zone
 	// a try's last byte was written to a node: Op, ID, Class, Node, Key, Wait (how long the client waits)
 	Sent Kind = "sent"
-	// what came of a try: Op, ID, Node, How, Status, Took (from Sent), Box (who made the body), Detail (Fresh)
+	// what came of a try: Op, ID, Node, How, Status, Took (from Sent), Backend (who made the body), Detail
+	// (Fresh)
 	Answer Kind = "answer"
 	// a node's close crossed a request on a used connection, which was sent once more: Op, ID, Node
 	Cross Kind = "cross"
 	Extra Kind = "extra" // bytes came after an answer: Node, ID of the answer
 	// an operation ended: Op, Class, Tenant, Zone, Node of the last try, How, Took (from Due), Tries
 	Over Kind = "over"
-	// an attempt's last byte reached a box: Op, ID, Class, Key, Box, Node, Took (its work), Sent (when the node
-	// wrote its last byte), Also (boxes where it is still open), Bad and How (what no node may send)
+	// an attempt's last byte reached a backend: Op, ID, Class, Key, Backend, Node, Took (its work), Sent (when
+	// the node wrote its last byte), Also (backends where it is still open), Bad and How (what no node may send)
 	Arrive Kind = "arrive"
-	Begin  Kind = "begin" // a box began the work, so that it may have an effect: ID, Key, Box, Pod
-	Drop   Kind = "drop"  // a box's pod dropped the repeat of a key: ID, Key, Box
-	Turn   Kind = "turn"  // a box turned an attempt away unseen: ID, Box, How
-	End    Kind = "end"   // a box answered: ID, Box, Status, Took (from Arrive)
-	Shut   Kind = "shut"  // the node ended an attempt that was open: ID, Box, Node
-	// discovery wrote an entry to a node: Node, Box, How (the status), Index, Detail (since_ms)
+	Begin  Kind = "begin" // a backend began the work, so that it may have an effect: ID, Key, Backend, Pod
+	Drop   Kind = "drop"  // a backend's pod dropped the repeat of a key: ID, Key, Backend
+	Turn   Kind = "turn"  // a backend turned an attempt away unseen: ID, Backend, How
+	End    Kind = "end"   // a backend answered: ID, Backend, Status, Took (from Arrive)
+	Shut   Kind = "shut"  // the node ended an attempt that was open: ID, Backend, Node
+	// discovery wrote an entry to a node: Node, Backend, How (the status), Index, Detail (since_ms)
 	Told Kind = "told"
-	Box  Kind = "box" // a box changed: Box, How, Detail (since_ms, of a start that is listed)
+	Box  Kind = "box" // a backend changed: Backend, How, Detail (since_ms, of a start that is listed)
 	// a node's view of the fleet changed: Node, Index (its number), How (its digest), Detail (the node's own
 	// life), Also ("name health life incarnation" of each member)
 	View Kind = "view"
--- a/internal/lab/labtest/trial.go
+++ b/internal/lab/labtest/trial.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// List runs a list service of one replica until the test ends, and gives its address
+// List runs a registry of one replica until the test ends, and gives its address
 // and a client.
 func List(t testing.TB) (address string, k *client.Client) {
 	t.Helper()
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -17,8 +17,8 @@
 // checkTime bounds the search for an order in which a lock could have been held.
 const checkTime = time.Minute
 
-// Interleaved checks what the resource took: for each duty, no write under a lower
-// fence after one under a higher, and all writes under a fence from one run of one process.
+// Interleaved checks what the resource took: for each lease, no write under a lower
+// fencing token after one under a higher, and all writes under a fencing token from one run of one process.
 func Interleaved(acts []Act) (broken []string) {
 	last := map[string]Act{}
 	owner := map[string]string{}
@@ -49,14 +49,14 @@
 	return broken
 }
 
-// lock is the state of a duty as the service has it: the last fence, and whether
+// lock is the state of a lease as the service has it: the last fencing token, and whether
 // its holder has been turned down since.
 type lock struct {
 	fence uint64
 	dead  bool
 }
 
-// lockModel is a lock with fences. Whoever comes to hold it has a higher fence
+// lockModel is a lock with fencing tokens. Whoever comes to hold it has a higher fencing token
 // than all before; a write is taken from nobody but the last, and from that one
 // not again once it was turned down.
 var lockModel = porcupine.Model{
@@ -90,7 +90,7 @@
 }
 
 // Locked checks the grants, and the fenced writes to the list, as a lock. A grant
-// took place at any time between that of the fence before it and the work's beginning.
+// took place at any time between that of the fencing token before it and the work's beginning.
 func Locked(acts []Act) (legal, sure bool) {
 	var ops []porcupine.Operation
 	started, last := map[string]time.Duration{}, map[[2]string]time.Duration{}
@@ -100,7 +100,7 @@
 			continue
 		}
 		key := [2]string{a.Run, a.Lease}
-		// its process may have had the grant since its last word on the duty, and hear of it late
+		// its process may have had the grant since its last word on the lease, and hear of it late
 		if a.Do == "hold" {
 			a.From = max(started[a.Run], last[key])
 		}
@@ -134,7 +134,7 @@
 	return all, in.Err()
 }
 
-// Gap is a time without a holder's writes, from the last of one fence to the first of the next.
+// Gap is a time without a holder's writes, from the last of one fencing token to the first of the next.
 type Gap struct {
 	Duty string
 	From time.Duration
--- a/internal/lab/leases/crew.go
+++ b/internal/lab/leases/crew.go
@@ -23,9 +23,9 @@
 	Workers int
 	Duties  int
 	TTL     time.Duration
-	Guarded bool // the resource checks fences
+	Guarded bool // the resource checks fencing tokens
 	Spread  bool
-	Rest    time.Duration // between two acts on one duty; 0: as many as the resource can take
+	Rest    time.Duration // between two acts on one lease; 0: as many as the resource can take
 	Deaf    time.Duration // a broken stand-in, see WorkerOptions
 	Dir     string
 	Command []string // of a worker; its flags are added
@@ -48,7 +48,7 @@
 	proc *process.Proc
 }
 
-// NewCrew lays the workers' links to the list service and the resource.
+// NewCrew lays the workers' links to the registry and the resource.
 func NewCrew(o CrewOptions, set *replicas.Set, net *link.Net, group *process.Group) (*Crew, error) {
 	c := &Crew{o: o, group: group}
 	var err error
@@ -99,7 +99,7 @@
 	return c, nil
 }
 
-// Acts on one duty are actEvery apart, or farther where there are many duties, so
+// Acts on one lease are actEvery apart, or farther where there are many leases, so
 // that the resource gets a thousand a second at most.
 const (
 	actEvery = 4 * time.Millisecond
@@ -172,7 +172,7 @@
 	return c.start(m)
 }
 
-// Holding tells which worker wrote last to a duty.
+// Holding tells which worker wrote last to a lease.
 func (c *Crew) Holding(duty string) string {
 	acts, _ := c.Resource.Acts()
 	for _, a := range slices.Backward(acts) {
@@ -183,7 +183,7 @@
 	return ""
 }
 
-// Await waits until every duty has had a write after a time.
+// Await waits until every lease has had a write after a time.
 func (c *Crew) Await(ctx context.Context, after time.Duration) error {
 	for {
 		acts, _ := c.Resource.Acts()
@@ -224,7 +224,7 @@
 	return broken, sure, nil
 }
 
-// End tells all workers to end, while those that they hand on to, and the list
+// End tells all workers to end, while those that they transfer to, and the list
 // service, are still there.
 func (c *Crew) End(patience time.Duration) error {
 	errs := make(chan error, len(c.all))
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -18,10 +18,10 @@
 // Kinds are the ways in which a holder can be followed by another.
 var Kinds = []string{"kill", "pause", "cut", "restart", "upgrade"}
 
-// betweenChanges keeps the pace at which the service grants one duty out of the times.
+// betweenChanges keeps the pace at which the service grants one lease out of the times.
 const betweenChanges = 2200 * time.Millisecond
 
-// Changes has the holder of a duty suffer so many times, and gives the times from
+// Changes has the lease holder suffer so many times, and gives the times from
 // its last act to the first of the next, in order of length.
 func Changes(ctx context.Context, o Options, kind string, times int) (all []time.Duration, err error) {
 	o.Crew.Duties, o.Crew.Guarded = 1, true
@@ -51,7 +51,7 @@
 	return all, l.Crew.End(endTime)
 }
 
-// change does to a holder what the kind says, until another has its duty by then.
+// change does to a holder what the kind says, until another has its lease by then.
 func (l *Lab) change(ctx context.Context, kind, who string, n int) error {
 	last := 2 * l.o.Crew.TTL
 	switch kind {
@@ -77,7 +77,7 @@
 	return acts[len(acts)-1]
 }
 
-// followed waits for an act under a higher fence.
+// followed waits for an act under a higher fencing token.
 func (c *Crew) followed(ctx context.Context, fence uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// Bound is the longest that a duty may be without a holder on paper, but for the
+// Bound is the longest that a lease may be without a holder on paper, but for the
 // calls themselves: the lease, if a renewal was answered just before, the looks at
-// it, and an election that may be under way. One that hands on leaves the election.
+// it, and an election that may be under way. One that transfers leaves the election.
 func Bound(kind string, ttl, election time.Duration) time.Duration {
 	const looks = 100 * time.Millisecond // between the service's looks at deadlines
 	if kind == "restart" || kind == "upgrade" {
@@ -100,19 +100,19 @@
 	return ttl + looks + election
 }
 
-// Cost is what held duties take.
+// Cost is what held leases take.
 type Cost struct {
 	Duties   int
 	Held     []int         // by each process, the fewest first
 	Workers  time.Duration // processor time of all workers in a second
 	Replicas time.Duration // and of all replicas
-	Settled  time.Duration // from the start of the workers until every duty is held
+	Settled  time.Duration // from the start of the workers until every lease is held
 }
 
 // costTime is how long the processor times are taken.
 const costTime = 10 * time.Second
 
-// Costs measures so many duties that are shared out evenly and hardly act.
+// Costs measures so many leases that are shared out evenly and hardly act.
 func Costs(ctx context.Context, o Options, duties int) (c Cost, err error) {
 	o.Crew.Duties, o.Crew.Spread, o.Crew.Guarded, o.Crew.Rest = duties, true, true, costTime/2
 	began := time.Now()
@@ -166,7 +166,7 @@
 	return sum, nil
 }
 
-// shares counts the duties that each process acted on last, the fewest first.
+// shares counts the leases that each process acted on last, the fewest first.
 func (c *Crew) shares() (all []int) {
 	acts, _ := c.Resource.Acts()
 	by := map[string]string{}
@@ -187,7 +187,7 @@
 	return all
 }
 
-// Contest has so many processes want one duty, and the holder leave it so many
+// Contest has so many processes want one lease, and the holder leave it so many
 // times; it gives the times from the end of one's work to the beginning of the
 // next's, in order of length.
 func Contest(ctx context.Context, o Options, candidates, times int) (all []time.Duration, err error) {
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -34,7 +34,7 @@
 	readyTime = 30 * time.Second // only a hang takes so long
 )
 
-// Lab is a running list service with workers on it.
+// Lab is a running registry with workers on it.
 type Lab struct {
 	o     Options
 	log   *history.Log
@@ -44,7 +44,7 @@
 	Crew  *Crew
 }
 
-// Begin starts the replicas and the workers, and waits until every duty has a holder.
+// Begin starts the replicas and the workers, and waits until every lease has a holder.
 func Begin(ctx context.Context, o Options) (l *Lab, err error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("duties: %w", err)
@@ -79,7 +79,7 @@
 	return l, l.Held(ctx)
 }
 
-// Held waits until every duty has had a write from now on.
+// Held waits until every lease has had a write from now on.
 func (l *Lab) Held(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
@@ -179,7 +179,7 @@
 	who      string // a worker, the holder or a replica
 }
 
-// holder stands for the worker that holds the first duty when the fault comes.
+// holder stands for the worker that holds the first lease when the fault comes.
 const holder = "holder"
 
 // draw draws the faults of a run by its seed.
--- a/internal/lab/leases/worker.go
+++ b/internal/lab/leases/worker.go
@@ -1,5 +1,5 @@
-// Package duties plays processes that hold duties: real workers that act on a
-// resource outside the list service, faults between them all, and a check of what
+// Package leases plays processes that hold leases: real workers that act on a
+// resource outside the registry, faults between them all, and a check of what
 // the resource and the service saw.
 package leases
 
@@ -29,20 +29,20 @@
 // WorkerOptions say what a worker's process does.
 type WorkerOptions struct {
 	Process  string
-	List     []string // where it finds the list service
+	List     []string // where it finds the registry
 	Resource string   // and what it acts on, host:port
 	Duties   []string
 	TTL      time.Duration
-	Every    time.Duration // between two acts on one duty
+	Every    time.Duration // between two acts on one lease
 	Log      string        // file for its own history
-	Spread   bool          // duties are shared out evenly
+	Spread   bool          // leases are shared out evenly
 	Deaf     time.Duration // a broken stand-in: work goes on for so long after it is told to stop
 }
 
 const (
 	noteNth  = 8 // every so many acts one write goes to the list, too
 	actTime  = 300 * time.Millisecond
-	handTime = 3 * time.Second // to hand on at the end
+	handTime = 3 * time.Second // to transfer at the end
 )
 
 // Act is one line of a worker's history, and one write as the resource has it.
@@ -63,7 +63,7 @@
 	return time.Duration(t.Nano())
 }
 
-// worker is a process that holds duties.
+// worker is a process that holds leases.
 type worker struct {
 	o    WorkerOptions
 	run  string
--- a/internal/lab/load/book.go
+++ b/internal/lab/load/book.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// Book knows every id that a client has sent, so that a box can tell the work
+// Book knows every id that a client has sent, so that a backend can tell the work
 // of a request and whether anybody asked for it. It is safe for concurrent use.
 type Book struct {
 	mu  sync.RWMutex
 	ops map[string]*Op
-	met map[string]bool // ids that have reached a box
+	met map[string]bool // ids that have reached a backend
 }
 
 // NewBook makes an empty book.
@@ -27,14 +27,14 @@
 	return b.ops[id]
 }
 
-// Meet notes that an id has reached a box.
+// Meet notes that an id has reached a backend.
 func (b *Book) Meet(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.met[id] = true
 }
 
-// Met tells whether an id has reached a box, so that a node must have read it.
+// Met tells whether an id has reached a backend, so that a node must have read it.
 func (b *Book) Met(id string) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
--- a/internal/lab/measure/boxes.go
+++ b/internal/lab/measure/boxes.go
@@ -1,4 +1,4 @@
-// Package gauge measures the lab itself: its emulated boxes against the brief's
+// Package gauge measures the lab itself: its emulated backends against the brief's
 // figures, what its links add, and how much load it can make before it is late.
 package measure
 
@@ -13,7 +13,7 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Kind is what boxes of one kind of machine do, in the mean over drawn ones.
+// Kind is what backends of one kind of machine do, in the mean over drawn ones.
 type Kind struct {
 	Name     string
 	Drawn    int
@@ -28,7 +28,7 @@
 	Tips     float64 // sent so many times what it can do, it falls over
 }
 
-// Boxes draws that many boxes and measures them.
+// Backends draws that many backends and measures them.
 func Boxes(n int) []Kind {
 	byName := map[string]*Kind{}
 	var order []string
@@ -74,7 +74,7 @@
 	look    = 5 * time.Millisecond
 )
 
-// keep holds so many jobs at a box and gives the work done by then.
+// keep holds so many jobs at a backend and gives the work done by then.
 func keep(
 	b *backend.Box,
 	jobs int,
@@ -101,7 +101,7 @@
 	return done
 }
 
-// rate is the work a second of a warm box that holds so many jobs.
+// rate is the work a second of a warm backend that holds so many jobs.
 func rate(m world.Machine, seed uint64, jobs int, long time.Duration) float64 {
 	m.Choke, m.ErrorRate = world.Choke{}, 0
 	b := backend.New(m, backend.NewPod(time.Second), seed, 0, false)
@@ -119,7 +119,7 @@
 	return warm
 }
 
-// tips finds the multiple of its present capacity from which on a cold box falls over within 2 s.
+// tips finds the multiple of its present capacity from which on a cold backend falls over within 2 s.
 func tips(m world.Machine, seed uint64) float64 {
 	const work = 5 * time.Millisecond
 	for times := 2.0; times < 8; times += 0.1 {
--- a/internal/lab/platform/config.go
+++ b/internal/lab/platform/config.go
@@ -21,7 +21,7 @@
 	Listen     string
 	Control    string
 	Discovery  string
-	List       []string // the list service, which the node then follows by itself
+	List       []string // the registry, which the node then follows by itself
 	ListFile   string
 	ListPart   bool     // it follows its part of that list alone
 	ByServer   bool     // its figures tell servers apart
--- a/internal/lab/quorum/model_test.go
+++ b/internal/lab/quorum/model_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestWatchers: a gap, a step back, a whole list without need, and two that were told different things are each found.
+// TestWatchers: a gap, a step back, a complete list without need, and two that were told different things are each found.
 func TestWatchers(t *testing.T) {
 	s := func(weight float64) registry.Endpoint { return registry.Endpoint{Name: "s", Weight: weight} }
 	first := registry.ListResponse{Index: 3, Epoch: "e", Snapshot: true, Endpoints: []registry.Endpoint{s(1)}}
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -1,4 +1,4 @@
-// Package quorum plays real replicas of the list service: clients that write,
+// Package quorum plays real replicas of the registry: clients that write,
 // read and watch, faults drawn by seed, and a check of the whole history.
 package quorum
 
--- a/internal/lab/replicas/replicas.go
+++ b/internal/lab/replicas/replicas.go
@@ -1,4 +1,4 @@
-// Package replicas runs real replicas of the list service in a lab: their
+// Package replicas runs real replicas of the registry in a lab: their
 // folders, their processes, and a link between any two of them.
 package replicas
 
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -76,7 +76,7 @@
 	Sampled time.Duration `json:"-"`
 }
 
-// BoxUse is what reached one box.
+// BoxUse is what reached one backend.
 type BoxUse struct {
 	Arrived int           `json:"arrived"`
 	Begun   int           `json:"begun"`
@@ -97,7 +97,7 @@
 	Faults   []Span               `json:"faults"`
 	Nodes    map[string]NodeUse   `json:"nodes"`
 	Boxes    map[string]BoxUse    `json:"boxes"`
-	Attempts float64              `json:"attempts"` // at boxes, for an operation
+	Attempts float64              `json:"attempts"` // at backends, for an operation
 	Crossed  int                  `json:"crossed"`  // requests that a node's close crossed
 	LateLab  time.Duration        `json:"late_lab"` // 99th percentile of the lab's own lateness
 	WorstLab time.Duration        `json:"worst_lab"`
--- a/internal/lab/scale/beside.go
+++ b/internal/lab/scale/beside.go
@@ -35,7 +35,7 @@
 	for i := 0; every > 0 && backoff.Sleep(ctx, every); i++ {
 		select {
 		case turns[i%nodes] <- struct{}{}:
-		default: // it has not ended its former life yet
+		default: // it has not ended its previous generation yet
 		}
 	}
 	all.Wait()
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -59,7 +59,7 @@
 	)
 }
 
-// one runs so many nodes, and a conductor of tenants, and makes the changes.
+// one runs so many nodes, and a controller of tenants, and makes the changes.
 func (f *Force) one(
 	ctx context.Context,
 	k *client.Client,
--- a/internal/lab/scale/force_rig.go
+++ b/internal/lab/scale/force_rig.go
@@ -73,7 +73,7 @@
 	return controls, free, nil
 }
 
-// holdConduct holds the duty of the tenants' conductor until ctx ends, as the operators' command does.
+// holdConduct holds the lease of the tenants' controller until ctx ends, as the operators' command does.
 func holdConduct(ctx context.Context, k *client.Client) error {
 	p, err := lease.Open(lease.Config{Client: k, Process: "scale", TTL: lease.DefaultTTL})
 	if err != nil {
@@ -89,7 +89,7 @@
 	select {
 	case err = <-ended:
 		return errors.Join(err, p.Close(lease.DefaultTTL))
-	case <-ctx.Done(): // without the service the duty is not given up: then closing ends it
+	case <-ctx.Done(): // without the service the lease is not given up: then closing ends it
 		err = p.Close(lease.DefaultTTL)
 		besteffort.Ended(<-ended) // it has lost its session
 		return errors.Join(ctx.Err(), err)
--- a/internal/lab/scale/holders.go
+++ b/internal/lab/scale/holders.go
@@ -16,7 +16,7 @@
 	holderTTL   = time.Second
 	renewHolder = holderTTL / 5
 	onTheWay    = time.Millisecond
-	learning    = 20 * time.Millisecond // of a new holder, from the list service
+	learning    = 20 * time.Millisecond // of a new holder, from the registry
 	ledgerTick  = 20 * time.Millisecond
 	evenPart    = 10.0 // requests a second of a node
 	wished      = 2.0
@@ -111,7 +111,7 @@
 	return s, nil
 }
 
-// take gives a process the duty, tells it the record as it is, and the nodes who holds it.
+// take gives a process the lease, tells it the record as it is, and the nodes who holds it.
 func (s *shares) take(which int) {
 	s.acting, s.fence, s.heard, s.first, s.all = which, s.fence+1, map[string]bool{}, 0, 0
 	s.renew()
--- a/internal/lab/scale/latency_table.go
+++ b/internal/lab/scale/latency_table.go
@@ -96,7 +96,7 @@
 	return [][]string{append([]string{notRun}, slicesOf(cells-1, "")...)}
 }
 
-// partOf says as a size whether nodes follow their parts of the list alone.
+// partOf says as a size whether nodes follow their subsets of the list alone.
 func partOf(parts bool) int {
 	if parts {
 		return 1
--- a/internal/lab/scale/other_lines.go
+++ b/internal/lab/scale/other_lines.go
@@ -1,6 +1,6 @@
 package scale
 
-// ofTenants is a figure of a node's desk: of one that reads tenants on demand, where that was played.
+// ofTenants is a figure of a node's cache: of one that reads tenants on demand, where that was played.
 func (m measured) ofTenants(whole, onDemand string, tenants float64) (float64, grounds, error) {
 	if _, played := m.of["tenants-demand"]; played {
 		return m.at("tenants-demand", "tenants", onDemand, tenants, nil)
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -93,7 +93,7 @@
 	})
 }
 
-// Tenants measures nodes and their replica by nodes and the tenants of the catalogue, which a conductor
+// Tenants measures nodes and their replica by nodes and the tenants of the catalogue, which a controller
 // brings in.
 func (p *Pairs) Tenants(ctx context.Context, nodes, tenants []int) error {
 	return p.grid(nodes, "tenants", "pairs-tenants", func(n int, add func(int, map[string]float64)) error {
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Tenants measures a node's desk alone, by the tenants of the catalogue; the conductor takes no more than it
-// states.
+// Tenants measures a node's cache alone, by the tenants of the catalogue; the controller takes no more than
+// it states.
 func Tenants(ctx context.Context, run Run, sizes []int, say func(Point)) error {
 	return run.points(ctx, "tenants", "tenants", sizes, nil, say, func(n int) (map[string]float64, error) {
 		empty, _ := heap()
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -18,7 +18,7 @@
 // workingSet is how many tenants a node works with in the measurement, of all that there are.
 const workingSet = 2000
 
-// recordStore stands for the list service, whose records are fewer than the plan's tenants. What
+// recordStore stands for the registry, whose records are fewer than the plan's tenants. What
 // a node reads is counted as its values' bytes: an answer's head and envelope come on top.
 type recordStore struct {
 	all   map[string]registry.Record
@@ -41,7 +41,7 @@
 	return float64(n)
 }
 
-// conducted is the conductor's machine over records, with all its tenants at rest.
+// conducted is the controller's machine over records, with all its tenants at rest.
 type conducted struct {
 	recordStore
 	m       *tenant.StateMachine
@@ -95,7 +95,7 @@
 // playedOrders is how many tenants are changed in one measurement, all over the catalogue.
 const playedOrders = 20
 
-// changes has tenants changed one after the other, notes the conductor's costs, and gives the
+// changes has tenants changed one after the other, notes the controller's costs, and gives the
 // heads of all catalogues, whose pages stay.
 func (c *conducted) changes(
 	ctx context.Context,
@@ -138,14 +138,14 @@
 	}
 }
 
-// demanding is a node's desk with its reader, on demand.
+// demanding is a node's cache with its reader, on demand.
 type demanding struct {
 	*tenant.Cache
 	*tenant.Reader
 	now time.Duration
 }
 
-// read has the desk take up what it wants.
+// read has the cache take up what it wants.
 func (d *demanding) read(ctx context.Context) error {
 	d.now += time.Second
 	got, err := d.Read(ctx, func() time.Duration { return d.now }, d.Wanted())
@@ -154,8 +154,8 @@
 	return err
 }
 
-// TenantsOnDemand measures a node that reads what its requests name, and the conductor that writes for it, by
-// the tenants that there are.
+// TenantsOnDemand measures a node that reads what its requests name, and the controller that writes for it,
+// by the tenants that there are.
 func TenantsOnDemand(ctx context.Context, run Run, sizes []int, say func(Point)) error {
 	return run.points(
 		ctx,
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -25,7 +25,7 @@
 	arriveTogether = 200             // watchers that come at once
 )
 
-// Lists says against which programs the list service's part is measured.
+// Lists says against which programs the registry's part is measured.
 type Lists struct {
 	Run
 	Dir     string        // for what the programs keep
--- a/internal/lab/spec/acts.go
+++ b/internal/lab/spec/acts.go
@@ -12,7 +12,7 @@
 
 // act is what a fault may be.
 type act struct {
-	on    string          // what it is done to: node, link, box or discovery
+	on    string          // what it is done to: node, link, backend or discovery
 	lasts bool            // it needs a length
 	keys  map[string]bool // what else it takes
 	needs []string        // of them
--- a/internal/lab/spec/check.go
+++ b/internal/lab/spec/check.go
@@ -11,7 +11,7 @@
 const (
 	leastLength = 2 * time.Second
 	mostLength  = time.Hour
-	leastDrain  = 4 * time.Second // grace, and the box's end after it
+	leastDrain  = 4 * time.Second // grace, and the backend's end after it
 	mostNodes   = 300
 	mostBoxes   = 1000
 
@@ -278,8 +278,8 @@
 	return errs
 }
 
-// overlaps finds faults that can't both be carried out: two that stop or start one process, or one box, at
-// once.
+// overlaps finds faults that can't both be carried out: two that stop or start one process, or one backend,
+// at once.
 func (e *Experiment) overlaps() []error {
 	type span struct {
 		i    int
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -16,11 +16,11 @@
 	Discovery = "discovery"
 
 	Conductors = "conductors" // all of them, for links
-	Agents     = "agents"     // of the boxes' machines
+	Agents     = "agents"     // of the backends' machines
 )
 
-// Parties gives those that the names stand for: n0, s0, nodes, boxes, clients,
-// discovery, zone:N or a zone's name (its nodes and boxes).
+// Parties gives those that the names stand for: n0, s0, nodes, backends, clients,
+// discovery, zone:N or a zone's name (its nodes and backends).
 func (e *Experiment) Parties(names []string) ([]string, error) {
 	var all []string
 	for _, name := range names {
@@ -82,7 +82,7 @@
 	return all
 }
 
-// kindOf tells a node from a box.
+// kindOf tells a node from a backend.
 func kindOf(party string) string {
 	switch {
 	case party == Clients, party == Discovery, party == Conductors, party == Agents:
@@ -102,7 +102,7 @@
 }
 
 // suits tells whether something can be done to a party. What ends or stops a
-// process can be done to a replica of the list service or a worker as well as to a node.
+// process can be done to a replica of the registry or a worker as well as to a node.
 func suits(do, party string) bool {
 	kind := kindOf(party)
 	process := do == "kill" || do == "pause" || do == "restart"
@@ -247,7 +247,7 @@
 	return s
 }
 
-// a process or a box is left alone so long between two faults of its own
+// a process or a backend is left alone so long between two faults of its own
 const settle = Duration(2 * time.Second)
 
 func clashes(s Step, others []Step) bool {
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -78,7 +78,7 @@
 // Load says what clients ask for. One of Rate and Use is given.
 type Load struct {
 	Rate   float64 `toml:"rate"` // operations a second
-	Use    float64 `toml:"use"`  // as a share of what all warm boxes can do
+	Use    float64 `toml:"use"`  // as a share of what all warm backends can do
 	Bursty bool    `toml:"bursty"`
 	Swing  float64 `toml:"swing"` // of a bursty one, as a part of the rate
 	Skew   float64 `toml:"skew"`  // what the first zone has beyond its even share, as a part of it
@@ -104,41 +104,41 @@
 // List says how late discovery tells of things.
 type List struct {
 	Notice Duration `toml:"notice"` // a change reaches a node so late, give or take half; 0: drawn
-	Silent Duration `toml:"silent"` // the loss of a box that says nothing; 0: drawn
+	Silent Duration `toml:"silent"` // the loss of a backend that says nothing; 0: drawn
 
-	// of the project's own list service, in place of the lab's discovery; 0: none
+	// of the project's own registry, in place of the lab's discovery; 0: none
 	Replicas  int  `toml:"replicas"`
 	Direct    bool `toml:"direct"`    // nodes follow the service by themselves, without an agent
 	Followers int  `toml:"followers"` // further clients that follow the service
 }
 
-// Duties says which processes hold duties, beside the nodes.
+// Leases says which processes hold leases, beside the nodes.
 type Duties struct {
 	Workers int      `toml:"workers"` // d0, d1 and so on; 0: none
-	Count   int      `toml:"count"`   // of duties that all of them want
+	Count   int      `toml:"count"`   // of leases that all of them want
 	TTL     Duration `toml:"ttl"`     // of their sessions
-	Guard   bool     `toml:"guard"`   // the resource on which they act checks fences
-	Spread  bool     `toml:"spread"`  // duties are shared out evenly
+	Guard   bool     `toml:"guard"`   // the resource on which they act checks fencing tokens
+	Spread  bool     `toml:"spread"`  // leases are shared out evenly
 }
 
-// Release is a release of all boxes that real conductors carry out.
+// Release is a release of all backends that real controllers carry out.
 type Release struct {
 	At         Duration  `toml:"at"`
 	Conductors int       `toml:"conductors"` // c0, c1 and so on
-	Out        int       `toml:"out"`        // boxes at once
-	Waves      []float64 `toml:"waves"`      // shares of the boxes
+	Out        int       `toml:"out"`        // backends at once
+	Waves      []float64 `toml:"waves"`      // shares of the backends
 	Soak       Duration  `toml:"soak"`
 	Least      int       `toml:"least"`    // requests that a gate needs of either part
 	Gateless   bool      `toml:"gateless"` // every gate passes
 	Halt       string    `toml:"halt"`     // wait or back
-	Slower     float64   `toml:"slower"`   // boxes of the new version work so many times slower
+	Slower     float64   `toml:"slower"`   // backends of the new version work so many times slower
 	Fails      float64   `toml:"fails"`    // and that part of their requests fails
 	End        string    `toml:"end"`      // the phase that it has to come to
 }
 
 // Quota is a policy of one limit, on the requests of the whole fleet, that keepers share out.
 type Quota struct {
-	Holders int           `toml:"holders"` // k0, k1 and so on: keepers that may hold the duty
+	Holders int           `toml:"holders"` // k0, k1 and so on: keepers that may hold the lease
 	Rate    float64       `toml:"rate"`    // requests a second
 	Burst   float64       `toml:"burst"`
 	Changes []QuotaChange `toml:"change"`
@@ -186,14 +186,14 @@
 	Refused   *float64           `toml:"refused"`   // most that end refused
 	Class     map[string]float64 `toml:"class"`     // least share served, by class
 	P99       map[string]string  `toml:"p99"`       // most, by class, of served ones
-	Holder    Duration           `toml:"holder"`    // the longest that a duty may be without a holder
+	Holder    Duration           `toml:"holder"`    // the longest that a lease may be without a holder
 	Followers Duration           `toml:"followers"` // until 99% of them know of a change, from the first on
 	Recovered Duration           `toml:"recovered"`
 	// part of what was served before the first fault that counts as recovered; 0: recoveredAt
 	Level float64 `toml:"recovered_at"`
 	// least part of the quota that is used, over the whole run
 	Used     float64 `toml:"used"`
-	Attempts float64 `toml:"attempts"` // most attempts at boxes for an operation, in the mean
+	Attempts float64 `toml:"attempts"` // most attempts at backends for an operation, in the mean
 }
 
 // recoveredAt leaves room for what single seconds of a hundred operations differ by.
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -37,7 +37,7 @@
 	Usage float64 // asked for, over its share
 }
 
-// Machine is one app box.
+// Machine is one app backend.
 type Machine struct {
 	Name, Kind, Zone string
 	Pod              int
--- a/internal/membership/gossip/report.go
+++ b/internal/membership/gossip/report.go
@@ -32,7 +32,7 @@
 	State       string `json:"state"`  // joining, serving, draining, leaving
 	Generation  uint64 `json:"life"`
 	Incarnation uint32 `json:"incarnation"`
-	AgeMS       int64  `json:"age_ms"` // since it has this life and health
+	AgeMS       int64  `json:"age_ms"` // since it has this generation and health
 	Reason      string `json:"why"`
 	Accusers    string `json:"by"` // names of its accusers, by comma
 	Zone        string `json:"zone"`
--- a/internal/membership/gossip/shell.go
+++ b/internal/membership/gossip/shell.go
@@ -115,7 +115,7 @@
 	}.Check()
 }
 
-// coreConfig has the node begin a new life, unless one was handed over.
+// coreConfig has the node begin a new generation, unless one was handed over.
 func (s *Server) coreConfig() membership.Config {
 	cfg := s.cfg
 	c := membership.Config{
@@ -137,7 +137,7 @@
 			return on
 		}
 		cfg.Log.Warn(
-			"the life of the process before can't be gone on with",
+			"cannot continue the previous generation",
 			"life",
 			h.Generation,
 			"incarnation",
--- a/internal/membership/gossip/shell_test.go
+++ b/internal/membership/gossip/shell_test.go
@@ -61,7 +61,7 @@
 	return all
 }
 
-// TestShell: the facts that are set get around, a life is handed over, a leave is told, figures fit, and nothing stays behind.
+// TestShell: the facts that are set get around, a generation is handed over, a leave is told, figures fit, and nothing stays behind.
 func TestShell(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -8,9 +8,9 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// compare orders two statements on one name: the later life, then the higher incarnation, then the graver
-// health. Two statements equal in these but of different facts come from two processes of one name; their
-// bytes decide, so that all nodes agree.
+// compare orders two statements on one name: the later generation, then the higher incarnation, then the
+// graver health. Two statements equal in these but of different facts come from two processes of one name;
+// their bytes decide, so that all nodes agree.
 func compare(a, b wire.Statement) int {
 	return cmp.Or(
 		cmp.Compare(a.Generation, b.Generation),
--- a/internal/membership/name_test.go
+++ b/internal/membership/name_test.go
@@ -20,7 +20,7 @@
 	return w.start(cfg)
 }
 
-// Restarted within a probe period with nothing remembered, with its clock gone on or back: nobody takes it for dead, and all see the new life.
+// Restarted within a probe period with nothing remembered, with its clock gone on or back: nobody takes it for dead, and all see the new generation.
 func TestRestart(t *testing.T) {
 	for _, life := range []uint64{5000, 3} {
 		w, nodes := fleetOf(t, 21, 8)
@@ -44,7 +44,7 @@
 	w, nodes := fleetOf(t, 22, 8)
 	old := nodes[3].self.statement
 	nodes[3].up = false
-	n := w.again(nodes[3], old.Generation, old.Incarnation) // even with the former process's last incarnation
+	n := w.again(nodes[3], old.Generation, old.Incarnation) // even with the previous process's last incarnation
 	w.handle(n, MetadataChanged{Metadata{Zone: "zone-a", Version: "1.5.0", State: Serving}})
 	w.mustSettle(5*time.Second, "an upgrade")
 	if m := nodes[0].sees("n3"); m.Generation != old.Generation || m.Incarnation > old.Incarnation+2 || m.Metadata.Version != "1.5.0" {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A datagram of a former life changes nothing, and neither does one said before a death.
+// A datagram of a previous generation changes nothing, and neither does one said before a death.
 func TestStaleDatagram(t *testing.T) {
 	w, nodes := fleetOf(t, 24, 5)
 	old := Received{From: addrOf(3), Data: nodes[3].appendBroadcasts(nodes[3].newHeader(wire.Gossip), nodes[3].self)}
--- a/internal/membership/own.go
+++ b/internal/membership/own.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// youngTime is how long after it has met the fleet a process may find that its own former life is remembered
-	// as a higher one: its clock has gone back. Later a higher life is another process.
+	// youngTime is how long after it has met the fleet a process may find that its own previous generation is
+	// remembered as a higher one: its clock has gone back. Later a higher generation is another process.
 	youngTime = 10 * time.Second
 	// maxOwnEchoes is how many words of its own name and life that it never said a process puts down to an
 	// upgrade; further ones come from a twin.
@@ -24,7 +24,7 @@
 type ownState struct {
 	hasMet        bool // anybody of the fleet
 	metAt         Time
-	hasRaised     bool // has taken a life above one that it was told
+	hasRaised     bool // has taken a generation above one that it was told
 	echoes        int
 	announcedLoad uint16 // told last
 }
@@ -86,9 +86,9 @@
 	return true
 }
 
-// meetHigherGeneration hears of a life of its own name above its own. A young process that hears it for the
-// first time takes one more: that was itself before a restart. Any other yields: there is a second process,
-// and the later one keeps the name. As a process raises its life once, this ends.
+// meetHigherGeneration hears of a generation of its own name above its own. A young process that hears it for
+// the first time takes one more: that was itself before a restart. Any other yields: there is a second
+// process, and the later one keeps the name. As a process raises its generation once, this ends.
 func (c *Core) meetHigherGeneration(life uint64, from netip.AddrPort) {
 	if !c.ownState.hasRaised && (!c.ownState.hasMet || c.now-c.ownState.metAt < youngTime) {
 		c.raiseGeneration(life + 1)
@@ -108,7 +108,7 @@
 	)
 }
 
-// raiseGeneration goes on in a life of at least this number.
+// raiseGeneration goes on in a generation of at least this number.
 func (c *Core) raiseGeneration(life uint64) {
 	if life >= wire.MaxGeneration {
 		return
@@ -130,7 +130,7 @@
 }
 
 // receiveFromOwnName is a datagram of a process of the same name. Own ones that come back through a seed are
-// of the same life.
+// of the same generation.
 func (c *Core) receiveFromOwnName(d wire.Datagram, from netip.AddrPort) {
 	if d.Generation > c.self.statement.Generation {
 		c.meetHigherGeneration(d.Generation, from)
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -6,8 +6,8 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// strangersPerPeriod bounds the answers to those who are not known or come from a former life. With it 300
-// joins in a second over one seed are answered within one, and a flood costs no more.
+// strangersPerPeriod bounds the answers to those who are not known or come from a previous generation. With
+// it 300 joins in a second over one seed are answered within one, and a flood costs no more.
 const strangersPerPeriod = 64
 
 // correctionsPerPeriod bounds the datagrams that only tell a sender the newer word of this node. Nodes hear
@@ -47,9 +47,9 @@
 }
 
 // applyDatagram takes up the statements in a datagram, the sender's on itself first. Of a sender that is
-// unknown, of another life, dead or left nothing else is believed but what concerns this node, which it can
-// refute: so one that was cut off does not spread its deaths. tellSelf says that the sender has an old word
-// of this node.
+// unknown, of another generation, dead or left nothing else is believed but what concerns this node, which it
+// can refute: so one that was cut off does not spread its deaths. tellSelf says that the sender has an old
+// word of this node.
 func (c *Core) applyDatagram(d wire.Datagram, from netip.AddrPort) (r *memberState, tellSelf bool) {
 	for _, st := range d.Statements {
 		if wire.Hash(st.Name) == d.Sender && st.Generation == d.Generation {
@@ -71,9 +71,9 @@
 	return c.byHash[d.Sender], tellSelf
 }
 
-// contradicts says that a sender's own statement, already merged, is not what holds of it in its life. It is
-// a process beside another of its name and life, which answers by name would miss, or (harmless) an overtaken
-// datagram.
+// contradicts says that a sender's own statement, already merged, is not what holds of it in its generation.
+// It is a process beside another of its name and life, which answers by name would miss, or (harmless) an
+// overtaken datagram.
 func contradicts(d wire.Datagram, r *memberState) bool {
 	for _, st := range d.Statements {
 		if st.Name == r.statement.Name && st.Generation == r.statement.Generation {
@@ -164,8 +164,8 @@
 	return d.Kind == wire.Ping && len(d.Statements) > 0 && wire.Hash(d.Statements[0].Name) == d.Sender
 }
 
-// answerStranger answers a ping of one that is not known, or of a life that is not the one known, where it
-// came from. It hears what is known of its name, so that it can take a higher life.
+// answerStranger answers a ping of one that is not known, or of a generation that is not the one known, where
+// it came from. It hears what is known of its name, so that it can take a higher generation.
 func (c *Core) answerStranger(d wire.Datagram, from netip.AddrPort, lead *memberState) {
 	if d.Kind != wire.Ping || c.strangerBudget <= 0 || !from.IsValid() {
 		return
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -12,7 +12,7 @@
 	hash         uint64
 	statement    wire.Statement
 	sum          uint64
-	since        Time // of this life and health
+	since        Time // of this generation and health
 	inDigest     bool // covered by the digest
 	suspectSince Time // when the suspicion began to count, lateness added
 	revision     uint32
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -37,7 +37,7 @@
 	Incarnation uint32
 	Health      Health
 	Metadata    Metadata
-	Since       Time // since when it has this life and health, on the owner's clock
+	Since       Time // since when it has this generation and health, on the owner's clock
 	// why it is suspect, dead or left, and the names of its accusers (at most three, by comma)
 	Reason, Accusers string
 }
--- a/internal/membership/wire/fact.go
+++ b/internal/membership/wire/fact.go
@@ -8,8 +8,8 @@
 	"net/netip"
 )
 
-// Health is what others, or the member itself, say of a member. Within one life and incarnation the higher
-// one holds.
+// Health is what others, or the member itself, say of a member. Within one generation and incarnation the
+// higher one holds.
 type Health uint8
 
 // Left is said by the member alone; Suspect and Dead are said by others.
@@ -50,7 +50,7 @@
 	Zone, Version string // printable ASCII, at most MaxText bytes each
 	Catalogue     uint64 // version of the tenants' catalogue that the member has
 	Policy        uint64 // version of the policy that the member has
-	FencingToken  uint64 // fence under which it holds the duty of sharing out quotas; 0: it doesn't
+	FencingToken  uint64 // fencing token under which it holds the lease of sharing out quotas; 0: it doesn't
 	Load          uint16 // per mille; told in passing, not covered by the digest
 	State         State
 }
@@ -64,7 +64,7 @@
 	Incarnation   uint32
 	Health        Health
 	Metadata      Metadata
-	LoadSeq       uint32    // raised by the member with each new load of a life
+	LoadSeq       uint32    // raised by the member with each new load of a generation
 	Accusers      [3]uint64 // hashes of the names of accusers, ascending, 0 last: the three smallest
 	Age           uint16    // of a dead or left one: tenths of a second since; at most MaxAge
 	UnknownFields string    // fields of newer versions, kept and passed on, at most MaxExtra bytes
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -12,7 +12,7 @@
 func (n *Server) startAttempt(a balancer.StartAttempt) {
 	r := n.requests[a.ID]
 	if r == nil {
-		n.log.Error("the module sends a request that is not open", "id", a.ID)
+		n.log.Error("attempt for a request that is not open", "id", a.ID)
 		return
 	}
 	number := len(r.cancelAttempts)
--- a/internal/proxy/behind_test.go
+++ b/internal/proxy/behind_test.go
@@ -22,7 +22,7 @@
 	"half-closed": func(c raw) { _ = c.CloseWrite() },
 }
 
-// TestClientThatLeavesIsHeard, whatever it has sent behind its request, which is then not sent on and counts no more.
+// TestClientThatLeavesIsHeard, whatever it has sent behind its request, which is then not forwarded and counts no more.
 func TestClientThatLeavesIsHeard(t *testing.T) {
 	server, got, gone := silentServer(t)
 	n := startNode(t, server)
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// benchNode is a node with one server, which takes bodies of one size, and a connection to the node.
+// benchNode is a proxy with one server, which takes bodies of one size, and a connection to the proxy.
 func benchNode(b *testing.B, body int, change func(*Config)) net.Conn {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +72,7 @@
 	return c
 }
 
-// BenchmarkWhole is one request through the whole node, on kept connections. Processor time and the time waited include the
+// BenchmarkWhole is one request through the whole proxy, on kept connections. Processor time and the time waited include the
 // client's and the server's, which allocate nothing.
 func BenchmarkWhole(b *testing.B) {
 	for _, k := range []struct {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -13,38 +13,39 @@
 	"wrenspread/internal/simwire"
 )
 
-// What a node without stated limits may use.
+// What a proxy without stated limits may use.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// Config is what a node is told at its start.
+// Config is what a proxy is told at its start.
 type Config struct {
 	Name           string
 	Listen         string   // where clients connect
 	Discovery      string   // where the list of servers comes from, unless List says so
-	Registry       []string // addresses of the project's own list service; it goes before Discovery
+	Registry       []string // addresses of the project's own registry; it goes before Discovery
 	RegistryCache  string   // where the list is kept for the next start; empty: nowhere
-	RegistrySubset bool     // of the list service's list, the part that the node works with is followed
+	RegistrySubset bool     // of the registry's list, the part that the proxy works with is followed
 	Control        string   // where operators call; empty: nowhere
-	FencingFolder  string   // folder for the fences seen there; empty: they are forgotten with the process
-	BackendStats   bool     // the figures for operators tell servers apart
+	// folder for the fencing tokens seen there; empty: they are forgotten with the process
+	FencingFolder  string
+	BackendStats   bool // the figures for operators tell servers apart
 	Seed           int64
 	MemoryMB       int
 	MaxDescriptors int // file descriptors
 	Settings       balancer.Settings
 
-	PeerListen string           // where other nodes' messages come; empty: nowhere
-	Peers      []netip.AddrPort // of all nodes, by their numbers; invalid: not to be reached
+	PeerListen string           // where other proxies' messages come; empty: nowhere
+	Peers      []netip.AddrPort // of all proxies, by their numbers; invalid: not to be reached
 
 	Membership MembershipConfig // the view of the fleet
-	// the operators' policy is followed, and its limits are shared with the other nodes
+	// the operators' policy is followed, and its limits are shared with the other proxies
 	Policy bool
 
 	Tenants TenantsConfig
 
-	initialList registry.ListResponse // the servers as the node last had them
+	initialList registry.ListResponse // the servers as the proxy last had them
 	rawFile     any                   // all of the file, as JSON has it
 }
 
@@ -98,7 +99,7 @@
 	return c, nil
 }
 
-// config makes what the node works with, and says all that is wrong.
+// config makes what the proxy works with, and says all that is wrong.
 func (in *configForm) config() (c Config, problems []error) {
 	wrong := func(format string, args ...any) { problems = append(problems, fmt.Errorf(format, args...)) }
 	var settings balancer.Settings
@@ -110,7 +111,7 @@
 		for _, err := range all {
 			wrong("settings: %w", err)
 		}
-		// servers take nothing from a node but clients' requests, whatever the simulator's may
+		// servers take nothing from a proxy but clients' requests, whatever the simulator's may
 		settings.AllowLoadQueries = false
 	}
 	for _, a := range in.addresses() {
@@ -154,7 +155,7 @@
 	if settings.AllowGossip {
 		c.PeerListen = in.PeerListen
 		for _, peer := range in.Peers {
-			a, _ := netip.ParseAddrPort(peer) // a node that can't be told of a load serves all the same
+			a, _ := netip.ParseAddrPort(peer) // a proxy that can't be told of a load serves all the same
 			c.Peers = append(c.Peers, a)
 		}
 	}
@@ -172,7 +173,7 @@
 
 type keyedValue struct{ key, value string }
 
-// addresses gives those without which the node does not start.
+// addresses gives those without which the proxy does not start.
 func (in *configForm) addresses() []keyedValue {
 	all := []keyedValue{{"listen", in.Listen}}
 	for _, a := range in.List {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -22,10 +22,10 @@
 // connection and costs the server nothing.
 const lateResponseRest = 5 * time.Millisecond
 
-// errNoCapacity says that this node has no room for a connection.
+// errNoCapacity says that this proxy has no room for a connection.
 var errNoCapacity = errors.New("too many connections")
 
-// ownLimit tells whether the node itself could not open a connection, which
+// ownLimit tells whether the proxy itself could not open a connection, which
 // says nothing of the server.
 func ownLimit(err error) bool {
 	for _, limit := range []error{errNoCapacity, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
@@ -61,7 +61,7 @@
 	for ; c != nil; b, c, dialer, err = p.take(id) {
 		// A connection that its server has closed, or on which it said
 		// something unasked, would end as a reset that may have run. Nothing
-		// has been sent on it, so another one can do.
+		// has been forwarded it, so another one can do.
 		if p.pause(ctx, lateResponseRest-time.Since(c.idleAt)) && isQuiet(c.Conn) {
 			return c, nil
 		}
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -38,7 +38,7 @@
 		}
 		if err != nil && !said && ctx.Err() == nil {
 			said = true
-			n.log.Error("operators are not served, trying again", "err", err)
+			n.log.Error("control address not available, retrying", "err", err)
 		}
 		backoff.Sleep(ctx, controlRetry)
 	}
@@ -109,8 +109,8 @@
 	})
 }
 
-// serveMaintenance takes a call, unless it names a fence and a later holder of
-// that duty has called here.
+// serveMaintenance takes a call, unless it names a fencing token and a later holder of
+// that lease has called here.
 func (n *Server) serveMaintenance(w http.ResponseWriter, r *http.Request, on bool) {
 	if status, err := n.fencing.CheckRequest(r); err != nil {
 		http.Error(w, err.Error(), status)
--- a/internal/proxy/control_test.go
+++ b/internal/proxy/control_test.go
@@ -12,7 +12,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// operate opens a node's address for operators.
+// operate opens a proxy's address for operators.
 func (n *running) operate(t *testing.T) (address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -118,14 +118,14 @@
 }
 
 // TestGivenUpAttemptIsClosed: the server must see the end of an attempt no
-// later than the module is told, or a further attempt could overlap it.
+// later than the balancer is told, or a further attempt could overlap it.
 func TestGivenUpAttemptIsClosed(t *testing.T) {
 	for name, want := range map[string]balancer.Outcome{"timed out": balancer.TimedOut, "cancelled": balancer.Cancelled} {
 		got, gone := make(chan struct{}), make(chan struct{})
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			readRequest(r)
 			close(got)
-			_, _ = r.ReadByte() // until the node closes
+			_, _ = r.ReadByte() // until the proxy closes
 			close(gone)
 		}))
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -14,7 +14,7 @@
 
 const (
 	// leaveTimeout bounds how long the process stays to tell the others that it goes on purpose: eight periods
-	// of 200 ms, and some for a node that is late.
+	// of 200 ms, and some for a proxy that is late.
 	leaveTimeout = 2500 * time.Millisecond
 	// reportTimeout is for the view's owner to get to a call: it has a millisecond of work at a time.
 	reportTimeout = 800 * time.Millisecond
@@ -22,7 +22,7 @@
 	membershipKinds, membershipKindsMore = 0x4, 0x5
 )
 
-// identity is what the node says of itself in its life.
+// identity is what the proxy says of itself in its generation.
 type identity struct {
 	number          int // among the peers, -1: none
 	zone            string
@@ -40,7 +40,7 @@
 	return o
 }
 
-// startMembership begins the node's part in the view of the fleet, if its configuration names one, at the
+// startMembership begins the proxy's part in the view of the fleet, if its configuration names one, at the
 // peers' socket.
 func (n *Server) startMembership(p *peerSocket, handed *gossip.Handoff) {
 	c := n.config.Membership
@@ -85,7 +85,7 @@
 	return others
 }
 
-// localState tells the fleet what the node does. One that takes over from a process of its own goes on with
+// localState tells the fleet what the proxy does. One that takes over from a process of its own goes on with
 // that one's state until it accepts.
 func (n *Server) localState(handed *gossip.Handoff) func() (membership.State, uint16) {
 	return func() (membership.State, uint16) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// leaveMembership tells the fleet that this node goes on purpose. A node that handed over has nothing to
+// leaveMembership tells the fleet that this proxy goes on purpose. A proxy that handed over has nothing to
 // tell.
 func (n *Server) leaveMembership(ctx context.Context) {
 	if shell := n.membership.Load(); shell != nil {
@@ -121,7 +121,7 @@
 	}
 	handed, err := json.Marshal(shell.HandOver())
 	if err != nil {
-		n.log.Error("the life in the fleet is not handed over", "err", err)
+		n.log.Error("membership not handed off", "err", err)
 	}
 	return handed
 }
@@ -133,13 +133,13 @@
 	}
 	h := &gossip.Handoff{}
 	if err := json.Unmarshal(raw, h); err != nil {
-		n.log.Warn("the fleet sees a restart: the life of the process before can't be read", "err", err)
+		n.log.Warn("membership handoff unreadable, members see a restart", "err", err)
 		return nil
 	}
 	return h
 }
 
-// serveFleet tells an operator what the node sees.
+// serveFleet tells an operator what the proxy sees.
 func (n *Server) serveFleet(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), reportTimeout)
 	defer cancel()
--- a/internal/proxy/fleet_config.go
+++ b/internal/proxy/fleet_config.go
@@ -30,7 +30,7 @@
 type MembershipConfig struct {
 	Name          string
 	Join          []netip.AddrPort // to join by; none: the configured peers
-	Address       netip.AddrPort   // where others reach this node
+	Address       netip.AddrPort   // where others reach this proxy
 	ProbeInterval time.Duration    // from one probe to the next; 0: the usual one
 }
 
@@ -42,7 +42,7 @@
 	PeriodMS int      `json:"period_ms"`
 }
 
-// config checks the key for a node of this name, which listens there for others. f may be nil.
+// config checks the key for a proxy of this name, which listens there for others. f may be nil.
 func (f *fleetForm) config(node, listen string, s balancer.Settings) (c MembershipConfig, problems []error) {
 	if f == nil {
 		return c, nil
@@ -90,7 +90,7 @@
 
 const membershipOff = "the view stays off, as the settings allow no messages between nodes (settings.caps.peers)"
 
-// withoutMembership is the configuration of a node that may send no messages to others.
+// withoutMembership is the configuration of a proxy that may send no messages to others.
 func (c Config) withoutMembership(log *slog.Logger) Config {
 	if c.Membership.Name != "" && !c.Settings.AllowGossip {
 		log.Warn(membershipOff, "fleet", c.Membership.Name)
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestViewNeedsMessages: where the settings allow none between nodes, there is no view, and the log says why.
+// TestViewNeedsMessages: where the settings allow none between proxies, there is no view, and the log says why.
 func TestViewNeedsMessages(t *testing.T) {
 	for _, may := range []bool{false, true} {
 		cfg := testConfig("127.0.0.1:1")
@@ -81,7 +81,7 @@
 	}
 }
 
-// BenchmarkInFleet is the same request as BenchmarkWhole's, in a node that keeps a view with another one.
+// BenchmarkInFleet is the same request as BenchmarkWhole's, in a proxy that keeps a view with another one.
 func BenchmarkInFleet(b *testing.B) {
 	first := netip.AddrPort{}
 	benchNode(b, 0, func(c *Config) { inFleet(b, c); first = c.Membership.Address })
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -115,7 +115,7 @@
 		"03;a=b\r\nren\r\n1\r\nt\r\n0\r\nX-Trailer: t\r\n\r\n",
 }
 
-// TestFormsInPieces: a request gets its answer byte by byte too, and any part of one of which the client leaves is not sent on.
+// TestFormsInPieces: a request gets its answer byte by byte too, and any part of one of which the client leaves is not forwarded.
 func TestFormsInPieces(t *testing.T) {
 	for i, form := range forms {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -127,7 +127,7 @@
 				c := n.dial(t)
 				besteffort.Output(io.WriteString(c, part[:cut]))
 				_ = c.CloseWrite()
-				_, _ = io.Copy(io.Discard, c) // the node is done with it
+				_, _ = io.Copy(io.Discard, c) // the proxy is done with it
 			}
 			c := n.dial(t)
 			for _, b := range fmt.Sprintf(form, "whole") {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -39,7 +39,7 @@
 	// closed when the process has ended that accepts in its place
 	successorEnded chan struct{}
 	killTimeout    time.Duration
-	latestDeadline atomic.Int64              // deadline of a request read so far, from the node's start
+	latestDeadline atomic.Int64              // deadline of a request read so far, from the proxy's start
 	answerBy       atomic.Pointer[time.Time] // for requests that come from now on; nil: their deadlines
 }
 
@@ -118,7 +118,7 @@
 	}
 }
 
-// askToClose has a client close after the answer that is written next, if the node
+// askToClose has a client close after the answer that is written next, if the proxy
 // drains. If some of its next request has been read, that is answered before.
 func (f *frontend) askToClose(w http.ResponseWriter, r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); f.draining.Load() && (!ok || !c.Pending()) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// serving tells whether the node takes new clients.
+// serving tells whether the proxy takes new clients.
 func (f *frontend) serving() bool { return f.ready.Load() && f.accepting.Load() && !f.draining.Load() }
 
 // acceptsNow tells whether it takes them now: it does not while all places are in use.
@@ -211,7 +211,7 @@
 	err := a.stream.writeTo(w, req.deadline)
 	a.stream.ended <- err
 	if err != nil {
-		f.server.log.Info("a long answer breaks off", "id", req.id, "err", err)
+		f.server.log.Info("streamed response broke off", "id", req.id, "err", err)
 		return requestResult{outcome: outcomeAborted, truncated: true}
 	}
 	return requestResult{outcome: outcomeSucceeded, answered: true}
--- a/internal/proxy/full_test.go
+++ b/internal/proxy/full_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestReadinessWhereNobodyCanBeTaken: with all places in use a client that comes is shut, and neither health check says
-// that the node is ready; both do once a place is free.
+// that the proxy is ready; both do once a place is free.
 func TestReadinessWhereNobodyCanBeTaken(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNodeWith(t, func(n *Server) { n.frontend.maxConnections = 2 }, server)
--- a/internal/proxy/govern.go
+++ b/internal/proxy/govern.go
@@ -33,7 +33,7 @@
 	TenantsOnDemand bool `json:"tenants_on_demand"`
 }
 
-// check says what else a governed node needs.
+// check says what else a governed proxy needs.
 func (g *policyForm) check(c Config) (problems []error) {
 	if g == nil {
 		return nil
@@ -63,14 +63,14 @@
 	return problems
 }
 
-// policyFollower is a node's part in the operators' policy and in the shares of its limits. Only figures are
+// policyFollower is a proxy's part in the operators' policy and in the shares of its limits. Only figures are
 // not the loop's.
 type policyFollower struct {
 	client       *client.Client // for records alone
 	ledger       *quota.Ledger
 	policyKnown  bool // the policy, or that there is none, has been heard of in this process
 	ticks        int
-	highestToken uint64 // the highest fence that was told
+	highestToken uint64 // the highest fencing token that was told
 
 	version, token, requests, rejected atomic.Uint64
 	fallbackSuspended, hasSlot         atomic.Bool
@@ -129,13 +129,13 @@
 	}()
 }
 
-// applyPolicy takes the table that holds, whole: the shares and the module change over between two events. A
-// table that can't be read changes nothing, as one of a later program may come to nodes of this one.
+// applyPolicy takes the table that holds, whole: the shares and the balancer change over between two events.
+// A table that can't be read changes nothing, as one of a later program may come to proxies of this one.
 func (n *Server) applyPolicy(r client.Records) {
 	g, one := n.policy, record.Find(r, record.CurrentKey)
 	t, err := record.DecodeTable(one)
 	if err != nil {
-		n.log.Error("the policy stays as it was", "err", err)
+		n.log.Error("new policy is invalid, keeping the present one", "err", err)
 		return
 	}
 	if g.policyKnown && one.Version == g.version.Load() {
@@ -164,7 +164,7 @@
 func (n *Server) applyAllocator(r client.Records) {
 	s, err := record.ReadAllocator(record.Find(r, record.AllocatorKey))
 	if err != nil {
-		n.log.Error("who shares limits out can't be read", "err", err)
+		n.log.Error("allocator record unreadable", "err", err)
 		return
 	}
 	if s.Token > n.policy.highestToken {
@@ -210,7 +210,7 @@
 	}
 }
 
-// leaveQuotas admits nothing any more and tells the holder so, so that this node's shares are free at once.
+// leaveQuotas admits nothing any more and tells the holder so, so that this proxy's shares are free at once.
 func (n *Server) leaveQuotas(ctx context.Context) {
 	if n.policy == nil {
 		return
--- a/internal/proxy/ids.go
+++ b/internal/proxy/ids.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// endpointIDs gives servers their numbers: a hash of the name, so that every node and
+// endpointIDs gives servers their numbers: a hash of the name, so that every proxy and
 // every restart agrees on them.
 type endpointIDs struct {
 	byName map[string]balancer.EndpointID
--- a/internal/proxy/leash.go
+++ b/internal/proxy/leash.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// errResponseCut ends an answer that this node may not go on with.
+// errResponseCut ends an answer that this proxy may not go on with.
 var errResponseCut = errors.New("the answer is cut off")
 
 // canceller ends from elsewhere what one goroutine is busy with, and never what comes after that.
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestNothingBeginsForAClientThatLeft, by whatever way and with whatever behind its request, also where nothing may be called off.
-// The node knows of it by itself, before the connection is there.
+// The proxy knows of it by itself, before the connection is there.
 func TestNothingBeginsForAClientThatLeft(t *testing.T) {
 	for _, w := range waiting {
 		for how, leave := range leavings {
@@ -91,7 +91,7 @@
 	}
 }
 
-// accuse has the module take all servers for suspects, so long ago that the next request to come is a trial.
+// accuse has the balancer take all servers for suspects, so long ago that the next request to come is a trial.
 func (n *running) accuse(t *testing.T) {
 	t.Helper()
 	n.on(t, func() {
--- a/internal/proxy/listener/conn.go
+++ b/internal/proxy/listener/conn.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// lingerTime is for a client to close after the node has: a round trip,
+	// lingerTime is for a client to close after the proxy has: a round trip,
 	// around the planet at most, and a busy client's own time.
 	lingerTime = 500 * time.Millisecond
 	// maxLingerBytes are read of what a client still sends then: some of the
@@ -153,7 +153,7 @@
 	return err
 }
 
-// linger ends the node's side, and drops what comes until the client's ends.
+// linger ends the proxy's side, and drops what comes until the client's ends.
 func (c *Conn) linger() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -11,16 +11,16 @@
 	"wrenspread/internal/registry/client"
 )
 
-// endpointSource is where a node's list of servers comes from. Its methods do not block,
+// endpointSource is where a proxy's list of servers comes from. Its methods do not block,
 // and are the loop's alone.
 type endpointSource interface {
 	// Follow takes lists as they are pushed, the whole one first.
 	Follow(ctx context.Context)
-	// Poll does what the module asks for where lists are not pushed.
+	// Poll does what the balancer asks for where lists are not pushed.
 	Poll(ctx context.Context, fetch, watch bool)
 }
 
-// listHold is short, so that a node soon notices a replica that is cut off without a word.
+// listHold is short, so that a proxy soon notices a replica that is cut off without a word.
 const listHold = 5 * time.Second
 
 // agentAnswerTimeout is how long a new process waits for what the agent holds, which
@@ -41,7 +41,7 @@
 	return balancer.UpdateIncremental
 }
 
-// newEndpointSource makes the client of the project's list service, where it is
+// newEndpointSource makes the client of the project's registry, where it is
 // configured, else the follower of the platform's discovery.
 func (n *Server) newEndpointSource() (endpointSource, error) {
 	listed := func(l registry.ListResponse) { n.post(func() { n.applyList(l, updateKindOf(l)) }) }
@@ -71,7 +71,7 @@
 	if s.client, err = client.New(c); err != nil {
 		return nil, err
 	}
-	if v, _ := s.client.List(); v.Version > 0 { // kept by the process before
+	if v, _ := s.client.List(); v.Version > 0 { // kept by the previous process
 		n.config.initialList = responseOf(v)
 	}
 	return s, nil
@@ -85,7 +85,7 @@
 		time.AfterFunc(n.firstListTimeout, func() { n.post(n.agentAnswered) })
 	}
 	select {
-	case <-n.listKnown: // by an address to which SIGHUP has moved the node meanwhile: what is known is older
+	case <-n.listKnown: // by an address to which SIGHUP has moved the proxy meanwhile: what is known is older
 	default:
 		n.applyList(n.config.initialList, balancer.UpdateCached)
 	}
@@ -101,7 +101,7 @@
 	n.updateReady()
 }
 
-// registrySource is the list service with its several replicas. It pushes lists for ever,
+// registrySource is the registry with its several replicas. It pushes lists for ever,
 // so a module that asks is told what is there.
 type registrySource struct {
 	client   *client.Client
@@ -139,10 +139,10 @@
 			return
 		}
 		if err := l.client.SetAddresses(cfg.Registry); err != nil {
-			n.log.Error("the list service does not move", "err", err)
+			n.log.Error("registry addresses rejected", "err", err)
 			return
 		}
-		n.log.Info("the list service moves", "to", cfg.Registry)
+		n.log.Info("registry addresses changed", "to", cfg.Registry)
 		n.config.Registry = cfg.Registry
 		if n.policy != nil {
 			_ = n.policy.client.SetAddresses(cfg.Registry) // valid, as they were taken just now
@@ -153,7 +153,7 @@
 	case *client.Platform:
 		asked := n.config.Settings.PollForEndpoints
 		if cfg.Discovery != n.config.Discovery || asked != l.Polls() {
-			n.log.Info("discovery moves", "to", cfg.Discovery, "asked", asked)
+			n.log.Info("discovery address changed", "to", cfg.Discovery, "asked", asked)
 			n.config.Discovery = cfg.Discovery
 			l.Move(n.loopContext, cfg.Discovery, asked)
 		}
@@ -161,7 +161,7 @@
 }
 
 // applyList takes a list from discovery: addresses for the sockets, the rest for
-// the module.
+// the balancer.
 func (n *Server) applyList(l registry.ListResponse, kind balancer.UpdateKind) {
 	entries := slices.Clone(l.Endpoints)
 	// In one order whatever the list's, as the numbers of names that share a
--- a/internal/proxy/lists_test.go
+++ b/internal/proxy/lists_test.go
@@ -127,10 +127,10 @@
 	cfg := n.configOf()
 	for _, want := range []string{"from=9&hold_ms=3500", "from=9&hold_ms=20000", "from=9&hold_ms=3500"} {
 		got := "none"
-		for got != "" { // what the former way still asks for
+		for got != "" { // what the previous way still asks for
 			got = wait(t, calls, "the call for the whole list")
 		}
-		for got == "" { // the module may ask again
+		for got == "" { // the balancer may ask again
 			got = wait(t, calls, "the watch")
 		}
 		if got != want {
@@ -141,7 +141,7 @@
 	}
 }
 
-// TestListService: a node that follows the list service takes the list from whichever
+// TestListService: a proxy that follows the registry takes the list from whichever
 // replica answers, and a later process starts from what was kept, with no service at all.
 func TestListService(t *testing.T) {
 	server, _ := echoServer(t)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -11,7 +11,7 @@
 
 const inboxSize = 1024
 
-// loop is the one owner of the module and the requests.
+// loop is the one owner of the balancer and the requests.
 func (n *Server) loop(ctx context.Context) {
 	defer close(n.ended)
 	for {
@@ -52,13 +52,13 @@
 	return true
 }
 
-// now is the module's clock: wall time at the start plus what has passed, so
+// now is the balancer's clock: wall time at the start plus what has passed, so
 // that it reads like the list's times and never steps back.
 func (n *Server) now() balancer.Time {
 	return time.Duration(n.start.UnixNano()) + time.Since(n.start)
 }
 
-// handle tells the module of an event and carries out what it decides, in order.
+// handle tells the balancer of an event and carries out what it decides, in order.
 func (n *Server) handle(e balancer.Event) {
 	n.pendingEvents = append(n.pendingEvents, e)
 	if len(n.pendingEvents) > 1 {
@@ -112,7 +112,7 @@
 	}
 }
 
-// sendMessage passes a message on to one node, or to all others.
+// sendMessage passes a message on to one proxy, or to all others.
 func (n *Server) sendMessage(a balancer.SendMessage) {
 	if !a.ToAll {
 		n.peers.Load().send(a.To, a.Data)
--- a/internal/proxy/maintenance_test.go
+++ b/internal/proxy/maintenance_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestFencedMaintenance: an earlier holder's call is turned down, a later one's and one without a fence are taken.
+// TestFencedMaintenance: an earlier holder's call is turned down, a later one's and one without a fencing token are taken.
 func TestFencedMaintenance(t *testing.T) {
 	n := startNode(t, refusing(t))
 	for _, c := range []struct {
--- a/internal/proxy/messages_test.go
+++ b/internal/proxy/messages_test.go
@@ -27,7 +27,7 @@
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// What other nodes say reaches the module with their numbers. Strangers, datagrams over the limit and empty ones from
+// What other proxies say reaches the balancer with their numbers. Strangers, datagrams over the limit and empty ones from
 // nobody do no harm and leave the socket in use.
 func TestMessagesBetweenNodes(t *testing.T) {
 	one, oneAddr := udpSocket(t)
@@ -87,7 +87,7 @@
 	}
 }
 
-// The module's messages leave the node, and what others say comes to it, while it serves.
+// The balancer's messages leave the proxy, and what others say comes to it, while it serves.
 func TestNodeSpeaksWithItsPeers(t *testing.T) {
 	other, addr := udpSocket(t)
 	c := testConfig("127.0.0.1:1")
@@ -128,7 +128,7 @@
 	}
 }
 
-// A socket that can't be had, or addresses that can't be read, must not keep a node from serving.
+// A socket that can't be had, or addresses that can't be read, must not keep a proxy from serving.
 func TestPeersThatCannotBeReached(t *testing.T) {
 	taken, addr := udpSocket(t)
 	defer besteffort.Close(taken)
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -1,4 +1,4 @@
-// Package node carries out the decisions of package decide on real sockets: it
+// Package proxy carries out the decisions of package decide on real sockets: it
 // takes clients' requests, sends them to servers, follows the list of servers
 // and answers, each request once and in time.
 package proxy
@@ -24,7 +24,7 @@
 	shortWait = 50 * time.Millisecond
 )
 
-// Server is one load-balancing proxy node.
+// Server is one load-balancing proxy.
 type Server struct {
 	config Config
 	log    *slog.Logger
@@ -40,7 +40,7 @@
 	frontend           *frontend
 	stats              *stats
 	rawConfig          any                        // the configuration file last taken; for Reread
-	peers              atomic.Pointer[peerSocket] // nil: this node has no socket for them
+	peers              atomic.Pointer[peerSocket] // nil: this proxy has no socket for them
 	identity           identity
 	membership         atomic.Pointer[gossip.Server] // of the fleet; nil: there is none, or not yet
 	policy             *policyFollower               // nil: no policy is followed
@@ -48,8 +48,8 @@
 	handoffLinks       handoffLinks
 	firstListTimeout   time.Duration // the most that the agent's first word is awaited
 	handoffListTimeout time.Duration // the same in an upgrade, in which the old process serves meanwhile
-	handoffPath        string        // where processes of this node meet; empty: nowhere
-	// told when another process of this node begins and ends to share its limits; may be nil
+	handoffPath        string        // where processes of this proxy meet; empty: nowhere
+	// told when another process of this proxy begins and ends to share its limits; may be nil
 	Overlap func(bool)
 
 	// The rest belongs to the loop.
@@ -65,7 +65,7 @@
 	pendingEvents   []balancer.Event // that came of actions, to be handled next
 }
 
-// New makes a node; Run starts it.
+// New makes a proxy; Run starts it.
 func New(cfg Config, log *slog.Logger) *Server {
 	cfg = cfg.withoutMembership(log)
 	n := &Server{
@@ -133,12 +133,12 @@
 	if n.handoffPath != "" {
 		var err error
 		if old, err = n.requestHandoff(ctx); err != nil {
-			n.log.Warn("nothing is taken over", "err", err)
+			n.log.Warn("no handoff, starting cold", "err", err)
 		}
 	}
 	n.followTenants(inner)
 	for _, err := range n.config.initialList.Skipped {
-		n.log.Warn("list entry skipped", "err", err)
+		n.log.Warn("endpoint entry skipped", "err", err)
 	}
 	n.post(func() { n.startEndpointSource(inner) })
 	time.AfterFunc(maxReadyTime, func() { n.post(n.logMissing) })
--- a/internal/proxy/outbound_test.go
+++ b/internal/proxy/outbound_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestNoLineIsSlippedIn: a host or target that would end its line is not sent on.
+// TestNoLineIsSlippedIn: a host or target that would end its line is not forwarded.
 func TestNoLineIsSlippedIn(t *testing.T) {
 	for _, o := range []*outbound{
 		{method: "GET", url: &url.URL{Path: "/x"}, host: "a\r\nX-Request-Id: other"},
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestAnswerAheadOfTheUploadsEnd: the server has the last byte, and may answer before the node hears that there are no more.
+// TestAnswerAheadOfTheUploadsEnd: the server has the last byte, and may answer before the proxy hears that there are no more.
 func TestAnswerAheadOfTheUploadsEnd(t *testing.T) {
 	read, write := io.Pipe()
 	go func() {
--- a/internal/proxy/part.go
+++ b/internal/proxy/part.go
@@ -9,7 +9,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// subsetInputs is what of the settings says which part of the list this node works with.
+// subsetInputs is what of the settings says which subset of the list this proxy works with.
 type subsetInputs struct {
 	proxyIndex, proxies int
 	placements          []registry.Placement
@@ -31,7 +31,7 @@
 // samePlacement tells placements apart: nil is all, and empty none.
 func samePlacement(a, b []string) bool { return slices.Equal(a, b) && (a == nil) == (b == nil) }
 
-// subsetChooser is the node's choice of a part, which the client of the list service asks
+// subsetChooser is the proxy's choice of a part, which the client of the registry asks
 // for from a goroutine of its own.
 type subsetChooser struct{ inputs atomic.Pointer[subsetInputs] }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// setSubset says of a list which part of the whole it is; of the whole list it says nothing.
+// setSubset says of a list which part of the whole it is; of the complete list it says nothing.
 func setSubset(u *balancer.EndpointsUpdated, l registry.ListResponse, self int) {
 	if p, err := registry.ParseSubset(l.Subset); err == nil && !p.IsAll() {
 		u.TotalEndpoints, u.SubsetStart = l.Total, registry.StartPosition(self)
--- a/internal/proxy/part_test.go
+++ b/internal/proxy/part_test.go
@@ -23,7 +23,7 @@
 	return registry.Endpoint{Name: fmt.Sprint("s-", i), Address: address, Zone: "a", Type: "m2", Status: registry.Ready, Weight: 1}
 }
 
-// TestPlacesAgree: the list's ring is the one on which decide takes a node's servers, of a whole list and of a part.
+// TestPlacesAgree: the list's ring is the one on which decide takes a proxy's servers, of a complete list and of a part.
 func TestPlacesAgree(t *testing.T) {
 	const servers, nodes = 3000, 4300
 	var all []registry.Endpoint
@@ -74,7 +74,7 @@
 	}
 }
 
-// partService is a list service of one replica, or one of before that knows no parts.
+// partService is a registry of one replica, or one of before that knows no parts.
 type partService struct {
 	mu    sync.Mutex
 	state *registry.State
@@ -118,9 +118,9 @@
 	besteffort.Encode(json.NewEncoder(w).Encode(a))
 }
 
-// TestListPart: a node follows its part of the list, and goes on to another when its number changes. A request that is
+// TestListPart: a proxy follows its subset of the list, and goes on to another when its number changes. A request that is
 // in flight at a server which leaves the part ends as it would at one that is removed. Of a service that knows no parts
-// it has the whole list.
+// it has the complete list.
 func TestListPart(t *testing.T) {
 	arrived, release := make(chan string, 10), make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -15,12 +15,12 @@
 	"wrenspread/internal/membership/gossip"
 )
 
-const peerSocketRetry = time.Second // between two tries to open the socket for other nodes
+const peerSocketRetry = time.Second // between two tries to open the socket for other proxies
 
-// maxMessage is the longest datagram between nodes; a longer one breaks the protocol.
+// maxMessage is the longest datagram between proxies; a longer one breaks the protocol.
 const maxMessage = 256
 
-// peerSocket carries the module's messages to the other nodes and theirs to it, as
+// peerSocket carries the balancer's messages to the other proxies and theirs to it, as
 // datagrams that may be lost, late or repeated.
 type peerSocket struct {
 	conn      *net.UDPConn
@@ -37,7 +37,7 @@
 // keep data.
 type datagramHandler func(from netip.AddrPort, data []byte)
 
-// listenPeers opens the socket, or gives nil where nodes have none.
+// listenPeers opens the socket, or gives nil where proxies have none.
 func listenPeers(listen string, addrs []netip.AddrPort, log *slog.Logger) (*peerSocket, error) {
 	if listen == "" {
 		return nil, nil
@@ -70,7 +70,7 @@
 }
 
 // handOver ends the reading and gives the socket's descriptor to f, to be passed
-// on. This process goes on sending by it, as nodes know each other by address.
+// on. This process goes on sending by it, as proxies know each other by address.
 // Without a socket the descriptor is negative.
 func (p *peerSocket) handOver(f func(fd int)) {
 	if p == nil {
@@ -89,13 +89,13 @@
 	}
 }
 
-// send passes a message to one node. It does not wait, and none is owed an arrival.
+// send passes a message to one proxy. It does not wait, and none is owed an arrival.
 func (p *peerSocket) send(to int, data []byte) {
 	if p == nil || to < 0 || to >= len(p.addrs) || !p.addrs[to].IsValid() {
 		return
 	}
 	if len(data) > maxMessage {
-		p.log.Error("message not sent: too long", "bytes", len(data))
+		p.log.Error("gossip message too long, not sent", "bytes", len(data))
 		return
 	}
 	p.write(p.addrs[to], data)
@@ -103,12 +103,12 @@
 
 func (p *peerSocket) write(to netip.AddrPort, data []byte) {
 	if _, err := p.conn.WriteToUDPAddrPort(data, to); err != nil {
-		p.log.Debug("message not sent", "to", to, "err", err)
+		p.log.Debug("gossip message not sent", "to", to, "err", err)
 	}
 }
 
 // run passes messages on until ctx ends, which closes the socket, or another process does. What is longer
-// than any message is dropped, and so is a load note from an address of no node.
+// than any message is dropped, and so is a load note from an address of no proxy.
 func (p *peerSocket) run(ctx context.Context, received func(from int, data []byte)) {
 	defer close(p.ended)
 	context.AfterFunc(ctx, func() { besteffort.Close(p.conn) })
@@ -136,13 +136,13 @@
 	}
 }
 
-// lacksPeerSocket tells whether this node still lacks a socket that it ought to have.
+// lacksPeerSocket tells whether this proxy still lacks a socket that it ought to have.
 func (n *Server) lacksPeerSocket() bool {
 	return n.config.PeerListen != "" && (len(n.config.Peers) > 0 || n.config.Membership.Name != "") &&
 		n.peers.Load() == nil
 }
 
-// listenPeers opens the socket for other nodes' messages. If it can't be had,
+// listenPeers opens the socket for other proxies' messages. If it can't be had,
 // clients are served all the same, and it is tried again.
 func (n *Server) listenPeers(ctx context.Context) {
 	p, err := listenPeers(n.config.PeerListen, n.config.Peers, n.log)
@@ -150,7 +150,7 @@
 		n.startPeers(p, nil)
 		return
 	}
-	n.log.Error("nothing is heard from other nodes, trying again", "err", err)
+	n.log.Error("peer socket not available, retrying", "err", err)
 	go func() {
 		for backoff.Sleep(ctx, peerSocketRetry) {
 			if p, err := listenPeers(n.config.PeerListen, n.config.Peers, n.log); err == nil {
@@ -161,8 +161,8 @@
 	}()
 }
 
-// startPeers begins to hear from other nodes. handed is what the process before this one has handed over, if
-// there was one.
+// startPeers begins to hear from other proxies. handed is what the previous process this one has handed over,
+// if there was one.
 func (n *Server) startPeers(p *peerSocket, handed *gossip.Handoff) {
 	n.peers.Store(p)
 	n.startMembership(p, handed)
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -25,7 +25,7 @@
 	mu             sync.Mutex
 	open           int // connections, idle, in use or being dialled
 	maxConnections int
-	halved         bool // with another process of this node: half of them
+	halved         bool // with another process of this proxy: half of them
 	backends       map[balancer.EndpointID]*backend
 	used           []*backend                   // those with idle connections, and some that had them lately
 	heldBackends   map[balancer.EndpointID]bool // nothing is written to them
@@ -110,7 +110,7 @@
 	}
 }
 
-// halve leaves half of the connections to another process of this node, or
+// halve leaves half of the connections to another process of this proxy, or
 // takes them back.
 func (p *pool) halve(on bool) {
 	p.mu.Lock()
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestOwnLimitBlamesNoServer: a node that has no room for a connection, or no descriptor, must not report that a server
-// could not be reached: the module would leave the server out.
+// TestOwnLimitBlamesNoServer: a proxy that has no room for a connection, or no descriptor, must not report that a server
+// could not be reached: the balancer would leave the server out.
 func TestOwnLimitBlamesNoServer(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 1)
 	p := testPool(backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -14,8 +14,8 @@
 	"wrenspread/internal/registry"
 )
 
-// TestReloadMovesDiscovery: after a move the node lets go of the old address,
-// takes the whole list of the new one, whose versions may be lower, and goes
+// TestReloadMovesDiscovery: after a move the proxy lets go of the old address,
+// takes the complete list of the new one, whose versions may be lower, and goes
 // on watching there. What is open is not disturbed.
 func TestReloadMovesDiscovery(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 1)
@@ -76,15 +76,15 @@
 	}
 }
 
-// stopNow ends the node, so that none of its calls are left open.
+// stopNow ends the proxy, so that none of its calls are left open.
 func (n *running) stopNow(t *testing.T) {
 	n.stop()
 	n.linger()
 	<-n.Server.ended
 }
 
-// TestReloadTurnsPushed: where lists have been asked for and are pushed from now on, at the same address, the node
-// follows by itself; the module will not ask when the watch fails that it has asked for.
+// TestReloadTurnsPushed: where lists have been asked for and are pushed from now on, at the same address, the proxy
+// follows by itself; the balancer will not ask when the watch fails that it has asked for.
 func TestReloadTurnsPushed(t *testing.T) {
 	watched, whole := make(chan bool, 10), make(chan bool, 10)
 	disc := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestReloadAmidADrain: discovery has written that a server drains when the node moves to another one, which is silent.
+// TestReloadAmidADrain: discovery has written that a server drains when the proxy moves to another one, which is silent.
 // That is told, whether all of it has come or the rest comes a moment later.
 func TestReloadAmidADrain(t *testing.T) {
 	for i := range 20 {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	guardDelay = 4 * time.Millisecond // after which the node itself ends what the module has not ended
+	guardDelay = 4 * time.Millisecond // after which the proxy itself ends what the balancer has not ended
 	// for a long request to come, at half of the slowest rate and with long waits
 	maxUploadTime = time.Hour
 	// clientGoneLimit is the most after which nothing begins for a client that has left.
@@ -57,7 +57,7 @@
 	stream     *responseStream // instead of the body, if it is long
 }
 
-// openRequest takes a client's request and tells the module of it. The answer comes
+// openRequest takes a client's request and tells the balancer of it. The answer comes
 // on r.answer.
 func (n *Server) openRequest(r *request, e balancer.RequestArrived) {
 	if n.requests[r.id] != nil {
@@ -66,10 +66,10 @@
 		r.response <- response{status: http.StatusConflict}
 		return
 	}
-	now := n.frontend.rules.Load().number // those that the module has, as both change in one step
+	now := n.frontend.rules.Load().number // those that the balancer has, as both change in one step
 	if most := n.config.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most ||
 		r.settingsNumber < now-1 {
-		// The module does not know its class any more: another of that name may be repeated freely.
+		// The balancer does not know its class any more: another of that name may be repeated freely.
 		r.answered = true
 		r.response <- response{status: http.StatusServiceUnavailable}
 		return
@@ -104,7 +104,7 @@
 
 // guardDeadline guards a request's deadline.
 func (n *Server) guardDeadline(r *request, patience time.Duration) {
-	// The module ends a request at its deadline. The guard is for one that it
+	// The balancer ends a request at its deadline. The guard is for one that it
 	// does not end, as an answer in time is owed whatever it does.
 	r.deadlineGuard = time.AfterFunc(patience+guardDelay, func() {
 		n.post(func() {
--- a/internal/proxy/running_test.go
+++ b/internal/proxy/running_test.go
@@ -29,12 +29,12 @@
 		}}}
 }
 
-// running is a node under test, with a discovery that knows its servers.
+// running is a proxy under test, with a discovery that knows its servers.
 type running struct {
 	*Server
 	address string
 	stop    context.CancelFunc
-	linger  func() // ends the time in which a stopped node goes on accepting
+	linger  func() // ends the time in which a stopped proxy goes on accepting
 	ended   chan error
 	tap     *tapped
 }
@@ -44,7 +44,7 @@
 	return startNodeWith(t, func(*Server) {}, servers...)
 }
 
-// startNodeWith has a node prepared before it runs.
+// startNodeWith has a proxy prepared before it runs.
 func startNodeWith(t *testing.T, prepare func(*Server), servers ...string) *running {
 	t.Helper()
 	var entries []string
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -54,7 +54,7 @@
 	return cfg, checkSettings(cfg)
 }
 
-// checkSettings turns down what a running node could not keep its rules with.
+// checkSettings turns down what a running proxy could not keep its rules with.
 func checkSettings(cfg Config) error {
 	if n := cfg.Settings.MaxAttempts; n <= 0 && member(cfg.rawFile, "settings", "caps", "max_attempts") != nil {
 		return fmt.Errorf("settings: caps.max_attempts: %d is no number of attempts", n)
@@ -132,7 +132,7 @@
 	return shared
 }
 
-// Reload takes what may change under a running node from a new configuration:
+// Reload takes what may change under a running proxy from a new configuration:
 // the address of discovery and the settings.
 func (n *Server) Reload(cfg Config) {
 	n.post(func() {
@@ -148,7 +148,7 @@
 	})
 }
 
-// applySettings gives the module the node's settings and the front the rules of them,
+// applySettings gives the balancer the proxy's settings and the front the rules of them,
 // in one step of the loop: each request that it opens has either these or those before.
 func (n *Server) applySettings(next *requestRules) {
 	n.handle(balancer.SettingsChanged{Settings: n.withVariants(n.config.Settings)})
@@ -157,7 +157,7 @@
 
 // requestRules is what the front must know of the settings to take a request.
 type requestRules struct {
-	// one more each time that the module is given settings: it knows the last two
+	// one more each time that the balancer is given settings: it knows the last two
 	number          int
 	firstNumber     int                             // the number with which the settings first came
 	idempotency     map[string]balancer.Idempotency // of the classes
--- a/internal/proxy/settings_flight_test.go
+++ b/internal/proxy/settings_flight_test.go
@@ -13,7 +13,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// change gives the node other settings and returns when it has them.
+// change gives the proxy other settings and returns when it has them.
 func (n *running) change(t *testing.T, classes ...balancer.Class) {
 	t.Helper()
 	cfg := n.configOf()
@@ -23,7 +23,7 @@
 }
 
 // TestSettingsChangeAmidARequest: new settings come when the head of a request has been read and its body has not. It
-// has the effect that its class had then, or is refused unsent where the module does not know that any more.
+// has the effect that its class had then, or is refused unsent where the balancer does not know that any more.
 func TestSettingsChangeAmidARequest(t *testing.T) {
 	type settings [][]balancer.Class
 	is := func(effect balancer.Idempotency) []balancer.Class {
--- a/internal/proxy/settings_odd_test.go
+++ b/internal/proxy/settings_odd_test.go
@@ -8,7 +8,7 @@
 	"wrenspread/balancer"
 )
 
-// TestServesUnderOddSettings: no figure of a node counts on settings being of some size.
+// TestServesUnderOddSettings: no figure of a proxy counts on settings being of some size.
 func TestServesUnderOddSettings(t *testing.T) {
 	for name, change := range map[string]func(*balancer.Settings){
 		"one attempt":                 func(s *balancer.Settings) { s.MaxAttempts = 1 },
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -19,7 +19,7 @@
 "classes":[{"name":"saldo","effect":"retryable","aim_ns":250000000,"give_up_ns":2000000000,"aim_stretch":1},
 {"name":"pagar","effect":"fragile","aim_ns":250000000,"give_up_ns":2000000000}]}}`
 
-// rereader gives a running node that follows a file, and a way to change it.
+// rereader gives a running proxy that follows a file, and a way to change it.
 func rereader(t *testing.T, servers ...string) (n *running, reread func(config string) error) {
 	t.Helper()
 	n = startNode(t, servers...)
@@ -178,7 +178,7 @@
 	}
 }
 
-// TestServesWhereProbesAreAllowed: a node has no way to probe, so its module must not wait for answers to probes.
+// TestServesWhereProbesAreAllowed: a proxy has no way to probe, so its module must not wait for answers to probes.
 func TestServesWhereProbesAreAllowed(t *testing.T) {
 	n, reread := rereader(t, serving(t))
 	if err := reread(strings.Replace(reloadConfig, `"caps":{`, `"report":{"how":"probe"},"caps":{"probes":true,`, 1)); err != nil {
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -10,7 +10,7 @@
 	"wrenspread/internal/registry"
 )
 
-// BenchmarkFollow is what a list of some size costs a whole node: one change of it, what runs at rest, memory for a server.
+// BenchmarkFollow is what a list of some size costs a whole proxy: one change of it, what runs at rest, memory for a server.
 func BenchmarkFollow(b *testing.B) {
 	var kept []*Server // their timers hold them for a while, which must not spoil the memory of the next
 	defer func() { runtime.KeepAlive(kept) }()
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -14,8 +14,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// oneDiscovery answers calls from a moment on, each in some time: all in turn where it is asked, as one serves all nodes,
-// and each by itself where it pushes, as each node has an agent of its own.
+// oneDiscovery answers calls from a moment on, each in some time: all in turn where it is asked, as one serves all proxies,
+// and each by itself where it pushes, as each proxy has an agent of its own.
 type oneDiscovery struct {
 	address string
 	turn    sync.Mutex
@@ -60,7 +60,7 @@
 	besteffort.Output(io.WriteString(w, listOf(9, entryJSON("s", "127.0.0.1:1", "ready"))))
 }
 
-// TestThirtyStartsTogether: whatever discovery does, and with clients that fill all places, nine in ten nodes are ready
+// TestThirtyStartsTogether: whatever discovery does, and with clients that fill all places, nine in ten proxies are ready
 // within 10 s of their start.
 func TestThirtyStartsTogether(t *testing.T) {
 	const starts, within = 30, 10 * time.Second
@@ -71,7 +71,7 @@
 		name       string
 		each, down time.Duration
 		silent     bool
-		crowd      int  // silent clients of each node, in its queue at the start
+		crowd      int  // silent clients of each proxy, in its queue at the start
 		unknown    bool // no list of before
 	}{
 		{name: "up", each: 20 * time.Millisecond},
@@ -113,7 +113,7 @@
 	}
 }
 
-// startTime starts a node, and ends it when it is ready.
+// startTime starts a proxy, and ends it when it is ready.
 func startTime(t *testing.T, cfg Config, crowd int) time.Duration {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// attempt takes the end of an attempt at a server. One that the node called off, or
+// attempt takes the end of an attempt at a server. One that the proxy called off, or
 // never sent, says nothing of it.
 func (s *stats) attempt(server string, code balancer.Outcome, late bool) {
 	if server == "" || code == balancer.NotSent || code == balancer.Cancelled {
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// TestSlowReaderHoldsItsServerBack: little of a long answer is in the node, however long it is.
+// TestSlowReaderHoldsItsServerBack: little of a long answer is in the proxy, however long it is.
 func TestSlowReaderHoldsItsServerBack(t *testing.T) {
 	stuck := make(chan bool, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -9,23 +9,24 @@
 	"wrenspread/ratelimit"
 )
 
-// tenantService is a node's part in the catalogue of tenants. It is the loop's but for the client, the
+// tenantService is a proxy's part in the catalogue of tenants. It is the loop's but for the client, the
 // session and the figures.
 type tenantService struct {
 	client        *client.Client // for the catalogue and the session alone
 	cache         *tenant.Cache
-	self          tenant.Member      // how the book is to have this node
+	self          tenant.Member      // how the member record is to have this proxy
 	catalogue     *tenant.Catalogue  // that requests are answered from
-	pendingEvents []any              // events for the desk, the first of which is being handled
-	policy        tenant.PolicyTable // the policy's, as the desk has it
+	pendingEvents []any              // events for the cache, the first of which is being handled
+	policy        tenant.PolicyTable // the policy's, as the cache has it
 	// by limit of the policy's table: the name under which that knows its tenant
 	tenantByLimit    map[string]string
 	routes           routeVariants
 	session          *registrySession
 	parked           []parkedRequest
-	catalogueChanged bool          // there is another catalogue: some of parked may go on
-	ready            chan struct{} // closed when it has the catalogue and is on the book, for the first time
-	left             chan struct{} // closed when it leaves and the book does not have it any more
+	catalogueChanged bool // there is another catalogue: some of parked may go on
+	// closed when it has the catalogue and is on the member record, for the first time
+	ready chan struct{}
+	left  chan struct{} // closed when it leaves and the member record does not have it any more
 
 	number, tenantCount              atomic.Uint64 // of the catalogue; tenants in it
 	unavailable, forbidden, notFound atomic.Uint64 // requests
@@ -52,14 +53,14 @@
 	return t, nil
 }
 
-// startGeneration makes the desk of a life in which nothing has been heard or said yet.
+// startGeneration makes the cache of a generation in which nothing has been heard or said yet.
 func (t *tenantService) startGeneration(cfg Config, life uint64) {
 	t.cache = tenant.NewCache(life, cfg.Tenants.MaxStaleness, cfg.Tenants.OnDemand)
 	t.self = t.cache.Member(cfg.Name)
 }
 
-// succeed goes on in the life of the process before, so that the book has both while both serve. One with
-// another hold is another member: it begins a later life.
+// succeed goes on in the generation of the previous process, so that the member record has both while both
+// serve. One with another hold is another member: it begins a later generation.
 func (n *Server) continueGeneration(before *tenant.Member) {
 	t := n.tenants
 	if t == nil || before == nil {
@@ -73,7 +74,7 @@
 	n.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
-// member is what the next process of this node is told; nil where tenants are not told apart.
+// member is what the next process of this proxy is told; nil where tenants are not told apart.
 func (t *tenantService) member() *tenant.Member {
 	if t == nil {
 		return nil
@@ -91,10 +92,10 @@
 	return t.ready
 }
 
-// tenantClock is that of the desk: it never steps.
+// tenantClock is that of the cache: it never steps.
 func (n *Server) tenantClock() time.Duration { return time.Since(n.start) }
 
-// handleTenantEvent gives an event to the desk and carries out what it says, before whatever event comes of
+// handleTenantEvent gives an event to the cache and carries out what it says, before whatever event comes of
 // that.
 func (n *Server) handleTenantEvent(event any) {
 	t := n.tenants
@@ -144,7 +145,7 @@
 	n.updateReady()
 }
 
-// announceVersions tells other nodes which policy and which catalogue this one has.
+// announceVersions tells other proxies which policy and which catalogue this one has.
 func (n *Server) announceVersions() {
 	catalogue := uint64(0)
 	if n.tenants != nil {
@@ -155,7 +156,7 @@
 	}
 }
 
-// setTenantPolicy tells the desk of the policy's table that is evaluated; nil for none.
+// setTenantPolicy tells the cache of the policy's table that is evaluated; nil for none.
 func (n *Server) setTenantPolicy(table *ratelimit.Table) {
 	t := n.tenants
 	if t == nil {
--- a/internal/proxy/tenants_config.go
+++ b/internal/proxy/tenants_config.go
@@ -14,7 +14,7 @@
 	maxMaxStaleness = 24 * time.Hour
 )
 
-// TenantsConfig says what the node has to do with tenants.
+// TenantsConfig says what the proxy has to do with tenants.
 type TenantsConfig struct {
 	Enabled      bool          // requests are answered by the catalogue of tenants
 	MaxStaleness time.Duration // it serves none after so long without word of the catalogue; 0: it serves on
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -10,12 +10,12 @@
 
 const (
 	catalogueReadTimeout = 5 * time.Second        // for one read of the catalogue
-	tenantTick           = 250 * time.Millisecond // of the desk's clock: it wants each half second
-	// for the word that the node has left, and for the book to follow
+	tenantTick           = 250 * time.Millisecond // of the cache's clock: it wants each half second
+	// for the word that the proxy has left, and for the member record to follow
 	leftTimeout = 2 * time.Second
 )
 
-// followTenants keeps the session, reads the catalogue and has the desk's clock run until ctx ends.
+// followTenants keeps the session, reads the catalogue and has the cache's clock run until ctx ends.
 func (n *Server) followTenants(ctx context.Context) {
 	t := n.tenants
 	if t == nil {
@@ -71,7 +71,7 @@
 		done()
 		if err != nil {
 			if !failed {
-				n.log.Warn("the catalogue of tenants can't be read for now", "err", err)
+				n.log.Warn("reading the tenant catalogue failed", "err", err)
 			}
 			t.session.requestRead()
 			pauseBeforeRetry(ctx)
@@ -82,7 +82,7 @@
 	}
 }
 
-// applyCatalogue takes what was read. The routes come first: what the desk then says to be taken up can be
+// applyCatalogue takes what was read. The routes come first: what the cache then says to be taken up can be
 // served.
 func (n *Server) applyCatalogue(got tenant.CatalogueRead) {
 	t := n.tenants
@@ -103,8 +103,8 @@
 }
 
 // leaveTenants says that this process serves no tenant any more, once it has ended all its requests. wait
-// returns when the book has followed, or late, with the session closed: until then changes of tenants wait
-// for this node. One whose word has not been seen runs out by itself, so that it still can be.
+// returns when the member record has followed, or late, with the session closed: until then changes of
+// tenants wait for this proxy. One whose word has not been seen runs out by itself, so that it still can be.
 func (n *Server) leaveTenants(ctx context.Context) (wait func()) {
 	t := n.tenants
 	if t == nil {
@@ -115,12 +115,12 @@
 	return func() {
 		defer stop()
 		gone := n.waitFor(ctx, leftTimeout, t.session.left)
-		if gone && !n.frontend.handedOff.Load() { // else the book goes on to have the process that follows
+		if gone && !n.frontend.handedOff.Load() { // else the member record goes on to have the process that follows
 			t.session.requestRead()
 			gone = n.waitFor(ctx, leftTimeout, t.left)
 		}
 		if !gone {
-			n.log.Warn("the tenants' book may still have this node: wrenspreadctl tenant forget")
+			n.log.Warn("tenant member record may still have this proxy: wrenspreadctl tenant forget")
 			return
 		}
 		t.session.close()
--- a/internal/proxy/tenants_judge.go
+++ b/internal/proxy/tenants_judge.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/tenant"
 )
 
-// decideTenant answers a request by the catalogue, unless that has it served: then it says to the module
+// decideTenant answers a request by the catalogue, unless that has it served: then it says to the balancer
 // which class, variant and tenant it is of. All of it is one step of the loop, as is a new catalogue: no
 // request is judged by one and counted by the next.
 func (n *Server) decideTenant(r *request, e *balancer.RequestArrived) (serve bool) {
@@ -74,11 +74,11 @@
 			n.handle(balancer.RequestAbandoned{ID: r.id})
 		}
 		for _, cancel := range r.cancelAttempts {
-			cancel() // the module may not be allowed to
+			cancel() // the balancer may not be allowed to
 		}
 		if r.stream != nil {
 			r.stream.cancel()
 		}
 	}
-	n.log.Info("a tenant's requests are cut off", "tenant", name, "open", cut)
+	n.log.Info("tenant's requests cut off", "tenant", name, "open", cut)
 }
--- a/internal/proxy/tenants_lanes.go
+++ b/internal/proxy/tenants_lanes.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	maxVariants     = 128         // of classes: the module goes through its placements all the time
-	routeRetryAfter = time.Second // told to a request whose route the module does not have
+	maxVariants     = 128         // of classes: the balancer goes through its placements all the time
+	routeRetryAfter = time.Second // told to a request whose route the balancer does not have
 )
 
-// routeVariants are the routes of the catalogue as the module knows them: variants of classes that are open
-// to some zones and kinds only. A route that names pods has none, as the module does not choose by pods.
+// routeVariants are the routes of the catalogue as the balancer knows them: variants of classes that are open
+// to some zones and kinds only. A route that names pods has none, as the balancer does not choose by pods.
 type routeVariants struct {
 	variantOf  map[routedClass]string         // by route and class: the variant
 	wanted     map[string]balancer.Class      // variants of the catalogue
-	current    map[string]balancer.Class      // variants that the module was given
+	current    map[string]balancer.Class      // variants that the balancer was given
 	previous   map[string]balancer.Class      // and those with the settings before
 	useCount   map[string]int                 // of wants: by so many of names
 	byLeaf     map[*tenant.Leaf][]routedClass // of names, by the parts of the catalogue that have the routes
@@ -40,7 +40,7 @@
 	return l
 }
 
-// classFor gives the class by which the module places a request; empty: it can't. One in the form of the
+// classFor gives the class by which the balancer places a request; empty: it can't. One in the form of the
 // settings before is placed by a variant that came with those.
 func (l *routeVariants) classFor(route *tenant.Route, class string, former bool) string {
 	if !narrows(route) {
@@ -174,7 +174,7 @@
 	return slices.Compact(both)
 }
 
-// withVariants adds the variants that the catalogue needs to settings, for the module alone. It is told of
+// withVariants adds the variants that the catalogue needs to settings, for the balancer alone. It is told of
 // them.
 func (n *Server) withVariants(s balancer.Settings) balancer.Settings {
 	t := n.tenants
@@ -205,7 +205,7 @@
 	n.applyRoutes()
 }
 
-// applyRoutes gives the module the variants that it lacks. While requests still come in the form of the
+// applyRoutes gives the balancer the variants that it lacks. While requests still come in the form of the
 // settings before, which it would forget, it waits: until then the routes that are new get a 503.
 func (n *Server) applyRoutes() {
 	if n.tenants.routes.outdated && time.Now().After(n.frontend.rules.Load().previousUntil) {
--- a/internal/proxy/tenants_park.go
+++ b/internal/proxy/tenants_park.go
@@ -9,7 +9,7 @@
 
 // A request that names a tenant whose part of the catalogue is being read waits for it: for
 // the read that is under way and the next one, each of up to five calls of some 20 ms with the
-// list service, and again as long. A node that starts parks no more than it can read parts of.
+// registry, and again as long. A proxy that starts parks no more than it can read parts of.
 const (
 	parkTimeout = 400 * time.Millisecond // tenantTick later at most
 	maxParked   = 1024
@@ -57,7 +57,7 @@
 		case t.catalogue.HasLeaf(p.event.Tenant) || !t.catalogue.Ready() || !time.Now().Before(p.until):
 			p.request.deadlineGuard.Stop()
 			delete(n.requests, p.request.id)
-			// the module has the same once more, with new routes
+			// the balancer has the same once more, with new routes
 			if rules := n.frontend.rules.Load(); p.firstNumber == rules.firstNumber {
 				p.request.settingsNumber = rules.number
 			}
--- a/internal/proxy/tenants_report.go
+++ b/internal/proxy/tenants_report.go
@@ -25,7 +25,7 @@
 	)
 }
 
-// serveTenants tells an operator what this node knows of tenants, MaxTenants at most.
+// serveTenants tells an operator what this proxy knows of tenants, MaxTenants at most.
 func (n *Server) serveTenants(w http.ResponseWriter, _ *http.Request) {
 	var r tenant.Report
 	if !n.do(func() { r = n.tenants.cache.Report(n.tenantClock()) }) {
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// without the list service, a definite no ends so long after the last word
+	// without the registry, a definite no ends so long after the last word
 	sessionTTL = 3 * time.Second
 	// for one call about the session: what is late by more is made anew
 	sessionCallTimeout = time.Second
 	retryPause         = 200 * time.Millisecond // and as much again at random, after a call that failed
 )
 
-// registrySession is the node's session with the list service. One goroutine makes all calls about it.
+// registrySession is the proxy's session with the registry. One goroutine makes all calls about it.
 type registrySession struct {
 	session      registry.Session
 	status       atomic.Pointer[tenant.Status] // that it is to have
 	sentStatus   *tenant.Status                // that it has; the goroutine's
 	wake         chan struct{}                 // there is another word
 	readRequests chan struct{}                 // the catalogue is to be read
-	left         chan struct{}                 // closed when it is told that the node has left
+	left         chan struct{}                 // closed when it is told that the proxy has left
 	ended        chan struct{}                 // closed when it is closed
 	close        context.CancelFunc            // set before it begins
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// keepSession has the node have a session until ctx ends, and closes the last one.
+// keepSession has the proxy have a session until ctx ends, and closes the last one.
 func (n *Server) keepSession(ctx context.Context) {
 	s := n.tenants.session
 	defer close(s.ended)
@@ -75,11 +75,11 @@
 	call, done := context.WithTimeout(context.WithoutCancel(ctx), sessionCallTimeout)
 	defer done()
 	if err := n.tenants.client.CloseSession(call, s.session.ID); err != nil {
-		n.log.Warn("the session runs out by itself", "err", err)
+		n.log.Warn("closing the session failed, it expires by itself", "err", err)
 	}
 }
 
-// openSession makes one try under a new id: a former one may have come to something, and then runs out.
+// openSession makes one try under a new id: a previous one may have come to something, and then runs out.
 func (n *Server) openSession(ctx context.Context) bool {
 	t := n.tenants
 	s, w := t.session, tenant.Status{}
@@ -94,14 +94,14 @@
 	call, done := context.WithTimeout(ctx, sessionCallTimeout)
 	defer done()
 	if err := t.client.OpenSession(call, s.session); err != nil {
-		n.log.Warn("no session with the list service yet", "err", err)
+		n.log.Warn("no session with the registry", "err", err)
 		return false
 	}
 	n.post(func() { n.handleTenantEvent(tenant.SessionOpened{Sent: sent, TTL: s.session.TTL}) })
 	return true
 }
 
-// renewSession keeps a session, and has it say what the desk last said, until it has ended or ctx does.
+// renewSession keeps a session, and has it say what the cache last said, until it has ended or ctx does.
 func (n *Server) renewSession(ctx context.Context) {
 	s := n.tenants.session
 	due := time.NewTimer(s.session.TTL / 3)
@@ -133,7 +133,7 @@
 	}
 }
 
-// sendStatus tells the service the desk's last word, unless it has it.
+// sendStatus tells the service the cache's last word, unless it has it.
 func (n *Server) sendStatus(ctx context.Context) bool {
 	s := n.tenants.session
 	w := s.status.Load()
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -22,7 +22,7 @@
 	return &tenant.Spec{Names: []string{"k"}, Classes: []string{"saldo", "pagar"}, Quotas: []tenant.QuotaRef{{Limit: "book/k"}}, Routes: routes, DrainMS: drain.Milliseconds()}
 }
 
-// withTenants has a node know tenants, with no list service: what that would tell comes by the test.
+// withTenants has a proxy know tenants, with no registry: what that would tell comes by the test.
 func withTenants(t *testing.T, n *Server) {
 	n.config.Tenants.Enabled, n.config.Registry = true, []string{"127.0.0.1:1"}
 	var err error
@@ -38,7 +38,7 @@
 }
 
 // TestTenantIsCutOff: when a tenant drains, what may have run is no refusal, what has begun at its client breaks off, and
-// both are over for the word that the node gives.
+// both are over for the word that the proxy gives.
 func TestTenantIsCutOff(t *testing.T) {
 	came := make(chan bool, 2)
 	n := startNodeWith(t, func(n *Server) {
@@ -85,13 +85,13 @@
 			t.Fatalf("not over: %+v", r)
 		}
 	}
-	// The name may be another's by now, as the node has no right: no 403.
+	// The name may be another's by now, as the proxy has no right: no 403.
 	if status := send("late").status(t); status != http.StatusServiceUnavailable {
 		t.Errorf("after it: %d", status)
 	}
 }
 
-// TestTenantsKeepAFrontShut: until the node has the catalogue and is on the book.
+// TestTenantsKeepAFrontShut: until the proxy has the catalogue and is on the member record.
 func TestTenantsKeepAFrontShut(t *testing.T) {
 	n := New(testConfig("127.0.0.1:1"), quiet)
 	withTenants(t, n)
@@ -122,7 +122,7 @@
 	if v := l.current[l.classFor(&f.Routes[0], "pagar", false)]; v.AllowedMachineTypes == nil || len(v.AllowedMachineTypes) != 0 || !slices.Equal(v.AllowedZones, []string{"b", "c"}) {
 		t.Errorf("%+v", v)
 	}
-	if name := l.classFor(&f.Routes[0], "saldo", true); name != "" { // the module's former class of that name may be none
+	if name := l.classFor(&f.Routes[0], "saldo", true); name != "" { // the balancer's previous class of that name may be none
 		t.Errorf("a variant that the settings before had not: %q", name)
 	}
 	if other := l.classFor(&same.Routes[0], "saldo", false); other != one || len(l.current) != 2 {
--- a/internal/proxy/term_test.go
+++ b/internal/proxy/term_test.go
@@ -15,7 +15,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// tapped is the clients' socket of a node under test. It tells what the node has taken from it.
+// tapped is the clients' socket of a proxy under test. It tells what the proxy has taken from it.
 type tapped struct {
 	*net.TCPListener
 	accepted, read atomic.Int64 // connections, and bytes on all of them
@@ -62,7 +62,7 @@
 	}
 }
 
-// opened is a connection that the node has accepted.
+// opened is a connection that the proxy has accepted.
 func (n *running) opened(t *testing.T) raw {
 	t.Helper()
 	before := n.tap.accepted.Load()
@@ -82,7 +82,7 @@
 	return c
 }
 
-// send writes bytes, and returns when the node has read them and gone on with all but the last.
+// send writes bytes, and returns when the proxy has read them and gone on with all but the last.
 func (n *running) send(t *testing.T, c raw, text string) {
 	t.Helper()
 	for _, part := range []string{text[:1], text[1:]} {
@@ -117,7 +117,7 @@
 }
 
 // TestConnectionsThatStayOpenAreAnswered after SIGTERM, whatever SIGTERM or the end of accepting cuts in two: in time on
-// a node by itself, and on the old process of an upgrade. Only a connection on which nothing has come since its last
+// a proxy by itself, and on the old process of an upgrade. Only a connection on which nothing has come since its last
 // answer is closed, at the end of accepting.
 func TestConnectionsThatStayOpenAreAnswered(t *testing.T) {
 	for _, handed := range []bool{false, true} {
@@ -201,7 +201,7 @@
 	n.wantEnd(t)
 }
 
-// startHolding starts a node, whose server holds requests with the id q until the channel is closed.
+// startHolding starts a proxy, whose server holds requests with the id q until the channel is closed.
 func startHolding(t *testing.T, upgrades bool) (*running, chan struct{}) {
 	t.Helper()
 	release := make(chan struct{})
--- a/internal/proxy/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -37,7 +37,7 @@
 	return h
 }
 
-// on runs f on a node's loop.
+// on runs f on a proxy's loop.
 func (n *Server) on(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -116,7 +116,7 @@
 	})
 }
 
-// empty waits until nothing is open, at the node or counted at its servers.
+// empty waits until nothing is open, at the proxy or counted at its servers.
 func (n *running) empty(t *testing.T) {
 	t.Helper()
 	until(t, "the requests' end", func() (none bool) {
--- a/internal/proxy/upgrade_link.go
+++ b/internal/proxy/upgrade_link.go
@@ -24,7 +24,7 @@
 	forwardTimeout  = 400 * time.Millisecond // for the other process to take a maintenance call
 )
 
-// handoffMessage is a line between the old process of a node and the new one.
+// handoffMessage is a line between the old process of a proxy and the new one.
 type handoffMessage struct {
 	Version       int                            `json:"v,omitempty"`
 	Kind          string                         `json:"kind"`
@@ -33,9 +33,10 @@
 	InMaintenance []string                       `json:"bans,omitempty"`
 	Backend       string                         `json:"backend,omitempty"`
 	On            bool                           `json:"on,omitempty"`
-	Number        int                            `json:"number,omitempty"`  // of a call that is forwarded
-	Tenants       *tenant.Member                 `json:"tenants,omitempty"` // how the tenants' book has the node
-	// a view.Handed, the node's life in the fleet; what can't be read of it costs only the life
+	Number        int                            `json:"number,omitempty"` // of a call that is forwarded
+	// how the member record has the proxy
+	Tenants *tenant.Member `json:"tenants,omitempty"`
+	// a view.Handed, the proxy's life in the fleet; what can't be read of it costs only the generation
 	Membership json.RawMessage `json:"fleet,omitempty"`
 }
 
--- a/internal/proxy/upgrade_link_test.go
+++ b/internal/proxy/upgrade_link_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// mayOpen is how many connections to servers the node may have now.
+// mayOpen is how many connections to servers the proxy may have now.
 func (n *running) mayOpen() int {
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
--- a/internal/proxy/upgrade_links.go
+++ b/internal/proxy/upgrade_links.go
@@ -9,7 +9,7 @@
 
 const minOutlive = 5 * time.Second // the old process stays so long, for operators that still call it
 
-// handoffLinks are the processes of this node that this one speaks with: the one
+// handoffLinks are the processes of this proxy that this one speaks with: the one
 // before it, while that ends, and the one after it.
 type handoffLinks struct {
 	mu        sync.Mutex
--- a/internal/proxy/upgrade_new.go
+++ b/internal/proxy/upgrade_new.go
@@ -24,7 +24,7 @@
 	releaseTimeout = time.Second
 )
 
-// TakeOver prepares a node for upgrades: by a process that serves already, and
+// TakeOver prepares a proxy for upgrades: by a process that serves already, and
 // later by one that comes after it. dir is where they meet. It is called once,
 // before Run.
 func (n *Server) TakeOver(dir string) { n.handoffPath = filepath.Join(dir, handoffSocket) }
@@ -109,11 +109,11 @@
 		return false
 	}
 	if err := l.send(handoffMessage{Kind: kindReady}, -1); err != nil {
-		n.log.Warn("the old process is gone", "err", err)
+		n.log.Warn("previous process ended", "err", err)
 		return true
 	}
 	if !n.waitFor(ctx, releaseTimeout, yours) {
-		n.log.Warn("the old process does not let go")
+		n.log.Warn("previous process does not release its limits")
 	}
 	return true
 }
@@ -131,7 +131,8 @@
 	return false
 }
 
-// takePeerSocket goes on with the socket at which other nodes know this one, and with its life among them.
+// takePeerSocket goes on with the socket at which other proxies know this one, and with its generation among
+// them.
 func (n *Server) takePeerSocket(l *handoffLink, life json.RawMessage) {
 	for i, fd := range l.descriptors {
 		if i > 0 || !n.lacksPeerSocket() {
@@ -144,7 +145,7 @@
 		besteffort.Close(f)
 		u, ok := c.(*net.UDPConn)
 		if err != nil || !ok {
-			n.log.Error("the socket of the old process can't be used", "err", err)
+			n.log.Error("peer socket of the previous process is not usable", "err", err)
 			continue
 		}
 		n.startPeers(newPeerSocket(u, n.config.Peers, n.log), n.decodeHandoff(life))
--- a/internal/proxy/upgrade_old.go
+++ b/internal/proxy/upgrade_old.go
@@ -24,7 +24,7 @@
 	besteffort.Cleanup(os.Remove(n.handoffPath)) // of a process that has ended
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "unix", n.handoffPath)
 	if err != nil {
-		n.log.Error("no new process can take over", "err", err)
+		n.log.Error("handoff not available", "err", err)
 		return
 	}
 	u := ln.(*net.UnixListener)
@@ -57,14 +57,14 @@
 	defer l.close()
 	m, err := l.receive(time.Now().Add(helloTimeout))
 	if err != nil || m.Kind != kindHello || m.Version != handoverVersion {
-		n.log.Warn("not a new process", "says", m.Kind, "version", m.Version, "err", err)
+		n.log.Warn("unexpected handoff connection", "says", m.Kind, "version", m.Version, "err", err)
 		return
 	}
 	defer n.leaveLink(l)
 	if !n.sendState(l) {
 		return
 	}
-	n.log.Info("a new process is here")
+	n.log.Info("new process connected")
 	handed := false
 	n.serveLink(l, func(m handoffMessage) {
 		if m.Kind != kindReady || n.frontend.handedOff.Swap(true) {
@@ -73,7 +73,7 @@
 		handed = true
 		n.log.Info("handing over")
 		besteffort.Close(meeting)
-		life := n.handOffMembership() // before this process drains: the node does not
+		life := n.handOffMembership() // before this process drains: the proxy does not
 		n.frontend.stopAccepting()
 		n.do(func() {
 			n.handle(balancer.HandedOver{})
@@ -88,7 +88,7 @@
 		})
 	})
 	if handed && n.loopContext.Err() == nil {
-		n.log.Info("the new process has ended")
+		n.log.Info("new process ended")
 		close(n.frontend.successorEnded)
 	}
 }
--- a/internal/proxy/upgrade_old_test.go
+++ b/internal/proxy/upgrade_old_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestPeersSocketIsHandedOver: the new process reads what other nodes send, and both send from the one address.
+// TestPeersSocketIsHandedOver: the new process reads what other proxies send, and both send from the one address.
 func TestPeersSocketIsHandedOver(t *testing.T) {
 	dir := meetingPlace(t)
 	conn, own := udpSocket(t)
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// TestUploadsTimeRunsFromItsLastByte, at the node as in the module, and only then does it count as taken.
+// TestUploadsTimeRunsFromItsLastByte, at the proxy as in the balancer, and only then does it count as taken.
 func TestUploadsTimeRunsFromItsLastByte(t *testing.T) {
 	came, hold := make(chan bool, 1), make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -136,7 +136,7 @@
 }
 
 // fits checks a request's form. The method and the key tell the server what a
-// repeat would do, so they must agree with what the module believes.
+// repeat would do, so they must agree with what the balancer believes.
 func fits(r *http.Request, class string, effect balancer.Idempotency) error {
 	want := http.MethodPost
 	if effect == balancer.Idempotent {
--- a/internal/proxy/word_test.go
+++ b/internal/proxy/word_test.go
@@ -37,7 +37,7 @@
 	return a
 }
 
-// startKnowing starts a node that knows of servers from before, with an agent.
+// startKnowing starts a proxy that knows of servers from before, with an agent.
 func startKnowing(t *testing.T, a *agent, prepare func(*Server), entries ...string) *running {
 	t.Helper()
 	return startNodeWith(t, func(n *Server) {
--- a/internal/quota/actors_test.go
+++ b/internal/quota/actors_test.go
@@ -7,7 +7,7 @@
 	"wrenspread/ratelimit"
 )
 
-// node is a process with a ledger, and the clients that come to it.
+// proxy is a process with a ledger, and the clients that come to it.
 type node struct {
 	w      *world
 	name   string
@@ -123,7 +123,7 @@
 	w.after(time.Duration(w.rng.ExpFloat64()/n.load[limit]*float64(time.Second)), func() { w.clients(n, limit) })
 }
 
-// request is judged by the table, as on a node.
+// request is judged by the table, as on a proxy.
 func (n *node) request(limit int) {
 	l := n.w.table.Limits
 	n.led.AdvanceTo(n.clock.at(n.w.now))
@@ -155,13 +155,13 @@
 	}
 }
 
-// host is a process that holds the duty when the service gives it, and its session with the service.
+// host is a process that holds the lease when the service gives it, and its session with the service.
 type host struct {
 	w      *world
 	name   string
 	clock  clock
 	core   *Allocator
-	fence  uint64 // the duty's, as far as it knows
+	fence  uint64 // the lease's, as far as it knows
 	dead   bool
 	paused bool
 	alone  bool // cut off from the service
--- a/internal/quota/allocator/holder.go
+++ b/internal/quota/allocator/holder.go
@@ -1,4 +1,4 @@
-// Package holder runs the apportioner in a process that may hold the duty "quota".
+// Package holder runs the allocator in a process that may hold the lease "quota".
 package allocator
 
 import (
@@ -21,7 +21,7 @@
 // Config is what a holder works with.
 type Config struct {
 	Fleet    uint32 // the fleet's name as a hash
-	Name     string // by which nodes send to it: that of its member of the view
+	Name     string // by which proxies send to it: that of its member of the view
 	Registry *client.Client
 	Leases   *lease.Session
 	In       <-chan []byte                // datagrams whose first byte is quota.Ours, no longer the sender's
@@ -30,7 +30,7 @@
 	Log      *slog.Logger                 // nil: none
 }
 
-// tenure is a time in which the duty is held.
+// tenure is a time in which the lease is held.
 type tenure struct {
 	token   lease.Token
 	slots   []quota.Slot
@@ -55,11 +55,11 @@
 	tenureEnds chan chan struct{}
 	writes     chan writeResult
 	done       chan struct{} // the loop has ended
-	tenure     tenure        // its fence is 0 while the duty is not held
+	tenure     tenure        // its fencing token is 0 while the lease is not held
 	writing    bool
 }
 
-// Run shares limits out whenever the process holds the duty, until ctx ends.
+// Run shares limits out whenever the process holds the lease, until ctx ends.
 func Run(ctx context.Context, c Config) error {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -184,7 +184,7 @@
 		h.tenure.version = w.version
 		h.handle(ctx, all, quota.RecordRead{Token: w.token.Number, Slots: w.slots})
 	default:
-		h.config.Log.Warn("the enrolled nodes", "err", w.err)
+		h.config.Log.Warn("slot record", "err", w.err)
 		if !w.reading {
 			h.reread(ctx, all)
 		}
--- a/internal/quota/allocator/holder_test.go
+++ b/internal/quota/allocator/holder_test.go
@@ -15,7 +15,7 @@
 	"wrenspread/ratelimit"
 )
 
-// bus carries datagrams between holders and nodes of one test.
+// bus carries datagrams between holders and proxies of one test.
 type bus struct {
 	mu    sync.Mutex
 	nodes map[string]*quota.Ledger
@@ -43,7 +43,7 @@
 	}
 }
 
-// tick lets every node hear of a holder and ask for more than there is.
+// tick lets every proxy hear of a holder and ask for more than there is.
 func (b *bus) tick(holder string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,8 +77,8 @@
 	return table
 }
 
-// TestHoldersShareAndHandOn: a holder leases shares and enrols the nodes in the record; when it ends, the next one
-// leases on under a higher fence.
+// TestHoldersShareAndHandOn: a holder leases shares and enrols the proxies in the record; when it ends, the next one
+// leases on under a higher fencing token.
 func TestHoldersShareAndHandOn(t *testing.T) {
 	service, k := labtest.List(t)
 	b := &bus{nodes: map[string]*quota.Ledger{}, boxes: map[string]chan []byte{}, start: time.Now()}
@@ -132,7 +132,7 @@
 	end()
 	labtest.Await(t, "the next holder's leases", func() bool {
 		b.mu.Lock()
-		for _, n := range b.nodes { // as their watch of the duty tells them
+		for _, n := range b.nodes { // as their watch of the lease tells them
 			b.act(n.Handle(time.Since(b.start), quota.AllocatorKnown{Name: "h1", Token: fence + 1}))
 		}
 		b.mu.Unlock()
--- a/internal/quota/allocator/record.go
+++ b/internal/quota/allocator/record.go
@@ -14,23 +14,23 @@
 	"wrenspread/internal/registry/client"
 )
 
-// RecordKey is the record of enrolled nodes.
+// RecordKey is the record of enrolled proxies.
 const RecordKey = "fleet/nodes"
 
-// registryTimeout is how long one call to the list service may take, over its failures. Until it has ended,
+// registryTimeout is how long one call to the registry may take, over its failures. Until it has ended,
 // nothing else is written.
 const registryTimeout = 2 * time.Second
 
 const format = 1
 
-// slotRecord is what the list service keeps. A later format is refused: its holder has to be of a version
+// slotRecord is what the registry keeps. A later format is refused: its holder has to be of a version
 // that knows it.
 type slotRecord struct {
 	Format int          `json:"format"`
 	Slots  []quota.Slot `json:"seats"`
 }
 
-// readSlots gives the seats and the record's version, 0 if there is none.
+// readSlots gives the slots and the record's version, 0 if there is none.
 func readSlots(ctx context.Context, k *client.Client) ([]quota.Slot, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
@@ -52,7 +52,7 @@
 	return r.Slots, got.Version, nil
 }
 
-// announce tells the nodes who shares limits out from now on.
+// announce tells the proxies who shares limits out from now on.
 func announce(ctx context.Context, k *client.Client, f lease.Token, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// writeSlots replaces the record that has a version, under the fence, and gives its next one.
+// writeSlots replaces the record that has a version, under the fencing token, and gives its next one.
 func writeSlots(
 	ctx context.Context,
 	k *client.Client,
