--- a/internal/quota/apportioner.go
+++ b/internal/quota/apportioner.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// AllocatorConfig is what an apportioner is started with.
+// AllocatorConfig is what an allocator is started with.
 type AllocatorConfig struct {
 	Fleet uint32 // the fleet's name as a hash
-	Name  string // by which nodes send to the holder, at most MostName bytes
+	Name  string // by which proxies send to the holder, at most MostName bytes
 }
 
-// Allocator shares the limits out among the nodes, for as long as its process holds the duty. It is pure:
+// Allocator shares the limits out among the proxies, for as long as its process holds the lease. It is pure:
 // times are of the process's monotonic clock.
 //
 // At any time, and for each limit, what it counts for all members together stays within the limit: see count.
-// It rests on the duty's fence and end, on the record of enrolled nodes and on leases; never on the view.
+// It rests on the lease's fencing token and end, on the record of enrolled proxies and on leases; never on
+// the view.
 type Allocator struct {
 	cfg            AllocatorConfig
 	times          times
 	now            time.Duration
 	limits         *limits
-	previousLimits *limits // of the table that nodes may still judge by
+	previousLimits *limits // of the table that proxies may still judge by
 	allocations    map[int32]*allocation
 	wall           time.Time
 	tableSince     time.Duration
 
 	token           uint64
-	leaseUntil      time.Duration // the duty may be acted on
-	formerLeasesEnd time.Duration // no lease of the former holder can be left
-	recordKnown     bool          // the record is known under the fence
-	expectedProxies int           // nodes, by the view
+	leaseUntil      time.Duration // the lease may be acted on
+	formerLeasesEnd time.Duration // no lease of the previous holder can be left
+	recordKnown     bool          // the record is known under the fencing token
+	expectedProxies int           // proxies, by the view
 	plannedAt       time.Duration
 
 	members         []*member // by name
-	revision        int       // changes when they, their seats or lives, or the table do
+	revision        int       // changes when they, their slots or lives, or the table do
 	departed        []leave   // the last that left
 	recordDirty     bool      // the record is to be written
 	recordWrittenAt time.Duration
 	writePending    bool
 }
 
-// Bounds on what nodes can make the holder keep, and its pace.
+// Bounds on what proxies can make the holder keep, and its pace.
 const (
 	maxDeparted  = 1024
 	planInterval = 50 * time.Millisecond
@@ -92,7 +93,7 @@
 // later.
 func (a *Allocator) mayGrant() bool { return a.recordKnown && a.now < a.leaseUntil }
 
-// leaseHeld begins anew under a new fence, knowing nothing; under the same one it goes on for longer.
+// leaseHeld begins anew under a new fencing token, knowing nothing; under the same one it goes on for longer.
 func (a *Allocator) leaseHeld(h LeaseHeld) {
 	switch {
 	case h.Token < a.token || h.Token == 0:
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// bucket is a node's part of one limit: its lease, its bucket, and the demand that came.
+// bucket is a proxy's part of one limit: its lease, its bucket, and the demand that came.
 type bucket struct {
 	concurrency    bool
 	tokens         float64
@@ -12,7 +12,7 @@
 	claimSentAt    time.Duration // when the claim was sent that got it, were it prolonged since or not
 	token          uint64        // of the grant that it is of
 	number         uint32
-	fallbackAtOnce bool // without the lease the safe share holds at once
+	fallbackAtOnce bool // without the lease the fallback share holds at once
 	fallback       size
 
 	inFlight      float64 // requests that are open
@@ -29,8 +29,8 @@
 	claimed      bool
 }
 
-// currentShare is what the slot has at a time: the lease; without one the safe share, unless that is at rest,
-// which leaves the bucket as it is but does not fill it.
+// currentShare is what the slot has at a time: the lease; without one the fallback share, unless that is at
+// rest, which leaves the bucket as it is but does not fill it.
 func (l *Ledger) currentShare(s *bucket, at time.Duration) size {
 	switch {
 	case s.concurrency: // never at rest: what was begun on a borrowed share would outlast the lease
@@ -124,7 +124,7 @@
 	}
 }
 
-// Rejected notes demand that was turned away: by this limit, or by one around it.
+// Rejected notes demand that was rejected: by this limit, or by one around it.
 func (l *Ledger) Rejected(i int, amount float64) {
 	if l.Available(i) < amount {
 		l.buckets[i].rejected += amount
--- a/internal/quota/cost_test.go
+++ b/internal/quota/cost_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkClaim is what a holder pays for a claim of one busy limit, of as many nodes.
+// BenchmarkClaim is what a holder pays for a claim of one busy limit, of as many proxies.
 func BenchmarkClaim(b *testing.B) {
 	for _, nodes := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
--- a/internal/quota/enrol.go
+++ b/internal/quota/enrol.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// recordRead takes the record as it stands under the fence. Seats that it holds may be told; those that this
-// holder has in mind and the record lacks are written again.
+// recordRead takes the record as it stands under the fencing token. Seats that it holds may be told; those
+// that this holder has in mind and the record lacks are written again.
 func (a *Allocator) recordRead(r RecordRead) {
 	if r.Token != a.token || len(r.Slots) > MaxProxies {
 		return
@@ -23,7 +23,7 @@
 	}
 }
 
-// adoptSlots takes the seats of the former holder.
+// adoptSlots takes the slots of the previous holder.
 func (a *Allocator) adoptSlots(seats []Slot) {
 	a.recordKnown = true
 	a.revision++
@@ -66,8 +66,8 @@
 	return []Action{WriteRecord{a.token, a.desiredSlots()}}
 }
 
-// assignSlot gives a member a seat, in mind: it is told of it once the record says so. Without a free place
-// the largest seat of those that are heard is halved first.
+// assignSlot gives a member a slot, in mind: it is told of it once the record says so. Without a free place
+// the largest slot of those that are heard is halved first.
 func (a *Allocator) assignSlot(m *member) {
 	if m.hasSlot {
 		return
@@ -86,7 +86,7 @@
 	m.slot, m.hasSlot, m.confirmed, m.fallbackSince, m.firstFallbackAt, a.recordDirty = seat, true, false, a.now, a.now, true
 }
 
-// shrinkSlots begins to tell members with a larger seat than the level's of a smaller one. Only what a node
+// shrinkSlots begins to tell members with a larger slot than the level's of a smaller one. Only what a proxy
 // has taken is free.
 func (a *Allocator) shrinkSlots(level uint8) {
 	for _, m := range a.members {
@@ -96,8 +96,8 @@
 	}
 }
 
-// slotForGrant gives the seat for a member's next grant: one that the record holds, and whose safe share no
-// lease that is alive was granted without counting it.
+// slotForGrant gives the slot for a member's next grant: one that the record holds, and whose fallback share
+// no lease that is alive was granted without counting it.
 func (a *Allocator) slotForGrant(m *member) Slot {
 	none := Slot{Level: slotNone}
 	switch {
--- a/internal/quota/entry.go
+++ b/internal/quota/entry.go
@@ -10,9 +10,9 @@
 type memberShare struct {
 	member  *member
 	current shareLease // by the last grant
-	older   shareLease // the most by all earlier ones that the node may still live by
+	older   shareLease // the most by all earlier ones that the proxy may still live by
 	number  uint32
-	// without a lease it may have its safe share at once, by any grant that may be the last taken
+	// without a lease it may have its fallback share at once, by any grant that may be the last taken
 	fallbackAtOnce        bool
 	currentFallbackAtOnce bool   // by the last
 	claimed               uint32 // the number of the newest claim
@@ -43,13 +43,13 @@
 	return most
 }
 
-// grant notes a new lease. The node may live by an older one until it says that it has taken this one.
+// grant notes a new lease. The proxy may live by an older one until it says that it has taken this one.
 func (e *memberShare) grant(now time.Duration, number uint32, s shareLease, kept bool) {
 	e.older, e.current, e.number = e.envelope(now), s, number
 	e.currentFallbackAtOnce, e.fallbackAtOnce = kept, e.fallbackAtOnce || kept
 }
 
-// confirm notes that the node has taken the last grant: it lives by no older one.
+// confirm notes that the proxy has taken the last grant: it lives by no older one.
 func (e *memberShare) confirm(number uint32) {
 	if number == e.number && number > 0 {
 		e.older, e.fallbackAtOnce = shareLease{}, e.currentFallbackAtOnce
@@ -57,7 +57,7 @@
 }
 
 // allocation is one limit as the holder keeps it: who has a share, and what nobody has, in a bucket of its
-// own. Tokens go from there with the room that a grant adds to a node's bucket.
+// own. Tokens go from there with the room that a grant adds to a proxy's bucket.
 type allocation struct {
 	shares   []*memberShare // by the members' names
 	tokens   float64
@@ -120,8 +120,8 @@
 	delete(e.member.shares, i)
 }
 
-// refill brings the stock's bucket up to now. While members have shares, what was spare is so for a lease at
-// most.
+// refill brings the allocation's bucket up to now. While members have shares, what was spare is so for a
+// lease at most.
 func (s *allocation) refill(now time.Duration, lease time.Duration) {
 	if now <= s.filledAt {
 		return
--- a/internal/quota/events.go
+++ b/internal/quota/events.go
@@ -14,32 +14,32 @@
 	Tick    struct{}              // time has passed; every 20 ms or so
 	Message struct{ Data []byte } // a datagram has come; the core checks it
 	// TableChanged is the one by which requests are judged from now on. A holder is told the one Before too
-	// (nil: none), since nodes that don't know the new one yet have their safe share of the old.
+	// (nil: none), since proxies that don't know the new one yet have their fallback share of the old.
 	TableChanged struct{ Current, Previous *ratelimit.Table }
 )
 
 // Events of the ledger.
 type (
-	AllocatorKnown struct { // as the list service's watch says; datagrams tell it too
+	AllocatorKnown struct { // as the registry's watch says; datagrams tell it too
 		Name  string
 		Token uint64
 	}
-	Peers struct{ Names []string } // other nodes that serve, by the view: who is asked for tokens
+	Peers struct{ Names []string } // other proxies that serve, by the view: who is asked for tokens
 	Leave struct{}                 // nothing is admitted from now on
 )
 
-// Events of the apportioner.
+// Events of the allocator.
 type (
-	LeaseHeld struct { // the duty is held under Fence, until Until by this process's clock unless renewed
+	LeaseHeld struct { // the lease is held under Fence, until Until by this process's clock unless renewed
 		Token uint64
 		Until time.Duration
 	}
-	RecordRead struct { // the record fleet/nodes, as read or written under Fence
+	RecordRead struct { // the record fleet/proxies, as read or written under Fence
 		Token uint64
 		Slots []Slot
 	}
-	Forget          struct{ Name string }    // an operator says that the node will never come back
-	ExpectedProxies struct{ Count int }      // about as many nodes as the view knows
+	Forget          struct{ Name string }    // an operator says that the proxy will never come back
+	ExpectedProxies struct{ Count int }      // about as many proxies as the view knows
 	WallClock       struct{ Time time.Time } // every minute, for limits by time of day
 )
 
@@ -59,12 +59,12 @@
 type Action interface{ action() }
 
 type (
-	// Send is a datagram to a named node or holder.
+	// Send is a datagram to a named proxy or holder.
 	Send struct {
 		To   string
 		Data []byte
 	}
-	// WriteRecord replaces the record fleet/nodes under the fence. Its success is told as a Record.
+	// WriteRecord replaces the record fleet/proxies under the fencing token. Its success is told as a Record.
 	WriteRecord struct {
 		Token uint64
 		Slots []Slot
--- a/internal/quota/events_test.go
+++ b/internal/quota/events_test.go
@@ -9,8 +9,8 @@
 	"wrenspread/ratelimit"
 )
 
-// A holder that goes on although its duty has ended, and word of it that comes late: nodes that know the higher
-// fence take nothing from it.
+// A holder that goes on although its lease has ended, and word of it that comes late: proxies that know the higher
+// fencing token take nothing from it.
 func formerHolderGoesOn(mutate func(n *node, e *AllocatorKnown)) *world {
 	w := newWorld(3, Drift, books(ratelimit.Limit{}, ratelimit.Limit{Rate: 300, Burst: 100}))
 	w.hook.told = mutate
@@ -55,7 +55,7 @@
 		w.nodes[n].want(0, 100)
 	}
 	w.run(3 * time.Second)
-	w.part(true, []string{"n003"}, []string{"h0"}) // and one node never learns of it
+	w.part(true, []string{"n003"}, []string{"h0"}) // and one proxy never learns of it
 	w.run(2 * time.Second)
 	before := w.table
 	w.table = books(ratelimit.Limit{}, ratelimit.Limit{Rate: 100, Burst: 50})
@@ -67,7 +67,7 @@
 	w.run(w.t.countedLease())
 	w.checks[0].lower(w.now, 100, 50)
 	w.run(3 * time.Second)
-	// What is kept for nodes that may still judge by the old table is lost to the others.
+	// What is kept for proxies that may still judge by the old table is lost to the others.
 	atLeast(t, "use of the lower limit", w.used(0, 3*time.Second), 0.7)
 }
 
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// answerClaim answers a claim, if it was sent to this holder under its present fence: so it was sent after
-// the former holder's end, and what it says to hold was counted by that one to its last moment.
+// answerClaim answers a claim, if it was sent to this holder under its present fencing token: so it was sent
+// after the previous holder's end, and what it says to hold was counted by that one to its last moment.
 func (a *Allocator) answerClaim(c claim) []Action {
 	switch {
 	case c.token > a.token:
-		a.leaseUntil = 0 // another holds the duty
+		a.leaseUntil = 0 // another holds the lease
 		return nil
 	case c.token < a.token:
 		h := announcement{token: a.token, name: a.cfg.Name}
@@ -46,7 +46,7 @@
 	return []Action{Send{c.name, g.encode(a.cfg.Fleet)}}
 }
 
-// grant notes a claim's demand and gives the node its share of one limit.
+// grant notes a claim's demand and gives the proxy its share of one limit.
 func (a *Allocator) grant(m *member, i int32, c claimItem, number uint32) (grantItem, bool) {
 	l, s := &a.limits.all[i], a.allocation(i)
 	s.refill(a.now, a.times.lease)
@@ -87,7 +87,7 @@
 }
 
 // nextLease is what a member's next lease is: its goal, as far as the others leave room. While leases of a
-// former holder may be alive, it is what the node holds by one, which adds nothing.
+// previous holder may be alive, it is what the proxy holds by one, which adds nothing.
 func (a *Allocator) nextLease(e *memberShare, i int32, c claimItem) (size, bool) {
 	l := &a.limits.all[i]
 	if a.now < a.formerShareEnd(i) {
@@ -121,8 +121,8 @@
 	return goal
 }
 
-// formerShareEnd is when nothing of a limit can be left that a former holder gave: of open requests, the last
-// that were begun under its leases have ended.
+// formerShareEnd is when nothing of a limit can be left that a previous holder gave: of open requests, the
+// last that were begun under its leases have ended.
 func (a *Allocator) formerShareEnd(i int32) time.Duration {
 	if a.limits.all[i].concurrency {
 		return a.formerLeasesEnd + a.times.maxRequestTime
--- a/internal/quota/handover.go
+++ b/internal/quota/handover.go
@@ -21,7 +21,7 @@
 	at    time.Duration
 }
 
-// withoutAllocator says whether the slot lives by its safe share because no holder answers.
+// withoutAllocator says whether the slot lives by its fallback share because no holder answers.
 func (l *Ledger) withoutAllocator(s *bucket) bool {
 	return !s.concurrency && l.now >= s.leaseUntil && l.now >= l.fallbackSuspendedUntil &&
 		(l.lastGrantAt == 0 || l.now-l.lastGrantAt > l.times.lease)
@@ -54,8 +54,8 @@
 }
 
 // lendTokens gives tokens, whole ones, once a nonce. They are debited before they are sent, and their room in
-// the bucket stays empty until they can't be used any more: so what all nodes hold and what is on the way
-// never exceeds what the buckets of their safe shares hold together.
+// the bucket stays empty until they can't be used any more: so what all proxies hold and what is on the way
+// never exceeds what the buckets of their fallback shares hold together.
 func (l *Ledger) lendTokens(a borrowRequest) []Action {
 	i, there := l.limits.byHash[a.hash]
 	if _, again := l.lentNonces[a.nonce]; !there || again || !l.withoutAllocator(&l.buckets[i]) {
--- a/internal/quota/hard_test.go
+++ b/internal/quota/hard_test.go
@@ -8,7 +8,7 @@
 	"wrenspread/ratelimit"
 )
 
-// fleetOf starts a service, a holder and nodes, and lets them settle.
+// fleetOf starts a service, a holder and proxies, and lets them settle.
 func fleetOf(t *testing.T, table *ratelimit.Table, nodes int) *world {
 	w := newWorld(1, Drift, table)
 	w.serve()
--- a/internal/quota/invariant_test.go
+++ b/internal/quota/invariant_test.go
@@ -3,7 +3,7 @@
 import "time"
 
 // invariant looks at all ledgers at one moment, which finds more than what clients happened to get: rates of all
-// nodes together within the limit's, room within its burst, and no room got that nobody keeps empty for it.
+// proxies together within the limit's, room within its burst, and no room got that nobody keeps empty for it.
 type invariant struct {
 	rate, room, got float64 // the most that each was over, as parts of the rate and the burst
 	ghosts          []ghost
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -10,12 +10,12 @@
 // LedgerConfig is what a ledger is started with.
 type LedgerConfig struct {
 	Fleet      uint32 // the fleet's name as a hash
-	Name       string // of the node, at most MostName bytes
+	Name       string // of the proxy, at most MostName bytes
 	Generation uint64 // of the process; a later process under the name has a higher one
 	Seed       uint64
 }
 
-// Ledger holds a node's share of each limit. It is pure: times are of the process's monotonic clock, from 0
+// Ledger holds a proxy's share of each limit. It is pure: times are of the process's monotonic clock, from 0
 // or more, and one goroutine uses it at a time. It is the decide.Hand that requests are judged with, as of
 // the last At or Handle, and allocates nothing for them.
 type Ledger struct {
@@ -35,7 +35,7 @@
 	lastGrantAt            time.Duration
 	sentClaims             [64]sentClaim
 	lastClaim              uint32        // of the last claim
-	lastGrant              uint32        // the highest number of a grant taken under the fence
+	lastGrant              uint32        // the highest number of a grant taken under the fencing token
 	lastRoundAt            time.Duration // when all that is listed was last claimed
 	lastUrgentAt           time.Duration
 	slot                   Slot
@@ -56,7 +56,7 @@
 
 var _ ratelimit.Tokens = (*Ledger)(nil)
 
-// NewLedger gives a ledger that has no table, no share and no seat.
+// NewLedger gives a ledger that has no table, no share and no slot.
 func NewLedger(cfg LedgerConfig) *Ledger {
 	return &Ledger{
 		cfg: cfg, times: defaultTimes(), random: rand.New(rand.NewPCG(cfg.Seed, cfg.Generation)), startedAt: -1,
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// followAllocator takes a holder whose fence is higher than any seen.
+// followAllocator takes a holder whose fencing token is higher than any seen.
 func (l *Ledger) followAllocator(fence uint64, name string) bool {
 	if fence <= l.token || len(name) == 0 || len(name) > MaxName {
 		return false
@@ -179,7 +179,7 @@
 	}
 }
 
-// setSlot takes the seat that a grant tells of.
+// setSlot takes the slot that a grant tells of.
 func (l *Ledger) setSlot(s Slot, openToo bool) {
 	if s == l.slot && openToo == l.slotCoversConcurrency {
 		return
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -20,11 +20,11 @@
 	rate, burst    float64 // units a second, units
 	floor          float64
 	weight         float64
-	fallbackRate   float64 // of all enrolled nodes together, at the smallest figures that the limit ever has
+	fallbackRate   float64 // of all enrolled proxies together, at the smallest figures that the limit ever has
 	fallbackTokens uint64  // whole ones
 }
 
-// maxPool keeps a seat's arithmetic within 64 bits.
+// maxPool keeps a slot's arithmetic within 64 bits.
 const maxPool = 1 << 30
 
 // limits are a table's, by the hand's index.
@@ -84,7 +84,7 @@
 	return l
 }
 
-// applySchedule sets the figures of a time of the wall clock, which the holder alone does: a node's safe
+// applySchedule sets the figures of a time of the wall clock, which the holder alone does: a proxy's safe
 // share is by the least.
 func (n *limits) applySchedule(wall time.Time) {
 	for i := range n.all {
@@ -100,8 +100,8 @@
 	}
 }
 
-// fallback is a seat's part of the limit without a lease. It is nothing where it holds no whole token, since
-// a bucket that can't hold one never admits anything. For limits on open requests the seat has to be older.
+// fallback is a slot's part of the limit without a lease. It is nothing where it holds no whole token, since
+// a bucket that can't hold one never admits anything. For limits on open requests the slot has to be older.
 func (l *limit) fallback(s Slot, openToo bool) size {
 	if l.fallbackTokens == 0 || s.Level == slotNone || l.concurrency && !openToo {
 		return size{}
@@ -138,7 +138,7 @@
 	for _, w := range words {
 		h.Write([]byte(w))
 	}
-	v := h.Sum64() // its high bits turn seats, so they are stirred once more
+	v := h.Sum64() // its high bits turn slots, so they are stirred once more
 	v ^= v >> 33
 	v *= 0xff51afd7ed558ccd
 	return v ^ v>>33
--- a/internal/quota/member.go
+++ b/internal/quota/member.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// member is a node as the holder knows it: enrolled, or heard of.
+// member is a proxy as the holder knows it: enrolled, or heard of.
 type member struct {
 	name         string
 	generation   uint64
 	tableVersion uint64
 	shares       map[int32]*memberShare // by the limit's index
 
-	slot                Slot // its safe share is counted by
+	slot                Slot // its fallback share is counted by
 	hasSlot             bool
 	confirmed           bool          // the record holds it, or one around it
-	fallbackSince       time.Duration // its safe share has been counted, in its present life
+	fallbackSince       time.Duration // its fallback share has been counted, in its present generation
 	firstFallbackAt     time.Duration // and in any
-	shrinking           bool          // it is being told a seat of half the size
+	shrinking           bool          // it is being told a slot of half the size
 	shrinkingSinceGrant uint32        // in the grant that told it first
 
 	number                 uint32 // of the last grant
 	grants                 [32]sentGrant
-	fallbackSuspendedUntil time.Duration // its safe share is at rest at least so long
+	fallbackSuspendedUntil time.Duration // its fallback share is at rest at least so long
 }
 
 // sentGrant is a grant as the holder remembers it.
@@ -38,8 +38,8 @@
 	return t, number > 0 && t.number == number
 }
 
-// member gives the one that a claim comes from. A new life starts with nothing told: its safe share counts
-// from now on, beside what is left of the former life's leases.
+// member gives the one that a claim comes from. A new generation starts with nothing told: its fallback share
+// counts from now on, beside what is left of the previous generation's leases.
 func (a *Allocator) member(c claim) *member {
 	at, m := a.find(c.name)
 	if m == nil {
@@ -74,8 +74,8 @@
 	return m
 }
 
-// grantConfirmed takes what a claim's echo proves: the node has taken that grant, and so no older one, and
-// has its safe share at rest for a while after that grant's claim, which it sent after the grant that the
+// grantConfirmed takes what a claim's echo proves: the proxy has taken that grant, and so no older one, and
+// has its fallback share at rest for a while after that grant's claim, which it sent after the grant that the
 // claim echoed.
 func (a *Allocator) grantConfirmed(m *member, c claim) (base time.Duration) {
 	m.tableVersion = max(m.tableVersion, c.table)
@@ -93,7 +93,7 @@
 	return t.at
 }
 
-// fallback is what the node may have of a limit without any lease, by the larger of the two tables that it
+// fallback is what the proxy may have of a limit without any lease, by the larger of the two tables that it
 // may know.
 func (a *Allocator) fallback(m *member, i int32) size {
 	if !m.hasSlot {
@@ -109,14 +109,14 @@
 	return s
 }
 
-// fallbackSuspended says whether the node's safe share may be lent: it stays at rest for longer than any
+// fallbackSuspended says whether the proxy's fallback share may be lent: it stays at rest for longer than any
 // lease can live that is granted now.
 func (a *Allocator) fallbackSuspended(m *member) bool {
 	return a.now+a.times.settleTime()+2*sumInterval <= m.fallbackSuspendedUntil
 }
 
 // maxShare is the most that the member may have of a limit: what any grant gave that it may still live by,
-// and its safe share unless that is at rest. The room of the safe share's bucket always counts.
+// and its fallback share unless that is at rest. The room of the fallback share's bucket always counts.
 func (a *Allocator) maxShare(m *member, i int32) size {
 	e := m.shares[i]
 	safe := a.fallback(m, i)
--- a/internal/quota/mutation_test.go
+++ b/internal/quota/mutation_test.go
@@ -13,7 +13,7 @@
 	for name, hook := range map[string]hooks{
 		"no drift margin": {tick: func(_ *world, h *host) { h.core.times.drift = 0 }},
 		"no reserve for the silent": {tick: func(w *world, h *host) {
-			for _, m := range h.core.members { // as if the view's word that a node is dead were enough
+			for _, m := range h.core.members { // as if the view's word that a proxy is dead were enough
 				if silent(h, m) {
 					h.core.remove(m.name)
 					return
@@ -55,7 +55,7 @@
 	}
 }
 
-// cuts plays a node that has all demand and is cut off with an idle one, while another gets the demand.
+// cuts plays a proxy that has all demand and is cut off with an idle one, while another gets the demand.
 func cuts(seed uint64, hook hooks) *world {
 	w := newWorld(seed, 0.05, books(ratelimit.Limit{}, ratelimit.Limit{Rate: 200, Burst: 20, FallbackShare: 1}))
 	w.hook, w.delay = hook, 200*time.Microsecond
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -8,7 +8,7 @@
 )
 
 // plan sets each member's goal in each limit that anybody wants: first what each limit may have of the one
-// around it, from the outside inwards; then who gets how much of it, from the inside outwards, since a node
+// around it, from the outside inwards; then who gets how much of it, from the inside outwards, since a proxy
 // needs as much of an outer limit as it has of the inner ones.
 func (a *Allocator) plan() {
 	if a.now-a.plannedAt < planInterval || a.now < a.formerLeasesEnd {
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -1,4 +1,4 @@
-// Package record is the one definition of what the list service keeps of policies and of who shares their
+// Package record is the one definition of what the registry keeps of policies and of who shares their
 // limits out, for those who write it and for those who follow it.
 package record
 
@@ -20,8 +20,8 @@
 	AllocatorKey = QuotaPrefix + "holder" // who shares limits out
 )
 
-// AllocatorRecord is the process that shares limits out. A node takes one with a higher fence than any
-// before.
+// AllocatorRecord is the process that shares limits out. A proxy takes one with a higher fencing token than
+// any before.
 type AllocatorRecord struct {
 	Name  string `json:"name"` // of its member of the view
 	Token uint64 `json:"fence"`
--- a/internal/quota/service_test.go
+++ b/internal/quota/service_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// service is the list service: it gives the duty, keeps the record, and tells watchers who holds the duty.
+// service is the registry: it gives the lease, keeps the record, and tells watchers who holds the lease.
 type service struct {
 	w       *world
 	down    bool
@@ -61,7 +61,7 @@
 	h.handle(LeaseHeld{s.fence, h.clock.at(s.w.now) + stop})
 }
 
-// watch tells a node, some time later, who holds the duty now.
+// watch tells a proxy, some time later, who holds the lease now.
 func (s *service) watch(n *node) {
 	if s.holder == nil || s.down {
 		return
--- a/internal/quota/sum.go
+++ b/internal/quota/sum.go
@@ -3,8 +3,8 @@
 import "time"
 
 // sumInterval is how long a limit's sum is used before it is made anew. In between only what is granted
-// changes it: shares that run out make it smaller, which may wait, and safe shares that wake are counted for
-// twice as long before they do (resting).
+// changes it: shares that run out make it smaller, which may wait, and fallback shares that wake are counted
+// for twice as long before they do (resting).
 const sumInterval = 50 * time.Millisecond
 
 // sum is what all members may have of a limit together.
@@ -28,7 +28,8 @@
 	return s
 }
 
-// renewSum goes through all members. Room for all tokens of the safe shares is set aside, whoever has them.
+// renewSum goes through all members. Room for all tokens of the fallback shares is set aside, whoever has
+// them.
 func (a *Allocator) renewSum(i int32, s *allocation) {
 	l := &a.limits.all[i]
 	all := size{burst: max(l.burst-a.unclaimed(i).burst, 0)}
--- a/internal/quota/times.go
+++ b/internal/quota/times.go
@@ -9,21 +9,21 @@
 // times are the spans that both ends reckon with. Tests alone set others.
 type times struct {
 	lease time.Duration // a share holds so long after its claim was sent
-	renew time.Duration // between a node's claims
+	renew time.Duration // between a proxy's claims
 	// least wait before a claim out of turn, for a limit that has just got demand
 	minClaimInterval time.Duration
-	// a node that took a grant keeps its safe share at rest so long after the claim was sent
+	// a proxy that took a grant keeps its fallback share at rest so long after the claim was sent
 	fallbackSuspension time.Duration
 	loanTimeout        time.Duration // tokens handed over count only so soon after the asking
 	loanUse            time.Duration // and have to be used so soon after it
 	idleClaimTime      time.Duration // a limit without demand is claimed so long yet
-	warmUp             time.Duration // a new node fills the buckets of limits without demand so long
+	warmUp             time.Duration // a new proxy fills the buckets of limits without demand so long
 	// the longest that an open request is out: holders count it so long past its lease
 	maxRequestTime time.Duration
 	drift          float64
 }
 
-// DefaultLease is short enough that shares follow a jump of demand within 2 s, and long enough that a node
+// DefaultLease is short enough that shares follow a jump of demand within 2 s, and long enough that a proxy
 // may lose four claims in a row.
 const DefaultLease = time.Second
 
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -6,8 +6,8 @@
 	"math"
 )
 
-// Datagrams between nodes and the holder, big-endian. The first byte is the kind, the second the version, the
-// next four the fleet's name as a hash; what follows the known fields is ignored.
+// Datagrams between proxies and the holder, big-endian. The first byte is the kind, the second the version,
+// the next four the fleet's name as a hash; what follows the known fields is ignored.
 const (
 	MaxDatagram = 256
 	version     = 1
@@ -23,14 +23,14 @@
 // IsOurs says whether a datagram's first byte is of this package.
 func IsOurs(kind byte) bool { return kind >= 0x60 && kind <= 0x6f }
 
-// claim is a node's word to the holder: what it wants and what it holds.
+// claim is a proxy's word to the holder: what it wants and what it holds.
 type claim struct {
 	token               uint64 // the holder that it is for
-	generation          uint64 // of the node's process
-	number              uint32 // grows with each claim of a life
-	lastGrant           uint32 // the highest number of a grant that the node took of this fence
+	generation          uint64 // of the proxy's process
+	number              uint32 // grows with each claim of a generation
+	lastGrant           uint32 // the highest number of a grant that the proxy took of this fencing token
 	table               uint64 // the version by which it judges requests
-	fallbackSuspendable bool   // its safe share may be put to rest
+	fallbackSuspendable bool   // its fallback share may be put to rest
 	name                string
 	items               []claimItem
 }
@@ -47,19 +47,19 @@
 	claimSize = 8 + 4 + 4 + 4 + 4
 )
 
-// claimCapacity is how many limits fit into one claim of a node.
+// claimCapacity is how many limits fit into one claim of a proxy.
 func claimCapacity(name string) int { return (MaxDatagram - claimHead - len(name)) / claimSize }
 
 // grant answers one claim.
 type grant struct {
 	token                 uint64
-	generation            uint64 // of the node that it is for
+	generation            uint64 // of the proxy that it is for
 	claim                 uint32
-	number                uint32 // grows with each grant to a node
+	number                uint32 // grows with each grant to a proxy
 	slot                  Slot   // Level seatNone: no word of it
-	fallbackSuspended     bool   // the node's safe share is at rest
-	extendsOnly           bool   // the holder only prolongs what the node had
-	slotCoversConcurrency bool   // the seat holds for limits on open requests too
+	fallbackSuspended     bool   // the proxy's fallback share is at rest
+	extendsOnly           bool   // the holder only prolongs what the proxy had
+	slotCoversConcurrency bool   // the slot holds for limits on open requests too
 	items                 []grantItem
 }
 
@@ -67,10 +67,10 @@
 	hash           uint64
 	size           size
 	tokens         float64 // that come with it
-	fallbackAtOnce bool    // without the lease the node has its safe share of this limit at once
+	fallbackAtOnce bool    // without the lease the proxy has its fallback share of this limit at once
 }
 
-// announcement tells a node who holds the duty.
+// announcement tells a proxy who holds the lease.
 type announcement struct {
 	token uint64
 	name  string
@@ -82,7 +82,7 @@
 	name       string
 }
 
-// borrowRequest and give hand tokens from node to node.
+// borrowRequest and give hand tokens from proxy to proxy.
 type borrowRequest struct {
 	nonce, hash uint64
 	need        float64
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -8,7 +8,7 @@
 	"wrenspread/ratelimit"
 )
 
-// world plays ledgers, holders and the list service on a fake clock over a drawn network.
+// world plays ledgers, holders and the registry on a fake clock over a drawn network.
 type world struct {
 	rng    *rand.Rand
 	t      times
@@ -18,7 +18,7 @@
 	table  *ratelimit.Table
 	nodes  map[string]*node
 	names  []string
-	hosts  []*host // processes that may hold the duty
+	hosts  []*host // processes that may hold the lease
 	svc    service
 	cut    map[[2]string]bool
 	loss   float64
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -14,7 +14,7 @@
 	// the version that the entry must have; 0: it must be absent
 	IfVersion *uint64       `json:"if,omitempty"`
 	ID        string        `json:"id,omitempty"`    // the same for a repeat, which then does not apply twice
-	Token     *FencingToken `json:"fence,omitempty"` // of the duty that the writer holds; 409 if it does not
+	Token     *FencingToken `json:"fence,omitempty"` // of the lease that the writer holds; 409 if it does not
 }
 
 // Renewal is the body of a renewal, and its answer.
@@ -95,12 +95,12 @@
 	Unknown  []string `json:"unknown,omitempty"` // those that have ended
 }
 
-// CandidacyRequest is the body of a campaign, and of a giving up.
+// CandidacyRequest is the body of a campaign, and of a release.
 type CandidacyRequest struct {
 	Candidacies []Candidacy `json:"duties"`
 }
 
-// LeasesResponse is what a read or a watch of duties gets: all of them, or those of a session.
+// LeasesResponse is what a read or a watch of leases gets: all of them, or those of a session.
 type LeasesResponse struct {
 	Index    uint64    `json:"index"`
 	Epoch    string    `json:"epoch,omitempty"`
@@ -108,7 +108,7 @@
 	Sessions []Session `json:"sessions,omitempty"` // where all are asked for
 }
 
-// LeaseOrder is the body of an operator's order on a duty.
+// LeaseOrder is the body of an operator's order on a lease.
 type LeaseOrder struct {
 	Process string `json:"process,omitempty"`
 	Block   bool   `json:"on,omitempty"` // of a block: to lay it, not to lift it
--- a/internal/registry/client/belief.go
+++ b/internal/registry/client/belief.go
@@ -1,5 +1,5 @@
 // Package client reads, watches and writes the list of servers, and goes on with
-// what it has while the list service fails: one replica, the leader, or all of it.
+// what it has while the registry fails: one replica, the leader, or all of it.
 package client
 
 import (
@@ -39,7 +39,7 @@
 	Changed                     // the view has changed
 	Stale                       // it is older than what is known: whoever gave it lags, or is cut off
 	HeldBack                    // it is held back for now
-	NeedsComplete               // it does not fit what is known: ask for the whole list
+	NeedsComplete               // it does not fit what is known: ask for the complete list
 	TooNarrow                   // it is a part with too few servers: a wider one is read in place of it
 )
 
@@ -79,7 +79,7 @@
 }
 
 // Next is what the next call has to name: the version to go on from, and its epoch.
-// While a list is held back, and after a gap, the whole list is asked for.
+// While a list is held back, and after a gap, the complete list is asked for.
 func (b *ListState) Next() (from uint64, epoch string) {
 	if b.heldBack != nil || b.needsComplete {
 		return 0, ""
--- a/internal/registry/client/broken_test.go
+++ b/internal/registry/client/broken_test.go
@@ -27,7 +27,7 @@
 	server := entryJSON("s", "127.0.0.1:1", "ready")
 	for _, c := range []struct {
 		name  string
-		call  int // 0 is for the whole list, 1 is a watch from 42
+		call  int // 0 is for the complete list, 1 is a watch from 42
 		serve http.HandlerFunc
 		whole bool // is asked for next
 	}{
@@ -46,12 +46,12 @@
 	} {
 		for name, asked := range map[string]bool{"pushed": false, "asked for": true} {
 			if asked && c.name == "refused" {
-				continue // then the module waits, as TestAskedDiscovery shows
+				continue // then the balancer waits, as TestAskedDiscovery shows
 			}
 			t.Run(name+" "+c.name, func(t *testing.T) {
 				index, most, hold := uint64(50), time.Duration(0), holdPushed
 				if c.whole {
-					index = 40 // the whole list is the truth, whatever its version
+					index = 40 // the complete list is the truth, whatever its version
 				}
 				inBubble(t, func(call int, w http.ResponseWriter, r *http.Request) {
 					switch {
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -23,7 +23,7 @@
 	errOlderList = errors.New("discovery's list is older than what it told")
 )
 
-// call asks once, for the whole list where that is to come, else for what is
+// call asks once, for the complete list where that is to come, else for what is
 // newer than the version known, and passes the answer on. After a failure no
 // connection of before is used again: what silenced one may have silenced all.
 func (d *Platform) call(ctx context.Context, hold time.Duration) error {
@@ -40,7 +40,7 @@
 		err = isCompleteRead(l, d.needsComplete)
 	}
 	if err == nil && !d.needsComplete && l.Index < d.index {
-		// A server that was told to drain would be ready again. The whole list is the truth.
+		// A server that was told to drain would be ready again. The complete list is the truth.
 		d.needsComplete, err = true, errOlderList
 	}
 	if err != nil {
@@ -51,13 +51,13 @@
 	d.index, d.needsComplete, d.lastCallFailed = l.Index, false, false
 	d.answers++
 	for _, err := range l.Skipped {
-		d.log.Warn("list entry skipped", "err", err)
+		d.log.Warn("endpoint entry skipped", "err", err)
 	}
 	d.onList(l)
 	return nil
 }
 
-// isCompleteRead says what is wrong with an answer that is, or was to be, the whole list.
+// isCompleteRead says what is wrong with an answer that is, or was to be, the complete list.
 func isCompleteRead(l registry.ListResponse, asked bool) error {
 	switch {
 	case asked && !l.Snapshot:
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -27,7 +27,7 @@
 	HoldBack  time.Duration // of a list of another epoch that lost most entries; 0: DefaultHoldBack
 	Log       *slog.Logger  // nil: none
 
-	// Part, if there is one, says which part of the list to follow for whoever has
+	// Part, if there is one, says which subset of the list to follow for whoever has
 	// part now with these entries, of total in all; entries are nil where none are
 	// known yet. It is called after answers, and must not call the client.
 	ChooseSubset func(now registry.Subset, total int, entries []registry.Endpoint) registry.Subset
@@ -44,10 +44,10 @@
 	DefaultHoldBack = 30 * time.Second
 
 	// What a silent watch misses counts as told 2 s past its hold, what a silent
-	// call for the whole list misses after 6 s: some of that is for the call that
+	// call for the complete list misses after 6 s: some of that is for the call that
 	// is made anew.
 	answerGrace         = 1500 * time.Millisecond // for an answer, past the hold
-	completeReadTimeout = 5 * time.Second         // for the whole list, which is not held back
+	completeReadTimeout = 5 * time.Second         // for the complete list, which is not held back
 	dialTime            = time.Second
 	// for a thousand clients that lost one replica, four tries a millisecond
 	firstBackoff = 250 * time.Millisecond
@@ -55,13 +55,13 @@
 	maxAnswer    = 128 << 20 // bytes of a list; one of the longest entries takes two thirds
 )
 
-// Client follows the list service and writes to it. It is safe for concurrent use.
+// Client follows the registry and writes to it. It is safe for concurrent use.
 type Client struct {
 	config Config
 	log    *slog.Logger
 	http   *http.Client
 
-	leasesFailed atomic.Bool // the last try to read a session's duties
+	leasesFailed atomic.Bool // the last try to read a session's leases
 
 	mu           sync.Mutex
 	list         *ListState
@@ -105,7 +105,7 @@
 	if c.File != "" {
 		var err error
 		if before, err = readCache(c.File); err != nil {
-			k.log.Warn("it begins without a list", "err", err)
+			k.log.Warn("cached endpoint list unusable, starting without", "err", err)
 		}
 	}
 	k.list = NewListState(c.HoldBack, before)
--- a/internal/registry/client/follow.go
+++ b/internal/registry/client/follow.go
@@ -111,7 +111,7 @@
 			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // read whole, as of now
 		}
 		k.log.Warn(
-			"records are not followed for now; those known stand",
+			"following records failed, keeping the known ones",
 			"prefix",
 			prefix,
 			"address",
--- a/internal/registry/client/move.go
+++ b/internal/registry/client/move.go
@@ -9,7 +9,7 @@
 )
 
 // Move goes on at another address, or in the other way. Versions seen before
-// mean nothing there, so it begins with the whole list.
+// mean nothing there, so it begins with the complete list.
 func (d *Platform) Move(ctx context.Context, address string, asked bool) {
 	d.polls = asked
 	if d.latest != nil {
@@ -26,8 +26,8 @@
 	})
 }
 
-// endForMove ends a task for a move. What the former address has written by then counts as told, whatever the
-// next one says, and when: an answer that has begun to come is read to its end.
+// endForMove ends a task for a move. What the previous address has written by then counts as told, whatever
+// the next one says, and when: an answer that has begun to come is read to its end.
 func (d *Platform) endForMove(t *task) {
 	if d.answerArriving() {
 		whole, stop := context.WithTimeout(context.Background(), moveGrace)
--- a/internal/registry/client/move_test.go
+++ b/internal/registry/client/move_test.go
@@ -13,7 +13,7 @@
 	"wrenspread/internal/registry"
 )
 
-// TestMovesWhileAListIsTaken: the former address's list goes ahead of the newer one's, and a move that another
+// TestMovesWhileAListIsTaken: the previous address's list goes ahead of the newer one's, and a move that another
 // overtakes asks nobody.
 func TestMovesWhileAListIsTaken(t *testing.T) {
 	inBubble(t, func(call int, w http.ResponseWriter, r *http.Request) {
@@ -48,7 +48,7 @@
 	})
 }
 
-// TestMoveThatIsOvertaken by what the module asks for still begins with the whole list: versions of before mean nothing.
+// TestMoveThatIsOvertaken by what the balancer asks for still begins with the complete list: versions of before mean nothing.
 func TestMoveThatIsOvertaken(t *testing.T) {
 	inBubble(t, func(_ int, w http.ResponseWriter, r *http.Request) { silent(w, r) }, func(ctx context.Context, s *standIn) {
 		d, _ := s.platform(true)
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -125,7 +125,7 @@
 	tell(w, v)
 }
 
-// modulePlays has the decision module ask for lists, as the node does, and passes on what is told.
+// modulePlays has the decision module ask for lists, as the proxy does, and passes on what is told.
 func modulePlays(ctx context.Context, d *Platform, words chan took, now func() time.Duration, nodes int, seed int64) chan took {
 	lists := make(chan took, 100)
 	go func() {
--- a/internal/registry/client/part.go
+++ b/internal/registry/client/part.go
@@ -1,6 +1,6 @@
 package client
 
-// Which part of the list is followed, and how a client goes from one to another:
+// Which subset of the list is followed, and how a client goes from one to another:
 // it reads the new one whole while the one that it has stands.
 
 import (
@@ -13,7 +13,7 @@
 )
 
 // subsetMove is the part that is to be followed. Where another one is known, that one is
-// watched until its time, which is drawn from a whole hold: the nodes that have to
+// watched until its time, which is drawn from a whole hold: the proxies that have to
 // move are told so by one change.
 type subsetMove struct {
 	to registry.Subset
@@ -69,7 +69,7 @@
 }
 
 // fit gives an answer the form of its part. A service that knows no parts says
-// nothing of one: its whole list is taken as that, of its changes what the part has.
+// nothing of one: its complete list is taken as that, of its changes what the part has.
 func (q listRead) fit(a *registry.ListResponse) error {
 	switch {
 	case a.Subset == q.subset.String():
@@ -120,7 +120,7 @@
 	k.move = subsetMove{next, time.Since(k.start) + rand.N(k.config.Hold)}
 	if next != k.list.subset {
 		k.log.Info(
-			"another part of the list is to be followed",
+			"following another subset",
 			"from",
 			k.list.subset,
 			"to",
--- a/internal/registry/client/part_kept_test.go
+++ b/internal/registry/client/part_kept_test.go
@@ -11,7 +11,7 @@
 	"wrenspread/internal/registry"
 )
 
-// TestReturnWithKeptPart: a node that comes back after an hour serves on the part that it kept, of whatever width, and
+// TestReturnWithKeptPart: a proxy that comes back after an hour serves on the part that it kept, of whatever width, and
 // is brought up by one whole part. A program that knows no parts takes such a file for a list of no version.
 func TestReturnWithKeptPart(t *testing.T) {
 	file, nodes := filepath.Join(t.TempDir(), "list"), 4300
--- a/internal/registry/client/part_test.go
+++ b/internal/registry/client/part_test.go
@@ -136,7 +136,7 @@
 	})
 }
 
-// fleetState is a list of so many servers, and a node's client of it.
+// fleetState is a list of so many servers, and a proxy's client of it.
 func fleetState(t *testing.T, servers int) *registry.State {
 	s := registry.NewState()
 	s.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
@@ -186,7 +186,7 @@
 		if servers < 18000 {
 			continue
 		}
-		nodes = 1000 // this node now believes in a smaller fleet than others: each has more to do
+		nodes = 1000 // this proxy now believes in a smaller fleet than others: each has more to do
 		if _, q, _ := k.callTo(s, func() {}); q.from == 0 {
 			t.Errorf("it moves with no answer: %+v", q)
 		}
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -27,7 +27,7 @@
 	sleep          func(context.Context, time.Duration) bool
 	log            *slog.Logger
 	index          uint64
-	needsComplete  bool // the whole list is still to come: index means nothing
+	needsComplete  bool // the complete list is still to come: index means nothing
 	lastCallFailed bool // the call before failed
 	answers        int  // answers so far
 	onList         func(registry.ListResponse)
@@ -111,7 +111,7 @@
 	return d.watch(ctx)
 }
 
-// follow watches for ever, as lists that are pushed need no leave of the module.
+// follow watches for ever, as lists that are pushed need no leave of the balancer.
 // It comes back from a failure at once, and from further ones in a row after a
 // jittered wait that doubles up to a cap.
 func (d *Platform) follow(ctx context.Context) {
@@ -126,7 +126,7 @@
 			wait = 0
 		}
 		if wait == 0 { // a long outage is one line, not one for each try
-			d.log.Warn("discovery failed, watching again", "err", err)
+			d.log.Warn("discovery failed, retrying", "err", err)
 		}
 		if !d.sleep(ctx, time.Duration(float64(wait)*(0.5+rand.Float64()))) {
 			return
@@ -135,7 +135,7 @@
 	}
 }
 
-// Follow starts to watch for ever. It begins with the whole list, as what the
+// Follow starts to watch for ever. It begins with the complete list, as what the
 // agent holds counts from the first moment, whatever this process knows. It ends
 // with ctx.
 func (d *Platform) Follow(ctx context.Context) {
@@ -145,7 +145,7 @@
 	})
 }
 
-// begin starts a task and ends an earlier one first, as lists reach the module
+// begin starts a task and ends an earlier one first, as lists reach the balancer
 // in order only from one at a time. It does not block, and is not safe for
 // concurrent use.
 func (d *Platform) begin(ctx context.Context, run func(context.Context)) {
@@ -173,7 +173,7 @@
 	}()
 }
 
-// Poll does what the node's module asked for where lists are not pushed: a fetch, then
+// Poll does what the proxy's module asked for where lists are not pushed: a fetch, then
 // a watch until it fails.
 func (d *Platform) Poll(ctx context.Context, fetch, watch bool) {
 	d.begin(ctx, func(ctx context.Context) {
@@ -189,8 +189,8 @@
 }
 
 // poll watches until a call fails. It makes one that broke or fell silent anew by
-// itself, as the module would wait longer than the list's clock allows. Two in a
-// row, or one that is refused, are a discovery that is down, to which the module
+// itself, as the balancer would wait longer than the list's clock allows. Two in a
+// row, or one that is refused, are a discovery that is down, to which the balancer
 // spreads its calls.
 func (d *Platform) poll(ctx context.Context) (err error) {
 	for broke := 0; broke < 2; broke++ {
@@ -218,7 +218,7 @@
 	return time.Duration(rand.Float64() * float64(most))
 }
 
-// end tells the module of a failure, unless the task was ended by another.
+// end tells the balancer of a failure, unless the task was ended by another.
 func (d *Platform) end(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
 		d.log.Warn("discovery failed", "err", err)
--- a/internal/registry/client/platform_test.go
+++ b/internal/registry/client/platform_test.go
@@ -33,7 +33,7 @@
 		case 3:
 			besteffort.Output(fmt.Fprint(w, `{"index":`))
 		case 4:
-			<-r.Context().Done() // silent until the node gives up
+			<-r.Context().Done() // silent until the proxy gives up
 		case 5:
 			besteffort.Output(fmt.Fprintf(w, `{"index":43,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining")))
 		default:
@@ -66,11 +66,11 @@
 	}
 }
 
-// TestAskedDiscovery: where the module asks, it is told of a failure and asks again itself.
+// TestAskedDiscovery: where the balancer asks, it is told of a failure and asks again itself.
 func TestAskedDiscovery(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("from") {
-		case "": // the whole list
+		case "": // the complete list
 			besteffort.Output(fmt.Fprint(w, `{"index":42,"snapshot":true,"endpoints":[]}`))
 		case "41":
 			besteffort.Output(fmt.Fprint(w, `{"index":50,"snapshot":false,"endpoints":[]}`))
--- a/internal/registry/client/records.go
+++ b/internal/registry/client/records.go
@@ -36,7 +36,7 @@
 	return k.put(ctx, key, registry.PutRequest{Value: value, IfVersion: cond})
 }
 
-// Put is Client.Put under the fence.
+// Put is Client.Put under the fencing token.
 func (h FencedClient) Put(
 	ctx context.Context,
 	key string,
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -42,7 +42,7 @@
 	return len(r.Unknown) == 0, nil
 }
 
-// Campaign has a session wait for duties.
+// Campaign has a session wait for leases.
 func (k *Client) Campaign(
 	ctx context.Context,
 	id string,
@@ -59,7 +59,7 @@
 	return r, err
 }
 
-// ReleaseLeases has a session leave duties and their queues.
+// ReleaseLeases has a session leave leases and their queues.
 func (k *Client) ReleaseLeases(
 	ctx context.Context,
 	id string,
@@ -76,7 +76,7 @@
 	return r, err
 }
 
-// SessionLeases makes one try to read the duties of a session once they are newer than a version. A try that
+// SessionLeases makes one try to read the leases of a session once they are newer than a version. A try that
 // comes after one that failed is not held, so that its own silence shows soon.
 func (k *Client) SessionLeases(
 	ctx context.Context,
@@ -102,14 +102,14 @@
 	return a, err
 }
 
-// Leases reads all duties and sessions as they are now.
+// Leases reads all leases and sessions as they are now.
 func (k *Client) Leases(ctx context.Context) (registry.LeasesResponse, error) {
 	var a registry.LeasesResponse
 	err := k.send(ctx, http.MethodGet, "/registry/duties?current=1", nil, &a)
 	return a, err
 }
 
-// TransferLease asks the holder of a duty to hand on, to a certain process if one is named.
+// TransferLease asks the lease holder to transfer, to a certain process if one is named.
 func (k *Client) TransferLease(ctx context.Context, duty, to string) error {
 	var r registry.Result
 	return k.send(
@@ -121,7 +121,7 @@
 	)
 }
 
-// BlockProcess keeps a process from a duty, or lets it again.
+// BlockProcess keeps a process from a lease, or lets it again.
 func (k *Client) BlockProcess(ctx context.Context, duty, process string, on bool) error {
 	var r registry.Result
 	return k.send(
@@ -133,8 +133,8 @@
 	)
 }
 
-// FencedClient writes to the list as the holder of a duty: each write is turned down
-// (Refused, 409) unless the fence is still that of the holder.
+// FencedClient writes to the list as the lease holder: each write is turned down
+// (Refused, 409) unless the fencing token is still that of the holder.
 type FencedClient struct {
 	client *Client
 	token  registry.FencingToken
@@ -143,7 +143,7 @@
 // WithToken gives the writer of a holder.
 func (k *Client) WithToken(f registry.FencingToken) FencedClient { return FencedClient{k, f} }
 
-// Register is Client.Register under the fence.
+// Register is Client.Register under the fencing token.
 func (h FencedClient) Register(
 	ctx context.Context,
 	e registry.Endpoint,
@@ -158,7 +158,7 @@
 	)
 }
 
-// Drain is Client.Drain under the fence.
+// Drain is Client.Drain under the fencing token.
 func (h FencedClient) Drain(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
 	return h.client.write(
 		ctx,
@@ -168,7 +168,7 @@
 	)
 }
 
-// Remove is Client.Remove under the fence.
+// Remove is Client.Remove under the fencing token.
 func (h FencedClient) Remove(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
 	return h.client.write(
 		ctx,
--- a/internal/registry/client/silence.go
+++ b/internal/registry/client/silence.go
@@ -15,7 +15,7 @@
 // holdPushed, gracePushed, at once the next, gracePushed, 1.5 * backoffLow, which
 // makes 5.7 s. Where they are asked for, the call after a silent one is made
 // within holdAsked + graceAsked + spreadSilent, 21.75 s of 22 s, and if it is
-// silent, too, the module knows graceAsked later.
+// silent, too, the balancer knows graceAsked later.
 //
 // The bound for what follows a failure. A change is to be known 6 s after
 // discovery has it and can be reached, whatever calls failed before. As no call
@@ -23,10 +23,10 @@
 // grace, and the next comes after the longest wait. Pushed: gracePushed,
 // 1.5 * backoffHigh, an answer within gracePushed, 2.4 s. Asked for: graceAsked,
 // decide.MostAskWait, an answer within graceAsked, 5.7 s; decide (asking.go) says
-// what fleets of over 36 nodes do when calls stay silent for long. The project's list service, once a list is
+// what fleets of over 36 proxies do when calls stay silent for long. The project's registry, once a list is
 // known: grace, mostWait, an answer within grace, 5.5 s.
 const (
-	holdPushed = 3500 * time.Millisecond // a watch on the agent costs it nothing, and the node little
+	holdPushed = 3500 * time.Millisecond // a watch on the agent costs it nothing, and the proxy little
 	holdPolled = 20 * time.Second        // a call to the shared service costs it work
 	minHold    = time.Millisecond        // of a call to be answered at once with what is new
 	// the agent is on this machine; three calls fit into the 4 s after a move
@@ -38,7 +38,7 @@
 	backoffLow  = 50 * time.Millisecond  // before the second call that fails in a row
 	backoffHigh = 250 * time.Millisecond // what the agent holds counts as told, outage or not
 
-	// over which nodes ask again whose calls to the shared service fell silent or broke together
+	// over which proxies ask again whose calls to the shared service fell silent or broke together
 	spreadSilent = 250 * time.Millisecond
 	// and whose discovery moved: two calls fit into what is left of the 4 s
 	spreadMove = 600 * time.Millisecond
--- a/internal/registry/client/silence_test.go
+++ b/internal/registry/client/silence_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestDiscoveryThatStaysSilent is a matter for the module where lists are asked for, which spreads its calls.
+// TestDiscoveryThatStaysSilent is a matter for the balancer where lists are asked for, which spreads its calls.
 func TestDiscoveryThatStaysSilent(t *testing.T) {
 	inBubble(t, func(_ int, w http.ResponseWriter, r *http.Request) { silent(w, r) }, func(ctx context.Context, s *standIn) {
 		d, lists := s.platform(true)
@@ -194,7 +194,7 @@
 	}
 }
 
-// TestSilentService: the client of the project's own list service keeps to the same clock, and to that of a second
+// TestSilentService: the client of the project's own registry keeps to the same clock, and to that of a second
 // call that falls silent.
 func TestSilentService(t *testing.T) {
 	const hold = 5 * time.Second
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -27,11 +27,11 @@
 			wait, hold = watchBackoff(), k.config.Hold
 			continue
 		case err != nil:
-			k.log.Warn("the list service does not answer; the last list stands", "address", k.address(), "err", err)
+			k.log.Warn("registry does not answer, keeping the last list", "address", k.address(), "err", err)
 		case verdict == HeldBack:
-			k.log.Error("a list of another epoch lacks most entries and is held back", "for", k.config.HoldBack)
+			k.log.Error("holding back a list of another epoch that lacks most endpoints", "for", k.config.HoldBack)
 		case verdict == Stale:
-			k.log.Warn("a replica has an older list than this client", "address", k.address())
+			k.log.Warn("replica is behind this client", "address", k.address())
 		}
 		if hold = minHold; verdict != HeldBack {
 			k.nextAddress()
@@ -47,7 +47,7 @@
 	return backoff.FullJitter{First: firstBackoff, Max: maxBackoff}
 }
 
-// watching tells whether the next call is held until there is news; one for the whole list is not.
+// watching tells whether the next call is held until there is news; one for the complete list is not.
 func (k *Client) watching() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -79,7 +79,7 @@
 		return Unchanged, err
 	}
 	for _, err := range a.Skipped {
-		k.log.Warn("an entry of the list is passed over", "err", err)
+		k.log.Warn("endpoint entry skipped", "err", err)
 	}
 	if k.widensSubset(q, a) {
 		return TooNarrow, nil
@@ -144,7 +144,7 @@
 	}
 	if news && k.config.File != "" {
 		if err := writeCache(k.config.File, v); err != nil {
-			k.log.Warn("the list is not kept for the next start", "err", err)
+			k.log.Warn("caching the endpoint list failed", "err", err)
 		}
 	}
 	return verdict
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -81,7 +81,7 @@
 	Session     *Session      `json:"session,omitempty"`
 	Sessions    []string      `json:"sessions,omitempty"`
 	Candidacies []Candidacy   `json:"wishes,omitempty"`
-	Grant       []string      `json:"grant,omitempty"` // duties that may be given on in this step
+	Grant       []string      `json:"grant,omitempty"` // leases that may be given on in this step
 	Process     string        `json:"to,omitempty"`    // a process
 	Enable      bool          `json:"on,omitempty"`
 }
@@ -102,7 +102,7 @@
 	NotFound         Code = "absent"   // there is no such entry
 	CapacityExceeded Code = "full"     // the list takes no more entries
 	Invalid          Code = "invalid"
-	StaleToken       Code = "fenced" // the writer does not hold the duty that it names
+	StaleToken       Code = "fenced" // the writer does not hold the lease that it names
 )
 
 // Result is what a command came to.
--- a/internal/registry/duties.go
+++ b/internal/registry/duties.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Bounds on duties.
+// Bounds on leases.
 const (
-	MaxSessions    = 1 << 13 // as each of 4,300 nodes may have one, with room for those that start anew
+	MaxSessions    = 1 << 13 // as each of 4,300 proxies may have one, with room for those that start anew
 	MaxLeases      = 10000
-	MaxCandidates  = 256  // in the queue of one duty
-	MaxLeaseBatch  = 1000 // duties of one command
+	MaxCandidates  = 256  // in the queue of one lease
+	MaxLeaseBatch  = 1000 // leases of one command
 	MaxProcessInfo = 1024 // bytes of a holder's word
 	MinSessionTTL  = 500 * time.Millisecond
 	MaxSessionTTL  = time.Minute
 )
 
-// Session is a process as long as it renews. It holds duties and stands in queues.
+// Session is a process as long as it renews. It holds leases and stands in queues.
 type Session struct {
 	ID      string        `json:"id"`      // drawn by the process, new for each session
 	Process string        `json:"process"` // its name, the same over its restarts
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// Candidacy is a place in the queue of a duty.
+// Candidacy is a place in the queue of a lease.
 type Candidacy struct {
 	Lease    string `json:"duty"`
 	Priority int    `json:"priority,omitempty"` // the higher goes first
-	Preempt  bool   `json:"over,omitempty"`     // a holder of lower priority is asked to hand on
+	Preempt  bool   `json:"over,omitempty"`     // a holder of lower priority is asked to transfer
 }
 
-// Candidate is one that waits for a duty.
+// Candidate is one that waits for a lease.
 type Candidate struct {
 	Session  string `json:"session"`
 	Process  string `json:"process"`
@@ -68,7 +68,7 @@
 	Since    uint64 `json:"since"` // the version at which it came
 }
 
-// Lease is one duty with its holder, if it has one.
+// Lease is one lease with its holder, if it has one.
 type Lease struct {
 	Name       string       `json:"name"`
 	Holder     string       `json:"holder,omitempty"` // session
@@ -77,26 +77,26 @@
 	Priority   int          `json:"priority,omitempty"` // of the holder
 	// the version of the last grant; 0: there was none
 	Token             uint64      `json:"fence"`
-	TransferRequested bool        `json:"asked,omitempty"`   // to hand on
+	TransferRequested bool        `json:"asked,omitempty"`   // to transfer
 	Successor         string      `json:"to,omitempty"`      // the process that is to have it next
 	Queue             []Candidate `json:"queue,omitempty"`   // in the order in which they came
 	Blocked           []string    `json:"blocked,omitempty"` // processes that may not hold it
 }
 
-// FencingToken proves to whoever takes orders that they come from the holder of a duty.
+// FencingToken proves to whoever takes orders that they come from the lease holder.
 type FencingToken struct {
 	Lease  string `json:"duty"`
 	Number uint64 `json:"fence"`
 }
 
-// leaseState is the part of the state that belongs to duties.
+// leaseState is the part of the state that belongs to leases.
 type leaseState struct {
 	Sessions map[string]*openSession `json:"sessions"`
 	Leases   map[string]*Lease       `json:"duties"`
-	Changed  uint64                  `json:"changed"` // the version of the last change of a duty
+	Changed  uint64                  `json:"changed"` // the version of the last change of a lease
 }
 
-// openSession is a session with the duties that it holds or waits for.
+// openSession is a session with the leases that it holds or waits for.
 type openSession struct {
 	Session
 	Leases map[string]bool `json:"in"`
@@ -119,7 +119,7 @@
 	return c
 }
 
-// Lease gives a duty by name.
+// Lease gives a lease by name.
 func (s *State) Lease(name string) (Lease, bool) {
 	d, ok := s.leases.Leases[name]
 	if !ok {
@@ -134,11 +134,11 @@
 	return c
 }
 
-// LeasesVersion is that of the last change of a duty; 1, that of a list that has
+// LeasesVersion is that of the last change of a lease; 1, that of a list that has
 // just begun, if there was none.
 func (s *State) LeasesVersion() uint64 { return max(s.leases.Changed, 1) }
 
-// Leases gives all duties by name, or those that a session holds or waits for.
+// Leases gives all leases by name, or those that a session holds or waits for.
 func (s *State) Leases(session string) (all []Lease, known bool) {
 	names := maps.Keys(s.leases.Leases)
 	if session != "" {
@@ -164,7 +164,7 @@
 	return all
 }
 
-// UnheldLeases gives the duties that nobody holds though somebody waits for them.
+// UnheldLeases gives the leases that nobody holds though somebody waits for them.
 func (s *State) UnheldLeases() []string {
 	var all []string
 	for name, d := range s.leases.Leases {
--- a/internal/registry/duties_change.go
+++ b/internal/registry/duties_change.go
@@ -1,6 +1,6 @@
 package registry
 
-// What becomes of sessions, duties and their queues.
+// What becomes of sessions, leases and their queues.
 
 import (
 	"fmt"
@@ -37,7 +37,7 @@
 	delete(s.leases.Sessions, id)
 }
 
-// leaveLease takes a session out of a duty and its queue.
+// leaveLease takes a session out of a lease and its queue.
 func (s *State) leaveLease(h *openSession, name string, grant bool) {
 	d := s.leases.Leases[name]
 	delete(h.Leases, name)
@@ -52,8 +52,8 @@
 	s.removeIfUnused(d)
 }
 
-// removeIfUnused forgets a duty that nobody holds, wants or is kept from. Its name may be
-// used again: fences are versions, so a later grant has a higher one all the same.
+// removeIfUnused forgets a lease that nobody holds, wants or is kept from. Its name may be
+// used again: fencing tokens are versions, so a later grant has a higher one all the same.
 func (s *State) removeIfUnused(d *Lease) {
 	if d.Holder == "" && len(d.Queue) == 0 && len(d.Blocked) == 0 {
 		delete(s.leases.Leases, d.Name)
@@ -65,7 +65,7 @@
 	s.leases.Changed = s.version
 }
 
-// next is the candidate that has a duty next, or -1.
+// next is the candidate that has a lease next, or -1.
 func (d *Lease) next() int {
 	best := -1
 	better := func(a, b Candidate) bool {
@@ -82,7 +82,7 @@
 	return best
 }
 
-// grant gives a free duty to the next in its queue.
+// grant gives a free lease to the next in its queue.
 func (s *State) grant(d *Lease) {
 	i := d.next()
 	if d.Holder != "" || i < 0 {
@@ -96,7 +96,7 @@
 	s.preempt(d)
 }
 
-// preempt asks the holder to hand on if somebody waits who goes before it.
+// preempt asks the holder to transfer if somebody waits who goes before it.
 func (s *State) preempt(d *Lease) {
 	if d.Holder == "" || d.TransferRequested {
 		return
@@ -155,7 +155,7 @@
 	return Result{}
 }
 
-// transferLease asks a holder to hand on, to a certain process if one is named.
+// transferLease asks a holder to transfer, to a certain process if one is named.
 func (s *State) transferLease(c Command) Result {
 	d, ok := s.leases.Leases[c.Name]
 	if !ok || d.Holder == "" {
@@ -172,7 +172,7 @@
 	return Result{EntryVersion: d.Token}
 }
 
-// block keeps a process from a duty, or lets it again.
+// block keeps a process from a lease, or lets it again.
 func (s *State) block(c Command) Result {
 	d, ok := s.leases.Leases[c.Name]
 	if !ok {
--- a/internal/registry/duties_check.go
+++ b/internal/registry/duties_check.go
@@ -1,10 +1,10 @@
 package registry
 
-// Commands on duties, and what is wrong with them or with duties that are read.
+// Commands on leases, and what is wrong with them or with leases that are read.
 
 import "fmt"
 
-// applyLeaseCommand carries out a command on duties.
+// applyLeaseCommand carries out a command on leases.
 func (s *State) applyLeaseCommand(c Command) Result {
 	switch c.Op {
 	case OpOpenSession:
@@ -31,7 +31,7 @@
 	return Result{}
 }
 
-// checkLease says what is wrong with a command on duties.
+// checkLease says what is wrong with a command on leases.
 func (c Command) checkLease() error {
 	if len(c.Candidacies) > MaxLeaseBatch || len(c.Sessions) > MaxSessions || len(c.Grant) > MaxLeases {
 		return fmt.Errorf(
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// check says what is wrong with duties that could not have been.
+// check says what is wrong with leases that could not have been.
 func (d *leaseState) check(version uint64) error {
 	if d.Sessions == nil || d.Leases == nil || d.Changed > version {
 		return fmt.Errorf("duties without sessions, or changed after version %d", version)
--- a/internal/registry/duties_test.go
+++ b/internal/registry/duties_test.go
@@ -13,7 +13,7 @@
 	_ "wrenspread/internal/rapidseed"
 )
 
-// drawDuty draws a command on few sessions and duties, so that they meet.
+// drawDuty draws a command on few sessions and leases, so that they meet.
 func drawDuty(t *rapid.T) Command {
 	id := func() string { return fmt.Sprint("x", rapid.IntRange(0, 3).Draw(t, "session")) }
 	name := fmt.Sprint("d", rapid.IntRange(0, 1).Draw(t, "duty"))
@@ -43,7 +43,7 @@
 	return c
 }
 
-// TestDuties: whatever sessions, holders and operators do, fences only rise and are
+// TestDuties: whatever sessions, holders and operators do, fencing tokens only rise and are
 // the versions of their grants, the best candidate is granted, a fenced write goes
 // through for the present holder alone, and a replica from a snapshot has the same.
 func TestDuties(t *testing.T) {
@@ -87,7 +87,7 @@
 	})
 }
 
-// texts gives duties as others read them.
+// texts gives leases as others read them.
 func texts(t *rapid.T, all []Lease) (lines []string) {
 	for _, d := range all {
 		raw, err := json.Marshal(d)
@@ -142,8 +142,8 @@
 	}
 }
 
-// TestDutiesAndTheList: changes of duties take versions, but change nothing for who
-// follows the list; a name that is used again goes on with higher fences.
+// TestDutiesAndTheList: changes of leases take versions, but change nothing for who
+// follows the list; a name that is used again goes on with higher fencing tokens.
 func TestDutiesAndTheList(t *testing.T) {
 	s := NewState()
 	s.Apply(Command{Op: OpBegin, Epoch: "e"})
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -1,4 +1,4 @@
-// Package list is the list of servers as the list service keeps it: its forms,
+// Package list is the list of servers as the registry keeps it: its forms,
 // its state machine, its leases. It is pure: no I/O, no clock.
 package registry
 
@@ -34,7 +34,7 @@
 	Status      string  `json:"status"`
 	Weight      float64 `json:"weight"`
 	StartedAtMS int64   `json:"since_ms"`          // Unix time of the server's last start; 0: long ago
-	Version     string  `json:"version,omitempty"` // of its program, if somebody says; nodes pass over it
+	Version     string  `json:"version,omitempty"` // of its program, if somebody says; proxies pass over it
 }
 
 // Check says what is wrong with an entry that is to be registered.
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// ListResponse is what a read or a watch gets: the whole list, or what has changed. A
+// ListResponse is what a read or a watch gets: the complete list, or what has changed. A
 // reader that knows no epoch ignores it.
 type ListResponse struct {
 	Index     uint64     `json:"index"`
--- a/internal/registry/image.go
+++ b/internal/registry/image.go
@@ -114,7 +114,7 @@
 		s.recordsVersion = in.Version // whoever watches looks once more than needed
 	}
 	if in.Leases.Leases == nil && in.Leases.Sessions == nil {
-		return s, nil // of a program that knew no duties
+		return s, nil // of a program that knew no leases
 	}
 	if err := in.Leases.check(in.Version); err != nil {
 		return nil, fmt.Errorf("a snapshot: %w", err)
--- a/internal/registry/part.go
+++ b/internal/registry/part.go
@@ -1,6 +1,6 @@
 package registry
 
-// Parts of the list: which of its servers a node works with, and so has to know.
+// Parts of the list: which of its servers a proxy works with, and so has to know.
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"wrenspread/internal/splitmix"
 )
 
-// The width of a node's part. A node works with the servers that follow its place on the ring, reachLeast at
-// least, and as many as let perServer nodes work with each: decide's reach. It holds reserve times as many,
-// so that it goes on where most of them are ill and nobody can be asked, and partLeast at least, of which a
-// node's own cost is small and chance leaves none without a zone.
+// The width of a proxy's part. A proxy works with the servers that follow its place on the ring, reachLeast
+// at least, and as many as let perServer proxies work with each: decide's reach. It holds reserve times as
+// many, so that it goes on where most of them are ill and nobody can be asked, and partLeast at least, of
+// which a proxy's own cost is small and chance leaves none without a zone.
 const (
 	proxiesPerEndpoint = 6
 	spareFactor        = 4
@@ -27,13 +27,13 @@
 const (
 	ringUnits = 1 << 16       // units of a part's ends
 	minWidth  = 4             // units of the narrowest part
-	maxWidth  = ringUnits / 4 // of the widest; beyond it is the whole list
+	maxWidth  = ringUnits / 4 // of the widest; beyond it is the complete list
 	// 2^64 / math.Phi: places of consecutive numbers lie evenly, however many there are
 	goldenStep = splitmix.Increment
 	silverStep = 0x6a09e667f3bcc909 // 2^64 * (math.Sqrt2 - 1): even, too, and of no relation to it
 )
 
-// Position is the place of a server on the ring: the same at every node, whatever the list.
+// Position is the place of a server on the ring: the same at every proxy, whatever the list.
 func Position(name string) uint64 {
 	h := uint32(2166136261) // FNV-1a, as of hash/fnv, without its allocation
 	for i := range len(name) {
@@ -42,12 +42,12 @@
 	return splitmix.Mix(uint64(h))
 }
 
-// StartPosition is the point of the ring from which the node of a number takes its servers.
+// StartPosition is the point of the ring from which the proxy of a number takes its servers.
 func StartPosition(self int) uint64 { return uint64(self) * goldenStep }
 
 // Subset is an arc of the ring, in units of 2^-16 of it. Widths are powers of two, and an arc begins at a
-// quarter of its width, so that nodes with places near each other have the same one. The zero Part is all of
-// the list.
+// quarter of its width, so that proxies with places near each other have the same one. The zero Part is all
+// of the list.
 type Subset struct{ Start, Width uint16 }
 
 // allSubsets is the text form of all of the list.
@@ -111,7 +111,7 @@
 	return int(p.Width)
 }
 
-// subsetAt is the part of an arc around a node's place: three quarters of it follow the place, at least.
+// subsetAt is the part of an arc around a proxy's place: three quarters of it follow the place, at least.
 func subsetAt(self, arc int) Subset {
 	if arc > maxWidth {
 		return Subset{}
@@ -120,10 +120,10 @@
 	return Subset{uint16(StartPosition(self)>>48) / step * step, uint16(arc)}
 }
 
-// SubsetOf is the part that the node of a number needs where so many nodes work with a list of total servers.
-// Two nodes that believe in other numbers have parts of other widths around the same place. The size at which
-// a part's width doubles differs by half from node to node, so that no single server or node moves many
-// parts.
+// SubsetOf is the part that the proxy of a number needs where so many proxies work with a list of total
+// servers. Two proxies that believe in other numbers have parts of other widths around the same place. The
+// size at which a part's width doubles differs by half from proxy to proxy, so that no single server or proxy
+// moves many parts.
 func SubsetOf(self, nodes, total int) Subset {
 	if nodes <= 0 || total <= 0 {
 		return Subset{}
@@ -168,7 +168,7 @@
 	return true
 }
 
-// Next is the part to follow for a node that has p, and these entries of it. It grows at once, and where a
+// Next is the part to follow for a proxy that has p, and these entries of it. It grows at once, and where a
 // group is short of servers up to partMost; it shrinks only to under a quarter, so that nothing goes to and
 // fro. Entries are nil where none are known yet.
 func (p Subset) Next(self, nodes, total int, entries []Endpoint, groups []Placement) Subset {
--- a/internal/registry/part_test.go
+++ b/internal/registry/part_test.go
@@ -32,8 +32,8 @@
 	return all
 }
 
-// TestPartsCover: whatever the sizes, each server is in the parts of as many nodes as are to work with it; a
-// node's part holds what it works with, and little more than it needs.
+// TestPartsCover: whatever the sizes, each server is in the parts of as many proxies as are to work with it; a
+// proxy's part holds what it works with, and little more than it needs.
 func TestPartsCover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, total := rapid.IntRange(1, 6000).Draw(t, "nodes"), rapid.IntRange(1, 70000).Draw(t, "total")
@@ -57,7 +57,7 @@
 	})
 }
 
-// TestPartsMoveLittle: by one server or one node few parts change, and what other sizes make of a part holds it or is held by it.
+// TestPartsMoveLittle: by one server or one proxy few parts change, and what other sizes make of a part holds it or is held by it.
 func TestPartsMoveLittle(t *testing.T) {
 	count := func(a, b []Subset) (n int) {
 		for i := range a {
@@ -139,7 +139,7 @@
 }
 
 // TestNextPart: a fleet grows tenfold and shrinks again, a rack takes all of a part, and classes are bound to few
-// servers. Each time the node settles, on a part that holds what it needs.
+// servers. Each time the proxy settles, on a part that holds what it needs.
 func TestNextPart(t *testing.T) {
 	all := []Placement{{}}
 	small, large := fleet(5400, 7), fleet(54000, 7)
@@ -226,7 +226,7 @@
 	})
 }
 
-// TestPlaces: the fraction of the ring is that of which decide makes a node's first server of a whole list.
+// TestPlaces: the fraction of the ring is that of which decide makes a proxy's first server of a complete list.
 func TestPlaces(t *testing.T) {
 	for self := range 10000 {
 		want := math.Mod(float64(self)*math.Phi, 1)
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -22,7 +22,7 @@
 	wholeMost  = 64
 	wholeWait  = time.Second     // for one's turn, before a reader is told to come again
 	wholeTime  = 5 * time.Second // for sending one: a reader that takes longer has given up
-	wholeAgain = 4               // s, over which those that are turned away are spread
+	wholeAgain = 4               // s, over which those that are rejected are spread
 )
 
 // body is the encoded entries of an answer. They stay as they are until their part
--- a/internal/registry/server/backup.go
+++ b/internal/registry/server/backup.go
@@ -54,7 +54,7 @@
 	}
 	result, err := s.replica.apply(c)
 	if err == nil && result.Code == registry.Applied {
-		s.log.Warn("a backup was brought back", "epoch", c.Epoch, "version", result.Version)
+		s.log.Warn("backup restored", "epoch", c.Epoch, "version", result.Version)
 	}
 	s.finish(w, result, err)
 }
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -1,4 +1,4 @@
-// Package server is one replica of the list service: raft and its folder, reads,
+// Package server is one replica of the registry: raft and its folder, reads,
 // watches and writes over HTTP, and the expiry of entries.
 package server
 
--- a/internal/registry/server/duties.go
+++ b/internal/registry/server/duties.go
@@ -43,7 +43,7 @@
 	s.duty(w, registry.Command{Op: registry.OpCloseSessions, Sessions: []string{r.PathValue("id")}})
 }
 
-// wish makes a handler of a campaign or a giving up.
+// wish makes a handler of a campaign or a release.
 func (s *Server) wish(do string) http.HandlerFunc {
 	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.CandidacyRequest
@@ -109,7 +109,7 @@
 	writeJSON(w, http.StatusOK, registry.SessionRenewal{Unknown: unknown})
 }
 
-// readDuties answers reads and watches of duties, as this replica has them.
+// readDuties answers reads and watches of leases, as this replica has them.
 func (s *Server) readDuties(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	if err != nil {
@@ -142,8 +142,8 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// holdDuties waits until a duty changes after the reader's version: few do, and not for a moment at a replica
-// that is cut off. It is false where the call has been answered.
+// holdDuties waits until a lease changes after the reader's version: few do, and not for a moment at a
+// replica that is cut off. It is false where the call has been answered.
 func (s *Server) holdDuties(w http.ResponseWriter, r *http.Request, q query) bool {
 	_, ok := s.await(w, r, s.dutyHub, query{from: q.from}, q.hold, 0)
 	return ok
--- a/internal/registry/server/duties_test.go
+++ b/internal/registry/server/duties_test.go
@@ -20,7 +20,7 @@
 	return a
 }
 
-// TestDutyOverHTTP: a session lapses, the next has its duty with a higher fence, and
+// TestDutyOverHTTP: a session lapses, the next has its lease with a higher fencing token, and
 // the earlier holder's writes are turned down; over a restart on the same folder.
 func TestDutyOverHTTP(t *testing.T) {
 	folder := t.TempDir()
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestPace: candidates that crash in a loop do not pass a duty around faster than is stated.
+// TestPace: candidates that crash in a loop do not pass a lease around faster than is stated.
 func TestPace(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
--- a/internal/registry/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -91,7 +91,7 @@
 // run expires what is due until ctx ends.
 func (x *expiry) run(ctx context.Context) {
 	every(ctx, x.now, func(late time.Duration) {
-		x.log.Warn("this process stood still: every entry gets its full time again", "for", late)
+		x.log.Warn("process was paused, restarting all TTLs", "for", late)
 		x.again()
 	}, x.once)
 }
@@ -140,9 +140,9 @@
 	due, kept := x.leases.Due(now)
 	if (kept > 0) != (x.kept > 0) {
 		if kept > 0 {
-			x.log.Error("too many entries are overdue at once: none is dropped until fewer are", "overdue", kept)
+			x.log.Error("too many endpoints overdue at once, expiring none", "overdue", kept)
 		} else {
-			x.log.Info("entries expire again")
+			x.log.Info("endpoints expire again")
 		}
 	}
 	x.kept = kept
@@ -151,7 +151,7 @@
 		some := due[:min(len(due), registry.MaxExpire)]
 		due = due[len(some):]
 		if _, err := x.apply(registry.Command{Op: registry.OpExpire, Expired: some}); err != nil {
-			x.log.Warn("entries are overdue and stay", "entries", len(some), "err", err)
+			x.log.Warn("overdue endpoints kept", "entries", len(some), "err", err)
 			x.again()
 			return
 		}
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestOlderFolder: what the first programs left is read: commands without a seal, and
-// an image without duties whose changes have all versions.
+// an image without leases whose changes have all versions.
 func TestOlderFolder(t *testing.T) {
 	c, err := decode([]byte(`{"v":1,"do":"register","entry":{"name":"a","address":"a:1","status":"ready"}}`))
 	if err != nil || c.Endpoint == nil || c.Endpoint.Name != "a" {
--- a/internal/registry/server/parts_hard_test.go
+++ b/internal/registry/server/parts_hard_test.go
@@ -16,7 +16,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// crowd is clients that follow parts as nodes do, in a fleet where each server counts for a hundred.
+// crowd is clients that follow parts as proxies do, in a fleet where each server counts for a hundred.
 type crowd struct {
 	clients []*client.Client
 	wants   func(self, total int) registry.Subset
@@ -190,7 +190,7 @@
 	c.settle(t, "after a drain and a removal", url)
 }
 
-// TestBeliefsDiffer: nodes that believe in fleets of other sizes follow parts of other widths of one list, each whole.
+// TestBeliefsDiffer: proxies that believe in fleets of other sizes follow parts of other widths of one list, each whole.
 func TestBeliefsDiffer(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), func(c *Config) { c.MaxWrites = 1e6 })
 	defer stop()
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -48,7 +48,7 @@
 	replayLook = 20 * time.Millisecond
 )
 
-// Run serves until ctx ends, and then hands on what it holds. The error says
+// Run serves until ctx ends, and then transfers what it holds. The error says
 // what kept it from serving, or from ending in order.
 func Run(ctx context.Context, c Config, log *slog.Logger) error {
 	if err := c.Check(); err != nil {
@@ -130,11 +130,11 @@
 			if !leads {
 				s.expiry.follow()
 				s.sessions.follow()
-				s.log.Info("another leads, or nobody", "leader", s.replica.leader())
+				s.log.Info("not the leader", "leader", s.replica.leader())
 				continue
 			}
 			if err := s.beginLeading(); err != nil {
-				s.log.Warn("leading ended before it began", "err", err)
+				s.log.Warn("leadership lost before it began", "err", err)
 			}
 		case <-s.ctx.Done():
 			return
@@ -153,7 +153,7 @@
 	}
 	s.expiry.lead()
 	s.sessions.lead()
-	s.log.Info("this replica leads")
+	s.log.Info("leader")
 	return nil
 }
 
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -13,7 +13,7 @@
 	"wrenspread/internal/registry"
 )
 
-// One duty is granted at most paceBurst times at once, and then once in paceEvery,
+// One lease is granted at most paceBurst times at once, and then once in paceEvery,
 // so that candidates that crash in a loop do not pass it around.
 const (
 	paceBurst = 4
@@ -90,7 +90,7 @@
 	return unknown, true
 }
 
-// paced gives those of the duties that may be granted now.
+// paced gives those of the leases that may be granted now.
 func (x *sessions) paced(names []string) (may []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -110,7 +110,7 @@
 	return may
 }
 
-// freed names the duties that a command of a session may free, or finds free.
+// freed names the leases that a command of a session may free, or finds free.
 func (x *sessions) freed(c registry.Command) (names []string) {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
@@ -138,7 +138,7 @@
 	return names
 }
 
-// do applies a command on duties, with leave to grant what it frees as far as the pace allows.
+// do applies a command on leases, with leave to grant what it frees as far as the pace allows.
 func (x *sessions) do(c registry.Command) (registry.Result, error) {
 	c.Grant = x.paced(x.freed(c))
 	return x.apply(c)
@@ -171,7 +171,7 @@
 	for _, id := range x.deadlines.Due(now) {
 		x.doomed[id] = true
 		x.lapsed++
-		x.log.Info("a session lapses", "session", id)
+		x.log.Info("session expired", "session", id)
 	}
 	var ids []string
 	for id := range x.doomed {
@@ -181,7 +181,7 @@
 	if len(ids) > 0 {
 		slices.Sort(ids)
 		if _, err := x.do(registry.Command{Op: registry.OpCloseSessions, Sessions: ids}); err != nil {
-			x.log.Warn("sessions that lapsed are not ended yet", "sessions", len(ids), "err", err)
+			x.log.Warn("closing expired sessions failed", "sessions", len(ids), "err", err)
 		}
 	}
 	x.machine.mu.RLock()
@@ -189,7 +189,7 @@
 	x.machine.mu.RUnlock()
 	if may := x.paced(waiting); len(may) > 0 {
 		if _, err := x.apply(registry.Command{Op: registry.OpGrant, Grant: may}); err != nil {
-			x.log.Warn("duties stay free", "duties", len(may), "err", err)
+			x.log.Warn("granting leases failed", "duties", len(may), "err", err)
 		}
 	}
 }
--- a/internal/registry/server/store.go
+++ b/internal/registry/server/store.go
@@ -246,7 +246,7 @@
 		default:
 		}
 		if !told {
-			p.log.Error("the disk takes nothing, so this replica stands still until it does", "err", err)
+			p.log.Error("disk write failed, replica pauses until it succeeds", "err", err)
 		}
 		select {
 		case <-p.stop:
--- a/internal/registry/since.go
+++ b/internal/registry/since.go
@@ -51,12 +51,12 @@
 }
 
 // Since is the answer to whoever has the list of version from: the changes after
-// it in their order, or the whole list where from is 0 or too old. A version
+// it in their order, or the complete list where from is 0 or too old. A version
 // ahead of the state's own is answered with nothing new; whether that may be is
 // for the caller to judge.
 func (s *State) Since(from uint64) ListResponse { return s.SubsetSince(Subset{}, from) }
 
-// SubsetSince is Since for whoever has a part of the list. Versions are the list's.
+// SubsetSince is Since for whoever has a subset of the list. Versions are the list's.
 func (s *State) SubsetSince(p Subset, from uint64) ListResponse {
 	a := ListResponse{Index: s.version, Epoch: s.epoch, Endpoints: []Endpoint{}}
 	if from >= s.version && from > 0 {
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxKeptChanges = 10000 // a watcher further behind gets the whole list
+	maxKeptChanges = 10000 // a watcher further behind gets the complete list
 	maxKeptWrites  = 10000 // write ids whose repeats are known
 )
 
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -154,7 +154,7 @@
 	*from = a.Index
 }
 
-// TestFarBehind: a reader whose version has been trimmed away gets the whole list, one just within gets all changes.
+// TestFarBehind: a reader whose version has been trimmed away gets the complete list, one just within gets all changes.
 func TestFarBehind(t *testing.T) {
 	s := NewState()
 	for i := range maxKeptChanges + 5 {
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -11,7 +11,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// findAgents reads which agent keeps which server or node: addresses, by name.
+// findAgents reads which agent keeps which server or proxy: addresses, by name.
 func findAgents(ctx context.Context, k *client.Client) (map[string]string, error) {
 	all, err := k.Records(ctx, agent.RecordPrefix)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return found, nil
 }
 
-// find finds the agent that keeps a server or a node.
+// find finds the agent that keeps a server or a proxy.
 func (a *agentDirectory) find(name string) (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,7 +70,7 @@
 	return a.addresses
 }
 
-// ProxyTargets gives the program's nodes as their agents have them. An agent that does
+// ProxyTargets gives the program's proxies as their agents have them. An agent that does
 // not answer is an error: a plan is checked whole.
 func ProxyTargets(ctx context.Context, k *client.Client, h *http.Client) ([]Target, error) {
 	agents, err := findAgents(ctx, k)
--- a/internal/release/conductor.go
+++ b/internal/release/conductor.go
@@ -11,7 +11,7 @@
 )
 
 // Store keeps a release's record. Save fails with ErrTaken where the record has
-// another version than was loaded, or the conductor's fence is not the last.
+// another version than was loaded, or the controller's fencing token is not the last.
 type Store interface {
 	Load(ctx context.Context) (raw []byte, version uint64, err error)
 	Save(ctx context.Context, raw []byte, version uint64) (uint64, error)
@@ -21,7 +21,7 @@
 	ClearOrder(ctx context.Context) error
 }
 
-// ErrSuperseded ends a conductor that another has followed.
+// ErrSuperseded ends a controller that another has followed.
 var ErrSuperseded = errors.New("release: another conductor has it")
 
 // Executor carries out what a release wants.
@@ -31,12 +31,12 @@
 	// Do carries an action out, or a part of it. It is done once done is true, and
 	// may be called again at any time, also for one that was done.
 	Do(ctx context.Context, a Action) (done bool, err error)
-	// Counts tells what the named servers, and the rest, have done so far, by the node
-	// that counted it. A node that can't be asked is not there.
+	// Counts tells what the named servers, and the rest, have done so far, by the proxy
+	// that counted it. A proxy that can't be asked is not there.
 	Counts(ctx context.Context, named []string) (map[string]Comparison, error)
 }
 
-// Controller carries a release out. It is the work of a duty.
+// Controller carries a release out. It is the work of a lease.
 type Controller struct {
 	Store    Store
 	Executor Executor
@@ -46,7 +46,7 @@
 
 	state              *State
 	version            uint64
-	startedAt          time.Duration // of this conductor, by its clock
+	startedAt          time.Duration // of this controller, by its clock
 	releaseTimeAtStart time.Duration // the release's clock then
 }
 
@@ -58,7 +58,7 @@
 func (c *Controller) now() time.Duration { return c.releaseTimeAtStart + c.Clock() - c.startedAt }
 
 // Run carries the release on from its record until it is over and nothing is out,
-// until ctx ends, or another conductor has it.
+// until ctx ends, or another controller has it.
 func (c *Controller) Run(ctx context.Context) error {
 	raw, version, err := c.Store.Load(ctx)
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 	view, err := c.Executor.Unavailable(ctx)
 	if err != nil { // nothing new begins on a guess
-		c.Log.Warn("the fleet can't be seen", "err", err)
+		c.Log.Warn("reading the fleet's state failed", "err", err)
 	} else {
 		c.state.Step(c.now(), view)
 	}
@@ -134,13 +134,13 @@
 	c.state.LastOrder = id
 	if err := c.state.Order(c.now(), order, who); err != nil {
 		c.state.addNote(c.now(), "not followed: %v, ordered by %s", err, who)
-		c.Log.Warn("an order is not followed", "err", err, "by", who)
+		c.Log.Warn("order rejected", "err", err, "by", who)
 	}
 	return true, nil
 }
 
 // save writes the record, also where only its clock has moved: the write tells a
-// conductor whether another has followed it.
+// controller whether another has followed it.
 func (c *Controller) save(ctx context.Context) error {
 	c.state.Clock = c.now()
 	raw, err := Encode(c.state)
@@ -190,7 +190,7 @@
 	}
 	now, err := c.Executor.Counts(ctx, named)
 	if err != nil {
-		c.Log.Warn("the gate has no figures", "err", err)
+		c.Log.Warn("no figures for the gate", "err", err)
 		return
 	}
 	if s.Baseline == nil {
--- a/internal/release/machine.go
+++ b/internal/release/machine.go
@@ -20,7 +20,7 @@
 // The steps, in their order.
 const (
 	Waiting     Step = "waiting"  // it has not been touched
-	Maintenance Step = "maint"    // into maintenance at every node
+	Maintenance Step = "maint"    // into maintenance at every proxy
 	Drain       Step = "drain"    // until nothing is out there
 	Replace     Step = "replace"  // by its machine's agent
 	Ready       Step = "ready"    // until it answers in the new version
@@ -45,9 +45,9 @@
 	Soaking     Phase = "soaking"  // its servers serve, and are watched
 	Paused      Phase = "paused"   // by an operator: nothing new begins
 	Halted      Phase = "halted"   // something went wrong: nothing new begins
-	RollingBack Phase = "back"     // what was released returns to the former version
+	RollingBack Phase = "back"     // what was released returns to the previous version
 	Finished    Phase = "finished" // all have the new version
-	RolledBack  Phase = "returned" // all have the former version again
+	RolledBack  Phase = "returned" // all have the previous version again
 	Failed      Phase = "failed"   // the way back went wrong: what is where is in the targets
 	Aborted     Phase = "aborted"  // by an operator: what is released stays so
 )
@@ -74,7 +74,7 @@
 // isOut tells whether a server is taken from those that serve, or about to be.
 func (t Target) isOut() bool { return t.Step != Waiting && t.Step != Released }
 
-// State is a whole release: the record that its conductor writes before and after
+// State is a whole release: the record that its controller writes before and after
 // everything it does. Times are since the release began.
 type State struct {
 	Format     int           `json:"v"`
@@ -86,11 +86,11 @@
 	Since      time.Duration `json:"since_ns"` // when the phase began
 	Targets    []Target      `json:"targets"`  // in the order of their release
 	History    []Note        `json:"history"`  // the last mostNotes
-	Clock      time.Duration `json:"clock_ns"` // when this was written; the next conductor goes on from there
+	Clock      time.Duration `json:"clock_ns"` // when this was written; the next controller goes on from there
 	Resume     Phase         `json:"resume,omitempty"`
 	LastOrder  string        `json:"taken,omitempty"` // the id of the last order
 
-	Baseline map[string]Comparison `json:"base,omitempty"` // figures at the beginning of the soak, by node
+	Baseline map[string]Comparison `json:"base,omitempty"` // figures at the beginning of the soak, by proxy
 }
 
 // Note is one line of a release's history.
@@ -105,7 +105,7 @@
 	maxReason = 160 // bytes of what went wrong with a server
 )
 
-// New begins a release of servers that have the plan's former version.
+// New begins a release of servers that have the plan's previous version.
 func New(p Plan, servers []Target) (*State, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -183,7 +183,7 @@
 	Version string // that the server is to have
 }
 
-// Unavailable is what else is out, as the conductor sees it: servers by name that do not
+// Unavailable is what else is out, as the controller sees it: servers by name that do not
 // serve for whatever other reason.
 type Unavailable struct {
 	Endpoints []Target
@@ -424,13 +424,13 @@
 	return Counts{c.Requests + o.Requests, c.Failed + o.Failed, c.Late + o.Late}
 }
 
-// Comparison are the figures of the released servers and of the rest, at one node.
+// Comparison are the figures of the released servers and of the rest, at one proxy.
 type Comparison struct {
 	Released Counts `json:"Those"`
 	Rest     Counts `json:"Rest"`
 }
 
-// Since sums up what nodes have counted since a time. A node that counts anew since
+// Since sums up what proxies have counted since a time. A proxy that counts anew since
 // then, as after a restart, has all it has counted; one that was not there at first
 // says nothing.
 func Since(base, now map[string]Comparison) (those, rest Counts) {
--- a/internal/release/machine_test.go
+++ b/internal/release/machine_test.go
@@ -17,7 +17,7 @@
 	"wrenspread/internal/registry"
 )
 
-// world is a fleet and a store without time: each call of a conductor is a moment
+// world is a fleet and a store without time: each call of a controller is a moment
 // at which it may die.
 type world struct {
 	mu       sync.Mutex
@@ -26,7 +26,7 @@
 	raw      []byte
 	version  uint64
 	calls    int
-	dieAt    int // the call at which the conductor dies; 0: never
+	dieAt    int // the call at which the controller dies; 0: never
 	servers  map[string]*server
 	order    string // that waits
 	orders   int    // so far
@@ -60,7 +60,7 @@
 
 var errDead = errors.New("the conductor has died")
 
-// call counts a call of the conductor's; the caller holds no lock.
+// call counts a call of the controller's; the caller holds no lock.
 func (w *world) call(ctx context.Context) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,7 +213,7 @@
 	return w
 }
 
-// conduct runs conductors, each after the other's death, until the release rests; it gives the state then.
+// conduct runs controllers, each after the other's death, until the release rests; it gives the state then.
 func (w *world) conduct(rounds int) *State {
 	for range rounds {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute) // only a hang takes so long
@@ -249,7 +249,7 @@
 	}
 }
 
-// TestEveryCrash: a conductor dies at each call that it makes, of a good release, of
+// TestEveryCrash: a controller dies at each call that it makes, of a good release, of
 // one whose gate fails, and of one whose servers don't come up; the next brings it to its end.
 func TestEveryCrash(t *testing.T) {
 	for name, prepare := range map[string]func(*world){"good": func(*world) {}, "worse": func(w *world) { w.worse = true }, "bad": func(w *world) { w.bad = "v2" }} {
@@ -282,7 +282,7 @@
 	}
 }
 
-// conductor makes one whose clock goes on by a step with each of its calls.
+// controller makes one whose clock goes on by a step with each of its calls.
 func (w *world) conductor() *Controller {
 	return &Controller{Store: w, Executor: w, Interval: time.Microsecond, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
 		w.mu.Lock()
@@ -351,7 +351,7 @@
 	}
 }
 
-// TestSince: a node that began anew, and one that was not there, do not spoil the figures of others.
+// TestSince: a proxy that began anew, and one that was not there, do not spoil the figures of others.
 func TestSince(t *testing.T) {
 	base := map[string]Comparison{"a": {Counts{100, 10, 5}, Counts{1000, 0, 0}}, "b": {Counts{500, 50, 0}, Counts{}}, "gone": {}}
 	now := map[string]Comparison{"a": {Counts{150, 12, 5}, Counts{1300, 1, 0}}, "b": {Counts{20, 1, 1}, Counts{7, 0, 0}}, "new": {Counts{9999, 9999, 0}, Counts{}}}
@@ -360,7 +360,7 @@
 	}
 }
 
-// TestLargestRecord fits into one record of the list service, with all that a release may note.
+// TestLargestRecord fits into one record of the registry, with all that a release may note.
 func TestLargestRecord(t *testing.T) {
 	long := strings.Repeat("x", 64)
 	var all []Target
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -1,4 +1,4 @@
-// Package release takes servers, or the program's nodes, from one version to
+// Package release takes servers, or the program's proxies, from one version to
 // another: in waves, judged by gates, with a halt and a way back. The plan and the
 // machine are pure.
 package release
@@ -17,7 +17,7 @@
 // Plan is what a release is to do. Times in its file have units, as in "30s".
 type Plan struct {
 	Name string `koanf:"name" json:"name"`
-	// servers, also where it is absent, or program: the nodes themselves
+	// servers, also where it is absent, or program: the proxies themselves
 	Kind     string   `koanf:"kind" json:"kind,omitempty"`
 	From     string   `koanf:"from" json:"from"` // version
 	To       string   `koanf:"to" json:"to"`
@@ -77,7 +77,7 @@
 	KindProxies = "program"
 )
 
-// IsForProxies tells whether the plan is about the program's nodes.
+// IsForProxies tells whether the plan is about the program's proxies.
 func (p Plan) IsForProxies() bool { return p.Kind == KindProxies }
 
 // What a halt may do by itself.
@@ -88,7 +88,7 @@
 
 // Bounds on plans.
 const (
-	MaxTargets  = 500 // whose record has to fit into one of the list service
+	MaxTargets  = 500 // whose record has to fit into one of the registry
 	maxWaves    = 50
 	maxDuration = 24 * time.Hour
 )
@@ -176,7 +176,7 @@
 	return errors.Join(errs...)
 }
 
-// Matches tells whether a server or a node is one of those that the plan is about.
+// Matches tells whether a server or a proxy is one of those that the plan is about.
 func (p Plan) Matches(t Target) bool {
 	one := func(all []string, is string) bool { return len(all) == 0 || slices.Contains(all, is) }
 	named := len(p.Selector.Names) == 0 || slices.ContainsFunc(p.Selector.Names, func(n string) bool {
--- a/internal/release/programs.go
+++ b/internal/release/programs.go
@@ -10,7 +10,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// ProxyExecutor is the program's nodes, whose agents start a new version beside the old
+// ProxyExecutor is the program's proxies, whose agents start a new version beside the old
 // one and hand over. Nothing has to be drained or listed. Its methods are safe for
 // concurrent use.
 type ProxyExecutor struct {
@@ -21,7 +21,7 @@
 	agents agentDirectory
 }
 
-// Unavailable gives the nodes that do not serve.
+// Unavailable gives the proxies that do not serve.
 func (f *ProxyExecutor) Unavailable(ctx context.Context) (Unavailable, error) {
 	agents, err := f.agents.read(ctx, f.Registry)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return err == nil && s.Version == a.Version && s.Ready, wrong(s, a, err)
 }
 
-// wrong says what keeps a node from its version.
+// wrong says what keeps a proxy from its version.
 func wrong(s agent.Status, a Action, err error) error {
 	switch {
 	case err != nil:
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Counts asks every node, at the control address that its agent tells. Whatever was
+// Counts asks every proxy, at the control address that its agent tells. Whatever was
 // not served counts as failed: a version that refuses more than the others is worse.
 func (f *ProxyExecutor) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
 	is := map[string]bool{}
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -11,14 +11,14 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Keys of a release in the list service: its record, and the one order of an
+// Keys of a release in the registry: its record, and the one order of an
 // operator that waits to be taken.
 const (
 	RecordPrefix = "release/"
 	orderPrefix  = "release-order/"
 )
 
-// LeaseName is the duty whose holder conducts a release.
+// LeaseName is the lease whose holder conducts a release.
 func LeaseName(name string) string { return RecordPrefix + name }
 
 // pendingOrder is an operator's order in its record.
@@ -28,7 +28,7 @@
 	Operator string `json:"who"`
 }
 
-// Records keeps a release in the list service, under its conductor's fence.
+// Records keeps a release in the registry, under its controller's fencing token.
 type Records struct {
 	Registry *client.Client
 	Token    registry.FencingToken
@@ -57,7 +57,7 @@
 	return Decode(r.Value)
 }
 
-// SubmitOrder leaves an operator's order for the conductor. One at a time waits.
+// SubmitOrder leaves an operator's order for the controller. One at a time waits.
 func SubmitOrder(ctx context.Context, k *client.Client, name, what, who, id string) error {
 	raw, err := json.Marshal(pendingOrder{id, what, who})
 	if err != nil {
--- a/internal/release/servers.go
+++ b/internal/release/servers.go
@@ -21,7 +21,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Proxy is a node at which servers are put into maintenance, and whose figures gates read.
+// Proxy is a proxy at which servers are put into maintenance, and whose figures gates read.
 type Proxy struct {
 	Name    string `koanf:"name"`
 	Control string `koanf:"control"`
@@ -33,14 +33,14 @@
 	Token    registry.FencingToken
 	Proxies  []Proxy
 	HTTP     *http.Client
-	Grace    time.Duration // for what nodes hold at a server that is in maintenance
+	Grace    time.Duration // for what proxies hold at a server that is in maintenance
 
 	mu         sync.Mutex
 	agents     agentDirectory
 	emptySince map[string]time.Time // when a server has nothing left, since it was seen draining
 }
 
-const maxStats = 4 << 20 // bytes of a node's figures
+const maxStats = 4 << 20 // bytes of a proxy's figures
 
 // Unavailable gives the servers that the list has as leaving, and those that agents keep
 // and the list does not have.
@@ -68,7 +68,7 @@
 		if listed[name] {
 			continue
 		}
-		// Its zone went with its entry; one that hands over is a node, and in no list.
+		// Its zone went with its entry; one that hands over is a proxy, and in no list.
 		if s, err := (agent.Caller{HTTP: f.HTTP}).Status(ctx, at, name); err != nil || !s.Handover {
 			v.Endpoints = append(v.Endpoints, Target{Name: name, Zone: s.Zone, Type: s.Type, Cell: s.Cell})
 		}
@@ -133,7 +133,7 @@
 	return true
 }
 
-// callProxies has every node put a server into maintenance, or take it out. A node
+// callProxies has every proxy put a server into maintenance, or take it out. A proxy
 // that is not there sends nothing to anybody: nobody listens at its control
 // address. One that is there and does not answer is waited for.
 func (f *ServerExecutor) callProxies(ctx context.Context, server, call string) error {
@@ -179,7 +179,7 @@
 	return fmt.Errorf("node %s: %s", n.Name, resp.Status)
 }
 
-// readControl reads the figures at a node's control address.
+// readControl reads the figures at a proxy's control address.
 func readControl(ctx context.Context, h *http.Client, control string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/stats", nil)
 	if err != nil {
@@ -194,7 +194,7 @@
 	return string(raw), err
 }
 
-// figures calls do for each line of a node's figures that begins with a prefix: what
+// figures calls do for each line of a proxy's figures that begins with a prefix: what
 // follows it, split at the last dot, and the number.
 func figures(text, prefix string, do func(name, what string, n int)) {
 	in := bufio.NewScanner(strings.NewReader(text))
@@ -210,7 +210,7 @@
 	}
 }
 
-// readStats reads a node's figures on single servers.
+// readStats reads a proxy's figures on single servers.
 func readStats(text string) map[string]Counts {
 	all := map[string]Counts{}
 	figures(text, "app.backends.", func(name, what string, n int) {
@@ -229,7 +229,7 @@
 	return all
 }
 
-// Counts asks every node.
+// Counts asks every proxy.
 func (f *ServerExecutor) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
 	is := map[string]bool{}
 	for _, n := range named {
--- a/internal/sim/actor.go
+++ b/internal/sim/actor.go
@@ -21,7 +21,7 @@
 // Event is what happens to an Actor.
 type Event interface{ event() }
 
-// Started is the first event of each life.
+// Started is the first event of each generation.
 type Started struct{}
 
 // Tick comes when the Wake of that timer has run out.
@@ -53,7 +53,7 @@
 	Data []byte
 }
 
-// Wake wants a Tick after so long by the process's clock. It replaces the former Wake of the same timer.
+// Wake wants a Tick after so long by the process's clock. It replaces the previous Wake of the same timer.
 type Wake struct {
 	Timer string
 	After time.Duration
@@ -62,7 +62,7 @@
 // Say puts a few words into the process's column of the timeline.
 type Say struct{ What string }
 
-// Call asks the list service. Its Answer comes, or comes as Lost, within CallMost.
+// Call asks the registry. Its Answer comes, or comes as Lost, within CallMost.
 type Call struct {
 	Number  uint64            // the caller's own, to know the answer by
 	Command *registry.Command // carried out; or
--- a/internal/sim/holder_test.go
+++ b/internal/sim/holder_test.go
@@ -11,7 +11,7 @@
 
 const holderTTL = 2 * time.Second
 
-// holder is the smallest core that needs the list service: it wants one duty, and acts while its own clock says that it has it.
+// holder is the smallest core that needs the registry: it wants one lease, and acts while its own clock says that it has it.
 type holder struct {
 	name     string
 	session  string
--- a/internal/sim/kinds.go
+++ b/internal/sim/kinds.go
@@ -104,7 +104,7 @@
 			Delay: some(rng, time.Second, 3*time.Second),
 		}
 	}, doFlap}
-	// ServiceDown takes the list service away; Unreachable takes it away from some.
+	// ServiceDown takes the registry away; Unreachable takes it away from some.
 	ServiceDown = Kind{
 		"list down",
 		func(rng *rand.Rand, _ []string) Fault { return Fault{For: some(rng, time.Second, 40*time.Second)} },
--- a/internal/sim/membership/checks.go
+++ b/internal/sim/membership/checks.go
@@ -65,7 +65,8 @@
 	return sim.Check{Name: name, Throughout: func() error { return *broken }}
 }
 
-// lives says that in a process's view no name goes back to a former life, even if it was forgotten between.
+// lives says that in a process's view no name goes back to a previous generation, even if it was forgotten
+// between.
 func (f *Fleet) lives() sim.Check {
 	var broken error
 	highest := map[*Node]map[string]uint64{}
--- a/internal/sim/queue.go
+++ b/internal/sim/queue.go
@@ -13,7 +13,7 @@
 	timer uint64 // number of the Wake that a Tick is of
 }
 
-// queue is a heap of tasks. container/heap boxes every element, which takes a third of the time of a play
+// queue is a heap of tasks. container/heap backends every element, which takes a third of the time of a play
 // with 3,000 nodes.
 type queue struct {
 	all   []task
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// ServiceName is the list service's end in the network and its column in a timeline.
+	// ServiceName is the registry's end in the network and its column in a timeline.
 	ServiceName = "list"
 	// CallMost is how long a call may take before its answer is lost.
 	CallMost    = time.Second
@@ -17,7 +17,7 @@
 	expireEvery = 100 * time.Millisecond
 )
 
-// Service is a model of the list service: its real state machine, one that never forgets, with deadlines of
+// Service is a model of the registry: its real state machine, one that never forgets, with deadlines of
 // sessions on the true clock. It can be down, and links to it can be cut. It grants without the real one's
 // pace.
 type Service struct {
@@ -25,7 +25,7 @@
 	state     *registry.State
 	deadlines *registry.SessionExpiry
 	down      bool
-	holders   map[string]uint64 // fence by duty, as last seen
+	holders   map[string]uint64 // fencing token by lease, as last seen
 }
 
 // Read says what is looked at; each that is set is given.
@@ -45,7 +45,7 @@
 	Sessions []registry.Session
 }
 
-// AddService gives the world a list service that has begun.
+// AddService gives the world a registry that has begun.
 func (w *World) AddService() *Service {
 	s := &Service{
 		world:     w,
--- a/internal/sim/subset/replica.go
+++ b/internal/sim/subset/replica.go
@@ -36,7 +36,7 @@
 	lags  int // faults by which it applies nothing that is younger than mostLag
 }
 
-// replica is a process of the list service.
+// replica is a process of the registry.
 type replica struct {
 	fleet *Fleet
 	*disk
--- a/internal/tenant/advance.go
+++ b/internal/tenant/advance.go
@@ -13,7 +13,7 @@
 		return
 	}
 	if !entryOf(t).equivalent(e) {
-		return // what is on record is not published yet: a conductor died between
+		return // what is on record is not published yet: a controller died between
 	}
 	switch t.State {
 	case Reserved:
--- a/internal/tenant/catalogue.go
+++ b/internal/tenant/catalogue.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// DecisionKind is what a node does with a request of a tenant.
+// DecisionKind is what a proxy does with a request of a tenant.
 type DecisionKind uint8
 
 // The verdicts, with what a client is told.
 const (
-	Unavailable DecisionKind = iota // 503 with Retry-After: this node can't be sure
+	Unavailable DecisionKind = iota // 503 with Retry-After: this proxy can't be sure
 	Routed                          // on its route, within its limit
 	Forbidden                       // 403: known, and not to be served
 	NotFound                        // 404: a definite no
@@ -28,7 +28,7 @@
 	Limit           string
 }
 
-// Why a node declines, or is not sure.
+// Why a proxy declines, or is not sure.
 const (
 	ReasonSuspended    = "the tenant is suspended"
 	ReasonClass        = "the class is not open to the tenant"
@@ -44,14 +44,14 @@
 	ReasonUnknownPhase = "this node is older than the tenant's state"
 )
 
-// What a client is told to wait: once for a step of the conductor, longer where the
-// node has to find the list service first.
+// What a client is told to wait: once for a step of the controller, longer where the
+// proxy has to find the registry first.
 const (
 	retrySoon  = time.Second
 	retryLater = 3 * time.Second
 )
 
-// Catalogue is what a node answers from at one time. It never changes: the node's
+// Catalogue is what a proxy answers from at one time. It never changes: the proxy's
 // shell swaps a pointer, so that a request sees one catalogue, whole. A request costs
 // one hash of the name, one look into a table of parts, one into a table of names, two
 // into tables of classes and at most 2 x MaxKeys comparisons of a prefix; nothing is
@@ -61,22 +61,22 @@
 	levels         int                 // of the tree whose leaves the parts are; 0: one part has all
 	complete       bool                // a part that is not held has no tenants
 	leaves         map[int]*cachedLeaf // parts, by number
-	ready          bool                // the node is on the book, and has read a catalogue since
+	ready          bool                // the proxy is on the member record, and has read a catalogue since
 	authoritative  bool                // read since the present session began
 	authorityUntil time.Duration       // the session's right ends then
 	stopServingAt  time.Duration       // by its hold it serves no tenant from then on; 0: there is none
 	behind         bool                // there is a newer catalogue, by what a peer said
 }
 
-// Ready tells whether the node may take requests of tenants at all.
+// Ready tells whether the proxy may take requests of tenants at all.
 func (c *Catalogue) Ready() bool { return c.ready }
 
-// isAuthoritative tells whether the node may say a definite no.
+// isAuthoritative tells whether the proxy may say a definite no.
 func (c *Catalogue) isAuthoritative(now time.Duration) bool {
 	return c.authoritative && now < c.authorityUntil && !c.behind
 }
 
-// HasLeaf tells whether the node holds the part of a name.
+// HasLeaf tells whether the proxy holds the part of a name.
 func (c *Catalogue) HasLeaf(tenant string) bool {
 	return c.complete || c.leaves[leafOf(tenant, c.levels)] != nil
 }
--- a/internal/tenant/check.go
+++ b/internal/tenant/check.go
@@ -7,7 +7,7 @@
 )
 
 // check says why a tenant can't have a form: names that are another's, limits that the
-// policy has not or another has, floors that do not add up, routes without boxes.
+// policy has not or another has, floors that do not add up, routes without backends.
 func (m *StateMachine) check(r *round, t *Tenant, next *Spec) (why string) {
 	if err := next.Check(); err != nil {
 		return err.Error()
@@ -29,7 +29,7 @@
 }
 
 // recheck looks again, just before a form takes effect, at what may have changed since:
-// the policy's table and the boxes.
+// the policy's table and the backends.
 func (m *StateMachine) recheck(r *round, t *Tenant) (why string) {
 	if t.Next == nil || t.Next.Suspended {
 		return ""
@@ -138,7 +138,7 @@
 	return ""
 }
 
-// checkRoutes says whether each route has its boxes.
+// checkRoutes says whether each route has its backends.
 func checkRoutes(r *round, next *Spec) (why string) {
 	for i := range next.Routes {
 		route, n := &next.Routes[i], 0
--- a/internal/tenant/compile.go
+++ b/internal/tenant/compile.go
@@ -13,7 +13,7 @@
 // compiledSpec is a form ready for requests.
 type compiledSpec struct {
 	suspended   bool
-	limitsKnown bool // the node's policy table has its limits
+	limitsKnown bool // the proxy's policy table has its limits
 	classes     map[string]classRoute
 	keys        []string
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// PolicyTable is a node's policy table, as far as tenants need it.
+// PolicyTable is a proxy's policy table, as far as tenants need it.
 type PolicyTable struct {
 	Version  uint64
 	HasLimit func(limit string) bool
--- a/internal/tenant/conductor.go
+++ b/internal/tenant/conductor.go
@@ -12,16 +12,16 @@
 	"wrenspread/internal/backoff"
 )
 
-// LeaseName is the duty whose holder conducts all tenants.
+// LeaseName is the lease whose holder conducts all tenants.
 const LeaseName = "tenants"
 
 // Store keeps the records, and tells of sessions, as they are now: a read that lags
-// would let a step pass without a node that it has to wait for.
+// would let a step pass without a proxy that it has to wait for.
 type Store interface {
 	Stored(ctx context.Context) (Stored, error)
 	Sessions(ctx context.Context) ([]Session, error)
 	PendingOrders(ctx context.Context) ([]PendingOrder, error)
-	// Put fails with ErrTaken where the fence is not the last any more.
+	// Put fails with ErrTaken where the fencing token is not the last any more.
 	Put(ctx context.Context, p RecordWrite) (version uint64, err error)
 }
 
@@ -31,7 +31,7 @@
 	Endpoints(ctx context.Context) ([]Endpoint, error)
 }
 
-// ErrSuperseded ends a conductor that another has followed.
+// ErrSuperseded ends a controller that another has followed.
 var ErrSuperseded = errors.New("tenant: another conductor has it")
 
 const (
@@ -40,7 +40,7 @@
 	failurePause      = 500 * time.Millisecond
 )
 
-// Controller brings tenants in, changes and removes them. It is the work of a duty.
+// Controller brings tenants in, changes and removes them. It is the work of a lease.
 type Controller struct {
 	Store       Store
 	Environment Environment
@@ -48,10 +48,10 @@
 	Times       Times
 	Log         *slog.Logger
 
-	HashTree bool // it writes the catalogue as a hash tree, of which a node may read parts
+	HashTree bool // it writes the catalogue as a hash tree, of which a proxy may read parts
 }
 
-// Run conducts until ctx ends or another conductor follows. After a call that failed it
+// Run conducts until ctx ends or another controller follows. After a call that failed it
 // begins from what is on record: whatever a write came to, the next round sees it.
 func (c *Controller) Run(ctx context.Context) error {
 	start := time.Now()
@@ -60,7 +60,7 @@
 		if m == nil {
 			s, err := c.stored(ctx)
 			if err != nil {
-				c.Log.Warn("the tenants' records can't be read", "err", err)
+				c.Log.Warn("reading the tenants' records failed", "err", err)
 				backoff.Sleep(ctx, failurePause)
 				continue
 			}
@@ -71,7 +71,7 @@
 		case errors.Is(err, ErrSuperseded):
 			return err
 		case err != nil:
-			c.Log.Warn("a round is broken off; the next begins from the records", "err", err)
+			c.Log.Warn("round failed, the next one starts from the records", "err", err)
 			m = nil
 			backoff.Sleep(ctx, failurePause)
 		default:
--- a/internal/tenant/conductor_test.go
+++ b/internal/tenant/conductor_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// conductor is one holder of the duty with the real Machine, and a shell whose calls
+// controller is one lease holder with the real Machine, and a shell whose calls
 // take their time, so that it may die, or sleep while another follows, at each.
 type conductor struct {
 	w      *world
@@ -17,7 +17,7 @@
 	asleep time.Duration
 }
 
-// grant gives the duty to another conductor.
+// grant gives the lease to another controller.
 func (w *world) grant() {
 	w.fence++
 	c := &conductor{w: w, fence: w.fence, rate: 1 + (w.Float64()-0.5)/1000, tree: w.tree && w.fence%4 != 3}
@@ -26,7 +26,7 @@
 	c.load()
 }
 
-// die ends the last conductor and has another follow; one that only sleeps wakes later
+// die ends the last controller and has another follow; one that only sleeps wakes later
 // and goes on where it was.
 func (w *world) die(sleeps time.Duration) {
 	c := w.conductors[len(w.conductors)-1]
@@ -38,7 +38,7 @@
 
 func (c *conductor) clock() time.Duration { return time.Duration(float64(c.w.now) * c.rate) }
 
-// call is one call of the conductor's; it may be its last.
+// call is one call of the controller's; it may be its last.
 func (c *conductor) call(serve func(), answered func(ok bool)) {
 	if c.dead {
 		return
--- a/internal/tenant/desk.go
+++ b/internal/tenant/desk.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Cache decides what a node knows of tenants, and how sure it may be. It is pure. Its
+// Cache decides what a proxy knows of tenants, and how sure it may be. It is pure. Its
 // safety rests on the session and on reads of the records; the view (Heard) only makes
 // it more careful, and quicker.
 type Cache struct {
@@ -51,7 +51,7 @@
 // its way may have come to the service after it.
 const tellInterval = 5 * time.Second
 
-// NewCache makes the desk of a node that knows nothing yet. life is of this process,
+// NewCache makes the cache of a proxy that knows nothing yet. life is of this process,
 // higher than of the one before under its name. With a hold above 0 it serves no
 // tenant after so long without word; it should be several TTLs. On demand it reads of
 // a catalogue with parts only those that its requests name.
@@ -70,7 +70,7 @@
 	}
 }
 
-// Member is how the book has this node when it is enrolled.
+// Member is how the member record has this proxy when it is enrolled.
 func (d *Cache) Member(name string) Member {
 	return Member{name, d.generation, d.maxStaleness.Milliseconds()}
 }
@@ -156,7 +156,7 @@
 	if !e.Snapshot.covers(d.snapshot, d.neededLeaves()) {
 		return []any{ReadCatalogue{}}
 	}
-	older := e.Snapshot.Number < d.number() // the service's state is from a copy: the conductor makes a new one
+	older := e.Snapshot.Number < d.number() // the service's state is from a copy: the controller makes a new one
 	if d.snapshot == nil || e.Snapshot.Number > d.snapshot.Number ||
 		e.Snapshot.Number == d.snapshot.Number && e.Snapshot.levels > 0 {
 		d.applySnapshot(now, e.Snapshot)
@@ -177,7 +177,7 @@
 	return d.snapshot.Number
 }
 
-// stopServingAt is when the node stops serving tenants for want of word; 0: never.
+// stopServingAt is when the proxy stops serving tenants for want of word; 0: never.
 func (d *Cache) stopServingAt() time.Duration {
 	if d.maxStaleness == 0 {
 		return 0
@@ -207,7 +207,7 @@
 }
 
 // cutDeparting ends what has had its time: of a tenant that drains; of one that is about to,
-// where this node has no right any more, so that the conductor need not wait for its
+// where this proxy has no right any more, so that the controller need not wait for its
 // return; of all, where its hold has stopped it; of one that is gone, at once.
 func (d *Cache) cutDeparting(now time.Duration) (do []any) {
 	right := d.authoritative && now < d.authorityUntil
@@ -231,7 +231,7 @@
 }
 
 // Status is what a session has to be opened with: one that is open without it would let
-// the conductor pass by a node that has its right already.
+// the controller pass by a proxy that has its right already.
 func (d *Cache) Status() Status {
 	w := Status{
 		Generation:   d.generation,
--- a/internal/tenant/events.go
+++ b/internal/tenant/events.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// What happens at a node. Sent and Began are times of the node's own clock at which a
+// What happens at a proxy. Sent and Began are times of the proxy's own clock at which a
 // call was begun, however late its answer.
 type (
-	// SessionOpened tells of a session that was opened with the desk's Word.
+	// SessionOpened tells of a session that was opened with the cache's Word.
 	SessionOpened struct {
 		Sent time.Duration
 		TTL  time.Duration
@@ -16,7 +16,7 @@
 		Known bool
 	}
 	// CatalogueRead brings the catalogue as it is now, as far as Want said when the read began, read after the
-	// book said what Enrolled tells: whether this node is in it, in its life and with its hold.
+	// book said what Enrolled tells: whether this proxy is in it, in its generation and with its hold.
 	CatalogueRead struct {
 		StartedAt time.Duration
 		Enrolled  bool
@@ -24,27 +24,27 @@
 	}
 	// PeerHasCatalogue tells of a catalogue's number by a peer's facts.
 	PeerHasCatalogue struct{ Number uint64 }
-	// PolicyChanged tells of the policy table that the node evaluates.
+	// PolicyChanged tells of the policy table that the proxy evaluates.
 	PolicyChanged struct{ PolicyTable }
-	// LeafMissing tells of a request of a part that the node does not hold, by what X-Tenant says.
+	// LeafMissing tells of a request of a part that the proxy does not hold, by what X-Tenant says.
 	LeafMissing struct{ Name string }
 	// RequestStarted and Over tell of a request that was served for a tenant, by its name in the catalogue.
 	RequestStarted struct{ Tenant string }
 	RequestEnded   struct{ Tenant string }
-	// Tick has the node look at its clock; it comes at least each half second.
+	// Tick has the proxy look at its clock; it comes at least each half second.
 	Tick struct{}
 	// Leave has it serve no tenant any more.
 	Leave struct{}
 )
 
-// What a node's shell is to do.
+// What a proxy's shell is to do.
 type (
 	// SwapCatalogue answers requests from another catalogue from now on. It is carried out before
 	// a Tell that comes with it.
 	SwapCatalogue struct{ *Catalogue }
 	// TellStatus changes the word of the session.
 	TellStatus struct{ Status Status }
-	// ReadCatalogue reads the book and then the catalogue, as they are now; one read at a time,
+	// ReadCatalogue reads the member record and then the catalogue, as they are now; one read at a time,
 	// and another after it where it was asked for in between.
 	ReadCatalogue struct{}
 	// CutRequests ends what is open of a tenant.
--- a/internal/tenant/fleet.go
+++ b/internal/tenant/fleet.go
@@ -15,7 +15,7 @@
 // PolicyKey is the record of the table that holds.
 const PolicyKey = quotarecord.CurrentKey
 
-// RegistryEnvironment is a fleet as the list service has it: the policy's table on record and the
+// RegistryEnvironment is a fleet as the registry has it: the policy's table on record and the
 // servers on the list.
 type RegistryEnvironment struct{ Registry *client.Client }
 
--- a/internal/tenant/form.go
+++ b/internal/tenant/form.go
@@ -1,6 +1,6 @@
 // Package tenant brings tenants ("books") in, everywhere or nowhere: the forms that
-// are on record, the pure machine that moves them on (Machine) with the conductor
-// that carries it out, and the pure catalogue that a node answers from (Desk,
+// are on record, the pure machine that moves them on (Machine) with the controller
+// that carries it out, and the pure catalogue that a proxy answers from (Desk,
 // Catalogue). What each step waits for, and for how long, is in docs/tenants.md.
 package tenant
 
@@ -28,7 +28,7 @@
 )
 
 // MaxTreeTenants is how many there may be where the catalogue is a hash tree: with their pages, of
-// which a tenant has its own while there are few, they leave the list service a tenth of its records.
+// which a tenant has its own while there are few, they leave the registry a tenth of its records.
 const MaxTreeTenants = max(min(200_000, registry.MaxRecords*9/10-treePages), registry.MaxRecords*2/5)
 
 // Spec is what a tenant is: its namespace, its quotas and its routes, always together.
@@ -38,7 +38,7 @@
 	KeyPrefixes []string   `json:"keys,omitempty"` // prefixes of its part of the key space; none: all of it
 	Quotas      []QuotaRef `json:"quotas"`
 	Routes      []Route    `json:"routes"`
-	// a table of this version has its limits; set by the conductor
+	// a table of this version has its limits; set by the controller
 	PolicyVersion uint64 `json:"policy,omitempty"`
 	Suspended     bool   `json:"suspended,omitempty"`
 	DrainMS       int64  `json:"drain_ms,omitempty"` // what is open has so long to end once the tenant goes
@@ -58,7 +58,7 @@
 	Zones        []string `json:"zones,omitempty"`   // none: all
 	MachineTypes []string `json:"kinds,omitempty"`
 	Cells        []int    `json:"pods,omitempty"`
-	// boxes that must be there when it is brought in; 0 counts as 1
+	// backends that must be there when it is brought in; 0 counts as 1
 	MinEndpoints int `json:"least,omitempty"`
 }
 
@@ -68,7 +68,7 @@
 	Cell              int
 }
 
-// Allows tells whether a route may use a box.
+// Allows tells whether a route may use a backend.
 func (r *Route) Allows(b Endpoint) bool {
 	return choiceHas(r.Zones, b.Zone) && choiceHas(r.MachineTypes, b.MachineType) && choiceHas(r.Cells, b.Cell)
 }
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// CheckName says what is wrong with the name of a tenant or a node.
+// CheckName says what is wrong with the name of a tenant or a proxy.
 func CheckName(name string) error {
 	if name == "" || len(name) > 64 || strings.ContainsAny(name, "/\\ \t\r\n\x00") {
 		return fmt.Errorf("name: %q, want 1 to 64 bytes without slashes and spaces", name)
--- a/internal/tenant/held.go
+++ b/internal/tenant/held.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Bounds of what a node on demand holds and reads. A leaf has some 6 to 32 tenants, a
+// Bounds of what a proxy on demand holds and reads. A leaf has some 6 to 32 tenants, a
 // tenant 230 bytes on record and five times as many in memory: 12 MB of pages are 60 MB,
-// half of a node's budget of 128 MB. Only what open requests hold may be beyond.
+// half of a proxy's budget of 128 MB. Only what open requests hold may be beyond.
 const (
 	maxCachedLeaves = 4096
 	maxCachedBytes  = 12 << 20 // of their pages
@@ -18,19 +18,19 @@
 	evictInterval   = time.Second
 
 	// A part that is not held is read once, and then, however many names are made up, no more than readsAtOnce
-	// (a node's usual parts when it starts) and readsEvery after it: 4 a second, with two pages between, are 15
+	// (a proxy's usual parts when it starts) and readsEvery after it: 4 a second, with two pages between, are 15
 	// kB of a budget of 25 kB a second. mostAsked are read with one head.
 	readBurst          = 2048
 	readInterval       = time.Second / 4
 	maxRequestedLeaves = 64
 )
 
-// cachedLeaf is a part that a node holds, ready for requests.
+// cachedLeaf is a part that a proxy holds, ready for requests.
 type cachedLeaf struct {
 	leaf   *Leaf
-	table  int                       // of the desk's, with which it was made ready
+	table  int                       // of the cache's, with which it was made ready
 	names  map[string]*compiledEntry // by what requests name
-	usedAt atomic.Int64              // when it was last asked for, by the desk's clock in ns
+	usedAt atomic.Int64              // when it was last asked for, by the cache's clock in ns
 }
 
 // tokenBucket lets a number of reads through at once, and then one in a while.
--- a/internal/tenant/image.go
+++ b/internal/tenant/image.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Phase is what nodes do with a tenant.
+// Phase is what proxies do with a tenant.
 type Phase string
 
-// The phases. A node that does not know one answers 503 for the tenant.
+// The phases. A proxy that does not know one answers 503 for the tenant.
 const (
 	PhaseServe   Phase = "serve"   // by Now
 	PhasePrepare Phase = "prepare" // by Now still, or 503 where there is none; Next is made ready
@@ -31,7 +31,7 @@
 	unknownFields rawFields
 }
 
-// entryOf gives what nodes are to do with a tenant on record; nil: it is not in the catalogue.
+// entryOf gives what proxies are to do with a tenant on record; nil: it is not in the catalogue.
 func entryOf(t *Tenant) *Entry {
 	phase := map[State]Phase{Reserved: PhasePrepare, Active: PhaseServe, Suspended: PhaseServe, Changing: PhasePrepare, Switching: PhaseHold, Draining: PhaseDrain}[t.State]
 	if phase == "" {
@@ -49,7 +49,7 @@
 }
 
 // equivalent tells whether two entries mean the same, since whenever; what only a newer
-// conductor knows is left aside, and kept.
+// controller knows is left aside, and kept.
 func (e *Entry) equivalent(o *Entry) bool {
 	if e == nil || o == nil {
 		return e == o
--- a/internal/tenant/machine.go
+++ b/internal/tenant/machine.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// Times of a conductor's waits. docs/tenants.md has what ends each.
+// Times of a controller's waits. docs/tenants.md has what ends each.
 type Times struct {
-	Prepare time.Duration // from an order's taking: nodes that have not prepared it by then have it taken back
-	// of 503 for what differs; after it the former form is served again, and it is prepared anew
+	Prepare time.Duration // from an order's taking: proxies that have not prepared it by then have it taken back
+	// of 503 for what differs; after it the previous form is served again, and it is prepared anew
 	Switch    time.Duration
 	Tombstone time.Duration // names of one that is gone, or was refused, stay on record so long
 }
 
-// DefaultTimes are those of a conductor that is told no others. Switch is ten times
-// what a node needs to hear of a catalogue when it polls each half second.
+// DefaultTimes are those of a controller that is told no others. Switch is ten times
+// what a proxy needs to hear of a catalogue when it polls each half second.
 func DefaultTimes() Times {
 	return Times{Prepare: 30 * time.Second, Switch: 5 * time.Second, Tombstone: 10 * time.Minute}
 }
 
 const (
-	drainSlack    = time.Second      // beyond late: a node looks at its drains within it
-	clockInterval = 10 * time.Second // the book's clock is written so often while a tombstone waits for it
-	maxMembers    = 2000             // members, each with a session of the list service
-	maxAhead      = 1 << 32          // a node that says to be further ahead of the catalogue is not believed
+	drainSlack = time.Second // beyond late: a proxy looks at its drains within it
+	// the member record's clock is written so often while a tombstone waits for it
+	clockInterval = 10 * time.Second
+	maxMembers    = 2000    // members, each with a session of the registry
+	maxAhead      = 1 << 32 // a proxy that says to be further ahead of the catalogue is not believed
 )
 
 // PolicyFloors is what the machine needs of the current table.
@@ -37,13 +38,13 @@
 	TotalFloor float64            // all floors together at most
 }
 
-// Session is a node's session with the list service, open when it was looked at.
+// Session is a proxy's session with the registry, open when it was looked at.
 type Session struct {
 	Proxy  string
 	Status Status
 }
 
-// Observation is what a conductor sees, read from the records as they are, not from the view:
+// Observation is what a controller sees, read from the records as they are, not from the view:
 // who has to be waited for rests on it.
 type Observation struct {
 	Sessions  []Session
@@ -52,7 +53,7 @@
 	Orders    []PendingOrder
 }
 
-// Stored is what is on record when a conductor begins.
+// Stored is what is on record when a controller begins.
 type Stored struct {
 	Tenants        []*Tenant
 	Head           Head
@@ -63,8 +64,8 @@
 	MembersVersion uint64
 }
 
-// StateMachine decides the next writes of a conductor. It is pure; times are of the
-// conductor's monotonic clock. One that a write fails for is thrown away: the next
+// StateMachine decides the next writes of a controller. It is pure; times are of the
+// controller's monotonic clock. One that a write fails for is thrown away: the next
 // begins from what is on record.
 type StateMachine struct {
 	times          Times
@@ -81,19 +82,19 @@
 	pages          map[string]uint64 // versions of those on record, by digest
 	members        MemberRecord
 	membersVersion uint64
-	membersDirty   bool // the book is to be written
+	membersDirty   bool // the member record is to be written
 
 	hashTree bool // the catalogue is written as one
 
-	startedAt    time.Duration            // by the conductor's clock
-	clockAtStart time.Duration            // of the book, then
+	startedAt    time.Duration            // by the controller's clock
+	clockAtStart time.Duration            // of the member record, then
 	absentSince  map[string]time.Duration // since when a member has had no session
-	orderSeenAt  map[string]time.Duration // when this conductor saw the order that a tenant follows
+	orderSeenAt  map[string]time.Duration // when this controller saw the order that a tenant follows
 	stateSince   map[string]time.Duration // when a tenant came into its state
 	waitingFor   map[string][]string      // the members that a tenant waits for
 }
 
-// Load begins a conductor's work. Waits that were under way begin anew. With hashTree the
+// Load begins a controller's work. Waits that were under way begin anew. With hashTree the
 // catalogue is written as a hash tree, else flat, whichever it is on record.
 func Load(now time.Duration, s Stored, t Times, hashTree bool) *StateMachine {
 	m := &StateMachine{
@@ -153,7 +154,7 @@
 type round struct {
 	Observation
 	now           time.Duration
-	sessions      map[string][]Status // by node
+	sessions      map[string][]Status // by proxy
 	changed       map[string]bool     // tenants
 	removed       map[string]bool     // records to be taken away
 	floorSum      float64             // of the floors that are taken, if
@@ -234,7 +235,7 @@
 	r.changed[t.Name] = true
 }
 
-// writeRecords writes tenants that changed, and the book.
+// writeRecords writes tenants that changed, and the member record.
 func (m *StateMachine) writeRecords(r *round) error {
 	for _, name := range slices.Sorted(maps.Keys(r.changed)) {
 		t := m.tenants[name]
@@ -269,7 +270,7 @@
 	return nil
 }
 
-// clockAt is the conductors' clock.
+// clockAt is the controllers' clock.
 func (m *StateMachine) clockAt(now time.Duration) time.Duration {
 	return m.clockAtStart + now - m.startedAt
 }
--- a/internal/tenant/members.go
+++ b/internal/tenant/members.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// updateMembers keeps the book: who comes, who has left, who must have stopped. A node serves
-// nothing before the book has it in its present life and hold.
+// updateMembers keeps the member record: who comes, who has left, who must have stopped. A proxy serves
+// nothing before the member record has it in its present generation and hold.
 func (m *StateMachine) updateMembers(r *round) {
 	m.members.Members = slices.DeleteFunc(slices.Clone(m.members.Members), func(member Member) bool {
 		words := r.sessions[member.Name]
@@ -51,7 +51,7 @@
 	}
 }
 
-// absentFor is how long a member has had no session, as this conductor saw it.
+// absentFor is how long a member has had no session, as this controller saw it.
 func (m *StateMachine) absentFor(r *round, member Member) time.Duration {
 	since, absent := m.absentSince[member.Name]
 	if !absent {
@@ -117,7 +117,7 @@
 	return member.MaxStalenessMS > 0 && away >= lengthened(member.MaxStaleness())+drainSlack
 }
 
-// prepareTimeout is how long an order may wait for nodes to prepare: at least until those
+// prepareTimeout is how long an order may wait for proxies to prepare: at least until those
 // that are away must have stopped, where they ever do.
 func (m *StateMachine) prepareTimeout() time.Duration {
 	most := m.times.Prepare
@@ -129,7 +129,7 @@
 	return most
 }
 
-// forgetMember takes a member off the book by an operator's word.
+// forgetMember takes a member off the member record by an operator's word.
 func (m *StateMachine) forgetMember(r *round, a PendingOrder) {
 	m.members.Members = slices.DeleteFunc(m.members.Members, func(member Member) bool {
 		if member.Name != a.Name || len(r.sessions[member.Name]) > 0 { // one that is there can't be forgotten
--- a/internal/tenant/mutated_test.go
+++ b/internal/tenant/mutated_test.go
@@ -1,6 +1,6 @@
 package tenant
 
-// mutated is a catalogue as a node would have it that leaves something out.
+// mutated is a catalogue as a proxy would have it that leaves something out.
 func (n *node) mutated(i *Snapshot) *Snapshot {
 	m := *i
 	m.leaves = map[int]*Leaf{}
--- a/internal/tenant/node_test.go
+++ b/internal/tenant/node_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// node is a process with the real Desk, and a shell as the node's would be.
+// proxy is a process with the real Desk, and a shell as the proxy's would be.
 type node struct {
 	w       *world
 	name    string
@@ -50,7 +50,7 @@
 func (n *node) clock() time.Duration { return time.Duration(float64(n.w.now) * n.rate) }
 func (n *node) cut() bool            { return n.cutOff || n.dead }
 
-// wake runs something at the node, once it runs.
+// wake runs something at the proxy, once it runs.
 func (n *node) wake(do func()) {
 	switch {
 	case n.dead:
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -38,11 +38,11 @@
 	Number      uint64       `json:"number"`           // of the catalogue; each is higher than the last
 	Levels      int          `json:"levels,omitempty"` // of pages below the head of a tree; 0: the flat form
 	Pages       []string     `json:"pages"`            // digests; "" for one without entries
-	PolicyNeeds []PolicyNeed `json:"needs,omitempty"`  // what a node can't see that has not read all leaves
+	PolicyNeeds []PolicyNeed `json:"needs,omitempty"`  // what a proxy can't see that has not read all leaves
 }
 
 // PolicyNeed says that some next forms, the first of them new in a catalogue, have their limits in a
-// policy's table: a node without it has not prepared them, whether it holds them or not.
+// policy's table: a proxy without it has not prepared them, whether it holds them or not.
 type PolicyNeed struct {
 	Policy uint64 `json:"policy"`
 	Since  uint64 `json:"since"`
--- a/internal/tenant/publish.go
+++ b/internal/tenant/publish.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// RecordWrite is a write under the conductor's fence, conditional on the version that it
+// RecordWrite is a write under the controller's fencing token, conditional on the version that it
 // replaces. Puts of one stage may go together; a later stage waits for the earlier:
 // intent (tenants, members), pages, head, what is done with (orders, old pages).
 type RecordWrite struct {
@@ -26,8 +26,8 @@
 	stageAfter
 )
 
-// wasRestored tells whether a node has a higher catalogue than there is: the service's
-// state is from a copy. All is published anew, above what any node has.
+// wasRestored tells whether a proxy has a higher catalogue than there is: the service's
+// state is from a copy. All is published anew, above what any proxy has.
 func (m *StateMachine) wasRestored(r *round) bool {
 	return slices.ContainsFunc(r.Sessions, func(s Session) bool { return s.Status.Prepared > m.head.Number })
 }
@@ -84,7 +84,7 @@
 }
 
 // catalogueChanges gives the entries that differ from the last catalogue: among the tenants that
-// changed in this round; in a conductor's first round, or anew, among all.
+// changed in this round; in a controller's first round, or anew, among all.
 func (m *StateMachine) catalogueChanges(r *round, number uint64, anew bool) (all []change) {
 	look := maps.Clone(r.changed)
 	maps.Copy(look, r.removed)
--- a/internal/tenant/reader.go
+++ b/internal/tenant/reader.go
@@ -12,17 +12,17 @@
 	"wrenspread/internal/registry"
 )
 
-// Source has the records: the list service's client, or what stands for it where that is
+// Source has the records: the registry's client, or what stands for it where that is
 // too small. One that is not there is a client.Refused with 404.
 type Source interface {
 	Record(ctx context.Context, key string) (registry.Record, error)
 }
 
-// Reader reads the catalogue for a node's Desk, from the list service as it is now.
+// Reader reads the catalogue for a proxy's Desk, from the registry as it is now.
 // Pages that it has already are not read again. It is for one goroutine at a time.
 type Reader struct {
 	Source Source
-	Member Member // as the book has to have the node
+	Member Member // as the member record has to have the proxy
 
 	snapshot *Snapshot
 	leaves   []int            // of image, that were wanted
@@ -32,7 +32,7 @@
 // readAttempts is how often the catalogue may change while it is read.
 const readAttempts = 3
 
-// Read reads the book and then the catalogue, as far as it is wanted. clock is the node's,
+// Read reads the member record and then the catalogue, as far as it is wanted. clock is the proxy's,
 // of its Desk.
 func (r *Reader) Read(
 	ctx context.Context,
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -13,11 +13,11 @@
 // reserved by the same write, so that no two tenants are let in on one floor.
 const (
 	Rejected  State = "refused"   // not let in; its names and floors are free
-	Reserved  State = "reserved"  // its names and floors are its own; nodes prepare it and answer 503
+	Reserved  State = "reserved"  // its names and floors are its own; proxies prepare it and answer 503
 	Active    State = "active"    // served
 	Suspended State = "suspended" // known, and refused
-	Changing  State = "changing"  // nodes prepare the next form and serve the present one
-	Switching State = "switching" // nodes answer 503 for what differs
+	Changing  State = "changing"  // proxies prepare the next form and serve the present one
+	Switching State = "switching" // proxies answer 503 for what differs
 	Draining  State = "draining"  // refused for good; what is open ends
 	Removed   State = "gone"      // a tombstone: its floors are free, its names not yet
 )
@@ -39,7 +39,7 @@
 	Next     *Spec     `json:"next,omitempty"`  // to come; none while it goes
 	Order    string    `json:"order,omitempty"` // the id of the last order that was taken
 	Outcomes []Outcome `json:"done,omitempty"`  // of the last orders, as many as mostDone
-	// on the conductors' clock: a tombstone or a refusal goes then
+	// on the controllers' clock: a tombstone or a refusal goes then
 	ExpiresAt time.Duration `json:"until_ns,omitempty"`
 
 	unknownFields rawFields
@@ -71,7 +71,7 @@
 	OrderSuspend      = "suspend"
 	OrderResume       = "resume"
 	OrderRemove       = "remove"
-	OrderForgetMember = "forget" // a node: the operator vouches that it serves nothing any more
+	OrderForgetMember = "forget" // a proxy: the operator vouches that it serves nothing any more
 )
 
 // Order is what an operator asks for.
@@ -83,7 +83,7 @@
 	Operator string `json:"who,omitempty"`
 }
 
-// PendingOrder is an order on record, about a tenant or, to forget, a node. One a name waits
+// PendingOrder is an order on record, about a tenant or, to forget, a proxy. One a name waits
 // at a time, so that changes of one tenant go in order.
 type PendingOrder struct {
 	Key     string
@@ -92,12 +92,12 @@
 	Order   Order
 }
 
-// Member is a node that may serve tenants. Enrolled it stays until it has left, is
-// forgotten, or must have stopped by its own hold: a step that has to have all nodes
+// Member is a proxy that may serve tenants. Enrolled it stays until it has left, is
+// forgotten, or must have stopped by its own hold: a step that has to have all proxies
 // waits for it, there or not.
 type Member struct {
 	Name string `json:"name"`
-	// a restart is another; it serves nothing before the book has it
+	// a restart is another; it serves nothing before the member record has it
 	Generation     uint64 `json:"life"`
 	MaxStalenessMS int64  `json:"hold_ms,omitempty"` // it stops after so long without word; 0: never
 }
@@ -107,7 +107,7 @@
 	return time.Duration(m.MaxStalenessMS) * time.Millisecond
 }
 
-// MemberRecord has the members, and the conductors' clock, which goes on from one to the next.
+// MemberRecord has the members, and the controllers' clock, which goes on from one to the next.
 type MemberRecord struct {
 	Format  int           `json:"v"`
 	Clock   time.Duration `json:"clock_ns"`
--- a/internal/tenant/report.go
+++ b/internal/tenant/report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Report is what a node tells an operator of its tenants.
+// Report is what a proxy tells an operator of its tenants.
 type Report struct {
 	Number        uint64 `json:"number"` // of the catalogue it answers from; 0: none
 	Ready         bool   `json:"ready"`
@@ -17,7 +17,7 @@
 	Tenants     []KnownTenant `json:"tenants"` // by name
 }
 
-// KnownTenant is a tenant as a node knows it.
+// KnownTenant is a tenant as a proxy knows it.
 type KnownTenant struct {
 	Name         string `json:"name"`
 	Phase        Phase  `json:"phase"`
@@ -25,7 +25,7 @@
 	OpenRequests int    `json:"open"`  // requests
 }
 
-// Number is that of the catalogue that the desk has; 0: none.
+// Number is that of the catalogue that the cache has; 0: none.
 func (d *Cache) Number() uint64 { return d.number() }
 
 // TenantCount is how many tenants it has; on demand, those that it holds.
--- a/internal/tenant/rules_test.go
+++ b/internal/tenant/rules_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// request has one answered at a node now, and checks the answer.
+// request has one answered at a proxy now, and checks the answer.
 func (w *world) request(n *node, name, class string) {
 	n.wake(func() {
 		told, by := w.truth.told[name+" "+class], "x-"+name
@@ -171,7 +171,7 @@
 	})
 }
 
-// checkWord checks that what a node says to have prepared has its limits in the node's table.
+// checkWord checks that what a proxy says to have prepared has its limits in the proxy's table.
 func (w *world) checkWord(n *node, word Status) {
 	image := w.images[n.desk.Number()]
 	if image == nil {
--- a/internal/tenant/service_test.go
+++ b/internal/tenant/service_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// put writes a record as the list service does.
+// put writes a record as the registry does.
 func (w *world) put(p RecordWrite, fence uint64) (uint64, error) {
 	has := w.records[p.Key]
 	if !w.broken["no fence"] && (fence != w.fence || !p.Unconditional && has.version != p.Version) {
@@ -99,7 +99,7 @@
 	return b
 }
 
-// stored gives what a conductor begins from.
+// stored gives what a controller begins from.
 func (w *world) stored() (s Stored) {
 	s.Pages = map[string]uint64{}
 	for _, key := range sortedKeys(w.records) {
@@ -123,7 +123,7 @@
 	return s
 }
 
-// look gives what a conductor sees.
+// look gives what a controller sees.
 func (w *world) look() (l Observation) {
 	w.expire()
 	for _, id := range sortedKeys(w.sessions) {
--- a/internal/tenant/sim_test.go
+++ b/internal/tenant/sim_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// clients ask all nodes for all tenants, at drawn times.
+// clients ask all proxies for all tenants, at drawn times.
 func (w *world) clients() {
 	n := w.nodes[w.IntN(len(w.nodes))]
 	w.request(n, fmt.Sprint("t", w.IntN(w.tenants)), []string{"a", "b"}[w.IntN(2)])
@@ -81,7 +81,7 @@
 }
 
 // play runs one drawn schedule: faults for a time, then peace, after which all orders
-// must have come to rest and all nodes say what is told.
+// must have come to rest and all proxies say what is told.
 func play(seed uint64, what broken) *world {
 	w := newWorld(seed, 3, 4, what)
 	w.after(0, w.clients)
--- a/internal/tenant/standing.go
+++ b/internal/tenant/standing.go
@@ -11,13 +11,13 @@
 // Progress is how far a tenant is, as an operator asks.
 type Progress struct {
 	*Tenant
-	Published  bool     `json:"published"`           // nodes are told of this state
+	Published  bool     `json:"published"`           // proxies are told of this state
 	Number     uint64   `json:"number,omitempty"`    // of the catalogue that tells them
 	WaitingFor []string `json:"waits_for,omitempty"` // members that it waits for
 }
 
 // AllProgress tells how far all tenants are, by name, from what is on record and the
-// sessions that are open. How long members have been away only the conductor knows: all
+// sessions that are open. How long members have been away only the controller knows: all
 // that may still have to be waited for are named.
 func AllProgress(s Stored, sessions []Session) (all []Progress) {
 	m := Load(0, s, DefaultTimes(), s.Head.Levels > 0)
@@ -82,7 +82,7 @@
 }
 
 // Outcome tells what came of an order; done is false while it is under way. One that is
-// done and not published yet is under way still: nodes are to know of it first.
+// done and not published yet is under way still: proxies are to know of it first.
 func (s Progress) Outcome(order string) (o Outcome, done bool) {
 	i := slices.IndexFunc(s.Outcomes, func(o Outcome) bool { return o.Order == order })
 	if i < 0 || s.Order == order && !s.Published {
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -13,7 +13,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Records keeps tenants in the list service, under the conductor's fence.
+// Records keeps tenants in the registry, under the controller's fencing token.
 type Records struct {
 	Registry *client.Client
 	Token    registry.FencingToken
@@ -83,13 +83,13 @@
 	return r.Version, nil
 }
 
-// Stored reads all that a conductor begins from.
+// Stored reads all that a controller begins from.
 func (r *Records) Stored(ctx context.Context) (s Stored, err error) {
 	return ReadStored(ctx, r.Registry)
 }
 
 // ReadStored reads all that is on record. The catalogue may change while it is read by
-// one who does not hold the fence; then it is read again.
+// one who does not hold the fencing token; then it is read again.
 func ReadStored(ctx context.Context, k *client.Client) (s Stored, err error) {
 	tenants, err := readRecords(ctx, k, Prefix, nil)
 	if err != nil {
@@ -148,12 +148,12 @@
 	return w.err
 }
 
-// Sessions gives the nodes' sessions.
+// Sessions gives the proxies' sessions.
 func (r *Records) Sessions(ctx context.Context) ([]Session, error) {
 	return ReadSessions(ctx, r.Registry)
 }
 
-// ReadSessions gives the nodes' sessions, as they are now.
+// ReadSessions gives the proxies' sessions, as they are now.
 func ReadSessions(ctx context.Context, k *client.Client) (all []Session, err error) {
 	a, err := k.Leases(ctx)
 	for _, s := range a.Sessions {
@@ -190,7 +190,7 @@
 	return all, nil
 }
 
-// Put carries a write out under the fence.
+// Put carries a write out under the fencing token.
 func (r *Records) Put(ctx context.Context, p RecordWrite) (uint64, error) {
 	cond := &p.Version
 	if p.Unconditional {
@@ -206,7 +206,7 @@
 	return got.EntryVersion, err
 }
 
-// SubmitOrder leaves an order for the conductor. One at a time waits; false where there is one.
+// SubmitOrder leaves an order for the controller. One at a time waits; false where there is one.
 func SubmitOrder(ctx context.Context, k *client.Client, name string, o Order) (bool, error) {
 	o.Format = format
 	raw, err := json.Marshal(o)
--- a/internal/tenant/tree.go
+++ b/internal/tenant/tree.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// tree is the catalogue as its pages: what a conductor has published, so that it writes
+// tree is the catalogue as its pages: what a controller has published, so that it writes
 // of the next only what differs.
 type tree struct {
 	levels  int              // as in a head
@@ -127,7 +127,7 @@
 }
 
 // depth is how many levels a catalogue has to have: one that was a tree gets no fewer, as
-// each change of their number has all nodes read again what they hold.
+// each change of their number has all proxies read again what they hold.
 func depth(hashTree bool, before, tenants int) int {
 	if !hashTree {
 		return 0
--- a/internal/tenant/unknown.go
+++ b/internal/tenant/unknown.go
@@ -10,7 +10,7 @@
 )
 
 // rawFields are those of a document that this version of the program does not know. They
-// are written again as they were read, so that an older conductor takes nothing from a
+// are written again as they were read, so that an older controller takes nothing from a
 // newer operator's form.
 type rawFields map[string]json.RawMessage
 
--- a/internal/tenant/walk_test.go
+++ b/internal/tenant/walk_test.go
@@ -7,7 +7,7 @@
 )
 
 // script has tenants come, change, rest and go, each order after the one before, with a
-// conductor that dies, or sleeps while another follows, at one of its calls.
+// controller that dies, or sleeps while another follows, at one of its calls.
 func script(seed uint64, dieAt int, sleeps time.Duration) *world {
 	w := newWorld(seed, 3, 4, broken{})
 	w.quiet, w.dieAt, w.dieSleeps = true, dieAt, sleeps
@@ -27,7 +27,7 @@
 	return w
 }
 
-// TestEveryCrash: the conductor dies at each of its calls, and sleeps at each; the next
+// TestEveryCrash: the controller dies at each of its calls, and sleeps at each; the next
 // brings all that was asked for to its end, and each order is followed once.
 func TestEveryCrash(t *testing.T) {
 	step := 1
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestManyAtOnce: 200 tenants come together, in few catalogues, with a node that joins,
+// TestManyAtOnce: 200 tenants come together, in few catalogues, with a proxy that joins,
 // one that leaves, one that is lost and a new policy in the middle.
 func TestManyAtOnce(t *testing.T) {
 	w := newWorld(2, 4, 200, broken{})
--- a/internal/tenant/word.go
+++ b/internal/tenant/word.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Status is what a node's session tells the conductor of it: the note of the session.
+// Status is what a proxy's session tells the controller of it: the note of the session.
 type Status struct {
 	Generation   uint64
 	Prepared     uint64        // the number of the catalogue that it has taken up, with all that its forms need
@@ -31,7 +31,7 @@
 	return s
 }
 
-// ParseStatus finds a node's word in a session's note; ok is false where there is none.
+// ParseStatus finds a proxy's word in a session's note; ok is false where there is none.
 // What it does not know it passes over.
 func ParseStatus(note string) (w Status, ok bool) {
 	for field := range strings.FieldsSeq(note) {
@@ -56,11 +56,11 @@
 	return w, ok && w.Generation > 0
 }
 
-const maxMaxStaleness = 24 * time.Hour // of a word that is read; the longer counts as this, also at the node
+const maxMaxStaleness = 24 * time.Hour // of a word that is read; the longer counts as this, also at the proxy
 
-// Times that the conductor and the nodes count on different clocks. Two clocks' rates
-// differ by at most 1 in 1,000. A node's right to a definite no ends a five hundredth
-// of the TTL early, and the conductor waits a four hundredth longer than the node: each
+// Times that the controller and the proxies count on different clocks. Two clocks' rates
+// differ by at most 1 in 1,000. A proxy's right to a definite no ends a five hundredth
+// of the TTL early, and the controller waits a four hundredth longer than the proxy: each
 // is more than the two rates' difference.
 func shortened(d time.Duration) time.Duration { return d - d/500 }
 
--- a/internal/tenant/world_test.go
+++ b/internal/tenant/world_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// world is nodes, a list service, conductors and clients on one drawn clock. Every
+// world is proxies, a registry, controllers and clients on one drawn clock. Every
 // call takes a drawn time each way and may be lost; every clock has its own rate.
 type world struct {
 	*rand.Rand
@@ -24,7 +24,7 @@
 	version  uint64
 	sessions map[string]*session
 	fence    uint64
-	tree     bool             // conductors write the catalogue as a hash tree, but each fourth
+	tree     bool             // controllers write the catalogue as a hash tree, but each fourth
 	pages    map[string]*page // that were read, by digest
 	have     map[string]*page // those that are on record at haveAt
 	haveAt   uint64
@@ -35,11 +35,11 @@
 	policy     PolicyFloors
 	truth      truth
 	quiet      bool // no more faults
-	ambush     int  // so many nodes are cut off just as a tenant comes into a state
+	ambush     int  // so many proxies are cut off just as a tenant comes into a state
 	tenants    int
-	dieAt      int           // the call at which a conductor dies; 0: never
+	dieAt      int           // the call at which a controller dies; 0: never
 	dieSleeps  time.Duration // it does not die then, but sleeps so long
-	calls      int           // of conductors
+	calls      int           // of controllers
 	asked      int
 	removed    map[string]bool // tenants that were to be, at some time
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,5 +1,5 @@
 // Package timeline draws a history as text: time downwards, one column for
-// each node (service, holder, conductor), and in each cell what happened there.
+// each node (service, holder, controller), and in each cell what happened there.
 // It is pure and takes events from anywhere.
 package timeline
 
