--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,10 +9,10 @@
 	"wrenspread/balancer"
 )
 
-func (n *Server) startAttempt(a balancer.StartAttempt) {
-	r := n.requests[a.ID]
+func (srv *Server) startAttempt(a balancer.StartAttempt) {
+	r := srv.requests[a.ID]
 	if r == nil {
-		n.log.Error("attempt for a request that is not open", "id", a.ID)
+		srv.log.Error("attempt for a request that is not open", "id", a.ID)
 		return
 	}
 	number := len(r.cancelAttempts)
@@ -22,12 +22,12 @@
 	} else if a.Timeout != 0 {
 		left = min(left, a.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(n.loopContext, left)
+	ctx, cancel := context.WithTimeout(srv.loopContext, left)
 	r.cancelAttempts = append(r.cancelAttempts, cancel)
-	if r.answered || r.runningAttempts > 0 && !n.config.Settings.AllowHedging {
+	if r.answered || r.runningAttempts > 0 && !srv.config.Settings.AllowHedging {
 		cancel()
-		n.pendingEvents = append(
-			n.pendingEvents,
+		srv.pendingEvents = append(
+			srv.pendingEvents,
 			balancer.AttemptEnded{
 				ID:              r.id,
 				Attempt:         number,
@@ -42,17 +42,17 @@
 	began := time.Now()
 	go func() {
 		defer cancel()
-		may := func() bool { return !r.abandoned() && n.now() < a.WriteBy }
-		res := n.pool.attempt(ctx, a.Endpoint, r.outbound, may, func(res result) error {
-			return n.streamResponse(r, number, a.Endpoint, time.Since(n.serviceStart(r, began)), res)
+		may := func() bool { return !r.abandoned() && srv.now() < a.WriteBy }
+		res := srv.pool.attempt(ctx, a.Endpoint, r.outbound, may, func(res result) error {
+			return srv.streamResponse(r, number, a.Endpoint, time.Since(srv.serviceStart(r, began)), res)
 		})
-		took := time.Since(n.serviceStart(r, began))
-		n.post(func() { n.attemptEnded(r, number, a.Endpoint, took, res) })
+		took := time.Since(srv.serviceStart(r, began))
+		srv.post(func() { srv.attemptEnded(r, number, a.Endpoint, took, res) })
 	}()
 }
 
 // serviceStart is when a server could begin on a request: at its last byte.
-func (n *Server) serviceStart(r *request, began time.Time) time.Time {
+func (srv *Server) serviceStart(r *request, began time.Time) time.Time {
 	if r.outbound.upload != nil {
 		if at := r.outbound.upload.completedAt.Load(); at != 0 {
 			return time.Unix(0, at)
@@ -62,31 +62,31 @@
 }
 
 // streamResponse gives a long answer to its request, and returns when that is over.
-func (n *Server) streamResponse(
+func (srv *Server) streamResponse(
 	r *request,
 	number int,
 	server balancer.EndpointID,
 	took time.Duration,
 	res result,
 ) error {
-	n.post(func() {
+	srv.post(func() {
 		if r.answered {
 			res.stream.ended <- errClientGone
 			return
 		}
-		n.handle(balancer.ResponseStarted{ID: r.id, Attempt: number, Endpoint: server, Elapsed: took})
+		srv.handle(balancer.ResponseStarted{ID: r.id, Attempt: number, Endpoint: server, Elapsed: took})
 		r.stream = res.stream
-		n.answerRequest(r.id, response{status: http.StatusOK, header: res.header, stream: res.stream})
+		srv.answerRequest(r.id, response{status: http.StatusOK, header: res.header, stream: res.stream})
 	})
 	select {
 	case err := <-res.stream.ended:
 		return err
-	case <-n.ended:
+	case <-srv.ended:
 		return errEnded
 	}
 }
 
-func (n *Server) attemptEnded(
+func (srv *Server) attemptEnded(
 	r *request,
 	number int,
 	server balancer.EndpointID,
@@ -95,13 +95,13 @@
 ) {
 	r.runningAttempts--
 	if res.outcome == balancer.OK {
-		n.answerRequest(r.id, response{status: http.StatusOK, header: res.header, body: res.body})
+		srv.answerRequest(r.id, response{status: http.StatusOK, header: res.header, body: res.body})
 	}
-	if n.config.BackendStats {
-		n.stats.attempt(n.endpointIDs.byID[server], res.outcome, took > n.latencyObjective(r.class))
+	if srv.config.BackendStats {
+		srv.stats.attempt(srv.endpointIDs.byID[server], res.outcome, took > srv.latencyObjective(r.class))
 	}
 	over := r.answered
-	n.handle(
+	srv.handle(
 		balancer.AttemptEnded{
 			ID:              r.id,
 			Attempt:         number,
@@ -113,12 +113,12 @@
 			LoadReport:      res.loadReport,
 		},
 	)
-	n.forgetRequest(r)
+	srv.forgetRequest(r)
 }
 
 // latencyObjective is the time in which an answer of a class has its full worth; without a class, any.
-func (n *Server) latencyObjective(class string) time.Duration {
-	for _, c := range n.config.Settings.Classes {
+func (srv *Server) latencyObjective(class string) time.Duration {
+	for _, c := range srv.config.Settings.Classes {
 		if c.Name == class {
 			return c.LatencyObjective
 		}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/netip"
@@ -99,29 +100,17 @@
 	return c, nil
 }
 
-// config makes what the proxy works with, and says all that is wrong.
+// config returns what the proxy works with, and all that is wrong with the file.
 func (in *configForm) config() (c Config, problems []error) {
-	wrong := func(format string, args ...any) { problems = append(problems, fmt.Errorf(format, args...)) }
-	var settings balancer.Settings
-	if in.Settings == nil {
-		wrong("settings are missing")
-	} else {
-		var all []error
-		settings, all = simwire.ReadSettings(in.Settings)
-		for _, err := range all {
-			wrong("settings: %w", err)
-		}
-		// servers take nothing from a proxy but clients' requests, whatever the simulator's may
-		settings.AllowLoadQueries = false
-	}
-	for _, a := range in.addresses() {
-		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			wrong("%s: %w", a.key, err)
+	settings, problems := in.settings()
+	for _, address := range in.addresses() {
+		if _, _, err := net.SplitHostPort(address.value); err != nil {
+			problems = append(problems, fmt.Errorf("%s: %w", address.key, err))
 		}
 	}
 	seed, err := strconv.ParseUint(in.Seed, 16, 64)
 	if err != nil {
-		wrong("seed: %w", err)
+		problems = append(problems, fmt.Errorf("seed: %w", err))
 	}
 	c = Config{
 		Name:           in.Name,
@@ -139,26 +128,51 @@
 		Settings:       settings,
 		initialList:    in.Known,
 	}
-	if in.ListPart && (len(in.List) == 0 || settings.ProxyIndex < 0 || settings.ProxyIndex >= settings.Proxies) {
-		wrong(
-			"list_part: only the list service knows parts, of a node with a number: want list, and a slot_no under balancers (%d of %d)",
-			settings.ProxyIndex,
-			settings.Proxies,
+	hasIndex := settings.ProxyIndex >= 0 && settings.ProxyIndex < settings.Proxies
+	if in.ListPart && (len(in.List) == 0 || !hasIndex) {
+		problems = append(
+			problems,
+			fmt.Errorf("list_part: only the registry knows subsets, of a proxy with a number: "+
+				"want list, and a slot_no under balancers (%d of %d)", settings.ProxyIndex, settings.Proxies),
 		)
 	}
-	var all []error
-	c.Membership, all = in.Fleet.config(in.Name, in.PeerListen, settings)
-	problems = append(problems, all...)
+	membership, found := in.Fleet.config(in.Name, in.PeerListen, settings)
+	c.Membership = membership
+	problems = append(problems, found...)
 	c.Policy = in.Policy != nil && in.Policy.Policy
 	c.Tenants = in.Policy.tenants()
 	problems = append(problems, in.Policy.check(c)...)
 	if settings.AllowGossip {
 		c.PeerListen = in.PeerListen
-		for _, peer := range in.Peers {
-			a, _ := netip.ParseAddrPort(peer) // a proxy that can't be told of a load serves all the same
-			c.Peers = append(c.Peers, a)
-		}
+		c.Peers = parsePeers(in.Peers)
+	}
+	return c, append(problems, c.setDefaults()...)
+}
+
+// settings reads the settings, and returns all that is wrong with them.
+func (in *configForm) settings() (settings balancer.Settings, problems []error) {
+	if in.Settings == nil {
+		return settings, []error{errors.New("settings are missing")}
+	}
+	settings, found := simwire.ReadSettings(in.Settings)
+	for _, err := range found {
+		problems = append(problems, fmt.Errorf("settings: %w", err))
 	}
+	settings.AllowLoadQueries = false // real endpoints take nothing but clients' requests
+	return settings, problems
+}
+
+// parsePeers parses the peers' addresses. One that is no address is invalid: that peer is told no loads.
+func parsePeers(texts []string) (peers []netip.AddrPort) {
+	for _, text := range texts {
+		address, _ := netip.ParseAddrPort(text)
+		peers = append(peers, address)
+	}
+	return peers
+}
+
+// setDefaults sets limits that the file leaves out, and returns what is wrong with the others.
+func (c *Config) setDefaults() (problems []error) {
 	if c.MemoryMB <= 0 {
 		c.MemoryMB = defaultMemoryMB
 	}
@@ -166,9 +180,10 @@
 		c.MaxDescriptors = defaultSockets
 	}
 	if c.MaxDescriptors < minDescriptors {
-		wrong("limits: %d sockets are too few, want %d or more", c.MaxDescriptors, minDescriptors)
+		problems = append(problems,
+			fmt.Errorf("limits: %d sockets are too few, want %d or more", c.MaxDescriptors, minDescriptors))
 	}
-	return c, problems
+	return problems
 }
 
 type keyedValue struct{ key, value string }
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -29,42 +29,42 @@
 // ServeControl answers operators at an address until ctx ends, beside the
 // clients and for as long as the process lives. An address that can't be had
 // costs clients nothing and is tried again.
-func (n *Server) ServeControl(ctx context.Context, address string) {
+func (srv *Server) ServeControl(ctx context.Context, address string) {
 	said := false
 	for ctx.Err() == nil {
 		ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 		if err == nil {
-			err = n.serveControl(ctx, ln)
+			err = srv.serveControl(ctx, ln)
 		}
 		if err != nil && !said && ctx.Err() == nil {
 			said = true
-			n.log.Error("control address not available, retrying", "err", err)
+			srv.log.Error("control address not available, retrying", "err", err)
 		}
 		backoff.Sleep(ctx, controlRetry)
 	}
 }
 
-func (n *Server) serveControl(ctx context.Context, ln net.Listener) error {
-	srv := &http.Server{
-		Handler:        n.controlMux(),
+func (srv *Server) serveControl(ctx context.Context, ln net.Listener) error {
+	server := &http.Server{
+		Handler:        srv.controlMux(),
 		ReadTimeout:    operatorCallTimeout,
 		WriteTimeout:   operatorCallTimeout + time.Second,
 		MaxHeaderBytes: maxCall,
-		ErrorLog:       slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
+		ErrorLog:       slog.NewLogLogger(srv.log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, operatorConnKey{}, c)
 		},
 	}
-	srv.SetKeepAlivesEnabled(false)
-	stop := context.AfterFunc(ctx, func() { besteffort.Close(srv) })
+	server.SetKeepAlivesEnabled(false)
+	stop := context.AfterFunc(ctx, func() { besteffort.Close(server) })
 	defer stop()
-	return srv.Serve(&operatorListener{Listener: ln})
+	return server.Serve(&operatorListener{Listener: ln})
 }
 
-func (n *Server) controlMux() http.Handler {
+func (srv *Server) controlMux() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", func(w http.ResponseWriter, _ *http.Request) {
-		if !n.frontend.acceptsNow() {
+		if !srv.frontend.acceptsNow() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -72,30 +72,30 @@
 	})
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		n.stats.write(w)
-		if shell := n.membership.Load(); shell != nil {
+		srv.stats.write(w)
+		if shell := srv.membership.Load(); shell != nil {
 			shell.WriteStats(w)
 		}
-		if n.policy != nil {
-			n.policy.write(w)
+		if srv.policy != nil {
+			srv.policy.write(w)
 		}
-		if n.tenants != nil {
-			n.tenants.write(w)
+		if srv.tenants != nil {
+			srv.tenants.write(w)
 		}
 	})
-	if n.config.Membership.Name != "" {
-		mux.HandleFunc("GET /fleet", n.serveFleet)
+	if srv.config.Membership.Name != "" {
+		mux.HandleFunc("GET /fleet", srv.serveFleet)
 	}
-	if n.config.Tenants.Enabled {
-		mux.HandleFunc("GET /tenants", n.serveTenants)
+	if srv.config.Tenants.Enabled {
+		mux.HandleFunc("GET /tenants", srv.serveTenants)
 	}
 	mux.HandleFunc(
 		"POST /backends/{id}/maint",
-		func(w http.ResponseWriter, r *http.Request) { n.serveMaintenance(w, r, true) },
+		func(w http.ResponseWriter, r *http.Request) { srv.serveMaintenance(w, r, true) },
 	)
 	mux.HandleFunc(
 		"POST /backends/{id}/ready",
-		func(w http.ResponseWriter, r *http.Request) { n.serveMaintenance(w, r, false) },
+		func(w http.ResponseWriter, r *http.Request) { srv.serveMaintenance(w, r, false) },
 	)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(operatorConnKey{}).(*operatorConn); ok {
@@ -111,12 +111,12 @@
 
 // serveMaintenance takes a call, unless it names a fencing token and a later holder of
 // that lease has called here.
-func (n *Server) serveMaintenance(w http.ResponseWriter, r *http.Request, on bool) {
-	if status, err := n.fencing.CheckRequest(r); err != nil {
+func (srv *Server) serveMaintenance(w http.ResponseWriter, r *http.Request, on bool) {
+	if status, err := srv.fencing.CheckRequest(r); err != nil {
 		http.Error(w, err.Error(), status)
 		return
 	}
-	switch err := n.maintain(r.Context(), r.PathValue("id"), on); {
+	switch err := srv.maintain(r.Context(), r.PathValue("id"), on); {
 	case errors.Is(err, errUnknownBackend):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -43,28 +43,28 @@
 
 // newEndpointSource makes the client of the project's registry, where it is
 // configured, else the follower of the platform's discovery.
-func (n *Server) newEndpointSource() (endpointSource, error) {
-	listed := func(l registry.ListResponse) { n.post(func() { n.applyList(l, updateKindOf(l)) }) }
-	failed := func() { n.post(func() { n.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
-	if len(n.config.Registry) == 0 {
+func (srv *Server) newEndpointSource() (endpointSource, error) {
+	listed := func(l registry.ListResponse) { srv.post(func() { srv.applyList(l, updateKindOf(l)) }) }
+	failed := func() { srv.post(func() { srv.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
+	if len(srv.config.Registry) == 0 {
 		return client.NewPlatform(
-			n.config.Discovery,
-			n.config.Settings.PollForEndpoints,
-			n.config.initialList.Index,
-			n.log,
+			srv.config.Discovery,
+			srv.config.Settings.PollForEndpoints,
+			srv.config.initialList.Index,
+			srv.log,
 			listed,
 			failed,
 		), nil
 	}
 	s := &registrySource{onList: listed}
 	c := client.Config{
-		Addresses: n.config.Registry,
-		File:      n.config.RegistryCache,
+		Addresses: srv.config.Registry,
+		File:      srv.config.RegistryCache,
 		Hold:      listHold,
-		Log:       n.log,
+		Log:       srv.log,
 		OnChange:  listed,
 	}
-	if s.subset.inputs.Store(subsetInputsOf(n.config.Settings)); n.config.RegistrySubset {
+	if s.subset.inputs.Store(subsetInputsOf(srv.config.Settings)); srv.config.RegistrySubset {
 		c.ChooseSubset = s.subset.next
 	}
 	var err error
@@ -72,33 +72,33 @@
 		return nil, err
 	}
 	if v, _ := s.client.List(); v.Version > 0 { // kept by the previous process
-		n.config.initialList = responseOf(v)
+		srv.config.initialList = responseOf(v)
 	}
 	return s, nil
 }
 
 // startEndpointSource takes the list of before, and follows where lists are pushed.
-func (n *Server) startEndpointSource(ctx context.Context) {
-	pushed := !n.config.Settings.PollForEndpoints
-	if _, agent := n.endpointSource.(*client.Platform); pushed && agent {
-		n.awaitingAgent = true
-		time.AfterFunc(n.firstListTimeout, func() { n.post(n.agentAnswered) })
+func (srv *Server) startEndpointSource(ctx context.Context) {
+	pushed := !srv.config.Settings.PollForEndpoints
+	if _, agent := srv.endpointSource.(*client.Platform); pushed && agent {
+		srv.awaitingAgent = true
+		time.AfterFunc(srv.firstListTimeout, func() { srv.post(srv.agentAnswered) })
 	}
 	select {
-	case <-n.listKnown: // by an address to which SIGHUP has moved the proxy meanwhile: what is known is older
+	case <-srv.listKnown: // by an address to which SIGHUP has moved the proxy meanwhile: what is known is older
 	default:
-		n.applyList(n.config.initialList, balancer.UpdateCached)
+		srv.applyList(srv.config.initialList, balancer.UpdateCached)
 	}
-	n.config.initialList.Endpoints = nil // what is known is kept in a shorter form from here on
+	srv.config.initialList.Endpoints = nil // what is known is kept in a shorter form from here on
 	if pushed {
-		n.endpointSource.Follow(ctx)
+		srv.endpointSource.Follow(ctx)
 	}
 }
 
 // agentAnswered tells the front that clients may come, as far as the agent's first word is concerned.
-func (n *Server) agentAnswered() {
-	n.awaitingAgent = false
-	n.updateReady()
+func (srv *Server) agentAnswered() {
+	srv.awaitingAgent = false
+	srv.updateReady()
 }
 
 // registrySource is the registry with its several replicas. It pushes lists for ever,
@@ -128,81 +128,81 @@
 
 // moveEndpointSource goes on where a new configuration says, and in the way that it says, if that has turned:
 // a module that lists are pushed to does not ask for them when a watch fails.
-func (n *Server) moveEndpointSource(cfg Config) {
-	switch l := n.endpointSource.(type) {
+func (srv *Server) moveEndpointSource(cfg Config) {
+	switch l := srv.endpointSource.(type) {
 	case *registrySource:
-		l.subset.inputs.Store(subsetInputsOf(n.config.Settings))
-		if !n.config.Settings.PollForEndpoints {
-			l.Follow(n.loopContext)
+		l.subset.inputs.Store(subsetInputsOf(srv.config.Settings))
+		if !srv.config.Settings.PollForEndpoints {
+			l.Follow(srv.loopContext)
 		}
-		if slices.Equal(cfg.Registry, n.config.Registry) {
+		if slices.Equal(cfg.Registry, srv.config.Registry) {
 			return
 		}
 		if err := l.client.SetAddresses(cfg.Registry); err != nil {
-			n.log.Error("registry addresses rejected", "err", err)
+			srv.log.Error("registry addresses rejected", "err", err)
 			return
 		}
-		n.log.Info("registry addresses changed", "to", cfg.Registry)
-		n.config.Registry = cfg.Registry
-		if n.policy != nil {
-			_ = n.policy.client.SetAddresses(cfg.Registry) // valid, as they were taken just now
+		srv.log.Info("registry addresses changed", "to", cfg.Registry)
+		srv.config.Registry = cfg.Registry
+		if srv.policy != nil {
+			_ = srv.policy.client.SetAddresses(cfg.Registry) // valid, as they were taken just now
 		}
-		if n.tenants != nil {
-			_ = n.tenants.client.SetAddresses(cfg.Registry) // the same
+		if srv.tenants != nil {
+			_ = srv.tenants.client.SetAddresses(cfg.Registry) // the same
 		}
 	case *client.Platform:
-		asked := n.config.Settings.PollForEndpoints
-		if cfg.Discovery != n.config.Discovery || asked != l.Polls() {
-			n.log.Info("discovery address changed", "to", cfg.Discovery, "asked", asked)
-			n.config.Discovery = cfg.Discovery
-			l.Move(n.loopContext, cfg.Discovery, asked)
+		asked := srv.config.Settings.PollForEndpoints
+		if cfg.Discovery != srv.config.Discovery || asked != l.Polls() {
+			srv.log.Info("discovery address changed", "to", cfg.Discovery, "asked", asked)
+			srv.config.Discovery = cfg.Discovery
+			l.Move(srv.loopContext, cfg.Discovery, asked)
 		}
 	}
 }
 
 // applyList takes a list from discovery: addresses for the sockets, the rest for
 // the balancer.
-func (n *Server) applyList(l registry.ListResponse, kind balancer.UpdateKind) {
+func (srv *Server) applyList(l registry.ListResponse, kind balancer.UpdateKind) {
 	entries := slices.Clone(l.Endpoints)
 	// In one order whatever the list's, as the numbers of names that share a
 	// hash depend on it. Of entries of one name the last counts.
 	slices.SortStableFunc(entries, func(a, b registry.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	u := balancer.EndpointsUpdated{Kind: kind, Version: l.Index}
-	setSubset(&u, l, n.config.Settings.ProxyIndex)
+	setSubset(&u, l, srv.config.Settings.ProxyIndex)
 	missing := map[string]bool{}
 	if kind != balancer.UpdateIncremental {
-		for name := range n.listedEndpoints {
+		for name := range srv.listedEndpoints {
 			missing[name] = true
 		}
 	}
 	for _, e := range entries {
-		id, state := n.endpointIDs.idOf(e.Name), endpointStates[e.Status]
+		id, state := srv.endpointIDs.idOf(e.Name), endpointStates[e.Status]
 		u.Endpoints = append(
 			u.Endpoints,
 			balancer.Endpoint{ID: id, Zone: e.Zone, MachineType: e.Type, Cell: e.Cell, State: state,
 				Weight: e.Weight, StartedAt: time.Duration(e.StartedAtMS) * time.Millisecond},
 		)
 		if missing[e.Name] = state == balancer.Removed; state != balancer.Removed {
-			n.listedEndpoints[e.Name] = id
-			n.pool.setBackend(id, e.Address, e.StartedAtMS)
-			n.pool.setDraining(id, state == balancer.Draining)
+			srv.listedEndpoints[e.Name] = id
+			srv.pool.setBackend(id, e.Address, e.StartedAtMS)
+			srv.pool.setDraining(id, state == balancer.Draining)
 		}
 	}
-	n.handle(u)
+	srv.handle(u)
 	for name, gone := range missing {
 		if gone {
-			n.pool.removeBackend(n.endpointIDs.idOf(name))
-			if delete(n.listedEndpoints, name); !n.inMaintenance[name] {
-				n.endpointIDs.forget(name)
-				n.stats.forget(name)
+			srv.pool.removeBackend(srv.endpointIDs.idOf(name))
+			if delete(srv.listedEndpoints, name); !srv.inMaintenance[name] {
+				srv.endpointIDs.forget(name)
+				srv.stats.forget(name)
 			}
 		}
 	}
-	n.stats.discovered.Store(int64(len(n.listedEndpoints)))
+	srv.stats.discovered.Store(int64(len(srv.listedEndpoints)))
 	if kind != balancer.UpdateCached {
-		n.listKnownOnce.Do(func() { close(n.listKnown) })
+		srv.listKnownOnce.Do(func() { close(srv.listKnown) })
 	}
-	if kind != balancer.UpdateCached || !n.awaitingAgent {
-		n.agentAnswered()
+	if kind != balancer.UpdateCached || !srv.awaitingAgent {
+		srv.agentAnswered()
 	}
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -84,15 +85,14 @@
 		besteffort.Response(io.WriteString(w, "ok\n"))
 		return
 	}
-	req, event, status, err := f.read(w, r)
-	if req != nil && req.releaseMemory != nil {
-		defer req.releaseMemory()
-	}
+	req, event, err := f.read(w, r)
 	if err != nil {
-		f.askToClose(w, r)
-		http.Error(w, err.Error(), status)
+		f.rejectRequest(w, r, err)
 		return
 	}
+	if req.releaseMemory != nil {
+		defer req.releaseMemory()
+	}
 	outstanding := &f.server.stats.outstanding
 	if up := req.outbound.upload; up != nil {
 		// HTTP/1 always has it; an answer may come ahead of the body's end
@@ -118,6 +118,17 @@
 	}
 }
 
+// rejectRequest answers a request that is not taken.
+func (f *frontend) rejectRequest(w http.ResponseWriter, r *http.Request, err error) {
+	f.askToClose(w, r)
+	status := http.StatusBadRequest
+	var rejected *requestError
+	if errors.As(err, &rejected) {
+		status = rejected.status
+	}
+	http.Error(w, err.Error(), status)
+}
+
 // askToClose has a client close after the answer that is written next, if the proxy
 // drains. If some of its next request has been read, that is answered before.
 func (f *frontend) askToClose(w http.ResponseWriter, r *http.Request) {
--- a/internal/proxy/handoff_links.go
+++ b/internal/proxy/handoff_links.go
@@ -18,43 +18,43 @@
 }
 
 // joinLink takes in another process, but no second one that would succeed.
-func (n *Server) joinLink(l *handoffLink, successor bool) bool {
-	n.handoffLinks.mu.Lock()
-	defer n.handoffLinks.mu.Unlock()
+func (srv *Server) joinLink(l *handoffLink, successor bool) bool {
+	srv.handoffLinks.mu.Lock()
+	defer srv.handoffLinks.mu.Unlock()
 	if successor {
-		if n.handoffLinks.successor != nil {
+		if srv.handoffLinks.successor != nil {
 			return false
 		}
-		n.handoffLinks.successor = l
+		srv.handoffLinks.successor = l
 	}
-	n.handoffLinks.all = append(n.handoffLinks.all, l)
-	n.shareLimits(true)
+	srv.handoffLinks.all = append(srv.handoffLinks.all, l)
+	srv.shareLimits(true)
 	return true
 }
 
 // leaveLink ends what two processes share.
-func (n *Server) leaveLink(l *handoffLink) {
+func (srv *Server) leaveLink(l *handoffLink) {
 	l.close()
-	n.handoffLinks.mu.Lock()
-	defer n.handoffLinks.mu.Unlock()
-	if n.handoffLinks.successor == l {
-		n.handoffLinks.successor = nil
+	srv.handoffLinks.mu.Lock()
+	defer srv.handoffLinks.mu.Unlock()
+	if srv.handoffLinks.successor == l {
+		srv.handoffLinks.successor = nil
 	}
-	n.handoffLinks.all = slices.DeleteFunc(n.handoffLinks.all, func(o *handoffLink) bool { return o == l })
-	n.shareLimits(len(n.handoffLinks.all) > 0)
+	srv.handoffLinks.all = slices.DeleteFunc(srv.handoffLinks.all, func(o *handoffLink) bool { return o == l })
+	srv.shareLimits(len(srv.handoffLinks.all) > 0)
 }
 
 // shareLimits halves what this process may use, or takes it all back.
-func (n *Server) shareLimits(on bool) {
-	n.pool.halve(on)
-	if n.Overlap != nil {
-		n.Overlap(on)
+func (srv *Server) shareLimits(on bool) {
+	srv.pool.halve(on)
+	if srv.Overlap != nil {
+		srv.Overlap(on)
 	}
 }
 
 // serveLink takes what the other process says until the link ends.
-func (n *Server) serveLink(l *handoffLink, other func(handoffMessage)) {
-	stop := context.AfterFunc(n.loopContext, l.close)
+func (srv *Server) serveLink(l *handoffLink, other func(handoffMessage)) {
+	stop := context.AfterFunc(srv.loopContext, l.close)
 	defer stop()
 	defer l.closeUnused()
 	for {
@@ -70,8 +70,8 @@
 			}
 			continue
 		}
-		n.do(func() { n.setMaintenance(m.Backend, m.On) })
-		n.forwardMaintenance(l, m.Backend, m.On)
+		srv.do(func() { srv.setMaintenance(m.Backend, m.On) })
+		srv.forwardMaintenance(l, m.Backend, m.On)
 		if l.send(handoffMessage{Kind: kindDone, Number: m.Number}, -1) != nil {
 			return
 		}
@@ -80,13 +80,13 @@
 
 // forwardMaintenance tells the other processes of a maintenance call. They stand in a row,
 // so that none hears of it twice.
-func (n *Server) forwardMaintenance(from *handoffLink, name string, on bool) {
-	n.handoffLinks.mu.Lock()
-	all := slices.Clone(n.handoffLinks.all)
-	n.handoffLinks.mu.Unlock()
+func (srv *Server) forwardMaintenance(from *handoffLink, name string, on bool) {
+	srv.handoffLinks.mu.Lock()
+	all := slices.Clone(srv.handoffLinks.all)
+	srv.handoffLinks.mu.Unlock()
 	for _, l := range all {
 		if l != from {
-			l.forwardMaintenance(n.loopContext, name, on)
+			l.forwardMaintenance(srv.loopContext, name, on)
 		}
 	}
 }
--- a/internal/proxy/handoff_new.go
+++ b/internal/proxy/handoff_new.go
@@ -27,15 +27,15 @@
 // TakeOver prepares a proxy for upgrades: by a process that serves already, and
 // later by one that comes after it. dir is where they meet. It is called once,
 // before Run.
-func (n *Server) TakeOver(dir string) { n.handoffPath = filepath.Join(dir, handoffSocket) }
+func (srv *Server) TakeOver(dir string) { srv.handoffPath = filepath.Join(dir, handoffSocket) }
 
 // requestHandoff asks the process that serves, if there is one, for what it knows.
-func (n *Server) requestHandoff(ctx context.Context) (*handoffLink, error) {
+func (srv *Server) requestHandoff(ctx context.Context) (*handoffLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout) // for all of it
 	defer cancel()
 	end, _ := ctx.Deadline()
 	var dialer net.Dialer
-	c, err := dialer.DialContext(ctx, "unix", n.handoffPath)
+	c, err := dialer.DialContext(ctx, "unix", srv.handoffPath)
 	if errors.Is(err, syscall.ENOENT) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil // nobody serves
 	}
@@ -55,18 +55,18 @@
 		l.closeUnused()
 		return nil, err
 	}
-	n.joinLink(l, false) // before any call can be in force here that the old process has not heard of
-	n.do(func() { n.restoreState(m) })
+	srv.joinLink(l, false) // before any call can be in force here that the old process has not heard of
+	srv.do(func() { srv.restoreState(m) })
 	return l, nil
 }
 
 // restoreState takes what the old process knew. Numbers of servers are a matter of
 // each process.
-func (n *Server) restoreState(m handoffMessage) {
+func (srv *Server) restoreState(m handoffMessage) {
 	for _, name := range m.InMaintenance {
-		n.setMaintenance(name, true)
+		srv.setMaintenance(name, true)
 	}
-	n.continueGeneration(m.Tenants)
+	srv.continueGeneration(m.Tenants)
 	if m.Learned == nil {
 		return
 	}
@@ -77,49 +77,49 @@
 	servers := m.Learned.Endpoints[:0]
 	for _, s := range m.Learned.Endpoints {
 		if name, ok := names[s.ID]; ok {
-			s.ID = n.endpointIDs.idOf(name)
+			s.ID = srv.endpointIDs.idOf(name)
 			servers = append(servers, s)
 		}
 	}
 	m.Learned.Endpoints = servers
-	n.handle(balancer.Restored{Learned: *m.Learned})
-	n.log.Info("taken over", "servers", len(servers))
+	srv.handle(balancer.Restored{Learned: *m.Learned})
+	srv.log.Info("taken over", "servers", len(servers))
 }
 
 // takeOver goes on where greet ended, with a link that has been joined: it waits for the list, has the old
 // process let go, and stays linked with it until it ends. It returns when this process is to serve, and false
 // if that has been told to end before: the old one serves on.
-func (n *Server) takeOver(ctx context.Context, l *handoffLink) bool {
+func (srv *Server) takeOver(ctx context.Context, l *handoffLink) bool {
 	yours := make(chan struct{})
 	let := sync.OnceFunc(func() { close(yours) })
 	go func() {
-		defer n.leaveLink(l)
+		defer srv.leaveLink(l)
 		defer let() // an old process that has ended has let go
-		n.serveLink(l, func(m handoffMessage) {
+		srv.serveLink(l, func(m handoffMessage) {
 			if m.Kind == kindRelease {
-				n.takePeerSocket(l, m.Membership)
+				srv.takePeerSocket(l, m.Membership)
 				let()
 			}
 		})
 	}()
-	end := time.Now().Add(n.handoffListTimeout)
-	n.waitFor(ctx, n.handoffListTimeout, n.listKnown)
-	n.waitFor(ctx, time.Until(end), n.tenants.isReady())
+	end := time.Now().Add(srv.handoffListTimeout)
+	srv.waitFor(ctx, srv.handoffListTimeout, srv.listKnown)
+	srv.waitFor(ctx, time.Until(end), srv.tenants.isReady())
 	if ctx.Err() != nil {
 		return false
 	}
 	if err := l.send(handoffMessage{Kind: kindReady}, -1); err != nil {
-		n.log.Warn("previous process ended", "err", err)
+		srv.log.Warn("previous process ended", "err", err)
 		return true
 	}
-	if !n.waitFor(ctx, releaseTimeout, yours) {
-		n.log.Warn("previous process does not release its limits")
+	if !srv.waitFor(ctx, releaseTimeout, yours) {
+		srv.log.Warn("previous process does not release its limits")
 	}
 	return true
 }
 
 // waitFor waits for a channel to close, for some time at most.
-func (n *Server) waitFor(ctx context.Context, most time.Duration, c <-chan struct{}) bool {
+func (srv *Server) waitFor(ctx context.Context, most time.Duration, c <-chan struct{}) bool {
 	t := time.NewTimer(most)
 	defer t.Stop()
 	select {
@@ -133,9 +133,9 @@
 
 // takePeerSocket goes on with the socket at which other proxies know this one, and with its generation among
 // them.
-func (n *Server) takePeerSocket(l *handoffLink, life json.RawMessage) {
+func (srv *Server) takePeerSocket(l *handoffLink, life json.RawMessage) {
 	for i, fd := range l.descriptors {
-		if i > 0 || !n.lacksPeerSocket() {
+		if i > 0 || !srv.lacksPeerSocket() {
 			continue
 		}
 		l.descriptors[i] = -1
@@ -145,10 +145,10 @@
 		besteffort.Close(f)
 		u, ok := c.(*net.UDPConn)
 		if err != nil || !ok {
-			n.log.Error("peer socket of the previous process is not usable", "err", err)
+			srv.log.Error("peer socket of the previous process is not usable", "err", err)
 			continue
 		}
-		n.startPeers(newPeerSocket(u, n.config.Peers, n.log), n.decodeHandoff(life))
+		srv.startPeers(newPeerSocket(u, srv.config.Peers, srv.log), srv.decodeHandoff(life))
 	}
 	l.closeUnused()
 }
--- a/internal/proxy/handoff_old.go
+++ b/internal/proxy/handoff_old.go
@@ -20,11 +20,11 @@
 
 // awaitSuccessor listens for a new process until this one has handed over or
 // ctx ends.
-func (n *Server) awaitSuccessor(ctx context.Context) {
-	besteffort.Cleanup(os.Remove(n.handoffPath)) // of a process that has ended
-	ln, err := (&net.ListenConfig{}).Listen(ctx, "unix", n.handoffPath)
+func (srv *Server) awaitSuccessor(ctx context.Context) {
+	besteffort.Cleanup(os.Remove(srv.handoffPath)) // of a process that has ended
+	ln, err := (&net.ListenConfig{}).Listen(ctx, "unix", srv.handoffPath)
 	if err != nil {
-		n.log.Error("handoff not available", "err", err)
+		srv.log.Error("handoff not available", "err", err)
 		return
 	}
 	u := ln.(*net.UnixListener)
@@ -44,7 +44,7 @@
 		case links <- struct{}{}:
 			go func() {
 				defer func() { <-links }()
-				n.handOff(newHandoffLink(c), u)
+				srv.handOff(newHandoffLink(c), u)
 			}()
 		default:
 			besteffort.Close(c)
@@ -53,62 +53,62 @@
 }
 
 // handOff serves one new process.
-func (n *Server) handOff(l *handoffLink, meeting io.Closer) {
+func (srv *Server) handOff(l *handoffLink, meeting io.Closer) {
 	defer l.close()
 	m, err := l.receive(time.Now().Add(helloTimeout))
 	if err != nil || m.Kind != kindHello || m.Version != handoverVersion {
-		n.log.Warn("unexpected handoff connection", "says", m.Kind, "version", m.Version, "err", err)
+		srv.log.Warn("unexpected handoff connection", "says", m.Kind, "version", m.Version, "err", err)
 		return
 	}
-	defer n.leaveLink(l)
-	if !n.sendState(l) {
+	defer srv.leaveLink(l)
+	if !srv.sendState(l) {
 		return
 	}
-	n.log.Info("new process connected")
+	srv.log.Info("new process connected")
 	handed := false
-	n.serveLink(l, func(m handoffMessage) {
-		if m.Kind != kindReady || n.frontend.handedOff.Swap(true) {
+	srv.serveLink(l, func(m handoffMessage) {
+		if m.Kind != kindReady || srv.frontend.handedOff.Swap(true) {
 			return
 		}
 		handed = true
-		n.log.Info("handing over")
+		srv.log.Info("handing over")
 		besteffort.Close(meeting)
-		life := n.handOffMembership() // before this process drains: the proxy does not
-		n.frontend.stopAccepting()
-		n.do(func() {
-			n.handle(balancer.HandedOver{})
-			if n.policy != nil {
-				n.tellLedger(quota.Leave{}) // one process of a name has its shares: the new one, from now on
+		life := srv.handOffMembership() // before this process drains: the proxy does not
+		srv.frontend.stopAccepting()
+		srv.do(func() {
+			srv.handle(balancer.HandedOver{})
+			if srv.policy != nil {
+				srv.tellLedger(quota.Leave{}) // one process of a name has its shares: the new one, from now on
 			}
 		})
-		n.peers.Load().handOver(func(fd int) {
+		srv.peers.Load().handOver(func(fd int) {
 			if err := l.send(handoffMessage{Kind: kindRelease, Membership: life}, fd); err != nil {
-				n.log.Warn("handing over", "err", err)
+				srv.log.Warn("handing over", "err", err)
 			}
 		})
 	})
-	if handed && n.loopContext.Err() == nil {
-		n.log.Info("new process ended")
-		close(n.frontend.successorEnded)
+	if handed && srv.loopContext.Err() == nil {
+		srv.log.Info("new process ended")
+		close(srv.frontend.successorEnded)
 	}
 }
 
 // sendState joins a new process and tells it what this one knows. A maintenance call is part of that, or goes
 // out behind it: whoever forwards one from the joining on has to wait for the lock.
-func (n *Server) sendState(l *handoffLink) bool {
+func (srv *Server) sendState(l *handoffLink) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !n.joinLink(l, true) {
+	if !srv.joinLink(l, true) {
 		_ = l.writeLocked(handoffMessage{Kind: kindRefused}, -1) // a process that is gone needs no answer
 		return false
 	}
 	var m handoffMessage
-	return n.do(func() { m = n.handoffState() }) && l.writeLocked(m, -1) == nil
+	return srv.do(func() { m = srv.handoffState() }) && l.writeLocked(m, -1) == nil
 }
 
 // handoffState is what a new process is told.
-func (n *Server) handoffState() handoffMessage {
-	learned := n.balancer.Learned(n.now())
+func (srv *Server) handoffState() handoffMessage {
+	learned := srv.balancer.Learned(srv.now())
 	m := handoffMessage{
 		Version: handoverVersion,
 		Kind:    kindState,
@@ -116,9 +116,9 @@
 		Names:   map[string]balancer.EndpointID{},
 	}
 	for _, s := range learned.Endpoints {
-		m.Names[n.endpointIDs.byID[s.ID]] = s.ID
+		m.Names[srv.endpointIDs.byID[s.ID]] = s.ID
 	}
-	m.InMaintenance = slices.Sorted(maps.Keys(n.inMaintenance))
-	m.Tenants = n.tenants.member()
+	m.InMaintenance = slices.Sorted(maps.Keys(srv.inMaintenance))
+	m.Tenants = srv.tenants.member()
 	return m
 }
--- a/internal/proxy/handoff_old_test.go
+++ b/internal/proxy/handoff_old_test.go
@@ -111,7 +111,7 @@
 		t.Fatalf("%+v, %v, descriptors %v", m, err, l.descriptors)
 	}
 	next := &Server{log: quiet, config: Config{PeerListen: own.String(), Peers: []netip.AddrPort{own, to}}, inbox: make(chan func(), 10),
-		ended: make(chan struct{}), loopContext: ctx}
+		ended: make(chan struct{}), loopState: loopState{loopContext: ctx}}
 	next.takePeerSocket(l, nil)
 	besteffort.Datagram(far.WriteToUDPAddrPort([]byte("2"), own))
 	wait(t, next.inbox, "the message at the new process")
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -12,19 +12,19 @@
 const inboxSize = 1024
 
 // loop is the one owner of the balancer and the requests.
-func (n *Server) loop(ctx context.Context) {
-	defer close(n.ended)
+func (srv *Server) loop(ctx context.Context) {
+	defer close(srv.ended)
 	for {
 		select {
-		case f := <-n.calls:
+		case f := <-srv.calls:
 			f()
 			continue
 		default:
 		}
 		select {
-		case f := <-n.calls:
+		case f := <-srv.calls:
 			f()
-		case f := <-n.inbox:
+		case f := <-srv.inbox:
 			f()
 		case <-ctx.Done():
 			return
@@ -33,19 +33,19 @@
 }
 
 // post has f run by the loop; once that has ended it does nothing.
-func (n *Server) post(f func()) {
+func (srv *Server) post(f func()) {
 	select {
-	case n.inbox <- f:
-	case <-n.ended:
+	case srv.inbox <- f:
+	case <-srv.ended:
 	}
 }
 
 // do has the loop run f ahead of its inbox, and returns when it has.
-func (n *Server) do(f func()) bool {
+func (srv *Server) do(f func()) bool {
 	done := make(chan struct{})
 	select {
-	case n.calls <- func() { defer close(done); f() }:
-	case <-n.ended:
+	case srv.calls <- func() { defer close(done); f() }:
+	case <-srv.ended:
 		return false
 	}
 	<-done
@@ -54,73 +54,73 @@
 
 // now is the balancer's clock: wall time at the start plus what has passed, so
 // that it reads like the list's times and never steps back.
-func (n *Server) now() balancer.Time {
-	return time.Duration(n.start.UnixNano()) + time.Since(n.start)
+func (srv *Server) now() balancer.Time {
+	return time.Duration(srv.start.UnixNano()) + time.Since(srv.start)
 }
 
 // handle tells the balancer of an event and carries out what it decides, in order.
-func (n *Server) handle(e balancer.Event) {
-	n.pendingEvents = append(n.pendingEvents, e)
-	if len(n.pendingEvents) > 1 {
+func (srv *Server) handle(e balancer.Event) {
+	srv.pendingEvents = append(srv.pendingEvents, e)
+	if len(srv.pendingEvents) > 1 {
 		return // the call further up gets to it
 	}
-	if n.policy != nil {
-		n.policy.ledger.AdvanceTo(time.Since(n.start)) // the hand by which requests are judged
+	if srv.policy != nil {
+		srv.policy.ledger.AdvanceTo(time.Since(srv.start)) // the hand by which requests are judged
 	}
-	for len(n.pendingEvents) > 0 {
-		for _, a := range n.balancer.Handle(n.now(), n.pendingEvents[0]) {
-			n.carryOut(a)
+	for len(srv.pendingEvents) > 0 {
+		for _, a := range srv.balancer.Handle(srv.now(), srv.pendingEvents[0]) {
+			srv.carryOut(a)
 		}
-		n.pendingEvents = n.pendingEvents[1:]
+		srv.pendingEvents = srv.pendingEvents[1:]
 	}
-	n.pendingEvents = nil
+	srv.pendingEvents = nil
 	switch e.(type) {
 	case balancer.TimerFired, balancer.Maintenance, balancer.EndpointsUpdated: // often enough for a figure
-		n.stats.ejected.Store(int64(n.balancer.Ejected()))
+		srv.stats.ejected.Store(int64(srv.balancer.Ejected()))
 	}
 }
 
-func (n *Server) carryOut(a balancer.Action) {
+func (srv *Server) carryOut(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.StartAttempt:
-		n.startAttempt(a)
+		srv.startAttempt(a)
 	case balancer.Reject:
-		n.answerRequest(
+		srv.answerRequest(
 			a.ID,
 			response{status: cmp.Or(a.Status, http.StatusServiceUnavailable), retryAfter: a.RetryAfter},
 		)
 	case balancer.Fail:
-		n.answerRequest(a.ID, response{status: http.StatusBadGateway})
+		srv.answerRequest(a.ID, response{status: http.StatusBadGateway})
 	case balancer.CancelAttempt:
-		if r := n.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.cancelAttempts) {
+		if r := srv.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.cancelAttempts) {
 			r.cancelAttempts[a.Attempt]()
 		}
 	case balancer.SetTimer:
-		time.AfterFunc(a.After, func() { n.post(func() { n.handle(balancer.TimerFired{Token: a.Token}) }) })
+		time.AfterFunc(a.After, func() { srv.post(func() { srv.handle(balancer.TimerFired{Token: a.Token}) }) })
 	case balancer.CloseIdleConnections:
-		n.pool.closeIdle(a.Endpoint)
+		srv.pool.closeIdle(a.Endpoint)
 	case balancer.SendMessage:
-		n.sendMessage(a)
+		srv.sendMessage(a)
 	case balancer.Subscribe:
-		n.endpointSource.Poll(n.loopContext, false, a.On)
+		srv.endpointSource.Poll(srv.loopContext, false, a.On)
 	case balancer.FetchEndpoints:
-		n.endpointSource.Poll(n.loopContext, true, n.config.Settings.PollForEndpoints)
+		srv.endpointSource.Poll(srv.loopContext, true, srv.config.Settings.PollForEndpoints)
 	case balancer.Log:
-		n.log.Info("module: " + a.Line)
+		srv.log.Info("module: " + a.Line)
 	default:
-		n.log.Warn("action not carried out", "action", a)
+		srv.log.Warn("action not carried out", "action", a)
 	}
 }
 
 // sendMessage passes a message on to one proxy, or to all others.
-func (n *Server) sendMessage(a balancer.SendMessage) {
+func (srv *Server) sendMessage(a balancer.SendMessage) {
 	if !a.ToAll {
-		n.peers.Load().send(a.To, a.Data)
+		srv.peers.Load().send(a.To, a.Data)
 		return
 	}
-	for to := range n.config.Peers {
-		if to != n.config.Settings.ProxyIndex {
-			n.peers.Load().send(to, a.Data)
+	for to := range srv.config.Peers {
+		if to != srv.config.Settings.ProxyIndex {
+			srv.peers.Load().send(to, a.Data)
 		}
 	}
 }
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -42,38 +42,38 @@
 
 // startMembership begins the proxy's part in the view of the fleet, if its configuration names one, at the
 // peers' socket.
-func (n *Server) startMembership(p *peerSocket, handed *gossip.Handoff) {
-	c := n.config.Membership
+func (srv *Server) startMembership(p *peerSocket, handed *gossip.Handoff) {
+	c := srv.config.Membership
 	if c.Name == "" {
 		return
 	}
 	seeds := c.Join
 	if len(seeds) == 0 {
-		seeds = otherPeers(n.config.Peers, n.identity.number)
+		seeds = otherPeers(srv.config.Peers, srv.identity.number)
 	}
 	shell := gossip.Start(
-		n.loopContext,
+		srv.loopContext,
 		gossip.Config{
 			Fleet:         c.Name,
-			Name:          n.config.Name,
-			Number:        n.identity.number,
+			Name:          srv.config.Name,
+			Number:        srv.identity.number,
 			Addr:          c.Address,
 			Seeds:         seeds,
-			Peers:         n.config.Peers,
+			Peers:         srv.config.Peers,
 			ProbeInterval: c.ProbeInterval,
-			Zone:          n.identity.zone,
+			Zone:          srv.identity.zone,
 			Version:       version(),
-			LocalState:    n.localState(handed),
+			LocalState:    srv.localState(handed),
 			Send:          p.write,
-			Log:           n.log,
+			Log:           srv.log,
 			Handoff:       handed,
 		},
 	)
 	p.handlers[membershipKinds], p.handlers[membershipKindsMore] = shell.Receive, shell.Receive
-	if n.policy != nil {
-		p.handlers[quotaKind] = n.receiveQuotaDatagram
+	if srv.policy != nil {
+		p.handlers[quotaKind] = srv.receiveQuotaDatagram
 	}
-	n.membership.Store(shell)
+	srv.membership.Store(shell)
 }
 
 func otherPeers(all []netip.AddrPort, own int) (others []netip.AddrPort) {
@@ -87,15 +87,15 @@
 
 // localState tells the fleet what the proxy does. One that takes over from a process of its own goes on with
 // that one's state until it accepts.
-func (n *Server) localState(handed *gossip.Handoff) func() (membership.State, uint16) {
+func (srv *Server) localState(handed *gossip.Handoff) func() (membership.State, uint16) {
 	return func() (membership.State, uint16) {
-		load := uint16(min(1000, max(0, n.stats.outstanding.Load()*1000/n.identity.maxOpenRequests)))
+		load := uint16(min(1000, max(0, srv.stats.outstanding.Load()*1000/srv.identity.maxOpenRequests)))
 		switch {
-		case n.frontend.draining.Load():
+		case srv.frontend.draining.Load():
 			return membership.Draining, load
-		case n.frontend.serving():
+		case srv.frontend.serving():
 			return membership.Serving, load
-		case handed != nil && !n.frontend.accepting.Load():
+		case handed != nil && !srv.frontend.accepting.Load():
 			return handed.State, load
 		}
 		return membership.Joining, load
@@ -104,8 +104,8 @@
 
 // leaveMembership tells the fleet that this proxy goes on purpose. A proxy that handed over has nothing to
 // tell.
-func (n *Server) leaveMembership(ctx context.Context) {
-	if shell := n.membership.Load(); shell != nil {
+func (srv *Server) leaveMembership(ctx context.Context) {
+	if shell := srv.membership.Load(); shell != nil {
 		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
 		shell.Leave(ctx)
@@ -114,36 +114,36 @@
 
 // handOffMembership ends the view in this process, and gives what the next one goes on with; nil without a
 // view.
-func (n *Server) handOffMembership() json.RawMessage {
-	shell := n.membership.Load()
+func (srv *Server) handOffMembership() json.RawMessage {
+	shell := srv.membership.Load()
 	if shell == nil {
 		return nil
 	}
 	handed, err := json.Marshal(shell.HandOver())
 	if err != nil {
-		n.log.Error("membership not handed off", "err", err)
+		srv.log.Error("membership not handed off", "err", err)
 	}
 	return handed
 }
 
 // decodeHandoff reads what handOverView gave; nil for nothing, and for what can't be read.
-func (n *Server) decodeHandoff(raw json.RawMessage) *gossip.Handoff {
+func (srv *Server) decodeHandoff(raw json.RawMessage) *gossip.Handoff {
 	if raw == nil {
 		return nil
 	}
 	h := &gossip.Handoff{}
 	if err := json.Unmarshal(raw, h); err != nil {
-		n.log.Warn("membership handoff unreadable, members see a restart", "err", err)
+		srv.log.Warn("membership handoff unreadable, members see a restart", "err", err)
 		return nil
 	}
 	return h
 }
 
 // serveFleet tells an operator what the proxy sees.
-func (n *Server) serveFleet(w http.ResponseWriter, r *http.Request) {
+func (srv *Server) serveFleet(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), reportTimeout)
 	defer cancel()
-	shell := n.membership.Load()
+	shell := srv.membership.Load()
 	if shell == nil {
 		http.Error(
 			w,
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -137,24 +137,24 @@
 }
 
 // lacksPeerSocket tells whether this proxy still lacks a socket that it ought to have.
-func (n *Server) lacksPeerSocket() bool {
-	return n.config.PeerListen != "" && (len(n.config.Peers) > 0 || n.config.Membership.Name != "") &&
-		n.peers.Load() == nil
+func (srv *Server) lacksPeerSocket() bool {
+	return srv.config.PeerListen != "" && (len(srv.config.Peers) > 0 || srv.config.Membership.Name != "") &&
+		srv.peers.Load() == nil
 }
 
 // listenPeers opens the socket for other proxies' messages. If it can't be had,
 // clients are served all the same, and it is tried again.
-func (n *Server) listenPeers(ctx context.Context) {
-	p, err := listenPeers(n.config.PeerListen, n.config.Peers, n.log)
+func (srv *Server) listenPeers(ctx context.Context) {
+	p, err := listenPeers(srv.config.PeerListen, srv.config.Peers, srv.log)
 	if err == nil {
-		n.startPeers(p, nil)
+		srv.startPeers(p, nil)
 		return
 	}
-	n.log.Error("peer socket not available, retrying", "err", err)
+	srv.log.Error("peer socket not available, retrying", "err", err)
 	go func() {
 		for backoff.Sleep(ctx, peerSocketRetry) {
-			if p, err := listenPeers(n.config.PeerListen, n.config.Peers, n.log); err == nil {
-				n.startPeers(p, nil)
+			if p, err := listenPeers(srv.config.PeerListen, srv.config.Peers, srv.log); err == nil {
+				srv.startPeers(p, nil)
 				return
 			}
 		}
@@ -163,10 +163,10 @@
 
 // startPeers begins to hear from other proxies. handed is what the previous process this one has handed over,
 // if there was one.
-func (n *Server) startPeers(p *peerSocket, handed *gossip.Handoff) {
-	n.peers.Store(p)
-	n.startMembership(p, handed)
-	go p.run(n.loopContext, func(from int, data []byte) {
-		n.post(func() { n.handle(balancer.MessageReceived{From: from, Data: data}) })
+func (srv *Server) startPeers(p *peerSocket, handed *gossip.Handoff) {
+	srv.peers.Store(p)
+	srv.startMembership(p, handed)
+	go p.run(srv.loopContext, func(from int, data []byte) {
+		srv.post(func() { srv.handle(balancer.MessageReceived{From: from, Data: data}) })
 	})
 }
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -99,20 +99,20 @@
 }
 
 // followPolicy follows the policy and has the shares' clock run until ctx ends.
-func (n *Server) followPolicy(ctx context.Context) {
-	g := n.policy
+func (srv *Server) followPolicy(ctx context.Context) {
+	g := srv.policy
 	if g == nil {
 		return
 	}
 	go g.client.FollowRecords(
 		ctx,
 		record.PolicyPrefix,
-		func(r client.Records) { n.post(func() { n.applyPolicy(r) }) },
+		func(r client.Records) { srv.post(func() { srv.applyPolicy(r) }) },
 	)
 	go g.client.FollowRecords(
 		ctx,
 		record.QuotaPrefix,
-		func(r client.Records) { n.post(func() { n.applyAllocator(r) }) },
+		func(r client.Records) { srv.post(func() { srv.applyAllocator(r) }) },
 	)
 	go func() {
 		defer g.client.Close()
@@ -121,7 +121,7 @@
 		for {
 			select {
 			case <-t.C:
-				n.post(n.quotaTick)
+				srv.post(srv.quotaTick)
 			case <-ctx.Done():
 				return
 			}
@@ -131,11 +131,11 @@
 
 // applyPolicy takes the table that holds, whole: the shares and the balancer change over between two events.
 // A table that can't be read changes nothing, as one of a later program may come to proxies of this one.
-func (n *Server) applyPolicy(r client.Records) {
-	g, one := n.policy, record.Find(r, record.CurrentKey)
+func (srv *Server) applyPolicy(r client.Records) {
+	g, one := srv.policy, record.Find(r, record.CurrentKey)
 	t, err := record.DecodeTable(one)
 	if err != nil {
-		n.log.Error("new policy is invalid, keeping the present one", "err", err)
+		srv.log.Error("new policy is invalid, keeping the present one", "err", err)
 		return
 	}
 	if g.policyKnown && one.Version == g.version.Load() {
@@ -143,15 +143,15 @@
 	}
 	g.policyKnown = true
 	g.version.Store(one.Version)
-	n.setTenantPolicy(t)
-	n.tellLedger(quota.TableChanged{Current: t})
+	srv.setTenantPolicy(t)
+	srv.tellLedger(quota.TableChanged{Current: t})
 	if t == nil {
-		n.handle(balancer.TableChanged{})
+		srv.handle(balancer.TableChanged{})
 	} else {
-		n.handle(balancer.TableChanged{Table: t, Tokens: g.ledger})
+		srv.handle(balancer.TableChanged{Table: t, Tokens: g.ledger})
 	}
-	n.log.Info("policy", "version", one.Version, "limits", limitsOf(t))
-	n.updateReady()
+	srv.log.Info("policy", "version", one.Version, "limits", limitsOf(t))
+	srv.updateReady()
 }
 
 func limitsOf(t *ratelimit.Table) int {
@@ -161,27 +161,27 @@
 	return len(t.Limits)
 }
 
-func (n *Server) applyAllocator(r client.Records) {
+func (srv *Server) applyAllocator(r client.Records) {
 	s, err := record.ReadAllocator(record.Find(r, record.AllocatorKey))
 	if err != nil {
-		n.log.Error("allocator record unreadable", "err", err)
+		srv.log.Error("allocator record unreadable", "err", err)
 		return
 	}
-	if s.Token > n.policy.highestToken {
-		n.policy.highestToken = s.Token
-		n.tellLedger(quota.AllocatorKnown{Name: s.Name, Token: s.Token})
+	if s.Token > srv.policy.highestToken {
+		srv.policy.highestToken = s.Token
+		srv.tellLedger(quota.AllocatorKnown{Name: s.Name, Token: s.Token})
 	}
 }
 
-func (n *Server) quotaTick() {
-	g, shell := n.policy, n.membership.Load()
+func (srv *Server) quotaTick() {
+	g, shell := srv.policy, srv.membership.Load()
 	if shell != nil && g.ticks%peerCheckTicks == 0 {
-		n.tellLedger(quota.Peers{Names: shell.ServingMembers()})
-		n.announceVersions()
+		srv.tellLedger(quota.Peers{Names: shell.ServingMembers()})
+		srv.announceVersions()
 	}
 	g.ticks++
-	n.tellLedger(quota.Tick{})
-	s, _ := n.balancer.LimitCounts()
+	srv.tellLedger(quota.Tick{})
+	s, _ := srv.balancer.LimitCounts()
 	st := g.ledger.Status()
 	g.requests.Store(s.Requests)
 	g.rejected.Store(s.Rejected)
@@ -191,9 +191,9 @@
 }
 
 // tellLedger gives the ledger an event and sends what comes of it.
-func (n *Server) tellLedger(e quota.Event) {
-	shell := n.membership.Load()
-	for _, a := range n.policy.ledger.Handle(time.Since(n.start), e) {
+func (srv *Server) tellLedger(e quota.Event) {
+	shell := srv.membership.Load()
+	for _, a := range srv.policy.ledger.Handle(time.Since(srv.start), e) {
 		if s, ok := a.(quota.Send); ok && shell != nil {
 			shell.SendTo(s.To, s.Data)
 		}
@@ -202,20 +202,20 @@
 
 // receiveQuotaDatagram takes a datagram of the shares off the socket. It does not wait for the loop: one too
 // many is lost.
-func (n *Server) receiveQuotaDatagram(_ netip.AddrPort, data []byte) {
+func (srv *Server) receiveQuotaDatagram(_ netip.AddrPort, data []byte) {
 	kept := append([]byte(nil), data...)
 	select {
-	case n.inbox <- func() { n.tellLedger(quota.Message{Data: kept}) }:
+	case srv.inbox <- func() { srv.tellLedger(quota.Message{Data: kept}) }:
 	default:
 	}
 }
 
 // leaveQuotas admits nothing any more and tells the holder so, so that this proxy's shares are free at once.
-func (n *Server) leaveQuotas(ctx context.Context) {
-	if n.policy == nil {
+func (srv *Server) leaveQuotas(ctx context.Context) {
+	if srv.policy == nil {
 		return
 	}
-	n.post(func() { n.tellLedger(quota.Leave{}) })
+	srv.post(func() { srv.tellLedger(quota.Leave{}) })
 	select {
 	case <-time.After(leaveAnnounceTime): // the shares' clock tells it twice or more
 	case <-ctx.Done():
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -59,15 +59,15 @@
 
 // openRequest takes a client's request and tells the balancer of it. The answer comes
 // on r.answer.
-func (n *Server) openRequest(r *request, e balancer.RequestArrived) {
-	if n.requests[r.id] != nil {
+func (srv *Server) openRequest(r *request, e balancer.RequestArrived) {
+	if srv.requests[r.id] != nil {
 		// Two under one id would get each other's answers.
 		r.answered = true
 		r.response <- response{status: http.StatusConflict}
 		return
 	}
-	now := n.frontend.rules.Load().number // those that the balancer has, as both change in one step
-	if most := n.config.Settings.MaxOpenRequests; most > 0 && len(n.requests) >= most ||
+	now := srv.frontend.rules.Load().number // those that the balancer has, as both change in one step
+	if most := srv.config.Settings.MaxOpenRequests; most > 0 && len(srv.requests) >= most ||
 		r.settingsNumber < now-1 {
 		// The balancer does not know its class any more: another of that name may be repeated freely.
 		r.answered = true
@@ -75,55 +75,55 @@
 		return
 	}
 	e.PreviousSettings = r.settingsNumber < now
-	if !n.decideTenant(r, &e) {
+	if !srv.decideTenant(r, &e) {
 		return
 	}
-	n.requests[r.id] = r
+	srv.requests[r.id] = r
 	if r.outbound.upload != nil {
 		e.Incomplete, e.Timeout = true, r.outbound.upload.wait
 		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // its time has not begun
-		n.handle(e)
+		srv.handle(e)
 		return
 	}
 	e.Timeout = time.Until(r.deadline)
-	n.guardDeadline(r, e.Timeout)
-	n.handle(e)
+	srv.guardDeadline(r, e.Timeout)
+	srv.handle(e)
 }
 
 // requestSent begins the time of a request whose last byte has gone out just now.
-func (n *Server) requestSent(r *request, wait time.Duration) {
+func (srv *Server) requestSent(r *request, wait time.Duration) {
 	if r.answered {
 		return
 	}
-	r.outbound.upload.countStart(&n.stats.outstanding)
+	r.outbound.upload.countStart(&srv.stats.outstanding)
 	r.deadline = time.Now().Add(wait)
 	r.deadlineGuard.Stop()
-	n.guardDeadline(r, wait)
-	n.handle(balancer.RequestSent{ID: r.id, Timeout: wait})
+	srv.guardDeadline(r, wait)
+	srv.handle(balancer.RequestSent{ID: r.id, Timeout: wait})
 }
 
 // guardDeadline guards a request's deadline.
-func (n *Server) guardDeadline(r *request, patience time.Duration) {
+func (srv *Server) guardDeadline(r *request, patience time.Duration) {
 	// The balancer ends a request at its deadline. The guard is for one that it
 	// does not end, as an answer in time is owed whatever it does.
 	r.deadlineGuard = time.AfterFunc(patience+guardDelay, func() {
-		n.post(func() {
+		srv.post(func() {
 			if !r.answered {
-				n.answerRequest(r.id, response{status: http.StatusGatewayTimeout})
+				srv.answerRequest(r.id, response{status: http.StatusGatewayTimeout})
 				for _, cancel := range r.cancelAttempts {
 					cancel() // a module that lost the request does not call them off
 				}
-				n.handle(balancer.RequestAbandoned{ID: r.id})
+				srv.handle(balancer.RequestAbandoned{ID: r.id})
 			}
 		})
 	})
 }
 
 // abandonRequest ends a request whose client has gone.
-func (n *Server) abandonRequest(r *request) {
+func (srv *Server) abandonRequest(r *request) {
 	if !r.answered {
-		n.closeRequest(r)
-		n.handle(balancer.RequestAbandoned{ID: r.id})
+		srv.closeRequest(r)
+		srv.handle(balancer.RequestAbandoned{ID: r.id})
 		return
 	}
 	select {
@@ -137,22 +137,22 @@
 
 // answerRequest gives a request its final answer. All answers pass here, and only
 // the first goes on.
-func (n *Server) answerRequest(id balancer.RequestID, a response) {
-	if r := n.requests[id]; r != nil && !r.answered {
+func (srv *Server) answerRequest(id balancer.RequestID, a response) {
+	if r := srv.requests[id]; r != nil && !r.answered {
 		r.response <- a
-		n.closeRequest(r)
+		srv.closeRequest(r)
 	}
 }
 
-func (n *Server) closeRequest(r *request) {
+func (srv *Server) closeRequest(r *request) {
 	r.answered = true
 	r.deadlineGuard.Stop()
-	n.forgetRequest(r)
+	srv.forgetRequest(r)
 }
 
-func (n *Server) forgetRequest(r *request) {
+func (srv *Server) forgetRequest(r *request) {
 	if r.answered && r.runningAttempts == 0 {
-		delete(n.requests, r.id)
-		n.tenantRequestEnded(r)
+		delete(srv.requests, r.id)
+		srv.tenantRequestEnded(r)
 	}
 }
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -28,18 +28,18 @@
 
 // Reread takes the file at path over the running configuration, or turns it
 // down whole and says why. It is for one goroutine.
-func (n *Server) Reread(path string) error {
-	cfg, err := n.loadAndCheck(path)
+func (srv *Server) Reread(path string) error {
+	cfg, err := srv.loadAndCheck(path)
 	if err != nil {
-		n.stats.sighupRejected.Add(1)
+		srv.stats.sighupRejected.Add(1)
 		return fmt.Errorf("config %s: %w", path, err)
 	}
-	n.rawConfig = cfg.rawFile
-	n.Reload(cfg)
+	srv.rawConfig = cfg.rawFile
+	srv.Reload(cfg)
 	return nil
 }
 
-func (n *Server) loadAndCheck(path string) (Config, error) {
+func (srv *Server) loadAndCheck(path string) (Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return Config{}, err
@@ -48,7 +48,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if err := missingKey("", n.rawConfig, cfg.rawFile); err != nil {
+	if err := missingKey("", srv.rawConfig, cfg.rawFile); err != nil {
 		return Config{}, err
 	}
 	return cfg, checkSettings(cfg)
@@ -74,43 +74,56 @@
 	return nil
 }
 
-// missingKey finds a key of the running file that another one does not have. Of a
-// list of objects each must have the keys that all have in the running file.
-// What the servers were at a start is no setting: only its key must be there.
-func missingKey(path string, old, new any) error {
-	switch old := old.(type) {
+// missingKey returns an error that names a key of the running file that another one lacks. Of a list of
+// objects each must have the keys that all have in the running file. The endpoints at the start are no
+// setting: only their key must be there.
+func missingKey(path string, running, next any) error {
+	switch running := running.(type) {
 	case map[string]any:
-		next, ok := new.(map[string]any)
+		object, ok := next.(map[string]any)
 		if !ok {
 			return fmt.Errorf("%s is no object", path)
 		}
-		for _, key := range slices.Sorted(maps.Keys(old)) {
-			if old[key] == nil || slices.Contains(optionalKeys, key) {
-				continue
-			}
-			if next[key] == nil {
-				return fmt.Errorf("%s%s is missing", path, key)
-			}
-			if path == "" && key == "known" {
-				continue
-			}
-			if err := missingKey(path+key+".", old[key], next[key]); err != nil {
-				return err
-			}
-		}
+		return missingInObject(path, running, object)
 	case []any:
-		next, ok := new.([]any)
+		list, ok := next.([]any)
 		if !ok {
 			return fmt.Errorf("%s is no list", path)
 		}
-		if path == "settings.classes." && len(old) > 0 && len(next) == 0 {
-			return errors.New("settings.classes has none")
+		return missingInList(path, running, list)
+	}
+	return nil
+}
+
+func missingInObject(path string, running, next map[string]any) error {
+	for _, key := range slices.Sorted(maps.Keys(running)) {
+		if running[key] == nil || slices.Contains(optionalKeys, key) {
+			continue
+		}
+		if next[key] == nil {
+			return fmt.Errorf("%s%s is missing", path, key)
+		}
+		if path == "" && key == "known" {
+			continue
 		}
-		shared := sharedKeys(old)
-		for i, e := range next {
-			if err := missingKey(fmt.Sprintf("%s%d.", path, i), shared, e); len(shared) > 0 && err != nil {
-				return err
-			}
+		if err := missingKey(path+key+".", running[key], next[key]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func missingInList(path string, running, next []any) error {
+	if path == "settings.classes." && len(running) > 0 && len(next) == 0 {
+		return errors.New("settings.classes has none")
+	}
+	shared := sharedKeys(running)
+	if len(shared) == 0 {
+		return nil
+	}
+	for i, element := range next {
+		if err := missingKey(fmt.Sprintf("%s%d.", path, i), shared, element); err != nil {
+			return err
 		}
 	}
 	return nil
@@ -134,25 +147,25 @@
 
 // Reload takes what may change under a running proxy from a new configuration:
 // the address of discovery and the settings.
-func (n *Server) Reload(cfg Config) {
-	n.post(func() {
-		if !reflect.DeepEqual(cfg.Settings, n.config.Settings) {
-			n.log.Info("new settings", "classes", len(cfg.Settings.Classes), "attempts", cfg.Settings.MaxAttempts)
-			n.config.Settings = cfg.Settings
-			n.stats.add(cfg.Settings.Classes)
-			n.pool.configure(cfg.Settings)
-			n.applySettings(newRules(cfg.Settings, n.frontend.rules.Load()))
+func (srv *Server) Reload(cfg Config) {
+	srv.post(func() {
+		if !reflect.DeepEqual(cfg.Settings, srv.config.Settings) {
+			srv.log.Info("new settings", "classes", len(cfg.Settings.Classes), "attempts", cfg.Settings.MaxAttempts)
+			srv.config.Settings = cfg.Settings
+			srv.stats.add(cfg.Settings.Classes)
+			srv.pool.configure(cfg.Settings)
+			srv.applySettings(newRules(cfg.Settings, srv.frontend.rules.Load()))
 		}
-		n.moveEndpointSource(cfg)
-		n.stats.sighupApplied.Add(1)
+		srv.moveEndpointSource(cfg)
+		srv.stats.sighupApplied.Add(1)
 	})
 }
 
 // applySettings gives the balancer the proxy's settings and the front the rules of them,
 // in one step of the loop: each request that it opens has either these or those before.
-func (n *Server) applySettings(next *requestRules) {
-	n.handle(balancer.SettingsChanged{Settings: n.withVariants(n.config.Settings)})
-	n.frontend.rules.Store(next)
+func (srv *Server) applySettings(next *requestRules) {
+	srv.handle(balancer.SettingsChanged{Settings: srv.withVariants(srv.config.Settings)})
+	srv.frontend.rules.Store(next)
 }
 
 // requestRules is what the front must know of the settings to take a request.
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -27,28 +27,28 @@
 // updateReady lets clients in once there are servers and, where a policy is followed, it has been heard of:
 // before that the proxy would admit what no limit bounds. Where tenants are known, it has the catalogue, too,
 // and is on the member record.
-func (n *Server) updateReady() {
-	n.frontend.ready.Store(
-		len(n.listedEndpoints) > 0 && !n.awaitingAgent && (n.policy == nil || n.policy.policyKnown) &&
-			(n.tenants == nil || n.tenants.catalogue.Ready()),
+func (srv *Server) updateReady() {
+	srv.frontend.ready.Store(
+		len(srv.listedEndpoints) > 0 && !srv.awaitingAgent && (srv.policy == nil || srv.policy.policyKnown) &&
+			(srv.tenants == nil || srv.tenants.catalogue.Ready()),
 	)
 }
 
 // logMissing is for whoever looks for the reason of a proxy that is not ready in its time.
-func (n *Server) logMissing() {
-	if !n.frontend.ready.Load() {
-		n.log.Warn(
+func (srv *Server) logMissing() {
+	if !srv.frontend.ready.Load() {
+		srv.log.Warn(
 			"not ready yet",
 			"after",
 			maxReadyTime,
 			"servers",
-			len(n.listedEndpoints),
+			len(srv.listedEndpoints),
 			"agent",
-			!n.awaitingAgent,
+			!srv.awaitingAgent,
 			"policy",
-			n.policy == nil || n.policy.policyKnown,
+			srv.policy == nil || srv.policy.policyKnown,
 			"tenants",
-			n.tenants == nil || n.tenants.catalogue.Ready(),
+			srv.tenants == nil || srv.tenants.catalogue.Ready(),
 		)
 	}
 }
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -61,17 +61,17 @@
 
 // succeed goes on in the generation of the previous process, so that the member record has both while both
 // serve. One with another hold is another member: it begins a later generation.
-func (n *Server) continueGeneration(before *tenant.Member) {
-	t := n.tenants
+func (srv *Server) continueGeneration(before *tenant.Member) {
+	t := srv.tenants
 	if t == nil || before == nil {
 		return
 	}
 	if before.MaxStalenessMS == t.self.MaxStalenessMS {
-		t.startGeneration(n.config, before.Generation)
+		t.startGeneration(srv.config, before.Generation)
 	} else {
-		t.startGeneration(n.config, max(t.self.Generation, before.Generation+1))
+		t.startGeneration(srv.config, max(t.self.Generation, before.Generation+1))
 	}
-	n.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
+	srv.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
 // member is what the next process of this proxy is told; nil where tenants are not told apart.
@@ -93,28 +93,28 @@
 }
 
 // tenantClock is that of the cache: it never steps.
-func (n *Server) tenantClock() time.Duration { return time.Since(n.start) }
+func (srv *Server) tenantClock() time.Duration { return time.Since(srv.start) }
 
 // handleTenantEvent gives an event to the cache and carries out what it says, before whatever event comes of
 // that.
-func (n *Server) handleTenantEvent(event any) {
-	t := n.tenants
+func (srv *Server) handleTenantEvent(event any) {
+	t := srv.tenants
 	t.pendingEvents = append(t.pendingEvents, event)
 	if len(t.pendingEvents) > 1 {
 		return // the call further up gets to it
 	}
 	for len(t.pendingEvents) > 0 {
-		for _, a := range t.cache.Handle(n.tenantClock(), t.pendingEvents[0]) {
+		for _, a := range t.cache.Handle(srv.tenantClock(), t.pendingEvents[0]) {
 			switch a := a.(type) {
 			case tenant.SwapCatalogue:
 				t.catalogue, t.catalogueChanged = a.Catalogue, true
-				n.catalogueSwapped()
+				srv.catalogueSwapped()
 			case tenant.TellStatus:
 				t.session.setStatus(a.Status)
 			case tenant.ReadCatalogue:
 				t.session.requestRead()
 			case tenant.CutRequests:
-				n.cutTenantRequests(a.Tenant)
+				srv.cutTenantRequests(a.Tenant)
 			}
 		}
 		t.pendingEvents = t.pendingEvents[1:]
@@ -122,18 +122,18 @@
 	t.pendingEvents = nil
 	if t.catalogueChanged {
 		t.catalogueChanged = false
-		n.resumeParked()
+		srv.resumeParked()
 	}
 }
 
 // catalogueSwapped follows a new catalogue up.
-func (n *Server) catalogueSwapped() {
-	t := n.tenants
+func (srv *Server) catalogueSwapped() {
+	t := srv.tenants
 	if number := t.cache.Number(); number != t.number.Load() {
 		t.number.Store(number)
 		t.tenantCount.Store(uint64(t.cache.TenantCount()))
-		n.announceVersions()
-		n.log.Info("tenants", "catalogue", number, "known", t.cache.TenantCount())
+		srv.announceVersions()
+		srv.log.Info("tenants", "catalogue", number, "known", t.cache.TenantCount())
 	}
 	if t.catalogue.Ready() {
 		select {
@@ -142,23 +142,23 @@
 			close(t.ready)
 		}
 	}
-	n.updateReady()
+	srv.updateReady()
 }
 
 // announceVersions tells other proxies which policy and which catalogue this one has.
-func (n *Server) announceVersions() {
+func (srv *Server) announceVersions() {
 	catalogue := uint64(0)
-	if n.tenants != nil {
-		catalogue = n.tenants.number.Load()
+	if srv.tenants != nil {
+		catalogue = srv.tenants.number.Load()
 	}
-	if shell := n.membership.Load(); shell != nil {
-		shell.SetVersions(catalogue, n.policy.version.Load())
+	if shell := srv.membership.Load(); shell != nil {
+		shell.SetVersions(catalogue, srv.policy.version.Load())
 	}
 }
 
 // setTenantPolicy tells the cache of the policy's table that is evaluated; nil for none.
-func (n *Server) setTenantPolicy(table *ratelimit.Table) {
-	t := n.tenants
+func (srv *Server) setTenantPolicy(table *ratelimit.Table) {
+	t := srv.tenants
 	if t == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 			t.tenantByLimit[l.Name] = tenantOf(table, l)
 		}
 	}
-	n.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
+	srv.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
 // tenantOf is the name by which a table knows the requests that touch a limit; empty: any.
--- a/internal/proxy/tenants_decide.go
+++ b/internal/proxy/tenants_decide.go
@@ -11,12 +11,12 @@
 // decideTenant answers a request by the catalogue, unless that has it served: then it says to the balancer
 // which class, variant and tenant it is of. All of it is one step of the loop, as is a new catalogue: no
 // request is judged by one and counted by the next.
-func (n *Server) decideTenant(r *request, e *balancer.RequestArrived) (serve bool) {
-	t := n.tenants
+func (srv *Server) decideTenant(r *request, e *balancer.RequestArrived) (serve bool) {
+	t := srv.tenants
 	if t == nil {
 		return true
 	}
-	v := t.catalogue.Decide(n.tenantClock(), e.Tenant, e.Class, e.Key)
+	v := t.catalogue.Decide(srv.tenantClock(), e.Tenant, e.Class, e.Key)
 	lane := ""
 	if v.Kind == tenant.Routed {
 		if lane = t.routes.classFor(v.Route, e.Class, e.PreviousSettings); lane == "" {
@@ -28,7 +28,7 @@
 	case tenant.Routed:
 		e.Tenant, e.Class = cmp.Or(t.tenantByLimit[v.Limit], v.Tenant), lane
 		r.tenant = v.Tenant
-		n.handleTenantEvent(tenant.RequestStarted{Tenant: v.Tenant})
+		srv.handleTenantEvent(tenant.RequestStarted{Tenant: v.Tenant})
 		return true
 	case tenant.Forbidden:
 		a.status = http.StatusForbidden
@@ -37,7 +37,7 @@
 		a.status = http.StatusNotFound
 		t.notFound.Add(1)
 	default:
-		if v.Reason == tenant.ReasonLeafMissing && n.parkRequest(r, *e) {
+		if v.Reason == tenant.ReasonLeafMissing && srv.parkRequest(r, *e) {
 			return false
 		}
 		a.status, a.retryAfter = http.StatusServiceUnavailable, v.RetryAfter
@@ -49,18 +49,18 @@
 }
 
 // tenantRequestEnded counts a request out of its tenant's, once nothing of it is under way.
-func (n *Server) tenantRequestEnded(r *request) {
+func (srv *Server) tenantRequestEnded(r *request) {
 	if name := r.tenant; name != "" {
 		r.tenant = ""
-		n.handleTenantEvent(tenant.RequestEnded{Tenant: name})
+		srv.handleTenantEvent(tenant.RequestEnded{Tenant: name})
 	}
 }
 
 // cutTenantRequests ends what is open of a tenant. What has been sent may have run, and is not refused; what
 // has begun at the client breaks off.
-func (n *Server) cutTenantRequests(name string) {
+func (srv *Server) cutTenantRequests(name string) {
 	cut := 0
-	for _, r := range n.requests {
+	for _, r := range srv.requests {
 		if r.tenant != name {
 			continue
 		}
@@ -70,8 +70,8 @@
 			if len(r.cancelAttempts) > 0 {
 				status = http.StatusBadGateway
 			}
-			n.answerRequest(r.id, response{status: status})
-			n.handle(balancer.RequestAbandoned{ID: r.id})
+			srv.answerRequest(r.id, response{status: status})
+			srv.handle(balancer.RequestAbandoned{ID: r.id})
 		}
 		for _, cancel := range r.cancelAttempts {
 			cancel() // the balancer may not be allowed to
@@ -80,5 +80,5 @@
 			r.stream.cancel()
 		}
 	}
-	n.log.Info("tenant's requests cut off", "tenant", name, "open", cut)
+	srv.log.Info("tenant's requests cut off", "tenant", name, "open", cut)
 }
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -16,15 +16,15 @@
 )
 
 // followTenants keeps the session, reads the catalogue and has the cache's clock run until ctx ends.
-func (n *Server) followTenants(ctx context.Context) {
-	t := n.tenants
+func (srv *Server) followTenants(ctx context.Context) {
+	t := srv.tenants
 	if t == nil {
 		return
 	}
 	open, stop := context.WithCancel(ctx)
 	t.session.close = stop
-	go n.keepSession(open)
-	go n.readCatalogue(ctx)
+	go srv.keepSession(open)
+	go srv.readCatalogue(ctx)
 	for _, key := range []string{tenant.HeadKey, tenant.MembersKey} { // the pages are read as they are wanted
 		go t.client.FollowRecords(ctx, key, func(client.Records) { t.session.requestRead() })
 	}
@@ -35,7 +35,7 @@
 		for {
 			select {
 			case <-every.C:
-				n.post(n.tenantTick)
+				srv.post(srv.tenantTick)
 			case <-ctx.Done():
 				return
 			}
@@ -43,18 +43,18 @@
 	}()
 }
 
-func (n *Server) tenantTick() {
-	if shell := n.membership.Load(); shell != nil {
-		n.handleTenantEvent(tenant.PeerHasCatalogue{Number: shell.HighestCatalogue()})
+func (srv *Server) tenantTick() {
+	if shell := srv.membership.Load(); shell != nil {
+		srv.handleTenantEvent(tenant.PeerHasCatalogue{Number: shell.HighestCatalogue()})
 	}
-	n.tenants.catalogueChanged = true // some have waited for long enough
-	n.handleTenantEvent(tenant.Tick{})
-	n.applyRoutes()
+	srv.tenants.catalogueChanged = true // some have waited for long enough
+	srv.handleTenantEvent(tenant.Tick{})
+	srv.applyRoutes()
 }
 
 // readCatalogue reads the catalogue whenever it is asked to, until that has worked.
-func (n *Server) readCatalogue(ctx context.Context) {
-	t := n.tenants
+func (srv *Server) readCatalogue(ctx context.Context) {
+	t := srv.tenants
 	r := &tenant.Reader{Source: t.client, Member: t.self}
 	for failed := false; ; {
 		select {
@@ -63,20 +63,20 @@
 			return
 		}
 		want := tenant.WantedLeaves{}
-		if !n.do(func() { want = t.cache.Wanted() }) {
+		if !srv.do(func() { want = t.cache.Wanted() }) {
 			return
 		}
 		call, done := context.WithTimeout(ctx, catalogueReadTimeout)
-		got, err := r.Read(call, n.tenantClock, want)
+		got, err := r.Read(call, srv.tenantClock, want)
 		done()
 		if err != nil {
 			if !failed {
-				n.log.Warn("reading the tenant catalogue failed", "err", err)
+				srv.log.Warn("reading the tenant catalogue failed", "err", err)
 			}
 			t.session.requestRead()
 			pauseBeforeRetry(ctx)
 		} else {
-			n.post(func() { n.applyCatalogue(got) })
+			srv.post(func() { srv.applyCatalogue(got) })
 		}
 		failed = err != nil
 	}
@@ -84,12 +84,12 @@
 
 // applyCatalogue takes what was read. The routes come first: what the cache then says to be taken up can be
 // served.
-func (n *Server) applyCatalogue(got tenant.CatalogueRead) {
-	t := n.tenants
+func (srv *Server) applyCatalogue(got tenant.CatalogueRead) {
+	t := srv.tenants
 	if got.Snapshot != nil && got.Snapshot.Number >= t.cache.Number() {
-		n.planRoutes(got.Snapshot)
+		srv.planRoutes(got.Snapshot)
 	}
-	n.handleTenantEvent(got)
+	srv.handleTenantEvent(got)
 	if t.catalogue.Ready() || got.Enrolled {
 		return
 	}
@@ -105,25 +105,26 @@
 // leaveTenants says that this process serves no tenant any more, once it has ended all its requests. wait
 // returns when the member record has followed, or late, with the session closed: until then changes of
 // tenants wait for this proxy. One whose word has not been seen runs out by itself, so that it still can be.
-func (n *Server) leaveTenants(ctx context.Context) (wait func()) {
-	t := n.tenants
+func (srv *Server) leaveTenants(ctx context.Context) (wait func()) {
+	t := srv.tenants
 	if t == nil {
 		return func() {}
 	}
 	ctx, stop := context.WithTimeout(ctx, leftTimeout)
-	n.post(func() { n.handleTenantEvent(tenant.Leave{}) })
+	srv.post(func() { srv.handleTenantEvent(tenant.Leave{}) })
 	return func() {
 		defer stop()
-		gone := n.waitFor(ctx, leftTimeout, t.session.left)
-		if gone && !n.frontend.handedOff.Load() { // else the member record goes on to have the process that follows
+		gone := srv.waitFor(ctx, leftTimeout, t.session.left)
+		// else the member record goes on to have the process that follows
+		if gone && !srv.frontend.handedOff.Load() {
 			t.session.requestRead()
-			gone = n.waitFor(ctx, leftTimeout, t.left)
+			gone = srv.waitFor(ctx, leftTimeout, t.left)
 		}
 		if !gone {
-			n.log.Warn("tenant member record may still have this proxy: wrenspreadctl tenant forget")
+			srv.log.Warn("tenant member record may still have this proxy: wrenspreadctl tenant forget")
 			return
 		}
 		t.session.close()
-		n.waitFor(ctx, leftTimeout, t.session.ended)
+		srv.waitFor(ctx, leftTimeout, t.session.ended)
 	}
 }
--- a/internal/proxy/tenants_park.go
+++ b/internal/proxy/tenants_park.go
@@ -25,30 +25,30 @@
 
 // parkRequest has the part of a request's tenant read, and the request wait for it once. false: it
 // is to be answered now.
-func (n *Server) parkRequest(r *request, e balancer.RequestArrived) bool {
-	t := n.tenants
-	n.handleTenantEvent(tenant.LeafMissing{Name: e.Tenant})
+func (srv *Server) parkRequest(r *request, e balancer.RequestArrived) bool {
+	t := srv.tenants
+	srv.handleTenantEvent(tenant.LeafMissing{Name: e.Tenant})
 	if r.parked || len(t.parked) >= maxParked || !t.cache.IsLeafRequested(e.Tenant) {
 		return false
 	}
 	r.parked = true
-	n.requests[r.id] = r
+	srv.requests[r.id] = r
 	p := parkedRequest{r, e, time.Now().Add(parkTimeout), -1}
-	if rules := n.frontend.rules.Load(); r.settingsNumber == rules.number {
+	if rules := srv.frontend.rules.Load(); r.settingsNumber == rules.number {
 		p.firstNumber = rules.firstNumber
 	}
 	t.parked = append(t.parked, p)
 	if r.outbound.upload != nil {
 		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // its time has not begun
 	} else {
-		n.guardDeadline(r, time.Until(r.deadline))
+		srv.guardDeadline(r, time.Until(r.deadline))
 	}
 	return true
 }
 
 // resumeParked has those go on whose part is there, and those that have waited for long enough.
-func (n *Server) resumeParked() {
-	t := n.tenants
+func (srv *Server) resumeParked() {
+	t := srv.tenants
 	all := t.parked
 	t.parked = nil
 	for _, p := range all {
@@ -56,12 +56,12 @@
 		case p.request.answered: // its client has gone, or its time has
 		case t.catalogue.HasLeaf(p.event.Tenant) || !t.catalogue.Ready() || !time.Now().Before(p.until):
 			p.request.deadlineGuard.Stop()
-			delete(n.requests, p.request.id)
+			delete(srv.requests, p.request.id)
 			// the balancer has the same once more, with new routes
-			if rules := n.frontend.rules.Load(); p.firstNumber == rules.firstNumber {
+			if rules := srv.frontend.rules.Load(); p.firstNumber == rules.firstNumber {
 				p.request.settingsNumber = rules.number
 			}
-			n.openRequest(p.request, p.event)
+			srv.openRequest(p.request, p.event)
 		default:
 			t.parked = append(t.parked, p)
 		}
--- a/internal/proxy/tenants_report.go
+++ b/internal/proxy/tenants_report.go
@@ -26,9 +26,9 @@
 }
 
 // serveTenants tells an operator what this proxy knows of tenants, MaxTenants at most.
-func (n *Server) serveTenants(w http.ResponseWriter, _ *http.Request) {
+func (srv *Server) serveTenants(w http.ResponseWriter, _ *http.Request) {
 	var r tenant.Report
-	if !n.do(func() { r = n.tenants.cache.Report(n.tenantClock()) }) {
+	if !srv.do(func() { r = srv.tenants.cache.Report(srv.tenantClock()) }) {
 		http.Error(w, "the node has ended", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -176,8 +176,8 @@
 
 // withVariants adds the variants that the catalogue needs to settings, for the balancer alone. It is told of
 // them.
-func (n *Server) withVariants(s balancer.Settings) balancer.Settings {
-	t := n.tenants
+func (srv *Server) withVariants(s balancer.Settings) balancer.Settings {
+	t := srv.tenants
 	if t == nil {
 		return s
 	}
@@ -191,24 +191,24 @@
 }
 
 // planRoutes follows a catalogue up.
-func (n *Server) planRoutes(i *tenant.Snapshot) {
-	l := &n.tenants.routes
+func (srv *Server) planRoutes(i *tenant.Snapshot) {
+	l := &srv.tenants.routes
 	if l.plannedFor == i {
 		return
 	}
-	l.follow(i, n.config.Settings.Classes)
+	l.follow(i, srv.config.Settings.Classes)
 	for name := range l.wanted {
 		if _, given := l.current[name]; !given {
 			l.outdated = true
 		}
 	}
-	n.applyRoutes()
+	srv.applyRoutes()
 }
 
 // applyRoutes gives the balancer the variants that it lacks. While requests still come in the form of the
 // settings before, which it would forget, it waits: until then the routes that are new get a 503.
-func (n *Server) applyRoutes() {
-	if n.tenants.routes.outdated && time.Now().After(n.frontend.rules.Load().previousUntil) {
-		n.applySettings(n.frontend.rules.Load().renumbered())
+func (srv *Server) applyRoutes() {
+	if srv.tenants.routes.outdated && time.Now().After(srv.frontend.rules.Load().previousUntil) {
+		srv.applySettings(srv.frontend.rules.Load().renumbered())
 	}
 }
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -59,12 +59,12 @@
 }
 
 // keepSession has the proxy have a session until ctx ends, and closes the last one.
-func (n *Server) keepSession(ctx context.Context) {
-	s := n.tenants.session
+func (srv *Server) keepSession(ctx context.Context) {
+	s := srv.tenants.session
 	defer close(s.ended)
 	for ctx.Err() == nil {
-		if n.openSession(ctx) {
-			n.renewSession(ctx)
+		if srv.openSession(ctx) {
+			srv.renewSession(ctx)
 		} else {
 			pauseBeforeRetry(ctx)
 		}
@@ -74,40 +74,40 @@
 	}
 	call, done := context.WithTimeout(context.WithoutCancel(ctx), sessionCallTimeout)
 	defer done()
-	if err := n.tenants.client.CloseSession(call, s.session.ID); err != nil {
-		n.log.Warn("closing the session failed, it expires by itself", "err", err)
+	if err := srv.tenants.client.CloseSession(call, s.session.ID); err != nil {
+		srv.log.Warn("closing the session failed, it expires by itself", "err", err)
 	}
 }
 
 // openSession makes one try under a new id: a previous one may have come to something, and then runs out.
-func (n *Server) openSession(ctx context.Context) bool {
-	t := n.tenants
+func (srv *Server) openSession(ctx context.Context) bool {
+	t := srv.tenants
 	s, w := t.session, tenant.Status{}
-	if !n.do(func() { w = t.cache.Status() }) {
+	if !srv.do(func() { w = t.cache.Status() }) {
 		return false
 	}
-	s.session.ID, s.session.Info, s.sentStatus = n.config.Name+"-"+crand.Text(), registry.ProcessInfo{
+	s.session.ID, s.session.Info, s.sentStatus = srv.config.Name+"-"+crand.Text(), registry.ProcessInfo{
 		Note:    w.Encode(),
 		Version: version(),
 	}, nil
-	sent := n.tenantClock()
+	sent := srv.tenantClock()
 	call, done := context.WithTimeout(ctx, sessionCallTimeout)
 	defer done()
 	if err := t.client.OpenSession(call, s.session); err != nil {
-		n.log.Warn("no session with the registry", "err", err)
+		srv.log.Warn("no session with the registry", "err", err)
 		return false
 	}
-	n.post(func() { n.handleTenantEvent(tenant.SessionOpened{Sent: sent, TTL: s.session.TTL}) })
+	srv.post(func() { srv.handleTenantEvent(tenant.SessionOpened{Sent: sent, TTL: s.session.TTL}) })
 	return true
 }
 
 // renewSession keeps a session, and has it say what the cache last said, until it has ended or ctx does.
-func (n *Server) renewSession(ctx context.Context) {
-	s := n.tenants.session
+func (srv *Server) renewSession(ctx context.Context) {
+	s := srv.tenants.session
 	due := time.NewTimer(s.session.TTL / 3)
 	defer due.Stop()
 	for {
-		if !n.sendStatus(ctx) {
+		if !srv.sendStatus(ctx) {
 			due.Reset(retryPause)
 		}
 		select {
@@ -117,15 +117,15 @@
 		case <-ctx.Done():
 			return
 		}
-		sent := n.tenantClock()
+		sent := srv.tenantClock()
 		call, done := context.WithTimeout(ctx, sessionCallTimeout)
-		known, err := n.tenants.client.RenewSession(call, s.session.ID)
+		known, err := srv.tenants.client.RenewSession(call, s.session.ID)
 		done()
 		if err != nil {
 			due.Reset(retryPause)
 			continue
 		}
-		n.post(func() { n.handleTenantEvent(tenant.SessionRenewed{Sent: sent, Known: known}) })
+		srv.post(func() { srv.handleTenantEvent(tenant.SessionRenewed{Sent: sent, Known: known}) })
 		if !known {
 			return
 		}
@@ -134,8 +134,8 @@
 }
 
 // sendStatus tells the service the cache's last word, unless it has it.
-func (n *Server) sendStatus(ctx context.Context) bool {
-	s := n.tenants.session
+func (srv *Server) sendStatus(ctx context.Context) bool {
+	s := srv.tenants.session
 	w := s.status.Load()
 	if w == nil || w == s.sentStatus {
 		return true
@@ -143,7 +143,7 @@
 	s.session.Info.Note = w.Encode()
 	call, done := context.WithTimeout(ctx, sessionCallTimeout)
 	defer done()
-	if err := n.tenants.client.OpenSession(call, s.session); err != nil {
+	if err := srv.tenants.client.OpenSession(call, s.session); err != nil {
 		return false
 	}
 	if s.sentStatus = w; w.Left {
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -16,102 +16,161 @@
 )
 
 const (
-	maxIDLength = 128
+	maxIDLength = 128  // bytes
+	maxWorkHint = 1e12 // microseconds
 	maxPatience = time.Hour
 )
 
-// read checks a request. The status goes with the error.
-func (f *frontend) read(
-	w http.ResponseWriter,
-	r *http.Request,
-) (*request, balancer.RequestArrived, int, error) {
-	e := balancer.RequestArrived{Class: r.Header.Get("X-Class"), Tenant: r.Header.Get("X-Tenant"),
-		ClientRetry: r.Header.Get("X-Retry") == "1"}
-	var back func()
-	bad := func(status int, format string, args ...any) (*request, balancer.RequestArrived, int, error) {
-		if back != nil {
-			back()
-		}
-		return nil, e, status, fmt.Errorf(format, args...)
-	}
-	id := r.Header.Get("X-Request-Id")
-	if id == "" || len(id) > maxIDLength || len(r.Header.Values("X-Request-Id")) > 1 {
-		return bad(http.StatusBadRequest, "want one X-Request-Id of at most %d bytes", maxIDLength)
-	}
-	e.ID = balancer.RequestID(id)
-	if f.server.config.Tenants.Enabled && len(r.Header.Values("X-Tenant")) > 1 {
-		return bad(http.StatusBadRequest, "want one X-Tenant")
-	}
-	rules := f.rules.Load()
-	former, err := rules.idempotencyOf(
-		e.Class,
-		func(effect balancer.Idempotency) error { return fits(r, e.Class, effect) },
-	)
+// requestError is the answer to a request that is not taken.
+type requestError struct {
+	status int
+	err    error
+}
+
+func (e *requestError) Error() string { return e.err.Error() }
+
+func (e *requestError) Unwrap() error { return e.err }
+
+func badRequest(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Errorf(format, args...)}
+}
+
+// read checks a request and reads its body, or the beginning of a long one. An error is a *requestError.
+func (f *frontend) read(w http.ResponseWriter, r *http.Request) (*request, balancer.RequestArrived, error) {
+	event := balancer.RequestArrived{
+		Class:       r.Header.Get("X-Class"),
+		Tenant:      r.Header.Get("X-Tenant"),
+		Key:         r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:],
+		ClientRetry: r.Header.Get("X-Retry") == "1",
+	}
+	id, err := f.readID(r)
 	if err != nil {
-		var wrong formError
-		errors.As(err, &wrong)
-		return bad(wrong.status, "%w", err)
+		return nil, event, err
 	}
-	patience, err := seconds(r.Header.Get("X-Deadline"))
+	event.ID = id
+	rules := f.rules.Load()
+	previous, err := f.checkForm(rules, r, event.Class)
 	if err != nil {
-		return bad(http.StatusBadRequest, "X-Deadline: %w", err)
+		return nil, event, err
 	}
-	if hint, err := strconv.ParseFloat(r.Header.Get("X-Cost-Hint"), 64); err == nil && hint >= 0 && hint < 1e12 {
-		e.WorkHint, e.HasWorkHint = time.Duration(hint*float64(time.Microsecond)), true
-	}
-	e.Key = r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
-	if r.ContentLength > maxLarge {
-		w.Header().Set("Connection", "close")
-		return bad(http.StatusRequestEntityTooLarge, "the body is over %d bytes", maxLarge)
+	timeout, parseErr := seconds(r.Header.Get("X-Deadline"))
+	if parseErr != nil {
+		return nil, event, badRequest("X-Deadline: %w", parseErr)
 	}
-	var body []byte
-	var long bool
-	var reader *bodyReader
-	if r.Body != http.NoBody {
-		reader = newBodyReader(w, r)
-		body, long, err = readStart(r.Context(), reader, f.memory.reserveOnce(&back))
+	event.WorkHint, event.HasWorkHint = workHint(r)
+
+	body, err := f.readBody(w, r)
+	if err != nil {
+		return nil, event, err
 	}
-	switch {
-	case errors.Is(err, errNoMemory):
-		w.Header().Set("Connection", "close")
-		return bad(http.StatusServiceUnavailable, "%w", err)
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return bad(http.StatusRequestTimeout, "the body does not come")
-	case err != nil:
-		return bad(http.StatusBadRequest, "reading the body: %w", err)
-	}
-	patience = f.timeLeft(patience - answerMargin)
-	u := url.URL{
-		Path:       r.URL.Path,
-		RawPath:    r.URL.RawPath,
-		RawQuery:   r.URL.RawQuery,
-		ForceQuery: r.URL.ForceQuery,
-	}
-	deadline := time.Now().Add(patience) // its last byte has come now, and its client waits from there
+	timeout = f.timeLeft(timeout - answerMargin)
+	deadline := time.Now().Add(timeout) // its last byte has come now, and its client waits from there
 	f.updateLatestDeadline(deadline)
-	var rest *upload
-	if long {
-		rest = startUpload(r, reader, len(body), patience)
+	out := newOutbound(r, body.start)
+	if body.isLong {
+		out.upload = startUpload(r, body.reader, len(body.start), timeout)
 	}
 	client, _ := r.Context().Value(connKey{}).(*listener.Conn)
 	return &request{
-		id:             e.ID,
-		settingsNumber: rules.numberFor(former),
+		id:             id,
+		settingsNumber: rules.numberFor(previous),
 		deadline:       deadline,
-		releaseMemory:  back,
-		class:          e.Class,
+		releaseMemory:  body.releaseMemory,
+		class:          event.Class,
 		response:       make(chan response, 1),
 		client:         client,
 		clientGone:     r.Context().Done(),
-		outbound: &outbound{
-			method: r.Method,
-			url:    &u,
-			host:   r.Host,
-			header: endToEnd(r.Header),
-			body:   body,
-			upload: rest,
+		outbound:       out,
+	}, event, nil
+}
+
+// readID returns the request's ID. With tenants enabled it also checks that at most one is named.
+func (f *frontend) readID(r *http.Request) (balancer.RequestID, error) {
+	id := r.Header.Get("X-Request-Id")
+	if id == "" || len(id) > maxIDLength || len(r.Header.Values("X-Request-Id")) > 1 {
+		return "", badRequest("want one X-Request-Id of at most %d bytes", maxIDLength)
+	}
+	if f.server.config.Tenants.Enabled && len(r.Header.Values("X-Tenant")) > 1 {
+		return "", badRequest("want one X-Tenant")
+	}
+	return balancer.RequestID(id), nil
+}
+
+// checkForm checks that a request has the form of its class, in the present settings or in the previous ones.
+func (f *frontend) checkForm(rules *requestRules, r *http.Request, class string) (previous bool, err error) {
+	return rules.idempotencyOf(class, func(idempotency balancer.Idempotency) error {
+		return fits(r, class, idempotency)
+	})
+}
+
+// workHint returns the expected work that the client names, if it names a plausible one.
+func workHint(r *http.Request) (hint time.Duration, ok bool) {
+	micros, err := strconv.ParseFloat(r.Header.Get("X-Cost-Hint"), 64)
+	if err != nil || !(micros >= 0 && micros < maxWorkHint) {
+		return 0, false
+	}
+	return time.Duration(micros * float64(time.Microsecond)), true
+}
+
+// requestBody is a request's body, or the beginning of a long one.
+type requestBody struct {
+	start         []byte
+	isLong        bool
+	reader        *bodyReader // of the rest
+	releaseMemory func()      // may be nil
+}
+
+func (f *frontend) readBody(w http.ResponseWriter, r *http.Request) (requestBody, error) {
+	if r.ContentLength > maxLarge {
+		return requestBody{}, rejectUnread(
+			w,
+			http.StatusRequestEntityTooLarge,
+			"the body is over %d bytes",
+			maxLarge,
+		)
+	}
+	var body requestBody
+	if r.Body == http.NoBody {
+		return body, nil
+	}
+	var err error
+	body.reader = newBodyReader(w, r)
+	body.start, body.isLong, err = readStart(r.Context(), body.reader, f.memory.reserveOnce(&body.releaseMemory))
+	if err == nil {
+		return body, nil
+	}
+	if body.releaseMemory != nil {
+		body.releaseMemory()
+	}
+	switch {
+	case errors.Is(err, errNoMemory):
+		return requestBody{}, rejectUnread(w, http.StatusServiceUnavailable, "%w", err)
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return requestBody{}, &requestError{http.StatusRequestTimeout, errors.New("the body does not come")}
+	}
+	return requestBody{}, badRequest("reading the body: %w", err)
+}
+
+// rejectUnread rejects a request whose body is not read, so that its connection can't carry another one.
+func rejectUnread(w http.ResponseWriter, status int, format string, args ...any) error {
+	w.Header().Set("Connection", "close")
+	return &requestError{status, fmt.Errorf(format, args...)}
+}
+
+// newOutbound makes what goes to an endpoint for a client's request.
+func newOutbound(r *http.Request, body []byte) *outbound {
+	return &outbound{
+		method: r.Method,
+		url: &url.URL{
+			Path:       r.URL.Path,
+			RawPath:    r.URL.RawPath,
+			RawQuery:   r.URL.RawQuery,
+			ForceQuery: r.URL.ForceQuery,
 		},
-	}, e, 0, nil
+		host:   r.Host,
+		header: endToEnd(r.Header),
+		body:   body,
+	}
 }
 
 // updateLatestDeadline notes how long the front may have to stay, whatever its settings say by then.
@@ -123,18 +182,6 @@
 	}
 }
 
-// formError is a request whose form its class does not have.
-type formError struct {
-	status int
-	text   string
-}
-
-func (e formError) Error() string { return e.text }
-
-func badRequest(format string, args ...any) error {
-	return formError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
-}
-
 // fits checks a request's form. The method and the key tell the server what a
 // repeat would do, so they must agree with what the balancer believes.
 func fits(r *http.Request, class string, effect balancer.Idempotency) error {
@@ -143,7 +190,7 @@
 		want = http.MethodGet
 	}
 	if r.Method != want {
-		return formError{http.StatusMethodNotAllowed, fmt.Sprintf("class %s wants %s", class, want)}
+		return &requestError{http.StatusMethodNotAllowed, fmt.Errorf("class %s wants %s", class, want)}
 	}
 	switch keys := r.Header.Values("Idempotency-Key"); {
 	case effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""),
