--- a/cmd/wrenspread-proxy/process_test.go
+++ b/cmd/wrenspread-proxy/process_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"encoding/json"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -13,6 +12,7 @@
 	"time"
 
 	"wrenspread/internal/besteffort"
+	"wrenspread/internal/lab/labtest"
 )
 
 // process is one process of the proxy.
@@ -31,12 +31,7 @@
 // startWith starts a process with some keys of its configuration changed; nil takes a key out.
 func (p *platform) startWith(t *testing.T, changed map[string]any, env ...string) *process {
 	t.Helper()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	control := free.Addr().String()
-	besteffort.Close(free)
+	control := labtest.Address(t) // kept for this process: another must not be given the port before it binds it
 	config := map[string]any{"name": "n0", "listen": p.address, "discovery": p.discovery, "seed": "1f", "control": control,
 		"peer_listen": p.peerListen, "peers": []string{p.peerListen, "127.0.0.1:9"},
 		"settings": map[string]any{"balancers": 2, "caps": map[string]any{"peers": true, "max_attempts": 3,
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -28,7 +28,13 @@
 // ownLimit tells whether the proxy itself could not open a connection, which
 // says nothing of the server.
 func ownLimit(err error) bool {
-	for _, limit := range []error{errNoCapacity, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
+	for _, limit := range []error{
+		errNoCapacity,
+		syscall.EMFILE,
+		syscall.ENFILE,
+		syscall.ENOBUFS,
+		syscall.EADDRNOTAVAIL,
+	} {
 		if errors.Is(err, limit) {
 			return true
 		}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -98,7 +98,9 @@
 		// HTTP/1 always has it; an answer may come ahead of the body's end
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		up.clientGone = req.abandoned
-		up.onComplete = func(wait time.Duration) { f.server.post(func() { f.server.requestSent(req, f.timeLeft(wait)) }) }
+		up.onComplete = func(wait time.Duration) {
+			f.server.post(func() { f.server.requestSent(req, f.timeLeft(wait)) })
+		}
 		defer up.close()
 	} else {
 		outstanding.Add(1)
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -1,5 +1,7 @@
-// Package accept is what clients' connections pass ahead of the HTTP server:
-// they are bounded in number, and nothing of ambiguous length gets through.
+// Package listener accepts clients' connections for the proxy's HTTP server. It bounds their number, closes
+// idle ones to make room, withholds requests whose framing is ambiguous (request smuggling), notices clients
+// that leave, and closes connections so that the last response is not lost: by write shutdown, reading to the
+// client's end, and then close.
 package listener
 
 import (
--- a/internal/proxy/membership_config.go
+++ b/internal/proxy/membership_config.go
@@ -47,7 +47,9 @@
 	if f == nil {
 		return c, nil
 	}
-	wrong := func(format string, args ...any) { problems = append(problems, fmt.Errorf("fleet: "+format, args...)) }
+	wrong := func(format string, args ...any) {
+		problems = append(problems, fmt.Errorf("fleet: "+format, args...))
+	}
 	c = MembershipConfig{Name: f.Name, ProbeInterval: time.Duration(f.PeriodMS) * time.Millisecond}
 	if f.Name == "" || len(f.Name) > wire.MaxName {
 		wrong("name: want the fleet's name, of at most %d bytes", wire.MaxName)
@@ -88,7 +90,7 @@
 	return c, problems
 }
 
-const membershipOff = "the view stays off, as the settings allow no messages between nodes (settings.caps.peers)"
+const membershipOff = "membership stays off, as the settings allow no gossip (settings.caps.peers)"
 
 // withoutMembership is the configuration of a proxy that may send no messages to others.
 func (c Config) withoutMembership(log *slog.Logger) Config {
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"wrenspread/balancer"
-	"wrenspread/internal/besteffort"
 	"wrenspread/internal/membership/wire"
 	"wrenspread/internal/quota"
 	"wrenspread/internal/quota/record"
@@ -222,25 +221,14 @@
 	}
 }
 
-func one(on bool) int {
-	if on {
-		return 1
-	}
-	return 0
-}
-
-// write gives the figures of the policy as lines of text.
+// write writes the figures of the policy as lines of text.
 func (g *policyFollower) write(w io.Writer) {
-	besteffort.Output(
-		fmt.Fprintf(
-			w,
-			"app.policy.version:%d|g\napp.policy.asked:%d|c\napp.policy.refused:%d|c\napp.policy.fence:%d|g\napp.policy.resting:%d|g\napp.policy.seated:%d|g\n",
-			g.version.Load(),
-			g.requests.Load(),
-			g.rejected.Load(),
-			g.token.Load(),
-			one(g.fallbackSuspended.Load()),
-			one(g.hasSlot.Load()),
-		),
-	)
+	writeStats(w, []stat{
+		gauge("app.policy.version", int64(g.version.Load())),
+		counter("app.policy.asked", int64(g.requests.Load())),
+		counter("app.policy.refused", int64(g.rejected.Load())),
+		gauge("app.policy.fence", int64(g.token.Load())),
+		flag("app.policy.resting", g.fallbackSuspended.Load()),
+		flag("app.policy.seated", g.hasSlot.Load()),
+	})
 }
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -128,14 +128,40 @@
 			),
 		)
 	}
-	for _, f := range []struct {
-		name, kind string
-		value      *atomic.Int64
-	}{
-		{"forwards", "c", &s.forwards}, {"outstanding", "g", &s.outstanding}, {"discovered", "g", &s.discovered},
-		{"ejected", "g", &s.ejected}, {"sighup_applied", "c", &s.sighupApplied}, {"sighup_rejected", "c", &s.sighupRejected},
-	} {
-		besteffort.Output(fmt.Fprintf(w, "app.%s:%d|%s\n", f.name, f.value.Load(), f.kind))
+	writeStats(w, []stat{
+		counter("app.forwards", s.forwards.Load()),
+		gauge("app.outstanding", s.outstanding.Load()),
+		gauge("app.discovered", s.discovered.Load()),
+		gauge("app.ejected", s.ejected.Load()),
+		counter("app.sighup_applied", s.sighupApplied.Load()),
+		counter("app.sighup_rejected", s.sighupRejected.Load()),
+	})
+}
+
+// stat is a figure for operators, in the line format of statsd.
+type stat struct {
+	name  string
+	value int64
+	kind  string
+}
+
+// counter is a figure that counts from the start of the process.
+func counter(name string, value int64) stat { return stat{name, value, "c"} }
+
+// gauge is a figure of this moment.
+func gauge(name string, value int64) stat { return stat{name, value, "g"} }
+
+// flag is a gauge that is 1 or 0.
+func flag(name string, on bool) stat {
+	if on {
+		return gauge(name, 1)
+	}
+	return gauge(name, 0)
+}
+
+func writeStats(w io.Writer, stats []stat) {
+	for _, s := range stats {
+		besteffort.Output(fmt.Fprintf(w, "%s:%d|%s\n", s.name, s.value, s.kind))
 	}
 }
 
--- a/internal/proxy/tenants_report.go
+++ b/internal/proxy/tenants_report.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 
@@ -10,19 +9,15 @@
 	"wrenspread/internal/tenant"
 )
 
-// write gives the figures of tenants as lines of text.
+// write writes the figures of tenants as lines of text.
 func (t *tenantService) write(w io.Writer) {
-	besteffort.Output(
-		fmt.Fprintf(
-			w,
-			"app.tenants.number:%d|g\napp.tenants.known:%d|g\napp.tenants.unsure:%d|c\napp.tenants.declined:%d|c\napp.tenants.unknown:%d|c\n",
-			t.number.Load(),
-			t.tenantCount.Load(),
-			t.unavailable.Load(),
-			t.forbidden.Load(),
-			t.notFound.Load(),
-		),
-	)
+	writeStats(w, []stat{
+		gauge("app.tenants.number", int64(t.number.Load())),
+		gauge("app.tenants.known", int64(t.tenantCount.Load())),
+		counter("app.tenants.unsure", int64(t.unavailable.Load())),
+		counter("app.tenants.declined", int64(t.forbidden.Load())),
+		counter("app.tenants.unknown", int64(t.notFound.Load())),
+	})
 }
 
 // serveTenants tells an operator what this proxy knows of tenants, MaxTenants at most.
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -61,7 +61,11 @@
 
 // plan finds the variants that a catalogue needs: equal routes share one.
 func (l *routeVariants) plan(i *tenant.Snapshot, classes []balancer.Class) {
-	l.variantOf, l.wanted, l.useCount, l.byLeaf, l.overLimit = map[routedClass]string{}, map[string]balancer.Class{}, map[string]int{}, map[*tenant.Leaf][]routedClass{}, false
+	l.variantOf = map[routedClass]string{}
+	l.wanted = map[string]balancer.Class{}
+	l.useCount = map[string]int{}
+	l.byLeaf = map[*tenant.Leaf][]routedClass{}
+	l.overLimit = false
 	l.follow(i, classes)
 }
 
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -42,7 +42,13 @@
 	if e.Name == "" {
 		return errors.New("name: missing")
 	}
-	for key, text := range map[string]string{"name": e.Name, "address": e.Address, "zone": e.Zone, "type": e.Type, "version": e.Version} {
+	for key, text := range map[string]string{
+		"name":    e.Name,
+		"address": e.Address,
+		"zone":    e.Zone,
+		"type":    e.Type,
+		"version": e.Version,
+	} {
 		if len(text) > MaxText {
 			return fmt.Errorf("%s: %d bytes, %d at most", key, len(text), MaxText)
 		}
--- a/internal/registry/lease_change.go
+++ b/internal/registry/lease_change.go
@@ -92,7 +92,12 @@
 	d.Queue = slices.Delete(d.Queue, i, i+1)
 	s.leaseChanged()
 	word := s.leases.Sessions[c.Session].Info
-	d.Holder, d.Process, d.HolderInfo, d.Priority, d.Token, d.Successor = c.Session, c.Process, &word, c.Priority, s.version, ""
+	d.Holder = c.Session
+	d.Process = c.Process
+	d.HolderInfo = &word
+	d.Priority = c.Priority
+	d.Token = s.version
+	d.Successor = ""
 	s.preempt(d)
 }
 
