--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -15,62 +15,62 @@
 // What watchers and readers of the list are answered.
 
 const (
-	cacheMost = 64       // answers kept of one part; watchers stand at few versions
-	cacheSize = 64 << 20 // bytes of all of them; one that is larger is kept alone
+	maxAnswersPerSubset = 64       // answers kept of one part; watchers stand at few versions
+	maxCachedBytes      = 64 << 20 // bytes of all of them; one that is larger is kept alone
 
 	// whole parts that are made and sent at once: a fleet that comes together gets them in turn
-	wholeMost  = 64
-	wholeWait  = time.Second     // for one's turn, before a reader is told to come again
-	wholeTime  = 5 * time.Second // for sending one: a reader that takes longer has given up
-	wholeAgain = 4               // s, over which those that are rejected are spread
+	maxCompleteReads        = 64
+	completeReadWait        = time.Second     // for one's turn, before a reader is told to come again
+	completeReadTimeout     = 5 * time.Second // for sending one: a reader that takes longer has given up
+	completeReadRetrySpread = 4               // s, over which those that are rejected are spread
 )
 
-// body is the encoded entries of an answer. They stay as they are until their part
+// encodedEndpoints is the encoded entries of an answer. They stay as they are until their part
 // changes, whatever the version of the list is by then.
-type body struct {
+type encodedEndpoints struct {
 	snapshot  bool
 	endpoints []byte
 }
 
-// part is what is known of a part. It forgets those that nobody watches, now and then.
-func (h *hub) part(p registry.Subset) *watched {
-	w := h.parts[p]
+// subset is what is known of a part. It forgets those that nobody watches, now and then.
+func (h *hub) subset(p registry.Subset) *subsetState {
+	w := h.subsets[p]
 	if w != nil {
 		return w
 	}
-	if len(h.parts) > h.pruneAt {
-		for q, w := range h.parts {
-			if w.waiting == nil || len(w.waiting.all) == 0 {
-				h.forget(w)
-				delete(h.parts, q)
+	if len(h.subsets) > h.pruneAt {
+		for q, w := range h.subsets {
+			if w.waiting == nil || len(w.waiting.watchers) == 0 {
+				h.dropAnswers(w)
+				delete(h.subsets, q)
 			}
 		}
-		h.pruneAt = 2*len(h.parts) + cacheMost
+		h.pruneAt = 2*len(h.subsets) + maxAnswersPerSubset
 	}
-	w = &watched{answers: map[uint64]body{}}
-	h.parts[p] = w
+	w = &subsetState{answers: map[uint64]encodedEndpoints{}}
+	h.subsets[p] = w
 	return w
 }
 
-// forget drops the answers of a part.
-func (h *hub) forget(w *watched) {
+// dropAnswers drops the answers of a part.
+func (h *hub) dropAnswers(w *subsetState) {
 	for from, b := range w.answers {
-		h.kept -= len(b.endpoints)
+		h.cachedBytes -= len(b.endpoints)
 		delete(w.answers, from)
 	}
 }
 
-func (h *hub) keep(p registry.Subset, from uint64, b body) {
-	if h.kept+len(b.endpoints) > cacheSize {
-		for _, w := range h.parts {
-			h.forget(w)
+func (h *hub) cacheAnswer(p registry.Subset, from uint64, b encodedEndpoints) {
+	if h.cachedBytes+len(b.endpoints) > maxCachedBytes {
+		for _, w := range h.subsets {
+			h.dropAnswers(w)
 		}
 	}
-	w := h.part(p)
-	if len(w.answers) >= cacheMost {
-		h.forget(w)
+	w := h.subset(p)
+	if len(w.answers) >= maxAnswersPerSubset {
+		h.dropAnswers(w)
 	}
-	h.kept += len(b.endpoints) - len(w.answers[from].endpoints)
+	h.cachedBytes += len(b.endpoints) - len(w.answers[from].endpoints)
 	w.answers[from] = b
 }
 
@@ -78,29 +78,29 @@
 // asks for, or that names none: what comes ahead of the entries, and these.
 func (h *hub) answer(q query) (head, entries []byte, err error) {
 	h.mu.Lock()
-	b, ok := body{}, false
-	if w := h.parts[q.part]; w != nil && q.from <= h.version {
+	b, ok := encodedEndpoints{}, false
+	if w := h.subsets[q.subset]; w != nil && q.from <= h.version {
 		b, ok = w.answers[q.from]
 	}
 	a, total := registry.ListResponse{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.total
 	h.mu.Unlock()
 	if !ok {
 		h.machine.mu.RLock()
-		a, total = h.machine.state.SubsetSince(q.part, q.from), h.machine.state.Len()
+		a, total = h.machine.state.SubsetSince(q.subset, q.from), h.machine.state.Len()
 		h.machine.mu.RUnlock()
-		b = body{snapshot: a.Snapshot}
+		b = encodedEndpoints{snapshot: a.Snapshot}
 		if b.endpoints, err = json.Marshal(a.Endpoints); err != nil {
 			return nil, nil, err
 		}
 		h.mu.Lock()
 		if a.Index == h.version && a.Epoch == h.epoch {
-			h.keep(q.part, q.from, b)
+			h.cacheAnswer(q.subset, q.from, b)
 		}
 		h.mu.Unlock()
 	}
 	a.Endpoints = []registry.Endpoint{}
-	if q.parted {
-		a.Subset, a.Total = q.part.String(), total
+	if q.namesSubset {
+		a.Subset, a.Total = q.subset.String(), total
 	}
 	head, err = json.Marshal(a)
 	return head[:len(head)-len("[]}")], b.endpoints, err
@@ -110,34 +110,34 @@
 // more than this replica is never given less: with an epoch it is told to ask
 // elsewhere; without one it hears that nothing is newer.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, q query) {
-	version, epoch := s.hub.has()
+	version, epoch := s.hub.current()
 	if q.epoch != "" && q.epoch != epoch {
 		q.from = 0
 	}
 	if q.from > version && q.epoch != "" {
-		refuse(w, http.StatusServiceUnavailable, "behind", fmt.Sprintf("this replica has version %d", version), 0)
+		writeError(w, http.StatusServiceUnavailable, "behind", fmt.Sprintf("this replica has version %d", version), 0)
 		return
 	}
-	if q.parted && q.from == 0 {
-		if !s.turn(r) {
-			refuse(
+	if q.namesSubset && q.from == 0 {
+		if !s.acquireCompleteRead(r) {
+			writeError(
 				w,
 				http.StatusTooManyRequests,
 				"paced",
 				"too many read whole parts here",
-				time.Second*time.Duration(1+rand.IntN(wholeAgain)),
+				time.Second*time.Duration(1+rand.IntN(completeReadRetrySpread)),
 			)
 			return
 		}
-		defer func() { <-s.whole }()
+		defer func() { <-s.completeReads }()
 		send := http.NewResponseController(w)
 		// a writer that knows none needs none
-		besteffort.SocketOption(send.SetWriteDeadline(time.Now().Add(wholeTime)))
+		besteffort.SocketOption(send.SetWriteDeadline(time.Now().Add(completeReadTimeout)))
 		defer func() { besteffort.SocketOption(send.SetWriteDeadline(time.Time{})) }()
 	}
 	head, entries, err := s.hub.answer(q)
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, "encoding", err.Error(), 0)
+		writeError(w, http.StatusInternalServerError, "encoding", err.Error(), 0)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -147,17 +147,17 @@
 	}
 }
 
-// turn takes one of the places for whole parts, unless none gets free in time.
-func (s *Server) turn(r *http.Request) bool {
+// acquireCompleteRead takes one of the places for whole parts, unless none gets free in time.
+func (s *Server) acquireCompleteRead(r *http.Request) bool {
 	select {
-	case s.whole <- struct{}{}:
+	case s.completeReads <- struct{}{}:
 		return true
 	default:
 	}
-	t := time.NewTimer(wholeWait)
+	t := time.NewTimer(completeReadWait)
 	defer t.Stop()
 	select {
-	case s.whole <- struct{}{}:
+	case s.completeReads <- struct{}{}:
 		return true
 	case <-t.C:
 	case <-r.Context().Done():
--- a/internal/registry/server/backup.go
+++ b/internal/registry/server/backup.go
@@ -14,7 +14,7 @@
 
 // backup answers with the whole state as it is now, sealed.
 func (s *Server) backup(w http.ResponseWriter, _ *http.Request) {
-	if !s.upToNow(w) {
+	if !s.waitUntilCurrent(w) {
 		return
 	}
 	s.machine.mu.RLock()
@@ -22,7 +22,7 @@
 	s.machine.mu.RUnlock()
 	raw, err := image.Encode()
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, "encoding", err.Error(), 0)
+		writeError(w, http.StatusInternalServerError, "encoding", err.Error(), 0)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -39,17 +39,17 @@
 	}
 	raw, err := checksumfile.Decode(body)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "bad", fmt.Sprintf("backup: %v", err), 0)
+		writeError(w, http.StatusBadRequest, "bad", fmt.Sprintf("backup: %v", err), 0)
 		return
 	}
 	over, id := r.URL.Query().Get("epoch"), r.URL.Query().Get("id")
 	c := registry.Command{Op: registry.OpRestore, ID: id, Epoch: newEpoch(), ReplacesEpoch: over, Snapshot: raw}
 	if err := c.Check(); err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
 	if over == "" {
-		refuse(w, http.StatusBadRequest, "bad", "epoch: missing; it is that of the list to be replaced", 0)
+		writeError(w, http.StatusBadRequest, "bad", "epoch: missing; it is that of the list to be replaced", 0)
 		return
 	}
 	result, err := s.replica.apply(c)
--- a/internal/registry/server/contact.go
+++ b/internal/registry/server/contact.go
@@ -11,10 +11,10 @@
 // election takes: then its list may be old, and a reader that has others to ask
 // is told so.
 type contact struct {
-	caught  atomic.Bool // it has replayed what its log had when it was started
-	mu      sync.Mutex
-	lost    bool
-	changed chan struct{} // closed and replaced when lost changes
+	caughtUp atomic.Bool // it has replayed what its log had when it was started
+	mu       sync.Mutex
+	lost     bool
+	changed  chan struct{} // closed and replaced when lost changes
 }
 
 func newContact() *contact { return &contact{changed: make(chan struct{})} }
@@ -67,9 +67,9 @@
 		m.mu.RLock()
 		index := m.index
 		m.mu.RUnlock()
-		past := r.leader() != "" && r.raft.AppliedIndex() >= r.found
-		if past && (index >= r.found || looked && index == last) {
-			c.caught.Store(true)
+		past := r.leader() != "" && r.raft.AppliedIndex() >= r.lastIndexAtOpen
+		if past && (index >= r.lastIndexAtOpen || looked && index == last) {
+			c.caughtUp.Store(true)
 			return
 		}
 		last, looked = index, past
--- a/internal/registry/server/cutoff_test.go
+++ b/internal/registry/server/cutoff_test.go
@@ -32,7 +32,7 @@
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				m := &machine{state: registry.NewState()}
-				s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), ctx: ctx}
+				s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newContact(), ctx: ctx}
 				m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 				s.hub.publishList(m.state)
 				go s.hub.run(ctx.Done())
--- a/internal/registry/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -23,10 +23,10 @@
 	apply   func(registry.Command) (registry.Result, error)
 	log     *slog.Logger
 
-	mu     sync.Mutex
-	leases *registry.EndpointExpiry // nil while another leads
-	kept   int                      // overdue entries that are held back
-	count  int                      // expired so far
+	mu       sync.Mutex
+	leases   *registry.EndpointExpiry // nil while another leads
+	heldBack int                      // overdue entries that are held back
+	expired  int                      // expired so far
 }
 
 func (x *expiry) now() time.Duration { return time.Since(x.start) }
@@ -36,7 +36,7 @@
 	x.machine.mu.RLock()
 	items := x.machine.state.Registrations()
 	x.mu.Lock() // under the other lock, so that no change falls between the two
-	x.leases, x.kept = registry.NewEndpointExpiry(items, x.now()), 0
+	x.leases, x.heldBack = registry.NewEndpointExpiry(items, x.now()), 0
 	x.mu.Unlock()
 	x.machine.mu.RUnlock()
 }
@@ -44,7 +44,7 @@
 func (x *expiry) follow() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.leases, x.kept = nil, 0
+	x.leases, x.heldBack = nil, 0
 }
 
 // applied keeps the leases in step with the list. The caller holds the machine's lock.
@@ -92,8 +92,8 @@
 func (x *expiry) run(ctx context.Context) {
 	every(ctx, x.now, func(late time.Duration) {
 		x.log.Warn("process was paused, restarting all TTLs", "for", late)
-		x.again()
-	}, x.once)
+		x.restartAll()
+	}, x.expireDue)
 }
 
 // every looks at deadlines again and again until ctx ends, and says before a look
@@ -121,8 +121,8 @@
 	}
 }
 
-// again gives every entry its full time, if this replica leads.
-func (x *expiry) again() {
+// restartAll gives every entry its full time, if this replica leads.
+func (x *expiry) restartAll() {
 	x.mu.Lock()
 	leads := x.leases != nil
 	x.mu.Unlock()
@@ -131,32 +131,32 @@
 	}
 }
 
-func (x *expiry) once(now time.Duration) {
+func (x *expiry) expireDue(now time.Duration) {
 	x.mu.Lock()
 	if x.leases == nil {
 		x.mu.Unlock()
 		return
 	}
 	due, kept := x.leases.Due(now)
-	if (kept > 0) != (x.kept > 0) {
+	if (kept > 0) != (x.heldBack > 0) {
 		if kept > 0 {
 			x.log.Error("too many endpoints overdue at once, expiring none", "overdue", kept)
 		} else {
 			x.log.Info("endpoints expire again")
 		}
 	}
-	x.kept = kept
+	x.heldBack = kept
 	x.mu.Unlock()
 	for len(due) > 0 {
 		some := due[:min(len(due), registry.MaxExpire)]
 		due = due[len(some):]
 		if _, err := x.apply(registry.Command{Op: registry.OpExpire, Expired: some}); err != nil {
 			x.log.Warn("overdue endpoints kept", "entries", len(some), "err", err)
-			x.again()
+			x.restartAll()
 			return
 		}
 		x.mu.Lock()
-		x.count += len(some)
+		x.expired += len(some)
 		x.mu.Unlock()
 		for _, l := range some {
 			x.log.Info("expired", "entry", l.Name)
@@ -168,5 +168,5 @@
 func (x *expiry) figures() (kept, expired int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.kept, x.count
+	return x.heldBack, x.expired
 }
--- a/internal/registry/server/folder_test.go
+++ b/internal/registry/server/folder_test.go
@@ -102,7 +102,7 @@
 	close(stop)
 	go func() {
 		defer close(ended)
-		_ = patient{failing{}, slog.New(slog.DiscardHandler), stop}.SetUint64(nil, 1)
+		_ = retryingStableStore{failing{}, slog.New(slog.DiscardHandler), stop}.SetUint64(nil, 1)
 		t.Error("raft is told of an error")
 	}()
 	<-ended
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -64,18 +64,18 @@
 func FuzzCalls(f *testing.F) {
 	c := Default()
 	c.Folder, c.Listen, c.Election, c.MaxWrites = f.TempDir(), "127.0.0.1:0", 50*time.Millisecond, 1e9
-	s := &Server{c: c, log: slog.New(slog.DiscardHandler), rates: newRates(c.MaxWrites), contact: newContact(), broken: make(chan error, 1)}
+	s := &Server{config: c, log: slog.New(slog.DiscardHandler), rates: newRates(c.MaxWrites), contact: newContact(), broken: make(chan error, 1)}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	if err := s.open(); err != nil {
 		f.Fatal(err)
 	}
 	s.tasks.Go(func() { s.hub.run(s.ctx.Done()) })
-	s.tasks.Go(func() { s.dutyHub.run(s.ctx.Done()) })
+	s.tasks.Go(func() { s.leaseHub.run(s.ctx.Done()) })
 	s.tasks.Go(s.followLeader)
 	s.http = &http.Server{}
 	f.Cleanup(func() { _ = s.end() })
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
-		if _, epoch := s.hub.has(); epoch != "" {
+		if _, epoch := s.hub.current(); epoch != "" {
 			break
 		} else if time.Now().After(until) {
 			f.Fatal("the list does not begin")
--- a/internal/registry/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -17,40 +17,40 @@
 // makes each answer once for all who need the same. It finds those whom a change
 // concerns by the parts that hold it, never by a walk over all.
 type hub struct {
-	machine *machine
-	mu      sync.Mutex
-	parts   map[registry.Subset]*watched
-	pruneAt int // parts known at which those that nobody watches are forgotten
-	ahead   map[*watcher]bool
-	due     []*group // to be woken
-	held    int      // watchers, of all groups and ahead
-	kept    int      // bytes of answers
-	version uint64   // of all
-	newest  uint64   // of the last change that watchers are told of
-	epoch   string
-	total   int // entries of the list
-	news    chan struct{}
+	machine       *machine
+	mu            sync.Mutex
+	subsets       map[registry.Subset]*subsetState
+	pruneAt       int // parts known at which those that nobody watches are forgotten
+	ahead         map[*watcher]bool
+	due           []*watcherGroup // to be woken
+	watcherCount  int             // watchers, of all groups and ahead
+	cachedBytes   int             // bytes of answers
+	version       uint64          // of all
+	newestChange  uint64          // of the last change that watchers are told of
+	epoch         string
+	total         int // entries of the list
+	wakeRequested chan struct{}
 }
 
-// watched is a part of which there are watchers, or answers.
-type watched struct {
-	waiting *group
-	answers map[uint64]body // for this state of the part, by the version that they go on from
+// subsetState is a part of which there are watchers, or answers.
+type subsetState struct {
+	waiting *watcherGroup
+	answers map[uint64]encodedEndpoints // for this state of the part, by the version that they go on from
 }
 
-// group is the watchers of a part since its last change.
-type group struct {
-	all   map[*watcher]bool
-	due   bool   // a change concerns them, or all were told to look
-	after uint64 // that change is the first of their part past this version; 0: what has changed is not known
+// watcherGroup is the watchers of a part since its last change.
+type watcherGroup struct {
+	watchers map[*watcher]bool
+	due      bool   // a change concerns them, or all were told to look
+	after    uint64 // that change is the first of their part past this version; 0: what has changed is not known
 }
 
 func newHub(m *machine) *hub {
 	return &hub{
-		machine: m,
-		parts:   map[registry.Subset]*watched{},
-		ahead:   map[*watcher]bool{},
-		news:    make(chan struct{}, 1),
+		machine:       m,
+		subsets:       map[registry.Subset]*subsetState{},
+		ahead:         map[*watcher]bool{},
+		wakeRequested: make(chan struct{}, 1),
 	}
 }
 
@@ -62,11 +62,11 @@
 	if version == h.version && epoch == h.epoch {
 		return
 	}
-	if newest != h.newest || epoch != h.epoch {
-		h.moveAll()
+	if newest != h.newestChange || epoch != h.epoch {
+		h.markAllChanged()
 	}
-	h.version, h.newest, h.epoch = version, newest, epoch
-	h.signal()
+	h.version, h.newestChange, h.epoch = version, newest, epoch
+	h.requestWake()
 }
 
 // publishList is publish for the list, of which it tells those whom its changes concern.
@@ -78,41 +78,41 @@
 	if version == h.version && epoch == h.epoch {
 		return
 	}
-	if newest != h.newest || epoch != h.epoch {
-		if moves, ok := s.ChangePositions(h.newest); ok && epoch == h.epoch {
+	if newest != h.newestChange || epoch != h.epoch {
+		if moves, ok := s.ChangePositions(h.newestChange); ok && epoch == h.epoch {
 			for _, m := range moves {
-				registry.EachSubset(m.Position, func(p registry.Subset) { h.move(p, m.Version-1) })
+				registry.EachSubset(m.Position, func(p registry.Subset) { h.markChanged(p, m.Version-1) })
 			}
 		} else {
-			h.moveAll()
+			h.markAllChanged()
 		}
 	}
-	h.version, h.newest, h.epoch = version, newest, epoch
-	h.signal()
+	h.version, h.newestChange, h.epoch = version, newest, epoch
+	h.requestWake()
 }
 
-// move notes the first change of a part past a version.
-func (h *hub) move(p registry.Subset, after uint64) {
-	w := h.parts[p]
+// markChanged notes the first change of a part past a version.
+func (h *hub) markChanged(p registry.Subset, after uint64) {
+	w := h.subsets[p]
 	if w == nil {
 		return
 	}
-	h.forget(w)
+	h.dropAnswers(w)
 	if w.waiting != nil {
 		w.waiting.due, w.waiting.after = true, after
 		h.due, w.waiting = append(h.due, w.waiting), nil
 	}
 }
 
-func (h *hub) moveAll() {
-	for p := range h.parts {
-		h.move(p, 0)
+func (h *hub) markAllChanged() {
+	for p := range h.subsets {
+		h.markChanged(p, 0)
 	}
 }
 
-func (h *hub) signal() {
+func (h *hub) requestWake() {
 	select {
-	case h.news <- struct{}{}:
+	case h.wakeRequested <- struct{}{}:
 	default:
 	}
 }
@@ -121,7 +121,7 @@
 func (h *hub) run(done <-chan struct{}) {
 	for {
 		select {
-		case <-h.news:
+		case <-h.wakeRequested:
 		case <-done:
 			return
 		}
@@ -141,36 +141,36 @@
 	defer h.mu.Unlock()
 	n := 0
 	for ; len(h.due) > 0; h.due = h.due[1:] {
-		for w := range h.due[0].all {
+		for w := range h.due[0].watchers {
 			if n++; n > wakeBatch {
 				return true
 			}
-			h.drop(w, h.due[0].all)
+			h.wakeWatcher(w, h.due[0].watchers)
 		}
 	}
 	h.due = nil
 	for w := range h.ahead {
 		if w.from <= h.version {
-			h.drop(w, h.ahead)
+			h.wakeWatcher(w, h.ahead)
 		}
 	}
 	return false
 }
 
-func (h *hub) drop(w *watcher, of map[*watcher]bool) {
+func (h *hub) wakeWatcher(w *watcher, of map[*watcher]bool) {
 	delete(of, w)
-	h.held--
+	h.watcherCount--
 	close(w.wake)
 }
 
-func (h *hub) partsKnown() int {
+func (h *hub) subsetCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.parts)
+	return len(h.subsets)
 }
 
-// old tells whether there is something to tell whoever has version from of a part.
-func (h *hub) old(p registry.Subset, from uint64) bool {
+// hasNewer tells whether there is something to tell whoever has version from of a part.
+func (h *hub) hasNewer(p registry.Subset, from uint64) bool {
 	if !p.IsAll() {
 		h.machine.mu.RLock()
 		defer h.machine.mu.RUnlock()
@@ -178,11 +178,11 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return from < h.newest
+	return from < h.newestChange
 }
 
-// has tells the version and epoch that watchers are told of.
-func (h *hub) has() (version uint64, epoch string) {
+// current tells the version and epoch that watchers are told of.
+func (h *hub) current() (version uint64, epoch string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version, h.epoch
--- a/internal/registry/server/leases.go
+++ b/internal/registry/server/leases.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if body.TTLMS < 0 || body.TTLMS > int64(registry.MaxSessionTTL/time.Millisecond) {
-		refuse(
+		writeError(
 			w,
 			http.StatusBadRequest,
 			"bad",
@@ -29,7 +29,7 @@
 		)
 		return
 	}
-	s.duty(
+	s.lease(
 		w,
 		registry.Command{
 			Op: registry.OpOpenSession,
@@ -40,15 +40,15 @@
 }
 
 func (s *Server) closeSession(w http.ResponseWriter, r *http.Request) {
-	s.duty(w, registry.Command{Op: registry.OpCloseSessions, Sessions: []string{r.PathValue("id")}})
+	s.lease(w, registry.Command{Op: registry.OpCloseSessions, Sessions: []string{r.PathValue("id")}})
 }
 
-// wish makes a handler of a campaign or a release.
-func (s *Server) wish(do string) http.HandlerFunc {
-	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
+// candidacy makes a handler of a campaign or a release.
+func (s *Server) candidacy(do string) http.HandlerFunc {
+	return s.leaderOnly(maxBody, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.CandidacyRequest
 		if readJSON(w, r, &body) {
-			s.duty(
+			s.lease(
 				w,
 				registry.Command{
 					Op:          do,
@@ -62,20 +62,20 @@
 
 // order makes a handler of an operator's order.
 func (s *Server) order(do string) http.HandlerFunc {
-	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
+	return s.leaderOnly(maxBody, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.LeaseOrder
 		if readJSON(w, r, &body) {
-			s.duty(w, registry.Command{Op: do, Name: r.PathValue("name"), Process: body.Process, Enable: body.Block})
+			s.lease(w, registry.Command{Op: do, Name: r.PathValue("name"), Process: body.Process, Enable: body.Block})
 		}
 	})
 }
 
-func (s *Server) duty(w http.ResponseWriter, c registry.Command) {
+func (s *Server) lease(w http.ResponseWriter, c registry.Command) {
 	if err := c.Check(); err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
-	result, err := s.sessions.do(c)
+	result, err := s.sessions.applyPaced(c)
 	s.finish(w, result, err)
 }
 
@@ -88,7 +88,7 @@
 		return
 	}
 	if len(body.Sessions) == 0 || len(body.Sessions) > maxNames {
-		refuse(
+		writeError(
 			w,
 			http.StatusBadRequest,
 			"bad",
@@ -103,23 +103,23 @@
 	}
 	unknown, ok := s.sessions.renew(body.Sessions)
 	if !ok {
-		refuse(w, http.StatusServiceUnavailable, "not-leading", "this replica does not lead yet", time.Second)
+		writeError(w, http.StatusServiceUnavailable, "not-leading", "this replica does not lead yet", time.Second)
 		return
 	}
 	writeJSON(w, http.StatusOK, registry.SessionRenewal{Unknown: unknown})
 }
 
-// readDuties answers reads and watches of leases, as this replica has them.
-func (s *Server) readDuties(w http.ResponseWriter, r *http.Request) {
+// readLeases answers reads and watches of leases, as this replica has them.
+func (s *Server) readLeases(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
-	if q.current && !s.asOfNow(w, r) {
+	if q.current && !s.ensureCurrent(w, r) {
 		return
 	}
-	if q.from > 0 && q.hold > 0 && !s.holdDuties(w, r, q) {
+	if q.from > 0 && q.hold > 0 && !s.holdLeaseWatch(w, r, q) {
 		return
 	}
 	s.machine.mu.RLock()
@@ -135,16 +135,16 @@
 	}
 	s.machine.mu.RUnlock()
 	if !known {
-		refuse(w, http.StatusNotFound, string(registry.NotFound), "there is no session "+session, 0)
+		writeError(w, http.StatusNotFound, string(registry.NotFound), "there is no session "+session, 0)
 		return
 	}
 	a.Leases = append(a.Leases, all...)
 	writeJSON(w, http.StatusOK, a)
 }
 
-// holdDuties waits until a lease changes after the reader's version: few do, and not for a moment at a
+// holdLeaseWatch waits until a lease changes after the reader's version: few do, and not for a moment at a
 // replica that is cut off. It is false where the call has been answered.
-func (s *Server) holdDuties(w http.ResponseWriter, r *http.Request, q query) bool {
-	_, ok := s.await(w, r, s.dutyHub, query{from: q.from}, q.hold, 0)
+func (s *Server) holdLeaseWatch(w http.ResponseWriter, r *http.Request, q query) bool {
+	_, ok := s.await(w, r, s.leaseHub, query{from: q.from}, q.hold, 0)
 	return ok
 }
--- a/internal/registry/server/leases_test.go
+++ b/internal/registry/server/leases_test.go
@@ -10,7 +10,7 @@
 	"wrenspread/internal/registry"
 )
 
-func duty(t *testing.T, url, query string) registry.LeasesResponse {
+func encodeLease(t *testing.T, url, query string) registry.LeasesResponse {
 	t.Helper()
 	status, body := call(t, "GET", url+"/registry/duties"+query, "")
 	var a registry.LeasesResponse
@@ -33,7 +33,7 @@
 	}
 	held := func(by string) registry.Lease { // once it is
 		t.Helper()
-		for a, until := duty(t, url, "?session="+by), time.Now().Add(enough); ; a = duty(t, url, fmt.Sprintf("?session=%s&from=%d&hold_ms=1000", by, a.Index)) {
+		for a, until := encodeLease(t, url, "?session="+by), time.Now().Add(enough); ; a = encodeLease(t, url, fmt.Sprintf("?session=%s&from=%d&hold_ms=1000", by, a.Index)) {
 			if len(a.Leases) == 1 && a.Leases[0].Holder == by {
 				return a.Leases[0]
 			} else if time.Now().After(until) {
@@ -97,7 +97,7 @@
 	call(t, "PUT", url+"/registry/sessions/last", `{"process":"p","ttl_ms":60000}`)
 	call(t, "POST", url+"/registry/sessions/last/campaign", `{"duties":[{"duty":"d"}]}`)
 	for until := time.Now().Add(enough); ; time.Sleep(5 * time.Millisecond) {
-		if d := duty(t, url, "").Leases; len(d) == 1 && d[0].Holder == "last" {
+		if d := encodeLease(t, url, "").Leases; len(d) == 1 && d[0].Holder == "last" {
 			break
 		} else if time.Now().After(until) {
 			t.Fatalf("the last does not come to hold it: %+v", d)
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -17,10 +17,10 @@
 	"wrenspread/internal/registry"
 )
 
-func (s *Server) members(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listReplicas(w http.ResponseWriter, _ *http.Request) {
 	servers, err := s.replica.servers()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, "members", err.Error(), time.Second)
+		writeError(w, http.StatusServiceUnavailable, "members", err.Error(), time.Second)
 		return
 	}
 	all := []registry.Replica{}
@@ -36,7 +36,7 @@
 		Name:   name,
 		Leader: name == s.replica.leader(),
 		Voter:  m.Suffrage == raft.Voter,
-		Self:   name == s.c.Name,
+		Self:   name == s.config.Name,
 	}
 	if a, ok := s.machine.member(name); ok {
 		d.Address = &a
@@ -44,23 +44,23 @@
 	return d
 }
 
-// addMember adds a replica that has been started on an empty folder. It learns at
+// addReplica adds a replica that has been started on an empty folder. It learns at
 // first; a call that finds it up to date gives it its vote, so that a replica
 // that never comes up takes no part in any majority. The caller repeats the call
 // until the answer says that it votes. Without an address it is meant to be where
 // the others' configurations have it, such as one whose folder was lost.
-func (s *Server) addMember(w http.ResponseWriter, r *http.Request) {
+func (s *Server) addReplica(w http.ResponseWriter, r *http.Request) {
 	var at registry.Address
 	if !readJSON(w, r, &at) {
 		return
 	}
 	c := registry.Command{Op: registry.OpAddReplica, Name: r.PathValue("name"), Address: &at}
-	known, ok := addresses{s.c, s.machine}.find(c.Name)
+	known, ok := addresses{s.config, s.machine}.find(c.Name)
 	if at == (registry.Address{}) && ok {
 		at = known
 	}
 	if err := c.Check(); err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
 	servers, err := s.replica.servers()
@@ -71,7 +71,7 @@
 	is := func(m raft.Server) bool { return string(m.ID) == c.Name }
 	i := slices.IndexFunc(servers, is)
 	if i < 0 && len(servers) >= registry.MaxReplicas {
-		refuse(
+		writeError(
 			w,
 			http.StatusInsufficientStorage,
 			string(registry.CapacityExceeded),
@@ -88,11 +88,11 @@
 	}
 	switch {
 	case i < 0:
-		err = judge(
+		err = classifyRaftError(
 			s.replica.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTime).Error(),
 		)
 	case servers[i].Suffrage != raft.Voter && s.upToDate(r.Context(), at):
-		err = judge(
+		err = classifyRaftError(
 			s.replica.raft.AddVoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTime).Error(),
 		)
 	}
@@ -100,14 +100,14 @@
 		servers, err = s.replica.servers()
 	}
 	if i = slices.IndexFunc(servers, is); err != nil || i < 0 {
-		s.finish(w, registry.Result{}, gone(err))
+		s.finish(w, registry.Result{}, isRemoved(err))
 		return
 	}
 	writeJSON(w, http.StatusOK, s.describe(servers[i]))
 }
 
-// gone stands for a change that was made and is gone again: another call was faster.
-func gone(err error) error {
+// isRemoved stands for a change that was made and is gone again: another call was faster.
+func isRemoved(err error) error {
 	if err == nil {
 		err = errors.New("it has been removed meanwhile")
 	}
@@ -116,9 +116,9 @@
 
 // upToDate tells whether a replica answers, and has the list as it is here.
 func (s *Server) upToDate(ctx context.Context, at registry.Address) bool {
-	ctx, cancel := context.WithTimeout(ctx, 2*behind)
+	ctx, cancel := context.WithTimeout(ctx, 2*behindWait)
 	defer cancel()
-	version, epoch := s.hub.has()
+	version, epoch := s.hub.current()
 	q := url.Values{"from": {strconv.FormatUint(version, 10)}, "epoch": {epoch}}
 	req, err := http.NewRequestWithContext(
 		ctx,
@@ -129,7 +129,7 @@
 	if err != nil {
 		return false
 	}
-	resp, err := passing.RoundTrip(req)
+	resp, err := leaderTransport.RoundTrip(req)
 	if err != nil {
 		return false
 	}
@@ -138,9 +138,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// removeMember takes a replica out of the cluster. A leader that is to go hands
+// removeReplica takes a replica out of the cluster. A leader that is to go hands
 // leadership on first, and its successor removes it.
-func (s *Server) removeMember(w http.ResponseWriter, r *http.Request) {
+func (s *Server) removeReplica(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	servers, err := s.replica.servers()
 	if err != nil {
@@ -154,14 +154,14 @@
 	)
 	switch {
 	case !there:
-		refuse(w, http.StatusNotFound, string(registry.NotFound), "there is no replica "+name, 0)
+		writeError(w, http.StatusNotFound, string(registry.NotFound), "there is no replica "+name, 0)
 		return
 	case !others:
-		refuse(w, http.StatusConflict, string(registry.Conflict), name+" is the only one that votes", 0)
+		writeError(w, http.StatusConflict, string(registry.Conflict), name+" is the only one that votes", 0)
 		return
-	case name == s.c.Name:
+	case name == s.config.Name:
 		err = s.replica.raft.LeadershipTransfer().Error()
-		refuse(
+		writeError(
 			w,
 			http.StatusServiceUnavailable,
 			"not-leading",
@@ -170,9 +170,9 @@
 		)
 		return
 	}
-	if err = judge(s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTime).Error()); err == nil {
+	if err = classifyRaftError(s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTime).Error()); err == nil {
 		_, err = s.replica.apply(registry.Command{Op: registry.OpForgetReplica, Name: name})
 	}
-	version, _ := s.hub.has()
+	version, _ := s.hub.current()
 	s.finish(w, registry.Result{Version: version}, err)
 }
--- a/internal/registry/server/paced_sockets_test.go
+++ b/internal/registry/server/paced_sockets_test.go
@@ -15,18 +15,18 @@
 	"wrenspread/internal/registry/client"
 )
 
-// counted is what a handler answered.
-type counted struct {
+// statusRecorder is what a handler answered.
+type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
-func (c *counted) WriteHeader(status int) {
+func (c *statusRecorder) WriteHeader(status int) {
 	c.status = status
 	c.ResponseWriter.WriteHeader(status)
 }
 
-func (c *counted) Unwrap() http.ResponseWriter { return c.ResponseWriter }
+func (c *statusRecorder) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
 // TestColdFleetOverSockets: a few hundred clients that come at once for whole parts, with a place for each 75 of them as
 // 64 are for 4,300, all get theirs, though each place was taken as they came: each whole answer once, the narrow one to
@@ -34,18 +34,18 @@
 func TestColdFleetOverSockets(t *testing.T) {
 	const clients, places, servers, nodes = 300, 4, 150, 4300
 	m := &machine{state: registry.NewState()}
-	s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), whole: make(chan struct{}, places), ctx: t.Context()}
+	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newContact(), completeReads: make(chan struct{}, places), ctx: t.Context()}
 	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	for i := range servers {
 		m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry(fmt.Sprint("s", i), 1)})
 	}
 	s.hub.publishList(m.state)
-	s.contact.caught.Store(true)
+	s.contact.caughtUp.Store(true)
 	var given, sentAway atomic.Int32
 	allAway := make(chan struct{})
 	away := sync.OnceFunc(func() { close(allAway) })
 	door := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := &counted{w, http.StatusOK}
+		c := &statusRecorder{w, http.StatusOK}
 		s.instances(c, r)
 		switch {
 		case r.URL.Query().Has("from"):
@@ -62,7 +62,7 @@
 	door.Start()
 	defer door.Close()
 	for range places {
-		s.whole <- struct{}{}
+		s.completeReads <- struct{}{}
 	}
 	wants := func(i, total int) registry.Subset { return registry.SubsetOf(i, nodes, eachCounts*total) }
 	ctx, stop := context.WithCancel(t.Context())
@@ -99,7 +99,7 @@
 		t.Errorf("%d whole parts are given past the places", n)
 	}
 	for range places {
-		<-s.whole
+		<-s.completeReads
 	}
 	have.Wait()
 	if n := int(given.Load()); n != clients+wide || wide < clients/2 {
--- a/internal/registry/server/paced_test.go
+++ b/internal/registry/server/paced_test.go
@@ -13,11 +13,11 @@
 // list of those that name no part, are not held up.
 func TestWholePartsArePaced(t *testing.T) {
 	m := &machine{state: registry.NewState()}
-	s := &Server{c: Default(), machine: m, hub: newHub(m), contact: newContact(), whole: make(chan struct{}, 1), ctx: context.Background()}
+	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newContact(), completeReads: make(chan struct{}, 1), ctx: context.Background()}
 	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("s", 1)})
 	s.hub.publishList(m.state)
-	s.contact.caught.Store(true)
+	s.contact.caughtUp.Store(true)
 	gone, cancel := context.WithCancel(context.Background())
 	cancel() // in place of the wait for one's turn
 	ask := func(query string) *httptest.ResponseRecorder {
@@ -27,7 +27,7 @@
 	}
 	for taken, want := range map[bool]int{false: 200, true: 429} {
 		if taken {
-			s.whole <- struct{}{}
+			s.completeReads <- struct{}{}
 		}
 		w := ask("?part=0-4096")
 		if w.Code != want || (w.Header().Get("Retry-After") != "") != taken {
@@ -39,7 +39,7 @@
 			}
 		}
 		if taken {
-			<-s.whole
+			<-s.completeReads
 		}
 	}
 }
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -14,8 +14,8 @@
 // maxHold bounds a watch, as the protocol does.
 const maxHold = time.Minute
 
-// behind is how long a call that has seen more than this replica waits for it, whatever its hold.
-const behind = time.Second
+// behindWait is how long a call that has seen more than this replica waits for it, whatever its hold.
+const behindWait = time.Second
 
 // cutOffHold is the longest that a call is held on at a replica that is cut off. Half of it, past the call's
 // own hold, is a third of what a client grants an answer there; all of it, with two of the default election's
@@ -28,12 +28,12 @@
 
 // query is what a read asks for.
 type query struct {
-	from    uint64
-	hold    time.Duration
-	epoch   string // that the reader knows, or empty
-	current bool   // as of now, not as this replica has it
-	part    registry.Subset
-	parted  bool // the reader has named a part
+	from        uint64
+	hold        time.Duration
+	epoch       string // that the reader knows, or empty
+	current     bool   // as of now, not as this replica has it
+	subset      registry.Subset
+	namesSubset bool // the reader has named a part
 }
 
 func parseQuery(r *http.Request) (q query, err error) {
@@ -50,8 +50,8 @@
 		}
 		q.hold = min(maxHold, time.Duration(ms)*time.Millisecond)
 	}
-	if q.parted = v.Has("part"); q.parted {
-		if q.part, err = registry.ParseSubset(v.Get("part")); err != nil {
+	if q.namesSubset = v.Has("part"); q.namesSubset {
+		if q.subset, err = registry.ParseSubset(v.Get("part")); err != nil {
 			return q, err
 		}
 	}
@@ -63,15 +63,15 @@
 func (s *Server) instances(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
-	if q.current && !s.asOfNow(w, r) {
+	if q.current && !s.ensureCurrent(w, r) {
 		return
 	}
-	_, epoch := s.hub.has()
-	if epoch == "" || q.from == 0 && !s.contact.caught.Load() {
-		refuse(
+	_, epoch := s.hub.current()
+	if epoch == "" || q.from == 0 && !s.contact.caughtUp.Load() {
+		writeError(
 			w,
 			http.StatusServiceUnavailable,
 			"not-begun",
@@ -83,7 +83,7 @@
 	if q.epoch != "" && q.epoch != epoch {
 		q.from = 0 // another list: all of it
 	}
-	if q.from > 0 && !s.hub.old(q.part, q.from) {
+	if q.from > 0 && !s.hub.hasNewer(q.subset, q.from) {
 		var ok bool
 		if q.from, ok = s.hold(w, r, q); !ok {
 			return
@@ -92,28 +92,28 @@
 	s.answer(w, r, q)
 }
 
-// asOfNow has the leader answer, or waits until this replica, as the leader, has
+// ensureCurrent has the leader answer, or waits until this replica, as the leader, has
 // all that was done before. It is false where the call has been answered.
-func (s *Server) asOfNow(w http.ResponseWriter, r *http.Request) bool {
+func (s *Server) ensureCurrent(w http.ResponseWriter, r *http.Request) bool {
 	if !s.replica.leads() {
-		s.passOn(w, r, maxBody)
+		s.forwardToLeader(w, r, maxBody)
 		return false
 	}
-	return s.upToNow(w)
+	return s.waitUntilCurrent(w)
 }
 
-// upToNow is asOfNow for calls that have come to the leader already.
-func (s *Server) upToNow(w http.ResponseWriter) bool {
+// waitUntilCurrent is asOfNow for calls that have come to the leader already.
+func (s *Server) waitUntilCurrent(w http.ResponseWriter) bool {
 	if err := s.replica.current(); err != nil {
-		refuse(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
+		writeError(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
 		return false
 	}
 	return true
 }
 
-// items answers with the list as it is now, and what is known of each entry.
-func (s *Server) items(w http.ResponseWriter, _ *http.Request) {
-	if !s.upToNow(w) {
+// registrations answers with the list as it is now, and what is known of each entry.
+func (s *Server) registrations(w http.ResponseWriter, _ *http.Request) {
+	if !s.waitUntilCurrent(w) {
 		return
 	}
 	s.machine.mu.RLock()
@@ -131,8 +131,8 @@
 // has no caller any more.
 func (s *Server) hold(w http.ResponseWriter, r *http.Request, q query) (from uint64, ok bool) {
 	wait := q.hold
-	if version, _ := s.hub.has(); q.from > version {
-		wait = max(wait, behind)
+	if version, _ := s.hub.current(); q.from > version {
+		wait = max(wait, behindWait)
 	}
 	if wait == 0 {
 		return q.from, true
@@ -157,9 +157,9 @@
 	q query,
 	wait, cut time.Duration,
 ) (from uint64, ok bool) {
-	watcher, full := h.wait(q.part, q.from, s.c.MaxWatchers)
+	watcher, full := h.wait(q.subset, q.from, s.config.MaxWatchers)
 	if full {
-		refuse(w, http.StatusTooManyRequests, "watchers", "too many calls are held here", time.Second)
+		writeError(w, http.StatusTooManyRequests, "watchers", "too many calls are held here", time.Second)
 		return 0, false
 	}
 	if watcher == nil {
@@ -186,7 +186,7 @@
 		case <-news:
 		case <-leave:
 			h.leave(watcher)
-			refuse(
+			writeError(
 				w,
 				http.StatusServiceUnavailable,
 				"cut-off",
--- a/internal/registry/server/records.go
+++ b/internal/registry/server/records.go
@@ -15,7 +15,7 @@
 
 // record answers with one record as it is now, or with the keys under a prefix.
 func (s *Server) record(w http.ResponseWriter, r *http.Request) {
-	if !s.upToNow(w) {
+	if !s.waitUntilCurrent(w) {
 		return
 	}
 	s.machine.mu.RLock()
@@ -31,7 +31,7 @@
 	}
 	one, ok := s.machine.state.Record(key)
 	if !ok {
-		refuse(w, http.StatusNotFound, string(registry.NotFound), "there is no record "+key, 0)
+		writeError(w, http.StatusNotFound, string(registry.NotFound), "there is no record "+key, 0)
 		return
 	}
 	writeJSON(w, http.StatusOK, one)
@@ -45,7 +45,7 @@
 	}
 	var in registry.PutRequest
 	if err := json.Unmarshal(body, &in); err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
 	c := registry.Command{
@@ -57,7 +57,7 @@
 		Token:     in.Token,
 	}
 	if err := c.Check(); err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
 	result, err := s.replica.apply(c)
@@ -76,25 +76,25 @@
 		}
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
-	if !s.contact.caught.Load() {
-		refuse(w, http.StatusServiceUnavailable, "not-begun", "this replica replays its log", time.Second)
+	if !s.contact.caughtUp.Load() {
+		writeError(w, http.StatusServiceUnavailable, "not-begun", "this replica replays its log", time.Second)
 		return
 	}
 	for end := time.Now().Add(q.hold); ; {
 		a, news := s.recordsSince(q, r.URL.Query().Get("prefix"), had)
 		wait := time.Until(end)
 		if a.Epoch == q.epoch && q.from > a.Index {
-			refuse(w, http.StatusServiceUnavailable, "behind", fmt.Sprintf("this replica has version %d", a.Index), 0)
+			writeError(w, http.StatusServiceUnavailable, "behind", fmt.Sprintf("this replica has version %d", a.Index), 0)
 			return
 		}
 		if news || a.Epoch != q.epoch || wait <= 0 || s.ctx.Err() != nil {
 			writeJSON(w, http.StatusOK, a)
 			return
 		}
-		if _, ok := s.await(w, r, s.docHub, query{from: a.Index}, wait, cutOffHold); !ok {
+		if _, ok := s.await(w, r, s.recordHub, query{from: a.Index}, wait, cutOffHold); !ok {
 			return
 		}
 	}
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -27,12 +27,12 @@
 
 // replica is raft with its folder.
 type replica struct {
-	raft    *raft.Raft
-	store   *raftboltdb.BoltStore
-	trans   raft.Transport
-	closers []io.Closer
-	ending  chan struct{} // closed when it ends
-	found   uint64        // the last entry of the log as it was opened
+	raft            *raft.Raft
+	store           *raftboltdb.BoltStore
+	transport       raft.Transport
+	closers         []io.Closer
+	ending          chan struct{} // closed when it ends
+	lastIndexAtOpen uint64        // the last entry of the log as it was opened
 }
 
 // openReplica opens the folder and takes part in the cluster.
@@ -49,14 +49,14 @@
 		return nil, err
 	}
 	r.store = store
-	if r.found, err = store.LastIndex(); err != nil {
+	if r.lastIndexAtOpen, err = store.LastIndex(); err != nil {
 		besteffort.Close(store)
 		besteffort.Close(lock)
 		return nil, fmt.Errorf("the log in %s: %w", c.Folder, err)
 	}
 	r.closers = append(r.closers, store, lock)
 	logger := hclog.New(
-		&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lines{log}, DisableTime: true},
+		&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{log}, DisableTime: true},
 	)
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, keepSnapshots, logger)
 	if err != nil {
@@ -74,19 +74,19 @@
 		conf,
 		m,
 		r.store,
-		patient{r.store, log, r.ending},
+		retryingStableStore{r.store, log, r.ending},
 		snaps,
-		r.trans,
+		r.transport,
 	); err != nil {
 		return nil, fmt.Errorf("starting raft on %s: %w", c.Folder, err)
 	}
-	return r, r.begin(c)
+	return r, r.bootstrap(c)
 }
 
 // listen opens the address for the other replicas; one that is alone has none.
 func (r *replica) listen(c Config, m *machine, logger hclog.Logger) error {
 	if c.Raft == "" {
-		_, r.trans = raft.NewInmemTransport(raft.ServerAddress(c.Name))
+		_, r.transport = raft.NewInmemTransport(raft.ServerAddress(c.Name))
 		return nil
 	}
 	own, err := net.ResolveTCPAddr("tcp", c.Raft)
@@ -104,7 +104,7 @@
 	if err != nil {
 		return fmt.Errorf("raft: listening at %s: %w", c.Raft, err)
 	}
-	r.trans = t
+	r.transport = t
 	r.closers = append(r.closers, t)
 	return nil
 }
@@ -112,15 +112,15 @@
 // addresses finds the others where they were added while the cluster served, and
 // else where this replica's own configuration has them.
 type addresses struct {
-	c Config
-	m *machine
+	config  Config
+	machine *machine
 }
 
 func (a addresses) find(name string) (registry.Address, bool) {
-	if at, ok := a.m.member(name); ok {
+	if at, ok := a.machine.member(name); ok {
 		return at, true
 	}
-	o, ok := a.c.find(name)
+	o, ok := a.config.find(name)
 	return registry.Address{Raft: o.Raft, HTTP: o.HTTP}, ok
 }
 
@@ -132,8 +132,8 @@
 	return raft.ServerAddress(other.Raft), nil
 }
 
-// begin makes a cluster out of empty folders: alone at once, of several by the one that is told to.
-func (r *replica) begin(c Config) error {
+// bootstrap makes a cluster out of empty folders: alone at once, of several by the one that is told to.
+func (r *replica) bootstrap(c Config) error {
 	var servers []raft.Server
 	for _, o := range c.Replicas {
 		servers = append(servers, raft.Server{ID: raft.ServerID(o.Name), Address: raft.ServerAddress(o.Name)})
@@ -170,7 +170,7 @@
 		return registry.Result{}, err
 	}
 	f := r.raft.Apply(raw, applyTime)
-	if err := judge(f.Error()); err != nil {
+	if err := classifyRaftError(f.Error()); err != nil {
 		return registry.Result{}, err
 	}
 	switch r := f.Response().(type) {
@@ -182,8 +182,8 @@
 	return registry.Result{}, errUnknown
 }
 
-// judge tells a write that was certainly not done from one of unknown end.
-func judge(err error) error {
+// classifyRaftError tells a write that was certainly not done from one of unknown end.
+func classifyRaftError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -239,10 +239,10 @@
 	r.closers = nil
 }
 
-// lines puts raft's own lines into the log.
-type lines struct{ log *slog.Logger }
+// raftLogWriter puts raft's own lines into the log.
+type raftLogWriter struct{ log *slog.Logger }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l raftLogWriter) Write(b []byte) (int, error) {
 	l.log.Warn("raft", "line", strings.TrimSpace(string(b)))
 	return len(b), nil
 }
--- a/internal/registry/server/routes.go
+++ b/internal/registry/server/routes.go
@@ -16,24 +16,24 @@
 	mux.HandleFunc("PUT /registry/instances/{name}", s.write(registry.OpRegister))
 	mux.HandleFunc("DELETE /registry/instances/{name}", s.write(registry.OpRemove))
 	mux.HandleFunc("POST /registry/instances/{name}/drain", s.write(registry.OpDrain))
-	mux.HandleFunc("POST /registry/renew", s.leading(maxBody, s.renew))
-	mux.HandleFunc("GET /registry/members", s.members)
-	mux.HandleFunc("PUT /registry/members/{name}", s.leading(maxBody, s.addMember))
-	mux.HandleFunc("DELETE /registry/members/{name}", s.leading(maxBody, s.removeMember))
-	mux.HandleFunc("GET /registry/items", s.leading(maxBody, s.items))
-	mux.HandleFunc("GET /registry/backup", s.leading(maxBody, s.backup))
-	mux.HandleFunc("POST /registry/restore", s.leading(maxRestore, s.restore))
-	mux.HandleFunc("PUT /registry/sessions/{id}", s.leading(maxBody, s.openSession))
-	mux.HandleFunc("DELETE /registry/sessions/{id}", s.leading(maxBody, s.closeSession))
-	mux.HandleFunc("POST /registry/sessions/renew", s.leading(maxBody, s.renewSessions))
-	mux.HandleFunc("POST /registry/sessions/{id}/campaign", s.wish(registry.OpCampaign))
-	mux.HandleFunc("POST /registry/sessions/{id}/give-up", s.wish(registry.OpRelease))
-	mux.HandleFunc("GET /registry/duties", s.readDuties)
+	mux.HandleFunc("POST /registry/renew", s.leaderOnly(maxBody, s.renew))
+	mux.HandleFunc("GET /registry/members", s.listReplicas)
+	mux.HandleFunc("PUT /registry/members/{name}", s.leaderOnly(maxBody, s.addReplica))
+	mux.HandleFunc("DELETE /registry/members/{name}", s.leaderOnly(maxBody, s.removeReplica))
+	mux.HandleFunc("GET /registry/items", s.leaderOnly(maxBody, s.registrations))
+	mux.HandleFunc("GET /registry/backup", s.leaderOnly(maxBody, s.backup))
+	mux.HandleFunc("POST /registry/restore", s.leaderOnly(maxRestore, s.restore))
+	mux.HandleFunc("PUT /registry/sessions/{id}", s.leaderOnly(maxBody, s.openSession))
+	mux.HandleFunc("DELETE /registry/sessions/{id}", s.leaderOnly(maxBody, s.closeSession))
+	mux.HandleFunc("POST /registry/sessions/renew", s.leaderOnly(maxBody, s.renewSessions))
+	mux.HandleFunc("POST /registry/sessions/{id}/campaign", s.candidacy(registry.OpCampaign))
+	mux.HandleFunc("POST /registry/sessions/{id}/give-up", s.candidacy(registry.OpRelease))
+	mux.HandleFunc("GET /registry/duties", s.readLeases)
 	mux.HandleFunc("POST /registry/duties/{name}/yield", s.order(registry.OpTransfer))
 	mux.HandleFunc("POST /registry/duties/{name}/block", s.order(registry.OpBlock))
-	mux.HandleFunc("GET /registry/records", s.leading(maxBody, s.record))
-	mux.HandleFunc("GET /registry/records/{key}", s.leading(maxBody, s.record))
-	mux.HandleFunc("PUT /registry/records/{key}", s.leading(maxPut, s.putRecord))
+	mux.HandleFunc("GET /registry/records", s.leaderOnly(maxBody, s.record))
+	mux.HandleFunc("GET /registry/records/{key}", s.leaderOnly(maxBody, s.record))
+	mux.HandleFunc("PUT /registry/records/{key}", s.leaderOnly(maxPut, s.putRecord))
 	mux.HandleFunc("GET /registry/watch/records", s.watchRecords)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", s.ready)
@@ -43,9 +43,9 @@
 
 // ready says yes once this replica has a list and knows who leads.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	_, epoch := s.hub.has()
-	if epoch == "" || s.replica.leader() == "" || !s.contact.caught.Load() {
-		refuse(
+	_, epoch := s.hub.current()
+	if epoch == "" || s.replica.leader() == "" || !s.contact.caughtUp.Load() {
+		writeError(
 			w,
 			http.StatusServiceUnavailable,
 			"not-ready",
@@ -57,11 +57,11 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// figures are what /metrics shows.
-type figures struct{ registry *prometheus.Registry }
+// metrics are what /metrics shows.
+type metrics struct{ registry *prometheus.Registry }
 
-func newFigures(s *Server) *figures {
-	f := &figures{prometheus.NewRegistry()}
+func newMetrics(s *Server) *metrics {
+	f := &metrics{prometheus.NewRegistry()}
 	gauge := func(name, help string, value func() float64) {
 		f.registry.MustRegister(
 			prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "indigolist", Name: name, Help: help}, value),
@@ -72,12 +72,12 @@
 		defer s.machine.mu.RUnlock()
 		return float64(s.machine.state.Len())
 	})
-	gauge("version", "version of the list", func() float64 { v, _ := s.hub.has(); return float64(v) })
+	gauge("version", "version of the list", func() float64 { v, _ := s.hub.current(); return float64(v) })
 	gauge("watchers", "calls that are held", func() float64 { return float64(s.hub.watchers()) })
 	gauge(
 		"parts",
 		"parts of the list that are watched or kept encoded",
-		func() float64 { return float64(s.hub.partsKnown()) },
+		func() float64 { return float64(s.hub.subsetCount()) },
 	)
 	gauge("leads", "1 if this replica leads", func() float64 {
 		if s.replica.leads() {
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -18,24 +18,24 @@
 
 // Server is one replica.
 type Server struct {
-	c        Config
-	log      *slog.Logger
-	machine  *machine
-	hub      *hub
-	replica  *replica
-	dutyHub  *hub
-	docHub   *hub // for watches of records
-	expiry   *expiry
-	sessions *sessions
-	rates    *rates
-	contact  *contact
-	figures  *figures
-	http     *http.Server
-	stop     context.CancelFunc
-	ctx      context.Context // of everything that a call may wait for
-	broken   chan error      // why this replica has to end
-	whole    chan struct{}   // one for each whole part that is made and sent
-	tasks    sync.WaitGroup
+	config        Config
+	log           *slog.Logger
+	machine       *machine
+	hub           *hub
+	replica       *replica
+	leaseHub      *hub
+	recordHub     *hub // for watches of records
+	expiry        *expiry
+	sessions      *sessions
+	rates         *rates
+	contact       *contact
+	figures       *metrics
+	http          *http.Server
+	stop          context.CancelFunc
+	ctx           context.Context // of everything that a call may wait for
+	broken        chan error      // why this replica has to end
+	completeReads chan struct{}   // one for each whole part that is made and sent
+	tasks         sync.WaitGroup
 }
 
 const (
@@ -59,7 +59,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	s := &Server{
-		c:       c,
+		config:  c,
 		log:     log,
 		rates:   newRates(c.MaxWrites),
 		contact: newContact(),
@@ -72,8 +72,8 @@
 		return err
 	}
 	s.tasks.Go(func() { s.hub.run(s.ctx.Done()) })
-	s.tasks.Go(func() { s.dutyHub.run(s.ctx.Done()) })
-	s.tasks.Go(func() { s.docHub.run(s.ctx.Done()) })
+	s.tasks.Go(func() { s.leaseHub.run(s.ctx.Done()) })
+	s.tasks.Go(func() { s.recordHub.run(s.ctx.Done()) })
 	s.tasks.Go(func() { s.expiry.run(s.ctx) })
 	s.tasks.Go(func() { s.sessions.run(s.ctx) })
 	s.tasks.Go(s.followLeader)
@@ -100,9 +100,9 @@
 }
 
 func (s *Server) open() error {
-	s.whole = make(chan struct{}, wholeMost)
+	s.completeReads = make(chan struct{}, maxCompleteReads)
 	s.machine = &machine{state: registry.NewState(), broken: func(err error) { s.broken <- err }}
-	s.hub, s.dutyHub, s.docHub = newHub(s.machine), newHub(s.machine), newHub(s.machine)
+	s.hub, s.leaseHub, s.recordHub = newHub(s.machine), newHub(s.machine), newHub(s.machine)
 	apply := func(c registry.Command) (registry.Result, error) { return s.replica.apply(c) }
 	s.expiry = &expiry{start: time.Now(), machine: s.machine, log: s.log, apply: apply}
 	s.sessions = &sessions{start: time.Now(), machine: s.machine, log: s.log, apply: apply}
@@ -111,14 +111,14 @@
 		s.sessions.applied(c)
 		state := s.machine.state
 		s.hub.publishList(state)
-		s.dutyHub.publish(state.LeasesVersion(), state.LeasesVersion(), state.Epoch())
-		s.docHub.publish(state.RecordsVersion(), state.RecordsVersion(), state.Epoch())
+		s.leaseHub.publish(state.LeasesVersion(), state.LeasesVersion(), state.Epoch())
+		s.recordHub.publish(state.RecordsVersion(), state.RecordsVersion(), state.Epoch())
 	}
 	var err error
-	if s.replica, err = openReplica(s.c, s.machine, s.log); err != nil {
+	if s.replica, err = openReplica(s.config, s.machine, s.log); err != nil {
 		return err
 	}
-	s.figures = newFigures(s)
+	s.figures = newMetrics(s)
 	return nil
 }
 
@@ -146,7 +146,7 @@
 	if err := s.replica.current(); err != nil {
 		return err
 	}
-	if _, epoch := s.hub.has(); epoch == "" {
+	if _, epoch := s.hub.current(); epoch == "" {
 		if _, err := s.replica.apply(registry.Command{Op: registry.OpBegin, Epoch: newEpoch()}); err != nil {
 			return err
 		}
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -29,9 +29,9 @@
 
 	mu        sync.Mutex
 	deadlines *registry.SessionExpiry // nil while another leads
-	doomed    map[string]bool         // due, and not known to have ended: none of them can be renewed
+	ending    map[string]bool         // due, and not known to have ended: none of them can be renewed
 	pace      map[string]*rate.Limiter
-	lapsed    int // so far
+	expired   int // so far
 }
 
 func (x *sessions) now() time.Duration { return time.Since(x.start) }
@@ -42,7 +42,7 @@
 	defer x.machine.mu.RUnlock()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.deadlines, x.doomed, x.pace = registry.NewSessionExpiry(
+	x.deadlines, x.ending, x.pace = registry.NewSessionExpiry(
 		x.machine.state.Sessions(),
 		x.now(),
 	), map[string]bool{}, map[string]*rate.Limiter{}
@@ -63,13 +63,13 @@
 	}
 	switch c.Op {
 	case registry.OpOpenSession:
-		if !x.doomed[c.Session.ID] {
+		if !x.ending[c.Session.ID] {
 			x.deadlines.Set(*c.Session, x.now())
 		}
 	case registry.OpCloseSessions:
 		for _, id := range c.Sessions {
 			x.deadlines.Drop(id)
-			delete(x.doomed, id)
+			delete(x.ending, id)
 		}
 	}
 }
@@ -90,8 +90,8 @@
 	return unknown, true
 }
 
-// paced gives those of the leases that may be granted now.
-func (x *sessions) paced(names []string) (may []string) {
+// grantable gives those of the leases that may be granted now.
+func (x *sessions) grantable(names []string) (may []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, n := range names {
@@ -110,8 +110,8 @@
 	return may
 }
 
-// freed names the leases that a command of a session may free, or finds free.
-func (x *sessions) freed(c registry.Command) (names []string) {
+// freedLeases names the leases that a command of a session may free, or finds free.
+func (x *sessions) freedLeases(c registry.Command) (names []string) {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
 	look := func(id, name string) {
@@ -138,19 +138,19 @@
 	return names
 }
 
-// do applies a command on leases, with leave to grant what it frees as far as the pace allows.
-func (x *sessions) do(c registry.Command) (registry.Result, error) {
-	c.Grant = x.paced(x.freed(c))
+// applyPaced applies a command on leases, with leave to grant what it frees as far as the pace allows.
+func (x *sessions) applyPaced(c registry.Command) (registry.Result, error) {
+	c.Grant = x.grantable(x.freedLeases(c))
 	return x.apply(c)
 }
 
 // run ends sessions that are due, and grants what was held back, until ctx ends.
 func (x *sessions) run(ctx context.Context) {
-	every(ctx, x.now, func(time.Duration) { x.again() }, x.once)
+	every(ctx, x.now, func(time.Duration) { x.restartAll() }, x.expireDue)
 }
 
-// again gives every session its full time, but for those that are doomed.
-func (x *sessions) again() {
+// restartAll gives every session its full time, but for those that are doomed.
+func (x *sessions) restartAll() {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
 	x.mu.Lock()
@@ -158,36 +158,36 @@
 	if x.deadlines == nil {
 		return
 	}
-	all := slices.DeleteFunc(x.machine.state.Sessions(), func(s registry.Session) bool { return x.doomed[s.ID] })
+	all := slices.DeleteFunc(x.machine.state.Sessions(), func(s registry.Session) bool { return x.ending[s.ID] })
 	x.deadlines = registry.NewSessionExpiry(all, x.now())
 }
 
-func (x *sessions) once(now time.Duration) {
+func (x *sessions) expireDue(now time.Duration) {
 	x.mu.Lock()
 	if x.deadlines == nil {
 		x.mu.Unlock()
 		return
 	}
 	for _, id := range x.deadlines.Due(now) {
-		x.doomed[id] = true
-		x.lapsed++
+		x.ending[id] = true
+		x.expired++
 		x.log.Info("session expired", "session", id)
 	}
 	var ids []string
-	for id := range x.doomed {
+	for id := range x.ending {
 		ids = append(ids, id)
 	}
 	x.mu.Unlock()
 	if len(ids) > 0 {
 		slices.Sort(ids)
-		if _, err := x.do(registry.Command{Op: registry.OpCloseSessions, Sessions: ids}); err != nil {
+		if _, err := x.applyPaced(registry.Command{Op: registry.OpCloseSessions, Sessions: ids}); err != nil {
 			x.log.Warn("closing expired sessions failed", "sessions", len(ids), "err", err)
 		}
 	}
 	x.machine.mu.RLock()
 	waiting := x.machine.state.UnheldLeases()
 	x.machine.mu.RUnlock()
-	if may := x.paced(waiting); len(may) > 0 {
+	if may := x.grantable(waiting); len(may) > 0 {
 		if _, err := x.apply(registry.Command{Op: registry.OpGrant, Grant: may}); err != nil {
 			x.log.Warn("granting leases failed", "duties", len(may), "err", err)
 		}
@@ -198,7 +198,7 @@
 func (x *sessions) figures() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.lapsed
+	return x.expired
 }
 
 // verify proves to a quorum that this replica leads now.
--- a/internal/registry/server/store.go
+++ b/internal/registry/server/store.go
@@ -43,7 +43,7 @@
 		return nil, nil, err
 	}
 	path := filepath.Join(folder, logName)
-	if err = renew(path); err != nil {
+	if err = rewriteLog(path); err != nil {
 		err = fmt.Errorf(
 			"%s: %w; if it is damaged, a replica of several is removed from the cluster and added again on an empty folder, one that is alone needs a backup (docs/list.md)",
 			path,
@@ -76,9 +76,9 @@
 	}
 }
 
-// renew writes a log anew out of what can be read of it, or says what can't. A
+// rewriteLog writes a log anew out of what can be read of it, or says what can't. A
 // start that is cut off leaves the old one, or the new one.
-func renew(path string) (err error) {
+func rewriteLog(path string) (err error) {
 	info, err := os.Stat(path)
 	if os.IsNotExist(err) {
 		return nil
@@ -99,7 +99,7 @@
 	if err := os.Remove(fresh); err != nil && !os.IsNotExist(err) {
 		return err
 	}
-	if err := rewrite(path, fresh, info.Size()); err != nil {
+	if err := copyStore(path, fresh, info.Size()); err != nil {
 		return err
 	}
 	if err := os.Rename(fresh, path); err != nil {
@@ -109,7 +109,7 @@
 	return checksumfile.SyncFolder(filepath.Dir(path))
 }
 
-func rewrite(path, fresh string, size int64) error {
+func copyStore(path, fresh string, size int64) error {
 	old, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTime, ReadOnly: true})
 	if err != nil {
 		return fmt.Errorf("the log can't be read: %w", err)
@@ -129,7 +129,7 @@
 		if err := copyLog(tx.Bucket([]byte("logs")), into); err != nil {
 			return fmt.Errorf("the log is damaged: %w", err)
 		}
-		return copyFacts(tx.Bucket([]byte("conf")), into)
+		return copyStableState(tx.Bucket([]byte("conf")), into)
 	})
 	if err != nil {
 		return err
@@ -189,8 +189,8 @@
 	return e, nil
 }
 
-// copyFacts takes over raft's own facts, and turns down a term that lies before the log's.
-func copyFacts(from *bbolt.Bucket, into *raftboltdb.BoltStore) error {
+// copyStableState takes over raft's own facts, and turns down a term that lies before the log's.
+func copyStableState(from *bbolt.Bucket, into *raftboltdb.BoltStore) error {
 	if from == nil {
 		return nil
 	}
@@ -215,26 +215,26 @@
 	return nil
 }
 
-// patient keeps raft's own facts (its term, its vote). Raft has no answer to a
+// retryingStableStore keeps raft's own facts (its term, its vote). Raft has no answer to a
 // disk that takes nothing but to crash, so this waits until it does: a replica
 // whose disk is full stands still, as one that is paused. At the end, when the
 // store may be closed while another replica's call is still at work, the goroutine
 // of that call ends, and the call with it unanswered.
-type patient struct {
+type retryingStableStore struct {
 	raft.StableStore
 	log  *slog.Logger
 	stop <-chan struct{} // closed at the end
 }
 
-func (p patient) Set(key, value []byte) error {
-	return p.until(func() error { return p.StableStore.Set(key, value) })
+func (p retryingStableStore) Set(key, value []byte) error {
+	return p.retry(func() error { return p.StableStore.Set(key, value) })
 }
 
-func (p patient) SetUint64(key []byte, value uint64) error {
-	return p.until(func() error { return p.StableStore.SetUint64(key, value) })
+func (p retryingStableStore) SetUint64(key []byte, value uint64) error {
+	return p.retry(func() error { return p.StableStore.SetUint64(key, value) })
 }
 
-func (p patient) until(write func() error) error {
+func (p retryingStableStore) retry(write func() error) error {
 	for told := false; ; told = true {
 		err := write()
 		if err == nil {
--- a/internal/registry/server/subsets_bench_test.go
+++ b/internal/registry/server/subsets_bench_test.go
@@ -26,11 +26,11 @@
 				h.publishList(m.state)
 				all := map[*watcher]query{}
 				for i := range watchers {
-					q := query{parted: parted, from: m.state.Version(), epoch: "e"}
+					q := query{namesSubset: parted, from: m.state.Version(), epoch: "e"}
 					if parted {
-						q.part = registry.SubsetOf(i, 4300, servers)
+						q.subset = registry.SubsetOf(i, 4300, servers)
 					}
-					w, _ := h.wait(q.part, q.from, watchers)
+					w, _ := h.wait(q.subset, q.from, watchers)
 					all[w] = q
 				}
 				bytes, woken := 0, 0
@@ -41,7 +41,7 @@
 					h.publishList(m.state)
 					var due []*watcher
 					for _, g := range h.due {
-						for w := range g.all {
+						for w := range g.watchers {
 							due = append(due, w)
 						}
 					}
@@ -57,7 +57,7 @@
 						bytes, woken = bytes+len(head)+len(entries)+1, woken+1
 						delete(all, w)
 						q.from = m.state.Version()
-						again, _ := h.wait(q.part, q.from, watchers)
+						again, _ := h.wait(q.subset, q.from, watchers)
 						all[again] = q
 					}
 				}
--- a/internal/registry/server/subsets_test.go
+++ b/internal/registry/server/subsets_test.go
@@ -25,7 +25,7 @@
 
 // look takes the answer to what the reader has.
 func (r *reader) look(t rapid.TB, h *hub) (snapshot bool) {
-	if _, epoch := h.has(); r.epoch != epoch {
+	if _, epoch := h.current(); r.epoch != epoch {
 		r.from = 0
 	}
 	head, entries, err := h.answer(r.query)
@@ -33,8 +33,8 @@
 	if err == nil {
 		err = json.Unmarshal(append(append(slices.Clone(head), entries...), '}'), &a)
 	}
-	if err != nil || a.Subset != r.part.String() || a.Total != h.machine.state.Len() || a.Index != h.machine.state.Version() {
-		t.Fatalf("part %v since %d: %+v, %v", r.part, r.from, a, err)
+	if err != nil || a.Subset != r.subset.String() || a.Total != h.machine.state.Len() || a.Index != h.machine.state.Version() {
+		t.Fatalf("part %v since %d: %+v, %v", r.subset, r.from, a, err)
 	}
 	if a.Snapshot {
 		clear(r.has)
@@ -47,12 +47,12 @@
 	r.from, r.epoch = a.Index, a.Epoch
 	want := map[string]registry.Endpoint{}
 	for _, i := range h.machine.state.Registrations() {
-		if r.part.Contains(registry.Position(i.Endpoint.Name)) {
+		if r.subset.Contains(registry.Position(i.Endpoint.Name)) {
 			want[i.Endpoint.Name] = i.Endpoint
 		}
 	}
 	if !maps.Equal(want, r.has) {
-		t.Fatalf("part %v at %d has %v, want %v", r.part, r.from, r.has, want)
+		t.Fatalf("part %v at %d has %v, want %v", r.subset, r.from, r.has, want)
 	}
 	return a.Snapshot
 }
@@ -68,7 +68,7 @@
 
 // watch has the reader wait, or look until it may.
 func (r *reader) watch(t rapid.TB, h *hub) {
-	for r.w = nil; r.w == nil; r.w, _ = h.wait(r.part, r.from, 1000) {
+	for r.w = nil; r.w == nil; r.w, _ = h.wait(r.subset, r.from, 1000) {
 		r.look(t, h)
 	}
 }
@@ -87,10 +87,10 @@
 		h.publishList(m.state)
 		var readers []*reader
 		for i := range 12 {
-			r := &reader{has: map[string]registry.Endpoint{}, query: query{parted: true}}
+			r := &reader{has: map[string]registry.Endpoint{}, query: query{namesSubset: true}}
 			if i > 1 {
 				arc := 1 << rapid.IntRange(10, 14).Draw(t, "arc")
-				r.part = registry.Subset{Start: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, "from") * arc / 4), Width: uint16(arc)}
+				r.subset = registry.Subset{Start: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, "from") * arc / 4), Width: uint16(arc)}
 			}
 			r.watch(t, h)
 			readers = append(readers, r)
@@ -114,7 +114,7 @@
 			case 4: // a hold ends
 				r := readers[rapid.IntRange(0, len(readers)-1).Draw(t, "reader")]
 				if r.from = h.leave(r.w); r.look(t, h) {
-					t.Fatalf("part %v gets a whole list at the end of its hold", r.part)
+					t.Fatalf("part %v gets a whole list at the end of its hold", r.subset)
 				}
 				r.watch(t, h)
 				continue
@@ -126,8 +126,8 @@
 			for h.wakeSome() {
 			}
 			for _, r := range readers {
-				if r.woken() != concerned(r.part) {
-					t.Fatalf("part %v is woken: %v, by %s", r.part, r.woken(), name)
+				if r.woken() != concerned(r.subset) {
+					t.Fatalf("part %v is woken: %v, by %s", r.subset, r.woken(), name)
 				}
 				if r.woken() {
 					r.from = h.leave(r.w)
@@ -136,8 +136,8 @@
 				}
 			}
 		}
-		if h.held != len(readers) {
-			t.Fatalf("%d are held, want %d", h.held, len(readers))
+		if h.watcherCount != len(readers) {
+			t.Fatalf("%d are held, want %d", h.watcherCount, len(readers))
 		}
 	})
 }
@@ -152,7 +152,7 @@
 	var readers []*reader
 	for i := range 20 {
 		h.publishList(m.state)
-		r := &reader{has: map[string]registry.Endpoint{}, query: query{parted: true, part: part}}
+		r := &reader{has: map[string]registry.Endpoint{}, query: query{namesSubset: true, subset: part}}
 		r.watch(t, h)
 		readers = append(readers, r)
 		m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("before", i+1)})
@@ -179,14 +179,14 @@
 			t.Error("a change brings a whole part")
 		}
 	}
-	if n := len(h.parts[part].answers); n != 1 {
+	if n := len(h.subsets[part].answers); n != 1 {
 		t.Errorf("%d answers were made for one change", n)
 	}
 	for i := range 5000 { // parts come and go
-		h.part(registry.Subset{Start: uint16(i) * 4, Width: 16})
+		h.subset(registry.Subset{Start: uint16(i) * 4, Width: 16})
 	}
-	if len(h.parts) > 200 {
-		t.Errorf("%d parts are remembered that nobody watches", len(h.parts))
+	if len(h.subsets) > 200 {
+		t.Errorf("%d parts are remembered that nobody watches", len(h.subsets))
 	}
 }
 
--- a/internal/registry/server/watcher.go
+++ b/internal/registry/server/watcher.go
@@ -5,7 +5,7 @@
 // watcher is one call that is held.
 type watcher struct {
 	from  uint64
-	group *group // nil: it has seen more than this replica had, and waits for that
+	group *watcherGroup // nil: it has seen more than this replica had, and waits for that
 	wake  chan struct{}
 }
 
@@ -21,24 +21,24 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if p.IsAll() && h.newest > from {
+	if p.IsAll() && h.newestChange > from {
 		return nil, false
 	}
-	if h.held >= most {
+	if h.watcherCount >= most {
 		return nil, true
 	}
 	w = &watcher{from: from, wake: make(chan struct{})}
-	h.held++
+	h.watcherCount++
 	if from > h.version {
 		h.ahead[w] = true
 		return w, false
 	}
-	at := h.part(p)
+	at := h.subset(p)
 	if at.waiting == nil {
-		at.waiting = &group{all: map[*watcher]bool{}}
+		at.waiting = &watcherGroup{watchers: map[*watcher]bool{}}
 	}
 	w.group = at.waiting
-	w.group.all[w] = true
+	w.group.watchers[w] = true
 	return w, false
 }
 
@@ -50,11 +50,11 @@
 	defer h.mu.Unlock()
 	in := h.ahead
 	if w.group != nil {
-		in = w.group.all
+		in = w.group.watchers
 	}
 	if in[w] {
 		delete(in, w)
-		h.held--
+		h.watcherCount--
 	}
 	switch {
 	case w.group == nil:
@@ -68,5 +68,5 @@
 func (h *hub) watchers() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.held
+	return h.watcherCount
 }
--- a/internal/registry/server/writes.go
+++ b/internal/registry/server/writes.go
@@ -24,11 +24,11 @@
 	maxNames = 1000     // of one renewal
 )
 
-func refuse(w http.ResponseWriter, status int, code, why string, after time.Duration) {
-	refuseWith(w, status, registry.ErrorResponse{Code: code, Reason: why}, after)
+func writeError(w http.ResponseWriter, status int, code, why string, after time.Duration) {
+	writeErrorResponse(w, status, registry.ErrorResponse{Code: code, Reason: why}, after)
 }
 
-func refuseWith(w http.ResponseWriter, status int, body registry.ErrorResponse, after time.Duration) {
+func writeErrorResponse(w http.ResponseWriter, status int, body registry.ErrorResponse, after time.Duration) {
 	if after > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	}
@@ -46,34 +46,34 @@
 	besteffort.Response(w.Write(raw)) // a caller that has left needs nothing
 }
 
-// forwarded marks a call that another replica has passed on.
-const forwarded = "X-Indigo-Forwarded"
+// forwardedHeader marks a call that another replica has passed on.
+const forwardedHeader = "X-Indigo-Forwarded"
 
-// leading wraps what only the leader can do: the others pass it on, with a body
+// leaderOnly wraps what only the leader can do: the others pass it on, with a body
 // of most bytes at most.
-func (s *Server) leading(most int64, do http.HandlerFunc) http.HandlerFunc {
+func (s *Server) leaderOnly(most int64, do http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(forwarded) == "" { // else it has been counted there
+		if r.Header.Get(forwardedHeader) == "" { // else it has been counted there
 			client, _, _ := net.SplitHostPort(r.RemoteAddr)
 			if wait, ok := s.rates.allow(cmp.Or(r.Header.Get("X-Client"), client), time.Now()); !ok {
-				refuse(w, http.StatusTooManyRequests, "rate", "too many writes of one client", wait)
+				writeError(w, http.StatusTooManyRequests, "rate", "too many writes of one client", wait)
 				return
 			}
 		}
 		if !s.replica.leads() {
-			s.passOn(w, r, most)
+			s.forwardToLeader(w, r, most)
 			return
 		}
 		do(w, r)
 	}
 }
 
-// passOn has the leader answer a call.
-func (s *Server) passOn(w http.ResponseWriter, r *http.Request, most int64) {
+// forwardToLeader has the leader answer a call.
+func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request, most int64) {
 	name := s.replica.leader()
-	leader, known := addresses{s.c, s.machine}.find(name)
-	if r.Header.Get(forwarded) != "" || !known || name == s.c.Name {
-		refuse(w, http.StatusServiceUnavailable, "no-leader", "no replica is known to lead", time.Second)
+	leader, known := addresses{s.config, s.machine}.find(name)
+	if r.Header.Get(forwardedHeader) != "" || !known || name == s.config.Name {
+		writeError(w, http.StatusServiceUnavailable, "no-leader", "no replica is known to lead", time.Second)
 		return
 	}
 	body, ok := readBody(w, r, most)
@@ -84,12 +84,12 @@
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(p *httputil.ProxyRequest) {
 			p.SetURL(&url.URL{Scheme: "http", Host: leader.HTTP})
-			p.Out.Header.Set(forwarded, s.c.Name)
+			p.Out.Header.Set(forwardedHeader, s.config.Name)
 		},
-		Transport: passing,
+		Transport: leaderTransport,
 		ErrorLog:  s.http.ErrorLog,
 		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, err error) {
-			refuse(
+			writeError(
 				w,
 				http.StatusGatewayTimeout,
 				"unknown",
@@ -101,8 +101,8 @@
 	proxy.ServeHTTP(w, r)
 }
 
-// passing waits for the leader a little longer than the leader waits for the log.
-var passing = &http.Transport{
+// leaderTransport waits for the leader a little longer than the leader waits for the log.
+var leaderTransport = &http.Transport{
 	ResponseHeaderTimeout: applyTime + time.Second,
 	MaxIdleConnsPerHost:   32,
 	IdleConnTimeout:       idleTime,
@@ -114,7 +114,7 @@
 	var long *http.MaxBytesError
 	switch {
 	case errors.As(err, &long):
-		refuse(
+		writeError(
 			w,
 			http.StatusRequestEntityTooLarge,
 			"large",
@@ -122,7 +122,7 @@
 			time.Second,
 		)
 	case err != nil:
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 	}
 	return body, err == nil
 }
@@ -134,7 +134,7 @@
 		return ok
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return false
 	}
 	return true
@@ -142,7 +142,7 @@
 
 // write makes a handler of a command on one entry.
 func (s *Server) write(do string) http.HandlerFunc {
-	return s.leading(maxBody, func(w http.ResponseWriter, r *http.Request) {
+	return s.leaderOnly(maxBody, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.WriteRequest
 		if !readJSON(w, r, &body) {
 			return
@@ -156,12 +156,12 @@
 		}
 		if do == registry.OpRegister {
 			if body.Endpoint == nil || body.Endpoint.Name != c.Name {
-				refuse(w, http.StatusBadRequest, "bad", "entry: missing, or of another name than the call's", 0)
+				writeError(w, http.StatusBadRequest, "bad", "entry: missing, or of another name than the call's", 0)
 				return
 			}
 			c.Endpoint, c.Name = body.Endpoint, ""
 			if body.TTLMS < 0 || body.TTLMS > int64(registry.MaxTTL/time.Millisecond) {
-				refuse(
+				writeError(
 					w,
 					http.StatusBadRequest,
 					"bad",
@@ -173,7 +173,7 @@
 			c.TTL = time.Duration(body.TTLMS) * time.Millisecond
 		}
 		if err := c.Check(); err != nil {
-			refuse(w, http.StatusBadRequest, "bad", err.Error(), 0)
+			writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 			return
 		}
 		result, err := s.replica.apply(c)
@@ -193,11 +193,11 @@
 func (s *Server) finish(w http.ResponseWriter, r registry.Result, err error) {
 	switch {
 	case errors.Is(err, errNotLeading):
-		refuse(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
+		writeError(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
 	case err != nil:
-		refuse(w, http.StatusGatewayTimeout, "unknown", err.Error(), time.Second)
+		writeError(w, http.StatusGatewayTimeout, "unknown", err.Error(), time.Second)
 	case r.Code != registry.Applied:
-		refuseWith(
+		writeErrorResponse(
 			w,
 			statuses[r.Code],
 			registry.ErrorResponse{
@@ -220,7 +220,7 @@
 		return
 	}
 	if len(body.Names) == 0 || len(body.Names) > maxNames {
-		refuse(
+		writeError(
 			w,
 			http.StatusBadRequest,
 			"bad",
@@ -231,7 +231,7 @@
 	}
 	unknown, ok := s.expiry.renew(body.Names)
 	if !ok {
-		refuse(w, http.StatusServiceUnavailable, "not-leading", "this replica does not lead yet", time.Second)
+		writeError(w, http.StatusServiceUnavailable, "not-leading", "this replica does not lead yet", time.Second)
 		return
 	}
 	writeJSON(w, http.StatusOK, registry.Renewal{Unknown: unknown})
