--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -88,7 +88,7 @@
 	origin      uint64
 	baseSubset  []*endpoint // those with inBaseSubset set
 	ringVersion int         // counts the changes of endpoints and settings
-	subset                  // of the whole list, that this proxy was given
+	subset                  // of the complete list, that this proxy was given
 }
 
 // fleetEstimates are estimates over all endpoints that this proxy works with.
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -75,7 +75,7 @@
 	Kind           UpdateKind
 	Version        uint64
 	Endpoints      []Endpoint
-	TotalEndpoints int    // of the whole list that are not removed; 0: this is the whole list
+	TotalEndpoints int    // of the complete list that are not removed; 0: this is the complete list
 	SubsetStart    uint64 // ring position
 }
 
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -10,7 +10,7 @@
 	gossipPriceUnit  = 256.0 // bytes that Prices.Message is for
 )
 
-// gossipState says whether this proxy gossips, and with whom.
+// gossipState reports whether this proxy gossips, and with whom.
 type gossipState struct {
 	tracksPeers        bool    // it has to know which other proxies work with an endpoint
 	gossips            bool    // it tells them what it has in flight there
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -169,9 +169,9 @@
 	c.relativeCost = learned.RelativeCost
 }
 
-// inherit gives an endpoint that is listed for the first time what was learned of the same process of it. The
-// work that the old process of this proxy has in flight there counts like another proxy's, until it must have
-// ended.
+// inherit passes on to a newly listed endpoint what the previous process of this proxy learned of it.
+// The work that the old process of this proxy has in flight there counts like another proxy's, until it must
+// have ended.
 func (b *Balancer) inherit(e *endpoint) {
 	learned, ok := b.inherited[e.ID]
 	if !ok || learned.StartedAt != e.StartedAt {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// giveUp gives the final answer where no endpoint did: a rejection if a new try does no harm, else a failure.
+// giveUp returns the final answer where no endpoint did: a rejection if a new try does no harm, else a
+// failure.
 func (b *Balancer) giveUp(r *request) {
 	objective := float64(r.class.LatencyObjective)
 	retryAfter := min(b.jitter(time.Duration(retryAfterShare*objective)), b.settings.MaxRetryAfter)
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -17,7 +17,7 @@
 
 // subset is the part of the whole endpoint list that a proxy was given.
 type subset struct {
-	total int    // endpoints of the whole list; 0: the proxy has all of it
+	total int    // endpoints of the complete list; 0: the proxy has all of it
 	start uint64 // ring position at which the subset begins
 }
 
--- a/cmd/wrenspread-lab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -57,9 +57,8 @@
 	return p, func() { listDone(); ctlDone() }, nil
 }
 
-// findProgram gives the absolute path of a program of the project: in the folder
-// bin, beside wrenspread-lab, or built from the project around the working folder. done
-// removes what was built.
+// findProgram returns the absolute path of a program of the project: in the folder bin, beside
+// wrenspread-lab, or built from the project around the working folder. done removes what was built.
 func findProgram(ctx context.Context, log io.Writer, bin, name string) (path string, done func(), err error) {
 	nothing := func() {}
 	if bin != "" {
--- a/cmd/wrenspread-lab/sim.go
+++ b/cmd/wrenspread-lab/sim.go
@@ -136,7 +136,7 @@
 	return took, broken, err
 }
 
-// part gives the time that so large a part of sorted ones does not go beyond.
+// part returns the time that so large a part of sorted ones does not go beyond.
 func part(sorted []time.Duration, of float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/cmd/wrenspread-proxy/main.go
+++ b/cmd/wrenspread-proxy/main.go
@@ -82,9 +82,8 @@
 // time.
 func gcPercent(memoryMB int) int { return min(300, max(100, memoryMB*5)) }
 
-// listen gives the clients' socket: the one that the platform holds, or a new
-// one where there is none that can be used. The process before this one may
-// still have the address, until it ends.
+// listen returns the clients' socket: the one that the platform holds, or a new one where there is none that
+// can be used. The process before this one may still have the address, until it ends.
 func listen(ctx context.Context, inherited, address string, log *slog.Logger) (net.Listener, error) {
 	if inherited != "" {
 		ln, err := listener.Inherited(inherited)
--- a/cmd/wrenspread-proxy/usage.go
+++ b/cmd/wrenspread-proxy/usage.go
@@ -65,8 +65,7 @@
 // errUsage says that the arguments were none that there are, which has been told.
 var errUsage = errors.New("wrenspread-proxy --help says what it needs")
 
-// arguments carries out what the command line asks for beside serving, and
-// tells whether that is all.
+// arguments carries out what the command line asks for beside serving, and reports whether that is all.
 func arguments(args []string, config string, out, problems io.Writer) (over bool, err error) {
 	flags := flag.NewFlagSet("wrenspread-proxy", flag.ContinueOnError)
 	flags.SetOutput(io.Discard) // the error is enough
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -41,7 +41,7 @@
 	return c
 }
 
-// add gives a command and those under it the flags.
+// add sets the flags of a command and of its subcommands.
 func (f *listFlags) add(c *cobra.Command) {
 	c.PersistentFlags().
 		StringVar(&f.addresses, "list", cmp.Or(os.Getenv("INDIGO_LIST"), "127.0.0.1:8500"), "addresses of the list service's replicas, separated by commas")
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -111,7 +111,7 @@
 	return s, nil
 }
 
-// targetsOf gives all servers, or all proxies, that a plan could be about.
+// targetsOf returns all servers, or all proxies, that a plan could be about.
 func targetsOf(ctx context.Context, k *client.Client, plan release.Plan) ([]release.Target, error) {
 	if plan.IsForProxies() {
 		return release.ProxyTargets(ctx, k, &http.Client{Timeout: callTime})
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// came tells whether an order is done, or where it stands; one that was not followed is an error.
+// came reports whether an order is done, or where it stands; one that was not followed is an error.
 func came(
 	ctx context.Context,
 	k *client.Client,
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -52,7 +52,7 @@
 	versionMark  = "{version}"
 )
 
-// Check says what is wrong with a configuration, by its keys.
+// Check validates a configuration, by its keys.
 func (c Config) Check() error {
 	var f config.Problems
 	bad, address := f.Require, f.RequireAddress
@@ -113,7 +113,7 @@
 	return s.Grace
 }
 
-// command gives what is started for a version.
+// command returns what is started for a version.
 func (s Server) command(version string) (args []string, dir string) {
 	for _, a := range s.Command {
 		args = append(args, strings.ReplaceAll(a, versionMark, version))
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// listening gives a copy of the descriptor with which a process listens at an
-// address. Which one of its own that is, is the process's business.
+// listening returns a copy of the descriptor with which a process listens at an address. Which one of its own
+// that is, is the process's business.
 func (p *process) listening(address string) (int, error) {
 	want, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/box.go
@@ -69,7 +69,7 @@
 	return &Pod{window: window, begun: map[string]time.Duration{}}
 }
 
-// first tells whether a job with that key, arrived then, is to run, and notes that it begins now.
+// first reports whether a job with that key, arrived then, is to run, and notes that it begins now.
 func (p *Pod) first(key string, arrived, now time.Duration) bool {
 	if t, ok := p.begun[key]; ok && arrived <= t+p.window {
 		return false
@@ -301,7 +301,7 @@
 	return []Out{first, {What: Done, Num: j.Num, Status: 500}}
 }
 
-// pushedOver notes work sent to a cold backend and tells whether it is too much.
+// pushedOver notes work sent to a cold backend and reports whether it is too much.
 func (b *Box) pushedOver(work float64) bool {
 	b.sent = append(b.sent, parcel{b.now, work})
 	for b.now-b.sent[0].at > world.FallTime {
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -47,7 +47,7 @@
 	Measured []string `json:"measured,omitempty"` // what it found out beside the verdict
 }
 
-// OK tells whether the rule was kept.
+// OK reports whether the rule was kept.
 func (v Verdict) OK() bool { return len(v.Broken) == 0 }
 
 func (v *Verdict) fail(e history.Event, format string, args ...any) {
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -44,7 +44,7 @@
 	return s
 }
 
-// touch tells whether anything was done to a node between two times.
+// touch reports whether anything was done to a node between two times.
 func (s spells) touch(node string, from, to time.Duration) bool {
 	return slices.ContainsFunc(s[node], func(f spell) bool { return f.from <= to && f.to >= from })
 }
--- a/internal/lab/check/world.go
+++ b/internal/lab/check/world.go
@@ -9,7 +9,7 @@
 	"wrenspread/internal/lab/world"
 )
 
-// cold: no cold backend is pushed over by those who were told of its start.
+// cold: no cold backend is pushed over by those who were notified of its start.
 func cold(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "cold",
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -33,8 +33,8 @@
 	ops   sync.WaitGroup
 	// Late is told how late each operation was sent: the lab's own lateness.
 	Late func(time.Duration)
-	// Disturbed tells whether something is, or was just now, done to a node or to
-	// the way to it, so that a connection's end says nothing of what the node has read.
+	// Disturbed reports whether something is, or was just now, done to a node or to the way to it, so that a
+	// connection's end says nothing of what the node has read.
 	Disturbed func(node string) bool
 }
 
@@ -129,8 +129,8 @@
 	)
 }
 
-// again tells whether a client tries again: a safe operation after anything but
-// success, the others only when they are known not to have run.
+// again reports whether a client tries again: a safe operation after anything but success, the others only
+// when they are known not to have run.
 func (c *Clients) again(op *load.Op, r result) bool {
 	switch r.how {
 	case history.Served:
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -70,7 +70,7 @@
 	return c.conn
 }
 
-// quiet tells whether the connection is still there, with nothing said on it since the last answer.
+// quiet reports whether the connection is still there, with nothing said on it since the last answer.
 func (c *conn) quiet(extra func(*conn)) bool {
 	if c.in.Buffered() > 0 {
 		extra(c)
--- a/internal/lab/fleet/life.go
+++ b/internal/lab/fleet/life.go
@@ -112,7 +112,7 @@
 // discoveryEnds is how long the old address of discovery serves on after a move.
 const discoveryEnds = 1500 * time.Millisecond
 
-// move gives the node's agent another address, and tells the node by SIGHUP.
+// move changes the address of the proxy's agent, and notifies the proxy by SIGHUP.
 func (n *node) move(ctx context.Context) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// over tells whether a link runs between the ends of a step, and whether it does
-// so in the step's own direction.
+// over reports whether a link runs between the ends of a step, and whether it does so in the step's own
+// direction.
 func over(s spec.Step, e link.Ends) (is, forward bool) {
 	in := func(side []string, party string) bool {
 		party, _, _ = strings.Cut(party, "-") // discovery may have moved
--- a/internal/lab/fleet/net.go
+++ b/internal/lab/fleet/net.go
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// freeUDP gives an address for datagrams that is free now.
+// freeUDP returns an address for datagrams that is free now.
 func freeUDP() (netip.AddrPort, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -329,8 +329,8 @@
 	}
 }
 
-// work carries out what is queued; it is false where ctx ended first. A refusal
-// that is final, such as the drain of an entry that has gone, ends a write too.
+// work carries out what is queued; it returns false where ctx ended first. A refusal that is final, such as
+// the drain of an entry that has gone, ends a write too.
 func (r *registrar) work(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		r.mu.Lock()
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -195,8 +195,8 @@
 // maxLine bounds a line of a history that is read.
 const maxLine = 1 << 20
 
-// Read gives the events of a history. A last line that was cut off, as a killed
-// lab leaves it, is passed over; anything else that is malformed is an error.
+// Read returns the events of a history. A last line that was cut off, as a killed lab leaves it, is passed
+// over; anything else that is malformed is an error.
 func Read(r io.Reader) ([]Event, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -141,7 +141,7 @@
 	Took time.Duration
 }
 
-// Gaps gives the times between holders, the longest first.
+// Gaps returns the times between holders, the longest first.
 func Gaps(acts []Act) (all []Gap) {
 	last := map[string]Act{}
 	for _, a := range acts {
--- a/internal/lab/leases/crew.go
+++ b/internal/lab/leases/crew.go
@@ -224,8 +224,7 @@
 	return broken, sure, nil
 }
 
-// End tells all workers to end, while those that they transfer to, and the list
-// service, are still there.
+// End tells all workers to end, while those that they transfer to, and the registry, are still there.
 func (c *Crew) End(patience time.Duration) error {
 	errs := make(chan error, len(c.all))
 	for _, m := range c.all {
--- a/internal/lab/link/net.go
+++ b/internal/lab/link/net.go
@@ -174,9 +174,9 @@
 	return d
 }
 
-// Reserve gives an address on loopback with a port that the system chose and
-// gives to nobody else until free is called. A listener that sets SO_REUSEADDR,
-// as Go's do, can have it, any number of times after one another.
+// Reserve returns an address on loopback with a port that the system chose and gives to nobody else until
+// free is called. A listener that sets SO_REUSEADDR, as Go's do, can have it, any number of times after one
+// another.
 func Reserve() (address string, free func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -345,7 +345,7 @@
 
 var errOver = errors.New("the connection is over")
 
-// write gives the parts on when they are due. It is nil after an orderly end.
+// write forwards the parts when they are due. It is nil after an orderly end.
 func (s *Stream) write(to *net.TCPConn, parts <-chan part, way Way) error {
 	for {
 		var p part
--- a/internal/lab/load/book.go
+++ b/internal/lab/load/book.go
@@ -20,7 +20,7 @@
 	b.ops[id] = op
 }
 
-// Find gives the operation of an id, or nil for one that no client sent.
+// Find returns the operation of an id, or nil for one that no client sent.
 func (b *Book) Find(id string) *Op {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -34,7 +34,7 @@
 	b.met[id] = true
 }
 
-// Met tells whether an id has reached a backend, so that a node must have read it.
+// Met reports whether an id has reached a backend, so that a node must have read it.
 func (b *Book) Met(id string) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
--- a/internal/lab/process/proc.go
+++ b/internal/lab/process/proc.go
@@ -162,7 +162,7 @@
 // Exited is closed once the process has ended.
 func (p *Proc) Exited() <-chan struct{} { return p.exited }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process has not ended.
 func (p *Proc) Running() bool {
 	select {
 	case <-p.exited:
--- a/internal/lab/quorum/model.go
+++ b/internal/lab/quorum/model.go
@@ -67,13 +67,13 @@
 	return o.version > max(k.version, k.least), k.write(o, o.version)
 }
 
-// unchanged tells whether a write leaves the entry as it is, version included.
+// unchanged reports whether a write leaves the entry as it is, version included.
 func (k known) unchanged(o op) bool {
 	return k.there &&
 		(o.do == "register" && k.weight == o.weight && k.status == registry.Ready || o.do == "drain" && k.status == registry.Draining)
 }
 
-// sees tells whether an answer may name that version of the entry.
+// sees reports whether an answer may name that version of the entry.
 func (k known) sees(version uint64) bool {
 	if k.there && k.version == 0 {
 		return version > k.least
@@ -103,8 +103,8 @@
 	return known{least: max(least, version)}
 }
 
-// operations gives the history in porcupine's form. A write of unknown end may take effect at any time after
-// its call.
+// operations returns the history in porcupine's form. A write of unknown end may take effect at any time
+// after its call.
 func operations(ops []op) []porcupine.Operation {
 	var all []porcupine.Operation
 	for _, o := range ops {
--- a/internal/lab/quorum/size.go
+++ b/internal/lab/quorum/size.go
@@ -150,7 +150,7 @@
 	return r, err
 }
 
-// counted gives the calls that so many callers make in a second, those that failed left out.
+// counted returns the calls that so many callers make in a second, those that failed left out.
 func counted(callers int, call func(caller int) error) float64 {
 	var n atomic.Int64
 	var all sync.WaitGroup
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -272,7 +272,7 @@
 	return first
 }
 
-// leastAsked is how many operations a second needs to tell whether service has recovered.
+// leastAsked is how many operations a second needs to report whether service has recovered.
 const leastAsked = 10
 
 // Recovered is how long after the end of the last fault the service took to reach
@@ -302,7 +302,7 @@
 	return -1
 }
 
-// Names gives the sorted keys of one of the figures' maps.
+// Names returns the sorted keys of one of the figures' maps.
 func Names[V any](m map[string]V) []string {
 	return slices.SortedFunc(maps.Keys(m), func(a, b string) int {
 		if len(a) != len(b) && a[:1] == b[:1] && len(a) < 5 && len(b) < 5 { // n2 before n10
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -118,7 +118,7 @@
 	return r.writePage(dir)
 }
 
-// Read gives the run whose report lies in a folder.
+// Read returns the run whose report lies in a folder.
 func Read(dir string) (Run, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, summaryFile))
 	if err != nil {
--- a/internal/lab/scale/cost_lines.go
+++ b/internal/lab/scale/cost_lines.go
@@ -36,7 +36,7 @@
 	of    map[string]Record
 }
 
-// at gives a figure at a size, by the fit along one direction with the others as they were played.
+// at returns a figure at a size, by the fit along one direction with the others as they were played.
 func (m measured) at(
 	what, along, figure string,
 	n float64,
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	readers    = 10 // whole lists that a figure is taken over
+	readers    = 10 // complete lists that a figure is taken over
 	few        = 30 // watchers
 	agents     = 200
 	renewTime  = 4 * time.Second
@@ -42,7 +42,7 @@
 	)
 }
 
-// sized measures changes and whole lists of a list of so many.
+// sized measures changes and complete lists of a list of so many.
 func (l *Lists) sized(
 	ctx context.Context,
 	set *replicas.Set,
--- a/internal/lab/scale/force_news.go
+++ b/internal/lab/scale/force_news.go
@@ -114,7 +114,7 @@
 	)
 }
 
-// figures gives the medians over the changes, and the worst last one.
+// figures returns the medians over the changes, and the worst last one.
 func (t *tally) figures(what string, into map[string]float64) {
 	into[what+"_last_worst_s"] = slices.Max(t.last)
 	into[what+"_half_s"], into[what+"_most99_s"], into[what+"_last_s"] = spreadOf(
--- a/internal/lab/scale/holders.go
+++ b/internal/lab/scale/holders.go
@@ -111,7 +111,7 @@
 	return s, nil
 }
 
-// take gives a process the lease, tells it the record as it is, and the nodes who holds it.
+// take gives a process the lease, shows it the record as it is, and notifies the nodes of the holder.
 func (s *shares) take(which int) {
 	s.acting, s.fence, s.heard, s.first, s.all = which, s.fence+1, map[string]bool{}, 0, 0
 	s.renew()
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -33,7 +33,7 @@
 	Rate    float64  // requests a second at the node
 	Length  time.Duration
 	Changes int     // of the list a second: a server restarts
-	PerNode float64 // servers to a node of the fleet that it is told of
+	PerNode float64 // servers to a node of the fleet that it is notified of
 	Use     float64 // of what so many servers can do, by the requests' work
 }
 
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -55,7 +55,7 @@
 func zoneOf(i int) string { return drawn.Zones[i%len(drawn.Zones)] }
 func kindOf(i int) string { return drawn.Kinds[i%len(drawn.Kinds)] }
 
-// Sizes are what a node's module is told of.
+// Sizes are what a node's module is notified of.
 type Sizes struct{ Backends, Nodes, Placements int }
 
 // place gives classes so many different rules of placement, each open to a third of the servers; one rule is
--- a/internal/lab/scale/pairs_fit.go
+++ b/internal/lab/scale/pairs_fit.go
@@ -29,7 +29,7 @@
 	largest  [2]float64
 }
 
-// Product tells whether the product counts: then a cost at two large sizes is not the sum of two costs.
+// Product reports whether the product counts: then a cost at two large sizes is not the sum of two costs.
 func (f PairFit) Product() bool { return f.Chance < counts }
 
 // Cost is what the fit gives at two sizes; never below 0.
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -78,7 +78,7 @@
 	return p, nil
 }
 
-// times gives the demand with all numbers that grow scaled together; budgets stay.
+// times returns the demand with all numbers that grow scaled together; budgets stay.
 func (p Plan) times(f float64) Plan {
 	for _, n := range []*float64{&p.Plan.Nodes, &p.Plan.Backends, &p.Plan.Services, &p.Plan.Routes, &p.Plan.Tenants, &p.Plan.Requests,
 		&p.Plan.Changes, &p.Plan.Restarts, &p.Plan.Failures} {
--- a/internal/lab/scale/settled.go
+++ b/internal/lab/scale/settled.go
@@ -13,7 +13,7 @@
 
 const (
 	lookEvery = 10 * time.Millisecond
-	maxKept   = 32 << 20 // bytes of a node's kept list
+	maxKept   = 32 << 20 // bytes of a node's cached list
 )
 
 // know waits until every node knows of these servers and no others, of its subset of the list.
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// differs says how a node's kept list is not what its subset of the list has, by the servers' places; empty:
-// it is that.
+// differs says how a node's cached list is not what its subset of the list has, by the servers' places;
+// empty: it is that.
 func differs(file string, at map[string]uint64) (why string, err error) {
 	raw, err := checksumfile.Read(file, maxKept)
 	if err != nil {
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -34,7 +34,7 @@
 	return one, nil
 }
 
-// read gives the bytes that were read since it was last asked.
+// read returns the bytes that were read since it was last asked.
 func (r *recordStore) read() float64 {
 	n := r.bytes
 	r.bytes = 0
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -143,7 +143,7 @@
 	c.follow.Wait()
 }
 
-// concerned tells whether a watcher is to hear of an entry: of each, unless it follows a part.
+// concerned reports whether a watcher is to hear of an entry: of each, unless it follows a part.
 func (c *crowd) concerned(i int, entry string) bool {
 	part := c.part[i].Load()
 	return part == nil || entry == "" || part.Contains(registry.Position(entry))
--- a/internal/lab/spec/parse.go
+++ b/internal/lab/spec/parse.go
@@ -1,6 +1,6 @@
 package spec
 
-// How an experiment's file is read, and what is told of one that can't be.
+// How an experiment's file is read, and what is notified of one that can't be.
 
 import (
 	"errors"
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -19,8 +19,8 @@
 	Agents     = "agents"     // of the backends' machines
 )
 
-// Parties gives those that the names stand for: n0, s0, nodes, backends, clients,
-// discovery, zone:N or a zone's name (its nodes and backends).
+// Parties returns those that the names stand for: n0, s0, nodes, backends, clients, discovery, zone:N or a
+// zone's name (its nodes and backends).
 func (e *Experiment) Parties(names []string) ([]string, error) {
 	var all []string
 	for _, name := range names {
@@ -101,8 +101,8 @@
 	return "box"
 }
 
-// suits tells whether something can be done to a party. What ends or stops a
-// process can be done to a replica of the registry or a worker as well as to a node.
+// suits reports whether something can be done to a party. What ends or stops a process can be done to a
+// replica of the registry or a worker as well as to a node.
 func suits(do, party string) bool {
 	kind := kindOf(party)
 	process := do == "kill" || do == "pause" || do == "restart"
--- a/internal/membership/awareness.go
+++ b/internal/membership/awareness.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxAwareness bounds the stretching of time-outs: five times, so a period of one second.
+// maxAwareness bounds the stretching of timeouts: five times, so a period of one second.
 const maxAwareness = 4
 
 // maxAccusationHold is how long a node whose probes fail in many places accuses nobody. After that it
@@ -81,7 +81,8 @@
 // wasLate says that the node woke late not long ago: it neither accuses nor declares anybody dead.
 func (c *Core) wasLate() bool { return c.now < c.awareness.lateUntil }
 
-// mayAccuse says whether a failed probe speaks against the one that was probed rather than against this node.
+// mayAccuse reports whether a failed probe speaks against the one that was probed rather than against this
+// node.
 func (c *Core) mayAccuse() bool {
 	return !c.wasLate() && (!c.awareness.holding || c.now-c.awareness.holdingSince >= maxAccusationHold)
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -25,16 +25,16 @@
 	// Period is the time from one probe to the next: 200 ms. A node sends about two datagrams a period, so ten a
 	// second, and a dead one among 30 is off all views in about 2.5 s.
 	ProbeInterval time.Duration
-	// Answer is the time for a direct answer before others are asked to ask: 60 ms, over 100 times a round trip
-	// within a site, and short enough that the indirect answers have the rest of the period.
+	// Answer is the time for a direct answer before others are asked for an indirect probe: 60 ms, over 100
+	// times a round trip within a site, and short enough that the indirect answers have the rest of the period.
 	ProbeTimeout time.Duration
 	// Fresh is how long a dead or left member stays in the digest and is told on: 60 s, far beyond the time that
-	// news need.
+	// a broadcast needs.
 	DeadGossipTime time.Duration
 	// Forget is how long a dead or left member is remembered, and a dead one asked: 10 min. Longer cuts heal by
 	// the seeds.
 	DeadReclaimTime time.Duration
-	// Most bounds the members that are remembered, living and dead: 4096. Further strangers are refused.
+	// Most bounds the members that are remembered, living and dead: 4096. Further strangers are rejected.
 	MaxMembers int
 }
 
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -40,26 +40,26 @@
 	ownState        ownState
 
 	strangerBudget   int // answers left for strangers in this period
-	correctionBudget int // datagrams left in it for senders with an old word of this node
+	correctionBudget int // datagrams left in it for senders with an old statement of this node
 	yielded, left    bool
-	leavePeriodsLeft int // periods in which the leave is still to be told; 0: not leaving
+	leavePeriodsLeft int // periods in which the leave is still to be broadcast; 0: not leaving
 }
 
 // Stats count what the core has done and met since its start.
 type Stats struct {
-	Sent, Bytes     uint64 // datagrams and bytes handed out
+	Sent, Bytes     uint64 // datagrams and bytes sent
 	Received        uint64 // datagrams of this fleet that could be read
 	Dropped         uint64 // datagrams of other fleets, of other kinds, or not to be read
-	Refused         uint64 // strangers that found no room
+	Refused         uint64 // strangers rejected as the view is full
 	Probes, Failed  uint64 // probes begun, probes without any answer
 	Refuted         uint64 // accusations of oneself that were refuted
 	Late            uint64 // wakes that came late
 	Synced          uint64 // digests sent since views differed
-	Health          int    // 0 well, to 4: time-outs stretched to five times
+	Health          int    // 0 well, to 4: timeouts stretched to five times
 	Living, Members int    // others living; all remembered, own included
 }
 
-// New gives a core that has not said anything yet; the first Tick starts it. cfg has passed Check.
+// New returns a core that has not said anything yet; the first Tick starts it. cfg has passed Check.
 func New(cfg Config, now Time) *Core {
 	cfg = cfg.withDefaults()
 	c := &Core{
@@ -80,7 +80,7 @@
 	return c
 }
 
-// Stats gives the counts so far.
+// Stats returns the counts so far.
 func (c *Core) Stats() Stats {
 	s := c.stats
 	s.Health, s.Living, s.Members = c.awareness.score, c.living, len(c.sorted)
@@ -128,7 +128,9 @@
 // runPeriod is one period: the same few datagrams each time, however large the fleet is.
 func (c *Core) runPeriod() {
 	c.periods++
-	c.strangerBudget, c.correctionBudget, c.antiEntropy.credit = strangersPerPeriod, correctionsPerPeriod, syncPerPeriod
+	c.strangerBudget = strangersPerPeriod
+	c.correctionBudget = correctionsPerPeriod
+	c.antiEntropy.credit = syncPerPeriod
 	c.expireSuspects()
 	c.expireDeparted()
 	if c.leavePeriodsLeft > 0 {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,13 +1,19 @@
-// Package fleet keeps one node's view of all nodes: who is there, in which life, with which facts. It is what
-// nodes believe of each other, quick and sometimes wrong; nothing that must hold in every case may rest on it
-// alone.
+// Package membership is the pure core of a gossip-based membership protocol: it keeps one node's view of all
+// nodes of a fleet, with their health, generation, incarnation and metadata. Views are eventually consistent
+// and may be wrong for a while, so nothing that must hold in every case may rest on them alone; leases and
+// fencing tokens of the registry are for that.
 //
-// The package is pure: events and a time go in, actions come out. It has no clock, socket or goroutine, and
-// the same events with the same seed give the same actions. The shell gives it a Tick when the last Wake has
-// run out, each datagram as Received, and carries out what is returned.
+// Events and a time go in through Core.Handle, actions come out. The core has no clock, socket or goroutine,
+// and the same events with the same seed give the same actions. Its owner (package gossip) sends a Tick when
+// the last Wake has expired, passes each datagram on as Received, and carries out the actions. A Core must not
+// be used by two goroutines at once.
 //
-// It is written from the published descriptions of SWIM (probes in shuffled rounds, indirect probes,
-// suspicion, news riding on probes) and Lifeguard (local health, fewer accusers means more time, telling the
-// suspect). Its own are the order of lives, the digests of ranges, and the rules for two processes of one
-// name.
+// It follows the published descriptions of SWIM (probes in shuffled rounds, indirect probes, suspicion,
+// broadcasts that ride on probes) and of Lifeguard (local health awareness, a suspicion timeout that shrinks
+// with the number of accusers, notifying the suspect). Its own additions:
+//
+//   - A generation tells apart the processes that had a name one after the other. It goes before SWIM's
+//     incarnation, with which a process refutes suspicions of itself.
+//   - Digests of ranges of the view are compared for anti-entropy (digest.go, sync.go).
+//   - Of two processes with one name the one of the lower generation yields (self.go).
 package membership
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -9,7 +9,7 @@
 // taken as no time.
 type Time = time.Duration
 
-// Event is something that happened to the node: Tick, Received, FactsChanged, Leave or Join.
+// Event is something that happened to the node: Tick, Received, MetadataChanged, Leave or Join.
 type Event interface{ event() }
 
 // Tick says that the last Wake has run out. Further ticks do no harm.
@@ -21,7 +21,7 @@
 	Data []byte
 }
 
-// MetadataChanged gives the node's own facts anew, whole. Facts out of bounds are dropped with a Log.
+// MetadataChanged replaces the member's own metadata. Metadata out of bounds are dropped with a Log.
 type MetadataChanged struct{ Metadata Metadata }
 
 // Leave makes the node say that it goes on purpose. Gone follows when it has been said often enough.
@@ -36,10 +36,10 @@
 func (Leave) event()           {}
 func (Join) event()            {}
 
-// Action is something that the shell is to do: Send, Wake, Changed, Conflict, Gone or Log.
+// Action is something that the server is to do: Send, Wake, Changed, Conflict, Gone or Log.
 type Action interface{ action() }
 
-// Send wants a datagram sent. Name is the member it is for; the shell may know a better address for it than
+// Send wants a datagram sent. Name is the member it is for; the server may know a better address for it than
 // To. For a stranger or a seed Name is empty.
 type Send struct {
 	Name string
@@ -55,7 +55,7 @@
 type MemberChanged struct{ Member, Before Member }
 
 // NameConflict tells that another living process has the node's own name. With Yielded set this one, having
-// the lower life, has fallen silent: it neither sends nor changes its view any more.
+// the lower generation, has fallen silent: it neither sends nor changes its view any more.
 type NameConflict struct {
 	Generation uint64 // the other's
 	From       netip.AddrPort
--- a/internal/membership/forget.go
+++ b/internal/membership/forget.go
@@ -1,7 +1,7 @@
 package membership
 
 // expireDeparted takes those long dead or left out of the digest, and forgets those longer so. In between
-// they are remembered, so that a stale word can't bring them back.
+// they are remembered, so that a stale statement can't bring them back.
 func (c *Core) expireDeparted() {
 	if c.living == len(c.sorted)-1 {
 		return
@@ -25,7 +25,7 @@
 	r := c.sorted[i]
 	c.excludeFromDigest(r)
 	c.countMember(r, -1)
-	r.revision++ // no news of it any more
+	r.revision++ // no broadcasts of it any more
 	delete(c.byHash, r.hash)
 	copy(c.sorted[i:], c.sorted[i+1:])
 	c.sorted[len(c.sorted)-1] = nil
@@ -34,7 +34,7 @@
 	c.actions = append(c.actions, MemberChanged{Before: c.member(r.statement, r.since)})
 }
 
-// forgetOldest makes room by forgetting who has been dead or gone the longest; false if there is nobody.
+// forgetOldest makes room by forgetting whoever has been dead or gone the longest; false if there is nobody.
 func (c *Core) forgetOldest() bool {
 	oldest := -1
 	for i, r := range c.sorted {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -11,28 +11,28 @@
 	ageResolution = 100 * 1e6 // a tenth of a second
 	maxAge        = wire.MaxAge * ageResolution
 
-	// gossipFanout is how many members are told each period while there are news, beside what rides on probes:
-	// with them news reach about four more nodes for each that has them in a period.
+	// gossipFanout is how many members are told each period while there are broadcasts, beside what rides on
+	// probes: with them broadcasts reach about four more nodes for each that has them in a period.
 	gossipFanout = 2
 )
 
-// broadcastQueue are the members of whom something is to be told, by how often it has been.
+// broadcastQueue are the members whose statements are to be broadcast, by how often it has been.
 type broadcastQueue struct {
 	byTransmits [][]queuedBroadcast
 	count       int
 }
 
-// queuedBroadcast stands for a telling; a newer one of the same member has another gen.
+// queuedBroadcast stands for a broadcast; a newer one of the same member has another gen.
 type queuedBroadcast struct {
 	member   *memberState
 	revision uint32
 }
 
-// retransmitLimit is how often one change is told by each node: twice the logarithm, so that in a fleet
+// retransmitLimit is how often one change is broadcast by each node: twice the logarithm, so that in a fleet
 // without loss all but about one in n squared nodes hear of it. The digests find the rest.
 func (c *Core) retransmitLimit() int { return 2 * bits.Len(uint(c.living+1)) }
 
-// queueBroadcast makes r's statement one of the news.
+// queueBroadcast makes r's statement one of the broadcasts.
 func (c *Core) queueBroadcast(r *memberState) {
 	r.revision++
 	c.broadcasts.push(0, queuedBroadcast{r, r.revision})
@@ -42,7 +42,7 @@
 }
 
 // compareDigest notes whether another has the same digest. When so many in a row have it as are needed to
-// hear of most of the fleet, there are no news any more.
+// hear of most of the fleet, there are no broadcasts left any more.
 func (c *Core) compareDigest(digest uint64) {
 	c.matchingDigests++
 	if digest != c.digest {
@@ -53,8 +53,8 @@
 	}
 }
 
-// compact drops what newer tellings have replaced: news are bounded by the members, however quickly these
-// change.
+// compact drops what newer broadcasts have replaced: the broadcasts are bounded by the members, however
+// quickly these change.
 func (n *broadcastQueue) compact() {
 	n.count = 0
 	for i := range n.byTransmits {
@@ -74,7 +74,7 @@
 	n.count++
 }
 
-// next takes out the member told least often, the latest first; ok is false if there is none.
+// next takes out the member broadcast least often, the latest first; ok is false if there is none.
 func (n *broadcastQueue) next() (it queuedBroadcast, times int, ok bool) {
 	for times := range n.byTransmits {
 		for l := len(n.byTransmits[times]); l > 0; l = len(n.byTransmits[times]) {
@@ -98,8 +98,8 @@
 	return st
 }
 
-// appendBroadcasts adds statements to a datagram until one does not fit: those that lead, the news, and last
-// the node's own, which brings its load.
+// appendBroadcasts adds statements to a datagram until one does not fit: the leading ones, the broadcasts,
+// and last the node's own, which brings its load.
 func (c *Core) appendBroadcasts(b []byte, lead ...*memberState) []byte {
 	for _, r := range lead {
 		b, _ = wire.AppendStatement(b, c.statementOf(r))
@@ -132,7 +132,7 @@
 	return b
 }
 
-// gossipBroadcasts tells news to a few members beside the probes.
+// gossipBroadcasts sends broadcasts to a few members beside the probes.
 func (c *Core) gossipBroadcasts() {
 	for range gossipFanout {
 		if to := c.pickLiving(nil); to != nil && c.broadcasts.count > 0 {
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -14,7 +14,7 @@
 	logBurst = 50
 )
 
-// memberChanged keeps what the shell holds beside the core: counts, addresses, numbers.
+// memberChanged keeps what the server holds beside the core: counts, addresses, numbers.
 func (s *Server) memberChanged(a membership.MemberChanged) {
 	s.changes.Add(1)
 	if b := a.Before; b.Name != "" {
--- a/internal/membership/gossip/handoff.go
+++ b/internal/membership/gossip/handoff.go
@@ -16,11 +16,11 @@
 	Generation  uint64           `json:"life"`
 	Incarnation uint32           `json:"incarnation"`
 	State       membership.State `json:"state"`
-	// living members, to learn the view from; at most mostHanded count
+	// living members, to learn the view from; at most maxHandoffAddresses count
 	Join []netip.AddrPort `json:"join,omitempty"`
 }
 
-// HandOver ends the view here without a word to the others, and gives what the next process goes on with.
+// HandOver ends the view here without notifying the others, and gives what the next process goes on with.
 func (s *Server) HandOver() *Handoff {
 	s.stop()
 	<-s.ended
--- a/internal/membership/gossip/metadata.go
+++ b/internal/membership/gossip/metadata.go
@@ -4,13 +4,13 @@
 
 type versions struct{ catalogue, policy uint64 }
 
-// SetVersions gives the versions of the tenants' catalogue and of the policy that this node has; others hear
-// of them within a period. It does not wait.
+// SetVersions publishes the versions of the tenant catalogue and of the policy that this proxy has; others
+// hear of them within a period. It does not wait.
 func (s *Server) SetVersions(catalogue, policy uint64) {
 	s.versions.Store(&versions{catalogue, policy})
 }
 
-// currentMetadata is what the node says of itself now.
+// currentMetadata is the node's metadata now.
 func (s *Server) currentMetadata() membership.Metadata {
 	v := s.versions.Load()
 	state, load := s.cfg.LocalState()
--- a/internal/membership/gossip/report.go
+++ b/internal/membership/gossip/report.go
@@ -9,8 +9,8 @@
 	"wrenspread/internal/membership"
 )
 
-// Report is what a node says of its view on the control address: at most 4,096 members, as many as the core
-// remembers.
+// Report is what a node reports about its view on the control address: at most 4,096 members, as many as the
+// core remembers.
 type Report struct {
 	Fleet       string   `json:"fleet"`
 	Name        string   `json:"name"`
@@ -56,8 +56,8 @@
 	Dropped int64 `json:"dropped"`
 }
 
-// Report asks the owner for what it sees. It is false if the owner has ended, or does not get to it before
-// the context ends.
+// Report asks the owner for what it sees. It returns false if the owner has ended, or does not get to it
+// before the context ends.
 func (s *Server) Report(ctx context.Context) (r Report, ok bool) {
 	ok = s.call(ctx, func() { r = s.report() })
 	return r, ok
@@ -110,7 +110,7 @@
 	return Traffic{Datagrams: t.datagrams.Load(), Bytes: t.bytes.Load()}
 }
 
-// WriteStats gives the figures of the view as lines of text. It waits for nobody.
+// WriteStats returns the membership metrics as lines of text. It waits for nobody.
 func (s *Server) WriteStats(w io.Writer) {
 	for _, g := range []struct {
 		name   string
--- a/internal/membership/gossip/server.go
+++ b/internal/membership/gossip/server.go
@@ -1,5 +1,5 @@
-// Package view is the shell of the fleet's view in a node: it gives the core of package fleet its datagrams
-// and its time, and carries out what that decides. It knows neither the node nor its sockets.
+// Package gossip runs the membership core in a process: it passes datagrams and the time to the core, and
+// carries out the actions that this returns. It owns no socket: its owner sends and receives.
 package gossip
 
 import (
@@ -17,7 +17,7 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Config is what a Shell starts with.
+// Config is what a Server starts with.
 type Config struct {
 	Fleet, Name string
 	Number      int              // own place among Peers, -1: none
@@ -205,7 +205,7 @@
 	}
 }
 
-// call has the owner run f, and says whether it did before the context ended.
+// call has the owner run f, and reports whether it did before the context ended.
 func (s *Server) call(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -42,8 +42,8 @@
 	return r
 }
 
-// updateMember takes up a statement as what holds of r. It keeps sums, counts, the round and the news right,
-// and reports the change.
+// updateMember takes up a statement as what holds of r. It keeps sums, counts, the round and the broadcasts
+// right, and reports the change.
 func (c *Core) updateMember(r *memberState, st wire.Statement) {
 	before, known := r.statement, r.statement.Name != ""
 	was := Member{}
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -27,7 +27,7 @@
 	return bytes.Compare(a.Bytes(), b.Bytes())
 }
 
-// merge gives what holds of two statements on one name: the higher one. Load goes by its own count within a
+// merge returns what holds of two statements on one name: the higher one. Load goes by its own count within a
 // life, so that it needs no incarnation. Accusers of the same suspicion add up. It is commutative,
 // associative and idempotent, Age aside.
 func merge(a, b wire.Statement) wire.Statement {
@@ -47,7 +47,7 @@
 	return high
 }
 
-// accusers gives the three smallest of both: any three are enough to shorten the suspicion the most.
+// accusers returns the three smallest of both: any three are enough to shorten the suspicion the most.
 func accusers(a, b [3]uint64) (out [3]uint64) {
 	if a == b {
 		return a
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,15 +7,15 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// indirectProbes are asked to ask when the direct answer stays out: with three, and a loss of 30% on each
-// way, one probe in nine of a living member fails (0.51 x 0.51 x 0.76^3). So nobody is accused before several
-// in a row have failed: see tries.
+// indirectProbes are asked for an indirect probe when the direct answer stays out: with three, and a loss of
+// 30% on each way, one probe in nine of a living member fails (0.51 x 0.51 x 0.76^3). So nobody is accused
+// before several in a row have failed: see tries.
 const indirectProbes = 3
 
 // failedProbesToAccuse is how many probes of a member, one a period, fail before it is accused: two, and
 // three from 512 members on. At a loss of 30% that leaves one accusation in 80 (700) probes of the living,
-// about 20 a second in a fleet of 300 (2,000), whose news and refutations still have room on the datagrams. A
-// death is found one period (two) later.
+// about 20 a second in a fleet of 300 (2,000), whose broadcasts and refutations still have room on the
+// datagrams. A death is found one period (two) later.
 func (c *Core) failedProbesToAccuse() int { return max(2, (bits.Len(uint(c.living+1))+2)/4) }
 
 // probeRound is the order of probes: all living members once, shuffled, then again. So a member is asked at
@@ -95,7 +95,8 @@
 	}
 }
 
-// sendPing asks a member. One that is not held alive is told so first, so that it can speak up.
+// sendPing asks a member. One that is not considered alive is notified of that first, so that it can refute
+// it.
 func (c *Core) sendPing(r *memberState) uint32 {
 	c.seq++
 	var lead []*memberState
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -10,9 +10,9 @@
 // it 300 joins in a second over one seed are answered within one, and a flood costs no more.
 const strangersPerPeriod = 64
 
-// correctionsPerPeriod bounds the datagrams that only tell a sender the newer word of this node. Nodes hear
-// about two datagrams a period, so there is room; without a bound two nodes of which one can't take the
-// other's word up answer each other once a round trip.
+// correctionsPerPeriod bounds the datagrams that only tell a sender the newer statement of this node. Nodes
+// hear about two datagrams a period, so there is room; without a bound two nodes of which one can't take the
+// other's statement up answer each other once a round trip.
 const correctionsPerPeriod = 16
 
 // received takes a datagram. What is not of this fleet is dropped by its first five bytes.
@@ -49,7 +49,7 @@
 // applyDatagram takes up the statements in a datagram, the sender's on itself first. Of a sender that is
 // unknown, of another generation, dead or left nothing else is believed but what concerns this node, which it
 // can refute: so one that was cut off does not spread its deaths. tellSelf says that the sender has an old
-// word of this node.
+// statement of this node.
 func (c *Core) applyDatagram(d wire.Datagram, from netip.AddrPort) (r *memberState, tellSelf bool) {
 	for _, st := range d.Statements {
 		if wire.Hash(st.Name) == d.Sender && st.Generation == d.Generation {
@@ -72,8 +72,8 @@
 }
 
 // contradicts says that a sender's own statement, already merged, is not what holds of it in its generation.
-// It is a process beside another of its name and life, which answers by name would miss, or (harmless) an
-// overtaken datagram.
+// It is a process beside another of its name and generation, which answers by name would miss, or (harmless)
+// an overtaken datagram.
 func contradicts(d wire.Datagram, r *memberState) bool {
 	for _, st := range d.Statements {
 		if st.Name == r.statement.Name && st.Generation == r.statement.Generation {
@@ -120,8 +120,8 @@
 	}
 }
 
-// answerDatagram does what the datagram asks for. A sender that is held other than alive is told so, and one
-// with an old word of this node hears the new one.
+// answerDatagram does what the datagram asks for. A sender that is considered other than alive is notified of
+// that, and one with an old statement of this node hears the new one.
 func (c *Core) answerDatagram(r *memberState, d wire.Datagram, tellSelf bool) {
 	var lead []*memberState
 	if r.statement.Health != Alive {
--- a/internal/membership/relay.go
+++ b/internal/membership/relay.go
@@ -14,7 +14,7 @@
 type relay struct {
 	origin, target      *memberState
 	requestSeq, pingSeq uint32 // numbers of the request and of the ping
-	nackAt              Time   // when the origin is told that there is no answer so far
+	nackAt              Time   // when the origin is notified that there is no answer so far
 	nacked              bool
 }
 
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -12,10 +12,10 @@
 	// youngTime is how long after it has met the fleet a process may find that its own previous generation is
 	// remembered as a higher one: its clock has gone back. Later a higher generation is another process.
 	youngTime = 10 * time.Second
-	// maxOwnEchoes is how many words of its own name and life that it never said a process puts down to an
-	// upgrade; further ones come from a twin.
+	// maxOwnEchoes is how many statements about its own name and generation that it never said a process puts
+	// down to an upgrade; further ones come from a twin.
 	maxOwnEchoes = 3
-	// loadStep is the change of load, per mille, that is told at once. Smaller ones ride on the node's own
+	// loadStep is the change of load, per mille, that is broadcast at once. Smaller ones ride on the node's own
 	// datagrams.
 	loadStep = 100
 )
@@ -24,12 +24,12 @@
 type ownState struct {
 	hasMet        bool // anybody of the fleet
 	metAt         Time
-	hasRaised     bool // has taken a generation above one that it was told
+	hasRaised     bool // has taken a generation above one that it received
 	echoes        int
-	announcedLoad uint16 // told last
+	announcedLoad uint16 // broadcast last
 }
 
-// metadataChanged takes up the node's own facts.
+// metadataChanged takes up the node's own metadata.
 func (c *Core) metadataChanged(f Metadata) {
 	st := c.self.statement
 	if f.Load != st.Metadata.Load {
@@ -53,7 +53,7 @@
 	}
 }
 
-// receiveOwnStatement takes what another says of this node, and says whether the other is to be told better.
+// receiveOwnStatement takes what another says of this node, and reports whether the other is to be corrected.
 func (c *Core) receiveOwnStatement(st wire.Statement, from netip.AddrPort) (answer bool) {
 	mine := c.self.statement
 	st.Name = mine.Name
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Three periods times one plus the logarithm of the fleet is the time in which a suspect can speak up against
-// three accusers: an accusation needs about so many periods to reach it, and its word to come back. With one
+// Three periods times one plus the logarithm of the fleet is the time in which a suspect can refute three
+// accusers: an accusation needs about so many periods to reach it, and its refutation to come back. With one
 // accuser it has three times as long.
 const (
 	suspectPeriods    = 3
@@ -37,7 +37,7 @@
 	}
 }
 
-// expireSuspects declares dead who has not spoken up in time.
+// expireSuspects declares dead whoever has not refuted its suspicion in time.
 func (c *Core) expireSuspects() {
 	if c.suspects == 0 || c.wasLate() {
 		return
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// compareList answers a List: it tells of members that the other lacks or sees differently, and wants the
-// other's word on those and on the ones that it lacks itself.
+// compareList answers a RangeList: it tells of members that the other lacks or sees differently, and wants
+// the other's statement on those and on the ones that it lacks itself.
 func (c *Core) compareList(r *memberState, d wire.Datagram) {
 	theirs := map[uint64]uint32{}
 	var tell []*memberState
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,13 +9,16 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// The words on members are those of the datagrams.
 type (
-	Health   = wire.Health
-	State    = wire.State
+	// Health is what others, or the member itself, say of whether it lives.
+	Health = wire.Health
+	// State is what a member says that it is doing.
+	State = wire.State
+	// Metadata is what a member says of itself.
 	Metadata = wire.Metadata
 )
 
+// The healths and states of a member; package wire says what they mean.
 const (
 	Alive   = wire.Alive
 	Suspect = wire.Suspect
@@ -43,8 +46,8 @@
 }
 
 // View is what the node believes at one moment. Number rises with each change that the digest covers; two
-// nodes with the same Digest see the same members with the same lives, incarnations, healths and facts, load
-// aside.
+// nodes with the same Digest see the same members with the same generations, incarnations, healths and
+// metadata, load aside.
 type View struct {
 	Version uint64
 	Digest  uint64
@@ -53,7 +56,7 @@
 	Members []Member // by name, own included; the dead and left ones until they are forgotten
 }
 
-// Serving gives the names of the members that are not dead or left and say that they serve, in order.
+// Serving returns the names of the members that are not dead or left and say that they serve, in order.
 func (v View) Serving() []string {
 	var names []string
 	for _, m := range v.Members {
@@ -64,7 +67,7 @@
 	return names
 }
 
-// View gives what the node believes now.
+// View returns what the node believes now.
 func (c *Core) View() View {
 	v := View{Version: c.version, Digest: c.digest, Self: c.self.statement.Name, Yielded: c.yielded}
 	for _, r := range c.sorted {
--- a/internal/membership/wire/datagram.go
+++ b/internal/membership/wire/datagram.go
@@ -15,17 +15,18 @@
 // 0x60 to 0x6f belong to the quotas' claims and grants on the same socket.
 type Kind uint8
 
+// The kinds of datagram. Statements on members ride along with Ping and Ack.
 const (
-	Ping        Kind = 0x40 + iota // are you there? statements ride along
+	Ping        Kind = 0x40 + iota // asks the receiver whether it is alive
 	Ack                            // the answer, with the ping's number
-	PingReq                        // ask Target for me
+	PingReq                        // please ping Target for me
 	Nack                           // I asked Target for you, without an answer so far
 	Gossip                         // statements alone
 	Digest                         // sums of 16 ranges of members
 	RangeList                      // all members that the sender has in one range
 	WantMembers                    // please tell me of these members
-	Answer                         // statements in answer to List and Want
-	IndirectAck                    // Target has answered me, whom you had asked to ask
+	Answer                         // statements in answer to RangeList and WantMembers
+	IndirectAck                    // Target has answered me, whom you had asked for an indirect probe
 )
 
 // Sizes in a datagram. A new layout gets a new kind, so there is no version beside it.
@@ -34,13 +35,13 @@
 	entrySize = 8 + 4
 	// Fanout is the number of ranges that one Digest compares.
 	Fanout = 16
-	// MaxEntries is the most members that a List names.
+	// MaxEntries is the most members that a RangeList names.
 	MaxEntries = (MaxSize - headSize - 17) / entrySize
-	// MaxWanted is the most members that a Want names.
+	// MaxWanted is the most members that a WantMembers names.
 	MaxWanted = (MaxSize - headSize - 1) / 8
 )
 
-// Entry names a member within a List: the hash of its name and the low half of its sum.
+// Entry names a member within a RangeList: the hash of its name and the low half of its sum.
 type Entry struct {
 	Hash uint64
 	Sum  uint32
@@ -65,13 +66,13 @@
 	From, To     uint64         // List: hashes, both included
 	Entries      []Entry        // List
 	Wanted       []uint64       // Want
-	Statements   []Statement    // Ping, Ack, Gossip, Told
+	Statements   []Statement    // Ping, Ack, Gossip, Answer
 }
 
 // FleetHash stands for a fleet's name.
 func FleetHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// IsOurs says whether b may be a datagram of this fleet, without decoding it.
+// IsOurs reports whether b may be a datagram of this fleet, without decoding it.
 func IsOurs(b []byte, fleet uint32) bool {
 	return len(b) >= headSize && len(b) <= MaxSize && Kind(b[0]) >= Ping && Kind(b[0]) <= IndirectAck &&
 		binary.BigEndian.Uint32(b[1:]) == fleet
@@ -113,7 +114,7 @@
 	return b
 }
 
-// AppendStatement adds s if it fits, and says whether it did.
+// AppendStatement adds s if it fits, and reports whether it did.
 func AppendStatement(b []byte, s Statement) ([]byte, bool) {
 	var room [MaxSize]byte
 	body := s.appendBody(room[:0])
@@ -125,7 +126,7 @@
 	return append(append(b, size[:n]...), body...), true
 }
 
-// Decode reads a datagram whole, or says why it can't.
+// Decode reads a datagram whole, or returns the reason why it can't.
 func Decode(b []byte) (Datagram, error) {
 	if len(b) > MaxSize {
 		return Datagram{}, fmt.Errorf("datagram of %d bytes, over %d", len(b), MaxSize)
--- a/internal/membership/wire/fact.go
+++ b/internal/membership/wire/fact.go
@@ -27,10 +27,11 @@
 	return fmt.Sprintf("health-%d", uint8(h))
 }
 
-// State is the member's own word on what it is doing. Values beyond the known ones come from newer versions:
-// they are kept and passed on.
+// State is the member's own statement on what it is doing. Values beyond the known ones come from newer
+// versions: they are kept and passed on.
 type State uint8
 
+// The states of a member, in the order in which it goes through them.
 const (
 	Joining State = iota
 	Serving
@@ -51,7 +52,7 @@
 	Catalogue     uint64 // version of the tenants' catalogue that the member has
 	Policy        uint64 // version of the policy that the member has
 	FencingToken  uint64 // fencing token under which it holds the lease of sharing out quotas; 0: it doesn't
-	Load          uint16 // per mille; told in passing, not covered by the digest
+	Load          uint16 // per mille; sent along, not covered by the digest
 	State         State
 }
 
@@ -70,7 +71,7 @@
 	UnknownFields string    // fields of newer versions, kept and passed on, at most MaxExtra bytes
 }
 
-// Bounds of what is told. With all at their most, one statement still fits into one datagram (see the test).
+// Bounds of statements. With all at their most, one statement still fits into one datagram (see the test).
 const (
 	MaxName          = 48
 	MaxText          = 24
@@ -86,7 +87,7 @@
 	return s
 }
 
-// Check says whether the statement is within its bounds.
+// Check reports whether the statement is within its bounds.
 func (s Statement) Check() error {
 	switch {
 	case len(s.Name) < 1 || len(s.Name) > MaxName || !printable(s.Name, '!'):
--- a/internal/membership/wire/statement.go
+++ b/internal/membership/wire/statement.go
@@ -17,7 +17,7 @@
 	return xxhash.Sum64(s.WithoutVolatile().appendBody(room[:0]))
 }
 
-// Bytes is the plain statement as it is told: the same statement, the same bytes.
+// Bytes is the plain statement as it is sent: the same statement, the same bytes.
 func (s Statement) Bytes() []byte { return s.WithoutVolatile().appendBody(nil) }
 
 // appendBody writes the statement without its length. The statement is within its bounds.
--- a/internal/policy/errors.go
+++ b/internal/policy/errors.go
@@ -48,7 +48,7 @@
 // Count is how many there are.
 func (e *Errors) Count() int { return len(e.diags) }
 
-// Error gives the first, and says how many there are.
+// Error returns the first, and says how many there are.
 func (e *Errors) Error() string {
 	var b strings.Builder
 	e.write(&b, e.diags[0])
--- a/internal/policy/floors.go
+++ b/internal/policy/floors.go
@@ -89,7 +89,7 @@
 	return true
 }
 
-// scopesInOrder gives the blocks by the table's parts.
+// scopesInOrder returns the blocks by the table's parts.
 func scopesInOrder(fleet *scope) (places []*scope) {
 	fleet.each(func(p *scope) { places = append(places, p) }) // flatten has put them in order
 	return places
--- a/internal/policy/locals.go
+++ b/internal/policy/locals.go
@@ -136,7 +136,7 @@
 	c.ctx.Variables["local"] = cty.ObjectVal(values)
 }
 
-// nameAfter gives the name in local.NAME.
+// nameAfter returns the name in local.NAME.
 func nameAfter(t hcl.Traversal) (string, bool) {
 	if len(t) < 2 {
 		return "", false
--- a/internal/proxy/canceller.go
+++ b/internal/proxy/canceller.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// isCancelled tells whether it is to end. It is asked after all that would undo what end did.
+// isCancelled reports whether it is to end. It is asked after all that would undo what end did.
 func (l *canceller) isCancelled() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -11,9 +11,9 @@
 	"wrenspread/internal/simwire"
 )
 
-// CheckConfig says what is wrong with the configuration file at path, all of it
-// at once and each with its key: problems keep the proxy from starting, or from
-// a part of its work; notes tell of what it starts with and passes over.
+// CheckConfig validates the configuration file at path, all of it at once and each with its key: problems
+// keep the proxy from starting, or from a part of its work; notes tell of what it starts with and passes
+// over.
 func CheckConfig(path string) (problems, notes []string) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -188,7 +188,7 @@
 
 type keyedValue struct{ key, value string }
 
-// addresses gives those without which the proxy does not start.
+// addresses returns those without which the proxy does not start.
 func (in *configForm) addresses() []keyedValue {
 	all := []keyedValue{{"listen", in.Listen}}
 	for _, a := range in.List {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -25,8 +25,7 @@
 // errNoCapacity says that this proxy has no room for a connection.
 var errNoCapacity = errors.New("too many connections")
 
-// ownLimit tells whether the proxy itself could not open a connection, which
-// says nothing of the server.
+// ownLimit reports whether the proxy itself could not open a connection, which says nothing of the server.
 func ownLimit(err error) bool {
 	for _, limit := range []error{
 		errNoCapacity,
@@ -145,7 +144,7 @@
 	}
 }
 
-// isQuiet tells whether an idle connection is open with nothing to read.
+// isQuiet reports whether an idle connection is open with nothing to read.
 func isQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -139,10 +139,10 @@
 	}
 }
 
-// serving tells whether the proxy takes new clients.
+// serving reports whether the proxy takes new clients.
 func (f *frontend) serving() bool { return f.ready.Load() && f.accepting.Load() && !f.draining.Load() }
 
-// acceptsNow tells whether it takes them now: it does not while all places are in use.
+// acceptsNow reports whether it takes them now: it does not while all places are in use.
 func (f *frontend) acceptsNow() bool {
 	limited := f.clients.Load()
 	return f.serving() && limited != nil && !limited.Full()
--- a/internal/proxy/listener/clientgone.go
+++ b/internal/proxy/listener/clientgone.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClientGone tells whether the client has ended its connection, or its sending, as far as the system knows,
+// ClientGone reports whether the client has ended its connection, or its sending, as far as the system knows,
 // also behind bytes that nobody has read. The server's own read, which waits for that, may come later than an
 // attempt.
 func (c *Conn) ClientGone() bool {
@@ -48,7 +48,7 @@
 	return sc.SyscallConn()
 }
 
-// hasEnded tells whether nothing more comes on a socket but what is there to be read.
+// hasEnded reports whether nothing more comes on a socket but what is there to be read.
 func hasEnded(fd int) bool {
 	var b [1]byte
 	if n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); n <= 0 {
--- a/internal/proxy/listener/conn.go
+++ b/internal/proxy/listener/conn.go
@@ -75,10 +75,9 @@
 	}
 }
 
-// isBackgroundRead tells whether a read is the server's beside a handler, by which it
-// hears that the client leaves. It asks for one byte, and hears nothing more once
-// it has one: so it gets none. Where the request ends is not known of one in
-// chunks, but there the server reads one byte at no other time.
+// isBackgroundRead reports whether a read is the server's beside a handler, by which it hears that the client
+// leaves. It asks for one byte, and hears nothing more once it has one: so it gets none. Where the request
+// ends is not known of one in chunks, but there the server reads one byte at no other time.
 func (c *Conn) isBackgroundRead(p []byte) bool { return c.inFlight || c.framing.chunked && len(p) == 1 }
 
 // receive takes what the client has sent, unless the connection has been closed.
@@ -130,7 +129,7 @@
 // StartedAt is when the first byte of the request under way came, or the connection.
 func (c *Conn) StartedAt() time.Time { return time.Unix(0, c.startedAt.Load()) }
 
-// Pending tells whether something has been read behind the request under way.
+// Pending reports whether something has been read behind the request under way.
 func (c *Conn) Pending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/listener/framing.go
+++ b/internal/proxy/listener/framing.go
@@ -70,7 +70,7 @@
 	f.headLine = append(f.headLine, p[:min(len(p), MaxHead-len(f.headLine))]...)
 }
 
-// endLine tells whether the head is whole.
+// endLine reports whether the head is whole.
 func (f *framing) endLine() (whole bool, err error) {
 	line := bytes.TrimSuffix(f.headLine, []byte("\r"))
 	f.headLine = f.headLine[:0] // its bytes are as they were until the next line comes
--- a/internal/proxy/listener/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -86,8 +86,8 @@
 	return true
 }
 
-// evictIdle closes the connection that has been idle longest or, with none idle, the
-// one that has sent nothing for longest since it is new. It is false if there is none.
+// evictIdle closes the connection that has been idle longest or, with none idle, the one that has sent
+// nothing for longest since it is new. It returns false if there is none.
 func (l *Listener) evictIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/listener/inherited.go
+++ b/internal/proxy/listener/inherited.go
@@ -10,9 +10,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// Inherited gives the clients' socket that the platform holds, whose
-// descriptor the environment names. It is shared with other processes: it may
-// be closed, but never shut down.
+// Inherited returns the clients' socket that the platform holds, whose descriptor the environment names. It
+// is shared with other processes: it may be closed, but never shut down.
 func Inherited(number string) (net.Listener, error) {
 	fd, err := strconv.Atoi(number)
 	if err != nil || fd < 0 {
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// takeSlot waits for a place. It is false where the listener has been closed, or
-// has had none for FullTime and now has nobody who gives way.
+// takeSlot waits for a place. It returns false where the listener has been closed, or has had none for
+// FullTime and now has nobody who gives way.
 func (l *Listener) takeSlot() bool {
 	select {
 	case l.slots <- struct{}{}:
@@ -150,7 +150,7 @@
 	l.full.Store(false)
 }
 
-// Full tells whether clients who come now are shut, as far as is known.
+// Full reports whether clients who come now are shut, as far as is known.
 func (l *Listener) Full() bool { return l.full.Load() }
 
 // Close leaves what waits in the queue to other processes, if there are any.
@@ -169,8 +169,8 @@
 	}
 }
 
-// queued tells whether a connection waits at the end of accepting, and if so
-// gives Accept time to take it, unless another process does.
+// queued reports whether a connection waits at the end of accepting, and if so gives Accept time to take it,
+// unless another process does.
 func (l *Listener) queued() bool {
 	ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	return ok && socketoption.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueAcceptTime)) == nil
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -25,8 +25,8 @@
 	upload *upload // what follows the body above; nil: it is all
 }
 
-// encode writes the request in full, so that one write sends it and its result
-// tells whether the last byte left.
+// encode writes the request in full, so that one write sends it and its result reports whether the last byte
+// left.
 func (o *outbound) encode(wait time.Duration) ([]byte, error) {
 	uri := o.url.RequestURI()
 	if o.host == "" || strings.ContainsFunc(o.host+uri, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// lacksPeerSocket tells whether this proxy still lacks a socket that it ought to have.
+// lacksPeerSocket reports whether this proxy still lacks a socket that it ought to have.
 func (srv *Server) lacksPeerSocket() bool {
 	return srv.config.PeerListen != "" && (len(srv.config.Peers) > 0 || srv.config.Membership.Name != "") &&
 		srv.peers.Load() == nil
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -189,7 +189,7 @@
 	g.hasSlot.Store(st.HasSlot)
 }
 
-// tellLedger gives the ledger an event and sends what comes of it.
+// tellLedger passes an event to the ledger and sends the datagrams that result.
 func (srv *Server) tellLedger(e quota.Event) {
 	shell := srv.membership.Load()
 	for _, a := range srv.policy.ledger.Handle(time.Since(srv.start), e) {
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// setDraining says whether a server takes nothing new.
+// setDraining reports whether a server takes nothing new.
 func (p *pool) setDraining(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// isBarred tells whether nothing may be written on a connection any more: since its server was picked, that
+// isBarred reports whether nothing may be written on a connection any more: since its server was picked, that
 // has restarted, moved, begun to drain or left the list, or is held.
 func (p *pool) isBarred(id balancer.EndpointID, c *conn) bool {
 	p.mu.Lock()
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -38,7 +38,7 @@
 	clientGone    <-chan struct{} // closed when the server knows that the client has left
 }
 
-// abandoned tells whether a request's client has left, which the loop may not know yet.
+// abandoned reports whether a request's client has left, which the loop may not know yet.
 func (r *request) abandoned() bool {
 	select {
 	case <-r.clientGone:
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// sharedKeys gives the keys that all objects of a list have.
+// sharedKeys returns the keys that all objects of a list have.
 func sharedKeys(list []any) map[string]any {
 	var shared map[string]any
 	for _, e := range list {
@@ -161,8 +161,8 @@
 	})
 }
 
-// applySettings gives the balancer the proxy's settings and the front the rules of them,
-// in one step of the loop: each request that it opens has either these or those before.
+// applySettings gives the balancer the proxy's settings and the frontend their rules, in one step of the
+// loop: each request that it opens has either these or those before.
 func (srv *Server) applySettings(next *requestRules) {
 	srv.handle(balancer.SettingsChanged{Settings: srv.withVariants(srv.config.Settings)})
 	srv.frontend.rules.Store(next)
--- a/internal/proxy/tenants_config.go
+++ b/internal/proxy/tenants_config.go
@@ -21,7 +21,7 @@
 	OnDemand     bool          // of a catalogue with parts it reads those that requests name
 }
 
-// tenants gives what the key govern says of tenants. g may be nil.
+// tenants returns what the key govern says of tenants. g may be nil.
 func (g *policyForm) tenants() (c TenantsConfig) {
 	if g != nil && g.Tenants {
 		c = TenantsConfig{
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -40,7 +40,7 @@
 	return l
 }
 
-// classFor gives the class by which the balancer places a request; empty: it can't. One in the form of the
+// classFor returns the class by which the balancer places a request; empty: it can't. One in the form of the
 // settings before is placed by a variant that came with those.
 func (l *routeVariants) classFor(route *tenant.Route, class string, former bool) string {
 	if !narrows(route) {
@@ -163,7 +163,7 @@
 	return c
 }
 
-// intersect gives what is open to both, in order. Of a class nil is all, of a route none is.
+// intersect returns what is open to both, in order. Of a class nil is all, of a route none is.
 func intersect(class, route []string) []string {
 	if len(route) == 0 {
 		return class
@@ -178,8 +178,8 @@
 	return slices.Compact(both)
 }
 
-// withVariants adds the variants that the catalogue needs to settings, for the balancer alone. It is told of
-// them.
+// withVariants adds the variants that the catalogue needs to settings, for the balancer alone. It is notified
+// of them.
 func (srv *Server) withVariants(s balancer.Settings) balancer.Settings {
 	t := srv.tenants
 	if t == nil {
@@ -209,7 +209,7 @@
 	srv.applyRoutes()
 }
 
-// applyRoutes gives the balancer the variants that it lacks. While requests still come in the form of the
+// applyRoutes adds the route variants that the balancer lacks. While requests still come in the form of the
 // settings before, which it would forget, it waits: until then the routes that are new get a 503.
 func (srv *Server) applyRoutes() {
 	if srv.tenants.routes.outdated && time.Now().After(srv.frontend.rules.Load().previousUntil) {
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// setStatus gives it another word. It does not wait: only the last one counts.
+// setStatus changes the session's status. It does not wait: only the last one counts.
 func (s *registrySession) setStatus(w tenant.Status) {
 	s.status.Store(&w)
 	signal(s.wake)
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -84,7 +84,7 @@
 	reader          *bodyReader
 	completedAt     atomic.Int64  // when its last byte went out; 0: not yet
 	taken           atomic.Bool   // some of it has been, so that no other attempt can have it
-	clientGone      func() bool   // tells whether the client has left
+	clientGone      func() bool   // reports whether the client has left
 	clientGoneAtEnd atomic.Bool   // it had when its last byte was to go out
 	readingEnded    chan struct{} // closed when nothing more is read from the client
 	err             error         // how reading from the client failed, once ended is closed
--- a/internal/proxy/writeresponse.go
+++ b/internal/proxy/writeresponse.go
@@ -64,7 +64,7 @@
 	"X-Not-Run",
 }
 
-// endToEnd gives the headers that are passed on. Their values are shared.
+// endToEnd returns the headers that are passed on. Their values are shared.
 func endToEnd(h http.Header) http.Header {
 	out := maps.Clone(h)
 	for _, line := range h.Values("Connection") {
--- a/internal/quota/allocate.go
+++ b/internal/quota/allocate.go
@@ -54,9 +54,9 @@
 	return out
 }
 
-// allocateRate divides rate by max-min, what nobody wants by want, and the bucket's room by rate. Where there
-// is not a whole token's room for each, some have all, in turn: a bucket that can't hold a token never
-// admits.
+// allocateRate divides rate by max-min, what nobody wants by want, and the bucket's capacity by rate. Where
+// there is not a whole token's capacity for each, some have all, in turn: a bucket that can't hold a token
+// never admits.
 func (a *Allocator) allocateRate(i int32, free size, in []*memberShare, wants []float64) {
 	whole := int(min(free.burst, float64(len(in))))
 	if whole < len(in) {
--- a/internal/quota/allocation.go
+++ b/internal/quota/allocation.go
@@ -18,7 +18,7 @@
 	claimed               uint32 // the number of the newest claim
 	claimedAt             time.Duration
 	demand                float64
-	inFlight              float64 // open requests, as claimed
+	inFlight              float64 // requests in flight, as claimed
 	goal                  size
 	counted               size // in the limit's sum
 }
@@ -56,8 +56,8 @@
 	}
 }
 
-// allocation is one limit as the holder keeps it: who has a share, and what nobody has, in a bucket of its
-// own. Tokens go from there with the room that a grant adds to a proxy's bucket.
+// allocation is one limit as the allocator keeps it: who has a share, and what nobody has, in a bucket of its
+// own. Tokens go from there with the capacity that a grant adds to a proxy's bucket.
 type allocation struct {
 	shares   []*memberShare // by the members' names
 	tokens   float64
@@ -66,7 +66,7 @@
 	sum      sum
 }
 
-// allocation gives a limit's, which has been idle if there is none yet.
+// allocation returns a limit's, which has been idle if there is none yet.
 func (a *Allocator) allocation(i int32) *allocation {
 	s := a.allocations[i]
 	if s == nil {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -9,7 +9,7 @@
 // AllocatorConfig is what an allocator is started with.
 type AllocatorConfig struct {
 	Fleet uint32 // the fleet's name as a hash
-	Name  string // by which proxies send to the holder, at most MostName bytes
+	Name  string // by which proxies send to the allocator, at most MaxName bytes
 }
 
 // Allocator shares the limits out among the proxies, for as long as its process holds the lease. It is pure:
@@ -17,7 +17,7 @@
 //
 // At any time, and for each limit, what it counts for all members together stays within the limit: see count.
 // It rests on the lease's fencing token and end, on the record of enrolled proxies and on leases; never on
-// the view.
+// membership.
 type Allocator struct {
 	cfg            AllocatorConfig
 	times          times
@@ -30,27 +30,27 @@
 
 	token           uint64
 	leaseUntil      time.Duration // the lease may be acted on
-	formerLeasesEnd time.Duration // no lease of the previous holder can be left
+	formerLeasesEnd time.Duration // no lease of the previous allocator can be left
 	recordKnown     bool          // the record is known under the fencing token
-	expectedProxies int           // proxies, by the view
+	expectedProxies int           // proxies, by membership
 	plannedAt       time.Duration
 
 	members         []*member // by name
-	revision        int       // changes when they, their slots or lives, or the table do
+	revision        int       // changes when they, their slots or generations, or the table do
 	departed        []leave   // the last that left
 	recordDirty     bool      // the record is to be written
 	recordWrittenAt time.Duration
 	writePending    bool
 }
 
-// Bounds on what proxies can make the holder keep, and its pace.
+// Bounds on what proxies can make the allocator keep, and its pace.
 const (
 	maxDeparted  = 1024
 	planInterval = 50 * time.Millisecond
 	writeTimeout = time.Second // a write that nothing was heard of
 )
 
-// NewAllocator gives one that holds nothing.
+// NewAllocator returns one that holds nothing.
 func NewAllocator(cfg AllocatorConfig) *Allocator {
 	return &Allocator{
 		cfg:            cfg,
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// mayGrant says whether grants may be made. What was granted by until has run out a lease, as others see it,
-// later.
+// mayGrant reports whether grants may be made. What was granted by until has run out a lease, as others see
+// it, later.
 func (a *Allocator) mayGrant() bool { return a.recordKnown && a.now < a.leaseUntil }
 
 // leaseHeld begins anew under a new fencing token, knowing nothing; under the same one it goes on for longer.
@@ -99,7 +99,12 @@
 	case h.Token < a.token || h.Token == 0:
 		return
 	case h.Token > a.token:
-		a.token, a.recordKnown, a.members, a.departed, a.recordDirty, a.writePending = h.Token, false, nil, nil, false, false
+		a.token = h.Token
+		a.recordKnown = false
+		a.recordDirty = false
+		a.writePending = false
+		a.members = nil
+		a.departed = nil
 		a.allocations = map[int32]*allocation{}
 		a.formerLeasesEnd = a.now + a.times.countedLease()
 	}
@@ -148,7 +153,7 @@
 	return nil
 }
 
-// find gives the member of a name and where it is, or where it would be.
+// find returns the member of a name and where it is, or where it would be.
 func (a *Allocator) find(name string) (int, *member) {
 	at, there := slices.BinarySearchFunc(
 		a.members,
--- a/internal/quota/allocator/record.go
+++ b/internal/quota/allocator/record.go
@@ -23,14 +23,14 @@
 
 const format = 1
 
-// slotRecord is what the registry keeps. A later format is refused: its holder has to be of a version
-// that knows it.
+// slotRecord is what the registry keeps. A later format is refused: its allocator has to be of a version that
+// knows it.
 type slotRecord struct {
 	Format int          `json:"format"`
 	Slots  []quota.Slot `json:"seats"`
 }
 
-// readSlots gives the slots and the record's version, 0 if there is none.
+// readSlots returns the slots and the record's version, 0 if there is none.
 func readSlots(ctx context.Context, k *client.Client) ([]quota.Slot, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
@@ -52,7 +52,7 @@
 	return r.Slots, got.Version, nil
 }
 
-// announce tells the proxies who shares limits out from now on.
+// announce tells the proxies which process is the allocator from now on.
 func announce(ctx context.Context, k *client.Client, f lease.Token, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
--- a/internal/quota/allocator/server.go
+++ b/internal/quota/allocator/server.go
@@ -1,4 +1,5 @@
-// Package holder runs the allocator in a process that may hold the lease "quota".
+// Package allocator runs the quota allocator (package quota) in a process that may hold the lease "quota": it
+// reads and writes the record of slots under the lease's fencing token, and passes datagrams on.
 package allocator
 
 import (
@@ -13,20 +14,20 @@
 	"wrenspread/internal/registry/client"
 )
 
-// LeaseName is the one whose holder shares limits out.
+// LeaseName is the lease whose holder is the allocator.
 const LeaseName = "quota"
 
 const tickInterval = 20 * time.Millisecond
 
-// Config is what a holder works with.
+// Config is what an allocator works with.
 type Config struct {
 	Fleet    uint32 // the fleet's name as a hash
-	Name     string // by which proxies send to it: that of its member of the view
+	Name     string // by which proxies send to it: that of its member of membership
 	Registry *client.Client
 	Leases   *lease.Session
 	In       <-chan []byte                // datagrams whose first byte is quota.Ours, no longer the sender's
-	Send     func(to string, data []byte) // to a member of the view; it never waits
-	Events   <-chan quota.Event           // Table, Wall, Expect and Forget
+	Send     func(to string, data []byte) // to a member of membership; it never waits
+	Events   <-chan quota.Event           // TableChanged, WallClock, ExpectedProxies and Forget
 	Log      *slog.Logger                 // nil: none
 }
 
@@ -59,7 +60,7 @@
 	writing    bool
 }
 
-// Run shares limits out whenever the process holds the lease, until ctx ends.
+// Run allocates quotas whenever the process holds the lease, until ctx ends.
 func Run(ctx context.Context, c Config) error {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
@@ -81,7 +82,7 @@
 	return all.Wait()
 }
 
-// holdLease hands a tenure to the loop, and comes back once the loop acts for it no more.
+// holdLease passes a tenure to the loop, and comes back once the loop acts for it no more.
 func (h *server) holdLease(ctx context.Context, f lease.Token) error {
 	seats, version, err := readSlots(ctx, h.config.Registry)
 	if err != nil {
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -15,10 +15,10 @@
 	fallbackAtOnce bool // without the lease the fallback share holds at once
 	fallback       size
 
-	inFlight      float64 // requests that are open
-	lent          float64 // tokens handed to others: their room stays empty until lentUntil
+	inFlight      float64 // requests in flight
+	lent          float64 // tokens lent to others: their capacity stays empty until lentUntil
 	lentUntil     time.Duration
-	borrowed      float64 // room for tokens that others handed, until gotUntil
+	borrowed      float64 // capacity for tokens that others lent, until gotUntil
 	borrowedUntil time.Duration
 
 	arrived      float64 // asked of it since the last round
@@ -29,11 +29,11 @@
 	claimed      bool
 }
 
-// currentShare is what the slot has at a time: the lease; without one the fallback share, unless that is at
-// rest, which leaves the bucket as it is but does not fill it.
+// currentShare is what the slot has at a time: the lease; without one the fallback share, unless that is
+// suspended, which leaves the bucket as it is but does not fill it.
 func (l *Ledger) currentShare(s *bucket, at time.Duration) size {
 	switch {
-	case s.concurrency: // never at rest: what was begun on a borrowed share would outlast the lease
+	case s.concurrency: // never suspended: what was begun on a borrowed share would outlast the lease
 		if at < s.leaseUntil {
 			return s.lease.max(s.fallback)
 		}
@@ -48,7 +48,7 @@
 
 func (s *bucket) capacity(share size) float64 { return max(share.burst-s.lent, 0) + s.borrowed }
 
-// refill brings the bucket up to now, piece by piece between the times at which its share or its room
+// refill brings the bucket up to now, piece by piece between the times at which its share or its capacity
 // changes.
 func (l *Ledger) refill(s *bucket) {
 	for s.filledAt < l.now {
@@ -93,7 +93,7 @@
 	return s.tokens
 }
 
-// Capacity is the most that Left can come to at the present share.
+// Capacity is the most that Available can return at the present share.
 func (l *Ledger) Capacity(i int) float64 {
 	s := &l.buckets[i]
 	share := l.currentShare(s, l.now)
@@ -106,7 +106,7 @@
 	return s.capacity(share)
 }
 
-// Take notes that a request was admitted. The caller has asked Left at the same time.
+// Take notes that a request was admitted. The caller has called Available at the same time.
 func (l *Ledger) Take(i int, amount float64) {
 	s := &l.buckets[i]
 	if s.concurrency {
@@ -117,7 +117,7 @@
 	l.recordDemand(i, amount)
 }
 
-// Return notes that a request of a limit on open requests has ended.
+// Return notes that a request of a limit on concurrency has ended.
 func (l *Ledger) Return(i int, amount float64) {
 	if s := &l.buckets[i]; s.concurrency {
 		s.inFlight = max(s.inFlight-amount, 0)
--- a/internal/quota/claims.go
+++ b/internal/quota/claims.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// sendClaims tells the holder of some limits, in as many datagrams as it takes. All others are idle here:
-// they cost nothing, and the holder may lend their fallback share to others.
+// sendClaims tells the allocator of some limits, in as many datagrams as it takes. All others are idle here:
+// they cost nothing, and the allocator may lend their fallback share to others.
 func (l *Ledger) sendClaims(which []int32) []Action {
 	if l.allocator == "" {
 		return nil
@@ -91,9 +91,9 @@
 	return item
 }
 
-// applyGrant takes what answers one of the last claims, if its holder is the newest known. Leases run from
-// when the claim was sent. While tokens handed to others may still be used there, no share may fall below
-// them, so that nothing is taken; having heard of the holder, the proxy hands out no more.
+// applyGrant takes what answers one of the last claims, if its allocator is the newest known. Leases run from
+// when the claim was sent. While tokens lent to others may still be used there, no share may fall below them,
+// so that nothing is taken; having heard of the allocator, the proxy lends no more.
 func (l *Ledger) applyGrant(g grant) {
 	c := l.sentClaims[g.claim%uint32(len(l.sentClaims))]
 	if g.generation != l.cfg.Generation || g.token != l.token || c.token != g.token || c.number != g.claim ||
--- a/internal/quota/events.go
+++ b/internal/quota/events.go
@@ -6,41 +6,51 @@
 	"wrenspread/ratelimit"
 )
 
-// Event is what a core is told. Each core ignores what is not for it.
+// Event is what a core is notified of. Each core ignores events that are not for it.
 type Event interface{ event() }
 
-// Events of both cores.
 type (
-	Tick    struct{}              // time has passed; every 20 ms or so
-	Message struct{ Data []byte } // a datagram has come; the core checks it
-	// TableChanged is the one by which requests are judged from now on. A holder is told the one Before too
-	// (nil: none), since proxies that don't know the new one yet have their fallback share of the old.
+	// Tick says that time has passed; it comes every 20 ms or so. Of both cores.
+	Tick struct{}
+	// Message is a datagram that has come; the core checks it. Of both cores.
+	Message struct{ Data []byte }
+	// TableChanged has the table by which requests are judged from now on. The allocator needs the Previous one,
+	// too (nil: none), since proxies that don't know the new one yet have their fallback share of the old. Of
+	// both cores.
 	TableChanged struct{ Current, Previous *ratelimit.Table }
 )
 
-// Events of the ledger.
 type (
-	AllocatorKnown struct { // as the registry's watch says; datagrams tell it too
+	// AllocatorKnown tells the ledger which proxy's datagrams are the allocator's, as the registry's watch has
+	// it. Datagrams of a later Token replace it.
+	AllocatorKnown struct {
 		Name  string
 		Token uint64
 	}
-	Peers struct{ Names []string } // other proxies that serve, by the view: who is asked for tokens
-	Leave struct{}                 // nothing is admitted from now on
+	// Peers tells the ledger which other proxies serve, as membership has it: they are asked for tokens.
+	Peers struct{ Names []string }
+	// Leave tells the ledger that nothing is admitted from now on.
+	Leave struct{}
 )
 
-// Events of the allocator.
 type (
-	LeaseHeld struct { // the lease is held under Fence, until Until by this process's clock unless renewed
+	// LeaseHeld tells the allocator that its process holds the lease under Token, until Until by the process's
+	// clock unless renewed.
+	LeaseHeld struct {
 		Token uint64
 		Until time.Duration
 	}
-	RecordRead struct { // the record fleet/proxies, as read or written under Fence
+	// RecordRead tells the allocator the record of slots as read or written under Token.
+	RecordRead struct {
 		Token uint64
 		Slots []Slot
 	}
-	Forget          struct{ Name string }    // an operator says that the proxy will never come back
-	ExpectedProxies struct{ Count int }      // about as many proxies as the view knows
-	WallClock       struct{ Time time.Time } // every minute, for limits by time of day
+	// Forget tells the allocator that a proxy will never come back, as an operator says.
+	Forget struct{ Name string }
+	// ExpectedProxies tells the allocator about how many proxies membership knows.
+	ExpectedProxies struct{ Count int }
+	// WallClock tells the allocator the time of day, every minute, for limits that depend on it.
+	WallClock struct{ Time time.Time }
 )
 
 func (Tick) event()            {}
@@ -59,12 +69,13 @@
 type Action interface{ action() }
 
 type (
-	// Send is a datagram to a named proxy or holder.
+	// Send is a datagram to a named proxy or allocator.
 	Send struct {
 		To   string
 		Data []byte
 	}
-	// WriteRecord replaces the record fleet/proxies under the fencing token. Its success is told as a Record.
+	// WriteRecord replaces the record fleet/proxies under the fencing token. Its success is reported as a
+	// RecordRead.
 	WriteRecord struct {
 		Token uint64
 		Slots []Slot
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// answerClaim answers a claim, if it was sent to this holder under its present fencing token: so it was sent
-// after the previous holder's end, and what it says to hold was counted by that one to its last moment.
+// answerClaim answers a claim, if it was sent to this allocator under its present fencing token: so it was
+// sent after the previous allocator's end, and what it says to hold was counted by that one to its last
+// moment.
 func (a *Allocator) answerClaim(c claim) []Action {
 	switch {
 	case c.token > a.token:
@@ -86,8 +87,8 @@
 	return item, true
 }
 
-// nextLease is what a member's next lease is: its goal, as far as the others leave room. While leases of a
-// previous holder may be alive, it is what the proxy holds by one, which adds nothing.
+// nextLease is what a member's next lease is: its goal, as far as the others leave capacity. While leases of
+// a previous allocator may be alive, it is what the proxy holds by one, which adds nothing.
 func (a *Allocator) nextLease(e *memberShare, i int32, c claimItem) (size, bool) {
 	l := &a.limits.all[i]
 	if a.now < a.formerShareEnd(i) {
@@ -121,8 +122,8 @@
 	return goal
 }
 
-// formerShareEnd is when nothing of a limit can be left that a previous holder gave: of open requests, the
-// last that were begun under its leases have ended.
+// formerShareEnd is when nothing of a limit can be left that a previous allocator gave: of requests in
+// flight, the last that were begun under its leases have ended.
 func (a *Allocator) formerShareEnd(i int32) time.Duration {
 	if a.limits.all[i].concurrency {
 		return a.formerLeasesEnd + a.times.maxRequestTime
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -10,22 +10,22 @@
 // LedgerConfig is what a ledger is started with.
 type LedgerConfig struct {
 	Fleet      uint32 // the fleet's name as a hash
-	Name       string // of the proxy, at most MostName bytes
+	Name       string // of the proxy, at most MaxName bytes
 	Generation uint64 // of the process; a later process under the name has a higher one
 	Seed       uint64
 }
 
 // Ledger holds a proxy's share of each limit. It is pure: times are of the process's monotonic clock, from 0
-// or more, and one goroutine uses it at a time. It is the decide.Hand that requests are judged with, as of
-// the last At or Handle, and allocates nothing for them.
+// or more, and one goroutine uses it at a time. It is the ratelimit.Tokens that requests are judged with, as
+// of the last AdvanceTo or Handle, and allocates nothing for them.
 type Ledger struct {
 	cfg       LedgerConfig
 	times     times
 	random    *rand.Rand
 	now       time.Duration
-	startedAt time.Duration // the first time that it was told
+	startedAt time.Duration // the first time of an event
 	limits    *limits
-	buckets   []bucket // by the hand's index
+	buckets   []bucket // by the table's index
 	claimed   []int32  // those that are claimed
 	urgent    []int32  // those of them that wait for no round
 	left      bool
@@ -39,7 +39,7 @@
 	lastRoundAt            time.Duration // when all that is listed was last claimed
 	lastUrgentAt           time.Duration
 	slot                   Slot
-	slotCoversConcurrency  bool // it holds for limits on open requests too
+	slotCoversConcurrency  bool // it holds for limits on concurrency too
 	fallbackSuspendedUntil time.Duration
 
 	peers      []string
@@ -56,7 +56,7 @@
 
 var _ ratelimit.Tokens = (*Ledger)(nil)
 
-// NewLedger gives a ledger that has no table, no share and no slot.
+// NewLedger returns a ledger that has no table, no share and no slot.
 func NewLedger(cfg LedgerConfig) *Ledger {
 	return &Ledger{
 		cfg: cfg, times: defaultTimes(), random: rand.New(rand.NewPCG(cfg.Seed, cfg.Generation)), startedAt: -1,
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// followAllocator takes a holder whose fencing token is higher than any seen.
+// followAllocator takes an allocator whose fencing token is higher than any seen.
 func (l *Ledger) followAllocator(fence uint64, name string) bool {
 	if fence <= l.token || len(name) == 0 || len(name) > MaxName {
 		return false
@@ -140,8 +140,8 @@
 	return append(out, l.borrowTokens()...)
 }
 
-// leave tells the holder, again and again for as long as the process lives, that it admits nothing any more
-// and that nothing of its share is in use elsewhere: what it handed to others, and requests that are open.
+// leave tells the allocator, again and again for as long as the process lives, that it admits nothing any
+// more and that nothing of its share is in use elsewhere: what it lent to others, and requests in flight.
 func (l *Ledger) leave() []Action {
 	if l.allocator == "" || l.now < l.lentUntil || l.now-l.lastRoundAt < l.times.renew {
 		return nil
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -9,7 +9,7 @@
 	"wrenspread/ratelimit"
 )
 
-// limit is one index of a hand as both ends share it out. For limits on requests open at once, rate is the
+// limit is one index of a table's limits as both ends share it out. For limits on concurrency, rate is the
 // count that may be open and burst is 0.
 type limit struct {
 	hash           uint64 // of its name on the wire
@@ -27,7 +27,7 @@
 // maxPool keeps a slot's arithmetic within 64 bits.
 const maxPool = 1 << 30
 
-// limits are a table's, by the hand's index.
+// limits are a table's, by the table's index.
 type limits struct {
 	table         *ratelimit.Table
 	version       uint64
@@ -84,7 +84,7 @@
 	return l
 }
 
-// applySchedule sets the figures of a time of the wall clock, which the holder alone does: a proxy's safe
+// applySchedule sets the figures of a time of the wall clock, which the allocator alone does: a proxy's safe
 // share is by the least.
 func (n *limits) applySchedule(wall time.Time) {
 	for i := range n.all {
@@ -101,7 +101,7 @@
 }
 
 // fallback is a slot's part of the limit without a lease. It is nothing where it holds no whole token, since
-// a bucket that can't hold one never admits anything. For limits on open requests the slot has to be older.
+// a bucket that can't hold one never admits anything. For limits on concurrency the slot has to be older.
 func (l *limit) fallback(s Slot, openToo bool) size {
 	if l.fallbackTokens == 0 || s.Level == slotNone || l.concurrency && !openToo {
 		return size{}
@@ -138,7 +138,7 @@
 	for _, w := range words {
 		h.Write([]byte(w))
 	}
-	v := h.Sum64() // its high bits turn slots, so they are stirred once more
+	v := h.Sum64() // its high bits turn slots, so they are mixed once more
 	v ^= v >> 33
 	v *= 0xff51afd7ed558ccd
 	return v ^ v>>33
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of handing over.
+// Bounds of lending.
 const (
 	borrowInterval  = 50 * time.Millisecond // for one limit
 	maxPendingLoans = 64                    // answers awaited at once
@@ -21,7 +21,7 @@
 	at    time.Duration
 }
 
-// withoutAllocator says whether the slot lives by its fallback share because no holder answers.
+// withoutAllocator reports whether the slot lives by its fallback share because no allocator answers.
 func (l *Ledger) withoutAllocator(s *bucket) bool {
 	return !s.concurrency && l.now >= s.leaseUntil && l.now >= l.fallbackSuspendedUntil &&
 		(l.lastGrantAt == 0 || l.now-l.lastGrantAt > l.times.lease)
@@ -53,9 +53,9 @@
 	return out
 }
 
-// lendTokens gives tokens, whole ones, once a nonce. They are debited before they are sent, and their room in
-// the bucket stays empty until they can't be used any more: so what all proxies hold and what is on the way
-// never exceeds what the buckets of their fallback shares hold together.
+// lendTokens gives tokens, whole ones, once a nonce. They are debited before they are sent, and their
+// capacity in the bucket stays empty until they can't be used any more: so what all proxies hold and what is
+// on the way never exceeds what the buckets of their fallback shares hold together.
 func (l *Ledger) lendTokens(a borrowRequest) []Action {
 	i, there := l.limits.byHash[a.hash]
 	if _, again := l.lentNonces[a.nonce]; !there || again || !l.withoutAllocator(&l.buckets[i]) {
@@ -90,8 +90,8 @@
 	return len(l.lentNonces) < maxLentNonces
 }
 
-// receiveLoan takes tokens that were asked for, once, and only soon after. The room for them ends soon after,
-// too.
+// receiveLoan takes tokens that were asked for, once, and only soon after. The capacity for them ends soon
+// after, too.
 func (l *Ledger) receiveLoan(g loan) {
 	a, there := l.borrowing[g.nonce]
 	if !there || a.hash != g.hash || g.amount > a.need {
--- a/internal/quota/member.go
+++ b/internal/quota/member.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// member is a proxy as the holder knows it: enrolled, or heard of.
+// member is a proxy as the allocator knows it: enrolled, or heard of.
 type member struct {
 	name         string
 	generation   uint64
@@ -17,15 +17,15 @@
 	confirmed           bool          // the record holds it, or one around it
 	fallbackSince       time.Duration // its fallback share has been counted, in its present generation
 	firstFallbackAt     time.Duration // and in any
-	shrinking           bool          // it is being told a slot of half the size
-	shrinkingSinceGrant uint32        // in the grant that told it first
+	shrinking           bool          // it is being notified of a slot of half the size
+	shrinkingSinceGrant uint32        // in the grant that notified it first
 
 	number                 uint32 // of the last grant
 	grants                 [32]sentGrant
-	fallbackSuspendedUntil time.Duration // its fallback share is at rest at least so long
+	fallbackSuspendedUntil time.Duration // its fallback share is suspended at least so long
 }
 
-// sentGrant is a grant as the holder remembers it.
+// sentGrant is a grant as the allocator remembers it.
 type sentGrant struct {
 	number            uint32
 	at                time.Duration // when it was sent
@@ -38,7 +38,7 @@
 	return t, number > 0 && t.number == number
 }
 
-// member gives the one that a claim comes from. A new generation starts with nothing told: its fallback share
+// member returns the one that a claim comes from. A new generation starts without grants: its fallback share
 // counts from now on, beside what is left of the previous generation's leases.
 func (a *Allocator) member(c claim) *member {
 	at, m := a.find(c.name)
@@ -75,8 +75,8 @@
 }
 
 // grantConfirmed takes what a claim's echo proves: the proxy has taken that grant, and so no older one, and
-// has its fallback share at rest for a while after that grant's claim, which it sent after the grant that the
-// claim echoed.
+// has its fallback share suspended for a while after that grant's claim, which it sent after the grant that
+// the claim echoed.
 func (a *Allocator) grantConfirmed(m *member, c claim) (base time.Duration) {
 	m.tableVersion = max(m.tableVersion, c.table)
 	t, known := m.sentGrant(c.lastGrant)
@@ -109,14 +109,14 @@
 	return s
 }
 
-// fallbackSuspended says whether the proxy's fallback share may be lent: it stays at rest for longer than any
-// lease can live that is granted now.
+// fallbackSuspended reports whether the proxy's fallback share may be lent: it stays suspended for longer
+// than any lease can live that is granted now.
 func (a *Allocator) fallbackSuspended(m *member) bool {
 	return a.now+a.times.settleTime()+2*sumInterval <= m.fallbackSuspendedUntil
 }
 
 // maxShare is the most that the member may have of a limit: what any grant gave that it may still live by,
-// and its fallback share unless that is at rest. The room of the fallback share's bucket always counts.
+// and its fallback share unless that is suspended. The capacity of the fallback share's bucket always counts.
 func (a *Allocator) maxShare(m *member, i int32) size {
 	e := m.shares[i]
 	safe := a.fallback(m, i)
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -39,7 +39,7 @@
 // flow is what comes to them, and what they get.
 type flow struct{ wants, gets float64 }
 
-// activeLimits gives the limits that members have shares of, in order.
+// activeLimits returns the limits that members have shares of, in order.
 func (a *Allocator) activeLimits() []int32 {
 	return slices.DeleteFunc(
 		slices.Sorted(maps.Keys(a.allocations)),
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -1,5 +1,5 @@
-// Package record is the one definition of what the registry keeps of policies and of who shares their
-// limits out, for those who write it and for those who follow it.
+// Package record is the one definition of what the registry keeps of policies and of the allocator of
+// their limits, for those who write it and for those who follow it.
 package record
 
 import (
@@ -17,13 +17,13 @@
 	PolicyPrefix = "policy/"
 	CurrentKey   = PolicyPrefix + "current" // the table that holds: its canonical bytes, version 0
 	QuotaPrefix  = "quota/"
-	AllocatorKey = QuotaPrefix + "holder" // who shares limits out
+	AllocatorKey = QuotaPrefix + "holder" // which process is the allocator
 )
 
-// AllocatorRecord is the process that shares limits out. A proxy takes one with a higher fencing token than
+// AllocatorRecord is the process that allocates quotas. A proxy takes one with a higher fencing token than
 // any before.
 type AllocatorRecord struct {
-	Name  string `json:"name"` // of its member of the view
+	Name  string `json:"name"` // of its member of membership
 	Token uint64 `json:"fence"`
 }
 
@@ -41,7 +41,7 @@
 	return t, nil
 }
 
-// EncodeTable gives the value that a table's record has.
+// EncodeTable returns the value that a table's record has.
 func EncodeTable(t *ratelimit.Table) (json.RawMessage, error) {
 	raw := t.JSON()
 	if len(raw) > registry.MaxRecord {
@@ -54,7 +54,7 @@
 	return raw, nil
 }
 
-// Find gives the record of a key; one that is not there has version 0.
+// Find returns the record of a key; one that is not there has version 0.
 func Find(all client.Records, key string) registry.Record {
 	i := slices.IndexFunc(all.All, func(r registry.Record) bool { return r.Key == key })
 	if i < 0 {
@@ -63,7 +63,7 @@
 	return all.All[i]
 }
 
-// ReadAllocator reads the record of the holder.
+// ReadAllocator reads the record of the allocator.
 func ReadAllocator(r registry.Record) (s AllocatorRecord, err error) {
 	if r.Version == 0 {
 		return s, nil
--- a/internal/quota/slot.go
+++ b/internal/quota/slot.go
@@ -27,7 +27,7 @@
 // valid slots are what a record or datagram may hold.
 func (s Slot) valid() bool { return s.Level <= maxSlotLevel && s.Index < 1<<s.Level }
 
-// span is the slot's place on the circle, whose length is 1<<seatUnit.
+// span is the slot's place on the circle, whose length is 1<<circleBits.
 func (s Slot) span() (start, length uint64) {
 	length = 1 << (circleBits - s.Level)
 	return uint64(s.Index) * length, length
@@ -39,7 +39,7 @@
 	return s
 }
 
-// tokens is how many of pool whole tokens lie in the slot, with the circle turned by a limit's hash, so that
+// tokens is how many of pool whole tokens lie in the slot, with the circle rotated by a limit's hash, so that
 // the slots that get the odd one differ from limit to limit. Over a whole circle the sum is pool.
 func (s Slot) tokens(pool uint64, hash uint64) uint64 {
 	start, length := s.span()
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// recordRead takes the record as it stands under the fencing token. Seats that it holds may be told; those
-// that this holder has in mind and the record lacks are written again.
+// recordRead takes the record as it stands under the fencing token. Slots that it holds may be told; those
+// that this allocator has assigned and the record lacks are written again.
 func (a *Allocator) recordRead(r RecordRead) {
 	if r.Token != a.token || len(r.Slots) > MaxProxies {
 		return
@@ -23,7 +23,7 @@
 	}
 }
 
-// adoptSlots takes the slots of the previous holder.
+// adoptSlots takes the slots of the previous allocator.
 func (a *Allocator) adoptSlots(seats []Slot) {
 	a.recordKnown = true
 	a.revision++
@@ -56,7 +56,7 @@
 	return out
 }
 
-// writeRecord asks for the record to be written when it differs from what this holder has in mind.
+// writeRecord asks for the record to be written when it differs from what this allocator has assigned.
 func (a *Allocator) writeRecord() []Action {
 	if !a.mayGrant() || !a.recordDirty && !a.writePending ||
 		a.writePending && a.now-a.recordWrittenAt < writeTimeout {
@@ -66,8 +66,8 @@
 	return []Action{WriteRecord{a.token, a.desiredSlots()}}
 }
 
-// assignSlot gives a member a slot, in mind: it is told of it once the record says so. Without a free place
-// the largest slot of those that are heard is halved first.
+// assignSlot reserves a slot for a member, which is notified of it once the record says so. Without a free
+// place the largest slot of those that are heard is halved first.
 func (a *Allocator) assignSlot(m *member) {
 	if m.hasSlot {
 		return
@@ -83,7 +83,12 @@
 	}
 	seat.Name = m.name
 	a.revision++
-	m.slot, m.hasSlot, m.confirmed, m.fallbackSince, m.firstFallbackAt, a.recordDirty = seat, true, false, a.now, a.now, true
+	m.slot = seat
+	m.hasSlot = true
+	m.confirmed = false
+	m.fallbackSince = a.now
+	m.firstFallbackAt = a.now
+	a.recordDirty = true
 }
 
 // shrinkSlots begins to tell members with a larger slot than the level's of a smaller one. Only what a proxy
@@ -96,8 +101,8 @@
 	}
 }
 
-// slotForGrant gives the slot for a member's next grant: one that the record holds, and whose fallback share
-// no lease that is alive was granted without counting it.
+// slotForGrant returns the slot for a member's next grant: one that the record holds, and whose fallback
+// share no lease that is alive was granted without counting it.
 func (a *Allocator) slotForGrant(m *member) Slot {
 	none := Slot{Level: slotNone}
 	switch {
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Status is what a proxy tells of its shares.
+// Status is what a proxy reports of its shares.
 type Status struct {
 	Allocator         string        `json:"holder"` // the newest known
 	Token             uint64        `json:"fence"`
 	SinceGrant        time.Duration `json:"heard"` // since the last grant; 0: none yet
 	HasSlot           bool          `json:"seated"`
-	FallbackSuspended bool          `json:"resting"` // its fallback share is lent to others
+	FallbackSuspended bool          `json:"resting"` // its fallback share is borrowed to others
 	ClaimedLimits     int           `json:"busy"`    // limits that it claims
 	TableVersion      uint64        `json:"table"`
 }
 
-// Status is as of the last At or Handle.
+// Status is as of the last AdvanceTo or Handle.
 func (l *Ledger) Status() Status {
 	s := Status{
 		Allocator:         l.allocator,
--- a/internal/quota/sum.go
+++ b/internal/quota/sum.go
@@ -4,7 +4,7 @@
 
 // sumInterval is how long a limit's sum is used before it is made anew. In between only what is granted
 // changes it: shares that run out make it smaller, which may wait, and fallback shares that wake are counted
-// for twice as long before they do (resting).
+// for twice as long before they do (fallbackSuspended).
 const sumInterval = 50 * time.Millisecond
 
 // sum is what all members may have of a limit together.
--- a/internal/quota/times.go
+++ b/internal/quota/times.go
@@ -12,13 +12,13 @@
 	renew time.Duration // between a proxy's claims
 	// least wait before a claim out of turn, for a limit that has just got demand
 	minClaimInterval time.Duration
-	// a proxy that took a grant keeps its fallback share at rest so long after the claim was sent
+	// a proxy that took a grant keeps its fallback share suspended so long after the claim was sent
 	fallbackSuspension time.Duration
-	loanTimeout        time.Duration // tokens handed over count only so soon after the asking
+	loanTimeout        time.Duration // tokens lent count only so soon after the asking
 	loanUse            time.Duration // and have to be used so soon after it
 	idleClaimTime      time.Duration // a limit without demand is claimed so long yet
 	warmUp             time.Duration // a new proxy fills the buckets of limits without demand so long
-	// the longest that an open request is out: holders count it so long past its lease
+	// the longest that a request is in flight: allocators count it so long past its lease
 	maxRequestTime time.Duration
 	drift          float64
 }
@@ -52,10 +52,10 @@
 	return time.Duration(float64(d) * (1 - t.drift) / (1 + t.drift))
 }
 
-// countedLease is how long a holder counts a lease from the receipt of its claim.
+// countedLease is how long an allocator counts a lease from the receipt of its claim.
 func (t times) countedLease() time.Duration { return t.atMost(t.lease) }
 
 // settleTime is how long any lease can live on that was granted before now: to its end, prolonged once by a
-// new holder that is still waiting, and once more within that wait. What is lent to nobody for so long is
-// nobody's.
+// new allocator that is still waiting, and once more within that wait. What is borrowed to nobody for so long
+// is nobody's.
 func (t times) settleTime() time.Duration { return 3 * t.atMost(t.atMost(t.lease)) }
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -6,8 +6,8 @@
 	"math"
 )
 
-// Datagrams between proxies and the holder, big-endian. The first byte is the kind, the second the version,
-// the next four the fleet's name as a hash; what follows the known fields is ignored.
+// Datagrams between proxies and the allocator, big-endian. The first byte is the kind, the second the
+// version, the next four the fleet's name as a hash; what follows the known fields is ignored.
 const (
 	MaxDatagram = 256
 	version     = 1
@@ -20,17 +20,17 @@
 	kindLoan         = 0x65
 )
 
-// IsOurs says whether a datagram's first byte is of this package.
+// IsOurs reports whether a datagram's first byte is of this package.
 func IsOurs(kind byte) bool { return kind >= 0x60 && kind <= 0x6f }
 
-// claim is a proxy's word to the holder: what it wants and what it holds.
+// claim is a proxy's message to the allocator: its demand and what it holds.
 type claim struct {
-	token               uint64 // the holder that it is for
+	token               uint64 // the allocator that it is for
 	generation          uint64 // of the proxy's process
 	number              uint32 // grows with each claim of a generation
 	lastGrant           uint32 // the highest number of a grant that the proxy took of this fencing token
 	table               uint64 // the version by which it judges requests
-	fallbackSuspendable bool   // its fallback share may be put to rest
+	fallbackSuspendable bool   // its fallback share may be suspended
 	name                string
 	items               []claimItem
 }
@@ -38,7 +38,7 @@
 type claimItem struct {
 	hash   uint64
 	demand float64 // units a second, or at once, that came
-	leased size    // by a live lease; of limits on open requests, at least what is out
+	leased size    // by a live lease; of limits on concurrency, at least what is out
 	number uint32  // the grant that its share is of
 }
 
@@ -56,10 +56,10 @@
 	generation            uint64 // of the proxy that it is for
 	claim                 uint32
 	number                uint32 // grows with each grant to a proxy
-	slot                  Slot   // Level seatNone: no word of it
-	fallbackSuspended     bool   // the proxy's fallback share is at rest
-	extendsOnly           bool   // the holder only prolongs what the proxy had
-	slotCoversConcurrency bool   // the slot holds for limits on open requests too
+	slot                  Slot   // Level slotNone: not told
+	fallbackSuspended     bool   // the proxy's fallback share is suspended
+	extendsOnly           bool   // the allocator only prolongs what the proxy had
+	slotCoversConcurrency bool   // the slot holds for limits on concurrency too
 	items                 []grantItem
 }
 
@@ -82,7 +82,7 @@
 	name       string
 }
 
-// borrowRequest and give hand tokens from proxy to proxy.
+// borrowRequest and loan pass tokens from proxy to proxy.
 type borrowRequest struct {
 	nonce, hash uint64
 	need        float64
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// isCompleteRead says what is wrong with an answer that is, or was to be, the complete list.
+// isCompleteRead validates an answer that is, or was to be, the complete list.
 func isCompleteRead(l registry.ListResponse, asked bool) error {
 	switch {
 	case asked && !l.Snapshot:
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -72,8 +72,8 @@
 	lastAnswerAt time.Time // when the service last answered; zero: never
 }
 
-// New makes a client. It begins with the kept list, if there is one that can be
-// read; one that can't is told in the log.
+// New makes a client. It begins with the cached list, if there is one that can be read; one that can't is
+// logged.
 func New(c Config) (*Client, error) {
 	if err := checkAddresses(c.Addresses); err != nil {
 		return nil, err
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -148,7 +148,7 @@
 	return Changed
 }
 
-// lostMost tells whether a list lacks most of what was known, though it was not leaving.
+// lostMost reports whether a list lacks most of what was known, though it was not leaving.
 func (b *ListState) lostMost(a registry.ListResponse) bool {
 	there, part := map[string]bool{}, subsetOf(a)
 	for _, e := range a.Endpoints {
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Polls tells whether lists come only when they are asked for.
+// Polls reports whether lists come only when they are asked for.
 func (d *Platform) Polls() bool { return d.polls }
 
 // watch follows the list until a call fails. The calls come back to back, so
--- a/internal/registry/client/platform_move.go
+++ b/internal/registry/client/platform_move.go
@@ -39,7 +39,7 @@
 	t.stop()
 }
 
-// answerArriving tells whether something of the answer to the call under way has come, read or not.
+// answerArriving reports whether something of the answer to the call under way has come, read or not.
 func (d *Platform) answerArriving() bool {
 	if c := d.conn.Load(); c != nil && socketoption.Readable(*c) {
 		return true
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -140,7 +140,7 @@
 	token  registry.FencingToken
 }
 
-// WithToken gives the writer of a holder.
+// WithToken returns a client whose writes carry the fencing token.
 func (k *Client) WithToken(f registry.FencingToken) FencedClient { return FencedClient{k, f} }
 
 // Register is Client.Register under the fencing token.
--- a/internal/registry/client/subset.go
+++ b/internal/registry/client/subset.go
@@ -20,7 +20,7 @@
 	at time.Duration // since the client's start
 }
 
-// codePaced is the service's refusal of a whole part, while it makes others.
+// codePaced is the service's refusal of a complete subset, while it makes others.
 const codePaced = "paced"
 
 // listRead is a call that is made, or the answer that it brought.
@@ -55,8 +55,8 @@
 	return listRead{subset: k.move.to, hold: hold, migrates: true}
 }
 
-// readFailed puts a move off that did not come off, for whatever reason: until then the
-// part that stands is watched again. It tells whether that is what the service asked for.
+// readFailed puts a move off that did not come off, for whatever reason: until then the part that stands is
+// watched again. It reports whether that is what the service asked for.
 func (k *Client) readFailed(q listRead, err error) (paced bool) {
 	if !q.migrates {
 		return false
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// widensSubset tells whether a whole part that has come is too narrow. Then it is not
-// taken, as the wider one is read at once.
+// widensSubset reports whether a complete subset that has come is too narrow. Then it is not taken, as the
+// wider one is read at once.
 func (k *Client) widensSubset(q listRead, a registry.ListResponse) bool {
 	if k.config.ChooseSubset == nil || a.Subset == "" || !a.Snapshot {
 		return false
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -80,7 +80,7 @@
 	return r, err
 }
 
-// Renew gives entries their full time again and names those that have to be registered anew.
+// Renew restarts the TTL of entries and names those that have to be registered anew.
 func (k *Client) Renew(ctx context.Context, names []string) (unknown []string, err error) {
 	var r registry.Renewal
 	err = k.send(ctx, http.MethodPost, "/registry/renew", registry.Renewal{Names: names}, &r)
@@ -141,7 +141,7 @@
 	return k.send(ctx, http.MethodDelete, "/registry/members/"+url.PathEscape(name), nil, &r)
 }
 
-// Backup gives a sealed copy of the list as it is now.
+// Backup returns a sealed copy of the list as it is now.
 func (k *Client) Backup(ctx context.Context) ([]byte, error) {
 	var raw []byte
 	err := k.send(ctx, http.MethodGet, "/registry/backup", nil, &raw)
@@ -213,7 +213,7 @@
 	return nil
 }
 
-// final tells whether a refusal would only come again: what is wrong is the call, or the list as it is.
+// final reports whether a refusal would only come again: what is wrong is the call, or the list as it is.
 func final(err error) bool {
 	var r *Error
 	if !errors.As(err, &r) || r.Status == http.StatusTooManyRequests {
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -114,7 +114,7 @@
 	EntryVersion uint64 `json:"entry,omitempty"`
 }
 
-// Check says what is wrong with a write before it is logged.
+// Check validates a write before it is logged.
 func (c Command) Check() error {
 	if len(c.ID) > MaxID {
 		return fmt.Errorf("id: %d bytes, %d at most", len(c.ID), MaxID)
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// Encode gives the form in which a command is logged.
+// Encode returns the form in which a command is logged.
 func (c Command) Encode() ([]byte, error) {
 	c.Format = format
 	return json.Marshal(c)
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -37,7 +37,7 @@
 	Version     string  `json:"version,omitempty"` // of its program, if somebody says; proxies pass over it
 }
 
-// Check says what is wrong with an entry that is to be registered.
+// Check validates an entry that is to be registered.
 func (e Endpoint) Check() error {
 	if e.Name == "" {
 		return errors.New("name: missing")
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// usable says what is wrong with an entry that is read. One that has left needs no address.
+// usable validates an entry that is read. One that has left needs no address.
 func (e Endpoint) usable() error {
 	if e.Name == "" {
 		return errors.New("no name")
--- a/internal/registry/endpointexpiry.go
+++ b/internal/registry/endpointexpiry.go
@@ -21,7 +21,7 @@
 	expiredAt []time.Duration // when entries expired, within the window
 }
 
-// NewEndpointExpiry gives every entry its full time from now, as a new leader has to.
+// NewEndpointExpiry restarts the TTL of every entry from now, as a new leader has to.
 func NewEndpointExpiry(items []Registration, now time.Duration) *EndpointExpiry {
 	l := &EndpointExpiry{timers: newTimers[EndpointVersion]()}
 	for _, i := range items {
@@ -42,12 +42,12 @@
 // Drop forgets an entry that has left.
 func (l *EndpointExpiry) Drop(name string) { l.timers.drop(name) }
 
-// Renew gives an entry its full time again; it is false for one without a lease.
-// A renewal that comes at the deadline, or late but before the expiry, counts.
+// Renew restarts the TTL of an entry; it returns false for one without a lease. A renewal that comes at the
+// deadline, or late but before the expiry, counts.
 func (l *EndpointExpiry) Renew(name string, now time.Duration) bool { return l.timers.renew(name, now) }
 
-// Due gives the entries that are to expire now, and the number of those that are
-// overdue but kept, as too many are.
+// Due returns the entries that are to expire now, and the number of those that are overdue but kept, as too
+// many are.
 func (l *EndpointExpiry) Due(now time.Duration) (due []EndpointVersion, kept int) {
 	l.expiredAt = slices.DeleteFunc(l.expiredAt, func(t time.Duration) bool { return now-t >= expiryWindow })
 	most := max(minExpiries, int(maxExpiryShare*float64(len(l.timers.byName)+len(l.expiredAt))))
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -119,7 +119,7 @@
 	return c
 }
 
-// Lease gives a lease by name.
+// Lease returns a lease by name.
 func (s *State) Lease(name string) (Lease, bool) {
 	d, ok := s.leases.Leases[name]
 	if !ok {
@@ -138,7 +138,7 @@
 // just begun, if there was none.
 func (s *State) LeasesVersion() uint64 { return max(s.leases.Changed, 1) }
 
-// Leases gives all leases by name, or those that a session holds or waits for.
+// Leases returns all leases by name, or those that a session holds or waits for.
 func (s *State) Leases(session string) (all []Lease, known bool) {
 	names := maps.Keys(s.leases.Leases)
 	if session != "" {
@@ -154,7 +154,7 @@
 	return all, true
 }
 
-// Sessions gives all sessions, by id.
+// Sessions returns all sessions, by id.
 func (s *State) Sessions() []Session {
 	var all []Session
 	for _, h := range s.leases.Sessions {
@@ -164,7 +164,7 @@
 	return all
 }
 
-// UnheldLeases gives the leases that nobody holds though somebody waits for them.
+// UnheldLeases returns the leases that nobody holds though somebody waits for them.
 func (s *State) UnheldLeases() []string {
 	var all []string
 	for name, d := range s.leases.Leases {
@@ -176,7 +176,7 @@
 	return all
 }
 
-// checkToken tells whether a write comes from the holder that it names.
+// checkToken reports whether a write comes from the holder that it names.
 func (s *State) checkToken(f *FencingToken) (Result, bool) {
 	if f == nil {
 		return Result{}, true
--- a/internal/registry/lease_check.go
+++ b/internal/registry/lease_check.go
@@ -31,7 +31,7 @@
 	return Result{}
 }
 
-// checkLease says what is wrong with a command on leases.
+// checkLease validates a command on leases.
 func (c Command) checkLease() error {
 	if len(c.Candidacies) > MaxLeaseBatch || len(c.Sessions) > MaxSessions || len(c.Grant) > MaxLeases {
 		return fmt.Errorf(
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// check says what is wrong with leases that could not have been.
+// check validates leases that could not have been.
 func (d *leaseState) check(version uint64) error {
 	if d.Sessions == nil || d.Leases == nil || d.Changed > version {
 		return fmt.Errorf("duties without sessions, or changed after version %d", version)
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -37,7 +37,7 @@
 	HTTP string `json:"http"`
 }
 
-// Check says what is wrong with the address of a replica that is to be added.
+// Check validates the address of a replica that is to be added.
 func (a *Address) Check() error {
 	if a == nil {
 		return errors.New("address: missing")
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -23,7 +23,7 @@
 	Value   json.RawMessage `json:"value,omitempty"` // absent in an answer that leaves values out
 }
 
-// Record gives a record by key.
+// Record returns a record by key.
 func (s *State) Record(key string) (Record, bool) {
 	r, ok := s.records[key]
 	return r, ok
--- a/internal/registry/registrations.go
+++ b/internal/registry/registrations.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// checkVersion tells whether an entry has the version that the command asks for; absent, it has 0.
+// checkVersion reports whether an entry has the version that the command asks for; absent, it has 0.
 func (s *State) checkVersion(c Command, name string) (Result, bool) {
 	if has := s.registrations[name].Version; c.IfVersion != nil && *c.IfVersion != has {
 		return Result{
@@ -40,7 +40,7 @@
 	return Result{EntryVersion: s.version}
 }
 
-// find gives the entry that a command names, as long as it meets the condition.
+// find returns the entry that a command names, as long as it meets the condition.
 func (s *State) find(c Command) (Registration, Result, bool) {
 	i, there := s.registrations[c.Name]
 	if r, ok := s.checkVersion(c, c.Name); !ok {
@@ -83,7 +83,7 @@
 	s.recordChange(e)
 }
 
-// recordChange gives a change the next number.
+// recordChange appends a change under the next version.
 func (s *State) recordChange(e Endpoint) {
 	s.version++
 	if old, full := s.changes.push(Change{s.version, e}); full {
--- a/internal/registry/ringbuffer.go
+++ b/internal/registry/ringbuffer.go
@@ -21,7 +21,7 @@
 
 func (r *ringBuffer[T]) len() int { return len(r.values) }
 
-// at gives the kept ones by age, the oldest first.
+// at returns the kept ones by age, the oldest first.
 func (r *ringBuffer[T]) at(i int) T { return r.values[(r.start+i)%len(r.values)] }
 
 func (r *ringBuffer[T]) all() []T {
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -18,7 +18,7 @@
 	maxAnswersPerSubset = 64       // answers kept of one part; watchers stand at few versions
 	maxCachedBytes      = 64 << 20 // bytes of all of them; one that is larger is kept alone
 
-	// whole parts that are made and sent at once: a fleet that comes together gets them in turn
+	// complete subsets that are made and sent at once: a fleet that comes together gets them in turn
 	maxCompleteReads        = 64
 	completeReadWait        = time.Second     // for one's turn, before a reader is told to come again
 	completeReadTimeout     = 5 * time.Second // for sending one: a reader that takes longer has given up
@@ -147,7 +147,7 @@
 	}
 }
 
-// acquireCompleteRead takes one of the places for whole parts, unless none gets free in time.
+// acquireCompleteRead takes one of the places for complete subsets, unless none gets free in time.
 func (s *Server) acquireCompleteRead(r *http.Request) bool {
 	select {
 	case s.completeReads <- struct{}{}:
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Check says what is wrong with a configuration, by its keys.
+// Check validates a configuration, by its keys.
 func (c Config) Check() error {
 	var f config.Problems
 	bad, address := f.Require, f.RequireAddress
@@ -91,7 +91,7 @@
 	return f.Err()
 }
 
-// find gives a replica by name.
+// find returns a replica by name.
 func (c Config) find(name string) (Replica, bool) {
 	for _, r := range c.Replicas {
 		if r.Name == name {
--- a/internal/registry/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -31,7 +31,7 @@
 
 func (x *expiry) now() time.Duration { return time.Since(x.start) }
 
-// lead begins with every entry's full time, once all that was done before is known here.
+// lead begins with the full TTL of every entry, once all that was done before is known here.
 func (x *expiry) lead() {
 	x.machine.mu.RLock()
 	items := x.machine.state.Registrations()
@@ -72,8 +72,8 @@
 	}
 }
 
-// renew gives entries their full time and lists those that have no lease. ok is
-// false where this replica does not lead.
+// renew restarts the TTL of entries and lists those that have no lease. ok is false where this replica does
+// not lead.
 func (x *expiry) renew(names []string) (unknown []string, ok bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 }
 
-// restartAll gives every entry its full time, if this replica leads.
+// restartAll restarts the TTL of every entry, if this replica leads.
 func (x *expiry) restartAll() {
 	x.mu.Lock()
 	leads := x.leases != nil
--- a/internal/registry/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -26,7 +26,7 @@
 	watcherCount  int             // watchers, of all groups and ahead
 	cachedBytes   int             // bytes of answers
 	version       uint64          // of all
-	newestChange  uint64          // of the last change that watchers are told of
+	newestChange  uint64          // of the last change that watchers are notified of
 	epoch         string
 	total         int // entries of the list
 	wakeRequested chan struct{}
@@ -54,8 +54,8 @@
 	}
 }
 
-// publish says that there is a version, and the newest that watchers are to be
-// told of, whatever they watch. It does not wait.
+// publish says that there is a version, and the newest that watchers are to be notified of, whatever they
+// watch. It does not wait.
 func (h *hub) publish(version, newest uint64, epoch string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// wakeSome wakes a batch and tells whether there may be more.
+// wakeSome wakes a batch and reports whether there may be more.
 func (h *hub) wakeSome() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -169,7 +169,7 @@
 	return len(h.subsets)
 }
 
-// hasNewer tells whether there is something to tell whoever has version from of a part.
+// hasNewer reports whether there is something to tell whoever has version from of a part.
 func (h *hub) hasNewer(p registry.Subset, from uint64) bool {
 	if !p.IsAll() {
 		h.machine.mu.RLock()
@@ -181,7 +181,7 @@
 	return from < h.newestChange
 }
 
-// current tells the version and epoch that watchers are told of.
+// current tells the version and epoch that watchers are notified of.
 func (h *hub) current() (version uint64, epoch string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/registry/server/leases.go
+++ b/internal/registry/server/leases.go
@@ -79,9 +79,8 @@
 	s.finish(w, result, err)
 }
 
-// renewSessions takes renewals, which stay out of the log. Before it answers, this
-// replica proves to a quorum that it still leads: a later leader then gives these
-// sessions their full time after now.
+// renewSessions takes renewals, which stay out of the log. Before it answers, this replica proves to a quorum
+// that it still leads: a later leader then gives these sessions their full TTL after now.
 func (s *Server) renewSessions(w http.ResponseWriter, r *http.Request) {
 	var body registry.SessionRenewal
 	if !readJSON(w, r, &body) {
@@ -143,7 +142,7 @@
 }
 
 // holdLeaseWatch waits until a lease changes after the reader's version: few do, and not for a moment at a
-// replica that is cut off. It is false where the call has been answered.
+// replica that is cut off. It returns false where the call has been answered.
 func (s *Server) holdLeaseWatch(w http.ResponseWriter, r *http.Request, q query) bool {
 	_, ok := s.await(w, r, s.leaseHub, query{from: q.from}, q.hold, 0)
 	return ok
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -23,8 +23,7 @@
 	index   uint64                                      // of the last command in the log that was carried out
 }
 
-// encode gives the form of a command in the log: sealed, so that one damaged on
-// the disk is noticed.
+// encode returns the form of a command in the log: sealed, so that one damaged on the disk is noticed.
 func encode(c registry.Command) ([]byte, error) {
 	raw, err := c.Encode()
 	return checksumfile.Encode(raw), err
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -114,7 +114,7 @@
 	return fmt.Errorf("%w: %w", errNotLeading, err)
 }
 
-// upToDate tells whether a replica answers, and has the list as it is here.
+// upToDate reports whether a replica answers, and has the list as it is here.
 func (s *Server) upToDate(ctx context.Context, at registry.Address) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*behindWait)
 	defer cancel()
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -92,8 +92,8 @@
 	s.answer(w, r, q)
 }
 
-// ensureCurrent has the leader answer, or waits until this replica, as the leader, has
-// all that was done before. It is false where the call has been answered.
+// ensureCurrent has the leader answer, or waits until this replica, as the leader, has all that was done
+// before. It returns false where the call has been answered.
 func (s *Server) ensureCurrent(w http.ResponseWriter, r *http.Request) bool {
 	if !s.replica.leads() {
 		s.forwardToLeader(w, r, maxBody)
@@ -126,9 +126,8 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// hold waits until there is something newer than what the reader has, and gives
-// the version to answer from. It is false where the call has been answered, or
-// has no caller any more.
+// hold waits until there is something newer than what the reader has, and gives the version to answer from.
+// It returns false where the call has been answered, or has no caller any more.
 func (s *Server) hold(w http.ResponseWriter, r *http.Request, q query) (from uint64, ok bool) {
 	wait := q.hold
 	if version, _ := s.hub.current(); q.from > version {
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -34,7 +34,7 @@
 	stop          context.CancelFunc
 	ctx           context.Context // of everything that a call may wait for
 	broken        chan error      // why this replica has to end
-	completeReads chan struct{}   // one for each whole part that is made and sent
+	completeReads chan struct{}   // one for each complete subset that is made and sent
 	tasks         sync.WaitGroup
 }
 
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -36,7 +36,7 @@
 
 func (x *sessions) now() time.Duration { return time.Since(x.start) }
 
-// lead begins with every session's full time, once all that was done before is known here.
+// lead begins with the full TTL of every session, once all that was done before is known here.
 func (x *sessions) lead() {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
@@ -74,8 +74,8 @@
 	}
 }
 
-// renew gives sessions their full time and lists those that have ended. The caller
-// has proved since the call came that this replica leads.
+// renew restarts the TTL of sessions and lists those that have ended. The caller has proved since the call
+// came that this replica leads.
 func (x *sessions) renew(ids []string) (unknown []string, ok bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -90,7 +90,7 @@
 	return unknown, true
 }
 
-// grantable gives those of the leases that may be granted now.
+// grantable returns those of the leases that may be granted now.
 func (x *sessions) grantable(names []string) (may []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -149,7 +149,7 @@
 	every(ctx, x.now, func(time.Duration) { x.restartAll() }, x.expireDue)
 }
 
-// restartAll gives every session its full time, but for those that are doomed.
+// restartAll restarts the TTL of every session, but for those that are doomed.
 func (x *sessions) restartAll() {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
--- a/internal/registry/sessionexpiry.go
+++ b/internal/registry/sessionexpiry.go
@@ -9,7 +9,7 @@
 // monotonic clock. They are not safe for concurrent use.
 type SessionExpiry struct{ timers timers[struct{}] }
 
-// NewSessionExpiry gives every session its full time from now, as a new leader has to.
+// NewSessionExpiry restarts the TTL of every session from now, as a new leader has to.
 func NewSessionExpiry(all []Session, now time.Duration) *SessionExpiry {
 	d := &SessionExpiry{timers: newTimers[struct{}]()}
 	for _, s := range all {
@@ -24,8 +24,7 @@
 // Drop forgets a session that has ended.
 func (d *SessionExpiry) Drop(id string) { d.timers.drop(id) }
 
-// Renew gives a session its full time again; it is false for one that is not
-// there or is due.
+// Renew restarts the TTL of a session; it returns false for one that is not there or is due.
 func (d *SessionExpiry) Renew(id string, now time.Duration) bool { return d.timers.renew(id, now) }
 
 // Due takes out the sessions that end now. None of them can be renewed any more,
--- a/internal/registry/since.go
+++ b/internal/registry/since.go
@@ -1,6 +1,6 @@
 package registry
 
-// What a reader is told of the list, or of a part of it.
+// What a reader is notified of the list, or of a part of it.
 
 import (
 	"cmp"
@@ -23,7 +23,7 @@
 	*at = slices.DeleteFunc(*at, func(n string) bool { return n == name })
 }
 
-// endpointsIn gives those of a part, by name.
+// endpointsIn returns those of a part, by name.
 func (s *State) endpointsIn(p Subset) []Endpoint {
 	all := []Endpoint{}
 	if p.IsAll() {
@@ -75,7 +75,7 @@
 	return a
 }
 
-// HasNewer tells whether there is something to tell whoever has a part as of version from.
+// HasNewer reports whether there is something to tell whoever has a part as of version from.
 func (s *State) HasNewer(p Subset, from uint64) bool {
 	if p.IsAll() || from < max(s.trimmedVersion, 1) {
 		return s.ListVersion() > from
@@ -91,7 +91,7 @@
 // ChangePosition is a change of the list without its entry.
 type ChangePosition struct{ Version, Position uint64 }
 
-// ChangePositions gives the changes after a version; it is false where they are not all kept.
+// ChangePositions returns the changes after a version; it returns false where they are not all kept.
 func (s *State) ChangePositions(after uint64) (all []ChangePosition, ok bool) {
 	if after < s.trimmedVersion {
 		return nil, false
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Encode gives the form of a snapshot and of a backup.
+// Encode returns the form of a snapshot and of a backup.
 func (i Snapshot) Encode() ([]byte, error) { return json.Marshal(i.data) }
 
 // EncodeSnapshot encodes the whole state.
--- a/internal/registry/sortedkeys.go
+++ b/internal/registry/sortedkeys.go
@@ -11,7 +11,7 @@
 
 const maxRun = 512
 
-// find gives the run and the place in it where a key is, or would be put.
+// find returns the run and the place in it where a key is, or would be put.
 func (k *sortedKeys) find(key string) (run, at int, there bool) {
 	run, there = slices.BinarySearchFunc(
 		k.runs,
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -74,19 +74,19 @@
 // Len is the number of entries.
 func (s *State) Len() int { return len(s.registrations) }
 
-// ReplicaAddress gives the address of a replica that was added while the others served.
+// ReplicaAddress returns the address of a replica that was added while the others served.
 func (s *State) ReplicaAddress(name string) (Address, bool) {
 	a, ok := s.replicaAddresses[name]
 	return a, ok
 }
 
-// Registration gives an entry by name.
+// Registration returns an entry by name.
 func (s *State) Registration(name string) (Registration, bool) {
 	i, ok := s.registrations[name]
 	return i, ok
 }
 
-// Registrations gives all entries, by name.
+// Registrations returns all entries, by name.
 func (s *State) Registrations() []Registration {
 	all := make([]Registration, 0, len(s.registrations))
 	for _, i := range s.registrations {
--- a/internal/registry/subset.go
+++ b/internal/registry/subset.go
@@ -53,7 +53,7 @@
 // allSubsets is the text form of all of the list.
 const allSubsets = "all"
 
-// IsAll tells whether it is all of the list.
+// IsAll reports whether it is all of the list.
 func (p Subset) IsAll() bool { return p.Width == 0 }
 
 func (p Subset) String() string {
@@ -84,7 +84,7 @@
 	return Subset{uint16(from), uint16(width)}, nil
 }
 
-// Contains tells whether a server at that point belongs to it.
+// Contains reports whether a server at that point belongs to it.
 func (p Subset) Contains(point uint64) bool { return p.IsAll() || uint16(point>>48)-p.Start < p.Width }
 
 // EachSubset calls do with every part that holds a point, all of the list too: four of each width.
@@ -99,7 +99,7 @@
 	}
 }
 
-// Covers tells whether all that belongs to q belongs to it.
+// Covers reports whether all that belongs to q belongs to it.
 func (p Subset) Covers(q Subset) bool {
 	return p.IsAll() || !q.IsAll() && int(q.Start-p.Start)+int(q.Width) <= int(p.Width)
 }
@@ -146,7 +146,7 @@
 		(g.Types == nil || slices.Contains(g.Types, e.Type))
 }
 
-// suffices tells whether q, of which entries are all at least, has servers enough for each group.
+// suffices reports whether q, of which entries are all at least, has servers enough for each group.
 func (q Subset) suffices(entries []Endpoint, groups []Placement) bool {
 	has := make([]int, len(groups))
 	for _, e := range entries {
--- a/internal/registry/timers.go
+++ b/internal/registry/timers.go
@@ -23,7 +23,7 @@
 
 func newTimers[T any]() timers[T] { return timers[T]{byName: map[string]*timer[T]{}} }
 
-// set gives a name its full time from now.
+// set restarts the TTL of a name from now.
 func (t *timers[T]) set(name string, of T, ttl, now time.Duration) {
 	one, there := t.byName[name]
 	if !there {
@@ -50,7 +50,7 @@
 	}
 }
 
-// renew gives a name its full time again; it is false for one that is not there.
+// renew restarts the TTL of a name; it returns false for one that is not there.
 func (t *timers[T]) renew(name string, now time.Duration) bool {
 	one, there := t.byName[name]
 	if there {
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -63,7 +63,7 @@
 	return "", fmt.Errorf("no agent keeps %s", name)
 }
 
-// all gives every agent by what it keeps.
+// all returns every agent by what it keeps.
 func (a *agentDirectory) all() map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -15,7 +15,7 @@
 type Store interface {
 	Load(ctx context.Context) (raw []byte, version uint64, err error)
 	Save(ctx context.Context, raw []byte, version uint64) (uint64, error)
-	// Order gives the operator's order that waits, if one does.
+	// Order returns the operator's order that waits, if one does.
 	Order(ctx context.Context) (id, order, who string, err error)
 	// Taken makes room for the next order, once the record says that this one was taken.
 	ClearOrder(ctx context.Context) error
@@ -121,8 +121,8 @@
 	return c.save(ctx)
 }
 
-// followOrder follows the order that waits, and tells whether there is one. Its id goes
-// into the record, so that it is followed once.
+// followOrder follows the order that waits, and reports whether there is one. Its id goes into the record, so
+// that it is followed once.
 func (c *Controller) followOrder(ctx context.Context) (told bool, err error) {
 	id, order, who, err := c.Store.Order(ctx)
 	if err != nil || id == "" {
@@ -218,7 +218,7 @@
 	)
 }
 
-// Encode gives the form of a record.
+// Encode returns the form of a record.
 func Encode(s *State) ([]byte, error) { return json.Marshal(s) }
 
 // Decode reads a record. One of a later form is an error.
--- a/internal/release/machine.go
+++ b/internal/release/machine.go
@@ -52,7 +52,7 @@
 	Aborted     Phase = "aborted"  // by an operator: what is released stays so
 )
 
-// IsFinal tells whether nothing more happens in a phase, once nothing is out.
+// IsFinal reports whether nothing more happens in a phase, once nothing is out.
 func (p Phase) IsFinal() bool { return p == Finished || p == RolledBack || p == Failed || p == Aborted }
 
 // Target is one server on its way.
@@ -71,7 +71,7 @@
 
 func (t Target) cell() string { return fmt.Sprintf("%s/%s/%d", t.Zone, t.Type, t.Cell) }
 
-// isOut tells whether a server is taken from those that serve, or about to be.
+// isOut reports whether a server is taken from those that serve, or about to be.
 func (t Target) isOut() bool { return t.Step != Waiting && t.Step != Released }
 
 // State is a whole release: the record that its controller writes before and after
@@ -132,7 +132,7 @@
 	return New(p, slices.DeleteFunc(slices.Clone(all), func(t Target) bool { return !p.Matches(t) }))
 }
 
-// TargetsOf gives the servers of a list.
+// TargetsOf returns the servers of a list.
 func TargetsOf(all []registry.Endpoint) (targets []Target) {
 	for _, e := range all {
 		targets = append(
@@ -143,7 +143,7 @@
 	return targets
 }
 
-// Count gives the servers that serve in the new version, and those that are out.
+// Count returns the servers that serve in the new version, and those that are out.
 func (s *State) Count() (released, out int) {
 	for _, t := range s.Targets {
 		if t.isOut() {
@@ -210,7 +210,7 @@
 	s.addNote(now, "%s: "+format, append([]any{p}, args...)...)
 }
 
-// targetsOf gives the servers that are to be released by the end of a wave.
+// targetsOf returns the servers that are to be released by the end of a wave.
 func (s *State) targetsOf(wave int) (all []*Target) {
 	for i := range s.Plan.waveEnds(len(s.Targets))[wave] {
 		all = append(all, &s.Targets[i])
@@ -229,7 +229,7 @@
 	return all
 }
 
-// startTargets has as many of the servers begin as the limits allow, and tells whether any are not done.
+// startTargets has as many of the servers begin as the limits allow, and reports whether any are not done.
 func (s *State) startTargets(now time.Duration, v Unavailable, all []*Target) (open bool) {
 	for _, t := range all {
 		if t.isOut() {
@@ -248,7 +248,7 @@
 	return open
 }
 
-// mayTakeOut tells whether one more may be out.
+// mayTakeOut reports whether one more may be out.
 func (s *State) mayTakeOut(t Target, v Unavailable) bool {
 	all, zone, pod := 1, 1, 1
 	count := func(o Target) {
@@ -347,10 +347,10 @@
 	}
 }
 
-// isHolding tells whether servers that were not replaced yet come back as they are.
+// isHolding reports whether servers that were not replaced yet come back as they are.
 func (s *State) isHolding() bool { return s.Phase == Halted || s.Phase == Aborted || s.Phase == Failed }
 
-// Actions gives what is to be carried out, now that the state is written.
+// Actions returns what is to be carried out, now that the state is written.
 func (s *State) Actions() (all []Action) {
 	for _, t := range s.Targets {
 		if t.isOut() {
@@ -458,7 +458,7 @@
 // waves and both figures.
 const chanceDeviations = 0.001
 
-// above tells whether n of so many are more than a share makes likely.
+// above reports whether n of so many are more than a share makes likely.
 func above(n, of int, share float64) bool {
 	if n == 0 || share >= 1 {
 		return false
@@ -489,7 +489,7 @@
 	return Pass
 }
 
-// Soaked tells whether the soak is over and a verdict is wanted.
+// Soaked reports whether the soak is over and a verdict is wanted.
 func (s *State) Soaked(now time.Duration) bool {
 	return s.Phase == Soaking && now-s.Since >= s.Plan.Soak
 }
@@ -566,7 +566,7 @@
 	return nil
 }
 
-// resumePhase gives what is stuck its full time once more.
+// resumePhase gives what is stuck its full TTL once more.
 func (s *State) resumePhase(now time.Duration) {
 	for i := range s.Targets {
 		s.Targets[i].Since, s.Targets[i].Stuck = now, false
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -77,7 +77,7 @@
 	KindProxies = "program"
 )
 
-// IsForProxies tells whether the plan is about the program's proxies.
+// IsForProxies reports whether the plan is about the program's proxies.
 func (p Plan) IsForProxies() bool { return p.Kind == KindProxies }
 
 // What a halt may do by itself.
@@ -110,7 +110,7 @@
 	}
 }
 
-// Check says what is wrong with a plan, by its keys.
+// Check validates a plan, by its keys.
 func (p Plan) Check() error {
 	var errs []error
 	bad := func(ok bool, format string, args ...any) {
@@ -176,7 +176,7 @@
 	return errors.Join(errs...)
 }
 
-// Matches tells whether a server or a proxy is one of those that the plan is about.
+// Matches reports whether a server or a proxy is one of those that the plan is about.
 func (p Plan) Matches(t Target) bool {
 	one := func(all []string, is string) bool { return len(all) == 0 || slices.Contains(all, is) }
 	named := len(p.Selector.Names) == 0 || slices.ContainsFunc(p.Selector.Names, func(n string) bool {
--- a/internal/release/proxyexecutor.go
+++ b/internal/release/proxyexecutor.go
@@ -21,7 +21,7 @@
 	agents agentDirectory
 }
 
-// Unavailable gives the proxies that do not serve.
+// Unavailable returns the proxies that do not serve.
 func (f *ProxyExecutor) Unavailable(ctx context.Context) (Unavailable, error) {
 	agents, err := f.agents.read(ctx, f.Registry)
 	if err != nil {
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -48,7 +48,7 @@
 	return err
 }
 
-// Read gives a release as it is on record.
+// Read returns a release as it is on record.
 func Read(ctx context.Context, k *client.Client, name string) (*State, error) {
 	r, err := k.Record(ctx, RecordPrefix+name)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return err
 }
 
-// hasCode tells whether the service's refusal has a code.
+// hasCode reports whether the service's refusal has a code.
 func hasCode(err error, code registry.Code) bool {
 	var r *client.Error
 	return errors.As(err, &r) && r.Code == string(code)
--- a/internal/release/serverexecutor.go
+++ b/internal/release/serverexecutor.go
@@ -42,8 +42,8 @@
 
 const maxStats = 4 << 20 // bytes of a proxy's figures
 
-// Unavailable gives the servers that the list has as leaving, and those that agents keep
-// and the list does not have.
+// Unavailable returns the servers that the list has as leaving, and those that agents keep and the list does
+// not have.
 func (f *ServerExecutor) Unavailable(ctx context.Context) (Unavailable, error) {
 	a, err := f.Registry.Registrations(ctx)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return err == nil, err
 }
 
-// isDrained tells whether a server has been in maintenance for its grace.
+// isDrained reports whether a server has been in maintenance for its grace.
 func (f *ServerExecutor) isDrained(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/sim/actor.go
+++ b/internal/sim/actor.go
@@ -66,7 +66,7 @@
 type Call struct {
 	Number  uint64            // the caller's own, to know the answer by
 	Command *registry.Command // carried out; or
-	Renew   string            // the session that gets its full time again; or
+	Renew   string            // the session that gets its full TTL again; or
 	Read    Read              // what is looked at
 }
 
--- a/internal/sim/end.go
+++ b/internal/sim/end.go
@@ -91,7 +91,7 @@
 // Slow makes the process late: it takes up to so long over each event. 0 ends that.
 func (e *End) Slow(most time.Duration) { e.late = most }
 
-// Tell gives the process a word from outside, if it runs.
+// Tell sends a message from outside to the process, if it runs.
 func (e *End) Tell(what any) { e.Handle(Told{what}) }
 
 // arrive takes an event that the world has for the end now.
@@ -124,7 +124,7 @@
 	}
 }
 
-// Handle gives the process an event and has carried out what it wants.
+// Handle passes an event to the process and carries out the actions that it returns.
 func (e *End) Handle(ev Event) {
 	if !e.Up() {
 		return
--- a/internal/sim/fault.go
+++ b/internal/sim/fault.go
@@ -53,14 +53,15 @@
 	return names[:min(n, len(names))]
 }
 
-// during gives a Draw of a fault of n that lasts between least and most.
+// during returns a Draw of a fault of n that lasts between least and most.
 func during(n int, least, most time.Duration) func(*rand.Rand, []string) Fault {
 	return func(rng *rand.Rand, names []string) Fault {
 		return Fault{Who: pick(rng, names, n), For: some(rng, least, most)}
 	}
 }
 
-// broken gives a Do that changes links while it lasts, and says so in the columns of those that it is about.
+// broken returns a Do that changes links while it lasts, and says so in the columns of those that it is
+// about.
 func broken(
 	begins, ends string,
 	on func(f Fault) func(from, to string) bool,
--- a/internal/sim/membership/checks.go
+++ b/internal/sim/membership/checks.go
@@ -60,7 +60,7 @@
 	}}
 }
 
-// holds gives a check that holds until something is put into the error.
+// holds returns a check that holds until something is put into the error.
 func holds(name string, broken *error) sim.Check {
 	return sim.Check{Name: name, Throughout: func() error { return *broken }}
 }
--- a/internal/sim/membership/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -31,12 +31,12 @@
 	draws *rand.Rand
 }
 
-// NewFleet gives a fleet without nodes.
+// NewFleet returns a fleet without nodes.
 func NewFleet(w *sim.World) *Fleet {
 	return &Fleet{World: w, addrs: map[string]netip.AddrPort{}, ends: map[netip.AddrPort]string{}}
 }
 
-// Names gives the names of the first n nodes.
+// Names returns the names of the first n nodes.
 func Names(n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprintf("n%d", i+1))
@@ -110,7 +110,7 @@
 	return all
 }
 
-// Member gives what a node believes of a name; without a Name if it knows nothing.
+// Member returns what a node believes of a name; without a Name if it knows nothing.
 func (n *Node) Member(name string) membership.Member {
 	for _, m := range n.Core.View().Members {
 		if m.Name == name {
--- a/internal/sim/membership/settled.go
+++ b/internal/sim/membership/settled.go
@@ -30,7 +30,7 @@
 	return l
 }
 
-// same says whether all have one digest.
+// same reports whether all have one digest.
 func (l look) same() error {
 	for i, v := range l.views {
 		if v.Digest != l.views[0].Digest {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// complete says whether every live node is alive in every view.
+// complete reports whether every live node is alive in every view.
 func (l look) complete() error {
 	for _, v := range l.views {
 		alive := map[string]bool{}
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// clean says whether nobody else is alive in any view.
+// clean reports whether nobody else is alive in any view.
 func (l look) clean() error {
 	for _, v := range l.views {
 		for _, m := range v.Members {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// single says whether of several processes with one name one at most goes on.
+// single reports whether of several processes with one name one at most goes on.
 func (l look) single() error {
 	for _, n := range l.nodes {
 		if o := l.names[n.Name]; o != n {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// settling gives the checks of what must come true within Settle after the last fault.
+// settling returns the checks of what must come true within Settle after the last fault.
 func (f *Fleet) settling(took func(time.Duration)) (all []sim.Check) {
 	var began time.Duration
 	wait := func(name string, cond func(look) error) {
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -45,7 +45,7 @@
 	Sessions []registry.Session
 }
 
-// AddService gives the world a registry that has begun.
+// AddService adds a registry that has begun to the world.
 func (w *World) AddService() *Service {
 	s := &Service{
 		world:     w,
@@ -62,7 +62,8 @@
 // State is the state itself, for checks and for what an operator writes.
 func (s *Service) State() *registry.State { return s.state }
 
-// Down ends the service for all; Up brings it back, with every session's full time as a new leader gives it.
+// Down ends the service for all; Up brings it back, with the full TTL of every session as a new leader gives
+// it.
 func (s *Service) Down() {
 	s.down = true
 	s.world.Say(ServiceName, "down")
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -77,7 +77,7 @@
 	return all
 }
 
-// newFleet gives a fleet without nodes, before a list of total servers.
+// newFleet returns a fleet without nodes, before a list of total servers.
 func newFleet(w *sim.World, replicas, total int) *Fleet {
 	f := &Fleet{
 		World:    w,
--- a/internal/sim/subset/kinds.go
+++ b/internal/sim/subset/kinds.go
@@ -42,7 +42,7 @@
 
 func number(rng *rand.Rand, most int) string { return strconv.Itoa(1 + rng.IntN(most)) }
 
-// with gives a number that a fault has drawn.
+// with returns a number that a fault has drawn.
 func with(f sim.Fault, k int) int {
 	n, _ := strconv.Atoi(f.Who[k])
 	return n
@@ -119,7 +119,7 @@
 			}
 		},
 	}
-	// kills end processes; one of three replicas may be lost for good, and a node's kept list with it.
+	// kills end processes; one of three replicas may be lost for good, and a node's cached list with it.
 	kills = sim.Kind{Name: "kill", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{Who: anyOne(rng, names), For: upTo(rng, 100*time.Millisecond, 15*time.Second)}
 		if f.Who[0] == "r3" && rng.IntN(2) == 0 {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -33,7 +33,7 @@
 	log   []timeline.Event
 }
 
-// New gives an empty world.
+// New returns an empty world.
 func New(seed uint64) *World {
 	return &World{rng: rand.New(rand.NewPCG(seed, 0x5eed)), ends: map[string]*End{}, Net: Net{Usual: Near}}
 }
@@ -73,10 +73,10 @@
 	return e
 }
 
-// End gives an end by name, nil if there is none.
+// End returns an end by name, nil if there is none.
 func (w *World) End(name string) *End { return w.ends[name] }
 
-// Ends gives all ends in the order in which they were added.
+// Ends returns all ends in the order in which they were added.
 func (w *World) Ends() []*End { return w.order }
 
 // After has something done later.
--- a/internal/simwire/report.go
+++ b/internal/simwire/report.go
@@ -22,8 +22,8 @@
 	return &r
 }
 
-// SetReportField sets the value of a load report that the simulator, or a
-// server on a socket, calls so. It tells whether the name is known.
+// SetReportField sets the value of a load report that the simulator, or a server on a socket, calls so. It
+// reports whether the name is known.
 func SetReportField(r *balancer.LoadReport, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
--- a/internal/tenant/advance.go
+++ b/internal/tenant/advance.go
@@ -36,7 +36,7 @@
 		if m.waitForMembers(r, t, e) {
 			m.applyNext(r, t)
 		} else if r.now-m.stateSince[t.Name] >= m.times.Switch {
-			m.setState(r, t, Changing) // nobody has served the next form: the present one is served again
+			m.setState(r, t, Changing) // nobody has served the next spec: the present one is served again
 		}
 	case Draining:
 		if m.waitForMembers(r, t, e) {
@@ -47,13 +47,13 @@
 	}
 }
 
-// waitForMembers tells whether all that are needed have taken the tenant's entry up.
+// waitForMembers reports whether all that are needed have taken the tenant's entry up.
 func (m *StateMachine) waitForMembers(r *round, t *Tenant, e *Entry) bool {
 	m.waitingFor[t.Name] = m.membersBehind(r, e.Since, t.State.waitScope(), e.drainTime())
 	return len(m.waitingFor[t.Name]) == 0
 }
 
-// applyNext puts the next form into effect, or begins the drain where there is none.
+// applyNext puts the next spec into effect, or begins the drain where there is none.
 func (m *StateMachine) applyNext(r *round, t *Tenant) {
 	if t.State == Reserved {
 		if why := m.recheck(r, t); why != "" {
@@ -70,7 +70,7 @@
 	m.settle(r, t)
 }
 
-// settle puts a tenant into the state that its form in effect says.
+// settle puts a tenant into the state that its spec in effect says.
 func (m *StateMachine) settle(r *round, t *Tenant) {
 	state := Active
 	if t.Current.Suspended {
@@ -79,7 +79,7 @@
 	m.setState(r, t, state)
 }
 
-// orderExpired tells whether the order that a tenant follows has had its time.
+// orderExpired reports whether the order that a tenant follows has had its time.
 func (m *StateMachine) orderExpired(r *round, t *Tenant) bool {
 	return r.now-m.orderSeenAt[t.Name] >= m.prepareTimeout()
 }
@@ -122,9 +122,9 @@
 	}
 	if t == nil {
 		if len(m.tenants) >= m.maxTenants() {
-			return // it waits for room
+			return // it waits for capacity
 		}
-		if CheckName(a.Name) != nil { // no record can say why; who asks by Tell is told before
+		if CheckName(a.Name) != nil { // no record can say why; the operator's command has rejected it before
 			r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: a.Key, Version: a.Version})
 			return
 		}
--- a/internal/tenant/cache.go
+++ b/internal/tenant/cache.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Cache decides what a proxy knows of tenants, and how sure it may be. It is pure. Its
-// safety rests on the session and on reads of the records; the view (Heard) only makes
-// it more careful, and quicker.
+// Cache decides what a proxy knows of tenants, and how authoritative it may be. It is pure. Its safety rests
+// on the session and on reads of the records; membership (PeerHasCatalogue) only makes it more careful, and quicker.
 type Cache struct {
 	generation   uint64
 	maxStaleness time.Duration
@@ -18,43 +17,43 @@
 	leaving       bool
 	policy        PolicyTable
 	policyChanges int               // that it has had
-	entries       map[string]*Entry // those of image, by tenant
+	entries       map[string]*Entry // those of snapshot, by tenant
 	inTransition  map[string]*Entry // those of them that are not simply served
 
-	onDemand        bool                // it reads the parts that requests name, where the catalogue has parts
-	leaves          map[int]*cachedLeaf // the parts of image, ready for requests
-	requestedLeaves map[int]bool        // parts that are to be read, too
-	readBudget      tokenBucket         // of parts that may be read now
-	idleTimeout     time.Duration       // parts that have not been asked for so long are let go
-	evictedAt       time.Duration       // when idle parts were last looked for
+	onDemand        bool                // it reads the leaves that requests name, where the catalogue has leaves
+	leaves          map[int]*cachedLeaf // the leaves of snapshot, ready for requests
+	requestedLeaves map[int]bool        // leaves that are to be read, too
+	readBudget      tokenBucket         // of leaves that may be read now
+	idleTimeout     time.Duration       // leaves that have not been asked for so long are evicted
+	evictedAt       time.Duration       // when idle leaves were last looked for
 
 	sessionOpen    bool          // there is a session
 	sessionTTL     time.Duration // of it
-	authoritySince time.Duration // its unbroken right began: only what was read since is sure
-	authorityUntil time.Duration // its right ends
+	authoritySince time.Duration // its unbroken authority began: only what was read since is authoritative
+	authorityUntil time.Duration // its authority ends
 	renewalSentAt  time.Duration // of the last renewal that was answered
 	authoritative  bool
-	confirmedAt    time.Duration // of the last renewal while it was sure
+	confirmedAt    time.Duration // of the last renewal while it was authoritative
 
 	peerNumber    uint64
 	peerNumberAt  time.Duration
 	refutedNumber uint64 // a number that was heard of, and that a later read did not bear out
 
-	openRequests   map[string]int           // open requests by tenant
+	openRequests   map[string]int           // requests in flight by tenant
 	departingSince map[string]time.Duration // since when a tenant is known to go
 	toldStatus     Status
-	hasTold        bool // told was told
+	hasTold        bool // lastTold was reported
 	toldAt         time.Duration
 }
 
-// A word is told again so often while a tenant moves: an earlier one that was long on
-// its way may have come to the service after it.
+// A status is reported again so often while a tenant moves: an earlier one that was long on its way may have
+// come to the registry after it.
 const tellInterval = 5 * time.Second
 
-// NewCache makes the cache of a proxy that knows nothing yet. life is of this process,
-// higher than of the one before under its name. With a hold above 0 it serves no
-// tenant after so long without word; it should be several TTLs. On demand it reads of
-// a catalogue with parts only those that its requests name.
+// NewCache makes the cache of a proxy that knows nothing yet. generation is of this process, higher than of the one
+// before under its name. With a maximal staleness above 0 it serves no tenant after so long without contact
+// with the registry; it should be several TTLs. On demand it reads of a catalogue with leaves only those that
+// its requests name.
 func NewCache(life uint64, hold time.Duration, onDemand bool) *Cache {
 	return &Cache{
 		generation:      life,
@@ -80,7 +79,12 @@
 	swap := true
 	switch e := event.(type) {
 	case SessionOpened:
-		d.sessionOpen, d.sessionTTL, d.authoritySince, d.renewalSentAt, d.authoritative, d.hasTold = true, e.TTL, now, e.Sent, false, false
+		d.sessionOpen = true
+		d.sessionTTL = e.TTL
+		d.authoritySince = now
+		d.renewalSentAt = e.Sent
+		d.authoritative = false
+		d.hasTold = false
 		d.authorityUntil = e.Sent + shortened(e.TTL)
 		do = append(do, ReadCatalogue{})
 	case SessionRenewed:
@@ -122,8 +126,8 @@
 	return append(do, d.tellStatus(now)...)
 }
 
-// sessionRenewed prolongs the right. Where it had run out before the answer came, the session
-// may have ended and begun again in between: what was read before is not sure any more.
+// sessionRenewed prolongs the authority. Where it had run out before the answer came, the session may have
+// ended and begun again in between: what was read before is not authoritative any more.
 func (d *Cache) sessionRenewed(now time.Duration, e SessionRenewed) []any {
 	if !e.Known || !d.sessionOpen {
 		d.sessionOpen, d.authoritative = false, false
@@ -156,7 +160,7 @@
 	if !e.Snapshot.covers(d.snapshot, d.neededLeaves()) {
 		return []any{ReadCatalogue{}}
 	}
-	older := e.Snapshot.Number < d.number() // the service's state is from a copy: the controller makes a new one
+	older := e.Snapshot.Number < d.number() // the registry's state is from a copy: the controller makes a new one
 	if d.snapshot == nil || e.Snapshot.Number > d.snapshot.Number ||
 		e.Snapshot.Number == d.snapshot.Number && e.Snapshot.levels > 0 {
 		d.applySnapshot(now, e.Snapshot)
@@ -177,7 +181,7 @@
 	return d.snapshot.Number
 }
 
-// stopServingAt is when the proxy stops serving tenants for want of word; 0: never.
+// stopServingAt is when the proxy stops serving tenants for want of contact with the registry; 0: never.
 func (d *Cache) stopServingAt() time.Duration {
 	if d.maxStaleness == 0 {
 		return 0
@@ -201,14 +205,14 @@
 	return c
 }
 
-// isDeparting tells whether what is open of an entry is to end.
+// isDeparting reports whether the requests in flight of an entry are to end.
 func (e *Entry) isDeparting() bool {
 	return e.Phase == PhaseDrain || e.Phase == PhaseHold && e.Next == nil
 }
 
-// cutDeparting ends what has had its time: of a tenant that drains; of one that is about to,
-// where this proxy has no right any more, so that the controller need not wait for its
-// return; of all, where its hold has stopped it; of one that is gone, at once.
+// cutDeparting ends what has had its time: of a tenant that drains; of one that is about to, where this proxy
+// has no authority any more, so that the controller need not wait for its return; of all, where its maximal
+// staleness has stopped it; of one that is gone, at once.
 func (d *Cache) cutDeparting(now time.Duration) (do []any) {
 	right := d.authoritative && now < d.authorityUntil
 	over := map[string]bool{}
@@ -230,8 +234,8 @@
 	return do
 }
 
-// Status is what a session has to be opened with: one that is open without it would let
-// the controller pass by a proxy that has its right already.
+// Status is what a session has to be opened with: one that is open without it would let the controller pass
+// by a proxy that has its authority already.
 func (d *Cache) Status() Status {
 	w := Status{
 		Generation:   d.generation,
@@ -241,7 +245,7 @@
 		Left:         d.leaving && len(d.openRequests) == 0,
 	}
 	if d.snapshot != nil {
-		for _, n := range d.snapshot.needs { // of parts that are not held, too: they may be tomorrow
+		for _, n := range d.snapshot.needs { // of leaves that are not held, too: they may be tomorrow
 			if d.policy.Version < n.Policy {
 				w.Prepared = min(w.Prepared, n.Since-1)
 			}
@@ -259,7 +263,7 @@
 	return w
 }
 
-// tellStatus gives the session's word where it has changed.
+// tellStatus reports the session's status where it has changed.
 func (d *Cache) tellStatus(now time.Duration) []any {
 	w := d.Status()
 	again := len(d.inTransition) > 0 && now-d.toldAt >= tellInterval
@@ -270,5 +274,5 @@
 	return []any{TellStatus{w}}
 }
 
-// OpenTenants gives the tenants with open requests, by name.
+// OpenTenants returns the tenants with requests in flight, by name.
 func (d *Cache) OpenTenants() []string { return slices.Sorted(maps.Keys(d.openRequests)) }
--- a/internal/tenant/cachedleaves.go
+++ b/internal/tenant/cachedleaves.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Bounds of what a proxy on demand holds and reads. A leaf has some 6 to 32 tenants, a
-// tenant 230 bytes on record and five times as many in memory: 12 MB of pages are 60 MB,
-// half of a proxy's budget of 128 MB. Only what open requests hold may be beyond.
+// Bounds of what a proxy on demand holds and reads. A leaf has some 6 to 32 tenants, a tenant 230 bytes on
+// record and five times as many in memory: 12 MB of pages are 60 MB, half of a proxy's budget of 128 MB. Only
+// what requests in flight hold may be beyond.
 const (
 	maxCachedLeaves = 4096
 	maxCachedBytes  = 12 << 20 // of their pages
 	idleTime        = 10 * time.Minute
 	evictInterval   = time.Second
 
-	// A part that is not held is read once, and then, however many names are made up, no more than readsAtOnce
-	// (a proxy's usual parts when it starts) and readsEvery after it: 4 a second, with two pages between, are 15
-	// kB of a budget of 25 kB a second. mostAsked are read with one head.
+	// A leaf that is not held is read once, and then, however many names are made up, no more than readBurst (a
+	// proxy's usual leaves when it starts) and readInterval after it: 4 a second, with two pages between, are 15
+	// kB of a budget of 25 kB a second. maxLeavesPerRead are read with one head.
 	readBurst          = 2048
 	readInterval       = time.Second / 4
 	maxRequestedLeaves = 64
 )
 
-// cachedLeaf is a part that a proxy holds, ready for requests.
+// cachedLeaf is a leaf that a proxy holds, ready for requests.
 type cachedLeaf struct {
 	leaf   *Leaf
 	table  int                       // of the cache's, with which it was made ready
@@ -53,7 +53,7 @@
 // WantedLeaves is what a read has to bring.
 type WantedLeaves struct {
 	complete bool
-	snapshot *Snapshot // that the parts are of; nil: there is none yet
+	snapshot *Snapshot // that the leaves are of; nil: there is none yet
 	leaves   []int     // in order
 }
 
@@ -72,8 +72,8 @@
 	return w
 }
 
-// since gives the parts that are wanted of a catalogue with so many levels. Where its parts
-// are others than those that are held, it is where the tenants that are held are in it.
+// since returns the leaves that are wanted of a catalogue with so many levels. Where its leaves are others
+// than those that are held, it is where the tenants that are held are in it.
 func (w WantedLeaves) since(levels int) []int {
 	if w.snapshot == nil || levels == w.snapshot.levels {
 		return w.leaves
@@ -81,7 +81,7 @@
 	return w.snapshot.changedLeaves(levels)
 }
 
-// changedLeaves gives the parts of another number of levels that have the tenants of a catalogue.
+// changedLeaves returns the leaves of another number of levels that have the tenants of a catalogue.
 func (i *Snapshot) changedLeaves(levels int) []int {
 	all := map[int]bool{}
 	for _, e := range i.byName() {
@@ -92,8 +92,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// covers tells whether a catalogue may take the place of another, of which some parts are
-// needed: it must not be without what a request that is open now needs.
+// covers reports whether a catalogue may take the place of another, of which some leaves are needed: it must
+// not be without what a request that is open now needs.
 func (i *Snapshot) covers(former *Snapshot, needed map[int]bool) bool {
 	if i.complete || former == nil {
 		return true
@@ -109,8 +109,8 @@
 	return !slices.ContainsFunc(former.changedLeaves(i.levels), func(part int) bool { return !i.hasLeaf(part) })
 }
 
-// neededLeaves gives the parts of tenants with open requests, by all their names: a tenant that
-// gets another name is found by it, and not taken for one that is gone.
+// neededLeaves gives the leaves of tenants with requests in flight, by all their names: a tenant that gets
+// another name is found by it, and not taken for one that is gone.
 func (d *Cache) neededLeaves() map[int]bool {
 	all := map[int]bool{}
 	if d.snapshot == nil || d.snapshot.complete {
@@ -126,7 +126,7 @@
 	return all
 }
 
-// requestLeaf has the part of a name read, which a request has named.
+// requestLeaf has the leaf of a name read, which a request has named.
 func (d *Cache) requestLeaf(now time.Duration, name string) []any {
 	if d.snapshot == nil || d.snapshot.complete {
 		return nil
@@ -140,12 +140,12 @@
 	return []any{ReadCatalogue{}}
 }
 
-// IsLeafRequested tells whether the part of a name is to be read.
+// IsLeafRequested reports whether the leaf of a name is to be read.
 func (d *Cache) IsLeafRequested(name string) bool {
 	return d.snapshot != nil && d.requestedLeaves[leafOf(name, d.snapshot.levels)]
 }
 
-// applySnapshot has an image take the place of the present one, and makes what differs ready.
+// applySnapshot has a snapshot take the place of the present one, and makes what differs ready.
 func (d *Cache) applySnapshot(now time.Duration, i *Snapshot) {
 	if i == nil {
 		return
@@ -180,8 +180,8 @@
 	}
 }
 
-// indexEntries notes what the parts that are held from now on have, by what differs from those
-// before: the others are not walked through.
+// indexEntries notes what the leaves that are held from now on have, by what differs from those before: the
+// others are not walked through.
 func (d *Cache) indexEntries(i *Snapshot, next map[int]*cachedLeaf) {
 	var out, in []*Entry
 	for n, h := range d.leaves {
@@ -211,8 +211,8 @@
 	}
 }
 
-// evictIdle lets parts go that have not been asked for in a while and, beyond the bounds,
-// those that were not for the longest; none that a tenant with open requests is in.
+// evictIdle evicts leaves that have not been asked for in a while and, beyond the bounds, those that were not
+// for the longest; none that a tenant with requests in flight is in.
 func (d *Cache) evictIdle(now time.Duration) bool {
 	if d.snapshot == nil || d.snapshot.complete || now-d.evictedAt < evictInterval {
 		return false
--- a/internal/tenant/catalogue.go
+++ b/internal/tenant/catalogue.go
@@ -9,9 +9,9 @@
 // DecisionKind is what a proxy does with a request of a tenant.
 type DecisionKind uint8
 
-// The verdicts, with what a client is told.
+// The verdicts, with what a client is answered.
 const (
-	Unavailable DecisionKind = iota // 503 with Retry-After: this proxy can't be sure
+	Unavailable DecisionKind = iota // 503 with Retry-After: this proxy lacks the authority to decide
 	Routed                          // on its route, within its limit
 	Forbidden                       // 403: known, and not to be served
 	NotFound                        // 404: a definite no
@@ -20,15 +20,15 @@
 // Decision is the verdict on one request.
 type Decision struct {
 	Kind            DecisionKind
-	Reason          string        // a constant: of Unsure and Declined
-	RetryAfter      time.Duration // of Unsure
+	Reason          string        // a constant: of Unavailable and Forbidden
+	RetryAfter      time.Duration // of Unavailable
 	CatalogueNumber uint64        // of the catalogue it comes from
 	Tenant          string        // by its name in the catalogue, where it is known
-	Route           *Route        // of Served, as is Limit; never the one without the other
+	Route           *Route        // of Routed, as is Limit; never the one without the other
 	Limit           string
 }
 
-// Why a proxy declines, or is not sure.
+// Why a proxy answers Forbidden or Unavailable.
 const (
 	ReasonSuspended    = "the tenant is suspended"
 	ReasonClass        = "the class is not open to the tenant"
@@ -44,44 +44,43 @@
 	ReasonUnknownPhase = "this node is older than the tenant's state"
 )
 
-// What a client is told to wait: once for a step of the controller, longer where the
-// proxy has to find the registry first.
+// The Retry-After of a client: once for a step of the controller, longer where the proxy has to find the
+// registry first.
 const (
 	retrySoon  = time.Second
 	retryLater = 3 * time.Second
 )
 
-// Catalogue is what a proxy answers from at one time. It never changes: the proxy's
-// shell swaps a pointer, so that a request sees one catalogue, whole. A request costs
-// one hash of the name, one look into a table of parts, one into a table of names, two
-// into tables of classes and at most 2 x MaxKeys comparisons of a prefix; nothing is
-// allocated. One thing is noted: when a part was last asked for.
+// Catalogue is what a proxy answers from at one time. It never changes: the proxy's shell swaps a pointer, so
+// that a request sees one consistent catalogue. A request costs one hash of the name, one look into a table
+// of leaves, one into a table of names, two into tables of classes and at most 2 x MaxKeys comparisons of a
+// prefix; nothing is allocated. One thing is noted: when a leaf was last asked for.
 type Catalogue struct {
 	number         uint64
-	levels         int                 // of the tree whose leaves the parts are; 0: one part has all
-	complete       bool                // a part that is not held has no tenants
-	leaves         map[int]*cachedLeaf // parts, by number
+	levels         int                 // of the hash tree that it is of; 0: one leaf has all
+	complete       bool                // a leaf that is not held has no tenants
+	leaves         map[int]*cachedLeaf // leaves, by number
 	ready          bool                // the proxy is on the member record, and has read a catalogue since
 	authoritative  bool                // read since the present session began
-	authorityUntil time.Duration       // the session's right ends then
-	stopServingAt  time.Duration       // by its hold it serves no tenant from then on; 0: there is none
+	authorityUntil time.Duration       // the session's authority ends then
+	stopServingAt  time.Duration       // by its maximal staleness it serves no tenant from then on; 0: there is none
 	behind         bool                // there is a newer catalogue, by what a peer said
 }
 
-// Ready tells whether the proxy may take requests of tenants at all.
+// Ready reports whether the proxy may take requests of tenants at all.
 func (c *Catalogue) Ready() bool { return c.ready }
 
-// isAuthoritative tells whether the proxy may say a definite no.
+// isAuthoritative reports whether the proxy may say a definite no.
 func (c *Catalogue) isAuthoritative(now time.Duration) bool {
 	return c.authoritative && now < c.authorityUntil && !c.behind
 }
 
-// HasLeaf tells whether the proxy holds the part of a name.
+// HasLeaf reports whether the proxy holds the leaf of a name.
 func (c *Catalogue) HasLeaf(tenant string) bool {
 	return c.complete || c.leaves[leafOf(tenant, c.levels)] != nil
 }
 
-// Decide gives the verdict on a request. tenant is as in X-Tenant.
+// Decide returns the verdict on a request. tenant is as in X-Tenant.
 func (c *Catalogue) Decide(now time.Duration, tenant, class, key string) Decision {
 	unsure := func(why string, retry time.Duration) Decision {
 		return Decision{Reason: why, RetryAfter: retry, CatalogueNumber: c.number}
@@ -118,7 +117,7 @@
 	return a
 }
 
-// decide gives the verdict of an entry.
+// decide returns the verdict of an entry.
 func (p *compiledEntry) decide(class, key string, behind bool) Decision {
 	switch p.phase {
 	case PhaseServe:
@@ -145,7 +144,7 @@
 	return Decision{Reason: ReasonChanging, RetryAfter: retrySoon}
 }
 
-// decide gives the verdict of a form.
+// decide returns the verdict of a spec.
 func (c *compiledSpec) decide(class, key string) Decision {
 	if c == nil {
 		return Decision{Reason: ReasonUnknownPhase, RetryAfter: retryLater}
--- a/internal/tenant/check.go
+++ b/internal/tenant/check.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// check says why a tenant can't have a form: names that are another's, limits that the
-// policy has not or another has, floors that do not add up, routes without backends.
+// check says why a tenant can't have a spec: names that are another's, limits that the policy has not or
+// another has, floors that do not add up, routes without backends.
 func (m *StateMachine) check(r *round, t *Tenant, next *Spec) (why string) {
 	if err := next.Check(); err != nil {
 		return err.Error()
@@ -28,8 +28,8 @@
 	return checkRoutes(r, next)
 }
 
-// recheck looks again, just before a form takes effect, at what may have changed since:
-// the policy's table and the backends.
+// recheck looks again, just before a spec takes effect, at what may have changed since: the policy's table
+// and the backends.
 func (m *StateMachine) recheck(r *round, t *Tenant) (why string) {
 	if t.Next == nil || t.Next.Suspended {
 		return ""
@@ -43,8 +43,8 @@
 	return why
 }
 
-// claims are what tenants have for themselves: what was on record when a round began, and
-// what has been let in since. So nothing is free before that is on record.
+// claims are what tenants have for themselves: what was on record when a round began, and what has been
+// admitted since. So nothing is free before that is on record.
 type claims struct {
 	names, limits map[string]string  // their tenants
 	byTenant      map[string][]claim // by tenant
@@ -110,9 +110,9 @@
 	}
 }
 
-// checkFloors says whether the floors of all tenants' limits fit once one has its next form,
-// too. What is taken is no count that is kept, but the sum over the states on record:
-// so nothing is taken or freed twice, whoever dies in between. A round has it once.
+// checkFloors reports whether the floors of all tenants' limits fit once one has its next spec, too. What is
+// taken is no count that is kept, but the sum over the states on record: so nothing is taken or freed twice,
+// whoever dies in between. A round has it once.
 func (m *StateMachine) checkFloors(r *round, next *Spec) (why string) {
 	if !r.floorSumKnown {
 		r.floorSum = 0
@@ -138,7 +138,7 @@
 	return ""
 }
 
-// checkRoutes says whether each route has its backends.
+// checkRoutes reports whether each route has its backends.
 func checkRoutes(r *round, next *Spec) (why string) {
 	for i := range next.Routes {
 		route, n := &next.Routes[i], 0
--- a/internal/tenant/compile.go
+++ b/internal/tenant/compile.go
@@ -10,7 +10,7 @@
 	next    *compiledSpec
 }
 
-// compiledSpec is a form ready for requests.
+// compiledSpec is a spec ready for requests.
 type compiledSpec struct {
 	suspended   bool
 	limitsKnown bool // the proxy's policy table has its limits
@@ -21,7 +21,7 @@
 type classRoute struct {
 	route     *Route
 	limit     string
-	unchanged bool // at a change: the other form says the same for the class
+	unchanged bool // at a change: the other spec says the same for the class
 }
 
 func compile(f *Spec, t PolicyTable) *compiledSpec {
@@ -39,7 +39,7 @@
 	return c
 }
 
-// markUnchanged marks what two forms of a tenant answer alike.
+// markUnchanged marks what two specs of a tenant answer alike.
 func markUnchanged(a, b *compiledSpec) {
 	for class, x := range a.classes {
 		if y, both := b.classes[class]; both && x.limit == y.limit && reflect.DeepEqual(x.route, y.route) {
@@ -55,7 +55,7 @@
 	HasLimit func(limit string) bool
 }
 
-// covers tells whether a table has what a form needs.
+// covers reports whether a table has what a spec needs.
 func (t PolicyTable) covers(f *Spec) bool {
 	if t.HasLimit == nil || t.Version < f.PolicyVersion {
 		return false
@@ -68,37 +68,53 @@
 	return true
 }
 
-// compileLeaf gives the names by which requests find the entries of a part. An entry is found
-// by a name in the part of that name alone: others may have another part's word for it.
-func compileLeaf(p *Leaf, in func(name string) bool, t PolicyTable) map[string]*compiledEntry {
-	all := map[string]*compiledEntry{}
-	for _, e := range p.entries {
-		var now, next *compiledSpec
-		if e.Current != nil {
-			now = compile(e.Current, t)
+// compileLeaf returns the names by which requests find the entries of a leaf. An entry is found by a name in
+// the leaf of that name alone: others may have another leaf's name for it.
+func compileLeaf(leaf *Leaf, inLeaf func(name string) bool, table PolicyTable) map[string]*compiledEntry {
+	byName := map[string]*compiledEntry{}
+	for _, entry := range leaf.entries {
+		current, next := compileSpecs(entry, table)
+		for _, name := range specNames(entry.Current, inLeaf) {
+			compiledFor(byName, name, entry).current = current
 		}
-		if e.Next != nil {
-			next = compile(e.Next, t)
+		for _, name := range specNames(entry.Next, inLeaf) {
+			compiledFor(byName, name, entry).next = next
 		}
-		if now != nil && next != nil {
-			markUnchanged(now, next)
-		}
-		put := func(f *Spec, set func(*compiledEntry)) {
-			if f == nil {
-				return
-			}
-			for _, name := range f.Names {
-				if !in(name) {
-					continue
-				}
-				if all[name] == nil {
-					all[name] = &compiledEntry{name: e.Name, phase: e.Phase}
-				}
-				set(all[name])
-			}
+	}
+	return byName
+}
+
+// compileSpecs compiles both specs of an entry; nil for one that it has not.
+func compileSpecs(entry *Entry, table PolicyTable) (current, next *compiledSpec) {
+	if entry.Current != nil {
+		current = compile(entry.Current, table)
+	}
+	if entry.Next != nil {
+		next = compile(entry.Next, table)
+	}
+	if current != nil && next != nil {
+		markUnchanged(current, next)
+	}
+	return current, next
+}
+
+// specNames returns the names of a spec, which may be nil, that belong to a leaf.
+func specNames(spec *Spec, inLeaf func(name string) bool) (names []string) {
+	if spec == nil {
+		return nil
+	}
+	for _, name := range spec.Names {
+		if inLeaf(name) {
+			names = append(names, name)
 		}
-		put(e.Current, func(p *compiledEntry) { p.current = now })
-		put(e.Next, func(p *compiledEntry) { p.next = next })
 	}
-	return all
+	return names
+}
+
+// compiledFor returns the compiled entry under a name, which it adds if there is none.
+func compiledFor(byName map[string]*compiledEntry, name string, entry *Entry) *compiledEntry {
+	if byName[name] == nil {
+		byName[name] = &compiledEntry{name: entry.Name, phase: entry.Phase}
+	}
+	return byName[name]
 }
--- a/internal/tenant/controller.go
+++ b/internal/tenant/controller.go
@@ -12,11 +12,11 @@
 	"wrenspread/internal/backoff"
 )
 
-// LeaseName is the lease whose holder conducts all tenants.
+// LeaseName is the lease whose holder runs the controller of all tenants.
 const LeaseName = "tenants"
 
-// Store keeps the records, and tells of sessions, as they are now: a read that lags
-// would let a step pass without a proxy that it has to wait for.
+// Store keeps the records, and lists sessions, as they are now: a read that lags would let a step pass
+// without a proxy that it has to wait for.
 type Store interface {
 	Stored(ctx context.Context) (Stored, error)
 	Sessions(ctx context.Context) ([]Session, error)
@@ -40,7 +40,7 @@
 	failurePause      = 500 * time.Millisecond
 )
 
-// Controller brings tenants in, changes and removes them. It is the work of a lease.
+// Controller onboards, changes and removes them. It is the work of a lease.
 type Controller struct {
 	Store       Store
 	Environment Environment
@@ -48,11 +48,11 @@
 	Times       Times
 	Log         *slog.Logger
 
-	HashTree bool // it writes the catalogue as a hash tree, of which a proxy may read parts
+	HashTree bool // it writes the catalogue as a hash tree, of which a proxy may read leaves
 }
 
-// Run conducts until ctx ends or another controller follows. After a call that failed it
-// begins from what is on record: whatever a write came to, the next round sees it.
+// Run works until ctx ends or another controller follows. After a call that failed it begins from what is on
+// record: whatever a write came to, the next round sees it.
 func (c *Controller) Run(ctx context.Context) error {
 	start := time.Now()
 	var m *StateMachine
--- a/internal/tenant/environment.go
+++ b/internal/tenant/environment.go
@@ -19,7 +19,7 @@
 // servers on the list.
 type RegistryEnvironment struct{ Registry *client.Client }
 
-// table is what is needed of a policy's table; its form is decide's.
+// table is what is needed of a policy's table; it is a ratelimit.Table.
 type table struct {
 	Limits []struct {
 		Name   string  `json:"name"`
@@ -57,7 +57,7 @@
 	return p, nil
 }
 
-// Endpoints gives the servers that are ready.
+// Endpoints returns the servers that are ready.
 func (f RegistryEnvironment) Endpoints(ctx context.Context) (all []Endpoint, err error) {
 	a, err := f.Registry.Current(ctx)
 	for _, e := range a.Endpoints {
@@ -68,7 +68,7 @@
 	return all, err
 }
 
-// isNotFound tells whether an error says that there is no such record.
+// isNotFound reports whether an error says that there is no such record.
 func isNotFound(err error) bool {
 	var r *client.Error
 	return errors.As(err, &r) && r.Status == http.StatusNotFound
--- a/internal/tenant/members.go
+++ b/internal/tenant/members.go
@@ -68,7 +68,7 @@
 	waitAuthoritative waitScope = iota
 	// all members; one without a session counts once its hold must have stopped it
 	waitAllMembers
-	// all members' open requests; one without a session counts once it must have cut them
+	// all members' requests in flight; one without a session counts once it must have cut them
 	waitDrained
 )
 
@@ -83,7 +83,7 @@
 	return waitAllMembers
 }
 
-// membersBehind gives the members that are not yet at a number of the catalogue.
+// membersBehind returns the members that are not yet at a number of the catalogue.
 func (m *StateMachine) membersBehind(
 	r *round,
 	number uint64,
@@ -107,8 +107,8 @@
 	return wait
 }
 
-// hasStopped tells whether a member without a session must have stopped serving tenants,
-// or have ended what it had open. Neither rests on the view.
+// hasStopped reports whether a member without a session must have stopped serving tenants, or have ended what
+// it had open. Neither rests on membership.
 func (m *StateMachine) hasStopped(r *round, member Member, n waitScope, drain time.Duration) bool {
 	away := m.absentFor(r, member)
 	if n == waitDrained {
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -41,8 +41,8 @@
 	PolicyNeeds []PolicyNeed `json:"needs,omitempty"`  // what a proxy can't see that has not read all leaves
 }
 
-// PolicyNeed says that some next forms, the first of them new in a catalogue, have their limits in a
-// policy's table: a proxy without it has not prepared them, whether it holds them or not.
+// PolicyNeed says that some next specs, the first of them new in a catalogue, have their limits in a policy's
+// table: a proxy without it has not prepared them, whether it holds them or not.
 type PolicyNeed struct {
 	Policy uint64 `json:"policy"`
 	Since  uint64 `json:"since"`
@@ -66,10 +66,10 @@
 	return h
 }
 
-// leafOf gives the leaf of a name, by the number of levels.
+// leafOf returns the leaf of a name, by the number of levels.
 func leafOf(name string, levels int) int { return int(hash(name)) & (1<<(fanBits*levels) - 1) }
 
-// leavesOf gives the leaves of an entry: in the flat form that of the tenant, in a tree those of all names
+// leavesOf returns the leaves of an entry: in the flat form that of the tenant, in a tree those of all names
 // that requests use.
 func leavesOf(e *Entry, levels int) (all []int) {
 	if levels == 0 {
@@ -158,9 +158,8 @@
 	err      error
 }
 
-// assemble makes the catalogue of a head, whole or with the parts that are wanted (sorted), from
-// pages by digest. A page that is not there is told as missing: then there is no catalogue
-// yet.
+// assemble makes the catalogue of a head, whole or with the leaves that are wanted (sorted), from pages by
+// digest. A page that is not there is told as missing: then there is no catalogue yet.
 func assemble(h Head, have map[string]*page, whole bool, parts []int, used map[string]*page) *treeWalk {
 	w := &treeWalk{Head: h, known: have, used: used, complete: whole || h.Levels == 0}
 	w.snapshot = &Snapshot{
@@ -190,7 +189,7 @@
 func (w *treeWalk) descend(digests []string, level, prefix int, parts []int) {
 	for n, digest := range digests {
 		at := prefix<<fanBits | n
-		here := 0 // so many parts lie below
+		here := 0 // so many leaves lie below
 		for here < len(parts) && parts[here]>>(fanBits*(w.Levels-level)) == at {
 			here++
 		}
