--- a/internal/tenant/progress.go
+++ b/internal/tenant/progress.go
@@ -11,7 +11,7 @@
 // Progress is how far a tenant is, as an operator asks.
 type Progress struct {
 	*Tenant
-	Published  bool     `json:"published"`           // proxies are told of this state
+	Published  bool     `json:"published"`           // proxies are notified of this state
 	Number     uint64   `json:"number,omitempty"`    // of the catalogue that tells them
 	WaitingFor []string `json:"waits_for,omitempty"` // members that it waits for
 }
@@ -40,7 +40,7 @@
 	return all
 }
 
-// ReadProgress tells how far one tenant is, from its own record and the parts of the catalogue with its
+// ReadProgress tells how far one tenant is, from its own record and the leaves of the catalogue with its
 // names. One that is refused has none left, and all is read. there is false where there is no such tenant.
 func ReadProgress(ctx context.Context, k *client.Client, name string) (s Progress, there bool, err error) {
 	one, err := k.Record(ctx, Prefix+name)
--- a/internal/tenant/publish.go
+++ b/internal/tenant/publish.go
@@ -26,8 +26,8 @@
 	stageAfter
 )
 
-// wasRestored tells whether a proxy has a higher catalogue than there is: the service's
-// state is from a copy. All is published anew, above what any proxy has.
+// wasRestored reports whether a proxy has a higher catalogue than there is: the registry's state is from a
+// copy. All is published anew, above what any proxy has.
 func (m *StateMachine) wasRestored(r *round) bool {
 	return slices.ContainsFunc(r.Sessions, func(s Session) bool { return s.Status.Prepared > m.head.Number })
 }
@@ -83,21 +83,10 @@
 	return nil
 }
 
-// catalogueChanges gives the entries that differ from the last catalogue: among the tenants that
-// changed in this round; in a controller's first round, or anew, among all.
+// catalogueChanges returns the entries that differ from the last catalogue: among the tenants that changed in
+// this round; in a controller's first round, or anew, among all.
 func (m *StateMachine) catalogueChanges(r *round, number uint64, anew bool) (all []change) {
-	look := maps.Clone(r.changed)
-	maps.Copy(look, r.removed)
-	if !m.comparedOnce || anew {
-		for name := range m.tenants {
-			look[name] = true
-		}
-		for name := range m.entries {
-			look[name] = true
-		}
-	}
-	m.comparedOnce = true
-	for name := range look {
+	for name := range m.tenantsToCompare(r, anew) {
 		was := m.entries[name]
 		var e *Entry
 		if t := m.tenants[name]; t != nil {
@@ -120,6 +109,23 @@
 	return all
 }
 
+// tenantsToCompare returns the names of the tenants whose entries may differ from the last catalogue's.
+func (m *StateMachine) tenantsToCompare(r *round, anew bool) map[string]bool {
+	names := maps.Clone(r.changed)
+	maps.Copy(names, r.removed)
+	if m.comparedOnce && !anew {
+		return names
+	}
+	m.comparedOnce = true
+	for name := range m.tenants {
+		names[name] = true
+	}
+	for name := range m.entries {
+		names[name] = true
+	}
+	return names
+}
+
 // updateTree brings the tree up to the entries. It gives the pages that are to be written, and
 // the digests of those that the last catalogue had and this one has not.
 func (m *StateMachine) updateTree(
--- a/internal/tenant/reader.go
+++ b/internal/tenant/reader.go
@@ -18,22 +18,22 @@
 	Record(ctx context.Context, key string) (registry.Record, error)
 }
 
-// Reader reads the catalogue for a proxy's Desk, from the registry as it is now.
-// Pages that it has already are not read again. It is for one goroutine at a time.
+// Reader reads the catalogue for a proxy's Cache, from the registry as it is now. Pages that it has already
+// are not read again. It is for one goroutine at a time.
 type Reader struct {
 	Source Source
 	Member Member // as the member record has to have the proxy
 
 	snapshot *Snapshot
-	leaves   []int            // of image, that were wanted
+	leaves   []int            // of snapshot, that were wanted
 	pages    map[string]*page // that it was made of, and as many more, by digest
 }
 
 // readAttempts is how often the catalogue may change while it is read.
 const readAttempts = 3
 
-// Read reads the member record and then the catalogue, as far as it is wanted. clock is the proxy's,
-// of its Desk.
+// Read reads the member record and then the catalogue, as far as it is wanted. clock is the proxy's, of its
+// Cache.
 func (r *Reader) Read(
 	ctx context.Context,
 	clock func() time.Duration,
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -16,18 +16,18 @@
 	Reserved  State = "reserved"  // its names and floors are its own; proxies prepare it and answer 503
 	Active    State = "active"    // served
 	Suspended State = "suspended" // known, and refused
-	Changing  State = "changing"  // proxies prepare the next form and serve the present one
+	Changing  State = "changing"  // proxies prepare the next spec and serve the present one
 	Switching State = "switching" // proxies answer 503 for what differs
-	Draining  State = "draining"  // refused for good; what is open ends
+	Draining  State = "draining"  // refused for good; requests in flight end
 	Removed   State = "gone"      // a tombstone: its floors are free, its names not yet
 )
 
-// isSettled tells whether a tenant takes an order.
+// isSettled reports whether a tenant takes an order.
 func (s State) isSettled() bool {
 	return s == Rejected || s == Active || s == Suspended || s == Removed
 }
 
-// ownsLimits tells whether a tenant's limits and their floors are taken.
+// ownsLimits reports whether a tenant's limits and their floors are taken.
 func (s State) ownsLimits() bool { return s != Rejected && s != Removed }
 
 // Tenant is a tenant on record.
@@ -38,7 +38,7 @@
 	Current  *Spec     `json:"now,omitempty"`   // in effect; of one that is gone, the last
 	Next     *Spec     `json:"next,omitempty"`  // to come; none while it goes
 	Order    string    `json:"order,omitempty"` // the id of the last order that was taken
-	Outcomes []Outcome `json:"done,omitempty"`  // of the last orders, as many as mostDone
+	Outcomes []Outcome `json:"done,omitempty"`  // of the last orders, as many as maxOutcomes
 	// on the controllers' clock: a tombstone or a refusal goes then
 	ExpiresAt time.Duration `json:"until_ns,omitempty"`
 
@@ -92,17 +92,16 @@
 	Order   Order
 }
 
-// Member is a proxy that may serve tenants. Enrolled it stays until it has left, is
-// forgotten, or must have stopped by its own hold: a step that has to have all proxies
-// waits for it, there or not.
+// Member is a proxy that may serve tenants. Enrolled it stays until it has left, is forgotten, or must have
+// stopped by its own maximal staleness: a step that has to have all proxies waits for it, there or not.
 type Member struct {
 	Name string `json:"name"`
 	// a restart is another; it serves nothing before the member record has it
 	Generation     uint64 `json:"life"`
-	MaxStalenessMS int64  `json:"hold_ms,omitempty"` // it stops after so long without word; 0: never
+	MaxStalenessMS int64  `json:"hold_ms,omitempty"` // it stops after so long without contact with the registry; 0: never
 }
 
-// MaxStaleness is how long a member serves on without word; 0: for ever.
+// MaxStaleness is how long a member serves on without contact with the registry; 0: for ever.
 func (m Member) MaxStaleness() time.Duration {
 	return time.Duration(m.MaxStalenessMS) * time.Millisecond
 }
--- a/internal/tenant/report.go
+++ b/internal/tenant/report.go
@@ -11,7 +11,7 @@
 	Number        uint64 `json:"number"` // of the catalogue it answers from; 0: none
 	Ready         bool   `json:"ready"`
 	Authoritative bool   `json:"sure"` // it may say a definite no
-	// its right to that ends in so many ms, unless its session is renewed
+	// its authority for that ends in so many ms, unless its session is renewed
 	AuthorityMS int64         `json:"until_ms"`
 	Behind      bool          `json:"behind"`  // a peer has a newer catalogue
 	Tenants     []KnownTenant `json:"tenants"` // by name
--- a/internal/tenant/snapshot.go
+++ b/internal/tenant/snapshot.go
@@ -17,7 +17,7 @@
 	PhaseServe   Phase = "serve"   // by Now
 	PhasePrepare Phase = "prepare" // by Now still, or 503 where there is none; Next is made ready
 	PhaseHold    Phase = "hold"    // 503 for what Now and Next answer differently
-	PhaseDrain   Phase = "drain"   // refused; what is open ends within its time
+	PhaseDrain   Phase = "drain"   // refused; requests in flight end within its time
 )
 
 // Entry is a tenant in the catalogue.
@@ -31,16 +31,26 @@
 	unknownFields rawFields
 }
 
-// entryOf gives what proxies are to do with a tenant on record; nil: it is not in the catalogue.
+// phaseOf is the phase in the catalogue of a tenant in a state; tenants in the other states are not in it.
+var phaseOf = map[State]Phase{
+	Reserved:  PhasePrepare,
+	Active:    PhaseServe,
+	Suspended: PhaseServe,
+	Changing:  PhasePrepare,
+	Switching: PhaseHold,
+	Draining:  PhaseDrain,
+}
+
+// entryOf returns what proxies are to do with a tenant on record; nil: it is not in the catalogue.
 func entryOf(t *Tenant) *Entry {
-	phase := map[State]Phase{Reserved: PhasePrepare, Active: PhaseServe, Suspended: PhaseServe, Changing: PhasePrepare, Switching: PhaseHold, Draining: PhaseDrain}[t.State]
-	if phase == "" {
+	phase, published := phaseOf[t.State]
+	if !published {
 		return nil
 	}
 	return &Entry{Name: t.Name, Phase: phase, Current: t.Current, Next: t.Next}
 }
 
-// drainTime is how long what is open of a tenant has to end.
+// drainTime is how long requests in flight of a tenant have to end.
 func (e *Entry) drainTime() time.Duration {
 	if e.Current == nil {
 		return 0
@@ -48,13 +58,13 @@
 	return e.Current.DrainTime()
 }
 
-// equivalent tells whether two entries mean the same, since whenever; what only a newer
-// controller knows is left aside, and kept.
+// equivalent reports whether two entries mean the same, since whenever; what only a newer controller knows is
+// left aside, and kept.
 func (e *Entry) equivalent(o *Entry) bool {
 	if e == nil || o == nil {
 		return e == o
 	}
-	// forms are not changed once they are there
+	// specs are not changed once they are there
 	if e.Phase == o.Phase && e.Current == o.Current && e.Next == o.Next {
 		return true
 	}
@@ -76,11 +86,11 @@
 	return slices.Compact(all)
 }
 
-// Snapshot is a catalogue as one head has it: whole, or some parts of it. It never changes.
+// Snapshot is a catalogue as one head has it: whole, or some leaves of it. It never changes.
 type Snapshot struct {
 	Number   uint64
-	levels   int           // of the hash tree whose leaves are the parts; 0: one part has all
-	complete bool          // a part that is not here has no entries
+	levels   int           // of the hash tree whose leaves are the leaves; 0: one leaf has all
+	complete bool          // a leaf that is not here has no entries
 	leaves   map[int]*Leaf // by number of the leaf
 	needs    []PolicyNeed
 }
@@ -91,7 +101,7 @@
 	bytes   int      // of its page
 }
 
-// find gives the entry of a tenant, if it is here.
+// find returns the entry of a tenant, if it is here.
 func (p *Leaf) find(name string) []*Entry {
 	i, there := slices.BinarySearchFunc(
 		p.entries,
@@ -106,7 +116,7 @@
 
 var noEntries = &Leaf{}
 
-// NewSnapshot is a catalogue that is whole, in one part.
+// NewSnapshot is a catalogue that is whole, in one leaf.
 func NewSnapshot(number uint64, entries ...*Entry) *Snapshot {
 	all := slices.SortedFunc(
 		slices.Values(entries),
@@ -115,17 +125,17 @@
 	return &Snapshot{Number: number, complete: true, leaves: map[int]*Leaf{0: {entries: all}}}
 }
 
-// Leaves are those of the catalogue that are here, by their numbers; they are not to be changed. A
-// part that two catalogues have alike is the same.
+// Leaves are those of the catalogue that are here, by their numbers; they are not to be changed. A leaf that
+// two catalogues have alike is the same.
 func (i *Snapshot) Leaves() map[int]*Leaf { return i.leaves }
 
-// Entries are those of a part, by name; they are not to be changed.
+// Entries are those of a leaf, by name; they are not to be changed.
 func (p *Leaf) Entries() []*Entry { return p.entries }
 
-// hasLeaf tells whether a part is here; one that has nothing may be.
+// hasLeaf reports whether a leaf is here; one that has nothing may be.
 func (i *Snapshot) hasLeaf(part int) bool { return i.complete || i.leaves[part] != nil }
 
-// byName gives the entries; one that is in several parts once.
+// byName returns the entries; one that is in several leaves once.
 func (i *Snapshot) byName() map[string]*Entry {
 	all := map[string]*Entry{}
 	for _, p := range i.leaves {
@@ -136,7 +146,7 @@
 	return all
 }
 
-// Sorted gives the entries by name.
+// Sorted returns the entries by name.
 func (i *Snapshot) Sorted() []*Entry {
 	return slices.SortedFunc(
 		maps.Values(i.byName()),
--- a/internal/tenant/spec.go
+++ b/internal/tenant/spec.go
@@ -1,7 +1,7 @@
-// Package tenant brings tenants ("books") in, everywhere or nowhere: the forms that
-// are on record, the pure machine that moves them on (Machine) with the controller
-// that carries it out, and the pure catalogue that a proxy answers from (Desk,
-// Catalogue). What each step waits for, and for how long, is in docs/tenants.md.
+// Package tenant onboards, changes and removes tenants, on all proxies or on none. It has the documents on
+// record (Spec, Tenant, Order), the pure StateMachine that decides a controller's next writes, the Controller
+// that carries them out under a lease, and the pure Cache and Catalogue with which a proxy answers for
+// tenants. What each step waits for, and for how long, is in docs/tenants.md.
 package tenant
 
 import (
@@ -15,11 +15,11 @@
 	"wrenspread/internal/registry"
 )
 
-// Bounds on what a tenant may have. MaxForm keeps a page of the catalogue, which
-// holds two forms of each tenant on it, within a record.
+// Bounds on what a tenant may have. MaxSpec keeps a page of the catalogue, which holds two specs of each
+// tenant on it, within a record.
 const (
 	MaxTenants = 800  // in the flat form: 25 on each of its pages
-	MaxSpec    = 2048 // bytes of one form
+	MaxSpec    = 2048 // bytes of one spec
 	MaxNames   = 8
 	MaxClasses = 32
 	MaxKeys    = 16 // prefixes: the most that a request's key is compared with
@@ -35,13 +35,13 @@
 type Spec struct {
 	Names       []string   `json:"names"`          // in X-Tenant
 	Classes     []string   `json:"classes"`        // open to it
-	KeyPrefixes []string   `json:"keys,omitempty"` // prefixes of its part of the key space; none: all of it
+	KeyPrefixes []string   `json:"keys,omitempty"` // prefixes of its share of the key space; none: all of it
 	Quotas      []QuotaRef `json:"quotas"`
 	Routes      []Route    `json:"routes"`
 	// a table of this version has its limits; set by the controller
 	PolicyVersion uint64 `json:"policy,omitempty"`
 	Suspended     bool   `json:"suspended,omitempty"`
-	DrainMS       int64  `json:"drain_ms,omitempty"` // what is open has so long to end once the tenant goes
+	DrainMS       int64  `json:"drain_ms,omitempty"` // requests in flight have so long to end once the tenant goes
 
 	unknownFields rawFields
 }
@@ -58,7 +58,7 @@
 	Zones        []string `json:"zones,omitempty"`   // none: all
 	MachineTypes []string `json:"kinds,omitempty"`
 	Cells        []int    `json:"pods,omitempty"`
-	// backends that must be there when it is brought in; 0 counts as 1
+	// backends that must be there when it is onboarded; 0 counts as 1
 	MinEndpoints int `json:"least,omitempty"`
 }
 
@@ -68,17 +68,17 @@
 	Cell              int
 }
 
-// Allows tells whether a route may use a backend.
+// Allows reports whether a route may use a backend.
 func (r *Route) Allows(b Endpoint) bool {
 	return choiceHas(r.Zones, b.Zone) && choiceHas(r.MachineTypes, b.MachineType) && choiceHas(r.Cells, b.Cell)
 }
 
-// choiceHas tells whether a choice includes a value; an empty choice includes all.
+// choiceHas reports whether a choice includes a value; an empty choice includes all.
 func choiceHas[T comparable](choice []T, value T) bool {
 	return len(choice) == 0 || slices.Contains(choice, value)
 }
 
-// DrainTime is how long what is open has to end.
+// DrainTime is how long requests in flight have to end.
 func (f *Spec) DrainTime() time.Duration { return time.Duration(f.DrainMS) * time.Millisecond }
 
 // Route and limit give what holds for a class; nil and "" where nothing does.
@@ -100,7 +100,7 @@
 	return ""
 }
 
-// CheckName says what is wrong with the name of a tenant or a proxy.
+// CheckName validates the name of a tenant or a proxy.
 func CheckName(name string) error {
 	if name == "" || len(name) > 64 || strings.ContainsAny(name, "/\\ \t\r\n\x00") {
 		return fmt.Errorf("name: %q, want 1 to 64 bytes without slashes and spaces", name)
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// Check says what is wrong with a form by itself.
+// Check validates a spec by itself.
 func (f *Spec) Check() error {
 	if f == nil {
 		return errors.New("form: missing")
@@ -117,7 +117,11 @@
 		key         string
 		all         []string
 		least, most int
-	}{{"names", f.Names, 1, MaxNames}, {"classes", f.Classes, 1, MaxClasses}, {"keys", f.KeyPrefixes, 0, MaxKeys}} {
+	}{
+		{"names", f.Names, 1, MaxNames},
+		{"classes", f.Classes, 1, MaxClasses},
+		{"keys", f.KeyPrefixes, 0, MaxKeys},
+	} {
 		if len(c.all) < c.least || len(c.all) > c.most {
 			return fmt.Errorf("%s: %d, want %d to %d", c.key, len(c.all), c.least, c.most)
 		}
--- a/internal/tenant/statemachine.go
+++ b/internal/tenant/statemachine.go
@@ -12,7 +12,7 @@
 // Times of a controller's waits. docs/tenants.md has what ends each.
 type Times struct {
 	Prepare time.Duration // from an order's taking: proxies that have not prepared it by then have it taken back
-	// of 503 for what differs; after it the previous form is served again, and it is prepared anew
+	// of 503 for what differs; after it the previous spec is served again, and it is prepared anew
 	Switch    time.Duration
 	Tombstone time.Duration // names of one that is gone, or was refused, stay on record so long
 }
@@ -44,8 +44,8 @@
 	Status Status
 }
 
-// Observation is what a controller sees, read from the records as they are, not from the view:
-// who has to be waited for rests on it.
+// Observation is what a controller sees, read from the records as they are, not from membership: who has to
+// be waited for rests on it.
 type Observation struct {
 	Sessions  []Session
 	Policy    PolicyFloors
@@ -71,7 +71,7 @@
 	times          Times
 	tenants        map[string]*Tenant
 	entries        map[string]*Entry  // of the last catalogue
-	unsettled      map[string]*Tenant // those that do not rest, or rest for a time
+	unsettled      map[string]*Tenant // those that are not settled, or only for a time
 	claims         claims
 	inTransition   map[string]*Entry // those of them that are not simply served
 	tree           *tree             // of it; nil: its pages are to be written anew
@@ -140,7 +140,7 @@
 	return m
 }
 
-// IsIdle tells whether no tenant is on its way.
+// IsIdle reports whether no tenant is in transition.
 func (m *StateMachine) IsIdle() bool {
 	for _, t := range m.unsettled {
 		if !t.State.isSettled() {
@@ -162,8 +162,7 @@
 	writes        []RecordWrite
 }
 
-// Handle gives the writes that a look calls for. All are carried out, and told by
-// Wrote, before the next.
+// Handle returns the writes that a look calls for. All are carried out, and told by Wrote, before the next.
 func (m *StateMachine) Handle(now time.Duration, l Observation) ([]RecordWrite, error) {
 	r := &round{
 		Observation: l,
@@ -182,7 +181,7 @@
 		r.sessions[s.Proxy] = append(r.sessions[s.Proxy], s.Status)
 	}
 	m.updateMembers(r)
-	if !m.wasRestored(r) { // else the words are about another catalogue
+	if !m.wasRestored(r) { // else the statuses are about another catalogue
 		for _, name := range slices.Sorted(maps.Keys(m.unsettled)) {
 			m.advance(r, m.unsettled[name])
 		}
@@ -221,7 +220,7 @@
 	}
 }
 
-// keyName gives what follows a prefix.
+// keyName returns what follows a prefix.
 func keyName(key, prefix string) (string, bool) {
 	if len(key) <= len(prefix) || key[:len(prefix)] != prefix {
 		return "", false
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -22,7 +22,7 @@
 	seenOrders map[string]registry.Record // orders by key, as far as they were read
 }
 
-// hasCode tells whether the service's refusal has a code.
+// hasCode reports whether the registry's refusal has a code.
 func hasCode(err error, code registry.Code) bool {
 	var r *client.Error
 	return errors.As(err, &r) && r.Code == string(code)
@@ -148,12 +148,12 @@
 	return w.err
 }
 
-// Sessions gives the proxies' sessions.
+// Sessions returns the proxies' sessions.
 func (r *Records) Sessions(ctx context.Context) ([]Session, error) {
 	return ReadSessions(ctx, r.Registry)
 }
 
-// ReadSessions gives the proxies' sessions, as they are now.
+// ReadSessions returns the proxies' sessions, as they are now.
 func ReadSessions(ctx context.Context, k *client.Client) (all []Session, err error) {
 	a, err := k.Leases(ctx)
 	for _, s := range a.Sessions {
@@ -164,7 +164,7 @@
 	return all, err
 }
 
-// PendingOrders gives the orders that wait. One that can't be read is no order, which goes on record.
+// PendingOrders returns the orders that wait. One that can't be read is no order, which goes on record.
 func (r *Records) PendingOrders(ctx context.Context) (all []PendingOrder, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -221,7 +221,7 @@
 	return err == nil, err
 }
 
-// OrderPending tells whether an order still waits to be taken.
+// OrderPending reports whether an order still waits to be taken.
 func OrderPending(ctx context.Context, k *client.Client, name string, o Order) (bool, error) {
 	var waits Order
 	version, err := readRecord(ctx, k, orderKey(o.Op, name), &waits)
--- a/internal/tenant/tree.go
+++ b/internal/tenant/tree.go
@@ -45,29 +45,8 @@
 // apply makes changes, and gives the pages that are new by their digests, and the digests
 // that are not used any more.
 func (t *tree) apply(changes []change) (raw map[string][]byte, left []string, err error) {
-	touched, raw := map[int]bool{}, map[string][]byte{}
-	edit := func(e *Entry, do func([]*Entry, int, bool) []*Entry) {
-		if e == nil {
-			return
-		}
-		for _, leaf := range leavesOf(e, t.levels) {
-			i, there := slices.BinarySearchFunc(
-				t.leaves[leaf],
-				e,
-				func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) },
-			)
-			t.leaves[leaf], touched[leaf] = do(t.leaves[leaf], i, there), true
-		}
-	}
-	for _, c := range changes {
-		edit(c.before, func(all []*Entry, i int, there bool) []*Entry {
-			if there {
-				all = slices.Delete(all, i, i+1)
-			}
-			return all
-		})
-		edit(c.after, func(all []*Entry, i int, _ bool) []*Entry { return slices.Insert(all, i, c.after) })
-	}
+	raw = map[string][]byte{}
+	touched := t.changeLeaves(changes)
 	for level := len(t.digests) - 1; level >= 0; level-- {
 		above := map[int]bool{}
 		for at := range touched {
@@ -90,6 +69,34 @@
 	return raw, slices.DeleteFunc(left, func(digest string) bool { return t.uses[digest] > 0 }), nil
 }
 
+// changeLeaves makes changes in the leaves' entries, and returns the leaves that they concern.
+func (t *tree) changeLeaves(changes []change) (touched map[int]bool) {
+	touched = map[int]bool{}
+	edit := func(e *Entry, do func(entries []*Entry, at int, found bool) []*Entry) {
+		if e == nil {
+			return
+		}
+		for _, leaf := range leavesOf(e, t.levels) {
+			byName := func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) }
+			at, found := slices.BinarySearchFunc(t.leaves[leaf], e, byName)
+			t.leaves[leaf] = do(t.leaves[leaf], at, found)
+			touched[leaf] = true
+		}
+	}
+	for _, c := range changes {
+		edit(c.before, func(entries []*Entry, at int, found bool) []*Entry {
+			if !found {
+				return entries
+			}
+			return slices.Delete(entries, at, at+1)
+		})
+		edit(c.after, func(entries []*Entry, at int, _ bool) []*Entry {
+			return slices.Insert(entries, at, c.after)
+		})
+	}
+	return touched
+}
+
 func (t *tree) page(level, at int) *page {
 	if level == len(t.digests)-1 {
 		return &page{Entries: t.leaves[at]}
@@ -147,7 +154,7 @@
 	return MaxTenants
 }
 
-// policyNeeds gives what the next forms of entries need that move: of each policy, since when.
+// policyNeeds returns what the next specs of entries need that move: of each policy, since when.
 func policyNeeds(moving map[string]*Entry) (all []PolicyNeed) {
 	since := map[uint64]uint64{}
 	for _, e := range moving {
--- a/internal/tenant/unknownfields.go
+++ b/internal/tenant/unknownfields.go
@@ -9,9 +9,8 @@
 	"strings"
 )
 
-// rawFields are those of a document that this version of the program does not know. They
-// are written again as they were read, so that an older controller takes nothing from a
-// newer operator's form.
+// rawFields are those of a document that this version of the program does not know. They are written again as
+// they were read, so that an older controller takes nothing from a newer operator's spec.
 type rawFields map[string]json.RawMessage
 
 // decodeKeeping reads a document into plain, and gives the fields that plain has not.
@@ -38,7 +37,7 @@
 	return all, nil
 }
 
-// encodeKeeping gives the document of plain with the fields beside it, by name.
+// encodeKeeping returns the document of plain with the fields beside it, by name.
 func encodeKeeping(plain any, more rawFields) ([]byte, error) {
 	raw, err := json.Marshal(plain)
 	if err != nil || len(more) == 0 {
@@ -65,27 +64,33 @@
 	plainEntry  Entry
 )
 
+// UnmarshalJSON reads a spec, with the fields that a newer version wrote.
 func (f *Spec) UnmarshalJSON(raw []byte) (err error) {
 	f.unknownFields, err = decodeKeeping(raw, (*plainSpec)(f))
 	return err
 }
 
+// MarshalJSON writes a spec with all fields that were read.
 func (f *Spec) MarshalJSON() ([]byte, error) { return encodeKeeping((*plainSpec)(f), f.unknownFields) }
 
+// UnmarshalJSON reads a tenant, with the fields that a newer version wrote.
 func (t *Tenant) UnmarshalJSON(raw []byte) (err error) {
 	t.unknownFields, err = decodeKeeping(raw, (*plainTenant)(t))
 	return err
 }
 
+// MarshalJSON writes a tenant with all fields that were read.
 func (t *Tenant) MarshalJSON() ([]byte, error) {
 	return encodeKeeping((*plainTenant)(t), t.unknownFields)
 }
 
+// UnmarshalJSON reads an entry, with the fields that a newer version wrote.
 func (e *Entry) UnmarshalJSON(raw []byte) (err error) {
 	e.unknownFields, err = decodeKeeping(raw, (*plainEntry)(e))
 	return err
 }
 
+// MarshalJSON writes an entry with all fields that were read.
 func (e *Entry) MarshalJSON() ([]byte, error) {
 	return encodeKeeping((*plainEntry)(e), e.unknownFields)
 }
--- a/internal/timeline/cell.go
+++ b/internal/timeline/cell.go
@@ -98,7 +98,7 @@
 	return fmt.Sprintf("+%d", n)
 }
 
-// cell gives the lines of a cell, the further ones counted.
+// cell returns the lines of a cell, the further ones counted.
 func cell(events []Event, width int) (lines []string) {
 	all := texts(events)
 	for i, text := range all {
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -36,7 +36,7 @@
 	Fold    time.Duration // a gap from here on is marked; 0: a second
 }
 
-// Draw gives the drawing. The order of the events does not matter.
+// Draw returns the drawing. The order of the events does not matter.
 func (d Drawing) Draw(events []Event) string {
 	d = d.defaults()
 	events = slices.Clone(events)
@@ -134,7 +134,7 @@
 	cells   []int    // widths
 }
 
-// layout gives each column what it needs, and all an even part where that is too much.
+// layout gives each column the width that it needs, and all an even part where that is too much.
 func (d Drawing) layout(rows []row) table {
 	t := table{label: len("time"), columns: slices.Compact(slices.Clone(d.Columns))}
 	for _, r := range rows {
