--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,7 +23,7 @@
 
 const (
 	callTimeout    = 5 * time.Second
-	writeTimeout   = 10 * time.Second // for one write to the list
+	writeTimeout   = 10 * time.Second // for one write to the endpoint list
 	renewalsPerTTL = 3                // of a TTL between two renewals
 	maxDesiredFile = 1 << 20
 )
@@ -127,8 +127,8 @@
 	besteffort.Encode(json.NewEncoder(w).Encode(v)) // a caller that has left needs nothing
 }
 
-// order takes what a server is to be, from the present lease holder alone. It
-// is kept before it is carried out, and the same order twice has the effect of one.
+// order takes the desired state of a server, from the present lease holder alone. It is kept before it is
+// carried out, and the same order twice has the effect of one.
 func (a *agent) order(w http.ResponseWriter, r *http.Request) {
 	k := a.supervisors[r.PathValue("name")]
 	if k == nil {
@@ -166,7 +166,7 @@
 
 func (a *agent) desiredFile() string { return filepath.Join(a.config.Folder, "orders") }
 
-// loadDesired reads what the servers were last ordered to be.
+// loadDesired reads the last desired states of the servers.
 func (a *agent) loadDesired() (map[string]DesiredState, error) {
 	all := map[string]DesiredState{}
 	raw, err := checksumfile.Read(a.desiredFile(), maxDesiredFile)
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// maintainEntry keeps a server's entry as the server is: ready, draining while it is to be
-// quiet, and gone while it does not answer. The list drops it if this agent is lost.
+// maintainEntry keeps a server's entry as the server is: ready, draining while it is to be drained, and gone
+// while it does not answer. The list drops it if this agent is lost.
 func (a *agent) maintainEntry(ctx context.Context, k *supervisor) {
 	var has registry.Endpoint // as it was registered; without a name: it is not
 	var told time.Time
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Config is what an agent is told.
+// Config is the configuration of an agent.
 type Config struct {
 	Machine string        `koanf:"machine"` // its name, the same over restarts
 	Listen  string        `koanf:"listen"`  // for calls
@@ -35,12 +35,12 @@
 	Ready string        `koanf:"ready"`
 	Grace time.Duration `koanf:"grace"` // between SIGTERM and SIGKILL
 
-	// Of a server that hands over, such as a proxy: this agent holds the clients' socket,
-	// which its processes get as descriptor 3 ($GW_ACCEPT_FD), and another version is
-	// started beside the old one, at the other of two control addresses ($GW_CONTROL).
+	// Of a server that is upgraded by handoff, such as a proxy: this agent holds the clients' socket, which its
+	// processes get as descriptor 3 ($GW_ACCEPT_FD), and another version is started beside the old one, at the
+	// other of two control addresses ($GW_CONTROL).
 	Handover bool     `koanf:"handover"`
 	Control  []string `koanf:"control"`
-	Unlisted bool     `koanf:"unlisted"` // it has no entry in the list of servers
+	Unlisted bool     `koanf:"unlisted"` // it has no entry in the endpoint list
 }
 
 // Default is the configuration but for names, addresses and servers.
@@ -121,7 +121,7 @@
 	return args, strings.ReplaceAll(s.Dir, versionMark, version)
 }
 
-// entry is the server's entry in the list.
+// entry is the server's entry in the endpoint list.
 func (s Server) entry(status, version string, since int64) registry.Endpoint {
 	return registry.Endpoint{
 		Name:        s.Name,
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -1,6 +1,6 @@
-// Package agent keeps the servers of one machine running: it starts, watches and
-// replaces their processes, keeps their entries in the list, and takes orders from
-// the holder of a release's lease.
+// Package agent keeps the servers of one machine running: a supervisor for each starts, watches and replaces
+// its process, and keeps its endpoint registered. Orders come from the holder of a release's lease and are
+// checked by its fencing token. Processes outlive the agent: the next one on the same folder adopts them.
 package agent
 
 import (
@@ -21,7 +21,7 @@
 // RecordPrefix begins the keys of agents' records in the registry.
 const RecordPrefix = "agent/"
 
-// Record is what an agent tells of itself in its record.
+// Record is what an agent publishes about itself in its record.
 type Record struct {
 	Machine string   `json:"machine"`
 	Address string   `json:"address"` // where it takes calls
@@ -51,10 +51,11 @@
 	RejectedVersion string `json:"refused,omitempty"`
 }
 
-// DesiredState is what a server is to be.
+// DesiredState is the desired state of a server.
 type DesiredState struct {
-	Version      string `json:"version"`
-	KeepDraining bool   `json:"quiet"` // it stays draining in the list until an order without quiet
+	Version string `json:"version"`
+	// it stays draining in the endpoint list until an order without KeepDraining
+	KeepDraining bool `json:"quiet"`
 }
 
 const maxCall = 64 << 10 // bytes of a call or an answer
@@ -73,7 +74,7 @@
 	return s, c.call(ctx, http.MethodGet, address, server, nil, nil, &s)
 }
 
-// Order tells an agent what a server is to be, under a fencing token; it does not wait for it.
+// Order tells an agent the desired state of a server, under a fencing token; it does not wait for it.
 func (c Caller) Order(
 	ctx context.Context,
 	address, server string,
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -39,7 +39,7 @@
 	exitPollInterval = 500 * time.Millisecond
 )
 
-// startProcess starts a command and keeps its trace in a file.
+// startProcess starts a command and stores its record in a file.
 func startProcess(cmd *exec.Cmd, version string, control int, trace string) (*process, error) {
 	// a signal to the agent's group is not one to its servers
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// adopt finds the process of an earlier agent by its trace; nil where it has ended.
+// adopt finds the process of an earlier agent by its record; nil where it has ended.
 func adopt(trace string) (*process, error) {
 	raw, err := checksumfile.Read(trace, maxRecordFile)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -20,9 +20,9 @@
 	// before a process that ended by itself is started again; it doubles
 	minRestartBackoff = 500 * time.Millisecond
 	maxRestartBackoff = 30 * time.Second
-	stableRunTime     = time.Minute // one that ran so long has its rest begin anew
+	stableRunTime     = time.Minute // a process that ran so long resets the backoff
 	readyInterval     = 200 * time.Millisecond
-	readyTimeout      = 2 * time.Second // for one look
+	readyTimeout      = 2 * time.Second // for one readiness check
 )
 
 // supervisor keeps one server's process: the version that is wanted, started again
@@ -31,9 +31,9 @@
 	server     Server
 	log        *slog.Logger
 	output     *os.File // of its processes
-	recordFile string   // the file for a process's trace
+	recordFile string   // where the record of the running process is stored
 	http       *http.Client
-	socket     *os.File // of the clients, where versions hand over; nil: not had yet
+	socket     *os.File // the clients' socket, where versions hand off; nil: not opened yet
 
 	mu      sync.Mutex
 	status  Status
@@ -64,7 +64,7 @@
 	}
 }
 
-// Status is the server as it is now, and a channel that is closed when that changes.
+// current returns the server's status, and a channel that is closed when it changes.
 func (k *supervisor) current() (Status, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// setDesired has another version run, or the same go on.
+// setDesired sets the version that is to run.
 func (k *supervisor) setDesired(o DesiredState) {
 	k.updateStatus(func(s *Status) { s.WantedVersion, s.KeepDraining = o.Version, o.KeepDraining })
 	select {
@@ -90,19 +90,19 @@
 	}
 }
 
-// run keeps the process until ctx ends. The process goes on then.
+// run keeps a process running until ctx ends. The process itself is left running then.
 func (k *supervisor) run(ctx context.Context) {
-	rest := minRestartBackoff
+	wait := minRestartBackoff
 	for ctx.Err() == nil {
 		status, _ := k.current()
 		version := status.WantedVersion
 		if version == status.RejectedVersion {
-			version = status.Version // that ran, and ended since
+			version = status.Version // the one that ran before
 		}
 		began := time.Now()
-		told, err := k.runProcess(ctx, version)
-		if ctx.Err() != nil || told {
-			rest = minRestartBackoff
+		replaced, err := k.runProcess(ctx, version)
+		if ctx.Err() != nil || replaced {
+			wait = minRestartBackoff
 			k.updateStatus(func(s *Status) { s.Restarts = 0 })
 			continue
 		}
@@ -111,14 +111,14 @@
 			func(s *Status) { s.Restarts, s.Reason = s.Restarts+1, fmt.Sprintf("its process ended: %v", err) },
 		)
 		if time.Since(began) > stableRunTime {
-			rest = minRestartBackoff
+			wait = minRestartBackoff
 		}
-		k.sleep(ctx, rest)
-		rest = min(2*rest, maxRestartBackoff)
+		k.sleep(ctx, wait)
+		wait = min(2*wait, maxRestartBackoff)
 	}
 }
 
-// sleep waits, or until another version is wanted.
+// sleep waits for d, or until another version is wanted, or ctx ends.
 func (k *supervisor) sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -129,59 +129,87 @@
 	}
 }
 
-// runProcess runs one process to its end: its own, or the one that it is told to come to.
-// At the end of the agent it is left running, for the agent's successor.
-func (k *supervisor) runProcess(ctx context.Context, version string) (told bool, err error) {
+// runningProcess is the process that a supervisor runs at present, with the goroutine that checks whether it
+// is ready.
+type runningProcess struct {
+	*process
+	supervisor *supervisor
+	stopChecks context.CancelFunc
+	checks     sync.WaitGroup
+}
+
+// watchProcess publishes a process in the status, and checks its readiness until the checks are stopped.
+func (k *supervisor) watchProcess(ctx context.Context, p *process) *runningProcess {
+	running := &runningProcess{process: p, supervisor: k}
+	k.publishProcess(p)
+	ctx, running.stopChecks = context.WithCancel(ctx)
+	running.checks.Go(func() { k.checkReadiness(ctx, p.ControlIndex) })
+	return running
+}
+
+// unwatch stops the readiness checks, and waits for their end.
+func (r *runningProcess) unwatch() {
+	r.stopChecks()
+	r.checks.Wait()
+}
+
+// runProcess runs one process until it ends, by itself or because another version is wanted (replaced). Of a
+// server whose versions hand off, the next version's process takes its place. When the agent ends, the
+// process is left running, for the agent's successor.
+func (k *supervisor) runProcess(ctx context.Context, version string) (replaced bool, err error) {
 	p, err := k.adoptOrStart(version)
 	if err != nil {
 		return false, err
 	}
-	defer func() { p.close() }()
-	k.publishProcess(p)
-	looking, stop := context.WithCancel(ctx)
-	defer func() { stop() }()
-	var looks sync.WaitGroup
-	looks.Go(func() { k.checkReadiness(looking, p.ControlIndex) })
+	running := k.watchProcess(ctx, p)
+	defer func() { running.close() }()
 	for over := false; !over; {
-		if s, _ := k.current(); s.WantedVersion != p.Version && k.server.Handover {
-			if s.WantedVersion != s.RejectedVersion {
-				if next := k.upgrade(ctx, p, s.WantedVersion); next != nil {
-					stop()
-					looks.Wait()
-					if err := k.stopProcess(p); err != nil { // it has handed off; the next one goes on all the same
-						k.log.Debug("the previous process ended with an error", "version", p.Version, "err", err)
-					}
-					p.close()
-					p = next
-					k.publishProcess(p)
-					looking, stop = context.WithCancel(ctx)
-					looks.Go(func() { k.checkReadiness(looking, p.ControlIndex) })
-				}
+		status, _ := k.current()
+		if status.WantedVersion != running.Version {
+			if !k.server.Handover {
+				running.unwatch()
+				replaced, err = true, k.stopProcess(running.process)
+				break
+			}
+			if status.WantedVersion != status.RejectedVersion {
+				running = k.upgradeRunning(ctx, running, status.WantedVersion)
 				continue
 			}
-		} else if s.WantedVersion != p.Version {
-			stop()
-			looks.Wait()
-			told, err = true, k.stopProcess(p)
-			break
 		}
 		select {
-		case err = <-p.ended:
+		case err = <-running.ended:
 			over = true
 		case <-k.wake:
 		case <-ctx.Done():
 			over = true
 		}
 	}
-	stop()
-	looks.Wait()
+	running.unwatch()
 	if ctx.Err() == nil {
 		k.updateStatus(func(s *Status) { s.Running, s.Ready, s.Reason = false, false, "its process has ended" })
 	}
-	return told, err
+	return replaced, err
+}
+
+// upgradeRunning replaces a process by one of another version, and returns the one that runs from then on:
+// the present one, if the other did not get ready.
+func (k *supervisor) upgradeRunning(
+	ctx context.Context, running *runningProcess, version string,
+) *runningProcess {
+	next := k.upgrade(ctx, running.process, version)
+	if next == nil {
+		return running
+	}
+	running.unwatch()
+	// it has handed off; the next one goes on all the same
+	if err := k.stopProcess(running.process); err != nil {
+		k.log.Debug("the previous process ended with an error", "version", running.Version, "err", err)
+	}
+	running.close()
+	return k.watchProcess(ctx, next)
 }
 
-// adoptOrStart takes up the process that an earlier agent left, or starts one.
+// adoptOrStart adopts the process that an earlier agent left running, or starts one.
 func (k *supervisor) adoptOrStart(version string) (*process, error) {
 	p, err := adopt(k.recordFile)
 	if err != nil {
@@ -194,7 +222,7 @@
 	return k.start(nil, version, 0, k.recordFile)
 }
 
-// start starts a process. beside is the one that runs already, if one does.
+// start starts a process; beside is the one that runs already, or nil.
 func (k *supervisor) start(beside *process, version string, control int, trace string) (*process, error) {
 	args, dir := k.server.command(version)
 	cmd := exec.Command(args[0], args[1:]...)
@@ -216,14 +244,19 @@
 // publishProcess puts a process into the status.
 func (k *supervisor) publishProcess(p *process) {
 	k.updateStatus(func(s *Status) {
-		s.Version, s.Running, s.Ready, s.Reason, s.StartedAtMS, s.RejectedVersion = p.Version, true, false, "it does not answer yet", p.StartedAtMS, ""
+		s.Version = p.Version
+		s.Running = true
+		s.Ready = false
+		s.Reason = "it does not answer yet"
+		s.StartedAtMS = p.StartedAtMS
+		s.RejectedVersion = ""
 		if k.server.Handover {
 			s.Control = k.server.Control[p.ControlIndex]
 		}
 	})
 }
 
-// stopProcess tells a process to end, and kills it after its grace.
+// stopProcess sends SIGTERM to a process, and SIGKILL after its grace.
 func (k *supervisor) stopProcess(p *process) error {
 	k.updateStatus(func(s *Status) { s.Ready, s.Reason = false, "it is told to end" })
 	if err := p.signal(syscall.SIGTERM); err != nil {
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -18,7 +18,7 @@
 
 const (
 	upgradeTimeout = 30 * time.Second // for a version to get ready beside the one that runs
-	nextSuffix     = ".next"          // of the trace of one that is not ready yet
+	nextSuffix     = ".next"          // of the record of one that is not ready yet
 )
 
 // upgrade starts another version beside a process, and gives it once it is ready.
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -5,8 +5,8 @@
 //
 // Events and a time go in through Core.Handle, actions come out. The core has no clock, socket or goroutine,
 // and the same events with the same seed give the same actions. Its owner (package gossip) sends a Tick when
-// the last Wake has expired, passes each datagram on as Received, and carries out the actions. A Core must not
-// be used by two goroutines at once.
+// the last Wake has expired, passes each datagram on as Received, and carries out the actions. A Core must
+// not be used by two goroutines at once.
 //
 // It follows the published descriptions of SWIM (probes in shuffled rounds, indirect probes, suspicion,
 // broadcasts that ride on probes) and of Lifeguard (local health awareness, a suspicion timeout that shrinks
--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -9,10 +9,10 @@
 
 // Bounds of a text: they keep compiling it under about ten seconds and a few hundred MB, whatever it says.
 const (
-	maxText        = 256 << 10 // bytes: 1,000 books of some lines each
+	maxText        = 256 << 10 // bytes: 1,000 tenants of some lines each
 	maxNesting     = 32        // brackets or signs within each other: the parser goes down a level for each
-	maxElements    = 1_000     // of a list or map: the most books that a fleet is planned for
-	maxEvaluations = 50e6      // of expressions worked out, counted with each round of what is repeated
+	maxElements    = 1_000     // of a list or map: the most tenants that a fleet is planned for
+	maxEvaluations = 50e6      // of expressions evaluated, counted with each round of what is repeated
 	maxLocalText   = 128       // bytes of a text in a local
 )
 
@@ -44,7 +44,7 @@
 }
 
 // checkCost bounds the work that the expressions take: a for expression, a splat and a dynamic block are
-// taken to go round as often as their literal list has elements, or mostElements times; and literal lists and
+// taken to go round as often as their literal list has elements, or maxElements times; and literal lists and
 // all values of locals are kept to so many.
 func (c *compiler) checkCost(body *hclsyntax.Body) bool {
 	m := &costMeter{times: 1}
@@ -72,7 +72,7 @@
 	tooLong      *hcl.Range
 }
 
-// repetitions is how often what is in a node is worked out, for each time that the node is.
+// repetitions is how often what is in a node is evaluated, for each time that the node is.
 func repetitions(n hclsyntax.Node) float64 {
 	switch n := n.(type) {
 	case *hclsyntax.ForExpr:
--- a/internal/policy/compare.go
+++ b/internal/policy/compare.go
@@ -42,13 +42,13 @@
 		c.addError(
 			at,
 			"A rule that can never matter",
-			fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. "+
-				"Lower this one.", p.path(), formatNumber(beside.rates.Rate), beside.source.Start.Line, formatNumber(f.Rate)),
+			fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. Lower this one.",
+				p.path(), formatNumber(beside.rates.Rate), beside.source.Start.Line, formatNumber(f.Rate)),
 		)
 	}
 }
 
-// formatNumber writes a number for people.
+// formatNumber writes a number for messages.
 func formatNumber(n float64) string { return strconv.FormatFloat(n, 'g', 6, 64) }
 
 func firstGiven(list ...*number) *number {
--- a/internal/policy/degrade.go
+++ b/internal/policy/degrade.go
@@ -65,7 +65,7 @@
 	c.levels = append(c.levels, l)
 }
 
-// sortLevels puts the levels in order and checks them against each other, and against what the parts say.
+// sortLevels puts the levels in order and checks them against each other, and against what the scopes say.
 func (c *compiler) sortLevels(fleet *scope) {
 	slices.SortStableFunc(
 		c.levels,
--- a/internal/policy/figures.go
+++ b/internal/policy/figures.go
@@ -9,7 +9,7 @@
 
 const tolerance = 1e-9 // relative: sums of parts come out a little off
 
-// resolve works out all limits, from the fleet inwards.
+// resolve evaluates all limits, from the fleet inwards.
 func (c *compiler) resolve(p *scope) {
 	if p.share != nil {
 		c.addImpliedLimits(p)
@@ -24,8 +24,8 @@
 	}
 }
 
-// addImpliedLimits gives a part with a share its limits in the units that the limits around it have, where it
-// says none.
+// addImpliedLimits gives a scope with a share its limits in the units that the limits around it have, where
+// it says none.
 func (c *compiler) addImpliedLimits(p *scope) {
 	found := false
 	for _, u := range []ratelimit.Unit{ratelimit.UnitRequests, ratelimit.UnitWork, ratelimit.UnitConcurrency} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// nearest is the limit of a unit on a part or the nearest part around it.
+// nearest is the limit of a unit on a scope or the nearest scope around it.
 func (p *scope) nearest(u ratelimit.Unit) *limit {
 	for ; p != nil; p = p.parent {
 		if p.limits[u] != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// resolveLimit works out one limit. Its outer limit bounds it; its whole is what its parts are parts of.
+// resolveLimit evaluates one limit. Its outer limit bounds it; its whole is what its parts are parts of.
 func (c *compiler) resolveLimit(p *scope, l *limit) {
 	var outer *limit
 	if p.parent != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// resolveSchedule works out the times with other figures: the limit's own, or those that follow from the
+// resolveSchedule evaluates the times with other figures: the limit's own, or those that follow from the
 // whole's.
 func (c *compiler) resolveSchedule(p *scope, l *limit, outer, whole *limit) {
 	base := outer
@@ -154,16 +154,32 @@
 // coveringWindow finds an earlier time that holds whenever a later one does.
 func coveringWindow(before []scheduleEntry, s ratelimit.ScheduleWindow) int {
 	for i, b := range before {
-		all := b.window.FromMinute == b.window.ToMinute
-		if (b.window.LastDays == 0 || s.LastDays > 0 && s.LastDays <= b.window.LastDays) &&
-			(all || b.window.FromMinute == s.FromMinute && b.window.ToMinute == s.ToMinute || s.FromMinute < s.ToMinute && b.window.FromMinute < b.window.ToMinute &&
-				b.window.FromMinute <= s.FromMinute && b.window.ToMinute >= s.ToMinute) {
+		if coversDays(b.window, s) && coversMinutes(b.window, s) {
 			return i
 		}
 	}
 	return -1
 }
 
+// coversDays reports whether a window holds on all days of the month on which another does.
+func coversDays(w, other ratelimit.ScheduleWindow) bool {
+	return w.LastDays == 0 || other.LastDays > 0 && other.LastDays <= w.LastDays
+}
+
+// coversMinutes reports whether a window holds in all minutes of a day in which another does. A window from a
+// minute to the same holds all day; one that ends before it begins goes over midnight, and covers only its
+// like.
+func coversMinutes(w, other ratelimit.ScheduleWindow) bool {
+	if w.FromMinute == w.ToMinute {
+		return true
+	}
+	if w.FromMinute == other.FromMinute && w.ToMinute == other.ToMinute {
+		return true
+	}
+	withinADay := other.FromMinute < other.ToMinute && w.FromMinute < w.ToMinute
+	return withinADay && w.FromMinute <= other.FromMinute && w.ToMinute >= other.ToMinute
+}
+
 // overriddenBy is a limit's figures at a time that gives others.
 func (r rawRates) overriddenBy(t rawRates) rawRates {
 	if t.rate != nil || t.fraction != nil {
@@ -186,7 +202,7 @@
 	return r
 }
 
-// resolveRates works out figures, if there are any, and says what is wrong with them.
+// resolveRates evaluates figures, if there are any, and notes what is wrong with them.
 func (c *compiler) resolveRates(
 	p *scope,
 	l *limit,
@@ -208,7 +224,7 @@
 		rate = floor
 	case !hasRate && outer != nil:
 		rate = outer.rates.Rate
-	case !hasRate && r.fraction != nil: // of nothing, as has been told
+	case !hasRate && r.fraction != nil: // of nothing, as has been reported
 		return f, false
 	case !hasRate:
 		c.addError(
--- a/internal/policy/flatten.go
+++ b/internal/policy/flatten.go
@@ -7,7 +7,7 @@
 	"wrenspread/ratelimit"
 )
 
-// buildTable puts the parts in the table's order, whatever order the text has.
+// buildTable puts the scopes in the table's order, whatever order the text has.
 func (c *compiler) buildTable(fleet *scope) *ratelimit.Table {
 	t := &ratelimit.Table{
 		Format:    ratelimit.Format,
--- a/internal/policy/floors.go
+++ b/internal/policy/floors.go
@@ -82,14 +82,14 @@
 		p.source,
 		"Floors that add up to more than is there",
 		fmt.Sprintf("%s has %s%s, and the floors within it come to %s (%s). "+
-			"Lower some by %s together, or raise %s.", t.Limits[parent].Name, formatNumber(there), when, formatNumber(sum),
-			strings.Join(names, ", "), formatNumber(sum-there),
-			t.Limits[parent].Name),
+			"Lower some by %s together, or raise %s.",
+			t.Limits[parent].Name, formatNumber(there), when, formatNumber(sum),
+			strings.Join(names, ", "), formatNumber(sum-there), t.Limits[parent].Name),
 	)
 	return true
 }
 
-// scopesInOrder returns the blocks by the table's parts.
+// scopesInOrder returns the blocks in the order of the table's scopes.
 func scopesInOrder(fleet *scope) (places []*scope) {
 	fleet.each(func(p *scope) { places = append(places, p) }) // flatten has put them in order
 	return places
@@ -150,7 +150,9 @@
 			fleet.source,
 			"Limits too deep",
 			fmt.Sprintf("One request can touch %d limits in %d parts, %d and %d at most. Drop limits "+
-				"that those around them make needless, or write requests { share = ... } where a part's share makes a limit in each unit.", limits, parts, ratelimit.MaxMatchedLimits, ratelimit.MaxMatchedScopes),
+				"that those around them make needless, or write requests { share = ... } where a part's share "+
+				"makes a limit in each unit.",
+				limits, parts, ratelimit.MaxMatchedLimits, ratelimit.MaxMatchedScopes),
 		)
 	}
 }
--- a/internal/policy/limit.go
+++ b/internal/policy/limit.go
@@ -9,8 +9,8 @@
 	"wrenspread/ratelimit"
 )
 
-// limit is a block that bounds a part in one unit. Its figures come out of rough when what is around it is
-// known.
+// limit is a block that bounds a scope in one unit. Its figures are computed from raw when the limit around
+// it is known.
 type limit struct {
 	settings
 	unit     ratelimit.Unit
@@ -49,7 +49,7 @@
 
 // What holds where a policy says nothing.
 const (
-	defaultFallbackShare = 0.25 // a quarter is safe with the other three lent out: see the design of shares
+	defaultFallbackShare = 0.25 // a quarter is safe with the other three lent out: see docs/quota-design.md
 	defaultRetryAfter    = time.Second
 	defaultKeySlots      = 256
 )
@@ -171,9 +171,11 @@
 			"`most` counts open requests. This goes by the second: write rate, and burst.",
 		)
 	}
-	r.broken = (attrs["rate"] != nil || attrs["most"] != nil) && r.rate == nil || attrs["part"] != nil && r.fraction == nil ||
-		attrs["floor"] != nil && r.floor == nil || attrs["share"] != nil && r.share == nil ||
-		attrs["burst"] != nil && r.burst == nil
+	rateBroken := (attrs["rate"] != nil || attrs["most"] != nil) && r.rate == nil
+	fractionBroken := attrs["part"] != nil && r.fraction == nil
+	floorBroken := attrs["floor"] != nil && r.floor == nil || attrs["share"] != nil && r.share == nil
+	burstBroken := attrs["burst"] != nil && r.burst == nil
+	r.broken = rateBroken || fractionBroken || floorBroken || burstBroken
 	c.exclusive(attrs, "rate", "part")
 	c.exclusive(attrs, "most", "part")
 	c.exclusive(attrs, "floor", "share")
--- a/internal/policy/locals.go
+++ b/internal/policy/locals.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// evalLocals works out the names that the text gives to values, each after those that it speaks of. One that
-// can't be is unknown to the others, so that its error is told once.
+// evalLocals evaluates the names that the text gives to values, each after those that it speaks of. One that
+// can't be is unknown to the others, so that its error is reported once.
 func (c *compiler) evalLocals(attrs hcl.Attributes) {
 	values := map[string]cty.Value{}
 	var path []string
--- a/internal/policy/names.go
+++ b/internal/policy/names.go
@@ -11,7 +11,7 @@
 	"wrenspread/ratelimit"
 )
 
-// each visits a part and all within it.
+// each visits a scope and all within it.
 func (p *scope) each(do func(*scope)) {
 	do(p)
 	for _, k := range p.children {
@@ -19,7 +19,7 @@
 	}
 }
 
-// isWithin tells that a part, or one around it, is of an axis.
+// isWithin tells that a scope, or one around it, is of an attribute.
 func (p *scope) isWithin(a ratelimit.Attribute) bool {
 	for ; p.parent != nil; p = p.parent {
 		if p.attribute == a {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// checkNames finds names that the fleet doesn't have, and books that a policy forgets.
+// checkNames finds names that the fleet doesn't have, and tenants that a policy forgets.
 func (c *compiler) checkNames(fleet *scope) {
 	fleet.each(func(p *scope) {
 		if p.parent != nil && p.value != ratelimit.AnyOther {
@@ -91,7 +91,7 @@
 	return fmt.Sprintf(" It has %s.", strings.Join(known, ", "))
 }
 
-// checkForgotten finds the known books that a part which tells books apart says nothing of.
+// checkForgotten finds the known tenants that a scope which tells tenants apart says nothing of.
 func (c *compiler) checkForgotten(p *scope) {
 	said := map[string]bool{}
 	for _, k := range p.children {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,8 @@
-// Package policy is the operators' language of rate limits: text in HCL's syntax is read, checked as a whole,
-// and compiled to the flat table that nodes judge requests by (decide.Table). It is pure: same text, same
-// known names, same bytes. Nodes take tables and never link this package.
+// Package policy compiles the operators' language of rate limits. Text in HCL's syntax is read, validated as
+// a whole, and compiled to the flat table with which proxies admit requests (ratelimit.Table). It is pure:
+// the same text and known names give the same bytes. Proxies evaluate tables and never link this package.
+//
+// In the language and its messages a scope is a "part" and a tenant a "book".
 package policy
 
 import (
@@ -28,7 +30,7 @@
 	Work           time.Duration // of its heaviest request; 0: not known
 }
 
-// KnownOf takes the names from a node's settings. A class's work is not told there.
+// KnownOf takes the names from a proxy's settings. A class's work is not known there.
 func KnownOf(s balancer.Settings) Known {
 	k := Known{Sites: s.Zones}
 	for _, t := range s.Tenants {
@@ -57,7 +59,7 @@
 	return names
 }
 
-// Compile makes a file's text into a table, or says all that is wrong with it, as *Errors.
+// Compile compiles a file's text to a table, or returns all faults, as *Errors.
 func Compile(file string, text []byte, known Known) (*ratelimit.Table, error) {
 	c := &compiler{known: known.sorted(), source: text}
 	if err := c.checkBounds(); err != nil {
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -11,7 +11,7 @@
 	"wrenspread/ratelimit"
 )
 
-// scope is a block that stands for a part of the requests.
+// scope is a block that stands for some of the requests.
 type scope struct {
 	attribute ratelimit.Attribute
 	value     string
@@ -140,7 +140,7 @@
 	)
 }
 
-// scopeBlock reads a part's block and all within it.
+// scopeBlock reads a scope's block and all within it.
 func (c *compiler) scopeBlock(b *hcl.Block, up *scope) *scope {
 	p := &scope{attribute: attributeNames[b.Type], source: b.DefRange, parent: up}
 	if len(b.Labels) > 0 {
@@ -214,7 +214,7 @@
 	}
 }
 
-// path is a part's name for people.
+// path is a scope's name for messages.
 func (p *scope) path() string {
 	if p.parent == nil {
 		return "fleet"
--- a/internal/policy/values.go
+++ b/internal/policy/values.go
@@ -23,7 +23,7 @@
 
 const maxUnits = 1e12 // of any figure, as in a table
 
-// value works out an attribute as a type. What can't be is noted, or has been where it came from.
+// value evaluates an attribute as a type. What can't be is noted, or has been where it came from.
 func (c *compiler) value(a *hcl.Attribute, want cty.Type) (cty.Value, bool) {
 	if a == nil {
 		return cty.NilVal, false
@@ -167,7 +167,7 @@
 	return d, true
 }
 
-// status is what a client is told.
+// status is the status that a client gets.
 func (c *compiler) status(a *hcl.Attribute) (int, bool) {
 	n, ok := c.number(a), a != nil
 	if n == nil {
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -10,8 +10,8 @@
 	"wrenspread/internal/registry"
 )
 
-// maxCacheFile bounds a cache file that is read, in bytes: a full list takes a tenth, one of the longest
-// entries two thirds.
+// maxCacheFile bounds a cache file that is read, in bytes: a list of the greatest size takes a tenth, one of
+// the longest entries two thirds.
 const maxCacheFile = 128 << 20
 
 // cachedList is the form of a list in its cache file. The epoch and version of a subset stand in a place of
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -15,7 +15,7 @@
 	"wrenspread/internal/registry"
 )
 
-const maxPlatform = 4 << 20 // bytes of a list; a thousand servers take a twentieth
+const maxPlatform = 4 << 20 // bytes of a list; a thousand endpoints take a twentieth
 
 var (
 	errResent    = errors.New("the connection broke")
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -27,13 +27,13 @@
 	HoldBack  time.Duration // of a list of another epoch that lost most entries; 0: DefaultHoldBack
 	Log       *slog.Logger  // nil: none
 
-	// Part, if there is one, says which subset of the list to follow for whoever has
-	// part now with these entries, of total in all; entries are nil where none are
-	// known yet. It is called after answers, and must not call the client.
+	// ChooseSubset, if set, says which subset of the list to follow for whoever has subset now with these
+	// entries, of total in all; entries are nil where none are known yet. It is called after answers, and must
+	// not call the client.
 	ChooseSubset func(now registry.Subset, total int, entries []registry.Endpoint) registry.Subset
 
-	// Taken, if there is one, gets every answer that changed the view, in order, from
-	// the goroutine that follows. It must not call the client.
+	// OnChange, if set, gets every answer that changed the view, in order, from the goroutine that follows. It
+	// must not call the client.
 	OnChange func(registry.ListResponse)
 }
 
@@ -141,15 +141,15 @@
 	return nil
 }
 
-// List is the list as it is believed, and when the service last answered; zero
-// if it never has. A list that is kept serves on for ever.
+// List is the list as the client knows it, and when the service last answered; zero if it never has. A list
+// that is kept serves on for ever.
 func (k *Client) List() (v List, told time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.list.List(), k.lastAnswerAt
 }
 
-// Changed is closed at the next change of the view.
+// Changed is closed at the next change of the client's list.
 func (k *Client) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -1,5 +1,5 @@
-// Package client reads, watches and writes the list of servers, and goes on with
-// what it has while the registry fails: one replica, the leader, or all of it.
+// Package client reads, watches and writes the list of endpoints, and goes on with what it has while the
+// registry fails: one replica, the leader, or all of it.
 package client
 
 import (
@@ -10,13 +10,13 @@
 	"wrenspread/internal/registry"
 )
 
-// List is the list as a client believes it.
+// List is the list as a client knows it.
 type List struct {
 	Epoch     string              `json:"epoch"`
 	Version   uint64              `json:"version"`
 	Endpoints []registry.Endpoint `json:"entries"` // by name
 	Subset    registry.Subset     `json:"-"`       // of the list that it is
-	// entries in all of the list, where Part is one that was asked for; 0: not told
+	// entries in all of the list, where Subset is one that was asked for; 0: not told
 	Total int `json:"-"`
 }
 
@@ -27,24 +27,24 @@
 // a restore goes past every version that was given out.
 const (
 	lostShare       = 0.5
-	minKnownForLoss = 2 // a list of one or two entries says nothing
+	minKnownForLoss = 2 // the loss of one or two entries proves nothing
 )
 
 // Change is what became of an answer.
 type Change int
 
-// The verdicts.
+// The results of an answer.
 const (
 	Unchanged     Change = iota // it brings nothing new
-	Changed                     // the view has changed
+	Changed                     // the client's list has changed
 	Stale                       // it is older than what is known: whoever gave it lags, or is cut off
 	HeldBack                    // it is held back for now
 	NeedsComplete               // it does not fit what is known: ask for the complete list
-	TooNarrow                   // it is a part with too few servers: a wider one is read in place of it
+	TooNarrow                   // it is a subset with too few endpoints: a wider one is read in place of it
 )
 
-// ListState decides what to believe. It is pure; times are of one monotonic clock.
-// It is not safe for concurrent use.
+// ListState decides which answers to accept. It is pure; times are of one monotonic clock. It is not safe for
+// concurrent use.
 type ListState struct {
 	holdBack      time.Duration // how long a list that lost most is held back
 	epoch         string
@@ -62,7 +62,7 @@
 	registry.ListResponse
 }
 
-// NewListState begins with a view of before, which may be empty.
+// NewListState begins with the list of before, which may be empty.
 func NewListState(hold time.Duration, before List) *ListState {
 	b := &ListState{
 		holdBack:  hold,
@@ -87,7 +87,7 @@
 	return b.version, b.epoch
 }
 
-// List is the list as it is believed.
+// List is the list as the client knows it.
 func (b *ListState) List() List {
 	all := b.appendTo(nil)
 	slices.SortFunc(all, func(x, y registry.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
@@ -103,8 +103,8 @@
 	return all
 }
 
-// Apply judges the answer to a call that named version from. One of another part
-// than the entries known has to be whole, and then takes their place.
+// Apply judges the answer to a call that named version from. One of another subset than the entries known has
+// to be whole, and then takes their place.
 func (b *ListState) Apply(now time.Duration, from uint64, a registry.ListResponse) Change {
 	switch {
 	case a.Epoch != b.epoch && (b.epoch != "" || len(b.endpoints) > 0):
@@ -182,7 +182,7 @@
 	b.updateTotal(a)
 }
 
-// updateTotal takes the length of all of the list. Where an answer of a part says nothing of it, the one
+// updateTotal takes the length of all of the list. Where an answer of a subset says nothing of it, the one
 // known stands.
 func (b *ListState) updateTotal(a registry.ListResponse) {
 	if a.Subset == "" || a.Total > 0 {
--- a/internal/registry/client/subset.go
+++ b/internal/registry/client/subset.go
@@ -12,9 +12,8 @@
 	"wrenspread/internal/registry"
 )
 
-// subsetMove is the part that is to be followed. Where another one is known, that one is
-// watched until its time, which is drawn from a whole hold: the proxies that have to
-// move are told so by one change.
+// subsetMove is the subset that is to be followed. Where another one is known, that one is watched until its
+// time, which is drawn from a whole hold: the proxies that have to move are told so by one change.
 type subsetMove struct {
 	to registry.Subset
 	at time.Duration // since the client's start
@@ -29,12 +28,12 @@
 	from     uint64
 	epoch    string
 	hold     time.Duration
-	migrates bool // it reads a part in place of the one that stands
+	migrates bool // it reads a subset in place of the one that stands
 }
 
-// subsetOf is the part that an answer is of; one of a service that knows no parts is all of the list.
+// subsetOf is the subset that an answer is of; one of a service that knows no subsets is all of the list.
 func subsetOf(a registry.ListResponse) registry.Subset {
-	p, _ := registry.ParseSubset(a.Subset) // the zero Part is all
+	p, _ := registry.ParseSubset(a.Subset) // the zero subset is all
 	return p
 }
 
@@ -55,7 +54,7 @@
 	return listRead{subset: k.move.to, hold: hold, migrates: true}
 }
 
-// readFailed puts a move off that did not come off, for whatever reason: until then the part that stands is
+// readFailed puts a move off that did not come off, for whatever reason: until then the subset that stands is
 // watched again. It reports whether that is what the service asked for.
 func (k *Client) readFailed(q listRead, err error) (paced bool) {
 	if !q.migrates {
@@ -68,8 +67,8 @@
 	return errors.As(err, &r) && r.Code == codePaced
 }
 
-// fit gives an answer the form of its part. A service that knows no parts says
-// nothing of one: its complete list is taken as that, of its changes what the part has.
+// fit gives an answer the form of its subset. A service that knows no subsets says nothing of one: its
+// complete list is taken as that, of its changes what the subset has.
 func (q listRead) fit(a *registry.ListResponse) error {
 	switch {
 	case a.Subset == q.subset.String():
@@ -101,12 +100,12 @@
 	return true
 }
 
-// chooseSubset finds the part to follow from what is believed by now; k.mu is held.
+// chooseSubset finds the subset to follow from what is known by now; k.mu is held.
 func (k *Client) chooseSubset(a registry.ListResponse) {
 	if k.config.ChooseSubset == nil {
 		return
 	}
-	if a.Subset == "" { // a service that knows no parts
+	if a.Subset == "" { // a service that knows no subsets
 		k.move = subsetMove{to: registry.Subset{}}
 		return
 	}
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -21,7 +21,7 @@
 	registry.ErrorResponse
 }
 
-func (r *Error) Error() string { return fmt.Sprintf("the list service says %s: %s", r.Code, r.Reason) }
+func (r *Error) Error() string { return fmt.Sprintf("the registry says %s: %s", r.Code, r.Reason) }
 
 func refusal(status int, body []byte) error {
 	r := &Error{Status: status}
@@ -141,7 +141,7 @@
 	return k.send(ctx, http.MethodDelete, "/registry/members/"+url.PathEscape(name), nil, &r)
 }
 
-// Backup returns a sealed copy of the list as it is now.
+// Backup returns a copy of the registry's state as it is now, with a checksum.
 func (k *Client) Backup(ctx context.Context) ([]byte, error) {
 	var raw []byte
 	err := k.send(ctx, http.MethodGet, "/registry/backup", nil, &raw)
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -19,7 +19,7 @@
 	OpAddReplica    = "member"   // Name, Address: where the others reach a replica
 	OpForgetReplica = "forget"   // Name, of a replica
 
-	OpOpenSession   = "session"  // Session: open, or change its word
+	OpOpenSession   = "session"  // Session: open one, or change its process info
 	OpCloseSessions = "close"    // Sessions, Grant
 	OpCampaign      = "campaign" // Session's ID, Wishes, Grant
 	OpRelease       = "give-up"  // Session's ID, Wishes (their names), Grant
@@ -51,11 +51,12 @@
 
 // Bounds on commands.
 const (
-	MaxID      = 64 // bytes of a write id
-	MaxExpire  = 1000
-	MinTTL     = time.Second
-	MaxTTL     = time.Hour
-	MaxCommand = 96 << 20 // bytes of a command as it is logged: a restore of a full list with all records
+	MaxID     = 64 // bytes of a write id
+	MaxExpire = 1000
+	MinTTL    = time.Second
+	MaxTTL    = time.Hour
+	// bytes of a command as it is logged: a restore of a list of the greatest size with all records
+	MaxCommand = 96 << 20
 	format     = 1
 )
 
@@ -128,21 +129,17 @@
 			return fmt.Errorf("ttl: %v, want 0 or %v to %v", c.TTL, MinTTL, MaxTTL)
 		}
 		return c.Endpoint.Check()
-	case OpDrain, OpRemove:
-		if c.Name == "" || len(c.Name) > MaxText {
-			return fmt.Errorf("name: want 1 to %d bytes", MaxText)
-		}
+	case OpDrain, OpRemove, OpForgetReplica:
+		return c.checkName()
 	case OpExpire:
 		if len(c.Expired) > MaxExpire {
 			return fmt.Errorf("overdue: %d entries, %d at most", len(c.Expired), MaxExpire)
 		}
-	case OpAddReplica, OpForgetReplica:
-		if c.Name == "" || len(c.Name) > MaxText {
-			return fmt.Errorf("name: want 1 to %d bytes", MaxText)
-		}
-		if c.Op == OpAddReplica {
-			return c.Address.Check()
+	case OpAddReplica:
+		if err := c.checkName(); err != nil {
+			return err
 		}
+		return c.Address.Check()
 	case OpBegin, OpRestore:
 		if c.Epoch == "" || len(c.Epoch) > MaxID {
 			return fmt.Errorf("epoch: want 1 to %d bytes", MaxID)
@@ -157,14 +154,21 @@
 	return nil
 }
 
+func (c Command) checkName() error {
+	if c.Name == "" || len(c.Name) > MaxText {
+		return fmt.Errorf("name: want 1 to %d bytes", MaxText)
+	}
+	return nil
+}
+
 // Encode returns the form in which a command is logged.
 func (c Command) Encode() ([]byte, error) {
 	c.Format = format
 	return json.Marshal(c)
 }
 
-// Decode reads a command off the log. One of a later form is an error, since
-// applying a part of it would let replicas differ.
+// Decode reads a command off the log. One of a later form is an error, since applying a part of it would
+// let replicas differ.
 func Decode(raw []byte) (Command, error) {
 	var c Command
 	if len(raw) > MaxCommand {
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -1,5 +1,6 @@
-// Package list is the list of servers as the registry keeps it: its forms,
-// its state machine, its leases. It is pure: no I/O, no clock.
+// Package registry is the registry's replicated state machine: the list of endpoints, sessions, leases and
+// records, the commands that change them, and the messages of the API. It is pure: no I/O, no clock, no
+// randomness. Package server runs it on raft, package client talks to it.
 package registry
 
 import (
@@ -33,7 +34,7 @@
 	Cell        int     `json:"group"`
 	Status      string  `json:"status"`
 	Weight      float64 `json:"weight"`
-	StartedAtMS int64   `json:"since_ms"`          // Unix time of the server's last start; 0: long ago
+	StartedAtMS int64   `json:"since_ms"`          // Unix time of the endpoint's last start; 0: long ago
 	Version     string  `json:"version,omitempty"` // of its program, if somebody says; proxies pass over it
 }
 
@@ -88,7 +89,7 @@
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return err
 	}
-	// none told is not the same as told that there are none
+	// no list is not the same as an empty list
 	if a.Endpoints, a.Skipped = nil, nil; in.Endpoints != nil {
 		a.Endpoints = []Endpoint{}
 	}
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -14,7 +14,7 @@
 	MaxLeases      = 10000
 	MaxCandidates  = 256  // in the queue of one lease
 	MaxLeaseBatch  = 1000 // leases of one command
-	MaxProcessInfo = 1024 // bytes of a holder's word
+	MaxProcessInfo = 1024 // bytes of a holder's process info
 	MinSessionTTL  = 500 * time.Millisecond
 	MaxSessionTTL  = time.Minute
 )
--- a/internal/registry/lease_change.go
+++ b/internal/registry/lease_change.go
@@ -1,6 +1,6 @@
 package registry
 
-// What becomes of sessions, leases and their queues.
+// Changes of sessions, leases and their queues.
 
 import (
 	"fmt"
--- a/internal/registry/lease_check.go
+++ b/internal/registry/lease_check.go
@@ -65,6 +65,22 @@
 	if d.Sessions == nil || d.Leases == nil || d.Changed > version {
 		return fmt.Errorf("duties without sessions, or changed after version %d", version)
 	}
+	if err := d.checkSessions(); err != nil {
+		return err
+	}
+	for name, one := range d.Leases {
+		if one == nil {
+			return fmt.Errorf("duty %s has a holder or a fence that can't be", name)
+		}
+		if err := d.checkOne(name, one, version); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkSessions validates the sessions, and that the leases that they name exist.
+func (d *leaseState) checkSessions() error {
 	for id, h := range d.Sessions {
 		if h == nil || h.ID != id || h.Leases == nil {
 			return fmt.Errorf("session %s is not itself", id)
@@ -75,15 +91,20 @@
 			}
 		}
 	}
-	for name, one := range d.Leases {
-		if one == nil || one.Name != name || one.Token > version ||
-			one.Holder != "" && (d.Sessions[one.Holder] == nil || one.Token == 0) {
-			return fmt.Errorf("duty %s has a holder or a fence that can't be", name)
-		}
-		for _, c := range one.Queue {
-			if d.Sessions[c.Session] == nil {
-				return fmt.Errorf("a candidate of %s has no session", name)
-			}
+	return nil
+}
+
+// checkOne validates a lease: its holder and its candidates have sessions, and its fencing token is a version
+// that has been.
+func (d *leaseState) checkOne(name string, one *Lease, version uint64) error {
+	heldWithoutSession := one.Holder != "" && d.Sessions[one.Holder] == nil
+	heldWithoutToken := one.Holder != "" && one.Token == 0
+	if one.Name != name || one.Token > version || heldWithoutSession || heldWithoutToken {
+		return fmt.Errorf("duty %s has a holder or a fence that can't be", name)
+	}
+	for _, c := range one.Queue {
+		if d.Sessions[c.Session] == nil {
+			return fmt.Errorf("a candidate of %s has no session", name)
 		}
 	}
 	return nil
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -54,6 +54,15 @@
 	return a, news || len(a.Records) != had
 }
 
+// hasCapacityFor reports whether a value of so many bytes fits in place of a record, or beside the others
+// where there is none yet.
+func (s *State) hasCapacityFor(bytes int, replaced Record, there bool) bool {
+	if !there && len(s.records) >= MaxRecords {
+		return false
+	}
+	return s.recordBytes-len(replaced.Value)+bytes <= MaxRecordBytes
+}
+
 // put writes a record, or takes it away where it has no value.
 func (s *State) put(c Command) Result {
 	has, there := s.records[c.Name]
@@ -66,7 +75,7 @@
 		}
 	case c.Value == nil && !there:
 		return Result{Code: NotFound, Reason: "there is no " + c.Name}
-	case c.Value != nil && (!there && len(s.records) >= MaxRecords || s.recordBytes-len(has.Value)+len(c.Value) > MaxRecordBytes):
+	case c.Value != nil && !s.hasCapacityFor(len(c.Value), has, there):
 		return Result{
 			Code:   CapacityExceeded,
 			Reason: fmt.Sprintf("%d records with %d bytes are kept already", len(s.records), s.recordBytes),
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -15,7 +15,7 @@
 // What watchers and readers of the list are answered.
 
 const (
-	maxAnswersPerSubset = 64       // answers kept of one part; watchers stand at few versions
+	maxAnswersPerSubset = 64       // answers kept of one subset; watchers stand at few versions
 	maxCachedBytes      = 64 << 20 // bytes of all of them; one that is larger is kept alone
 
 	// complete subsets that are made and sent at once: a fleet that comes together gets them in turn
@@ -32,7 +32,7 @@
 	endpoints []byte
 }
 
-// subset is what is known of a part. It forgets those that nobody watches, now and then.
+// subset is what is known of a subset. It forgets those that nobody watches, now and then.
 func (h *hub) subset(p registry.Subset) *subsetState {
 	w := h.subsets[p]
 	if w != nil {
@@ -52,7 +52,7 @@
 	return w
 }
 
-// dropAnswers drops the answers of a part.
+// dropAnswers drops the answers of a subset.
 func (h *hub) dropAnswers(w *subsetState) {
 	for from, b := range w.answers {
 		h.cachedBytes -= len(b.endpoints)
@@ -74,8 +74,8 @@
 	w.answers[from] = b
 }
 
-// answer is the encoded answer to whoever has version from of the part that it
-// asks for, or that names none: what comes ahead of the entries, and these.
+// answer is the encoded answer to whoever has version from of the subset that it asks for, or that names
+// none: what comes ahead of the entries, and these.
 func (h *hub) answer(q query) (head, entries []byte, err error) {
 	h.mu.Lock()
 	b, ok := encodedEndpoints{}, false
@@ -106,16 +106,16 @@
 	return head[:len(head)-len("[]}")], b.endpoints, err
 }
 
-// answer writes what is newer than the reader's version. A reader that has seen
-// more than this replica is never given less: with an epoch it is told to ask
-// elsewhere; without one it hears that nothing is newer.
+// answer writes what is newer than the reader's version. A reader that has seen more than this replica is
+// never given less: with an epoch it is sent to another replica; without one it hears that nothing is newer.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, q query) {
 	version, epoch := s.hub.current()
 	if q.epoch != "" && q.epoch != epoch {
 		q.from = 0
 	}
 	if q.from > version && q.epoch != "" {
-		writeError(w, http.StatusServiceUnavailable, "behind", fmt.Sprintf("this replica has version %d", version), 0)
+		reason := fmt.Sprintf("this replica has version %d", version)
+		writeError(w, http.StatusServiceUnavailable, "behind", reason, 0)
 		return
 	}
 	if q.namesSubset && q.from == 0 {
--- a/internal/registry/server/backup.go
+++ b/internal/registry/server/backup.go
@@ -9,10 +9,11 @@
 	"wrenspread/internal/registry"
 )
 
-// maxRestore bounds a backup that is brought back, in bytes: a full list with all records takes five sixths.
+// maxRestore bounds a backup that is brought back, in bytes: a list of the greatest size with all records
+// takes five sixths.
 const maxRestore = 80 << 20
 
-// backup answers with the whole state as it is now, sealed.
+// backup answers with the whole state as it is now, with a checksum.
 func (s *Server) backup(w http.ResponseWriter, _ *http.Request) {
 	if !s.waitUntilCurrent(w) {
 		return
@@ -29,9 +30,8 @@
 	besteffort.Response(w.Write(checksumfile.Encode(raw))) // a caller that has left needs nothing
 }
 
-// restore puts a backup in place of the list, under a new epoch. The call names
-// the epoch that it means to replace, so that it can't hit another cluster, and
-// a write id, so that a repeat does not restore twice.
+// restore replaces the list by a backup, under a new epoch. The call names the epoch that it means to
+// replace, so that it can't hit another cluster, and a write id, so that a repeat does not restore twice.
 func (s *Server) restore(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r, maxRestore)
 	if !ok {
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -10,7 +10,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Config is what a replica is told.
+// Config is the configuration of a replica.
 type Config struct {
 	Name   string `koanf:"name"`   // of this replica
 	Folder string `koanf:"folder"` // where its log and snapshots are
@@ -18,7 +18,7 @@
 	Raft   string `koanf:"raft"`   // where the other replicas reach it; without it, it stays alone
 	// begin the cluster if the folder is empty: for one replica of several, once
 	Begin bool `koanf:"begin"`
-	// without a word from the leader for so long, up to twice, another is elected
+	// without a message from the leader for so long, up to twice, another is elected
 	Election time.Duration `koanf:"election"`
 	// those that begin, or that this one finds when it is added; this one included
 	Replicas []Replica `koanf:"replica"`
--- a/internal/registry/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -13,14 +13,14 @@
 	wakePause = 200 * time.Microsecond
 )
 
-// hub holds watchers until there is something newer than what they have, and
-// makes each answer once for all who need the same. It finds those whom a change
-// concerns by the parts that hold it, never by a walk over all.
+// hub keeps watchers waiting until there is something newer than what they have, and makes each answer once
+// for all that need the same. It finds those whom a change concerns by the subsets that hold it, never by a
+// walk over all.
 type hub struct {
 	machine       *machine
 	mu            sync.Mutex
 	subsets       map[registry.Subset]*subsetState
-	pruneAt       int // parts known at which those that nobody watches are forgotten
+	pruneAt       int // subsets known at which those that nobody watches are forgotten
 	ahead         map[*watcher]bool
 	due           []*watcherGroup // to be woken
 	watcherCount  int             // watchers, of all groups and ahead
@@ -32,16 +32,16 @@
 	wakeRequested chan struct{}
 }
 
-// subsetState is a part of which there are watchers, or answers.
+// subsetState is a subset of which there are watchers, or answers.
 type subsetState struct {
 	waiting *watcherGroup
-	answers map[uint64]encodedEndpoints // for this state of the part, by the version that they go on from
+	answers map[uint64]encodedEndpoints // for this state of the subset, by the version that they go on from
 }
 
-// watcherGroup is the watchers of a part since its last change.
+// watcherGroup is the watchers of a subset since its last change.
 type watcherGroup struct {
 	watchers map[*watcher]bool
-	due      bool   // a change concerns them, or all were told to look
+	due      bool   // a change concerns them, or all were notified
 	after    uint64 // that change is the first of their part past this version; 0: what has changed is not known
 }
 
@@ -91,7 +91,7 @@
 	h.requestWake()
 }
 
-// markChanged notes the first change of a part past a version.
+// markChanged notes the first change of a subset past a version.
 func (h *hub) markChanged(p registry.Subset, after uint64) {
 	w := h.subsets[p]
 	if w == nil {
@@ -169,7 +169,7 @@
 	return len(h.subsets)
 }
 
-// hasNewer reports whether there is something to tell whoever has version from of a part.
+// hasNewer reports whether there is something newer than version from of a subset.
 func (h *hub) hasNewer(p registry.Subset, from uint64) bool {
 	if !p.IsAll() {
 		h.machine.mu.RLock()
@@ -181,7 +181,7 @@
 	return from < h.newestChange
 }
 
-// current tells the version and epoch that watchers are notified of.
+// current returns the version and epoch that watchers are notified of.
 func (h *hub) current() (version uint64, epoch string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/registry/server/leases.go
+++ b/internal/registry/server/leases.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/registry"
 )
 
-// openSession opens the session that the call names, or changes its word.
+// openSession opens the session that the call names, or changes its process info.
 func (s *Server) openSession(w http.ResponseWriter, r *http.Request) {
 	var body registry.OpenSessionRequest
 	if !readJSON(w, r, &body) {
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -18,12 +18,14 @@
 	mu      sync.RWMutex
 	state   *registry.State
 	applied func(c registry.Command, r registry.Result) // under the lock; c is empty after a restore
-	broken  func(error)                                 // told once, where the log can't be followed any further
-	end     error                                       // why that is so
-	index   uint64                                      // of the last command in the log that was carried out
+	// called once, where the log can't be followed any further
+	broken func(error)
+	end    error  // why that is so
+	index  uint64 // of the last command in the log that was carried out
 }
 
-// encode returns the form of a command in the log: sealed, so that one damaged on the disk is noticed.
+// encode returns the form of a command in the log: with a checksum, so that one damaged on the disk is
+// noticed.
 func encode(c registry.Command) ([]byte, error) {
 	raw, err := c.Encode()
 	return checksumfile.Encode(raw), err
@@ -74,7 +76,8 @@
 	return snapshot{m.state.Snapshot()}, nil
 }
 
-// maxSnapshot bounds a snapshot that is read, in bytes: a full list with all records takes a quarter.
+// maxSnapshot bounds a snapshot that is read, in bytes: a list of the greatest size with all records takes a
+// quarter.
 const maxSnapshot = 256 << 20
 
 // Restore puts a snapshot in place of the state.
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -170,7 +170,8 @@
 		)
 		return
 	}
-	if err = classifyRaftError(s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTime).Error()); err == nil {
+	removal := s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTime)
+	if err = classifyRaftError(removal.Error()); err == nil {
 		_, err = s.replica.apply(registry.Command{Op: registry.OpForgetReplica, Name: name})
 	}
 	version, _ := s.hub.current()
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -33,7 +33,7 @@
 	epoch       string // that the reader knows, or empty
 	current     bool   // as of now, not as this replica has it
 	subset      registry.Subset
-	namesSubset bool // the reader has named a part
+	namesSubset bool // the reader has named a subset
 }
 
 func parseQuery(r *http.Request) (q query, err error) {
--- a/internal/registry/server/records.go
+++ b/internal/registry/server/records.go
@@ -87,7 +87,8 @@
 		a, news := s.recordsSince(q, r.URL.Query().Get("prefix"), had)
 		wait := time.Until(end)
 		if a.Epoch == q.epoch && q.from > a.Index {
-			writeError(w, http.StatusServiceUnavailable, "behind", fmt.Sprintf("this replica has version %d", a.Index), 0)
+			reason := fmt.Sprintf("this replica has version %d", a.Index)
+			writeError(w, http.StatusServiceUnavailable, "behind", reason, 0)
 			return
 		}
 		if news || a.Epoch != q.epoch || wait <= 0 || s.ctx.Err() != nil {
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -132,7 +132,7 @@
 	return raft.ServerAddress(other.Raft), nil
 }
 
-// bootstrap makes a cluster out of empty folders: alone at once, of several by the one that is told to.
+// bootstrap makes a cluster out of empty folders: alone at once, of several by the one that is configured to.
 func (r *replica) bootstrap(c Config) error {
 	var servers []raft.Server
 	for _, o := range c.Replicas {
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// stop hands leadership on, if there is whom to, and ends.
+// stop transfers leadership, if there is another replica, and ends.
 func (r *replica) stop() error {
 	if servers, err := r.servers(); err == nil && len(servers) > 1 && r.leads() {
 		_ = r.raft.LeadershipTransfer().Error() // without a successor the others elect a leader after a timeout
--- a/internal/registry/server/store.go
+++ b/internal/registry/server/store.go
@@ -45,12 +45,16 @@
 	path := filepath.Join(folder, logName)
 	if err = rewriteLog(path); err != nil {
 		err = fmt.Errorf(
-			"%s: %w; if it is damaged, a replica of several is removed from the cluster and added again on an empty folder, one that is alone needs a backup (docs/list.md)",
+			"%s: %w; if it is damaged, a replica of several is removed from the cluster and added again "+
+				"on an empty folder, one that is alone needs a backup (docs/list.md)",
 			path,
 			err,
 		)
-	} else if store, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: openTime}}); err != nil {
-		err = fmt.Errorf("%s: %w", path, err)
+	} else {
+		store, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: openTime}})
+		if err != nil {
+			err = fmt.Errorf("%s: %w", path, err)
+		}
 	}
 	if err != nil {
 		besteffort.Close(lock)
@@ -189,7 +193,7 @@
 	return e, nil
 }
 
-// copyStableState takes over raft's own facts, and turns down a term that lies before the log's.
+// copyStableState takes over raft's stable state, and rejects a term that lies before the log's.
 func copyStableState(from *bbolt.Bucket, into *raftboltdb.BoltStore) error {
 	if from == nil {
 		return nil
@@ -215,11 +219,10 @@
 	return nil
 }
 
-// retryingStableStore keeps raft's own facts (its term, its vote). Raft has no answer to a
-// disk that takes nothing but to crash, so this waits until it does: a replica
-// whose disk is full stands still, as one that is paused. At the end, when the
-// store may be closed while another replica's call is still at work, the goroutine
-// of that call ends, and the call with it unanswered.
+// retryingStableStore keeps raft's stable state (its term, its vote). Raft has no answer to a disk that takes
+// nothing but to crash, so this waits until it does: a replica whose disk is full stands still, like a paused
+// process. At the end, when the store may be closed while another replica's call is still at work, the
+// goroutine of that call ends, and the call with it unanswered.
 type retryingStableStore struct {
 	raft.StableStore
 	log  *slog.Logger
--- a/internal/registry/server/watcher.go
+++ b/internal/registry/server/watcher.go
@@ -9,8 +9,8 @@
 	wake  chan struct{}
 }
 
-// wait registers a watcher that has version from of a part; it is nil where there
-// is something newer already, and full where there are too many.
+// wait registers a watcher that has version from of a subset; it is nil where there is something newer
+// already, and full where there are too many.
 func (h *hub) wait(p registry.Subset, from uint64, most int) (w *watcher, full bool) {
 	if !p.IsAll() {
 		h.machine.mu.RLock() // nothing is published meanwhile
@@ -42,9 +42,9 @@
 	return w, false
 }
 
-// leave ends a watcher's wait, and tells the version up to which nothing of its
-// part has changed since the one that it had. However long it has been held, it
-// need not go through what the other parts have had meanwhile.
+// leave ends a watcher's wait, and returns the version up to which nothing of its subset has changed since
+// the one that it had. However long it has been held, it need not go through what the other subsets have had
+// meanwhile.
 func (h *hub) leave(w *watcher) (after uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/registry/since.go
+++ b/internal/registry/since.go
@@ -1,6 +1,6 @@
 package registry
 
-// What a reader is notified of the list, or of a part of it.
+// Answers to readers of the endpoint list, or of a subset of it.
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"sort"
 )
 
-// positionIndex finds the names in a part: those of each 1024th of the ring.
+// positionIndex finds the names in a subset: those of each 1024th of the ring.
 type positionIndex [1 << 10][]string
 
 func (a *positionIndex) bucket(name string) *[]string { return &a[Position(name)>>54] }
@@ -23,7 +23,7 @@
 	*at = slices.DeleteFunc(*at, func(n string) bool { return n == name })
 }
 
-// endpointsIn returns those of a part, by name.
+// endpointsIn returns those of a subset, by name.
 func (s *State) endpointsIn(p Subset) []Endpoint {
 	all := []Endpoint{}
 	if p.IsAll() {
@@ -75,7 +75,7 @@
 	return a
 }
 
-// HasNewer reports whether there is something to tell whoever has a part as of version from.
+// HasNewer reports whether there is something newer for whoever has a subset as of version from.
 func (s *State) HasNewer(p Subset, from uint64) bool {
 	if p.IsAll() || from < max(s.trimmedVersion, 1) {
 		return s.ListVersion() > from
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -68,38 +68,11 @@
 	}
 	s := NewState()
 	s.epoch, s.version = in.Epoch, in.Version
-	for _, i := range in.Registrations {
-		if err := i.Endpoint.Check(); err != nil {
-			return nil, fmt.Errorf("a snapshot with a bad entry: %w", err)
-		}
-		if _, twice := s.registrations[i.Endpoint.Name]; twice || i.Version > in.Version || i.Version == 0 {
-			return nil, fmt.Errorf(
-				"a snapshot of version %d with %s twice, or at version %d",
-				in.Version,
-				i.Endpoint.Name,
-				i.Version,
-			)
-		}
-		s.registrations[i.Endpoint.Name] = i
-		s.byPosition.add(i.Endpoint.Name)
+	if err := s.restoreRegistrations(in); err != nil {
+		return nil, err
 	}
-	s.trimmedVersion = in.Version - uint64(len(in.Changes))
-	if in.TrimmedVersion != nil {
-		s.trimmedVersion = *in.TrimmedVersion
-	}
-	last := s.trimmedVersion
-	for k, c := range in.Changes {
-		if c.Version <= last || c.Version > in.Version || k >= maxKeptChanges {
-			return nil, fmt.Errorf(
-				"a snapshot of version %d whose change %d of %d has version %d",
-				in.Version,
-				k+1,
-				len(in.Changes),
-				c.Version,
-			)
-		}
-		last = c.Version
-		s.changes.push(c)
+	if err := s.restoreChanges(in); err != nil {
+		return nil, err
 	}
 	for _, w := range in.Writes {
 		s.rememberWrite(w)
@@ -123,8 +96,43 @@
 	return s, nil
 }
 
-// restore puts a copy in place of the state, with a version past all that can
-// have been given out since the copy was made, and nothing to be told by changes.
+// restoreRegistrations takes the endpoints of a snapshot, each of which has to be valid and there once.
+func (s *State) restoreRegistrations(in snapshotData) error {
+	for _, one := range in.Registrations {
+		name := one.Endpoint.Name
+		if err := one.Endpoint.Check(); err != nil {
+			return fmt.Errorf("a snapshot with a bad entry: %w", err)
+		}
+		if _, twice := s.registrations[name]; twice || one.Version > in.Version || one.Version == 0 {
+			return fmt.Errorf("a snapshot of version %d with %s twice, or at version %d",
+				in.Version, name, one.Version)
+		}
+		s.registrations[name] = one
+		s.byPosition.add(name)
+	}
+	return nil
+}
+
+// restoreChanges takes the changes of a snapshot, whose versions have to rise.
+func (s *State) restoreChanges(in snapshotData) error {
+	s.trimmedVersion = in.Version - uint64(len(in.Changes))
+	if in.TrimmedVersion != nil {
+		s.trimmedVersion = *in.TrimmedVersion
+	}
+	last := s.trimmedVersion
+	for k, c := range in.Changes {
+		if c.Version <= last || c.Version > in.Version || k >= maxKeptChanges {
+			return fmt.Errorf("a snapshot of version %d whose change %d of %d has version %d",
+				in.Version, k+1, len(in.Changes), c.Version)
+		}
+		last = c.Version
+		s.changes.push(c)
+	}
+	return nil
+}
+
+// restore puts a copy in place of the state, with a version past all that can have been given out since the
+// copy was made, and no changes to answer from.
 func (s *State) restore(c Command) Result {
 	if c.ReplacesEpoch != s.epoch {
 		return Result{
@@ -138,9 +146,9 @@
 	}
 	from.epoch = c.Epoch
 	from.version = max(from.version, s.version) + restoreVersionStep
-	from.changes, from.trimmedVersion, from.recordsVersion = ringBuffer[Change]{
-		capacity: maxKeptChanges,
-	}, from.version, from.version
+	from.changes = ringBuffer[Change]{capacity: maxKeptChanges}
+	from.trimmedVersion = from.version
+	from.recordsVersion = from.version
 	// the copy says nothing of the replicas and the holders of today
 	from.replicaAddresses, from.leases = s.replicaAddresses, s.leases
 	*s = *from
--- a/internal/registry/sortedkeys.go
+++ b/internal/registry/sortedkeys.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// sortedKeys are the records' keys in order, in runs of at most runMost: a key that comes or goes moves those
+// sortedKeys are the records' keys in order, in runs of at most maxRun: a key that comes or goes moves those
 // of its run alone, and what begins with a prefix is found without a look at the rest.
 type sortedKeys struct{ runs [][]string }
 
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -48,7 +48,7 @@
 
 	recordBytes    int    // of all records' values
 	recordsVersion uint64 // the version of the last change of a record
-	// the version of the last change that is no longer kept; no reader of an older one can be told by changes
+	// the version of the last change that is no longer kept; a reader of an older version needs a snapshot
 	trimmedVersion uint64
 }
 
--- a/internal/registry/subset.go
+++ b/internal/registry/subset.go
@@ -1,6 +1,6 @@
 package registry
 
-// Parts of the list: which of its servers a proxy works with, and so has to know.
+// Subsets of the endpoint list: which of its endpoints a proxy works with, and so has to know.
 
 import (
 	"fmt"
@@ -11,21 +11,23 @@
 	"wrenspread/internal/splitmix"
 )
 
-// The width of a proxy's part. A proxy works with the servers that follow its place on the ring, reachLeast
-// at least, and as many as let perServer proxies work with each: decide's reach. It holds reserve times as
-// many, so that it goes on where most of them are ill and nobody can be asked, and partLeast at least, of
-// which a proxy's own cost is small and chance leaves none without a zone.
+// The width of a proxy's subset. A proxy works with the endpoints that follow its place on the ring, at least
+// the balancer's smallest subset, and as many as let proxiesPerEndpoint proxies work with each: the
+// balancer's subset size. It holds spareFactor times as many, so that it goes on where most of them are ill
+// and nobody can be asked, and minSubsetEndpoints at least, of which a proxy's own cost is small and chance
+// leaves none without a zone.
 const (
 	proxiesPerEndpoint = 6
 	spareFactor        = 4
 	minSubsetEndpoints = 256
-	// ready servers that a part has of each group of classes: reserve times decide's least reach
+	// ready endpoints that a subset has of each placement of classes: spareFactor times the balancer's smallest
+	// subset size
 	minPerPlacement    = 4 * 5
-	maxSubsetEndpoints = 8192 // servers up to which a part grows for a group that is short: 1 MB to read
+	maxSubsetEndpoints = 8192 // endpoints up to which a subset grows for a group that is short: 1 MB to read
 )
 
 const (
-	ringUnits = 1 << 16       // units of a part's ends
+	ringUnits = 1 << 16       // units of a subset's ends
 	minWidth  = 4             // units of the narrowest part
 	maxWidth  = ringUnits / 4 // of the widest; beyond it is the complete list
 	// 2^64 / math.Phi: places of consecutive numbers lie evenly, however many there are
@@ -33,7 +35,7 @@
 	silverStep = 0x6a09e667f3bcc909 // 2^64 * (math.Sqrt2 - 1): even, too, and of no relation to it
 )
 
-// Position is the place of a server on the ring: the same at every proxy, whatever the list.
+// Position is the position of an endpoint on the ring: the same at every proxy, whatever the list.
 func Position(name string) uint64 {
 	h := uint32(2166136261) // FNV-1a, as of hash/fnv, without its allocation
 	for i := range len(name) {
@@ -42,11 +44,11 @@
 	return splitmix.Mix(uint64(h))
 }
 
-// StartPosition is the point of the ring from which the proxy of a number takes its servers.
+// StartPosition is the point of the ring from which the proxy of a number takes its endpoints.
 func StartPosition(self int) uint64 { return uint64(self) * goldenStep }
 
 // Subset is an arc of the ring, in units of 2^-16 of it. Widths are powers of two, and an arc begins at a
-// quarter of its width, so that proxies with places near each other have the same one. The zero Part is all
+// quarter of its width, so that proxies with places near each other have the same one. The zero subset is all
 // of the list.
 type Subset struct{ Start, Width uint16 }
 
@@ -87,7 +89,7 @@
 // Contains reports whether a server at that point belongs to it.
 func (p Subset) Contains(point uint64) bool { return p.IsAll() || uint16(point>>48)-p.Start < p.Width }
 
-// EachSubset calls do with every part that holds a point, all of the list too: four of each width.
+// EachSubset calls do with every subset that holds a point, all of the list too: four of each width.
 func EachSubset(point uint64, do func(Subset)) {
 	do(Subset{})
 	at := uint16(point >> 48)
@@ -111,7 +113,7 @@
 	return int(p.Width)
 }
 
-// subsetAt is the part of an arc around a proxy's place: three quarters of it follow the place, at least.
+// subsetAt is the subset of an arc around a proxy's place: three quarters of it follow the place, at least.
 func subsetAt(self, arc int) Subset {
 	if arc > maxWidth {
 		return Subset{}
@@ -120,10 +122,10 @@
 	return Subset{uint16(StartPosition(self)>>48) / step * step, uint16(arc)}
 }
 
-// SubsetOf is the part that the proxy of a number needs where so many proxies work with a list of total
-// servers. Two proxies that believe in other numbers have parts of other widths around the same place. The
-// size at which a part's width doubles differs by half from proxy to proxy, so that no single server or proxy
-// moves many parts.
+// SubsetOf is the subset that the proxy of a number needs where so many proxies work with a list of total
+// endpoints. Two proxies that believe in other numbers have subsets of other widths around the same place.
+// The size at which a subset's width doubles differs by half from proxy to proxy, so that no single server or
+// proxy moves many subsets.
 func SubsetOf(self, nodes, total int) Subset {
 	if nodes <= 0 || total <= 0 {
 		return Subset{}
@@ -137,7 +139,7 @@
 	return subsetAt(self, arc)
 }
 
-// Placement is a placement that classes of requests share: the zones and types of the servers open to them,
+// Placement is a placement that classes of requests share: the zones and types of the endpoints open to them,
 // all where nil.
 type Placement struct{ Zones, Types []string }
 
@@ -146,11 +148,11 @@
 		(g.Types == nil || slices.Contains(g.Types, e.Type))
 }
 
-// suffices reports whether q, of which entries are all at least, has servers enough for each group.
-func (q Subset) suffices(entries []Endpoint, groups []Placement) bool {
+// suffices reports whether p, of which entries are all at least, has endpoints enough for each group.
+func (p Subset) suffices(entries []Endpoint, groups []Placement) bool {
 	has := make([]int, len(groups))
 	for _, e := range entries {
-		if e.Status != Ready || !q.Contains(Position(e.Name)) {
+		if e.Status != Ready || !p.Contains(Position(e.Name)) {
 			continue
 		}
 		for i, g := range groups {
@@ -168,9 +170,9 @@
 	return true
 }
 
-// Next is the part to follow for a proxy that has p, and these entries of it. It grows at once, and where a
-// group is short of servers up to partMost; it shrinks only to under a quarter, so that nothing goes to and
-// fro. Entries are nil where none are known yet.
+// Next is the subset to follow for a proxy that has p, and these entries of it. It grows at once, and where a
+// group is short of endpoints up to maxSubsetEndpoints; it shrinks only to under a quarter, so that nothing
+// goes to and fro. Entries are nil where none are known yet.
 func (p Subset) Next(self, nodes, total int, entries []Endpoint, groups []Placement) Subset {
 	next := SubsetOf(self, nodes, total)
 	for entries != nil && p.Covers(next) && !next.IsAll() && !next.suffices(entries, groups) {
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -70,8 +70,8 @@
 	return a.addresses
 }
 
-// ProxyTargets gives the program's proxies as their agents have them. An agent that does
-// not answer is an error: a plan is checked whole.
+// ProxyTargets gives the proxies themselves as their agents have them. An agent that does not answer is an
+// error: a plan is checked whole.
 func ProxyTargets(ctx context.Context, k *client.Client, h *http.Client) ([]Target, error) {
 	agents, err := findAgents(ctx, k)
 	if err != nil {
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -17,26 +17,26 @@
 	Save(ctx context.Context, raw []byte, version uint64) (uint64, error)
 	// Order returns the operator's order that waits, if one does.
 	Order(ctx context.Context) (id, order, who string, err error)
-	// Taken makes room for the next order, once the record says that this one was taken.
+	// ClearOrder removes the order, once the record says that this one was taken.
 	ClearOrder(ctx context.Context) error
 }
 
 // ErrSuperseded ends a controller that another has followed.
 var ErrSuperseded = errors.New("release: another conductor has it")
 
-// Executor carries out what a release wants.
+// Executor carries out the actions of a release.
 type Executor interface {
-	// View tells what else does not serve.
+	// Unavailable returns the servers that do not serve for other reasons.
 	Unavailable(ctx context.Context) (Unavailable, error)
 	// Do carries an action out, or a part of it. It is done once done is true, and
 	// may be called again at any time, also for one that was done.
 	Do(ctx context.Context, a Action) (done bool, err error)
-	// Counts tells what the named servers, and the rest, have done so far, by the proxy
-	// that counted it. A proxy that can't be asked is not there.
+	// Counts tells what the named servers, and the rest, have done so far, by proxy. A proxy that can't be asked
+	// is not there.
 	Counts(ctx context.Context, named []string) (map[string]Comparison, error)
 }
 
-// Controller carries a release out. It is the work of a lease.
+// Controller carries a release out. It runs under a lease.
 type Controller struct {
 	Store    Store
 	Executor Executor
@@ -57,8 +57,8 @@
 
 func (c *Controller) now() time.Duration { return c.releaseTimeAtStart + c.Clock() - c.startedAt }
 
-// Run carries the release on from its record until it is over and nothing is out,
-// until ctx ends, or another controller has it.
+// Run carries the release on from its record until it is over and no server is out of service, until ctx
+// ends, or another controller has it.
 func (c *Controller) Run(ctx context.Context) error {
 	raw, version, err := c.Store.Load(ctx)
 	if err != nil {
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -1,9 +1,15 @@
-// Package release takes servers, or the program's proxies, from one version to
-// another: in waves, judged by gates, with a halt and a way back. The plan and the
-// machine are pure.
+// Package release takes servers, or the program's own proxies, from one version to another: in waves, each
+// judged by a gate after a soak, with a halt and a rollback.
+//
+// Plan and State are pure: State.Step, Done, Judged and Order take events with the time since the release
+// began, and State.Actions returns what is to be carried out. A Controller, which holds a lease, writes the
+// state to the registry before and after each action; so whichever controller follows goes on from the
+// record. An Executor carries the actions out, on servers through agents and proxies, or on the proxies
+// themselves.
 package release
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"math"
@@ -25,7 +31,7 @@
 	Limits   Limits   `koanf:"limits" json:"limits"`
 	Waves    []Wave   `koanf:"wave" json:"waves"`
 
-	// after a wave's last server is back, before it is judged
+	// from the return of a wave's last server to the gate
 	Soak     time.Duration `koanf:"soak" json:"soak_ns"`
 	Gate     Gate          `koanf:"gate" json:"gate"`
 	Halt     string        `koanf:"halt" json:"halt"` // wait, or back
@@ -58,7 +64,7 @@
 	MinRequests int `koanf:"least" json:"least"`
 	// the released part's share of failures may be so much above the rest's
 	MaxFailedExcess float64 `koanf:"failed" json:"failed"`
-	MaxLateExcess   float64 `koanf:"late" json:"late"` // the same, of requests past their aim
+	MaxLateExcess   float64 `koanf:"late" json:"late"` // the same, of requests past their latency objective
 	// failures of either part above this share are an incident of its own; 0: 0.1
 	IncidentThreshold float64 `koanf:"most" json:"most"`
 }
@@ -77,7 +83,7 @@
 	KindProxies = "program"
 )
 
-// IsForProxies reports whether the plan is about the program's proxies.
+// IsForProxies reports whether the plan is about the proxies themselves.
 func (p Plan) IsForProxies() bool { return p.Kind == KindProxies }
 
 // What a halt may do by itself.
@@ -110,70 +116,90 @@
 	}
 }
 
-// Check validates a plan, by its keys.
-func (p Plan) Check() error {
-	var errs []error
-	bad := func(ok bool, format string, args ...any) {
-		if !ok {
-			errs = append(errs, fmt.Errorf(format, args...))
-		}
-	}
-	text := func(key, value string) {
-		bad(value != "" && len(value) <= registry.MaxText, "%s: want 1 to %d bytes", key, registry.MaxText)
+// planProblems collects the faults of a plan, each with the key that it is about.
+type planProblems struct{ errs []error }
+
+func (p *planProblems) require(ok bool, format string, args ...any) {
+	if !ok {
+		p.errs = append(p.errs, fmt.Errorf(format, args...))
 	}
-	text("name", p.Name)
-	text("from", p.From)
-	text("to", p.To)
-	bad(
+}
+
+func (p *planProblems) requireText(key, value string) {
+	p.require(value != "" && len(value) <= registry.MaxText, "%s: want 1 to %d bytes", key, registry.MaxText)
+}
+
+func (p *planProblems) requireDuration(key string, d, least time.Duration) {
+	p.require(d >= least && d <= maxDuration, "%s: %v is not between %v and %v", key, d, least, maxDuration)
+}
+
+func (p *planProblems) requireShare(key string, share float64) {
+	p.require(share >= 0 && share <= 1, "%s: %v is not between 0 and 1", key, share)
+}
+
+// Check validates a plan. The error names all faults, each with its key.
+func (p Plan) Check() error {
+	var problems planProblems
+	p.checkWhat(&problems)
+	p.Limits.check(&problems)
+	p.checkWaves(&problems)
+	p.checkTimes(&problems)
+	p.Gate.check(&problems)
+	problems.require(
+		p.Halt == HaltWait || p.Halt == HaltRollBack,
+		"halt: %q is neither %q nor %q", p.Halt, HaltWait, HaltRollBack,
+	)
+	return errors.Join(problems.errs...)
+}
+
+// checkWhat validates what is released, and from which version to which.
+func (p Plan) checkWhat(problems *planProblems) {
+	problems.requireText("name", p.Name)
+	problems.requireText("from", p.From)
+	problems.requireText("to", p.To)
+	problems.require(
 		p.Kind == "" || p.Kind == KindServers || p.Kind == KindProxies,
-		"kind: %q is neither %q nor %q",
-		p.Kind,
-		KindServers,
-		KindProxies,
+		"kind: %q is neither %q nor %q", p.Kind, KindServers, KindProxies,
 	)
-	bad(p.From != p.To, "to: %q is the version that is there already", p.To)
-	for _, n := range p.Selector.Names {
-		_, err := path.Match(n, "")
-		bad(err == nil, "what.names: %q is no pattern", n)
+	problems.require(p.From != p.To, "to: %q is the version that is there already", p.To)
+	for _, name := range p.Selector.Names {
+		_, err := path.Match(name, "")
+		problems.require(err == nil, "what.names: %q is no pattern", name)
 	}
-	l := p.Limits
-	bad(l.Total >= 1, "limits.out: %d is under 1, so nothing could ever be released", l.Total)
-	bad(l.Zone >= 0 && l.Zone <= l.Total, "limits.zone: %d is not between 0 and limits.out", l.Zone)
-	bad(l.Cell >= 0 && l.Cell <= l.Total, "limits.pod: %d is not between 0 and limits.out", l.Cell)
-	bad(
+}
+
+func (l Limits) check(problems *planProblems) {
+	problems.require(l.Total >= 1, "limits.out: %d is under 1, so nothing could ever be released", l.Total)
+	problems.require(l.Zone >= 0 && l.Zone <= l.Total, "limits.zone: %d is not between 0 and limits.out", l.Zone)
+	problems.require(l.Cell >= 0 && l.Cell <= l.Total, "limits.pod: %d is not between 0 and limits.out", l.Cell)
+}
+
+func (p Plan) checkWaves(problems *planProblems) {
+	problems.require(
 		len(p.Waves) >= 1 && len(p.Waves) <= maxWaves,
-		"wave: there are %d, want 1 to %d",
-		len(p.Waves),
-		maxWaves,
+		"wave: there are %d, want 1 to %d", len(p.Waves), maxWaves,
 	)
 	for i, w := range p.Waves {
-		bad(
+		problems.require(
 			(w.Count > 0) != (w.Share > 0) && w.Count >= 0 && w.Share >= 0 && w.Share <= 1,
-			"wave %d: give either count, above 0, or share, above 0 and at most 1",
-			i+1,
+			"wave %d: give either count, above 0, or share, above 0 and at most 1", i+1,
 		)
 	}
-	span := func(key string, d time.Duration, least time.Duration) {
-		bad(d >= least && d <= maxDuration, "%s: %v is not between %v and %v", key, d, least, maxDuration)
-	}
-	span("soak", p.Soak, 0)
-	span("deadline.drain", p.Deadline.Drain, time.Second)
-	span("deadline.replace", p.Deadline.Replace, time.Second)
-	span("deadline.ready", p.Deadline.Ready, time.Second)
-	span("deadline.judge", p.Deadline.Judge, 0)
-	g := p.Gate
-	bad(g.MinRequests >= 0, "gate.least: %d is under 0", g.MinRequests)
-	for key, v := range map[string]float64{"gate.failed": g.MaxFailedExcess, "gate.late": g.MaxLateExcess, "gate.most": g.IncidentThreshold} {
-		bad(v >= 0 && v <= 1, "%s: %v is not between 0 and 1", key, v)
-	}
-	bad(
-		p.Halt == HaltWait || p.Halt == HaltRollBack,
-		"halt: %q is neither %q nor %q",
-		p.Halt,
-		HaltWait,
-		HaltRollBack,
-	)
-	return errors.Join(errs...)
+}
+
+func (p Plan) checkTimes(problems *planProblems) {
+	problems.requireDuration("soak", p.Soak, 0)
+	problems.requireDuration("deadline.drain", p.Deadline.Drain, time.Second)
+	problems.requireDuration("deadline.replace", p.Deadline.Replace, time.Second)
+	problems.requireDuration("deadline.ready", p.Deadline.Ready, time.Second)
+	problems.requireDuration("deadline.judge", p.Deadline.Judge, 0)
+}
+
+func (g Gate) check(problems *planProblems) {
+	problems.require(g.MinRequests >= 0, "gate.least: %d is under 0", g.MinRequests)
+	problems.requireShare("gate.failed", g.MaxFailedExcess)
+	problems.requireShare("gate.late", g.MaxLateExcess)
+	problems.requireShare("gate.most", g.IncidentThreshold)
 }
 
 // Matches reports whether a server or a proxy is one of those that the plan is about.
@@ -213,7 +239,8 @@
 		pod, zone int // the how manieth of it
 	}
 	var in []ranked
-	for _, t := range slices.SortedFunc(slices.Values(all), func(a, b Target) int { return compare(a.Name, b.Name) }) {
+	byName := func(a, b Target) int { return cmp.Compare(a.Name, b.Name) }
+	for _, t := range slices.SortedFunc(slices.Values(all), byName) {
 		pod := t.cell()
 		in = append(in, ranked{t, count[pod], 0})
 		count[pod]++
--- a/internal/release/proxyexecutor.go
+++ b/internal/release/proxyexecutor.go
@@ -10,9 +10,8 @@
 	"wrenspread/internal/registry/client"
 )
 
-// ProxyExecutor is the program's proxies, whose agents start a new version beside the old
-// one and hand over. Nothing has to be drained or listed. Its methods are safe for
-// concurrent use.
+// ProxyExecutor is the proxies themselves, whose agents start a new version beside the old one and hand off.
+// Nothing has to be drained or listed. Its methods are safe for concurrent use.
 type ProxyExecutor struct {
 	Registry *client.Client
 	Token    registry.FencingToken
@@ -47,7 +46,7 @@
 	}
 	call := agent.Caller{HTTP: f.HTTP}
 	switch a.Step {
-	case Maintenance, Drain, Restore: // the handover does it
+	case Maintenance, Drain, Restore: // the handoff does it
 		return true, nil
 	case Replace:
 		s, err := call.Order(ctx, at, a.Target.Name, agent.DesiredState{Version: a.Version}, f.Token)
@@ -57,7 +56,7 @@
 	return err == nil && s.Version == a.Version && s.Ready, wrong(s, a, err)
 }
 
-// wrong says what keeps a proxy from its version.
+// wrong says the reason why a proxy does not run its version.
 func wrong(s agent.Status, a Action, err error) error {
 	switch {
 	case err != nil:
@@ -68,8 +67,8 @@
 	return nil
 }
 
-// Counts asks every proxy, at the control address that its agent tells. Whatever was
-// not served counts as failed: a version that refuses more than the others is worse.
+// Counts asks every proxy, at the control address that its agent publishes. Whatever was not served counts as
+// failed: a version that rejects more than the others is worse.
 func (f *ProxyExecutor) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
 	is := map[string]bool{}
 	for _, n := range named {
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -18,7 +18,7 @@
 	orderPrefix  = "release-order/"
 )
 
-// LeaseName is the lease whose holder conducts a release.
+// LeaseName is the lease whose holder runs the controller of a release.
 func LeaseName(name string) string { return RecordPrefix + name }
 
 // pendingOrder is an operator's order in its record.
@@ -70,7 +70,7 @@
 	return err
 }
 
-// hasCode reports whether the service's refusal has a code.
+// hasCode reports whether the registry's refusal has a code.
 func hasCode(err error, code registry.Code) bool {
 	var r *client.Error
 	return errors.As(err, &r) && r.Code == string(code)
@@ -105,7 +105,7 @@
 	return o.ID, o.Order, o.Operator, err
 }
 
-// ClearOrder makes room for the next order.
+// ClearOrder removes the order, so that the next one can be left.
 func (r Records) ClearOrder(ctx context.Context) error {
 	if _, err := r.Registry.WithToken(r.Token).
 		Put(ctx, orderPrefix+r.Name, nil, nil); !hasCode(
--- a/internal/release/serverexecutor.go
+++ b/internal/release/serverexecutor.go
@@ -33,17 +33,17 @@
 	Token    registry.FencingToken
 	Proxies  []Proxy
 	HTTP     *http.Client
-	Grace    time.Duration // for what proxies hold at a server that is in maintenance
+	Grace    time.Duration // for requests in flight at a server that is in maintenance
 
 	mu         sync.Mutex
 	agents     agentDirectory
-	emptySince map[string]time.Time // when a server has nothing left, since it was seen draining
+	emptySince map[string]time.Time // when a server has no request in flight left, since it was seen draining
 }
 
 const maxStats = 4 << 20 // bytes of a proxy's figures
 
-// Unavailable returns the servers that the list has as leaving, and those that agents keep and the list does
-// not have.
+// Unavailable returns the servers that the endpoint list has as leaving, and those that agents keep and the
+// endpoint list does not have.
 func (f *ServerExecutor) Unavailable(ctx context.Context) (Unavailable, error) {
 	a, err := f.Registry.Registrations(ctx)
 	if err != nil {
@@ -68,7 +68,7 @@
 		if listed[name] {
 			continue
 		}
-		// Its zone went with its entry; one that hands over is a proxy, and in no list.
+		// Its zone went with its entry; one that is upgraded by handoff is a proxy, and in no list.
 		if s, err := (agent.Caller{HTTP: f.HTTP}).Status(ctx, at, name); err != nil || !s.Handover {
 			v.Endpoints = append(v.Endpoints, Target{Name: name, Zone: s.Zone, Type: s.Type, Cell: s.Cell})
 		}
@@ -114,7 +114,7 @@
 	return err == nil, err
 }
 
-// isDrained reports whether a server has been in maintenance for its grace.
+// isDrained reports whether a server has been in maintenance for its grace period.
 func (f *ServerExecutor) isDrained(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -46,8 +46,8 @@
 	return ok
 }
 
-// DecodeSettings reads the settings of an instance, which the simulator and a
-// real node's configuration give in the same form.
+// DecodeSettings reads the settings of an instance. The simulator and a proxy's configuration give them in
+// the same form. The error is the first fault.
 func DecodeSettings(raw json.RawMessage) (balancer.Settings, error) {
 	s, problems := ReadSettings(raw)
 	if len(problems) > 0 {
@@ -56,16 +56,30 @@
 	return s, nil
 }
 
-// ReadSettings is the same, and says all that is wrong with them; of values that
-// have a wrong type, the first.
+// ReadSettings is DecodeSettings, but returns all faults; of values of a wrong type, the first.
 func ReadSettings(raw json.RawMessage) (s balancer.Settings, problems []error) {
-	var p *SettingsForm
-	if err := json.Unmarshal(raw, &p); err != nil {
+	var form *SettingsForm
+	if err := json.Unmarshal(raw, &form); err != nil {
 		problems = append(problems, err)
 	}
-	if p == nil {
+	if form == nil {
 		return s, append(problems, missing("settings"))
 	}
+	problems = append(problems, form.checkChoices()...)
+	s = form.settings()
+	for _, c := range form.Classes {
+		class, classProblems := c.class()
+		s.Classes = append(s.Classes, class)
+		problems = append(problems, classProblems...)
+	}
+	for _, t := range form.Tenants {
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, QuotaShare: t.Fraction})
+	}
+	return s, problems
+}
+
+// checkChoices validates the keys that take one of a few words; each may be absent.
+func (p *SettingsForm) checkChoices() (problems []error) {
 	for _, c := range []struct {
 		key, value string
 		known      bool
@@ -79,7 +93,12 @@
 			problems = append(problems, fmt.Errorf("unknown %s %q", c.key, c.value))
 		}
 	}
-	s = balancer.Settings{
+	return problems
+}
+
+// settings returns the settings without classes and tenants.
+func (p *SettingsForm) settings() balancer.Settings {
+	return balancer.Settings{
 		Proxies:               p.Balancers,
 		ProxyIndex:            p.ProxyIndex,
 		Zone:                  p.Zone,
@@ -121,42 +140,59 @@
 		MaxOpenRequests:       p.Capabilities.MostHeld,
 		CPUPerSecond:          time.Duration(p.Capabilities.CPUPerSecond * float64(time.Microsecond)),
 		CPUPerRequest:         time.Duration(p.Capabilities.CPUPerRequest * float64(time.Microsecond)),
-		Goal: balancer.Goal{WholeDay: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
-			WorstTenant: p.Goal.WorstTenant},
-		Prices: balancer.Prices{Connection: p.Prices.Connection, Handshake: p.Prices.Handshake,
-			CrossZone: p.Prices.CrossZone, WastedWork: p.Prices.Waste, LateFailure: p.Prices.LateFail,
-			LoadQuery: p.Prices.Probe, Message: p.Prices.Peer, Migrations: p.Prices.Moves, OriginRead: p.Prices.Origin,
-			EndpointUpdates: p.Prices.Lines, Fleet: p.Prices.Fleet},
+		Goal:                  p.goal(),
+		Prices:                p.prices(),
 	}
-	for _, c := range p.Classes {
-		effect, ok := idempotencies[c.Effect]
-		if !ok {
-			problems = append(problems, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect))
-		}
-		scope, ok := scopes[c.KeyScope]
-		if !ok && (c.KeyScope != "" || effect == balancer.IdempotentByKey) {
-			problems = append(problems, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope))
-		}
-		s.Classes = append(
-			s.Classes,
-			balancer.Class{
-				Name:                c.Name,
-				PriorityWeight:      c.Importance,
-				LatencyObjective:    time.Duration(c.Aim),
-				ObjectivePerWork:    c.AimStretch,
-				Deadline:            time.Duration(c.GiveUp),
-				LateWeight:          c.LateWorth,
-				Idempotency:         effect,
-				DedupScope:          scope,
-				DedupWindow:         time.Duration(c.Dedup),
-				Streamed:            c.Streamed,
-				AllowedZones:        c.Domains,
-				AllowedMachineTypes: c.AllowedOn,
-			},
-		)
+}
+
+func (p *SettingsForm) goal() balancer.Goal {
+	return balancer.Goal{
+		WholeDay:    p.Goal.Whole,
+		WorstWindow: p.Goal.WorstWindow,
+		WorstClass:  p.Goal.WorstClass,
+		WorstTenant: p.Goal.WorstTenant,
 	}
-	for _, t := range p.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, QuotaShare: t.Fraction})
+}
+
+func (p *SettingsForm) prices() balancer.Prices {
+	return balancer.Prices{
+		Connection:      p.Prices.Connection,
+		Handshake:       p.Prices.Handshake,
+		CrossZone:       p.Prices.CrossZone,
+		WastedWork:      p.Prices.Waste,
+		LateFailure:     p.Prices.LateFail,
+		LoadQuery:       p.Prices.Probe,
+		Message:         p.Prices.Peer,
+		Migrations:      p.Prices.Moves,
+		OriginRead:      p.Prices.Origin,
+		EndpointUpdates: p.Prices.Lines,
+		Fleet:           p.Prices.Fleet,
 	}
-	return s, problems
+}
+
+// class translates a class of requests. A faulty word is an error, and its field then has the zero value.
+func (c classForm) class() (class balancer.Class, problems []error) {
+	idempotency, ok := idempotencies[c.Effect]
+	if !ok {
+		problems = append(problems, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect))
+	}
+	scope, ok := scopes[c.KeyScope]
+	if !ok && (c.KeyScope != "" || idempotency == balancer.IdempotentByKey) {
+		problems = append(problems, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope))
+	}
+	class = balancer.Class{
+		Name:                c.Name,
+		PriorityWeight:      c.Importance,
+		LatencyObjective:    time.Duration(c.Aim),
+		ObjectivePerWork:    c.AimStretch,
+		Deadline:            time.Duration(c.GiveUp),
+		LateWeight:          c.LateWorth,
+		Idempotency:         idempotency,
+		DedupScope:          scope,
+		DedupWindow:         time.Duration(c.Dedup),
+		Streamed:            c.Streamed,
+		AllowedZones:        c.Domains,
+		AllowedMachineTypes: c.AllowedOn,
+	}
+	return class, problems
 }
--- a/internal/simwire/settings_form.go
+++ b/internal/simwire/settings_form.go
@@ -1,6 +1,7 @@
 package simwire
 
-// SettingsForm is the form of settings: which keys there are, and the types of their values.
+// SettingsForm is the form of settings on the wire: which keys there are, and the types of their values. The
+// fields have the wire's words; ReadSettings translates them. Keys in _ns are in nanoseconds.
 type SettingsForm struct {
 	Tenants []struct {
 		Name     string  `json:"name"`
@@ -36,20 +37,7 @@
 		Probe      float64 `json:"probe"`
 		Waste      float64 `json:"waste"`
 	} `json:"charges"`
-	Classes []struct {
-		AimStretch float64  `json:"aim_stretch"`
-		Aim        int64    `json:"aim_ns"`
-		AllowedOn  []string `json:"allowed_on"`
-		Dedup      int64    `json:"dedup_window_ns"`
-		Domains    []string `json:"failure_domains_open"`
-		Effect     string   `json:"effect"`
-		GiveUp     int64    `json:"give_up_ns"`
-		Importance float64  `json:"importance"`
-		KeyScope   string   `json:"key_scope"`
-		LateWorth  float64  `json:"late_worth"`
-		Name       string   `json:"name"`
-		Streamed   bool     `json:"streamed"`
-	} `json:"classes"`
+	Classes        []classForm `json:"classes"`
 	ClientBehavior struct {
 		MarksRetry bool `json:"marks_retry"`
 	} `json:"client_habits"`
@@ -90,3 +78,19 @@
 	WorthBy    string   `json:"worth_by"`
 	Zone       string   `json:"zone"`
 }
+
+// classForm is the form of a class of requests. Times are in nanoseconds.
+type classForm struct {
+	AimStretch float64  `json:"aim_stretch"`
+	Aim        int64    `json:"aim_ns"`
+	AllowedOn  []string `json:"allowed_on"`
+	Dedup      int64    `json:"dedup_window_ns"`
+	Domains    []string `json:"failure_domains_open"`
+	Effect     string   `json:"effect"`
+	GiveUp     int64    `json:"give_up_ns"`
+	Importance float64  `json:"importance"`
+	KeyScope   string   `json:"key_scope"`
+	LateWorth  float64  `json:"late_worth"`
+	Name       string   `json:"name"`
+	Streamed   bool     `json:"streamed"`
+}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,6 @@
-// Package wire translates between the simulator's JSON lines and the decision
-// module's types. It decides nothing.
+// Package simwire translates between the simulator's JSON lines and the types of package balancer. The wire's
+// own words (submit, leg, roster, note) occur here and nowhere else. The settings of a proxy have the same
+// form, so that package proxy reads them here, too.
 package simwire
 
 import (
@@ -47,7 +48,7 @@
 	Seed     int64
 }
 
-// ScheduledEvent is one event for an instance: a start, an end, or one for the module.
+// ScheduledEvent is one event for an instance: its start, its end, or an event for its balancer.
 type ScheduledEvent struct {
 	Start  *Start
 	Retire bool
--- a/internal/tenant/cache.go
+++ b/internal/tenant/cache.go
@@ -7,7 +7,8 @@
 )
 
 // Cache decides what a proxy knows of tenants, and how authoritative it may be. It is pure. Its safety rests
-// on the session and on reads of the records; membership (PeerHasCatalogue) only makes it more careful, and quicker.
+// on the session and on reads of the records; membership (PeerHasCatalogue) only makes it more careful, and
+// quicker.
 type Cache struct {
 	generation   uint64
 	maxStaleness time.Duration
@@ -50,10 +51,10 @@
 // come to the registry after it.
 const tellInterval = 5 * time.Second
 
-// NewCache makes the cache of a proxy that knows nothing yet. generation is of this process, higher than of the one
-// before under its name. With a maximal staleness above 0 it serves no tenant after so long without contact
-// with the registry; it should be several TTLs. On demand it reads of a catalogue with leaves only those that
-// its requests name.
+// NewCache makes the cache of a proxy that knows nothing yet. generation is of this process, higher than of
+// the one before under its name. With a maximal staleness above 0 it serves no tenant after so long without
+// contact with the registry; it should be several TTLs. On demand it reads of a catalogue with leaves only
+// those that its requests name.
 func NewCache(life uint64, hold time.Duration, onDemand bool) *Cache {
 	return &Cache{
 		generation:      life,
@@ -160,7 +161,8 @@
 	if !e.Snapshot.covers(d.snapshot, d.neededLeaves()) {
 		return []any{ReadCatalogue{}}
 	}
-	older := e.Snapshot.Number < d.number() // the registry's state is from a copy: the controller makes a new one
+	// the registry's state is from a copy: the controller makes a new one
+	older := e.Snapshot.Number < d.number()
 	if d.snapshot == nil || e.Snapshot.Number > d.snapshot.Number ||
 		e.Snapshot.Number == d.snapshot.Number && e.Snapshot.levels > 0 {
 		d.applySnapshot(now, e.Snapshot)
--- a/internal/tenant/catalogue.go
+++ b/internal/tenant/catalogue.go
@@ -63,8 +63,9 @@
 	ready          bool                // the proxy is on the member record, and has read a catalogue since
 	authoritative  bool                // read since the present session began
 	authorityUntil time.Duration       // the session's authority ends then
-	stopServingAt  time.Duration       // by its maximal staleness it serves no tenant from then on; 0: there is none
-	behind         bool                // there is a newer catalogue, by what a peer said
+	// by its maximal staleness it serves no tenant from then on; 0: there is none
+	stopServingAt time.Duration
+	behind        bool // there is a newer catalogue, by what a peer said
 }
 
 // Ready reports whether the proxy may take requests of tenants at all.
--- a/internal/tenant/events.go
+++ b/internal/tenant/events.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// What happens at a proxy. Sent and Began are times of the proxy's own clock at which a
-// call was begun, however late its answer.
+// Events of a proxy's Cache. Sent and StartedAt are times of the proxy's own clock at which a call was begun,
+// however late its answer.
 type (
 	// SessionOpened tells of a session that was opened with the cache's Status.
 	SessionOpened struct {
@@ -15,9 +15,9 @@
 		Sent  time.Duration
 		Known bool
 	}
-	// CatalogueRead brings the catalogue as it is now, as far as Want said when the read began, read after the
-	// MemberRead brings the member record: whether this proxy is in it, in its generation and with its maximal
-	// staleness.
+	// CatalogueRead brings the catalogue as it is now, as far as Wanted asked for it when the read began. It was
+	// read after the member record, of which Enrolled says whether this proxy is in it, in its generation and
+	// with its maximal staleness.
 	CatalogueRead struct {
 		StartedAt time.Duration
 		Enrolled  bool
@@ -29,21 +29,22 @@
 	PolicyChanged struct{ PolicyTable }
 	// LeafMissing tells of a request of a leaf that the proxy does not hold, by what X-Tenant says.
 	LeafMissing struct{ Name string }
-	// RequestStarted and Over tell of a request that was served for a tenant, by its name in the catalogue.
+	// RequestStarted tells of a request that is served for a tenant, by the tenant's name in the catalogue.
 	RequestStarted struct{ Tenant string }
-	RequestEnded   struct{ Tenant string }
+	// RequestEnded tells of the end of such a request.
+	RequestEnded struct{ Tenant string }
 	// Tick has the proxy look at its clock; it comes at least each half second.
 	Tick struct{}
-	// Leave has it serve no tenant any more.
+	// Leave has the proxy serve no tenant any more.
 	Leave struct{}
 )
 
-// What a proxy's shell is to do.
+// Actions that the owner of a Cache carries out.
 type (
 	// SwapCatalogue answers requests from another catalogue from now on. It is carried out before
-	// a Tell that comes with it.
+	// a TellStatus that comes with it.
 	SwapCatalogue struct{ *Catalogue }
-	// TellStatus changes the word of the session.
+	// TellStatus changes the status in the session's note.
 	TellStatus struct{ Status Status }
 	// ReadCatalogue reads the member record and then the catalogue, as they are now; one read at a time,
 	// and another after it where it was asked for in between.
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -97,8 +97,9 @@
 type Member struct {
 	Name string `json:"name"`
 	// a restart is another; it serves nothing before the member record has it
-	Generation     uint64 `json:"life"`
-	MaxStalenessMS int64  `json:"hold_ms,omitempty"` // it stops after so long without contact with the registry; 0: never
+	Generation uint64 `json:"life"`
+	// it stops after so long without contact with the registry; 0: never
+	MaxStalenessMS int64 `json:"hold_ms,omitempty"`
 }
 
 // MaxStaleness is how long a member serves on without contact with the registry; 0: for ever.
--- a/internal/tenant/spec.go
+++ b/internal/tenant/spec.go
@@ -41,7 +41,8 @@
 	// a table of this version has its limits; set by the controller
 	PolicyVersion uint64 `json:"policy,omitempty"`
 	Suspended     bool   `json:"suspended,omitempty"`
-	DrainMS       int64  `json:"drain_ms,omitempty"` // requests in flight have so long to end once the tenant goes
+	// requests in flight have so long to end once the tenant goes
+	DrainMS int64 `json:"drain_ms,omitempty"`
 
 	unknownFields rawFields
 }
--- a/internal/tenant/status.go
+++ b/internal/tenant/status.go
@@ -9,11 +9,12 @@
 
 // Status is what a proxy's session tells the controller of it: the note of the session.
 type Status struct {
-	Generation   uint64
-	Prepared     uint64        // the number of the catalogue that it has taken up, with all that its specs need
-	DrainedUpTo  uint64        // nothing is open of what began to drain up to this number
-	MaxStaleness time.Duration // it serves no tenant after so long without contact with the registry; 0: it serves on
-	Left         bool          // it serves nothing any more, and nothing is open
+	Generation  uint64
+	Prepared    uint64 // the number of the catalogue that it has taken up, with all that its specs need
+	DrainedUpTo uint64 // nothing is open of what began to drain up to this number
+	// it serves no tenant after so long without contact with the registry; 0: it serves on
+	MaxStaleness time.Duration
+	Left         bool // it serves nothing any more, and nothing is open
 }
 
 // Encode is the text form of the status in a session's note. Other words of the note may stand beside it.
@@ -56,7 +57,8 @@
 	return w, ok && w.Generation > 0
 }
 
-const maxMaxStaleness = 24 * time.Hour // of a status that is read; the longer counts as this, also at the proxy
+// of a status that is read; the longer counts as this, also at the proxy
+const maxMaxStaleness = 24 * time.Hour
 
 // Times that the controller and the proxies count on different clocks. Two clocks' rates differ by at most 1
 // in 1,000. A proxy's authority for a definite no ends a five hundredth of the TTL early, and the controller
