--- /dev/null
+++ b/internal/agent/readiness.go
@@ -0,0 +1,56 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+
+	"wrenspread/internal/backoff"
+	"wrenspread/internal/besteffort"
+)
+
+// checkReadiness asks the server again and again whether it is ready.
+func (k *supervisor) checkReadiness(ctx context.Context, control int) {
+	for ctx.Err() == nil {
+		err := k.probeReady(ctx, control)
+		if ctx.Err() != nil {
+			return
+		}
+		k.updateStatus(func(s *Status) {
+			if s.Ready = err == nil; err != nil {
+				s.Reason = err.Error()
+			} else {
+				s.Reason = ""
+			}
+		})
+		backoff.Sleep(ctx, readyInterval)
+	}
+}
+
+func (k *supervisor) probeReady(ctx context.Context, control int) error {
+	address := k.server.Address
+	if k.server.Handover {
+		address = k.server.Control[control]
+	}
+	if k.server.Ready == "" {
+		c, err := (&net.Dialer{Timeout: readyTimeout}).DialContext(ctx, "tcp", address)
+		if err == nil {
+			besteffort.Close(c)
+		}
+		return err
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+k.server.Ready, nil)
+	if err != nil {
+		return err
+	}
+	resp, err := k.http.Do(req)
+	if err != nil {
+		return err
+	}
+	besteffort.Close(resp.Body)
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s answers %s", k.server.Ready, resp.Status)
+	}
+	return nil
+}
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -4,16 +4,10 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"sync"
-	"syscall"
 	"time"
-
-	"wrenspread/internal/backoff"
-	"wrenspread/internal/besteffort"
 )
 
 const (
@@ -208,113 +202,3 @@
 	running.close()
 	return k.watchProcess(ctx, next)
 }
-
-// adoptOrStart adopts the process that an earlier agent left running, or starts one.
-func (k *supervisor) adoptOrStart(version string) (*process, error) {
-	p, err := adopt(k.recordFile)
-	if err != nil {
-		k.log.Warn("adopting an earlier process failed", "err", err)
-	}
-	if p != nil {
-		k.log.Info("taken up", "version", p.Version, "pid", p.PID)
-		return p, nil
-	}
-	return k.start(nil, version, 0, k.recordFile)
-}
-
-// start starts a process; beside is the one that runs already, or nil.
-func (k *supervisor) start(beside *process, version string, control int, trace string) (*process, error) {
-	args, dir := k.server.command(version)
-	cmd := exec.Command(args[0], args[1:]...)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, k.output, k.output
-	if k.server.Handover {
-		if err := k.open(beside); err != nil {
-			return nil, err
-		}
-		cmd.ExtraFiles = []*os.File{k.socket}
-		cmd.Env = append(os.Environ(), "GW_ACCEPT_FD=3", "GW_CONTROL="+k.server.Control[control])
-	}
-	p, err := startProcess(cmd, version, control, trace)
-	if err == nil {
-		k.log.Info("started", "version", version, "pid", p.PID)
-	}
-	return p, err
-}
-
-// publishProcess puts a process into the status.
-func (k *supervisor) publishProcess(p *process) {
-	k.updateStatus(func(s *Status) {
-		s.Version = p.Version
-		s.Running = true
-		s.Ready = false
-		s.Reason = "it does not answer yet"
-		s.StartedAtMS = p.StartedAtMS
-		s.RejectedVersion = ""
-		if k.server.Handover {
-			s.Control = k.server.Control[p.ControlIndex]
-		}
-	})
-}
-
-// stopProcess sends SIGTERM to a process, and SIGKILL after its grace.
-func (k *supervisor) stopProcess(p *process) error {
-	k.updateStatus(func(s *Status) { s.Ready, s.Reason = false, "it is told to end" })
-	if err := p.signal(syscall.SIGTERM); err != nil {
-		return <-p.ended // it has ended just now
-	}
-	t := time.NewTimer(k.server.grace())
-	defer t.Stop()
-	select {
-	case err := <-p.ended:
-		return err
-	case <-t.C:
-		k.log.Warn("process does not end, killing it", "pid", p.PID, "grace", k.server.grace())
-		besteffort.Signal(p.signal(syscall.SIGKILL))
-		return <-p.ended
-	}
-}
-
-// checkReadiness asks the server again and again whether it is ready.
-func (k *supervisor) checkReadiness(ctx context.Context, control int) {
-	for ctx.Err() == nil {
-		err := k.probeReady(ctx, control)
-		if ctx.Err() != nil {
-			return
-		}
-		k.updateStatus(func(s *Status) {
-			if s.Ready = err == nil; err != nil {
-				s.Reason = err.Error()
-			} else {
-				s.Reason = ""
-			}
-		})
-		backoff.Sleep(ctx, readyInterval)
-	}
-}
-
-func (k *supervisor) probeReady(ctx context.Context, control int) error {
-	address := k.server.Address
-	if k.server.Handover {
-		address = k.server.Control[control]
-	}
-	if k.server.Ready == "" {
-		c, err := (&net.Dialer{Timeout: readyTimeout}).DialContext(ctx, "tcp", address)
-		if err == nil {
-			besteffort.Close(c)
-		}
-		return err
-	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+k.server.Ready, nil)
-	if err != nil {
-		return err
-	}
-	resp, err := k.http.Do(req)
-	if err != nil {
-		return err
-	}
-	besteffort.Close(resp.Body)
-	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %s", k.server.Ready, resp.Status)
-	}
-	return nil
-}
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -11,7 +11,7 @@
 //
 //   - At any time the buckets of all proxies, the capacity for tokens in transit and the allocator's own
 //     bucket (allocation) have a capacity of burst tokens together, and are filled at rate units a second
-//     together. So at a window's start there are at most burst tokens, and at most rate x W are added to them.
+//     together. So at a window's start there are at most burst tokens, and at most rate x W are added.
 //   - The allocator counts for each proxy the most that it may have (Allocator.count): all leases that it may
 //     still hold, and its fallback share, unless that has been unused for longer than any lease that is
 //     granted now can last.
