--- a/balancer/loadmessage.go
+++ b/balancer/loadmessage.go
@@ -10,9 +10,9 @@
 const (
 	loadMessageKind  = 1
 	loadMessageSize  = 6     // bytes without the latency, which is one more
-	loadSteps        = 8.0   // load is told in steps of 1/8 of a mean request
-	minGossipLatency = 0.001 // s, the lowest latency that is told
-	latencySteps     = 16.0  // in which a doubling of it is told
+	loadSteps        = 8.0   // load is sent in steps of 1/8 of a mean request
+	minGossipLatency = 0.001 // s, the lowest latency that is sent
+	latencySteps     = 16.0  // in which a doubling of it is sent
 )
 
 // peerLoad is what another proxy has said that it has in flight at an endpoint.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -65,7 +65,7 @@
 	AllowCancel        bool          // CancelAttempt is allowed
 	AllowLoadQueries   bool          // QueryLoad is allowed
 	AllowGossip        bool          // SendMessage is allowed
-	SendRetryAfter     bool          // clients are told Reject.RetryAfter
+	SendRetryAfter     bool          // clients get Reject.RetryAfter
 	MaxRetryAfter      time.Duration // the longest that clients follow
 	ClientsMarkRetries bool
 	ConnectTimeout     time.Duration
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -15,7 +15,7 @@
 // while it does not answer. The list drops it if this agent is lost.
 func (a *agent) maintainEntry(ctx context.Context, k *supervisor) {
 	var has registry.Endpoint // as it was registered; without a name: it is not
-	var told time.Time
+	var writtenAt time.Time
 	for ctx.Err() == nil {
 		status, changed := k.current()
 		want := a.endpointOf(k, status)
@@ -26,7 +26,7 @@
 				_, err := a.registry.Register(ctx, want, a.config.TTL, nil)
 				return err
 			}); err == nil {
-				has, told = want, time.Now()
+				has, writtenAt = want, time.Now()
 			}
 		case want != has:
 			if err = a.writeWithTimeout(ctx, func(ctx context.Context) error {
@@ -35,7 +35,7 @@
 			}); err == nil {
 				has = want
 			}
-		case has.Name != "" && time.Since(told) >= a.config.TTL/renewalsPerTTL:
+		case has.Name != "" && time.Since(writtenAt) >= a.config.TTL/renewalsPerTTL:
 			err = a.writeWithTimeout(ctx, func(ctx context.Context) error {
 				unknown, err := a.registry.Renew(ctx, []string{k.server.Name})
 				if len(unknown) > 0 {
@@ -43,7 +43,7 @@
 				}
 				return err
 			})
-			told = time.Now()
+			writtenAt = time.Now()
 		}
 		if err != nil && ctx.Err() == nil {
 			a.log.Warn("registry write failed", "server", k.server.Name, "err", err)
--- a/internal/besteffort/besteffort.go
+++ b/internal/besteffort/besteffort.go
@@ -40,6 +40,6 @@
 // beyond them is counted at the bound.
 func Sample(error) {}
 
-// Ended discards the error with which something has ended that was told to, such as a goroutine whose context
-// was cancelled or a process that was killed.
+// Ended discards the error with which something has ended on request, such as a goroutine whose context was
+// cancelled or a process that was killed.
 func Ended(error) {}
--- a/internal/config/program.go
+++ b/internal/config/program.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 )
 
-// Main runs a program's command until it ends or is told to, and exits with 1
-// after an error, which it prints.
+// Main runs a program's command until it ends or gets a signal, and exits with 1 after an error, which it
+// prints.
 func Main(c *cobra.Command) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -58,7 +58,7 @@
 	cancelled bool // nobody wants the lease any more
 
 	runningToken    uint64        // of the work that runs; 0: none does
-	stopRequestedAt time.Duration // when that was told to stop; 0: it was not
+	stopRequestedAt time.Duration // when its context was cancelled; 0: it was not
 	startedAt       time.Duration // when it was started
 
 	callPending    bool // a campaign or a release is under way
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -4,9 +4,8 @@
 // A Session is this process's session with the registry. Run wants a lease and does its work for as long as
 // the process holds it. Two processes never work under one lease at the same time if clock rates are off by
 // maxClockDrift at most and work stops when its context ends: work begins only after a renewal that confirms
-// the grant, and is told to stop a fraction of the TTL before the registry can give the lease to another.
-// Where work may be paused for longer, whoever takes its orders must check the fencing token (package
-// fencing).
+// the grant, and is cancelled a fraction of the TTL before the registry can give the lease to another. Where
+// work may be paused for longer, whoever takes its orders must check the fencing token (package fencing).
 package lease
 
 import (
@@ -182,7 +181,7 @@
 
 // HeldUntil returns the time before which nobody else can hold a lease that this process holds under a token:
 // until then its holder may act without asking anybody. Each renewal extends it. It is zero once the work is
-// told to stop. Work that may have been paused must ask after it has read what it acts on, not before.
+// cancelled. Work that may have been paused must ask after it has read what it acts on, not before.
 func (s *Session) HeldUntil(token Token) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -28,8 +28,8 @@
 	// Answer is the time for a direct answer before others are asked for an indirect probe: 60 ms, over 100
 	// times a round trip within a site, and short enough that the indirect answers have the rest of the period.
 	ProbeTimeout time.Duration
-	// Fresh is how long a dead or left member stays in the digest and is told on: 60 s, far beyond the time that
-	// a broadcast needs.
+	// Fresh is how long a dead or left member stays in the digest and is broadcast: 60 s, far beyond the time
+	// that a broadcast needs.
 	DeadGossipTime time.Duration
 	// Forget is how long a dead or left member is remembered, and a dead one asked: 10 min. Longer cuts heal by
 	// the seeds.
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -11,8 +11,8 @@
 	ageResolution = 100 * 1e6 // a tenth of a second
 	maxAge        = wire.MaxAge * ageResolution
 
-	// gossipFanout is how many members are told each period while there are broadcasts, beside what rides on
-	// probes: with them broadcasts reach about four more nodes for each that has them in a period.
+	// gossipFanout is how many members get broadcasts each period while there are broadcasts, beside what rides
+	// on probes: with them broadcasts reach about four more nodes for each that has them in a period.
 	gossipFanout = 2
 )
 
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/membership"
 )
 
-// Lines of the log, a second and at once; more are counted and told with the next.
+// Lines of the log, a second and at once; more are counted and logged with the next.
 const (
 	logRate  = 10
 	logBurst = 50
@@ -44,7 +44,7 @@
 			m.Health,
 			"state",
 			m.Metadata.State,
-			"life",
+			"generation",
 			m.Generation,
 			"why",
 			cmp.Or(m.Reason, "-"),
--- a/internal/membership/gossip/server.go
+++ b/internal/membership/gossip/server.go
@@ -138,7 +138,7 @@
 		}
 		cfg.Log.Warn(
 			"cannot continue the previous generation",
-			"life",
+			"generation",
 			h.Generation,
 			"incarnation",
 			h.Incarnation,
@@ -187,7 +187,7 @@
 			s.logLimited(
 				slog.LevelError,
 				"another process has this node's name",
-				"life",
+				"generation",
 				a.Generation,
 				"from",
 				a.From,
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -2,7 +2,7 @@
 
 import "wrenspread/internal/membership/wire"
 
-// A leave is told to three drawn members in each of eight periods, and rides on answers: 1.6 s. With a loss
+// A leave is sent to three drawn members in each of eight periods, and rides on answers: 1.6 s. With a loss
 // of 30% all 24 datagrams are lost once in 10 to the 12.
 const (
 	leavePeriods = 8
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -25,7 +25,7 @@
 	next    int
 }
 
-// addToRound puts a member that is new, or lives again, at a drawn place in what is left of the round.
+// addToRound puts a member that is new, or is alive again, at a drawn place in what is left of the round.
 func (c *Core) addToRound(r *memberState) {
 	if r == c.self || r.inRound || !r.living() {
 		return
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -89,28 +89,28 @@
 // meetHigherGeneration hears of a generation of its own name above its own. A young process that hears it for
 // the first time takes one more: that was itself before a restart. Any other yields: there is a second
 // process, and the later one keeps the name. As a process raises its generation once, this ends.
-func (c *Core) meetHigherGeneration(life uint64, from netip.AddrPort) {
+func (c *Core) meetHigherGeneration(generation uint64, from netip.AddrPort) {
 	if !c.ownState.hasRaised && (!c.ownState.hasMet || c.now-c.ownState.metAt < youngTime) {
-		c.raiseGeneration(life + 1)
+		c.raiseGeneration(generation + 1)
 		return
 	}
 	c.yielded = true
 	c.actions = append(
 		c.actions,
-		NameConflict{Generation: life, From: from, Yielded: true},
+		NameConflict{Generation: generation, From: from, Yielded: true},
 		Log{
 			Text: fmt.Sprintf(
-				"another process named %s, of the later life %d, keeps the name: this one is silent",
+				"another process named %s, of the later generation %d, keeps the name: this one is silent",
 				c.self.statement.Name,
-				life,
+				generation,
 			),
 		},
 	)
 }
 
 // raiseGeneration goes on in a generation of at least this number.
-func (c *Core) raiseGeneration(life uint64) {
-	if life >= wire.MaxGeneration {
+func (c *Core) raiseGeneration(generation uint64) {
+	if generation >= wire.MaxGeneration {
 		return
 	}
 	c.ownState.hasRaised, c.ownState.echoes = true, 0
@@ -118,14 +118,14 @@
 		c.actions,
 		Log{
 			Text: fmt.Sprintf(
-				"%s goes on in life %d, as its name is known in a former one",
+				"%s goes on in generation %d, as its name is known in an earlier one",
 				c.self.statement.Name,
-				life,
+				generation,
 			),
 		},
 	)
 	st := c.self.statement
-	st.Generation, st.Incarnation = life, 0
+	st.Generation, st.Incarnation = generation, 0
 	c.updateMember(c.self, st)
 }
 
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -20,7 +20,7 @@
 	defaultSockets  = 1024
 )
 
-// Config is what a proxy is told at its start.
+// Config is the configuration of a proxy at its start.
 type Config struct {
 	Name           string
 	Listen         string   // where clients connect
@@ -162,7 +162,7 @@
 	return settings, problems
 }
 
-// parsePeers parses the peers' addresses. One that is no address is invalid: that peer is told no loads.
+// parsePeers parses the peers' addresses. One that is no address is invalid: that peer gets no load messages.
 func parsePeers(texts []string) (peers []netip.AddrPort) {
 	for _, text := range texts {
 		address, _ := netip.ParseAddrPort(text)
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -20,7 +20,7 @@
 	Poll(ctx context.Context, fetch, watch bool)
 }
 
-// listHold is short, so that a proxy soon notices a replica that is cut off without a word.
+// listHold is short, so that a proxy soon notices a replica that is cut off silently.
 const listHold = 5 * time.Second
 
 // agentAnswerTimeout is how long a new process waits for what the agent holds, which
@@ -95,14 +95,14 @@
 	}
 }
 
-// agentAnswered tells the front that clients may come, as far as the agent's first word is concerned.
+// agentAnswered tells the front that clients may come, as far as the agent's first answer is concerned.
 func (srv *Server) agentAnswered() {
 	srv.awaitingAgent = false
 	srv.updateReady()
 }
 
-// registrySource is the registry with its several replicas. It pushes lists for ever,
-// so a module that asks is told what is there.
+// registrySource is the registry with its several replicas. It pushes lists for ever, so a module that polls
+// gets what is there.
 type registrySource struct {
 	client   *client.Client
 	subset   subsetChooser
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -180,7 +180,7 @@
 		return result{outcome: balancer.Cancelled, bodyDiscarded: true}, false, errClientGone
 	case werr == nil:
 		return res, clean, err
-	case err == nil && res.outcome != balancer.OK: // a proper word that it is not wanted
+	case err == nil && res.outcome != balancer.OK: // it was properly rejected
 		return res, false, nil
 	case wasCancelled(ctx):
 		return result{outcome: balancer.Cancelled, bodyDiscarded: res.bodyDiscarded}, false, werr
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -204,7 +204,7 @@
 }
 
 // abandon ends a request whose client has left, or has only ended its sending and can still read. Without a
-// word from here the server would tell it 200, which no backend said.
+// word from here the server would send it 200, which no backend said.
 func (f *frontend) abandon(w http.ResponseWriter, req *request) {
 	f.server.post(func() { f.server.abandonRequest(req) })
 	write(w, response{status: http.StatusBadGateway})
--- a/internal/proxy/handoff_link.go
+++ b/internal/proxy/handoff_link.go
@@ -20,7 +20,7 @@
 const (
 	handoverVersion = 1
 	maxHandoverLine = 4 << 20                // bytes; the state of a thousand servers takes a tenth
-	helloTimeout    = 2 * time.Second        // for the other end's first words
+	helloTimeout    = 2 * time.Second        // for the other end's first message
 	forwardTimeout  = 400 * time.Millisecond // for the other process to take a maintenance call
 )
 
@@ -36,7 +36,7 @@
 	Number        int                            `json:"number,omitempty"` // of a call that is forwarded
 	// how the member record has the proxy
 	Tenants *tenant.Member `json:"tenants,omitempty"`
-	// a view.Handed, the proxy's life in the fleet; what can't be read of it costs only the generation
+	// a gossip.Handoff, the proxy's generation in the fleet; what can't be read of it costs only the generation
 	Membership json.RawMessage `json:"fleet,omitempty"`
 }
 
--- a/internal/proxy/handoff_new.go
+++ b/internal/proxy/handoff_new.go
@@ -88,7 +88,7 @@
 
 // takeOver goes on where greet ended, with a link that has been joined: it waits for the list, has the old
 // process let go, and stays linked with it until it ends. It returns when this process is to serve, and false
-// if that has been told to end before: the old one serves on.
+// if that got SIGTERM before: the old one serves on.
 func (srv *Server) takeOver(ctx context.Context, l *handoffLink) bool {
 	yours := make(chan struct{})
 	let := sync.OnceFunc(func() { close(yours) })
--- a/internal/proxy/handoff_old.go
+++ b/internal/proxy/handoff_old.go
@@ -106,7 +106,7 @@
 	return srv.do(func() { m = srv.handoffState() }) && l.writeLocked(m, -1) == nil
 }
 
-// handoffState is what a new process is told.
+// handoffState is what a new process receives.
 func (srv *Server) handoffState() handoffMessage {
 	learned := srv.balancer.Learned(srv.now())
 	m := handoffMessage{
--- a/internal/proxy/listener/conn.go
+++ b/internal/proxy/listener/conn.go
@@ -136,9 +136,9 @@
 	return len(c.pipelined) > 0
 }
 
-// Close ends the connection, and then gives its place to another. A close over
-// bytes that nobody has read is a reset, which may destroy an answer on its
-// way; so the client is told first, and has some time to close.
+// Close ends the connection, and then gives its place to another. A close over bytes that nobody has read is
+// a reset, which may destroy an answer on its way; so the client gets Connection: close first, and has some
+// time to close.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.state = closed
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -22,7 +22,7 @@
 const (
 	connCheckInterval = 50 * time.Millisecond // between two looks at connections that are to end
 	queueAcceptTime   = 50 * time.Millisecond // to accept a connection that waits already
-	// for a client that is told to close to do so, before another is told
+	// for a client that got Connection: close to do so, before another gets it
 	evictPause = 20 * time.Millisecond
 	// minFreshTime is for a new client's first byte to come, before it may give way: a
 	// round trip, or two. Clients connect when they have something to send.
--- a/internal/proxy/membership_config.go
+++ b/internal/proxy/membership_config.go
@@ -21,7 +21,7 @@
 	maxSeeds         = 512 // as many as the core takes
 )
 
-// Version of the program that the fleet is told, to be set by the linker: -X
+// Version of the program that members publish, to be set by the linker: -X
 // wrenspread/internal/proxy.Version=v7. Else it is the revision that it was built from, or unknown to one
 // that was built without.
 var Version string
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -69,7 +69,7 @@
 	ledger       *quota.Ledger
 	policyKnown  bool // the policy, or that there is none, has been heard of in this process
 	ticks        int
-	highestToken uint64 // the highest fencing token that was told
+	highestToken uint64 // the highest fencing token that was received
 
 	version, token, requests, rejected atomic.Uint64
 	fallbackSuspended, hasSlot         atomic.Bool
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -29,7 +29,7 @@
 	cancelAttempts  []context.CancelFunc
 	runningAttempts int
 	deadlineGuard   *time.Timer
-	// by its name in the catalogue, until the request is over; empty: tenants are not told apart
+	// by its name in the catalogue, until the request is over; empty: tenants are not distinguished
 	tenant        string
 	stream        *responseStream // the long answer that has begun; nil: none
 	parked        bool            // it has waited for its tenant's part of the catalogue
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -57,7 +57,7 @@
 	identity   identity
 	membership atomic.Pointer[gossip.Server] // nil: none, or not yet
 	policy     *policyFollower               // nil: no policy is followed
-	tenants    *tenantService                // nil: tenants are not told apart
+	tenants    *tenantService                // nil: tenants are not distinguished
 }
 
 // handoffParts is what this process has to do with earlier and later ones of the same proxy.
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -33,7 +33,7 @@
 
 	mu        sync.RWMutex
 	results   map[string]*[outcomeCount]atomic.Int64 // by class; one that was dropped keeps its count
-	endpoints map[string]*endpointCounts             // nil: they are not told apart
+	endpoints map[string]*endpointCounts             // nil: they are not distinguished
 }
 
 // endpointCounts are those of one server that ended and say something of it.
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -32,7 +32,7 @@
 	unavailable, forbidden, notFound atomic.Uint64 // requests
 }
 
-// newTenantService gives nil where tenants are not told apart.
+// newTenantService gives nil where tenants are not distinguished.
 func newTenantService(cfg Config) (*tenantService, error) {
 	if !cfg.Tenants.Enabled {
 		return nil, nil
@@ -74,7 +74,7 @@
 	srv.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
-// member is what the next process of this proxy is told; nil where tenants are not told apart.
+// member is what the next process of this proxy receives; nil where tenants are not distinguished.
 func (t *tenantService) member() *tenant.Member {
 	if t == nil {
 		return nil
--- a/internal/proxy/tenants_config.go
+++ b/internal/proxy/tenants_config.go
@@ -17,7 +17,7 @@
 // TenantsConfig says what the proxy has to do with tenants.
 type TenantsConfig struct {
 	Enabled      bool          // requests are answered by the catalogue of tenants
-	MaxStaleness time.Duration // it serves none after so long without word of the catalogue; 0: it serves on
+	MaxStaleness time.Duration // it serves none after so long without contact with the registry; 0: it serves on
 	OnDemand     bool          // of a catalogue with parts it reads those that requests name
 }
 
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -11,7 +11,7 @@
 const (
 	catalogueReadTimeout = 5 * time.Second        // for one read of the catalogue
 	tenantTick           = 250 * time.Millisecond // of the cache's clock: it wants each half second
-	// for the word that the proxy has left, and for the member record to follow
+	// for the status that the proxy has left, and for the member record to follow
 	leftTimeout = 2 * time.Second
 )
 
@@ -104,7 +104,7 @@
 
 // leaveTenants says that this process serves no tenant any more, once it has ended all its requests. wait
 // returns when the member record has followed, or late, with the session closed: until then changes of
-// tenants wait for this proxy. One whose word has not been seen runs out by itself, so that it still can be.
+// tenants wait for this proxy. One whose status has not been seen expires by itself, so that it still can be.
 func (srv *Server) leaveTenants(ctx context.Context) (wait func()) {
 	t := srv.tenants
 	if t == nil {
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -12,7 +12,7 @@
 
 const (
 	maxVariants     = 128         // of classes: the balancer goes through its placements all the time
-	routeRetryAfter = time.Second // told to a request whose route the balancer does not have
+	routeRetryAfter = time.Second // Retry-After of a request whose route the balancer does not have
 )
 
 // routeVariants are the routes of the catalogue as the balancer knows them: variants of classes that are open
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// without the registry, a definite no ends so long after the last word
+	// without the registry, a definite no ends so long after the last contact
 	sessionTTL = 3 * time.Second
 	// for one call about the session: what is late by more is made anew
 	sessionCallTimeout = time.Second
@@ -25,9 +25,9 @@
 	session      registry.Session
 	status       atomic.Pointer[tenant.Status] // that it is to have
 	sentStatus   *tenant.Status                // that it has; the goroutine's
-	wake         chan struct{}                 // there is another word
+	wake         chan struct{}                 // there is another status
 	readRequests chan struct{}                 // the catalogue is to be read
-	left         chan struct{}                 // closed when it is told that the proxy has left
+	left         chan struct{}                 // closed when it is known that the proxy has left
 	ended        chan struct{}                 // closed when it is closed
 	close        context.CancelFunc            // set before it begins
 }
@@ -133,7 +133,7 @@
 	}
 }
 
-// sendStatus tells the service the cache's last word, unless it has it.
+// sendStatus sends the registry the cache's last status, unless it has it.
 func (srv *Server) sendStatus(ctx context.Context) bool {
 	s := srv.tenants.session
 	w := s.status.Load()
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -56,7 +56,7 @@
 	generation            uint64 // of the proxy that it is for
 	claim                 uint32
 	number                uint32 // grows with each grant to a proxy
-	slot                  Slot   // Level slotNone: not told
+	slot                  Slot   // Level slotNone: not known
 	fallbackSuspended     bool   // the proxy's fallback share is suspended
 	extendsOnly           bool   // the allocator only prolongs what the proxy had
 	slotCoversConcurrency bool   // the slot holds for limits on concurrency too
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -40,7 +40,7 @@
 		err = isCompleteRead(l, d.needsComplete)
 	}
 	if err == nil && !d.needsComplete && l.Index < d.index {
-		// A server that was told to drain would be ready again. The complete list is the truth.
+		// A server that was set to drain would be ready again. The complete list is the truth.
 		d.needsComplete, err = true, errOlderList
 	}
 	if err != nil {
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -43,9 +43,8 @@
 	// DefaultHoldBack is enough for a fleet to register anew with a service that lost its state.
 	DefaultHoldBack = 30 * time.Second
 
-	// What a silent watch misses counts as told 2 s past its hold, what a silent
-	// call for the complete list misses after 6 s: some of that is for the call that
-	// is made anew.
+	// What a silent watch misses counts as known 2 s past its hold, what a silent call for the complete list
+	// misses after 6 s: some of that is for the call that is made anew.
 	answerGrace         = 1500 * time.Millisecond // for an answer, past the hold
 	completeReadTimeout = 5 * time.Second         // for the complete list, which is not held back
 	dialTime            = time.Second
@@ -143,7 +142,7 @@
 
 // List is the list as the client knows it, and when the service last answered; zero if it never has. A list
 // that is kept serves on for ever.
-func (k *Client) List() (v List, told time.Time) {
+func (k *Client) List() (list List, lastAnswerAt time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.list.List(), k.lastAnswerAt
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -16,7 +16,7 @@
 	Version   uint64              `json:"version"`
 	Endpoints []registry.Endpoint `json:"entries"` // by name
 	Subset    registry.Subset     `json:"-"`       // of the list that it is
-	// entries in all of the list, where Subset is one that was asked for; 0: not told
+	// entries in all of the list, where Subset is one that was asked for; 0: not known
 	Total int `json:"-"`
 }
 
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -33,9 +33,9 @@
 	onList         func(registry.ListResponse)
 	onFailure      func()
 
-	polls   bool  // lists come only when they are asked for
+	polls   bool  // lists come only as answers to polls
 	latest  *task // begun last
-	running *task // under way, which owns url, hold, grace, index, whole, anew and told, and this
+	running *task // under way; it alone uses url, hold, grace, index, needsComplete and lastCallFailed
 
 	answerBegun atomic.Bool              // something of the answer to the call under way has come
 	conn        atomic.Pointer[net.Conn] // made last
--- a/internal/registry/client/platform_move.go
+++ b/internal/registry/client/platform_move.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// endForMove ends a task for a move. What the previous address has written by then counts as told, whatever
+// endForMove ends a task for a move. What the previous address has written by then counts as known, whatever
 // the next one says, and when: an answer that has begun to come is read to its end.
 func (d *Platform) endForMove(t *task) {
 	if d.answerArriving() {
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -12,7 +12,7 @@
 
 func sessionPath(id string) string { return "/registry/sessions/" + url.PathEscape(id) }
 
-// OpenSession opens a session under a new id, or changes the word of one that is open.
+// OpenSession opens a session under a new id, or changes the process info of one that is open.
 func (k *Client) OpenSession(ctx context.Context, s registry.Session) error {
 	var r registry.Result
 	return k.send(
@@ -46,14 +46,14 @@
 func (k *Client) Campaign(
 	ctx context.Context,
 	id string,
-	wishes []registry.Candidacy,
+	candidacies []registry.Candidacy,
 ) (registry.Result, error) {
 	var r registry.Result
 	err := k.send(
 		ctx,
 		http.MethodPost,
 		sessionPath(id)+"/campaign",
-		registry.CandidacyRequest{Candidacies: wishes},
+		registry.CandidacyRequest{Candidacies: candidacies},
 		&r,
 	)
 	return r, err
@@ -63,14 +63,14 @@
 func (k *Client) ReleaseLeases(
 	ctx context.Context,
 	id string,
-	wishes []registry.Candidacy,
+	candidacies []registry.Candidacy,
 ) (registry.Result, error) {
 	var r registry.Result
 	err := k.send(
 		ctx,
 		http.MethodPost,
 		sessionPath(id)+"/give-up",
-		registry.CandidacyRequest{Candidacies: wishes},
+		registry.CandidacyRequest{Candidacies: candidacies},
 		&r,
 	)
 	return r, err
--- a/internal/registry/client/silence.go
+++ b/internal/registry/client/silence.go
@@ -2,13 +2,11 @@
 
 import "time"
 
-// The bound for silence. What a silent call misses counts as told 6 s after it
-// fell silent or, for one that is held, 2 s after its hold if that is later. A
-// call is silent if it has no whole answer by the end of its hold and grace,
-// wherever it stands still: at the connection, ahead of the first byte or amid
-// the answer. After that, and any other failure, no connection of before is used
-// again, and the next call is not held, so that its own silence shows after the
-// grace alone.
+// The bound for silence. What a silent call misses counts as known 6 s after it fell silent or, for one that
+// is held, 2 s after its hold if that is later. A call is silent if it has no whole answer by the end of its
+// hold and grace, wherever it stands still: at the connection, ahead of the first byte or amid the answer.
+// After that, and any other failure, no connection of before is used again, and the next call is not held, so
+// that its own silence shows after the grace alone.
 //
 // So two silences in a row fit into the clock of the first where lists are
 // pushed, also if the connection fell silent right after an answer: notHeld,
@@ -36,7 +34,7 @@
 	notHeld = 100 * time.Millisecond
 
 	backoffLow  = 50 * time.Millisecond  // before the second call that fails in a row
-	backoffHigh = 250 * time.Millisecond // what the agent holds counts as told, outage or not
+	backoffHigh = 250 * time.Millisecond // what the agent holds counts as known, outage or not
 
 	// over which proxies ask again whose calls to the shared service fell silent or broke together
 	spreadSilent = 250 * time.Millisecond
--- a/internal/tenant/events.go
+++ b/internal/tenant/events.go
@@ -16,7 +16,7 @@
 		Known bool
 	}
 	// CatalogueRead brings the catalogue as it is now, as far as Wanted asked for it when the read began. It was
-	// read after the member record, of which Enrolled says whether this proxy is in it, in its generation and
+	// read after the member record, of which Enrolled reports whether this proxy is in it, in its generation and
 	// with its maximal staleness.
 	CatalogueRead struct {
 		StartedAt time.Duration
