--- a/cmd/wrenspread-controller/main.go
+++ b/cmd/wrenspread-controller/main.go
@@ -1,4 +1,4 @@
-// Command wrenspread-controller looks whether the list of servers, the servers and the nodes agree.
+// Command wrenspread-controller compares the endpoint list, the servers and the proxies.
 package main
 
 import (
@@ -17,10 +17,10 @@
 	d := controller.Default()
 	c := &cobra.Command{
 		Use:   "wrenspread-controller",
-		Short: "look whether list, servers and nodes agree",
-		Long: `wrenspread-controller looks at the list of servers, at each server's address and at each node's control address. What does not
-agree for a while is reported (/report, /metrics, log); a server that is leaving, takes no connections and that nobody
-would take off the list is taken off. Run it on several machines: one of them holds the duty, the others wait.
+		Short: "compare the endpoint list, the servers and the proxies",
+		Long: `wrenspread-controller compares the endpoint list with each server's address and each proxy's control address. What
+does not agree for a while is reported (/report, /metrics, log); a server that is draining, takes no connections and that
+nobody removes is removed from the list. Run it on several machines: one of them holds the lease, the others wait.
 A configuration is in docs/duties.md. It runs until SIGTERM.`,
 		Example: "  wrenspread-controller --config keeper.toml\n  wrenspread-controller --process ops-1 --list 127.0.0.1:8500",
 		Args:    cobra.NoArgs,
@@ -41,7 +41,7 @@
 	}
 	c.Flags().String(config.FileFlag, "", "a TOML file; flags win over it")
 	c.Flags().String("process", d.Process, "the name of this process, the same over its restarts")
-	c.Flags().StringSlice("list", nil, "addresses of the list service's replicas")
+	c.Flags().StringSlice("list", nil, "addresses of the registry's replicas")
 	c.Flags().String("listen", d.Listen, "the address for /report, /healthz and /metrics")
 	c.Flags().Bool("repair", d.Repair, "take orphans off the list; else it only reports")
 	return c
--- a/cmd/wrenspread-lab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -36,7 +36,7 @@
 	c := &cobra.Command{
 		Use:   "duties",
 		Short: "play processes that hold duties under drawn faults, and check that one holds them at a time",
-		Long: `Each run starts real replicas of the list service and real workers that act on a resource while they hold a duty, and
+		Long: `Each run starts real replicas of the registry and real workers that act on a resource while they hold a duty, and
 kills, pauses, cuts off and restarts them as its seed draws. No act under a lower fence may follow one under a higher, no two
 holders' acts may interleave, grants and fenced writes must be those of a lock (porcupine). Of two seeds one has a resource
 that checks fences, and processes that stand still; the other has neither, so that time alone keeps holders apart.`,
@@ -260,7 +260,7 @@
 		},
 	}
 	c.Flags().StringVar(&o.Process, "process", "", "its name")
-	c.Flags().StringVar(&addresses, "list", "", "addresses of the list service")
+	c.Flags().StringVar(&addresses, "list", "", "addresses of the registry")
 	c.Flags().StringVar(&o.Resource, "resource", "", "what it acts on")
 	c.Flags().StringVar(&names, "duties", "", "those it wants")
 	c.Flags().DurationVar(&o.TTL, "ttl", time.Second, "of its session")
--- a/cmd/wrenspread-lab/quorum.go
+++ b/cmd/wrenspread-lab/quorum.go
@@ -29,7 +29,7 @@
 	var f quorumFlags
 	c := &cobra.Command{
 		Use:   "quorum",
-		Short: "play replicas of the list service under drawn faults, and check every client's history",
+		Short: "play replicas of the registry under drawn faults, and check every client's history",
 		Long: `Each run starts real replicas with links between them, lets clients write, read and watch, and kills, pauses,
 cuts off or slows replicas as its seed draws. Writes and current reads have to be linearizable (porcupine); watches
 gapless, in order, and the same for all. A run takes its length and about a second.`,
@@ -103,7 +103,7 @@
 	var failovers int
 	c := &cobra.Command{
 		Use:     "list-cost",
-		Short:   "measure the list service: failovers, and what a change costs with many watchers",
+		Short:   "measure the registry: failovers, and what a change costs with many watchers",
 		Example: "  wrenspread-lab list-cost --failovers 50",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/wrenspread-lab/scale.go
+++ b/cmd/wrenspread-lab/scale.go
@@ -63,7 +63,7 @@
 		scaleWatchersCommand(
 			&f,
 			"watchers",
-			"one replica of the list service by how many hollow nodes' clients watch it",
+			"one replica of the registry by how many hollow nodes' clients watch it",
 			[]int{30, 100, 300, 1000, 4300},
 			200,
 			(*scale.Lists).Watchers,
--- a/cmd/wrenspread-lab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -65,7 +65,7 @@
 	var sizes []int
 	c := &cobra.Command{
 		Use:   "entries",
-		Short: "one replica of the list service by the entries of its list: changes, whole lists, memory",
+		Short: "one replica of the registry by the entries of its list: changes, whole lists, memory",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return f.lists(c, func(ctx context.Context, l *scale.Lists) error { return l.Entries(ctx, sizes) })
@@ -79,7 +79,7 @@
 	var rates []int
 	c := &cobra.Command{
 		Use:   "renewals",
-		Short: "the leader of the list service by the renewals a second that hollow agents make",
+		Short: "the leader of the registry by the renewals a second that hollow agents make",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return f.lists(c, func(ctx context.Context, l *scale.Lists) error { return l.Renewals(ctx, rates) })
--- a/cmd/wrenspread-proxy/usage.go
+++ b/cmd/wrenspread-proxy/usage.go
@@ -14,7 +14,7 @@
 //go:embed example.json
 var example string
 
-const usage = `wrenspread-proxy is one load-balancing proxy node.
+const usage = `wrenspread-proxy is a load-balancing proxy.
 
   GW_CONFIG=FILE wrenspread-proxy   serve with the configuration FILE until SIGTERM; SIGHUP reads it again
   wrenspread-proxy --check FILE     say all that is wrong with FILE, and start nothing; status 1 if anything is
@@ -23,27 +23,27 @@
 Keys of the file, which is JSON; those of no meaning are passed over:
 
   listen          host:port for clients                                            needed
-  discovery       host:port that tells the list of servers, as wrenspread-registry does     needed, or list
-  list            [host:port, ...] of the list service's replicas, in its place
-  list_file       where that list is kept for the next start
-  list_part       true: of that list, only the part that the node works with is followed
-  seed            a number in base 16, for the node's draws                        needed
+  discovery       host:port of discovery or a wrenspread-registry                  needed, or list
+  list            [host:port, ...] of the registry's replicas, in its place
+  list_file       where that list is cached for the next start
+  list_part       true: only the subset that the proxy works with is followed
+  seed            a number in base 16, the random seed                             needed
   settings        classes, attempts, times, limits of the rules                    needed, may be {}
     .classes      name, effect (retryable, dedup, fragile), aim_ns, give_up_ns
     .caps         max_attempts, connect_timeout_ns, peers, ...
-  name            of the node, in its log
+  name            of the proxy, in its log
   control         host:port for operators: health, figures, maintenance ($GW_CONTROL wins)
-  fence_folder    where fences of maintenance calls are kept
-  backend_stats   true: figures of each server
+  fence_folder    where fencing tokens of maintenance calls are stored
+  backend_stats   true: counts for each backend
   limits          memory_mb, sockets
-  peer_listen     host:port for other nodes' datagrams
-  peers           [host:port, ...] of all nodes, by their numbers
-  fleet           the nodes' view of each other, off without it: docs/fleet-control.md
+  peer_listen     host:port for other proxies' datagrams
+  peers           [host:port, ...] of all proxies, by their numbers
+  fleet           membership of the proxies, off without it: docs/fleet-control.md
     .name         of the fleet                                                     needed
     .join         [host:port, ...] to join by; else the peers
     .address      host:port at which others reach peer_listen, if not that itself
     .period_ms    from one probe to the next, 20 to 10000; else 200
-  known           the list of servers as it was last, to begin with
+  known           the endpoint list as it was last, to begin with
 
 GW_ACCEPT_FD names a descriptor that is the clients' socket already, for upgrades without a gap.
 
--- a/cmd/wrenspreadctl/duty.go
+++ b/cmd/wrenspreadctl/duty.go
@@ -25,7 +25,7 @@
 	var f listFlags
 	c := &cobra.Command{
 		Use:   "duty",
-		Short: "jobs that one process holds at a time: who holds them, and who is next",
+		Short: "leases: who holds them, and who is next",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -33,7 +33,7 @@
 func fleetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "fleet ADDRESS...",
-		Short: "what nodes see of each other: who is there, who differs, why one is dead and by whose word",
+		Short: "membership as proxies see it: who is alive, who differs, why one is dead and who says so",
 		Long: `It asks each node at its control address for its view. Status 0 says that all of them see the same ("settled"), 1 that they
 don't or that one did not answer, so that a script can wait for it.`,
 		Example: "  wrenspreadctl fleet 10.1.0.1:10250 10.1.0.2:10250",
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -32,7 +32,7 @@
 	var f listFlags
 	c := &cobra.Command{
 		Use:   "list",
-		Short: "the list of servers: read it, watch it, change it",
+		Short: "the endpoint list: read it, watch it, change it",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -44,7 +44,7 @@
 // add sets the flags of a command and of its subcommands.
 func (f *listFlags) add(c *cobra.Command) {
 	c.PersistentFlags().
-		StringVar(&f.addresses, "list", cmp.Or(os.Getenv("INDIGO_LIST"), "127.0.0.1:8500"), "addresses of the list service's replicas, separated by commas")
+		StringVar(&f.addresses, "list", cmp.Or(os.Getenv("INDIGO_LIST"), "127.0.0.1:8500"), "addresses of the registry's replicas, separated by commas")
 	c.PersistentFlags().BoolVar(&f.json, "json", false, "print JSON in place of tables")
 	c.PersistentFlags().DurationVar(&f.wait, "wait", 10*time.Second, "how long to try")
 }
--- a/cmd/wrenspreadctl/members.go
+++ b/cmd/wrenspreadctl/members.go
@@ -15,7 +15,7 @@
 func (f *listFlags) members() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "members",
-		Short:   "the replicas of the list service, and which of them leads",
+		Short:   "the replicas of the registry, and which of them leads",
 		Example: "  wrenspreadctl list members\n  wrenspreadctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500\n  wrenspreadctl list members remove r0",
 		Args:    cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -27,7 +27,7 @@
 	var f listFlags
 	c := &cobra.Command{
 		Use:   "tenant",
-		Short: "tenants (books): bring in, change, take out on every node, or on none",
+		Short: "tenants: onboard, change, remove on every proxy, or on none",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -62,7 +62,7 @@
 	if c.Address != "" {
 		address("address", c.Address)
 	}
-	bad(len(c.List) > 0, "list: missing; it has the addresses of the list service")
+	bad(len(c.List) > 0, "list: missing; it has the addresses of the registry")
 	for _, a := range c.List {
 		address("list", a)
 	}
--- a/internal/lab/fleet/crowd.go
+++ b/internal/lab/fleet/crowd.go
@@ -130,7 +130,7 @@
 	all := []check.Verdict{
 		{
 			Name:   "followers",
-			Rule:   "every client of the list service reaches the list as it is, and never goes back",
+			Rule:   "every client of the registry reaches the list as it is, and never goes back",
 			Seen:   len(c.all),
 			Broken: c.wrong,
 		},
--- a/internal/lab/spec/check.go
+++ b/internal/lab/spec/check.go
@@ -117,7 +117,7 @@
 		"[duties]",
 		"workers",
 		d.Workers >= 0 && d.Workers <= mostWorkers && (d.Workers == 0 || r > 0),
-		"want 0 to %d, and replicas of the list service",
+		"want 0 to %d, and replicas of the registry",
 		mostWorkers,
 	)
 	bad(
@@ -139,7 +139,7 @@
 			"[release]",
 			"conductors",
 			v.Conductors >= 1 && v.Conductors <= 10 && r > 0 && e.List.Direct,
-			"want 1 to 10, and nodes that follow the list service directly",
+			"want 1 to 10, and nodes that follow the registry directly",
 		)
 		bad("[release]", "out", v.Out >= 1, "%d is under 1", v.Out)
 		bad("[release]", "waves", len(v.Waves) > 0, "there are none")
@@ -151,7 +151,7 @@
 			"[quota]",
 			"holders",
 			q.Holders >= 1 && q.Holders <= 10 && r > 0 && e.List.Direct && f.View,
-			"want 1 to 10, nodes that follow the list service directly, and fleet.view = true",
+			"want 1 to 10, nodes that follow the registry directly, and fleet.view = true",
 		)
 		bad("[quota]", "rate", q.Rate > 0 && q.Burst >= 1, "want a rate above 0 and a burst of 1 or more")
 		for i, c := range q.Changes {
--- a/internal/proxy/memorybudget.go
+++ b/internal/proxy/memorybudget.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// memoryBudget bounds how many messages that are not small are held at a time, each
-// way, so that an eighth of the memory does for them.
+// memoryBudget bounds how many messages that are not small are in memory at a time, in each direction, so
+// that they take an eighth of the memory at most.
 type memoryBudget chan struct{}
 
 var errNoMemory = errors.New("no room for long messages")
@@ -15,7 +15,7 @@
 	return make(memoryBudget, max(8, memoryMB<<20/8/messageMemory))
 }
 
-// reserveOnce gives a way to take room once, and notes how to give it back.
+// reserveOnce returns a function that takes a place of the budget once, and sets back to what returns it.
 func (r memoryBudget) reserveOnce(back *func()) func(context.Context) error {
 	return func(ctx context.Context) error {
 		if *back != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// releaseBudget gives back what an answer has taken.
+// releaseBudget returns the place of the budget that a response has taken.
 func (c *conn) releaseBudget() {
 	if c.releaseMemory != nil {
 		c.releaseMemory()
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -50,7 +50,7 @@
 	if len(c.Registry) == 0 {
 		problems = append(
 			problems,
-			fmt.Errorf("govern: policy needs the list service: the key list with its addresses"),
+			fmt.Errorf("govern: policy needs the registry: the key list with its addresses"),
 		)
 	}
 	if !c.Settings.AllowGossip {
