--- a/internal/lab/backendserver/host.go
+++ b/internal/lab/backendserver/host.go
@@ -1,4 +1,4 @@
-// Package backend puts sockets around emulated app backends and writes down every
+// Package backendserver puts sockets around emulated app backends and writes down every
 // attempt that reaches them.
 package backendserver
 
--- a/internal/lab/discovery/view.go
+++ b/internal/lab/discovery/view.go
@@ -1,4 +1,4 @@
-// Package disco is the lab's stand-in for the platform's discovery: a list with
+// Package discovery is the lab's stand-in for the platform's discovery: a list with
 // versions, and an agent on each node's machine that hears of changes late.
 package discovery
 
--- a/internal/lab/labtest/trial.go
+++ b/internal/lab/labtest/trial.go
@@ -1,4 +1,4 @@
-// Package trial helps tests that run several parts of the program at once.
+// Package labtest helps tests that run several parts of the program at once.
 package labtest
 
 import (
--- a/internal/lab/measure/boxes.go
+++ b/internal/lab/measure/boxes.go
@@ -1,4 +1,4 @@
-// Package gauge measures the lab itself: its emulated backends against the brief's
+// Package measure measures the lab itself: its emulated backends against the brief's
 // figures, what its links add, and how much load it can make before it is late.
 package measure
 
--- a/internal/lab/process/proc.go
+++ b/internal/lab/process/proc.go
@@ -1,4 +1,4 @@
-// Package proc starts the real programs that the lab plays with, watches them,
+// Package process starts the real programs that the lab plays with, watches them,
 // and ends them: by id, also when the lab itself is killed.
 package process
 
--- a/internal/lab/scale/constants.go
+++ b/internal/lab/scale/constants.go
@@ -13,8 +13,8 @@
 // Bounds that their packages keep to themselves.
 const (
 	platformList = 4 << 20 // maxPlatform of internal/registry/client
-	viewMembers  = 4096    // Most of internal/membership, where a configuration says nothing
-	enrolled     = 2000    // enrolMost of internal/tenant
+	viewMembers  = 4096    // MaxMembers of internal/membership, where a configuration says nothing
+	enrolled     = 2000    // maxMembers of internal/tenant
 )
 
 // Constants records what the program of this commit refuses beyond.
--- a/internal/membership/wire/fact.go
+++ b/internal/membership/wire/fact.go
@@ -61,14 +61,14 @@
 	Name          string         // printable ASCII without blanks, 1 to MaxName bytes
 	Number        int            // place among the configured peers, -1: none; at most MaxNumber
 	Addr          netip.AddrPort // advertised by the member; may be none
-	Generation    uint64         // below MaxLife
+	Generation    uint64         // below MaxGeneration
 	Incarnation   uint32
 	Health        Health
 	Metadata      Metadata
 	LoadSeq       uint32    // raised by the member with each new load of a generation
 	Accusers      [3]uint64 // hashes of the names of accusers, ascending, 0 last: the three smallest
 	Age           uint16    // of a dead or left one: tenths of a second since; at most MaxAge
-	UnknownFields string    // fields of newer versions, kept and passed on, at most MaxExtra bytes
+	UnknownFields string    // fields of newer versions, kept and passed on, at most MaxUnknownFields bytes
 }
 
 // Bounds of statements. With all at their most, one statement still fits into one datagram (see the test).
--- a/internal/proxy/listener/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -63,9 +63,8 @@
 	return c.closeInStateLocked(s)
 }
 
-// giveWay is closeAt for one that makes room. One that has sent nothing, neither,
-// as far as the system knows, just now, has no answer on its way: its place is
-// free at once.
+// giveWay is closeInState for a connection that is closed in favour of another. One that has sent nothing, not
+// even, as far as the system knows, just now, has no response on its way: its slot is free at once.
 func (c *Conn) giveWay(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +75,7 @@
 	return true
 }
 
-// closeInStateLocked is closeAt for whoever holds the lock.
+// closeInStateLocked is closeInState for a caller that holds the lock.
 func (c *Conn) closeInStateLocked(s state) bool {
 	if c.state != s {
 		return false
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -66,7 +66,7 @@
 // Accept makes room by closing a connection that is not in use: clients that
 // keep connections without using them must not shut out others. With all in
 // use, those that come wait in the listener's queue, and are shut unread once
-// that has lasted for FullTime: each then knows, and nobody waits behind a
+// that has lasted for FullTimeout: each then knows, and nobody waits behind a
 // queue that gets ever longer.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
@@ -110,7 +110,7 @@
 }
 
 // takeSlot waits for a place. It returns false where the listener has been closed, or has had none for
-// FullTime and now has nobody who gives way.
+// FullTimeout and now has nobody who gives way.
 func (l *Listener) takeSlot() bool {
 	select {
 	case l.slots <- struct{}{}:
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -126,7 +126,7 @@
 	return handed
 }
 
-// decodeHandoff reads what handOverView gave; nil for nothing, and for what can't be read.
+// decodeHandoff reads what handOffMembership returned; nil for nothing, and for what can't be read.
 func (srv *Server) decodeHandoff(raw json.RawMessage) *gossip.Handoff {
 	if raw == nil {
 		return nil
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	quotaTickInterval = 20 * time.Millisecond // of the shares' clock: a new demand is claimed so soon
-	peerCheckTicks    = 50                    // shareTicks between two looks at who serves
-	quotaKind         = 0x6                   // the first four bits of the shares' datagrams
+	quotaTickInterval = 20 * time.Millisecond // between two ticks of the ledger: a new demand is claimed so soon
+	peerCheckTicks    = 50                    // ticks between two updates of the peers that serve
+	quotaKind         = 0x6                   // the first four bits of the quota's datagrams
 	leaveAnnounceTime = 500 * time.Millisecond
 )
 
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -18,7 +18,7 @@
 	inFlight      float64 // requests in flight
 	lent          float64 // tokens lent to others: their capacity stays empty until lentUntil
 	lentUntil     time.Duration
-	borrowed      float64 // capacity for tokens that others lent, until gotUntil
+	borrowed      float64 // capacity for tokens that others lent, until borrowedUntil
 	borrowedUntil time.Duration
 
 	arrived      float64 // asked of it since the last round
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -110,24 +110,24 @@
 }
 
 // TransferLease asks the lease holder to transfer, to a certain process if one is named.
-func (k *Client) TransferLease(ctx context.Context, duty, to string) error {
+func (k *Client) TransferLease(ctx context.Context, lease, to string) error {
 	var r registry.Result
 	return k.send(
 		ctx,
 		http.MethodPost,
-		"/registry/duties/"+url.PathEscape(duty)+"/yield",
+		"/registry/duties/"+url.PathEscape(lease)+"/yield",
 		registry.LeaseOrder{Process: to},
 		&r,
 	)
 }
 
 // BlockProcess keeps a process from a lease, or lets it again.
-func (k *Client) BlockProcess(ctx context.Context, duty, process string, on bool) error {
+func (k *Client) BlockProcess(ctx context.Context, lease, process string, on bool) error {
 	var r registry.Result
 	return k.send(
 		ctx,
 		http.MethodPost,
-		"/registry/duties/"+url.PathEscape(duty)+"/block",
+		"/registry/duties/"+url.PathEscape(lease)+"/block",
 		registry.LeaseOrder{Process: process, Block: on},
 		&r,
 	)
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -102,7 +102,7 @@
 	return s.waitUntilCurrent(w)
 }
 
-// waitUntilCurrent is asOfNow for calls that have come to the leader already.
+// waitUntilCurrent is ensureCurrent for calls that have come to the leader already.
 func (s *Server) waitUntilCurrent(w http.ResponseWriter) bool {
 	if err := s.replica.current(); err != nil {
 		writeError(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Store keeps a release's record. Save fails with ErrTaken where the record has
+// Store keeps a release's record. Save fails with ErrSuperseded where the record has
 // another version than was loaded, or the controller's fencing token is not the last.
 type Store interface {
 	Load(ctx context.Context) (raw []byte, version uint64, err error)
@@ -22,7 +22,7 @@
 }
 
 // ErrSuperseded ends a controller that another has followed.
-var ErrSuperseded = errors.New("release: another conductor has it")
+var ErrSuperseded = errors.New("release: another controller has it")
 
 // Executor carries out the actions of a release.
 type Executor interface {
--- a/internal/sim/membership/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -18,7 +18,7 @@
 	World *sim.World
 	Seeds []string                                            // ends by whose addresses nodes join
 	Bend  func(cfg *membership.Config)                        // changes what a core starts with
-	Core  func(cfg membership.Config, now time.Duration) Core // nil: fleet.New
+	Core  func(cfg membership.Config, now time.Duration) Core // nil: membership.New
 	// how wrong a process's wall clock is at its start; nil: it is right
 	Wall  func() (wrong time.Duration)
 	Blind bool       // stand-in: no node notices that it stood still
--- a/internal/sim/membership/node.go
+++ b/internal/sim/membership/node.go
@@ -1,4 +1,4 @@
-// Package views plays the nodes' own view of each other (internal/membership) in the simulator: drawn
+// Package membership plays the nodes' own view of each other (internal/membership) in the simulator: drawn
 // schedules of faults with checks, the kept scenarios, and the growth of its cost with the fleet. It is for
 // tests and for wrenspread-lab.
 package membership
@@ -12,7 +12,7 @@
 	"wrenspread/internal/sim"
 )
 
-// Core is the face of fleet.Core, which a rival has too.
+// Core is the interface of membership.Core, which a rival has too.
 type Core interface {
 	Handle(now time.Duration, e membership.Event) []membership.Action
 	View() membership.View
--- a/internal/sim/membership/rival.go
+++ b/internal/sim/membership/rival.go
@@ -12,7 +12,7 @@
 const rivalMisses = 10
 
 // rival is the plainest view: everybody asks everybody on a fixed list, each period, and believes only
-// itself. It has the face of fleet.Core, so that it is measured in the same way.
+// itself. It has the interface of membership.Core, so that it is measured in the same way.
 type rival struct {
 	cfg   membership.Config
 	peers []rivalPeer
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -1,8 +1,8 @@
-// Package parts plays subscriptions to parts of the server list: nodes that follow their parts at one or
+// Package subset plays subscriptions to subsets of the endpoint list: nodes that follow theirs at one or
 // three replicas, on a fake clock and a drawn network, with faults drawn by a seed.
 //
-// Real, line for line: the replicas' list.State (PartSince, Newer, restore), the client's Belief (Ask, Take,
-// View) and list.Part (Next).
+// Real, line for line: registry.State (SubsetSince, HasNewer, restore), the client's ListState (Next, Apply,
+// List) and registry.Subset (Next).
 //
 // What stands in for the rest. A log, whose entries each replica applies after a moment, stands for raft:
 // writes never fail, and no replica answers without what is older than mostLag, less than the time for which
--- a/internal/sim/subset/replica.go
+++ b/internal/sim/subset/replica.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// since is PartSince, made once for all who ask for the same.
+// since is SubsetSince, made once for all who ask for the same.
 func (r *replica) since(p registry.Subset, from uint64) registry.ListResponse {
 	a, ok := r.answers[span{p, from}]
 	if !ok {
--- a/internal/tenant/cache.go
+++ b/internal/tenant/cache.go
@@ -43,7 +43,7 @@
 	openRequests   map[string]int           // requests in flight by tenant
 	departingSince map[string]time.Duration // since when a tenant is known to go
 	toldStatus     Status
-	hasTold        bool // lastTold was reported
+	hasTold        bool // toldStatus was reported
 	toldAt         time.Duration
 }
 
--- a/internal/tenant/cachedleaves.go
+++ b/internal/tenant/cachedleaves.go
@@ -19,7 +19,7 @@
 
 	// A leaf that is not held is read once, and then, however many names are made up, no more than readBurst (a
 	// proxy's usual leaves when it starts) and readInterval after it: 4 a second, with two pages between, are 15
-	// kB of a budget of 25 kB a second. maxLeavesPerRead are read with one head.
+	// kB of a budget of 25 kB a second. maxRequestedLeaves are read with one head.
 	readBurst          = 2048
 	readInterval       = time.Second / 4
 	maxRequestedLeaves = 64
--- a/internal/tenant/controller.go
+++ b/internal/tenant/controller.go
@@ -21,7 +21,7 @@
 	Stored(ctx context.Context) (Stored, error)
 	Sessions(ctx context.Context) ([]Session, error)
 	PendingOrders(ctx context.Context) ([]PendingOrder, error)
-	// Put fails with ErrTaken where the fencing token is not the last any more.
+	// Put fails with ErrSuperseded where the fencing token is not the last any more.
 	Put(ctx context.Context, p RecordWrite) (version uint64, err error)
 }
 
@@ -32,7 +32,7 @@
 }
 
 // ErrSuperseded ends a controller that another has followed.
-var ErrSuperseded = errors.New("tenant: another conductor has it")
+var ErrSuperseded = errors.New("tenant: another controller has it")
 
 const (
 	roundTimeout      = 20 * time.Second // for one round's calls
--- a/internal/timeline/golden/kept.go
+++ b/internal/timeline/golden/kept.go
@@ -1,4 +1,4 @@
-// Package kept compares drawings with those kept in testdata. It is for tests.
+// Package golden compares drawings with those kept in testdata. It is for tests.
 package golden
 
 import (
