--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -18,8 +18,8 @@
 )
 
 // Nodes that start together may meet in islands, or while a cut still lasts. So a new node goes on asking
-// seeds, though it has met somebody: one a period through its first round, of maxFirstRoundSeeds at most, and then
-// as one that is alone does, for youngPeriods.
+// seeds, though it has met somebody: one a period through its first round, of maxFirstRoundSeeds at most, and
+// then as one that is alone does, for youngPeriods.
 const (
 	maxFirstRoundSeeds = 16
 	youngPeriods       = 300 // a minute: what starts a whole fleet is over by then
--- a/internal/proxy/listener/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -63,8 +63,8 @@
 	return c.closeInStateLocked(s)
 }
 
-// giveWay is closeInState for a connection that is closed in favour of another. One that has sent nothing, not
-// even, as far as the system knows, just now, has no response on its way: its slot is free at once.
+// giveWay is closeInState for a connection that is closed in favour of another. One that has sent nothing,
+// not even, as far as the system knows, just now, has no response on its way: its slot is free at once.
 func (c *Conn) giveWay(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
