--- a/cmd/wrenspread-agent/main.go
+++ b/cmd/wrenspread-agent/main.go
@@ -18,9 +18,10 @@
 	c := &cobra.Command{
 		Use:   "wrenspread-agent",
 		Short: "keep the servers of one machine running",
-		Long: `wrenspread-agent starts the servers that its file names, starts them again when they end, keeps their entries in the list
-service, and replaces them by another version when the holder of a release's duty orders it. The servers outlive it:
-the next agent on the same folder takes them up. A configuration is in docs/agent.md. It runs until SIGTERM.`,
+		Long: `wrenspread-agent starts the servers that its file names, starts them again when they end,
+keeps them registered in the registry, and replaces them by another version when the holder
+of a release's lease orders it. The servers outlive it: the next agent on the same folder
+adopts them. A configuration is in docs/agent.md. It runs until SIGTERM.`,
 		Example: "  wrenspread-agent --config agent.toml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/wrenspread-controller/main.go
+++ b/cmd/wrenspread-controller/main.go
@@ -18,12 +18,14 @@
 	c := &cobra.Command{
 		Use:   "wrenspread-controller",
 		Short: "compare the endpoint list, the servers and the proxies",
-		Long: `wrenspread-controller compares the endpoint list with each server's address and each proxy's control address. What
-does not agree for a while is reported (/report, /metrics, log); a server that is draining, takes no connections and that
-nobody removes is removed from the list. Run it on several machines: one of them holds the lease, the others wait.
-A configuration is in docs/duties.md. It runs until SIGTERM.`,
-		Example: "  wrenspread-controller --config keeper.toml\n  wrenspread-controller --process ops-1 --list 127.0.0.1:8500",
-		Args:    cobra.NoArgs,
+		Long: `wrenspread-controller compares the endpoint list with each server's address and each proxy's
+control address. What does not agree for a while is reported (/report, /metrics, log); a
+server that is draining, takes no connections and that nobody removes is removed from the
+list. Run it on several machines: one of them holds the lease, the others wait. A
+configuration is in docs/duties.md. It runs until SIGTERM.`,
+		Example: "  wrenspread-controller --config keeper.toml\n" +
+			"  wrenspread-controller --process ops-1 --list 127.0.0.1:8500",
+		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if c.Flags().NFlag() == 0 {
 				return c.Help()
--- a/cmd/wrenspread-proxy/main.go
+++ b/cmd/wrenspread-proxy/main.go
@@ -96,7 +96,8 @@
 	if errors.Is(err, syscall.EADDRINUSE) {
 		log.Warn("address in use, retrying", "err", err)
 	}
-	for until := time.Now().Add(proxy.MaxBindTime); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(until) && backoff.Sleep(ctx, bindStep); {
+	mayRetry := func(until time.Time) bool { return time.Now().Before(until) && backoff.Sleep(ctx, bindStep) }
+	for until := time.Now().Add(proxy.MaxBindTime); errors.Is(err, syscall.EADDRINUSE) && mayRetry(until); {
 		ln, err = net.Listen("tcp", address)
 	}
 	return ln, err
--- a/cmd/wrenspread-proxy/usage.go
+++ b/cmd/wrenspread-proxy/usage.go
@@ -17,7 +17,7 @@
 const usage = `wrenspread-proxy is a load-balancing proxy.
 
   GW_CONFIG=FILE wrenspread-proxy   serve with the configuration FILE until SIGTERM; SIGHUP reads it again
-  wrenspread-proxy --check FILE     say all that is wrong with FILE, and start nothing; status 1 if anything is
+  wrenspread-proxy --check FILE     print all faults of FILE, and start nothing; status 1 if there are any
   wrenspread-proxy --help           this
 
 Keys of the file, which is JSON; those of no meaning are passed over:
--- a/cmd/wrenspread-registry/main.go
+++ b/cmd/wrenspread-registry/main.go
@@ -18,8 +18,9 @@
 	c := &cobra.Command{
 		Use:   "wrenspread-registry",
 		Short: "one replica of the registry",
-		Long: `wrenspread-registry keeps the endpoint list and notifies watchers of changes. Alone it needs a folder and
-nothing else; 3 or 5 replicas need a file each, as docs/list.md shows. It serves until SIGTERM.`,
+		Long: `wrenspread-registry keeps the endpoint list and notifies watchers of changes. Alone it needs
+a folder and nothing else; 3 or 5 replicas need a file each, as docs/list.md shows. It
+serves until SIGTERM.`,
 		Example: `  wrenspread-registry --folder /var/lib/wrenspread-registry
   curl -s 'http://127.0.0.1:8500/registry/instances'
   wrenspread-registry --config r1.toml`,
--- a/cmd/wrenspreadctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -61,8 +61,9 @@
 	c := &cobra.Command{
 		Use:   "restore FILE --over EPOCH",
 		Short: "put a copy in place of the list; what came after it is lost",
-		Long: `The list gets a new epoch and a version past all that were given out, so that every watcher takes the whole list.
---over names the epoch of the list that is to go ("wrenspreadctl list get" shows it), so that no other cluster is hit.`,
+		Long: `The list gets a new epoch and a version past all that were given out, so that every watcher
+takes the whole list. --over names the epoch of the list that is to go ("wrenspreadctl list
+get" shows it), so that no other cluster is hit.`,
 		Example: "  wrenspreadctl list restore list-2026-12-01.sealed --over 90f1c2ab73d0e544",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
--- a/cmd/wrenspreadctl/duty.go
+++ b/cmd/wrenspreadctl/duty.go
@@ -174,9 +174,10 @@
 	c := &cobra.Command{
 		Use:   "run DUTY -- COMMAND [ARG...]",
 		Short: "run a command while holding a duty, on as many machines as you like",
-		Long: `It waits until it holds the duty, runs the command, and gives the duty up when the command ends by itself. The
-command gets SIGTERM when the duty has to be handed on, and SIGKILL if it has not ended within an eighth of the TTL.
-$INDIGO_DUTY and $INDIGO_FENCE tell it the duty and its fence; whoever takes its orders should turn down a lower one.`,
+		Long: `It waits until it holds the lease, runs the command, and releases the lease when the command
+ends by itself. The command gets SIGTERM when the lease has to be transferred, and SIGKILL
+if it has not ended within an eighth of the TTL. $INDIGO_DUTY and $INDIGO_FENCE have the
+lease and its fencing token; whoever takes its orders should reject a lower one.`,
 		Example: "  wrenspreadctl duty run nightly-report -- /usr/local/bin/report --all",
 		Args:    cobra.MinimumNArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -34,8 +34,9 @@
 	return &cobra.Command{
 		Use:   "fleet ADDRESS...",
 		Short: "membership as proxies see it: who is alive, who differs, why one is dead and who says so",
-		Long: `It asks each node at its control address for its view. Status 0 says that all of them see the same ("settled"), 1 that they
-don't or that one did not answer, so that a script can wait for it.`,
+		Long: `It asks each node at its control address for its view. Status 0 says that all of them see
+the same ("settled"), 1 that they don't or that one did not answer, so that a script can
+wait for it.`,
 		Example: "  wrenspreadctl fleet 10.1.0.1:10250 10.1.0.2:10250",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -81,7 +82,8 @@
 		return r, err
 	case http.StatusNotFound:
 		return r, errors.New(
-			"it keeps no view: its configuration has no key \"fleet\", or its settings allow no messages between nodes",
+			"it keeps no view: its configuration has no key \"fleet\", " +
+				"or its settings allow no messages between nodes",
 		)
 	}
 	text, _ := io.ReadAll(io.LimitReader(body, 200))
@@ -104,6 +106,13 @@
 	}
 	differ := settled(w, views)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	printViews(t, views)
+	printMembers(t, views)
+	return errors.Join(failed, differ, t.Flush())
+}
+
+// printViews prints a line for each view: its digest, its members by health, its traffic.
+func printViews(t io.Writer, views []gossip.Report) {
 	besteffort.Output(
 		fmt.Fprintln(t, "\nNODE\tDIGEST\tCHANGES\tALIVE\tSUSPECT\tDEAD\tLEFT\tSENT\tRECEIVED\tSTRANGERS\tLATE"),
 	)
@@ -130,6 +139,10 @@
 			),
 		)
 	}
+}
+
+// printMembers prints a line for each opinion on a member, with those that have it.
+func printMembers(t io.Writer, views []gossip.Report) {
 	besteffort.Output(
 		fmt.Fprintln(
 			t,
@@ -158,5 +171,4 @@
 			),
 		)
 	}
-	return errors.Join(failed, differ, t.Flush())
 }
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -44,7 +44,8 @@
 // add sets the flags of a command and of its subcommands.
 func (f *listFlags) add(c *cobra.Command) {
 	c.PersistentFlags().
-		StringVar(&f.addresses, "list", cmp.Or(os.Getenv("INDIGO_LIST"), "127.0.0.1:8500"), "addresses of the registry's replicas, separated by commas")
+		StringVar(&f.addresses, "list", cmp.Or(os.Getenv("INDIGO_LIST"), "127.0.0.1:8500"),
+			"addresses of the registry's replicas, separated by commas")
 	c.PersistentFlags().BoolVar(&f.json, "json", false, "print JSON in place of tables")
 	c.PersistentFlags().DurationVar(&f.wait, "wait", 10*time.Second, "how long to try")
 }
@@ -224,10 +225,11 @@
 	var e registry.Endpoint
 	var ttl time.Duration
 	c := &cobra.Command{
-		Use:     "register NAME ADDRESS",
-		Short:   "put a server into the list, or change its entry",
-		Example: "  wrenspreadctl list register s-5be2a07c 10.1.0.18:5000 --zone a --type m2 --group 3\n  wrenspreadctl list register s-new 10.1.0.19:5000 --if 0",
-		Args:    cobra.ExactArgs(2),
+		Use:   "register NAME ADDRESS",
+		Short: "put a server into the list, or change its entry",
+		Example: "  wrenspreadctl list register s-5be2a07c 10.1.0.18:5000 --zone a --type m2 --group 3\n" +
+			"  wrenspreadctl list register s-new 10.1.0.19:5000 --if 0",
+		Args: cobra.ExactArgs(2),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			e.Name, e.Address, e.Status = args[0], args[1], registry.Ready
 			r, err := k.Register(ctx, e, ttl, f.condition())
@@ -272,10 +274,11 @@
 	do func(*client.Client, context.Context, string, *uint64) (registry.Result, error),
 ) *cobra.Command {
 	return f.conditional(&cobra.Command{
-		Use:     verb + " NAME",
-		Short:   short,
-		Example: "  wrenspreadctl list " + verb + " s-5be2a07c\n  wrenspreadctl list " + verb + " s-5be2a07c --if 41",
-		Args:    cobra.ExactArgs(1),
+		Use:   verb + " NAME",
+		Short: short,
+		Example: "  wrenspreadctl list " + verb + " s-5be2a07c\n" +
+			"  wrenspreadctl list " + verb + " s-5be2a07c --if 41",
+		Args: cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
 			r, err := do(k, ctx, args[0], f.condition())
 			return f.done(c, r, err)
--- a/cmd/wrenspreadctl/main.go
+++ b/cmd/wrenspreadctl/main.go
@@ -13,8 +13,9 @@
 	c := &cobra.Command{
 		Use:   "wrenspreadctl",
 		Short: "operate the fleet's services",
-		Long: `wrenspreadctl reads and changes the state of a fleet. Every command has its own --help with an example.
-The registry is looked for at $INDIGO_LIST, or at --list: the replicas' addresses, separated by commas.`,
+		Long: `wrenspreadctl reads and changes the state of a fleet. Every command has its own --help with
+an example. The registry is looked for at $INDIGO_LIST, or at --list: the replicas'
+addresses, separated by commas.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
--- a/cmd/wrenspreadctl/members.go
+++ b/cmd/wrenspreadctl/members.go
@@ -14,10 +14,12 @@
 
 func (f *listFlags) members() *cobra.Command {
 	c := &cobra.Command{
-		Use:     "members",
-		Short:   "the replicas of the registry, and which of them leads",
-		Example: "  wrenspreadctl list members\n  wrenspreadctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500\n  wrenspreadctl list members remove r0",
-		Args:    cobra.NoArgs,
+		Use:   "members",
+		Short: "the replicas of the registry, and which of them leads",
+		Example: "  wrenspreadctl list members\n" +
+			"  wrenspreadctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500\n" +
+			"  wrenspreadctl list members remove r0",
+		Args: cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
 			all, err := k.Replicas(ctx)
 			if err != nil {
@@ -51,9 +53,10 @@
 	c := &cobra.Command{
 		Use:   "add NAME",
 		Short: "add a replica that was started on an empty folder",
-		Long: `The replica is started first: on an empty folder, with a file that names itself and the present replicas, and no
-begin. It learns the list and gets its vote once it is up to date. Without --raft and --http it is meant to be where
-the present replicas' files have it, as one whose folder was lost (remove it first).`,
+		Long: `The replica is started first: on an empty folder, with a file that names itself and the
+present replicas, and no begin. It learns the list and gets its vote once it is up to date.
+Without --raft and --http it is meant to be where the present replicas' files have it, as
+one whose folder was lost (remove it first).`,
 		Example: "  wrenspreadctl list members add r3 --raft 10.1.0.9:8600 --http 10.1.0.9:8500",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -38,11 +38,13 @@
 	c := &cobra.Command{
 		Use:   "check FILE",
 		Short: "compile a policy, and print its errors or the table's summary",
-		Long: `check compiles a policy and prints all of its errors, each with its place and a way out, or the summary of its table.
-Names are checked against --settings: a node's configuration, or a file of names such as
+		Long: `check compiles a policy and prints all of its errors, each with its place and a way out, or
+the summary of its table. Names are checked against --settings: a node's configuration, or a
+file of names such as
 {"sites":["a"],"books":["b"],"pods":["c"],"classes":[{"name":"view","worth":1,"work_ms":40}]}.`,
-		Example: "  wrenspreadctl policy check site.hcl --settings node.json\n  wrenspreadctl policy check site.hcl --limits",
-		Args:    cobra.ExactArgs(1),
+		Example: "  wrenspreadctl policy check site.hcl --settings node.json\n" +
+			"  wrenspreadctl policy check site.hcl --limits",
+		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			t, err := compilePolicy(c.ErrOrStderr(), args[0], settings)
 			if err != nil {
--- a/cmd/wrenspreadctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -18,8 +18,10 @@
 	c := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "compile a policy and have it hold on all nodes",
-		Long: `apply compiles a policy, as check does, and puts its table on record as the one that holds. Nodes with govern.policy take it up whole, each between
-two requests; wrenspreadctl fleet shows at which version each is. Two that apply at once: the second is turned down and has to look again.`,
+		Long: `apply compiles a policy, as check does, and puts its table on record as the one that holds.
+Nodes with govern.policy take it up whole, each between two requests; wrenspreadctl fleet
+shows at which version each is. Two that apply at once: the second is turned down and has to
+look again.`,
 		Example: "  wrenspreadctl policy apply site.hcl --settings node.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -49,9 +49,10 @@
 	return &cobra.Command{
 		Use:   "plan FILE",
 		Short: "check a plan, and show what it would do with the list as it is; nothing moves",
-		Long: `A plan names the versions, selects servers by zone, type or name, and says how many may be out at once. What it does
-not say is as careful as the defaults: one server first, then a tenth, a half and all; one out at a time; 30 s of soak;
-a wait at a halt. An unknown key is an error.`,
+		Long: `A plan names the versions, selects servers by zone, type or name, and says how many may be
+out at once. What it does not say is as careful as the defaults: one server first, then a
+tenth, a half and all; one out at a time; 30 s of soak; a wait at a halt. An unknown key is
+an error.`,
 		Example: `  wrenspreadctl release plan app.toml
 
   name = "app-42"
@@ -73,7 +74,8 @@
 				besteffort.Output(
 					fmt.Fprintf(
 						t,
-						"%s: %d servers from %s to %s, %d out at once, %v of soak after each wave, at a halt: %s\n\nWAVE\tSERVERS\tNAMES\n",
+						"%s: %d servers from %s to %s, %d out at once, %v of soak after each wave, at a halt: %s\n\n"+
+							"WAVE\tSERVERS\tNAMES\n",
 						plan.Name,
 						len(s.Targets),
 						plan.From,
@@ -321,8 +323,9 @@
 	c := &cobra.Command{
 		Use:   "conduct NAME",
 		Short: "carry a release out, as the holder of its duty, until it is over",
-		Long: `Run it on several machines: one of them conducts, the others wait to take over. Its file names the nodes at which
-servers are put into maintenance, and whose figures the gates read (backend_stats must be on there):
+		Long: `Run it on several machines: one of them conducts, the others wait to take over. Its file
+names the nodes at which servers are put into maintenance, and whose figures the gates read
+(backend_stats must be on there):
 
   process = "ops-1"
   grace = "5s"
@@ -378,7 +381,13 @@
 		if err != nil {
 			return err
 		}
-		var fleet release.Executor = &release.ServerExecutor{Registry: k, Token: fenced, Proxies: config.Nodes, HTTP: h, Grace: config.Grace}
+		var fleet release.Executor = &release.ServerExecutor{
+			Registry: k,
+			Token:    fenced,
+			Proxies:  config.Nodes,
+			HTTP:     h,
+			Grace:    config.Grace,
+		}
 		if s.Plan.IsForProxies() {
 			fleet = &release.ProxyExecutor{Registry: k, Token: fenced, HTTP: h}
 		}
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -255,6 +255,7 @@
 	c.Flags().
 		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
 	c.Flags().
-		BoolVar(&hashTree, "hash-tree", false, "write the catalogue as a hash tree, of which a node with govern.tenants_on_demand reads parts; programs before it refuse it")
+		BoolVar(&hashTree, "hash-tree", false, "write the catalogue as a hash tree, of which a proxy with "+
+			"govern.tenants_on_demand reads leaves; programs before it reject it")
 	return c
 }
