--- a/cmd/wrenspreadctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -16,7 +16,7 @@
 // maxBackup bounds a backup that is read, in bytes: the service takes half of it.
 const maxBackup = 64 << 20
 
-func (f *listFlags) backup() *cobra.Command {
+func (f *registryFlags) backup() *cobra.Command {
 	return &cobra.Command{
 		Use:     "backup FILE",
 		Short:   "keep a copy of the list as it is now",
@@ -56,7 +56,7 @@
 
 func describe(s *registry.State) copied { return copied{s.Len(), s.Version(), s.Epoch()} }
 
-func (f *listFlags) restore() *cobra.Command {
+func (f *registryFlags) restore() *cobra.Command {
 	var over string
 	c := &cobra.Command{
 		Use:   "restore FILE --over EPOCH",
--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -23,8 +23,8 @@
 	askAtATime = 32              // proxies
 )
 
-// nodeView is what one proxy says, or why it says nothing.
-type nodeView struct {
+// proxyView is what one proxy says, or why it says nothing.
+type proxyView struct {
 	address string
 	view    gossip.Report
 	err     error
@@ -48,14 +48,14 @@
 }
 
 // askViews asks all proxies, and gives their answers in the order of the addresses.
-func askViews(ctx context.Context, addresses []string) []nodeView {
-	all := make([]nodeView, len(addresses))
+func askViews(ctx context.Context, addresses []string) []proxyView {
+	all := make([]proxyView, len(addresses))
 	var g errgroup.Group
 	g.SetLimit(askAtATime)
 	for i, address := range addresses {
 		g.Go(func() error {
 			v, err := askView(ctx, address)
-			all[i] = nodeView{address: address, view: v, err: err}
+			all[i] = proxyView{address: address, view: v, err: err}
 			return nil
 		})
 	}
@@ -91,7 +91,7 @@
 }
 
 // showViews prints the views as one, and what differs between them.
-func showViews(w io.Writer, all []nodeView) error {
+func showViews(w io.Writer, all []proxyView) error {
 	var views []gossip.Report
 	var failed error
 	for _, n := range all {
--- a/cmd/wrenspreadctl/duty.go
+++ b/cmd/wrenspreadctl/lease.go
@@ -21,8 +21,8 @@
 	"wrenspread/internal/registry/client"
 )
 
-func dutyCommand() *cobra.Command {
-	var f listFlags
+func leaseCommand() *cobra.Command {
+	var f registryFlags
 	c := &cobra.Command{
 		Use:   "duty",
 		Short: "leases: who holds them, and who is next",
@@ -30,14 +30,15 @@
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	f.add(c)
-	c.AddCommand(f.duties(), f.showDuty(), f.yield(), f.block(true), f.block(false), f.runDuty())
+	c.AddCommand(f.listLeases(), f.showLease(), f.transferLease())
+	c.AddCommand(f.block(true), f.block(false), f.runUnderLease())
 	return c
 }
 
-func (f *listFlags) duties() *cobra.Command {
+func (f *registryFlags) listLeases() *cobra.Command {
 	return &cobra.Command{
 		Use:     "ls",
-		Short:   "all duties with their holders",
+		Short:   "all leases with their holders",
 		Example: "  wrenspreadctl duty ls",
 		Args:    cobra.NoArgs,
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
@@ -86,10 +87,10 @@
 	return cmp.Or(strings.TrimSpace(d.HolderInfo.Note+" "+d.HolderInfo.Address+" "+d.HolderInfo.Version), "-")
 }
 
-func (f *listFlags) showDuty() *cobra.Command {
+func (f *registryFlags) showLease() *cobra.Command {
 	return &cobra.Command{
 		Use:     "show DUTY",
-		Short:   "one duty with its queue",
+		Short:   "one lease with its queue",
 		Example: "  wrenspreadctl duty show keeper",
 		Args:    cobra.ExactArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
@@ -126,7 +127,7 @@
 	}
 }
 
-func (f *listFlags) yield() *cobra.Command {
+func (f *registryFlags) transferLease() *cobra.Command {
 	var to string
 	c := &cobra.Command{
 		Use:     "yield DUTY",
@@ -147,10 +148,10 @@
 	return c
 }
 
-func (f *listFlags) block(on bool) *cobra.Command {
-	use, short, done := "block", "keep a process from holding a duty; a holder is asked to hand on", "blocked"
+func (f *registryFlags) block(on bool) *cobra.Command {
+	use, short, done := "block", "keep a process from holding a lease; a holder has to transfer it", "blocked"
 	if !on {
-		use, short, done = "unblock", "let a blocked process hold a duty again", "let again"
+		use, short, done = "unblock", "let a blocked process hold a lease again", "let again"
 	}
 	return &cobra.Command{
 		Use:     use + " DUTY PROCESS",
@@ -167,13 +168,13 @@
 	}
 }
 
-// runDuty runs a command of any kind while this process holds a lease.
-func (f *listFlags) runDuty() *cobra.Command {
+// runUnderLease runs a command of any kind while this process holds a lease.
+func (f *registryFlags) runUnderLease() *cobra.Command {
 	var process string
 	var ttl time.Duration
 	c := &cobra.Command{
 		Use:   "run DUTY -- COMMAND [ARG...]",
-		Short: "run a command while holding a duty, on as many machines as you like",
+		Short: "run a command while holding a lease, on as many machines as you like",
 		Long: `It waits until it holds the lease, runs the command, and releases the lease when the command
 ends by itself. The command gets SIGTERM when the lease has to be transferred, and SIGKILL
 if it has not ended within an eighth of the TTL. $INDIGO_DUTY and $INDIGO_FENCE have the
@@ -201,7 +202,7 @@
 	name, _ := os.Hostname() // empty where there is none, which Open tells
 	c.Flags().StringVar(&process, "process", name, "the name of this process, the same over its restarts")
 	c.Flags().
-		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, others get the duty")
+		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a renewal, others get the lease")
 	return c
 }
 
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -21,7 +21,7 @@
 )
 
 // flags that all list commands take.
-type listFlags struct {
+type registryFlags struct {
 	addresses string
 	json      bool
 	wait      time.Duration
@@ -29,7 +29,7 @@
 }
 
 func listCommand() *cobra.Command {
-	var f listFlags
+	var f registryFlags
 	c := &cobra.Command{
 		Use:   "list",
 		Short: "the endpoint list: read it, watch it, change it",
@@ -42,7 +42,7 @@
 }
 
 // add sets the flags of a command and of its subcommands.
-func (f *listFlags) add(c *cobra.Command) {
+func (f *registryFlags) add(c *cobra.Command) {
 	c.PersistentFlags().
 		StringVar(&f.addresses, "list", cmp.Or(os.Getenv("INDIGO_LIST"), "127.0.0.1:8500"),
 			"addresses of the registry's replicas, separated by commas")
@@ -51,7 +51,7 @@
 }
 
 // with runs a command against the service, for as long as it may take.
-func (f *listFlags) with(
+func (f *registryFlags) with(
 	do func(context.Context, *cobra.Command, *client.Client, []string) error,
 ) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
@@ -76,7 +76,7 @@
 }
 
 // condition is the version that the entry must have, if one was given.
-func (f *listFlags) condition() *uint64 {
+func (f *registryFlags) condition() *uint64 {
 	if f.cond < 0 {
 		return nil
 	}
@@ -84,12 +84,12 @@
 	return &v
 }
 
-func (f *listFlags) conditional(c *cobra.Command) *cobra.Command {
+func (f *registryFlags) conditional(c *cobra.Command) *cobra.Command {
 	c.Flags().Int64Var(&f.cond, "if", -1, "only if the entry has this version; 0: only if it is not there")
 	return c
 }
 
-func (f *listFlags) print(w io.Writer, v any, table func(*tabwriter.Writer)) error {
+func (f *registryFlags) print(w io.Writer, v any, table func(*tabwriter.Writer)) error {
 	if f.json {
 		e := json.NewEncoder(w)
 		e.SetIndent("", " ")
@@ -100,7 +100,7 @@
 	return t.Flush()
 }
 
-func (f *listFlags) get() *cobra.Command {
+func (f *registryFlags) get() *cobra.Command {
 	return &cobra.Command{
 		Use:     "get [NAME]",
 		Short:   "the list as it is now, or one entry of it",
@@ -157,7 +157,7 @@
 	return time.UnixMilli(ms).UTC().Format(time.DateTime)
 }
 
-func (f *listFlags) watch() *cobra.Command {
+func (f *registryFlags) watch() *cobra.Command {
 	return &cobra.Command{
 		Use:     "watch",
 		Short:   "follow the list until interrupted, over failures of the service",
@@ -189,7 +189,7 @@
 }
 
 // differences prints what a view has that the one before had not, and takes it over.
-func (f *listFlags) differences(w io.Writer, v client.List, before map[string]registry.Endpoint) error {
+func (f *registryFlags) differences(w io.Writer, v client.List, before map[string]registry.Endpoint) error {
 	there := map[string]bool{}
 	var all []registry.Endpoint
 	for _, e := range v.Endpoints {
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func (f *listFlags) register() *cobra.Command {
+func (f *registryFlags) register() *cobra.Command {
 	var e registry.Endpoint
 	var ttl time.Duration
 	c := &cobra.Command{
@@ -245,7 +245,7 @@
 	return f.conditional(c)
 }
 
-func (f *listFlags) done(c *cobra.Command, r registry.Result, err error) error {
+func (f *registryFlags) done(c *cobra.Command, r registry.Result, err error) error {
 	if err != nil {
 		return err
 	}
@@ -256,20 +256,20 @@
 	})
 }
 
-func (f *listFlags) drain() *cobra.Command {
+func (f *registryFlags) drain() *cobra.Command {
 	return f.onEntry(
 		"drain",
-		"let a server finish what it holds; nodes send it nothing new",
+		"let a server finish its requests in flight; proxies send it nothing new",
 		(*client.Client).Drain,
 	)
 }
 
-func (f *listFlags) remove() *cobra.Command {
+func (f *registryFlags) remove() *cobra.Command {
 	return f.onEntry("remove", "take a server off the list", (*client.Client).Remove)
 }
 
 // onEntry makes a command that changes one entry.
-func (f *listFlags) onEntry(
+func (f *registryFlags) onEntry(
 	verb, short string,
 	do func(*client.Client, context.Context, string, *uint64) (registry.Result, error),
 ) *cobra.Command {
--- a/cmd/wrenspreadctl/main.go
+++ b/cmd/wrenspreadctl/main.go
@@ -21,7 +21,7 @@
 	}
 	c.AddCommand(
 		listCommand(),
-		dutyCommand(),
+		leaseCommand(),
 		releaseCommand(),
 		policyCommand(),
 		fleetCommand(),
--- a/cmd/wrenspreadctl/members.go
+++ b/cmd/wrenspreadctl/members.go
@@ -12,7 +12,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-func (f *listFlags) members() *cobra.Command {
+func (f *registryFlags) members() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "members",
 		Short: "the replicas of the registry, and which of them leads",
@@ -32,7 +32,7 @@
 	return c
 }
 
-func (f *listFlags) showMembers(c *cobra.Command, all []registry.Replica) error {
+func (f *registryFlags) showMembers(c *cobra.Command, all []registry.Replica) error {
 	return f.print(c.OutOrStdout(), all, func(t *tabwriter.Writer) {
 		besteffort.Output(fmt.Fprintln(t, "NAME\tROLE\tVOTES\tADDED AT"))
 		for _, m := range all {
@@ -48,7 +48,7 @@
 	})
 }
 
-func (f *listFlags) addMember() *cobra.Command {
+func (f *registryFlags) addMember() *cobra.Command {
 	var at registry.Address
 	c := &cobra.Command{
 		Use:   "add NAME",
@@ -72,7 +72,7 @@
 	return c
 }
 
-func (f *listFlags) removeMember() *cobra.Command {
+func (f *registryFlags) removeMember() *cobra.Command {
 	return &cobra.Command{
 		Use:     "remove NAME",
 		Short:   "take a replica out of the cluster; end its process afterwards",
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -27,7 +27,7 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	var f listFlags
+	var f registryFlags
 	c.AddCommand(policyCheck(), f.applyPolicy(), f.showPolicy())
 	return c
 }
@@ -55,7 +55,7 @@
 	}
 	c.Flags().StringVar(&settings, "settings", "", "file with the names that the fleet knows")
 	c.Flags().BoolVar(&limits, "limits", false, "print each limit")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the table as nodes take it")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the table as proxies read it")
 	return c
 }
 
--- a/cmd/wrenspreadctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -13,11 +13,11 @@
 )
 
 // apply puts a compiled policy on record; the proxies that follow it take it up from there.
-func (f *listFlags) applyPolicy() *cobra.Command {
+func (f *registryFlags) applyPolicy() *cobra.Command {
 	var settings string
 	c := &cobra.Command{
 		Use:   "apply FILE",
-		Short: "compile a policy and have it hold on all nodes",
+		Short: "compile a policy and apply it on all proxies",
 		Long: `apply compiles a policy, as check does, and puts its table on record as the one that holds.
 Nodes with govern.policy take it up whole, each between two requests; wrenspreadctl fleet
 shows at which version each is. Two that apply at once: the second is turned down and has to
@@ -67,7 +67,7 @@
 	return r.Version, err
 }
 
-func (f *listFlags) showPolicy() *cobra.Command {
+func (f *registryFlags) showPolicy() *cobra.Command {
 	var limits bool
 	c := &cobra.Command{
 		Use:     "show",
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -24,7 +24,7 @@
 )
 
 func releaseCommand() *cobra.Command {
-	var f listFlags
+	var f registryFlags
 	c := &cobra.Command{
 		Use:   "release",
 		Short: "take servers from one version to another, wave by wave",
@@ -45,7 +45,7 @@
 	return c
 }
 
-func (f *listFlags) planRelease() *cobra.Command {
+func (f *registryFlags) planRelease() *cobra.Command {
 	return &cobra.Command{
 		Use:   "plan FILE",
 		Short: "check a plan, and show what it would do with the list as it is; nothing moves",
@@ -122,7 +122,7 @@
 	return release.TargetsOf(a.Endpoints), err
 }
 
-func (f *listFlags) startRelease() *cobra.Command {
+func (f *registryFlags) startRelease() *cobra.Command {
 	return &cobra.Command{
 		Use:     "start FILE",
 		Short:   "put a release on record; whoever conducts it begins",
@@ -150,7 +150,7 @@
 	}
 }
 
-func (f *listFlags) releaseStatus() *cobra.Command {
+func (f *registryFlags) releaseStatus() *cobra.Command {
 	var watch bool
 	c := &cobra.Command{
 		Use:     "status [NAME]",
@@ -173,7 +173,7 @@
 	return c
 }
 
-func (f *listFlags) showRelease(
+func (f *registryFlags) showRelease(
 	ctx context.Context,
 	c *cobra.Command,
 	k *client.Client,
@@ -255,7 +255,7 @@
 	}
 }
 
-func (f *listFlags) releaseHistory() *cobra.Command {
+func (f *registryFlags) releaseHistory() *cobra.Command {
 	return &cobra.Command{
 		Use:     "history NAME",
 		Short:   "what has happened, with times since its beginning",
@@ -275,7 +275,7 @@
 	}
 }
 
-func (f *listFlags) orderRelease(order, short string) *cobra.Command {
+func (f *registryFlags) orderRelease(order, short string) *cobra.Command {
 	who := cmp.Or(os.Getenv("USER"), "an operator")
 	c := &cobra.Command{
 		Use:     order + " NAME",
@@ -309,20 +309,20 @@
 	return c
 }
 
-// conductorConfig is what a controller is told.
-type conductorConfig struct {
+// controllerConfig is the configuration of a release controller.
+type controllerConfig struct {
 	Process string          `koanf:"process"`
 	Every   time.Duration   `koanf:"every"` // between two looks
 	Grace   time.Duration   `koanf:"grace"` // for what proxies hold at a server that is in maintenance
 	Nodes   []release.Proxy `koanf:"node"`
 }
 
-func (f *listFlags) conduct() *cobra.Command {
+func (f *registryFlags) conduct() *cobra.Command {
 	var path string
 	var ttl time.Duration
 	c := &cobra.Command{
 		Use:   "conduct NAME",
-		Short: "carry a release out, as the holder of its duty, until it is over",
+		Short: "carry a release out, as the holder of its lease, until it is over",
 		Long: `Run it on several machines: one of them conducts, the others wait to take over. Its file
 names the nodes at which servers are put into maintenance, and whose figures the gates read
 (backend_stats must be on there):
@@ -336,7 +336,7 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			host, _ := os.Hostname() // empty where there is none, which the lease tells
-			settings := conductorConfig{Process: host, Every: time.Second, Grace: 5 * time.Second}
+			settings := controllerConfig{Process: host, Every: time.Second, Grace: 5 * time.Second}
 			if path != "" {
 				if err := config.File(&settings, path); err != nil {
 					return err
@@ -347,14 +347,14 @@
 	}
 	c.Flags().StringVar(&path, "config", "", "a TOML file")
 	c.Flags().
-		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
+		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a renewal, another takes over")
 	return c
 }
 
-func (f *listFlags) conducting(
+func (f *registryFlags) conducting(
 	c *cobra.Command,
 	name string,
-	config conductorConfig,
+	config controllerConfig,
 	ttl time.Duration,
 ) error {
 	log := slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil)).With("release", name)
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -24,7 +24,7 @@
 )
 
 func tenantCommand() *cobra.Command {
-	var f listFlags
+	var f registryFlags
 	c := &cobra.Command{
 		Use:   "tenant",
 		Short: "tenants: onboard, change, remove on every proxy, or on none",
@@ -36,14 +36,14 @@
 	c.PersistentFlags().Lookup("wait").DefValue = f.wait.String()
 	c.AddCommand(
 		f.orderTenant(tenant.OrderAdd, "NAME FILE", "bring a tenant in; FILE is its form in JSON", formExample),
-		f.orderTenant(tenant.OrderChange, "NAME FILE", "give a tenant another form, on all nodes or on none", ""),
-		f.orderTenant(tenant.OrderSuspend, "NAME", "have all nodes refuse a tenant's requests", ""),
+		f.orderTenant(tenant.OrderChange, "NAME FILE", "give a tenant another spec, on all proxies or on none", ""),
+		f.orderTenant(tenant.OrderSuspend, "NAME", "have all proxies reject a tenant's requests", ""),
 		f.orderTenant(tenant.OrderResume, "NAME", "serve a suspended tenant again", ""),
 		f.orderTenant(tenant.OrderRemove, "NAME", "refuse a tenant, let what is open end, and free its quotas", ""),
 		f.orderTenant(
 			tenant.OrderForgetMember,
 			"NODE",
-			"vouch that a node that is gone serves nothing any more, so that nobody waits for it",
+			"vouch that a proxy that is gone serves nothing any more, so that nobody waits for it",
 			"",
 		),
 		f.tenantStatus(),
@@ -57,7 +57,7 @@
    "quotas": [{"limit": "book/kalahari"}], "routes": [{"zones": ["a", "b"], "kinds": ["m"], "least": 2}]}`
 
 // orderTenant leaves an order for the controller, and waits until it is done.
-func (f *listFlags) orderTenant(do, args, short, more string) *cobra.Command {
+func (f *registryFlags) orderTenant(do, args, short, more string) *cobra.Command {
 	return &cobra.Command{
 		Use:     do + " " + args,
 		Short:   short,
@@ -89,7 +89,7 @@
 const lookEvery = 200 * time.Millisecond
 
 // await places an order once no other waits, and follows it to its end.
-func (f *listFlags) await(
+func (f *registryFlags) await(
 	ctx context.Context,
 	c *cobra.Command,
 	k *client.Client,
@@ -153,7 +153,7 @@
 func standing(s tenant.Progress) string {
 	where := string(s.State)
 	if !s.Published {
-		where += ", nodes are not told yet"
+		where += ", proxies are not notified yet"
 	} else if len(s.WaitingFor) > 0 {
 		where += ", waits for " + strings.Join(s.WaitingFor, ", ")
 	}
@@ -169,10 +169,10 @@
 	return tenant.AllProgress(s, sessions), err
 }
 
-func (f *listFlags) tenantStatus() *cobra.Command {
+func (f *registryFlags) tenantStatus() *cobra.Command {
 	return &cobra.Command{
 		Use:     "status [NAME]",
-		Short:   "where tenants are, and which nodes they wait for",
+		Short:   "where tenants are, and which proxies they wait for",
 		Example: "  wrenspreadctl tenant status\n  wrenspreadctl tenant status kalahari --json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
@@ -205,13 +205,13 @@
 }
 
 // conductTenants holds the lease of the tenants' controller.
-func (f *listFlags) conductTenants() *cobra.Command {
+func (f *registryFlags) conductTenants() *cobra.Command {
 	var ttl time.Duration
 	var process string
 	var hashTree bool
 	c := &cobra.Command{
 		Use:     "conduct",
-		Short:   "carry orders out, as the holder of the duty; run it on several machines",
+		Short:   "carry orders out, as the lease holder; run it on several machines",
 		Example: "  wrenspreadctl tenant conduct --process ops-1",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -253,7 +253,7 @@
 	host, _ := os.Hostname() // empty where there is none, which the lease tells
 	c.Flags().StringVar(&process, "process", host, "the name of this process, the same over its restarts")
 	c.Flags().
-		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a word from here, another conducts")
+		DurationVar(&ttl, "ttl", lease.DefaultTTL, "after so long without a renewal, another takes over")
 	c.Flags().
 		BoolVar(&hashTree, "hash-tree", false, "write the catalogue as a hash tree, of which a proxy with "+
 			"govern.tenants_on_demand reads leaves; programs before it reject it")
