--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -76,8 +76,8 @@
 }
 
 // takeGossipCPU takes the cost of the messages on an attempt out of the processor time for decisions. When
-// that is used up, the beginning of an attempt is not told, as the next end of one at that endpoint tells it
-// too. Ends are told on credit.
+// that is used up, the start of an attempt is not sent, as the next end of one at that endpoint includes it.
+// Ends are sent on credit.
 func (b *Balancer) takeGossipCPU(e *endpoint, attemptEnds bool) bool {
 	rate := b.settings.CPUPerSecond.Seconds()
 	cost := gossipMessageCPU * float64(len(b.peersOf(e)))
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -84,7 +84,7 @@
 	r.mergeTail(kept, added)
 }
 
-// mergeTail merges added endpoints, whose room is at the end of the ring, into the first kept ones. It goes
+// mergeTail merges added endpoints, whose space is at the end of the ring, into the first kept ones. It goes
 // from the last position on, so that each endpoint moves once.
 func (r *ring) mergeTail(kept int, added []*endpoint) {
 	end := kept
--- a/cmd/wrenspread-proxy/usage.go
+++ b/cmd/wrenspread-proxy/usage.go
@@ -62,7 +62,7 @@
 What operators call, and what they see: docs/on-call.md.
 `
 
-// errUsage says that the arguments were none that there are, which has been told.
+// errUsage says that the arguments were none that there are, which has been printed.
 var errUsage = errors.New("wrenspread-proxy --help says what it needs")
 
 // arguments carries out what the command line asks for beside serving, and reports whether that is all.
--- a/internal/besteffort/besteffort.go
+++ b/internal/besteffort/besteffort.go
@@ -36,8 +36,8 @@
 // Drained discards the result of reading a body to its end. The read only serves to use its connection again.
 func Drained(int64, error) {}
 
-// Sample discards the error of a histogram that has no room for a value: its bounds are wide, and what is
-// beyond them is counted at the bound.
+// Sample discards the error of a histogram that can't hold a value: its bounds are wide, and what is beyond
+// them is counted at the bound.
 func Sample(error) {}
 
 // Ended discards the error with which something has ended on request, such as a goroutine whose context was
--- a/internal/membership/forget.go
+++ b/internal/membership/forget.go
@@ -34,7 +34,7 @@
 	c.actions = append(c.actions, MemberChanged{Before: c.member(r.statement, r.since)})
 }
 
-// forgetOldest makes room by forgetting whoever has been dead or gone the longest; false if there is nobody.
+// forgetOldest makes space by forgetting whoever has been dead or gone the longest; false if there is nobody.
 func (c *Core) forgetOldest() bool {
 	oldest := -1
 	for i, r := range c.sorted {
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -29,7 +29,7 @@
 	)
 }
 
-// addMember makes room for a name that is not known yet; nil if there is none.
+// addMember makes space for a name that is not known yet; nil if there is none.
 func (c *Core) addMember(st wire.Statement) *memberState {
 	if len(c.sorted) >= c.cfg.MaxMembers && !c.forgetOldest() {
 		c.stats.Refused++
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -14,8 +14,8 @@
 
 // failedProbesToAccuse is how many probes of a member, one a period, fail before it is accused: two, and
 // three from 512 members on. At a loss of 30% that leaves one accusation in 80 (700) probes of the living,
-// about 20 a second in a fleet of 300 (2,000), whose broadcasts and refutations still have room on the
-// datagrams. A death is found one period (two) later.
+// about 20 a second in a fleet of 300 (2,000), whose broadcasts and refutations still fit on the datagrams. A
+// death is found one period (two) later.
 func (c *Core) failedProbesToAccuse() int { return max(2, (bits.Len(uint(c.living+1))+2)/4) }
 
 // probeRound is the order of probes: all living members once, shuffled, then again. So a member is asked at
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -11,8 +11,8 @@
 const strangersPerPeriod = 64
 
 // correctionsPerPeriod bounds the datagrams that only tell a sender the newer statement of this node. Nodes
-// hear about two datagrams a period, so there is room; without a bound two nodes of which one can't take the
-// other's statement up answer each other once a round trip.
+// hear about two datagrams a period, so there is bandwidth for these; without a bound two nodes of which one
+// can't take the other's statement up answer each other once a round trip.
 const correctionsPerPeriod = 16
 
 // received takes a datagram. What is not of this fleet is dropped by its first five bytes.
--- a/internal/membership/wire/datagram.go
+++ b/internal/membership/wire/datagram.go
@@ -126,7 +126,7 @@
 	return append(append(b, size[:n]...), body...), true
 }
 
-// Decode reads a datagram whole, or returns the reason why it can't.
+// Decode reads a complete datagram, or returns the reason why it can't.
 func Decode(b []byte) (Datagram, error) {
 	if len(b) > MaxSize {
 		return Datagram{}, fmt.Errorf("datagram of %d bytes, over %d", len(b), MaxSize)
--- a/internal/membership/wire/fact.go
+++ b/internal/membership/wire/fact.go
@@ -77,7 +77,7 @@
 	MaxText          = 24
 	MaxUnknownFields = 21
 	MaxNumber        = 65534
-	MaxGeneration    = 1 << 62 // room above any clock's milliseconds to take one more, always
+	MaxGeneration    = 1 << 62 // enough above any clock's milliseconds to take one more, always
 	MaxAge           = 65535
 )
 
--- a/internal/membership/wire/statement.go
+++ b/internal/membership/wire/statement.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash stands for a member's name where the name has no room, and orders members into ranges. It is never 0.
+// Hash stands for a member's name where the name does not fit, and orders members into ranges. It is never 0.
 func Hash(name string) uint64 { return max(xxhash.Sum64String(name), 1) }
 
 // Sum is the statement's part in the digest of a view: load, accusers and age aside.
--- a/internal/policy/compare.go
+++ b/internal/policy/compare.go
@@ -61,7 +61,7 @@
 }
 
 // burstOf is what may come at once: as said, or a second's worth, no more than the limit around lets in, and
-// room for one request.
+// capacity for one request.
 func (c *compiler) burstOf(l *limit, r rawRates, rate float64, outer *limit) float64 {
 	most, what := c.largest(l.unit)
 	at, burst := l.source, rate
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -22,7 +22,7 @@
 // connection and costs the server nothing.
 const lateResponseRest = 5 * time.Millisecond
 
-// errNoCapacity says that this proxy has no room for a connection.
+// errNoCapacity says that this proxy has reached its limit of connections.
 var errNoCapacity = errors.New("too many connections")
 
 // ownLimit reports whether the proxy itself could not open a connection, which says nothing of the server.
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -19,7 +19,7 @@
 
 const (
 	maxOperatorConns    = 16                     // operators' connections at a time
-	operatorCallTimeout = 2 * time.Second        // for a call to come whole: callers wait one
+	operatorCallTimeout = 2 * time.Second        // for a call to be complete: callers wait one
 	maxCall             = 4 << 10                // bytes of a call's head
 	controlRetry        = 250 * time.Millisecond // before the address is tried again, if it can't be had
 
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -74,10 +74,9 @@
 	return nil
 }
 
-// finishConnections ends what is idle and waits until the rest has been answered, or last is
-// over: then all requests are past their deadlines, and what is left are
-// connections on which none has come. http.Server's Shutdown does not do, as
-// it drops without an answer each request whose head is whole after its call.
+// finishConnections ends what is idle and waits until the rest has been answered, or last is over: then all
+// requests are past their deadlines, and what is left are connections on which none has come. http.Server's
+// Shutdown does not do, as it drops without an answer each request whose head is complete after its call.
 func finishConnections(last context.Context, served <-chan struct{}, limited *listener.Listener) {
 	limited.Drain()
 	select {
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -14,7 +14,7 @@
 // endpointSource is where a proxy's list of servers comes from. Its methods do not block,
 // and are the loop's alone.
 type endpointSource interface {
-	// Follow takes lists as they are pushed, the whole one first.
+	// Follow takes lists as they are pushed, the complete one first.
 	Follow(ctx context.Context)
 	// Poll does what the balancer asks for where lists are not pushed.
 	Poll(ctx context.Context, fetch, watch bool)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -92,7 +92,7 @@
 	return res
 }
 
-// send writes a request that is kept whole, and counts it.
+// send writes a request that is in memory as a whole, and counts it.
 func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code balancer.Outcome, ok bool) {
 	msg, err := o.encode(time.Until(end))
 	if err != nil {
--- a/internal/proxy/handoff_link.go
+++ b/internal/proxy/handoff_link.go
@@ -78,7 +78,7 @@
 		if msgs, err := syscall.ParseSocketControlMessage(oob[:oobn]); err == nil {
 			for _, m := range msgs {
 				if fds, err := syscall.ParseUnixRights(&m); err == nil {
-					l.descriptors = append(l.descriptors, fds...) // one at most, for want of room
+					l.descriptors = append(l.descriptors, fds...) // one at most, for want of space
 				}
 			}
 		}
--- a/internal/proxy/listener/clientgone.go
+++ b/internal/proxy/listener/clientgone.go
@@ -23,7 +23,7 @@
 	return left || err != nil
 }
 
-// waitForClientEnd waits until the client has, and reads nothing meanwhile: there is no room to keep more. An
+// waitForClientEnd waits until the client has, and reads nothing meanwhile: there is no buffer for more. An
 // error other than io.EOF says that the wait was called off.
 func (c *Conn) waitForClientEnd() error {
 	raw, err := c.socket()
--- a/internal/proxy/listener/framing.go
+++ b/internal/proxy/listener/framing.go
@@ -12,9 +12,9 @@
 // errFraming makes the HTTP server answer 400 and close.
 var errFraming = errors.New("the request's length is ambiguous")
 
-// framing follows the heads that one client sends, ahead of the HTTP server. Where a head leaves room for two
-// opinions on where its body ends, the server settles on one silently, and what the client holds to be body
-// may be taken for a request that it never sent. Such a head is not let through.
+// framing follows the heads that one client sends, ahead of the HTTP server. Where a head allows two opinions
+// on where its body ends, the server settles on one silently, and what the client holds to be body may be
+// taken for a request that it never sent. Such a head is not let through.
 type framing struct {
 	headLine       []byte // of a head, so far
 	hasRequestLine bool   // the head's first line is over
@@ -69,7 +69,7 @@
 	f.headLine = append(f.headLine, p[:min(len(p), MaxHead-len(f.headLine))]...)
 }
 
-// endLine reports whether the head is whole.
+// endLine reports whether the head is complete.
 func (f *framing) endLine() (whole bool, err error) {
 	line := bytes.TrimSuffix(f.headLine, []byte("\r"))
 	f.headLine = f.headLine[:0] // its bytes are as they were until the next line comes
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -1,5 +1,5 @@
 // Package listener accepts clients' connections for the proxy's HTTP server. It bounds their number, closes
-// idle ones to make room, withholds requests whose framing is ambiguous (request smuggling), notices clients
+// idle ones to free slots, withholds requests whose framing is ambiguous (request smuggling), notices clients
 // that leave, and closes connections so that the last response is not lost: by write shutdown, reading to the
 // client's end, and then close.
 package listener
@@ -63,11 +63,10 @@
 	}
 }
 
-// Accept makes room by closing a connection that is not in use: clients that
-// keep connections without using them must not shut out others. With all in
-// use, those that come wait in the listener's queue, and are shut unread once
-// that has lasted for FullTimeout: each then knows, and nobody waits behind a
-// queue that gets ever longer.
+// Accept frees slots by closing a connection that is not in use: clients that keep connections without using
+// them must not shut out others. With all in use, those that come wait in the listener's queue, and are shut
+// unread once that has lasted for FullTimeout: each then knows, and nobody waits behind a queue that gets
+// ever longer.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		placed := l.takeSlot()
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -20,7 +20,7 @@
 	dialer   net.Dialer
 	pause    func(context.Context, time.Duration) bool
 	maxIdle  time.Duration
-	forwards *atomic.Int64 // attempts written whole
+	forwards *atomic.Int64 // attempts written completely
 
 	mu             sync.Mutex
 	open           int // connections, idle, in use or being dialled
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxBody  = 64 << 10 // of a request or an answer that is kept whole
+	maxBody  = 64 << 10 // of a request or an answer that is in memory as a whole
 	maxHead  = 16 << 10 // of an answer
 	maxInfos = 8        // 1xx answers ahead of the real one
 )
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -24,7 +24,7 @@
 	previous   map[string]balancer.Class      // and those with the settings before
 	useCount   map[string]int                 // of wants: by so many of names
 	byLeaf     map[*tenant.Leaf][]routedClass // of names, by the parts of the catalogue that have the routes
-	overLimit  bool                           // a variant has no room in wants
+	overLimit  bool                           // a variant does not fit into wants
 	outdated   bool                           // it is to be given others
 	plannedFor *tenant.Snapshot               // of which names and wants are
 }
@@ -92,7 +92,7 @@
 			l.dropLeaf(p)
 		}
 	}
-	if short && !l.overLimit { // there is room again for those that were left out
+	if short && !l.overLimit { // there is capacity again for those that were left out
 		l.plan(i, classes)
 		return
 	}
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// recordRead takes the record as it stands under the fencing token. Slots that it holds may be told; those
+// recordRead takes the record as it stands under the fencing token. Slots that it holds may be granted; those
 // that this allocator has assigned and the record lacks are written again.
 func (a *Allocator) recordRead(r RecordRead) {
 	if r.Token != a.token || len(r.Slots) > MaxProxies {
--- a/internal/registry/client/follow.go
+++ b/internal/registry/client/follow.go
@@ -17,7 +17,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Records are those under a prefix, whole, as of one version of the service.
+// Records are all records under a prefix, as of one version of the service.
 type Records struct {
 	Epoch   string
 	Version uint64
@@ -108,7 +108,7 @@
 			continue
 		}
 		if hold = minHold; verdict == NeedsComplete {
-			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // read whole, as of now
+			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // read completely, as of now
 		}
 		k.log.Warn(
 			"following records failed, keeping the known ones",
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -104,7 +104,7 @@
 }
 
 // Apply judges the answer to a call that named version from. One of another subset than the entries known has
-// to be whole, and then takes their place.
+// to be complete, and then takes their place.
 func (b *ListState) Apply(now time.Duration, from uint64, a registry.ListResponse) Change {
 	switch {
 	case a.Epoch != b.epoch && (b.epoch != "" || len(b.endpoints) > 0):
--- a/internal/registry/client/silence.go
+++ b/internal/registry/client/silence.go
@@ -3,10 +3,10 @@
 import "time"
 
 // The bound for silence. What a silent call misses counts as known 6 s after it fell silent or, for one that
-// is held, 2 s after its hold if that is later. A call is silent if it has no whole answer by the end of its
-// hold and grace, wherever it stands still: at the connection, ahead of the first byte or amid the answer.
-// After that, and any other failure, no connection of before is used again, and the next call is not held, so
-// that its own silence shows after the grace alone.
+// is held, 2 s after its hold if that is later. A call is silent if it has no complete answer by the end of
+// its hold and grace, wherever it stands still: at the connection, ahead of the first byte or amid the
+// answer. After that, and any other failure, no connection of before is used again, and the next call is not
+// held, so that its own silence shows after the grace alone.
 //
 // So two silences in a row fit into the clock of the first where lists are pushed, also if the connection
 // fell silent right after an answer: notHeld, holdPushed, gracePushed, at once the next, gracePushed, 1.5 *
--- a/internal/registry/client/subset.go
+++ b/internal/registry/client/subset.go
@@ -1,7 +1,7 @@
 package client
 
-// Which subset of the list is followed, and how a client goes from one to another:
-// it reads the new one whole while the one that it has stands.
+// Which subset of the list is followed, and how a client goes from one to another: it reads the new one
+// completely while the one that it has stands.
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 )
 
 // subsetMove is the subset that is to be followed. Where another one is known, that one is watched until its
-// time, which is drawn from a whole hold: the proxies that have to move are told so by one change.
+// time, which is drawn from a whole hold: the proxies that have to move are notified by one change.
 type subsetMove struct {
 	to registry.Subset
 	at time.Duration // since the client's start
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -47,7 +47,7 @@
 	return backoff.FullJitter{First: firstBackoff, Max: maxBackoff}
 }
 
-// watching reports whether the next call is held until there is news; one for the complete list is not.
+// watching reports whether the next call is held until there is a change; one for the complete list is not.
 func (k *Client) watching() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -20,7 +20,7 @@
 
 	// complete subsets that are made and sent at once: a fleet that comes together gets them in turn
 	maxCompleteReads        = 64
-	completeReadWait        = time.Second     // for one's turn, before a reader is told to come again
+	completeReadWait        = time.Second     // for one's turn, before a reader is rejected with Retry-After
 	completeReadTimeout     = 5 * time.Second // for sending one: a reader that takes longer has given up
 	completeReadRetrySpread = 4               // s, over which those that are rejected are spread
 )
--- a/internal/registry/server/contact.go
+++ b/internal/registry/server/contact.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// contact knows whether this replica has been without a leader for longer than an
-// election takes: then its list may be old, and a reader that has others to ask
-// is told so.
+// contact knows whether this replica has been without a leader for longer than an election takes: then its
+// list may be old, and a reader that has others to ask is sent elsewhere.
 type contact struct {
 	caughtUp atomic.Bool // it has replayed what its log had when it was started
 	mu       sync.Mutex
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -20,7 +20,7 @@
 // cutOffHold is the longest that a call is held on at a replica that is cut off. Half of it, past the call's
 // own hold, is a third of what a client grants an answer there; all of it, with two of the default election's
 // times to lose a leader, two to be cut off for it, and a client's wait and grace for the next call, is 4.8 s
-// of the 6 s in which a change is told.
+// of the 6 s in which a change is to be known.
 const (
 	cutOffHold = time.Second
 	never      = time.Duration(math.MaxInt64) // a reader without an epoch is never sent elsewhere
--- a/internal/registry/server/store.go
+++ b/internal/registry/server/store.go
@@ -24,10 +24,9 @@
 // openStore opens the log in a folder, which it makes if it is not there, and
 // keeps other processes out of the folder until lock is closed.
 //
-// What an earlier process left is read whole and written anew first. The library
-// that keeps the log faults on a file that was cut short and believes what a
-// damaged one says of its free pages, and raft gives up at an entry that is
-// missing; so nothing that can't be read gets as far as either.
+// What an earlier process left is read completely and written anew first. The library that keeps the log
+// faults on a file that was cut short and believes what a damaged one says of its free pages, and raft gives
+// up at an entry that is missing; so nothing that can't be read gets as far as either.
 func openStore(folder string) (store *raftboltdb.BoltStore, lock io.Closer, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, nil, fmt.Errorf("folder: %w", err)
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -71,7 +71,7 @@
 }
 
 // ProxyTargets gives the proxies themselves as their agents have them. An agent that does not answer is an
-// error: a plan is checked whole.
+// error: a plan is checked as a whole.
 func ProxyTargets(ctx context.Context, k *client.Client, h *http.Client) ([]Target, error) {
 	agents, err := findAgents(ctx, k)
 	if err != nil {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// class translates a class of requests. A faulty word is an error, and its field then has the zero value.
+// class translates a class of requests. An unknown value is an error, and its field then has the zero value.
 func (c classForm) class() (class balancer.Class, problems []error) {
 	idempotency, ok := idempotencies[c.Effect]
 	if !ok {
--- a/internal/tenant/members.go
+++ b/internal/tenant/members.go
@@ -129,7 +129,7 @@
 	return most
 }
 
-// forgetMember takes a member off the member record by an operator's word.
+// forgetMember takes a member off the member record by an operator's order.
 func (m *StateMachine) forgetMember(r *round, a PendingOrder) {
 	m.members.Members = slices.DeleteFunc(m.members.Members, func(member Member) bool {
 		if member.Name != a.Name || len(r.sessions[member.Name]) > 0 { // one that is there can't be forgotten
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -12,13 +12,11 @@
 	"wrenspread/internal/registry"
 )
 
-// The catalogue is written as a head and pages, which are named by their digests and
-// never change: a new catalogue is some new pages and, by one write, another head. So
-// it is taken whole. In the flat form the head names 32 leaves with entries, by the hash
-// of a tenant's own name; who reads it reads all. In the form of a hash tree (Merkle
-// tree) it names pages that name pages, and the leaves have entries by the hash of each
-// name that requests use: who has a request's name finds its leaf by levels-1 pages
-// between.
+// The catalogue is written as a head and pages, which are named by their digests and never change: a new
+// catalogue is some new pages and, by one write, another head. So it is taken as a whole. In the flat form
+// the head names 32 leaves with entries, by the hash of a tenant's own name; who reads it reads all. In the
+// form of a hash tree (Merkle tree) it names pages that name pages, and the leaves have entries by the hash
+// of each name that requests use: who has a request's name finds its leaf by levels-1 pages between.
 const (
 	fanBits = 5
 	// pages that the head names, or a page between: a head has 1.2 kB
@@ -158,8 +156,8 @@
 	err      error
 }
 
-// assemble makes the catalogue of a head, whole or with the leaves that are wanted (sorted), from pages by
-// digest. A page that is not there is told as missing: then there is no catalogue yet.
+// assemble makes the catalogue of a head, complete or with the leaves that are wanted (sorted), from pages by
+// digest. A page that is not there is reported as missing: then there is no catalogue yet.
 func assemble(h Head, have map[string]*page, whole bool, parts []int, used map[string]*page) *treeWalk {
 	w := &treeWalk{Head: h, known: have, used: used, complete: whole || h.Levels == 0}
 	w.snapshot = &Snapshot{
--- a/internal/tenant/publish.go
+++ b/internal/tenant/publish.go
@@ -150,8 +150,8 @@
 	return raw, left, nil
 }
 
-// loadTree makes the tree of the catalogue on record. Where its pages are not what this
-// program makes of their entries, there is none, and the next catalogue is written whole.
+// loadTree makes the tree of the catalogue on record. Where its pages are not what this program makes of
+// their entries, there is none, and the next catalogue is written completely.
 func (m *StateMachine) loadTree() {
 	t, _, err := treeOf(m.head.Levels, m.entries)
 	if err != nil || m.headVersion == 0 || !slices.Equal(t.head(0, nil).Pages, m.head.Pages) {
--- a/internal/tenant/snapshot.go
+++ b/internal/tenant/snapshot.go
@@ -86,7 +86,7 @@
 	return slices.Compact(all)
 }
 
-// Snapshot is a catalogue as one head has it: whole, or some leaves of it. It never changes.
+// Snapshot is a catalogue as one head has it: complete, or some leaves of it. It never changes.
 type Snapshot struct {
 	Number   uint64
 	levels   int           // of the hash tree whose leaves are the leaves; 0: one leaf has all
@@ -116,7 +116,7 @@
 
 var noEntries = &Leaf{}
 
-// NewSnapshot is a catalogue that is whole, in one leaf.
+// NewSnapshot is a catalogue that is complete, in one leaf.
 func NewSnapshot(number uint64, entries ...*Entry) *Snapshot {
 	all := slices.SortedFunc(
 		slices.Values(entries),
--- a/internal/tenant/statemachine.go
+++ b/internal/tenant/statemachine.go
@@ -148,7 +148,8 @@
 	writes        []RecordWrite
 }
 
-// Handle returns the writes that a look calls for. All are carried out, and told by Wrote, before the next.
+// Handle returns the writes that a look calls for. All are carried out, and reported by RecordWritten, before
+// the next.
 func (m *StateMachine) Handle(now time.Duration, l Observation) ([]RecordWrite, error) {
 	r := &round{
 		Observation: l,
--- a/internal/tenant/times.go
+++ b/internal/tenant/times.go
@@ -12,8 +12,8 @@
 	Tombstone time.Duration // names of one that is gone, or was refused, stay on record so long
 }
 
-// DefaultTimes are those of a controller that is told no others. Switch is ten times
-// what a proxy needs to hear of a catalogue when it polls each half second.
+// DefaultTimes are those of a controller without other settings. Switch is ten times what a proxy needs to
+// hear of a catalogue when it polls each half second.
 func DefaultTimes() Times {
 	return Times{Prepare: 30 * time.Second, Switch: 5 * time.Second, Tombstone: 10 * time.Minute}
 }
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -34,7 +34,7 @@
 	Levels    []DegradationLevel `json:"levels"` // the first is level 1
 
 	children map[scopeKey]int32 // scope by parent, attribute and value
-	// by scope: bit set of the attributes by which its children are told apart
+	// by scope: bit set of the attributes by which its children are distinguished
 	childAttributes []uint8
 	firstKeySlot    []int32 // by limit: index of its first key slot among the token slots, 0: none
 	tokenSlots      int     // one per limit, then the key slots
@@ -100,7 +100,7 @@
 	PriorityReserve float64       `json:"reserve"`
 	KeySlots        int           `json:"slots,omitempty"` // UnitPerKey: keys are hashed into so many slots
 	Status          int           `json:"status"`          // HTTP status of a rejection: 429 or 503
-	RetryAfter      time.Duration `json:"wait"`            // told to a rejected client
+	RetryAfter      time.Duration `json:"wait"`            // Retry-After for a rejected client
 	// the first window that holds replaces rate, burst and floor
 	Schedule []ScheduleWindow `json:"spans,omitempty"`
 }
