--- a/internal/membership/gossip/server_test.go
+++ b/internal/membership/gossip/server_test.go
@@ -72,6 +72,8 @@
 	r := await(t, a, "b and its versions", func(r Report) bool {
 		return len(r.Members) == 2 && r.Members[1].Catalogue == 3 && r.Members[1].Policy == 4 && r.Members[1].Load == 7
 	})
+	// b hands over the addresses of the living members that it has seen itself.
+	await(t, b, "a", func(r Report) bool { return healths(r) == "a alive b alive " })
 	h := b.HandOver()
 	if h.Generation != r.Members[1].Generation || h.State != membership.Serving || len(h.Join) != 1 || h.Join[0] != addr(0) {
 		t.Errorf("handed over %+v of %+v", h, r)
