--- a/internal/quota/allocate.go
+++ b/internal/quota/allocate.go
@@ -8,129 +8,147 @@
 	"wrenspread/ratelimit"
 )
 
-// allocate divides a limit's budget among the members that want it.
-func (a *Allocator) allocate(i int32, budget float64, needs map[need]flow) {
-	l := &a.limits.all[i]
-	var in []*memberShare
-	s := a.allocation(i)
-	a.renewSum(i, s)
-	left := s.sum.all
-	for _, e := range s.shares {
-		e.goal = size{}
-		if e.demand > 0 {
-			in = append(in, e)
-			left = size{left.rate - e.counted.rate, left.burst - e.counted.burst}
+// allocate divides the budget of the limit with index i among the members that have demand, and sets their
+// targets. innerDemands has the demand of the inner limits; allocate adds this limit's to its parent's entry.
+func (a *Allocator) allocate(i int32, budget float64, innerDemands map[demandKey]innerDemand) {
+	limit := &a.limits.all[i]
+	var claiming []*memberShare
+	allocation := a.allocation(i)
+	a.recomputeSum(i, allocation)
+	others := allocation.sum.total
+	for _, share := range allocation.shares {
+		share.target = shareSize{}
+		if share.demand > 0 {
+			claiming = append(claiming, share)
+			others = shareSize{others.rate - share.counted.rate, others.burst - share.counted.burst}
 		}
 	}
-	free := size{max(min(budget, l.rate-left.rate), 0), max(l.burst-left.burst, 0)}
-	wants := a.usableBy(i, in, needs)
-	if l.concurrency {
-		a.allocateConcurrency(i, free.rate, in, wants)
+	available := shareSize{max(min(budget, limit.rate-others.rate), 0), max(limit.burst-others.burst, 0)}
+	usable := a.usableDemand(i, claiming, innerDemands)
+	if limit.concurrency {
+		a.allocateConcurrency(i, available.rate, claiming, usable)
 	} else {
-		a.allocateRate(i, free, in, wants)
+		a.allocateRate(i, available, claiming, usable)
 	}
-	if l.parent < 0 {
+	if limit.parent < 0 {
 		return
 	}
-	for _, e := range in {
-		at := need{l.parent, l.attribute, e.member}
-		f := needs[at]
-		needs[at] = flow{f.wants + e.demand, f.gets + min(e.demand, e.goal.rate)}
+	for _, share := range claiming {
+		key := demandKey{limit.parent, limit.attribute, share.member}
+		inner := innerDemands[key]
+		innerDemands[key] = innerDemand{
+			inner.demand + share.demand,
+			inner.allocated + min(share.demand, share.target.rate),
+		}
 	}
 }
 
-// usableBy is how much each member can use: of an outer limit, what its inner ones get, and what comes past
-// them.
-func (a *Allocator) usableBy(i int32, in []*memberShare, needs map[need]flow) []float64 {
-	out := make([]float64, len(in))
-	for n, e := range in {
-		var most flow
-		for axis := ratelimit.AttributeFleet; axis <= ratelimit.AttributeCell; axis++ {
-			f := needs[need{i, axis, e.member}]
-			most = flow{max(most.wants, f.wants), max(most.gets, f.gets)}
+// usableDemand returns how much of the limit each member can use: what its inner limits were allocated, and
+// the demand that comes to no inner limit.
+func (a *Allocator) usableDemand(
+	i int32,
+	claiming []*memberShare,
+	innerDemands map[demandKey]innerDemand,
+) []float64 {
+	usable := make([]float64, len(claiming))
+	for n, share := range claiming {
+		var largest innerDemand
+		for attribute := ratelimit.AttributeFleet; attribute <= ratelimit.AttributeCell; attribute++ {
+			inner := innerDemands[demandKey{i, attribute, share.member}]
+			largest = innerDemand{max(largest.demand, inner.demand), max(largest.allocated, inner.allocated)}
 		}
-		out[n] = max(most.gets+max(e.demand-most.wants, 0), minDemand)
+		usable[n] = max(largest.allocated+max(share.demand-largest.demand, 0), minDemand)
 	}
-	return out
+	return usable
 }
 
-// allocateRate divides rate by max-min, what nobody wants by want, and the bucket's capacity by rate. Where
-// there is not a whole token's capacity for each, some have all, in turn: a bucket that can't hold a token
-// never admits.
-func (a *Allocator) allocateRate(i int32, free size, in []*memberShare, wants []float64) {
-	whole := int(min(free.burst, float64(len(in))))
-	if whole < len(in) {
-		in, wants = a.chooseInTurn(i, in, wants, whole)
+// allocateRate divides the rate among the claiming members by max-min fairness and the rate that is left over
+// in proportion to demand, and divides the bucket's capacity in proportion to rate. If there is less than one
+// token's capacity for each member, some members take turns with all of it, since a bucket that can't hold a
+// token never admits a request.
+func (a *Allocator) allocateRate(i int32, available shareSize, claiming []*memberShare, usable []float64) {
+	wholeTokens := int(min(available.burst, float64(len(claiming))))
+	if wholeTokens < len(claiming) {
+		claiming, usable = a.chooseInTurn(i, claiming, usable, wholeTokens)
 	}
-	if len(in) == 0 {
+	if len(claiming) == 0 {
 		return
 	}
-	rates := share(free.rate, wants)
-	rest := free.burst
-	for n, e := range in {
-		e.goal = size{rates[n], max(1, a.fallback(e.member, i).burst)}
-		rest -= e.goal.burst
+	rates := divideByDemand(available.rate, usable)
+	remainingBurst := available.burst
+	for n, share := range claiming {
+		share.target = shareSize{rates[n], max(1, a.fallback(share.member, i).burst)}
+		remainingBurst -= share.target.burst
 	}
-	all := total(rates)
-	for _, e := range in {
-		if rest > 0 && all > 0 {
-			e.goal.burst += float64(uint64(rest * e.goal.rate / all))
+	totalRate := totalOf(rates)
+	for _, share := range claiming {
+		if remainingBurst > 0 && totalRate > 0 {
+			share.target.burst += float64(uint64(remainingBurst * share.target.rate / totalRate))
 		}
 	}
 }
 
-// allocateConcurrency divides what may be open at once: whole requests.
-func (a *Allocator) allocateConcurrency(i int32, free float64, in []*memberShare, wants []float64) {
-	whole := int(min(free, float64(len(in))))
-	if whole < len(in) {
-		in, wants = a.chooseInTurn(i, in, wants, whole)
+// allocateConcurrency divides the number of requests that may be in flight, in complete requests. If there is
+// less than one request for each member, some members take turns.
+func (a *Allocator) allocateConcurrency(
+	i int32,
+	available float64,
+	claiming []*memberShare,
+	usable []float64,
+) {
+	wholeRequests := int(min(available, float64(len(claiming))))
+	if wholeRequests < len(claiming) {
+		claiming, usable = a.chooseInTurn(i, claiming, usable, wholeRequests)
 	}
-	if len(in) == 0 {
+	if len(claiming) == 0 {
 		return
 	}
-	for n, more := range share(free-float64(len(in)), wants) {
-		in[n].goal.rate = 1 + float64(uint64(more))
+	for n, extra := range divideByDemand(available-float64(len(claiming)), usable) {
+		claiming[n].target.rate = 1 + float64(uint64(extra))
 	}
 }
 
-func share(budget float64, wants []float64) []float64 {
-	even := slices.Repeat([]float64{1}, len(wants))
-	out := fair(budget, wants, even)
-	if spare := budget - total(out); spare > 0 {
-		all := total(wants)
-		for n := range out {
-			out[n] += spare * wants[n] / all
+// divideByDemand divides a budget by max-min fairness with equal weights, and the part that exceeds all
+// demands in proportion to the demands.
+func divideByDemand(budget float64, demands []float64) []float64 {
+	equalWeights := slices.Repeat([]float64{1}, len(demands))
+	shares := divideMaxMin(budget, demands, equalWeights)
+	if spare := budget - totalOf(shares); spare > 0 {
+		totalDemand := totalOf(demands)
+		for n := range shares {
+			shares[n] += spare * demands[n] / totalDemand
 		}
 	}
-	return out
+	return shares
 }
 
-// turnLength is how long a member keeps its turn at a limit that has fewer whole tokens than members want it.
-func turnLength(rate float64) time.Duration {
+// turnDuration returns how long a member's turn lasts at a limit that has fewer tokens than claiming members.
+func turnDuration(rate float64) time.Duration {
 	return max(2*time.Second, time.Duration(min(4/max(rate, 1e-3), 60)*float64(time.Second)))
 }
 
-// chooseInTurn chooses by a hash of name and time, so that who comes and goes moves nobody else.
+// chooseInTurn returns count of the claiming members, with their usable demand. It chooses by a hash of
+// member name and turn, so that members that join or leave do not shift the turns of the others.
 func (a *Allocator) chooseInTurn(
 	i int32,
-	in []*memberShare,
-	wants []float64,
-	whole int,
+	claiming []*memberShare,
+	usable []float64,
+	count int,
 ) ([]*memberShare, []float64) {
-	l := &a.limits.all[i]
-	now := uint64(a.now / turnLength(l.rate))
-	order := make([]int, len(in))
-	luck := make([]uint64, len(in))
-	for n, e := range in {
-		order[n], luck[n] = n, mix(l.hash, now, e.member.name)
+	limit := &a.limits.all[i]
+	turn := uint64(a.now / turnDuration(limit.rate))
+	order := make([]int, len(claiming))
+	hashes := make([]uint64, len(claiming))
+	for n, share := range claiming {
+		order[n], hashes[n] = n, mixHash(limit.hash, turn, share.member.name)
 	}
-	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(luck[x], luck[y]) })
-	order = order[:whole]
+	slices.SortFunc(order, func(x, y int) int { return cmp.Compare(hashes[x], hashes[y]) })
+	order = order[:count]
 	slices.Sort(order)
 	var chosen []*memberShare
-	var some []float64
+	var chosenUsable []float64
 	for _, n := range order {
-		chosen, some = append(chosen, in[n]), append(some, wants[n])
+		chosen, chosenUsable = append(chosen, claiming[n]), append(chosenUsable, usable[n])
 	}
-	return chosen, some
+	return chosen, chosenUsable
 }
--- a/internal/quota/allocation.go
+++ b/internal/quota/allocation.go
@@ -6,130 +6,137 @@
 	"time"
 )
 
-// memberShare is what a member has of one limit, by grants.
+// memberShare is what a member has of one limit by the allocator's grants.
 type memberShare struct {
-	member  *member
-	current shareLease // by the last grant
-	older   shareLease // the most by all earlier ones that the proxy may still live by
-	number  uint32
-	// without a lease it may have its fallback share at once, by any grant that may be the last taken
-	fallbackAtOnce        bool
-	currentFallbackAtOnce bool   // by the last
-	claimed               uint32 // the number of the newest claim
-	claimedAt             time.Duration
-	demand                float64
-	inFlight              float64 // requests in flight, as claimed
-	goal                  size
-	counted               size // in the limit's sum
+	member       *member
+	currentLease shareLease // leased by the last grant
+	olderLease   shareLease // maximum of the earlier leases that the proxy may still use
+	grantNumber  uint32     // number of the last grant
+	// some grant that the proxy may have applied last lets it use its fallback share as soon as the lease ends
+	fallbackAtOnce          bool
+	lastGrantFallbackAtOnce bool          // the last grant does so
+	claimNumber             uint32        // number of the newest claim
+	claimedAt               time.Duration // when the newest claim was received
+	demand                  float64       // as claimed
+	inFlight                float64       // requests in flight, as claimed; only for limits on concurrency
+	target                  shareSize     // share that the next lease is to have, by the plan
+	counted                 shareSize     // this share's part of the limit's sum
 }
 
+// shareLease is a leased share and the time until which the allocator counts it.
 type shareLease struct {
-	size
+	shareSize
 	until time.Duration
 }
 
-func (l shareLease) max(o shareLease) shareLease {
-	return shareLease{l.size.max(o.size), max(l.until, o.until)}
+func (l shareLease) max(other shareLease) shareLease {
+	return shareLease{l.shareSize.max(other.shareSize), max(l.until, other.until)}
 }
 
-// envelope is the most of the leases that may be alive.
-func (e *memberShare) envelope(now time.Duration) shareLease {
-	var most shareLease
-	for _, l := range [...]shareLease{e.current, e.older} {
-		if now < l.until {
-			most = most.max(l)
+// maxLiveLease returns the maximum of the leases that may be alive.
+func (s *memberShare) maxLiveLease(now time.Duration) shareLease {
+	var largest shareLease
+	for _, lease := range [...]shareLease{s.currentLease, s.olderLease} {
+		if now < lease.until {
+			largest = largest.max(lease)
 		}
 	}
-	return most
+	return largest
 }
 
-// grant notes a new lease. The proxy may live by an older one until it says that it has taken this one.
-func (e *memberShare) grant(now time.Duration, number uint32, s shareLease, kept bool) {
-	e.older, e.current, e.number = e.envelope(now), s, number
-	e.currentFallbackAtOnce, e.fallbackAtOnce = kept, e.fallbackAtOnce || kept
+// recordGrant records a new lease. The proxy may use an older lease until it confirms that it has applied
+// this grant.
+func (s *memberShare) recordGrant(now time.Duration, number uint32, lease shareLease, fallbackAtOnce bool) {
+	s.olderLease, s.currentLease, s.grantNumber = s.maxLiveLease(now), lease, number
+	s.lastGrantFallbackAtOnce, s.fallbackAtOnce = fallbackAtOnce, s.fallbackAtOnce || fallbackAtOnce
 }
 
-// confirm notes that the proxy has taken the last grant: it lives by no older one.
-func (e *memberShare) confirm(number uint32) {
-	if number == e.number && number > 0 {
-		e.older, e.fallbackAtOnce = shareLease{}, e.currentFallbackAtOnce
+// confirmGrant records that the proxy has applied a grant. If it is the last one, the proxy uses no older
+// lease.
+func (s *memberShare) confirmGrant(number uint32) {
+	if number == s.grantNumber && number > 0 {
+		s.olderLease, s.fallbackAtOnce = shareLease{}, s.lastGrantFallbackAtOnce
 	}
 }
 
-// allocation is one limit as the allocator keeps it: who has a share, and what nobody has, in a bucket of its
-// own. Tokens go from there with the capacity that a grant adds to a proxy's bucket.
-type allocation struct {
+// limitAllocation is the allocator's state of one limit: the members' shares, and a bucket that collects the
+// tokens of the part that no member has. A grant takes tokens from this bucket as far as it adds capacity to
+// a proxy's bucket.
+type limitAllocation struct {
 	shares   []*memberShare // by the members' names
-	tokens   float64
-	filledAt time.Duration // as of
-	spare    size          // that nobody had since then
-	sum      sum
+	tokens   float64        // tokens in the bucket as of filledAt
+	filledAt time.Duration  // up to when the bucket has been refilled
+	spare    shareSize      // part of the limit that no member has had since filledAt
+	sum      limitSum
 }
 
-// allocation returns a limit's, which has been idle if there is none yet.
-func (a *Allocator) allocation(i int32) *allocation {
-	s := a.allocations[i]
-	if s == nil {
-		s = &allocation{filledAt: max(a.formerLeasesEnd, a.tableSince), spare: a.unclaimed(i)}
-		a.allocations[i] = s
+// allocation returns the allocation of the limit with index i. A new one is made as of a limit that has been
+// idle since the allocator or the table is new.
+func (a *Allocator) allocation(i int32) *limitAllocation {
+	allocation := a.allocations[i]
+	if allocation == nil {
+		allocation = &limitAllocation{filledAt: max(a.previousLeasesEnd, a.tableChangedAt), spare: a.unclaimed(i)}
+		a.allocations[i] = allocation
 	}
-	return s
+	return allocation
 }
 
-// unclaimed is what nobody can have of a limit in which no member has a share.
-func (a *Allocator) unclaimed(i int32) size {
-	l := &a.limits.all[i]
-	rate, pool := l.fallbackRate, l.fallbackTokens
-	if was, there := a.previousLimits.byHash[l.hash]; there {
-		rate, pool = max(
+// unclaimed returns the part of a limit that no proxy can have while no member has a granted share: the limit
+// less all fallback shares, by the larger ones of the present and the previous table.
+func (a *Allocator) unclaimed(i int32) shareSize {
+	limit := &a.limits.all[i]
+	rate, tokens := limit.fallbackRate, limit.fallbackTokens
+	if previous, found := a.previousLimits.byHash[limit.hash]; found {
+		rate, tokens = max(
 			rate,
-			a.previousLimits.all[was].fallbackRate,
+			a.previousLimits.all[previous].fallbackRate,
 		), max(
-			pool,
-			a.previousLimits.all[was].fallbackTokens,
+			tokens,
+			a.previousLimits.all[previous].fallbackTokens,
 		)
 	}
-	return size{max(l.rate-rate, 0), max(l.burst-float64(pool), 0)}
+	return shareSize{max(limit.rate-rate, 0), max(limit.burst-float64(tokens), 0)}
 }
 
-func (s *allocation) find(name string) (int, bool) {
+func (a *limitAllocation) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(
-		s.shares,
+		a.shares,
 		name,
-		func(e *memberShare, n string) int { return cmp.Compare(e.member.name, n) },
+		func(share *memberShare, n string) int { return cmp.Compare(share.member.name, n) },
 	)
 }
 
-func (s *allocation) add(e *memberShare) {
-	if at, there := s.find(e.member.name); !there {
-		s.shares = slices.Insert(s.shares, at, e)
-		s.sum.revision = 0
+func (a *limitAllocation) add(share *memberShare) {
+	if at, found := a.find(share.member.name); !found {
+		a.shares = slices.Insert(a.shares, at, share)
+		a.sum.revision = 0
 	}
 }
 
-func (a *Allocator) dropShare(i int32, e *memberShare) {
-	s := a.allocation(i)
-	if at, there := s.find(e.member.name); there {
-		s.refill(a.now, a.times.lease)
-		s.shares = slices.Delete(s.shares, at, at+1)
-		s.sum.revision = 0
-		if len(s.shares) == 0 {
-			s.spare = a.unclaimed(i)
+// dropShare removes a member's share of the limit with index i.
+func (a *Allocator) dropShare(i int32, share *memberShare) {
+	allocation := a.allocation(i)
+	if at, found := allocation.find(share.member.name); found {
+		allocation.refill(a.now, a.times.leaseDuration)
+		allocation.shares = slices.Delete(allocation.shares, at, at+1)
+		allocation.sum.revision = 0
+		if len(allocation.shares) == 0 {
+			allocation.spare = a.unclaimed(i)
 		}
 	}
-	delete(e.member.shares, i)
+	delete(share.member.shares, i)
 }
 
-// refill brings the allocation's bucket up to now. While members have shares, what was spare is so for a
-// lease at most.
-func (s *allocation) refill(now time.Duration, lease time.Duration) {
-	if now <= s.filledAt {
+// refill refills the allocation's bucket up to now. While members have shares, the spare part counts for at
+// most one lease duration.
+func (a *limitAllocation) refill(now time.Duration, leaseDuration time.Duration) {
+	if now <= a.filledAt {
 		return
 	}
-	since := now - s.filledAt
-	if len(s.shares) > 0 {
-		since = min(since, lease)
+	elapsed := now - a.filledAt
+	if len(a.shares) > 0 {
+		elapsed = min(elapsed, leaseDuration)
 	}
-	s.tokens = min(s.tokens+s.spare.rate*since.Seconds(), s.spare.burst)
-	s.filledAt = now
+	a.tokens = min(a.tokens+a.spare.rate*elapsed.Seconds(), a.spare.burst)
+	a.filledAt = now
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -6,63 +6,62 @@
 	"time"
 )
 
-// AllocatorConfig is what an allocator is started with.
+// AllocatorConfig configures an Allocator.
 type AllocatorConfig struct {
-	Fleet uint32 // the fleet's name as a hash
-	Name  string // by which proxies send to the allocator, at most MaxName bytes
+	Fleet uint32 // hash of the fleet's name
+	Name  string // the name by which proxies send to the allocator, at most MaxName bytes
 }
 
-// Allocator shares the limits out among the proxies, for as long as its process holds the lease. It is pure:
+// Allocator allocates the limits among the proxies, for as long as its process holds the lease. It is pure:
 // times are of the process's monotonic clock.
 //
-// At any time, and for each limit, what it counts for all members together stays within the limit: see count.
-// It rests on the lease's fencing token and end, on the record of enrolled proxies and on leases; never on
-// membership.
+// At any time, and for each limit, the shares that it counts for all members together stay within the limit
+// (see maxShare). Their correctness rests on the lease's fencing token and end, on the record of enrolled
+// proxies and on the leases that were granted; never on membership.
 type Allocator struct {
 	cfg            AllocatorConfig
 	times          times
 	now            time.Duration
 	limits         *limits
-	previousLimits *limits // of the table that proxies may still judge by
-	allocations    map[int32]*allocation
-	wall           time.Time
-	tableSince     time.Duration
+	previousLimits *limits                    // of the table before, which some proxies may still use
+	allocations    map[int32]*limitAllocation // by the limit's index
+	wallTime       time.Time
+	tableChangedAt time.Duration
 
-	token           uint64
-	leaseUntil      time.Duration // the lease may be acted on
-	formerLeasesEnd time.Duration // no lease of the previous allocator can be left
-	recordKnown     bool          // the record is known under the fencing token
-	expectedProxies int           // proxies, by membership
-	plannedAt       time.Duration
+	token             uint64
+	leaseUntil        time.Duration // until when the allocator may act on the lease
+	previousLeasesEnd time.Duration // from when on no lease of the previous allocator can be alive
+	recordKnown       bool          // the record has been read under the fencing token
+	expectedProxies   int           // number of proxies that membership knows
+	plannedAt         time.Duration // when the targets were last computed
 
-	members         []*member // by name
-	revision        int       // changes when they, their slots or generations, or the table do
-	departed        []leave   // the last that left
-	recordDirty     bool      // the record is to be written
-	recordWrittenAt time.Duration
-	writePending    bool
+	members         []*member      // by name
+	revision        int            // changes with the members, their slots and generations, and the table
+	departed        []leaveMessage // the last proxies that left, oldest first
+	recordDirty     bool           // the record is to be written
+	recordWrittenAt time.Duration  // when the last write was requested
+	writePending    bool           // the last write has had no result yet
 }
 
-// Bounds on what proxies can make the allocator keep, and its pace.
 const (
-	maxDeparted  = 1024
-	planInterval = 50 * time.Millisecond
-	writeTimeout = time.Second // a write that nothing was heard of
+	maxDeparted  = 1024                  // departed proxies that are remembered
+	planInterval = 50 * time.Millisecond // time between two computations of the targets
+	writeTimeout = time.Second           // after which a write without a result is requested again
 )
 
-// NewAllocator returns one that holds nothing.
+// NewAllocator returns an allocator that does not hold the lease.
 func NewAllocator(cfg AllocatorConfig) *Allocator {
 	return &Allocator{
 		cfg:            cfg,
 		times:          defaultTimes(),
 		limits:         newLimits(nil, 0),
 		previousLimits: newLimits(nil, 0),
-		allocations:    map[int32]*allocation{},
+		allocations:    map[int32]*limitAllocation{},
 		revision:       1,
 	}
 }
 
-// Handle takes an event and gives what is to be sent and written.
+// Handle handles an event and returns the datagrams to send and the records to write.
 func (a *Allocator) Handle(now time.Duration, e Event) []Action {
 	a.now = max(a.now, now)
 	switch e := e.(type) {
@@ -71,16 +70,16 @@
 	case TableChanged:
 		a.setTable(e)
 	case WallClock:
-		a.wall = e.Time
-		a.limits.applySchedule(a.wall)
+		a.wallTime = e.Time
+		a.limits.applySchedule(a.wallTime)
 	case ExpectedProxies:
 		a.expectedProxies = e.Count
 	case RecordRead:
 		a.recordRead(e)
 	case Forget:
-		a.remove(e.Name)
+		a.removeMember(e.Name)
 	case Message:
-		return append(a.message(e.Data), a.writeRecord()...)
+		return append(a.handleDatagram(e.Data), a.writeRecord()...)
 	case Tick:
 		a.forgetExpired()
 		a.plan()
@@ -89,11 +88,12 @@
 	return nil
 }
 
-// mayGrant reports whether grants may be made. What was granted by until has run out a lease, as others see
-// it, later.
+// mayGrant reports whether the allocator may grant leases. The leases that it grants before leaseUntil end at
+// most one lease duration, on the proxies' clocks, after leaseUntil.
 func (a *Allocator) mayGrant() bool { return a.recordKnown && a.now < a.leaseUntil }
 
-// leaseHeld begins anew under a new fencing token, knowing nothing; under the same one it goes on for longer.
+// leaseHeld resets the allocator's state under a new fencing token; under the present token it only extends
+// the time in which the allocator may act.
 func (a *Allocator) leaseHeld(h LeaseHeld) {
 	switch {
 	case h.Token < a.token || h.Token == 0:
@@ -105,38 +105,40 @@
 		a.writePending = false
 		a.members = nil
 		a.departed = nil
-		a.allocations = map[int32]*allocation{}
-		a.formerLeasesEnd = a.now + a.times.countedLease()
+		a.allocations = map[int32]*limitAllocation{}
+		a.previousLeasesEnd = a.now + a.times.countedLease()
 	}
 	a.leaseUntil = h.Until
 }
 
-// setTable swaps the table. What members have of a limit goes on, by its name.
+// setTable replaces the table. Members keep their shares of the limits whose names are in both tables.
 func (a *Allocator) setTable(e TableChanged) {
-	was := a.limits
-	a.limits, a.previousLimits = newLimits(e.Current, a.times.drift), was
+	previous := a.limits
+	a.limits, a.previousLimits = newLimits(e.Current, a.times.drift), previous
 	if e.Previous != nil {
 		a.previousLimits = newLimits(e.Previous, a.times.drift)
 	}
-	if !a.wall.IsZero() {
-		a.limits.applySchedule(a.wall)
+	if !a.wallTime.IsZero() {
+		a.limits.applySchedule(a.wallTime)
 	}
 	a.revision++
-	a.allocations, a.tableSince = map[int32]*allocation{}, a.now
+	a.allocations, a.tableChangedAt = map[int32]*limitAllocation{}, a.now
 	for _, m := range a.members {
-		entries := map[int32]*memberShare{}
-		for i, held := range m.shares {
-			if next, there := a.limits.byHash[was.all[i].hash]; there {
-				entries[next] = held
-				a.allocation(next).add(held)
+		shares := map[int32]*memberShare{}
+		for i, share := range m.shares {
+			if next, found := a.limits.byHash[previous.all[i].hash]; found {
+				shares[next] = share
+				a.allocation(next).add(share)
 			}
 		}
-		m.shares = entries
+		m.shares = shares
 	}
 }
 
-func (a *Allocator) message(data []byte) []Action {
-	kind, r, err := open(data, a.cfg.Fleet)
+// handleDatagram handles claims and leave messages. Datagrams that can't be decoded are dropped, and so is
+// every datagram while the allocator may not grant.
+func (a *Allocator) handleDatagram(data []byte) []Action {
+	kind, r, err := readHeader(data, a.cfg.Fleet)
 	if err != nil || !a.mayGrant() {
 		return nil
 	}
@@ -147,45 +149,49 @@
 		}
 	case kindLeave:
 		if l, ok := decodeLeave(r); ok {
-			a.memberLeft(l)
+			a.handleLeave(l)
 		}
 	}
 	return nil
 }
 
-// find returns the member of a name and where it is, or where it would be.
+// find returns the member with the name (nil if there is none) and its index in members, or the index at
+// which to insert it.
 func (a *Allocator) find(name string) (int, *member) {
-	at, there := slices.BinarySearchFunc(
+	at, found := slices.BinarySearchFunc(
 		a.members,
 		name,
 		func(m *member, n string) int { return cmp.Compare(m.name, n) },
 	)
-	if !there {
+	if !found {
 		return at, nil
 	}
 	return at, a.members[at]
 }
 
-// remove ends all that a name has: it left, or an operator said that it is no more.
-func (a *Allocator) remove(name string) {
+// removeMember drops a member with its slot and shares, because the proxy has left or an operator has
+// declared that it will not come back.
+func (a *Allocator) removeMember(name string) {
 	at, m := a.find(name)
 	if m == nil {
 		return
 	}
-	for i, e := range m.shares {
-		a.dropShare(i, e)
+	for i, share := range m.shares {
+		a.dropShare(i, share)
 	}
 	a.members = slices.Delete(a.members, at, at+1)
 	a.revision++
 	a.recordDirty = a.recordDirty || m.hasSlot
 }
 
-func (a *Allocator) memberLeft(l leave) {
-	if _, m := a.find(l.name); m == nil || m.generation != l.generation {
+// handleLeave removes the member if the leave is of its present generation, and remembers the leave, so that
+// late claims of that process don't enroll the proxy again.
+func (a *Allocator) handleLeave(notice leaveMessage) {
+	if _, m := a.find(notice.name); m == nil || m.generation != notice.generation {
 		return
 	}
-	a.remove(l.name)
-	a.departed = append(a.departed, l)
+	a.removeMember(notice.name)
+	a.departed = append(a.departed, notice)
 	if len(a.departed) > maxDeparted {
 		a.departed = slices.Delete(a.departed, 0, maxDeparted/2)
 	}
--- a/internal/quota/allocator/record.go
+++ b/internal/quota/allocator/record.go
@@ -14,75 +14,81 @@
 	"wrenspread/internal/registry/client"
 )
 
-// RecordKey is the record of enrolled proxies.
+// RecordKey is the key of the record of enrolled proxies.
 const RecordKey = "fleet/nodes"
 
-// registryTimeout is how long one call to the registry may take, over its failures. Until it has ended,
-// nothing else is written.
+// registryTimeout bounds one registry request with its retries. No other write starts before the request has
+// ended.
 const registryTimeout = 2 * time.Second
 
 const format = 1
 
-// slotRecord is what the registry keeps. A later format is refused: its allocator has to be of a version that
-// knows it.
+// slotRecord is the record of enrolled proxies as the registry stores it. Other formats are rejected: the
+// allocator has to be of a version that knows the format.
 type slotRecord struct {
 	Format int          `json:"format"`
 	Slots  []quota.Slot `json:"seats"`
 }
 
-// readSlots returns the slots and the record's version, 0 if there is none.
-func readSlots(ctx context.Context, k *client.Client) ([]quota.Slot, uint64, error) {
+// readSlots returns the slots and the record's version; without a record the version is 0.
+func readSlots(ctx context.Context, registryClient *client.Client) ([]quota.Slot, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	got, err := k.Record(ctx, RecordKey)
-	var no *client.Error
-	if errors.As(err, &no) && no.Code == string(registry.NotFound) {
+	got, err := registryClient.Record(ctx, RecordKey)
+	var registryErr *client.Error
+	if errors.As(err, &registryErr) && registryErr.Code == string(registry.NotFound) {
 		return nil, 0, nil
 	}
 	if err != nil {
-		return nil, 0, fmt.Errorf("reading %s: %w", RecordKey, err)
+		return nil, 0, fmt.Errorf("read record %s: %w", RecordKey, err)
 	}
-	var r slotRecord
-	if err := json.Unmarshal(got.Value, &r); err != nil {
-		return nil, 0, fmt.Errorf("reading %s: %w", RecordKey, err)
+	var record slotRecord
+	if err := json.Unmarshal(got.Value, &record); err != nil {
+		return nil, 0, fmt.Errorf("decode record %s: %w", RecordKey, err)
 	}
-	if r.Format != format {
-		return nil, 0, fmt.Errorf("%s has format %d, this program knows %d", RecordKey, r.Format, format)
+	if record.Format != format {
+		return nil, 0, fmt.Errorf(
+			"decode record %s: unsupported format %d, want %d",
+			RecordKey,
+			record.Format,
+			format,
+		)
 	}
-	return r.Slots, got.Version, nil
+	return record.Slots, got.Version, nil
 }
 
-// announce tells the proxies which process is the allocator from now on.
-func announce(ctx context.Context, k *client.Client, f lease.Token, name string) error {
+// announce writes the record by which proxies learn that this process is the allocator.
+func announce(ctx context.Context, registryClient *client.Client, token lease.Token, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	value, err := json.Marshal(quotarecord.AllocatorRecord{Name: name, Token: f.Number})
+	value, err := json.Marshal(quotarecord.AllocatorRecord{Name: name, Token: token.Number})
 	if err == nil {
-		_, err = k.WithToken(f).Put(ctx, quotarecord.AllocatorKey, value, nil)
+		_, err = registryClient.WithToken(token).Put(ctx, quotarecord.AllocatorKey, value, nil)
 	}
 	if err != nil {
-		return fmt.Errorf("writing %s: %w", quotarecord.AllocatorKey, err)
+		return fmt.Errorf("write record %s: %w", quotarecord.AllocatorKey, err)
 	}
 	return nil
 }
 
-// writeSlots replaces the record that has a version, under the fencing token, and gives its next one.
+// writeSlots replaces the record, if it still has the version, under the fencing token. It returns the
+// record's new version.
 func writeSlots(
 	ctx context.Context,
-	k *client.Client,
-	f lease.Token,
-	seats []quota.Slot,
+	registryClient *client.Client,
+	token lease.Token,
+	slots []quota.Slot,
 	version uint64,
 ) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	value, err := json.Marshal(slotRecord{format, seats})
+	value, err := json.Marshal(slotRecord{format, slots})
 	if err != nil {
-		return 0, fmt.Errorf("writing %s: %w", RecordKey, err)
+		return 0, fmt.Errorf("encode record %s: %w", RecordKey, err)
 	}
-	r, err := k.WithToken(f).Put(ctx, RecordKey, value, &version)
+	r, err := registryClient.WithToken(token).Put(ctx, RecordKey, value, &version)
 	if err != nil {
-		return 0, fmt.Errorf("writing %s: %w", RecordKey, err)
+		return 0, fmt.Errorf("write record %s: %w", RecordKey, err)
 	}
 	return r.EntryVersion, nil
 }
--- a/internal/quota/allocator/server.go
+++ b/internal/quota/allocator/server.go
@@ -1,5 +1,6 @@
 // Package allocator runs the quota allocator (package quota) in a process that may hold the lease "quota": it
-// reads and writes the record of slots under the lease's fencing token, and passes datagrams on.
+// reads and writes the record of slots under the lease's fencing token, and passes datagrams between the core
+// and the caller.
 package allocator
 
 import (
@@ -19,53 +20,55 @@
 
 const tickInterval = 20 * time.Millisecond
 
-// Config is what an allocator works with.
+// Config configures an allocator.
 type Config struct {
-	Fleet    uint32 // the fleet's name as a hash
-	Name     string // by which proxies send to it: that of its member of membership
+	Fleet    uint32 // hash of the fleet's name
+	Name     string // the name by which proxies send to the allocator: its name as a membership member
 	Registry *client.Client
 	Leases   *lease.Session
-	In       <-chan []byte                // datagrams whose first byte is quota.Ours, no longer the sender's
-	Send     func(to string, data []byte) // to a member of membership; it never waits
+	In       <-chan []byte                // received datagrams for which quota.IsOurs holds; Run owns the slices
+	Send     func(to string, data []byte) // sends to a member by its membership name, without blocking
 	Events   <-chan quota.Event           // TableChanged, WallClock, ExpectedProxies and Forget
-	Log      *slog.Logger                 // nil: none
+	Log      *slog.Logger                 // nil means no log
 }
 
-// tenure is a time in which the lease is held.
+// tenure is a period in which the process holds the lease, with the record of slots as it was read or written
+// last.
 type tenure struct {
 	token   lease.Token
 	slots   []quota.Slot
 	version uint64 // of the record
 }
 
-// writeResult is the end of a write.
+// writeResult is the result of writing the record or, after a failed write, of reading it.
 type writeResult struct {
 	token   lease.Token
 	slots   []quota.Slot
 	version uint64
 	err     error
-	reading bool
+	wasRead bool // the record was read
 }
 
-// server owns the core in one goroutine, loop. What is written has one goroutine at a time.
+// server owns the core in the goroutine of loop. At most one other goroutine at a time writes or reads the
+// record.
 type server struct {
 	config     Config
 	core       *quota.Allocator
-	start      time.Time
-	tenures    chan tenure
-	tenureEnds chan chan struct{}
+	start      time.Time          // origin of the core's times
+	tenures    chan tenure        // new tenures, from holdLease to loop
+	tenureEnds chan chan struct{} // loop closes the sent channel once it acts for the tenure no more
 	writes     chan writeResult
-	done       chan struct{} // the loop has ended
+	done       chan struct{} // closed once loop has ended
 	tenure     tenure        // its fencing token is 0 while the lease is not held
-	writing    bool
+	writing    bool          // a write or read of the record is in progress
 }
 
-// Run allocates quotas whenever the process holds the lease, until ctx ends.
+// Run competes for the lease and allocates quotas whenever the process holds it, until ctx ends.
 func Run(ctx context.Context, c Config) error {
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
 	}
-	h := &server{
+	s := &server{
 		config: c,
 		core:   quota.NewAllocator(quota.AllocatorConfig{Fleet: c.Fleet, Name: c.Name}),
 		start:  time.Now(),
@@ -76,128 +79,134 @@
 		writes:     make(chan writeResult, 1),
 		done:       make(chan struct{}),
 	}
-	all, ctx := errgroup.WithContext(ctx)
-	all.Go(func() error { h.loop(ctx, all); return ctx.Err() })
-	all.Go(func() error { return c.Leases.Run(ctx, LeaseName, h.holdLease) })
-	return all.Wait()
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { s.loop(ctx, group); return ctx.Err() })
+	group.Go(func() error { return c.Leases.Run(ctx, LeaseName, s.holdLease) })
+	return group.Wait()
 }
 
-// holdLease passes a tenure to the loop, and comes back once the loop acts for it no more.
-func (h *server) holdLease(ctx context.Context, f lease.Token) error {
-	seats, version, err := readSlots(ctx, h.config.Registry)
+// holdLease reads the record, announces this process as the allocator and passes a tenure to loop. It returns
+// after ctx has ended and loop has stopped acting for the tenure.
+func (s *server) holdLease(ctx context.Context, token lease.Token) error {
+	slots, version, err := readSlots(ctx, s.config.Registry)
 	if err != nil {
 		return err
 	}
-	if err := announce(ctx, h.config.Registry, f, h.config.Name); err != nil {
+	if err := announce(ctx, s.config.Registry, token, s.config.Name); err != nil {
 		return err
 	}
 	select {
-	case h.tenures <- tenure{f, seats, version}:
+	case s.tenures <- tenure{token, slots, version}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	<-ctx.Done()
 	ended := make(chan struct{})
 	select {
-	case h.tenureEnds <- ended:
+	case s.tenureEnds <- ended:
 		<-ended
-	case <-h.done:
+	case <-s.done:
 	}
 	return ctx.Err()
 }
 
-func (h *server) loop(ctx context.Context, all *errgroup.Group) {
-	defer close(h.done)
+// loop handles tenures, datagrams, events, results of writes and ticks, until ctx ends.
+func (s *server) loop(ctx context.Context, group *errgroup.Group) {
+	defer close(s.done)
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-h.tenures:
-			h.tenure = t
-			h.extendLease()
-			h.handle(ctx, all, quota.RecordRead{Token: t.token.Number, Slots: t.slots})
-		case ended := <-h.tenureEnds:
-			h.core.Handle(h.time(), quota.LeaseHeld{Token: h.tenure.token.Number})
-			h.tenure = tenure{}
+		case t := <-s.tenures:
+			s.tenure = t
+			s.extendLease()
+			s.handle(ctx, group, quota.RecordRead{Token: t.token.Number, Slots: t.slots})
+		case ended := <-s.tenureEnds:
+			s.core.Handle(s.time(), quota.LeaseHeld{Token: s.tenure.token.Number})
+			s.tenure = tenure{}
 			close(ended)
-		case data := <-h.config.In:
-			h.handle(ctx, all, quota.Message{Data: data})
-		case e := <-h.config.Events:
-			h.handle(ctx, all, e)
-		case w := <-h.writes:
-			h.writeEnded(ctx, all, w)
+		case data := <-s.config.In:
+			s.handle(ctx, group, quota.Message{Data: data})
+		case e := <-s.config.Events:
+			s.handle(ctx, group, e)
+		case w := <-s.writes:
+			s.writeEnded(ctx, group, w)
 		case <-tick.C:
-			h.extendLease()
-			h.handle(ctx, all, quota.Tick{})
+			s.extendLease()
+			s.handle(ctx, group, quota.Tick{})
 		}
 	}
 }
 
-func (h *server) time() time.Duration { return time.Since(h.start) }
+// time returns the core's time: the time since start.
+func (s *server) time() time.Duration { return time.Since(s.start) }
 
-// extendLease tells the core how long it may act.
-func (h *server) extendLease() {
-	if h.tenure.token.Number == 0 {
+// extendLease notifies the core of how long it may act on the lease.
+func (s *server) extendLease() {
+	if s.tenure.token.Number == 0 {
 		return
 	}
 	var until time.Duration
-	if at := h.config.Leases.HeldUntil(h.tenure.token); !at.IsZero() {
-		until = at.Sub(h.start)
+	if heldUntil := s.config.Leases.HeldUntil(s.tenure.token); !heldUntil.IsZero() {
+		until = heldUntil.Sub(s.start)
 	}
-	h.core.Handle(h.time(), quota.LeaseHeld{Token: h.tenure.token.Number, Until: until})
+	s.core.Handle(s.time(), quota.LeaseHeld{Token: s.tenure.token.Number, Until: until})
 }
 
-// handle gives the core an event at the time at which it has been taken up, and does what comes of it.
-func (h *server) handle(ctx context.Context, all *errgroup.Group, e quota.Event) {
-	for _, a := range h.core.Handle(h.time(), e) {
+// handle passes an event to the core, with the present time, and carries out the core's actions.
+func (s *server) handle(ctx context.Context, group *errgroup.Group, e quota.Event) {
+	for _, a := range s.core.Handle(s.time(), e) {
 		switch a := a.(type) {
 		case quota.Send:
-			h.config.Send(a.To, a.Data)
+			s.config.Send(a.To, a.Data)
 		case quota.WriteRecord:
-			h.write(ctx, all, a)
+			s.write(ctx, group, a)
 		}
 	}
 }
 
-// write begins a write, if none is under way. One that is not begun is asked for again.
-func (h *server) write(ctx context.Context, all *errgroup.Group, a quota.WriteRecord) {
-	if h.writing || a.Token != h.tenure.token.Number {
+// write starts a write of the record, unless a write or read is in progress. The core requests a write that
+// was not started again.
+func (s *server) write(ctx context.Context, group *errgroup.Group, a quota.WriteRecord) {
+	if s.writing || a.Token != s.tenure.token.Number {
 		return
 	}
-	h.writing = true
-	t := h.tenure
-	all.Go(func() error {
-		version, err := writeSlots(ctx, h.config.Registry, t.token, a.Slots, t.version)
-		h.writes <- writeResult{t.token, a.Slots, version, err, false}
+	s.writing = true
+	t := s.tenure
+	group.Go(func() error {
+		version, err := writeSlots(ctx, s.config.Registry, t.token, a.Slots, t.version)
+		s.writes <- writeResult{t.token, a.Slots, version, err, false}
 		return nil
 	})
 }
 
-// writeEnded tells the core of a record as it is. After a write that did not come through it is read again,
-// since it may have been written all the same; what is missing in it the core asks for once more.
-func (h *server) writeEnded(ctx context.Context, all *errgroup.Group, w writeResult) {
-	h.writing = false
+// writeEnded passes the record to the core after a successful write or read. After a failed write the record
+// is read, since the write may have succeeded nevertheless; the core requests another write if slots are
+// missing.
+func (s *server) writeEnded(ctx context.Context, group *errgroup.Group, w writeResult) {
+	s.writing = false
 	switch {
-	case w.token != h.tenure.token:
+	case w.token != s.tenure.token:
 	case w.err == nil:
-		h.tenure.version = w.version
-		h.handle(ctx, all, quota.RecordRead{Token: w.token.Number, Slots: w.slots})
+		s.tenure.version = w.version
+		s.handle(ctx, group, quota.RecordRead{Token: w.token.Number, Slots: w.slots})
 	default:
-		h.config.Log.Warn("slot record", "err", w.err)
-		if !w.reading {
-			h.reread(ctx, all)
+		s.config.Log.Warn("slot record request failed", "err", w.err)
+		if !w.wasRead {
+			s.reread(ctx, group)
 		}
 	}
 }
 
-func (h *server) reread(ctx context.Context, all *errgroup.Group) {
-	h.writing = true
-	t := h.tenure
-	all.Go(func() error {
-		seats, version, err := readSlots(ctx, h.config.Registry)
-		h.writes <- writeResult{t.token, seats, version, err, true}
+// reread starts a read of the record.
+func (s *server) reread(ctx context.Context, group *errgroup.Group) {
+	s.writing = true
+	t := s.tenure
+	group.Go(func() error {
+		slots, version, err := readSlots(ctx, s.config.Registry)
+		s.writes <- writeResult{t.token, slots, version, err, true}
 		return nil
 	})
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -2,76 +2,87 @@
 
 import "time"
 
-// bucket is a proxy's part of one limit: its lease, its bucket, and the demand that came.
-type bucket struct {
-	concurrency    bool
-	tokens         float64
-	filledAt       time.Duration // as of
-	lease          size
-	leaseUntil     time.Duration // of the lease
-	claimSentAt    time.Duration // when the claim was sent that got it, were it prolonged since or not
-	token          uint64        // of the grant that it is of
-	number         uint32
-	fallbackAtOnce bool // without the lease the fallback share holds at once
-	fallback       size
+// limitBucket is a proxy's part of one limit: its lease, its token bucket and the demand for it.
+type limitBucket struct {
+	concurrency    bool          // the limit is on requests in flight
+	tokens         float64       // tokens in the bucket as of filledAt
+	filledAt       time.Duration // up to when the bucket has been refilled
+	lease          shareSize
+	leaseUntil     time.Duration // end of the lease
+	claimSentAt    time.Duration // when the claim that obtained the lease was sent; extensions don't change it
+	grantToken     uint64        // fencing token of the grant that the lease is from
+	grantNumber    uint32        // number of the grant that the lease is from
+	fallbackAtOnce bool          // the fallback share is valid as soon as the lease ends, suspended or not
+	fallback       shareSize
 
-	inFlight      float64 // requests in flight
-	lent          float64 // tokens lent to others: their capacity stays empty until lentUntil
-	lentUntil     time.Duration
-	borrowed      float64 // capacity for tokens that others lent, until borrowedUntil
-	borrowedUntil time.Duration
+	inFlight      float64       // requests in flight
+	lent          float64       // tokens lent to other proxies: their capacity stays empty until lentUntil
+	lentUntil     time.Duration // until when lent counts
+	borrowed      float64       // capacity for tokens borrowed from other proxies, until borrowedUntil
+	borrowedUntil time.Duration // until when borrowed counts
 
-	arrived      float64 // asked of it since the last round
-	rejected     float64 // of that, refused since tokens were last asked for
-	demand       float64 // units a second, or at once
+	arrived      float64 // demand since the last round of claims
+	rejected     float64 // rejected demand since tokens were last borrowed
+	demand       float64 // smoothed demand in units a second; for limits on concurrency, requests in flight
 	lastDemandAt time.Duration
 	lastBorrowAt time.Duration
-	claimed      bool
+	claimed      bool // the limit is among Ledger.claimedLimits
 }
 
-// currentShare is what the slot has at a time: the lease; without one the fallback share, unless that is
-// suspended, which leaves the bucket as it is but does not fill it.
-func (l *Ledger) currentShare(s *bucket, at time.Duration) size {
+// currentShare returns a bucket's share at a time: the lease; without a lease the fallback share; and while
+// the fallback share is suspended a share of rate 0, which keeps the bucket's tokens and does not refill it.
+func (l *Ledger) currentShare(bucket *limitBucket, at time.Duration) shareSize {
 	switch {
-	case s.concurrency: // never suspended: what was begun on a borrowed share would outlast the lease
-		if at < s.leaseUntil {
-			return s.lease.max(s.fallback)
+	// The fallback share of a limit on concurrency is never suspended and lent: requests that began on the lent
+	// share would outlast the lease.
+	case bucket.concurrency:
+		if at < bucket.leaseUntil {
+			return bucket.lease.max(bucket.fallback)
 		}
-		return s.fallback
-	case at < s.leaseUntil:
-		return s.lease
-	case s.fallbackAtOnce || at >= l.fallbackSuspendedUntil:
-		return s.fallback
+		return bucket.fallback
+	case at < bucket.leaseUntil:
+		return bucket.lease
+	case bucket.fallbackAtOnce || at >= l.fallbackSuspendedUntil:
+		return bucket.fallback
 	}
-	return size{burst: s.fallback.burst}
+	return shareSize{burst: bucket.fallback.burst}
 }
 
-func (s *bucket) capacity(share size) float64 { return max(share.burst-s.lent, 0) + s.borrowed }
+// capacity returns how many tokens the bucket can hold under a share, lent and borrowed capacity considered.
+func (b *limitBucket) capacity(share shareSize) float64 {
+	return max(share.burst-b.lent, 0) + b.borrowed
+}
 
-// refill brings the bucket up to now, piece by piece between the times at which its share or its capacity
-// changes.
-func (l *Ledger) refill(s *bucket) {
-	for s.filledAt < l.now {
+// refill refills the bucket up to now, interval by interval between the times at which its share or its
+// capacity changes.
+func (l *Ledger) refill(bucket *limitBucket) {
+	for bucket.filledAt < l.now {
 		end := l.now
-		for _, b := range [...]time.Duration{s.leaseUntil, l.fallbackSuspendedUntil, s.lentUntil, s.borrowedUntil} {
-			if b > s.filledAt && b < end {
-				end = b
+		for _, change := range [...]time.Duration{
+			bucket.leaseUntil,
+			l.fallbackSuspendedUntil,
+			bucket.lentUntil,
+			bucket.borrowedUntil,
+		} {
+			if change > bucket.filledAt && change < end {
+				end = change
 			}
 		}
-		share := l.currentShare(s, s.filledAt)
-		s.tokens = min(s.tokens+share.rate*(end-s.filledAt).Seconds(), s.capacity(share))
-		s.filledAt = end
-		if s.lentUntil <= end {
-			s.lent = 0
+		share := l.currentShare(bucket, bucket.filledAt)
+		bucket.tokens = min(bucket.tokens+share.rate*(end-bucket.filledAt).Seconds(), bucket.capacity(share))
+		bucket.filledAt = end
+		if bucket.lentUntil <= end {
+			bucket.lent = 0
 		}
-		if s.borrowedUntil <= end {
-			s.borrowed = 0
+		if bucket.borrowedUntil <= end {
+			bucket.borrowed = 0
 		}
 	}
-	s.tokens = min(s.tokens, s.capacity(l.currentShare(s, l.now)))
+	bucket.tokens = min(bucket.tokens, bucket.capacity(l.currentShare(bucket, l.now)))
 }
 
-// AdvanceTo moves the ledger's time on, for the requests that are judged next.
+// AdvanceTo sets the ledger's time, as of which the next requests are admitted or rejected. The time never
+// goes back.
 func (l *Ledger) AdvanceTo(now time.Duration) *Ledger {
 	if l.startedAt < 0 {
 		l.startedAt = now
@@ -80,51 +91,53 @@
 	return l
 }
 
-// Available is how much of the limit a request may take now.
+// Available returns how much of the limit with index i a request may take now.
 func (l *Ledger) Available(i int) float64 {
-	s := &l.buckets[i]
+	bucket := &l.buckets[i]
 	switch {
-	case l.left:
+	case l.hasLeft:
 		return 0
-	case s.concurrency:
-		return l.currentShare(s, l.now).rate - s.inFlight
+	case bucket.concurrency:
+		return l.currentShare(bucket, l.now).rate - bucket.inFlight
 	}
-	l.refill(s)
-	return s.tokens
+	l.refill(bucket)
+	return bucket.tokens
 }
 
-// Capacity is the most that Available can return at the present share.
+// Capacity returns the largest amount that Available can return at the present share.
 func (l *Ledger) Capacity(i int) float64 {
-	s := &l.buckets[i]
-	share := l.currentShare(s, l.now)
+	bucket := &l.buckets[i]
+	share := l.currentShare(bucket, l.now)
 	switch {
-	case l.left:
+	case l.hasLeft:
 		return 0
-	case s.concurrency:
+	case bucket.concurrency:
 		return share.rate
 	}
-	return s.capacity(share)
+	return bucket.capacity(share)
 }
 
-// Take notes that a request was admitted. The caller has called Available at the same time.
+// Take records an admitted request. The caller has called Available at the same ledger time, so that the
+// bucket is refilled.
 func (l *Ledger) Take(i int, amount float64) {
-	s := &l.buckets[i]
-	if s.concurrency {
-		s.inFlight += amount
+	bucket := &l.buckets[i]
+	if bucket.concurrency {
+		bucket.inFlight += amount
 	} else {
-		s.tokens -= amount
+		bucket.tokens -= amount
 	}
 	l.recordDemand(i, amount)
 }
 
-// Return notes that a request of a limit on concurrency has ended.
+// Return records the end of a request that was admitted by a limit on concurrency. Other limits ignore it.
 func (l *Ledger) Return(i int, amount float64) {
-	if s := &l.buckets[i]; s.concurrency {
-		s.inFlight = max(s.inFlight-amount, 0)
+	if bucket := &l.buckets[i]; bucket.concurrency {
+		bucket.inFlight = max(bucket.inFlight-amount, 0)
 	}
 }
 
-// Rejected notes demand that was rejected: by this limit, or by one around it.
+// Rejected records demand of a rejected request. If this limit had enough left, an outer limit rejected the
+// request, and no tokens are borrowed for it.
 func (l *Ledger) Rejected(i int, amount float64) {
 	if l.Available(i) < amount {
 		l.buckets[i].rejected += amount
@@ -132,15 +145,16 @@
 	l.recordDemand(i, amount)
 }
 
+// recordDemand counts demand for a limit and lists the limit for claims: urgently if it had no demand before.
 func (l *Ledger) recordDemand(i int, amount float64) {
-	s := &l.buckets[i]
-	if s.demand == 0 && s.arrived == 0 {
-		l.urgent = append(l.urgent, int32(i))
+	bucket := &l.buckets[i]
+	if bucket.demand == 0 && bucket.arrived == 0 {
+		l.urgentLimits = append(l.urgentLimits, int32(i))
 	}
-	s.arrived += amount
-	s.lastDemandAt = l.now
-	if !s.claimed {
-		s.claimed = true
-		l.claimed = append(l.claimed, int32(i))
+	bucket.arrived += amount
+	bucket.lastDemandAt = l.now
+	if !bucket.claimed {
+		bucket.claimed = true
+		l.claimedLimits = append(l.claimedLimits, int32(i))
 	}
 }
--- a/internal/quota/check_test.go
+++ b/internal/quota/check_test.go
@@ -6,8 +6,8 @@
 	"wrenspread/ratelimit"
 )
 
-// check is the bound of one limit over every window, exactly: a bucket that leaks at the limit's rate. Its level is
-// the most, over all windows that end now, that was admitted beyond rate x window.
+// check is the bound of one limit over every window, exactly: a bucket that leaks at the limit's rate. Its
+// level is the most, over all windows that end now, that was admitted beyond rate x window.
 type check struct {
 	rate, burst float64
 	level       float64
@@ -52,5 +52,6 @@
 	c.before, c.rate, c.burst, c.level = &before, rate, burst, 0
 }
 
-// broken says whether some window held more than rate x window + burst. Sums of floats may be off by a little.
+// broken says whether some window held more than rate x window + burst. Sums of floats may be off by a
+// little.
 func (c *check) broken() bool { return c.worst > 1e-6 }
--- a/internal/quota/claims.go
+++ b/internal/quota/claims.go
@@ -6,101 +6,110 @@
 	"time"
 )
 
-// minDemand, in units a second, is taken for none.
+// minDemand is the demand, in units a second, below which a limit counts as idle.
 const minDemand = 0.1
 
-// measureDemand brings the demand of what is listed up to date. What can't be chance is followed at once when
-// it rises and soon when it falls; all else by a quarter, so that no share swings, or is larger than its use,
-// by chance.
+// measureDemand updates the demand of the claimed limits, and stops claiming those that are idle. Demand
+// follows a rise beyond random variation (three standard deviations) at once, a fall beyond it within a few
+// rounds, and other changes by a quarter in each round, so that random variation makes no share swing or
+// exceed its use.
 func (l *Ledger) measureDemand(since time.Duration) {
-	seconds := max(since, l.times.renew).Seconds()
-	l.claimed = slices.DeleteFunc(l.claimed, func(i int32) bool {
-		s := &l.buckets[i]
-		now := s.arrived / seconds
-		if s.concurrency {
-			now = s.arrived + s.inFlight
+	seconds := max(since, l.times.renewInterval).Seconds()
+	l.claimedLimits = slices.DeleteFunc(l.claimedLimits, func(i int32) bool {
+		bucket := &l.buckets[i]
+		current := bucket.arrived / seconds
+		if bucket.concurrency {
+			current = bucket.arrived + bucket.inFlight
 		}
-		chance := 3*math.Sqrt(s.demand*seconds) + 3
-		switch change := (now - s.demand) * seconds; {
-		case change > chance || s.concurrency && change > 0:
-			s.demand = now
-		case change < -chance:
-			s.demand = max(now, s.demand/4)
-		case now == 0:
-			s.demand /= 2
+		noise := 3*math.Sqrt(bucket.demand*seconds) + 3
+		switch change := (current - bucket.demand) * seconds; {
+		case change > noise || bucket.concurrency && change > 0:
+			bucket.demand = current
+		case change < -noise:
+			bucket.demand = max(current, bucket.demand/4)
+		case current == 0:
+			bucket.demand /= 2
 		default:
-			s.demand += (now - s.demand) / 4
+			bucket.demand += (current - bucket.demand) / 4
 		}
-		s.arrived = 0
-		if now == 0 && s.demand < minDemand {
-			s.demand = 0
+		bucket.arrived = 0
+		if current == 0 && bucket.demand < minDemand {
+			bucket.demand = 0
 		}
-		s.claimed = s.demand > 0 || s.fallbackAtOnce || s.inFlight > 0 ||
-			l.now-s.lastDemandAt < l.times.idleClaimTime
-		return !s.claimed
+		bucket.claimed = bucket.demand > 0 || bucket.fallbackAtOnce || bucket.inFlight > 0 ||
+			l.now-bucket.lastDemandAt < l.times.idleClaimTime
+		return !bucket.claimed
 	})
 }
 
-// sendClaims tells the allocator of some limits, in as many datagrams as it takes. All others are idle here:
-// they cost nothing, and the allocator may lend their fallback share to others.
-func (l *Ledger) sendClaims(which []int32) []Action {
+// sendClaims claims limits from the allocator, in as many datagrams as the limits take, but at least one.
+// Limits that are not claimed are idle at this proxy: they cost nothing, and the allocator may lend their
+// fallback share to other proxies.
+func (l *Ledger) sendClaims(limitIndices []int32) []Action {
 	if l.allocator == "" {
 		return nil
 	}
-	var out []Action
-	room := claimCapacity(l.cfg.Name)
-	for first := true; first || len(which) > 0; first = false {
-		n := min(room, len(which))
-		out = append(out, Send{l.allocator, l.encodeClaim(which[:n])})
-		which = which[n:]
+	var actions []Action
+	capacity := claimCapacity(l.cfg.Name)
+	for first := true; first || len(limitIndices) > 0; first = false {
+		n := min(capacity, len(limitIndices))
+		actions = append(actions, Send{l.allocator, l.encodeClaim(limitIndices[:n])})
+		limitIndices = limitIndices[n:]
 	}
-	return out
+	return actions
 }
 
-func (l *Ledger) encodeClaim(which []int32) []byte {
-	l.lastClaim++
-	l.sentClaims[l.lastClaim%uint32(len(l.sentClaims))] = sentClaim{l.lastClaim, l.token, l.now}
-	c := claim{
+// encodeClaim encodes the next claim and remembers when it was sent.
+func (l *Ledger) encodeClaim(limitIndices []int32) []byte {
+	l.lastClaimNumber++
+	l.sentClaims[l.lastClaimNumber%uint32(len(l.sentClaims))] = sentClaim{l.lastClaimNumber, l.token, l.now}
+	claim := claimMessage{
 		token:               l.token,
 		generation:          l.cfg.Generation,
-		number:              l.lastClaim,
-		lastGrant:           l.lastGrant,
+		number:              l.lastClaimNumber,
+		lastGrant:           l.lastGrantNumber,
 		table:               l.limits.version,
 		fallbackSuspendable: l.now-l.startedAt >= l.times.warmUp,
 		name:                l.cfg.Name,
 	}
-	for _, i := range which {
-		c.items = append(c.items, l.claimItem(i))
+	for _, i := range limitIndices {
+		claim.items = append(claim.items, l.claimItem(i))
 	}
-	return c.encode(l.cfg.Fleet)
+	return claim.encode(l.cfg.Fleet)
 }
 
+// claimItem returns the claim of the limit with index i.
 func (l *Ledger) claimItem(i int32) claimItem {
-	s := &l.buckets[i]
-	item := claimItem{hash: l.limits.all[i].hash, demand: max(s.demand, s.arrived/l.times.renew.Seconds())}
-	if s.token == l.token {
-		item.number = s.number
+	bucket := &l.buckets[i]
+	item := claimItem{
+		hash:   l.limits.all[i].hash,
+		demand: max(bucket.demand, bucket.arrived/l.times.renewInterval.Seconds()),
 	}
-	if l.now < s.leaseUntil && l.now < s.claimSentAt+2*l.times.lease { // it may be prolonged up to a third
-		item.leased = s.lease
+	if bucket.grantToken == l.token {
+		item.grantNumber = bucket.grantNumber
 	}
-	if s.concurrency {
-		item.demand = max(s.demand, s.arrived+s.inFlight)
-		item.leased.rate = max(item.leased.rate, s.inFlight)
+	// An extension ends at most three lease durations after the claim that obtained the lease (settleTime).
+	if l.now < bucket.leaseUntil && l.now < bucket.claimSentAt+2*l.times.leaseDuration {
+		item.leased = bucket.lease
+	}
+	if bucket.concurrency {
+		item.demand = max(bucket.demand, bucket.arrived+bucket.inFlight)
+		item.leased.rate = max(item.leased.rate, bucket.inFlight)
 	}
 	return item
 }
 
-// applyGrant takes what answers one of the last claims, if its allocator is the newest known. Leases run from
-// when the claim was sent. While tokens lent to others may still be used there, no share may fall below them,
-// so that nothing is taken; having heard of the allocator, the proxy lends no more.
-func (l *Ledger) applyGrant(g grant) {
-	c := l.sentClaims[g.claim%uint32(len(l.sentClaims))]
-	if g.generation != l.cfg.Generation || g.token != l.token || c.token != g.token || c.number != g.claim ||
-		g.claim == 0 {
+// applyGrant applies a grant that answers one of the last claims, if it is from the allocator with the
+// highest fencing token. Leases last from when the claim was sent. While tokens that this proxy lent may
+// still be used by other proxies, no share may shrink below them, so the grant is not applied; but
+// lastGrantAt is set, so the proxy lends no more tokens.
+func (l *Ledger) applyGrant(grant grantMessage) {
+	sent := l.sentClaims[grant.claimNumber%uint32(len(l.sentClaims))]
+	if grant.generation != l.cfg.Generation || grant.token != l.token || sent.token != grant.token ||
+		sent.number != grant.claimNumber || grant.claimNumber == 0 {
 		return
 	}
-	until := c.at + l.times.lease
+	until := sent.sentAt + l.times.leaseDuration
 	if until <= l.now {
 		return
 	}
@@ -108,32 +117,33 @@
 	if l.now < l.lentUntil {
 		return
 	}
-	if g.fallbackSuspended {
-		l.fallbackSuspendedUntil = max(l.fallbackSuspendedUntil, c.at+l.times.fallbackSuspension)
+	if grant.fallbackSuspended {
+		l.fallbackSuspendedUntil = max(l.fallbackSuspendedUntil, sent.sentAt+l.times.fallbackSuspension)
 	}
-	if g.number > l.lastGrant {
-		l.lastGrant = g.number
-		if g.slot.Level != slotNone {
-			l.setSlot(g.slot, l.slotCoversConcurrency || g.slotCoversConcurrency)
+	if grant.number > l.lastGrantNumber {
+		l.lastGrantNumber = grant.number
+		if grant.slot.Level != noSlotLevel {
+			l.setSlot(grant.slot, l.slotCoversConcurrency || grant.slotCoversConcurrency)
 		}
 	}
-	for _, item := range g.items {
-		if i, there := l.limits.byHash[item.hash]; there {
-			l.applyLease(&l.buckets[i], g, item, until)
+	for _, item := range grant.items {
+		if i, found := l.limits.byHash[item.hash]; found {
+			l.applyLease(&l.buckets[i], grant, item, until)
 		}
 	}
 }
 
-func (l *Ledger) applyLease(s *bucket, g grant, item grantItem, until time.Duration) {
-	if s.token == g.token && s.number >= g.number {
+// applyLease applies a grant's lease of one limit, unless a later grant has been applied.
+func (l *Ledger) applyLease(bucket *limitBucket, grant grantMessage, item grantItem, until time.Duration) {
+	if bucket.grantToken == grant.token && bucket.grantNumber >= grant.number {
 		return
 	}
-	l.refill(s)
-	s.token, s.number = g.token, g.number
-	s.lease, s.leaseUntil, s.fallbackAtOnce = item.size, until, item.fallbackAtOnce
-	if !g.extendsOnly {
-		s.claimSentAt = until - l.times.lease
+	l.refill(bucket)
+	bucket.grantToken, bucket.grantNumber = grant.token, grant.number
+	bucket.lease, bucket.leaseUntil, bucket.fallbackAtOnce = item.size, until, item.fallbackAtOnce
+	if !grant.extendsOnly {
+		bucket.claimSentAt = until - l.times.leaseDuration
 	}
-	s.tokens += item.tokens
-	l.refill(s)
+	bucket.tokens += item.tokens
+	l.refill(bucket)
 }
--- a/internal/quota/cost_test.go
+++ b/internal/quota/cost_test.go
@@ -37,14 +37,14 @@
 			a.Handle(0, ExpectedProxies{nodes})
 			a.Handle(0, LeaseHeld{1, time.Hour * 1000})
 			a.Handle(0, RecordRead{Token: 1})
-			c := claim{token: 1, generation: 1, table: 1, fallbackSuspendable: true, items: []claimItem{{hash: a.limits.all[0].hash, demand: 10}}}
+			c := claimMessage{token: 1, generation: 1, table: 1, fallbackSuspendable: true, items: []claimItem{{hash: a.limits.all[0].hash, demand: 10}}}
 			now := 2 * time.Second
 			b.ReportAllocs()
 			for i := range 3*nodes + b.N {
 				if i == 3*nodes { // all have joined and settled
 					b.ResetTimer()
 				}
-				now += a.times.renew / time.Duration(nodes)
+				now += a.times.renewInterval / time.Duration(nodes)
 				c.name, c.number = fmt.Sprintf("n%d", i%nodes), uint32(i/nodes+1)
 				a.Handle(now, Message{c.encode(0)})
 			}
--- a/internal/quota/events.go
+++ b/internal/quota/events.go
@@ -6,50 +6,53 @@
 	"wrenspread/ratelimit"
 )
 
-// Event is what a core is notified of. Each core ignores events that are not for it.
+// Event is an input of a core. Each core ignores the events of the other.
 type Event interface{ event() }
 
+// Events of both cores.
 type (
-	// Tick says that time has passed; it comes every 20 ms or so. Of both cores.
+	// Tick says that time has passed. It comes about every 20 ms.
 	Tick struct{}
-	// Message is a datagram that has come; the core checks it. Of both cores.
+	// Message is a received datagram; the core checks it.
 	Message struct{ Data []byte }
-	// TableChanged has the table by which requests are judged from now on. The allocator needs the Previous one,
-	// too (nil: none), since proxies that don't know the new one yet have their fallback share of the old. Of
-	// both cores.
+	// TableChanged sets the table by which requests are admitted from now on. The allocator also needs the
+	// Previous table (nil means none), since proxies that don't know the current table yet have the fallback
+	// share of the previous one.
 	TableChanged struct{ Current, Previous *ratelimit.Table }
 )
 
+// Events of the Ledger.
 type (
-	// AllocatorKnown tells the ledger which proxy's datagrams are the allocator's, as the registry's watch has
-	// it. Datagrams of a later Token replace it.
+	// AllocatorKnown names the allocator, as the registry's watch reports it. The ledger follows the allocator
+	// with the highest Token that it learns from this event or from a datagram.
 	AllocatorKnown struct {
 		Name  string
 		Token uint64
 	}
-	// Peers tells the ledger which other proxies serve, as membership has it: they are asked for tokens.
+	// Peers names the other serving proxies, as membership reports them; tokens may be borrowed from them.
 	Peers struct{ Names []string }
-	// Leave tells the ledger that nothing is admitted from now on.
+	// Leave says that the proxy admits no requests from now on.
 	Leave struct{}
 )
 
+// Events of the Allocator.
 type (
-	// LeaseHeld tells the allocator that its process holds the lease under Token, until Until by the process's
-	// clock unless renewed.
+	// LeaseHeld says that the process holds the lease under Token and may act on it until Until, by the
+	// process's clock, unless the lease is renewed.
 	LeaseHeld struct {
 		Token uint64
 		Until time.Duration
 	}
-	// RecordRead tells the allocator the record of slots as read or written under Token.
+	// RecordRead has the record of slots as it was read or written under Token.
 	RecordRead struct {
 		Token uint64
 		Slots []Slot
 	}
-	// Forget tells the allocator that a proxy will never come back, as an operator says.
+	// Forget says that, as an operator has declared, a proxy will never come back.
 	Forget struct{ Name string }
-	// ExpectedProxies tells the allocator about how many proxies membership knows.
+	// ExpectedProxies has the number of proxies that membership knows, which may be inexact.
 	ExpectedProxies struct{ Count int }
-	// WallClock tells the allocator the time of day, every minute, for limits that depend on it.
+	// WallClock has the wall-clock time for scheduled limits. It comes every minute.
 	WallClock struct{ Time time.Time }
 )
 
@@ -65,17 +68,17 @@
 func (ExpectedProxies) event() {}
 func (WallClock) event()       {}
 
-// Action is what is to be done.
+// Action is an output of a core, which its owner carries out.
 type Action interface{ action() }
 
+// Actions: both cores send, the Allocator also writes the record.
 type (
-	// Send is a datagram to a named proxy or allocator.
+	// Send sends a datagram to the named proxy or allocator.
 	Send struct {
 		To   string
 		Data []byte
 	}
-	// WriteRecord replaces the record fleet/proxies under the fencing token. Its success is reported as a
-	// RecordRead.
+	// WriteRecord replaces the record of slots under the fencing token. Success is reported as a RecordRead.
 	WriteRecord struct {
 		Token uint64
 		Slots []Slot
--- a/internal/quota/events_test.go
+++ b/internal/quota/events_test.go
@@ -9,8 +9,8 @@
 	"wrenspread/ratelimit"
 )
 
-// A holder that goes on although its lease has ended, and word of it that comes late: proxies that know the higher
-// fencing token take nothing from it.
+// A holder that goes on although its lease has ended, and word of it that comes late: proxies that know the
+// higher fencing token take nothing from it.
 func formerHolderGoesOn(mutate func(n *node, e *AllocatorKnown)) *world {
 	w := newWorld(3, Drift, books(ratelimit.Limit{}, ratelimit.Limit{Rate: 300, Burst: 100}))
 	w.hook.told = mutate
@@ -139,9 +139,9 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	w := fleetOf(t, drawnTable(1), 3)
 	kinds := [][]byte{
-		(&claim{token: 1, generation: 1, number: 1, name: "n000", items: make([]claimItem, 3)}).encode(1),
-		(&grant{token: 1, generation: 1, claim: 1, number: 1, items: make([]grantItem, 3)}).encode(1),
-		(&announcement{1, "h"}).encode(1), (&leave{1, "x"}).encode(1), (&borrowRequest{1, 2, 3, "n001"}).encode(1), (&loan{1, 2, 3}).encode(1),
+		(&claimMessage{token: 1, generation: 1, number: 1, name: "n000", items: make([]claimItem, 3)}).encode(1),
+		(&grantMessage{token: 1, generation: 1, claimNumber: 1, number: 1, items: make([]grantItem, 3)}).encode(1),
+		(&announcementMessage{1, "h"}).encode(1), (&leaveMessage{1, "x"}).encode(1), (&borrowMessage{1, 2, 3, "n001"}).encode(1), (&loanMessage{1, 2, 3}).encode(1),
 	}
 	for range 20_000 {
 		d := append([]byte(nil), pick(rng, kinds)...)
--- a/internal/quota/fair.go
+++ b/internal/quota/fair.go
@@ -5,61 +5,64 @@
 	"slices"
 )
 
-// fair divides a budget by max-min: nobody gets more than it wants, and who gets less has as much by weight
-// as anybody.
-func fair(budget float64, wants, weights []float64) []float64 {
-	order := make([]int, len(wants))
-	rest := 0.0
+// divideMaxMin divides a budget by weighted max-min fairness: no claimant gets more than its demand, and a
+// claimant that gets less than its demand gets, relative to its weight, at least as much as any other.
+func divideMaxMin(budget float64, demands, weights []float64) []float64 {
+	order := make([]int, len(demands))
+	remainingWeight := 0.0
 	for i := range order {
 		order[i] = i
-		rest += weights[i]
+		remainingWeight += weights[i]
 	}
 	slices.SortStableFunc(
 		order,
-		func(a, b int) int { return cmp.Compare(wants[a]*weights[b], wants[b]*weights[a]) },
+		func(a, b int) int { return cmp.Compare(demands[a]*weights[b], demands[b]*weights[a]) },
 	)
-	out := make([]float64, len(wants))
+	shares := make([]float64, len(demands))
 	for _, i := range order {
-		out[i] = max(min(wants[i], budget*weights[i]/rest), 0)
-		budget -= out[i]
-		rest -= weights[i]
+		shares[i] = max(min(demands[i], budget*weights[i]/remainingWeight), 0)
+		budget -= shares[i]
+		remainingWeight -= weights[i]
 	}
-	return out
+	return shares
 }
 
-// claimant is one of the limits that share what is around them.
+// claimant is one of the limits that divide the rate of their parent limit.
 type claimant struct {
-	want, floor, most, weight float64
+	demand, floor, maxRate, weight float64
 }
 
-// divide gives each claimant its floor as far as it wants it, then what more they want by weight, then what
-// nobody wants, so that a jump of demand finds it there.
-func divide(budget float64, all []claimant) []float64 {
-	n := len(all)
-	first, more, spare, weights := make([]float64, n), make([]float64, n), make([]float64, n), make([]float64, n)
-	for i, c := range all {
-		first[i], weights[i] = min(c.floor, c.want, c.most), c.weight
+// divideAmongLimits gives each claimant its floor as far as it has demand for it, then divides the budget by
+// weight among claimants with more demand, and then the budget beyond all demand by weight, so that it is
+// already allocated when demand jumps.
+func divideAmongLimits(budget float64, claimants []claimant) []float64 {
+	n := len(claimants)
+	floors, extra, spare, weights := make([]float64, n), make([]float64, n),
+		make([]float64, n), make([]float64, n)
+	for i, c := range claimants {
+		floors[i], weights[i] = min(c.floor, c.demand, c.maxRate), c.weight
 	}
-	out := fair(budget, first, weights) // floors fit, unless the budget was lowered
-	for i, c := range all {
-		more[i] = max(min(c.want, c.most)-out[i], 0)
+	shares := divideMaxMin(budget, floors, weights) // the floors fit, unless the budget was lowered
+	for i, c := range claimants {
+		extra[i] = max(min(c.demand, c.maxRate)-shares[i], 0)
 	}
-	add(out, fair(budget-total(out), more, weights))
-	for i, c := range all {
-		spare[i] = max(c.most-out[i], 0)
+	addEach(shares, divideMaxMin(budget-totalOf(shares), extra, weights))
+	for i, c := range claimants {
+		spare[i] = max(c.maxRate-shares[i], 0)
 	}
-	add(out, fair(budget-total(out), spare, weights))
-	return out
+	addEach(shares, divideMaxMin(budget-totalOf(shares), spare, weights))
+	return shares
 }
 
-func add(to, more []float64) {
+// addEach adds each value of more to that of to with the same index.
+func addEach(to, more []float64) {
 	for i := range to {
 		to[i] += more[i]
 	}
 }
 
-func total(all []float64) (sum float64) {
-	for _, v := range all {
+func totalOf(values []float64) (sum float64) {
+	for _, v := range values {
 		sum += v
 	}
 	return sum
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -5,135 +5,153 @@
 	"time"
 )
 
-// answerClaim answers a claim, if it was sent to this allocator under its present fencing token: so it was
-// sent after the previous allocator's end, and what it says to hold was counted by that one to its last
-// moment.
-func (a *Allocator) answerClaim(c claim) []Action {
+// answerClaim answers a claim that was sent under this allocator's present fencing token. Such a claim was
+// sent after the previous allocator's lease had ended, and the leases that it lists were counted by the
+// previous allocator until then. A claim under a lower token is answered with an announcement.
+func (a *Allocator) answerClaim(claim claimMessage) []Action {
 	switch {
-	case c.token > a.token:
-		a.leaseUntil = 0 // another holds the lease
+	case claim.token > a.token:
+		a.leaseUntil = 0 // another process holds the lease
 		return nil
-	case c.token < a.token:
-		h := announcement{token: a.token, name: a.cfg.Name}
-		return []Action{Send{c.name, h.encode(a.cfg.Fleet)}}
+	case claim.token < a.token:
+		answer := announcementMessage{token: a.token, name: a.cfg.Name}
+		return []Action{Send{claim.name, answer.encode(a.cfg.Fleet)}}
 	}
-	m := a.member(c)
+	m := a.memberForClaim(claim)
 	if m == nil {
 		return nil
 	}
-	base := a.grantConfirmed(m, c)
+	claimSentAfter := a.grantConfirmed(m, claim)
 	a.assignSlot(m)
-	m.number++
-	g := grant{
-		token:      a.token,
-		generation: c.generation,
-		claim:      c.number,
-		number:     m.number,
-		slot:       a.slotForGrant(m),
-	}
-	g.extendsOnly, g.slotCoversConcurrency = a.now < a.formerLeasesEnd, a.now >= max(
-		m.firstFallbackAt,
-		a.formerLeasesEnd,
+	m.lastGrantNumber++
+	answer := grantMessage{
+		token:       a.token,
+		generation:  claim.generation,
+		claimNumber: claim.number,
+		number:      m.lastGrantNumber,
+		slot:        a.slotForGrant(m),
+	}
+	answer.extendsOnly, answer.slotCoversConcurrency = a.now < a.previousLeasesEnd, a.now >= max(
+		m.fallbackFirstCountedAt,
+		a.previousLeasesEnd,
 	)+a.times.settleTime()+a.times.maxRequestTime
-	g.fallbackSuspended = c.fallbackSuspendable && a.now >= a.formerLeasesEnd
-	m.grants[m.number%uint32(len(m.grants))] = sentGrant{m.number, a.now, base, g.fallbackSuspended}
-	for _, item := range c.items {
-		if i, there := a.limits.byHash[item.hash]; there {
-			if granted, some := a.grant(m, i, item, c.number); some {
-				g.items = append(g.items, granted)
+	answer.fallbackSuspended = claim.fallbackSuspendable && a.now >= a.previousLeasesEnd
+	m.sentGrants[m.lastGrantNumber%uint32(len(m.sentGrants))] = sentGrant{
+		m.lastGrantNumber,
+		a.now,
+		claimSentAfter,
+		answer.fallbackSuspended,
+	}
+	for _, item := range claim.items {
+		if i, found := a.limits.byHash[item.hash]; found {
+			if granted, leased := a.grantShare(m, i, item, claim.number); leased {
+				answer.items = append(answer.items, granted)
 			}
 		}
 	}
-	return []Action{Send{c.name, g.encode(a.cfg.Fleet)}}
+	return []Action{Send{claim.name, answer.encode(a.cfg.Fleet)}}
 }
 
-// grant notes a claim's demand and gives the proxy its share of one limit.
-func (a *Allocator) grant(m *member, i int32, c claimItem, number uint32) (grantItem, bool) {
-	l, s := &a.limits.all[i], a.allocation(i)
-	s.refill(a.now, a.times.lease)
-	e := m.shares[i]
-	if e == nil {
-		e = &memberShare{member: m}
-		m.shares[i] = e
-		s.add(e)
-	}
-	safe := a.fallback(m, i)
-	e.confirm(c.number)
-	if number > e.claimed {
-		if e.demand == 0 && c.demand > 0 {
-			a.plannedAt = min(a.plannedAt, a.now-planInterval) // what begins does not wait for the next plan
+// grantShare records a claim's demand for the limit with index i and grants the proxy a lease of it. The
+// result is false if the proxy gets no lease.
+func (a *Allocator) grantShare(m *member, i int32, item claimItem, number uint32) (grantItem, bool) {
+	limit, allocation := &a.limits.all[i], a.allocation(i)
+	allocation.refill(a.now, a.times.leaseDuration)
+	share := m.shares[i]
+	if share == nil {
+		share = &memberShare{member: m}
+		m.shares[i] = share
+		allocation.add(share)
+	}
+	fallback := a.fallback(m, i)
+	share.confirmGrant(item.grantNumber)
+	if number > share.claimNumber {
+		if share.demand == 0 && item.demand > 0 {
+			a.plannedAt = min(a.plannedAt, a.now-planInterval) // plan at once for new demand
 		}
-		e.claimed, e.claimedAt, e.demand, e.inFlight = number, a.now, c.demand, 0
-		if l.concurrency {
-			e.inFlight = c.leased.rate
+		share.claimNumber, share.claimedAt, share.demand, share.inFlight = number, a.now, item.demand, 0
+		if limit.concurrency {
+			share.inFlight = item.leased.rate
 		}
 	}
-	share, some := a.nextLease(e, i, c)
-	if !some {
+	next, leased := a.nextLease(share, i, item)
+	if !leased {
 		return grantItem{}, false
 	}
-	before := a.maxShare(m, i)
-	kept := share.rate >= safe.rate && safe.rate > 0
+	previousMax := a.maxShare(m, i)
+	fallbackAtOnce := next.rate >= fallback.rate && fallback.rate > 0
 	until := a.now + a.times.countedLease()
-	if l.concurrency {
+	if limit.concurrency {
 		until += a.times.maxRequestTime
 	}
-	e.grant(a.now, m.number, shareLease{share, until}, kept)
-	item := grantItem{hash: l.hash, size: share, fallbackAtOnce: kept}
-	item.tokens = down(min(s.tokens, max(share.burst-before.burst, 0)))
-	s.tokens -= item.tokens
-	a.updateCounted(i, e)
-	a.updateSpare(i, s)
-	return item, true
+	share.recordGrant(a.now, m.lastGrantNumber, shareLease{next, until}, fallbackAtOnce)
+	granted := grantItem{hash: limit.hash, size: next, fallbackAtOnce: fallbackAtOnce}
+	granted.tokens = roundDownToWire(min(allocation.tokens, max(next.burst-previousMax.burst, 0)))
+	allocation.tokens -= granted.tokens
+	a.updateCounted(i, share)
+	a.updateSpare(i, allocation)
+	return granted, true
 }
 
-// nextLease is what a member's next lease is: its goal, as far as the others leave capacity. While leases of
-// a previous allocator may be alive, it is what the proxy holds by one, which adds nothing.
-func (a *Allocator) nextLease(e *memberShare, i int32, c claimItem) (size, bool) {
-	l := &a.limits.all[i]
-	if a.now < a.formerShareEnd(i) {
-		held := size{down(min(c.leased.rate, l.rate)), down(min(c.leased.burst, l.burst))}
-		return held, held.rate > 0
+// nextLease returns the size of a member's next lease: its target, as far as the other members leave
+// capacity. While grants of a previous allocator may be in use, the lease only extends the one that the proxy
+// claims to hold, which adds nothing to the shares in use.
+func (a *Allocator) nextLease(share *memberShare, i int32, item claimItem) (shareSize, bool) {
+	limit := &a.limits.all[i]
+	if a.now < a.previousGrantsEnd(i) {
+		extended := shareSize{
+			roundDownToWire(min(item.leased.rate, limit.rate)),
+			roundDownToWire(min(item.leased.burst, limit.burst)),
+		}
+		return extended, extended.rate > 0
 	}
 	a.plan()
-	others := a.othersShare(i, e)
-	room := size{max(l.rate-others.rate, 0), max(l.burst-others.burst, 0)}
-	goal := e.goal
-	if a.now < e.current.until {
-		goal = size{steady(goal.rate, e.current.rate, 0), steady(goal.burst, e.current.burst, 1)}
+	others := a.othersShare(i, share)
+	available := shareSize{max(limit.rate-others.rate, 0), max(limit.burst-others.burst, 0)}
+	target := share.target
+	if a.now < share.currentLease.until {
+		target = shareSize{
+			ignoreSmallChange(target.rate, share.currentLease.rate, 0),
+			ignoreSmallChange(target.burst, share.currentLease.burst, 1),
+		}
+	}
+	if fallback := a.fallback(share.member, i); !limit.concurrency {
+		target.burst = max(target.burst, fallback.burst) // the fallback share's capacity is always counted
 	}
-	if safe := a.fallback(e.member, i); !l.concurrency {
-		goal.burst = max(goal.burst, safe.burst) // it counts anyway
+	next := shareSize{
+		roundDownToWire(min(target.rate, available.rate)),
+		roundDownToWire(min(target.burst, available.burst)),
 	}
-	share := size{down(min(goal.rate, room.rate)), down(min(goal.burst, room.burst))}
-	if l.concurrency {
-		share = size{rate: float64(uint64(share.rate))}
+	if limit.concurrency {
+		next = shareSize{rate: float64(uint64(next.rate))}
 	}
-	return share, true
+	return next, true
 }
 
-// minChange is the part by which a goal has to differ from the lease to move it.
+// minChange is the relative difference from the current lease below which a target is ignored.
 const minChange = 0.01
 
-func steady(goal, was, least float64) float64 {
-	if goal > 0 && was > 0 && math.Abs(goal-was) <= max(was*minChange, least) {
-		return was
+// ignoreSmallChange returns current if target differs from it by at most minChange or minDifference, else
+// target.
+func ignoreSmallChange(target, current, minDifference float64) float64 {
+	if target > 0 && current > 0 && math.Abs(target-current) <= max(current*minChange, minDifference) {
+		return current
 	}
-	return goal
+	return target
 }
 
-// formerShareEnd is when nothing of a limit can be left that a previous allocator gave: of requests in
-// flight, the last that were begun under its leases have ended.
-func (a *Allocator) formerShareEnd(i int32) time.Duration {
+// previousGrantsEnd returns the time from which no grant of a previous allocator can be in use for the limit
+// with index i. For limits on concurrency, the last requests that began under its leases have ended by then.
+func (a *Allocator) previousGrantsEnd(i int32) time.Duration {
 	if a.limits.all[i].concurrency {
-		return a.formerLeasesEnd + a.times.maxRequestTime
+		return a.previousLeasesEnd + a.times.maxRequestTime
 	}
-	return a.formerLeasesEnd
+	return a.previousLeasesEnd
 }
 
-// updateSpare notes what nobody has from now on.
-func (a *Allocator) updateSpare(i int32, s *allocation) {
-	l, all := &a.limits.all[i], a.withSum(i).sum.all
-	s.spare = size{max(l.rate-all.rate, 0), max(l.burst-all.burst, 0)}
-	s.tokens = min(s.tokens, s.spare.burst)
+// updateSpare sets the part of the limit with index i that no member has from now on.
+func (a *Allocator) updateSpare(i int32, allocation *limitAllocation) {
+	limit, total := &a.limits.all[i], a.allocationWithSum(i).sum.total
+	allocation.spare = shareSize{max(limit.rate-total.rate, 0), max(limit.burst-total.burst, 0)}
+	allocation.tokens = min(allocation.tokens, allocation.spare.burst)
 }
--- a/internal/quota/invariant_test.go
+++ b/internal/quota/invariant_test.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// invariant looks at all ledgers at one moment, which finds more than what clients happened to get: rates of all
-// proxies together within the limit's, room within its burst, and no room got that nobody keeps empty for it.
+// invariant looks at all ledgers at one moment, which finds more than what clients happened to get: rates of
+// all proxies together within the limit's, room within its burst, and no room got that nobody keeps empty for
+// it.
 type invariant struct {
 	rate, room, got float64 // the most that each was over, as parts of the rate and the burst
 	ghosts          []ghost
@@ -37,7 +38,7 @@
 			n.led.AdvanceTo(n.clock.at(w.now))
 			s := &n.led.buckets[i]
 			n.led.refill(s)
-			if lent += s.lent; n.led.left {
+			if lent += s.lent; n.led.hasLeft {
 				continue
 			}
 			share := n.led.currentShare(s, n.led.now)
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,51 +7,52 @@
 	"wrenspread/ratelimit"
 )
 
-// LedgerConfig is what a ledger is started with.
+// LedgerConfig configures a Ledger.
 type LedgerConfig struct {
-	Fleet      uint32 // the fleet's name as a hash
-	Name       string // of the proxy, at most MaxName bytes
+	Fleet      uint32 // hash of the fleet's name
+	Name       string // the proxy's name, at most MaxName bytes
 	Generation uint64 // of the process; a later process under the name has a higher one
-	Seed       uint64
+	Seed       uint64 // of the random draws
 }
 
-// Ledger holds a proxy's share of each limit. It is pure: times are of the process's monotonic clock, from 0
-// or more, and one goroutine uses it at a time. It is the ratelimit.Tokens that requests are judged with, as
-// of the last AdvanceTo or Handle, and allocates nothing for them.
+// Ledger holds a proxy's share of each limit. It is pure: times are of the process's monotonic clock and not
+// negative, and one goroutine uses it at a time. It implements ratelimit.Tokens, by which requests are
+// admitted, as of the last AdvanceTo or Handle, without allocating memory for a request.
 type Ledger struct {
-	cfg       LedgerConfig
-	times     times
-	random    *rand.Rand
-	now       time.Duration
-	startedAt time.Duration // the first time of an event
-	limits    *limits
-	buckets   []bucket // by the table's index
-	claimed   []int32  // those that are claimed
-	urgent    []int32  // those of them that wait for no round
-	left      bool
-
-	allocator              string
-	token                  uint64 // the highest seen
+	cfg           LedgerConfig
+	times         times
+	random        *rand.Rand
+	now           time.Duration
+	startedAt     time.Duration // time of the first event; -1 before
+	limits        *limits
+	buckets       []limitBucket // by the limit's index
+	claimedLimits []int32       // indices of the limits that each round claims
+	urgentLimits  []int32       // those of them that are claimed before the next round
+	hasLeft       bool
+
+	allocator              string // the allocator's name; empty if not known
+	token                  uint64 // highest fencing token of an allocator seen
 	lastGrantAt            time.Duration
-	sentClaims             [64]sentClaim
-	lastClaim              uint32        // of the last claim
-	lastGrant              uint32        // the highest number of a grant taken under the fencing token
-	lastRoundAt            time.Duration // when all that is listed was last claimed
-	lastUrgentAt           time.Duration
+	sentClaims             [64]sentClaim // the last claims, by number modulo their count
+	lastClaimNumber        uint32
+	lastGrantNumber        uint32        // highest number of a grant that was applied under the fencing token
+	lastRoundAt            time.Duration // when all claimedLimits were last claimed
+	lastUrgentAt           time.Duration // when urgentLimits were last claimed
 	slot                   Slot
-	slotCoversConcurrency  bool // it holds for limits on concurrency too
+	slotCoversConcurrency  bool // the slot is valid for limits on concurrency too
 	fallbackSuspendedUntil time.Duration
 
-	peers      []string
-	borrowing  map[uint64]pendingLoan
-	lentNonces map[uint64]time.Duration
-	lentUntil  time.Duration // of all slots
+	peers        []string // other proxies, from which tokens may be borrowed
+	pendingLoans map[uint64]pendingLoan
+	lentNonces   map[uint64]time.Duration // when borrowMessages were answered, by their nonce
+	lentUntil    time.Duration            // latest limitBucket.lentUntil
 }
 
+// sentClaim is a claim that the ledger has sent.
 type sentClaim struct {
 	number uint32
 	token  uint64
-	at     time.Duration
+	sentAt time.Duration
 }
 
 var _ ratelimit.Tokens = (*Ledger)(nil)
@@ -60,36 +61,38 @@
 func NewLedger(cfg LedgerConfig) *Ledger {
 	return &Ledger{
 		cfg: cfg, times: defaultTimes(), random: rand.New(rand.NewPCG(cfg.Seed, cfg.Generation)), startedAt: -1,
-		limits: newLimits(nil, 0), slot: Slot{Level: slotNone},
-		borrowing: map[uint64]pendingLoan{}, lentNonces: map[uint64]time.Duration{},
+		limits: newLimits(nil, 0), slot: Slot{Level: noSlotLevel},
+		pendingLoans: map[uint64]pendingLoan{}, lentNonces: map[uint64]time.Duration{},
 	}
 }
 
-// Handle takes an event and gives what is to be sent.
+// Handle handles an event and returns the datagrams to send.
 func (l *Ledger) Handle(now time.Duration, e Event) []Action {
 	l.AdvanceTo(now)
 	switch e := e.(type) {
 	case Tick:
 		return l.tick()
 	case Message:
-		return l.message(e.Data)
+		return l.handleDatagram(e.Data)
 	case TableChanged:
 		l.setTable(e.Current)
 	case AllocatorKnown:
-		if l.followAllocator(e.Token, e.Name) && !l.left {
-			return l.sendClaims(l.claimed)
+		if l.followAllocator(e.Token, e.Name) && !l.hasLeft {
+			return l.sendClaims(l.claimedLimits)
 		}
 	case Peers:
 		l.peers = e.Names
 	case Leave:
-		l.left = true
+		l.hasLeft = true
 	}
 	return nil
 }
 
-func (l *Ledger) message(data []byte) []Action {
-	kind, r, err := open(data, l.cfg.Fleet)
-	if err != nil || l.left {
+// handleDatagram handles grants, announcements and the messages by which proxies borrow tokens. Datagrams
+// that can't be decoded are dropped, and all datagrams after a leave.
+func (l *Ledger) handleDatagram(data []byte) []Action {
+	kind, r, err := readHeader(data, l.cfg.Fleet)
+	if err != nil || l.hasLeft {
 		return nil
 	}
 	switch kind {
@@ -99,11 +102,11 @@
 		}
 	case kindAnnouncement:
 		if h, ok := decodeAnnouncement(r); ok && l.followAllocator(h.token, h.name) {
-			return l.sendClaims(l.claimed)
+			return l.sendClaims(l.claimedLimits)
 		}
 	case kindBorrow:
-		if a, ok := decodeBorrowRequest(r); ok {
-			return l.lendTokens(a)
+		if request, ok := decodeBorrow(r); ok {
+			return l.lendTokens(request)
 		}
 	case kindLoan:
 		if g, ok := decodeLoan(r); ok {
@@ -113,81 +116,84 @@
 	return nil
 }
 
-// followAllocator takes an allocator whose fencing token is higher than any seen.
-func (l *Ledger) followAllocator(fence uint64, name string) bool {
-	if fence <= l.token || len(name) == 0 || len(name) > MaxName {
+// followAllocator follows an allocator if its fencing token is higher than any seen, and reports whether it
+// does.
+func (l *Ledger) followAllocator(token uint64, name string) bool {
+	if token <= l.token || len(name) == 0 || len(name) > MaxName {
 		return false
 	}
-	l.token, l.allocator, l.lastGrant = fence, name, 0
+	l.token, l.allocator, l.lastGrantNumber = token, name, 0
 	return true
 }
 
+// tick sends the claims and borrow requests that are due.
 func (l *Ledger) tick() []Action {
-	if l.left {
+	if l.hasLeft {
 		return l.leave()
 	}
-	var out []Action
+	var actions []Action
 	switch {
-	case l.now-l.lastRoundAt >= l.times.renew || l.lastClaim == 0:
+	case l.now-l.lastRoundAt >= l.times.renewInterval || l.lastClaimNumber == 0:
 		l.measureDemand(l.now - l.lastRoundAt)
-		l.lastRoundAt, l.lastUrgentAt, l.urgent = l.now, l.now, l.urgent[:0]
-		out = l.sendClaims(l.claimed)
-	case len(l.urgent) > 0 && l.now-l.lastUrgentAt >= l.times.minClaimInterval:
+		l.lastRoundAt, l.lastUrgentAt, l.urgentLimits = l.now, l.now, l.urgentLimits[:0]
+		actions = l.sendClaims(l.claimedLimits)
+	case len(l.urgentLimits) > 0 && l.now-l.lastUrgentAt >= l.times.minClaimInterval:
 		l.lastUrgentAt = l.now
-		out = l.sendClaims(l.urgent)
-		l.urgent = l.urgent[:0]
+		actions = l.sendClaims(l.urgentLimits)
+		l.urgentLimits = l.urgentLimits[:0]
 	}
-	return append(out, l.borrowTokens()...)
+	return append(actions, l.borrowTokens()...)
 }
 
-// leave tells the allocator, again and again for as long as the process lives, that it admits nothing any
-// more and that nothing of its share is in use elsewhere: what it lent to others, and requests in flight.
+// leave notifies the allocator, once in each renewInterval for as long as the process lives, that the proxy
+// admits no more requests. It waits until none of the proxy's shares is in use: no lent tokens and no
+// requests in flight.
 func (l *Ledger) leave() []Action {
-	if l.allocator == "" || l.now < l.lentUntil || l.now-l.lastRoundAt < l.times.renew {
+	if l.allocator == "" || l.now < l.lentUntil || l.now-l.lastRoundAt < l.times.renewInterval {
 		return nil
 	}
-	for _, i := range l.claimed {
+	for _, i := range l.claimedLimits {
 		if l.buckets[i].inFlight > 0 {
 			return nil
 		}
 	}
 	l.lastRoundAt = l.now
-	gone := leave{generation: l.cfg.Generation, name: l.cfg.Name}
-	return []Action{Send{l.allocator, gone.encode(l.cfg.Fleet)}}
+	notice := leaveMessage{generation: l.cfg.Generation, name: l.cfg.Name}
+	return []Action{Send{l.allocator, notice.encode(l.cfg.Fleet)}}
 }
 
-// setTable swaps the table. Shares and tokens of limits that are in both go on, by name.
+// setTable replaces the table. Limits whose names are in both tables keep their shares and tokens.
 func (l *Ledger) setTable(t *ratelimit.Table) {
 	next := newLimits(t, l.times.drift)
-	slots := make([]bucket, len(next.all))
-	var listed []int32
-	for i := range slots {
-		if was, there := l.limits.byHash[next.all[i].hash]; there {
-			l.refill(&l.buckets[was])
-			slots[i] = l.buckets[was]
+	buckets := make([]limitBucket, len(next.all))
+	var claimed []int32
+	for i := range buckets {
+		if previous, found := l.limits.byHash[next.all[i].hash]; found {
+			l.refill(&l.buckets[previous])
+			buckets[i] = l.buckets[previous]
 		}
-		slots[i].filledAt, slots[i].concurrency = l.now, next.all[i].concurrency
-		slots[i].fallback = next.all[i].fallback(l.slot, l.slotCoversConcurrency)
-		if slots[i].claimed {
-			listed = append(listed, int32(i))
+		buckets[i].filledAt, buckets[i].concurrency = l.now, next.all[i].concurrency
+		buckets[i].fallback = next.all[i].fallback(l.slot, l.slotCoversConcurrency)
+		if buckets[i].claimed {
+			claimed = append(claimed, int32(i))
 		}
 	}
-	l.limits, l.buckets, l.urgent = next, slots, make([]int32, 0, len(slots))
-	l.claimed = append(make([]int32, 0, len(slots)), listed...)
+	l.limits, l.buckets, l.urgentLimits = next, buckets, make([]int32, 0, len(buckets))
+	l.claimedLimits = append(make([]int32, 0, len(buckets)), claimed...)
 	for i := range l.buckets {
 		l.refill(&l.buckets[i])
 	}
 }
 
-// setSlot takes the slot that a grant tells of.
-func (l *Ledger) setSlot(s Slot, openToo bool) {
-	if s == l.slot && openToo == l.slotCoversConcurrency {
+// setSlot applies the slot of a grant.
+func (l *Ledger) setSlot(slot Slot, coversConcurrency bool) {
+	if slot == l.slot && coversConcurrency == l.slotCoversConcurrency {
 		return
 	}
 	for i := range l.buckets {
 		l.refill(&l.buckets[i])
-		l.buckets[i].fallback = l.limits.all[i].fallback(s, openToo)
+		l.buckets[i].fallback = l.limits.all[i].fallback(slot, coversConcurrency)
 		l.refill(&l.buckets[i])
 	}
-	l.slot, l.slotCoversConcurrency = s, openToo
+	l.slot, l.slotCoversConcurrency = slot, coversConcurrency
 }
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -9,119 +9,128 @@
 	"wrenspread/ratelimit"
 )
 
-// limit is one index of a table's limits as both ends share it out. For limits on concurrency, rate is the
-// count that may be open and burst is 0.
-type limit struct {
-	hash           uint64 // of its name on the wire
-	parent         int32  // -1: none
-	attribute      ratelimit.Attribute
-	concurrency    bool
-	borrow         bool
-	rate, burst    float64 // units a second, units
-	floor          float64
-	weight         float64
-	fallbackRate   float64 // of all enrolled proxies together, at the smallest figures that the limit ever has
-	fallbackTokens uint64  // whole ones
+// quotaLimit is one limit of a table, as proxies and allocator allocate it. For limits on concurrency, rate
+// is the number of requests that may be in flight and burst is 0.
+type quotaLimit struct {
+	hash           uint64              // stands for the limit's name on the wire
+	parent         int32               // index of the next outer limit; -1 means none
+	attribute      ratelimit.Attribute // attribute of the limit's scope
+	concurrency    bool                // the limit is on requests in flight
+	borrow         bool                // the limit may have more than its floor of its parent
+	rate, burst    float64             // units a second, units
+	floor          float64             // units a second that are guaranteed before siblings borrow
+	weight         float64             // by which siblings that want more divide what the floors leave
+	fallbackRate   float64             // of all fallback shares together, by the lowest scheduled values
+	fallbackTokens uint64              // whole tokens of all fallback shares together, likewise
 }
 
-// maxPool keeps a slot's arithmetic within 64 bits.
+// maxPool bounds a limit's fallback tokens, so that the arithmetic of slots stays within 64 bits.
 const maxPool = 1 << 30
 
-// limits are a table's, by the table's index.
+// limits are the limits of a table. Their index is that of ratelimit.Tokens: first the table's limits, then
+// one entry for each key slot of the limits that have key slots.
 type limits struct {
-	table         *ratelimit.Table
-	version       uint64
-	rateReduction float64 // rates are lower by this part, so that no clock that runs fast makes more of them
-	all           []limit
-	byHash        map[uint64]int32
+	table      *ratelimit.Table
+	version    uint64
+	rateFactor float64 // reduces rates, so that a proxy with a fast clock does not exceed the limit
+	all        []quotaLimit
+	byHash     map[uint64]int32 // index by quotaLimit.hash
 }
 
-// newLimits takes a table that is ready.
-func newLimits(t *ratelimit.Table, slow float64) *limits {
-	n := &limits{table: t, rateReduction: 1 - slow, byHash: map[uint64]int32{}}
+// newLimits returns the limits of a finalized table; nil gives no limits. Rates are reduced by drift.
+func newLimits(t *ratelimit.Table, drift float64) *limits {
+	result := &limits{table: t, rateFactor: 1 - drift, byHash: map[uint64]int32{}}
 	if t == nil {
-		return n
+		return result
 	}
-	n.version = t.Version
-	n.all = make([]limit, t.TokenSlots())
+	result.version = t.Version
+	result.all = make([]quotaLimit, t.TokenSlots())
 	for i := range t.Limits {
-		n.all[i] = n.single(i)
+		result.all[i] = result.newLimit(i)
 	}
-	for at := len(t.Limits); at < len(n.all); {
-		of := t.LimitOf(at)
-		for k := range max(t.Limits[of].KeySlots, 1) {
-			l := n.all[of]
-			l.parent, l.hash = -1, mix(l.hash, uint64(k))
-			n.all[at+k] = l
+	for at := len(t.Limits); at < len(result.all); {
+		source := t.LimitOf(at)
+		for k := range max(t.Limits[source].KeySlots, 1) {
+			limit := result.all[source]
+			limit.parent, limit.hash = -1, mixHash(limit.hash, uint64(k))
+			result.all[at+k] = limit
 		}
-		at += max(t.Limits[of].KeySlots, 1)
+		at += max(t.Limits[source].KeySlots, 1)
 	}
-	for i := range n.all {
-		if _, there := n.byHash[n.all[i].hash]; !there {
-			n.byHash[n.all[i].hash] = int32(i)
+	for i := range result.all {
+		if _, found := result.byHash[result.all[i].hash]; !found {
+			result.byHash[result.all[i].hash] = int32(i)
 		}
 	}
-	return n
+	return result
 }
 
-func (n *limits) single(i int) limit {
-	from, least := &n.table.Limits[i], n.table.Minimum(i)
-	l := limit{
-		hash: mix(0, 0, from.Name), parent: int32(from.Parent), attribute: from.Attribute,
-		concurrency: from.Unit == ratelimit.UnitConcurrency, borrow: from.Borrow,
-		rate: from.Rate, burst: from.Burst, floor: from.Floor, weight: from.Weight,
+// newLimit returns the table's limit with index i, at its unscheduled values.
+func (l *limits) newLimit(i int) quotaLimit {
+	source, minimum := &l.table.Limits[i], l.table.Minimum(i)
+	limit := quotaLimit{
+		hash: mixHash(0, 0, source.Name), parent: int32(source.Parent), attribute: source.Attribute,
+		concurrency: source.Unit == ratelimit.UnitConcurrency, borrow: source.Borrow,
+		rate: source.Rate, burst: source.Burst, floor: source.Floor, weight: source.Weight,
 	}
-	pool := least.Burst
-	if l.concurrency {
-		pool = least.Rate
+	tokens := minimum.Burst
+	if limit.concurrency {
+		tokens = minimum.Rate
 	} else {
-		l.rate, least.Rate = l.rate*n.rateReduction, least.Rate*n.rateReduction
+		limit.rate, minimum.Rate = limit.rate*l.rateFactor, minimum.Rate*l.rateFactor
 	}
-	l.fallbackTokens = uint64(min(max(from.FallbackShare*pool, 0), maxPool))
-	if l.fallbackTokens > 0 {
-		l.fallbackRate = from.FallbackShare * least.Rate
+	limit.fallbackTokens = uint64(min(max(source.FallbackShare*tokens, 0), maxPool))
+	if limit.fallbackTokens > 0 {
+		limit.fallbackRate = source.FallbackShare * minimum.Rate
 	}
-	return l
+	return limit
 }
 
-// applySchedule sets the figures of a time of the wall clock, which the allocator alone does: a proxy's safe
-// share is by the least.
-func (n *limits) applySchedule(wall time.Time) {
-	for i := range n.all {
-		of := n.table.LimitOf(i)
-		if i >= len(n.table.Limits) && len(n.table.Limits[of].Schedule) == 0 {
+// applySchedule sets the limits' values to those scheduled for a wall-clock time. Only the allocator calls
+// it: a proxy's fallback share follows from the lowest scheduled values.
+func (l *limits) applySchedule(now time.Time) {
+	for i := range l.all {
+		source := l.table.LimitOf(i)
+		if i >= len(l.table.Limits) && len(l.table.Limits[source].Schedule) == 0 {
 			continue
 		}
-		f := n.table.At(of, wall)
-		if !n.all[i].concurrency {
-			f.Rate *= n.rateReduction
+		figures := l.table.At(source, now)
+		if !l.all[i].concurrency {
+			figures.Rate *= l.rateFactor
 		}
-		n.all[i].rate, n.all[i].burst, n.all[i].floor = f.Rate, f.Burst, f.Floor
+		l.all[i].rate, l.all[i].burst, l.all[i].floor = figures.Rate, figures.Burst, figures.Floor
 	}
 }
 
-// fallback is a slot's part of the limit without a lease. It is nothing where it holds no whole token, since
-// a bucket that can't hold one never admits anything. For limits on concurrency the slot has to be older.
-func (l *limit) fallback(s Slot, openToo bool) size {
-	if l.fallbackTokens == 0 || s.Level == slotNone || l.concurrency && !openToo {
-		return size{}
+// fallback returns the fallback share of the proxy that has the slot. A slot without a complete token has an
+// empty share, since a bucket that can't hold a token never admits a request. For limits on concurrency the
+// share is empty unless coversConcurrency is set.
+func (l *quotaLimit) fallback(slot Slot, coversConcurrency bool) shareSize {
+	if l.fallbackTokens == 0 || slot.Level == noSlotLevel || l.concurrency && !coversConcurrency {
+		return shareSize{}
 	}
-	tokens := float64(s.tokens(l.fallbackTokens, l.hash))
+	tokens := float64(slot.tokens(l.fallbackTokens, l.hash))
 	if l.concurrency {
-		return size{rate: tokens}
+		return shareSize{rate: tokens}
 	}
-	return size{rate: l.fallbackRate * tokens / float64(l.fallbackTokens), burst: tokens}
+	return shareSize{rate: l.fallbackRate * tokens / float64(l.fallbackTokens), burst: tokens}
 }
 
-// size is a share: units a second (or open at once), and the most that its bucket holds.
-type size struct{ rate, burst float64 }
+// shareSize is the size of a share: its rate in units a second (for limits on concurrency, requests in
+// flight) and the capacity of its bucket in units.
+type shareSize struct{ rate, burst float64 }
 
-func (s size) max(o size) size { return size{max(s.rate, o.rate), max(s.burst, o.burst)} }
+func (s shareSize) max(other shareSize) shareSize {
+	return shareSize{max(s.rate, other.rate), max(s.burst, other.burst)}
+}
 
-func (s size) plus(o size) size { return size{s.rate + o.rate, s.burst + o.burst} }
+func (s shareSize) plus(other shareSize) shareSize {
+	return shareSize{s.rate + other.rate, s.burst + other.burst}
+}
 
-// down rounds to what the wire carries, never up.
-func down(v float64) float64 {
+// roundDownToWire returns the largest value of at most v that a datagram can carry, a 32-bit float; 0 if v is
+// negative.
+func roundDownToWire(v float64) float64 {
 	f := float32(max(v, 0))
 	if float64(f) > v {
 		f = math.Nextafter32(f, 0)
@@ -129,16 +138,17 @@
 	return float64(f)
 }
 
-func mix(a, b uint64, words ...string) uint64 {
+// mixHash hashes numbers and names.
+func mixHash(a, b uint64, names ...string) uint64 {
 	h := fnv.New64a()
 	var n [16]byte
 	binary.BigEndian.PutUint64(n[:8], a)
 	binary.BigEndian.PutUint64(n[8:], b)
 	h.Write(n[:])
-	for _, w := range words {
+	for _, w := range names {
 		h.Write([]byte(w))
 	}
-	v := h.Sum64() // its high bits turn slots, so they are mixed once more
+	v := h.Sum64() // slots are rotated by the high bits, so the bits are mixed once more
 	v ^= v >> 33
 	v *= 0xff51afd7ed558ccd
 	return v ^ v>>33
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -6,108 +6,115 @@
 	"time"
 )
 
-// Bounds of lending.
+// Bounds of lending between proxies.
 const (
-	borrowInterval  = 50 * time.Millisecond // for one limit
-	maxPendingLoans = 64                    // answers awaited at once
-	maxLentNonces   = 4096                  // answered ones remembered
+	borrowInterval  = 50 * time.Millisecond // time between two requests for tokens of one limit
+	maxPendingLoans = 64                    // requests that wait for an answer
+	maxLentNonces   = 4096                  // answered requests that are remembered
 )
 
-// pendingLoan is tokens that are awaited.
+// pendingLoan is a request for tokens that waits for its answer.
 type pendingLoan struct {
-	limit int32
-	hash  uint64
-	need  float64
-	at    time.Duration
+	limitIndex  int32
+	hash        uint64  // of the limit's name
+	amount      float64 // requested tokens
+	requestedAt time.Duration
 }
 
-// withoutAllocator reports whether the slot lives by its fallback share because no allocator answers.
-func (l *Ledger) withoutAllocator(s *bucket) bool {
-	return !s.concurrency && l.now >= s.leaseUntil && l.now >= l.fallbackSuspendedUntil &&
-		(l.lastGrantAt == 0 || l.now-l.lastGrantAt > l.times.lease)
+// withoutAllocator reports whether the bucket is on its fallback share because no allocator answers.
+func (l *Ledger) withoutAllocator(bucket *limitBucket) bool {
+	return !bucket.concurrency && l.now >= bucket.leaseUntil && l.now >= l.fallbackSuspendedUntil &&
+		(l.lastGrantAt == 0 || l.now-l.lastGrantAt > l.times.leaseDuration)
 }
 
-// borrowTokens asks one peer for tokens of each limit that ran short.
+// borrowTokens requests tokens from one random peer for each limit that rejected demand while no allocator
+// answers.
 func (l *Ledger) borrowTokens() []Action {
-	for nonce, a := range l.borrowing {
-		if l.now-a.at > l.times.loanTimeout {
-			delete(l.borrowing, nonce)
+	for nonce, pending := range l.pendingLoans {
+		if l.now-pending.requestedAt > l.times.loanTimeout {
+			delete(l.pendingLoans, nonce)
 		}
 	}
-	var out []Action
-	for _, i := range l.claimed {
-		s := &l.buckets[i]
-		if s.rejected < 1 || l.now-s.lastBorrowAt < borrowInterval || len(l.peers) == 0 ||
-			len(l.borrowing) >= maxPendingLoans {
+	var actions []Action
+	for _, i := range l.claimedLimits {
+		bucket := &l.buckets[i]
+		if bucket.rejected < 1 || l.now-bucket.lastBorrowAt < borrowInterval || len(l.peers) == 0 ||
+			len(l.pendingLoans) >= maxPendingLoans {
 			continue
 		}
-		need := math.Floor(s.rejected)
-		s.rejected, s.lastBorrowAt = 0, l.now
-		if !l.withoutAllocator(s) {
+		amount := math.Floor(bucket.rejected)
+		bucket.rejected, bucket.lastBorrowAt = 0, l.now
+		if !l.withoutAllocator(bucket) {
 			continue
 		}
-		a := borrowRequest{nonce: l.random.Uint64(), hash: l.limits.all[i].hash, need: down(need), name: l.cfg.Name}
-		l.borrowing[a.nonce] = pendingLoan{i, a.hash, a.need, l.now}
-		out = append(out, Send{l.peers[l.random.IntN(len(l.peers))], a.encode(l.cfg.Fleet)})
+		request := borrowMessage{
+			nonce:  l.random.Uint64(),
+			hash:   l.limits.all[i].hash,
+			amount: roundDownToWire(amount),
+			name:   l.cfg.Name,
+		}
+		l.pendingLoans[request.nonce] = pendingLoan{i, request.hash, request.amount, l.now}
+		actions = append(actions, Send{l.peers[l.random.IntN(len(l.peers))], request.encode(l.cfg.Fleet)})
 	}
-	return out
+	return actions
 }
 
-// lendTokens gives tokens, whole ones, once a nonce. They are debited before they are sent, and their
-// capacity in the bucket stays empty until they can't be used any more: so what all proxies hold and what is
-// on the way never exceeds what the buckets of their fallback shares hold together.
-func (l *Ledger) lendTokens(a borrowRequest) []Action {
-	i, there := l.limits.byHash[a.hash]
-	if _, again := l.lentNonces[a.nonce]; !there || again || !l.withoutAllocator(&l.buckets[i]) {
+// lendTokens lends whole tokens, once for each nonce. The tokens are debited before they are sent, and their
+// capacity in the bucket stays empty until the borrower can't use them any more. So the tokens that all
+// proxies have and those in transit never exceed the capacity of the buckets of all fallback shares.
+func (l *Ledger) lendTokens(request borrowMessage) []Action {
+	i, known := l.limits.byHash[request.hash]
+	if _, answered := l.lentNonces[request.nonce]; !known || answered || !l.withoutAllocator(&l.buckets[i]) {
 		return nil
 	}
-	s := &l.buckets[i]
-	l.refill(s)
-	spare := min(s.tokens, s.fallback.burst-s.lent)
-	if s.arrived > 0 || s.demand > 0 {
+	bucket := &l.buckets[i]
+	l.refill(bucket)
+	spare := min(bucket.tokens, bucket.fallback.burst-bucket.lent)
+	if bucket.arrived > 0 || bucket.demand > 0 {
 		spare /= 2
 	}
-	amount := math.Floor(min(spare, a.need))
+	amount := math.Floor(min(spare, request.amount))
 	if amount < 1 || len(l.lentNonces) >= maxLentNonces && !l.forgetNonces() {
 		return nil
 	}
-	l.lentNonces[a.nonce] = l.now
-	s.tokens -= amount
-	s.lent += amount
-	s.lentUntil = l.now + l.times.atMost(l.times.loanUse)
-	l.lentUntil = s.lentUntil
-	g := loan{nonce: a.nonce, hash: a.hash, amount: amount}
-	return []Action{Send{a.name, g.encode(l.cfg.Fleet)}}
+	l.lentNonces[request.nonce] = l.now
+	bucket.tokens -= amount
+	bucket.lent += amount
+	bucket.lentUntil = l.now + l.times.longestElapsed(l.times.loanUse)
+	l.lentUntil = bucket.lentUntil
+	answer := loanMessage{nonce: request.nonce, hash: request.hash, amount: amount}
+	return []Action{Send{request.name, answer.encode(l.cfg.Fleet)}}
 }
 
-// forgetNonces drops nonces whose askers wait no longer.
+// forgetNonces drops the nonces of requests that have timed out, and reports whether there is space for
+// another.
 func (l *Ledger) forgetNonces() bool {
-	for nonce, at := range l.lentNonces {
-		if l.now-at > 2*l.times.loanTimeout {
+	for nonce, answeredAt := range l.lentNonces {
+		if l.now-answeredAt > 2*l.times.loanTimeout {
 			delete(l.lentNonces, nonce)
 		}
 	}
 	return len(l.lentNonces) < maxLentNonces
 }
 
-// receiveLoan takes tokens that were asked for, once, and only soon after. The capacity for them ends soon
-// after, too.
-func (l *Ledger) receiveLoan(g loan) {
-	a, there := l.borrowing[g.nonce]
-	if !there || a.hash != g.hash || g.amount > a.need {
+// receiveLoan credits lent tokens, once for each request and only within loanTimeout. The capacity for them
+// ends loanUse after the request.
+func (l *Ledger) receiveLoan(received loanMessage) {
+	pending, found := l.pendingLoans[received.nonce]
+	if !found || pending.hash != received.hash || received.amount > pending.amount {
 		return
 	}
-	delete(l.borrowing, g.nonce)
-	i, there := l.limits.byHash[g.hash]
-	if !there || l.now-a.at > l.times.loanTimeout || !slices.Contains(l.claimed, i) {
+	delete(l.pendingLoans, received.nonce)
+	i, found := l.limits.byHash[received.hash]
+	if !found || l.now-pending.requestedAt > l.times.loanTimeout || !slices.Contains(l.claimedLimits, i) {
 		return
 	}
-	s := &l.buckets[i]
-	l.refill(s)
-	if until := a.at + l.times.loanUse; s.borrowed == 0 || until < s.borrowedUntil {
-		s.borrowedUntil = until
+	bucket := &l.buckets[i]
+	l.refill(bucket)
+	if until := pending.requestedAt + l.times.loanUse; bucket.borrowed == 0 || until < bucket.borrowedUntil {
+		bucket.borrowedUntil = until
 	}
-	s.borrowed += g.amount
-	s.tokens += g.amount
-	l.refill(s)
+	bucket.borrowed += received.amount
+	bucket.tokens += received.amount
+	l.refill(bucket)
 }
--- a/internal/quota/member.go
+++ b/internal/quota/member.go
@@ -5,130 +5,139 @@
 	"time"
 )
 
-// member is a proxy as the allocator knows it: enrolled, or heard of.
+// member is a proxy that the allocator knows: by the record of enrolled proxies or by a claim.
 type member struct {
 	name         string
 	generation   uint64
 	tableVersion uint64
 	shares       map[int32]*memberShare // by the limit's index
 
-	slot                Slot // its fallback share is counted by
-	hasSlot             bool
-	confirmed           bool          // the record holds it, or one around it
-	fallbackSince       time.Duration // its fallback share has been counted, in its present generation
-	firstFallbackAt     time.Duration // and in any
-	shrinking           bool          // it is being notified of a slot of half the size
-	shrinkingSinceGrant uint32        // in the grant that notified it first
+	slot                   Slot // by which the fallback share is counted
+	hasSlot                bool
+	slotRecorded           bool          // the record holds the slot, or a larger slot that contains it
+	fallbackCountedSince   time.Duration // since when the fallback share is counted for the present generation
+	fallbackFirstCountedAt time.Duration // since when the fallback share is counted for any generation
+	shrinking              bool          // grants carry a halved slot, which the proxy has not applied yet
+	shrinkingSinceGrant    uint32        // number of the first grant with the slot of half the size
 
-	number                 uint32 // of the last grant
-	grants                 [32]sentGrant
-	fallbackSuspendedUntil time.Duration // its fallback share is suspended at least so long
+	lastGrantNumber        uint32
+	sentGrants             [32]sentGrant // the last grants, by number modulo their count
+	fallbackSuspendedUntil time.Duration // until when the proxy suspends its fallback share at least
 }
 
-// sentGrant is a grant as the allocator remembers it.
+// sentGrant is a grant that the allocator has sent.
 type sentGrant struct {
 	number            uint32
-	at                time.Duration // when it was sent
-	base              time.Duration // its claim was sent after this
-	fallbackSuspended bool
+	sentAt            time.Duration
+	claimSentAfter    time.Duration // the grant's claim was sent after this time; 0 means not known
+	fallbackSuspended bool          // the grant suspended the proxy's fallback share
 }
 
+// sentGrant returns the grant with the number, if it is still remembered.
 func (m *member) sentGrant(number uint32) (sentGrant, bool) {
-	t := m.grants[number%uint32(len(m.grants))]
-	return t, number > 0 && t.number == number
+	sent := m.sentGrants[number%uint32(len(m.sentGrants))]
+	return sent, number > 0 && sent.number == number
 }
 
-// member returns the one that a claim comes from. A new generation starts without grants: its fallback share
-// counts from now on, beside what is left of the previous generation's leases.
-func (a *Allocator) member(c claim) *member {
-	at, m := a.find(c.name)
+// memberForClaim returns the member that a claim comes from, and adds it if it is new. It returns nil if
+// there are too many members, or the claim is of an older generation or of a process that has left. A new
+// generation starts without grants: its fallback share counts from now on, in addition to the live leases of
+// the previous generation.
+func (a *Allocator) memberForClaim(claim claimMessage) *member {
+	at, m := a.find(claim.name)
 	if m == nil {
-		if len(a.members) >= MaxProxies || slices.Contains(a.departed, leave{c.generation, c.name}) {
+		if len(a.members) >= MaxProxies || slices.Contains(a.departed, leaveMessage{claim.generation, claim.name}) {
 			return nil
 		}
 		m = &member{
-			name:            c.name,
-			generation:      c.generation,
-			shares:          map[int32]*memberShare{},
-			fallbackSince:   a.now,
-			firstFallbackAt: a.now,
+			name:                   claim.name,
+			generation:             claim.generation,
+			shares:                 map[int32]*memberShare{},
+			fallbackCountedSince:   a.now,
+			fallbackFirstCountedAt: a.now,
 		}
 		a.members = slices.Insert(a.members, at, m)
 	}
 	switch {
-	case c.generation < m.generation:
+	case claim.generation < m.generation:
 		return nil
-	case c.generation > m.generation && m.generation != 0:
-		m.fallbackSuspendedUntil, m.fallbackSince, m.shrinking = 0, a.now, false
-		m.grants = [32]sentGrant{}
+	case claim.generation > m.generation && m.generation != 0:
+		m.fallbackSuspendedUntil, m.fallbackCountedSince, m.shrinking = 0, a.now, false
+		m.sentGrants = [32]sentGrant{}
 		a.revision++
-		for i, e := range m.shares {
-			if a.limits.all[i].concurrency { // its requests ended with it
-				e.current, e.inFlight = shareLease{}, 0
-				e.older = shareLease{}
+		for i, share := range m.shares {
+			if a.limits.all[i].concurrency { // the requests in flight ended with the previous process
+				share.currentLease, share.inFlight = shareLease{}, 0
+				share.olderLease = shareLease{}
 			}
-			e.older, e.current, e.fallbackAtOnce, e.claimed, e.number = e.envelope(a.now), shareLease{}, false, 0, 0
+			share.olderLease, share.currentLease, share.fallbackAtOnce, share.claimNumber,
+				share.grantNumber = share.maxLiveLease(a.now), shareLease{}, false, 0, 0
 		}
 	}
-	m.generation = c.generation
+	m.generation = claim.generation
 	return m
 }
 
-// grantConfirmed takes what a claim's echo proves: the proxy has taken that grant, and so no older one, and
-// has its fallback share suspended for a while after that grant's claim, which it sent after the grant that
-// the claim echoed.
-func (a *Allocator) grantConfirmed(m *member, c claim) (base time.Duration) {
-	m.tableVersion = max(m.tableVersion, c.table)
-	t, known := m.sentGrant(c.lastGrant)
+// grantConfirmed handles the number of the last applied grant in a claim. It proves that the proxy will apply
+// no older grant and, if that grant suspended the fallback share, that the proxy suspends it for
+// fallbackSuspension after the grant's claim was sent; that claim was sent after sentGrant.claimSentAfter.
+// grantConfirmed returns the time at which the applied grant was sent, as the present claim was sent later,
+// or 0 if the grant is not remembered.
+func (a *Allocator) grantConfirmed(m *member, claim claimMessage) (claimSentAfter time.Duration) {
+	m.tableVersion = max(m.tableVersion, claim.table)
+	sent, known := m.sentGrant(claim.lastGrant)
 	if !known {
 		return 0
 	}
-	if t.fallbackSuspended && t.base > 0 {
-		m.fallbackSuspendedUntil = max(m.fallbackSuspendedUntil, t.base+a.times.atLeast(a.times.fallbackSuspension))
+	if sent.fallbackSuspended && sent.claimSentAfter > 0 {
+		m.fallbackSuspendedUntil = max(
+			m.fallbackSuspendedUntil,
+			sent.claimSentAfter+a.times.shortestElapsed(a.times.fallbackSuspension),
+		)
 	}
-	if m.shrinking && c.lastGrant >= m.shrinkingSinceGrant {
-		m.slot, m.shrinking, a.recordDirty = m.slot.halved(), false, true // the record's covers it
+	if m.shrinking && claim.lastGrant >= m.shrinkingSinceGrant {
+		m.slot, m.shrinking, a.recordDirty = m.slot.halved(), false, true // the recorded slot contains the half
 		a.revision++
 	}
-	return t.at
+	return sent.sentAt
 }
 
-// fallback is what the proxy may have of a limit without any lease, by the larger of the two tables that it
-// may know.
-func (a *Allocator) fallback(m *member, i int32) size {
+// fallback returns the share that the proxy may have of the limit with index i without any lease. Until the
+// proxy has claimed under the current table, it is the larger share by the current and the previous table.
+func (a *Allocator) fallback(m *member, i int32) shareSize {
 	if !m.hasSlot {
-		return size{}
+		return shareSize{}
 	}
-	l := &a.limits.all[i]
-	s := l.fallback(m.slot, true)
+	limit := &a.limits.all[i]
+	fallback := limit.fallback(m.slot, true)
 	if m.tableVersion < a.limits.version {
-		if was, there := a.previousLimits.byHash[l.hash]; there {
-			s = s.max(a.previousLimits.all[was].fallback(m.slot, true))
+		if previous, found := a.previousLimits.byHash[limit.hash]; found {
+			fallback = fallback.max(a.previousLimits.all[previous].fallback(m.slot, true))
 		}
 	}
-	return s
+	return fallback
 }
 
-// fallbackSuspended reports whether the proxy's fallback share may be lent: it stays suspended for longer
-// than any lease can live that is granted now.
+// fallbackSuspended reports whether the proxy's fallback share may be lent to other proxies: it stays
+// suspended for longer than any lease that is granted now can stay alive.
 func (a *Allocator) fallbackSuspended(m *member) bool {
 	return a.now+a.times.settleTime()+2*sumInterval <= m.fallbackSuspendedUntil
 }
 
-// maxShare is the most that the member may have of a limit: what any grant gave that it may still live by,
-// and its fallback share unless that is suspended. The capacity of the fallback share's bucket always counts.
-func (a *Allocator) maxShare(m *member, i int32) size {
-	e := m.shares[i]
-	safe := a.fallback(m, i)
-	if !a.limits.all[i].concurrency && a.fallbackSuspended(m) && (e == nil || !e.fallbackAtOnce) {
-		safe.rate = 0
+// maxShare returns the largest share that the member may have of the limit with index i: the maximum of its
+// live leases and of its fallback share. A suspended fallback share counts with its bucket's capacity only.
+func (a *Allocator) maxShare(m *member, i int32) shareSize {
+	share := m.shares[i]
+	fallback := a.fallback(m, i)
+	if !a.limits.all[i].concurrency && a.fallbackSuspended(m) && (share == nil || !share.fallbackAtOnce) {
+		fallback.rate = 0
 	}
-	if e == nil {
-		return safe
+	if share == nil {
+		return fallback
 	}
-	held := e.envelope(a.now)
-	if a.now < e.claimedAt+a.times.countedLease()+a.times.maxRequestTime {
-		held.rate = max(held.rate, e.inFlight)
+	largest := share.maxLiveLease(a.now)
+	if a.now < share.claimedAt+a.times.countedLease()+a.times.maxRequestTime {
+		largest.rate = max(largest.rate, share.inFlight)
 	}
-	return size{max(held.rate, safe.rate), max(held.burst, safe.burst)}
+	return shareSize{max(largest.rate, fallback.rate), max(largest.burst, fallback.burst)}
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -1,9 +1,10 @@
 package quota
 
-// bytes and read of each datagram, in the fields' order.
+// Each kind of datagram has an encode method and a decode function, which list its fields in their order on
+// the wire.
 
-func (c *claim) encode(fleet uint32) []byte {
-	w := begin(kindClaim, fleet)
+func (c *claimMessage) encode(fleet uint32) []byte {
+	w := newWriter(kindClaim, fleet)
 	w.u64(c.token)
 	w.u64(c.generation)
 	w.u32(c.number)
@@ -17,13 +18,13 @@
 		w.f32(i.demand)
 		w.f32(i.leased.rate)
 		w.f32(i.leased.burst)
-		w.u32(i.number)
+		w.u32(i.grantNumber)
 	}
 	return w
 }
 
-func decodeClaim(r *reader) (c claim, ok bool) {
-	c = claim{
+func decodeClaim(r *reader) (c claimMessage, ok bool) {
+	c = claimMessage{
 		token:               r.u64(),
 		generation:          r.u64(),
 		number:              r.u32(),
@@ -32,20 +33,20 @@
 		fallbackSuspendable: r.u8() == 1,
 		name:                r.text(),
 	}
-	for n := int(r.u8()); n > 0 && !r.bad; n-- {
+	for n := int(r.u8()); n > 0 && !r.failed; n-- {
 		c.items = append(
 			c.items,
-			claimItem{hash: r.u64(), demand: r.f32(), leased: size{r.f32(), r.f32()}, number: r.u32()},
+			claimItem{hash: r.u64(), demand: r.f32(), leased: shareSize{r.f32(), r.f32()}, grantNumber: r.u32()},
 		)
 	}
-	return c, !r.bad
+	return c, !r.failed
 }
 
-func (g *grant) encode(fleet uint32) []byte {
-	w := begin(kindGrant, fleet)
+func (g *grantMessage) encode(fleet uint32) []byte {
+	w := newWriter(kindGrant, fleet)
 	w.u64(g.token)
 	w.u64(g.generation)
-	w.u32(g.claim)
+	w.u32(g.claimNumber)
 	w.u32(g.number)
 	w.u8(g.slot.Level)
 	w.u32(g.slot.Index)
@@ -63,69 +64,69 @@
 	return w
 }
 
-func decodeGrant(r *reader) (g grant, ok bool) {
-	g = grant{token: r.u64(), generation: r.u64(), claim: r.u32(), number: r.u32()}
+func decodeGrant(r *reader) (g grantMessage, ok bool) {
+	g = grantMessage{token: r.u64(), generation: r.u64(), claimNumber: r.u32(), number: r.u32()}
 	g.slot = Slot{Level: r.u8(), Index: r.u32()}
-	if g.slot.Level != slotNone && !g.slot.valid() {
+	if g.slot.Level != noSlotLevel && !g.slot.valid() {
 		return g, false
 	}
 	g.fallbackSuspended, g.extendsOnly, g.slotCoversConcurrency = r.u8() == 1, r.u8() == 1, r.u8() == 1
-	for n := int(r.u8()); n > 0 && !r.bad; n-- {
+	for n := int(r.u8()); n > 0 && !r.failed; n-- {
 		g.items = append(
 			g.items,
-			grantItem{hash: r.u64(), size: size{r.f32(), r.f32()}, tokens: r.f32(), fallbackAtOnce: r.u8() == 1},
+			grantItem{hash: r.u64(), size: shareSize{r.f32(), r.f32()}, tokens: r.f32(), fallbackAtOnce: r.u8() == 1},
 		)
 	}
-	return g, !r.bad
+	return g, !r.failed
 }
 
-func (h *announcement) encode(fleet uint32) []byte {
-	w := begin(kindAnnouncement, fleet)
+func (h *announcementMessage) encode(fleet uint32) []byte {
+	w := newWriter(kindAnnouncement, fleet)
 	w.u64(h.token)
 	w.text(h.name)
 	return w
 }
 
-func decodeAnnouncement(r *reader) (h announcement, ok bool) {
-	h = announcement{token: r.u64(), name: r.text()}
-	return h, !r.bad
+func decodeAnnouncement(r *reader) (h announcementMessage, ok bool) {
+	h = announcementMessage{token: r.u64(), name: r.text()}
+	return h, !r.failed
 }
 
-func (l *leave) encode(fleet uint32) []byte {
-	w := begin(kindLeave, fleet)
+func (l *leaveMessage) encode(fleet uint32) []byte {
+	w := newWriter(kindLeave, fleet)
 	w.u64(l.generation)
 	w.text(l.name)
 	return w
 }
 
-func decodeLeave(r *reader) (l leave, ok bool) {
-	l = leave{generation: r.u64(), name: r.text()}
-	return l, !r.bad
+func decodeLeave(r *reader) (l leaveMessage, ok bool) {
+	l = leaveMessage{generation: r.u64(), name: r.text()}
+	return l, !r.failed
 }
 
-func (a *borrowRequest) encode(fleet uint32) []byte {
-	w := begin(kindBorrow, fleet)
+func (a *borrowMessage) encode(fleet uint32) []byte {
+	w := newWriter(kindBorrow, fleet)
 	w.u64(a.nonce)
 	w.u64(a.hash)
-	w.f32(a.need)
+	w.f32(a.amount)
 	w.text(a.name)
 	return w
 }
 
-func decodeBorrowRequest(r *reader) (a borrowRequest, ok bool) {
-	a = borrowRequest{nonce: r.u64(), hash: r.u64(), need: r.f32(), name: r.text()}
-	return a, !r.bad
+func decodeBorrow(r *reader) (a borrowMessage, ok bool) {
+	a = borrowMessage{nonce: r.u64(), hash: r.u64(), amount: r.f32(), name: r.text()}
+	return a, !r.failed
 }
 
-func (g *loan) encode(fleet uint32) []byte {
-	w := begin(kindLoan, fleet)
+func (g *loanMessage) encode(fleet uint32) []byte {
+	w := newWriter(kindLoan, fleet)
 	w.u64(g.nonce)
 	w.u64(g.hash)
 	w.f32(g.amount)
 	return w
 }
 
-func decodeLoan(r *reader) (g loan, ok bool) {
-	g = loan{nonce: r.u64(), hash: r.u64(), amount: r.f32()}
-	return g, !r.bad
+func decodeLoan(r *reader) (g loanMessage, ok bool) {
+	g = loanMessage{nonce: r.u64(), hash: r.u64(), amount: r.f32()}
+	return g, !r.failed
 }
--- a/internal/quota/mutation_test.go
+++ b/internal/quota/mutation_test.go
@@ -15,7 +15,7 @@
 		"no reserve for the silent": {tick: func(w *world, h *host) {
 			for _, m := range h.core.members { // as if the view's word that a proxy is dead were enough
 				if silent(h, m) {
-					h.core.remove(m.name)
+					h.core.removeMember(m.name)
 					return
 				}
 			}
@@ -34,7 +34,7 @@
 			}
 		}},
 		"new holder grants at once": {holder: func(h *host) {
-			h.core.formerLeasesEnd = 0
+			h.core.previousLeasesEnd = 0
 		}},
 		"lent while at rest": {tick: func(_ *world, h *host) {
 			for _, m := range h.core.members {
@@ -93,20 +93,20 @@
 }
 
 func silent(h *host, m *member) bool {
-	for _, t := range m.grants {
-		if t.number > 0 && h.core.now-t.at < h.core.times.lease {
+	for _, t := range m.sentGrants {
+		if t.number > 0 && h.core.now-t.sentAt < h.core.times.leaseDuration {
 			return false
 		}
 	}
-	return h.core.now-m.fallbackSince > h.core.times.lease
+	return h.core.now-m.fallbackCountedSince > h.core.times.leaseDuration
 }
 
 // restore makes the ledger await tokens that it has, or that it no longer awaits.
 func restore(n *node, data []byte, at time.Duration) {
-	_, r, _ := open(data, 1)
+	_, r, _ := readHeader(data, 1)
 	g, _ := decodeLoan(r)
-	i, there := n.led.limits.byHash[g.hash]
-	if there {
-		n.led.borrowing[g.nonce] = pendingLoan{limit: i, hash: g.hash, need: g.amount, at: at}
+	i, found := n.led.limits.byHash[g.hash]
+	if found {
+		n.led.pendingLoans[g.nonce] = pendingLoan{limitIndex: i, hash: g.hash, amount: g.amount, requestedAt: at}
 	}
 }
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -7,11 +7,12 @@
 	"wrenspread/ratelimit"
 )
 
-// plan sets each member's goal in each limit that anybody wants: first what each limit may have of the one
-// around it, from the outside inwards; then who gets how much of it, from the inside outwards, since a proxy
-// needs as much of an outer limit as it has of the inner ones.
+// plan sets the target of each member's share, unless it did so within the last planInterval. It first
+// computes, from the outer limits inwards, how much each limit may have of its parent. Then it divides each
+// limit among the members, from the inner limits outwards, since a proxy needs as much of an outer limit as
+// it has of the inner limits.
 func (a *Allocator) plan() {
-	if a.now-a.plannedAt < planInterval || a.now < a.formerLeasesEnd {
+	if a.now-a.plannedAt < planInterval || a.now < a.previousLeasesEnd {
 		return
 	}
 	a.plannedAt = a.now
@@ -19,27 +20,28 @@
 		a.members,
 		func(m *member) bool { return m.hasSlot && m.tableVersion < a.limits.version },
 	) {
-		a.previousLimits = newLimits(nil, 0) // nobody judges by it any more
+		a.previousLimits = newLimits(nil, 0) // every enrolled proxy uses the current table
 	}
 	active := a.activeLimits()
 	budgets := a.budgets(active)
-	needs := map[need]flow{}
+	innerDemands := map[demandKey]innerDemand{}
 	for _, i := range slices.Backward(active) {
-		a.allocate(i, budgets[i], needs)
+		a.allocate(i, budgets[i], innerDemands)
 	}
 }
 
-// need is what a member's inner limits of one axis, which share an outer one, want of it.
-type need struct {
-	limit     int32
+// demandKey identifies the demand of one member through those inner limits of an outer limit whose scopes
+// have the same attribute.
+type demandKey struct {
+	limit     int32 // index of the outer limit
 	attribute ratelimit.Attribute
 	member    *member
 }
 
-// flow is what comes to them, and what they get.
-type flow struct{ wants, gets float64 }
+// innerDemand is a member's demand for inner limits, and the rate that it was allocated of them.
+type innerDemand struct{ demand, allocated float64 }
 
-// activeLimits returns the limits that members have shares of, in order.
+// activeLimits returns the indices of the limits that members have shares of, in ascending order.
 func (a *Allocator) activeLimits() []int32 {
 	return slices.DeleteFunc(
 		slices.Sorted(maps.Keys(a.allocations)),
@@ -47,59 +49,62 @@
 	)
 }
 
-// forgetExpired drops shares that are over. It is never called while one is given.
+// forgetExpired drops the shares that have neither demand nor a live lease. It must not be called while a
+// lease is being granted.
 func (a *Allocator) forgetExpired() {
 	for _, i := range a.activeLimits() {
-		for _, e := range slices.Clone(a.allocations[i].shares) {
-			if a.now-e.claimedAt > a.times.lease {
-				e.demand = 0
+		for _, share := range slices.Clone(a.allocations[i].shares) {
+			if a.now-share.claimedAt > a.times.leaseDuration {
+				share.demand = 0
 			}
-			if e.demand == 0 && !e.fallbackAtOnce && a.beyondFallback(e, i) == (size{}) {
-				a.dropShare(i, e)
+			if share.demand == 0 && !share.fallbackAtOnce && a.beyondFallback(share, i) == (shareSize{}) {
+				a.dropShare(i, share)
 			}
 		}
 	}
 }
 
-// budgets is how much each limit may have in all: its rate, or its part of the one around it.
+// budgets returns the rate that each active limit may have: its own rate, or less if its part of its parent
+// is less.
 func (a *Allocator) budgets(active []int32) map[int32]float64 {
 	type group struct {
-		around int32
-		axis   ratelimit.Attribute
+		parent    int32
+		attribute ratelimit.Attribute
 	}
-	out := map[int32]float64{}
-	within := map[group][]int32{}
+	budgets := map[int32]float64{}
+	inside := map[group][]int32{}
 	for _, i := range active {
-		l := &a.limits.all[i]
-		g := group{l.parent, l.attribute}
-		within[g] = append(within[g], i)
-		out[i] = l.rate
+		limit := &a.limits.all[i]
+		g := group{limit.parent, limit.attribute}
+		inside[g] = append(inside[g], i)
+		budgets[i] = limit.rate
 	}
 	for _, i := range active { // outer limits come first
-		for axis := ratelimit.AttributeFleet; axis <= ratelimit.AttributeCell; axis++ {
-			inner := within[group{i, axis}]
+		for attribute := ratelimit.AttributeFleet; attribute <= ratelimit.AttributeCell; attribute++ {
+			inner := inside[group{i, attribute}]
 			if len(inner) == 0 {
 				continue
 			}
-			for n, part := range divide(out[i], a.claimants(inner)) {
-				out[inner[n]] = min(part, out[inner[n]])
+			for n, part := range divideAmongLimits(budgets[i], a.claimants(inner)) {
+				budgets[inner[n]] = min(part, budgets[inner[n]])
 			}
 		}
 	}
-	return out
+	return budgets
 }
 
-func (a *Allocator) claimants(of []int32) []claimant {
-	out := make([]claimant, len(of))
-	for n, i := range of {
-		l := &a.limits.all[i]
-		out[n] = claimant{floor: l.floor, most: l.rate, weight: max(l.weight, 1e-9)}
-		if !l.borrow {
-			out[n].most = min(l.floor, l.rate)
+// claimants returns the claims of limits on their common parent.
+func (a *Allocator) claimants(indices []int32) []claimant {
+	claimants := make([]claimant, len(indices))
+	for n, i := range indices {
+		limit := &a.limits.all[i]
+		claimants[n] = claimant{floor: limit.floor, maxRate: limit.rate, weight: max(limit.weight, 1e-9)}
+		if !limit.borrow {
+			claimants[n].maxRate = min(limit.floor, limit.rate)
 		}
-		for _, e := range a.allocations[i].shares {
-			out[n].want += e.demand
+		for _, share := range a.allocations[i].shares {
+			claimants[n].demand += share.demand
 		}
 	}
-	return out
+	return claimants
 }
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -1,5 +1,5 @@
-// Package record is the one definition of what the registry keeps of policies and of the allocator of
-// their limits, for those who write it and for those who follow it.
+// Package record defines the registry records of the policy table and of the quota allocator, for the
+// processes that write these records and those that watch them.
 package record
 
 import (
@@ -15,20 +15,20 @@
 // Keys of records.
 const (
 	PolicyPrefix = "policy/"
-	CurrentKey   = PolicyPrefix + "current" // the table that holds: its canonical bytes, version 0
+	CurrentKey   = PolicyPrefix + "current" // the current table, in its canonical encoding with version 0
 	QuotaPrefix  = "quota/"
-	AllocatorKey = QuotaPrefix + "holder" // which process is the allocator
+	AllocatorKey = QuotaPrefix + "holder" // an AllocatorRecord
 )
 
-// AllocatorRecord is the process that allocates quotas. A proxy takes one with a higher fencing token than
-// any before.
+// AllocatorRecord names the process that allocates quotas. A proxy follows the allocator with the highest
+// fencing token that it has seen.
 type AllocatorRecord struct {
-	Name  string `json:"name"` // of its member of membership
-	Token uint64 `json:"fence"`
+	Name  string `json:"name"`  // the process's name as a membership member
+	Token uint64 `json:"fence"` // fencing token of the lease that makes the process the allocator
 }
 
-// DecodeTable reads a table. Its version is that of its record; a record that is gone is version 0 and no
-// table.
+// DecodeTable decodes the record of a table. The table gets the record's version. A missing record has
+// version 0 and gives no table.
 func DecodeTable(r registry.Record) (*ratelimit.Table, error) {
 	if r.Version == 0 {
 		return nil, nil
@@ -41,7 +41,7 @@
 	return t, nil
 }
 
-// EncodeTable returns the value that a table's record has.
+// EncodeTable returns the value of a table's record. It fails if the table is too large for a record.
 func EncodeTable(t *ratelimit.Table) (json.RawMessage, error) {
 	raw := t.JSON()
 	if len(raw) > registry.MaxRecord {
@@ -54,7 +54,7 @@
 	return raw, nil
 }
 
-// Find returns the record of a key; one that is not there has version 0.
+// Find returns the record with the key; a missing record is returned with version 0.
 func Find(all client.Records, key string) registry.Record {
 	i := slices.IndexFunc(all.All, func(r registry.Record) bool { return r.Key == key })
 	if i < 0 {
@@ -63,13 +63,13 @@
 	return all.All[i]
 }
 
-// ReadAllocator reads the record of the allocator.
-func ReadAllocator(r registry.Record) (s AllocatorRecord, err error) {
+// ReadAllocator decodes the record of the allocator. A missing record gives a zero AllocatorRecord.
+func ReadAllocator(r registry.Record) (allocator AllocatorRecord, err error) {
 	if r.Version == 0 {
-		return s, nil
+		return allocator, nil
 	}
-	if err := json.Unmarshal(r.Value, &s); err != nil {
-		return AllocatorRecord{}, fmt.Errorf("record %s: %w", r.Key, err)
+	if err := json.Unmarshal(r.Value, &allocator); err != nil {
+		return AllocatorRecord{}, fmt.Errorf("decode record %s: %w", r.Key, err)
 	}
-	return s, nil
+	return allocator, nil
 }
--- a/internal/quota/slot.go
+++ b/internal/quota/slot.go
@@ -11,50 +11,52 @@
 	MaxProxies   = 4096
 	MaxName      = 64 // bytes
 	maxSlotLevel = 16
-	slotNone     = 0xff
-	circleBits   = 32 // bits of a slot's place on the circle
+	noSlotLevel  = 0xff // Slot.Level in a grant that assigns no slot
+	circleBits   = 32   // bits of a slot's position on the circle
 )
 
 // Slot is an enrolled proxy's part of the fallback shares: the piece Index of 2^Level equal pieces of a
-// circle. Pieces of different proxies never overlap, so that fallback shares never add up to more than the
-// limit's safe part.
+// circle. Pieces of different proxies never overlap, so the fallback shares of all proxies never add up to
+// more than the part of the limit that is set aside for them.
 type Slot struct {
 	Name  string `json:"name"`
 	Level uint8  `json:"level"`
 	Index uint32 `json:"index"`
 }
 
-// valid slots are what a record or datagram may hold.
+// valid reports whether a record or datagram may hold the slot.
 func (s Slot) valid() bool { return s.Level <= maxSlotLevel && s.Index < 1<<s.Level }
 
-// span is the slot's place on the circle, whose length is 1<<circleBits.
+// span returns the start and the length of the slot on the circle, whose length is 1<<circleBits.
 func (s Slot) span() (start, length uint64) {
 	length = 1 << (circleBits - s.Level)
 	return uint64(s.Index) * length, length
 }
 
-// halved gives up the second half.
+// halved returns the first half of the slot.
 func (s Slot) halved() Slot {
 	s.Level, s.Index = s.Level+1, s.Index*2
 	return s
 }
 
-// tokens is how many of pool whole tokens lie in the slot, with the circle rotated by a limit's hash, so that
-// the slots that get the odd one differ from limit to limit. Over a whole circle the sum is pool.
-func (s Slot) tokens(pool uint64, hash uint64) uint64 {
+// tokens returns how many of a limit's fallback tokens, whole ones, fall to the slot. The circle is rotated
+// by the limit's hash, so that the slots that get the tokens left over by division differ from limit to
+// limit. Over a complete circle of slots the results add up to tokens.
+func (s Slot) tokens(tokens uint64, limitHash uint64) uint64 {
 	start, length := s.span()
-	start = (start + hash>>32) % (1 << circleBits)
-	return (start+length)*pool>>circleBits - start*pool>>circleBits
+	start = (start + limitHash>>32) % (1 << circleBits)
+	return (start+length)*tokens>>circleBits - start*tokens>>circleBits
 }
 
-// slotLevel is the level at which so many proxies have a slot each, with at least four slots.
-func slotLevel(nodes int) uint8 {
-	return uint8(min(max(bits.Len(uint(max(nodes, 1)-1)), 2), maxSlotLevel))
+// slotLevel returns the lowest level at which each of the proxies has a slot; it gives at least four slots.
+func slotLevel(proxies int) uint8 {
+	return uint8(min(max(bits.Len(uint(max(proxies, 1)-1)), 2), maxSlotLevel))
 }
 
-// findFreeSlot finds a place of the level or a smaller one, lowest level first, that meets none of the slots.
-func findFreeSlot(seats []Slot, level uint8) (Slot, bool) {
-	taken := slices.Clone(seats)
+// findFreeSlot returns a slot that overlaps none of slots: of the given level if there is one, else of the
+// lowest higher level that has one.
+func findFreeSlot(slots []Slot, level uint8) (Slot, bool) {
+	taken := slices.Clone(slots)
 	slices.SortFunc(taken, func(a, b Slot) int {
 		x, _ := a.span()
 		y, _ := b.span()
@@ -62,18 +64,18 @@
 	})
 	for ; level <= maxSlotLevel; level++ {
 		_, length := Slot{Level: level}.span()
-		at := uint64(0)
+		position := uint64(0)
 		for i := 0; i <= len(taken); i++ {
 			end := uint64(1) << circleBits
 			if i < len(taken) {
 				end, _ = taken[i].span()
 			}
-			if up := (at + length - 1) / length * length; up+length <= end {
-				return Slot{Level: level, Index: uint32(up / length)}, true
+			if start := (position + length - 1) / length * length; start+length <= end {
+				return Slot{Level: level, Index: uint32(start / length)}, true
 			}
 			if i < len(taken) {
-				start, l := taken[i].span()
-				at = start + l
+				start, takenLength := taken[i].span()
+				position = start + takenLength
 			}
 		}
 	}
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// recordRead takes the record as it stands under the fencing token. Slots that it holds may be granted; those
-// that this allocator has assigned and the record lacks are written again.
+// recordRead handles the record of slots as it was read or written under the fencing token. Slots that the
+// record holds may be granted; slots that this allocator has assigned and the record lacks are written again.
 func (a *Allocator) recordRead(r RecordRead) {
 	if r.Token != a.token || len(r.Slots) > MaxProxies {
 		return
@@ -13,9 +13,9 @@
 		return
 	}
 	a.writePending = false
-	for _, s := range r.Slots {
-		if _, m := a.find(s.Name); m != nil && m.hasSlot && m.slot == s {
-			m.confirmed = true
+	for _, slot := range r.Slots {
+		if _, m := a.find(slot.Name); m != nil && m.hasSlot && m.slot == slot {
+			m.slotRecorded = true
 		}
 	}
 	if !slices.Equal(r.Slots, a.desiredSlots()) {
@@ -23,40 +23,41 @@
 	}
 }
 
-// adoptSlots takes the slots of the previous allocator.
-func (a *Allocator) adoptSlots(seats []Slot) {
+// adoptSlots enrolls the proxies whose slots the previous allocator recorded.
+func (a *Allocator) adoptSlots(slots []Slot) {
 	a.recordKnown = true
 	a.revision++
-	for _, s := range seats {
-		at, m := a.find(s.Name)
-		if m != nil || !s.valid() || len(s.Name) == 0 || len(s.Name) > MaxName {
+	for _, slot := range slots {
+		at, m := a.find(slot.Name)
+		if m != nil || !slot.valid() || len(slot.Name) == 0 || len(slot.Name) > MaxName {
 			continue
 		}
 		m = &member{
-			name:            s.Name,
-			slot:            s,
-			hasSlot:         true,
-			confirmed:       true,
-			fallbackSince:   a.now,
-			firstFallbackAt: a.now,
-			shares:          map[int32]*memberShare{},
+			name:                   slot.Name,
+			slot:                   slot,
+			hasSlot:                true,
+			slotRecorded:           true,
+			fallbackCountedSince:   a.now,
+			fallbackFirstCountedAt: a.now,
+			shares:                 map[int32]*memberShare{},
 		}
 		a.members = slices.Insert(a.members, at, m)
 	}
 }
 
-// desiredSlots are those that the record should hold, by name.
+// desiredSlots returns the slots that the record should hold, by name.
 func (a *Allocator) desiredSlots() []Slot {
-	var out []Slot
+	var slots []Slot
 	for _, m := range a.members {
 		if m.hasSlot {
-			out = append(out, m.slot)
+			slots = append(slots, m.slot)
 		}
 	}
-	return out
+	return slots
 }
 
-// writeRecord asks for the record to be written when it differs from what this allocator has assigned.
+// writeRecord requests a write of the record when the record differs from the slots that this allocator has
+// assigned, and requests it again when a write has had no result for writeTimeout.
 func (a *Allocator) writeRecord() []Action {
 	if !a.mayGrant() || !a.recordDirty && !a.writePending ||
 		a.writePending && a.now-a.recordWrittenAt < writeTimeout {
@@ -66,55 +67,57 @@
 	return []Action{WriteRecord{a.token, a.desiredSlots()}}
 }
 
-// assignSlot reserves a slot for a member, which is notified of it once the record says so. Without a free
-// place the largest slot of those that are heard is halved first.
+// assignSlot reserves a slot for a member. The member is notified of the slot once the record holds it. If no
+// slot of the wanted level is free, assignSlot first starts to halve the larger slots of other members.
 func (a *Allocator) assignSlot(m *member) {
 	if m.hasSlot {
 		return
 	}
-	seats := a.desiredSlots()
-	level := slotLevel(max(a.expectedProxies, len(seats)+1))
-	seat, found := findFreeSlot(seats, level)
-	if !found || seat.Level > level {
+	slots := a.desiredSlots()
+	level := slotLevel(max(a.expectedProxies, len(slots)+1))
+	slot, found := findFreeSlot(slots, level)
+	if !found || slot.Level > level {
 		a.shrinkSlots(level)
 	}
 	if !found {
 		return
 	}
-	seat.Name = m.name
+	slot.Name = m.name
 	a.revision++
-	m.slot = seat
+	m.slot = slot
 	m.hasSlot = true
-	m.confirmed = false
-	m.fallbackSince = a.now
-	m.firstFallbackAt = a.now
+	m.slotRecorded = false
+	m.fallbackCountedSince = a.now
+	m.fallbackFirstCountedAt = a.now
 	a.recordDirty = true
 }
 
-// shrinkSlots begins to tell members with a larger slot than the level's of a smaller one. Only what a proxy
-// has taken is free.
+// shrinkSlots starts to halve the slots that are larger than those of the level. The second half of a slot is
+// free only once the proxy has applied the grant with the smaller slot.
 func (a *Allocator) shrinkSlots(level uint8) {
 	for _, m := range a.members {
-		if m.hasSlot && m.confirmed && !m.shrinking && m.slot.Level < level && a.slotForGrant(m).Level != slotNone {
-			m.shrinking, m.shrinkingSinceGrant = true, m.number+1
+		if m.hasSlot && m.slotRecorded && !m.shrinking && m.slot.Level < level &&
+			a.slotForGrant(m).Level != noSlotLevel {
+			m.shrinking, m.shrinkingSinceGrant = true, m.lastGrantNumber+1
 		}
 	}
 }
 
-// slotForGrant returns the slot for a member's next grant: one that the record holds, and whose fallback
-// share no lease that is alive was granted without counting it.
+// slotForGrant returns the slot for a member's next grant. It returns a slot only if the record holds the
+// slot, the proxy knows the current table, and each live lease was granted after the slot's fallback share
+// began to be counted.
 func (a *Allocator) slotForGrant(m *member) Slot {
-	none := Slot{Level: slotNone}
+	none := Slot{Level: noSlotLevel}
 	switch {
-	case !m.hasSlot || !m.confirmed || m.tableVersion < a.limits.version:
+	case !m.hasSlot || !m.slotRecorded || m.tableVersion < a.limits.version:
 		return none
-	case a.now < max(m.fallbackSince, a.formerLeasesEnd)+a.times.settleTime():
+	case a.now < max(m.fallbackCountedSince, a.previousLeasesEnd)+a.times.settleTime():
 		return none
 	}
-	s := m.slot
+	slot := m.slot
 	if m.shrinking {
-		s = s.halved()
+		slot = slot.halved()
 	}
-	s.Name = ""
-	return s
+	slot.Name = ""
+	return slot
 }
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Status is what a proxy reports of its shares.
+// Status is what a proxy reports about its quota.
 type Status struct {
-	Allocator         string        `json:"holder"` // the newest known
-	Token             uint64        `json:"fence"`
-	SinceGrant        time.Duration `json:"heard"` // since the last grant; 0: none yet
+	Allocator         string        `json:"holder"` // the allocator with the highest fencing token seen
+	Token             uint64        `json:"fence"`  // the allocator's fencing token
+	SinceGrant        time.Duration `json:"heard"`  // time since the last grant; 0 means none yet
 	HasSlot           bool          `json:"seated"`
-	FallbackSuspended bool          `json:"resting"` // its fallback share is borrowed to others
-	ClaimedLimits     int           `json:"busy"`    // limits that it claims
+	FallbackSuspended bool          `json:"resting"` // the fallback share may be lent to other proxies
+	ClaimedLimits     int           `json:"busy"`    // number of limits that the proxy claims
 	TableVersion      uint64        `json:"table"`
 }
 
-// Status is as of the last AdvanceTo or Handle.
+// Status returns the status as of the last AdvanceTo or Handle.
 func (l *Ledger) Status() Status {
 	s := Status{
 		Allocator:         l.allocator,
 		Token:             l.token,
-		HasSlot:           l.slot.Level != slotNone,
+		HasSlot:           l.slot.Level != noSlotLevel,
 		FallbackSuspended: l.now < l.fallbackSuspendedUntil,
-		ClaimedLimits:     len(l.claimed),
+		ClaimedLimits:     len(l.claimedLimits),
 		TableVersion:      l.limits.version,
 	}
 	if l.lastGrantAt > 0 {
--- a/internal/quota/sum.go
+++ b/internal/quota/sum.go
@@ -2,62 +2,66 @@
 
 import "time"
 
-// sumInterval is how long a limit's sum is used before it is made anew. In between only what is granted
-// changes it: shares that run out make it smaller, which may wait, and fallback shares that wake are counted
-// for twice as long before they do (fallbackSuspended).
+// sumInterval is how long a limit's sum is used before it is computed again. In between only grants change
+// the sum: leases that end make it smaller, which may wait, and a fallback share whose suspension ends is
+// counted from twice the interval before the end on (fallbackSuspended).
 const sumInterval = 50 * time.Millisecond
 
-// sum is what all members may have of a limit together.
-type sum struct {
-	all      size
-	at       time.Duration
-	revision int // of the members and the table that it was made of
+// limitSum is the share that all members together may have of a limit.
+type limitSum struct {
+	total      shareSize
+	computedAt time.Duration
+	revision   int // Allocator.revision at the computation; 0 if the sum is to be computed again
 }
 
-// othersShare is what all members but one may have of a limit, which has a share in it.
-func (a *Allocator) othersShare(i int32, e *memberShare) size {
-	all := a.withSum(i).sum.all
-	return size{max(all.rate-e.counted.rate, 0), max(all.burst-e.counted.burst, 0)}
+// othersShare returns what all members but the share's own may have of the limit with index i.
+func (a *Allocator) othersShare(i int32, share *memberShare) shareSize {
+	total := a.allocationWithSum(i).sum.total
+	return shareSize{max(total.rate-share.counted.rate, 0), max(total.burst-share.counted.burst, 0)}
 }
 
-func (a *Allocator) withSum(i int32) *allocation {
-	s := a.allocation(i)
-	if s.sum.revision != a.revision || a.now-s.sum.at > sumInterval {
-		a.renewSum(i, s)
+// allocationWithSum returns the allocation of the limit with index i, with a sum that is up to date.
+func (a *Allocator) allocationWithSum(i int32) *limitAllocation {
+	allocation := a.allocation(i)
+	if allocation.sum.revision != a.revision || a.now-allocation.sum.computedAt > sumInterval {
+		a.recomputeSum(i, allocation)
 	}
-	return s
+	return allocation
 }
 
-// renewSum goes through all members. Room for all tokens of the fallback shares is set aside, whoever has
-// them.
-func (a *Allocator) renewSum(i int32, s *allocation) {
-	l := &a.limits.all[i]
-	all := size{burst: max(l.burst-a.unclaimed(i).burst, 0)}
+// recomputeSum computes a limit's sum over all members. Capacity for the tokens of all fallback shares is
+// always counted, whether or not a member has them.
+func (a *Allocator) recomputeSum(i int32, allocation *limitAllocation) {
+	limit := &a.limits.all[i]
+	total := shareSize{burst: max(limit.burst-a.unclaimed(i).burst, 0)}
 	for _, m := range a.members {
-		if m.hasSlot && (l.concurrency || !a.fallbackSuspended(m)) {
-			all.rate += a.fallback(m, i).rate
+		if m.hasSlot && (limit.concurrency || !a.fallbackSuspended(m)) {
+			total.rate += a.fallback(m, i).rate
 		}
 	}
-	for _, e := range s.shares {
-		e.counted = a.maxShare(e.member, i)
-		all = all.plus(a.beyondFallback(e, i))
+	for _, share := range allocation.shares {
+		share.counted = a.maxShare(share.member, i)
+		total = total.plus(a.beyondFallback(share, i))
 	}
-	s.sum = sum{all, a.now, a.revision}
+	allocation.sum = limitSum{total, a.now, a.revision}
 }
 
-// updateCounted brings one member's part up to date.
-func (a *Allocator) updateCounted(i int32, e *memberShare) {
-	s := a.withSum(i)
-	now := a.maxShare(e.member, i)
-	s.sum.all = s.sum.all.plus(size{now.rate - e.counted.rate, now.burst - e.counted.burst})
-	e.counted = now
+// updateCounted updates one member's part of the sum.
+func (a *Allocator) updateCounted(i int32, share *memberShare) {
+	allocation := a.allocationWithSum(i)
+	current := a.maxShare(share.member, i)
+	allocation.sum.total = allocation.sum.total.plus(
+		shareSize{current.rate - share.counted.rate, current.burst - share.counted.burst},
+	)
+	share.counted = current
 }
 
-// beyondFallback is what the member may have on top of what counts for it without any grant.
-func (a *Allocator) beyondFallback(e *memberShare, i int32) size {
-	safe, all := a.fallback(e.member, i), a.maxShare(e.member, i)
-	if !a.limits.all[i].concurrency && a.fallbackSuspended(e.member) {
-		safe.rate = 0
+// beyondFallback returns what the member may have by grants in addition to the part that counts for it
+// without any grant.
+func (a *Allocator) beyondFallback(share *memberShare, i int32) shareSize {
+	fallback, largest := a.fallback(share.member, i), a.maxShare(share.member, i)
+	if !a.limits.all[i].concurrency && a.fallbackSuspended(share.member) {
+		fallback.rate = 0
 	}
-	return size{max(all.rate-safe.rate, 0), max(all.burst-safe.burst, 0)}
+	return shareSize{max(largest.rate-fallback.rate, 0), max(largest.burst-fallback.burst, 0)}
 }
--- a/internal/quota/times.go
+++ b/internal/quota/times.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// Drift is the most by which a clock's rate is off from true time, as a part. Two clocks are apart by twice
+// Drift is the largest relative error of a clock's rate against true time. Two clocks differ by up to twice
 // as much.
 const Drift = 0.001
 
-// times are the spans that both ends reckon with. Tests alone set others.
+// times are the durations that proxies and allocator agree on. Only tests set other values than the defaults.
 type times struct {
-	lease time.Duration // a share holds so long after its claim was sent
-	renew time.Duration // between a proxy's claims
-	// least wait before a claim out of turn, for a limit that has just got demand
+	leaseDuration time.Duration // how long a lease is valid after its claim was sent
+	renewInterval time.Duration // time between a proxy's rounds of claims
+	// shortest time between claims outside the rounds, which are for limits that have just got demand
 	minClaimInterval time.Duration
-	// a proxy that took a grant keeps its fallback share suspended so long after the claim was sent
+	// how long a proxy keeps its fallback share suspended after the claim was sent whose grant suspended it
 	fallbackSuspension time.Duration
-	loanTimeout        time.Duration // tokens lent count only so soon after the asking
-	loanUse            time.Duration // and have to be used so soon after it
-	idleClaimTime      time.Duration // a limit without demand is claimed so long yet
-	warmUp             time.Duration // a new proxy fills the buckets of limits without demand so long
-	// the longest that a request is in flight: allocators count it so long past its lease
+	loanTimeout        time.Duration // how long after the request lent tokens are still accepted
+	loanUse            time.Duration // how long after the request lent tokens may be used
+	idleClaimTime      time.Duration // how long a limit without demand is still claimed
+	// how long a new proxy keeps its fallback share unsuspended, to fill the buckets of limits without demand
+	warmUp time.Duration
+	// longest time that a request is in flight: an allocator counts requests in flight for so long after the
+	// lease under which they began
 	maxRequestTime time.Duration
-	drift          float64
+	drift          float64 // Drift
 }
 
-// DefaultLease is short enough that shares follow a jump of demand within 2 s, and long enough that a proxy
-// may lose four claims in a row.
+// DefaultLease is the duration of a lease: short enough that shares follow a jump of demand within 2 s, and
+// long enough that a proxy may lose four claims in a row.
 const DefaultLease = time.Second
 
 func defaultTimes() times {
 	return times{
-		lease:              DefaultLease,
-		renew:              DefaultLease / 5,
+		leaseDuration:      DefaultLease,
+		renewInterval:      DefaultLease / 5,
 		minClaimInterval:   20 * time.Millisecond,
 		fallbackSuspension: 4 * DefaultLease,
 		loanTimeout:        200 * time.Millisecond,
@@ -42,20 +44,23 @@
 	}
 }
 
-// atMost is what takes d on another's clock, at the longest: 1 + 2 x drift, and a little.
-func (t times) atMost(d time.Duration) time.Duration {
+// longestElapsed returns the longest time on this clock in which d can pass on another process's clock: about
+// (1 + 2 x drift) x d.
+func (t times) longestElapsed(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + t.drift) / (1 - t.drift))
 }
 
-// atLeast is what takes d on another's clock, at the shortest.
-func (t times) atLeast(d time.Duration) time.Duration {
+// shortestElapsed returns the shortest time on this clock in which d can pass on another process's clock.
+func (t times) shortestElapsed(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - t.drift) / (1 + t.drift))
 }
 
-// countedLease is how long an allocator counts a lease from the receipt of its claim.
-func (t times) countedLease() time.Duration { return t.atMost(t.lease) }
+// countedLease returns how long an allocator counts a lease after it received the claim.
+func (t times) countedLease() time.Duration { return t.longestElapsed(t.leaseDuration) }
 
-// settleTime is how long any lease can live on that was granted before now: to its end, prolonged once by a
-// new allocator that is still waiting, and once more within that wait. What is borrowed to nobody for so long
-// is nobody's.
-func (t times) settleTime() time.Duration { return 3 * t.atMost(t.atMost(t.lease)) }
+// settleTime returns how long any lease granted before now can stay alive: until its end, extended once by a
+// new allocator that still waits for the previous leases to end, and extended once more within that wait. No
+// live lease was granted out of a fallback share that has been counted for its proxy for this long.
+func (t times) settleTime() time.Duration {
+	return 3 * t.longestElapsed(t.longestElapsed(t.leaseDuration))
+}
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -6,11 +6,11 @@
 	"math"
 )
 
-// Datagrams between proxies and the allocator, big-endian. The first byte is the kind, the second the
-// version, the next four the fleet's name as a hash; what follows the known fields is ignored.
+// Datagrams between proxies and the allocator are big-endian. The first byte is the kind, the second the
+// version, the next four the hash of the fleet's name; bytes after the known fields are ignored.
 const (
-	MaxDatagram = 256
-	version     = 1
+	MaxDatagram   = 256
+	formatVersion = 1
 
 	kindClaim        = 0x60
 	kindGrant        = 0x61
@@ -20,85 +20,92 @@
 	kindLoan         = 0x65
 )
 
-// IsOurs reports whether a datagram's first byte is of this package.
+// IsOurs reports whether a datagram with this first byte belongs to this package.
 func IsOurs(kind byte) bool { return kind >= 0x60 && kind <= 0x6f }
 
-// claim is a proxy's message to the allocator: its demand and what it holds.
-type claim struct {
-	token               uint64 // the allocator that it is for
-	generation          uint64 // of the proxy's process
-	number              uint32 // grows with each claim of a generation
-	lastGrant           uint32 // the highest number of a grant that the proxy took of this fencing token
-	table               uint64 // the version by which it judges requests
-	fallbackSuspendable bool   // its fallback share may be suspended
-	name                string
+// claimMessage is a proxy's message to the allocator: the proxy's demand and the leases that it holds.
+type claimMessage struct {
+	token               uint64 // fencing token of the allocator that the claim is for
+	generation          uint64 // generation of the proxy's process
+	number              uint32 // rises with each claim of a generation
+	lastGrant           uint32 // highest number of a grant under this fencing token that the proxy applied
+	table               uint64 // version of the table by which the proxy admits requests
+	fallbackSuspendable bool   // the allocator may suspend the proxy's fallback share
+	name                string // the proxy's name
 	items               []claimItem
 }
 
+// claimItem is a claim's part about one limit.
 type claimItem struct {
-	hash   uint64
-	demand float64 // units a second, or at once, that came
-	leased size    // by a live lease; of limits on concurrency, at least what is out
-	number uint32  // the grant that its share is of
+	hash        uint64    // of the limit's name
+	demand      float64   // units a second; for limits on concurrency, requests in flight
+	leased      shareSize // the live lease; for limits on concurrency, at least the requests in flight
+	grantNumber uint32    // number of the grant that the lease is from
 }
 
+// Sizes in bytes of a claim without name and items, and of one item.
 const (
-	claimHead = 6 + 8 + 8 + 4 + 4 + 8 + 1 + 1 + 1
-	claimSize = 8 + 4 + 4 + 4 + 4
+	claimHeaderSize = 6 + 8 + 8 + 4 + 4 + 8 + 1 + 1 + 1
+	claimItemSize   = 8 + 4 + 4 + 4 + 4
 )
 
-// claimCapacity is how many limits fit into one claim of a proxy.
-func claimCapacity(name string) int { return (MaxDatagram - claimHead - len(name)) / claimSize }
+// claimCapacity returns how many limits fit into one claim of the proxy with the name.
+func claimCapacity(name string) int {
+	return (MaxDatagram - claimHeaderSize - len(name)) / claimItemSize
+}
 
-// grant answers one claim.
-type grant struct {
-	token                 uint64
-	generation            uint64 // of the proxy that it is for
-	claim                 uint32
-	number                uint32 // grows with each grant to a proxy
-	slot                  Slot   // Level slotNone: not known
+// grantMessage is the allocator's answer to one claim.
+type grantMessage struct {
+	token                 uint64 // the allocator's fencing token
+	generation            uint64 // generation of the proxy that the grant is for
+	claimNumber           uint32 // number of the claim that the grant answers
+	number                uint32 // rises with each grant to a proxy
+	slot                  Slot   // the proxy's slot; Level noSlotLevel means that the grant assigns none
 	fallbackSuspended     bool   // the proxy's fallback share is suspended
-	extendsOnly           bool   // the allocator only prolongs what the proxy had
-	slotCoversConcurrency bool   // the slot holds for limits on concurrency too
+	extendsOnly           bool   // the grant only extends leases that the proxy had
+	slotCoversConcurrency bool   // the slot is valid for limits on concurrency too
 	items                 []grantItem
 }
 
+// grantItem is a grant's part about one limit: a lease.
 type grantItem struct {
-	hash           uint64
-	size           size
-	tokens         float64 // that come with it
-	fallbackAtOnce bool    // without the lease the proxy has its fallback share of this limit at once
+	hash           uint64    // of the limit's name
+	size           shareSize // the share that is leased
+	tokens         float64   // tokens that come with the lease
+	fallbackAtOnce bool      // the fallback share of this limit is valid as soon as the lease ends
 }
 
-// announcement tells a proxy who holds the lease.
-type announcement struct {
+// announcementMessage notifies a proxy of the allocator's name and fencing token.
+type announcementMessage struct {
 	token uint64
 	name  string
 }
 
-// leave says that a process admits nothing any more.
-type leave struct {
+// leaveMessage says that a proxy's process admits no more requests.
+type leaveMessage struct {
 	generation uint64
 	name       string
 }
 
-// borrowRequest and loan pass tokens from proxy to proxy.
-type borrowRequest struct {
+// borrowMessage requests whole tokens of a limit from another proxy.
+type borrowMessage struct {
 	nonce, hash uint64
-	need        float64
-	name        string
+	amount      float64
+	name        string // the requesting proxy
 }
 
-type loan struct {
+// loanMessage carries lent tokens, in answer to the borrowMessage of the same nonce.
+type loanMessage struct {
 	nonce, hash uint64
 	amount      float64
 }
 
-// writer puts fields together.
+// writer appends fields to a datagram.
 type writer []byte
 
-func begin(kind byte, fleet uint32) writer {
-	return binary.BigEndian.AppendUint32(append(make(writer, 0, MaxDatagram), kind, version), fleet)
+// newWriter returns a writer that has written the header.
+func newWriter(kind byte, fleet uint32) writer {
+	return binary.BigEndian.AppendUint32(append(make(writer, 0, MaxDatagram), kind, formatVersion), fleet)
 }
 
 func (w *writer) u8(v uint8)    { *w = append(*w, v) }
@@ -115,16 +122,16 @@
 	}
 }
 
-// reader takes fields apart; bad is set once something is missing or out of bounds, and zeros come from then
-// on.
+// reader reads fields from a datagram. failed is set once a field is missing or out of bounds; from then on
+// all fields read as zero.
 type reader struct {
-	data []byte
-	bad  bool
+	data   []byte
+	failed bool
 }
 
 func (r *reader) next(n int) []byte {
-	if r.bad || len(r.data) < n {
-		r.bad = true
+	if r.failed || len(r.data) < n {
+		r.failed = true
 		return make([]byte, n)
 	}
 	b := r.data[:n]
@@ -136,33 +143,35 @@
 func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.next(4)) }
 func (r *reader) u64() uint64 { return binary.BigEndian.Uint64(r.next(8)) }
 
-// f32 is a finite amount of 0 or more.
+// f32 reads an amount, which must be finite and not negative.
 func (r *reader) f32() float64 {
 	v := float64(math.Float32frombits(r.u32()))
 	if !(v >= 0) || math.IsInf(v, 0) {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
 	return v
 }
 
+// text reads a name of 1 to MaxName bytes.
 func (r *reader) text() string {
 	n := int(r.u8())
 	if n == 0 || n > MaxName {
-		r.bad = true
+		r.failed = true
 		return ""
 	}
 	return string(r.next(n))
 }
 
-// open checks what is common to all datagrams and gives the kind.
-func open(data []byte, fleet uint32) (byte, *reader, error) {
+// readHeader checks the header, which all datagrams share. It returns the kind and a reader for the fields
+// after the header.
+func readHeader(data []byte, fleet uint32) (byte, *reader, error) {
 	if len(data) < 6 || len(data) > MaxDatagram {
-		return 0, nil, fmt.Errorf("quota datagram of %d bytes", len(data))
+		return 0, nil, fmt.Errorf("decode quota datagram: %d bytes, want 6 to %d", len(data), MaxDatagram)
 	}
 	r := &reader{data: data[2:]}
-	if data[1] != version || r.u32() != fleet {
-		return 0, nil, fmt.Errorf("quota datagram of version %d or of another fleet", data[1])
+	if data[1] != formatVersion || r.u32() != fleet {
+		return 0, nil, fmt.Errorf("decode quota datagram: version %d or other fleet", data[1])
 	}
 	return data[0], r, nil
 }
