--- a/internal/membership/awareness.go
+++ b/internal/membership/awareness.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// maxAwareness bounds the stretching of timeouts: five times, so a period of one second.
+// maxAwareness bounds the score, by which timeouts are stretched: to at most five times, so a period of one
+// second.
 const maxAwareness = 4
 
-// maxAccusationHold is how long a node whose probes fail in many places accuses nobody. After that it
-// believes what it sees: it may be the only one left.
-const maxAccusationHold = 10 * time.Second
+// maxAccusationSuppression bounds how long a node accuses no member because its probes of several members
+// fail. After that time the node trusts its probes: it may be the only node left.
+const maxAccusationSuppression = 10 * time.Second
 
-// lateHoldPeriods is how long after a late wake a node accuses nobody: the answers to what it sent before
-// have come by then.
-const lateHoldPeriods = 3
+// lateSuppressionPeriods is for how many periods after a late wake a node accuses no member: by then the
+// answers to what it sent before have come.
+const lateSuppressionPeriods = 3
 
-// awareness is how far the node trusts its own probes: when it is late, or many fail, the fault is likely to
-// be here.
+// awareness is how far the node distrusts its own probes: if the node wakes late, or if many probes fail, the
+// fault is probably its own.
 type awareness struct {
-	score          int
-	lateUntil      Time
-	recentFailures [4]uint64 // whom the probes of the last members failed at; 0: answered
-	nextFailure    int
-	holding        bool
-	holdingSince   Time // of holds
+	score                 int       // 0 to maxAwareness: timeouts are stretched to 1+score times
+	lateUntil             Time      // until when recentlyLate is true
+	recentFailures        [4]uint64 // hashes of the last probed members that did not answer; 0 means an answer
+	nextFailure           int       // index in recentFailures of the next probe's result
+	accusationsSuppressed bool
+	suppressedSince       Time // when accusationsSuppressed was last set or reset
 }
 
 func (c *Core) probeInterval() time.Duration {
@@ -34,8 +35,8 @@
 	return c.cfg.ProbeTimeout * time.Duration(1+c.awareness.score)
 }
 
-// checkWakeLateness compares the time with that of the last Wake. A node that was stopped has heard nothing
-// meanwhile: its open probe and its suspects' time do not count for that long.
+// checkWakeLateness compares the time with that of the last Wake. A node that was stopped has received
+// nothing meanwhile, so its pending probe is dropped and its suspects get the lost time in addition.
 func (c *Core) checkWakeLateness() {
 	late := c.now - c.wakeAt
 	if !c.wakePending || late <= c.cfg.ProbeTimeout {
@@ -44,45 +45,48 @@
 	}
 	c.stats.Late++
 	c.awareness.degrade()
-	c.awareness.lateUntil = c.now + lateHoldPeriods*c.cfg.ProbeInterval
+	c.awareness.lateUntil = c.now + lateSuppressionPeriods*c.cfg.ProbeInterval
 	c.probe.pending = false
 	c.relays = nil
-	for _, r := range c.sorted {
-		if r.statement.Health == Suspect {
-			r.suspectSince += late
+	for _, member := range c.sorted {
+		if member.statement.Health == Suspect {
+			member.suspectSince += late
 		}
 	}
 	c.nextPeriodAt, c.wakeAt = c.now, c.now
 }
 
-func (h *awareness) degrade() { h.score = min(h.score+1, maxAwareness) }
-func (h *awareness) recover() { h.score = max(h.score-1, 0) }
+func (a *awareness) degrade() { a.score = min(a.score+1, maxAwareness) }
+func (a *awareness) recover() { a.score = max(a.score-1, 0) }
 
-// recordProbe notes at whom a probe failed, 0 if it did not; again if the one before was of the same member
-// and counts no more. When three of the last four members did not answer, the node holds its accusations
-// back. In a fleet of three it never does: there the other two may well both be gone.
-func (h *awareness) recordProbe(now Time, failed uint64, again bool) {
-	if again {
-		h.nextFailure = (h.nextFailure + len(h.recentFailures) - 1) % len(h.recentFailures)
+// recordProbe records the result of a probe: the member that did not answer, or 0. If the probe was repeated,
+// its result replaces that of the previous probe, of the same member. When three of the last four members did
+// not answer, the node suppresses its accusations. In a fleet of three that never happens: the other two
+// members may well both be gone.
+func (a *awareness) recordProbe(now Time, failedMember uint64, repeated bool) {
+	if repeated {
+		a.nextFailure = (a.nextFailure + len(a.recentFailures) - 1) % len(a.recentFailures)
 	}
-	h.recentFailures[h.nextFailure] = failed
-	h.nextFailure = (h.nextFailure + 1) % len(h.recentFailures)
-	all := h.recentFailures
+	a.recentFailures[a.nextFailure] = failedMember
+	a.nextFailure = (a.nextFailure + 1) % len(a.recentFailures)
+	all := a.recentFailures
 	slices.Sort(all[:])
-	places := len(slices.Compact(all[:]))
+	failedMembers := len(slices.Compact(all[:]))
 	if all[0] == 0 {
-		places--
+		failedMembers--
 	}
-	if holds := places >= len(h.recentFailures)-1; holds != h.holding {
-		h.holding, h.holdingSince = holds, now
+	if suppress := failedMembers >= len(a.recentFailures)-1; suppress != a.accusationsSuppressed {
+		a.accusationsSuppressed, a.suppressedSince = suppress, now
 	}
 }
 
-// wasLate says that the node woke late not long ago: it neither accuses nor declares anybody dead.
-func (c *Core) wasLate() bool { return c.now < c.awareness.lateUntil }
+// recentlyLate reports whether the node has recently woken late. If so, it neither accuses members nor
+// declares them dead.
+func (c *Core) recentlyLate() bool { return c.now < c.awareness.lateUntil }
 
-// mayAccuse reports whether a failed probe speaks against the one that was probed rather than against this
+// mayAccuse reports whether a failed probe is evidence against the probed member rather than against this
 // node.
 func (c *Core) mayAccuse() bool {
-	return !c.wasLate() && (!c.awareness.holding || c.now-c.awareness.holdingSince >= maxAccusationHold)
+	return !c.recentlyLate() && (!c.awareness.accusationsSuppressed ||
+		c.now-c.awareness.suppressedSince >= maxAccusationSuppression)
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -9,47 +9,49 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Config is what a Core starts with. Zero durations and counts take the defaults.
+// Config configures a Core. Zero durations and counts take the defaults.
 type Config struct {
-	Fleet    string // name of the fleet: datagrams of another one are dropped
-	Name     string // own name, unique in the fleet
-	Number   int    // own place among the configured peers, -1: none
-	Addr     netip.AddrPort
+	Fleet    string         // name of the fleet; datagrams of other fleets are dropped
+	Name     string         // the node's name, unique in the fleet
+	Number   int            // the node's index among the configured peers; -1 means none
+	Addr     netip.AddrPort // address that the node advertises
 	Metadata Metadata
-	// addresses to join by; at most maxSeeds count. One's own among them does no harm
+	// Seeds are the addresses by which the node joins; those after the first maxSeeds are ignored. The node's
+	// own address among them is harmless.
 	Seeds       []netip.AddrPort
-	RandomSeed  uint64 // of all draws
-	Generation  uint64 // Unix milliseconds at the start, or what an upgrade handed over
-	Incarnation uint32 // 0, or one more than what an upgrade handed over
+	RandomSeed  uint64 // of all random draws
+	Generation  uint64 // Unix milliseconds at the start, or the generation that an upgrade handed over
+	Incarnation uint32 // 0, or one more than the incarnation that an upgrade handed over
 
-	// Period is the time from one probe to the next: 200 ms. A node sends about two datagrams a period, so ten a
-	// second, and a dead one among 30 is off all views in about 2.5 s.
+	// ProbeInterval is the period, the time from one probe to the next: 200 ms. A node sends about two datagrams
+	// a period, so ten a second, and a dead member among 30 disappears from all views in about 2.5 s.
 	ProbeInterval time.Duration
-	// Answer is the time for a direct answer before others are asked for an indirect probe: 60 ms, over 100
-	// times a round trip within a site, and short enough that the indirect answers have the rest of the period.
+	// ProbeTimeout is the time for a direct answer before indirect probes are requested: 60 ms, over 100 times a
+	// round trip within a site, and short enough that the indirect answers have the rest of the period.
 	ProbeTimeout time.Duration
-	// Fresh is how long a dead or left member stays in the digest and is broadcast: 60 s, far beyond the time
-	// that a broadcast needs.
+	// DeadGossipTime is how long a dead or left member stays in the digest and is broadcast: 60 s, far beyond
+	// the time that a broadcast needs.
 	DeadGossipTime time.Duration
-	// Forget is how long a dead or left member is remembered, and a dead one asked: 10 min. Longer cuts heal by
-	// the seeds.
+	// DeadReclaimTime is how long a dead or left member is remembered, and a dead member probed: 10 min. Cuts
+	// that last longer heal by the seeds.
 	DeadReclaimTime time.Duration
-	// Most bounds the members that are remembered, living and dead: 4096. Further strangers are rejected.
+	// MaxMembers bounds the members that are remembered, living and dead: 4096. Further strangers are rejected.
 	MaxMembers int
 }
 
+// maxSeeds bounds the seeds that are used.
 const maxSeeds = 512
 
 func (cfg Config) withDefaults() Config {
-	def := func(d *time.Duration, v time.Duration) {
+	setDefault := func(d *time.Duration, v time.Duration) {
 		if *d <= 0 {
 			*d = v
 		}
 	}
-	def(&cfg.ProbeInterval, 200*time.Millisecond)
-	def(&cfg.ProbeTimeout, cfg.ProbeInterval*3/10)
-	def(&cfg.DeadGossipTime, time.Minute)
-	def(&cfg.DeadReclaimTime, 10*time.Minute)
+	setDefault(&cfg.ProbeInterval, 200*time.Millisecond)
+	setDefault(&cfg.ProbeTimeout, cfg.ProbeInterval*3/10)
+	setDefault(&cfg.DeadGossipTime, time.Minute)
+	setDefault(&cfg.DeadReclaimTime, 10*time.Minute)
 	if cfg.MaxMembers <= 0 {
 		cfg.MaxMembers = 4096
 	}
@@ -60,18 +62,18 @@
 	return cfg
 }
 
-// Check says what New could not work with.
+// Check returns an error if New can't work with the configuration.
 func (cfg Config) Check() error {
 	if cfg.Fleet == "" {
 		return errors.New("fleet without a name")
 	}
-	if err := cfg.own().Check(); err != nil {
+	if err := cfg.ownStatement().Check(); err != nil {
 		return fmt.Errorf("own member: %w", err)
 	}
 	return nil
 }
 
-func (cfg Config) own() wire.Statement {
+func (cfg Config) ownStatement() wire.Statement {
 	return wire.Statement{
 		Name:        cfg.Name,
 		Number:      cfg.Number,
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -6,7 +6,7 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Core is one node's part in keeping the view. It is not safe for use by two goroutines at once.
+// Core runs the protocol for one node and maintains the node's view. It is not safe for concurrent use.
 type Core struct {
 	cfg     Config
 	fleet   uint32
@@ -14,52 +14,54 @@
 	actions []Action
 	stats   Stats
 
-	now, wakeAt, nextPeriodAt Time // the latest event; when the last Wake runs out; when the next period begins
-	wakePending               bool
-	periods                   uint64 // periods so far
+	// now is the time of the latest event, wakeAt when the last Wake expires, and nextPeriodAt when the next
+	// period begins.
+	now, wakeAt, nextPeriodAt Time
+	wakePending               bool   // a Wake has been requested
+	periods                   uint64 // number of periods so far
 
-	self         *memberState
-	byHash       map[uint64]*memberState
-	sorted       []*memberState // by hash
-	living, dead int            // others
-	suspects     int
+	self                   *memberState
+	byHash                 map[uint64]*memberState
+	sorted                 []*memberState // all members, self included, by hash
+	livingCount, deadCount int            // of the other members
+	suspectCount           int            // of the other members
 
 	version, digest uint64
 	rangeSums       [wire.Fanout]uint64
 	subrangeSums    [wire.Fanout * wire.Fanout]uint64
 
 	broadcasts      broadcastQueue
-	matchingDigests int // datagrams in a row whose senders had the same digest
+	matchingDigests int // consecutive datagrams whose senders had this node's digest
 	probeRound      probeRound
 	probe           probe
-	seq             uint32
+	lastSeq         uint32
 	relays          []relay
 	awareness       awareness
 	antiEntropy     antiEntropy
-	join            seedList
+	seeds           seedList
 	ownState        ownState
 
-	strangerBudget   int // answers left for strangers in this period
-	correctionBudget int // datagrams left in it for senders with an old statement of this node
-	yielded, left    bool
-	leavePeriodsLeft int // periods in which the leave is still to be broadcast; 0: not leaving
+	strangerBudget      int // answers to strangers that remain in this period
+	correctionBudget    int // corrections of senders with an old statement that remain in this period
+	hasYielded, hasLeft bool
+	leavePeriodsLeft    int // periods in which the leave is still to be broadcast; 0 means not leaving
 }
 
-// Stats count what the core has done and met since its start.
+// Stats are the core's counters since its start, and some present values.
 type Stats struct {
 	Sent, Bytes     uint64 // datagrams and bytes sent
 	Received        uint64 // datagrams of this fleet that could be read
-	Dropped         uint64 // datagrams of other fleets, of other kinds, or not to be read
-	Refused         uint64 // strangers rejected as the view is full
-	Probes, Failed  uint64 // probes begun, probes without any answer
-	Refuted         uint64 // accusations of oneself that were refuted
+	Dropped         uint64 // datagrams of other fleets, of other kinds, or that could not be read
+	Refused         uint64 // strangers rejected because the view is full
+	Probes, Failed  uint64 // probes started, probes without any answer
+	Refuted         uint64 // accusations of this node that it refuted
 	Late            uint64 // wakes that came late
-	Synced          uint64 // digests sent since views differed
-	Health          int    // 0 well, to 4: timeouts stretched to five times
-	Living, Members int    // others living; all remembered, own included
+	Synced          uint64 // digests sent because views differed
+	Health          int    // local health: from 0, well, to 4, timeouts stretched to five times
+	Living, Members int    // other members that are living; all remembered members, this node included
 }
 
-// New returns a core that has not said anything yet; the first Tick starts it. cfg has passed Check.
+// New returns a core that has not sent anything yet; the first Tick starts it. cfg has passed Check.
 func New(cfg Config, now Time) *Core {
 	cfg = cfg.withDefaults()
 	c := &Core{
@@ -71,9 +73,9 @@
 		byHash:       map[uint64]*memberState{},
 		random:       rand.New(rand.NewPCG(cfg.RandomSeed, wire.Hash(cfg.Name))),
 	}
-	c.seq = c.random.Uint32()
-	c.join.set(cfg.Seeds, cfg.Addr, c.random)
-	st := cfg.own()
+	c.lastSeq = c.random.Uint32()
+	c.seeds.set(cfg.Seeds, cfg.Addr, c.random)
+	st := cfg.ownStatement()
 	c.self = c.addMember(st)
 	c.updateMember(c.self, st)
 	c.actions = nil
@@ -83,38 +85,38 @@
 // Stats returns the counts so far.
 func (c *Core) Stats() Stats {
 	s := c.stats
-	s.Health, s.Living, s.Members = c.awareness.score, c.living, len(c.sorted)
+	s.Health, s.Living, s.Members = c.awareness.score, c.livingCount, len(c.sorted)
 	return s
 }
 
-// Handle takes an event and gives what is to be done.
+// Handle handles an event and returns the actions for the owner to carry out.
 func (c *Core) Handle(now Time, e Event) []Action {
 	c.actions = nil
 	c.now = max(now, c.now)
-	if c.yielded || c.left {
+	if c.hasYielded || c.hasLeft {
 		return nil
 	}
 	c.checkWakeLateness()
 	switch e := e.(type) {
 	case Received:
-		c.received(e)
+		c.receiveDatagram(e)
 	case MetadataChanged:
-		c.metadataChanged(e.Metadata)
+		c.setMetadata(e.Metadata)
 	case Leave:
 		c.leave()
 	case Join:
-		c.join.set(e.Addrs, c.cfg.Addr, c.random)
+		c.seeds.set(e.Addrs, c.cfg.Addr, c.random)
 	}
-	if !c.yielded && !c.left {
+	if !c.hasYielded && !c.hasLeft {
 		c.runDue()
 	}
-	if _, tick := e.(Tick); !c.yielded && !c.left {
+	if _, tick := e.(Tick); !c.hasYielded && !c.hasLeft {
 		c.requestWake(tick)
 	}
 	return c.actions
 }
 
-// runDue does what the time has come for.
+// runDue does the work that is due: the next period, indirect probes, and answers to relay requests.
 func (c *Core) runDue() {
 	if c.now >= c.nextPeriodAt {
 		c.endProbe()
@@ -125,12 +127,13 @@
 	c.expireRelays()
 }
 
-// runPeriod is one period: the same few datagrams each time, however large the fleet is.
+// runPeriod does the work of one period. It sends the same few datagrams in each period, however large the
+// fleet is.
 func (c *Core) runPeriod() {
 	c.periods++
 	c.strangerBudget = strangersPerPeriod
 	c.correctionBudget = correctionsPerPeriod
-	c.antiEntropy.credit = syncPerPeriod
+	c.antiEntropy.datagramCredit = syncPerPeriod
 	c.expireSuspects()
 	c.expireDeparted()
 	if c.leavePeriodsLeft > 0 {
@@ -145,7 +148,8 @@
 	c.startAntiEntropy()
 }
 
-// requestWake asks for the next tick if it differs from the one asked for, or that one has come.
+// requestWake requests a Tick for the next time at which work is due, if that time has changed or the
+// requested Tick has come.
 func (c *Core) requestWake(tick bool) {
 	due := c.nextPeriodAt
 	if c.probe.awaitsDirectAck() {
@@ -162,22 +166,24 @@
 	}
 }
 
-// newDatagram fills the head.
+// newDatagram encodes a datagram with the header filled in.
 func (c *Core) newDatagram(d wire.Datagram) []byte {
 	d.Fleet, d.Sender, d.Generation, d.Digest = c.fleet, c.self.hash, c.self.statement.Generation, c.digest
 	return d.Encode()
 }
 
+// newHeader returns a datagram that has only a header, to which statements can be appended.
 func (c *Core) newHeader(kind wire.Kind) []byte {
 	return c.newDatagram(wire.Datagram{Header: wire.Header{Kind: kind}})
 }
 
+// newNumbered returns a datagram of a kind with a sequence number and, for some kinds, a target.
 func (c *Core) newNumbered(kind wire.Kind, seq uint32, target uint64) []byte {
 	return c.newDatagram(wire.Datagram{Header: wire.Header{Kind: kind}, Seq: seq, Target: target})
 }
 
-func (c *Core) sendTo(r *memberState, b []byte) {
-	c.send(Send{Name: r.statement.Name, To: r.statement.Addr, Data: b})
+func (c *Core) sendTo(member *memberState, b []byte) {
+	c.send(Send{Name: member.statement.Name, To: member.statement.Addr, Data: b})
 }
 
 func (c *Core) send(s Send) {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,19 +1,19 @@
-// Package membership is the pure core of a gossip-based membership protocol: it keeps one node's view of all
-// nodes of a fleet, with their health, generation, incarnation and metadata. Views are eventually consistent
-// and may be wrong for a while, so nothing that must hold in every case may rest on them alone; leases and
-// fencing tokens of the registry are for that.
+// Package membership is the pure core of a gossip-based membership protocol: it maintains one node's view of
+// all nodes of a fleet, with their health, generation, incarnation and metadata. Views are eventually
+// consistent and may be wrong for a while, so nothing that must be true in every case may depend on them
+// alone; leases and fencing tokens of the registry are for that.
 //
-// Events and a time go in through Core.Handle, actions come out. The core has no clock, socket or goroutine,
-// and the same events with the same seed give the same actions. Its owner (package gossip) sends a Tick when
-// the last Wake has expired, passes each datagram on as Received, and carries out the actions. A Core must
-// not be used by two goroutines at once.
+// Core.Handle takes events and a time and returns actions. The core has no clock, socket or goroutine, and
+// the same events with the same seed give the same actions. Its owner (package gossip) sends a Tick when the
+// last Wake has expired, passes each datagram on as Received, and carries out the actions. A Core must not be
+// used by two goroutines at once.
 //
-// It follows the published descriptions of SWIM (probes in shuffled rounds, indirect probes, suspicion,
-// broadcasts that ride on probes) and of Lifeguard (local health awareness, a suspicion timeout that shrinks
-// with the number of accusers, notifying the suspect). Its own additions:
+// The protocol follows the published descriptions of SWIM (probes in shuffled rounds, indirect probes,
+// suspicion, broadcasts that ride on probes) and of Lifeguard (local health awareness, a suspicion timeout
+// that shrinks with the number of accusers, notifying the suspect). Its own additions:
 //
-//   - A generation tells apart the processes that had a name one after the other. It goes before SWIM's
+//   - A generation distinguishes successive processes of one name. It takes precedence over SWIM's
 //     incarnation, with which a process refutes suspicions of itself.
 //   - Digests of ranges of the view are compared for anti-entropy (digest.go, sync.go).
-//   - Of two processes with one name the one of the lower generation yields (self.go).
+//   - Of two processes with one name, the one with the lower generation yields (self.go).
 package membership
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Time is a reading of the owner's monotonic clock. All that a Core is given must not go back; what does is
-// taken as no time.
+// Time is a reading of the owner's monotonic clock. The times passed to a Core must not go back; a time
+// before the last one counts as the last one.
 type Time = time.Duration
 
-// Event is something that happened to the node: Tick, Received, MetadataChanged, Leave or Join.
+// Event is an input of the core: Tick, Received, MetadataChanged, Leave or Join.
 type Event interface{ event() }
 
-// Tick says that the last Wake has run out. Further ticks do no harm.
+// Tick says that the last Wake has expired. Additional ticks are harmless.
 type Tick struct{}
 
-// Received is a datagram from the peer socket. From serves only to answer those whose name is not known.
+// Received is a datagram from the peer socket. From is used only to answer senders whose name is not known.
 type Received struct {
 	From netip.AddrPort
 	Data []byte
 }
 
-// MetadataChanged replaces the member's own metadata. Metadata out of bounds are dropped with a Log.
+// MetadataChanged replaces the node's own metadata. Metadata out of bounds are dropped with a Log.
 type MetadataChanged struct{ Metadata Metadata }
 
-// Leave makes the node say that it goes on purpose. Gone follows when it has been said often enough.
+// Leave makes the node broadcast that it leaves the fleet on purpose. LeaveDone follows once the leave has
+// been broadcast often enough.
 type Leave struct{}
 
-// Join replaces the addresses to join by.
+// Join replaces the seeds, the addresses by which the node joins the fleet.
 type Join struct{ Addrs []netip.AddrPort }
 
 func (Tick) event()            {}
@@ -36,36 +37,37 @@
 func (Leave) event()           {}
 func (Join) event()            {}
 
-// Action is something that the server is to do: Send, Wake, Changed, Conflict, Gone or Log.
+// Action is an output of the core, which its owner carries out: Send, Wake, MemberChanged, NameConflict,
+// LeaveDone or Log.
 type Action interface{ action() }
 
-// Send wants a datagram sent. Name is the member it is for; the server may know a better address for it than
-// To. For a stranger or a seed Name is empty.
+// Send sends a datagram. Name is the member that it is for; the owner may know a better address for the
+// member than To. For a stranger or a seed Name is empty.
 type Send struct {
 	Name string
 	To   netip.AddrPort
 	Data []byte
 }
 
-// Wake wants a Tick after so long. It replaces the Wake before.
+// Wake requests a Tick after a duration. It replaces the previous Wake.
 type Wake struct{ After time.Duration }
 
-// MemberChanged tells that a member is seen differently now, load aside. Before has no Name if the member was
-// not known.
+// MemberChanged reports a change of a member's view entry other than its load. Before has no Name if the
+// member was not known, and Member has no Name if the member is forgotten.
 type MemberChanged struct{ Member, Before Member }
 
-// NameConflict tells that another living process has the node's own name. With Yielded set this one, having
-// the lower generation, has fallen silent: it neither sends nor changes its view any more.
+// NameConflict reports that another living process has the node's own name. If Yielded is set, this process
+// has the lower generation and has yielded: it sends nothing and does not change its view any more.
 type NameConflict struct {
-	Generation uint64 // the other's
+	Generation uint64 // of the other process
 	From       netip.AddrPort
 	Yielded    bool
 }
 
-// LeaveDone tells that the node has said its leave; the socket may be closed.
+// LeaveDone reports that the leave has been broadcast; the socket may be closed.
 type LeaveDone struct{}
 
-// Log is a line for the operator.
+// Log is a log line for the operator.
 type Log struct{ Text string }
 
 func (Send) action()          {}
--- a/internal/membership/faults_test.go
+++ b/internal/membership/faults_test.go
@@ -153,8 +153,8 @@
 			}
 		}
 		w.run(45 * time.Second)
-		if a, b := nodes[0].living, nodes[1].living; a != 9 || b != 9 || (nodes[0].dead == 0) != forget {
-			t.Errorf("%s: cut off, the halves have %d and %d others alive, %d dead", name, a, b, nodes[0].dead)
+		if a, b := nodes[0].livingCount, nodes[1].livingCount; a != 9 || b != 9 || (nodes[0].deadCount == 0) != forget {
+			t.Errorf("%s: cut off, the halves have %d and %d others alive, %d dead", name, a, b, nodes[0].deadCount)
 		}
 		w.cut = func(_, _ *node) bool { return false }
 		t.Logf("%s: settled %v after the heal", name, w.mustSettle(20*time.Second, "the heal"))
@@ -194,7 +194,7 @@
 	t.Parallel()
 	w, nodes := fleetOf(t, 17, 4)
 	for i := range 600 {
-		st := nodes[0].cfg.own()
+		st := nodes[0].cfg.ownStatement()
 		st.Health, st.Name, st.Generation, st.Addr = Left, "x"+string(rune('a'+i%26))+string(rune('a'+i/26)), 1, addrOf(1000+i)
 		n := nodes[i%4]
 		n.applyStatement(st, 0)
--- a/internal/membership/forget.go
+++ b/internal/membership/forget.go
@@ -1,44 +1,46 @@
 package membership
 
-// expireDeparted takes those long dead or left out of the digest, and forgets those longer so. In between
-// they are remembered, so that a stale statement can't bring them back.
+// expireDeparted takes members that have been dead or left for DeadGossipTime out of the digest, and forgets
+// them after DeadReclaimTime. In between they are remembered, so that a stale statement can't bring them
+// back.
 func (c *Core) expireDeparted() {
-	if c.living == len(c.sorted)-1 {
+	if c.livingCount == len(c.sorted)-1 {
 		return
 	}
 	for i := len(c.sorted) - 1; i >= 0; i-- {
-		r := c.sorted[i]
-		if r.living() || r == c.self {
+		member := c.sorted[i]
+		if member.living() || member == c.self {
 			continue
 		}
-		if age := c.now - r.since; age >= c.cfg.DeadReclaimTime {
+		if age := c.now - member.since; age >= c.cfg.DeadReclaimTime {
 			c.forget(i)
-		} else if age >= c.cfg.DeadGossipTime && r.inDigest {
-			c.excludeFromDigest(r)
+		} else if age >= c.cfg.DeadGossipTime && member.inDigest {
+			c.excludeFromDigest(member)
 			c.version++
 		}
 	}
 }
 
-// forget removes the member in the i-th place of the order.
+// forget removes the member with index i in sorted.
 func (c *Core) forget(i int) {
-	r := c.sorted[i]
-	c.excludeFromDigest(r)
-	c.countMember(r, -1)
-	r.revision++ // no broadcasts of it any more
-	delete(c.byHash, r.hash)
+	member := c.sorted[i]
+	c.excludeFromDigest(member)
+	c.countMember(member, -1)
+	member.revision++ // invalidates the member's queued broadcasts
+	delete(c.byHash, member.hash)
 	copy(c.sorted[i:], c.sorted[i+1:])
 	c.sorted[len(c.sorted)-1] = nil
 	c.sorted = c.sorted[:len(c.sorted)-1]
 	c.version++
-	c.actions = append(c.actions, MemberChanged{Before: c.member(r.statement, r.since)})
+	c.actions = append(c.actions, MemberChanged{Before: c.asMember(member.statement, member.since)})
 }
 
-// forgetOldest makes space by forgetting whoever has been dead or gone the longest; false if there is nobody.
+// forgetOldest makes space by forgetting the member that has been dead or left for the longest time, and
+// reports whether there was one.
 func (c *Core) forgetOldest() bool {
 	oldest := -1
-	for i, r := range c.sorted {
-		if r != c.self && !r.living() && (oldest < 0 || r.since < c.sorted[oldest].since) {
+	for i, member := range c.sorted {
+		if member != c.self && !member.living() && (oldest < 0 || member.since < c.sorted[oldest].since) {
 			oldest = i
 		}
 	}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -8,41 +8,44 @@
 )
 
 const (
-	ageResolution = 100 * 1e6 // a tenth of a second
+	ageResolution = 100 * 1e6 // unit of wire.Statement.Age in nanoseconds: a tenth of a second
 	maxAge        = wire.MaxAge * ageResolution
 
-	// gossipFanout is how many members get broadcasts each period while there are broadcasts, beside what rides
-	// on probes: with them broadcasts reach about four more nodes for each that has them in a period.
+	// gossipFanout is the number of members that are sent broadcasts in each period while there are broadcasts,
+	// in addition to those that ride on probes. With it a node passes broadcasts on to about four nodes a
+	// period.
 	gossipFanout = 2
 )
 
-// broadcastQueue are the members whose statements are to be broadcast, by how often it has been.
+// broadcastQueue holds the members whose statements are to be broadcast.
 type broadcastQueue struct {
-	byTransmits [][]queuedBroadcast
-	count       int
+	byTransmits [][]queuedBroadcast // by how often each has been broadcast
+	count       int                 // of all entries, replaced ones included
 }
 
-// queuedBroadcast stands for a broadcast; a newer one of the same member has another gen.
+// queuedBroadcast is a queued broadcast of a member's statement. It is replaced by a newer one if its
+// revision differs from the member's.
 type queuedBroadcast struct {
 	member   *memberState
 	revision uint32
 }
 
-// retransmitLimit is how often one change is broadcast by each node: twice the logarithm, so that in a fleet
-// without loss all but about one in n squared nodes hear of it. The digests find the rest.
-func (c *Core) retransmitLimit() int { return 2 * bits.Len(uint(c.living+1)) }
+// retransmitLimit returns how often each node broadcasts a change: twice the binary logarithm of the fleet's
+// size, so that without loss all but about one in n squared nodes receive the change. The digests find the
+// remaining nodes.
+func (c *Core) retransmitLimit() int { return 2 * bits.Len(uint(c.livingCount+1)) }
 
-// queueBroadcast makes r's statement one of the broadcasts.
-func (c *Core) queueBroadcast(r *memberState) {
-	r.revision++
-	c.broadcasts.push(0, queuedBroadcast{r, r.revision})
+// queueBroadcast queues a broadcast of the member's statement.
+func (c *Core) queueBroadcast(member *memberState) {
+	member.revision++
+	c.broadcasts.push(0, queuedBroadcast{member, member.revision})
 	if c.broadcasts.count > 2*len(c.sorted)+64 {
 		c.broadcasts.compact()
 	}
 }
 
-// compareDigest notes whether another has the same digest. When so many in a row have it as are needed to
-// hear of most of the fleet, there are no broadcasts left any more.
+// compareDigest counts consecutive datagrams whose senders have this node's digest. Once retransmitLimit of
+// them came in a row, most of the fleet has the same view and the queued broadcasts are dropped.
 func (c *Core) compareDigest(digest uint64) {
 	c.matchingDigests++
 	if digest != c.digest {
@@ -53,86 +56,88 @@
 	}
 }
 
-// compact drops what newer broadcasts have replaced: the broadcasts are bounded by the members, however
-// quickly these change.
-func (n *broadcastQueue) compact() {
-	n.count = 0
-	for i := range n.byTransmits {
-		n.byTransmits[i] = slices.DeleteFunc(
-			n.byTransmits[i],
-			func(it queuedBroadcast) bool { return it.revision != it.member.revision },
+// compact drops the broadcasts that newer ones have replaced, so that the number of members bounds the queue,
+// however quickly members change.
+func (q *broadcastQueue) compact() {
+	q.count = 0
+	for i := range q.byTransmits {
+		q.byTransmits[i] = slices.DeleteFunc(
+			q.byTransmits[i],
+			func(b queuedBroadcast) bool { return b.revision != b.member.revision },
 		)
-		n.count += len(n.byTransmits[i])
+		q.count += len(q.byTransmits[i])
 	}
 }
 
-func (n *broadcastQueue) push(times int, it queuedBroadcast) {
-	for len(n.byTransmits) <= times {
-		n.byTransmits = append(n.byTransmits, nil)
+// push adds a broadcast that has been sent as often as transmits says.
+func (q *broadcastQueue) push(transmits int, broadcast queuedBroadcast) {
+	for len(q.byTransmits) <= transmits {
+		q.byTransmits = append(q.byTransmits, nil)
 	}
-	n.byTransmits[times] = append(n.byTransmits[times], it)
-	n.count++
+	q.byTransmits[transmits] = append(q.byTransmits[transmits], broadcast)
+	q.count++
 }
 
-// next takes out the member broadcast least often, the latest first; ok is false if there is none.
-func (n *broadcastQueue) next() (it queuedBroadcast, times int, ok bool) {
-	for times := range n.byTransmits {
-		for l := len(n.byTransmits[times]); l > 0; l = len(n.byTransmits[times]) {
-			it := n.byTransmits[times][l-1]
-			n.byTransmits[times] = n.byTransmits[times][:l-1]
-			n.count--
-			if it.revision == it.member.revision {
-				return it, times, true
+// next removes and returns the broadcast that has been sent least often, the latest first; ok is false if
+// there is none.
+func (q *broadcastQueue) next() (broadcast queuedBroadcast, transmits int, ok bool) {
+	for transmits := range q.byTransmits {
+		for count := len(q.byTransmits[transmits]); count > 0; count = len(q.byTransmits[transmits]) {
+			broadcast := q.byTransmits[transmits][count-1]
+			q.byTransmits[transmits] = q.byTransmits[transmits][:count-1]
+			q.count--
+			if broadcast.revision == broadcast.member.revision {
+				return broadcast, transmits, true
 			}
 		}
 	}
 	return queuedBroadcast{}, 0, false
 }
 
-// statementOf is the statement on r as it is sent, with the age of a death or leave.
-func (c *Core) statementOf(r *memberState) wire.Statement {
-	st := r.statement
-	if !r.living() {
-		st.Age = uint16(min((c.now-r.since)/ageResolution, wire.MaxAge))
+// statementOf returns the statement on a member as it is sent, with the age of a death or leave.
+func (c *Core) statementOf(member *memberState) wire.Statement {
+	statement := member.statement
+	if !member.living() {
+		statement.Age = uint16(min((c.now-member.since)/ageResolution, wire.MaxAge))
 	}
-	return st
+	return statement
 }
 
-// appendBroadcasts adds statements to a datagram until one does not fit: the leading ones, the broadcasts,
-// and last the node's own, which brings its load.
-func (c *Core) appendBroadcasts(b []byte, lead ...*memberState) []byte {
-	for _, r := range lead {
-		b, _ = wire.AppendStatement(b, c.statementOf(r))
+// appendBroadcasts appends statements to a datagram until one does not fit: those on the leading members, the
+// broadcasts, and last the statement on this node, which carries its load.
+func (c *Core) appendBroadcasts(datagram []byte, leading ...*memberState) []byte {
+	for _, member := range leading {
+		datagram, _ = wire.AppendStatement(datagram, c.statementOf(member))
 	}
-	var again []queuedBroadcast
-	var at []int
-	own := slices.Contains(lead, c.self)
+	var requeued []queuedBroadcast
+	var requeuedTransmits []int
+	includesSelf := slices.Contains(leading, c.self)
 	for fits := true; fits; {
-		it, times, ok := c.broadcasts.next()
+		broadcast, transmits, ok := c.broadcasts.next()
 		if !ok {
 			break
 		}
-		if !slices.Contains(lead, it.member) {
-			b, fits = wire.AppendStatement(b, c.statementOf(it.member))
+		if !slices.Contains(leading, broadcast.member) {
+			datagram, fits = wire.AppendStatement(datagram, c.statementOf(broadcast.member))
 		}
 		if fits {
-			own = own || it.member == c.self
-			times++
+			includesSelf = includesSelf || broadcast.member == c.self
+			transmits++
 		}
-		if times < c.retransmitLimit() {
-			again, at = append(again, it), append(at, times)
+		if transmits < c.retransmitLimit() {
+			requeued, requeuedTransmits = append(requeued, broadcast), append(requeuedTransmits, transmits)
 		}
 	}
-	for i := len(again) - 1; i >= 0; i-- {
-		c.broadcasts.push(at[i], again[i])
+	for i := len(requeued) - 1; i >= 0; i-- {
+		c.broadcasts.push(requeuedTransmits[i], requeued[i])
 	}
-	if !own {
-		b, _ = wire.AppendStatement(b, c.statementOf(c.self))
+	if !includesSelf {
+		datagram, _ = wire.AppendStatement(datagram, c.statementOf(c.self))
 	}
-	return b
+	return datagram
 }
 
-// gossipBroadcasts sends broadcasts to a few members beside the probes.
+// gossipBroadcasts sends broadcasts to a few members in addition to the probes.
 func (c *Core) gossipBroadcasts() {
 	for range gossipFanout {
 		if to := c.pickLiving(nil); to != nil && c.broadcasts.count > 0 {
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -8,53 +8,56 @@
 	"wrenspread/internal/membership"
 )
 
-// Lines of the log, a second and at once; more are counted and logged with the next.
+// Bounds of the log lines, a second and at once. Lines beyond them are counted, and the next line has the
+// count.
 const (
 	logRate  = 10
 	logBurst = 50
 )
 
-// memberChanged keeps what the server holds beside the core: counts, addresses, numbers.
-func (s *Server) memberChanged(a membership.MemberChanged) {
+// memberChanged updates the server's own state of a member (counts, addresses and numbers) and logs the
+// change.
+func (s *Server) memberChanged(change membership.MemberChanged) {
 	s.changes.Add(1)
-	if b := a.Before; b.Name != "" {
-		s.membersByHealth[b.Health].Add(-1)
-		s.memberAddresses.Delete(b.Addr)
+	if before := change.Before; before.Name != "" {
+		s.membersByHealth[before.Health].Add(-1)
+		s.memberAddresses.Delete(before.Addr)
 	}
-	m := a.Member
-	if m.Name == "" {
-		delete(s.numbers, a.Before.Name)
-		s.contacts.Delete(a.Before.Name)
+	member := change.Member
+	if member.Name == "" {
+		delete(s.peerNumbers, change.Before.Name)
+		s.contacts.Delete(change.Before.Name)
 		return
 	}
-	s.membersByHealth[m.Health].Add(1)
-	s.numbers[m.Name] = m.Number
-	s.recordContact(m)
-	if m.Health <= membership.Suspect {
-		s.memberAddresses.Store(m.Addr, true)
+	s.membersByHealth[member.Health].Add(1)
+	s.peerNumbers[member.Name] = member.Number
+	s.recordContact(member)
+	if member.Health <= membership.Suspect {
+		s.memberAddresses.Store(member.Addr, true)
 	}
-	if b := a.Before; m.Health != b.Health || m.Generation != b.Generation ||
-		m.Metadata.State != b.Metadata.State {
+	if before := change.Before; member.Health != before.Health || member.Generation != before.Generation ||
+		member.Metadata.State != before.Metadata.State {
 		s.logLimited(
 			slog.LevelInfo,
-			"member",
+			"member changed",
 			"name",
-			m.Name,
+			member.Name,
 			"health",
-			m.Health,
+			member.Health,
 			"state",
-			m.Metadata.State,
+			member.Metadata.State,
 			"generation",
-			m.Generation,
+			member.Generation,
 			"why",
-			cmp.Or(m.Reason, "-"),
+			cmp.Or(member.Reason, "-"),
 			"by",
-			cmp.Or(m.Accusers, "-"),
+			cmp.Or(member.Accusers, "-"),
 		)
 	}
 }
 
-// logLimited writes a line, unless there were too many: others can bring them about at will.
+// logLimited writes a log line, unless there were too many. The limit is needed because other nodes can cause
+// lines at will.
 func (s *Server) logLimited(level slog.Level, text string, args ...any) {
 	if !s.logLimiter.Allow() {
 		s.suppressedLines++
--- a/internal/membership/gossip/contacts.go
+++ b/internal/membership/gossip/contacts.go
@@ -7,25 +7,25 @@
 	"wrenspread/internal/membership"
 )
 
-// contact is how a member is reached, whether it serves, and which catalogue of tenants it has.
+// contact is a member's address, whether the member serves, and the version of its tenant catalogue.
 type contact struct {
 	address   netip.AddrPort
 	serving   bool
-	catalogue uint64 // 0 of one that is not alive
+	catalogue uint64 // 0 if the member is not alive
 }
 
-// SendTo sends a datagram of another part of the program to a member by its name, if it is known. It does not
-// wait.
+// SendTo sends a datagram of another part of the program to the member with the name, if it is known. It does
+// not block.
 func (s *Server) SendTo(name string, data []byte) {
-	if r, ok := s.contacts.Load(name); ok && r.(contact).address.IsValid() {
-		s.cfg.Send(r.(contact).address, data)
+	if value, ok := s.contacts.Load(name); ok && value.(contact).address.IsValid() {
+		s.cfg.Send(value.(contact).address, data)
 	}
 }
 
-// ServingMembers are the members that live and serve, but the own one, by name.
+// ServingMembers returns the names, in order, of the other members that are alive and serve.
 func (s *Server) ServingMembers() (all []string) {
-	s.contacts.Range(func(name, r any) bool {
-		if r.(contact).serving && name != s.cfg.Name {
+	s.contacts.Range(func(name, value any) bool {
+		if value.(contact).serving && name != s.cfg.Name {
 			all = append(all, name.(string))
 		}
 		return true
@@ -34,20 +34,20 @@
 	return all
 }
 
-// HighestCatalogue is the highest number of a catalogue of tenants that a live member says it has.
+// HighestCatalogue returns the highest version of the tenant catalogue that a live member reports.
 func (s *Server) HighestCatalogue() (number uint64) {
-	s.contacts.Range(func(_, r any) bool {
-		number = max(number, r.(contact).catalogue)
+	s.contacts.Range(func(_, value any) bool {
+		number = max(number, value.(contact).catalogue)
 		return true
 	})
 	return number
 }
 
-// recordContact keeps how a member is reached.
-func (s *Server) recordContact(m membership.Member) {
-	r := contact{address: s.address(m.Name, m.Addr)}
-	if m.Health == membership.Alive {
-		r.serving, r.catalogue = m.Metadata.State == membership.Serving, m.Metadata.Catalogue
+// recordContact updates the contact of a member.
+func (s *Server) recordContact(member membership.Member) {
+	c := contact{address: s.address(member.Name, member.Addr)}
+	if member.Health == membership.Alive {
+		c.serving, c.catalogue = member.Metadata.State == membership.Serving, member.Metadata.Catalogue
 	}
-	s.contacts.Store(m.Name, r)
+	s.contacts.Store(member.Name, c)
 }
--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -8,29 +8,32 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Datagrams of this fleet from addresses of no member, a second and at once: what 300 that join within a
-// second send until they are known, and some. Decoding so many takes about a millisecond.
+// Bounds of the datagrams of this fleet from addresses of no member, a second and at once: somewhat more than
+// 300 nodes that join within a second send until they are known. Decoding that many takes about a
+// millisecond.
 const (
-	strangersRate  = 500
-	strangersBurst = 500
+	strangerRate  = 500
+	strangerBurst = 500
 )
 
+// receivedCounters count the received datagrams, those from strangers and those that were dropped.
 type receivedCounters struct {
 	trafficCounters
-	strangers, dropped atomic.Int64
+	fromStrangers, dropped atomic.Int64
 }
 
-// Receive takes a datagram from the socket. It does not wait, and data is not kept. What is not of this
-// fleet, too much of what strangers send, and what the owner has no time for is dropped.
+// Receive passes a datagram from the socket to the owner. It does not block and does not retain data. It
+// drops datagrams of other fleets, datagrams of strangers beyond a rate, and datagrams for which the owner's
+// queue is full.
 func (s *Server) Receive(from netip.AddrPort, data []byte) {
 	s.received.datagrams.Add(1)
 	s.received.bytes.Add(int64(len(data)))
-	known := s.peers[from]
+	known := s.peerAddresses[from]
 	if !known {
 		_, known = s.memberAddresses.Load(from)
 	}
 	if !known {
-		s.received.strangers.Add(1)
+		s.received.fromStrangers.Add(1)
 	}
 	if !wire.IsOurs(data, s.hash) || !known && !s.strangerLimiter.Allow() {
 		s.received.dropped.Add(1)
@@ -43,19 +46,20 @@
 	}
 }
 
-func (s *Server) send(a membership.Send) {
-	to := s.address(a.Name, a.To)
+func (s *Server) send(action membership.Send) {
+	to := s.address(action.Name, action.To)
 	if !to.IsValid() {
 		return
 	}
 	s.sent.datagrams.Add(1)
-	s.sent.bytes.Add(int64(len(a.Data)))
-	s.cfg.Send(to, a.Data)
+	s.sent.bytes.Add(int64(len(action.Data)))
+	s.cfg.Send(to, action.Data)
 }
 
-// address is the configured one of a member that has a number here, else what it advertises.
+// address returns a member's configured address, or the address that the member advertises if none is
+// configured.
 func (s *Server) address(name string, advertised netip.AddrPort) netip.AddrPort {
-	if number, ok := s.numbers[name]; ok && number >= 0 && number < len(s.cfg.Peers) &&
+	if number, ok := s.peerNumbers[name]; ok && number >= 0 && number < len(s.cfg.Peers) &&
 		s.cfg.Peers[number].IsValid() {
 		return s.cfg.Peers[number]
 	}
--- a/internal/membership/gossip/handoff.go
+++ b/internal/membership/gossip/handoff.go
@@ -6,21 +6,22 @@
 	"wrenspread/internal/membership"
 )
 
-// maxHandoffAddresses bounds the addresses that are handed over. One that answers is enough; 16 are all lost
-// once in 10 to the 8 at a loss of 30%.
+// maxHandoffAddresses bounds the addresses that are handed over. One that answers is enough; at a loss of
+// 30%, datagrams to all 16 are lost once in 10 to the 8.
 const maxHandoffAddresses = 16
 
-// Handoff is what one process of a node hands to the next, so that others see neither a death nor a second
-// process.
+// Handoff is what one process of a node passes to the next, so that other nodes see neither a death nor a
+// second process.
 type Handoff struct {
 	Generation  uint64           `json:"life"`
 	Incarnation uint32           `json:"incarnation"`
 	State       membership.State `json:"state"`
-	// living members, to learn the view from; at most maxHandoffAddresses count
+	// Join has the addresses of living members, from which the next process learns the view. At most
+	// maxHandoffAddresses are used. It may be empty; the next process then joins by its seeds.
 	Join []netip.AddrPort `json:"join,omitempty"`
 }
 
-// HandOver ends the view here without notifying the others, and gives what the next process goes on with.
+// HandOver ends the server without notifying the other nodes, and returns the handoff for the next process.
 func (s *Server) HandOver() *Handoff {
 	s.stop()
 	<-s.ended
@@ -36,6 +37,7 @@
 	return h
 }
 
+// addresses returns the addresses to join by, at most maxHandoffAddresses.
 func (h *Handoff) addresses() []netip.AddrPort {
 	return append([]netip.AddrPort(nil), h.Join[:min(len(h.Join), maxHandoffAddresses)]...)
 }
--- a/internal/membership/gossip/metadata.go
+++ b/internal/membership/gossip/metadata.go
@@ -2,15 +2,16 @@
 
 import "wrenspread/internal/membership"
 
+// versions are the versions of the tenant catalogue and of the policy that this proxy has.
 type versions struct{ catalogue, policy uint64 }
 
-// SetVersions publishes the versions of the tenant catalogue and of the policy that this proxy has; others
-// hear of them within a period. It does not wait.
+// SetVersions publishes the versions of the tenant catalogue and of the policy that this proxy has; this node
+// starts to broadcast them within a period. It does not block.
 func (s *Server) SetVersions(catalogue, policy uint64) {
 	s.versions.Store(&versions{catalogue, policy})
 }
 
-// currentMetadata is the node's metadata now.
+// currentMetadata returns the node's present metadata.
 func (s *Server) currentMetadata() membership.Metadata {
 	v := s.versions.Load()
 	state, load := s.cfg.LocalState()
--- a/internal/membership/gossip/report.go
+++ b/internal/membership/gossip/report.go
@@ -9,8 +9,8 @@
 	"wrenspread/internal/membership"
 )
 
-// Report is what a node reports about its view on the control address: at most 4,096 members, as many as the
-// core remembers.
+// Report is what a node reports about its view on the control address. It has at most 4,096 members, as many
+// as the core remembers.
 type Report struct {
 	Fleet       string   `json:"fleet"`
 	Name        string   `json:"name"`
@@ -18,23 +18,23 @@
 	Incarnation uint32   `json:"incarnation"`
 	Version     uint64   `json:"number"`  // rises with each change that the digest covers
 	Digest      string   `json:"digest"`  // 16 hexadecimal digits
-	Yielded     bool     `json:"yielded"` // silent, as another process has the name
-	Members     []Member `json:"members"` // by name, own included
+	Yielded     bool     `json:"yielded"` // the node is silent, as another process has its name
+	Members     []Member `json:"members"` // by name, this node included
 	Sent        Traffic  `json:"sent"`
 	Received    Received `json:"received"`
-	LateMS      int64    `json:"late_ms"` // by how much its worst wake so far came too late
+	LateMS      int64    `json:"late_ms"` // largest lateness of a wake so far
 }
 
-// Member is one member as the node sees it.
+// Member is a member in the node's view.
 type Member struct {
 	Name        string `json:"name"`
 	Health      string `json:"health"` // alive, suspect, dead, left
 	State       string `json:"state"`  // joining, serving, draining, leaving
 	Generation  uint64 `json:"life"`
 	Incarnation uint32 `json:"incarnation"`
-	AgeMS       int64  `json:"age_ms"` // since it has this generation and health
+	AgeMS       int64  `json:"age_ms"` // for how long the member has had this generation and health
 	Reason      string `json:"why"`
-	Accusers    string `json:"by"` // names of its accusers, by comma
+	Accusers    string `json:"by"` // names of the accusers, separated by commas
 	Zone        string `json:"zone"`
 	Version     string `json:"version"`
 	Catalogue   uint64 `json:"catalogue"`
@@ -42,90 +42,90 @@
 	Load        uint16 `json:"load"` // per mille
 }
 
-// Traffic is what has gone over the socket since the process began.
+// Traffic counts the datagrams in one direction since the start of the process.
 type Traffic struct {
 	Datagrams int64 `json:"datagrams"`
 	Bytes     int64 `json:"bytes"`
 }
 
-// Received is what has come.
+// Received counts the received datagrams.
 type Received struct {
 	Traffic
 	Strangers int64 `json:"strangers"` // datagrams from addresses of no member
-	// datagrams that were not looked into: of no fleet or another one, too many
+	// Dropped counts the datagrams that were not decoded: of another fleet or no fleet, or too many.
 	Dropped int64 `json:"dropped"`
 }
 
-// Report asks the owner for what it sees. It returns false if the owner has ended, or does not get to it
-// before the context ends.
+// Report returns a report of the owner's present view. ok is false if the owner has ended, or did not answer
+// before the context ended.
 func (s *Server) Report(ctx context.Context) (r Report, ok bool) {
 	ok = s.call(ctx, func() { r = s.report() })
 	return r, ok
 }
 
 func (s *Server) report() Report {
-	v := s.core.View()
-	r := Report{
+	view := s.core.View()
+	report := Report{
 		Fleet:   s.cfg.Fleet,
-		Name:    v.Self,
-		Version: v.Version,
-		Digest:  fmt.Sprintf("%016x", v.Digest),
-		Yielded: v.Yielded,
+		Name:    view.Self,
+		Version: view.Version,
+		Digest:  fmt.Sprintf("%016x", view.Digest),
+		Yielded: view.Yielded,
 		Sent:    s.sent.read(),
 		Received: Received{
 			Traffic:   s.received.read(),
-			Strangers: s.received.strangers.Load(),
+			Strangers: s.received.fromStrangers.Load(),
 			Dropped:   s.received.dropped.Load(),
 		},
 		LateMS:  s.maxLateness.Milliseconds(),
-		Members: make([]Member, 0, len(v.Members)),
+		Members: make([]Member, 0, len(view.Members)),
 	}
-	for _, m := range v.Members {
-		if m.Name == v.Self {
-			r.Generation, r.Incarnation = m.Generation, m.Incarnation
+	for _, member := range view.Members {
+		if member.Name == view.Self {
+			report.Generation, report.Incarnation = member.Generation, member.Incarnation
 		}
-		r.Members = append(
-			r.Members,
+		report.Members = append(
+			report.Members,
 			Member{
-				Name:        m.Name,
-				Health:      m.Health.String(),
-				State:       m.Metadata.State.String(),
-				Generation:  m.Generation,
-				Incarnation: m.Incarnation,
-				AgeMS:       max(0, s.now()-m.Since).Milliseconds(),
-				Reason:      m.Reason,
-				Accusers:    m.Accusers,
-				Zone:        m.Metadata.Zone,
-				Version:     m.Metadata.Version,
-				Catalogue:   m.Metadata.Catalogue,
-				Policy:      m.Metadata.Policy,
-				Load:        m.Metadata.Load,
+				Name:        member.Name,
+				Health:      member.Health.String(),
+				State:       member.Metadata.State.String(),
+				Generation:  member.Generation,
+				Incarnation: member.Incarnation,
+				AgeMS:       max(0, s.now()-member.Since).Milliseconds(),
+				Reason:      member.Reason,
+				Accusers:    member.Accusers,
+				Zone:        member.Metadata.Zone,
+				Version:     member.Metadata.Version,
+				Catalogue:   member.Metadata.Catalogue,
+				Policy:      member.Metadata.Policy,
+				Load:        member.Metadata.Load,
 			},
 		)
 	}
-	return r
+	return report
 }
 
 func (t *trafficCounters) read() Traffic {
 	return Traffic{Datagrams: t.datagrams.Load(), Bytes: t.bytes.Load()}
 }
 
-// WriteStats returns the membership metrics as lines of text. It waits for nobody.
+// WriteStats writes the membership metrics as lines of text. It does not wait for the owner.
 func (s *Server) WriteStats(w io.Writer) {
-	for _, g := range []struct {
+	for _, gauge := range []struct {
 		name   string
 		health membership.Health
 	}{{"alive", membership.Alive}, {"suspect", membership.Suspect}, {"dead", membership.Dead}} {
-		besteffort.Output(fmt.Fprintf(w, "app.fleet.%s:%d|g\n", g.name, s.membersByHealth[g.health].Load()))
+		besteffort.Output(fmt.Fprintf(w, "app.fleet.%s:%d|g\n", gauge.name, s.membersByHealth[gauge.health].Load()))
 	}
-	t := s.sent.read()
+	sent := s.sent.read()
 	besteffort.Output(
 		fmt.Fprintf(
 			w,
 			"app.fleet.changes:%d|c\napp.fleet.datagrams:%d|c\napp.fleet.bytes:%d|c\n",
 			s.changes.Load(),
-			t.Datagrams,
-			t.Bytes,
+			sent.Datagrams,
+			sent.Bytes,
 		),
 	)
 }
--- a/internal/membership/gossip/server.go
+++ b/internal/membership/gossip/server.go
@@ -1,5 +1,5 @@
 // Package gossip runs the membership core in a process: it passes datagrams and the time to the core, and
-// carries out the actions that this returns. It owns no socket: its owner sends and receives.
+// carries out the actions that the core returns. It has no socket: its user sends and receives the datagrams.
 package gossip
 
 import (
@@ -17,63 +17,65 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Config is what a Server starts with.
+// Config configures a Server.
 type Config struct {
 	Fleet, Name string
-	Number      int              // own place among Peers, -1: none
-	Addr        netip.AddrPort   // at which members without a number for this node reach it
-	Seeds       []netip.AddrPort // to join by
-	// the configured addresses, by members' numbers; they go before what members advertise
+	Number      int              // the node's index in Peers; -1 means none
+	Addr        netip.AddrPort   // the node's address, for members that have no Peers entry for it
+	Seeds       []netip.AddrPort // addresses to join by
+	// Peers are the configured addresses of members, by member number. They take precedence over the addresses
+	// that members advertise.
 	Peers         []netip.AddrPort
-	ProbeInterval time.Duration // 0: the core's
+	ProbeInterval time.Duration // 0 means the core's default
 	Zone, Version string
-	// asked in each period by the owner; must not wait
+	// LocalState returns the node's present state and load. It is called in each period and must not block.
 	LocalState func() (state membership.State, load uint16)
 	Send       func(to netip.AddrPort, datagram []byte) // must not wait for an answer
 	Log        *slog.Logger
-	Handoff    *Handoff // by the process of this node before; nil: there is none
+	Handoff    *Handoff // from the node's previous process; nil means none
 }
 
-// eventQueue bounds the datagrams that wait for the owner: 128 kB. At 10 a second from each of 30 members,
-// that is over a second.
+// eventQueue is the number of datagrams that may wait for the owner: 128 kB. At 10 a second from each of 30
+// members, that is over a second's datagrams.
 const eventQueue = 512
 
-// Server keeps one node's view. Its goroutine is the one owner of the core; it ends with the context, with
-// Leave or with HandOver.
+// Server maintains one node's view. Its goroutine, run, is the only owner of the core; it ends with the
+// context, with Leave or with HandOver.
 type Server struct {
 	cfg    Config
-	hash   uint32 // of the fleet's name
-	start  time.Time
-	events chan membership.Event
-	calls  chan func()
-	stop   context.CancelFunc
-	ended  chan struct{}
-
-	peers           map[netip.AddrPort]bool // the configured ones
+	hash   uint32                // of the fleet's name
+	start  time.Time             // origin of the core's times
+	events chan membership.Event // datagrams for the owner
+	calls  chan func()           // functions for the owner to run
+	stop   context.CancelFunc    // ends the owner
+	ended  chan struct{}         // closed once the owner has ended
+
+	peerAddresses   map[netip.AddrPort]bool // configured addresses
 	memberAddresses sync.Map                // addresses (netip.AddrPort) of living members
-	contacts        sync.Map                // by name: reach
+	contacts        sync.Map                // contact by name
 	strangerLimiter *rate.Limiter
 	received        receivedCounters
-	membersByHealth [4]atomic.Int64 // members by health, own included
+	membersByHealth [4]atomic.Int64 // number of members by health, this node included
 	changes         atomic.Int64
 	sent            trafficCounters
 	versions        atomic.Pointer[versions]
 
-	// The rest belongs to the owner.
+	// The other fields belong to the owner.
 	core            *membership.Core
 	timer           *time.Timer
-	wakeAt          time.Duration
-	maxLateness     time.Duration // lateness of a wake
+	expectedWakeAt  time.Duration // when the requested wake is due
+	maxLateness     time.Duration // of a wake
 	metadata        membership.Metadata
-	numbers         map[string]int // of members among the peers
+	peerNumbers     map[string]int // index in Config.Peers by member name
 	logLimiter      *rate.Limiter
-	suppressedLines int
-	left            bool
+	suppressedLines int // log lines that were dropped since the last line
+	hasLeft         bool
 }
 
+// trafficCounters count the datagrams and bytes in one direction.
 type trafficCounters struct{ datagrams, bytes atomic.Int64 }
 
-// Start begins to keep the view. cfg has passed Check.
+// Start starts to maintain the view. cfg has passed Check.
 func Start(ctx context.Context, cfg Config) *Server {
 	ctx, stop := context.WithCancel(ctx)
 	s := &Server{
@@ -85,16 +87,16 @@
 		stop:   stop,
 		ended:  make(chan struct{}),
 		strangerLimiter: rate.NewLimiter(
-			strangersRate,
-			strangersBurst,
+			strangerRate,
+			strangerBurst,
 		),
-		logLimiter: rate.NewLimiter(logRate, logBurst),
-		numbers:    map[string]int{},
-		peers:      map[netip.AddrPort]bool{},
-		timer:      time.NewTimer(0),
+		logLimiter:    rate.NewLimiter(logRate, logBurst),
+		peerNumbers:   map[string]int{},
+		peerAddresses: map[netip.AddrPort]bool{},
+		timer:         time.NewTimer(0),
 	}
 	for _, a := range cfg.Peers {
-		s.peers[a] = true
+		s.peerAddresses[a] = true
 	}
 	s.versions.Store(&versions{})
 	s.membersByHealth[membership.Alive].Store(1)
@@ -104,7 +106,7 @@
 	return s
 }
 
-// Check says what Start could not work with.
+// Check returns an error if Start can't work with the configuration.
 func (cfg Config) Check() error {
 	return membership.Config{
 		Fleet:    cfg.Fleet,
@@ -115,10 +117,11 @@
 	}.Check()
 }
 
-// coreConfig has the node begin a new generation, unless one was handed over.
+// coreConfig returns the core's configuration. It continues the generation that was handed over; without a
+// usable handoff it starts a new generation.
 func (s *Server) coreConfig() membership.Config {
 	cfg := s.cfg
-	c := membership.Config{
+	fresh := membership.Config{
 		Fleet:         cfg.Fleet,
 		Name:          cfg.Name,
 		Number:        cfg.Number,
@@ -129,31 +132,31 @@
 		RandomSeed:    uint64(s.start.UnixNano()),
 		Generation:    uint64(s.start.UnixMilli()),
 	}
-	if h := cfg.Handoff; h != nil {
-		on := c
-		on.Generation, on.Incarnation = h.Generation, h.Incarnation+1
-		on.Seeds = append(h.addresses(), c.Seeds...)
-		if err := on.Check(); err == nil && h.Incarnation+1 > 0 {
-			return on
+	if handoff := cfg.Handoff; handoff != nil {
+		continued := fresh
+		continued.Generation, continued.Incarnation = handoff.Generation, handoff.Incarnation+1
+		continued.Seeds = append(handoff.addresses(), fresh.Seeds...)
+		if err := continued.Check(); err == nil && handoff.Incarnation+1 > 0 {
+			return continued
 		}
 		cfg.Log.Warn(
 			"cannot continue the previous generation",
 			"generation",
-			h.Generation,
+			handoff.Generation,
 			"incarnation",
-			h.Incarnation,
+			handoff.Incarnation,
 		)
 	}
-	return c
+	return fresh
 }
 
 func (s *Server) now() membership.Time { return time.Since(s.start) }
 
-// run is the owner.
+// run is the owner of the core. It handles datagrams, calls and wakes.
 func (s *Server) run(ctx context.Context) {
 	defer close(s.ended)
 	defer s.timer.Stop()
-	for !s.left {
+	for !s.hasLeft {
 		select {
 		case <-ctx.Done():
 			return
@@ -162,24 +165,25 @@
 		case e := <-s.events:
 			s.handle(e)
 		case <-s.timer.C:
-			if f := s.currentMetadata(); f != s.metadata {
-				s.metadata = f
-				s.handle(membership.MetadataChanged{Metadata: f})
+			if metadata := s.currentMetadata(); metadata != s.metadata {
+				s.metadata = metadata
+				s.handle(membership.MetadataChanged{Metadata: metadata})
 			}
 			s.handle(membership.Tick{})
 		}
 	}
 }
 
+// handle passes an event to the core and carries out the core's actions.
 func (s *Server) handle(e membership.Event) {
 	now := s.now()
-	s.maxLateness = max(s.maxLateness, now-s.wakeAt)
+	s.maxLateness = max(s.maxLateness, now-s.expectedWakeAt)
 	for _, a := range s.core.Handle(now, e) {
 		switch a := a.(type) {
 		case membership.Send:
 			s.send(a)
 		case membership.Wake:
-			s.wakeAt = s.now() + a.After
+			s.expectedWakeAt = s.now() + a.After
 			s.timer.Reset(a.After)
 		case membership.MemberChanged:
 			s.memberChanged(a)
@@ -195,17 +199,17 @@
 				a.Yielded,
 			)
 			if a.Yielded {
-				s.wakeAt = math.MaxInt64 // it wakes no more
+				s.expectedWakeAt = math.MaxInt64 // the core requests no more wakes
 			}
 		case membership.LeaveDone:
-			s.left = true
+			s.hasLeft = true
 		case membership.Log:
 			s.logLimited(slog.LevelInfo, "fleet: "+a.Text)
 		}
 	}
 }
 
-// call has the owner run f, and reports whether it did before the context ended.
+// call lets the owner run f, and reports whether the owner did so before the context ended.
 func (s *Server) call(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -218,7 +222,7 @@
 	return false
 }
 
-// Leave tells the others that this node goes on purpose, and returns when that has been said or the context
+// Leave broadcasts that this node leaves the fleet on purpose, and returns when that is done or the context
 // ends.
 func (s *Server) Leave(ctx context.Context) {
 	defer s.stop()
--- a/internal/membership/gossip/server_test.go
+++ b/internal/membership/gossip/server_test.go
@@ -121,7 +121,7 @@
 		}
 		a.Receive(netip.AddrPortFrom(addr(2+i%200).Addr(), uint16(i)), data)
 	}
-	most := int64(strangersBurst + strangersRate*time.Since(begun).Seconds() + 1)
+	most := int64(strangerBurst + strangerRate*time.Since(begun).Seconds() + 1)
 	let := a.received.read().Datagrams - before - a.received.dropped.Load()
 	if members := a.received.read().Datagrams - before - flood; let > most+members {
 		t.Errorf("%d reached the owner, want at most %d and %d of members", let, most, members)
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -2,13 +2,14 @@
 
 import "wrenspread/internal/membership/wire"
 
-// A leave is sent to three drawn members in each of eight periods, and rides on answers: 1.6 s. With a loss
-// of 30% all 24 datagrams are lost once in 10 to the 12.
+// A leave is sent to leaveFanout random members in each of leavePeriods periods, so for 1.6 s, and rides on
+// answers. At a loss of 30% all 24 datagrams are lost with a probability of 10 to the -12.
 const (
 	leavePeriods = 8
 	leaveFanout  = 3
 )
 
+// leave starts the broadcast of the node's leave.
 func (c *Core) leave() {
 	if c.leavePeriodsLeft > 0 {
 		return
@@ -21,12 +22,12 @@
 	c.leavePeriod()
 }
 
-// leavePeriod is the period of a node that goes: it probes nobody and answers still.
+// leavePeriod does the work of one period of a leaving node, which sends no probes but still answers.
 func (c *Core) leavePeriod() {
 	c.probe.pending = false
 	c.leavePeriodsLeft--
-	if c.leavePeriodsLeft == 0 || c.living == 0 {
-		c.left = true
+	if c.leavePeriodsLeft == 0 || c.livingCount == 0 {
+		c.hasLeft = true
 		c.actions = append(c.actions, LeaveDone{})
 		return
 	}
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -7,93 +7,96 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// memberState is what the node remembers of one member.
+// memberState is the node's state of one member.
 type memberState struct {
-	hash         uint64
-	statement    wire.Statement
-	sum          uint64
-	since        Time // of this generation and health
-	inDigest     bool // covered by the digest
-	suspectSince Time // when the suspicion began to count, lateness added
-	revision     uint32
-	inRound      bool // in the round of probes
+	hash         uint64         // of the name
+	statement    wire.Statement // the merge of all statements received on the member
+	sum          uint64         // the statement's part in the digest
+	since        Time           // since when the member has its generation and health
+	inDigest     bool           // the digest covers the member
+	suspectSince Time           // when the suspicion timeout began, moved by the time of late wakes
+	revision     uint32         // rises with each queued broadcast of the member
+	inRound      bool           // the member is in the present round of probes
 }
 
-func (r *memberState) living() bool { return r.statement.Health <= Suspect }
+func (m *memberState) living() bool { return m.statement.Health <= Suspect }
 
+// find returns the index in sorted of the member with the hash, or the index at which to insert it.
 func (c *Core) find(hash uint64) (int, bool) {
 	return slices.BinarySearchFunc(
 		c.sorted,
 		hash,
-		func(r *memberState, h uint64) int { return cmp.Compare(r.hash, h) },
+		func(member *memberState, h uint64) int { return cmp.Compare(member.hash, h) },
 	)
 }
 
-// addMember makes space for a name that is not known yet; nil if there is none.
-func (c *Core) addMember(st wire.Statement) *memberState {
+// addMember adds a member for a statement on a name that is not known yet; the caller updates it. It returns
+// nil if the view is full of living members.
+func (c *Core) addMember(statement wire.Statement) *memberState {
 	if len(c.sorted) >= c.cfg.MaxMembers && !c.forgetOldest() {
 		c.stats.Refused++
 		return nil
 	}
-	r := &memberState{hash: wire.Hash(st.Name), since: -1}
-	at, _ := c.find(r.hash)
-	c.sorted = slices.Insert(c.sorted, at, r)
-	c.byHash[r.hash] = r
-	return r
+	member := &memberState{hash: wire.Hash(statement.Name), since: -1}
+	at, _ := c.find(member.hash)
+	c.sorted = slices.Insert(c.sorted, at, member)
+	c.byHash[member.hash] = member
+	return member
 }
 
-// updateMember takes up a statement as what holds of r. It keeps sums, counts, the round and the broadcasts
-// right, and reports the change.
-func (c *Core) updateMember(r *memberState, st wire.Statement) {
-	before, known := r.statement, r.statement.Name != ""
-	was := Member{}
+// updateMember replaces a member's statement. It updates the digest, counts, the round of probes and the
+// broadcasts, and reports the change unless only load, accusers or age have changed.
+func (c *Core) updateMember(member *memberState, statement wire.Statement) {
+	before, known := member.statement, member.statement.Name != ""
+	previous := Member{}
 	if known {
-		was = c.member(before, r.since)
+		previous = c.asMember(before, member.since)
 	}
-	age := Time(st.Age) * ageResolution
-	st.Age = 0
-	plain := known && before.WithoutVolatile() == st.WithoutVolatile()
-	if !known || before.Generation != st.Generation || before.Health != st.Health ||
-		(!r.living() && before.Incarnation != st.Incarnation) {
-		r.since = c.now - age
-	} else if !r.living() {
-		r.since = min(r.since, c.now-age)
+	age := Time(statement.Age) * ageResolution
+	statement.Age = 0
+	onlyVolatile := known && before.WithoutVolatile() == statement.WithoutVolatile()
+	if !known || before.Generation != statement.Generation || before.Health != statement.Health ||
+		(!member.living() && before.Incarnation != statement.Incarnation) {
+		member.since = c.now - age
+	} else if !member.living() {
+		member.since = min(member.since, c.now-age)
 	}
-	if st.Health == Suspect && !plain {
-		r.suspectSince = c.now
+	if statement.Health == Suspect && !onlyVolatile {
+		member.suspectSince = c.now
 	}
-	c.countMember(r, -1)
-	r.statement = st
-	c.countMember(r, +1)
-	if !plain {
-		c.excludeFromDigest(r)
-		r.sum = st.Sum()
-		c.includeInDigest(r)
+	c.countMember(member, -1)
+	member.statement = statement
+	c.countMember(member, +1)
+	if !onlyVolatile {
+		c.excludeFromDigest(member)
+		member.sum = statement.Sum()
+		c.includeInDigest(member)
 		c.version++
-		c.addToRound(r)
-		c.actions = append(c.actions, MemberChanged{Member: c.member(st, r.since), Before: was})
+		c.addToRound(member)
+		c.actions = append(c.actions, MemberChanged{Member: c.asMember(statement, member.since), Before: previous})
 	}
-	if !plain || before.Accusers != st.Accusers {
-		c.queueBroadcast(r)
+	if !onlyVolatile || before.Accusers != statement.Accusers {
+		c.queueBroadcast(member)
 	}
 }
 
-// countMember keeps the numbers of living and dead others.
-func (c *Core) countMember(r *memberState, by int) {
-	if r != c.self && r.statement.Health == Suspect {
-		c.suspects += by
+// countMember adds delta to the counts of suspect, living and dead members that the member belongs to. The
+// node itself is not counted.
+func (c *Core) countMember(member *memberState, delta int) {
+	if member != c.self && member.statement.Health == Suspect {
+		c.suspectCount += delta
 	}
 	switch {
-	case r == c.self || r.statement.Name == "":
-	case r.living():
-		c.living += by
-	case r.statement.Health == Dead:
-		c.dead += by
+	case member == c.self || member.statement.Name == "":
+	case member.living():
+		c.livingCount += delta
+	case member.statement.Health == Dead:
+		c.deadCount += delta
 	}
 }
 
-// pick draws one of the members that fit; nil if there is none. After eight misses it takes the next that
-// fits.
+// pick returns a random member for which fits is true; nil if there is none. After eight misses it takes the
+// next member in order that fits.
 func (c *Core) pick(fits func(*memberState) bool) *memberState {
 	at := 0
 	for range 8 {
@@ -103,17 +106,17 @@
 		}
 	}
 	for i := range c.sorted {
-		if r := c.sorted[(at+i)%len(c.sorted)]; fits(r) {
-			return r
+		if member := c.sorted[(at+i)%len(c.sorted)]; fits(member) {
+			return member
 		}
 	}
 	return nil
 }
 
-// pickLiving draws a living member other than this one; nil if there is none.
-func (c *Core) pickLiving(but *memberState) *memberState {
-	if c.living == 0 {
+// pickLiving returns a random living member other than this node and excluded; nil if there is none.
+func (c *Core) pickLiving(excluded *memberState) *memberState {
+	if c.livingCount == 0 {
 		return nil
 	}
-	return c.pick(func(r *memberState) bool { return r != c.self && r != but && r.living() })
+	return c.pick(func(m *memberState) bool { return m != c.self && m != excluded && m.living() })
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -8,9 +8,9 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// compare orders two statements on one name: the later generation, then the higher incarnation, then the
-// graver health. Two statements equal in these but of different facts come from two processes of one name;
-// their bytes decide, so that all nodes agree.
+// compare orders two statements on one name by generation, then incarnation, then health. Two statements that
+// are equal in these but differ otherwise come from two processes of one name; their bytes decide, so that
+// all nodes agree.
 func compare(a, b wire.Statement) int {
 	return cmp.Or(
 		cmp.Compare(a.Generation, b.Generation),
@@ -27,9 +27,9 @@
 	return bytes.Compare(a.Bytes(), b.Bytes())
 }
 
-// merge returns what holds of two statements on one name: the higher one. Load goes by its own count within a
-// life, so that it needs no incarnation. Accusers of the same suspicion add up. It is commutative,
-// associative and idempotent, Age aside.
+// merge merges two statements on one name: the result is the higher one by compare. Load has a sequence
+// number of its own within a generation, so that a new load needs no new incarnation. Accusers of the same
+// suspicion are united. Apart from Age, merge is commutative, associative and idempotent.
 func merge(a, b wire.Statement) wire.Statement {
 	high, low := a, b
 	order := compare(a, b)
@@ -37,7 +37,7 @@
 		high, low = b, a
 	}
 	if order == 0 {
-		high.Accusers = accusers(a.Accusers, b.Accusers)
+		high.Accusers = mergeAccusers(a.Accusers, b.Accusers)
 		high.Age = max(a.Age, b.Age)
 	}
 	if low.Generation == high.Generation &&
@@ -47,19 +47,20 @@
 	return high
 }
 
-// accusers returns the three smallest of both: any three are enough to shorten the suspicion the most.
-func accusers(a, b [3]uint64) (out [3]uint64) {
+// mergeAccusers returns the three smallest of the accusers: any three accusers shorten the suspicion timeout
+// to its minimum.
+func mergeAccusers(a, b [3]uint64) (merged [3]uint64) {
 	if a == b {
 		return a
 	}
 	all := slices.DeleteFunc([]uint64{a[0], a[1], a[2], b[0], b[1], b[2]}, func(h uint64) bool { return h == 0 })
 	slices.Sort(all)
-	copy(out[:], slices.Compact(all))
-	return out
+	copy(merged[:], slices.Compact(all))
+	return merged
 }
 
-func countAccusers(by [3]uint64) (n int) {
-	for _, h := range by {
+func countAccusers(accusers [3]uint64) (n int) {
+	for _, h := range accusers {
 		if h != 0 {
 			n++
 		}
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -18,7 +18,7 @@
 	s.Metadata.Catalogue = uint64(small.Draw(t, "catalogue"))
 	s.Metadata.Load, s.LoadSeq = uint16(small.Draw(t, "load")), uint32(small.Draw(t, "seq"))
 	for range small.Draw(t, "accusers") {
-		s.Accusers = accusers(s.Accusers, [3]uint64{uint64(rapid.IntRange(1, 6).Draw(t, "by"))})
+		s.Accusers = mergeAccusers(s.Accusers, [3]uint64{uint64(rapid.IntRange(1, 6).Draw(t, "by"))})
 	}
 	return s
 }
@@ -37,7 +37,7 @@
 		}
 		joint := a
 		joint.Accusers = b.Accusers
-		if m := merge(a, joint); m != merge(joint, a) || m.Accusers != accusers(a.Accusers, b.Accusers) {
+		if m := merge(a, joint); m != merge(joint, a) || m.Accusers != mergeAccusers(a.Accusers, b.Accusers) {
 			t.Fatalf("accusers of one suspicion do not add up: %x and %x", a.Accusers, b.Accusers)
 		}
 		m := merge(a, b)
--- a/internal/membership/name_test.go
+++ b/internal/membership/name_test.go
@@ -29,7 +29,7 @@
 		w.run(150 * time.Millisecond)
 		n := w.again(nodes[3], life, 0)
 		took := w.mustSettle(10*time.Second, "a restart")
-		if n.yielded || n.self.statement.Generation <= 1003 || nodes[0].sees("n3").Generation != n.self.statement.Generation {
+		if n.hasYielded || n.self.statement.Generation <= 1003 || nodes[0].sees("n3").Generation != n.self.statement.Generation {
 			t.Errorf("started with life %d, went on in %d", life, n.self.statement.Generation)
 		}
 		if d := w.deaths(from, n); d > 0 {
@@ -61,12 +61,12 @@
 		cfg := nodes[3].cfg
 		cfg.Generation, cfg.Addr, cfg.RandomSeed, cfg.Number = life, addrOf(99), 12345, 7
 		twin := w.start(cfg)
-		w.until(30*time.Second, func() bool { return twin.yielded || nodes[3].yielded })
-		if twin.yielded == nodes[3].yielded {
-			t.Fatalf("%s life: yielded are %v and %v, lives %d and %d", name, nodes[3].yielded, twin.yielded, nodes[3].self.statement.Generation, twin.self.statement.Generation)
+		w.until(30*time.Second, func() bool { return twin.hasYielded || nodes[3].hasYielded })
+		if twin.hasYielded == nodes[3].hasYielded {
+			t.Fatalf("%s life: yielded are %v and %v, lives %d and %d", name, nodes[3].hasYielded, twin.hasYielded, nodes[3].self.statement.Generation, twin.self.statement.Generation)
 		}
 		yielder, keeper := twin, nodes[3]
-		if !twin.yielded {
+		if !twin.hasYielded {
 			yielder, keeper = keeper, twin
 		}
 		told := false
@@ -80,7 +80,7 @@
 		w.mustSettle(10*time.Second, "the conflict")
 		number := nodes[0].version
 		w.run(10 * time.Second)
-		if nodes[0].version != number || keeper.yielded {
+		if nodes[0].version != number || keeper.hasYielded {
 			t.Errorf("%s life: the view still changes, or both are silent", name)
 		}
 	}
--- a/internal/membership/net_test.go
+++ b/internal/membership/net_test.go
@@ -157,17 +157,17 @@
 func (w *network) settled() bool {
 	var up []string
 	for _, n := range w.nodes {
-		if n.up && !n.yielded && n.leavePeriodsLeft == 0 && !n.left {
+		if n.up && !n.hasYielded && n.leavePeriodsLeft == 0 && !n.hasLeft {
 			up = append(up, n.name)
 		}
 	}
 	slices.Sort(up)
 	root, first := uint64(0), true
 	for _, n := range w.nodes {
-		if !n.up || n.yielded || n.leavePeriodsLeft > 0 || n.left {
+		if !n.up || n.hasYielded || n.leavePeriodsLeft > 0 || n.hasLeft {
 			continue
 		}
-		if (!first && n.digest != root) || n.living != len(up)-1 {
+		if (!first && n.digest != root) || n.livingCount != len(up)-1 {
 			return false
 		}
 		root, first = n.digest, false
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -6,17 +6,18 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// strangersPerPeriod bounds the answers to those who are not known or come from a previous generation. With
-// it 300 joins in a second over one seed are answered within one, and a flood costs no more.
+// strangersPerPeriod bounds the answers in a period to strangers: senders that are not known or are of
+// another generation than the known one. With 64, a seed answers 300 joins within one second, and a flood
+// costs no more.
 const strangersPerPeriod = 64
 
-// correctionsPerPeriod bounds the datagrams that only tell a sender the newer statement of this node. Nodes
-// hear about two datagrams a period, so there is bandwidth for these; without a bound two nodes of which one
-// can't take the other's statement up answer each other once a round trip.
+// correctionsPerPeriod bounds the datagrams in a period that only send a sender the newer statement on this
+// node. Nodes receive about two datagrams a period, so there is bandwidth for corrections; without a bound,
+// two nodes of which one can't apply the other's statement would answer each other once a round trip.
 const correctionsPerPeriod = 16
 
-// received takes a datagram. What is not of this fleet is dropped by its first five bytes.
-func (c *Core) received(e Received) {
+// receiveDatagram handles a datagram. Datagrams of other fleets are dropped by their first five bytes.
+func (c *Core) receiveDatagram(e Received) {
 	if !wire.IsOurs(e.Data, c.fleet) {
 		c.stats.Dropped++
 		return
@@ -31,112 +32,113 @@
 		c.receiveFromOwnName(d, e.From)
 		return
 	}
-	r, tellSelf := c.applyDatagram(d, e.From)
+	member, correctSender := c.applyDatagram(d, e.From)
 	switch {
-	case c.yielded:
-	case r != nil && contradicts(d, r):
-		c.answerStranger(d, e.From, r)
-	case r == nil:
+	case c.hasYielded:
+	case member != nil && contradicts(d, member):
+		c.answerStranger(d, e.From, member)
+	case member == nil:
 		c.answerStranger(d, e.From, c.self)
-	case d.Generation != r.statement.Generation:
-		c.answerStranger(d, e.From, r)
+	case d.Generation != member.statement.Generation:
+		c.answerStranger(d, e.From, member)
 	default:
-		c.noteContact(r, d)
-		c.answerDatagram(r, d, tellSelf)
+		c.recordContact(member, d)
+		c.answerDatagram(member, d, correctSender)
 	}
 }
 
-// applyDatagram takes up the statements in a datagram, the sender's on itself first. Of a sender that is
-// unknown, of another generation, dead or left nothing else is believed but what concerns this node, which it
-// can refute: so one that was cut off does not spread its deaths. tellSelf says that the sender has an old
-// statement of this node.
-func (c *Core) applyDatagram(d wire.Datagram, from netip.AddrPort) (r *memberState, tellSelf bool) {
+// applyDatagram applies the statements in a datagram, the sender's on itself first. From a sender that is
+// unknown, of another generation, dead or left, it otherwise applies only statements on this node, which this
+// node can refute: so a node that was cut off does not spread the deaths that it saw. It returns the sender,
+// nil if not known, and whether the sender has an old statement on this node.
+func (c *Core) applyDatagram(d wire.Datagram, from netip.AddrPort) (member *memberState, correctSender bool) {
 	for _, st := range d.Statements {
 		if wire.Hash(st.Name) == d.Sender && st.Generation == d.Generation {
 			c.applyStatement(st, d.Kind)
 		}
 	}
-	r = c.byHash[d.Sender]
-	trusted := r != nil && r.statement.Generation == d.Generation && r.living()
+	member = c.byHash[d.Sender]
+	trusted := member != nil && member.statement.Generation == d.Generation && member.living()
 	for _, st := range d.Statements {
 		switch hash := wire.Hash(st.Name); {
-		case c.yielded:
-			return r, false
+		case c.hasYielded:
+			return member, false
 		case hash == c.self.hash:
-			tellSelf = c.receiveOwnStatement(st, from) || tellSelf
+			correctSender = c.receiveOwnStatement(st, from) || correctSender
 		case trusted && hash != d.Sender:
 			c.applyStatement(st, d.Kind)
 		}
 	}
-	return c.byHash[d.Sender], tellSelf
+	return c.byHash[d.Sender], correctSender
 }
 
-// contradicts says that a sender's own statement, already merged, is not what holds of it in its generation.
-// It is a process beside another of its name and generation, which answers by name would miss, or (harmless)
-// an overtaken datagram.
-func contradicts(d wire.Datagram, r *memberState) bool {
+// contradicts reports whether a sender's statement on itself differs from the view, into which it has been
+// merged, within one generation. Then another process has the sender's name and generation, and answers by
+// name would not reach this sender; or, which is harmless, the datagram was overtaken by a newer one.
+func contradicts(d wire.Datagram, member *memberState) bool {
 	for _, st := range d.Statements {
-		if st.Name == r.statement.Name && st.Generation == r.statement.Generation {
-			st.Health = r.statement.Health
-			return st.WithoutVolatile() != r.statement.WithoutVolatile()
+		if st.Name == member.statement.Name && st.Generation == member.statement.Generation {
+			st.Health = member.statement.Health
+			return st.WithoutVolatile() != member.statement.WithoutVolatile()
 		}
 	}
 	return false
 }
 
 // applyStatement merges a statement on another member into the view.
-func (c *Core) applyStatement(st wire.Statement, kind wire.Kind) {
-	r := c.byHash[wire.Hash(st.Name)]
-	if r == nil {
-		if st.Health >= Dead && Time(st.Age)*ageResolution >= c.cfg.DeadGossipTime {
+func (c *Core) applyStatement(statement wire.Statement, kind wire.Kind) {
+	member := c.byHash[wire.Hash(statement.Name)]
+	if member == nil {
+		if statement.Health >= Dead && Time(statement.Age)*ageResolution >= c.cfg.DeadGossipTime {
 			return
 		}
-		if r = c.addMember(st); r == nil {
+		if member = c.addMember(statement); member == nil {
 			return
 		}
 	} else {
-		if r.statement.Name != st.Name {
-			return // two names of one hash: the first stays
+		if member.statement.Name != statement.Name {
+			return // two names with one hash: the first one stays
 		}
-		if st = merge(r.statement, st); st == r.statement {
+		if statement = merge(member.statement, statement); statement == member.statement {
 			return
 		}
 	}
-	before := r.sum
-	c.updateMember(r, st)
-	if kind == wire.Answer && r.sum != before {
-		c.antiEntropy.learned = true
+	before := member.sum
+	c.updateMember(member, statement)
+	if kind == wire.Answer && member.sum != before {
+		c.antiEntropy.learnedByAnswer = true
 	}
 }
 
-// noteContact notes that somebody of the fleet is there, and whether its view is another one.
-func (c *Core) noteContact(r *memberState, d wire.Datagram) {
-	if !c.ownState.hasMet {
-		c.ownState.hasMet, c.ownState.metAt = true, c.now
+// recordContact records that the node has met the fleet, and whether the member's view differs from this
+// node's.
+func (c *Core) recordContact(member *memberState, d wire.Datagram) {
+	if !c.ownState.hasMetFleet {
+		c.ownState.hasMetFleet, c.ownState.metFleetAt = true, c.now
 	}
 	c.compareDigest(d.Digest)
-	if d.Digest != c.digest && r.living() {
-		c.antiEntropy.peer = r
+	if d.Digest != c.digest && member.living() {
+		c.antiEntropy.peer = member
 	}
 }
 
-// answerDatagram does what the datagram asks for. A sender that is considered other than alive is notified of
-// that, and one with an old statement of this node hears the new one.
-func (c *Core) answerDatagram(r *memberState, d wire.Datagram, tellSelf bool) {
-	var lead []*memberState
-	if r.statement.Health != Alive {
-		lead = append(lead, r)
+// answerDatagram handles a datagram by its kind. A sender that is not considered alive is notified of that,
+// and a sender with an old statement on this node gets the newer one.
+func (c *Core) answerDatagram(member *memberState, d wire.Datagram, correctSender bool) {
+	var leading []*memberState
+	if member.statement.Health != Alive {
+		leading = append(leading, member)
 	}
-	if tellSelf || introduces(d) {
-		lead = append(lead, c.self)
+	if correctSender || startsWithSender(d) {
+		leading = append(leading, c.self)
 	}
 	switch d.Kind {
 	case wire.Ping:
-		c.sendTo(r, c.appendBroadcasts(c.newNumbered(wire.Ack, d.Seq, 0), lead...))
+		c.sendTo(member, c.appendBroadcasts(c.newNumbered(wire.Ack, d.Seq, 0), leading...))
 		return
 	case wire.Ack:
-		c.ackReceived(r, d.Seq)
-		c.finishRelays(r, d.Seq)
+		c.ackReceived(member, d.Seq)
+		c.finishRelays(member, d.Seq)
 	case wire.IndirectAck:
 		c.ackReceived(c.byHash[d.Target], d.Seq)
 	case wire.Nack:
@@ -144,32 +146,33 @@
 			c.probe.nacks++
 		}
 	case wire.PingReq:
-		c.startRelay(r, d)
+		c.startRelay(member, d)
 	case wire.Digest:
-		c.compareRangeSums(r, d)
+		c.compareRangeSums(member, d)
 	case wire.RangeList:
-		c.compareList(r, d)
+		c.compareList(member, d)
 	case wire.WantMembers:
-		c.answerWant(r, d)
+		c.answerWantMembers(member, d)
 	}
-	if tellSelf && c.correctionBudget > 0 {
+	if correctSender && c.correctionBudget > 0 {
 		c.correctionBudget--
-		c.sendTo(r, c.appendBroadcasts(c.newHeader(wire.Gossip), lead...))
+		c.sendTo(member, c.appendBroadcasts(c.newHeader(wire.Gossip), leading...))
 	}
 }
 
-// introduces says that a ping begins with its sender itself: it may not know this node, which then introduces
-// itself.
-func introduces(d wire.Datagram) bool {
+// startsWithSender reports whether a datagram is a ping whose first statement is on its sender. The sender
+// may then not know this node, so the answer begins with a statement on this node.
+func startsWithSender(d wire.Datagram) bool {
 	return d.Kind == wire.Ping && len(d.Statements) > 0 && wire.Hash(d.Statements[0].Name) == d.Sender
 }
 
-// answerStranger answers a ping of one that is not known, or of a generation that is not the one known, where
-// it came from. It hears what is known of its name, so that it can take a higher generation.
-func (c *Core) answerStranger(d wire.Datagram, from netip.AddrPort, lead *memberState) {
+// answerStranger answers a ping of a stranger at the address that the ping came from. The answer begins with
+// the statement on leading: if the sender's name is known, the statement on that name, so that the sender can
+// take a higher generation.
+func (c *Core) answerStranger(d wire.Datagram, from netip.AddrPort, leading *memberState) {
 	if d.Kind != wire.Ping || c.strangerBudget <= 0 || !from.IsValid() {
 		return
 	}
 	c.strangerBudget--
-	c.send(Send{To: from, Data: c.appendBroadcasts(c.newNumbered(wire.Ack, d.Seq, 0), lead)})
+	c.send(Send{To: from, Data: c.appendBroadcasts(c.newNumbered(wire.Ack, d.Seq, 0), leading)})
 }
--- a/internal/membership/relay.go
+++ b/internal/membership/relay.go
@@ -6,19 +6,19 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// maxRelays bounds the members that are asked for others at a time: at most three fall to a node in a period
-// on average, even if all probes fail.
+// maxRelays bounds the indirect probes that the node carries out for others at a time. Even if all probes
+// fail, a node gets at most three requests in a period on average.
 const maxRelays = 64
 
-// relay is a member that is asked for somebody else.
+// relay is an indirect probe that this node carries out for another node, the origin.
 type relay struct {
 	origin, target      *memberState
-	requestSeq, pingSeq uint32 // numbers of the request and of the ping
+	requestSeq, pingSeq uint32 // sequence numbers of the request and of this node's ping
 	nackAt              Time   // when the origin is notified that there is no answer so far
 	nacked              bool
 }
 
-// startRelay carries out a PingReq.
+// startRelay starts the indirect probe that a PingReq requests.
 func (c *Core) startRelay(origin *memberState, d wire.Datagram) {
 	target := c.byHash[d.Target]
 	if target == nil || target == c.self || len(c.relays) >= maxRelays {
@@ -30,7 +30,7 @@
 	)
 }
 
-// finishRelays passes an answer on to those who wait for it.
+// finishRelays passes a target's answer on to the origins that wait for it.
 func (c *Core) finishRelays(target *memberState, seq uint32) {
 	c.relays = slices.DeleteFunc(c.relays, func(r relay) bool {
 		if r.target != target || r.pingSeq != seq {
@@ -41,7 +41,8 @@
 	})
 }
 
-// expireRelays tells that there is no answer yet, and forgets a request after another period.
+// expireRelays sends a Nack for the indirect probes that have had no answer in time, and drops them after
+// another period.
 func (c *Core) expireRelays() {
 	for i := range c.relays {
 		if r := &c.relays[i]; !r.nacked && c.now >= r.nackAt {
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -8,57 +8,59 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Periods between questions: to seeds by a node that has met nobody (each), is alone, or has company; and to
-// a dead member. A seed is asked for ever, so that halves find each other even after they have forgotten each
-// other.
+// Periods between two pings to seeds and between two pings to dead members. A node that has met no member yet
+// pings a seed in each period. A node pings seeds for as long as it runs, so that the halves of a divided
+// fleet find each other even after they have forgotten each other.
 const (
-	aloneSeedPeriods = 5
-	seedPeriods      = 50
-	deadPeriods      = 5
+	aloneSeedPeriods = 5  // seeds, by a node that knows no other living member
+	seedPeriods      = 50 // seeds, by other nodes
+	deadPeriods      = 5  // dead members
 )
 
-// Nodes that start together may meet in islands, or while a cut still lasts. So a new node goes on asking
-// seeds, though it has met somebody: one a period through its first round, of maxFirstRoundSeeds at most, and
-// then as one that is alone does, for youngPeriods.
+// Nodes that start together may meet in separate groups, or while the network is still divided. So a new node
+// continues to ping seeds after it has met a member: one in each period for the first round, of at most
+// maxFirstRoundSeeds, and then, for startupPeriods, as often as a node that is alone.
 const (
 	maxFirstRoundSeeds = 16
-	youngPeriods       = 300 // a minute: what starts a whole fleet is over by then
+	startupPeriods     = 300 // a minute, by which the start of a fleet has ended
 )
 
-// seedList are the addresses to join by.
+// seedList holds the seeds, the addresses by which the node joins, in random order.
 type seedList struct {
-	seeds    []netip.AddrPort
-	nextSeed int
+	seeds []netip.AddrPort
+	next  int
 }
 
-func (j *seedList) set(seeds []netip.AddrPort, own netip.AddrPort, rng *rand.Rand) {
+// set replaces the seeds. The node's own address and invalid ones are left out.
+func (l *seedList) set(seeds []netip.AddrPort, own netip.AddrPort, rng *rand.Rand) {
 	seeds = slices.Clone(seeds[:min(len(seeds), maxSeeds)])
-	j.seeds = slices.DeleteFunc(seeds, func(a netip.AddrPort) bool { return a == own || !a.IsValid() })
-	rng.Shuffle(len(j.seeds), func(a, b int) { j.seeds[a], j.seeds[b] = j.seeds[b], j.seeds[a] })
-	j.nextSeed = 0
+	l.seeds = slices.DeleteFunc(seeds, func(a netip.AddrPort) bool { return a == own || !a.IsValid() })
+	rng.Shuffle(len(l.seeds), func(a, b int) { l.seeds[a], l.seeds[b] = l.seeds[b], l.seeds[a] })
+	l.next = 0
 }
 
-// probeSeed asks one seed if it is time.
+// probeSeed pings the next seed if a ping is due in this period.
 func (c *Core) probeSeed() {
-	every := uint64(seedPeriods)
+	interval := uint64(seedPeriods)
 	switch {
-	case !c.ownState.hasMet || c.join.nextSeed < min(len(c.join.seeds), maxFirstRoundSeeds):
-		every = 1
-	case c.living == 0 || c.periods < youngPeriods:
-		every = aloneSeedPeriods
+	case !c.ownState.hasMetFleet || c.seeds.next < min(len(c.seeds.seeds), maxFirstRoundSeeds):
+		interval = 1
+	case c.livingCount == 0 || c.periods < startupPeriods:
+		interval = aloneSeedPeriods
 	}
-	if len(c.join.seeds) == 0 || c.periods%every != 0 {
+	if len(c.seeds.seeds) == 0 || c.periods%interval != 0 {
 		return
 	}
-	to := c.join.seeds[c.join.nextSeed%len(c.join.seeds)]
-	c.join.nextSeed++
-	c.seq++
-	c.send(Send{To: to, Data: c.appendBroadcasts(c.newNumbered(wire.Ping, c.seq, 0), c.self)})
+	to := c.seeds.seeds[c.seeds.next%len(c.seeds.seeds)]
+	c.seeds.next++
+	c.lastSeq++
+	c.send(Send{To: to, Data: c.appendBroadcasts(c.newNumbered(wire.Ping, c.lastSeq, 0), c.self)})
 }
 
-// probeDead asks a dead member whether it is: so halves find each other once a cut has healed.
+// probeDead pings a dead member every deadPeriods, so that the halves of a divided fleet find each other once
+// the network is no longer divided.
 func (c *Core) probeDead() {
-	if c.dead > 0 && c.periods%deadPeriods == 0 {
-		c.sendPing(c.pick(func(r *memberState) bool { return r.statement.Health == Dead }))
+	if c.deadCount > 0 && c.periods%deadPeriods == 0 {
+		c.sendPing(c.pick(func(member *memberState) bool { return member.statement.Health == Dead }))
 	}
 }
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -9,75 +9,79 @@
 )
 
 const (
-	// youngTime is how long after it has met the fleet a process may find that its own previous generation is
-	// remembered as a higher one: its clock has gone back. Later a higher generation is another process.
-	youngTime = 10 * time.Second
-	// maxOwnEchoes is how many statements about its own name and generation that it never said a process puts
-	// down to an upgrade; further ones come from a twin.
-	maxOwnEchoes = 3
-	// loadStep is the change of load, per mille, that is broadcast at once. Smaller ones ride on the node's own
-	// datagrams.
+	// restartDetectionTime is how long after it met the fleet a process attributes a higher generation of its
+	// name to its own previous process, which a clock that has gone back explains. Later a higher generation
+	// means that another process has the name.
+	restartDetectionTime = 10 * time.Second
+	// maxConflictingStatements is how many statements on its own name and generation that it never made a
+	// process attributes to its previous process before an upgrade. Further ones come from another process of
+	// the same name.
+	maxConflictingStatements = 3
+	// loadStep is the change of load, per mille, from which a new load is broadcast at once. After smaller
+	// changes the load only rides on the node's own datagrams.
 	loadStep = 100
 )
 
-// ownState is what the node knows of its own name.
+// ownState is the node's state about its own name.
 type ownState struct {
-	hasMet        bool // anybody of the fleet
-	metAt         Time
-	hasRaised     bool // has taken a generation above one that it received
-	echoes        int
-	announcedLoad uint16 // broadcast last
+	hasMetFleet           bool // the node has received a datagram of a member
+	metFleetAt            Time
+	hasRaisedGeneration   bool   // the node has taken a generation above a received one
+	conflictingStatements int    // received statements on this name and generation that the node never made
+	announcedLoad         uint16 // the load that was last broadcast
 }
 
-// metadataChanged takes up the node's own metadata.
-func (c *Core) metadataChanged(f Metadata) {
-	st := c.self.statement
-	if f.Load != st.Metadata.Load {
-		st.LoadSeq++
+// setMetadata replaces the node's own metadata.
+func (c *Core) setMetadata(metadata Metadata) {
+	statement := c.self.statement
+	if metadata.Load != statement.Metadata.Load {
+		statement.LoadSeq++
 	}
-	st.Metadata = f
+	statement.Metadata = metadata
 	if c.leavePeriodsLeft > 0 {
-		st.Metadata.State = Leaving
+		statement.Metadata.State = Leaving
 	}
-	if err := st.Check(); err != nil {
-		c.actions = append(c.actions, Log{Text: "own facts not taken up: " + err.Error()})
+	if err := statement.Check(); err != nil {
+		c.actions = append(c.actions, Log{Text: "own metadata rejected: " + err.Error()})
 		return
 	}
-	if st.WithoutVolatile() != c.self.statement.WithoutVolatile() {
-		st.Incarnation++
+	if statement.WithoutVolatile() != c.self.statement.WithoutVolatile() {
+		statement.Incarnation++
 	}
-	c.updateMember(c.self, st)
-	if step := int(f.Load) - int(c.ownState.announcedLoad); step >= loadStep || step <= -loadStep {
-		c.ownState.announcedLoad = f.Load
+	c.updateMember(c.self, statement)
+	if loadChange := int(metadata.Load) - int(c.ownState.announcedLoad); loadChange >= loadStep ||
+		loadChange <= -loadStep {
+		c.ownState.announcedLoad = metadata.Load
 		c.queueBroadcast(c.self)
 	}
 }
 
-// receiveOwnStatement takes what another says of this node, and reports whether the other is to be corrected.
-func (c *Core) receiveOwnStatement(st wire.Statement, from netip.AddrPort) (answer bool) {
+// receiveOwnStatement handles a statement of another node on this node, and reports whether to correct the
+// sender.
+func (c *Core) receiveOwnStatement(statement wire.Statement, from netip.AddrPort) (correct bool) {
 	mine := c.self.statement
-	st.Name = mine.Name
+	statement.Name = mine.Name
 	switch {
-	case st.Generation > mine.Generation:
-		c.meetHigherGeneration(st.Generation, from)
-		return !c.yielded
-	case st.Generation < mine.Generation, st.Incarnation < mine.Incarnation:
-		return st.Health > Alive || st.Generation < mine.Generation
+	case statement.Generation > mine.Generation:
+		c.handleHigherGeneration(statement.Generation, from)
+		return !c.hasYielded
+	case statement.Generation < mine.Generation, statement.Incarnation < mine.Incarnation:
+		return statement.Health > Alive || statement.Generation < mine.Generation
 	}
-	same := st
-	same.Health = mine.Health
-	if same.WithoutVolatile() != mine.WithoutVolatile() {
-		c.ownState.echoes++
-		if c.ownState.echoes > maxOwnEchoes {
+	withOwnHealth := statement
+	withOwnHealth.Health = mine.Health
+	if withOwnHealth.WithoutVolatile() != mine.WithoutVolatile() {
+		c.ownState.conflictingStatements++
+		if c.ownState.conflictingStatements > maxConflictingStatements {
 			c.actions = append(c.actions, NameConflict{Generation: mine.Generation, From: from})
 			c.raiseGeneration(mine.Generation + 1 + c.random.Uint64N(1000))
 			return true
 		}
-	} else if st.Health <= mine.Health {
+	} else if statement.Health <= mine.Health {
 		return false
 	}
 	c.stats.Refuted++
-	mine.Incarnation = max(mine.Incarnation, st.Incarnation) + 1
+	mine.Incarnation = max(mine.Incarnation, statement.Incarnation) + 1
 	if mine.Incarnation == 0 {
 		c.raiseGeneration(mine.Generation + 1)
 		return true
@@ -86,21 +90,24 @@
 	return true
 }
 
-// meetHigherGeneration hears of a generation of its own name above its own. A young process that hears it for
-// the first time takes one more: that was itself before a restart. Any other yields: there is a second
-// process, and the later one keeps the name. As a process raises its generation once, this ends.
-func (c *Core) meetHigherGeneration(generation uint64, from netip.AddrPort) {
-	if !c.ownState.hasRaised && (!c.ownState.hasMet || c.now-c.ownState.metAt < youngTime) {
+// handleHigherGeneration handles a generation of this node's name above its own. A process that has started
+// recently and has not raised its generation before takes the next higher one: the generation was its own
+// before a restart. Any other process yields: there is a second process, and the one with the later
+// generation keeps the name. As a process raises its generation in this way once, two processes don't raise
+// theirs in turn for ever.
+func (c *Core) handleHigherGeneration(generation uint64, from netip.AddrPort) {
+	if !c.ownState.hasRaisedGeneration &&
+		(!c.ownState.hasMetFleet || c.now-c.ownState.metFleetAt < restartDetectionTime) {
 		c.raiseGeneration(generation + 1)
 		return
 	}
-	c.yielded = true
+	c.hasYielded = true
 	c.actions = append(
 		c.actions,
 		NameConflict{Generation: generation, From: from, Yielded: true},
 		Log{
 			Text: fmt.Sprintf(
-				"another process named %s, of the later generation %d, keeps the name: this one is silent",
+				"another process named %s has the later generation %d and keeps the name: this process is silent",
 				c.self.statement.Name,
 				generation,
 			),
@@ -108,32 +115,32 @@
 	)
 }
 
-// raiseGeneration goes on in a generation of at least this number.
+// raiseGeneration continues in the given generation, unless it is out of bounds.
 func (c *Core) raiseGeneration(generation uint64) {
 	if generation >= wire.MaxGeneration {
 		return
 	}
-	c.ownState.hasRaised, c.ownState.echoes = true, 0
+	c.ownState.hasRaisedGeneration, c.ownState.conflictingStatements = true, 0
 	c.actions = append(
 		c.actions,
 		Log{
 			Text: fmt.Sprintf(
-				"%s goes on in generation %d, as its name is known in an earlier one",
+				"%s continues in generation %d, as its name is known in an earlier one",
 				c.self.statement.Name,
 				generation,
 			),
 		},
 	)
-	st := c.self.statement
-	st.Generation, st.Incarnation = generation, 0
-	c.updateMember(c.self, st)
+	statement := c.self.statement
+	statement.Generation, statement.Incarnation = generation, 0
+	c.updateMember(c.self, statement)
 }
 
-// receiveFromOwnName is a datagram of a process of the same name. Own ones that come back through a seed are
-// of the same generation.
+// receiveFromOwnName handles a datagram whose sender has this node's name. Datagrams of the same generation
+// are ignored: they are this node's own, which come back through a seed.
 func (c *Core) receiveFromOwnName(d wire.Datagram, from netip.AddrPort) {
 	if d.Generation > c.self.statement.Generation {
-		c.meetHigherGeneration(d.Generation, from)
+		c.handleHigherGeneration(d.Generation, from)
 	} else if d.Generation < c.self.statement.Generation {
 		c.answerStranger(d, from, c.self)
 	}
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -5,60 +5,62 @@
 	"time"
 )
 
-// Three periods times one plus the logarithm of the fleet is the time in which a suspect can refute three
-// accusers: an accusation needs about so many periods to reach it, and its refutation to come back. With one
-// accuser it has three times as long.
+// The suspicion timeout with three accusers is suspectPeriods periods times one plus the logarithm of the
+// fleet's size: an accusation needs about that many periods to reach the suspect, and the refutation to come
+// back. With one accuser the timeout is loneAccuserFactor times as long.
 const (
 	suspectPeriods    = 3
 	loneAccuserFactor = 3
 )
 
-// suspicionShrink is how much of the time between lone and joint accusation is off, per mille, by the number
-// of accusers: its logarithm to base 3.
+// suspicionShrink is by how much, per mille, the number of accusers takes the timeout from that of one
+// accuser towards that of three: the logarithm to base 3 of the number.
 var suspicionShrink = [4]time.Duration{0, 0, 631, 1000}
 
-// suspicionTimeout is how long a suspect has. Integers throughout, so that it is the same on every machine.
+// suspicionTimeout returns how long a suspect has for a refutation. It computes with integers only, so that
+// the result is the same on every machine.
 func suspicionTimeout(period time.Duration, members, accusers int) time.Duration {
-	least := period * suspectPeriods * time.Duration(10+3*bits.Len(uint(members))) / 10
-	most := loneAccuserFactor * least
-	return most - (most-least)*suspicionShrink[min(accusers, 3)]/1000
+	shortest := period * suspectPeriods * time.Duration(10+3*bits.Len(uint(members))) / 10
+	longest := loneAccuserFactor * shortest
+	return longest - (longest-shortest)*suspicionShrink[min(accusers, 3)]/1000
 }
 
-// suspect makes a member that did not answer a suspect, or adds this node to its accusers.
-func (c *Core) suspect(r *memberState) {
-	if !r.living() || !c.mayAccuse() {
+// suspect makes a member that did not answer a suspect, or adds this node to the suspect's accusers.
+func (c *Core) suspect(member *memberState) {
+	if !member.living() || !c.mayAccuse() {
 		return
 	}
-	st := r.statement
+	st := member.statement
 	st.Health = Suspect
-	st.Accusers = accusers(st.Accusers, [3]uint64{c.self.hash})
-	if st != r.statement {
-		c.updateMember(r, st)
+	st.Accusers = mergeAccusers(st.Accusers, [3]uint64{c.self.hash})
+	if st != member.statement {
+		c.updateMember(member, st)
 	}
 }
 
-// expireSuspects declares dead whoever has not refuted its suspicion in time.
+// expireSuspects declares the suspects dead that have not refuted the suspicion in time.
 func (c *Core) expireSuspects() {
-	if c.suspects == 0 || c.wasLate() {
+	if c.suspectCount == 0 || c.recentlyLate() {
 		return
 	}
-	for _, r := range c.sorted {
-		if r.statement.Health == Suspect &&
-			c.now-r.suspectSince >= suspicionTimeout(
+	for _, member := range c.sorted {
+		if member.statement.Health == Suspect &&
+			c.now-member.suspectSince >= suspicionTimeout(
 				c.cfg.ProbeInterval,
-				c.living+1,
-				countAccusers(r.statement.Accusers),
+				c.livingCount+1,
+				countAccusers(member.statement.Accusers),
 			) {
-			st := r.statement
+			st := member.statement
 			st.Health = Dead
-			c.updateMember(r, st)
+			c.updateMember(member, st)
 		}
 	}
 }
 
-// notifySuspect tells one suspect a period what is said of it, beside the probes.
+// notifySuspect pings one suspect in each period, in addition to the probes, so that the suspect learns of
+// the suspicion.
 func (c *Core) notifySuspect() {
-	if c.suspects > 0 {
-		c.sendPing(c.pick(func(r *memberState) bool { return r.statement.Health == Suspect }))
+	if c.suspectCount > 0 {
+		c.sendPing(c.pick(func(member *memberState) bool { return member.statement.Health == Suspect }))
 	}
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -2,44 +2,48 @@
 
 import "wrenspread/internal/membership/wire"
 
-// Every datagram carries the digest of its sender's view. A node that has met another digest asks for the
-// difference, once in syncPeriods, or each period as long as it learns that way. It compares 16 sums, goes
-// into at most maxBranches ranges that differ, drawn anew each time, and spends at most syncPerPeriod
-// datagrams a period on it: about 80 members.
+// Every datagram carries the digest of its sender's view. A node that has received a different digest sends
+// its sender the sums of 16 ranges, once in syncPeriods, or in each period while answers bring new
+// statements. The receiver of sums continues with at most maxRangesPerDigest ranges that differ, chosen at
+// random each time. A node spends at most syncPerPeriod datagrams a period on all this: about 80 members.
 const (
-	syncPeriods    = 2
-	maxBranches    = 4
-	syncPerPeriod  = 24
-	maxListAnswers = 4 // datagrams of statements in answer to one list
+	syncPeriods        = 2
+	maxRangesPerDigest = 4
+	syncPerPeriod      = 24
+	maxListAnswers     = 4 // datagrams of statements in answer to one RangeList or WantMembers
 )
 
+// antiEntropy is the state of the comparison of views.
 type antiEntropy struct {
-	peer       *memberState // met with another digest
-	lastPeriod uint64       // period of the last question
-	learned    bool
-	credit     int
+	peer             *memberState // last member whose digest differed; nil means none
+	lastDigestPeriod uint64       // period in which the last Digest was sent
+	learnedByAnswer  bool         // an Answer has changed the view since then
+	datagramCredit   int          // datagrams that may still be sent in this period
 }
 
+// startAntiEntropy sends a Digest to the member whose digest differed, if one is due.
 func (c *Core) startAntiEntropy() {
-	s := &c.antiEntropy
-	if s.peer == nil || (!s.learned && s.lastPeriod != 0 && c.periods-s.lastPeriod < syncPeriods) {
+	state := &c.antiEntropy
+	if state.peer == nil || (!state.learnedByAnswer && state.lastDigestPeriod != 0 &&
+		c.periods-state.lastDigestPeriod < syncPeriods) {
 		return
 	}
-	to := s.peer
-	s.peer, s.learned, s.lastPeriod = nil, false, c.periods
+	to := state.peer
+	state.peer, state.learnedByAnswer, state.lastDigestPeriod = nil, false, c.periods
 	if to.living() {
 		c.stats.Synced++
 		c.sendDigest(to, 0, 0)
 	}
 }
 
-// takeSyncCredit takes one datagram off what this period may spend.
+// takeSyncCredit takes one datagram from the period's credit, and reports whether it may be sent.
 func (c *Core) takeSyncCredit() bool {
-	c.antiEntropy.credit--
-	return c.antiEntropy.credit >= 0
+	c.antiEntropy.datagramCredit--
+	return c.antiEntropy.datagramCredit >= 0
 }
 
-func (c *Core) sendDigest(to *memberState, depth, place uint8) {
+// sendDigest sends the sums of the ranges that the range with the index at a depth divides into.
+func (c *Core) sendDigest(to *memberState, depth, index uint8) {
 	if c.takeSyncCredit() {
 		c.sendTo(
 			to,
@@ -47,108 +51,113 @@
 				wire.Datagram{
 					Header: wire.Header{Kind: wire.Digest},
 					Depth:  depth,
-					Range:  place,
-					Sums:   c.rangeSumsOf(depth, place),
+					Range:  index,
+					Sums:   c.rangeSumsOf(depth, index),
 				},
 			),
 		)
 	}
 }
 
-// compareRangeSums answers a Digest: a range that differs is listed, or divided further if it holds too many.
-func (c *Core) compareRangeSums(r *memberState, d wire.Datagram) {
+// compareRangeSums answers a Digest: for a range that differs it sends the list of members, or the sums of
+// smaller ranges if the range has too many members for a list.
+func (c *Core) compareRangeSums(member *memberState, d wire.Datagram) {
 	mine := c.rangeSumsOf(d.Depth, d.Range)
 	first, branches := c.random.IntN(wire.Fanout), 0
 	for i := range wire.Fanout {
 		child := (first + i) % wire.Fanout
-		if mine[child] == d.Sums[child] || branches == maxBranches {
+		if mine[child] == d.Sums[child] || branches == maxRangesPerDigest {
 			continue
 		}
 		branches++
 		from, to := rangeOf(d.Depth, d.Range, child)
-		in := c.membersInRange(from, to)
-		if d.Depth == 0 && len(in) > wire.MaxEntries {
-			c.sendDigest(r, 1, uint8(child))
+		members := c.membersInRange(from, to)
+		if d.Depth == 0 && len(members) > wire.MaxEntries {
+			c.sendDigest(member, 1, uint8(child))
 		} else {
-			c.sendList(r, from, to, in)
+			c.sendList(member, from, to, members)
 		}
 	}
 }
 
-// sendList names all members of a range, in as many parts as it takes.
-func (c *Core) sendList(r *memberState, from, to uint64, in []*memberState) {
-	for more := true; more && c.takeSyncCredit(); {
+// sendList sends the list of a range's members, in as many datagrams as the list takes.
+func (c *Core) sendList(member *memberState, from, to uint64, members []*memberState) {
+	for incomplete := true; incomplete && c.takeSyncCredit(); {
 		d := wire.Datagram{Header: wire.Header{Kind: wire.RangeList}, From: from, To: to}
-		more = len(in) > wire.MaxEntries
-		if more {
-			d.To = in[wire.MaxEntries-1].hash
+		incomplete = len(members) > wire.MaxEntries
+		if incomplete {
+			d.To = members[wire.MaxEntries-1].hash
 			from = d.To + 1
 		}
-		for _, m := range in[:min(len(in), wire.MaxEntries)] {
+		for _, m := range members[:min(len(members), wire.MaxEntries)] {
 			d.Entries = append(d.Entries, wire.Entry{Hash: m.hash, Sum: uint32(m.sum)})
 		}
-		in = in[len(d.Entries):]
-		c.sendTo(r, c.newDatagram(d))
+		members = members[len(d.Entries):]
+		c.sendTo(member, c.newDatagram(d))
 	}
 }
 
-// compareList answers a RangeList: it tells of members that the other lacks or sees differently, and wants
-// the other's statement on those and on the ones that it lacks itself.
-func (c *Core) compareList(r *memberState, d wire.Datagram) {
-	theirs := map[uint64]uint32{}
-	var tell []*memberState
-	want := wire.Datagram{Header: wire.Header{Kind: wire.WantMembers}}
+// compareList answers a RangeList: it sends statements on the members that the sender lacks or sees
+// differently, and requests the sender's statements on the members that this node lacks or sees differently.
+func (c *Core) compareList(member *memberState, d wire.Datagram) {
+	theirSums := map[uint64]uint32{}
+	var toSend []*memberState
+	request := wire.Datagram{Header: wire.Header{Kind: wire.WantMembers}}
 	for _, e := range d.Entries {
-		theirs[e.Hash] = e.Sum
+		theirSums[e.Hash] = e.Sum
 		mine := c.byHash[e.Hash]
 		if mine == nil || uint32(mine.sum) != e.Sum {
-			want.Wanted = append(want.Wanted, e.Hash)
+			request.Wanted = append(request.Wanted, e.Hash)
 		}
 		if mine != nil && uint32(mine.sum) != e.Sum {
-			tell = append(tell, mine)
+			toSend = append(toSend, mine)
 		}
 	}
 	for _, m := range c.membersInRange(d.From, d.To) {
-		if _, has := theirs[m.hash]; !has {
-			tell = append(tell, m)
+		if _, has := theirSums[m.hash]; !has {
+			toSend = append(toSend, m)
 		}
 	}
-	c.sendStatements(r, tell)
-	if len(want.Wanted) > 0 && c.takeSyncCredit() {
-		want.Wanted = want.Wanted[:min(len(want.Wanted), wire.MaxWanted)]
-		c.sendTo(r, c.newDatagram(want))
+	c.sendStatements(member, toSend)
+	if len(request.Wanted) > 0 && c.takeSyncCredit() {
+		request.Wanted = request.Wanted[:min(len(request.Wanted), wire.MaxWanted)]
+		c.sendTo(member, c.newDatagram(request))
 	}
 }
 
-func (c *Core) answerWant(r *memberState, d wire.Datagram) {
-	var tell []*memberState
+// answerWantMembers answers a WantMembers with the statements on the wanted members.
+func (c *Core) answerWantMembers(member *memberState, d wire.Datagram) {
+	var toSend []*memberState
 	for _, h := range d.Wanted {
 		if m := c.byHash[h]; m != nil {
-			tell = append(tell, m)
+			toSend = append(toSend, m)
 		}
 	}
-	c.sendStatements(r, tell)
+	c.sendStatements(member, toSend)
 }
 
-// sendStatements sends statements in a few datagrams, beginning at a drawn one: what is left over gets its
-// turn another time.
-func (c *Core) sendStatements(r *memberState, tell []*memberState) {
-	if len(tell) == 0 {
+// sendStatements sends the statements on members in a few datagrams, starting at a random one, so that the
+// statements that don't fit are sent another time.
+func (c *Core) sendStatements(member *memberState, members []*memberState) {
+	if len(members) == 0 {
 		return
 	}
-	first := c.random.IntN(len(tell))
-	at := 0
+	first := c.random.IntN(len(members))
+	sent := 0
 	for range maxListAnswers {
-		if at == len(tell) || !c.takeSyncCredit() {
+		if sent == len(members) || !c.takeSyncCredit() {
 			return
 		}
-		b := c.newHeader(wire.Answer)
-		for ; at < len(tell); at++ {
+		datagram := c.newHeader(wire.Answer)
+		for ; sent < len(members); sent++ {
 			var fits bool
-			if b, fits = wire.AppendStatement(b, c.statementOf(tell[(first+at)%len(tell)])); !fits {
+			if datagram, fits = wire.AppendStatement(
+				datagram,
+				c.statementOf(members[(first+sent)%len(members)]),
+			); !fits {
 				break
 			}
 		}
-		c.sendTo(r, b)
+		c.sendTo(member, datagram)
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -10,15 +10,15 @@
 )
 
 type (
-	// Health is what others, or the member itself, say of whether it lives.
+	// Health is whether a member is alive, according to other members or to itself.
 	Health = wire.Health
-	// State is what a member says that it is doing.
+	// State is the state that a member reports of itself.
 	State = wire.State
-	// Metadata is what a member says of itself.
+	// Metadata is what a member reports of itself.
 	Metadata = wire.Metadata
 )
 
-// The healths and states of a member; package wire says what they mean.
+// The healths and states of a member, which package wire describes.
 const (
 	Alive   = wire.Alive
 	Suspect = wire.Suspect
@@ -31,32 +31,33 @@
 	Leaving  = wire.Leaving
 )
 
-// Member is what the node believes of one member.
+// Member is a member in the node's view.
 type Member struct {
 	Name        string
-	Number      int // place among the configured peers, -1: none
-	Addr        netip.AddrPort
+	Number      int            // index among the configured peers; -1 means none
+	Addr        netip.AddrPort // address that the member advertises
 	Generation  uint64
 	Incarnation uint32
 	Health      Health
 	Metadata    Metadata
-	Since       Time // since when it has this generation and health, on the owner's clock
-	// why it is suspect, dead or left, and the names of its accusers (at most three, by comma)
+	Since       Time // since when the member has this generation and health, on the owner's clock
+	// Reason is why the member is suspect, dead or left; Accusers are the names of at most three accusers,
+	// separated by commas.
 	Reason, Accusers string
 }
 
-// View is what the node believes at one moment. Number rises with each change that the digest covers; two
-// nodes with the same Digest see the same members with the same generations, incarnations, healths and
-// metadata, load aside.
+// View is the node's view at one moment. Version rises with each change that the digest covers. Two nodes
+// with the same Digest see the same members with the same generations, incarnations, healths and metadata,
+// load aside.
 type View struct {
 	Version uint64
 	Digest  uint64
-	Self    string
-	Yielded bool     // silent, as another process has the name
-	Members []Member // by name, own included; the dead and left ones until they are forgotten
+	Self    string   // the node's name
+	Yielded bool     // the node is silent, as another process has its name
+	Members []Member // by name, the node included; dead and left members until they are forgotten
 }
 
-// Serving returns the names of the members that are not dead or left and say that they serve, in order.
+// Serving returns the names, in order, of the members that are not dead or left and report that they serve.
 func (v View) Serving() []string {
 	var names []string
 	for _, m := range v.Members {
@@ -67,43 +68,44 @@
 	return names
 }
 
-// View returns what the node believes now.
+// View returns the node's present view.
 func (c *Core) View() View {
-	v := View{Version: c.version, Digest: c.digest, Self: c.self.statement.Name, Yielded: c.yielded}
-	for _, r := range c.sorted {
-		v.Members = append(v.Members, c.member(r.statement, r.since))
+	v := View{Version: c.version, Digest: c.digest, Self: c.self.statement.Name, Yielded: c.hasYielded}
+	for _, member := range c.sorted {
+		v.Members = append(v.Members, c.asMember(member.statement, member.since))
 	}
 	slices.SortFunc(v.Members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 	return v
 }
 
-func (c *Core) member(st wire.Statement, since Time) Member {
+// asMember returns the view entry for a statement. since is when the member got its generation and health.
+func (c *Core) asMember(statement wire.Statement, since Time) Member {
 	m := Member{
-		Name:        st.Name,
-		Number:      st.Number,
-		Addr:        st.Addr,
-		Generation:  st.Generation,
-		Incarnation: st.Incarnation,
-		Health:      st.Health,
-		Metadata:    st.Metadata,
+		Name:        statement.Name,
+		Number:      statement.Number,
+		Addr:        statement.Addr,
+		Generation:  statement.Generation,
+		Incarnation: statement.Incarnation,
+		Health:      statement.Health,
+		Metadata:    statement.Metadata,
 		Since:       since,
 	}
-	var by []string
-	for _, h := range st.Accusers {
-		if r := c.byHash[h]; r != nil {
-			by = append(by, r.statement.Name)
+	var accusers []string
+	for _, h := range statement.Accusers {
+		if member := c.byHash[h]; member != nil {
+			accusers = append(accusers, member.statement.Name)
 		} else if h != 0 {
-			by = append(by, fmt.Sprintf("%016x", h))
+			accusers = append(accusers, fmt.Sprintf("%016x", h))
 		}
 	}
-	m.Accusers = strings.Join(by, ",")
-	switch st.Health {
+	m.Accusers = strings.Join(accusers, ",")
+	switch statement.Health {
 	case Suspect:
 		m.Reason = "no answer, neither directly nor through others"
 	case Dead:
 		m.Reason = "suspected, and did not speak up in time"
 	case Left:
-		m.Reason, m.Accusers = "said that it leaves", st.Name
+		m.Reason, m.Accusers = "said that it leaves", statement.Name
 	}
 	return m
 }
--- a/internal/membership/wire/datagram.go
+++ b/internal/membership/wire/datagram.go
@@ -8,77 +8,77 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxSize is the most bytes that a datagram between nodes may have.
+// MaxSize is the largest size in bytes of a datagram between nodes.
 const MaxSize = 256
 
-// Kind is a datagram's first byte. All are 0x40 or more: nodes that know only load notes (kind 1) drop them.
-// 0x60 to 0x6f belong to the quotas' claims and grants on the same socket.
+// Kind is a datagram's first byte. All kinds are 0x40 or more, so that nodes that know only load notes (kind
+// 1) drop them. 0x60 to 0x6f belong to package quota's datagrams on the same socket.
 type Kind uint8
 
-// The kinds of datagram. Statements on members ride along with Ping and Ack.
+// The kinds of datagram. Ping, Ack, Gossip and Answer carry statements on members.
 const (
-	Ping        Kind = 0x40 + iota // asks the receiver whether it is alive
-	Ack                            // the answer, with the ping's number
-	PingReq                        // please ping Target for me
-	Nack                           // I asked Target for you, without an answer so far
-	Gossip                         // statements alone
-	Digest                         // sums of 16 ranges of members
-	RangeList                      // all members that the sender has in one range
-	WantMembers                    // please tell me of these members
-	Answer                         // statements in answer to RangeList and WantMembers
-	IndirectAck                    // Target has answered me, whom you had asked for an indirect probe
+	Ping        Kind = 0x40 + iota // asks the receiver for an Ack
+	Ack                            // answers a Ping, with its sequence number
+	PingReq                        // asks the receiver to ping Target for the sender
+	Nack                           // reports that the Target of a PingReq has not answered so far
+	Gossip                         // carries statements only
+	Digest                         // carries the sums of 16 ranges of members
+	RangeList                      // lists all members in one range of the sender's view
+	WantMembers                    // requests statements on some members
+	Answer                         // carries statements in answer to RangeList and WantMembers
+	IndirectAck                    // reports that the Target of a PingReq has answered
 )
 
-// Sizes in a datagram. A new layout gets a new kind, so there is no version beside it.
+// Sizes in a datagram, in bytes. There is no version field: a new layout gets a new kind.
 const (
-	headSize  = 1 + 4 + 8 + 8 + 8
-	entrySize = 8 + 4
-	// Fanout is the number of ranges that one Digest compares.
+	headerSize = 1 + 4 + 8 + 8 + 8
+	entrySize  = 8 + 4
+	// Fanout is the number of ranges whose sums a Digest carries.
 	Fanout = 16
-	// MaxEntries is the most members that a RangeList names.
-	MaxEntries = (MaxSize - headSize - 17) / entrySize
-	// MaxWanted is the most members that a WantMembers names.
-	MaxWanted = (MaxSize - headSize - 1) / 8
+	// MaxEntries is the largest number of members in a RangeList.
+	MaxEntries = (MaxSize - headerSize - 17) / entrySize
+	// MaxWanted is the largest number of members in a WantMembers.
+	MaxWanted = (MaxSize - headerSize - 1) / 8
 )
 
-// Entry names a member within a RangeList: the hash of its name and the low half of its sum.
+// Entry is a member in a RangeList: the hash of its name and the low half of its sum.
 type Entry struct {
 	Hash uint64
 	Sum  uint32
 }
 
-// Header begins every datagram.
+// Header is the first part of every datagram.
 type Header struct {
 	Kind       Kind
 	Fleet      uint32 // FleetHash of the fleet's name
 	Sender     uint64 // Hash of the sender's name
-	Generation uint64 // the sender's
+	Generation uint64 // of the sender
 	Digest     uint64 // of the sender's view
 }
 
-// Datagram is a decoded one. Which fields count depends on its kind.
+// Datagram is a decoded datagram. Which fields are used depends on the kind.
 type Datagram struct {
 	Header
-	Seq          uint32         // Ping, Ack, PingReq, Nack, Indirect
-	Target       uint64         // PingReq, Indirect
-	Depth, Range uint8          // Digest: the range is 1/16^Depth of all, the Place-th
-	Sums         [Fanout]uint64 // Digest
-	From, To     uint64         // List: hashes, both included
-	Entries      []Entry        // List
-	Wanted       []uint64       // Want
+	Seq          uint32         // Ping, Ack, PingReq, Nack, IndirectAck: sequence number
+	Target       uint64         // PingReq, IndirectAck: hash of a member's name
+	Depth, Range uint8          // Digest: of the 16^Depth ranges of all hashes, the one with the index Range
+	Sums         [Fanout]uint64 // Digest: of the ranges that this range divides into
+	From, To     uint64         // RangeList: first and last hash of the range
+	Entries      []Entry        // RangeList
+	Wanted       []uint64       // WantMembers: hashes of members' names
 	Statements   []Statement    // Ping, Ack, Gossip, Answer
 }
 
-// FleetHash stands for a fleet's name.
+// FleetHash returns the hash of a fleet's name, which stands for the name in datagrams.
 func FleetHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // IsOurs reports whether b may be a datagram of this fleet, without decoding it.
 func IsOurs(b []byte, fleet uint32) bool {
-	return len(b) >= headSize && len(b) <= MaxSize && Kind(b[0]) >= Ping && Kind(b[0]) <= IndirectAck &&
+	return len(b) >= headerSize && len(b) <= MaxSize && Kind(b[0]) >= Ping && Kind(b[0]) <= IndirectAck &&
 		binary.BigEndian.Uint32(b[1:]) == fleet
 }
 
-// Encode writes all of d but its statements, which are added by AppendStatement as long as they fit.
+// Encode encodes all of d but its statements, which AppendStatement appends as long as they fit.
 func (d *Datagram) Encode() []byte {
 	b := make([]byte, 0, MaxSize)
 	b = append(b, byte(d.Kind))
@@ -114,39 +114,40 @@
 	return b
 }
 
-// AppendStatement adds s if it fits, and reports whether it did.
+// AppendStatement appends s to a datagram if it fits, and reports whether it did.
 func AppendStatement(b []byte, s Statement) ([]byte, bool) {
-	var room [MaxSize]byte
-	body := s.appendBody(room[:0])
-	var size [2]byte
-	n := binary.PutUvarint(size[:], uint64(len(body)))
+	var buffer [MaxSize]byte
+	body := s.appendBody(buffer[:0])
+	var length [2]byte
+	n := binary.PutUvarint(length[:], uint64(len(body)))
 	if len(b)+n+len(body) > MaxSize {
 		return b, false
 	}
-	return append(append(b, size[:n]...), body...), true
+	return append(append(b, length[:n]...), body...), true
 }
 
-// Decode reads a complete datagram, or returns the reason why it can't.
+// Decode decodes a complete datagram.
 func Decode(b []byte) (Datagram, error) {
 	if len(b) > MaxSize {
-		return Datagram{}, fmt.Errorf("datagram of %d bytes, over %d", len(b), MaxSize)
+		return Datagram{}, fmt.Errorf("decode datagram: %d bytes, want at most %d", len(b), MaxSize)
 	}
 	r := reader{data: b}
 	var d Datagram
 	d.Kind, d.Fleet, d.Sender, d.Generation, d.Digest = Kind(r.u8()), r.u32(), r.u64(), r.u64(), r.u64()
 	if d.Generation >= MaxGeneration || d.Sender == 0 {
-		return Datagram{}, errors.New("sender out of bounds")
+		return Datagram{}, errors.New("decode datagram: sender or generation out of bounds")
 	}
-	if err := d.readRest(&r); err != nil {
+	if err := d.readBody(&r); err != nil {
 		return Datagram{}, err
 	}
 	if r.failed {
-		return Datagram{}, errShort
+		return Datagram{}, errMalformed
 	}
 	return d, nil
 }
 
-func (d *Datagram) readRest(r *reader) error {
+// readBody reads the fields after the header.
+func (d *Datagram) readBody(r *reader) error {
 	switch d.Kind {
 	case Ping, Ack:
 		d.Seq = r.u32()
@@ -160,7 +161,7 @@
 	case Digest:
 		d.Depth, d.Range = r.u8(), r.u8()
 		if d.Depth > 1 || int(d.Range) >= Fanout || (d.Depth == 0 && d.Range != 0) {
-			return fmt.Errorf("digest of range %d at depth %d", d.Range, d.Depth)
+			return fmt.Errorf("decode digest: no range %d at depth %d", d.Range, d.Depth)
 		}
 		for i := range d.Sums {
 			d.Sums[i] = r.u64()
@@ -170,25 +171,26 @@
 		for range r.u8() {
 			d.Entries = append(d.Entries, Entry{r.u64(), r.u32()})
 			if r.failed {
-				return errShort
+				return errMalformed
 			}
 		}
 	case WantMembers:
 		for range r.u8() {
 			d.Wanted = append(d.Wanted, r.u64())
 			if r.failed {
-				return errShort
+				return errMalformed
 			}
 		}
 	default:
-		return fmt.Errorf("unknown kind %#x", uint8(d.Kind))
+		return fmt.Errorf("decode datagram: unknown kind %#x", uint8(d.Kind))
 	}
 	return nil
 }
 
+// readStatements reads statements up to the end of the datagram.
 func (d *Datagram) readStatements(r *reader) error {
 	for len(r.data) > 0 && !r.failed {
-		body := r.take(int(r.uvarint(MaxSize)))
+		body := r.next(int(r.uvarint(MaxSize)))
 		if r.failed {
 			break
 		}
@@ -197,7 +199,7 @@
 			return err
 		}
 		if d.Statements == nil {
-			d.Statements = make([]Statement, 0, 5) // as many as fit of middling ones
+			d.Statements = make([]Statement, 0, 5) // about five statements of average size fit
 		}
 		d.Statements = append(d.Statements, s)
 	}
--- a/internal/membership/wire/fact.go
+++ b/internal/membership/wire/fact.go
@@ -1,6 +1,6 @@
-// Package wire is the one definition of the datagrams that nodes send each other to keep their view, and of
-// the statements in them. It has no state: bytes in, values out, and back. Whatever comes in is bounded by
-// the datagram's 256 bytes; what can't be read is an error, never a panic.
+// Package wire defines the datagrams that nodes send each other to maintain their views, and the statements
+// in them. It encodes and decodes and has no state. A received datagram is bounded to 256 bytes; one that
+// can't be read gives an error, never a panic.
 package wire
 
 import (
@@ -8,11 +8,11 @@
 	"net/netip"
 )
 
-// Health is what others, or the member itself, say of a member. Within one generation and incarnation the
-// higher one holds.
+// Health is whether a member is alive, according to a statement on it. Of two statements of one generation
+// and incarnation, the one with the higher health prevails.
 type Health uint8
 
-// Left is said by the member alone; Suspect and Dead are said by others.
+// Left is stated only by the member itself; Suspect and Dead are stated only by other members.
 const (
 	Alive Health = iota
 	Suspect
@@ -27,11 +27,11 @@
 	return fmt.Sprintf("health-%d", uint8(h))
 }
 
-// State is the member's own statement on what it is doing. Values beyond the known ones come from newer
-// versions: they are kept and passed on.
+// State is the state that a member reports of itself. Values beyond the known ones come from newer versions;
+// they are retained and passed on.
 type State uint8
 
-// The states of a member, in the order in which it goes through them.
+// The states of a member, in the order in which the member goes through them.
 const (
 	Joining State = iota
 	Serving
@@ -46,48 +46,50 @@
 	return fmt.Sprintf("state-%d", uint8(s))
 }
 
-// Metadata are what a member says of itself. All of them but Load change with its incarnation.
+// Metadata are the facts that a member reports of itself. A change of any but Load raises its incarnation.
 type Metadata struct {
 	Zone, Version string // printable ASCII, at most MaxText bytes each
 	Catalogue     uint64 // version of the tenants' catalogue that the member has
 	Policy        uint64 // version of the policy that the member has
-	FencingToken  uint64 // fencing token under which it holds the lease of sharing out quotas; 0: it doesn't
-	Load          uint16 // per mille; sent along, not covered by the digest
+	FencingToken  uint64 // fencing token under which the member holds the quota allocator's lease; 0 means none
+	Load          uint16 // per mille; not covered by the digest
 	State         State
 }
 
-// Statement is what one node tells another of a member. All fields compare with ==.
+// Statement is a statement of one node on a member. All fields compare with ==.
 type Statement struct {
 	Name          string         // printable ASCII without blanks, 1 to MaxName bytes
-	Number        int            // place among the configured peers, -1: none; at most MaxNumber
-	Addr          netip.AddrPort // advertised by the member; may be none
+	Number        int            // index among the configured peers, at most MaxNumber; -1 means none
+	Addr          netip.AddrPort // advertised by the member; may be invalid
 	Generation    uint64         // below MaxGeneration
 	Incarnation   uint32
 	Health        Health
 	Metadata      Metadata
 	LoadSeq       uint32    // raised by the member with each new load of a generation
-	Accusers      [3]uint64 // hashes of the names of accusers, ascending, 0 last: the three smallest
-	Age           uint16    // of a dead or left one: tenths of a second since; at most MaxAge
-	UnknownFields string    // fields of newer versions, kept and passed on, at most MaxUnknownFields bytes
+	Accusers      [3]uint64 // the three smallest hashes of accusers' names, ascending; unused ones are 0 and last
+	Age           uint16    // tenths of a second since the member died or left; at most MaxAge
+	UnknownFields string    // fields of newer versions, passed on unchanged; at most MaxUnknownFields bytes
 }
 
-// Bounds of statements. With all at their most, one statement still fits into one datagram (see the test).
+// Bounds of statements. With all values at their bounds, one statement still fits into one datagram
+// (TestLargestFits).
 const (
-	MaxName          = 48
-	MaxText          = 24
-	MaxUnknownFields = 21
+	MaxName          = 48 // bytes
+	MaxText          = 24 // bytes
+	MaxUnknownFields = 21 // bytes
 	MaxNumber        = 65534
-	MaxGeneration    = 1 << 62 // enough above any clock's milliseconds to take one more, always
-	MaxAge           = 65535
+	MaxGeneration    = 1 << 62 // far above any clock's milliseconds, so that a generation can always be raised
+	MaxAge           = 65535   // tenths of a second
 )
 
-// WithoutVolatile is the statement without what the digest leaves out: load, accusers, age.
+// WithoutVolatile returns the statement without the fields that the digest does not cover: load, accusers and
+// age.
 func (s Statement) WithoutVolatile() Statement {
 	s.Metadata.Load, s.LoadSeq, s.Accusers, s.Age = 0, 0, [3]uint64{}, 0
 	return s
 }
 
-// Check reports whether the statement is within its bounds.
+// Check returns an error if a field of the statement is out of its bounds.
 func (s Statement) Check() error {
 	switch {
 	case len(s.Name) < 1 || len(s.Name) > MaxName || !printable(s.Name, '!'):
@@ -104,7 +106,7 @@
 	case s.Number < -1 || s.Number > MaxNumber:
 		return fmt.Errorf("number %d of %s: want -1 to %d", s.Number, s.Name, MaxNumber)
 	case s.Generation >= MaxGeneration:
-		return fmt.Errorf("life %d of %s: want less than 2^62", s.Generation, s.Name)
+		return fmt.Errorf("generation %d of %s: want less than 2^62", s.Generation, s.Name)
 	case s.Health > Left:
 		return fmt.Errorf("health %d of %s: unknown", s.Health, s.Name)
 	case len(s.UnknownFields) > MaxUnknownFields:
@@ -118,6 +120,7 @@
 	return nil
 }
 
+// printable reports whether all bytes of s are printable ASCII, from lowest on.
 func printable(s string, lowest byte) bool {
 	for i := range len(s) {
 		if s[i] < lowest || s[i] > '~' {
--- a/internal/membership/wire/statement.go
+++ b/internal/membership/wire/statement.go
@@ -8,19 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash stands for a member's name where the name does not fit, and orders members into ranges. It is never 0.
+// Hash returns the hash of a member's name, which stands for the name in datagrams and orders the members
+// into ranges. It is never 0.
 func Hash(name string) uint64 { return max(xxhash.Sum64String(name), 1) }
 
-// Sum is the statement's part in the digest of a view: load, accusers and age aside.
+// Sum returns the statement's part in the digest of a view: a hash of all fields but load, accusers and age.
 func (s Statement) Sum() uint64 {
-	var room [256]byte
-	return xxhash.Sum64(s.WithoutVolatile().appendBody(room[:0]))
+	var buffer [256]byte
+	return xxhash.Sum64(s.WithoutVolatile().appendBody(buffer[:0]))
 }
 
-// Bytes is the plain statement as it is sent: the same statement, the same bytes.
+// Bytes returns the encoding of the statement without load, accusers and age. Equal statements have equal
+// encodings.
 func (s Statement) Bytes() []byte { return s.WithoutVolatile().appendBody(nil) }
 
-// appendBody writes the statement without its length. The statement is within its bounds.
+// appendBody appends the statement's encoding, without a length. The statement is within its bounds.
 func (s Statement) appendBody(b []byte) []byte {
 	b = appendText(b, s.Name)
 	b = binary.AppendUvarint(b, s.Generation)
@@ -41,8 +43,10 @@
 	return append(b, s.UnknownFields...)
 }
 
+// appendText appends the length of s, in one byte, and s.
 func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
+// appendAddr appends the length of an address in bytes, the address and the port; for no address a 0 only.
 func appendAddr(b []byte, a netip.AddrPort) []byte {
 	ip := a.Addr().Unmap().WithZone("")
 	raw := ip.AsSlice() // none, 4 or 16 bytes
@@ -53,69 +57,71 @@
 	return binary.BigEndian.AppendUint16(append(b, raw...), a.Port())
 }
 
-func appendAccusers(b []byte, by [3]uint64) []byte {
-	at := len(b)
+// appendAccusers appends the number of accusers and their hashes.
+func appendAccusers(b []byte, accusers [3]uint64) []byte {
+	countIndex := len(b)
 	b = append(b, 0)
-	for _, h := range by {
+	for _, h := range accusers {
 		if h != 0 {
 			b = binary.BigEndian.AppendUint64(b, h)
-			b[at]++
+			b[countIndex]++
 		}
 	}
 	return b
 }
 
-var errShort = errors.New("datagram ends early or is out of bounds")
+var errMalformed = errors.New("decode datagram: too short, or a field out of bounds")
 
-// reader takes fields off a datagram; once something is wrong it stays so and gives zeros.
+// reader reads fields from a datagram. failed is set once a field is missing or malformed; from then on all
+// fields read as zero.
 type reader struct {
 	data   []byte
 	failed bool
 }
 
-func (r *reader) take(n int) []byte {
+func (r *reader) next(n int) []byte {
 	if r.failed || n < 0 || n > len(r.data) {
 		r.failed = true
 		return nil
 	}
-	out := r.data[:n]
+	field := r.data[:n]
 	r.data = r.data[n:]
-	return out
+	return field
 }
 
 func (r *reader) u8() byte {
-	if b := r.take(1); b != nil {
+	if b := r.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
 func (r *reader) u16() uint16 {
-	if b := r.take(2); b != nil {
+	if b := r.next(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
 func (r *reader) u32() uint32 {
-	if b := r.take(4); b != nil {
+	if b := r.next(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
 func (r *reader) u64() uint64 {
-	if b := r.take(8); b != nil {
+	if b := r.next(8); b != nil {
 		return binary.BigEndian.Uint64(b)
 	}
 	return 0
 }
 
-// uvarint takes a number of at most most. A number written longer than needed is wrong: one value, one
-// writing.
-func (r *reader) uvarint(most uint64) uint64 {
+// uvarint reads a number of at most maximum. A number that is encoded longer than necessary is malformed, so
+// that each value has one encoding.
+func (r *reader) uvarint(maximum uint64) uint64 {
 	v, n := binary.Uvarint(r.data)
-	if r.failed || n <= 0 || v > most || (n > 1 && r.data[n-1] == 0) {
+	if r.failed || n <= 0 || v > maximum || (n > 1 && r.data[n-1] == 0) {
 		r.failed = true
 		return 0
 	}
@@ -123,14 +129,16 @@
 	return v
 }
 
-func (r *reader) text() string { return string(r.take(int(r.u8()))) }
+// text reads what appendText has written.
+func (r *reader) text() string { return string(r.next(int(r.u8()))) }
 
+// addr reads what appendAddr has written. IPv4 addresses must not be mapped to IPv6.
 func (r *reader) addr() netip.AddrPort {
 	n := int(r.u8())
 	if n == 0 {
 		return netip.AddrPort{}
 	}
-	ip, ok := netip.AddrFromSlice(r.take(n))
+	ip, ok := netip.AddrFromSlice(r.next(n))
 	port := r.u16()
 	if !ok || ip.Is4In6() {
 		r.failed = true
@@ -139,23 +147,23 @@
 	return netip.AddrPortFrom(ip, port)
 }
 
-// accusers takes ascending hashes, three at most.
-func (r *reader) accusers() (by [3]uint64) {
+// accusers reads at most three hashes, which must ascend.
+func (r *reader) accusers() (accusers [3]uint64) {
 	n := int(r.u8())
-	if n > len(by) {
+	if n > len(accusers) {
 		r.failed = true
-		return by
+		return accusers
 	}
 	var last uint64
 	for i := range n {
-		by[i] = r.u64()
-		r.failed = r.failed || by[i] <= last
-		last = by[i]
+		accusers[i] = r.u64()
+		r.failed = r.failed || accusers[i] <= last
+		last = accusers[i]
 	}
-	return by
+	return accusers
 }
 
-// readStatement takes a statement from exactly b.
+// readStatement decodes a statement that takes up all of b.
 func readStatement(b []byte) (Statement, error) {
 	r := reader{data: b}
 	s := Statement{
@@ -178,7 +186,7 @@
 	s.Metadata.Load, s.LoadSeq = r.u16(), uint32(r.uvarint(1<<32-1))
 	s.Accusers, s.Age = r.accusers(), r.u16()
 	if r.failed {
-		return Statement{}, errShort
+		return Statement{}, errMalformed
 	}
 	s.UnknownFields = string(r.data[:min(len(r.data), MaxUnknownFields)])
 	return s, s.Check()
