--- a/internal/membership/gossip/fixture_test.go
+++ b/internal/membership/gossip/fixture_test.go
@@ -6,7 +6,8 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestReportAndHandoffFormsAreUnchanged compares what operators read and what a new process takes over with golden files.
+// TestReportAndHandoffFormsAreUnchanged compares the report that operators read and the handoff to a new
+// process with golden files.
 func TestReportAndHandoffFormsAreUnchanged(t *testing.T) {
 	for name, sample := range map[string]any{"report": &Report{}, "handed": &Handoff{}} {
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
--- a/internal/membership/gossip/server_test.go
+++ b/internal/membership/gossip/server_test.go
@@ -16,10 +16,10 @@
 	"wrenspread/internal/membership/wire"
 )
 
-const enough = 30 * time.Second // only a hang takes so long
+const awaitTimeout = 30 * time.Second // only a hang takes so long
 
-// network carries datagrams between shells by address.
-type network struct{ at sync.Map }
+// network carries datagrams between servers by address.
+type network struct{ servers sync.Map }
 
 func addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7000)
@@ -29,23 +29,23 @@
 	s := Start(ctx, Config{Fleet: "f", Name: string(rune('a' + i)), Number: -1, Addr: addr(i), Seeds: []netip.AddrPort{addr(0)}, ProbeInterval: 20 * time.Millisecond,
 		LocalState: func() (membership.State, uint16) { return membership.Serving, 7 }, Log: slog.New(slog.DiscardHandler), Handoff: handed,
 		Send: func(to netip.AddrPort, data []byte) {
-			if s, ok := n.at.Load(to); ok {
+			if s, ok := n.servers.Load(to); ok {
 				s.(*Server).Receive(addr(i), data)
 			}
 		}})
-	n.at.Store(addr(i), s)
+	n.servers.Store(addr(i), s)
 	return s
 }
 
-// await waits until a shell sees what is wanted.
+// await waits until wanted is true for a server's report, and returns the report.
 func await(t *testing.T, s *Server, what string, wanted func(Report) bool) (r Report) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), enough)
+	ctx, cancel := context.WithTimeout(t.Context(), awaitTimeout)
 	defer cancel()
 	for {
 		r, ok := s.Report(ctx)
 		if !ok {
-			t.Fatalf("%s: not seen: %+v", what, r)
+			t.Fatalf("%s: no report in time: %+v", what, r)
 		}
 		if wanted(r) {
 			return r
@@ -54,15 +54,16 @@
 	}
 }
 
-func healths(r Report) (all string) {
+func healthSummary(r Report) (all string) {
 	for _, m := range r.Members {
 		all += m.Name + " " + m.Health + " "
 	}
 	return all
 }
 
-// TestShell: the facts that are set get around, a generation is handed over, a leave is told, figures fit, and nothing stays behind.
-func TestShell(t *testing.T) {
+// Metadata that is set reaches the other node, a generation is handed over, a leave is broadcast, the metrics
+// are right, and no goroutine is left.
+func TestServerSpreadsMetadataHandsOverAndLeaves(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -73,7 +74,7 @@
 		return len(r.Members) == 2 && r.Members[1].Catalogue == 3 && r.Members[1].Policy == 4 && r.Members[1].Load == 7
 	})
 	// b hands over the addresses of the living members that it has seen itself.
-	await(t, b, "a", func(r Report) bool { return healths(r) == "a alive b alive " })
+	await(t, b, "a", func(r Report) bool { return healthSummary(r) == "a alive b alive " })
 	h := b.HandOver()
 	if h.Generation != r.Members[1].Generation || h.State != membership.Serving || len(h.Join) != 1 || h.Join[0] != addr(0) {
 		t.Errorf("handed over %+v of %+v", h, r)
@@ -81,35 +82,36 @@
 	next := n.start(ctx, 1, h)
 	await(t, a, "the next process", func(r Report) bool {
 		if m := r.Members[1]; m.Health != "alive" || m.Generation != h.Generation {
-			t.Fatalf("an upgrade looks like %+v", m)
+			t.Fatalf("during an upgrade the node is seen as %+v", m)
 		}
 		return r.Members[1].Incarnation > h.Incarnation
 	})
-	await(t, next, "a", func(r Report) bool { return healths(r) == "a alive b alive " }) // else it has nobody to tell
-	leave, cancel := context.WithTimeout(ctx, enough)
+	await(t, next, "a", func(r Report) bool { return healthSummary(r) == "a alive b alive " }) // a leave is only sent to members that the node knows
+	leave, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
 	next.Leave(leave)
-	await(t, a, "b has left", func(r Report) bool { return healths(r) == "a alive b left " })
+	await(t, a, "b has left", func(r Report) bool { return healthSummary(r) == "a alive b left " })
 	var text strings.Builder
 	a.WriteStats(&text)
 	if !strings.HasPrefix(text.String(), "app.fleet.alive:1|g\napp.fleet.suspect:0|g\napp.fleet.dead:0|g\napp.fleet.changes:") {
-		t.Errorf("figures %s", text.String())
+		t.Errorf("metrics %s", text.String())
 	}
 	stop()
 	<-a.ended
 	if a.Leave(t.Context()); a.HandOver() == nil {
-		t.Error("an ended one has no life")
+		t.Error("an ended server gives no handoff")
 	}
 }
 
-// TestStrangersAreBounded: whatever they send, only so much reaches the owner, and a member's datagrams all do.
-func TestStrangersAreBounded(t *testing.T) {
+// Whatever strangers send, a bounded number of their datagrams reaches the owner, and all datagrams of
+// members do.
+func TestStrangersAreRateLimitedAndMembersAreNot(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	n := &network{}
 	a, b := n.start(ctx, 0, nil), n.start(ctx, 1, nil)
-	await(t, a, "b", func(r Report) bool { return healths(r) == "a alive b alive " })
+	await(t, a, "b", func(r Report) bool { return healthSummary(r) == "a alive b alive " })
 	rng := rand.New(rand.NewPCG(4, 2))
 	begun, before := time.Now(), a.received.read().Datagrams
 	const flood = 100_000
@@ -121,13 +123,13 @@
 		}
 		a.Receive(netip.AddrPortFrom(addr(2+i%200).Addr(), uint16(i)), data)
 	}
-	most := int64(strangerBurst + strangerRate*time.Since(begun).Seconds() + 1)
-	let := a.received.read().Datagrams - before - a.received.dropped.Load()
-	if members := a.received.read().Datagrams - before - flood; let > most+members {
-		t.Errorf("%d reached the owner, want at most %d and %d of members", let, most, members)
+	maxFromStrangers := int64(strangerBurst + strangerRate*time.Since(begun).Seconds() + 1)
+	reached := a.received.read().Datagrams - before - a.received.dropped.Load()
+	if fromMembers := a.received.read().Datagrams - before - flood; reached > maxFromStrangers+fromMembers {
+		t.Errorf("%d datagrams reached the owner, want at most %d of strangers and %d of members", reached, maxFromStrangers, fromMembers)
 	}
-	await(t, a, "b still", func(r Report) bool { return healths(r) == "a alive b alive " })
-	await(t, b, "a still", func(r Report) bool { return healths(r) == "a alive b alive " })
+	await(t, a, "b still", func(r Report) bool { return healthSummary(r) == "a alive b alive " })
+	await(t, b, "a still", func(r Report) bool { return healthSummary(r) == "a alive b alive " })
 	stop()
 	<-a.ended
 	<-b.ended
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// TestIslands: nodes that all have all addresses and start together meet in two islands, as it happens when their first
-// questions go that way (here for a second). Each goes on through its seeds and does not wait for the slow round.
-func TestIslands(t *testing.T) {
+// Nodes that start together, with all addresses as seeds, meet in two separate groups if their first pings go
+// that way (here because of a cut of one second). Each node continues to ping its seeds and does not wait for
+// the slow round of pings to seeds, so that the groups have joined after 3 s.
+func TestSeparateGroupsAtStartJoinThroughSeeds(t *testing.T) {
 	w := newNetwork(t, 7)
 	island := func(n *node) bool { return n.name < "n2" }
-	w.cut = func(from, to *node) bool { return w.now < time.Second && island(from) != island(to) }
+	w.isCut = func(from, to *node) bool { return w.now < time.Second && island(from) != island(to) }
 	const n = 5
 	var seeds []netip.AddrPort
 	for i := range n {
@@ -26,7 +27,7 @@
 	w.run(3 * time.Second)
 	for _, n := range w.nodes {
 		if v, first := n.View(), w.nodes[0].View(); len(v.Members) != len(w.nodes) || v.Digest != first.Digest {
-			t.Errorf("after 3 s %s knows %d of %d", n.name, len(v.Members), len(w.nodes))
+			t.Errorf("after 3 s %s knows %d of %d members", n.name, len(v.Members), len(w.nodes))
 		}
 	}
 }
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -10,7 +10,8 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// drawStatement draws from few values, so that ties are common. Age is what a merge does not promise anything on.
+// drawStatement draws a statement from few values, so that ties are common. It draws no Age, as the laws of
+// merge leave Age out.
 func drawStatement(t *rapid.T) wire.Statement {
 	small := rapid.IntRange(0, 2)
 	s := wire.Statement{Name: "n1", Number: small.Draw(t, "number"), Generation: uint64(small.Draw(t, "life")), Incarnation: uint32(small.Draw(t, "inc")),
@@ -38,7 +39,7 @@
 		joint := a
 		joint.Accusers = b.Accusers
 		if m := merge(a, joint); m != merge(joint, a) || m.Accusers != mergeAccusers(a.Accusers, b.Accusers) {
-			t.Fatalf("accusers of one suspicion do not add up: %x and %x", a.Accusers, b.Accusers)
+			t.Fatalf("accusers of one suspicion are not united: %x and %x", a.Accusers, b.Accusers)
 		}
 		m := merge(a, b)
 		if m.Generation < max(a.Generation, b.Generation) || (a.Generation == b.Generation && m.Incarnation < max(a.Incarnation, b.Incarnation)) {
@@ -47,8 +48,8 @@
 	})
 }
 
-// Statements in any order, repeated at will, give the same digest in all nodes.
-func TestOrderDoesNotMatter(t *testing.T) {
+// Statements give the same digest in any order and however often they are repeated.
+func TestStatementOrderDoesNotChangeTheDigest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(drawStatement), 1, 8).Draw(t, "statements")
 		order := rapid.Permutation(append(all, all...)).Draw(t, "order")
--- a/internal/membership/net_test.go
+++ b/internal/membership/net_test.go
@@ -10,33 +10,35 @@
 	"time"
 )
 
-// network is a small drawn one on a fake clock: enough to show each hard case with the real cores.
+// network is a small random network on a fake clock, over which the real cores run.
 type network struct {
-	t     testing.TB
-	rng   *rand.Rand
-	now   Time
-	queue events
-	count uint64
-	nodes []*node
-	loss  float64
-	cut   func(from, to *node) bool
-	slow  func(from, to *node) Time
-	drop  [256]bool // kinds that the network loses
-}
-
+	t            testing.TB
+	rng          *rand.Rand
+	now          Time
+	queue        eventQueue
+	eventCount   uint64
+	nodes        []*node
+	lossRate     float64
+	isCut        func(from, to *node) bool
+	extraDelay   func(from, to *node) Time
+	droppedKinds [256]bool // kinds of datagrams that the network loses
+}
+
+// node is a process with a core on the network.
 type node struct {
 	*Core
-	name    string
-	addr    netip.AddrPort
-	up      bool
-	stopped bool
-	wake    uint64   // number of the tick that holds
-	inbox   []Event  // while stopped
-	changes []change // of its view
-	acts    []Action // all but sends, wakes and changes
-	sent    [256]int // by kind
-}
-
+	name         string
+	addr         netip.AddrPort
+	running      bool
+	stopped      bool
+	tickNumber   uint64   // number of the last requested tick; others are ignored
+	inbox        []Event  // events that came while the node was stopped
+	changes      []change // of the node's view
+	otherActions []Action // all actions but Send, Wake and MemberChanged
+	sentByKind   [256]int // datagrams
+}
+
+// change is a change of a node's view.
 type change struct {
 	at Time
 	MemberChanged
@@ -44,28 +46,28 @@
 
 func newNetwork(t testing.TB, seed uint64) *network {
 	return &network{t: t, rng: rand.New(rand.NewPCG(seed, 1)),
-		cut: func(_, _ *node) bool { return false }, slow: func(_, _ *node) Time { return 0 }}
+		isCut: func(_, _ *node) bool { return false }, extraDelay: func(_, _ *node) Time { return 0 }}
 }
 
 func addrOf(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
-// config is that of the i-th process; all join by the 0th.
-func (w *network) config(i int, name string, life uint64) Config {
+// config returns the configuration of the i-th process. All processes join by the 0th.
+func (w *network) config(i int, name string, generation uint64) Config {
 	return Config{Fleet: "books", Name: name, Number: -1, Addr: addrOf(i), Seeds: []netip.AddrPort{addrOf(0)}, RandomSeed: uint64(i) + w.rng.Uint64()<<16,
-		Generation: life, Metadata: Metadata{Zone: "zone-a", Version: "1.4.2", State: Serving}}
+		Generation: generation, Metadata: Metadata{Zone: "zone-a", Version: "1.4.2", State: Serving}}
 }
 
 func (w *network) start(cfg Config) *node {
-	n := &node{Core: New(cfg, w.now), name: cfg.Name, addr: cfg.Addr, up: true}
+	n := &node{Core: New(cfg, w.now), name: cfg.Name, addr: cfg.Addr, running: true}
 	w.nodes = append(w.nodes, n)
 	w.handle(n, Tick{})
 	return n
 }
 
-// fleet starts n nodes within a second and gives them.
-func (w *network) fleet(n int) []*node {
+// startFleet starts n nodes within a second and returns them.
+func (w *network) startFleet(n int) []*node {
 	for i := range n {
 		w.run(time.Second / time.Duration(n))
 		w.start(w.config(i, fmt.Sprintf("n%d", i), uint64(1000+i)))
@@ -83,19 +85,19 @@
 		case Send:
 			w.send(n, a)
 		case Wake:
-			n.wake++
-			w.push(event{at: w.now + a.After, to: n, wake: n.wake, e: Tick{}})
+			n.tickNumber++
+			w.push(event{at: w.now + a.After, to: n, tickNumber: n.tickNumber, event: Tick{}})
 		case MemberChanged:
 			n.changes = append(n.changes, change{w.now, a})
 		default:
-			n.acts = append(n.acts, a)
+			n.otherActions = append(n.otherActions, a)
 		}
 	}
 }
 
 func (w *network) send(n *node, s Send) {
-	n.sent[s.Data[0]]++
-	if w.drop[s.Data[0]] {
+	n.sentByKind[s.Data[0]]++
+	if w.droppedKinds[s.Data[0]] {
 		return
 	}
 	if len(s.Data) > 256 {
@@ -103,9 +105,9 @@
 	}
 	for i := len(w.nodes) - 1; i >= 0; i-- {
 		to := w.nodes[i]
-		if to.up && to.addr == s.To {
-			if w.rng.Float64() >= w.loss && !w.cut(n, to) {
-				w.push(event{at: w.now + time.Duration(200+w.rng.IntN(800))*time.Microsecond + w.slow(n, to), to: to, e: Received{n.addr, s.Data}})
+		if to.running && to.addr == s.To {
+			if w.rng.Float64() >= w.lossRate && !w.isCut(n, to) {
+				w.push(event{at: w.now + time.Duration(200+w.rng.IntN(800))*time.Microsecond + w.extraDelay(n, to), to: to, event: Received{n.addr, s.Data}})
 			}
 			return
 		}
@@ -113,38 +115,40 @@
 }
 
 func (w *network) push(e event) {
-	w.count++
-	e.count = w.count
+	w.eventCount++
+	e.number = w.eventCount
 	heap.Push(&w.queue, e)
 }
 
-func (w *network) run(d time.Duration) { w.until(d, func() bool { return false }) }
+func (w *network) run(d time.Duration) { w.runUntil(d, func() bool { return false }) }
 
-// until plays on until cond holds, asked every 50 ms, and gives how long that took; false after most.
-func (w *network) until(most time.Duration, cond func() bool) (time.Duration, bool) {
+// runUntil runs the network until cond, evaluated every 50 ms, is true. It returns how long that took; the
+// result is false after limit.
+func (w *network) runUntil(limit time.Duration, cond func() bool) (time.Duration, bool) {
 	from := w.now
 	for next := from; ; next += 50 * time.Millisecond {
-		for len(w.queue) > 0 && w.queue[0].at <= min(next, from+most) {
+		for len(w.queue) > 0 && w.queue[0].at <= min(next, from+limit) {
 			e := heap.Pop(&w.queue).(event)
 			w.now = e.at
-			if e.to.up && (e.wake == 0 || e.wake == e.to.wake) {
-				w.handle(e.to, e.e)
+			if e.to.running && (e.tickNumber == 0 || e.tickNumber == e.to.tickNumber) {
+				w.handle(e.to, e.event)
 			}
 		}
-		w.now = min(next, from+most)
+		w.now = min(next, from+limit)
 		if cond() {
 			return w.now - from, true
 		}
-		if next >= from+most {
-			return most, false
+		if next >= from+limit {
+			return limit, false
 		}
 	}
 }
 
-// stop halts a process as a signal does: it hears nothing, and all at once when it goes on.
+// stop stops a process as a signal does: the process handles nothing until it is resumed, and then all at
+// once.
 func (w *network) stop(n *node) { n.stopped = true }
 
-func (w *network) goOn(n *node) {
+func (w *network) resume(n *node) {
 	n.stopped = false
 	inbox := n.inbox
 	n.inbox = nil
@@ -153,18 +157,19 @@
 	}
 }
 
-// settled says that all running nodes have the same digest, and see exactly themselves alive.
+// settled reports whether all running nodes have the same digest and see exactly the running nodes as
+// serving.
 func (w *network) settled() bool {
 	var up []string
 	for _, n := range w.nodes {
-		if n.up && !n.hasYielded && n.leavePeriodsLeft == 0 && !n.hasLeft {
+		if n.running && !n.hasYielded && n.leavePeriodsLeft == 0 && !n.hasLeft {
 			up = append(up, n.name)
 		}
 	}
 	slices.Sort(up)
 	root, first := uint64(0), true
 	for _, n := range w.nodes {
-		if !n.up || n.hasYielded || n.leavePeriodsLeft > 0 || n.hasLeft {
+		if !n.running || n.hasYielded || n.leavePeriodsLeft > 0 || n.hasLeft {
 			continue
 		}
 		if (!first && n.digest != root) || n.livingCount != len(up)-1 {
@@ -178,31 +183,31 @@
 	return true
 }
 
-func (w *network) mustSettle(most time.Duration, what string) time.Duration {
+func (w *network) mustSettle(limit time.Duration, what string) time.Duration {
 	w.t.Helper()
-	took, ok := w.until(most, w.settled)
+	took, ok := w.runUntil(limit, w.settled)
 	if !ok {
-		w.t.Fatalf("not settled %v after %s\n%s", most, what, w.describe())
+		w.t.Fatalf("not settled %v after %s\n%s", limit, what, w.describe())
 	}
 	return took
 }
 
 func (w *network) describe() (s string) {
 	for _, n := range w.nodes[:min(len(w.nodes), 6)] {
-		s += fmt.Sprintf("%s up=%v root=%x %+v\n", n.name, n.up, n.digest, n.Stats())
+		s += fmt.Sprintf("%s running=%v digest=%x %+v\n", n.name, n.running, n.digest, n.Stats())
 		for _, m := range n.View().Members[:min(len(n.sorted), 8)] {
-			s += fmt.Sprintf("    %s life %d/%d %v by %q\n", m.Name, m.Generation, m.Incarnation, m.Health, m.Accusers)
+			s += fmt.Sprintf("    %s generation %d/%d %v by %q\n", m.Name, m.Generation, m.Incarnation, m.Health, m.Accusers)
 		}
 	}
 	return s
 }
 
-// deaths counts how often a running node's view took a running one for dead since then.
-func (w *network) deaths(since Time, of ...*node) (count int) {
+// falseDeaths counts how often since then a running node has taken one of the nodes for dead.
+func (w *network) falseDeaths(since Time, nodes ...*node) (count int) {
 	for _, n := range w.nodes {
 		for _, c := range n.changes {
-			if c.at >= since && n.up && c.Member.Health == Dead && c.Before.Health != Dead &&
-				slices.ContainsFunc(of, func(o *node) bool { return o.name == c.Member.Name }) {
+			if c.at >= since && n.running && c.Member.Health == Dead && c.Before.Health != Dead &&
+				slices.ContainsFunc(nodes, func(o *node) bool { return o.name == c.Member.Name }) {
 				count++
 			}
 		}
@@ -210,25 +215,26 @@
 	return count
 }
 
-// seen is a change of one node's view.
-type seen struct {
+// viewerChange is a change of one node's view.
+type viewerChange struct {
 	viewer *node
 	change
 }
 
-// suspicions are the changes since then in which a member became suspect.
-func (w *network) suspicions(since Time) (out []seen) {
+// suspicions returns the changes since then in which a member became suspect.
+func (w *network) suspicions(since Time) (out []viewerChange) {
 	for _, n := range w.nodes {
 		for _, c := range n.changes {
 			if c.at >= since && c.Member.Health == Suspect && c.Before.Health != Suspect {
-				out = append(out, seen{n, c})
+				out = append(out, viewerChange{n, c})
 			}
 		}
 	}
 	return out
 }
 
-func (n *node) sees(name string) Member {
+// viewOf returns the node's view entry of the member with the name.
+func (n *node) viewOf(name string) Member {
 	for _, m := range n.View().Members {
 		if m.Name == name {
 			return m
--- a/internal/membership/queue_test.go
+++ b/internal/membership/queue_test.go
@@ -1,23 +1,23 @@
 package membership
 
-// event is one at a node: a datagram, or a tick.
+// event is a scheduled event at a node: a datagram or a tick.
 type event struct {
-	at    Time
-	count uint64
-	to    *node
-	wake  uint64 // 0: a datagram
-	e     Event
+	at         Time
+	number     uint64 // orders events at one time
+	to         *node
+	tickNumber uint64 // 0 means a datagram
+	event      Event
 }
 
-type events []event
+type eventQueue []event
 
-func (q events) Len() int { return len(q) }
-func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].count < q[j].count)
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].number < q[j].number)
 }
-func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *events) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
 	*q = old[:len(old)-1]
--- a/internal/membership/stranger_test.go
+++ b/internal/membership/stranger_test.go
@@ -10,9 +10,10 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// A flood of garbage, of another fleet and of made-up names costs a bounded number of datagrams and members, and the fleet stays as it is.
-func TestFlood(t *testing.T) {
-	w, nodes := fleetOf(t, 31, 5)
+// A flood of garbage, of datagrams of another fleet and of made-up names costs a bounded number of answers
+// and members, and the view of the fleet does not change.
+func TestFloodIsBoundedAndChangesNothing(t *testing.T) {
+	w, nodes := settledFleet(t, 31, 5)
 	n := nodes[1]
 	n.cfg.MaxMembers = 100
 	other := New(Config{Fleet: "other", Name: "n9"}, 0)
@@ -45,9 +46,10 @@
 	}
 }
 
-// Load notes of older nodes, the quotas' datagrams and kinds of newer versions are dropped; older nodes drop ours, as all begin above their kinds.
-func TestOtherKinds(t *testing.T) {
-	w, nodes := fleetOf(t, 32, 3)
+// Load notes of older nodes, package quota's datagrams and kinds of newer versions are dropped. Older nodes
+// drop the datagrams of this version, as all kinds are above theirs.
+func TestDatagramsOfOtherKindsAreDropped(t *testing.T) {
+	w, nodes := settledFleet(t, 32, 3)
 	good := nodes[0].appendBroadcasts(nodes[0].newHeader(wire.Gossip))
 	for _, kind := range []byte{0, 1, 0x3f, 0x4a, 0x5f, 0x60, 0x6f, 0x70, 0xff} {
 		b := slices.Clone(good)
@@ -61,45 +63,46 @@
 		}
 	}
 	for _, n := range nodes {
-		for kind := range n.sent {
-			if n.sent[kind] > 0 && (kind < 0x40 || kind >= 0x60) {
+		for kind := range n.sentByKind {
+			if n.sentByKind[kind] > 0 && (kind < 0x40 || kind >= 0x60) {
 				t.Errorf("sent kind %#x", kind)
 			}
 		}
 	}
 }
 
-// Load is told without a new incarnation and without a change of the digest; other facts with one.
-func TestFacts(t *testing.T) {
-	w, nodes := fleetOf(t, 33, 5)
-	f := nodes[2].self.statement.Metadata
+// New load is sent without a new incarnation and without a change of the digest; other metadata with a new
+// incarnation.
+func TestMetadataButLoadRaisesIncarnation(t *testing.T) {
+	w, nodes := settledFleet(t, 33, 5)
+	metadata := nodes[2].self.statement.Metadata
 	root := nodes[2].digest
-	f.Load = 700
-	w.handle(nodes[2], MetadataChanged{f})
+	metadata.Load = 700
+	w.handle(nodes[2], MetadataChanged{metadata})
 	w.run(2 * time.Second)
-	if m := nodes[0].sees("n2"); m.Metadata.Load != 700 || m.Incarnation != 0 || nodes[0].digest != root {
+	if m := nodes[0].viewOf("n2"); m.Metadata.Load != 700 || m.Incarnation != 0 || nodes[0].digest != root {
 		t.Errorf("load: %+v", m)
 	}
-	f.Catalogue, f.State = 9, Draining
-	w.handle(nodes[2], MetadataChanged{f})
-	took, ok := w.until(3*time.Second, func() bool { return nodes[0].sees("n2").Metadata == f })
-	if m := nodes[0].sees("n2"); !ok || m.Incarnation != 1 || slices.Contains(nodes[0].View().Serving(), "n2") {
-		t.Errorf("facts: %+v", m)
+	metadata.Catalogue, metadata.State = 9, Draining
+	w.handle(nodes[2], MetadataChanged{metadata})
+	took, ok := w.runUntil(3*time.Second, func() bool { return nodes[0].viewOf("n2").Metadata == metadata })
+	if m := nodes[0].viewOf("n2"); !ok || m.Incarnation != 1 || slices.Contains(nodes[0].View().Serving(), "n2") {
+		t.Errorf("metadata: %+v", m)
 	}
-	t.Logf("new facts known after %v", took)
-	f.Zone = "a zone with far too long a name"
-	w.handle(nodes[2], MetadataChanged{f})
-	if len(nodes[2].acts) != 1 {
-		t.Errorf("facts out of bounds: %v", nodes[2].acts)
+	t.Logf("new metadata known after %v", took)
+	metadata.Zone = "a zone with far too long a name"
+	w.handle(nodes[2], MetadataChanged{metadata})
+	if len(nodes[2].otherActions) != 1 {
+		t.Errorf("metadata out of bounds: %v", nodes[2].otherActions)
 	}
 }
 
-// The same events and seeds give the same history.
-func TestSameAgain(t *testing.T) {
+// The same events and seeds give the same views and counters.
+func TestSameEventsAndSeedsGiveSameHistory(t *testing.T) {
 	play := func() (s string) {
-		w, nodes := fleetOf(t, 34, 9)
-		w.loss = 0.2
-		nodes[5].up = false
+		w, nodes := settledFleet(t, 34, 9)
+		w.lossRate = 0.2
+		nodes[5].running = false
 		w.run(20 * time.Second)
 		for _, n := range nodes {
 			s += fmt.Sprintf("%x %d %+v\n", n.digest, n.version, n.Stats())
--- a/internal/membership/wire/fact.go
+++ b/internal/membership/wire/fact.go
@@ -66,13 +66,13 @@
 	Health        Health
 	Metadata      Metadata
 	LoadSeq       uint32    // raised by the member with each new load of a generation
-	Accusers      [3]uint64 // the three smallest hashes of accusers' names, ascending; unused ones are 0 and last
+	Accusers      [3]uint64 // the three smallest hashes of accusers' names, ascending; unused ones 0 and last
 	Age           uint16    // tenths of a second since the member died or left; at most MaxAge
 	UnknownFields string    // fields of newer versions, passed on unchanged; at most MaxUnknownFields bytes
 }
 
 // Bounds of statements. With all values at their bounds, one statement still fits into one datagram
-// (TestLargestFits).
+// (TestLargestStatementFitsIntoOneDatagram).
 const (
 	MaxName          = 48 // bytes
 	MaxText          = 24 // bytes
--- a/internal/membership/wire/fixture_test.go
+++ b/internal/membership/wire/fixture_test.go
@@ -8,8 +8,9 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestDatagramsAreUnchanged compares the bytes of each kind of datagram, and of a statement, with golden files.
-func TestDatagramsAreUnchanged(t *testing.T) {
+// TestDatagramEncodingsAreUnchanged compares the bytes of each kind of datagram, and of a statement, with
+// golden files.
+func TestDatagramEncodingsAreUnchanged(t *testing.T) {
 	var d Datagram
 	fixture.Fill(&d)
 	s := d.Statements[0]
--- a/internal/membership/wire/wire_test.go
+++ b/internal/membership/wire/wire_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// largest returns a statement with all fields at their bounds.
 func largest() Statement {
 	return Statement{Name: strings.Repeat("n", MaxName), Number: MaxNumber, Addr: netip.MustParseAddrPort("[fd00:1:2:3:4:5:6:7]:65535"), Generation: MaxGeneration - 1,
 		Incarnation: 1<<32 - 1, Health: Left, LoadSeq: 1<<32 - 1, Accusers: [3]uint64{1<<64 - 3, 1<<64 - 2, 1<<64 - 1}, Age: MaxAge,
@@ -14,7 +15,8 @@
 			Catalogue: 1<<64 - 1, Policy: 1<<64 - 1, FencingToken: 1<<64 - 1, Load: 1000, State: 200}}
 }
 
-func samples() (out [][]byte) {
+// samples returns a datagram of each kind.
+func samples() (datagrams [][]byte) {
 	head := Header{Fleet: FleetHash("books"), Sender: Hash("n1"), Generation: 1700000000000, Digest: 1 << 63}
 	small := Statement{Name: "n1", Number: -1, Addr: netip.MustParseAddrPort("127.0.0.1:7000")}
 	for k := Ping; k <= IndirectAck; k++ {
@@ -29,12 +31,12 @@
 			b, _ = AppendStatement(b, small)
 			b, _ = AppendStatement(b, small)
 		}
-		out = append(out, b)
+		datagrams = append(datagrams, b)
 	}
-	return out
+	return datagrams
 }
 
-func TestLargestFits(t *testing.T) {
+func TestLargestStatementFitsIntoOneDatagram(t *testing.T) {
 	want := largest()
 	if err := want.Check(); err != nil {
 		t.Fatal(err)
@@ -55,8 +57,8 @@
 	}
 }
 
-// Fields that a newer version adds are kept, told on and part of the sum, up to their bound.
-func TestNewerFields(t *testing.T) {
+// Fields that a newer version adds are retained, passed on and part of the sum, up to their bound.
+func TestUnknownFieldsArePassedOn(t *testing.T) {
 	s := Statement{Name: "n1", UnknownFields: "newer"}
 	d := Datagram{Header: Header{Kind: Answer, Sender: 1}}
 	b, _ := AppendStatement(d.Encode(), s)
@@ -65,11 +67,11 @@
 		t.Fatalf("%v: %+v", err, got)
 	}
 	if s.Sum() == (Statement{Name: "n1"}).Sum() {
-		t.Error("the sum leaves the newer fields out")
+		t.Error("the sum does not cover the unknown fields")
 	}
 }
 
-func TestBoundsAreChecked(t *testing.T) {
+func TestStatementsOutOfBoundsAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(s *Statement){
 		"no name": func(s *Statement) { s.Name = "" }, "long name": func(s *Statement) { s.Name += "n" },
 		"blank in the name": func(s *Statement) { s.Name = "a b" }, "control byte": func(s *Statement) { s.Metadata.Zone = "a\nb" },
@@ -83,12 +85,13 @@
 		d := Datagram{Header: Header{Kind: Gossip, Sender: 1}}
 		b, _ := AppendStatement(d.Encode(), s)
 		if _, err := Decode(b); err == nil {
-			t.Errorf("%s: read without an error", name)
+			t.Errorf("%s: decoded without an error", name)
 		}
 	}
 }
 
-// What can be read is within its bounds, and written again it is the same statement. Nothing panics.
+// Decoded statements are within their bounds, and their encoding decodes to the same statement. No input
+// causes a panic.
 func FuzzDecode(f *testing.F) {
 	for _, b := range samples() {
 		f.Add(b)
--- a/internal/quota/actors_test.go
+++ b/internal/quota/actors_test.go
@@ -7,27 +7,28 @@
 	"wrenspread/ratelimit"
 )
 
-// proxy is a process with a ledger, and the clients that come to it.
-type node struct {
-	w      *world
-	name   string
-	life   uint64
-	clock  clock
-	led    *Ledger
-	paused bool
-	queued [][]byte
-	load   map[int]float64 // requests a second, by limit
-	open   map[int]int     // requests
-	gen    int             // of its process: what an earlier one had planned is void
+// proxy is a proxy with its ledger, and the load of its clients.
+type proxy struct {
+	simulation    *simulation
+	name          string
+	generation    uint64
+	clock         clock
+	ledger        *Ledger
+	paused        bool
+	queued        [][]byte
+	requestRates  map[int]float64 // requests a second, by limit
+	inFlight      map[int]int     // requests in flight, by limit
+	processNumber int             // number of the proxy's process: calls that an earlier process scheduled are ignored
 }
 
 const tickEvery = 20 * time.Millisecond
 
-func (w *world) node(name string) *node {
-	n := w.nodes[name]
+// startProxy starts the proxy with the name, or restarts it.
+func (w *simulation) startProxy(name string) *proxy {
+	n := w.proxies[name]
 	if n == nil {
-		n = &node{w: w, name: name, load: map[int]float64{}, open: map[int]int{}}
-		w.nodes[name] = n
+		n = &proxy{simulation: w, name: name, requestRates: map[int]float64{}, inFlight: map[int]int{}}
+		w.proxies[name] = n
 		w.names = append(w.names, name)
 		slices.Sort(w.names)
 	}
@@ -35,141 +36,141 @@
 	return n
 }
 
-// start begins a process that remembers nothing.
-func (n *node) start() {
+// start starts a new process, without any state of the previous one.
+func (n *proxy) start() {
 	n.crash()
-	n.life++
-	n.clock, n.paused, n.queued = n.w.clock(), false, nil
-	n.led = NewLedger(LedgerConfig{Fleet: 1, Name: n.name, Generation: n.life, Seed: n.w.rng.Uint64()})
-	n.led.times = n.w.t
-	n.handle(TableChanged{Current: n.w.table})
-	for _, name := range n.w.names {
-		n.w.nodes[name].handle(Peers{slices.DeleteFunc(slices.Clone(n.w.names), func(o string) bool { return o == name })})
+	n.generation++
+	n.clock, n.paused, n.queued = n.simulation.clock(), false, nil
+	n.ledger = NewLedger(LedgerConfig{Fleet: 1, Name: n.name, Generation: n.generation, Seed: n.simulation.rng.Uint64()})
+	n.ledger.times = n.simulation.times
+	n.handle(TableChanged{Current: n.simulation.table})
+	for _, name := range n.simulation.names {
+		n.simulation.proxies[name].handle(Peers{slices.DeleteFunc(slices.Clone(n.simulation.names), func(o string) bool { return o == name })})
 	}
-	n.tick(n.gen)
-	n.w.svc.watch(n)
+	n.tick(n.processNumber)
+	n.simulation.registry.watch(n)
 }
 
-func (n *node) crash() {
-	n.gen++
-	n.w.mourn(n)
-	n.led = nil
-	for i, open := range n.open {
-		n.w.checks[i].level -= float64(open)
+func (n *proxy) crash() {
+	n.processNumber++
+	n.simulation.recordLentCapacity(n)
+	n.ledger = nil
+	for i, open := range n.inFlight {
+		n.simulation.checks[i].level -= float64(open)
 	}
-	clear(n.open)
+	clear(n.inFlight)
 }
 
-func (n *node) tick(gen int) {
-	if n.gen != gen {
+func (n *proxy) tick(gen int) {
+	if n.processNumber != gen {
 		return
 	}
 	n.handle(Tick{})
-	n.w.after(tickEvery, func() { n.tick(gen) })
+	n.simulation.after(tickEvery, func() { n.tick(gen) })
 }
 
-func (n *node) handle(e Event) {
-	if n.led == nil || n.paused {
+func (n *proxy) handle(e Event) {
+	if n.ledger == nil || n.paused {
 		return
 	}
-	for _, a := range n.led.Handle(n.clock.at(n.w.now), e) {
+	for _, a := range n.ledger.Handle(n.clock.at(n.simulation.now), e) {
 		if s, ok := a.(Send); ok {
-			n.w.send(n.name, s.To, s.Data)
+			n.simulation.send(n.name, s.To, s.Data)
 		}
 	}
 }
 
-func (n *node) arrive(data []byte) {
+func (n *proxy) deliver(data []byte) {
 	switch {
-	case n.led == nil:
+	case n.ledger == nil:
 	case n.paused:
 		n.queued = append(n.queued, data)
 	default:
-		if n.w.hook.message != nil {
-			n.w.hook.message(n, data)
+		if n.simulation.hooks.beforeMessage != nil {
+			n.simulation.hooks.beforeMessage(n, data)
 		}
 		n.handle(Message{data})
-		if n.w.hook.after != nil {
-			n.w.hook.after(n, data)
+		if n.simulation.hooks.afterMessage != nil {
+			n.simulation.hooks.afterMessage(n, data)
 		}
 	}
 }
 
-// wake goes on after a pause with all that came meanwhile.
-func (n *node) wake() {
+// resume ends a pause; the proxy then handles the datagrams that came meanwhile.
+func (n *proxy) resume() {
 	n.paused = false
 	for _, d := range n.queued {
-		n.arrive(d)
+		n.deliver(d)
 	}
 	n.queued = nil
 }
 
-// want sets the load of a limit: requests a second, at drawn times.
-func (n *node) want(limit int, load float64) {
-	idle := n.load[limit] == 0
-	n.load[limit] = load
+// setLoad sets the load of a limit: requests a second, at random times.
+func (n *proxy) setLoad(limit int, load float64) {
+	idle := n.requestRates[limit] == 0
+	n.requestRates[limit] = load
 	if idle && load > 0 {
-		n.w.clients(n, limit)
+		n.simulation.clients(n, limit)
 	}
 }
 
-func (w *world) clients(n *node, limit int) {
-	if n.load[limit] == 0 {
+func (w *simulation) clients(n *proxy, limit int) {
+	if n.requestRates[limit] == 0 {
 		return
 	}
-	if n.led != nil && !n.paused {
+	if n.ledger != nil && !n.paused {
 		n.request(limit)
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()/n.load[limit]*float64(time.Second)), func() { w.clients(n, limit) })
+	w.after(time.Duration(w.rng.ExpFloat64()/n.requestRates[limit]*float64(time.Second)), func() { w.clients(n, limit) })
 }
 
-// request is judged by the table, as on a proxy.
-func (n *node) request(limit int) {
-	l := n.w.table.Limits
-	n.led.AdvanceTo(n.clock.at(n.w.now))
-	v := n.w.table.Admit(ratelimit.Request{Tenant: n.w.table.Scopes[l[limit].Scope].Value}, n.led)
+// request admits or rejects a request by the table, as a proxy does.
+func (n *proxy) request(limit int) {
+	l := n.simulation.table.Limits
+	n.ledger.AdvanceTo(n.clock.at(n.simulation.now))
+	v := n.simulation.table.Admit(ratelimit.Request{Tenant: n.simulation.table.Scopes[l[limit].Scope].Value}, n.ledger)
 	if !v.Admitted {
-		n.w.checks[limit].refused++
+		n.simulation.checks[limit].rejectedCount++
 		return
 	}
-	n.w.checks[limit].admitted(n.w.now)
-	if first := n.w.table.Scopes[0]; first.LimitCount > 0 && limit != first.FirstLimit {
-		n.w.checks[first.FirstLimit].admitted(n.w.now)
+	n.simulation.checks[limit].admitted(n.simulation.now)
+	if first := n.simulation.table.Scopes[0]; first.LimitCount > 0 && limit != first.FirstLimit {
+		n.simulation.checks[first.FirstLimit].admitted(n.simulation.now)
 	}
-	if gen := n.gen; l[limit].Unit == ratelimit.UnitConcurrency {
-		n.open[limit]++
-		n.w.after(time.Duration(n.w.rng.Int64N(int64(time.Second))), func() { n.end(limit, v.Reservation, gen) })
+	if gen := n.processNumber; l[limit].Unit == ratelimit.UnitConcurrency {
+		n.inFlight[limit]++
+		n.simulation.after(time.Duration(n.simulation.rng.Int64N(int64(time.Second))), func() { n.end(limit, v.Reservation, gen) })
 	}
 }
 
-// end gives an open request back, as soon as the process runs.
-func (n *node) end(limit int, held ratelimit.Reservation, gen int) {
+// end ends a request in flight, as soon as the process runs.
+func (n *proxy) end(limit int, held ratelimit.Reservation, gen int) {
 	switch {
-	case n.gen != gen:
+	case n.processNumber != gen:
 	case n.paused:
-		n.w.after(tickEvery, func() { n.end(limit, held, gen) })
+		n.simulation.after(tickEvery, func() { n.end(limit, held, gen) })
 	default:
-		n.open[limit]--
-		n.w.checks[limit].level--
-		held.Release(n.led.AdvanceTo(n.clock.at(n.w.now)))
+		n.inFlight[limit]--
+		n.simulation.checks[limit].level--
+		held.Release(n.ledger.AdvanceTo(n.clock.at(n.simulation.now)))
 	}
 }
 
-// host is a process that holds the lease when the service gives it, and its session with the service.
+// host is a process that runs an allocator while the registry gives it the lease.
 type host struct {
-	w      *world
-	name   string
-	clock  clock
-	core   *Allocator
-	fence  uint64 // the lease's, as far as it knows
-	dead   bool
-	paused bool
-	alone  bool // cut off from the service
-	queued []Event
-}
-
-func (w *world) host(name string) *host {
-	h := &host{w: w, name: name}
+	simulation         *simulation
+	name               string
+	clock              clock
+	allocator          *Allocator
+	token              uint64 // the lease's fencing token, as far as the host knows
+	dead               bool
+	paused             bool
+	cutOffFromRegistry bool
+	queued             []Event
+}
+
+func (w *simulation) startHost(name string) *host {
+	h := &host{simulation: w, name: name}
 	w.hosts = append(w.hosts, h)
 	h.start()
 	h.tick()
@@ -177,20 +178,20 @@
 }
 
 func (h *host) start() {
-	h.dead, h.paused, h.fence, h.queued = false, false, 0, nil
-	h.clock = h.w.clock()
-	h.core = NewAllocator(AllocatorConfig{Fleet: 1, Name: h.name})
-	h.core.times = h.w.t
-	h.handle(TableChanged{Current: h.w.table})
-	h.handle(ExpectedProxies{len(h.w.nodes)})
+	h.dead, h.paused, h.token, h.queued = false, false, 0, nil
+	h.clock = h.simulation.clock()
+	h.allocator = NewAllocator(AllocatorConfig{Fleet: 1, Name: h.name})
+	h.allocator.times = h.simulation.times
+	h.handle(TableChanged{Current: h.simulation.table})
+	h.handle(ExpectedProxies{len(h.simulation.proxies)})
 }
 
 func (h *host) tick() {
 	h.handle(Tick{})
-	if h.w.hook.tick != nil && !h.dead && !h.paused && h.core.mayGrant() {
-		h.w.hook.tick(h.w, h)
+	if h.simulation.hooks.allocatorTick != nil && !h.dead && !h.paused && h.allocator.mayGrant() {
+		h.simulation.hooks.allocatorTick(h.simulation, h)
 	}
-	h.w.after(tickEvery, h.tick)
+	h.simulation.after(tickEvery, h.tick)
 }
 
 func (h *host) handle(e Event) {
@@ -201,17 +202,17 @@
 		h.queued = append(h.queued, e)
 		return
 	}
-	for _, a := range h.core.Handle(h.clock.at(h.w.now), e) {
+	for _, a := range h.allocator.Handle(h.clock.at(h.simulation.now), e) {
 		switch a := a.(type) {
 		case Send:
-			h.w.send(h.name, a.To, a.Data)
+			h.simulation.send(h.name, a.To, a.Data)
 		case WriteRecord:
-			h.w.svc.write(h, a)
+			h.simulation.registry.write(h, a)
 		}
 	}
 }
 
-func (h *host) wake() {
+func (h *host) resume() {
 	h.paused = false
 	queued := h.queued
 	h.queued = nil
--- a/internal/quota/allocator/fixture_test.go
+++ b/internal/quota/allocator/fixture_test.go
@@ -6,7 +6,7 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestNodesRecordIsUnchanged compares the record of enrolled proxies with a golden file.
-func TestNodesRecordIsUnchanged(t *testing.T) {
+// TestSlotRecordEncodingIsUnchanged compares the record of enrolled proxies with a golden file.
+func TestSlotRecordEncodingIsUnchanged(t *testing.T) {
 	fixture.AssertJSON(t, "nodes", &slotRecord{})
 }
--- a/internal/quota/allocator/server_test.go
+++ b/internal/quota/allocator/server_test.go
@@ -15,50 +15,51 @@
 	"wrenspread/ratelimit"
 )
 
-// bus carries datagrams between holders and proxies of one test.
+// bus carries datagrams between the allocators and the proxies' ledgers of one test.
 type bus struct {
-	mu    sync.Mutex
-	nodes map[string]*quota.Ledger
-	boxes map[string]chan []byte
-	start time.Time
+	mu      sync.Mutex
+	ledgers map[string]*quota.Ledger
+	inboxes map[string]chan []byte
+	start   time.Time
 }
 
 func (b *bus) send(to string, data []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n := b.nodes[to]; n != nil {
-		b.act(n.Handle(time.Since(b.start), quota.Message{Data: data}))
+	if n := b.ledgers[to]; n != nil {
+		b.sendAll(n.Handle(time.Since(b.start), quota.Message{Data: data}))
 	}
 }
 
-// act is called with the lock.
-func (b *bus) act(all []quota.Action) {
+// sendAll sends the datagrams among the actions to allocators. The caller has locked mu.
+func (b *bus) sendAll(all []quota.Action) {
 	for _, a := range all {
 		if s, ok := a.(quota.Send); ok {
 			select {
-			case b.boxes[s.To] <- s.Data:
+			case b.inboxes[s.To] <- s.Data:
 			default:
 			}
 		}
 	}
 }
 
-// tick lets every proxy hear of a holder and ask for more than there is.
+// tick notifies every ledger of an allocator and creates more demand than the limit allows.
 func (b *bus) tick(holder string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, n := range b.nodes {
+	for _, n := range b.ledgers {
 		now := time.Since(b.start)
-		b.act(n.Handle(now, quota.AllocatorKnown{Name: holder, Token: 1}))
+		b.sendAll(n.Handle(now, quota.AllocatorKnown{Name: holder, Token: 1}))
 		n.Rejected(0, 100)
-		b.act(n.Handle(now, quota.Tick{}))
+		b.sendAll(n.Handle(now, quota.Tick{}))
 	}
 }
 
+// all reports whether is returns true for all ledgers.
 func (b *bus) all(is func(quota.Status, *quota.Ledger) bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, n := range b.nodes {
+	for _, n := range b.ledgers {
 		if !is(n.Status(), n) {
 			return false
 		}
@@ -77,23 +78,24 @@
 	return table
 }
 
-// TestHoldersShareAndHandOn: a holder leases shares and enrols the proxies in the record; when it ends, the next one
-// leases on under a higher fencing token.
-func TestHoldersShareAndHandOn(t *testing.T) {
-	service, k := labtest.List(t)
-	b := &bus{nodes: map[string]*quota.Ledger{}, boxes: map[string]chan []byte{}, start: time.Now()}
+// TestNextAllocatorContinuesUnderHigherToken: an allocator leases shares and enrolls the proxies in the
+// record; when it ends, the next one continues to lease shares under a higher fencing token, and the slots
+// stay.
+func TestNextAllocatorContinuesUnderHigherToken(t *testing.T) {
+	address, registryClient := labtest.List(t)
+	b := &bus{ledgers: map[string]*quota.Ledger{}, inboxes: map[string]chan []byte{}, start: time.Now()}
 	limits := table(t)
 	for i := range 3 {
 		n := quota.NewLedger(quota.LedgerConfig{Fleet: 7, Name: fmt.Sprintf("n%d", i), Generation: 1})
 		n.Handle(0, quota.TableChanged{Current: limits})
-		b.nodes[fmt.Sprintf("n%d", i)] = n
+		b.ledgers[fmt.Sprintf("n%d", i)] = n
 	}
 	run := func(name string) (end func()) {
-		c, err := client.New(client.Config{Addresses: []string{service}})
+		c, err := client.New(client.Config{Addresses: []string{address}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, err := lease.Open(lease.Config{Client: c, Process: name, TTL: time.Second})
+		session, err := lease.Open(lease.Config{Client: c, Process: name, TTL: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,45 +103,45 @@
 		events <- quota.TableChanged{Current: limits}
 		in := make(chan []byte, 100)
 		b.mu.Lock()
-		b.boxes[name] = in
+		b.inboxes[name] = in
 		b.mu.Unlock()
 		stop := labtest.Run(t, func(ctx context.Context) error {
-			err := Run(ctx, Config{Fleet: 7, Name: name, Registry: c, Leases: p, In: in, Send: b.send, Events: events})
+			err := Run(ctx, Config{Fleet: 7, Name: name, Registry: c, Leases: session, In: in, Send: b.send, Events: events})
 			if errors.Is(err, context.Canceled) {
-				err = p.Close(labtest.Enough)
+				err = session.Close(labtest.Enough)
 			}
 			return err
 		})
 		return func() { stop(); c.Close() }
 	}
-	end := run("h0")
+	endFirst := run("h0")
 	leased := func(above uint64) func() bool {
 		return func() bool {
 			b.tick(fmt.Sprintf("h%d", min(above, 1)))
 			return b.all(func(s quota.Status, n *quota.Ledger) bool { return s.Token > above && n.Capacity(0) >= 10 })
 		}
 	}
-	labtest.Await(t, "a lease for each node", leased(0))
-	var seats []quota.Slot
-	labtest.Await(t, "each node's seat", func() (all bool) {
+	labtest.Await(t, "a lease for each proxy", leased(0))
+	var slots []quota.Slot
+	labtest.Await(t, "a slot for each proxy", func() (all bool) {
 		b.tick("h0")
-		seats, _, _ = readSlots(t.Context(), k)
-		return len(seats) == 3
+		slots, _, _ = readSlots(t.Context(), registryClient)
+		return len(slots) == 3
 	})
-	var fence uint64
-	b.all(func(s quota.Status, _ *quota.Ledger) bool { fence = s.Token; return true })
-	last := run("h1")
-	end()
-	labtest.Await(t, "the next holder's leases", func() bool {
+	var token uint64
+	b.all(func(s quota.Status, _ *quota.Ledger) bool { token = s.Token; return true })
+	endSecond := run("h1")
+	endFirst()
+	labtest.Await(t, "the next allocator's leases", func() bool {
 		b.mu.Lock()
-		for _, n := range b.nodes { // as their watch of the lease tells them
-			b.act(n.Handle(time.Since(b.start), quota.AllocatorKnown{Name: "h1", Token: fence + 1}))
+		for _, n := range b.ledgers { // as the proxies' watch of the lease notifies them
+			b.sendAll(n.Handle(time.Since(b.start), quota.AllocatorKnown{Name: "h1", Token: token + 1}))
 		}
 		b.mu.Unlock()
-		return leased(fence)()
+		return leased(token)()
 	})
-	if now, _, err := readSlots(t.Context(), k); err != nil || len(now) != 3 || now[0] != seats[0] {
-		t.Errorf("seats %v after the change, %v before: %v", now, seats, err)
+	if current, _, err := readSlots(t.Context(), registryClient); err != nil || len(current) != 3 || current[0] != slots[0] {
+		t.Errorf("slots %v after the change of allocator, %v before: %v", current, slots, err)
 	}
-	last()
+	endSecond()
 }
--- a/internal/quota/check_test.go
+++ b/internal/quota/check_test.go
@@ -6,52 +6,53 @@
 	"wrenspread/ratelimit"
 )
 
-// check is the bound of one limit over every window, exactly: a bucket that leaks at the limit's rate. Its
-// level is the most, over all windows that end now, that was admitted beyond rate x window.
-type check struct {
-	rate, burst float64
-	level       float64
-	at          time.Duration
-	worst       float64 // level beyond the burst
-	before      *check  // of windows that began before the limit was lowered
-	count       int
-	refused     int
+// boundCheck checks the bound of one limit over every window, exactly: it is a bucket that leaks at the
+// limit's rate. Its level is the largest amount, over all windows that end now, that was admitted beyond rate
+// x window.
+type boundCheck struct {
+	rate, burst    float64
+	level          float64
+	leakedAt       time.Duration // as of when level is valid
+	worstExcess    float64       // largest level beyond the burst so far
+	earlierWindows *boundCheck   // check of the windows that began before the limit was lowered
+	admittedCount  int
+	rejectedCount  int
 }
 
-func newCheck(t *ratelimit.Table, i int) *check {
+func newBoundCheck(t *ratelimit.Table, i int) *boundCheck {
 	l := t.Limits[i]
-	if l.Unit == ratelimit.UnitConcurrency { // nothing leaks: it is given back
-		return &check{burst: l.Rate, worst: -l.Rate}
+	if l.Unit == ratelimit.UnitConcurrency { // the level falls when requests end, not by leaking
+		return &boundCheck{burst: l.Rate, worstExcess: -l.Rate}
 	}
-	return &check{rate: l.Rate, burst: l.Burst, worst: -l.Burst}
+	return &boundCheck{rate: l.Rate, burst: l.Burst, worstExcess: -l.Burst}
 }
 
-func (c *check) admitted(now time.Duration) {
+func (c *boundCheck) admitted(now time.Duration) {
 	c.leak(now)
 	c.level++
-	c.count++
-	c.worst = max(c.worst, c.level-c.burst)
-	if c.before != nil {
-		c.before.admitted(now)
-		c.worst = max(c.worst, c.before.worst)
+	c.admittedCount++
+	c.worstExcess = max(c.worstExcess, c.level-c.burst)
+	if c.earlierWindows != nil {
+		c.earlierWindows.admitted(now)
+		c.worstExcess = max(c.worstExcess, c.earlierWindows.worstExcess)
 	}
 }
 
-func (c *check) leak(now time.Duration) {
+func (c *boundCheck) leak(now time.Duration) {
 	if c.rate > 0 {
-		c.level = max(c.level-c.rate*(now-c.at).Seconds(), 0)
+		c.level = max(c.level-c.rate*(now-c.leakedAt).Seconds(), 0)
 	}
-	c.at = now
+	c.leakedAt = now
 }
 
-// lower begins the bound of windows that start now; windows that started before go on with the old burst.
-func (c *check) lower(now time.Duration, rate, burst float64) {
+// lower starts the bound of windows that begin now; windows that began before still have the old burst.
+func (c *boundCheck) lower(now time.Duration, rate, burst float64) {
 	c.leak(now)
 	before := *c
 	before.rate = rate
-	c.before, c.rate, c.burst, c.level = &before, rate, burst, 0
+	c.earlierWindows, c.rate, c.burst, c.level = &before, rate, burst, 0
 }
 
-// broken says whether some window held more than rate x window + burst. Sums of floats may be off by a
-// little.
-func (c *check) broken() bool { return c.worst > 1e-6 }
+// broken reports whether more than rate x window + burst was admitted in some window. The tolerance is for
+// the rounding of sums.
+func (c *boundCheck) broken() bool { return c.worstExcess > 1e-6 }
--- a/internal/quota/events_test.go
+++ b/internal/quota/events_test.go
@@ -9,26 +9,27 @@
 	"wrenspread/ratelimit"
 )
 
-// A holder that goes on although its lease has ended, and word of it that comes late: proxies that know the
-// higher fencing token take nothing from it.
-func formerHolderGoesOn(mutate func(n *node, e *AllocatorKnown)) *world {
-	w := newWorld(3, Drift, books(ratelimit.Limit{}, ratelimit.Limit{Rate: 300, Burst: 100}))
-	w.hook.told = mutate
-	w.serve()
-	old := w.host("h0")
+// previousAllocatorContinues runs an allocator that continues to grant although its lease has ended, and
+// notifies proxies late that it is the allocator. Proxies that know the next allocator's higher fencing token
+// apply nothing from it.
+func previousAllocatorContinues(mutate func(n *proxy, e *AllocatorKnown)) *simulation {
+	w := newSimulation(3, Drift, tableOf(ratelimit.Limit{}, ratelimit.Limit{Rate: 300, Burst: 100}))
+	w.hooks.beforeAllocatorKnown = mutate
+	w.startRegistry()
+	old := w.startHost("h0")
 	for i := range 8 {
-		w.node(fmt.Sprintf("n%03d", i)).want(0, 200)
+		w.startProxy(fmt.Sprintf("n%03d", i)).setLoad(0, 200)
 	}
 	w.run(5 * time.Second)
 	old.paused = true
-	w.host("h1")
+	w.startHost("h1")
 	w.run(5 * time.Second)
-	old.alone = true
-	old.wake()
+	old.cutOffFromRegistry = true
+	old.resume()
 	old.handle(LeaseHeld{1, old.clock.at(w.now) + time.Hour})
 	for i := range 4 {
 		e := AllocatorKnown{"h0", 1}
-		n := w.nodes[fmt.Sprintf("n%03d", i)]
+		n := w.proxies[fmt.Sprintf("n%03d", i)]
 		if mutate != nil {
 			mutate(n, &e)
 		}
@@ -38,55 +39,55 @@
 	return w
 }
 
-func TestLowerFenceIsTurnedDown(t *testing.T) {
-	w := formerHolderGoesOn(nil)
+func TestLowerFencingTokenIsRejected(t *testing.T) {
+	w := previousAllocatorContinues(nil)
 	if w.broken() {
-		t.Errorf("over the bound by %v", w.checks[0].worst)
+		t.Errorf("over the bound by %v", w.checks[0].worstExcess)
 	}
-	atLeast(t, "use", w.used(0, 2*time.Second), 0.95)
-	if !formerHolderGoesOn(func(n *node, _ *AllocatorKnown) { n.led.token = 0 }).broken() {
-		t.Error("the check does not find nodes that take a lower fence")
+	atLeast(t, "use", w.usedPart(0, 2*time.Second), 0.95)
+	if !previousAllocatorContinues(func(n *proxy, _ *AllocatorKnown) { n.ledger.token = 0 }).broken() {
+		t.Error("the check does not find proxies that accept a lower fencing token")
 	}
 }
 
-func TestLimitLoweredWhileUsedUp(t *testing.T) {
-	w := fleetOf(t, books(ratelimit.Limit{}, ratelimit.Limit{Rate: 400, Burst: 200}), 12)
+func TestBoundHoldsWhenUsedUpLimitIsLowered(t *testing.T) {
+	w := settledFleet(t, tableOf(ratelimit.Limit{}, ratelimit.Limit{Rate: 400, Burst: 200}), 12)
 	for _, n := range w.names {
-		w.nodes[n].want(0, 100)
+		w.proxies[n].setLoad(0, 100)
 	}
 	w.run(3 * time.Second)
-	w.part(true, []string{"n003"}, []string{"h0"}) // and one proxy never learns of it
+	w.setCut(true, []string{"n003"}, []string{"h0"}) // this proxy never learns of the new table
 	w.run(2 * time.Second)
 	before := w.table
-	w.table = books(ratelimit.Limit{}, ratelimit.Limit{Rate: 100, Burst: 50})
+	w.table = tableOf(ratelimit.Limit{}, ratelimit.Limit{Rate: 100, Burst: 50})
 	w.table.Version = 2
 	w.hosts[0].handle(TableChanged{Current: w.table, Previous: before})
 	for _, n := range w.names[4:] {
-		w.nodes[n].handle(TableChanged{Current: w.table})
+		w.proxies[n].handle(TableChanged{Current: w.table})
 	}
-	w.run(w.t.countedLease())
+	w.run(w.times.countedLease())
 	w.checks[0].lower(w.now, 100, 50)
 	w.run(3 * time.Second)
-	// What is kept for proxies that may still judge by the old table is lost to the others.
-	atLeast(t, "use of the lower limit", w.used(0, 3*time.Second), 0.7)
+	// The part that is reserved for proxies that may still use the old table is not available to the others.
+	atLeast(t, "use of the lower limit", w.usedPart(0, 3*time.Second), 0.7)
 }
 
-func TestHolderInTheSmallerHalf(t *testing.T) {
-	w := fleetOf(t, books(ratelimit.Limit{}, ratelimit.Limit{Rate: 400, Burst: 400}), 12)
+func TestLimitIsUsedWithAllocatorInSmallerHalf(t *testing.T) {
+	w := settledFleet(t, tableOf(ratelimit.Limit{}, ratelimit.Limit{Rate: 400, Burst: 400}), 12)
 	for _, n := range w.names {
-		w.nodes[n].want(0, 100)
+		w.proxies[n].setLoad(0, 100)
 	}
 	w.run(2 * time.Second)
 	for _, n := range w.names[:3] {
-		w.nodes[n].want(0, 200)
+		w.proxies[n].setLoad(0, 200)
 	}
-	small, large := []string{"h0", "n000", "n001", "n002"}, w.names[3:]
-	w.part(true, small, large)
+	smaller, larger := []string{"h0", "n000", "n001", "n002"}, w.names[3:]
+	w.setCut(true, smaller, larger)
 	w.run(8 * time.Second)
-	atLeast(t, "use in halves", w.used(0, 4*time.Second), 0.9)
-	w.part(false, small, large)
+	atLeast(t, "use by both halves", w.usedPart(0, 4*time.Second), 0.9)
+	w.setCut(false, smaller, larger)
 	w.run(3 * time.Second)
-	atLeast(t, "use after the heal", w.used(0, 2*time.Second), 0.95)
+	atLeast(t, "use after the cut", w.usedPart(0, 2*time.Second), 0.95)
 }
 
 func TestIdleLimitsCostNothing(t *testing.T) {
@@ -94,33 +95,33 @@
 	for i := range each {
 		each[i] = ratelimit.Limit{Rate: 100, Burst: 50}
 	}
-	w := newWorld(5, Drift, books(ratelimit.Limit{}, each...))
-	w.serve()
-	w.host("h0")
+	w := newSimulation(5, Drift, tableOf(ratelimit.Limit{}, each...))
+	w.startRegistry()
+	w.startHost("h0")
 	const nodes = 100
 	for i := range nodes {
-		n := w.node(fmt.Sprintf("n%03d", i))
-		n.want(i*3, 5)
-		n.want(i*3+1, 150)
+		n := w.startProxy(fmt.Sprintf("n%03d", i))
+		n.setLoad(i*3, 5)
+		n.setLoad(i*3+1, 150)
 	}
 	w.run(8 * time.Second)
-	clear(w.sent)
-	clear(w.bytes)
+	clear(w.sentDatagrams)
+	clear(w.sentBytes)
 	w.run(2 * time.Second)
-	t.Logf("a node sends %.1f datagrams, %.0f bytes a second; the holder %.1f a node",
-		float64(w.sent["n001"])/2, float64(w.bytes["n001"])/2, float64(w.sent["h0"])/2/nodes)
-	if got := w.sent["n001"]; got > 14 {
-		t.Errorf("a node with 2 busy limits of 1,000 sent %d datagrams in 2 s", got)
+	t.Logf("a proxy sends %.1f datagrams and %.0f bytes a second; the allocator %.1f datagrams a second and proxy",
+		float64(w.sentDatagrams["n001"])/2, float64(w.sentBytes["n001"])/2, float64(w.sentDatagrams["h0"])/2/nodes)
+	if got := w.sentDatagrams["n001"]; got > 14 {
+		t.Errorf("a proxy with 2 busy limits of 1,000 sent %d datagrams in 2 s, want at most 14", got)
 	}
-	atLeast(t, "use of a busy limit", w.used(4, 2*time.Second), 0.95)
+	atLeast(t, "use of a busy limit", w.usedPart(4, 2*time.Second), 0.95)
 	if w.broken() {
 		t.Error("over the bound")
 	}
 }
 
-func TestJudgingAllocatesNothing(t *testing.T) {
+func TestAdmissionAllocatesNoMemory(t *testing.T) {
 	l := NewLedger(LedgerConfig{Name: "n", Generation: 1})
-	l.Handle(0, TableChanged{Current: drawnTable(1)})
+	l.Handle(0, TableChanged{Current: randomScheduleTable(1)})
 	now := time.Duration(0)
 	if got := testing.AllocsPerRun(1000, func() {
 		now += time.Millisecond
@@ -131,28 +132,29 @@
 			l.Rejected(1, 1)
 		}
 	}); got != 0 {
-		t.Errorf("%v allocations a request", got)
+		t.Errorf("%v allocations a request, want none", got)
 	}
 }
 
+// Corrupted datagrams cause no panic and no more members than MaxProxies.
 func TestAnyDatagramIsSafe(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	w := fleetOf(t, drawnTable(1), 3)
+	w := settledFleet(t, randomScheduleTable(1), 3)
 	kinds := [][]byte{
 		(&claimMessage{token: 1, generation: 1, number: 1, name: "n000", items: make([]claimItem, 3)}).encode(1),
 		(&grantMessage{token: 1, generation: 1, claimNumber: 1, number: 1, items: make([]grantItem, 3)}).encode(1),
 		(&announcementMessage{1, "h"}).encode(1), (&leaveMessage{1, "x"}).encode(1), (&borrowMessage{1, 2, 3, "n001"}).encode(1), (&loanMessage{1, 2, 3}).encode(1),
 	}
 	for range 20_000 {
-		d := append([]byte(nil), pick(rng, kinds)...)
+		d := append([]byte(nil), randomElement(rng, kinds)...)
 		for range rng.IntN(4) {
 			d[rng.IntN(len(d))] = byte(rng.Uint32())
 		}
 		d = d[:rng.IntN(len(d)+1)]
-		w.nodes["n001"].led.Handle(w.now, Message{d})
-		w.hosts[0].core.Handle(w.now, Message{d})
+		w.proxies["n001"].ledger.Handle(w.now, Message{d})
+		w.hosts[0].allocator.Handle(w.now, Message{d})
 	}
-	if n := len(w.hosts[0].core.members); n > MaxProxies {
-		t.Errorf("%d members", n)
+	if n := len(w.hosts[0].allocator.members); n > MaxProxies {
+		t.Errorf("%d members, want at most MaxProxies", n)
 	}
 }
--- a/internal/quota/mutation_test.go
+++ b/internal/quota/mutation_test.go
@@ -8,36 +8,36 @@
 	"wrenspread/ratelimit"
 )
 
-// Each way of breaking the cores has to be found by the check, which shows that it can fail.
-func TestCheckFindsBrokenCores(t *testing.T) {
+// The checks find each way of breaking the cores, which shows that the checks can fail.
+func TestChecksFindDeliberatelyBrokenCores(t *testing.T) {
 	for name, hook := range map[string]hooks{
-		"no drift margin": {tick: func(_ *world, h *host) { h.core.times.drift = 0 }},
-		"no reserve for the silent": {tick: func(w *world, h *host) {
-			for _, m := range h.core.members { // as if the view's word that a proxy is dead were enough
-				if silent(h, m) {
-					h.core.removeMember(m.name)
+		"no drift margin": {allocatorTick: func(_ *simulation, h *host) { h.allocator.times.drift = 0 }},
+		"no reserve for the silent": {allocatorTick: func(w *simulation, h *host) {
+			for _, m := range h.allocator.members { // as if a proxy that membership takes for dead had no share
+				if isSilent(h, m) {
+					h.allocator.removeMember(m.name)
 					return
 				}
 			}
 		}},
 		"credited twice": {
-			message: func(n *node, data []byte) {
+			beforeMessage: func(n *proxy, data []byte) {
 				if data[0] == kindLoan {
 					n.handle(Message{data})
-					restore(n, data, n.led.now)
+					restorePendingLoan(n, data, n.ledger.now)
 				}
 			},
 		},
-		"credited late": {message: func(n *node, data []byte) {
+		"credited late": {beforeMessage: func(n *proxy, data []byte) {
 			if data[0] == kindLoan {
-				restore(n, data, n.led.now)
+				restorePendingLoan(n, data, n.ledger.now)
 			}
 		}},
-		"new holder grants at once": {holder: func(h *host) {
-			h.core.previousLeasesEnd = 0
+		"new holder grants at once": {leaseAcquired: func(h *host) {
+			h.allocator.previousLeasesEnd = 0
 		}},
-		"lent while at rest": {tick: func(_ *world, h *host) {
-			for _, m := range h.core.members {
+		"lent while at rest": {allocatorTick: func(_ *simulation, h *host) {
+			for _, m := range h.allocator.members {
 				m.fallbackSuspendedUntil += time.Second / 20
 			}
 		}},
@@ -45,7 +45,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(200) {
-				if cuts(seed, hook).broken() || drawn(seed, 0.05, hook).broken() {
+				if runCutSchedule(seed, hook).broken() || runRandomSchedule(seed, 0.05, hook).broken() {
 					t.Logf("found with seed %d", seed)
 					return
 				}
@@ -55,58 +55,60 @@
 	}
 }
 
-// cuts plays a proxy that has all demand and is cut off with an idle one, while another gets the demand.
-func cuts(seed uint64, hook hooks) *world {
-	w := newWorld(seed, 0.05, books(ratelimit.Limit{}, ratelimit.Limit{Rate: 200, Burst: 20, FallbackShare: 1}))
-	w.hook, w.delay = hook, 200*time.Microsecond
-	w.serve()
+// runCutSchedule runs a fleet in which a proxy with all demand is cut off from the allocator, together with
+// an idle proxy, while another proxy gets demand.
+func runCutSchedule(seed uint64, hook hooks) *simulation {
+	w := newSimulation(seed, 0.05, tableOf(ratelimit.Limit{}, ratelimit.Limit{Rate: 200, Burst: 20, FallbackShare: 1}))
+	w.hooks, w.meanDelay = hook, 200*time.Microsecond
+	w.startRegistry()
 	w.watchInvariant()
-	w.host("h0")
+	w.startHost("h0")
 	for i := range 4 {
-		w.node(fmt.Sprintf("n%d", i))
+		w.startProxy(fmt.Sprintf("n%d", i))
 	}
 	w.run(9 * time.Second)
 	for range 3 {
 		order := w.rng.Perm(4)
-		one, idle, other := w.nodes[w.names[order[0]]], w.nodes[w.names[order[1]]], w.nodes[w.names[order[2]]]
-		one.want(0, 400)
+		busy, idle, other := w.proxies[w.names[order[0]]], w.proxies[w.names[order[1]]], w.proxies[w.names[order[2]]]
+		busy.setLoad(0, 400)
 		w.run(2 * time.Second)
-		away := []string{one.name, idle.name}
-		w.part(true, away, []string{"h0"})
-		other.want(0, 400)
+		cutOff := []string{busy.name, idle.name}
+		w.setCut(true, cutOff, []string{"h0"})
+		other.setLoad(0, 400)
 		w.run(6 * time.Second)
-		w.part(false, away, []string{"h0"})
-		one.want(0, 0)
-		other.want(0, 0)
+		w.setCut(false, cutOff, []string{"h0"})
+		busy.setLoad(0, 0)
+		other.setLoad(0, 0)
 		w.run(time.Second + time.Duration(w.rng.Int64N(int64(time.Second))))
 	}
 	return w
 }
 
-func TestBoundHoldsWhileNodesAreCutOff(t *testing.T) {
+func TestBoundHoldsWhileProxiesAreCutOff(t *testing.T) {
 	for seed := range uint64(10) {
-		w := cuts(seed, hooks{})
+		w := runCutSchedule(seed, hooks{})
 		if w.broken() {
-			t.Errorf("seed %d: over the bound by %v; %+v", seed, w.checks[0].worst, w.inv)
+			t.Errorf("seed %d: over the bound by %v; %+v", seed, w.checks[0].worstExcess, w.invariant)
 		}
 	}
 }
 
-func silent(h *host, m *member) bool {
+// isSilent reports whether the allocator has sent the member no grant within a lease duration.
+func isSilent(h *host, m *member) bool {
 	for _, t := range m.sentGrants {
-		if t.number > 0 && h.core.now-t.sentAt < h.core.times.leaseDuration {
+		if t.number > 0 && h.allocator.now-t.sentAt < h.allocator.times.leaseDuration {
 			return false
 		}
 	}
-	return h.core.now-m.fallbackCountedSince > h.core.times.leaseDuration
+	return h.allocator.now-m.fallbackCountedSince > h.allocator.times.leaseDuration
 }
 
-// restore makes the ledger await tokens that it has, or that it no longer awaits.
-func restore(n *node, data []byte, at time.Duration) {
+// restorePendingLoan makes the ledger wait again for tokens that it has received or no longer waits for.
+func restorePendingLoan(n *proxy, data []byte, at time.Duration) {
 	_, r, _ := readHeader(data, 1)
 	g, _ := decodeLoan(r)
-	i, found := n.led.limits.byHash[g.hash]
+	i, found := n.ledger.limits.byHash[g.hash]
 	if found {
-		n.led.pendingLoans[g.nonce] = pendingLoan{limitIndex: i, hash: g.hash, amount: g.amount, requestedAt: at}
+		n.ledger.pendingLoans[g.nonce] = pendingLoan{limitIndex: i, hash: g.hash, amount: g.amount, requestedAt: at}
 	}
 }
--- a/internal/quota/record/fixture_test.go
+++ b/internal/quota/record/fixture_test.go
@@ -6,7 +6,7 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestHolderRecordIsUnchanged compares the record of who allocates with a golden file.
-func TestHolderRecordIsUnchanged(t *testing.T) {
+// TestAllocatorRecordEncodingIsUnchanged compares the record of the allocator with a golden file.
+func TestAllocatorRecordEncodingIsUnchanged(t *testing.T) {
 	fixture.AssertJSON(t, "sharer", &AllocatorRecord{})
 }
--- a/internal/quota/service_test.go
+++ b/internal/quota/service_test.go
@@ -5,83 +5,85 @@
 	"time"
 )
 
-// service is the registry: it gives the lease, keeps the record, and tells watchers who holds the lease.
-type service struct {
-	w       *world
-	down    bool
-	fence   uint64
-	holder  *host
-	renewed time.Duration
-	record  []Slot
-	version int
-	onWrite func(h *host) // between writing and telling
+// registry gives a host the lease, stores the record of slots, and notifies proxies of the allocator.
+type registry struct {
+	simulation *simulation
+	down       bool
+	token      uint64        // fencing token of the lease
+	holder     *host         // lease holder
+	renewedAt  time.Duration // when the holder last renewed its session
+	record     []Slot
+	version    int           // of the record
+	onWrite    func(h *host) // called after a write, before its result
 }
 
 const sessionTTL = time.Second
 
-// serve starts the service; sessions are renewed five times in their time.
-func (w *world) serve() {
-	w.svc.w = w
-	w.svc.step()
+// startRegistry starts the registry. Hosts renew their sessions every tenth of the TTL.
+func (w *simulation) startRegistry() {
+	w.registry.simulation = w
+	w.registry.step()
 }
 
-func (s *service) step() {
+func (s *registry) step() {
 	if !s.down {
-		for _, h := range s.w.hosts {
+		for _, h := range s.simulation.hosts {
 			s.session(h)
 		}
 	}
-	s.w.after(sessionTTL/10, s.step)
+	s.simulation.after(sessionTTL/10, s.step)
 }
 
-// session is a holder's renewal, or another's campaign. The holder reckons from before its renewal was sent.
-func (s *service) session(h *host) {
-	if h.dead || h.paused || h.alone {
+// session renews the lease holder's session, or lets another host acquire the lease once that session has
+// ended. The holder counts the time of its lease from before its renewal was sent.
+func (s *registry) session(h *host) {
+	if h.dead || h.paused || h.cutOffFromRegistry {
 		return
 	}
-	if s.holder != h && s.w.now-s.renewed <= sessionTTL {
+	if s.holder != h && s.simulation.now-s.renewedAt <= sessionTTL {
 		return
 	}
-	if s.holder != h || h.fence != s.fence {
-		s.fence++
-		s.holder, h.fence = h, s.fence
-		for _, n := range s.w.names {
-			s.watch(s.w.nodes[n])
+	if s.holder != h || h.token != s.token {
+		s.token++
+		s.holder, h.token = h, s.token
+		for _, n := range s.simulation.names {
+			s.watch(s.simulation.proxies[n])
 		}
 		defer func() {
-			fence, seats := s.fence, slices.Clone(s.record)
-			s.w.after(5*time.Millisecond, func() { h.handle(RecordRead{fence, seats}) })
-			if s.w.hook.holder != nil {
-				s.w.hook.holder(h)
+			token, slots := s.token, slices.Clone(s.record)
+			s.simulation.after(5*time.Millisecond, func() { h.handle(RecordRead{token, slots}) })
+			if s.simulation.hooks.leaseAcquired != nil {
+				s.simulation.hooks.leaseAcquired(h)
 			}
 		}()
 	}
-	s.renewed = s.w.now
-	stop := time.Duration(float64(sessionTTL) * (1 - 3*s.w.t.drift))
-	h.handle(LeaseHeld{s.fence, h.clock.at(s.w.now) + stop})
+	s.renewedAt = s.simulation.now
+	validFor := time.Duration(float64(sessionTTL) * (1 - 3*s.simulation.times.drift))
+	h.handle(LeaseHeld{s.token, h.clock.at(s.simulation.now) + validFor})
 }
 
-// watch tells a proxy, some time later, who holds the lease now.
-func (s *service) watch(n *node) {
+// watch notifies a proxy, after a random delay, of the allocator that holds the lease now.
+func (s *registry) watch(n *proxy) {
 	if s.holder == nil || s.down {
 		return
 	}
-	e := AllocatorKnown{s.holder.name, s.fence}
-	s.w.after(time.Duration(s.w.rng.ExpFloat64()*float64(20*time.Millisecond)), func() {
-		if s.w.cut[[2]string{"service", n.name}] {
+	e := AllocatorKnown{s.holder.name, s.token}
+	s.simulation.after(time.Duration(s.simulation.rng.ExpFloat64()*float64(20*time.Millisecond)), func() {
+		if s.simulation.cutLinks[[2]string{"service", n.name}] {
 			return
 		}
-		if s.w.hook.told != nil && n.led != nil {
-			s.w.hook.told(n, &e)
+		if s.simulation.hooks.beforeAllocatorKnown != nil && n.ledger != nil {
+			s.simulation.hooks.beforeAllocatorKnown(n, &e)
 		}
 		n.handle(e)
 	})
 }
 
-func (s *service) write(h *host, a WriteRecord) {
+// write writes the record after a random delay, unless the write is fenced or the record has changed.
+func (s *registry) write(h *host, a WriteRecord) {
 	version := s.version
-	s.w.after(time.Duration(s.w.rng.ExpFloat64()*float64(10*time.Millisecond)), func() {
-		if s.down || h.alone || a.Token != s.fence || version != s.version {
+	s.simulation.after(time.Duration(s.simulation.rng.ExpFloat64()*float64(10*time.Millisecond)), func() {
+		if s.down || h.cutOffFromRegistry || a.Token != s.token || version != s.version {
 			return
 		}
 		s.version++
@@ -89,6 +91,6 @@
 		if s.onWrite != nil {
 			s.onWrite(h)
 		}
-		s.w.after(5*time.Millisecond, func() { h.handle(RecordRead{a.Token, slices.Clone(a.Slots)}) })
+		s.simulation.after(5*time.Millisecond, func() { h.handle(RecordRead{a.Token, slices.Clone(a.Slots)}) })
 	})
 }
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -8,112 +8,113 @@
 	"wrenspread/ratelimit"
 )
 
-// world plays ledgers, holders and the registry on a fake clock over a drawn network.
-type world struct {
-	rng    *rand.Rand
-	t      times
-	now    time.Duration // true time
-	queue  events
-	seq    int
-	table  *ratelimit.Table
-	nodes  map[string]*node
-	names  []string
-	hosts  []*host // processes that may hold the lease
-	svc    service
-	cut    map[[2]string]bool
-	loss   float64
-	dup    float64
-	delay  time.Duration // mean
-	checks []*check
-	inv    invariant
-	sent   map[string]int // datagrams by sender
-	bytes  map[string]int
-	hook   hooks
+// simulation runs ledgers, allocators and the registry on a fake clock over a random network.
+type simulation struct {
+	rng           *rand.Rand
+	times         times
+	now           time.Duration // true time
+	queue         callQueue
+	seq           int
+	table         *ratelimit.Table
+	proxies       map[string]*proxy
+	names         []string
+	hosts         []*host // processes that may hold the lease
+	registry      registry
+	cutLinks      map[[2]string]bool // links that lose all datagrams, by sender and receiver
+	lossRate      float64
+	duplicateRate float64
+	meanDelay     time.Duration
+	checks        []*boundCheck
+	invariant     invariant
+	sentDatagrams map[string]int // datagrams by sender
+	sentBytes     map[string]int
+	hooks         hooks
 }
 
 // hooks break the cores on purpose.
 type hooks struct {
-	holder  func(h *host)                    // after it begins to hold
-	message func(n *node, data []byte)       // before it is handled
-	after   func(n *node, data []byte)       // and after
-	tick    func(w *world, h *host)          // of an acting holder
-	told    func(n *node, e *AllocatorKnown) // before the ledger is told
+	leaseAcquired        func(h *host)                     // after a host has acquired the lease
+	beforeMessage        func(n *proxy, data []byte)       // before a proxy handles a datagram
+	afterMessage         func(n *proxy, data []byte)       // after a proxy has handled a datagram
+	allocatorTick        func(w *simulation, h *host)      // after a tick of a host that may grant
+	beforeAllocatorKnown func(n *proxy, e *AllocatorKnown) // before a ledger handles the event
 }
 
-type happening struct {
-	at  time.Duration
-	seq int
-	do  func()
+// scheduledCall is a call at a time of the simulation; seq orders calls at one time.
+type scheduledCall struct {
+	at   time.Duration
+	seq  int
+	call func()
 }
 
-type events []happening
+type callQueue []scheduledCall
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e callQueue) Len() int { return len(e) }
+func (e callQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(happening)) }
-func (e *events) Pop() any {
+func (e callQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *callQueue) Push(x any)   { *e = append(*e, x.(scheduledCall)) }
+func (e *callQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-func newWorld(seed uint64, drift float64, table *ratelimit.Table) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 7)), t: defaultTimes(), table: table, nodes: map[string]*node{},
-		cut: map[[2]string]bool{}, delay: time.Millisecond, sent: map[string]int{}, bytes: map[string]int{},
+func newSimulation(seed uint64, drift float64, table *ratelimit.Table) *simulation {
+	w := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 7)), times: defaultTimes(), table: table, proxies: map[string]*proxy{},
+		cutLinks: map[[2]string]bool{}, meanDelay: time.Millisecond, sentDatagrams: map[string]int{}, sentBytes: map[string]int{},
 	}
-	w.t.drift = drift
+	w.times.drift = drift
 	for i := range table.Limits {
-		w.checks = append(w.checks, newCheck(table, i))
+		w.checks = append(w.checks, newBoundCheck(table, i))
 	}
 	return w
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.queue, happening{w.now + max(d, 0), w.seq, do})
+	heap.Push(&w.queue, scheduledCall{w.now + max(d, 0), w.seq, do})
 }
 
-// run plays on for d.
-func (w *world) run(d time.Duration) {
+// run runs the simulation for d.
+func (w *simulation) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		h := heap.Pop(&w.queue).(happening)
+		h := heap.Pop(&w.queue).(scheduledCall)
 		w.now = h.at
-		h.do()
+		h.call()
 	}
 	w.now = end
 }
 
-// send carries a datagram, or loses it, or carries it twice.
-func (w *world) send(from, to string, data []byte) {
+// send delivers a datagram after a random delay, or loses it, or delivers it twice.
+func (w *simulation) send(from, to string, data []byte) {
 	if len(data) > MaxDatagram {
 		panic("datagram too long")
 	}
-	w.sent[from]++
-	w.bytes[from] += len(data)
+	w.sentDatagrams[from]++
+	w.sentBytes[from] += len(data)
 	copies := 1
-	if w.rng.Float64() < w.dup {
+	if w.rng.Float64() < w.duplicateRate {
 		copies = 2
 	}
 	for range copies {
-		if w.rng.Float64() < w.loss {
+		if w.rng.Float64() < w.lossRate {
 			continue
 		}
-		w.after(time.Duration(w.rng.ExpFloat64()*float64(w.delay)), func() {
-			if !w.cut[[2]string{from, to}] {
-				w.arrive(to, data)
+		w.after(time.Duration(w.rng.ExpFloat64()*float64(w.meanDelay)), func() {
+			if !w.cutLinks[[2]string{from, to}] {
+				w.deliver(to, data)
 			}
 		})
 	}
 }
 
-func (w *world) arrive(to string, data []byte) {
-	if n := w.nodes[to]; n != nil {
-		n.arrive(data)
+func (w *simulation) deliver(to string, data []byte) {
+	if n := w.proxies[to]; n != nil {
+		n.deliver(data)
 	}
 	for _, h := range w.hosts {
 		if h.name == to {
@@ -122,37 +123,38 @@
 	}
 }
 
-// part cuts or heals the links between two sides.
-func (w *world) part(cut bool, a, b []string) {
+// setCut cuts or restores the links between two sides.
+func (w *simulation) setCut(cut bool, a, b []string) {
 	for _, x := range a {
 		for _, y := range b {
-			w.cut[[2]string{x, y}], w.cut[[2]string{y, x}] = cut, cut
+			w.cutLinks[[2]string{x, y}], w.cutLinks[[2]string{y, x}] = cut, cut
 		}
 	}
 }
 
-// clock is a process's monotonic time: its rate is off by the drift at most.
+// clock is a process's monotonic clock, whose rate is off by at most the drift.
 type clock struct {
-	born   time.Duration
-	rate   float64
-	start  time.Duration
-	frozen time.Duration // not zero: it stands still there, which no clock may do
+	startedAt time.Duration // true time at the start
+	rate      float64
+	offset    time.Duration // the clock's time at the start
+	frozenAt  time.Duration // if not 0, the clock stops at this time, which no real clock may do
 }
 
-func (w *world) clock() clock {
-	off := min(max(4*w.rng.Float64()-2, -1), 1) // every second one as far off as may be
-	return clock{born: w.now, rate: 1 + w.t.drift*off, start: time.Duration(w.rng.Int64N(int64(time.Hour)))}
+func (w *simulation) clock() clock {
+	off := min(max(4*w.rng.Float64()-2, -1), 1) // half of the clocks have the largest error
+	return clock{startedAt: w.now, rate: 1 + w.times.drift*off, offset: time.Duration(w.rng.Int64N(int64(time.Hour)))}
 }
 
 func (c *clock) at(now time.Duration) time.Duration {
-	if c.frozen != 0 {
-		return c.frozen
+	if c.frozenAt != 0 {
+		return c.frozenAt
 	}
-	return c.start + time.Duration(float64(now-c.born)*c.rate)
+	return c.offset + time.Duration(float64(now-c.startedAt)*c.rate)
 }
 
-// books is a table of a fleet's limit, if fleet.Rate is not 0, and books within it.
-func books(fleet ratelimit.Limit, each ...ratelimit.Limit) *ratelimit.Table {
+// tableOf returns a table of an outer limit, of the fleet, unless outer.Rate is 0, and of limits of one
+// tenant each within the outer limit.
+func tableOf(outer ratelimit.Limit, each ...ratelimit.Limit) *ratelimit.Table {
 	t := &ratelimit.Table{Format: ratelimit.Format, Version: 1, Scopes: []ratelimit.Scope{{Parent: -1}}}
 	parent := -1
 	add := func(l ratelimit.Limit, part int) {
@@ -170,9 +172,9 @@
 		t.Limits = append(t.Limits, l)
 		t.Scopes[part].LimitCount++
 	}
-	if fleet.Rate > 0 {
-		fleet.Parent, parent = -1, 0
-		add(fleet, 0)
+	if outer.Rate > 0 {
+		outer.Parent, parent = -1, 0
+		add(outer, 0)
 	}
 	for i, l := range each {
 		t.Scopes = append(t.Scopes, ratelimit.Scope{
@@ -180,7 +182,7 @@
 			FirstLimit: len(t.Limits),
 		})
 		l.Parent, l.Attribute = -1, ratelimit.AttributeTenant
-		if l.Unit == fleet.Unit {
+		if l.Unit == outer.Unit {
 			l.Parent = parent
 		}
 		add(l, len(t.Scopes)-1)
