--- a/internal/membership/wire/datagram.go
+++ b/internal/membership/wire/datagram.go
@@ -69,7 +69,7 @@
 	Statements   []Statement    // Ping, Ack, Gossip, Answer
 }
 
-// FleetHash returns the hash of a fleet's name, which stands for the name in datagrams.
+// FleetHash returns the hash of a fleet's name, which represents the name in datagrams.
 func FleetHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // IsOurs reports whether b may be a datagram of this fleet, without decoding it.
--- a/internal/membership/wire/statement.go
+++ b/internal/membership/wire/statement.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash returns the hash of a member's name, which stands for the name in datagrams and orders the members
+// Hash returns the hash of a member's name, which represents the name in datagrams and orders the members
 // into ranges. It is never 0.
 func Hash(name string) uint64 { return max(xxhash.Sum64String(name), 1) }
 
--- a/internal/quota/allocate.go
+++ b/internal/quota/allocate.go
@@ -67,9 +67,9 @@
 // token's capacity for each member, some members take turns with all of it, since a bucket that can't hold a
 // token never admits a request.
 func (a *Allocator) allocateRate(i int32, available shareSize, claiming []*memberShare, usable []float64) {
-	wholeTokens := int(min(available.burst, float64(len(claiming))))
-	if wholeTokens < len(claiming) {
-		claiming, usable = a.chooseInTurn(i, claiming, usable, wholeTokens)
+	tokenCount := int(min(available.burst, float64(len(claiming))))
+	if tokenCount < len(claiming) {
+		claiming, usable = a.chooseInTurn(i, claiming, usable, tokenCount)
 	}
 	if len(claiming) == 0 {
 		return
@@ -96,9 +96,9 @@
 	claiming []*memberShare,
 	usable []float64,
 ) {
-	wholeRequests := int(min(available, float64(len(claiming))))
-	if wholeRequests < len(claiming) {
-		claiming, usable = a.chooseInTurn(i, claiming, usable, wholeRequests)
+	requestCount := int(min(available, float64(len(claiming))))
+	if requestCount < len(claiming) {
+		claiming, usable = a.chooseInTurn(i, claiming, usable, requestCount)
 	}
 	if len(claiming) == 0 {
 		return
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -30,7 +30,8 @@
 }
 
 // currentShare returns a bucket's share at a time: the lease; without a lease the fallback share; and while
-// the fallback share is suspended a share of rate 0, which keeps the bucket's tokens and does not refill it.
+// the fallback share is suspended a share of rate 0, which leaves the bucket's tokens as they are and does
+// not refill it.
 func (l *Ledger) currentShare(bucket *limitBucket, at time.Duration) shareSize {
 	switch {
 	// The fallback share of a limit on concurrency is never suspended and lent: requests that began on the lent
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -12,7 +12,7 @@
 // quotaLimit is one limit of a table, as proxies and allocator allocate it. For limits on concurrency, rate
 // is the number of requests that may be in flight and burst is 0.
 type quotaLimit struct {
-	hash           uint64              // stands for the limit's name on the wire
+	hash           uint64              // represents the limit's name on the wire
 	parent         int32               // index of the next outer limit; -1 means none
 	attribute      ratelimit.Attribute // attribute of the limit's scope
 	concurrency    bool                // the limit is on requests in flight
@@ -21,7 +21,7 @@
 	floor          float64             // units a second that are guaranteed before siblings borrow
 	weight         float64             // by which siblings that want more divide what the floors leave
 	fallbackRate   float64             // of all fallback shares together, by the lowest scheduled values
-	fallbackTokens uint64              // whole tokens of all fallback shares together, likewise
+	fallbackTokens uint64              // tokens of all fallback shares together, likewise
 }
 
 // maxPool bounds a limit's fallback tokens, so that the arithmetic of slots stays within 64 bits.
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -59,9 +59,10 @@
 	return actions
 }
 
-// lendTokens lends whole tokens, once for each nonce. The tokens are debited before they are sent, and their
-// capacity in the bucket stays empty until the borrower can't use them any more. So the tokens that all
-// proxies have and those in transit never exceed the capacity of the buckets of all fallback shares.
+// lendTokens lends an integer amount of tokens, once for each nonce. The tokens are debited before they are
+// sent, and their capacity in the bucket stays empty until the borrower can't use them any more. So the
+// tokens that all proxies have and those in transit never exceed the capacity of the buckets of all fallback
+// shares.
 func (l *Ledger) lendTokens(request borrowMessage) []Action {
 	i, known := l.limits.byHash[request.hash]
 	if _, answered := l.lentNonces[request.nonce]; !known || answered || !l.withoutAllocator(&l.buckets[i]) {
--- a/internal/quota/slot.go
+++ b/internal/quota/slot.go
@@ -39,7 +39,7 @@
 	return s
 }
 
-// tokens returns how many of a limit's fallback tokens, whole ones, fall to the slot. The circle is rotated
+// tokens returns how many of a limit's fallback tokens fall to the slot, as an integer. The circle is rotated
 // by the limit's hash, so that the slots that get the tokens left over by division differ from limit to
 // limit. Over a complete circle of slots the results add up to tokens.
 func (s Slot) tokens(tokens uint64, limitHash uint64) uint64 {
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -87,7 +87,7 @@
 	name       string
 }
 
-// borrowMessage requests whole tokens of a limit from another proxy.
+// borrowMessage requests tokens of a limit, an integer amount, from another proxy.
 type borrowMessage struct {
 	nonce, hash uint64
 	amount      float64
