--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -1,5 +1,5 @@
-// Package fencing guards whatever takes orders from the holder of a lease. An order carries the holder's
-// fencing token; an order of an earlier holder, which may not know that it has lost the lease, has a lower
+// Package fencing protects the receivers of orders from the holder of a lease. An order carries the holder's
+// fencing token. An order of an earlier holder, which may not know that it has lost the lease, has a lower
 // token and is rejected.
 package fencing
 
@@ -20,11 +20,11 @@
 	"wrenspread/internal/registry"
 )
 
-// Header carries a fencing token on a call: the lease's name, a space and the number.
+// Header is the HTTP header that carries a fencing token: the lease's name, a space and the number.
 const Header = "X-Indigo-Fence"
 
 const (
-	// MaxLeases bounds the leases that a guard knows.
+	// MaxLeases bounds the number of leases whose tokens a guard stores.
 	MaxLeases = registry.MaxLeases
 
 	fileName    = "fences"
@@ -39,25 +39,25 @@
 	ErrTooManyLeases = errors.New("fencing: too many leases")
 )
 
-// StaleError rejects an order whose sender was followed by another holder of the lease.
+// StaleError rejects an order whose sender has been succeeded by another holder of the lease.
 type StaleError struct {
 	registry.FencingToken
-	Highest uint64 // number that was seen here
+	Highest uint64 // highest number that the guard has admitted
 }
 
 func (e *StaleError) Error() string {
 	return fmt.Sprintf("lease %s: fencing token %d is older than %d", e.Lease, e.Number, e.Highest)
 }
 
-// Guard remembers the highest token of each lease. It is safe for concurrent use.
+// Guard stores the highest token of each lease. It is safe for concurrent use.
 type Guard struct {
-	path    string // empty: the tokens are forgotten with the process
+	path    string // empty: the tokens are stored in memory only
 	mu      sync.Mutex
-	highest map[string]uint64 // number by lease
+	highest map[string]uint64 // highest number by lease
 }
 
-// Open makes a guard that stores the tokens in a folder, or keeps them in memory if folder is empty. A
-// damaged file is an error: without it, earlier holders would be admitted.
+// Open returns a guard that stores the tokens in a folder, or in memory if folder is empty. A damaged file is
+// an error, because without its tokens the guard would admit orders of earlier holders.
 func Open(folder string) (*Guard, error) {
 	g := &Guard{highest: map[string]uint64{}}
 	if folder == "" {
@@ -80,9 +80,9 @@
 	return g, nil
 }
 
-// Check admits an order by its token, or rejects it: with a *StaleError, ErrInvalidToken or ErrTooManyLeases,
-// or with an error of the guard's folder. A token that is higher than any before is admitted once it is
-// stored.
+// Check admits an order by its token, or rejects it with a *StaleError, ErrInvalidToken, ErrTooManyLeases or
+// an error of the guard's folder. A token that is higher than all earlier ones is stored before it is
+// admitted.
 func (g *Guard) Check(token registry.FencingToken) error {
 	if token.Lease == "" || len(token.Lease) > registry.MaxText || token.Number == 0 {
 		return ErrInvalidToken
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// store writes the tokens with a new one. The caller holds the lock.
+// store writes the tokens, including a new one, to the guard's file. The caller holds the lock.
 func (g *Guard) store(token registry.FencingToken) error {
 	if g.path == "" {
 		return nil
@@ -119,12 +119,12 @@
 	return checksumfile.Write(g.path, raw)
 }
 
-// Format returns the header's value for a token.
+// Format returns the value of Header for a token.
 func Format(token registry.FencingToken) string {
 	return fmt.Sprintf("%s %d", token.Lease, token.Number)
 }
 
-// Parse reads the header's value.
+// Parse parses a value of Header.
 func Parse(value string) (registry.FencingToken, error) {
 	space := strings.LastIndexByte(value, ' ')
 	if space <= 0 {
@@ -137,9 +137,9 @@
 	return registry.FencingToken{Lease: value[:space], Number: number}, nil
 }
 
-// CheckRequest checks the token of an HTTP request. A request without one passes. status is that of the
-// response to a rejected request: 400 for a malformed token, 409 for a stale one, 503 if the guard can't
-// decide.
+// CheckRequest checks the token of an HTTP request. A request without a token passes. status is the status of
+// the response if the request is rejected: 400 for a malformed token, 409 for a stale one, 503 for any other
+// error.
 func (g *Guard) CheckRequest(r *http.Request) (status int, err error) {
 	value := r.Header.Get(Header)
 	if value == "" {
--- a/internal/lease/close.go
+++ b/internal/lease/close.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// Close releases what is held, by release order, and ends the session. Work that does not stop within the
-// timeout is left to its fencing token; the error says so.
+// Close releases the leases by their release order and ends the session. If work does not stop within the
+// timeout, Close returns an error: until the session expires, only the fencing token guards against that
+// work.
 func (s *Session) Close(timeout time.Duration) error {
 	s.update(func(time.Duration) { s.core.closing = true })
 	err := s.awaitReleases(timeout)
-	if err == nil { // else the session expires, once it is certain that the work may not go on
+	if err == nil { // after a timeout the session expires by itself, once all work has had to stop
 		err = s.closeInRegistry()
 	}
 	s.stop()
@@ -20,7 +21,7 @@
 	return err
 }
 
-// awaitReleases waits until nothing is left to be stopped or released.
+// awaitReleases waits until all work has stopped and all leases are released.
 func (s *Session) awaitReleases(timeout time.Duration) error {
 	deadline := time.After(timeout)
 	for {
@@ -28,7 +29,7 @@
 		changed := s.changed
 		remaining := slices.ContainsFunc(
 			s.core.candidacies,
-			func(one *candidacy) bool { return !s.core.isOver(one) },
+			func(cand *candidacy) bool { return !s.core.isOver(cand) },
 		)
 		s.mu.Unlock()
 		if !remaining {
@@ -42,6 +43,7 @@
 	}
 }
 
+// closeInRegistry closes the session in the registry if it is open.
 func (s *Session) closeInRegistry() error {
 	s.mu.Lock()
 	id, open := s.id, s.core.open
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -8,17 +8,18 @@
 	"wrenspread/internal/registry"
 )
 
-// Times of a session. If clock rates are off by maxClockDrift at most, a session that was renewed can't
+// Times of a session. If clock rates are off by at most maxClockDrift, a session that was renewed can't
 // expire by the registry's clock before TTL/(1+drift) of true time has passed. On this process's clock that
-// is TTL*(1-drift)/(1+drift) at least, of which TTL/stopFraction is left for work to stop in.
+// is at least TTL*(1-drift)/(1+drift). The last TTL/stopFraction of it is for work to stop.
 const (
-	// DefaultTTL is the time after which others get the leases of a process that does not renew its session.
+	// DefaultTTL is the time after which the leases of a process that does not renew its session are granted to
+	// other processes.
 	DefaultTTL    = 4 * time.Second
 	maxClockDrift = 0.01
 	stopFraction  = 8
 )
 
-// safeDuration is how long after a renewal was sent work may go on.
+// safeDuration returns how long work may continue after a renewal was sent.
 func safeDuration(ttl time.Duration) time.Duration {
 	return time.Duration(float64(ttl)*(1-maxClockDrift)/(1+maxClockDrift)) - ttl/stopFraction
 }
@@ -26,47 +27,48 @@
 const (
 	minBackoff = time.Second // before a campaign after work that failed; doubles
 	maxBackoff = time.Minute // the longest such wait; work that ran for longer resets it
-	// before a process that may preempt others campaigns after it was asked to transfer
+	// transferBackoff is the wait of a process that may preempt others, between a requested transfer and its
+	// next campaign.
 	transferBackoff = 10 * time.Second
 )
 
-// core decides what a process's session does. It is pure: times are of the process's own monotonic clock.
-// Methods tell it what has happened, and step returns what is to be done. It is not safe for concurrent use.
+// core decides what a process's session does. It does no I/O; times are of the process's own monotonic clock.
+// Its methods record events, and step returns the actions to carry out. It is not safe for concurrent use.
 type core struct {
 	ttl           time.Duration
 	open          bool          // the session exists, as far as is known
-	renewalSentAt time.Duration // of the last renewal that was answered
-	safeUntil     time.Duration // work may go on until then
-	index         uint64        // of the last answer on leases
-	epoch         string        // the same
+	renewalSentAt time.Duration // when the last renewal that was answered had been sent
+	safeUntil     time.Duration // until when work may continue
+	index         uint64        // index of the last accepted response on leases
+	epoch         string        // epoch of the last accepted response on leases
 	candidacies   []*candidacy  // in the order in which they were added
 	closing       bool          // leases are to be released, by their release order
 }
 
-// candidacy is one lease that this process wants to hold.
+// candidacy is a lease that this process wants to hold, and its state.
 type candidacy struct {
 	spec         registry.Candidacy
-	releaseOrder int // when the process closes, those of a higher order are released first
+	releaseOrder int // when the session closes, leases of a higher order are released first
 
-	registered        bool          // the registry has it: it waits for the lease or holds it
-	token             uint64        // fencing token under which it holds the lease; 0: it does not
-	grantedAt         time.Duration // when that was learned
+	registered        bool          // the session waits for the lease or holds it, according to the registry
+	token             uint64        // fencing token under which the session holds the lease; 0: it does not
+	grantedAt         time.Duration // when this process learned of the grant
 	releasedToken     uint64        // the highest token that was released
 	transferRequested bool
 
 	releasing bool // the lease is to be released before anything else
-	cancelled bool // nobody wants the lease any more
+	cancelled bool // the lease is not wanted any more
 
-	runningToken    uint64        // of the work that runs; 0: none does
-	stopRequestedAt time.Duration // when its context was cancelled; 0: it was not
-	startedAt       time.Duration // when it was started
+	runningToken    uint64        // token of the running work; 0: no work runs
+	stopRequestedAt time.Duration // when the context of the work was cancelled; 0: it was not
+	startedAt       time.Duration // when the work was started
 
-	callPending    bool // a campaign or a release is under way
-	backoff        time.Duration
-	nextCampaignAt time.Duration // no campaign before
+	callPending    bool          // a campaign or a release is in progress
+	backoff        time.Duration // wait after the next failure of the work
+	nextCampaignAt time.Duration // earliest time of the next campaign
 }
 
-// actionKind is what an action does.
+// actionKind is the kind of an action.
 type actionKind int
 
 const (
@@ -76,109 +78,109 @@
 	releaseLease
 )
 
-// action is one thing to be done for a candidacy.
+// action is an action to carry out for a candidacy.
 type action struct {
 	kind      actionKind
 	candidacy *candidacy
-	token     uint64 // that it is about; 0 for a campaign
+	token     uint64 // token of the lease to be worked under or released; 0 for a campaign
 }
 
-// add begins to want a lease.
+// add adds a candidacy.
 func (c *core) add(spec registry.Candidacy, releaseOrder int) *candidacy {
 	added := &candidacy{spec: spec, releaseOrder: releaseOrder, backoff: minBackoff}
 	c.candidacies = append(c.candidacies, added)
 	return added
 }
 
-// remove forgets a candidacy that is over.
+// remove removes a candidacy that is over.
 func (c *core) remove(over *candidacy) {
 	c.candidacies = slices.DeleteFunc(c.candidacies, func(other *candidacy) bool { return other == over })
 }
 
-// isOver reports whether a candidacy has ended and nothing is left of it to be stopped or released.
-func (c *core) isOver(one *candidacy) bool {
-	ended := one.cancelled || c.closing
-	return ended && one.runningToken == 0 && !one.callPending && (!one.registered || !c.open)
+// isOver reports whether a candidacy has ended, its work has stopped and its lease is released.
+func (c *core) isOver(cand *candidacy) bool {
+	ended := cand.cancelled || c.closing
+	return ended && cand.runningToken == 0 && !cand.callPending && (!cand.registered || !c.open)
 }
 
-// holds reports whether the lease is held now, beyond doubt: a renewal that was sent after the grant was
-// learned has been answered, and its time is not up.
-func (c *core) holds(one *candidacy, now time.Duration) bool {
-	return c.open && one.token > one.releasedToken && c.renewalSentAt >= one.grantedAt && now < c.safeUntil
+// holds reports whether the session certainly holds the lease now: a renewal that was sent after this process
+// learned of the grant has been answered, and its safe duration is not over.
+func (c *core) holds(cand *candidacy, now time.Duration) bool {
+	return c.open && cand.token > cand.releasedToken && c.renewalSentAt >= cand.grantedAt && now < c.safeUntil
 }
 
-// needsRenewal reports whether a renewal now would confirm a grant.
+// needsRenewal reports whether there is a grant that a renewal has yet to confirm.
 func (c *core) needsRenewal() bool {
-	return slices.ContainsFunc(c.candidacies, func(one *candidacy) bool {
-		return c.open && one.token > one.releasedToken && c.renewalSentAt < one.grantedAt
+	return slices.ContainsFunc(c.candidacies, func(cand *candidacy) bool {
+		return c.open && cand.token > cand.releasedToken && c.renewalSentAt < cand.grantedAt
 	})
 }
 
-// step returns what is to be done now.
+// step returns the actions to carry out now, and records them as started.
 func (c *core) step(now time.Duration) (actions []action) {
 	order := c.highestReleaseOrder()
-	for _, one := range c.candidacies {
-		if next, ok := c.stepOne(now, one, order); ok {
+	for _, cand := range c.candidacies {
+		if next, ok := c.stepOne(now, cand, order); ok {
 			actions = append(actions, next)
 		}
 	}
 	return actions
 }
 
-// stepOne returns what is to be done for one candidacy, if anything. releaseOrder is the one whose turn it is
-// while the process closes.
-func (c *core) stepOne(now time.Duration, one *candidacy, releaseOrder int) (next action, ok bool) {
-	leaves := one.cancelled || one.releasing || one.transferRequested ||
-		c.closing && one.releaseOrder >= releaseOrder
+// stepOne returns the action to carry out for a candidacy, if there is one. While the session closes, leases
+// of releaseOrder and above are released.
+func (c *core) stepOne(now time.Duration, cand *candidacy, releaseOrder int) (next action, ok bool) {
+	leaves := cand.cancelled || cand.releasing || cand.transferRequested ||
+		c.closing && cand.releaseOrder >= releaseOrder
 	switch {
-	case one.runningToken != 0:
-		mustStop := leaves || one.token != one.runningToken || !c.holds(one, now)
-		if one.stopRequestedAt != 0 || !mustStop {
+	case cand.runningToken != 0:
+		mustStop := leaves || cand.token != cand.runningToken || !c.holds(cand, now)
+		if cand.stopRequestedAt != 0 || !mustStop {
 			return action{}, false
 		}
-		one.stopRequestedAt = max(now, 1) // 0 stands for never
-		return action{stopWork, one, one.runningToken}, true
-	case !c.open || one.callPending:
+		cand.stopRequestedAt = max(now, 1) // 0 stands for never
+		return action{stopWork, cand, cand.runningToken}, true
+	case !c.open || cand.callPending:
 		return action{}, false
-	case leaves && one.registered:
-		one.callPending = true
-		return action{releaseLease, one, one.token}, true
+	case leaves && cand.registered:
+		cand.callPending = true
+		return action{releaseLease, cand, cand.token}, true
 	case leaves:
-		one.releasing = false // there is nothing to release
+		cand.releasing = false // there is nothing to release
 		return action{}, false
-	case c.closing: // its turn to be released has not come
+	case c.closing: // leases of a higher release order come first
 		return action{}, false
-	case c.holds(one, now):
-		one.runningToken = one.token
-		one.startedAt = now
-		return action{startWork, one, one.token}, true
-	case !one.registered && now >= one.nextCampaignAt:
-		one.callPending = true
-		return action{campaign, one, 0}, true
+	case c.holds(cand, now):
+		cand.runningToken = cand.token
+		cand.startedAt = now
+		return action{startWork, cand, cand.token}, true
+	case !cand.registered && now >= cand.nextCampaignAt:
+		cand.callPending = true
+		return action{campaign, cand, 0}, true
 	}
 	return action{}, false
 }
 
-// highestReleaseOrder is that of the candidacies of which something is left to be stopped or released.
+// highestReleaseOrder returns the highest release order of the candidacies that are not over.
 func (c *core) highestReleaseOrder() int {
 	highest := math.MinInt
-	for _, one := range c.candidacies {
-		if !c.isOver(one) {
-			highest = max(highest, one.releaseOrder)
+	for _, cand := range c.candidacies {
+		if !c.isOver(cand) {
+			highest = max(highest, cand.releaseOrder)
 		}
 	}
 	return highest
 }
 
-// nextStepAt is the time at which step may have something to do without anything having happened.
+// nextStepAt returns the time at which step may return an action even if no event is recorded before.
 func (c *core) nextStepAt(now time.Duration) time.Duration {
 	at := now + c.ttl
 	if c.safeUntil > now {
 		at = min(at, c.safeUntil)
 	}
-	for _, one := range c.candidacies {
-		if one.nextCampaignAt > now {
-			at = min(at, one.nextCampaignAt)
+	for _, cand := range c.candidacies {
+		if cand.nextCampaignAt > now {
+			at = min(at, cand.nextCampaignAt)
 		}
 	}
 	return at
--- a/internal/lease/core_events.go
+++ b/internal/lease/core_events.go
@@ -18,16 +18,16 @@
 	c.open = false
 	c.safeUntil = 0
 	c.renewalSentAt = 0
-	for _, one := range c.candidacies {
-		one.registered = false
-		one.token = 0
-		one.transferRequested = false
-		one.releasing = false
-		one.callPending = false
+	for _, cand := range c.candidacies {
+		cand.registered = false
+		cand.token = 0
+		cand.transferRequested = false
+		cand.releasing = false
+		cand.callPending = false
 	}
 }
 
-// renewed records the answer to a renewal that was sent at a time.
+// renewed records that a renewal was answered. sent is when it was sent.
 func (c *core) renewed(sent time.Duration) {
 	if !c.open {
 		return
@@ -36,33 +36,34 @@
 	c.safeUntil = max(c.safeUntil, sent+safeDuration(c.ttl))
 }
 
-// leasesReported takes an answer on the session's leases. One that is older than another is ignored.
+// leasesReported records a response on the session's leases. A response that is older than an earlier one is
+// ignored.
 func (c *core) leasesReported(now time.Duration, session string, answer registry.LeasesResponse) {
 	if !c.open || answer.Epoch == c.epoch && answer.Index < c.index {
 		return
 	}
 	c.index = answer.Index
 	c.epoch = answer.Epoch
-	for _, one := range c.candidacies {
-		i := slices.IndexFunc(answer.Leases, func(l registry.Lease) bool { return l.Name == one.spec.Lease })
-		one.registered = i >= 0
-		if !one.registered || answer.Leases[i].Holder != session {
-			one.token = 0
-			one.transferRequested = false
+	for _, cand := range c.candidacies {
+		i := slices.IndexFunc(answer.Leases, func(l registry.Lease) bool { return l.Name == cand.spec.Lease })
+		cand.registered = i >= 0
+		if !cand.registered || answer.Leases[i].Holder != session {
+			cand.token = 0
+			cand.transferRequested = false
 			continue
 		}
-		one.granted(now, answer.Leases[i].Token)
-		one.transferRequested = answer.Leases[i].TransferRequested
+		cand.granted(now, answer.Leases[i].Token)
+		cand.transferRequested = answer.Leases[i].TransferRequested
 	}
 	for _, l := range answer.Leases {
 		c.adoptUnwanted(now, session, l)
 	}
 }
 
-// adoptUnwanted takes up a lease that nobody here wants, after a campaign whose result was not known, so that
-// it is released.
+// adoptUnwanted adds a cancelled candidacy for a lease that this process does not want, so that the lease is
+// released. There is such a lease after a campaign whose outcome was unknown.
 func (c *core) adoptUnwanted(now time.Duration, session string, l registry.Lease) {
-	if slices.ContainsFunc(c.candidacies, func(one *candidacy) bool { return one.spec.Lease == l.Name }) {
+	if slices.ContainsFunc(c.candidacies, func(cand *candidacy) bool { return cand.spec.Lease == l.Name }) {
 		return
 	}
 	unwanted := c.add(registry.Candidacy{Lease: l.Name}, 0)
@@ -74,62 +75,63 @@
 	}
 }
 
-func (one *candidacy) granted(now time.Duration, token uint64) {
-	if token != one.token {
-		one.token = token
-		one.grantedAt = now
+// granted records the token of a grant, and when this process learned of it.
+func (cand *candidacy) granted(now time.Duration, token uint64) {
+	if token != cand.token {
+		cand.token = token
+		cand.grantedAt = now
 	}
 }
 
-// workEnded records the end of work. Work that ends by itself without an error is done for good; after an
-// error the lease is released and wanted again later.
-func (c *core) workEnded(now time.Duration, one *candidacy, err error) {
+// workEnded records the end of work. If the work ends by itself without an error, the candidacy is cancelled;
+// after an error the lease is released, and the session campaigns for it again after a backoff.
+func (c *core) workEnded(now time.Duration, cand *candidacy, err error) {
 	switch {
-	case one.stopRequestedAt != 0:
-		if one.transferRequested {
-			one.releasing = true
-			if one.spec.Preempt { // else it would preempt the successor at once
-				one.nextCampaignAt = now + transferBackoff
+	case cand.stopRequestedAt != 0:
+		if cand.transferRequested {
+			cand.releasing = true
+			if cand.spec.Preempt { // without a wait it would preempt the successor at once
+				cand.nextCampaignAt = now + transferBackoff
 			}
 		}
 	case err == nil:
-		one.cancelled = true
+		cand.cancelled = true
 	default:
-		one.releasing = true
-		if now-one.startedAt > maxBackoff {
-			one.backoff = minBackoff
+		cand.releasing = true
+		if now-cand.startedAt > maxBackoff {
+			cand.backoff = minBackoff
 		}
-		one.nextCampaignAt = now + one.backoff
-		one.backoff = min(2*one.backoff, maxBackoff)
+		cand.nextCampaignAt = now + cand.backoff
+		cand.backoff = min(2*cand.backoff, maxBackoff)
 	}
-	one.runningToken = 0
-	one.stopRequestedAt = 0
+	cand.runningToken = 0
+	cand.stopRequestedAt = 0
 }
 
-// callEnded records the end of a campaign or a release, and whether the registry has done it.
-func (c *core) callEnded(kind actionKind, one *candidacy, ok bool) {
+// callEnded records the end of a campaign or a release, and whether it succeeded.
+func (c *core) callEnded(kind actionKind, cand *candidacy, ok bool) {
 	if kind == releaseLease {
-		c.releaseEnded(one, ok)
+		c.releaseEnded(cand, ok)
 	} else {
-		c.campaignEnded(one, ok)
+		c.campaignEnded(cand, ok)
 	}
 }
 
-func (c *core) campaignEnded(one *candidacy, ok bool) {
-	one.callPending = false
+func (c *core) campaignEnded(cand *candidacy, ok bool) {
+	cand.callPending = false
 	if ok {
-		one.registered = true
+		cand.registered = true
 	}
 }
 
-func (c *core) releaseEnded(one *candidacy, ok bool) {
-	one.callPending = false
+func (c *core) releaseEnded(cand *candidacy, ok bool) {
+	cand.callPending = false
 	if !ok {
 		return
 	}
-	one.releasedToken = max(one.releasedToken, one.token)
-	one.registered = false
-	one.token = 0
-	one.transferRequested = false
-	one.releasing = false
+	cand.releasedToken = max(cand.releasedToken, cand.token)
+	cand.registered = false
+	cand.token = 0
+	cand.transferRequested = false
+	cand.releasing = false
 }
--- a/internal/lease/keepalive.go
+++ b/internal/lease/keepalive.go
@@ -12,12 +12,12 @@
 
 const (
 	renewalsPerTTL  = 4
-	minCallTimeout  = time.Second // of opening a session
+	minCallTimeout  = time.Second // for the call that opens a session
 	sessionIDLength = 12          // bytes, before hexadecimal encoding
 	watchHold       = 20 * time.Second
 )
 
-// keepSession opens sessions and renews them, until the session's context ends.
+// keepSession opens the session, renews it, and opens another one if it expires, until s.ctx ends.
 func (s *Session) keepSession() {
 	interval := s.config.TTL / renewalsPerTTL
 	for s.ctx.Err() == nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// keepOnce opens the session or renews it, and returns how long to wait until the next time.
+// keepOnce opens the session or renews it, and returns how long to wait before the next renewal or attempt.
 func (s *Session) keepOnce(interval time.Duration) (wait time.Duration) {
 	s.mu.Lock()
 	open, id := s.core.open, s.id
@@ -49,6 +49,7 @@
 	return interval
 }
 
+// openSession opens a session under a new random id.
 func (s *Session) openSession(timeout time.Duration) error {
 	random := make([]byte, sessionIDLength)
 	_, _ = rand.Read(random) // never fails
@@ -76,7 +77,7 @@
 	defer cancel()
 	sent := s.now()
 	known, err := s.config.Client.RenewSession(ctx, id)
-	s.logRenewals(err)
+	s.logRenewalOutcome(err)
 	if err != nil {
 		return false
 	}
@@ -91,8 +92,8 @@
 	return true
 }
 
-// logRenewals logs an outage once, not at each attempt.
-func (s *Session) logRenewals(err error) {
+// logRenewalOutcome logs the beginning and the end of an outage, not each failed attempt.
+func (s *Session) logRenewalOutcome(err error) {
 	switch {
 	case err != nil && s.ctx.Err() == nil && !s.renewalsFailing:
 		s.log.Warn("session renewals fail", "err", err)
@@ -103,7 +104,7 @@
 	}
 }
 
-// watchLeases follows the session's leases, until the session's context ends.
+// watchLeases follows the session's leases until s.ctx ends.
 func (s *Session) watchLeases() {
 	for s.ctx.Err() == nil {
 		s.mu.Lock()
@@ -120,7 +121,7 @@
 		go s.cancelWhenSessionEnds(ctx, cancel, id)
 		answer, err := s.config.Client.SessionLeases(ctx, id, index, watchHold)
 		cancel()
-		if err != nil { // also of a replica that lags and does not know the session: a renewal finds out
+		if err != nil { // also from a lagging replica that does not know the session; renewals show a real loss
 			backoff.Sleep(s.ctx, retryPause)
 			continue
 		}
--- a/internal/lease/loop.go
+++ b/internal/lease/loop.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	callTimeout = 10 * time.Second // of a campaign or a release, over the registry's failures
+	callTimeout = 10 * time.Second // for a campaign or a release, including retries
 	retryPause  = 100 * time.Millisecond
 )
 
-// loop carries out what the core wants, until the session's context ends.
+// loop carries out the core's actions until s.ctx ends.
 func (s *Session) loop() {
 	for {
 		calls, wait := s.carryOutStep()
@@ -35,14 +35,14 @@
 	}
 }
 
-// registryCalls are the campaigns and releases that a step has led to.
+// registryCalls are the campaigns and releases among the actions of a step.
 type registryCalls struct {
 	session string
 	byKind  map[actionKind][]*candidacy
 }
 
-// carryOutStep makes one step of the core, and starts and stops work by it. wait is the time until the next
-// step.
+// carryOutStep makes one step of the core and starts and stops work. It returns the calls to make and the
+// time until the next step.
 func (s *Session) carryOutStep() (calls registryCalls, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,52 +72,53 @@
 }
 
 // startWork starts the work of a candidacy. The caller holds the lock.
-func (s *Session) startWork(one *candidacy, token uint64) {
-	run := s.runs[one]
-	if run == nil { // a lease that nobody here wants
-		one.runningToken = 0
-		one.cancelled = true
+func (s *Session) startWork(cand *candidacy, token uint64) {
+	run := s.runs[cand]
+	if run == nil { // a lease that adoptUnwanted has added
+		cand.runningToken = 0
+		cand.cancelled = true
 		return
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
 	run.cancel = cancel
-	s.log.Info("lease acquired", "lease", one.spec.Lease, "token", token)
+	s.log.Info("lease acquired", "lease", cand.spec.Lease, "token", token)
 	s.goroutines.Go(func() {
-		err := run.work(ctx, Token{Lease: one.spec.Lease, Number: token})
+		err := run.work(ctx, Token{Lease: cand.spec.Lease, Number: token})
 		cancel()
 		s.update(func(now time.Duration) {
-			if err != nil && one.stopRequestedAt == 0 {
-				s.log.Warn("work failed, releasing the lease", "lease", one.spec.Lease, "token", token, "err", err)
+			if err != nil && cand.stopRequestedAt == 0 {
+				s.log.Warn("work failed, releasing the lease", "lease", cand.spec.Lease, "token", token, "err", err)
 			} else {
-				s.log.Info("work ended", "lease", one.spec.Lease, "token", token)
+				s.log.Info("work ended", "lease", cand.spec.Lease, "token", token)
 			}
-			s.core.workEnded(now, one, err)
+			s.core.workEnded(now, cand, err)
 		})
 	})
 }
 
-// stopWork tells work to stop, and checks later that it did. The caller holds the lock.
-func (s *Session) stopWork(one *candidacy) {
-	token := one.runningToken
-	s.runs[one].cancel()
+// stopWork cancels the context of work, and checks after the time for stopping that it has stopped. The
+// caller holds the lock.
+func (s *Session) stopWork(cand *candidacy) {
+	token := cand.runningToken
+	s.runs[cand].cancel()
 	time.AfterFunc(s.config.TTL/stopFraction, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if one.runningToken == token && one.stopRequestedAt != 0 {
+		if cand.runningToken == token && cand.stopRequestedAt != 0 {
 			s.lateStops++
 			s.log.Error("work does not stop though another process may hold the lease; its writes rely on fencing",
-				"lease", one.spec.Lease, "token", token)
+				"lease", cand.spec.Lease, "token", token)
 		}
 	})
 }
 
-// callRegistry makes a campaign or a release.
+// callRegistry campaigns for leases or releases them, and records the outcome.
 func (s *Session) callRegistry(kind actionKind, session string, candidacies []*candidacy) {
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
 	var specs []registry.Candidacy
-	for _, one := range candidacies {
-		specs = append(specs, one.spec)
+	for _, cand := range candidacies {
+		specs = append(specs, cand.spec)
 	}
 	call, name := s.config.Client.Campaign, "campaign"
 	if kind == releaseLease {
@@ -129,11 +130,11 @@
 		backoff.Sleep(s.ctx, retryPause)
 	}
 	s.update(func(time.Duration) {
-		if session != s.id { // of an earlier session: its candidacies were reset when that was lost
+		if session != s.id { // the call was for an earlier session, whose loss has reset the candidacies
 			return
 		}
-		for _, one := range candidacies {
-			s.core.callEnded(kind, one, err == nil)
+		for _, cand := range candidacies {
+			s.core.callEnded(kind, cand, err == nil)
 		}
 	})
 }
--- a/internal/lease/options.go
+++ b/internal/lease/options.go
@@ -6,32 +6,32 @@
 	"wrenspread/internal/registry"
 )
 
-// request is a candidacy with what only its process has to know.
+// request is a candidacy with the settings that the registry does not need to know.
 type request struct {
 	registry.Candidacy
 	releaseOrder int
 }
 
-// Option says how a lease is wanted.
+// Option configures a candidacy.
 type Option func(*request)
 
-// Priority puts the process before candidates of a lower priority.
+// Priority sets the priority of the candidacy. Candidates of a higher priority are granted the lease first.
 func Priority(priority int) Option { return func(r *request) { r.Priority = priority } }
 
-// Preempt asks a holder of lower priority to transfer the lease.
+// Preempt makes the registry ask a holder of lower priority to transfer the lease.
 func Preempt() Option { return func(r *request) { r.Preempt = true } }
 
-// ReleaseOrder sets when the lease is released while the session closes: after those of a higher order and
-// before those of a lower one. Without it the order is 0.
+// ReleaseOrder sets the order in which the lease is released while the session closes: leases of a higher
+// order are released first. The default is 0.
 func ReleaseOrder(order int) Option { return func(r *request) { r.releaseOrder = order } }
 
-// Spread distributes many leases evenly over the processes that want them all: each lease goes to the process
-// with the highest hash of both names (rendezvous hashing).
+// Spread distributes many leases evenly over processes that campaign for all of them: each lease goes to the
+// process with the highest hash of both names (rendezvous hashing).
 func Spread(process, lease string) Option {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(lease + "\x00" + process)) // a hash never returns an error
 	x := hash.Sum32()
-	x ^= x >> 16 // the last bytes alone change too little of the sum
+	x ^= x >> 16 // without this mixing, a difference in the last bytes changes too few bits
 	x *= 0x85ebca6b
 	x ^= x >> 13
 	return func(r *request) {
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -1,11 +1,12 @@
 // Package lease lets a process hold leases: named roles, such as "quota", that one process holds at a time.
-// The registry gives a lease to the next candidate when its holder fails, releases it or is preempted.
+// The registry grants a lease to the next candidate when its holder fails, releases it or is preempted.
 //
-// A Session is this process's session with the registry. Run wants a lease and does its work for as long as
-// the process holds it. Two processes never work under one lease at the same time if clock rates are off by
-// maxClockDrift at most and work stops when its context ends: work begins only after a renewal that confirms
-// the grant, and is cancelled a fraction of the TTL before the registry can give the lease to another. Where
-// work may be paused for longer, whoever takes its orders must check the fencing token (package fencing).
+// A Session is this process's session with the registry. Run campaigns for a lease and does its work for as
+// long as the process holds the lease. Two processes never work under one lease at the same time if clock
+// rates are off by at most maxClockDrift and work stops when its context ends: work starts only after a
+// renewal has confirmed the grant, and is cancelled a fraction of the TTL before the registry can grant the
+// lease to another process. If work may be paused for longer, the receivers of its orders must check the
+// fencing token (package fencing).
 package lease
 
 import (
@@ -23,26 +24,26 @@
 
 // Config configures a Session.
 type Config struct {
-	Client  *client.Client       // for this session alone: it goes on to another replica when one fails
-	Process string               // name of the process, the same over its restarts
-	TTL     time.Duration        // after so long without a renewal others get its leases; 0: DefaultTTL
-	Info    registry.ProcessInfo // what other processes can read about this one
-	Log     *slog.Logger         // nil: none
+	Client  *client.Client       // not shared with other sessions: after a failed call it changes the replica
+	Process string               // name of the process, the same after a restart
+	TTL     time.Duration        // time without a renewal after which the session expires; 0: DefaultTTL
+	Info    registry.ProcessInfo // information for other processes about this one
+	Log     *slog.Logger         // nil: no logging
 }
 
-// Token proves that an order comes from the holder of a lease.
+// Token is the fencing token of a lease. It proves that an order comes from the lease's holder.
 type Token = registry.FencingToken
 
 // Errors of Run and Open.
 var (
 	ErrClosed     = errors.New("lease: the session is closing")
-	ErrWanted     = errors.New("lease: this session wants it already")
+	ErrWanted     = errors.New("lease: this session has a candidacy for the lease already")
 	errIncomplete = errors.New("lease: a session needs a process name and a registry client")
 )
 
-// Work is done by the holder of a lease. Its context ends before anybody else can hold the lease; work has
-// TTL/8 to stop then. If it returns nil the lease is not wanted any more; after an error it is released and
-// wanted again later.
+// Work is the function that the holder of a lease runs. Its context ends TTL/8 before another process can
+// hold the lease; the work has to stop in that time. If Work returns nil, Run releases the lease and returns;
+// after an error, Run releases the lease and campaigns for it again after a backoff.
 type Work func(ctx context.Context, token Token) error
 
 // Session is one process's session with the registry. It is safe for concurrent use.
@@ -50,18 +51,18 @@
 	config     Config
 	log        *slog.Logger
 	start      time.Time
-	ctx        context.Context // of the session's own calls
+	ctx        context.Context // of the session's calls, and the parent of the contexts of work
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the following fields
 	core      *core
-	id        string // of the session in the registry
+	id        string // id of the session in the registry
 	runs      map[*candidacy]*run
-	wake      chan struct{} // the core has changed
-	renewNow  chan struct{} // a renewal would confirm a grant
+	wake      chan struct{} // signals that the core has changed
+	renewNow  chan struct{} // signals that a grant needs a renewal
 	changed   chan struct{} // closed and replaced after every step
-	lateStops int
+	lateStops int           // how many times work did not stop in time
 
 	renewalsFailing bool // used by keepSession alone: a failure has been logged
 }
@@ -69,10 +70,10 @@
 // run is the work of a candidacy.
 type run struct {
 	work   Work
-	cancel context.CancelFunc // nil: it is not running
+	cancel context.CancelFunc // nil: the work has never been started
 }
 
-// Open begins a session, which goes on until Close.
+// Open starts a session. It is renewed, or replaced after it has expired, until Close.
 func Open(config Config) (*Session, error) {
 	if config.TTL == 0 {
 		config.TTL = DefaultTTL
@@ -104,46 +105,48 @@
 	return s, nil
 }
 
-// now is the core's clock. It is never 0, which stands for never.
+// now returns the time of the core's clock. It is never 0, because the core uses 0 for times that are not
+// set.
 func (s *Session) now() time.Duration { return time.Since(s.start) + 1 }
 
 // Run does work whenever this process holds a lease, until the work returns nil, ctx ends (Run returns its
 // error) or the session is closed (ErrClosed). It returns once the work has stopped and the lease is
 // released.
 func (s *Session) Run(ctx context.Context, name string, work Work, options ...Option) error {
-	wanted := request{Candidacy: registry.Candidacy{Lease: name}}
+	requested := request{Candidacy: registry.Candidacy{Lease: name}}
 	for _, option := range options {
-		option(&wanted)
+		option(&requested)
 	}
-	one, err := s.addCandidacy(wanted, work)
+	cand, err := s.addCandidacy(requested, work)
 	if err != nil {
 		return err
 	}
 	s.wakeLoop()
-	return s.await(ctx, one)
+	return s.await(ctx, cand)
 }
 
-func (s *Session) addCandidacy(wanted request, work Work) (*candidacy, error) {
+// addCandidacy adds a candidacy with its work, unless the session is closing or has one for the same lease.
+func (s *Session) addCandidacy(requested request, work Work) (*candidacy, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core.closing {
 		return nil, ErrClosed
 	}
-	same := func(one *candidacy) bool { return one.spec.Lease == wanted.Lease }
+	same := func(cand *candidacy) bool { return cand.spec.Lease == requested.Lease }
 	if slices.ContainsFunc(s.core.candidacies, same) {
-		return nil, fmt.Errorf("%w: %s", ErrWanted, wanted.Lease)
+		return nil, fmt.Errorf("%w: %s", ErrWanted, requested.Lease)
 	}
-	one := s.core.add(wanted.Candidacy, wanted.releaseOrder)
-	s.runs[one] = &run{work: work}
-	return one, nil
+	cand := s.core.add(requested.Candidacy, requested.releaseOrder)
+	s.runs[cand] = &run{work: work}
+	return cand, nil
 }
 
 // await waits until a candidacy is over, and cancels it when ctx ends.
-func (s *Session) await(ctx context.Context, one *candidacy) error {
+func (s *Session) await(ctx context.Context, cand *candidacy) error {
 	cancelled := ctx.Done()
 	for {
-		changed, over := s.removeIfOver(one)
-		if over && !one.cancelled {
+		changed, over := s.removeIfOver(cand)
+		if over && !cand.cancelled {
 			return ErrClosed
 		}
 		if over {
@@ -155,19 +158,19 @@
 			return ErrClosed
 		case <-cancelled:
 			cancelled = nil
-			s.update(func(time.Duration) { one.cancelled = true })
+			s.update(func(time.Duration) { cand.cancelled = true })
 		}
 	}
 }
 
-// removeIfOver forgets a candidacy that is over. changed is closed at the next step.
-func (s *Session) removeIfOver(one *candidacy) (changed <-chan struct{}, over bool) {
+// removeIfOver removes a candidacy if it is over. changed is closed at the next step.
+func (s *Session) removeIfOver(cand *candidacy) (changed <-chan struct{}, over bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	over = s.core.isOver(one)
+	over = s.core.isOver(cand)
 	if over {
-		s.core.remove(one)
-		delete(s.runs, one)
+		s.core.remove(cand)
+		delete(s.runs, cand)
 	}
 	return s.changed, over
 }
@@ -179,21 +182,23 @@
 	return s.lateStops
 }
 
-// HeldUntil returns the time before which nobody else can hold a lease that this process holds under a token:
-// until then its holder may act without asking anybody. Each renewal extends it. It is zero once the work is
-// cancelled. Work that may have been paused must ask after it has read what it acts on, not before.
+// HeldUntil returns the time until which this process certainly holds a lease under a token. Until then the
+// holder may act without further checks. Each renewal extends it. It is the zero time once the work is
+// cancelled. Work that may have been paused must call HeldUntil after it has read the data that it acts on,
+// not before.
 func (s *Session) HeldUntil(token Token) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.core.candidacies {
-		runs := one.spec.Lease == token.Lease && one.runningToken == token.Number && one.token == token.Number
-		if runs && one.stopRequestedAt == 0 && s.core.holds(one, s.now()) {
+	for _, cand := range s.core.candidacies {
+		runs := cand.spec.Lease == token.Lease && cand.runningToken == token.Number && cand.token == token.Number
+		if runs && cand.stopRequestedAt == 0 && s.core.holds(cand, s.now()) {
 			return s.start.Add(s.core.safeUntil)
 		}
 	}
 	return time.Time{}
 }
 
+// wakeLoop makes the loop take a step.
 func (s *Session) wakeLoop() {
 	select {
 	case s.wake <- struct{}{}:
@@ -201,7 +206,7 @@
 	}
 }
 
-// update changes the core and has the loop look at it.
+// update changes the core and makes the loop take a step.
 func (s *Session) update(change func(now time.Duration)) {
 	s.mu.Lock()
 	change(s.now())
--- a/internal/registry/client/broken_test.go
+++ b/internal/registry/client/broken_test.go
@@ -67,7 +67,7 @@
 				}, func(ctx context.Context, s *standIn) {
 					d, lists := s.platform(asked)
 					if asked {
-						most, hold = spreadSilent, holdPolled
+						most, hold = silentRetrySpread, holdPolled
 						d.Poll(ctx, true, true)
 					} else {
 						d.Follow(ctx)
--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -10,26 +10,26 @@
 	"wrenspread/internal/registry"
 )
 
-// maxCacheFile bounds a cache file that is read, in bytes: a list of the greatest size takes a tenth, one of
-// the longest entries two thirds.
-const maxCacheFile = 128 << 20
+// maxCacheFileBytes bounds the size of a cache file. The largest list takes a tenth of it, or two thirds with
+// entries of maximal length.
+const maxCacheFileBytes = 128 << 20
 
-// cachedList is the form of a list in its cache file. The epoch and version of a subset stand in a place of
-// their own: to a program that knows no subsets the file is a list without a version, which makes it ask for
-// the complete list.
+// cachedList is the form of a list in its cache file. The epoch and version of a subset are in SubsetState. A
+// program that knows no subsets therefore reads a list without a version and requests the complete list.
 type cachedList struct {
 	List
 	SubsetState *cachedSubset `json:"of,omitempty"`
 }
 
+// cachedSubset describes the subset that a cached list covers.
 type cachedSubset struct {
-	Subset  string `json:"part"` // text form of a registry.Subset
-	Total   int    `json:"total"`
+	Subset  string `json:"part"`  // text form of a registry.Subset
+	Total   int    `json:"total"` // number of entries in the complete list
 	Epoch   string `json:"epoch"`
 	Version uint64 `json:"version"`
 }
 
-// writeCache stores a list for the next start.
+// writeCache stores a list in a file for the next start of the process.
 func writeCache(path string, list List) error {
 	cached := cachedList{List: list}
 	if !list.Subset.IsAll() {
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// readCache reads a stored list. A file that does not exist gives an empty one.
+// readCache reads a list that writeCache has stored. It returns an empty list if the file does not exist.
 func readCache(path string) (List, error) {
-	raw, err := checksumfile.Read(path, maxCacheFile)
+	raw, err := checksumfile.Read(path, maxCacheFileBytes)
 	if errors.Is(err, fs.ErrNotExist) {
 		return List{}, nil
 	}
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -15,32 +15,34 @@
 	"wrenspread/internal/registry"
 )
 
-const maxPlatform = 4 << 20 // bytes of a list; a thousand endpoints take a twentieth
+// maxPlatformResponseBytes bounds the size of a list from the platform. A thousand endpoints take a
+// twentieth.
+const maxPlatformResponseBytes = 4 << 20
 
 var (
-	errResent    = errors.New("the connection broke")
-	errRejected  = errors.New("discovery answers")
-	errOlderList = errors.New("discovery's list is older than what it told")
+	errRepeatedRequest  = errors.New("discovery: the connection broke, the request is not sent again")
+	errUnexpectedStatus = errors.New("discovery responded with status")
+	errOlderList        = errors.New("discovery's list is older than the known list")
 )
 
-// call asks once, for the complete list where that is to come, else for what is
-// newer than the version known, and passes the answer on. After a failure no
-// connection of before is used again: what silenced one may have silenced all.
+// call makes one request and passes the response on. It requests the complete list if needsComplete is set,
+// and otherwise the changes since the known version. After a failure no existing connection is used again,
+// because the cause may affect all of them.
 func (d *Platform) call(ctx context.Context, hold time.Duration) error {
-	if d.running.leaves.Load() {
-		d.running.stop()
+	if d.runningTask.stopping.Load() {
+		d.runningTask.stop()
 		return ctx.Err()
 	}
 	query := ""
 	if !d.needsComplete {
 		query = fmt.Sprintf("?from=%d&hold_ms=%d", d.index, hold.Milliseconds())
 	}
-	l, err := d.get(ctx, query, hold)
+	list, err := d.get(ctx, query, hold)
 	if err == nil {
-		err = isCompleteRead(l, d.needsComplete)
+		err = isCompleteRead(list, d.needsComplete)
 	}
-	if err == nil && !d.needsComplete && l.Index < d.index {
-		// A server that was set to drain would be ready again. The complete list is the truth.
+	if err == nil && !d.needsComplete && list.Index < d.index {
+		// The older list could mark a draining endpoint as ready again, so the complete list is requested.
 		d.needsComplete, err = true, errOlderList
 	}
 	if err != nil {
@@ -48,30 +50,31 @@
 		d.client.CloseIdleConnections()
 		return err
 	}
-	d.index, d.needsComplete, d.lastCallFailed = l.Index, false, false
+	d.index, d.needsComplete, d.lastCallFailed = list.Index, false, false
 	d.answers++
-	for _, err := range l.Skipped {
+	for _, err := range list.Skipped {
 		d.log.Warn("endpoint entry skipped", "err", err)
 	}
-	d.onList(l)
+	d.onList(list)
 	return nil
 }
 
-// isCompleteRead validates an answer that is, or was to be, the complete list.
-func isCompleteRead(l registry.ListResponse, asked bool) error {
+// isCompleteRead returns an error if a response is not the complete list though that was wanted, or if it is
+// a complete list without endpoints.
+func isCompleteRead(l registry.ListResponse, wanted bool) error {
 	switch {
-	case asked && !l.Snapshot:
-		return errors.New("the whole list was asked for, and changes came")
+	case wanted && !l.Snapshot:
+		return errors.New("requested the complete list, got changes")
 	case l.Snapshot && l.Endpoints == nil:
-		return errors.New("a whole list without its servers")
+		return errors.New("complete list: endpoints are missing")
 	}
 	return nil
 }
 
-// connect makes the connection of a call, and none for one that was sent already.
+// connect dials the connection of a call. It refuses to dial for a request that net/http sends a second time.
 func (d *Platform) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	if d.attempts.Load() > 1 {
-		return nil, errResent
+		return nil, errRepeatedRequest
 	}
 	c, err := d.dial(ctx, network, address)
 	if err != nil {
@@ -81,9 +84,9 @@
 	return observedConn{c, d}, nil
 }
 
-// get makes one request. net/http would send it again by itself where a
-// connection that was used before breaks, with what is left of its time for the
-// whole hold: a second try finds neither an idle connection nor a new one.
+// get makes one request. If a reused connection breaks, net/http would send the request again, with too
+// little time left for the hold. The hook closes idle connections and connect refuses to dial, so the second
+// attempt fails.
 func (d *Platform) get(
 	ctx context.Context,
 	query string,
@@ -109,14 +112,14 @@
 	}
 	defer besteffort.Close(resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return l, fmt.Errorf("%w %s", errRejected, resp.Status)
+		return l, fmt.Errorf("%w %s", errUnexpectedStatus, resp.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlatform+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlatformResponseBytes+1))
 	if err != nil {
 		return l, fmt.Errorf("discovery's list: %w", err)
 	}
-	if len(body) > maxPlatform {
-		return l, errors.New("discovery's list is too long")
+	if len(body) > maxPlatformResponseBytes {
+		return l, fmt.Errorf("discovery's list: more than %d bytes", maxPlatformResponseBytes)
 	}
 	if err := json.Unmarshal(body, &l); err != nil {
 		return l, fmt.Errorf("discovery's list: %w", err)
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -19,39 +19,39 @@
 	"wrenspread/internal/registry"
 )
 
-// Config says where the list is and how to follow it.
+// Config configures a Client.
 type Config struct {
-	Addresses []string      // of the replicas, host:port; one at least
-	File      string        // where the list is kept for the next start; empty: nowhere
-	Hold      time.Duration // of a watch; 0: DefaultHold
-	HoldBack  time.Duration // of a list of another epoch that lost most entries; 0: DefaultHoldBack
-	Log       *slog.Logger  // nil: none
-
-	// ChooseSubset, if set, says which subset of the list to follow for whoever has subset now with these
-	// entries, of total in all; entries are nil where none are known yet. It is called after answers, and must
-	// not call the client.
+	Addresses []string      // addresses of the replicas, host:port; at least one
+	File      string        // file in which the list is cached for the next start; empty: none
+	Hold      time.Duration // time for which a replica may delay its response to a watch; 0: DefaultHold
+	HoldBack  time.Duration // delay before a suspect list of another epoch is accepted; 0: DefaultHoldBack
+	Log       *slog.Logger  // nil: no logging
+
+	// ChooseSubset, if set, returns the subset of the list to follow. now is the subset that is followed, total
+	// the number of entries in the complete list, and entries those of now, or nil if none are known yet. It is
+	// called after responses and must not call the client.
 	ChooseSubset func(now registry.Subset, total int, entries []registry.Endpoint) registry.Subset
 
-	// OnChange, if set, gets every answer that changed the view, in order, from the goroutine that follows. It
-	// must not call the client.
+	// OnChange, if set, is called with every response that changed the list, in order, from the goroutine that
+	// runs Follow. It must not call the client.
 	OnChange func(registry.ListResponse)
 }
 
 const (
-	// DefaultHold is short enough to notice a dead link soon.
+	// DefaultHold is short enough to notice a dead connection soon.
 	DefaultHold = 20 * time.Second
-	// DefaultHoldBack is enough for a fleet to register anew with a service that lost its state.
+	// DefaultHoldBack is enough for a fleet to register again with a service that has lost its state.
 	DefaultHoldBack = 30 * time.Second
 
-	// What a silent watch misses counts as known 2 s past its hold, what a silent call for the complete list
-	// misses after 6 s: some of that is for the call that is made anew.
-	answerGrace         = 1500 * time.Millisecond // for an answer, past the hold
-	completeReadTimeout = 5 * time.Second         // for the complete list, which is not held back
-	dialTime            = time.Second
-	// for a thousand clients that lost one replica, four tries a millisecond
-	firstBackoff = 250 * time.Millisecond
-	maxBackoff   = 2500 * time.Millisecond
-	maxAnswer    = 128 << 20 // bytes of a list; one of the longest entries takes two thirds
+	// A change that a silent watch misses must be known 2 s after the end of its hold; a change that a silent
+	// call for the complete list misses, after 6 s. The timeouts leave some of that time for the next call.
+	answerGrace         = 1500 * time.Millisecond // for a response, after the end of the hold
+	completeReadTimeout = 5 * time.Second         // for the complete list, which is sent without a hold
+	dialTimeout         = time.Second
+	// initialBackoff spreads the attempts of a thousand clients that lose a replica to four per millisecond.
+	initialBackoff   = 250 * time.Millisecond
+	maxBackoff       = 2500 * time.Millisecond
+	maxResponseBytes = 128 << 20 // a list whose entries have maximal length takes two thirds
 )
 
 // Client follows the registry and writes to it. It is safe for concurrent use.
@@ -60,19 +60,19 @@
 	log    *slog.Logger
 	http   *http.Client
 
-	leasesFailed atomic.Bool // the last try to read a session's leases
+	leasesFailed atomic.Bool // the last attempt to read a session's leases failed
 
 	mu           sync.Mutex
 	list         *ListState
-	move         subsetMove
+	pendingMove  subsetMove
 	start        time.Time
-	current      int // the address that answered last
-	changed      chan struct{}
-	lastAnswerAt time.Time // when the service last answered; zero: never
+	current      int           // index of the address that calls are made to
+	changed      chan struct{} // closed and replaced when the list changes
+	lastAnswerAt time.Time     // when the service last answered; zero: never
 }
 
-// New makes a client. It begins with the cached list, if there is one that can be read; one that can't is
-// logged.
+// New returns a client. It begins with the cached list if there is one. An unreadable cache file is logged
+// and otherwise ignored.
 func New(c Config) (*Client, error) {
 	if err := checkAddresses(c.Addresses); err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 		current: rand.IntN(len(c.Addresses)),
 		http: &http.Client{
 			Transport: &http.Transport{
-				DialContext:         (&net.Dialer{Timeout: dialTime}).DialContext,
+				DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 				MaxIdleConnsPerHost: 2,
 				IdleConnTimeout:     time.Minute,
 			},
@@ -100,22 +100,23 @@
 	if k.log == nil {
 		k.log = slog.New(slog.DiscardHandler)
 	}
-	var before List
+	var cached List
 	if c.File != "" {
 		var err error
-		if before, err = readCache(c.File); err != nil {
+		if cached, err = readCache(c.File); err != nil {
 			k.log.Warn("cached endpoint list unusable, starting without", "err", err)
 		}
 	}
-	k.list = NewListState(c.HoldBack, before)
-	if k.move.to = before.Subset; c.ChooseSubset == nil {
-		k.move.to = registry.Subset{}
-	} else if before.Version == 0 {
-		k.move.to = c.ChooseSubset(registry.Subset{}, registry.MaxEndpoints, nil)
+	k.list = NewListState(c.HoldBack, cached)
+	if k.pendingMove.target = cached.Subset; c.ChooseSubset == nil {
+		k.pendingMove.target = registry.Subset{}
+	} else if cached.Version == 0 {
+		k.pendingMove.target = c.ChooseSubset(registry.Subset{}, registry.MaxEndpoints, nil)
 	}
 	return k, nil
 }
 
+// checkAddresses validates the addresses of the replicas.
 func checkAddresses(all []string) error {
 	if len(all) == 0 {
 		return errors.New("list client: no address")
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// SetAddresses goes on at other addresses, from the next call on. What is known stays.
+// SetAddresses replaces the addresses of the replicas, starting with the next call. The known list stays.
 func (k *Client) SetAddresses(all []string) error {
 	if err := checkAddresses(all); err != nil {
 		return err
@@ -140,24 +141,25 @@
 	return nil
 }
 
-// List is the list as the client knows it, and when the service last answered; zero if it never has. A list
-// that is kept serves on for ever.
+// List returns the list as the client knows it, and when the service last answered, or zero if it never has.
+// The list does not expire while the service is unreachable.
 func (k *Client) List() (list List, lastAnswerAt time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.list.List(), k.lastAnswerAt
 }
 
-// Changed is closed at the next change of the client's list.
+// Changed returns a channel that is closed at the next change of the client's list.
 func (k *Client) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed
 }
 
-// Close ends connections that stand idle.
+// Close closes idle connections.
 func (k *Client) Close() { k.http.CloseIdleConnections() }
 
+// call makes one HTTP request to a replica and returns the status and the body of the response.
 func (k *Client) call(ctx context.Context, method, address, path string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -165,10 +167,10 @@
 	}
 	resp, err := k.http.Do(req)
 	if err != nil {
-		k.http.CloseIdleConnections() // what silenced one may have silenced all
+		k.http.CloseIdleConnections() // the cause may affect the other connections, too
 		return 0, nil, err
 	}
 	defer besteffort.Close(resp.Body)
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, raw, err
 }
--- a/internal/registry/client/follow.go
+++ b/internal/registry/client/follow.go
@@ -17,23 +17,26 @@
 	"wrenspread/internal/registry"
 )
 
-// Records are all records under a prefix, as of one version of the service.
+// Records holds all records under a prefix as of one version of the list.
 type Records struct {
 	Epoch   string
 	Version uint64
-	All     []registry.Record // by key, with their values
+	All     []registry.Record // with their values, sorted by key
 }
 
-// recordFollower is what a reader of records knows. It is pure.
+// recordFollower is the state of a reader that follows records. It does no I/O and reads no clock.
 type recordFollower struct {
-	epoch           string
-	version         uint64
-	records         map[string]registry.Record
-	otherEpochSince time.Time // since when only another epoch of no higher version answers; zero: it does not
+	epoch   string
+	version uint64
+	records map[string]registry.Record
+	// otherEpochSince is when responses of another epoch began whose version is not above the known version;
+	// zero: the last response was not of this kind.
+	otherEpochSince time.Time
 }
 
-// apply judges an answer. A replica that lags, or one of an epoch whose versions do not go past what is
-// known, is stale; the latter until it has held for so long that the service must have lost its state.
+// apply applies a response, or rejects it as stale: if it is older than the known version, or if it is of
+// another epoch and its version is not above the known one. The latter is accepted once such responses have
+// come for holdBack, as the service must have lost its state.
 func (f *recordFollower) apply(
 	now time.Time,
 	holdBack time.Duration,
@@ -61,11 +64,11 @@
 		len(a.Records) != len(known)
 	for _, r := range a.Records {
 		if r.Value == nil {
-			has, ok := known[r.Key]
-			if !ok || has.Version != r.Version {
-				return NeedsComplete, fmt.Errorf("record %s of version %d came without its value", r.Key, r.Version)
+			current, ok := known[r.Key]
+			if !ok || current.Version != r.Version {
+				return NeedsComplete, fmt.Errorf("response lacks the value of record %q, version %d", r.Key, r.Version)
 			}
-			r = has
+			r = current
 		} else if known[r.Key].Version != r.Version {
 			changed = true
 		}
@@ -78,6 +81,7 @@
 	return Changed, nil
 }
 
+// snapshot returns the known records.
 func (f *recordFollower) snapshot() Records {
 	return Records{
 		f.epoch,
@@ -89,11 +93,12 @@
 	}
 }
 
-// FollowRecords watches the records under a prefix until ctx ends, over whatever failures of the service.
-// taken gets them whole: at first, and after each change, in order, from this goroutine. What it gets is a
-// state that was, never an older one after a newer; how old it is, the session of whoever relies on it has to
-// say. A call that comes after a failure is not held, so that its own silence shows soon.
-func (k *Client) FollowRecords(ctx context.Context, prefix string, taken func(Records)) {
+// FollowRecords watches the records under a prefix until ctx ends, and retries after failures of the service.
+// It calls onRecords from this goroutine with all records: once at first, and after each change. The states
+// are passed in order, never an older one after a newer one, but any of them may be out of date: a caller
+// that needs to know how old they are has to rely on its session. A call after a failure is made without a
+// hold, so that its own failure is noticed soon.
+func (k *Client) FollowRecords(ctx context.Context, prefix string, onRecords func(Records)) {
 	f, wait, hold := &recordFollower{}, watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
 		verdict, err := k.watchRecords(ctx, f, prefix, hold)
@@ -102,13 +107,13 @@
 		}
 		if err == nil && verdict != Stale {
 			if verdict == Changed {
-				taken(f.snapshot())
+				onRecords(f.snapshot())
 			}
 			wait, hold = watchBackoff(), k.config.Hold
 			continue
 		}
 		if hold = minHold; verdict == NeedsComplete {
-			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // read completely, as of now
+			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // version 0: read all records
 		}
 		k.log.Warn(
 			"following records failed, keeping the known ones",
@@ -126,6 +131,7 @@
 	}
 }
 
+// watchRecords makes one call and applies the response to f.
 func (k *Client) watchRecords(
 	ctx context.Context,
 	f *recordFollower,
@@ -145,11 +151,11 @@
 		return Unchanged, err
 	}
 	if status != http.StatusOK {
-		return Unchanged, refusal(status, body)
+		return Unchanged, responseError(status, body)
 	}
 	var a registry.RecordsResponse
 	if err := json.Unmarshal(body, &a); err != nil {
-		return Unchanged, fmt.Errorf("an answer that can't be read: %w", err)
+		return Unchanged, fmt.Errorf("parse records response: %w", err)
 	}
 	return f.apply(time.Now(), k.config.HoldBack, a)
 }
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -1,5 +1,5 @@
-// Package client reads, watches and writes the list of endpoints, and goes on with what it has while the
-// registry fails: one replica, the leader, or all of it.
+// Package client reads, watches and writes the registry's list of endpoints, its leases and its records.
+// While replicas fail it tries the others, and while all of them fail the known list stays in use.
 package client
 
 import (
@@ -14,87 +14,88 @@
 type List struct {
 	Epoch     string              `json:"epoch"`
 	Version   uint64              `json:"version"`
-	Endpoints []registry.Endpoint `json:"entries"` // by name
-	Subset    registry.Subset     `json:"-"`       // of the list that it is
-	// entries in all of the list, where Subset is one that was asked for; 0: not known
+	Endpoints []registry.Endpoint `json:"entries"` // sorted by name
+	Subset    registry.Subset     `json:"-"`       // the subset that Endpoints covers
+	// Total is the number of entries in the complete list; 0: not known. It is set if a subset was requested.
 	Total int `json:"-"`
 }
 
-// Two kinds of list of another epoch are held back. One that lacks more than
-// lostShare of what was known, and says of none of it that it leaves, is more
-// likely a service that lost its state than a fleet that vanished. And one of no
-// higher version is either that, or a replica that was cut off before a restore:
-// a restore goes past every version that was given out.
+// Two kinds of lists of another epoch are accepted only after a delay. A list that lacks more than
+// maxLostShare of the known entries, not counting draining ones, is more likely to come from a service that
+// lost its state than from a fleet that vanished. A list whose version is not above the known one comes from
+// such a service, or from a replica that was cut off before a restore: a restore goes past every version that
+// was in use.
 const (
-	lostShare       = 0.5
+	maxLostShare    = 0.5
 	minKnownForLoss = 2 // the loss of one or two entries proves nothing
 )
 
-// Change is what became of an answer.
+// Change is the effect of a response on the client's list.
 type Change int
 
-// The results of an answer.
+// Effects of a response.
 const (
-	Unchanged     Change = iota // it brings nothing new
-	Changed                     // the client's list has changed
-	Stale                       // it is older than what is known: whoever gave it lags, or is cut off
-	HeldBack                    // it is held back for now
-	NeedsComplete               // it does not fit what is known: ask for the complete list
-	TooNarrow                   // it is a subset with too few endpoints: a wider one is read in place of it
+	Unchanged     Change = iota // the response has nothing new
+	Changed                     // the list has changed
+	Stale                       // the response is older than the list: the replica lags or is cut off
+	HeldBack                    // the response is a suspect list of another epoch, not accepted yet
+	NeedsComplete               // the response does not follow the known version: request the complete list
+	TooNarrow                   // the response is a subset with too few endpoints: request a wider one
 )
 
-// ListState decides which answers to accept. It is pure; times are of one monotonic clock. It is not safe for
-// concurrent use.
+// ListState decides which responses to accept and holds the resulting list. It does no I/O; times are of one
+// monotonic clock. It is not safe for concurrent use.
 type ListState struct {
-	holdBack      time.Duration // how long a list that lost most is held back
+	holdBack      time.Duration // delay before a suspect list of another epoch is accepted
 	epoch         string
 	version       uint64
-	subset        registry.Subset // that entries are of
-	total         int
+	subset        registry.Subset // the subset that endpoints covers
+	total         int             // entries in the complete list; 0: not known
 	endpoints     map[string]registry.Endpoint
-	heldBack      *heldBackList
-	needsComplete bool // what came did not fit
+	deferred      *deferredList
+	needsComplete bool // a response did not follow the known version
 }
 
-// heldBackList is a list that is held back.
-type heldBackList struct {
+// deferredList is a suspect list of another epoch that is accepted once holdBack has passed since it
+// appeared.
+type deferredList struct {
 	since time.Duration
 	registry.ListResponse
 }
 
-// NewListState begins with the list of before, which may be empty.
-func NewListState(hold time.Duration, before List) *ListState {
+// NewListState returns a state that begins with a cached list, which may be empty.
+func NewListState(holdBack time.Duration, cached List) *ListState {
 	b := &ListState{
-		holdBack:  hold,
-		epoch:     before.Epoch,
-		version:   before.Version,
-		subset:    before.Subset,
-		total:     before.Total,
+		holdBack:  holdBack,
+		epoch:     cached.Epoch,
+		version:   cached.Version,
+		subset:    cached.Subset,
+		total:     cached.Total,
 		endpoints: map[string]registry.Endpoint{},
 	}
-	for _, e := range before.Endpoints {
+	for _, e := range cached.Endpoints {
 		b.endpoints[e.Name] = e
 	}
 	return b
 }
 
-// Next is what the next call has to name: the version to go on from, and its epoch.
-// While a list is held back, and after a gap, the complete list is asked for.
+// Next returns the version and the epoch that the next call requests changes from. While a list is deferred,
+// and after a response that did not follow the known version, they are zero: the complete list is requested.
 func (b *ListState) Next() (from uint64, epoch string) {
-	if b.heldBack != nil || b.needsComplete {
+	if b.deferred != nil || b.needsComplete {
 		return 0, ""
 	}
 	return b.version, b.epoch
 }
 
-// List is the list as the client knows it.
+// List returns the list as the client knows it.
 func (b *ListState) List() List {
 	all := b.appendTo(nil)
 	slices.SortFunc(all, func(x, y registry.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
 	return List{b.epoch, b.version, all, b.subset, b.total}
 }
 
-// appendTo appends the entries, in no order.
+// appendTo appends the entries in no particular order.
 func (b *ListState) appendTo(all []registry.Endpoint) []registry.Endpoint {
 	all = slices.Grow(all, len(b.endpoints))
 	for _, e := range b.endpoints {
@@ -103,8 +104,8 @@
 	return all
 }
 
-// Apply judges the answer to a call that named version from. One of another subset than the entries known has
-// to be complete, and then takes their place.
+// Apply accepts or rejects the response to a call that requested changes from version from. A response for
+// another subset than that of the known entries must be complete, and then replaces them.
 func (b *ListState) Apply(now time.Duration, from uint64, a registry.ListResponse) Change {
 	switch {
 	case a.Epoch != b.epoch && (b.epoch != "" || len(b.endpoints) > 0):
@@ -119,7 +120,7 @@
 		return NeedsComplete
 	case a.Index == b.version && a.Epoch == b.epoch:
 		b.updateTotal(a)
-		b.heldBack, b.needsComplete = nil, false // also when the list that is known is back
+		b.deferred, b.needsComplete = nil, false // also ends the deferral of another list
 		return Unchanged
 	case !a.Snapshot && from != b.version:
 		b.needsComplete = true
@@ -129,18 +130,18 @@
 	return Changed
 }
 
-// applyOtherEpoch judges a list of another epoch.
+// applyOtherEpoch accepts, defers or rejects a response of another epoch.
 func (b *ListState) applyOtherEpoch(now time.Duration, a registry.ListResponse) Change {
 	if !a.Snapshot {
 		b.needsComplete = true
 		return NeedsComplete
 	}
 	if a.Index <= b.version || b.lostMost(a) {
-		if b.heldBack == nil || b.heldBack.Epoch != a.Epoch {
-			b.heldBack = &heldBackList{since: now}
+		if b.deferred == nil || b.deferred.Epoch != a.Epoch {
+			b.deferred = &deferredList{since: now}
 		}
-		b.heldBack.ListResponse = a
-		if now-b.heldBack.since < b.holdBack {
+		b.deferred.ListResponse = a
+		if now-b.deferred.since < b.holdBack {
 			return HeldBack
 		}
 	}
@@ -148,25 +149,26 @@
 	return Changed
 }
 
-// lostMost reports whether a list lacks most of what was known, though it was not leaving.
+// lostMost reports whether a list lacks more than maxLostShare of the known entries that were not draining.
 func (b *ListState) lostMost(a registry.ListResponse) bool {
-	there, part := map[string]bool{}, subsetOf(a)
+	present, subset := map[string]bool{}, subsetOf(a)
 	for _, e := range a.Endpoints {
-		there[e.Name] = true
+		present[e.Name] = true
 	}
 	known, gone := 0, 0
 	for name, e := range b.endpoints {
-		if e.Status == registry.Draining || !part.Contains(registry.Position(name)) {
+		if e.Status == registry.Draining || !subset.Contains(registry.Position(name)) {
 			continue
 		}
 		known++
-		if !there[name] {
+		if !present[name] {
 			gone++
 		}
 	}
-	return known > minKnownForLoss && float64(gone) > lostShare*float64(known)
+	return known > minKnownForLoss && float64(gone) > maxLostShare*float64(known)
 }
 
+// accept applies a response.
 func (b *ListState) accept(a registry.ListResponse) {
 	if a.Snapshot {
 		clear(b.endpoints)
@@ -178,12 +180,12 @@
 		}
 	}
 	b.epoch, b.version, b.subset = a.Epoch, a.Index, subsetOf(a)
-	b.heldBack, b.needsComplete = nil, false
+	b.deferred, b.needsComplete = nil, false
 	b.updateTotal(a)
 }
 
-// updateTotal takes the length of all of the list. Where an answer of a subset says nothing of it, the one
-// known stands.
+// updateTotal sets the number of entries in the complete list. If a response for a subset does not have it,
+// the known number stays.
 func (b *ListState) updateTotal(a registry.ListResponse) {
 	if a.Subset == "" || a.Total > 0 {
 		b.total = a.Total
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -14,80 +14,82 @@
 	"wrenspread/internal/registry"
 )
 
-// Platform follows the list at one address, in the way of the platform's agents
-// and its shared service: no epochs, no other replica to ask. Its methods are not
-// safe for concurrent use.
+// Platform follows the list of the platform's own discovery at one address: that of the agent on this
+// machine, which pushes lists, or that of the shared service, which is polled. This protocol has neither
+// epochs nor other replicas. Its methods are not safe for concurrent use.
 type Platform struct {
 	url            string
 	client         *http.Client
 	dial           func(ctx context.Context, network, address string) (net.Conn, error)
-	attempts       atomic.Int32 // of the call under way
+	attempts       atomic.Int32 // connections requested by net/http for the call in progress
 	hold           time.Duration
 	grace          time.Duration
 	sleep          func(context.Context, time.Duration) bool
 	log            *slog.Logger
 	index          uint64
-	needsComplete  bool // the complete list is still to come: index means nothing
-	lastCallFailed bool // the call before failed
-	answers        int  // answers so far
+	needsComplete  bool // the complete list has to be requested; index has no meaning
+	lastCallFailed bool
+	answers        int // responses so far
 	onList         func(registry.ListResponse)
 	onFailure      func()
 
-	polls   bool  // lists come only as answers to polls
-	latest  *task // begun last
-	running *task // under way; it alone uses url, hold, grace, index, needsComplete and lastCallFailed
+	polls      bool  // lists are polled, not pushed
+	latestTask *task // the task that was started last
+	// runningTask is the task that runs. It alone uses url, hold, grace, index, needsComplete and
+	// lastCallFailed.
+	runningTask *task
 
-	answerBegun atomic.Bool              // something of the answer to the call under way has come
-	conn        atomic.Pointer[net.Conn] // made last
+	answerBegun atomic.Bool              // a part of the response to the call in progress has been read
+	conn        atomic.Pointer[net.Conn] // the connection that was dialed last
 }
 
-// task is what follows the list, until another one takes its place.
+// task is a goroutine that follows the list until another task replaces it.
 type task struct {
-	stop   context.CancelFunc
-	done   chan struct{} // closed when it has ended
-	leaves atomic.Bool   // it makes no further call
+	stop     context.CancelFunc
+	done     chan struct{} // closed when the task has ended
+	stopping atomic.Bool   // the task makes no further call
 }
 
 func platformURL(address string) string { return "http://" + address + "/registry/instances" }
 
-// NewPlatform makes a follower that knows the list of version index. Where lists
-// come only when they are asked for, asked is true. Both functions are called
-// from one task at a time.
+// NewPlatform returns a follower that knows the list of version index. polled says whether lists are polled
+// or pushed. onList is called with each list and onFailure after a failure, from one goroutine at a time.
 func NewPlatform(
 	address string,
-	asked bool,
+	polled bool,
 	index uint64,
 	log *slog.Logger,
-	listed func(registry.ListResponse),
-	failed func(),
+	onList func(registry.ListResponse),
+	onFailure func(),
 ) *Platform {
 	d := &Platform{
-		url:       platformURL(address),
-		polls:     asked,
-		sleep:     backoff.Sleep,
-		log:       log,
-		index:     index,
-		onList:    listed,
-		onFailure: failed,
-		running:   &task{},
-		dial:      (&net.Dialer{Timeout: gracePolled}).DialContext,
+		url:         platformURL(address),
+		polls:       polled,
+		sleep:       backoff.Sleep,
+		log:         log,
+		index:       index,
+		onList:      onList,
+		onFailure:   onFailure,
+		runningTask: &task{},
+		dial:        (&net.Dialer{Timeout: gracePolled}).DialContext,
 	}
 	d.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DialContext: d.connect}}
-	d.setTimes(asked)
+	d.setTimes(polled)
 	return d
 }
 
-func (d *Platform) setTimes(asked bool) {
-	if d.hold, d.grace = holdPushed, gracePushed; asked {
+// setTimes sets the hold and the grace for polled or pushed lists.
+func (d *Platform) setTimes(polled bool) {
+	if d.hold, d.grace = holdPushed, gracePushed; polled {
 		d.hold, d.grace = holdPolled, gracePolled
 	}
 }
 
-// Polls reports whether lists come only when they are asked for.
+// Polls reports whether lists are polled, not pushed.
 func (d *Platform) Polls() bool { return d.polls }
 
-// watch follows the list until a call fails. The calls come back to back, so
-// that discovery counts them as one watch.
+// watch follows the list until a call fails. The calls follow each other without a pause, so that discovery
+// counts them as one watch.
 func (d *Platform) watch(ctx context.Context) error {
 	for {
 		began, before := time.Now(), d.index
@@ -95,15 +97,15 @@
 			return err
 		}
 		if d.index == before && time.Since(began) < d.hold/100 {
-			// An agent that does not hold calls must not be called in a loop.
-			if !d.sleep(ctx, notHeld) {
+			// An agent that answers every call at once must not be called in a tight loop.
+			if !d.sleep(ctx, immediateAnswerPause) {
 				return ctx.Err()
 			}
 		}
 	}
 }
 
-// run watches until a call fails. It begins with one that is not held.
+// run watches until a call fails. Its first call has no hold.
 func (d *Platform) run(ctx context.Context) error {
 	if err := d.call(ctx, minHold); err != nil {
 		return err
@@ -111,9 +113,9 @@
 	return d.watch(ctx)
 }
 
-// follow watches for ever, as lists that are pushed need no leave of the balancer.
-// It comes back from a failure at once, and from further ones in a row after a
-// jittered wait that doubles up to a cap.
+// follow watches until ctx ends; pushed lists need no request of the balancer. It retries at once after a
+// first failure, and after further failures in a row with a jittered backoff that doubles up to
+// maxPlatformBackoff.
 func (d *Platform) follow(ctx context.Context) {
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
@@ -122,44 +124,42 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if d.answers != before && time.Since(began) > backoffHigh {
+		if d.answers != before && time.Since(began) > maxPlatformBackoff {
 			wait = 0
 		}
-		if wait == 0 { // a long outage is one line, not one for each try
+		if wait == 0 { // a long outage is logged once, not at each attempt
 			d.log.Warn("discovery failed, retrying", "err", err)
 		}
 		if !d.sleep(ctx, time.Duration(float64(wait)*(0.5+rand.Float64()))) {
 			return
 		}
-		wait = min(max(2*wait, backoffLow), backoffHigh)
+		wait = min(max(2*wait, minPlatformBackoff), maxPlatformBackoff)
 	}
 }
 
-// Follow starts to watch for ever. It begins with the complete list, as what the
-// agent holds counts from the first moment, whatever this process knows. It ends
-// with ctx.
+// Follow starts to watch until ctx ends. It begins with the complete list, because a change that the agent
+// has counts as known from the start, whatever list this process knows.
 func (d *Platform) Follow(ctx context.Context) {
-	d.begin(ctx, func(ctx context.Context) {
+	d.startTask(ctx, func(ctx context.Context) {
 		d.needsComplete = true
 		d.follow(ctx)
 	})
 }
 
-// begin starts a task and ends an earlier one first, as lists reach the balancer
-// in order only from one at a time. It does not block, and is not safe for
-// concurrent use.
-func (d *Platform) begin(ctx context.Context, run func(context.Context)) {
-	if d.latest != nil {
-		d.latest.stop()
+// startTask starts a task after it has stopped an earlier one: lists reach the balancer in order only from
+// one task at a time. It does not block, and is not safe for concurrent use.
+func (d *Platform) startTask(ctx context.Context, run func(context.Context)) {
+	if d.latestTask != nil {
+		d.latestTask.stop()
 	}
-	d.beginAfter(ctx, func(*task) {}, run)
+	d.startTaskAfter(ctx, func(*task) {}, run)
 }
 
-// beginAfter has an earlier task end by itself, or by what end does.
-func (d *Platform) beginAfter(ctx context.Context, end func(earlier *task), run func(context.Context)) {
+// startTaskAfter starts a task that first calls end with the earlier task and waits until that has ended.
+func (d *Platform) startTaskAfter(ctx context.Context, end func(earlier *task), run func(context.Context)) {
 	ctx, stop := context.WithCancel(ctx)
-	earlier, t := d.latest, &task{stop: stop, done: make(chan struct{})}
-	d.latest = t
+	earlier, t := d.latestTask, &task{stop: stop, done: make(chan struct{})}
+	d.latestTask = t
 	go func() {
 		defer close(t.done)
 		defer stop()
@@ -168,15 +168,15 @@
 			end(earlier)
 			<-earlier.done
 		}
-		d.running = t
+		d.runningTask = t
 		run(ctx)
 	}()
 }
 
-// Poll does what the proxy's module asked for where lists are not pushed: a fetch, then
-// a watch until it fails.
+// Poll starts what the balancer requested for polled lists: a fetch of the complete list, a watch until it
+// fails, or both.
 func (d *Platform) Poll(ctx context.Context, fetch, watch bool) {
-	d.begin(ctx, func(ctx context.Context) {
+	d.startTask(ctx, func(ctx context.Context) {
 		d.needsComplete = d.needsComplete || fetch
 		var err error
 		if watch {
@@ -184,17 +184,16 @@
 		} else if fetch {
 			err = d.call(ctx, minHold)
 		}
-		d.end(ctx, err)
+		d.reportFailure(ctx, err)
 	})
 }
 
-// poll watches until a call fails. It makes one that broke or fell silent anew by
-// itself, as the balancer would wait longer than the list's clock allows. Two in a
-// row, or one that is refused, are a discovery that is down, to which the balancer
-// spreads its calls.
+// poll watches until discovery is down: two calls fail in a row, or one is answered with an unexpected
+// status. It repeats a single failed call by itself, because the balancer would wait longer than the bound on
+// how old the list may be. To a discovery that is down the balancer spreads its calls.
 func (d *Platform) poll(ctx context.Context) (err error) {
-	for broke := 0; broke < 2; broke++ {
-		if broke > 0 && !d.sleep(ctx, randomUpTo(spreadSilent)) {
+	for failures := 0; failures < 2; failures++ {
+		if failures > 0 && !d.sleep(ctx, randomUpTo(silentRetrySpread)) {
 			return ctx.Err()
 		}
 		began, before := time.Now(), d.answers
@@ -203,23 +202,23 @@
 		} else {
 			err = d.watch(ctx)
 		}
-		if ctx.Err() != nil || errors.Is(err, errRejected) {
+		if ctx.Err() != nil || errors.Is(err, errUnexpectedStatus) {
 			return err
 		}
 		if d.answers != before && time.Since(began) > d.grace {
-			broke = 0
+			failures = 0
 		}
 	}
 	return err
 }
 
-// randomUpTo is a time of up to most.
-func randomUpTo(most time.Duration) time.Duration {
-	return time.Duration(rand.Float64() * float64(most))
+// randomUpTo returns a random duration below limit.
+func randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(rand.Float64() * float64(limit))
 }
 
-// end tells the balancer of a failure, unless the task was ended by another.
-func (d *Platform) end(ctx context.Context, err error) {
+// reportFailure logs an error and calls onFailure, unless the task was stopped.
+func (d *Platform) reportFailure(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
 		d.log.Warn("discovery failed", "err", err)
 		d.onFailure()
--- a/internal/registry/client/platform_move.go
+++ b/internal/registry/client/platform_move.go
@@ -8,30 +8,30 @@
 	"wrenspread/internal/socketoption"
 )
 
-// Move goes on at another address, or in the other way. Versions seen before
-// mean nothing there, so it begins with the complete list.
-func (d *Platform) Move(ctx context.Context, address string, asked bool) {
-	d.polls = asked
-	if d.latest != nil {
-		d.latest.leaves.Store(true)
+// Move follows the list at another address, or changes between polled and pushed lists. Versions of the
+// previous address have no meaning there, so it begins with the complete list.
+func (d *Platform) Move(ctx context.Context, address string, polled bool) {
+	d.polls = polled
+	if d.latestTask != nil {
+		d.latestTask.stopping.Store(true)
 	}
 	began := time.Now()
-	d.beginAfter(ctx, d.endForMove, func(ctx context.Context) {
+	d.startTaskAfter(ctx, d.endForMove, func(ctx context.Context) {
 		d.url, d.index, d.needsComplete = platformURL(address), 0, true
-		if d.setTimes(asked); !asked {
+		if d.setTimes(polled); !polled {
 			d.follow(ctx)
-		} else if d.sleep(ctx, randomUpTo(spreadMove)-time.Since(began)) {
-			d.end(ctx, d.poll(ctx))
+		} else if d.sleep(ctx, randomUpTo(moveSpread)-time.Since(began)) {
+			d.reportFailure(ctx, d.poll(ctx))
 		}
 	})
 }
 
-// endForMove ends a task for a move. What the previous address has written by then counts as known, whatever
-// the next one says, and when: an answer that has begun to come is read to its end.
+// endForMove stops a task for a move. A change that the previous address has sent by then counts as known, so
+// a response that has begun to arrive is read to its end.
 func (d *Platform) endForMove(t *task) {
 	if d.answerArriving() {
-		whole, stop := context.WithTimeout(context.Background(), moveGrace)
-		context.AfterFunc(whole, t.stop)
+		ctx, stop := context.WithTimeout(context.Background(), moveGrace)
+		context.AfterFunc(ctx, t.stop)
 		<-t.done
 		stop()
 		return
@@ -39,15 +39,15 @@
 	t.stop()
 }
 
-// answerArriving reports whether something of the answer to the call under way has come, read or not.
+// answerArriving reports whether a part of the response to the call in progress has arrived, read or unread.
 func (d *Platform) answerArriving() bool {
 	if c := d.conn.Load(); c != nil && socketoption.Readable(*c) {
 		return true
 	}
-	return d.answerBegun.Load() // after the look at what is not read
+	return d.answerBegun.Load() // checked last: see observedConn.Read
 }
 
-// observedConn is a connection on which it is noted that something comes.
+// observedConn is a connection that sets answerBegun when data arrives.
 type observedConn struct {
 	net.Conn
 	platform *Platform
@@ -55,7 +55,7 @@
 
 func (c observedConn) Read(p []byte) (int, error) {
 	if socketoption.Await(c.Conn) {
-		// ahead of the read: by arriving's look something is either to be read or noted
+		// set before the data is read: answerArriving then finds the data unread or this flag set
 		c.platform.answerBegun.Store(true)
 	}
 	return c.Conn.Read(p)
--- a/internal/registry/client/records.go
+++ b/internal/registry/client/records.go
@@ -11,22 +11,22 @@
 
 func recordPath(key string) string { return "/registry/records/" + url.PathEscape(key) }
 
-// Record reads a record as it is now; one that is not there is a Refused with 404.
+// Record reads the current value of a record. For a missing record it returns an *Error with status 404.
 func (k *Client) Record(ctx context.Context, key string) (registry.Record, error) {
 	var r registry.Record
 	err := k.send(ctx, http.MethodGet, recordPath(key), nil, &r)
 	return r, err
 }
 
-// Records lists the keys under a prefix, as they are now.
+// Records lists the current keys and versions under a prefix, without values.
 func (k *Client) Records(ctx context.Context, prefix string) ([]registry.Record, error) {
 	var all []registry.Record
 	err := k.send(ctx, http.MethodGet, "/registry/records?"+url.Values{"prefix": {prefix}}.Encode(), nil, &all)
 	return all, err
 }
 
-// Put writes a record; with a nil value it is taken away. cond, if there is one,
-// is the version that the record must have, 0 for none.
+// Put writes a record, or removes it if value is nil. cond, if not nil, is the version that the record must
+// have; 0 means that it must be absent.
 func (k *Client) Put(
 	ctx context.Context,
 	key string,
@@ -46,6 +46,7 @@
 	return h.client.put(ctx, key, registry.PutRequest{Value: value, IfVersion: cond, Token: &h.token})
 }
 
+// put writes a record under a new write id.
 func (k *Client) put(ctx context.Context, key string, p registry.PutRequest) (registry.Result, error) {
 	p.ID = newID()
 	var r registry.Result
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -24,25 +24,25 @@
 	)
 }
 
-// CloseSession ends a session; what it holds goes to the next.
+// CloseSession ends a session. Its leases are granted to their next candidates.
 func (k *Client) CloseSession(ctx context.Context, id string) error {
 	var r registry.Result
 	return k.send(ctx, http.MethodDelete, sessionPath(id), nil, &r)
 }
 
-// RenewSession makes one try to renew a session, at one replica. known is false
-// for a session that has ended. The caller knows when it made the call.
+// RenewSession makes one attempt to renew a session, at one replica. known is false if the session has ended.
+// It does not retry, so that the caller knows when the renewal was sent.
 func (k *Client) RenewSession(ctx context.Context, id string) (known bool, err error) {
 	raw := []byte(`{"sessions":[` + strconv.Quote(id) + `]}`)
 	var r registry.SessionRenewal
-	if err := k.once(ctx, http.MethodPost, "/registry/sessions/renew", raw, &r); err != nil {
+	if err := k.sendOnce(ctx, http.MethodPost, "/registry/sessions/renew", raw, &r); err != nil {
 		k.nextAddress()
 		return true, err
 	}
 	return len(r.Unknown) == 0, nil
 }
 
-// Campaign has a session wait for leases.
+// Campaign adds a session to the queues of leases.
 func (k *Client) Campaign(
 	ctx context.Context,
 	id string,
@@ -59,7 +59,7 @@
 	return r, err
 }
 
-// ReleaseLeases has a session leave leases and their queues.
+// ReleaseLeases removes a session from leases that it holds or waits for.
 func (k *Client) ReleaseLeases(
 	ctx context.Context,
 	id string,
@@ -76,8 +76,9 @@
 	return r, err
 }
 
-// SessionLeases makes one try to read the leases of a session once they are newer than a version. A try that
-// comes after one that failed is not held, so that its own silence shows soon.
+// SessionLeases makes one attempt to read the leases of a session. The replica answers once a lease has
+// changed since version from, or after hold. An attempt after a failed one has no hold, so that its own
+// failure is noticed soon.
 func (k *Client) SessionLeases(
 	ctx context.Context,
 	id string,
@@ -94,7 +95,7 @@
 	try, cancel := context.WithTimeout(ctx, hold+answerGrace)
 	defer cancel()
 	var a registry.LeasesResponse
-	err := k.once(try, http.MethodGet, "/registry/duties?"+q.Encode(), nil, &a)
+	err := k.sendOnce(try, http.MethodGet, "/registry/duties?"+q.Encode(), nil, &a)
 	if err != nil {
 		k.nextAddress()
 	}
@@ -102,14 +103,14 @@
 	return a, err
 }
 
-// Leases reads all leases and sessions as they are now.
+// Leases reads all current leases and sessions.
 func (k *Client) Leases(ctx context.Context) (registry.LeasesResponse, error) {
 	var a registry.LeasesResponse
 	err := k.send(ctx, http.MethodGet, "/registry/duties?current=1", nil, &a)
 	return a, err
 }
 
-// TransferLease asks the lease holder to transfer, to a certain process if one is named.
+// TransferLease asks the lease holder to transfer the lease, to the process named by to unless that is empty.
 func (k *Client) TransferLease(ctx context.Context, lease, to string) error {
 	var r registry.Result
 	return k.send(
@@ -121,7 +122,7 @@
 	)
 }
 
-// BlockProcess keeps a process from a lease, or lets it again.
+// BlockProcess forbids a process to hold a lease (on), or allows it again.
 func (k *Client) BlockProcess(ctx context.Context, lease, process string, on bool) error {
 	var r registry.Result
 	return k.send(
@@ -133,8 +134,8 @@
 	)
 }
 
-// FencedClient writes to the list as the lease holder: each write is turned down
-// (Refused, 409) unless the fencing token is still that of the holder.
+// FencedClient writes to the registry as the lease holder. Each write is rejected (*Error with status 409)
+// unless the fencing token is still that of the holder.
 type FencedClient struct {
 	client *Client
 	token  registry.FencingToken
--- a/internal/registry/client/silence_test.go
+++ b/internal/registry/client/silence_test.go
@@ -187,7 +187,7 @@
 			d.Follow(ctx)
 			next(t, lists)
 			known := holdPushed + gracePushed
-			if l := next(t, lists); l.Index != 100 || l.at > max(known, length+gracePushed+3*backoffHigh/2) {
+			if l := next(t, lists); l.Index != 100 || l.at > max(known, length+gracePushed+3*maxPlatformBackoff/2) {
 				t.Errorf("after an outage of %v the list %d comes at %v", length, l.Index, l.at)
 			}
 		})
--- a/internal/registry/client/subset.go
+++ b/internal/registry/client/subset.go
@@ -1,10 +1,11 @@
 package client
 
-// Which subset of the list is followed, and how a client goes from one to another: it reads the new one
-// completely while the one that it has stands.
+// The choice of the subset to follow, and the move from one subset to another: the client reads the new
+// subset completely while the previous one stays in use.
 
 import (
 	"errors"
+	"fmt"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -12,68 +13,70 @@
 	"wrenspread/internal/registry"
 )
 
-// subsetMove is the subset that is to be followed. Where another one is known, that one is watched until its
-// time, which is drawn from a whole hold: the proxies that have to move are notified by one change.
+// subsetMove is the subset that is to be followed. If the client follows another subset, it watches that
+// until readAt. This time is drawn at random from the length of a hold, because one change of the list can
+// make many proxies move at once.
 type subsetMove struct {
-	to registry.Subset
-	at time.Duration // since the client's start
+	target registry.Subset
+	readAt time.Duration // since the client's start
 }
 
-// codePaced is the service's refusal of a complete subset, while it makes others.
+// codePaced is the error code of a replica that sends too many complete subsets at present.
 const codePaced = "paced"
 
-// listRead is a call that is made, or the answer that it brought.
+// listRead describes a call that reads the list or a subset.
 type listRead struct {
-	subset   registry.Subset
-	from     uint64
-	epoch    string
-	hold     time.Duration
-	migrates bool // it reads a subset in place of the one that stands
+	subset      registry.Subset
+	from        uint64
+	epoch       string
+	hold        time.Duration
+	movesSubset bool // the call reads a subset that replaces the one in use
 }
 
-// subsetOf is the subset that an answer is of; one of a service that knows no subsets is all of the list.
+// subsetOf returns the subset that a response covers. The response of a service that knows no subsets covers
+// the complete list.
 func subsetOf(a registry.ListResponse) registry.Subset {
-	p, _ := registry.ParseSubset(a.Subset) // the zero subset is all
+	p, _ := registry.ParseSubset(a.Subset) // after an error p is the zero subset, which is the complete list
 	return p
 }
 
-// nextRead says what the next call asks for.
+// nextRead returns what the next call requests.
 func (k *Client) nextRead(hold time.Duration) listRead {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	q := listRead{subset: k.list.subset, hold: hold}
 	q.from, q.epoch = k.list.Next()
-	if q.from == 0 || k.move.to == q.subset {
-		q.subset = k.move.to
+	if q.from == 0 || k.pendingMove.target == q.subset {
+		q.subset = k.pendingMove.target
 		return q
 	}
-	if left := k.move.at - time.Since(k.start); left > 0 {
-		q.hold = min(hold, left.Truncate(time.Millisecond)+time.Millisecond)
+	if remaining := k.pendingMove.readAt - time.Since(k.start); remaining > 0 {
+		q.hold = min(hold, remaining.Truncate(time.Millisecond)+time.Millisecond)
 		return q
 	}
-	return listRead{subset: k.move.to, hold: hold, migrates: true}
+	return listRead{subset: k.pendingMove.target, hold: hold, movesSubset: true}
 }
 
-// readFailed puts a move off that did not come off, for whatever reason: until then the subset that stands is
-// watched again. It reports whether that is what the service asked for.
-func (k *Client) readFailed(q listRead, err error) (paced bool) {
-	if !q.migrates {
+// deferMove postpones a move whose read failed. Until then the client watches the subset in use. It reports
+// whether the read failed because the service paces complete reads.
+func (k *Client) deferMove(q listRead, err error) (paced bool) {
+	if !q.movesSubset {
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.move.at = time.Since(k.start) + rand.N(maxBackoff)
+	k.pendingMove.readAt = time.Since(k.start) + rand.N(maxBackoff)
 	var r *Error
 	return errors.As(err, &r) && r.Code == codePaced
 }
 
-// fit gives an answer the form of its subset. A service that knows no subsets says nothing of one: its
-// complete list is taken as that, of its changes what the subset has.
-func (q listRead) fit(a *registry.ListResponse) error {
+// matchSubset checks that a response covers the requested subset. The response of a service that knows no
+// subsets is accepted as the complete list or, if it has changes, reduced to the changes of the subset.
+func (q listRead) matchSubset(a *registry.ListResponse) error {
 	switch {
 	case a.Subset == q.subset.String():
 	case a.Subset != "":
-		return errors.New("an answer of another part than was asked for")
+		return fmt.Errorf("response covers subset %q, requested %q", a.Subset, q.subset)
 	case !a.Snapshot && !q.subset.IsAll():
 		a.Endpoints = slices.DeleteFunc(
 			a.Endpoints,
@@ -84,8 +87,8 @@
 	return nil
 }
 
-// widensSubset reports whether a complete subset that has come is too narrow. Then it is not taken, as the
-// wider one is read at once.
+// widensSubset reports whether a complete subset in a response is too narrow, and if so makes the wider
+// subset the one to follow. The response is then discarded, as the wider subset is read at once.
 func (k *Client) widensSubset(q listRead, a registry.ListResponse) bool {
 	if k.config.ChooseSubset == nil || a.Subset == "" || !a.Snapshot {
 		return false
@@ -96,27 +99,27 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.move = subsetMove{to: next}
+	k.pendingMove = subsetMove{target: next}
 	return true
 }
 
-// chooseSubset finds the subset to follow from what is known by now; k.mu is held.
+// chooseSubset sets the subset to follow according to the known list. The caller holds k.mu.
 func (k *Client) chooseSubset(a registry.ListResponse) {
 	if k.config.ChooseSubset == nil {
 		return
 	}
-	if a.Subset == "" { // a service that knows no subsets
-		k.move = subsetMove{to: registry.Subset{}}
+	if a.Subset == "" { // the service knows no subsets
+		k.pendingMove = subsetMove{target: registry.Subset{}}
 		return
 	}
 	if k.list.total == 0 {
 		return
 	}
 	next := k.config.ChooseSubset(k.list.subset, k.list.total, k.list.appendTo([]registry.Endpoint{}))
-	if next == k.move.to {
+	if next == k.pendingMove.target {
 		return
 	}
-	k.move = subsetMove{next, time.Since(k.start) + rand.N(k.config.Hold)}
+	k.pendingMove = subsetMove{next, time.Since(k.start) + rand.N(k.config.Hold)}
 	if next != k.list.subset {
 		k.log.Info(
 			"following another subset",
--- a/internal/registry/client/subset_cached_test.go
+++ b/internal/registry/client/subset_cached_test.go
@@ -32,7 +32,7 @@
 		t.Fatalf("it begins with %d of part %v, kept were %d of %v", len(v.Endpoints), v.Subset, len(had.Endpoints), had.Subset)
 	}
 	calls := 0
-	for ; calls < 10 && (k.list.version != s.Version() || k.list.subset != k.move.to); calls++ {
+	for ; calls < 10 && (k.list.version != s.Version() || k.list.subset != k.pendingMove.target); calls++ {
 		if _, _, err := k.callTo(replica{s, false}, func() {}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/registry/client/subset_test.go
+++ b/internal/registry/client/subset_test.go
@@ -38,13 +38,13 @@
 	meanwhile()
 	a, err := r.answer(q)
 	if err == nil {
-		err = q.fit(&a)
+		err = q.matchSubset(&a)
 	}
 	if err == nil {
 		err = isCompleteRead(a, q.from == 0)
 	}
 	switch {
-	case err != nil && k.readFailed(q, err):
+	case err != nil && k.deferMove(q, err):
 		return Unchanged, q, nil
 	case err != nil:
 		return Unchanged, q, err
@@ -195,7 +195,7 @@
 		if q.from != 0 || !q.subset.Covers(registry.SubsetOf(7, 1000, servers)) || q.subset == v.Subset {
 			t.Errorf("it asks for %+v", q)
 		}
-		if !k.readFailed(q, refusal(429, []byte(`{"code":"paced"}`))) || k.nextRead(time.Second).subset != v.Subset {
+		if !k.deferMove(q, responseError(429, []byte(`{"code":"paced"}`))) || k.nextRead(time.Second).subset != v.Subset {
 			t.Error("a paced client gives up watching what it has")
 		}
 		grow(s.State, servers, servers+1000)
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -14,8 +14,8 @@
 	"wrenspread/internal/registry"
 )
 
-// Follow watches the list until ctx ends, over whatever failures of the service.
-// A watch that comes after a failure is not held, so that its own silence shows soon.
+// Follow watches the list until ctx ends, and retries after failures of the service. A watch after a failure
+// has no hold, so that its own failure is noticed soon.
 func (k *Client) Follow(ctx context.Context) {
 	wait, hold := watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
@@ -29,7 +29,7 @@
 		case err != nil:
 			k.log.Warn("registry does not answer, keeping the last list", "address", k.address(), "err", err)
 		case verdict == HeldBack:
-			k.log.Error("holding back a list of another epoch that lacks most endpoints", "for", k.config.HoldBack)
+			k.log.Error("deferring a suspect list of another epoch", "for", k.config.HoldBack)
 		case verdict == Stale:
 			k.log.Warn("replica is behind this client", "address", k.address())
 		}
@@ -42,12 +42,12 @@
 	}
 }
 
-// watchBackoff is the backoff between watches after failures.
+// watchBackoff returns the backoff between watches after failures.
 func watchBackoff() backoff.FullJitter {
-	return backoff.FullJitter{First: firstBackoff, Max: maxBackoff}
+	return backoff.FullJitter{First: initialBackoff, Max: maxBackoff}
 }
 
-// watching reports whether the next call is held until there is a change; one for the complete list is not.
+// watching reports whether the next call waits for a change. A call for the complete list does not.
 func (k *Client) watching() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,19 +61,19 @@
 	return k.config.Addresses[k.current]
 }
 
-// nextAddress goes on to the next replica.
+// nextAddress makes the next replica the one that calls are made to.
 func (k *Client) nextAddress() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.current = (k.current + 1) % len(k.config.Addresses)
 }
 
-// watch makes one call and takes its answer.
+// watch makes one call and applies the response.
 func (k *Client) watch(ctx context.Context, hold time.Duration) (Change, error) {
 	q := k.nextRead(hold)
 	a, err := k.read(ctx, q)
 	if err != nil {
-		if k.readFailed(q, err) {
+		if k.deferMove(q, err) {
 			return Unchanged, nil
 		}
 		return Unchanged, err
@@ -87,38 +87,40 @@
 	return k.apply(q.from, a), nil
 }
 
-func (k *Client) read(ctx context.Context, asked listRead) (a registry.ListResponse, err error) {
-	q := url.Values{"hold_ms": {strconv.FormatInt(asked.hold.Milliseconds(), 10)}}
+// read makes one call and validates the response.
+func (k *Client) read(ctx context.Context, request listRead) (a registry.ListResponse, err error) {
+	q := url.Values{"hold_ms": {strconv.FormatInt(request.hold.Milliseconds(), 10)}}
 	if k.config.ChooseSubset != nil {
-		q.Set("part", asked.subset.String())
+		q.Set("part", request.subset.String())
 	}
-	most := asked.hold + answerGrace
-	if asked.from > 0 {
-		q.Set("from", strconv.FormatUint(asked.from, 10))
-		q.Set("epoch", asked.epoch)
+	timeout := request.hold + answerGrace
+	if request.from > 0 {
+		q.Set("from", strconv.FormatUint(request.from, 10))
+		q.Set("epoch", request.epoch)
 	} else {
-		most = min(k.config.Hold+answerGrace, completeReadTimeout)
+		timeout = min(k.config.Hold+answerGrace, completeReadTimeout)
 	}
-	ctx, cancel := context.WithTimeout(ctx, most)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	status, body, err := k.call(ctx, http.MethodGet, k.address(), "/registry/instances?"+q.Encode(), nil)
 	if err != nil {
 		return a, err
 	}
 	if status != http.StatusOK {
-		return a, refusal(status, body)
+		return a, responseError(status, body)
 	}
 	if err := json.Unmarshal(body, &a); err != nil {
-		return a, fmt.Errorf("an answer that can't be read: %w", err)
+		return a, fmt.Errorf("parse list response: %w", err)
 	}
 	if k.config.ChooseSubset != nil {
-		if err := asked.fit(&a); err != nil {
+		if err := request.matchSubset(&a); err != nil {
 			return a, err
 		}
 	}
-	return a, isCompleteRead(a, asked.from == 0)
+	return a, isCompleteRead(a, request.from == 0)
 }
 
+// apply applies a response to the list, notifies OnChange and the watchers of Changed, and caches the list.
 func (k *Client) apply(from uint64, a registry.ListResponse) Change {
 	k.mu.Lock()
 	verdict := k.list.Apply(time.Since(k.start), from, a)
@@ -128,11 +130,12 @@
 	if verdict == Changed || verdict == Unchanged {
 		k.chooseSubset(a)
 	}
-	news := verdict == Changed && (a.Snapshot || len(a.Endpoints) > 0) // else but the version
+	// a response without endpoints changes only the version
+	endpointsChanged := verdict == Changed && (a.Snapshot || len(a.Endpoints) > 0)
 	a.Total = k.list.total
 	var v List
 	if verdict == Changed {
-		if news && k.config.File != "" {
+		if endpointsChanged && k.config.File != "" {
 			v = k.list.List()
 		}
 		close(k.changed)
@@ -142,7 +145,7 @@
 	if verdict == Changed && k.config.OnChange != nil {
 		k.config.OnChange(a)
 	}
-	if news && k.config.File != "" {
+	if endpointsChanged && k.config.File != "" {
 		if err := writeCache(k.config.File, v); err != nil {
 			k.log.Warn("caching the endpoint list failed", "err", err)
 		}
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -15,7 +15,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Error is the answer of a service that did not do what was asked.
+// Error is the error response of the service to a call.
 type Error struct {
 	Status int
 	registry.ErrorResponse
@@ -23,7 +23,8 @@
 
 func (r *Error) Error() string { return fmt.Sprintf("the registry says %s: %s", r.Code, r.Reason) }
 
-func refusal(status int, body []byte) error {
+// responseError parses an error response.
+func responseError(status int, body []byte) error {
 	r := &Error{Status: status}
 	if json.Unmarshal(body, &r.ErrorResponse) != nil || r.Code == "" {
 		r.Code, r.Reason = "odd", fmt.Sprintf("status %d with no reason that can be read", status)
@@ -31,20 +32,20 @@
 	return r
 }
 
-// ErrOutcomeUnknown marks a write that may have been done or not, or may still be.
+// ErrOutcomeUnknown marks a write that may or may not have been applied, or may still be applied.
 var ErrOutcomeUnknown = errors.New("it is not known whether it was done")
 
 const (
-	attemptTimeout = 8 * time.Second // for one call; a replica answers within its own five or six
+	attemptTimeout = 8 * time.Second // for one call; a replica answers within 5 or 6 s
 	retryPause     = 100 * time.Millisecond
 )
 
 func entryPath(name string) string { return "/registry/instances/" + url.PathEscape(name) }
 
-// Register puts an entry into the list. ttl 0 keeps it until it is removed; with
-// another, it has to be renewed. cond, if there is one, is the version that the
-// entry must have, 0 for none. Every write is repeated under one id until its end
-// is known or ctx ends.
+// Register adds an entry to the list or changes it. With ttl 0 the entry stays until it is removed; with
+// another ttl it has to be renewed. cond, if not nil, is the version that the entry must have; 0 means that
+// it must be absent. Like every write, it is repeated under one write id until its outcome is known or ctx
+// ends.
 func (k *Client) Register(
 	ctx context.Context,
 	e registry.Endpoint,
@@ -59,16 +60,17 @@
 	)
 }
 
-// Drain says that an entry finishes what it holds and takes nothing new.
+// Drain marks an entry as draining: it finishes its requests and gets no new ones.
 func (k *Client) Drain(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
 	return k.write(ctx, http.MethodPost, entryPath(name)+"/drain", registry.WriteRequest{IfVersion: cond})
 }
 
-// Remove takes an entry off the list.
+// Remove removes an entry from the list.
 func (k *Client) Remove(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
 	return k.write(ctx, http.MethodDelete, entryPath(name), registry.WriteRequest{IfVersion: cond})
 }
 
+// write makes a write under a new write id.
 func (k *Client) write(
 	ctx context.Context,
 	method, path string,
@@ -80,21 +82,21 @@
 	return r, err
 }
 
-// Renew restarts the TTL of entries and names those that have to be registered anew.
+// Renew restarts the TTL of entries and returns the names of those that have to be registered again.
 func (k *Client) Renew(ctx context.Context, names []string) (unknown []string, err error) {
 	var r registry.Renewal
 	err = k.send(ctx, http.MethodPost, "/registry/renew", registry.Renewal{Names: names}, &r)
 	return r.Unknown, err
 }
 
-// Current reads the list as it is now, not as some replica has it.
+// Current reads the current list from the leader; other replicas may lag behind.
 func (k *Client) Current(ctx context.Context) (registry.ListResponse, error) {
 	var a registry.ListResponse
 	err := k.send(ctx, http.MethodGet, "/registry/instances?current=1", nil, &a)
 	return a, err
 }
 
-// Registrations reads the list as it is now, with the entries' versions and times to live.
+// Registrations reads the current list with the entries' versions and times to live.
 func (k *Client) Registrations(ctx context.Context) (registry.Registrations, error) {
 	var a registry.Registrations
 	err := k.send(ctx, http.MethodGet, "/registry/items", nil, &a)
@@ -108,8 +110,8 @@
 	return all, err
 }
 
-// AddReplica adds a replica that was started on an empty folder, and waits until it
-// has its vote. Without an address it is where the others' configurations have it.
+// AddReplica adds a replica that was started on an empty folder, and waits until it votes. If the address is
+// empty, it is taken from the other replicas' configurations.
 func (k *Client) AddReplica(
 	ctx context.Context,
 	name string,
@@ -135,52 +137,53 @@
 	}
 }
 
-// RemoveReplica takes a replica out of the cluster. Its process is to be ended afterwards.
+// RemoveReplica removes a replica from the cluster. Its process has to be stopped afterwards.
 func (k *Client) RemoveReplica(ctx context.Context, name string) error {
 	var r registry.Result
 	return k.send(ctx, http.MethodDelete, "/registry/members/"+url.PathEscape(name), nil, &r)
 }
 
-// Backup returns a copy of the registry's state as it is now, with a checksum.
+// Backup returns a copy of the registry's current state with a checksum.
 func (k *Client) Backup(ctx context.Context) ([]byte, error) {
 	var raw []byte
 	err := k.send(ctx, http.MethodGet, "/registry/backup", nil, &raw)
 	return raw, err
 }
 
-// Restore puts a copy in place of the list that has that epoch.
-func (k *Client) Restore(ctx context.Context, copy []byte, over string) (registry.Result, error) {
+// Restore replaces the state of the registry by a backup. replacedEpoch must be the epoch of the present
+// list.
+func (k *Client) Restore(ctx context.Context, backup []byte, replacedEpoch string) (registry.Result, error) {
 	var r registry.Result
 	err := k.send(
 		ctx,
 		http.MethodPost,
-		"/registry/restore?"+url.Values{"epoch": {over}, "id": {newID()}}.Encode(),
-		copy,
+		"/registry/restore?"+url.Values{"epoch": {replacedEpoch}, "id": {newID()}}.Encode(),
+		backup,
 		&r,
 	)
 	return r, err
 }
 
-// newID draws the id of a write.
+// newID draws a random write id.
 func newID() string {
 	id := make([]byte, 16)
 	rand.Read(id) // never fails
 	return hex.EncodeToString(id)
 }
 
-// send makes a call that can be repeated, at one replica after the other, until
-// one gives an answer that is final. Bytes go out and come in as they are, all else as JSON.
-func (k *Client) send(ctx context.Context, method, path string, body, into any) error {
-	raw, asIs := body.([]byte)
-	if body != nil && !asIs {
+// send makes a call that can be repeated: at one replica after the other, until the result is final or ctx
+// ends. A body of type []byte and a response of type *[]byte are passed unchanged, others as JSON.
+func (k *Client) send(ctx context.Context, method, path string, body, response any) error {
+	raw, isBytes := body.([]byte)
+	if body != nil && !isBytes {
 		var err error
 		if raw, err = json.Marshal(body); err != nil {
 			return err
 		}
 	}
 	for {
-		err := k.once(ctx, method, path, raw, into)
-		if err == nil || final(err) {
+		err := k.sendOnce(ctx, method, path, raw, response)
+		if err == nil || isFinal(err) {
 			return err
 		}
 		k.nextAddress()
@@ -193,7 +196,8 @@
 	}
 }
 
-func (k *Client) once(ctx context.Context, method, path string, raw []byte, into any) error {
+// sendOnce makes one attempt of a call at the current replica.
+func (k *Client) sendOnce(ctx context.Context, method, path string, raw []byte, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	status, body, err := k.call(ctx, method, k.address(), path, raw)
@@ -201,20 +205,21 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return refusal(status, body)
+		return responseError(status, body)
 	}
-	if bytes, ok := into.(*[]byte); ok {
+	if bytes, ok := response.(*[]byte); ok {
 		*bytes = body
 		return nil
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, response); err != nil {
 		return fmt.Errorf("an answer that can't be read: %w", err)
 	}
 	return nil
 }
 
-// final reports whether a refusal would only come again: what is wrong is the call, or the list as it is.
-func final(err error) bool {
+// isFinal reports whether a repeat of a failed call would fail the same way, because the cause is the call or
+// the state of the list.
+func isFinal(err error) bool {
 	var r *Error
 	if !errors.As(err, &r) || r.Status == http.StatusTooManyRequests {
 		return false
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// What a command does.
+// Operations of a command. The comments name the fields of Command that the operation uses.
 const (
-	OpBegin         = "begin"    // a new epoch, in a cluster that has none
-	OpRegister      = "register" // Entry, TTL
-	OpDrain         = "drain"    // Name
-	OpRemove        = "remove"   // Name
-	OpExpire        = "expire"   // Overdue
-	OpRestore       = "restore"  // Image, with a new epoch
-	OpAddReplica    = "member"   // Name, Address: where the others reach a replica
-	OpForgetReplica = "forget"   // Name, of a replica
-
-	OpOpenSession   = "session"  // Session: open one, or change its process info
+	OpBegin         = "begin"    // Epoch: begin the list of a cluster that has no epoch yet
+	OpRegister      = "register" // Endpoint, TTL, IfVersion
+	OpDrain         = "drain"    // Name, IfVersion
+	OpRemove        = "remove"   // Name, IfVersion
+	OpExpire        = "expire"   // Expired
+	OpRestore       = "restore"  // Snapshot, Epoch (the new one), ReplacesEpoch
+	OpAddReplica    = "member"   // Name, Address: where the other replicas reach this replica
+	OpForgetReplica = "forget"   // Name of a replica
+
+	OpOpenSession   = "session"  // Session: open it, or change its process info
 	OpCloseSessions = "close"    // Sessions, Grant
-	OpCampaign      = "campaign" // Session's ID, Wishes, Grant
-	OpRelease       = "give-up"  // Session's ID, Wishes (their names), Grant
-	OpTransfer      = "yield"    // Name, To
-	OpBlock         = "block"    // Name, To, On
+	OpCampaign      = "campaign" // Session's ID, Candidacies, Grant
+	OpRelease       = "give-up"  // Session's ID, Candidacies (only the leases' names), Grant
+	OpTransfer      = "yield"    // Name of a lease, Process
+	OpBlock         = "block"    // Name of a lease, Process, Enable
 	OpGrant         = "grant"    // Grant
 
-	OpPutRecord = "put" // Name, Value: a record; without a value it goes
+	OpPutRecord = "put" // Name (the key), Value, IfVersion; without a value the record is removed
 )
 
+// knownOps are the operations that this program can apply.
 var knownOps = []string{
 	OpBegin,
 	OpRegister,
@@ -51,71 +52,74 @@
 
 // Bounds on commands.
 const (
-	MaxID     = 64 // bytes of a write id
-	MaxExpire = 1000
-	MinTTL    = time.Second
-	MaxTTL    = time.Hour
-	// bytes of a command as it is logged: a restore of a list of the greatest size with all records
+	MaxID     = 64          // bytes of a write id
+	MaxExpire = 1000        // entries that one command expires
+	MinTTL    = time.Second // shortest time to live of an entry
+	MaxTTL    = time.Hour   // longest time to live of an entry
+	// MaxCommand is the size of a logged command in bytes. It is enough for a restore of the largest list with
+	// all records.
 	MaxCommand = 96 << 20
-	format     = 1
+	// formatVersion is the format of logged commands and of snapshots.
+	formatVersion = 1
 )
 
-// Command is one step of the state machine, as it stands in the log.
+// Command is one step of the state machine in the form in which it is logged.
 type Command struct {
 	Format   int           `json:"v"`
 	Op       string        `json:"do"`
-	ID       string        `json:"id,omitempty"` // of a write, so that a repeat does not apply twice
+	ID       string        `json:"id,omitempty"` // id of a write: a repeat of the write is not applied again
 	Name     string        `json:"name,omitempty"`
 	Endpoint *Endpoint     `json:"entry,omitempty"`
 	TTL      time.Duration `json:"ttl,omitempty"` // 0: the entry stays until it is removed
-	// the version that the entry must have; 0: it must be absent
+	// IfVersion is the version that the entry must have; 0: the entry must be absent; nil: any
 	IfVersion     *uint64           `json:"if,omitempty"`
 	Expired       []EndpointVersion `json:"overdue,omitempty"`
 	Epoch         string            `json:"epoch,omitempty"`
-	ReplacesEpoch string            `json:"over,omitempty"` // the epoch that a restore means to replace
+	ReplacesEpoch string            `json:"over,omitempty"` // epoch of the list that a restore replaces
 	Snapshot      json.RawMessage   `json:"image,omitempty"`
 	Address       *Address          `json:"address,omitempty"`
 
-	Value json.RawMessage `json:"value,omitempty"` // of a record
+	Value json.RawMessage `json:"value,omitempty"` // value of a record
 
-	Token       *FencingToken `json:"fence,omitempty"` // of the holder that writes
+	Token       *FencingToken `json:"fence,omitempty"` // of the lease holder that writes
 	Session     *Session      `json:"session,omitempty"`
 	Sessions    []string      `json:"sessions,omitempty"`
 	Candidacies []Candidacy   `json:"wishes,omitempty"`
-	Grant       []string      `json:"grant,omitempty"` // leases that may be given on in this step
-	Process     string        `json:"to,omitempty"`    // a process
-	Enable      bool          `json:"on,omitempty"`
+	Grant       []string      `json:"grant,omitempty"` // leases that may be granted by this command
+	Process     string        `json:"to,omitempty"`    // successor of a transfer, or the process to be blocked
+	Enable      bool          `json:"on,omitempty"`    // true: block the process; false: unblock it
 }
 
-// EndpointVersion names an entry at the version that is meant.
+// EndpointVersion names an entry at a version: an expiry of the entry at another version has no effect.
 type EndpointVersion struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
 
-// Code says why a command changed nothing.
+// Code is the outcome of a command: Applied, or why the command was not carried out.
 type Code string
 
-// The codes. Done stands for a command that was carried out, also where it changed nothing.
+// Codes of results. Applied stands for a command that was carried out, even if it changed nothing.
 const (
 	Applied          Code = ""
-	Conflict         Code = "conflict" // the entry has another version than the command's
-	NotFound         Code = "absent"   // there is no such entry
-	CapacityExceeded Code = "full"     // the list takes no more entries
+	Conflict         Code = "conflict" // the entry does not have the version that the command requires
+	NotFound         Code = "absent"   // there is no such entry, record, session, lease or candidate
+	CapacityExceeded Code = "full"     // a bound on entries, records, sessions, leases or replicas is reached
 	Invalid          Code = "invalid"
-	StaleToken       Code = "fenced" // the writer does not hold the lease that it names
+	StaleToken       Code = "fenced" // the writer does not hold the lease of its fencing token
 )
 
-// Result is what a command came to.
+// Result is the outcome of a command.
 type Result struct {
 	Code    Code   `json:"code,omitempty"`
 	Reason  string `json:"why,omitempty"`
-	Version uint64 `json:"version"` // of the list, after the command
-	// version of the entry that it is about; of the one in the way, at a conflict
+	Version uint64 `json:"version"` // version of the list after the command
+	// EntryVersion is the version of the command's entry or record after the command; after a Conflict, the
+	// version that it has; after a StaleToken, the number of the lease's last grant
 	EntryVersion uint64 `json:"entry,omitempty"`
 }
 
-// Check validates a write before it is logged.
+// Check validates a command before it is logged.
 func (c Command) Check() error {
 	if len(c.ID) > MaxID {
 		return fmt.Errorf("id: %d bytes, %d at most", len(c.ID), MaxID)
@@ -154,6 +158,7 @@
 	return nil
 }
 
+// checkName validates the length of the name of an endpoint or a replica.
 func (c Command) checkName() error {
 	if c.Name == "" || len(c.Name) > MaxText {
 		return fmt.Errorf("name: want 1 to %d bytes", MaxText)
@@ -161,14 +166,14 @@
 	return nil
 }
 
-// Encode returns the form in which a command is logged.
+// Encode returns the command in the form in which it is logged.
 func (c Command) Encode() ([]byte, error) {
-	c.Format = format
+	c.Format = formatVersion
 	return json.Marshal(c)
 }
 
-// Decode reads a command off the log. One of a later form is an error, since applying a part of it would
-// let replicas differ.
+// Decode parses a logged command. A command of a later format is an error: replicas would diverge if some of
+// them applied only the fields that they know.
 func Decode(raw []byte) (Command, error) {
 	var c Command
 	if len(raw) > MaxCommand {
@@ -177,8 +182,8 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return c, fmt.Errorf("a command that can't be read: %w", err)
 	}
-	if c.Format != format {
-		return c, fmt.Errorf("a command of form %d, this program knows %d", c.Format, format)
+	if c.Format != formatVersion {
+		return c, fmt.Errorf("a command of form %d, this program knows %d", c.Format, formatVersion)
 	}
 	if !slices.Contains(knownOps, c.Op) {
 		return c, fmt.Errorf("a command to %q, which a later program may know", c.Op)
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -1,6 +1,6 @@
-// Package registry is the registry's replicated state machine: the list of endpoints, sessions, leases and
-// records, the commands that change them, and the messages of the API. It is pure: no I/O, no clock, no
-// randomness. Package server runs it on raft, package client talks to it.
+// Package registry is the registry's replicated state machine: the list of endpoints, the sessions, leases
+// and records, the commands that change them, and the messages of the API. It does no I/O and uses neither a
+// clock nor randomness. Package server runs the state machine on raft; package client calls the service.
 package registry
 
 import (
@@ -10,22 +10,23 @@
 	"net"
 )
 
-// The statuses of an entry. Gone stands only among changes.
+// Statuses of an entry. Removed occurs only in changes.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 	Removed  = "gone"
 )
 
-// Bounds on what the list takes.
+// Bounds on the list.
 const (
-	MaxText      = 256     // bytes of a name, an address, a zone or a type
-	MaxEndpoints = 1 << 16 // a fifth more than the size to design for, docs/list-design.md
-	// replicas; raft gains nothing from more than five that vote, and replacing needs some at a time
+	MaxText      = 256     // bytes of a name, an address, a zone, a type or a version
+	MaxEndpoints = 1 << 16 // a fifth more than the design size (docs/list-design.md)
+	// MaxReplicas bounds the replicas of a cluster. Raft gains nothing from more than five voters; the others
+	// are for replicas that are being replaced.
 	MaxReplicas = 9
 )
 
-// Endpoint is one server, in discovery's form.
+// Endpoint is one entry of the list, in the form of the platform's discovery.
 type Endpoint struct {
 	Name        string  `json:"name"`
 	Address     string  `json:"address"`
@@ -35,7 +36,7 @@
 	Status      string  `json:"status"`
 	Weight      float64 `json:"weight"`
 	StartedAtMS int64   `json:"since_ms"`          // Unix time of the endpoint's last start; 0: long ago
-	Version     string  `json:"version,omitempty"` // of its program, if somebody says; proxies pass over it
+	Version     string  `json:"version,omitempty"` // version of its program, if known; unused by proxies
 }
 
 // Check validates an entry that is to be registered.
@@ -60,47 +61,47 @@
 	if _, _, err := net.SplitHostPort(e.Address); err != nil {
 		return fmt.Errorf("address: %w", err)
 	}
-	if e.StartedAtMS < 0 || !(e.Weight >= 0) { // so that NaN fails, too
+	if e.StartedAtMS < 0 || !(e.Weight >= 0) { // unlike Weight < 0, this also rejects NaN
 		return errors.New("since_ms and weight: want 0 or more")
 	}
 	return nil
 }
 
-// ListResponse is what a read or a watch gets: the complete list, or what has changed. A
-// reader that knows no epoch ignores it.
+// ListResponse is the response to a read or a watch of the list: the complete list (Snapshot), or the changes
+// since the reader's version. Readers that know no epochs ignore Epoch.
 type ListResponse struct {
 	Index     uint64     `json:"index"`
 	Epoch     string     `json:"epoch,omitempty"`
 	Snapshot  bool       `json:"snapshot"`
-	Subset    string     `json:"part,omitempty"`  // that it is of, for a reader that has named one
-	Total     int        `json:"total,omitempty"` // entries in all of the list, for the same
-	Endpoints []Endpoint `json:"endpoints"`       // the last, as the service puts it behind the rest
-	Skipped   []error    `json:"-"`               // what is wrong with entries that were read and passed over
+	Subset    string     `json:"part,omitempty"`  // the subset that is covered, if the request named one
+	Total     int        `json:"total,omitempty"` // entries in the complete list, if a subset was named
+	Endpoints []Endpoint `json:"endpoints"`       // must be the last field: the server appends encoded entries
+	Skipped   []error    `json:"-"`               // errors of the entries that could not be parsed
 }
 
-// UnmarshalJSON reads an answer. An entry that can't be used must not cost a
-// reader the others, so it is passed over.
+// UnmarshalJSON parses a response. An invalid entry is skipped, so that the reader does not lose the valid
+// ones; its error is appended to Skipped.
 func (a *ListResponse) UnmarshalJSON(raw []byte) error {
-	type plain ListResponse // without this method
-	in := struct {
+	type plain ListResponse // a type without this method, so that Unmarshal does not recurse
+	decoded := struct {
 		*plain
 		Endpoints []json.RawMessage `json:"endpoints"`
 	}{plain: (*plain)(a)}
-	if err := json.Unmarshal(raw, &in); err != nil {
+	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return err
 	}
-	// no list is not the same as an empty list
-	if a.Endpoints, a.Skipped = nil, nil; in.Endpoints != nil {
+	// a missing list stays nil, which differs from an empty list
+	if a.Endpoints, a.Skipped = nil, nil; decoded.Endpoints != nil {
 		a.Endpoints = []Endpoint{}
 	}
-	for _, one := range in.Endpoints {
+	for _, rawEntry := range decoded.Endpoints {
 		var e Endpoint
-		err := json.Unmarshal(one, &e)
+		err := json.Unmarshal(rawEntry, &e)
 		if err == nil {
 			err = e.usable()
 		}
 		if err != nil {
-			a.Skipped = append(a.Skipped, fmt.Errorf("entry %s: %w", one[:min(len(one), 200)], err))
+			a.Skipped = append(a.Skipped, fmt.Errorf("entry %s: %w", rawEntry[:min(len(rawEntry), 200)], err))
 			continue
 		}
 		a.Endpoints = append(a.Endpoints, e)
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// usable validates an entry that is read. One that has left needs no address.
+// usable validates an entry of a response. A removed entry needs no address.
 func (e Endpoint) usable() error {
 	if e.Name == "" {
 		return errors.New("no name")
--- a/internal/registry/endpointexpiry.go
+++ b/internal/registry/endpointexpiry.go
@@ -6,60 +6,66 @@
 	"time"
 )
 
-// Judgement on expiry: in expiryWindow no more may go than a share of the leased
-// entries. More than that at once points at our own network or a pause of ours.
+// Bounds on expiry: within expiryWindow at most maxExpiryShare of the entries with a time to live may expire.
+// If more are overdue at once, the cause is more likely this replica's network or a pause of its process.
 const (
 	expiryWindow   = 10 * time.Second
 	maxExpiryShare = 0.25
-	minExpiries    = 2 // so many may always go, as a quarter of a small list is no sign of anything
+	minExpiries    = 2 // always allowed, as a quarter of a small list may be overdue by chance
 )
 
-// EndpointExpiry are the deadlines of entries with a time to live, as the leader keeps
-// them. Times are of one monotonic clock. They are not safe for concurrent use.
+// EndpointExpiry holds the deadlines of entries with a time to live at the leader. Times are of one monotonic
+// clock. It is not safe for concurrent use.
 type EndpointExpiry struct {
 	timers    timers[EndpointVersion]
-	expiredAt []time.Duration // when entries expired, within the window
+	expiredAt []time.Duration // times of the expiries within the last expiryWindow
 }
 
-// NewEndpointExpiry restarts the TTL of every entry from now, as a new leader has to.
+// NewEndpointExpiry starts the TTL of every entry at now, because a new leader does not know when the entries
+// were last renewed.
 func NewEndpointExpiry(items []Registration, now time.Duration) *EndpointExpiry {
 	l := &EndpointExpiry{timers: newTimers[EndpointVersion]()}
-	for _, i := range items {
-		l.Set(i, now)
+	for _, registration := range items {
+		l.Set(registration, now)
 	}
 	return l
 }
 
-// Set notes an entry that was registered or changed now.
-func (l *EndpointExpiry) Set(i Registration, now time.Duration) {
-	if i.TTL == 0 {
-		l.Drop(i.Endpoint.Name)
+// Set starts the TTL of an entry that was registered or changed now, if the entry has one.
+func (l *EndpointExpiry) Set(registration Registration, now time.Duration) {
+	if registration.TTL == 0 {
+		l.Drop(registration.Endpoint.Name)
 		return
 	}
-	l.timers.set(i.Endpoint.Name, EndpointVersion{i.Endpoint.Name, i.Version}, i.TTL, now)
+	l.timers.set(
+		registration.Endpoint.Name,
+		EndpointVersion{registration.Endpoint.Name, registration.Version},
+		registration.TTL,
+		now,
+	)
 }
 
-// Drop forgets an entry that has left.
+// Drop removes the deadline of an entry.
 func (l *EndpointExpiry) Drop(name string) { l.timers.drop(name) }
 
-// Renew restarts the TTL of an entry; it returns false for one without a lease. A renewal that comes at the
-// deadline, or late but before the expiry, counts.
+// Renew restarts the TTL of an entry. It returns false for an entry without a time to live. A renewal at the
+// deadline, or after it but before the expiry, counts.
 func (l *EndpointExpiry) Renew(name string, now time.Duration) bool { return l.timers.renew(name, now) }
 
-// Due returns the entries that are to expire now, and the number of those that are overdue but kept, as too
-// many are.
-func (l *EndpointExpiry) Due(now time.Duration) (due []EndpointVersion, kept int) {
+// Due removes and returns the entries that expire now, sorted by name. If too many entries are overdue, none
+// expires, and retained is the number of overdue entries.
+func (l *EndpointExpiry) Due(now time.Duration) (due []EndpointVersion, retained int) {
 	l.expiredAt = slices.DeleteFunc(l.expiredAt, func(t time.Duration) bool { return now-t >= expiryWindow })
-	most := max(minExpiries, int(maxExpiryShare*float64(len(l.timers.byName)+len(l.expiredAt))))
-	over := l.timers.takeExpired(now)
-	if len(over)+len(l.expiredAt) > most {
-		for _, one := range over {
-			l.timers.putBack(one)
+	maxExpired := max(minExpiries, int(maxExpiryShare*float64(len(l.timers.byName)+len(l.expiredAt))))
+	overdue := l.timers.takeExpired(now)
+	if len(overdue)+len(l.expiredAt) > maxExpired {
+		for _, expired := range overdue {
+			l.timers.putBack(expired)
 		}
-		return nil, len(over)
+		return nil, len(overdue)
 	}
-	for _, one := range over {
-		due = append(due, one.value)
+	for _, expired := range overdue {
+		due = append(due, expired.value)
 		l.expiredAt = append(l.expiredAt, now)
 	}
 	slices.SortFunc(due, func(a, b EndpointVersion) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -10,27 +10,28 @@
 
 // Bounds on leases.
 const (
-	MaxSessions    = 1 << 13 // as each of 4,300 proxies may have one, with room for those that start anew
+	MaxSessions    = 1 << 13 // 4,300 proxies may have a session each; the rest is for sessions after restarts
 	MaxLeases      = 10000
-	MaxCandidates  = 256  // in the queue of one lease
-	MaxLeaseBatch  = 1000 // leases of one command
-	MaxProcessInfo = 1024 // bytes of a holder's process info
+	MaxCandidates  = 256  // candidates in the queue of one lease, and processes blocked from it
+	MaxLeaseBatch  = 1000 // candidacies in one command
+	MaxProcessInfo = 1024 // bytes of a session's process info
 	MinSessionTTL  = 500 * time.Millisecond
 	MaxSessionTTL  = time.Minute
 )
 
-// Session is a process as long as it renews. It holds leases and stands in queues.
+// Session represents a process for as long as the process renews it. A session holds leases and waits in the
+// queues of leases.
 type Session struct {
-	ID      string        `json:"id"`      // drawn by the process, new for each session
-	Process string        `json:"process"` // its name, the same over its restarts
+	ID      string        `json:"id"`      // a random id that the process draws for each session
+	Process string        `json:"process"` // name of the process, the same after a restart
 	TTL     time.Duration `json:"ttl"`
 	Info    ProcessInfo   `json:"word"`
 }
 
-// ProcessInfo is what a holder tells others of itself.
+// ProcessInfo is what a process publishes about itself in its session.
 type ProcessInfo struct {
 	Address string `json:"address,omitempty"`
-	Version string `json:"version,omitempty"` // of its program
+	Version string `json:"version,omitempty"` // version of the process's program
 	Note    string `json:"note,omitempty"`
 }
 
@@ -52,48 +53,48 @@
 	return nil
 }
 
-// Candidacy is a place in the queue of a lease.
+// Candidacy is a session's request for a place in the queue of a lease.
 type Candidacy struct {
 	Lease    string `json:"duty"`
-	Priority int    `json:"priority,omitempty"` // the higher goes first
-	Preempt  bool   `json:"over,omitempty"`     // a holder of lower priority is asked to transfer
+	Priority int    `json:"priority,omitempty"` // a higher priority is granted first
+	Preempt  bool   `json:"over,omitempty"`     // a holder of lower priority is asked to transfer the lease
 }
 
-// Candidate is one that waits for a lease.
+// Candidate is a session that waits for a lease.
 type Candidate struct {
 	Session  string `json:"session"`
 	Process  string `json:"process"`
 	Priority int    `json:"priority,omitempty"`
 	Preempt  bool   `json:"over,omitempty"`
-	Since    uint64 `json:"since"` // the version at which it came
+	Since    uint64 `json:"since"` // version at which the candidate entered the queue
 }
 
-// Lease is one lease with its holder, if it has one.
+// Lease is a lease with its holder, if it has one, and its queue.
 type Lease struct {
 	Name       string       `json:"name"`
-	Holder     string       `json:"holder,omitempty"` // session
+	Holder     string       `json:"holder,omitempty"` // the holder's session; empty: the lease is free
 	Process    string       `json:"process,omitempty"`
 	HolderInfo *ProcessInfo `json:"word,omitempty"`
-	Priority   int          `json:"priority,omitempty"` // of the holder
-	// the version of the last grant; 0: there was none
+	Priority   int          `json:"priority,omitempty"` // the holder's priority
+	// Token is the fencing token of the last grant, which is the version of the grant; 0: there was no grant
 	Token             uint64      `json:"fence"`
-	TransferRequested bool        `json:"asked,omitempty"`   // to transfer
-	Successor         string      `json:"to,omitempty"`      // the process that is to have it next
-	Queue             []Candidate `json:"queue,omitempty"`   // in the order in which they came
-	Blocked           []string    `json:"blocked,omitempty"` // processes that may not hold it
+	TransferRequested bool        `json:"asked,omitempty"`   // the holder is asked to transfer the lease
+	Successor         string      `json:"to,omitempty"`      // the process that is granted the lease next
+	Queue             []Candidate `json:"queue,omitempty"`   // in the order of arrival
+	Blocked           []string    `json:"blocked,omitempty"` // processes that may not hold the lease
 }
 
-// FencingToken proves to whoever takes orders that they come from the lease holder.
+// FencingToken proves to the receiver of an order that the order comes from the lease holder.
 type FencingToken struct {
 	Lease  string `json:"duty"`
 	Number uint64 `json:"fence"`
 }
 
-// leaseState is the part of the state that belongs to leases.
+// leaseState is the part of the state that consists of sessions and leases.
 type leaseState struct {
 	Sessions map[string]*openSession `json:"sessions"`
 	Leases   map[string]*Lease       `json:"duties"`
-	Changed  uint64                  `json:"changed"` // the version of the last change of a lease
+	Changed  uint64                  `json:"changed"` // version of the last change of a lease
 }
 
 // openSession is a session with the leases that it holds or waits for.
@@ -106,15 +107,16 @@
 	return leaseState{Sessions: map[string]*openSession{}, Leases: map[string]*Lease{}}
 }
 
+// copy returns a deep copy.
 func (d *leaseState) copy() leaseState {
 	c := newLeaseState()
 	c.Changed = d.Changed
 	for id, h := range d.Sessions {
 		c.Sessions[id] = &openSession{h.Session, maps.Clone(h.Leases)}
 	}
-	for name, one := range d.Leases {
-		is := one.copy()
-		c.Leases[name] = &is
+	for name, lease := range d.Leases {
+		leaseCopy := lease.copy()
+		c.Leases[name] = &leaseCopy
 	}
 	return c
 }
@@ -128,17 +130,19 @@
 	return d.copy(), true
 }
 
+// copy returns a copy with its own queue and list of blocked processes.
 func (d *Lease) copy() Lease {
 	c := *d
 	c.Queue, c.Blocked = slices.Clone(d.Queue), slices.Clone(d.Blocked)
 	return c
 }
 
-// LeasesVersion is that of the last change of a lease; 1, that of a list that has
-// just begun, if there was none.
+// LeasesVersion returns the version of the last change of a lease. Before the first change it is 1, the
+// version of a list that has just begun.
 func (s *State) LeasesVersion() uint64 { return max(s.leases.Changed, 1) }
 
-// Leases returns all leases by name, or those that a session holds or waits for.
+// Leases returns the leases that a session holds or waits for, sorted by name, or all leases if session is
+// empty. known is false if there is no such session.
 func (s *State) Leases(session string) (all []Lease, known bool) {
 	names := maps.Keys(s.leases.Leases)
 	if session != "" {
@@ -154,7 +158,7 @@
 	return all, true
 }
 
-// Sessions returns all sessions, by id.
+// Sessions returns all sessions, sorted by id.
 func (s *State) Sessions() []Session {
 	var all []Session
 	for _, h := range s.leases.Sessions {
@@ -164,7 +168,7 @@
 	return all
 }
 
-// UnheldLeases returns the leases that nobody holds though somebody waits for them.
+// UnheldLeases returns the leases that have no holder but a candidate that may be granted them.
 func (s *State) UnheldLeases() []string {
 	var all []string
 	for name, d := range s.leases.Leases {
@@ -176,25 +180,26 @@
 	return all
 }
 
-// checkToken reports whether a write comes from the holder that it names.
-func (s *State) checkToken(f *FencingToken) (Result, bool) {
-	if f == nil {
+// checkToken reports whether a fencing token is that of the lease's present holder, and the StaleToken result
+// if it is not. A write without a token passes.
+func (s *State) checkToken(token *FencingToken) (Result, bool) {
+	if token == nil {
 		return Result{}, true
 	}
-	d, ok := s.leases.Leases[f.Lease]
-	if !ok || d.Holder == "" || d.Token != f.Number {
-		var now uint64
+	d, ok := s.leases.Leases[token.Lease]
+	if !ok || d.Holder == "" || d.Token != token.Number {
+		var current uint64
 		if ok {
-			now = d.Token
+			current = d.Token
 		}
 		return Result{
 			Code:         StaleToken,
-			EntryVersion: now,
+			EntryVersion: current,
 			Reason: fmt.Sprintf(
 				"fence %d of %s is not that of its holder; the last grant was %d",
-				f.Number,
-				f.Lease,
-				now,
+				token.Number,
+				token.Lease,
+				current,
 			),
 		}, false
 	}
--- a/internal/registry/lease_change.go
+++ b/internal/registry/lease_change.go
@@ -1,6 +1,6 @@
 package registry
 
-// Changes of sessions, leases and their queues.
+// Commands that change sessions, leases and their queues.
 
 import (
 	"fmt"
@@ -8,37 +8,40 @@
 	"slices"
 )
 
+// openSession opens a session, or changes the session if it is open.
 func (s *State) openSession(c Command) Result {
-	in := c.Session
-	h, there := s.leases.Sessions[in.ID]
-	if !there && len(s.leases.Sessions) >= MaxSessions {
+	session := c.Session
+	h, exists := s.leases.Sessions[session.ID]
+	if !exists && len(s.leases.Sessions) >= MaxSessions {
 		return Result{
 			Code:   CapacityExceeded,
 			Reason: fmt.Sprintf("there are %d sessions already", len(s.leases.Sessions)),
 		}
 	}
-	if !there {
+	if !exists {
 		h = &openSession{Leases: map[string]bool{}}
-		s.leases.Sessions[in.ID] = h
+		s.leases.Sessions[session.ID] = h
 	}
-	h.Session = *in
+	h.Session = *session
 	return Result{}
 }
 
-// closeSession ends a session, and with it all that it holds.
+// closeSession ends a session, releases its leases and removes it from all queues. Of the released leases,
+// those in grant are granted to their next candidates.
 func (s *State) closeSession(id string, grant []string) {
 	h, ok := s.leases.Sessions[id]
 	if !ok {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.Leases)) {
-		s.leaveLease(h, name, slices.Contains(grant, name))
+		s.removeFromLease(h, name, slices.Contains(grant, name))
 	}
 	delete(s.leases.Sessions, id)
 }
 
-// leaveLease takes a session out of a lease and its queue.
-func (s *State) leaveLease(h *openSession, name string, grant bool) {
+// removeFromLease removes a session from a lease, as the holder or from the queue. If the session was the
+// holder and grant is set, the lease is granted to the next candidate.
+func (s *State) removeFromLease(h *openSession, name string, grant bool) {
 	d := s.leases.Leases[name]
 	delete(h.Leases, name)
 	d.Queue = slices.DeleteFunc(d.Queue, func(c Candidate) bool { return c.Session == h.ID })
@@ -52,27 +55,30 @@
 	s.removeIfUnused(d)
 }
 
-// removeIfUnused forgets a lease that nobody holds, wants or is kept from. Its name may be
-// used again: fencing tokens are versions, so a later grant has a higher one all the same.
+// removeIfUnused deletes a lease that has no holder, no candidates and no blocked processes. The name can be
+// used again: fencing tokens are versions, so a later grant still gets a higher token.
 func (s *State) removeIfUnused(d *Lease) {
 	if d.Holder == "" && len(d.Queue) == 0 && len(d.Blocked) == 0 {
 		delete(s.leases.Leases, d.Name)
 	}
 }
 
+// leaseChanged counts a change of a lease as a new version.
 func (s *State) leaseChanged() {
 	s.version++
 	s.leases.Changed = s.version
 }
 
-// next is the candidate that has a lease next, or -1.
+// next returns the index in the queue of the candidate that is granted the lease next, or -1. The chosen
+// successor comes first, then the highest priority, then the order of arrival; blocked processes are passed
+// over.
 func (d *Lease) next() int {
 	best := -1
 	better := func(a, b Candidate) bool {
 		if (a.Process == d.Successor) != (b.Process == d.Successor) {
 			return a.Process == d.Successor
 		}
-		return a.Priority > b.Priority // of those alike the first that came
+		return a.Priority > b.Priority // equal priorities stay in the order of arrival
 	}
 	for i, c := range d.Queue {
 		if !slices.Contains(d.Blocked, c.Process) && (best < 0 || better(c, d.Queue[best])) {
@@ -82,7 +88,7 @@
 	return best
 }
 
-// grant gives a free lease to the next in its queue.
+// grant gives a free lease to the next candidate in its queue, if there is one.
 func (s *State) grant(d *Lease) {
 	i := d.next()
 	if d.Holder != "" || i < 0 {
@@ -91,17 +97,17 @@
 	c := d.Queue[i]
 	d.Queue = slices.Delete(d.Queue, i, i+1)
 	s.leaseChanged()
-	word := s.leases.Sessions[c.Session].Info
+	info := s.leases.Sessions[c.Session].Info
 	d.Holder = c.Session
 	d.Process = c.Process
-	d.HolderInfo = &word
+	d.HolderInfo = &info
 	d.Priority = c.Priority
 	d.Token = s.version
 	d.Successor = ""
 	s.preempt(d)
 }
 
-// preempt asks the holder to transfer if somebody waits who goes before it.
+// preempt asks the holder to transfer the lease if the next candidate has a higher priority and may preempt.
 func (s *State) preempt(d *Lease) {
 	if d.Holder == "" || d.TransferRequested {
 		return
@@ -112,13 +118,14 @@
 	}
 }
 
+// campaign adds a session to the queues of leases.
 func (s *State) campaign(c Command) Result {
 	h, ok := s.leases.Sessions[c.Session.ID]
 	if !ok {
 		return Result{Code: NotFound, Reason: "there is no session " + c.Session.ID}
 	}
-	for _, w := range c.Candidacies {
-		d := s.leases.Leases[w.Lease]
+	for _, candidacy := range c.Candidacies {
+		d := s.leases.Leases[candidacy.Lease]
 		switch {
 		case d == nil && len(s.leases.Leases) >= MaxLeases:
 			return Result{
@@ -126,20 +133,29 @@
 				Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases)),
 			}
 		case d == nil:
-			d = &Lease{Name: w.Lease}
-			s.leases.Leases[w.Lease] = d
-		case h.Leases[w.Lease]:
-			continue // it waits for it or has it already
+			d = &Lease{Name: candidacy.Lease}
+			s.leases.Leases[candidacy.Lease] = d
+		case h.Leases[candidacy.Lease]:
+			continue // the session waits for the lease or holds it already
 		case len(d.Queue) >= MaxCandidates:
-			return Result{Code: CapacityExceeded, Reason: fmt.Sprintf("%d wait for %s already", len(d.Queue), w.Lease)}
+			return Result{
+				Code:   CapacityExceeded,
+				Reason: fmt.Sprintf("%d wait for %s already", len(d.Queue), candidacy.Lease),
+			}
 		}
-		h.Leases[w.Lease] = true
+		h.Leases[candidacy.Lease] = true
 		s.leaseChanged()
 		d.Queue = append(
 			d.Queue,
-			Candidate{Session: h.ID, Process: h.Process, Priority: w.Priority, Preempt: w.Preempt, Since: s.version},
+			Candidate{
+				Session:  h.ID,
+				Process:  h.Process,
+				Priority: candidacy.Priority,
+				Preempt:  candidacy.Preempt,
+				Since:    s.version,
+			},
 		)
-		if slices.Contains(c.Grant, w.Lease) {
+		if slices.Contains(c.Grant, candidacy.Lease) {
 			s.grant(d)
 		}
 		s.preempt(d)
@@ -147,20 +163,21 @@
 	return Result{}
 }
 
+// releaseLeases removes a session from leases that it holds or waits for.
 func (s *State) releaseLeases(c Command) Result {
 	h, ok := s.leases.Sessions[c.Session.ID]
 	if !ok {
 		return Result{Code: NotFound, Reason: "there is no session " + c.Session.ID}
 	}
-	for _, w := range c.Candidacies {
-		if h.Leases[w.Lease] {
-			s.leaveLease(h, w.Lease, slices.Contains(c.Grant, w.Lease))
+	for _, candidacy := range c.Candidacies {
+		if h.Leases[candidacy.Lease] {
+			s.removeFromLease(h, candidacy.Lease, slices.Contains(c.Grant, candidacy.Lease))
 		}
 	}
 	return Result{}
 }
 
-// transferLease asks a holder to transfer, to a certain process if one is named.
+// transferLease asks the holder to transfer a lease, to the command's process if one is named.
 func (s *State) transferLease(c Command) Result {
 	d, ok := s.leases.Leases[c.Name]
 	if !ok || d.Holder == "" {
@@ -177,7 +194,8 @@
 	return Result{EntryVersion: d.Token}
 }
 
-// block keeps a process from a lease, or lets it again.
+// block forbids a process to hold a lease, or allows it again. If the process holds the lease it is asked to
+// transfer it.
 func (s *State) block(c Command) Result {
 	d, ok := s.leases.Leases[c.Name]
 	if !ok {
@@ -190,21 +208,21 @@
 		d = &Lease{Name: c.Name}
 		s.leases.Leases[c.Name] = d
 	}
-	is := slices.Contains(d.Blocked, c.Process)
+	blocked := slices.Contains(d.Blocked, c.Process)
 	switch {
-	case c.Enable && !is && len(d.Blocked) >= MaxCandidates:
+	case c.Enable && !blocked && len(d.Blocked) >= MaxCandidates:
 		return Result{
 			Code:   CapacityExceeded,
 			Reason: fmt.Sprintf("%d processes are blocked already", len(d.Blocked)),
 		}
-	case c.Enable && !is:
+	case c.Enable && !blocked:
 		d.Blocked = append(d.Blocked, c.Process)
 		s.leaseChanged()
 		if d.Process == c.Process && d.Holder != "" && !d.TransferRequested {
 			d.TransferRequested = true
 			s.leaseChanged()
 		}
-	case !c.Enable && is:
+	case !c.Enable && blocked:
 		d.Blocked = slices.DeleteFunc(d.Blocked, func(p string) bool { return p == c.Process })
 		s.leaseChanged()
 	}
--- a/internal/registry/lease_check.go
+++ b/internal/registry/lease_check.go
@@ -1,10 +1,10 @@
 package registry
 
-// Commands on leases, and what is wrong with them or with leases that are read.
+// Dispatch and validation of commands on leases, and validation of leases in a snapshot.
 
 import "fmt"
 
-// applyLeaseCommand carries out a command on leases.
+// applyLeaseCommand carries out a command on sessions or leases.
 func (s *State) applyLeaseCommand(c Command) Result {
 	switch c.Op {
 	case OpOpenSession:
@@ -31,7 +31,7 @@
 	return Result{}
 }
 
-// checkLease validates a command on leases.
+// checkLease validates a command on sessions or leases.
 func (c Command) checkLease() error {
 	if len(c.Candidacies) > MaxLeaseBatch || len(c.Sessions) > MaxSessions || len(c.Grant) > MaxLeases {
 		return fmt.Errorf(
@@ -40,8 +40,8 @@
 			len(c.Sessions),
 		)
 	}
-	for _, w := range c.Candidacies {
-		if w.Lease == "" || len(w.Lease) > MaxText {
+	for _, candidacy := range c.Candidacies {
+		if candidacy.Lease == "" || len(candidacy.Lease) > MaxText {
 			return fmt.Errorf("duty: want 1 to %d bytes", MaxText)
 		}
 	}
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// check validates leases that could not have been.
+// check validates the sessions and leases of a snapshot of the given version. It rejects a state that no
+// sequence of commands can produce.
 func (d *leaseState) check(version uint64) error {
 	if d.Sessions == nil || d.Leases == nil || d.Changed > version {
 		return fmt.Errorf("duties without sessions, or changed after version %d", version)
@@ -68,18 +69,18 @@
 	if err := d.checkSessions(); err != nil {
 		return err
 	}
-	for name, one := range d.Leases {
-		if one == nil {
+	for name, lease := range d.Leases {
+		if lease == nil {
 			return fmt.Errorf("duty %s has a holder or a fence that can't be", name)
 		}
-		if err := d.checkOne(name, one, version); err != nil {
+		if err := d.checkLease(name, lease, version); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkSessions validates the sessions, and that the leases that they name exist.
+// checkSessions validates the sessions and checks that the leases that they name exist.
 func (d *leaseState) checkSessions() error {
 	for id, h := range d.Sessions {
 		if h == nil || h.ID != id || h.Leases == nil {
@@ -94,15 +95,15 @@
 	return nil
 }
 
-// checkOne validates a lease: its holder and its candidates have sessions, and its fencing token is a version
-// that has been.
-func (d *leaseState) checkOne(name string, one *Lease, version uint64) error {
-	heldWithoutSession := one.Holder != "" && d.Sessions[one.Holder] == nil
-	heldWithoutToken := one.Holder != "" && one.Token == 0
-	if one.Name != name || one.Token > version || heldWithoutSession || heldWithoutToken {
+// checkLease validates a lease: its holder and its candidates must have sessions, and its fencing token must
+// not be above the snapshot's version.
+func (d *leaseState) checkLease(name string, lease *Lease, version uint64) error {
+	heldWithoutSession := lease.Holder != "" && d.Sessions[lease.Holder] == nil
+	heldWithoutToken := lease.Holder != "" && lease.Token == 0
+	if lease.Name != name || lease.Token > version || heldWithoutSession || heldWithoutToken {
 		return fmt.Errorf("duty %s has a holder or a fence that can't be", name)
 	}
-	for _, c := range one.Queue {
+	for _, c := range lease.Queue {
 		if d.Sessions[c.Session] == nil {
 			return fmt.Errorf("a candidate of %s has no session", name)
 		}
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -7,31 +7,31 @@
 	"net"
 )
 
-// WriteRequest is the body of a write. All of it is optional but the entry of a registration.
+// WriteRequest is the body of a write. Every field is optional, except Endpoint in a registration.
 type WriteRequest struct {
 	Endpoint *Endpoint `json:"entry,omitempty"`
-	TTLMS    int64     `json:"ttl_ms,omitempty"` // 0: it stays until it is removed
-	// the version that the entry must have; 0: it must be absent
+	TTLMS    int64     `json:"ttl_ms,omitempty"` // 0: the entry stays until it is removed
+	// IfVersion is the version that the entry must have; 0: the entry must be absent; nil: any
 	IfVersion *uint64       `json:"if,omitempty"`
-	ID        string        `json:"id,omitempty"`    // the same for a repeat, which then does not apply twice
-	Token     *FencingToken `json:"fence,omitempty"` // of the lease that the writer holds; 409 if it does not
+	ID        string        `json:"id,omitempty"`    // id of the write: a repeat is not applied again
+	Token     *FencingToken `json:"fence,omitempty"` // of the writer's lease; 409 if it is stale
 }
 
-// Renewal is the body of a renewal, and its answer.
+// Renewal is the body of a renewal of entries (Names) and of its response (Unknown).
 type Renewal struct {
 	Names   []string `json:"names,omitempty"`
-	Unknown []string `json:"unknown,omitempty"` // those that have no lease: register them again
+	Unknown []string `json:"unknown,omitempty"` // names without a renewable entry: register them again
 }
 
-// ErrorResponse is the body of every answer that is not 200.
+// ErrorResponse is the body of every response whose status is not 200.
 type ErrorResponse struct {
 	Code               string `json:"code"`
 	Reason             string `json:"why"`
-	Version            uint64 `json:"version,omitempty"` // of the list
-	ConflictingVersion uint64 `json:"entry,omitempty"`   // the version in the way, at a conflict
+	Version            uint64 `json:"version,omitempty"` // version of the list
+	ConflictingVersion uint64 `json:"entry,omitempty"`   // version that the entry has, after a conflict
 }
 
-// Address is where the others reach a replica.
+// Address is where the other replicas reach a replica, as host:port.
 type Address struct {
 	Raft string `json:"raft"`
 	HTTP string `json:"http"`
@@ -50,23 +50,23 @@
 	return nil
 }
 
-// Replica is one replica as another sees it.
+// Replica describes a replica from the point of view of the replica that responds.
 type Replica struct {
 	Name    string   `json:"name"`
 	Leader  bool     `json:"leads"`
-	Voter   bool     `json:"votes"`             // else it learns
-	Self    bool     `json:"itself"`            // the one that answers
-	Address *Address `json:"address,omitempty"` // of one that was added while the others served
+	Voter   bool     `json:"votes"`             // false: the replica receives the log but does not vote yet
+	Self    bool     `json:"itself"`            // this is the replica that responds
+	Address *Address `json:"address,omitempty"` // set only if the replica was added to the running cluster
 }
 
-// Registrations is the list with what the service knows of each entry, as it is now.
+// Registrations is the current list with the version and the time to live of each entry.
 type Registrations struct {
 	Index         uint64         `json:"index"`
 	Epoch         string         `json:"epoch"`
 	Registrations []Registration `json:"items"`
 }
 
-// PutRequest is the body of a record's write. Without a value the record goes.
+// PutRequest is the body of a write of a record. Without a value the record is removed.
 type PutRequest struct {
 	Value     json.RawMessage `json:"value,omitempty"`
 	IfVersion *uint64         `json:"if,omitempty"`
@@ -74,42 +74,42 @@
 	Token     *FencingToken   `json:"fence,omitempty"`
 }
 
-// RecordsResponse is what a watch of records gets: all under its prefix, with the values of those that are
-// new to it.
+// RecordsResponse is the response to a watch of records: all records under the prefix, with the values of
+// those that have changed since the reader's version.
 type RecordsResponse struct {
 	Index   uint64   `json:"index"`
 	Epoch   string   `json:"epoch,omitempty"`
 	Records []Record `json:"records"`
 }
 
-// OpenSessionRequest is the body of a session's opening.
+// OpenSessionRequest is the body of a request that opens a session or changes its process info.
 type OpenSessionRequest struct {
 	Process string      `json:"process"`
 	TTLMS   int64       `json:"ttl_ms"`
 	Info    ProcessInfo `json:"word"`
 }
 
-// SessionRenewal is the body of a renewal of sessions, and its answer.
+// SessionRenewal is the body of a renewal of sessions (Sessions) and of its response (Unknown).
 type SessionRenewal struct {
 	Sessions []string `json:"sessions,omitempty"`
-	Unknown  []string `json:"unknown,omitempty"` // those that have ended
+	Unknown  []string `json:"unknown,omitempty"` // sessions that have ended
 }
 
-// CandidacyRequest is the body of a campaign, and of a release.
+// CandidacyRequest is the body of a campaign and of a release.
 type CandidacyRequest struct {
 	Candidacies []Candidacy `json:"duties"`
 }
 
-// LeasesResponse is what a read or a watch of leases gets: all of them, or those of a session.
+// LeasesResponse is the response to a read or a watch of leases: all leases, or those of one session.
 type LeasesResponse struct {
 	Index    uint64    `json:"index"`
 	Epoch    string    `json:"epoch,omitempty"`
 	Leases   []Lease   `json:"duties"`
-	Sessions []Session `json:"sessions,omitempty"` // where all are asked for
+	Sessions []Session `json:"sessions,omitempty"` // set only if all leases are requested
 }
 
-// LeaseOrder is the body of an operator's order on a lease.
+// LeaseOrder is the body of an operator's request to transfer a lease or to block a process from it.
 type LeaseOrder struct {
 	Process string `json:"process,omitempty"`
-	Block   bool   `json:"on,omitempty"` // of a block: to lay it, not to lift it
+	Block   bool   `json:"on,omitempty"` // true: block the process; false: unblock it
 }
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -6,21 +6,21 @@
 	"fmt"
 )
 
-// Bounds on records. The size to design for has 200,000 tenants and 20,000 pages of their catalogue. A
-// change, and a watcher that it wakes, cost the same with so many as with 800 (BenchmarkRecords). Their bytes
-// are bounded by what has to come back in one command when a backup is restored: more of them make the leader
-// lose its place over it.
+// Bounds on records. The design size is 200,000 tenants and 20,000 pages of their catalogue. A change, and a
+// watcher that the change wakes, cost the same with that many records as with 800 (BenchmarkRecords). The
+// total size is bounded because the restore of a backup is a single command: with more bytes the leader loses
+// its leadership while it replicates the command.
 const (
 	MaxRecords     = 1 << 18
-	MaxRecord      = 256 << 10 // bytes of one's value
-	MaxRecordBytes = 32 << 20  // of all values
+	MaxRecord      = 256 << 10 // bytes of one record's value
+	MaxRecordBytes = 32 << 20  // bytes of the values of all records
 )
 
-// Record is a small document that processes keep in the service.
+// Record is a small JSON document that processes store in the registry.
 type Record struct {
 	Key     string          `json:"key"`
-	Version uint64          `json:"version"`         // of its last change
-	Value   json.RawMessage `json:"value,omitempty"` // absent in an answer that leaves values out
+	Version uint64          `json:"version"`         // version of the record's last change
+	Value   json.RawMessage `json:"value,omitempty"` // absent in responses that leave values out
 }
 
 // Record returns a record by key.
@@ -29,7 +29,8 @@
 	return r, ok
 }
 
-// Records gives those whose keys begin with a prefix, by key, without their values. It looks at no others.
+// Records returns the records whose keys begin with a prefix, sorted by key and without their values. It does
+// not visit other records.
 func (s *State) Records(prefix string) (all []Record) {
 	s.recordKeys.withPrefix(
 		prefix,
@@ -38,44 +39,45 @@
 	return all
 }
 
-// RecordsVersion is that of the last change of a record.
+// RecordsVersion returns the version of the last change of a record.
 func (s *State) RecordsVersion() uint64 { return s.recordsVersion }
 
-// RecordsSince is the answer to whoever has the records under a prefix as of version from: all their keys and
-// versions, and the values of those that have changed since. A key that it lacks is gone. news is false where
-// nothing is new for a reader that had so many of them: a record that went leaves fewer.
-func (s *State) RecordsSince(prefix string, from uint64, had int) (a RecordsResponse, news bool) {
+// RecordsSince returns the response for a reader that has the records under a prefix as of version from: the
+// keys and versions of all of them, and the values of those that have changed since. A key that is missing
+// was removed. knownCount is the number of records that the reader has; changed is false if the reader is up
+// to date. A removal shows only in the number of records.
+func (s *State) RecordsSince(prefix string, from uint64, knownCount int) (a RecordsResponse, changed bool) {
 	a = RecordsResponse{Index: s.version, Epoch: s.epoch, Records: append([]Record{}, s.Records(prefix)...)}
 	for i, r := range a.Records {
 		if r.Version > from {
-			a.Records[i].Value, news = s.records[r.Key].Value, true
+			a.Records[i].Value, changed = s.records[r.Key].Value, true
 		}
 	}
-	return a, news || len(a.Records) != had
+	return a, changed || len(a.Records) != knownCount
 }
 
-// hasCapacityFor reports whether a value of so many bytes fits in place of a record, or beside the others
-// where there is none yet.
-func (s *State) hasCapacityFor(bytes int, replaced Record, there bool) bool {
-	if !there && len(s.records) >= MaxRecords {
+// hasCapacityFor reports whether a value of the given size can be stored within the bounds, in place of the
+// record replaced if that exists.
+func (s *State) hasCapacityFor(bytes int, replaced Record, exists bool) bool {
+	if !exists && len(s.records) >= MaxRecords {
 		return false
 	}
 	return s.recordBytes-len(replaced.Value)+bytes <= MaxRecordBytes
 }
 
-// put writes a record, or takes it away where it has no value.
+// put writes a record, or removes it if the command has no value.
 func (s *State) put(c Command) Result {
-	has, there := s.records[c.Name]
+	current, exists := s.records[c.Name]
 	switch {
-	case c.IfVersion != nil && *c.IfVersion != has.Version:
+	case c.IfVersion != nil && *c.IfVersion != current.Version:
 		return Result{
 			Code:         Conflict,
-			EntryVersion: has.Version,
-			Reason:       fmt.Sprintf("%s has version %d, not %d", c.Name, has.Version, *c.IfVersion),
+			EntryVersion: current.Version,
+			Reason:       fmt.Sprintf("%s has version %d, not %d", c.Name, current.Version, *c.IfVersion),
 		}
-	case c.Value == nil && !there:
+	case c.Value == nil && !exists:
 		return Result{Code: NotFound, Reason: "there is no " + c.Name}
-	case c.Value != nil && !s.hasCapacityFor(len(c.Value), has, there):
+	case c.Value != nil && !s.hasCapacityFor(len(c.Value), current, exists):
 		return Result{
 			Code:   CapacityExceeded,
 			Reason: fmt.Sprintf("%d records with %d bytes are kept already", len(s.records), s.recordBytes),
@@ -83,19 +85,20 @@
 	}
 	s.version++
 	s.recordsVersion = s.version
-	s.recordBytes += len(c.Value) - len(has.Value)
+	s.recordBytes += len(c.Value) - len(current.Value)
 	if c.Value == nil {
 		delete(s.records, c.Name)
 		s.recordKeys.remove(c.Name)
 		return Result{EntryVersion: s.version}
 	}
-	if !there {
+	if !exists {
 		s.recordKeys.add(c.Name)
 	}
 	s.records[c.Name] = Record{Key: c.Name, Version: s.version, Value: c.Value}
 	return Result{EntryVersion: s.version}
 }
 
+// checkRecord validates a command that writes a record.
 func (c Command) checkRecord() error {
 	if c.Name == "" || len(c.Name) > MaxText {
 		return fmt.Errorf("key: want 1 to %d bytes", MaxText)
@@ -109,7 +112,7 @@
 	return nil
 }
 
-// restoreRecords takes the records of an image over.
+// restoreRecords adds the records of a snapshot of the given version to an empty state.
 func (s *State) restoreRecords(all []Record, version uint64) error {
 	for _, r := range all {
 		if _, twice := s.records[r.Key]; twice || r.Key == "" || r.Version > version || len(r.Value) == 0 ||
@@ -123,7 +126,7 @@
 	return nil
 }
 
-// allRecords gives the records with their values, by key.
+// allRecords returns the records with their values, sorted by key.
 func (s *State) allRecords() []Record {
 	all := make([]Record, 0, len(s.records))
 	s.recordKeys.withPrefix("", func(key string) { all = append(all, s.records[key]) })
--- a/internal/registry/records_test.go
+++ b/internal/registry/records_test.go
@@ -128,7 +128,7 @@
 			t.Fatalf("under %q come %d keys, not %d", prefix, len(got), len(want))
 		}
 		for _, r := range k.runs {
-			if len(r) == 0 || len(r) > maxRun {
+			if len(r) == 0 || len(r) > maxRunKeys {
 				t.Fatalf("a run of %d", len(r))
 			}
 		}
--- a/internal/registry/registrations.go
+++ b/internal/registry/registrations.go
@@ -1,16 +1,17 @@
 package registry
 
-// What becomes of the list's entries.
+// Commands that change the entries of the list.
 
 import "fmt"
 
-// checkVersion reports whether an entry has the version that the command asks for; absent, it has 0.
+// checkVersion reports whether an entry has the version that the command requires, and the Conflict to return
+// if it does not. An absent entry has version 0.
 func (s *State) checkVersion(c Command, name string) (Result, bool) {
-	if has := s.registrations[name].Version; c.IfVersion != nil && *c.IfVersion != has {
+	if current := s.registrations[name].Version; c.IfVersion != nil && *c.IfVersion != current {
 		return Result{
 			Code:         Conflict,
-			EntryVersion: has,
-			Reason:       fmt.Sprintf("%s has version %d, not %d", name, has, *c.IfVersion),
+			EntryVersion: current,
+			Reason:       fmt.Sprintf("%s has version %d, not %d", name, current, *c.IfVersion),
 		}, false
 	}
 	return Result{}, true
@@ -20,19 +21,19 @@
 	if r, ok := s.checkVersion(c, c.Endpoint.Name); !ok {
 		return r
 	}
-	i, there := s.registrations[c.Endpoint.Name]
-	if !there && len(s.registrations) >= MaxEndpoints {
+	registration, exists := s.registrations[c.Endpoint.Name]
+	if !exists && len(s.registrations) >= MaxEndpoints {
 		return Result{
 			Code:   CapacityExceeded,
 			Reason: fmt.Sprintf("the list has %d entries already", len(s.registrations)),
 		}
 	}
-	if there && i.Endpoint == *c.Endpoint {
-		i.TTL = c.TTL // nobody who watches has anything to learn
-		s.registrations[c.Endpoint.Name] = i
-		return Result{EntryVersion: i.Version}
+	if exists && registration.Endpoint == *c.Endpoint {
+		registration.TTL = c.TTL // not part of what watchers see, so the version does not change
+		s.registrations[c.Endpoint.Name] = registration
+		return Result{EntryVersion: registration.Version}
 	}
-	if !there {
+	if !exists {
 		s.byPosition.add(c.Endpoint.Name)
 	}
 	s.recordChange(*c.Endpoint)
@@ -40,42 +41,44 @@
 	return Result{EntryVersion: s.version}
 }
 
-// find returns the entry that a command names, as long as it meets the condition.
+// find returns the entry that a command names, or false and the result to return if the entry is missing or
+// does not meet the command's condition.
 func (s *State) find(c Command) (Registration, Result, bool) {
-	i, there := s.registrations[c.Name]
+	registration, exists := s.registrations[c.Name]
 	if r, ok := s.checkVersion(c, c.Name); !ok {
-		return i, r, false
+		return registration, r, false
 	}
-	if !there {
-		return i, Result{Code: NotFound, Reason: fmt.Sprintf("there is no %s", c.Name)}, false
+	if !exists {
+		return registration, Result{Code: NotFound, Reason: fmt.Sprintf("there is no %s", c.Name)}, false
 	}
-	return i, Result{}, true
+	return registration, Result{}, true
 }
 
 func (s *State) drain(c Command) Result {
-	i, r, ok := s.find(c)
+	registration, r, ok := s.find(c)
 	if !ok {
 		return r
 	}
-	if i.Endpoint.Status == Draining {
-		return Result{EntryVersion: i.Version}
+	if registration.Endpoint.Status == Draining {
+		return Result{EntryVersion: registration.Version}
 	}
-	i.Endpoint.Status = Draining
-	s.recordChange(i.Endpoint)
-	i.Version = s.version
-	s.registrations[c.Name] = i
-	return Result{EntryVersion: i.Version}
+	registration.Endpoint.Status = Draining
+	s.recordChange(registration.Endpoint)
+	registration.Version = s.version
+	s.registrations[c.Name] = registration
+	return Result{EntryVersion: registration.Version}
 }
 
 func (s *State) remove(c Command) Result {
-	i, r, ok := s.find(c)
+	registration, r, ok := s.find(c)
 	if !ok {
 		return r
 	}
-	s.removeEndpoint(i.Endpoint)
+	s.removeEndpoint(registration.Endpoint)
 	return Result{EntryVersion: s.version}
 }
 
+// removeEndpoint removes an existing entry and records the change.
 func (s *State) removeEndpoint(e Endpoint) {
 	delete(s.registrations, e.Name)
 	s.byPosition.remove(e.Name)
@@ -83,7 +86,7 @@
 	s.recordChange(e)
 }
 
-// recordChange appends a change under the next version.
+// recordChange appends a change under the next version. The oldest change is dropped if the buffer is full.
 func (s *State) recordChange(e Endpoint) {
 	s.version++
 	if old, full := s.changes.push(Change{s.version, e}); full {
@@ -91,7 +94,7 @@
 	}
 }
 
-// ListVersion is that of the last change of an entry.
+// ListVersion returns the version of the last change of an entry.
 func (s *State) ListVersion() uint64 {
 	if n := s.changes.len(); n > 0 {
 		return s.changes.at(n - 1).Version
--- a/internal/registry/ringbuffer.go
+++ b/internal/registry/ringbuffer.go
@@ -1,13 +1,13 @@
 package registry
 
-// ringBuffer keeps the last few of what is pushed.
+// ringBuffer holds the last values that were pushed, up to its capacity.
 type ringBuffer[T any] struct {
 	capacity int
 	start    int
 	values   []T
 }
 
-// push adds one and gives the one that had to go, if any.
+// push adds a value. If the buffer is full, it drops and returns the oldest value.
 func (r *ringBuffer[T]) push(v T) (old T, full bool) {
 	if len(r.values) < r.capacity {
 		r.values = append(r.values, v)
@@ -21,9 +21,10 @@
 
 func (r *ringBuffer[T]) len() int { return len(r.values) }
 
-// at returns the kept ones by age, the oldest first.
+// at returns the i-th value, counted from the oldest.
 func (r *ringBuffer[T]) at(i int) T { return r.values[(r.start+i)%len(r.values)] }
 
+// all returns a copy of the values, the oldest first.
 func (r *ringBuffer[T]) all() []T {
 	all := make([]T, 0, len(r.values))
 	for i := range r.values {
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -12,27 +12,29 @@
 	"wrenspread/internal/registry"
 )
 
-// What watchers and readers of the list are answered.
+// Responses to watchers and readers of the list.
 
 const (
-	maxAnswersPerSubset = 64       // answers kept of one subset; watchers stand at few versions
-	maxCachedBytes      = 64 << 20 // bytes of all of them; one that is larger is kept alone
+	maxAnswersPerSubset = 64       // cached responses for one subset: its watchers have few different versions
+	maxCachedBytes      = 64 << 20 // of all cached responses; a larger response is cached alone
 
-	// complete subsets that are made and sent at once: a fleet that comes together gets them in turn
+	// maxCompleteReads bounds the complete subsets that are encoded and sent at the same time, for fleets whose
+	// proxies all start at once.
 	maxCompleteReads        = 64
-	completeReadWait        = time.Second     // for one's turn, before a reader is rejected with Retry-After
-	completeReadTimeout     = 5 * time.Second // for sending one: a reader that takes longer has given up
-	completeReadRetrySpread = 4               // s, over which those that are rejected are spread
+	completeReadWait        = time.Second     // wait for a slot, before a reader is rejected with Retry-After
+	completeReadTimeout     = 5 * time.Second // for sending a complete subset; by then the reader has given up
+	completeReadRetrySpread = 4               // seconds over which the retries of rejected readers are spread
 )
 
-// encodedEndpoints is the encoded entries of an answer. They stay as they are until their part
-// changes, whatever the version of the list is by then.
+// encodedEndpoints holds the encoded entries of a response. They are valid until the subset changes, whatever
+// the version of the list is by then.
 type encodedEndpoints struct {
 	snapshot  bool
 	endpoints []byte
 }
 
-// subset is what is known of a subset. It forgets those that nobody watches, now and then.
+// subset returns the state of a subset and creates it if it is missing. If there are more than pruneAt
+// subsets, it first deletes those without watchers.
 func (h *hub) subset(p registry.Subset) *subsetState {
 	w := h.subsets[p]
 	if w != nil {
@@ -52,7 +54,7 @@
 	return w
 }
 
-// dropAnswers drops the answers of a subset.
+// dropAnswers drops the cached responses for a subset.
 func (h *hub) dropAnswers(w *subsetState) {
 	for from, b := range w.answers {
 		h.cachedBytes -= len(b.endpoints)
@@ -60,6 +62,7 @@
 	}
 }
 
+// cacheAnswer caches the response to readers of version from of a subset.
 func (h *hub) cacheAnswer(p registry.Subset, from uint64, b encodedEndpoints) {
 	if h.cachedBytes+len(b.endpoints) > maxCachedBytes {
 		for _, w := range h.subsets {
@@ -74,15 +77,15 @@
 	w.answers[from] = b
 }
 
-// answer is the encoded answer to whoever has version from of the subset that it asks for, or that names
-// none: what comes ahead of the entries, and these.
+// answer returns the encoded response to a query: the JSON before the entries, and the entries. The caller
+// appends the closing brace.
 func (h *hub) answer(q query) (head, entries []byte, err error) {
 	h.mu.Lock()
 	b, ok := encodedEndpoints{}, false
 	if w := h.subsets[q.subset]; w != nil && q.from <= h.version {
 		b, ok = w.answers[q.from]
 	}
-	a, total := registry.ListResponse{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.total
+	a, total := registry.ListResponse{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.endpointCount
 	h.mu.Unlock()
 	if !ok {
 		h.machine.mu.RLock()
@@ -106,8 +109,9 @@
 	return head[:len(head)-len("[]}")], b.endpoints, err
 }
 
-// answer writes what is newer than the reader's version. A reader that has seen more than this replica is
-// never given less: with an epoch it is sent to another replica; without one it hears that nothing is newer.
+// answer responds with the changes since the reader's version. A reader whose version is above this replica's
+// never gets an older list: a reader with an epoch gets the error "behind", which sends it to another
+// replica, and a reader without an epoch gets no changes.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, q query) {
 	version, epoch := s.hub.current()
 	if q.epoch != "" && q.epoch != epoch {
@@ -131,7 +135,7 @@
 		}
 		defer func() { <-s.completeReads }()
 		send := http.NewResponseController(w)
-		// a writer that knows none needs none
+		// an error means that the writer supports no deadline
 		besteffort.SocketOption(send.SetWriteDeadline(time.Now().Add(completeReadTimeout)))
 		defer func() { besteffort.SocketOption(send.SetWriteDeadline(time.Time{})) }()
 	}
@@ -143,11 +147,11 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(head)+len(entries)+1))
 	for _, b := range [][]byte{head, entries, []byte("}")} {
-		besteffort.Response(w.Write(b)) // a reader that has left needs nothing
+		besteffort.Response(w.Write(b)) // a reader that is gone needs no response
 	}
 }
 
-// acquireCompleteRead takes one of the places for complete subsets, unless none gets free in time.
+// acquireCompleteRead takes one of the maxCompleteReads slots. It returns false if none becomes free in time.
 func (s *Server) acquireCompleteRead(r *http.Request) bool {
 	select {
 	case s.completeReads <- struct{}{}:
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -1,5 +1,5 @@
-// Package server is one replica of the registry: raft and its folder, reads,
-// watches and writes over HTTP, and the expiry of entries.
+// Package server runs one replica of the registry: raft with its folder, reads, watches and writes over HTTP,
+// and the expiry of entries and sessions.
 package server
 
 import (
@@ -12,31 +12,34 @@
 
 // Config is the configuration of a replica.
 type Config struct {
-	Name   string `koanf:"name"`   // of this replica
-	Folder string `koanf:"folder"` // where its log and snapshots are
-	Listen string `koanf:"listen"` // HTTP
-	Raft   string `koanf:"raft"`   // where the other replicas reach it; without it, it stays alone
-	// begin the cluster if the folder is empty: for one replica of several, once
+	Name   string `koanf:"name"`   // name of this replica
+	Folder string `koanf:"folder"` // folder of its log and snapshots
+	Listen string `koanf:"listen"` // address for HTTP
+	Raft   string `koanf:"raft"`   // address for the other replicas; empty: this replica is the only one
+	// Begin makes this replica start the cluster if its folder is empty. It is set at one replica, once.
 	Begin bool `koanf:"begin"`
-	// without a message from the leader for so long, up to twice, another is elected
+	// Election is the election timeout: a new leader is elected after one to two times this duration without a
+	// message from the leader.
 	Election time.Duration `koanf:"election"`
-	// those that begin, or that this one finds when it is added; this one included
+	// Replicas lists the replicas that start the cluster or, at a replica that is added, those that it joins;
+	// this replica included.
 	Replicas []Replica `koanf:"replica"`
-	// entries of the log after which a snapshot is made; half as many are kept behind it
+	// Snapshot is the number of log entries after which a snapshot is made. Half as many entries before the
+	// snapshot are retained.
 	Snapshot uint64 `koanf:"snapshot"`
 
-	MaxWatchers int     `koanf:"max_watchers"` // calls that may be held at once
-	MaxWrites   float64 `koanf:"max_writes"`   // writes a second for one client, twice as many at once
+	MaxWatchers int     `koanf:"max_watchers"` // watches that may wait at the same time
+	MaxWrites   float64 `koanf:"max_writes"`   // writes per second of one client, with bursts of twice as many
 }
 
-// Replica is one of the cluster, as this one reaches it.
+// Replica is a replica of the cluster with the addresses at which this replica reaches it.
 type Replica struct {
 	Name string `koanf:"name"`
 	Raft string `koanf:"raft"`
 	HTTP string `koanf:"http"`
 }
 
-// Default is the configuration of one process on a folder.
+// Default returns the configuration of a single replica without other replicas. Folder has to be set.
 func Default() Config {
 	return Config{
 		Name:        "r0",
@@ -48,7 +51,7 @@
 	}
 }
 
-// Check validates a configuration, by its keys.
+// Check validates a configuration. The error names the keys of all invalid settings.
 func (c Config) Check() error {
 	var f config.Problems
 	bad, address := f.Require, f.RequireAddress
--- a/internal/registry/server/contact.go
+++ b/internal/registry/server/contact.go
@@ -7,21 +7,23 @@
 	"time"
 )
 
-// contact knows whether this replica has been without a leader for longer than an election takes: then its
-// list may be old, and a reader that has others to ask is sent elsewhere.
-type contact struct {
-	caughtUp atomic.Bool // it has replayed what its log had when it was started
+// leaderContact records whether this replica has been without a leader for longer than an election takes.
+// Then its list may be out of date, and readers that know other replicas are sent to those.
+type leaderContact struct {
+	caughtUp atomic.Bool // the entries that the log had at the start of the process have been applied
 	mu       sync.Mutex
-	lost     bool
+	lost     bool          // the replica is cut off from the leader
 	changed  chan struct{} // closed and replaced when lost changes
 }
 
-func newContact() *contact { return &contact{changed: make(chan struct{})} }
+func newLeaderContact() *leaderContact { return &leaderContact{changed: make(chan struct{})} }
 
-// elections is how many election times without a leader make a replica cut off.
-const elections = 2
+// cutOffElectionTimeouts is the number of election timeouts without a leader after which a replica counts as
+// cut off.
+const cutOffElectionTimeouts = 2
 
-func (c *contact) run(ctx context.Context, election time.Duration, leader func() string) {
+// run checks for a leader, as the function leader names it, until ctx ends.
+func (c *leaderContact) run(ctx context.Context, election time.Duration, leader func() string) {
 	t := time.NewTicker(election / 2)
 	defer t.Stop()
 	last := time.Now()
@@ -34,11 +36,12 @@
 		if leader() != "" {
 			last = time.Now()
 		}
-		c.set(time.Since(last) >= elections*election)
+		c.set(time.Since(last) >= cutOffElectionTimeouts*election)
 	}
 }
 
-func (c *contact) set(lost bool) {
+// set records whether the replica is cut off.
+func (c *leaderContact) set(lost bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if lost == c.lost {
@@ -49,29 +52,30 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *contact) state() (lost bool, changed <-chan struct{}) {
+// state returns whether the replica is cut off, and a channel that is closed when this changes.
+func (c *leaderContact) state() (lost bool, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lost, c.changed
 }
 
-// replay waits until the state machine has carried out what the log had when it was
-// opened. raft's own index runs ahead of the machine, and the log's last entries may
-// be others' by now, so a machine that stands still while raft is past them has
-// caught up, too.
-func (c *contact) replay(ctx context.Context, every time.Duration, r *replica, m *machine) {
+// replay sets caughtUp once the state machine has applied the entries that the log had when it was opened.
+// Raft's own applied index runs ahead of the state machine, and the last entries of the log may have been
+// replaced. So the state machine has also caught up if raft is past these entries and the machine's index did
+// not change between two checks.
+func (c *leaderContact) replay(ctx context.Context, every time.Duration, r *replica, m *machine) {
 	t := time.NewTicker(every)
 	defer t.Stop()
-	for last, looked := uint64(0), false; ; {
+	for last, wasPast := uint64(0), false; ; {
 		m.mu.RLock()
 		index := m.index
 		m.mu.RUnlock()
 		past := r.leader() != "" && r.raft.AppliedIndex() >= r.lastIndexAtOpen
-		if past && (index >= r.lastIndexAtOpen || looked && index == last) {
+		if past && (index >= r.lastIndexAtOpen || wasPast && index == last) {
 			c.caughtUp.Store(true)
 			return
 		}
-		last, looked = index, past
+		last, wasPast = index, past
 		select {
 		case <-t.C:
 		case <-ctx.Done():
--- a/internal/registry/server/cutoff_test.go
+++ b/internal/registry/server/cutoff_test.go
@@ -24,15 +24,15 @@
 		least, most int // that are refused
 		mostIn10th  int
 	}{
-		{"an election", cutOffHold / 10, 50, 200, 200},
-		{"a cut", 2 * cutOffHold, watchers + late, watchers + late, 200},
+		{"an election", maxCutOffHold / 10, 50, 200, 200},
+		{"a cut", 2 * maxCutOffHold, watchers + late, watchers + late, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				m := &machine{state: registry.NewState()}
-				s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newContact(), ctx: ctx}
+				s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newLeaderContact(), ctx: ctx}
 				m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 				s.hub.publishList(m.state)
 				go s.hub.run(ctx.Done())
@@ -71,9 +71,9 @@
 				for range cap(answers) {
 					a := <-answers
 					switch body := a.Body.String(); {
-					case a.Code == http.StatusServiceUnavailable && strings.Contains(body, `"cut-off"`) && a.after <= cutOffHold+time.Millisecond:
+					case a.Code == http.StatusServiceUnavailable && strings.Contains(body, `"cut-off"`) && a.after <= maxCutOffHold+time.Millisecond:
 						refused++
-						in[a.after*10/cutOffHold]++
+						in[a.after*10/maxCutOffHold]++
 					case a.Code == http.StatusOK && strings.Contains(body, `"name":"s"`):
 						told++
 					case a.Code != http.StatusOK || a.after < c.lasts:
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -64,7 +64,7 @@
 func FuzzCalls(f *testing.F) {
 	c := Default()
 	c.Folder, c.Listen, c.Election, c.MaxWrites = f.TempDir(), "127.0.0.1:0", 50*time.Millisecond, 1e9
-	s := &Server{config: c, log: slog.New(slog.DiscardHandler), rates: newRates(c.MaxWrites), contact: newContact(), broken: make(chan error, 1)}
+	s := &Server{config: c, log: slog.New(slog.DiscardHandler), rates: newRates(c.MaxWrites), contact: newLeaderContact(), broken: make(chan error, 1)}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	if err := s.open(); err != nil {
 		f.Fatal(err)
@@ -73,7 +73,7 @@
 	s.tasks.Go(func() { s.leaseHub.run(s.ctx.Done()) })
 	s.tasks.Go(s.followLeader)
 	s.http = &http.Server{}
-	f.Cleanup(func() { _ = s.end() })
+	f.Cleanup(func() { _ = s.shutdown() })
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
 		if _, epoch := s.hub.current(); epoch != "" {
 			break
--- a/internal/registry/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	wakeBatch = 128 // watchers that are woken at once
-	// between two batches, so that a change does not make all of them run at once
+	wakeBatch = 128 // watchers that are woken together
+	// wakePause separates two batches, so that a change does not make all watchers run at the same time.
 	wakePause = 200 * time.Microsecond
 )
 
-// hub keeps watchers waiting until there is something newer than what they have, and makes each answer once
-// for all that need the same. It finds those whom a change concerns by the subsets that hold it, never by a
-// walk over all.
+// hub lets watchers wait until there is a newer version for them, and caches encoded responses, so that
+// watchers with the same version of the same subset share them. It finds the watchers affected by a change
+// through the subsets that contain the change, without visiting other watchers.
 type hub struct {
 	machine       *machine
 	mu            sync.Mutex
 	subsets       map[registry.Subset]*subsetState
-	pruneAt       int // subsets known at which those that nobody watches are forgotten
-	ahead         map[*watcher]bool
-	due           []*watcherGroup // to be woken
-	watcherCount  int             // watchers, of all groups and ahead
-	cachedBytes   int             // bytes of answers
-	version       uint64          // of all
-	newestChange  uint64          // of the last change that watchers are notified of
+	pruneAt       int               // number of subsets above which those without watchers are deleted
+	ahead         map[*watcher]bool // watchers whose version is above this replica's
+	dueGroups     []*watcherGroup   // groups to be woken
+	watcherCount  int               // number of watchers in all groups and in ahead
+	cachedBytes   int               // size of the cached responses
+	version       uint64            // version of the state
+	newestChange  uint64            // version of the last change that watchers are notified of
 	epoch         string
-	total         int // entries of the list
+	endpointCount int // number of entries in the list
 	wakeRequested chan struct{}
 }
 
-// subsetState is a subset of which there are watchers, or answers.
+// subsetState holds the watchers of a subset and the responses cached for it.
 type subsetState struct {
-	waiting *watcherGroup
-	answers map[uint64]encodedEndpoints // for this state of the subset, by the version that they go on from
+	waiting *watcherGroup               // nil: no watcher has come since the subset's last change
+	answers map[uint64]encodedEndpoints // by the reader's version; dropped when the subset changes
 }
 
-// watcherGroup is the watchers of a subset since its last change.
+// watcherGroup holds the watchers of a subset that have come since the last change of the subset.
 type watcherGroup struct {
 	watchers map[*watcher]bool
-	due      bool   // a change concerns them, or all were notified
-	after    uint64 // that change is the first of their part past this version; 0: what has changed is not known
+	due      bool   // the subset has changed, or may have changed
+	after    uint64 // the subset's first change is after this version; 0: it is not known what has changed
 }
 
 func newHub(m *machine) *hub {
@@ -54,8 +54,8 @@
 	}
 }
 
-// publish says that there is a version, and the newest that watchers are to be notified of, whatever they
-// watch. It does not wait.
+// publish sets the version of the state and that of the newest change. If there is a newer change, it marks
+// all watchers to be woken, whatever they watch. It does not block.
 func (h *hub) publish(version, newest uint64, epoch string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,19 +69,19 @@
 	h.requestWake()
 }
 
-// publishList is publish for the list, of which it tells those whom its changes concern.
+// publishList is publish for the list: it marks only the watchers of subsets that have changed.
 func (h *hub) publishList(s *registry.State) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	version, newest, epoch := s.Version(), s.ListVersion(), s.Epoch()
-	h.total = s.Len()
+	h.endpointCount = s.Len()
 	if version == h.version && epoch == h.epoch {
 		return
 	}
 	if newest != h.newestChange || epoch != h.epoch {
-		if moves, ok := s.ChangePositions(h.newestChange); ok && epoch == h.epoch {
-			for _, m := range moves {
-				registry.EachSubset(m.Position, func(p registry.Subset) { h.markChanged(p, m.Version-1) })
+		if changes, ok := s.ChangePositions(h.newestChange); ok && epoch == h.epoch {
+			for _, change := range changes {
+				registry.EachSubset(change.Position, func(p registry.Subset) { h.markChanged(p, change.Version-1) })
 			}
 		} else {
 			h.markAllChanged()
@@ -91,7 +91,8 @@
 	h.requestWake()
 }
 
-// markChanged notes the first change of a subset past a version.
+// markChanged records that the first change of a subset comes after a version. It drops the cached responses
+// and marks the watchers of the subset to be woken.
 func (h *hub) markChanged(p registry.Subset, after uint64) {
 	w := h.subsets[p]
 	if w == nil {
@@ -100,10 +101,11 @@
 	h.dropAnswers(w)
 	if w.waiting != nil {
 		w.waiting.due, w.waiting.after = true, after
-		h.due, w.waiting = append(h.due, w.waiting), nil
+		h.dueGroups, w.waiting = append(h.dueGroups, w.waiting), nil
 	}
 }
 
+// markAllChanged marks every subset as changed, without a known version.
 func (h *hub) markAllChanged() {
 	for p := range h.subsets {
 		h.markChanged(p, 0)
@@ -135,20 +137,20 @@
 	}
 }
 
-// wakeSome wakes a batch and reports whether there may be more.
+// wakeSome wakes a batch of watchers and reports whether there may be more to wake.
 func (h *hub) wakeSome() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for ; len(h.due) > 0; h.due = h.due[1:] {
-		for w := range h.due[0].watchers {
+	for ; len(h.dueGroups) > 0; h.dueGroups = h.dueGroups[1:] {
+		for w := range h.dueGroups[0].watchers {
 			if n++; n > wakeBatch {
 				return true
 			}
-			h.wakeWatcher(w, h.due[0].watchers)
+			h.wakeWatcher(w, h.dueGroups[0].watchers)
 		}
 	}
-	h.due = nil
+	h.dueGroups = nil
 	for w := range h.ahead {
 		if w.from <= h.version {
 			h.wakeWatcher(w, h.ahead)
@@ -157,8 +159,9 @@
 	return false
 }
 
-func (h *hub) wakeWatcher(w *watcher, of map[*watcher]bool) {
-	delete(of, w)
+// wakeWatcher removes a watcher from the set that it is in, and wakes it.
+func (h *hub) wakeWatcher(w *watcher, watchers map[*watcher]bool) {
+	delete(watchers, w)
 	h.watcherCount--
 	close(w.wake)
 }
@@ -169,7 +172,7 @@
 	return len(h.subsets)
 }
 
-// hasNewer reports whether there is something newer than version from of a subset.
+// hasNewer reports whether a subset has changed since version from.
 func (h *hub) hasNewer(p registry.Subset, from uint64) bool {
 	if !p.IsAll() {
 		h.machine.mu.RLock()
