--- a/internal/registry/server/leases.go
+++ b/internal/registry/server/leases.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/registry"
 )
 
-// openSession opens the session that the call names, or changes its process info.
+// openSession opens the session named in the path, or changes its process info.
 func (s *Server) openSession(w http.ResponseWriter, r *http.Request) {
 	var body registry.OpenSessionRequest
 	if !readJSON(w, r, &body) {
@@ -29,7 +29,7 @@
 		)
 		return
 	}
-	s.lease(
+	s.applyLeaseCommand(
 		w,
 		registry.Command{
 			Op: registry.OpOpenSession,
@@ -39,19 +39,20 @@
 	)
 }
 
+// closeSession ends the session named in the path.
 func (s *Server) closeSession(w http.ResponseWriter, r *http.Request) {
-	s.lease(w, registry.Command{Op: registry.OpCloseSessions, Sessions: []string{r.PathValue("id")}})
+	s.applyLeaseCommand(w, registry.Command{Op: registry.OpCloseSessions, Sessions: []string{r.PathValue("id")}})
 }
 
-// candidacy makes a handler of a campaign or a release.
-func (s *Server) candidacy(do string) http.HandlerFunc {
-	return s.leaderOnly(maxBody, func(w http.ResponseWriter, r *http.Request) {
+// candidacy returns the handler of a campaign or a release.
+func (s *Server) candidacy(op string) http.HandlerFunc {
+	return s.leaderOnly(maxBodyBytes, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.CandidacyRequest
 		if readJSON(w, r, &body) {
-			s.lease(
+			s.applyLeaseCommand(
 				w,
 				registry.Command{
-					Op:          do,
+					Op:          op,
 					Session:     &registry.Session{ID: r.PathValue("id")},
 					Candidacies: body.Candidacies,
 				},
@@ -60,17 +61,21 @@
 	})
 }
 
-// order makes a handler of an operator's order.
-func (s *Server) order(do string) http.HandlerFunc {
-	return s.leaderOnly(maxBody, func(w http.ResponseWriter, r *http.Request) {
+// order returns the handler of an operator's order on a lease.
+func (s *Server) order(op string) http.HandlerFunc {
+	return s.leaderOnly(maxBodyBytes, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.LeaseOrder
 		if readJSON(w, r, &body) {
-			s.lease(w, registry.Command{Op: do, Name: r.PathValue("name"), Process: body.Process, Enable: body.Block})
+			s.applyLeaseCommand(
+				w,
+				registry.Command{Op: op, Name: r.PathValue("name"), Process: body.Process, Enable: body.Block},
+			)
 		}
 	})
 }
 
-func (s *Server) lease(w http.ResponseWriter, c registry.Command) {
+// applyLeaseCommand validates and applies a command on sessions or leases, and responds with the result.
+func (s *Server) applyLeaseCommand(w http.ResponseWriter, c registry.Command) {
 	if err := c.Check(); err != nil {
 		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
@@ -79,19 +84,19 @@
 	s.finish(w, result, err)
 }
 
-// renewSessions takes renewals, which stay out of the log. Before it answers, this replica proves to a quorum
-// that it still leads: a later leader then gives these sessions their full TTL after now.
+// renewSessions renews sessions. Renewals are not logged. Before it renews, this replica verifies with a
+// quorum that it still leads: a later leader then restarts the TTL of these sessions after the present time.
 func (s *Server) renewSessions(w http.ResponseWriter, r *http.Request) {
 	var body registry.SessionRenewal
 	if !readJSON(w, r, &body) {
 		return
 	}
-	if len(body.Sessions) == 0 || len(body.Sessions) > maxNames {
+	if len(body.Sessions) == 0 || len(body.Sessions) > maxRenewalNames {
 		writeError(
 			w,
 			http.StatusBadRequest,
 			"bad",
-			fmt.Sprintf("sessions: %d, want 1 to %d", len(body.Sessions), maxNames),
+			fmt.Sprintf("sessions: %d, want 1 to %d", len(body.Sessions), maxRenewalNames),
 			0,
 		)
 		return
@@ -108,7 +113,7 @@
 	writeJSON(w, http.StatusOK, registry.SessionRenewal{Unknown: unknown})
 }
 
-// readLeases answers reads and watches of leases, as this replica has them.
+// readLeases answers reads and watches of leases with the state of this replica.
 func (s *Server) readLeases(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	if err != nil {
@@ -141,8 +146,8 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// holdLeaseWatch waits until a lease changes after the reader's version: few do, and not for a moment at a
-// replica that is cut off. It returns false where the call has been answered.
+// holdLeaseWatch waits until a lease has changed since the reader's version, or the hold is over. A replica
+// that is cut off answers such a call at once. It returns false if the call has been answered with an error.
 func (s *Server) holdLeaseWatch(w http.ResponseWriter, r *http.Request, q query) bool {
 	_, ok := s.await(w, r, s.leaseHub, query{from: q.from}, q.hold, 0)
 	return ok
--- a/internal/registry/server/leases_test.go
+++ b/internal/registry/server/leases_test.go
@@ -103,7 +103,7 @@
 			t.Fatalf("the last does not come to hold it: %+v", d)
 		}
 	}
-	if took := time.Since(start); took < paceEvery/2 {
+	if took := time.Since(start); took < grantInterval/2 {
 		t.Errorf("20 crashes and a holder took %v only", took)
 	}
 }
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -13,25 +13,24 @@
 	"wrenspread/internal/registry"
 )
 
-// machine is the list's state under raft. Others read it under its lock.
+// machine is raft's state machine. Other goroutines read its state under mu.
 type machine struct {
-	mu      sync.RWMutex
-	state   *registry.State
-	applied func(c registry.Command, r registry.Result) // under the lock; c is empty after a restore
-	// called once, where the log can't be followed any further
-	broken func(error)
-	end    error  // why that is so
-	index  uint64 // of the last command in the log that was carried out
+	mu        sync.RWMutex
+	state     *registry.State
+	onApplied func(c registry.Command, r registry.Result) // called under mu; c is empty after Restore
+	// onBroken is called once, after a log entry that can't be applied.
+	onBroken func(error)
+	failure  error  // the error passed to onBroken; no entry is applied after it
+	index    uint64 // index of the last applied log entry
 }
 
-// encode returns the form of a command in the log: with a checksum, so that one damaged on the disk is
-// noticed.
+// encode returns the logged form of a command. It has a checksum, so that damage on disk is detected.
 func encode(c registry.Command) ([]byte, error) {
 	raw, err := c.Encode()
 	return checksumfile.Encode(raw), err
 }
 
-// decode reads a command off the log. The first programs logged them without a seal.
+// decode parses a logged command. The first programs logged commands without a checksum.
 func decode(raw []byte) (registry.Command, error) {
 	if len(raw) > 0 && raw[0] != '{' {
 		var err error
@@ -42,50 +41,50 @@
 	return registry.Decode(raw)
 }
 
-// errBroken is what becomes of commands after one that could not be read.
+// errBroken is the result of commands from the first one on that could not be decoded.
 var errBroken = errors.New("this replica can't follow the log any further")
 
-// Apply carries out one entry of the log. One that can't be read is damaged, or of
-// a later program: going on without it would make this replica differ from the
-// others, so it applies nothing any more, and ends.
+// Apply applies a log entry. An entry that can't be decoded is damaged or was written by a later program. If
+// this replica skipped it, its state would differ from that of the others, so it applies no more entries and
+// stops.
 func (m *machine) Apply(l *raft.Log) any {
 	c, err := decode(l.Data)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case m.end != nil:
-		return m.end
+	case m.failure != nil:
+		return m.failure
 	case err != nil:
-		m.end = fmt.Errorf("%w: entry %d: %w", errBroken, l.Index, err)
-		m.broken(m.end)
-		return m.end
+		m.failure = fmt.Errorf("%w: entry %d: %w", errBroken, l.Index, err)
+		m.onBroken(m.failure)
+		return m.failure
 	}
 	r := m.state.Apply(c)
 	m.index = l.Index
-	m.applied(c, r)
+	m.onApplied(c, r)
 	return r
 }
 
-// Snapshot copies the state; it is encoded and written while the log goes on.
+// Snapshot copies the state. The copy is encoded and written while further entries are applied.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	if m.end != nil {
-		return nil, m.end
+	if m.failure != nil {
+		return nil, m.failure
 	}
 	return snapshot{m.state.Snapshot()}, nil
 }
 
-// maxSnapshot bounds a snapshot that is read, in bytes: a list of the greatest size with all records takes a
+// maxSnapshotBytes bounds the size of a snapshot that is read. The largest list with all records takes a
 // quarter.
-const maxSnapshot = 256 << 20
+const maxSnapshotBytes = 256 << 20
 
-// Restore puts a snapshot in place of the state.
+// Restore replaces the state by a snapshot.
 func (m *machine) Restore(in io.ReadCloser) error {
 	defer besteffort.Close(in)
-	raw, err := io.ReadAll(io.LimitReader(in, maxSnapshot))
+	raw, err := io.ReadAll(io.LimitReader(in, maxSnapshotBytes))
 	if err != nil {
-		return fmt.Errorf("reading a snapshot: %w", err)
+		return fmt.Errorf("read snapshot: %w", err)
 	}
 	s, err := registry.DecodeSnapshot(raw)
 	if err != nil {
@@ -94,17 +93,18 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = s
-	m.applied(registry.Command{}, registry.Result{})
+	m.onApplied(registry.Command{}, registry.Result{})
 	return nil
 }
 
-// member finds where a replica is that was added while the others served.
-func (m *machine) member(name string) (registry.Address, bool) {
+// replicaAddress returns the address of a replica that was added to the running cluster.
+func (m *machine) replicaAddress(name string) (registry.Address, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.state.ReplicaAddress(name)
 }
 
+// snapshot implements raft.FSMSnapshot.
 type snapshot struct{ registry.Snapshot }
 
 func (s snapshot) Persist(out raft.SnapshotSink) error {
@@ -114,7 +114,7 @@
 	}
 	if err != nil {
 		err = errors.Join(err, out.Cancel())
-		return fmt.Errorf("writing a snapshot: %w", err)
+		return fmt.Errorf("write snapshot: %w", err)
 	}
 	return out.Close()
 }
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -17,6 +17,7 @@
 	"wrenspread/internal/registry"
 )
 
+// listReplicas responds with the replicas of the cluster.
 func (s *Server) listReplicas(w http.ResponseWriter, _ *http.Request) {
 	servers, err := s.replica.servers()
 	if err != nil {
@@ -30,6 +31,7 @@
 	writeJSON(w, http.StatusOK, all)
 }
 
+// describe returns the API's form of a replica.
 func (s *Server) describe(m raft.Server) registry.Replica {
 	name := string(m.ID)
 	d := registry.Replica{
@@ -38,17 +40,16 @@
 		Voter:  m.Suffrage == raft.Voter,
 		Self:   name == s.config.Name,
 	}
-	if a, ok := s.machine.member(name); ok {
+	if a, ok := s.machine.replicaAddress(name); ok {
 		d.Address = &a
 	}
 	return d
 }
 
-// addReplica adds a replica that has been started on an empty folder. It learns at
-// first; a call that finds it up to date gives it its vote, so that a replica
-// that never comes up takes no part in any majority. The caller repeats the call
-// until the answer says that it votes. Without an address it is meant to be where
-// the others' configurations have it, such as one whose folder was lost.
+// addReplica adds a replica that has been started on an empty folder. The replica is a non-voter at first; a
+// call that finds it up to date makes it a voter, so that a replica that never starts does not count in any
+// majority. The caller repeats the call until the response says that the replica votes. If the address is
+// empty, it is taken from this replica's configuration, for example for a replica whose folder was lost.
 func (s *Server) addReplica(w http.ResponseWriter, r *http.Request) {
 	var at registry.Address
 	if !readJSON(w, r, &at) {
@@ -68,8 +69,8 @@
 		s.finish(w, registry.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
 		return
 	}
-	is := func(m raft.Server) bool { return string(m.ID) == c.Name }
-	i := slices.IndexFunc(servers, is)
+	isNamed := func(m raft.Server) bool { return string(m.ID) == c.Name }
+	i := slices.IndexFunc(servers, isNamed)
 	if i < 0 && len(servers) >= registry.MaxReplicas {
 		writeError(
 			w,
@@ -89,32 +90,33 @@
 	switch {
 	case i < 0:
 		err = classifyRaftError(
-			s.replica.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTime).Error(),
+			s.replica.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTimeout).Error(),
 		)
 	case servers[i].Suffrage != raft.Voter && s.upToDate(r.Context(), at):
 		err = classifyRaftError(
-			s.replica.raft.AddVoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTime).Error(),
+			s.replica.raft.AddVoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTimeout).Error(),
 		)
 	}
 	if err == nil {
 		servers, err = s.replica.servers()
 	}
-	if i = slices.IndexFunc(servers, is); err != nil || i < 0 {
-		s.finish(w, registry.Result{}, isRemoved(err))
+	if i = slices.IndexFunc(servers, isNamed); err != nil || i < 0 {
+		s.finish(w, registry.Result{}, removedError(err))
 		return
 	}
 	writeJSON(w, http.StatusOK, s.describe(servers[i]))
 }
 
-// isRemoved stands for a change that was made and is gone again: another call was faster.
-func isRemoved(err error) error {
+// removedError returns the error for a replica that is missing after it was added: another call has removed
+// it.
+func removedError(err error) error {
 	if err == nil {
 		err = errors.New("it has been removed meanwhile")
 	}
 	return fmt.Errorf("%w: %w", errNotLeading, err)
 }
 
-// upToDate reports whether a replica answers, and has the list as it is here.
+// upToDate reports whether a replica answers and has at least this replica's version of the list.
 func (s *Server) upToDate(ctx context.Context, at registry.Address) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*behindWait)
 	defer cancel()
@@ -134,12 +136,12 @@
 		return false
 	}
 	defer besteffort.Close(resp.Body)
-	besteffort.Drained(io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)))
+	besteffort.Drained(io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes)))
 	return resp.StatusCode == http.StatusOK
 }
 
-// removeReplica takes a replica out of the cluster. A leader that is to go hands
-// leadership on first, and its successor removes it.
+// removeReplica removes a replica from the cluster. A leader that is to be removed transfers its leadership
+// and rejects the call; when the call is repeated, the successor removes it.
 func (s *Server) removeReplica(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	servers, err := s.replica.servers()
@@ -147,13 +149,13 @@
 		s.finish(w, registry.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
 		return
 	}
-	there := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) == name })
+	exists := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) == name })
 	others := slices.ContainsFunc(
 		servers,
 		func(m raft.Server) bool { return string(m.ID) != name && m.Suffrage == raft.Voter },
 	)
 	switch {
-	case !there:
+	case !exists:
 		writeError(w, http.StatusNotFound, string(registry.NotFound), "there is no replica "+name, 0)
 		return
 	case !others:
@@ -170,7 +172,7 @@
 		)
 		return
 	}
-	removal := s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTime)
+	removal := s.replica.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout)
 	if err = classifyRaftError(removal.Error()); err == nil {
 		_, err = s.replica.apply(registry.Command{Op: registry.OpForgetReplica, Name: name})
 	}
--- a/internal/registry/server/paced_sockets_test.go
+++ b/internal/registry/server/paced_sockets_test.go
@@ -34,7 +34,7 @@
 func TestColdFleetOverSockets(t *testing.T) {
 	const clients, places, servers, nodes = 300, 4, 150, 4300
 	m := &machine{state: registry.NewState()}
-	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newContact(), completeReads: make(chan struct{}, places), ctx: t.Context()}
+	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newLeaderContact(), completeReads: make(chan struct{}, places), ctx: t.Context()}
 	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	for i := range servers {
 		m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry(fmt.Sprint("s", i), 1)})
--- a/internal/registry/server/paced_test.go
+++ b/internal/registry/server/paced_test.go
@@ -13,7 +13,7 @@
 // list of those that name no part, are not held up.
 func TestWholePartsArePaced(t *testing.T) {
 	m := &machine{state: registry.NewState()}
-	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newContact(), completeReads: make(chan struct{}, 1), ctx: context.Background()}
+	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newLeaderContact(), completeReads: make(chan struct{}, 1), ctx: context.Background()}
 	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("s", 1)})
 	s.hub.publishList(m.state)
--- a/internal/registry/server/rates.go
+++ b/internal/registry/server/rates.go
@@ -7,10 +7,10 @@
 	"golang.org/x/time/rate"
 )
 
-// maxClients bounds the clients whose rates are kept; beyond it all start anew.
-const maxClients = 10000
+// maxTrackedClients bounds the clients whose rates are tracked. Beyond it the rates of all clients are reset.
+const maxTrackedClients = 10000
 
-// rates limits the writes of single clients.
+// rates limits the rate of writes of each client.
 type rates struct {
 	perSecond float64
 	mu        sync.Mutex
@@ -21,21 +21,21 @@
 	return &rates{perSecond: perSecond, clients: map[string]*rate.Limiter{}}
 }
 
-// allow takes one write of a client, or says after what time to come again.
+// allow admits one write of a client, or returns the time after which the client may retry.
 func (r *rates) allow(client string, now time.Time) (wait time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.clients[client]
 	if l == nil {
-		if len(r.clients) >= maxClients {
+		if len(r.clients) >= maxTrackedClients {
 			clear(r.clients)
 		}
 		l = rate.NewLimiter(rate.Limit(r.perSecond), max(1, int(2*r.perSecond)))
 		r.clients[client] = l
 	}
-	got := l.ReserveN(now, 1)
-	if wait := got.DelayFrom(now); wait > 0 {
-		got.CancelAt(now)
+	reservation := l.ReserveN(now, 1)
+	if wait := reservation.DelayFrom(now); wait > 0 {
+		reservation.CancelAt(now)
 		return wait, false
 	}
 	return 0, true
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -11,31 +11,33 @@
 	"wrenspread/internal/registry"
 )
 
-// maxHold bounds a watch, as the protocol does.
-const maxHold = time.Minute
+// maxWatchHold bounds the hold of a watch, as the protocol requires.
+const maxWatchHold = time.Minute
 
-// behindWait is how long a call that has seen more than this replica waits for it, whatever its hold.
+// behindWait is how long a call whose version is above this replica's waits for the replica to catch up,
+// whatever its hold.
 const behindWait = time.Second
 
-// cutOffHold is the longest that a call is held on at a replica that is cut off. Half of it, past the call's
-// own hold, is a third of what a client grants an answer there; all of it, with two of the default election's
-// times to lose a leader, two to be cut off for it, and a client's wait and grace for the next call, is 4.8 s
-// of the 6 s in which a change is to be known.
+// maxCutOffHold is the longest time for which a watch waits at a replica that is cut off. A watch whose hold
+// is over waits at most half of it, which is a third of the client's grace for the response. The complete
+// time, together with two default election timeouts to lose a leader, two to count as cut off, and a client's
+// backoff and grace for the next call, is 4.8 s of the 6 s within which a change must be known.
 const (
-	cutOffHold = time.Second
-	never      = time.Duration(math.MaxInt64) // a reader without an epoch is never sent elsewhere
+	maxCutOffHold = time.Second
+	noCutOff      = time.Duration(math.MaxInt64) // for readers without an epoch, which are never sent elsewhere
 )
 
-// query is what a read asks for.
+// query holds the parameters of a read or a watch.
 type query struct {
-	from        uint64
-	hold        time.Duration
-	epoch       string // that the reader knows, or empty
-	current     bool   // as of now, not as this replica has it
+	from        uint64        // the reader's version; 0: the reader has no list
+	hold        time.Duration // how long the response may be delayed until there is a change
+	epoch       string        // the epoch that the reader knows, or empty
+	current     bool          // the response must be current, so the leader answers
 	subset      registry.Subset
 	namesSubset bool // the reader has named a subset
 }
 
+// parseQuery parses and validates the parameters of a request.
 func parseQuery(r *http.Request) (q query, err error) {
 	v := r.URL.Query()
 	if s := v.Get("from"); s != "" {
@@ -48,7 +50,7 @@
 		if err != nil {
 			return q, fmt.Errorf("hold_ms: %q is not a time in milliseconds", s)
 		}
-		q.hold = min(maxHold, time.Duration(ms)*time.Millisecond)
+		q.hold = min(maxWatchHold, time.Duration(ms)*time.Millisecond)
 	}
 	if q.namesSubset = v.Has("part"); q.namesSubset {
 		if q.subset, err = registry.ParseSubset(v.Get("part")); err != nil {
@@ -59,7 +61,7 @@
 	return q, nil
 }
 
-// instances answers reads and watches.
+// instances answers reads and watches of the list.
 func (s *Server) instances(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	if err != nil {
@@ -81,7 +83,7 @@
 		return
 	}
 	if q.epoch != "" && q.epoch != epoch {
-		q.from = 0 // another list: all of it
+		q.from = 0 // the reader's version is of another list, so it gets the complete list
 	}
 	if q.from > 0 && !s.hub.hasNewer(q.subset, q.from) {
 		var ok bool
@@ -92,17 +94,17 @@
 	s.answer(w, r, q)
 }
 
-// ensureCurrent has the leader answer, or waits until this replica, as the leader, has all that was done
-// before. It returns false where the call has been answered.
+// ensureCurrent forwards the call to the leader or, at the leader, waits until all earlier writes have been
+// applied. It returns false if the call has been answered.
 func (s *Server) ensureCurrent(w http.ResponseWriter, r *http.Request) bool {
 	if !s.replica.leads() {
-		s.forwardToLeader(w, r, maxBody)
+		s.forwardToLeader(w, r, maxBodyBytes)
 		return false
 	}
 	return s.waitUntilCurrent(w)
 }
 
-// waitUntilCurrent is ensureCurrent for calls that have come to the leader already.
+// waitUntilCurrent is ensureCurrent for calls that are handled at the leader only.
 func (s *Server) waitUntilCurrent(w http.ResponseWriter) bool {
 	if err := s.replica.current(); err != nil {
 		writeError(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
@@ -111,7 +113,7 @@
 	return true
 }
 
-// registrations answers with the list as it is now, and what is known of each entry.
+// registrations responds with the current list and the version and time to live of each entry.
 func (s *Server) registrations(w http.ResponseWriter, _ *http.Request) {
 	if !s.waitUntilCurrent(w) {
 		return
@@ -126,8 +128,9 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// hold waits until there is something newer than what the reader has, and gives the version to answer from.
-// It returns false where the call has been answered, or has no caller any more.
+// hold waits until there is a newer version for the reader, or the hold is over, and returns the version from
+// which changes are to be sent. It returns false if the call has been answered with an error or its client is
+// gone.
 func (s *Server) hold(w http.ResponseWriter, r *http.Request, q query) (from uint64, ok bool) {
 	wait := q.hold
 	if version, _ := s.hub.current(); q.from > version {
@@ -136,25 +139,25 @@
 	if wait == 0 {
 		return q.from, true
 	}
-	cut := never
+	maxCutOff := noCutOff
 	if q.epoch != "" {
-		cut = cutOffHold
+		maxCutOff = maxCutOffHold
 	}
-	return s.await(w, r, s.hub, q, wait, cut)
+	return s.await(w, r, s.hub, q, wait, maxCutOff)
 }
 
-// await holds a call until its hub has something newer than its version, or its time is over. Where this
-// replica is cut off, it is held for a drawn time of up to cut, half of that once its own time is over, and
-// refused unless there is a leader again by then. So an election under thousands of watchers costs them no
-// call, and a longer one sends them elsewhere one after the other. It gives the version up to which nothing
-// that the call asks for has changed, and is false where the call has been answered, or has no caller any
-// more.
+// await waits until the hub has a newer version for the call, or wait has passed. While this replica is cut
+// off, the call waits for a random time of up to maxCutOff, or up to half of it once wait has passed, and is
+// rejected unless there is a leader again by then. So a normal election costs the watchers no call, even if
+// there are thousands of them, and a longer one sends them to other replicas at different times. await
+// returns the version up to which nothing that the call reads has changed. It returns false if the call has
+// been answered with an error or its client is gone.
 func (s *Server) await(
 	w http.ResponseWriter,
 	r *http.Request,
 	h *hub,
 	q query,
-	wait, cut time.Duration,
+	wait, maxCutOff time.Duration,
 ) (from uint64, ok bool) {
 	watcher, full := h.wait(q.subset, q.from, s.config.MaxWatchers)
 	if full {
@@ -166,24 +169,24 @@
 	}
 	end := time.NewTimer(wait)
 	defer end.Stop()
-	var leave <-chan time.Time // nil while there is a leader
-	for over := false; ; {
-		lost, news := s.contact.state()
-		switch lost = lost && cut != never; {
-		case !lost && over:
+	var cutOffTimer <-chan time.Time // nil while there is a leader
+	for timedOut := false; ; {
+		lost, contactChanged := s.contact.state()
+		switch lost = lost && maxCutOff != noCutOff; {
+		case !lost && timedOut:
 			return h.leave(watcher), true
 		case !lost:
-			leave = nil
-		case leave == nil && over:
-			leave = time.After(rand.N(cut/2 + 1))
-		case leave == nil:
-			leave = time.After(rand.N(cut + 1))
+			cutOffTimer = nil
+		case cutOffTimer == nil && timedOut:
+			cutOffTimer = time.After(rand.N(maxCutOff/2 + 1))
+		case cutOffTimer == nil:
+			cutOffTimer = time.After(rand.N(maxCutOff + 1))
 		}
 		select {
 		case <-watcher.wake:
 			return h.leave(watcher), true
-		case <-news:
-		case <-leave:
+		case <-contactChanged:
+		case <-cutOffTimer:
 			h.leave(watcher)
 			writeError(
 				w,
@@ -194,7 +197,7 @@
 			)
 			return 0, false
 		case <-end.C:
-			over, leave = true, nil
+			timedOut, cutOffTimer = true, nil
 		case <-r.Context().Done():
 			return h.leave(watcher), false
 		case <-s.ctx.Done():
--- a/internal/registry/server/records.go
+++ b/internal/registry/server/records.go
@@ -10,10 +10,11 @@
 	"wrenspread/internal/registry"
 )
 
-// maxPut bounds a record's call, in bytes: the value, and what is around it.
-const maxPut = registry.MaxRecord + maxBody
+// maxPutBytes bounds the body of a write of a record: the value and the other fields.
+const maxPutBytes = registry.MaxRecord + maxBodyBytes
 
-// record answers with one record as it is now, or with the keys under a prefix.
+// record responds with the current value of a record or, if the path has no key, with the keys under a
+// prefix.
 func (s *Server) record(w http.ResponseWriter, r *http.Request) {
 	if !s.waitUntilCurrent(w) {
 		return
@@ -29,32 +30,32 @@
 		)
 		return
 	}
-	one, ok := s.machine.state.Record(key)
+	record, ok := s.machine.state.Record(key)
 	if !ok {
 		writeError(w, http.StatusNotFound, string(registry.NotFound), "there is no record "+key, 0)
 		return
 	}
-	writeJSON(w, http.StatusOK, one)
+	writeJSON(w, http.StatusOK, record)
 }
 
-// putRecord writes a record; without a value it is taken away.
+// putRecord writes a record, or removes it if the body has no value.
 func (s *Server) putRecord(w http.ResponseWriter, r *http.Request) {
-	body, ok := readBody(w, r, maxPut)
+	body, ok := readBody(w, r, maxPutBytes)
 	if !ok {
 		return
 	}
-	var in registry.PutRequest
-	if err := json.Unmarshal(body, &in); err != nil {
+	var request registry.PutRequest
+	if err := json.Unmarshal(body, &request); err != nil {
 		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
 	c := registry.Command{
 		Op:        registry.OpPutRecord,
 		Name:      r.PathValue("key"),
-		Value:     in.Value,
-		IfVersion: in.IfVersion,
-		ID:        in.ID,
-		Token:     in.Token,
+		Value:     request.Value,
+		IfVersion: request.IfVersion,
+		ID:        request.ID,
+		Token:     request.Token,
 	}
 	if err := c.Check(); err != nil {
 		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
@@ -64,14 +65,14 @@
 	s.finish(w, result, err)
 }
 
-// watchRecords answers reads and watches of the records under a prefix, as this replica has them. A reader of
-// another epoch, or of none, gets all of them at once; one that has seen more than this replica is never
-// answered with less.
+// watchRecords answers reads and watches of the records under a prefix with the state of this replica. A
+// reader with another epoch, or without one, gets all records at once. A reader whose version is above this
+// replica's gets an error, never an older state.
 func (s *Server) watchRecords(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
-	had := 0
+	knownCount := 0
 	if v := r.URL.Query().Get("had"); v != "" && err == nil {
-		if had, err = strconv.Atoi(v); err != nil || had < 0 {
+		if knownCount, err = strconv.Atoi(v); err != nil || knownCount < 0 {
 			err = fmt.Errorf("had: %q is not a number of records", v)
 		}
 	}
@@ -84,28 +85,29 @@
 		return
 	}
 	for end := time.Now().Add(q.hold); ; {
-		a, news := s.recordsSince(q, r.URL.Query().Get("prefix"), had)
+		a, changed := s.recordsSince(q, r.URL.Query().Get("prefix"), knownCount)
 		wait := time.Until(end)
 		if a.Epoch == q.epoch && q.from > a.Index {
 			reason := fmt.Sprintf("this replica has version %d", a.Index)
 			writeError(w, http.StatusServiceUnavailable, "behind", reason, 0)
 			return
 		}
-		if news || a.Epoch != q.epoch || wait <= 0 || s.ctx.Err() != nil {
+		if changed || a.Epoch != q.epoch || wait <= 0 || s.ctx.Err() != nil {
 			writeJSON(w, http.StatusOK, a)
 			return
 		}
-		if _, ok := s.await(w, r, s.recordHub, query{from: a.Index}, wait, cutOffHold); !ok {
+		if _, ok := s.await(w, r, s.recordHub, query{from: a.Index}, wait, maxCutOffHold); !ok {
 			return
 		}
 	}
 }
 
-func (s *Server) recordsSince(q query, prefix string, had int) (registry.RecordsResponse, bool) {
+// recordsSince returns the response to a query, and whether it has anything new for the reader.
+func (s *Server) recordsSince(q query, prefix string, knownCount int) (registry.RecordsResponse, bool) {
 	s.machine.mu.RLock()
 	defer s.machine.mu.RUnlock()
 	if q.epoch != s.machine.state.Epoch() {
 		q.from = 0
 	}
-	return s.machine.state.RecordsSince(prefix, q.from, had)
+	return s.machine.state.RecordsSince(prefix, q.from, knownCount)
 }
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	applyTime     = 5 * time.Second // a write that is not in the log by then has an unknown end
-	keepSnapshots = 2
-	raftPool      = 3
-	raftTime      = 5 * time.Second  // for a call to another replica; one that hangs holds up what is sent there
-	stopTime      = 10 * time.Second // only a call that hangs takes so long
+	applyTimeout      = 5 * time.Second // the outcome of a write that is not logged by then is unknown
+	retainedSnapshots = 2
+	maxRaftConns      = 3                // pooled connections to each other replica
+	raftTimeout       = 5 * time.Second  // for a call to another replica; a hanging call delays later ones
+	stopTimeout       = 10 * time.Second // reached only if a call hangs
 )
 
-// replica is raft with its folder.
+// replica runs raft on a folder.
 type replica struct {
 	raft            *raft.Raft
 	store           *raftboltdb.BoltStore
 	transport       raft.Transport
 	closers         []io.Closer
-	ending          chan struct{} // closed when it ends
-	lastIndexAtOpen uint64        // the last entry of the log as it was opened
+	stopping        chan struct{} // closed when the replica stops
+	lastIndexAtOpen uint64        // index of the log's last entry when the log was opened
 }
 
-// openReplica opens the folder and takes part in the cluster.
+// openReplica opens the folder and starts raft.
 func openReplica(c Config, m *machine, log *slog.Logger) (r *replica, err error) {
-	opened := &replica{ending: make(chan struct{})}
+	opened := &replica{stopping: make(chan struct{})}
 	r = opened
 	defer func() {
 		if err != nil {
@@ -58,7 +58,7 @@
 	logger := hclog.New(
 		&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{log}, DisableTime: true},
 	)
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, keepSnapshots, logger)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, retainedSnapshots, logger)
 	if err != nil {
 		return nil, fmt.Errorf("snapshots in %s: %w", c.Folder, err)
 	}
@@ -74,7 +74,7 @@
 		conf,
 		m,
 		r.store,
-		retryingStableStore{r.store, log, r.ending},
+		retryingStableStore{r.store, log, r.stopping},
 		snaps,
 		r.transport,
 	); err != nil {
@@ -83,7 +83,8 @@
 	return r, r.bootstrap(c)
 }
 
-// listen opens the address for the other replicas; one that is alone has none.
+// listen opens the transport to the other replicas. A replica without a raft address gets an in-memory
+// transport.
 func (r *replica) listen(c Config, m *machine, logger hclog.Logger) error {
 	if c.Raft == "" {
 		_, r.transport = raft.NewInmemTransport(raft.ServerAddress(c.Name))
@@ -93,12 +94,12 @@
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
-	// One call at a time to each: with more, raft sends in a pipeline, which hangs for good when
-	// the other end breaks off while it is full (docs/findings/raft-pipeline.md).
+	// MaxRPCsInFlight is 1 because with more raft uses a pipeline, which hangs for good if the peer closes the
+	// connection while the pipeline is full (docs/findings/raft-pipeline.md).
 	t, err := raft.NewTCPTransportWithConfig(
 		c.Raft,
 		own,
-		&raft.NetworkTransportConfig{MaxPool: raftPool, MaxRPCsInFlight: 1, Timeout: raftTime,
+		&raft.NetworkTransportConfig{MaxPool: maxRaftConns, MaxRPCsInFlight: 1, Timeout: raftTimeout,
 			Logger: logger, ServerAddressProvider: addresses{c, m}},
 	)
 	if err != nil {
@@ -109,30 +110,34 @@
 	return nil
 }
 
-// addresses finds the others where they were added while the cluster served, and
-// else where this replica's own configuration has them.
+// addresses finds the addresses of the other replicas: those of replicas that were added to the running
+// cluster in the replicated state, all others in this replica's configuration. It is a
+// raft.ServerAddressProvider.
 type addresses struct {
 	config  Config
 	machine *machine
 }
 
+// find returns the address of a replica, and false if it is not known.
 func (a addresses) find(name string) (registry.Address, bool) {
-	if at, ok := a.machine.member(name); ok {
+	if at, ok := a.machine.replicaAddress(name); ok {
 		return at, true
 	}
 	o, ok := a.config.find(name)
 	return registry.Address{Raft: o.Raft, HTTP: o.HTTP}, ok
 }
 
+// ServerAddr implements raft.ServerAddressProvider.
 func (a addresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	other, ok := a.find(string(id))
 	if !ok {
-		return "", fmt.Errorf("it is not known where replica %s is", id)
+		return "", fmt.Errorf("address of replica %q is not known", id)
 	}
 	return raft.ServerAddress(other.Raft), nil
 }
 
-// bootstrap makes a cluster out of empty folders: alone at once, of several by the one that is configured to.
+// bootstrap starts a cluster on empty folders. A single replica does so by itself; of several replicas, the
+// one that is configured to.
 func (r *replica) bootstrap(c Config) error {
 	var servers []raft.Server
 	for _, o := range c.Replicas {
@@ -144,7 +149,7 @@
 		return nil
 	}
 	err := r.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
-	if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // it has begun before
+	if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // the cluster has been started before
 		return fmt.Errorf("beginning the cluster: %w", err)
 	}
 	return nil
@@ -152,24 +157,25 @@
 
 func (r *replica) leads() bool { return r.raft.State() == raft.Leader }
 
-// leader is the name of the one that leads as far as this one knows, or empty.
+// leader returns the name of the leader as far as this replica knows, or an empty string.
 func (r *replica) leader() string {
 	_, id := r.raft.LeaderWithID()
 	return string(id)
 }
 
-// errUnknown marks a write that may still be carried out.
+// errUnknown marks a write that may have been applied or may still be applied.
 var errUnknown = errors.New("it is not known whether it was done")
 
-// errNotLeading marks one that certainly was not.
+// errNotLeading marks a write that certainly was not and will not be applied.
 var errNotLeading = errors.New("this replica does not lead")
 
+// apply logs a command and returns its result. An error of raft wraps errNotLeading or errUnknown.
 func (r *replica) apply(c registry.Command) (registry.Result, error) {
 	raw, err := encode(c)
 	if err != nil {
 		return registry.Result{}, err
 	}
-	f := r.raft.Apply(raw, applyTime)
+	f := r.raft.Apply(raw, applyTimeout)
 	if err := classifyRaftError(f.Error()); err != nil {
 		return registry.Result{}, err
 	}
@@ -182,7 +188,8 @@
 	return registry.Result{}, errUnknown
 }
 
-// classifyRaftError tells a write that was certainly not done from one of unknown end.
+// classifyRaftError wraps an error of raft: errNotLeading if the write certainly was not applied, errUnknown
+// otherwise.
 func classifyRaftError(err error) error {
 	switch {
 	case err == nil:
@@ -197,7 +204,7 @@
 	}
 }
 
-// servers are the replicas as raft has them.
+// servers returns the replicas in raft's configuration.
 func (r *replica) servers() ([]raft.Server, error) {
 	f := r.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -206,32 +213,33 @@
 	return f.Configuration().Servers, nil
 }
 
-// current waits until this replica, as the leader, has all that was done before the call.
+// current waits until this replica, as the leader, has applied all earlier commands.
 func (r *replica) current() error {
-	if err := r.raft.Barrier(applyTime).Error(); err != nil {
+	if err := r.raft.Barrier(applyTimeout).Error(); err != nil {
 		return fmt.Errorf("%w: %w", errNotLeading, err)
 	}
 	return nil
 }
 
-// stop transfers leadership, if there is another replica, and ends.
+// stop transfers leadership if there is another replica, and stops raft.
 func (r *replica) stop() error {
 	if servers, err := r.servers(); err == nil && len(servers) > 1 && r.leads() {
 		_ = r.raft.LeadershipTransfer().Error() // without a successor the others elect a leader after a timeout
 	}
-	close(r.ending)
+	close(r.stopping)
 	ended := make(chan error, 1)
 	go func() { ended <- r.raft.Shutdown().Error() }()
 	var err error
 	select {
 	case err = <-ended:
-	case <-time.After(stopTime):
-		err = fmt.Errorf("raft does not end within %v", stopTime)
+	case <-time.After(stopTimeout):
+		err = fmt.Errorf("raft does not end within %v", stopTimeout)
 	}
 	r.close()
 	return err
 }
 
+// close closes the transport, the store and the folder's lock.
 func (r *replica) close() {
 	for _, c := range r.closers {
 		besteffort.Close(c)
@@ -239,7 +247,7 @@
 	r.closers = nil
 }
 
-// raftLogWriter puts raft's own lines into the log.
+// raftLogWriter writes raft's own log lines to the log.
 type raftLogWriter struct{ log *slog.Logger }
 
 func (l raftLogWriter) Write(b []byte) (int, error) {
--- a/internal/registry/server/rewritelog.go
+++ b/internal/registry/server/rewritelog.go
@@ -16,8 +16,8 @@
 	"wrenspread/internal/checksumfile"
 )
 
-// rewriteLog writes a log anew out of what can be read of it, or says what can't. A
-// start that is cut off leaves the old one, or the new one.
+// rewriteLog reads a log completely and replaces it by a copy, or returns an error if any part is damaged. If
+// it is interrupted, either the old log or the copy is left.
 func rewriteLog(path string) (err error) {
 	info, err := os.Stat(path)
 	if os.IsNotExist(err) {
@@ -27,7 +27,7 @@
 		return err
 	}
 	if info.Size() == 0 {
-		return os.Remove(path) // its first start was cut off before it wrote anything
+		return os.Remove(path) // the first start was interrupted before anything was written
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -35,36 +35,37 @@
 			err = fmt.Errorf("the log is damaged: %v", r)
 		}
 	}()
-	fresh := path + ".new"
-	if err := os.Remove(fresh); err != nil && !os.IsNotExist(err) {
+	newPath := path + ".new"
+	if err := os.Remove(newPath); err != nil && !os.IsNotExist(err) {
 		return err
 	}
-	if err := copyStore(path, fresh, info.Size()); err != nil {
+	if err := copyStore(path, newPath, info.Size()); err != nil {
 		return err
 	}
-	if err := os.Rename(fresh, path); err != nil {
+	if err := os.Rename(newPath, path); err != nil {
 		return err
 	}
-	// else a cut could bring the old one back, without what is written next
+	// without the sync, a power failure could bring back the old log, without the entries written from now on
 	return checksumfile.SyncFolder(filepath.Dir(path))
 }
 
-func copyStore(path, fresh string, size int64) error {
-	old, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTime, ReadOnly: true})
+// copyStore copies the log and raft's stable state to a new file. size is the size of the old file.
+func copyStore(path, newPath string, size int64) error {
+	old, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true})
 	if err != nil {
 		return fmt.Errorf("the log can't be read: %w", err)
 	}
 	defer besteffort.Close(old)
 	into, err := raftboltdb.New(
-		raftboltdb.Options{Path: fresh, BoltOptions: &bbolt.Options{Timeout: openTime}, NoSync: true},
+		raftboltdb.Options{Path: newPath, BoltOptions: &bbolt.Options{Timeout: lockTimeout}, NoSync: true},
 	)
 	if err != nil {
 		return err
 	}
 	defer besteffort.Close(into)
 	err = old.View(func(tx *bbolt.Tx) error {
-		if says := tx.Size(); says > size {
-			return fmt.Errorf("the log is damaged: it was cut short, from %d bytes to %d", says, size)
+		if recordedSize := tx.Size(); recordedSize > size {
+			return fmt.Errorf("the log is damaged: it was cut short, from %d bytes to %d", recordedSize, size)
 		}
 		if err := copyLog(tx.Bucket([]byte("logs")), into); err != nil {
 			return fmt.Errorf("the log is damaged: %w", err)
@@ -77,13 +78,13 @@
 	return into.Sync()
 }
 
-// copyBatch is how many entries are written at once.
+// copyBatch is the number of log entries that are written together.
 const copyBatch = 256
 
-// copyLog takes over the entries, each of which has to be there and readable.
+// copyLog copies the log entries. It returns an error if an entry is unreadable or missing.
 func copyLog(from *bbolt.Bucket, into *raftboltdb.BoltStore) error {
 	if from == nil {
-		return nil // its first start was cut off before there was any
+		return nil // the first start was interrupted before there was an entry
 	}
 	var batch []*raft.Log
 	var last uint64
@@ -107,7 +108,7 @@
 	return into.StoreLogs(batch)
 }
 
-// readEntry decodes an entry as raft-boltdb keeps it, and what it carries.
+// readEntry decodes an entry in the form of raft-boltdb and validates its command or configuration.
 func readEntry(k, v []byte) (*raft.Log, error) {
 	e := new(raft.Log)
 	if err := codec.NewDecoderBytes(v, &codec.MsgpackHandle{}).Decode(e); err != nil {
@@ -121,7 +122,7 @@
 	case raft.LogCommand:
 		_, err = decode(e.Data)
 	case raft.LogConfiguration:
-		raft.DecodeConfiguration(e.Data) // panics at one that can't be read
+		raft.DecodeConfiguration(e.Data) // panics if the configuration can't be decoded
 	}
 	if err != nil {
 		return nil, fmt.Errorf("entry %d: %w", e.Index, err)
@@ -129,7 +130,8 @@
 	return e, nil
 }
 
-// copyStableState takes over raft's stable state, and rejects a term that lies before the log's.
+// copyStableState copies raft's stable state. It returns an error if the current term is lower than that of
+// the last log entry.
 func copyStableState(from *bbolt.Bucket, into *raftboltdb.BoltStore) error {
 	if from == nil {
 		return nil
--- a/internal/registry/server/routes.go
+++ b/internal/registry/server/routes.go
@@ -10,38 +10,39 @@
 	"wrenspread/internal/registry"
 )
 
+// routes returns the handler of the HTTP API.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", s.instances)
 	mux.HandleFunc("PUT /registry/instances/{name}", s.write(registry.OpRegister))
 	mux.HandleFunc("DELETE /registry/instances/{name}", s.write(registry.OpRemove))
 	mux.HandleFunc("POST /registry/instances/{name}/drain", s.write(registry.OpDrain))
-	mux.HandleFunc("POST /registry/renew", s.leaderOnly(maxBody, s.renew))
+	mux.HandleFunc("POST /registry/renew", s.leaderOnly(maxBodyBytes, s.renew))
 	mux.HandleFunc("GET /registry/members", s.listReplicas)
-	mux.HandleFunc("PUT /registry/members/{name}", s.leaderOnly(maxBody, s.addReplica))
-	mux.HandleFunc("DELETE /registry/members/{name}", s.leaderOnly(maxBody, s.removeReplica))
-	mux.HandleFunc("GET /registry/items", s.leaderOnly(maxBody, s.registrations))
-	mux.HandleFunc("GET /registry/backup", s.leaderOnly(maxBody, s.backup))
-	mux.HandleFunc("POST /registry/restore", s.leaderOnly(maxRestore, s.restore))
-	mux.HandleFunc("PUT /registry/sessions/{id}", s.leaderOnly(maxBody, s.openSession))
-	mux.HandleFunc("DELETE /registry/sessions/{id}", s.leaderOnly(maxBody, s.closeSession))
-	mux.HandleFunc("POST /registry/sessions/renew", s.leaderOnly(maxBody, s.renewSessions))
+	mux.HandleFunc("PUT /registry/members/{name}", s.leaderOnly(maxBodyBytes, s.addReplica))
+	mux.HandleFunc("DELETE /registry/members/{name}", s.leaderOnly(maxBodyBytes, s.removeReplica))
+	mux.HandleFunc("GET /registry/items", s.leaderOnly(maxBodyBytes, s.registrations))
+	mux.HandleFunc("GET /registry/backup", s.leaderOnly(maxBodyBytes, s.backup))
+	mux.HandleFunc("POST /registry/restore", s.leaderOnly(maxRestoreBytes, s.restore))
+	mux.HandleFunc("PUT /registry/sessions/{id}", s.leaderOnly(maxBodyBytes, s.openSession))
+	mux.HandleFunc("DELETE /registry/sessions/{id}", s.leaderOnly(maxBodyBytes, s.closeSession))
+	mux.HandleFunc("POST /registry/sessions/renew", s.leaderOnly(maxBodyBytes, s.renewSessions))
 	mux.HandleFunc("POST /registry/sessions/{id}/campaign", s.candidacy(registry.OpCampaign))
 	mux.HandleFunc("POST /registry/sessions/{id}/give-up", s.candidacy(registry.OpRelease))
 	mux.HandleFunc("GET /registry/duties", s.readLeases)
 	mux.HandleFunc("POST /registry/duties/{name}/yield", s.order(registry.OpTransfer))
 	mux.HandleFunc("POST /registry/duties/{name}/block", s.order(registry.OpBlock))
-	mux.HandleFunc("GET /registry/records", s.leaderOnly(maxBody, s.record))
-	mux.HandleFunc("GET /registry/records/{key}", s.leaderOnly(maxBody, s.record))
-	mux.HandleFunc("PUT /registry/records/{key}", s.leaderOnly(maxPut, s.putRecord))
+	mux.HandleFunc("GET /registry/records", s.leaderOnly(maxBodyBytes, s.record))
+	mux.HandleFunc("GET /registry/records/{key}", s.leaderOnly(maxBodyBytes, s.record))
+	mux.HandleFunc("PUT /registry/records/{key}", s.leaderOnly(maxPutBytes, s.putRecord))
 	mux.HandleFunc("GET /registry/watch/records", s.watchRecords)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", s.ready)
-	mux.Handle("GET /metrics", promhttp.HandlerFor(s.figures.registry, promhttp.HandlerOpts{}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{}))
 	return mux
 }
 
-// ready says yes once this replica has a list and knows who leads.
+// ready answers 200 once this replica has a list, has replayed its log and knows a leader.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	_, epoch := s.hub.current()
 	if epoch == "" || s.replica.leader() == "" || !s.contact.caughtUp.Load() {
@@ -57,13 +58,14 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// metrics are what /metrics shows.
+// metrics holds the metrics that /metrics returns.
 type metrics struct{ registry *prometheus.Registry }
 
+// newMetrics registers the metrics of a server.
 func newMetrics(s *Server) *metrics {
-	f := &metrics{prometheus.NewRegistry()}
+	m := &metrics{prometheus.NewRegistry()}
 	gauge := func(name, help string, value func() float64) {
-		f.registry.MustRegister(
+		m.registry.MustRegister(
 			prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "indigolist", Name: name, Help: help}, value),
 		)
 	}
@@ -88,18 +90,24 @@
 	gauge(
 		"overdue_kept",
 		"overdue entries that are held back, as too many are",
-		func() float64 { kept, _ := s.expiry.figures(); return float64(kept) },
+		func() float64 { retained, _ := s.expiry.counts(); return float64(retained) },
 	)
-	f.registry.MustRegister(
+	m.registry.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Namespace: "indigolist",
 			Name:      "expired_total",
 			Help:      "entries expired by this replica",
-		}, func() float64 { _, n := s.expiry.figures(); return float64(n) }),
+		}, func() float64 { _, n := s.expiry.counts(); return float64(n) }),
 	)
-	f.registry.MustRegister(
-		prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "indigolist", Name: "lapsed_total",
-			Help: "sessions that lapsed at this replica"}, func() float64 { return float64(s.sessions.figures()) }),
+	m.registry.MustRegister(
+		prometheus.NewCounterFunc(
+			prometheus.CounterOpts{
+				Namespace: "indigolist",
+				Name:      "lapsed_total",
+				Help:      "sessions that lapsed at this replica",
+			},
+			func() float64 { return float64(s.sessions.expiredCount()) },
+		),
 	)
-	return f
+	return m
 }
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -16,7 +16,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Server is one replica.
+// Server is one replica of the registry.
 type Server struct {
 	config        Config
 	log           *slog.Logger
@@ -24,32 +24,32 @@
 	hub           *hub
 	replica       *replica
 	leaseHub      *hub
-	recordHub     *hub // for watches of records
+	recordHub     *hub
 	expiry        *expiry
 	sessions      *sessions
 	rates         *rates
-	contact       *contact
-	figures       *metrics
+	contact       *leaderContact
+	metrics       *metrics
 	http          *http.Server
 	stop          context.CancelFunc
-	ctx           context.Context // of everything that a call may wait for
-	broken        chan error      // why this replica has to end
-	completeReads chan struct{}   // one for each complete subset that is made and sent
+	ctx           context.Context // of the background tasks and of waiting calls
+	broken        chan error      // the error because of which this replica has to stop
+	completeReads chan struct{}   // slots: one element for each complete subset that is being sent
 	tasks         sync.WaitGroup
 }
 
 const (
-	headTime = 5 * time.Second
-	readTime = 30 * time.Second // for a whole call, its body included
-	idleTime = 2 * time.Minute
-	maxHead  = 16 << 10
-	endTime  = 5 * time.Second // for calls that are open at the end
+	headerTimeout   = 5 * time.Second
+	requestTimeout  = 30 * time.Second // for reading a request, including its body
+	idleTimeout     = 2 * time.Minute
+	maxHeaderBytes  = 16 << 10
+	shutdownTimeout = 5 * time.Second // for calls that are open when the server stops
 
-	replayLook = 20 * time.Millisecond
+	replayCheckInterval = 20 * time.Millisecond
 )
 
-// Run serves until ctx ends, and then transfers what it holds. The error says
-// what kept it from serving, or from ending in order.
+// Run runs a replica until ctx ends, and then transfers its leadership and shuts down. The error is what
+// prevented it from serving or from an orderly shutdown.
 func Run(ctx context.Context, c Config, log *slog.Logger) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -62,7 +62,7 @@
 		config:  c,
 		log:     log,
 		rates:   newRates(c.MaxWrites),
-		contact: newContact(),
+		contact: newLeaderContact(),
 		broken:  make(chan error, 1),
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
@@ -78,13 +78,13 @@
 	s.tasks.Go(func() { s.sessions.run(s.ctx) })
 	s.tasks.Go(s.followLeader)
 	s.tasks.Go(func() { s.contact.run(s.ctx, c.Election, s.replica.leader) })
-	s.tasks.Go(func() { s.contact.replay(s.ctx, replayLook, s.replica, s.machine) })
+	s.tasks.Go(func() { s.contact.replay(s.ctx, replayCheckInterval, s.replica, s.machine) })
 	s.http = &http.Server{
 		Handler:           s.routes(),
-		ReadHeaderTimeout: headTime,
-		ReadTimeout:       readTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    maxHead,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       requestTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	served := make(chan error, 1)
@@ -96,17 +96,18 @@
 	case err = <-served:
 	case err = <-s.broken:
 	}
-	return errors.Join(err, s.end())
+	return errors.Join(err, s.shutdown())
 }
 
+// open creates the state machine and its observers, and starts raft.
 func (s *Server) open() error {
 	s.completeReads = make(chan struct{}, maxCompleteReads)
-	s.machine = &machine{state: registry.NewState(), broken: func(err error) { s.broken <- err }}
+	s.machine = &machine{state: registry.NewState(), onBroken: func(err error) { s.broken <- err }}
 	s.hub, s.leaseHub, s.recordHub = newHub(s.machine), newHub(s.machine), newHub(s.machine)
 	apply := func(c registry.Command) (registry.Result, error) { return s.replica.apply(c) }
 	s.expiry = &expiry{start: time.Now(), machine: s.machine, log: s.log, apply: apply}
 	s.sessions = &sessions{start: time.Now(), machine: s.machine, log: s.log, apply: apply}
-	s.machine.applied = func(c registry.Command, _ registry.Result) {
+	s.machine.onApplied = func(c registry.Command, _ registry.Result) {
 		s.expiry.applied(c, s.machine.state)
 		s.sessions.applied(c)
 		state := s.machine.state
@@ -118,18 +119,18 @@
 	if s.replica, err = openReplica(s.config, s.machine, s.log); err != nil {
 		return err
 	}
-	s.figures = newMetrics(s)
+	s.metrics = newMetrics(s)
 	return nil
 }
 
-// followLeader does what a leader has to do at its beginning and its end.
+// followLeader starts and stops the leader's tasks when this replica gains and loses leadership.
 func (s *Server) followLeader() {
 	for {
 		select {
 		case leads := <-s.replica.raft.LeaderCh():
 			if !leads {
-				s.expiry.follow()
-				s.sessions.follow()
+				s.expiry.stopLeading()
+				s.sessions.stopLeading()
 				s.log.Info("not the leader", "leader", s.replica.leader())
 				continue
 			}
@@ -142,6 +143,8 @@
 	}
 }
 
+// beginLeading waits until all earlier commands are applied, begins the list if it has no epoch, and starts
+// the deadlines of entries and sessions.
 func (s *Server) beginLeading() error {
 	if err := s.replica.current(); err != nil {
 		return err
@@ -151,27 +154,27 @@
 			return err
 		}
 	}
-	s.expiry.lead()
-	s.sessions.lead()
-	s.log.Info("leader")
+	s.expiry.startLeading()
+	s.sessions.startLeading()
+	s.log.Info("leadership acquired")
 	return nil
 }
 
-// newEpoch names a list that begins or is restored.
+// newEpoch draws a random epoch for a list that begins or is restored.
 func newEpoch() string {
 	b := make([]byte, 8)
 	rand.Read(b) // never fails
 	return hex.EncodeToString(b)
 }
 
-// end hands leadership on, lets open calls finish and closes the folder.
-func (s *Server) end() error {
-	s.log.Info("ending")
+// shutdown transfers leadership, stops raft, closes the folder and lets open calls finish.
+func (s *Server) shutdown() error {
+	s.log.Info("shutting down")
 	err := s.replica.stop()
-	s.stop() // watchers are answered with what there is
-	ctx, cancel := context.WithTimeout(context.Background(), endTime)
+	s.stop() // waiting watches are answered with the present state
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if e := s.http.Shutdown(ctx); e != nil {
+	if shutdownErr := s.http.Shutdown(ctx); shutdownErr != nil {
 		besteffort.Close(s.http)
 	}
 	s.tasks.Wait()
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -175,7 +175,7 @@
 		{"GET", "/registry/instances?from=99999999999999999999999", "", 400}, {"GET", "/nothing", "", 404}, {"PATCH", "/registry/instances/s", "", 405},
 		{"PUT", "/registry/instances/s", "", 400}, {"PUT", "/registry/instances/s", "{", 400}, {"PUT", "/registry/instances/s", `{"entry":{"name":"t"}}`, 400},
 		{"PUT", "/registry/instances/s", `{"entry":{"name":"s","address":"a:1","status":"ready"},"ttl_ms":-1}`, 400},
-		{"PUT", "/registry/instances/s", strings.Repeat("x", maxBody+1), 413}, {"POST", "/registry/renew", "{}", 400},
+		{"PUT", "/registry/instances/s", strings.Repeat("x", maxBodyBytes+1), 413}, {"POST", "/registry/renew", "{}", 400},
 		{"DELETE", "/registry/instances/" + strings.Repeat("x", 300), "", 400}, {"GET", "/healthz", "", 200}, {"GET", "/metrics", "", 200},
 		{"GET", "/registry/members", "", 200},
 	} {
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -13,48 +13,51 @@
 	"wrenspread/internal/registry"
 )
 
-// One lease is granted at most paceBurst times at once, and then once in paceEvery,
-// so that candidates that crash in a loop do not pass it around.
+// A lease is granted up to grantBurst times without a delay, and then once in grantInterval, so that
+// candidates that crash in a loop do not pass it around.
 const (
-	paceBurst = 4
-	paceEvery = 2 * time.Second
+	grantBurst    = 4
+	grantInterval = 2 * time.Second
 )
 
-// sessions keeps the deadlines of sessions while this replica leads, and paces grants.
+// sessions holds the deadlines of sessions while this replica leads, closes expired sessions, and limits the
+// rate at which leases are granted.
 type sessions struct {
 	start   time.Time
 	machine *machine
 	apply   func(registry.Command) (registry.Result, error)
 	log     *slog.Logger
 
-	mu        sync.Mutex
-	deadlines *registry.SessionExpiry // nil while another leads
-	ending    map[string]bool         // due, and not known to have ended: none of them can be renewed
-	pace      map[string]*rate.Limiter
-	expired   int // so far
+	mu            sync.Mutex
+	deadlines     *registry.SessionExpiry // nil while another leads
+	closing       map[string]bool         // expired sessions that are not closed yet; they can't be renewed
+	grantLimiters map[string]*rate.Limiter
+	expired       int // number of sessions expired so far
 }
 
 func (x *sessions) now() time.Duration { return time.Since(x.start) }
 
-// lead begins with the full TTL of every session, once all that was done before is known here.
-func (x *sessions) lead() {
+// startLeading starts the TTL of every session. It must be called after this replica, as the leader, has
+// applied all earlier commands.
+func (x *sessions) startLeading() {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.deadlines, x.ending, x.pace = registry.NewSessionExpiry(
+	x.deadlines, x.closing, x.grantLimiters = registry.NewSessionExpiry(
 		x.machine.state.Sessions(),
 		x.now(),
 	), map[string]bool{}, map[string]*rate.Limiter{}
 }
 
-func (x *sessions) follow() {
+// stopLeading drops the deadlines, as another replica leads.
+func (x *sessions) stopLeading() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.deadlines = nil
 }
 
-// applied keeps the deadlines in step. The caller holds the machine's lock.
+// applied updates the deadlines after a command was applied. The caller holds the machine's lock.
 func (x *sessions) applied(c registry.Command) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -63,19 +66,19 @@
 	}
 	switch c.Op {
 	case registry.OpOpenSession:
-		if !x.ending[c.Session.ID] {
+		if !x.closing[c.Session.ID] {
 			x.deadlines.Set(*c.Session, x.now())
 		}
 	case registry.OpCloseSessions:
 		for _, id := range c.Sessions {
 			x.deadlines.Drop(id)
-			delete(x.ending, id)
+			delete(x.closing, id)
 		}
 	}
 }
 
-// renew restarts the TTL of sessions and lists those that have ended. The caller has proved since the call
-// came that this replica leads.
+// renew restarts the TTL of sessions and returns the ids of those that have ended. ok is false if this
+// replica does not lead. The caller has verified, after the request came, that this replica leads.
 func (x *sessions) renew(ids []string) (unknown []string, ok bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -90,31 +93,31 @@
 	return unknown, true
 }
 
-// grantable returns those of the leases that may be granted now.
-func (x *sessions) grantable(names []string) (may []string) {
+// grantable returns the leases among names that may be granted now, and counts them as granted.
+func (x *sessions) grantable(names []string) (granted []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, n := range names {
-		l := x.pace[n]
+		l := x.grantLimiters[n]
 		if l == nil {
-			if x.pace == nil {
-				return nil // it does not lead
+			if x.grantLimiters == nil {
+				return nil // this replica does not lead
 			}
-			l = rate.NewLimiter(rate.Every(paceEvery), paceBurst)
-			x.pace[n] = l
+			l = rate.NewLimiter(rate.Every(grantInterval), grantBurst)
+			x.grantLimiters[n] = l
 		}
 		if l.Allow() {
-			may = append(may, n)
+			granted = append(granted, n)
 		}
 	}
-	return may
+	return granted
 }
 
-// freedLeases names the leases that a command of a session may free, or finds free.
+// freedLeases returns the leases that a command on sessions may free, or that are free already.
 func (x *sessions) freedLeases(c registry.Command) (names []string) {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
-	look := func(id, name string) {
+	addIfFree := func(id, name string) {
 		if d, ok := x.machine.state.Lease(
 			name,
 		); !ok && c.Op == registry.OpCampaign ||
@@ -124,32 +127,33 @@
 	}
 	switch c.Op {
 	case registry.OpCampaign, registry.OpRelease:
-		for _, w := range c.Candidacies {
-			look(c.Session.ID, w.Lease)
+		for _, candidacy := range c.Candidacies {
+			addIfFree(c.Session.ID, candidacy.Lease)
 		}
 	case registry.OpCloseSessions:
 		for _, id := range c.Sessions {
 			all, _ := x.machine.state.Leases(id)
 			for _, d := range all {
-				look(id, d.Name)
+				addIfFree(id, d.Name)
 			}
 		}
 	}
 	return names
 }
 
-// applyPaced applies a command on leases, with leave to grant what it frees as far as the pace allows.
+// applyPaced applies a command on sessions or leases. The command may grant the leases that it frees, as far
+// as the rate limit allows.
 func (x *sessions) applyPaced(c registry.Command) (registry.Result, error) {
 	c.Grant = x.grantable(x.freedLeases(c))
 	return x.apply(c)
 }
 
-// run ends sessions that are due, and grants what was held back, until ctx ends.
+// run closes expired sessions and grants leases whose grant was delayed, until ctx ends.
 func (x *sessions) run(ctx context.Context) {
-	every(ctx, x.now, func(time.Duration) { x.restartAll() }, x.expireDue)
+	checkPeriodically(ctx, x.now, func(time.Duration) { x.restartAll() }, x.expireDue)
 }
 
-// restartAll restarts the TTL of every session, but for those that are doomed.
+// restartAll restarts the TTL of every session except those that are being closed.
 func (x *sessions) restartAll() {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
@@ -158,10 +162,14 @@
 	if x.deadlines == nil {
 		return
 	}
-	all := slices.DeleteFunc(x.machine.state.Sessions(), func(s registry.Session) bool { return x.ending[s.ID] })
+	all := slices.DeleteFunc(
+		x.machine.state.Sessions(),
+		func(s registry.Session) bool { return x.closing[s.ID] },
+	)
 	x.deadlines = registry.NewSessionExpiry(all, x.now())
 }
 
+// expireDue closes expired sessions and grants free leases that have candidates.
 func (x *sessions) expireDue(now time.Duration) {
 	x.mu.Lock()
 	if x.deadlines == nil {
@@ -169,12 +177,12 @@
 		return
 	}
 	for _, id := range x.deadlines.Due(now) {
-		x.ending[id] = true
+		x.closing[id] = true
 		x.expired++
 		x.log.Info("session expired", "session", id)
 	}
 	var ids []string
-	for id := range x.ending {
+	for id := range x.closing {
 		ids = append(ids, id)
 	}
 	x.mu.Unlock()
@@ -187,21 +195,21 @@
 	x.machine.mu.RLock()
 	waiting := x.machine.state.UnheldLeases()
 	x.machine.mu.RUnlock()
-	if may := x.grantable(waiting); len(may) > 0 {
-		if _, err := x.apply(registry.Command{Op: registry.OpGrant, Grant: may}); err != nil {
-			x.log.Warn("granting leases failed", "duties", len(may), "err", err)
+	if grants := x.grantable(waiting); len(grants) > 0 {
+		if _, err := x.apply(registry.Command{Op: registry.OpGrant, Grant: grants}); err != nil {
+			x.log.Warn("granting leases failed", "duties", len(grants), "err", err)
 		}
 	}
 }
 
-// figures tells how many sessions have lapsed here.
-func (x *sessions) figures() int {
+// expiredCount returns how many sessions have expired at this replica.
+func (x *sessions) expiredCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.expired
 }
 
-// verify proves to a quorum that this replica leads now.
+// verify checks with a quorum that this replica still leads.
 func (r *replica) verify() error {
 	if err := r.raft.VerifyLeader().Error(); err != nil {
 		return fmt.Errorf("%w: %w", errNotLeading, err)
--- a/internal/registry/server/stablestore.go
+++ b/internal/registry/server/stablestore.go
@@ -8,26 +8,29 @@
 	"github.com/hashicorp/raft"
 )
 
-// retryingStableStore keeps raft's stable state (its term, its vote). Raft has no answer to a disk that takes
-// nothing but to crash, so this waits until it does: a replica whose disk is full stands still, like a paused
-// process. At the end, when the store may be closed while another replica's call is still at work, the
-// goroutine of that call ends, and the call with it unanswered.
+// retryingStableStore stores raft's stable state (its term and its vote) and repeats failed writes until they
+// succeed, because raft panics if such a write fails. A replica whose disk is full therefore pauses, like a
+// paused process. When the replica stops, the store may be closed while a call of another replica waits for a
+// write; then the goroutine of that call exits and the call stays unanswered.
 type retryingStableStore struct {
 	raft.StableStore
 	log  *slog.Logger
-	stop <-chan struct{} // closed at the end
+	stop <-chan struct{} // closed when the replica stops
 }
 
+// Set implements raft.StableStore.
 func (p retryingStableStore) Set(key, value []byte) error {
 	return p.retry(func() error { return p.StableStore.Set(key, value) })
 }
 
+// SetUint64 implements raft.StableStore.
 func (p retryingStableStore) SetUint64(key []byte, value uint64) error {
 	return p.retry(func() error { return p.StableStore.SetUint64(key, value) })
 }
 
+// retry repeats a write until it succeeds. The first failure is logged.
 func (p retryingStableStore) retry(write func() error) error {
-	for told := false; ; told = true {
+	for logged := false; ; logged = true {
 		err := write()
 		if err == nil {
 			return nil
@@ -37,12 +40,12 @@
 			runtime.Goexit()
 		default:
 		}
-		if !told {
+		if !logged {
 			p.log.Error("disk write failed, replica pauses until it succeeds", "err", err)
 		}
 		select {
 		case <-p.stop:
-		case <-time.After(fullWait):
+		case <-time.After(diskRetryPause):
 		}
 	}
 }
--- a/internal/registry/server/store.go
+++ b/internal/registry/server/store.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	logName  = "log.db"
-	openTime = 5 * time.Second // for the folder's lock, which a process that is ending may hold
-	lockWait = 20 * time.Millisecond
-	fullWait = 100 * time.Millisecond
+	logFileName    = "log.db"
+	lockTimeout    = 5 * time.Second // for the folder's lock, which a stopping process may still hold
+	lockRetryPause = 20 * time.Millisecond
+	diskRetryPause = 100 * time.Millisecond
 )
 
-// openStore opens the log in a folder, which it makes if it is not there, and
-// keeps other processes out of the folder until lock is closed.
+// openStore opens the log in a folder, which is created if necessary. It locks the folder against other
+// processes until lock is closed.
 //
-// What an earlier process left is read completely and written anew first. The library that keeps the log
-// faults on a file that was cut short and believes what a damaged one says of its free pages, and raft gives
-// up at an entry that is missing; so nothing that can't be read gets as far as either.
+// The log of an earlier process is first read completely and rewritten, so that damage is detected before
+// bbolt or raft use the file: bbolt faults on a truncated file and trusts the free list of a damaged file,
+// and raft gives up at a missing entry.
 func openStore(folder string) (store *raftboltdb.BoltStore, lock io.Closer, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, nil, fmt.Errorf("folder: %w", err)
@@ -34,7 +34,7 @@
 	if lock, err = lockFolder(folder); err != nil {
 		return nil, nil, err
 	}
-	path := filepath.Join(folder, logName)
+	path := filepath.Join(folder, logFileName)
 	if err = rewriteLog(path); err != nil {
 		err = fmt.Errorf(
 			"%s: %w; if it is damaged, a replica of several is removed from the cluster and added again "+
@@ -43,7 +43,9 @@
 			err,
 		)
 	} else {
-		store, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: openTime}})
+		store, err = raftboltdb.New(
+			raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: lockTimeout}},
+		)
 		if err != nil {
 			err = fmt.Errorf("%s: %w", path, err)
 		}
@@ -55,13 +57,13 @@
 	return store, lock, nil
 }
 
-// lockFolder waits a while for a process that is ending.
+// lockFolder locks a folder. It waits up to lockTimeout for another process to release the lock.
 func lockFolder(folder string) (io.Closer, error) {
 	f, err := os.OpenFile(filepath.Join(folder, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	for until := time.Now().Add(openTime); ; time.Sleep(lockWait) {
+	for until := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryPause) {
 		if err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err == nil {
 			return f, nil
 		}
--- a/internal/registry/server/subsets_bench_test.go
+++ b/internal/registry/server/subsets_bench_test.go
@@ -40,7 +40,7 @@
 					m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry(fmt.Sprintf("s-%08x", weight*7919%servers), weight)})
 					h.publishList(m.state)
 					var due []*watcher
-					for _, g := range h.due {
+					for _, g := range h.dueGroups {
 						for w := range g.watchers {
 							due = append(due, w)
 						}
--- a/internal/registry/server/watcher.go
+++ b/internal/registry/server/watcher.go
@@ -2,18 +2,18 @@
 
 import "wrenspread/internal/registry"
 
-// watcher is one call that is held.
+// watcher is a waiting call.
 type watcher struct {
-	from  uint64
-	group *watcherGroup // nil: it has seen more than this replica had, and waits for that
-	wake  chan struct{}
+	from  uint64        // the reader's version
+	group *watcherGroup // nil: the reader's version was above this replica's; the watcher is in hub.ahead
+	wake  chan struct{} // closed when the watcher is woken
 }
 
-// wait registers a watcher that has version from of a subset; it is nil where there is something newer
-// already, and full where there are too many.
-func (h *hub) wait(p registry.Subset, from uint64, most int) (w *watcher, full bool) {
+// wait registers a watcher that has version from of a subset. w is nil if there is a newer version already,
+// or if full is true: there are maxWatchers watchers.
+func (h *hub) wait(p registry.Subset, from uint64, maxWatchers int) (w *watcher, full bool) {
 	if !p.IsAll() {
-		h.machine.mu.RLock() // nothing is published meanwhile
+		h.machine.mu.RLock() // nothing is published while it is locked
 		defer h.machine.mu.RUnlock()
 		if h.machine.state.HasNewer(p, from) {
 			return nil, false
@@ -24,7 +24,7 @@
 	if p.IsAll() && h.newestChange > from {
 		return nil, false
 	}
-	if h.watcherCount >= most {
+	if h.watcherCount >= maxWatchers {
 		return nil, true
 	}
 	w = &watcher{from: from, wake: make(chan struct{})}
@@ -33,27 +33,27 @@
 		h.ahead[w] = true
 		return w, false
 	}
-	at := h.subset(p)
-	if at.waiting == nil {
-		at.waiting = &watcherGroup{watchers: map[*watcher]bool{}}
+	state := h.subset(p)
+	if state.waiting == nil {
+		state.waiting = &watcherGroup{watchers: map[*watcher]bool{}}
 	}
-	w.group = at.waiting
+	w.group = state.waiting
 	w.group.watchers[w] = true
 	return w, false
 }
 
-// leave ends a watcher's wait, and returns the version up to which nothing of its subset has changed since
-// the one that it had. However long it has been held, it need not go through what the other subsets have had
-// meanwhile.
+// leave removes a watcher and returns the version up to which its subset has not changed since the reader's
+// version. The response can then start from that version and skip the changes of other subsets, however long
+// the watcher has waited.
 func (h *hub) leave(w *watcher) (after uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	in := h.ahead
+	watchers := h.ahead
 	if w.group != nil {
-		in = w.group.watchers
+		watchers = w.group.watchers
 	}
-	if in[w] {
-		delete(in, w)
+	if watchers[w] {
+		delete(watchers, w)
 		h.watcherCount--
 	}
 	switch {
@@ -65,6 +65,7 @@
 	return max(w.from, h.version)
 }
 
+// watchers returns the number of waiting watchers.
 func (h *hub) watchers() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/registry/server/writes.go
+++ b/internal/registry/server/writes.go
@@ -20,21 +20,29 @@
 )
 
 const (
-	maxBody  = 64 << 10 // bytes of a write
-	maxNames = 1000     // of one renewal
+	maxBodyBytes    = 64 << 10 // body of a request, unless the route has another bound
+	maxRenewalNames = 1000     // names in one renewal
 )
 
-func writeError(w http.ResponseWriter, status int, code, why string, after time.Duration) {
-	writeErrorResponse(w, status, registry.ErrorResponse{Code: code, Reason: why}, after)
+// writeError responds with an error code and its reason.
+func writeError(w http.ResponseWriter, status int, code, reason string, retryAfter time.Duration) {
+	writeErrorResponse(w, status, registry.ErrorResponse{Code: code, Reason: reason}, retryAfter)
 }
 
-func writeErrorResponse(w http.ResponseWriter, status int, body registry.ErrorResponse, after time.Duration) {
-	if after > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
+// writeErrorResponse responds with an error and, if retryAfter is not 0, with a Retry-After header.
+func writeErrorResponse(
+	w http.ResponseWriter,
+	status int,
+	body registry.ErrorResponse,
+	retryAfter time.Duration,
+) {
+	if retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(retryAfter.Seconds()))))
 	}
 	writeJSON(w, status, body)
 }
 
+// writeJSON responds with a JSON body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -43,17 +51,17 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	besteffort.Response(w.Write(raw)) // a caller that has left needs nothing
+	besteffort.Response(w.Write(raw)) // a client that is gone needs no response
 }
 
-// forwardedHeader marks a call that another replica has passed on.
+// forwardedHeader marks a call that another replica has forwarded, with the name of that replica.
 const forwardedHeader = "X-Indigo-Forwarded"
 
-// leaderOnly wraps what only the leader can do: the others pass it on, with a body
-// of most bytes at most.
-func (s *Server) leaderOnly(most int64, do http.HandlerFunc) http.HandlerFunc {
+// leaderOnly wraps a handler that only the leader can execute. It limits the rate of each client, and other
+// replicas forward the call, with a body of up to maxBytes.
+func (s *Server) leaderOnly(maxBytes int64, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(forwardedHeader) == "" { // else it has been counted there
+		if r.Header.Get(forwardedHeader) == "" { // a forwarded call has been counted at the other replica
 			client, _, _ := net.SplitHostPort(r.RemoteAddr)
 			if wait, ok := s.rates.allow(cmp.Or(r.Header.Get("X-Client"), client), time.Now()); !ok {
 				writeError(w, http.StatusTooManyRequests, "rate", "too many writes of one client", wait)
@@ -61,22 +69,22 @@
 			}
 		}
 		if !s.replica.leads() {
-			s.forwardToLeader(w, r, most)
+			s.forwardToLeader(w, r, maxBytes)
 			return
 		}
-		do(w, r)
+		handler(w, r)
 	}
 }
 
-// forwardToLeader has the leader answer a call.
-func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request, most int64) {
+// forwardToLeader forwards a call to the leader and returns its response.
+func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request, maxBytes int64) {
 	name := s.replica.leader()
 	leader, known := addresses{s.config, s.machine}.find(name)
 	if r.Header.Get(forwardedHeader) != "" || !known || name == s.config.Name {
 		writeError(w, http.StatusServiceUnavailable, "no-leader", "no replica is known to lead", time.Second)
 		return
 	}
-	body, ok := readBody(w, r, most)
+	body, ok := readBody(w, r, maxBytes)
 	if !ok {
 		return
 	}
@@ -101,24 +109,26 @@
 	proxy.ServeHTTP(w, r)
 }
 
-// leaderTransport waits for the leader a little longer than the leader waits for the log.
+// leaderTransport is used for calls to the leader. It waits a little longer than the leader waits for the
+// log.
 var leaderTransport = &http.Transport{
-	ResponseHeaderTimeout: applyTime + time.Second,
+	ResponseHeaderTimeout: applyTimeout + time.Second,
 	MaxIdleConnsPerHost:   32,
-	IdleConnTimeout:       idleTime,
+	IdleConnTimeout:       idleTimeout,
 	DialContext:           (&net.Dialer{Timeout: time.Second}).DialContext,
 }
 
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
-	var long *http.MaxBytesError
+// readBody reads the body of a request. It returns false if it has responded with an error.
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &long):
+	case errors.As(err, &tooLarge):
 		writeError(
 			w,
 			http.StatusRequestEntityTooLarge,
 			"large",
-			fmt.Sprintf("a write of over %d bytes", most),
+			fmt.Sprintf("a write of over %d bytes", maxBytes),
 			time.Second,
 		)
 	case err != nil:
@@ -127,9 +137,10 @@
 	return body, err == nil
 }
 
-// readJSON reads a body; an empty one is an empty object.
+// readJSON reads and parses the body of a request. An empty body counts as an empty object. It returns false
+// if it has responded with an error.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	body, ok := readBody(w, r, maxBody)
+	body, ok := readBody(w, r, maxBodyBytes)
 	if !ok || len(body) == 0 {
 		return ok
 	}
@@ -140,21 +151,21 @@
 	return true
 }
 
-// write makes a handler of a command on one entry.
-func (s *Server) write(do string) http.HandlerFunc {
-	return s.leaderOnly(maxBody, func(w http.ResponseWriter, r *http.Request) {
+// write returns the handler of an operation on one entry.
+func (s *Server) write(op string) http.HandlerFunc {
+	return s.leaderOnly(maxBodyBytes, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.WriteRequest
 		if !readJSON(w, r, &body) {
 			return
 		}
 		c := registry.Command{
-			Op:        do,
+			Op:        op,
 			Name:      r.PathValue("name"),
 			ID:        body.ID,
 			IfVersion: body.IfVersion,
 			Token:     body.Token,
 		}
-		if do == registry.OpRegister {
+		if op == registry.OpRegister {
 			if body.Endpoint == nil || body.Endpoint.Name != c.Name {
 				writeError(w, http.StatusBadRequest, "bad", "entry: missing, or of another name than the call's", 0)
 				return
@@ -181,7 +192,7 @@
 	})
 }
 
-// statuses of results that changed nothing.
+// statuses maps the codes of failed commands to HTTP statuses.
 var statuses = map[registry.Code]int{
 	registry.Conflict:         http.StatusConflict,
 	registry.NotFound:         http.StatusNotFound,
@@ -190,6 +201,7 @@
 	registry.StaleToken:       http.StatusConflict,
 }
 
+// finish responds with the result of a command, or with its error.
 func (s *Server) finish(w http.ResponseWriter, r registry.Result, err error) {
 	switch {
 	case errors.Is(err, errNotLeading):
@@ -213,18 +225,18 @@
 	}
 }
 
-// renew takes renewals, which stay out of the log.
+// renew renews entries. Renewals are not logged.
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
 	var body registry.Renewal
 	if !readJSON(w, r, &body) {
 		return
 	}
-	if len(body.Names) == 0 || len(body.Names) > maxNames {
+	if len(body.Names) == 0 || len(body.Names) > maxRenewalNames {
 		writeError(
 			w,
 			http.StatusBadRequest,
 			"bad",
-			fmt.Sprintf("names: %d, want 1 to %d", len(body.Names), maxNames),
+			fmt.Sprintf("names: %d, want 1 to %d", len(body.Names), maxRenewalNames),
 			0,
 		)
 		return
--- a/internal/registry/sessionexpiry.go
+++ b/internal/registry/sessionexpiry.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// SessionExpiry are those of sessions, as the leader keeps them. Times are of one
-// monotonic clock. They are not safe for concurrent use.
+// SessionExpiry holds the deadlines of all sessions at the leader. Times are of one monotonic clock. It is
+// not safe for concurrent use.
 type SessionExpiry struct{ timers timers[struct{}] }
 
-// NewSessionExpiry restarts the TTL of every session from now, as a new leader has to.
+// NewSessionExpiry starts the TTL of every session at now, because a new leader does not know when the
+// sessions were last renewed.
 func NewSessionExpiry(all []Session, now time.Duration) *SessionExpiry {
 	d := &SessionExpiry{timers: newTimers[struct{}]()}
 	for _, s := range all {
@@ -18,20 +19,21 @@
 	return d
 }
 
-// Set notes a session that was opened now.
+// Set starts the TTL of a session that was opened or changed now.
 func (d *SessionExpiry) Set(s Session, now time.Duration) { d.timers.set(s.ID, struct{}{}, s.TTL, now) }
 
-// Drop forgets a session that has ended.
+// Drop removes a session that has ended.
 func (d *SessionExpiry) Drop(id string) { d.timers.drop(id) }
 
-// Renew restarts the TTL of a session; it returns false for one that is not there or is due.
+// Renew restarts the TTL of a session. It returns false for a session that is unknown or that Due has
+// returned.
 func (d *SessionExpiry) Renew(id string, now time.Duration) bool { return d.timers.renew(id, now) }
 
-// Due takes out the sessions that end now. None of them can be renewed any more,
-// even if its end takes long to get into the log.
+// Due removes and returns the sessions that expire now, sorted. None of them can be renewed any more, even if
+// it takes long until the log has its end.
 func (d *SessionExpiry) Due(now time.Duration) (due []string) {
-	for _, one := range d.timers.takeExpired(now) {
-		due = append(due, one.name)
+	for _, expired := range d.timers.takeExpired(now) {
+		due = append(due, expired.name)
 	}
 	slices.Sort(due)
 	return due
--- a/internal/registry/since.go
+++ b/internal/registry/since.go
@@ -1,6 +1,6 @@
 package registry
 
-// Answers to readers of the endpoint list, or of a subset of it.
+// Responses to readers of the endpoint list or of a subset of the list.
 
 import (
 	"cmp"
@@ -8,22 +8,23 @@
 	"sort"
 )
 
-// positionIndex finds the names in a subset: those of each 1024th of the ring.
+// positionIndex holds the names of endpoints by position, in 1024 equal buckets of the ring, to find the
+// endpoints of a subset.
 type positionIndex [1 << 10][]string
 
 func (a *positionIndex) bucket(name string) *[]string { return &a[Position(name)>>54] }
 
 func (a *positionIndex) add(name string) {
-	at := a.bucket(name)
-	*at = append(*at, name)
+	names := a.bucket(name)
+	*names = append(*names, name)
 }
 
 func (a *positionIndex) remove(name string) {
-	at := a.bucket(name)
-	*at = slices.DeleteFunc(*at, func(n string) bool { return n == name })
+	names := a.bucket(name)
+	*names = slices.DeleteFunc(*names, func(n string) bool { return n == name })
 }
 
-// endpointsIn returns those of a subset, by name.
+// endpointsIn returns the endpoints of a subset, sorted by name.
 func (s *State) endpointsIn(p Subset) []Endpoint {
 	all := []Endpoint{}
 	if p.IsAll() {
@@ -45,18 +46,17 @@
 	return all
 }
 
-// firstChangeAfter is the place of the first change past a version.
+// firstChangeAfter returns the index of the first change after a version.
 func (s *State) firstChangeAfter(version uint64) int {
 	return sort.Search(s.changes.len(), func(k int) bool { return s.changes.at(k).Version > version })
 }
 
-// Since is the answer to whoever has the list of version from: the changes after
-// it in their order, or the complete list where from is 0 or too old. A version
-// ahead of the state's own is answered with nothing new; whether that may be is
-// for the caller to judge.
+// Since returns the response for a reader that has the list of version from: the later changes in order, or
+// the complete list if from is 0 or too old. For a version above the state's own, the response has that
+// version and no changes; the caller decides whether such a reader is to be answered.
 func (s *State) Since(from uint64) ListResponse { return s.SubsetSince(Subset{}, from) }
 
-// SubsetSince is Since for whoever has a subset of the list. Versions are the list's.
+// SubsetSince is Since for a reader of a subset. Versions are those of the complete list.
 func (s *State) SubsetSince(p Subset, from uint64) ListResponse {
 	a := ListResponse{Index: s.version, Epoch: s.epoch, Endpoints: []Endpoint{}}
 	if from >= s.version && from > 0 {
@@ -75,7 +75,8 @@
 	return a
 }
 
-// HasNewer reports whether there is something newer for whoever has a subset as of version from.
+// HasNewer reports whether a subset has changed since version from. It may report a change that did not
+// happen if the changes since then are no longer retained.
 func (s *State) HasNewer(p Subset, from uint64) bool {
 	if p.IsAll() || from < max(s.trimmedVersion, 1) {
 		return s.ListVersion() > from
@@ -88,10 +89,10 @@
 	return false
 }
 
-// ChangePosition is a change of the list without its entry.
+// ChangePosition is the version of a change of the list and the position of its entry.
 type ChangePosition struct{ Version, Position uint64 }
 
-// ChangePositions returns the changes after a version; it returns false where they are not all kept.
+// ChangePositions returns the changes after a version. ok is false if some of them are no longer retained.
 func (s *State) ChangePositions(after uint64) (all []ChangePosition, ok bool) {
 	if after < s.trimmedVersion {
 		return nil, false
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -1,6 +1,6 @@
 package registry
 
-// The form in which the whole state is kept and copied.
+// Encoding and decoding of the complete state, for snapshots and backups.
 
 import (
 	"encoding/json"
@@ -8,7 +8,8 @@
 	"maps"
 )
 
-// versions that a restore passes over, more than could have been used since the copy
+// restoreVersionStep is the number of versions that a restore skips, more than can have been used since the
+// backup was made.
 const restoreVersionStep = 1 << 32
 
 // snapshotData is the form of a snapshot and of a backup.
@@ -22,21 +23,22 @@
 	Replicas      map[string]Address `json:"members,omitempty"`
 	Leases        leaseState         `json:"duties"`
 	Records       []Record           `json:"records,omitempty"`
-	// absent in the first programs' images, whose changes have all versions
+	// TrimmedVersion is absent in snapshots of the first programs, whose changes have consecutive versions.
 	TrimmedVersion *uint64 `json:"trimmed,omitempty"`
 
-	RecordsVersion uint64 `json:"recorded,omitempty"` // absent in the first programs' images
+	RecordsVersion uint64 `json:"recorded,omitempty"` // absent in snapshots of the first programs
 }
 
-// Snapshot is the whole state as it was, for its encoding while the state goes on.
+// Snapshot is a copy of the complete state that can be encoded while the state changes.
 type Snapshot struct{ data snapshotData }
 
-// Snapshot copies the state without encoding it. Values of records are never changed, so they are shared.
+// Snapshot copies the state without encoding it. The values of records are shared with the state, as they are
+// never modified.
 func (s *State) Snapshot() Snapshot {
 	trimmed := s.trimmedVersion
 	return Snapshot{
 		snapshotData{
-			format,
+			formatVersion,
 			s.epoch,
 			s.version,
 			s.Registrations(),
@@ -51,79 +53,83 @@
 	}
 }
 
-// Encode returns the form of a snapshot and of a backup.
+// Encode returns the encoded form of a snapshot or a backup.
 func (i Snapshot) Encode() ([]byte, error) { return json.Marshal(i.data) }
 
-// EncodeSnapshot encodes the whole state.
+// EncodeSnapshot encodes the complete state.
 func (s *State) EncodeSnapshot() ([]byte, error) { return s.Snapshot().Encode() }
 
-// DecodeSnapshot decodes a state and says what is wrong with one that could not have been.
+// DecodeSnapshot decodes a state. It returns an error for a state that no sequence of commands can produce.
 func DecodeSnapshot(raw []byte) (*State, error) {
-	var in snapshotData
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var decoded snapshotData
+	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return nil, fmt.Errorf("a snapshot that can't be read: %w", err)
 	}
-	if in.Format != format {
-		return nil, fmt.Errorf("a snapshot of form %d, this program knows %d", in.Format, format)
+	if decoded.Format != formatVersion {
+		return nil, fmt.Errorf("a snapshot of form %d, this program knows %d", decoded.Format, formatVersion)
 	}
 	s := NewState()
-	s.epoch, s.version = in.Epoch, in.Version
-	if err := s.restoreRegistrations(in); err != nil {
+	s.epoch, s.version = decoded.Epoch, decoded.Version
+	if err := s.restoreRegistrations(decoded); err != nil {
 		return nil, err
 	}
-	if err := s.restoreChanges(in); err != nil {
+	if err := s.restoreChanges(decoded); err != nil {
 		return nil, err
 	}
-	for _, w := range in.Writes {
+	for _, w := range decoded.Writes {
 		s.rememberWrite(w)
 	}
-	for name, a := range in.Replicas {
+	for name, a := range decoded.Replicas {
 		s.replicaAddresses[name] = a
 	}
-	if err := s.restoreRecords(in.Records, in.Version); err != nil {
+	if err := s.restoreRecords(decoded.Records, decoded.Version); err != nil {
 		return nil, fmt.Errorf("a snapshot: %w", err)
 	}
-	if s.recordsVersion = min(in.RecordsVersion, in.Version); s.recordsVersion == 0 && len(in.Records) > 0 {
-		s.recordsVersion = in.Version // whoever watches looks once more than needed
+	if s.recordsVersion = min(
+		decoded.RecordsVersion,
+		decoded.Version,
+	); s.recordsVersion == 0 && len(decoded.Records) > 0 {
+		s.recordsVersion = decoded.Version // watchers at an older version read once more than necessary
 	}
-	if in.Leases.Leases == nil && in.Leases.Sessions == nil {
-		return s, nil // of a program that knew no leases
+	if decoded.Leases.Leases == nil && decoded.Leases.Sessions == nil {
+		return s, nil // a snapshot of a program that knew no leases
 	}
-	if err := in.Leases.check(in.Version); err != nil {
+	if err := decoded.Leases.check(decoded.Version); err != nil {
 		return nil, fmt.Errorf("a snapshot: %w", err)
 	}
-	s.leases = in.Leases
+	s.leases = decoded.Leases
 	return s, nil
 }
 
-// restoreRegistrations takes the endpoints of a snapshot, each of which has to be valid and there once.
-func (s *State) restoreRegistrations(in snapshotData) error {
-	for _, one := range in.Registrations {
-		name := one.Endpoint.Name
-		if err := one.Endpoint.Check(); err != nil {
+// restoreRegistrations adds the endpoints of a snapshot. Each endpoint must be valid and occur once.
+func (s *State) restoreRegistrations(decoded snapshotData) error {
+	for _, registration := range decoded.Registrations {
+		name := registration.Endpoint.Name
+		if err := registration.Endpoint.Check(); err != nil {
 			return fmt.Errorf("a snapshot with a bad entry: %w", err)
 		}
-		if _, twice := s.registrations[name]; twice || one.Version > in.Version || one.Version == 0 {
+		if _, twice := s.registrations[name]; twice ||
+			registration.Version > decoded.Version || registration.Version == 0 {
 			return fmt.Errorf("a snapshot of version %d with %s twice, or at version %d",
-				in.Version, name, one.Version)
+				decoded.Version, name, registration.Version)
 		}
-		s.registrations[name] = one
+		s.registrations[name] = registration
 		s.byPosition.add(name)
 	}
 	return nil
 }
 
-// restoreChanges takes the changes of a snapshot, whose versions have to rise.
-func (s *State) restoreChanges(in snapshotData) error {
-	s.trimmedVersion = in.Version - uint64(len(in.Changes))
-	if in.TrimmedVersion != nil {
-		s.trimmedVersion = *in.TrimmedVersion
+// restoreChanges adds the changes of a snapshot. Their versions must increase.
+func (s *State) restoreChanges(decoded snapshotData) error {
+	s.trimmedVersion = decoded.Version - uint64(len(decoded.Changes))
+	if decoded.TrimmedVersion != nil {
+		s.trimmedVersion = *decoded.TrimmedVersion
 	}
 	last := s.trimmedVersion
-	for k, c := range in.Changes {
-		if c.Version <= last || c.Version > in.Version || k >= maxKeptChanges {
+	for k, c := range decoded.Changes {
+		if c.Version <= last || c.Version > decoded.Version || k >= maxRetainedChanges {
 			return fmt.Errorf("a snapshot of version %d whose change %d of %d has version %d",
-				in.Version, k+1, len(in.Changes), c.Version)
+				decoded.Version, k+1, len(decoded.Changes), c.Version)
 		}
 		last = c.Version
 		s.changes.push(c)
@@ -131,8 +137,8 @@
 	return nil
 }
 
-// restore puts a copy in place of the state, with a version past all that can have been given out since the
-// copy was made, and no changes to answer from.
+// restore replaces the state by that of a backup. The new version is above every version that can have been
+// used since the backup was made, and no changes are retained, so every reader gets the complete list.
 func (s *State) restore(c Command) Result {
 	if c.ReplacesEpoch != s.epoch {
 		return Result{
@@ -140,17 +146,17 @@
 			Reason: fmt.Sprintf("the list has epoch %s, not %s", s.epoch, c.ReplacesEpoch),
 		}
 	}
-	from, err := DecodeSnapshot(c.Snapshot)
+	restored, err := DecodeSnapshot(c.Snapshot)
 	if err != nil {
 		return Result{Code: Invalid, Reason: err.Error()}
 	}
-	from.epoch = c.Epoch
-	from.version = max(from.version, s.version) + restoreVersionStep
-	from.changes = ringBuffer[Change]{capacity: maxKeptChanges}
-	from.trimmedVersion = from.version
-	from.recordsVersion = from.version
-	// the copy says nothing of the replicas and the holders of today
-	from.replicaAddresses, from.leases = s.replicaAddresses, s.leases
-	*s = *from
+	restored.epoch = c.Epoch
+	restored.version = max(restored.version, s.version) + restoreVersionStep
+	restored.changes = ringBuffer[Change]{capacity: maxRetainedChanges}
+	restored.trimmedVersion = restored.version
+	restored.recordsVersion = restored.version
+	// the backup's replicas and lease holders are out of date, so the present ones stay
+	restored.replicaAddresses, restored.leases = s.replicaAddresses, s.leases
+	*s = *restored
 	return Result{}
 }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -8,51 +8,52 @@
 )
 
 const (
-	maxKeptChanges = 10000 // a watcher further behind gets the complete list
-	maxKeptWrites  = 10000 // write ids whose repeats are known
+	maxRetainedChanges = 10000 // a watcher that is further behind gets the complete list
+	maxRetainedWrites  = 10000 // write ids whose repeats are recognized
 )
 
-// Registration is an entry with what the service knows of it.
+// Registration is an entry of the list with its version and its time to live.
 type Registration struct {
 	Endpoint Endpoint      `json:"entry"`
-	Version  uint64        `json:"version"` // of its last change
-	TTL      time.Duration `json:"ttl"`     // 0: it does not expire
+	Version  uint64        `json:"version"` // version of the entry's last change
+	TTL      time.Duration `json:"ttl"`     // 0: the entry does not expire
 }
 
-// Change is one change of the list; its number is the version that it made.
+// Change is one change of the list. Version is the list's version after the change.
 type Change struct {
 	Version uint64   `json:"version"`
-	Entry   Endpoint `json:"entry"` // with the status gone once it has left
+	Entry   Endpoint `json:"entry"` // its status is Removed if the change removed it
 }
 
-// writeResult is a write whose repeat would be known.
+// writeResult is the result of a write, stored under the write's id so that a repeat gets the same result.
 type writeResult struct {
 	ID     string `json:"id"`
 	Result Result `json:"result"`
 }
 
-// State is the replicated state: the same commands in the same order make the
-// same state everywhere. It is not safe for concurrent use.
+// State is the replicated state: the same commands in the same order produce the same state at every replica.
+// It is not safe for concurrent use.
 type State struct {
 	epoch            string
 	version          uint64
 	registrations    map[string]Registration
-	byPosition       positionIndex // their names, by place
+	byPosition       positionIndex // the names of all registrations, by position on the ring
 	changes          ringBuffer[Change]
 	recentWrites     ringBuffer[writeResult]
-	writeResults     map[string]Result // of writes
+	writeResults     map[string]Result // by write id
 	replicaAddresses map[string]Address
 	leases           leaseState
 	records          map[string]Record
-	recordKeys       sortedKeys // of records
+	recordKeys       sortedKeys // the keys of records
 
-	recordBytes    int    // of all records' values
+	recordBytes    int    // the size of all records' values
 	recordsVersion uint64 // the version of the last change of a record
-	// the version of the last change that is no longer kept; a reader of an older version needs a snapshot
+	// trimmedVersion is the version of the last change that was dropped from changes. A reader of an older
+	// version needs a snapshot.
 	trimmedVersion uint64
 }
 
-// NewState makes an empty list without an epoch.
+// NewState returns an empty state without an epoch.
 func NewState() *State {
 	return &State{
 		registrations:    map[string]Registration{},
@@ -60,21 +61,21 @@
 		replicaAddresses: map[string]Address{},
 		leases:           newLeaseState(),
 		records:          map[string]Record{},
-		changes:          ringBuffer[Change]{capacity: maxKeptChanges},
-		recentWrites:     ringBuffer[writeResult]{capacity: maxKeptWrites},
+		changes:          ringBuffer[Change]{capacity: maxRetainedChanges},
+		recentWrites:     ringBuffer[writeResult]{capacity: maxRetainedWrites},
 	}
 }
 
-// Version is that of the list.
+// Version returns the version of the list.
 func (s *State) Version() uint64 { return s.version }
 
-// Epoch is that of the list, empty before it has begun.
+// Epoch returns the epoch of the list. It is empty before OpBegin has been applied.
 func (s *State) Epoch() string { return s.epoch }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (s *State) Len() int { return len(s.registrations) }
 
-// ReplicaAddress returns the address of a replica that was added while the others served.
+// ReplicaAddress returns the address of a replica that was added to the running cluster.
 func (s *State) ReplicaAddress(name string) (Address, bool) {
 	a, ok := s.replicaAddresses[name]
 	return a, ok
@@ -82,21 +83,22 @@
 
 // Registration returns an entry by name.
 func (s *State) Registration(name string) (Registration, bool) {
-	i, ok := s.registrations[name]
-	return i, ok
+	registration, ok := s.registrations[name]
+	return registration, ok
 }
 
-// Registrations returns all entries, by name.
+// Registrations returns all entries, sorted by name.
 func (s *State) Registrations() []Registration {
 	all := make([]Registration, 0, len(s.registrations))
-	for _, i := range s.registrations {
-		all = append(all, i)
+	for _, registration := range s.registrations {
+		all = append(all, registration)
 	}
 	slices.SortFunc(all, func(a, b Registration) int { return cmp.Compare(a.Endpoint.Name, b.Endpoint.Name) })
 	return all
 }
 
-// Apply carries out a command. A malformed one changes nothing.
+// Apply carries out a command. A malformed command changes nothing, and a repeat of a write that is still
+// known returns the first result.
 func (s *State) Apply(c Command) Result {
 	if err := c.Check(); err != nil {
 		return Result{Code: Invalid, Reason: err.Error(), Version: s.version}
@@ -117,6 +119,8 @@
 	return r
 }
 
+// rememberWrite stores the result of a write and drops that of the oldest write if maxRetainedWrites are
+// stored.
 func (s *State) rememberWrite(w writeResult) {
 	s.writeResults[w.ID] = w.Result
 	if old, full := s.recentWrites.push(w); full {
@@ -129,7 +133,7 @@
 	case OpBegin:
 		if s.epoch == "" {
 			s.epoch = c.Epoch
-			s.version++ // so that no list that has begun is at version 0, which is that of a reader who has none
+			s.version++ // version 0 stands for a reader without a list, so no list with an epoch may have it
 		}
 		return Result{}
 	case OpRegister:
@@ -139,14 +143,14 @@
 	case OpRemove:
 		return s.remove(c)
 	case OpExpire:
-		for _, l := range c.Expired {
-			if i, ok := s.registrations[l.Name]; ok && i.Version == l.Version {
-				s.removeEndpoint(i.Endpoint)
+		for _, expired := range c.Expired {
+			if registration, ok := s.registrations[expired.Name]; ok && registration.Version == expired.Version {
+				s.removeEndpoint(registration.Endpoint)
 			}
 		}
 		return Result{}
 	case OpAddReplica:
-		if _, there := s.replicaAddresses[c.Name]; !there && len(s.replicaAddresses) >= MaxReplicas {
+		if _, known := s.replicaAddresses[c.Name]; !known && len(s.replicaAddresses) >= MaxReplicas {
 			return Result{
 				Code:   CapacityExceeded,
 				Reason: fmt.Sprintf("%d replicas have been added already", len(s.replicaAddresses)),
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -157,7 +157,7 @@
 // TestFarBehind: a reader whose version has been trimmed away gets the complete list, one just within gets all changes.
 func TestFarBehind(t *testing.T) {
 	s := NewState()
-	for i := range maxKeptChanges + 5 {
+	for i := range maxRetainedChanges + 5 {
 		e := entry("s")
 		e.StartedAtMS = int64(i)
 		s.Apply(Command{Op: OpRegister, Endpoint: &e})
@@ -165,10 +165,10 @@
 	if a := s.Since(4); !a.Snapshot || len(a.Endpoints) != 1 {
 		t.Errorf("a trimmed version gets %d changes", len(a.Endpoints))
 	}
-	if a := s.Since(5); a.Snapshot || len(a.Endpoints) != maxKeptChanges {
+	if a := s.Since(5); a.Snapshot || len(a.Endpoints) != maxRetainedChanges {
 		t.Errorf("the oldest version that is kept gets %d changes, whole list %v", len(a.Endpoints), a.Snapshot)
 	}
-	if len(s.writeResults) > maxKeptWrites {
+	if len(s.writeResults) > maxRetainedWrites {
 		t.Errorf("%d writes are known", len(s.writeResults))
 	}
 }
--- a/internal/registry/subset.go
+++ b/internal/registry/subset.go
@@ -1,6 +1,6 @@
 package registry
 
-// Subsets of the endpoint list: which of its endpoints a proxy works with, and so has to know.
+// Subsets of the endpoint list: the endpoints that one proxy works with and therefore follows.
 
 import (
 	"fmt"
@@ -11,51 +11,58 @@
 	"wrenspread/internal/splitmix"
 )
 
-// The width of a proxy's subset. A proxy works with the endpoints that follow its place on the ring, at least
-// the balancer's smallest subset, and as many as let proxiesPerEndpoint proxies work with each: the
-// balancer's subset size. It holds spareFactor times as many, so that it goes on where most of them are ill
-// and nobody can be asked, and minSubsetEndpoints at least, of which a proxy's own cost is small and chance
-// leaves none without a zone.
+// Bounds on the size of a proxy's subset. A proxy balances over the endpoints that follow its start position
+// on the ring. Their number is the balancer's subset size: enough for proxiesPerEndpoint proxies to use each
+// endpoint, and at least the balancer's smallest subset. The proxy follows spareFactor times as many
+// endpoints, so that it can continue to serve if most of them fail while the registry is unreachable. It
+// follows at least minSubsetEndpoints: that many cost a proxy little and make it unlikely that a zone has
+// none of them.
 const (
 	proxiesPerEndpoint = 6
 	spareFactor        = 4
 	minSubsetEndpoints = 256
-	// ready endpoints that a subset has of each placement of classes: spareFactor times the balancer's smallest
-	// subset size
-	minPerPlacement    = 4 * 5
-	maxSubsetEndpoints = 8192 // endpoints up to which a subset grows for a group that is short: 1 MB to read
+	// minPerPlacement is the number of ready endpoints that a subset must have for each placement of classes:
+	// spareFactor times the balancer's smallest subset size.
+	minPerPlacement = 4 * 5
+	// maxSubsetEndpoints bounds the growth of a subset for a placement that has too few endpoints; reading that
+	// many takes 1 MB.
+	maxSubsetEndpoints = 8192
 )
 
 const (
-	ringUnits = 1 << 16       // units of a subset's ends
-	minWidth  = 4             // units of the narrowest part
-	maxWidth  = ringUnits / 4 // of the widest; beyond it is the complete list
-	// 2^64 / math.Phi: places of consecutive numbers lie evenly, however many there are
-	goldenStep = splitmix.Increment
-	silverStep = 0x6a09e667f3bcc909 // 2^64 * (math.Sqrt2 - 1): even, too, and of no relation to it
+	ringUnits = 1 << 16       // units of the ring in which subsets begin and end
+	minWidth  = 4             // units of the narrowest subset
+	maxWidth  = ringUnits / 4 // units of the widest subset; a wider one is the complete list
+	// goldenRatioStep is 2^64 / math.Phi: multiples of it are spread evenly over the ring, for any number of
+	// them.
+	goldenRatioStep = splitmix.Increment
+	// sqrt2Step is 2^64 * (math.Sqrt2 - 1): multiples of it are spread evenly as well, and are not correlated
+	// with those of goldenRatioStep.
+	sqrt2Step = 0x6a09e667f3bcc909
 )
 
-// Position is the position of an endpoint on the ring: the same at every proxy, whatever the list.
+// Position returns the position of an endpoint on the ring. It depends on the name alone, so it is the same
+// at every proxy and for every list.
 func Position(name string) uint64 {
-	h := uint32(2166136261) // FNV-1a, as of hash/fnv, without its allocation
+	h := uint32(2166136261) // FNV-1a as in hash/fnv, but without an allocation
 	for i := range len(name) {
 		h = (h ^ uint32(name[i])) * 16777619
 	}
 	return splitmix.Mix(uint64(h))
 }
 
-// StartPosition is the point of the ring from which the proxy of a number takes its endpoints.
-func StartPosition(self int) uint64 { return uint64(self) * goldenStep }
+// StartPosition returns the position on the ring from which the proxy with a number takes its endpoints.
+func StartPosition(proxyNumber int) uint64 { return uint64(proxyNumber) * goldenRatioStep }
 
-// Subset is an arc of the ring, in units of 2^-16 of it. Widths are powers of two, and an arc begins at a
-// quarter of its width, so that proxies with places near each other have the same one. The zero subset is all
-// of the list.
+// Subset is an arc of the ring, in units of 1/65536 of the ring. Widths are powers of two, and an arc begins
+// at a multiple of a quarter of its width, so that proxies with nearby start positions share a subset. The
+// zero value is the complete list.
 type Subset struct{ Start, Width uint16 }
 
-// allSubsets is the text form of all of the list.
+// allSubsets is the text form of the complete list.
 const allSubsets = "all"
 
-// IsAll reports whether it is all of the list.
+// IsAll reports whether the subset is the complete list.
 func (p Subset) IsAll() bool { return p.Width == 0 }
 
 func (p Subset) String() string {
@@ -65,16 +72,16 @@
 	return fmt.Sprintf("%d-%d", p.Start, p.Width)
 }
 
-// ParseSubset reads the text form.
+// ParseSubset parses the text form that String returns.
 func ParseSubset(s string) (Subset, error) {
 	if s == allSubsets {
 		return Subset{}, nil
 	}
 	first, second, _ := strings.Cut(s, "-")
-	from, err := strconv.ParseUint(first, 10, 16)
+	start, err := strconv.ParseUint(first, 10, 16)
 	width, err2 := strconv.ParseUint(second, 10, 16)
 	if err != nil || err2 != nil || width < minWidth || width > maxWidth || width&(width-1) != 0 ||
-		from%(width/4) != 0 {
+		start%(width/4) != 0 {
 		return Subset{}, fmt.Errorf(
 			"part: %q is neither %q nor FROM-WIDTH with a power of two from %d to %d and a multiple of its quarter",
 			s[:min(len(s), 40)],
@@ -83,29 +90,30 @@
 			maxWidth,
 		)
 	}
-	return Subset{uint16(from), uint16(width)}, nil
+	return Subset{uint16(start), uint16(width)}, nil
 }
 
-// Contains reports whether a server at that point belongs to it.
+// Contains reports whether an endpoint at a position belongs to the subset.
 func (p Subset) Contains(point uint64) bool { return p.IsAll() || uint16(point>>48)-p.Start < p.Width }
 
-// EachSubset calls do with every subset that holds a point, all of the list too: four of each width.
+// EachSubset calls do with every subset that contains a position: the complete list and four of each width.
 func EachSubset(point uint64, do func(Subset)) {
 	do(Subset{})
-	at := uint16(point >> 48)
-	for arc := uint16(minWidth); arc <= maxWidth; arc *= 2 {
-		step := arc / 4
+	unit := uint16(point >> 48)
+	for width := uint16(minWidth); width <= maxWidth; width *= 2 {
+		step := width / 4
 		for k := range uint16(4) {
-			do(Subset{at/step*step - k*step, arc})
+			do(Subset{unit/step*step - k*step, width})
 		}
 	}
 }
 
-// Covers reports whether all that belongs to q belongs to it.
+// Covers reports whether every endpoint of q belongs to p.
 func (p Subset) Covers(q Subset) bool {
 	return p.IsAll() || !q.IsAll() && int(q.Start-p.Start)+int(q.Width) <= int(p.Width)
 }
 
+// width returns the width in ring units; it is ringUnits for the complete list.
 func (p Subset) width() int {
 	if p.IsAll() {
 		return ringUnits
@@ -113,70 +121,73 @@
 	return int(p.Width)
 }
 
-// subsetAt is the subset of an arc around a proxy's place: three quarters of it follow the place, at least.
-func subsetAt(self, arc int) Subset {
-	if arc > maxWidth {
+// subsetAt returns the subset of a width that contains a proxy's start position in its first quarter, so that
+// at least three quarters of the subset follow the position.
+func subsetAt(proxyNumber, width int) Subset {
+	if width > maxWidth {
 		return Subset{}
 	}
-	step := uint16(arc / 4)
-	return Subset{uint16(StartPosition(self)>>48) / step * step, uint16(arc)}
+	step := uint16(width / 4)
+	return Subset{uint16(StartPosition(proxyNumber)>>48) / step * step, uint16(width)}
 }
 
-// SubsetOf is the subset that the proxy of a number needs where so many proxies work with a list of total
-// endpoints. Two proxies that believe in other numbers have subsets of other widths around the same place.
-// The size at which a subset's width doubles differs by half from proxy to proxy, so that no single server or
-// proxy moves many subsets.
-func SubsetOf(self, nodes, total int) Subset {
-	if nodes <= 0 || total <= 0 {
+// SubsetOf returns the subset that a proxy needs if a number of proxies share a list of total endpoints. If
+// estimates of proxies or total differ, only the width of the subset differs. The list size at which the
+// width doubles varies from proxy to proxy by a factor of up to two, so that one endpoint or proxy more does
+// not change many subsets at once.
+func SubsetOf(proxyNumber, proxies, total int) Subset {
+	if proxies <= 0 || total <= 0 {
 		return Subset{}
 	}
-	need := max(minSubsetEndpoints, spareFactor*proxiesPerEndpoint*float64(total)/float64(nodes))
-	need *= 1 + float64(uint64(self)*silverStep>>33)/(1<<32)
-	arc := minWidth
-	for arc <= maxWidth && float64(arc/4*3)*float64(total) < need*ringUnits {
-		arc *= 2
+	wanted := max(minSubsetEndpoints, spareFactor*proxiesPerEndpoint*float64(total)/float64(proxies))
+	wanted *= 1 + float64(uint64(proxyNumber)*sqrt2Step>>33)/(1<<32)
+	width := minWidth
+	for width <= maxWidth && float64(width/4*3)*float64(total) < wanted*ringUnits {
+		width *= 2
 	}
-	return subsetAt(self, arc)
+	return subsetAt(proxyNumber, width)
 }
 
-// Placement is a placement that classes of requests share: the zones and types of the endpoints open to them,
-// all where nil.
+// Placement lists the zones and types of the endpoints that classes of requests may use; nil allows all.
 type Placement struct{ Zones, Types []string }
 
+// allows reports whether the placement allows an endpoint.
 func (g Placement) allows(e Endpoint) bool {
 	return (g.Zones == nil || slices.Contains(g.Zones, e.Zone)) &&
 		(g.Types == nil || slices.Contains(g.Types, e.Type))
 }
 
-// suffices reports whether p, of which entries are all at least, has endpoints enough for each group.
-func (p Subset) suffices(entries []Endpoint, groups []Placement) bool {
-	has := make([]int, len(groups))
+// suffices reports whether p has minPerPlacement ready endpoints for each placement. entries must include all
+// endpoints of p; others are ignored.
+func (p Subset) suffices(entries []Endpoint, placements []Placement) bool {
+	counts := make([]int, len(placements))
 	for _, e := range entries {
 		if e.Status != Ready || !p.Contains(Position(e.Name)) {
 			continue
 		}
-		for i, g := range groups {
+		for i, g := range placements {
 			if g.allows(e) {
-				has[i]++
+				counts[i]++
 			}
 		}
 	}
-	for i, g := range groups {
+	for i, g := range placements {
 		empty := g.Zones != nil && len(g.Zones) == 0 || g.Types != nil && len(g.Types) == 0
-		if has[i] < minPerPlacement && !empty {
+		if counts[i] < minPerPlacement && !empty {
 			return false
 		}
 	}
 	return true
 }
 
-// Next is the subset to follow for a proxy that has p, and these entries of it. It grows at once, and where a
-// group is short of endpoints up to maxSubsetEndpoints; it shrinks only to under a quarter, so that nothing
-// goes to and fro. Entries are nil where none are known yet.
-func (p Subset) Next(self, nodes, total int, entries []Endpoint, groups []Placement) Subset {
-	next := SubsetOf(self, nodes, total)
-	for entries != nil && p.Covers(next) && !next.IsAll() && !next.suffices(entries, groups) {
-		wider := subsetAt(self, 2*next.width())
+// Next returns the subset to follow for a proxy that follows p and knows its entries; entries is nil if none
+// are known yet. The subset grows as soon as it has to, and up to maxSubsetEndpoints if a placement has too
+// few endpoints. It shrinks only if less than a quarter of p is enough, so that it does not alternate between
+// widths.
+func (p Subset) Next(proxyNumber, proxies, total int, entries []Endpoint, placements []Placement) Subset {
+	next := SubsetOf(proxyNumber, proxies, total)
+	for entries != nil && p.Covers(next) && !next.IsAll() && !next.suffices(entries, placements) {
+		wider := subsetAt(proxyNumber, 2*next.width())
 		if wider.width()*total > maxSubsetEndpoints*ringUnits {
 			break
 		}
--- a/internal/registry/timers.go
+++ b/internal/registry/timers.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// timers find what is overdue without a walk over all. Renewals, which are most of what comes, leave a timer
-// where it waits; it is looked at when the deadline that it waits by has passed, and then waits by its
-// present one. Its present one is never before that.
+// timers finds expired items without visiting all of them. Most calls are renewals, and a renewal leaves a
+// timer at its place in the queue: the timer is queued again under its present deadline once the deadline
+// under which it is queued has passed. The present deadline is never before the queued one.
 type timers[T any] struct {
 	byName map[string]*timer[T]
-	queue  timerQueue[T] // by the deadlines that they wait by
+	queue  timerQueue[T] // ordered by queuedDeadline
 }
 
+// timer is the deadline of a named value. index is the timer's place in the queue.
 type timer[T any] struct {
 	value          T
 	name           string
@@ -24,63 +25,64 @@
 func newTimers[T any]() timers[T] { return timers[T]{byName: map[string]*timer[T]{}} }
 
 // set restarts the TTL of a name from now.
-func (t *timers[T]) set(name string, of T, ttl, now time.Duration) {
-	one, there := t.byName[name]
-	if !there {
-		one = &timer[T]{name: name, queuedDeadline: now + ttl}
-		t.byName[name] = one
-		heap.Push(&t.queue, one)
+func (t *timers[T]) set(name string, value T, ttl, now time.Duration) {
+	found, exists := t.byName[name]
+	if !exists {
+		found = &timer[T]{name: name, queuedDeadline: now + ttl}
+		t.byName[name] = found
+		heap.Push(&t.queue, found)
 	}
-	one.value, one.ttl, one.deadline = of, ttl, now+ttl
-	if one.deadline < one.queuedDeadline {
-		t.requeue(one)
+	found.value, found.ttl, found.deadline = value, ttl, now+ttl
+	if found.deadline < found.queuedDeadline {
+		t.requeue(found)
 	}
 }
 
-// requeue has one wait for its present deadline.
-func (t *timers[T]) requeue(one *timer[T]) {
-	one.queuedDeadline = one.deadline
-	heap.Fix(&t.queue, one.index)
+// requeue moves a timer to the place of its present deadline in the queue.
+func (t *timers[T]) requeue(moved *timer[T]) {
+	moved.queuedDeadline = moved.deadline
+	heap.Fix(&t.queue, moved.index)
 }
 
+// drop removes the timer of a name, if there is one.
 func (t *timers[T]) drop(name string) {
-	if one, there := t.byName[name]; there {
-		heap.Remove(&t.queue, one.index)
+	if found, exists := t.byName[name]; exists {
+		heap.Remove(&t.queue, found.index)
 		delete(t.byName, name)
 	}
 }
 
-// renew restarts the TTL of a name; it returns false for one that is not there.
+// renew restarts the TTL of a name. It returns false if the name has no timer.
 func (t *timers[T]) renew(name string, now time.Duration) bool {
-	one, there := t.byName[name]
-	if there {
-		one.deadline = now + one.ttl
+	found, exists := t.byName[name]
+	if exists {
+		found.deadline = now + found.ttl
 	}
-	return there
+	return exists
 }
 
-// takeExpired takes out those whose deadline has passed.
+// takeExpired removes and returns the timers whose deadline has passed.
 func (t *timers[T]) takeExpired(now time.Duration) (all []*timer[T]) {
 	for len(t.queue) > 0 && t.queue[0].queuedDeadline < now {
-		one := t.queue[0]
-		if one.deadline >= now {
-			t.requeue(one)
+		first := t.queue[0]
+		if first.deadline >= now {
+			t.requeue(first)
 			continue
 		}
 		heap.Pop(&t.queue)
-		delete(t.byName, one.name)
-		all = append(all, one)
+		delete(t.byName, first.name)
+		all = append(all, first)
 	}
 	return all
 }
 
-// putBack puts one in again that was taken out.
-func (t *timers[T]) putBack(one *timer[T]) {
-	t.byName[one.name] = one
-	heap.Push(&t.queue, one)
+// putBack adds a timer again that takeExpired has returned.
+func (t *timers[T]) putBack(expired *timer[T]) {
+	t.byName[expired.name] = expired
+	heap.Push(&t.queue, expired)
 }
 
-// timerQueue is a heap.Interface.
+// timerQueue implements heap.Interface, ordered by queuedDeadline.
 type timerQueue[T any] []*timer[T]
 
 func (q timerQueue[T]) Len() int           { return len(q) }
@@ -90,16 +92,16 @@
 	q[i].index, q[j].index = i, j
 }
 
-func (q *timerQueue[T]) Push(one any) {
-	t := one.(*timer[T])
+func (q *timerQueue[T]) Push(pushed any) {
+	t := pushed.(*timer[T])
 	t.index = len(*q)
 	*q = append(*q, t)
 }
 
 func (q *timerQueue[T]) Pop() any {
 	last := len(*q) - 1
-	one := (*q)[last]
+	popped := (*q)[last]
 	(*q)[last] = nil
 	*q = (*q)[:last]
-	return one
+	return popped
 }
