--- a/cmd/wrenspread-registry/quorum_test.go
+++ b/cmd/wrenspread-registry/quorum_test.go
@@ -9,7 +9,7 @@
 	"wrenspread/internal/lab/quorum"
 )
 
-// TestMain runs the program itself where a test has started it anew.
+// TestMain runs the program itself if a test has started this binary as a replica.
 func TestMain(m *testing.M) {
 	if os.Getenv("WRENSPREAD_REGISTRY_AS_PROGRAM") == "1" {
 		main()
@@ -18,9 +18,9 @@
 	os.Exit(m.Run())
 }
 
-// TestQuorum: three replicas under kills, pauses, cuts and delays. Writes and
-// current reads are linearizable; watches are gapless, ordered and alike.
-func TestQuorum(t *testing.T) {
+// TestQuorumUnderFaults runs three replicas with kills, pauses, cuts and delays. Writes and current reads are
+// linearizable, and watches have no gaps, are in order and agree with each other.
+func TestQuorumUnderFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		o, err := quorum.Play(context.Background(), quorum.Options{Seed: seed, Replicas: 3, Clients: 4, Length: 6 * time.Second, Dir: t.TempDir(),
 			Command: []string{os.Args[0]}, Env: []string{"WRENSPREAD_REGISTRY_AS_PROGRAM=1"}})
--- a/internal/fencing/fencing_test.go
+++ b/internal/fencing/fencing_test.go
@@ -15,15 +15,16 @@
 	"wrenspread/internal/registry"
 )
 
-// TestGuard: over restarts, no order goes through after one with a higher fence.
-func TestGuard(t *testing.T) {
+// TestNoOrderPassesAfterHigherToken checks that no order is admitted after one with a higher fencing token,
+// over restarts of the guard.
+func TestNoOrderPassesAfterHigherToken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "fence")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-		high := map[string]uint64{}
+		highest := map[string]uint64{}
 		g, err := Open(dir)
 		for range rapid.IntRange(1, 30).Draw(t, "orders") {
 			if err != nil {
@@ -37,11 +38,11 @@
 			r.Header.Set(Header, Format(f))
 			status, err := g.CheckRequest(r)
 			var stale *StaleError
-			if want := f.Number >= high[f.Lease]; want != (err == nil) ||
-				!want && (status != 409 || !errors.As(err, &stale) || stale.Highest != high[f.Lease]) {
-				t.Fatalf("%+v after %d: %d, %v", f, high[f.Lease], status, err)
+			if want := f.Number >= highest[f.Lease]; want != (err == nil) ||
+				!want && (status != 409 || !errors.As(err, &stale) || stale.Highest != highest[f.Lease]) {
+				t.Fatalf("%+v after %d: %d, %v", f, highest[f.Lease], status, err)
 			}
-			high[f.Lease] = max(high[f.Lease], f.Number)
+			highest[f.Lease] = max(highest[f.Lease], f.Number)
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
 				if g, err = Open(dir); err != nil {
 					t.Fatal(err)
@@ -51,8 +52,9 @@
 	})
 }
 
-// TestBadFences get their answer, and a damaged folder is told.
-func TestBadFences(t *testing.T) {
+// TestInvalidTokensAndDamagedFile checks the statuses of malformed tokens, and that a damaged file is an
+// error.
+func TestInvalidTokensAndDamagedFile(t *testing.T) {
 	g, _ := Open("")
 	for value, want := range map[string]int{"": 200, "a": 400, "a x": 400, " 4": 400, "a -1": 400, "a 0": 503, "a 5": 200} {
 		r := httptest.NewRequest("POST", "/", nil)
@@ -66,6 +68,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(dir); err == nil {
-		t.Error("a damaged file is taken")
+		t.Error("a damaged file is accepted")
 	}
 }
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -138,7 +138,7 @@
 		if cand.stopRequestedAt != 0 || !mustStop {
 			return action{}, false
 		}
-		cand.stopRequestedAt = max(now, 1) // 0 stands for never
+		cand.stopRequestedAt = max(now, 1) // 0 would mean that no stop was requested
 		return action{stopWork, cand, cand.runningToken}, true
 	case !c.open || cand.callPending:
 		return action{}, false
--- a/internal/lease/core_test.go
+++ b/internal/lease/core_test.go
@@ -9,41 +9,43 @@
 	"wrenspread/internal/registry"
 )
 
-// sim plays processes' cores against the service's state machine, on clocks that
-// run at different rates, with messages that are late or lost.
+// sim runs the cores of several processes against the registry's state machine, on clocks that run at
+// different rates, with messages that are delayed or lost.
 type sim struct {
-	chance  *rand.Rand
-	real    time.Duration
-	state   *registry.State
-	due     *registry.SessionExpiry
-	rate    float64 // of the leader's clock
-	procs   []*player
-	flight  []message
-	trouble bool // processes stand still now and then, and their work with them
-	guard   bool // the resource checks fences
-	high    uint64
-	last    string // who wrote last, and under what
-	wrong   string
-	granted uint64 // the highest fence
-	grants  int
+	rng             *rand.Rand
+	realTime        time.Duration
+	state           *registry.State
+	expiry          *registry.SessionExpiry
+	leaderRate      float64 // rate of the leader's clock
+	processes       []*simProcess
+	inFlight        []message
+	pausesProcesses bool // processes, and their work with them, are paused from time to time
+	checksTokens    bool // the resource checks fencing tokens
+	highestWritten  uint64
+	lastWriter      string // the process that wrote last, and its token
+	violation       string
+	highestGranted  uint64 // the highest fencing token that was granted
+	grants          int
 }
 
+// message is a call in transit, to be delivered at a time.
 type message struct {
-	at time.Duration
-	do func()
+	at      time.Duration
+	deliver func()
 }
 
-type player struct {
-	c       *core
-	want    *candidacy
-	rate    float64
-	session string
-	n       int
-	running uint64
-	stopAt  time.Duration // real; 0: it was not told to stop
-	still   time.Duration // until then it stands still
-	cut     time.Duration // until then it is cut off from the service
-	renewAt time.Duration // local
+// simProcess is a process of the simulation with its core and its work.
+type simProcess struct {
+	core         *core
+	candidacy    *candidacy
+	rate         float64
+	session      string
+	sessions     int
+	runningToken uint64
+	stopAt       time.Duration // real time at which the work stops; 0: its context is not cancelled
+	pausedUntil  time.Duration // real time until which the process is paused
+	cutOffUntil  time.Duration // real time until which the process is cut off from the registry
+	renewAt      time.Duration // time of the next renewal by the process's clock
 }
 
 const (
@@ -52,132 +54,139 @@
 	simTime = 40 * time.Second
 )
 
-func (s *sim) leader() time.Duration { return time.Duration(s.rate * float64(s.real)) }
+// leaderNow returns the time of the leader's clock.
+func (s *sim) leaderNow() time.Duration { return time.Duration(s.leaderRate * float64(s.realTime)) }
 
-func (p *player) now(s *sim) time.Duration { return time.Duration(p.rate*float64(s.real)) + 1 }
+// now returns the time of the process's clock.
+func (p *simProcess) now(s *sim) time.Duration { return time.Duration(p.rate*float64(s.realTime)) + 1 }
 
-// drawRate draws a clock's rate, often at its bounds.
+// drawRate draws the rate of a clock, often at one of its bounds.
 func (s *sim) drawRate() float64 {
-	return []float64{1 - maxClockDrift, 1, 1 + maxClockDrift}[s.chance.IntN(3)]
+	return []float64{1 - maxClockDrift, 1, 1 + maxClockDrift}[s.rng.IntN(3)]
 }
 
-// send has something of a process's done after a while, or never.
-func (s *sim) send(p *player, do func()) {
-	if s.real < p.cut {
+// send delivers a message of a process after a random delay, or never.
+func (s *sim) send(p *simProcess, do func()) {
+	if s.realTime < p.cutOffUntil {
 		return
 	}
-	late := time.Duration(s.chance.IntN(60)) * time.Millisecond
-	switch s.chance.IntN(40) {
+	late := time.Duration(s.rng.IntN(60)) * time.Millisecond
+	switch s.rng.IntN(40) {
 	case 0:
 		return
 	case 1:
-		late = time.Duration(s.chance.Int64N(int64(3 * simTTL)))
+		late = time.Duration(s.rng.Int64N(int64(3 * simTTL)))
 	}
-	s.flight = append(s.flight, message{s.real + late, do})
+	s.inFlight = append(s.inFlight, message{s.realTime + late, do})
 }
 
+// apply applies a command to the state and checks that the fencing token does not fall.
 func (s *sim) apply(c registry.Command) registry.Result {
 	c.Grant = []string{"d"}
 	r := s.state.Apply(c)
-	d, _ := s.state.Lease("d") // forgotten where nobody wants it
-	if d.Token != 0 && d.Token < s.granted {
-		s.wrong = fmt.Sprintf("fence %d after %d", d.Token, s.granted)
+	d, _ := s.state.Lease("d") // an unused lease does not exist, its token is then 0
+	if d.Token != 0 && d.Token < s.highestGranted {
+		s.violation = fmt.Sprintf("fencing token %d after %d", d.Token, s.highestGranted)
 	}
-	if d.Token > s.granted {
-		s.granted = d.Token
+	if d.Token > s.highestGranted {
+		s.highestGranted = d.Token
 		s.grants++
 	}
 	return r
 }
 
+// newSim returns a simulation of three processes whose cores assume a TTL.
 func newSim(seed uint64, ttl time.Duration) *sim {
-	s := &sim{chance: rand.New(rand.NewPCG(seed, 7)), state: registry.NewState(), guard: true}
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 7)), state: registry.NewState(), checksTokens: true}
 	s.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
-	s.rate = s.drawRate()
-	s.due = registry.NewSessionExpiry(nil, 0)
+	s.leaderRate = s.drawRate()
+	s.expiry = registry.NewSessionExpiry(nil, 0)
 	for range 3 {
-		p := &player{c: &core{ttl: ttl}, rate: s.drawRate()}
-		p.want = p.c.add(
-			registry.Candidacy{Lease: "d", Priority: s.chance.IntN(2), Preempt: s.chance.IntN(3) == 0},
+		p := &simProcess{core: &core{ttl: ttl}, rate: s.drawRate()}
+		p.candidacy = p.core.add(
+			registry.Candidacy{Lease: "d", Priority: s.rng.IntN(2), Preempt: s.rng.IntN(3) == 0},
 			0,
 		)
-		s.procs = append(s.procs, p)
+		s.processes = append(s.processes, p)
 	}
 	return s
 }
 
+// run runs the simulation until it ends or a check fails.
 func (s *sim) run() {
-	for ; s.real < simTime && s.wrong == ""; s.real += simStep {
-		s.serve()
-		flight := s.flight
-		s.flight = nil
+	for ; s.realTime < simTime && s.violation == ""; s.realTime += simStep {
+		s.runLeader()
+		flight := s.inFlight
+		s.inFlight = nil
 		for _, m := range flight {
-			if m.at <= s.real {
-				m.do()
+			if m.at <= s.realTime {
+				m.deliver()
 			} else {
-				s.flight = append(s.flight, m)
+				s.inFlight = append(s.inFlight, m)
 			}
 		}
-		for i, p := range s.procs {
-			s.turn(i, p)
+		for i, p := range s.processes {
+			s.stepProcess(i, p)
 		}
-		s.overlap()
+		s.checkOverlap()
 	}
 }
 
-// serve is the leader: it ends sessions, and now and then another follows it.
-func (s *sim) serve() {
-	if s.chance.IntN(400) == 0 {
-		s.rate = s.drawRate()
-		s.due = registry.NewSessionExpiry(s.state.Sessions(), s.leader())
-	}
-	if ids := s.due.Due(s.leader()); len(ids) > 0 {
+// runLeader expires sessions as the leader does. From time to time another leader takes over, or the holder
+// is asked to transfer the lease.
+func (s *sim) runLeader() {
+	if s.rng.IntN(400) == 0 {
+		s.leaderRate = s.drawRate()
+		s.expiry = registry.NewSessionExpiry(s.state.Sessions(), s.leaderNow())
+	}
+	if ids := s.expiry.Due(s.leaderNow()); len(ids) > 0 {
 		s.apply(registry.Command{Op: registry.OpCloseSessions, Sessions: ids})
 	}
-	if s.chance.IntN(300) == 0 {
+	if s.rng.IntN(300) == 0 {
 		s.apply(registry.Command{Op: registry.OpTransfer, Name: "d"})
 	}
 }
 
-// turn lets a process do what it does, unless it stands still.
-func (s *sim) turn(i int, p *player) {
-	if s.trouble && s.chance.IntN(300) == 0 {
-		p.still = s.real + time.Duration(s.chance.Int64N(int64(3*simTTL)))
+// stepProcess runs one step of a process, unless the process is paused.
+func (s *sim) stepProcess(i int, p *simProcess) {
+	if s.pausesProcesses && s.rng.IntN(300) == 0 {
+		p.pausedUntil = s.realTime + time.Duration(s.rng.Int64N(int64(3*simTTL)))
 	}
-	if s.real < p.still {
+	if s.realTime < p.pausedUntil {
 		return
 	}
-	if s.chance.IntN(300) == 0 {
-		p.cut = s.real + time.Duration(s.chance.Int64N(int64(3*simTTL)))
+	if s.rng.IntN(300) == 0 {
+		p.cutOffUntil = s.realTime + time.Duration(s.rng.Int64N(int64(3*simTTL)))
 	}
-	if p.running != 0 {
+	if p.runningToken != 0 {
 		s.write(i, p)
 	}
-	if p.stopAt != 0 && s.real >= p.stopAt {
-		p.running, p.stopAt = 0, 0
-		p.c.workEnded(p.now(s), p.want, []error{nil, fmt.Errorf("failed")}[s.chance.IntN(2)])
-		p.want.cancelled = false // it wants it again
-	} else if p.running != 0 && p.stopAt == 0 && s.chance.IntN(200) == 0 {
-		p.running = 0 // it fails by itself
-		p.c.workEnded(p.now(s), p.want, fmt.Errorf("failed"))
+	if p.stopAt != 0 && s.realTime >= p.stopAt {
+		p.runningToken, p.stopAt = 0, 0
+		p.core.workEnded(p.now(s), p.candidacy, []error{nil, fmt.Errorf("failed")}[s.rng.IntN(2)])
+		p.candidacy.cancelled = false // the process campaigns again
+	} else if p.runningToken != 0 && p.stopAt == 0 && s.rng.IntN(200) == 0 {
+		p.runningToken = 0 // the work fails by itself
+		p.core.workEnded(p.now(s), p.candidacy, fmt.Errorf("failed"))
 	}
-	if s.chance.IntN(1000) == 0 { // it dies, and a new process comes
-		p.c, p.running, p.stopAt, p.session = &core{ttl: p.c.ttl}, 0, 0, ""
-		p.want = p.c.add(registry.Candidacy{Lease: "d"}, 0)
+	if s.rng.IntN(1000) == 0 { // the process dies and a new one starts
+		p.core, p.runningToken, p.stopAt, p.session = &core{ttl: p.core.ttl}, 0, 0, ""
+		p.candidacy = p.core.add(registry.Candidacy{Lease: "d"}, 0)
 	}
-	s.talk(i, p)
-	for _, a := range p.c.step(p.now(s)) {
-		s.act(p, a)
+	s.callRegistry(i, p)
+	for _, a := range p.core.step(p.now(s)) {
+		s.carryOut(p, a)
 	}
 }
 
-func (s *sim) act(p *player, a action) {
-	c, w, id := p.c, a.candidacy, p.session
+// carryOut carries out an action of a process's core.
+func (s *sim) carryOut(p *simProcess, a action) {
+	c, w, id := p.core, a.candidacy, p.session
 	switch a.kind {
 	case startWork:
-		p.running = a.token
+		p.runningToken = a.token
 	case stopWork:
-		p.stopAt = s.real + time.Duration(s.chance.Int64N(int64(simTTL/stopFraction-2*simStep)))
+		p.stopAt = s.realTime + time.Duration(s.rng.Int64N(int64(simTTL/stopFraction-2*simStep)))
 	default:
 		do := registry.OpCampaign
 		if a.kind == releaseLease {
@@ -189,35 +198,35 @@
 				registry.Command{Op: do, Session: &registry.Session{ID: id}, Candidacies: []registry.Candidacy{w.spec}},
 			)
 			s.send(p, func() {
-				if answered = true; p.c == c && p.session == id {
+				if answered = true; p.core == c && p.session == id {
 					c.callEnded(a.kind, w, r.Code == registry.Applied)
 				}
 			})
 		})
-		s.flight = append(s.flight, message{s.real + 4*simTTL, func() {
-			if !answered && p.c == c && p.session == id {
+		s.inFlight = append(s.inFlight, message{s.realTime + 4*simTTL, func() {
+			if !answered && p.core == c && p.session == id {
 				c.callEnded(a.kind, w, false)
 			}
 		}})
 	}
 }
 
-// talk opens and renews a process's session, and asks for its duties.
-func (s *sim) talk(i int, p *player) {
-	now, c := p.now(s), p.c
+// callRegistry opens or renews a process's session and reads its leases.
+func (s *sim) callRegistry(i int, p *simProcess) {
+	now, c := p.now(s), p.core
 	if now < p.renewAt && !c.needsRenewal() {
 		return
 	}
 	p.renewAt = now + simTTL/4
 	if !c.open {
-		p.n++
-		id := fmt.Sprintf("p%d-%d", i, p.n)
+		p.sessions++
+		id := fmt.Sprintf("p%d-%d", i, p.sessions)
 		s.send(p, func() {
-			one := registry.Session{ID: id, Process: fmt.Sprint("p", i), TTL: simTTL}
-			s.apply(registry.Command{Op: registry.OpOpenSession, Session: &one})
-			s.due.Set(one, s.leader())
+			session := registry.Session{ID: id, Process: fmt.Sprint("p", i), TTL: simTTL}
+			s.apply(registry.Command{Op: registry.OpOpenSession, Session: &session})
+			s.expiry.Set(session, s.leaderNow())
 			s.send(p, func() {
-				if p.c == c && !c.open {
+				if p.core == c && !c.open {
 					p.session = id
 					c.sessionOpened()
 				}
@@ -227,9 +236,9 @@
 	}
 	id := p.session
 	s.send(p, func() {
-		known := s.due.Renew(id, s.leader())
+		known := s.expiry.Renew(id, s.leaderNow())
 		s.send(p, func() {
-			if p.c != c || p.session != id {
+			if p.core != c || p.session != id {
 				return
 			}
 			if known {
@@ -243,110 +252,114 @@
 		all, ok := s.state.Leases(id)
 		a := registry.LeasesResponse{Index: s.state.LeasesVersion(), Epoch: "e", Leases: all}
 		s.send(p, func() {
-			if ok && p.c == c && p.session == id {
+			if ok && p.core == c && p.session == id {
 				c.leasesReported(p.now(s), id, a)
 			}
 		})
 	})
 }
 
-// write is one write of a process's work to a resource outside.
-func (s *sim) write(i int, p *player) {
-	who := fmt.Sprintf("p%d under %d", i, p.running)
-	if s.guard && p.running < s.high {
-		return // turned down
+// write makes one write of a process's work to an external resource. The resource checks the fencing token if
+// checksTokens is set.
+func (s *sim) write(i int, p *simProcess) {
+	who := fmt.Sprintf("p%d under %d", i, p.runningToken)
+	if s.checksTokens && p.runningToken < s.highestWritten {
+		return // the resource rejects the write
 	}
-	if p.running < s.high {
-		s.wrong = fmt.Sprintf("at %v %s writes after %s", s.real, who, s.last)
+	if p.runningToken < s.highestWritten {
+		s.violation = fmt.Sprintf("at %v %s writes after %s", s.realTime, who, s.lastWriter)
 	}
-	s.high, s.last = max(s.high, p.running), who
+	s.highestWritten, s.lastWriter = max(s.highestWritten, p.runningToken), who
 }
 
-// overlap looks for two whose work goes on at the same time.
-func (s *sim) overlap() {
+// checkOverlap checks that the work of at most one process runs, unless processes are paused.
+func (s *sim) checkOverlap() {
 	n := 0
-	for _, p := range s.procs {
-		if p.running != 0 {
+	for _, p := range s.processes {
+		if p.runningToken != 0 {
 			n++
 		}
 	}
-	if n > 1 && !s.trouble {
-		s.wrong = fmt.Sprintf("at %v the work of %d goes on at once", s.real, n)
+	if n > 1 && !s.pausesProcesses {
+		s.violation = fmt.Sprintf("at %v the work of %d processes runs at the same time", s.realTime, n)
 	}
 }
 
-// schedules is how many are drawn; a part of them under the race detector, which takes ten times as long.
-var schedules = map[bool]int{false: 1000, true: 200}[raceDetector]
+// scheduleCount is the number of drawn schedules. It is smaller under the race detector, which takes ten
+// times as long.
+var scheduleCount = map[bool]int{false: 1000, true: 200}[raceDetector]
 
-// TestOneAtATime: with clocks off by the stated bound, late and lost messages,
-// failovers, failing work and dying processes, never do two work at once, and the
-// duty does not stay without a holder.
-func TestOneAtATime(t *testing.T) {
+// TestOnlyOneProcessWorksAtATime checks that the work of two processes never runs at the same time, with
+// clock rates within maxClockDrift, delayed and lost messages, changes of the leader, failing work and dying
+// processes, and that the lease does not stay without a holder.
+func TestOnlyOneProcessWorksAtATime(t *testing.T) {
 	grants := 0
-	for seed := range uint64(schedules) {
+	for seed := range uint64(scheduleCount) {
 		s := newSim(seed, simTTL)
 		s.run()
-		if s.wrong != "" {
-			t.Fatalf("seed %d: %s", seed, s.wrong)
+		if s.violation != "" {
+			t.Fatalf("seed %d: %s", seed, s.violation)
 		}
 		grants += s.grants
 	}
-	if grants < 2*schedules {
-		t.Errorf("only %d grants in %d schedules", grants, schedules)
+	if grants < 2*scheduleCount {
+		t.Errorf("only %d grants in %d schedules", grants, scheduleCount)
 	}
 }
 
-// TestStandStill: where processes stand still and go on in the middle of their
-// work, no write gets through after one under a higher fence.
-func TestStandStill(t *testing.T) {
-	for seed := range uint64(schedules) {
+// TestFencingRejectsWritesOfPausedProcesses pauses processes in the middle of their work: no write is
+// admitted after one with a higher fencing token.
+func TestFencingRejectsWritesOfPausedProcesses(t *testing.T) {
+	for seed := range uint64(scheduleCount) {
 		s := newSim(seed, simTTL)
-		s.trouble = true
+		s.pausesProcesses = true
 		s.run()
-		if s.wrong != "" {
-			t.Fatalf("seed %d: %s", seed, s.wrong)
+		if s.violation != "" {
+			t.Fatalf("seed %d: %s", seed, s.violation)
 		}
 	}
 }
 
-// TestTheChecksCanFail: without the margin, and without the fences, the checks above find what is wrong.
-func TestTheChecksCanFail(t *testing.T) {
+// TestChecksFailWithoutMarginOrFencing checks that the two tests above find violations if work has no margin
+// to stop in, or if the resource does not check fencing tokens.
+func TestChecksFailWithoutMarginOrFencing(t *testing.T) {
 	margin, fences := 0, 0
 	for seed := range uint64(200) {
 		s := newSim(
 			seed,
 			simTTL*7/6,
-		) // safe then gives all of the lease: nothing is left for drift and for the work to stop in
+		) // safeDuration then covers the complete TTL, without a margin for drift and for stopping work
 		s.run()
-		if s.wrong != "" {
+		if s.violation != "" {
 			margin++
 		}
 		s = newSim(seed, simTTL)
-		s.trouble, s.guard = true, false
+		s.pausesProcesses, s.checksTokens = true, false
 		s.run()
-		if s.wrong != "" {
+		if s.violation != "" {
 			fences++
 		}
 	}
-	t.Logf("of 200 schedules %d fail without the margin, %d without the fences", margin, fences)
+	t.Logf("of 200 schedules %d fail without the margin, %d without fencing", margin, fences)
 	if margin == 0 || fences == 0 {
-		t.Errorf("of 200 schedules %d fail without the margin, %d without the fences", margin, fences)
+		t.Errorf("of 200 schedules %d fail without the margin, %d without fencing", margin, fences)
 	}
 }
 
-// TestRanks: at the end what has a higher rank is handed on first, and nothing of a lower one before that is done.
-func TestRanks(t *testing.T) {
+// TestCloseReleasesByReleaseOrder checks that a closing process releases the leases of a higher release order
+// first, and none of a lower order before those are released.
+func TestCloseReleasesByReleaseOrder(t *testing.T) {
 	c := &core{ttl: simTTL}
 	c.sessionOpened()
 	a := registry.LeasesResponse{Index: 1}
-	for i, rank := range []int{0, 2, 2, -1} {
-		w := c.add(registry.Candidacy{Lease: fmt.Sprint("d", i)}, rank)
+	for i, releaseOrder := range []int{0, 2, 2, -1} {
+		w := c.add(registry.Candidacy{Lease: fmt.Sprint("d", i)}, releaseOrder)
 		a.Leases = append(a.Leases, registry.Lease{Name: w.spec.Lease, Holder: "me", Token: uint64(i + 2)})
 	}
 	c.leasesReported(1, "me", a)
 	c.renewed(2)
 	if n := len(c.step(3)); n != 4 {
-		t.Fatalf("%d begin", n)
+		t.Fatalf("%d actions at the start, want 4", n)
 	}
 	c.closing = true
 	for _, want := range []int{2, 1, 1} {
@@ -354,15 +367,15 @@
 		for _, s := range stops {
 			c.workEnded(5, s.candidacy, nil)
 		}
-		gives := c.step(6)
-		for _, g := range gives {
+		releases := c.step(6)
+		for _, g := range releases {
 			c.callEnded(g.kind, g.candidacy, true)
 		}
-		if len(stops) != want || len(gives) != want || stops[0].kind != stopWork || gives[0].kind != releaseLease {
-			t.Fatalf("%+v and then %+v, want %d", stops, gives, want)
+		if len(stops) != want || len(releases) != want || stops[0].kind != stopWork || releases[0].kind != releaseLease {
+			t.Fatalf("%+v and then %+v, want %d", stops, releases, want)
 		}
 	}
 	if more := c.step(7); len(more) != 0 {
-		t.Errorf("after all is handed on there is %+v", more)
+		t.Errorf("after all leases are released there are actions %+v", more)
 	}
 }
--- a/internal/lease/session_test.go
+++ b/internal/lease/session_test.go
@@ -11,9 +11,10 @@
 	"wrenspread/internal/registry/client"
 )
 
-// TestProcesses: a process wants a duty once at a time; work that fails is rested and
-// its duty goes to the next; a process that closes hands on; work that is done ends the wish.
-func TestProcesses(t *testing.T) {
+// TestLeasePassesBetweenSessions checks that a session has one candidacy for a lease at most, that a lease
+// passes to the next process when work fails or the holder's session closes, with a higher fencing token each
+// time, and that Run returns when work is done.
+func TestLeasePassesBetweenSessions(t *testing.T) {
 	service, _ := labtest.List(t)
 	open := func(name string) *Session {
 		k, err := client.New(client.Config{Addresses: []string{service}})
@@ -30,16 +31,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
 	a, b := open("a"), open("b")
-	began := make(chan string, 10)
-	fences := make(chan uint64, 10)
+	started := make(chan string, 10)
+	tokens := make(chan uint64, 10)
 	work := func(name string, end func(ctx context.Context) error) Work {
 		return func(ctx context.Context, f Token) error {
-			began <- name
-			fences <- f.Number
+			started <- name
+			tokens <- f.Number
 			return end(ctx)
 		}
 	}
-	stay := func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
+	workUntilDone := func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
 	fail := make(chan bool)
 	ended := make(chan error, 2)
 	go func() {
@@ -48,20 +49,20 @@
 	next := func(want string) uint64 {
 		t.Helper()
 		select {
-		case got := <-began:
+		case got := <-started:
 			if got != want {
-				t.Fatalf("%s begins, want %s", got, want)
+				t.Fatalf("the work of %s starts, want %s", got, want)
 			}
 		case <-ctx.Done():
-			t.Fatalf("%s does not begin", want)
+			t.Fatalf("the work of %s does not start", want)
 		}
-		return <-fences
+		return <-tokens
 	}
 	first := next("a")
-	if err := a.Run(ctx, "d", work("twice", stay)); err == nil {
-		t.Error("one process wants a duty twice")
+	if err := a.Run(ctx, "d", work("twice", workUntilDone)); err == nil {
+		t.Error("a session has two candidacies for one lease")
 	}
-	go func() { ended <- b.Run(ctx, "d", work("b", stay)) }()
+	go func() { ended <- b.Run(ctx, "d", work("b", workUntilDone)) }()
 	for waits := false; !waits; {
 		all, err := a.config.Client.Leases(ctx)
 		if err != nil {
@@ -72,24 +73,24 @@
 	close(fail)
 	second := next("b")
 	if second <= first {
-		t.Errorf("fence %d after %d", second, first)
+		t.Errorf("fencing token %d after %d", second, first)
 	}
 	if err := b.Close(labtest.Enough); err != nil {
 		t.Error(err)
 	}
 	if err := <-ended; !errors.Is(err, ErrClosed) {
-		t.Errorf("the one that closes ends with %v", err)
+		t.Errorf("Run of the closed session returns %v", err)
 	}
 	if third := next("a"); third <= second {
-		t.Errorf("fence %d after %d", third, second)
+		t.Errorf("fencing token %d after %d", third, second)
 	}
 	if err := a.Close(labtest.Enough); err != nil {
 		t.Error(err)
 	}
-	besteffort.Ended(<-ended) // of the one that has closed
+	besteffort.Ended(<-ended) // the result of a's Run, after a has closed
 	c := open("c")
 	if err := c.Run(ctx, "d", func(context.Context, Token) error { return nil }); err != nil {
-		t.Errorf("work that is done ends with %v", err)
+		t.Errorf("Run returns %v after work that is done", err)
 	}
 	if err := c.Close(labtest.Enough); err != nil {
 		t.Error(err)
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -24,19 +24,19 @@
 
 const enough = 30 * time.Second // only a hang takes so long
 
-// TestBelief: whatever replica answers, up to date or lagging, a belief never
-// goes back, is always a list that was, and reaches the present one.
-func TestBelief(t *testing.T) {
+// TestListStateNeverGoesBackAndConverges reads from replicas that are up to date or lag. The known list never
+// goes back within an epoch, is always a list that the service had, and reaches the present one.
+func TestListStateNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
 		s.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e0"})
-		were := map[string][]registry.Endpoint{} // the list at each epoch and version
-		note := func() { were[fmt.Sprint(s.Epoch(), s.Version())] = s.Since(0).Endpoints }
-		note()
-		copies := []*registry.State{copied(t, s)} // replicas, as far as they are
+		history := map[string][]registry.Endpoint{} // the list at each epoch and version
+		record := func() { history[fmt.Sprint(s.Epoch(), s.Version())] = s.Since(0).Endpoints }
+		record()
+		copies := []*registry.State{decodedCopy(t, s)} // states of lagging replicas
 		b := NewListState(time.Second, List{})
 		var now time.Duration
-		ask := func(of *registry.State) {
+		call := func(of *registry.State) {
 			from, epoch := b.Next()
 			if epoch != of.Epoch() {
 				from = 0
@@ -47,8 +47,8 @@
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
-			if want, ok := were[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || len(want)+len(v.Endpoints) > 0 && !reflect.DeepEqual(want, v.Endpoints)) {
-				t.Fatalf("at %s %d it believes %v, the list was %v (%d)", v.Epoch, v.Version, v.Endpoints, want, verdict)
+			if want, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || len(want)+len(v.Endpoints) > 0 && !reflect.DeepEqual(want, v.Endpoints)) {
+				t.Fatalf("at %s %d the known list is %v, the service had %v (%d)", v.Epoch, v.Version, v.Endpoints, want, verdict)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -57,36 +57,37 @@
 			case 0, 1, 2:
 				e := registry.Endpoint{Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name")), Address: "a:1", Status: registry.Ready, Weight: float64(n)}
 				s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &e})
-				note()
+				record()
 			case 3:
 				s.Apply(registry.Command{Op: registry.OpRemove, Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name"))})
-				note()
+				record()
 			case 4:
-				copies = append(copies, copied(t, s))
+				copies = append(copies, decodedCopy(t, s))
 			case 5:
 				raw, err := copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")].EncodeSnapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
 				s.Apply(registry.Command{Op: registry.OpRestore, Epoch: fmt.Sprint("e", n+1), Snapshot: raw})
-				note()
+				record()
 			case 6, 7:
-				ask(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")])
+				call(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")])
 			default:
-				ask(s)
+				call(s)
 			}
 		}
 		for range 4 {
-			ask(s)
-			now += 2 * time.Second // past what is held back
+			call(s)
+			now += 2 * time.Second // past the delay of deferred lists
 		}
 		if v := b.List(); v.Version != s.Version() || v.Epoch != s.Epoch() {
-			t.Fatalf("it stays at %s %d, the list is at %s %d", v.Epoch, v.Version, s.Epoch(), s.Version())
+			t.Fatalf("the known list stays at %s %d, the service is at %s %d", v.Epoch, v.Version, s.Epoch(), s.Version())
 		}
 	})
 }
 
-func copied(t *rapid.T, s *registry.State) *registry.State {
+// decodedCopy returns the state that is decoded from a snapshot of s.
+func decodedCopy(t *rapid.T, s *registry.State) *registry.State {
 	raw, err := s.EncodeSnapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -98,8 +99,9 @@
 	return c
 }
 
-// TestLostList: an epoch that begins anew is believed only after its time, and then the one before is no more.
-func TestLostList(t *testing.T) {
+// TestSuspectListOfOtherEpochIsDeferred checks that an empty list of another epoch is accepted only after its
+// delay, that a full one replaces it at once, and that the previous epoch is then the suspect one.
+func TestSuspectListOfOtherEpochIsDeferred(t *testing.T) {
 	var before List
 	before.Epoch, before.Version = "a", 9
 	for i := range 6 {
@@ -111,24 +113,25 @@
 		t.Errorf("at first: %d, with %d entries", got, len(b.List().Endpoints))
 	}
 	if got := b.Apply(29*time.Second, 0, empty); got != HeldBack {
-		t.Errorf("before its time: %d", got)
+		t.Errorf("before the delay is over: %d", got)
 	}
 	full := registry.ListResponse{Index: 7, Epoch: "b", Snapshot: true, Endpoints: before.Endpoints}
 	if got := b.Apply(30*time.Second, 0, full); got != Changed {
-		t.Errorf("registered anew: %d", got)
+		t.Errorf("after the endpoints registered again: %d", got)
 	}
 	if got := b.Apply(31*time.Second, 7, registry.ListResponse{Index: 10, Epoch: "a", Snapshot: true}); got != HeldBack {
-		t.Errorf("the epoch before: %d", got)
+		t.Errorf("the previous epoch: %d", got)
 	}
 	b = NewListState(30*time.Second, before)
 	b.Apply(0, 9, empty)
 	if got := b.Apply(30*time.Second, 0, empty); got != Changed || len(b.List().Endpoints) != 0 {
-		t.Errorf("after its time: %d", got)
+		t.Errorf("after the delay: %d", got)
 	}
 }
 
-// TestFollow: over an address that refuses, one that fails and one that serves; the kept list is there at the next start.
-func TestFollow(t *testing.T) {
+// TestFollowSkipsFailingReplicasAndCachesList follows the list over an address that refuses connections, one
+// that responds with garbage and one that serves. The cached list is there at the next start.
+func TestFollowSkipsFailingReplicasAndCachesList(t *testing.T) {
 	var failing atomic.Bool
 	ok := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if failing.Load() {
@@ -155,7 +158,7 @@
 	select {
 	case <-changed:
 	case <-time.After(enough):
-		t.Fatal("no list comes")
+		t.Fatal("no list arrives")
 	}
 	failing.Store(true)
 	ok.CloseClientConnections()
@@ -167,33 +170,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, told := again.List(); v.Version != 3 || len(v.Endpoints) != 1 || !told.IsZero() {
-		t.Errorf("the next start has %+v, told at %v", v, told)
+	if v, lastAnswerAt := again.List(); v.Version != 3 || len(v.Endpoints) != 1 || !lastAnswerAt.IsZero() {
+		t.Errorf("the next start has %+v, last answer at %v", v, lastAnswerAt)
 	}
 }
 
-// TestCutFile: a kept list that is cut anywhere is told as damaged, never believed.
-func TestCutFile(t *testing.T) {
+// TestTruncatedCacheFileIsRejected truncates a cache file at every length: each is reported as damaged.
+func TestTruncatedCacheFileIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := writeCache(path, List{Epoch: "e", Version: 3, Endpoints: []registry.Endpoint{{Name: "s"}}}); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range whole {
-		if err := os.WriteFile(path, whole[:n], 0o644); err != nil {
+	for n := range complete {
+		if err := os.WriteFile(path, complete[:n], 0o644); err != nil {
 			t.Fatal(err)
 		}
 		if v, err := readCache(path); err == nil {
-			t.Fatalf("cut after %d of %d bytes it gives %+v", n, len(whole), v)
+			t.Fatalf("truncated after %d of %d bytes, the file is read as %+v", n, len(complete), v)
 		}
 	}
 }
 
-// TestReturn: 300 clients that lost the service at one moment come back spread over the waits that they have by then.
-func TestReturn(t *testing.T) {
+// TestRetriesAfterOutageAreSpread lets 300 clients lose the service at the same time. Their first calls after
+// the outage are spread over the backoff that they have reached.
+func TestRetriesAfterOutageAreSpread(t *testing.T) {
 	const clients, bin = 300, 100 * time.Millisecond
 	chance := rand.New(rand.NewPCG(1, 1))
 	for _, away := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
@@ -205,12 +209,12 @@
 			}
 			at[now/bin]++
 			if now > away+maxBackoff {
-				t.Errorf("away for %v, one is back only after %v", away, now)
+				t.Errorf("after an outage of %v a client retries only after %v", away, now)
 			}
 		}
 		for when, n := range at {
 			if n > clients/4 {
-				t.Errorf("away for %v: %d of %d come back in the %v from %v on", away, n, clients, bin, when*bin)
+				t.Errorf("after an outage of %v, %d of %d clients retry in the %v from %v on", away, n, clients, bin, when*bin)
 			}
 		}
 	}
--- a/internal/registry/client/fixture_test.go
+++ b/internal/registry/client/fixture_test.go
@@ -7,7 +7,7 @@
 	"wrenspread/internal/registry"
 )
 
-// TestCachedListFormIsUnchanged compares the file that a client starts from with golden files.
+// TestCachedListFormIsUnchanged compares the cache file of a client with golden files.
 func TestCachedListFormIsUnchanged(t *testing.T) {
 	for name, sample := range map[string]any{"view": &List{}, "kept": &cachedList{}} {
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
--- a/internal/registry/client/follow_test.go
+++ b/internal/registry/client/follow_test.go
@@ -18,26 +18,27 @@
 	"wrenspread/internal/registry"
 )
 
-// TestFollowerOfRecords: whichever replica answers, up to date, lagging or restored, a follower has the records of a
-// version that was, never goes back within an epoch, and has today's once an up-to-date one answers.
-func TestFollowerOfRecords(t *testing.T) {
+// TestRecordFollowerNeverGoesBackAndConverges reads records from replicas that are up to date, lag or were
+// restored. The follower always has the records of a version that the service had, never goes back within an
+// epoch, and has the present records once an up-to-date replica answers.
+func TestRecordFollowerNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
 		s.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e0"})
-		were := map[string]map[string]string{}
-		note := func(s *registry.State) {
+		history := map[string]map[string]string{}
+		record := func(s *registry.State) {
 			at := map[string]string{}
 			for _, r := range s.Records("a/") {
-				whole, _ := s.Record(r.Key)
-				at[r.Key] = string(whole.Value)
+				stored, _ := s.Record(r.Key)
+				at[r.Key] = string(stored.Value)
 			}
-			were[fmt.Sprint(s.Epoch(), s.Version())] = at
+			history[fmt.Sprint(s.Epoch(), s.Version())] = at
 		}
-		note(s)
-		replicas := []*registry.State{copied(t, s)}
+		record(s)
+		replicas := []*registry.State{decodedCopy(t, s)}
 		f := &recordFollower{}
 		now := time.Unix(0, 0)
-		ask := func(of *registry.State) {
+		call := func(of *registry.State) {
 			from, before := f.version, f.version
 			epoch := f.epoch
 			if epoch != of.Epoch() {
@@ -48,14 +49,14 @@
 				t.Fatal(err)
 			}
 			if f.epoch == epoch && f.version < before {
-				t.Fatalf("back from %d to %d", before, f.version)
+				t.Fatalf("the follower goes back from version %d to %d", before, f.version)
 			}
 			got := map[string]string{}
 			for _, r := range f.snapshot().All {
 				got[r.Key] = string(r.Value)
 			}
-			if want := were[fmt.Sprint(f.epoch, f.version)]; f.epoch != "" && !reflect.DeepEqual(got, want) {
-				t.Fatalf("at %s %d it has %v, there was %v", f.epoch, f.version, got, want)
+			if want := history[fmt.Sprint(f.epoch, f.version)]; f.epoch != "" && !reflect.DeepEqual(got, want) {
+				t.Fatalf("at %s %d the follower has %v, the service had %v", f.epoch, f.version, got, want)
 			}
 		}
 		for n := range rapid.IntRange(1, 50).Draw(t, "steps") {
@@ -68,29 +69,30 @@
 					c.Value = nil
 				}
 				s.Apply(c)
-				note(s)
+				record(s)
 			case 3:
-				replicas = append(replicas, copied(t, s))
+				replicas = append(replicas, decodedCopy(t, s))
 			case 4:
-				image, err := s.EncodeSnapshot()
+				encoded, err := s.EncodeSnapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.Apply(registry.Command{Op: registry.OpRestore, Epoch: fmt.Sprint("e", n+1), ReplacesEpoch: s.Epoch(), Snapshot: image})
-				note(s)
+				s.Apply(registry.Command{Op: registry.OpRestore, Epoch: fmt.Sprint("e", n+1), ReplacesEpoch: s.Epoch(), Snapshot: encoded})
+				record(s)
 			default:
-				ask(replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "replica")])
+				call(replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "replica")])
 			}
 		}
-		ask(s)
+		call(s)
 		if f.epoch != s.Epoch() || f.version != s.Version() {
-			t.Fatalf("it stays at %s %d, the service has %s %d", f.epoch, f.version, s.Epoch(), s.Version())
+			t.Fatalf("the follower stays at %s %d, the service is at %s %d", f.epoch, f.version, s.Epoch(), s.Version())
 		}
 	})
 }
 
-// TestFollowersAfterAFailure: the call after one that failed, however, is not held; the one after an answer is again.
-func TestFollowersAfterAFailure(t *testing.T) {
+// TestCallAfterFailureHasNoHold checks that the call after a failed call has no hold, however that call
+// failed, and that the call after a response has one again.
+func TestCallAfterFailureHasNoHold(t *testing.T) {
 	const hold = 5 * time.Second
 	followers := map[string]func(context.Context, *Client){
 		"records": func(ctx context.Context, k *Client) { k.FollowRecords(ctx, "a/", func(Records) {}) },
@@ -103,9 +105,9 @@
 		},
 	}
 	for name, follow := range followers {
-		for _, how := range append(silences, silence{"refused", 0, refuse}, silence{"cut in mid-answer", 0, cut}) {
+		for _, how := range append(silences, silence{"refused", 0, respondUnavailable}, silence{"cut in mid-answer", 0, abortMidResponse}) {
 			t.Run(name+" "+how.name, func(t *testing.T) {
-				inBubble(t, func(n int, w http.ResponseWriter, r *http.Request) {
+				withFakeDiscovery(t, func(n int, w http.ResponseWriter, r *http.Request) {
 					switch n {
 					case 0, 3:
 						besteffort.Encode(json.NewEncoder(w).Encode(registry.RecordsResponse{Index: uint64(7 + n), Epoch: "e", Records: []registry.Record{}}))
@@ -115,7 +117,7 @@
 					default:
 						silent(w, r)
 					}
-				}, func(ctx context.Context, s *standIn) {
+				}, func(ctx context.Context, s *fakeDiscovery) {
 					k, _ := s.service(hold)
 					defer k.Close()
 					go follow(ctx, k)
@@ -123,7 +125,7 @@
 					synctest.Wait()
 					for i, want := range []string{"5000", "5000", "1", "1", "5000"} {
 						if got := s.calls[i].hold; got != want {
-							t.Errorf("call %d asks for a hold of %s ms, want %s", i, got, want)
+							t.Errorf("call %d has a hold of %s ms, want %s", i, got, want)
 						}
 					}
 				})
@@ -132,9 +134,13 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+// respondUnavailable responds with status 503.
+func respondUnavailable(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
 
-func cut(w http.ResponseWriter, _ *http.Request) {
+// abortMidResponse sends a part of a response and resets the connection.
+func abortMidResponse(w http.ResponseWriter, _ *http.Request) {
 	besteffort.Output(io.WriteString(w, `{"index":43,"snapshot":true,"endpoi`))
 	w.(http.Flusher).Flush()
 	panic(http.ErrAbortHandler)
--- a/internal/registry/client/move_test.go
+++ b/internal/registry/client/move_test.go
@@ -13,19 +13,19 @@
 	"wrenspread/internal/registry"
 )
 
-// TestMovesWhileAListIsTaken: the previous address's list goes ahead of the newer one's, and a move that another
-// overtakes asks nobody.
-func TestMovesWhileAListIsTaken(t *testing.T) {
-	inBubble(t, func(call int, w http.ResponseWriter, r *http.Request) {
+// TestMovesDuringListDeliveryKeepOrder moves twice while a list is being delivered. The list of the previous
+// address is delivered before that of the new one, and the address of the overtaken move is not called.
+func TestMovesDuringListDeliveryKeepOrder(t *testing.T) {
+	withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Query().Has("from"):
 			silent(w, r)
 		case r.Host == "one:1":
-			tell(w, 42)
+			respondWithList(w, 42)
 		default:
-			tell(w, 7)
+			respondWithList(w, 7)
 		}
-	}, func(ctx context.Context, s *standIn) {
+	}, func(ctx context.Context, s *fakeDiscovery) {
 		d, _ := s.platform(false)
 		busy, release, order := make(chan bool), make(chan bool), []uint64{}
 		d.onList = func(l registry.ListResponse) {
@@ -43,14 +43,15 @@
 		close(release)
 		synctest.Wait()
 		if last := s.calls[len(s.calls)-1]; !slices.Equal(order, []uint64{42, 7}) || len(s.calls) != 3 || last.host != "three:1" || last.from != "7" {
-			t.Errorf("lists %v of the calls %+v", order, s.calls)
+			t.Errorf("lists %v after calls %+v", order, s.calls)
 		}
 	})
 }
 
-// TestMoveThatIsOvertaken by what the balancer asks for still begins with the complete list: versions of before mean nothing.
-func TestMoveThatIsOvertaken(t *testing.T) {
-	inBubble(t, func(_ int, w http.ResponseWriter, r *http.Request) { silent(w, r) }, func(ctx context.Context, s *standIn) {
+// TestOvertakenMoveStillReadsCompleteList checks that a poll that replaces a move still begins with the
+// complete list, because versions of the previous address have no meaning at the new one.
+func TestOvertakenMoveStillReadsCompleteList(t *testing.T) {
+	withFakeDiscovery(t, func(_ int, w http.ResponseWriter, r *http.Request) { silent(w, r) }, func(ctx context.Context, s *fakeDiscovery) {
 		d, _ := s.platform(true)
 		d.Move(ctx, "two:1", true)
 		d.Poll(ctx, false, true)
@@ -61,37 +62,37 @@
 	})
 }
 
-// TestDialsThatStandStill hold up no later call to the same address.
-func TestDialsThatStandStill(t *testing.T) {
-	inBubble(t, func(call int, w http.ResponseWriter, r *http.Request) {
+// TestHangingDialsDelayNoLaterCall checks that dials that hang do not delay a later call to the same address.
+func TestHangingDialsDelayNoLaterCall(t *testing.T) {
+	withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("from") {
 			silent(w, r)
 		}
-		tell(w, 42)
-	}, func(ctx context.Context, s *standIn) {
+		respondWithList(w, 42)
+	}, func(ctx context.Context, s *fakeDiscovery) {
 		d, lists := s.platform(false)
-		stood := make(chan bool)
-		left := 2
+		hanging := make(chan bool)
+		hangingDials := 2
 		d.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-			if address != "two:1" || left == 0 {
+			if address != "two:1" || hangingDials == 0 {
 				return s.dial(ctx, network, address)
 			}
-			left--
-			stood <- true
-			time.Sleep(gracePushed) // as long as the dialer may take, whoever still waits for it
+			hangingDials--
+			hanging <- true
+			time.Sleep(gracePushed) // the longest time that the dialer may take, even if its caller has given up
 			return nil, errors.New("no answer")
 		}
 		d.Follow(ctx)
-		next(t, lists)
-		for range left {
+		nextList(t, lists)
+		for range hangingDials {
 			d.Move(ctx, "two:1", false)
-			<-stood
+			<-hanging
 			d.Move(ctx, "one:1", false)
-			next(t, lists)
+			nextList(t, lists)
 		}
 		d.Move(ctx, "two:1", false)
-		if l := next(t, lists); l.at > 0 {
-			t.Errorf("the list comes after %v", l.at)
+		if l := nextList(t, lists); l.at > 0 {
+			t.Errorf("the list arrives after %v", l.at)
 		}
 	})
 }
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -15,38 +15,40 @@
 	"wrenspread/internal/registry"
 )
 
-// troubled is a discovery with news that can be reached now and then. A call made in an outage ends in a way that is
-// drawn; a watch that was held when it began falls silent or is reset.
-type troubled struct {
-	mu     sync.Mutex
-	chance *rand.Rand
-	begin  time.Time
-	turns  []time.Duration // at which it can be reached no more, and again, in turn; it begins so
-	news   []time.Duration // versions after the first
-	excuse time.Duration   // until which a watch that fell silent was not to be known to be broken
+// flakyDiscovery is a discovery whose list changes and which is unreachable from time to time. A call made
+// during an outage fails in a drawn way; a watch that waits when an outage begins falls silent or is reset.
+type flakyDiscovery struct {
+	mu          sync.Mutex
+	chance      *rand.Rand
+	begin       time.Time
+	transitions []time.Duration // when it becomes unreachable and reachable, in turn; it is reachable at first
+	changes     []time.Duration // when its list changes
+	silentUntil time.Duration   // until then, a silent watch may still be within its bound
 }
 
 const firstVersion = 42
 
-func newTroubled(seed uint64, length time.Duration) *troubled {
-	d := &troubled{chance: rand.New(rand.NewPCG(seed, 6)), begin: time.Now()}
-	upTo := func(most time.Duration) time.Duration { return time.Duration(d.chance.Int64N(int64(most))) }
+// newFlakyDiscovery draws the outages and changes of a discovery for a test of a given length.
+func newFlakyDiscovery(seed uint64, length time.Duration) *flakyDiscovery {
+	d := &flakyDiscovery{chance: rand.New(rand.NewPCG(seed, 6)), begin: time.Now()}
+	upTo := func(limit time.Duration) time.Duration { return time.Duration(d.chance.Int64N(int64(limit))) }
 	for at, down := 4*time.Second, false; at < length; down = !down {
 		if at += 100*time.Millisecond + upTo(14*time.Second); down {
 			at += 4 * time.Second
 		}
-		d.turns = append(d.turns, at)
+		d.transitions = append(d.transitions, at)
 	}
 	for at := upTo(3 * time.Second); at < length; at += 10*time.Millisecond + upTo(5*time.Second) {
-		d.news = append(d.news, at)
+		d.changes = append(d.changes, at)
 	}
 	return d
 }
 
-// reached tells whether it can be reached, since when, and when that changes.
-func (d *troubled) reached(now time.Duration) (up bool, since, until time.Duration) {
+// reachable returns whether the discovery can be reached at a time, since when this has been so, and when it
+// changes.
+func (d *flakyDiscovery) reachable(now time.Duration) (up bool, since, until time.Duration) {
 	up, until = true, time.Hour
-	for _, turn := range d.turns {
+	for _, turn := range d.transitions {
 		if turn > now {
 			return up, since, turn
 		}
@@ -55,26 +57,27 @@
 	return up, since, until
 }
 
-// version is what it has; next is when it has more.
-func (d *troubled) version(now time.Duration) (v uint64, next time.Duration) {
-	for i, at := range d.news {
+// version returns the discovery's version at a time, and when the next change comes.
+func (d *flakyDiscovery) version(now time.Duration) (v uint64, next time.Duration) {
+	for i, at := range d.changes {
 		if at > now {
 			return firstVersion + uint64(i), at
 		}
 	}
-	return firstVersion + uint64(len(d.news)), time.Hour
+	return firstVersion + uint64(len(d.changes)), time.Hour
 }
 
-func (d *troubled) draw(n int) int {
+// draw returns a random number below n.
+func (d *flakyDiscovery) draw(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.chance.IntN(n)
 }
 
-// dial fails or stands still in half of an outage's calls.
-func (d *troubled) dial(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+// dial wraps a dial function. It fails or hangs in half of the dials during an outage.
+func (d *flakyDiscovery) dial(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if up, _, _ := d.reached(time.Since(d.begin)); !up {
+		if up, _, _ := d.reachable(time.Since(d.begin)); !up {
 			switch d.draw(4) {
 			case 0:
 				return nil, errors.New("refused")
@@ -87,25 +90,26 @@
 	}
 }
 
-func (d *troubled) serve(w http.ResponseWriter, r *http.Request) {
+// serve answers a call, or lets it fail in a drawn way if the discovery can't be reached.
+func (d *flakyDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	came := time.Since(d.begin)
-	if up, _, _ := d.reached(came); !up {
+	if up, _, _ := d.reachable(came); !up {
 		switch d.draw(5) {
 		case 0:
 			panic(http.ErrAbortHandler)
 		case 1:
-			refuse(w, r)
+			respondUnavailable(w, r)
 		case 2:
-			cut(w, r)
+			abortMidResponse(w, r)
 		case 3:
-			half(w, r)
+			respondHalf(w, r)
 		default:
 			silent(w, r)
 		}
 		return
 	}
 	hold, _ := time.ParseDuration(r.URL.Query().Get("hold_ms") + "ms")
-	_, _, until := d.reached(came)
+	_, _, until := d.reachable(came)
 	v, next := d.version(came)
 	if from := r.URL.Query().Get("from"); from == fmt.Sprint(v) {
 		answer := min(next, came+hold)
@@ -114,7 +118,7 @@
 				panic(http.ErrAbortHandler)
 			}
 			d.mu.Lock()
-			d.excuse = max(d.excuse, came+hold+2*time.Second)
+			d.silentUntil = max(d.silentUntil, came+hold+2*time.Second)
 			d.mu.Unlock()
 			silent(w, r)
 			return
@@ -122,12 +126,13 @@
 		time.Sleep(answer - came)
 		v, _ = d.version(answer)
 	}
-	tell(w, v)
+	respondWithList(w, v)
 }
 
-// modulePlays has the decision module ask for lists, as the proxy does, and passes on what is told.
-func modulePlays(ctx context.Context, d *Platform, words chan took, now func() time.Duration, nodes int, seed int64) chan took {
-	lists := make(chan took, 100)
+// followWithBalancer lets the balancer poll for lists, as the proxy does, and passes on the lists that
+// arrive.
+func followWithBalancer(ctx context.Context, d *Platform, received chan receivedList, now func() time.Duration, nodes int, seed int64) chan receivedList {
+	lists := make(chan receivedList, 100)
 	go func() {
 		m, clock := balancer.New(balancer.Settings{Proxies: nodes, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}, seed), time.NewTicker(25*time.Millisecond)
 		defer clock.Stop()
@@ -138,7 +143,7 @@
 				}
 			}
 			select {
-			case l := <-words:
+			case l := <-received:
 				e = balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}
 				if l.at >= 0 {
 					e = balancer.EndpointsUpdated{Kind: balancer.UpdateComplete, Version: l.Index}
@@ -153,9 +158,9 @@
 	return lists
 }
 
-// TestKnownSixSecondsAfterAnyFailure: at any moment at which discovery can be reached, the list is known that it had 6 s
-// ago, if it could be reached since, whichever calls failed before and however. A watch that fell silent has its own
-// clock, if that ends later.
+// TestKnownSixSecondsAfterAnyFailure checks, whenever discovery can be reached and could be for the last 6 s,
+// that the list that it had 6 s ago is known, whichever calls failed before and however. After a watch that
+// fell silent the bound of that watch applies if it ends later.
 func TestKnownSixSecondsAfterAnyFailure(t *testing.T) {
 	const length, step = 3 * time.Minute, 50 * time.Millisecond
 	for _, way := range []struct {
@@ -164,10 +169,10 @@
 	}{{"pushed", 0}, {"asked for", 1}, {"asked for by a fleet", 30}, {"asked for by the largest that keeps to it however long", 36}, {"list service", -1}} {
 		t.Run(way.name, func(t *testing.T) {
 			for seed := range uint64(30) {
-				var d *troubled
-				inBubble(t, func(_ int, w http.ResponseWriter, r *http.Request) { d.serve(w, r) }, func(ctx context.Context, s *standIn) {
-					d = newTroubled(seed, length)
-					var lists chan took
+				var d *flakyDiscovery
+				withFakeDiscovery(t, func(_ int, w http.ResponseWriter, r *http.Request) { d.serve(w, r) }, func(ctx context.Context, s *fakeDiscovery) {
+					d = newFlakyDiscovery(seed, length)
+					var lists chan receivedList
 					switch way.nodes {
 					case 0:
 						var p *Platform
@@ -183,9 +188,9 @@
 						k.list = NewListState(DefaultHoldBack, List{Epoch: "e", Version: 41, Endpoints: []registry.Endpoint{{Name: "s"}}})
 						go k.Follow(ctx)
 					default:
-						p, words := s.platform(true)
+						p, received := s.platform(true)
 						p.dial = d.dial(p.dial)
-						lists = modulePlays(ctx, p, words, s.now, way.nodes, int64(seed))
+						lists = followWithBalancer(ctx, p, received, s.now, way.nodes, int64(seed))
 					}
 					known := uint64(41)
 					for now := step; now < length; now += step {
@@ -193,13 +198,13 @@
 						for len(lists) > 0 {
 							known = (<-lists).Index
 						}
-						up, since, _ := d.reached(now)
+						up, since, _ := d.reachable(now)
 						d.mu.Lock()
-						excused := now < d.excuse
+						watchSilent := now < d.silentUntil
 						d.mu.Unlock()
 						was, _ := d.version(now - 6*time.Second)
-						if up && since <= now-6*time.Second && !excused && known < was {
-							t.Errorf("seed %d: at %v it knows version %d, discovery had %d 6 s ago and can be reached since %v", seed, now, known, was, since)
+						if up && since <= now-6*time.Second && !watchSilent && known < was {
+							t.Errorf("seed %d: at %v version %d is known, discovery had %d 6 s ago and can be reached since %v", seed, now, known, was, since)
 							break
 						}
 					}
--- a/internal/registry/client/platform_test.go
+++ b/internal/registry/client/platform_test.go
@@ -14,26 +14,27 @@
 	"wrenspread/internal/registry"
 )
 
+// entryJSON returns an entry in the platform's form.
 func entryJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
 }
 
-// TestFollowSurvives: a discovery that fails in one way after another gets
-// the version last seen each time, and its news arrive.
-func TestFollowSurvives(t *testing.T) {
+// TestFollowSurvivesSuccessiveFailures lets a discovery fail in one way after the other. Each call names the
+// version that is known, and the change after the failures arrives.
+func TestFollowSurvivesSuccessiveFailures(t *testing.T) {
 	froms := make(chan string, 100)
-	var calls atomic.Int32 // each comes on a connection of its own
+	var calls atomic.Int32 // each call has a connection of its own
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		froms <- r.URL.Query().Get("from")
 		switch calls.Add(1) {
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case 2:
-			panic(http.ErrAbortHandler) // a reset
+			panic(http.ErrAbortHandler) // resets the connection
 		case 3:
 			besteffort.Output(fmt.Fprint(w, `{"index":`))
 		case 4:
-			<-r.Context().Done() // silent until the proxy gives up
+			<-r.Context().Done() // silent until the follower gives up
 		case 5:
 			besteffort.Output(fmt.Fprintf(w, `{"index":43,"snapshot":false,"endpoints":[%s]}`, entryJSON("s", "127.0.0.1:1", "draining")))
 		default:
@@ -44,7 +45,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	lists := make(chan registry.ListResponse, 10)
-	d := NewPlatform(s.Listener.Addr().String(), false, 41, slog.New(slog.DiscardHandler), func(l registry.ListResponse) { lists <- l }, func() { t.Error("told a failure") })
+	d := NewPlatform(s.Listener.Addr().String(), false, 41, slog.New(slog.DiscardHandler), func(l registry.ListResponse) { lists <- l }, func() { t.Error("a failure is reported to the balancer") })
 	d.hold = time.Millisecond
 	go d.follow(ctx)
 	select {
@@ -53,7 +54,7 @@
 			t.Errorf("%+v", l)
 		}
 	case <-time.After(enough):
-		t.Fatal("no list comes")
+		t.Fatal("no list arrives")
 	}
 	for i := range 6 {
 		want := "41"
@@ -61,13 +62,14 @@
 			want = "43"
 		}
 		if from := <-froms; from != want {
-			t.Errorf("call %d is from %s, want %s", i+1, from, want)
+			t.Errorf("call %d requests changes from %s, want %s", i+1, from, want)
 		}
 	}
 }
 
-// TestAskedDiscovery: where the balancer asks, it is told of a failure and asks again itself.
-func TestAskedDiscovery(t *testing.T) {
+// TestPolledDiscoveryReportsFailures checks that a follower of polled lists reports a failure and then waits
+// for the next poll of the balancer.
+func TestPolledDiscoveryReportsFailures(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Query().Get("from") {
 		case "": // the complete list
@@ -92,6 +94,6 @@
 		<-failures
 	}
 	if len(lists) != 0 || len(failures) != 0 {
-		t.Error("a failed watch goes on by itself")
+		t.Error("a failed watch continues without a poll")
 	}
 }
--- a/internal/registry/client/subset_test.go
+++ b/internal/registry/client/subset_test.go
@@ -12,7 +12,7 @@
 	"wrenspread/internal/registry"
 )
 
-// replica answers as the service does, or as one of before that knows no parts.
+// replica responds as the service does or, if old is set, as a program that knows no subsets.
 type replica struct {
 	*registry.State
 	old bool
@@ -32,7 +32,7 @@
 	return a, nil
 }
 
-// call makes one call as watch does; meanwhile happens between the question and the answer.
+// callTo makes one call as watch does. meanwhile runs between the request and the response.
 func (k *Client) callTo(r replica, meanwhile func()) (Change, listRead, error) {
 	q := k.nextRead(time.Second)
 	meanwhile()
@@ -54,44 +54,46 @@
 	return k.apply(q.from, a), q, nil
 }
 
-func arcOf(t *rapid.T, name string) registry.Subset {
-	arc := 1 << rapid.IntRange(11, 15).Draw(t, name)
-	if arc > 1<<14 {
+// drawSubset draws a subset, or the complete list.
+func drawSubset(t *rapid.T, name string) registry.Subset {
+	width := 1 << rapid.IntRange(11, 15).Draw(t, name)
+	if width > 1<<14 {
 		return registry.Subset{}
 	}
-	return registry.Subset{Start: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, name+" from") * arc / 4), Width: uint16(arc)}
+	return registry.Subset{Start: uint16(rapid.IntRange(0, 1<<18/width-1).Draw(t, name+" from") * width / 4), Width: uint16(width)}
 }
 
-func inPart(p registry.Subset, all []registry.Endpoint) []registry.Endpoint {
+// endpointsIn returns the endpoints that belong to a subset.
+func endpointsIn(p registry.Subset, all []registry.Endpoint) []registry.Endpoint {
 	return slices.DeleteFunc(slices.Clone(all), func(e registry.Endpoint) bool { return !p.Contains(registry.Position(e.Name)) })
 }
 
-// TestFollowedPart: whatever changes while a call is out (the part to follow, the list, its epoch, the replica, the
-// program that answers), what is believed is always that part of a list that was, never goes back, and reaches the
-// present one of the part that is wanted.
-func TestFollowedPart(t *testing.T) {
+// TestFollowedSubsetNeverGoesBackAndConverges changes the subset to follow, the list, its epoch, the replica
+// and its program while calls are in progress. The known entries are always those of the subset in a list
+// that the service had, never go back within an epoch, and reach the present ones of the wanted subset.
+func TestFollowedSubsetNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
 		s.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e0"})
-		were := map[string][]registry.Endpoint{}
-		note := func() { were[fmt.Sprint(s.Epoch(), s.Version())] = s.Since(0).Endpoints }
-		note()
+		history := map[string][]registry.Endpoint{}
+		record := func() { history[fmt.Sprint(s.Epoch(), s.Version())] = s.Since(0).Endpoints }
+		record()
 		replicas := []replica{{s, false}}
-		want := arcOf(t, "part")
+		want := drawSubset(t, "part")
 		k, err := New(Config{Addresses: []string{"a:1"}, HoldBack: time.Second, ChooseSubset: func(registry.Subset, int, []registry.Endpoint) registry.Subset { return want }})
 		if err != nil {
 			t.Fatal(err)
 		}
-		happen := func(n int) {
+		change := func(n int) {
 			switch name := fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "name")); rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3:
 				s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &registry.Endpoint{Name: name, Address: "a:1", Status: registry.Ready, Weight: float64(n)}})
 			case 4:
 				s.Apply(registry.Command{Op: registry.OpRemove, Name: name})
 			case 5, 6:
-				want = arcOf(t, "part")
+				want = drawSubset(t, "part")
 			case 7:
-				replicas = append(replicas, replica{copied(t, s), rapid.Bool().Draw(t, "old program")})
+				replicas = append(replicas, replica{decodedCopy(t, s), rapid.Bool().Draw(t, "old program")})
 			case 8:
 				raw, err := replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "copy")].EncodeSnapshot()
 				if err != nil {
@@ -99,7 +101,7 @@
 				}
 				s.Apply(registry.Command{Op: registry.OpRestore, ReplacesEpoch: s.Epoch(), Epoch: fmt.Sprint("e", n+1), Snapshot: raw})
 			}
-			note()
+			record()
 		}
 		call := func(r replica, meanwhile func()) {
 			before, _ := k.List()
@@ -108,8 +110,8 @@
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
-			if all, ok := were[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Endpoint{}, v.Endpoints...), inPart(v.Subset, all))) {
-				t.Fatalf("asked for %v, it believes part %v at %s %d is %v, the list was %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, all, verdict, err)
+			if all, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Endpoint{}, v.Endpoints...), endpointsIn(v.Subset, all))) {
+				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, all, verdict, err)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -117,42 +119,45 @@
 			if rapid.Bool().Draw(t, "calls") {
 				meanwhile := func() {}
 				if rapid.Bool().Draw(t, "amid") {
-					meanwhile = func() { happen(n) }
+					meanwhile = func() { change(n) }
 				}
 				call(replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "at")], meanwhile)
 			} else {
-				happen(n)
+				change(n)
 			}
 		}
 		s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &registry.Endpoint{Name: "last", Address: "a:1", Status: registry.Ready}})
-		note()
+		record()
 		for range 8 {
 			call(replica{s, false}, func() {})
-			k.start = k.start.Add(-DefaultHold) // past what is held back or put off
+			k.start = k.start.Add(-DefaultHold) // past the delays of deferred lists and moves
 		}
 		if v, _ := k.List(); v.Version != s.Version() || v.Epoch != s.Epoch() || v.Subset != want || v.Total != s.Len() {
-			t.Fatalf("it stays at %v at %s %d, wanted are %v at %s %d", v.Subset, v.Epoch, v.Version, want, s.Epoch(), s.Version())
+			t.Fatalf("the client stays at subset %v at %s %d, want %v at %s %d", v.Subset, v.Epoch, v.Version, want, s.Epoch(), s.Version())
 		}
 	})
 }
 
-// fleetState is a list of so many servers, and a proxy's client of it.
+// fleetState returns a state with a number of endpoints.
 func fleetState(t *testing.T, servers int) *registry.State {
 	s := registry.NewState()
 	s.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
-	grow(s, 0, servers)
+	registerRange(s, 0, servers)
 	return s
 }
 
-func grow(s *registry.State, from, to int) {
+// registerRange registers the endpoints with numbers from from up to, but not including, to.
+func registerRange(s *registry.State, from, to int) {
 	for i := from; i < to; i++ {
 		s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &registry.Endpoint{Name: fmt.Sprint("s-", i), Address: "a:1", Status: registry.Ready}})
 	}
 }
 
-func partClient(t *testing.T, self int, nodes *int, file string, taken func(registry.ListResponse)) *Client {
+// newSubsetClient returns a client that follows the subset of the proxy with number self in a fleet of nodes
+// proxies.
+func newSubsetClient(t *testing.T, self int, nodes *int, file string, onChange func(registry.ListResponse)) *Client {
 	t.Helper()
-	k, err := New(Config{Addresses: []string{"a:1"}, File: file, OnChange: taken, ChooseSubset: func(p registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
+	k, err := New(Config{Addresses: []string{"a:1"}, File: file, OnChange: onChange, ChooseSubset: func(p registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
 		return p.Next(self, *nodes, total, entries, []registry.Placement{{}})
 	}})
 	if err != nil {
@@ -161,51 +166,52 @@
 	return k
 }
 
-// TestFirstPart: a client that knows nothing takes no list before it has a part that is wide enough. One that has a
-// part reads a wider one while that stands, and goes on watching it where the service makes it wait.
-func TestFirstPart(t *testing.T) {
+// TestFirstSubsetIsWideEnough checks that a client without a list accepts none before its subset is wide
+// enough. A client with a subset reads a wider one while the first stays in use, and continues to watch the
+// first if the service paces complete reads.
+func TestFirstSubsetIsWideEnough(t *testing.T) {
 	for _, servers := range []int{1, 4, 75, 2000, 18000} {
-		nodes, took := 4300, 0
+		nodes, changes := 4300, 0
 		s := replica{fleetState(t, servers), false}
-		k := partClient(t, 7, &nodes, "", func(registry.ListResponse) { took++ })
+		k := newSubsetClient(t, 7, &nodes, "", func(registry.ListResponse) { changes++ })
 		bytes := 0
-		for calls := 1; took == 0; calls++ {
+		for calls := 1; changes == 0; calls++ {
 			if _, q, err := k.callTo(s, func() {}); err != nil || calls > 10 {
-				t.Fatalf("%d servers: call %d is %+v: %v", servers, calls, q, err)
+				t.Fatalf("%d endpoints: call %d is %+v: %v", servers, calls, q, err)
 			} else {
 				bytes += len(s.SubsetSince(q.subset, 0).Endpoints)
 			}
 		}
 		v, _ := k.List()
-		if want := registry.SubsetOf(7, nodes, servers); !v.Subset.Covers(want) || len(v.Endpoints) < min(servers, 100) || took != 1 {
-			t.Errorf("%d servers: it takes %v with %d of them, wanted are %v", servers, v.Subset, len(v.Endpoints), want)
+		if want := registry.SubsetOf(7, nodes, servers); !v.Subset.Covers(want) || len(v.Endpoints) < min(servers, 100) || changes != 1 {
+			t.Errorf("%d endpoints: the client accepts %v with %d of them, want %v", servers, v.Subset, len(v.Endpoints), want)
 		}
 		if bytes > 4*max(len(v.Endpoints), 1) {
-			t.Errorf("%d servers: %d were read for %d", servers, bytes, len(v.Endpoints))
+			t.Errorf("%d endpoints: %d entries were read to get %d", servers, bytes, len(v.Endpoints))
 		}
 		if servers < 18000 {
 			continue
 		}
-		nodes = 1000 // this proxy now believes in a smaller fleet than others: each has more to do
+		nodes = 1000 // this proxy now assumes a smaller fleet, in which each proxy uses more endpoints
 		if _, q, _ := k.callTo(s, func() {}); q.from == 0 {
-			t.Errorf("it moves with no answer: %+v", q)
+			t.Errorf("the client moves at once: %+v", q)
 		}
 		k.start = k.start.Add(-DefaultHold)
 		q := k.nextRead(time.Second)
 		if q.from != 0 || !q.subset.Covers(registry.SubsetOf(7, 1000, servers)) || q.subset == v.Subset {
-			t.Errorf("it asks for %+v", q)
+			t.Errorf("the client requests %+v", q)
 		}
 		if !k.deferMove(q, responseError(429, []byte(`{"code":"paced"}`))) || k.nextRead(time.Second).subset != v.Subset {
-			t.Error("a paced client gives up watching what it has")
+			t.Error("a paced client does not watch its present subset")
 		}
-		grow(s.State, servers, servers+1000)
+		registerRange(s.State, servers, servers+1000)
 		if verdict, _, err := k.callTo(s, func() {}); verdict != Changed || err != nil {
-			t.Errorf("the part that stands gets no changes: %v, %v", verdict, err)
+			t.Errorf("the present subset gets no changes: %v, %v", verdict, err)
 		}
-		grow(s.State, servers+1000, servers+2000)
+		registerRange(s.State, servers+1000, servers+2000)
 		verdict, _, err := k.callTo(replica{s.State, true}, func() {})
-		if now, _ := k.List(); verdict != Changed || err != nil || now.Subset != v.Subset || !slices.Equal(now.Endpoints, inPart(v.Subset, s.Since(0).Endpoints)) {
-			t.Errorf("of a replica of before it takes no changes, or not its part's: %v, %v", verdict, err)
+		if now, _ := k.List(); verdict != Changed || err != nil || now.Subset != v.Subset || !slices.Equal(now.Endpoints, endpointsIn(v.Subset, s.Since(0).Endpoints)) {
+			t.Errorf("from a replica without subsets the client accepts no changes, or others than its subset's: %v, %v", verdict, err)
 		}
 	}
 }
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -99,7 +99,7 @@
 // Code is the outcome of a command: Applied, or why the command was not carried out.
 type Code string
 
-// Codes of results. Applied stands for a command that was carried out, even if it changed nothing.
+// Codes of results. Applied means that the command was carried out, even if it changed nothing.
 const (
 	Applied          Code = ""
 	Conflict         Code = "conflict" // the entry does not have the version that the command requires
--- a/internal/registry/fixture_test.go
+++ b/internal/registry/fixture_test.go
@@ -6,7 +6,8 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestStoredAndSentFormsAreUnchanged compares the log's commands, the snapshot and the bodies of calls with golden files.
+// TestStoredAndSentFormsAreUnchanged compares logged commands, the snapshot and the bodies of calls with
+// golden files.
 func TestStoredAndSentFormsAreUnchanged(t *testing.T) {
 	for name, sample := range map[string]any{
 		"command": &Command{}, "snapshot": &snapshotData{}, "result": &Result{}, "write": &WriteRequest{}, "renewal": &Renewal{},
@@ -18,7 +19,8 @@
 	}
 }
 
-// TestAnswerFormIsUnchanged does the same for the answer to a read or a watch, whose reader passes over unusable entries.
+// TestAnswerFormIsUnchanged compares the response to a read or a watch with its golden file. It is a test of
+// its own because the parser skips invalid entries.
 func TestAnswerFormIsUnchanged(t *testing.T) {
 	entry := Endpoint{Name: "s", Address: "127.0.0.1:80", Zone: "z", Type: "t", Cell: 1, Status: Ready, Weight: 2, StartedAtMS: 3, Version: "v"}
 	answer := ListResponse{Index: 4, Epoch: "e", Snapshot: true, Subset: "0-4", Total: 5, Endpoints: []Endpoint{entry}}
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -13,8 +13,9 @@
 	_ "wrenspread/internal/rapidseed"
 )
 
-// drawDuty draws a command on few sessions and leases, so that they meet.
-func drawDuty(t *rapid.T) Command {
+// drawLeaseCommand draws a command on sessions and leases. It uses few names, so that commands affect each
+// other.
+func drawLeaseCommand(t *rapid.T) Command {
 	id := func() string { return fmt.Sprint("x", rapid.IntRange(0, 3).Draw(t, "session")) }
 	name := fmt.Sprint("d", rapid.IntRange(0, 1).Draw(t, "duty"))
 	c := Command{Op: rapid.SampledFrom([]string{OpOpenSession, OpOpenSession, OpCampaign, OpCampaign, OpCampaign, OpRelease, OpCloseSessions, OpTransfer, OpBlock, OpGrant, OpRegister}).Draw(t, "do")}
@@ -43,17 +44,18 @@
 	return c
 }
 
-// TestDuties: whatever sessions, holders and operators do, fencing tokens only rise and are
-// the versions of their grants, the best candidate is granted, a fenced write goes
-// through for the present holder alone, and a replica from a snapshot has the same.
-func TestDuties(t *testing.T) {
+// TestLeaseInvariantsHoldForDrawnCommands applies drawn commands of sessions, holders and operators. Fencing
+// tokens only rise and are the versions of their grants, the best candidate is granted a lease, a write with
+// a fencing token is applied only for the present holder, and a replica that is restored from snapshots has
+// the same state.
+func TestLeaseInvariantsHoldForDrawnCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, replica := NewState(), NewState()
 		begin := Command{Op: OpBegin, Epoch: "e"}
 		s.Apply(begin)
 		replica.Apply(begin)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			c := drawDuty(t)
+			c := drawLeaseCommand(t)
 			if rapid.IntRange(0, 2).Draw(t, "as holder") == 0 && c.Token != nil {
 				if d, ok := s.Lease(c.Token.Lease); ok {
 					c.Token.Number = d.Token
@@ -63,32 +65,32 @@
 			version := s.Version()
 			r := s.Apply(c)
 			if other := replica.Apply(c); other != r {
-				t.Fatalf("a replica comes to %+v, not %+v", other, r)
+				t.Fatalf("the replica's result is %+v, want %+v", other, r)
 			}
 			after, _ := s.Leases("")
 			for _, d := range after {
-				checkOne(t, s, c, version, find(before, d.Name), d)
+				checkLeaseChange(t, s, c, version, findLease(before, d.Name), d)
 			}
 			if c.Token != nil {
-				d := find(before, c.Token.Lease)
+				d := findLease(before, c.Token.Lease)
 				if holds := d.Holder != "" && d.Token == c.Token.Number; holds != (r.Code == Applied) || !holds && (r.Code != StaleToken || r.EntryVersion != d.Token) {
-					t.Fatalf("a write under %+v of %+v comes to %+v", *c.Token, d, r)
+					t.Fatalf("a write with token %+v of lease %+v: %+v", *c.Token, d, r)
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(t, "replace") == 0 {
-				replica = copied(t, replica)
+				replica = decodedCopy(t, replica)
 			}
 		}
 		a, _ := s.Leases("")
 		b, _ := replica.Leases("")
-		if fmt.Sprint(texts(t, a)) != fmt.Sprint(texts(t, b)) || !reflect.DeepEqual(s.Sessions(), replica.Sessions()) || s.Version() != replica.Version() {
-			t.Fatalf("a replica has %+v, not %+v", b, a)
+		if fmt.Sprint(encodedLeases(t, a)) != fmt.Sprint(encodedLeases(t, b)) || !reflect.DeepEqual(s.Sessions(), replica.Sessions()) || s.Version() != replica.Version() {
+			t.Fatalf("the replica has %+v, want %+v", b, a)
 		}
 	})
 }
 
-// texts gives leases as others read them.
-func texts(t *rapid.T, all []Lease) (lines []string) {
+// encodedLeases returns the JSON form of leases.
+func encodedLeases(t *rapid.T, all []Lease) (lines []string) {
 	for _, d := range all {
 		raw, err := json.Marshal(d)
 		if err != nil {
@@ -99,7 +101,8 @@
 	return lines
 }
 
-func find(all []Lease, name string) Lease {
+// findLease returns a lease by name, or a free lease of that name if there is none.
+func findLease(all []Lease, name string) Lease {
 	for _, d := range all {
 		if d.Name == name {
 			return d
@@ -108,43 +111,44 @@
 	return Lease{Name: name}
 }
 
-func checkOne(t *rapid.T, s *State, c Command, version uint64, was, is Lease) {
+// checkLeaseChange checks a lease before and after a command that was applied at a version.
+func checkLeaseChange(t *rapid.T, s *State, c Command, version uint64, before, after Lease) {
 	sessions := map[string]string{}
-	for _, one := range s.Sessions() {
-		sessions[one.ID] = one.Process
+	for _, session := range s.Sessions() {
+		sessions[session.ID] = session.Process
 	}
-	if is.Holder != "" && sessions[is.Holder] != is.Process {
-		t.Fatalf("%+v is held by a session that is not there", is)
+	if after.Holder != "" && sessions[after.Holder] != after.Process {
+		t.Fatalf("the holder of %+v has no session", after)
 	}
 	switch {
-	case is.Token < was.Token:
-		t.Fatalf("fence %d after %d", is.Token, was.Token)
-	case is.Token > was.Token:
-		if is.Token <= version || is.Token > s.Version() || !slices.Contains(c.Grant, is.Name) {
-			t.Fatalf("a grant under fence %d, by %+v, from version %d to %d", is.Token, c, version, s.Version())
+	case after.Token < before.Token:
+		t.Fatalf("fencing token %d after %d", after.Token, before.Token)
+	case after.Token > before.Token:
+		if after.Token <= version || after.Token > s.Version() || !slices.Contains(c.Grant, after.Name) {
+			t.Fatalf("a grant with fencing token %d by %+v, from version %d to %d", after.Token, c, version, s.Version())
 		}
-		for _, q := range was.Queue {
-			if still := slices.ContainsFunc(is.Queue, func(k Candidate) bool { return k.Session == q.Session }); still &&
-				!slices.Contains(is.Blocked, q.Process) && is.Process != was.Successor && q.Priority > is.Priority {
-				t.Fatalf("%+v is granted past %+v", is, q)
+		for _, q := range before.Queue {
+			if still := slices.ContainsFunc(after.Queue, func(k Candidate) bool { return k.Session == q.Session }); still &&
+				!slices.Contains(after.Blocked, q.Process) && after.Process != before.Successor && q.Priority > after.Priority {
+				t.Fatalf("%+v is granted although candidate %+v has a higher priority", after, q)
 			}
 		}
-	case is.Holder != was.Holder && is.Holder != "":
-		t.Fatalf("another holder under the same fence: %+v after %+v", is, was)
+	case after.Holder != before.Holder && after.Holder != "":
+		t.Fatalf("another holder with the same fencing token: %+v after %+v", after, before)
 	}
-	if slices.Contains(c.Grant, is.Name) && is.Holder == "" && is.next() >= 0 && (c.Op == OpGrant || was.Holder != "") {
-		t.Fatalf("%+v stays free by %+v", is, c)
+	if slices.Contains(c.Grant, after.Name) && after.Holder == "" && after.next() >= 0 && (c.Op == OpGrant || before.Holder != "") {
+		t.Fatalf("%+v stays free after %+v", after, c)
 	}
-	for i, q := range is.Queue {
-		if _, ok := sessions[q.Session]; !ok || q.Session == is.Holder || i > 0 && q.Since <= is.Queue[i-1].Since {
-			t.Fatalf("the queue of %+v", is)
+	for i, q := range after.Queue {
+		if _, ok := sessions[q.Session]; !ok || q.Session == after.Holder || i > 0 && q.Since <= after.Queue[i-1].Since {
+			t.Fatalf("the queue of %+v has an invalid candidate", after)
 		}
 	}
 }
 
-// TestDutiesAndTheList: changes of leases take versions, but change nothing for who
-// follows the list; a name that is used again goes on with higher fencing tokens.
-func TestDutiesAndTheList(t *testing.T) {
+// TestLeaseChangesLeaveListUnchanged checks that changes of leases use up versions of the list but bring its
+// readers no changes, and that a lease name that is used again gets higher fencing tokens.
+func TestLeaseChangesLeaveListUnchanged(t *testing.T) {
 	s := NewState()
 	s.Apply(Command{Op: OpBegin, Epoch: "e"})
 	e := entry("a")
@@ -162,10 +166,10 @@
 	first := hold("x")
 	s.Apply(Command{Op: OpCloseSessions, Sessions: []string{"x"}})
 	if second := hold("y"); second <= first {
-		t.Errorf("fence %d after %d", second, first)
+		t.Errorf("fencing token %d after %d", second, first)
 	}
 	if s.Version() == from || s.ListVersion() != from {
-		t.Errorf("version %d, that of the list %d, after %d", s.Version(), s.ListVersion(), from)
+		t.Errorf("version %d, list version %d, after version %d", s.Version(), s.ListVersion(), from)
 	}
 	if a := s.Since(from); a.Snapshot || len(a.Endpoints) != 0 || a.Index != s.Version() {
 		t.Errorf("a reader of %d gets %+v", from, a)
--- a/internal/registry/records_bench_test.go
+++ b/internal/registry/records_bench_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// plannedRecords are 200,000 tenants of 231 bytes, and catalogue pages of 2.3 kB for ten of them each.
+// plannedRecords returns a state with a record of 231 bytes for each tenant and a catalogue page of 2.3 kB
+// for each ten tenants. The design size is 200,000 tenants.
 func plannedRecords(tenants int) *State {
 	s := NewState()
 	s.Apply(Command{Op: OpBegin, Epoch: "e"})
@@ -22,7 +23,8 @@
 	return s
 }
 
-// BenchmarkRecords is what the planned records cost a replica: a change, a new one, a watcher that is woken, the copy for a snapshot, which stands in the way of changes, its encoding and its reading.
+// BenchmarkRecords measures what records cost a replica: a change, a new record, the response to a woken
+// watcher, the copy for a snapshot (which blocks changes), and the encoding and decoding of the snapshot.
 func BenchmarkRecords(b *testing.B) {
 	for _, n := range []int{800, 20000, 200000} {
 		s := plannedRecords(n)
--- a/internal/registry/records_test.go
+++ b/internal/registry/records_test.go
@@ -12,8 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestRecords: writes under conditions, beside a plain model; a copy has the same, and changes nothing for who follows the list.
-func TestRecords(t *testing.T) {
+// TestRecordWritesMatchModel compares drawn writes, some of them conditional, with a plain map. A state
+// restored from a snapshot has the same records, and the version of the endpoint list does not change.
+func TestRecordWritesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		s.Apply(Command{Op: OpBegin, Epoch: "e"})
@@ -23,18 +24,18 @@
 			if rapid.IntRange(0, 3).Draw(t, "away") > 0 {
 				c.Value = json.RawMessage(fmt.Sprintf(`{"n":"%s"}`, strings.Repeat("x", rapid.IntRange(0, 9).Draw(t, "length"))))
 			}
-			has, there := model[c.Name]
+			current, exists := model[c.Name]
 			if rapid.Bool().Draw(t, "conditional") {
-				v := has.Version + uint64(rapid.IntRange(0, 1).Draw(t, "other"))
+				v := current.Version + uint64(rapid.IntRange(0, 1).Draw(t, "other"))
 				c.IfVersion = &v
 			}
 			r := s.Apply(c)
 			switch {
-			case c.IfVersion != nil && *c.IfVersion != has.Version:
-				if r.Code != Conflict || r.EntryVersion != has.Version {
-					t.Fatalf("%+v at %+v: %+v", c, has, r)
+			case c.IfVersion != nil && *c.IfVersion != current.Version:
+				if r.Code != Conflict || r.EntryVersion != current.Version {
+					t.Fatalf("%+v at %+v: %+v", c, current, r)
 				}
-			case c.Value == nil && !there:
+			case c.Value == nil && !exists:
 				if r.Code != NotFound {
 					t.Fatalf("%+v: %+v", c, r)
 				}
@@ -46,13 +47,13 @@
 				model[c.Name] = Record{c.Name, r.EntryVersion, c.Value}
 			}
 			if rapid.IntRange(0, 5).Draw(t, "copy") == 0 {
-				s = copied(t, s)
+				s = decodedCopy(t, s)
 			}
 		}
 		bytes := 0
 		for key, want := range model {
 			if got, _ := s.Record(key); !reflect.DeepEqual(got, want) {
-				t.Fatalf("%s is %s, not %s", key, got.Value, want.Value)
+				t.Fatalf("record %s is %s, want %s", key, got.Value, want.Value)
 			}
 			bytes += len(want.Value)
 		}
@@ -62,11 +63,12 @@
 	})
 }
 
-// TestRecordsAreBounded in size and number, each to the last one that fits, and have to be JSON.
+// TestRecordsAreBounded fills the state up to the bounds on the number and the size of records: the last
+// record that fits is applied and the next one is rejected. Values that are not JSON are rejected, too.
 func TestRecordsAreBounded(t *testing.T) {
 	big := json.RawMessage(`"` + strings.Repeat("x", MaxRecord-2) + `"`)
-	for kept, value := range map[int]json.RawMessage{MaxRecordBytes/MaxRecord - 1: big, MaxRecords - 1: json.RawMessage("0")} {
-		s, all := NewState(), make([]Record, kept)
+	for stored, value := range map[int]json.RawMessage{MaxRecordBytes/MaxRecord - 1: big, MaxRecords - 1: json.RawMessage("0")} {
+		s, all := NewState(), make([]Record, stored)
 		for i := range all {
 			all[i] = Record{Key: fmt.Sprint(i), Value: value}
 		}
@@ -79,7 +81,7 @@
 			}
 		}
 		if r := s.Apply(Command{Op: OpPutRecord, Name: "0", Value: value}); r.Code != Applied || s.recordBytes > MaxRecordBytes || len(s.records) > MaxRecords {
-			t.Errorf("%d records with %d bytes; one written over: %+v", len(s.records), s.recordBytes, r)
+			t.Errorf("%d records with %d bytes; overwriting a record: %+v", len(s.records), s.recordBytes, r)
 		}
 	}
 	s := NewState()
@@ -90,12 +92,13 @@
 	}
 }
 
-// TestKeys: beside a plain map, keys come in order, all those of a prefix and no others, and in runs no longer than they may be.
-func TestKeys(t *testing.T) {
+// TestSortedKeysMatchModel compares drawn additions and removals with a plain map: withPrefix visits exactly
+// the keys with the prefix in order, and no run is empty or longer than maxRunKeys.
+func TestSortedKeysMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var k sortedKeys
 		model := map[string]bool{}
-		for range rapid.IntRange(0, 2500).Draw(t, "first") { // enough that runs are divided
+		for range rapid.IntRange(0, 2500).Draw(t, "first") { // enough keys to split runs
 			key := strconv.FormatUint(uint64(len(model))*2654435761%4096, 8)
 			if model[key] {
 				break
@@ -105,8 +108,8 @@
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			key := strconv.FormatUint(uint64(rapid.IntRange(0, 4095).Draw(t, "key")), 8)
-			if _, _, there := k.find(key); there != model[key] {
-				t.Fatalf("%s is there: %v", key, there)
+			if _, _, exists := k.find(key); exists != model[key] {
+				t.Fatalf("key %s found: %v, the model says the opposite", key, exists)
 			}
 			if model[key] {
 				k.remove(key)
@@ -125,11 +128,11 @@
 			}
 		}
 		if slices.Sort(want); !slices.Equal(got, want) {
-			t.Fatalf("under %q come %d keys, not %d", prefix, len(got), len(want))
+			t.Fatalf("prefix %q: %d keys, want %d", prefix, len(got), len(want))
 		}
 		for _, r := range k.runs {
 			if len(r) == 0 || len(r) > maxRunKeys {
-				t.Fatalf("a run of %d", len(r))
+				t.Fatalf("a run has %d keys", len(r))
 			}
 		}
 	})
--- a/internal/registry/server/cutoff_test.go
+++ b/internal/registry/server/cutoff_test.go
@@ -13,16 +13,17 @@
 	"wrenspread/internal/registry"
 )
 
-// TestElectionReleasesNoHerd: of those that are held at a replica, some while it has a leader and some as they come
-// meanwhile, an election sends away but the few whose drawn time is over, and all others hear of the change that follows
-// it. A cut that lasts sends all elsewhere within cutOffHold, one after the other; readers without an epoch stay.
-func TestElectionReleasesNoHerd(t *testing.T) {
-	const watchers, late, without = 1000, 200, 10
+// TestElectionSendsFewWatchersAway lets watchers wait at a replica that loses its leader, some of them from
+// before the loss and some from after it. An election rejects only the few whose random time is over; all
+// others get the change that follows. A longer cut rejects all of them at different times within
+// maxCutOffHold; readers without an epoch stay.
+func TestElectionSendsFewWatchersAway(t *testing.T) {
+	const watchers, late, withoutEpoch = 1000, 200, 10
 	for _, c := range []struct {
-		name        string
-		lasts       time.Duration
-		least, most int // that are refused
-		mostIn10th  int
+		name                     string
+		lasts                    time.Duration
+		minRejected, maxRejected int // rejected watchers
+		maxInTenth               int
 	}{
 		{"an election", maxCutOffHold / 10, 50, 200, 200},
 		{"a cut", 2 * maxCutOffHold, watchers + late, watchers + late, 200},
@@ -40,7 +41,7 @@
 					after time.Duration
 					*httptest.ResponseRecorder
 				}
-				answers := make(chan answer, watchers+late+without)
+				answers := make(chan answer, watchers+late+withoutEpoch)
 				lost := time.Now()
 				watch := func(n int, query string) {
 					for range n {
@@ -53,7 +54,7 @@
 					synctest.Wait()
 				}
 				watch(watchers, "&epoch=e&hold_ms=30000")
-				watch(without, "&hold_ms=30000")
+				watch(withoutEpoch, "&hold_ms=30000")
 				s.contact.set(true)
 				watch(late, "&epoch=e&hold_ms=1")
 				time.Sleep(c.lasts)
@@ -65,23 +66,23 @@
 				m.mu.Unlock()
 				time.Sleep(time.Second)
 				if len(answers) != cap(answers) {
-					t.Fatalf("%d of %d are answered", len(answers), cap(answers))
+					t.Fatalf("%d of %d calls are answered", len(answers), cap(answers))
 				}
-				refused, told, in := 0, 0, make([]int, 12)
+				rejected, updated, perTenth := 0, 0, make([]int, 12)
 				for range cap(answers) {
 					a := <-answers
 					switch body := a.Body.String(); {
 					case a.Code == http.StatusServiceUnavailable && strings.Contains(body, `"cut-off"`) && a.after <= maxCutOffHold+time.Millisecond:
-						refused++
-						in[a.after*10/maxCutOffHold]++
+						rejected++
+						perTenth[a.after*10/maxCutOffHold]++
 					case a.Code == http.StatusOK && strings.Contains(body, `"name":"s"`):
-						told++
+						updated++
 					case a.Code != http.StatusOK || a.after < c.lasts:
 						t.Errorf("after %v: %d %s", a.after, a.Code, body)
 					}
 				}
-				if refused < c.least || refused > c.most || slices.Max(in) > c.mostIn10th || told < without || told+refused < watchers+without {
-					t.Errorf("%d are told and %d refused, by tenths of the time %v; want %d to %d refused", told, refused, in, c.least, c.most)
+				if rejected < c.minRejected || rejected > c.maxRejected || slices.Max(perTenth) > c.maxInTenth || updated < withoutEpoch || updated+rejected < watchers+withoutEpoch {
+					t.Errorf("%d watchers get the change and %d are rejected, by tenths of the time %v; want %d to %d rejected", updated, rejected, perTenth, c.minRejected, c.maxRejected)
 				}
 			})
 		})
--- a/internal/registry/server/folder_test.go
+++ b/internal/registry/server/folder_test.go
@@ -21,53 +21,53 @@
 	"wrenspread/internal/registry"
 )
 
-// TestDamagedFolder: a log that was cut short or written over anywhere gives a
-// list that was, or a clear error; never a panic, and never another list.
-func TestDamagedFolder(t *testing.T) {
+// TestDamagedLogIsRejectedOrConsistent truncates or overwrites a log at random places. The replica then
+// serves a list that it had, or stops with an error; it never panics and never serves another list.
+func TestDamagedLogIsRejectedOrConsistent(t *testing.T) {
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
 	for i := range 20 {
-		put(t, url, fmt.Sprint("s", i), "")
+		register(t, url, fmt.Sprint("s", i), "")
 	}
-	want := read(t, url, "")
+	want := readList(t, url, "")
 	stop()
 	path := filepath.Join(folder, "log.db")
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	chance := rand.New(rand.NewPCG(1, 2))
-	refused, served := 0, 0
+	rejected, served := 0, 0
 	for range 60 {
-		spoilt := slices.Clone(whole)
-		at := chance.IntN(len(spoilt))
+		damaged := slices.Clone(intact)
+		at := chance.IntN(len(damaged))
 		if chance.IntN(2) == 0 {
-			spoilt = spoilt[:at]
+			damaged = damaged[:at]
 		} else {
-			for i := at; i < min(len(spoilt), at+1+chance.IntN(8192)); i++ {
-				spoilt[i] = byte(chance.Uint32())
+			for i := at; i < min(len(damaged), at+1+chance.IntN(8192)); i++ {
+				damaged[i] = byte(chance.Uint32())
 			}
 		}
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, "log.db"), spoilt, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, "log.db"), damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		switch a, err := tryFolder(t, dir); {
+		switch a, err := runOnFolder(t, dir); {
 		case err != nil:
-			refused++
+			rejected++
 		case a.Epoch == want.Epoch && (a.Index < want.Index || a.Index == want.Index && reflect.DeepEqual(a, want)):
 			served++
 		default:
-			t.Errorf("damaged at %d of %d it has %+v", at, len(whole), a)
+			t.Errorf("with damage at %d of %d bytes the replica has %+v", at, len(intact), a)
 		}
 	}
-	if refused == 0 || served == 0 {
-		t.Errorf("%d were refused, %d served: the damage is of one kind only", refused, served)
+	if rejected == 0 || served == 0 {
+		t.Errorf("%d logs were rejected, %d served: the damage is of one kind only", rejected, served)
 	}
 }
 
-// tryFolder runs a replica on a folder until it has a list or ends by itself.
-func tryFolder(t *testing.T, folder string) (a registry.ListResponse, err error) {
+// runOnFolder runs a replica on a folder until it has a list or stops by itself.
+func runOnFolder(t *testing.T, folder string) (a registry.ListResponse, err error) {
 	address, free, err := link.Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -92,23 +92,24 @@
 			return a, err
 		}
 	}
-	t.Error("it neither serves nor ends")
+	t.Error("the replica neither serves nor stops")
 	return a, nil
 }
 
-// TestLateFacts: raft's own facts that come once the store is closed end their goroutine, as raft would crash at an error.
-func TestLateFacts(t *testing.T) {
+// TestStableStoreWriteAfterStopEndsGoroutine checks that a write of raft's stable state that fails after the
+// store was closed ends its goroutine, because raft would panic if it got the error.
+func TestStableStoreWriteAfterStopEndsGoroutine(t *testing.T) {
 	stop, ended := make(chan struct{}), make(chan bool)
 	close(stop)
 	go func() {
 		defer close(ended)
-		_ = retryingStableStore{failing{}, slog.New(slog.DiscardHandler), stop}.SetUint64(nil, 1)
-		t.Error("raft is told of an error")
+		_ = retryingStableStore{failingStore{}, slog.New(slog.DiscardHandler), stop}.SetUint64(nil, 1)
+		t.Error("raft gets an error")
 	}()
 	<-ended
 }
 
-// failing is a store that takes nothing.
-type failing struct{ raft.StableStore }
+// failingStore is a stable store whose writes fail.
+type failingStore struct{ raft.StableStore }
 
-func (failing) SetUint64([]byte, uint64) error { return errors.New("closed") }
+func (failingStore) SetUint64([]byte, uint64) error { return errors.New("closed") }
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -14,15 +14,15 @@
 	"wrenspread/internal/registry"
 )
 
-// TestOlderFolder: what the first programs left is read: commands without a seal, and
-// an image without leases whose changes have all versions.
-func TestOlderFolder(t *testing.T) {
+// TestFormatsOfFirstProgramsAreRead checks that commands without a checksum, and a snapshot without leases
+// whose changes have consecutive versions, are read. The first programs wrote such files.
+func TestFormatsOfFirstProgramsAreRead(t *testing.T) {
 	c, err := decode([]byte(`{"v":1,"do":"register","entry":{"name":"a","address":"a:1","status":"ready"}}`))
 	if err != nil || c.Endpoint == nil || c.Endpoint.Name != "a" {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := decode([]byte(`{"v":1,"do":"later"}`)); err == nil {
-		t.Error("a later program's command is taken")
+		t.Error("a command of a later program is accepted")
 	}
 	entry := `{"name":"a","address":"a:1","zone":"","type":"","group":0,"status":"ready","weight":0,"since_ms":0}`
 	s, err := registry.DecodeSnapshot([]byte(`{"v":1,"epoch":"e","version":7,"items":[{"entry":` + entry + `,"version":7,"ttl":0}],"changes":[{"version":6,"entry":` + entry +
@@ -38,6 +38,7 @@
 	}
 }
 
+// FuzzDecodeCommand checks that a decoded command can be applied without a panic.
 func FuzzDecodeCommand(f *testing.F) {
 	raw, err := encode(registry.Command{Op: registry.OpRemove, Name: "a"})
 	if err != nil {
@@ -52,16 +53,17 @@
 	})
 }
 
+// FuzzReadEntry checks that reading an arbitrary log entry does no harm.
 func FuzzReadEntry(f *testing.F) {
 	f.Add(uint64(1), []byte{0x80})
 	f.Fuzz(func(t *testing.T, index uint64, v []byte) {
-		defer func() { _ = recover() }() // as where a log is opened: raft panics at its own entries
+		defer func() { _ = recover() }() // as in rewriteLog: raft panics at malformed entries of its own
 		_, _ = readEntry(binary.BigEndian.AppendUint64(nil, index), v)
 	})
 }
 
-// FuzzCalls: no call of anybody's makes a replica fail, hang or answer without a status of its own.
-func FuzzCalls(f *testing.F) {
+// FuzzHTTPCalls checks that no HTTP call makes a replica fail, hang or respond with status 500.
+func FuzzHTTPCalls(f *testing.F) {
 	c := Default()
 	c.Folder, c.Listen, c.Election, c.MaxWrites = f.TempDir(), "127.0.0.1:0", 50*time.Millisecond, 1e9
 	s := &Server{config: c, log: slog.New(slog.DiscardHandler), rates: newRates(c.MaxWrites), contact: newLeaderContact(), broken: make(chan error, 1)}
@@ -78,7 +80,7 @@
 		if _, epoch := s.hub.current(); epoch != "" {
 			break
 		} else if time.Now().After(until) {
-			f.Fatal("the list does not begin")
+			f.Fatal("the list gets no epoch")
 		}
 	}
 	h := s.routes()
@@ -91,7 +93,7 @@
 	f.Fuzz(func(t *testing.T, method, path, query, body string) {
 		r, err := http.NewRequest(method, "http://x/", io.NopCloser(strings.NewReader(body)))
 		if err != nil || !strings.HasPrefix(path, "/") || strings.HasPrefix(path, "/registry/members") && method == "PUT" {
-			return // a member that was added is asked whether it is there, which is another test's
+			return // adding a replica makes calls to it: see TestClusterGrowsAndRemovesItsLeader
 		}
 		r.URL.Path, r.URL.RawQuery, r.RemoteAddr = path, query, "127.0.0.1:1"
 		ctx, cancel := context.WithTimeout(r.Context(), 20*time.Millisecond)
--- a/internal/registry/server/leases_test.go
+++ b/internal/registry/server/leases_test.go
@@ -10,7 +10,8 @@
 	"wrenspread/internal/registry"
 )
 
-func encodeLease(t *testing.T, url, query string) registry.LeasesResponse {
+// getLeases reads leases from a replica.
+func getLeases(t *testing.T, url, query string) registry.LeasesResponse {
 	t.Helper()
 	status, body := call(t, "GET", url+"/registry/duties"+query, "")
 	var a registry.LeasesResponse
@@ -20,56 +21,56 @@
 	return a
 }
 
-// TestDutyOverHTTP: a session lapses, the next has its lease with a higher fencing token, and
-// the earlier holder's writes are turned down; over a restart on the same folder.
-func TestDutyOverHTTP(t *testing.T) {
+// TestLeasePassesOverHTTPAndRestart lets a session expire over a restart on the same folder. The next session
+// gets its lease with a higher fencing token, and writes of the earlier holder are rejected.
+func TestLeasePassesOverHTTPAndRestart(t *testing.T) {
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
 	open := func(id string, ttl time.Duration) {
-		sure(t, "PUT", url+"/registry/sessions/"+id, fmt.Sprintf(`{"process":"p-%s","ttl_ms":%d}`, id, ttl.Milliseconds()))
+		callUntilOK(t, "PUT", url+"/registry/sessions/"+id, fmt.Sprintf(`{"process":"p-%s","ttl_ms":%d}`, id, ttl.Milliseconds()))
 	}
 	campaign := func(id string) {
-		sure(t, "POST", url+"/registry/sessions/"+id+"/campaign", `{"duties":[{"duty":"d"}]}`)
+		callUntilOK(t, "POST", url+"/registry/sessions/"+id+"/campaign", `{"duties":[{"duty":"d"}]}`)
 	}
-	held := func(by string) registry.Lease { // once it is
+	waitForLease := func(by string) registry.Lease { // waits until the session holds the lease
 		t.Helper()
-		for a, until := encodeLease(t, url, "?session="+by), time.Now().Add(enough); ; a = encodeLease(t, url, fmt.Sprintf("?session=%s&from=%d&hold_ms=1000", by, a.Index)) {
+		for a, until := getLeases(t, url, "?session="+by), time.Now().Add(enough); ; a = getLeases(t, url, fmt.Sprintf("?session=%s&from=%d&hold_ms=1000", by, a.Index)) {
 			if len(a.Leases) == 1 && a.Leases[0].Holder == by {
 				return a.Leases[0]
 			} else if time.Now().After(until) {
-				t.Fatalf("%s does not come to hold it: %+v", by, a)
+				t.Fatalf("session %s does not get the lease: %+v", by, a)
 			}
 		}
 	}
-	open("x", 2*enough) // no pause of this machine ends it
+	open("x", 2*enough) // too long to expire in a pause of this machine
 	campaign("x")
-	first := held("x")
+	first := waitForLease("x")
 	fenced := func(f uint64) (int, string) {
-		return put(t, url, "a", fmt.Sprintf(`,"fence":{"duty":"d","fence":%d}`, f))
+		return register(t, url, "a", fmt.Sprintf(`,"fence":{"duty":"d","fence":%d}`, f))
 	}
 	if status, body := fenced(first.Token); status != 200 {
 		t.Error(status, body)
 	}
-	open("x", 600*time.Millisecond) // from here on it does not matter when it lapses
+	open("x", 600*time.Millisecond) // from here on the session may expire at any time
 	stop()
 	url, stop = serve(t, folder, nil)
 	defer stop()
 	open("y", 2*enough)
 	campaign("y")
-	if body := sure(t, "POST", url+"/registry/sessions/renew", `{"sessions":["y"]}`); strings.Contains(body, `"y"`) {
+	if body := callUntilOK(t, "POST", url+"/registry/sessions/renew", `{"sessions":["y"]}`); strings.Contains(body, `"y"`) {
 		t.Error(body)
 	}
-	if second := held("y"); second.Token <= first.Token {
-		t.Errorf("fence %d after %d", second.Token, first.Token)
+	if second := waitForLease("y"); second.Token <= first.Token {
+		t.Errorf("fencing token %d after %d", second.Token, first.Token)
 	}
 	if status, body := fenced(first.Token); status != 409 || !strings.Contains(body, `"fenced"`) {
 		t.Errorf("the earlier holder's write: %d %s", status, body)
 	}
 	if status, body := call(t, "POST", url+"/registry/sessions/renew", `{"sessions":["x"]}`); status != 200 || !strings.Contains(body, `"x"`) {
-		t.Errorf("a renewal of one that lapsed: %d %s", status, body)
+		t.Errorf("renewal of an expired session: %d %s", status, body)
 	}
 	if status, _ := call(t, "GET", url+"/registry/duties?session=x", ""); status != 404 {
-		t.Errorf("its duties: %d", status)
+		t.Errorf("leases of an expired session: %d", status)
 	}
 	for _, c := range []struct {
 		method, path, body string
@@ -83,8 +84,9 @@
 	}
 }
 
-// TestPace: candidates that crash in a loop do not pass a lease around faster than is stated.
-func TestPace(t *testing.T) {
+// TestGrantsAreRateLimited lets candidates crash in a loop: they do not pass a lease around faster than the
+// limit on grants allows.
+func TestGrantsAreRateLimited(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
 	start := time.Now()
@@ -97,13 +99,13 @@
 	call(t, "PUT", url+"/registry/sessions/last", `{"process":"p","ttl_ms":60000}`)
 	call(t, "POST", url+"/registry/sessions/last/campaign", `{"duties":[{"duty":"d"}]}`)
 	for until := time.Now().Add(enough); ; time.Sleep(5 * time.Millisecond) {
-		if d := encodeLease(t, url, "").Leases; len(d) == 1 && d[0].Holder == "last" {
+		if d := getLeases(t, url, "").Leases; len(d) == 1 && d[0].Holder == "last" {
 			break
 		} else if time.Now().After(until) {
-			t.Fatalf("the last does not come to hold it: %+v", d)
+			t.Fatalf("the last session does not get the lease: %+v", d)
 		}
 	}
 	if took := time.Since(start); took < grantInterval/2 {
-		t.Errorf("20 crashes and a holder took %v only", took)
+		t.Errorf("20 crashes and a holder took only %v", took)
 	}
 }
--- a/internal/registry/server/paced_sockets_test.go
+++ b/internal/registry/server/paced_sockets_test.go
@@ -15,7 +15,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// statusRecorder is what a handler answered.
+// statusRecorder records the status of a response.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
@@ -28,10 +28,11 @@
 
 func (c *statusRecorder) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
-// TestColdFleetOverSockets: a few hundred clients that come at once for whole parts, with a place for each 75 of them as
-// 64 are for 4,300, all get theirs, though each place was taken as they came: each whole answer once, the narrow one to
-// learn the total and the right one, however often they were sent away. Nothing that had a place is made anew.
-func TestColdFleetOverSockets(t *testing.T) {
+// TestColdFleetReadsEachSubsetOnce lets 300 clients start at once with one slot for each 75 of them, as 64
+// slots are for 4,300 proxies, and with all slots taken at first. Each client gets its subset and reads each
+// complete subset once, however often it was rejected: a narrow one, from which it learns the total, and then
+// the right one.
+func TestColdFleetReadsEachSubsetOnce(t *testing.T) {
 	const clients, places, servers, nodes = 300, 4, 150, 4300
 	m := &machine{state: registry.NewState()}
 	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newLeaderContact(), completeReads: make(chan struct{}, places), ctx: t.Context()}
@@ -41,52 +42,52 @@
 	}
 	s.hub.publishList(m.state)
 	s.contact.caughtUp.Store(true)
-	var given, sentAway atomic.Int32
-	allAway := make(chan struct{})
-	away := sync.OnceFunc(func() { close(allAway) })
-	door := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	var sent, rejected atomic.Int32
+	allRejected := make(chan struct{})
+	closeAllRejected := sync.OnceFunc(func() { close(allRejected) })
+	front := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := &statusRecorder{w, http.StatusOK}
 		s.instances(c, r)
 		switch {
 		case r.URL.Query().Has("from"):
 		case c.status == http.StatusTooManyRequests:
-			if sentAway.Add(1) == clients {
-				away()
+			if rejected.Add(1) == clients {
+				closeAllRejected()
 			}
-		case c.status == http.StatusOK && r.Context().Err() == nil: // else the client has given up
-			given.Add(1)
-			away()
+		case c.status == http.StatusOK && r.Context().Err() == nil: // otherwise the client has given up
+			sent.Add(1)
+			closeAllRejected()
 		}
 	}))
-	door.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, 0)
-	door.Start()
-	defer door.Close()
+	front.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, 0)
+	front.Start()
+	defer front.Close()
 	for range places {
 		s.completeReads <- struct{}{}
 	}
-	wants := func(i, total int) registry.Subset { return registry.SubsetOf(i, nodes, eachCounts*total) }
+	wantedSubset := func(i, total int) registry.Subset { return registry.SubsetOf(i, nodes, endpointsPerEntry*total) }
 	ctx, stop := context.WithCancel(t.Context())
-	var tasks, have sync.WaitGroup
+	var tasks, pending sync.WaitGroup
 	defer tasks.Wait()
 	defer stop()
-	have.Add(clients)
+	pending.Add(clients)
 	wide := 0
 	for i := range clients {
-		first := wants(i, registry.MaxEndpoints/eachCounts)
-		if !first.Covers(wants(i, servers)) {
+		first := wantedSubset(i, registry.MaxEndpoints/endpointsPerEntry)
+		if !first.Covers(wantedSubset(i, servers)) {
 			wide++
 		}
 		var once sync.Once
-		k, err := client.New(client.Config{Addresses: []string{strings.TrimPrefix(door.URL, "http://")},
+		k, err := client.New(client.Config{Addresses: []string{strings.TrimPrefix(front.URL, "http://")},
 			ChooseSubset: func(now registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
 				if entries == nil {
 					return first
 				}
-				return wants(i, total)
+				return wantedSubset(i, total)
 			},
 			OnChange: func(a registry.ListResponse) {
-				if a.Subset == wants(i, servers).String() {
-					once.Do(have.Done)
+				if a.Subset == wantedSubset(i, servers).String() {
+					once.Do(pending.Done)
 				}
 			}})
 		if err != nil {
@@ -94,15 +95,15 @@
 		}
 		tasks.Go(func() { k.Follow(ctx); k.Close() })
 	}
-	<-allAway
-	if n := given.Load(); n != 0 {
-		t.Errorf("%d whole parts are given past the places", n)
+	<-allRejected
+	if n := sent.Load(); n != 0 {
+		t.Errorf("%d complete subsets are sent although all slots are taken", n)
 	}
 	for range places {
 		<-s.completeReads
 	}
-	have.Wait()
-	if n := int(given.Load()); n != clients+wide || wide < clients/2 {
-		t.Errorf("%d whole parts are given to %d clients, of whom %d need a second", n, clients, wide)
+	pending.Wait()
+	if n := int(sent.Load()); n != clients+wide || wide < clients/2 {
+		t.Errorf("%d complete subsets are sent to %d clients, of which %d need a second one", n, clients, wide)
 	}
 }
--- a/internal/registry/server/paced_test.go
+++ b/internal/registry/server/paced_test.go
@@ -9,9 +9,9 @@
 	"wrenspread/internal/registry"
 )
 
-// TestWholePartsArePaced: those that come while all places are taken are told when to come again; changes, and the
-// list of those that name no part, are not held up.
-func TestWholePartsArePaced(t *testing.T) {
+// TestCompleteSubsetsArePaced checks that readers of complete subsets get a Retry-After while all slots are
+// taken, and that changes, and the list for readers that name no subset, are not delayed.
+func TestCompleteSubsetsArePaced(t *testing.T) {
 	m := &machine{state: registry.NewState()}
 	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newLeaderContact(), completeReads: make(chan struct{}, 1), ctx: context.Background()}
 	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
@@ -19,26 +19,26 @@
 	s.hub.publishList(m.state)
 	s.contact.caughtUp.Store(true)
 	gone, cancel := context.WithCancel(context.Background())
-	cancel() // in place of the wait for one's turn
-	ask := func(query string) *httptest.ResponseRecorder {
+	cancel() // ends the wait for a slot at once
+	get := func(query string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		s.instances(w, httptest.NewRequestWithContext(gone, http.MethodGet, "/registry/instances"+query, nil))
 		return w
 	}
-	for taken, want := range map[bool]int{false: 200, true: 429} {
-		if taken {
+	for busy, want := range map[bool]int{false: 200, true: 429} {
+		if busy {
 			s.completeReads <- struct{}{}
 		}
-		w := ask("?part=0-4096")
-		if w.Code != want || (w.Header().Get("Retry-After") != "") != taken {
-			t.Errorf("taken %v: %d %s", taken, w.Code, w.Body)
+		w := get("?part=0-4096")
+		if w.Code != want || (w.Header().Get("Retry-After") != "") != busy {
+			t.Errorf("slots taken %v: %d %s", busy, w.Code, w.Body)
 		}
 		for _, query := range []string{"", "?part=0-4096&from=1&epoch=e"} {
-			if w := ask(query); w.Code != 200 {
+			if w := get(query); w.Code != 200 {
 				t.Errorf("%s: %d %s", query, w.Code, w.Body)
 			}
 		}
-		if taken {
+		if busy {
 			<-s.completeReads
 		}
 	}
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -19,10 +19,10 @@
 
 const enough = 30 * time.Second // only a hang takes so long
 
-// serve runs a replica that is alone, on a folder, until stop is called.
+// serve runs a single replica on a folder until stop is called. It returns once the replica is ready.
 func serve(t *testing.T, folder string, change func(*Config)) (url string, stop func()) {
 	t.Helper()
-	url, stop = begin(t, folder, change)
+	url, stop = startReplica(t, folder, change)
 	for until := time.Now().Add(enough); ; time.Sleep(5 * time.Millisecond) {
 		if status, _ := call(t, "GET", url+"/readyz", ""); status == 200 {
 			return url, stop
@@ -32,8 +32,8 @@
 	}
 }
 
-// begin starts a replica.
-func begin(t *testing.T, folder string, change func(*Config)) (url string, stop func()) {
+// startReplica starts a replica on a folder. It does not wait until the replica is ready.
+func startReplica(t *testing.T, folder string, change func(*Config)) (url string, stop func()) {
 	t.Helper()
 	address, free, err := link.Reserve()
 	if err != nil {
@@ -57,6 +57,7 @@
 	return "http://" + address, stop
 }
 
+// call makes an HTTP call. It returns status 0 and the error if there is no response.
 func call(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -72,12 +73,14 @@
 	return resp.StatusCode, string(raw)
 }
 
-func put(t *testing.T, url, name string, more string) (int, string) {
+// register registers an endpoint; more is JSON to be added to the request's body.
+func register(t *testing.T, url, name string, more string) (int, string) {
 	t.Helper()
 	return call(t, "PUT", url+"/registry/instances/"+name, fmt.Sprintf(`{"entry":{"name":%q,"address":"127.0.0.1:1","status":"ready","weight":1}%s}`, name, more))
 }
 
-func read(t *testing.T, url, query string) registry.ListResponse {
+// readList reads the list and fails the test if the status is not 200.
+func readList(t *testing.T, url, query string) registry.ListResponse {
 	t.Helper()
 	status, body := call(t, "GET", url+"/registry/instances"+query, "")
 	var a registry.ListResponse
@@ -87,23 +90,24 @@
 	return a
 }
 
-// TestLifeOfAnEntry, in the platform's form, over a restart on the same folder.
-func TestLifeOfAnEntry(t *testing.T) {
+// TestEntryLifecycleOverRestart registers, drains and removes an entry over the API in the platform's form,
+// with watches, conditions, repeats and a restart on the same folder.
+func TestEntryLifecycleOverRestart(t *testing.T) {
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
-	begun := read(t, url, "")
-	told := make(chan registry.ListResponse, 1)
-	go func() { told <- read(t, url, fmt.Sprintf("?from=%d&hold_ms=60000", begun.Index)) }()
-	if status, body := put(t, url, "s", `,"if":0,"id":"w1"`); status != 200 {
+	initial := readList(t, url, "")
+	watched := make(chan registry.ListResponse, 1)
+	go func() { watched <- readList(t, url, fmt.Sprintf("?from=%d&hold_ms=60000", initial.Index)) }()
+	if status, body := register(t, url, "s", `,"if":0,"id":"w1"`); status != 200 {
 		t.Fatal(status, body)
 	}
-	if a := <-told; a.Snapshot || len(a.Endpoints) != 1 || a.Endpoints[0].Name != "s" || a.Index != begun.Index+1 {
-		t.Errorf("the watcher is told %+v", a)
+	if a := <-watched; a.Snapshot || len(a.Endpoints) != 1 || a.Endpoints[0].Name != "s" || a.Index != initial.Index+1 {
+		t.Errorf("the watcher gets %+v", a)
 	}
-	if status, _ := put(t, url, "s", `,"if":0,"id":"w1"`); status != 200 {
+	if status, _ := register(t, url, "s", `,"if":0,"id":"w1"`); status != 200 {
 		t.Errorf("a repeat: %d", status)
 	}
-	if status, body := put(t, url, "s", `,"if":0,"id":"w2"`); status != 409 || !strings.Contains(body, fmt.Sprint(begun.Index+1)) {
+	if status, body := register(t, url, "s", `,"if":0,"id":"w2"`); status != 409 || !strings.Contains(body, fmt.Sprint(initial.Index+1)) {
 		t.Errorf("a condition that is not met: %d %s", status, body)
 	}
 	if status, _ := call(t, "POST", url+"/registry/instances/s/drain", ""); status != 200 {
@@ -118,28 +122,28 @@
 	stop()
 	url, stop = serve(t, folder, nil)
 	defer stop()
-	a := read(t, url, fmt.Sprintf("?from=%d&epoch=%s", begun.Index, begun.Epoch))
-	if a.Epoch != begun.Epoch || len(a.Endpoints) != 3 || a.Endpoints[1].Status != registry.Draining || a.Endpoints[2].Status != registry.Removed {
+	a := readList(t, url, fmt.Sprintf("?from=%d&epoch=%s", initial.Index, initial.Epoch))
+	if a.Epoch != initial.Epoch || len(a.Endpoints) != 3 || a.Endpoints[1].Status != registry.Draining || a.Endpoints[2].Status != registry.Removed {
 		t.Errorf("after a restart the changes are %+v", a)
 	}
-	if a := read(t, url, "?from=1&epoch=another"); !a.Snapshot || len(a.Endpoints) != 0 {
+	if a := readList(t, url, "?from=1&epoch=another"); !a.Snapshot || len(a.Endpoints) != 0 {
 		t.Errorf("a reader of another epoch gets %+v", a)
 	}
-	if a := read(t, url, "?current=1"); !a.Snapshot {
+	if a := readList(t, url, "?current=1"); !a.Snapshot {
 		t.Errorf("a current read gets %+v", a)
 	}
 }
 
-// TestExpiry: one that is not renewed goes; the one that is renewed stays.
-func TestExpiry(t *testing.T) {
+// TestUnrenewedEntryExpires checks that an entry that is not renewed expires, and that a renewed one stays.
+func TestUnrenewedEntryExpires(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
 	for _, name := range []string{"a", "b"} {
-		if status, body := put(t, url, name, `,"ttl_ms":1000`); status != 200 {
+		if status, body := register(t, url, name, `,"ttl_ms":1000`); status != 200 {
 			t.Fatal(status, body)
 		}
 	}
-	from := read(t, url, "").Index
+	from := readList(t, url, "").Index
 	renewed, stopRenewing := make(chan bool), make(chan bool)
 	go func() {
 		defer close(renewed)
@@ -152,19 +156,20 @@
 			}
 		}
 	}()
-	a := read(t, url, fmt.Sprintf("?from=%d&hold_ms=30000", from))
+	a := readList(t, url, fmt.Sprintf("?from=%d&hold_ms=30000", from))
 	close(stopRenewing)
 	<-renewed
 	if len(a.Endpoints) != 1 || a.Endpoints[0].Name != "b" || a.Endpoints[0].Status != registry.Removed {
-		t.Errorf("what goes is %+v", a)
+		t.Errorf("the watcher of the expiry gets %+v", a)
 	}
 	if status, body := call(t, "POST", url+"/registry/renew", `{"names":["a","b"]}`); status != 200 || !strings.Contains(body, `"unknown":["b"]`) {
 		t.Errorf("renewing both: %d %s", status, body)
 	}
 }
 
-// TestOddCalls get their answer or a close, and harm nobody else.
-func TestOddCalls(t *testing.T) {
+// TestInvalidCallsAreRejected checks that invalid calls, calls beyond a limit and garbage are rejected with a
+// status and do not affect others.
+func TestInvalidCallsAreRejected(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), func(c *Config) { c.MaxWrites, c.MaxWatchers = 20, 1 })
 	defer stop()
 	for _, c := range []struct {
@@ -183,9 +188,9 @@
 			t.Errorf("%s %s: %d %s, want %d", c.method, c.path, status, body, c.want)
 		}
 	}
-	ahead := read(t, url, "").Index + 1000
-	if a := read(t, url, fmt.Sprintf("?from=%d", ahead)); a.Index < ahead || len(a.Endpoints) > 0 {
-		t.Errorf("a reader that is ahead, without an epoch, gets %+v", a)
+	ahead := readList(t, url, "").Index + 1000
+	if a := readList(t, url, fmt.Sprintf("?from=%d", ahead)); a.Index < ahead || len(a.Endpoints) > 0 {
+		t.Errorf("a reader without an epoch whose version is ahead gets %+v", a)
 	}
 	go func() { _, _ = http.Get(url + fmt.Sprintf("/registry/instances?from=%d&hold_ms=60000", ahead)) }() // ends with the replica
 	for until := time.Now().Add(enough); ; {
@@ -199,8 +204,8 @@
 		t.Errorf("a watcher too many: %d", status)
 	}
 	for until, status := time.Now().Add(enough), 0; status != 429; {
-		if status, _ = put(t, url, "s", ""); time.Now().After(until) {
-			t.Fatal("nobody limits the writes of one client")
+		if status, _ = register(t, url, "s", ""); time.Now().After(until) {
+			t.Fatal("the writes of a client are not limited")
 		}
 	}
 	raw, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -211,32 +216,34 @@
 	besteffort.Output(io.WriteString(raw, "\x00\x01 nonsense\r\n\r\n"))
 	besteffort.SocketOption(raw.SetReadDeadline(time.Now().Add(enough)))
 	if b, err := io.ReadAll(raw); err != nil || !strings.HasPrefix(string(b), "HTTP/1.1 400") {
-		t.Errorf("nonsense gets %q, %v", b, err)
+		t.Errorf("garbage gets %q, %v", b, err)
 	}
 }
 
-// TestBackup: what is kept comes back, once, under a new epoch and past every version; a damaged or misdirected one does not.
-func TestBackup(t *testing.T) {
+// TestBackupIsRestoredOnce checks that a backup is restored under a new epoch and a version above every
+// earlier one, that a repeat with the same id does not restore again, and that a damaged backup or one for
+// another epoch is rejected.
+func TestBackupIsRestoredOnce(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
-	put(t, url, "a", "")
-	_, kept := call(t, "GET", url+"/registry/backup", "")
-	put(t, url, "b", "")
-	was := read(t, url, "")
+	register(t, url, "a", "")
+	_, backup := call(t, "GET", url+"/registry/backup", "")
+	register(t, url, "b", "")
+	before := readList(t, url, "")
 	for _, c := range []struct {
 		query, body string
 		want        int
-	}{{"", kept, 400}, {"?epoch=another", kept, 409}, {"?epoch=" + was.Epoch, kept[:len(kept)-1], 400}, {"?epoch=" + was.Epoch, strings.Replace(kept, "a", "b", 1), 400},
-		{"?epoch=" + was.Epoch + "&id=x", kept, 200}, {"?epoch=" + was.Epoch + "&id=x", kept, 200}} {
+	}{{"", backup, 400}, {"?epoch=another", backup, 409}, {"?epoch=" + before.Epoch, backup[:len(backup)-1], 400}, {"?epoch=" + before.Epoch, strings.Replace(backup, "a", "b", 1), 400},
+		{"?epoch=" + before.Epoch + "&id=x", backup, 200}, {"?epoch=" + before.Epoch + "&id=x", backup, 200}} {
 		if status, body := call(t, "POST", url+"/registry/restore"+c.query, c.body); status != c.want {
 			t.Errorf("restore%s: %d %s, want %d", c.query, status, body, c.want)
 		}
 	}
-	a := read(t, url, fmt.Sprintf("?from=%d&epoch=%s", was.Index, was.Epoch))
-	if !a.Snapshot || len(a.Endpoints) != 1 || a.Epoch == was.Epoch || a.Index <= was.Index {
+	a := readList(t, url, fmt.Sprintf("?from=%d&epoch=%s", before.Index, before.Epoch))
+	if !a.Snapshot || len(a.Endpoints) != 1 || a.Epoch == before.Epoch || a.Index <= before.Index {
 		t.Errorf("after a restore a watcher gets %+v", a)
 	}
-	if b := read(t, url, "?current=1"); b.Index != a.Index {
+	if b := readList(t, url, "?current=1"); b.Index != a.Index {
 		t.Errorf("a repeat restored again: %d after %d", b.Index, a.Index)
 	}
 }
--- a/internal/registry/server/subsets_bench_test.go
+++ b/internal/registry/server/subsets_bench_test.go
@@ -7,8 +7,8 @@
 	"wrenspread/internal/registry"
 )
 
-// BenchmarkChange is what a change of one of 54,000 servers costs a replica between the log and the sockets: finding
-// those whom it concerns, waking them, and making their answers.
+// BenchmarkChange measures what a change of one of 54,000 endpoints costs a replica between the log and the
+// sockets: finding the affected watchers, waking them and encoding their responses.
 func BenchmarkChange(b *testing.B) {
 	const servers = 54000
 	m := &machine{state: registry.NewState()}
@@ -18,16 +18,16 @@
 		e.Zone, e.Type, e.Address = "a", "m2", "10.1.2.3:5000"
 		m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: e})
 	}
-	weight := 1 // another at each change
+	weight := 1 // changes with each iteration, so that each write is a change
 	for _, watchers := range []int{300, 1000, 4300} {
-		for _, parted := range []bool{false, true} {
-			b.Run(fmt.Sprint(watchers, "/", map[bool]string{false: "whole", true: "parts"}[parted]), func(b *testing.B) {
+		for _, bySubset := range []bool{false, true} {
+			b.Run(fmt.Sprint(watchers, "/", map[bool]string{false: "whole", true: "parts"}[bySubset]), func(b *testing.B) {
 				h := newHub(m)
 				h.publishList(m.state)
 				all := map[*watcher]query{}
 				for i := range watchers {
-					q := query{namesSubset: parted, from: m.state.Version(), epoch: "e"}
-					if parted {
+					q := query{namesSubset: bySubset, from: m.state.Version(), epoch: "e"}
+					if bySubset {
 						q.subset = registry.SubsetOf(i, 4300, servers)
 					}
 					w, _ := h.wait(q.subset, q.from, watchers)
--- a/internal/registry/server/subsets_hard_test.go
+++ b/internal/registry/server/subsets_hard_test.go
@@ -16,38 +16,43 @@
 	"wrenspread/internal/registry/client"
 )
 
-// crowd is clients that follow parts as proxies do, in a fleet where each server counts for a hundred.
-type crowd struct {
-	clients []*client.Client
-	wants   func(self, total int) registry.Subset
-	whole   *client.Client // of a program that knows no parts
+// clientFleet is a fleet of clients that follow subsets as proxies do. For the choice of subsets, each entry
+// of the list counts as endpointsPerEntry endpoints.
+type clientFleet struct {
+	clients        []*client.Client
+	wantedSubset   func(self, total int) registry.Subset
+	withoutSubsets *client.Client // a client that knows no subsets
 }
 
-const eachCounts = 100
+// endpointsPerEntry is the number of endpoints that an entry stands for, so that a small list has subsets.
+const endpointsPerEntry = 100
 
-func newCrowd(t *testing.T, ctx context.Context, n int, wants func(self, total int) registry.Subset, addresses func(i int) []string) *crowd {
-	c := &crowd{wants: wants}
+// newClientFleet starts n clients that follow subsets, and one that follows the complete list.
+func newClientFleet(t *testing.T, ctx context.Context, n int, wants func(self, total int) registry.Subset, addresses func(i int) []string) *clientFleet {
+	c := &clientFleet{wantedSubset: wants}
 	var tasks sync.WaitGroup
 	t.Cleanup(tasks.Wait)
 	for i := range n + 1 {
 		conf := client.Config{Addresses: addresses(i), File: filepath.Join(t.TempDir(), "list"), Hold: time.Second, HoldBack: time.Second}
 		if i < n {
-			conf.ChooseSubset = func(_ registry.Subset, total int, _ []registry.Endpoint) registry.Subset { return c.wants(i, total) }
+			conf.ChooseSubset = func(_ registry.Subset, total int, _ []registry.Endpoint) registry.Subset {
+				return c.wantedSubset(i, total)
+			}
 		}
 		k, err := client.New(conf)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.clients = append(c.clients, k); i == n {
-			c.clients, c.whole = c.clients[:n], k
+			c.clients, c.withoutSubsets = c.clients[:n], k
 		}
 		tasks.Go(func() { k.Follow(ctx) })
 	}
 	return c
 }
 
-// sure calls until a leader has answered.
-func sure(t *testing.T, method, url, body string) string {
+// callUntilOK repeats a call until its status is 200, which needs a leader.
+func callUntilOK(t *testing.T, method, url, body string) string {
 	t.Helper()
 	for until := time.Now().Add(enough); ; time.Sleep(5 * time.Millisecond) {
 		if status, answer := call(t, method, url, body); status == 200 {
@@ -58,48 +63,51 @@
 	}
 }
 
-func current(t *testing.T, url string) (a registry.ListResponse) {
+// readCurrentList reads the current list from the leader.
+func readCurrentList(t *testing.T, url string) (a registry.ListResponse) {
 	t.Helper()
-	if err := json.Unmarshal([]byte(sure(t, "GET", url+"/registry/instances?current=1", "")), &a); err != nil {
+	if err := json.Unmarshal([]byte(callUntilOK(t, "GET", url+"/registry/instances?current=1", "")), &a); err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-// settle waits until all have what is there now, each of its part.
-func (c *crowd) settle(t *testing.T, when, url string) {
+// settle waits until every client has the current entries of its subset.
+func (c *clientFleet) settle(t *testing.T, when, url string) {
 	t.Helper()
-	a := current(t, url)
-	for i, k := range append(slices.Clone(c.clients), c.whole) {
-		part := registry.Subset{}
-		if k != c.whole {
-			part = c.wants(i, len(a.Endpoints))
+	a := readCurrentList(t, url)
+	for i, k := range append(slices.Clone(c.clients), c.withoutSubsets) {
+		subset := registry.Subset{}
+		if k != c.withoutSubsets {
+			subset = c.wantedSubset(i, len(a.Endpoints))
 		}
-		want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e registry.Endpoint) bool { return !part.Contains(registry.Position(e.Name)) })
+		want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e registry.Endpoint) bool { return !subset.Contains(registry.Position(e.Name)) })
 		late := time.After(enough)
 		for {
 			changed := k.Changed()
 			v, _ := k.List()
-			if v.Epoch == a.Epoch && v.Subset == part && slices.Equal(v.Endpoints, want) {
+			if v.Epoch == a.Epoch && v.Subset == subset && slices.Equal(v.Endpoints, want) {
 				break
 			}
 			select {
 			case <-changed:
 			case <-late:
-				t.Fatalf("%s: client %d has %d of part %v at %s %d, want %d of %v at %s %d", when, i, len(v.Endpoints), v.Subset, v.Epoch, v.Version, len(want), part, a.Epoch, a.Index)
+				t.Fatalf("%s: client %d has %d entries of subset %v at %s %d, want %d of %v at %s %d", when, i, len(v.Endpoints), v.Subset, v.Epoch, v.Version, len(want), subset, a.Epoch, a.Index)
 			}
 		}
 	}
 }
 
-func believed(nodes int) func(self, total int) registry.Subset {
-	return func(self, total int) registry.Subset { return registry.SubsetOf(self, nodes, eachCounts*total) }
+// subsetInFleet returns a choice of subsets for a fleet of a number of proxies.
+func subsetInFleet(nodes int) func(self, total int) registry.Subset {
+	return func(self, total int) registry.Subset { return registry.SubsetOf(self, nodes, endpointsPerEntry*total) }
 }
 
-// TestPartsOverFailures: three replicas, each behind a link of its own. Clients of parts reach what is there after a
-// replica that half of them watch is cut off without a word, after another ends, after a fleet that grows tenfold, after
-// a restore, and where some believe in a fleet of another size. One of a program that knows no parts has all of it.
-func TestPartsOverFailures(t *testing.T) {
+// TestSubsetsConvergeOverFailures runs three replicas, each behind a link of its own. The clients reach the
+// current entries of their subsets after a replica that some of them watch falls silent, after
+// another one stops, after the list grows tenfold, and after a restore. A client that knows no subsets has
+// the complete list.
+func TestSubsetsConvergeOverFailures(t *testing.T) {
 	at, raft := map[string]string{}, map[string]string{}
 	names := []string{"r0", "r1", "r2"}
 	for _, name := range names {
@@ -117,7 +125,7 @@
 	var doors []string
 	stops := map[string]func(){}
 	for _, name := range names {
-		_, stop := begin(t, t.TempDir(), func(c *Config) {
+		_, stop := startReplica(t, t.TempDir(), func(c *Config) {
 			c.Name, c.Listen, c.Raft, c.Begin, c.MaxWrites = name, at[name], raft[name], name == "r0", 1e6
 			for _, other := range names {
 				c.Replicas = append(c.Replicas, Replica{other, raft[other], at[other]})
@@ -157,14 +165,14 @@
 		tasks.Wait()
 	}
 	grow(0, 60)
-	c := newCrowd(t, ctx, 24, believed(4300), func(i int) []string { return append(slices.Clone(doors[i%3:]), doors[:i%3]...) })
+	c := newClientFleet(t, ctx, 24, subsetInFleet(4300), func(i int) []string { return append(slices.Clone(doors[i%3:]), doors[:i%3]...) })
 	t.Cleanup(cancel)
 	url := "http://" + at["r0"]
 	c.settle(t, "at first", url)
 	grow(60, 600)
 	c.settle(t, "ten times as large", url)
-	if parts := map[registry.Subset]bool{c.wants(0, 600): true, c.wants(0, 60): true}; len(parts) != 2 {
-		t.Fatal("the fleet is too small to move a part")
+	if parts := map[registry.Subset]bool{c.wantedSubset(0, 600): true, c.wantedSubset(0, 60): true}; len(parts) != 2 {
+		t.Fatal("the list is too small to move a subset")
 	}
 	net.Lay("silent", link.Shape{Hold: link.Both}, func(e link.Ends) bool { return e.To == "r1" })
 	grow(600, 620)
@@ -174,12 +182,12 @@
 	delete(stops, "r1")
 	grow(620, 640)
 	c.settle(t, "with two replicas", url)
-	kept := sure(t, "GET", url+"/registry/backup", "")
+	backup := callUntilOK(t, "GET", url+"/registry/backup", "")
 	grow(640, 700)
-	sure(t, "POST", url+"/registry/restore?id=x&epoch="+current(t, url).Epoch, kept)
+	callUntilOK(t, "POST", url+"/registry/restore?id=x&epoch="+readCurrentList(t, url).Epoch, backup)
 	c.settle(t, "after a restore", url)
-	if a := current(t, url); len(a.Endpoints) != 640 {
-		t.Fatalf("%d are restored", len(a.Endpoints))
+	if a := readCurrentList(t, url); len(a.Endpoints) != 640 {
+		t.Fatalf("%d entries after the restore, want 640", len(a.Endpoints))
 	}
 	if _, err := writer.Drain(ctx, "s7", nil); err != nil {
 		t.Fatal(err)
@@ -190,15 +198,16 @@
 	c.settle(t, "after a drain and a removal", url)
 }
 
-// TestBeliefsDiffer: proxies that believe in fleets of other sizes follow parts of other widths of one list, each whole.
-func TestBeliefsDiffer(t *testing.T) {
+// TestProxiesWithDifferentFleetSizesConverge lets proxies assume fleets of different sizes: they follow
+// subsets of different widths, each of them completely.
+func TestProxiesWithDifferentFleetSizesConverge(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), func(c *Config) { c.MaxWrites = 1e6 })
 	defer stop()
 	for i := range 300 {
-		put(t, url, fmt.Sprint("s", i), "")
+		register(t, url, fmt.Sprint("s", i), "")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := newCrowd(t, ctx, 12, func(self, total int) registry.Subset { return believed(4300/(1+self%3*8))(self, total) },
+	c := newClientFleet(t, ctx, 12, func(self, total int) registry.Subset { return subsetInFleet(4300/(1+self%3*8))(self, total) },
 		func(int) []string { return []string{strings.TrimPrefix(url, "http://")} })
 	t.Cleanup(cancel)
 	c.settle(t, "at first", url)
@@ -208,9 +217,9 @@
 		widths[v.Subset.Width] = true
 	}
 	if len(widths) < 2 {
-		t.Errorf("they follow parts of widths %v", widths)
+		t.Errorf("the clients follow subsets of widths %v, want several", widths)
 	}
-	put(t, url, "another", "")
+	register(t, url, "another", "")
 	c.settle(t, "with another server", url)
 	if status, body := call(t, "GET", url+"/metrics", ""); status != 200 || !strings.Contains(body, "indigolist_parts ") {
 		t.Errorf("%d %s", status, body)
--- a/internal/registry/server/watch_test.go
+++ b/internal/registry/server/watch_test.go
@@ -11,9 +11,9 @@
 	"wrenspread/internal/registry/client"
 )
 
-// TestWatchRecords: a reader gets the records under its prefix, then each change there and no other, a removal too,
-// and goes on over a restart of the service.
-func TestWatchRecords(t *testing.T) {
+// TestWatchRecordsOverRestart checks that a follower gets the records under its prefix and then every change
+// there, including a removal, but no others, also after a restart of the service.
+func TestWatchRecordsOverRestart(t *testing.T) {
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
 	record := func(key, value string) {
@@ -33,19 +33,19 @@
 	seen := make(chan string, 100)
 	go k.FollowRecords(ctx, "a/", func(r client.Records) {
 		text := ""
-		for _, one := range r.All {
-			text += fmt.Sprintf("%s=%s ", one.Key, one.Value)
+		for _, found := range r.All {
+			text += fmt.Sprintf("%s=%s ", found.Key, found.Value)
 		}
 		seen <- text
 	})
 	expect := func(want string) {
 		t.Helper()
 		if got := <-seen; got != want {
-			t.Errorf("it sees %q, want %q", got, want)
+			t.Errorf("the follower gets %q, want %q", got, want)
 		}
 	}
 	expect(`a/1="one" `)
-	record("b%2F1", `1`) // nothing to it
+	record("b%2F1", `1`) // outside the prefix
 	record("a%2F2", `2`)
 	expect(`a/1="one" a/2=2 `)
 	if status, body := call(t, "PUT", url+"/registry/records/a%2F1", `{}`); status != 200 {
@@ -53,7 +53,7 @@
 	}
 	expect(`a/2=2 `)
 	stop()
-	_, stop = begin(t, folder, func(c *Config) { c.Listen = strings.TrimPrefix(url, "http://") })
+	_, stop = startReplica(t, folder, func(c *Config) { c.Listen = strings.TrimPrefix(url, "http://") })
 	defer stop()
 	for status := 0; status != 200; { // the client's own time limit catches a hang
 		status, _ = call(t, "GET", url+"/readyz", "")
@@ -71,6 +71,6 @@
 		t.Fatalf("%v %s", err, body)
 	}
 	if status, _ := call(t, "GET", fmt.Sprintf("%s/registry/watch/records?prefix=a/&epoch=%s&from=%d&had=1", url, a.Epoch, a.Index+5), ""); status != 503 {
-		t.Errorf("a reader that has seen more: %d", status)
+		t.Errorf("a reader whose version is ahead: %d", status)
 	}
 }
--- a/internal/registry/size_bench_test.go
+++ b/internal/registry/size_bench_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// fullState returns a state with n endpoints.
 func fullState(n int) *State {
 	s := NewState()
 	s.Apply(Command{Op: OpBegin, Epoch: "e"})
@@ -15,7 +16,8 @@
 	return s
 }
 
-// BenchmarkFullList is what a full list costs a replica: a change, a snapshot, which stands in the way of changes, and its reading.
+// BenchmarkFullList measures what a list of full size costs a replica: a change, a snapshot (which blocks
+// changes), its decoding, and the read of a subset.
 func BenchmarkFullList(b *testing.B) {
 	for _, n := range []int{20000, MaxEndpoints} {
 		s := fullState(n)
@@ -59,12 +61,13 @@
 	}
 }
 
-// BenchmarkLook is the leader's look at all leases, ten times a second, and what the renewals of the time between cost it.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkExpiryCheck measures the leader's check of all deadlines, made ten times per second, with the
+// renewals that come between two checks.
+func BenchmarkExpiryCheck(b *testing.B) {
 	for _, n := range []int{4300, MaxEndpoints} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := fullState(n)
-			const ttl, looks = 10 * time.Second, 33 // between two renewals of one
+			const ttl, looks = 10 * time.Second, 33 // looks: checks between two renewals of an entry
 			items, now := s.Registrations(), time.Duration(0)
 			for i := range items {
 				items[i].TTL = ttl
@@ -75,8 +78,8 @@
 				for k := i % looks; k < n; k += looks {
 					l.Renew(items[k].Endpoint.Name, now)
 				}
-				if due, kept := l.Due(now); len(due)+kept > 0 {
-					b.Fatal(len(due), kept)
+				if due, retained := l.Due(now); len(due)+retained > 0 {
+					b.Fatal(len(due), retained)
 				}
 			}
 		})
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -8,27 +8,28 @@
 	"pgregory.net/rapid"
 )
 
-// TestImageStands: what an image encodes is the state at which it was taken, whatever goes on meanwhile.
-func TestImageStands(t *testing.T) {
+// TestSnapshotIsUnaffectedByLaterChanges checks that a snapshot encodes the state at the time of the copy,
+// whatever commands are applied before it is encoded.
+func TestSnapshotIsUnaffectedByLaterChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		s.Apply(Command{Op: OpBegin, Epoch: "e"})
-		some := func() {
+		applySome := func() {
 			for n := range rapid.IntRange(0, 20).Draw(t, "commands") {
-				s.Apply(drawDuty(t))
+				s.Apply(drawLeaseCommand(t))
 				s.Apply(drawCommand(t, s, n))
 				s.Apply(Command{Op: OpPutRecord, Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), Value: json.RawMessage("7")[:rapid.IntRange(0, 1).Draw(t, "there")]})
 			}
 		}
-		some()
-		then, err := s.EncodeSnapshot()
+		applySome()
+		encoded, err := s.EncodeSnapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 		image := s.Snapshot()
-		some()
-		if later, err := image.Encode(); err != nil || !bytes.Equal(then, later) {
-			t.Fatalf("%s was taken, %s is encoded, %v", then, later, err)
+		applySome()
+		if later, err := image.Encode(); err != nil || !bytes.Equal(encoded, later) {
+			t.Fatalf("the state was %s, its snapshot is encoded as %s, %v", encoded, later, err)
 		}
 	})
 }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -133,7 +133,7 @@
 	case OpBegin:
 		if s.epoch == "" {
 			s.epoch = c.Epoch
-			s.version++ // version 0 stands for a reader without a list, so no list with an epoch may have it
+			s.version++ // version 0 means a reader without a list, so no list with an epoch may have it
 		}
 		return Result{}
 	case OpRegister:
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -12,11 +12,12 @@
 	"pgregory.net/rapid"
 )
 
+// entry returns a ready endpoint.
 func entry(name string) Endpoint {
 	return Endpoint{Name: name, Address: "127.0.0.1:1", Status: Ready, Weight: 1}
 }
 
-// drawCommand draws a command on few names, so that they meet.
+// drawCommand draws a command on entries. It uses few names, so that commands affect each other.
 func drawCommand(t *rapid.T, s *State, n int) Command {
 	name := fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "name"))
 	c := Command{Op: rapid.SampledFrom([]string{OpRegister, OpRegister, OpDrain, OpRemove, OpExpire}).Draw(t, "do"), Name: name}
@@ -38,10 +39,10 @@
 	return c
 }
 
-// TestState drives the state machine through drawn commands beside a plain model,
-// with a reader that follows it by changes, and a replica that follows it by
-// encoded commands and is now and then replaced from a snapshot.
-func TestState(t *testing.T) {
+// TestStateMatchesModelReaderAndReplica applies drawn commands to the state machine and to a plain model. A
+// reader that follows the changes, and a replica that applies the encoded commands and is sometimes restored
+// from a snapshot, end with the same entries.
+func TestStateMatchesModelReaderAndReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, replica := NewState(), NewState()
 		model := map[string]Endpoint{}
@@ -54,10 +55,10 @@
 			got := s.Apply(c)
 			if old, repeated := results[c.ID]; repeated && c.ID != "" {
 				if got != old || s.version != before {
-					t.Fatalf("a repeat of %s comes to %+v, at first %+v", c.ID, got, old)
+					t.Fatalf("repeating write %s: %+v, the first result was %+v", c.ID, got, old)
 				}
 			} else {
-				step(t, model, c, has, got, s.version-before)
+				checkAndApplyToModel(t, model, c, has, got, s.version-before)
 				if c.ID != "" {
 					results[c.ID] = got
 				}
@@ -71,16 +72,16 @@
 				t.Fatal(err)
 			}
 			if r := replica.Apply(back); r != got {
-				t.Fatalf("a replica comes to %+v, not %+v", r, got)
+				t.Fatalf("the replica's result is %+v, want %+v", r, got)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "replace") == 0 {
-				replica = copied(t, replica)
+				replica = decodedCopy(t, replica)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "look") == 0 {
-				follow(t, reader, &from, s)
+				catchUp(t, reader, &from, s)
 			}
 		}
-		follow(t, reader, &from, s)
+		catchUp(t, reader, &from, s)
 		for name, e := range model {
 			if reader[name] != e {
 				t.Fatalf("the reader has %+v, the model %+v", reader[name], e)
@@ -92,39 +93,41 @@
 	})
 }
 
-// step checks one command against the model and carries it out there.
-func step(t *rapid.T, model map[string]Endpoint, c Command, has uint64, got Result, made uint64) {
-	_, there := model[c.Name]
-	if c.IfVersion != nil && *c.IfVersion != has && c.Op != OpExpire {
-		if got.Code != Conflict || made != 0 {
-			t.Fatalf("%+v at version %d: %+v", c, has, got)
+// checkAndApplyToModel checks the result of a command against the model and applies the command to the model.
+// version is that of the entry before the command; changes is the number of versions that the command made.
+func checkAndApplyToModel(t *rapid.T, model map[string]Endpoint, c Command, version uint64, got Result, changes uint64) {
+	_, exists := model[c.Name]
+	if c.IfVersion != nil && *c.IfVersion != version && c.Op != OpExpire {
+		if got.Code != Conflict || changes != 0 {
+			t.Fatalf("%+v at version %d: %+v", c, version, got)
 		}
 		return
 	}
 	switch c.Op {
 	case OpRegister:
-		if changed := model[c.Name] != *c.Endpoint; got.Code != Applied || (made == 1) != changed {
-			t.Fatalf("registering: %+v, %d changes", got, made)
+		if changed := model[c.Name] != *c.Endpoint; got.Code != Applied || (changes == 1) != changed {
+			t.Fatalf("registering: %+v, %d changes", got, changes)
 		}
 		model[c.Name] = *c.Endpoint
 	case OpExpire:
-		if there && c.Expired[0].Version == has {
+		if exists && c.Expired[0].Version == version {
 			delete(model, c.Name)
 		}
 	case OpDrain, OpRemove:
-		if (got.Code == Applied) != there {
-			t.Fatalf("%s of one that is there (%v): %+v", c.Op, there, got)
+		if (got.Code == Applied) != exists {
+			t.Fatalf("%s of an entry that exists (%v): %+v", c.Op, exists, got)
 		}
-		if e := model[c.Name]; there && c.Op == OpDrain {
+		if e := model[c.Name]; exists && c.Op == OpDrain {
 			e.Status = Draining
 			model[c.Name] = e
-		} else if there {
+		} else if exists {
 			delete(model, c.Name)
 		}
 	}
 }
 
-func copied(t *rapid.T, s *State) *State {
+// decodedCopy returns the state that is decoded from a snapshot of s.
+func decodedCopy(t *rapid.T, s *State) *State {
 	raw, err := s.EncodeSnapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -136,11 +139,11 @@
 	return c
 }
 
-// follow lets a reader catch up by the answer for its version.
-func follow(t *rapid.T, reader map[string]Endpoint, from *uint64, s *State) {
+// catchUp updates a reader with the response for its version.
+func catchUp(t *rapid.T, reader map[string]Endpoint, from *uint64, s *State) {
 	a := s.Since(*from)
 	if a.Index < *from || !a.Snapshot && int(a.Index-*from) != len(a.Endpoints) {
-		t.Fatalf("from %d comes %d with %d changes", *from, a.Index, len(a.Endpoints))
+		t.Fatalf("a reader of version %d gets version %d with %d changes", *from, a.Index, len(a.Endpoints))
 	}
 	if a.Snapshot {
 		clear(reader)
@@ -154,8 +157,9 @@
 	*from = a.Index
 }
 
-// TestFarBehind: a reader whose version has been trimmed away gets the complete list, one just within gets all changes.
-func TestFarBehind(t *testing.T) {
+// TestReaderFarBehindGetsCompleteList checks that a reader whose version is no longer retained gets the
+// complete list, and a reader of the oldest retained version gets all changes.
+func TestReaderFarBehindGetsCompleteList(t *testing.T) {
 	s := NewState()
 	for i := range maxRetainedChanges + 5 {
 		e := entry("s")
@@ -166,15 +170,17 @@
 		t.Errorf("a trimmed version gets %d changes", len(a.Endpoints))
 	}
 	if a := s.Since(5); a.Snapshot || len(a.Endpoints) != maxRetainedChanges {
-		t.Errorf("the oldest version that is kept gets %d changes, whole list %v", len(a.Endpoints), a.Snapshot)
+		t.Errorf("the oldest retained version gets %d changes, complete list %v", len(a.Endpoints), a.Snapshot)
 	}
 	if len(s.writeResults) > maxRetainedWrites {
-		t.Errorf("%d writes are known", len(s.writeResults))
+		t.Errorf("%d write results are retained", len(s.writeResults))
 	}
 }
 
-// TestRestore: the copy's entries, a version past all that was given out, a new epoch, and no changes to tell it by.
-func TestRestore(t *testing.T) {
+// TestRestoreStartsNewEpochPastAllVersions checks that a restore has the backup's entries, a new epoch, a
+// version above every earlier one and no retained changes. A damaged backup, or one for another epoch,
+// changes nothing.
+func TestRestoreStartsNewEpochPastAllVersions(t *testing.T) {
 	s := NewState()
 	s.Apply(Command{Op: OpBegin, Epoch: "first"})
 	a, b := entry("a"), entry("b")
@@ -192,22 +198,22 @@
 		t.Errorf("a reader of version %d gets %+v", before, got)
 	}
 	if r := s.Apply(Command{Op: OpRestore, Epoch: "third", ReplacesEpoch: "second", Snapshot: []byte(`{"v":1,"items":[{}]}`)}); r.Code != Invalid || s.Epoch() != "second" {
-		t.Errorf("a bad copy: %+v", r)
+		t.Errorf("restoring an invalid backup: %+v", r)
 	}
 	if r := s.Apply(Command{Op: OpRestore, Epoch: "third", ReplacesEpoch: "first", Snapshot: image}); r.Code != Conflict || s.Epoch() != "second" {
-		t.Errorf("a copy over another list than is meant: %+v", r)
+		t.Errorf("restoring over a list of another epoch: %+v", r)
 	}
 }
 
-// TestBadCommands change nothing.
-func TestBadCommands(t *testing.T) {
+// TestInvalidCommandsChangeNothing checks that malformed commands are rejected and do not change the version.
+func TestInvalidCommandsChangeNothing(t *testing.T) {
 	long := strings.Repeat("x", MaxText+1)
 	bad := map[string]func(*Endpoint){"name": func(e *Endpoint) { e.Name = "" }, "long": func(e *Endpoint) { e.Zone = long }, "status": func(e *Endpoint) { e.Status = Removed },
 		"address": func(e *Endpoint) { e.Address = "nowhere" }, "weight": func(e *Endpoint) { e.Weight = math.NaN() }, "since": func(e *Endpoint) { e.StartedAtMS = -1 }}
 	s := NewState()
-	for name, spoil := range bad {
+	for name, invalidate := range bad {
 		e := entry("a")
-		spoil(&e)
+		invalidate(&e)
 		if r := s.Apply(Command{Op: OpRegister, Endpoint: &e}); r.Code != Invalid {
 			t.Errorf("%s: %+v", name, r)
 		}
@@ -221,9 +227,9 @@
 	}
 }
 
-// TestLeases: with whatever renewals and times, nothing expires before its time,
-// no more than a quarter does in a window, and what is kept goes on by itself.
-func TestLeases(t *testing.T) {
+// TestEndpointExpiryIsBounded draws renewals and times: no entry expires before its deadline, no more than a
+// quarter of the entries expires within a window, and once most entries are renewed the others expire.
+func TestEndpointExpiryIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "entries")
 		const ttl = 5 * time.Second
@@ -235,55 +241,57 @@
 		}
 		l := NewEndpointExpiry(items, 0)
 		var now time.Duration
-		var went []time.Duration
+		var expiredAt []time.Duration
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			for range rapid.IntRange(0, n).Draw(t, "renewals") {
 				name := fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(t, "who"))
 				if _, there := last[name]; l.Renew(name, now) != there {
-					t.Fatalf("renewing %s, which is there (%v)", name, there)
+					t.Fatalf("renewing %s, which exists (%v), has the opposite result", name, there)
 				} else if there {
 					last[name] = now
 				}
 			}
-			held := len(last)
-			due, kept := l.Due(now)
+			entries := len(last)
+			due, retained := l.Due(now)
 			recent := 0
-			for _, at := range went {
+			for _, at := range expiredAt {
 				if now-at < expiryWindow {
 					recent++
 				}
 			}
-			if most := max(minExpiries, int(maxExpiryShare*float64(held+recent))); len(due)+recent > most {
-				t.Fatalf("%d expire, after %d in the window, of %d", len(due), recent, held)
+			if maxExpired := max(minExpiries, int(maxExpiryShare*float64(entries+recent))); len(due)+recent > maxExpired {
+				t.Fatalf("%d entries expire after %d in the window, of %d entries", len(due), recent, entries)
 			}
-			if len(due) > 0 && kept > 0 {
-				t.Fatal("some expire while others are kept")
+			if len(due) > 0 && retained > 0 {
+				t.Fatal("some entries expire while overdue ones are retained")
 			}
 			for _, d := range due {
 				if now-last[d.Name] <= ttl {
 					t.Fatalf("%s expires %v after its renewal", d.Name, now-last[d.Name])
 				}
 				delete(last, d.Name)
-				went = append(went, now)
+				expiredAt = append(expiredAt, now)
 			}
 		}
-		for name := range last { // all return but two at most
+		for name := range last { // renew all entries but two
 			if len(last) > minExpiries && name != "s0" && name != "s1" {
 				l.Renew(name, now+time.Minute)
 			}
 		}
-		if _, kept := l.Due(now + time.Minute); kept > 0 {
-			t.Fatalf("%d are still kept", kept)
+		if _, retained := l.Due(now + time.Minute); retained > 0 {
+			t.Fatalf("%d overdue entries are still retained", retained)
 		}
 	})
 }
 
+// entryJSON returns an entry in the platform's form.
 func entryJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m2","group":3,"status":%q,"weight":1.5,"since_ms":7}`, name, address, status)
 }
 
-// TestMalformedEntriesAreSkipped, whoever wrote them; the others are read.
+// TestMalformedEntriesAreSkipped checks that malformed entries in a response are skipped and reported, and
+// that the valid ones are parsed.
 func TestMalformedEntriesAreSkipped(t *testing.T) {
 	var l ListResponse
 	err := json.Unmarshal([]byte(`{"index":4,"snapshot":true,"endpoints":[`+strings.Join([]string{
@@ -300,7 +308,8 @@
 	}
 }
 
-func FuzzAnswer(f *testing.F) {
+// FuzzListResponse checks that a response that was parsed is the same after it is encoded and parsed again.
+func FuzzListResponse(f *testing.F) {
 	f.Add([]byte(`{"index":4,"snapshot":true,"endpoints":[null,{"name":"a","address":"a:1","status":"ready"}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var a ListResponse
@@ -313,12 +322,13 @@
 			err = json.Unmarshal(again, &b)
 		}
 		if a.Skipped = nil; err != nil || !reflect.DeepEqual(a, b) {
-			t.Fatalf("%+v is read again as %+v, %v", a, b, err)
+			t.Fatalf("%+v is parsed again as %+v, %v", a, b, err)
 		}
 	})
 }
 
-func FuzzFromSnapshot(f *testing.F) {
+// FuzzDecodeSnapshot checks that a decoded snapshot can be read, encoded and decoded again.
+func FuzzDecodeSnapshot(f *testing.F) {
 	s := NewState()
 	e := entry("a")
 	s.Apply(Command{Op: OpRegister, Endpoint: &e, ID: "w"})
@@ -337,11 +347,12 @@
 			t.Fatal(err)
 		}
 		if _, err := DecodeSnapshot(again); err != nil {
-			t.Fatalf("a state that was read can't be read again: %v", err)
+			t.Fatalf("decoding a state that was decoded before: %v", err)
 		}
 	})
 }
 
+// FuzzDecode checks that a decoded command can be applied without a panic.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"v":1,"do":"register","entry":{"name":"a","address":"a:1","status":"ready"}}`))
 	f.Add([]byte(`{"v":2}`))
--- a/internal/registry/timers_test.go
+++ b/internal/registry/timers_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestTimers: beside a plain table that is walked, sessions end at the same looks, whatever is set, renewed and dropped;
-// and a look moves those alone that wait by a deadline which has passed, however many there are.
-func TestTimers(t *testing.T) {
+// TestTimersMatchModelAndMoveOnlyExpired compares drawn calls with a plain table: sessions expire at the same
+// checks. A check moves only timers whose queued deadline has passed, however many timers there are.
+func TestTimersMatchModelAndMoveOnlyExpired(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewSessionExpiry(nil, 0)
-		ttl, at := map[string]time.Duration{}, map[string]time.Duration{}
+		ttl, deadlines := map[string]time.Duration{}, map[string]time.Duration{}
 		var now time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
@@ -22,36 +22,36 @@
 			switch rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0:
 				ttl[id] = time.Duration(rapid.IntRange(1, 5).Draw(t, "ttl")) * time.Second
-				at[id] = now + ttl[id]
+				deadlines[id] = now + ttl[id]
 				d.Set(Session{ID: id, TTL: ttl[id]}, now)
 			case 1:
 				d.Drop(id)
-				delete(at, id)
+				delete(deadlines, id)
 			case 2, 3:
-				_, there := at[id]
-				if d.Renew(id, now) != there {
-					t.Fatalf("%s is there: %v", id, there)
-				} else if there {
-					at[id] = now + ttl[id]
+				_, exists := deadlines[id]
+				if d.Renew(id, now) != exists {
+					t.Fatalf("%s exists: %v, Renew says the opposite", id, exists)
+				} else if exists {
+					deadlines[id] = now + ttl[id]
 				}
 			case 4:
-				waited, due := map[string]time.Duration{}, []string(nil)
-				for id, one := range d.timers.byName {
-					waited[id] = one.queuedDeadline
+				queued, due := map[string]time.Duration{}, []string(nil)
+				for id, pending := range d.timers.byName {
+					queued[id] = pending.queuedDeadline
 				}
-				for id, end := range at {
+				for id, end := range deadlines {
 					if now > end {
 						due = append(due, id)
-						delete(at, id)
+						delete(deadlines, id)
 					}
 				}
 				slices.Sort(due)
 				if got := d.Due(now); !slices.Equal(got, due) {
-					t.Fatalf("%v end, not %v", got, due)
+					t.Fatalf("sessions %v expire, want %v", got, due)
 				}
-				for id, one := range d.timers.byName {
-					if moved := one.queuedDeadline != waited[id]; moved != (waited[id] < now) || d.timers.queue[one.index] != one {
-						t.Fatalf("%s waited for %v, waits for %v at %v", id, waited[id], one.queuedDeadline, now)
+				for id, pending := range d.timers.byName {
+					if moved := pending.queuedDeadline != queued[id]; moved != (queued[id] < now) || d.timers.queue[pending.index] != pending {
+						t.Fatalf("session %s was queued under %v, is queued under %v at %v", id, queued[id], pending.queuedDeadline, now)
 					}
 				}
 			}
