--- a/cmd/wrenspread-registry/main.go
+++ b/cmd/wrenspread-registry/main.go
@@ -1,4 +1,4 @@
-// Command wrenspread-registry is one replica of the registry.
+// Command wrenspread-registry runs one replica of the registry.
 package main
 
 import (
@@ -13,6 +13,7 @@
 
 func main() { config.Main(root()) }
 
+// root returns the program's command.
 func root() *cobra.Command {
 	d := server.Default()
 	c := &cobra.Command{
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -93,8 +93,8 @@
 }
 
 // remove removes a candidacy that is over.
-func (c *core) remove(over *candidacy) {
-	c.candidacies = slices.DeleteFunc(c.candidacies, func(other *candidacy) bool { return other == over })
+func (c *core) remove(cand *candidacy) {
+	c.candidacies = slices.DeleteFunc(c.candidacies, func(other *candidacy) bool { return other == cand })
 }
 
 // isOver reports whether a candidacy has ended, its work has stopped and its lease is released.
@@ -174,14 +174,14 @@
 
 // nextStepAt returns the time at which step may return an action even if no event is recorded before.
 func (c *core) nextStepAt(now time.Duration) time.Duration {
-	at := now + c.ttl
+	next := now + c.ttl
 	if c.safeUntil > now {
-		at = min(at, c.safeUntil)
+		next = min(next, c.safeUntil)
 	}
 	for _, cand := range c.candidacies {
 		if cand.nextCampaignAt > now {
-			at = min(at, cand.nextCampaignAt)
+			next = min(next, cand.nextCampaignAt)
 		}
 	}
-	return at
+	return next
 }
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -36,9 +36,9 @@
 
 // Errors of Run and Open.
 var (
-	ErrClosed     = errors.New("lease: the session is closing")
-	ErrWanted     = errors.New("lease: this session has a candidacy for the lease already")
-	errIncomplete = errors.New("lease: a session needs a process name and a registry client")
+	ErrClosed             = errors.New("lease: the session is closing")
+	ErrDuplicateCandidacy = errors.New("lease: this session has a candidacy for the lease already")
+	errIncomplete         = errors.New("lease: a session needs a process name and a registry client")
 )
 
 // Work is the function that the holder of a lease runs. Its context ends TTL/8 before another process can
@@ -134,7 +134,7 @@
 	}
 	same := func(cand *candidacy) bool { return cand.spec.Lease == requested.Lease }
 	if slices.ContainsFunc(s.core.candidacies, same) {
-		return nil, fmt.Errorf("%w: %s", ErrWanted, requested.Lease)
+		return nil, fmt.Errorf("%w: %s", ErrDuplicateCandidacy, requested.Lease)
 	}
 	cand := s.core.add(requested.Candidacy, requested.releaseOrder)
 	s.runs[cand] = &run{work: work}
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -60,7 +60,7 @@
 }
 
 // isCompleteRead returns an error if a response is not the complete list though that was wanted, or if it is
-// a complete list without endpoints.
+// a complete list whose endpoints are missing.
 func isCompleteRead(l registry.ListResponse, wanted bool) error {
 	switch {
 	case wanted && !l.Snapshot:
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -21,11 +21,11 @@
 
 // Config configures a Client.
 type Config struct {
-	Addresses []string      // addresses of the replicas, host:port; at least one
-	File      string        // file in which the list is cached for the next start; empty: none
-	Hold      time.Duration // time for which a replica may delay its response to a watch; 0: DefaultHold
-	HoldBack  time.Duration // delay before a suspect list of another epoch is accepted; 0: DefaultHoldBack
-	Log       *slog.Logger  // nil: no logging
+	Addresses     []string      // addresses of the replicas, host:port; at least one
+	File          string        // file in which the list is cached for the next start; empty: none
+	Hold          time.Duration // time for which a replica may delay its response to a watch; 0: DefaultHold
+	DeferralDelay time.Duration // delay before a suspect list of another epoch is accepted; 0: DefaultHoldBack
+	Log           *slog.Logger  // nil: no logging
 
 	// ChooseSubset, if set, returns the subset of the list to follow. now is the subset that is followed, total
 	// the number of entries in the complete list, and entries those of now, or nil if none are known yet. It is
@@ -40,8 +40,8 @@
 const (
 	// DefaultHold is short enough to notice a dead connection soon.
 	DefaultHold = 20 * time.Second
-	// DefaultHoldBack is enough for a fleet to register again with a service that has lost its state.
-	DefaultHoldBack = 30 * time.Second
+	// DefaultDeferralDelay is enough for a fleet to register again with a service that has lost its state.
+	DefaultDeferralDelay = 30 * time.Second
 
 	// A change that a silent watch misses must be known 2 s after the end of its hold; a change that a silent
 	// call for the complete list misses, after 6 s. The timeouts leave some of that time for the next call.
@@ -80,8 +80,8 @@
 	if c.Hold == 0 {
 		c.Hold = DefaultHold
 	}
-	if c.HoldBack == 0 {
-		c.HoldBack = DefaultHoldBack
+	if c.DeferralDelay == 0 {
+		c.DeferralDelay = DefaultDeferralDelay
 	}
 	k := &Client{
 		config:  c,
@@ -107,7 +107,7 @@
 			k.log.Warn("cached endpoint list unusable, starting without", "err", err)
 		}
 	}
-	k.list = NewListState(c.HoldBack, cached)
+	k.list = NewListState(c.DeferralDelay, cached)
 	if k.pendingMove.target = cached.Subset; c.ChooseSubset == nil {
 		k.pendingMove.target = registry.Subset{}
 	} else if cached.Version == 0 {
--- a/internal/registry/client/follow.go
+++ b/internal/registry/client/follow.go
@@ -36,10 +36,10 @@
 
 // apply applies a response, or rejects it as stale: if it is older than the known version, or if it is of
 // another epoch and its version is not above the known one. The latter is accepted once such responses have
-// come for holdBack, as the service must have lost its state.
+// come for deferralDelay, as the service must have lost its state.
 func (f *recordFollower) apply(
 	now time.Time,
-	holdBack time.Duration,
+	deferralDelay time.Duration,
 	a registry.RecordsResponse,
 ) (Change, error) {
 	known := f.records
@@ -50,7 +50,7 @@
 		if f.otherEpochSince.IsZero() {
 			f.otherEpochSince = now
 		}
-		if now.Sub(f.otherEpochSince) < holdBack {
+		if now.Sub(f.otherEpochSince) < deferralDelay {
 			return Stale, nil
 		}
 	}
@@ -157,5 +157,5 @@
 	if err := json.Unmarshal(body, &a); err != nil {
 		return Unchanged, fmt.Errorf("parse records response: %w", err)
 	}
-	return f.apply(time.Now(), k.config.HoldBack, a)
+	return f.apply(time.Now(), k.config.DeferralDelay, a)
 }
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -46,7 +46,7 @@
 // ListState decides which responses to accept and holds the resulting list. It does no I/O; times are of one
 // monotonic clock. It is not safe for concurrent use.
 type ListState struct {
-	holdBack      time.Duration // delay before a suspect list of another epoch is accepted
+	deferralDelay time.Duration // delay before a suspect list of another epoch is accepted
 	epoch         string
 	version       uint64
 	subset        registry.Subset // the subset that endpoints covers
@@ -56,7 +56,7 @@
 	needsComplete bool // a response did not follow the known version
 }
 
-// deferredList is a suspect list of another epoch that is accepted once holdBack has passed since it
+// deferredList is a suspect list of another epoch that is accepted once deferralDelay has passed since it
 // appeared.
 type deferredList struct {
 	since time.Duration
@@ -64,14 +64,14 @@
 }
 
 // NewListState returns a state that begins with a cached list, which may be empty.
-func NewListState(holdBack time.Duration, cached List) *ListState {
+func NewListState(deferralDelay time.Duration, cached List) *ListState {
 	b := &ListState{
-		holdBack:  holdBack,
-		epoch:     cached.Epoch,
-		version:   cached.Version,
-		subset:    cached.Subset,
-		total:     cached.Total,
-		endpoints: map[string]registry.Endpoint{},
+		deferralDelay: deferralDelay,
+		epoch:         cached.Epoch,
+		version:       cached.Version,
+		subset:        cached.Subset,
+		total:         cached.Total,
+		endpoints:     map[string]registry.Endpoint{},
 	}
 	for _, e := range cached.Endpoints {
 		b.endpoints[e.Name] = e
@@ -141,7 +141,7 @@
 			b.deferred = &deferredList{since: now}
 		}
 		b.deferred.ListResponse = a
-		if now-b.deferred.since < b.holdBack {
+		if now-b.deferred.since < b.deferralDelay {
 			return HeldBack
 		}
 	}
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -185,7 +185,7 @@
 						defer k.Close()
 						transport := k.http.Transport.(*http.Transport)
 						transport.DialContext = d.dial(transport.DialContext)
-						k.list = NewListState(DefaultHoldBack, List{Epoch: "e", Version: 41, Endpoints: []registry.Endpoint{{Name: "s"}}})
+						k.list = NewListState(DefaultDeferralDelay, List{Epoch: "e", Version: 41, Endpoints: []registry.Endpoint{{Name: "s"}}})
 						go k.Follow(ctx)
 					default:
 						p, received := s.platform(true)
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -92,11 +92,11 @@
 // counts them as one watch.
 func (d *Platform) watch(ctx context.Context) error {
 	for {
-		began, before := time.Now(), d.index
+		began, previousIndex := time.Now(), d.index
 		if err := d.call(ctx, d.hold); err != nil {
 			return err
 		}
-		if d.index == before && time.Since(began) < d.hold/100 {
+		if d.index == previousIndex && time.Since(began) < d.hold/100 {
 			// An agent that answers every call at once must not be called in a tight loop.
 			if !d.sleep(ctx, immediateAnswerPause) {
 				return ctx.Err()
@@ -119,12 +119,12 @@
 func (d *Platform) follow(ctx context.Context) {
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
-		began, before := time.Now(), d.answers
+		began, previousAnswers := time.Now(), d.answers
 		err := d.run(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if d.answers != before && time.Since(began) > maxPlatformBackoff {
+		if d.answers != previousAnswers && time.Since(began) > maxPlatformBackoff {
 			wait = 0
 		}
 		if wait == 0 { // a long outage is logged once, not at each attempt
@@ -196,7 +196,7 @@
 		if failures > 0 && !d.sleep(ctx, randomUpTo(silentRetrySpread)) {
 			return ctx.Err()
 		}
-		began, before := time.Now(), d.answers
+		began, previousAnswers := time.Now(), d.answers
 		if d.needsComplete || d.lastCallFailed {
 			err = d.run(ctx)
 		} else {
@@ -205,7 +205,7 @@
 		if ctx.Err() != nil || errors.Is(err, errUnexpectedStatus) {
 			return err
 		}
-		if d.answers != before && time.Since(began) > d.grace {
+		if d.answers != previousAnswers && time.Since(began) > d.grace {
 			failures = 0
 		}
 	}
--- a/internal/registry/client/silence.go
+++ b/internal/registry/client/silence.go
@@ -35,7 +35,7 @@
 	immediateAnswerPause = 100 * time.Millisecond
 
 	minPlatformBackoff = 50 * time.Millisecond  // after the second failure in a row
-	maxPlatformBackoff = 250 * time.Millisecond // a change that the agent has counts as known, outage or not
+	maxPlatformBackoff = 250 * time.Millisecond // short: what the agent has counts as known even in an outage
 
 	// silentRetrySpread spreads the calls of proxies whose calls to the shared service failed at the same time.
 	silentRetrySpread = 250 * time.Millisecond
--- a/internal/registry/client/subset_test.go
+++ b/internal/registry/client/subset_test.go
@@ -80,7 +80,7 @@
 		record()
 		replicas := []replica{{s, false}}
 		want := drawSubset(t, "part")
-		k, err := New(Config{Addresses: []string{"a:1"}, HoldBack: time.Second, ChooseSubset: func(registry.Subset, int, []registry.Endpoint) registry.Subset { return want }})
+		k, err := New(Config{Addresses: []string{"a:1"}, DeferralDelay: time.Second, ChooseSubset: func(registry.Subset, int, []registry.Endpoint) registry.Subset { return want }})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -29,7 +29,7 @@
 		case err != nil:
 			k.log.Warn("registry does not answer, keeping the last list", "address", k.address(), "err", err)
 		case verdict == HeldBack:
-			k.log.Error("deferring a suspect list of another epoch", "for", k.config.HoldBack)
+			k.log.Error("deferring a suspect list of another epoch", "for", k.config.DeferralDelay)
 		case verdict == Stale:
 			k.log.Warn("replica is behind this client", "address", k.address())
 		}
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -115,14 +115,14 @@
 func (k *Client) AddReplica(
 	ctx context.Context,
 	name string,
-	at registry.Address,
+	address registry.Address,
 ) (m registry.Replica, err error) {
 	for {
 		if err = k.send(
 			ctx,
 			http.MethodPut,
 			"/registry/members/"+url.PathEscape(name),
-			at,
+			address,
 			&m,
 		); err != nil ||
 			m.Voter {
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -115,7 +115,7 @@
 // restoreRecords adds the records of a snapshot of the given version to an empty state.
 func (s *State) restoreRecords(all []Record, version uint64) error {
 	for _, r := range all {
-		if _, twice := s.records[r.Key]; twice || r.Key == "" || r.Version > version || len(r.Value) == 0 ||
+		if _, duplicate := s.records[r.Key]; duplicate || r.Key == "" || r.Version > version || len(r.Value) == 0 ||
 			len(r.Value) > MaxRecord {
 			return fmt.Errorf("record %q of version %d can't be", r.Key, r.Version)
 		}
--- a/internal/registry/registrations.go
+++ b/internal/registry/registrations.go
@@ -89,8 +89,8 @@
 // recordChange appends a change under the next version. The oldest change is dropped if the buffer is full.
 func (s *State) recordChange(e Endpoint) {
 	s.version++
-	if old, full := s.changes.push(Change{s.version, e}); full {
-		s.trimmedVersion = old.Version
+	if dropped, full := s.changes.push(Change{s.version, e}); full {
+		s.trimmedVersion = dropped.Version
 	}
 }
 
--- a/internal/registry/ringbuffer.go
+++ b/internal/registry/ringbuffer.go
@@ -8,15 +8,15 @@
 }
 
 // push adds a value. If the buffer is full, it drops and returns the oldest value.
-func (r *ringBuffer[T]) push(v T) (old T, full bool) {
+func (r *ringBuffer[T]) push(v T) (dropped T, full bool) {
 	if len(r.values) < r.capacity {
 		r.values = append(r.values, v)
-		return old, false
+		return dropped, false
 	}
-	old = r.values[r.start]
+	dropped = r.values[r.start]
 	r.values[r.start] = v
 	r.start = (r.start + 1) % r.capacity
-	return old, true
+	return dropped, true
 }
 
 func (r *ringBuffer[T]) len() int { return len(r.values) }
--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -36,68 +36,72 @@
 // subset returns the state of a subset and creates it if it is missing. If there are more than pruneAt
 // subsets, it first deletes those without watchers.
 func (h *hub) subset(p registry.Subset) *subsetState {
-	w := h.subsets[p]
-	if w != nil {
-		return w
+	state := h.subsets[p]
+	if state != nil {
+		return state
 	}
 	if len(h.subsets) > h.pruneAt {
-		for q, w := range h.subsets {
-			if w.waiting == nil || len(w.waiting.watchers) == 0 {
-				h.dropAnswers(w)
-				delete(h.subsets, q)
+		for other, otherState := range h.subsets {
+			if otherState.waiting == nil || len(otherState.waiting.watchers) == 0 {
+				h.dropAnswers(otherState)
+				delete(h.subsets, other)
 			}
 		}
 		h.pruneAt = 2*len(h.subsets) + maxAnswersPerSubset
 	}
-	w = &subsetState{answers: map[uint64]encodedEndpoints{}}
-	h.subsets[p] = w
-	return w
+	state = &subsetState{answers: map[uint64]encodedEndpoints{}}
+	h.subsets[p] = state
+	return state
 }
 
 // dropAnswers drops the cached responses for a subset.
-func (h *hub) dropAnswers(w *subsetState) {
-	for from, b := range w.answers {
-		h.cachedBytes -= len(b.endpoints)
-		delete(w.answers, from)
+func (h *hub) dropAnswers(state *subsetState) {
+	for from, encoded := range state.answers {
+		h.cachedBytes -= len(encoded.endpoints)
+		delete(state.answers, from)
 	}
 }
 
 // cacheAnswer caches the response to readers of version from of a subset.
-func (h *hub) cacheAnswer(p registry.Subset, from uint64, b encodedEndpoints) {
-	if h.cachedBytes+len(b.endpoints) > maxCachedBytes {
-		for _, w := range h.subsets {
-			h.dropAnswers(w)
+func (h *hub) cacheAnswer(p registry.Subset, from uint64, encoded encodedEndpoints) {
+	if h.cachedBytes+len(encoded.endpoints) > maxCachedBytes {
+		for _, state := range h.subsets {
+			h.dropAnswers(state)
 		}
 	}
-	w := h.subset(p)
-	if len(w.answers) >= maxAnswersPerSubset {
-		h.dropAnswers(w)
+	state := h.subset(p)
+	if len(state.answers) >= maxAnswersPerSubset {
+		h.dropAnswers(state)
 	}
-	h.cachedBytes += len(b.endpoints) - len(w.answers[from].endpoints)
-	w.answers[from] = b
+	h.cachedBytes += len(encoded.endpoints) - len(state.answers[from].endpoints)
+	state.answers[from] = encoded
 }
 
 // answer returns the encoded response to a query: the JSON before the entries, and the entries. The caller
 // appends the closing brace.
 func (h *hub) answer(q query) (head, entries []byte, err error) {
 	h.mu.Lock()
-	b, ok := encodedEndpoints{}, false
-	if w := h.subsets[q.subset]; w != nil && q.from <= h.version {
-		b, ok = w.answers[q.from]
+	encoded, ok := encodedEndpoints{}, false
+	if state := h.subsets[q.subset]; state != nil && q.from <= h.version {
+		encoded, ok = state.answers[q.from]
 	}
-	a, total := registry.ListResponse{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.endpointCount
+	a, total := registry.ListResponse{
+		Index:    h.version,
+		Epoch:    h.epoch,
+		Snapshot: encoded.snapshot,
+	}, h.endpointCount
 	h.mu.Unlock()
 	if !ok {
 		h.machine.mu.RLock()
 		a, total = h.machine.state.SubsetSince(q.subset, q.from), h.machine.state.Len()
 		h.machine.mu.RUnlock()
-		b = encodedEndpoints{snapshot: a.Snapshot}
-		if b.endpoints, err = json.Marshal(a.Endpoints); err != nil {
+		encoded = encodedEndpoints{snapshot: a.Snapshot}
+		if encoded.endpoints, err = json.Marshal(a.Endpoints); err != nil {
 			return nil, nil, err
 		}
 		h.mu.Lock()
 		if a.Index == h.version && a.Epoch == h.epoch {
-			h.cacheAnswer(q.subset, q.from, b)
+			h.cacheAnswer(q.subset, q.from, encoded)
 		}
 		h.mu.Unlock()
 	}
@@ -106,7 +110,7 @@
 		a.Subset, a.Total = q.subset.String(), total
 	}
 	head, err = json.Marshal(a)
-	return head[:len(head)-len("[]}")], b.endpoints, err
+	return head[:len(head)-len("[]}")], encoded.endpoints, err
 }
 
 // answer responds with the changes since the reader's version. A reader whose version is above this replica's
--- a/internal/registry/server/contact.go
+++ b/internal/registry/server/contact.go
@@ -26,7 +26,7 @@
 func (c *leaderContact) run(ctx context.Context, election time.Duration, leader func() string) {
 	t := time.NewTicker(election / 2)
 	defer t.Stop()
-	last := time.Now()
+	lastSeen := time.Now()
 	for {
 		select {
 		case <-t.C:
@@ -34,9 +34,9 @@
 			return
 		}
 		if leader() != "" {
-			last = time.Now()
+			lastSeen = time.Now()
 		}
-		c.set(time.Since(last) >= cutOffElectionTimeouts*election)
+		c.set(time.Since(lastSeen) >= cutOffElectionTimeouts*election)
 	}
 }
 
@@ -66,16 +66,16 @@
 func (c *leaderContact) replay(ctx context.Context, every time.Duration, r *replica, m *machine) {
 	t := time.NewTicker(every)
 	defer t.Stop()
-	for last, wasPast := uint64(0), false; ; {
+	for lastIndex, wasPast := uint64(0), false; ; {
 		m.mu.RLock()
 		index := m.index
 		m.mu.RUnlock()
 		past := r.leader() != "" && r.raft.AppliedIndex() >= r.lastIndexAtOpen
-		if past && (index >= r.lastIndexAtOpen || wasPast && index == last) {
+		if past && (index >= r.lastIndexAtOpen || wasPast && index == lastIndex) {
 			c.caughtUp.Store(true)
 			return
 		}
-		last, wasPast = index, past
+		lastIndex, wasPast = index, past
 		select {
 		case <-t.C:
 		case <-ctx.Done():
--- a/internal/registry/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -66,7 +66,7 @@
 			x.deadlines.Set(i, x.now())
 		}
 	case registry.OpRemove:
-		if _, there := state.Registration(c.Name); !there {
+		if _, exists := state.Registration(c.Name); !exists {
 			x.deadlines.Drop(c.Name)
 		}
 	case registry.OpRestore:
@@ -108,18 +108,18 @@
 ) {
 	t := time.NewTicker(expiryInterval)
 	defer t.Stop()
-	for last := now(); ; {
+	for lastCheck := now(); ; {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
 			return
 		}
-		at := now()
-		if at-last > expiryInterval+maxLoopDelay {
-			onPause(at - last)
+		checkTime := now()
+		if checkTime-lastCheck > expiryInterval+maxLoopDelay {
+			onPause(checkTime - lastCheck)
 		}
-		last = at
-		check(at)
+		lastCheck = checkTime
+		check(checkTime)
 	}
 }
 
--- a/internal/registry/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -94,14 +94,14 @@
 // markChanged records that the first change of a subset comes after a version. It drops the cached responses
 // and marks the watchers of the subset to be woken.
 func (h *hub) markChanged(p registry.Subset, after uint64) {
-	w := h.subsets[p]
-	if w == nil {
+	state := h.subsets[p]
+	if state == nil {
 		return
 	}
-	h.dropAnswers(w)
-	if w.waiting != nil {
-		w.waiting.due, w.waiting.after = true, after
-		h.dueGroups, w.waiting = append(h.dueGroups, w.waiting), nil
+	h.dropAnswers(state)
+	if state.waiting != nil {
+		state.waiting.due, state.waiting.after = true, after
+		h.dueGroups, state.waiting = append(h.dueGroups, state.waiting), nil
 	}
 }
 
@@ -141,10 +141,10 @@
 func (h *hub) wakeSome() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := 0
+	woken := 0
 	for ; len(h.dueGroups) > 0; h.dueGroups = h.dueGroups[1:] {
 		for w := range h.dueGroups[0].watchers {
-			if n++; n > wakeBatch {
+			if woken++; woken > wakeBatch {
 				return true
 			}
 			h.wakeWatcher(w, h.dueGroups[0].watchers)
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -51,14 +51,14 @@
 // majority. The caller repeats the call until the response says that the replica votes. If the address is
 // empty, it is taken from this replica's configuration, for example for a replica whose folder was lost.
 func (s *Server) addReplica(w http.ResponseWriter, r *http.Request) {
-	var at registry.Address
-	if !readJSON(w, r, &at) {
+	var address registry.Address
+	if !readJSON(w, r, &address) {
 		return
 	}
-	c := registry.Command{Op: registry.OpAddReplica, Name: r.PathValue("name"), Address: &at}
+	c := registry.Command{Op: registry.OpAddReplica, Name: r.PathValue("name"), Address: &address}
 	known, ok := addresses{s.config, s.machine}.find(c.Name)
-	if at == (registry.Address{}) && ok {
-		at = known
+	if address == (registry.Address{}) && ok {
+		address = known
 	}
 	if err := c.Check(); err != nil {
 		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
@@ -81,7 +81,7 @@
 		)
 		return
 	}
-	if known != at {
+	if known != address {
 		if result, err := s.replica.apply(c); err != nil || result.Code != registry.Applied {
 			s.finish(w, result, err)
 			return
@@ -92,7 +92,7 @@
 		err = classifyRaftError(
 			s.replica.raft.AddNonvoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTimeout).Error(),
 		)
-	case servers[i].Suffrage != raft.Voter && s.upToDate(r.Context(), at):
+	case servers[i].Suffrage != raft.Voter && s.upToDate(r.Context(), address):
 		err = classifyRaftError(
 			s.replica.raft.AddVoter(raft.ServerID(c.Name), raft.ServerAddress(c.Name), 0, applyTimeout).Error(),
 		)
@@ -117,7 +117,7 @@
 }
 
 // upToDate reports whether a replica answers and has at least this replica's version of the list.
-func (s *Server) upToDate(ctx context.Context, at registry.Address) bool {
+func (s *Server) upToDate(ctx context.Context, address registry.Address) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*behindWait)
 	defer cancel()
 	version, epoch := s.hub.current()
@@ -125,7 +125,7 @@
 	req, err := http.NewRequestWithContext(
 		ctx,
 		http.MethodGet,
-		"http://"+at.HTTP+"/registry/instances?"+q.Encode(),
+		"http://"+address.HTTP+"/registry/instances?"+q.Encode(),
 		nil,
 	)
 	if err != nil {
@@ -150,7 +150,7 @@
 		return
 	}
 	exists := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) == name })
-	others := slices.ContainsFunc(
+	otherVoters := slices.ContainsFunc(
 		servers,
 		func(m raft.Server) bool { return string(m.ID) != name && m.Suffrage == raft.Voter },
 	)
@@ -158,7 +158,7 @@
 	case !exists:
 		writeError(w, http.StatusNotFound, string(registry.NotFound), "there is no replica "+name, 0)
 		return
-	case !others:
+	case !otherVoters:
 		writeError(w, http.StatusConflict, string(registry.Conflict), name+" is the only one that votes", 0)
 		return
 	case name == s.config.Name:
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -159,8 +159,8 @@
 	q query,
 	wait, maxCutOff time.Duration,
 ) (from uint64, ok bool) {
-	watcher, full := h.wait(q.subset, q.from, s.config.MaxWatchers)
-	if full {
+	watcher, tooMany := h.wait(q.subset, q.from, s.config.MaxWatchers)
+	if tooMany {
 		writeError(w, http.StatusTooManyRequests, "watchers", "too many calls are held here", time.Second)
 		return 0, false
 	}
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -120,8 +120,8 @@
 
 // find returns the address of a replica, and false if it is not known.
 func (a addresses) find(name string) (registry.Address, bool) {
-	if at, ok := a.machine.replicaAddress(name); ok {
-		return at, true
+	if address, ok := a.machine.replicaAddress(name); ok {
+		return address, true
 	}
 	o, ok := a.config.find(name)
 	return registry.Address{Raft: o.Raft, HTTP: o.HTTP}, ok
--- a/internal/registry/server/rewritelog.go
+++ b/internal/registry/server/rewritelog.go
@@ -56,33 +56,33 @@
 		return fmt.Errorf("the log can't be read: %w", err)
 	}
 	defer besteffort.Close(old)
-	into, err := raftboltdb.New(
+	target, err := raftboltdb.New(
 		raftboltdb.Options{Path: newPath, BoltOptions: &bbolt.Options{Timeout: lockTimeout}, NoSync: true},
 	)
 	if err != nil {
 		return err
 	}
-	defer besteffort.Close(into)
+	defer besteffort.Close(target)
 	err = old.View(func(tx *bbolt.Tx) error {
 		if recordedSize := tx.Size(); recordedSize > size {
 			return fmt.Errorf("the log is damaged: it was cut short, from %d bytes to %d", recordedSize, size)
 		}
-		if err := copyLog(tx.Bucket([]byte("logs")), into); err != nil {
+		if err := copyLog(tx.Bucket([]byte("logs")), target); err != nil {
 			return fmt.Errorf("the log is damaged: %w", err)
 		}
-		return copyStableState(tx.Bucket([]byte("conf")), into)
+		return copyStableState(tx.Bucket([]byte("conf")), target)
 	})
 	if err != nil {
 		return err
 	}
-	return into.Sync()
+	return target.Sync()
 }
 
 // copyBatch is the number of log entries that are written together.
 const copyBatch = 256
 
 // copyLog copies the log entries. It returns an error if an entry is unreadable or missing.
-func copyLog(from *bbolt.Bucket, into *raftboltdb.BoltStore) error {
+func copyLog(from *bbolt.Bucket, target *raftboltdb.BoltStore) error {
 	if from == nil {
 		return nil // the first start was interrupted before there was an entry
 	}
@@ -99,13 +99,13 @@
 		}
 		last = e.Index
 		if batch = append(batch, e); len(batch) == copyBatch {
-			if err := into.StoreLogs(batch); err != nil {
+			if err := target.StoreLogs(batch); err != nil {
 				return err
 			}
 			batch = batch[:0]
 		}
 	}
-	return into.StoreLogs(batch)
+	return target.StoreLogs(batch)
 }
 
 // readEntry decodes an entry in the form of raft-boltdb and validates its command or configuration.
@@ -132,22 +132,22 @@
 
 // copyStableState copies raft's stable state. It returns an error if the current term is lower than that of
 // the last log entry.
-func copyStableState(from *bbolt.Bucket, into *raftboltdb.BoltStore) error {
+func copyStableState(from *bbolt.Bucket, target *raftboltdb.BoltStore) error {
 	if from == nil {
 		return nil
 	}
-	if err := from.ForEach(into.Set); err != nil {
+	if err := from.ForEach(target.Set); err != nil {
 		return err
 	}
-	last, err := into.LastIndex()
+	last, err := target.LastIndex()
 	if err != nil || last == 0 {
 		return err
 	}
 	var e raft.Log
-	if err := into.GetLog(last, &e); err != nil {
+	if err := target.GetLog(last, &e); err != nil {
 		return err
 	}
-	term, err := into.GetUint64([]byte("CurrentTerm"))
+	term, err := target.GetUint64([]byte("CurrentTerm"))
 	if err != nil {
 		return fmt.Errorf("the log is damaged: its term can't be read: %w", err)
 	}
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -16,7 +16,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Server is one replica of the registry.
+// Server runs one replica of the registry.
 type Server struct {
 	config        Config
 	log           *slog.Logger
--- a/internal/registry/server/subsets_hard_test.go
+++ b/internal/registry/server/subsets_hard_test.go
@@ -33,7 +33,7 @@
 	var tasks sync.WaitGroup
 	t.Cleanup(tasks.Wait)
 	for i := range n + 1 {
-		conf := client.Config{Addresses: addresses(i), File: filepath.Join(t.TempDir(), "list"), Hold: time.Second, HoldBack: time.Second}
+		conf := client.Config{Addresses: addresses(i), File: filepath.Join(t.TempDir(), "list"), Hold: time.Second, DeferralDelay: time.Second}
 		if i < n {
 			conf.ChooseSubset = func(_ registry.Subset, total int, _ []registry.Endpoint) registry.Subset {
 				return c.wantedSubset(i, total)
--- a/internal/registry/server/watcher.go
+++ b/internal/registry/server/watcher.go
@@ -10,8 +10,8 @@
 }
 
 // wait registers a watcher that has version from of a subset. w is nil if there is a newer version already,
-// or if full is true: there are maxWatchers watchers.
-func (h *hub) wait(p registry.Subset, from uint64, maxWatchers int) (w *watcher, full bool) {
+// or if tooMany is true: there are maxWatchers watchers.
+func (h *hub) wait(p registry.Subset, from uint64, maxWatchers int) (w *watcher, tooMany bool) {
 	if !p.IsAll() {
 		h.machine.mu.RLock() // nothing is published while it is locked
 		defer h.machine.mu.RUnlock()
--- a/internal/registry/server/writes.go
+++ b/internal/registry/server/writes.go
@@ -139,12 +139,12 @@
 
 // readJSON reads and parses the body of a request. An empty body counts as an empty object. It returns false
 // if it has responded with an error.
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
+func readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	body, ok := readBody(w, r, maxBodyBytes)
 	if !ok || len(body) == 0 {
 		return ok
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, target); err != nil {
 		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return false
 	}
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -108,7 +108,7 @@
 		if err := registration.Endpoint.Check(); err != nil {
 			return fmt.Errorf("a snapshot with a bad entry: %w", err)
 		}
-		if _, twice := s.registrations[name]; twice ||
+		if _, duplicate := s.registrations[name]; duplicate ||
 			registration.Version > decoded.Version || registration.Version == 0 {
 			return fmt.Errorf("a snapshot of version %d with %s twice, or at version %d",
 				decoded.Version, name, registration.Version)
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -123,8 +123,8 @@
 // stored.
 func (s *State) rememberWrite(w writeResult) {
 	s.writeResults[w.ID] = w.Result
-	if old, full := s.recentWrites.push(w); full {
-		delete(s.writeResults, old.ID)
+	if dropped, full := s.recentWrites.push(w); full {
+		delete(s.writeResults, dropped.ID)
 	}
 }
 
