--- a/internal/lease/core_test.go
+++ b/internal/lease/core_test.go
@@ -323,7 +323,7 @@
 // TestChecksFailWithoutMarginOrFencing checks that the two tests above find violations if work has no margin
 // to stop in, or if the resource does not check fencing tokens.
 func TestChecksFailWithoutMarginOrFencing(t *testing.T) {
-	margin, fences := 0, 0
+	withoutMargin, withoutFencing := 0, 0
 	for seed := range uint64(200) {
 		s := newSim(
 			seed,
@@ -331,18 +331,18 @@
 		) // safeDuration then covers the complete TTL, without a margin for drift and for stopping work
 		s.run()
 		if s.violation != "" {
-			margin++
+			withoutMargin++
 		}
 		s = newSim(seed, simTTL)
 		s.pausesProcesses, s.checksTokens = true, false
 		s.run()
 		if s.violation != "" {
-			fences++
+			withoutFencing++
 		}
 	}
-	t.Logf("of 200 schedules %d fail without the margin, %d without fencing", margin, fences)
-	if margin == 0 || fences == 0 {
-		t.Errorf("of 200 schedules %d fail without the margin, %d without fencing", margin, fences)
+	t.Logf("of 200 schedules %d fail without the margin, %d without fencing", withoutMargin, withoutFencing)
+	if withoutMargin == 0 || withoutFencing == 0 {
+		t.Errorf("of 200 schedules %d fail without the margin, %d without fencing", withoutMargin, withoutFencing)
 	}
 }
 
--- a/internal/registry/server/subsets_hard_test.go
+++ b/internal/registry/server/subsets_hard_test.go
@@ -171,7 +171,7 @@
 	c.settle(t, "at first", url)
 	grow(60, 600)
 	c.settle(t, "ten times as large", url)
-	if parts := map[registry.Subset]bool{c.wantedSubset(0, 600): true, c.wantedSubset(0, 60): true}; len(parts) != 2 {
+	if subsets := map[registry.Subset]bool{c.wantedSubset(0, 600): true, c.wantedSubset(0, 60): true}; len(subsets) != 2 {
 		t.Fatal("the list is too small to move a subset")
 	}
 	net.Lay("silent", link.Shape{Hold: link.Both}, func(e link.Ends) bool { return e.To == "r1" })
