--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -24,7 +24,7 @@
 	Addresses     []string      // addresses of the replicas, host:port; at least one
 	File          string        // file in which the list is cached for the next start; empty: none
 	Hold          time.Duration // time for which a replica may delay its response to a watch; 0: DefaultHold
-	DeferralDelay time.Duration // wait before a suspect list of another epoch is accepted; 0: DefaultDeferralDelay
+	DeferralDelay time.Duration // delay before a suspect list of another epoch is used; 0: DefaultDeferralDelay
 	Log           *slog.Logger  // nil: no logging
 
 	// ChooseSubset, if set, returns the subset of the list to follow. now is the subset that is followed, total
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -148,8 +148,8 @@
 
 // await waits until the hub has a newer version for the call, or wait has passed. While this replica is cut
 // off, the call waits for a random time of up to maxCutOff, or up to half of it once wait has passed, and is
-// rejected unless there is a leader again by then. So a normal election costs the watchers no call, even if
-// there are thousands of them, and a longer one sends them to other replicas at different times. await
+// rejected unless there is a leader again by then. So a normal election costs hardly a watcher its call, even
+// if there are thousands of them, and a longer one sends them to other replicas at different times. await
 // returns the version up to which nothing that the call reads has changed. It returns false if the call has
 // been answered with an error or its client is gone.
 func (s *Server) await(
