--- a/internal/registry/server/answers.go
+++ b/internal/registry/server/answers.go
@@ -12,89 +12,96 @@
 	"wrenspread/internal/registry"
 )
 
-// What watchers and readers of the list are answered.
+// Responses to watchers and readers of the list.
 
 const (
-	maxAnswersPerSubset = 64       // answers kept of one subset; watchers stand at few versions
-	maxCachedBytes      = 64 << 20 // bytes of all of them; one that is larger is kept alone
+	maxAnswersPerSubset = 64       // cached responses for one subset: its watchers have few different versions
+	maxCachedBytes      = 64 << 20 // of all cached responses; a larger response is cached alone
 
-	// complete subsets that are made and sent at once: a fleet that comes together gets them in turn
+	// maxCompleteReads bounds the complete subsets that are encoded and sent at the same time, for fleets whose
+	// proxies all start at once.
 	maxCompleteReads        = 64
-	completeReadWait        = time.Second     // for one's turn, before a reader is rejected with Retry-After
-	completeReadTimeout     = 5 * time.Second // for sending one: a reader that takes longer has given up
-	completeReadRetrySpread = 4               // s, over which those that are rejected are spread
+	completeReadWait        = time.Second     // wait for a slot, before a reader is rejected with Retry-After
+	completeReadTimeout     = 5 * time.Second // for sending a complete subset; by then the reader has given up
+	completeReadRetrySpread = 4               // seconds over which the retries of rejected readers are spread
 )
 
-// encodedEndpoints is the encoded entries of an answer. They stay as they are until their part
-// changes, whatever the version of the list is by then.
+// encodedEndpoints holds the encoded entries of a response. They are valid until the subset changes, whatever
+// the version of the list is by then.
 type encodedEndpoints struct {
 	snapshot  bool
 	endpoints []byte
 }
 
-// subset is what is known of a subset. It forgets those that nobody watches, now and then.
+// subset returns the state of a subset and creates it if it is missing. If there are more than pruneAt
+// subsets, it first deletes those without watchers.
 func (h *hub) subset(p registry.Subset) *subsetState {
-	w := h.subsets[p]
-	if w != nil {
-		return w
+	state := h.subsets[p]
+	if state != nil {
+		return state
 	}
 	if len(h.subsets) > h.pruneAt {
-		for q, w := range h.subsets {
-			if w.waiting == nil || len(w.waiting.watchers) == 0 {
-				h.dropAnswers(w)
-				delete(h.subsets, q)
+		for other, otherState := range h.subsets {
+			if otherState.waiting == nil || len(otherState.waiting.watchers) == 0 {
+				h.dropAnswers(otherState)
+				delete(h.subsets, other)
 			}
 		}
 		h.pruneAt = 2*len(h.subsets) + maxAnswersPerSubset
 	}
-	w = &subsetState{answers: map[uint64]encodedEndpoints{}}
-	h.subsets[p] = w
-	return w
+	state = &subsetState{answers: map[uint64]encodedEndpoints{}}
+	h.subsets[p] = state
+	return state
 }
 
-// dropAnswers drops the answers of a subset.
-func (h *hub) dropAnswers(w *subsetState) {
-	for from, b := range w.answers {
-		h.cachedBytes -= len(b.endpoints)
-		delete(w.answers, from)
+// dropAnswers drops the cached responses for a subset.
+func (h *hub) dropAnswers(state *subsetState) {
+	for from, encoded := range state.answers {
+		h.cachedBytes -= len(encoded.endpoints)
+		delete(state.answers, from)
 	}
 }
 
-func (h *hub) cacheAnswer(p registry.Subset, from uint64, b encodedEndpoints) {
-	if h.cachedBytes+len(b.endpoints) > maxCachedBytes {
-		for _, w := range h.subsets {
-			h.dropAnswers(w)
+// cacheAnswer caches the response to readers of version from of a subset.
+func (h *hub) cacheAnswer(p registry.Subset, from uint64, encoded encodedEndpoints) {
+	if h.cachedBytes+len(encoded.endpoints) > maxCachedBytes {
+		for _, state := range h.subsets {
+			h.dropAnswers(state)
 		}
 	}
-	w := h.subset(p)
-	if len(w.answers) >= maxAnswersPerSubset {
-		h.dropAnswers(w)
+	state := h.subset(p)
+	if len(state.answers) >= maxAnswersPerSubset {
+		h.dropAnswers(state)
 	}
-	h.cachedBytes += len(b.endpoints) - len(w.answers[from].endpoints)
-	w.answers[from] = b
+	h.cachedBytes += len(encoded.endpoints) - len(state.answers[from].endpoints)
+	state.answers[from] = encoded
 }
 
-// answer is the encoded answer to whoever has version from of the subset that it asks for, or that names
-// none: what comes ahead of the entries, and these.
+// answer returns the encoded response to a query: the JSON before the entries, and the entries. The caller
+// appends the closing brace.
 func (h *hub) answer(q query) (head, entries []byte, err error) {
 	h.mu.Lock()
-	b, ok := encodedEndpoints{}, false
-	if w := h.subsets[q.subset]; w != nil && q.from <= h.version {
-		b, ok = w.answers[q.from]
+	encoded, ok := encodedEndpoints{}, false
+	if state := h.subsets[q.subset]; state != nil && q.from <= h.version {
+		encoded, ok = state.answers[q.from]
 	}
-	a, total := registry.ListResponse{Index: h.version, Epoch: h.epoch, Snapshot: b.snapshot}, h.total
+	a, total := registry.ListResponse{
+		Index:    h.version,
+		Epoch:    h.epoch,
+		Snapshot: encoded.snapshot,
+	}, h.endpointCount
 	h.mu.Unlock()
 	if !ok {
 		h.machine.mu.RLock()
 		a, total = h.machine.state.SubsetSince(q.subset, q.from), h.machine.state.Len()
 		h.machine.mu.RUnlock()
-		b = encodedEndpoints{snapshot: a.Snapshot}
-		if b.endpoints, err = json.Marshal(a.Endpoints); err != nil {
+		encoded = encodedEndpoints{snapshot: a.Snapshot}
+		if encoded.endpoints, err = json.Marshal(a.Endpoints); err != nil {
 			return nil, nil, err
 		}
 		h.mu.Lock()
 		if a.Index == h.version && a.Epoch == h.epoch {
-			h.cacheAnswer(q.subset, q.from, b)
+			h.cacheAnswer(q.subset, q.from, encoded)
 		}
 		h.mu.Unlock()
 	}
@@ -103,11 +110,12 @@
 		a.Subset, a.Total = q.subset.String(), total
 	}
 	head, err = json.Marshal(a)
-	return head[:len(head)-len("[]}")], b.endpoints, err
+	return head[:len(head)-len("[]}")], encoded.endpoints, err
 }
 
-// answer writes what is newer than the reader's version. A reader that has seen more than this replica is
-// never given less: with an epoch it is sent to another replica; without one it hears that nothing is newer.
+// answer responds with the changes since the reader's version. A reader whose version is above this replica's
+// never gets an older list: a reader with an epoch gets the error "behind", which sends it to another
+// replica, and a reader without an epoch gets no changes.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, q query) {
 	version, epoch := s.hub.current()
 	if q.epoch != "" && q.epoch != epoch {
@@ -131,7 +139,7 @@
 		}
 		defer func() { <-s.completeReads }()
 		send := http.NewResponseController(w)
-		// a writer that knows none needs none
+		// an error means that the writer supports no deadline
 		besteffort.SocketOption(send.SetWriteDeadline(time.Now().Add(completeReadTimeout)))
 		defer func() { besteffort.SocketOption(send.SetWriteDeadline(time.Time{})) }()
 	}
@@ -143,11 +151,11 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(head)+len(entries)+1))
 	for _, b := range [][]byte{head, entries, []byte("}")} {
-		besteffort.Response(w.Write(b)) // a reader that has left needs nothing
+		besteffort.Response(w.Write(b)) // a reader that is gone needs no response
 	}
 }
 
-// acquireCompleteRead takes one of the places for complete subsets, unless none gets free in time.
+// acquireCompleteRead takes one of the maxCompleteReads slots. It returns false if none becomes free in time.
 func (s *Server) acquireCompleteRead(r *http.Request) bool {
 	select {
 	case s.completeReads <- struct{}{}:
