--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,61 +2,62 @@
 
 import "time"
 
-// Action is something that the caller is to do. The types below are all there are.
+// Action is an instruction to the caller of Handle. The types in this file are its only implementations.
 type Action interface{ action() }
 
-// StartAttempt forwards a request to an endpoint. A request's attempts are numbered 0, 1, 2 in the order of
-// these actions.
+// StartAttempt forwards a request to an endpoint. The attempts of a request are numbered 0, 1, 2 in the order
+// of these actions.
 type StartAttempt struct {
 	ID       RequestID
 	Endpoint EndpointID
-	Timeout  time.Duration // 0: until the client stops waiting
-	WriteBy  Time          // nothing of it may be written from then on, however late its connection comes up
+	Timeout  time.Duration // for the attempt; 0: until the client stops waiting
+	// No byte of the request may be written at or after this time, even if the connection is established late.
+	WriteBy Time
 }
 
-// Reject is a final answer. It promises that a new try does no harm.
+// Reject is a final answer that promises the client that sending the request again does no harm.
 type Reject struct {
 	ID         RequestID
-	RetryAfter time.Duration // how long the client should wait; 0: no advice
-	Status     int           // HTTP status; 0: 503
+	RetryAfter time.Duration // recommended wait before the client's next try; 0: no recommendation
+	Status     int           // HTTP status; 0 means 503
 }
 
-// Fail is a final answer that promises nothing: the request may have run.
+// Fail is a final answer without the promise of Reject: an endpoint may have run the request.
 type Fail struct{ ID RequestID }
 
-// CancelAttempt stops waiting for an attempt, which then ends with Cancelled.
+// CancelAttempt stops waiting for an attempt, which then ends with the outcome Cancelled.
 type CancelAttempt struct {
 	ID      RequestID
 	Attempt int
 }
 
-// SetTimer asks for a TimerFired.
+// SetTimer requests a TimerFired event with the same token once the time After has passed.
 type SetTimer struct {
 	After time.Duration
 	Token int64
 }
 
-// QueryLoad asks an endpoint for a load report, which LoadQueryEnded brings.
+// QueryLoad requests a load report from an endpoint. The result arrives as a LoadQueryEnded event.
 type QueryLoad struct{ Endpoint EndpointID }
 
-// SendMessage sends gossip to one proxy, or to all.
+// SendMessage sends a gossip message to one proxy or to all proxies.
 type SendMessage struct {
-	To    int // index of the proxy
+	To    int // index of the receiving proxy, unless ToAll is set
 	ToAll bool
 	Data  []byte
 }
 
-// Subscribe opens a watch of the endpoint list, or ends it. An EndpointsUpdated answers it sooner or later,
-// of kind UpdateFailed if the call comes to nothing.
+// Subscribe starts a watch of the endpoint list or, with On false, ends it. An EndpointsUpdated event answers
+// the start; its kind is UpdateFailed if the call fails.
 type Subscribe struct{ On bool }
 
-// FetchEndpoints asks discovery for the complete list once.
+// FetchEndpoints requests the complete endpoint list from discovery once.
 type FetchEndpoints struct{}
 
 // CloseIdleConnections closes this proxy's idle connections to an endpoint.
 type CloseIdleConnections struct{ Endpoint EndpointID }
 
-// Log is a line for the operators.
+// Log writes a line to the log that operators read.
 type Log struct{ Line string }
 
 func (StartAttempt) action()         {}
--- a/balancer/ask_test.go
+++ b/balancer/ask_test.go
@@ -65,7 +65,7 @@
 				}
 			}
 			for i, m := range modules {
-				if !m.subscribed {
+				if !m.watching {
 					t.Errorf("node %d has no list after %v", i, c.within)
 				}
 			}
@@ -143,8 +143,8 @@
 			}{
 				{"waited for", 4 * time.Second, 0, congestionTimeout},
 				{"refused", immediateFailure, 0, 0},
-				{"waited for, after a soon answer", 4 * time.Second, maxPollRound / Time(nodes), provenCongestionTimeout},
-				{"waited for, after a late answer", 4 * time.Second, maxPollRound/Time(nodes) + time.Millisecond, congestionTimeout},
+				{"waited for, after a soon answer", 4 * time.Second, maxPollRoundTime / Time(nodes), provenCongestionTimeout},
+				{"waited for, after a late answer", 4 * time.Second, maxPollRoundTime/Time(nodes) + time.Millisecond, congestionTimeout},
 			} {
 				if nodes <= 36 {
 					c.storm = 0
--- a/balancer/askherd_test.go
+++ b/balancer/askherd_test.go
@@ -140,7 +140,7 @@
 					spread := down == callSilent && f.back > start+congestionTimeout && c.nodes*int(pollSpacing) > int(MaxPollBackoff*2/3)
 					late := map[*fleetCaller]bool{}
 					for _, n := range f.nodes {
-						if late[n] = spread && (n.m.fastestAnswer == 0 || Time(c.nodes)*n.m.fastestAnswer > maxPollRound); late[n] {
+						if late[n] = spread && (n.m.fastestAnswer == 0 || Time(c.nodes)*n.m.fastestAnswer > maxPollRoundTime); late[n] {
 							unknown++
 						}
 					}
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// startAttempt is the only way to an endpoint. It reports false, and does nothing, if there is none or
-// canSend forbids it.
+// startAttempt starts an attempt of a request at an endpoint; every attempt starts here. timeout bounds the
+// attempt, as the request's deadline does. It returns false and changes nothing if e is nil or canSend
+// forbids the attempt.
 func (b *Balancer) startAttempt(r *request, e *endpoint, timeout time.Duration) bool {
 	if e == nil || b.canSend(r, e) != sendAllowed {
 		return false
@@ -24,35 +25,35 @@
 	e.slowStartTokens -= work
 	b.lastAttemptAt = b.now
 	b.emit(StartAttempt{ID: r.id, Endpoint: e.ID, Timeout: min(timeout, r.deadline-b.now), WriteBy: writeBy})
-	if !r.incomplete { // else it counts from when its last byte is sent
+	if !r.incomplete { // an incomplete request is counted once its last byte has been sent
 		b.addInFlight(&r.attempts[len(r.attempts)-1])
 	}
 	return true
 }
 
-// addInFlight counts an attempt that its endpoint now works on.
+// addInFlight counts an attempt as in flight at its endpoint, which starts to work on it now.
 func (b *Balancer) addInFlight(a *attempt) {
 	e := a.endpoint
 	a.queuedAhead = e.inFlight
 	e.inFlight++
 	e.unansweredSends++
-	if e.unansweredSends == ejectAfter {
+	if e.unansweredSends == ejectAfterFailures {
 		b.unresponsive.insert(e)
-		e.unresponsiveSince = b.now // earlier attempts are overdue by the time at which this one is
+		e.unresponsiveSince = b.now // once this attempt is overdue, the earlier ones are overdue, too
 	}
 	b.changeLoad(e, a.work, 0)
 }
 
-// removeInFlight takes an attempt out of its endpoint's count. latency is what it has shown of a mean
-// request, in seconds; 0: nothing.
+// removeInFlight takes an attempt out of its endpoint's in-flight count. latency is the latency of a mean
+// request that the attempt has shown, in seconds, or 0 if it has shown none.
 func (b *Balancer) removeInFlight(a *attempt, latency float64) {
 	a.uncounted = true
 	a.endpoint.inFlight = max(0, a.endpoint.inFlight-1)
 	b.changeLoad(a.endpoint, -a.work, latency)
 }
 
-// changeLoad adds work, in mean requests, to what this proxy has in flight at an endpoint, and tells its
-// peers.
+// changeLoad adds work, in mean requests, to the work that this proxy has in flight at an endpoint, and
+// gossips the result and a latency in seconds (0: none) to the proxies that share the endpoint.
 func (b *Balancer) changeLoad(e *endpoint, work, latency float64) {
 	e.inFlightWork = math.Max(0, e.inFlightWork+work)
 	if e.inFlight == 0 {
@@ -63,8 +64,8 @@
 	}
 }
 
-// responseStarted takes the beginning of a response. In a class that does not stream, the work is done by
-// then.
+// responseStarted handles the beginning of a response. Unless the class is streamed, the endpoint has
+// finished its work on the request by then.
 func (b *Balancer) responseStarted(r *request, a *attempt, elapsed time.Duration) {
 	r.responseStarted = true
 	b.recordResponse(a, r, elapsed)
@@ -73,7 +74,8 @@
 	}
 }
 
-// attemptEnded takes the end of an attempt, and ends its request or makes a retry.
+// attemptEnded handles the end of an attempt: it updates the state of the endpoint and then closes the
+// request, gives it up or dispatches a retry.
 func (b *Balancer) attemptEnded(event AttemptEnded) {
 	r := b.requests[event.ID]
 	if r == nil || event.Attempt < 0 || event.Attempt >= len(r.attempts) || r.attempts[event.Attempt].ended {
@@ -90,7 +92,7 @@
 		a.endpoint.lastAnsweredSend = max(a.endpoint.lastAnsweredSend, a.sentAt)
 	}
 	if a.endpoint.State != Ready || a.endpoint.inMaintenance {
-		b.emit(CloseIdleConnections{Endpoint: a.endpoint.ID}) // its connection is idle now
+		b.emit(CloseIdleConnections{Endpoint: a.endpoint.ID}) // the attempt's connection is idle now
 	}
 	b.recordLoadReport(a.endpoint, event.LoadReport)
 	b.recordOutcome(a.endpoint, r, event)
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// EndpointID names an endpoint. It is opaque.
+// EndpointID identifies an endpoint. The balancer does not interpret it.
 type EndpointID uint32
 
-// EndpointState is what discovery says of an endpoint.
+// EndpointState is the state of an endpoint according to discovery.
 type EndpointState int
 
 const (
-	// Ready endpoints take requests.
+	// Ready endpoints accept requests.
 	Ready EndpointState = iota
-	// Draining endpoints finish what they have.
+	// Draining endpoints finish the requests that they have and accept no more.
 	Draining
 	// Removed endpoints have left the list.
 	Removed
@@ -22,21 +22,21 @@
 	ID          EndpointID
 	Zone        string
 	MachineType string
-	Cell        int // endpoints of one cell share knowledge of idempotency keys
+	Cell        int // endpoints of one cell share their knowledge of idempotency keys
 	State       EndpointState
-	Weight      float64 // relative to other endpoints, without unit
-	StartedAt   Time    // of its process; 0: long ago
+	Weight      float64 // relative to other endpoints, without a unit
+	StartedAt   Time    // when its process started; 0: long ago
 }
 
-// endpoint is what the balancer knows of an endpoint.
+// endpoint is the balancer's state of a listed endpoint.
 type endpoint struct {
-	Endpoint              // as last listed
-	firstListedAt Time    // or when its present process started
+	Endpoint              // the last entry that lists it
+	observedSince Time    // when it was first listed, or began its last slow start
 	ringPosition  uint64  // hash of its ID
-	inBaseSubset  bool    // within the subset that this proxy has when no endpoint is ejected
+	inBaseSubset  bool    // in the subset that this proxy uses while no endpoint is ejected
 	inMaintenance bool    // taken out by an operator
-	logQuietUntil Time    // no log line about it until then
-	roundingPhase float64 // in [0, 1), by which its in-flight limit is rounded
+	nextLogAt     Time    // time before which no log line about it is written
+	roundingPhase float64 // in [0, 1); decides whether its in-flight limit is rounded up or down
 
 	endpointLoad
 	overloadState
@@ -46,67 +46,68 @@
 	endpointPeers
 }
 
-// endpointLoad is what an endpoint has to do, as far as this proxy knows.
+// endpointLoad is the load of an endpoint, as far as this proxy knows.
 type endpointLoad struct {
-	inFlight     float64 // attempts of this proxy or, after a load query, all requests that the endpoint has
-	inFlightWork float64 // of this proxy's attempts, in mean requests
-	reportedAt   Time    // when the last load report came
+	inFlight     float64 // attempts of this proxy or, after a load query, all requests at the endpoint
+	inFlightWork float64 // expected work of this proxy's attempts, in mean requests
+	reportedAt   Time    // when the last load report arrived
 }
 
-// overloadState is the mode of an endpoint and what it follows from.
+// overloadState is the overload mode of an endpoint, and the state that determines it.
 type overloadState struct {
-	mode          Mode    // by own counts
-	localMode     Mode    // by this endpoint's own count alone
-	reportedMode  Mode    // by its load reports
-	imposedMode   Mode    // by a rejection or a load report
-	imposedUntil  Time    // the imposed mode lapses
-	inFlightLimit float64 // H of the overload control; 0: not computed yet
-	overload      float64 // where its count stands between the limit, 0, and the blocking threshold, 1
+	mode             Mode    // by the counts of this proxy
+	localMode        Mode    // by this endpoint's count alone
+	reportedMode     Mode    // by the endpoint's load reports
+	imposedMode      Mode    // by a rejection or a load report
+	imposedUntil     Time    // when the imposed mode lapses
+	inFlightLimit    float64 // attempts of this proxy, see computeInFlightLimit; 0: not computed yet
+	overloadFraction float64 // position of the count between the limit (0) and the blocking threshold (1)
 }
 
-// latencyEstimate is what responses have shown of an endpoint.
+// latencyEstimate is the latency and the rate of an endpoint's responses.
 type latencyEstimate struct {
-	excessLatency   float64 // s, of a mean request, smoothed, above the fleet's mean
-	excessLatencyAt Time
+	excessLatency   float64 // s, smoothed latency of a mean request above the mean of the fleet
+	excessLatencyAt Time    // when excessLatency was updated
 	responseRate    float64 // responses per second to this proxy, smoothed
-	responseRateAt  Time
+	responseRateAt  Time    // when responseRate was updated
 }
 
 // outlierState is what failures have shown of an endpoint.
 type outlierState struct {
-	ejected bool // it gets recovery probes alone
-	// it may be down, and so may come back without having been listed as started
+	ejected bool // it gets only recovery probes
+	// maybeRestarted is set if the endpoint may be down, so that it may return restarted without being listed as
+	// such.
 	maybeRestarted      bool
 	failureRate         float64       // smoothed fraction of its attempts that fail
-	consecutiveFailures int           // since its last success
-	unansweredSends     int           // since its last response
-	unresponsiveSince   Time          // when the ejectAfter-th of them began
-	lastAnsweredSend    Time          // when the last attempt that was answered began
-	nextProbeAt         Time          // no recovery probe before
+	consecutiveFailures int           // since its last success; a refused connection counts twice
+	unansweredSends     int           // attempts since its last response
+	unresponsiveSince   Time          // when the unanswered attempt of number ejectAfterFailures began
+	lastAnsweredSend    Time          // when the latest of the attempts that were answered began
+	nextProbeAt         Time          // time before which no recovery probe is sent
 	probeBackoff        time.Duration // wait after the next recovery probe, before jitter
 }
 
-// slowStart is the token bucket that limits how fast work goes to an endpoint that has just started.
+// slowStart is the token bucket that limits the rate of attempts at an endpoint that has just started.
 type slowStart struct {
 	slowStarting      bool
 	slowStartSince    Time
-	slowStartTokens   float64 // attempts that may begin
-	slowStartTokensAt Time
+	slowStartTokens   float64 // attempts that may start
+	slowStartTokensAt Time    // when slowStartTokens was updated
 }
 
-// endpointPeers is what this proxy knows of the other proxies that work with an endpoint.
+// endpointPeers is what this proxy knows of the other proxies that use an endpoint.
 type endpointPeers struct {
-	peers        []int // indexes of these proxies, as peersOf found them
-	peersVersion int   // ringVersion at that time
-	peerLoads    []peerLoad
+	peers        []int      // indexes of these proxies, as peersOf determined them
+	peersVersion int        // Balancer.ringVersion when peers was determined
+	peerLoads    []peerLoad // the last report of each proxy
 }
 
-// isUnresponsive reports whether a listed endpoint has several attempts that it does not answer.
+// isUnresponsive reports whether a listed endpoint leaves ejectAfterFailures attempts or more unanswered.
 func (e *endpoint) isUnresponsive() bool {
-	return e.State != Removed && e.unansweredSends >= ejectAfter
+	return e.State != Removed && e.unansweredSends >= ejectAfterFailures
 }
 
-// forget drops what was learned of an earlier process of the endpoint.
+// forgetFailures drops what failures have shown of a previous process of the endpoint.
 func (e *endpoint) forgetFailures(now Time) {
 	e.ejected = false
 	e.consecutiveFailures = 0
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -3,22 +3,27 @@
 import "math"
 
 const (
-	minSubsetSize             = 5.0  // endpoints that a proxy works with, at least: some may fail together
-	proxiesPerQueriedEndpoint = 30.0 // with load queries: an endpoint takes few connections
-	proxiesPerLearnedEndpoint = 6.0  // where each proxy learns of an endpoint by its own responses alone
+	// minSubsetSize is the smallest number of endpoints that a proxy uses, as some may fail together.
+	minSubsetSize = 5.0
+	// proxiesPerQueriedEndpoint is the number of proxies that use an endpoint where load queries are used; an
+	// endpoint accepts few connections.
+	proxiesPerQueriedEndpoint = 30.0
+	// proxiesPerLearnedEndpoint is the number of proxies that use an endpoint where each proxy knows the
+	// endpoint only by the responses to its own attempts.
+	proxiesPerLearnedEndpoint = 6.0
 )
 
-// updateEndpoints takes an update of the endpoint list, or the failure of a poll.
+// updateEndpoints handles an update of the endpoint list, or the failure of a poll.
 func (b *Balancer) updateEndpoints(event EndpointsUpdated) {
 	if event.Kind == UpdateFailed {
 		b.discoveryFailed()
 		return
 	}
-	if event.Kind != UpdateCached && b.polling {
+	if event.Kind != UpdateCached && b.pollInFlight {
 		b.discoveryAnswered()
 	}
 	var changed []*endpoint
-	if event.Kind != UpdateIncremental { // what a complete list does not name is removed
+	if event.Kind != UpdateIncremental { // an endpoint that a complete list does not name is removed
 		changed = append(changed, b.ring.endpoints...)
 		for _, e := range changed {
 			e.State = Removed
@@ -27,10 +32,13 @@
 	for _, listed := range event.Endpoints {
 		changed = append(changed, b.updateEndpoint(listed))
 	}
-	b.rebuildSubsets(changed, subset{total: max(0, event.TotalEndpoints), start: event.SubsetStart})
+	b.rebuildSubsets(changed, subset{
+		totalEndpoints: max(0, event.TotalEndpoints),
+		subsetStart:    event.SubsetStart,
+	})
 }
 
-// updateEndpoint takes one entry of the list.
+// updateEndpoint applies one entry of an update and returns its endpoint.
 func (b *Balancer) updateEndpoint(listed Endpoint) *endpoint {
 	e := b.endpointFor(listed.ID)
 	if listed.State == Ready && listed.StartedAt > e.StartedAt {
@@ -42,24 +50,25 @@
 		b.inherit(e)
 	}
 	if listed.State != Ready {
-		b.emit(CloseIdleConnections{Endpoint: e.ID}) // those in use are closed as their attempts end
+		b.emit(CloseIdleConnections{Endpoint: e.ID}) // the other connections are closed as their attempts end
 	}
 	return e
 }
 
-// endpointFor returns the endpoint of an ID, a new one if it is not known.
+// endpointFor returns the endpoint with an ID, and creates it if it is unknown. An endpoint whose maintenance
+// has ended recently begins a slow start, as it may have been outside the subset at that time or since.
 func (b *Balancer) endpointFor(id EndpointID) *endpoint {
 	if e := b.endpoints[id]; e != nil {
 		return e
 	}
 	e := &endpoint{
-		firstListedAt: b.now,
-		logQuietUntil: b.now,
+		observedSince: b.now,
+		nextLogAt:     b.now,
 		roundingPhase: b.random(),
 		ringPosition:  ringPosition(id),
 		inMaintenance: b.maintenance[id],
 	}
-	if endedAt, ended := b.maintenanceEnded[id]; ended { // it may have been outside the subset then, or since
+	if endedAt, ended := b.maintenanceEnded[id]; ended {
 		e.StartedAt = endedAt
 		b.beginSlowStart(e, endedAt)
 	}
@@ -67,25 +76,25 @@
 	return e
 }
 
-// rebuildSubsets takes endpoints that have changed, and finds those that this proxy works with and who shares
-// them.
-func (b *Balancer) rebuildSubsets(changed []*endpoint, s subset) {
-	b.updateRings(changed, s)
+// rebuildSubsets applies changed endpoints and a new subset of the complete list. It selects the endpoints
+// that this proxy uses and decides whether it gossips about them.
+func (b *Balancer) rebuildSubsets(changed []*endpoint, newSubset subset) {
+	b.updateRings(changed, newSubset)
 	b.selectSubsets()
 	b.updatePeers()
 	b.updateCandidates()
 }
 
-// placementSize is how many endpoints a placement allows. If this proxy was given a subset of the list, the
-// rest is taken to be composed like it.
+// placementSize is the number of endpoints that a placement allows in the complete list. If this proxy was
+// given a subset of the list, the placement is assumed to allow the same fraction of the rest.
 func (b *Balancer) placementSize(p *placement) float64 {
 	size := float64(len(p.ring.endpoints))
-	return math.Max(size, float64(b.total)*size/math.Max(1, float64(len(b.ring.endpoints))))
+	return math.Max(size, float64(b.totalEndpoints)*size/math.Max(1, float64(len(b.ring.endpoints))))
 }
 
-// selectSubsets finds how many endpoints of each placement this proxy works with: the first on the ring, so
-// many that each endpoint has its proxies. With more proxies, each sees too little of an endpoint to know it
-// in time.
+// selectSubsets determines how many endpoints of each placement this proxy uses: the first ones on the ring,
+// and as many as give each endpoint its number of proxies. If more proxies shared an endpoint, each would get
+// too few responses from it to notice changes in time.
 func (b *Balancer) selectSubsets() {
 	for _, e := range b.baseSubset {
 		e.inBaseSubset = false
@@ -99,8 +108,8 @@
 	proxies := float64(b.settings.Proxies)
 	for _, p := range b.placements {
 		size := b.placementSize(p)
-		wanted := math.Ceil(math.Max(minSubsetSize, perEndpoint*size/proxies))
-		p.subsetSize = math.Min(float64(len(p.ring.endpoints)), wanted)
+		target := math.Ceil(math.Max(minSubsetSize, perEndpoint*size/proxies))
+		p.subsetSize = math.Min(float64(len(p.ring.endpoints)), target)
 		for i := range int(p.subsetSize) {
 			e := p.ring.at(i)
 			e.inBaseSubset = true
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -7,49 +7,50 @@
 	"wrenspread/ratelimit"
 )
 
-// Event is something that happened. The types below are all there are.
+// Event is an input to Handle. The types in this file are its only implementations.
 type Event interface{ event() }
 
-// RequestArrived is a new request. The balancer owes it one final answer: the response of an attempt, Reject
-// or Fail.
+// RequestArrived announces a new request. The balancer owes the request one final answer: the response of an
+// attempt, Reject or Fail.
 type RequestArrived struct {
 	ID               RequestID
 	Class            string
 	Tenant           string
 	Key              string        // idempotency key; empty: none
-	Timeout          time.Duration // until the client stops waiting for this try
-	WorkHint         time.Duration // expected work, with HasWorkHint
+	Timeout          time.Duration // until the client stops waiting for this try; see Incomplete
+	WorkHint         time.Duration // expected work, if HasWorkHint is set
 	HasWorkHint      bool
-	ClientRetry      bool // the client has tried before
-	PreviousSettings bool // it has the form that its class had in the settings before
-	Incomplete       bool // its last byte has not come: Timeout counts from RequestSent
-	Write            bool
+	ClientRetry      bool // the client marks the request as a retry
+	PreviousSettings bool // its class is that of the previous settings
+	// The last byte of the request has not arrived yet. Timeout counts only from RequestSent on.
+	Incomplete bool
+	Write      bool
 }
 
-// RequestSent says that the last byte of a request that was incomplete has gone out in its open attempt. Its
-// time runs from now on.
+// RequestSent reports that the last byte of an incomplete request has been sent in its attempt. The time of
+// the request runs from this event on.
 type RequestSent struct {
 	ID      RequestID
 	Timeout time.Duration
 }
 
-// RequestAbandoned says that the client is gone. Nothing is owed any more.
+// RequestAbandoned reports that the client has gone. The balancer owes the request no answer any more.
 type RequestAbandoned struct{ ID RequestID }
 
-// AttemptEnded tells how one attempt went. Each StartAttempt gets one.
+// AttemptEnded reports the result of an attempt. There is one for each StartAttempt.
 type AttemptEnded struct {
 	ID              RequestID
 	Attempt         int
 	Endpoint        EndpointID
-	RequestAnswered bool // the request has had its final answer
-	BodyDiscarded   bool // what was sent is not kept, so there can be no other attempt
+	RequestAnswered bool // the request has its final answer
+	BodyDiscarded   bool // the sent part of the body is lost, so no other attempt is possible
 	Elapsed         time.Duration
 	Outcome         Outcome
-	LoadReport      *LoadReport // nil: none came
+	LoadReport      *LoadReport // nil: none was received
 }
 
-// ResponseStarted says that the client has got the beginning of a response that no other can replace, as it
-// is streamed or long.
+// ResponseStarted reports that the client has received the beginning of a response that is streamed or long.
+// No other response can replace it.
 type ResponseStarted struct {
 	ID       RequestID
 	Attempt  int
@@ -57,7 +58,7 @@
 	Elapsed  time.Duration
 }
 
-// LoadQueryEnded is the result of a QueryLoad.
+// LoadQueryEnded reports the result of a QueryLoad.
 type LoadQueryEnded struct {
 	Endpoint   EndpointID
 	Outcome    Outcome
@@ -65,50 +66,52 @@
 	LoadReport *LoadReport
 }
 
-// SettingsChanged brings other settings. Open requests keep the class and the number of attempts that they
-// came with.
+// SettingsChanged replaces the settings. Open requests keep their class and their maximum number of attempts.
 type SettingsChanged struct{ Settings Settings }
 
-// EndpointsUpdated changes the endpoint list. It may be about a subset of the list that this proxy was given,
-// which begins at a position on the ring.
+// EndpointsUpdated changes the endpoint list. The list is either the complete one or the subset of it that
+// this proxy was given, which begins at the ring position SubsetStart.
 type EndpointsUpdated struct {
 	Kind           UpdateKind
 	Version        uint64
 	Endpoints      []Endpoint
-	TotalEndpoints int    // of the complete list that are not removed; 0: this is the complete list
-	SubsetStart    uint64 // ring position
+	TotalEndpoints int    // in the complete list, without removed ones; 0: this is the complete list
+	SubsetStart    uint64 // ring position of the subset's start
 }
 
-// Maintenance is an operator's order to take an endpoint out, or back. It holds whatever lists say.
+// Maintenance starts or ends the maintenance of an endpoint by order of an operator. It holds whatever the
+// endpoint list says.
 type Maintenance struct {
 	Endpoint EndpointID
 	On       bool
 }
 
-// Restored brings what an earlier process of this proxy has learned. It comes before the first list.
+// Restored hands over what a previous process of this proxy has learned. It precedes the first endpoint list.
 type Restored struct{ Learned LearnedState }
 
-// HandedOver says that a new process of this proxy serves, while this one ends what it has.
+// HandedOver reports that a new process of this proxy serves new requests, while this process finishes its
+// own.
 type HandedOver struct{}
 
-// MessageReceived is gossip of another proxy.
+// MessageReceived is a gossip message from another proxy.
 type MessageReceived struct {
-	From int // index of the proxy
+	From int // index of the sending proxy
 	Data []byte
 }
 
-// TableChanged brings a table of limits, which must be ready for use, and the proxy's tokens of it. A nil
-// table takes the present one away.
+// TableChanged sets a table of limits, which must be ready for use, and this proxy's tokens of it. A nil
+// table removes the present one.
 type TableChanged struct {
 	Table  *ratelimit.Table
 	Tokens ratelimit.Tokens
-	Shadow bool // its decisions are counted beside those of the table in force, and change nothing
+	// The table is evaluated next to the table in force and its decisions are counted, but they have no effect.
+	Shadow bool
 }
 
-// DegradationChanged brings the level of degradation, 0 for none.
+// DegradationChanged sets the degradation level; 0 is normal operation.
 type DegradationChanged struct{ Level int }
 
-// TimerFired answers a SetTimer.
+// TimerFired reports that the time of a SetTimer with this token has passed.
 type TimerFired struct{ Token int64 }
 
 func (RequestArrived) event()     {}
@@ -127,43 +130,43 @@
 func (DegradationChanged) event() {}
 func (TimerFired) event()         {}
 
-// UpdateKind is the form of an EndpointsUpdated.
+// UpdateKind says what the entries of an EndpointsUpdated are.
 type UpdateKind int
 
 const (
-	// UpdateIncremental has the changed entries alone.
+	// UpdateIncremental means that only changed entries are included.
 	UpdateIncremental UpdateKind = iota
-	// UpdateComplete has all entries; an endpoint that is not among them is removed.
+	// UpdateComplete means that all entries are included; an endpoint without an entry is removed.
 	UpdateComplete
-	// UpdateCached is a complete list as this proxy had it last; it can be old.
+	// UpdateCached means that the entries are the last complete list that this proxy has cached. It may be old.
 	UpdateCached
-	// UpdateFailed has no entries: a call failed or the watch ended.
+	// UpdateFailed means that a call failed or the watch ended. There are no entries.
 	UpdateFailed
 )
 
-// Outcome tells how an attempt or a load query ended.
+// Outcome is the result of an attempt or a load query.
 type Outcome int
 
 const (
-	// OK means that the endpoint has answered.
+	// OK means that the endpoint has responded.
 	OK Outcome = iota
 	// ServerError means that the endpoint failed; it may have run the request.
 	ServerError
-	// Rejected means that the endpoint shed the request without looking at it.
+	// Rejected means that the endpoint shed the request without processing it.
 	Rejected
-	// TimedOut means that no response came in time; the endpoint may have run the request, and may still do so.
+	// TimedOut means that no response came in time; the endpoint may have run the request, or may still run it.
 	TimedOut
-	// ConnectFailed means that nothing was sent, as the endpoint refused the connection or broke it.
+	// ConnectFailed means that nothing was sent, as the endpoint refused or broke the connection.
 	ConnectFailed
 	// ConnectionReset means that the connection broke; the endpoint may have run the request.
 	ConnectionReset
-	// Cancelled means that the attempt was called off; the endpoint may have run the request.
+	// Cancelled means that the attempt was cancelled; the endpoint may have run the request.
 	Cancelled
-	// NotSent means that nothing was sent, as the request was over or the proxy had no connection to spare. It
-	// says nothing of the endpoint.
+	// NotSent means that nothing was sent, as the request was over or the proxy had no connection available. It
+	// says nothing about the endpoint.
 	NotSent
-	// ConnectTimedOut means that nothing was sent, as the connection was not up in time. The endpoint may be out
-	// of reach or slow to accept.
+	// ConnectTimedOut means that nothing was sent, as the connection was not established in time. The endpoint
+	// may be unreachable or slow to accept connections.
 	ConnectTimedOut
 )
 
@@ -176,7 +179,7 @@
 	return false
 }
 
-// String returns the outcome for log lines.
+// String returns the text of the outcome in log lines.
 func (o Outcome) String() string {
 	names := [...]string{
 		OK:              "success",
@@ -195,13 +198,13 @@
 	return names[o]
 }
 
-// LoadReport is an endpoint's own account of its load. It is late and not exact.
+// LoadReport is the load that an endpoint reports of itself. It is delayed and inexact.
 type LoadReport struct {
-	InFlight       float64 // requests that it has, with HasInFlight
+	InFlight       float64 // requests at the endpoint, if HasInFlight is set
 	HasInFlight    bool
-	QueueLength    float64 // requests that wait, with HasQueueLength
+	QueueLength    float64 // requests that wait, if HasQueueLength is set
 	HasQueueLength bool
-	Utilization    float64 // 0 if absent
+	Utilization    float64 // 0: not reported
 	ServiceTime    time.Duration
 	RequestRate    float64 // per second
 	ErrorRate      float64 // per second
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -3,27 +3,35 @@
 import "math"
 
 const (
-	maxGossipPrice   = 0.005 // of the result, that gossip on each request may cost
-	maxGossipPeers   = 32.0  // proxies on an endpoint beyond which listening to all of them costs too much
-	gossipMessageCPU = 10e-6 // s, of processor time here and at the receiver, for the system calls
-	peerLoadLifetime = 10.0  // mean latencies, for which a message holds: the one that ends it may be lost
-	gossipPriceUnit  = 256.0 // bytes that Prices.Message is for
+	// maxGossipPrice is the part of the score that gossip on each request may cost, by Prices.Message.
+	maxGossipPrice = 0.005
+	// maxGossipPeers is the number of proxies on an endpoint above which receiving the messages of all of them
+	// costs too much.
+	maxGossipPeers = 32.0
+	// gossipMessageCPU is the processor time, in seconds, that the system calls of a message take at this proxy
+	// and at the receiver.
+	gossipMessageCPU = 10e-6
+	// peerLoadLifetime is the time for which a message is valid, in mean latencies: the message that replaces it
+	// may be lost.
+	peerLoadLifetime = 10.0
+	gossipPriceUnit  = 256.0 // bytes that Prices.Message pays for
 )
 
-// gossipState reports whether this proxy gossips, and with whom.
+// gossipState decides whether this proxy gossips, and with which proxies.
 type gossipState struct {
-	tracksPeers        bool    // it has to know which other proxies work with an endpoint
-	gossips            bool    // it tells them what it has in flight there
-	proxiesPerEndpoint float64 // mean
-	proxiesByStart     []int   // all proxies in ring order, while peers are tracked
-	gossipCPU          float64 // s of processor time left for messages
-	gossipCPUAt        Time
+	tracksPeers        bool    // this proxy determines which other proxies use an endpoint
+	gossips            bool    // this proxy reports its load at an endpoint to them
+	proxiesPerEndpoint float64 // mean number of proxies that use an endpoint
+	proxiesByStart     []int   // all proxies in ring order of their subsets' starts, while peers are tracked
+	gossipCPU          float64 // s of processor time available for messages
+	gossipCPUAt        Time    // when gossipCPU was updated
 }
 
-// updatePeers decides whether proxies gossip: if few share an endpoint and the messages cost little. Each
-// proxy is counted once for each endpoint and placement at most.
+// updatePeers decides whether this proxy gossips: few proxies must share an endpoint, and the messages must
+// cost little. The cost is estimated from the pairs of a proxy and an endpoint, where a proxy counts at most
+// once for each endpoint and placement.
 func (b *Balancer) updatePeers() {
-	endpoints := float64(max(len(b.ring.endpoints), b.total))
+	endpoints := float64(max(len(b.ring.endpoints), b.totalEndpoints))
 	b.ringVersion++
 	b.gossips = false
 	b.tracksPeers = b.settings.AllowGossip && !b.queriesLoad && b.settings.Proxies > 1 &&
@@ -40,7 +48,7 @@
 	}
 	pairs := b.countPairs()
 	overlap := endpoints * float64(len(b.placements)-1) // pairs that may be counted in two placements
-	if b.total == 0 && tooExpensive(pairs) && !tooExpensive(pairs-overlap) {
+	if b.totalEndpoints == 0 && tooExpensive(pairs) && !tooExpensive(pairs-overlap) {
 		pairs = 0
 		for _, e := range b.ring.endpoints {
 			pairs += float64(len(b.peersOf(e)))
@@ -49,7 +57,7 @@
 	b.gossips = !tooExpensive(pairs)
 }
 
-// countPairs is an upper bound on the pairs of another proxy and an endpoint that it works with.
+// countPairs returns an upper bound on the number of pairs of another proxy and an endpoint that it uses.
 func (b *Balancer) countPairs() (pairs float64) {
 	others := float64(b.settings.Proxies)
 	if b.settings.ProxyIndex >= 0 && b.settings.ProxyIndex < b.settings.Proxies {
@@ -61,10 +69,10 @@
 	return pairs
 }
 
-// gossipLoad tells the proxies that share an endpoint what this one has in flight there. A message replaces
-// the one before, so one that is lost, late or duplicated does little harm. latency is what a response has
-// shown of a mean request, in seconds, 0 for none: each proxy alone has few responses of an endpoint and
-// knows it late.
+// gossipLoad reports the work that this proxy has in flight at an endpoint to the proxies that share it. A
+// message replaces the previous one, so a lost, delayed or duplicated message does little harm. latency is
+// the latency of a mean request that a response has shown, in seconds, 0 for none. It is shared because each
+// proxy alone gets few responses from an endpoint and would notice a change late.
 func (b *Balancer) gossipLoad(e *endpoint, latency float64) {
 	if !b.gossips || e.State != Ready {
 		return
@@ -75,9 +83,9 @@
 	}
 }
 
-// takeGossipCPU takes the cost of the messages on an attempt out of the processor time for decisions. When
-// that is used up, the start of an attempt is not sent, as the next end of one at that endpoint includes it.
-// Ends are sent on credit.
+// takeGossipCPU takes the cost of the messages about an attempt from the processor time for gossip and
+// reports whether the messages may be sent. When the time is used up, the start of an attempt is not
+// reported, as the next end of an attempt at the endpoint reports it, too. Ends are reported on credit.
 func (b *Balancer) takeGossipCPU(e *endpoint, attemptEnds bool) bool {
 	rate := b.settings.CPUPerSecond.Seconds()
 	cost := gossipMessageCPU * float64(len(b.peersOf(e)))
@@ -90,8 +98,8 @@
 	return true
 }
 
-// receiveGossip takes a message. One that this proxy does not understand, or about an endpoint that it does
-// not know, is ignored.
+// receiveGossip handles a message. It ignores messages of an unknown form, about unknown endpoints and from
+// senders that are not among the other proxies.
 func (b *Balancer) receiveGossip(event MessageReceived) {
 	id, work, latency, ok := decodeLoadMessage(event.Data)
 	e := b.endpoints[id]
@@ -105,7 +113,7 @@
 	e.recordPeerLoad(peerLoad{proxy: event.From, work: work, at: b.now})
 }
 
-// recordPeerLoad keeps a message in place of the one before from the same proxy.
+// recordPeerLoad replaces the previous report of the same proxy.
 func (e *endpoint) recordPeerLoad(load peerLoad) {
 	for i := range e.peerLoads {
 		if e.peerLoads[i].proxy == load.proxy {
@@ -116,14 +124,14 @@
 	e.peerLoads = append(e.peerLoads, load)
 }
 
-// knownLoad is the work in flight at an endpoint, in mean requests: this proxy's own and what others have
-// told.
+// knownLoad is the work in flight at an endpoint, in mean requests: that of this proxy and what other proxies
+// have reported recently.
 func (b *Balancer) knownLoad(e *endpoint) float64 {
 	load := e.inFlightWork
-	lifetime := seconds(peerLoadLifetime * b.meanLatency)
-	for _, told := range e.peerLoads {
-		if b.now-told.at <= lifetime {
-			load += told.work
+	lifetime := secondsToDuration(peerLoadLifetime * b.meanLatency)
+	for _, peer := range e.peerLoads {
+		if b.now-peer.at <= lifetime {
+			load += peer.work
 		}
 	}
 	return load
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-const tickInterval = 25 * time.Millisecond // of the round of checks: well under any latency objective
+// tickInterval is the period of the round of checks; it is well below any latency objective.
+const tickInterval = 25 * time.Millisecond
 
-// Handle takes an event and returns what is to be done about it, in order. now must not go back.
+// Handle processes an event and returns the resulting actions in order. now must not decrease between calls.
 func (b *Balancer) Handle(now Time, event Event) []Action {
 	b.now = now
 	b.actions = nil
@@ -57,7 +58,8 @@
 	return SetTimer{After: max(tickInterval, b.settings.MinEventInterval)}
 }
 
-// startTicking sets the first timer. The first poll of discovery is spread, as proxies may start together.
+// startTicking sets the first timer. It delays the first poll of discovery at random, as proxies may start
+// together.
 func (b *Balancer) startTicking() {
 	b.ticking = true
 	b.periodStart = b.now
@@ -65,15 +67,15 @@
 	b.emit(b.tickTimer())
 }
 
-// tick is the round of checks.
+// tick is the periodic round of checks.
 func (b *Balancer) tick() {
 	b.updateCandidates()
 	b.ejectUnresponsive()
 	for _, p := range b.placements {
-		b.updatePooled(p)
+		b.updatePooledMode(p)
 		for _, e := range p.candidates {
-			b.overloadMode(p, e)
-			p.overloadSum += e.overload
+			b.updateMode(p, e)
+			p.overloadSum += e.overloadFraction
 			p.overloadSamples++
 		}
 	}
@@ -87,8 +89,8 @@
 	b.pollDiscovery()
 }
 
-// checkOpenRequests ends requests past their deadline, in case an outcome never comes, and gives up lost
-// attempts.
+// checkOpenRequests gives up requests whose deadline has passed, as the end of an attempt may never be
+// reported, and drops lost attempts.
 func (b *Balancer) checkOpenRequests() {
 	open := b.openRequests[:0]
 	for _, r := range b.openRequests {
--- a/balancer/inflightlimit.go
+++ b/balancer/inflightlimit.go
@@ -3,19 +3,29 @@
 import "math"
 
 const (
-	objectiveShare = 0.4  // of a latency objective, that the mean latency may take: tails are long
-	maxQueueing    = 1.8  // times the base latency, that the mean latency may come to
-	baseNoise      = 0.15 // by how much chance alone takes a class's mean below its true value
-	// requests of all proxies at an endpoint that all may send; twice that at first
-	minInFlight             = 2.0
-	minResponsesPerEndpoint = 2.0 // after which a proxy's estimates are used, on average over its subset
-	// of the limit, from the fleet's rate: noise in an endpoint's own must not starve it
-	fleetRateShare     = 0.3
-	maxObjectiveFactor = 3.0 // by which the limit may exceed what the present latency allows
+	// maxObjectiveFraction is the fraction of a latency objective that the mean latency may take: latencies have
+	// a long tail.
+	maxObjectiveFraction = 0.4
+	// maxLatencyFactor is the multiple of the base latency that the mean latency may reach by queueing.
+	maxLatencyFactor = 1.8
+	// baseLatencyNoise is the fraction by which chance alone takes a mean latency below its true value.
+	baseLatencyNoise = 0.15
+	// minFleetInFlight is the number of requests that all proxies together may always have in flight at an
+	// endpoint. It is doubled until there are estimates.
+	minFleetInFlight = 2.0
+	// minResponsesPerEndpoint is the number of responses, on average over the endpoints of its subset, after
+	// which a proxy uses its estimates.
+	minResponsesPerEndpoint = 2.0
+	// fleetRateFraction is the fraction of the rate behind a limit that is the fleet's rate: noise in the
+	// endpoint's own rate must not starve the endpoint.
+	fleetRateFraction = 0.3
+	// maxLimitGrowth is the factor by which the limit may exceed what the present latency allows.
+	maxLimitGrowth = 3.0
 )
 
-// updateCandidates finds the endpoints of each placement that this proxy works with, the first on the ring
-// that are ready and not ejected, and renews the estimates over them and their in-flight limits.
+// updateCandidates selects the candidates of each placement, the first endpoints on the ring that are ready,
+// not ejected and not in maintenance. It updates the fleet's estimates over the candidates, and their
+// in-flight limits.
 func (b *Balancer) updateCandidates() {
 	var rates, weights, count, subsetSizes float64
 	for _, p := range b.placements {
@@ -44,6 +54,8 @@
 	}
 }
 
+// updateTightestObjective finds the smallest latency objective of all classes, scaled to a request of mean
+// cost.
 func (b *Balancer) updateTightestObjective() {
 	b.tightestObjective = math.Inf(1)
 	for _, c := range b.classOrder {
@@ -53,28 +65,30 @@
 	}
 }
 
-// updateLongTermEstimates follows the peak rate and the base latency, both of which are forgotten slowly.
+// updateLongTermEstimates updates the peak rate and the base latency, which decay slowly.
 func (b *Balancer) updateLongTermEstimates() {
-	forget := 1 + tickInterval.Seconds()/memoryDecay
+	forget := 1 + tickInterval.Seconds()/longTermDecay
 	b.peakRate = math.Max(b.peakRate/forget, b.meanRate)
 	b.baseLatency *= forget
-	if b.baseLatency == 0 || b.meanLatency < b.baseLatency*(1-baseNoise) {
-		b.baseLatency = b.meanLatency / (1 - baseNoise)
+	if b.baseLatency == 0 || b.meanLatency < b.baseLatency*(1-baseLatencyNoise) {
+		b.baseLatency = b.meanLatency / (1 - baseLatencyNoise)
 	}
 }
 
-// computeInFlightLimit is H of the overload control: by Little's law, the requests that this proxy may have
-// at an endpoint that answers as fast as objectives want. Part of the rate is the fleet's. Queues stay short,
-// as load slows endpoints down; the limit stays at what keeps an endpoint busy when all slow down at once and
-// shedding could help no objective.
+// computeInFlightLimit returns H of the overload control: by Little's law, the requests that this proxy may
+// have in flight at an endpoint that responds as fast as the objectives require. Part of the rate is the
+// fleet's. As load slows endpoints down, the limit keeps queues short. It does not fall below the requests
+// that keep an endpoint busy: when all endpoints slow down together, shedding could not meet any objective.
 func (b *Balancer) computeInFlightLimit(e *endpoint) float64 {
 	if !b.hasEstimates {
-		return 2 * minInFlight / b.proxiesPerEndpoint
+		return 2 * minFleetInFlight / b.proxiesPerEndpoint
 	}
-	speed := math.Min(1, b.meanLatency/b.expectedLatency(e))                       // relative to the fleet
-	rate := (1-fleetRateShare)*b.responseRate(e) + fleetRateShare*b.meanRate*speed // responses per second
-	wanted := math.Min(maxQueueing*b.baseLatency, objectiveShare*b.tightestObjective)
-	busy := b.baseLatency * b.peakRate / b.meanRate // s
-	limit := rate * math.Max(busy, wanted*math.Min(maxObjectiveFactor, wanted/b.meanLatency))
-	return math.Max(limit, minInFlight/b.proxiesPerEndpoint)
+	// relative to the fleet
+	speed := math.Min(1, b.meanLatency/b.expectedLatency(e))
+	rate := (1-fleetRateFraction)*b.responseRate(e) + fleetRateFraction*b.meanRate*speed // responses per second
+	// s, that the objectives and short queues require
+	targetLatency := math.Min(maxLatencyFactor*b.baseLatency, maxObjectiveFraction*b.tightestObjective)
+	busyLatency := b.baseLatency * b.peakRate / b.meanRate // s, at which the limit still keeps an endpoint busy
+	limit := rate * math.Max(busyLatency, targetLatency*math.Min(maxLimitGrowth, targetLatency/b.meanLatency))
+	return math.Max(limit, minFleetInFlight/b.proxiesPerEndpoint)
 }
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -6,42 +6,50 @@
 )
 
 const (
-	rateDecay         = 3.0   // s, for which what a proxy has seen of an endpoint holds
-	memoryDecay       = 600.0 // s, in which peak rate and base latency are forgotten: longer than faults
-	endpointSmoothing = 0.1   // weight of a new latency in an endpoint's smoothed one
-	fleetSmoothing    = 0.02  // the same over all endpoints, where samples are many
-	overdueFactor     = 4.0   // times the expected latency, beyond which a longer wait tells no more
-	minLatency        = 1e-6  // s, of a recorded response
+	// observationDecay is the time constant, in seconds, with which a proxy's observations of an endpoint lose
+	// weight.
+	observationDecay = 3.0
+	// longTermDecay is the time constant, in seconds, with which the peak rate and the base latency decay. It is
+	// longer than faults last.
+	longTermDecay     = 600.0
+	endpointSmoothing = 0.1  // weight of a new latency in an endpoint's smoothed latency
+	fleetSmoothing    = 0.02 // the same over all endpoints, which have many samples
+	// overdueFactor is the multiple of the expected latency after which an attempt is overdue; a longer wait
+	// shows nothing more.
+	overdueFactor = 4.0
+	minLatency    = 1e-6 // s, lower bound of a recorded latency
 )
 
-// decay is the weight that a value of some age still has, by an exponential decay with a time constant in
-// seconds.
+// decay returns the weight that is left of an observation of some age, by exponential decay with a time
+// constant in seconds.
 func decay(age time.Duration, constant float64) float64 { return math.Exp(-age.Seconds() / constant) }
 
-// responseRate is the rate at which an endpoint answers this proxy, in responses per second.
+// responseRate is the rate at which an endpoint responds to this proxy, in responses per second.
 func (b *Balancer) responseRate(e *endpoint) float64 {
-	observed := 1 - decay(b.now-e.firstListedAt+tickInterval, rateDecay) // corrects for a short observation
+	// observed corrects the estimate for a short time of observation.
+	observed := 1 - decay(b.now-e.observedSince+tickInterval, observationDecay)
 	return e.responseRateNow(b.now) / observed
 }
 
-// responseRateNow is the smoothed rate, decayed to the present.
+// responseRateNow is the smoothed response rate, decayed to the present time.
 func (l *latencyEstimate) responseRateNow(now Time) float64 {
-	return l.responseRate * decay(now-l.responseRateAt, rateDecay)
+	return l.responseRate * decay(now-l.responseRateAt, observationDecay)
 }
 
-// countResponse adds a response to the smoothed rate.
+// countResponse adds a response to the smoothed response rate.
 func (l *latencyEstimate) countResponse(now Time) {
-	l.responseRate = l.responseRateNow(now) + 1/rateDecay
+	l.responseRate = l.responseRateNow(now) + 1/observationDecay
 	l.responseRateAt = now
 }
 
-// expectedLatency is the latency of a mean request at an endpoint, in seconds. An estimate that is not
-// renewed drifts to the fleet's mean, so that the endpoint is tried again.
+// expectedLatency is the latency of a mean request at an endpoint, in seconds. Without new responses the
+// estimate drifts to the mean of the fleet, so that a slow endpoint is tried again.
 func (b *Balancer) expectedLatency(e *endpoint) float64 {
-	return b.meanLatency + e.excessLatency*decay(b.now-e.excessLatencyAt, rateDecay)
+	return b.meanLatency + e.excessLatency*decay(b.now-e.excessLatencyAt, observationDecay)
 }
 
-// recordResponse learns from a response, or its beginning.
+// recordResponse updates the latency estimates of the fleet, the class and the endpoint by a response or its
+// beginning.
 func (b *Balancer) recordResponse(a *attempt, r *request, elapsed time.Duration) {
 	c := r.class
 	b.responses++
@@ -56,14 +64,15 @@
 
 	c.meanLatency += classGain * (latency - c.meanLatency)
 	c.fleetLatency += classGain * (b.meanLatency - c.fleetLatency)
-	// Not relative to the present mean: a rare class must not keep the latency of a fault that is over.
+	// The cost is not relative to the present mean latency, as a class with few requests would keep the latency
+	// of a fault that is over.
 	c.relativeCost = c.meanLatency / c.fleetLatency
 
 	b.recordLatency(a.endpoint, elapsed.Seconds()/c.relativeCost)
 }
 
-// recordLatency smooths in the latency of a mean request, in seconds. It is capped, as a heavy request tells
-// of itself and not of its endpoint.
+// recordLatency adds the latency of a mean request, in seconds, to the estimate of an endpoint. The latency
+// is capped, as a heavy request says more about itself than about its endpoint.
 func (b *Balancer) recordLatency(e *endpoint, latency float64) {
 	expected := b.expectedLatency(e)
 	capped := math.Min(latency, overdueFactor*math.Max(expected, b.meanLatency))
@@ -72,8 +81,8 @@
 	e.excessLatencyAt = b.now
 }
 
-// observedLatency is what an outcome shows of the latency of a mean request, in seconds; 0: nothing. A
-// failure counts as a slow response: failing fast must not attract work.
+// observedLatency returns the latency of a mean request that an attempt has shown, in seconds, or 0 if it has
+// shown none. A failure counts as a slow response, as an endpoint that fails fast must not attract work.
 func observedLatency(r *request, event AttemptEnded) float64 {
 	if r.responseStarted {
 		return 0
@@ -87,7 +96,7 @@
 	return failureLatency(r, event)
 }
 
-// failureLatency is the latency of a mean request that a failure counts as, in seconds.
+// failureLatency returns the latency of a mean request, in seconds, that a failure counts as.
 func failureLatency(r *request, event AttemptEnded) float64 {
 	return max(event.Elapsed, r.class.LatencyObjective).Seconds() / r.class.relativeCost
 }
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -6,58 +6,59 @@
 	"time"
 )
 
-// LearnedState is what a balancer has learned, in a form that a new process of the same proxy can go on with.
-// Its times are on the monotonic clock that both processes share. The JSON keys are those of the first
-// version: an old and a new process may be of different versions.
+// LearnedState is what a balancer has learned, for a new process of the same proxy to continue with. Its
+// times are on the monotonic clock that both processes share. The JSON keys are those of the first version,
+// as the old and the new process may be of different versions.
 type LearnedState struct {
 	MeanLatency         float64           `json:"Mean"`    // s
 	BaseLatency         float64           `json:"Base"`    // s
 	ServiceTime         float64           `json:"Unit"`    // s
 	PeakRate            float64           `json:"Peak"`    // responses per second
-	Responses           float64           `json:"Answers"` // count
-	EndpointConcurrency float64           `json:"Running"`
-	RetryBudget         float64           `json:"Budget"`
-	ProbeBudget         float64           `json:"Trials"`
+	Responses           float64           `json:"Answers"` // number of responses
+	EndpointConcurrency float64           `json:"Running"` // requests that an endpoint works on at the same time
+	RetryBudget         float64           `json:"Budget"`  // retries
+	ProbeBudget         float64           `json:"Trials"`  // recovery probes
 	Classes             []LearnedClass    `json:"Classes"`
 	Endpoints           []LearnedEndpoint `json:"Servers"`
 }
 
-// LearnedClass is what a balancer has learned of a class.
+// LearnedClass is what a balancer has learned of a request class.
 type LearnedClass struct {
 	Name         string  `json:"Name"`
 	MeanWorkHint float64 `json:"Hint"`    // s
-	WorkHints    float64 `json:"Hints"`   // count
-	Responses    float64 `json:"Count"`   // count
+	WorkHints    float64 `json:"Hints"`   // number of work hints
+	Responses    float64 `json:"Count"`   // number of responses
 	MeanLatency  float64 `json:"Latency"` // s
 	FleetLatency float64 `json:"Ambient"` // s
-	// of its mean request, as a multiple of the mean request of all classes
+	// RelativeCost is the cost of its mean request, as a multiple of the mean request of all classes.
 	RelativeCost float64 `json:"Relative"`
 }
 
-// LearnedEndpoint is what a balancer has learned of an endpoint, and has in flight there.
+// LearnedEndpoint is what a balancer has learned of an endpoint, and the work that it has in flight there.
 type LearnedEndpoint struct {
 	ID              EndpointID    `json:"ID"`
 	StartedAt       Time          `json:"StartedAt"`
 	ExcessLatencyAt Time          `json:"LatencyAt"`
 	ResponseRateAt  Time          `json:"RateAt"`
-	FirstListedAt   Time          `json:"Since"`
+	ObservedSince   Time          `json:"Since"`
 	NextProbeAt     Time          `json:"TrialAt"`
 	SlowStartSince  Time          `json:"ColdSince"`
-	At              Time          `json:"At"` // when this was written
+	At              Time          `json:"At"` // when this entry was written
 	ProbeBackoff    time.Duration `json:"TrialWait"`
-	ExcessLatency   float64       `json:"Excess"` // s
-	ResponseRate    float64       `json:"Rate"`   // per second
-	FailureRate     float64       `json:"Failing"`
-	InFlightWork    float64       `json:"Load"` // mean requests
-	SlowStartTokens float64       `json:"Tokens"`
+	ExcessLatency   float64       `json:"Excess"`  // s
+	ResponseRate    float64       `json:"Rate"`    // responses per second
+	FailureRate     float64       `json:"Failing"` // fraction of attempts
+	InFlightWork    float64       `json:"Load"`    // mean requests
+	SlowStartTokens float64       `json:"Tokens"`  // attempts
 	Ejected         bool          `json:"Suspect"`
 	MaybeRestarted  bool          `json:"Away"`
 	SlowStarting    bool          `json:"Cold"`
 }
 
-const maxInheritedTokens = 2.0 // of a slow start
+// maxInheritedTokens bounds the slow start tokens that a new process takes over.
+const maxInheritedTokens = 2.0
 
-// Learned returns what a new process of this proxy can go on with.
+// Learned returns the state that a new process of this proxy can continue with.
 func (b *Balancer) Learned(now Time) LearnedState {
 	learned := LearnedState{
 		MeanLatency:         b.meanLatency,
@@ -96,7 +97,7 @@
 		StartedAt:       e.StartedAt,
 		ExcessLatencyAt: e.excessLatencyAt,
 		ResponseRateAt:  e.responseRateAt,
-		FirstListedAt:   e.firstListedAt,
+		ObservedSince:   e.observedSince,
 		NextProbeAt:     e.nextProbeAt,
 		SlowStartSince:  e.slowStartSince,
 		At:              now,
@@ -112,14 +113,15 @@
 	}
 }
 
-// allPlausible reports whether figures can have been learned: a faulty process must not spoil this one.
-func allPlausible(least float64, figures ...float64) bool {
-	return !slices.ContainsFunc(figures, func(f float64) bool { return !(f >= least) || f > math.MaxFloat32 })
+// allPlausible reports whether all figures are at least minimum, finite and not absurdly large: a faulty
+// process must not spoil the state of this one.
+func allPlausible(minimum float64, figures ...float64) bool {
+	return !slices.ContainsFunc(figures, func(f float64) bool { return !(f >= minimum) || f > math.MaxFloat32 })
 }
 
-// restore takes what an earlier process has learned. What is about endpoints waits for the list that names
-// them. Budgets are handed on and not granted anew: an upgrade allows no more than one process would have
-// had.
+// restore adopts what a previous process has learned. What concerns an endpoint waits until a list names the
+// endpoint. Budgets are handed over and not granted again: an upgrade allows no more attempts than one
+// process would have had.
 func (b *Balancer) restore(learned LearnedState) {
 	if !learned.plausible() {
 		return
@@ -133,8 +135,8 @@
 	b.retryBudget = math.Min(maxRetryBudget, learned.RetryBudget)
 	b.probeBudget = math.Min(1, learned.ProbeBudget)
 	for _, c := range learned.Classes {
-		if known := b.classes[c.Name]; known != nil && c.plausible() {
-			known.restore(c)
+		if current := b.classes[c.Name]; current != nil && c.plausible() {
+			current.restore(c)
 		}
 	}
 	b.inherited = map[EndpointID]LearnedEndpoint{}
@@ -169,17 +171,17 @@
 	c.relativeCost = learned.RelativeCost
 }
 
-// inherit passes on to a newly listed endpoint what the previous process of this proxy learned of it.
-// The work that the old process of this proxy has in flight there counts like another proxy's, until it must
-// have ended.
+// inherit gives a newly listed endpoint the state that the previous process of this proxy learned of it. The
+// work that the previous process has in flight there counts like that of another proxy, until it must have
+// ended.
 func (b *Balancer) inherit(e *endpoint) {
 	learned, ok := b.inherited[e.ID]
 	if !ok || learned.StartedAt != e.StartedAt {
 		return
 	}
 	delete(b.inherited, e.ID)
-	past := func(t Time) Time { return min(t, b.now) } // an odd time must not lie ahead
-	e.firstListedAt = past(learned.FirstListedAt)
+	past := func(t Time) Time { return min(t, b.now) } // an implausible time must not be in the future
+	e.observedSince = past(learned.ObservedSince)
 	e.excessLatency = learned.ExcessLatency
 	e.excessLatencyAt = past(learned.ExcessLatencyAt)
 	e.responseRate = learned.ResponseRate
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -4,32 +4,34 @@
 	"wrenspread/ratelimit"
 )
 
-// LimitCounts says what a table of limits has decided since it was set.
+// LimitCounts counts the decisions of a table of limits since the table was set.
 type LimitCounts struct {
 	Requests        uint64
 	Rejected        uint64
-	Disagreements   uint64   // of a shadow table: the table in force decided otherwise
-	RejectedByLimit []uint64 // by limit; the last is by the degradation level
+	Disagreements   uint64   // of a shadow table: requests on which the table in force decided otherwise
+	RejectedByLimit []uint64 // by index of the limit; the last element is for the degradation level
 }
 
-// The tables that a balancer has.
+// The indexes of a balancer's tables, in Balancer.limiters and request.reservations.
 const (
+	// tableInForce is the table that decides.
 	tableInForce = iota
-	shadowTable  // its decisions are counted alone
+	// shadowTable decides without effect; its decisions are only counted.
+	shadowTable
 )
 
-// limiter is a table with the proxy's tokens of it.
+// limiter is a table of limits with this proxy's tokens of it. A nil table admits every request.
 type limiter struct {
-	table     *ratelimit.Table
-	tokens    ratelimit.Tokens
-	counts    LimitCounts
-	variantOf map[string]string // class by its variant, as limits know classes alone
+	table          *ratelimit.Table
+	tokens         ratelimit.Tokens
+	counts         LimitCounts
+	classOfVariant map[string]string // class by the name of its variant; limits know only classes
 }
 
-// reservation is what an open request holds of a table's limits on concurrency.
-type reservation struct {
-	tokens ratelimit.Tokens
-	taken  ratelimit.Reservation
+// tableReservation is what an open request has reserved of a table's limits on concurrency.
+type tableReservation struct {
+	tokens   ratelimit.Tokens
+	reserved ratelimit.Reservation
 }
 
 // LimitCounts returns the counts of the table in force and of the shadow table.
@@ -37,21 +39,25 @@
 	return b.limiters[tableInForce].counts, b.limiters[shadowTable].counts
 }
 
-// setTable replaces a table. Open requests return what they hold to the tokens that they took it from.
+// setTable replaces a table. An open request returns its reservation to the tokens that it was taken from.
 func (b *Balancer) setTable(event TableChanged) {
-	l := limiter{table: event.Table, tokens: event.Tokens, variantOf: b.limiters[tableInForce].variantOf}
+	newLimiter := limiter{
+		table:          event.Table,
+		tokens:         event.Tokens,
+		classOfVariant: b.limiters[tableInForce].classOfVariant,
+	}
 	if event.Table != nil {
-		l.counts.RejectedByLimit = make([]uint64, len(event.Table.Limits)+1)
+		newLimiter.counts.RejectedByLimit = make([]uint64, len(event.Table.Limits)+1)
 	}
 	if event.Shadow {
-		b.limiters[shadowTable] = l
+		b.limiters[shadowTable] = newLimiter
 	} else {
-		b.limiters[tableInForce] = l
+		b.limiters[tableInForce] = newLimiter
 	}
 }
 
-// mapVariants tells the limiters which classes are variants, in the settings and in those before.
-func (b *Balancer) mapVariants() {
+// updateVariants determines which classes are variants, in the present and in the previous settings.
+func (b *Balancer) updateVariants() {
 	variantOf := map[string]string{}
 	for _, classes := range []map[string]*class{b.previousClasses, b.classes} {
 		for _, c := range classes {
@@ -61,38 +67,39 @@
 		}
 	}
 	for i := range b.limiters {
-		b.limiters[i].variantOf = variantOf
+		b.limiters[i].classOfVariant = variantOf
 	}
 }
 
-// decide asks a table and counts its decision. Without a table everything is admitted.
+// decide applies a table to a request and counts the decision.
 func (l *limiter) decide(request ratelimit.Request) ratelimit.Decision {
 	if l.table == nil {
 		return ratelimit.Decision{Admitted: true}
 	}
-	if class, isVariant := l.variantOf[request.Class]; isVariant {
+	if class, isVariant := l.classOfVariant[request.Class]; isVariant {
 		request.Class = class
 	}
 	decision := l.table.Admit(request, l.tokens)
 	l.counts.Requests++
 	if !decision.Admitted {
 		l.counts.Rejected++
-		slots := len(l.counts.RejectedByLimit)
-		l.counts.RejectedByLimit[(decision.Limit+slots)%slots]++ // -1, of a degradation level, is the last
+		counters := len(l.counts.RejectedByLimit)
+		l.counts.RejectedByLimit[(decision.Limit+counters)%counters]++ // -1, the degradation level, is the last
 	}
 	return decision
 }
 
-// releaseReservations returns what a request has held of limits on concurrency.
+// releaseReservations returns what a request has reserved of limits on concurrency.
 func (r *request) releaseReservations() {
-	for _, held := range r.reservations {
-		if !held.taken.IsEmpty() {
-			held.taken.Release(held.tokens)
+	for _, reservation := range r.reservations {
+		if !reservation.reserved.IsEmpty() {
+			reservation.reserved.Release(reservation.tokens)
 		}
 	}
 }
 
-// admitByLimits asks the table in force and the shadow table, and rejects the request if the former does.
+// admitByLimits applies the table in force and the shadow table, and rejects the request if the table in
+// force does. It reports whether the request is admitted.
 func (b *Balancer) admitByLimits(r *request, event *RequestArrived) bool {
 	inForce, shadow := &b.limiters[tableInForce], &b.limiters[shadowTable]
 	if inForce.table == nil && shadow.table == nil {
@@ -103,7 +110,7 @@
 		Tenant:      event.Tenant,
 		Class:       event.Class,
 		Key:         event.Key,
-		Work:        seconds(r.class.meanWorkHint),
+		Work:        secondsToDuration(r.class.meanWorkHint),
 		Retry:       event.ClientRetry,
 		Priority:    r.priority,
 		Degradation: b.degradation,
@@ -116,8 +123,8 @@
 	if shadow.table != nil && decision.Admitted != shadowDecision.Admitted {
 		shadow.counts.Disagreements++
 	}
-	r.reservations[tableInForce] = reservation{inForce.tokens, decision.Reservation}
-	r.reservations[shadowTable] = reservation{shadow.tokens, shadowDecision.Reservation}
+	r.reservations[tableInForce] = tableReservation{inForce.tokens, decision.Reservation}
+	r.reservations[shadowTable] = tableReservation{shadow.tokens, shadowDecision.Reservation}
 	if !decision.Admitted {
 		retryAfter := min(b.jitter(decision.RetryAfter), b.settings.MaxRetryAfter)
 		b.emit(Reject{ID: r.id, RetryAfter: retryAfter, Status: decision.Status})
--- a/balancer/loadquery.go
+++ b/balancer/loadquery.go
@@ -6,15 +6,22 @@
 )
 
 const (
-	loadQueryToken     = 1                    // of the timer that ends a load query; the round of checks has 0
-	maxLoadQueryPrice  = 0.005                // of the result, that querying before each attempt may cost
-	loadQueryTimeout   = 5 * time.Millisecond // some round trips, well under any latency objective
-	maxLoadQueryRounds = 3                    // of two more endpoints each, before all count as full
+	// loadQueryToken is the token of the timer that ends load queries; the round of checks has token 0.
+	loadQueryToken = 1
+	// maxLoadQueryPrice is the part of the score that load queries before each attempt may cost, by
+	// Prices.LoadQuery.
+	maxLoadQueryPrice = 0.005
+	// loadQueryTimeout is a few round trips, well below any latency objective.
+	loadQueryTimeout = 5 * time.Millisecond
+	// maxLoadQueryRounds is the number of rounds, of up to two endpoints each, after which all endpoints count
+	// as full.
+	maxLoadQueryRounds = 3
 )
 
-// queryLoad asks two more endpoints for their load and holds the request until they answer or
-// loadQueryTimeout is up. It reports false, and does nothing, unless load reports come by queries alone and
-// are cheap: with many proxies a proxy's own counts, of 0 or 1, tell nothing.
+// queryLoad queries two endpoints for their load and holds the request back until they have answered or
+// loadQueryTimeout has passed. It returns false and does nothing unless load reports come only by cheap
+// queries, and rounds and endpoints are left. Queries pay because with many proxies the count of one proxy, 0
+// or 1, says nothing about an endpoint's load.
 func (b *Balancer) queryLoad(r *request) bool {
 	first, second, mode := b.drawTwo(r, r.class.placement.ring)
 	if !b.queriesLoad || r.loadQueryRounds >= maxLoadQueryRounds || mode == Blocking {
@@ -32,8 +39,8 @@
 	return true
 }
 
-// loadQueryEnded takes the result of a load query. One that an endpoint fails to answer counts as a failed
-// request.
+// loadQueryEnded handles the result of a load query. A query that the endpoint did not answer counts as a
+// failed request.
 func (b *Balancer) loadQueryEnded(event LoadQueryEnded) {
 	if e := b.endpoints[event.Endpoint]; e != nil {
 		b.recordLoadReport(e, event.LoadReport)
@@ -44,7 +51,7 @@
 	b.finishLoadQueries()
 }
 
-// finishLoadQueries dispatches the requests whose queries are all answered, or have taken long enough.
+// finishLoadQueries dispatches the requests whose queries have all been answered or have timed out.
 func (b *Balancer) finishLoadQueries() {
 	waiting := b.awaitingLoad
 	b.awaitingLoad = nil
--- a/balancer/look_test.go
+++ b/balancer/look_test.go
@@ -126,10 +126,10 @@
 	m.serviceTime, m.responses = 0, 0
 	m.updateCandidates()
 	s := m.ring.endpoints[0]
-	if m.recordLoadReport(s, report(1, 0)); m.overloadMode(m.placements[0], s) != Normal {
+	if m.recordLoadReport(s, report(1, 0)); m.updateMode(m.placements[0], s) != Normal {
 		t.Error("one request is no overload")
 	}
-	if m.recordLoadReport(s, report(9, 8)); m.overloadMode(m.placements[0], s) != Blocking {
+	if m.recordLoadReport(s, report(9, 8)); m.updateMode(m.placements[0], s) != Blocking {
 		t.Error("nine requests at an unknown server do not block it")
 	}
 }
--- a/balancer/lostattempts.go
+++ b/balancer/lostattempts.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// isLost reports whether an attempt will hardly be answered: it has taken many times what its endpoint
-// usually takes, and the endpoint has answered later attempts since, or answers nothing.
+// isLost reports whether an attempt is unlikely to be answered: it has taken overdueFactor times the latency
+// expected of its endpoint, and the endpoint has answered a later attempt or is ejected.
 func (b *Balancer) isLost(a *attempt, r *request) bool {
 	if !b.hasEstimates || r.responseStarted || r.incomplete {
 		return false
@@ -12,13 +12,14 @@
 	if !e.ejected && e.lastAnsweredSend <= a.sentAt {
 		return false
 	}
-	usual := math.Max(b.meanLatency, b.expectedLatency(e)) * r.class.relativeCost * math.Max(1, r.relativeWork)
-	return (b.now - a.sentAt).Seconds() > overdueFactor*usual
+	expected := math.Max(b.meanLatency, b.expectedLatency(e)) *
+		r.class.relativeCost * math.Max(1, r.relativeWork)
+	return (b.now - a.sentAt).Seconds() > overdueFactor*expected
 }
 
-// dropLostAttempts takes lost attempts out of their endpoints' counts, as they tell nothing of how loaded
-// these are. An attempt is also cancelled, which leads to a retry, while its request can still earn on an
-// endpoint in normal mode.
+// dropLostAttempts takes lost attempts out of the in-flight counts of their endpoints, as they say nothing
+// about load. It also cancels a lost attempt, which leads to a retry, if the settings and the retry budget
+// allow it and a retry at an endpoint in normal mode could still meet the latency objective.
 func (b *Balancer) dropLostAttempts(r *request) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -34,8 +35,8 @@
 	}
 }
 
-// hasNormalEndpoint reports whether an endpoint in normal mode could take a request once an attempt of it is
-// cancelled.
+// hasNormalEndpoint reports whether an endpoint in normal mode could get the request once one of its attempts
+// has been cancelled.
 func (b *Balancer) hasNormalEndpoint(r *request) bool {
 	r.attemptsInFlight--
 	_, mode := b.pickEndpoint(r)
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -2,9 +2,9 @@
 
 import "maps"
 
-// setMaintenance takes an endpoint out on an operator's order, or back. It holds whatever the list says. As
-// an endpoint in maintenance is restarted, nothing that was learned of it counts afterwards, and it begins a
-// slow start.
+// setMaintenance starts or ends the maintenance of an endpoint by order of an operator, whatever the endpoint
+// list says. An endpoint is restarted during maintenance: afterwards nothing that was learned of it counts,
+// and it begins a slow start.
 func (b *Balancer) setMaintenance(event Maintenance) {
 	if event.On != b.maintenance[event.Endpoint] {
 		if e := b.endpoints[event.Endpoint]; e != nil {
@@ -23,7 +23,7 @@
 func (b *Balancer) changeMaintenance(e *endpoint, on bool) {
 	e.inMaintenance = on
 	if on {
-		b.emit(CloseIdleConnections{Endpoint: e.ID}) // those in use are closed as their attempts end
+		b.emit(CloseIdleConnections{Endpoint: e.ID}) // the other connections are closed as their attempts end
 		return
 	}
 	e.forgetFailures(b.now)
@@ -31,8 +31,8 @@
 	b.beginSlowStart(e, b.now)
 }
 
-// rememberEndOfMaintenance keeps the time for endpoints that are not listed, or leave the subset and come
-// back, while they may be in their slow start.
+// rememberEndOfMaintenance stores the time for the duration of a slow start. Endpoints that are not listed,
+// or that leave the subset and return, need it.
 func (b *Balancer) rememberEndOfMaintenance(id EndpointID) {
 	maps.DeleteFunc(b.maintenanceEnded, func(_ EndpointID, endedAt Time) bool {
 		return b.now-endedAt > b.settings.SlowStartDuration
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,16 +6,19 @@
 )
 
 const (
-	ejectAfter       = 3    // refused connections, or attempts without any answer: fewer are chance
-	ejectFailureRate = 0.5  // smoothed fraction of an endpoint's attempts that fail, from which it is ejected
-	failureSmoothing = 0.05 // weight of an outcome in that fraction
+	// ejectAfterFailures is the number of refused connections, or of attempts without any answer, that eject an
+	// endpoint. Fewer may be chance.
+	ejectAfterFailures = 3
+	// ejectFailureRate is the smoothed fraction of an endpoint's attempts that fail from which on it is ejected.
+	ejectFailureRate = 0.5
+	// failureSmoothing is the weight of one outcome in that fraction.
+	failureSmoothing = 0.05
 )
 
-// recordOutcome takes the outcome of an attempt: what it shows of the endpoint's latency, and whether the
-// endpoint is an outlier.
+// recordOutcome updates an endpoint's latency estimate and its outlier state by the outcome of an attempt.
 func (b *Balancer) recordOutcome(e *endpoint, r *request, event AttemptEnded) {
 	switch event.Outcome {
-	case Cancelled, NotSent: // nothing is known of the endpoint
+	case Cancelled, NotSent: // they say nothing about the endpoint
 	case Rejected:
 		e.unansweredSends = 0
 		b.imposeMode(e, Blocking)
@@ -23,15 +26,15 @@
 		b.recordSuccess(e, r, event)
 	default:
 		if event.Outcome == ServerError || event.Outcome == ConnectionReset {
-			e.unansweredSends = 0 // no response, but a sign of life
+			e.unansweredSends = 0 // not a response, but the endpoint's process is alive
 		}
 		b.recordLatency(e, failureLatency(r, event))
 		b.recordFailure(e, event.Outcome)
 	}
 }
 
-// recordSuccess takes a response. An ejected endpoint is back; one that may have restarted unannounced begins
-// a slow start.
+// recordSuccess records a response. An ejected endpoint that responds is no longer ejected; if a recovery
+// probe finds that it may have restarted unannounced, it begins a slow start.
 func (b *Balancer) recordSuccess(e *endpoint, r *request, event AttemptEnded) {
 	e.countResponse(b.now)
 	e.unansweredSends = 0
@@ -50,23 +53,24 @@
 	b.logEndpoint(e, fmt.Sprintf("answers again; slow start: %v", e.slowStarting))
 }
 
-// recordFailure counts a failed attempt or load query. A few failures in a row are chance at an endpoint that
-// fails a fraction of its requests, which is worth more than one endpoint less; but one that refuses
-// connections has no process. One whose connections only come up late is found as unresponsive.
+// recordFailure records a failed attempt or load query. At an endpoint that fails a fraction of its requests,
+// a few failures in a row are chance; to keep the endpoint is better than to have one endpoint less. An
+// endpoint that refuses connections has no process, and is ejected after ejectAfterFailures refusals or
+// fewer. An endpoint whose connections are only established late is found to be unresponsive instead.
 func (b *Balancer) recordFailure(e *endpoint, outcome Outcome) {
 	refused := outcome == ConnectFailed
 	e.failureRate += failureSmoothing * (1 - e.failureRate)
 	e.consecutiveFailures++
 	if refused {
-		e.consecutiveFailures++ // weighs twice
+		e.consecutiveFailures++ // a refused connection counts twice
 	}
-	if e.failureRate >= ejectFailureRate || refused && e.consecutiveFailures >= ejectAfter {
+	if e.failureRate >= ejectFailureRate || refused && e.consecutiveFailures >= ejectAfterFailures {
 		b.eject(e, fmt.Sprintf("fails, last with %v", outcome))
 		e.maybeRestarted = e.maybeRestarted || refused
 	}
 }
 
-// eject leaves an endpoint nothing but recovery probes.
+// eject stops all attempts at an endpoint except recovery probes.
 func (b *Balancer) eject(e *endpoint, why string) {
 	if e.ejected {
 		return
@@ -79,8 +83,8 @@
 	b.logEndpoint(e, fmt.Sprintf("ejected: %s; recovery probes only", why))
 }
 
-// ejectUnresponsive ejects endpoints that have not answered several attempts for many times what the fleet
-// takes.
+// ejectUnresponsive ejects endpoints that have left several attempts unanswered for overdueFactor times the
+// expected latency.
 func (b *Balancer) ejectUnresponsive() {
 	b.ejected.retain(func(e *endpoint) bool { return e.ejected })
 	b.unresponsive.retain((*endpoint).isUnresponsive)
--- a/balancer/part_leave_test.go
+++ b/balancer/part_leave_test.go
@@ -124,7 +124,7 @@
 			out = m.Handle(m.now, end)
 		}
 	}
-	if sent == 0 || sent > ejectAfter {
+	if sent == 0 || sent > ejectAfterFailures {
 		t.Errorf("%d sends to a server that refuses", sent)
 	}
 }
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -6,8 +6,8 @@
 	"sort"
 )
 
-// peersOf returns the other proxies that work with an endpoint; of one that has left the list, those that did
-// last. They are found when they are first asked for after a change.
+// peersOf returns the indexes of the other proxies that use an endpoint; for an endpoint that has left the
+// list, those that used it last. They are determined at the first call after a change.
 func (b *Balancer) peersOf(e *endpoint) []int {
 	index, listed := b.ring.find(e.ringPosition)
 	if e.peersVersion == b.ringVersion || !listed || b.ring.endpoints[index] != e {
@@ -24,8 +24,8 @@
 			continue
 		}
 		for _, proxy := range slices.Sorted(slices.Values(b.proxiesReaching(p, indexInPlacement, index))) {
-			n := len(e.peers)
-			duplicate := n > 0 && e.peers[n-1] == proxy // placements share endpoints
+			count := len(e.peers)
+			duplicate := count > 0 && e.peers[count-1] == proxy // an endpoint may be in several placements
 			if proxy != b.settings.ProxyIndex && !duplicate {
 				e.peers = append(e.peers, proxy)
 			}
@@ -34,39 +34,40 @@
 	return e.peers
 }
 
-// proxiesReaching returns the proxies that work with an endpoint of a placement, given by its index in the
-// placement's ring and in the ring of all: those that start at it, or at one of the endpoints before it, as
-// many as a proxy works with. If this proxy's subset begins too close to the endpoint, what is before it is
-// taken to be as dense as the subset.
+// proxiesReaching returns the proxies that use an endpoint of a placement, which is given by its index in the
+// placement's ring and in the ring of all endpoints. These are the proxies whose subsets start at the
+// endpoint or before it, at a distance of less than a subset's size. If this proxy knows only a subset of the
+// list, which starts too close to the endpoint, the part before it is assumed to be as dense as the subset.
 func (b *Balancer) proxiesReaching(p *placement, indexInPlacement, index int) []int {
 	if p.subsetSize >= b.placementSize(p) {
 		return b.proxiesByStart
 	}
 	size := len(p.ring.endpoints)
 	reach := int(p.subsetSize)
-	if b.total == 0 {
+	if b.totalEndpoints == 0 {
 		first := p.ring.endpoints[(indexInPlacement-reach+size)%size]
-		before, _ := b.ring.find(first.ringPosition)
-		return b.proxiesStartingBetween(uint64(before), uint64(index))
+		firstIndex, _ := b.ring.find(first.ringPosition)
+		return b.proxiesStartingBetween(uint64(firstIndex), uint64(index))
 	}
 	position := p.ring.endpoints[indexInPlacement].ringPosition
-	steps := (indexInPlacement - p.ring.start + size) % size // from the start of the subset
+	steps := (indexInPlacement - p.ring.first + size) % size // from the start of the subset, in endpoints
 	if steps >= reach {
 		return b.proxiesStartingBetween(p.ring.at(steps-reach).ringPosition, position)
 	}
-	before := uint64(float64(reach-steps) / b.placementSize(p) * (1 << 64))
-	if position-b.start > math.MaxUint64-before {
-		return b.proxiesByStart // all around the ring
+	distance := uint64(float64(reach-steps) / b.placementSize(p) * (1 << 64))
+	if position-b.subsetStart > math.MaxUint64-distance {
+		return b.proxiesByStart // the distance covers the entire ring
 	}
-	return b.proxiesStartingBetween(b.start-before, position)
+	return b.proxiesStartingBetween(b.subsetStart-distance, position)
 }
 
-// proxiesStartingBetween returns the proxies that start after one place and up to another. Places are indexes
-// in the ring of all endpoints or, if this proxy has a subset, ring positions.
+// proxiesStartingBetween returns the proxies whose subsets start after one place and not after another.
+// Places are indexes in the ring of all endpoints or, if this proxy knows only a subset of the list, ring
+// positions.
 func (b *Balancer) proxiesStartingBetween(after, upTo uint64) []int {
 	startsAfter := func(place uint64) int {
 		return sort.Search(len(b.proxiesByStart), func(i int) bool {
-			if b.total > 0 {
+			if b.totalEndpoints > 0 {
 				return startPosition(b.proxiesByStart[i]) > place
 			}
 			return uint64(startIndex(b.proxiesByStart[i], len(b.ring.endpoints))) > place
--- a/balancer/pickendpoint.go
+++ b/balancer/pickendpoint.go
@@ -1,8 +1,9 @@
 package balancer
 
-// pickEndpoint picks the endpoint for the next attempt by the power of two choices: of two random candidates
-// in normal mode, else in overloaded mode, the one with the lower expected delay. Where load queries are
-// used, the candidates are the endpoints that have answered. The mode is Blocking if there is no endpoint.
+// pickEndpoint picks the endpoint for the next attempt by the power of two choices: it draws two endpoints in
+// normal mode or, if there is none, in overloaded mode, and returns the one with the lower expected delay.
+// Where load queries are used, it draws from the endpoints that have answered. The mode is Blocking if no
+// endpoint is available.
 func (b *Balancer) pickEndpoint(r *request) (*endpoint, Mode) {
 	from := r.class.placement.ring
 	if b.queriesLoad {
@@ -15,12 +16,12 @@
 	return best, mode
 }
 
-// drawTwo draws two of the endpoints that may get a request: of those in normal mode or, if there are none,
-// of those in overloaded mode. Both are the same if there is one alone.
+// drawTwo draws two of the endpoints that may get a request, of those in normal mode or, if there is none, of
+// those in overloaded mode. If there is only one, it is returned twice.
 func (b *Balancer) drawTwo(r *request, from ring) (first, second *endpoint, mode Mode) {
 	var byMode [Blocking][]*endpoint
 	p := r.class.placement
-	b.updatePooled(p)
+	b.updatePooledMode(p)
 	for i, seen := 0, 0; i < len(from.endpoints) && seen < int(p.subsetSize); i++ {
 		e := from.at(i)
 		if e.ejected || b.canSend(r, e) != sendAllowed {
@@ -28,7 +29,7 @@
 		}
 		seen++
 		b.endSlowStartIfWarm(e)
-		mode := b.overloadMode(p, e)
+		mode := b.updateMode(p, e)
 		if b.waitsTooLong(r, e) {
 			mode = max(mode, Overloaded)
 		}
@@ -46,20 +47,20 @@
 	return nil, nil, Blocking
 }
 
-// waitsTooLong reports whether an endpoint that has just said how many requests it has would answer this one,
-// with its expected work, too late for its latency objective.
+// waitsTooLong reports whether an endpoint that has just reported its number of requests would answer this
+// one, given its expected work, too late for its latency objective.
 func (b *Balancer) waitsTooLong(r *request, e *endpoint) bool {
 	if !b.queriesLoad || e.reportedAt < r.loadQueryAt {
 		return false
 	}
 	work := e.inFlight/b.endpointConcurrency + r.relativeWork*r.class.relativeCost // mean requests
 	wait := work * b.serviceTime / b.warmFraction(e)                               // s
-	return wait > maxWaitShare*r.class.LatencyObjective.Seconds()
+	return wait > maxWaitFraction*r.class.LatencyObjective.Seconds()
 }
 
-// expectedDelay is what a request may expect at an endpoint: the work in flight there and its own, at the
-// endpoint's pace. After a load query the endpoint's own count stands for the work. It is comparable between
-// endpoints only.
+// expectedDelay estimates the delay of a request at an endpoint from the work in flight there, the request's
+// own work and the endpoint's latency. Where load queries are used, the endpoint's own count replaces the
+// work. The result is only comparable between endpoints.
 func (b *Balancer) expectedDelay(r *request, e *endpoint) float64 {
 	if b.queriesLoad {
 		return (e.inFlight + 1) * b.expectedLatency(e)
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -5,62 +5,64 @@
 	"slices"
 )
 
-// placement is a rule on which endpoints are open to a request, with the classes that share it. In-flight
-// limits and shedding are judged over the endpoints that it allows.
+// placement is a rule on which endpoints requests may use, shared by the classes that have this rule.
+// In-flight limits and shedding are applied to the endpoints of one placement together.
 type placement struct {
-	zones        []string    // that are allowed; nil: all, empty: none
-	machineTypes []string    // the same
-	ring         ring        // of the endpoints that it allows, from this proxy's origin on
-	subsetSize   float64     // how many of them this proxy works with
-	candidates   []*endpoint // those: the first that are ready and not ejected
+	zones        []string    // zones whose endpoints may be used; nil: all, empty: none
+	machineTypes []string    // machine types whose endpoints may be used; nil: all, empty: none
+	ring         ring        // the allowed endpoints, starting at this proxy's origin
+	subsetSize   float64     // number of the allowed endpoints that this proxy uses
+	candidates   []*endpoint // the first subsetSize of them that are ready, not ejected and not in maintenance
 
-	maxPriorityWeight float64 // of its classes
+	maxPriorityWeight float64 // the highest of its classes
 
 	pooledOverload
 	sheddingState
 }
 
-// pooledOverload is the overload mode of all candidates together, where each has so few requests of this
-// proxy that its own count tells nothing.
+// pooledOverload is the common overload mode of all candidates. It is used where each candidate has so few
+// requests of this proxy that its own count says nothing.
 type pooledOverload struct {
-	pooled           bool // it is used
+	usesPooledMode   bool // the common mode applies
 	mode             Mode
 	smoothedInFlight float64 // sum over the candidates
 	smoothedAt       Time
-	overload         float64 // where the sum stands between the limit, 0, and the blocking threshold, 1
+	overloadFraction float64 // position of the sum between the limit (0) and the blocking threshold (1)
 }
 
-// sheddingState is what the drop probabilities of the next period follow from, and those of the present one.
+// sheddingState counts what the drop probabilities of the next shedding period are computed from, and holds
+// the drop probabilities of the present period.
 type sheddingState struct {
-	overloadedAt     Time    // when last no candidate was in normal mode
-	priorityArrivals float64 // in this period
-	otherArrivals    float64
-	overloadSum      float64 // over candidates and rounds of checks of this period
-	overloadSamples  float64 // in that sum
+	overloadedAt     Time    // when a request last found no candidate in normal mode
+	priorityArrivals float64 // in the present period
+	otherArrivals    float64 // in the present period, without priority
+	overloadSum      float64 // of overload fractions, over candidates and rounds of checks of the period
+	overloadSamples  float64 // number of fractions in overloadSum
 	priorityDrop     float64 // probability that a priority request is shed
-	otherDrop        float64 // the same of other requests
+	otherDrop        float64 // probability that a request without priority is shed
 }
 
-// class is a request class with what was learned of it.
+// class is a request class and what was learned of it.
 type class struct {
 	Class
 	placement    *placement
 	meanWorkHint float64 // s, smoothed
-	workHints    float64 // count
-	responses    float64 // count
+	workHints    float64 // number of work hints
+	responses    float64 // number of responses
 	meanLatency  float64 // s, smoothed over all endpoints
-	fleetLatency float64 // s, smoothed fleetEstimates.meanLatency at the times of its responses
-	relativeCost float64 // of its mean request, as a multiple of the mean request of all classes
+	// fleetLatency is the fleet's meanLatency in seconds, smoothed over the times of this class's responses.
+	fleetLatency float64
+	relativeCost float64 // cost of its mean request, as a multiple of the mean request of all classes
 }
 
-// tenant is a token bucket with this proxy's share of a tenant's quota.
+// tenant is a token bucket for this proxy's share of a tenant's quota.
 type tenant struct {
-	localQuota float64 // requests per second, and the bucket's capacity
+	localQuota float64 // requests per second, and capacity of the bucket
 	tokens     float64
 	refilledAt Time
 }
 
-// takeToken reports whether a request is within the tenant's quota, and takes a token if so.
+// takeToken takes a token if there is one, and reports whether the request is within the tenant's quota.
 func (t *tenant) takeToken(now Time) bool {
 	t.tokens = math.Min(t.localQuota, t.tokens+t.localQuota*(now-t.refilledAt).Seconds())
 	t.refilledAt = now
@@ -71,14 +73,15 @@
 	return true
 }
 
-// allows reports whether an endpoint is open to the placement's classes.
+// allows reports whether the placement's classes may use an endpoint.
 func (p *placement) allows(e *endpoint) bool {
 	return (p.zones == nil || slices.Contains(p.zones, e.Zone)) &&
 		(p.machineTypes == nil || slices.Contains(p.machineTypes, e.MachineType))
 }
 
-// applySettings takes settings. Classes are made anew, with what was learned of those of the same name, as
-// open requests keep those that they came with; placements and tenants go on.
+// applySettings replaces the settings. It creates the classes again, as open requests keep the class that
+// they arrived with, and copies to them what was learned of the previous class of the same name. It keeps the
+// state of placements and tenants.
 func (b *Balancer) applySettings(settings Settings) {
 	b.settings = settings
 	b.settings.Proxies = max(1, settings.Proxies)
@@ -92,7 +95,7 @@
 		p.maxPriorityWeight = 0
 	}
 	b.applyClasses(settings.Classes)
-	b.mapVariants()
+	b.updateVariants()
 	b.dropUnusedPlacements()
 	b.applyTenants(settings.Tenants)
 }
@@ -103,10 +106,10 @@
 	b.classOrder = nil
 	for _, settings := range classes {
 		c := &class{relativeCost: 1}
-		if before := b.previousClasses[settings.Name]; before != nil {
-			*c = *before
-		} else if before := b.previousClasses[settings.VariantOf]; before != nil && settings.VariantOf != "" {
-			*c = *before // a variant begins with what its class has learned
+		if previous := b.previousClasses[settings.Name]; previous != nil {
+			*c = *previous
+		} else if previous := b.previousClasses[settings.VariantOf]; previous != nil && settings.VariantOf != "" {
+			*c = *previous // a new variant starts with what was learned of its class
 		}
 		c.Class = settings
 		c.placement = b.placementFor(settings.AllowedZones, settings.AllowedMachineTypes)
@@ -116,8 +119,8 @@
 	}
 }
 
-// dropUnusedPlacements keeps the placements of classes and open requests, and the one of classes that are not
-// in the settings.
+// dropUnusedPlacements drops the placements that neither a class nor an open request uses. It keeps the
+// placement without a rule, for classes that are not in the settings.
 func (b *Balancer) dropUnusedPlacements() {
 	used := map[*placement]bool{b.placementFor(nil, nil): true}
 	for _, c := range b.classOrder {
@@ -133,10 +136,10 @@
 }
 
 func (b *Balancer) applyTenants(tenants []Tenant) {
-	before := b.tenants
+	previous := b.tenants
 	b.tenants = map[string]*tenant{}
 	for _, settings := range tenants {
-		t := before[settings.Name]
+		t := previous[settings.Name]
 		if t == nil {
 			t = &tenant{}
 		}
@@ -145,8 +148,8 @@
 	}
 }
 
-// classNamed returns the class of a name. One that is in no settings is not idempotent and has no priority
-// weight.
+// classNamed returns the class with a name, of the previous settings if previous is set and they have it. A
+// class that is in no settings is created, not idempotent and without priority weight.
 func (b *Balancer) classNamed(name string, previous bool) *class {
 	if c := b.previousClasses[name]; previous && c != nil {
 		return c
@@ -158,7 +161,8 @@
 	return b.classes[name]
 }
 
-// placementFor returns the placement of a rule. No rule (nil) differs from one that allows nothing (empty).
+// placementFor returns the placement of a rule, and creates it if there is none. A rule that allows
+// everything (nil) differs from one that allows nothing (empty).
 func (b *Balancer) placementFor(zones, machineTypes []string) *placement {
 	same := func(x, y []string) bool { return (x == nil) == (y == nil) && slices.Equal(x, y) }
 	for _, p := range b.placements {
--- a/balancer/pool_test.go
+++ b/balancer/pool_test.go
@@ -75,10 +75,10 @@
 	m := manyNodes(1, 360, 60)
 	m.hasEstimates, m.meanLatency, m.baseLatency, m.tightestObjective, m.meanRate, m.peakRate = true, 0.1, 0.1, 1, 0.5, 0.5
 	for _, s := range m.placements[0].candidates {
-		s.responseRate, s.responseRateAt, s.firstListedAt = 0.5, m.now, m.now-time.Hour
+		s.responseRate, s.responseRateAt, s.observedSince = 0.5, m.now, m.now-time.Hour
 		s.inFlightLimit = m.computeInFlightLimit(s)
 	}
-	if m.updatePooled(m.placements[0]); !m.placements[0].pooled {
+	if m.updatePooledMode(m.placements[0]); !m.placements[0].usesPooledMode {
 		t.Fatalf("H %v and still not judged together", m.computeInFlightLimit(m.placements[0].candidates[0]))
 	}
 	return m
@@ -93,11 +93,11 @@
 		h += m.computeInFlightLimit(s)
 	}
 	m.placements[0].candidates[0].inFlight = 1
-	if m.updatePooled(m.placements[0]); m.placements[0].mode != Normal || m.overloadMode(m.placements[0], m.placements[0].candidates[0]) != Normal {
+	if m.updatePooledMode(m.placements[0]); m.placements[0].mode != Normal || m.updateMode(m.placements[0], m.placements[0].candidates[0]) != Normal {
 		t.Errorf("one request, just sent, at H %.2f in all: %v", h, m.placements[0].mode)
 	}
 	m.placements[0].candidates[0].inFlight, m.placements[0].candidates[1].inFlight = 2, 2
-	if m.updatePooled(m.placements[0]); m.placements[0].mode == Normal {
+	if m.updatePooledMode(m.placements[0]); m.placements[0].mode == Normal {
 		t.Errorf("four requests at once at H %.2f in all: normal", h)
 	}
 	m = pooledNode(t)
@@ -110,7 +110,7 @@
 		for _, s := range m.placements[0].candidates {
 			s.responseRateAt = m.now
 		}
-		m.updatePooled(m.placements[0])
+		m.updatePooledMode(m.placements[0])
 	}
 	if m.placements[0].mode != Overloaded {
 		t.Errorf("1.5 requests for 5 s: %v", m.placements[0].mode)
@@ -120,7 +120,7 @@
 	}
 	for range 500 {
 		m.now += tickInterval
-		m.updatePooled(m.placements[0])
+		m.updatePooledMode(m.placements[0])
 	}
 	if m.placements[0].mode != Normal {
 		t.Errorf("nothing for 12 s: %v", m.placements[0].mode)
@@ -131,10 +131,10 @@
 func TestImposedModeWhilePooled(t *testing.T) {
 	m := pooledNode(t)
 	m.imposeMode(m.placements[0].candidates[0], Blocking)
-	if m.overloadMode(m.placements[0], m.placements[0].candidates[0]) != Blocking || m.overloadMode(m.placements[0], m.placements[0].candidates[1]) != Normal {
+	if m.updateMode(m.placements[0], m.placements[0].candidates[0]) != Blocking || m.updateMode(m.placements[0], m.placements[0].candidates[1]) != Normal {
 		t.Error("imposed mode lost, or spread")
 	}
-	if m.now += imposedModeTTL; m.overloadMode(m.placements[0], m.placements[0].candidates[0]) != Normal {
+	if m.now += imposedModeTTL; m.updateMode(m.placements[0], m.placements[0].candidates[0]) != Normal {
 		t.Error("imposed mode did not lapse")
 	}
 }
@@ -193,8 +193,8 @@
 		for range 200 {
 			m.now += sheddingPeriod
 			m.periodStart = m.now
-			m.placements[0].pooled, s.localMode, s.responseRate, s.responseRateAt, s.firstListedAt = false, Normal, 1.5, m.now, m.now-time.Hour
-			if s.inFlightLimit = m.computeInFlightLimit(s); m.overloadMode(m.placements[0], s) == Normal {
+			m.placements[0].usesPooledMode, s.localMode, s.responseRate, s.responseRateAt, s.observedSince = false, Normal, 1.5, m.now, m.now-time.Hour
+			if s.inFlightLimit = m.computeInFlightLimit(s); m.updateMode(m.placements[0], s) == Normal {
 				open++
 			}
 		}
@@ -238,7 +238,7 @@
 		for _, s := range m.placements[0].candidates {
 			count[s.ID]++
 		}
-		if seen := rate * rateDecay / m.placements[0].subsetSize; seen < 10 {
+		if seen := rate * observationDecay / m.placements[0].subsetSize; seen < 10 {
 			t.Fatalf("node %d sees %.1f answers of a server while what it has learned holds, want 10", self, seen)
 		}
 	}
--- a/balancer/recoveryprobe.go
+++ b/balancer/recoveryprobe.go
@@ -6,16 +6,19 @@
 )
 
 const (
-	// before the first recovery probe of an ejected endpoint; doubles
-	minProbeBackoff     = 500 * time.Millisecond
-	maxProbeBackoff     = 4 * time.Second // the longest such wait, well under the length of faults
-	maxIdleWithoutProbe = 3 * time.Second // without an attempt, where all endpoints are ejected
+	// minProbeBackoff is the mean wait before the first recovery probe of an ejected endpoint. The wait doubles
+	// with each probe.
+	minProbeBackoff = 500 * time.Millisecond
+	// maxProbeBackoff is the longest mean wait between recovery probes, well below the duration of faults.
+	maxProbeBackoff = 4 * time.Second
+	// maxIdleWithoutProbe is the longest time without an attempt where no warm endpoint is left.
+	maxIdleWithoutProbe = 3 * time.Second
 )
 
-// sendRecoveryProbe sends a request that may be repeated to an ejected endpoint whose turn it is, with time
-// left for a retry, and reports whether it did. Where no warm endpoint is left, neither the budget nor an
-// endpoint's backoff may leave the proxy idle: the endpoint that has waited longest is tried within
-// maxIdleWithoutProbe of the last attempt, up to a third sooner by chance.
+// sendRecoveryProbe uses a request that may be repeated to test an ejected endpoint whose probe is due, and
+// reports whether it did. The timeout leaves time for a retry. Where no warm endpoint is left, neither the
+// probe budget nor an endpoint's backoff may leave the proxy idle: the endpoint that has waited longest is
+// then tested within maxIdleWithoutProbe of the last attempt, or up to a third sooner by chance.
 func (b *Balancer) sendRecoveryProbe(r *request) bool {
 	isWarm := func(e *endpoint) bool { return !e.slowStarting && !e.ejected }
 	hasWarm := slices.ContainsFunc(r.class.placement.candidates, isWarm)
@@ -24,8 +27,9 @@
 		return false
 	}
 	e := b.nextToProbe(r, idle, !hasWarm)
-	wait := max(b.settings.ConnectTimeout, seconds(overdueFactor*b.meanLatency*r.class.relativeCost))
-	if !b.startAttempt(r, e, min(wait, r.class.LatencyObjective/3)) {
+	timeout := max(b.settings.ConnectTimeout,
+		secondsToDuration(overdueFactor*b.meanLatency*r.class.relativeCost))
+	if !b.startAttempt(r, e, min(timeout, r.class.LatencyObjective/3)) {
 		return false
 	}
 	r.recoveryProbe = true
@@ -39,8 +43,8 @@
 }
 
 // nextToProbe returns the first ejected endpoint, from this proxy's origin on, that may get the request and
-// whose backoff is over, nil if there is none. If the proxy is idle, backoffs do not count. With longestWait
-// it returns the one that has waited longest.
+// whose backoff has passed, or nil if there is none. If idle is set, backoffs are ignored. If longestWait is
+// set, it returns the endpoint whose probe has been due longest.
 func (b *Balancer) nextToProbe(r *request, idle, longestWait bool) *endpoint {
 	var next *endpoint
 	b.ejected.rotateTo(b.origin)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// RequestID names one try of a client's request. It is opaque.
+// RequestID identifies one try of a client's request. The balancer does not interpret it.
 type RequestID string
 
-// request is an open request: it has no final answer yet, or attempts that have not ended.
+// request is an open request: it has no final answer yet, or an attempt that has not ended.
 type request struct {
 	id           RequestID
 	class        *class
 	arrived      Time
 	deadline     Time
-	waitedBefore time.Duration // how long its client has waited in earlier tries, at least
-	relativeWork float64       // its expected work, as a multiple of its class's mean
-	priority     bool          // it is shed after requests without priority
+	waitedBefore time.Duration // in previous tries of its client, as estimated from the class's deadline
+	relativeWork float64       // expected work, as a multiple of its class's mean
+	priority     bool          // it is shed only after requests without priority
 
-	incomplete      bool // its last byte has not been sent to an endpoint yet
-	responseStarted bool // the client has got the beginning of a response
-	answered        bool // it has had its final answer
-	recoveryProbe   bool // it was used to test an ejected endpoint
+	incomplete      bool // its last byte has not been sent to an endpoint
+	responseStarted bool // the client has received the beginning of a response
+	answered        bool // it has its final answer, or needs none
+	recoveryProbe   bool // an attempt of it tests an ejected endpoint
 
 	attempts         []attempt
 	maxAttempts      int
 	attemptsInFlight int
 
 	loadQuery
-	reservations [2]reservation // of limits: the table in force, the shadow table
+	reservations [2]tableReservation // indexed by tableInForce and shadowTable
 }
 
-// loadQuery is the query that a request waits for.
+// loadQuery is the state of the load queries that a request waits for.
 type loadQuery struct {
 	awaitingLoad    bool
-	loadQueryAt     Time        // when the last query was made
-	loadQueryRounds int         // queries made for the next attempt
-	queried         []*endpoint // in the last of them; afterwards those that have answered
+	loadQueryAt     Time        // when the last queries were sent
+	loadQueryRounds int         // rounds of queries for the next attempt
+	queried         []*endpoint // endpoints of the last round; once it has finished, those that answered
 }
 
-// attempt is one forwarding of a request to an endpoint.
+// attempt is the forwarding of a request to an endpoint.
 type attempt struct {
 	endpoint    *endpoint
 	sentAt      Time
-	queuedAhead float64 // requests that its endpoint was known to have then
-	work        float64 // expected, in mean requests
+	queuedAhead float64 // requests that its endpoint was known to have at its start
+	work        float64 // expected work, in mean requests
 	ended       bool
 	mayHaveRun  bool // it is in flight, or ended without proof that the endpoint did not run it
-	uncounted   bool // it is not, or no longer, in its endpoint's in-flight count
+	uncounted   bool // it is not, or no longer, included in its endpoint's in-flight count
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -7,11 +7,15 @@
 )
 
 const (
-	maxRequestReadTime = time.Hour // for a request to come; the caller enforces how fast it must
-	retryAfterShare    = 0.15      // of the latency objective, as Retry-After of a rejection, before jitter
+	// maxRequestReadTime bounds the time in which an incomplete request arrives. The caller enforces a minimum
+	// speed.
+	maxRequestReadTime = time.Hour
+	// retryAfterFraction is the fraction of the latency objective that a rejection recommends as Retry-After,
+	// before jitter.
+	retryAfterFraction = 0.15
 )
 
-// requestArrived takes a new request: it is rejected by the operators' limits, or gets its first attempt, or
+// requestArrived handles a new request: the operators' limits reject it, or it gets its first attempt, or it
 // is shed.
 func (b *Balancer) requestArrived(e RequestArrived) {
 	r := b.newRequest(e)
@@ -21,7 +25,7 @@
 	r.priority = b.random() < priorityFraction(r.class.PriorityWeight, r.class.placement.maxPriorityWeight) &&
 		!b.isTooLate(r, 0)
 	if t := b.tenants[e.Tenant]; t != nil && !t.takeToken(b.now) {
-		r.priority = false // beyond its tenant's quota a request is worth little
+		r.priority = false // a request beyond its tenant's quota has little weight
 	}
 	if !b.admitByLimits(r, &e) {
 		return
@@ -45,7 +49,7 @@
 		r.incomplete = true
 		r.deadline = b.now + maxRequestReadTime
 	}
-	if e.ClientRetry { // its client has waited for the rest of its deadline, at most
+	if e.ClientRetry { // its client has waited for the rest of the class's deadline at most
 		r.waitedBefore = max(0, c.Deadline-e.Timeout)
 	}
 	if e.HasWorkHint && e.WorkHint > 0 {
@@ -57,8 +61,8 @@
 	return r
 }
 
-// requestSent starts the time of a request that was incomplete, and that of its attempt: the endpoint starts
-// on it now.
+// requestSent starts the time of a request that was incomplete, and that of its attempt, as the endpoint
+// starts to work on it now.
 func (b *Balancer) requestSent(r *request, timeout time.Duration) {
 	if r == nil || r.answered || !r.incomplete {
 		return
@@ -75,8 +79,8 @@
 	}
 }
 
-// dispatch is the one way in which a request gets its first attempt or a retry. If there is neither, and no
-// attempt is in flight, it ends the request.
+// dispatch starts the first attempt or a retry of a request, possibly after load queries. If no attempt can
+// be started and none is in flight, it gives the request up.
 func (b *Balancer) dispatch(r *request) {
 	e, mode := b.pickEndpoint(r)
 	if r.awaitingLoad || mode != Normal && b.queryLoad(r) {
@@ -89,7 +93,7 @@
 	}
 	isRetry := len(r.attempts) > 0
 	costsBudget := isRetry && r.attempts[len(r.attempts)-1].mayHaveRun
-	if isRetry && !b.allowsRetry(r, mode, costsBudget) || !isRetry && b.sheds(r, mode) {
+	if isRetry && !b.allowsRetry(r, mode, costsBudget) || !isRetry && b.shouldShed(r, mode) {
 		e = nil
 	}
 	if b.startAttempt(r, e, r.deadline) {
@@ -101,11 +105,11 @@
 	}
 }
 
-// giveUp returns the final answer where no endpoint did: a rejection if a new try does no harm, else a
-// failure.
+// giveUp gives the final answer to a request that no endpoint has answered: a rejection if sending it again
+// does no harm, otherwise a failure.
 func (b *Balancer) giveUp(r *request) {
 	objective := float64(r.class.LatencyObjective)
-	retryAfter := min(b.jitter(time.Duration(retryAfterShare*objective)), b.settings.MaxRetryAfter)
+	retryAfter := min(b.jitter(time.Duration(retryAfterFraction*objective)), b.settings.MaxRetryAfter)
 	if r.canReject() {
 		b.emit(Reject{ID: r.id, RetryAfter: retryAfter})
 	} else {
@@ -114,8 +118,8 @@
 	b.closeRequest(r)
 }
 
-// canReject reports whether a new try does no harm, which a rejection promises: no endpoint may have run the
-// request, or running it again is harmless wherever the new try goes.
+// canReject reports whether sending the request again does no harm, as a rejection promises: no endpoint may
+// have run it, or running it again is harmless at any endpoint.
 func (r *request) canReject() bool {
 	mayHaveRun := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 	switch {
@@ -127,8 +131,8 @@
 	return false
 }
 
-// closeRequest ends a request that has its final answer, or needs none. It is forgotten once its attempts
-// have ended.
+// closeRequest closes a request that has its final answer or needs none. The request is deleted once its
+// attempts have ended.
 func (b *Balancer) closeRequest(r *request) {
 	if r == nil || r.answered {
 		return
@@ -145,7 +149,7 @@
 	}
 }
 
-// refillBudgets adds what a new request earns to the budgets of retries and of recovery probes.
+// refillBudgets adds the share of a new request to the retry budget and to the budget of recovery probes.
 func (b *Balancer) refillBudgets() {
 	b.retryBudget = math.Min(maxRetryBudget, b.retryBudget+retryBudgetRatio)
 	b.probeBudget = math.Min(1, b.probeBudget+retryBudgetRatio/2)
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -3,20 +3,25 @@
 import "time"
 
 const (
-	retryBudgetRatio = 0.1  // retries for each new request, and half as many recovery probes: no retry storm
-	maxRetryBudget   = 10.0 // retries that the budget may save up
+	// retryBudgetRatio is the number of retries that each new request allows; it also allows half as many
+	// recovery probes. The ratio prevents retry storms.
+	retryBudgetRatio = 0.1
+	// maxRetryBudget is the number of retries that the budget may accumulate.
+	maxRetryBudget = 10.0
 )
 
-// budgets bound the attempts beyond one per request.
+// budgets bound the attempts in addition to one for each request.
 type budgets struct {
-	retryBudget   float64       // retries allowed of requests that may have run
-	probeBudget   float64       // recovery probes allowed
-	lastAttemptAt Time          // of any kind
-	idleProbeWait time.Duration // from then on, until an ejected endpoint is tried where there is no other
+	retryBudget   float64 // retries that are allowed for requests that may have run
+	probeBudget   float64 // recovery probes that are allowed
+	lastAttemptAt Time    // when the last attempt of any kind started
+	// idleProbeWait is the time after lastAttemptAt at which an ejected endpoint is tested where no warm one is
+	// left.
+	idleProbeWait time.Duration
 }
 
-// allowsRetry reports whether a request gets a retry: one that can still earn, within the budget if the
-// endpoint may have run the last attempt, and at an endpoint below its limit unless the request has priority.
+// allowsRetry reports whether a request gets a retry: the response may still be in time, the retry budget
+// suffices if the last attempt may have run, and an endpoint is in normal mode or the request has priority.
 func (b *Balancer) allowsRetry(r *request, mode Mode, costsBudget bool) bool {
 	switch {
 	case b.isTooLate(r, 0):
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -8,86 +8,86 @@
 	"wrenspread/internal/splitmix"
 )
 
-// ring is a set of endpoints in the order of their positions, walked from a start on. A change costs what
-// changed and the moving of pointers.
+// ring is a set of endpoints in the order of their ring positions, iterated from a start on. An update costs
+// as much as the changed endpoints, and the moving of pointers.
 type ring struct {
 	endpoints []*endpoint
-	start     int // index of the first
+	first     int // index of the endpoint at the start
 }
 
-// subset is the part of the whole endpoint list that a proxy was given.
+// subset describes the part of the complete endpoint list that a proxy was given.
 type subset struct {
-	total int    // endpoints of the complete list; 0: the proxy has all of it
-	start uint64 // ring position at which the subset begins
+	totalEndpoints int    // in the complete list; 0: the proxy has all of it
+	subsetStart    uint64 // ring position at which the subset begins
 }
 
-// ringPosition is the position of an endpoint on the ring, the same at every proxy.
+// ringPosition is the position of an endpoint on the ring. It is the same at every proxy.
 func ringPosition(id EndpointID) uint64 { return splitmix.Mix(uint64(id)) }
 
 func byRingPosition(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) }
 
-// at returns the i-th endpoint from the start on.
+// at returns the i-th endpoint from the start of the ring.
 func (r *ring) at(i int) *endpoint {
-	i += r.start
+	i += r.first
 	if i >= len(r.endpoints) {
 		i -= len(r.endpoints)
 	}
 	return r.endpoints[i]
 }
 
-// find returns the index of the endpoint at a position, or that at which it would be inserted.
+// find returns the index of the endpoint at a position, or the index at which one would be inserted.
 func (r *ring) find(position uint64) (index int, found bool) {
 	return slices.BinarySearchFunc(r.endpoints, position, func(e *endpoint, position uint64) int {
 		return cmp.Compare(e.ringPosition, position)
 	})
 }
 
-// rotateTo makes the ring start at a position.
+// rotateTo makes the ring start at the first endpoint at or after a position.
 func (r *ring) rotateTo(position uint64) {
-	r.start, _ = r.find(position)
-	if r.start == len(r.endpoints) {
-		r.start = 0
+	r.first, _ = r.find(position)
+	if r.first == len(r.endpoints) {
+		r.first = 0
 	}
 }
 
-// insert adds an endpoint, unless it is in the ring or removed from the list.
+// insert adds an endpoint unless the ring has it or the list has removed it.
 func (r *ring) insert(e *endpoint) {
 	if i, found := r.find(e.ringPosition); !found && e.State != Removed {
 		r.endpoints = slices.Insert(r.endpoints, i, e)
 	}
 }
 
-// retain removes the other endpoints.
-func (r *ring) retain(keep func(*endpoint) bool) {
-	r.endpoints = slices.DeleteFunc(r.endpoints, func(e *endpoint) bool { return !keep(e) })
+// retain removes the endpoints that do not belong to the ring any more.
+func (r *ring) retain(belongs func(*endpoint) bool) {
+	r.endpoints = slices.DeleteFunc(r.endpoints, func(e *endpoint) bool { return !belongs(e) })
 }
 
-// update inserts or removes endpoints as each now belongs to the ring. changed is in ring order without
-// duplicates.
+// update inserts each changed endpoint that belongs to the ring, and removes each that does not. changed must
+// be in ring order and without duplicates.
 func (r *ring) update(changed []*endpoint, belongs func(*endpoint) bool) {
 	var added []*endpoint
-	kept := 0 // r.endpoints[:kept] stays
-	rest := 0 // r.endpoints[rest:] has not been looked at
+	retained := 0  // r.endpoints[:retained] is final
+	unscanned := 0 // r.endpoints[unscanned:] has not been scanned
 	for _, e := range changed {
-		i, found := (&ring{endpoints: r.endpoints[rest:]}).find(e.ringPosition)
+		i, found := (&ring{endpoints: r.endpoints[unscanned:]}).find(e.ringPosition)
 		switch {
 		case found && !belongs(e):
-			kept += copy(r.endpoints[kept:], r.endpoints[rest:rest+i])
-			rest += i + 1
+			retained += copy(r.endpoints[retained:], r.endpoints[unscanned:unscanned+i])
+			unscanned += i + 1
 		case !found && belongs(e):
 			added = append(added, e)
 		}
 	}
-	kept += copy(r.endpoints[kept:], r.endpoints[rest:])
-	clear(r.endpoints[kept:])
-	r.endpoints = append(r.endpoints[:kept], added...)
-	r.mergeTail(kept, added)
+	retained += copy(r.endpoints[retained:], r.endpoints[unscanned:])
+	clear(r.endpoints[retained:])
+	r.endpoints = append(r.endpoints[:retained], added...)
+	r.mergeTail(retained, added)
 }
 
-// mergeTail merges added endpoints, whose space is at the end of the ring, into the first kept ones. It goes
-// from the last position on, so that each endpoint moves once.
-func (r *ring) mergeTail(kept int, added []*endpoint) {
-	end := kept
+// mergeTail merges added endpoints, whose space is at the end of the ring, into the first retained ones. It
+// proceeds from the last position backwards, so that each endpoint moves once.
+func (r *ring) mergeTail(retained int, added []*endpoint) {
+	end := retained
 	for n := len(added) - 1; n >= 0; n-- {
 		i, _ := (&ring{endpoints: r.endpoints[:end]}).find(added[n].ringPosition)
 		copy(r.endpoints[i+n+1:], r.endpoints[i:end])
@@ -96,17 +96,19 @@
 	}
 }
 
-// startIndex is the index on a ring of endpoints from which a proxy takes its subset.
+// startIndex is the index, on a ring of so many endpoints, at which a proxy's subset starts.
 func startIndex(proxy, endpoints int) int { return int(float64(endpoints) * startFraction(proxy)) }
 
-// startPosition is the same as a ring position, for proxies that know a subset of the endpoints.
+// startPosition is the ring position at which a proxy's subset starts, for proxies that know only a subset of
+// the endpoints.
 func startPosition(proxy int) uint64 { return uint64(startFraction(proxy) * (1 << 64)) }
 
-// startFraction spreads the starts of consecutive proxies evenly, however many there are (golden ratio).
+// startFraction is the position at which a proxy's subset starts, as a fraction of the ring. By the golden
+// ratio the starts of proxies 0 to n are spread evenly for any n.
 func startFraction(proxy int) float64 { return math.Mod(float64(proxy)*math.Phi, 1) }
 
-// sortProxiesByStart returns the indexes of proxies by their starts, which is the same order on a ring of any
-// size.
+// sortProxiesByStart returns the indexes of proxies in the order of their subsets' starts. The order is the
+// same on a ring of any size.
 func sortProxiesByStart(proxies int) []int {
 	sorted := make([]int, proxies)
 	for proxy := range sorted {
@@ -116,13 +118,14 @@
 	return sorted
 }
 
-// updateRings takes endpoints that may have changed into the rings to which each belongs, or out of them.
-func (b *Balancer) updateRings(changed []*endpoint, s subset) {
+// updateRings inserts changed endpoints into the rings that they belong to, removes them from the others, and
+// adopts a new subset of the complete list.
+func (b *Balancer) updateRings(changed []*endpoint, newSubset subset) {
 	slices.SortFunc(changed, byRingPosition)
 	changed = slices.Compact(changed)
 	for _, e := range changed {
 		if e.State == Removed {
-			b.peersOf(e) // found now, as its open attempts still need them
+			b.peersOf(e) // determines its peers now, as its open attempts still need them
 			delete(b.endpoints, e.ID)
 		}
 	}
@@ -133,9 +136,9 @@
 	for _, p := range b.placements {
 		p.ring.update(changed, func(e *endpoint) bool { return isListed(e) && p.allows(e) })
 	}
-	b.subset = s
-	if n := len(b.ring.endpoints); b.total > 0 {
-		b.origin = s.start
+	b.subset = newSubset
+	if n := len(b.ring.endpoints); b.totalEndpoints > 0 {
+		b.origin = newSubset.subsetStart
 	} else if n > 0 {
 		b.origin = b.ring.endpoints[startIndex(b.settings.ProxyIndex, n)].ringPosition
 	}
--- a/balancer/sendrules.go
+++ b/balancer/sendrules.go
@@ -1,25 +1,25 @@
 package balancer
 
-// sendRule is a rule that forbids an attempt.
+// sendRule is a rule that can forbid an attempt.
 type sendRule int
 
 // The rules on attempts, in the order in which they are checked.
 const (
 	sendAllowed         sendRule = iota
-	requestIsOver                // it is answered, a response has begun, or its deadline has passed
-	attemptsExhausted            // of the request
-	endpointUnavailable          // not ready, or in maintenance
-	endpointNotAllowed           // by the placement of the class
-	concurrentAttempt            // one is in flight, and hedging is not allowed, or two are
-	endpointTried                // by this request
-	mayRunTwice                  // not idempotent, and an earlier attempt may have run
+	requestIsOver                // it is answered, its response has begun or its deadline has passed
+	attemptsExhausted            // the request has had its maximum number of attempts
+	endpointUnavailable          // the endpoint is not ready or in maintenance
+	endpointNotAllowed           // the placement of the class does not allow the endpoint
+	concurrentAttempt            // two attempts are in flight, or one and hedging is not allowed
+	endpointTried                // an earlier attempt of the request was at this endpoint
+	mayRunTwice                  // the request is not idempotent, and an earlier attempt may have run
 	dedupWindowOver              // endpoints may have forgotten the idempotency key
-	outsideDedupScope            // the endpoint does not share the knowledge of the key
+	outsideDedupScope            // the endpoint does not share the knowledge of the idempotency key
 )
 
 // canSend returns the first rule that forbids an attempt of a request at an endpoint, or sendAllowed. Every
-// attempt passes it. That a request which is not idempotent never runs twice rests on it and on
-// Outcome.provesNotRun.
+// attempt has to pass it. The guarantee that a request which is not idempotent never runs twice depends on
+// canSend and on Outcome.provesNotRun.
 func (b *Balancer) canSend(r *request, e *endpoint) sendRule {
 	switch {
 	case r.answered, r.responseStarted, b.now >= r.deadline:
@@ -41,7 +41,8 @@
 	return sendAllowed
 }
 
-// canRepeat returns the rule by which an earlier attempt forbids another one at an endpoint.
+// canRepeat returns the rule by which an earlier attempt forbids another attempt at an endpoint, or
+// sendAllowed.
 func (b *Balancer) canRepeat(r *request, earlier *attempt, e *endpoint) sendRule {
 	if earlier.endpoint == e {
 		return endpointTried
@@ -61,7 +62,7 @@
 	return sendAllowed
 }
 
-// covers reports whether two endpoints share the knowledge of idempotency keys.
+// covers reports whether two endpoints share their knowledge of idempotency keys.
 func (s DedupScope) covers(x, y *endpoint) bool {
 	switch s {
 	case DedupInZone:
@@ -72,8 +73,8 @@
 	return true
 }
 
-// dedupUntil is when endpoints may forget the key of a request that may have run, forever if none has to know
-// it.
+// dedupUntil is the time at which endpoints may forget the idempotency key of a request that may have run, or
+// forever if no endpoint has to remember it.
 func (r *request) dedupUntil() Time {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.mayHaveRun && r.class.Idempotency == IdempotentByKey {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Idempotency says what a second execution of a request would do.
+// Idempotency says whether a request may run more than once.
 type Idempotency int
 
 const (
 	// NotIdempotent requests must never run twice.
 	NotIdempotent Idempotency = iota
-	// IdempotentByKey requests carry a key by which a group of endpoints drops duplicates.
+	// IdempotentByKey requests carry a key by which a group of endpoints recognizes and drops duplicates.
 	IdempotentByKey
 	// Idempotent requests may run any number of times.
 	Idempotent
 )
 
-// DedupScope is the group of endpoints that share the knowledge of idempotency keys.
+// DedupScope is the group of endpoints that share their knowledge of idempotency keys.
 type DedupScope int
 
 const (
@@ -26,92 +26,98 @@
 	DedupEverywhere
 )
 
-// Class describes one kind of request.
+// Class describes a class of requests.
 type Class struct {
-	Name                string
-	PriorityWeight      float64       // of one request, relative to other classes
-	LatencyObjective    time.Duration // a response within it has its full weight; 0: none
-	ObjectivePerWork    float64       // the objective grows by this many times the request's work
-	Deadline            time.Duration // after which the client stops waiting, over all its tries
-	LateWeight          float64       // fraction of the weight for a response past the objective
+	Name           string
+	PriorityWeight float64 // of one request, relative to other classes
+	// A response within the objective has its full weight; 0: there is no objective.
+	LatencyObjective time.Duration
+	// The objective grows by this multiple of the request's expected work.
+	ObjectivePerWork float64
+	// The client stops waiting after this time, over all its tries.
+	Deadline            time.Duration
+	LateWeight          float64 // fraction of the weight that a response after the objective has
 	Idempotency         Idempotency
-	DedupScope          DedupScope    // with IdempotentByKey: who drops duplicates
-	DedupWindow         time.Duration // with IdempotentByKey: for how long
+	DedupScope          DedupScope    // with IdempotentByKey: the endpoints that drop duplicates
+	DedupWindow         time.Duration // with IdempotentByKey: the time for which they drop duplicates
 	Streamed            bool          // the response is a stream
-	AllowedZones        []string      // nil: all, empty: none
-	AllowedMachineTypes []string      // nil: all, empty: none
-	VariantOf           string        // the class as which limits know this one; empty: it is no variant
+	AllowedZones        []string      // zones whose endpoints may be used; nil: all, empty: none
+	AllowedMachineTypes []string      // machine types whose endpoints may be used; nil: all, empty: none
+	VariantOf           string        // class that limits take this variant for; empty: it is no variant
 }
 
 // Tenant is a customer with a guaranteed quota.
 type Tenant struct {
 	Name       string
-	Quota      float64 // requests per second over all proxies
+	Quota      float64 // requests per second, over all proxies
 	QuotaShare float64
 }
 
-// Settings configure a balancer. They are never changed once it has them.
+// Settings configure a balancer. They must not be changed after they have been passed to it.
 type Settings struct {
-	Proxies      int    // how many proxies decide for these endpoints
-	ProxyIndex   int    // of this proxy among them
-	Zone         string // of this proxy
+	Proxies      int    // number of proxies that use these endpoints
+	ProxyIndex   int    // index of this proxy among them
+	Zone         string // zone of this proxy
 	Zones        []string
 	MachineTypes []string
 	Classes      []Class
 	Tenants      []Tenant
 
 	MaxAttempts        int           // per request
-	AllowHedging       bool          // two attempts of a request may be in flight at once
-	AllowCancel        bool          // CancelAttempt is allowed
-	AllowLoadQueries   bool          // QueryLoad is allowed
-	AllowGossip        bool          // SendMessage is allowed
-	SendRetryAfter     bool          // clients get Reject.RetryAfter
-	MaxRetryAfter      time.Duration // the longest that clients follow
-	ClientsMarkRetries bool
+	AllowHedging       bool          // hedged requests are allowed: two attempts may be in flight at once
+	AllowCancel        bool          // CancelAttempt actions are allowed
+	AllowLoadQueries   bool          // QueryLoad actions are allowed
+	AllowGossip        bool          // SendMessage actions are allowed
+	SendRetryAfter     bool          // Reject.RetryAfter is sent to clients
+	MaxRetryAfter      time.Duration // longest Retry-After that clients follow
+	ClientsMarkRetries bool          // clients mark retries, see RequestArrived.ClientRetry
 	ConnectTimeout     time.Duration
-	MinEventInterval   time.Duration // events come no closer together
-	PollForEndpoints   bool          // updates come only after Subscribe or FetchEndpoints
-	WeightKnown        bool          // Endpoint.Weight tells something of the machine's capacity
+	MinEventInterval   time.Duration // shortest time between events
+	PollForEndpoints   bool          // updates of the endpoint list come only after Subscribe or FetchEndpoints
+	WeightKnown        bool          // Endpoint.Weight reflects the capacity of the machine
 	WeightApproximate  bool
-	WeightDynamic      bool    // Endpoint.Weight falls as the endpoint fills
-	OverQuotaWeight    float64 // fraction of the weight of a request beyond its tenant's quota
-	WeightByWork       bool    // weight counts by unit of work, not by request
+	WeightDynamic      bool    // Endpoint.Weight falls with the endpoint's load
+	OverQuotaWeight    float64 // fraction of its weight that a request beyond its tenant's quota has
+	WeightByWork       bool    // weight counts by unit of work instead of by request
 	LoadReports        LoadReportSource
 	LoadReportFields   []string // names of the values in load reports
 
-	Family      string   // the kind of service
-	Tier        int      // to which this proxy forwards, by its index in Tiers
-	Tiers       []string // names
-	KeyAffinity bool     // an endpoint that has lately seen a key needs less work for it
-	// an endpoint's calls to the next tier carry what is left of the request's time
+	Family      string   // kind of service
+	Tier        int      // index in Tiers of the tier that this proxy forwards to
+	Tiers       []string // names of the tiers
+	KeyAffinity bool     // an endpoint needs less work for a key that it has seen recently
+	// An endpoint's calls to the next tier carry the remaining time of the request.
 	ForwardsDeadline      bool
-	AttemptsPerConnection int // at once
+	AttemptsPerConnection int // attempts that a connection can carry at once
 	ConnectionIdleTimeout time.Duration
-	MaxOpenRequests       int           // of this proxy
-	CPUPerSecond          time.Duration // processor time that this proxy may spend on decisions; 0: no limit
-	CPUPerRequest         time.Duration // the same for a request with its outcomes; 0: no limit
-	Goal                  Goal
+	MaxOpenRequests       int           // open requests that this proxy may have
+	CPUPerSecond          time.Duration // processor time for this proxy's decisions, each second; 0: no limit
+	CPUPerRequest         time.Duration // processor time for a request with its outcomes; 0: no limit
+	ScoreWeights          ScoreWeights
 	Prices                Prices
 
-	ResponseSlack     time.Duration // a final answer this long past the deadline still counts
-	PollInterval      time.Duration // without a watch, poll at least this often
-	DrainGrace        time.Duration // attempts at a draining endpoint must have ceased by then
-	DrainClose        time.Duration // idle connections to one must be closed by then; 0: no such rule
-	SlowStartInitial  float64       // fraction of its capacity that an endpoint starts with, at least
-	SlowStartDuration time.Duration // after which a started endpoint is warm
-	OverloadFactor    float64       // times its capacity, beyond which a starting endpoint fails
-	OverloadDuration  time.Duration // when that lasts so long
+	ResponseSlack time.Duration // a final answer counts up to this long after the deadline
+	PollInterval  time.Duration // without a watch, discovery must be polled at least this often
+	// Attempts at a draining endpoint must end within this time.
+	DrainGrace time.Duration
+	// Idle connections to a draining endpoint must be closed within this time; 0: there is no such rule.
+	DrainClose        time.Duration
+	SlowStartInitial  float64       // fraction of its capacity that an endpoint has at least when it starts
+	SlowStartDuration time.Duration // time after its start from which an endpoint is warm
+	// A starting endpoint fails when its load exceeds its capacity by this factor for OverloadDuration.
+	OverloadFactor   float64
+	OverloadDuration time.Duration
 }
 
-// Goal weighs the parts of the result.
-type Goal struct {
+// ScoreWeights are the weights of the parts of the score by which a run is rated.
+type ScoreWeights struct {
 	WholeDay    float64
 	WorstWindow float64
 	WorstClass  float64
 	WorstTenant float64
 }
 
-// Prices are points off the result, each for one unit of what it names.
+// Prices are deductions from the score, each for one unit of what the field names.
 type Prices struct {
 	Connection      float64
 	Handshake       float64
@@ -119,7 +125,7 @@
 	WastedWork      float64
 	LateFailure     float64
 	LoadQuery       float64
-	Message         float64 // per 256 bytes
+	Message         float64 // for 256 bytes
 	Migrations      float64
 	OriginRead      float64
 	EndpointUpdates float64
@@ -130,10 +136,10 @@
 type LoadReportSource int
 
 const (
-	// LoadReportsNone means that there are none.
+	// LoadReportsNone means that there are no load reports.
 	LoadReportsNone LoadReportSource = iota
-	// LoadReportsByQuery means that results of load queries alone have them.
+	// LoadReportsByQuery means that only the results of load queries include load reports.
 	LoadReportsByQuery
-	// LoadReportsInResponses means that responses have them too.
+	// LoadReportsInResponses means that responses include load reports, too.
 	LoadReportsInResponses
 )
--- a/balancer/shedding.go
+++ b/balancer/shedding.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// of the highest priority weight, up to which no request has priority
-	minPriorityShare = 0.1
-	// of the drop probabilities: many arrivals, yet shorter than a fault
+	// minPriorityFraction is the fraction of the highest priority weight up to which no request has priority.
+	minPriorityFraction = 0.1
+	// sheddingPeriod is the time between updates of the drop probabilities: long enough for many arrivals, but
+	// shorter than a fault.
 	sheddingPeriod = 500 * time.Millisecond
 )
 
 // SplitShedding splits an overall drop probability so that requests without priority are shed first. It
-// returns the probabilities for priority and for other requests; priorityArrivals and otherArrivals are those
-// of the last period.
+// returns the drop probabilities of priority requests and of the others; priorityArrivals and otherArrivals
+// are the numbers of such requests in the last period.
 func SplitShedding(drop, priorityArrivals, otherArrivals float64) (priorityDrop, otherDrop float64) {
 	if otherArrivals == 0 {
 		return drop, 0
@@ -27,9 +28,9 @@
 	return priorityDrop, otherDrop
 }
 
-// startSheddingPeriod sets the drop probabilities by the arrivals and the overload of the period that ends.
-// All other requests may go, and priority requests the more the nearer endpoints are to their blocking
-// thresholds.
+// startSheddingPeriod computes the drop probabilities from the arrivals and the overload in the period that
+// ends. All requests without priority may be shed; of the priority requests the more, the closer the
+// endpoints are to their blocking thresholds.
 func (p *placement) startSheddingPeriod() {
 	meanOverload := p.overloadSum / math.Max(1, p.overloadSamples)
 	arrivals := math.Max(1, p.priorityArrivals+p.otherArrivals)
@@ -41,9 +42,9 @@
 	p.overloadSamples = 0
 }
 
-// sheds reports whether a new request is shed: it would be answered too late to be worth anything while
-// endpoints are overloaded, or all of them are and it is drawn.
-func (b *Balancer) sheds(r *request, mode Mode) bool {
+// shouldShed reports whether a new request is shed: because its response would come too late to count while
+// endpoints are overloaded, or because all endpoints are overloaded and it is drawn by its drop probability.
+func (b *Balancer) shouldShed(r *request, mode Mode) bool {
 	p := r.class.placement
 	if b.now < p.overloadedAt+sheddingPeriod && b.isTooLate(r, b.meanLatency*r.class.relativeCost) {
 		return true
@@ -57,14 +58,14 @@
 	return b.random() < p.otherDrop
 }
 
-// priorityFraction is the fraction of a class's requests that have priority: graded by its weight over the
-// highest one.
+// priorityFraction is the fraction of a class's requests that have priority. It grows with the class's
+// priority weight, relative to the highest weight.
 func priorityFraction(weight, maxWeight float64) float64 {
-	return math.Max(0, (weight/math.Max(maxWeight, 1e-9)-minPriorityShare)/(1-minPriorityShare))
+	return math.Max(0, (weight/math.Max(maxWeight, 1e-9)-minPriorityFraction)/(1-minPriorityFraction))
 }
 
-// isTooLate reports whether a response so many seconds from now is past the latency objective of a class for
-// which late responses are worth nothing.
+// isTooLate reports whether a response in after seconds would miss the latency objective of a class whose
+// late responses have no weight.
 func (b *Balancer) isTooLate(r *request, after float64) bool {
 	spent := (r.waitedBefore + b.now - r.arrived).Seconds()
 	objective := r.class.LatencyObjective.Seconds()
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -3,24 +3,30 @@
 import "math"
 
 const (
-	// attempts per second of all proxies at an endpoint, with no warm one to compare with
-	slowStartRate      = 4.0
-	slowStartShare     = 0.6 // of the overload factor, that proxies use
-	slowStartTokenHold = 0.6 // of the overload duration, for which an unused token holds; 0.6 x (1 + 0.6) < 1
+	// fallbackSlowStartRate is the rate of attempts, per second, of all proxies at an endpoint where no warm
+	// endpoint shows what rate is possible.
+	fallbackSlowStartRate = 4.0
+	// slowStartLoadFraction is the fraction of the overload factor that the proxies use.
+	slowStartLoadFraction = 0.6
+	// slowStartTokenLifetime is the time for which an unused token is valid, as a fraction of the overload
+	// duration. Tokens that arrive within an overload duration and those saved before it stay below the
+	// overload: 0.6 x (1 + 0.6) < 1.
+	slowStartTokenLifetime = 0.6
 )
 
-// beginSlowStart takes an endpoint as started at some time. What an older process has answered tells nothing
-// of it. The random token keeps proxies from all sending in the moment of the start.
+// beginSlowStart starts the slow start of an endpoint that started at some time. Responses of a previous
+// process say nothing about it. The initial tokens are random, so that the proxies do not all send at the
+// moment of the start.
 func (b *Balancer) beginSlowStart(e *endpoint, startedAt Time) {
 	e.slowStarting = true
 	e.slowStartSince = startedAt
 	e.slowStartTokens = b.random()
 	e.slowStartTokensAt = b.now
 	e.responseRate = 0
-	e.firstListedAt = b.now
+	e.observedSince = b.now
 }
 
-// slowStartProgress is the fraction of the slow start that has passed; 1 or more: the endpoint is warm.
+// slowStartProgress is the fraction of the slow start that has passed. From 1 on the endpoint is warm.
 func (b *Balancer) slowStartProgress(e *endpoint) float64 {
 	return (b.now - e.slowStartSince).Seconds() / math.Max(b.settings.SlowStartDuration.Seconds(), 1e-9)
 }
@@ -31,8 +37,8 @@
 	}
 }
 
-// warmFraction is the fraction of its capacity that an endpoint has by now. It ends the slow start of a warm
-// one.
+// warmFraction is the fraction of its capacity that an endpoint has now. It ends the slow start of an
+// endpoint that has become warm.
 func (b *Balancer) warmFraction(e *endpoint) float64 {
 	b.endSlowStartIfWarm(e)
 	if !e.slowStarting {
@@ -42,32 +48,35 @@
 	return initial + (1-initial)*max(0, b.slowStartProgress(e))
 }
 
-// limitedBySlowStart reports whether a starting endpoint is to get no attempt now. Such an endpoint fails
-// under the sum of all proxies: tokens come at its fraction of the rate of warm endpoints here, and lapse one
-// by one, so that proxies keep the phases that they drew at its start. In the settings' overload duration
-// proxies send the tokens that come, the few that they held before, and one in all.
+// limitedBySlowStart reports whether an endpoint in slow start may not get an attempt now. The attempts of
+// all proxies together overload such an endpoint. Tokens therefore arrive at its warm fraction of the rate of
+// this proxy's warm endpoints. Unused tokens lapse one by one, so that each proxy stays in the phase that it
+// drew at the endpoint's start. Within the settings' overload duration, the proxies together send the tokens
+// that arrive, the few that they have saved, and one more.
 func (b *Balancer) limitedBySlowStart(e *endpoint) bool {
-	warm := b.warmFraction(e)
+	warmFraction := b.warmFraction(e)
 	if !e.slowStarting {
 		return false
 	}
-	if !e.inBaseSubset || b.handedOver { // when most are ejected, every proxy would reach a restarted one
+	// Without the first condition all proxies would use an endpoint that has restarted when most are ejected.
+	if !e.inBaseSubset || b.handedOver {
 		return true
 	}
-	capacity := warm * b.meanRate * b.relativeWeight(e) // attempts per second
-	if capacity == 0 {                                  // no warm endpoint: as fast as its own responses come
-		capacity = math.Max(warm*slowStartRate/b.proxiesPerEndpoint, b.responseRate(e))
+	capacity := warmFraction * b.meanRate * b.relativeWeight(e) // attempts per second
+	// Without a warm endpoint, tokens arrive as fast as the endpoint's own responses.
+	if capacity == 0 {
+		capacity = math.Max(warmFraction*fallbackSlowStartRate/b.proxiesPerEndpoint, b.responseRate(e))
 	}
-	rate := slowStartShare * b.settings.OverloadFactor * capacity
+	rate := slowStartLoadFraction * b.settings.OverloadFactor * capacity
 	e.slowStartTokens += rate * (b.now - e.slowStartTokensAt).Seconds()
 	e.slowStartTokensAt = b.now
-	held := 1/b.proxiesPerEndpoint + rate*slowStartTokenHold*b.settings.OverloadDuration.Seconds()
-	e.slowStartTokens -= math.Ceil(math.Max(0, e.slowStartTokens-1-held))
+	maxTokens := 1/b.proxiesPerEndpoint + rate*slowStartTokenLifetime*b.settings.OverloadDuration.Seconds()
+	e.slowStartTokens -= math.Ceil(math.Max(0, e.slowStartTokens-1-maxTokens))
 	return e.slowStartTokens < 1
 }
 
-// relativeWeight is an endpoint's weight over that of the mean warm one, where the list tells what machines
-// can do.
+// relativeWeight is an endpoint's weight relative to that of the mean warm endpoint, or 1 if weights do not
+// reflect the capacity of machines.
 func (b *Balancer) relativeWeight(e *endpoint) float64 {
 	if !b.settings.WeightKnown || b.settings.WeightDynamic || e.Weight <= 0 || b.meanWeight <= 0 {
 		return 1
--- a/cmd/wrenspread-sim-adapter/main.go
+++ b/cmd/wrenspread-sim-adapter/main.go
@@ -1,6 +1,5 @@
-// Command wrenspread-sim-adapter hosts instances of the decision module on the simulator's
-// wire: a batch of events a line on standard input, a reply a line on standard
-// output.
+// Command wrenspread-sim-adapter runs balancers for the simulator. Each line on standard input is a batch of
+// events, and is answered by a line with the resulting actions on standard output.
 package main
 
 import (
@@ -21,53 +20,57 @@
 	}
 }
 
-func run(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*balancer.Balancer{}
+// run answers each line of the input with a line on the output. It returns an error at the first invalid
+// line, and nil at the end of the input.
+func run(input io.Reader, output io.Writer) error {
+	reader, writer := bufio.NewReaderSize(input, 1<<20), bufio.NewWriterSize(output, 1<<20)
+	instances := map[int]*balancer.Balancer{}
 	var reply []byte
-	for number := 1; ; number++ {
-		line, err := r.ReadBytes('\n')
+	for lineNumber := 1; ; lineNumber++ {
+		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		replies, err := answer(nodes, line)
+		replies, err := handleBatch(instances, line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		reply = simwire.AppendReply(reply[:0], replies)
-		if _, err := w.Write(reply); err != nil {
+		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-func answer(nodes map[int]*balancer.Balancer, line []byte) ([]simwire.Reply, error) {
+// handleBatch passes the events of a batch to the instances, by their numbers, and returns their actions. It
+// starts and ends instances as the batch says.
+func handleBatch(instances map[int]*balancer.Balancer, line []byte) ([]simwire.Reply, error) {
 	batch, err := simwire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
 	var replies []simwire.Reply
-	for _, g := range batch.Groups {
-		reply := simwire.Reply{Proxy: g.Proxy}
-		for i, h := range g.Events {
+	for _, group := range batch.Groups {
+		reply := simwire.Reply{Proxy: group.Proxy}
+		for i, event := range group.Events {
 			switch {
-			case h.Start != nil:
-				nodes[g.Proxy] = balancer.New(h.Start.Settings, h.Start.Seed)
-			case h.Retire:
-				delete(nodes, g.Proxy)
-				reply.Actions = nil // a dead instance does nothing
+			case event.Start != nil:
+				instances[group.Proxy] = balancer.New(event.Start.Settings, event.Start.Seed)
+			case event.Retire:
+				delete(instances, group.Proxy)
+				reply.Actions = nil // an ended instance performs no actions
 			default:
-				m := nodes[g.Proxy]
-				if m == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", g.Proxy, i)
+				instance := instances[group.Proxy]
+				if instance == nil {
+					return nil, fmt.Errorf("node %d, event %d: no up came before it", group.Proxy, i)
 				}
-				reply.Actions = append(reply.Actions, m.Handle(batch.Now, h.Event)...)
+				reply.Actions = append(reply.Actions, instance.Handle(batch.Now, event.Event)...)
 			}
 		}
 		replies = append(replies, reply)
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,13 +8,14 @@
 	"wrenspread/balancer"
 )
 
-// Reply holds the actions of one instance.
+// Reply is the list of actions of one instance.
 type Reply struct {
 	Proxy   int
 	Actions []balancer.Action
 }
 
-// AppendReply writes the line that answers a batch, with its line end.
+// AppendReply appends the line that answers a batch, with its line end. It leaves out instances without
+// actions.
 func AppendReply(b []byte, replies []Reply) []byte {
 	b = append(b, `{"groups":[`...)
 	first := true
@@ -40,6 +41,7 @@
 	return append(b, "]}\n"...)
 }
 
+// appendAction appends an action as a JSON object with the action's name on the wire as its only key.
 func appendAction(b []byte, a balancer.Action) []byte {
 	switch a := a.(type) {
 	case balancer.StartAttempt:
@@ -83,11 +85,13 @@
 	return append(b, "}}"...)
 }
 
+// appendInt appends a JSON fragment and then an integer.
 func appendInt(b []byte, before string, v int64) []byte {
 	return strconv.AppendInt(append(b, before...), v, 10)
 }
 
+// appendText appends a JSON fragment and then a JSON string.
 func appendText(b []byte, before, text string) []byte {
-	quoted, _ := json.Marshal(text) // a string always marshals
+	quoted, _ := json.Marshal(text) // can't fail for a string
 	return append(append(b, before...), quoted...)
 }
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -11,7 +11,7 @@
 	"wrenspread/balancer"
 )
 
-// decodeEvent reads one event by its name on the wire.
+// decodeEvent decodes an event with the given name on the wire.
 func decodeEvent(name string, raw json.RawMessage) (ScheduledEvent, error) {
 	switch name {
 	case "submit":
@@ -34,14 +34,15 @@
 	return ScheduledEvent{}, errors.New("unknown event")
 }
 
+// decodeRequest decodes the arrival of a request. A user_group that is not a string means no tenant.
 func decodeRequest(raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
 		Req      *string `json:"req"`
-		Band     string  `json:"band"`
-		Group    any     `json:"user_group"`
+		Class    string  `json:"band"`
+		Tenant   any     `json:"user_group"`
 		Key      string  `json:"partition_key"`
-		Patience *int64  `json:"patience_left_ns"`
-		Cost     int64   `json:"cost_guess_ns"`
+		Timeout  *int64  `json:"patience_left_ns"`
+		WorkHint int64   `json:"cost_guess_ns"`
 		Flags    int     `json:"flags"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -50,18 +51,18 @@
 	if e.Req == nil {
 		return ScheduledEvent{}, missing("req")
 	}
-	if e.Patience == nil {
+	if e.Timeout == nil {
 		return ScheduledEvent{}, missing("patience_left_ns")
 	}
-	tenant, _ := e.Group.(string)
+	tenant, _ := e.Tenant.(string)
 	return ScheduledEvent{
 		Event: balancer.RequestArrived{
 			ID:          balancer.RequestID(*e.Req),
-			Class:       e.Band,
+			Class:       e.Class,
 			Tenant:      tenant,
 			Key:         e.Key,
-			Timeout:     time.Duration(*e.Patience),
-			WorkHint:    time.Duration(e.Cost),
+			Timeout:     time.Duration(*e.Timeout),
+			WorkHint:    time.Duration(e.WorkHint),
 			HasWorkHint: e.Flags&flagWorkHint != 0,
 			ClientRetry: e.Flags&flagClientRetry != 0,
 			Write:       e.Flags&flagWrite != 0,
@@ -69,19 +70,21 @@
 	}, nil
 }
 
+// decodeTimer decodes the end of a timer.
 func decodeTimer(raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
-		Label *int64 `json:"label"`
+		Token *int64 `json:"label"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return ScheduledEvent{}, err
 	}
-	if e.Label == nil {
+	if e.Token == nil {
 		return ScheduledEvent{}, missing("label")
 	}
-	return ScheduledEvent{Event: balancer.TimerFired{Token: *e.Label}}, nil
+	return ScheduledEvent{Event: balancer.TimerFired{Token: *e.Token}}, nil
 }
 
+// decodeAbandoned decodes the departure of a request's client.
 func decodeAbandoned(raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
 		Req *string `json:"req"`
@@ -95,10 +98,11 @@
 	return ScheduledEvent{Event: balancer.RequestAbandoned{ID: balancer.RequestID(*e.Req)}}, nil
 }
 
+// decodeMessage decodes a gossip message.
 func decodeMessage(raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
-		From  *int   `json:"from"`
-		Bytes []byte `json:"bytes"`
+		From *int   `json:"from"`
+		Data []byte `json:"bytes"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return ScheduledEvent{}, err
@@ -106,66 +110,67 @@
 	if e.From == nil {
 		return ScheduledEvent{}, missing("from")
 	}
-	return ScheduledEvent{Event: balancer.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+	return ScheduledEvent{Event: balancer.MessageReceived{From: *e.From, Data: e.Data}}, nil
 }
 
-// decodeOutcome reads the end of an attempt or of a load query, or the start of a streamed response.
+// decodeOutcome decodes the end of an attempt or of a load query, or the start of a streamed response.
 func decodeOutcome(name string, raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
-		Req         *string                    `json:"req"`
-		Leg         *int                       `json:"leg"`
-		Backend     *uint32                    `json:"backend"`
-		Over        bool                       `json:"over"`
-		Delay       int64                      `json:"delay_seen_ns"`
-		Disposition *int                       `json:"disposition"`
-		Feedback    map[string]json.RawMessage `json:"feedback"`
+		Req             *string                    `json:"req"`
+		Attempt         *int                       `json:"leg"`
+		Endpoint        *uint32                    `json:"backend"`
+		RequestAnswered bool                       `json:"over"`
+		Elapsed         int64                      `json:"delay_seen_ns"`
+		Outcome         *int                       `json:"disposition"`
+		LoadReport      map[string]json.RawMessage `json:"feedback"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return ScheduledEvent{}, err
 	}
-	if e.Backend == nil {
+	if e.Endpoint == nil {
 		return ScheduledEvent{}, missing("backend")
 	}
-	endpoint, elapsed := balancer.EndpointID(*e.Backend), time.Duration(e.Delay)
+	endpoint, elapsed := balancer.EndpointID(*e.Endpoint), time.Duration(e.Elapsed)
 	var id balancer.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
 			return ScheduledEvent{}, missing("req")
 		}
-		if e.Leg == nil {
+		if e.Attempt == nil {
 			return ScheduledEvent{}, missing("leg")
 		}
 		id = balancer.RequestID(*e.Req)
 	}
 	if name == "streaming" {
 		return ScheduledEvent{
-			Event: balancer.ResponseStarted{ID: id, Attempt: *e.Leg, Endpoint: endpoint, Elapsed: elapsed},
+			Event: balancer.ResponseStarted{ID: id, Attempt: *e.Attempt, Endpoint: endpoint, Elapsed: elapsed},
 		}, nil
 	}
-	if e.Disposition == nil {
+	if e.Outcome == nil {
 		return ScheduledEvent{}, missing("disposition")
 	}
-	code, ok := outcomes[*e.Disposition]
+	outcome, ok := outcomes[*e.Outcome]
 	if !ok {
-		return ScheduledEvent{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
+		return ScheduledEvent{}, fmt.Errorf("unknown disposition %d", *e.Outcome)
 	}
-	report := decodeReport(e.Feedback)
+	report := decodeReport(e.LoadReport)
 	if name == "probe_result" {
 		return ScheduledEvent{
-			Event: balancer.LoadQueryEnded{Endpoint: endpoint, Outcome: code, Elapsed: elapsed, LoadReport: report},
+			Event: balancer.LoadQueryEnded{Endpoint: endpoint, Outcome: outcome, Elapsed: elapsed, LoadReport: report},
 		}, nil
 	}
 	return ScheduledEvent{
-		Event: balancer.AttemptEnded{ID: id, Attempt: *e.Leg, Endpoint: endpoint, RequestAnswered: e.Over,
-			Elapsed: elapsed, Outcome: code, LoadReport: report},
+		Event: balancer.AttemptEnded{ID: id, Attempt: *e.Attempt, Endpoint: endpoint,
+			RequestAnswered: e.RequestAnswered, Elapsed: elapsed, Outcome: outcome, LoadReport: report},
 	}, nil
 }
 
-// decodeStart reads the settings and the seed of an instance. A seed that is no integer counts by its bits.
+// decodeStart decodes the settings and the seed of a new instance. For a seed that is not an integer, the
+// bits of its floating-point value are the seed.
 func decodeStart(raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
-		Seed    *json.Number    `json:"seed"`
-		Profile json.RawMessage `json:"profile_data"`
+		Seed     *json.Number    `json:"seed"`
+		Settings json.RawMessage `json:"profile_data"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return ScheduledEvent{}, err
@@ -173,20 +178,20 @@
 	if e.Seed == nil {
 		return ScheduledEvent{}, missing("seed")
 	}
-	if e.Profile == nil {
+	if e.Settings == nil {
 		return ScheduledEvent{}, missing("profile_data")
 	}
 	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
 	if err != nil {
-		f, ferr := e.Seed.Float64()
-		if ferr != nil {
+		float, floatErr := e.Seed.Float64()
+		if floatErr != nil {
 			return ScheduledEvent{}, fmt.Errorf("seed: %w", err)
 		}
-		seed = math.Float64bits(f)
+		seed = math.Float64bits(float)
 	}
-	s, err := DecodeSettings(e.Profile)
+	settings, err := DecodeSettings(e.Settings)
 	if err != nil {
 		return ScheduledEvent{}, err
 	}
-	return ScheduledEvent{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
+	return ScheduledEvent{Start: &Start{Settings: settings, Seed: int64(seed)}}, nil
 }
--- a/internal/simwire/list.go
+++ b/internal/simwire/list.go
@@ -8,16 +8,18 @@
 	"wrenspread/balancer"
 )
 
+// entry is an entry of the endpoint list on the wire.
 type entry struct {
-	Backend *uint32 `json:"backend"`
-	Zone    string  `json:"zone"`
-	Model   string  `json:"model"`
-	Pod     int     `json:"pod"`
-	State   string  `json:"state"`
-	Nominal float64 `json:"nominal"`
-	ReadyAt int64   `json:"ready_at_ns"`
+	Backend     *uint32 `json:"backend"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"model"`
+	Cell        int     `json:"pod"`
+	State       string  `json:"state"`
+	Weight      float64 `json:"nominal"`
+	StartedAt   int64   `json:"ready_at_ns"`
 }
 
+// updateKinds are the kinds of updates by their codes on the wire.
 var updateKinds = map[string]balancer.UpdateKind{
 	"D": balancer.UpdateIncremental,
 	"F": balancer.UpdateComplete,
@@ -25,37 +27,39 @@
 	"X": balancer.UpdateFailed,
 }
 
-var states = map[string]balancer.EndpointState{
+// endpointStates are the states of endpoints by their names on the wire.
+var endpointStates = map[string]balancer.EndpointState{
 	"ready": balancer.Ready, "draining": balancer.Draining, "gone": balancer.Removed,
 }
 
+// decodeList decodes an update of the endpoint list.
 func decodeList(raw json.RawMessage) (ScheduledEvent, error) {
 	var e struct {
-		How     string  `json:"how"`
-		Version uint64  `json:"version"`
-		Items   []entry `json:"items"`
+		Kind      string  `json:"how"`
+		Version   uint64  `json:"version"`
+		Endpoints []entry `json:"items"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return ScheduledEvent{}, err
 	}
-	kind, ok := updateKinds[e.How]
+	kind, ok := updateKinds[e.Kind]
 	if !ok {
-		return ScheduledEvent{}, fmt.Errorf("unknown how %q", e.How)
+		return ScheduledEvent{}, fmt.Errorf("unknown how %q", e.Kind)
 	}
-	l := balancer.EndpointsUpdated{Kind: kind, Version: e.Version}
-	for i, it := range e.Items {
-		if it.Backend == nil {
+	update := balancer.EndpointsUpdated{Kind: kind, Version: e.Version}
+	for i, listed := range e.Endpoints {
+		if listed.Backend == nil {
 			return ScheduledEvent{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
 		}
-		state, ok := states[it.State]
+		state, ok := endpointStates[listed.State]
 		if !ok {
-			return ScheduledEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
+			return ScheduledEvent{}, fmt.Errorf("entry %d: unknown state %q", i, listed.State)
 		}
-		l.Endpoints = append(
-			l.Endpoints,
-			balancer.Endpoint{ID: balancer.EndpointID(*it.Backend), Zone: it.Zone, MachineType: it.Model,
-				Cell: it.Pod, State: state, Weight: it.Nominal, StartedAt: time.Duration(it.ReadyAt)},
+		update.Endpoints = append(
+			update.Endpoints,
+			balancer.Endpoint{ID: balancer.EndpointID(*listed.Backend), Zone: listed.Zone,
+				MachineType: listed.MachineType, Cell: listed.Cell, State: state, Weight: listed.Weight, StartedAt: time.Duration(listed.StartedAt)},
 		)
 	}
-	return ScheduledEvent{Event: l}, nil
+	return ScheduledEvent{Event: update}, nil
 }
--- a/internal/simwire/report.go
+++ b/internal/simwire/report.go
@@ -8,22 +8,23 @@
 	"wrenspread/balancer"
 )
 
-// decodeReport skips the keys it does not know; a report with no known key is none.
+// decodeReport decodes a load report. It ignores unknown fields and returns nil for a report without a known
+// field.
 func decodeReport(values map[string]json.RawMessage) *balancer.LoadReport {
 	var r balancer.LoadReport
-	known := false
+	hasKnownField := false
 	for name, raw := range values {
 		v, err := strconv.ParseFloat(string(raw), 64)
-		known = err == nil && SetReportField(&r, name, v) || known
+		hasKnownField = err == nil && SetReportField(&r, name, v) || hasKnownField
 	}
-	if !known {
+	if !hasKnownField {
 		return nil
 	}
 	return &r
 }
 
-// SetReportField sets the value of a load report that the simulator, or a server on a socket, calls so. It
-// reports whether the name is known.
+// SetReportField sets the field of a load report that has the given name, either in the simulator or in the
+// responses of a server. It returns false if the name is unknown.
 func SetReportField(r *balancer.LoadReport, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,25 +8,28 @@
 	"wrenspread/balancer"
 )
 
+// idempotencies are the values of a class's effect.
 var idempotencies = map[string]balancer.Idempotency{
 	"retryable": balancer.Idempotent,
 	"dedup":     balancer.IdempotentByKey,
 	"fragile":   balancer.NotIdempotent,
 }
 
-var scopes = map[string]balancer.DedupScope{
+// dedupScopes are the values of a class's key_scope.
+var dedupScopes = map[string]balancer.DedupScope{
 	"cell": balancer.DedupInCell,
 	"zone": balancer.DedupInZone,
 	"all":  balancer.DedupEverywhere,
 }
 
+// loadReportSources are the values of report.how.
 var loadReportSources = map[string]balancer.LoadReportSource{
 	"none":    balancer.LoadReportsNone,
 	"probe":   balancer.LoadReportsByQuery,
 	"answers": balancer.LoadReportsInResponses,
 }
 
-// The values of weight_kind; a site that states none has no sizes.
+// The meanings of the values of weight_kind. If the key is absent, weights say nothing about capacity.
 const (
 	weightNone = iota
 	weightExact
@@ -34,6 +37,7 @@
 	weightDynamic
 )
 
+// weightKinds are the values of weight_kind.
 var weightKinds = map[string]int{
 	"none":    weightNone,
 	"nominal": weightExact,
@@ -41,13 +45,13 @@
 	"live":    weightDynamic,
 }
 
-func has[V any](m map[string]V, key string) bool {
+func hasKey[V any](m map[string]V, key string) bool {
 	_, ok := m[key]
 	return ok
 }
 
-// DecodeSettings reads the settings of an instance. The simulator and a proxy's configuration give them in
-// the same form. The error is the first fault.
+// DecodeSettings decodes the settings of an instance, which have the same form in the simulator and in a
+// proxy's configuration. It returns the first error.
 func DecodeSettings(raw json.RawMessage) (balancer.Settings, error) {
 	s, problems := ReadSettings(raw)
 	if len(problems) > 0 {
@@ -56,7 +60,8 @@
 	return s, nil
 }
 
-// ReadSettings is DecodeSettings, but returns all faults; of values of a wrong type, the first.
+// ReadSettings decodes settings like DecodeSettings, but returns all errors. Of values of a wrong type, it
+// returns only the first error.
 func ReadSettings(raw json.RawMessage) (s balancer.Settings, problems []error) {
 	var form *SettingsForm
 	if err := json.Unmarshal(raw, &form); err != nil {
@@ -78,16 +83,16 @@
 	return s, problems
 }
 
-// checkChoices validates the keys that take one of a few words; each may be absent.
+// checkChoices checks the keys whose value must be one of a few words. Each key may be absent.
 func (p *SettingsForm) checkChoices() (problems []error) {
 	for _, c := range []struct {
 		key, value string
 		known      bool
 	}{
-		{"membership_mode", p.Membership, p.Membership == "pushed" || p.Membership == "on_request"},
-		{"report.how", p.Report.How, has(loadReportSources, p.Report.How)},
-		{"weight_kind", p.WeightKind, has(weightKinds, p.WeightKind)},
-		{"worth_by", p.WorthBy, p.WorthBy == "request" || p.WorthBy == "work"},
+		{"membership_mode", p.EndpointUpdates, p.EndpointUpdates == "pushed" || p.EndpointUpdates == "on_request"},
+		{"report.how", p.LoadReport.Source, hasKey(loadReportSources, p.LoadReport.Source)},
+		{"weight_kind", p.WeightKind, hasKey(weightKinds, p.WeightKind)},
+		{"worth_by", p.WeightBy, p.WeightBy == "request" || p.WeightBy == "work"},
 	} {
 		if c.value != "" && !c.known {
 			problems = append(problems, fmt.Errorf("unknown %s %q", c.key, c.value))
@@ -96,61 +101,61 @@
 	return problems
 }
 
-// settings returns the settings without classes and tenants.
+// settings returns the settings without their classes and tenants.
 func (p *SettingsForm) settings() balancer.Settings {
 	return balancer.Settings{
-		Proxies:               p.Balancers,
+		Proxies:               p.Proxies,
 		ProxyIndex:            p.ProxyIndex,
 		Zone:                  p.Zone,
 		Zones:                 p.Zones,
-		MachineTypes:          p.Kinds,
+		MachineTypes:          p.MachineTypes,
 		MaxAttempts:           p.Capabilities.MaxAttempts,
-		AllowHedging:          p.Capabilities.MayDuplicate,
+		AllowHedging:          p.Capabilities.Hedging,
 		AllowCancel:           p.Capabilities.Cancel,
-		AllowLoadQueries:      p.Capabilities.Probes,
-		AllowGossip:           p.Capabilities.Peers,
+		AllowLoadQueries:      p.Capabilities.LoadQueries,
+		AllowGossip:           p.Capabilities.Gossip,
 		SendRetryAfter:        p.Capabilities.RetryAfter,
 		MaxRetryAfter:         time.Duration(p.Capabilities.MaxRetryAfter),
 		ClientsMarkRetries:    p.ClientBehavior.MarksRetry,
 		ConnectTimeout:        time.Duration(p.Capabilities.ConnectTimeout),
-		MinEventInterval:      time.Duration(p.Tick),
-		PollForEndpoints:      p.Membership == "on_request",
+		MinEventInterval:      time.Duration(p.MinEventInterval),
+		PollForEndpoints:      p.EndpointUpdates == "on_request",
 		WeightKnown:           weightKinds[p.WeightKind] != weightNone,
 		WeightApproximate:     weightKinds[p.WeightKind] == weightApproximate,
 		WeightDynamic:         weightKinds[p.WeightKind] == weightDynamic,
 		OverQuotaWeight:       p.OverQuotaWeight,
-		WeightByWork:          p.WorthBy == "work",
-		LoadReports:           loadReportSources[p.Report.How],
-		LoadReportFields:      p.Report.Fields,
-		ResponseSlack:         time.Duration(p.Invariants.AnswerSlack),
-		PollInterval:          time.Duration(p.Invariants.AskWithin),
+		WeightByWork:          p.WeightBy == "work",
+		LoadReports:           loadReportSources[p.LoadReport.Source],
+		LoadReportFields:      p.LoadReport.Fields,
+		ResponseSlack:         time.Duration(p.Invariants.ResponseSlack),
+		PollInterval:          time.Duration(p.Invariants.PollInterval),
 		DrainGrace:            time.Duration(p.Invariants.DrainGrace),
 		DrainClose:            time.Duration(p.Invariants.DrainClose),
-		SlowStartInitial:      p.Invariants.ColdFrom,
-		SlowStartDuration:     time.Duration(p.Invariants.Cold),
+		SlowStartInitial:      p.Invariants.SlowStartInitial,
+		SlowStartDuration:     time.Duration(p.Invariants.SlowStartDuration),
 		OverloadFactor:        p.Invariants.OverloadFactor,
-		OverloadDuration:      time.Duration(p.Invariants.TipAfter),
+		OverloadDuration:      time.Duration(p.Invariants.OverloadDuration),
 		Family:                p.Family,
 		Tier:                  p.Tier,
 		Tiers:                 p.Tiers,
-		KeyAffinity:           p.Specifics.WarmKeys,
-		ForwardsDeadline:      p.Specifics.PassesDeadline,
-		AttemptsPerConnection: p.Capabilities.Multiplex,
-		ConnectionIdleTimeout: time.Duration(p.Capabilities.ConnIdle),
-		MaxOpenRequests:       p.Capabilities.MostHeld,
+		KeyAffinity:           p.ServiceTraits.KeyAffinity,
+		ForwardsDeadline:      p.ServiceTraits.ForwardsDeadline,
+		AttemptsPerConnection: p.Capabilities.AttemptsPerConnection,
+		ConnectionIdleTimeout: time.Duration(p.Capabilities.ConnectionIdleTimeout),
+		MaxOpenRequests:       p.Capabilities.MaxOpenRequests,
 		CPUPerSecond:          time.Duration(p.Capabilities.CPUPerSecond * float64(time.Microsecond)),
 		CPUPerRequest:         time.Duration(p.Capabilities.CPUPerRequest * float64(time.Microsecond)),
-		Goal:                  p.goal(),
+		ScoreWeights:          p.scoreWeights(),
 		Prices:                p.prices(),
 	}
 }
 
-func (p *SettingsForm) goal() balancer.Goal {
-	return balancer.Goal{
-		WholeDay:    p.Goal.Whole,
-		WorstWindow: p.Goal.WorstWindow,
-		WorstClass:  p.Goal.WorstClass,
-		WorstTenant: p.Goal.WorstTenant,
+func (p *SettingsForm) scoreWeights() balancer.ScoreWeights {
+	return balancer.ScoreWeights{
+		WholeDay:    p.ScoreWeights.WholeDay,
+		WorstWindow: p.ScoreWeights.WorstWindow,
+		WorstClass:  p.ScoreWeights.WorstClass,
+		WorstTenant: p.ScoreWeights.WorstTenant,
 	}
 }
 
@@ -159,40 +164,40 @@
 		Connection:      p.Prices.Connection,
 		Handshake:       p.Prices.Handshake,
 		CrossZone:       p.Prices.CrossZone,
-		WastedWork:      p.Prices.Waste,
-		LateFailure:     p.Prices.LateFail,
-		LoadQuery:       p.Prices.Probe,
-		Message:         p.Prices.Peer,
-		Migrations:      p.Prices.Moves,
-		OriginRead:      p.Prices.Origin,
-		EndpointUpdates: p.Prices.Lines,
+		WastedWork:      p.Prices.WastedWork,
+		LateFailure:     p.Prices.LateFailure,
+		LoadQuery:       p.Prices.LoadQuery,
+		Message:         p.Prices.Message,
+		Migrations:      p.Prices.Migrations,
+		OriginRead:      p.Prices.OriginRead,
+		EndpointUpdates: p.Prices.EndpointUpdates,
 		Fleet:           p.Prices.Fleet,
 	}
 }
 
-// class translates a class of requests. An unknown value is an error, and its field then has the zero value.
+// class converts a class of requests. For each unknown value it returns an error and sets the zero value.
 func (c classForm) class() (class balancer.Class, problems []error) {
-	idempotency, ok := idempotencies[c.Effect]
+	idempotency, ok := idempotencies[c.Idempotency]
 	if !ok {
-		problems = append(problems, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect))
+		problems = append(problems, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Idempotency))
 	}
-	scope, ok := scopes[c.KeyScope]
-	if !ok && (c.KeyScope != "" || idempotency == balancer.IdempotentByKey) {
-		problems = append(problems, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope))
+	scope, ok := dedupScopes[c.DedupScope]
+	if !ok && (c.DedupScope != "" || idempotency == balancer.IdempotentByKey) {
+		problems = append(problems, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.DedupScope))
 	}
 	class = balancer.Class{
 		Name:                c.Name,
-		PriorityWeight:      c.Importance,
-		LatencyObjective:    time.Duration(c.Aim),
-		ObjectivePerWork:    c.AimStretch,
-		Deadline:            time.Duration(c.GiveUp),
-		LateWeight:          c.LateWorth,
+		PriorityWeight:      c.PriorityWeight,
+		LatencyObjective:    time.Duration(c.LatencyObjective),
+		ObjectivePerWork:    c.ObjectivePerWork,
+		Deadline:            time.Duration(c.Deadline),
+		LateWeight:          c.LateWeight,
 		Idempotency:         idempotency,
 		DedupScope:          scope,
-		DedupWindow:         time.Duration(c.Dedup),
+		DedupWindow:         time.Duration(c.DedupWindow),
 		Streamed:            c.Streamed,
-		AllowedZones:        c.Domains,
-		AllowedMachineTypes: c.AllowedOn,
+		AllowedZones:        c.AllowedZones,
+		AllowedMachineTypes: c.AllowedMachineTypes,
 	}
 	return class, problems
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package simwire translates between the simulator's JSON lines and the types of package balancer. The wire's
-// own words (submit, leg, roster, note) occur here and nowhere else. The settings of a proxy have the same
-// form, so that package proxy reads them here, too.
+// Package simwire converts between the JSON lines of the simulator and the types of package balancer. The
+// names on the wire (submit, leg, roster, note) occur only in this package. The settings of a proxy have the
+// same encoding as those of the simulator, so package proxy decodes them with this package, too.
 package simwire
 
 import (
@@ -12,7 +12,7 @@
 	"wrenspread/balancer"
 )
 
-// The codes by which the wire names outcomes.
+// The codes of outcomes on the wire.
 const (
 	codeOK            = 0
 	codeCancelled     = 1
@@ -24,13 +24,14 @@
 	codeConnectFailed = 14
 )
 
-// The bits of a submit's flags.
+// The bits of the flags of a submit event.
 const (
 	flagWorkHint    = 1
 	flagClientRetry = 2
 	flagWrite       = 4
 )
 
+// outcomes are the outcomes by their codes on the wire.
 var outcomes = map[int]balancer.Outcome{
 	codeOK:            balancer.OK,
 	codeCancelled:     balancer.Cancelled,
@@ -42,70 +43,71 @@
 	codeConnectFailed: balancer.ConnectFailed,
 }
 
-// Start is an `up`: an instance begins.
+// Start is an up event, which starts an instance.
 type Start struct {
 	Settings balancer.Settings
 	Seed     int64
 }
 
-// ScheduledEvent is one event for an instance: its start, its end, or an event for its balancer.
+// ScheduledEvent is an event for an instance: its start, its end (Retire), or an event for its balancer.
 type ScheduledEvent struct {
 	Start  *Start
 	Retire bool
 	Event  balancer.Event
 }
 
-// Group holds the events of one instance.
+// Group is the list of events for one instance.
 type Group struct {
 	Proxy  int
 	Events []ScheduledEvent
 }
 
-// Batch is one line from the simulator.
+// Batch is one line from the simulator. All of its events occur at the time Now.
 type Batch struct {
 	Now    balancer.Time
 	Groups []Group
 }
 
-// DecodeBatch reads one line.
+// DecodeBatch decodes one line from the simulator.
 func DecodeBatch(line []byte) (Batch, error) {
-	var in struct {
+	var message struct {
 		Now    *int64 `json:"sim_time_ns"`
 		Groups []struct {
-			Node     *int                         `json:"node_id"`
-			Happened []map[string]json.RawMessage `json:"happened"`
+			ProxyIndex *int                         `json:"node_id"`
+			Events     []map[string]json.RawMessage `json:"happened"`
 		} `json:"groups"`
 	}
-	if err := json.Unmarshal(line, &in); err != nil {
+	if err := json.Unmarshal(line, &message); err != nil {
 		return Batch{}, fmt.Errorf("batch: %w", err)
 	}
-	if in.Now == nil {
+	if message.Now == nil {
 		return Batch{}, errors.New("batch: sim_time_ns is missing")
 	}
-	b := Batch{Now: time.Duration(*in.Now)}
-	for i, g := range in.Groups {
-		if g.Node == nil {
+	decoded := Batch{Now: time.Duration(*message.Now)}
+	for i, received := range message.Groups {
+		if received.ProxyIndex == nil {
 			return Batch{}, fmt.Errorf("group %d: node_id is missing", i)
 		}
-		out := Group{Proxy: *g.Node}
-		for j, ev := range g.Happened {
-			where := fmt.Sprintf("node %d, event %d", *g.Node, j)
-			if len(ev) != 1 {
-				return Batch{}, fmt.Errorf("%s: want one key, have %d", where, len(ev))
+		group := Group{Proxy: *received.ProxyIndex}
+		for j, keyed := range received.Events {
+			where := fmt.Sprintf("node %d, event %d", *received.ProxyIndex, j)
+			if len(keyed) != 1 {
+				return Batch{}, fmt.Errorf("%s: want one key, have %d", where, len(keyed))
 			}
-			for name, raw := range ev {
-				h, err := decodeEvent(name, raw)
+			for name, raw := range keyed {
+				event, err := decodeEvent(name, raw)
 				if err != nil {
 					return Batch{}, fmt.Errorf("%s, %s: %w", where, name, err)
 				}
-				out.Events = append(out.Events, h)
+				group.Events = append(group.Events, event)
 			}
 		}
-		b.Groups = append(b.Groups, out)
+		decoded.Groups = append(decoded.Groups, group)
 	}
-	return b, nil
+	return decoded, nil
 }
 
+// missing is the error that a key with this name is absent.
 type missing string
 
 func (m missing) Error() string { return string(m) + " is missing" }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -41,7 +41,7 @@
 	}
 	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpenRequests != 9 || s.ConnectionIdleTimeout != 5 ||
 		s.AttemptsPerConnection != 100 || s.Prices != (balancer.Prices{CrossZone: 0.02, EndpointUpdates: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
-		s.Goal != (balancer.Goal{WholeDay: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.KeyAffinity || s.ForwardsDeadline {
+		s.ScoreWeights != (balancer.ScoreWeights{WholeDay: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.KeyAffinity || s.ForwardsDeadline {
 		t.Errorf("%+v", s)
 	}
 	c := s.Classes[0]
--- a/ratelimit/admit.go
+++ b/ratelimit/admit.go
@@ -7,22 +7,23 @@
 	"wrenspread/internal/splitmix"
 )
 
-// charge is an amount to be taken of a token slot.
+// charge is an amount that a request takes from a token slot.
 type charge struct {
 	slot   int
 	amount float64 // in the limit's unit
 }
 
-// Admit decides on a request by all limits that it matches, at most MaxMatchedLimits. It is admitted if each
-// of them has the tokens, which are then taken of all of them; otherwise none is taken, and the first limit
-// that lacks tokens, from the innermost scope outwards, gives the status. Requests without priority leave the
-// priority reserve of a limit alone, so they are the first to be shed as tokens run out.
+// Admit decides on a request by all limits that it matches, which are at most MaxMatchedLimits. The request
+// is admitted if each of them has enough tokens; they are then taken from all of these limits. Otherwise none
+// are taken, and the first limit without enough tokens, from the innermost scope outwards, determines the
+// status. Requests without priority leave the priority reserve of a limit untouched, so they are the first to
+// be shed when tokens run out.
 func (t *Table) Admit(request Request, tokens Tokens) Decision {
 	if rejected, ok := t.rejectDegraded(&request); ok {
 		return rejected
 	}
 	scopes, matched := t.match(&request)
-	// the innermost scope decides on priority, and of two the later attribute
+	// The innermost scope that sets a priority decides; of two scopes at one depth, that of the later attribute.
 	for _, scope := range scopes[:matched] {
 		if priority := t.Scopes[scope].Priority; priority != 0 {
 			request.Priority = priority > 0
@@ -34,15 +35,15 @@
 		scope := &t.Scopes[scopes[i]]
 		for index := scope.FirstLimit; index < scope.FirstLimit+scope.LimitCount; index++ {
 			limit := &t.Limits[index]
-			next := charge{t.tokenSlot(index, request.Key), limit.amount(&request)}
-			if next.amount <= 0 {
+			needed := charge{t.tokenSlot(index, request.Key), limit.amount(&request)}
+			if needed.amount <= 0 {
 				continue
 			}
-			if tokens.Available(next.slot) < limit.required(next, request.Priority, tokens) {
-				reportRejected(tokens, charges[:charged], next)
+			if tokens.Available(needed.slot) < limit.required(needed, request.Priority, tokens) {
+				reportRejected(tokens, charges[:charged], needed)
 				return Decision{Limit: index, Status: limit.Status, RetryAfter: limit.RetryAfter}
 			}
-			charges[charged] = next
+			charges[charged] = needed
 			charged++
 			if limit.Unit == UnitConcurrency {
 				decision.Reservation.add(index)
@@ -55,7 +56,7 @@
 	return decision
 }
 
-// rejectDegraded rejects a request whose class the present degradation level, or a lower one, sheds.
+// rejectDegraded rejects a request whose class is shed at the present degradation level or a lower one.
 func (t *Table) rejectDegraded(request *Request) (Decision, bool) {
 	levels := min(max(request.Degradation, 0), len(t.Levels))
 	for i := range t.Levels[:levels] {
@@ -67,8 +68,8 @@
 	return Decision{}, false
 }
 
-// reportRejected records the demand of a rejected request at the limit that rejected it and at those within,
-// which it came to as well.
+// reportRejected records the demand of a rejected request at the limit that rejected it, and at the limits
+// inside that one, which had the tokens for it.
 func reportRejected(tokens Tokens, inner []charge, rejecting charge) {
 	for _, c := range inner {
 		tokens.Rejected(c.slot, c.amount)
@@ -82,7 +83,7 @@
 }
 
 // match returns the scopes that a request matches, parents before children. Of sibling scopes of one
-// attribute it matches the one with its value, or else the one for any other value.
+// attribute, a request matches the scope with its value or, if there is none, the scope for any other value.
 func (t *Table) match(request *Request) (scopes [MaxMatchedScopes]int32, count int) {
 	values := [...]string{
 		AttributeSite:   request.Site,
@@ -110,7 +111,7 @@
 	return scopes, count
 }
 
-// amount is what a request takes of a limit, in the limit's unit.
+// amount is the number of tokens that a request takes from a limit, in the limit's unit.
 func (l *Limit) amount(request *Request) float64 {
 	switch l.Unit {
 	case UnitWork:
@@ -127,8 +128,8 @@
 	return 1
 }
 
-// required is what must be available of a limit for a request to take its amount. A full slot suffices for
-// any amount that it can hold, whatever the reserve.
+// required is the number of tokens that a limit must have available for a request to take its amount. With a
+// full slot any amount that the slot can hold is allowed, whatever the reserve.
 func (l *Limit) required(c charge, priority bool, tokens Tokens) float64 {
 	if priority || l.PriorityReserve == 0 {
 		return c.amount
@@ -138,8 +139,8 @@
 	return max(c.amount, min(withReserve, capacity))
 }
 
-// tokenSlot returns the token slot of a limit: the limit's index or, for a limit per key, the slot that the
-// key hashes to.
+// tokenSlot returns the token slot of a limit for a request. It is the limit's index or, for a limit per key,
+// the slot to which the key is hashed.
 func (t *Table) tokenSlot(limit int, key string) int {
 	if t.firstKeySlot[limit] == 0 {
 		return limit
--- a/ratelimit/check.go
+++ b/ratelimit/check.go
@@ -10,7 +10,7 @@
 
 const minutesPerDay = 24 * 60
 
-// check reports the first thing that is wrong with a table's data.
+// check returns the first error in a table's data.
 func (t *Table) check() error {
 	switch {
 	case t.Format != Format:
@@ -53,12 +53,12 @@
 
 func (t *Table) checkScope(i int, scope Scope, nextLimit int) error {
 	isRoot := i == 0
-	isPath := scope.Attribute >= AttributeSite && scope.Attribute <= AttributeCell && validValue(scope.Value)
+	validChild := scope.Attribute >= AttributeSite && scope.Attribute <= AttributeCell && validValue(scope.Value)
 	switch {
 	case isRoot && (scope.Parent != -1 || scope.Attribute != AttributeFleet),
 		!isRoot && (scope.Parent < 0 || scope.Parent >= i):
 		return fmt.Errorf("within %d", scope.Parent)
-	case !isRoot && !isPath:
+	case !isRoot && !validChild:
 		return fmt.Errorf("axis %d, word %.40q", scope.Attribute, scope.Value)
 	case scope.FirstLimit != nextLimit || scope.LimitCount < 0 || scope.LimitCount > len(t.Limits)-nextLimit:
 		return fmt.Errorf("limits %d and %d after", scope.FirstLimit, scope.LimitCount)
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// checkPosition checks that a limit stands where its scope says and has the unit, name and parent that follow
-// from it.
+// checkPosition checks that a limit is listed in the range of its scope, and that it has the unit, name and
+// parent that follow from the scope.
 func (t *Table) checkPosition(i int) error {
 	l := &t.Limits[i]
 	scope := t.Scopes[l.Scope]
@@ -105,8 +105,8 @@
 	if outside || i > scope.FirstLimit && l.Unit <= t.Limits[i-1].Unit {
 		return errors.New("not in the order of its part's limits")
 	}
-	known := l.Unit >= UnitRequests && l.Unit <= UnitPerKey
-	if !known || (l.Unit == UnitPerKey) != (l.KeySlots > 0) || l.KeySlots > MaxKeySlots {
+	knownUnit := l.Unit >= UnitRequests && l.Unit <= UnitPerKey
+	if !knownUnit || (l.Unit == UnitPerKey) != (l.KeySlots > 0) || l.KeySlots > MaxKeySlots {
 		return fmt.Errorf("unit %d, %d slots", l.Unit, l.KeySlots)
 	}
 	parent, attribute := t.enclosing(l.Scope, l.Unit)
@@ -123,7 +123,8 @@
 		l.PriorityReserve >= 0 && l.PriorityReserve < 1
 }
 
-// allows reports whether a limit may have these rates.
+// allows reports whether a limit may have these rates, which are those of the limit or of one of its schedule
+// windows.
 func (l *Limit) allows(r Rates) bool {
 	inBounds := func(v float64) bool { return v >= 0 && v <= maxAmount && !math.IsNaN(v) }
 	return inBounds(r.Rate) && inBounds(r.Burst) && inBounds(r.Floor) && r.Floor <= r.Rate &&
--- a/ratelimit/read.go
+++ b/ratelimit/read.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	maxTableBytes = 16 << 20 // of a table's JSON; 10,000 limits take about 4 MB
-	maxAmount     = 1e12     // of any rate, burst, floor or weight
+	// maxTableBytes bounds the JSON encoding of a table; 10,000 limits take about 4 MB.
+	maxTableBytes = 16 << 20
+	// maxAmount bounds each rate, burst, floor and weight.
+	maxAmount     = 1e12
 	maxRetryAfter = time.Hour
 )
 
-// scopeKey identifies a scope among the children of another.
+// scopeKey identifies a scope among the children of its parent.
 type scopeKey struct {
 	parent    int32
 	attribute Attribute
 	value     string
 }
 
-// Errors of Read and Finalize, which say more about the table.
+// Errors that Read and Finalize wrap; the wrapping error names the invalid value.
 var (
 	ErrFormat  = errors.New("unknown table format")
 	ErrDigest  = errors.New("table digest does not match its bytes")
 	ErrInvalid = errors.New("invalid table")
 )
 
-// Read decodes a table's canonical JSON, checks it and makes it ready for use. Unknown fields are ignored,
-// but they are covered by the digest, which is taken from the bytes.
+// Read decodes a table from its canonical JSON, checks it and makes it ready for use. It ignores unknown
+// fields, but the digest covers them, as it is computed from the bytes.
 func Read(data []byte) (*Table, error) {
 	if len(data) > maxTableBytes {
 		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalid, len(data), maxTableBytes)
@@ -52,7 +54,8 @@
 	return t, t.prepare()
 }
 
-// digest is the SHA-256 of a table's JSON with version 0 and no digest; rest is the JSON after these fields.
+// digest is the SHA-256 of a table's JSON with version 0 and an empty digest, in hex; rest is the JSON that
+// follows these fields.
 func digest(format int, rest []byte) string {
 	sum := sha256.New()
 	sum.Write(fmt.Appendf(nil, `{"format":%d,"version":0,"digest":"",`, format)) // a hash never returns an error
@@ -60,13 +63,13 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// JSON returns the table's canonical bytes. The table must have been made ready for use.
+// JSON returns the canonical encoding of the table, which must be ready for use.
 func (t *Table) JSON() []byte {
-	data, _ := json.Marshal(t) // can't fail: the table has finite numbers and strings alone
+	data, _ := json.Marshal(t) // can't fail, as a table contains only strings and finite numbers
 	return data
 }
 
-// Finalize checks a table that was put together, sets its digest and makes it ready for use.
+// Finalize checks a newly built table, sets its digest and makes it ready for use.
 func (t *Table) Finalize() error {
 	if err := t.prepare(); err != nil {
 		return err
@@ -78,7 +81,7 @@
 	return nil
 }
 
-// prepare checks a table and builds the indexes that Admit needs.
+// prepare checks a table and builds the indexes that Admit uses.
 func (t *Table) prepare() error {
 	if err := t.check(); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -97,6 +100,7 @@
 	return nil
 }
 
+// indexScopes builds the lookup of a scope's children by attribute and value.
 func (t *Table) indexScopes() error {
 	t.children = make(map[scopeKey]int32, len(t.Scopes))
 	t.childAttributes = make([]uint8, len(t.Scopes))
@@ -111,6 +115,7 @@
 	return nil
 }
 
+// layOutTokenSlots assigns the token slots: one to each limit, and then those of the limits per key.
 func (t *Table) layOutTokenSlots() {
 	t.firstKeySlot = make([]int32, len(t.Limits))
 	t.tokenSlots = len(t.Limits)
@@ -122,11 +127,12 @@
 	}
 }
 
-// TokenSlots returns how many slots a Tokens has to keep: one per limit, then the key slots of the limits per
-// key, in the order of the limits. A key slot has its limit's rate and burst.
+// TokenSlots returns the number of slots that an implementation of Tokens holds: one for each limit, then the
+// key slots of the limits per key, in the order of the limits. A key slot has the rate and burst of its
+// limit.
 func (t *Table) TokenSlots() int { return t.tokenSlots }
 
-// LimitOf returns the limit that a token slot belongs to, -1 if there is no such slot.
+// LimitOf returns the index of the limit that a token slot belongs to, or -1 if there is no such slot.
 func (t *Table) LimitOf(slot int) int {
 	if slot < len(t.Limits) {
 		return slot
@@ -139,6 +145,7 @@
 	return -1
 }
 
+// validRejection reports whether a rejection may have an HTTP status and a Retry-After.
 func validRejection(status int, retryAfter time.Duration) bool {
 	allowed := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	return allowed && retryAfter >= 0 && retryAfter <= maxRetryAfter
--- a/ratelimit/schedule.go
+++ b/ratelimit/schedule.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Rates are the figures of a limit at some time, in its unit.
+// Rates are the rate, burst and floor of a limit at some time, in the limit's unit.
 type Rates struct {
 	Rate  float64 // per second
-	Burst float64 // at once
+	Burst float64 // units at once
 	Floor float64 // per second
 }
 
 func (l *Limit) rates() Rates          { return Rates{l.Rate, l.Burst, l.Floor} }
 func (w *ScheduleWindow) rates() Rates { return Rates{w.Rate, w.Burst, w.Floor} }
 
-// At returns a limit's rates at a time of the wall clock. They change at whole minutes only.
+// At returns a limit's rates at a time of the wall clock. Rates change only at full minutes.
 func (t *Table) At(limit int, wall time.Time) Rates {
 	l := &t.Limits[limit]
 	local := wall.UTC().Add(time.Duration(t.UTCOffset) * time.Minute)
@@ -24,7 +24,7 @@
 	return l.rates()
 }
 
-// Minimum returns the lowest rates that a limit ever has: what a proxy may count on while it can't trust its
+// Minimum returns the lowest rates that a limit has at any time. A proxy uses them while it can't trust its
 // wall clock.
 func (t *Table) Minimum(limit int) Rates {
 	l := &t.Limits[limit]
@@ -40,7 +40,8 @@
 	return lowest
 }
 
-// contains takes a time on the operators' clock. A window over midnight belongs to the day on which it began.
+// contains reports whether a time on the operators' clock is within the window. A window over midnight
+// belongs to the day on which it begins.
 func (w *ScheduleWindow) contains(local time.Time) bool {
 	minute := local.Hour()*60 + local.Minute()
 	overMidnight := w.FromMinute > w.ToMinute
@@ -60,8 +61,8 @@
 	return lastOfMonth-local.Day() < w.LastDays
 }
 
-// NextDegradation returns the degradation level that follows a level at some rejected fraction of the fleet's
-// requests. It moves by one level at most.
+// NextDegradation returns the degradation level that follows the given level, by the rejected fraction of the
+// fleet's requests. The level changes by one at most.
 func (t *Table) NextDegradation(level int, rejected float64) int {
 	level = min(max(level, 0), len(t.Levels))
 	switch {
