--- a/balancer/ask_test.go
+++ b/balancer/ask_test.go
@@ -6,57 +6,58 @@
 	"time"
 )
 
-// sharedDiscovery serves calls one after the other. A caller gives up after a wait, but its call still takes its turn.
-type sharedDiscovery struct {
-	each, patience, freeAt Time
+// sequentialDiscovery is a discovery service that serves calls one after the other. A caller gives up after
+// callTimeout, but its call is served all the same.
+type sequentialDiscovery struct {
+	serviceTime, callTimeout, freeAt Time
 }
 
-// call tells when a call is answered and whether it was served.
-func (d *sharedDiscovery) call(now Time) (answered Time, served bool) {
-	d.freeAt = max(d.freeAt, now) + d.each
-	return min(d.freeAt, now+d.patience), d.freeAt <= now+d.patience
+// call returns when a call ends for its caller, and whether it was served by then.
+func (d *sequentialDiscovery) call(now Time) (answered Time, served bool) {
+	d.freeAt = max(d.freeAt, now) + d.serviceTime
+	return min(d.freeAt, now+d.callTimeout), d.freeAt <= now+d.callTimeout
 }
 
-// Nodes that start together must not hold up discovery together: a queue of calls that have been given up on, and are
-// made again, serves nobody.
-func TestMassStartGetsItsLists(t *testing.T) {
+// Guards against proxies that start together and poll discovery at the same rate: its queue then consists of
+// calls whose callers have given up and call again, so no proxy is ever served.
+func TestProxiesStartingTogetherAllGetTheList(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		nodes   int
-		within  Time
-		patient Time
+		name        string
+		proxies     int
+		within      Time
+		callTimeout Time
 	}{
 		{"a fleet", 80, 9 * time.Second, 2 * time.Second},
 		{"a fleet and an impatient discovery", 80, 15 * time.Second, time.Second},
 		{"a few", 3, time.Second, 2 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := sharedDiscovery{each: 60 * time.Millisecond, patience: c.patient}
+			d := sequentialDiscovery{serviceTime: 60 * time.Millisecond, callTimeout: c.callTimeout}
 			type answer struct {
 				at     Time
 				served bool
 			}
-			modules, pending := make([]*Balancer, c.nodes), make([]*answer, c.nodes)
-			set := Settings{Proxies: c.nodes, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}
+			balancers, pending := make([]*Balancer, c.proxies), make([]*answer, c.proxies)
+			settings := Settings{Proxies: c.proxies, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}
 			start := time.Hour
-			for i := range modules {
-				modules[i] = New(set, int64(i+1))
-				modules[i].Handle(start, EndpointsUpdated{Kind: UpdateCached, Endpoints: []Endpoint{{ID: 1}}})
+			for i := range balancers {
+				balancers[i] = New(settings, int64(i+1))
+				balancers[i].Handle(start, EndpointsUpdated{Kind: UpdateCached, Endpoints: []Endpoint{{ID: 1}}})
 			}
 			for now := start; now < start+c.within; now += tickInterval {
-				for i, m := range modules {
+				for i, proxy := range balancers {
 					if p := pending[i]; p != nil && now >= p.at {
 						kind := UpdateFailed
 						if p.served {
 							kind = UpdateIncremental
 						}
 						pending[i] = nil
-						m.Handle(now, EndpointsUpdated{Kind: kind})
+						proxy.Handle(now, EndpointsUpdated{Kind: kind})
 					}
-					for _, a := range m.Handle(now, TimerFired{}) {
+					for _, a := range proxy.Handle(now, TimerFired{}) {
 						if _, ok := a.(Subscribe); ok {
 							if pending[i] != nil {
-								t.Fatalf("node %d asks again while its call waits", i)
+								t.Fatalf("proxy %d polls again while its poll waits for its answer", i)
 							}
 							at, served := d.call(now)
 							pending[i] = &answer{at, served}
@@ -64,22 +65,23 @@
 					}
 				}
 			}
-			for i, m := range modules {
-				if !m.watching {
-					t.Errorf("node %d has no list after %v", i, c.within)
+			for i, proxy := range balancers {
+				if !proxy.watching {
+					t.Errorf("proxy %d has no list after %v", i, c.within)
 				}
 			}
 		})
 	}
 }
 
-// A watch that discovery has taken may be held until there is news. Asking again would end it and cost a call.
-func TestHeldWatchIsLeftAlone(t *testing.T) {
-	m := New(Settings{Proxies: 1, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}, 1)
+// A watch may stay open without an answer until the list changes. Another poll would end the watch and cost a
+// call.
+func TestOpenWatchIsNotReplaced(t *testing.T) {
+	proxy := New(Settings{Proxies: 1, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}, 1)
 	calls, now := 0, time.Hour
 	run := func(length time.Duration) {
 		for end := now + length; now < end; now += tickInterval {
-			for _, a := range m.Handle(now, TimerFired{}) {
+			for _, a := range proxy.Handle(now, TimerFired{}) {
 				if _, ok := a.(Subscribe); ok {
 					calls++
 				}
@@ -88,22 +90,23 @@
 	}
 	run(time.Minute)
 	if calls != 1 {
-		t.Errorf("%d calls while the first is held", calls)
+		t.Errorf("%d polls while the first watch is open, want 1", calls)
 	}
-	m.Handle(now, EndpointsUpdated{Kind: UpdateFailed})
+	proxy.Handle(now, EndpointsUpdated{Kind: UpdateFailed})
 	run(time.Minute)
 	if calls != 2 {
-		t.Errorf("%d calls after one has failed and the next is held", calls)
+		t.Errorf("%d polls after the watch has failed and the next is open, want 2", calls)
 	}
 }
 
-// asksAgain feeds a node with calls that fail, after one that was answered after took, if that is above 0: so many or
-// for so long. It gives the longest wait for the next.
-func asksAgain(t *testing.T, set Settings, seed int64, took Time, failures int, storm Time, failed func() Time) (longest Time) {
+// longestPollWait feeds a proxy with polls that fail after failed(), a number of failures or for the time
+// storm. Before them, one poll is answered after took, if took is above 0. It returns the longest wait from a
+// failure to the next poll.
+func longestPollWait(t *testing.T, settings Settings, seed int64, took Time, failures int, failingFor Time, failed func() Time) (longest Time) {
 	t.Helper()
-	m, now := New(set, seed), time.Hour
-	for at, first := Time(-1), time.Hour; failures >= 0 && now <= first+storm; now += tickInterval {
-		for _, a := range m.Handle(now, TimerFired{}) {
+	proxy, now := New(settings, seed), time.Hour
+	for at, first := Time(-1), time.Hour; failures >= 0 && now <= first+failingFor; now += tickInterval {
+		for _, a := range proxy.Handle(now, TimerFired{}) {
 			if _, ok := a.(Subscribe); !ok {
 				continue
 			}
@@ -111,61 +114,62 @@
 				longest = max(longest, now-at)
 			}
 			if at < 0 && took > 0 {
-				m.Handle(now+took, EndpointsUpdated{Kind: UpdateIncremental})
+				proxy.Handle(now+took, EndpointsUpdated{Kind: UpdateIncremental})
 			}
 			now += max(took, failed())
 			if at < 0 {
 				first = now
 			}
 			at, failures = now, failures-1
-			m.Handle(now, EndpointsUpdated{Kind: UpdateFailed})
+			proxy.Handle(now, EndpointsUpdated{Kind: UpdateFailed})
 		}
 		if at >= 0 && now > at+time.Minute {
-			t.Fatalf("%d nodes: no call in a minute after one that failed", set.Proxies)
+			t.Fatalf("%d proxies: no poll within a minute of a failed one", settings.Proxies)
 		}
 	}
 	return longest
 }
 
-// A call that failed is made again in time, however many have failed before, of however many nodes, and sooner still
-// where the settings want lists asked for more often. Only a fleet that would fill the queue of a slow discovery for
-// ever spreads its calls wider, after a storm of failures: not where they are refused or broken at once, and later
-// where an answer has shown that the calls of all nodes fit.
-func TestFailedCallIsMadeAgainInTime(t *testing.T) {
-	chance := rand.New(rand.NewPCG(28, 1))
-	for _, nodes := range []int{1, 3, 30, 80, 300} {
+// A failed poll is repeated within MaxPollBackoff, however many polls have failed before and however many
+// proxies there are, and sooner where the settings require a shorter poll interval. The exception is a fleet
+// whose polls would keep the queue of a slow discovery filled forever: after congestionTimeout it polls less
+// often. This does not apply to polls that fail at once, and applies only after provenCongestionTimeout if an
+// answer has shown that the polls of all proxies fit.
+func TestFailedPollIsRepeatedWithinMaxPollBackoff(t *testing.T) {
+	random := rand.New(rand.NewPCG(28, 1))
+	for _, proxies := range []int{1, 3, 30, 80, 300} {
 		for _, within := range []Time{10 * time.Second, time.Second} {
 			for _, c := range []struct {
-				name    string
-				longest Time // that a call takes to fail
-				took    Time // that one took to be answered before
-				storm   Time // up to which the bound holds, and no longer
+				name       string
+				longest    Time // longest time that a poll takes to fail
+				took       Time // time in which one poll was answered before; 0: none was
+				failingFor Time // time for which the bound holds, but no longer; 0: it always holds
 			}{
 				{"waited for", 4 * time.Second, 0, congestionTimeout},
 				{"refused", immediateFailure, 0, 0},
-				{"waited for, after a soon answer", 4 * time.Second, maxPollRoundTime / Time(nodes), provenCongestionTimeout},
-				{"waited for, after a late answer", 4 * time.Second, maxPollRoundTime/Time(nodes) + time.Millisecond, congestionTimeout},
+				{"waited for, after a soon answer", 4 * time.Second, maxPollRoundTime / Time(proxies), provenCongestionTimeout},
+				{"waited for, after a late answer", 4 * time.Second, maxPollRoundTime/Time(proxies) + time.Millisecond, congestionTimeout},
 			} {
-				if nodes <= 36 {
-					c.storm = 0
+				if proxies <= 36 {
+					c.failingFor = 0
 				}
-				set := Settings{Proxies: nodes, PollForEndpoints: true, PollInterval: within, MinEventInterval: time.Millisecond}
+				settings := Settings{Proxies: proxies, PollForEndpoints: true, PollInterval: within, MinEventInterval: time.Millisecond}
 				limit := min(MaxPollBackoff, within) + tickInterval
-				failed := func() Time { return Time(chance.Int64N(int64(c.longest))) }
+				failed := func() Time { return Time(random.Int64N(int64(c.longest))) }
 				for seed := range int64(20) {
-					storm, failures := time.Hour, 1+chance.IntN(30)
-					if c.storm > 0 {
-						storm, failures = c.storm, 1000
+					failingFor, failures := time.Hour, 1+random.IntN(30)
+					if c.failingFor > 0 {
+						failingFor, failures = c.failingFor, 1000
 					}
-					if longest := asksAgain(t, set, seed, c.took, failures, storm, failed); longest > limit {
-						t.Errorf("%d nodes that ask within %v, %s: asked again after %v, want %v at most", nodes, within, c.name, longest, limit)
+					if longest := longestPollWait(t, settings, seed, c.took, failures, failingFor, failed); longest > limit {
+						t.Errorf("%d proxies, poll interval %v, %s: polled again after %v, want at most %v", proxies, within, c.name, longest, limit)
 					}
 				}
-				if c.storm == 0 || within < MaxPollBackoff {
+				if c.failingFor == 0 || within < MaxPollBackoff {
 					continue
 				}
-				if longest := asksAgain(t, set, 1, c.took, 1000, c.storm+time.Minute, failed); longest <= limit {
-					t.Errorf("%d nodes, %s: a slow discovery's queue is filled for ever", nodes, c.name)
+				if longest := longestPollWait(t, settings, 1, c.took, 1000, c.failingFor+time.Minute, failed); longest <= limit {
+					t.Errorf("%d proxies, %s: the polls keep the queue of a slow discovery filled forever", proxies, c.name)
 				}
 			}
 		}
--- a/balancer/askherd_test.go
+++ b/balancer/askherd_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// fleetCaller is a node that asks: its module, and of its client what the package internal/registry/client does with the
-// module's word. A call that isn't held is given up after patience; one that fell silent is made once more within
-// spread; the first that is answered is followed by one that is held.
-type fleetCaller struct {
-	m       *Balancer
-	due     Time // what was begun ends, or begins, then; 0: the module has not asked
-	end     int  // how
-	silent  int  // calls in a row
-	knows   Time // since when it has the list; 0: it has not
-	waiting bool // between two silent calls
+// pollingProxy is a proxy that polls: its balancer, and a model of its client in package
+// internal/registry/client. A call without an answer ends after callTimeout and is repeated once, within 250
+// ms. A poll that is answered is followed by a watch.
+type pollingProxy struct {
+	balancer      *Balancer
+	dueAt         Time // when the present call ends, or the repeated call begins; 0: there is none
+	dueResult     int  // result of the present call
+	silentCalls   int  // calls in a row without an answer
+	informedAt    Time // since when the proxy has the list; 0: it does not have it
+	waitsToRepeat bool // it waits before it repeats a call
 }
 
 const (
@@ -25,78 +25,80 @@
 	callRefused
 )
 
-// fleet plays nodes that lost one discovery together, which is down in one way and then back, and serves calls in turn.
-type fleet struct {
-	nodes      []*fleetCaller
-	discovery  sharedDiscovery
-	lost, back Time
-	down       int // how calls end in between
-	chance     *rand.Rand
-	made       map[Time]int // calls, in each second since the outage's end
-	timedOut   int          // in discovery's queue, since then
+// outageFleet simulates proxies that share one discovery service, which serves calls in turn and fails from
+// lostAt to restoredAt.
+type outageFleet struct {
+	proxies            []*pollingProxy
+	discovery          sequentialDiscovery
+	lostAt, restoredAt Time
+	outageResult       int // result of calls during the outage
+	random             *rand.Rand
+	callsBySecond      map[Time]int // calls by second since the end of the outage; negative during it
+	timedOut           int          // calls since then that timed out in discovery's queue
 }
 
-func (f *fleet) call(c *fleetCaller, now Time) {
-	second := (now - f.back) / time.Second
-	if now < f.back {
+// call starts a call of a proxy and schedules its end.
+func (f *outageFleet) call(c *pollingProxy, now Time) {
+	second := (now - f.restoredAt) / time.Second
+	if now < f.restoredAt {
 		second--
 	}
-	f.made[second]++
+	f.callsBySecond[second]++
 	switch {
-	case now >= f.lost && now < f.back && f.down == callSilent:
-		c.due, c.end = now+f.discovery.patience, callSilent
-	case now >= f.lost && now < f.back:
-		c.due, c.end = now+time.Millisecond, callRefused
+	case now >= f.lostAt && now < f.restoredAt && f.outageResult == callSilent:
+		c.dueAt, c.dueResult = now+f.discovery.callTimeout, callSilent
+	case now >= f.lostAt && now < f.restoredAt:
+		c.dueAt, c.dueResult = now+time.Millisecond, callRefused
 	default:
 		at, served := f.discovery.call(now)
-		if c.due, c.end = at, callServed; !served {
-			c.end = callSilent
-			if now >= f.back {
+		if c.dueAt, c.dueResult = at, callServed; !served {
+			c.dueResult = callSilent
+			if now >= f.restoredAt {
 				f.timedOut++
 			}
 		}
 	}
 }
 
-// step carries a node on by what was due.
-func (f *fleet) step(c *fleetCaller, now Time) {
+// step handles the end of a proxy's call, or begins a repeated call.
+func (f *outageFleet) step(c *pollingProxy, now Time) {
 	switch {
-	case c.waiting:
-		c.waiting = false
+	case c.waitsToRepeat:
+		c.waitsToRepeat = false
 		f.call(c, now)
-	case c.end == callServed:
-		c.silent, c.due = 0, 0
-		if c.knows == 0 {
-			c.knows = now
+	case c.dueResult == callServed:
+		c.silentCalls, c.dueAt = 0, 0
+		if c.informedAt == 0 {
+			c.informedAt = now
 		}
-		f.discovery.call(now) // the watch: held, it takes its turn, too
-		f.made[(now-f.back)/time.Second]++
-		c.m.Handle(now, EndpointsUpdated{Kind: UpdateIncremental})
+		f.discovery.call(now) // the watch takes a turn of discovery, too
+		f.callsBySecond[(now-f.restoredAt)/time.Second]++
+		c.balancer.Handle(now, EndpointsUpdated{Kind: UpdateIncremental})
 	default:
-		if c.silent++; c.end == callSilent && c.silent < 2 {
-			c.waiting, c.due = true, now+Time(f.chance.Int64N(int64(250*time.Millisecond)))
+		if c.silentCalls++; c.dueResult == callSilent && c.silentCalls < 2 {
+			c.waitsToRepeat, c.dueAt = true, now+Time(f.random.Int64N(int64(250*time.Millisecond)))
 			return
 		}
-		c.silent, c.due = 0, 0
-		c.m.Handle(now, EndpointsUpdated{Kind: UpdateFailed})
+		c.silentCalls, c.dueAt = 0, 0
+		c.balancer.Handle(now, EndpointsUpdated{Kind: UpdateFailed})
 	}
 }
 
-// run plays nodes that start together and get their lists, and lose them as all watches are reset, from one moment up
-// to another. Each has its own clock.
-func (f *fleet) run(from, to Time) {
+// run simulates the proxies from one time to another. Each proxy ticks at a phase of its own. At lostAt all
+// watches are reset and the list counts as lost.
+func (f *outageFleet) run(from, to Time) {
 	for now := from; now < to; now += 5 * time.Millisecond {
-		for i, c := range f.nodes {
-			if now == f.lost {
-				c.knows, c.silent, c.waiting, c.due = 0, 0, true, now+Time(f.chance.Int64N(int64(250*time.Millisecond)))
+		for i, c := range f.proxies {
+			if now == f.lostAt {
+				c.informedAt, c.silentCalls, c.waitsToRepeat, c.dueAt = 0, 0, true, now+Time(f.random.Int64N(int64(250*time.Millisecond)))
 			}
-			if c.due > 0 && now >= c.due {
+			if c.dueAt > 0 && now >= c.dueAt {
 				f.step(c, now)
 			}
 			if (now+Time(i)*5*time.Millisecond)%tickInterval > 0 {
 				continue
 			}
-			for _, a := range c.m.Handle(now, TimerFired{}) {
+			for _, a := range c.balancer.Handle(now, TimerFired{}) {
 				if _, ok := a.(Subscribe); ok {
 					f.call(c, now)
 				}
@@ -105,18 +107,18 @@
 	}
 }
 
-// Nodes that ask one discovery, which serves them in turn, all know what it has 6 s after it is back, however it was
-// down and for however long; their queue does not time out the calls in it, and calls stay few. Of a large fleet those
-// know it later, after a long silence, that have never had an answer soon enough; of one for which discovery is too
-// slow, all.
-func TestReturnOfDiscoveryIsNoHerd(t *testing.T) {
+// After an outage of any kind and length, all proxies of one discovery that serves calls in turn know the
+// list within 6 s, the calls do not time out in its queue, and they remain few. In a large fleet, proxies
+// that never had an answer fast enough to prove that discovery is not congested may take longer after a long
+// outage without answers. Where discovery really is too slow for the fleet, all may.
+func TestEndOfDiscoveryOutageCausesNoThunderingHerd(t *testing.T) {
 	for _, c := range []struct {
-		nodes             int
-		each              Time
-		shortest, longest Time // outage
-		known             Time // by all, after the return
-		timedOut          int
-		before, after     int // calls in the busiest second of the last five of the outage, and after it
+		proxies                     int
+		serviceTime                 Time
+		shortest, longest           Time // length of the outage
+		informedWithin              Time // bound on the time after which all proxies know the list
+		timedOut                    int
+		busiestDuring, busiestAfter int // bounds on calls in the busiest of the outage's last 5 s, and after the outage
 	}{
 		{3, 60 * time.Millisecond, 5 * time.Second, time.Minute, 6 * time.Second, 0, 8, 8},
 		{30, 60 * time.Millisecond, 5 * time.Second, time.Minute, 6 * time.Second, 0, 30, 40},
@@ -125,48 +127,48 @@
 		{80, 60 * time.Millisecond, 5 * time.Second, 12 * time.Second, time.Minute, 2000, 80, 80},
 		{80, 60 * time.Millisecond, 25 * time.Second, time.Minute, 25 * time.Second, 200, 80, 80},
 	} {
-		for name, down := range map[string]int{"silent": callSilent, "refusing": callRefused} {
-			t.Run(fmt.Sprint(c.nodes, " nodes, ", name, " up to ", c.longest), func(t *testing.T) {
-				latest, out, before, after, unknown, all := Time(0), 0, 0, 0, 0, 0
-				for seed := range uint64(max(4, 600/c.nodes)) {
-					chance, start := rand.New(rand.NewPCG(seed, 28)), time.Hour
-					f := &fleet{lost: start, back: start + (c.shortest + Time(chance.Int64N(int64(c.longest-c.shortest)))).Truncate(tickInterval),
-						down: down, chance: chance, made: map[Time]int{}, discovery: sharedDiscovery{each: c.each, patience: 1500 * time.Millisecond}}
-					set := Settings{Proxies: c.nodes, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}
-					for i := range c.nodes {
-						f.nodes = append(f.nodes, &fleetCaller{m: New(set, int64(seed)*1000+int64(i))})
+		for name, outageResult := range map[string]int{"silent": callSilent, "refusing": callRefused} {
+			t.Run(fmt.Sprint(c.proxies, " nodes, ", name, " up to ", c.longest), func(t *testing.T) {
+				latest, timedOut, busiestDuring, busiestAfter, lateProxies, proxies := Time(0), 0, 0, 0, 0, 0
+				for seed := range uint64(max(4, 600/c.proxies)) {
+					random, start := rand.New(rand.NewPCG(seed, 28)), time.Hour
+					f := &outageFleet{lostAt: start, restoredAt: start + (c.shortest + Time(random.Int64N(int64(c.longest-c.shortest)))).Truncate(tickInterval),
+						outageResult: outageResult, random: random, callsBySecond: map[Time]int{}, discovery: sequentialDiscovery{serviceTime: c.serviceTime, callTimeout: 1500 * time.Millisecond}}
+					settings := Settings{Proxies: c.proxies, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}
+					for i := range c.proxies {
+						f.proxies = append(f.proxies, &pollingProxy{balancer: New(settings, int64(seed)*1000+int64(i))})
 					}
-					f.run(start-12*time.Second, f.back)
-					spread := down == callSilent && f.back > start+congestionTimeout && c.nodes*int(pollSpacing) > int(MaxPollBackoff*2/3)
-					late := map[*fleetCaller]bool{}
-					for _, n := range f.nodes {
-						if late[n] = spread && (n.m.fastestAnswer == 0 || Time(c.nodes)*n.m.fastestAnswer > maxPollRoundTime); late[n] {
-							unknown++
+					f.run(start-12*time.Second, f.restoredAt)
+					mayBeCongested := outageResult == callSilent && f.restoredAt > start+congestionTimeout && c.proxies*int(pollSpacing) > int(MaxPollBackoff*2/3)
+					late := map[*pollingProxy]bool{}
+					for _, n := range f.proxies {
+						if late[n] = mayBeCongested && (n.balancer.fastestAnswer == 0 || Time(c.proxies)*n.balancer.fastestAnswer > maxPollRoundTime); late[n] {
+							lateProxies++
 						}
 					}
-					all += c.nodes
-					f.run(f.back, f.back+c.known+15*time.Second)
-					for _, n := range f.nodes {
-						took := n.knows - f.back
-						if n.knows == 0 || took > max(c.known, 20*time.Second) || took > c.known && !late[n] {
-							t.Fatalf("a node knows after %v", took)
+					proxies += c.proxies
+					f.run(f.restoredAt, f.restoredAt+c.informedWithin+15*time.Second)
+					for _, n := range f.proxies {
+						took := n.informedAt - f.restoredAt
+						if n.informedAt == 0 || took > max(c.informedWithin, 20*time.Second) || took > c.informedWithin && !late[n] {
+							t.Fatalf("a proxy has the list %v after the end of the outage", took)
 						}
 						if !late[n] {
 							latest = max(latest, took)
 						}
 					}
-					out = max(out, f.timedOut)
-					for second, calls := range f.made {
+					timedOut = max(timedOut, f.timedOut)
+					for second, calls := range f.callsBySecond {
 						if second >= 0 {
-							after = max(after, calls)
+							busiestAfter = max(busiestAfter, calls)
 						} else if second >= -5 {
-							before = max(before, calls)
+							busiestDuring = max(busiestDuring, calls)
 						}
 					}
 				}
-				t.Logf("known after %v, but for %d of %d; %d calls timed out, %d calls in the busiest second of the outage, %d after it", latest, unknown, all, out, before, after)
-				if out > c.timedOut || before > c.before || after > c.after || c.each < 10*time.Millisecond && unknown > all/3 {
-					t.Errorf("want %d calls timed out, %d in a second of the outage, %d after it, at most", c.timedOut, c.before, c.after)
+				t.Logf("list received after %v, except by %d of %d proxies; %d polls timed out, %d polls in the busiest second of the outage, %d after it", latest, lateProxies, proxies, timedOut, busiestDuring, busiestAfter)
+				if timedOut > c.timedOut || busiestDuring > c.busiestDuring || busiestAfter > c.busiestAfter || c.serviceTime < 10*time.Millisecond && lateProxies > proxies/3 {
+					t.Errorf("want at most %d polls timed out, %d in a second of the outage, %d after it", c.timedOut, c.busiestDuring, c.busiestAfter)
 				}
 			})
 		}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -8,31 +8,31 @@
 	"wrenspread/balancer"
 )
 
-// BenchmarkRequest is a request that arrives, is sent and is answered, at a steady 1,000 a second, with its part of the
-// round of checks that the module asks for each 25 ms.
+// BenchmarkRequest measures a request that arrives, is sent and is answered, at a steady 1,000 requests per
+// second, together with its part of the round of checks every 25 ms.
 func BenchmarkRequest(b *testing.B) {
-	for _, servers := range []int{10, 200, 1000} {
-		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { benchmarkRequest(b, servers) })
+	for _, endpoints := range []int{10, 200, 1000} {
+		b.Run(fmt.Sprintf("servers=%d", endpoints), func(b *testing.B) { benchmarkRequest(b, endpoints) })
 	}
 }
 
-func benchmarkRequest(b *testing.B, servers int) {
-	m, now := balancer.New(rigSettings(), 1), time.Hour
+func benchmarkRequest(b *testing.B, endpoints int) {
+	proxy, now := balancer.New(rigSettings(), 1), time.Hour
 	var list []balancer.Endpoint
-	for i := range servers {
+	for i := range endpoints {
 		list = append(list, balancer.Endpoint{ID: balancer.EndpointID(i + 1)})
 	}
-	m.Handle(now, balancer.EndpointsUpdated{Kind: balancer.UpdateCached, Endpoints: list})
-	ids := make([]balancer.RequestID, 1000) // their text is the caller's cost
+	proxy.Handle(now, balancer.EndpointsUpdated{Kind: balancer.UpdateCached, Endpoints: list})
+	ids := make([]balancer.RequestID, 1000) // created in advance, as formatting them is the caller's cost
 	for i := range ids {
 		ids[i] = balancer.RequestID(fmt.Sprint(i))
 	}
 	cycle := func(i int) {
 		id, sent := ids[i%len(ids)], false
 		now += time.Millisecond
-		for _, a := range m.Handle(now, balancer.RequestArrived{ID: id, Class: "cheap", Timeout: time.Second}) {
+		for _, a := range proxy.Handle(now, balancer.RequestArrived{ID: id, Class: "cheap", Timeout: time.Second}) {
 			if s, ok := a.(balancer.StartAttempt); ok {
-				m.Handle(now, balancer.AttemptEnded{ID: id, Endpoint: s.Endpoint, Outcome: balancer.OK, RequestAnswered: true, Elapsed: time.Millisecond})
+				proxy.Handle(now, balancer.AttemptEnded{ID: id, Endpoint: s.Endpoint, Outcome: balancer.OK, RequestAnswered: true, Elapsed: time.Millisecond})
 				sent = true
 			}
 		}
@@ -40,10 +40,10 @@
 			b.Fatalf("request %d was not sent", i)
 		}
 		if i%25 == 0 {
-			m.Handle(now, balancer.TimerFired{})
+			proxy.Handle(now, balancer.TimerFired{})
 		}
 	}
-	for i := range 5 * servers { // until the module knows its servers
+	for i := range 5 * endpoints { // until the balancer has estimates for its endpoints
 		cycle(i)
 	}
 	b.ReportAllocs()
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -11,207 +11,215 @@
 	"wrenspread/balancer"
 )
 
-// coldDay is a day on which server 1 starts, played with the real modules of all nodes on one clock.
-type coldDay struct {
-	nodes, servers int
-	load           float64       // part of what all warm servers can do that comes
-	rate           float64       // mean requests a second that a warm server can do
-	base           time.Duration // what an answer takes at least
-	flat           bool          // server 1 shows no queue
-	down           time.Duration // it is down so long before its start; 0: it joins
-	burst          time.Duration // after the start, when half as much again comes for burstFor; 0: never
-	late           time.Duration // the last node is told of the start so much later
-	restarts       bool          // each node restarts once in the ramp, with nothing learned
-	suspects       time.Duration // from so long after the start on six in ten of the others refuse connections; 0: never
-	cut            time.Duration // from so long after the start on connections to server 1 fail for 2 s; 0: never
-	heavy          bool          // some requests are four times as heavy as others
-	factor         float64       // Settings.OverloadFactor
-	window         time.Duration // Settings.OverloadTime
-	ramp           time.Duration // Settings.ColdTime
-	parts          int           // nodes know so many times what they work with; 0: all
-	moves          bool          // a third of the nodes change their numbers in the ramp, and so their parts
-	sizes          bool          // every other node takes the fleet for half as large
-	size           float64       // of server 1, beside others of 0.6 and 1.4 in turn, which lists tell; 0: all are alike
-	dead           float64       // part of the nodes that are killed ahead of the start; the others get their clients
+// slowStartScenario describes a simulation in which endpoint 1 starts. It runs the balancers of all proxies
+// on one clock.
+type slowStartScenario struct {
+	proxies, endpoints int
+	load               float64       // arrivals, as a fraction of the capacity of all endpoints when warm
+	endpointRate       float64       // mean requests per second that a warm endpoint can serve
+	minLatency         time.Duration // shortest latency of a response
+	hidesQueue         bool          // the latency of endpoint 1 does not show its queue
+	downFor            time.Duration // endpoint 1 is down for this long before its start; 0: it joins the list
+	burstAt            time.Duration // when arrivals rise by half for burstDuration, after the start; 0: never
+	listingDelay       time.Duration // time after the start at which the last proxy learns of it
+	proxiesRestart     bool          // each proxy restarts once in the slow start, without learned state
+	// From this time after the start on, six in ten of the other endpoints refuse connections; 0: never.
+	refusalsAt time.Duration
+	// From this time after the start on, connections to endpoint 1 fail for 2 s; 0: never.
+	cutOffAt          time.Duration
+	mixedWork         bool          // some requests are four times as heavy as others
+	overloadFactor    float64       // Settings.OverloadFactor
+	overloadDuration  time.Duration // Settings.OverloadDuration
+	slowStartDuration time.Duration // Settings.SlowStartDuration
+	subsetFactor      int           // proxies know this multiple of the endpoints that they use; 0: all
+	subsetsMove       bool          // a third of the proxies change their index, and so their subset
+	proxyCountsDiffer bool          // every other proxy's settings name half the number of proxies
+	// Capacity of endpoint 1 relative to the mean; the others have 0.6 and 1.4 in turn, and lists show it as the
+	// weight. 0: all are equal.
+	endpointSize float64
+	deadProxies  float64 // fraction of proxies that end before the start; the others get their clients
 }
 
 const (
-	coldFrom  = 0.16
-	burstFor  = 4 * time.Second
-	burstMore = 1.5
+	slowStartInitial = 0.16
+	burstDuration    = 4 * time.Second
+	burstFactor      = 1.5
 )
 
-// coldEvent is due at a life of a node: 0: at any; without an event, what it does is done.
-type coldEvent struct {
-	at   time.Duration
-	node int
-	life int
-	e    balancer.Event
-	do   func(node int)
+// scheduledEvent is an event that is due for an incarnation of a proxy, 0 for any. If event is nil, run is
+// called instead.
+type scheduledEvent struct {
+	at          time.Duration
+	proxy       int
+	incarnation int
+	event       balancer.Event
+	run         func(proxyIndex int)
 }
 
-type coldQueue []coldEvent
+type eventQueue []scheduledEvent
 
-func (q coldQueue) Len() int           { return len(q) }
-func (q coldQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q coldQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *coldQueue) Push(e any)        { *q = append(*q, e.(coldEvent)) }
-func (q *coldQueue) Pop() (e any)      { e, *q = (*q)[len(*q)-1], (*q)[:len(*q)-1]; return e }
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(e any)        { *q = append(*q, e.(scheduledEvent)) }
+func (q *eventQueue) Pop() (e any)      { e, *q = (*q)[len(*q)-1], (*q)[:len(*q)-1]; return e }
 
-// coldSend is work that reached server 1, in mean requests.
-type coldSend struct {
+// arrivedWork is work that reached endpoint 1, in mean requests.
+type arrivedWork struct {
 	at   time.Duration
 	work float64
 }
 
-type coldFleet struct {
-	coldDay
-	set           balancer.Settings
-	r             *rand.Rand
-	now, start    time.Duration
-	queue         coldQueue
-	nodes         []*balancer.Balancer
-	life, number  []int
-	drawn         []int                 // nodes in the order of their deaths, the last first
-	order         []balancer.EndpointID // of the servers in lists
-	told          []time.Duration       // when each node was told of the start
-	free          []time.Duration       // by server: when its queue is empty
-	legs          map[balancer.RequestID]int
-	over          map[balancer.RequestID]bool
-	work          map[balancer.RequestID]float64
-	sent          []coldSend // by nodes that had been told of the start
-	next          int
-	entered, left int // nodes that came to work with server 1 by a move, or ceased to
+type slowStartFleet struct {
+	slowStartScenario
+	baseSettings               balancer.Settings
+	random                     *rand.Rand
+	now, start                 time.Duration
+	queue                      eventQueue
+	balancers                  []*balancer.Balancer
+	incarnations, proxyIndexes []int
+	deathOrder                 []int                 // proxies in reverse order of their ends
+	listOrder                  []balancer.EndpointID // endpoints in the order of lists
+	listedAt                   []time.Duration       // by proxy: when it learns of the start
+	idleAt                     []time.Duration       // by endpoint: when its queue is empty
+	attempts                   map[balancer.RequestID]int
+	answered                   map[balancer.RequestID]bool
+	work                       map[balancer.RequestID]float64
+	arrivals                   []arrivedWork // from proxies that knew of the start
+	nextRequest                int
+	subsetEntries, subsetExits int // proxies whose move took endpoint 1 into their base subset, or out of it
 }
 
-func playCold(d coldDay, seed int64) *coldFleet {
-	f := &coldFleet{coldDay: d, r: rand.New(rand.NewSource(seed)), now: time.Hour, start: time.Hour + 8*time.Second,
-		nodes: make([]*balancer.Balancer, d.nodes), life: make([]int, d.nodes), number: make([]int, d.nodes), told: make([]time.Duration, d.nodes),
-		free: make([]time.Duration, d.servers+1), legs: map[balancer.RequestID]int{}, over: map[balancer.RequestID]bool{},
+func playSlowStart(d slowStartScenario, seed int64) *slowStartFleet {
+	f := &slowStartFleet{slowStartScenario: d, random: rand.New(rand.NewSource(seed)), now: time.Hour, start: time.Hour + 8*time.Second,
+		balancers: make([]*balancer.Balancer, d.proxies), incarnations: make([]int, d.proxies), proxyIndexes: make([]int, d.proxies), listedAt: make([]time.Duration, d.proxies),
+		idleAt: make([]time.Duration, d.endpoints+1), attempts: map[balancer.RequestID]int{}, answered: map[balancer.RequestID]bool{},
 		work: map[balancer.RequestID]float64{}}
-	f.set = balancer.Settings{Proxies: d.nodes, MaxAttempts: 3, AllowCancel: true, MinEventInterval: 5 * time.Millisecond,
-		ConnectTimeout: 100 * time.Millisecond, SlowStartInitial: coldFrom, SlowStartDuration: d.ramp, OverloadFactor: d.factor,
-		WeightKnown: d.size > 0, OverloadDuration: d.window, SendRetryAfter: true, MaxRetryAfter: time.Second, Classes: []balancer.Class{
+	f.baseSettings = balancer.Settings{Proxies: d.proxies, MaxAttempts: 3, AllowCancel: true, MinEventInterval: 5 * time.Millisecond,
+		ConnectTimeout: 100 * time.Millisecond, SlowStartInitial: slowStartInitial, SlowStartDuration: d.slowStartDuration, OverloadFactor: d.overloadFactor,
+		WeightKnown: d.endpointSize > 0, OverloadDuration: d.overloadDuration, SendRetryAfter: true, MaxRetryAfter: time.Second, Classes: []balancer.Class{
 			{Name: "a", PriorityWeight: 3, LatencyObjective: time.Second, Deadline: 3 * time.Second, Idempotency: balancer.Idempotent},
 			{Name: "b", PriorityWeight: 1, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, Idempotency: balancer.Idempotent}}}
-	if f.drawn = rand.New(rand.NewSource(seed)).Perm(d.nodes); d.dead == 0 {
-		slices.Sort(f.drawn)
+	if f.deathOrder = rand.New(rand.NewSource(seed)).Perm(d.proxies); d.deadProxies == 0 {
+		slices.Sort(f.deathOrder)
 	}
-	f.sort()
-	for i := range f.nodes {
-		f.number[i] = i
-		f.told[i] = f.start + time.Duration(f.r.Float64()*float64(d.late))
-		f.begin(i)
-		heap.Push(&f.queue, coldEvent{f.told[i], i, 0, nil, f.tell})
-		if d.restarts {
-			at := f.start + time.Duration(f.r.Float64()*float64(f.ramp))
-			heap.Push(&f.queue, coldEvent{at, i, 0, nil, f.begin})
+	f.sortEndpoints()
+	for i := range f.balancers {
+		f.proxyIndexes[i] = i
+		f.listedAt[i] = f.start + time.Duration(f.random.Float64()*float64(d.listingDelay))
+		f.startProxy(i)
+		heap.Push(&f.queue, scheduledEvent{f.listedAt[i], i, 0, nil, f.sendStart})
+		if d.proxiesRestart {
+			at := f.start + time.Duration(f.random.Float64()*float64(f.slowStartDuration))
+			heap.Push(&f.queue, scheduledEvent{at, i, 0, nil, f.startProxy})
 		}
-		if d.moves && i%3 == 0 {
-			at := f.start + time.Duration(f.r.Float64()*float64(f.ramp))
-			heap.Push(&f.queue, coldEvent{at, i, 0, nil, f.move})
+		if d.subsetsMove && i%3 == 0 {
+			at := f.start + time.Duration(f.random.Float64()*float64(f.slowStartDuration))
+			heap.Push(&f.queue, scheduledEvent{at, i, 0, nil, f.moveSubset})
 		}
 	}
 	f.play()
 	return f
 }
 
-// begin starts a node, with the list as it has been told.
-func (f *coldFleet) begin(i int) {
-	f.nodes[i], f.life[i] = balancer.New(f.settings(i), f.r.Int63()), f.life[i]+1
-	f.feed(i, f.list(i))
+// startProxy starts a proxy, with the list that it has at present.
+func (f *slowStartFleet) startProxy(i int) {
+	f.balancers[i], f.incarnations[i] = balancer.New(f.settingsOf(i), f.random.Int63()), f.incarnations[i]+1
+	f.feed(i, f.listFor(i))
 }
 
-// play goes on until server 1 is warm. It gives nodes their arrivals, a third of them several times as many as the others, and all that falls due.
-func (f *coldFleet) play() {
-	for end := f.start + f.ramp; f.now < end; {
-		rate := f.rate * f.load * float64(f.servers)
-		if at := f.now - f.start; f.burst > 0 && at >= f.burst && at < f.burst+burstFor {
-			rate *= burstMore
+// play runs the simulation until endpoint 1 is warm. It delivers due events, and arrivals: a third of the
+// proxies get several times as many as the others.
+func (f *slowStartFleet) play() {
+	for end := f.start + f.slowStartDuration; f.now < end; {
+		rate := f.endpointRate * f.load * float64(f.endpoints)
+		if at := f.now - f.start; f.burstAt > 0 && at >= f.burstAt && at < f.burstAt+burstDuration {
+			rate *= burstFactor
 		}
-		f.now += time.Duration(f.r.ExpFloat64() / rate * float64(time.Second))
+		f.now += time.Duration(f.random.ExpFloat64() / rate * float64(time.Second))
 		arrival := f.now
 		for len(f.queue) > 0 && f.queue[0].at <= arrival {
-			p := heap.Pop(&f.queue).(coldEvent)
+			p := heap.Pop(&f.queue).(scheduledEvent)
 			f.now = p.at
-			switch e, ended := p.e.(balancer.AttemptEnded); {
-			case p.e == nil:
-				p.do(p.node)
-			case p.life > 0 && p.life != f.life[p.node]:
+			switch e, ended := p.event.(balancer.AttemptEnded); {
+			case p.event == nil:
+				p.run(p.proxy)
+			case p.incarnation > 0 && p.incarnation != f.incarnations[p.proxy]:
 			case ended:
-				e.RequestAnswered = f.over[e.ID] || e.Outcome == balancer.OK
-				f.over[e.ID] = e.RequestAnswered
-				f.feed(p.node, e)
+				e.RequestAnswered = f.answered[e.ID] || e.Outcome == balancer.OK
+				f.answered[e.ID] = e.RequestAnswered
+				f.feed(p.proxy, e)
 			default:
-				f.feed(p.node, p.e)
+				f.feed(p.proxy, p.event)
 			}
 		}
 		f.now = arrival
-		f.next++
-		id, class := balancer.RequestID(fmt.Sprint(f.next)), "a"
-		if f.work[id] = 1; f.heavy {
+		f.nextRequest++
+		id, class := balancer.RequestID(fmt.Sprint(f.nextRequest)), "a"
+		if f.work[id] = 1; f.mixedWork {
 			f.work[id] = 0.5
-			if f.r.Intn(3) == 0 {
+			if f.random.Intn(3) == 0 {
 				f.work[id], class = 2, "b"
 			}
 		}
-		alive := len(f.nodes)
+		alive := len(f.balancers)
 		if f.now > f.start-4*time.Second {
-			alive = max(1, int(float64(alive)*(1-f.dead)))
+			alive = max(1, int(float64(alive)*(1-f.deadProxies)))
 		}
-		i := f.r.Intn(alive)
-		if i%3 > 0 && f.r.Intn(3) > 0 {
+		i := f.random.Intn(alive)
+		if i%3 > 0 && f.random.Intn(3) > 0 {
 			i -= i % 3
 		}
-		i = f.drawn[i]
+		i = f.deathOrder[i]
 		f.feed(i, balancer.RequestArrived{ID: id, Class: class, Timeout: 2 * time.Second})
 	}
 }
 
-// can is the part of its capacity that server 1 has.
-func (f *coldFleet) can(at time.Duration) float64 {
-	return coldFrom + (1-coldFrom)*math.Min(1, math.Max(0, float64(at-f.start)/float64(f.ramp)))
+// capacityFraction is the fraction of its capacity that endpoint 1 has at a time.
+func (f *slowStartFleet) capacityFraction(at time.Duration) float64 {
+	return slowStartInitial + (1-slowStartInitial)*math.Min(1, math.Max(0, float64(at-f.start)/float64(f.slowStartDuration)))
 }
 
-func (f *coldFleet) feed(i int, e balancer.Event) {
-	for _, a := range f.nodes[i].Handle(f.now, e) {
+func (f *slowStartFleet) feed(i int, e balancer.Event) {
+	for _, a := range f.balancers[i].Handle(f.now, e) {
 		switch a := a.(type) {
 		case balancer.StartAttempt:
-			took, code := f.serve(i, int(a.Endpoint), f.work[a.ID], a.Timeout)
-			end := balancer.AttemptEnded{ID: a.ID, Attempt: f.legs[a.ID], Endpoint: a.Endpoint, Outcome: code, Elapsed: took}
-			f.legs[a.ID]++
-			heap.Push(&f.queue, coldEvent{f.now + took, i, f.life[i], end, nil})
+			took, outcome := f.serve(i, int(a.Endpoint), f.work[a.ID], a.Timeout)
+			end := balancer.AttemptEnded{ID: a.ID, Attempt: f.attempts[a.ID], Endpoint: a.Endpoint, Outcome: outcome, Elapsed: took}
+			f.attempts[a.ID]++
+			heap.Push(&f.queue, scheduledEvent{f.now + took, i, f.incarnations[i], end, nil})
 		case balancer.CancelAttempt:
 			end := balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: balancer.Cancelled}
-			heap.Push(&f.queue, coldEvent{f.now + time.Millisecond, i, f.life[i], end, nil})
+			heap.Push(&f.queue, scheduledEvent{f.now + time.Millisecond, i, f.incarnations[i], end, nil})
 		case balancer.Reject:
-			f.over[a.ID] = true
+			f.answered[a.ID] = true
 		case balancer.Fail:
-			f.over[a.ID] = true
+			f.answered[a.ID] = true
 		case balancer.SetTimer:
-			heap.Push(&f.queue, coldEvent{f.now + a.After, i, f.life[i], balancer.TimerFired{Token: a.Token}, nil})
+			heap.Push(&f.queue, scheduledEvent{f.now + a.After, i, f.incarnations[i], balancer.TimerFired{Token: a.Token}, nil})
 		}
 	}
 }
 
-// serve is a server's answer: in turn, 30 ms at least. A cold one seems as quick as others while it has room.
-func (f *coldFleet) serve(i, id int, work float64, timeout time.Duration) (time.Duration, balancer.Outcome) {
-	rate, refused := f.rate*f.sizeOf(id), f.suspects > 0 && id%5 > 1 && f.now > f.start+f.suspects
+// serve returns the latency and the outcome of an attempt. An endpoint serves requests in turn, and takes
+// minLatency at least. While it is below its capacity, an endpoint in slow start seems as fast as the others.
+func (f *slowStartFleet) serve(i, id int, work float64, timeout time.Duration) (time.Duration, balancer.Outcome) {
+	rate, refused := f.endpointRate*f.relativeSize(id), f.refusalsAt > 0 && id%5 > 1 && f.now > f.start+f.refusalsAt
 	if id == 1 {
-		rate *= f.can(f.now)
+		rate *= f.capacityFraction(f.now)
 		at := f.now - f.start
-		refused = at < 0 && at > -f.down || f.cut > 0 && at > f.cut && at < f.cut+2*time.Second
-		if !refused && at >= 0 && f.now >= f.told[i] {
-			f.sent = append(f.sent, coldSend{f.now, work})
+		refused = at < 0 && at > -f.downFor || f.cutOffAt > 0 && at > f.cutOffAt && at < f.cutOffAt+2*time.Second
+		if !refused && at >= 0 && f.now >= f.listedAt[i] {
+			f.arrivals = append(f.arrivals, arrivedWork{f.now, work})
 		}
 	}
 	if refused {
 		return time.Millisecond, balancer.ConnectFailed
 	}
-	f.free[id] = max(f.free[id], f.now) + time.Duration(work/rate*float64(time.Second))
-	took := max(f.free[id]-f.now, f.base)
-	if f.flat && id == 1 {
-		took = f.base
+	f.idleAt[id] = max(f.idleAt[id], f.now) + time.Duration(work/rate*float64(time.Second))
+	took := max(f.idleAt[id]-f.now, f.minLatency)
+	if f.hidesQueue && id == 1 {
+		took = f.minLatency
 	}
 	if took > timeout && timeout > 0 {
 		return timeout, balancer.TimedOut
@@ -219,25 +227,26 @@
 	return took, balancer.OK
 }
 
-// windows counts the windows, from each send on, in which server 1 gets more than N + 2 x root of N + 2 while it is cold.
-// N is the least that the settings allow it in the window: what it can do at the window's start, times the factor, times
-// the length. Worst is the greatest part of that bound that a window has, used the part of the sum of N's in the ramp.
-func (f *coldFleet) windows() (windows, over int, worst, used float64) {
-	warm := slices.IndexFunc(f.sent, func(s coldSend) bool { return s.at >= f.start+f.ramp })
+// countOverloadedWindows counts the windows of the length overloadDuration, one from each arrival on, in
+// which endpoint 1 gets more than N + 2 sqrt(N) + 2 during its slow start. N is what the settings allow in
+// the window: its capacity at the start of the window, times the overload factor, times the length. worst is
+// the highest fraction of this bound in any window, used the fraction of the sum of all N that was used.
+func (f *slowStartFleet) countOverloadedWindows() (windows, over int, worst, used float64) {
+	warm := slices.IndexFunc(f.arrivals, func(s arrivedWork) bool { return s.at >= f.start+f.slowStartDuration })
 	if warm < 0 {
-		warm = len(f.sent)
+		warm = len(f.arrivals)
 	}
 	all, k, sum := 0.0, 0, 0.0
-	for _, s := range f.sent[:warm] {
-		for ; k < warm && f.sent[k].at < s.at+f.window; k++ {
-			sum += f.sent[k].work
+	for _, s := range f.arrivals[:warm] {
+		for ; k < warm && f.arrivals[k].at < s.at+f.overloadDuration; k++ {
+			sum += f.arrivals[k].work
 		}
-		n := f.rate * f.sizeOf(1) * f.can(s.at) * f.factor * f.window.Seconds()
+		n := f.endpointRate * f.relativeSize(1) * f.capacityFraction(s.at) * f.overloadFactor * f.overloadDuration.Seconds()
 		bound := n + 2*math.Sqrt(n) + 2
 		if windows++; sum > bound {
 			over++
 		}
 		worst, sum, all = math.Max(worst, sum/bound), sum-s.work, all+s.work
 	}
-	return windows, over, worst, all / (f.rate * f.sizeOf(1) * (1 + coldFrom) / 2 * f.factor * f.ramp.Seconds())
+	return windows, over, worst, all / (f.endpointRate * f.relativeSize(1) * (1 + slowStartInitial) / 2 * f.overloadFactor * f.slowStartDuration.Seconds())
 }
--- a/balancer/cold_part_test.go
+++ b/balancer/cold_part_test.go
@@ -11,148 +11,151 @@
 	"wrenspread/balancer"
 )
 
-func (f *coldFleet) sort() {
-	for id := 1; id <= f.servers; id++ {
-		f.order = append(f.order, balancer.EndpointID(id))
+func (f *slowStartFleet) sortEndpoints() {
+	for id := 1; id <= f.endpoints; id++ {
+		f.listOrder = append(f.listOrder, balancer.EndpointID(id))
 	}
-	if f.parts > 0 {
-		slices.SortFunc(f.order, func(a, b balancer.EndpointID) int { return cmp.Compare(balancer.Place(a), balancer.Place(b)) })
+	if f.subsetFactor > 0 {
+		slices.SortFunc(f.listOrder, func(a, b balancer.EndpointID) int { return cmp.Compare(balancer.Position(a), balancer.Position(b)) })
 	}
 }
 
-func (f *coldFleet) settings(i int) balancer.Settings {
-	set := f.set
-	if set.ProxyIndex = f.number[i]; f.sizes && i%2 == 1 {
-		set.Proxies /= 2
+func (f *slowStartFleet) settingsOf(i int) balancer.Settings {
+	settings := f.baseSettings
+	if settings.ProxyIndex = f.proxyIndexes[i]; f.proxyCountsDiffer && i%2 == 1 {
+		settings.Proxies /= 2
 	}
-	return set
+	return settings
 }
 
-// sizeOf is a server's size: what it can do, over what the mean one can.
-func (f *coldFleet) sizeOf(id int) float64 {
-	if f.size == 0 {
+// relativeSize is the capacity of an endpoint relative to the mean.
+func (f *slowStartFleet) relativeSize(id int) float64 {
+	if f.endpointSize == 0 {
 		return 1
 	} else if id == 1 {
-		return f.size
+		return f.endpointSize
 	}
 	return 0.6 + 0.8*float64(id%2)
 }
 
-// list is what a node is told now: all servers, or those of its part.
-func (f *coldFleet) list(i int) balancer.EndpointsUpdated {
+// listFor returns the present list of a proxy: all endpoints, or those of its subset.
+func (f *slowStartFleet) listFor(i int) balancer.EndpointsUpdated {
 	u := balancer.EndpointsUpdated{Kind: balancer.UpdateComplete}
-	for _, id := range f.order {
-		s := balancer.Endpoint{ID: id, Zone: "z", Weight: 8 * f.sizeOf(int(id))}
+	for _, id := range f.listOrder {
+		s := balancer.Endpoint{ID: id, Zone: "z", Weight: 8 * f.relativeSize(int(id))}
 		if id == 1 && f.now >= f.start {
 			s.StartedAt = f.start
 		}
-		if id > 1 || f.down > 0 || s.StartedAt > 0 {
+		if id > 1 || f.downFor > 0 || s.StartedAt > 0 {
 			u.Endpoints = append(u.Endpoints, s)
 		}
 	}
-	if f.parts > 0 {
-		u.TotalEndpoints, u.SubsetStart = len(u.Endpoints), balancer.StartPoint(f.number[i])
-		first := sort.Search(u.TotalEndpoints, func(i int) bool { return balancer.Place(u.Endpoints[i].ID) >= u.SubsetStart })
-		reach := max(5, 6*u.TotalEndpoints/f.settings(i).Proxies+1)
-		u.Endpoints = slices.Concat(u.Endpoints[first:], u.Endpoints[:first])[:min(u.TotalEndpoints, f.parts*reach)]
+	if f.subsetFactor > 0 {
+		u.TotalEndpoints, u.SubsetStart = len(u.Endpoints), balancer.StartPosition(f.proxyIndexes[i])
+		first := sort.Search(u.TotalEndpoints, func(i int) bool { return balancer.Position(u.Endpoints[i].ID) >= u.SubsetStart })
+		subsetSize := max(5, 6*u.TotalEndpoints/f.settingsOf(i).Proxies+1)
+		u.Endpoints = slices.Concat(u.Endpoints[first:], u.Endpoints[:first])[:min(u.TotalEndpoints, f.subsetFactor*subsetSize)]
 	}
 	if slices.ContainsFunc(u.Endpoints, func(s balancer.Endpoint) bool { return s.StartedAt > 0 }) {
-		f.told[i] = min(f.told[i], f.now)
+		f.listedAt[i] = min(f.listedAt[i], f.now)
 	}
 	return u
 }
 
-// tell tells a node of server 1's start, if that is in its part: the change alone.
-func (f *coldFleet) tell(i int) {
-	u := f.list(i)
+// sendStart sends a proxy the incremental update with the start of endpoint 1, if that is in its subset.
+func (f *slowStartFleet) sendStart(i int) {
+	u := f.listFor(i)
 	u.Kind, u.Endpoints = balancer.UpdateIncremental, slices.DeleteFunc(u.Endpoints, func(s balancer.Endpoint) bool { return s.ID != 1 })
 	f.feed(i, u)
 }
 
-// move gives a node the number after the next two, and the part that goes with it.
-func (f *coldFleet) move(i int) {
-	before := slices.Contains(f.nodes[i].Homes(), 1)
-	f.number[i] = (f.number[i] + 3) % len(f.nodes)
-	f.feed(i, balancer.SettingsChanged{Settings: f.settings(i)})
-	f.feed(i, f.list(i))
-	if now := slices.Contains(f.nodes[i].Homes(), 1); now && !before {
-		f.entered++
+// moveSubset increases the index of a proxy by three, and gives the proxy the subset of the new index.
+func (f *slowStartFleet) moveSubset(i int) {
+	before := slices.Contains(f.balancers[i].BaseSubset(), 1)
+	f.proxyIndexes[i] = (f.proxyIndexes[i] + 3) % len(f.balancers)
+	f.feed(i, balancer.SettingsChanged{Settings: f.settingsOf(i)})
+	f.feed(i, f.listFor(i))
+	if now := slices.Contains(f.balancers[i].BaseSubset(), 1); now && !before {
+		f.subsetEntries++
 	} else if before && !now {
-		f.left++
+		f.subsetExits++
 	}
 }
 
-// The sum holds where nodes know parts, and these change while a server is cold: it leaves those of some nodes, and comes
-// into those of others, which have to take it for as cold as it is. What nodes take for the count of those that work with
-// a server is true on average, and at each node within a factor of two, or four where it works with the least number of
-// servers, as places lie by chance; nodes that take the fleet for half as large add a factor of two, downwards.
-func TestColdServerUnderTheSumOfParts(t *testing.T) {
+// The bound on the sum of all proxies' attempts holds where proxies know subsets that change during a slow
+// start: the endpoint leaves the subsets of some proxies and enters those of others, which must take it to be
+// as cold as it is. The proxies' estimates of how many proxies share an endpoint must be right on average,
+// and at each proxy within a factor of two, or of four where proxies use the smallest number of endpoints, as
+// ring positions are random. Proxies whose settings name half the number of proxies may estimate half as
+// many.
+func TestProxiesWithMovingSubsetsDoNotOverloadSlowStart(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
-		name string
-		day  coldDay
+		name     string
+		scenario slowStartScenario
 	}{
-		{"joined, parts move", coldDay{load: 0.7, moves: true}},
-		{"returned, busy, parts move", coldDay{load: 1.1, down: s, moves: true}},
-		{"burst, parts move, sizes differ", coldDay{load: 0.7, burst: 3 * s, moves: true, sizes: true}},
-		{"busy, nodes restart, sizes differ", coldDay{load: 1.1, restarts: true, moves: true, sizes: true}},
+		{"joined, parts move", slowStartScenario{load: 0.7, subsetsMove: true}},
+		{"returned, busy, parts move", slowStartScenario{load: 1.1, downFor: s, subsetsMove: true}},
+		{"burst, parts move, sizes differ", slowStartScenario{load: 0.7, burstAt: 3 * s, subsetsMove: true, proxyCountsDiffer: true}},
+		{"busy, nodes restart, sizes differ", slowStartScenario{load: 1.1, proxiesRestart: true, subsetsMove: true, proxyCountsDiffer: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for _, size := range []struct {
-				nodes, servers int
-				factor         float64
+				proxies, endpoints int
+				factor             float64
 			}{{30, 48, 2}, {300, 42, 4}} {
-				if size.nodes == 300 && c.day.load < 1 {
-					continue // long to play: the hard ones only
+				if size.proxies == 300 && c.scenario.load < 1 {
+					continue // the simulation is slow: only the hard scenarios
 				}
-				d := c.day
-				d.nodes, d.servers, d.parts, d.flat, d.rate, d.base = size.nodes, size.servers, 2, true, 16, 30*time.Millisecond
-				d.factor, d.window, d.ramp = 3, 1500*time.Millisecond, 10*s
-				f := playCold(d, int64(size.nodes))
-				windows, over, worst, used := f.windows()
-				low, mean, high := f.sharers()
-				t.Logf("%d nodes: %.0f%% used, at most %.2f of the bound; %d came in; sharers taken for %.2f to %.2f of the true, %.3f in all",
-					d.nodes, 100*used, worst, f.entered, low, high, mean)
+				d := c.scenario
+				d.proxies, d.endpoints, d.subsetFactor, d.hidesQueue, d.endpointRate, d.minLatency = size.proxies, size.endpoints, 2, true, 16, 30*time.Millisecond
+				d.overloadFactor, d.overloadDuration, d.slowStartDuration = 3, 1500*time.Millisecond, 10*s
+				f := playSlowStart(d, int64(size.proxies))
+				windows, over, worst, used := f.countOverloadedWindows()
+				low, mean, high := f.proxiesPerEndpointRatios()
+				t.Logf("%d proxies: %.0f%% of the budget used, at most %.2f of the bound; %d entered; estimated over true proxies per endpoint: %.2f to %.2f, %.3f in all",
+					d.proxies, 100*used, worst, f.subsetEntries, low, high, mean)
 				if over > 0 {
-					t.Errorf("%d nodes: %d of %d windows over, the worst %.2f of the bound", d.nodes, over, windows, worst)
+					t.Errorf("%d proxies: %d of %d windows over the bound, the worst at %.2f of it", d.proxies, over, windows, worst)
 				}
 				if windows < 20 || used < 0.05 {
-					t.Errorf("%d nodes: only %d windows, %.3f of the budget", d.nodes, windows, used)
+					t.Errorf("%d proxies: only %d windows and %.3f of the budget used", d.proxies, windows, used)
 				}
-				least := 1.0
-				if d.sizes {
-					least = 0.5
+				minRatio := 1.0
+				if d.proxyCountsDiffer {
+					minRatio = 0.5
 				}
-				if low < least/size.factor || high > size.factor || mean < 0.99*least || mean > 1.01 {
-					t.Errorf("%d nodes take sharers for %.2f to %.2f times the true ones, %.3f in all", d.nodes, low, high, mean)
+				if low < minRatio/size.factor || high > size.factor || mean < 0.99*minRatio || mean > 1.01 {
+					t.Errorf("%d proxies estimate %.2f to %.2f times the true proxies per endpoint, %.3f in all", d.proxies, low, high, mean)
 				}
-				if f.entered == 0 || f.left == 0 && !d.sizes {
-					t.Errorf("%d nodes: server 1 left %d and came into %d", d.nodes, f.left, f.entered)
+				if f.subsetEntries == 0 || f.subsetExits == 0 && !d.proxyCountsDiffer {
+					t.Errorf("%d proxies: endpoint 1 left %d subsets and entered %d", d.proxies, f.subsetExits, f.subsetEntries)
 				}
 			}
 		})
 	}
 }
 
-// sharers gives the least and the greatest of what nodes take for the number that works with a server, over how many do
-// with those that the node works with, on average; and the mean of all nodes, over that of all servers.
-func (f *coldFleet) sharers() (low, mean, high float64) {
+// proxiesPerEndpointRatios compares the proxies' estimates of how many proxies share an endpoint with the
+// true numbers. low and high are the extremes over the proxies, each relative to the mean over the endpoints
+// that the proxy uses. mean relates the mean estimate to the mean over all endpoints.
+func (f *slowStartFleet) proxiesPerEndpointRatios() (low, mean, high float64) {
 	with, pairs := map[balancer.EndpointID]float64{}, 0.0
-	for _, m := range f.nodes {
-		for _, id := range m.Homes() {
+	for _, proxy := range f.balancers {
+		for _, id := range proxy.BaseSubset() {
 			with[id], pairs = with[id]+1, pairs+1
 		}
 	}
 	low = math.Inf(1)
-	for _, m := range f.nodes {
-		sum, homes := 0.0, m.Homes()
-		for _, id := range homes {
+	for _, proxy := range f.balancers {
+		sum, baseSubset := 0.0, proxy.BaseSubset()
+		for _, id := range baseSubset {
 			sum += with[id]
 		}
-		part := m.Sharers() / (sum / float64(len(homes)))
-		low, high = math.Min(low, part), math.Max(high, part)
-		mean += m.Sharers() / float64(len(f.nodes)) / (pairs / float64(f.servers))
+		ratio := proxy.ProxiesPerEndpoint() / (sum / float64(len(baseSubset)))
+		low, high = math.Min(low, ratio), math.Max(high, ratio)
+		mean += proxy.ProxiesPerEndpoint() / float64(len(f.balancers)) / (pairs / float64(f.endpoints))
 	}
 	return low, mean, high
 }
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -7,9 +7,10 @@
 	"wrenspread/balancer"
 )
 
-// A zone is lost together with the nodes there: its servers fall silent, this node gets twice the traffic, the list tells
-// late, and the servers come back as new processes. What is left is not crowded, and those that return are paced.
-func TestZoneLostWithItsNodesAndBackCold(t *testing.T) {
+// A zone fails together with its proxies: its endpoints stop responding, this proxy gets twice the traffic,
+// discovery removes the endpoints late, and they return as new processes. The remaining endpoints must not be
+// overloaded, and the returning ones get a slow start.
+func TestZoneLossAndReturnWithSlowStart(t *testing.T) {
 	s := rigSettings()
 	s.Proxies = 2
 	r := newRig(t, s, 8)
@@ -34,7 +35,7 @@
 		}
 	}
 	if dead > 60 || alive < 300 || r.failed > 0 {
-		t.Errorf("zone lost: %d sends into it, %d to the rest, %d failed", dead, alive, r.failed)
+		t.Errorf("zone lost: %d attempts in the zone, %d elsewhere, %d failed", dead, alive, r.failed)
 	}
 	var gone, back []balancer.Endpoint
 	for id := balancer.EndpointID(5); id <= 8; id++ {
@@ -46,7 +47,7 @@
 	r.run(2*time.Second, 120, "cheap")
 	for id := range r.sent {
 		if lost(id) {
-			t.Errorf("sent to %d, which is gone", id)
+			t.Errorf("attempt at endpoint %d, which is gone", id)
 		}
 	}
 	r.delay = up
@@ -54,21 +55,22 @@
 	r.reset()
 	r.run(time.Second, 120, "cheap")
 	for id, n := range r.sent {
-		// Warm ones do 30/s for this node; a cold one gets 0.6 of what the rule allows, and what it has saved.
+		// Warm endpoints serve 30/s of this proxy; a slow-starting one gets 0.6 of its budget, and saved tokens.
 		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > 0.6*budget+2 {
-			t.Errorf("cold server %d got %d in its first second", id, n)
+			t.Errorf("slow-starting endpoint %d got %d attempts in its first second", id, n)
 		}
 	}
 	r.run(9*time.Second, 60, "cheap")
 	r.reset()
 	r.run(5*time.Second, 60, "cheap")
-	if n := r.sent[5] + r.sent[6] + r.sent[7] + r.sent[8]; n < 90 || r.refused > 0 {
-		t.Errorf("once warm: %d of 300 sends to the zone, %d refused", n, r.refused)
+	if n := r.sent[5] + r.sent[6] + r.sent[7] + r.sent[8]; n < 90 || r.rejected > 0 {
+		t.Errorf("once warm: %d of 300 attempts in the zone, %d rejected", n, r.rejected)
 	}
 }
 
-// A cold server that answers well gets work as fast as the overload factor allows, not only as fast as the cold time says.
-func TestColdServerGrowsWithItsAnswers(t *testing.T) {
+// In its slow start, an endpoint that responds well gets work as fast as the overload factor allows, and not
+// only as fast as the slow start duration suggests.
+func TestSlowStartGrowsWithOverloadFactor(t *testing.T) {
 	grown := func(factor float64) int {
 		s := rigSettings()
 		s.OverloadFactor = factor
@@ -81,6 +83,6 @@
 		return r.sent[2]
 	}
 	if tight, wide := grown(1), grown(4); wide*2 < tight*3 {
-		t.Errorf("%d sends in 2 s with overload factor 1, %d with 4", tight, wide)
+		t.Errorf("%d attempts in 2 s with overload factor 1, %d with 4", tight, wide)
 	}
 }
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -1,13 +1,13 @@
 package balancer
 
-// What plays of whole fleets read and no caller needs.
+// Accessors for simulations of fleets in external tests.
 
-// Place is a server's place on the ring, StartPoint that from which a node takes its own.
-func Place(id EndpointID) uint64     { return ringPosition(id) }
-func StartPoint(node int) uint64     { return startPosition(node) }
-func (m *Balancer) Sharers() float64 { return m.proxiesPerEndpoint }
-func (m *Balancer) Homes() (ids []EndpointID) {
-	for _, s := range m.baseSubset {
+// Position is the ring position of an endpoint, StartPosition that at which a proxy's subset starts.
+func Position(id EndpointID) uint64             { return ringPosition(id) }
+func StartPosition(proxyIndex int) uint64       { return startPosition(proxyIndex) }
+func (b *Balancer) ProxiesPerEndpoint() float64 { return b.proxiesPerEndpoint }
+func (b *Balancer) BaseSubset() (ids []EndpointID) {
+	for _, s := range b.baseSubset {
 		ids = append(ids, s.ID)
 	}
 	return ids
--- a/balancer/fixture_test.go
+++ b/balancer/fixture_test.go
@@ -7,9 +7,9 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestHandoffAndNoteFormsAreUnchanged compares what a process hands to the next, and a note to another node, with golden
-// files.
-func TestHandoffAndNoteFormsAreUnchanged(t *testing.T) {
+// The learned state that a process hands to the next one, and the messages between proxies, must keep their
+// encoding, as processes of different versions exchange them.
+func TestLearnedStateAndLoadMessageEncodingsAreUnchanged(t *testing.T) {
 	fixture.AssertJSON(t, "learned", &LearnedState{})
 	fixture.Assert(t, "note", fmt.Appendf(nil, "%x\n%x\n", encodeLoadMessage(7, 2.5, 0), encodeLoadMessage(7, 2.5, 0.05)))
 }
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// successor makes the module of a new process, by way of the form in which the state passes.
-func successor(t *testing.T, m *Balancer, change func(*LearnedState)) *Balancer {
+// newProcess creates the balancer of a new process with the JSON encoding of the old one's learned state,
+// modified by change.
+func newProcess(t *testing.T, proxy *Balancer, change func(*LearnedState)) *Balancer {
 	t.Helper()
-	raw, err := json.Marshal(m.Learned(m.now))
+	raw, err := json.Marshal(proxy.Learned(proxy.now))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,64 +20,66 @@
 		t.Fatal(err)
 	}
 	change(&l)
-	next := New(m.settings, 9)
-	next.Handle(m.now, Restored{Learned: l})
-	return next
+	successor := New(proxy.settings, 9)
+	successor.Handle(proxy.now, Restored{Learned: l})
+	return successor
 }
 
-func listOf(m *Balancer) (all []Endpoint) {
-	for _, s := range m.ring.endpoints {
+func listedEndpoints(proxy *Balancer) (all []Endpoint) {
+	for _, s := range proxy.ring.endpoints {
 		all = append(all, s.Endpoint)
 	}
 	return all
 }
 
-// What was learned goes on, whatever the list's order and however old the list that comes first.
-func TestSuccessorKnowsItsServers(t *testing.T) {
-	m := plainNode(t)
-	m.Handle(m.now, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 4, Zone: "z", StartedAt: m.now - time.Second}}})
-	m.endpoints[2].ejected, m.endpoints[2].nextProbeAt, m.endpoints[2].probeBackoff = true, m.now+time.Second, time.Second
-	sentTo(t, m, RequestArrived{ID: "out", Class: "a", Timeout: time.Second})
-	m.retryBudget = 3
-	next := successor(t, m, func(*LearnedState) {})
-	next.Handle(m.now, EndpointsUpdated{Kind: UpdateCached, Endpoints: []Endpoint{{ID: 1, Zone: "z"}, {ID: 4, Zone: "z"}}})
-	next.Handle(m.now, EndpointsUpdated{Kind: UpdateComplete, Endpoints: listOf(m)})
-	if next.meanLatency != m.meanLatency || next.responses != m.responses || next.retryBudget != 3 || !next.hasEstimates ||
-		next.classes["a"].meanLatency != m.classes["a"].meanLatency {
-		t.Errorf("mean %v of %v, %v answers, budget %v, learned %v", next.meanLatency, m.meanLatency, next.responses, next.retryBudget, next.hasEstimates)
+// A new process continues with the learned state, whatever the order of the list, and also if the first list
+// is outdated.
+func TestNewProcessInheritsLearnedState(t *testing.T) {
+	proxy := newLearnedProxy(t)
+	proxy.Handle(proxy.now, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 4, Zone: "z", StartedAt: proxy.now - time.Second}}})
+	proxy.endpoints[2].ejected, proxy.endpoints[2].nextProbeAt, proxy.endpoints[2].probeBackoff = true, proxy.now+time.Second, time.Second
+	startRequest(t, proxy, RequestArrived{ID: "out", Class: "a", Timeout: time.Second})
+	proxy.retryBudget = 3
+	successor := newProcess(t, proxy, func(*LearnedState) {})
+	successor.Handle(proxy.now, EndpointsUpdated{Kind: UpdateCached, Endpoints: []Endpoint{{ID: 1, Zone: "z"}, {ID: 4, Zone: "z"}}})
+	successor.Handle(proxy.now, EndpointsUpdated{Kind: UpdateComplete, Endpoints: listedEndpoints(proxy)})
+	if successor.meanLatency != proxy.meanLatency || successor.responses != proxy.responses || successor.retryBudget != 3 || !successor.hasEstimates ||
+		successor.classes["a"].meanLatency != proxy.classes["a"].meanLatency {
+		t.Errorf("mean latency %v, want %v; %v responses, retry budget %v, has estimates: %v", successor.meanLatency, proxy.meanLatency, successor.responses, successor.retryBudget, successor.hasEstimates)
 	}
 	load := 0.0
-	for id, s := range next.endpoints {
-		before := m.endpoints[id]
+	for id, s := range successor.endpoints {
+		before := proxy.endpoints[id]
 		if s.responseRate != before.responseRate || s.ejected != before.ejected || s.slowStarting != before.slowStarting || s.slowStartSince != before.slowStartSince {
-			t.Errorf("server %d: %+v, before %+v", id, s, before)
+			t.Errorf("endpoint %d: %+v, before %+v", id, s, before)
 		}
-		load += next.knownLoad(s)
+		load += successor.knownLoad(s)
 	}
 	if load < 0.9 {
-		t.Errorf("the work that the old process has out counts %v", load)
+		t.Errorf("the work in flight of the old process counts as %v, want 0.9 or more", load)
 	}
-	next.Handle(m.now+time.Minute, TimerFired{})
-	for id, s := range next.endpoints {
-		if next.knownLoad(s) != 0 {
-			t.Errorf("a minute later server %d still counts work", id)
+	successor.Handle(proxy.now+time.Minute, TimerFired{})
+	for id, s := range successor.endpoints {
+		if successor.knownLoad(s) != 0 {
+			t.Errorf("endpoint %d: work of the old process still counts a minute later", id)
 		}
 	}
 }
 
-// A server that has restarted since is new, and one that no list names gets nothing.
-func TestSuccessorTrustsTheList(t *testing.T) {
-	m := plainNode(t)
-	m.endpoints[1].ejected = true
-	next := successor(t, m, func(*LearnedState) {})
-	next.Handle(m.now, EndpointsUpdated{Kind: UpdateComplete, Endpoints: []Endpoint{{ID: 1, Zone: "z", StartedAt: m.now}}})
-	if s := next.endpoints[1]; s.ejected || !s.slowStarting || len(next.endpoints) != 1 {
-		t.Errorf("%d servers, restarted one %+v", len(next.endpoints), s)
+// An endpoint that has restarted since is taken as new, and an endpoint that no list names gets no attempts.
+func TestNewProcessPrefersTheListToInheritedState(t *testing.T) {
+	proxy := newLearnedProxy(t)
+	proxy.endpoints[1].ejected = true
+	successor := newProcess(t, proxy, func(*LearnedState) {})
+	successor.Handle(proxy.now, EndpointsUpdated{Kind: UpdateComplete, Endpoints: []Endpoint{{ID: 1, Zone: "z", StartedAt: proxy.now}}})
+	if s := successor.endpoints[1]; s.ejected || !s.slowStarting || len(successor.endpoints) != 1 {
+		t.Errorf("%d endpoints, restarted endpoint: %+v", len(successor.endpoints), s)
 	}
 }
 
-// State of another making changes nothing where it makes no sense.
-func TestOddStateIsNothing(t *testing.T) {
+// Learned state with implausible values, as of a faulty process, must not prevent attempts or lead to
+// infinite delays.
+func TestImplausibleLearnedStateDoesNoHarm(t *testing.T) {
 	for _, change := range []func(*LearnedState){
 		func(l *LearnedState) { l.MeanLatency = -1 },
 		func(l *LearnedState) { l.Responses = math.Inf(1) },
@@ -87,26 +90,26 @@
 		func(l *LearnedState) { l.Endpoints[0].ExcessLatencyAt, l.Endpoints[0].ResponseRateAt = 1<<62, -1<<62 },
 		func(l *LearnedState) { *l = LearnedState{} },
 	} {
-		m := plainNode(t)
-		next := successor(t, m, change)
-		next.Handle(m.now, EndpointsUpdated{Kind: UpdateComplete, Endpoints: listOf(m)})
-		if got := ask(t, next, 60); got[1]+got[2]+got[3]+got[4] != 60 || len(got) != 4 {
-			t.Errorf("sends %v", got)
+		proxy := newLearnedProxy(t)
+		successor := newProcess(t, proxy, change)
+		successor.Handle(proxy.now, EndpointsUpdated{Kind: UpdateComplete, Endpoints: listedEndpoints(proxy)})
+		if got := countAttempts(t, successor, 60); got[1]+got[2]+got[3]+got[4] != 60 || len(got) != 4 {
+			t.Errorf("attempts %v", got)
 		}
-		for _, s := range next.endpoints {
-			if x := next.expectedDelay(&request{class: next.classes["a"], relativeWork: 1}, s); !(x > 0) || math.IsInf(x, 0) {
-				t.Errorf("a delay of %v", x)
+		for _, s := range successor.endpoints {
+			if x := successor.expectedDelay(&request{class: successor.classes["a"], relativeWork: 1}, s); !(x > 0) || math.IsInf(x, 0) {
+				t.Errorf("expected delay of %v", x)
 			}
 		}
 	}
 }
 
-// The old process leaves cold servers to the new one, as both together would send too much.
-func TestHandedOverSendsNothingCold(t *testing.T) {
-	m := plainNode(t)
-	m.Handle(m.now, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 4, Zone: "z", StartedAt: m.now}}})
-	m.Handle(m.now, HandedOver{})
-	if got := ask(t, m, 100); got[4] != 0 || len(got) != 3 {
-		t.Errorf("sends %v", got)
+// The old process leaves endpoints in slow start to the new one, as both together would send too much.
+func TestHandedOverProcessSendsNothingToSlowStartingEndpoint(t *testing.T) {
+	proxy := newLearnedProxy(t)
+	proxy.Handle(proxy.now, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 4, Zone: "z", StartedAt: proxy.now}}})
+	proxy.Handle(proxy.now, HandedOver{})
+	if got := countAttempts(t, proxy, 100); got[4] != 0 || len(got) != 3 {
+		t.Errorf("attempts %v", got)
 	}
 }
--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -8,74 +8,75 @@
 	"wrenspread/balancer"
 )
 
-// fallen gives the node of a fleet after ten seconds of traffic, from when on all servers refuse or are silent. Each
-// attempt from then on is told.
-func fallen(t *testing.T, nodes, node, servers int, rate float64, class string, code balancer.Outcome, sent func(at time.Duration)) *rig {
+// newRigWithFailingEndpoints returns the rig of a proxy after ten seconds of traffic. From then on all
+// endpoints fail with the outcome, and sent is called with the time of each attempt since then.
+func newRigWithFailingEndpoints(t *testing.T, proxies, proxyIndex, endpoints int, rate float64, class string, outcome balancer.Outcome, sent func(at time.Duration)) *rig {
 	s := rigSettings()
-	s.Proxies, s.ProxyIndex = nodes, node
-	r := newRig(t, s, servers)
+	s.Proxies, s.ProxyIndex = proxies, proxyIndex
+	r := newRig(t, s, endpoints)
 	r.run(10*time.Second, rate, class)
 	start := r.now
 	r.delay = func(balancer.EndpointID) (time.Duration, balancer.Outcome) {
 		sent(r.now - start)
-		if code == balancer.TimedOut {
-			return time.Hour, code
+		if outcome == balancer.TimedOut {
+			return time.Hour, outcome
 		}
-		return time.Millisecond, code
+		return time.Millisecond, outcome
 	}
 	return r
 }
 
-// A node whose every server refuses or is silent makes an attempt all the same: 3 s after the one before at the latest,
-// with the next request that may be repeated. Where none may, nothing is tried, and the first that may is.
-func TestNodeWithoutServersIsNotIdle(t *testing.T) {
-	for _, servers := range []int{1, 2, 10, 40} {
-		for code, name := range map[balancer.Outcome]string{balancer.ConnectFailed: "refusing", balancer.TimedOut: "silent"} {
+// A proxy whose endpoints all refuse connections or do not respond still makes an attempt every 3 s at least,
+// with the next request that may be repeated. It never uses a request that must not run twice.
+func TestProxyWithoutWarmEndpointsKeepsProbing(t *testing.T) {
+	for _, endpoints := range []int{1, 2, 10, 40} {
+		for outcome, name := range map[balancer.Outcome]string{balancer.ConnectFailed: "refusing", balancer.TimedOut: "silent"} {
 			for _, rate := range []float64{4, 10, 40} {
-				t.Run(fmt.Sprint(servers, " servers, ", name, ", ", rate, " requests a second"), func(t *testing.T) {
-					for node := range 3 {
+				t.Run(fmt.Sprint(endpoints, " servers, ", name, ", ", rate, " requests a second"), func(t *testing.T) {
+					for proxyIndex := range 3 {
 						last, longest := time.Duration(0), time.Duration(0)
-						r := fallen(t, 3, node, servers, rate, "cheap", code, func(at time.Duration) { last, longest = at, max(longest, at-last) })
+						r := newRigWithFailingEndpoints(t, 3, proxyIndex, endpoints, rate, "cheap", outcome, func(at time.Duration) { last, longest = at, max(longest, at-last) })
 						r.run(time.Minute, rate, "cheap")
 						longest = max(longest, time.Minute-last)
 						if limit := 3*time.Second + time.Duration(float64(time.Second)/rate) + 10*time.Millisecond; longest > limit {
-							t.Errorf("%v without an attempt, want %v at most", longest, limit)
+							t.Errorf("%v without an attempt, want at most %v", longest, limit)
 						}
 					}
 				})
 			}
 		}
 	}
-	sends := 0
-	r := fallen(t, 1, 0, 2, 40, "once", balancer.ConnectFailed, func(time.Duration) { sends++ })
+	attempts := 0
+	r := newRigWithFailingEndpoints(t, 1, 0, 2, 40, "once", balancer.ConnectFailed, func(time.Duration) { attempts++ })
 	r.run(10*time.Second, 40, "once")
-	before := sends
-	if r.run(time.Minute, 40, "once"); sends != before {
-		t.Errorf("%d trials of requests that must not run twice", sends-before)
+	before := attempts
+	if r.run(time.Minute, 40, "once"); attempts != before {
+		t.Errorf("%d recovery probes of requests that must not run twice", attempts-before)
 	}
-	if r.run(10*time.Millisecond, 100, "cheap"); sends == before {
-		t.Error("no trial of the first that may")
+	if r.run(10*time.Millisecond, 100, "cheap"); attempts == before {
+		t.Error("no recovery probe with the first request that may be repeated")
 	}
 }
 
-// Nodes that lost all servers together are no herd: each makes two attempts in 5 s, and they spread.
-func TestNodesWithoutServersAreNoHerd(t *testing.T) {
-	for _, nodes := range []int{30, 300} {
-		seconds, all := map[time.Duration]int{}, 0
-		for node := range nodes {
-			r := fallen(t, nodes, node, 2, 4, "cheap", balancer.ConnectFailed, func(at time.Duration) { seconds[at/time.Second]++ })
+// Proxies that have lost all endpoints at the same time do not cause a thundering herd: each makes two
+// attempts in 5 s, and the attempts spread.
+func TestProxiesWithoutWarmEndpointsSpreadTheirProbes(t *testing.T) {
+	for _, proxies := range []int{30, 300} {
+		seconds, total := map[time.Duration]int{}, 0
+		for proxyIndex := range proxies {
+			r := newRigWithFailingEndpoints(t, proxies, proxyIndex, 2, 4, "cheap", balancer.ConnectFailed, func(at time.Duration) { seconds[at/time.Second]++ })
 			r.run(time.Minute, 4, "cheap")
 		}
 		for second, n := range seconds {
 			if second >= 20 {
-				all += n
-				if float64(n) > 0.8*float64(nodes) {
-					t.Errorf("%d nodes: %d attempts in one second", nodes, n)
+				total += n
+				if float64(n) > 0.8*float64(proxies) {
+					t.Errorf("%d proxies: %d attempts in one second", proxies, n)
 				}
 			}
 		}
-		if each := float64(all) / 40 / float64(nodes); each > 0.42 {
-			t.Errorf("%d nodes: %.2f attempts a second of each", nodes, each)
+		if perProxy := float64(total) / 40 / float64(proxies); perProxy > 0.42 {
+			t.Errorf("%d proxies: %.2f attempts per second and proxy", proxies, perProxy)
 		}
 	}
 }
--- a/balancer/inflightlimit.go
+++ b/balancer/inflightlimit.go
@@ -83,12 +83,12 @@
 	if !b.hasEstimates {
 		return 2 * minFleetInFlight / b.proxiesPerEndpoint
 	}
-	// relative to the fleet
+	// speed is that of the endpoint relative to the fleet.
 	speed := math.Min(1, b.meanLatency/b.expectedLatency(e))
 	rate := (1-fleetRateFraction)*b.responseRate(e) + fleetRateFraction*b.meanRate*speed // responses per second
-	// s, that the objectives and short queues require
+	// targetLatency, in seconds, satisfies the objectives and keeps queues short.
 	targetLatency := math.Min(maxLatencyFactor*b.baseLatency, maxObjectiveFraction*b.tightestObjective)
-	busyLatency := b.baseLatency * b.peakRate / b.meanRate // s, at which the limit still keeps an endpoint busy
+	busyLatency := b.baseLatency * b.peakRate / b.meanRate // s, lower bound that keeps the endpoint busy
 	limit := rate * math.Max(busyLatency, targetLatency*math.Min(maxLimitGrowth, targetLatency/b.meanLatency))
 	return math.Max(limit, minFleetInFlight/b.proxiesPerEndpoint)
 }
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -9,20 +9,20 @@
 	"wrenspread/ratelimit"
 )
 
-// tokens are plain numbers.
-type tokens struct{ left, full []float64 }
+// fixedTokens implements ratelimit.Tokens with numbers that tests set.
+type fixedTokens struct{ available, capacity []float64 }
 
-func tokensOf(t *ratelimit.Table) *tokens {
-	return &tokens{left: make([]float64, t.TokenSlots()), full: make([]float64, t.TokenSlots())}
+func newTokens(t *ratelimit.Table) *fixedTokens {
+	return &fixedTokens{available: make([]float64, t.TokenSlots()), capacity: make([]float64, t.TokenSlots())}
 }
 
-func (h *tokens) Available(i int) float64 { return h.left[i] }
-func (h *tokens) Capacity(i int) float64  { return h.full[i] }
-func (h *tokens) Take(i int, n float64)   { h.left[i] -= n }
-func (h *tokens) Return(i int, n float64) { h.left[i] += n }
-func (h *tokens) Rejected(int, float64)   {}
+func (f *fixedTokens) Available(i int) float64 { return f.available[i] }
+func (f *fixedTokens) Capacity(i int) float64  { return f.capacity[i] }
+func (f *fixedTokens) Take(i int, n float64)   { f.available[i] -= n }
+func (f *fixedTokens) Return(i int, n float64) { f.available[i] += n }
+func (f *fixedTokens) Rejected(int, float64)   {}
 
-// fleetTable has one limit of a unit, on all requests.
+// fleetTable returns a table with one limit, on all requests.
 func fleetTable(unit ratelimit.Unit) *ratelimit.Table {
 	table := &ratelimit.Table{Format: ratelimit.Format, Scopes: []ratelimit.Scope{{Parent: -1, LimitCount: 1}}}
 	table.Limits = []ratelimit.Limit{{Parent: -1, Unit: unit, Rate: 10, Weight: 1, Borrow: true, FallbackShare: 0.25, Status: 429,
@@ -31,71 +31,74 @@
 	return table
 }
 
-// drive sends some requests through a module and gives what it did.
-func drive(m *Balancer, n int, classes ...string) (out [][]Action) {
+// sendRequests sends n requests of alternating classes to a balancer with two endpoints, and returns the
+// actions for each.
+func sendRequests(proxy *Balancer, n int, classes ...string) (out [][]Action) {
 	now := time.Hour
-	m.Handle(now, EndpointsUpdated{Kind: UpdateComplete, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}})
+	proxy.Handle(now, EndpointsUpdated{Kind: UpdateComplete, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}})
 	for i := range n {
 		now += time.Millisecond
-		out = append(out, m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: classes[i%len(classes)], Tenant: "book",
+		out = append(out, proxy.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: classes[i%len(classes)], Tenant: "book",
 			Timeout: time.Second}))
 	}
 	return out
 }
 
-func plainModule() *Balancer {
+func newLimitedBalancer() *Balancer {
 	return New(Settings{Proxies: 1, MaxAttempts: 2, SendRetryAfter: true, MaxRetryAfter: time.Minute, MinEventInterval: time.Millisecond, Zone: "site",
 		Classes: []Class{{Name: "view", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second}}}, 1)
 }
 
-func openTable(t *testing.T) (*ratelimit.Table, *tokens) {
+// concurrencyTable returns a table with a limit of two requests in flight and a degradation level that sheds
+// the class report.
+func concurrencyTable(t *testing.T) (*ratelimit.Table, *fixedTokens) {
 	table := fleetTable(ratelimit.UnitConcurrency)
 	table.Limits[0].RetryAfter = 10 * time.Second
 	table.Levels = []ratelimit.DegradationLevel{{EnterAbove: 0.5, RejectClasses: []string{"report"}, Status: 503, RetryAfter: time.Second}}
 	if err := table.Finalize(); err != nil {
 		t.Fatal(err)
 	}
-	h := tokensOf(table)
-	h.left[0], h.full[0] = 2, 2
-	return table, h
+	tokens := newTokens(table)
+	tokens.available[0], tokens.capacity[0] = 2, 2
+	return table, tokens
 }
 
-// The table that holds refuses with its status and wait, and what ends is given back to its hand, also after the next
-// table came.
-func TestTableHolds(t *testing.T) {
-	table, h := openTable(t)
-	m := plainModule()
-	m.Handle(0, TableChanged{Table: table, Tokens: h})
-	out := drive(m, 3, "view")
+// The table in force rejects requests with its status and Retry-After. Requests return their reservations to
+// the tokens that they took them from, also after the table has been replaced.
+func TestTableInForceRejectsAndGetsReservationsBack(t *testing.T) {
+	table, tokens := concurrencyTable(t)
+	proxy := newLimitedBalancer()
+	proxy.Handle(0, TableChanged{Table: table, Tokens: tokens})
+	out := sendRequests(proxy, 3, "view")
 	r, ok := out[2][0].(Reject)
-	if !ok || m.requests["2"] != nil || r.Status != 429 || r.RetryAfter < 5*time.Second || r.RetryAfter > 15*time.Second || h.left[0] != 0 {
-		t.Fatalf("%+v, %v left", out, h.left)
+	if !ok || proxy.requests["2"] != nil || r.Status != 429 || r.RetryAfter < 5*time.Second || r.RetryAfter > 15*time.Second || tokens.available[0] != 0 {
+		t.Fatalf("%+v, %v tokens available", out, tokens.available)
 	}
-	m.Handle(time.Hour+time.Second, DegradationChanged{Level: 1})
-	if out := m.Handle(time.Hour+time.Second, RequestArrived{ID: "x", Class: "report", Timeout: time.Second}); out[0].(Reject).Status != 503 {
+	proxy.Handle(time.Hour+time.Second, DegradationChanged{Level: 1})
+	if out := proxy.Handle(time.Hour+time.Second, RequestArrived{ID: "x", Class: "report", Timeout: time.Second}); out[0].(Reject).Status != 503 {
 		t.Fatalf("%+v at level 1", out)
 	}
-	if holds, tried := m.LimitCounts(); holds.Requests != 4 || !slices.Equal(holds.RejectedByLimit, []uint64{1, 1}) || tried.Requests != 0 {
-		t.Fatalf("%+v, %+v", holds, tried)
+	if inForce, shadow := proxy.LimitCounts(); inForce.Requests != 4 || !slices.Equal(inForce.RejectedByLimit, []uint64{1, 1}) || shadow.Requests != 0 {
+		t.Fatalf("%+v, %+v", inForce, shadow)
 	}
-	m.Handle(time.Hour+time.Second, TableChanged{})
-	m.Handle(time.Hour+time.Second, AttemptEnded{ID: "0", Endpoint: out[0][0].(StartAttempt).Endpoint, Outcome: OK, RequestAnswered: true})
-	m.Handle(time.Hour+time.Second, RequestAbandoned{ID: "1"})
-	if h.left[0] != 2 {
-		t.Fatalf("%v left when all have ended", h.left)
+	proxy.Handle(time.Hour+time.Second, TableChanged{})
+	proxy.Handle(time.Hour+time.Second, AttemptEnded{ID: "0", Endpoint: out[0][0].(StartAttempt).Endpoint, Outcome: OK, RequestAnswered: true})
+	proxy.Handle(time.Hour+time.Second, RequestAbandoned{ID: "1"})
+	if tokens.available[0] != 2 {
+		t.Fatalf("%v tokens available after the end of all requests, want 2", tokens.available)
 	}
 }
 
-// A table that is tried counts, and changes nothing.
-func TestTableTried(t *testing.T) {
-	table, h := openTable(t)
-	m := plainModule()
-	m.Handle(0, TableChanged{Table: table, Tokens: h, Shadow: true})
-	got, want := drive(m, 40, "view"), drive(plainModule(), 40, "view")
+// A shadow table counts its decisions and does not change any action.
+func TestShadowTableCountsWithoutEffect(t *testing.T) {
+	table, tokens := concurrencyTable(t)
+	proxy := newLimitedBalancer()
+	proxy.Handle(0, TableChanged{Table: table, Tokens: tokens, Shadow: true})
+	got, want := sendRequests(proxy, 40, "view"), sendRequests(newLimitedBalancer(), 40, "view")
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Fatalf("%v\nwithout a table %v", got, want)
 	}
-	if holds, tried := m.LimitCounts(); tried.Requests != 40 || tried.Rejected != 38 || tried.Disagreements != 38 || holds.Requests != 0 {
-		t.Fatalf("%+v, %+v", holds, tried)
+	if inForce, shadow := proxy.LimitCounts(); shadow.Requests != 40 || shadow.Rejected != 38 || shadow.Disagreements != 38 || inForce.Requests != 0 {
+		t.Fatalf("%+v, %+v", inForce, shadow)
 	}
 }
--- a/balancer/look_test.go
+++ b/balancer/look_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-func lookSettings() Settings {
+func loadQuerySettings() Settings {
 	return Settings{Proxies: 30, MaxAttempts: 3, MinEventInterval: time.Millisecond, SlowStartInitial: 0.3, SlowStartDuration: 8 * time.Second,
 		OverloadFactor: 3, ConnectTimeout: 100 * time.Millisecond, AllowLoadQueries: true, LoadReports: LoadReportsByQuery,
 		Prices:  Prices{LoadQuery: 0.002},
 		Classes: []Class{{Name: "page", PriorityWeight: 1, LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, Idempotency: Idempotent}}}
 }
 
-func lookingNode(s Settings) *Balancer {
-	m := New(s, 3)
+func newLoadQueryingProxy(s Settings) *Balancer {
+	proxy := New(s, 3)
 	var list []Endpoint
 	for i := range 20 {
 		list = append(list, Endpoint{ID: EndpointID(i + 1), Zone: "z"})
 	}
-	m.Handle(time.Hour, EndpointsUpdated{Kind: UpdateCached, Endpoints: list})
-	m.serviceTime, m.tightestObjective, m.responses = 0.1, 0.5, 100
-	return m
+	proxy.Handle(time.Hour, EndpointsUpdated{Kind: UpdateCached, Endpoints: list})
+	proxy.serviceTime, proxy.tightestObjective, proxy.responses = 0.1, 0.5, 100
+	return proxy
 }
 
-func probes(actions []Action) (ids []EndpointID) {
+func queriedEndpoints(actions []Action) (ids []EndpointID) {
 	for _, a := range actions {
 		if p, ok := a.(QueryLoad); ok {
 			ids = append(ids, p.Endpoint)
@@ -33,7 +33,7 @@
 	return ids
 }
 
-func sends(actions []Action) (ids []EndpointID) {
+func attemptedEndpoints(actions []Action) (ids []EndpointID) {
 	for _, a := range actions {
 		if s, ok := a.(StartAttempt); ok {
 			ids = append(ids, s.Endpoint)
@@ -42,123 +42,128 @@
 	return ids
 }
 
-func report(n, waiting float64) *LoadReport {
+func newLoadReport(n, waiting float64) *LoadReport {
 	return &LoadReport{InFlight: n, HasInFlight: true, QueueLength: waiting, HasQueueLength: true}
 }
 
-// One of many nodes knows nothing of what the others have sent: it asks two servers and takes the emptier one.
-func TestLooksAtTwoAndTakesTheEmptier(t *testing.T) {
-	m := lookingNode(lookSettings())
-	out := m.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
-	asked := probes(out)
-	if len(asked) != 2 || asked[0] == asked[1] || len(sends(out)) > 0 {
+// One of many proxies does not know what the others have sent: it queries two endpoints for their load and
+// uses the less loaded one.
+func TestQueriesTwoEndpointsAndPicksTheLessLoaded(t *testing.T) {
+	proxy := newLoadQueryingProxy(loadQuerySettings())
+	out := proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
+	queried := queriedEndpoints(out)
+	if len(queried) != 2 || queried[0] == queried[1] || len(attemptedEndpoints(out)) > 0 {
 		t.Fatalf("%v", out)
 	}
-	if out = m.Handle(m.now, LoadQueryEnded{Endpoint: asked[0], LoadReport: report(2, 1)}); len(sends(out)) > 0 {
-		t.Fatal("sent before the second answer")
+	if out = proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(2, 1)}); len(attemptedEndpoints(out)) > 0 {
+		t.Fatal("attempt before the second load report")
 	}
-	if to := sends(m.Handle(m.now, LoadQueryEnded{Endpoint: asked[1], LoadReport: report(0, 0)})); len(to) != 1 || to[0] != asked[1] {
-		t.Errorf("sent to %v, want %v", to, asked[1])
+	if to := attemptedEndpoints(proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[1], LoadReport: newLoadReport(0, 0)})); len(to) != 1 || to[0] != queried[1] {
+		t.Errorf("sent to %v, want %v", to, queried[1])
 	}
 }
 
-// A server that stands still answers no probe: the request goes to the one that does, without waiting for long.
-func TestLookIsNotHeldUpByASilentServer(t *testing.T) {
-	m := lookingNode(lookSettings())
-	asked := probes(m.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}))
-	m.Handle(m.now, LoadQueryEnded{Endpoint: asked[0], LoadReport: report(1, 0)})
-	if to := sends(m.Handle(m.now+loadQueryTimeout, TimerFired{Token: loadQueryToken})); len(to) != 1 || to[0] != asked[0] {
-		t.Errorf("sent to %v, want %v", to, asked[0])
+// An endpoint that hangs answers no load query: after loadQueryTimeout the request goes to the endpoint that
+// did.
+func TestLoadQueryTimeoutDispatchesToTheEndpointThatAnswered(t *testing.T) {
+	proxy := newLoadQueryingProxy(loadQuerySettings())
+	queried := queriedEndpoints(proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}))
+	proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(1, 0)})
+	if to := attemptedEndpoints(proxy.Handle(proxy.now+loadQueryTimeout, TimerFired{Token: loadQueryToken})); len(to) != 1 || to[0] != queried[0] {
+		t.Errorf("sent to %v, want %v", to, queried[0])
 	}
 }
 
-// Two full servers are chance: further ones are asked before the request counts as one too many, and not for ever.
-func TestFullServersAreLookedPast(t *testing.T) {
-	m := lookingNode(lookSettings())
-	out := m.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
+// Two full endpoints may be chance: further endpoints are queried before the request is rejected, but not
+// forever.
+func TestFullEndpointsLeadToFurtherLoadQueryRounds(t *testing.T) {
+	proxy := newLoadQueryingProxy(loadQuerySettings())
+	out := proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
 	for round := 1; round <= maxLoadQueryRounds; round++ {
-		asked := probes(out)
-		if len(asked) != 2 {
+		queried := queriedEndpoints(out)
+		if len(queried) != 2 {
 			t.Fatalf("round %d: %v", round, out)
 		}
-		m.Handle(m.now, LoadQueryEnded{Endpoint: asked[0], LoadReport: report(30, 29)})
-		out = m.Handle(m.now, LoadQueryEnded{Endpoint: asked[1], LoadReport: report(30, 29)})
+		proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(30, 29)})
+		out = proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[1], LoadReport: newLoadReport(30, 29)})
 	}
 	if len(out) != 1 || out[0].(Reject).ID != "a" {
 		t.Errorf("after %d rounds: %v", maxLoadQueryRounds, out)
 	}
 }
 
-// Where probes are dear the node goes by its own counts, and an answer to a probe of a server that is no longer listed
-// must not bring it back.
-func TestNoLookWhereProbesAreDear(t *testing.T) {
-	s := lookSettings()
+// Where load queries are expensive, the proxy uses its own counts. The answer of an endpoint that is no
+// longer listed must not add the endpoint again.
+func TestNoLoadQueriesWhereTheyAreExpensive(t *testing.T) {
+	s := loadQuerySettings()
 	s.Prices.LoadQuery = 0.01
-	m := lookingNode(s)
-	if out := m.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}); len(probes(out)) > 0 || len(sends(out)) != 1 {
+	proxy := newLoadQueryingProxy(s)
+	if out := proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}); len(queriedEndpoints(out)) > 0 || len(attemptedEndpoints(out)) != 1 {
 		t.Errorf("%v", out)
 	}
-	m.Handle(m.now, LoadQueryEnded{Endpoint: 999, LoadReport: report(0, 0)})
-	if m.endpoints[999] != nil {
-		t.Error("an unlisted server was taken up")
+	proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: 999, LoadReport: newLoadReport(0, 0)})
+	if proxy.endpoints[999] != nil {
+		t.Error("an unlisted endpoint was added")
 	}
 }
 
-// Servers are replaced for months: what is gone is forgotten.
-func TestGoneServersAreForgotten(t *testing.T) {
-	m := lookingNode(lookSettings())
+// Guards against state that grows as endpoints are replaced over months.
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
+	proxy := newLoadQueryingProxy(loadQuerySettings())
 	for i := range 5000 {
-		m.Handle(m.now+time.Second, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{
-			{ID: EndpointID(i + 100), State: Ready, StartedAt: m.now}, {ID: EndpointID(i + 99), State: Removed}}})
+		proxy.Handle(proxy.now+time.Second, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{
+			{ID: EndpointID(i + 100), State: Ready, StartedAt: proxy.now}, {ID: EndpointID(i + 99), State: Removed}}})
 		id := RequestID(fmt.Sprint(i))
-		m.Handle(m.now, RequestArrived{ID: id, Class: "page", Timeout: time.Second})
-		m.Handle(m.now+2*time.Second, TimerFired{})
+		proxy.Handle(proxy.now, RequestArrived{ID: id, Class: "page", Timeout: time.Second})
+		proxy.Handle(proxy.now+2*time.Second, TimerFired{})
 	}
-	if len(m.endpoints) > 25 || len(m.ring.endpoints) > 25 || len(m.requests) > 2 || len(m.openRequests) > 2 || len(m.awaitingLoad) > 2 {
-		t.Errorf("%d servers known, %d requests, %d open, %d looking", len(m.endpoints), len(m.requests), len(m.openRequests), len(m.awaitingLoad))
+	if len(proxy.endpoints) > 25 || len(proxy.ring.endpoints) > 25 || len(proxy.requests) > 2 || len(proxy.openRequests) > 2 || len(proxy.awaitingLoad) > 2 {
+		t.Errorf("%d endpoints known, %d requests, %d open, %d awaiting load reports", len(proxy.endpoints), len(proxy.requests), len(proxy.openRequests), len(proxy.awaitingLoad))
 	}
 }
 
-// Before a node has had answers its H must hold all the same: without a limit a fleet at the brim jams in its first
-// seconds, while every node still learns.
-func TestUntaughtNodeHoldsAnH(t *testing.T) {
-	m := lookingNode(lookSettings())
-	m.serviceTime, m.responses = 0, 0
-	m.updateCandidates()
-	s := m.ring.endpoints[0]
-	if m.recordLoadReport(s, report(1, 0)); m.updateMode(m.placements[0], s) != Normal {
-		t.Error("one request is no overload")
-	}
-	if m.recordLoadReport(s, report(9, 8)); m.updateMode(m.placements[0], s) != Blocking {
-		t.Error("nine requests at an unknown server do not block it")
+// Before a proxy has had responses, a limit on requests in flight must apply already: without it, a fully
+// loaded fleet is overloaded in its first seconds, while all proxies still learn.
+func TestInFlightLimitAppliesBeforeFirstResponses(t *testing.T) {
+	proxy := newLoadQueryingProxy(loadQuerySettings())
+	proxy.serviceTime, proxy.responses = 0, 0
+	proxy.updateCandidates()
+	s := proxy.ring.endpoints[0]
+	if proxy.recordLoadReport(s, newLoadReport(1, 0)); proxy.updateMode(proxy.placements[0], s) != Normal {
+		t.Error("one request overloads an endpoint")
+	}
+	if proxy.recordLoadReport(s, newLoadReport(9, 8)); proxy.updateMode(proxy.placements[0], s) != Blocking {
+		t.Error("nine requests at an unknown endpoint do not block it")
 	}
 }
 
-// A heavy request that would be late behind the work already there looks further, where a light one is sent.
-func TestHeavyRequestWantsAnEmptierServer(t *testing.T) {
+// A heavy request that would be late behind the work of two endpoints queries further ones, where a light
+// request is sent.
+func TestHeavyRequestQueriesFurtherEndpoints(t *testing.T) {
 	for hint, want := range map[time.Duration]int{20 * time.Millisecond: 1, 400 * time.Millisecond: 0} {
-		m := lookingNode(lookSettings())
-		c := m.classNamed("page", false)
+		proxy := newLoadQueryingProxy(loadQuerySettings())
+		c := proxy.classNamed("page", false)
 		c.meanWorkHint, c.workHints = 0.1, 100
-		asked := probes(m.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second, WorkHint: hint, HasWorkHint: true}))
-		m.Handle(m.now, LoadQueryEnded{Endpoint: asked[0], LoadReport: report(1, 0)})
-		out := m.Handle(m.now, LoadQueryEnded{Endpoint: asked[1], LoadReport: report(1, 0)})
-		if len(sends(out)) != want || len(probes(out)) != 2*(1-want) {
+		queried := queriedEndpoints(proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second, WorkHint: hint, HasWorkHint: true}))
+		proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(1, 0)})
+		out := proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[1], LoadReport: newLoadReport(1, 0)})
+		if len(attemptedEndpoints(out)) != want || len(queriedEndpoints(out)) != 2*(1-want) {
 			t.Errorf("hint %v: %v", hint, out)
 		}
 	}
 }
 
-// A cold server does the same work more slowly: a request that fits a warm one may be late there.
-func TestColdServerFitsLess(t *testing.T) {
-	m := lookingNode(lookSettings())
-	asked := probes(m.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}))
-	for _, id := range asked {
-		m.beginSlowStart(m.endpoints[id], m.now)
-		m.endpoints[id].slowStartTokens = 1
-	}
-	m.Handle(m.now, LoadQueryEnded{Endpoint: asked[0], LoadReport: report(1, 0)})
-	if out := m.Handle(m.now, LoadQueryEnded{Endpoint: asked[1], LoadReport: report(1, 0)}); len(probes(out)) != 2 {
+// An endpoint in slow start does the same work more slowly: a request that would be in time at a warm
+// endpoint may be late there.
+func TestSlowStartingEndpointCountsAsSlower(t *testing.T) {
+	proxy := newLoadQueryingProxy(loadQuerySettings())
+	queried := queriedEndpoints(proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}))
+	for _, id := range queried {
+		proxy.beginSlowStart(proxy.endpoints[id], proxy.now)
+		proxy.endpoints[id].slowStartTokens = 1
+	}
+	proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(1, 0)})
+	if out := proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[1], LoadReport: newLoadReport(1, 0)}); len(queriedEndpoints(out)) != 2 {
 		t.Errorf("%v", out)
 	}
 }
--- a/balancer/mode_test.go
+++ b/balancer/mode_test.go
@@ -5,18 +5,19 @@
 	"testing"
 )
 
-func TestNextModeEdges(t *testing.T) {
+// The modes change exactly at the thresholds, which differ by direction.
+func TestNextModeThresholds(t *testing.T) {
 	const low, high, block = 3, 5, 9
 	for _, c := range []struct {
 		from Mode
 		n    float64
 		want Mode
 	}{
-		{Normal, 4, Normal}, {Normal, 5, Overloaded}, // exceeds H-1
-		{Normal, 8, Overloaded}, {Normal, 9, Blocking}, // exceeds R-1
-		{Overloaded, 3, Overloaded}, {Overloaded, 2, Normal}, // below L
+		{Normal, 4, Normal}, {Normal, 5, Overloaded}, // above high-1
+		{Normal, 8, Overloaded}, {Normal, 9, Blocking}, // above block-1
+		{Overloaded, 3, Overloaded}, {Overloaded, 2, Normal}, // below low
 		{Overloaded, 8, Overloaded}, {Overloaded, 9, Blocking},
-		{Blocking, 6, Blocking}, {Blocking, 5, Overloaded}, // below H+1
+		{Blocking, 6, Blocking}, {Blocking, 5, Overloaded}, // below high+1
 	} {
 		if got := NextMode(c.from, c.n, low, high, block); got != c.want {
 			t.Errorf("from %v at n=%v: %v, want %v", c.from, c.n, got, c.want)
@@ -24,14 +25,15 @@
 	}
 }
 
-func TestShedSplit(t *testing.T) {
+// In the comments, others are the requests without priority.
+func TestSplitSheddingDropsRequestsWithoutPriorityFirst(t *testing.T) {
 	for _, c := range []struct{ q, n1, n2, q1, q2 float64 }{
-		{0.3, 50, 50, 0, 0.6},  // others suffice
-		{0.5, 50, 50, 0, 1},    // exactly all others
-		{0.75, 50, 50, 0.5, 1}, // priority ones too
+		{0.3, 50, 50, 0, 0.6},  // dropping some others suffices
+		{0.5, 50, 50, 0, 1},    // exactly all others are dropped
+		{0.75, 50, 50, 0.5, 1}, // priority requests are dropped, too
 		{1, 50, 50, 1, 1},
-		{0.4, 50, 0, 0.4, 0}, // no others: q1 = q
-		{0.4, 0, 50, 0, 0.4}, // no priority ones: q1 = 0
+		{0.4, 50, 0, 0.4, 0}, // there are no others
+		{0.4, 0, 50, 0, 0.4}, // there are no priority requests
 		{1, 0, 50, 0, 1},
 		{0, 10, 10, 0, 0},
 	} {
@@ -42,11 +44,11 @@
 	}
 }
 
-func TestRankIsGraded(t *testing.T) {
+func TestPriorityFractionGrowsWithWeight(t *testing.T) {
 	if priorityFraction(12, 12) != 1 || priorityFraction(1, 12) != 0 || priorityFraction(0, 0) != 0 {
-		t.Error("top worth must rank 1, a twelfth of it and nothing 0")
+		t.Error("want 1 for the highest weight, 0 for a twelfth of it and for no weight")
 	}
 	if r := priorityFraction(5, 10); r < 0.4 || r > 0.5 {
-		t.Errorf("half the top worth ranks %v", r)
+		t.Errorf("half the highest weight: fraction %v, want 0.4 to 0.5", r)
 	}
 }
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -97,8 +97,8 @@
 }
 
 // updatePooledMode determines a common mode of a placement's candidates by the sums of their counts and
-// limits. It is used if a candidate's limit is less than one request of this proxy. The sum is smoothed, as
-// the few requests of one proxy come and go by chance.
+// limits. It is used if the limits are so low that a candidate may have less than one request of this proxy.
+// The sum is smoothed, as the few requests of one proxy come and go by chance.
 func (b *Balancer) updatePooledMode(p *placement) {
 	var inFlight, limit float64
 	for _, e := range p.candidates {
--- a/balancer/part_leave_test.go
+++ b/balancer/part_leave_test.go
@@ -6,125 +6,129 @@
 	"time"
 )
 
-// partNode works with servers 1 to 4 of a part; told gives it the part anew, with more of the 40 that there are.
-func partNode(t *testing.T) (m *Balancer, told func(kind UpdateKind, more ...Endpoint)) {
-	m = plainNode(t)
-	return m, func(kind UpdateKind, more ...Endpoint) {
+// newSubsetProxy returns a proxy that knows a subset of 40 endpoints, and a function that updates the list:
+// endpoints 1 to 4, with a complete update, and more.
+func newSubsetProxy(t *testing.T) (proxy *Balancer, updateList func(kind UpdateKind, more ...Endpoint)) {
+	proxy = newLearnedProxy(t)
+	return proxy, func(kind UpdateKind, more ...Endpoint) {
 		if kind == UpdateComplete {
 			more = append(more, Endpoint{ID: 1, Zone: "z"}, Endpoint{ID: 2, Zone: "z"}, Endpoint{ID: 3, Zone: "z"}, Endpoint{ID: 4, Zone: "z"})
 		}
-		m.Handle(m.now, EndpointsUpdated{Kind: kind, Endpoints: more, TotalEndpoints: 40, SubsetStart: startPosition(m.settings.ProxyIndex)})
+		proxy.Handle(proxy.now, EndpointsUpdated{Kind: kind, Endpoints: more, TotalEndpoints: 40, SubsetStart: startPosition(proxy.settings.ProxyIndex)})
 	}
 }
 
-// A ban holds for a server that comes into the part after it, however often it does. One that ends while the server is
-// elsewhere leaves it cold for those that it comes to, as for those that had it then.
-func TestBanOutsideThePart(t *testing.T) {
-	m, told := partNode(t)
-	told(UpdateComplete)
-	m.Handle(m.now, Maintenance{Endpoint: 9, On: true})
+// Maintenance holds for an endpoint that enters the subset after the maintenance began, however often it
+// does. If maintenance ends while the endpoint is outside the subset, the proxies whose subset it enters
+// treat it as in slow start, as do those that had it then.
+func TestMaintenanceOutsideTheSubset(t *testing.T) {
+	proxy, updateList := newSubsetProxy(t)
+	updateList(UpdateComplete)
+	proxy.Handle(proxy.now, Maintenance{Endpoint: 9, On: true})
 	for range 2 {
 		for _, kind := range []UpdateKind{UpdateComplete, UpdateIncremental} {
-			if told(kind, Endpoint{ID: 9, Zone: "z", StartedAt: m.now}); m.Ejected() != 1 || len(m.placements[0].ring.endpoints) != 5 {
-				t.Errorf("%d ejected of %d", m.Ejected(), len(m.placements[0].ring.endpoints))
+			if updateList(kind, Endpoint{ID: 9, Zone: "z", StartedAt: proxy.now}); proxy.Ejected() != 1 || len(proxy.placements[0].ring.endpoints) != 5 {
+				t.Errorf("%d ejected of %d", proxy.Ejected(), len(proxy.placements[0].ring.endpoints))
 			}
-			if got := ask(t, m, 50); got[9] != 0 || got[1]+got[2]+got[3]+got[4] != 50 {
-				t.Errorf("banned outside, then in by %v: sends %v", kind, got)
+			if got := countAttempts(t, proxy, 50); got[9] != 0 || got[1]+got[2]+got[3]+got[4] != 50 {
+				t.Errorf("maintenance begun outside the subset, entered by update kind %v: attempts %v", kind, got)
 			}
-			if told(kind, Endpoint{ID: 9, State: Removed}); m.Ejected() != 0 {
-				t.Errorf("%d ejected once it is gone", m.Ejected())
+			if updateList(kind, Endpoint{ID: 9, State: Removed}); proxy.Ejected() != 0 {
+				t.Errorf("%d endpoints count as ejected after it has gone", proxy.Ejected())
 			}
 		}
 	}
-	m.Handle(m.now, Maintenance{Endpoint: 9})
-	lifted := m.now
-	m.Handle(m.now+time.Second, Maintenance{Endpoint: 9}) // the ban is over already
-	m.Handle(m.now, Maintenance{Endpoint: 8})             // was never banned
-	told(UpdateComplete, Endpoint{ID: 8, Zone: "z"}, Endpoint{ID: 9, Zone: "z", StartedAt: lifted - time.Minute})
-	s := m.endpoints[9]
-	if !s.slowStarting || s.slowStartSince != lifted || s.slowStartTokens >= 1 || m.endpoints[8].slowStarting {
-		t.Errorf("lifted outside, then in: cold %v since %v before now, %v tokens", s.slowStarting, m.now-s.slowStartSince, s.slowStartTokens)
+	proxy.Handle(proxy.now, Maintenance{Endpoint: 9})
+	endedAt := proxy.now
+	proxy.Handle(proxy.now+time.Second, Maintenance{Endpoint: 9}) // the maintenance has ended already
+	proxy.Handle(proxy.now, Maintenance{Endpoint: 8})             // never was in maintenance
+	updateList(UpdateComplete, Endpoint{ID: 8, Zone: "z"}, Endpoint{ID: 9, Zone: "z", StartedAt: endedAt - time.Minute})
+	s := proxy.endpoints[9]
+	if !s.slowStarting || s.slowStartSince != endedAt || s.slowStartTokens >= 1 || proxy.endpoints[8].slowStarting {
+		t.Errorf("maintenance ended outside the subset, then entered: slow start %v since %v ago, %v tokens", s.slowStarting, proxy.now-s.slowStartSince, s.slowStartTokens)
 	}
-	if got := ask(t, m, 70); got[9] == 0 || got[9] >= 14 { // warm ones get 14 each
-		t.Errorf("sends %v, want a cold server's part", got)
+	if got := countAttempts(t, proxy, 70); got[9] == 0 || got[9] >= 14 { // warm endpoints get 14 each
+		t.Errorf("attempts %v, want those of a slow start at endpoint 9", got)
 	}
-	told(UpdateComplete)
-	told(UpdateIncremental, Endpoint{ID: 9, Zone: "z"})
-	if again := m.endpoints[9]; again == s || !again.slowStarting || again.slowStartSince != lifted {
-		t.Errorf("gone and back in its ramp: %+v", again)
+	updateList(UpdateComplete)
+	updateList(UpdateIncremental, Endpoint{ID: 9, Zone: "z"})
+	if again := proxy.endpoints[9]; again == s || !again.slowStarting || again.slowStartSince != endedAt {
+		t.Errorf("gone and back within its slow start: %+v", again)
 	}
-	told(UpdateIncremental, Endpoint{ID: 9, Zone: "z", StartedAt: m.now})
-	if s := m.endpoints[9]; !s.slowStarting || s.slowStartSince != m.now {
-		t.Errorf("started anew: %+v", s)
+	updateList(UpdateIncremental, Endpoint{ID: 9, Zone: "z", StartedAt: proxy.now})
+	if s := proxy.endpoints[9]; !s.slowStarting || s.slowStartSince != proxy.now {
+		t.Errorf("started again: %+v", s)
 	}
-	told(UpdateComplete)
-	m.Handle(m.now+m.settings.SlowStartDuration, TimerFired{})
-	told(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
-	if m.warmFraction(m.endpoints[9]) < 1 {
-		t.Errorf("in long after: %+v", m.endpoints[9])
+	updateList(UpdateComplete)
+	proxy.Handle(proxy.now+proxy.settings.SlowStartDuration, TimerFired{})
+	updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
+	if proxy.warmFraction(proxy.endpoints[9]) < 1 {
+		t.Errorf("entered long after the slow start: %+v", proxy.endpoints[9])
 	}
 	for id := EndpointID(10); id < 100; id++ {
-		m.Handle(m.now+m.settings.SlowStartDuration, Maintenance{Endpoint: id, On: true})
-		if m.Handle(m.now, Maintenance{Endpoint: id}); len(m.maintenanceEnded) > 2 {
-			t.Fatalf("%d ended bans are held", len(m.maintenanceEnded))
+		proxy.Handle(proxy.now+proxy.settings.SlowStartDuration, Maintenance{Endpoint: id, On: true})
+		if proxy.Handle(proxy.now, Maintenance{Endpoint: id}); len(proxy.maintenanceEnded) > 2 {
+			t.Fatalf("%d ended maintenances are stored", len(proxy.maintenanceEnded))
 		}
 	}
 }
 
-// A server that comes into the part in its ramp is as cold as elsewhere, with a token drawn anew each time.
-func TestColdServerComesIntoThePart(t *testing.T) {
-	m, told := partNode(t)
-	started, drawn := m.now-m.settings.SlowStartDuration/4, map[float64]bool{}
+// An endpoint that enters the subset during its slow start is as cold as it is for other proxies. Its initial
+// tokens are drawn each time.
+func TestSlowStartingEndpointEntersTheSubset(t *testing.T) {
+	proxy, updateList := newSubsetProxy(t)
+	started, drawn := proxy.now-proxy.settings.SlowStartDuration/4, map[float64]bool{}
 	for range 5 {
-		told(UpdateComplete, Endpoint{ID: 9, Zone: "z", StartedAt: started})
-		s := m.endpoints[9]
-		if want := m.settings.SlowStartInitial + (1-m.settings.SlowStartInitial)/4; m.warmFraction(s) != want || s.slowStartTokens < 0 || s.slowStartTokens >= 1 || !s.inBaseSubset {
-			t.Errorf("warmth %v, want %v; %v tokens; home %v", m.warmFraction(s), want, s.slowStartTokens, s.inBaseSubset)
+		updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z", StartedAt: started})
+		s := proxy.endpoints[9]
+		if want := proxy.settings.SlowStartInitial + (1-proxy.settings.SlowStartInitial)/4; proxy.warmFraction(s) != want || s.slowStartTokens < 0 || s.slowStartTokens >= 1 || !s.inBaseSubset {
+			t.Errorf("warm fraction %v, want %v; %v tokens; in base subset: %v", proxy.warmFraction(s), want, s.slowStartTokens, s.inBaseSubset)
 		}
 		drawn[s.slowStartTokens] = true
-		told(UpdateIncremental, Endpoint{ID: 9, State: Removed})
+		updateList(UpdateIncremental, Endpoint{ID: 9, State: Removed})
 	}
 	if len(drawn) != 5 {
 		t.Errorf("tokens %v", drawn)
 	}
 }
 
-// Suspicion goes with a server that leaves the part: back, it is judged anew, and what was still out at it from before
-// counts for nothing. If it refuses still, few requests find out.
-func TestSuspectLeavesThePartAndReturns(t *testing.T) {
-	m, told := partNode(t)
-	told(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
-	before := m.endpoints[9]
-	m.eject(before, "test")
+// An ejection ends when the endpoint leaves the subset: when it returns, it is judged by new attempts only,
+// and attempts that were still in flight from before have no effect. If it still refuses connections, few
+// requests find out.
+func TestEjectedEndpointLeavesTheSubsetAndReturns(t *testing.T) {
+	proxy, updateList := newSubsetProxy(t)
+	updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
+	previous := proxy.endpoints[9]
+	proxy.eject(previous, "test")
 	for _, kind := range []UpdateKind{UpdateComplete, UpdateIncremental} {
-		if told(kind, Endpoint{ID: 9, Zone: "z"}); m.endpoints[9] != before || !before.ejected || m.Ejected() != 1 {
-			t.Errorf("told by %v that it is still there: %+v", kind, m.endpoints[9])
+		if updateList(kind, Endpoint{ID: 9, Zone: "z"}); proxy.endpoints[9] != previous || !previous.ejected || proxy.Ejected() != 1 {
+			t.Errorf("listed again by update kind %v: %+v", kind, proxy.endpoints[9])
 		}
 	}
-	told(UpdateComplete)
-	if m.Ejected() != 0 || len(m.ejected.endpoints) != 0 {
-		t.Errorf("%d suspects without it", len(m.ejected.endpoints))
+	updateList(UpdateComplete)
+	if proxy.Ejected() != 0 || len(proxy.ejected.endpoints) != 0 {
+		t.Errorf("%d ejected endpoints after it has left", len(proxy.ejected.endpoints))
 	}
-	told(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
-	m.recordFailure(before, ConnectFailed)
-	m.eject(before, "an attempt from before")
-	if s := m.endpoints[9]; s == before || s.ejected || s.consecutiveFailures > 0 || len(m.ejected.endpoints) != 0 {
-		t.Errorf("back: %+v", s)
+	updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
+	proxy.recordFailure(previous, ConnectFailed)
+	proxy.eject(previous, "an attempt from before")
+	if s := proxy.endpoints[9]; s == previous || s.ejected || s.consecutiveFailures > 0 || len(proxy.ejected.endpoints) != 0 {
+		t.Errorf("after the return: %+v", s)
 	}
 	sent := 0
 	for i := range 100 {
-		m.Handle(m.now+50*time.Millisecond, TimerFired{})
+		proxy.Handle(proxy.now+50*time.Millisecond, TimerFired{})
 		id := RequestID(fmt.Sprint("r", i))
-		out := m.Handle(m.now, RequestArrived{ID: id, Class: "a", Timeout: time.Second})
-		for n := 0; len(sends(out)) > 0; n++ {
-			end := AttemptEnded{ID: id, Attempt: n, Endpoint: sends(out)[0], RequestAnswered: true, Elapsed: 20 * time.Millisecond}
+		out := proxy.Handle(proxy.now, RequestArrived{ID: id, Class: "a", Timeout: time.Second})
+		for n := 0; len(attemptedEndpoints(out)) > 0; n++ {
+			end := AttemptEnded{ID: id, Attempt: n, Endpoint: attemptedEndpoints(out)[0], RequestAnswered: true, Elapsed: 20 * time.Millisecond}
 			if end.Endpoint == 9 {
 				end.Outcome, end.RequestAnswered, sent = ConnectFailed, false, sent+1
 			}
-			out = m.Handle(m.now, end)
+			out = proxy.Handle(proxy.now, end)
 		}
 	}
 	if sent == 0 || sent > ejectAfterFailures {
-		t.Errorf("%d sends to a server that refuses", sent)
+		t.Errorf("%d attempts at an endpoint that refuses connections", sent)
 	}
 }
--- a/balancer/part_test.go
+++ b/balancer/part_test.go
@@ -8,106 +8,112 @@
 	"time"
 )
 
-// partFleet gives each node so many times what it works with, from its own point on, of servers in three zones.
-func partFleet(nodes, servers, times int, classes []Class) (fleet []*Balancer, sorted []*endpoint) {
-	for id := range servers {
+// newSubsetFleet returns proxies of which each knows a subset, and all endpoints in ring order. A subset
+// starts at the proxy's start position and has the given multiple of the endpoints that the proxy uses. The
+// endpoints are in three zones.
+func newSubsetFleet(proxies, endpoints, subsetFactor int, classes []Class) (fleet []*Balancer, sorted []*endpoint) {
+	for id := range endpoints {
 		sorted = append(sorted, &endpoint{Endpoint: Endpoint{ID: EndpointID(id + 1), Zone: fmt.Sprint("z", id%3)}, ringPosition: ringPosition(EndpointID(id + 1))})
 	}
 	slices.SortFunc(sorted, func(a, b *endpoint) int { return cmp.Compare(a.ringPosition, b.ringPosition) })
 	all := ring{endpoints: sorted}
-	for self := range nodes {
-		s := tellingSettings(self, nodes)
+	for proxyIndex := range proxies {
+		s := gossipSettings(proxyIndex, proxies)
 		s.Classes = append(s.Classes, classes...)
-		m, u := New(s, int64(self)), EndpointsUpdated{Kind: UpdateComplete, TotalEndpoints: servers, SubsetStart: startPosition(self)}
+		proxy, u := New(s, int64(proxyIndex)), EndpointsUpdated{Kind: UpdateComplete, TotalEndpoints: endpoints, SubsetStart: startPosition(proxyIndex)}
 		all.rotateTo(u.SubsetStart)
-		for i := range min(servers, times*max(5, 6*servers/nodes+1)) {
+		for i := range min(endpoints, subsetFactor*max(5, 6*endpoints/proxies+1)) {
 			u.Endpoints = append(u.Endpoints, all.at(i).Endpoint)
 		}
-		m.Handle(time.Hour, u)
-		fleet = append(fleet, m)
+		proxy.Handle(time.Hour, u)
+		fleet = append(fleet, proxy)
 	}
 	return fleet, sorted
 }
 
-// Nodes that know a part each work with as many servers as if they knew all, the first of their own; each server has its
-// nodes; and each node knows which others work with a server beyond its first ones, and about how many do with those.
-func TestPartsMakeAFleet(t *testing.T) {
-	for _, size := range []struct{ nodes, servers, times int }{{40, 1000, 4}, {300, 200, 3}, {100, 100, 2}, {100, 97, 100}, {30, 2000, 1}} {
-		fleet, sorted := partFleet(size.nodes, size.servers, size.times, nil)
-		reach := max(5, (6*size.servers+size.nodes-1)/size.nodes)
-		home, all := map[EndpointID][]int{}, ring{endpoints: sorted}
-		for self := range fleet {
-			all.rotateTo(startPosition(self))
-			for i := range reach {
-				home[all.at(i).ID] = append(home[all.at(i).ID], self)
+// Proxies that each know a subset use as many endpoints as if they knew all, the first of their subset. Each
+// endpoint has proxies that use it. Each proxy knows exactly the other proxies at the endpoints beyond those
+// that it uses, and about as many as there are at those that it uses.
+func TestProxiesWithSubsetsCoverTheFleet(t *testing.T) {
+	for _, size := range []struct{ proxies, endpoints, subsetFactor int }{{40, 1000, 4}, {300, 200, 3}, {100, 100, 2}, {100, 97, 100}, {30, 2000, 1}} {
+		fleet, sorted := newSubsetFleet(size.proxies, size.endpoints, size.subsetFactor, nil)
+		subsetSize := max(5, (6*size.endpoints+size.proxies-1)/size.proxies)
+		users, all := map[EndpointID][]int{}, ring{endpoints: sorted}
+		for proxyIndex := range fleet {
+			all.rotateTo(startPosition(proxyIndex))
+			for i := range subsetSize {
+				users[all.at(i).ID] = append(users[all.at(i).ID], proxyIndex)
 			}
 		}
 		for _, s := range sorted {
-			if n := len(home[s.ID]); n == 0 {
-				t.Errorf("%+v: server %d has no node", size, s.ID)
+			if n := len(users[s.ID]); n == 0 {
+				t.Errorf("%+v: no proxy uses endpoint %d", size, s.ID)
 			}
 		}
-		told, want := 0, 0
-		for self, m := range fleet {
-			g := m.placements[0]
-			if int(g.subsetSize) != reach || len(g.candidates) != reach || m.proxiesPerEndpoint != float64(size.nodes*reach)/float64(size.servers) {
-				t.Fatalf("%+v: node %d has a reach of %v, not %d, and %v sharers", size, self, g.subsetSize, reach, m.proxiesPerEndpoint)
+		known, wantKnown := 0, 0
+		for proxyIndex, proxy := range fleet {
+			p := proxy.placements[0]
+			if int(p.subsetSize) != subsetSize || len(p.candidates) != subsetSize || proxy.proxiesPerEndpoint != float64(size.proxies*subsetSize)/float64(size.endpoints) {
+				t.Fatalf("%+v: proxy %d has a subset of %v endpoints, want %d, and estimates %v proxies per endpoint", size, proxyIndex, p.subsetSize, subsetSize, proxy.proxiesPerEndpoint)
 			}
-			for i := range g.ring.endpoints {
-				s := g.ring.at(i)
-				others := slices.DeleteFunc(slices.Clone(home[s.ID]), func(node int) bool { return node == self })
-				if slices.Contains(home[s.ID], self) != s.inBaseSubset || s.inBaseSubset != (i < reach) {
-					t.Errorf("%+v: node %d, server %d: home is %v", size, self, i, s.inBaseSubset)
+			for i := range p.ring.endpoints {
+				s := p.ring.at(i)
+				others := slices.DeleteFunc(slices.Clone(users[s.ID]), func(other int) bool { return other == proxyIndex })
+				if slices.Contains(users[s.ID], proxyIndex) != s.inBaseSubset || s.inBaseSubset != (i < subsetSize) {
+					t.Errorf("%+v: proxy %d, endpoint %d: in base subset: %v", size, proxyIndex, i, s.inBaseSubset)
 				}
-				if got := m.peersOf(s); i >= reach && !slices.Equal(got, others) {
-					t.Errorf("%+v: node %d shares its %d. server with %v, not %v", size, self, i, got, others)
+				if got := proxy.peersOf(s); i >= subsetSize && !slices.Equal(got, others) {
+					t.Errorf("%+v: proxy %d shares its endpoint %d with %v, want %v", size, proxyIndex, i, got, others)
 				}
-				if i < reach {
-					told, want = told+len(m.peersOf(s)), want+len(others)
+				if i < subsetSize {
+					known, wantKnown = known+len(proxy.peersOf(s)), wantKnown+len(others)
 				}
 			}
 		}
-		if part := float64(told) / float64(want); part < 0.8 || part > 1.25 {
-			t.Errorf("%+v: of the servers in reach %d others are known, not %d", size, told, want)
+		if ratio := float64(known) / float64(wantKnown); ratio < 0.8 || ratio > 1.25 {
+			t.Errorf("%+v: %d peers are known at the endpoints of base subsets, want about %d", size, known, wantKnown)
 		}
 	}
 }
 
-// A placement's size is drawn from what is open of the part; the sharers that cold starts count on are about those that
-// a node which knows all takes.
-func TestPartOfAPlacement(t *testing.T) {
+// The size of a placement is estimated from the endpoints of the subset that it allows. The estimated number
+// of proxies per endpoint, which slow starts depend on, is about that of a proxy which knows the complete
+// list.
+func TestPlacementSizeIsScaledFromTheSubset(t *testing.T) {
 	placed := []Class{{Name: "here", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second, AllowedZones: []string{"z1"}}}
-	fleet, _ := partFleet(60, 1200, 4, placed)
-	whole, _ := partFleet(60, 1200, 1000, placed)
-	for self, m := range fleet {
-		if g := m.placements[1]; g.subsetSize < 25 || g.subsetSize > 55 || m.placementSize(g) < 250 || m.placementSize(g) > 550 { // 40 of 400, but by chance
-			t.Errorf("node %d: reach %v of %v", self, g.subsetSize, m.placementSize(g))
+	fleet, _ := newSubsetFleet(60, 1200, 4, placed)
+	completeFleet, _ := newSubsetFleet(60, 1200, 1000, placed)
+	for proxyIndex, proxy := range fleet {
+		// The subset has about 40 of 400 endpoints, as ring positions are random.
+		if p := proxy.placements[1]; p.subsetSize < 25 || p.subsetSize > 55 || proxy.placementSize(p) < 250 || proxy.placementSize(p) > 550 {
+			t.Errorf("proxy %d: subset of %v endpoints, of %v allowed", proxyIndex, p.subsetSize, proxy.placementSize(p))
 		}
-		if m.proxiesPerEndpoint < 0.95*whole[self].proxiesPerEndpoint || m.proxiesPerEndpoint > 1.05*whole[self].proxiesPerEndpoint {
-			t.Errorf("node %d takes a server for shared by %.1f, not %.1f", self, m.proxiesPerEndpoint, whole[self].proxiesPerEndpoint)
+		if proxy.proxiesPerEndpoint < 0.95*completeFleet[proxyIndex].proxiesPerEndpoint || proxy.proxiesPerEndpoint > 1.05*completeFleet[proxyIndex].proxiesPerEndpoint {
+			t.Errorf("proxy %d estimates %.1f proxies per endpoint, want about %.1f", proxyIndex, proxy.proxiesPerEndpoint, completeFleet[proxyIndex].proxiesPerEndpoint)
 		}
 	}
 }
 
-// When all that a node works with fail, the rest of its part takes their place, and with all of that ill it still sends.
-func TestPartHoldsAReserve(t *testing.T) {
-	fleet, _ := partFleet(40, 1000, 4, nil)
-	m := fleet[7]
-	g := m.placements[0]
+// When all endpoints that a proxy uses fail, the rest of its subset replaces them. When all of the subset has
+// been ejected, a new endpoint gets the attempts.
+func TestRestOfTheSubsetReplacesEjectedEndpoints(t *testing.T) {
+	fleet, _ := newSubsetFleet(40, 1000, 4, nil)
+	proxy := fleet[7]
+	p := proxy.placements[0]
 	for range 5 {
-		for _, s := range g.candidates {
-			m.eject(s, "test")
+		for _, s := range p.candidates {
+			proxy.eject(s, "test")
 		}
-		before := slices.Clone(g.candidates)
-		if m.updateCandidates(); len(g.candidates) > 0 && (len(g.candidates) > len(before) || slices.Contains(before, g.candidates[0])) {
-			t.Fatalf("%d near, before %d", len(g.candidates), len(before))
+		before := slices.Clone(p.candidates)
+		if proxy.updateCandidates(); len(p.candidates) > 0 && (len(p.candidates) > len(before) || slices.Contains(before, p.candidates[0])) {
+			t.Fatalf("%d candidates, before %d", len(p.candidates), len(before))
 		}
 	}
-	if len(g.ring.endpoints) < 600 || m.Ejected() != len(g.ring.endpoints) {
-		t.Fatalf("%d of %d ejected", m.Ejected(), len(g.ring.endpoints))
+	if len(p.ring.endpoints) < 600 || proxy.Ejected() != len(p.ring.endpoints) {
+		t.Fatalf("%d of %d ejected", proxy.Ejected(), len(p.ring.endpoints))
 	}
-	m.Handle(m.now, EndpointsUpdated{Kind: UpdateIncremental, TotalEndpoints: 1000, SubsetStart: startPosition(7), Endpoints: []Endpoint{{ID: 2000, Zone: "z0"}}})
-	if len(g.candidates) != 1 || !slices.Contains(sends(m.Handle(m.now, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})), 2000) {
-		t.Errorf("%d near once there is one more", len(g.candidates))
+	proxy.Handle(proxy.now, EndpointsUpdated{Kind: UpdateIncremental, TotalEndpoints: 1000, SubsetStart: startPosition(7), Endpoints: []Endpoint{{ID: 2000, Zone: "z0"}}})
+	if len(p.candidates) != 1 || !slices.Contains(attemptedEndpoints(proxy.Handle(proxy.now, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})), 2000) {
+		t.Errorf("%d candidates once there is one more endpoint", len(p.candidates))
 	}
 }
--- a/balancer/policyfiles_test.go
+++ b/balancer/policyfiles_test.go
@@ -15,16 +15,17 @@
 	maxLineWidth = 110 // characters
 )
 
-// sharedFiles hold the interface, and state and lookups that the decisions share; every other file decides.
+// sharedFiles contain the interface, and state and lookups that the decisions share. Every other file makes
+// decisions.
 var sharedFiles = []string{
 	"actions.go", "balancer.go", "discovery.go", "endpoint.go", "events.go", "learned.go", "loadmessage.go", "maintenance.go",
 	"peers.go", "placement.go", "request.go", "ring.go", "settings.go",
 }
 
-// alsoDecides are the decision files outside this package.
-var alsoDecides = []string{"ratelimit/admit.go"}
+// decisionFilesElsewhere are the decision files outside this package.
+var decisionFilesElsewhere = []string{"ratelimit/admit.go"}
 
-// TestDeployFileNamesAllDecisionFiles compares the policy key of the deploy file with the files that decide.
+// The policy key of the deploy file must name exactly the files that make decisions.
 func TestDeployFileNamesAllDecisionFiles(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -34,7 +35,7 @@
 	if err := toml.Unmarshal(text, &deploy); err != nil {
 		t.Fatal(err)
 	}
-	decides := slices.Clone(alsoDecides)
+	decides := slices.Clone(decisionFilesElsewhere)
 	for _, file := range sourceFiles(t) {
 		if !slices.Contains(sharedFiles, file) {
 			decides = append(decides, "balancer/"+file)
@@ -46,8 +47,9 @@
 	}
 }
 
-// TestFilesAreShortAndListed keeps files small enough to be read at night, and the package comment's list of them whole.
-func TestFilesAreShortAndListed(t *testing.T) {
+// Files must be short enough to be read during an incident, and the package comment must list every decision
+// file.
+func TestFilesAreShortAndInThePackageComment(t *testing.T) {
 	overview, err := os.ReadFile("balancer.go")
 	if err != nil {
 		t.Fatal(err)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// refillBudgets adds the share of a new request to the retry budget and to the budget of recovery probes.
+// refillBudgets adds what a new request allows to the retry budget and to the budget of recovery probes.
 func (b *Balancer) refillBudgets() {
 	b.retryBudget = math.Min(maxRetryBudget, b.retryBudget+retryBudgetRatio)
 	b.probeBudget = math.Min(1, b.probeBudget+retryBudgetRatio/2)
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -9,30 +9,31 @@
 	"wrenspread/balancer"
 )
 
-// rig feeds one module with a fleet of servers whose delays the test sets.
+// rig feeds one balancer with events of endpoints whose latencies and outcomes the test sets.
 type rig struct {
 	t        *testing.T
-	m        *balancer.Balancer
+	balancer *balancer.Balancer
 	now      time.Duration
-	delay    func(s balancer.EndpointID) (time.Duration, balancer.Outcome)
-	due      []rigEvent
-	sent     map[balancer.EndpointID]int
-	last     map[balancer.RequestID]balancer.Action
-	legs     map[balancer.RequestID]int
-	over     map[balancer.RequestID]bool
-	retries  int           // of a refused client, after its hold-off
-	patience time.Duration // of a first try
-	work     func(balancer.RequestID) time.Duration
-	waits    []time.Duration // that refused clients were told
-	inTime   map[string]int
-	came     map[balancer.RequestID]time.Duration
-	refused, failed,
-	asks, next, accused int
+	// delay returns the latency and the outcome of an attempt at an endpoint.
+	delay        func(s balancer.EndpointID) (time.Duration, balancer.Outcome)
+	dueEvents    []rigEvent
+	sent         map[balancer.EndpointID]int            // attempts by endpoint
+	lastAnswer   map[balancer.RequestID]balancer.Action // Reject or Fail by request
+	attempts     map[balancer.RequestID]int             // attempts by request
+	answered     map[balancer.RequestID]bool
+	retries      int                                    // retries of a rejected client, each after the Retry-After
+	timeout      time.Duration                          // of a request's first try
+	extraLatency func(balancer.RequestID) time.Duration // added to delay, by request
+	retryAfters  []time.Duration                        // of all rejections
+	inTime       map[string]int                         // requests answered within 600 ms, by class
+	arrivedAt    map[balancer.RequestID]time.Duration
+	rejected, failed,
+	polls, nextID, logLines int // number of Log actions
 }
 
 type rigEvent struct {
-	at time.Duration
-	e  balancer.Event
+	at    time.Duration
+	event balancer.Event
 }
 
 func rigSettings() balancer.Settings {
@@ -45,16 +46,16 @@
 			{Name: "once", PriorityWeight: 1, LatencyObjective: 1500 * time.Millisecond, Deadline: 2 * time.Second, Idempotency: balancer.NotIdempotent}}}
 }
 
-func newRig(t *testing.T, s balancer.Settings, servers int) *rig {
-	r := &rig{t: t, m: balancer.New(s, 5+7*int64(s.ProxyIndex)), now: time.Hour, sent: map[balancer.EndpointID]int{}, over: map[balancer.RequestID]bool{},
-		last: map[balancer.RequestID]balancer.Action{}, legs: map[balancer.RequestID]int{}, patience: 2 * time.Second,
-		inTime: map[string]int{}, came: map[balancer.RequestID]time.Duration{}}
-	r.work = func(balancer.RequestID) time.Duration { return 0 }
+func newRig(t *testing.T, s balancer.Settings, endpoints int) *rig {
+	r := &rig{t: t, balancer: balancer.New(s, 5+7*int64(s.ProxyIndex)), now: time.Hour, sent: map[balancer.EndpointID]int{}, answered: map[balancer.RequestID]bool{},
+		lastAnswer: map[balancer.RequestID]balancer.Action{}, attempts: map[balancer.RequestID]int{}, timeout: 2 * time.Second,
+		inTime: map[string]int{}, arrivedAt: map[balancer.RequestID]time.Duration{}}
+	r.extraLatency = func(balancer.RequestID) time.Duration { return 0 }
 	r.delay = func(balancer.EndpointID) (time.Duration, balancer.Outcome) {
 		return 50 * time.Millisecond, balancer.OK
 	}
 	var list []balancer.Endpoint
-	for i := range servers {
+	for i := range endpoints {
 		list = append(list, balancer.Endpoint{ID: balancer.EndpointID(i + 1), Zone: "z"})
 	}
 	r.feed(balancer.EndpointsUpdated{Kind: balancer.UpdateCached, Endpoints: list})
@@ -62,76 +63,76 @@
 }
 
 func (r *rig) feed(e balancer.Event) {
-	for _, a := range r.m.Handle(r.now, e) {
+	for _, a := range r.balancer.Handle(r.now, e) {
 		switch a := a.(type) {
 		case balancer.StartAttempt:
 			r.sent[a.Endpoint]++
-			leg := r.legs[a.ID]
-			r.legs[a.ID]++
-			d, code := r.delay(a.Endpoint)
-			d += r.work(a.ID)
+			attempt := r.attempts[a.ID]
+			r.attempts[a.ID]++
+			d, outcome := r.delay(a.Endpoint)
+			d += r.extraLatency(a.ID)
 			if d > a.Timeout {
-				d, code = a.Timeout, balancer.TimedOut
+				d, outcome = a.Timeout, balancer.TimedOut
 			}
-			r.due = append(r.due, rigEvent{r.now + d, balancer.AttemptEnded{ID: a.ID, Attempt: leg, Endpoint: a.Endpoint, Outcome: code, Elapsed: d}})
+			r.dueEvents = append(r.dueEvents, rigEvent{r.now + d, balancer.AttemptEnded{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Outcome: outcome, Elapsed: d}})
 		case balancer.CancelAttempt:
-			r.due = append(r.due, rigEvent{r.now + time.Millisecond, balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: balancer.Cancelled}})
+			r.dueEvents = append(r.dueEvents, rigEvent{r.now + time.Millisecond, balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: balancer.Cancelled}})
 		case balancer.Reject:
-			r.refused++
-			r.over[a.ID], r.last[a.ID] = true, a
-			r.waits = append(r.waits, a.RetryAfter)
+			r.rejected++
+			r.answered[a.ID], r.lastAnswer[a.ID] = true, a
+			r.retryAfters = append(r.retryAfters, a.RetryAfter)
 			class, try, _ := strings.Cut(string(a.ID), "/")
-			if left := r.patience - (r.now + a.RetryAfter - r.came[balancer.RequestID(class)]); len(try) < r.retries && left > 0 {
+			if remaining := r.timeout - (r.now + a.RetryAfter - r.arrivedAt[balancer.RequestID(class)]); len(try) < r.retries && remaining > 0 {
 				id := balancer.RequestID(class + "/" + try + "x")
-				r.due = append(r.due, rigEvent{r.now + a.RetryAfter, balancer.RequestArrived{ID: id, Class: strings.TrimRight(class,
-					"0123456789"), Timeout: left}})
+				r.dueEvents = append(r.dueEvents, rigEvent{r.now + a.RetryAfter, balancer.RequestArrived{ID: id, Class: strings.TrimRight(class,
+					"0123456789"), Timeout: remaining}})
 			}
 		case balancer.Fail:
 			r.failed++
-			r.over[a.ID], r.last[a.ID] = true, a
+			r.answered[a.ID], r.lastAnswer[a.ID] = true, a
 		case balancer.SetTimer:
-			r.due = append(r.due, rigEvent{r.now + a.After, balancer.TimerFired{Token: a.Token}})
+			r.dueEvents = append(r.dueEvents, rigEvent{r.now + a.After, balancer.TimerFired{Token: a.Token}})
 		case balancer.Log:
-			r.accused++
+			r.logLines++
 		case balancer.Subscribe:
-			r.asks++
-			r.due = append(r.due, rigEvent{r.now + time.Second, balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}})
+			r.polls++
+			r.dueEvents = append(r.dueEvents, rigEvent{r.now + time.Second, balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}})
 		}
 	}
 }
 
-// run plays some time with so many arrivals a second of a class.
+// run simulates some time with arrivals of a class, at a rate per second.
 func (r *rig) run(length time.Duration, rate float64, class string) {
 	arrived := 0.0
 	for end := r.now + length; r.now < end; r.now += 5 * time.Millisecond {
-		var rest, now []rigEvent
-		for _, d := range r.due {
+		var later, due []rigEvent
+		for _, d := range r.dueEvents {
 			if d.at <= r.now {
-				now = append(now, d)
+				due = append(due, d)
 			} else {
-				rest = append(rest, d)
+				later = append(later, d)
 			}
 		}
-		r.due = rest
-		for _, d := range now {
-			if e, ok := d.e.(balancer.AttemptEnded); ok {
-				e.RequestAnswered = r.over[e.ID] || e.Outcome == balancer.OK
+		r.dueEvents = later
+		for _, d := range due {
+			if e, ok := d.event.(balancer.AttemptEnded); ok {
+				e.RequestAnswered = r.answered[e.ID] || e.Outcome == balancer.OK
 				first, _, _ := strings.Cut(string(e.ID), "/")
-				if e.Outcome == balancer.OK && !r.over[e.ID] && r.now-r.came[balancer.RequestID(first)] < 600*time.Millisecond {
+				if e.Outcome == balancer.OK && !r.answered[e.ID] && r.now-r.arrivedAt[balancer.RequestID(first)] < 600*time.Millisecond {
 					r.inTime[strings.TrimRight(first, "0123456789")]++
 				}
-				r.over[e.ID] = e.RequestAnswered
-				d.e = e
+				r.answered[e.ID] = e.RequestAnswered
+				d.event = e
 			}
-			r.feed(d.e)
+			r.feed(d.event)
 		}
 		for arrived += rate * 0.005; arrived >= 1; arrived-- {
-			r.next++
-			id := balancer.RequestID(fmt.Sprint(class, r.next))
-			r.came[id] = r.now
-			r.feed(balancer.RequestArrived{ID: id, Class: class, Timeout: r.patience})
+			r.nextID++
+			id := balancer.RequestID(fmt.Sprint(class, r.nextID))
+			r.arrivedAt[id] = r.now
+			r.feed(balancer.RequestArrived{ID: id, Class: class, Timeout: r.timeout})
 		}
 	}
 }
 
-func (r *rig) reset() { r.sent, r.refused, r.failed = map[balancer.EndpointID]int{}, 0, 0 }
+func (r *rig) reset() { r.sent, r.rejected, r.failed = map[balancer.EndpointID]int{}, 0, 0 }
--- a/balancer/ring_test.go
+++ b/balancer/ring_test.go
@@ -9,74 +9,75 @@
 	"time"
 )
 
-// plainLists is what relist and share find, worked out anew over all servers: sorted, turned, filtered and walked node
-// by node. Whoever has left keeps the nodes that it had last.
-type plainLists struct {
-	list    []*endpoint
-	lists   [][]*endpoint // by group
-	near    [][]*endpoint
-	reach   []float64
-	sharers float64
-	home    map[*endpoint]bool
-	with    map[*endpoint][]int
-	tells   bool
-	seen    []*endpoint
+// expectedRings is the expected result of updateRings, selectSubsets and updatePeers. It is computed from all
+// endpoints: sorted, rotated, filtered, and walked proxy by proxy. An endpoint that has left the list keeps
+// its last peers.
+type expectedRings struct {
+	all                []*endpoint
+	byPlacement        [][]*endpoint
+	candidates         [][]*endpoint
+	subsetSizes        []float64
+	proxiesPerEndpoint float64
+	inBaseSubset       map[*endpoint]bool
+	peers              map[*endpoint][]int
+	gossips            bool
+	everListed         []*endpoint
 }
 
-func (p *plainLists) find(m *Balancer) {
+func (p *expectedRings) compute(proxy *Balancer) {
 	var sorted []*endpoint
-	for _, s := range m.endpoints {
+	for _, s := range proxy.endpoints {
 		sorted = append(sorted, s)
 	}
 	slices.SortFunc(sorted, func(a, b *endpoint) int { return cmp.Compare(a.ringPosition, b.ringPosition) })
-	start := startIndex(m.settings.ProxyIndex, len(sorted))
-	p.list = append(append([]*endpoint{}, sorted[start:]...), sorted[:start]...)
-	p.lists, p.near, p.reach, p.sharers, p.home, p.tells = nil, nil, nil, 0, map[*endpoint]bool{}, false
-	each := proxiesPerLearnedEndpoint
-	if m.queriesLoad {
-		each = proxiesPerQueriedEndpoint
-	}
-	for _, g := range m.placements {
-		list := slices.DeleteFunc(slices.Clone(p.list), func(s *endpoint) bool { return !g.allows(s) })
-		size := float64(len(list))
-		reach := min(size, max(minSubsetSize, ceil(each*size/float64(m.settings.Proxies))))
-		for _, s := range list[:int(reach)] {
-			p.home[s] = true
+	start := startIndex(proxy.settings.ProxyIndex, len(sorted))
+	p.all = append(append([]*endpoint{}, sorted[start:]...), sorted[:start]...)
+	p.byPlacement, p.candidates, p.subsetSizes, p.proxiesPerEndpoint, p.inBaseSubset, p.gossips = nil, nil, nil, 0, map[*endpoint]bool{}, false
+	perEndpoint := proxiesPerLearnedEndpoint
+	if proxy.queriesLoad {
+		perEndpoint = proxiesPerQueriedEndpoint
+	}
+	for _, g := range proxy.placements {
+		allowed := slices.DeleteFunc(slices.Clone(p.all), func(s *endpoint) bool { return !g.allows(s) })
+		size := float64(len(allowed))
+		subsetSize := min(size, max(minSubsetSize, ceil(perEndpoint*size/float64(proxy.settings.Proxies))))
+		for _, s := range allowed[:int(subsetSize)] {
+			p.inBaseSubset[s] = true
 		}
-		near := slices.DeleteFunc(slices.Clone(list), func(s *endpoint) bool { return s.ejected || s.inMaintenance || s.State != Ready })
-		p.sharers += float64(m.settings.Proxies) * reach / max(1, size)
-		p.lists, p.near, p.reach = append(p.lists, list), append(p.near, near[:min(len(near), int(reach))]), append(p.reach, reach)
+		candidates := slices.DeleteFunc(slices.Clone(allowed), func(s *endpoint) bool { return s.ejected || s.inMaintenance || s.State != Ready })
+		p.proxiesPerEndpoint += float64(proxy.settings.Proxies) * subsetSize / max(1, size)
+		p.byPlacement, p.candidates, p.subsetSizes = append(p.byPlacement, allowed), append(p.candidates, candidates[:min(len(candidates), int(subsetSize))]), append(p.subsetSizes, subsetSize)
 	}
-	p.sharers = max(1, p.sharers)
+	p.proxiesPerEndpoint = max(1, p.proxiesPerEndpoint)
 	for _, s := range sorted {
-		if _, ok := p.with[s]; !ok {
-			p.seen = append(p.seen, s)
+		if _, ok := p.peers[s]; !ok {
+			p.everListed = append(p.everListed, s)
 		}
-		p.with[s] = nil
+		p.peers[s] = nil
 	}
-	if !m.settings.AllowGossip || m.queriesLoad || m.settings.Proxies < 2 || len(sorted) == 0 || p.sharers > maxGossipPeers {
+	if !proxy.settings.AllowGossip || proxy.queriesLoad || proxy.settings.Proxies < 2 || len(sorted) == 0 || p.proxiesPerEndpoint > maxGossipPeers {
 		return
 	}
 	pairs := 0.0
-	for i, g := range m.placements {
-		for node := range m.settings.Proxies {
-			if node == m.settings.ProxyIndex {
+	for i, g := range proxy.placements {
+		for proxyIndex := range proxy.settings.Proxies {
+			if proxyIndex == proxy.settings.ProxyIndex {
 				continue
 			}
-			for at, left := startIndex(node, len(sorted)), int(p.reach[i]); left > 0; at++ {
+			for at, remaining := startIndex(proxyIndex, len(sorted)), int(p.subsetSizes[i]); remaining > 0; at++ {
 				s := sorted[at%len(sorted)]
 				if !g.allows(s) {
 					continue
 				}
-				left--
-				if w := p.with[s]; len(w) == 0 || w[len(w)-1] != node {
-					p.with[s] = append(w, node)
+				remaining--
+				if w := p.peers[s]; len(w) == 0 || w[len(w)-1] != proxyIndex {
+					p.peers[s] = append(w, proxyIndex)
 					pairs++
 				}
 			}
 		}
 	}
-	p.tells = m.settings.Prices.Message*((2*loadMessageSize+1)*pairs/float64(len(sorted)))/256 <= maxGossipPrice
+	p.gossips = proxy.settings.Prices.Message*((2*loadMessageSize+1)*pairs/float64(len(sorted)))/256 <= maxGossipPrice
 }
 
 func ceil(f float64) float64 {
@@ -86,8 +87,8 @@
 	return f
 }
 
-// walked gives a ring's servers of some kind from its start on.
-func walked(r ring, of func(*endpoint) bool) (out []*endpoint) {
+// endpointsFromStart returns the endpoints of a ring that satisfy a condition, from its start on.
+func endpointsFromStart(r ring, of func(*endpoint) bool) (out []*endpoint) {
 	for i := range r.endpoints {
 		if s := r.at(i); of(s) {
 			out = append(out, s)
@@ -96,55 +97,55 @@
 	return out
 }
 
-func (p *plainLists) check(m *Balancer, asks bool) error {
+func (p *expectedRings) check(proxy *Balancer, checkPeers bool) error {
 	every := func(*endpoint) bool { return true }
-	if got := walked(m.ring, every); !slices.Equal(got, p.list) {
-		return fmt.Errorf("%d servers, not %d, or in another order", len(got), len(p.list))
+	if got := endpointsFromStart(proxy.ring, every); !slices.Equal(got, p.all) {
+		return fmt.Errorf("%d endpoints, want %d, or in another order", len(got), len(p.all))
 	}
-	for i, g := range m.placements {
-		if got := walked(g.ring, every); !slices.Equal(got, p.lists[i]) || g.subsetSize != p.reach[i] || !slices.Equal(g.candidates, p.near[i]) {
-			return fmt.Errorf("group %d: %d servers, not %d; reach %v, not %v; %d near, not %d; or in another order", i,
-				len(got), len(p.lists[i]), g.subsetSize, p.reach[i], len(g.candidates), len(p.near[i]))
+	for i, g := range proxy.placements {
+		if got := endpointsFromStart(g.ring, every); !slices.Equal(got, p.byPlacement[i]) || g.subsetSize != p.subsetSizes[i] || !slices.Equal(g.candidates, p.candidates[i]) {
+			return fmt.Errorf("placement %d: %d endpoints, want %d; subset size %v, want %v; %d candidates, want %d; or in another order", i,
+				len(got), len(p.byPlacement[i]), g.subsetSize, p.subsetSizes[i], len(g.candidates), len(p.candidates[i]))
 		}
 	}
-	if m.proxiesPerEndpoint != p.sharers || m.gossips != p.tells {
-		return fmt.Errorf("sharers %v, not %v; it tells: %v, not %v", m.proxiesPerEndpoint, p.sharers, m.gossips, p.tells)
+	if proxy.proxiesPerEndpoint != p.proxiesPerEndpoint || proxy.gossips != p.gossips {
+		return fmt.Errorf("proxies per endpoint %v, want %v; gossips: %v, want %v", proxy.proxiesPerEndpoint, p.proxiesPerEndpoint, proxy.gossips, p.gossips)
 	}
-	for s, want := range p.with {
-		if s.inBaseSubset != p.home[s] {
-			return fmt.Errorf("server %d: home %v, not %v", s.ID, s.inBaseSubset, p.home[s])
+	for s, want := range p.peers {
+		if s.inBaseSubset != p.inBaseSubset[s] {
+			return fmt.Errorf("endpoint %d: in base subset %v, want %v", s.ID, s.inBaseSubset, p.inBaseSubset[s])
 		}
-		if !asks { // so that a server may leave before anybody has asked who shares it
+		if !checkPeers { // so that endpoints can leave before their peers have been determined
 			continue
 		}
-		if got := m.peersOf(s); !slices.Equal(got, want) {
-			return fmt.Errorf("server %d is shared with %v, not %v", s.ID, got, want)
+		if got := proxy.peersOf(s); !slices.Equal(got, want) {
+			return fmt.Errorf("endpoint %d is shared with %v, want %v", s.ID, got, want)
 		}
 	}
 	ejected := 0
-	for _, s := range p.list {
+	for _, s := range p.all {
 		if s.ejected || s.inMaintenance {
 			ejected++
 		}
 	}
-	if n := m.Ejected(); n != ejected {
-		return fmt.Errorf("%d are ejected, not %d", n, ejected)
+	if n := proxy.Ejected(); n != ejected {
+		return fmt.Errorf("%d endpoints count as ejected, want %d", n, ejected)
 	}
-	for name, k := range map[string]struct {
+	for name, kind := range map[string]struct {
 		set ring
 		of  func(*endpoint) bool
-	}{"suspects": {m.ejected, func(s *endpoint) bool { return s.ejected }}, "silent": {m.unresponsive, (*endpoint).isUnresponsive}} {
-		k.set.rotateTo(m.origin)
-		if got, want := walked(k.set, k.of), slices.DeleteFunc(slices.Clone(p.list), func(s *endpoint) bool { return !k.of(s) }); !slices.Equal(got, want) {
-			return fmt.Errorf("%d %s, not %d, or in another order", len(got), name, len(want))
+	}{"ejected endpoints": {proxy.ejected, func(s *endpoint) bool { return s.ejected }}, "unresponsive endpoints": {proxy.unresponsive, (*endpoint).isUnresponsive}} {
+		kind.set.rotateTo(proxy.origin)
+		if got, want := endpointsFromStart(kind.set, kind.of), slices.DeleteFunc(slices.Clone(p.all), func(s *endpoint) bool { return !kind.of(s) }); !slices.Equal(got, want) {
+			return fmt.Errorf("%d %s, want %d, or in another order", len(got), name, len(want))
 		}
 	}
 	return nil
 }
 
-// drawSettings draws some where nodes share servers and some where they do not, with groups that overlap.
+// drawSettings draws settings in which proxies may or may not share endpoints, with overlapping placements.
 func drawSettings(r *rand.Rand) Settings {
-	s := tellingSettings(0, 1+r.Intn(12))
+	s := gossipSettings(0, 1+r.Intn(12))
 	if r.Intn(3) == 0 {
 		s.Proxies = 1 + r.Intn(200)
 	}
@@ -159,14 +160,14 @@
 	return s
 }
 
-func drawList(r *rand.Rand, now Time, servers int) EndpointsUpdated {
+func drawList(r *rand.Rand, now Time, endpoints int) EndpointsUpdated {
 	u := EndpointsUpdated{Kind: UpdateIncremental}
 	n := 1 + r.Intn(3)
 	if r.Intn(5) == 0 {
-		u.Kind, n = []UpdateKind{UpdateComplete, UpdateCached, UpdateIncremental}[r.Intn(3)], r.Intn(servers)
+		u.Kind, n = []UpdateKind{UpdateComplete, UpdateCached, UpdateIncremental}[r.Intn(3)], r.Intn(endpoints)
 	}
 	for range n {
-		e := Endpoint{ID: EndpointID(1 + r.Intn(servers)), Zone: fmt.Sprint("z", r.Intn(3)), MachineType: fmt.Sprint("k", r.Intn(2))}
+		e := Endpoint{ID: EndpointID(1 + r.Intn(endpoints)), Zone: fmt.Sprint("z", r.Intn(3)), MachineType: fmt.Sprint("k", r.Intn(2))}
 		if e.State = EndpointState(r.Intn(3)); u.Kind != UpdateIncremental || r.Intn(2) == 0 {
 			e.State = Ready
 		}
@@ -178,72 +179,74 @@
 	return u
 }
 
-// What is kept up change by change is what a whole walk would find, in the same order.
-func TestListsAreThoseOfAWholeWalk(t *testing.T) {
+// The rings and subsets that are updated change by change must equal those that are computed from all
+// endpoints, in the same order.
+func TestIncrementalRingsEqualRecomputedOnes(t *testing.T) {
 	for seed := range int64(60) {
 		r := rand.New(rand.NewSource(seed))
-		m, servers := New(drawSettings(r), seed), 1+r.Intn(90)
-		m.meanLatency = 0.03
-		plain := plainLists{with: map[*endpoint][]int{}}
-		m.Handle(time.Hour, drawList(r, time.Hour, servers))
+		proxy, endpoints := New(drawSettings(r), seed), 1+r.Intn(90)
+		proxy.meanLatency = 0.03
+		expected := expectedRings{peers: map[*endpoint][]int{}}
+		proxy.Handle(time.Hour, drawList(r, time.Hour, endpoints))
 		for step := range 150 {
-			now, what := m.now+25*time.Millisecond, ""
-			switch k := r.Intn(10); {
-			case k < 4:
-				e := drawList(r, now, servers)
-				what = fmt.Sprintf("%+v", e)
-				m.Handle(now, e)
-			case k == 4:
+			now, change := proxy.now+25*time.Millisecond, ""
+			switch action := r.Intn(10); {
+			case action < 4:
+				e := drawList(r, now, endpoints)
+				change = fmt.Sprintf("%+v", e)
+				proxy.Handle(now, e)
+			case action == 4:
 				e := drawSettings(r)
-				what = fmt.Sprintf("%+v", e)
-				m.Handle(now, SettingsChanged{Settings: e})
-			case k == 5:
-				m.Handle(now, Maintenance{Endpoint: EndpointID(1 + r.Intn(servers)), On: r.Intn(2) == 0})
-			case k == 6 && len(m.endpoints) > 0:
-				m.Handle(now+time.Second, TimerFired{})
-			case k == 7: // for a while its list is a part, or claims to be; what it did then leaves no trace
-				m.Handle(now, EndpointsUpdated{Kind: UpdateIncremental, TotalEndpoints: r.Intn(2000) - 5, SubsetStart: r.Uint64()})
-				for _, s := range m.ring.endpoints {
-					if n := len(m.peersOf(s)); n > m.settings.Proxies*len(m.placements) || m.proxiesPerEndpoint < 1 {
-						t.Fatalf("seed %d, step %d: shared with %d, sharers %v", seed, step, n, m.proxiesPerEndpoint)
+				change = fmt.Sprintf("%+v", e)
+				proxy.Handle(now, SettingsChanged{Settings: e})
+			case action == 5:
+				proxy.Handle(now, Maintenance{Endpoint: EndpointID(1 + r.Intn(endpoints)), On: r.Intn(2) == 0})
+			case action == 6 && len(proxy.endpoints) > 0:
+				proxy.Handle(now+time.Second, TimerFired{})
+			case action == 7: // the list is, or claims to be, a subset for a while; this must leave no trace
+				proxy.Handle(now, EndpointsUpdated{Kind: UpdateIncremental, TotalEndpoints: r.Intn(2000) - 5, SubsetStart: r.Uint64()})
+				for _, s := range proxy.ring.endpoints {
+					if n := len(proxy.peersOf(s)); n > proxy.settings.Proxies*len(proxy.placements) || proxy.proxiesPerEndpoint < 1 {
+						t.Fatalf("seed %d, step %d: shared with %d proxies, proxies per endpoint %v", seed, step, n, proxy.proxiesPerEndpoint)
 					}
 				}
-				m.Handle(now, EndpointsUpdated{Kind: UpdateIncremental})
-			default: // also one that has left may be accused and counted, by attempts that still know it
-				for _, s := range plain.seen {
-					switch what = "attempts"; {
+				proxy.Handle(now, EndpointsUpdated{Kind: UpdateIncremental})
+			default: // attempts in flight can eject and count endpoints that have left the list
+				for _, s := range expected.everListed {
+					switch change = "attempts"; {
 					case r.Intn(3) > 0:
 					case r.Intn(2) == 0:
-						m.eject(s, "test")
+						proxy.eject(s, "test")
 					case r.Intn(2) == 0:
 						s.ejected, s.unansweredSends = false, 0
 					default:
-						m.addInFlight(&attempt{endpoint: s})
+						proxy.addInFlight(&attempt{endpoint: s})
 					}
 				}
 			}
-			m.updateCandidates() // which the round of checks does before it accuses
-			plain.find(m)
-			if err := plain.check(m, r.Intn(3) == 0); err != nil {
-				t.Fatalf("seed %d, step %d, after %q: %v", seed, step, what, err)
+			proxy.updateCandidates() // the round of checks does so before it ejects endpoints
+			expected.compute(proxy)
+			if err := expected.check(proxy, r.Intn(3) == 0); err != nil {
+				t.Fatalf("seed %d, step %d, after %q: %v", seed, step, change, err)
 			}
 		}
 	}
 }
 
-// A change asks of no other server who works with it, also where notes are nearly too dear to be sent.
-func TestChangeCountsNoPairs(t *testing.T) {
-	m := manyNodes(0, 430, 200)
-	m.settings.AllowGossip = true
-	pairs := float64(m.settings.Proxies) * m.placements[0].subsetSize
-	m.settings.Prices.Message = maxGossipPrice * 256 * 200 / ((2*loadMessageSize + 1) * (pairs - 100))
-	m.Handle(m.now, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 7, Zone: "z", State: Draining}}})
-	for _, s := range m.ring.endpoints {
-		if m.tracksPeers && s.peersVersion == m.ringVersion {
-			t.Fatalf("server %d has been looked at", s.ID)
+// A change of one endpoint must not determine the peers of all others, also where messages are nearly too
+// expensive.
+func TestListChangeDeterminesNoPeers(t *testing.T) {
+	proxy := newProxyOfMany(0, 430, 200)
+	proxy.settings.AllowGossip = true
+	pairs := float64(proxy.settings.Proxies) * proxy.placements[0].subsetSize
+	proxy.settings.Prices.Message = maxGossipPrice * 256 * 200 / ((2*loadMessageSize + 1) * (pairs - 100))
+	proxy.Handle(proxy.now, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 7, Zone: "z", State: Draining}}})
+	for _, s := range proxy.ring.endpoints {
+		if proxy.tracksPeers && s.peersVersion == proxy.ringVersion {
+			t.Fatalf("the peers of endpoint %d have been determined", s.ID)
 		}
 	}
-	if !m.tracksPeers {
-		t.Error("the node shares no servers")
+	if !proxy.tracksPeers {
+		t.Error("the proxy does not track peers")
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -9,22 +9,24 @@
 	"wrenspread/balancer"
 )
 
-const testRate = 60 // arrivals a second
+// arrivalsPerSecond is the rate of requests in a world.
+const arrivalsPerSecond = 60
 
-func play(seed int64, length time.Duration, mutate func(*world, []balancer.Action) []balancer.Action) *world {
+// playWorld runs a world for some time. mutate may change the balancer's actions.
+func playWorld(seed int64, length time.Duration, mutate func(*world, []balancer.Action) []balancer.Action) *world {
 	w := newWorld(seed)
-	w.capacity, w.mutate = testRate/3, mutate
-	w.run(length, testRate, true)
+	w.capacity, w.mutate = arrivalsPerSecond/3, mutate
+	w.run(length, arrivalsPerSecond, true)
 	w.run(12*time.Second, 0, false) // let all deadlines pass
 	return w
 }
 
-// TestRulesUnderRandomEvents drives the module through arbitrary legal orders of events and settings.
+// The balancer keeps the rules under arbitrary legal sequences of events and settings.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		w := play(seed, 15*time.Second, nil)
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %d faults, the first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
+		w := playWorld(seed, 15*time.Second, nil)
+		if len(w.violations) > 0 {
+			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 		}
 	}
 }
@@ -34,18 +36,18 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if w := play(seed, 5*time.Second, nil); len(w.broken) > 0 {
-			t.Fatal(w.broken[0])
+		if w := playWorld(seed, 5*time.Second, nil); len(w.violations) > 0 {
+			t.Fatal(w.violations[0])
 		}
 	})
 }
 
-// TestSameEventsSameActions plays recorded events to a second module.
+// Equal seeds and events must lead to equal actions.
 func TestSameEventsSameActions(t *testing.T) {
 	w := newWorld(7)
-	w.run(10*time.Second, testRate, false)
+	w.run(10*time.Second, arrivalsPerSecond, false)
 	again := newWorld(7)
-	again.run(10*time.Second, testRate, false)
+	again.run(10*time.Second, arrivalsPerSecond, false)
 	if len(w.actions) < 500 || len(w.actions) != len(again.actions) {
 		t.Fatalf("%d and %d steps", len(w.actions), len(again.actions))
 	}
@@ -56,9 +58,9 @@
 	}
 }
 
-// TestCheckerCatches breaks the module's answers in each way that the rules forbid.
-func TestCheckerCatches(t *testing.T) {
-	each := func(change func(*world, balancer.Action) []balancer.Action) func(*world, []balancer.Action) []balancer.Action {
+// Changes the balancer's actions in each way that the rules forbid.
+func TestCheckerCatchesEachRuleViolation(t *testing.T) {
+	mapActions := func(change func(*world, balancer.Action) []balancer.Action) func(*world, []balancer.Action) []balancer.Action {
 		return func(w *world, in []balancer.Action) (out []balancer.Action) {
 			for _, a := range in {
 				out = append(out, change(w, a)...)
@@ -66,9 +68,9 @@
 			return out
 		}
 	}
-	other := func(w *world, s balancer.StartAttempt) balancer.StartAttempt {
-		for _, id := range w.ids {
-			if l := w.servers[id]; id != s.Endpoint && l.drainTold == 0 {
+	toOtherEndpoint := func(w *world, s balancer.StartAttempt) balancer.StartAttempt {
+		for _, id := range w.endpointIDs {
+			if l := w.endpoints[id]; id != s.Endpoint && l.drainListedAt == 0 {
 				s.Endpoint = id
 				return s
 			}
@@ -101,8 +103,8 @@
 		}},
 		{"drains or is gone", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
-				for _, id := range w.ids {
-					if w.servers[id].drainTold > 0 {
+				for _, id := range w.endpointIDs {
+					if w.endpoints[id].drainListedAt > 0 {
 						s.Endpoint = id
 					}
 				}
@@ -110,21 +112,21 @@
 			}
 			return []balancer.Action{a}
 		}},
-		{"unsafe request sent again", func(w *world, a balancer.Action) []balancer.Action {
+		{"request that is not idempotent sent again", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
-				return []balancer.Action{a, other(w, s)}
+				return []balancer.Action{a, toOtherEndpoint(w, s)}
 			}
 			return []balancer.Action{a}
 		}},
-		{"two attempts out", func(w *world, a balancer.Action) []balancer.Action {
+		{"two attempts in flight", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
-				return []balancer.Action{a, other(w, s)}
+				return []balancer.Action{a, toOtherEndpoint(w, s)}
 			}
 			return []balancer.Action{a}
 		}},
-		{"outside its group or window", func(w *world, a balancer.Action) []balancer.Action {
+		{"outside its deduplication scope or window", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
-				return []balancer.Action{a, other(w, s)}
+				return []balancer.Action{a, toOtherEndpoint(w, s)}
 			}
 			return []balancer.Action{a}
 		}},
@@ -136,11 +138,11 @@
 		}},
 		{"for a request that is over", func(w *world, a balancer.Action) []balancer.Action {
 			if r, ok := a.(balancer.Reject); ok {
-				return []balancer.Action{a, balancer.StartAttempt{ID: r.ID, Endpoint: w.ids[0]}}
+				return []balancer.Action{a, balancer.StartAttempt{ID: r.ID, Endpoint: w.endpointIDs[0]}}
 			}
 			return []balancer.Action{a}
 		}},
-		{"refused although", func(w *world, a balancer.Action) []balancer.Action {
+		{"rejected although", func(w *world, a balancer.Action) []balancer.Action {
 			if f, ok := a.(balancer.Fail); ok {
 				return []balancer.Action{balancer.Reject{ID: f.ID}}
 			}
@@ -148,8 +150,8 @@
 		}},
 		{"its budget is", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
-				for _, id := range w.ids {
-					if l := w.servers[id]; l.startTold && l.drainTold == 0 && w.now-l.StartedAt < 2*time.Second {
+				for _, id := range w.endpointIDs {
+					if l := w.endpoints[id]; l.startListed && l.drainListedAt == 0 && w.now-l.StartedAt < 2*time.Second {
 						s.Endpoint = id
 					}
 				}
@@ -159,7 +161,7 @@
 		}},
 		{"not open to", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
-				s = other(w, s)
+				s = toOtherEndpoint(w, s)
 				return []balancer.Action{s}
 			}
 			return []balancer.Action{a}
@@ -170,14 +172,14 @@
 			}
 			return []balancer.Action{a}
 		}},
-		{"cancel", func(w *world, a balancer.Action) []balancer.Action {
+		{"CancelAttempt", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
 				return []balancer.Action{a, balancer.CancelAttempt{ID: s.ID, Attempt: 9}}
 			}
 			return []balancer.Action{a}
 		}},
-		{"forbidden probe", func(w *world, a balancer.Action) []balancer.Action {
-			return []balancer.Action{a, balancer.QueryLoad{Endpoint: w.ids[0]}}
+		{"forbidden load query", func(w *world, a balancer.Action) []balancer.Action {
+			return []balancer.Action{a, balancer.QueryLoad{Endpoint: w.endpointIDs[0]}}
 		}},
 		{"forbidden message", func(w *world, a balancer.Action) []balancer.Action {
 			return []balancer.Action{a, balancer.SendMessage{ToAll: true}}
@@ -185,11 +187,11 @@
 	} {
 		found := false
 		for seed := int64(1); seed <= 25 && !found; seed++ {
-			w := play(seed, 10*time.Second, each(c.change))
-			found = strings.Contains(fmt.Sprint(w.broken), c.want)
+			w := playWorld(seed, 10*time.Second, mapActions(c.change))
+			found = strings.Contains(fmt.Sprint(w.violations), c.want)
 		}
 		if !found {
-			t.Errorf("a module broken so that %q was not caught", c.want)
+			t.Errorf("a balancer that violates the rules so that %q should be reported was not caught", c.want)
 		}
 	}
 }
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -9,43 +9,45 @@
 	"wrenspread/balancer"
 )
 
-// sized is a module of a node that shares its servers with others and knows so many, and what it holds for each.
-func sized(nodes, servers int) (m *balancer.Balancer, each float64) {
+// newSizedProxy returns a proxy that shares its endpoints with others, and the memory in bytes that it uses
+// per endpoint.
+func newSizedProxy(proxies, endpoints int) (proxy *balancer.Balancer, each float64) {
 	s := rigSettings()
-	s.Proxies, s.ProxyIndex, s.AllowGossip = nodes, nodes/3, true
-	list := make([]balancer.Endpoint, servers)
+	s.Proxies, s.ProxyIndex, s.AllowGossip = proxies, proxies/3, true
+	list := make([]balancer.Endpoint, endpoints)
 	for i := range list {
 		list[i] = balancer.Endpoint{ID: balancer.EndpointID(i + 1), Zone: "a", MachineType: "k"}
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	m = balancer.New(s, 1)
-	m.Handle(time.Hour, balancer.EndpointsUpdated{Kind: balancer.UpdateComplete, Endpoints: list})
+	proxy = balancer.New(s, 1)
+	proxy.Handle(time.Hour, balancer.EndpointsUpdated{Kind: balancer.UpdateComplete, Endpoints: list})
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(list)
-	return m, (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(servers)
+	return proxy, (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(endpoints)
 }
 
-// BenchmarkSize is what a list of some size costs a node: one change of it, one round of checks, memory for a server.
+// BenchmarkSize measures what a list of some size costs a proxy: a change of one entry, a round of checks,
+// and the memory for an endpoint.
 func BenchmarkSize(b *testing.B) {
-	for _, nodes := range []int{300, 4300} {
-		for _, servers := range []int{200, 2000, 20000, 54000} {
-			m, each := sized(nodes, servers)
+	for _, proxies := range []int{300, 4300} {
+		for _, endpoints := range []int{200, 2000, 20000, 54000} {
+			proxy, each := newSizedProxy(proxies, endpoints)
 			now := time.Hour
-			b.Run(fmt.Sprintf("change/nodes=%d/servers=%d", nodes, servers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("change/nodes=%d/servers=%d", proxies, endpoints), func(b *testing.B) {
 				for i := 0; b.Loop(); i++ {
-					e := balancer.Endpoint{ID: balancer.EndpointID(1 + i/2*7919%servers), Zone: "a", MachineType: "k", State: balancer.EndpointState(2 - i%2*2)}
-					m.Handle(now, balancer.EndpointsUpdated{Kind: balancer.UpdateIncremental, Endpoints: []balancer.Endpoint{e}})
+					e := balancer.Endpoint{ID: balancer.EndpointID(1 + i/2*7919%endpoints), Zone: "a", MachineType: "k", State: balancer.EndpointState(2 - i%2*2)}
+					proxy.Handle(now, balancer.EndpointsUpdated{Kind: balancer.UpdateIncremental, Endpoints: []balancer.Endpoint{e}})
 				}
 				b.ReportMetric(each, "B/server")
 			})
-			b.Run(fmt.Sprintf("tick/nodes=%d/servers=%d", nodes, servers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("tick/nodes=%d/servers=%d", proxies, endpoints), func(b *testing.B) {
 				for b.Loop() {
 					now += 25 * time.Millisecond
-					m.Handle(now, balancer.TimerFired{})
-					m.Ejected()
+					proxy.Handle(now, balancer.TimerFired{})
+					proxy.Ejected()
 				}
 			})
 		}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -48,17 +48,17 @@
 	return initial + (1-initial)*max(0, b.slowStartProgress(e))
 }
 
-// limitedBySlowStart reports whether an endpoint in slow start may not get an attempt now. The attempts of
-// all proxies together overload such an endpoint. Tokens therefore arrive at its warm fraction of the rate of
-// this proxy's warm endpoints. Unused tokens lapse one by one, so that each proxy stays in the phase that it
-// drew at the endpoint's start. Within the settings' overload duration, the proxies together send the tokens
-// that arrive, the few that they have saved, and one more.
+// limitedBySlowStart reports whether an endpoint in slow start may not get an attempt now. Such an endpoint
+// can fail under the attempts of all proxies together. Tokens therefore arrive at its warm fraction of the
+// rate of this proxy's warm endpoints. Unused tokens lapse one by one, so that each proxy stays in the phase
+// that it drew at the endpoint's start. Within the settings' overload duration, the proxies together send the
+// tokens that arrive, the few that they have saved, and one more.
 func (b *Balancer) limitedBySlowStart(e *endpoint) bool {
 	warmFraction := b.warmFraction(e)
 	if !e.slowStarting {
 		return false
 	}
-	// Without the first condition all proxies would use an endpoint that has restarted when most are ejected.
+	// When most endpoints are ejected, the candidates of every proxy extend to one that has restarted.
 	if !e.inBaseSubset || b.handedOver {
 		return true
 	}
--- a/balancer/suspicion_test.go
+++ b/balancer/suspicion_test.go
@@ -7,46 +7,47 @@
 	"wrenspread/balancer"
 )
 
-// One lost answer and two requests that have just been sent are no silence: servers that lose a few in a hundred would
-// all be left out in turn.
-func TestRecentSendsAreNoSilence(t *testing.T) {
-	r, sends := newRig(t, rigSettings(), 3), map[balancer.EndpointID]int{}
+// One lost response and two requests that have just been sent are not three unanswered attempts. Otherwise
+// endpoints that lose a few percent of their responses would all be ejected in turn.
+func TestRecentAttemptsDoNotCountAsUnanswered(t *testing.T) {
+	r, attempts := newRig(t, rigSettings(), 3), map[balancer.EndpointID]int{}
 	r.run(4*time.Second, 60, "once")
-	r.accused = 0
+	r.logLines = 0
 	r.delay = func(id balancer.EndpointID) (time.Duration, balancer.Outcome) {
-		if sends[id]++; sends[id]%12 == 0 {
+		if attempts[id]++; attempts[id]%12 == 0 {
 			return time.Hour, balancer.OK
 		}
 		return 50 * time.Millisecond, balancer.OK
 	}
-	for range 100 { // pauses, after which a lost answer is the oldest that is out and others come at once
+	for range 100 { // pauses, after which a lost response is the oldest in flight and a burst follows
 		r.run(300*time.Millisecond, 40, "once")
 		r.run(260*time.Millisecond, 0, "once")
 		r.run(20*time.Millisecond, 600, "once")
 	}
-	if r.accused > 0 {
-		t.Errorf("%d log lines of servers that lose one answer in twelve", r.accused)
+	if r.logLines > 0 {
+		t.Errorf("%d log lines about endpoints that lose one response in twelve", r.logLines)
 	}
 }
 
-// Servers that break a quarter of their requests still serve three quarters: leaving most of a fleet out for it would
-// crowd the rest. One that refuses connections is left out at once, and is taken as cold when it answers again.
-func TestServersThatFailAPartStay(t *testing.T) {
-	for _, code := range []balancer.Outcome{balancer.ConnectionReset, balancer.ServerError} {
-		r, sends := newRig(t, rigSettings(), 6), map[balancer.EndpointID]int{}
+// Endpoints that fail a quarter of their requests still serve three quarters: ejecting most of a fleet for it
+// would overload the rest. An endpoint that refuses connections is ejected at once, and gets a slow start
+// when it accepts them again.
+func TestEndpointsFailingAFractionAreNotEjected(t *testing.T) {
+	for _, outcome := range []balancer.Outcome{balancer.ConnectionReset, balancer.ServerError} {
+		r, attempts := newRig(t, rigSettings(), 6), map[balancer.EndpointID]int{}
 		r.run(4*time.Second, 120, "dear")
 		r.reset()
 		good := r.delay
 		r.delay = func(id balancer.EndpointID) (time.Duration, balancer.Outcome) {
-			// Three in a row, and nine good ones: by the row alone each would be a suspect soon.
-			if sends[id]++; id > 2 && sends[id]%12 < 3 {
-				return 20 * time.Millisecond, code
+			// Three failures in a row and nine responses: by the failures in a row alone, each would soon be ejected.
+			if attempts[id]++; id > 2 && attempts[id]%12 < 3 {
+				return 20 * time.Millisecond, outcome
 			}
 			return good(id)
 		}
 		r.run(10*time.Second, 120, "dear")
-		if r.accused > 0 || r.refused+r.failed > 60 {
-			t.Errorf("code %d: %d log lines, %d refused, %d failed of 1200; further attempts are limited to 120", code, r.accused, r.refused, r.failed)
+		if r.logLines > 0 || r.rejected+r.failed > 60 {
+			t.Errorf("outcome %d: %d log lines, %d rejected, %d failed of 1200; retries are limited to 120", outcome, r.logLines, r.rejected, r.failed)
 		}
 	}
 	r := newRig(t, rigSettings(), 3)
@@ -60,47 +61,48 @@
 	}
 	r.reset()
 	r.run(time.Second, 60, "dear")
-	if r.sent[1] > 4 || r.accused != 1 {
-		t.Errorf("%d sends to one that refuses connections, %d log lines", r.sent[1], r.accused)
+	if r.sent[1] > 4 || r.logLines != 1 {
+		t.Errorf("%d attempts at an endpoint that refuses connections, %d log lines", r.sent[1], r.logLines)
 	}
 	down = false
 	r.run(6*time.Second, 60, "dear")
 	r.reset()
 	r.run(time.Second, 60, "dear")
 	if n := r.sent[1]; n == 0 || n > 16 {
-		t.Errorf("once it answers it got %d in a second, want a cold one's part of 20", n)
+		t.Errorf("once it accepts connections it got %d attempts in a second, want those of a slow start", n)
 	}
 }
 
-// Of servers to which a third of the connections come up late, two in a row now and then, none is left out: each that is,
-// is tried by few requests and taken as cold then. One to which none comes up is out of reach.
-func TestLateConnectionsAreNoProof(t *testing.T) {
-	r, sends := newRig(t, rigSettings(), 4), map[balancer.EndpointID]int{}
+// Of endpoints at which a third of the connections are established late, two in a row now and then, none is
+// ejected: an ejected endpoint gets few requests and then a slow start. An endpoint at which no connection is
+// established is unreachable, and is ejected.
+func TestLateConnectionsDoNotEject(t *testing.T) {
+	r, attempts := newRig(t, rigSettings(), 4), map[balancer.EndpointID]int{}
 	r.run(4*time.Second, 60, "dear")
 	r.reset()
-	r.accused = 0
+	r.logLines = 0
 	good, cut := r.delay, balancer.EndpointID(0)
 	r.delay = func(id balancer.EndpointID) (time.Duration, balancer.Outcome) {
-		if sends[id]++; id == cut || sends[id]%6 < 2 {
+		if attempts[id]++; id == cut || attempts[id]%6 < 2 {
 			return 100 * time.Millisecond, balancer.ConnectTimedOut
 		}
 		return good(id)
 	}
 	r.run(10*time.Second, 60, "dear")
-	if r.accused > 0 || r.refused+r.failed > 30 {
-		t.Errorf("%d log lines, %d refused, %d failed of 600", r.accused, r.refused, r.failed)
+	if r.logLines > 0 || r.rejected+r.failed > 30 {
+		t.Errorf("%d log lines, %d rejected, %d failed of 600", r.logLines, r.rejected, r.failed)
 	}
 	cut = 1
 	r.reset()
 	r.run(2*time.Second, 60, "dear")
-	if r.sent[1] > 12 || r.accused != 1 {
-		t.Errorf("%d sends to one out of reach, %d log lines", r.sent[1], r.accused)
+	if r.sent[1] > 12 || r.logLines != 1 {
+		t.Errorf("%d attempts at an unreachable endpoint, %d log lines", r.sent[1], r.logLines)
 	}
 }
 
-// A silent server is left out and its requests are answered elsewhere, also while the list is down; it then comes
-// back paced, as it may be cold.
-func TestSilentServerWhileListIsDown(t *testing.T) {
+// An endpoint that does not respond is ejected and its requests are answered by others, also while discovery
+// fails. When it responds again, it gets a slow start, as it may have restarted.
+func TestUnresponsiveEndpointIsEjectedWithoutDiscovery(t *testing.T) {
 	s := rigSettings()
 	s.PollForEndpoints = true
 	r := newRig(t, s, 5)
@@ -114,11 +116,11 @@
 	}
 	r.reset()
 	r.run(6*time.Second, 100, "cheap")
-	if r.sent[3] > 25 || r.failed > 0 || r.refused > 5 {
-		t.Errorf("silent server got %d, %d failed, %d refused", r.sent[3], r.failed, r.refused)
+	if r.sent[3] > 25 || r.failed > 0 || r.rejected > 5 {
+		t.Errorf("unresponsive endpoint got %d attempts, %d failed, %d rejected", r.sent[3], r.failed, r.rejected)
 	}
-	if r.asks < 3 {
-		t.Errorf("the list was asked for %d times only", r.asks)
+	if r.polls < 3 {
+		t.Errorf("discovery was polled only %d times", r.polls)
 	}
 	r.delay = quick
 	r.reset()
@@ -128,12 +130,12 @@
 	r.reset()
 	r.run(5*time.Second, 100, "cheap")
 	if early > 50 || r.sent[3] < 60 {
-		t.Errorf("back from silence: %d in the first 3 s, %d in 5 s once warm", early, r.sent[3])
+		t.Errorf("responsive again: %d attempts in the first 3 s, %d in 5 s once warm", early, r.sent[3])
 	}
 }
 
-// A server that fails fast must not attract work.
-func TestFastFailerAttractsNothing(t *testing.T) {
+// An endpoint that fails fast must not attract work.
+func TestFastFailingEndpointAttractsNoWork(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.delay = func(id balancer.EndpointID) (time.Duration, balancer.Outcome) {
 		if id == 2 {
@@ -143,12 +145,12 @@
 	}
 	r.run(10*time.Second, 100, "cheap")
 	if r.sent[2] > 60 {
-		t.Errorf("%d of %d sends went to the server that fails", r.sent[2], r.sent[1]+r.sent[2]+r.sent[3]+r.sent[4])
+		t.Errorf("%d of %d attempts at the endpoint that fails", r.sent[2], r.sent[1]+r.sent[2]+r.sent[3]+r.sent[4])
 	}
 }
 
-// Log lines are few even where a server fails and recovers all the time.
-func TestLogIsLimited(t *testing.T) {
+// Log lines are few, even if an endpoint fails and recovers all the time.
+func TestLogLinesPerEndpointAreLimited(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
 	r.run(3*time.Second, 100, "cheap")
 	n := 0
@@ -160,9 +162,9 @@
 		}
 		return 50 * time.Millisecond, balancer.OK
 	}
-	r.accused = 0
+	r.logLines = 0
 	r.run(60*time.Second, 100, "cheap")
-	if r.accused == 0 || r.accused > 13 {
-		t.Errorf("%d log lines in a minute about one server", r.accused)
+	if r.logLines == 0 || r.logLines > 13 {
+		t.Errorf("%d log lines in a minute about one endpoint", r.logLines)
 	}
 }
--- a/balancer/world_test.go
+++ b/balancer/world_test.go
@@ -1,7 +1,7 @@
 package balancer_test
 
-// A small world that drives the module through legal but unkind events. Nothing here, in checker_test.go or in
-// happenings_test.go uses the module's own code beyond its interface.
+// A simulated environment that confronts the balancer with legal but adverse events. Nothing in this file, in
+// checker_test.go or in happenings_test.go uses the balancer's code except through its interface.
 
 import (
 	"fmt"
@@ -13,28 +13,28 @@
 )
 
 type sentAttempt struct {
-	server balancer.EndpointID
-	at     time.Duration
-	ended  bool
-	code   balancer.Outcome
+	endpoint balancer.EndpointID
+	at       time.Duration
+	ended    bool
+	outcome  balancer.Outcome
 }
 
 type liveRequest struct {
-	class    balancer.Class
-	deadline time.Duration
-	attempts []sentAttempt
-	final    bool
-	stream   bool
+	class     balancer.Class
+	deadline  time.Duration
+	attempts  []sentAttempt
+	answered  bool
+	streaming bool
 }
 
-type listed struct {
+type listedEndpoint struct {
 	balancer.Endpoint
-	drainTold time.Duration // when the node was told that it drains or is gone; 0: it is ready
-	startTold bool
-	used      time.Duration // the last notice of a drain, send or outcome; 0: none since the last CloseIdle
+	drainListedAt time.Duration // when the list first showed it as draining or gone; 0: it is ready
+	startListed   bool          // the list shows when it started
+	lastUsedAt    time.Duration // last attempt, outcome or start of a drain; 0: none since CloseIdleConnections
 }
 
-type pending struct {
+type pendingEvent struct {
 	at    time.Duration
 	order int
 	event balancer.Event
@@ -42,89 +42,90 @@
 }
 
 type world struct {
-	set      balancer.Settings
-	r        *rand.Rand
-	now      time.Duration
-	queue    []pending
-	order    int
-	requests map[balancer.RequestID]*liveRequest
-	servers  map[balancer.EndpointID]*listed
-	ids      []balancer.EndpointID
-	sends    map[balancer.EndpointID][]time.Duration
-	capacity float64 // requests a second that this node's share of a warm server can do
-	module   *balancer.Balancer
-	mutate   func(w *world, a []balancer.Action) []balancer.Action
-	events   []balancer.Event
-	times    []time.Duration
-	actions  []string
-	broken   []string
-	next     int
+	settings     balancer.Settings
+	random       *rand.Rand
+	now          time.Duration
+	queue        []pendingEvent
+	order        int
+	requests     map[balancer.RequestID]*liveRequest
+	endpoints    map[balancer.EndpointID]*listedEndpoint
+	endpointIDs  []balancer.EndpointID
+	attemptTimes map[balancer.EndpointID][]time.Duration
+	capacity     float64 // requests per second of this proxy that a warm endpoint can serve
+	balancer     *balancer.Balancer
+	mutate       func(w *world, a []balancer.Action) []balancer.Action
+	events       []balancer.Event
+	times        []time.Duration
+	actions      []string
+	violations   []string
+	nextID       int
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+func (w *world) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) later(d time.Duration, p pending) {
+func (w *world) later(d time.Duration, p pendingEvent) {
 	w.order++
-	p.at, p.order = w.now+max(d, w.set.MinEventInterval), w.order
+	p.at, p.order = w.now+max(d, w.settings.MinEventInterval), w.order
 	w.queue = append(w.queue, p)
 }
 
 func (w *world) handle(e balancer.Event) {
 	w.events, w.times = append(w.events, e), append(w.times, w.now)
-	actions := w.module.Handle(w.now, e)
+	actions := w.balancer.Handle(w.now, e)
 	w.actions = append(w.actions, fmt.Sprintf("%#v", actions))
 	if w.mutate != nil {
 		actions = w.mutate(w, actions)
 	}
 	for _, a := range actions {
-		w.carryOut(a)
+		w.performAction(a)
 	}
 }
 
 func newWorld(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	w := &world{r: r, now: time.Hour, servers: map[balancer.EndpointID]*listed{}, sends: map[balancer.EndpointID][]time.Duration{}}
+	w := &world{random: r, now: time.Hour, endpoints: map[balancer.EndpointID]*listedEndpoint{}, attemptTimes: map[balancer.EndpointID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
-	w.set = balancer.Settings{Proxies: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), AllowHedging: r.Intn(2) == 0,
+	w.settings = balancer.Settings{Proxies: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), AllowHedging: r.Intn(2) == 0,
 		AllowCancel: r.Intn(3) > 0, AllowLoadQueries: r.Intn(2) == 0, LoadReports: balancer.LoadReportSource(r.Intn(3)), AllowGossip: r.Intn(2) == 0, SendRetryAfter: r.Intn(2) == 0,
 		MaxRetryAfter: time.Second, ConnectTimeout: 100 * time.Millisecond, MinEventInterval: 5 * time.Millisecond,
 		PollForEndpoints: r.Intn(2) == 0, ResponseSlack: 20 * time.Millisecond, PollInterval: 10 * time.Second,
 		DrainGrace: ms(0, 1000), DrainClose: time.Duration(r.Intn(2)) * ms(20, 500),
 		SlowStartInitial: 0.3, SlowStartDuration: ms(3000, 9000), OverloadFactor: 2.5, OverloadDuration: time.Second}
 	for i, n := 0, 1+r.Intn(4); i < n; i++ {
-		aim := ms(100, 1500)
-		w.set.Classes = append(w.set.Classes, balancer.Class{Name: fmt.Sprint("c", i), PriorityWeight: float64(r.Intn(13)), LatencyObjective: aim,
-			Deadline: 2*aim + ms(0, 2000), LateWeight: float64(r.Intn(2)) / 2, Idempotency: balancer.Idempotency(r.Intn(3)),
+		objective := ms(100, 1500)
+		w.settings.Classes = append(w.settings.Classes, balancer.Class{Name: fmt.Sprint("c", i), PriorityWeight: float64(r.Intn(13)), LatencyObjective: objective,
+			Deadline: 2*objective + ms(0, 2000), LateWeight: float64(r.Intn(2)) / 2, Idempotency: balancer.Idempotency(r.Intn(3)),
 			DedupScope: balancer.DedupScope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0,
 			AllowedZones:        [][]string{nil, nil, {"z0"}, {"z1", "z0"}, {}}[r.Intn(5)],
 			AllowedMachineTypes: [][]string{nil, nil, nil, {"k1"}}[r.Intn(4)]})
 	}
 	if r.Intn(3) == 0 {
-		w.set.Tenants = []balancer.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
+		w.settings.Tenants = []balancer.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
 	}
 	w.start()
 	return w
 }
 
 func (w *world) start() {
-	w.module = balancer.New(w.set, w.r.Int63())
+	w.balancer = balancer.New(w.settings, w.random.Int63())
 	w.requests, w.queue = map[balancer.RequestID]*liveRequest{}, nil
 	var all []balancer.Endpoint
-	for _, id := range w.ids {
-		if e := w.servers[id].Endpoint; e.State != balancer.Removed {
+	for _, id := range w.endpointIDs {
+		if e := w.endpoints[id].Endpoint; e.State != balancer.Removed {
 			all = append(all, e)
 		}
 	}
 	for len(all) < 4 {
-		all = append(all, w.newServer(0))
+		all = append(all, w.newEndpoint(0))
 	}
-	w.servers, w.ids = map[balancer.EndpointID]*listed{}, nil
-	w.tell(balancer.UpdateCached, all)
+	w.endpoints, w.endpointIDs = map[balancer.EndpointID]*listedEndpoint{}, nil
+	w.updateList(balancer.UpdateCached, all)
 }
 
-// run plays a stretch of time; restarts says whether the node may be restarted in between.
+// run simulates some time with arrivals at a rate per second. restarts says whether the proxy may be
+// restarted.
 func (w *world) run(length time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := w.now + length; w.now < end; w.now += step {
@@ -137,27 +138,27 @@
 			w.deliver(p)
 		}
 		for n := rate * step.Seconds(); n > 0; n-- {
-			if w.r.Float64() < n {
+			if w.random.Float64() < n {
 				w.arrive()
 			}
 		}
-		if w.r.Intn(150) == 0 {
+		if w.random.Intn(150) == 0 {
 			w.changeList()
 		}
-		if restarts && w.r.Intn(1500) == 0 {
+		if restarts && w.random.Intn(1500) == 0 {
 			w.start()
 		}
-		for _, id := range w.ids {
-			if s := w.servers[id]; s.State == balancer.Draining && s.used > 0 && w.set.DrainClose > 0 &&
-				w.now > s.used+w.set.DrainClose {
-				w.fault("connections to server %d, which drains, were left open", id)
-				s.used = 0
+		for _, id := range w.endpointIDs {
+			if s := w.endpoints[id]; s.State == balancer.Draining && s.lastUsedAt > 0 && w.settings.DrainClose > 0 &&
+				w.now > s.lastUsedAt+w.settings.DrainClose {
+				w.addViolation("connections to endpoint %d, which drains, were left open", id)
+				s.lastUsedAt = 0
 			}
 		}
 		for id, q := range w.requests {
-			if !q.final && !q.stream && w.now > q.deadline+w.set.ResponseSlack+step {
-				w.fault("request %s has no answer in time", id)
-				q.final = true
+			if !q.answered && !q.streaming && w.now > q.deadline+w.settings.ResponseSlack+step {
+				w.addViolation("request %s has no answer in time", id)
+				q.answered = true
 			}
 		}
 	}
--- a/internal/simwire/list.go
+++ b/internal/simwire/list.go
@@ -58,7 +58,8 @@
 		update.Endpoints = append(
 			update.Endpoints,
 			balancer.Endpoint{ID: balancer.EndpointID(*listed.Backend), Zone: listed.Zone,
-				MachineType: listed.MachineType, Cell: listed.Cell, State: state, Weight: listed.Weight, StartedAt: time.Duration(listed.StartedAt)},
+				MachineType: listed.MachineType, Cell: listed.Cell, State: state,
+				Weight: listed.Weight, StartedAt: time.Duration(listed.StartedAt)},
 		)
 	}
 	return ScheduledEvent{Event: update}, nil
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -9,7 +9,7 @@
 	"wrenspread/balancer"
 )
 
-const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
+const startEvent = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
 "balancers":3,"caps":{"cancel":true,"connect_timeout_ns":250000000,"cpu_us_per_s":15000,"cpu_us_per_request":2.5,"most_held":9,"multiplex":100,"conn_idle_ns":5,"max_attempts":4,"may_duplicate":true,"peers":true,
 "probes":true,"retry_after":true,"max_retry_after_ns":2000000000},"classes":[{"aim_ns":600000000,"dedup_window_ns":8,
 "effect":"dedup","give_up_ns":1200000000,"importance":12.0,"key_scope":"cell","late_worth":0.5,"name":"x","streamed":true}],
@@ -19,25 +19,25 @@
 "charges":{"cross_zone":0.02,"membership_mode":0.5},"goal":{"whole":0.6,"worst_window":0.4},"family":"proxy","tiers":["a","b"],
 "tier":1,"specifics":{"warm_keys":true},"zone":"n","key_of_tomorrow":[1]}}}`
 
-func batch(events string) string {
+func batchLine(events string) string {
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
-func one(t *testing.T, event string) ScheduledEvent {
+func decodeOne(t *testing.T, event string) ScheduledEvent {
 	t.Helper()
-	b, err := DecodeBatch([]byte(batch(event)))
+	b, err := DecodeBatch([]byte(batchLine(event)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b.Groups[0].Events[0]
 }
 
-func TestStart(t *testing.T) {
-	h := one(t, strings.ReplaceAll(start, "\n", ""))
-	s := h.Start.Settings
-	if h.Start.Seed != 9007199254740993 || s.Proxies != 3 || s.ProxyIndex != 2 || !s.PollForEndpoints || !s.WeightDynamic || !s.AllowHedging ||
+func TestStartEventDecodesSettings(t *testing.T) {
+	event := decodeOne(t, strings.ReplaceAll(startEvent, "\n", ""))
+	s := event.Start.Settings
+	if event.Start.Seed != 9007199254740993 || s.Proxies != 3 || s.ProxyIndex != 2 || !s.PollForEndpoints || !s.WeightDynamic || !s.AllowHedging ||
 		s.LoadReports != balancer.LoadReportsInResponses || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
-		t.Errorf("%+v", h.Start)
+		t.Errorf("%+v", event.Start)
 	}
 	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpenRequests != 9 || s.ConnectionIdleTimeout != 5 ||
 		s.AttemptsPerConnection != 100 || s.Prices != (balancer.Prices{CrossZone: 0.02, EndpointUpdates: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
@@ -50,10 +50,10 @@
 	}
 }
 
-// Where a key is absent there is no such rule; an empty list opens nothing.
-func TestPlacementAndDrainClose(t *testing.T) {
+// If a key is absent or null there is no such rule; an empty list allows nothing.
+func TestAbsentPlacementAndDrainCloseMeanNoRule(t *testing.T) {
 	class := func(extra string) balancer.Settings {
-		return one(t, `{"up":{"seed":1,"profile_data":{"invariants":{"drain_close_ns":500000000},"weight_kind":"rough","classes":[
+		return decodeOne(t, `{"up":{"seed":1,"profile_data":{"invariants":{"drain_close_ns":500000000},"weight_kind":"rough","classes":[
 			{"name":"x","effect":"retryable"`+extra+`}]}}}`).Start.Settings
 	}
 	if s := class(""); s.DrainClose != 500*time.Millisecond || !s.WeightKnown || !s.WeightApproximate || s.WeightDynamic ||
@@ -67,7 +67,7 @@
 	if c := class(`,"failure_domains_open":null,"allowed_on":["k"]`).Classes[0]; c.AllowedZones != nil || len(c.AllowedMachineTypes) != 1 {
 		t.Errorf("%+v", c)
 	}
-	if s := one(t, `{"up":{"seed":1,"profile_data":{}}}`).Start.Settings; s.DrainClose != 0 || s.WeightKnown || s.PollForEndpoints {
+	if s := decodeOne(t, `{"up":{"seed":1,"profile_data":{}}}`).Start.Settings; s.DrainClose != 0 || s.WeightKnown || s.PollForEndpoints {
 		t.Errorf("%+v", s)
 	}
 }
@@ -75,9 +75,9 @@
 func TestOutcomeCodes(t *testing.T) {
 	for code, want := range map[string]balancer.Outcome{"0": balancer.OK, "13": balancer.ServerError, "8": balancer.Rejected,
 		"4": balancer.TimedOut, "14": balancer.ConnectFailed, "10": balancer.ConnectionReset, "1": balancer.Cancelled, "9": balancer.NotSent} {
-		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
+		event := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
-		e := h.Event.(balancer.AttemptEnded)
+		e := event.Event.(balancer.AttemptEnded)
 		if e.Outcome != want || e.Attempt != 1 || e.Endpoint != 7 || e.RequestAnswered || e.LoadReport.InFlight != 7 || e.LoadReport.QueueLength != 2 {
 			t.Errorf("code %s: %+v", code, e)
 		}
@@ -85,42 +85,42 @@
 }
 
 func TestReportWithNoKnownFieldIsNone(t *testing.T) {
-	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
-	if e := h.Event.(balancer.AttemptEnded); e.LoadReport != nil {
+	event := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
+	if e := event.Event.(balancer.AttemptEnded); e.LoadReport != nil {
 		t.Errorf("%+v", e.LoadReport)
 	}
 }
 
-func TestEmptyBatch(t *testing.T) {
+func TestEmptyBatchGetsEmptyReply(t *testing.T) {
 	b, err := DecodeBatch([]byte(`{"sim_time_ns":8412250000,"groups":[]}`))
 	if err != nil || len(b.Groups) != 0 || string(AppendReply(nil, nil)) != "{\"groups\":[]}\n" {
 		t.Error(b, err)
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidInputIsNamedInTheError(t *testing.T) {
 	for in, want := range map[string]string{
 		`nonsense`:                        "batch",
 		`{"groups":[]}`:                   "sim_time_ns is missing",
 		`{"sim_time_ns":1,"groups":[{}]}`: "node_id is missing",
-		batch(`{"dance":{}}`):             "unknown event",
-		batch(`{}`):                       "want one key",
-		batch(`{"submit":{"patience_left_ns":1}}`):                                                                  "node 3, event 0, submit: req is missing",
-		batch(`{"submit":{"req":"q"}}`):                                                                             "patience_left_ns is missing",
-		batch(`{"due":{}}`):                                                                                         "label is missing",
-		batch(`{"roster_change":{"how":"Q"}}`):                                                                      "unknown how",
-		batch(`{"up":{"seed":1}}`):                                                                                  "profile_data is missing",
-		batch(`{"probe_result":{"disposition":0}}`):                                                                 "backend is missing",
-		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                                    "disposition is missing",
-		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                                   "unknown disposition 99",
-		batch(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                               "backend is missing",
-		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`):       "unknown effect",
-		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"retryable","key_scope":"odd"}]}}}`): "unknown key_scope",
-		batch(`{"up":{"seed":1,"profile_data":{"membership_mode":"odd"}}}`):                                         "unknown membership_mode",
-		batch(`{"up":{"seed":1,"profile_data":{"report":{"how":"odd"}}}}`):                                          "node 3, event 0, up: unknown report.how",
-		batch(`{"up":{"seed":1,"profile_data":{"weight_kind":"odd"}}}`):                                             "unknown weight_kind",
-		batch(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`):                                                "unknown worth_by",
-		batch(`{"roster_change":{"how":"F","items":[{"backend":1,"state":"odd"}]}}`):                                "unknown state",
+		batchLine(`{"dance":{}}`):         "unknown event",
+		batchLine(`{}`):                   "want one key",
+		batchLine(`{"submit":{"patience_left_ns":1}}`):                                                                  "node 3, event 0, submit: req is missing",
+		batchLine(`{"submit":{"req":"q"}}`):                                                                             "patience_left_ns is missing",
+		batchLine(`{"due":{}}`):                                                                                         "label is missing",
+		batchLine(`{"roster_change":{"how":"Q"}}`):                                                                      "unknown how",
+		batchLine(`{"up":{"seed":1}}`):                                                                                  "profile_data is missing",
+		batchLine(`{"probe_result":{"disposition":0}}`):                                                                 "backend is missing",
+		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                                    "disposition is missing",
+		batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                                   "unknown disposition 99",
+		batchLine(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                               "backend is missing",
+		batchLine(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`):       "unknown effect",
+		batchLine(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"retryable","key_scope":"odd"}]}}}`): "unknown key_scope",
+		batchLine(`{"up":{"seed":1,"profile_data":{"membership_mode":"odd"}}}`):                                         "unknown membership_mode",
+		batchLine(`{"up":{"seed":1,"profile_data":{"report":{"how":"odd"}}}}`):                                          "node 3, event 0, up: unknown report.how",
+		batchLine(`{"up":{"seed":1,"profile_data":{"weight_kind":"odd"}}}`):                                             "unknown weight_kind",
+		batchLine(`{"up":{"seed":1,"profile_data":{"worth_by":"odd"}}}`):                                                "unknown worth_by",
+		batchLine(`{"roster_change":{"how":"F","items":[{"backend":1,"state":"odd"}]}}`):                                "unknown state",
 	} {
 		if _, err := DecodeBatch([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", in, err, want)
@@ -150,9 +150,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(batch(strings.ReplaceAll(start, "\n", ""))))
-	f.Add([]byte(batch(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
-	f.Add([]byte(batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
+	f.Add([]byte(batchLine(strings.ReplaceAll(startEvent, "\n", ""))))
+	f.Add([]byte(batchLine(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
+	f.Add([]byte(batchLine(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if b, err := DecodeBatch(line); err == nil && b.Groups == nil && len(line) == 0 {
--- a/ratelimit/admit.go
+++ b/ratelimit/admit.go
@@ -23,7 +23,7 @@
 		return rejected
 	}
 	scopes, matched := t.match(&request)
-	// The innermost scope that sets a priority decides; of two scopes at one depth, that of the later attribute.
+	// The innermost scope that sets a priority decides; of two at one depth, the one with the later attribute.
 	for _, scope := range scopes[:matched] {
 		if priority := t.Scopes[scope].Priority; priority != 0 {
 			request.Priority = priority > 0
