--- a/ratelimit/admit_test.go
+++ b/ratelimit/admit_test.go
@@ -13,50 +13,51 @@
 	_ "wrenspread/internal/rapidseed"
 )
 
-// Admit says what a plain reading of the table says, and takes all or nothing.
-func TestAdmitAgainstAPlainReading(t *testing.T) {
+// Admit must agree with a straightforward evaluation of the table, and must take tokens from all limits or
+// from none.
+func TestAdmitAgreesWithAReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := drawTable(t)
-		h := tokensOf(table)
-		for i := range h.left {
-			h.full[i] = float64(rapid.IntRange(0, 6).Draw(t, "full"))
-			h.left[i] = float64(rapid.IntRange(0, int(h.full[i])).Draw(t, "left"))
+		tokens := newTokens(table)
+		for i := range tokens.available {
+			tokens.capacity[i] = float64(rapid.IntRange(0, 6).Draw(t, "full"))
+			tokens.available[i] = float64(rapid.IntRange(0, int(tokens.capacity[i])).Draw(t, "left"))
 		}
 		for range 6 {
-			a := drawAsk(t)
-			takes, priority := plainly(table, a)
-			before := slices.Clone(h.left)
-			lacks := map[int]bool{-1: false}
-			for at, n := range takes {
-				l := table.Limits[table.LimitOf(at)]
-				reserve := l.PriorityReserve * h.full[at]
-				if before[at] < n || n > 0 && !priority && before[at]-n < reserve && before[at] < h.full[at] {
-					lacks[table.LimitOf(at)] = true
+			request := drawRequest(t)
+			charges, priority := expectedCharges(table, request)
+			before := slices.Clone(tokens.available)
+			lacking := map[int]bool{-1: false}
+			for slot, n := range charges {
+				l := table.Limits[table.LimitOf(slot)]
+				reserve := l.PriorityReserve * tokens.capacity[slot]
+				if before[slot] < n || n > 0 && !priority && before[slot]-n < reserve && before[slot] < tokens.capacity[slot] {
+					lacking[table.LimitOf(slot)] = true
 				}
 			}
-			if a.Degradation > 0 && a.Class == "b" || a.Degradation > 1 && a.Class == "c" {
-				lacks = map[int]bool{-1: true}
+			if request.Degradation > 0 && request.Class == "b" || request.Degradation > 1 && request.Class == "c" {
+				lacking = map[int]bool{-1: true}
 			}
-			v := table.Admit(a, h)
-			if !v.Admitted {
-				if !lacks[v.Limit] || !slices.Equal(before, h.left) {
-					t.Fatalf("%+v refused by %d; %v lack, hand %v before and %v after", a, v.Limit, lacks, before, h.left)
+			decision := table.Admit(request, tokens)
+			if !decision.Admitted {
+				if !lacking[decision.Limit] || !slices.Equal(before, tokens.available) {
+					t.Fatalf("request %+v rejected by limit %d; lacking tokens: %v, available %v before and %v after", request, decision.Limit, lacking, before, tokens.available)
 				}
 				continue
 			}
-			if slices.Contains(slices.Collect(maps.Values(lacks)), true) {
-				t.Fatalf("%+v admitted, and %v lack", a, lacks)
+			if slices.Contains(slices.Collect(maps.Values(lacking)), true) {
+				t.Fatalf("request %+v admitted, lacking tokens: %v", request, lacking)
 			}
-			for at := range before {
-				if h.left[at] != before[at]-takes[at] {
-					t.Fatalf("%+v takes %v of %d: %v before and %v after", a, takes[at], at, before[at], h.left[at])
+			for slot := range before {
+				if tokens.available[slot] != before[slot]-charges[slot] {
+					t.Fatalf("request %+v should take %v tokens of slot %d: %v available before and %v after", request, charges[slot], slot, before[slot], tokens.available[slot])
 				}
 			}
 			if rapid.Bool().Draw(t, "ends") {
-				v.Reservation.Release(h)
-				for at := range before {
-					if open := at < len(table.Limits) && table.Limits[at].Unit == UnitConcurrency; open && h.left[at] != before[at] {
-						t.Fatalf("%d open left after the end, %v before", at, before[at])
+				decision.Reservation.Release(tokens)
+				for slot := range before {
+					if open := slot < len(table.Limits) && table.Limits[slot].Unit == UnitConcurrency; open && tokens.available[slot] != before[slot] {
+						t.Fatalf("slot %d: its tokens were not returned at the end, want %v available", slot, before[slot])
 					}
 				}
 			}
@@ -64,8 +65,8 @@
 	})
 }
 
-// A table comes back from its bytes with its digest; a byte changed in it is noticed; a later field passes.
-func TestTableThroughItsBytes(t *testing.T) {
+// A decoded table encodes to the same bytes, a changed byte is detected, and unknown fields are accepted.
+func TestTableEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := drawTable(t)
 		table.Version = rapid.Uint64().Draw(t, "version")
@@ -76,11 +77,11 @@
 		}
 		data[rapid.IntRange(len(`{"format":`), len(data)-2).Draw(t, "at")] ^= 1
 		if _, err := Read(data); err == nil && string(data[:60]) == string(table.JSON()[:60]) {
-			t.Fatalf("taken with a byte changed: %s", data)
+			t.Fatalf("table accepted with a byte changed: %s", data)
 		}
 	})
 	table := newTable()
-	table.add(-1, AttributeFleet, "", UnitRequests)
+	table.addScope(-1, AttributeFleet, "", UnitRequests)
 	if err := table.Finalize(); err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +92,7 @@
 	}
 }
 
-// Bytes from anywhere are a table or an error.
+// Any bytes decode to a table or to an error, without a panic.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"format":1,"version":0,"digest":"","parts":[{"within":-1}],"limits":[{"part":9}]}`))
 	f.Add([]byte(`{"parts":null}`))
@@ -102,36 +103,36 @@
 		}
 		bad := &Table{}
 		if json.Unmarshal(data, bad) == nil {
-			_ = bad.Finalize() // whatever it holds
+			_ = bad.Finalize() // must not panic
 		}
 	})
 }
 
-// BenchmarkAdmit is what a request pays for a table: 7 limits touched out of 10 and of 10,000.
+// BenchmarkAdmit measures what a table costs a request that matches 7 limits, out of 10 and of 10,000.
 func BenchmarkAdmit(b *testing.B) {
-	for _, books := range []int{1, 2498} {
+	for _, tenants := range []int{1, 2498} {
 		table := newTable()
-		table.add(-1, AttributeFleet, "", UnitRequests, UnitWork, UnitConcurrency)
-		for i := range books {
-			p := table.add(0, AttributeTenant, fmt.Sprintf("book-%04d", i), UnitRequests, UnitWork, UnitConcurrency)
-			table.add(p, AttributeClass, "view", UnitRequests)
+		table.addScope(-1, AttributeFleet, "", UnitRequests, UnitWork, UnitConcurrency)
+		for i := range tenants {
+			p := table.addScope(0, AttributeTenant, fmt.Sprintf("book-%04d", i), UnitRequests, UnitWork, UnitConcurrency)
+			table.addScope(p, AttributeClass, "view", UnitRequests)
 		}
 		for len(table.Limits) < 10 {
-			table.add(0, AttributeSite, fmt.Sprintf("site-%d", len(table.Limits)), UnitRequests)
+			table.addScope(0, AttributeSite, fmt.Sprintf("site-%d", len(table.Limits)), UnitRequests)
 		}
 		if err := table.Finalize(); err != nil {
 			b.Fatal(err)
 		}
-		h := tokensOf(table)
-		for i := range h.left {
-			h.left[i], h.full[i] = 1e15, 1e15
+		tokens := newTokens(table)
+		for i := range tokens.available {
+			tokens.available[i], tokens.capacity[i] = 1e15, 1e15
 		}
 		b.Run(fmt.Sprintf("%d limits", len(table.Limits)), func(b *testing.B) {
 			b.ReportAllocs()
-			a := Request{Site: "site-7", Tenant: "book-0000", Class: "view", Key: "k", Work: time.Millisecond}
+			request := Request{Site: "site-7", Tenant: "book-0000", Class: "view", Key: "k", Work: time.Millisecond}
 			for b.Loop() {
-				if v := table.Admit(a, h); !v.Admitted {
-					b.Fatal(v)
+				if decision := table.Admit(request, tokens); !decision.Admitted {
+					b.Fatal(decision)
 				}
 			}
 		})
--- a/ratelimit/scopes.go
+++ b/ratelimit/scopes.go
@@ -32,7 +32,7 @@
 // one attribute, a request matches one.
 func (t *Table) MaxMatched() (limits, scopes int) {
 	type counts struct{ limits, scopes int }
-	largestChild := make([][AttributeCell + 1]counts, len(t.Scopes)) // by scope and attribute: the largest child
+	largestChild := make([][AttributeCell + 1]counts, len(t.Scopes)) // by scope and attribute
 	for i := len(t.Scopes) - 1; i >= 0; i-- {
 		scope := t.Scopes[i]
 		limits, scopes = scope.LimitCount, 1
