--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -16,13 +16,13 @@
 		return
 	}
 	number := len(r.cancelAttempts)
-	left := time.Until(r.deadline)
+	timeout := time.Until(r.deadline)
 	if r.outbound.upload != nil {
-		left = maxUploadTime // how fast it must come is another matter
+		timeout = maxUploadTime // how fast it must come is another matter
 	} else if a.Timeout != 0 {
-		left = min(left, a.Timeout)
+		timeout = min(timeout, a.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(srv.loopContext, left)
+	ctx, cancel := context.WithTimeout(srv.loopContext, timeout)
 	r.cancelAttempts = append(r.cancelAttempts, cancel)
 	if r.answered || r.runningAttempts > 0 && !srv.config.Settings.AllowHedging {
 		cancel()
@@ -42,12 +42,12 @@
 	began := time.Now()
 	go func() {
 		defer cancel()
-		may := func() bool { return !r.abandoned() && srv.now() < a.WriteBy }
-		res := srv.pool.attempt(ctx, a.Endpoint, r.outbound, may, func(res result) error {
+		mayWrite := func() bool { return !r.abandoned() && srv.now() < a.WriteBy }
+		res := srv.pool.attempt(ctx, a.Endpoint, r.outbound, mayWrite, func(res result) error {
 			return srv.streamResponse(r, number, a.Endpoint, time.Since(srv.serviceStart(r, began)), res)
 		})
-		took := time.Since(srv.serviceStart(r, began))
-		srv.post(func() { srv.attemptEnded(r, number, a.Endpoint, took, res) })
+		elapsed := time.Since(srv.serviceStart(r, began))
+		srv.post(func() { srv.attemptEnded(r, number, a.Endpoint, elapsed, res) })
 	}()
 }
 
@@ -65,8 +65,8 @@
 func (srv *Server) streamResponse(
 	r *request,
 	number int,
-	server balancer.EndpointID,
-	took time.Duration,
+	endpoint balancer.EndpointID,
+	elapsed time.Duration,
 	res result,
 ) error {
 	srv.post(func() {
@@ -74,7 +74,7 @@
 			res.stream.ended <- errClientGone
 			return
 		}
-		srv.handle(balancer.ResponseStarted{ID: r.id, Attempt: number, Endpoint: server, Elapsed: took})
+		srv.handle(balancer.ResponseStarted{ID: r.id, Attempt: number, Endpoint: endpoint, Elapsed: elapsed})
 		r.stream = res.stream
 		srv.answerRequest(r.id, response{status: http.StatusOK, header: res.header, stream: res.stream})
 	})
@@ -89,8 +89,8 @@
 func (srv *Server) attemptEnded(
 	r *request,
 	number int,
-	server balancer.EndpointID,
-	took time.Duration,
+	endpoint balancer.EndpointID,
+	elapsed time.Duration,
 	res result,
 ) {
 	r.runningAttempts--
@@ -98,17 +98,17 @@
 		srv.answerRequest(r.id, response{status: http.StatusOK, header: res.header, body: res.body})
 	}
 	if srv.config.BackendStats {
-		srv.stats.attempt(srv.endpointIDs.byID[server], res.outcome, took > srv.latencyObjective(r.class))
+		srv.stats.attempt(srv.endpointIDs.byID[endpoint], res.outcome, elapsed > srv.latencyObjective(r.class))
 	}
-	over := r.answered
+	requestAnswered := r.answered
 	srv.handle(
 		balancer.AttemptEnded{
 			ID:              r.id,
 			Attempt:         number,
-			Endpoint:        server,
-			RequestAnswered: over,
+			Endpoint:        endpoint,
+			RequestAnswered: requestAnswered,
 			BodyDiscarded:   res.bodyDiscarded,
-			Elapsed:         took,
+			Elapsed:         elapsed,
 			Outcome:         res.outcome,
 			LoadReport:      res.loadReport,
 		},
--- a/internal/proxy/behind_test.go
+++ b/internal/proxy/behind_test.go
@@ -15,20 +15,20 @@
 	nextGet     = "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: next\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n"
 )
 
-// leavings are the ways in which a client goes.
-var leavings = map[string]func(raw){
+// clientDepartures are the ways in which a client goes.
+var clientDepartures = map[string]func(raw){
 	"closed":      func(c raw) { besteffort.Close(c) },
 	"reset":       func(c raw) { besteffort.SocketOption(c.SetLinger(0)); besteffort.Close(c) },
 	"half-closed": func(c raw) { _ = c.CloseWrite() },
 }
 
-// TestClientThatLeavesIsHeard, whatever it has sent behind its request, which is then not forwarded and counts no more.
-func TestClientThatLeavesIsHeard(t *testing.T) {
+// TestDepartedClientCancelsItsRequestDespitePipelinedBytes, whatever it has sent behind its request, which is then not forwarded and counts no more.
+func TestDepartedClientCancelsItsRequestDespitePipelinedBytes(t *testing.T) {
 	server, got, gone := silentServer(t)
 	n := startNode(t, server)
 	for request, sent := range map[string]string{"get": wholeGet, "post": wholePost, "chunked": chunkedPost} {
 		for _, behind := range []string{"", "x", "\r\n", nextGet[:20], nextGet, nextGet + nextGet[:20], strings.Repeat("x", 40000)} {
-			for how, leave := range leavings {
+			for how, leave := range clientDepartures {
 				t.Run(fmt.Sprintf("%s, %d bytes behind, %s", request, len(behind), how), func(t *testing.T) {
 					c := n.opened(t)
 					besteffort.Output(io.WriteString(c, sent))
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestBehindARequestInFlight: what a client that stays sends meanwhile is served in its turn, also where it is too much to keep.
-func TestBehindARequestInFlight(t *testing.T) {
+// TestPipelinedRequestsAreServedInOrder: what a client that stays sends meanwhile is served in its turn, also where it is too much to keep.
+func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	long := strings.Replace(strings.Replace(wholePost, "Id: q", "Id: next", 1), "4\r\n\r\nrent", "40000\r\n\r\n"+strings.Repeat("x", 40000), 1)
 	for _, behind := range []string{nextGet, "\r\n" + nextGet + nextGet, long, nextGet + long} {
 		t.Run(fmt.Sprintf("%d bytes", len(behind)), func(t *testing.T) {
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestWhatIsReadBehindIsAnswered, though the order to stop and the end of accepting come before the answer to the
+// TestPipelinedRequestIsAnsweredDuringDrain, though the order to stop and the end of accepting come before the answer to the
 // request ahead of it. Only then the client is told to close.
-func TestWhatIsReadBehindIsAnswered(t *testing.T) {
+func TestPipelinedRequestIsAnsweredDuringDrain(t *testing.T) {
 	for _, split := range []int{1, 30, len(nextGet)} {
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d bytes, late %v", split, late), func(t *testing.T) {
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// benchNode is a proxy with one server, which takes bodies of one size, and a connection to the proxy.
-func benchNode(b *testing.B, body int, change func(*Config)) net.Conn {
+// benchProxy is a proxy with one server, which takes bodies of one size, and a connection to the proxy.
+func benchProxy(b *testing.B, body int, change func(*Config)) net.Conn {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -58,7 +58,7 @@
 	cfg := testConfig(disc.Listener.Addr().String())
 	change(&cfg)
 	n := New(cfg, quiet)
-	n.frontend.keepAccepting = func() {}
+	n.frontend.waitForLateConns = func() {}
 	go func() { _ = n.Run(ctx, ln) }()
 	b.Cleanup(func() { stop(); disc.CloseClientConnections(); disc.Close(); <-n.ended })
 	if !n.waitFor(ctx, enough, n.listKnown) {
@@ -80,7 +80,7 @@
 		body          int
 	}{{"GET", "saldo", 0}, {"POST", "pagar", 1000}} {
 		b.Run(k.method, func(b *testing.B) {
-			benchRequests(b, benchNode(b, k.body, func(*Config) {}), k.method, k.class, k.body)
+			benchRequests(b, benchProxy(b, k.body, func(*Config) {}), k.method, k.class, k.body)
 		})
 	}
 }
--- a/internal/proxy/canceller.go
+++ b/internal/proxy/canceller.go
@@ -11,42 +11,42 @@
 // canceller ends from elsewhere what one goroutine is busy with, and never what comes after that.
 type canceller struct {
 	mu        sync.Mutex
-	breakOff  func() // breaks what is under way; nil: it has not begun, or is over
+	interrupt func() // breaks what is under way; nil: it has not begun, or is over
 	finished  bool
 	cancelled bool
 }
 
 // begin begins what end breaks.
-func (l *canceller) begin(end func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.breakOff = end
+func (c *canceller) begin(interrupt func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.interrupt = interrupt
 }
 
 // cancel ends it.
-func (l *canceller) cancel() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.finished {
+func (c *canceller) cancel() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.finished {
 		return
 	}
-	if l.cancelled = true; l.breakOff != nil {
-		l.breakOff()
+	if c.cancelled = true; c.interrupt != nil {
+		c.interrupt()
 	}
 }
 
 // isCancelled reports whether it is to end. It is asked after all that would undo what end did.
-func (l *canceller) isCancelled() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.cancelled
+func (c *canceller) isCancelled() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.cancelled
 }
 
 // finish says that it is over, and how.
-func (l *canceller) finish(err error) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.finished, l.breakOff = true, nil; l.cancelled {
+func (c *canceller) finish(err error) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.finished, c.interrupt = true, nil; c.cancelled {
 		return errResponseCut
 	}
 	return err
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -23,40 +23,40 @@
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return []string{jsonErrorPosition(raw, err)}, nil
 	}
-	var in configForm
-	_ = json.Unmarshal(raw, &in) // the type checker finds what is wrong with it, each value by itself
-	k := typeChecker{}
-	k.check("", file, in)
+	var form configForm
+	_ = json.Unmarshal(raw, &form) // the type checker finds what is wrong with it, each value by itself
+	checker := typeChecker{}
+	checker.check("", file, form)
 	if settings := member(file, "settings"); settings != nil {
-		k.check("settings", settings, simwire.SettingsForm{})
+		checker.check("settings", settings, simwire.SettingsForm{})
 	}
-	problems, notes = k.problems, k.unknown
-	c, wrong := in.config()
-	for _, err := range wrong {
+	problems, notes = checker.problems, checker.unknown
+	config, errs := form.config()
+	for _, err := range errs {
 		if !errors.As(err, new(*json.UnmarshalTypeError)) { // those are found above
 			problems = append(problems, err.Error())
 		}
 	}
-	for _, a := range in.addresses() {
-		if _, port, err := net.SplitHostPort(a.value); err == nil {
+	for _, address := range form.addresses() {
+		if _, port, err := net.SplitHostPort(address.value); err == nil {
 			if _, err := net.LookupPort("tcp", port); err != nil {
-				problems = append(problems, fmt.Sprintf("%s: %q has no port that there is", a.key, a.value))
+				problems = append(problems, fmt.Sprintf("%s: %q has no port that there is", address.key, address.value))
 			}
 		}
 	}
-	c.rawFile = file
-	if err := checkSettings(c); err != nil {
+	config.rawFile = file
+	if err := checkSettings(config); err != nil {
 		notes = append(notes, err.Error()+": it starts so, but a SIGHUP would turn the file down")
 	}
-	for i, peer := range in.Peers {
+	for i, peer := range form.Peers {
 		if _, err := netip.ParseAddrPort(peer); err != nil {
 			notes = append(notes, fmt.Sprintf("peers.%d: %q is not to be reached", i, peer))
 		}
 	}
-	if c.Membership.Name != "" && !c.Settings.AllowGossip {
+	if config.Membership.Name != "" && !config.Settings.AllowGossip {
 		notes = append(notes, "fleet: "+membershipOff)
 	}
-	for _, err := range in.Known.Skipped {
+	for _, err := range form.Known.Skipped {
 		notes = append(notes, "known.endpoints: passed over: "+err.Error())
 	}
 	return problems, notes
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// spoil changes one drawn value of a file, or takes its key away.
-func spoil(r *rand.Rand, value any) any {
+// corruptValue changes one drawn value of a file, or takes its key away.
+func corruptValue(r *rand.Rand, value any) any {
 	others := []any{nil, true, -1.0, 1e300, 2.5, "", "odd", "127.0.0.1:1", []any{}, []any{1.0}, map[string]any{}, map[string]any{"odd": 1.0}}
 	switch v := value.(type) {
 	case map[string]any:
 		if len(v) > 0 && r.IntN(5) > 0 {
 			all := slices.Sorted(maps.Keys(v))
 			key := all[r.IntN(len(all))]
-			if v[key] = spoil(r, v[key]); r.IntN(10) == 0 {
+			if v[key] = corruptValue(r, v[key]); r.IntN(10) == 0 {
 				delete(v, key)
 			}
 			return v
@@ -26,15 +26,15 @@
 	case []any:
 		if len(v) > 0 && r.IntN(5) > 0 {
 			i := r.IntN(len(v))
-			v[i] = spoil(r, v[i])
+			v[i] = corruptValue(r, v[i])
 			return v
 		}
 	}
 	return others[r.IntN(len(others))]
 }
 
-// TestCheckAgreesWithTheStart: whatever a file is like, a start that would fail is a problem, and a good one is none.
-func TestCheckAgreesWithTheStart(t *testing.T) {
+// TestCheckConfigAgreesWithParseConfig: whatever a file is like, a start that would fail is a problem, and a good one is none.
+func TestCheckConfigAgreesWithParseConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	r := rand.New(rand.NewPCG(20, 2))
 	const files = 2000
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		for range 1 + r.IntN(3) {
-			file = spoil(r, file)
+			file = corruptValue(r, file)
 		}
 		raw, err := json.Marshal(file)
 		if err != nil {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -15,18 +15,18 @@
 	"wrenspread/internal/besteffort"
 )
 
-// lateResponseRest is how long a connection is left alone after an answer. A second
+// lateResponseWait is how long a connection is left alone after an answer. A second
 // answer to the same request comes some milliseconds late, and nothing in it
 // tells it from the next request's; by then it shows as something unasked. The
 // next request waits for the rest of it, which takes no longer than a new
 // connection and costs the server nothing.
-const lateResponseRest = 5 * time.Millisecond
+const lateResponseWait = 5 * time.Millisecond
 
 // errNoCapacity says that this proxy has reached its limit of connections.
 var errNoCapacity = errors.New("too many connections")
 
-// ownLimit reports whether the proxy itself could not open a connection, which says nothing of the server.
-func ownLimit(err error) bool {
+// isLocalLimit reports whether the proxy itself could not open a connection, which says nothing of the server.
+func isLocalLimit(err error) bool {
 	for _, limit := range []error{
 		errNoCapacity,
 		syscall.EMFILE,
@@ -49,7 +49,7 @@
 	reader        *bufio.Reader
 	readError     error  // how reading ended, if the connection did
 	releaseMemory func() // gives back what its answer has taken of the pool's; nil: nothing
-	idleAt        time.Time
+	idleSince     time.Time
 }
 
 // Read notes how the connection ended, which tells a break from an answer
@@ -62,12 +62,12 @@
 
 // get finds an idle connection or dials. An error proves that nothing was sent.
 func (p *pool) get(ctx context.Context, id balancer.EndpointID) (*conn, error) {
-	b, c, dialer, err := p.take(id)
-	for ; c != nil; b, c, dialer, err = p.take(id) {
+	b, c, dialer, err := p.takeConn(id)
+	for ; c != nil; b, c, dialer, err = p.takeConn(id) {
 		// A connection that its server has closed, or on which it said
 		// something unasked, would end as a reset that may have run. Nothing
 		// has been forwarded it, so another one can do.
-		if p.pause(ctx, lateResponseRest-time.Since(c.idleAt)) && isQuiet(c.Conn) {
+		if p.pause(ctx, lateResponseWait-time.Since(c.idleSince)) && isOpenAndEmpty(c.Conn) {
 			return c, nil
 		}
 		c.closeDirty()
@@ -81,7 +81,7 @@
 	raw, err := dialer.DialContext(ctx, "tcp", b.address)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConnections--
 		p.mu.Unlock()
 		return nil, err
 	}
@@ -91,9 +91,9 @@
 	return c, nil
 }
 
-// take returns an idle connection, the one used last of those that have rested,
+// takeConn returns an idle connection, the one used last of those that have rested,
 // or the backend with leave to dial it.
-func (p *pool) take(id balancer.EndpointID) (*backend, *conn, net.Dialer, error) {
+func (p *pool) takeConn(id balancer.EndpointID) (*backend, *conn, net.Dialer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[id]
@@ -101,20 +101,20 @@
 		return nil, nil, p.dialer, fmt.Errorf("server %d is not listed", id)
 	}
 	now := time.Now()
-	p.dropOld(b, now)
+	p.closeExpiredLocked(b, now)
 	if n := len(b.idle); n > 0 {
 		i := n - 1
-		for i > 0 && now.Sub(b.idle[i].idleAt) < lateResponseRest {
+		for i > 0 && now.Sub(b.idle[i].idleSince) < lateResponseWait {
 			i--
 		}
 		c := b.idle[i]
 		b.idle = slices.Delete(b.idle, i, i+1)
 		return b, c, p.dialer, nil
 	}
-	if p.open >= p.limit() && !p.evict() {
+	if p.openConnections >= p.limit() && !p.evict() {
 		return nil, nil, p.dialer, errNoCapacity
 	}
-	p.open++
+	p.openConnections++
 	return b, nil, p.dialer, nil
 }
 
@@ -123,7 +123,7 @@
 	c.releaseBudget()
 	besteffort.Close(c.Conn)
 	c.pool.mu.Lock()
-	c.pool.open--
+	c.pool.openConnections--
 	c.pool.mu.Unlock()
 }
 
@@ -135,17 +135,17 @@
 	defer c.pool.mu.Unlock()
 	if c.backend.closed {
 		besteffort.Close(c.Conn)
-		c.pool.open--
+		c.pool.openConnections--
 		return
 	}
-	c.idleAt = time.Now()
-	if c.backend.idle = append(c.backend.idle, c); !c.backend.hasUsed {
-		c.backend.hasUsed, c.pool.used = true, append(c.pool.used, c.backend)
+	c.idleSince = time.Now()
+	if c.backend.idle = append(c.backend.idle, c); !c.backend.isIdleCandidate {
+		c.backend.isIdleCandidate, c.pool.idleCandidates = true, append(c.pool.idleCandidates, c.backend)
 	}
 }
 
-// isQuiet reports whether an idle connection is open with nothing to read.
-func isQuiet(c net.Conn) bool {
+// isOpenAndEmpty reports whether an idle connection is open with nothing to read.
+func isOpenAndEmpty(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -154,12 +154,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -13,22 +13,22 @@
 	"wrenspread/internal/besteffort"
 )
 
-// named is an answer that says what it is for.
-func named(what string) string {
+// okResponse is an answer that says what it is for.
+func okResponse(what string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(what), what)
 }
 
-// ask has one attempt made.
-func ask(p *pool, path string) result {
+// attemptPath has one attempt made.
+func attemptPath(p *pool, path string) result {
 	ctx, cancel := context.WithTimeout(context.Background(), enough)
 	defer cancel()
-	return p.attempt(ctx, 1, get(path), always, nil)
+	return p.attempt(ctx, 1, get(path), alwaysMayWrite, nil)
 }
 
-// TestUnaskedBytes: what a server says beyond its answer is never taken for the next one's, whenever it comes.
-func TestUnaskedBytes(t *testing.T) {
+// TestUnsolicitedBytesAreNeverTakenForAResponse: what a server says beyond its answer is never taken for the next one's, whenever it comes.
+func TestUnsolicitedBytesAreNeverTakenForAResponse(t *testing.T) {
 	for name, unasked := range map[string]string{
-		"a second answer":       named("/first"),
+		"a second answer":       okResponse("/first"),
 		"an answer to nothing":  "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		"half a line":           "HTTP/1.1 20",
 		"half a head":           "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n",
@@ -43,9 +43,9 @@
 			number int           // of the connection on which that comes
 			want   balancer.Outcome
 		}{
-			{"while idle", true, lateResponseRest, 1, balancer.OK},
+			{"while idle", true, lateResponseWait, 1, balancer.OK},
 			{"late", true, 0, 1, balancer.OK},
-			{"as the next request leaves", false, lateResponseRest, 0, balancer.ServerError},
+			{"as the next request leaves", false, lateResponseWait, 0, balancer.ServerError},
 		} {
 			if name == "a second answer" && c.want != balancer.OK {
 				continue // later than any comes
@@ -59,18 +59,18 @@
 						} else if second <- number; number == 0 {
 							besteffort.Output(io.WriteString(conn, unasked))
 						}
-						besteffort.Output(io.WriteString(conn, named(req.URL.Path)))
+						besteffort.Output(io.WriteString(conn, okResponse(req.URL.Path)))
 					}
 				}))
-				if got := ask(p, "/first"); string(got.body) != "/first" {
+				if got := attemptPath(p, "/first"); string(got.body) != "/first" {
 					t.Fatalf("outcome %d, %q", got.outcome, got.body)
 				}
 				here := p.backends[1].idle[0].Conn
 				speak := func() {
 					besteffort.Output(io.WriteString(<-first, unasked))
-					awaitWord(t, here)
+					waitReadable(t, here)
 				}
-				stood(p, c.since)
+				ageIdleConns(p, c.since)
 				p.pause = func(_ context.Context, rest time.Duration) bool {
 					if rest > 0 {
 						speak() // amid the rest
@@ -80,22 +80,22 @@
 				if c.idle && c.since > 0 {
 					speak()
 				}
-				got := ask(p, "/second")
+				got := attemptPath(p, "/second")
 				if got.outcome != c.want || got.outcome == balancer.OK && string(got.body) != "/second" {
 					t.Errorf("outcome %d with %q, want %d", got.outcome, got.body, c.want)
 				}
-				if number := wait(t, second, "the second"); number != c.number || got.outcome != balancer.OK && p.open != 0 {
-					t.Errorf("the second comes on connection %d, want %d; then %d are open", number, c.number, p.open)
+				if number := wait(t, second, "the second"); number != c.number || got.outcome != balancer.OK && p.openConnections != 0 {
+					t.Errorf("the second comes on connection %d, want %d; then %d are open", number, c.number, p.openConnections)
 				}
 			})
 		}
 	}
 }
 
-// awaitWord returns once a connection has something to read, or its end.
-func awaitWord(t *testing.T, c net.Conn) {
+// waitReadable returns once a connection has something to read, or its end.
+func waitReadable(t *testing.T, c net.Conn) {
 	t.Helper()
-	for until := time.Now().Add(enough); isQuiet(c); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(enough); isOpenAndEmpty(c); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("what the server says never shows")
 		}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	acceptLinger = 600 * time.Millisecond // after SIGTERM new connections still come for a while
-	finishSlack  = 100 * time.Millisecond // what is open then may take the longest deadline and this
+	drainAcceptTime = 600 * time.Millisecond // after SIGTERM new connections still come for a while
+	finishSlack     = 100 * time.Millisecond // what is open then may take the longest deadline and this
 	// without a place for clients, after which they are shut: one that was idle has let go of its own by then
 	fullTimeout = 600 * time.Millisecond
 	// SIGKILL may come so long after lingerTime and finishSlack, or a longest deadline that is shorter
@@ -27,7 +27,7 @@
 	limited := listener.Limit(ln, f.maxConnections)
 	limited.HeadTimeout, limited.FullTimeout = headTimeout, fullTimeout
 	srv.ConnState = limited.TrackState
-	f.clients.Store(limited)
+	f.clientListener.Store(limited)
 	if f.handedOff.Load() { // before there was anything to close
 		besteffort.Close(limited)
 	}
@@ -43,32 +43,32 @@
 		if !f.handedOff.Load() {
 			return fmt.Errorf("serving clients: %w", failed)
 		}
-		beside, end := context.WithCancel(ctx)
+		waitCtx, cancelWait := context.WithCancel(ctx)
 		go func() {
-			defer end()
+			defer cancelWait()
 			select {
 			case <-f.successorEnded: // nobody accepts until this process ends and another is started
-			case <-beside.Done():
+			case <-waitCtx.Done():
 			}
 		}()
-		limited.WaitForConns(beside, minOutlive)
-		end()
+		limited.WaitForConns(waitCtx, minOutlive)
+		cancelWait()
 	case <-ctx.Done():
 	}
 	f.draining.Store(true)
 	longest := f.rules.Load().longestDeadline
 	if ctx.Err() != nil {
-		last := time.Now().Add(acceptLinger + min(longest, f.killTimeout))
-		f.keepAccepting()
-		f.answerBy.Store(&last)
+		deadline := time.Now().Add(drainAcceptTime + min(longest, f.killTimeout))
+		f.waitForLateConns()
+		f.drainDeadline.Store(&deadline)
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.longestTimeLeft())
+	finishCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.longestRemainingTime())
 	defer cancel()
-	finishConnections(last, served, limited)
+	finishConnections(finishCtx, served, limited)
 	limited.CloseNew()
-	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishSlack)
+	slackCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishSlack)
 	defer cancel()
-	limited.WaitForConns(end, 0)
+	limited.WaitForConns(slackCtx, 0)
 	limited.SkipLinger()
 	besteffort.Close(srv)
 	return nil
@@ -77,29 +77,29 @@
 // finishConnections ends what is idle and waits until the rest has been answered, or last is over: then all
 // requests are past their deadlines, and what is left are connections on which none has come. http.Server's
 // Shutdown does not do, as it drops without an answer each request whose head is complete after its call.
-func finishConnections(last context.Context, served <-chan struct{}, limited *listener.Listener) {
+func finishConnections(ctx context.Context, served <-chan struct{}, limited *listener.Listener) {
 	limited.Drain()
 	select {
 	case <-served:
-	case <-last.Done():
+	case <-ctx.Done():
 		besteffort.Close(limited)
 		<-served // what it accepts in that moment is known from here on
 	}
-	limited.WaitForConns(last, 0)
+	limited.WaitForConns(ctx, 0)
 }
 
-// longestTimeLeft is how long a request that is open, or comes yet, may take: by its settings, which may be
+// longestRemainingTime is how long a request that is open, or comes yet, may take: by its settings, which may be
 // earlier ones.
-func (f *frontend) longestTimeLeft() time.Duration {
+func (f *frontend) longestRemainingTime() time.Duration {
 	return max(f.rules.Load().longestDeadline, time.Duration(f.latestDeadline.Load())-time.Since(f.server.start))
 }
 
-// timeLeft is how much of the time of a request, whose last byte is here now, there
+// remainingTime is how much of the time of a request, whose last byte is here now, there
 // is for its answer: what comes late after the order to stop has to be answered
 // ahead of SIGKILL.
-func (f *frontend) timeLeft(wait time.Duration) time.Duration {
-	if last := f.answerBy.Load(); last != nil {
-		return min(wait, time.Until(*last))
+func (f *frontend) remainingTime(wait time.Duration) time.Duration {
+	if deadline := f.drainDeadline.Load(); deadline != nil {
+		return min(wait, time.Until(*deadline))
 	}
 	return wait
 }
@@ -109,7 +109,7 @@
 // handed is set: those that come on open connections are asked to close.
 func (f *frontend) stopAccepting() {
 	f.draining.Store(true)
-	if limited := f.clients.Load(); limited != nil {
+	if limited := f.clientListener.Load(); limited != nil {
 		besteffort.Close(limited)
 	}
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -10,7 +10,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-func TestReadyOnlyWithServers(t *testing.T) {
+func TestNotReadyWithoutEndpoints(t *testing.T) {
 	n := startNode(t)
 	for path, want := range map[string]int{"/health/ready": 503, "/health/live": 200} {
 		resp, err := http.Get("http://" + n.address + path)
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestStop: after SIGTERM new connections still come for a while; they and
+// TestStopAnswersOpenAndLateRequests: after SIGTERM new connections still come for a while; they and
 // what is open get their answers, with the word to close.
-func TestStop(t *testing.T) {
+func TestStopAnswersOpenAndLateRequests(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 2)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -34,21 +34,21 @@
 	ctx context.Context,
 	id balancer.EndpointID,
 	o *outbound,
-	may func() bool,
-	begun func(result) error,
+	mayWrite func() bool,
+	streamResponse func(result) error,
 ) result {
-	end, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return result{outcome: balancer.NotSent} // an attempt without an end could hang for ever
 	}
 	c, err := p.get(ctx, id)
 	if err != nil {
-		if wasCancelled(ctx) || ownLimit(err) {
+		if wasCancelled(ctx) || isLocalLimit(err) {
 			return result{outcome: balancer.NotSent}
 		}
 		return result{outcome: connectOutcome(err)}
 	}
-	if ctx.Err() != nil || p.isBarred(id, c) || !may() {
+	if ctx.Err() != nil || p.isBarred(id, c) || !mayWrite() {
 		c.closeDirty() // it has been idle for longer than a release would say
 		return result{outcome: balancer.NotSent}
 	}
@@ -58,11 +58,11 @@
 	var clean bool
 	if o.upload != nil {
 		res, clean, err = c.sendStreaming(ctx, o)
-	} else if code, ok := c.send(ctx, o, end); ok {
+	} else if outcome, ok := c.send(ctx, o, deadline); ok {
 		res, clean, err = c.receive(ctx, o.method)
 	} else {
 		c.closeDirty()
-		return result{outcome: code}
+		return result{outcome: outcome}
 	}
 	if err != nil {
 		c.closeDirty()
@@ -80,7 +80,7 @@
 				bodyDiscarded: res.bodyDiscarded,
 			}
 		}
-		return c.streamResult(res, clean, begun)
+		return c.streamResult(res, clean, streamResponse)
 	}
 	// Once the watch on ctx cannot be stopped it may yet spoil the deadline of
 	// whoever has the connection next.
@@ -93,8 +93,8 @@
 }
 
 // send writes a request that is in memory as a whole, and counts it.
-func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code balancer.Outcome, ok bool) {
-	msg, err := o.encode(time.Until(end))
+func (c *conn) send(ctx context.Context, o *outbound, deadline time.Time) (outcome balancer.Outcome, ok bool) {
+	msg, err := o.encode(time.Until(deadline))
 	if err != nil {
 		return balancer.NotSent, false
 	}
@@ -115,8 +115,8 @@
 // connectOutcome is the outcome of an attempt that has no connection. Only one that
 // was refused or broken tells that the server is gone.
 func connectOutcome(err error) balancer.Outcome {
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return balancer.ConnectTimedOut
 	}
 	return balancer.ConnectFailed
@@ -125,13 +125,13 @@
 // wasCancelled tells that an attempt was ended from here, before its time was over.
 func wasCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
-// progressWriter writes to a server that may take its time, but may not stand still.
-type progressWriter struct {
+// timedWriter writes to a server that may take its time, but may not stand still.
+type timedWriter struct {
 	*conn
 	ctx context.Context
 }
 
-func (p progressWriter) Write(b []byte) (int, error) {
+func (p timedWriter) Write(b []byte) (int, error) {
 	besteffort.SocketOption(p.SetWriteDeadline(time.Now().Add(progressTimeout)))
 	if p.ctx.Err() != nil { // it may have ended just before
 		besteffort.SocketOption(p.SetWriteDeadline(time.Unix(1, 0)))
@@ -144,15 +144,15 @@
 // byte. What broke before that one never ran.
 func (c *conn) sendStreaming(ctx context.Context, o *outbound) (res result, clean bool, err error) {
 	sent := make(chan error, 1)
-	sending, stop := context.WithCancel(ctx)
+	sendCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
-		err := o.request(sending, o.upload.wait).Write(progressWriter{c, sending})
+		err := o.streamingRequest(sendCtx, o.upload.responseTimeout).Write(timedWriter{c, sendCtx})
 		if err == nil {
 			c.pool.forwards.Add(1)
 			o.upload.completedAt.Store(time.Now().UnixNano())
-			o.upload.onComplete(o.upload.wait)
-			besteffort.SocketOption(c.SetReadDeadline(time.Now().Add(o.upload.wait)))
+			o.upload.onComplete(o.upload.responseTimeout)
+			besteffort.SocketOption(c.SetReadDeadline(time.Now().Add(o.upload.responseTimeout)))
 			if ctx.Err() != nil {
 				besteffort.SocketOption(c.SetReadDeadline(time.Unix(1, 0)))
 			}
@@ -163,34 +163,34 @@
 		sent <- err
 	}()
 	res, clean, err = c.receive(ctx, o.method)
-	var werr error
+	var writeErr error
 	select {
-	case werr = <-sent:
+	case writeErr = <-sent:
 	default: // it has answered early, or the connection has broken
 		stop()
 		besteffort.SocketOption(c.SetWriteDeadline(time.Unix(1, 0)))
-		if o.upload.taken.Load() {
+		if o.upload.consumed.Load() {
 			besteffort.Close(o.upload.pipe)
 		}
-		werr = <-sent
+		writeErr = <-sent
 	}
-	res.bodyDiscarded = o.upload.taken.Load()
+	res.bodyDiscarded = o.upload.consumed.Load()
 	switch {
-	case o.upload.failed():
+	case o.upload.clientFailed():
 		return result{outcome: balancer.Cancelled, bodyDiscarded: true}, false, errClientGone
-	case werr == nil:
+	case writeErr == nil:
 		return res, clean, err
 	case err == nil && res.outcome != balancer.OK: // it was properly rejected
 		return res, false, nil
 	case wasCancelled(ctx):
-		return result{outcome: balancer.Cancelled, bodyDiscarded: res.bodyDiscarded}, false, werr
+		return result{outcome: balancer.Cancelled, bodyDiscarded: res.bodyDiscarded}, false, writeErr
 	}
-	return result{outcome: balancer.ConnectFailed, bodyDiscarded: res.bodyDiscarded}, false, werr
+	return result{outcome: balancer.ConnectFailed, bodyDiscarded: res.bodyDiscarded}, false, writeErr
 }
 
 // streamResult has a long answer passed on, and ends the attempt with it.
-func (c *conn) streamResult(res result, clean bool, begun func(result) error) result {
-	err := begun(res)
+func (c *conn) streamResult(res result, clean bool, streamResponse func(result) error) result {
+	err := streamResponse(res)
 	res.stream = nil
 	switch {
 	case err == nil && clean && c.reader.Buffered() == 0:
@@ -208,13 +208,13 @@
 
 // failedOutcome is the outcome of an attempt whose answer did not come: its last byte
 // was written, so it may have run. broken is how the connection ended, if it did.
-func failedOutcome(ctx context.Context, broken error) balancer.Outcome {
+func failedOutcome(ctx context.Context, connErr error) balancer.Outcome {
 	switch {
 	case wasCancelled(ctx):
 		return balancer.Cancelled
-	case ctx.Err() != nil, errors.Is(broken, os.ErrDeadlineExceeded):
+	case ctx.Err() != nil, errors.Is(connErr, os.ErrDeadlineExceeded):
 		return balancer.TimedOut
-	case broken != nil:
+	case connErr != nil:
 		return balancer.ConnectionReset
 	}
 	return balancer.ServerError // it can't be read
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -16,8 +16,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-func TestOutcomes(t *testing.T) {
-	long := strings.Repeat("x", maxBody+maxHead+1)
+func TestAttemptOutcomeForEachResponse(t *testing.T) {
+	long := strings.Repeat("x", maxBufferedBody+maxResponseHead+1)
 	for _, c := range []struct {
 		name, answer string // after it the server closes
 		want         balancer.Outcome
@@ -39,10 +39,10 @@
 		{"a line with no colon", "HTTP/1.1 200 OK\r\nContent-Length\r\n\r\nhi", balancer.ServerError},
 		{"other protocols", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n" + okAnswer, balancer.ServerError},
 		{"a body where none may be", "HTTP/1.1 204 None\r\nContent-Length: 2\r\n\r\nhi", balancer.ServerError},
-		{"the greatest head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-A: " + strings.Repeat("x", maxHead) + "\r\n\r\nhi", balancer.OK},
+		{"the greatest head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-A: " + strings.Repeat("x", maxResponseHead) + "\r\n\r\nhi", balancer.OK},
 		{"no HTTP", "hello there\r\n\r\n", balancer.ServerError},
-		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxLarge+1, long), balancer.ServerError},
-		{"half a long body", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxLarge, long), balancer.ConnectionReset},
+		{"body too long", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxStreamedBody+1, long), balancer.ServerError},
+		{"half a long body", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", maxStreamedBody, long), balancer.ConnectionReset},
 		{"head too long", "HTTP/1.1 200 OK\r\nX-Long: " + long + long, balancer.ServerError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 					besteffort.Output(io.WriteString(conn, c.answer))
 				}
 			}))
-			got := try(t, p, enough)
+			got := attemptOnce(t, p, enough)
 			if got.outcome != c.want {
 				t.Errorf("outcome %d, want %d", got.outcome, c.want)
 			}
@@ -62,34 +62,34 @@
 	}
 }
 
-// shortConn breaks before the last byte is written.
-type shortConn struct{ *net.TCPConn }
+// truncatingConn breaks before the last byte is written.
+type truncatingConn struct{ *net.TCPConn }
 
-func (c shortConn) Write(b []byte) (int, error) {
+func (c truncatingConn) Write(b []byte) (int, error) {
 	n, _ := c.TCPConn.Write(b[:len(b)-1])
 	return n, errors.New("broken")
 }
 
-func TestBreakBeforeTheLastByteNeverRan(t *testing.T) {
+func TestBreakBeforeTheLastByteIsConnectFailed(t *testing.T) {
 	p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
 			besteffort.Output(io.WriteString(conn, okAnswer))
 		}
 	}))
-	if got := try(t, p, enough); got.outcome != balancer.OK {
+	if got := attemptOnce(t, p, enough); got.outcome != balancer.OK {
 		t.Fatalf("outcome %d, want OK", got.outcome)
 	}
-	stood(p, lateResponseRest)
+	ageIdleConns(p, lateResponseWait)
 	idle := p.backends[1].idle
-	idle[0].Conn = shortConn{idle[0].Conn.(*net.TCPConn)}
-	if got := try(t, p, enough); got.outcome != balancer.ConnectFailed {
+	idle[0].Conn = truncatingConn{idle[0].Conn.(*net.TCPConn)}
+	if got := attemptOnce(t, p, enough); got.outcome != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.outcome)
 	}
 }
 
-// TestOneWriteOneOutcome: a connection that breaks under a request is an
+// TestPoolNeverResendsARequest: a connection that breaks under a request is an
 // outcome; the pool must not send the request again on another one.
-func TestOneWriteOneOutcome(t *testing.T) {
+func TestPoolNeverResendsARequest(t *testing.T) {
 	requests := make(chan int, 10)
 	p := testPool(backendServer(t, func(number int, conn net.Conn, r *bufio.Reader) {
 		for i := 0; readRequest(r) != nil; i++ {
@@ -100,11 +100,11 @@
 			besteffort.Output(io.WriteString(conn, okAnswer))
 		}
 	}))
-	if got := try(t, p, enough); got.outcome != balancer.OK {
+	if got := attemptOnce(t, p, enough); got.outcome != balancer.OK {
 		t.Fatalf("outcome %d, want OK", got.outcome)
 	}
-	stood(p, lateResponseRest)
-	if got := try(t, p, enough); got.outcome != balancer.ConnectionReset {
+	ageIdleConns(p, lateResponseWait)
+	if got := attemptOnce(t, p, enough); got.outcome != balancer.ConnectionReset {
 		t.Errorf("outcome %d, want Reset", got.outcome)
 	}
 	if n := len(requests); n != 2 {
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestGivenUpAttemptIsClosed: the server must see the end of an attempt no
+// TestEndedAttemptHasClosedItsConnection: the server must see the end of an attempt no
 // later than the balancer is told, or a further attempt could overlap it.
-func TestGivenUpAttemptIsClosed(t *testing.T) {
+func TestEndedAttemptHasClosedItsConnection(t *testing.T) {
 	for name, want := range map[string]balancer.Outcome{"timed out": balancer.TimedOut, "cancelled": balancer.Cancelled} {
 		got, gone := make(chan struct{}), make(chan struct{})
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -134,12 +134,12 @@
 		} else {
 			go func() { <-got; cancel() }()
 		}
-		res := p.attempt(ctx, 1, get("/api/x"), always, nil)
+		res := p.attempt(ctx, 1, get("/api/x"), alwaysMayWrite, nil)
 		cancel()
 		if res.outcome != want {
 			t.Errorf("%s: outcome %d, want %d", name, res.outcome, want)
 		}
-		if p.open != 0 {
+		if p.openConnections != 0 {
 			t.Errorf("%s: the connection is still open", name)
 		}
 		select {
@@ -150,28 +150,28 @@
 	}
 }
 
-// heldConn keeps a writer where it states its time, until the reader has given it up.
-type heldConn struct {
+// blockedWriteConn keeps a writer where it states its time, until the reader has given it up.
+type blockedWriteConn struct {
 	*net.TCPConn
-	began, givenUp func()
-	up             chan struct{}
+	began, writeCancelled func()
+	cancelled             chan struct{}
 }
 
-func (c heldConn) SetWriteDeadline(at time.Time) error {
+func (c blockedWriteConn) SetWriteDeadline(at time.Time) error {
 	if at.After(time.Now()) {
 		c.began()
-		<-c.up
+		<-c.cancelled
 	}
 	err := c.TCPConn.SetWriteDeadline(at)
 	if at.Before(time.Now()) {
-		c.givenUp()
+		c.writeCancelled()
 	}
 	return err
 }
 
-// TestTurnedAwayAheadOfTheHead: a server may say that it is full as soon as it is connected. Nothing of the request goes to it
+// TestRejectionAheadOfTheRequestLeavesTheUploadIntact: a server may say that it is full as soon as it is connected. Nothing of the request goes to it
 // any more, so that another one can have it.
-func TestTurnedAwayAheadOfTheHead(t *testing.T) {
+func TestRejectionAheadOfTheRequestLeavesTheUploadIntact(t *testing.T) {
 	began, up := make(chan struct{}), make(chan struct{})
 	p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		<-began
@@ -184,16 +184,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Conn = heldConn{c.Conn.(*net.TCPConn), sync.OnceFunc(func() { close(began) }), sync.OnceFunc(func() { close(up) }), up}
+	c.Conn = blockedWriteConn{c.Conn.(*net.TCPConn), sync.OnceFunc(func() { close(began) }), sync.OnceFunc(func() { close(up) }), up}
 	c.release()
-	stood(p, lateResponseRest)
+	ageIdleConns(p, lateResponseWait)
 	rest, client := io.Pipe()
 	go func() { besteffort.Output(client.Write(pattern(10))); besteffort.Close(client) }()
 	o := get("/api/x")
-	o.method, o.body = "POST", pattern(maxBody+1)
-	o.upload = &upload{length: maxBody + 11, pipe: rest, wait: enough, readingEnded: make(chan struct{}), onComplete: func(time.Duration) {},
+	o.method, o.body = "POST", pattern(maxBufferedBody+1)
+	o.upload = &upload{length: maxBufferedBody + 11, pipe: rest, responseTimeout: enough, readingEnded: make(chan struct{}), onComplete: func(time.Duration) {},
 		clientGone: func() bool { return false }}
-	got := p.attempt(ctx, 1, o, always, nil)
+	got := p.attempt(ctx, 1, o, alwaysMayWrite, nil)
 	if got.outcome != balancer.Rejected || got.bodyDiscarded || p.forwards.Load() != 0 {
 		t.Errorf("outcome %d, spent %v, %d written whole; want one that never ran and is left whole", got.outcome, got.bodyDiscarded, p.forwards.Load())
 	}
--- a/internal/proxy/flood_test.go
+++ b/internal/proxy/flood_test.go
@@ -11,9 +11,9 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestFloodOfBadPeers: each gets an error or a close, though it does not close itself, and a burst of clients that leave
+// TestBadPeersAreClosedAndLeaveNothingBehind: each gets an error or a close, though it does not close itself, and a burst of clients that leave
 // leaves nothing behind. Descriptors, goroutines and counts return to where they were.
-func TestFloodOfBadPeers(t *testing.T) {
+func TestBadPeersAreClosedAndLeaveNothingBehind(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNode(t, server)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -30,9 +30,9 @@
 	}), got
 }
 
-// TestOnlyRequestsThatClientsSend: whatever a client's bytes look like, nothing
+// TestNoRequestIsSmuggledInABody: whatever a client's bytes look like, nothing
 // that stands in the body of a request reaches a server as a request.
-func TestOnlyRequestsThatClientsSend(t *testing.T) {
+func TestNoRequestIsSmuggledInABody(t *testing.T) {
 	hidden := rawPost("1.1", "hidden", "Content-Length: 0\r\n", "")
 	chunk := "0\r\n\r\n" + hidden
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(chunk))
@@ -102,8 +102,8 @@
 	}
 }
 
-// forms are requests in the forms that a client may choose; %s is the id.
-var forms = []string{
+// requestForms are requests in the forms that a client may choose; %s is the id.
+var requestForms = []string{
 	"GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: saldo\r\nX-Deadline: 20\r\n\r\n",
 	"GET http://app.svc/api/x?a=b HTTP/1.1\r\nhost:app.svc\r\nx-request-id:%s\r\nX-CLASS: \tsaldo \r\nx-deadline: 20.000\r\n\r\n",
 	"GET /api/x HTTP/1.1\nHost: app.svc\nX-Request-Id: %s\nX-Class: saldo\nX-Deadline: 2e1\n\n",
@@ -115,9 +115,9 @@
 		"03;a=b\r\nren\r\n1\r\nt\r\n0\r\nX-Trailer: t\r\n\r\n",
 }
 
-// TestFormsInPieces: a request gets its answer byte by byte too, and any part of one of which the client leaves is not forwarded.
-func TestFormsInPieces(t *testing.T) {
-	for i, form := range forms {
+// TestBytewiseRequestsAreServedAndPartialOnesNotForwarded: a request gets its answer byte by byte too, and any part of one of which the client leaves is not forwarded.
+func TestBytewiseRequestsAreServedAndPartialOnesNotForwarded(t *testing.T) {
+	for i, form := range requestForms {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
 			server, got := echoServer(t)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -27,32 +27,32 @@
 
 // frontend takes clients' requests and writes their answers.
 type frontend struct {
-	server         *Server
-	maxConnections int // connections
-	rules          atomic.Pointer[requestRules]
-	memory         memoryBudget // for requests that are not small
-	keepAccepting  func()       // goes on accepting for a while after the order to stop
-	ready          atomic.Bool
-	draining       atomic.Bool
-	accepting      atomic.Bool                       // it accepts
-	handedOff      atomic.Bool                       // to a new process
-	clients        atomic.Pointer[listener.Listener] // nil: it does not serve yet
+	server           *Server
+	maxConnections   int // connections
+	rules            atomic.Pointer[requestRules]
+	memory           memoryBudget // for requests that are not small
+	waitForLateConns func()       // goes on accepting for a while after the order to stop
+	ready            atomic.Bool
+	draining         atomic.Bool
+	accepting        atomic.Bool                       // it accepts
+	handedOff        atomic.Bool                       // to a new process
+	clientListener   atomic.Pointer[listener.Listener] // nil: it does not serve yet
 	// closed when the process has ended that accepts in its place
 	successorEnded chan struct{}
 	killTimeout    time.Duration
 	latestDeadline atomic.Int64              // deadline of a request read so far, from the proxy's start
-	answerBy       atomic.Pointer[time.Time] // for requests that come from now on; nil: their deadlines
+	drainDeadline  atomic.Pointer[time.Time] // for requests that come from now on; nil: their deadlines
 }
 
-func newFrontend(n *Server, most int) *frontend {
+func newFrontend(srv *Server, maxConnections int) *frontend {
 	f := &frontend{
-		server:         n,
-		maxConnections: most,
-		keepAccepting:  func() { time.Sleep(acceptLinger) },
-		successorEnded: make(chan struct{}),
-		killTimeout:    maxKillTimeout,
+		server:           srv,
+		maxConnections:   maxConnections,
+		waitForLateConns: func() { time.Sleep(drainAcceptTime) },
+		successorEnded:   make(chan struct{}),
+		killTimeout:      maxKillTimeout,
 	}
-	f.rules.Store(newRules(n.config.Settings, nil))
+	f.rules.Store(newRules(srv.config.Settings, nil))
 	return f
 }
 
@@ -99,23 +99,23 @@
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		up.clientGone = req.abandoned
 		up.onComplete = func(wait time.Duration) {
-			f.server.post(func() { f.server.requestSent(req, f.timeLeft(wait)) })
+			f.server.post(func() { f.server.requestSent(req, f.remainingTime(wait)) })
 		}
 		defer up.close()
 	} else {
 		outstanding.Add(1)
 	}
-	o := f.handleRequest(w, r, req, event)
-	f.server.stats.count(req.class, o.outcome)
+	ended := f.handleRequest(w, r, req, event)
+	f.server.stats.count(req.class, ended.outcome)
 	if up := req.outbound.upload; up != nil {
-		if up.countEnd(outstanding); o.answered {
+		if up.countEnd(outstanding); ended.answered {
 			besteffort.Encode(http.NewResponseController(w).Flush())
 			up.drain()
 		}
 	} else {
 		outstanding.Add(-1)
 	}
-	if o.truncated {
+	if ended.truncated {
 		panic(http.ErrAbortHandler) // closes the connection short of the answer's end, so that the client can tell
 	}
 }
@@ -144,7 +144,7 @@
 
 // acceptsNow reports whether it takes them now: it does not while all places are in use.
 func (f *frontend) acceptsNow() bool {
-	limited := f.clients.Load()
+	limited := f.clientListener.Load()
 	return f.serving() && limited != nil && !limited.Full()
 }
 
@@ -162,19 +162,19 @@
 	req *request,
 	event balancer.RequestArrived,
 ) requestResult {
-	var broken <-chan struct{} // closed when an upload has ended, which may be well or not
-	var looks <-chan time.Time // at its client: the server hears nothing ahead of a body's end
+	var uploadEnded <-chan struct{}   // closed when an upload has ended, which may be well or not
+	var clientChecks <-chan time.Time // at its client: the server hears nothing ahead of a body's end
 	if req.outbound.upload != nil {
-		broken = req.outbound.upload.readingEnded
-		often := time.NewTicker(clientGoneLimit / 2)
-		defer often.Stop()
-		looks = often.C
+		uploadEnded = req.outbound.upload.readingEnded
+		ticker := time.NewTicker(clientGoneLimit / 2)
+		defer ticker.Stop()
+		clientChecks = ticker.C
 	}
 	f.server.post(func() { f.server.openRequest(req, event) })
 	for {
 		select {
-		case <-broken:
-			if broken = nil; req.outbound.upload.err == nil {
+		case <-uploadEnded:
+			if uploadEnded = nil; req.outbound.upload.err == nil {
 				continue
 			}
 			f.server.post(func() { f.server.abandonRequest(req) })
@@ -184,12 +184,12 @@
 		default:
 		}
 		select {
-		case <-broken:
+		case <-uploadEnded:
 			continue // see above
-		case a := <-req.response:
+		case resp := <-req.response:
 			f.askToClose(w, r)
-			return f.writeResponse(w, req, a)
-		case <-looks:
+			return f.writeResponse(w, req, resp)
+		case <-clientChecks:
 			if !req.abandoned() {
 				continue
 			}
@@ -207,7 +207,7 @@
 // word from here the server would send it 200, which no backend said.
 func (f *frontend) abandon(w http.ResponseWriter, req *request) {
 	f.server.post(func() { f.server.abandonRequest(req) })
-	write(w, response{status: http.StatusBadGateway})
+	writeComplete(w, response{status: http.StatusBadGateway})
 }
 
 // writeResponse gives a client its answer.
@@ -218,7 +218,7 @@
 		}
 	}
 	if a.stream == nil {
-		return requestResult{outcome: write(w, a), answered: true}
+		return requestResult{outcome: writeComplete(w, a), answered: true}
 	}
 	writeHeader(w, a, a.stream.length)
 	err := a.stream.writeTo(w, req.deadline)
--- a/internal/proxy/full_test.go
+++ b/internal/proxy/full_test.go
@@ -9,9 +9,9 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestReadinessWhereNobodyCanBeTaken: with all places in use a client that comes is shut, and neither health check says
+// TestNotReadyWhileAllSlotsAreTaken: with all places in use a client that comes is shut, and neither health check says
 // that the proxy is ready; both do once a place is free.
-func TestReadinessWhereNobodyCanBeTaken(t *testing.T) {
+func TestNotReadyWhileAllSlotsAreTaken(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNodeWith(t, func(n *Server) { n.frontend.maxConnections = 2 }, server)
 	ready := func() int {
--- a/internal/proxy/handoff_new_test.go
+++ b/internal/proxy/handoff_new_test.go
@@ -108,7 +108,7 @@
 	if m := wait(t, calls, "the call at the old process"); m.Backend != "s-0" || m.On {
 		t.Errorf("it hears %+v", m)
 	}
-	if held := n.pool.isHeld(newEndpointIDs().idOf("s-0")); held {
+	if held := n.pool.hasBarred(newEndpointIDs().idOf("s-0")); held {
 		t.Error("the ban is still in force")
 	}
 	n.stopNow(t)
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -16,8 +16,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// waiting are requests whose next attempt waits for its connection when the client leaves.
-var waiting = []struct {
+// waitingAttempts are requests whose next attempt waits for its connection when the client leaves.
+var waitingAttempts = []struct {
 	name  string
 	dials int32                           // the number of the connection that comes up late
 	next  func(n *running, answer func()) // has that attempt begin, once there is another; nil: it is the first
@@ -38,11 +38,11 @@
 	{"first of a long one", 1, nil, fmt.Sprintf(postHead+"Content-Length: 70000\r\n\r\n", "q") + strings.Repeat("x", 70000)},
 }
 
-// TestNothingBeginsForAClientThatLeft, by whatever way and with whatever behind its request, also where nothing may be called off.
+// TestNoAttemptStartsForADepartedClient, by whatever way and with whatever behind its request, also where nothing may be called off.
 // The proxy knows of it by itself, before the connection is there.
-func TestNothingBeginsForAClientThatLeft(t *testing.T) {
-	for _, w := range waiting {
-		for how, leave := range leavings {
+func TestNoAttemptStartsForADepartedClient(t *testing.T) {
+	for _, w := range waitingAttempts {
+		for how, leave := range clientDepartures {
 			for _, behind := range []int{0, 20, 40000} {
 				t.Run(fmt.Sprintf("%s, %s, %d bytes behind", w.name, how, behind), func(t *testing.T) {
 					t.Parallel()
@@ -56,14 +56,14 @@
 						<-let
 						besteffort.Output(io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"))
 					}
-					var dial lateDial
+					var dial blockedDials
 					n := startNodeWith(t, func(n *Server) {
-						dial = holdDials(n, w.dials)
+						dial = blockDials(n, w.dials)
 						n.config.Settings.AllowCancel, n.config.Settings.AllowHedging = false, true
 						n.balancer = balancer.New(n.config.Settings, 1)
 					}, backendServer(t, script), backendServer(t, script))
 					if strings.HasPrefix(w.name, "trial") {
-						n.accuse(t)
+						n.ejectAllEndpoints(t)
 					}
 					c := n.dial(t)
 					besteffort.Output(io.WriteString(c, w.sent))
@@ -91,18 +91,18 @@
 	}
 }
 
-// accuse has the balancer take all servers for suspects, so long ago that the next request to come is a trial.
-func (n *running) accuse(t *testing.T) {
+// ejectAllEndpoints has the balancer take all servers for suspects, so long ago that the next request to come is a trial.
+func (n *running) ejectAllEndpoints(t *testing.T) {
 	t.Helper()
 	n.on(t, func() {
 		now := n.now() - 10*time.Second
 		for i := 0; n.balancer.Ejected() < len(n.listedEndpoints) && i < 100; i++ {
 			id := balancer.RequestID(fmt.Sprint("refused", i))
 			actions := n.balancer.Handle(now, balancer.RequestArrived{ID: id, Class: "saldo", Timeout: time.Second})
-			for leg := 0; len(actions) > 0; leg++ {
+			for attempt := 0; len(actions) > 0; attempt++ {
 				s, sent := actions[0].(balancer.StartAttempt)
 				if actions = nil; sent {
-					actions = n.balancer.Handle(now, balancer.AttemptEnded{ID: id, Attempt: leg, Endpoint: s.Endpoint, Outcome: balancer.ConnectFailed})
+					actions = n.balancer.Handle(now, balancer.AttemptEnded{ID: id, Attempt: attempt, Endpoint: s.Endpoint, Outcome: balancer.ConnectFailed})
 				}
 			}
 		}
@@ -112,9 +112,9 @@
 	})
 }
 
-// TestLastByteOfALongRequest is kept from the server where the client has left, so that it does not begin.
-func TestLastByteOfALongRequest(t *testing.T) {
-	for _, length := range []int64{maxBody + 5, -1} {
+// TestLastUploadByteIsWithheldWhenTheClientHasLeft is kept from the server where the client has left, so that it does not begin.
+func TestLastUploadByteIsWithheldWhenTheClientHasLeft(t *testing.T) {
+	for _, length := range []int64{maxBufferedBody + 5, -1} {
 		whole := make(chan error, 1)
 		p := testPool(backendServer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 			req, err := http.ReadRequest(r)
@@ -129,12 +129,12 @@
 			besteffort.Close(write)
 		}()
 		o := get("/api/x")
-		o.method, o.body = http.MethodPost, make([]byte, maxBody)
-		o.upload = &upload{length: length, pipe: read, wait: enough, readingEnded: make(chan struct{}),
+		o.method, o.body = http.MethodPost, make([]byte, maxBufferedBody)
+		o.upload = &upload{length: length, pipe: read, responseTimeout: enough, readingEnded: make(chan struct{}),
 			onComplete: func(time.Duration) {}, clientGone: func() bool { return true }}
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
 		defer cancel()
-		if res := p.attempt(ctx, 1, o, always, nil); res.outcome != balancer.Cancelled || !res.bodyDiscarded {
+		if res := p.attempt(ctx, 1, o, alwaysMayWrite, nil); res.outcome != balancer.Cancelled || !res.bodyDiscarded {
 			t.Errorf("length %d: outcome %d, spent %v", length, res.outcome, res.bodyDiscarded)
 		}
 		if err := wait(t, whole, "the server"); err == nil {
--- a/internal/proxy/listener/clientgone.go
+++ b/internal/proxy/listener/clientgone.go
@@ -17,10 +17,10 @@
 	if err != nil {
 		return true // closed
 	}
-	left := false
+	gone := false
 	// not Read, which would wait for the server's
-	err = raw.Control(func(fd uintptr) { left = hasEnded(int(fd)) })
-	return left || err != nil
+	err = raw.Control(func(fd uintptr) { gone = hasEnded(int(fd)) })
+	return gone || err != nil
 }
 
 // waitForClientEnd waits until the client has, and reads nothing meanwhile: there is no buffer for more. An
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	c.readError, c.unread = io.EOF, true
+	c.readError, c.hasUnreadBytes = io.EOF, true
 	return io.EOF
 }
 
--- a/internal/proxy/listener/close_test.go
+++ b/internal/proxy/listener/close_test.go
@@ -13,58 +13,58 @@
 	"wrenspread/internal/besteffort"
 )
 
-const enough = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// watched is a listener whose connections tell when they are half-closed and closed.
-type watched struct {
+// gatedListener is a listener whose connections tell when they are half-closed and closed.
+type gatedListener struct {
 	*net.TCPListener
-	halved chan func() // takes what lets the half-close go on
-	closed chan bool
-	held   chan func() // if hold is set, it takes what lets a read go on that has got bytes
-	hold   atomic.Bool
+	closeWriteGates chan func() // takes what lets the half-close go on
+	closed          chan bool
+	readGates       chan func() // if hold is set, it takes what lets a read go on that has got bytes
+	gateReads       atomic.Bool
 }
 
-type watchedConn struct {
+type gatedConn struct {
 	*net.TCPConn
-	by *watched
+	listener *gatedListener
 }
 
-func (l *watched) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	c, err := l.AcceptTCP()
-	return watchedConn{c, l}, err
+	return gatedConn{c, l}, err
 }
 
-func (c watchedConn) Read(p []byte) (int, error) {
+func (c gatedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if n > 0 && c.by.hold.Load() {
-		hold(c.by.held)
+	if n > 0 && c.listener.gateReads.Load() {
+		waitAtGate(c.listener.readGates)
 	}
 	return n, err
 }
 
-func hold(held chan<- func()) {
-	let := make(chan bool)
-	held <- func() { close(let) }
-	<-let
+func waitAtGate(gates chan<- func()) {
+	opened := make(chan bool)
+	gates <- func() { close(opened) }
+	<-opened
 }
 
-func (c watchedConn) CloseWrite() error {
-	hold(c.by.halved)
+func (c gatedConn) CloseWrite() error {
+	waitAtGate(c.listener.closeWriteGates)
 	return c.TCPConn.CloseWrite()
 }
 
-func (c watchedConn) Close() error {
-	defer func() { c.by.closed <- true }()
+func (c gatedConn) Close() error {
+	defer func() { c.listener.closed <- true }()
 	return c.TCPConn.Close()
 }
 
-func listen(t *testing.T) *watched {
+func listen(t *testing.T) *gatedListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &watched{TCPListener: ln.(*net.TCPListener), halved: make(chan func(), 10), closed: make(chan bool, 10), held: make(chan func(), 10)}
+	return &gatedListener{TCPListener: ln.(*net.TCPListener), closeWriteGates: make(chan func(), 10), closed: make(chan bool, 10), readGates: make(chan func(), 10)}
 }
 
 // serve runs a server that counts requests, and tells when a connection is new or goes idle.
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { besteffort.Close(c) })
-	besteffort.SocketOption(c.SetDeadline(time.Now().Add(enough)))
+	besteffort.SocketOption(c.SetDeadline(time.Now().Add(testTimeout)))
 	return c.(*net.TCPConn)
 }
 
@@ -103,14 +103,14 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(enough):
+	case <-time.After(testTimeout):
 		t.Fatal("waited in vain for " + what)
 	}
 	return v
 }
 
-// closings are what a client sends, and what comes when its connection is half-closed.
-var closings = []struct {
+// closeCases are what a client sends, and what comes when its connection is half-closed.
+var closeCases = []struct {
 	name, sent, crossing string
 	want                 int  // the last answer; 0: none
 	ends                 bool // the server ends the connection by itself
@@ -125,11 +125,11 @@
 	{"new, crossed", "", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 0, false},
 }
 
-// TestCloseIsNoReset: whatever of a client's bytes nobody has read, it gets its answer and an end. What comes behind is
+// TestCloseDeliversLastResponseWithoutReset: whatever of a client's bytes nobody has read, it gets its answer and an end. What comes behind is
 // not served. A client that does not close, too, is let go.
-func TestCloseIsNoReset(t *testing.T) {
-	for _, c := range closings {
-		for _, polite := range []bool{true, false} {
+func TestCloseDeliversLastResponseWithoutReset(t *testing.T) {
+	for _, c := range closeCases {
+		for _, clientCloses := range []bool{true, false} {
 			t.Run(c.name, func(t *testing.T) {
 				t.Parallel()
 				ln := listen(t)
@@ -153,18 +153,18 @@
 					l.CloseNew()
 				}
 				select {
-				case let := <-ln.halved:
+				case open := <-ln.closeWriteGates:
 					besteffort.Output(io.WriteString(conn, c.crossing))
-					let()
+					open()
 				case <-ln.closed:
-					t.Fatalf("closed at once: %v", endOf(read))
-				case <-time.After(enough):
+					t.Fatalf("closed at once: %v", readToEnd(read))
+				case <-time.After(testTimeout):
 					t.Fatal("it is not closed")
 				}
-				if err := endOf(read); err != nil {
+				if err := readToEnd(read); err != nil {
 					t.Errorf("it ends with %v", err)
 				}
-				if polite {
+				if clientCloses {
 					besteffort.Close(conn)
 				}
 				wait(t, ln.closed, "the close")
@@ -176,13 +176,13 @@
 	}
 }
 
-func endOf(r io.Reader) error {
+func readToEnd(r io.Reader) error {
 	_, err := io.ReadAll(r)
 	return err
 }
 
-// TestNextRequestThatStops at its first bytes, of which the server takes no notice, is not waited for as an idle client is.
-func TestNextRequestThatStops(t *testing.T) {
+// TestStalledNextRequestEndsAtHeadTimeout at its first bytes, of which the server takes no notice, is not waited for as an idle client is.
+func TestStalledNextRequestEndsAtHeadTimeout(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln, 1)
 	l.HeadTimeout = 50 * time.Millisecond
@@ -192,34 +192,34 @@
 	wait(t, states, "the connection")
 	wait(t, states, "the connection to go idle")
 	besteffort.Output(io.WriteString(conn, "GE"))
-	wait(t, ln.halved, "the half-close")()
+	wait(t, ln.closeWriteGates, "the half-close")()
 }
 
-// TestReadCrossesTheClose: bytes that a read has got as the connection is closed are not taken, and the client can tell.
-func TestReadCrossesTheClose(t *testing.T) {
-	for _, first := range []int{0, 1} { // requests before
+// TestBytesReadDuringCloseAreNotServed: bytes that a read has got as the connection is closed are not taken, and the client can tell.
+func TestBytesReadDuringCloseAreNotServed(t *testing.T) {
+	for _, previous := range []int{0, 1} { // requests before
 		ln := listen(t)
 		l := Limit(ln, 1)
 		served, states := serve(t, l, func(http.ResponseWriter, *http.Request) {})
 		conn := dial(t, ln)
 		read := bufio.NewReader(conn)
 		wait(t, states, "the connection")
-		for range first {
+		for range previous {
 			besteffort.Output(io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 			if _, err := http.ReadResponse(read, nil); err != nil {
 				t.Fatal(err)
 			}
 			wait(t, states, "the connection to go idle")
 		}
-		ln.hold.Store(true)
+		ln.gateReads.Store(true)
 		besteffort.Output(io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
-		let := wait(t, ln.held, "the read")
+		open := wait(t, ln.readGates, "the read")
 		l.Drain()
 		l.CloseNew()
-		let()
-		wait(t, ln.halved, "the half-close")()
-		if rest, err := io.ReadAll(read); len(rest) > 0 || err != nil || served.Load() != int32(first) {
-			t.Errorf("after %d requests it ends with %q, %v, and %d have been served", first, rest, err, served.Load())
+		open()
+		wait(t, ln.closeWriteGates, "the half-close")()
+		if rest, err := io.ReadAll(read); len(rest) > 0 || err != nil || served.Load() != int32(previous) {
+			t.Errorf("after %d requests it ends with %q, %v, and %d have been served", previous, rest, err, served.Load())
 		}
 	}
 }
--- a/internal/proxy/listener/conn.go
+++ b/internal/proxy/listener/conn.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// lingerTime is for a client to close after the proxy has: a round trip,
+	// lingerTimeout is for a client to close after the proxy has: a round trip,
 	// around the planet at most, and a busy client's own time.
-	lingerTime = 500 * time.Millisecond
+	lingerTimeout = 500 * time.Millisecond
 	// maxLingerBytes are read of what a client still sends then: some of the
 	// longest requests. One that sends more reads no answer.
 	maxLingerBytes    = 256 << 10
@@ -29,15 +29,15 @@
 	startedAt atomic.Int64 // when the request under way did, or the connection
 	release   func()
 
-	mu        sync.Mutex // of what follows
-	state     state
-	gaveWay   bool  // it gave way ahead of its first byte
-	readError error // how the client's side has; nil: it has not
-	unread    bool  // there are bytes ahead of that
-	framing   framing
-	inFlight  bool   // the server has a whole request, and has not ended it
-	served    bool   // something has come before
-	pipelined []byte // what came after the end of a request
+	mu             sync.Mutex // of what follows
+	state          state
+	evictedUnused  bool  // it gave way ahead of its first byte
+	readError      error // how the client's side has; nil: it has not
+	hasUnreadBytes bool  // there are bytes ahead of that
+	framing        framing
+	inFlight       bool   // the server has a whole request, and has not ended it
+	hasReceived    bool   // something has come before
+	pipelined      []byte // what came after the end of a request
 }
 
 // Read holds back what follows a head of ambiguous length. It ends at the end
@@ -46,14 +46,14 @@
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	watches := c.isBackgroundRead(p)
+	background := c.isBackgroundRead(p)
 	for buf := p; ; {
 		switch {
 		case c.framing.err != nil:
 			return 0, c.framing.err
 		case c.readError != nil:
 			return 0, c.readError // whatever is kept: a client that has left is owed no more
-		case len(c.pipelined) > 0 && !watches:
+		case len(c.pipelined) > 0 && !background:
 			n, err := c.followFraming(p[:copy(p, c.pipelined)])
 			c.pipelined = c.pipelined[n:]
 			return n, err
@@ -64,7 +64,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if !watches {
+		if !background {
 			passed, err := c.followFraming(p[:n])
 			c.pipelined = append([]byte(nil), p[passed:n]...)
 			return passed, err
@@ -100,19 +100,19 @@
 
 // followFraming follows what the server is given, and tells how much that is.
 func (c *Conn) followFraming(p []byte) (int, error) {
-	if c.framing.isBetweenRequests() && c.served {
+	if c.framing.isBetweenRequests() && c.hasReceived {
 		now := time.Now()
 		c.startedAt.Store(now.UnixNano())
 		if d := c.listener.HeadTimeout; d > 0 { // the server begins to count at the fourth byte
 			besteffort.SocketOption(c.Conn.SetReadDeadline(now.Add(d)))
 		}
 	}
-	c.served = true
+	c.hasReceived = true
 	n := c.framing.follow(p)
 	if n == 0 && c.framing.err != nil {
 		return 0, c.framing.err
 	}
-	c.inFlight, c.framing.ended = c.inFlight || c.framing.ended, false
+	c.inFlight, c.framing.requestEnded = c.inFlight || c.framing.requestEnded, false
 	return n, nil
 }
 
@@ -142,7 +142,7 @@
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.state = closed
-	ended := c.readError != nil && !c.unread || c.gaveWay
+	ended := c.readError != nil && !c.hasUnreadBytes || c.evictedUnused
 	c.mu.Unlock()
 	if !ended && !c.listener.skipLinger.Load() {
 		c.linger()
@@ -154,17 +154,17 @@
 
 // linger ends the proxy's side, and drops what comes until the client's ends.
 func (c *Conn) linger() {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || writeCloser.CloseWrite() != nil {
 		return
 	}
-	besteffort.SocketOption(c.Conn.SetReadDeadline(time.Now().Add(lingerTime)))
+	besteffort.SocketOption(c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)))
 	buf := make([]byte, 1<<10)
-	for got := 0; got < maxLingerBytes; {
+	for received := 0; received < maxLingerBytes; {
 		n, err := c.Conn.Read(buf)
 		if err != nil {
 			return
 		}
-		got += n
+		received += n
 	}
 }
--- a/internal/proxy/listener/framing.go
+++ b/internal/proxy/listener/framing.go
@@ -16,31 +16,31 @@
 // on where its body ends, the server settles on one silently, and what the client holds to be body may be
 // taken for a request that it never sent. Such a head is not let through.
 type framing struct {
-	headLine       []byte // of a head, so far
-	hasRequestLine bool   // the head's first line is over
-	isOldVersion   bool   // that line names no HTTP/1.1
-	lengths        []string
-	codings        int
-	bodyLeft       int64 // bytes still to come
-	chunked        bool  // this one ends where the server says; what follows is never served
-	ended          bool  // a request has, of which the server has been given the last byte
-	err            error
+	headLine        []byte // of a head, so far
+	hasRequestLine  bool   // the head's first line is over
+	isOldVersion    bool   // that line names no HTTP/1.1
+	contentLengths  []string
+	transferCodings int
+	bodyRemaining   int64 // bytes still to come
+	chunked         bool  // this one ends where the server says; what follows is never served
+	requestEnded    bool  // a request has, of which the server has been given the last byte
+	err             error
 }
 
 // isBetweenRequests tells that the next byte begins a request.
 func (f *framing) isBetweenRequests() bool {
-	return !f.hasRequestLine && len(f.headLine) == 0 && f.bodyLeft == 0 && !f.chunked
+	return !f.hasRequestLine && len(f.headLine) == 0 && f.bodyRemaining == 0 && !f.chunked
 }
 
 // follow follows what was read, and tells how much of it may go on: up to the end
 // of a request, or all but the end of a head that leaves f.err.
 func (f *framing) follow(p []byte) int {
 	for i := 0; i < len(p) && !f.chunked; {
-		if f.bodyLeft > 0 {
-			n := int(min(f.bodyLeft, int64(len(p)-i)))
-			f.bodyLeft -= int64(n)
-			if i += n; f.bodyLeft == 0 {
-				f.ended = true
+		if f.bodyRemaining > 0 {
+			n := int(min(f.bodyRemaining, int64(len(p)-i)))
+			f.bodyRemaining -= int64(n)
+			if i += n; f.bodyRemaining == 0 {
+				f.requestEnded = true
 				return i
 			}
 			continue
@@ -51,13 +51,13 @@
 			break
 		}
 		f.appendLine(p[i : i+end])
-		whole, err := f.endLine()
+		complete, err := f.endLine()
 		if err != nil {
 			f.err = err
 			return i + end
 		}
-		if i += end + 1; whole && f.bodyLeft == 0 && !f.chunked {
-			f.ended = true
+		if i += end + 1; complete && f.bodyRemaining == 0 && !f.chunked {
+			f.requestEnded = true
 			return i
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 // endLine reports whether the head is complete.
-func (f *framing) endLine() (whole bool, err error) {
+func (f *framing) endLine() (complete bool, err error) {
 	line := bytes.TrimSuffix(f.headLine, []byte("\r"))
 	f.headLine = f.headLine[:0] // its bytes are as they were until the next line comes
 	switch {
@@ -85,9 +85,9 @@
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch {
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			f.lengths = append(f.lengths, string(bytes.Trim(value, " \t")))
+			f.contentLengths = append(f.contentLengths, string(bytes.Trim(value, " \t")))
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			f.codings++
+			f.transferCodings++
 		}
 	}
 	return false, nil
@@ -97,17 +97,17 @@
 // and the server would skip the header.
 func (f *framing) endHead() error {
 	switch {
-	case f.codings > 0 && (f.codings > 1 || len(f.lengths) > 0 || f.isOldVersion), len(f.lengths) > 1:
+	case f.transferCodings > 0 && (f.transferCodings > 1 || len(f.contentLengths) > 0 || f.isOldVersion), len(f.contentLengths) > 1:
 		return errFraming
-	case f.codings > 0:
+	case f.transferCodings > 0:
 		f.chunked = true
-	case len(f.lengths) == 1:
-		n, err := strconv.ParseUint(f.lengths[0], 10, 63)
+	case len(f.contentLengths) == 1:
+		n, err := strconv.ParseUint(f.contentLengths[0], 10, 63)
 		if err != nil {
 			return errFraming
 		}
-		f.bodyLeft = int64(n)
+		f.bodyRemaining = int64(n)
 	}
-	f.hasRequestLine, f.lengths = false, f.lengths[:0]
+	f.hasRequestLine, f.contentLengths = false, f.contentLengths[:0]
 	return nil
 }
--- a/internal/proxy/listener/full_test.go
+++ b/internal/proxy/listener/full_test.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestSilentClientsGiveWay: clients that connect, send nothing and do not close must not shut out others, however many.
-func TestSilentClientsGiveWay(t *testing.T) {
+// TestSilentNewClientsAreEvicted: clients that connect, send nothing and do not close must not shut out others, however many.
+func TestSilentNewClientsAreEvicted(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln.TCPListener, 2)
 	var silent []*net.TCPConn
@@ -34,26 +34,26 @@
 	}
 }
 
-// TestClientsThatCanNotBeTaken are shut, and it is told; one that comes when there is a place again is served.
-func TestClientsThatCanNotBeTaken(t *testing.T) {
+// TestClientsAreClosedWhileFullAndServedAfterwards are shut, and it is told; one that comes when there is a place again is served.
+func TestClientsAreClosedWhileFullAndServedAfterwards(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln.TCPListener, 1)
-	l.FullTimeout = 2 * lingerTime
+	l.FullTimeout = 2 * lingerTimeout
 	began, release := make(chan bool, 2), make(chan bool, 2)
 	_, states := serve(t, l, func(http.ResponseWriter, *http.Request) {
 		began <- true
 		<-release
 	})
-	ask := func() *net.TCPConn {
+	sendRequest := func() *net.TCPConn {
 		c := dial(t, ln)
 		besteffort.Output(io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		return c
 	}
-	first := ask()
+	first := sendRequest()
 	wait(t, states, "the connection")
 	wait(t, began, "the request")
 	for range 3 {
-		if n, err := ask().Read(make([]byte, 1)); n != 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if n, err := sendRequest().Read(make([]byte, 1)); n != 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%d bytes and %v for a client that can't be taken", n, err)
 		}
 	}
@@ -66,32 +66,32 @@
 		t.Error("it is still full")
 	}
 	release <- true
-	for _, c := range []*net.TCPConn{first, ask()} {
+	for _, c := range []*net.TCPConn{first, sendRequest()} {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("answer %v, %v", resp, err)
 		}
 	}
 }
 
-// noDescriptors fails a number of times, as the system does that has no descriptor left.
-type noDescriptors struct {
+// descriptorLimitedListener fails a number of times, as the system does that has no descriptor left.
+type descriptorLimitedListener struct {
 	net.Listener
-	times int
+	failures int
 }
 
-func (l *noDescriptors) Accept() (net.Conn, error) {
-	if l.times > 0 {
-		l.times--
+func (l *descriptorLimitedListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
 }
 
-// TestNoDescriptorLeft: idle clients give up theirs, and accepting goes on.
-func TestNoDescriptorLeft(t *testing.T) {
+// TestAcceptEvictsIdleClientWhenDescriptorsRunOut: idle clients give up theirs, and accepting goes on.
+func TestAcceptEvictsIdleClientWhenDescriptorsRunOut(t *testing.T) {
 	ln := listen(t)
-	short := &noDescriptors{Listener: ln.TCPListener}
-	l := Limit(short, 5)
+	limited := &descriptorLimitedListener{Listener: ln.TCPListener}
+	l := Limit(limited, 5)
 	defer besteffort.Close(l)
 	idle := dial(t, ln)
 	c, err := l.Accept()
@@ -100,7 +100,7 @@
 	}
 	c.(*Conn).inFlight = true
 	l.TrackState(c, http.StateIdle)
-	short.times = 2
+	limited.failures = 2
 	dial(t, ln)
 	if _, err := l.Accept(); err != nil {
 		t.Errorf("it ends with %v", err)
--- a/internal/proxy/listener/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -35,7 +35,7 @@
 	if s != http.StateIdle || !c.(*Conn).markIdle() {
 		return
 	}
-	if l.ending {
+	if l.draining {
 		c.(*Conn).closeInState(idle)
 		return
 	}
@@ -63,15 +63,15 @@
 	return c.closeInStateLocked(s)
 }
 
-// giveWay is closeInState for a connection that is closed in favour of another. One that has sent nothing,
+// evict is closeInState for a connection that is closed in favour of another. One that has sent nothing,
 // not even, as far as the system knows, just now, has no response on its way: its slot is free at once.
-func (c *Conn) giveWay(s state) bool {
+func (c *Conn) evict(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s == fresh && socketoption.Readable(c.Conn) || !c.closeInStateLocked(s) {
 		return false
 	}
-	c.gaveWay = s == fresh
+	c.evictedUnused = s == fresh
 	return true
 }
 
@@ -91,27 +91,27 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if closeOldest(l.idle, idle, now) {
+	if evictOldest(l.idle, idle, now) {
 		l.fullSince = now // its client has lingerTime
 		return true
 	}
-	return closeOldest(l.fresh, fresh, now.Add(-minFreshTime))
+	return evictOldest(l.fresh, fresh, now.Add(-minFreshTime))
 }
 
-// closeOldest closes the connection that has been in a state for longest, since a time or before.
-func closeOldest(of map[net.Conn]time.Time, s state, latest time.Time) bool {
-	for len(of) > 0 {
+// evictOldest closes the connection that has been in a state for longest, since a time or before.
+func evictOldest(conns map[net.Conn]time.Time, s state, latest time.Time) bool {
+	for len(conns) > 0 {
 		var oldest net.Conn
-		for c, since := range of {
-			if oldest == nil || since.Before(of[oldest]) {
+		for c, since := range conns {
+			if oldest == nil || since.Before(conns[oldest]) {
 				oldest = c
 			}
 		}
-		if of[oldest].After(latest) {
+		if conns[oldest].After(latest) {
 			return false
 		}
-		delete(of, oldest)
-		if oldest.(*Conn).giveWay(s) {
+		delete(conns, oldest)
+		if oldest.(*Conn).evict(s) {
 			return true
 		}
 	}
@@ -122,7 +122,7 @@
 func (l *Listener) closeAllIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ending = true
+	l.draining = true
 	for c := range l.idle {
 		c.(*Conn).closeInState(idle)
 	}
--- a/internal/proxy/listener/inherited_test.go
+++ b/internal/proxy/listener/inherited_test.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestAcceptingEndsOnASharedSocket also if another process has set it to block.
-func TestAcceptingEndsOnASharedSocket(t *testing.T) {
+// TestCloseEndsAcceptOnBlockingSharedSocket also if another process has set it to block.
+func TestCloseEndsAcceptOnBlockingSharedSocket(t *testing.T) {
 	f, err := listen(t).File()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	connCheckInterval = 50 * time.Millisecond // between two looks at connections that are to end
-	queueAcceptTime   = 50 * time.Millisecond // to accept a connection that waits already
+	connPollInterval   = 50 * time.Millisecond // between two looks at connections that are to end
+	queueAcceptTimeout = 50 * time.Millisecond // to accept a connection that waits already
 	// for a client that got Connection: close to do so, before another gets it
-	evictPause = 20 * time.Millisecond
+	evictRetryInterval = 20 * time.Millisecond
 	// minFreshTime is for a new client's first byte to come, before it may give way: a
 	// round trip, or two. Clients connect when they have something to send.
 	minFreshTime = 100 * time.Millisecond
@@ -46,17 +46,17 @@
 	// Accept's: since when it has found places taken and none idle; zero: the last one was there at once
 	fullSince time.Time
 
-	mu     sync.Mutex
-	idle   map[net.Conn]time.Time // since when
-	fresh  map[net.Conn]time.Time // the same
-	ending bool                   // none is to stay idle any more
+	mu       sync.Mutex
+	idle     map[net.Conn]time.Time // since when
+	fresh    map[net.Conn]time.Time // the same
+	draining bool                   // none is to stay idle any more
 }
 
 // Limit has ln accept most connections at a time.
-func Limit(ln net.Listener, most int) *Listener {
+func Limit(ln net.Listener, maxConns int) *Listener {
 	return &Listener{
 		Listener: ln,
-		slots:    make(chan struct{}, most),
+		slots:    make(chan struct{}, maxConns),
 		closed:   make(chan struct{}),
 		idle:     map[net.Conn]time.Time{},
 		fresh:    map[net.Conn]time.Time{},
@@ -69,23 +69,23 @@
 // ever longer.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		placed := l.takeSlot()
+		hasSlot := l.takeSlot()
 		c, err := l.acceptNext()
-		if err == nil && !placed {
-			if placed = l.takeSlot(); !placed {
+		if err == nil && !hasSlot {
+			if hasSlot = l.takeSlot(); !hasSlot {
 				besteffort.Close(c)
 				continue
 			}
 		}
 		if err != nil {
-			if placed {
+			if hasSlot {
 				l.releaseSlot()
 			}
 			return nil, err
 		}
-		lc := &Conn{Conn: c, listener: l, release: sync.OnceFunc(l.releaseSlot)}
-		lc.startedAt.Store(time.Now().UnixNano())
-		return lc, nil
+		conn := &Conn{Conn: c, listener: l, release: sync.OnceFunc(l.releaseSlot)}
+		conn.startedAt.Store(time.Now().UnixNano())
+		return conn, nil
 	}
 }
 
@@ -101,7 +101,7 @@
 			return nil, net.ErrClosed // the server goes on after a timeout
 		case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
 			l.evictIdle()
-			time.Sleep(evictPause)
+			time.Sleep(evictRetryInterval)
 		default:
 			return c, err
 		}
@@ -120,8 +120,8 @@
 	if l.fullSince.IsZero() {
 		l.fullSince = time.Now()
 	}
-	again := time.NewTicker(evictPause)
-	defer again.Stop()
+	retry := time.NewTicker(evictRetryInterval)
+	defer retry.Stop()
 	for {
 		full := !l.evictIdle() && l.FullTimeout > 0 && time.Since(l.fullSince) >= l.FullTimeout
 		l.full.Store(full) // ahead of the last look for a place
@@ -139,7 +139,7 @@
 			return true
 		case <-l.closed:
 			return false
-		case <-again.C: // the client has not closed, or none gave way
+		case <-retry.C: // the client has not closed, or none gave way
 		}
 	}
 }
@@ -172,15 +172,15 @@
 // unless another process does.
 func (l *Listener) queued() bool {
 	ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	return ok && socketoption.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueAcceptTime)) == nil
+	return ok && socketoption.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueAcceptTimeout)) == nil
 }
 
 // SkipLinger has connections close at once from now on.
 func (l *Listener) SkipLinger() { l.skipLinger.Store(true) }
 
 // WaitForConns returns when ctx ends, or all connections have and the least time is over.
-func (l *Listener) WaitForConns(ctx context.Context, least time.Duration) {
-	for ok := backoff.Sleep(ctx, least); ok && len(l.slots) > 0; {
-		ok = backoff.Sleep(ctx, connCheckInterval)
+func (l *Listener) WaitForConns(ctx context.Context, minWait time.Duration) {
+	for ok := backoff.Sleep(ctx, minWait); ok && len(l.slots) > 0; {
+		ok = backoff.Sleep(ctx, connPollInterval)
 	}
 }
--- a/internal/proxy/listener/listener_test.go
+++ b/internal/proxy/listener/listener_test.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestIdleClientsGiveWay: clients that hold connections and send nothing must not shut out others.
-func TestIdleClientsGiveWay(t *testing.T) {
+// TestOldestIdleClientIsEvicted: clients that hold connections and send nothing must not shut out others.
+func TestOldestIdleClientIsEvicted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestClientThatGoesIdleGivesWay to one that came while none was idle.
-func TestClientThatGoesIdleGivesWay(t *testing.T) {
+// TestClientGoingIdleIsEvictedForWaitingClient to one that came while none was idle.
+func TestClientGoingIdleIsEvictedForWaitingClient(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln, 1)
 	began, release := make(chan bool, 1), make(chan bool, 2)
@@ -65,8 +65,8 @@
 		<-release
 	})
 	go func() {
-		for let := range ln.halved {
-			let()
+		for open := range ln.closeWriteGates {
+			open()
 		}
 	}()
 	first := dial(t, ln)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestSmallWritesAreNotHeldBack by the system, on a socket taken over from another process too.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
+// TestAcceptedConnectionsDisableNagle by the system, on a socket taken over from another process too.
+func TestAcceptedConnectionsDisableNagle(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
 		var ln net.Listener = listen(t).TCPListener
 		if inherited {
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestQueueIsServedAtTheEnd of accepting, whether that finds all places taken or Accept not yet called. Then it is closed.
-func TestQueueIsServedAtTheEnd(t *testing.T) {
-	for _, taken := range []bool{false, true} {
+// TestDrainServesQueuedConnections of accepting, whether that finds all places taken or Accept not yet called. Then it is closed.
+func TestDrainServesQueuedConnections(t *testing.T) {
+	for _, slotTaken := range []bool{false, true} {
 		ln := listen(t)
 		l := Limit(ln.TCPListener, 1)
 		began, release := make(chan bool, 10), make(chan bool)
@@ -130,7 +130,7 @@
 			began <- true
 			<-release
 		}
-		if taken {
+		if slotTaken {
 			serve(t, l, handle)
 			besteffort.Output(io.WriteString(dial(t, ln), "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 			wait(t, began, "the request")
@@ -142,13 +142,13 @@
 			queue = append(queue, c)
 		}
 		l.Drain()
-		if !taken {
+		if !slotTaken {
 			serve(t, l, handle)
 		}
 		close(release)
 		for i, c := range queue {
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-				t.Errorf("taken %v: connection %d: %v, %v", taken, i, resp, err)
+				t.Errorf("taken %v: connection %d: %v, %v", slotTaken, i, resp, err)
 			}
 			besteffort.Close(c)
 		}
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -36,7 +36,7 @@
 func (srv *Server) setMaintenance(name string, on bool) {
 	srv.log.Info("maintenance", "backend", name, "on", on)
 	id := srv.endpointIDs.idOf(name)
-	srv.pool.holdBackend(id, on)
+	srv.pool.barBackend(id, on)
 	srv.handle(balancer.Maintenance{Endpoint: id, On: on})
 	if delete(srv.inMaintenance, name); on {
 		srv.inMaintenance[name] = true
--- a/internal/proxy/maintenance_test.go
+++ b/internal/proxy/maintenance_test.go
@@ -61,7 +61,7 @@
 		n.applyList(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete)
 		id <- n.endpointIDs.idOf("s-0")
 	})
-	if a, b := wait(t, id, "its number"), wait(t, id, "its number"); a != b || !n.pool.isHeld(a) {
+	if a, b := wait(t, id, "its number"), wait(t, id, "its number"); a != b || !n.pool.hasBarred(a) {
 		t.Errorf("number %d, later %d", a, b)
 	}
 	if err := n.maintain(ctx, "s-0", false); err != nil {
@@ -80,9 +80,9 @@
 			got <- true
 		}
 	}))
-	p.holdBackend(1, true)
-	if res := try(t, p, enough); res.outcome != balancer.NotSent || p.open != 0 {
-		t.Errorf("outcome %v with %d connections open", res.outcome, p.open)
+	p.barBackend(1, true)
+	if res := attemptOnce(t, p, enough); res.outcome != balancer.NotSent || p.openConnections != 0 {
+		t.Errorf("outcome %v with %d connections open", res.outcome, p.openConnections)
 	}
 	select {
 	case <-got:
--- a/internal/proxy/membership_test.go
+++ b/internal/proxy/membership_test.go
@@ -84,8 +84,8 @@
 // BenchmarkInFleet is the same request as BenchmarkWhole's, in a proxy that keeps a view with another one.
 func BenchmarkInFleet(b *testing.B) {
 	first := netip.AddrPort{}
-	benchNode(b, 0, func(c *Config) { inFleet(b, c); first = c.Membership.Address })
-	c := benchNode(b, 0, func(c *Config) { inFleet(b, c, first) })
+	benchProxy(b, 0, func(c *Config) { inFleet(b, c); first = c.Membership.Address })
+	c := benchProxy(b, 0, func(c *Config) { inFleet(b, c, first) })
 	time.Sleep(time.Second) // they have met
 	benchRequests(b, c, "GET", "saldo", 0)
 }
--- a/internal/proxy/memorybudget.go
+++ b/internal/proxy/memorybudget.go
@@ -16,16 +16,16 @@
 }
 
 // reserveOnce returns a function that takes a place of the budget once, and sets back to what returns it.
-func (r memoryBudget) reserveOnce(back *func()) func(context.Context) error {
+func (b memoryBudget) reserveOnce(release *func()) func(context.Context) error {
 	return func(ctx context.Context) error {
-		if *back != nil {
+		if *release != nil {
 			return nil
 		}
 		ctx, cancel := context.WithTimeout(ctx, memoryWait)
 		defer cancel()
 		select {
-		case r <- struct{}{}:
-			*back = func() { <-r }
+		case b <- struct{}{}:
+			*release = func() { <-b }
 			return nil
 		case <-ctx.Done():
 			return errNoMemory
--- a/internal/proxy/messages_test.go
+++ b/internal/proxy/messages_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	n.frontend.keepAccepting = func() {}
+	n.frontend.waitForLateConns = func() {}
 	go func() { ended <- n.Run(ctx, ln) }()
 	n.post(func() {
 		n.carryOut(balancer.SendMessage{To: 1, Data: []byte("one")})
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -65,8 +65,8 @@
 	return append(b, o.body...), nil
 }
 
-// request is the same for a long request, which goes out as it comes until ctx ends.
-func (o *outbound) request(ctx context.Context, wait time.Duration) *http.Request {
+// streamingRequest is the same for a long request, which goes out as it comes until ctx ends.
+func (o *outbound) streamingRequest(ctx context.Context, wait time.Duration) *http.Request {
 	body := io.MultiReader(
 		bytes.NewReader(o.body),
 		&attemptUpload{ctx, o.upload, o.upload.length - int64(len(o.body))},
--- a/internal/proxy/outbound_test.go
+++ b/internal/proxy/outbound_test.go
@@ -12,7 +12,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-func TestRequestGoesOnUnchanged(t *testing.T) {
+func TestEncodePreservesTheRequest(t *testing.T) {
 	u := &url.URL{Path: "/api/a/b", RawPath: "/api/a%2Fb", RawQuery: "x=1&y=%20"}
 	o := &outbound{method: "POST", url: u, host: "app.svc", body: []byte("body"),
 		header: http.Header{"X-Request-Id": {"q"}, "Idempotency-Key": {"k"}, "X-Deadline": {"9"}}}
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestNoLineIsSlippedIn: a host or target that would end its line is not forwarded.
-func TestNoLineIsSlippedIn(t *testing.T) {
+// TestEncodeRejectsInjectedHeaderLines: a host or target that would end its line is not forwarded.
+func TestEncodeRejectsInjectedHeaderLines(t *testing.T) {
 	for _, o := range []*outbound{
 		{method: "GET", url: &url.URL{Path: "/x"}, host: "a\r\nX-Request-Id: other"},
 		{method: "GET", url: &url.URL{Path: "/x"}, host: ""},
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestAnswerAheadOfTheUploadsEnd: the server has the last byte, and may answer before the proxy hears that there are no more.
-func TestAnswerAheadOfTheUploadsEnd(t *testing.T) {
+// TestUploadOfStatedLengthIsNotReadPastItsEnd: the server has the last byte, and may answer before the proxy hears that there are no more.
+func TestUploadOfStatedLengthIsNotReadPastItsEnd(t *testing.T) {
 	read, write := io.Pipe()
 	go func() {
 		besteffort.Output(io.WriteString(write, "cdef"))
@@ -50,7 +50,7 @@
 	o := outbound{method: "POST", url: &url.URL{Path: "/api"}, host: "app.svc", body: []byte("ab"), header: http.Header{},
 		upload: &upload{length: 6, pipe: read, clientGone: func() bool { return false }}}
 	var sent strings.Builder
-	if err := o.request(context.Background(), time.Second).Write(&sent); err != nil || !strings.HasSuffix(sent.String(), "\r\n\r\nabcdef") {
+	if err := o.streamingRequest(context.Background(), time.Second).Write(&sent); err != nil || !strings.HasSuffix(sent.String(), "\r\n\r\nabcdef") {
 		t.Errorf("%q, %v", sent.String(), err)
 	}
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -13,42 +13,42 @@
 	"wrenspread/internal/besteffort"
 )
 
-const idleTimeoutShare = 0.75 // of the settings' idle time: the server must never be the first to close
+const idleTimeoutFraction = 0.75 // of the settings' idle time: the server must never be the first to close
 
 // pool keeps connections to servers. It never sends anything itself.
 type pool struct {
-	dialer   net.Dialer
-	pause    func(context.Context, time.Duration) bool
-	maxIdle  time.Duration
-	forwards *atomic.Int64 // attempts written completely
+	dialer      net.Dialer
+	pause       func(context.Context, time.Duration) bool
+	maxIdleTime time.Duration
+	forwards    *atomic.Int64 // attempts written completely
 
-	mu             sync.Mutex
-	open           int // connections, idle, in use or being dialled
-	maxConnections int
-	halved         bool // with another process of this proxy: half of them
-	backends       map[balancer.EndpointID]*backend
-	used           []*backend                   // those with idle connections, and some that had them lately
-	heldBackends   map[balancer.EndpointID]bool // nothing is written to them
-	memory         memoryBudget                 // for answers that are not small
+	mu                sync.Mutex
+	openConnections   int // connections, idle, in use or being dialled
+	maxConnections    int
+	sharesConnections bool // with another process of this proxy: half of them
+	backends          map[balancer.EndpointID]*backend
+	idleCandidates    []*backend                   // those with idle connections, and some that had them lately
+	barredBackends    map[balancer.EndpointID]bool // nothing is written to them
+	memory            memoryBudget                 // for answers that are not small
 }
 
 // backend is one process of a server. A restart or a new address makes a new
 // one, to which the old one's connections never return.
 type backend struct {
-	address     string
-	startedAtMS int64
-	closed      bool
-	draining    bool    // nothing new is to be written to it
-	hasUsed     bool    // it is among the pool's used ones
-	idle        []*conn // the one used last comes last
+	address         string
+	startedAtMS     int64
+	closed          bool
+	draining        bool    // nothing new is to be written to it
+	isIdleCandidate bool    // it is among the pool's used ones
+	idle            []*conn // the one used last comes last
 }
 
-func newPool(s balancer.Settings, most int) *pool {
+func newPool(s balancer.Settings, maxConnections int) *pool {
 	p := &pool{
-		maxConnections: most,
+		maxConnections: maxConnections,
 		forwards:       new(atomic.Int64),
 		backends:       map[balancer.EndpointID]*backend{},
-		heldBackends:   map[balancer.EndpointID]bool{},
+		barredBackends: map[balancer.EndpointID]bool{},
 		memory:         newMemoryBudget(defaultMemoryMB),
 		pause:          backoff.Sleep,
 		dialer:         net.Dialer{KeepAlive: -1},
@@ -62,10 +62,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer.Timeout = s.ConnectTimeout
-	if p.maxIdle = time.Duration(
-		idleTimeoutShare * float64(s.ConnectionIdleTimeout),
+	if p.maxIdleTime = time.Duration(
+		idleTimeoutFraction * float64(s.ConnectionIdleTimeout),
 	); s.ConnectionIdleTimeout <= 0 {
-		p.maxIdle = time.Minute
+		p.maxIdleTime = time.Minute
 	}
 }
 
@@ -73,22 +73,22 @@
 func (p *pool) idleTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.maxIdle
+	return p.maxIdleTime
 }
 
 // setBackend takes a server's address from the list. Connections to an earlier
 // process of it are worthless and are closed.
-func (p *pool) setBackend(id balancer.EndpointID, address string, since int64) {
+func (p *pool) setBackend(id balancer.EndpointID, address string, startedAtMS int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
-		if b.address == address && b.startedAtMS == since {
+		if b.address == address && b.startedAtMS == startedAtMS {
 			return
 		}
 		b.closed = true
-		p.drop(b)
+		p.closeIdleLocked(b)
 	}
-	p.backends[id] = &backend{address: address, startedAtMS: since}
+	p.backends[id] = &backend{address: address, startedAtMS: startedAtMS}
 }
 
 func (p *pool) removeBackend(id balancer.EndpointID) {
@@ -96,7 +96,7 @@
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
 		b.closed = true
-		p.drop(b)
+		p.closeIdleLocked(b)
 		delete(p.backends, id)
 	}
 }
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
-		p.drop(b)
+		p.closeIdleLocked(b)
 	}
 }
 
@@ -115,25 +115,25 @@
 func (p *pool) halve(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.halved = on
-	for p.open > p.limit() && p.evict() {
+	p.sharesConnections = on
+	for p.openConnections > p.limit() && p.evict() {
 	}
 }
 
 func (p *pool) limit() int {
-	if p.halved {
+	if p.sharesConnections {
 		return max(1, p.maxConnections/2)
 	}
 	return p.maxConnections
 }
 
-// holdBackend has nothing more written to a server, whatever was picked before, or
+// barBackend has nothing more written to a server, whatever was picked before, or
 // lets it be used again.
-func (p *pool) holdBackend(id balancer.EndpointID, on bool) {
+func (p *pool) barBackend(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if delete(p.heldBackends, id); on {
-		p.heldBackends[id] = true
+	if delete(p.barredBackends, id); on {
+		p.barredBackends[id] = true
 	}
 }
 
@@ -151,13 +151,13 @@
 func (p *pool) isBarred(id balancer.EndpointID, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.backend.closed || c.backend.draining || p.heldBackends[id]
+	return c.backend.closed || c.backend.draining || p.barredBackends[id]
 }
 
-func (p *pool) drop(b *backend) {
+func (p *pool) closeIdleLocked(b *backend) {
 	for _, c := range b.idle {
 		besteffort.Close(c.Conn)
-		p.open--
+		p.openConnections--
 	}
 	b.idle = nil
 }
@@ -165,8 +165,8 @@
 // evict closes the connection that has been idle longest.
 func (p *pool) evict() bool {
 	var oldest *backend
-	for _, b := range p.used {
-		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleAt.Before(oldest.idle[0].idleAt)) {
+	for _, b := range p.idleCandidates {
+		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = b
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 	besteffort.Close(oldest.idle[0].Conn)
 	oldest.idle = oldest.idle[1:]
-	p.open--
+	p.openConnections--
 	return true
 }
 
@@ -183,21 +183,21 @@
 func (p *pool) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.used = slices.DeleteFunc(p.used, func(b *backend) bool {
-		p.dropOld(b, now)
-		b.hasUsed = len(b.idle) > 0
-		return !b.hasUsed
+	p.idleCandidates = slices.DeleteFunc(p.idleCandidates, func(b *backend) bool {
+		p.closeExpiredLocked(b, now)
+		b.isIdleCandidate = len(b.idle) > 0
+		return !b.isIdleCandidate
 	})
 }
 
-func (p *pool) dropOld(b *backend, now time.Time) {
-	old := 0
-	for old < len(b.idle) && now.Sub(b.idle[old].idleAt) >= p.maxIdle {
-		besteffort.Close(b.idle[old].Conn)
-		old++
+func (p *pool) closeExpiredLocked(b *backend, now time.Time) {
+	expired := 0
+	for expired < len(b.idle) && now.Sub(b.idle[expired].idleSince) >= p.maxIdleTime {
+		besteffort.Close(b.idle[expired].Conn)
+		expired++
 	}
-	p.open -= old
-	b.idle = slices.Delete(b.idle, 0, old)
+	p.openConnections -= expired
+	b.idle = slices.Delete(b.idle, 0, expired)
 }
 
 // run expires idle connections until ctx ends.
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -26,38 +26,38 @@
 	return &outbound{method: http.MethodGet, url: &url.URL{Path: path}, host: "app.svc", header: http.Header{"X-Request-Id": {"q"}}}
 }
 
-func always() bool { return true }
+func alwaysMayWrite() bool { return true }
 
-func (p *pool) isHeld(id balancer.EndpointID) bool {
+func (p *pool) hasBarred(id balancer.EndpointID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.heldBackends[id]
+	return p.barredBackends[id]
 }
 
-// stood has all idle connections be idle since so long ago.
-func stood(p *pool, since time.Duration) {
+// ageIdleConns has all idle connections be idle since so long ago.
+func ageIdleConns(p *pool, since time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.backends {
 		for i, c := range b.idle { // in their order
-			c.idleAt = time.Now().Add(time.Duration(i) - time.Duration(len(b.idle)) - since)
+			c.idleSince = time.Now().Add(time.Duration(i) - time.Duration(len(b.idle)) - since)
 		}
 	}
 }
 
-func try(t *testing.T, p *pool, wait time.Duration) result {
+func attemptOnce(t *testing.T, p *pool, wait time.Duration) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	return p.attempt(ctx, 1, get("/api/x"), always, func(res result) error {
+	return p.attempt(ctx, 1, get("/api/x"), alwaysMayWrite, func(res result) error {
 		_, err := io.Copy(io.Discard, res.stream.rest)
 		return err
 	})
 }
 
-// TestOwnLimitBlamesNoServer: a proxy that has no room for a connection, or no descriptor, must not report that a server
+// TestLocalLimitsDoNotCountAgainstTheBackend: a proxy that has no room for a connection, or no descriptor, must not report that a server
 // could not be reached: the balancer would leave the server out.
-func TestOwnLimitBlamesNoServer(t *testing.T) {
+func TestLocalLimitsDoNotCountAgainstTheBackend(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 1)
 	p := testPool(backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
@@ -68,9 +68,9 @@
 	}))
 	p.maxConnections = 1
 	first := make(chan result, 1)
-	go func() { first <- try(t, p, enough) }()
+	go func() { first <- attemptOnce(t, p, enough) }()
 	wait(t, got, "the attempt that takes the room")
-	if res := try(t, p, enough); res.outcome != balancer.NotSent {
+	if res := attemptOnce(t, p, enough); res.outcome != balancer.NotSent {
 		t.Errorf("no room: code %v, want Moot", res.outcome)
 	}
 	close(release)
@@ -79,27 +79,27 @@
 	}
 	p = testPool(refusing(t))
 	p.dialer.Control = func(string, string, syscall.RawConn) error { return syscall.EMFILE }
-	if res := try(t, p, enough); res.outcome != balancer.NotSent {
+	if res := attemptOnce(t, p, enough); res.outcome != balancer.NotSent {
 		t.Errorf("no descriptor: code %v, want Moot", res.outcome)
 	}
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
-	if got := try(t, testPool(refusing(t)), enough); got.outcome != balancer.ConnectFailed {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	if got := attemptOnce(t, testPool(refusing(t)), enough); got.outcome != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.outcome)
 	}
 	p := newPool(balancer.Settings{}, 100)
-	if got := try(t, p, enough); got.outcome != balancer.ConnectFailed {
+	if got := attemptOnce(t, p, enough); got.outcome != balancer.ConnectFailed {
 		t.Errorf("outcome %d of a server not listed, want ConnectFailed", got.outcome)
 	}
 }
 
-// TestLateConnectionNeverRan: one that is not up in time is no proof that the server is gone.
-func TestLateConnectionNeverRan(t *testing.T) {
+// TestSlowConnectionIsConnectTimedOut: one that is not up in time is no proof that the server is gone.
+func TestSlowConnectionIsConnectTimedOut(t *testing.T) {
 	p := newPool(balancer.Settings{ConnectTimeout: time.Nanosecond}, 100)
 	p.setBackend(1, serving(t), 0)
-	if got := try(t, p, enough); got.outcome != balancer.ConnectTimedOut || p.open != 0 {
-		t.Errorf("outcome %d, want ConnectTimedOut; %d connections counted", got.outcome, p.open)
+	if got := attemptOnce(t, p, enough); got.outcome != balancer.ConnectTimedOut || p.openConnections != 0 {
+		t.Errorf("outcome %d, want ConnectTimedOut; %d connections counted", got.outcome, p.openConnections)
 	}
 }
 
@@ -115,17 +115,17 @@
 			readRequest(r)
 		}
 	}))
-	try(t, p, enough)
+	attemptOnce(t, p, enough)
 	<-closed
 	// The close has been sent; wait until it shows on this side.
-	for until := time.Now().Add(enough); len(p.backends[1].idle) > 0 && isQuiet(p.backends[1].idle[0].Conn); {
+	for until := time.Now().Add(enough); len(p.backends[1].idle) > 0 && isOpenAndEmpty(p.backends[1].idle[0].Conn); {
 		if time.Now().After(until) {
 			t.Fatal("the close never shows")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	stood(p, lateResponseRest)
-	if got := try(t, p, enough); got.outcome != balancer.OK {
+	ageIdleConns(p, lateResponseWait)
+	if got := attemptOnce(t, p, enough); got.outcome != balancer.OK {
 		t.Errorf("outcome %d, want OK on a new connection", got.outcome)
 	}
 }
@@ -141,11 +141,11 @@
 			besteffort.Output(io.WriteString(conn, answer))
 			readRequest(r)
 		}))
-		if got := try(t, p, enough); got.outcome != balancer.OK {
+		if got := attemptOnce(t, p, enough); got.outcome != balancer.OK {
 			t.Errorf("%s: outcome %d, want OK", name, got.outcome)
 		}
-		if p.open != 0 || len(p.backends[1].idle) != 0 {
-			t.Errorf("%s: %d connections open, want 0", name, p.open)
+		if p.openConnections != 0 || len(p.backends[1].idle) != 0 {
+			t.Errorf("%s: %d connections open, want 0", name, p.openConnections)
 		}
 	}
 }
@@ -160,14 +160,14 @@
 	}
 	a, b := serve("a"), serve("b")
 	p := testPool(a)
-	try(t, p, enough)
+	attemptOnce(t, p, enough)
 	p.setBackend(1, a, 0)
 	if len(p.backends[1].idle) != 1 {
 		t.Error("the same entry again costs the connection")
 	}
 	p.setBackend(1, a, 5)
-	if p.open != 0 {
-		t.Errorf("%d connections open after a restart, want 0", p.open)
+	if p.openConnections != 0 {
+		t.Errorf("%d connections open after a restart, want 0", p.openConnections)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), enough)
 	defer cancel()
@@ -177,15 +177,15 @@
 	}
 	p.setBackend(1, b, 5)
 	c.release()
-	if p.open != 0 {
-		t.Errorf("%d connections open after a new address, want 0", p.open)
+	if p.openConnections != 0 {
+		t.Errorf("%d connections open after a new address, want 0", p.openConnections)
 	}
-	if got := try(t, p, enough); string(got.body) != "b" {
+	if got := attemptOnce(t, p, enough); string(got.body) != "b" {
 		t.Errorf("%q answers, want b", got.body)
 	}
 }
 
-func TestIdleConnections(t *testing.T) {
+func TestIdleConnectionReuseEvictionAndExpiry(t *testing.T) {
 	address := backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
 			besteffort.Output(io.WriteString(conn, okAnswer))
@@ -209,30 +209,30 @@
 	}
 	cs[1].release()
 	cs[0].release()
-	stood(p, lateResponseRest)
+	ageIdleConns(p, lateResponseWait)
 	if c, _ := p.get(ctx, 1); c != cs[0] {
 		t.Error("the one used last is not taken first")
 	} else {
 		c.release()
 	}
 	c, err := p.get(ctx, 2) // makes room by closing the one that is idle longest
-	if err != nil || p.open != 2 || len(p.backends[1].idle) != 1 || p.backends[1].idle[0] != cs[0] {
+	if err != nil || p.openConnections != 2 || len(p.backends[1].idle) != 1 || p.backends[1].idle[0] != cs[0] {
 		t.Fatalf("at the limit an idle connection does not give way: %v", err)
 	}
 	c.release()
-	p.expire(time.Now().Add(p.maxIdle - time.Minute))
-	if p.open != 2 {
-		t.Errorf("%d connections open before their time is up, want 2", p.open)
+	p.expire(time.Now().Add(p.maxIdleTime - time.Minute))
+	if p.openConnections != 2 {
+		t.Errorf("%d connections open before their time is up, want 2", p.openConnections)
 	}
 	p.closeIdle(2)
-	if p.open != 1 {
-		t.Errorf("%d connections open after closeIdle, want 1", p.open)
+	if p.openConnections != 1 {
+		t.Errorf("%d connections open after closeIdle, want 1", p.openConnections)
 	}
-	p.expire(time.Now().Add(p.maxIdle))
-	if p.open != 0 {
-		t.Errorf("%d connections open after their time, want 0", p.open)
+	p.expire(time.Now().Add(p.maxIdleTime))
+	if p.openConnections != 0 {
+		t.Errorf("%d connections open after their time, want 0", p.openConnections)
 	}
-	if p.maxIdle >= time.Hour {
-		t.Errorf("connections stay idle for %v of the settings' 1h", p.maxIdle)
+	if p.maxIdleTime >= time.Hour {
+		t.Errorf("connections stay idle for %v of the settings' 1h", p.maxIdleTime)
 	}
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -66,21 +66,21 @@
 		r.response <- response{status: http.StatusConflict}
 		return
 	}
-	now := srv.frontend.rules.Load().number // those that the balancer has, as both change in one step
-	if most := srv.config.Settings.MaxOpenRequests; most > 0 && len(srv.requests) >= most ||
-		r.settingsNumber < now-1 {
+	settingsNumber := srv.frontend.rules.Load().number // those that the balancer has, as both change in one step
+	if maxOpen := srv.config.Settings.MaxOpenRequests; maxOpen > 0 && len(srv.requests) >= maxOpen ||
+		r.settingsNumber < settingsNumber-1 {
 		// The balancer does not know its class any more: another of that name may be repeated freely.
 		r.answered = true
 		r.response <- response{status: http.StatusServiceUnavailable}
 		return
 	}
-	e.PreviousSettings = r.settingsNumber < now
+	e.PreviousSettings = r.settingsNumber < settingsNumber
 	if !srv.decideTenant(r, &e) {
 		return
 	}
 	srv.requests[r.id] = r
 	if r.outbound.upload != nil {
-		e.Incomplete, e.Timeout = true, r.outbound.upload.wait
+		e.Incomplete, e.Timeout = true, r.outbound.upload.responseTimeout
 		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // its time has not begun
 		srv.handle(e)
 		return
@@ -103,10 +103,10 @@
 }
 
 // guardDeadline guards a request's deadline.
-func (srv *Server) guardDeadline(r *request, patience time.Duration) {
+func (srv *Server) guardDeadline(r *request, timeout time.Duration) {
 	// The balancer ends a request at its deadline. The guard is for one that it
 	// does not end, as an answer in time is owed whatever it does.
-	r.deadlineGuard = time.AfterFunc(patience+guardDelay, func() {
+	r.deadlineGuard = time.AfterFunc(timeout+guardDelay, func() {
 		srv.post(func() {
 			if !r.answered {
 				srv.answerRequest(r.id, response{status: http.StatusGatewayTimeout})
@@ -127,9 +127,9 @@
 		return
 	}
 	select {
-	case a := <-r.response: // it came too late
-		if a.stream != nil {
-			a.stream.ended <- errClientGone
+	case resp := <-r.response: // it came too late
+		if resp.stream != nil {
+			resp.stream.ended <- errClientGone
 		}
 	default:
 	}
@@ -137,9 +137,9 @@
 
 // answerRequest gives a request its final answer. All answers pass here, and only
 // the first goes on.
-func (srv *Server) answerRequest(id balancer.RequestID, a response) {
+func (srv *Server) answerRequest(id balancer.RequestID, resp response) {
 	if r := srv.requests[id]; r != nil && !r.answered {
-		r.response <- a
+		r.response <- resp
 		srv.closeRequest(r)
 	}
 }
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -18,7 +18,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-func TestServes(t *testing.T) {
+func TestRequestAndResponseAreForwarded(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestTornAnswerIsAFailedAttempt: a break in the middle of a body must reach
+// TestTruncatedResponseIsAFailedAttempt: a break in the middle of a body must reach
 // no client; another server serves it.
-func TestTornAnswerIsAFailedAttempt(t *testing.T) {
+func TestTruncatedResponseIsAFailedAttempt(t *testing.T) {
 	var number atomic.Int32
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) == nil {
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestUnsafeIsNotResent: after a break it may have run, and a refusal would
+// TestNonIdempotentRequestIsNotRetried: after a break it may have run, and a refusal would
 // tell the client that another try does no harm.
-func TestUnsafeIsNotResent(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	var number atomic.Int32
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestGivenUpIsAnsweredAtOnce, long before its deadline and with the advice to wait.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+// TestUnreachableBackendIsRejectedAtOnceWithRetryAfter, long before its deadline and with the advice to wait.
+func TestUnreachableBackendIsRejectedAtOnceWithRetryAfter(t *testing.T) {
 	n := startNode(t, refusing(t))
 	began := time.Now()
 	got := do(t, n.request(t, "POST", "pagar", "q", "600", strings.NewReader("x")))
@@ -108,8 +108,8 @@
 	wait(t, gone, "the attempt's end")
 }
 
-// TestGuard: a module that forgets a request must not cost it its answer.
-func TestGuard(t *testing.T) {
+// TestDeadlineGuardAnswersAForgottenRequest: a module that forgets a request must not cost it its answer.
+func TestDeadlineGuardAnswersAForgottenRequest(t *testing.T) {
 	server, got, gone := silentServer(t)
 	n := startNode(t, server)
 	answers := make(chan reply, 1)
@@ -125,7 +125,7 @@
 	wait(t, gone, "the attempt's end")
 }
 
-func TestClientGone(t *testing.T) {
+func TestDepartedClientEndsItsAttemptAndRequest(t *testing.T) {
 	server, got, gone := silentServer(t)
 	n := startNode(t, server)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestOneIDOpenTwice: two requests under one id must not get each other's answers.
-func TestOneIDOpenTwice(t *testing.T) {
+// TestDuplicateIDOfAnOpenRequestIsAConflict: two requests under one id must not get each other's answers.
+func TestDuplicateIDOfAnOpenRequestIsAConflict(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 2)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
@@ -173,9 +173,9 @@
 	}
 }
 
-// TestHalfClosedClient: an end of sending cancels the request's context as a
+// TestHalfClosedClientGetsAFailure: an end of sending cancels the request's context as a
 // close does. A handler that returns without a word would answer it 200.
-func TestHalfClosedClient(t *testing.T) {
+func TestHalfClosedClientGetsAFailure(t *testing.T) {
 	server, got, gone := silentServer(t)
 	n := startNode(t, server)
 	for _, behind := range []int{0, 40000} { // what nobody has read may not have the close reset the connection
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	maxBody  = 64 << 10 // of a request or an answer that is in memory as a whole
-	maxHead  = 16 << 10 // of an answer
-	maxInfos = 8        // 1xx answers ahead of the real one
+	maxBufferedBody     = 64 << 10 // of a request or an answer that is in memory as a whole
+	maxResponseHead     = 16 << 10 // of an answer
+	maxInterimResponses = 8        // 1xx answers ahead of the real one
 )
 
 // receive reads one answer to its end; clean tells that the connection can
 // carry another request.
 func (c *conn) receive(ctx context.Context, method string) (res result, clean bool, err error) {
-	c.budget.N = maxHead + maxBody
+	c.budget.N = maxResponseHead + maxBufferedBody
 	var resp *http.Response
 	for i := 0; ; i++ {
 		resp, err = http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -33,16 +33,16 @@
 		if resp.StatusCode >= 200 {
 			break
 		}
-		if i == maxInfos || resp.StatusCode == http.StatusSwitchingProtocols {
+		if i == maxInterimResponses || resp.StatusCode == http.StatusSwitchingProtocols {
 			return res, false, fmt.Errorf("unexpected answer %s", resp.Status)
 		}
 	}
 	res.loadReport = parseLoad(resp.Header.Get("X-Load"))
-	if resp.ContentLength > maxLarge {
+	if resp.ContentLength > maxStreamedBody {
 		return res, false, errTooLong
 	}
 	c.budget.N = math.MaxInt64 // the body is held to its own size
-	body, long, err := readAnswer(ctx, resp, c.pool.memory.reserveOnce(&c.releaseMemory))
+	body, long, err := readResponseBody(ctx, resp, c.pool.memory.reserveOnce(&c.releaseMemory))
 	if err != nil {
 		return res, false, err
 	}
@@ -69,19 +69,19 @@
 	return res, !resp.Close && !long && c.reader.Buffered() == 0, nil
 }
 
-// readAnswer reads an answer's body. Where that is long, or may be and takes its
+// readResponseBody reads an answer's body. Where that is long, or may be and takes its
 // time, it is not read to its end.
-func readAnswer(
+func readResponseBody(
 	ctx context.Context,
 	resp *http.Response,
-	room func(context.Context) error,
+	reserveMemory func(context.Context) error,
 ) (body []byte, long bool, err error) {
 	if resp.ContentLength > maxSmallBody {
-		if err := room(ctx); err != nil {
+		if err := reserveMemory(ctx); err != nil {
 			return nil, false, err
 		}
 	}
-	if resp.ContentLength > maxBody {
+	if resp.ContentLength > maxBufferedBody {
 		return nil, true, nil
 	}
 	if resp.ContentLength >= 0 {
@@ -99,11 +99,11 @@
 			return nil, false, err
 		}
 		if len(body) > maxSmallBody {
-			if err := room(ctx); err != nil {
+			if err := reserveMemory(ctx); err != nil {
 				return nil, false, err
 			}
 		}
-		if len(body) > maxBody || time.Since(began) > streamWait {
+		if len(body) > maxBufferedBody || time.Since(began) > maxBufferingTime {
 			return body, true, nil
 		}
 	}
--- a/internal/proxy/response_test.go
+++ b/internal/proxy/response_test.go
@@ -37,9 +37,9 @@
 
 const okHead, chunkedHead = "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestEndsOfAnswers: only a whole answer is one, whatever its connection does then. A reset is no end, and silence is none.
-func TestEndsOfAnswers(t *testing.T) {
-	long := okHead + "\r\n" + strings.Repeat("x", maxBody+1)
+// TestOutcomeForEachResponseEnding: only a whole answer is one, whatever its connection does then. A reset is no end, and silence is none.
+func TestOutcomeForEachResponseEnding(t *testing.T) {
+	long := okHead + "\r\n" + strings.Repeat("x", maxBufferedBody+1)
 	const OK, Reset, TimedOut, Full, never = balancer.OK, balancer.ConnectionReset, balancer.TimedOut, balancer.Rejected, -1 // not by the attempt's time
 	for _, c := range []struct {
 		name, answer          string
@@ -62,7 +62,7 @@
 				continue
 			}
 			t.Run(c.name+", "+end, func(t *testing.T) {
-				endsAs(t, want, func(conn net.Conn, r *bufio.Reader) {
+				checkOutcome(t, want, func(conn net.Conn, r *bufio.Reader) {
 					if besteffort.Output(io.WriteString(conn, c.answer)); end == "silent" {
 						_, _ = r.ReadByte()
 					} else if end == "reset" {
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestEndlessAnswers take nothing but their attempts' time.
-func TestEndlessAnswers(t *testing.T) {
+// TestEndlessResponsesAreBounded take nothing but their attempts' time.
+func TestEndlessResponsesAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		begin, again string
 		pause        time.Duration
@@ -90,7 +90,7 @@
 		"empty lines":         {"", "\r\n", 0, balancer.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			endsAs(t, c.want, func(conn net.Conn, _ *bufio.Reader) {
+			checkOutcome(t, c.want, func(conn net.Conn, _ *bufio.Reader) {
 				for _, err := io.WriteString(conn, c.begin); err == nil; time.Sleep(c.pause) {
 					_, err = io.WriteString(conn, c.again)
 				}
@@ -99,8 +99,8 @@
 	}
 }
 
-// endsAs has a server answer an attempt, which has to end as it should, and to leave nothing taken and the server told.
-func endsAs(t *testing.T, want balancer.Outcome, answer func(net.Conn, *bufio.Reader)) {
+// checkOutcome has a server answer an attempt, which has to end as it should, and to leave nothing taken and the server told.
+func checkOutcome(t *testing.T, want balancer.Outcome, answer func(net.Conn, *bufio.Reader)) {
 	t.Parallel()
 	over := make(chan bool, 1)
 	p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -113,12 +113,12 @@
 	if want == balancer.TimedOut {
 		time /= 100
 	}
-	if got := try(t, p, time); got.outcome != want {
+	if got := attemptOnce(t, p, time); got.outcome != want {
 		t.Errorf("outcome %d, want %d", got.outcome, want)
 	}
 	p.closeIdle(1)
 	wait(t, over, "the end of its server's part")
-	if p.open != 0 || len(p.memory) != 0 {
-		t.Errorf("%d connections open, %d of the room taken", p.open, len(p.memory))
+	if p.openConnections != 0 || len(p.memory) != 0 {
+		t.Errorf("%d connections open, %d of the room taken", p.openConnections, len(p.memory))
 	}
 }
--- a/internal/proxy/running_test.go
+++ b/internal/proxy/running_test.go
@@ -71,7 +71,7 @@
 		ended: make(chan error, 1), tap: &tapped{TCPListener: ln.(*net.TCPListener), closed: make(chan struct{})}}
 	lingered := make(chan struct{})
 	n.linger = sync.OnceFunc(func() { close(lingered) })
-	n.frontend.keepAccepting = func() { <-lingered }
+	n.frontend.waitForLateConns = func() { <-lingered }
 	prepare(n.Server)
 	go func() { n.ended <- n.Run(ctx, n.tap) }()
 	t.Cleanup(func() {
--- a/internal/proxy/settings_flight_test.go
+++ b/internal/proxy/settings_flight_test.go
@@ -98,7 +98,7 @@
 	n.stop()
 	n.linger()
 	wait(t, n.tap.closed, "the listener to be closed")
-	if left := n.frontend.longestTimeLeft(); left < enough {
+	if left := n.frontend.longestRemainingTime(); left < enough {
 		t.Errorf("the front stays for %v", left)
 	}
 	close(release)
--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -121,7 +121,7 @@
 		return enough
 	}
 	n, ended := New(cfg, quiet), make(chan error, 1)
-	n.frontend.keepAccepting = func() {}
+	n.frontend.waitForLateConns = func() {}
 	ctx, stop := context.WithCancel(context.Background())
 	defer func() { stop(); besteffort.Ended(<-ended) }() // after the crowd has gone
 	for range crowd {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxLarge   = 32 << 20               // bytes of any body
-	copyBuffer = 16 << 10               // of a long body on its way
-	streamWait = 100 * time.Millisecond // an answer of no stated length begins after that
+	maxStreamedBody  = 32 << 20               // bytes of any body
+	copyBufferSize   = 16 << 10               // of a long body on its way
+	maxBufferingTime = 100 * time.Millisecond // an answer of no stated length begins after that
 	// progressTimeout is how long either side of a long message may stand still.
 	progressTimeout = 20 * time.Second
 )
@@ -32,21 +32,21 @@
 
 // writeTo writes a stream to its client, piece by piece. An error means that the
 // client does not have all of it. due is when its request's time is over.
-func (s *responseStream) writeTo(w http.ResponseWriter, due time.Time) error {
+func (s *responseStream) writeTo(w http.ResponseWriter, deadline time.Time) error {
 	control := http.NewResponseController(w)
 	s.begin(func() {
 		besteffort.SocketOption(s.conn.SetDeadline(time.Unix(1, 0)))
 		besteffort.SocketOption(control.SetWriteDeadline(time.Unix(1, 0)))
 	})
-	return s.finish(s.copyTo(w, control, due))
+	return s.finish(s.copyTo(w, control, deadline))
 }
 
 func (s *responseStream) copyTo(
 	w http.ResponseWriter,
 	control *http.ResponseController,
-	due time.Time,
+	deadline time.Time,
 ) error {
-	put := func(p []byte) error {
+	writePart := func(p []byte) error {
 		if len(p) == 0 {
 			return nil
 		}
@@ -62,27 +62,27 @@
 		}
 		return nil
 	}
-	returned := time.Now() // from the last read
-	err, passed := put(s.start), int64(len(s.start))
+	lastReadAt := time.Now() // from the last read
+	err, passed := writePart(s.start), int64(len(s.start))
 	s.start = nil
-	for buf := make([]byte, copyBuffer); err == nil; {
+	for buf := make([]byte, copyBufferSize); err == nil; {
 		var n int
-		var rerr error
-		due = due.Add(time.Since(returned)) // only the server's time counts
-		besteffort.SocketOption(s.conn.SetReadDeadline(s.progressDeadline(due, passed)))
+		var readErr error
+		deadline = deadline.Add(time.Since(lastReadAt)) // only the server's time counts
+		besteffort.SocketOption(s.conn.SetReadDeadline(s.progressDeadline(deadline, passed)))
 		if s.isCancelled() {
 			return errResponseCut
 		}
-		n, rerr = s.rest.Read(buf)
-		returned = time.Now()
-		if passed += int64(n); passed > maxLarge {
+		n, readErr = s.rest.Read(buf)
+		lastReadAt = time.Now()
+		if passed += int64(n); passed > maxStreamedBody {
 			return errTooLong
 		}
-		if err = put(buf[:n]); err == nil && rerr != nil {
-			if errors.Is(rerr, io.EOF) {
+		if err = writePart(buf[:n]); err == nil && readErr != nil {
+			if errors.Is(readErr, io.EOF) {
 				return nil
 			}
-			return rerr
+			return readErr
 		}
 	}
 	return err
@@ -92,13 +92,13 @@
 // timed, of any other the last one, and one of no stated length is long only
 // once so much has come: until then it may not drip on past its request's time,
 // and still gets there at the rate that is asked of clients.
-func (s *responseStream) progressDeadline(due time.Time, passed int64) time.Time {
-	by := time.Now().Add(progressTimeout)
-	if s.length >= 0 || passed > maxBody {
-		return by
+func (s *responseStream) progressDeadline(deadline time.Time, passed int64) time.Time {
+	progressBy := time.Now().Add(progressTimeout)
+	if s.length >= 0 || passed > maxBufferedBody {
+		return progressBy
 	}
-	if last := due.Add(bodyStartGrace + time.Duration(passed)*time.Second/minBodyRate); last.Before(by) {
+	if last := deadline.Add(bodyStartGrace + time.Duration(passed)*time.Second/minBodyRate); last.Before(progressBy) {
 		return last
 	}
-	return by
+	return progressBy
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -15,9 +15,9 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestLongAnswers come out as they went in, in each form, and leave the connection in use where their end is told.
-func TestLongAnswers(t *testing.T) {
-	for _, size := range []int{maxBody - 1, maxBody, maxBody + 1, 200000, 4 << 20} {
+// TestStreamedResponsesArriveUnchanged come out as they went in, in each form, and leave the connection in use where their end is told.
+func TestStreamedResponsesArriveUnchanged(t *testing.T) {
+	for _, size := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 200000, 4 << 20} {
 		body := pattern(size)
 		for form, answer := range map[string]func(c net.Conn){
 			"length": func(c net.Conn) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestLongAnswerBreaksOff: its client can tell, in each form, and it counts as failed. It is not tried again.
-func TestLongAnswerBreaksOff(t *testing.T) {
+// TestTruncatedStreamIsVisibleToTheClientAndNotRetried: its client can tell, in each form, and it counts as failed. It is not tried again.
+func TestTruncatedStreamIsVisibleToTheClientAndNotRetried(t *testing.T) {
 	for form, head := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nf4240\r\n",
@@ -89,13 +89,13 @@
 	}
 }
 
-// TestLongAnswerOutlivesItsTime: once it has begun, only a standstill ends it; and what has come is not held back.
-func TestLongAnswerOutlivesItsTime(t *testing.T) {
+// TestStreamOutlivesItsRequestDeadline: once it has begun, only a standstill ends it; and what has come is not held back.
+func TestStreamOutlivesItsRequestDeadline(t *testing.T) {
 	goOn := make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
-			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBody+10))
-			besteffort.Output(c.Write(make([]byte, maxBody)))
+			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+10))
+			besteffort.Output(c.Write(make([]byte, maxBufferedBody)))
 			<-goOn
 			besteffort.Output(c.Write(make([]byte, 10)))
 		}
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(resp.Body, make([]byte, maxBody)); err != nil {
+	if _, err := io.ReadFull(resp.Body, make([]byte, maxBufferedBody)); err != nil {
 		t.Fatalf("what has come is held back: %v", err)
 	}
 	ended := make(chan int, 1)
@@ -126,15 +126,15 @@
 	}
 }
 
-// TestSlowReaderHoldsItsServerBack: little of a long answer is in the proxy, however long it is.
-func TestSlowReaderHoldsItsServerBack(t *testing.T) {
+// TestSlowClientAppliesBackpressureToTheBackend: little of a long answer is in the proxy, however long it is.
+func TestSlowClientAppliesBackpressureToTheBackend(t *testing.T) {
 	stuck := make(chan bool, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) == nil {
 			return
 		}
-		besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxLarge))
-		body := pattern(maxLarge)
+		besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStreamedBody))
+		body := pattern(maxStreamedBody)
 		for len(body) > 0 {
 			besteffort.SocketOption(c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)))
 			k, err := c.Write(body)
@@ -154,16 +154,16 @@
 		t.Fatal(err)
 	}
 	h := sha256.New()
-	if k, err := io.Copy(h, resp.Body); err != nil || k != maxLarge {
+	if k, err := io.Copy(h, resp.Body); err != nil || k != maxStreamedBody {
 		t.Errorf("%d bytes, %v", k, err)
 	}
-	if got := fmt.Sprintf("%d %x", maxLarge, h.Sum(nil)); got != digest(pattern(maxLarge)) {
+	if got := fmt.Sprintf("%d %x", maxStreamedBody, h.Sum(nil)); got != digest(pattern(maxStreamedBody)) {
 		t.Error("the bytes are others")
 	}
 }
 
-// TestAnswerThatDripsOn ends with its request's time, and its client can tell.
-func TestAnswerThatDripsOn(t *testing.T) {
+// TestDrippingResponseEndsAtItsDeadline ends with its request's time, and its client can tell.
+func TestDrippingResponseEndsAtItsDeadline(t *testing.T) {
 	n := startNode(t, backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		if readRequest(r) == nil {
 			return
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestTimeOfStream: only what is not known to be long is held to its request's time.
-func TestTimeOfStream(t *testing.T) {
+// TestDeadlineEndsOnlyStreamsNotKnownToBeLong: only what is not known to be long is held to its request's time.
+func TestDeadlineEndsOnlyStreamsNotKnownToBeLong(t *testing.T) {
 	for _, c := range []struct {
 		length int64
 		start  int
@@ -194,10 +194,10 @@
 		whole  bool
 	}{
 		{-1, 10, -time.Hour, false},
-		{-1, maxBody, -time.Hour, false},
+		{-1, maxBufferedBody, -time.Hour, false},
 		{-1, 10, time.Hour, true},
-		{-1, maxBody + 1, -time.Hour, true},
-		{maxBody + 20, 10, -time.Hour, true},
+		{-1, maxBufferedBody + 1, -time.Hour, true},
+		{maxBufferedBody + 20, 10, -time.Hour, true},
 	} {
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, _ *bufio.Reader) { besteffort.Output(conn.Write(make([]byte, 10))) }))
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -48,8 +48,8 @@
 	}, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for req := readRequest(r); req != nil; req = readRequest(r) {
 			if req.Header.Get("X-Request-Id") == "long" {
-				besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*maxBody))
-				besteffort.Output(c.Write(make([]byte, maxBody+1)))
+				besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 2*maxBufferedBody))
+				besteffort.Output(c.Write(make([]byte, maxBufferedBody+1)))
 			}
 			came <- true
 		}
--- a/internal/proxy/term_test.go
+++ b/internal/proxy/term_test.go
@@ -191,7 +191,7 @@
 	n.stop()
 	n.linger()
 	wait(t, n.tap.closed, "the listener's end")
-	until(t, "the last time", func() bool { return n.frontend.answerBy.Load() != nil })
+	until(t, "the last time", func() bool { return n.frontend.drainDeadline.Load() != nil })
 	for i, c := range c { // the second comes when its time is over
 		besteffort.Output(io.WriteString(c, strings.Replace(wholeGet, "Id: q", fmt.Sprint("Id: q", i), 1)))
 		if s := c.status(t); s < 500 {
--- a/internal/proxy/typecheck.go
+++ b/internal/proxy/typecheck.go
@@ -14,7 +14,7 @@
 type typeChecker struct{ problems, unknown []string }
 
 // check goes through what JSON has under path, which is to have the type of like.
-func (k *typeChecker) check(path string, value, like any) { k.walk(path, value, reflect.TypeOf(like)) }
+func (k *typeChecker) check(path string, value, want any) { k.walk(path, value, reflect.TypeOf(want)) }
 
 func (k *typeChecker) walk(path string, value any, t reflect.Type) {
 	if t.Kind() == reflect.Pointer {
@@ -23,7 +23,7 @@
 	_, raw := reflect.New(t).Interface().(*json.RawMessage)
 	switch {
 	case value == nil || raw: // null is as good as absent
-	case t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(unmarshaler):
+	case t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(unmarshalerType):
 		k.object(path, value, t)
 	case t.Kind() == reflect.Slice:
 		all, ok := value.([]any)
@@ -39,18 +39,18 @@
 			err = json.Unmarshal(text, reflect.New(t).Interface())
 		}
 		if err != nil {
-			k.addProblem(path, value, kinds[t.Kind()])
+			k.addProblem(path, value, kindNames[t.Kind()])
 		}
 	}
 }
 
 func (k *typeChecker) object(path string, value any, t reflect.Type) {
-	o, ok := value.(map[string]any)
+	object, ok := value.(map[string]any)
 	if !ok {
 		k.addProblem(path, value, "an object")
 		return
 	}
-	for _, key := range slices.Sorted(maps.Keys(o)) {
+	for _, key := range slices.Sorted(maps.Keys(object)) {
 		at := strings.TrimPrefix(path+"."+key, ".")
 		field, known := t.FieldByNameFunc(func(name string) bool {
 			f, _ := t.FieldByName(name)
@@ -60,7 +60,7 @@
 			k.unknown = append(k.unknown, at+": no such key; it is passed over")
 			continue
 		}
-		k.walk(at, o[key], field.Type)
+		k.walk(at, object[key], field.Type)
 	}
 }
 
@@ -75,9 +75,9 @@
 	)
 }
 
-var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
+var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-var kinds = map[reflect.Kind]string{
+var kindNames = map[reflect.Kind]string{
 	reflect.String:  "a string",
 	reflect.Bool:    "true or false",
 	reflect.Int:     "a whole number",
--- a/internal/proxy/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -19,14 +19,14 @@
 	"wrenspread/internal/registry"
 )
 
-// lateDial has a pool's connections come up when they are released, from a number on.
-type lateDial struct {
+// blockedDials has a pool's connections come up when they are released, from a number on.
+type blockedDials struct {
 	began   chan struct{}
 	release chan struct{}
 }
 
-func holdDials(n *Server, from int32) lateDial {
-	h, dials := lateDial{make(chan struct{}, 10), make(chan struct{})}, atomic.Int32{}
+func blockDials(n *Server, from int32) blockedDials {
+	h, dials := blockedDials{make(chan struct{}, 10), make(chan struct{})}, atomic.Int32{}
 	n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 		if dials.Add(1) >= from {
 			h.began <- struct{}{}
@@ -45,8 +45,8 @@
 	wait(t, done, "the loop")
 }
 
-// TestNothingIsSentOnceItMayNot: what held when a server was chosen has ended when the connection to it is there.
-func TestNothingIsSentOnceItMayNot(t *testing.T) {
+// TestNothingIsSentAfterItsConditionEndsDuringTheDial: what held when a server was chosen has ended when the connection to it is there.
+func TestNothingIsSentAfterItsConditionEndsDuringTheDial(t *testing.T) {
 	entry := func(n *running, status string, since int64) registry.Endpoint {
 		return registry.Endpoint{Name: "s-0", Address: n.pool.backends[n.listedEndpoints["s-0"]].address, Zone: "a", Type: "m2", Status: status, StartedAtMS: since}
 	}
@@ -87,8 +87,8 @@
 		}, 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var dial lateDial
-			n := startNodeWith(t, func(n *Server) { dial = holdDials(n, 1) }, serving(t))
+			var dial blockedDials
+			n := startNodeWith(t, func(n *Server) { dial = blockDials(n, 1) }, serving(t))
 			conn := n.dial(t)
 			conn.ask(t, "saldo", "q", "60")
 			wait(t, dial.began, "the connection to begin")
@@ -125,9 +125,9 @@
 	})
 }
 
-// TestRepeatIsNotWrittenAfterItsWindow: the window was open when the second server was chosen.
-func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	var dial lateDial
+// TestRetryIsNotWrittenAfterItsDedupWindow: the window was open when the second server was chosen.
+func TestRetryIsNotWrittenAfterItsDedupWindow(t *testing.T) {
+	var dial blockedDials
 	failing := func() string {
 		return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			for readRequest(r) != nil {
@@ -135,7 +135,7 @@
 			}
 		})
 	}
-	n := startNodeWith(t, func(n *Server) { dial = holdDials(n, 2) }, failing(), failing())
+	n := startNodeWith(t, func(n *Server) { dial = blockDials(n, 2) }, failing(), failing())
 	before := n.now()
 	answered := make(chan reply, 1)
 	go func() {
@@ -154,19 +154,19 @@
 	}
 }
 
-// TestCalledOffBeforeTheWrite: an idle connection is there at once, and so is ahead of what ends an attempt.
-func TestCalledOffBeforeTheWrite(t *testing.T) {
+// TestAttemptCancelledBeforeTheWriteIsNotSent: an idle connection is there at once, and so is ahead of what ends an attempt.
+func TestAttemptCancelledBeforeTheWriteIsNotSent(t *testing.T) {
 	p := testPool(serving(t))
 	ctx, cancel := context.WithTimeout(context.Background(), enough)
 	cancel()
 	for i := range 100 {
-		try(t, p, enough)
-		stood(p, lateResponseRest)
-		if res := p.attempt(ctx, 1, get("/api/x"), always, nil); res.outcome != balancer.NotSent {
+		attemptOnce(t, p, enough)
+		ageIdleConns(p, lateResponseWait)
+		if res := p.attempt(ctx, 1, get("/api/x"), alwaysMayWrite, nil); res.outcome != balancer.NotSent {
 			t.Fatalf("outcome %d, want Moot", res.outcome)
 		}
-		if sent := p.forwards.Load(); sent != int64(i+1) || p.open != 0 {
-			t.Fatalf("%d requests sent, %d connections open, want %d and none", sent, p.open, i+1)
+		if sent := p.forwards.Load(); sent != int64(i+1) || p.openConnections != 0 {
+			t.Fatalf("%d requests sent, %d connections open, want %d and none", sent, p.openConnections, i+1)
 		}
 	}
 }
@@ -185,9 +185,9 @@
 	return c.TCPConn.Read(p)
 }
 
-// TestLeftBeforeItIsRead: the end of its connection is here when a request is read, but the server's own read, which would
+// TestRequestOfAnAlreadyDepartedClientIsNotSent: the end of its connection is here when a request is read, but the server's own read, which would
 // tell, comes later than the attempt.
-func TestLeftBeforeItIsRead(t *testing.T) {
+func TestRequestOfAnAlreadyDepartedClientIsNotSent(t *testing.T) {
 	for _, behind := range []int{0, 20, 40000} { // the server reads 4 KiB at once
 		n := startNode(t, serving(t))
 		first, second := make(chan struct{}), make(chan struct{})
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -48,11 +48,11 @@
 
 // progressDeadline is when the next part of the body must have come.
 func (b *bodyReader) progressDeadline() time.Time {
-	by := b.headEnd.Add(bodyStartGrace + time.Duration(b.received)*time.Second/minBodyRate)
-	if least := b.startedAt.Add(readTimeout); by.Before(least) {
-		return least
+	deadline := b.headEnd.Add(bodyStartGrace + time.Duration(b.received)*time.Second/minBodyRate)
+	if earliest := b.startedAt.Add(readTimeout); deadline.Before(earliest) {
+		return earliest
 	}
-	return by
+	return deadline
 }
 
 func (b *bodyReader) Read(p []byte) (int, error) {
@@ -83,29 +83,29 @@
 	pipe            *io.PipeReader
 	reader          *bodyReader
 	completedAt     atomic.Int64  // when its last byte went out; 0: not yet
-	taken           atomic.Bool   // some of it has been, so that no other attempt can have it
+	consumed        atomic.Bool   // some of it has been, so that no other attempt can have it
 	clientGone      func() bool   // reports whether the client has left
 	clientGoneAtEnd atomic.Bool   // it had when its last byte was to go out
 	readingEnded    chan struct{} // closed when nothing more is read from the client
 	err             error         // how reading from the client failed, once ended is closed
 	onComplete      func(wait time.Duration)
-	wait            time.Duration // from its last byte on
+	responseTimeout time.Duration // from its last byte on
 
-	mu      sync.Mutex
-	counted bool // it counts as taken from its client
-	ended   bool // and as ended
+	mu                   sync.Mutex
+	countedAsOutstanding bool // it counts as taken from its client
+	countEnded           bool // and as ended
 }
 
 // pump reads a body to its end, as fast as the upload is taken.
-func (u *upload) pump(most int64, w *io.PipeWriter) {
+func (u *upload) pump(maxBytes int64, w *io.PipeWriter) {
 	defer close(u.readingEnded)
-	n, err := io.CopyBuffer(struct{ io.Writer }{w}, io.LimitReader(u.reader, most+1), make([]byte, copyBuffer))
+	n, err := io.CopyBuffer(struct{ io.Writer }{w}, io.LimitReader(u.reader, maxBytes+1), make([]byte, copyBufferSize))
 	switch {
-	case err == nil && n > most:
+	case err == nil && n > maxBytes:
 		err = errTooLong
 	case errors.Is(err, io.ErrClosedPipe): // nobody wants the rest
 		besteffort.Drained(
-			io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, most), make([]byte, copyBuffer)),
+			io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, maxBytes), make([]byte, copyBufferSize)),
 		)
 		return
 	}
@@ -125,7 +125,7 @@
 // none gets that of a client that has left.
 func (t *attemptUpload) Read(p []byte) (int, error) {
 	if t.ctx.Err() == nil {
-		t.taken.Store(true)
+		t.consumed.Store(true)
 	}
 	if err := t.ctx.Err(); err != nil {
 		return 0, err
@@ -157,8 +157,8 @@
 	<-u.readingEnded
 }
 
-// failed tells that the client has broken off.
-func (u *upload) failed() bool {
+// clientFailed tells that the client has broken off.
+func (u *upload) clientFailed() bool {
 	select {
 	case <-u.readingEnded:
 		return u.err != nil || u.clientGoneAtEnd.Load()
@@ -171,8 +171,8 @@
 func (u *upload) countStart(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.counted && !u.ended {
-		u.counted = true
+	if !u.countedAsOutstanding && !u.countEnded {
+		u.countedAsOutstanding = true
 		outstanding.Add(1)
 	}
 }
@@ -181,7 +181,7 @@
 func (u *upload) countEnd(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended = true; u.counted {
+	if u.countEnded = true; u.countedAsOutstanding {
 		outstanding.Add(-1)
 	}
 }
@@ -194,22 +194,22 @@
 func readStart(
 	ctx context.Context,
 	body io.Reader,
-	room func(context.Context) error,
+	reserveMemory func(context.Context) error,
 ) (start []byte, rest bool, err error) {
 	if start, err = io.ReadAll(io.LimitReader(body, maxSmallBody+1)); err != nil || len(start) <= maxSmallBody {
 		return start, false, err
 	}
-	if err = room(ctx); err != nil {
+	if err = reserveMemory(ctx); err != nil {
 		return nil, false, err
 	}
-	more, err := io.ReadAll(io.LimitReader(body, maxBody-maxSmallBody))
+	more, err := io.ReadAll(io.LimitReader(body, maxBufferedBody-maxSmallBody))
 	start = append(start, more...)
-	return start, len(start) > maxBody, err
+	return start, len(start) > maxBufferedBody, err
 }
 
 const (
 	maxSmallBody  = 16 << 10
-	messageMemory = maxBody + 2*copyBuffer
+	messageMemory = maxBufferedBody + 2*copyBufferSize
 	memoryWait    = 5 * time.Second // to wait for some
 )
 
@@ -217,14 +217,14 @@
 func startUpload(r *http.Request, body *bodyReader, start int, wait time.Duration) *upload {
 	read, write := io.Pipe()
 	u := &upload{
-		length:       r.ContentLength,
-		pipe:         read,
-		reader:       body,
-		wait:         wait,
-		readingEnded: make(chan struct{}),
-		onComplete:   func(time.Duration) {},
-		clientGone:   func() bool { return false },
-	}
-	go u.pump(maxLarge-int64(start), write)
+		length:          r.ContentLength,
+		pipe:            read,
+		reader:          body,
+		responseTimeout: wait,
+		readingEnded:    make(chan struct{}),
+		onComplete:      func(time.Duration) {},
+		clientGone:      func() bool { return false },
+	}
+	go u.pump(maxStreamedBody-int64(start), write)
 	return u
 }
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -16,10 +16,10 @@
 
 const postHead = "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: 20\r\n"
 
-// TestLongRequests come out as they went in, of stated length and in chunks.
-func TestLongRequests(t *testing.T) {
+// TestUploadsArriveUnchanged come out as they went in, of stated length and in chunks.
+func TestUploadsArriveUnchanged(t *testing.T) {
 	n := startNode(t, digests(t))
-	for _, size := range []int{0, 1, maxSmallBody, maxSmallBody + 1, maxBody - 1, maxBody, maxBody + 1, 300000, maxLarge} {
+	for _, size := range []int{0, 1, maxSmallBody, maxSmallBody + 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 300000, maxStreamedBody} {
 		body := pattern(size)
 		for _, chunked := range []bool{false, true} {
 			var sent io.Reader = bytes.NewReader(body)
@@ -37,24 +37,24 @@
 	}
 }
 
-// TestTooLongRequests are told so, as soon as that is known, and reach no server whole.
-func TestTooLongRequests(t *testing.T) {
+// TestOversizedUploadsAreRejected are told so, as soon as that is known, and reach no server whole.
+func TestOversizedUploadsAreRejected(t *testing.T) {
 	n := startNode(t, digests(t))
 	c := n.dial(t)
-	besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: %d\r\n\r\n", "q", maxLarge+1))
+	besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: %d\r\n\r\n", "q", maxStreamedBody+1))
 	if s := c.status(t); s != http.StatusRequestEntityTooLarge {
 		t.Errorf("answer %d, want 413", s)
 	}
 	c = n.dial(t)
-	besteffort.Output(fmt.Fprintf(c, postHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n", "q", maxLarge+2))
-	go func() { besteffort.Output(c.Write(make([]byte, maxLarge+1))) }()
+	besteffort.Output(fmt.Fprintf(c, postHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n", "q", maxStreamedBody+2))
+	go func() { besteffort.Output(c.Write(make([]byte, maxStreamedBody+1))) }()
 	if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode < 400 {
 		t.Errorf("in chunks: %s", resp.Status)
 	}
 }
 
-// TestClientBreaksOffUpload: no server gets a whole request, none is blamed, and nothing is left.
-func TestClientBreaksOffUpload(t *testing.T) {
+// TestAbortedUploadEjectsNoEndpointAndLeavesNothing: no server gets a whole request, none is blamed, and nothing is left.
+func TestAbortedUploadEjectsNoEndpointAndLeavesNothing(t *testing.T) {
 	got, broken := make(chan bool, 1), make(chan error, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -90,16 +90,16 @@
 	}
 }
 
-// TestUploadIsTurnedAway: a server that has no room says so ahead of the body's end. The request never ran, and its client
+// TestEarlyRejectionOfAnUploadReachesTheClient: a server that has no room says so ahead of the body's end. The request never ran, and its client
 // is told that another try does no harm, though it is still sending.
-func TestUploadIsTurnedAway(t *testing.T) {
+func TestEarlyRejectionOfAnUploadReachesTheClient(t *testing.T) {
 	for name, says := range map[string]string{
 		"turned away": "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 		"gone":        "",
 	} {
 		n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if req, err := http.ReadRequest(r); err == nil {
-				_, _ = io.CopyN(io.Discard, req.Body, maxBody+50000)
+				_, _ = io.CopyN(io.Discard, req.Body, maxBufferedBody+50000)
 				besteffort.Output(io.WriteString(c, says))
 			}
 		}))
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestRefusedClientMaySendOn: one that reads no answer before it has sent its body is not cut off; the refusal waits for it,
+// TestRejectedClientMayFinishSending: one that reads no answer before it has sent its body is not cut off; the refusal waits for it,
 // and counts from when it was given.
-func TestRefusedClientMaySendOn(t *testing.T) {
+func TestRejectedClientMayFinishSending(t *testing.T) {
 	n := startNode(t, refusing(t))
 	address := n.operate(t)
 	c := n.dial(t)
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestKeptUploadIsTriedAgain where no connection could be made: nothing has been taken from its client yet.
-func TestKeptUploadIsTriedAgain(t *testing.T) {
+// TestUnsentUploadIsRetried where no connection could be made: nothing has been taken from its client yet.
+func TestUnsentUploadIsRetried(t *testing.T) {
 	n := startNode(t, refusing(t), digests(t))
 	body := pattern(500000)
 	for i := range 10 {
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestUploadsTimeRunsFromItsLastByte, at the proxy as in the balancer, and only then does it count as taken.
-func TestUploadsTimeRunsFromItsLastByte(t *testing.T) {
+// TestUploadDeadlineRunsFromItsLastByte, at the proxy as in the balancer, and only then does it count as taken.
+func TestUploadDeadlineRunsFromItsLastByte(t *testing.T) {
 	came, hold := make(chan bool, 1), make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if req, err := http.ReadRequest(r); err == nil {
@@ -181,8 +181,8 @@
 	figure(t, address, "app.outstanding:0|g")
 }
 
-// TestPipelinedBehindLong: what follows a long request on its connection is a request of its own.
-func TestPipelinedBehindLong(t *testing.T) {
+// TestPipelinedUploadsAreSeparateRequests: what follows a long request on its connection is a request of its own.
+func TestPipelinedUploadsAreSeparateRequests(t *testing.T) {
 	n := startNode(t, digests(t))
 	c := n.dial(t)
 	body := pattern(150000)
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -18,7 +18,7 @@
 const (
 	maxIDLength = 128  // bytes
 	maxWorkHint = 1e12 // microseconds
-	maxPatience = time.Hour
+	maxDeadline = time.Hour
 )
 
 // requestError is the answer to a request that is not taken.
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, event, err
 	}
-	timeout, parseErr := seconds(r.Header.Get("X-Deadline"))
+	timeout, parseErr := parseSeconds(r.Header.Get("X-Deadline"))
 	if parseErr != nil {
 		return nil, event, badRequest("X-Deadline: %w", parseErr)
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, event, err
 	}
-	timeout = f.timeLeft(timeout - answerMargin)
+	timeout = f.remainingTime(timeout - answerMargin)
 	deadline := time.Now().Add(timeout) // its last byte has come now, and its client waits from there
 	f.updateLatestDeadline(deadline)
 	out := newOutbound(r, body.start)
@@ -99,7 +99,7 @@
 // checkForm checks that a request has the form of its class, in the present settings or in the previous ones.
 func (f *frontend) checkForm(rules *requestRules, r *http.Request, class string) (previous bool, err error) {
 	return rules.idempotencyOf(class, func(idempotency balancer.Idempotency) error {
-		return fits(r, class, idempotency)
+		return checkMethodAndKey(r, class, idempotency)
 	})
 }
 
@@ -121,12 +121,12 @@
 }
 
 func (f *frontend) readBody(w http.ResponseWriter, r *http.Request) (requestBody, error) {
-	if r.ContentLength > maxLarge {
+	if r.ContentLength > maxStreamedBody {
 		return requestBody{}, rejectUnread(
 			w,
 			http.StatusRequestEntityTooLarge,
 			"the body is over %d bytes",
-			maxLarge,
+			maxStreamedBody,
 		)
 	}
 	var body requestBody
@@ -182,25 +182,25 @@
 	}
 }
 
-// fits checks a request's form. The method and the key tell the server what a
+// checkMethodAndKey checks a request's form. The method and the key tell the server what a
 // repeat would do, so they must agree with what the balancer believes.
-func fits(r *http.Request, class string, effect balancer.Idempotency) error {
+func checkMethodAndKey(r *http.Request, class string, idempotency balancer.Idempotency) error {
 	want := http.MethodPost
-	if effect == balancer.Idempotent {
+	if idempotency == balancer.Idempotent {
 		want = http.MethodGet
 	}
 	if r.Method != want {
 		return &requestError{http.StatusMethodNotAllowed, fmt.Errorf("class %s wants %s", class, want)}
 	}
 	switch keys := r.Header.Values("Idempotency-Key"); {
-	case effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""),
-		effect == balancer.NotIdempotent && len(keys) > 0:
+	case idempotency == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""),
+		idempotency == balancer.NotIdempotent && len(keys) > 0:
 		return badRequest("class %s and Idempotency-Key do not agree", class)
 	}
 	return nil
 }
 
-func seconds(s string) (time.Duration, error) {
+func parseSeconds(s string) (time.Duration, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		return 0, err
@@ -208,5 +208,5 @@
 	if !(v > 0) || math.IsInf(v, 0) { // NaN is not over 0 either
 		return 0, fmt.Errorf("%v is no time to wait", v)
 	}
-	return time.Duration(math.Min(v, maxPatience.Seconds()) * float64(time.Second)), nil
+	return time.Duration(math.Min(v, maxDeadline.Seconds()) * float64(time.Second)), nil
 }
--- a/internal/proxy/validate_test.go
+++ b/internal/proxy/validate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNode(t, server)
 	for _, c := range []struct {
--- a/internal/proxy/writeresponse.go
+++ b/internal/proxy/writeresponse.go
@@ -11,46 +11,46 @@
 	"wrenspread/internal/besteffort"
 )
 
-// write passes an answer on, and tells what it was to the client.
-func write(w http.ResponseWriter, a response) requestOutcome {
+// writeComplete passes an answer on, and tells what it was to the client.
+func writeComplete(w http.ResponseWriter, resp response) requestOutcome {
 	besteffort.SocketOption(http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)))
-	if a.status != http.StatusOK {
-		a.body = []byte(http.StatusText(a.status) + "\n")
+	if resp.status != http.StatusOK {
+		resp.body = []byte(http.StatusText(resp.status) + "\n")
 	}
-	writeHeader(w, a, int64(len(a.body)))
-	_, err := w.Write(a.body) // if it fails, the client has gone
+	writeHeader(w, resp, int64(len(resp.body)))
+	_, err := w.Write(resp.body) // if it fails, the client has gone
 	switch {
 	case err != nil:
 		return outcomeAborted
-	case a.status == http.StatusOK:
+	case resp.status == http.StatusOK:
 		return outcomeSucceeded
-	case a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests,
-		a.status == http.StatusForbidden || a.status == http.StatusNotFound:
+	case resp.status == http.StatusServiceUnavailable || resp.status == http.StatusTooManyRequests,
+		resp.status == http.StatusForbidden || resp.status == http.StatusNotFound:
 		return outcomeDeclined
 	}
 	return outcomeAborted
 }
 
 // writeHeader begins an answer. Without a length it goes in chunks.
-func writeHeader(w http.ResponseWriter, a response, length int64) {
+func writeHeader(w http.ResponseWriter, resp response, length int64) {
 	h := w.Header()
-	for name, values := range endToEnd(a.header) {
+	for name, values := range endToEnd(resp.header) {
 		h[name] = values
 	}
-	if a.status != http.StatusOK {
+	if resp.status != http.StatusOK {
 		h.Set("Content-Type", "text/plain; charset=utf-8")
 	}
-	if a.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
+	if resp.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(resp.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	w.WriteHeader(a.status)
+	w.WriteHeader(resp.status)
 }
 
-// perHop lists the headers that concern one connection only.
-var perHop = []string{
+// hopByHopHeaders lists the headers that concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Connection",
@@ -69,17 +69,17 @@
 	out := maps.Clone(h)
 	for _, line := range h.Values("Connection") {
 		for name := range strings.SplitSeq(line, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !slices.Contains(vital, name) {
+			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !slices.Contains(protectedHeaders, name) {
 				out.Del(name)
 			}
 		}
 	}
-	for _, name := range perHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// vital headers stay, whatever a client's Connection header says: without
+// protectedHeaders headers stay, whatever a client's Connection header says: without
 // them a server could not tell a repeat.
-var vital = []string{"X-Request-Id", "Idempotency-Key"}
+var protectedHeaders = []string{"X-Request-Id", "Idempotency-Key"}
