--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,6 +9,8 @@
 	"wrenspread/balancer"
 )
 
+// startAttempt makes the attempt that the balancer has decided on, in a goroutine of its own, and posts
+// its end to the loop. An attempt that may not begin any more ends at once as balancer.NotSent.
 func (srv *Server) startAttempt(a balancer.StartAttempt) {
 	r := srv.requests[a.ID]
 	if r == nil {
@@ -18,7 +20,7 @@
 	number := len(r.cancelAttempts)
 	timeout := time.Until(r.deadline)
 	if r.outbound.upload != nil {
-		timeout = maxUploadTime // how fast it must come is another matter
+		timeout = maxUploadTime // bodyReader enforces the rate of the upload
 	} else if a.Timeout != 0 {
 		timeout = min(timeout, a.Timeout)
 	}
@@ -51,7 +53,8 @@
 	}()
 }
 
-// serviceStart is when a server could begin on a request: at its last byte.
+// serviceStart returns when the backend could begin to serve a request: for an upload when its last byte
+// was sent, otherwise when the attempt began.
 func (srv *Server) serviceStart(r *request, began time.Time) time.Time {
 	if r.outbound.upload != nil {
 		if at := r.outbound.upload.completedAt.Load(); at != 0 {
@@ -61,7 +64,8 @@
 	return began
 }
 
-// streamResponse gives a long answer to its request, and returns when that is over.
+// streamResponse hands a streamed response to its request, and returns when the response has ended, with
+// the reason if it was cut off.
 func (srv *Server) streamResponse(
 	r *request,
 	number int,
@@ -86,6 +90,8 @@
 	}
 }
 
+// attemptEnded answers the request if the attempt has succeeded, and reports the attempt to the stats and
+// the balancer.
 func (srv *Server) attemptEnded(
 	r *request,
 	number int,
@@ -116,7 +122,8 @@
 	srv.forgetRequest(r)
 }
 
-// latencyObjective is the time in which an answer of a class has its full worth; without a class, any.
+// latencyObjective returns the time in which a response of a class has its full value. Without a class,
+// any time will do.
 func (srv *Server) latencyObjective(class string) time.Duration {
 	for _, c := range srv.config.Settings.Classes {
 		if c.Name == class {
--- a/internal/proxy/canceller.go
+++ b/internal/proxy/canceller.go
@@ -5,25 +5,27 @@
 	"sync"
 )
 
-// errResponseCut ends an answer that this proxy may not go on with.
-var errResponseCut = errors.New("the answer is cut off")
+// errResponseCut ends a response that the proxy has cancelled.
+var errResponseCut = errors.New("response cancelled by the proxy")
 
-// canceller ends from elsewhere what one goroutine is busy with, and never what comes after that.
+// canceller lets another goroutine interrupt an operation of one goroutine, but nothing that this
+// goroutine does after the operation.
 type canceller struct {
 	mu        sync.Mutex
-	interrupt func() // breaks what is under way; nil: it has not begun, or is over
+	interrupt func() // interrupts the operation; nil before the operation begins and after it ends
 	finished  bool
 	cancelled bool
 }
 
-// begin begins what end breaks.
+// begin registers the function by which cancel interrupts the operation.
 func (c *canceller) begin(interrupt func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.interrupt = interrupt
 }
 
-// cancel ends it.
+// cancel interrupts the operation, unless that has finished. If the operation has not begun, isCancelled
+// tells it.
 func (c *canceller) cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,14 +37,15 @@
 	}
 }
 
-// isCancelled reports whether it is to end. It is asked after all that would undo what end did.
+// isCancelled reports whether the operation has been cancelled. The operation has to call it after each
+// step that would undo what interrupt did.
 func (c *canceller) isCancelled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cancelled
 }
 
-// finish says that it is over, and how.
+// finish marks the operation as ended, and returns errResponseCut if it was cancelled, otherwise err.
 func (c *canceller) finish(err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -11,9 +11,9 @@
 	"wrenspread/internal/simwire"
 )
 
-// CheckConfig validates the configuration file at path, all of it at once and each with its key: problems
-// keep the proxy from starting, or from a part of its work; notes tell of what it starts with and passes
-// over.
+// CheckConfig validates the configuration file at path and reports all findings at once, each with its
+// key. Problems keep the proxy from starting, or a part of it from working; notes are about values that
+// the proxy ignores, or with which it starts nevertheless.
 func CheckConfig(path string) (problems, notes []string) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -24,7 +24,7 @@
 		return []string{jsonErrorPosition(raw, err)}, nil
 	}
 	var form configForm
-	_ = json.Unmarshal(raw, &form) // the type checker finds what is wrong with it, each value by itself
+	_ = json.Unmarshal(raw, &form) // the type checker reports each value of a wrong type
 	checker := typeChecker{}
 	checker.check("", file, form)
 	if settings := member(file, "settings"); settings != nil {
@@ -33,7 +33,7 @@
 	problems, notes = checker.problems, checker.unknown
 	config, errs := form.config()
 	for _, err := range errs {
-		if !errors.As(err, new(*json.UnmarshalTypeError)) { // those are found above
+		if !errors.As(err, new(*json.UnmarshalTypeError)) { // reported by the type checker
 			problems = append(problems, err.Error())
 		}
 	}
@@ -62,7 +62,7 @@
 	return problems, notes
 }
 
-// jsonErrorPosition says where in a file its JSON ends to be any.
+// jsonErrorPosition returns the message of a JSON error, with the line and the column of a syntax error.
 func jsonErrorPosition(raw []byte, err error) string {
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -15,17 +15,17 @@
 	"wrenspread/internal/besteffort"
 )
 
-// lateResponseWait is how long a connection is left alone after an answer. A second
-// answer to the same request comes some milliseconds late, and nothing in it
-// tells it from the next request's; by then it shows as something unasked. The
-// next request waits for the rest of it, which takes no longer than a new
-// connection and costs the server nothing.
+// lateResponseWait is how long a connection rests after a response before it is reused. A second response
+// to the same request may come some milliseconds late, and nothing in it distinguishes it from the
+// response to the next request; after this time it shows as unsolicited bytes. The next request waits for
+// what remains of this time, which takes no longer than a new connection and costs the backend nothing.
 const lateResponseWait = 5 * time.Millisecond
 
-// errNoCapacity says that this proxy has reached its limit of connections.
+// errNoCapacity means that the pool has reached its limit of connections.
 var errNoCapacity = errors.New("too many connections")
 
-// isLocalLimit reports whether the proxy itself could not open a connection, which says nothing of the server.
+// isLocalLimit reports whether the proxy itself could not open a connection, which says nothing about the
+// backend.
 func isLocalLimit(err error) bool {
 	for _, limit := range []error{
 		errNoCapacity,
@@ -41,32 +41,33 @@
 	return false
 }
 
+// conn is a connection to a backend, idle in the pool or in use by one attempt.
 type conn struct {
 	net.Conn
 	backend       *backend
 	pool          *pool
-	budget        io.LimitedReader // what one answer may take
+	budget        io.LimitedReader // bounds the bytes that a response may take
 	reader        *bufio.Reader
-	readError     error  // how reading ended, if the connection did
-	releaseMemory func() // gives back what its answer has taken of the pool's; nil: nothing
+	readError     error  // how the last read ended; nil if the connection has not broken
+	releaseMemory func() // returns the memory reserved for the response; nil if there is none
 	idleSince     time.Time
 }
 
-// Read notes how the connection ended, which tells a break from an answer
-// that can't be read, or is longer than its budget.
+// Read records how the connection ended, which distinguishes a broken connection from a response that is
+// malformed or exceeds its budget.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.readError = err
 	return n, err
 }
 
-// get finds an idle connection or dials. An error proves that nothing was sent.
+// get returns an idle connection or dials a new one. An error proves that nothing was sent.
 func (p *pool) get(ctx context.Context, id balancer.EndpointID) (*conn, error) {
 	b, c, dialer, err := p.takeConn(id)
 	for ; c != nil; b, c, dialer, err = p.takeConn(id) {
-		// A connection that its server has closed, or on which it said
-		// something unasked, would end as a reset that may have run. Nothing
-		// has been forwarded it, so another one can do.
+		// A request on a connection that the backend has closed, or on which it has sent unsolicited bytes,
+		// would end in a reset, and might count as executed. Nothing of the request has been sent here, so
+		// another connection can serve it.
 		if p.pause(ctx, lateResponseWait-time.Since(c.idleSince)) && isOpenAndEmpty(c.Conn) {
 			return c, nil
 		}
@@ -91,14 +92,15 @@
 	return c, nil
 }
 
-// takeConn returns an idle connection, the one used last of those that have rested,
-// or the backend with leave to dial it.
+// takeConn returns an idle connection: the most recently used of those that have rested for
+// lateResponseWait, otherwise the one idle longest. Without an idle connection it reserves a new one, and
+// returns the backend that the caller has to dial.
 func (p *pool) takeConn(id balancer.EndpointID) (*backend, *conn, net.Dialer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[id]
 	if b == nil {
-		return nil, nil, p.dialer, fmt.Errorf("server %d is not listed", id)
+		return nil, nil, p.dialer, fmt.Errorf("take connection: endpoint %d is not listed", id)
 	}
 	now := time.Now()
 	p.closeExpiredLocked(b, now)
@@ -118,7 +120,7 @@
 	return b, nil, p.dialer, nil
 }
 
-// closeDirty closes a connection that is not known to be at an answer's end.
+// closeDirty closes a connection that is not known to be at the end of a response.
 func (c *conn) closeDirty() {
 	c.releaseBudget()
 	besteffort.Close(c.Conn)
@@ -127,9 +129,9 @@
 	c.pool.mu.Unlock()
 }
 
-// release puts a connection back that has been read cleanly to its end.
+// release returns a connection to the pool whose response has been read cleanly to its end.
 func (c *conn) release() {
-	c.releaseBudget() // from here on it is the next attempt's
+	c.releaseBudget() // first: once it is in the pool, the connection belongs to the next attempt
 	besteffort.SocketOption(c.SetDeadline(time.Time{}))
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -6,21 +6,20 @@
 	"syscall"
 )
 
-// Descriptors are given to clients, to servers and to all else in fixed parts, so
-// that no side can take those of another: clients that rest can fill theirs
-// while discovery is away, and it, a server, an operator and the next process
-// of this proxy find one.
+// File descriptors are divided into fixed parts for clients, for backends and for everything else, so
+// that none can use up those of another: while discovery is down and idle clients fill their part, there
+// is still a descriptor for discovery, a backend, an operator and the next process of this proxy.
 const (
-	clientShare = 0.5 // of those that are not spare
-	// reservedDescriptors are for discovery or the registry (3, and 6 with a policy and
-	// tenants), operators (17), the next processes (6), files that are read or kept (3),
-	// the sockets that listen (4), a client that is shut (1), and the runtime (8).
+	clientShare = 0.5 // fraction of the descriptors that are not reserved
+	// reservedDescriptors are for discovery or the registry (3, and 6 more with a policy and tenants),
+	// operators (17), the next processes (6), open files (3), listening sockets (4), a client that is closed
+	// unread (1), and the runtime (8).
 	reservedDescriptors = 48
-	minDescriptors      = 64 // below this no proxy can serve
+	minDescriptors      = 64 // with fewer a proxy can't serve
 )
 
-// maxDescriptors is the number of descriptors that the proxy may use: as configured, but no more than the
-// system gives this process, or accepting would take the last one.
+// maxDescriptors returns the number of descriptors that the proxy may use: the configured number, but no
+// more than the limit of this process, because otherwise accepting would take the last one.
 func maxDescriptors(configured int, log *slog.Logger) (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(configured) {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	drainAcceptTime = 600 * time.Millisecond // after SIGTERM new connections still come for a while
-	finishSlack     = 100 * time.Millisecond // what is open then may take the longest deadline and this
-	// without a place for clients, after which they are shut: one that was idle has let go of its own by then
+	drainAcceptTime = 600 * time.Millisecond // after SIGTERM, as new connections still come for a while
+	finishSlack     = 100 * time.Millisecond // for open requests, beyond the longest deadline
+	// fullTimeout is how long all slots may be taken before further clients are closed unread. An idle
+	// client that was evicted has closed its connection by then.
 	fullTimeout = 600 * time.Millisecond
-	// SIGKILL may come so long after lingerTime and finishSlack, or a longest deadline that is shorter
+	// maxKillTimeout is the longest time for the last responses after SIGTERM: SIGKILL may come this long
+	// after drainAcceptTime and finishSlack, or after the longest deadline if that is shorter.
 	maxKillTimeout = 3 * time.Second
 )
 
-// serve takes requests until ctx ends. Then it goes on for a while, as the
-// front sends new connections until it has noticed, but asks each client to
-// close; at last it finishes what is open.
+// serve accepts clients until ctx ends. It accepts for drainAcceptTime longer, because the front sends
+// new connections until it has noticed, but asks each client to close; finally it finishes the open
+// requests.
 func (f *frontend) serve(ctx context.Context, ln net.Listener) error {
 	srv := f.newHTTPServer()
 	limited := listener.Limit(ln, f.maxConnections)
 	limited.HeadTimeout, limited.FullTimeout = headTimeout, fullTimeout
 	srv.ConnState = limited.TrackState
 	f.clientListener.Store(limited)
-	if f.handedOff.Load() { // before there was anything to close
+	if f.handedOff.Load() { // stopAccepting came before clientListener was set
 		besteffort.Close(limited)
 	}
 	f.accepting.Store(true)
@@ -47,7 +49,7 @@
 		go func() {
 			defer cancelWait()
 			select {
-			case <-f.successorEnded: // nobody accepts until this process ends and another is started
+			case <-f.successorEnded: // no process accepts until this one ends and another is started
 			case <-waitCtx.Done():
 			}
 		}()
@@ -74,29 +76,29 @@
 	return nil
 }
 
-// finishConnections ends what is idle and waits until the rest has been answered, or last is over: then all
-// requests are past their deadlines, and what is left are connections on which none has come. http.Server's
-// Shutdown does not do, as it drops without an answer each request whose head is complete after its call.
+// finishConnections closes idle connections and waits until the others have been answered, or ctx ends:
+// then all requests are past their deadlines, and the remaining connections have no request. Shutdown of
+// http.Server is no alternative: it drops without a response each request whose head is complete only
+// after its call.
 func finishConnections(ctx context.Context, served <-chan struct{}, limited *listener.Listener) {
 	limited.Drain()
 	select {
 	case <-served:
 	case <-ctx.Done():
 		besteffort.Close(limited)
-		<-served // what it accepts in that moment is known from here on
+		<-served // connections accepted meanwhile are counted from here on
 	}
 	limited.WaitForConns(ctx, 0)
 }
 
-// longestRemainingTime is how long a request that is open, or comes yet, may take: by its settings, which may be
-// earlier ones.
+// longestRemainingTime returns how long a request that is open, or that is still to come, may take. An
+// open request may have the deadline of earlier settings.
 func (f *frontend) longestRemainingTime() time.Duration {
 	return max(f.rules.Load().longestDeadline, time.Duration(f.latestDeadline.Load())-time.Since(f.server.start))
 }
 
-// remainingTime is how much of the time of a request, whose last byte is here now, there
-// is for its answer: what comes late after the order to stop has to be answered
-// ahead of SIGKILL.
+// remainingTime returns how much of its wait a request has whose last byte has just come: a request that
+// comes late in a drain has to be answered before SIGKILL.
 func (f *frontend) remainingTime(wait time.Duration) time.Duration {
 	if deadline := f.drainDeadline.Load(); deadline != nil {
 		return min(wait, time.Until(*deadline))
@@ -104,9 +106,9 @@
 	return wait
 }
 
-// stopAccepting leaves new connections to another process that listens on the
-// same socket, which is closed here but not shut down. It is called once, after
-// handed is set: those that come on open connections are asked to close.
+// stopAccepting leaves new connections to another process that listens on the same socket, which is
+// closed here but not shut down. It is called once, after handedOff is set. The clients of open
+// connections are asked to close.
 func (f *frontend) stopAccepting() {
 	f.draining.Store(true)
 	if limited := f.clientListener.Load(); limited != nil {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,24 +12,24 @@
 	"wrenspread/internal/besteffort"
 )
 
-const earlyResponseWait = 50 * time.Millisecond // from a server that takes no more of a request
+// earlyResponseWait is the time for the response of a backend that has stopped reading the request.
+const earlyResponseWait = 50 * time.Millisecond
 
-// result is how an attempt ended.
+// result is how an attempt ended, with the response if there is one.
 type result struct {
 	outcome       balancer.Outcome
 	loadReport    *balancer.LoadReport
-	header        http.Header // with OK: the answer's
+	header        http.Header // of the response, with outcome OK
 	body          []byte
-	stream        *responseStream // with OK, for a long answer: instead of the body
-	bodyDiscarded bool            // no other attempt can be made, as what was sent is not kept
+	stream        *responseStream // with outcome OK, for a long response: instead of the body
+	bodyDiscarded bool            // no other attempt can be made, as the sent part of the upload is not retained
 }
 
-// attempt sends a request once and waits for its answer until ctx ends. When
-// it returns, its connection is closed or back in the pool, so that a further
-// attempt cannot overlap it. The connection may take its time to come up, so
-// may says right before the first byte whether the request may still be sent.
-// A long answer is given to begun, which returns when that is over and tells
-// how it ended; ctx has no part in it any more.
+// attempt sends a request once and waits for its response until ctx ends. When it returns, its connection
+// is closed or back in the pool, so that a further attempt cannot overlap it. Because connecting may take
+// some time, mayWrite is called right before the first byte and reports whether the request may still be
+// sent. A long response is handed to streamResponse, which returns when that response has ended, with an
+// error if it was cut off; ctx no longer applies to it.
 func (p *pool) attempt(
 	ctx context.Context,
 	id balancer.EndpointID,
@@ -39,7 +39,7 @@
 ) result {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return result{outcome: balancer.NotSent} // an attempt without an end could hang for ever
+		return result{outcome: balancer.NotSent} // an attempt without a deadline could hang forever
 	}
 	c, err := p.get(ctx, id)
 	if err != nil {
@@ -49,7 +49,7 @@
 		return result{outcome: connectOutcome(err)}
 	}
 	if ctx.Err() != nil || p.isBarred(id, c) || !mayWrite() {
-		c.closeDirty() // it has been idle for longer than a release would say
+		c.closeDirty() // release would record a later idleSince than the true one
 		return result{outcome: balancer.NotSent}
 	}
 	stop := context.AfterFunc(ctx, func() { besteffort.SocketOption(c.SetDeadline(time.Unix(1, 0))) })
@@ -66,7 +66,7 @@
 	}
 	if err != nil {
 		c.closeDirty()
-		if res.outcome == balancer.OK { // nothing better is known
+		if res.outcome == balancer.OK { // no more specific outcome is known
 			res.outcome = failedOutcome(ctx, c.readError)
 		}
 		return result{outcome: res.outcome, loadReport: res.loadReport, bodyDiscarded: res.bodyDiscarded}
@@ -82,8 +82,8 @@
 		}
 		return c.streamResult(res, clean, streamResponse)
 	}
-	// Once the watch on ctx cannot be stopped it may yet spoil the deadline of
-	// whoever has the connection next.
+	// If the AfterFunc on ctx has already started, it may still expire the deadline of the connection's next
+	// user.
 	if clean && stop() {
 		c.release()
 	} else {
@@ -92,9 +92,10 @@
 	return res
 }
 
-// send writes a request that is in memory as a whole, and counts it.
-func (c *conn) send(ctx context.Context, o *outbound, deadline time.Time) (outcome balancer.Outcome, ok bool) {
-	msg, err := o.encode(time.Until(deadline))
+// send writes a request that is completely in memory, and counts it as forwarded. If ok is false, the
+// attempt has failed and code is its outcome; end is its deadline.
+func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code balancer.Outcome, ok bool) {
+	msg, err := o.encode(time.Until(end))
 	if err != nil {
 		return balancer.NotSent, false
 	}
@@ -102,7 +103,7 @@
 	switch {
 	case err == nil:
 	case sent == len(msg):
-		return failedOutcome(ctx, err), false // a last byte that left with an error may have come
+		return failedOutcome(ctx, err), false // the backend may have received the last byte despite the error
 	case wasCancelled(ctx):
 		return balancer.NotSent, false
 	default:
@@ -112,8 +113,8 @@
 	return balancer.OK, true
 }
 
-// connectOutcome is the outcome of an attempt that has no connection. Only one that
-// was refused or broken tells that the server is gone.
+// connectOutcome returns the outcome of an attempt that got no connection. A connection that was refused
+// or has broken shows that the backend is gone; one that timed out does not.
 func connectOutcome(err error) balancer.Outcome {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -122,10 +123,10 @@
 	return balancer.ConnectFailed
 }
 
-// wasCancelled tells that an attempt was ended from here, before its time was over.
+// wasCancelled reports whether the proxy has ended an attempt before its deadline.
 func wasCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
-// timedWriter writes to a server that may take its time, but may not stand still.
+// timedWriter writes to a backend that may be slow, but may not stall for longer than progressTimeout.
 type timedWriter struct {
 	*conn
 	ctx context.Context
@@ -133,15 +134,15 @@
 
 func (p timedWriter) Write(b []byte) (int, error) {
 	besteffort.SocketOption(p.SetWriteDeadline(time.Now().Add(progressTimeout)))
-	if p.ctx.Err() != nil { // it may have ended just before
+	if p.ctx.Err() != nil { // ctx may have ended just before the deadline was set
 		besteffort.SocketOption(p.SetWriteDeadline(time.Unix(1, 0)))
 	}
 	return p.Conn.Write(b)
 }
 
-// sendStreaming sends a long request as its client gives it, and hears meanwhile
-// whether the server turns it away. The time for the answer runs from the last
-// byte. What broke before that one never ran.
+// sendStreaming sends an upload as it comes from its client, and reads the response meanwhile, so that it
+// detects an early rejection. The time for the response runs from the last byte. A request that broke off
+// before its last byte was never executed.
 func (c *conn) sendStreaming(ctx context.Context, o *outbound) (res result, clean bool, err error) {
 	sent := make(chan error, 1)
 	sendCtx, stop := context.WithCancel(ctx)
@@ -157,7 +158,7 @@
 				besteffort.SocketOption(c.SetReadDeadline(time.Unix(1, 0)))
 			}
 		} else {
-			// why the server has closed may be on its way
+			// the response that gives the reason for the close may be on its way
 			besteffort.SocketOption(c.SetReadDeadline(time.Now().Add(earlyResponseWait)))
 		}
 		sent <- err
@@ -166,7 +167,7 @@
 	var writeErr error
 	select {
 	case writeErr = <-sent:
-	default: // it has answered early, or the connection has broken
+	default: // the backend has answered early, or the connection has broken
 		stop()
 		besteffort.SocketOption(c.SetWriteDeadline(time.Unix(1, 0)))
 		if o.upload.consumed.Load() {
@@ -180,7 +181,7 @@
 		return result{outcome: balancer.Cancelled, bodyDiscarded: true}, false, errClientGone
 	case writeErr == nil:
 		return res, clean, err
-	case err == nil && res.outcome != balancer.OK: // it was properly rejected
+	case err == nil && res.outcome != balancer.OK: // a proper rejection
 		return res, false, nil
 	case wasCancelled(ctx):
 		return result{outcome: balancer.Cancelled, bodyDiscarded: res.bodyDiscarded}, false, writeErr
@@ -188,7 +189,7 @@
 	return result{outcome: balancer.ConnectFailed, bodyDiscarded: res.bodyDiscarded}, false, writeErr
 }
 
-// streamResult has a long answer passed on, and ends the attempt with it.
+// streamResult has a long response forwarded, and ends the attempt when that has ended.
 func (c *conn) streamResult(res result, clean bool, streamResponse func(result) error) result {
 	err := streamResponse(res)
 	res.stream = nil
@@ -206,8 +207,8 @@
 	return res
 }
 
-// failedOutcome is the outcome of an attempt whose answer did not come: its last byte
-// was written, so it may have run. broken is how the connection ended, if it did.
+// failedOutcome returns the outcome of an attempt that got no response. Its last byte was written, so the
+// request may have been executed. connErr is the error that ended the connection, if any.
 func failedOutcome(ctx context.Context, connErr error) balancer.Outcome {
 	switch {
 	case wasCancelled(ctx):
@@ -217,5 +218,5 @@
 	case connErr != nil:
 		return balancer.ConnectionReset
 	}
-	return balancer.ServerError // it can't be read
+	return balancer.ServerError // the response is malformed
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	headTimeout = 2500 * time.Millisecond // for a request's head: a slow client takes 2 s
-	// for a request that stops: any peer is owed an error or a close within 3 s
+	headTimeout = 2500 * time.Millisecond // for a request's head; a slow client takes 2 s
+	// readTimeout applies to a request that stalls: any peer must get an error or a close within 3 s.
 	readTimeout  = 2700 * time.Millisecond
-	writeTimeout = 5 * time.Second // for an answer
+	writeTimeout = 5 * time.Second // for writing a response
 	idleTimeout  = 2 * time.Minute // for a connection between requests
 )
 
+// connKey is the context key of the connection on which a request came.
 type connKey struct{}
 
-// frontend takes clients' requests and writes their answers.
+// frontend accepts clients' requests and writes their responses.
 type frontend struct {
 	server           *Server
-	maxConnections   int // connections
+	maxConnections   int // open client connections at a time
 	rules            atomic.Pointer[requestRules]
-	memory           memoryBudget // for requests that are not small
-	waitForLateConns func()       // goes on accepting for a while after the order to stop
+	memory           memoryBudget // for request bodies over maxSmallBody
+	waitForLateConns func()       // waits after SIGTERM, while new connections are still accepted
 	ready            atomic.Bool
 	draining         atomic.Bool
-	accepting        atomic.Bool                       // it accepts
+	accepting        atomic.Bool                       // serve has begun to accept
 	handedOff        atomic.Bool                       // to a new process
-	clientListener   atomic.Pointer[listener.Listener] // nil: it does not serve yet
-	// closed when the process has ended that accepts in its place
+	clientListener   atomic.Pointer[listener.Listener] // nil before serve
+	// successorEnded is closed when the process has ended that accepts in place of this one.
 	successorEnded chan struct{}
 	killTimeout    time.Duration
-	latestDeadline atomic.Int64              // deadline of a request read so far, from the proxy's start
-	drainDeadline  atomic.Pointer[time.Time] // for requests that come from now on; nil: their deadlines
+	latestDeadline atomic.Int64              // of all requests so far, as time since the start of the proxy
+	drainDeadline  atomic.Pointer[time.Time] // for requests that come after SIGTERM; nil before
 }
 
 func newFrontend(srv *Server, maxConnections int) *frontend {
@@ -65,17 +66,16 @@
 		ErrorLog: slog.NewLogLogger(f.server.log.Handler(), slog.LevelDebug)}
 }
 
-// ServeHTTP answers the health checks and passes requests to the loop.
+// ServeHTTP answers the health checks, and passes requests to the loop.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// The length of a chunked body is for the server alone to tell, so nothing
-	// that comes behind it may count as a request.
+	// Only the HTTP server knows where a chunked body ends, so nothing behind it may be taken for a request.
 	if len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
 	switch r.URL.Path {
 	case "/health/ready":
 		f.askToClose(w, r)
-		if !f.acceptsNow() && !f.handedOff.Load() { // the new process has this address too
+		if !f.acceptsNow() && !f.handedOff.Load() { // a new process serves this address too
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
@@ -95,7 +95,7 @@
 	}
 	outstanding := &f.server.stats.outstanding
 	if up := req.outbound.upload; up != nil {
-		// HTTP/1 always has it; an answer may come ahead of the body's end
+		// HTTP/1 always supports it; a response may precede the end of the body.
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		up.clientGone = req.abandoned
 		up.onComplete = func(wait time.Duration) {
@@ -116,11 +116,11 @@
 		outstanding.Add(-1)
 	}
 	if ended.truncated {
-		panic(http.ErrAbortHandler) // closes the connection short of the answer's end, so that the client can tell
+		panic(http.ErrAbortHandler) // closes the connection before the response ends, so that the client can tell
 	}
 }
 
-// rejectRequest answers a request that is not taken.
+// rejectRequest answers a request that is not accepted.
 func (f *frontend) rejectRequest(w http.ResponseWriter, r *http.Request, err error) {
 	f.askToClose(w, r)
 	status := http.StatusBadRequest
@@ -131,39 +131,41 @@
 	http.Error(w, err.Error(), status)
 }
 
-// askToClose has a client close after the answer that is written next, if the proxy
-// drains. If some of its next request has been read, that is answered before.
+// askToClose makes a client close its connection after the response that is written next, if the proxy
+// drains. If bytes of its next request have been read, that request is answered before.
 func (f *frontend) askToClose(w http.ResponseWriter, r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); f.draining.Load() && (!ok || !c.Pending()) {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// serving reports whether the proxy takes new clients.
+// serving reports whether the proxy is ready for new clients and does not drain.
 func (f *frontend) serving() bool { return f.ready.Load() && f.accepting.Load() && !f.draining.Load() }
 
-// acceptsNow reports whether it takes them now: it does not while all places are in use.
+// acceptsNow reports whether the proxy accepts new clients at present: it does not while all slots are
+// taken.
 func (f *frontend) acceptsNow() bool {
 	limited := f.clientListener.Load()
 	return f.serving() && limited != nil && !limited.Full()
 }
 
-// requestResult is how a request ended, whether its client has an answer to read, and
-// whether that stopped short.
+// requestResult is how a request ended, whether its client has a complete response to read, and whether
+// the response was truncated.
 type requestResult struct {
 	outcome             requestOutcome
 	answered, truncated bool
 }
 
-// handleRequest has the loop end a request, passes the answer on and tells how it went.
+// handleRequest hands a request to the loop, writes its response and returns how it ended.
 func (f *frontend) handleRequest(
 	w http.ResponseWriter,
 	r *http.Request,
 	req *request,
 	event balancer.RequestArrived,
 ) requestResult {
-	var uploadEnded <-chan struct{}   // closed when an upload has ended, which may be well or not
-	var clientChecks <-chan time.Time // at its client: the server hears nothing ahead of a body's end
+	var uploadEnded <-chan struct{} // closed when reading the upload has ended, with or without an error
+	// While a body is still to come, the HTTP server does not detect that the client leaves.
+	var clientChecks <-chan time.Time // when to check whether the client has left
 	if req.outbound.upload != nil {
 		uploadEnded = req.outbound.upload.readingEnded
 		ticker := time.NewTicker(clientGoneLimit / 2)
@@ -185,7 +187,7 @@
 		}
 		select {
 		case <-uploadEnded:
-			continue // see above
+			continue // the select above handles it
 		case resp := <-req.response:
 			f.askToClose(w, r)
 			return f.writeResponse(w, req, resp)
@@ -203,18 +205,18 @@
 	}
 }
 
-// abandon ends a request whose client has left, or has only ended its sending and can still read. Without a
-// word from here the server would send it 200, which no backend said.
+// abandon ends a request whose client has left, or has only ended its sending side and can still read.
+// Without an explicit response the HTTP server would send 200, which no backend has sent.
 func (f *frontend) abandon(w http.ResponseWriter, req *request) {
 	f.server.post(func() { f.server.abandonRequest(req) })
 	writeComplete(w, response{status: http.StatusBadGateway})
 }
 
-// writeResponse gives a client its answer.
+// writeResponse writes a response to its client.
 func (f *frontend) writeResponse(w http.ResponseWriter, req *request, a response) requestResult {
 	if up := req.outbound.upload; up != nil {
 		if besteffort.Close(up.pipe); up.completedAt.Load() == 0 {
-			w.Header().Set("Connection", "close") // what it has still to send is not read
+			w.Header().Set("Connection", "close") // the rest of the upload is not read
 		}
 	}
 	if a.stream == nil {
@@ -224,7 +226,7 @@
 	err := a.stream.writeTo(w, req.deadline)
 	a.stream.ended <- err
 	if err != nil {
-		f.server.log.Info("streamed response broke off", "id", req.id, "err", err)
+		f.server.log.Info("streamed response failed", "id", req.id, "err", err)
 		return requestResult{outcome: outcomeAborted, truncated: true}
 	}
 	return requestResult{outcome: outcomeSucceeded, answered: true}
--- a/internal/proxy/listener/clientgone.go
+++ b/internal/proxy/listener/clientgone.go
@@ -9,29 +9,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClientGone reports whether the client has ended its connection, or its sending, as far as the system knows,
-// also behind bytes that nobody has read. The server's own read, which waits for that, may come later than an
-// attempt.
+// ClientGone reports whether the client has closed its connection, or its sending side, as far as the
+// kernel knows, also where unread bytes come before that end. The background read of the HTTP server,
+// which detects the same, may come later than an attempt.
 func (c *Conn) ClientGone() bool {
 	raw, err := c.socket()
 	if err != nil {
 		return true // closed
 	}
 	gone := false
-	// not Read, which would wait for the server's
+	// Control, because RawConn.Read would wait for a read of the HTTP server.
 	err = raw.Control(func(fd uintptr) { gone = hasEnded(int(fd)) })
 	return gone || err != nil
 }
 
-// waitForClientEnd waits until the client has, and reads nothing meanwhile: there is no buffer for more. An
-// error other than io.EOF says that the wait was called off.
+// waitForClientEnd waits until the client ends its connection or its sending side. It reads nothing, as
+// the buffer for pipelined bytes is full. It returns io.EOF at the client's end; another error means that
+// the wait was interrupted.
 func (c *Conn) waitForClientEnd() error {
 	raw, err := c.socket()
 	if err != nil {
 		return err
 	}
 	c.mu.Unlock()
-	err = raw.Read(func(fd uintptr) bool { return hasEnded(int(fd)) }) // asked whenever something has come
+	err = raw.Read(func(fd uintptr) bool { return hasEnded(int(fd)) }) // called again whenever bytes arrive
 	c.mu.Lock()
 	if err != nil {
 		return err
@@ -40,6 +41,7 @@
 	return io.EOF
 }
 
+// socket returns the raw socket below the connection, or net.ErrClosed if there is none.
 func (c *Conn) socket() (syscall.RawConn, error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -48,7 +50,8 @@
 	return sc.SyscallConn()
 }
 
-// hasEnded reports whether nothing more comes on a socket but what is there to be read.
+// hasEnded reports whether the peer of a socket has ended its side, so that nothing follows the bytes
+// that can be read already.
 func hasEnded(fd int) bool {
 	var b [1]byte
 	if n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); n <= 0 {
--- a/internal/proxy/listener/conn.go
+++ b/internal/proxy/listener/conn.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// lingerTimeout is for a client to close after the proxy has: a round trip,
-	// around the planet at most, and a busy client's own time.
+	// lingerTimeout is how long Close waits for the client to close its side: a round trip, at most around
+	// the planet, and the time that a busy client takes.
 	lingerTimeout = 500 * time.Millisecond
-	// maxLingerBytes are read of what a client still sends then: some of the
-	// longest requests. One that sends more reads no answer.
+	// maxLingerBytes bounds the bytes that are read and discarded meanwhile: a few of the longest requests.
+	// A client that sends more does not read its response.
 	maxLingerBytes    = 256 << 10
-	pipelinedReadSize = 1 << 10 // bytes read at a time behind a request in flight
+	pipelinedReadSize = 1 << 10 // bytes of each read behind a request in flight
 )
 
-// Conn is a client's connection.
+// Conn is a client's connection. It passes the HTTP server only requests of unambiguous length, and
+// buffers what the client sends behind a request in flight.
 type Conn struct {
 	net.Conn
 	listener  *Listener
-	startedAt atomic.Int64 // when the request under way did, or the connection
-	release   func()
+	startedAt atomic.Int64 // Unix nanoseconds of the first byte of the current request, or of the accept
+	release   func()       // frees the slot of the connection
 
-	mu             sync.Mutex // of what follows
+	mu             sync.Mutex // protects the fields below
 	state          state
-	evictedUnused  bool  // it gave way ahead of its first byte
-	readError      error // how the client's side has; nil: it has not
-	hasUnreadBytes bool  // there are bytes ahead of that
+	evictedUnused  bool  // evicted before its first byte came
+	readError      error // how the client ended its side; nil while it has not
+	hasUnreadBytes bool  // the client ended its side behind bytes that were not read
 	framing        framing
-	inFlight       bool   // the server has a whole request, and has not ended it
-	hasReceived    bool   // something has come before
-	pipelined      []byte // what came after the end of a request
+	inFlight       bool   // the HTTP server has a complete request and has not finished it
+	hasReceived    bool   // some bytes of the client have been passed to the HTTP server
+	pipelined      []byte // bytes received behind the end of the current request
 }
 
-// Read holds back what follows a head of ambiguous length. It ends at the end
-// of a request: an error in what comes behind a request must not end the
-// request. The server never has two reads at a time.
+// Read withholds what follows a head of ambiguous length. It returns no bytes beyond the end of a
+// request, because an error in the bytes behind a request must not end that request. The HTTP server
+// never runs two reads at a time.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +53,7 @@
 		case c.framing.err != nil:
 			return 0, c.framing.err
 		case c.readError != nil:
-			return 0, c.readError // whatever is kept: a client that has left is owed no more
+			return 0, c.readError // also with pipelined bytes: a client that has left is owed no more responses
 		case len(c.pipelined) > 0 && !background:
 			n, err := c.followFraming(p[:copy(p, c.pipelined)])
 			c.pipelined = c.pipelined[n:]
@@ -75,12 +76,13 @@
 	}
 }
 
-// isBackgroundRead reports whether a read is the server's beside a handler, by which it hears that the client
-// leaves. It asks for one byte, and hears nothing more once it has one: so it gets none. Where the request
-// ends is not known of one in chunks, but there the server reads one byte at no other time.
+// isBackgroundRead reports whether a read is the background read that the HTTP server runs during a
+// handler to detect that the client leaves. It asks for one byte, and detects nothing more once it has
+// that byte; so it gets none. The end of a chunked request is not known here, but in a chunked body the
+// server reads a single byte only in its background read.
 func (c *Conn) isBackgroundRead(p []byte) bool { return c.inFlight || c.framing.chunked && len(p) == 1 }
 
-// receive takes what the client has sent, unless the connection has been closed.
+// receive reads what the client has sent, and returns io.EOF if the connection has been closed here.
 func (c *Conn) receive(p []byte) (int, error) {
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
@@ -92,18 +94,19 @@
 		return 0, err
 	}
 	if c.state == closed {
-		return 0, io.EOF // upon another error the server says 400
+		return 0, io.EOF // any other error makes the HTTP server answer 400
 	}
 	c.state = active
 	return n, nil
 }
 
-// followFraming follows what the server is given, and tells how much that is.
+// followFraming tracks the framing of the bytes that the HTTP server is to be given, and returns how many
+// of them it may get. The first byte of a later request starts HeadTimeout.
 func (c *Conn) followFraming(p []byte) (int, error) {
 	if c.framing.isBetweenRequests() && c.hasReceived {
 		now := time.Now()
 		c.startedAt.Store(now.UnixNano())
-		if d := c.listener.HeadTimeout; d > 0 { // the server begins to count at the fourth byte
+		if d := c.listener.HeadTimeout; d > 0 { // the HTTP server starts its own timeout at the fourth byte
 			besteffort.SocketOption(c.Conn.SetReadDeadline(now.Add(d)))
 		}
 	}
@@ -116,7 +119,8 @@
 	return n, nil
 }
 
-// SetReadDeadline leaves a connection that has been closed as it is.
+// SetReadDeadline sets the read deadline, unless the connection has been closed: then the expired one
+// remains.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,19 +130,20 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// StartedAt is when the first byte of the request under way came, or the connection.
+// StartedAt returns when the first byte of the current request came, or when the connection was accepted
+// if no request has begun.
 func (c *Conn) StartedAt() time.Time { return time.Unix(0, c.startedAt.Load()) }
 
-// Pending reports whether something has been read behind the request under way.
+// Pending reports whether bytes have been read behind the current request.
 func (c *Conn) Pending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pipelined) > 0
 }
 
-// Close ends the connection, and then gives its place to another. A close over bytes that nobody has read is
-// a reset, which may destroy an answer on its way; so the client gets Connection: close first, and has some
-// time to close.
+// Close closes the connection and then frees its slot. Closing a socket with unread bytes sends a reset,
+// which may destroy a response on its way; so the client gets Connection: close first, and has up to
+// lingerTimeout to close.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.state = closed
@@ -152,7 +157,8 @@
 	return err
 }
 
-// linger ends the proxy's side, and drops what comes until the client's ends.
+// linger ends the sending side of the proxy, and discards what the client sends until the client ends its
+// side, lingerTimeout is over or maxLingerBytes have come.
 func (c *Conn) linger() {
 	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || writeCloser.CloseWrite() != nil {
--- a/internal/proxy/listener/framing.go
+++ b/internal/proxy/listener/framing.go
@@ -6,34 +6,36 @@
 	"strconv"
 )
 
-// MaxHead is the most bytes of a request's head; the HTTP server must have the same.
+// MaxHead is the maximum number of bytes of a request's head. The HTTP server must have the same limit.
 const MaxHead = 16 << 10
 
-// errFraming makes the HTTP server answer 400 and close.
-var errFraming = errors.New("the request's length is ambiguous")
+// errFraming makes the HTTP server answer 400 and close the connection.
+var errFraming = errors.New("read request: ambiguous body length")
 
-// framing follows the heads that one client sends, ahead of the HTTP server. Where a head allows two opinions
-// on where its body ends, the server settles on one silently, and what the client holds to be body may be
-// taken for a request that it never sent. Such a head is not let through.
+// framing tracks the request heads that one client sends, ahead of the HTTP server. Where a head can be
+// understood in two ways as to where its body ends, the server silently chooses one, and bytes that the
+// client sent as body may be taken for a request that it never sent (request smuggling). Such a head is
+// not passed on.
 type framing struct {
-	headLine        []byte // of a head, so far
-	hasRequestLine  bool   // the head's first line is over
-	isOldVersion    bool   // that line names no HTTP/1.1
-	contentLengths  []string
-	transferCodings int
-	bodyRemaining   int64 // bytes still to come
-	chunked         bool  // this one ends where the server says; what follows is never served
-	requestEnded    bool  // a request has, of which the server has been given the last byte
-	err             error
+	headLine        []byte   // the current line of a head, so far
+	hasRequestLine  bool     // the request line of the current head is complete
+	isOldVersion    bool     // the request line does not name HTTP/1.1
+	contentLengths  []string // values of the Content-Length headers
+	transferCodings int      // number of Transfer-Encoding headers
+	bodyRemaining   int64    // bytes of the current body that are still to come
+	chunked         bool     // only the HTTP server finds the end of this request; nothing behind it is served
+	requestEnded    bool     // the HTTP server has been given the last byte of a request
+	err             error    // why no further byte is passed on
 }
 
-// isBetweenRequests tells that the next byte begins a request.
+// isBetweenRequests reports whether the next byte begins a request.
 func (f *framing) isBetweenRequests() bool {
 	return !f.hasRequestLine && len(f.headLine) == 0 && f.bodyRemaining == 0 && !f.chunked
 }
 
-// follow follows what was read, and tells how much of it may go on: up to the end
-// of a request, or all but the end of a head that leaves f.err.
+// follow tracks the bytes that were read, and returns how many of them may be passed on: up to the end of
+// a request or, where a head line is rejected and f.err is set, up to the end of that line without its
+// line feed.
 func (f *framing) follow(p []byte) int {
 	for i := 0; i < len(p) && !f.chunked; {
 		if f.bodyRemaining > 0 {
@@ -64,22 +66,23 @@
 	return len(p)
 }
 
-// appendLine holds a line to the size of a head: the server refuses a longer one.
+// appendLine adds to the current head line, and cuts it at MaxHead bytes: the HTTP server rejects a
+// longer head.
 func (f *framing) appendLine(p []byte) {
 	f.headLine = append(f.headLine, p[:min(len(p), MaxHead-len(f.headLine))]...)
 }
 
-// endLine reports whether the head is complete.
+// endLine processes a complete head line, and reports whether the head is complete.
 func (f *framing) endLine() (complete bool, err error) {
 	line := bytes.TrimSuffix(f.headLine, []byte("\r"))
-	f.headLine = f.headLine[:0] // its bytes are as they were until the next line comes
+	f.headLine = f.headLine[:0] // line stays valid until the next appendLine
 	switch {
-	case !f.hasRequestLine && len(line) == 0: // allowed ahead of a request
+	case !f.hasRequestLine && len(line) == 0: // an empty line is allowed ahead of a request
 	case !f.hasRequestLine:
 		f.hasRequestLine, f.isOldVersion = true, !bytes.HasSuffix(line, []byte(" HTTP/1.1"))
 	case len(line) == 0:
 		return true, f.endHead()
-	case line[0] == ' ' || line[0] == '\t': // a folded line hides a header from some readers
+	case line[0] == ' ' || line[0] == '\t': // a folded line hides a header from some parsers
 		return false, errFraming
 	default:
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -93,11 +96,12 @@
 	return false, nil
 }
 
-// endHead decides how long the body is. An HTTP/1.0 request knows no coding,
-// and the server would skip the header.
+// endHead determines the length of the body. An HTTP/1.0 request has no transfer codings, and the HTTP
+// server would ignore the header.
 func (f *framing) endHead() error {
 	switch {
-	case f.transferCodings > 0 && (f.transferCodings > 1 || len(f.contentLengths) > 0 || f.isOldVersion), len(f.contentLengths) > 1:
+	case f.transferCodings > 0 && (f.transferCodings > 1 || len(f.contentLengths) > 0 || f.isOldVersion),
+		len(f.contentLengths) > 1:
 		return errFraming
 	case f.transferCodings > 0:
 		f.chunked = true
--- a/internal/proxy/listener/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -9,21 +9,21 @@
 	"wrenspread/internal/socketoption"
 )
 
-// state is a connection's, in net/http's terms. A client whose connection
-// ends between two requests sends the one that crosses this anew; one of whose
-// request a byte has been read is owed an answer. The first request of a new
-// connection is not sent anew, so that is closed last.
+// state is the state of a connection, in the terms of net/http. A client whose connection is closed
+// between two requests sends a request again that crosses the close; a client of whose request a byte has
+// been read is owed a response. The first request on a new connection is not sent again, so new
+// connections are closed last.
 type state int
 
 const (
-	fresh state = iota // nothing has been read
-	active
-	idle   // nothing of a next request has been read
-	closed // what is read later is not taken
+	fresh  state = iota // no byte has been read
+	active              // a request is being received or served
+	idle                // no byte of a next request has been read
+	closed              // bytes that come later are discarded
 )
 
-// TrackState follows which connections are idle, for http.Server's ConnState. The server
-// calls it while it does not read.
+// TrackState tracks which connections are new or idle, for the ConnState callback of http.Server. The
+// server calls it while it does not read from the connection.
 func (l *Listener) TrackState(c net.Conn, s http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,10 +40,10 @@
 		return
 	}
 	l.idle[c] = time.Now()
-	l.full.Store(false) // this one gives way
+	l.full.Store(false) // this connection can be evicted
 }
 
-// markIdle marks a connection as idle, unless something of a next request is here.
+// markIdle marks a connection as idle and returns true, unless bytes of a next request have come.
 func (c *Conn) markIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,16 +55,16 @@
 	return true
 }
 
-// closeInState closes a connection that is in a state, in which nobody is owed an
-// answer: the server's read ends, upon which the server closes it.
+// closeInState closes a connection if it is in state s, in which no response is owed, and reports whether
+// it was: the expired deadline ends the read of the HTTP server, which then closes the connection.
 func (c *Conn) closeInState(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeInStateLocked(s)
 }
 
-// evict is closeInState for a connection that is closed in favour of another. One that has sent nothing,
-// not even, as far as the system knows, just now, has no response on its way: its slot is free at once.
+// evict is closeInState for a connection that is closed in favour of another. A new connection that has
+// sent nothing, as far as the kernel knows, has no response on its way, so that its slot is free at once.
 func (c *Conn) evict(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +75,7 @@
 	return true
 }
 
-// closeInStateLocked is closeInState for a caller that holds the lock.
+// closeInStateLocked is closeInState for a caller that holds c.mu.
 func (c *Conn) closeInStateLocked(s state) bool {
 	if c.state != s {
 		return false
@@ -85,20 +85,21 @@
 	return true
 }
 
-// evictIdle closes the connection that has been idle longest or, with none idle, the one that has sent
-// nothing for longest since it is new. It returns false if there is none.
+// evictIdle closes the connection that has been idle longest or, with none idle, the new connection that
+// has been silent longest, if that is minFreshTime or more. It returns false if there is none.
 func (l *Listener) evictIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	if evictOldest(l.idle, idle, now) {
-		l.fullSince = now // its client has lingerTime
+		l.fullSince = now // its client has lingerTimeout to close
 		return true
 	}
 	return evictOldest(l.fresh, fresh, now.Add(-minFreshTime))
 }
 
-// evictOldest closes the connection that has been in a state for longest, since a time or before.
+// evictOldest evicts the connection that has been in state s longest, if that is since latest or earlier.
+// It reports whether it evicted one.
 func evictOldest(conns map[net.Conn]time.Time, s state, latest time.Time) bool {
 	for len(conns) > 0 {
 		var oldest net.Conn
@@ -118,7 +119,8 @@
 	return false
 }
 
-// closeAllIdle closes all connections that are idle, now or later, and no other.
+// closeAllIdle closes all connections that are idle now, and each later one as it goes idle. It closes no
+// other.
 func (l *Listener) closeAllIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +131,7 @@
 	clear(l.idle)
 }
 
-// CloseNew closes all connections on which nothing has come yet.
+// CloseNew closes all connections on which no byte has come yet.
 func (l *Listener) CloseNew() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/listener/inherited.go
+++ b/internal/proxy/listener/inherited.go
@@ -10,17 +10,18 @@
 	"wrenspread/internal/besteffort"
 )
 
-// Inherited returns the clients' socket that the platform holds, whose descriptor the environment names. It
-// is shared with other processes: it may be closed, but never shut down.
+// Inherited returns the listener for clients that the platform has opened; number is its descriptor, as
+// named in the environment. The socket is shared with other processes: it may be closed, but never shut
+// down.
 func Inherited(number string) (net.Listener, error) {
 	fd, err := strconv.Atoi(number)
 	if err != nil || fd < 0 {
-		return nil, fmt.Errorf("%q is no descriptor", number)
+		return nil, fmt.Errorf("inherit listener: %q is not a descriptor number", number)
 	}
 	syscall.CloseOnExec(fd)
 	f := os.NewFile(uintptr(fd), "clients")
 	if f == nil {
-		return nil, fmt.Errorf("descriptor %d can't be used", fd)
+		return nil, fmt.Errorf("inherit listener: descriptor %d is invalid", fd)
 	}
 	defer besteffort.Close(f)
 	ln, err := net.FileListener(f)
@@ -30,11 +31,12 @@
 	return ln, err
 }
 
-// sharedListener is a socket whose mode belongs to all processes that have it. Whoever passes it on to the
-// next one may set it to block meanwhile, as os/exec does: an accept that finds nobody would then hold up
-// even Close until a client comes.
+// sharedListener is a listener whose blocking mode is shared with all processes that have the socket. A
+// process that passes the socket on may set it to blocking, as os/exec does: an accept that finds no
+// client would then block, and even Close with it, until a client comes.
 type sharedListener struct{ *net.TCPListener }
 
+// Accept sets the socket to non-blocking before each accept.
 func (l sharedListener) Accept() (net.Conn, error) {
 	if raw, err := l.SyscallConn(); err == nil {
 		besteffort.SocketOption(
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -1,7 +1,7 @@
 // Package listener accepts clients' connections for the proxy's HTTP server. It bounds their number, closes
-// idle ones to free slots, withholds requests whose framing is ambiguous (request smuggling), notices clients
-// that leave, and closes connections so that the last response is not lost: by write shutdown, reading to the
-// client's end, and then close.
+// idle ones to free slots, withholds requests whose framing is ambiguous (request smuggling), detects clients
+// that leave, and closes connections without losing the last response: it shuts down writing, reads to the
+// client's end, and then closes.
 package listener
 
 import (
@@ -20,39 +20,41 @@
 )
 
 const (
-	connPollInterval   = 50 * time.Millisecond // between two looks at connections that are to end
-	queueAcceptTimeout = 50 * time.Millisecond // to accept a connection that waits already
-	// for a client that got Connection: close to do so, before another gets it
+	connPollInterval   = 50 * time.Millisecond // between checks of whether all connections have ended
+	queueAcceptTimeout = 50 * time.Millisecond // to accept a connection that already waits in the queue
+	// evictRetryInterval is the time for an evicted client to close, before another one is evicted.
 	evictRetryInterval = 20 * time.Millisecond
-	// minFreshTime is for a new client's first byte to come, before it may give way: a
-	// round trip, or two. Clients connect when they have something to send.
+	// minFreshTime is the time for the first byte of a new client to come, before it can be evicted: one or
+	// two round trips, because clients connect when they have something to send.
 	minFreshTime = 100 * time.Millisecond
 )
 
-// Listener holds accepted connections to a number, so that clients leave
-// descriptors for the servers.
+// Listener bounds the number of accepted connections, so that clients leave descriptors for the backends.
 type Listener struct {
 	net.Listener
-	// for a later request's head to come, from its first byte on; 0: the server's matter
+	// HeadTimeout bounds the time from the first byte of a later request to the end of its head; 0 leaves
+	// that to the HTTP server.
 	HeadTimeout time.Duration
-	// with all places taken and none idle, after which those who can't be taken are shut; 0: they wait
+	// FullTimeout is how long all slots may be taken, with no connection to evict, before further clients
+	// are closed unread; 0 lets them wait in the queue.
 	FullTimeout time.Duration
-	slots       chan struct{}
-	full        atomic.Bool // clients who come now are shut
-	skipLinger  atomic.Bool // no client's close is waited for
-	closed      chan struct{}
-	closeOnce   sync.Once // for that
-
-	// Accept's: since when it has found places taken and none idle; zero: the last one was there at once
+	slots       chan struct{} // one element for each open connection
+	full        atomic.Bool   // new clients are closed unread
+	skipLinger  atomic.Bool   // closing waits for no client
+	closed      chan struct{} // closed by Close
+	closeOnce   sync.Once     // guards closed
+
+	// fullSince is since when Accept has found all slots taken and no connection to evict; zero means that
+	// the last slot was free at once. Only Accept uses it.
 	fullSince time.Time
 
 	mu       sync.Mutex
-	idle     map[net.Conn]time.Time // since when
-	fresh    map[net.Conn]time.Time // the same
-	draining bool                   // none is to stay idle any more
+	idle     map[net.Conn]time.Time // since when each connection is idle
+	fresh    map[net.Conn]time.Time // since when each new connection is open
+	draining bool                   // connections that go idle are closed
 }
 
-// Limit has ln accept most connections at a time.
+// Limit returns a Listener that accepts at most maxConns connections of ln at a time.
 func Limit(ln net.Listener, maxConns int) *Listener {
 	return &Listener{
 		Listener: ln,
@@ -63,10 +65,10 @@
 	}
 }
 
-// Accept frees slots by closing a connection that is not in use: clients that keep connections without using
-// them must not shut out others. With all in use, those that come wait in the listener's queue, and are shut
-// unread once that has lasted for FullTimeout: each then knows, and nobody waits behind a queue that gets
-// ever longer.
+// Accept returns the next connection. It frees a slot by closing a connection that is not in use, so that
+// clients that keep unused connections do not shut out others. With all slots in use, further clients
+// wait in the queue of the socket; once that has lasted for FullTimeout, they are closed unread, so that
+// each learns of it and none waits behind a queue that keeps growing.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		hasSlot := l.takeSlot()
@@ -89,16 +91,15 @@
 	}
 }
 
-// acceptNext takes the next connection off the queue. Where the system has no
-// descriptor left, a client that is not in use gives up its own; the server
-// would wait for up to a second.
+// acceptNext accepts the next connection of the queue. Where the system has no descriptor left, it evicts
+// a client that is not in use and tries again; the HTTP server would wait for up to a second.
 func (l *Listener) acceptNext() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && l.queued():
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return nil, net.ErrClosed // the server goes on after a timeout
+			return nil, net.ErrClosed // the HTTP server accepts again after a timeout
 		case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
 			l.evictIdle()
 			time.Sleep(evictRetryInterval)
@@ -108,8 +109,8 @@
 	}
 }
 
-// takeSlot waits for a place. It returns false where the listener has been closed, or has had none for
-// FullTimeout and now has nobody who gives way.
+// takeSlot waits for a free slot. It returns false where the listener has been closed, or where all slots
+// have been taken for FullTimeout and no connection can be evicted.
 func (l *Listener) takeSlot() bool {
 	select {
 	case l.slots <- struct{}{}:
@@ -124,7 +125,7 @@
 	defer retry.Stop()
 	for {
 		full := !l.evictIdle() && l.FullTimeout > 0 && time.Since(l.fullSince) >= l.FullTimeout
-		l.full.Store(full) // ahead of the last look for a place
+		l.full.Store(full) // ahead of the last check for a free slot
 		select {
 		case l.slots <- struct{}{}:
 			l.full.Store(false)
@@ -139,7 +140,7 @@
 			return true
 		case <-l.closed:
 			return false
-		case <-retry.C: // the client has not closed, or none gave way
+		case <-retry.C: // the evicted client has not closed yet, or none could be evicted
 		}
 	}
 }
@@ -149,17 +150,17 @@
 	l.full.Store(false)
 }
 
-// Full reports whether clients who come now are shut, as far as is known.
+// Full reports whether clients that connect now are closed unread, as far as is known.
 func (l *Listener) Full() bool { return l.full.Load() }
 
-// Close leaves what waits in the queue to other processes, if there are any.
+// Close stops accepting. It leaves the connections in the queue to other processes that share the socket.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// Drain ends accepting, and all idle connections. A listener that is closed
-// resets what waits in its queue, so that is accepted first, as places get free.
+// Drain closes all idle connections and ends accepting. Closing a listener resets the connections in its
+// queue, so those are accepted first, as slots get free.
 func (l *Listener) Drain() {
 	l.closeAllIdle()
 	if ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); !ok ||
@@ -168,17 +169,17 @@
 	}
 }
 
-// queued reports whether a connection waits at the end of accepting, and if so gives Accept time to take it,
-// unless another process does.
+// queued reports whether a connection waits in the queue at the end of accepting. If so, it gives Accept
+// queueAcceptTimeout to take that, as another process may take it first.
 func (l *Listener) queued() bool {
 	ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	return ok && socketoption.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueAcceptTimeout)) == nil
 }
 
-// SkipLinger has connections close at once from now on.
+// SkipLinger makes connections close at once from now on, without waiting for their clients.
 func (l *Listener) SkipLinger() { l.skipLinger.Store(true) }
 
-// WaitForConns returns when ctx ends, or all connections have and the least time is over.
+// WaitForConns returns when ctx ends, or when minWait is over and all connections have been closed.
 func (l *Listener) WaitForConns(ctx context.Context, minWait time.Duration) {
 	for ok := backoff.Sleep(ctx, minWait); ok && len(l.slots) > 0; {
 		ok = backoff.Sleep(ctx, connPollInterval)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -9,9 +9,11 @@
 	"wrenspread/balancer"
 )
 
+// inboxSize is the number of posted functions that may wait for the loop.
 const inboxSize = 1024
 
-// loop is the one owner of the balancer and the requests.
+// loop runs the functions that are posted to it, and is the only goroutine that uses the balancer and the
+// requests. Functions of do come first.
 func (srv *Server) loop(ctx context.Context) {
 	defer close(srv.ended)
 	for {
@@ -32,7 +34,7 @@
 	}
 }
 
-// post has f run by the loop; once that has ended it does nothing.
+// post makes the loop run f; it does nothing once the loop has ended.
 func (srv *Server) post(f func()) {
 	select {
 	case srv.inbox <- f:
@@ -40,7 +42,8 @@
 	}
 }
 
-// do has the loop run f ahead of its inbox, and returns when it has.
+// do makes the loop run f ahead of its inbox, and returns when f has returned. It returns false if the
+// loop has ended.
 func (srv *Server) do(f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -52,20 +55,21 @@
 	return true
 }
 
-// now is the balancer's clock: wall time at the start plus what has passed, so
-// that it reads like the list's times and never steps back.
+// now is the balancer's clock: wall time at the start plus the time that has passed since, so that it
+// compares with the times in the endpoint list and never steps back.
 func (srv *Server) now() balancer.Time {
 	return time.Duration(srv.start.UnixNano()) + time.Since(srv.start)
 }
 
-// handle tells the balancer of an event and carries out what it decides, in order.
+// handle passes an event to the balancer and carries out its actions, in order. Events that arise
+// meanwhile are queued.
 func (srv *Server) handle(e balancer.Event) {
 	srv.pendingEvents = append(srv.pendingEvents, e)
 	if len(srv.pendingEvents) > 1 {
-		return // the call further up gets to it
+		return // the outer call of handle processes it
 	}
 	if srv.policy != nil {
-		srv.policy.ledger.AdvanceTo(time.Since(srv.start)) // the hand by which requests are judged
+		srv.policy.ledger.AdvanceTo(time.Since(srv.start)) // the time at which requests are admitted
 	}
 	for len(srv.pendingEvents) > 0 {
 		for _, a := range srv.balancer.Handle(srv.now(), srv.pendingEvents[0]) {
@@ -75,11 +79,12 @@
 	}
 	srv.pendingEvents = nil
 	switch e.(type) {
-	case balancer.TimerFired, balancer.Maintenance, balancer.EndpointsUpdated: // often enough for a figure
+	case balancer.TimerFired, balancer.Maintenance, balancer.EndpointsUpdated: // often enough for a metric
 		srv.stats.ejected.Store(int64(srv.balancer.Ejected()))
 	}
 }
 
+// carryOut executes an action of the balancer.
 func (srv *Server) carryOut(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.StartAttempt:
@@ -112,7 +117,7 @@
 	}
 }
 
-// sendMessage passes a message on to one proxy, or to all others.
+// sendMessage sends a message of the balancer to one proxy, or to all others.
 func (srv *Server) sendMessage(a balancer.SendMessage) {
 	if !a.ToAll {
 		srv.peers.Load().send(a.To, a.Data)
--- a/internal/proxy/memorybudget.go
+++ b/internal/proxy/memorybudget.go
@@ -5,17 +5,20 @@
 	"errors"
 )
 
-// memoryBudget bounds how many messages that are not small are in memory at a time, in each direction, so
-// that they take an eighth of the memory at most.
+// memoryBudget bounds how many messages over maxSmallBody are in memory at a time, in each direction, so
+// that they take at most an eighth of the memory.
 type memoryBudget chan struct{}
 
+// errNoMemory means that no memory for a message became free within memoryWait.
 var errNoMemory = errors.New("no room for long messages")
 
+// newMemoryBudget returns the budget of one direction for a proxy that may use memoryMB megabytes.
 func newMemoryBudget(memoryMB int) memoryBudget {
 	return make(memoryBudget, max(8, memoryMB<<20/8/messageMemory))
 }
 
-// reserveOnce returns a function that takes a place of the budget once, and sets back to what returns it.
+// reserveOnce returns a function that reserves the memory of one message, and sets release to the
+// function that returns it. Further calls reserve nothing.
 func (b memoryBudget) reserveOnce(release *func()) func(context.Context) error {
 	return func(ctx context.Context) error {
 		if *release != nil {
@@ -33,7 +36,7 @@
 	}
 }
 
-// releaseBudget returns the place of the budget that a response has taken.
+// releaseBudget returns the memory that is reserved for a response, if any.
 func (c *conn) releaseBudget() {
 	if c.releaseMemory != nil {
 		c.releaseMemory()
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -13,24 +13,25 @@
 	"time"
 )
 
+// deadlineHeader names the header with the seconds that remain for the response.
 const deadlineHeader = "X-Deadline"
 
-// outbound is what goes to a server for a client's request.
+// outbound is a client's request as it is sent to a backend.
 type outbound struct {
 	method string
 	url    *url.URL
 	host   string
-	header http.Header // end to end ones
+	header http.Header // end-to-end headers only
 	body   []byte
-	upload *upload // what follows the body above; nil: it is all
+	upload *upload // the rest of the body; nil if body is complete
 }
 
-// encode writes the request in full, so that one write sends it and its result reports whether the last byte
-// left.
+// encode returns the complete request as bytes, so that one write sends it and its result tells whether
+// the last byte was written. wait is the time that remains for the response.
 func (o *outbound) encode(wait time.Duration) ([]byte, error) {
 	uri := o.url.RequestURI()
 	if o.host == "" || strings.ContainsFunc(o.host+uri, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
-		return nil, errors.New("not a request that can be sent")
+		return nil, errors.New("encode request: invalid character in host or target, or no host")
 	}
 	b := make([]byte, 0, 512+len(o.body))
 	line := func(parts ...string) {
@@ -51,7 +52,7 @@
 		}
 	}
 	names = append(names, deadlineHeader)
-	slices.Sort(names) // the same request, the same bytes
+	slices.Sort(names) // equal requests give equal bytes
 	for _, name := range names {
 		if name == deadlineHeader {
 			line(name, ": ", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
@@ -65,21 +66,22 @@
 	return append(b, o.body...), nil
 }
 
-// streamingRequest is the same for a long request, which goes out as it comes until ctx ends.
+// streamingRequest is encode for an upload, which is sent as it comes until ctx ends.
 func (o *outbound) streamingRequest(ctx context.Context, wait time.Duration) *http.Request {
 	body := io.MultiReader(
 		bytes.NewReader(o.body),
 		&attemptUpload{ctx, o.upload, o.upload.length - int64(len(o.body))},
 	)
 	if o.upload.length >= 0 {
-		// Writing reads on past a stated length. The answer may be here by then, and the upload closed.
+		// Request.Write reads on past a stated length. By then the response may have come, and the upload may
+		// be closed.
 		body = io.LimitReader(body, o.upload.length)
 	}
 	r := &http.Request{Method: o.method, URL: o.url, Host: o.host, Header: o.header.Clone(),
 		Body: io.NopCloser(body), ContentLength: o.upload.length}
 	r.Header.Set(deadlineHeader, strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 	if _, ok := r.Header["User-Agent"]; !ok {
-		r.Header["User-Agent"] = nil // none was sent, none is made up
+		r.Header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	return r
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -13,36 +13,39 @@
 	"wrenspread/internal/besteffort"
 )
 
-const idleTimeoutFraction = 0.75 // of the settings' idle time: the server must never be the first to close
+// idleTimeoutFraction is the part of the idle timeout in the settings after which the pool closes a
+// connection: the backend must never be the first to close.
+const idleTimeoutFraction = 0.75
 
-// pool keeps connections to servers. It never sends anything itself.
+// pool holds the connections to backends. It never sends anything itself.
 type pool struct {
 	dialer      net.Dialer
 	pause       func(context.Context, time.Duration) bool
 	maxIdleTime time.Duration
-	forwards    *atomic.Int64 // attempts written completely
+	forwards    *atomic.Int64 // attempts whose request was written completely
 
 	mu                sync.Mutex
-	openConnections   int // connections, idle, in use or being dialled
+	openConnections   int // idle, in use or being dialled
 	maxConnections    int
-	sharesConnections bool // with another process of this proxy: half of them
+	sharesConnections bool // another process of this proxy has half of maxConnections
 	backends          map[balancer.EndpointID]*backend
-	idleCandidates    []*backend                   // those with idle connections, and some that had them lately
-	barredBackends    map[balancer.EndpointID]bool // nothing is written to them
-	memory            memoryBudget                 // for answers that are not small
+	idleCandidates    []*backend                   // with idle connections now, or some lately
+	barredBackends    map[balancer.EndpointID]bool // endpoints to which nothing is written
+	memory            memoryBudget                 // for response bodies over maxSmallBody
 }
 
-// backend is one process of a server. A restart or a new address makes a new
-// one, to which the old one's connections never return.
+// backend is one process of an endpoint. A restart or a new address makes a new backend, to which the
+// connections of the previous one never return.
 type backend struct {
 	address         string
 	startedAtMS     int64
-	closed          bool
-	draining        bool    // nothing new is to be written to it
-	isIdleCandidate bool    // it is among the pool's used ones
-	idle            []*conn // the one used last comes last
+	closed          bool    // replaced by another process, or removed
+	draining        bool    // nothing new may be written to it
+	isIdleCandidate bool    // it is in the idleCandidates of the pool
+	idle            []*conn // in the order of their last use
 }
 
+// newPool returns a pool of at most maxConnections connections.
 func newPool(s balancer.Settings, maxConnections int) *pool {
 	p := &pool{
 		maxConnections: maxConnections,
@@ -57,7 +60,7 @@
 	return p
 }
 
-// configure takes the settings that concern connections.
+// configure applies the settings that concern connections.
 func (p *pool) configure(s balancer.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,15 +72,15 @@
 	}
 }
 
-// idleTime is how long a connection may stay idle.
+// idleTime returns how long a connection may stay idle.
 func (p *pool) idleTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.maxIdleTime
 }
 
-// setBackend takes a server's address from the list. Connections to an earlier
-// process of it are worthless and are closed.
+// setBackend sets the address and start time of an endpoint. Connections to an earlier process are
+// useless and are closed.
 func (p *pool) setBackend(id balancer.EndpointID, address string, startedAtMS int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,6 +94,7 @@
 	p.backends[id] = &backend{address: address, startedAtMS: startedAtMS}
 }
 
+// removeBackend removes an endpoint that is no longer listed, and closes its idle connections.
 func (p *pool) removeBackend(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,7 +105,7 @@
 	}
 }
 
-// closeIdle closes the connections to a server that carry nothing.
+// closeIdle closes the idle connections of an endpoint.
 func (p *pool) closeIdle(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,8 +114,7 @@
 	}
 }
 
-// halve leaves half of the connections to another process of this proxy, or
-// takes them back.
+// halve leaves half of the connections to another process of this proxy, or takes them back.
 func (p *pool) halve(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,6 +123,7 @@
 	}
 }
 
+// limit returns how many connections may be open at a time.
 func (p *pool) limit() int {
 	if p.sharesConnections {
 		return max(1, p.maxConnections/2)
@@ -127,8 +131,8 @@
 	return p.maxConnections
 }
 
-// barBackend has nothing more written to a server, whatever was picked before, or
-// lets it be used again.
+// barBackend makes sure that nothing more is written to an endpoint, even if it has been chosen already,
+// or allows writing again.
 func (p *pool) barBackend(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +141,7 @@
 	}
 }
 
-// setDraining reports whether a server takes nothing new.
+// setDraining records whether an endpoint drains, so that nothing new may be written to it.
 func (p *pool) setDraining(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,14 +150,15 @@
 	}
 }
 
-// isBarred reports whether nothing may be written on a connection any more: since its server was picked, that
-// has restarted, moved, begun to drain or left the list, or is held.
+// isBarred reports whether nothing may be written on a connection any more: since the endpoint was
+// chosen, it has restarted, moved, begun to drain, left the list or been barred.
 func (p *pool) isBarred(id balancer.EndpointID, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c.backend.closed || c.backend.draining || p.barredBackends[id]
 }
 
+// closeIdleLocked closes the idle connections of a backend. The caller holds p.mu.
 func (p *pool) closeIdleLocked(b *backend) {
 	for _, c := range b.idle {
 		besteffort.Close(c.Conn)
@@ -162,7 +167,8 @@
 	b.idle = nil
 }
 
-// evict closes the connection that has been idle longest.
+// evict closes the connection that has been idle longest, and returns false if there is none. The caller
+// holds p.mu.
 func (p *pool) evict() bool {
 	var oldest *backend
 	for _, b := range p.idleCandidates {
@@ -179,7 +185,7 @@
 	return true
 }
 
-// expire closes the connections that have been idle too long.
+// expire closes the connections that have been idle for maxIdleTime.
 func (p *pool) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,6 +196,7 @@
 	})
 }
 
+// closeExpiredLocked is expire for one backend. The caller holds p.mu.
 func (p *pool) closeExpiredLocked(b *backend, now time.Time) {
 	expired := 0
 	for expired < len(b.idle) && now.Sub(b.idle[expired].idleSince) >= p.maxIdleTime {
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -10,35 +10,39 @@
 )
 
 const (
-	guardDelay = 4 * time.Millisecond // after which the proxy itself ends what the balancer has not ended
-	// for a long request to come, at half of the slowest rate and with long waits
+	// guardDelay is the time after a deadline at which the proxy ends a request that the balancer has not
+	// ended.
+	guardDelay = 4 * time.Millisecond
+	// maxUploadTime bounds the time of an upload: the longest one at half of the slowest client's rate, with
+	// long pauses.
 	maxUploadTime = time.Hour
-	// clientGoneLimit is the most after which nothing begins for a client that has left.
+	// clientGoneLimit is the time after which no attempt may begin for a client that has left.
 	clientGoneLimit = 100 * time.Millisecond
 )
 
-// request is a client's request until it is answered and its attempts have ended.
+// request is a client's request, until it is answered and its attempts have ended.
 type request struct {
 	id              balancer.RequestID
 	class           string
-	settingsNumber  int // number of those that its class is of
+	settingsNumber  int // number of the settings that its class is from
 	outbound        *outbound
 	deadline        time.Time
-	response        chan response // takes the one final answer
+	response        chan response // receives the one final response
 	answered        bool
 	cancelAttempts  []context.CancelFunc
 	runningAttempts int
 	deadlineGuard   *time.Timer
-	// by its name in the catalogue, until the request is over; empty: tenants are not distinguished
+	// tenant is named as in the catalogue, until the request has ended; empty if tenants are not
+	// distinguished.
 	tenant        string
-	stream        *responseStream // the long answer that has begun; nil: none
+	stream        *responseStream // the streamed response that has begun; nil if there is none
 	parked        bool            // it has waited for its tenant's part of the catalogue
-	releaseMemory func()          // gives back what its body has taken; may be nil
-	client        *listener.Conn  // nil: not known
-	clientGone    <-chan struct{} // closed when the server knows that the client has left
+	releaseMemory func()          // returns the memory reserved for its body; may be nil
+	client        *listener.Conn  // nil if not known
+	clientGone    <-chan struct{} // closed when the HTTP server has detected that the client left
 }
 
-// abandoned reports whether a request's client has left, which the loop may not know yet.
+// abandoned reports whether the client of a request has left, which the loop may not know yet.
 func (r *request) abandoned() bool {
 	select {
 	case <-r.clientGone:
@@ -48,28 +52,29 @@
 	}
 }
 
-// response is a final answer to a client.
+// response is a final response to a client.
 type response struct {
 	status     int
-	retryAfter time.Duration // of a refusal; 0: no advice
+	retryAfter time.Duration // of a rejection; 0 means no advice
 	header     http.Header
 	body       []byte
-	stream     *responseStream // instead of the body, if it is long
+	stream     *responseStream // instead of body, for a long response
 }
 
-// openRequest takes a client's request and tells the balancer of it. The answer comes
-// on r.answer.
+// openRequest registers a client's request and passes it to the balancer. The response comes on
+// r.response.
 func (srv *Server) openRequest(r *request, e balancer.RequestArrived) {
 	if srv.requests[r.id] != nil {
-		// Two under one id would get each other's answers.
+		// Two open requests with the same ID would get each other's responses.
 		r.answered = true
 		r.response <- response{status: http.StatusConflict}
 		return
 	}
-	settingsNumber := srv.frontend.rules.Load().number // those that the balancer has, as both change in one step
+	settingsNumber := srv.frontend.rules.Load().number // as in the balancer: both change in one step
 	if maxOpen := srv.config.Settings.MaxOpenRequests; maxOpen > 0 && len(srv.requests) >= maxOpen ||
 		r.settingsNumber < settingsNumber-1 {
-		// The balancer does not know its class any more: another of that name may be repeated freely.
+		// The balancer no longer has the settings of the request's class: a present class of the same name may
+		// allow retries freely.
 		r.answered = true
 		r.response <- response{status: http.StatusServiceUnavailable}
 		return
@@ -81,7 +86,7 @@
 	srv.requests[r.id] = r
 	if r.outbound.upload != nil {
 		e.Incomplete, e.Timeout = true, r.outbound.upload.responseTimeout
-		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // its time has not begun
+		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // placeholder until the last byte is sent
 		srv.handle(e)
 		return
 	}
@@ -90,7 +95,7 @@
 	srv.handle(e)
 }
 
-// requestSent begins the time of a request whose last byte has gone out just now.
+// requestSent starts the deadline of an upload whose last byte has just been sent.
 func (srv *Server) requestSent(r *request, wait time.Duration) {
 	if r.answered {
 		return
@@ -102,16 +107,15 @@
 	srv.handle(balancer.RequestSent{ID: r.id, Timeout: wait})
 }
 
-// guardDeadline guards a request's deadline.
+// guardDeadline answers a request shortly after its deadline, if the balancer has not ended it: a
+// response in time is owed whatever the balancer does.
 func (srv *Server) guardDeadline(r *request, timeout time.Duration) {
-	// The balancer ends a request at its deadline. The guard is for one that it
-	// does not end, as an answer in time is owed whatever it does.
 	r.deadlineGuard = time.AfterFunc(timeout+guardDelay, func() {
 		srv.post(func() {
 			if !r.answered {
 				srv.answerRequest(r.id, response{status: http.StatusGatewayTimeout})
 				for _, cancel := range r.cancelAttempts {
-					cancel() // a module that lost the request does not call them off
+					cancel() // a balancer that has lost the request does not cancel them
 				}
 				srv.handle(balancer.RequestAbandoned{ID: r.id})
 			}
@@ -119,7 +123,7 @@
 	})
 }
 
-// abandonRequest ends a request whose client has gone.
+// abandonRequest ends a request whose client has left.
 func (srv *Server) abandonRequest(r *request) {
 	if !r.answered {
 		srv.closeRequest(r)
@@ -127,7 +131,7 @@
 		return
 	}
 	select {
-	case resp := <-r.response: // it came too late
+	case resp := <-r.response: // the response came too late
 		if resp.stream != nil {
 			resp.stream.ended <- errClientGone
 		}
@@ -135,8 +139,8 @@
 	}
 }
 
-// answerRequest gives a request its final answer. All answers pass here, and only
-// the first goes on.
+// answerRequest gives a request its final response. All responses pass here, and only the first is
+// delivered.
 func (srv *Server) answerRequest(id balancer.RequestID, resp response) {
 	if r := srv.requests[id]; r != nil && !r.answered {
 		r.response <- resp
@@ -144,12 +148,14 @@
 	}
 }
 
+// closeRequest marks a request as answered, and forgets it once its attempts have ended.
 func (srv *Server) closeRequest(r *request) {
 	r.answered = true
 	r.deadlineGuard.Stop()
 	srv.forgetRequest(r)
 }
 
+// forgetRequest removes a request that is answered and has no running attempts.
 func (srv *Server) forgetRequest(r *request) {
 	if r.answered && r.runningAttempts == 0 {
 		delete(srv.requests, r.id)
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	maxBufferedBody     = 64 << 10 // of a request or an answer that is in memory as a whole
-	maxResponseHead     = 16 << 10 // of an answer
-	maxInterimResponses = 8        // 1xx answers ahead of the real one
+	maxBufferedBody     = 64 << 10 // bytes of a request or response body that is buffered completely
+	maxResponseHead     = 16 << 10 // bytes
+	maxInterimResponses = 8        // 1xx responses ahead of the final one
 )
 
-// receive reads one answer to its end; clean tells that the connection can
-// carry another request.
+// receive reads one response to its end, or the beginning of a long one. clean reports whether the
+// connection can carry another request.
 func (c *conn) receive(ctx context.Context, method string) (res result, clean bool, err error) {
 	c.budget.N = maxResponseHead + maxBufferedBody
 	var resp *http.Response
@@ -34,14 +34,14 @@
 			break
 		}
 		if i == maxInterimResponses || resp.StatusCode == http.StatusSwitchingProtocols {
-			return res, false, fmt.Errorf("unexpected answer %s", resp.Status)
+			return res, false, fmt.Errorf("read response: unexpected status %s", resp.Status)
 		}
 	}
 	res.loadReport = parseLoad(resp.Header.Get("X-Load"))
 	if resp.ContentLength > maxStreamedBody {
 		return res, false, errTooLong
 	}
-	c.budget.N = math.MaxInt64 // the body is held to its own size
+	c.budget.N = math.MaxInt64 // the size of the body is bounded separately
 	body, long, err := readResponseBody(ctx, resp, c.pool.memory.reserveOnce(&c.releaseMemory))
 	if err != nil {
 		return res, false, err
@@ -69,8 +69,9 @@
 	return res, !resp.Close && !long && c.reader.Buffered() == 0, nil
 }
 
-// readResponseBody reads an answer's body. Where that is long, or may be and takes its
-// time, it is not read to its end.
+// readResponseBody reads a response's body. long reports that the body has more than maxBufferedBody
+// bytes, or that it has no stated length and takes longer than maxBufferingTime: then only its beginning
+// has been read, if any.
 func readResponseBody(
 	ctx context.Context,
 	resp *http.Response,
@@ -109,8 +110,8 @@
 	}
 }
 
-// parseLoad reads a load report. One that is malformed in any part is ignored
-// as a whole: half a report says less than the count it would replace.
+// parseLoad parses a load report. A report that is malformed in any part is ignored completely, because
+// an incomplete report says less than the count that it would replace.
 func parseLoad(s string) *balancer.LoadReport {
 	if s == "" {
 		return nil
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -11,27 +11,27 @@
 
 const (
 	maxStreamedBody  = 32 << 20               // bytes of any body
-	copyBufferSize   = 16 << 10               // of a long body on its way
-	maxBufferingTime = 100 * time.Millisecond // an answer of no stated length begins after that
-	// progressTimeout is how long either side of a long message may stand still.
+	copyBufSize      = 16 << 10               // bytes in which a long body is copied
+	maxBufferingTime = 100 * time.Millisecond // then a response of no stated length is streamed
+	// progressTimeout is how long either side of a long message may stall.
 	progressTimeout = 20 * time.Second
 )
 
-// errClientGone ends an answer that nobody reads on.
+// errClientGone ends a message whose client has left.
 var errClientGone = errors.New("the client has gone")
 
-// responseStream is a long answer that has begun: its client gets it as it comes.
+// responseStream is a long response that has begun, and is forwarded to its client as it comes.
 type responseStream struct {
-	length int64 // of all; negative: not stated
-	start  []byte
+	length int64  // of the complete body; negative if not stated
+	start  []byte // the part of the body that has been read
 	rest   io.Reader
 	conn   *conn
-	ended  chan error // takes how it ended, once
+	ended  chan error // receives once how the stream ended
 	canceller
 }
 
-// writeTo writes a stream to its client, piece by piece. An error means that the
-// client does not have all of it. due is when its request's time is over.
+// writeTo forwards a stream to its client, piece by piece. An error means that the client does not have
+// the complete response. deadline is that of the request.
 func (s *responseStream) writeTo(w http.ResponseWriter, deadline time.Time) error {
 	control := http.NewResponseController(w)
 	s.begin(func() {
@@ -41,6 +41,7 @@
 	return s.finish(s.copyTo(w, control, deadline))
 }
 
+// copyTo is writeTo without the registration of what interrupts the stream.
 func (s *responseStream) copyTo(
 	w http.ResponseWriter,
 	control *http.ResponseController,
@@ -62,13 +63,13 @@
 		}
 		return nil
 	}
-	lastReadAt := time.Now() // from the last read
+	lastReadAt := time.Now() // return of the last read
 	err, passed := writePart(s.start), int64(len(s.start))
 	s.start = nil
-	for buf := make([]byte, copyBufferSize); err == nil; {
+	for buf := make([]byte, copyBufSize); err == nil; {
 		var n int
 		var readErr error
-		deadline = deadline.Add(time.Since(lastReadAt)) // only the server's time counts
+		deadline = deadline.Add(time.Since(lastReadAt)) // only the backend's time counts
 		besteffort.SocketOption(s.conn.SetReadDeadline(s.progressDeadline(deadline, passed)))
 		if s.isCancelled() {
 			return errResponseCut
@@ -88,16 +89,18 @@
 	return err
 }
 
-// progressDeadline is when more of it must have come. Of a long answer the first byte is
-// timed, of any other the last one, and one of no stated length is long only
-// once so much has come: until then it may not drip on past its request's time,
-// and still gets there at the rate that is asked of clients.
+// progressDeadline returns when the next part of the stream must have come. A response of stated length,
+// and any response once it has more than maxBufferedBody bytes, only has to make progress. Until then, a
+// response of no stated length must not drip on beyond its request's deadline, but may still arrive at
+// minBodyRate, the rate that is required of clients.
 func (s *responseStream) progressDeadline(deadline time.Time, passed int64) time.Time {
 	progressBy := time.Now().Add(progressTimeout)
 	if s.length >= 0 || passed > maxBufferedBody {
 		return progressBy
 	}
-	if last := deadline.Add(bodyStartGrace + time.Duration(passed)*time.Second/minBodyRate); last.Before(progressBy) {
+	if last := deadline.Add(
+		bodyStartGrace + time.Duration(passed)*time.Second/minBodyRate,
+	); last.Before(progressBy) {
 		return last
 	}
 	return progressBy
--- a/internal/proxy/typecheck.go
+++ b/internal/proxy/typecheck.go
@@ -9,20 +9,21 @@
 	"strings"
 )
 
-// typeChecker finds which values of a file don't have the type of their key, and which
-// keys have no meaning.
+// typeChecker finds the values of a configuration file that do not have the type of their key, and the
+// keys that do not exist.
 type typeChecker struct{ problems, unknown []string }
 
-// check goes through what JSON has under path, which is to have the type of like.
+// check compares the JSON value at path with the type of want.
 func (k *typeChecker) check(path string, value, want any) { k.walk(path, value, reflect.TypeOf(want)) }
 
+// walk is check for the type t.
 func (k *typeChecker) walk(path string, value any, t reflect.Type) {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	_, raw := reflect.New(t).Interface().(*json.RawMessage)
 	switch {
-	case value == nil || raw: // null is as good as absent
+	case value == nil || raw: // null counts as absent
 	case t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(unmarshalerType):
 		k.object(path, value, t)
 	case t.Kind() == reflect.Slice:
@@ -44,6 +45,7 @@
 	}
 }
 
+// object checks the keys and values of an object against the fields of the struct type t.
 func (k *typeChecker) object(path string, value any, t reflect.Type) {
 	object, ok := value.(map[string]any)
 	if !ok {
@@ -54,7 +56,7 @@
 		at := strings.TrimPrefix(path+"."+key, ".")
 		field, known := t.FieldByNameFunc(func(name string) bool {
 			f, _ := t.FieldByName(name)
-			return strings.EqualFold(f.Tag.Get("json"), key) // as encoding/json has it
+			return strings.EqualFold(f.Tag.Get("json"), key) // keys match without regard to case, as in encoding/json
 		})
 		if !known {
 			k.unknown = append(k.unknown, at+": no such key; it is passed over")
@@ -64,8 +66,9 @@
 	}
 }
 
+// addProblem records that the value at path is not what want says.
 func (k *typeChecker) addProblem(path string, value any, want string) {
-	text, _ := json.Marshal(value) // it comes from JSON
+	text, _ := json.Marshal(value) // it can't fail: the value was decoded from JSON
 	if len(text) > 40 {
 		text = append(text[:40], "..."...)
 	}
@@ -77,6 +80,7 @@
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
+// kindNames describes the kinds of values in problems.
 var kindNames = map[reflect.Kind]string{
 	reflect.String:  "a string",
 	reflect.Bool:    "true or false",
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	bodyStartGrace = 400 * time.Millisecond // for a body to begin, behind a head that took all its time
-	minBodyRate    = 32 << 10               // bytes a second, half of what the slowest client sends
+	bodyStartGrace = 400 * time.Millisecond // for a body to begin, after a head that took all of its time
+	minBodyRate    = 32 << 10               // bytes per second: half of the rate of the slowest client
 )
 
-// bodyReader reads a request's body in the time that is its due: as long as it
-// comes at half of the least rate that clients have, and not under readTime
-// from the request's first byte. Time in which nobody reads does not count.
+// bodyReader reads a request's body and enforces its rate: the body must come at minBodyRate or faster,
+// but has at least readTimeout from the first byte of the request. Time in which the proxy does not read
+// does not count.
 type bodyReader struct {
 	body       io.Reader
 	stopped    atomic.Bool
 	control    *http.ResponseController
-	startedAt  time.Time // the request's first byte
-	headEnd    time.Time // its last one of the head, moved on by time not spent in reading
-	lastReadAt time.Time // from the last read
-	received   int64
+	startedAt  time.Time // first byte of the request
+	headEnd    time.Time // end of its head, moved on by the time not spent reading
+	lastReadAt time.Time // return of the last read
+	received   int64     // bytes
 }
 
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
@@ -46,7 +46,7 @@
 	return b
 }
 
-// progressDeadline is when the next part of the body must have come.
+// progressDeadline returns when the next part of the body must have come.
 func (b *bodyReader) progressDeadline() time.Time {
 	deadline := b.headEnd.Add(bodyStartGrace + time.Duration(b.received)*time.Second/minBodyRate)
 	if earliest := b.startedAt.Add(readTimeout); deadline.Before(earliest) {
@@ -55,6 +55,7 @@
 	return deadline
 }
 
+// Read reads the next part of the body, until progressDeadline.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	b.headEnd = b.headEnd.Add(time.Since(b.lastReadAt))
 	besteffort.SocketOption(b.control.SetReadDeadline(b.progressDeadline()))
@@ -64,48 +65,49 @@
 	n, err := b.body.Read(p)
 	b.received += int64(n)
 	b.lastReadAt = time.Now()
-	if err == io.EOF { // the server goes on reading, to hear whether the client leaves
+	if err == io.EOF { // the HTTP server reads on, to detect that the client leaves
 		besteffort.SocketOption(b.control.SetReadDeadline(time.Time{}))
 	}
 	return n, err
 }
 
-// stop ends a read under way and all later ones.
+// stop ends a read in progress and all later ones.
 func (b *bodyReader) stop() {
 	b.stopped.Store(true)
 	besteffort.SocketOption(b.control.SetReadDeadline(time.Unix(1, 0)))
 }
 
-// upload is what is still to come of a body too long to be kept: it goes from
-// the client to a server as that takes it.
+// upload is the rest of a body that is too long to be buffered: it passes from the client to a backend as
+// fast as the backend reads it.
 type upload struct {
-	length          int64 // of the whole body; negative: not stated
+	length          int64 // of the complete body; negative if not stated
 	pipe            *io.PipeReader
 	reader          *bodyReader
-	completedAt     atomic.Int64  // when its last byte went out; 0: not yet
-	consumed        atomic.Bool   // some of it has been, so that no other attempt can have it
+	completedAt     atomic.Int64  // Unix nanoseconds at which the last byte was sent; 0 before
+	consumed        atomic.Bool   // some of it has been read by an attempt, so that no other attempt can send it
 	clientGone      func() bool   // reports whether the client has left
-	clientGoneAtEnd atomic.Bool   // it had when its last byte was to go out
+	clientGoneAtEnd atomic.Bool   // the client had left when the last byte was to be sent
 	readingEnded    chan struct{} // closed when nothing more is read from the client
-	err             error         // how reading from the client failed, once ended is closed
+	err             error         // why reading from the client failed; valid once readingEnded is closed
 	onComplete      func(wait time.Duration)
-	responseTimeout time.Duration // from its last byte on
+	responseTimeout time.Duration // from the last byte on
 
 	mu                   sync.Mutex
-	countedAsOutstanding bool // it counts as taken from its client
-	countEnded           bool // and as ended
+	countedAsOutstanding bool // countStart has counted the request
+	countEnded           bool // countEnd has been called
 }
 
-// pump reads a body to its end, as fast as the upload is taken.
-func (u *upload) pump(maxBytes int64, w *io.PipeWriter) {
+// pump reads the body to its end into w, as fast as attempts read the upload. A body of more than
+// limit bytes fails.
+func (u *upload) pump(limit int64, w *io.PipeWriter) {
 	defer close(u.readingEnded)
-	n, err := io.CopyBuffer(struct{ io.Writer }{w}, io.LimitReader(u.reader, maxBytes+1), make([]byte, copyBufferSize))
+	n, err := io.CopyBuffer(struct{ io.Writer }{w}, io.LimitReader(u.reader, limit+1), make([]byte, copyBufSize))
 	switch {
-	case err == nil && n > maxBytes:
+	case err == nil && n > limit:
 		err = errTooLong
-	case errors.Is(err, io.ErrClosedPipe): // nobody wants the rest
+	case errors.Is(err, io.ErrClosedPipe): // no attempt needs the rest
 		besteffort.Drained(
-			io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, maxBytes), make([]byte, copyBufferSize)),
+			io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, limit), make([]byte, copyBufSize)),
 		)
 		return
 	}
@@ -113,16 +115,16 @@
 	w.CloseWithError(err)
 }
 
-// attemptUpload is an upload as an attempt reads it until ctx ends.
+// attemptUpload is the part of an upload that one attempt reads, until ctx ends.
 type attemptUpload struct {
 	ctx context.Context
 	*upload
-	remaining int64 // bytes until its end; negative: not stated
+	remaining int64 // bytes until the end of the body; negative if not stated
 }
 
-// Read takes some of it. Whoever ends ctx before it asks whether some has been
-// taken hears of it, or no more will be. A server begins at the last byte, so
-// none gets that of a client that has left.
+// Read reads the next bytes. It sets consumed before it checks ctx: so whoever ends ctx, and then finds
+// consumed unset, knows that nothing will be read. A backend begins to serve at the last byte, so the
+// last byte is withheld if the client has left.
 func (t *attemptUpload) Read(p []byte) (int, error) {
 	if t.ctx.Err() == nil {
 		t.consumed.Store(true)
@@ -139,7 +141,7 @@
 	return n, err
 }
 
-// close ends the reading from the client, if that goes on.
+// close stops reading from the client, if that has not ended.
 func (u *upload) close() {
 	select {
 	case <-u.readingEnded:
@@ -149,15 +151,14 @@
 	}
 }
 
-// drain reads what the client has still to send, at the rate that is its due,
-// and returns at its end. A client that is cut off while it sends may never
-// read the answer that waits for it.
+// drain reads and discards what the client has still to send, and returns at the end of the body. A
+// client that is cut off while it sends may never read the response that waits for it.
 func (u *upload) drain() {
 	besteffort.Close(u.pipe)
 	<-u.readingEnded
 }
 
-// clientFailed tells that the client has broken off.
+// clientFailed reports whether the client has broken off the upload.
 func (u *upload) clientFailed() bool {
 	select {
 	case <-u.readingEnded:
@@ -167,7 +168,7 @@
 	}
 }
 
-// countStart counts the request as taken, once its last byte has gone out.
+// countStart counts the request as outstanding, once its last byte has been sent.
 func (u *upload) countStart(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -177,7 +178,7 @@
 	}
 }
 
-// countEnd counts it as ended.
+// countEnd counts the request as ended.
 func (u *upload) countEnd(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -186,11 +187,10 @@
 	}
 }
 
-// errTooLong says that a message is longer than any may be.
+// errTooLong means that a body has more than maxStreamedBody bytes.
 var errTooLong = errors.New("it is too long")
 
-// readStart reads a body to its end, or to the size that is kept; rest tells
-// that there is more.
+// readStart reads a body to its end, or up to the size that is buffered; rest reports that there is more.
 func readStart(
 	ctx context.Context,
 	body io.Reader,
@@ -208,12 +208,12 @@
 }
 
 const (
-	maxSmallBody  = 16 << 10
-	messageMemory = maxBufferedBody + 2*copyBufferSize
-	memoryWait    = 5 * time.Second // to wait for some
+	maxSmallBody  = 16 << 10                        // bytes of a body that needs no memory budget
+	messageMemory = maxBufferedBody + 2*copyBufSize // bytes that one larger message takes at most
+	memoryWait    = 5 * time.Second                 // for a place in the memory budget
 )
 
-// startUpload goes on with a body whose start has been read.
+// startUpload starts to read the rest of a body of which start bytes have been read.
 func startUpload(r *http.Request, body *bodyReader, start int, wait time.Duration) *upload {
 	read, write := io.Pipe()
 	u := &upload{
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -21,7 +21,7 @@
 	maxDeadline = time.Hour
 )
 
-// requestError is the answer to a request that is not taken.
+// requestError is the response to a request that is not accepted.
 type requestError struct {
 	status int
 	err    error
@@ -31,6 +31,7 @@
 
 func (e *requestError) Unwrap() error { return e.err }
 
+// badRequest returns an error that is answered with status 400 and its text.
 func badRequest(format string, args ...any) error {
 	return &requestError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
@@ -64,7 +65,7 @@
 		return nil, event, err
 	}
 	timeout = f.remainingTime(timeout - answerMargin)
-	deadline := time.Now().Add(timeout) // its last byte has come now, and its client waits from there
+	deadline := time.Now().Add(timeout) // the client waits from now on, as the last byte has come
 	f.updateLatestDeadline(deadline)
 	out := newOutbound(r, body.start)
 	if body.isLong {
@@ -120,6 +121,7 @@
 	releaseMemory func()      // may be nil
 }
 
+// readBody reads a request's body, or the beginning of a long one. An error is a *requestError.
 func (f *frontend) readBody(w http.ResponseWriter, r *http.Request) (requestBody, error) {
 	if r.ContentLength > maxStreamedBody {
 		return requestBody{}, rejectUnread(
@@ -157,7 +159,7 @@
 	return &requestError{status, fmt.Errorf(format, args...)}
 }
 
-// newOutbound makes what goes to an endpoint for a client's request.
+// newOutbound returns a client's request as it is sent to an endpoint.
 func newOutbound(r *http.Request, body []byte) *outbound {
 	return &outbound{
 		method: r.Method,
@@ -173,7 +175,8 @@
 	}
 }
 
-// updateLatestDeadline notes how long the front may have to stay, whatever its settings say by then.
+// updateLatestDeadline records how long the frontend may have to run to answer its requests, whatever its
+// settings are by then.
 func (f *frontend) updateLatestDeadline(deadline time.Time) {
 	for at := int64(deadline.Sub(f.server.start)); ; {
 		if before := f.latestDeadline.Load(); at <= before || f.latestDeadline.CompareAndSwap(before, at) {
@@ -182,8 +185,8 @@
 	}
 }
 
-// checkMethodAndKey checks a request's form. The method and the key tell the server what a
-// repeat would do, so they must agree with what the balancer believes.
+// checkMethodAndKey checks that a request has the method and the Idempotency-Key of its class. They tell
+// the backend what a retry would do, so they must agree with what the balancer assumes.
 func checkMethodAndKey(r *http.Request, class string, idempotency balancer.Idempotency) error {
 	want := http.MethodPost
 	if idempotency == balancer.Idempotent {
@@ -200,6 +203,7 @@
 	return nil
 }
 
+// parseSeconds parses a positive number of seconds, and cuts it at maxDeadline.
 func parseSeconds(s string) (time.Duration, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
--- a/internal/proxy/writeresponse.go
+++ b/internal/proxy/writeresponse.go
@@ -11,7 +11,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// writeComplete passes an answer on, and tells what it was to the client.
+// writeComplete writes a complete response, and returns how the request ended for its client.
 func writeComplete(w http.ResponseWriter, resp response) requestOutcome {
 	besteffort.SocketOption(http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)))
 	if resp.status != http.StatusOK {
@@ -31,7 +31,7 @@
 	return outcomeAborted
 }
 
-// writeHeader begins an answer. Without a length it goes in chunks.
+// writeHeader writes the head of a response. A negative length means that the body is sent in chunks.
 func writeHeader(w http.ResponseWriter, resp response, length int64) {
 	h := w.Header()
 	for name, values := range endToEnd(resp.header) {
@@ -49,7 +49,8 @@
 	w.WriteHeader(resp.status)
 }
 
-// hopByHopHeaders lists the headers that concern one connection only.
+// hopByHopHeaders lists the headers that concern one connection only, and those that are meant for the
+// proxy.
 var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -64,7 +65,7 @@
 	"X-Not-Run",
 }
 
-// endToEnd returns the headers that are passed on. Their values are shared.
+// endToEnd returns the headers that are forwarded. Their values are shared with h.
 func endToEnd(h http.Header) http.Header {
 	out := maps.Clone(h)
 	for _, line := range h.Values("Connection") {
@@ -80,6 +81,6 @@
 	return out
 }
 
-// protectedHeaders headers stay, whatever a client's Connection header says: without
-// them a server could not tell a repeat.
+// protectedHeaders are forwarded even if a client's Connection header names them: without them a backend
+// could not recognise a retry.
 var protectedHeaders = []string{"X-Request-Id", "Idempotency-Key"}
