--- a/internal/proxy/behind_test.go
+++ b/internal/proxy/behind_test.go
@@ -15,14 +15,16 @@
 	nextGet     = "GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: next\r\nX-Class: saldo\r\nX-Deadline: 60\r\n\r\n"
 )
 
-// clientDepartures are the ways in which a client goes.
+// clientDepartures are the ways in which a client leaves.
 var clientDepartures = map[string]func(raw){
 	"closed":      func(c raw) { besteffort.Close(c) },
 	"reset":       func(c raw) { besteffort.SocketOption(c.SetLinger(0)); besteffort.Close(c) },
 	"half-closed": func(c raw) { _ = c.CloseWrite() },
 }
 
-// TestDepartedClientCancelsItsRequestDespitePipelinedBytes, whatever it has sent behind its request, which is then not forwarded and counts no more.
+// TestDepartedClientCancelsItsRequestDespitePipelinedBytes checks that the proxy detects that a client
+// leaves whatever it has sent behind its request. The attempt ends, the request no longer counts, and
+// nothing behind it is forwarded.
 func TestDepartedClientCancelsItsRequestDespitePipelinedBytes(t *testing.T) {
 	server, got, gone := silentServer(t)
 	n := startNode(t, server)
@@ -38,7 +40,7 @@
 					until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+min(int64(len(behind)), 16<<10) })
 					leave(c)
 					if id := wait(t, gone, "the attempt's end"); id != "q" {
-						t.Errorf("%q has been sent on", id)
+						t.Errorf("attempt of %q ended, want q", id)
 					}
 					until(t, "the request's end", func() (over bool) {
 						n.do(func() { over = len(n.requests) == 0 && n.stats.outstanding.Load() == 0 })
@@ -49,11 +51,12 @@
 		}
 	}
 	if len(got) > 0 {
-		t.Errorf("%q has been sent on", <-got)
+		t.Errorf("request %q was forwarded too", <-got)
 	}
 }
 
-// TestPipelinedRequestsAreServedInOrder: what a client that stays sends meanwhile is served in its turn, also where it is too much to keep.
+// TestPipelinedRequestsAreServedInOrder checks that what a client sends behind a request in flight is
+// served in its turn, also where it is too long for the buffer.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	long := strings.Replace(strings.Replace(wholePost, "Id: q", "Id: next", 1), "4\r\n\r\nrent", "40000\r\n\r\n"+strings.Repeat("x", 40000), 1)
 	for _, behind := range []string{nextGet, "\r\n" + nextGet + nextGet, long, nextGet + long} {
@@ -67,15 +70,16 @@
 			close(release)
 			for range 1 + strings.Count(behind, "HTTP/1.1") {
 				if s := c.status(t); s != http.StatusOK {
-					t.Errorf("answer %d", s)
+					t.Errorf("response %d, want 200", s)
 				}
 			}
 		})
 	}
 }
 
-// TestPipelinedRequestIsAnsweredDuringDrain, though the order to stop and the end of accepting come before the answer to the
-// request ahead of it. Only then the client is told to close.
+// TestPipelinedRequestIsAnsweredDuringDrain checks that a request of which bytes have been read is
+// answered, though SIGTERM and the end of accepting come before the response to the request ahead of it.
+// Only its own response asks the client to close.
 func TestPipelinedRequestIsAnsweredDuringDrain(t *testing.T) {
 	for _, split := range []int{1, 30, len(nextGet)} {
 		for _, late := range []bool{false, true} {
@@ -96,11 +100,11 @@
 				for i, last := range []bool{false, true} {
 					resp, err := http.ReadResponse(c.read, nil)
 					if err != nil {
-						t.Fatalf("answer %d: %v", i, err)
+						t.Fatalf("response %d: %v", i, err)
 					}
 					_, _ = io.Copy(io.Discard, resp.Body)
 					if resp.StatusCode != http.StatusOK || resp.Close != last {
-						t.Errorf("answer %d: %s, told to close %v", i, resp.Status, resp.Close)
+						t.Errorf("response %d: %s, Connection: close %v", i, resp.Status, resp.Close)
 					}
 					if !last {
 						besteffort.Output(io.WriteString(c, nextGet[split:]))
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -14,7 +14,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// skipHead reads a head and as many bytes of a body, without allocation.
+// skipHead reads a head and then body bytes, without allocation.
 func skipHead(r *bufio.Reader, body int) error {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -27,14 +27,15 @@
 	}
 }
 
-// benchProxy is a proxy with one server, which takes bodies of one size, and a connection to the proxy.
+// benchProxy starts a proxy with one backend, which reads bodies of one size, and returns a connection to
+// the proxy.
 func benchProxy(b *testing.B, body int, change func(*Config)) net.Conn {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { besteffort.Close(server) })
-	go func() { // each ends with its connection
+	go func() { // each goroutine ends with its connection
 		for c, err := server.Accept(); err == nil; c, err = server.Accept() {
 			go func() {
 				r := bufio.NewReader(c)
@@ -62,7 +63,7 @@
 	go func() { _ = n.Run(ctx, ln) }()
 	b.Cleanup(func() { stop(); disc.CloseClientConnections(); disc.Close(); <-n.ended })
 	if !n.waitFor(ctx, enough, n.listKnown) {
-		b.Fatal("the node hears of no server")
+		b.Fatal("proxy discovers no endpoint")
 	}
 	c, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -72,8 +73,8 @@
 	return c
 }
 
-// BenchmarkWhole is one request through the whole proxy, on kept connections. Processor time and the time waited include the
-// client's and the server's, which allocate nothing.
+// BenchmarkWhole measures one request through the complete proxy, on persistent connections. Processor
+// time and elapsed time include those of the client and the backend, which allocate nothing.
 func BenchmarkWhole(b *testing.B) {
 	for _, k := range []struct {
 		method, class string
@@ -85,7 +86,7 @@
 	}
 }
 
-// benchRequests sends one request after the other on a connection.
+// benchRequests sends one request after another on a connection.
 func benchRequests(b *testing.B, c net.Conn, method, class string, body int) {
 	const head = " /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: q\r\nX-Class: %s\r\nX-Deadline: 20\r\nContent-Length: %d\r\n\r\n"
 	r, sent := bufio.NewReader(c), []byte(method+fmt.Sprintf(head, class, body)+strings.Repeat("x", body))
@@ -97,7 +98,7 @@
 			b.Fatal(err)
 		}
 		if first, err := r.Peek(12); err != nil || string(first) != "HTTP/1.1 200" || skipHead(r, len("hi")) != nil {
-			b.Fatalf("answer %q, %v", first, err)
+			b.Fatalf("response %q, %v", first, err)
 		}
 	}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/check_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// corruptValue changes one drawn value of a file, or takes its key away.
+// corruptValue replaces one randomly drawn value of a file, or removes its key.
 func corruptValue(r *rand.Rand, value any) any {
 	others := []any{nil, true, -1.0, 1e300, 2.5, "", "odd", "127.0.0.1:1", []any{}, []any{1.0}, map[string]any{}, map[string]any{"odd": 1.0}}
 	switch v := value.(type) {
@@ -33,7 +33,8 @@
 	return others[r.IntN(len(others))]
 }
 
-// TestCheckConfigAgreesWithParseConfig: whatever a file is like, a start that would fail is a problem, and a good one is none.
+// TestCheckConfigAgreesWithParseConfig checks with random files that CheckConfig reports a problem
+// exactly where the start of the proxy would fail.
 func TestCheckConfigAgreesWithParseConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	r := rand.New(rand.NewPCG(20, 2))
@@ -56,13 +57,13 @@
 		}
 		problems, _ := CheckConfig(path)
 		if _, err = parseConfig(raw); (err == nil) != (len(problems) == 0) {
-			t.Fatalf("file %d: the start says %v, the check %q\n%s", i, err, problems, raw)
+			t.Fatalf("file %d: parseConfig returns %v, CheckConfig %q\n%s", i, err, problems, raw)
 		}
 		if err == nil {
 			good++
 		}
 	}
 	if good < files/20 || good > files*9/10 {
-		t.Errorf("%d good files of %d: the draws are no test", good, files)
+		t.Errorf("%d valid files of %d: the sample does not test both outcomes", good, files)
 	}
 }
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -13,19 +13,20 @@
 	"wrenspread/internal/besteffort"
 )
 
-// okResponse is an answer that says what it is for.
+// okResponse is a response whose body is what.
 func okResponse(what string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(what), what)
 }
 
-// attemptPath has one attempt made.
+// attemptPath makes one attempt for a path at endpoint 1.
 func attemptPath(p *pool, path string) result {
 	ctx, cancel := context.WithTimeout(context.Background(), enough)
 	defer cancel()
 	return p.attempt(ctx, 1, get(path), alwaysMayWrite, nil)
 }
 
-// TestUnsolicitedBytesAreNeverTakenForAResponse: what a server says beyond its answer is never taken for the next one's, whenever it comes.
+// TestUnsolicitedBytesAreNeverTakenForAResponse checks that bytes which a backend sends beyond its
+// response are never taken for the next response on the connection, whenever they come.
 func TestUnsolicitedBytesAreNeverTakenForAResponse(t *testing.T) {
 	for name, unasked := range map[string]string{
 		"a second answer":       okResponse("/first"),
@@ -38,9 +39,9 @@
 	} {
 		for _, c := range []struct {
 			when   string
-			idle   bool          // it comes while the connection is idle, else upon the next request on it
-			since  time.Duration // the connection has been idle then
-			number int           // of the connection on which that comes
+			idle   bool          // the bytes come while the connection is idle, otherwise with the next request on it
+			since  time.Duration // how long the connection has been idle by then
+			number int           // the connection that the next request uses
 			want   balancer.Outcome
 		}{
 			{"while idle", true, lateResponseWait, 1, balancer.OK},
@@ -48,7 +49,7 @@
 			{"as the next request leaves", false, lateResponseWait, 0, balancer.ServerError},
 		} {
 			if name == "a second answer" && c.want != balancer.OK {
-				continue // later than any comes
+				continue // excluded: a second response comes within lateResponseWait
 			}
 			t.Run(name+" "+c.when, func(t *testing.T) {
 				first, second := make(chan net.Conn, 1), make(chan int, 1)
@@ -66,38 +67,38 @@
 					t.Fatalf("outcome %d, %q", got.outcome, got.body)
 				}
 				here := p.backends[1].idle[0].Conn
-				speak := func() {
+				sendUnsolicited := func() {
 					besteffort.Output(io.WriteString(<-first, unasked))
 					waitReadable(t, here)
 				}
 				ageIdleConns(p, c.since)
 				p.pause = func(_ context.Context, rest time.Duration) bool {
 					if rest > 0 {
-						speak() // amid the rest
+						sendUnsolicited() // during lateResponseWait
 					}
 					return true
 				}
 				if c.idle && c.since > 0 {
-					speak()
+					sendUnsolicited()
 				}
 				got := attemptPath(p, "/second")
 				if got.outcome != c.want || got.outcome == balancer.OK && string(got.body) != "/second" {
 					t.Errorf("outcome %d with %q, want %d", got.outcome, got.body, c.want)
 				}
 				if number := wait(t, second, "the second"); number != c.number || got.outcome != balancer.OK && p.openConnections != 0 {
-					t.Errorf("the second comes on connection %d, want %d; then %d are open", number, c.number, p.openConnections)
+					t.Errorf("second request on connection %d, want %d; %d connections open afterwards", number, c.number, p.openConnections)
 				}
 			})
 		}
 	}
 }
 
-// waitReadable returns once a connection has something to read, or its end.
+// waitReadable returns once a connection has bytes to read, or its end.
 func waitReadable(t *testing.T, c net.Conn) {
 	t.Helper()
 	for until := time.Now().Add(enough); isOpenAndEmpty(c); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("what the server says never shows")
+			t.Fatal("nothing from the backend becomes readable")
 		}
 	}
 }
--- a/internal/proxy/crossing_test.go
+++ b/internal/proxy/crossing_test.go
@@ -14,12 +14,12 @@
 	"wrenspread/internal/besteffort"
 )
 
-// hookedConn has something happen at its steps.
+// hookedConn calls a test's functions at certain steps of an attempt.
 type hookedConn struct {
 	*net.TCPConn
-	beforeWrite, afterLastRead func()          // ahead of a write, behind the read of the last byte
-	afterSetDeadline           func(time.Time) // behind a new one
-	unread                     int             // to be read
+	beforeWrite, afterLastRead func()          // before a write; after the read of the last byte
+	afterSetDeadline           func(time.Time) // after each SetDeadline
+	unread                     int             // bytes of the response still to be read
 }
 
 func (c *hookedConn) Write(b []byte) (int, error) {
@@ -41,13 +41,14 @@
 	return err
 }
 
-// TestAttemptRacesWithPoolAndBackendEvents: whatever crosses an attempt on a connection that has been used before, its outcome claims no more than is
-// known, its connection is closed or can be used, and what its answer took of the room is back before another can have it.
+// TestAttemptRacesWithPoolAndBackendEvents checks an attempt on a reused connection against events at the
+// worst moment: its outcome claims no more than is known, its connection is closed or reusable, and the
+// memory reserved for its response is returned before another attempt can use the connection.
 func TestAttemptRacesWithPoolAndBackendEvents(t *testing.T) {
-	answer := okResponse(strings.Repeat("x", maxSmallBody+1)) // takes room
+	answer := okResponse(strings.Repeat("x", maxSmallBody+1)) // needs memory budget
 	for _, c := range []struct {
 		name       string
-		event      string // what happens ahead of the write
+		event      string // what happens before the write
 		onResponse func(p *pool, cancel func())
 		want       balancer.Outcome
 		openAfter  int
@@ -91,7 +92,7 @@
 			idle.Conn = x
 			x.afterSetDeadline = func(at time.Time) {
 				if at.IsZero() && len(p.memory) != 0 {
-					t.Error("the next one can have it before its room is given back")
+					t.Error("connection is reusable before its memory is returned")
 				} else if !at.IsZero() {
 					interrupt()
 				}
@@ -117,13 +118,13 @@
 			if got.outcome != c.want || got.outcome == balancer.OK && len(got.body) != maxSmallBody+1 {
 				t.Errorf("outcome %d with %d bytes, want %d", got.outcome, len(got.body), c.want)
 			}
-			cancel() // too late to spoil anything
+			cancel() // too late to have an effect
 			if p.openConnections != c.openAfter || len(p.memory) != 0 {
-				t.Errorf("%d connections open, %d of the room taken, want %d, 0", p.openConnections, len(p.memory), c.openAfter)
+				t.Errorf("%d connections open, %d messages in the memory budget, want %d, 0", p.openConnections, len(p.memory), c.openAfter)
 			}
 			p.setBackend(1, x.RemoteAddr().String(), 5)
 			if got := attemptPath(p, "/api/x"); got.outcome != balancer.OK || p.openConnections != 1 {
-				t.Errorf("the next one: outcome %d, %d open", got.outcome, p.openConnections)
+				t.Errorf("next attempt: outcome %d, %d connections open, want OK, 1", got.outcome, p.openConnections)
 			}
 		})
 	}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -10,6 +10,7 @@
 	"wrenspread/internal/besteffort"
 )
 
+// TestNotReadyWithoutEndpoints checks that a proxy without endpoints is live but not ready.
 func TestNotReadyWithoutEndpoints(t *testing.T) {
 	n := startNode(t)
 	for path, want := range map[string]int{"/health/ready": 503, "/health/live": 200} {
@@ -24,8 +25,8 @@
 	}
 }
 
-// TestStopAnswersOpenAndLateRequests: after SIGTERM new connections still come for a while; they and
-// what is open get their answers, with the word to close.
+// TestStopAnswersOpenAndLateRequests checks that after SIGTERM new connections are still accepted for a
+// while, and that their requests and those already open are answered.
 func TestStopAnswersOpenAndLateRequests(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 2)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -44,21 +45,21 @@
 	wait(t, got, "the attempt after the stop")
 	select {
 	case err := <-n.ended:
-		t.Fatalf("the node ends with requests open: %v", err)
+		t.Fatalf("proxy ends with open requests: %v", err)
 	default:
 	}
 	n.linger()
 	close(release)
 	for range 2 {
 		if a := wait(t, answers, "an answer"); a.status != 200 || a.body != "hi" {
-			t.Errorf("answer %+v", a)
+			t.Errorf("response %+v, want 200 with hi", a)
 		}
 	}
 	if err := wait(t, n.ended, "the node's end"); err != nil {
-		t.Errorf("the node ends with %v", err)
+		t.Errorf("proxy ends with %v", err)
 	}
 	if c, err := net.Dial("tcp", n.address); err == nil {
 		besteffort.Close(c)
-		t.Error("it listens on")
+		t.Error("proxy still listens")
 	}
 }
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -16,10 +16,12 @@
 	"wrenspread/internal/besteffort"
 )
 
+// TestAttemptOutcomeForEachResponse checks the outcome of an attempt for well-formed, malformed,
+// truncated and oversized responses.
 func TestAttemptOutcomeForEachResponse(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+maxResponseHead+1)
 	for _, c := range []struct {
-		name, answer string // after it the server closes
+		name, answer string // the backend closes after it
 		want         balancer.Outcome
 	}{
 		{"served", okAnswer, balancer.OK},
@@ -70,6 +72,8 @@
 	return n, errors.New("broken")
 }
 
+// TestBreakBeforeTheLastByteIsConnectFailed checks that a request whose last byte was not written is
+// reported as never executed.
 func TestBreakBeforeTheLastByteIsConnectFailed(t *testing.T) {
 	p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -87,8 +91,8 @@
 	}
 }
 
-// TestPoolNeverResendsARequest: a connection that breaks under a request is an
-// outcome; the pool must not send the request again on another one.
+// TestPoolNeverResendsARequest checks that a connection which breaks under a request gives an outcome:
+// the pool must not send the request again on another connection.
 func TestPoolNeverResendsARequest(t *testing.T) {
 	requests := make(chan int, 10)
 	p := testPool(backendServer(t, func(number int, conn net.Conn, r *bufio.Reader) {
@@ -108,17 +112,17 @@
 		t.Errorf("outcome %d, want Reset", got.outcome)
 	}
 	if n := len(requests); n != 2 {
-		t.Errorf("%d requests came, want 2", n)
+		t.Errorf("backend received %d requests, want 2", n)
 	}
 	for range 2 {
 		if number := <-requests; number != 0 {
-			t.Errorf("a request came on connection %d, want 0: the pool keeps connections", number)
+			t.Errorf("request on connection %d, want 0: the pool reuses connections", number)
 		}
 	}
 }
 
-// TestEndedAttemptHasClosedItsConnection: the server must see the end of an attempt no
-// later than the balancer is told, or a further attempt could overlap it.
+// TestEndedAttemptHasClosedItsConnection checks that the backend sees the end of an attempt no later than
+// the balancer, because a further attempt could overlap it otherwise.
 func TestEndedAttemptHasClosedItsConnection(t *testing.T) {
 	for name, want := range map[string]balancer.Outcome{"timed out": balancer.TimedOut, "cancelled": balancer.Cancelled} {
 		got, gone := make(chan struct{}), make(chan struct{})
@@ -145,12 +149,12 @@
 		select {
 		case <-gone:
 		case <-time.After(enough):
-			t.Errorf("%s: the server sees no end", name)
+			t.Errorf("%s: the backend does not see the connection end", name)
 		}
 	}
 }
 
-// blockedWriteConn keeps a writer where it states its time, until the reader has given it up.
+// blockedWriteConn blocks a writer when it sets its deadline, until the reader has cancelled the write.
 type blockedWriteConn struct {
 	*net.TCPConn
 	began, writeCancelled func()
@@ -169,8 +173,8 @@
 	return err
 }
 
-// TestRejectionAheadOfTheRequestLeavesTheUploadIntact: a server may say that it is full as soon as it is connected. Nothing of the request goes to it
-// any more, so that another one can have it.
+// TestRejectionAheadOfTheRequestLeavesTheUploadIntact checks that nothing of a request is sent to a
+// backend that rejects it as soon as it is connected, so that another backend can serve the request.
 func TestRejectionAheadOfTheRequestLeavesTheUploadIntact(t *testing.T) {
 	began, up := make(chan struct{}), make(chan struct{})
 	p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -195,7 +199,7 @@
 		clientGone: func() bool { return false }}
 	got := p.attempt(ctx, 1, o, alwaysMayWrite, nil)
 	if got.outcome != balancer.Rejected || got.bodyDiscarded || p.forwards.Load() != 0 {
-		t.Errorf("outcome %d, spent %v, %d written whole; want one that never ran and is left whole", got.outcome, got.bodyDiscarded, p.forwards.Load())
+		t.Errorf("outcome %d, body discarded %v, %d requests written; want Rejected, false, 0", got.outcome, got.bodyDiscarded, p.forwards.Load())
 	}
 	besteffort.Close(rest)
 }
--- a/internal/proxy/flood_test.go
+++ b/internal/proxy/flood_test.go
@@ -11,8 +11,10 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestBadPeersAreClosedAndLeaveNothingBehind: each gets an error or a close, though it does not close itself, and a burst of clients that leave
-// leaves nothing behind. Descriptors, goroutines and counts return to where they were.
+// TestBadPeersAreClosedAndLeaveNothingBehind checks that each of many clients with a broken or unfinished
+// request gets an error or a close, even if it does not close itself, and that clients which leave during
+// a request leave nothing behind: the numbers of descriptors, goroutines and requests return to those
+// before.
 func TestBadPeersAreClosedAndLeaveNothingBehind(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNode(t, server)
@@ -43,7 +45,7 @@
 	}
 	for _, c := range peers {
 		if _, err := io.ReadAll(c.read); os.IsTimeout(err) {
-			t.Error("a peer has neither an error nor a close")
+			t.Error("a client got neither an error nor a close")
 		}
 	}
 	for _, c := range append(peers, leavers...) {
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -12,13 +12,13 @@
 	"wrenspread/internal/besteffort"
 )
 
-// rawPost is a request as bytes, so that its framing can be wrong.
+// rawPost is a request as bytes, so that a test can make its framing invalid.
 func rawPost(version, id, headers, body string) string {
 	return fmt.Sprintf("POST /api/x HTTP/%s\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: 20\r\n%s\r\n%s",
 		version, id, headers, body)
 }
 
-// echoServer answers each request with its id, and tells of it.
+// echoServer starts a backend that answers each request with its ID, and sends the ID on the channel.
 func echoServer(t *testing.T) (string, chan string) {
 	got := make(chan string, 100)
 	return backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -30,8 +30,8 @@
 	}), got
 }
 
-// TestNoRequestIsSmuggledInABody: whatever a client's bytes look like, nothing
-// that stands in the body of a request reaches a server as a request.
+// TestNoRequestIsSmuggledInABody checks that, whatever a client's bytes look like, nothing in the body of
+// a request reaches a backend as a request.
 func TestNoRequestIsSmuggledInABody(t *testing.T) {
 	hidden := rawPost("1.1", "hidden", "Content-Length: 0\r\n", "")
 	chunk := "0\r\n\r\n" + hidden
@@ -39,7 +39,7 @@
 	const te = "Transfer-Encoding: chunked\r\n"
 	for _, c := range []struct {
 		name, sent string
-		answers    []string // bodies of 200s, or a status
+		answers    []string // bodies of responses with status 200, otherwise the status
 		servers    []string
 	}{
 		{"length, then coding", rawPost("1.1", "outer", length+te, chunk), []string{"400"}, nil},
@@ -67,7 +67,7 @@
 				server, got := echoServer(t)
 				n := startNode(t, server)
 				conn := n.dial(t)
-				go func() { // a close that crosses the rest is no fault
+				go func() { // a close may cross the remaining bytes
 					if whole {
 						besteffort.Output(io.WriteString(conn, c.sent))
 						return
@@ -84,17 +84,17 @@
 				}
 				if c.name != "pipelined" && c.name != "a request as a body" {
 					if resp, err := http.ReadResponse(conn.read, nil); err == nil {
-						t.Errorf("one answer more: %s", resp.Status)
+						t.Errorf("unexpected further response: %s", resp.Status)
 					}
 				}
 				for _, want := range c.servers {
 					if id := wait(t, got, "a request"); id != want {
-						t.Errorf("a server got %q, want %q", id, want)
+						t.Errorf("backend received %q, want %q", id, want)
 					}
 				}
 				select {
 				case id := <-got:
-					t.Errorf("a server got %q beyond what was sent", id)
+					t.Errorf("backend received %q, which no client sent", id)
 				default:
 				}
 			})
@@ -102,7 +102,7 @@
 	}
 }
 
-// requestForms are requests in the forms that a client may choose; %s is the id.
+// requestForms are requests in the forms that a client may choose; %s is the ID.
 var requestForms = []string{
 	"GET /api/x HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: saldo\r\nX-Deadline: 20\r\n\r\n",
 	"GET http://app.svc/api/x?a=b HTTP/1.1\r\nhost:app.svc\r\nx-request-id:%s\r\nX-CLASS: \tsaldo \r\nx-deadline: 20.000\r\n\r\n",
@@ -115,7 +115,8 @@
 		"03;a=b\r\nren\r\n1\r\nt\r\n0\r\nX-Trailer: t\r\n\r\n",
 }
 
-// TestBytewiseRequestsAreServedAndPartialOnesNotForwarded: a request gets its answer byte by byte too, and any part of one of which the client leaves is not forwarded.
+// TestBytewiseRequestsAreServedAndPartialOnesNotForwarded checks that a request which comes byte by byte
+// is answered, and that no beginning of a request is forwarded when its client leaves.
 func TestBytewiseRequestsAreServedAndPartialOnesNotForwarded(t *testing.T) {
 	for i, form := range requestForms {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -127,7 +128,7 @@
 				c := n.dial(t)
 				besteffort.Output(io.WriteString(c, part[:cut]))
 				_ = c.CloseWrite()
-				_, _ = io.Copy(io.Discard, c) // the proxy is done with it
+				_, _ = io.Copy(io.Discard, c) // until the proxy has closed
 			}
 			c := n.dial(t)
 			for _, b := range fmt.Sprintf(form, "whole") {
@@ -138,21 +139,21 @@
 				a = c.answer(t)
 			}
 			if a != "whole" {
-				t.Errorf("answer %q", a)
+				t.Errorf("response %q, want whole", a)
 			}
 			if id := wait(t, got, "a request"); id != "whole" || len(got) > 0 {
-				t.Errorf("a server got %q, and %d more", id, len(got))
+				t.Errorf("backend received %q and %d more, want only whole", id, len(got))
 			}
 		})
 	}
 }
 
-// answer reads a 200's body, or another status.
+// answer reads a response, and returns the body of a 200, otherwise the status.
 func (c raw) answer(t *testing.T) string {
 	t.Helper()
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	body, _ := io.ReadAll(resp.Body)
 	if resp.StatusCode != http.StatusOK {
--- a/internal/proxy/full_test.go
+++ b/internal/proxy/full_test.go
@@ -9,8 +9,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestNotReadyWhileAllSlotsAreTaken: with all places in use a client that comes is shut, and neither health check says
-// that the proxy is ready; both do once a place is free.
+// TestNotReadyWhileAllSlotsAreTaken checks that, with all slots taken, a further client is closed unread
+// and neither health check reports ready; both do once a slot is free.
 func TestNotReadyWhileAllSlotsAreTaken(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNodeWith(t, func(n *Server) { n.frontend.maxConnections = 2 }, server)
@@ -20,7 +20,7 @@
 		probe := httptest.NewRecorder()
 		n.frontend.ServeHTTP(probe, httptest.NewRequest("GET", "/health/ready", nil))
 		if w.Code != probe.Code {
-			t.Errorf("operators hear %d, clients %d", w.Code, probe.Code)
+			t.Errorf("/healthcheck returns %d, /health/ready %d", w.Code, probe.Code)
 		}
 		return w.Code
 	}
@@ -34,11 +34,11 @@
 	late := n.dial(t)
 	late.ask(t, "saldo", "three", "60")
 	if b, err := late.read.ReadByte(); err == nil || os.IsTimeout(err) {
-		t.Errorf("a client that can't be taken reads %q, %v", b, err)
+		t.Errorf("client beyond the slots reads %q, %v, want a close", b, err)
 	}
 	if code := ready(); code != http.StatusServiceUnavailable {
-		t.Errorf("full, the node says %d", code)
+		t.Errorf("status %d with all slots taken, want 503", code)
 	}
 	besteffort.Close(open[0])
-	until(t, "a place to be free", func() bool { return ready() == http.StatusOK })
+	until(t, "a slot to be free", func() bool { return ready() == http.StatusOK })
 }
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -19,8 +19,8 @@
 // waitingAttempts are requests whose next attempt waits for its connection when the client leaves.
 var waitingAttempts = []struct {
 	name  string
-	dials int32                           // the number of the connection that comes up late
-	next  func(n *running, answer func()) // has that attempt begin, once there is another; nil: it is the first
+	dials int32                           // number of the connection that is established late
+	next  func(n *running, answer func()) // starts that attempt once the first one runs; nil if it is the first
 	sent  string
 }{
 	{"first", 1, nil, wholeGet},
@@ -38,8 +38,9 @@
 	{"first of a long one", 1, nil, fmt.Sprintf(postHead+"Content-Length: 70000\r\n\r\n", "q") + strings.Repeat("x", 70000)},
 }
 
-// TestNoAttemptStartsForADepartedClient, by whatever way and with whatever behind its request, also where nothing may be called off.
-// The proxy knows of it by itself, before the connection is there.
+// TestNoAttemptStartsForADepartedClient checks that no attempt is sent for a client that left, in
+// whatever way and with whatever bytes behind its request, also where the settings do not allow
+// cancellation. The proxy detects the departure itself, before the connection is established.
 func TestNoAttemptStartsForADepartedClient(t *testing.T) {
 	for _, w := range waitingAttempts {
 		for how, leave := range clientDepartures {
@@ -83,7 +84,7 @@
 					}
 					n.empty(t)
 					if len(began) > 0 {
-						t.Error("an attempt has begun")
+						t.Error("an attempt reached a backend")
 					}
 				})
 			}
@@ -91,7 +92,8 @@
 	}
 }
 
-// ejectAllEndpoints has the balancer take all servers for suspects, so long ago that the next request to come is a trial.
+// ejectAllEndpoints makes the balancer eject all endpoints, so long ago that the next request is a
+// recovery probe.
 func (n *running) ejectAllEndpoints(t *testing.T) {
 	t.Helper()
 	n.on(t, func() {
@@ -107,12 +109,13 @@
 			}
 		}
 		if n.balancer.Ejected() < len(n.listedEndpoints) {
-			t.Error("there are servers that are no suspects")
+			t.Error("not all endpoints are ejected")
 		}
 	})
 }
 
-// TestLastUploadByteIsWithheldWhenTheClientHasLeft is kept from the server where the client has left, so that it does not begin.
+// TestLastUploadByteIsWithheldWhenTheClientHasLeft checks that a backend does not get the last byte of an
+// upload whose client has left, so that it does not begin to serve it.
 func TestLastUploadByteIsWithheldWhenTheClientHasLeft(t *testing.T) {
 	for _, length := range []int64{maxBufferedBody + 5, -1} {
 		whole := make(chan error, 1)
@@ -135,10 +138,10 @@
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
 		defer cancel()
 		if res := p.attempt(ctx, 1, o, alwaysMayWrite, nil); res.outcome != balancer.Cancelled || !res.bodyDiscarded {
-			t.Errorf("length %d: outcome %d, spent %v", length, res.outcome, res.bodyDiscarded)
+			t.Errorf("length %d: outcome %d, body discarded %v, want Cancelled, true", length, res.outcome, res.bodyDiscarded)
 		}
 		if err := wait(t, whole, "the server"); err == nil {
-			t.Errorf("length %d: a whole request came", length)
+			t.Errorf("length %d: backend received a complete request", length)
 		}
 	}
 }
--- a/internal/proxy/listener/close_test.go
+++ b/internal/proxy/listener/close_test.go
@@ -15,12 +15,13 @@
 
 const testTimeout = 30 * time.Second
 
-// gatedListener is a listener whose connections tell when they are half-closed and closed.
+// gatedListener is a listener whose connections wait at gates before a half-close and, if gateReads is
+// set, after a read. A test opens a gate by calling the function that it receives.
 type gatedListener struct {
 	*net.TCPListener
-	closeWriteGates chan func() // takes what lets the half-close go on
+	closeWriteGates chan func() // gates before each half-close
 	closed          chan bool
-	readGates       chan func() // if hold is set, it takes what lets a read go on that has got bytes
+	readGates       chan func() // gates after each read that returns bytes, if gateReads is set
 	gateReads       atomic.Bool
 }
 
@@ -42,6 +43,7 @@
 	return n, err
 }
 
+// waitAtGate sends a function to gates, and returns once that function has been called.
 func waitAtGate(gates chan<- func()) {
 	opened := make(chan bool)
 	gates <- func() { close(opened) }
@@ -67,7 +69,8 @@
 	return &gatedListener{TCPListener: ln.(*net.TCPListener), closeWriteGates: make(chan func(), 10), closed: make(chan bool, 10), readGates: make(chan func(), 10)}
 }
 
-// serve runs a server that counts requests, and tells when a connection is new or goes idle.
+// serve runs an HTTP server on l that counts requests. states receives a value whenever a connection is
+// new or goes idle.
 func serve(t *testing.T, l *Listener, h http.HandlerFunc) (served *atomic.Int32, states chan bool) {
 	t.Helper()
 	served, states = new(atomic.Int32), make(chan bool, 100)
@@ -104,16 +107,16 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("waited in vain for " + what)
+		t.Fatal("timed out waiting for " + what)
 	}
 	return v
 }
 
-// closeCases are what a client sends, and what comes when its connection is half-closed.
+// closeCases lists what a client sends, and what it sends as its connection is half-closed (crossing).
 var closeCases = []struct {
 	name, sent, crossing string
-	want                 int  // the last answer; 0: none
-	ends                 bool // the server ends the connection by itself
+	want                 int  // status of the last response; 0 means none
+	ends                 bool // the server closes the connection without Drain
 }{
 	{"asked to close", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "", 200, true},
 	{"asked to close, more behind", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 32<<10), "", 200, true},
@@ -125,8 +128,9 @@
 	{"new, crossed", "", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 0, false},
 }
 
-// TestCloseDeliversLastResponseWithoutReset: whatever of a client's bytes nobody has read, it gets its answer and an end. What comes behind is
-// not served. A client that does not close, too, is let go.
+// TestCloseDeliversLastResponseWithoutReset checks that a client gets its response and an end of the
+// connection, never a reset, however many of its bytes are unread. Bytes behind the request are not
+// served. The connection of a client that does not close is closed too.
 func TestCloseDeliversLastResponseWithoutReset(t *testing.T) {
 	for _, c := range closeCases {
 		for _, clientCloses := range []bool{true, false} {
@@ -135,7 +139,7 @@
 				ln := listen(t)
 				l := Limit(ln, 2)
 				conn := dial(t, ln)
-				besteffort.Output(io.WriteString(conn, c.sent)) // all of it is here before the server reads
+				besteffort.Output(io.WriteString(conn, c.sent)) // arrives completely before the server reads
 				served, states := serve(t, l, func(http.ResponseWriter, *http.Request) {})
 				if c.want > 0 {
 					wait(t, states, "the connection")
@@ -144,7 +148,7 @@
 				if c.want > 0 {
 					resp, err := http.ReadResponse(read, nil)
 					if err != nil || resp.StatusCode != c.want {
-						t.Fatalf("answer %v, %v", resp, err)
+						t.Fatalf("response %v, %v", resp, err)
 					}
 				}
 				if !c.ends {
@@ -157,19 +161,19 @@
 					besteffort.Output(io.WriteString(conn, c.crossing))
 					open()
 				case <-ln.closed:
-					t.Fatalf("closed at once: %v", readToEnd(read))
+					t.Fatalf("connection closed without a half-close: %v", readToEnd(read))
 				case <-time.After(testTimeout):
-					t.Fatal("it is not closed")
+					t.Fatal("connection is not closed")
 				}
 				if err := readToEnd(read); err != nil {
-					t.Errorf("it ends with %v", err)
+					t.Errorf("connection ends with %v, want a clean end", err)
 				}
 				if clientCloses {
 					besteffort.Close(conn)
 				}
 				wait(t, ln.closed, "the close")
 				if n := served.Load(); n > 1 {
-					t.Errorf("%d requests served", n)
+					t.Errorf("%d requests served, want at most 1", n)
 				}
 			})
 		}
@@ -181,7 +185,8 @@
 	return err
 }
 
-// TestStalledNextRequestEndsAtHeadTimeout at its first bytes, of which the server takes no notice, is not waited for as an idle client is.
+// TestStalledNextRequestEndsAtHeadTimeout guards against a next request that stops within its first three
+// bytes: the HTTP server does not yet count them as a request, and would wait as for an idle client.
 func TestStalledNextRequestEndsAtHeadTimeout(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln, 1)
@@ -195,9 +200,10 @@
 	wait(t, ln.closeWriteGates, "the half-close")()
 }
 
-// TestBytesReadDuringCloseAreNotServed: bytes that a read has got as the connection is closed are not taken, and the client can tell.
+// TestBytesReadDuringCloseAreNotServed checks that a request which a read returns just as its connection
+// is closed is not served, and that the client sees a clean end.
 func TestBytesReadDuringCloseAreNotServed(t *testing.T) {
-	for _, previous := range []int{0, 1} { // requests before
+	for _, previous := range []int{0, 1} { // requests served before
 		ln := listen(t)
 		l := Limit(ln, 1)
 		served, states := serve(t, l, func(http.ResponseWriter, *http.Request) {})
@@ -219,7 +225,7 @@
 		open()
 		wait(t, ln.closeWriteGates, "the half-close")()
 		if rest, err := io.ReadAll(read); len(rest) > 0 || err != nil || served.Load() != int32(previous) {
-			t.Errorf("after %d requests it ends with %q, %v, and %d have been served", previous, rest, err, served.Load())
+			t.Errorf("after %d requests the connection ends with %q, %v, and %d have been served", previous, rest, err, served.Load())
 		}
 	}
 }
--- a/internal/proxy/listener/full_test.go
+++ b/internal/proxy/listener/full_test.go
@@ -13,7 +13,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestSilentNewClientsAreEvicted: clients that connect, send nothing and do not close must not shut out others, however many.
+// TestSilentNewClientsAreEvicted checks that clients that connect, send nothing and do not close cannot
+// shut out others, however many they are.
 func TestSilentNewClientsAreEvicted(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln.TCPListener, 2)
@@ -25,16 +26,18 @@
 	c := dial(t, ln)
 	besteffort.Output(io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 || served.Load() != 1 {
-		t.Errorf("answer %v, %v, requests %d", resp, err, served.Load())
+		t.Errorf("response %v, %v after %d requests, want 200 after 1", resp, err, served.Load())
 	}
 	for i, c := range silent[:7] {
 		if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-			t.Errorf("silent client %d reads %d bytes, %v", i, n, err)
+			t.Errorf("silent client %d reads %d bytes, %v, want EOF", i, n, err)
 		}
 	}
 }
 
-// TestClientsAreClosedWhileFullAndServedAfterwards are shut, and it is told; one that comes when there is a place again is served.
+// TestClientsAreClosedWhileFullAndServedAfterwards checks that clients are closed unread while all slots
+// are taken for longer than FullTimeout, that Full reports it, and that a client that comes once a slot
+// is free is served.
 func TestClientsAreClosedWhileFullAndServedAfterwards(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln.TCPListener, 1)
@@ -54,26 +57,26 @@
 	wait(t, began, "the request")
 	for range 3 {
 		if n, err := sendRequest().Read(make([]byte, 1)); n != 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%d bytes and %v for a client that can't be taken", n, err)
+			t.Errorf("%d bytes and %v for a client beyond the slots, want a close", n, err)
 		}
 	}
 	if !l.Full() || len(began) > 0 {
-		t.Errorf("full %v, %d requests more", l.Full(), len(began))
+		t.Errorf("full %v, %d more requests served, want true and 0", l.Full(), len(began))
 	}
 	release <- true
 	wait(t, states, "the connection to go idle")
 	if l.Full() {
-		t.Error("it is still full")
+		t.Error("listener is still full after a slot became free")
 	}
 	release <- true
 	for _, c := range []*net.TCPConn{first, sendRequest()} {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-			t.Errorf("answer %v, %v", resp, err)
+			t.Errorf("response %v, %v, want 200", resp, err)
 		}
 	}
 }
 
-// descriptorLimitedListener fails a number of times, as the system does that has no descriptor left.
+// descriptorLimitedListener fails some accepts as a system does that has no descriptor left.
 type descriptorLimitedListener struct {
 	net.Listener
 	failures int
@@ -87,7 +90,8 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptEvictsIdleClientWhenDescriptorsRunOut: idle clients give up theirs, and accepting goes on.
+// TestAcceptEvictsIdleClientWhenDescriptorsRunOut checks that Accept survives a lack of descriptors, and
+// that an idle client gives up its own.
 func TestAcceptEvictsIdleClientWhenDescriptorsRunOut(t *testing.T) {
 	ln := listen(t)
 	limited := &descriptorLimitedListener{Listener: ln.TCPListener}
@@ -103,7 +107,7 @@
 	limited.failures = 2
 	dial(t, ln)
 	if _, err := l.Accept(); err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("accept fails with %v", err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the idle client's read ends with %v", err)
--- a/internal/proxy/listener/inherited_test.go
+++ b/internal/proxy/listener/inherited_test.go
@@ -13,7 +13,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestCloseEndsAcceptOnBlockingSharedSocket also if another process has set it to block.
+// TestCloseEndsAcceptOnBlockingSharedSocket checks that Close ends a waiting Accept, even if another
+// process has set the shared socket to blocking.
 func TestCloseEndsAcceptOnBlockingSharedSocket(t *testing.T) {
 	f, err := listen(t).File()
 	if err != nil {
@@ -47,6 +48,6 @@
 	}
 	go besteffort.Close(l)
 	if err := wait(t, ended, "the end of accepting"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("accept ends with %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/proxy/listener/listener_test.go
+++ b/internal/proxy/listener/listener_test.go
@@ -13,7 +13,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestOldestIdleClientIsEvicted: clients that hold connections and send nothing must not shut out others.
+// TestOldestIdleClientIsEvicted checks that clients that keep idle connections cannot shut out others.
 func TestOldestIdleClientIsEvicted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,16 +46,17 @@
 		select {
 		case <-idle:
 		case <-time.After(30 * time.Second):
-			t.Fatal("the connection does not get idle")
+			t.Fatal("connection does not go idle")
 		}
 		conns = append(conns, c)
 	}
 	if _, err := io.ReadAll(conns[0]); err != nil {
-		t.Errorf("the oldest is not closed: %v", err)
+		t.Errorf("the oldest idle connection is not closed: %v", err)
 	}
 }
 
-// TestClientGoingIdleIsEvictedForWaitingClient to one that came while none was idle.
+// TestClientGoingIdleIsEvictedForWaitingClient checks that a connection that goes idle is closed for a
+// client that came while none was idle.
 func TestClientGoingIdleIsEvictedForWaitingClient(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln, 1)
@@ -81,7 +82,8 @@
 	}
 }
 
-// TestAcceptedConnectionsDisableNagle by the system, on a socket taken over from another process too.
+// TestAcceptedConnectionsDisableNagle checks that the system does not delay small writes, also on a
+// socket that was inherited from another process.
 func TestAcceptedConnectionsDisableNagle(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
 		var ln net.Listener = listen(t).TCPListener
@@ -119,7 +121,8 @@
 	}
 }
 
-// TestDrainServesQueuedConnections of accepting, whether that finds all places taken or Accept not yet called. Then it is closed.
+// TestDrainServesQueuedConnections checks that Drain serves the connections in the queue before the
+// listener is closed, whether all slots are taken or Accept has not been called yet.
 func TestDrainServesQueuedConnections(t *testing.T) {
 	for _, slotTaken := range []bool{false, true} {
 		ln := listen(t)
@@ -148,7 +151,7 @@
 		close(release)
 		for i, c := range queue {
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-				t.Errorf("taken %v: connection %d: %v, %v", slotTaken, i, resp, err)
+				t.Errorf("slot taken %v: connection %d: %v, %v", slotTaken, i, resp, err)
 			}
 			besteffort.Close(c)
 		}
--- a/internal/proxy/outbound_test.go
+++ b/internal/proxy/outbound_test.go
@@ -12,6 +12,8 @@
 	"wrenspread/internal/besteffort"
 )
 
+// TestEncodePreservesTheRequest checks that target, headers and body are sent unchanged, with the time
+// that remains in X-Deadline.
 func TestEncodePreservesTheRequest(t *testing.T) {
 	u := &url.URL{Path: "/api/a/b", RawPath: "/api/a%2Fb", RawQuery: "x=1&y=%20"}
 	o := &outbound{method: "POST", url: u, host: "app.svc", body: []byte("body"),
@@ -27,7 +29,8 @@
 	}
 }
 
-// TestEncodeRejectsInjectedHeaderLines: a host or target that would end its line is not forwarded.
+// TestEncodeRejectsInjectedHeaderLines checks that a request is not forwarded if its host or target would
+// end its line.
 func TestEncodeRejectsInjectedHeaderLines(t *testing.T) {
 	for _, o := range []*outbound{
 		{method: "GET", url: &url.URL{Path: "/x"}, host: "a\r\nX-Request-Id: other"},
@@ -40,12 +43,13 @@
 	}
 }
 
-// TestUploadOfStatedLengthIsNotReadPastItsEnd: the server has the last byte, and may answer before the proxy hears that there are no more.
+// TestUploadOfStatedLengthIsNotReadPastItsEnd guards against a read after the last byte of an upload: the
+// backend has that byte and may answer, which closes the upload before the proxy has seen its end.
 func TestUploadOfStatedLengthIsNotReadPastItsEnd(t *testing.T) {
 	read, write := io.Pipe()
 	go func() {
 		besteffort.Output(io.WriteString(write, "cdef"))
-		besteffort.Close(read) // as the answer's coming does
+		besteffort.Close(read) // as happens when the response comes
 	}()
 	o := outbound{method: "POST", url: &url.URL{Path: "/api"}, host: "app.svc", body: []byte("ab"), header: http.Header{},
 		upload: &upload{length: 6, pipe: read, clientGone: func() bool { return false }}}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -16,35 +16,39 @@
 	"wrenspread/internal/besteffort"
 )
 
+// testPool returns a pool with a backend at address for endpoint 1.
 func testPool(address string) *pool {
 	p := newPool(balancer.Settings{ConnectTimeout: enough, ConnectionIdleTimeout: time.Hour}, 100)
 	p.setBackend(1, address, 0)
 	return p
 }
 
+// get returns a GET request for a path.
 func get(path string) *outbound {
 	return &outbound{method: http.MethodGet, url: &url.URL{Path: path}, host: "app.svc", header: http.Header{"X-Request-Id": {"q"}}}
 }
 
 func alwaysMayWrite() bool { return true }
 
+// hasBarred reports whether an endpoint is barred.
 func (p *pool) hasBarred(id balancer.EndpointID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.barredBackends[id]
 }
 
-// ageIdleConns has all idle connections be idle since so long ago.
+// ageIdleConns makes all idle connections idle since the given time ago, in their order.
 func ageIdleConns(p *pool, since time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.backends {
-		for i, c := range b.idle { // in their order
+		for i, c := range b.idle {
 			c.idleSince = time.Now().Add(time.Duration(i) - time.Duration(len(b.idle)) - since)
 		}
 	}
 }
 
+// attemptOnce makes one attempt at endpoint 1, and discards a streamed response.
 func attemptOnce(t *testing.T, p *pool, wait time.Duration) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -55,8 +59,9 @@
 	})
 }
 
-// TestLocalLimitsDoNotCountAgainstTheBackend: a proxy that has no room for a connection, or no descriptor, must not report that a server
-// could not be reached: the balancer would leave the server out.
+// TestLocalLimitsDoNotCountAgainstTheBackend checks that a proxy which has reached its limit of
+// connections or descriptors does not report the backend as unreachable, because the balancer would eject
+// it.
 func TestLocalLimitsDoNotCountAgainstTheBackend(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 1)
 	p := testPool(backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -69,40 +74,45 @@
 	p.maxConnections = 1
 	first := make(chan result, 1)
 	go func() { first <- attemptOnce(t, p, enough) }()
-	wait(t, got, "the attempt that takes the room")
+	wait(t, got, "the attempt that uses the only connection")
 	if res := attemptOnce(t, p, enough); res.outcome != balancer.NotSent {
-		t.Errorf("no room: code %v, want Moot", res.outcome)
+		t.Errorf("connection limit reached: outcome %v, want NotSent", res.outcome)
 	}
 	close(release)
 	if res := wait(t, first, "its answer"); res.outcome != balancer.OK {
-		t.Errorf("the first: code %v", res.outcome)
+		t.Errorf("first attempt: outcome %v, want OK", res.outcome)
 	}
 	p = testPool(refusing(t))
 	p.dialer.Control = func(string, string, syscall.RawConn) error { return syscall.EMFILE }
 	if res := attemptOnce(t, p, enough); res.outcome != balancer.NotSent {
-		t.Errorf("no descriptor: code %v, want Moot", res.outcome)
+		t.Errorf("no descriptor: outcome %v, want NotSent", res.outcome)
 	}
 }
 
+// TestRefusedConnectionIsConnectFailed checks that an attempt at an endpoint that refuses connections, or
+// is not listed, is reported as never executed.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	if got := attemptOnce(t, testPool(refusing(t)), enough); got.outcome != balancer.ConnectFailed {
 		t.Errorf("outcome %d, want ConnectFailed", got.outcome)
 	}
 	p := newPool(balancer.Settings{}, 100)
 	if got := attemptOnce(t, p, enough); got.outcome != balancer.ConnectFailed {
-		t.Errorf("outcome %d of a server not listed, want ConnectFailed", got.outcome)
+		t.Errorf("outcome %d for an unlisted endpoint, want ConnectFailed", got.outcome)
 	}
 }
 
-// TestSlowConnectionIsConnectTimedOut: one that is not up in time is no proof that the server is gone.
+// TestSlowConnectionIsConnectTimedOut checks that a connection which is not established in time is no
+// proof that the backend is gone.
 func TestSlowConnectionIsConnectTimedOut(t *testing.T) {
 	p := newPool(balancer.Settings{ConnectTimeout: time.Nanosecond}, 100)
 	p.setBackend(1, serving(t), 0)
 	if got := attemptOnce(t, p, enough); got.outcome != balancer.ConnectTimedOut || p.openConnections != 0 {
-		t.Errorf("outcome %d, want ConnectTimedOut; %d connections counted", got.outcome, p.openConnections)
+		t.Errorf("outcome %d, want ConnectTimedOut; %d connections open, want 0", got.outcome, p.openConnections)
 	}
 }
 
+// TestStaleConnectionIsNotUsed checks that an attempt does not use an idle connection that the backend
+// has closed.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{})
 	p := testPool(backendServer(t, func(number int, conn net.Conn, r *bufio.Reader) {
@@ -117,10 +127,10 @@
 	}))
 	attemptOnce(t, p, enough)
 	<-closed
-	// The close has been sent; wait until it shows on this side.
+	// The close has been sent; wait until it arrives here.
 	for until := time.Now().Add(enough); len(p.backends[1].idle) > 0 && isOpenAndEmpty(p.backends[1].idle[0].Conn); {
 		if time.Now().After(until) {
-			t.Fatal("the close never shows")
+			t.Fatal("the close does not arrive")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -130,7 +140,8 @@
 	}
 }
 
-// TestUncleanConnectionIsNotPooled: what follows an answer would be taken for the next one's.
+// TestUncleanConnectionIsNotPooled checks that a connection is closed if bytes follow its response, which
+// would be taken for the next one, or if the backend asks for the close.
 func TestUncleanConnectionIsNotPooled(t *testing.T) {
 	for name, answer := range map[string]string{
 		"more than the answer": okAnswer + okAnswer,
@@ -150,6 +161,8 @@
 	}
 }
 
+// TestRestartAndNewAddressDropOldConnections checks that a new start time or address of an endpoint
+// closes its idle connections at once, and those in use when they are released.
 func TestRestartAndNewAddressDropOldConnections(t *testing.T) {
 	serve := func(name string) string {
 		return backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
@@ -163,7 +176,7 @@
 	attemptOnce(t, p, enough)
 	p.setBackend(1, a, 0)
 	if len(p.backends[1].idle) != 1 {
-		t.Error("the same entry again costs the connection")
+		t.Error("an unchanged entry closes the connection")
 	}
 	p.setBackend(1, a, 5)
 	if p.openConnections != 0 {
@@ -181,10 +194,13 @@
 		t.Errorf("%d connections open after a new address, want 0", p.openConnections)
 	}
 	if got := attemptOnce(t, p, enough); string(got.body) != "b" {
-		t.Errorf("%q answers, want b", got.body)
+		t.Errorf("response %q, want b", got.body)
 	}
 }
 
+// TestIdleConnectionReuseEvictionAndExpiry checks that the most recently used connection is reused first,
+// that the longest idle one is evicted at the limit, and that idle connections are closed by closeIdle
+// and after their time.
 func TestIdleConnectionReuseEvictionAndExpiry(t *testing.T) {
 	address := backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -205,24 +221,24 @@
 		cs = append(cs, c)
 	}
 	if _, err := p.get(ctx, 2); err == nil {
-		t.Error("a third connection opens, over the limit of 2")
+		t.Error("a third connection is opened beyond the limit of 2")
 	}
 	cs[1].release()
 	cs[0].release()
 	ageIdleConns(p, lateResponseWait)
 	if c, _ := p.get(ctx, 1); c != cs[0] {
-		t.Error("the one used last is not taken first")
+		t.Error("the most recently used connection is not reused first")
 	} else {
 		c.release()
 	}
-	c, err := p.get(ctx, 2) // makes room by closing the one that is idle longest
+	c, err := p.get(ctx, 2) // evicts the connection that has been idle longest
 	if err != nil || p.openConnections != 2 || len(p.backends[1].idle) != 1 || p.backends[1].idle[0] != cs[0] {
-		t.Fatalf("at the limit an idle connection does not give way: %v", err)
+		t.Fatalf("no idle connection is evicted at the limit: %v", err)
 	}
 	c.release()
 	p.expire(time.Now().Add(p.maxIdleTime - time.Minute))
 	if p.openConnections != 2 {
-		t.Errorf("%d connections open before their time is up, want 2", p.openConnections)
+		t.Errorf("%d connections open before their idle time is over, want 2", p.openConnections)
 	}
 	p.closeIdle(2)
 	if p.openConnections != 1 {
@@ -230,9 +246,9 @@
 	}
 	p.expire(time.Now().Add(p.maxIdleTime))
 	if p.openConnections != 0 {
-		t.Errorf("%d connections open after their time, want 0", p.openConnections)
+		t.Errorf("%d connections open after their idle time, want 0", p.openConnections)
 	}
 	if p.maxIdleTime >= time.Hour {
-		t.Errorf("connections stay idle for %v of the settings' 1h", p.maxIdleTime)
+		t.Errorf("connections stay idle for %v, want less than the 1h of the settings", p.maxIdleTime)
 	}
 }
--- a/internal/proxy/response_test.go
+++ b/internal/proxy/response_test.go
@@ -12,6 +12,7 @@
 	"wrenspread/internal/besteffort"
 )
 
+// TestParseLoad checks which load reports are parsed, and that a malformed one is ignored completely.
 func TestParseLoad(t *testing.T) {
 	for in, want := range map[string]*balancer.LoadReport{
 		"inflight=7,queue=2,util=0.5": {InFlight: 7, HasInFlight: true, QueueLength: 2, HasQueueLength: true, Utilization: 0.5},
@@ -37,10 +38,11 @@
 
 const okHead, chunkedHead = "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// TestOutcomeForEachResponseEnding: only a whole answer is one, whatever its connection does then. A reset is no end, and silence is none.
+// TestOutcomeForEachResponseEnding checks that only a complete response counts as one, whatever its
+// connection does afterwards: a reset or silence does not end a response.
 func TestOutcomeForEachResponseEnding(t *testing.T) {
 	long := okHead + "\r\n" + strings.Repeat("x", maxBufferedBody+1)
-	const OK, Reset, TimedOut, Full, never = balancer.OK, balancer.ConnectionReset, balancer.TimedOut, balancer.Rejected, -1 // not by the attempt's time
+	const OK, Reset, TimedOut, Full, never = balancer.OK, balancer.ConnectionReset, balancer.TimedOut, balancer.Rejected, -1 // the attempt's deadline does not end it
 	for _, c := range []struct {
 		name, answer          string
 		closed, reset, silent balancer.Outcome
@@ -74,7 +76,8 @@
 	}
 }
 
-// TestEndlessResponsesAreBounded take nothing but their attempts' time.
+// TestEndlessResponsesAreBounded checks that a response which never ends costs no more than its attempt's
+// time.
 func TestEndlessResponsesAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		begin, again string
@@ -99,7 +102,8 @@
 	}
 }
 
-// checkOutcome has a server answer an attempt, which has to end as it should, and to leave nothing taken and the server told.
+// checkOutcome has a backend answer an attempt and checks its outcome. Afterwards no connection is open,
+// no memory is reserved, and the backend has seen the end.
 func checkOutcome(t *testing.T, want balancer.Outcome, answer func(net.Conn, *bufio.Reader)) {
 	t.Parallel()
 	over := make(chan bool, 1)
@@ -117,8 +121,8 @@
 		t.Errorf("outcome %d, want %d", got.outcome, want)
 	}
 	p.closeIdle(1)
-	wait(t, over, "the end of its server's part")
+	wait(t, over, "the backend to finish")
 	if p.openConnections != 0 || len(p.memory) != 0 {
-		t.Errorf("%d connections open, %d of the room taken", p.openConnections, len(p.memory))
+		t.Errorf("%d connections open, %d messages in the memory budget, want none", p.openConnections, len(p.memory))
 	}
 }
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -10,9 +10,10 @@
 	"wrenspread/internal/registry"
 )
 
-// BenchmarkFollow is what a list of some size costs a whole proxy: one change of it, what runs at rest, memory for a server.
+// BenchmarkFollow measures what an endpoint list of a given size costs a complete proxy: one change of
+// the list, the periodic work without changes, and the memory per endpoint.
 func BenchmarkFollow(b *testing.B) {
-	var kept []*Server // their timers hold them for a while, which must not spoil the memory of the next
+	var kept []*Server // timers retain them for a while, which must not distort the memory of the next one
 	defer func() { runtime.KeepAlive(kept) }()
 	for _, servers := range []int{200, 2000, 20000, 54000} {
 		var before, after runtime.MemStats
@@ -22,7 +23,7 @@
 		cfg.Settings.Proxies, cfg.Settings.ProxyIndex, cfg.Settings.AllowGossip = 300, 100, true
 		n := New(cfg, quiet)
 		kept = append(kept, n)
-		close(n.ended) // no loop runs: what timers post is dropped
+		close(n.ended) // no loop runs: functions posted by timers are dropped
 		entry := func(i int, status string) registry.Endpoint {
 			return registry.Endpoint{Name: fmt.Sprint("service-a-", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256), Zone: "zone-a", Type: "m2", Status: status}
 		}
@@ -44,7 +45,7 @@
 			}
 			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/float64(servers), "B/server")
 		})
-		b.Run(fmt.Sprintf("rest/servers=%d", servers), func(b *testing.B) { // a round of checks, one of idle connections
+		b.Run(fmt.Sprintf("rest/servers=%d", servers), func(b *testing.B) { // one round of checks and one of idle connections
 			for b.Loop() {
 				n.handle(balancer.TimerFired{})
 				n.pool.expire(time.Now())
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -15,7 +15,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestStreamedResponsesArriveUnchanged come out as they went in, in each form, and leave the connection in use where their end is told.
+// TestStreamedResponsesArriveUnchanged checks that long responses reach the client unchanged in each form
+// of framing, and that the request is counted as succeeded and no longer outstanding.
 func TestStreamedResponsesArriveUnchanged(t *testing.T) {
 	for _, size := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 200000, 4 << 20} {
 		body := pattern(size)
@@ -55,7 +56,8 @@
 	}
 }
 
-// TestTruncatedStreamIsVisibleToTheClientAndNotRetried: its client can tell, in each form, and it counts as failed. It is not tried again.
+// TestTruncatedStreamIsVisibleToTheClientAndNotRetried checks that a client can detect in each form of
+// framing that a long response broke off, that the request counts as aborted, and that it is not retried.
 func TestTruncatedStreamIsVisibleToTheClientAndNotRetried(t *testing.T) {
 	for form, head := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n",
@@ -67,7 +69,7 @@
 			if readRequest(r) != nil {
 				besteffort.Output(io.WriteString(c, head))
 				besteffort.Output(c.Write(pattern(300000)))
-				if form == "reset" { // else it discards what has not left
+				if form == "reset" { // an early reset discards bytes that have not left yet
 					<-begun
 					besteffort.SocketOption(c.(*net.TCPConn).SetLinger(0))
 				}
@@ -82,14 +84,15 @@
 		}
 		begun <- true
 		if got, err := io.ReadAll(resp.Body); err == nil {
-			t.Errorf("%s: %d bytes look like a whole answer", form, len(got))
+			t.Errorf("%s: %d bytes look like a complete response", form, len(got))
 		}
 		figure(t, address, "app.results.saldo.aborted:1|c")
 		figure(t, address, "app.forwards:1|c")
 	}
 }
 
-// TestStreamOutlivesItsRequestDeadline: once it has begun, only a standstill ends it; and what has come is not held back.
+// TestStreamOutlivesItsRequestDeadline checks that, once a long response has begun, only a stall ends it,
+// and that received bytes are forwarded without delay.
 func TestStreamOutlivesItsRequestDeadline(t *testing.T) {
 	goOn := make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -107,10 +110,10 @@
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(resp.Body, make([]byte, maxBufferedBody)); err != nil {
-		t.Fatalf("what has come is held back: %v", err)
+		t.Fatalf("received bytes are not forwarded: %v", err)
 	}
 	ended := make(chan int, 1)
-	n.post(func() { // its time is over
+	n.post(func() { // as at its deadline
 		attempts := n.requests["q"].cancelAttempts
 		for _, cancel := range attempts {
 			cancel()
@@ -118,7 +121,7 @@
 		ended <- len(attempts)
 	})
 	if k := wait(t, ended, "the loop"); k != 1 {
-		t.Errorf("%d attempts", k)
+		t.Errorf("%d attempts, want 1", k)
 	}
 	close(goOn)
 	if b, err := io.ReadAll(resp.Body); err != nil || len(b) != 10 {
@@ -126,7 +129,8 @@
 	}
 }
 
-// TestSlowClientAppliesBackpressureToTheBackend: little of a long answer is in the proxy, however long it is.
+// TestSlowClientAppliesBackpressureToTheBackend checks that only a small part of a long response is in
+// the proxy, however long the response is.
 func TestSlowClientAppliesBackpressureToTheBackend(t *testing.T) {
 	stuck := make(chan bool, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -148,7 +152,7 @@
 	}))
 	c := n.dial(t)
 	c.ask(t, "saldo", "q", "20")
-	wait(t, stuck, "the server to be held back")
+	wait(t, stuck, "the backend to be blocked")
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -158,11 +162,12 @@
 		t.Errorf("%d bytes, %v", k, err)
 	}
 	if got := fmt.Sprintf("%d %x", maxStreamedBody, h.Sum(nil)); got != digest(pattern(maxStreamedBody)) {
-		t.Error("the bytes are others")
+		t.Error("body was changed")
 	}
 }
 
-// TestDrippingResponseEndsAtItsDeadline ends with its request's time, and its client can tell.
+// TestDrippingResponseEndsAtItsDeadline checks that a response of no stated length that comes byte by
+// byte ends with its request's deadline, and that its client can detect it.
 func TestDrippingResponseEndsAtItsDeadline(t *testing.T) {
 	n := startNode(t, backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		if readRequest(r) == nil {
@@ -178,14 +183,15 @@
 	c.ask(t, "saldo", "q", "3")
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("no answer begins: %v", err)
+		t.Fatalf("no response begins: %v", err)
 	}
 	if got, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("%d bytes look like a whole answer", len(got))
+		t.Errorf("%d bytes look like a complete response", len(got))
 	}
 }
 
-// TestDeadlineEndsOnlyStreamsNotKnownToBeLong: only what is not known to be long is held to its request's time.
+// TestDeadlineEndsOnlyStreamsNotKnownToBeLong checks that the request's deadline applies to a stream only
+// until that is known to be long.
 func TestDeadlineEndsOnlyStreamsNotKnownToBeLong(t *testing.T) {
 	for _, c := range []struct {
 		length int64
--- a/internal/proxy/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -19,12 +19,13 @@
 	"wrenspread/internal/registry"
 )
 
-// blockedDials has a pool's connections come up when they are released, from a number on.
+// blockedDials makes a pool's dials wait until release is closed; each sends on began.
 type blockedDials struct {
 	began   chan struct{}
 	release chan struct{}
 }
 
+// blockDials blocks the dials of a proxy from the given one on.
 func blockDials(n *Server, from int32) blockedDials {
 	h, dials := blockedDials{make(chan struct{}, 10), make(chan struct{})}, atomic.Int32{}
 	n.pool.dialer.Control = func(string, string, syscall.RawConn) error {
@@ -37,7 +38,7 @@
 	return h
 }
 
-// on runs f on a proxy's loop.
+// on runs f on a proxy's loop, and waits for it.
 func (n *Server) on(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -45,7 +46,8 @@
 	wait(t, done, "the loop")
 }
 
-// TestNothingIsSentAfterItsConditionEndsDuringTheDial: what held when a server was chosen has ended when the connection to it is there.
+// TestNothingIsSentAfterItsConditionEndsDuringTheDial checks that a request is not sent if a condition
+// that held when its endpoint was chosen no longer holds when the connection is established.
 func TestNothingIsSentAfterItsConditionEndsDuringTheDial(t *testing.T) {
 	entry := func(n *running, status string, since int64) registry.Endpoint {
 		return registry.Endpoint{Name: "s-0", Address: n.pool.backends[n.listedEndpoints["s-0"]].address, Zone: "a", Type: "m2", Status: status, StartedAtMS: since}
@@ -53,7 +55,7 @@
 	for _, c := range []struct {
 		name   string
 		happen func(t *testing.T, n *running, c raw)
-		status int // of the answer; 0: nobody is there to read it
+		status int // of the response; 0 if the client has left
 	}{
 		{"its client has left", func(t *testing.T, n *running, c raw) {
 			besteffort.Close(c)
@@ -96,12 +98,12 @@
 			close(dial.release)
 			if c.status != 0 {
 				if s := conn.status(t); s != c.status {
-					t.Errorf("answer %d, want %d", s, c.status)
+					t.Errorf("response %d, want %d", s, c.status)
 				}
 			}
 			n.empty(t)
 			if sent := n.stats.forwards.Load(); sent != 0 {
-				t.Errorf("it is sent %d times", sent)
+				t.Errorf("request is sent %d times, want 0", sent)
 			}
 		})
 	}
@@ -116,7 +118,7 @@
 	})
 }
 
-// empty waits until nothing is open, at the proxy or counted at its servers.
+// empty waits until no request is open, and none is counted as outstanding.
 func (n *running) empty(t *testing.T) {
 	t.Helper()
 	until(t, "the requests' end", func() (none bool) {
@@ -125,7 +127,8 @@
 	})
 }
 
-// TestRetryIsNotWrittenAfterItsDedupWindow: the window was open when the second server was chosen.
+// TestRetryIsNotWrittenAfterItsDedupWindow checks that a retry is not sent if its dedup window, which was
+// open when the second endpoint was chosen, has ended when the connection is established.
 func TestRetryIsNotWrittenAfterItsDedupWindow(t *testing.T) {
 	var dial blockedDials
 	failing := func() string {
@@ -144,17 +147,18 @@
 		answered <- do(t, req)
 	}()
 	wait(t, dial.began, "the second connection to begin")
-	until(t, "the window's end", func() bool { return n.now() > before+2*time.Second }) // it lasts one, from the first send
+	until(t, "the window's end", func() bool { return n.now() > before+2*time.Second }) // the window lasts one second from the first send
 	close(dial.release)
 	if a := wait(t, answered, "the answer"); a.status != http.StatusBadGateway {
-		t.Errorf("answer %+v, want a failure", a)
+		t.Errorf("response %+v, want 502", a)
 	}
 	if sent := n.stats.forwards.Load(); sent != 1 {
-		t.Errorf("it is sent %d times, want once", sent)
+		t.Errorf("request is sent %d times, want once", sent)
 	}
 }
 
-// TestAttemptCancelledBeforeTheWriteIsNotSent: an idle connection is there at once, and so is ahead of what ends an attempt.
+// TestAttemptCancelledBeforeTheWriteIsNotSent checks an attempt whose context has ended already: an idle
+// connection is available at once, so the attempt would be written before the cancellation takes effect.
 func TestAttemptCancelledBeforeTheWriteIsNotSent(t *testing.T) {
 	p := testPool(serving(t))
 	ctx, cancel := context.WithTimeout(context.Background(), enough)
@@ -163,15 +167,15 @@
 		attemptOnce(t, p, enough)
 		ageIdleConns(p, lateResponseWait)
 		if res := p.attempt(ctx, 1, get("/api/x"), alwaysMayWrite, nil); res.outcome != balancer.NotSent {
-			t.Fatalf("outcome %d, want Moot", res.outcome)
+			t.Fatalf("outcome %d, want NotSent", res.outcome)
 		}
 		if sent := p.forwards.Load(); sent != int64(i+1) || p.openConnections != 0 {
-			t.Fatalf("%d requests sent, %d connections open, want %d and none", sent, p.openConnections, i+1)
+			t.Fatalf("%d requests sent, %d connections open, want %d and 0", sent, p.openConnections, i+1)
 		}
 	}
 }
 
-// lateConn is a connection whose first reads wait until they are let go.
+// lateConn is a connection whose first reads wait until the test allows them.
 type lateConn struct {
 	*net.TCPConn
 	reads []chan struct{}
@@ -185,10 +189,10 @@
 	return c.TCPConn.Read(p)
 }
 
-// TestRequestOfAnAlreadyDepartedClientIsNotSent: the end of its connection is here when a request is read, but the server's own read, which would
-// tell, comes later than the attempt.
+// TestRequestOfAnAlreadyDepartedClientIsNotSent checks a client that has left by the time its request is
+// read: the background read of the HTTP server, which would detect that, comes later than the attempt.
 func TestRequestOfAnAlreadyDepartedClientIsNotSent(t *testing.T) {
-	for _, behind := range []int{0, 20, 40000} { // the server reads 4 KiB at once
+	for _, behind := range []int{0, 20, 40000} { // the HTTP server reads 4 KiB at a time
 		n := startNode(t, serving(t))
 		first, second := make(chan struct{}), make(chan struct{})
 		n.tap.reads.Store(&[]chan struct{}{first, second})
@@ -196,22 +200,23 @@
 		c.ask(t, "saldo", "q", "60")
 		besteffort.Output(io.WriteString(c, strings.Repeat("x", behind)))
 		_ = c.CloseWrite()
-		until(t, "the node's system to have it", func() bool { return tcpState(t, c.TCPConn) == finWait2 })
+		until(t, "the proxy's kernel to receive the end", func() bool { return tcpState(t, c.TCPConn) == finWait2 })
 		close(first)
 		if s := c.status(t); s != http.StatusServiceUnavailable {
-			t.Errorf("%d bytes behind: answer %d, want a refusal", behind, s)
+			t.Errorf("%d bytes behind: response %d, want 503", behind, s)
 		}
 		close(second)
 		n.empty(t)
 		if sent := n.stats.forwards.Load(); sent != 0 {
-			t.Errorf("%d bytes behind: it is sent %d times", behind, sent)
+			t.Errorf("%d bytes behind: request is sent %d times, want 0", behind, sent)
 		}
 	}
 }
 
-// finWait2 is the state of a connection whose end the other side has acknowledged, in Linux's numbers.
+// finWait2 is Linux's number for the state of a connection whose end the peer has acknowledged.
 const finWait2 = 5
 
+// tcpState returns the state of a connection in the kernel.
 func tcpState(t *testing.T, c *net.TCPConn) (state uint8) {
 	t.Helper()
 	raw, err := c.SyscallConn()
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -16,7 +16,8 @@
 
 const postHead = "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: 20\r\n"
 
-// TestUploadsArriveUnchanged come out as they went in, of stated length and in chunks.
+// TestUploadsArriveUnchanged checks that request bodies of all sizes reach the backend unchanged, with a
+// stated length and in chunks, and that no memory stays reserved.
 func TestUploadsArriveUnchanged(t *testing.T) {
 	n := startNode(t, digests(t))
 	for _, size := range []int{0, 1, maxSmallBody, maxSmallBody + 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 300000, maxStreamedBody} {
@@ -33,27 +34,30 @@
 		}
 	}
 	if left := len(n.frontend.memory); left != 0 {
-		t.Errorf("%d are still held", left)
+		t.Errorf("%d messages are still in the memory budget", left)
 	}
 }
 
-// TestOversizedUploadsAreRejected are told so, as soon as that is known, and reach no server whole.
+// TestOversizedUploadsAreRejected checks that a body of more than maxStreamedBody bytes is rejected as
+// soon as its size is known, and reaches no backend completely.
 func TestOversizedUploadsAreRejected(t *testing.T) {
 	n := startNode(t, digests(t))
 	c := n.dial(t)
 	besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: %d\r\n\r\n", "q", maxStreamedBody+1))
 	if s := c.status(t); s != http.StatusRequestEntityTooLarge {
-		t.Errorf("answer %d, want 413", s)
+		t.Errorf("response %d, want 413", s)
 	}
 	c = n.dial(t)
 	besteffort.Output(fmt.Fprintf(c, postHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n", "q", maxStreamedBody+2))
 	go func() { besteffort.Output(c.Write(make([]byte, maxStreamedBody+1))) }()
 	if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode < 400 {
-		t.Errorf("in chunks: %s", resp.Status)
+		t.Errorf("in chunks: response %s, want an error", resp.Status)
 	}
 }
 
-// TestAbortedUploadEjectsNoEndpointAndLeavesNothing: no server gets a whole request, none is blamed, and nothing is left.
+// TestAbortedUploadEjectsNoEndpointAndLeavesNothing checks that, if a client breaks off an upload, no
+// backend gets a complete request, no endpoint is ejected for it, and no request or reserved memory
+// remains.
 func TestAbortedUploadEjectsNoEndpointAndLeavesNothing(t *testing.T) {
 	got, broken := make(chan bool, 1), make(chan error, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -68,12 +72,12 @@
 	address := n.operate(t)
 	for _, framing := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"} {
 		c := n.dial(t)
-		besteffort.Output(fmt.Fprintf(c, postHead+framing, framing[:1])) // an id of its own, as the one before may not have ended
+		besteffort.Output(fmt.Fprintf(c, postHead+framing, framing[:1])) // a separate ID, because the previous request may not have ended
 		besteffort.Output(c.Write(make([]byte, 200000)))
 		wait(t, got, "the head")
 		besteffort.Close(c)
 		if err := wait(t, broken, "the body's end"); err == nil {
-			t.Errorf("%s: a whole request came", framing)
+			t.Errorf("%s: backend received a complete request", framing)
 		}
 		figure(t, address, "app.outstanding:0|g")
 	}
@@ -85,13 +89,14 @@
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatal("something is left behind")
+			t.Fatal("a request or reserved memory remains")
 		}
 	}
 }
 
-// TestEarlyRejectionOfAnUploadReachesTheClient: a server that has no room says so ahead of the body's end. The request never ran, and its client
-// is told that another try does no harm, though it is still sending.
+// TestEarlyRejectionOfAnUploadReachesTheClient checks a backend that rejects an upload, or closes, before
+// the body ends. The request was never executed, and its client gets a rejection, which makes a retry
+// safe, though it is still sending.
 func TestEarlyRejectionOfAnUploadReachesTheClient(t *testing.T) {
 	for name, says := range map[string]string{
 		"turned away": "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
@@ -107,13 +112,13 @@
 		besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: 1000000\r\n\r\n", "q"))
 		besteffort.Output(c.Write(make([]byte, 200000)))
 		if s := c.status(t); s != http.StatusServiceUnavailable {
-			t.Errorf("%s: answer %d, want a refusal", name, s)
+			t.Errorf("%s: response %d, want 503", name, s)
 		}
 	}
 }
 
-// TestRejectedClientMayFinishSending: one that reads no answer before it has sent its body is not cut off; the refusal waits for it,
-// and counts from when it was given.
+// TestRejectedClientMayFinishSending checks that a client that reads no response before it has sent its
+// body is not cut off: the rejection waits for it, and is counted when it is made.
 func TestRejectedClientMayFinishSending(t *testing.T) {
 	n := startNode(t, refusing(t))
 	address := n.operate(t)
@@ -125,15 +130,16 @@
 		}
 		if sent == 200000 {
 			figure(t, address, "app.results.pagar.declined:1|c")
-			time.Sleep(700 * time.Millisecond) // over the time that net/http gives a client it has told to close
+			time.Sleep(700 * time.Millisecond) // longer than net/http waits for a client that it has asked to close
 		}
 	}
 	if s := c.status(t); s != http.StatusServiceUnavailable {
-		t.Errorf("answer %d, want a refusal", s)
+		t.Errorf("response %d, want 503", s)
 	}
 }
 
-// TestUnsentUploadIsRetried where no connection could be made: nothing has been taken from its client yet.
+// TestUnsentUploadIsRetried checks that an upload is retried if no connection could be established,
+// because nothing of it has been read from the client yet.
 func TestUnsentUploadIsRetried(t *testing.T) {
 	n := startNode(t, refusing(t), digests(t))
 	body := pattern(500000)
@@ -145,7 +151,8 @@
 	}
 }
 
-// TestUploadDeadlineRunsFromItsLastByte, at the proxy as in the balancer, and only then does it count as taken.
+// TestUploadDeadlineRunsFromItsLastByte checks that the deadline of an upload runs from its last byte, in
+// the proxy as in the balancer, and that the request counts as outstanding only from then on.
 func TestUploadDeadlineRunsFromItsLastByte(t *testing.T) {
 	came, hold := make(chan bool, 1), make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -171,17 +178,18 @@
 	deadline := make(chan time.Time, 1)
 	n.post(func() { deadline <- n.requests["q"].deadline })
 	if at := wait(t, deadline, "the loop"); at.Before(before.Add(time.Minute - answerMargin)) {
-		t.Error("its time runs from before its last byte")
+		t.Error("deadline runs from before the last byte")
 	}
 	close(hold)
 	if s := c.status(t); s != 200 {
-		t.Errorf("answer %d", s)
+		t.Errorf("response %d, want 200", s)
 	}
 	figure(t, address, "app.results.pagar.succeeded:1|c")
 	figure(t, address, "app.outstanding:0|g")
 }
 
-// TestPipelinedUploadsAreSeparateRequests: what follows a long request on its connection is a request of its own.
+// TestPipelinedUploadsAreSeparateRequests checks that what follows a long request on its connection is
+// served as a separate request.
 func TestPipelinedUploadsAreSeparateRequests(t *testing.T) {
 	n := startNode(t, digests(t))
 	c := n.dial(t)
@@ -194,10 +202,10 @@
 	for i := range 3 {
 		resp, err := http.ReadResponse(c.read, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		if b, err := io.ReadAll(resp.Body); err != nil || string(b) != digest(body) {
-			t.Errorf("answer %d: %q, %v", i, b, err)
+			t.Errorf("response %d: %q, %v", i, b, err)
 		}
 	}
 }
--- a/internal/proxy/validate_test.go
+++ b/internal/proxy/validate_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestInvalidRequestsAreRejected checks the status for requests with missing or malformed headers, or
+// with the wrong method or key for their class, and that none of them reaches a backend.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNode(t, server)
@@ -36,12 +38,12 @@
 			req.Header["Idempotency-Key"] = c.key
 		}
 		if a := do(t, req); a.status != c.want {
-			t.Errorf("%s: answer %+v, want %d", c.name, a, c.want)
+			t.Errorf("%s: response %+v, want %d", c.name, a, c.want)
 		}
 	}
 	select {
 	case id := <-got:
-		t.Errorf("request %q reached a server", id)
+		t.Errorf("request %q reached a backend", id)
 	default:
 	}
 }
