--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -122,8 +122,8 @@
 	srv.forgetRequest(r)
 }
 
-// latencyObjective returns the time in which a response of a class has its full value. Without a class,
-// any time will do.
+// latencyObjective returns the time in which a response of a class has its full value. A class that is
+// not configured has no limit.
 func (srv *Server) latencyObjective(class string) time.Duration {
 	for _, c := range srv.config.Settings.Classes {
 		if c.Name == class {
--- a/internal/proxy/canceller.go
+++ b/internal/proxy/canceller.go
@@ -24,8 +24,8 @@
 	c.interrupt = interrupt
 }
 
-// cancel interrupts the operation, unless that has finished. If the operation has not begun, isCancelled
-// tells it.
+// cancel interrupts the operation, unless that has finished. If the operation has not begun yet,
+// isCancelled reports the cancellation to it.
 func (c *canceller) cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -132,12 +132,12 @@
 	ctx context.Context
 }
 
-func (p timedWriter) Write(b []byte) (int, error) {
-	besteffort.SocketOption(p.SetWriteDeadline(time.Now().Add(progressTimeout)))
-	if p.ctx.Err() != nil { // ctx may have ended just before the deadline was set
-		besteffort.SocketOption(p.SetWriteDeadline(time.Unix(1, 0)))
+func (w timedWriter) Write(b []byte) (int, error) {
+	besteffort.SocketOption(w.SetWriteDeadline(time.Now().Add(progressTimeout)))
+	if w.ctx.Err() != nil { // ctx may have ended just before the deadline was set
+		besteffort.SocketOption(w.SetWriteDeadline(time.Unix(1, 0)))
 	}
-	return p.Conn.Write(b)
+	return w.Conn.Write(b)
 }
 
 // sendStreaming sends an upload as it comes from its client, and reads the response meanwhile, so that it
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -213,18 +213,18 @@
 }
 
 // writeResponse writes a response to its client.
-func (f *frontend) writeResponse(w http.ResponseWriter, req *request, a response) requestResult {
+func (f *frontend) writeResponse(w http.ResponseWriter, req *request, resp response) requestResult {
 	if up := req.outbound.upload; up != nil {
 		if besteffort.Close(up.pipe); up.completedAt.Load() == 0 {
 			w.Header().Set("Connection", "close") // the rest of the upload is not read
 		}
 	}
-	if a.stream == nil {
-		return requestResult{outcome: writeComplete(w, a), answered: true}
+	if resp.stream == nil {
+		return requestResult{outcome: writeComplete(w, resp), answered: true}
 	}
-	writeHeader(w, a, a.stream.length)
-	err := a.stream.writeTo(w, req.deadline)
-	a.stream.ended <- err
+	writeHeader(w, resp, resp.stream.length)
+	err := resp.stream.writeTo(w, req.deadline)
+	resp.stream.ended <- err
 	if err != nil {
 		f.server.log.Info("streamed response failed", "id", req.id, "err", err)
 		return requestResult{outcome: outcomeAborted, truncated: true}
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -20,7 +20,7 @@
 // pool holds the connections to backends. It never sends anything itself.
 type pool struct {
 	dialer      net.Dialer
-	pause       func(context.Context, time.Duration) bool
+	pause       func(context.Context, time.Duration) bool // backoff.Sleep; tests replace it
 	maxIdleTime time.Duration
 	forwards    *atomic.Int64 // attempts whose request was written completely
 
--- a/internal/proxy/typecheck.go
+++ b/internal/proxy/typecheck.go
@@ -14,10 +14,10 @@
 type typeChecker struct{ problems, unknown []string }
 
 // check compares the JSON value at path with the type of want.
-func (k *typeChecker) check(path string, value, want any) { k.walk(path, value, reflect.TypeOf(want)) }
+func (c *typeChecker) check(path string, value, want any) { c.walk(path, value, reflect.TypeOf(want)) }
 
 // walk is check for the type t.
-func (k *typeChecker) walk(path string, value any, t reflect.Type) {
+func (c *typeChecker) walk(path string, value any, t reflect.Type) {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -25,14 +25,14 @@
 	switch {
 	case value == nil || raw: // null counts as absent
 	case t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(unmarshalerType):
-		k.object(path, value, t)
+		c.object(path, value, t)
 	case t.Kind() == reflect.Slice:
 		all, ok := value.([]any)
 		if !ok {
-			k.addProblem(path, value, "a list")
+			c.addProblem(path, value, "a list")
 		}
 		for i, e := range all {
-			k.walk(fmt.Sprintf("%s.%d", path, i), e, t.Elem())
+			c.walk(fmt.Sprintf("%s.%d", path, i), e, t.Elem())
 		}
 	default:
 		text, err := json.Marshal(value)
@@ -40,16 +40,16 @@
 			err = json.Unmarshal(text, reflect.New(t).Interface())
 		}
 		if err != nil {
-			k.addProblem(path, value, kindNames[t.Kind()])
+			c.addProblem(path, value, kindNames[t.Kind()])
 		}
 	}
 }
 
 // object checks the keys and values of an object against the fields of the struct type t.
-func (k *typeChecker) object(path string, value any, t reflect.Type) {
+func (c *typeChecker) object(path string, value any, t reflect.Type) {
 	object, ok := value.(map[string]any)
 	if !ok {
-		k.addProblem(path, value, "an object")
+		c.addProblem(path, value, "an object")
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(object)) {
@@ -59,21 +59,21 @@
 			return strings.EqualFold(f.Tag.Get("json"), key) // keys match without regard to case, as in encoding/json
 		})
 		if !known {
-			k.unknown = append(k.unknown, at+": no such key; it is passed over")
+			c.unknown = append(c.unknown, at+": no such key; it is passed over")
 			continue
 		}
-		k.walk(at, object[key], field.Type)
+		c.walk(at, object[key], field.Type)
 	}
 }
 
 // addProblem records that the value at path is not what want says.
-func (k *typeChecker) addProblem(path string, value any, want string) {
+func (c *typeChecker) addProblem(path string, value any, want string) {
 	text, _ := json.Marshal(value) // it can't fail: the value was decoded from JSON
 	if len(text) > 40 {
 		text = append(text[:40], "..."...)
 	}
-	k.problems = append(
-		k.problems,
+	c.problems = append(
+		c.problems,
 		strings.TrimPrefix(fmt.Sprintf("%s: want %s, have %s", path, want, text), ": "),
 	)
 }
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -125,17 +125,17 @@
 // Read reads the next bytes. It sets consumed before it checks ctx: so whoever ends ctx, and then finds
 // consumed unset, knows that nothing will be read. A backend begins to serve at the last byte, so the
 // last byte is withheld if the client has left.
-func (t *attemptUpload) Read(p []byte) (int, error) {
-	if t.ctx.Err() == nil {
-		t.consumed.Store(true)
+func (u *attemptUpload) Read(p []byte) (int, error) {
+	if u.ctx.Err() == nil {
+		u.consumed.Store(true)
 	}
-	if err := t.ctx.Err(); err != nil {
+	if err := u.ctx.Err(); err != nil {
 		return 0, err
 	}
-	n, err := t.pipe.Read(p)
-	t.remaining -= int64(n)
-	if (t.remaining == 0 || errors.Is(err, io.EOF)) && t.clientGone() {
-		t.clientGoneAtEnd.Store(true)
+	n, err := u.pipe.Read(p)
+	u.remaining -= int64(n)
+	if (u.remaining == 0 || errors.Is(err, io.EOF)) && u.clientGone() {
+		u.clientGoneAtEnd.Store(true)
 		return 0, errClientGone
 	}
 	return n, err
