--- a/internal/proxy/behind_test.go
+++ b/internal/proxy/behind_test.go
@@ -37,7 +37,7 @@
 					wait(t, got, "the attempt")
 					before := n.tap.read.Load()
 					besteffort.Output(io.WriteString(c, behind))
-					until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+min(int64(len(behind)), 16<<10) })
+					until(t, "the proxy to read", func() bool { return n.tap.read.Load() >= before+min(int64(len(behind)), 16<<10) })
 					leave(c)
 					if id := wait(t, gone, "the attempt's end"); id != "q" {
 						t.Errorf("attempt of %q ended, want q", id)
@@ -66,7 +66,7 @@
 			n.send(t, c, wholePost)
 			before := n.tap.read.Load()
 			besteffort.Output(io.WriteString(c, behind))
-			until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+min(int64(len(behind)), 16<<10) })
+			until(t, "the proxy to read", func() bool { return n.tap.read.Load() >= before+min(int64(len(behind)), 16<<10) })
 			close(release)
 			for range 1 + strings.Count(behind, "HTTP/1.1") {
 				if s := c.status(t); s != http.StatusOK {
@@ -89,7 +89,7 @@
 				n.send(t, c, wholeGet)
 				before := n.tap.read.Load()
 				besteffort.Output(io.WriteString(c, nextGet[:split]))
-				until(t, "the node to read", func() bool { return n.tap.read.Load() >= before+int64(split) })
+				until(t, "the proxy to read", func() bool { return n.tap.read.Load() >= before+int64(split) })
 				n.stop()
 				until(t, "the drain", n.frontend.draining.Load)
 				if late {
--- a/internal/proxy/conn_test.go
+++ b/internal/proxy/conn_test.go
@@ -28,7 +28,7 @@
 // TestUnsolicitedBytesAreNeverTakenForAResponse checks that bytes which a backend sends beyond its
 // response are never taken for the next response on the connection, whenever they come.
 func TestUnsolicitedBytesAreNeverTakenForAResponse(t *testing.T) {
-	for name, unasked := range map[string]string{
+	for name, unsolicited := range map[string]string{
 		"a second answer":       okResponse("/first"),
 		"an answer to nothing":  "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 		"half a line":           "HTTP/1.1 20",
@@ -58,7 +58,7 @@
 						if req.URL.Path == "/first" {
 							first <- conn
 						} else if second <- number; number == 0 {
-							besteffort.Output(io.WriteString(conn, unasked))
+							besteffort.Output(io.WriteString(conn, unsolicited))
 						}
 						besteffort.Output(io.WriteString(conn, okResponse(req.URL.Path)))
 					}
@@ -66,10 +66,10 @@
 				if got := attemptPath(p, "/first"); string(got.body) != "/first" {
 					t.Fatalf("outcome %d, %q", got.outcome, got.body)
 				}
-				here := p.backends[1].idle[0].Conn
+				idleConn := p.backends[1].idle[0].Conn
 				sendUnsolicited := func() {
-					besteffort.Output(io.WriteString(<-first, unasked))
-					waitReadable(t, here)
+					besteffort.Output(io.WriteString(<-first, unsolicited))
+					waitReadable(t, idleConn)
 				}
 				ageIdleConns(p, c.since)
 				p.pause = func(_ context.Context, rest time.Duration) bool {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -55,7 +55,7 @@
 			t.Errorf("response %+v, want 200 with hi", a)
 		}
 	}
-	if err := wait(t, n.ended, "the node's end"); err != nil {
+	if err := wait(t, n.ended, "the end of the proxy"); err != nil {
 		t.Errorf("proxy ends with %v", err)
 	}
 	if c, err := net.Dial("tcp", n.address); err == nil {
--- a/internal/proxy/flood_test.go
+++ b/internal/proxy/flood_test.go
@@ -36,21 +36,21 @@
 			peers = append(peers, c)
 		}
 	}
-	var leavers []raw
+	var departing []raw
 	for range 4 {
 		c := n.opened(t)
 		besteffort.Output(io.WriteString(c, strings.Replace(wholeGet, "Id: q", "Id: "+c.LocalAddr().String(), 1)))
 		wait(t, got, "the attempt")
-		leavers = append(leavers, c)
+		departing = append(departing, c)
 	}
 	for _, c := range peers {
 		if _, err := io.ReadAll(c.read); os.IsTimeout(err) {
 			t.Error("a client got neither an error nor a close")
 		}
 	}
-	for _, c := range append(peers, leavers...) {
+	for _, c := range append(peers, departing...) {
 		besteffort.Close(c)
 	}
 	until(t, "descriptors and goroutines to return", func() bool { return open() <= fds && runtime.NumGoroutine() <= goroutines })
-	n.empty(t)
+	n.waitNoRequests(t)
 }
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -40,7 +40,7 @@
 	for _, c := range []struct {
 		name, sent string
 		answers    []string // bodies of responses with status 200, otherwise the status
-		servers    []string
+		forwarded  []string
 	}{
 		{"length, then coding", rawPost("1.1", "outer", length+te, chunk), []string{"400"}, nil},
 		{"coding, then length", rawPost("1.1", "outer", te+length, chunk), []string{"400"}, nil},
@@ -62,13 +62,13 @@
 		{"pipelined", rawPost("1.1", "a", "Content-Length: 0\r\n", "") + "\r\n" + rawPost("1.1", "b", "Content-Length: 1\r\n", "x") +
 			rawPost("1.1", "c", "", ""), []string{"a", "b", "c"}, []string{"a", "b", "c"}},
 	} {
-		for _, whole := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, whole %v", c.name, whole), func(t *testing.T) {
+		for _, atOnce := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, whole %v", c.name, atOnce), func(t *testing.T) {
 				server, got := echoServer(t)
 				n := startNode(t, server)
 				conn := n.dial(t)
 				go func() { // a close may cross the remaining bytes
-					if whole {
+					if atOnce {
 						besteffort.Output(io.WriteString(conn, c.sent))
 						return
 					}
@@ -87,7 +87,7 @@
 						t.Errorf("unexpected further response: %s", resp.Status)
 					}
 				}
-				for _, want := range c.servers {
+				for _, want := range c.forwarded {
 					if id := wait(t, got, "a request"); id != want {
 						t.Errorf("backend received %q, want %q", id, want)
 					}
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -47,14 +47,14 @@
 			for _, behind := range []int{0, 20, 40000} {
 				t.Run(fmt.Sprintf("%s, %s, %d bytes behind", w.name, how, behind), func(t *testing.T) {
 					t.Parallel()
-					began, let := make(chan bool, 10), make(chan struct{})
+					began, release := make(chan bool, 10), make(chan struct{})
 					script := func(_ int, c net.Conn, r *bufio.Reader) {
 						if _, err := r.Peek(1); err != nil {
 							return
 						}
 						began <- true
 						readRequest(r)
-						<-let
+						<-release
 						besteffort.Output(io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"))
 					}
 					var dial blockedDials
@@ -69,7 +69,7 @@
 					c := n.dial(t)
 					besteffort.Output(io.WriteString(c, w.sent))
 					answered := false
-					answer := func() { answered = true; close(let) }
+					answer := func() { answered = true; close(release) }
 					if w.next != nil {
 						wait(t, began, "the first attempt")
 						w.next(n, answer)
@@ -77,12 +77,12 @@
 					wait(t, dial.began, "the connection to begin")
 					besteffort.Output(io.WriteString(c, strings.Repeat("x", behind)))
 					leave(c)
-					n.gone(t, "q")
+					n.waitAbandoned(t, "q")
 					close(dial.release)
 					if !answered {
 						answer()
 					}
-					n.empty(t)
+					n.waitNoRequests(t)
 					if len(began) > 0 {
 						t.Error("an attempt reached a backend")
 					}
@@ -96,7 +96,7 @@
 // recovery probe.
 func (n *running) ejectAllEndpoints(t *testing.T) {
 	t.Helper()
-	n.on(t, func() {
+	n.runOnLoop(t, func() {
 		now := n.now() - 10*time.Second
 		for i := 0; n.balancer.Ejected() < len(n.listedEndpoints) && i < 100; i++ {
 			id := balancer.RequestID(fmt.Sprint("refused", i))
@@ -118,13 +118,13 @@
 // upload whose client has left, so that it does not begin to serve it.
 func TestLastUploadByteIsWithheldWhenTheClientHasLeft(t *testing.T) {
 	for _, length := range []int64{maxBufferedBody + 5, -1} {
-		whole := make(chan error, 1)
+		received := make(chan error, 1)
 		p := testPool(backendServer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 			req, err := http.ReadRequest(r)
 			if err == nil {
 				_, err = io.Copy(io.Discard, req.Body)
 			}
-			whole <- err
+			received <- err
 		}))
 		read, write := io.Pipe()
 		go func() {
@@ -140,7 +140,7 @@
 		if res := p.attempt(ctx, 1, o, alwaysMayWrite, nil); res.outcome != balancer.Cancelled || !res.bodyDiscarded {
 			t.Errorf("length %d: outcome %d, body discarded %v, want Cancelled, true", length, res.outcome, res.bodyDiscarded)
 		}
-		if err := wait(t, whole, "the server"); err == nil {
+		if err := wait(t, received, "the backend to finish reading"); err == nil {
 			t.Errorf("length %d: backend received a complete request", length)
 		}
 	}
--- a/internal/proxy/settings_flight_test.go
+++ b/internal/proxy/settings_flight_test.go
@@ -19,7 +19,7 @@
 	cfg := n.configOf()
 	cfg.Settings.Classes = classes
 	n.Reload(cfg)
-	n.on(t, func() {})
+	n.runOnLoop(t, func() {})
 }
 
 // TestSettingsChangeAmidARequest: new settings come when the head of a request has been read and its body has not. It
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -164,7 +164,7 @@
 	if err := reread(other.Replace(reloadConfig)); err != nil {
 		t.Fatal(err)
 	}
-	n.on(t, func() {})
+	n.runOnLoop(t, func() {})
 	if a := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); a.status != 200 {
 		t.Errorf("answer %+v", a)
 	}
@@ -184,7 +184,7 @@
 	if err := reread(strings.Replace(reloadConfig, `"caps":{`, `"report":{"how":"probe"},"caps":{"probes":true,`, 1)); err != nil {
 		t.Fatal(err)
 	}
-	n.on(t, func() {})
+	n.runOnLoop(t, func() {})
 	if a := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); a.status != 200 {
 		t.Errorf("answer %+v", a)
 	}
--- a/internal/proxy/size_test.go
+++ b/internal/proxy/size_test.go
@@ -13,8 +13,8 @@
 // BenchmarkFollow measures what an endpoint list of a given size costs a complete proxy: one change of
 // the list, the periodic work without changes, and the memory per endpoint.
 func BenchmarkFollow(b *testing.B) {
-	var kept []*Server // timers retain them for a while, which must not distort the memory of the next one
-	defer func() { runtime.KeepAlive(kept) }()
+	var retained []*Server // timers retain them for a while, which must not distort the memory of the next one
+	defer func() { runtime.KeepAlive(retained) }()
 	for _, servers := range []int{200, 2000, 20000, 54000} {
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -22,17 +22,17 @@
 		cfg := testConfig("127.0.0.1:1")
 		cfg.Settings.Proxies, cfg.Settings.ProxyIndex, cfg.Settings.AllowGossip = 300, 100, true
 		n := New(cfg, quiet)
-		kept = append(kept, n)
+		retained = append(retained, n)
 		close(n.ended) // no loop runs: functions posted by timers are dropped
 		entry := func(i int, status string) registry.Endpoint {
 			return registry.Endpoint{Name: fmt.Sprint("service-a-", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256), Zone: "zone-a", Type: "m2", Status: status}
 		}
-		whole := registry.ListResponse{Index: 1, Snapshot: true}
+		snapshot := registry.ListResponse{Index: 1, Snapshot: true}
 		for i := range servers {
-			whole.Endpoints = append(whole.Endpoints, entry(i, registry.Ready))
+			snapshot.Endpoints = append(snapshot.Endpoints, entry(i, registry.Ready))
 		}
-		n.applyList(whole, balancer.UpdateComplete)
-		whole.Endpoints = nil
+		n.applyList(snapshot, balancer.UpdateComplete)
+		snapshot.Endpoints = nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.Run(fmt.Sprintf("change/servers=%d", servers), func(b *testing.B) {
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -94,12 +94,12 @@
 // TestStreamOutlivesItsRequestDeadline checks that, once a long response has begun, only a stall ends it,
 // and that received bytes are forwarded without delay.
 func TestStreamOutlivesItsRequestDeadline(t *testing.T) {
-	goOn := make(chan struct{})
+	resume := make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
 			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+10))
 			besteffort.Output(c.Write(make([]byte, maxBufferedBody)))
-			<-goOn
+			<-resume
 			besteffort.Output(c.Write(make([]byte, 10)))
 		}
 	}))
@@ -123,7 +123,7 @@
 	if k := wait(t, ended, "the loop"); k != 1 {
 		t.Errorf("%d attempts, want 1", k)
 	}
-	close(goOn)
+	close(resume)
 	if b, err := io.ReadAll(resp.Body); err != nil || len(b) != 10 {
 		t.Errorf("the rest: %d bytes, %v", len(b), err)
 	}
@@ -132,7 +132,7 @@
 // TestSlowClientAppliesBackpressureToTheBackend checks that only a small part of a long response is in
 // the proxy, however long the response is.
 func TestSlowClientAppliesBackpressureToTheBackend(t *testing.T) {
-	stuck := make(chan bool, 1)
+	blocked := make(chan bool, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) == nil {
 			return
@@ -144,7 +144,7 @@
 			k, err := c.Write(body)
 			if body = body[k:]; err != nil {
 				select {
-				case stuck <- true:
+				case blocked <- true:
 				default:
 				}
 			}
@@ -152,7 +152,7 @@
 	}))
 	c := n.dial(t)
 	c.ask(t, "saldo", "q", "20")
-	wait(t, stuck, "the backend to be blocked")
+	wait(t, blocked, "the backend to be blocked")
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -194,10 +194,10 @@
 // until that is known to be long.
 func TestDeadlineEndsOnlyStreamsNotKnownToBeLong(t *testing.T) {
 	for _, c := range []struct {
-		length int64
-		start  int
-		due    time.Duration
-		whole  bool
+		length   int64
+		start    int
+		due      time.Duration
+		complete bool
 	}{
 		{-1, 10, -time.Hour, false},
 		{-1, maxBufferedBody, -time.Hour, false},
@@ -213,7 +213,7 @@
 		}
 		s := &responseStream{length: c.length, start: make([]byte, c.start), rest: conn.Conn, conn: conn}
 		w := httptest.NewRecorder()
-		if err := s.writeTo(w, time.Now().Add(c.due)); (err == nil) != c.whole || c.whole && w.Body.Len() != c.start+10 {
+		if err := s.writeTo(w, time.Now().Add(c.due)); (err == nil) != c.complete || c.complete && w.Body.Len() != c.start+10 {
 			t.Errorf("%+v: %d bytes, %v", c, w.Body.Len(), err)
 		}
 		conn.closeDirty()
--- a/internal/proxy/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -38,8 +38,8 @@
 	return h
 }
 
-// on runs f on a proxy's loop, and waits for it.
-func (n *Server) on(t *testing.T, f func()) {
+// runOnLoop runs f on a proxy's loop, and waits for it.
+func (n *Server) runOnLoop(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	n.post(func() { f(); close(done) })
@@ -54,31 +54,31 @@
 	}
 	for _, c := range []struct {
 		name   string
-		happen func(t *testing.T, n *running, c raw)
+		event  func(t *testing.T, n *running, c raw)
 		status int // of the response; 0 if the client has left
 	}{
 		{"its client has left", func(t *testing.T, n *running, c raw) {
 			besteffort.Close(c)
-			n.gone(t, "q")
+			n.waitAbandoned(t, "q")
 		}, 0},
 		{"its client has left, and nothing may be called off", func(t *testing.T, n *running, c raw) {
-			n.on(t, func() {
+			n.runOnLoop(t, func() {
 				n.config.Settings.AllowCancel = false
 				n.handle(balancer.SettingsChanged{Settings: n.config.Settings})
 			})
 			besteffort.Close(c)
-			n.gone(t, "q")
+			n.waitAbandoned(t, "q")
 		}, 0},
 		{"its server drains", func(t *testing.T, n *running, _ raw) {
-			n.on(t, func() {
+			n.runOnLoop(t, func() {
 				n.applyList(registry.ListResponse{Endpoints: []registry.Endpoint{entry(n, registry.Draining, 0)}}, balancer.UpdateIncremental)
 			})
 		}, 503},
 		{"its server has left", func(t *testing.T, n *running, _ raw) {
-			n.on(t, func() { n.applyList(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete) })
+			n.runOnLoop(t, func() { n.applyList(registry.ListResponse{Snapshot: true}, balancer.UpdateComplete) })
 		}, 503},
 		{"its server is another process", func(t *testing.T, n *running, _ raw) {
-			n.on(t, func() {
+			n.runOnLoop(t, func() {
 				n.applyList(registry.ListResponse{Endpoints: []registry.Endpoint{entry(n, registry.Ready, 1)}}, balancer.UpdateIncremental)
 			})
 		}, 503},
@@ -94,14 +94,14 @@
 			conn := n.dial(t)
 			conn.ask(t, "saldo", "q", "60")
 			wait(t, dial.began, "the connection to begin")
-			c.happen(t, n, conn)
+			c.event(t, n, conn)
 			close(dial.release)
 			if c.status != 0 {
 				if s := conn.status(t); s != c.status {
 					t.Errorf("response %d, want %d", s, c.status)
 				}
 			}
-			n.empty(t)
+			n.waitNoRequests(t)
 			if sent := n.stats.forwards.Load(); sent != 0 {
 				t.Errorf("request is sent %d times, want 0", sent)
 			}
@@ -109,20 +109,20 @@
 	}
 }
 
-// gone waits until the loop knows that the client of a request has left.
-func (n *running) gone(t *testing.T, id balancer.RequestID) {
+// waitAbandoned waits until the loop knows that the client of a request has left.
+func (n *running) waitAbandoned(t *testing.T, id balancer.RequestID) {
 	t.Helper()
 	until(t, "the client's end", func() (done bool) {
-		n.on(t, func() { r := n.requests[id]; done = r == nil || r.answered })
+		n.runOnLoop(t, func() { r := n.requests[id]; done = r == nil || r.answered })
 		return done
 	})
 }
 
-// empty waits until no request is open, and none is counted as outstanding.
-func (n *running) empty(t *testing.T) {
+// waitNoRequests waits until no request is open, and none is counted as outstanding.
+func (n *running) waitNoRequests(t *testing.T) {
 	t.Helper()
 	until(t, "the requests' end", func() (none bool) {
-		n.on(t, func() { none = len(n.requests) == 0 })
+		n.runOnLoop(t, func() { none = len(n.requests) == 0 })
 		return none && n.stats.outstanding.Load() == 0
 	})
 }
@@ -206,7 +206,7 @@
 			t.Errorf("%d bytes behind: response %d, want 503", behind, s)
 		}
 		close(second)
-		n.empty(t)
+		n.waitNoRequests(t)
 		if sent := n.stats.forwards.Load(); sent != 0 {
 			t.Errorf("%d bytes behind: request is sent %d times, want 0", behind, sent)
 		}
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -98,14 +98,14 @@
 // the body ends. The request was never executed, and its client gets a rejection, which makes a retry
 // safe, though it is still sending.
 func TestEarlyRejectionOfAnUploadReachesTheClient(t *testing.T) {
-	for name, says := range map[string]string{
+	for name, answer := range map[string]string{
 		"turned away": "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 		"gone":        "",
 	} {
 		n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if req, err := http.ReadRequest(r); err == nil {
 				_, _ = io.CopyN(io.Discard, req.Body, maxBufferedBody+50000)
-				besteffort.Output(io.WriteString(c, says))
+				besteffort.Output(io.WriteString(c, answer))
 			}
 		}))
 		c := n.dial(t)
@@ -154,13 +154,13 @@
 // TestUploadDeadlineRunsFromItsLastByte checks that the deadline of an upload runs from its last byte, in
 // the proxy as in the balancer, and that the request counts as outstanding only from then on.
 func TestUploadDeadlineRunsFromItsLastByte(t *testing.T) {
-	came, hold := make(chan bool, 1), make(chan struct{})
+	received, release := make(chan bool, 1), make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if req, err := http.ReadRequest(r); err == nil {
-			came <- true
+			received <- true
 			_, _ = io.Copy(io.Discard, req.Body)
-			came <- true
-			<-hold
+			received <- true
+			<-release
 			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}))
@@ -169,18 +169,18 @@
 	body := pattern(200000)
 	besteffort.Output(fmt.Fprintf(c, strings.Replace(postHead, "20", "60", 1)+"Content-Length: %d\r\n\r\n", "q", len(body)))
 	besteffort.Output(c.Write(body[:150000]))
-	wait(t, came, "its head")
+	wait(t, received, "its head")
 	figure(t, address, "app.outstanding:0|g")
 	before := time.Now()
 	besteffort.Output(c.Write(body[150000:]))
-	wait(t, came, "its end")
+	wait(t, received, "its end")
 	figure(t, address, "app.outstanding:1|g")
 	deadline := make(chan time.Time, 1)
 	n.post(func() { deadline <- n.requests["q"].deadline })
 	if at := wait(t, deadline, "the loop"); at.Before(before.Add(time.Minute - answerMargin)) {
 		t.Error("deadline runs from before the last byte")
 	}
-	close(hold)
+	close(release)
 	if s := c.status(t); s != 200 {
 		t.Errorf("response %d, want 200", s)
 	}
