--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,6 +9,8 @@
 	"wrenspread/balancer"
 )
 
+// startAttempt makes the attempt that the balancer has decided on, in a goroutine of its own, and posts
+// its end to the loop. An attempt that may not begin any more ends at once as balancer.NotSent.
 func (srv *Server) startAttempt(a balancer.StartAttempt) {
 	r := srv.requests[a.ID]
 	if r == nil {
@@ -16,13 +18,13 @@
 		return
 	}
 	number := len(r.cancelAttempts)
-	left := time.Until(r.deadline)
+	timeout := time.Until(r.deadline)
 	if r.outbound.upload != nil {
-		left = maxUploadTime // how fast it must come is another matter
+		timeout = maxUploadTime // bodyReader enforces the rate of the upload
 	} else if a.Timeout != 0 {
-		left = min(left, a.Timeout)
+		timeout = min(timeout, a.Timeout)
 	}
-	ctx, cancel := context.WithTimeout(srv.loopContext, left)
+	ctx, cancel := context.WithTimeout(srv.loopContext, timeout)
 	r.cancelAttempts = append(r.cancelAttempts, cancel)
 	if r.answered || r.runningAttempts > 0 && !srv.config.Settings.AllowHedging {
 		cancel()
@@ -42,16 +44,17 @@
 	began := time.Now()
 	go func() {
 		defer cancel()
-		may := func() bool { return !r.abandoned() && srv.now() < a.WriteBy }
-		res := srv.pool.attempt(ctx, a.Endpoint, r.outbound, may, func(res result) error {
+		mayWrite := func() bool { return !r.abandoned() && srv.now() < a.WriteBy }
+		res := srv.pool.attempt(ctx, a.Endpoint, r.outbound, mayWrite, func(res result) error {
 			return srv.streamResponse(r, number, a.Endpoint, time.Since(srv.serviceStart(r, began)), res)
 		})
-		took := time.Since(srv.serviceStart(r, began))
-		srv.post(func() { srv.attemptEnded(r, number, a.Endpoint, took, res) })
+		elapsed := time.Since(srv.serviceStart(r, began))
+		srv.post(func() { srv.attemptEnded(r, number, a.Endpoint, elapsed, res) })
 	}()
 }
 
-// serviceStart is when a server could begin on a request: at its last byte.
+// serviceStart returns when the backend could begin to serve a request: for an upload when its last byte
+// was sent, otherwise when the attempt began.
 func (srv *Server) serviceStart(r *request, began time.Time) time.Time {
 	if r.outbound.upload != nil {
 		if at := r.outbound.upload.completedAt.Load(); at != 0 {
@@ -61,12 +64,13 @@
 	return began
 }
 
-// streamResponse gives a long answer to its request, and returns when that is over.
+// streamResponse hands a streamed response to its request, and returns when the response has ended, with
+// the reason if it was cut off.
 func (srv *Server) streamResponse(
 	r *request,
 	number int,
-	server balancer.EndpointID,
-	took time.Duration,
+	endpoint balancer.EndpointID,
+	elapsed time.Duration,
 	res result,
 ) error {
 	srv.post(func() {
@@ -74,7 +78,7 @@
 			res.stream.ended <- errClientGone
 			return
 		}
-		srv.handle(balancer.ResponseStarted{ID: r.id, Attempt: number, Endpoint: server, Elapsed: took})
+		srv.handle(balancer.ResponseStarted{ID: r.id, Attempt: number, Endpoint: endpoint, Elapsed: elapsed})
 		r.stream = res.stream
 		srv.answerRequest(r.id, response{status: http.StatusOK, header: res.header, stream: res.stream})
 	})
@@ -86,11 +90,13 @@
 	}
 }
 
+// attemptEnded answers the request if the attempt has succeeded, and reports the attempt to the stats and
+// the balancer.
 func (srv *Server) attemptEnded(
 	r *request,
 	number int,
-	server balancer.EndpointID,
-	took time.Duration,
+	endpoint balancer.EndpointID,
+	elapsed time.Duration,
 	res result,
 ) {
 	r.runningAttempts--
@@ -98,17 +104,17 @@
 		srv.answerRequest(r.id, response{status: http.StatusOK, header: res.header, body: res.body})
 	}
 	if srv.config.BackendStats {
-		srv.stats.attempt(srv.endpointIDs.byID[server], res.outcome, took > srv.latencyObjective(r.class))
+		srv.stats.attempt(srv.endpointIDs.byID[endpoint], res.outcome, elapsed > srv.latencyObjective(r.class))
 	}
-	over := r.answered
+	requestAnswered := r.answered
 	srv.handle(
 		balancer.AttemptEnded{
 			ID:              r.id,
 			Attempt:         number,
-			Endpoint:        server,
-			RequestAnswered: over,
+			Endpoint:        endpoint,
+			RequestAnswered: requestAnswered,
 			BodyDiscarded:   res.bodyDiscarded,
-			Elapsed:         took,
+			Elapsed:         elapsed,
 			Outcome:         res.outcome,
 			LoadReport:      res.loadReport,
 		},
@@ -116,7 +122,8 @@
 	srv.forgetRequest(r)
 }
 
-// latencyObjective is the time in which an answer of a class has its full worth; without a class, any.
+// latencyObjective returns the time in which a response of a class has its full value. A class that is
+// not configured has no limit.
 func (srv *Server) latencyObjective(class string) time.Duration {
 	for _, c := range srv.config.Settings.Classes {
 		if c.Name == class {
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -15,18 +15,18 @@
 	"wrenspread/internal/besteffort"
 )
 
-// lateResponseRest is how long a connection is left alone after an answer. A second
-// answer to the same request comes some milliseconds late, and nothing in it
-// tells it from the next request's; by then it shows as something unasked. The
-// next request waits for the rest of it, which takes no longer than a new
-// connection and costs the server nothing.
-const lateResponseRest = 5 * time.Millisecond
+// lateResponseWait is how long a connection rests after a response before it is reused. A second response
+// to the same request may come some milliseconds late, and nothing in it distinguishes it from the
+// response to the next request; after this time it shows as unsolicited bytes. The next request waits for
+// what remains of this time, which takes no longer than a new connection and costs the backend nothing.
+const lateResponseWait = 5 * time.Millisecond
 
-// errNoCapacity says that this proxy has reached its limit of connections.
+// errNoCapacity means that the pool has reached its limit of connections.
 var errNoCapacity = errors.New("too many connections")
 
-// ownLimit reports whether the proxy itself could not open a connection, which says nothing of the server.
-func ownLimit(err error) bool {
+// isLocalLimit reports whether the proxy itself could not open a connection, which says nothing about the
+// backend.
+func isLocalLimit(err error) bool {
 	for _, limit := range []error{
 		errNoCapacity,
 		syscall.EMFILE,
@@ -41,33 +41,34 @@
 	return false
 }
 
+// conn is a connection to a backend, idle in the pool or in use by one attempt.
 type conn struct {
 	net.Conn
 	backend       *backend
 	pool          *pool
-	budget        io.LimitedReader // what one answer may take
+	budget        io.LimitedReader // bounds the bytes that a response may take
 	reader        *bufio.Reader
-	readError     error  // how reading ended, if the connection did
-	releaseMemory func() // gives back what its answer has taken of the pool's; nil: nothing
-	idleAt        time.Time
+	readError     error  // how the last read ended; nil if the connection has not broken
+	releaseMemory func() // returns the memory reserved for the response; nil if there is none
+	idleSince     time.Time
 }
 
-// Read notes how the connection ended, which tells a break from an answer
-// that can't be read, or is longer than its budget.
+// Read records how the connection ended, which distinguishes a broken connection from a response that is
+// malformed or exceeds its budget.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.readError = err
 	return n, err
 }
 
-// get finds an idle connection or dials. An error proves that nothing was sent.
+// get returns an idle connection or dials a new one. An error proves that nothing was sent.
 func (p *pool) get(ctx context.Context, id balancer.EndpointID) (*conn, error) {
-	b, c, dialer, err := p.take(id)
-	for ; c != nil; b, c, dialer, err = p.take(id) {
-		// A connection that its server has closed, or on which it said
-		// something unasked, would end as a reset that may have run. Nothing
-		// has been forwarded it, so another one can do.
-		if p.pause(ctx, lateResponseRest-time.Since(c.idleAt)) && isQuiet(c.Conn) {
+	b, c, dialer, err := p.takeConn(id)
+	for ; c != nil; b, c, dialer, err = p.takeConn(id) {
+		// A request on a connection that the backend has closed, or on which it has sent unsolicited bytes,
+		// would end in a reset, and might count as executed. Nothing of the request has been sent here, so
+		// another connection can serve it.
+		if p.pause(ctx, lateResponseWait-time.Since(c.idleSince)) && isOpenAndEmpty(c.Conn) {
 			return c, nil
 		}
 		c.closeDirty()
@@ -81,7 +82,7 @@
 	raw, err := dialer.DialContext(ctx, "tcp", b.address)
 	if err != nil {
 		p.mu.Lock()
-		p.open--
+		p.openConnections--
 		p.mu.Unlock()
 		return nil, err
 	}
@@ -91,61 +92,62 @@
 	return c, nil
 }
 
-// take returns an idle connection, the one used last of those that have rested,
-// or the backend with leave to dial it.
-func (p *pool) take(id balancer.EndpointID) (*backend, *conn, net.Dialer, error) {
+// takeConn returns an idle connection: the most recently used of those that have rested for
+// lateResponseWait, otherwise the one idle longest. Without an idle connection it reserves a new one, and
+// returns the backend that the caller has to dial.
+func (p *pool) takeConn(id balancer.EndpointID) (*backend, *conn, net.Dialer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[id]
 	if b == nil {
-		return nil, nil, p.dialer, fmt.Errorf("server %d is not listed", id)
+		return nil, nil, p.dialer, fmt.Errorf("take connection: endpoint %d is not listed", id)
 	}
 	now := time.Now()
-	p.dropOld(b, now)
+	p.closeExpiredLocked(b, now)
 	if n := len(b.idle); n > 0 {
 		i := n - 1
-		for i > 0 && now.Sub(b.idle[i].idleAt) < lateResponseRest {
+		for i > 0 && now.Sub(b.idle[i].idleSince) < lateResponseWait {
 			i--
 		}
 		c := b.idle[i]
 		b.idle = slices.Delete(b.idle, i, i+1)
 		return b, c, p.dialer, nil
 	}
-	if p.open >= p.limit() && !p.evict() {
+	if p.openConnections >= p.limit() && !p.evict() {
 		return nil, nil, p.dialer, errNoCapacity
 	}
-	p.open++
+	p.openConnections++
 	return b, nil, p.dialer, nil
 }
 
-// closeDirty closes a connection that is not known to be at an answer's end.
+// closeDirty closes a connection that is not known to be at the end of a response.
 func (c *conn) closeDirty() {
 	c.releaseBudget()
 	besteffort.Close(c.Conn)
 	c.pool.mu.Lock()
-	c.pool.open--
+	c.pool.openConnections--
 	c.pool.mu.Unlock()
 }
 
-// release puts a connection back that has been read cleanly to its end.
+// release returns a connection to the pool whose response has been read cleanly to its end.
 func (c *conn) release() {
-	c.releaseBudget() // from here on it is the next attempt's
+	c.releaseBudget() // first: once it is in the pool, the connection belongs to the next attempt
 	besteffort.SocketOption(c.SetDeadline(time.Time{}))
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if c.backend.closed {
 		besteffort.Close(c.Conn)
-		c.pool.open--
+		c.pool.openConnections--
 		return
 	}
-	c.idleAt = time.Now()
-	if c.backend.idle = append(c.backend.idle, c); !c.backend.hasUsed {
-		c.backend.hasUsed, c.pool.used = true, append(c.pool.used, c.backend)
+	c.idleSince = time.Now()
+	if c.backend.idle = append(c.backend.idle, c); !c.backend.isIdleCandidate {
+		c.backend.isIdleCandidate, c.pool.idleCandidates = true, append(c.pool.idleCandidates, c.backend)
 	}
 }
 
-// isQuiet reports whether an idle connection is open with nothing to read.
-func isQuiet(c net.Conn) bool {
+// isOpenAndEmpty reports whether an idle connection is open with nothing to read.
+func isOpenAndEmpty(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -154,12 +156,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -10,7 +10,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-func TestReadyOnlyWithServers(t *testing.T) {
+// TestNotReadyWithoutEndpoints checks that a proxy without endpoints is live but not ready.
+func TestNotReadyWithoutEndpoints(t *testing.T) {
 	n := startNode(t)
 	for path, want := range map[string]int{"/health/ready": 503, "/health/live": 200} {
 		resp, err := http.Get("http://" + n.address + path)
@@ -24,9 +25,9 @@
 	}
 }
 
-// TestStop: after SIGTERM new connections still come for a while; they and
-// what is open get their answers, with the word to close.
-func TestStop(t *testing.T) {
+// TestStopAnswersOpenAndLateRequests checks that after SIGTERM new connections are still accepted for a
+// while, and that their requests and those already open are answered.
+func TestStopAnswersOpenAndLateRequests(t *testing.T) {
 	release, got := make(chan struct{}), make(chan bool, 2)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
@@ -44,21 +45,21 @@
 	wait(t, got, "the attempt after the stop")
 	select {
 	case err := <-n.ended:
-		t.Fatalf("the node ends with requests open: %v", err)
+		t.Fatalf("proxy ends with open requests: %v", err)
 	default:
 	}
 	n.linger()
 	close(release)
 	for range 2 {
 		if a := wait(t, answers, "an answer"); a.status != 200 || a.body != "hi" {
-			t.Errorf("answer %+v", a)
+			t.Errorf("response %+v, want 200 with hi", a)
 		}
 	}
-	if err := wait(t, n.ended, "the node's end"); err != nil {
-		t.Errorf("the node ends with %v", err)
+	if err := wait(t, n.ended, "the end of the proxy"); err != nil {
+		t.Errorf("proxy ends with %v", err)
 	}
 	if c, err := net.Dial("tcp", n.address); err == nil {
 		besteffort.Close(c)
-		t.Error("it listens on")
+		t.Error("proxy still listens")
 	}
 }
--- a/internal/proxy/flood_test.go
+++ b/internal/proxy/flood_test.go
@@ -11,9 +11,11 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestFloodOfBadPeers: each gets an error or a close, though it does not close itself, and a burst of clients that leave
-// leaves nothing behind. Descriptors, goroutines and counts return to where they were.
-func TestFloodOfBadPeers(t *testing.T) {
+// TestBadPeersAreClosedAndLeaveNothingBehind checks that each of many clients with a broken or unfinished
+// request gets an error or a close, even if it does not close itself, and that clients which leave during
+// a request leave nothing behind: the numbers of descriptors, goroutines and requests return to those
+// before.
+func TestBadPeersAreClosedAndLeaveNothingBehind(t *testing.T) {
 	server, got, _ := silentServer(t)
 	n := startNode(t, server)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
@@ -34,21 +36,21 @@
 			peers = append(peers, c)
 		}
 	}
-	var leavers []raw
+	var departing []raw
 	for range 4 {
 		c := n.opened(t)
 		besteffort.Output(io.WriteString(c, strings.Replace(wholeGet, "Id: q", "Id: "+c.LocalAddr().String(), 1)))
 		wait(t, got, "the attempt")
-		leavers = append(leavers, c)
+		departing = append(departing, c)
 	}
 	for _, c := range peers {
 		if _, err := io.ReadAll(c.read); os.IsTimeout(err) {
-			t.Error("a peer has neither an error nor a close")
+			t.Error("a client got neither an error nor a close")
 		}
 	}
-	for _, c := range append(peers, leavers...) {
+	for _, c := range append(peers, departing...) {
 		besteffort.Close(c)
 	}
 	until(t, "descriptors and goroutines to return", func() bool { return open() <= fds && runtime.NumGoroutine() <= goroutines })
-	n.empty(t)
+	n.waitNoRequests(t)
 }
--- a/internal/proxy/listener/full_test.go
+++ b/internal/proxy/listener/full_test.go
@@ -13,8 +13,9 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestSilentClientsGiveWay: clients that connect, send nothing and do not close must not shut out others, however many.
-func TestSilentClientsGiveWay(t *testing.T) {
+// TestSilentNewClientsAreEvicted checks that clients that connect, send nothing and do not close cannot
+// shut out others, however many they are.
+func TestSilentNewClientsAreEvicted(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln.TCPListener, 2)
 	var silent []*net.TCPConn
@@ -25,73 +26,76 @@
 	c := dial(t, ln)
 	besteffort.Output(io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 || served.Load() != 1 {
-		t.Errorf("answer %v, %v, requests %d", resp, err, served.Load())
+		t.Errorf("response %v, %v after %d requests, want 200 after 1", resp, err, served.Load())
 	}
 	for i, c := range silent[:7] {
 		if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-			t.Errorf("silent client %d reads %d bytes, %v", i, n, err)
+			t.Errorf("silent client %d reads %d bytes, %v, want EOF", i, n, err)
 		}
 	}
 }
 
-// TestClientsThatCanNotBeTaken are shut, and it is told; one that comes when there is a place again is served.
-func TestClientsThatCanNotBeTaken(t *testing.T) {
+// TestClientsAreClosedWhileFullAndServedAfterwards checks that clients are closed unread while all slots
+// are taken for longer than FullTimeout, that Full reports it, and that a client that comes once a slot
+// is free is served.
+func TestClientsAreClosedWhileFullAndServedAfterwards(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln.TCPListener, 1)
-	l.FullTimeout = 2 * lingerTime
+	l.FullTimeout = 2 * lingerTimeout
 	began, release := make(chan bool, 2), make(chan bool, 2)
 	_, states := serve(t, l, func(http.ResponseWriter, *http.Request) {
 		began <- true
 		<-release
 	})
-	ask := func() *net.TCPConn {
+	sendRequest := func() *net.TCPConn {
 		c := dial(t, ln)
 		besteffort.Output(io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 		return c
 	}
-	first := ask()
+	first := sendRequest()
 	wait(t, states, "the connection")
 	wait(t, began, "the request")
 	for range 3 {
-		if n, err := ask().Read(make([]byte, 1)); n != 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%d bytes and %v for a client that can't be taken", n, err)
+		if n, err := sendRequest().Read(make([]byte, 1)); n != 0 || err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("%d bytes and %v for a client beyond the slots, want a close", n, err)
 		}
 	}
 	if !l.Full() || len(began) > 0 {
-		t.Errorf("full %v, %d requests more", l.Full(), len(began))
+		t.Errorf("full %v, %d more requests served, want true and 0", l.Full(), len(began))
 	}
 	release <- true
 	wait(t, states, "the connection to go idle")
 	if l.Full() {
-		t.Error("it is still full")
+		t.Error("listener is still full after a slot became free")
 	}
 	release <- true
-	for _, c := range []*net.TCPConn{first, ask()} {
+	for _, c := range []*net.TCPConn{first, sendRequest()} {
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-			t.Errorf("answer %v, %v", resp, err)
+			t.Errorf("response %v, %v, want 200", resp, err)
 		}
 	}
 }
 
-// noDescriptors fails a number of times, as the system does that has no descriptor left.
-type noDescriptors struct {
+// descriptorLimitedListener fails some accepts as a system does that has no descriptor left.
+type descriptorLimitedListener struct {
 	net.Listener
-	times int
+	failures int
 }
 
-func (l *noDescriptors) Accept() (net.Conn, error) {
-	if l.times > 0 {
-		l.times--
+func (l *descriptorLimitedListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return l.Listener.Accept()
 }
 
-// TestNoDescriptorLeft: idle clients give up theirs, and accepting goes on.
-func TestNoDescriptorLeft(t *testing.T) {
+// TestAcceptEvictsIdleClientWhenDescriptorsRunOut checks that Accept survives a lack of descriptors, and
+// that an idle client gives up its own.
+func TestAcceptEvictsIdleClientWhenDescriptorsRunOut(t *testing.T) {
 	ln := listen(t)
-	short := &noDescriptors{Listener: ln.TCPListener}
-	l := Limit(short, 5)
+	limited := &descriptorLimitedListener{Listener: ln.TCPListener}
+	l := Limit(limited, 5)
 	defer besteffort.Close(l)
 	idle := dial(t, ln)
 	c, err := l.Accept()
@@ -100,10 +104,10 @@
 	}
 	c.(*Conn).inFlight = true
 	l.TrackState(c, http.StateIdle)
-	short.times = 2
+	limited.failures = 2
 	dial(t, ln)
 	if _, err := l.Accept(); err != nil {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("accept fails with %v", err)
 	}
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the idle client's read ends with %v", err)
--- a/internal/proxy/listener/inherited_test.go
+++ b/internal/proxy/listener/inherited_test.go
@@ -13,8 +13,9 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestAcceptingEndsOnASharedSocket also if another process has set it to block.
-func TestAcceptingEndsOnASharedSocket(t *testing.T) {
+// TestCloseEndsAcceptOnBlockingSharedSocket checks that Close ends a waiting Accept, even if another
+// process has set the shared socket to blocking.
+func TestCloseEndsAcceptOnBlockingSharedSocket(t *testing.T) {
 	f, err := listen(t).File()
 	if err != nil {
 		t.Fatal(err)
@@ -47,6 +48,6 @@
 	}
 	go besteffort.Close(l)
 	if err := wait(t, ended, "the end of accepting"); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("accept ends with %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/proxy/listener/listener_test.go
+++ b/internal/proxy/listener/listener_test.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestIdleClientsGiveWay: clients that hold connections and send nothing must not shut out others.
-func TestIdleClientsGiveWay(t *testing.T) {
+// TestOldestIdleClientIsEvicted checks that clients that keep idle connections cannot shut out others.
+func TestOldestIdleClientIsEvicted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,17 +46,18 @@
 		select {
 		case <-idle:
 		case <-time.After(30 * time.Second):
-			t.Fatal("the connection does not get idle")
+			t.Fatal("connection does not go idle")
 		}
 		conns = append(conns, c)
 	}
 	if _, err := io.ReadAll(conns[0]); err != nil {
-		t.Errorf("the oldest is not closed: %v", err)
+		t.Errorf("the oldest idle connection is not closed: %v", err)
 	}
 }
 
-// TestClientThatGoesIdleGivesWay to one that came while none was idle.
-func TestClientThatGoesIdleGivesWay(t *testing.T) {
+// TestClientGoingIdleIsEvictedForWaitingClient checks that a connection that goes idle is closed for a
+// client that came while none was idle.
+func TestClientGoingIdleIsEvictedForWaitingClient(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln, 1)
 	began, release := make(chan bool, 1), make(chan bool, 2)
@@ -65,8 +66,8 @@
 		<-release
 	})
 	go func() {
-		for let := range ln.halved {
-			let()
+		for open := range ln.closeWriteGates {
+			open()
 		}
 	}()
 	first := dial(t, ln)
@@ -81,8 +82,9 @@
 	}
 }
 
-// TestSmallWritesAreNotHeldBack by the system, on a socket taken over from another process too.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
+// TestAcceptedConnectionsDisableNagle checks that the system does not delay small writes, also on a
+// socket that was inherited from another process.
+func TestAcceptedConnectionsDisableNagle(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
 		var ln net.Listener = listen(t).TCPListener
 		if inherited {
@@ -119,9 +121,10 @@
 	}
 }
 
-// TestQueueIsServedAtTheEnd of accepting, whether that finds all places taken or Accept not yet called. Then it is closed.
-func TestQueueIsServedAtTheEnd(t *testing.T) {
-	for _, taken := range []bool{false, true} {
+// TestDrainServesQueuedConnections checks that Drain serves the connections in the queue before the
+// listener is closed, whether all slots are taken or Accept has not been called yet.
+func TestDrainServesQueuedConnections(t *testing.T) {
+	for _, slotTaken := range []bool{false, true} {
 		ln := listen(t)
 		l := Limit(ln.TCPListener, 1)
 		began, release := make(chan bool, 10), make(chan bool)
@@ -130,7 +133,7 @@
 			began <- true
 			<-release
 		}
-		if taken {
+		if slotTaken {
 			serve(t, l, handle)
 			besteffort.Output(io.WriteString(dial(t, ln), "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 			wait(t, began, "the request")
@@ -142,13 +145,13 @@
 			queue = append(queue, c)
 		}
 		l.Drain()
-		if !taken {
+		if !slotTaken {
 			serve(t, l, handle)
 		}
 		close(release)
 		for i, c := range queue {
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-				t.Errorf("taken %v: connection %d: %v, %v", taken, i, resp, err)
+				t.Errorf("slot taken %v: connection %d: %v, %v", slotTaken, i, resp, err)
 			}
 			besteffort.Close(c)
 		}
--- a/internal/proxy/outbound_test.go
+++ b/internal/proxy/outbound_test.go
@@ -12,7 +12,9 @@
 	"wrenspread/internal/besteffort"
 )
 
-func TestRequestGoesOnUnchanged(t *testing.T) {
+// TestEncodePreservesTheRequest checks that target, headers and body are sent unchanged, with the time
+// that remains in X-Deadline.
+func TestEncodePreservesTheRequest(t *testing.T) {
 	u := &url.URL{Path: "/api/a/b", RawPath: "/api/a%2Fb", RawQuery: "x=1&y=%20"}
 	o := &outbound{method: "POST", url: u, host: "app.svc", body: []byte("body"),
 		header: http.Header{"X-Request-Id": {"q"}, "Idempotency-Key": {"k"}, "X-Deadline": {"9"}}}
@@ -27,8 +29,9 @@
 	}
 }
 
-// TestNoLineIsSlippedIn: a host or target that would end its line is not forwarded.
-func TestNoLineIsSlippedIn(t *testing.T) {
+// TestEncodeRejectsInjectedHeaderLines checks that a request is not forwarded if its host or target would
+// end its line.
+func TestEncodeRejectsInjectedHeaderLines(t *testing.T) {
 	for _, o := range []*outbound{
 		{method: "GET", url: &url.URL{Path: "/x"}, host: "a\r\nX-Request-Id: other"},
 		{method: "GET", url: &url.URL{Path: "/x"}, host: ""},
@@ -40,17 +43,18 @@
 	}
 }
 
-// TestAnswerAheadOfTheUploadsEnd: the server has the last byte, and may answer before the proxy hears that there are no more.
-func TestAnswerAheadOfTheUploadsEnd(t *testing.T) {
+// TestUploadOfStatedLengthIsNotReadPastItsEnd guards against a read after the last byte of an upload: the
+// backend has that byte and may answer, which closes the upload before the proxy has seen its end.
+func TestUploadOfStatedLengthIsNotReadPastItsEnd(t *testing.T) {
 	read, write := io.Pipe()
 	go func() {
 		besteffort.Output(io.WriteString(write, "cdef"))
-		besteffort.Close(read) // as the answer's coming does
+		besteffort.Close(read) // as happens when the response comes
 	}()
 	o := outbound{method: "POST", url: &url.URL{Path: "/api"}, host: "app.svc", body: []byte("ab"), header: http.Header{},
 		upload: &upload{length: 6, pipe: read, clientGone: func() bool { return false }}}
 	var sent strings.Builder
-	if err := o.request(context.Background(), time.Second).Write(&sent); err != nil || !strings.HasSuffix(sent.String(), "\r\n\r\nabcdef") {
+	if err := o.streamingRequest(context.Background(), time.Second).Write(&sent); err != nil || !strings.HasSuffix(sent.String(), "\r\n\r\nabcdef") {
 		t.Errorf("%q, %v", sent.String(), err)
 	}
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -13,42 +13,45 @@
 	"wrenspread/internal/besteffort"
 )
 
-const idleTimeoutShare = 0.75 // of the settings' idle time: the server must never be the first to close
+// idleTimeoutFraction is the part of the idle timeout in the settings after which the pool closes a
+// connection: the backend must never be the first to close.
+const idleTimeoutFraction = 0.75
 
-// pool keeps connections to servers. It never sends anything itself.
+// pool holds the connections to backends. It never sends anything itself.
 type pool struct {
-	dialer   net.Dialer
-	pause    func(context.Context, time.Duration) bool
-	maxIdle  time.Duration
-	forwards *atomic.Int64 // attempts written completely
-
-	mu             sync.Mutex
-	open           int // connections, idle, in use or being dialled
-	maxConnections int
-	halved         bool // with another process of this proxy: half of them
-	backends       map[balancer.EndpointID]*backend
-	used           []*backend                   // those with idle connections, and some that had them lately
-	heldBackends   map[balancer.EndpointID]bool // nothing is written to them
-	memory         memoryBudget                 // for answers that are not small
-}
-
-// backend is one process of a server. A restart or a new address makes a new
-// one, to which the old one's connections never return.
+	dialer      net.Dialer
+	pause       func(context.Context, time.Duration) bool // backoff.Sleep; tests replace it
+	maxIdleTime time.Duration
+	forwards    *atomic.Int64 // attempts whose request was written completely
+
+	mu                sync.Mutex
+	openConnections   int // idle, in use or being dialled
+	maxConnections    int
+	sharesConnections bool // another process of this proxy has half of maxConnections
+	backends          map[balancer.EndpointID]*backend
+	idleCandidates    []*backend                   // with idle connections now, or some lately
+	barredBackends    map[balancer.EndpointID]bool // endpoints to which nothing is written
+	memory            memoryBudget                 // for response bodies over maxSmallBody
+}
+
+// backend is one process of an endpoint. A restart or a new address makes a new backend, to which the
+// connections of the previous one never return.
 type backend struct {
-	address     string
-	startedAtMS int64
-	closed      bool
-	draining    bool    // nothing new is to be written to it
-	hasUsed     bool    // it is among the pool's used ones
-	idle        []*conn // the one used last comes last
+	address         string
+	startedAtMS     int64
+	closed          bool    // replaced by another process, or removed
+	draining        bool    // nothing new may be written to it
+	isIdleCandidate bool    // it is in the idleCandidates of the pool
+	idle            []*conn // in the order of their last use
 }
 
-func newPool(s balancer.Settings, most int) *pool {
+// newPool returns a pool of at most maxConnections connections.
+func newPool(s balancer.Settings, maxConnections int) *pool {
 	p := &pool{
-		maxConnections: most,
+		maxConnections: maxConnections,
 		forwards:       new(atomic.Int64),
 		backends:       map[balancer.EndpointID]*backend{},
-		heldBackends:   map[balancer.EndpointID]bool{},
+		barredBackends: map[balancer.EndpointID]bool{},
 		memory:         newMemoryBudget(defaultMemoryMB),
 		pause:          backoff.Sleep,
 		dialer:         net.Dialer{KeepAlive: -1},
@@ -57,87 +60,88 @@
 	return p
 }
 
-// configure takes the settings that concern connections.
+// configure applies the settings that concern connections.
 func (p *pool) configure(s balancer.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialer.Timeout = s.ConnectTimeout
-	if p.maxIdle = time.Duration(
-		idleTimeoutShare * float64(s.ConnectionIdleTimeout),
+	if p.maxIdleTime = time.Duration(
+		idleTimeoutFraction * float64(s.ConnectionIdleTimeout),
 	); s.ConnectionIdleTimeout <= 0 {
-		p.maxIdle = time.Minute
+		p.maxIdleTime = time.Minute
 	}
 }
 
-// idleTime is how long a connection may stay idle.
+// idleTime returns how long a connection may stay idle.
 func (p *pool) idleTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.maxIdle
+	return p.maxIdleTime
 }
 
-// setBackend takes a server's address from the list. Connections to an earlier
-// process of it are worthless and are closed.
-func (p *pool) setBackend(id balancer.EndpointID, address string, since int64) {
+// setBackend sets the address and start time of an endpoint. Connections to an earlier process are
+// useless and are closed.
+func (p *pool) setBackend(id balancer.EndpointID, address string, startedAtMS int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
-		if b.address == address && b.startedAtMS == since {
+		if b.address == address && b.startedAtMS == startedAtMS {
 			return
 		}
 		b.closed = true
-		p.drop(b)
+		p.closeIdleLocked(b)
 	}
-	p.backends[id] = &backend{address: address, startedAtMS: since}
+	p.backends[id] = &backend{address: address, startedAtMS: startedAtMS}
 }
 
+// removeBackend removes an endpoint that is no longer listed, and closes its idle connections.
 func (p *pool) removeBackend(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
 		b.closed = true
-		p.drop(b)
+		p.closeIdleLocked(b)
 		delete(p.backends, id)
 	}
 }
 
-// closeIdle closes the connections to a server that carry nothing.
+// closeIdle closes the idle connections of an endpoint.
 func (p *pool) closeIdle(id balancer.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
-		p.drop(b)
+		p.closeIdleLocked(b)
 	}
 }
 
-// halve leaves half of the connections to another process of this proxy, or
-// takes them back.
+// halve leaves half of the connections to another process of this proxy, or takes them back.
 func (p *pool) halve(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.halved = on
-	for p.open > p.limit() && p.evict() {
+	p.sharesConnections = on
+	for p.openConnections > p.limit() && p.evict() {
 	}
 }
 
+// limit returns how many connections may be open at a time.
 func (p *pool) limit() int {
-	if p.halved {
+	if p.sharesConnections {
 		return max(1, p.maxConnections/2)
 	}
 	return p.maxConnections
 }
 
-// holdBackend has nothing more written to a server, whatever was picked before, or
-// lets it be used again.
-func (p *pool) holdBackend(id balancer.EndpointID, on bool) {
+// barBackend makes sure that nothing more is written to an endpoint, even if it has been chosen already,
+// or allows writing again.
+func (p *pool) barBackend(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if delete(p.heldBackends, id); on {
-		p.heldBackends[id] = true
+	if delete(p.barredBackends, id); on {
+		p.barredBackends[id] = true
 	}
 }
 
-// setDraining reports whether a server takes nothing new.
+// setDraining records whether an endpoint drains, so that nothing new may be written to it.
 func (p *pool) setDraining(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,27 +150,29 @@
 	}
 }
 
-// isBarred reports whether nothing may be written on a connection any more: since its server was picked, that
-// has restarted, moved, begun to drain or left the list, or is held.
+// isBarred reports whether nothing may be written on a connection any more: since the endpoint was
+// chosen, it has restarted, moved, begun to drain, left the list or been barred.
 func (p *pool) isBarred(id balancer.EndpointID, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.backend.closed || c.backend.draining || p.heldBackends[id]
+	return c.backend.closed || c.backend.draining || p.barredBackends[id]
 }
 
-func (p *pool) drop(b *backend) {
+// closeIdleLocked closes the idle connections of a backend. The caller holds p.mu.
+func (p *pool) closeIdleLocked(b *backend) {
 	for _, c := range b.idle {
 		besteffort.Close(c.Conn)
-		p.open--
+		p.openConnections--
 	}
 	b.idle = nil
 }
 
-// evict closes the connection that has been idle longest.
+// evict closes the connection that has been idle longest, and returns false if there is none. The caller
+// holds p.mu.
 func (p *pool) evict() bool {
 	var oldest *backend
-	for _, b := range p.used {
-		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleAt.Before(oldest.idle[0].idleAt)) {
+	for _, b := range p.idleCandidates {
+		if len(b.idle) > 0 && (oldest == nil || b.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = b
 		}
 	}
@@ -175,29 +181,30 @@
 	}
 	besteffort.Close(oldest.idle[0].Conn)
 	oldest.idle = oldest.idle[1:]
-	p.open--
+	p.openConnections--
 	return true
 }
 
-// expire closes the connections that have been idle too long.
+// expire closes the connections that have been idle for maxIdleTime.
 func (p *pool) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.used = slices.DeleteFunc(p.used, func(b *backend) bool {
-		p.dropOld(b, now)
-		b.hasUsed = len(b.idle) > 0
-		return !b.hasUsed
+	p.idleCandidates = slices.DeleteFunc(p.idleCandidates, func(b *backend) bool {
+		p.closeExpiredLocked(b, now)
+		b.isIdleCandidate = len(b.idle) > 0
+		return !b.isIdleCandidate
 	})
 }
 
-func (p *pool) dropOld(b *backend, now time.Time) {
-	old := 0
-	for old < len(b.idle) && now.Sub(b.idle[old].idleAt) >= p.maxIdle {
-		besteffort.Close(b.idle[old].Conn)
-		old++
+// closeExpiredLocked is expire for one backend. The caller holds p.mu.
+func (p *pool) closeExpiredLocked(b *backend, now time.Time) {
+	expired := 0
+	for expired < len(b.idle) && now.Sub(b.idle[expired].idleSince) >= p.maxIdleTime {
+		besteffort.Close(b.idle[expired].Conn)
+		expired++
 	}
-	p.open -= old
-	b.idle = slices.Delete(b.idle, 0, old)
+	p.openConnections -= expired
+	b.idle = slices.Delete(b.idle, 0, expired)
 }
 
 // run expires idle connections until ctx ends.
--- a/internal/proxy/settings_flight_test.go
+++ b/internal/proxy/settings_flight_test.go
@@ -19,7 +19,7 @@
 	cfg := n.configOf()
 	cfg.Settings.Classes = classes
 	n.Reload(cfg)
-	n.on(t, func() {})
+	n.runOnLoop(t, func() {})
 }
 
 // TestSettingsChangeAmidARequest: new settings come when the head of a request has been read and its body has not. It
@@ -98,7 +98,7 @@
 	n.stop()
 	n.linger()
 	wait(t, n.tap.closed, "the listener to be closed")
-	if left := n.frontend.longestTimeLeft(); left < enough {
+	if left := n.frontend.longestRemainingTime(); left < enough {
 		t.Errorf("the front stays for %v", left)
 	}
 	close(release)
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -10,43 +10,44 @@
 )
 
 const (
-	maxLarge   = 32 << 20               // bytes of any body
-	copyBuffer = 16 << 10               // of a long body on its way
-	streamWait = 100 * time.Millisecond // an answer of no stated length begins after that
-	// progressTimeout is how long either side of a long message may stand still.
+	maxStreamedBody  = 32 << 20               // bytes of any body
+	copyBufSize      = 16 << 10               // bytes in which a long body is copied
+	maxBufferingTime = 100 * time.Millisecond // then a response of no stated length is streamed
+	// progressTimeout is how long either side of a long message may stall.
 	progressTimeout = 20 * time.Second
 )
 
-// errClientGone ends an answer that nobody reads on.
+// errClientGone ends a message whose client has left.
 var errClientGone = errors.New("the client has gone")
 
-// responseStream is a long answer that has begun: its client gets it as it comes.
+// responseStream is a long response that has begun, and is forwarded to its client as it comes.
 type responseStream struct {
-	length int64 // of all; negative: not stated
-	start  []byte
+	length int64  // of the complete body; negative if not stated
+	start  []byte // the part of the body that has been read
 	rest   io.Reader
 	conn   *conn
-	ended  chan error // takes how it ended, once
+	ended  chan error // receives once how the stream ended
 	canceller
 }
 
-// writeTo writes a stream to its client, piece by piece. An error means that the
-// client does not have all of it. due is when its request's time is over.
-func (s *responseStream) writeTo(w http.ResponseWriter, due time.Time) error {
+// writeTo forwards a stream to its client, piece by piece. An error means that the client does not have
+// the complete response. deadline is that of the request.
+func (s *responseStream) writeTo(w http.ResponseWriter, deadline time.Time) error {
 	control := http.NewResponseController(w)
 	s.begin(func() {
 		besteffort.SocketOption(s.conn.SetDeadline(time.Unix(1, 0)))
 		besteffort.SocketOption(control.SetWriteDeadline(time.Unix(1, 0)))
 	})
-	return s.finish(s.copyTo(w, control, due))
+	return s.finish(s.copyTo(w, control, deadline))
 }
 
+// copyTo is writeTo without the registration of what interrupts the stream.
 func (s *responseStream) copyTo(
 	w http.ResponseWriter,
 	control *http.ResponseController,
-	due time.Time,
+	deadline time.Time,
 ) error {
-	put := func(p []byte) error {
+	writePart := func(p []byte) error {
 		if len(p) == 0 {
 			return nil
 		}
@@ -62,43 +63,45 @@
 		}
 		return nil
 	}
-	returned := time.Now() // from the last read
-	err, passed := put(s.start), int64(len(s.start))
+	lastReadAt := time.Now() // return of the last read
+	err, passed := writePart(s.start), int64(len(s.start))
 	s.start = nil
-	for buf := make([]byte, copyBuffer); err == nil; {
+	for buf := make([]byte, copyBufSize); err == nil; {
 		var n int
-		var rerr error
-		due = due.Add(time.Since(returned)) // only the server's time counts
-		besteffort.SocketOption(s.conn.SetReadDeadline(s.progressDeadline(due, passed)))
+		var readErr error
+		deadline = deadline.Add(time.Since(lastReadAt)) // only the backend's time counts
+		besteffort.SocketOption(s.conn.SetReadDeadline(s.progressDeadline(deadline, passed)))
 		if s.isCancelled() {
 			return errResponseCut
 		}
-		n, rerr = s.rest.Read(buf)
-		returned = time.Now()
-		if passed += int64(n); passed > maxLarge {
+		n, readErr = s.rest.Read(buf)
+		lastReadAt = time.Now()
+		if passed += int64(n); passed > maxStreamedBody {
 			return errTooLong
 		}
-		if err = put(buf[:n]); err == nil && rerr != nil {
-			if errors.Is(rerr, io.EOF) {
+		if err = writePart(buf[:n]); err == nil && readErr != nil {
+			if errors.Is(readErr, io.EOF) {
 				return nil
 			}
-			return rerr
+			return readErr
 		}
 	}
 	return err
 }
 
-// progressDeadline is when more of it must have come. Of a long answer the first byte is
-// timed, of any other the last one, and one of no stated length is long only
-// once so much has come: until then it may not drip on past its request's time,
-// and still gets there at the rate that is asked of clients.
-func (s *responseStream) progressDeadline(due time.Time, passed int64) time.Time {
-	by := time.Now().Add(progressTimeout)
-	if s.length >= 0 || passed > maxBody {
-		return by
+// progressDeadline returns when the next part of the stream must have come. A response of stated length,
+// and any response once it has more than maxBufferedBody bytes, only has to make progress. Until then, a
+// response of no stated length must not drip on beyond its request's deadline, but may still arrive at
+// minBodyRate, the rate that is required of clients.
+func (s *responseStream) progressDeadline(deadline time.Time, passed int64) time.Time {
+	progressBy := time.Now().Add(progressTimeout)
+	if s.length >= 0 || passed > maxBufferedBody {
+		return progressBy
 	}
-	if last := due.Add(bodyStartGrace + time.Duration(passed)*time.Second/minBodyRate); last.Before(by) {
+	if last := deadline.Add(
+		bodyStartGrace + time.Duration(passed)*time.Second/minBodyRate,
+	); last.Before(progressBy) {
 		return last
 	}
-	return by
+	return progressBy
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -15,9 +15,10 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestLongAnswers come out as they went in, in each form, and leave the connection in use where their end is told.
-func TestLongAnswers(t *testing.T) {
-	for _, size := range []int{maxBody - 1, maxBody, maxBody + 1, 200000, 4 << 20} {
+// TestStreamedResponsesArriveUnchanged checks that long responses reach the client unchanged in each form
+// of framing, and that the request is counted as succeeded and no longer outstanding.
+func TestStreamedResponsesArriveUnchanged(t *testing.T) {
+	for _, size := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 200000, 4 << 20} {
 		body := pattern(size)
 		for form, answer := range map[string]func(c net.Conn){
 			"length": func(c net.Conn) {
@@ -55,8 +56,9 @@
 	}
 }
 
-// TestLongAnswerBreaksOff: its client can tell, in each form, and it counts as failed. It is not tried again.
-func TestLongAnswerBreaksOff(t *testing.T) {
+// TestTruncatedStreamIsVisibleToTheClientAndNotRetried checks that a client can detect in each form of
+// framing that a long response broke off, that the request counts as aborted, and that it is not retried.
+func TestTruncatedStreamIsVisibleToTheClientAndNotRetried(t *testing.T) {
 	for form, head := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nf4240\r\n",
@@ -67,7 +69,7 @@
 			if readRequest(r) != nil {
 				besteffort.Output(io.WriteString(c, head))
 				besteffort.Output(c.Write(pattern(300000)))
-				if form == "reset" { // else it discards what has not left
+				if form == "reset" { // an early reset discards bytes that have not left yet
 					<-begun
 					besteffort.SocketOption(c.(*net.TCPConn).SetLinger(0))
 				}
@@ -82,21 +84,22 @@
 		}
 		begun <- true
 		if got, err := io.ReadAll(resp.Body); err == nil {
-			t.Errorf("%s: %d bytes look like a whole answer", form, len(got))
+			t.Errorf("%s: %d bytes look like a complete response", form, len(got))
 		}
 		figure(t, address, "app.results.saldo.aborted:1|c")
 		figure(t, address, "app.forwards:1|c")
 	}
 }
 
-// TestLongAnswerOutlivesItsTime: once it has begun, only a standstill ends it; and what has come is not held back.
-func TestLongAnswerOutlivesItsTime(t *testing.T) {
-	goOn := make(chan struct{})
+// TestStreamOutlivesItsRequestDeadline checks that, once a long response has begun, only a stall ends it,
+// and that received bytes are forwarded without delay.
+func TestStreamOutlivesItsRequestDeadline(t *testing.T) {
+	resume := make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) != nil {
-			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBody+10))
-			besteffort.Output(c.Write(make([]byte, maxBody)))
-			<-goOn
+			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBufferedBody+10))
+			besteffort.Output(c.Write(make([]byte, maxBufferedBody)))
+			<-resume
 			besteffort.Output(c.Write(make([]byte, 10)))
 		}
 	}))
@@ -106,11 +109,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(resp.Body, make([]byte, maxBody)); err != nil {
-		t.Fatalf("what has come is held back: %v", err)
+	if _, err := io.ReadFull(resp.Body, make([]byte, maxBufferedBody)); err != nil {
+		t.Fatalf("received bytes are not forwarded: %v", err)
 	}
 	ended := make(chan int, 1)
-	n.post(func() { // its time is over
+	n.post(func() { // as at its deadline
 		attempts := n.requests["q"].cancelAttempts
 		for _, cancel := range attempts {
 			cancel()
@@ -118,29 +121,30 @@
 		ended <- len(attempts)
 	})
 	if k := wait(t, ended, "the loop"); k != 1 {
-		t.Errorf("%d attempts", k)
+		t.Errorf("%d attempts, want 1", k)
 	}
-	close(goOn)
+	close(resume)
 	if b, err := io.ReadAll(resp.Body); err != nil || len(b) != 10 {
 		t.Errorf("the rest: %d bytes, %v", len(b), err)
 	}
 }
 
-// TestSlowReaderHoldsItsServerBack: little of a long answer is in the proxy, however long it is.
-func TestSlowReaderHoldsItsServerBack(t *testing.T) {
-	stuck := make(chan bool, 1)
+// TestSlowClientAppliesBackpressureToTheBackend checks that only a small part of a long response is in
+// the proxy, however long the response is.
+func TestSlowClientAppliesBackpressureToTheBackend(t *testing.T) {
+	blocked := make(chan bool, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if readRequest(r) == nil {
 			return
 		}
-		besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxLarge))
-		body := pattern(maxLarge)
+		besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStreamedBody))
+		body := pattern(maxStreamedBody)
 		for len(body) > 0 {
 			besteffort.SocketOption(c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)))
 			k, err := c.Write(body)
 			if body = body[k:]; err != nil {
 				select {
-				case stuck <- true:
+				case blocked <- true:
 				default:
 				}
 			}
@@ -148,22 +152,23 @@
 	}))
 	c := n.dial(t)
 	c.ask(t, "saldo", "q", "20")
-	wait(t, stuck, "the server to be held back")
+	wait(t, blocked, "the backend to be blocked")
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := sha256.New()
-	if k, err := io.Copy(h, resp.Body); err != nil || k != maxLarge {
+	if k, err := io.Copy(h, resp.Body); err != nil || k != maxStreamedBody {
 		t.Errorf("%d bytes, %v", k, err)
 	}
-	if got := fmt.Sprintf("%d %x", maxLarge, h.Sum(nil)); got != digest(pattern(maxLarge)) {
-		t.Error("the bytes are others")
+	if got := fmt.Sprintf("%d %x", maxStreamedBody, h.Sum(nil)); got != digest(pattern(maxStreamedBody)) {
+		t.Error("body was changed")
 	}
 }
 
-// TestAnswerThatDripsOn ends with its request's time, and its client can tell.
-func TestAnswerThatDripsOn(t *testing.T) {
+// TestDrippingResponseEndsAtItsDeadline checks that a response of no stated length that comes byte by
+// byte ends with its request's deadline, and that its client can detect it.
+func TestDrippingResponseEndsAtItsDeadline(t *testing.T) {
 	n := startNode(t, backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		if readRequest(r) == nil {
 			return
@@ -178,26 +183,27 @@
 	c.ask(t, "saldo", "q", "3")
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("no answer begins: %v", err)
+		t.Fatalf("no response begins: %v", err)
 	}
 	if got, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("%d bytes look like a whole answer", len(got))
+		t.Errorf("%d bytes look like a complete response", len(got))
 	}
 }
 
-// TestTimeOfStream: only what is not known to be long is held to its request's time.
-func TestTimeOfStream(t *testing.T) {
+// TestDeadlineEndsOnlyStreamsNotKnownToBeLong checks that the request's deadline applies to a stream only
+// until that is known to be long.
+func TestDeadlineEndsOnlyStreamsNotKnownToBeLong(t *testing.T) {
 	for _, c := range []struct {
-		length int64
-		start  int
-		due    time.Duration
-		whole  bool
+		length   int64
+		start    int
+		due      time.Duration
+		complete bool
 	}{
 		{-1, 10, -time.Hour, false},
-		{-1, maxBody, -time.Hour, false},
+		{-1, maxBufferedBody, -time.Hour, false},
 		{-1, 10, time.Hour, true},
-		{-1, maxBody + 1, -time.Hour, true},
-		{maxBody + 20, 10, -time.Hour, true},
+		{-1, maxBufferedBody + 1, -time.Hour, true},
+		{maxBufferedBody + 20, 10, -time.Hour, true},
 	} {
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, _ *bufio.Reader) { besteffort.Output(conn.Write(make([]byte, 10))) }))
 		ctx, cancel := context.WithTimeout(context.Background(), enough)
@@ -207,7 +213,7 @@
 		}
 		s := &responseStream{length: c.length, start: make([]byte, c.start), rest: conn.Conn, conn: conn}
 		w := httptest.NewRecorder()
-		if err := s.writeTo(w, time.Now().Add(c.due)); (err == nil) != c.whole || c.whole && w.Body.Len() != c.start+10 {
+		if err := s.writeTo(w, time.Now().Add(c.due)); (err == nil) != c.complete || c.complete && w.Body.Len() != c.start+10 {
 			t.Errorf("%+v: %d bytes, %v", c, w.Body.Len(), err)
 		}
 		conn.closeDirty()
--- a/internal/proxy/typecheck.go
+++ b/internal/proxy/typecheck.go
@@ -9,29 +9,30 @@
 	"strings"
 )
 
-// typeChecker finds which values of a file don't have the type of their key, and which
-// keys have no meaning.
+// typeChecker finds the values of a configuration file that do not have the type of their key, and the
+// keys that do not exist.
 type typeChecker struct{ problems, unknown []string }
 
-// check goes through what JSON has under path, which is to have the type of like.
-func (k *typeChecker) check(path string, value, like any) { k.walk(path, value, reflect.TypeOf(like)) }
+// check compares the JSON value at path with the type of want.
+func (c *typeChecker) check(path string, value, want any) { c.walk(path, value, reflect.TypeOf(want)) }
 
-func (k *typeChecker) walk(path string, value any, t reflect.Type) {
+// walk is check for the type t.
+func (c *typeChecker) walk(path string, value any, t reflect.Type) {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	_, raw := reflect.New(t).Interface().(*json.RawMessage)
 	switch {
-	case value == nil || raw: // null is as good as absent
-	case t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(unmarshaler):
-		k.object(path, value, t)
+	case value == nil || raw: // null counts as absent
+	case t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(unmarshalerType):
+		c.object(path, value, t)
 	case t.Kind() == reflect.Slice:
 		all, ok := value.([]any)
 		if !ok {
-			k.addProblem(path, value, "a list")
+			c.addProblem(path, value, "a list")
 		}
 		for i, e := range all {
-			k.walk(fmt.Sprintf("%s.%d", path, i), e, t.Elem())
+			c.walk(fmt.Sprintf("%s.%d", path, i), e, t.Elem())
 		}
 	default:
 		text, err := json.Marshal(value)
@@ -39,45 +40,48 @@
 			err = json.Unmarshal(text, reflect.New(t).Interface())
 		}
 		if err != nil {
-			k.addProblem(path, value, kinds[t.Kind()])
+			c.addProblem(path, value, kindNames[t.Kind()])
 		}
 	}
 }
 
-func (k *typeChecker) object(path string, value any, t reflect.Type) {
-	o, ok := value.(map[string]any)
+// object checks the keys and values of an object against the fields of the struct type t.
+func (c *typeChecker) object(path string, value any, t reflect.Type) {
+	object, ok := value.(map[string]any)
 	if !ok {
-		k.addProblem(path, value, "an object")
+		c.addProblem(path, value, "an object")
 		return
 	}
-	for _, key := range slices.Sorted(maps.Keys(o)) {
+	for _, key := range slices.Sorted(maps.Keys(object)) {
 		at := strings.TrimPrefix(path+"."+key, ".")
 		field, known := t.FieldByNameFunc(func(name string) bool {
 			f, _ := t.FieldByName(name)
-			return strings.EqualFold(f.Tag.Get("json"), key) // as encoding/json has it
+			return strings.EqualFold(f.Tag.Get("json"), key) // keys match without regard to case, as in encoding/json
 		})
 		if !known {
-			k.unknown = append(k.unknown, at+": no such key; it is passed over")
+			c.unknown = append(c.unknown, at+": no such key; it is passed over")
 			continue
 		}
-		k.walk(at, o[key], field.Type)
+		c.walk(at, object[key], field.Type)
 	}
 }
 
-func (k *typeChecker) addProblem(path string, value any, want string) {
-	text, _ := json.Marshal(value) // it comes from JSON
+// addProblem records that the value at path is not what want says.
+func (c *typeChecker) addProblem(path string, value any, want string) {
+	text, _ := json.Marshal(value) // it can't fail: the value was decoded from JSON
 	if len(text) > 40 {
 		text = append(text[:40], "..."...)
 	}
-	k.problems = append(
-		k.problems,
+	c.problems = append(
+		c.problems,
 		strings.TrimPrefix(fmt.Sprintf("%s: want %s, have %s", path, want, text), ": "),
 	)
 }
 
-var unmarshaler = reflect.TypeFor[json.Unmarshaler]()
+var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-var kinds = map[reflect.Kind]string{
+// kindNames describes the kinds of values in problems.
+var kindNames = map[reflect.Kind]string{
 	reflect.String:  "a string",
 	reflect.Bool:    "true or false",
 	reflect.Int:     "a whole number",
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	bodyStartGrace = 400 * time.Millisecond // for a body to begin, behind a head that took all its time
-	minBodyRate    = 32 << 10               // bytes a second, half of what the slowest client sends
+	bodyStartGrace = 400 * time.Millisecond // for a body to begin, after a head that took all of its time
+	minBodyRate    = 32 << 10               // bytes per second: half of the rate of the slowest client
 )
 
-// bodyReader reads a request's body in the time that is its due: as long as it
-// comes at half of the least rate that clients have, and not under readTime
-// from the request's first byte. Time in which nobody reads does not count.
+// bodyReader reads a request's body and enforces its rate: the body must come at minBodyRate or faster,
+// but has at least readTimeout from the first byte of the request. Time in which the proxy does not read
+// does not count.
 type bodyReader struct {
 	body       io.Reader
 	stopped    atomic.Bool
 	control    *http.ResponseController
-	startedAt  time.Time // the request's first byte
-	headEnd    time.Time // its last one of the head, moved on by time not spent in reading
-	lastReadAt time.Time // from the last read
-	received   int64
+	startedAt  time.Time // first byte of the request
+	headEnd    time.Time // end of its head, moved on by the time not spent reading
+	lastReadAt time.Time // return of the last read
+	received   int64     // bytes
 }
 
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
@@ -46,15 +46,16 @@
 	return b
 }
 
-// progressDeadline is when the next part of the body must have come.
+// progressDeadline returns when the next part of the body must have come.
 func (b *bodyReader) progressDeadline() time.Time {
-	by := b.headEnd.Add(bodyStartGrace + time.Duration(b.received)*time.Second/minBodyRate)
-	if least := b.startedAt.Add(readTimeout); by.Before(least) {
-		return least
+	deadline := b.headEnd.Add(bodyStartGrace + time.Duration(b.received)*time.Second/minBodyRate)
+	if earliest := b.startedAt.Add(readTimeout); deadline.Before(earliest) {
+		return earliest
 	}
-	return by
+	return deadline
 }
 
+// Read reads the next part of the body, until progressDeadline.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	b.headEnd = b.headEnd.Add(time.Since(b.lastReadAt))
 	besteffort.SocketOption(b.control.SetReadDeadline(b.progressDeadline()))
@@ -64,48 +65,49 @@
 	n, err := b.body.Read(p)
 	b.received += int64(n)
 	b.lastReadAt = time.Now()
-	if err == io.EOF { // the server goes on reading, to hear whether the client leaves
+	if err == io.EOF { // the HTTP server reads on, to detect that the client leaves
 		besteffort.SocketOption(b.control.SetReadDeadline(time.Time{}))
 	}
 	return n, err
 }
 
-// stop ends a read under way and all later ones.
+// stop ends a read in progress and all later ones.
 func (b *bodyReader) stop() {
 	b.stopped.Store(true)
 	besteffort.SocketOption(b.control.SetReadDeadline(time.Unix(1, 0)))
 }
 
-// upload is what is still to come of a body too long to be kept: it goes from
-// the client to a server as that takes it.
+// upload is the rest of a body that is too long to be buffered: it passes from the client to a backend as
+// fast as the backend reads it.
 type upload struct {
-	length          int64 // of the whole body; negative: not stated
+	length          int64 // of the complete body; negative if not stated
 	pipe            *io.PipeReader
 	reader          *bodyReader
-	completedAt     atomic.Int64  // when its last byte went out; 0: not yet
-	taken           atomic.Bool   // some of it has been, so that no other attempt can have it
+	completedAt     atomic.Int64  // Unix nanoseconds at which the last byte was sent; 0 before
+	consumed        atomic.Bool   // some of it has been read by an attempt, so that no other attempt can send it
 	clientGone      func() bool   // reports whether the client has left
-	clientGoneAtEnd atomic.Bool   // it had when its last byte was to go out
+	clientGoneAtEnd atomic.Bool   // the client had left when the last byte was to be sent
 	readingEnded    chan struct{} // closed when nothing more is read from the client
-	err             error         // how reading from the client failed, once ended is closed
+	err             error         // why reading from the client failed; valid once readingEnded is closed
 	onComplete      func(wait time.Duration)
-	wait            time.Duration // from its last byte on
+	responseTimeout time.Duration // from the last byte on
 
-	mu      sync.Mutex
-	counted bool // it counts as taken from its client
-	ended   bool // and as ended
+	mu                   sync.Mutex
+	countedAsOutstanding bool // countStart has counted the request
+	countEnded           bool // countEnd has been called
 }
 
-// pump reads a body to its end, as fast as the upload is taken.
-func (u *upload) pump(most int64, w *io.PipeWriter) {
+// pump reads the body to its end into w, as fast as attempts read the upload. A body of more than
+// limit bytes fails.
+func (u *upload) pump(limit int64, w *io.PipeWriter) {
 	defer close(u.readingEnded)
-	n, err := io.CopyBuffer(struct{ io.Writer }{w}, io.LimitReader(u.reader, most+1), make([]byte, copyBuffer))
+	n, err := io.CopyBuffer(struct{ io.Writer }{w}, io.LimitReader(u.reader, limit+1), make([]byte, copyBufSize))
 	switch {
-	case err == nil && n > most:
+	case err == nil && n > limit:
 		err = errTooLong
-	case errors.Is(err, io.ErrClosedPipe): // nobody wants the rest
+	case errors.Is(err, io.ErrClosedPipe): // no attempt needs the rest
 		besteffort.Drained(
-			io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, most), make([]byte, copyBuffer)),
+			io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, limit), make([]byte, copyBufSize)),
 		)
 		return
 	}
@@ -113,33 +115,33 @@
 	w.CloseWithError(err)
 }
 
-// attemptUpload is an upload as an attempt reads it until ctx ends.
+// attemptUpload is the part of an upload that one attempt reads, until ctx ends.
 type attemptUpload struct {
 	ctx context.Context
 	*upload
-	remaining int64 // bytes until its end; negative: not stated
+	remaining int64 // bytes until the end of the body; negative if not stated
 }
 
-// Read takes some of it. Whoever ends ctx before it asks whether some has been
-// taken hears of it, or no more will be. A server begins at the last byte, so
-// none gets that of a client that has left.
-func (t *attemptUpload) Read(p []byte) (int, error) {
-	if t.ctx.Err() == nil {
-		t.taken.Store(true)
+// Read reads the next bytes. It sets consumed before it checks ctx: so whoever ends ctx, and then finds
+// consumed unset, knows that nothing will be read. A backend begins to serve at the last byte, so the
+// last byte is withheld if the client has left.
+func (u *attemptUpload) Read(p []byte) (int, error) {
+	if u.ctx.Err() == nil {
+		u.consumed.Store(true)
 	}
-	if err := t.ctx.Err(); err != nil {
+	if err := u.ctx.Err(); err != nil {
 		return 0, err
 	}
-	n, err := t.pipe.Read(p)
-	t.remaining -= int64(n)
-	if (t.remaining == 0 || errors.Is(err, io.EOF)) && t.clientGone() {
-		t.clientGoneAtEnd.Store(true)
+	n, err := u.pipe.Read(p)
+	u.remaining -= int64(n)
+	if (u.remaining == 0 || errors.Is(err, io.EOF)) && u.clientGone() {
+		u.clientGoneAtEnd.Store(true)
 		return 0, errClientGone
 	}
 	return n, err
 }
 
-// close ends the reading from the client, if that goes on.
+// close stops reading from the client, if that has not ended.
 func (u *upload) close() {
 	select {
 	case <-u.readingEnded:
@@ -149,16 +151,15 @@
 	}
 }
 
-// drain reads what the client has still to send, at the rate that is its due,
-// and returns at its end. A client that is cut off while it sends may never
-// read the answer that waits for it.
+// drain reads and discards what the client has still to send, and returns at the end of the body. A
+// client that is cut off while it sends may never read the response that waits for it.
 func (u *upload) drain() {
 	besteffort.Close(u.pipe)
 	<-u.readingEnded
 }
 
-// failed tells that the client has broken off.
-func (u *upload) failed() bool {
+// clientFailed reports whether the client has broken off the upload.
+func (u *upload) clientFailed() bool {
 	select {
 	case <-u.readingEnded:
 		return u.err != nil || u.clientGoneAtEnd.Load()
@@ -167,64 +168,63 @@
 	}
 }
 
-// countStart counts the request as taken, once its last byte has gone out.
+// countStart counts the request as outstanding, once its last byte has been sent.
 func (u *upload) countStart(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.counted && !u.ended {
-		u.counted = true
+	if !u.countedAsOutstanding && !u.countEnded {
+		u.countedAsOutstanding = true
 		outstanding.Add(1)
 	}
 }
 
-// countEnd counts it as ended.
+// countEnd counts the request as ended.
 func (u *upload) countEnd(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.ended = true; u.counted {
+	if u.countEnded = true; u.countedAsOutstanding {
 		outstanding.Add(-1)
 	}
 }
 
-// errTooLong says that a message is longer than any may be.
+// errTooLong means that a body has more than maxStreamedBody bytes.
 var errTooLong = errors.New("it is too long")
 
-// readStart reads a body to its end, or to the size that is kept; rest tells
-// that there is more.
+// readStart reads a body to its end, or up to the size that is buffered; rest reports that there is more.
 func readStart(
 	ctx context.Context,
 	body io.Reader,
-	room func(context.Context) error,
+	reserveMemory func(context.Context) error,
 ) (start []byte, rest bool, err error) {
 	if start, err = io.ReadAll(io.LimitReader(body, maxSmallBody+1)); err != nil || len(start) <= maxSmallBody {
 		return start, false, err
 	}
-	if err = room(ctx); err != nil {
+	if err = reserveMemory(ctx); err != nil {
 		return nil, false, err
 	}
-	more, err := io.ReadAll(io.LimitReader(body, maxBody-maxSmallBody))
+	more, err := io.ReadAll(io.LimitReader(body, maxBufferedBody-maxSmallBody))
 	start = append(start, more...)
-	return start, len(start) > maxBody, err
+	return start, len(start) > maxBufferedBody, err
 }
 
 const (
-	maxSmallBody  = 16 << 10
-	messageMemory = maxBody + 2*copyBuffer
-	memoryWait    = 5 * time.Second // to wait for some
+	maxSmallBody  = 16 << 10                        // bytes of a body that needs no memory budget
+	messageMemory = maxBufferedBody + 2*copyBufSize // bytes that one larger message takes at most
+	memoryWait    = 5 * time.Second                 // for a place in the memory budget
 )
 
-// startUpload goes on with a body whose start has been read.
+// startUpload starts to read the rest of a body of which start bytes have been read.
 func startUpload(r *http.Request, body *bodyReader, start int, wait time.Duration) *upload {
 	read, write := io.Pipe()
 	u := &upload{
-		length:       r.ContentLength,
-		pipe:         read,
-		reader:       body,
-		wait:         wait,
-		readingEnded: make(chan struct{}),
-		onComplete:   func(time.Duration) {},
-		clientGone:   func() bool { return false },
-	}
-	go u.pump(maxLarge-int64(start), write)
+		length:          r.ContentLength,
+		pipe:            read,
+		reader:          body,
+		responseTimeout: wait,
+		readingEnded:    make(chan struct{}),
+		onComplete:      func(time.Duration) {},
+		clientGone:      func() bool { return false },
+	}
+	go u.pump(maxStreamedBody-int64(start), write)
 	return u
 }
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -16,10 +16,11 @@
 
 const postHead = "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Class: pagar\r\nX-Deadline: 20\r\n"
 
-// TestLongRequests come out as they went in, of stated length and in chunks.
-func TestLongRequests(t *testing.T) {
+// TestUploadsArriveUnchanged checks that request bodies of all sizes reach the backend unchanged, with a
+// stated length and in chunks, and that no memory stays reserved.
+func TestUploadsArriveUnchanged(t *testing.T) {
 	n := startNode(t, digests(t))
-	for _, size := range []int{0, 1, maxSmallBody, maxSmallBody + 1, maxBody - 1, maxBody, maxBody + 1, 300000, maxLarge} {
+	for _, size := range []int{0, 1, maxSmallBody, maxSmallBody + 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 300000, maxStreamedBody} {
 		body := pattern(size)
 		for _, chunked := range []bool{false, true} {
 			var sent io.Reader = bytes.NewReader(body)
@@ -33,28 +34,31 @@
 		}
 	}
 	if left := len(n.frontend.memory); left != 0 {
-		t.Errorf("%d are still held", left)
+		t.Errorf("%d messages are still in the memory budget", left)
 	}
 }
 
-// TestTooLongRequests are told so, as soon as that is known, and reach no server whole.
-func TestTooLongRequests(t *testing.T) {
+// TestOversizedUploadsAreRejected checks that a body of more than maxStreamedBody bytes is rejected as
+// soon as its size is known, and reaches no backend completely.
+func TestOversizedUploadsAreRejected(t *testing.T) {
 	n := startNode(t, digests(t))
 	c := n.dial(t)
-	besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: %d\r\n\r\n", "q", maxLarge+1))
+	besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: %d\r\n\r\n", "q", maxStreamedBody+1))
 	if s := c.status(t); s != http.StatusRequestEntityTooLarge {
-		t.Errorf("answer %d, want 413", s)
+		t.Errorf("response %d, want 413", s)
 	}
 	c = n.dial(t)
-	besteffort.Output(fmt.Fprintf(c, postHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n", "q", maxLarge+2))
-	go func() { besteffort.Output(c.Write(make([]byte, maxLarge+1))) }()
+	besteffort.Output(fmt.Fprintf(c, postHead+"Transfer-Encoding: chunked\r\n\r\n%x\r\n", "q", maxStreamedBody+2))
+	go func() { besteffort.Output(c.Write(make([]byte, maxStreamedBody+1))) }()
 	if resp, err := http.ReadResponse(c.read, nil); err == nil && resp.StatusCode < 400 {
-		t.Errorf("in chunks: %s", resp.Status)
+		t.Errorf("in chunks: response %s, want an error", resp.Status)
 	}
 }
 
-// TestClientBreaksOffUpload: no server gets a whole request, none is blamed, and nothing is left.
-func TestClientBreaksOffUpload(t *testing.T) {
+// TestAbortedUploadEjectsNoEndpointAndLeavesNothing checks that, if a client breaks off an upload, no
+// backend gets a complete request, no endpoint is ejected for it, and no request or reserved memory
+// remains.
+func TestAbortedUploadEjectsNoEndpointAndLeavesNothing(t *testing.T) {
 	got, broken := make(chan bool, 1), make(chan error, 1)
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -68,12 +72,12 @@
 	address := n.operate(t)
 	for _, framing := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"} {
 		c := n.dial(t)
-		besteffort.Output(fmt.Fprintf(c, postHead+framing, framing[:1])) // an id of its own, as the one before may not have ended
+		besteffort.Output(fmt.Fprintf(c, postHead+framing, framing[:1])) // a separate ID, because the previous request may not have ended
 		besteffort.Output(c.Write(make([]byte, 200000)))
 		wait(t, got, "the head")
 		besteffort.Close(c)
 		if err := wait(t, broken, "the body's end"); err == nil {
-			t.Errorf("%s: a whole request came", framing)
+			t.Errorf("%s: backend received a complete request", framing)
 		}
 		figure(t, address, "app.outstanding:0|g")
 	}
@@ -85,36 +89,37 @@
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatal("something is left behind")
+			t.Fatal("a request or reserved memory remains")
 		}
 	}
 }
 
-// TestUploadIsTurnedAway: a server that has no room says so ahead of the body's end. The request never ran, and its client
-// is told that another try does no harm, though it is still sending.
-func TestUploadIsTurnedAway(t *testing.T) {
-	for name, says := range map[string]string{
+// TestEarlyRejectionOfAnUploadReachesTheClient checks a backend that rejects an upload, or closes, before
+// the body ends. The request was never executed, and its client gets a rejection, which makes a retry
+// safe, though it is still sending.
+func TestEarlyRejectionOfAnUploadReachesTheClient(t *testing.T) {
+	for name, answer := range map[string]string{
 		"turned away": "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 		"gone":        "",
 	} {
 		n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if req, err := http.ReadRequest(r); err == nil {
-				_, _ = io.CopyN(io.Discard, req.Body, maxBody+50000)
-				besteffort.Output(io.WriteString(c, says))
+				_, _ = io.CopyN(io.Discard, req.Body, maxBufferedBody+50000)
+				besteffort.Output(io.WriteString(c, answer))
 			}
 		}))
 		c := n.dial(t)
 		besteffort.Output(fmt.Fprintf(c, postHead+"Content-Length: 1000000\r\n\r\n", "q"))
 		besteffort.Output(c.Write(make([]byte, 200000)))
 		if s := c.status(t); s != http.StatusServiceUnavailable {
-			t.Errorf("%s: answer %d, want a refusal", name, s)
+			t.Errorf("%s: response %d, want 503", name, s)
 		}
 	}
 }
 
-// TestRefusedClientMaySendOn: one that reads no answer before it has sent its body is not cut off; the refusal waits for it,
-// and counts from when it was given.
-func TestRefusedClientMaySendOn(t *testing.T) {
+// TestRejectedClientMayFinishSending checks that a client that reads no response before it has sent its
+// body is not cut off: the rejection waits for it, and is counted when it is made.
+func TestRejectedClientMayFinishSending(t *testing.T) {
 	n := startNode(t, refusing(t))
 	address := n.operate(t)
 	c := n.dial(t)
@@ -125,16 +130,17 @@
 		}
 		if sent == 200000 {
 			figure(t, address, "app.results.pagar.declined:1|c")
-			time.Sleep(700 * time.Millisecond) // over the time that net/http gives a client it has told to close
+			time.Sleep(700 * time.Millisecond) // longer than net/http waits for a client that it has asked to close
 		}
 	}
 	if s := c.status(t); s != http.StatusServiceUnavailable {
-		t.Errorf("answer %d, want a refusal", s)
+		t.Errorf("response %d, want 503", s)
 	}
 }
 
-// TestKeptUploadIsTriedAgain where no connection could be made: nothing has been taken from its client yet.
-func TestKeptUploadIsTriedAgain(t *testing.T) {
+// TestUnsentUploadIsRetried checks that an upload is retried if no connection could be established,
+// because nothing of it has been read from the client yet.
+func TestUnsentUploadIsRetried(t *testing.T) {
 	n := startNode(t, refusing(t), digests(t))
 	body := pattern(500000)
 	for i := range 10 {
@@ -145,15 +151,16 @@
 	}
 }
 
-// TestUploadsTimeRunsFromItsLastByte, at the proxy as in the balancer, and only then does it count as taken.
-func TestUploadsTimeRunsFromItsLastByte(t *testing.T) {
-	came, hold := make(chan bool, 1), make(chan struct{})
+// TestUploadDeadlineRunsFromItsLastByte checks that the deadline of an upload runs from its last byte, in
+// the proxy as in the balancer, and that the request counts as outstanding only from then on.
+func TestUploadDeadlineRunsFromItsLastByte(t *testing.T) {
+	received, release := make(chan bool, 1), make(chan struct{})
 	n := startNode(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if req, err := http.ReadRequest(r); err == nil {
-			came <- true
+			received <- true
 			_, _ = io.Copy(io.Discard, req.Body)
-			came <- true
-			<-hold
+			received <- true
+			<-release
 			besteffort.Output(io.WriteString(c, okAnswer))
 		}
 	}))
@@ -162,27 +169,28 @@
 	body := pattern(200000)
 	besteffort.Output(fmt.Fprintf(c, strings.Replace(postHead, "20", "60", 1)+"Content-Length: %d\r\n\r\n", "q", len(body)))
 	besteffort.Output(c.Write(body[:150000]))
-	wait(t, came, "its head")
+	wait(t, received, "its head")
 	figure(t, address, "app.outstanding:0|g")
 	before := time.Now()
 	besteffort.Output(c.Write(body[150000:]))
-	wait(t, came, "its end")
+	wait(t, received, "its end")
 	figure(t, address, "app.outstanding:1|g")
 	deadline := make(chan time.Time, 1)
 	n.post(func() { deadline <- n.requests["q"].deadline })
 	if at := wait(t, deadline, "the loop"); at.Before(before.Add(time.Minute - answerMargin)) {
-		t.Error("its time runs from before its last byte")
+		t.Error("deadline runs from before the last byte")
 	}
-	close(hold)
+	close(release)
 	if s := c.status(t); s != 200 {
-		t.Errorf("answer %d", s)
+		t.Errorf("response %d, want 200", s)
 	}
 	figure(t, address, "app.results.pagar.succeeded:1|c")
 	figure(t, address, "app.outstanding:0|g")
 }
 
-// TestPipelinedBehindLong: what follows a long request on its connection is a request of its own.
-func TestPipelinedBehindLong(t *testing.T) {
+// TestPipelinedUploadsAreSeparateRequests checks that what follows a long request on its connection is
+// served as a separate request.
+func TestPipelinedUploadsAreSeparateRequests(t *testing.T) {
 	n := startNode(t, digests(t))
 	c := n.dial(t)
 	body := pattern(150000)
@@ -194,10 +202,10 @@
 	for i := range 3 {
 		resp, err := http.ReadResponse(c.read, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		if b, err := io.ReadAll(resp.Body); err != nil || string(b) != digest(body) {
-			t.Errorf("answer %d: %q, %v", i, b, err)
+			t.Errorf("response %d: %q, %v", i, b, err)
 		}
 	}
 }
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -18,10 +18,10 @@
 const (
 	maxIDLength = 128  // bytes
 	maxWorkHint = 1e12 // microseconds
-	maxPatience = time.Hour
+	maxDeadline = time.Hour
 )
 
-// requestError is the answer to a request that is not taken.
+// requestError is the response to a request that is not accepted.
 type requestError struct {
 	status int
 	err    error
@@ -31,6 +31,7 @@
 
 func (e *requestError) Unwrap() error { return e.err }
 
+// badRequest returns an error that is answered with status 400 and its text.
 func badRequest(format string, args ...any) error {
 	return &requestError{http.StatusBadRequest, fmt.Errorf(format, args...)}
 }
@@ -53,7 +54,7 @@
 	if err != nil {
 		return nil, event, err
 	}
-	timeout, parseErr := seconds(r.Header.Get("X-Deadline"))
+	timeout, parseErr := parseSeconds(r.Header.Get("X-Deadline"))
 	if parseErr != nil {
 		return nil, event, badRequest("X-Deadline: %w", parseErr)
 	}
@@ -63,8 +64,8 @@
 	if err != nil {
 		return nil, event, err
 	}
-	timeout = f.timeLeft(timeout - answerMargin)
-	deadline := time.Now().Add(timeout) // its last byte has come now, and its client waits from there
+	timeout = f.remainingTime(timeout - answerMargin)
+	deadline := time.Now().Add(timeout) // the client waits from now on, as the last byte has come
 	f.updateLatestDeadline(deadline)
 	out := newOutbound(r, body.start)
 	if body.isLong {
@@ -99,7 +100,7 @@
 // checkForm checks that a request has the form of its class, in the present settings or in the previous ones.
 func (f *frontend) checkForm(rules *requestRules, r *http.Request, class string) (previous bool, err error) {
 	return rules.idempotencyOf(class, func(idempotency balancer.Idempotency) error {
-		return fits(r, class, idempotency)
+		return checkMethodAndKey(r, class, idempotency)
 	})
 }
 
@@ -120,13 +121,14 @@
 	releaseMemory func()      // may be nil
 }
 
+// readBody reads a request's body, or the beginning of a long one. An error is a *requestError.
 func (f *frontend) readBody(w http.ResponseWriter, r *http.Request) (requestBody, error) {
-	if r.ContentLength > maxLarge {
+	if r.ContentLength > maxStreamedBody {
 		return requestBody{}, rejectUnread(
 			w,
 			http.StatusRequestEntityTooLarge,
 			"the body is over %d bytes",
-			maxLarge,
+			maxStreamedBody,
 		)
 	}
 	var body requestBody
@@ -157,7 +159,7 @@
 	return &requestError{status, fmt.Errorf(format, args...)}
 }
 
-// newOutbound makes what goes to an endpoint for a client's request.
+// newOutbound returns a client's request as it is sent to an endpoint.
 func newOutbound(r *http.Request, body []byte) *outbound {
 	return &outbound{
 		method: r.Method,
@@ -173,7 +175,8 @@
 	}
 }
 
-// updateLatestDeadline notes how long the front may have to stay, whatever its settings say by then.
+// updateLatestDeadline records how long the frontend may have to run to answer its requests, whatever its
+// settings are by then.
 func (f *frontend) updateLatestDeadline(deadline time.Time) {
 	for at := int64(deadline.Sub(f.server.start)); ; {
 		if before := f.latestDeadline.Load(); at <= before || f.latestDeadline.CompareAndSwap(before, at) {
@@ -182,25 +185,26 @@
 	}
 }
 
-// fits checks a request's form. The method and the key tell the server what a
-// repeat would do, so they must agree with what the balancer believes.
-func fits(r *http.Request, class string, effect balancer.Idempotency) error {
+// checkMethodAndKey checks that a request has the method and the Idempotency-Key of its class. They tell
+// the backend what a retry would do, so they must agree with what the balancer assumes.
+func checkMethodAndKey(r *http.Request, class string, idempotency balancer.Idempotency) error {
 	want := http.MethodPost
-	if effect == balancer.Idempotent {
+	if idempotency == balancer.Idempotent {
 		want = http.MethodGet
 	}
 	if r.Method != want {
 		return &requestError{http.StatusMethodNotAllowed, fmt.Errorf("class %s wants %s", class, want)}
 	}
 	switch keys := r.Header.Values("Idempotency-Key"); {
-	case effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""),
-		effect == balancer.NotIdempotent && len(keys) > 0:
+	case idempotency == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""),
+		idempotency == balancer.NotIdempotent && len(keys) > 0:
 		return badRequest("class %s and Idempotency-Key do not agree", class)
 	}
 	return nil
 }
 
-func seconds(s string) (time.Duration, error) {
+// parseSeconds parses a positive number of seconds, and cuts it at maxDeadline.
+func parseSeconds(s string) (time.Duration, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		return 0, err
@@ -208,5 +212,5 @@
 	if !(v > 0) || math.IsInf(v, 0) { // NaN is not over 0 either
 		return 0, fmt.Errorf("%v is no time to wait", v)
 	}
-	return time.Duration(math.Min(v, maxPatience.Seconds()) * float64(time.Second)), nil
+	return time.Duration(math.Min(v, maxDeadline.Seconds()) * float64(time.Second)), nil
 }
