--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -27,7 +27,7 @@
 	_ = json.Unmarshal(raw, &in) // the type checker finds what is wrong with it, each value by itself
 	k := typeChecker{}
 	k.check("", file, in)
-	if settings := member(file, "settings"); settings != nil {
+	if settings := lookupKey(file, "settings"); settings != nil {
 		k.check("settings", settings, simwire.SettingsForm{})
 	}
 	problems, notes = k.problems, k.unknown
@@ -54,9 +54,9 @@
 		}
 	}
 	if c.Membership.Name != "" && !c.Settings.AllowGossip {
-		notes = append(notes, "fleet: "+membershipOff)
+		notes = append(notes, "fleet: "+membershipOffMessage)
 	}
-	for _, err := range in.Known.Skipped {
+	for _, err := range in.InitialList.Skipped {
 		notes = append(notes, "known.endpoints: passed over: "+err.Error())
 	}
 	return problems, notes
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -14,40 +14,41 @@
 	"wrenspread/internal/simwire"
 )
 
-// What a proxy without stated limits may use.
+// The limits of a proxy whose configuration states none.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
+	defaultMemoryMB       = 192
+	defaultMaxDescriptors = 1024
 )
 
 // Config is the configuration of a proxy at its start.
 type Config struct {
 	Name           string
-	Listen         string   // where clients connect
-	Discovery      string   // where the list of servers comes from, unless List says so
-	Registry       []string // addresses of the project's own registry; it goes before Discovery
-	RegistryCache  string   // where the list is kept for the next start; empty: nowhere
-	RegistrySubset bool     // of the registry's list, the part that the proxy works with is followed
-	Control        string   // where operators call; empty: nowhere
-	// folder for the fencing tokens seen there; empty: they are forgotten with the process
+	Listen         string   // address at which clients connect
+	Discovery      string   // address of the platform's discovery; unused if Registry has addresses
+	Registry       []string // addresses of the registry's replicas; empty: the list comes from Discovery
+	RegistryCache  string   // file that caches the registry's list for the next start; empty: none
+	RegistrySubset bool     // the proxy follows only its own subset of the registry's list
+	Control        string   // address of the operators' HTTP routes; empty: none
+	// FencingFolder stores the highest fencing token of each lease. Empty: the tokens are in memory only and
+	// are lost when the process ends.
 	FencingFolder  string
-	BackendStats   bool // the figures for operators tell servers apart
-	Seed           int64
-	MemoryMB       int
-	MaxDescriptors int // file descriptors
-	Settings       balancer.Settings
+	BackendStats   bool              // /stats has separate lines for each endpoint
+	Seed           int64             // of the balancer's random choices
+	MemoryMB       int               // memory that the process may use
+	MaxDescriptors int               // file descriptors that the process may open
+	Settings       balancer.Settings // of the balancer; a reload replaces them
 
-	PeerListen string           // where other proxies' messages come; empty: nowhere
-	Peers      []netip.AddrPort // of all proxies, by their numbers; invalid: not to be reached
+	PeerListen string           // UDP address for other proxies' messages; empty: none
+	Peers      []netip.AddrPort // addresses of all proxies, by proxy index; invalid: that proxy can't be reached
 
-	Membership MembershipConfig // the view of the fleet
-	// the operators' policy is followed, and its limits are shared with the other proxies
+	Membership MembershipConfig // of the fleet's gossip membership
+	// Policy makes the proxy follow the operators' policy and share its limits with the other proxies.
 	Policy bool
 
 	Tenants TenantsConfig
 
-	initialList registry.ListResponse // the servers as the proxy last had them
-	rawFile     any                   // all of the file, as JSON has it
+	initialList registry.ListResponse // endpoints that the proxy knows at its start
+	rawFile     any                   // the complete file, as decoded JSON
 }
 
 // LoadConfig reads the configuration file at path.
@@ -63,28 +64,28 @@
 	return c, nil
 }
 
-// configForm is the form of a configuration file.
+// configForm is the JSON form of a configuration file.
 type configForm struct {
-	Name         string   `json:"name"`
-	Listen       string   `json:"listen"`
-	Discovery    string   `json:"discovery"`
-	List         []string `json:"list"`
-	ListFile     string   `json:"list_file"`
-	ListPart     bool     `json:"list_part"`
-	Control      string   `json:"control"`
-	Fences       string   `json:"fence_folder"`
-	BackendStats bool     `json:"backend_stats"`
-	Seed         string   `json:"seed"`
-	Limits       struct {
+	Name           string   `json:"name"`
+	Listen         string   `json:"listen"`
+	Discovery      string   `json:"discovery"`
+	Registry       []string `json:"list"`
+	RegistryCache  string   `json:"list_file"`
+	RegistrySubset bool     `json:"list_part"`
+	Control        string   `json:"control"`
+	FencingFolder  string   `json:"fence_folder"`
+	BackendStats   bool     `json:"backend_stats"`
+	Seed           string   `json:"seed"`
+	Limits         struct {
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	PeerListen string                `json:"peer_listen"`
-	Peers      []string              `json:"peers"`
-	Fleet      *fleetForm            `json:"fleet"`
-	Policy     *policyForm           `json:"govern"`
-	Known      registry.ListResponse `json:"known"`
-	Settings   json.RawMessage       `json:"settings"`
+	PeerListen  string                `json:"peer_listen"`
+	Peers       []string              `json:"peers"`
+	Fleet       *fleetForm            `json:"fleet"`
+	Policy      *policyForm           `json:"govern"`
+	InitialList registry.ListResponse `json:"known"`
+	Settings    json.RawMessage       `json:"settings"`
 }
 
 func parseConfig(raw []byte) (Config, error) {
@@ -100,7 +101,7 @@
 	return c, nil
 }
 
-// config returns what the proxy works with, and all that is wrong with the file.
+// config returns the configuration that the file describes, and all problems of the file.
 func (in *configForm) config() (c Config, problems []error) {
 	settings, problems := in.settings()
 	for _, address := range in.addresses() {
@@ -116,20 +117,20 @@
 		Name:           in.Name,
 		Listen:         in.Listen,
 		Discovery:      in.Discovery,
-		Registry:       in.List,
-		RegistryCache:  in.ListFile,
-		RegistrySubset: in.ListPart,
+		Registry:       in.Registry,
+		RegistryCache:  in.RegistryCache,
+		RegistrySubset: in.RegistrySubset,
 		Control:        in.Control,
-		FencingFolder:  in.Fences,
+		FencingFolder:  in.FencingFolder,
 		BackendStats:   in.BackendStats,
 		Seed:           int64(seed),
 		MemoryMB:       in.Limits.MemoryMB,
 		MaxDescriptors: in.Limits.Sockets,
 		Settings:       settings,
-		initialList:    in.Known,
+		initialList:    in.InitialList,
 	}
 	hasIndex := settings.ProxyIndex >= 0 && settings.ProxyIndex < settings.Proxies
-	if in.ListPart && (len(in.List) == 0 || !hasIndex) {
+	if in.RegistrySubset && (len(in.Registry) == 0 || !hasIndex) {
 		problems = append(
 			problems,
 			fmt.Errorf("list_part: only the registry knows subsets, of a proxy with a number: "+
@@ -149,7 +150,7 @@
 	return c, append(problems, c.setDefaults()...)
 }
 
-// settings reads the settings, and returns all that is wrong with them.
+// settings reads the balancer's settings, and returns all problems found in them.
 func (in *configForm) settings() (settings balancer.Settings, problems []error) {
 	if in.Settings == nil {
 		return settings, []error{errors.New("settings are missing")}
@@ -158,11 +159,12 @@
 	for _, err := range found {
 		problems = append(problems, fmt.Errorf("settings: %w", err))
 	}
-	settings.AllowLoadQueries = false // real endpoints take nothing but clients' requests
+	settings.AllowLoadQueries = false // real endpoints answer only clients' requests, no load queries
 	return settings, problems
 }
 
-// parsePeers parses the peers' addresses. One that is no address is invalid: that peer gets no load messages.
+// parsePeers parses the peers' addresses. A text that is not an address gives an invalid AddrPort, and that
+// peer gets no load messages.
 func parsePeers(texts []string) (peers []netip.AddrPort) {
 	for _, text := range texts {
 		address, _ := netip.ParseAddrPort(text)
@@ -171,13 +173,13 @@
 	return peers
 }
 
-// setDefaults sets limits that the file leaves out, and returns what is wrong with the others.
+// setDefaults sets the limits that the file leaves out, and returns the problems of those that it states.
 func (c *Config) setDefaults() (problems []error) {
 	if c.MemoryMB <= 0 {
 		c.MemoryMB = defaultMemoryMB
 	}
 	if c.MaxDescriptors <= 0 {
-		c.MaxDescriptors = defaultSockets
+		c.MaxDescriptors = defaultMaxDescriptors
 	}
 	if c.MaxDescriptors < minDescriptors {
 		problems = append(problems,
@@ -186,15 +188,16 @@
 	return problems
 }
 
+// keyedValue is a value of the configuration file and the key under which it stands.
 type keyedValue struct{ key, value string }
 
-// addresses returns those without which the proxy does not start.
+// addresses returns the addresses that have to be valid for the proxy to start.
 func (in *configForm) addresses() []keyedValue {
 	all := []keyedValue{{"listen", in.Listen}}
-	for _, a := range in.List {
+	for _, a := range in.Registry {
 		all = append(all, keyedValue{"list", a})
 	}
-	if len(in.List) == 0 || in.Discovery != "" {
+	if len(in.Registry) == 0 || in.Discovery != "" {
 		all = append(all, keyedValue{"discovery", in.Discovery})
 	}
 	if in.Control != "" {
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -18,29 +18,28 @@
 )
 
 const (
-	maxOperatorConns    = 16                     // operators' connections at a time
-	operatorCallTimeout = 2 * time.Second        // for a call to be complete: callers wait one
-	maxCall             = 4 << 10                // bytes of a call's head
-	controlRetry        = 250 * time.Millisecond // before the address is tried again, if it can't be had
+	maxOperatorConns     = 16                     // open connections of operators
+	operatorCallTimeout  = 2 * time.Second        // to read a complete call; callers wait 1 s
+	maxCallHeadBytes     = 4 << 10                // size of a call's header
+	controlRetryInterval = 250 * time.Millisecond // between two attempts to listen at the control address
 
-	maintenanceTimeout = 800 * time.Millisecond // for the loop to take a maintenance call
+	maintenanceTimeout = 800 * time.Millisecond // for the loop to begin a maintenance call
 )
 
-// ServeControl answers operators at an address until ctx ends, beside the
-// clients and for as long as the process lives. An address that can't be had
-// costs clients nothing and is tried again.
+// ServeControl serves the operators' routes at an address until ctx ends. If it can't listen there, it tries
+// again at intervals; clients are served meanwhile.
 func (srv *Server) ServeControl(ctx context.Context, address string) {
-	said := false
+	logged := false
 	for ctx.Err() == nil {
 		ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 		if err == nil {
 			err = srv.serveControl(ctx, ln)
 		}
-		if err != nil && !said && ctx.Err() == nil {
-			said = true
+		if err != nil && !logged && ctx.Err() == nil {
+			logged = true
 			srv.log.Error("control address not available, retrying", "err", err)
 		}
-		backoff.Sleep(ctx, controlRetry)
+		backoff.Sleep(ctx, controlRetryInterval)
 	}
 }
 
@@ -49,7 +48,7 @@
 		Handler:        srv.controlMux(),
 		ReadTimeout:    operatorCallTimeout,
 		WriteTimeout:   operatorCallTimeout + time.Second,
-		MaxHeaderBytes: maxCall,
+		MaxHeaderBytes: maxCallHeadBytes,
 		ErrorLog:       slog.NewLogLogger(srv.log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, operatorConnKey{}, c)
@@ -73,8 +72,8 @@
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		srv.stats.write(w)
-		if shell := srv.membership.Load(); shell != nil {
-			shell.WriteStats(w)
+		if gossipServer := srv.membership.Load(); gossipServer != nil {
+			gossipServer.WriteStats(w)
 		}
 		if srv.policy != nil {
 			srv.policy.write(w)
@@ -101,7 +100,7 @@
 		if c, ok := r.Context().Value(operatorConnKey{}).(*operatorConn); ok {
 			c.hasCalled.Store(true)
 		}
-		if path.Clean(r.URL.Path) != r.URL.Path { // the mux would send the caller elsewhere, which is no answer
+		if path.Clean(r.URL.Path) != r.URL.Path { // the mux would answer with a redirect instead of 404
 			http.NotFound(w, r)
 			return
 		}
@@ -109,14 +108,14 @@
 	})
 }
 
-// serveMaintenance takes a call, unless it names a fencing token and a later holder of
-// that lease has called here.
+// serveMaintenance carries out a maintenance call, unless the call has a fencing token of a lease and a later
+// holder of that lease has already called here.
 func (srv *Server) serveMaintenance(w http.ResponseWriter, r *http.Request, on bool) {
 	if status, err := srv.fencing.CheckRequest(r); err != nil {
 		http.Error(w, err.Error(), status)
 		return
 	}
-	switch err := srv.maintain(r.Context(), r.PathValue("id"), on); {
+	switch err := srv.requestMaintenance(r.Context(), r.PathValue("id"), on); {
 	case errors.Is(err, errUnknownBackend):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
@@ -126,36 +125,39 @@
 	}
 }
 
+// operatorConnKey is the context key under which a request finds its operatorConn.
 type operatorConnKey struct{}
 
-// operatorListener bounds the operators' connections. One that comes while all are open
-// displaces the oldest that has made no call: those that only connect hold up
-// nobody.
+// operatorListener limits the operators' connections to maxOperatorConns. A new connection above the limit
+// displaces the oldest one that has made no call, so that idle connections don't block calls.
 type operatorListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open []*operatorConn // the oldest first
+	open []*operatorConn // oldest first
 }
 
+// operatorConn is an operator's connection that operatorListener counts.
 type operatorConn struct {
 	net.Conn
 	listener  *operatorListener
 	hasCalled atomic.Bool
 }
 
+// Accept returns the next connection that is admitted, and closes those that are not.
 func (l *operatorListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if in := l.admit(c); in != nil {
-			return in, nil
+		if admitted := l.admit(c); admitted != nil {
+			return admitted, nil
 		}
 		besteffort.Close(c)
 	}
 }
 
+// admit counts a connection, displacing one without a call if the limit is reached; nil if all have calls.
 func (l *operatorListener) admit(c net.Conn) *operatorConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,14 +169,15 @@
 		besteffort.Close(l.open[i].Conn)
 		l.open = slices.Delete(l.open, i, i+1)
 	}
-	in := &operatorConn{Conn: c, listener: l}
-	l.open = append(l.open, in)
-	return in
+	admitted := &operatorConn{Conn: c, listener: l}
+	l.open = append(l.open, admitted)
+	return admitted
 }
 
+// Close closes the connection and frees its place in the listener's count.
 func (c *operatorConn) Close() error {
 	c.listener.mu.Lock()
-	c.listener.open = slices.DeleteFunc(c.listener.open, func(o *operatorConn) bool { return o == c })
+	c.listener.open = slices.DeleteFunc(c.listener.open, func(open *operatorConn) bool { return open == c })
 	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -51,7 +51,7 @@
 			case <-beside.Done():
 			}
 		}()
-		limited.WaitForConns(beside, minOutlive)
+		limited.WaitForConns(beside, minOverlapTime)
 		end()
 	case <-ctx.Done():
 	}
--- a/internal/proxy/endpointids.go
+++ b/internal/proxy/endpointids.go
@@ -8,36 +8,36 @@
 	"wrenspread/internal/besteffort"
 )
 
-// endpointIDs gives servers their numbers: a hash of the name, so that every proxy and
-// every restart agrees on them.
+// endpointIDs assigns each endpoint an ID, a hash of its name, so that all proxies and all processes of a
+// proxy agree on the IDs.
 type endpointIDs struct {
-	byName map[string]balancer.EndpointID
-	byID   map[balancer.EndpointID]string
-	hash   func(string) uint32
+	byName   map[string]balancer.EndpointID
+	byID     map[balancer.EndpointID]string
+	hashName func(string) uint32
 }
 
 func newEndpointIDs() *endpointIDs {
 	return &endpointIDs{
 		byName: map[string]balancer.EndpointID{},
 		byID:   map[balancer.EndpointID]string{},
-		hash: func(s string) uint32 {
+		hashName: func(s string) uint32 {
 			h := fnv.New32a()
-			besteffort.Response(io.WriteString(h, s)) // never fails
+			besteffort.Response(io.WriteString(h, s)) // a write to a hash never fails
 			return h.Sum32()
 		},
 	}
 }
 
-// idOf finds the number of a name. Of two names with one hash the later listed
-// is hashed again: two servers under one number would share their load and
-// their drains.
+// idOf returns the ID of a name and assigns one if it has none. Where two names have the same hash, the name
+// that comes later is hashed again with a suffix: two endpoints with one ID would share their load and their
+// drains.
 func (d *endpointIDs) idOf(name string) balancer.EndpointID {
 	if id, ok := d.byName[name]; ok {
 		return id
 	}
-	id := balancer.EndpointID(d.hash(name))
-	for salted := name; ; id = balancer.EndpointID(d.hash(salted)) {
-		if _, taken := d.byID[id]; !taken {
+	id := balancer.EndpointID(d.hashName(name))
+	for salted := name; ; id = balancer.EndpointID(d.hashName(salted)) {
+		if _, inUse := d.byID[id]; !inUse {
 			break
 		}
 		salted += "\x00"
@@ -46,6 +46,7 @@
 	return id
 }
 
+// forget removes a name, so that its ID can be assigned to another one.
 func (d *endpointIDs) forget(name string) {
 	delete(d.byID, d.byName[name])
 	delete(d.byName, name)
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -11,29 +11,32 @@
 	"wrenspread/internal/registry/client"
 )
 
-// endpointSource is where a proxy's list of servers comes from. Its methods do not block,
-// and are the loop's alone.
+// endpointSource delivers a proxy's list of endpoints. Its methods don't block, and only the loop calls them.
 type endpointSource interface {
-	// Follow takes lists as they are pushed, the complete one first.
+	// Follow delivers lists as they are pushed, the complete list first.
 	Follow(ctx context.Context)
-	// Poll does what the balancer asks for where lists are not pushed.
+	// Poll reads the list once if fetch is set, and watches it for changes if watch is set: it serves the
+	// balancer's actions where lists are not pushed.
 	Poll(ctx context.Context, fetch, watch bool)
 }
 
-// listHold is short, so that a proxy soon notices a replica that is cut off silently.
-const listHold = 5 * time.Second
+// registryWatchHold is how long a registry replica may leave a watch unanswered. It is short, so that a proxy
+// soon notices a replica that is cut off without an error.
+const registryWatchHold = 5 * time.Second
 
-// agentAnswerTimeout is how long a new process waits for what the agent holds, which
-// counts from its first moment. An agent answers at once, or is silent with
-// discovery: then the list of before has to do.
+// agentAnswerTimeout is how long a new process waits for the agent's list before it accepts clients with the
+// cached list. The agent's list applies from the start of the process. An agent either answers at once or, if
+// discovery does not answer it, not at all.
 const agentAnswerTimeout = 500 * time.Millisecond
 
+// endpointStates are the balancer's states by the status in the registry's lists.
 var endpointStates = map[string]balancer.EndpointState{
 	registry.Ready:    balancer.Ready,
 	registry.Draining: balancer.Draining,
 	registry.Removed:  balancer.Removed,
 }
 
+// updateKindOf reports whether a list from discovery is complete or holds changes only.
 func updateKindOf(l registry.ListResponse) balancer.UpdateKind {
 	if l.Snapshot {
 		return balancer.UpdateComplete
@@ -41,8 +44,8 @@
 	return balancer.UpdateIncremental
 }
 
-// newEndpointSource makes the client of the project's registry, where it is
-// configured, else the follower of the platform's discovery.
+// newEndpointSource returns a client of the registry if one is configured, and otherwise a client of the
+// platform's discovery.
 func (srv *Server) newEndpointSource() (endpointSource, error) {
 	listed := func(l registry.ListResponse) { srv.post(func() { srv.applyList(l, updateKindOf(l)) }) }
 	failed := func() { srv.post(func() { srv.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
@@ -56,28 +59,28 @@
 			failed,
 		), nil
 	}
-	s := &registrySource{onList: listed}
-	c := client.Config{
+	source := &registrySource{onList: listed}
+	clientConfig := client.Config{
 		Addresses: srv.config.Registry,
 		File:      srv.config.RegistryCache,
-		Hold:      listHold,
+		Hold:      registryWatchHold,
 		Log:       srv.log,
 		OnChange:  listed,
 	}
-	if s.subset.inputs.Store(subsetInputsOf(srv.config.Settings)); srv.config.RegistrySubset {
-		c.ChooseSubset = s.subset.next
+	if source.subset.inputs.Store(subsetInputsOf(srv.config.Settings)); srv.config.RegistrySubset {
+		clientConfig.ChooseSubset = source.subset.next
 	}
 	var err error
-	if s.client, err = client.New(c); err != nil {
+	if source.client, err = client.New(clientConfig); err != nil {
 		return nil, err
 	}
-	if v, _ := s.client.List(); v.Version > 0 { // kept by the previous process
-		srv.config.initialList = responseOf(v)
+	if list, _ := source.client.List(); list.Version > 0 { // cached by the previous process
+		srv.config.initialList = listResponseOf(list)
 	}
-	return s, nil
+	return source, nil
 }
 
-// startEndpointSource takes the list of before, and follows where lists are pushed.
+// startEndpointSource applies the initial list, and follows the source where lists are pushed.
 func (srv *Server) startEndpointSource(ctx context.Context) {
 	pushed := !srv.config.Settings.PollForEndpoints
 	if _, agent := srv.endpointSource.(*client.Platform); pushed && agent {
@@ -85,24 +88,25 @@
 		time.AfterFunc(srv.firstListTimeout, func() { srv.post(srv.agentAnswered) })
 	}
 	select {
-	case <-srv.listKnown: // by an address to which SIGHUP has moved the proxy meanwhile: what is known is older
+	case <-srv.listKnown: // a reload has moved the proxy to an address whose list is newer than the initial one
 	default:
 		srv.applyList(srv.config.initialList, balancer.UpdateCached)
 	}
-	srv.config.initialList.Endpoints = nil // what is known is kept in a shorter form from here on
+	srv.config.initialList.Endpoints = nil // frees memory: the loop's state has the endpoints in a shorter form
 	if pushed {
 		srv.endpointSource.Follow(ctx)
 	}
 }
 
-// agentAnswered tells the front that clients may come, as far as the agent's first answer is concerned.
+// agentAnswered ends the wait for the agent's first answer, which the proxy's readiness depends on. It is
+// also called when agentAnswerTimeout has passed.
 func (srv *Server) agentAnswered() {
 	srv.awaitingAgent = false
 	srv.updateReady()
 }
 
-// registrySource is the registry with its several replicas. It pushes lists for ever, so a module that polls
-// gets what is there.
+// registrySource takes the endpoint list from the registry's replicas. The registry always pushes its lists,
+// so Poll gives a balancer that polls the last list received.
 type registrySource struct {
 	client   *client.Client
 	subset   subsetChooser
@@ -110,6 +114,7 @@
 	watching bool
 }
 
+// Follow starts following the registry, unless that has been started before.
 func (s *registrySource) Follow(ctx context.Context) {
 	if !s.watching {
 		s.watching = true
@@ -117,58 +122,60 @@
 	}
 }
 
+// Poll delivers the last list received, if fetch is set, and follows the registry.
 func (s *registrySource) Poll(ctx context.Context, fetch, watch bool) {
-	if v, _ := s.client.List(); fetch && v.Version > 0 {
-		s.onList(responseOf(v))
+	if list, _ := s.client.List(); fetch && list.Version > 0 {
+		s.onList(listResponseOf(list))
 	}
 	if fetch || watch {
 		s.Follow(ctx)
 	}
 }
 
-// moveEndpointSource goes on where a new configuration says, and in the way that it says, if that has turned:
-// a module that lists are pushed to does not ask for them when a watch fails.
+// moveEndpointSource moves the source to the addresses of a new configuration, and changes between pushed and
+// polled lists if the settings have changed in that: a balancer with pushed lists does not poll when a watch
+// fails, so the source has to follow by itself.
 func (srv *Server) moveEndpointSource(cfg Config) {
-	switch l := srv.endpointSource.(type) {
+	switch source := srv.endpointSource.(type) {
 	case *registrySource:
-		l.subset.inputs.Store(subsetInputsOf(srv.config.Settings))
+		source.subset.inputs.Store(subsetInputsOf(srv.config.Settings))
 		if !srv.config.Settings.PollForEndpoints {
-			l.Follow(srv.loopContext)
+			source.Follow(srv.loopContext)
 		}
 		if slices.Equal(cfg.Registry, srv.config.Registry) {
 			return
 		}
-		if err := l.client.SetAddresses(cfg.Registry); err != nil {
+		if err := source.client.SetAddresses(cfg.Registry); err != nil {
 			srv.log.Error("registry addresses rejected", "err", err)
 			return
 		}
 		srv.log.Info("registry addresses changed", "to", cfg.Registry)
 		srv.config.Registry = cfg.Registry
 		if srv.policy != nil {
-			_ = srv.policy.client.SetAddresses(cfg.Registry) // valid, as they were taken just now
+			_ = srv.policy.client.SetAddresses(cfg.Registry) // valid, as the list's client accepted them above
 		}
 		if srv.tenants != nil {
-			_ = srv.tenants.client.SetAddresses(cfg.Registry) // the same
+			_ = srv.tenants.client.SetAddresses(cfg.Registry) // valid for the same reason
 		}
 	case *client.Platform:
-		asked := srv.config.Settings.PollForEndpoints
-		if cfg.Discovery != srv.config.Discovery || asked != l.Polls() {
-			srv.log.Info("discovery address changed", "to", cfg.Discovery, "asked", asked)
+		polls := srv.config.Settings.PollForEndpoints
+		if cfg.Discovery != srv.config.Discovery || polls != source.Polls() {
+			srv.log.Info("discovery address changed", "to", cfg.Discovery, "asked", polls)
 			srv.config.Discovery = cfg.Discovery
-			l.Move(srv.loopContext, cfg.Discovery, asked)
+			source.Move(srv.loopContext, cfg.Discovery, polls)
 		}
 	}
 }
 
-// applyList takes a list from discovery: addresses for the sockets, the rest for
-// the balancer.
-func (srv *Server) applyList(l registry.ListResponse, kind balancer.UpdateKind) {
-	entries := slices.Clone(l.Endpoints)
-	// In one order whatever the list's, as the numbers of names that share a
-	// hash depend on it. Of entries of one name the last counts.
+// applyList applies a list from discovery: the pool gets the endpoints' addresses, the balancer the rest.
+// Endpoints that a complete list does not have, or that are listed as removed, leave both.
+func (srv *Server) applyList(list registry.ListResponse, kind balancer.UpdateKind) {
+	entries := slices.Clone(list.Endpoints)
+	// The entries are sorted by name because the IDs of names with the same hash depend on the order. The sort
+	// is stable: of several entries of one name the last one counts.
 	slices.SortStableFunc(entries, func(a, b registry.Endpoint) int { return strings.Compare(a.Name, b.Name) })
-	u := balancer.EndpointsUpdated{Kind: kind, Version: l.Index}
-	setSubset(&u, l, srv.config.Settings.ProxyIndex)
+	update := balancer.EndpointsUpdated{Kind: kind, Version: list.Index}
+	setSubset(&update, list, srv.config.Settings.ProxyIndex)
 	missing := map[string]bool{}
 	if kind != balancer.UpdateIncremental {
 		for name := range srv.listedEndpoints {
@@ -177,8 +184,8 @@
 	}
 	for _, e := range entries {
 		id, state := srv.endpointIDs.idOf(e.Name), endpointStates[e.Status]
-		u.Endpoints = append(
-			u.Endpoints,
+		update.Endpoints = append(
+			update.Endpoints,
 			balancer.Endpoint{ID: id, Zone: e.Zone, MachineType: e.Type, Cell: e.Cell, State: state,
 				Weight: e.Weight, StartedAt: time.Duration(e.StartedAtMS) * time.Millisecond},
 		)
@@ -188,7 +195,7 @@
 			srv.pool.setDraining(id, state == balancer.Draining)
 		}
 	}
-	srv.handle(u)
+	srv.handle(update)
 	for name, gone := range missing {
 		if gone {
 			srv.pool.removeBackend(srv.endpointIDs.idOf(name))
--- a/internal/proxy/endpointsource_test.go
+++ b/internal/proxy/endpointsource_test.go
@@ -32,7 +32,7 @@
 	if b.idOf("s-2") != a.idOf("s-2") {
 		t.Error("numbers depend on the order of the names")
 	}
-	a.hash = func(s string) uint32 { return uint32(strings.Count(s, "\x00")) }
+	a.hashName = func(s string) uint32 { return uint32(strings.Count(s, "\x00")) }
 	x, y := a.idOf("x"), a.idOf("y")
 	if x == y || a.idOf("x") != x || a.idOf("y") != y {
 		t.Errorf("names with one hash get numbers %d and %d", x, y)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -52,7 +52,7 @@
 		successorEnded: make(chan struct{}),
 		killTimeout:    maxKillTimeout,
 	}
-	f.rules.Store(newRules(n.config.Settings, nil))
+	f.rules.Store(newRequestRules(n.config.Settings, nil))
 	return f
 }
 
--- a/internal/proxy/handoff_calls_test.go
+++ b/internal/proxy/handoff_calls_test.go
@@ -14,7 +14,7 @@
 func TestCallBesideTheState(t *testing.T) {
 	dir := meetingPlace(t)
 	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
-	if err := n.maintain(context.Background(), "s-0", true); err != nil {
+	if err := n.requestMaintenance(context.Background(), "s-0", true); err != nil {
 		t.Fatal(err)
 	}
 	held, release := make(chan struct{}), make(chan struct{})
--- a/internal/proxy/handoff_link.go
+++ b/internal/proxy/handoff_link.go
@@ -18,72 +18,73 @@
 )
 
 const (
-	handoverVersion = 1
-	maxHandoverLine = 4 << 20                // bytes; the state of a thousand servers takes a tenth
-	helloTimeout    = 2 * time.Second        // for the other end's first message
-	forwardTimeout  = 400 * time.Millisecond // for the other process to take a maintenance call
+	handoffVersion      = 1                      // of the messages' form
+	maxHandoffLineBytes = 4 << 20                // the state of a thousand endpoints takes a tenth
+	handoffHelloTimeout = 2 * time.Second        // for the other process's first message, and for each write
+	forwardTimeout      = 400 * time.Millisecond // for the other process to carry out a maintenance call
 )
 
-// handoffMessage is a line between the old process of a proxy and the new one.
+// handoffMessage is a line of JSON between the old and the new process of a proxy.
 type handoffMessage struct {
 	Version       int                            `json:"v,omitempty"`
 	Kind          string                         `json:"kind"`
 	Learned       *balancer.LearnedState         `json:"learned,omitempty"`
-	Names         map[string]balancer.EndpointID `json:"names,omitempty"` // of the servers in it
+	Names         map[string]balancer.EndpointID `json:"names,omitempty"` // of the endpoints in Learned
 	InMaintenance []string                       `json:"bans,omitempty"`
 	Backend       string                         `json:"backend,omitempty"`
 	On            bool                           `json:"on,omitempty"`
-	Number        int                            `json:"number,omitempty"` // of a call that is forwarded
-	// how the member record has the proxy
+	Number        int                            `json:"number,omitempty"` // of a forwarded call and its answer
+	// Tenants is the proxy's entry in the tenants' member record.
 	Tenants *tenant.Member `json:"tenants,omitempty"`
-	// a gossip.Handoff, the proxy's generation in the fleet; what can't be read of it costs only the generation
+	// Membership is an encoded gossip.Handoff. It is decoded separately: if it can't be read, only the proxy's
+	// generation in the fleet is lost.
 	Membership json.RawMessage `json:"fleet,omitempty"`
 }
 
-// The kinds of message, in the order in which they come.
+// The kinds of message, in the order in which they are sent.
 const (
-	kindHello   = "hello"   // new to old
-	kindRefused = "refused" // old to new: another one is here already
-	kindState   = "state"   // old to new
-	kindCall    = "call"    // either way: maintenance
-	kindDone    = "done"    // its answer
-	kindReady   = "ready"   // new to old
-	kindRelease = "yours"   // old to new, with the peers' socket
+	kindHello   = "hello"   // new to old: asks for the state
+	kindRefused = "refused" // old to new: another new process is already connected
+	kindState   = "state"   // old to new: what the old process has learned
+	kindCall    = "call"    // in both directions: a maintenance call
+	kindDone    = "done"    // answers kindCall when the call is in force
+	kindReady   = "ready"   // new to old: the new process can serve
+	kindRelease = "yours"   // old to new, with the peer socket: the old process has stopped accepting
 )
 
-// handoffLink is the connection between the two processes.
+// handoffLink is the connection between an old and a new process of a proxy.
 type handoffLink struct {
 	conn        *net.UnixConn
 	scanner     *bufio.Scanner
-	descriptors []int // that came with the lines read so far
+	descriptors []int // file descriptors that came with the lines read so far
 
-	mu         sync.Mutex // of what follows, and for writing
-	lastNumber int
-	waiting    map[int]chan struct{}
-	closed     bool
+	mu             sync.Mutex // guards the fields below and writes to conn
+	lastCallNumber int
+	pendingCalls   map[int]chan struct{} // closed when the other process has answered the call of that number
+	closed         bool
 }
 
 func newHandoffLink(c *net.UnixConn) *handoffLink {
-	l := &handoffLink{conn: c, waiting: map[int]chan struct{}{}}
+	l := &handoffLink{conn: c, pendingCalls: map[int]chan struct{}{}}
 	l.scanner = bufio.NewScanner(l)
-	l.scanner.Buffer(nil, maxHandoverLine)
+	l.scanner.Buffer(nil, maxHandoffLineBytes)
 	return l
 }
 
-// Read takes in descriptors beside the bytes.
+// Read reads bytes and collects the file descriptors that come with them.
 func (l *handoffLink) Read(p []byte) (int, error) {
 	oob := make([]byte, syscall.CmsgSpace(4))
-	n, oobn, _, _, err := l.conn.ReadMsgUnix(p, oob)
-	if oobn > 0 {
-		if msgs, err := syscall.ParseSocketControlMessage(oob[:oobn]); err == nil {
+	n, oobLength, _, _, err := l.conn.ReadMsgUnix(p, oob)
+	if oobLength > 0 {
+		if msgs, err := syscall.ParseSocketControlMessage(oob[:oobLength]); err == nil {
 			for _, m := range msgs {
 				if fds, err := syscall.ParseUnixRights(&m); err == nil {
-					l.descriptors = append(l.descriptors, fds...) // one at most, for want of space
+					l.descriptors = append(l.descriptors, fds...) // at most one: oob has no more space
 				}
 			}
 		}
-		if len(l.descriptors) > 1 { // nobody sends a second one
-			return 0, errors.New("handover: too many descriptors")
+		if len(l.descriptors) > 1 { // the protocol sends one per link
+			return 0, errors.New("handoff: more than one file descriptor received")
 		}
 	}
 	if n == 0 && err == nil {
@@ -92,9 +93,9 @@
 	return n, err
 }
 
-// receive reads one message, by a time unless that is zero.
-func (l *handoffLink) receive(by time.Time) (m handoffMessage, err error) {
-	besteffort.SocketOption(l.conn.SetReadDeadline(by))
+// receive reads one message; it gives up at the deadline, unless that is zero.
+func (l *handoffLink) receive(deadline time.Time) (m handoffMessage, err error) {
+	besteffort.SocketOption(l.conn.SetReadDeadline(deadline))
 	if !l.scanner.Scan() {
 		if err = l.scanner.Err(); err == nil {
 			err = io.EOF
@@ -104,21 +105,21 @@
 	return m, json.Unmarshal(l.scanner.Bytes(), &m)
 }
 
-// send writes one message, with a descriptor unless that is negative.
+// send writes one message, with the file descriptor fd unless fd is negative.
 func (l *handoffLink) send(m handoffMessage, fd int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.writeLocked(m, fd)
 }
 
-// writeLocked is say for whoever holds the lock.
+// writeLocked is send for a caller that has locked mu.
 func (l *handoffLink) writeLocked(m handoffMessage, fd int) error {
 	line, err := json.Marshal(m)
 	if err != nil {
-		return fmt.Errorf("handover: %w", err)
+		return fmt.Errorf("handoff: encode %s message: %w", m.Kind, err)
 	}
 	line = append(line, '\n')
-	besteffort.SocketOption(l.conn.SetWriteDeadline(time.Now().Add(helloTimeout)))
+	besteffort.SocketOption(l.conn.SetWriteDeadline(time.Now().Add(handoffHelloTimeout)))
 	if fd >= 0 {
 		_, _, err = l.conn.WriteMsgUnix(line, syscall.UnixRights(fd), nil)
 	} else {
@@ -127,21 +128,22 @@
 	return err
 }
 
-// forwardMaintenance forwards a maintenance call and waits until the other end has taken it.
+// forwardMaintenance forwards a maintenance call and waits, at most forwardTimeout, until it is in force in
+// the other process.
 func (l *handoffLink) forwardMaintenance(ctx context.Context, name string, on bool) {
-	done := make(chan struct{})
+	completed := make(chan struct{})
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
 		return
 	}
-	l.lastNumber++
-	number := l.lastNumber
-	l.waiting[number] = done
+	l.lastCallNumber++
+	number := l.lastCallNumber
+	l.pendingCalls[number] = completed
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.waiting, number)
+		delete(l.pendingCalls, number)
 		l.mu.Unlock()
 	}()
 	if l.send(handoffMessage{Kind: kindCall, Backend: name, On: on, Number: number}, -1) != nil {
@@ -150,37 +152,38 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	select {
-	case <-done:
+	case <-completed:
 	case <-ctx.Done():
 	}
 }
 
+// maintenanceDone ends the wait for the forwarded call of that number.
 func (l *handoffLink) maintenanceDone(number int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c := l.waiting[number]; c != nil {
-		delete(l.waiting, number)
-		close(c)
+	if completed := l.pendingCalls[number]; completed != nil {
+		delete(l.pendingCalls, number)
+		close(completed)
 	}
 }
 
-// close ends the link and all that wait on it.
+// close closes the link and ends all waits for forwarded calls.
 func (l *handoffLink) close() {
 	besteffort.Close(l.conn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	for number, c := range l.waiting {
-		delete(l.waiting, number)
-		close(c)
+	for number, completed := range l.pendingCalls {
+		delete(l.pendingCalls, number)
+		close(completed)
 	}
 }
 
-// closeUnused closes descriptors that nobody took.
+// closeUnused closes the received descriptors that have not been taken.
 func (l *handoffLink) closeUnused() {
 	for _, fd := range l.descriptors {
 		if fd >= 0 {
-			_ = syscall.Close(fd) // nobody has used it
+			_ = syscall.Close(fd) // an error changes nothing: the descriptor has not been used
 		}
 	}
 	l.descriptors = nil
--- a/internal/proxy/handoff_links.go
+++ b/internal/proxy/handoff_links.go
@@ -7,18 +7,21 @@
 	"time"
 )
 
-const minOutlive = 5 * time.Second // the old process stays so long, for operators that still call it
+// minOverlapTime is how long the old process continues at least after a handoff, unless the new one ends, as
+// operators may still call it.
+const minOverlapTime = 5 * time.Second
 
-// handoffLinks are the processes of this proxy that this one speaks with: the one
-// before it, while that ends, and the one after it.
+// handoffLinks are the links to other processes of this proxy: to the previous one until it ends, and to the
+// next one.
 type handoffLinks struct {
 	mu        sync.Mutex
-	all       []*handoffLink
-	successor *handoffLink
+	links     []*handoffLink
+	successor *handoffLink // the link to the next process; nil: none
 }
 
-// joinLink takes in another process, but no second one that would succeed.
-func (srv *Server) joinLink(l *handoffLink, successor bool) bool {
+// addLink adds the link to another process and halves this one's limits. It returns false for a second
+// successor: there is at most one at a time.
+func (srv *Server) addLink(l *handoffLink, successor bool) bool {
 	srv.handoffLinks.mu.Lock()
 	defer srv.handoffLinks.mu.Unlock()
 	if successor {
@@ -27,24 +30,27 @@
 		}
 		srv.handoffLinks.successor = l
 	}
-	srv.handoffLinks.all = append(srv.handoffLinks.all, l)
+	srv.handoffLinks.links = append(srv.handoffLinks.links, l)
 	srv.shareLimits(true)
 	return true
 }
 
-// leaveLink ends what two processes share.
-func (srv *Server) leaveLink(l *handoffLink) {
+// removeLink closes a link. Without any other link this process gets its full limits back.
+func (srv *Server) removeLink(l *handoffLink) {
 	l.close()
 	srv.handoffLinks.mu.Lock()
 	defer srv.handoffLinks.mu.Unlock()
 	if srv.handoffLinks.successor == l {
 		srv.handoffLinks.successor = nil
 	}
-	srv.handoffLinks.all = slices.DeleteFunc(srv.handoffLinks.all, func(o *handoffLink) bool { return o == l })
-	srv.shareLimits(len(srv.handoffLinks.all) > 0)
+	srv.handoffLinks.links = slices.DeleteFunc(
+		srv.handoffLinks.links,
+		func(link *handoffLink) bool { return link == l },
+	)
+	srv.shareLimits(len(srv.handoffLinks.links) > 0)
 }
 
-// shareLimits halves what this process may use, or takes it all back.
+// shareLimits halves the limits of this process while another one runs, or restores them.
 func (srv *Server) shareLimits(on bool) {
 	srv.pool.halve(on)
 	if srv.Overlap != nil {
@@ -52,8 +58,9 @@
 	}
 }
 
-// serveLink takes what the other process says until the link ends.
-func (srv *Server) serveLink(l *handoffLink, other func(handoffMessage)) {
+// receiveFromLink handles the other process's messages until the link ends. It carries out and answers
+// maintenance calls itself, and passes all other kinds to handleOther.
+func (srv *Server) receiveFromLink(l *handoffLink, handleOther func(handoffMessage)) {
 	stop := context.AfterFunc(srv.loopContext, l.close)
 	defer stop()
 	defer l.closeUnused()
@@ -66,7 +73,7 @@
 			if m.Kind == kindDone {
 				l.maintenanceDone(m.Number)
 			} else {
-				other(m)
+				handleOther(m)
 			}
 			continue
 		}
@@ -78,13 +85,13 @@
 	}
 }
 
-// forwardMaintenance tells the other processes of a maintenance call. They stand in a row,
-// so that none hears of it twice.
+// forwardMaintenance forwards a maintenance call to the other processes, except to the one that it came from.
+// The processes are linked in a chain, so that none gets the call twice.
 func (srv *Server) forwardMaintenance(from *handoffLink, name string, on bool) {
 	srv.handoffLinks.mu.Lock()
-	all := slices.Clone(srv.handoffLinks.all)
+	links := slices.Clone(srv.handoffLinks.links)
 	srv.handoffLinks.mu.Unlock()
-	for _, l := range all {
+	for _, l := range links {
 		if l != from {
 			l.forwardMaintenance(srv.loopContext, name, on)
 		}
--- a/internal/proxy/handoff_new.go
+++ b/internal/proxy/handoff_new.go
@@ -17,51 +17,53 @@
 )
 
 const (
-	handoffSocket      = "handover.sock"         // in $TMPDIR
-	stateTimeout       = 2500 * time.Millisecond // for the old process to say what it knows
-	handoffListTimeout = 2 * time.Second         // for discovery to tell the new process the list
-	// for the old process to let go: all this is under the 6 s that an upgrade has
-	releaseTimeout = time.Second
+	handoffSocket       = "handover.sock"         // name of the socket in the directory given to TakeOver
+	handoffStateTimeout = 2500 * time.Millisecond // for the old process to send its state
+	handoffListTimeout  = 2 * time.Second         // for discovery to answer the new process
+	// handoffReleaseTimeout is for the old process to stop accepting. The three timeouts together stay below
+	// the 6 s that an upgrade may take.
+	handoffReleaseTimeout = time.Second
 )
 
-// TakeOver prepares a proxy for upgrades: by a process that serves already, and
-// later by one that comes after it. dir is where they meet. It is called once,
-// before Run.
+// TakeOver enables handoffs: from a process of this proxy that already serves, and later to the next one. The
+// processes connect at a socket in dir. It is called once, before Run.
 func (srv *Server) TakeOver(dir string) { srv.handoffPath = filepath.Join(dir, handoffSocket) }
 
-// requestHandoff asks the process that serves, if there is one, for what it knows.
+// requestHandoff connects to the process that serves and restores its state here. It returns nil without an
+// error if no process serves.
 func (srv *Server) requestHandoff(ctx context.Context) (*handoffLink, error) {
-	ctx, cancel := context.WithTimeout(ctx, stateTimeout) // for all of it
+	ctx, cancel := context.WithTimeout(ctx, handoffStateTimeout) // for all steps together
 	defer cancel()
-	end, _ := ctx.Deadline()
+	deadline, _ := ctx.Deadline()
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "unix", srv.handoffPath)
 	if errors.Is(err, syscall.ENOENT) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, nil // nobody serves
+		return nil, nil // no process serves
 	}
 	if err != nil {
 		return nil, err
 	}
 	l := newHandoffLink(c.(*net.UnixConn))
 	m := handoffMessage{}
-	if err = l.send(handoffMessage{Version: handoverVersion, Kind: kindHello}, -1); err == nil {
-		m, err = l.receive(end)
+	if err = l.send(handoffMessage{Version: handoffVersion, Kind: kindHello}, -1); err == nil {
+		m, err = l.receive(deadline)
 	}
-	if err == nil && (m.Kind != kindState || m.Version != handoverVersion) {
-		err = fmt.Errorf("the old process says %q in version %d", m.Kind, m.Version)
+	if err == nil && (m.Kind != kindState || m.Version != handoffVersion) {
+		err = fmt.Errorf("handoff: the old process sent message %q in version %d, want %q in version %d",
+			m.Kind, m.Version, kindState, handoffVersion)
 	}
 	if err != nil {
 		l.close()
 		l.closeUnused()
 		return nil, err
 	}
-	srv.joinLink(l, false) // before any call can be in force here that the old process has not heard of
+	srv.addLink(l, false) // before any call can be in force here without being forwarded to the old process
 	srv.do(func() { srv.restoreState(m) })
 	return l, nil
 }
 
-// restoreState takes what the old process knew. Numbers of servers are a matter of
-// each process.
+// restoreState applies the old process's state. Endpoint IDs may differ between processes, so they are
+// translated by the endpoints' names.
 func (srv *Server) restoreState(m handoffMessage) {
 	for _, name := range m.InMaintenance {
 		srv.setMaintenance(name, true)
@@ -74,37 +76,37 @@
 	for name, id := range m.Names {
 		names[id] = name
 	}
-	servers := m.Learned.Endpoints[:0]
-	for _, s := range m.Learned.Endpoints {
-		if name, ok := names[s.ID]; ok {
-			s.ID = srv.endpointIDs.idOf(name)
-			servers = append(servers, s)
+	endpoints := m.Learned.Endpoints[:0]
+	for _, endpoint := range m.Learned.Endpoints {
+		if name, ok := names[endpoint.ID]; ok {
+			endpoint.ID = srv.endpointIDs.idOf(name)
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	m.Learned.Endpoints = servers
+	m.Learned.Endpoints = endpoints
 	srv.handle(balancer.Restored{Learned: *m.Learned})
-	srv.log.Info("taken over", "servers", len(servers))
+	srv.log.Info("state of the previous process restored", "servers", len(endpoints))
 }
 
-// takeOver goes on where greet ended, with a link that has been joined: it waits for the list, has the old
-// process let go, and stays linked with it until it ends. It returns when this process is to serve, and false
-// if that got SIGTERM before: the old one serves on.
+// takeOver completes the handoff that requestHandoff began: it waits for the endpoint list, has the old
+// process stop accepting, and leaves the link open until the old process ends. It returns true when this
+// process is to serve, and false if ctx ended first (SIGTERM): then the old process continues to serve.
 func (srv *Server) takeOver(ctx context.Context, l *handoffLink) bool {
-	yours := make(chan struct{})
-	let := sync.OnceFunc(func() { close(yours) })
+	released := make(chan struct{})
+	markReleased := sync.OnceFunc(func() { close(released) })
 	go func() {
-		defer srv.leaveLink(l)
-		defer let() // an old process that has ended has let go
-		srv.serveLink(l, func(m handoffMessage) {
+		defer srv.removeLink(l)
+		defer markReleased() // an old process that has ended accepts no more either
+		srv.receiveFromLink(l, func(m handoffMessage) {
 			if m.Kind == kindRelease {
 				srv.takePeerSocket(l, m.Membership)
-				let()
+				markReleased()
 			}
 		})
 	}()
-	end := time.Now().Add(srv.handoffListTimeout)
+	listDeadline := time.Now().Add(srv.handoffListTimeout)
 	srv.waitFor(ctx, srv.handoffListTimeout, srv.listKnown)
-	srv.waitFor(ctx, time.Until(end), srv.tenants.isReady())
+	srv.waitFor(ctx, time.Until(listDeadline), srv.tenants.isReady())
 	if ctx.Err() != nil {
 		return false
 	}
@@ -112,18 +114,18 @@
 		srv.log.Warn("previous process ended", "err", err)
 		return true
 	}
-	if !srv.waitFor(ctx, releaseTimeout, yours) {
-		srv.log.Warn("previous process does not release its limits")
+	if !srv.waitFor(ctx, handoffReleaseTimeout, released) {
+		srv.log.Warn("no release message from the previous process, serving without it")
 	}
 	return true
 }
 
-// waitFor waits for a channel to close, for some time at most.
-func (srv *Server) waitFor(ctx context.Context, most time.Duration, c <-chan struct{}) bool {
-	t := time.NewTimer(most)
+// waitFor waits until done is closed. It returns false if the timeout passes or ctx ends first.
+func (srv *Server) waitFor(ctx context.Context, timeout time.Duration, done <-chan struct{}) bool {
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
-	case <-c:
+	case <-done:
 		return true
 	case <-t.C:
 	case <-ctx.Done():
@@ -131,24 +133,24 @@
 	return false
 }
 
-// takePeerSocket goes on with the socket at which other proxies know this one, and with its generation among
-// them.
-func (srv *Server) takePeerSocket(l *handoffLink, life json.RawMessage) {
+// takePeerSocket takes over the socket at which the other proxies reach this one, and its generation in the
+// fleet, both of which came with the old process's release message.
+func (srv *Server) takePeerSocket(l *handoffLink, membershipState json.RawMessage) {
 	for i, fd := range l.descriptors {
 		if i > 0 || !srv.lacksPeerSocket() {
 			continue
 		}
 		l.descriptors[i] = -1
 		syscall.CloseOnExec(fd)
-		f := os.NewFile(uintptr(fd), "peers")
-		c, err := net.FilePacketConn(f)
-		besteffort.Close(f)
-		u, ok := c.(*net.UDPConn)
+		file := os.NewFile(uintptr(fd), "peers")
+		c, err := net.FilePacketConn(file)
+		besteffort.Close(file)
+		udpConn, ok := c.(*net.UDPConn)
 		if err != nil || !ok {
 			srv.log.Error("peer socket of the previous process is not usable", "err", err)
 			continue
 		}
-		srv.startPeers(newPeerSocket(u, srv.config.Peers, srv.log), srv.decodeHandoff(life))
+		srv.startPeers(newPeerSocket(udpConn, srv.config.Peers, srv.log), srv.decodeHandoff(membershipState))
 	}
 	l.closeUnused()
 }
--- a/internal/proxy/handoff_new_test.go
+++ b/internal/proxy/handoff_new_test.go
@@ -102,7 +102,7 @@
 	if a := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); a.status != 503 {
 		t.Errorf("answer %+v, want a refusal", a)
 	}
-	if err := n.maintain(context.Background(), "s-0", false); err != nil {
+	if err := n.requestMaintenance(context.Background(), "s-0", false); err != nil {
 		t.Error(err)
 	}
 	if m := wait(t, calls, "the call at the old process"); m.Backend != "s-0" || m.On {
--- a/internal/proxy/handoff_old.go
+++ b/internal/proxy/handoff_old.go
@@ -16,24 +16,23 @@
 	"wrenspread/internal/quota"
 )
 
-const maxLinks = 4 // processes that may be at the socket at a time
+const maxHandoffConnections = 4 // open connections at the handoff socket
 
-// awaitSuccessor listens for a new process until this one has handed over or
-// ctx ends.
+// awaitSuccessor accepts connections of new processes until this process has handed off or ctx ends.
 func (srv *Server) awaitSuccessor(ctx context.Context) {
-	besteffort.Cleanup(os.Remove(srv.handoffPath)) // of a process that has ended
+	besteffort.Cleanup(os.Remove(srv.handoffPath)) // left by the previous process
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "unix", srv.handoffPath)
 	if err != nil {
 		srv.log.Error("handoff not available", "err", err)
 		return
 	}
-	u := ln.(*net.UnixListener)
-	u.SetUnlinkOnClose(false) // the next process may listen there by then
-	stop := context.AfterFunc(ctx, func() { besteffort.Close(u) })
+	unixListener := ln.(*net.UnixListener)
+	unixListener.SetUnlinkOnClose(false) // the next process may listen at this path before this one closes it
+	stop := context.AfterFunc(ctx, func() { besteffort.Close(unixListener) })
 	defer stop()
-	links := make(chan struct{}, maxLinks)
+	connections := make(chan struct{}, maxHandoffConnections)
 	for {
-		c, err := u.AcceptUnix()
+		c, err := unixListener.AcceptUnix()
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) || !backoff.Sleep(ctx, shortWait) {
 				return
@@ -41,10 +40,10 @@
 			continue
 		}
 		select {
-		case links <- struct{}{}:
+		case connections <- struct{}{}:
 			go func() {
-				defer func() { <-links }()
-				srv.handOff(newHandoffLink(c), u)
+				defer func() { <-connections }()
+				srv.handOff(newHandoffLink(c), unixListener)
 			}()
 		default:
 			besteffort.Close(c)
@@ -52,71 +51,74 @@
 	}
 }
 
-// handOff serves one new process.
-func (srv *Server) handOff(l *handoffLink, meeting io.Closer) {
+// handOff sends a new process the state, hands off to it when it is ready, and answers it until it ends. When
+// it hands off, it closes the listener: this process needs no further successor.
+func (srv *Server) handOff(l *handoffLink, listener io.Closer) {
 	defer l.close()
-	m, err := l.receive(time.Now().Add(helloTimeout))
-	if err != nil || m.Kind != kindHello || m.Version != handoverVersion {
+	m, err := l.receive(time.Now().Add(handoffHelloTimeout))
+	if err != nil || m.Kind != kindHello || m.Version != handoffVersion {
 		srv.log.Warn("unexpected handoff connection", "says", m.Kind, "version", m.Version, "err", err)
 		return
 	}
-	defer srv.leaveLink(l)
+	defer srv.removeLink(l)
 	if !srv.sendState(l) {
 		return
 	}
 	srv.log.Info("new process connected")
-	handed := false
-	srv.serveLink(l, func(m handoffMessage) {
+	handedOff := false
+	srv.receiveFromLink(l, func(m handoffMessage) {
 		if m.Kind != kindReady || srv.frontend.handedOff.Swap(true) {
 			return
 		}
-		handed = true
+		handedOff = true
 		srv.log.Info("handing over")
-		besteffort.Close(meeting)
-		life := srv.handOffMembership() // before this process drains: the proxy does not
+		besteffort.Close(listener)
+		// The membership is handed off before this process drains, as the proxy itself does not drain.
+		membershipState := srv.handOffMembership()
 		srv.frontend.stopAccepting()
 		srv.do(func() {
 			srv.handle(balancer.HandedOver{})
 			if srv.policy != nil {
-				srv.tellLedger(quota.Leave{}) // one process of a name has its shares: the new one, from now on
+				srv.handleQuotaEvent(quota.Leave{}) // only one process has the proxy's shares: now the new one
 			}
 		})
-		srv.peers.Load().handOver(func(fd int) {
-			if err := l.send(handoffMessage{Kind: kindRelease, Membership: life}, fd); err != nil {
-				srv.log.Warn("handing over", "err", err)
+		srv.peers.Load().handOffSocket(func(fd int) {
+			if err := l.send(handoffMessage{Kind: kindRelease, Membership: membershipState}, fd); err != nil {
+				srv.log.Warn("sending the release message to the new process failed", "err", err)
 			}
 		})
 	})
-	if handed && srv.loopContext.Err() == nil {
+	if handedOff && srv.loopContext.Err() == nil {
 		srv.log.Info("new process ended")
 		close(srv.frontend.successorEnded)
 	}
 }
 
-// sendState joins a new process and tells it what this one knows. A maintenance call is part of that, or goes
-// out behind it: whoever forwards one from the joining on has to wait for the lock.
+// sendState adds the link to a new process and sends it this process's state. A maintenance call is either
+// part of the state or sent after it: forwarding a call needs the link's lock, which is locked until the
+// state is sent. It returns false if the new process is refused or the state can't be sent.
 func (srv *Server) sendState(l *handoffLink) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !srv.joinLink(l, true) {
-		_ = l.writeLocked(handoffMessage{Kind: kindRefused}, -1) // a process that is gone needs no answer
+	if !srv.addLink(l, true) {
+		_ = l.writeLocked(handoffMessage{Kind: kindRefused}, -1) // a process that has ended needs no answer
 		return false
 	}
 	var m handoffMessage
 	return srv.do(func() { m = srv.handoffState() }) && l.writeLocked(m, -1) == nil
 }
 
-// handoffState is what a new process receives.
+// handoffState returns the state message for a new process.
 func (srv *Server) handoffState() handoffMessage {
 	learned := srv.balancer.Learned(srv.now())
 	m := handoffMessage{
-		Version: handoverVersion,
+		Version: handoffVersion,
 		Kind:    kindState,
 		Learned: &learned,
 		Names:   map[string]balancer.EndpointID{},
 	}
-	for _, s := range learned.Endpoints {
-		m.Names[srv.endpointIDs.byID[s.ID]] = s.ID
+	for _, endpoint := range learned.Endpoints {
+		m.Names[srv.endpointIDs.byID[endpoint.ID]] = endpoint.ID
 	}
 	m.InMaintenance = slices.Sorted(maps.Keys(srv.inMaintenance))
 	m.Tenants = srv.tenants.member()
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -6,35 +6,37 @@
 	"wrenspread/balancer"
 )
 
-// maintain puts a server into maintenance or takes it out. It returns when that
-// is in force for all later sends.
-func (srv *Server) maintain(ctx context.Context, name string, on bool) error {
+// requestMaintenance puts an endpoint into maintenance or takes it out. When it returns nil, no attempt
+// written from then on goes to an endpoint in maintenance, here and in linked processes of this proxy.
+func (srv *Server) requestMaintenance(ctx context.Context, name string, on bool) error {
 	ctx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
 	defer cancel()
-	done := make(chan error, 1)
+	completed := make(chan error, 1)
 	select {
 	case srv.calls <- func() {
 		if _, listed := srv.listedEndpoints[name]; !listed && !srv.inMaintenance[name] {
-			done <- errUnknownBackend
+			completed <- errUnknownBackend
 			return
 		}
 		srv.setMaintenance(name, on)
-		done <- nil
+		completed <- nil
 	}:
 	case <-srv.ended:
 		return errEnded
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	err := <-done // the loop has it in hand
+	err := <-completed // without a timeout, as the loop has begun the call
 	if err == nil {
 		srv.forwardMaintenance(nil, name, on)
 	}
 	return err
 }
 
+// setMaintenance changes the maintenance of an endpoint in the pool and in the balancer. Maintenance outlives
+// the list: an endpoint that is not listed keeps its ID until it leaves maintenance.
 func (srv *Server) setMaintenance(name string, on bool) {
-	srv.log.Info("maintenance", "backend", name, "on", on)
+	srv.log.Info("maintenance changed", "backend", name, "on", on)
 	id := srv.endpointIDs.idOf(name)
 	srv.pool.holdBackend(id, on)
 	srv.handle(balancer.Maintenance{Endpoint: id, On: on})
--- a/internal/proxy/maintenance_test.go
+++ b/internal/proxy/maintenance_test.go
@@ -52,7 +52,7 @@
 func TestBanOutlivesTheList(t *testing.T) {
 	n := startNode(t, refusing(t))
 	ctx := context.Background()
-	if err := n.maintain(ctx, "s-0", true); err != nil {
+	if err := n.requestMaintenance(ctx, "s-0", true); err != nil {
 		t.Fatal(err)
 	}
 	id := make(chan balancer.EndpointID, 2)
@@ -64,10 +64,10 @@
 	if a, b := wait(t, id, "its number"), wait(t, id, "its number"); a != b || !n.pool.isHeld(a) {
 		t.Errorf("number %d, later %d", a, b)
 	}
-	if err := n.maintain(ctx, "s-0", false); err != nil {
+	if err := n.requestMaintenance(ctx, "s-0", false); err != nil {
 		t.Errorf("the call back of one that has left: %v", err)
 	}
-	if err := n.maintain(ctx, "s-0", false); err == nil {
+	if err := n.requestMaintenance(ctx, "s-0", false); err == nil {
 		t.Error("a name that nobody has is known")
 	}
 }
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// leaveTimeout bounds how long the process stays to tell the others that it goes on purpose: eight periods
-	// of 200 ms, and some for a proxy that is late.
-	leaveTimeout = 2500 * time.Millisecond
-	// reportTimeout is for the view's owner to get to a call: it has a millisecond of work at a time.
-	reportTimeout = 800 * time.Millisecond
-	// Datagrams that begin with 0x40 to 0x5f are the view's, by their first four bits.
-	membershipKinds, membershipKindsMore = 0x4, 0x5
+	// membershipLeaveTimeout bounds how long the process stays to announce that it leaves: eight probe intervals
+	// of 200 ms, and a reserve for a proxy that is scheduled late.
+	membershipLeaveTimeout = 2500 * time.Millisecond
+	// fleetReportTimeout bounds the wait for the gossip server's goroutine, which works for a millisecond at a
+	// time.
+	fleetReportTimeout = 800 * time.Millisecond
+	// The first four bits of the gossip protocol's datagrams: their first byte is 0x40 to 0x5f.
+	membershipKindLow, membershipKindHigh = 0x4, 0x5
 )
 
-// identity is what the proxy says of itself in its generation.
+// identity describes the proxy to the other members.
 type identity struct {
-	number          int // among the peers, -1: none
+	number          int // its index in Config.Peers; -1: none
 	zone            string
-	maxOpenRequests int64 // requests that it may have open
+	maxOpenRequests int64 // to which its load is relative
 }
 
-func newIdentity(cfg Config, clients int) identity {
-	o := identity{number: -1, zone: cfg.Settings.Zone, maxOpenRequests: int64(clients)}
+// newIdentity returns the identity of a proxy that accepts up to maxClients connections.
+func newIdentity(cfg Config, maxClients int) identity {
+	id := identity{number: -1, zone: cfg.Settings.Zone, maxOpenRequests: int64(maxClients)}
 	if s := cfg.Settings; s.Proxies > 1 && s.ProxyIndex >= 0 && s.ProxyIndex < len(cfg.Peers) {
-		o.number = s.ProxyIndex
+		id.number = s.ProxyIndex
 	}
-	if most := cfg.Settings.MaxOpenRequests; most > 0 {
-		o.maxOpenRequests = min(o.maxOpenRequests, int64(most))
+	if limit := cfg.Settings.MaxOpenRequests; limit > 0 {
+		id.maxOpenRequests = min(id.maxOpenRequests, int64(limit))
 	}
-	return o
+	return id
 }
 
-// startMembership begins the proxy's part in the view of the fleet, if its configuration names one, at the
-// peers' socket.
-func (srv *Server) startMembership(p *peerSocket, handed *gossip.Handoff) {
+// startMembership starts the gossip server on the peer socket, if the configuration names a fleet. With a
+// handoff it continues the generation of the previous process.
+func (srv *Server) startMembership(p *peerSocket, handoff *gossip.Handoff) {
 	c := srv.config.Membership
 	if c.Name == "" {
 		return
@@ -51,7 +53,7 @@
 	if len(seeds) == 0 {
 		seeds = otherPeers(srv.config.Peers, srv.identity.number)
 	}
-	shell := gossip.Start(
+	gossipServer := gossip.Start(
 		srv.loopContext,
 		gossip.Config{
 			Fleet:         c.Name,
@@ -63,19 +65,20 @@
 			ProbeInterval: c.ProbeInterval,
 			Zone:          srv.identity.zone,
 			Version:       version(),
-			LocalState:    srv.localState(handed),
+			LocalState:    srv.localState(handoff),
 			Send:          p.write,
 			Log:           srv.log,
-			Handoff:       handed,
+			Handoff:       handoff,
 		},
 	)
-	p.handlers[membershipKinds], p.handlers[membershipKindsMore] = shell.Receive, shell.Receive
+	p.handlers[membershipKindLow], p.handlers[membershipKindHigh] = gossipServer.Receive, gossipServer.Receive
 	if srv.policy != nil {
-		p.handlers[quotaKind] = srv.receiveQuotaDatagram
+		p.handlers[quotaDatagramKind] = srv.receiveQuotaDatagram
 	}
-	srv.membership.Store(shell)
+	srv.membership.Store(gossipServer)
 }
 
+// otherPeers returns the valid addresses except that of the proxy itself.
 func otherPeers(all []netip.AddrPort, own int) (others []netip.AddrPort) {
 	for i, a := range all {
 		if i != own && a.IsValid() {
@@ -85,9 +88,9 @@
 	return others
 }
 
-// localState tells the fleet what the proxy does. One that takes over from a process of its own goes on with
-// that one's state until it accepts.
-func (srv *Server) localState(handed *gossip.Handoff) func() (membership.State, uint16) {
+// localState returns a function that gives the proxy's state and its load, in thousandths of the requests
+// that it may have open. After a handoff the previous process's state is reported until this process accepts.
+func (srv *Server) localState(handoff *gossip.Handoff) func() (membership.State, uint16) {
 	return func() (membership.State, uint16) {
 		load := uint16(min(1000, max(0, srv.stats.outstanding.Load()*1000/srv.identity.maxOpenRequests)))
 		switch {
@@ -95,56 +98,56 @@
 			return membership.Draining, load
 		case srv.frontend.serving():
 			return membership.Serving, load
-		case handed != nil && !srv.frontend.accepting.Load():
-			return handed.State, load
+		case handoff != nil && !srv.frontend.accepting.Load():
+			return handoff.State, load
 		}
 		return membership.Joining, load
 	}
 }
 
-// leaveMembership tells the fleet that this proxy goes on purpose. A proxy that handed over has nothing to
-// tell.
+// leaveMembership announces to the fleet that this proxy leaves. A process that has handed off announces
+// nothing.
 func (srv *Server) leaveMembership(ctx context.Context) {
-	if shell := srv.membership.Load(); shell != nil {
-		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
+	if gossipServer := srv.membership.Load(); gossipServer != nil {
+		ctx, cancel := context.WithTimeout(ctx, membershipLeaveTimeout)
 		defer cancel()
-		shell.Leave(ctx)
+		gossipServer.Leave(ctx)
 	}
 }
 
-// handOffMembership ends the view in this process, and gives what the next one goes on with; nil without a
-// view.
+// handOffMembership stops the gossip server in this process and returns its encoded gossip.Handoff, from
+// which the next process continues; nil without membership.
 func (srv *Server) handOffMembership() json.RawMessage {
-	shell := srv.membership.Load()
-	if shell == nil {
+	gossipServer := srv.membership.Load()
+	if gossipServer == nil {
 		return nil
 	}
-	handed, err := json.Marshal(shell.HandOver())
+	encoded, err := json.Marshal(gossipServer.HandOver())
 	if err != nil {
 		srv.log.Error("membership not handed off", "err", err)
 	}
-	return handed
+	return encoded
 }
 
-// decodeHandoff reads what handOffMembership returned; nil for nothing, and for what can't be read.
+// decodeHandoff decodes what handOffMembership returned; nil if there is nothing or it can't be read.
 func (srv *Server) decodeHandoff(raw json.RawMessage) *gossip.Handoff {
 	if raw == nil {
 		return nil
 	}
-	h := &gossip.Handoff{}
-	if err := json.Unmarshal(raw, h); err != nil {
+	handoff := &gossip.Handoff{}
+	if err := json.Unmarshal(raw, handoff); err != nil {
 		srv.log.Warn("membership handoff unreadable, members see a restart", "err", err)
 		return nil
 	}
-	return h
+	return handoff
 }
 
-// serveFleet tells an operator what the proxy sees.
+// serveFleet answers an operator with this proxy's view of the fleet.
 func (srv *Server) serveFleet(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), reportTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), fleetReportTimeout)
 	defer cancel()
-	shell := srv.membership.Load()
-	if shell == nil {
+	gossipServer := srv.membership.Load()
+	if gossipServer == nil {
 		http.Error(
 			w,
 			"the view has not begun: this process has no socket for other nodes yet",
@@ -152,7 +155,7 @@
 		)
 		return
 	}
-	report, ok := shell.Report(ctx)
+	report, ok := gossipServer.Report(ctx)
 	if !ok {
 		http.Error(w, "the view has ended here, or is late", http.StatusServiceUnavailable)
 		return
--- a/internal/proxy/membership_config.go
+++ b/internal/proxy/membership_config.go
@@ -13,28 +13,28 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Bounds of the time from one probe to the next. Below, a late scheduler looks like a death; above, a death
-// takes minutes to be known.
+// Bounds of the probe interval. With a shorter one a member that is scheduled late would look dead, with a
+// longer one a dead member would be noticed only after minutes.
 const (
 	minProbeInterval = 20 * time.Millisecond
 	maxProbeInterval = 10 * time.Second
-	maxSeeds         = 512 // as many as the core takes
+	maxSeeds         = 512 // that package membership accepts
 )
 
-// Version of the program that members publish, to be set by the linker: -X
-// wrenspread/internal/proxy.Version=v7. Else it is the revision that it was built from, or unknown to one
-// that was built without.
+// Version is the program version that the proxy publishes to the other members. The linker sets it: -X
+// wrenspread/internal/proxy.Version=v7. If it is empty, the proxy publishes the revision that it was built
+// from, or "unknown".
 var Version string
 
-// MembershipConfig is what the view of the fleet needs. Without a Name there is no view.
+// MembershipConfig is the configuration of the fleet's gossip membership. Without a Name there is none.
 type MembershipConfig struct {
-	Name          string
-	Join          []netip.AddrPort // to join by; none: the configured peers
-	Address       netip.AddrPort   // where others reach this proxy
-	ProbeInterval time.Duration    // from one probe to the next; 0: the usual one
+	Name          string           // of the fleet
+	Join          []netip.AddrPort // members to join through; empty: the configured peers
+	Address       netip.AddrPort   // at which other members reach this proxy
+	ProbeInterval time.Duration    // 0: the default of package gossip
 }
 
-// fleetForm is the form of the key fleet in the configuration file.
+// fleetForm is the JSON form of the key fleet in the configuration file.
 type fleetForm struct {
 	Name     string   `json:"name"`
 	Join     []string `json:"join"`
@@ -42,20 +42,24 @@
 	PeriodMS int      `json:"period_ms"`
 }
 
-// config checks the key for a proxy of this name, which listens there for others. f may be nil.
-func (f *fleetForm) config(node, listen string, s balancer.Settings) (c MembershipConfig, problems []error) {
+// config returns the membership configuration and the problems found in it, for the proxy with that name
+// whose peer socket listens at listen. f may be nil.
+func (f *fleetForm) config(
+	proxyName, listen string,
+	s balancer.Settings,
+) (c MembershipConfig, problems []error) {
 	if f == nil {
 		return c, nil
 	}
-	wrong := func(format string, args ...any) {
+	addProblem := func(format string, args ...any) {
 		problems = append(problems, fmt.Errorf("fleet: "+format, args...))
 	}
 	c = MembershipConfig{Name: f.Name, ProbeInterval: time.Duration(f.PeriodMS) * time.Millisecond}
 	if f.Name == "" || len(f.Name) > wire.MaxName {
-		wrong("name: want the fleet's name, of at most %d bytes", wire.MaxName)
+		addProblem("name: want the fleet's name, of at most %d bytes", wire.MaxName)
 	}
 	if c.ProbeInterval != 0 && (c.ProbeInterval < minProbeInterval || c.ProbeInterval > maxProbeInterval) {
-		wrong(
+		addProblem(
 			"period_ms: %d: want %d to %d",
 			f.PeriodMS,
 			minProbeInterval.Milliseconds(),
@@ -63,12 +67,12 @@
 		)
 	}
 	if len(f.Join) > maxSeeds {
-		wrong("join: %d addresses: want at most %d", len(f.Join), maxSeeds)
+		addProblem("join: %d addresses: want at most %d", len(f.Join), maxSeeds)
 	}
 	for i, text := range f.Join {
-		a, err := reachable(text)
+		a, err := parseReachableAddr(text)
 		if err != nil {
-			wrong("join.%d: %w", i, err)
+			addProblem("join.%d: %w", i, err)
 		}
 		c.Join = append(c.Join, a)
 	}
@@ -77,32 +81,41 @@
 		key, address = "peer_listen (without an address of its own)", listen
 	}
 	var err error
-	if c.Address, err = reachable(address); err != nil {
-		wrong("%s: %w", key, err)
+	if c.Address, err = parseReachableAddr(address); err != nil {
+		addProblem("%s: %w", key, err)
 	}
 	if listen == "" {
-		wrong("peer_listen is missing: the view goes over that socket")
+		addProblem("peer_listen is missing: the view goes over that socket")
 	}
-	own := gossip.Config{Fleet: "any", Name: node, Addr: c.Address, Zone: s.Zone, Version: version()}
-	if err := own.Check(); err != nil {
-		wrong("%w", err)
+	gossipConfig := gossip.Config{
+		Fleet:   "any",
+		Name:    proxyName,
+		Addr:    c.Address,
+		Zone:    s.Zone,
+		Version: version(),
+	}
+	if err := gossipConfig.Check(); err != nil {
+		addProblem("%w", err)
 	}
 	return c, problems
 }
 
-const membershipOff = "membership stays off, as the settings allow no gossip (settings.caps.peers)"
+// membershipOffMessage is logged, and noted by CheckConfig, where a fleet is configured but gossip is not
+// allowed.
+const membershipOffMessage = "membership stays off, as the settings allow no gossip (settings.caps.peers)"
 
-// withoutMembership is the configuration of a proxy that may send no messages to others.
+// withoutMembership removes the membership from a configuration whose settings don't allow gossip.
 func (c Config) withoutMembership(log *slog.Logger) Config {
 	if c.Membership.Name != "" && !c.Settings.AllowGossip {
-		log.Warn(membershipOff, "fleet", c.Membership.Name)
+		log.Warn(membershipOffMessage, "fleet", c.Membership.Name)
 		c.Membership = MembershipConfig{}
 	}
 	return c
 }
 
-// reachable reads an address that others can send to. The peers' socket is of IPv4.
-func reachable(text string) (netip.AddrPort, error) {
+// parseReachableAddr parses an address that other members can send to. It has to be an IPv4 address, as the
+// peer socket is an IPv4 socket.
+func parseReachableAddr(text string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err == nil && (!a.Addr().Is4() || a.Addr().IsUnspecified() || a.Port() == 0) {
 		err = fmt.Errorf(
@@ -113,26 +126,27 @@
 	return a, err
 }
 
-// version is at most wire.MaxText bytes.
+// version returns the version that the proxy publishes, cut to wire.MaxText bytes.
 func version() string {
 	v := cmp.Or(Version, revision(), "unknown")
 	return v[:min(len(v), wire.MaxText)]
 }
 
-// revision is what the program was built from, by its first twelve digits.
+// revision returns the first twelve digits of the revision that the program was built from, with "+" if files
+// were modified; empty if the build doesn't record it.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
 	}
-	revision, changed := "", ""
+	revision, modified := "", ""
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision":
 			revision = s.Value[:min(len(s.Value), 12)]
 		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = "+"
+			modified = "+"
 		}
 	}
-	return revision + changed
+	return revision + modified
 }
--- a/internal/proxy/membership_test.go
+++ b/internal/proxy/membership_test.go
@@ -74,7 +74,7 @@
 		if want := map[bool]int{false: 404, true: 200}[may]; rec.Code != want {
 			t.Errorf("messages %v: status %d, want %d: %s", may, rec.Code, want, rec.Body.String())
 		}
-		if strings.Contains(said.String(), membershipOff) == may {
+		if strings.Contains(said.String(), membershipOffMessage) == may {
 			t.Errorf("messages %v: the log says %q", may, said.String())
 		}
 		stop()
--- a/internal/proxy/messages_test.go
+++ b/internal/proxy/messages_test.go
@@ -52,14 +52,14 @@
 		from *net.UDPConn
 		data []byte
 	}{
-		{stranger, []byte("who")}, {one, bytes.Repeat([]byte("x"), maxMessage+1)}, {stranger, nil},
-		{one, bytes.Repeat([]byte("y"), maxMessage)}, {one, nil}, {one, []byte("end")},
+		{stranger, []byte("who")}, {one, bytes.Repeat([]byte("x"), maxPeerMessageBytes+1)}, {stranger, nil},
+		{one, bytes.Repeat([]byte("y"), maxPeerMessageBytes)}, {one, nil}, {one, []byte("end")},
 	} {
 		if _, err := m.from.WriteToUDPAddrPort(m.data, here); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, want := range [][]byte{bytes.Repeat([]byte("y"), maxMessage), {}, []byte("end")} {
+	for _, want := range [][]byte{bytes.Repeat([]byte("y"), maxPeerMessageBytes), {}, []byte("end")} {
 		select {
 		case m := <-got:
 			if m.from != 1 || !bytes.Equal(m.data, want) {
@@ -72,7 +72,7 @@
 	p.send(0, []byte("nobody")) // an address that could not be read
 	p.send(7, []byte("nobody"))
 	p.send(-1, []byte("nobody"))
-	p.send(1, bytes.Repeat([]byte("z"), maxMessage+1))
+	p.send(1, bytes.Repeat([]byte("z"), maxPeerMessageBytes+1))
 	p.send(1, []byte("hello"))
 	besteffort.SocketOption(one.SetReadDeadline(time.Now().Add(10 * time.Second)))
 	buf := make([]byte, 512)
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -15,29 +15,29 @@
 	"wrenspread/internal/membership/gossip"
 )
 
-const peerSocketRetry = time.Second // between two tries to open the socket for other proxies
+const peerSocketRetry = time.Second // between two attempts to open the peer socket
 
-// maxMessage is the longest datagram between proxies; a longer one breaks the protocol.
-const maxMessage = 256
+// maxPeerMessageBytes is the length of the longest datagram between proxies; longer ones break the protocol.
+const maxPeerMessageBytes = 256
 
-// peerSocket carries the balancer's messages to the other proxies and theirs to it, as
-// datagrams that may be lost, late or repeated.
+// peerSocket sends datagrams to the other proxies and receives theirs: the balancer's load messages, gossip
+// and quota datagrams. Datagrams may be lost, late or repeated. The nil peerSocket sends nothing.
 type peerSocket struct {
-	conn      *net.UDPConn
-	addrs     []netip.AddrPort
-	byAddress map[netip.AddrPort]int
-	log       *slog.Logger
-	// by the first four bits of a datagram; those that have none here are load notes
-	handlers [16]datagramHandler
-	muted    atomic.Bool   // another process reads the socket
-	ended    chan struct{} // closed when this one no longer does
+	conn        *net.UDPConn
+	addrs       []netip.AddrPort
+	indexByAddr map[netip.AddrPort]int
+	log         *slog.Logger
+	// handlers of datagrams by their first four bits; a datagram without one is a load message
+	handlers       [16]datagramHandler
+	readingStopped atomic.Bool   // another process reads the socket from now on
+	readerEnded    chan struct{} // closed when this process has stopped reading
 }
 
 // datagramHandler takes those of one kind, from whatever address they come. It does not wait, and does not
 // keep data.
 type datagramHandler func(from netip.AddrPort, data []byte)
 
-// listenPeers opens the socket, or gives nil where proxies have none.
+// listenPeers opens the socket; it returns nil if listen is empty.
 func listenPeers(listen string, addrs []netip.AddrPort, log *slog.Logger) (*peerSocket, error) {
 	if listen == "" {
 		return nil, nil
@@ -48,102 +48,105 @@
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(local))
 	if err != nil {
-		return nil, fmt.Errorf("listening for other nodes: %w", err)
+		return nil, fmt.Errorf("open the peer socket: %w", err)
 	}
 	return newPeerSocket(conn, addrs, log), nil
 }
 
+// newPeerSocket makes a peerSocket of an open socket; addrs are the addresses of all proxies, by proxy index.
 func newPeerSocket(conn *net.UDPConn, addrs []netip.AddrPort, log *slog.Logger) *peerSocket {
 	p := &peerSocket{
-		conn:      conn,
-		addrs:     addrs,
-		byAddress: map[netip.AddrPort]int{},
-		log:       log,
-		ended:     make(chan struct{}),
+		conn:        conn,
+		addrs:       addrs,
+		indexByAddr: map[netip.AddrPort]int{},
+		log:         log,
+		readerEnded: make(chan struct{}),
 	}
 	for i, a := range addrs {
 		if a.IsValid() {
-			p.byAddress[a] = i
+			p.indexByAddr[a] = i
 		}
 	}
 	return p
 }
 
-// handOver ends the reading and gives the socket's descriptor to f, to be passed
-// on. This process goes on sending by it, as proxies know each other by address.
-// Without a socket the descriptor is negative.
-func (p *peerSocket) handOver(f func(fd int)) {
+// handOffSocket stops reading and gives the socket's file descriptor to pass, which sends it to the next
+// process. This process continues to send on the socket, as the other proxies know it by the socket's
+// address. Without an open socket the descriptor is negative.
+func (p *peerSocket) handOffSocket(pass func(fd int)) {
 	if p == nil {
-		f(-1)
+		pass(-1)
 		return
 	}
-	p.muted.Store(true)
+	p.readingStopped.Store(true)
 	besteffort.SocketOption(p.conn.SetReadDeadline(time.Unix(1, 0)))
-	<-p.ended
+	<-p.readerEnded
 	raw, err := p.conn.SyscallConn()
 	if err == nil {
-		err = raw.Control(func(fd uintptr) { f(int(fd)) })
+		err = raw.Control(func(fd uintptr) { pass(int(fd)) })
 	}
-	if err != nil { // it has been closed
-		f(-1)
+	if err != nil { // the socket has been closed
+		pass(-1)
 	}
 }
 
-// send passes a message to one proxy. It does not wait, and none is owed an arrival.
+// send sends a load message to the proxy of an index. It does not wait, and the message may be lost.
 func (p *peerSocket) send(to int, data []byte) {
 	if p == nil || to < 0 || to >= len(p.addrs) || !p.addrs[to].IsValid() {
 		return
 	}
-	if len(data) > maxMessage {
+	if len(data) > maxPeerMessageBytes {
 		p.log.Error("gossip message too long, not sent", "bytes", len(data))
 		return
 	}
 	p.write(p.addrs[to], data)
 }
 
+// write sends a datagram to an address; an error is logged only, as datagrams may be lost anyway.
 func (p *peerSocket) write(to netip.AddrPort, data []byte) {
 	if _, err := p.conn.WriteToUDPAddrPort(data, to); err != nil {
 		p.log.Debug("gossip message not sent", "to", to, "err", err)
 	}
 }
 
-// run passes messages on until ctx ends, which closes the socket, or another process does. What is longer
-// than any message is dropped, and so is a load note from an address of no proxy.
+// run reads datagrams until ctx ends, which closes the socket, or until another process reads them. It passes
+// load messages to received, with the sender's index, and all others to their handlers. It drops datagrams
+// longer than maxPeerMessageBytes and load messages from unknown addresses.
 func (p *peerSocket) run(ctx context.Context, received func(from int, data []byte)) {
-	defer close(p.ended)
+	defer close(p.readerEnded)
 	context.AfterFunc(ctx, func() { besteffort.Close(p.conn) })
-	buf := make([]byte, maxMessage+1)
-	for ctx.Err() == nil && !p.muted.Load() {
+	buf := make([]byte, maxPeerMessageBytes+1)
+	for ctx.Err() == nil && !p.readingStopped.Load() {
 		n, addr, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			// an error here is of one datagram; none may spin
-			if ctx.Err() == nil && !p.muted.Load() && !backoff.Sleep(ctx, shortWait) {
+			// A read error concerns one datagram. The pause prevents a busy loop if it repeats.
+			if ctx.Err() == nil && !p.readingStopped.Load() && !backoff.Sleep(ctx, shortWait) {
 				return
 			}
 			continue
 		}
 		addr = netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
-		if n > maxMessage {
+		if n > maxPeerMessageBytes {
 			continue
 		}
 		if n > 0 && p.handlers[buf[0]>>4] != nil {
 			p.handlers[buf[0]>>4](addr, buf[:n])
 			continue
 		}
-		if from, known := p.byAddress[addr]; known {
+		if from, known := p.indexByAddr[addr]; known {
 			received(from, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
 
-// lacksPeerSocket reports whether this proxy still lacks a socket that it ought to have.
+// lacksPeerSocket reports whether the configuration requires a peer socket that is not open yet.
 func (srv *Server) lacksPeerSocket() bool {
 	return srv.config.PeerListen != "" && (len(srv.config.Peers) > 0 || srv.config.Membership.Name != "") &&
 		srv.peers.Load() == nil
 }
 
-// listenPeers opens the socket for other proxies' messages. If it can't be had,
-// clients are served all the same, and it is tried again.
+// listenPeers opens the peer socket. If that fails, it tries again at intervals in the background, and
+// clients are served meanwhile.
 func (srv *Server) listenPeers(ctx context.Context) {
 	p, err := listenPeers(srv.config.PeerListen, srv.config.Peers, srv.log)
 	if err == nil {
@@ -161,11 +164,11 @@
 	}()
 }
 
-// startPeers begins to hear from other proxies. handed is what the previous process this one has handed over,
-// if there was one.
-func (srv *Server) startPeers(p *peerSocket, handed *gossip.Handoff) {
+// startPeers starts membership and reading on a peer socket. handoff is the previous process's membership;
+// nil without a handoff.
+func (srv *Server) startPeers(p *peerSocket, handoff *gossip.Handoff) {
 	srv.peers.Store(p)
-	srv.startMembership(p, handed)
+	srv.startMembership(p, handoff)
 	go p.run(srv.loopContext, func(from int, data []byte) {
 		srv.post(func() { srv.handle(balancer.MessageReceived{From: from, Data: data}) })
 	})
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	quotaTickInterval = 20 * time.Millisecond // between two ticks of the ledger: a new demand is claimed so soon
-	peerCheckTicks    = 50                    // ticks between two updates of the peers that serve
-	quotaKind         = 0x6                   // the first four bits of the quota's datagrams
-	leaveAnnounceTime = 500 * time.Millisecond
+	quotaTickInterval = 20 * time.Millisecond  // of the ledger: bounds the delay until new demand is claimed
+	peerCheckTicks    = 50                     // ticks between two updates of the serving peers
+	quotaDatagramKind = 0x6                    // the first four bits of quota datagrams
+	quotaLeaveTime    = 500 * time.Millisecond // to announce that the proxy leaves, at several ticks
 )
 
-// policyForm is the form of the key govern in the configuration file.
+// policyForm is the JSON form of the key govern in the configuration file.
 type policyForm struct {
 	Policy         bool  `json:"policy"`
 	Tenants        bool  `json:"tenants"`
@@ -32,7 +32,8 @@
 	TenantsOnDemand bool `json:"tenants_on_demand"`
 }
 
-// check says what else a governed proxy needs.
+// check returns the problems of a configuration in which the key govern is present: what else the policy and
+// the tenants need.
 func (g *policyForm) check(c Config) (problems []error) {
 	if g == nil {
 		return nil
@@ -62,42 +63,44 @@
 	return problems
 }
 
-// policyFollower is a proxy's part in the operators' policy and in the shares of its limits. Only figures are
-// not the loop's.
+// policyFollower follows the operators' policy and has this proxy's shares of the policy's limits. Its fields
+// belong to the loop, except the atomic ones, which /stats reads.
 type policyFollower struct {
-	client       *client.Client // for records alone
+	client       *client.Client // follows records only
 	ledger       *quota.Ledger
-	policyKnown  bool // the policy, or that there is none, has been heard of in this process
-	ticks        int
-	highestToken uint64 // the highest fencing token that was received
+	policyKnown  bool   // this process has read the policy, or that there is none
+	ticks        int    // quota ticks so far
+	highestToken uint64 // highest fencing token of an allocator received so far
 
 	version, token, requests, rejected atomic.Uint64
 	fallbackSuspended, hasSlot         atomic.Bool
 }
 
+// newPolicyFollower returns nil if the configuration follows no policy.
 func newPolicyFollower(cfg Config) (*policyFollower, error) {
 	if !cfg.Policy {
 		return nil, nil
 	}
-	k, err := client.New(client.Config{Addresses: cfg.Registry, Hold: listHold})
+	registryClient, err := client.New(client.Config{Addresses: cfg.Registry, Hold: registryWatchHold})
 	if err != nil {
 		return nil, err
 	}
-	life := uint64(time.Now().UnixMilli())
+	generation := uint64(time.Now().UnixMilli())
 	return &policyFollower{
-		client: k,
+		client: registryClient,
 		ledger: quota.NewLedger(
 			quota.LedgerConfig{
 				Fleet:      wire.FleetHash(cfg.Membership.Name),
 				Name:       cfg.Name,
-				Generation: life,
+				Generation: generation,
 				Seed:       uint64(cfg.Seed),
 			},
 		),
 	}, nil
 }
 
-// followPolicy follows the policy and has the shares' clock run until ctx ends.
+// followPolicy follows the records of the policy and of the allocator, and runs the quota ticks, until ctx
+// ends.
 func (srv *Server) followPolicy(ctx context.Context) {
 	g := srv.policy
 	if g == nil {
@@ -115,12 +118,12 @@
 	)
 	go func() {
 		defer g.client.Close()
-		t := time.NewTicker(quotaTickInterval)
-		defer t.Stop()
+		ticker := time.NewTicker(quotaTickInterval)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-t.C:
-				srv.post(srv.quotaTick)
+			case <-ticker.C:
+				srv.post(srv.handleQuotaTick)
 			case <-ctx.Done():
 				return
 			}
@@ -128,100 +131,106 @@
 	}()
 }
 
-// applyPolicy takes the table that holds, whole: the shares and the balancer change over between two events.
-// A table that can't be read changes nothing, as one of a later program may come to proxies of this one.
+// applyPolicy applies the current policy table. The ledger and the balancer change to it between two events,
+// so that no request is judged by parts of two tables. A table that can't be decoded changes nothing: a later
+// version of the program may have written it.
 func (srv *Server) applyPolicy(r client.Records) {
-	g, one := srv.policy, record.Find(r, record.CurrentKey)
-	t, err := record.DecodeTable(one)
+	g, current := srv.policy, record.Find(r, record.CurrentKey)
+	table, err := record.DecodeTable(current)
 	if err != nil {
 		srv.log.Error("new policy is invalid, keeping the present one", "err", err)
 		return
 	}
-	if g.policyKnown && one.Version == g.version.Load() {
+	if g.policyKnown && current.Version == g.version.Load() {
 		return
 	}
 	g.policyKnown = true
-	g.version.Store(one.Version)
-	srv.setTenantPolicy(t)
-	srv.tellLedger(quota.TableChanged{Current: t})
-	if t == nil {
+	g.version.Store(current.Version)
+	srv.setTenantPolicy(table)
+	srv.handleQuotaEvent(quota.TableChanged{Current: table})
+	if table == nil {
 		srv.handle(balancer.TableChanged{})
 	} else {
-		srv.handle(balancer.TableChanged{Table: t, Tokens: g.ledger})
+		srv.handle(balancer.TableChanged{Table: table, Tokens: g.ledger})
 	}
-	srv.log.Info("policy", "version", one.Version, "limits", limitsOf(t))
+	srv.log.Info("policy", "version", current.Version, "limits", limitCount(table))
 	srv.updateReady()
 }
 
-func limitsOf(t *ratelimit.Table) int {
+// limitCount returns the number of limits of a table; t may be nil.
+func limitCount(t *ratelimit.Table) int {
 	if t == nil {
 		return 0
 	}
 	return len(t.Limits)
 }
 
+// applyAllocator passes a new allocator to the ledger. A record with an older fencing token is ignored.
 func (srv *Server) applyAllocator(r client.Records) {
-	s, err := record.ReadAllocator(record.Find(r, record.AllocatorKey))
+	allocator, err := record.ReadAllocator(record.Find(r, record.AllocatorKey))
 	if err != nil {
 		srv.log.Error("allocator record unreadable", "err", err)
 		return
 	}
-	if s.Token > srv.policy.highestToken {
-		srv.policy.highestToken = s.Token
-		srv.tellLedger(quota.AllocatorKnown{Name: s.Name, Token: s.Token})
+	if allocator.Token > srv.policy.highestToken {
+		srv.policy.highestToken = allocator.Token
+		srv.handleQuotaEvent(quota.AllocatorKnown{Name: allocator.Name, Token: allocator.Token})
 	}
 }
 
-func (srv *Server) quotaTick() {
-	g, shell := srv.policy, srv.membership.Load()
-	if shell != nil && g.ticks%peerCheckTicks == 0 {
-		srv.tellLedger(quota.Peers{Names: shell.ServingMembers()})
+// handleQuotaTick advances the ledger by a tick, updates the serving peers every peerCheckTicks, and stores
+// the values for /stats.
+func (srv *Server) handleQuotaTick() {
+	g, gossipServer := srv.policy, srv.membership.Load()
+	if gossipServer != nil && g.ticks%peerCheckTicks == 0 {
+		srv.handleQuotaEvent(quota.Peers{Names: gossipServer.ServingMembers()})
 		srv.announceVersions()
 	}
 	g.ticks++
-	srv.tellLedger(quota.Tick{})
-	s, _ := srv.balancer.LimitCounts()
-	st := g.ledger.Status()
-	g.requests.Store(s.Requests)
-	g.rejected.Store(s.Rejected)
-	g.token.Store(st.Token)
-	g.fallbackSuspended.Store(st.FallbackSuspended)
-	g.hasSlot.Store(st.HasSlot)
+	srv.handleQuotaEvent(quota.Tick{})
+	counts, _ := srv.balancer.LimitCounts()
+	status := g.ledger.Status()
+	g.requests.Store(counts.Requests)
+	g.rejected.Store(counts.Rejected)
+	g.token.Store(status.Token)
+	g.fallbackSuspended.Store(status.FallbackSuspended)
+	g.hasSlot.Store(status.HasSlot)
 }
 
-// tellLedger passes an event to the ledger and sends the datagrams that result.
-func (srv *Server) tellLedger(e quota.Event) {
-	shell := srv.membership.Load()
+// handleQuotaEvent passes an event to the ledger and sends the datagrams that result.
+func (srv *Server) handleQuotaEvent(e quota.Event) {
+	gossipServer := srv.membership.Load()
 	for _, a := range srv.policy.ledger.Handle(time.Since(srv.start), e) {
-		if s, ok := a.(quota.Send); ok && shell != nil {
-			shell.SendTo(s.To, s.Data)
+		if send, ok := a.(quota.Send); ok && gossipServer != nil {
+			gossipServer.SendTo(send.To, send.Data)
 		}
 	}
 }
 
-// receiveQuotaDatagram takes a datagram of the shares off the socket. It does not wait for the loop: one too
-// many is lost.
+// receiveQuotaDatagram passes a quota datagram to the loop. It does not block: if the loop's inbox is full,
+// the datagram is dropped.
 func (srv *Server) receiveQuotaDatagram(_ netip.AddrPort, data []byte) {
-	kept := append([]byte(nil), data...)
+	copied := append([]byte(nil), data...)
 	select {
-	case srv.inbox <- func() { srv.tellLedger(quota.Message{Data: kept}) }:
+	case srv.inbox <- func() { srv.handleQuotaEvent(quota.Message{Data: copied}) }:
 	default:
 	}
 }
 
-// leaveQuotas admits nothing any more and tells the holder so, so that this proxy's shares are free at once.
+// leaveQuotas stops admission by quota and announces to the allocator that this proxy leaves, so that its
+// shares can be allocated to others at once.
 func (srv *Server) leaveQuotas(ctx context.Context) {
 	if srv.policy == nil {
 		return
 	}
-	srv.post(func() { srv.tellLedger(quota.Leave{}) })
+	srv.post(func() { srv.handleQuotaEvent(quota.Leave{}) })
 	select {
-	case <-time.After(leaveAnnounceTime): // the shares' clock tells it twice or more
+	case <-time.After(quotaLeaveTime): // the ledger announces it at least twice in this time
 	case <-ctx.Done():
 	}
 }
 
-// write writes the figures of the policy as lines of text.
+// write writes the policy's metrics to /stats.
 func (g *policyFollower) write(w io.Writer) {
 	writeStats(w, []stat{
 		gauge("app.policy.version", int64(g.version.Load())),
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -66,7 +66,7 @@
 		r.response <- response{status: http.StatusConflict}
 		return
 	}
-	now := srv.frontend.rules.Load().number // those that the balancer has, as both change in one step
+	now := srv.frontend.rules.Load().settingsNumber // those that the balancer has, as both change in one step
 	if most := srv.config.Settings.MaxOpenRequests; most > 0 && len(srv.requests) >= most ||
 		r.settingsNumber < now-1 {
 		// The balancer does not know its class any more: another of that name may be repeated freely.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -2,9 +2,9 @@
 // forwards them to endpoints, follows the endpoint list and answers, each request once and in time.
 //
 // One goroutine, the loop (loop.go), owns the balancer and the requests; all others post functions to it. The
-// frontend reads requests and writes responses, the pool owns the connections to endpoints. What is optional
-// stands beside them and runs only if the configuration names it: the fleet's membership, the operators'
-// policy with its quotas, tenants, and the handoff between an old and a new process.
+// frontend reads requests and writes responses, the pool owns the connections to endpoints. The optional
+// parts run only if they are configured: the fleet's membership, the operators' policy with its quotas,
+// tenants, and the handoff between an old and a new process.
 package proxy
 
 import (
@@ -23,27 +23,28 @@
 )
 
 const (
-	answerMargin = 10 * time.Millisecond // an answer leaves so long before its client stops waiting
-	// between two looks at something that ends soon, or after an error that may come again at once
+	answerMargin = 10 * time.Millisecond // between the last moment for an answer and its client's deadline
+	// shortWait is the pause between two checks of something that ends soon, and after an error that may recur
+	// at once.
 	shortWait = 50 * time.Millisecond
 )
 
-// Server is one load-balancing proxy. Its parts are safe for concurrent use but for loopState.
+// Server is a load-balancing proxy. All of its parts except loopState are safe for concurrent use.
 type Server struct {
 	config Config
 	log    *slog.Logger
 	start  time.Time
-	inbox  chan func() // run by the loop, one at a time
-	calls  chan func() // the same for operators, ahead of the inbox
-	ended  chan struct{}
+	inbox  chan func()   // functions that the loop runs, one at a time
+	calls  chan func()   // functions that the loop runs before those in inbox
+	ended  chan struct{} // closed when the loop has ended
 
 	pool           *pool
 	endpointSource endpointSource
-	fencing        *fencing.Guard // of maintenance orders
-	startupError   error          // why it can't run; nil: it can
+	fencing        *fencing.Guard // rejects maintenance calls with an old fencing token
+	startupError   error          // why Run refuses to start; nil: it starts
 	frontend       *frontend
 	stats          *stats
-	rawConfig      any // the configuration file last taken, for Reread
+	rawConfig      any // the configuration file last applied, as decoded JSON; for Reread
 
 	fleetParts
 	handoffParts
@@ -51,41 +52,43 @@
 	loopState
 }
 
-// fleetParts are what this proxy has to do with others of its fleet.
+// fleetParts are the parts that communicate with the other proxies of the fleet and with the registry.
 type fleetParts struct {
-	peers      atomic.Pointer[peerSocket] // nil: there is no socket for other proxies
+	peers      atomic.Pointer[peerSocket] // nil: none, or not open yet
 	identity   identity
-	membership atomic.Pointer[gossip.Server] // nil: none, or not yet
+	membership atomic.Pointer[gossip.Server] // nil: none, or not started yet
 	policy     *policyFollower               // nil: no policy is followed
 	tenants    *tenantService                // nil: tenants are not distinguished
 }
 
-// handoffParts is what this process has to do with earlier and later ones of the same proxy.
+// handoffParts are the parts that communicate with the previous and the next process of this proxy.
 type handoffParts struct {
 	handoffLinks       handoffLinks
 	firstListTimeout   time.Duration // longest wait for the agent's first answer
-	handoffListTimeout time.Duration // the same in an upgrade, while the old process serves
-	handoffPath        string        // socket at which processes of this proxy meet; empty: none
+	handoffListTimeout time.Duration // longest wait for the list in a handoff, while the old process serves
+	handoffPath        string        // socket at which this proxy's processes connect; empty: no handoffs
 
-	// Overlap is called when another process of this proxy begins and ends to share its limits. It may be nil.
+	// Overlap is called with true when another process of this proxy begins to share its limits, and with false
+	// when none does any more. It may be nil.
 	Overlap func(bool)
 }
 
-// loopState belongs to the loop alone.
+// loopState is the state that only the loop reads and writes, except for listKnown, which any goroutine may
+// wait for.
 type loopState struct {
 	loopContext     context.Context
 	balancer        *balancer.Balancer
 	endpointIDs     *endpointIDs
 	listedEndpoints map[string]balancer.EndpointID
 	listKnown       chan struct{}   // closed when discovery has answered
-	listKnownOnce   sync.Once       // guards that
-	awaitingAgent   bool            // the agent's first answer has not come
-	inMaintenance   map[string]bool // names of endpoints
+	listKnownOnce   sync.Once       // closes listKnown
+	awaitingAgent   bool            // the agent's first answer has not come yet
+	inMaintenance   map[string]bool // by endpoint name
 	requests        map[balancer.RequestID]*request
-	pendingEvents   []balancer.Event // that followed from actions, to be handled next
+	pendingEvents   []balancer.Event // the event being handled, and those that its actions caused
 }
 
-// New makes a proxy; Run starts it.
+// New makes a proxy; Run starts it. Errors are reported by Run.
 func New(config Config, log *slog.Logger) *Server {
 	config = config.withoutMembership(log)
 	srv := &Server{
@@ -105,7 +108,7 @@
 	var err error
 	if srv.fencing, err = fencing.Open(config.FencingFolder); err != nil {
 		srv.failStart(err)
-		srv.fencing, _ = fencing.Open("") // in memory alone, which can't fail
+		srv.fencing, _ = fencing.Open("") // tokens in memory only: can't fail
 	}
 	if srv.startupError == nil {
 		if srv.tenants, err = newTenantService(config); err != nil {
@@ -117,13 +120,13 @@
 		srv.failStart(err)
 	}
 	usable := descriptors - reservedDescriptors
-	clients := int(clientShare * float64(usable))
-	srv.pool = newPool(config.Settings, usable-clients)
+	maxClients := int(clientShare * float64(usable))
+	srv.pool = newPool(config.Settings, usable-maxClients)
 	srv.pool.forwards = &srv.stats.forwards
 	srv.pool.memory = newMemoryBudget(config.MemoryMB)
-	srv.frontend = newFrontend(srv, clients)
+	srv.frontend = newFrontend(srv, maxClients)
 	srv.frontend.memory = newMemoryBudget(config.MemoryMB)
-	srv.identity = newIdentity(config, clients)
+	srv.identity = newIdentity(config, maxClients)
 	return srv
 }
 
@@ -138,18 +141,19 @@
 	}
 }
 
-// failStart keeps the first error for which Run refuses to start.
+// failStart records the first error for which Run refuses to start.
 func (srv *Server) failStart(err error) {
 	if srv.startupError == nil {
 		srv.startupError = err
 	}
 }
 
-// Run serves clients on ln until ctx ends, then finishes what is open.
+// Run serves clients on ln until ctx ends or a new process has taken over, then finishes the open requests
+// and leaves the fleet. It returns nil after an orderly end.
 func (srv *Server) Run(ctx context.Context, ln net.Listener) error {
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
+	loopContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	srv.loopContext = inner
+	srv.loopContext = loopContext
 	err := srv.startupError
 	if err != nil {
 		return err
@@ -161,41 +165,41 @@
 		return err
 	}
 	if srv.handoffPath == "" && srv.lacksPeerSocket() {
-		srv.listenPeers(inner)
+		srv.listenPeers(loopContext)
 	}
-	go srv.loop(inner)
-	srv.followPolicy(inner)
-	go srv.pool.run(inner)
-	var old *handoffLink
+	go srv.loop(loopContext)
+	srv.followPolicy(loopContext)
+	go srv.pool.run(loopContext)
+	var previous *handoffLink
 	if srv.handoffPath != "" {
 		var err error
-		if old, err = srv.requestHandoff(ctx); err != nil {
-			srv.log.Warn("no handoff, starting cold", "err", err)
+		if previous, err = srv.requestHandoff(ctx); err != nil {
+			srv.log.Warn("handoff failed, starting without the previous process's state", "err", err)
 		}
 	}
-	srv.followTenants(inner)
+	srv.followTenants(loopContext)
 	for _, err := range srv.config.initialList.Skipped {
 		srv.log.Warn("endpoint entry skipped", "err", err)
 	}
-	srv.post(func() { srv.startEndpointSource(inner) })
+	srv.post(func() { srv.startEndpointSource(loopContext) })
 	time.AfterFunc(maxReadyTime, func() { srv.post(srv.logMissing) })
-	if old != nil && !srv.takeOver(ctx, old) {
+	if previous != nil && !srv.takeOver(ctx, previous) {
 		besteffort.Close(ln)
 		stop()
 		<-srv.ended
 		return nil
 	}
 	if srv.handoffPath != "" {
-		if srv.lacksPeerSocket() { // the old process has not handed its socket over
-			srv.listenPeers(inner)
+		if srv.lacksPeerSocket() { // the old process has handed over no socket
+			srv.listenPeers(loopContext)
 		}
-		go srv.awaitSuccessor(inner)
+		go srv.awaitSuccessor(loopContext)
 	}
 	err = srv.frontend.serve(ctx, ln)
-	leave := srv.leaveTenants(inner)
-	srv.leaveQuotas(inner)
-	srv.leaveMembership(inner)
-	leave()
+	waitTenantsLeft := srv.leaveTenants(loopContext)
+	srv.leaveQuotas(loopContext)
+	srv.leaveMembership(loopContext)
+	waitTenantsLeft()
 	stop()
 	<-srv.ended
 	return err
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -13,11 +13,12 @@
 	"wrenspread/balancer"
 )
 
-// minPreviousForm is how long requests in the form of the settings before are
-// taken, at least: clients learn of a change at their own time.
-const minPreviousForm = 2 * time.Second
+// minPreviousSettingsTime is how long requests in the form of the previous settings are accepted, at least:
+// clients learn of a change later than the proxy.
+const minPreviousSettingsTime = 2 * time.Second
 
-// optionalKeys of the settings may be absent, as the wire's page says.
+// optionalKeys are the keys of the settings that may be absent. Every other key of the running file has to be
+// in a file that replaces it.
 var optionalKeys = []string{
 	"aim_stretch",
 	"allowed_on",
@@ -26,8 +27,8 @@
 	"warm_keys",
 }
 
-// Reread takes the file at path over the running configuration, or turns it
-// down whole and says why. It is for one goroutine.
+// Reread replaces the running configuration by the file at path. If the file is not valid, it changes nothing
+// and returns the reason. It must not be called concurrently.
 func (srv *Server) Reread(path string) error {
 	cfg, err := srv.loadAndCheck(path)
 	if err != nil {
@@ -39,6 +40,7 @@
 	return nil
 }
 
+// loadAndCheck reads the file and applies the checks of a reload.
 func (srv *Server) loadAndCheck(path string) (Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -54,9 +56,11 @@
 	return cfg, checkSettings(cfg)
 }
 
-// checkSettings turns down what a running proxy could not keep its rules with.
+// checkSettings rejects settings with which a running proxy could not keep its limits: attempts below 1, and
+// classes without a name, with a repeated name or without a deadline.
 func checkSettings(cfg Config) error {
-	if n := cfg.Settings.MaxAttempts; n <= 0 && member(cfg.rawFile, "settings", "caps", "max_attempts") != nil {
+	if n := cfg.Settings.MaxAttempts; n <= 0 &&
+		lookupKey(cfg.rawFile, "settings", "caps", "max_attempts") != nil {
 		return fmt.Errorf("settings: caps.max_attempts: %d is no number of attempts", n)
 	}
 	names := map[string]bool{}
@@ -74,9 +78,9 @@
 	return nil
 }
 
-// missingKey returns an error that names a key of the running file that another one lacks. Of a list of
-// objects each must have the keys that all have in the running file. The endpoints at the start are no
-// setting: only their key must be there.
+// missingKey returns an error that names a key of the running file that the next file lacks; nil if there is
+// none. Each object of a list must have the keys that all objects of the running file's list have. Of the
+// initial endpoints (known) only the key itself is required, as they are not a setting.
 func missingKey(path string, running, next any) error {
 	switch running := running.(type) {
 	case map[string]any:
@@ -95,6 +99,7 @@
 	return nil
 }
 
+// missingInObject is missingKey for two objects at path.
 func missingInObject(path string, running, next map[string]any) error {
 	for _, key := range slices.Sorted(maps.Keys(running)) {
 		if running[key] == nil || slices.Contains(optionalKeys, key) {
@@ -113,16 +118,17 @@
 	return nil
 }
 
+// missingInList is missingKey for two lists at path.
 func missingInList(path string, running, next []any) error {
 	if path == "settings.classes." && len(running) > 0 && len(next) == 0 {
 		return errors.New("settings.classes has none")
 	}
-	shared := sharedKeys(running)
-	if len(shared) == 0 {
+	required := sharedKeys(running)
+	if len(required) == 0 {
 		return nil
 	}
 	for i, element := range next {
-		if err := missingKey(fmt.Sprintf("%s%d.", path, i), shared, element); err != nil {
+		if err := missingKey(fmt.Sprintf("%s%d.", path, i), required, element); err != nil {
 			return err
 		}
 	}
@@ -131,115 +137,119 @@
 
 // sharedKeys returns the keys that all objects of a list have.
 func sharedKeys(list []any) map[string]any {
-	var shared map[string]any
-	for _, e := range list {
-		o, ok := e.(map[string]any)
+	var keys map[string]any
+	for _, element := range list {
+		object, ok := element.(map[string]any)
 		if !ok {
 			return nil
 		}
-		if shared == nil {
-			shared = maps.Clone(o)
+		if keys == nil {
+			keys = maps.Clone(object)
 		}
-		maps.DeleteFunc(shared, func(key string, _ any) bool { return o[key] == nil })
+		maps.DeleteFunc(keys, func(key string, _ any) bool { return object[key] == nil })
 	}
-	return shared
+	return keys
 }
 
-// Reload takes what may change under a running proxy from a new configuration:
-// the address of discovery and the settings.
+// Reload applies the parts of a new configuration that may change while the proxy runs: the addresses of
+// discovery or of the registry, and the settings.
 func (srv *Server) Reload(cfg Config) {
 	srv.post(func() {
 		if !reflect.DeepEqual(cfg.Settings, srv.config.Settings) {
-			srv.log.Info("new settings", "classes", len(cfg.Settings.Classes), "attempts", cfg.Settings.MaxAttempts)
+			srv.log.Info("settings applied", "classes", len(cfg.Settings.Classes), "attempts", cfg.Settings.MaxAttempts)
 			srv.config.Settings = cfg.Settings
-			srv.stats.add(cfg.Settings.Classes)
+			srv.stats.addClasses(cfg.Settings.Classes)
 			srv.pool.configure(cfg.Settings)
-			srv.applySettings(newRules(cfg.Settings, srv.frontend.rules.Load()))
+			srv.applySettings(newRequestRules(cfg.Settings, srv.frontend.rules.Load()))
 		}
 		srv.moveEndpointSource(cfg)
 		srv.stats.sighupApplied.Add(1)
 	})
 }
 
-// applySettings gives the balancer the proxy's settings and the frontend their rules, in one step of the
-// loop: each request that it opens has either these or those before.
+// applySettings gives the balancer the proxy's settings and the frontend the rules derived from them, in one
+// step of the loop: each request is opened either under the new or under the previous settings.
 func (srv *Server) applySettings(next *requestRules) {
 	srv.handle(balancer.SettingsChanged{Settings: srv.withVariants(srv.config.Settings)})
 	srv.frontend.rules.Store(next)
 }
 
-// requestRules is what the front must know of the settings to take a request.
+// requestRules are the rules, derived from the settings, by which the frontend accepts a request.
 type requestRules struct {
-	// one more each time that the balancer is given settings: it knows the last two
-	number          int
-	firstNumber     int                             // the number with which the settings first came
-	idempotency     map[string]balancer.Idempotency // of the classes
-	longestDeadline time.Duration                   // deadline of a class
-	previous        map[string]balancer.Idempotency // of the settings before
-	previousUntil   time.Time
+	// settingsNumber grows by one each time the balancer is given settings. The balancer knows the last two.
+	settingsNumber      int
+	firstSettingsNumber int                             // the number at which these settings were first given
+	idempotency         map[string]balancer.Idempotency // by class
+	longestDeadline     time.Duration                   // of all classes
+	previous            map[string]balancer.Idempotency // by class, under the previous settings
+	previousUntil       time.Time                       // until when the previous form is accepted
 }
 
-func newRules(s balancer.Settings, before *requestRules) *requestRules {
+// newRequestRules derives the rules from new settings. previous are the rules until now; nil at the start.
+func newRequestRules(s balancer.Settings, previous *requestRules) *requestRules {
 	r := &requestRules{idempotency: map[string]balancer.Idempotency{}}
 	for _, c := range s.Classes {
 		r.idempotency[c.Name] = c.Idempotency
 		r.longestDeadline = max(r.longestDeadline, c.Deadline)
 	}
-	if before != nil {
-		r.number = before.number + 1
-		r.firstNumber = r.number
-		r.previous, r.previousUntil = before.idempotency, time.Now().
-			Add(max(minPreviousForm, before.longestDeadline))
+	if previous != nil {
+		r.settingsNumber = previous.settingsNumber + 1
+		r.firstSettingsNumber = r.settingsNumber
+		r.previous, r.previousUntil = previous.idempotency, time.Now().
+			Add(max(minPreviousSettingsTime, previous.longestDeadline))
 	}
 	return r
 }
 
-// renumbered is for the same settings, given once more.
-func (r *requestRules) renumbered() *requestRules {
+// withNextNumber returns the rules for giving the balancer the same settings again, with new route variants.
+// The previous form is not accepted any more, as the balancer forgets the settings before.
+func (r *requestRules) withNextNumber() *requestRules {
 	next := *r
-	next.number, next.previous = r.number+1, nil
+	next.settingsNumber, next.previous = r.settingsNumber+1, nil
 	return &next
 }
 
-// numberFor is the number of the settings of which a request has the form.
-func (r *requestRules) numberFor(former bool) int {
-	if former {
-		return r.number - 1
+// settingsNumberFor returns the number of the present or of the previous settings.
+func (r *requestRules) settingsNumberFor(previous bool) int {
+	if previous {
+		return r.settingsNumber - 1
 	}
-	return r.number
+	return r.settingsNumber
 }
 
-// idempotencyOf finds what a repeat of a request would do: by its class, or by that
-// class as it was, where only that agrees with the request's form.
+// idempotencyOf checks a request's form, by fitsRequest, against the idempotency of its class. If the form
+// fits only the class of the previous settings, and that is still accepted, it returns true for previous.
+// Otherwise it returns the error for the present settings.
 func (r *requestRules) idempotencyOf(
 	class string,
-	fits func(balancer.Idempotency) error,
-) (former bool, err error) {
-	effect, known := r.idempotency[class]
+	fitsRequest func(balancer.Idempotency) error,
+) (previous bool, err error) {
+	idempotency, known := r.idempotency[class]
 	if known {
-		if err = fits(effect); err == nil {
+		if err = fitsRequest(idempotency); err == nil {
 			return false, nil
 		}
 	} else {
 		err = badRequest("unknown X-Class %q", class)
 	}
-	if effect, known = r.previous[class]; known && fits(effect) == nil && time.Now().Before(r.previousUntil) {
+	if idempotency, known = r.previous[class]; known && fitsRequest(idempotency) == nil &&
+		time.Now().Before(r.previousUntil) {
 		return true, nil
 	}
 	return false, err
 }
 
-// member finds a value under keys, one inside the other; nil if there is none.
-func member(file any, keys ...string) any {
+// lookupKey returns the value under a path of keys in a decoded JSON object; nil if there is none.
+func lookupKey(file any, keys ...string) any {
 	for _, key := range keys {
-		o, _ := file.(map[string]any)
-		file = o[key]
+		object, _ := file.(map[string]any)
+		file = object[key]
 	}
 	return file
 }
 
-// decodeAny keeps a file's keys, to compare the next one with.
+// decodeAny decodes a configuration file with all its keys, which missingKey compares with the next file's.
 func decodeAny(raw []byte) (file any) {
-	_ = json.Unmarshal(raw, &file) // it has been read once without an error
+	_ = json.Unmarshal(raw, &file) // can't fail: the same bytes have been decoded before
 	return file
 }
--- a/internal/proxy/settings_odd_test.go
+++ b/internal/proxy/settings_odd_test.go
@@ -33,7 +33,7 @@
 			n := startNodeWith(t, func(n *Server) {
 				change(&n.config.Settings)
 				n.balancer = balancer.New(n.config.Settings, 1)
-				n.frontend.rules.Store(newRules(n.config.Settings, nil))
+				n.frontend.rules.Store(newRequestRules(n.config.Settings, nil))
 				n.pool.configure(n.config.Settings)
 			}, serving(t))
 			for _, c := range []struct{ method, class string }{{"GET", "saldo"}, {"POST", "pagar"}} {
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -192,7 +192,7 @@
 
 // TestFormerFormRunsUnderFormerClass.
 func TestFormerFormRunsUnderFormerClass(t *testing.T) {
-	r := newRules(balancer.Settings{Classes: []balancer.Class{{Name: "a", Idempotency: balancer.NotIdempotent}}},
+	r := newRequestRules(balancer.Settings{Classes: []balancer.Class{{Name: "a", Idempotency: balancer.NotIdempotent}}},
 		&requestRules{idempotency: map[string]balancer.Idempotency{"a": balancer.Idempotent, "b": balancer.Idempotent}})
 	is := func(want balancer.Idempotency) func(balancer.Idempotency) error {
 		return func(e balancer.Idempotency) error {
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -2,29 +2,35 @@
 
 import "time"
 
-// A process that has just been started is ready within maxReadyTime, whatever discovery does, with the cached
-// list that its configuration names. These are all the waits before that:
+// A new process whose configuration has an initial list is ready within maxReadyTime, whatever discovery
+// does. It waits only for:
 //
-//   - MaxBindTime, while the previous process still has the clients' address. One that shares its socket
-//     does not bind it.
-//   - agentAnswerTimeout, where lists are pushed, as what the agent holds counts from the first moment. Where
-//     lists are polled there is none.
-//   - with a shared socket, stateTimeout, handoffListTimeout and releaseTimeout, while the previous process
-//     serves. agentAnswerTimeout passes during the second.
+//   - MaxBindTime, while the previous process is still bound to the clients' address. A process that inherits
+//     the shared socket does not bind it.
+//   - agentAnswerTimeout, where lists are pushed, as the agent's list applies from the start of the process.
+//     Where lists are polled there is no such wait.
+//   - With a shared socket: handoffStateTimeout, handoffListTimeout and handoffReleaseTimeout, while the
+//     previous process serves. agentAnswerTimeout passes during handoffListTimeout.
 //
-// So nothing depends on how many processes start together, nor on a discovery that serves them in turn,
-// slowly, or not at all; and clients that use up the descriptors give way to the one that asks for readiness.
-// A proxy without a cached list has to hear of an endpoint first: that takes 6 s from when discovery can be
-// reached, by the bound for silence (internal/registry/client/silence.go), and then it is ready at once. One
-// that follows a policy or distinguishes tenants waits for the registry as long as it takes.
+// So the time to readiness does not depend on how many processes start together, nor on a discovery that
+// serves them in turn, slowly, or not at all. Clients that use up the descriptors are displaced by the
+// connection that checks readiness. A proxy without an initial list first has to receive an endpoint: that
+// takes up to 6 s from when discovery can be reached, the bound for a silent discovery
+// (internal/registry/client/silence.go). A proxy that follows a policy or distinguishes tenants waits for the
+// registry without a limit.
 const (
+	// MaxBindTime is the longest wait for the clients' address.
 	MaxBindTime  = 5 * time.Second
-	maxReadyTime = max(MaxBindTime+agentAnswerTimeout, stateTimeout+handoffListTimeout+releaseTimeout) // 5.5 s
+	maxReadyTime = max(
+		MaxBindTime+agentAnswerTimeout,
+		handoffStateTimeout+handoffListTimeout+handoffReleaseTimeout,
+	) // 5.5 s
 )
 
-// updateReady accepts clients once there are endpoints and, where a policy is followed, it is known: before
-// that the proxy would admit requests that no limit bounds. Where tenants are distinguished, the proxy also
-// has the catalogue, and is on the member record.
+// updateReady updates whether the proxy accepts clients. It needs endpoints, the agent's first answer or the
+// end of the wait for it, and, where a policy is followed, the policy: without that it would admit requests
+// that no limit bounds. Where tenants are distinguished, it also needs the catalogue and its entry in the
+// member record.
 func (srv *Server) updateReady() {
 	srv.frontend.ready.Store(
 		len(srv.listedEndpoints) > 0 && !srv.awaitingAgent && (srv.policy == nil || srv.policy.policyKnown) &&
@@ -32,7 +38,7 @@
 	)
 }
 
-// logMissing logs what a proxy lacks that is not ready in its time.
+// logMissing logs what the proxy lacks if it is not ready when maxReadyTime has passed.
 func (srv *Server) logMissing() {
 	if !srv.frontend.ready.Load() {
 		srv.log.Warn(
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -13,7 +13,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// requestOutcome is how a request ended, as operators count it.
+// requestOutcome is how a request ended, as /stats counts it.
 type requestOutcome int
 
 const (
@@ -25,31 +25,32 @@
 
 var outcomeNames = [outcomeCount]string{"succeeded", "declined", "aborted"}
 
-// stats holds the figures for operators. They are kept where things happen, so
-// that whoever reads them waits for nobody.
+// stats counts what /stats shows. The counters are updated where the events happen, not by the loop, so that
+// a reader doesn't wait for the loop.
 type stats struct {
 	forwards, outstanding, discovered, ejected atomic.Int64
 	sighupApplied, sighupRejected              atomic.Int64
 
 	mu        sync.RWMutex
-	results   map[string]*[outcomeCount]atomic.Int64 // by class; one that was dropped keeps its count
-	endpoints map[string]*endpointCounts             // nil: they are not distinguished
+	results   map[string]*[outcomeCount]atomic.Int64 // by class, dropped classes included
+	endpoints map[string]*endpointCounts             // by name; nil: not counted by endpoint
 }
 
-// endpointCounts are those of one server that ended and say something of it.
-type endpointCounts struct{ succeeded, failed, late int64 } // late ones have succeeded
+// endpointCounts are the ended attempts at an endpoint. Late attempts are also counted as succeeded.
+type endpointCounts struct{ succeeded, failed, late int64 }
 
-func newStats(classes []balancer.Class, servers bool) *stats {
+// newStats returns stats for the classes; with byEndpoint it also counts attempts by endpoint.
+func newStats(classes []balancer.Class, byEndpoint bool) *stats {
 	s := &stats{results: map[string]*[outcomeCount]atomic.Int64{}}
-	if servers {
+	if byEndpoint {
 		s.endpoints = map[string]*endpointCounts{}
 	}
-	s.add(classes)
+	s.addClasses(classes)
 	return s
 }
 
-// add has the figures of further classes begin at zero.
-func (s *stats) add(classes []balancer.Class) {
+// addClasses adds counters for the classes that have none yet.
+func (s *stats) addClasses(classes []balancer.Class) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range classes {
@@ -59,47 +60,47 @@
 	}
 }
 
-// count takes the end of a request.
-func (s *stats) count(class string, o requestOutcome) {
+// count counts the end of a request of a known class.
+func (s *stats) count(class string, outcome requestOutcome) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if r := s.results[class]; r != nil {
-		r[o].Add(1)
+		r[outcome].Add(1)
 	}
 }
 
-// attempt takes the end of an attempt at a server. One that the proxy called off, or
-// never sent, says nothing of it.
-func (s *stats) attempt(server string, code balancer.Outcome, late bool) {
-	if server == "" || code == balancer.NotSent || code == balancer.Cancelled {
+// attempt counts the end of an attempt at an endpoint. Attempts that the proxy cancelled or never sent are
+// not counted, as they show nothing about the endpoint. An empty endpoint is ignored.
+func (s *stats) attempt(endpoint string, outcome balancer.Outcome, late bool) {
+	if endpoint == "" || outcome == balancer.NotSent || outcome == balancer.Cancelled {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.endpoints[server]
-	if a == nil {
-		a = &endpointCounts{}
-		s.endpoints[server] = a
+	counts := s.endpoints[endpoint]
+	if counts == nil {
+		counts = &endpointCounts{}
+		s.endpoints[endpoint] = counts
 	}
 	switch {
-	case code != balancer.OK:
-		a.failed++
+	case outcome != balancer.OK:
+		counts.failed++
 	case late:
-		a.late++
-		a.succeeded++
+		counts.late++
+		counts.succeeded++
 	default:
-		a.succeeded++
+		counts.succeeded++
 	}
 }
 
-// forget drops the figures of a server that has left the list.
-func (s *stats) forget(server string) {
+// forget drops the counters of an endpoint that has left the list.
+func (s *stats) forget(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.endpoints, server)
+	delete(s.endpoints, endpoint)
 }
 
-// write gives the figures as lines of text, classes in the order of their names.
+// write writes all metrics as lines of text, classes and endpoints sorted by name.
 func (s *stats) write(w io.Writer) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -109,22 +110,30 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		for o, r := range outcomeNames {
-			besteffort.Output(fmt.Fprintf(w, "app.results.%s.%s:%d|c\n", label(name), r, s.results[name][o].Load()))
+		for outcome, outcomeName := range outcomeNames {
+			besteffort.Output(
+				fmt.Fprintf(
+					w,
+					"app.results.%s.%s:%d|c\n",
+					sanitizeLabel(name),
+					outcomeName,
+					s.results[name][outcome].Load(),
+				),
+			)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.endpoints)) {
-		a := s.endpoints[name]
+		counts := s.endpoints[name]
 		besteffort.Output(
 			fmt.Fprintf(
 				w,
 				"app.backends.%s.succeeded:%d|c\napp.backends.%s.failed:%d|c\napp.backends.%s.late:%d|c\n",
-				label(name),
-				a.succeeded,
-				label(name),
-				a.failed,
-				label(name),
-				a.late,
+				sanitizeLabel(name),
+				counts.succeeded,
+				sanitizeLabel(name),
+				counts.failed,
+				sanitizeLabel(name),
+				counts.late,
 			),
 		)
 	}
@@ -138,17 +147,17 @@
 	})
 }
 
-// stat is a figure for operators, in the line format of statsd.
+// stat is a metric in the line format of statsd.
 type stat struct {
 	name  string
 	value int64
-	kind  string
+	kind  string // "c" for a counter, "g" for a gauge
 }
 
-// counter is a figure that counts from the start of the process.
+// counter is a metric that counts from the start of the process.
 func counter(name string, value int64) stat { return stat{name, value, "c"} }
 
-// gauge is a figure of this moment.
+// gauge is a metric that shows the present value.
 func gauge(name string, value int64) stat { return stat{name, value, "g"} }
 
 // flag is a gauge that is 1 or 0.
@@ -159,14 +168,16 @@
 	return gauge(name, 0)
 }
 
+// writeStats writes a line for each metric.
 func writeStats(w io.Writer, stats []stat) {
 	for _, s := range stats {
 		besteffort.Output(fmt.Fprintf(w, "%s:%d|%s\n", s.name, s.value, s.kind))
 	}
 }
 
-// label keeps a class's name from ending its line or its part of it.
-func label(name string) string {
+// sanitizeLabel replaces the characters of a class's or endpoint's name that would end the line or the part
+// of the metric's name.
+func sanitizeLabel(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r == 0x7f || strings.ContainsRune(".:|@#", r) {
 			return '_'
--- a/internal/proxy/subset.go
+++ b/internal/proxy/subset.go
@@ -9,52 +9,61 @@
 	"wrenspread/internal/registry/client"
 )
 
-// subsetInputs is what of the settings says which subset of the list this proxy works with.
+// subsetInputs are the settings that determine which subset of the registry's list this proxy follows.
 type subsetInputs struct {
 	proxyIndex, proxies int
-	placements          []registry.Placement
+	placements          []registry.Placement // of the classes, each once
 }
 
+// subsetInputsOf takes the inputs from the balancer's settings.
 func subsetInputsOf(s balancer.Settings) *subsetInputs {
-	to := &subsetInputs{proxyIndex: s.ProxyIndex, proxies: s.Proxies}
+	inputs := &subsetInputs{proxyIndex: s.ProxyIndex, proxies: s.Proxies}
 	for _, c := range s.Classes {
-		g := registry.Placement{Zones: c.AllowedZones, Types: c.AllowedMachineTypes}
-		if !slices.ContainsFunc(to.placements, func(o registry.Placement) bool {
-			return samePlacement(o.Zones, g.Zones) && samePlacement(o.Types, g.Types)
+		placement := registry.Placement{Zones: c.AllowedZones, Types: c.AllowedMachineTypes}
+		if !slices.ContainsFunc(inputs.placements, func(o registry.Placement) bool {
+			return sameRestriction(o.Zones, placement.Zones) && sameRestriction(o.Types, placement.Types)
 		}) {
-			to.placements = append(to.placements, g)
+			inputs.placements = append(inputs.placements, placement)
 		}
 	}
-	return to
+	return inputs
 }
 
-// samePlacement tells placements apart: nil is all, and empty none.
-func samePlacement(a, b []string) bool { return slices.Equal(a, b) && (a == nil) == (b == nil) }
+// sameRestriction reports whether two lists of zones or machine types allow the same. Nil allows all, an
+// empty list allows none.
+func sameRestriction(a, b []string) bool { return slices.Equal(a, b) && (a == nil) == (b == nil) }
 
-// subsetChooser is the proxy's choice of a part, which the client of the registry asks
-// for from a goroutine of its own.
+// subsetChooser chooses the subset to follow. The registry's client calls it from a goroutine of its own, so
+// the inputs are atomic.
 type subsetChooser struct{ inputs atomic.Pointer[subsetInputs] }
 
-func (s *subsetChooser) next(has registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
-	by := s.inputs.Load()
-	return has.Next(by.proxyIndex, by.proxies, total, entries, by.placements)
+// next returns the subset to follow for a proxy that now has current with these entries, of total in the
+// list.
+func (s *subsetChooser) next(
+	current registry.Subset,
+	total int,
+	entries []registry.Endpoint,
+) registry.Subset {
+	inputs := s.inputs.Load()
+	return current.Next(inputs.proxyIndex, inputs.proxies, total, entries, inputs.placements)
 }
 
-// responseOf is what a client believes, in the form of an answer.
-func responseOf(v client.List) registry.ListResponse {
+// listResponseOf converts a client's present list to the form of a registry answer.
+func listResponseOf(list client.List) registry.ListResponse {
 	return registry.ListResponse{
-		Index:     v.Version,
-		Epoch:     v.Epoch,
+		Index:     list.Version,
+		Epoch:     list.Epoch,
 		Snapshot:  true,
-		Subset:    v.Subset.String(),
-		Total:     v.Total,
-		Endpoints: v.Endpoints,
+		Subset:    list.Subset.String(),
+		Total:     list.Total,
+		Endpoints: list.Endpoints,
 	}
 }
 
-// setSubset says of a list which part of the whole it is; of the complete list it says nothing.
-func setSubset(u *balancer.EndpointsUpdated, l registry.ListResponse, self int) {
-	if p, err := registry.ParseSubset(l.Subset); err == nil && !p.IsAll() {
-		u.TotalEndpoints, u.SubsetStart = l.Total, registry.StartPosition(self)
+// setSubset sets in the update which subset of the complete list it holds, for the proxy of an index. For the
+// complete list it sets nothing.
+func setSubset(update *balancer.EndpointsUpdated, list registry.ListResponse, proxyIndex int) {
+	if subset, err := registry.ParseSubset(list.Subset); err == nil && !subset.IsAll() {
+		update.TotalEndpoints, update.SubsetStart = list.Total, registry.StartPosition(proxyIndex)
 	}
 }
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -9,72 +9,74 @@
 	"wrenspread/ratelimit"
 )
 
-// tenantService is a proxy's part in the catalogue of tenants. It is the loop's but for the client, the
-// session and the figures.
+// tenantService follows the catalogue of tenants and decides requests by it. Its fields belong to the loop,
+// except the client, the session, the channels and the atomic counters, which /stats reads.
 type tenantService struct {
-	client        *client.Client // for the catalogue and the session alone
+	client        *client.Client // for the catalogue and the session only
 	cache         *tenant.Cache
-	self          tenant.Member      // how the member record is to have this proxy
-	catalogue     *tenant.Catalogue  // that requests are answered from
-	pendingEvents []any              // events for the cache, the first of which is being handled
-	policy        tenant.PolicyTable // the policy's, as the cache has it
-	// by limit of the policy's table: the name under which that knows its tenant
+	self          tenant.Member      // this proxy's entry in the member record, as it should be
+	catalogue     *tenant.Catalogue  // by which requests are decided
+	pendingEvents []any              // events for the cache; the first one is being handled
+	policy        tenant.PolicyTable // as the cache was given it
+	// tenantByLimit has, for each limit of the policy's table, the tenant's name in that table.
 	tenantByLimit    map[string]string
 	routes           routeVariants
 	session          *registrySession
 	parked           []parkedRequest
-	catalogueChanged bool // there is another catalogue: some of parked may go on
-	// closed when it has the catalogue and is on the member record, for the first time
-	ready chan struct{}
-	left  chan struct{} // closed when it leaves and the member record does not have it any more
+	catalogueChanged bool // parked requests have to be checked again
+	// ready is closed when the proxy first has the catalogue and is in the member record.
+	ready             chan struct{}
+	removedFromRecord chan struct{} // closed when the proxy leaves and is no longer in the member record
 
-	number, tenantCount              atomic.Uint64 // of the catalogue; tenants in it
-	unavailable, forbidden, notFound atomic.Uint64 // requests
+	catalogueNumber, tenantCount     atomic.Uint64 // number of the catalogue; tenants in it
+	unavailable, forbidden, notFound atomic.Uint64 // requests answered 503, 403, 404
 }
 
-// newTenantService gives nil where tenants are not distinguished.
+// newTenantService returns nil where tenants are not distinguished.
 func newTenantService(cfg Config) (*tenantService, error) {
 	if !cfg.Tenants.Enabled {
 		return nil, nil
 	}
-	k, err := client.New(client.Config{Addresses: cfg.Registry, Hold: listHold})
+	registryClient, err := client.New(client.Config{Addresses: cfg.Registry, Hold: registryWatchHold})
 	if err != nil {
 		return nil, err
 	}
 	t := &tenantService{
-		client:    k,
-		catalogue: &tenant.Catalogue{},
-		routes:    newRouteVariants(),
-		session:   newRegistrySession(cfg.Name),
-		ready:     make(chan struct{}),
-		left:      make(chan struct{}),
+		client:            registryClient,
+		catalogue:         &tenant.Catalogue{},
+		routes:            newRouteVariants(),
+		session:           newRegistrySession(cfg.Name),
+		ready:             make(chan struct{}),
+		removedFromRecord: make(chan struct{}),
 	}
 	t.startGeneration(cfg, uint64(time.Now().UnixMilli()))
 	return t, nil
 }
 
-// startGeneration makes the cache of a generation in which nothing has been heard or said yet.
-func (t *tenantService) startGeneration(cfg Config, life uint64) {
-	t.cache = tenant.NewCache(life, cfg.Tenants.MaxStaleness, cfg.Tenants.OnDemand)
+// startGeneration makes an empty cache for a generation, and the proxy's entry in the member record.
+func (t *tenantService) startGeneration(cfg Config, generation uint64) {
+	t.cache = tenant.NewCache(generation, cfg.Tenants.MaxStaleness, cfg.Tenants.OnDemand)
 	t.self = t.cache.Member(cfg.Name)
 }
 
-// succeed goes on in the generation of the previous process, so that the member record has both while both
-// serve. One with another hold is another member: it begins a later generation.
-func (srv *Server) continueGeneration(before *tenant.Member) {
+// continueGeneration continues the generation of the previous process, so that one entry in the member record
+// covers both processes while both serve. With another MaxStaleness the entry differs, so a later generation
+// begins.
+func (srv *Server) continueGeneration(previous *tenant.Member) {
 	t := srv.tenants
-	if t == nil || before == nil {
+	if t == nil || previous == nil {
 		return
 	}
-	if before.MaxStalenessMS == t.self.MaxStalenessMS {
-		t.startGeneration(srv.config, before.Generation)
+	if previous.MaxStalenessMS == t.self.MaxStalenessMS {
+		t.startGeneration(srv.config, previous.Generation)
 	} else {
-		t.startGeneration(srv.config, max(t.self.Generation, before.Generation+1))
+		t.startGeneration(srv.config, max(t.self.Generation, previous.Generation+1))
 	}
 	srv.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
-// member is what the next process of this proxy receives; nil where tenants are not distinguished.
+// member returns the proxy's entry in the member record for the next process; nil where tenants are not
+// distinguished.
 func (t *tenantService) member() *tenant.Member {
 	if t == nil {
 		return nil
@@ -82,7 +84,7 @@
 	return &t.self
 }
 
-// isReady is closed once tenants can be served.
+// isReady returns a channel that is closed once tenants can be served.
 func (t *tenantService) isReady() <-chan struct{} {
 	if t == nil {
 		done := make(chan struct{})
@@ -92,16 +94,16 @@
 	return t.ready
 }
 
-// tenantClock is that of the cache: it never steps.
+// tenantClock is the cache's clock: the time since the start of the process, which never steps.
 func (srv *Server) tenantClock() time.Duration { return time.Since(srv.start) }
 
-// handleTenantEvent gives an event to the cache and carries out what it says, before whatever event comes of
-// that.
+// handleTenantEvent gives an event to the cache and carries out the actions that it returns. Events that
+// these actions cause are queued and handled afterwards.
 func (srv *Server) handleTenantEvent(event any) {
 	t := srv.tenants
 	t.pendingEvents = append(t.pendingEvents, event)
 	if len(t.pendingEvents) > 1 {
-		return // the call further up gets to it
+		return // the call that handles the first event handles this one too
 	}
 	for len(t.pendingEvents) > 0 {
 		for _, a := range t.cache.Handle(srv.tenantClock(), t.pendingEvents[0]) {
@@ -126,11 +128,12 @@
 	}
 }
 
-// catalogueSwapped follows a new catalogue up.
+// catalogueSwapped updates the counters, the announced versions and the readiness after a change of
+// catalogue.
 func (srv *Server) catalogueSwapped() {
 	t := srv.tenants
-	if number := t.cache.Number(); number != t.number.Load() {
-		t.number.Store(number)
+	if number := t.cache.Number(); number != t.catalogueNumber.Load() {
+		t.catalogueNumber.Store(number)
 		t.tenantCount.Store(uint64(t.cache.TenantCount()))
 		srv.announceVersions()
 		srv.log.Info("tenants", "catalogue", number, "known", t.cache.TenantCount())
@@ -145,18 +148,18 @@
 	srv.updateReady()
 }
 
-// announceVersions tells other proxies which policy and which catalogue this one has.
+// announceVersions publishes the versions of this proxy's policy and catalogue to the other members.
 func (srv *Server) announceVersions() {
 	catalogue := uint64(0)
 	if srv.tenants != nil {
-		catalogue = srv.tenants.number.Load()
+		catalogue = srv.tenants.catalogueNumber.Load()
 	}
-	if shell := srv.membership.Load(); shell != nil {
-		shell.SetVersions(catalogue, srv.policy.version.Load())
+	if gossipServer := srv.membership.Load(); gossipServer != nil {
+		gossipServer.SetVersions(catalogue, srv.policy.version.Load())
 	}
 }
 
-// setTenantPolicy tells the cache of the policy's table that is evaluated; nil for none.
+// setTenantPolicy gives the cache the policy table that the proxy applies; nil for none.
 func (srv *Server) setTenantPolicy(table *ratelimit.Table) {
 	t := srv.tenants
 	if t == nil {
@@ -168,18 +171,20 @@
 	}
 	if table != nil {
 		t.policy.Version = table.Version
-		for _, l := range table.Limits {
-			t.tenantByLimit[l.Name] = tenantOf(table, l)
+		for _, limit := range table.Limits {
+			t.tenantByLimit[limit.Name] = tenantOfLimit(table, limit)
 		}
 	}
 	srv.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
-// tenantOf is the name by which a table knows the requests that touch a limit; empty: any.
-func tenantOf(t *ratelimit.Table, l ratelimit.Limit) string {
-	for at := l.Scope; at >= 0 && at < len(t.Scopes); at = t.Scopes[at].Parent {
-		if p := t.Scopes[at]; p.Attribute == ratelimit.AttributeTenant && p.Value != ratelimit.AnyOther {
-			return p.Value
+// tenantOfLimit returns the tenant's name in the innermost scope of a limit that names one tenant; empty if
+// the limit's scopes name none.
+func tenantOfLimit(table *ratelimit.Table, limit ratelimit.Limit) string {
+	for scope := limit.Scope; scope >= 0 && scope < len(table.Scopes); scope = table.Scopes[scope].Parent {
+		if condition := table.Scopes[scope]; condition.Attribute == ratelimit.AttributeTenant &&
+			condition.Value != ratelimit.AnyOther {
+			return condition.Value
 		}
 	}
 	return ""
--- a/internal/proxy/tenants_config.go
+++ b/internal/proxy/tenants_config.go
@@ -7,21 +7,22 @@
 	"wrenspread/internal/tenant"
 )
 
-// Bounds of govern.hold_ms: below a few of the session's times a service that is a little late would stop the
+// Bounds of govern.hold_ms. With less than two session TTLs a registry that is slightly late would stop all
 // tenants.
 const (
 	minMaxStaleness = 2 * sessionTTL
 	maxMaxStaleness = 24 * time.Hour
 )
 
-// TenantsConfig says what the proxy has to do with tenants.
+// TenantsConfig is the configuration of tenants.
 type TenantsConfig struct {
-	Enabled      bool          // requests are answered by the catalogue of tenants
-	MaxStaleness time.Duration // it serves none after so long without contact with the registry; 0: it serves on
-	OnDemand     bool          // of a catalogue with parts it reads those that requests name
+	Enabled bool // requests are decided by the catalogue of tenants
+	// MaxStaleness is how long the proxy serves tenants without contact with the registry; 0: without a limit.
+	MaxStaleness time.Duration
+	OnDemand     bool // the proxy reads only the leaves of the catalogue that requests need
 }
 
-// tenants returns what the key govern says of tenants. g may be nil.
+// tenants returns the tenants' configuration of the key govern. g may be nil.
 func (g *policyForm) tenants() (c TenantsConfig) {
 	if g != nil && g.Tenants {
 		c = TenantsConfig{
@@ -33,6 +34,7 @@
 	return c
 }
 
+// checkTenants returns the problems of the tenants' keys.
 func (g *policyForm) checkTenants(c Config) (problems []error) {
 	if !g.Tenants {
 		if g.TenantsOnDemand {
--- a/internal/proxy/tenants_decide.go
+++ b/internal/proxy/tenants_decide.go
@@ -8,47 +8,48 @@
 	"wrenspread/internal/tenant"
 )
 
-// decideTenant answers a request by the catalogue, unless that has it served: then it says to the balancer
-// which class, variant and tenant it is of. All of it is one step of the loop, as is a new catalogue: no
-// request is judged by one and counted by the next.
-func (srv *Server) decideTenant(r *request, e *balancer.RequestArrived) (serve bool) {
+// decideTenant decides a request by the catalogue. It returns true if the request is to be served, and sets
+// the event's class (a route's variant) and tenant for the balancer. Otherwise it answers or parks the
+// request. The decision is one step of the loop, and so is a change of catalogue: no request is decided by
+// one catalogue and counted under the next.
+func (srv *Server) decideTenant(r *request, event *balancer.RequestArrived) (serve bool) {
 	t := srv.tenants
 	if t == nil {
 		return true
 	}
-	v := t.catalogue.Decide(srv.tenantClock(), e.Tenant, e.Class, e.Key)
-	lane := ""
-	if v.Kind == tenant.Routed {
-		if lane = t.routes.classFor(v.Route, e.Class, e.PreviousSettings); lane == "" {
-			v = tenant.Decision{Kind: tenant.Unavailable, RetryAfter: routeRetryAfter}
+	decision := t.catalogue.Decide(srv.tenantClock(), event.Tenant, event.Class, event.Key)
+	class := ""
+	if decision.Kind == tenant.Routed {
+		if class = t.routes.classFor(decision.Route, event.Class, event.PreviousSettings); class == "" {
+			decision = tenant.Decision{Kind: tenant.Unavailable, RetryAfter: routeRetryAfter}
 		}
 	}
-	a := response{}
-	switch v.Kind {
+	answer := response{}
+	switch decision.Kind {
 	case tenant.Routed:
-		e.Tenant, e.Class = cmp.Or(t.tenantByLimit[v.Limit], v.Tenant), lane
-		r.tenant = v.Tenant
-		srv.handleTenantEvent(tenant.RequestStarted{Tenant: v.Tenant})
+		event.Tenant, event.Class = cmp.Or(t.tenantByLimit[decision.Limit], decision.Tenant), class
+		r.tenant = decision.Tenant
+		srv.handleTenantEvent(tenant.RequestStarted{Tenant: decision.Tenant})
 		return true
 	case tenant.Forbidden:
-		a.status = http.StatusForbidden
+		answer.status = http.StatusForbidden
 		t.forbidden.Add(1)
 	case tenant.NotFound:
-		a.status = http.StatusNotFound
+		answer.status = http.StatusNotFound
 		t.notFound.Add(1)
 	default:
-		if v.Reason == tenant.ReasonLeafMissing && srv.parkRequest(r, *e) {
+		if decision.Reason == tenant.ReasonLeafMissing && srv.parkRequest(r, *event) {
 			return false
 		}
-		a.status, a.retryAfter = http.StatusServiceUnavailable, v.RetryAfter
+		answer.status, answer.retryAfter = http.StatusServiceUnavailable, decision.RetryAfter
 		t.unavailable.Add(1)
 	}
 	r.answered = true
-	r.response <- a
+	r.response <- answer
 	return false
 }
 
-// tenantRequestEnded counts a request out of its tenant's, once nothing of it is under way.
+// tenantRequestEnded tells the cache that a tenant's request has ended, with all its attempts.
 func (srv *Server) tenantRequestEnded(r *request) {
 	if name := r.tenant; name != "" {
 		r.tenant = ""
@@ -56,8 +57,8 @@
 	}
 }
 
-// cutTenantRequests ends what is open of a tenant. What has been sent may have run, and is not refused; what
-// has begun at the client breaks off.
+// cutTenantRequests ends a tenant's open requests. A request without an attempt gets 503; one with an attempt
+// may have run, so it gets 502, which is no rejection. A response that is being streamed is cut off.
 func (srv *Server) cutTenantRequests(name string) {
 	cut := 0
 	for _, r := range srv.requests {
@@ -74,7 +75,7 @@
 			srv.handle(balancer.RequestAbandoned{ID: r.id})
 		}
 		for _, cancel := range r.cancelAttempts {
-			cancel() // the balancer may not be allowed to
+			cancel() // here, as the settings may not allow the balancer to cancel attempts
 		}
 		if r.stream != nil {
 			r.stream.cancel()
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -10,32 +10,34 @@
 
 const (
 	catalogueReadTimeout = 5 * time.Second        // for one read of the catalogue
-	tenantTick           = 250 * time.Millisecond // of the cache's clock: it wants each half second
-	// for the status that the proxy has left, and for the member record to follow
+	tenantTick           = 250 * time.Millisecond // of the cache, which needs one each 500 ms
+	// leftTimeout bounds how long a leaving proxy waits until its status has been sent and it has been removed
+	// from the member record.
 	leftTimeout = 2 * time.Second
 )
 
-// followTenants keeps the session, reads the catalogue and has the cache's clock run until ctx ends.
+// followTenants starts the goroutines that maintain the session, read the catalogue and run the cache's
+// ticks, until ctx ends.
 func (srv *Server) followTenants(ctx context.Context) {
 	t := srv.tenants
 	if t == nil {
 		return
 	}
-	open, stop := context.WithCancel(ctx)
-	t.session.close = stop
-	go srv.keepSession(open)
+	sessionContext, closeSession := context.WithCancel(ctx)
+	t.session.closeSession = closeSession
+	go srv.maintainSession(sessionContext)
 	go srv.readCatalogue(ctx)
-	for _, key := range []string{tenant.HeadKey, tenant.MembersKey} { // the pages are read as they are wanted
+	for _, key := range []string{tenant.HeadKey, tenant.MembersKey} { // pages are read as needed
 		go t.client.FollowRecords(ctx, key, func(client.Records) { t.session.requestRead() })
 	}
 	go func() {
 		defer t.client.Close()
-		every := time.NewTicker(tenantTick)
-		defer every.Stop()
+		ticker := time.NewTicker(tenantTick)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-every.C:
-				srv.post(srv.tenantTick)
+			case <-ticker.C:
+				srv.post(srv.handleTenantTick)
 			case <-ctx.Done():
 				return
 			}
@@ -43,32 +45,34 @@
 	}()
 }
 
-func (srv *Server) tenantTick() {
-	if shell := srv.membership.Load(); shell != nil {
-		srv.handleTenantEvent(tenant.PeerHasCatalogue{Number: shell.HighestCatalogue()})
+// handleTenantTick gives the cache the peers' highest catalogue and a tick, resumes parked requests whose
+// time is over, and applies routes that had to wait.
+func (srv *Server) handleTenantTick() {
+	if gossipServer := srv.membership.Load(); gossipServer != nil {
+		srv.handleTenantEvent(tenant.PeerHasCatalogue{Number: gossipServer.HighestCatalogue()})
 	}
-	srv.tenants.catalogueChanged = true // some have waited for long enough
+	srv.tenants.catalogueChanged = true // the time of some parked requests may be over
 	srv.handleTenantEvent(tenant.Tick{})
 	srv.applyRoutes()
 }
 
-// readCatalogue reads the catalogue whenever it is asked to, until that has worked.
+// readCatalogue reads the catalogue at each read request, and repeats a failed read until one succeeds.
 func (srv *Server) readCatalogue(ctx context.Context) {
 	t := srv.tenants
-	r := &tenant.Reader{Source: t.client, Member: t.self}
+	reader := &tenant.Reader{Source: t.client, Member: t.self}
 	for failed := false; ; {
 		select {
 		case <-t.session.readRequests:
 		case <-ctx.Done():
 			return
 		}
-		want := tenant.WantedLeaves{}
-		if !srv.do(func() { want = t.cache.Wanted() }) {
+		wantedLeaves := tenant.WantedLeaves{}
+		if !srv.do(func() { wantedLeaves = t.cache.Wanted() }) {
 			return
 		}
-		call, done := context.WithTimeout(ctx, catalogueReadTimeout)
-		got, err := r.Read(call, srv.tenantClock, want)
-		done()
+		callContext, cancel := context.WithTimeout(ctx, catalogueReadTimeout)
+		read, err := reader.Read(callContext, srv.tenantClock, wantedLeaves)
+		cancel()
 		if err != nil {
 			if !failed {
 				srv.log.Warn("reading the tenant catalogue failed", "err", err)
@@ -76,35 +80,37 @@
 			t.session.requestRead()
 			pauseBeforeRetry(ctx)
 		} else {
-			srv.post(func() { srv.applyCatalogue(got) })
+			srv.post(func() { srv.applyCatalogue(read) })
 		}
 		failed = err != nil
 	}
 }
 
-// applyCatalogue takes what was read. The routes come first: what the cache then says to be taken up can be
-// served.
-func (srv *Server) applyCatalogue(got tenant.CatalogueRead) {
+// applyCatalogue applies a read of the catalogue. The routes are planned first, so that tenants which the
+// cache then begins to serve can be routed. For a proxy that leaves, it notices the removal from the member
+// record.
+func (srv *Server) applyCatalogue(read tenant.CatalogueRead) {
 	t := srv.tenants
-	if got.Snapshot != nil && got.Snapshot.Number >= t.cache.Number() {
-		srv.planRoutes(got.Snapshot)
+	if read.Snapshot != nil && read.Snapshot.Number >= t.cache.Number() {
+		srv.planRoutes(read.Snapshot)
 	}
-	srv.handleTenantEvent(got)
-	if t.catalogue.Ready() || got.Enrolled {
+	srv.handleTenantEvent(read)
+	if t.catalogue.Ready() || read.Enrolled {
 		return
 	}
-	if w := t.cache.Status(); w.Left {
+	if status := t.cache.Status(); status.Left {
 		select {
-		case <-t.left:
+		case <-t.removedFromRecord:
 		default:
-			close(t.left)
+			close(t.removedFromRecord)
 		}
 	}
 }
 
-// leaveTenants says that this process serves no tenant any more, once it has ended all its requests. wait
-// returns when the member record has followed, or late, with the session closed: until then changes of
-// tenants wait for this proxy. One whose status has not been seen expires by itself, so that it still can be.
+// leaveTenants starts to announce that this process serves tenants no more, after all its requests have
+// ended. The function wait waits until the proxy is removed from the member record, then closes the session:
+// until the removal, changes of tenants wait for this proxy. After leftTimeout it gives up and leaves the
+// session open, so that the status can still be read until the session expires.
 func (srv *Server) leaveTenants(ctx context.Context) (wait func()) {
 	t := srv.tenants
 	if t == nil {
@@ -114,17 +120,17 @@
 	srv.post(func() { srv.handleTenantEvent(tenant.Leave{}) })
 	return func() {
 		defer stop()
-		gone := srv.waitFor(ctx, leftTimeout, t.session.left)
-		// else the member record goes on to have the process that follows
-		if gone && !srv.frontend.handedOff.Load() {
+		confirmed := srv.waitFor(ctx, leftTimeout, t.session.leftReported)
+		// After a handoff the entry in the member record stays, for the next process.
+		if confirmed && !srv.frontend.handedOff.Load() {
 			t.session.requestRead()
-			gone = srv.waitFor(ctx, leftTimeout, t.left)
+			confirmed = srv.waitFor(ctx, leftTimeout, t.removedFromRecord)
 		}
-		if !gone {
-			srv.log.Warn("tenant member record may still have this proxy: wrenspreadctl tenant forget")
+		if !confirmed {
+			srv.log.Warn("tenant member record may still list this proxy; to remove it: wrenspreadctl tenant forget")
 			return
 		}
-		t.session.close()
+		t.session.closeSession()
 		srv.waitFor(ctx, leftTimeout, t.session.ended)
 	}
 }
--- a/internal/proxy/tenants_park.go
+++ b/internal/proxy/tenants_park.go
@@ -7,24 +7,26 @@
 	"wrenspread/internal/tenant"
 )
 
-// A request that names a tenant whose part of the catalogue is being read waits for it: for
-// the read that is under way and the next one, each of up to five calls of some 20 ms with the
-// registry, and again as long. A proxy that starts parks no more than it can read parts of.
+// A request whose tenant is in a leaf of the catalogue that is being read is parked until the leaf is there.
+// The timeout is twice the time of the present read and the next one, each of up to five registry calls of
+// about 20 ms. The number of parked requests is limited so that a proxy that starts parks no more than it can
+// read leaves for.
 const (
-	parkTimeout = 400 * time.Millisecond // tenantTick later at most
+	parkTimeout = 400 * time.Millisecond // noticed at most tenantTick later
 	maxParked   = 1024
 )
 
-// parkedRequest is a request that waits for its tenant's part of the catalogue.
+// parkedRequest is a request that waits for its tenant's leaf of the catalogue.
 type parkedRequest struct {
-	request     *request
-	event       balancer.RequestArrived
-	until       time.Time
-	firstNumber int // as in rules, of the settings that its class is of; -1: of those before
+	request             *request
+	event               balancer.RequestArrived
+	until               time.Time
+	firstSettingsNumber int // requestRules.firstSettingsNumber of its class's settings; -1: previous ones
 }
 
-// parkRequest has the part of a request's tenant read, and the request wait for it once. false: it
-// is to be answered now.
+// parkRequest has the leaf of a request's tenant read, and parks the request meanwhile. It returns false if
+// the request has to be answered now: it has been parked before, too many are parked, or the leaf is not to
+// be read.
 func (srv *Server) parkRequest(r *request, e balancer.RequestArrived) bool {
 	t := srv.tenants
 	srv.handleTenantEvent(tenant.LeafMissing{Name: e.Tenant})
@@ -34,32 +36,32 @@
 	r.parked = true
 	srv.requests[r.id] = r
 	p := parkedRequest{r, e, time.Now().Add(parkTimeout), -1}
-	if rules := srv.frontend.rules.Load(); r.settingsNumber == rules.number {
-		p.firstNumber = rules.firstNumber
+	if rules := srv.frontend.rules.Load(); r.settingsNumber == rules.settingsNumber {
+		p.firstSettingsNumber = rules.firstSettingsNumber
 	}
 	t.parked = append(t.parked, p)
 	if r.outbound.upload != nil {
-		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // its time has not begun
+		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // the deadline counts from the body's end
 	} else {
 		srv.guardDeadline(r, time.Until(r.deadline))
 	}
 	return true
 }
 
-// resumeParked has those go on whose part is there, and those that have waited for long enough.
+// resumeParked opens the parked requests whose leaf has been read, and those whose park timeout has passed.
 func (srv *Server) resumeParked() {
 	t := srv.tenants
-	all := t.parked
+	parked := t.parked
 	t.parked = nil
-	for _, p := range all {
+	for _, p := range parked {
 		switch {
-		case p.request.answered: // its client has gone, or its time has
+		case p.request.answered: // the client has gone, or the deadline has passed
 		case t.catalogue.HasLeaf(p.event.Tenant) || !t.catalogue.Ready() || !time.Now().Before(p.until):
 			p.request.deadlineGuard.Stop()
 			delete(srv.requests, p.request.id)
-			// the balancer has the same once more, with new routes
-			if rules := srv.frontend.rules.Load(); p.firstNumber == rules.firstNumber {
-				p.request.settingsNumber = rules.number
+			// The balancer may have been given the same settings again, with new routes, under a higher number.
+			if rules := srv.frontend.rules.Load(); p.firstSettingsNumber == rules.firstSettingsNumber {
+				p.request.settingsNumber = rules.settingsNumber
 			}
 			srv.openRequest(p.request, p.event)
 		default:
--- a/internal/proxy/tenants_report.go
+++ b/internal/proxy/tenants_report.go
@@ -9,10 +9,10 @@
 	"wrenspread/internal/tenant"
 )
 
-// write writes the figures of tenants as lines of text.
+// write writes the tenants' metrics to /stats.
 func (t *tenantService) write(w io.Writer) {
 	writeStats(w, []stat{
-		gauge("app.tenants.number", int64(t.number.Load())),
+		gauge("app.tenants.number", int64(t.catalogueNumber.Load())),
 		gauge("app.tenants.known", int64(t.tenantCount.Load())),
 		counter("app.tenants.unsure", int64(t.unavailable.Load())),
 		counter("app.tenants.declined", int64(t.forbidden.Load())),
@@ -20,7 +20,7 @@
 	})
 }
 
-// serveTenants tells an operator what this proxy knows of tenants, MaxTenants at most.
+// serveTenants answers an operator with this proxy's view of its tenants, at most tenant.MaxTenants of them.
 func (srv *Server) serveTenants(w http.ResponseWriter, _ *http.Request) {
 	var r tenant.Report
 	if !srv.do(func() { r = srv.tenants.cache.Report(srv.tenantClock()) }) {
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	maxVariants     = 128         // of classes: the balancer goes through its placements all the time
-	routeRetryAfter = time.Second // Retry-After of a request whose route the balancer does not have
+	maxVariants     = 128         // of all classes; limited, as the balancer goes through all placements often
+	routeRetryAfter = time.Second // Retry-After of a request whose route the balancer has not been given
 )
 
-// routeVariants are the routes of the catalogue as the balancer knows them: variants of classes that are open
-// to some zones and kinds only. A route that names pods has none, as the balancer does not choose by pods.
+// routeVariants are the routes of the catalogue in the form that the balancer knows: variants of classes that
+// are restricted to some zones and machine types. A route that names cells has no variant, as the balancer
+// does not choose by cells.
 type routeVariants struct {
-	variantOf  map[routedClass]string         // by route and class: the variant
-	wanted     map[string]balancer.Class      // variants of the catalogue
-	current    map[string]balancer.Class      // variants that the balancer was given
-	previous   map[string]balancer.Class      // and those with the settings before
-	useCount   map[string]int                 // of wants: by so many of names
-	byLeaf     map[*tenant.Leaf][]routedClass // of names, by the parts of the catalogue that have the routes
-	overLimit  bool                           // a variant does not fit into wants
-	outdated   bool                           // it is to be given others
-	plannedFor *tenant.Snapshot               // of which names and wants are
+	variantOf  map[routedClass]string         // variant's name, by route and class
+	wanted     map[string]balancer.Class      // variants that the catalogue needs, by name
+	current    map[string]balancer.Class      // variants that the balancer was given last
+	previous   map[string]balancer.Class      // variants that the balancer was given before current
+	useCount   map[string]int                 // entries of variantOf, by variant in wanted
+	byLeaf     map[*tenant.Leaf][]routedClass // keys of variantOf, by the leaf that has the route
+	overLimit  bool                           // a variant was left out of wanted, as maxVariants is reached
+	outdated   bool                           // the balancer lacks some of wanted
+	plannedFor *tenant.Snapshot               // the catalogue that wanted and variantOf are for
 }
 
+// routedClass is a class of requests on a route of the catalogue.
 type routedClass struct {
 	route *tenant.Route
 	class string
@@ -36,156 +38,163 @@
 
 func newRouteVariants() routeVariants {
 	l := routeVariants{current: map[string]balancer.Class{}}
-	l.plan(nil, nil)
+	l.planAll(nil, nil)
 	return l
 }
 
-// classFor returns the class by which the balancer places a request; empty: it can't. One in the form of the
-// settings before is placed by a variant that came with those.
-func (l *routeVariants) classFor(route *tenant.Route, class string, former bool) string {
+// classFor returns the class by which the balancer places a request: the class itself if the route restricts
+// nothing, otherwise its variant; empty if the balancer does not have the variant. A request in the form of
+// the previous settings needs a variant that was given with those.
+func (l *routeVariants) classFor(route *tenant.Route, class string, previous bool) string {
 	if !narrows(route) {
 		return class
 	}
 	name := l.variantOf[routedClass{route, class}]
-	given := l.current
-	if former {
-		given = l.previous
+	variants := l.current
+	if previous {
+		variants = l.previous
 	}
-	if _, there := given[name]; there {
+	if _, there := variants[name]; there {
 		return name
 	}
 	return ""
 }
 
+// narrows reports whether a route restricts the endpoints.
 func narrows(r *tenant.Route) bool { return len(r.Zones)+len(r.MachineTypes)+len(r.Cells) > 0 }
 
-// plan finds the variants that a catalogue needs: equal routes share one.
-func (l *routeVariants) plan(i *tenant.Snapshot, classes []balancer.Class) {
+// planAll finds the variants that a catalogue needs, from scratch. Equal routes share a variant.
+func (l *routeVariants) planAll(snapshot *tenant.Snapshot, classes []balancer.Class) {
 	l.variantOf = map[routedClass]string{}
 	l.wanted = map[string]balancer.Class{}
 	l.useCount = map[string]int{}
 	l.byLeaf = map[*tenant.Leaf][]routedClass{}
 	l.overLimit = false
-	l.follow(i, classes)
+	l.planChanges(snapshot, classes)
 }
 
-// follow finds them by the parts that the catalogue before had not, and those that it had.
-func (l *routeVariants) follow(i *tenant.Snapshot, classes []balancer.Class) {
-	l.plannedFor = i
-	if i == nil {
+// planChanges updates the variants from the planned catalogue to another one: it drops the routes of leaves
+// that are gone and adds those of new leaves.
+func (l *routeVariants) planChanges(snapshot *tenant.Snapshot, classes []balancer.Class) {
+	l.plannedFor = snapshot
+	if snapshot == nil {
 		return
 	}
 	byName := map[string]balancer.Class{}
 	for _, c := range classes {
 		byName[c.Name] = c
 	}
-	there := map[*tenant.Leaf]bool{}
-	var more []int
-	for n, p := range i.Leaves() {
-		if there[p] = true; l.byLeaf[p] == nil {
-			more = append(more, n)
+	present := map[*tenant.Leaf]bool{}
+	var addedLeaves []int
+	for index, leaf := range snapshot.Leaves() {
+		if present[leaf] = true; l.byLeaf[leaf] == nil {
+			addedLeaves = append(addedLeaves, index)
 		}
 	}
-	short := l.overLimit
-	for p := range l.byLeaf {
-		if !there[p] {
-			l.dropLeaf(p)
+	wasOverLimit := l.overLimit
+	for leaf := range l.byLeaf {
+		if !present[leaf] {
+			l.dropLeaf(leaf)
 		}
 	}
-	if short && !l.overLimit { // there is capacity again for those that were left out
-		l.plan(i, classes)
+	if wasOverLimit && !l.overLimit { // variants that were left out may fit now
+		l.planAll(snapshot, classes)
 		return
 	}
-	slices.Sort(more)
-	for _, n := range more {
-		l.addLeaf(i.Leaves()[n], byName)
+	slices.Sort(addedLeaves)
+	for _, index := range addedLeaves {
+		l.addLeaf(snapshot.Leaves()[index], byName)
 	}
 }
 
-// addLeaf adds the variants of a part, in the order of its tenants' names.
-func (l *routeVariants) addLeaf(p *tenant.Leaf, classes map[string]balancer.Class) {
-	l.byLeaf[p] = []routedClass{}
-	for _, e := range p.Entries() {
-		for _, f := range []*tenant.Spec{e.Current, e.Next} {
-			if f == nil {
+// addLeaf adds the variants of a leaf, in the order of its tenants' names.
+func (l *routeVariants) addLeaf(leaf *tenant.Leaf, classes map[string]balancer.Class) {
+	l.byLeaf[leaf] = []routedClass{}
+	for _, entry := range leaf.Entries() {
+		for _, spec := range []*tenant.Spec{entry.Current, entry.Next} {
+			if spec == nil {
 				continue
 			}
-			for _, class := range f.Classes {
+			for _, class := range spec.Classes {
 				if c, known := classes[class]; known {
-					l.addVariant(p, f.Route(class), c)
+					l.addVariant(leaf, spec.Route(class), c)
 				}
 			}
 		}
 	}
 }
 
-// dropLeaf takes away what only a part that is gone needed.
-func (l *routeVariants) dropLeaf(p *tenant.Leaf) {
-	for _, one := range l.byLeaf[p] {
-		name := l.variantOf[one]
-		delete(l.variantOf, one)
+// dropLeaf removes the variants that only a leaf that is gone needed.
+func (l *routeVariants) dropLeaf(leaf *tenant.Leaf) {
+	for _, routed := range l.byLeaf[leaf] {
+		name := l.variantOf[routed]
+		delete(l.variantOf, routed)
 		if l.useCount[name]--; l.useCount[name] == 0 {
 			delete(l.useCount, name)
 			delete(l.wanted, name)
 			l.overLimit = false
 		}
 	}
-	delete(l.byLeaf, p)
+	delete(l.byLeaf, leaf)
 }
 
-func (l *routeVariants) addVariant(p *tenant.Leaf, r *tenant.Route, c balancer.Class) {
-	if r == nil || !narrows(r) || len(r.Cells) > 0 {
+// addVariant adds the variant of a class for a route of a leaf, unless the route needs none or the limit of
+// variants is reached.
+func (l *routeVariants) addVariant(leaf *tenant.Leaf, route *tenant.Route, class balancer.Class) {
+	if route == nil || !narrows(route) || len(route.Cells) > 0 {
 		return
 	}
-	v, one := variant(c, r), routedClass{r, c.Name}
-	if _, there := l.wanted[v.Name]; !there && len(l.wanted) >= maxVariants {
+	added, routed := variant(class, route), routedClass{route, class.Name}
+	if _, there := l.wanted[added.Name]; !there && len(l.wanted) >= maxVariants {
 		l.overLimit = true
 		return
 	}
-	if _, there := l.variantOf[one]; there {
+	if _, there := l.variantOf[routed]; there {
 		return
 	}
-	l.wanted[v.Name], l.variantOf[one] = v, v.Name
-	l.useCount[v.Name]++
-	l.byLeaf[p] = append(l.byLeaf[p], one)
+	l.wanted[added.Name], l.variantOf[routed] = added, added.Name
+	l.useCount[added.Name]++
+	l.byLeaf[leaf] = append(l.byLeaf[leaf], routed)
 }
 
-// variant is a class with the zones and kinds of a route alone. Its name is the same for equal routes, in
-// every process, and none that a client can send.
-func variant(c balancer.Class, r *tenant.Route) balancer.Class {
-	zones, kinds := intersect(c.AllowedZones, r.Zones), intersect(c.AllowedMachineTypes, r.MachineTypes)
-	c.VariantOf = c.Name
-	c.Name = strings.Join(
-		[]string{c.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(kinds, "\x00")},
+// variant returns the class restricted to the zones and machine types of a route. Its name is the same for
+// equal routes and in every process. It contains zero bytes, so that no client can send it.
+func variant(class balancer.Class, route *tenant.Route) balancer.Class {
+	zones, kinds := intersect(class.AllowedZones, route.Zones),
+		intersect(class.AllowedMachineTypes, route.MachineTypes)
+	class.VariantOf = class.Name
+	class.Name = strings.Join(
+		[]string{class.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(kinds, "\x00")},
 		"\x00",
 	)
-	c.AllowedZones, c.AllowedMachineTypes = zones, kinds
-	return c
+	class.AllowedZones, class.AllowedMachineTypes = zones, kinds
+	return class
 }
 
-// intersect returns what is open to both, in order. Of a class nil is all, of a route none is.
+// intersect returns, sorted, the zones or machine types that both a class and a route allow. For a class nil
+// allows all; for a route an empty list allows all.
 func intersect(class, route []string) []string {
 	if len(route) == 0 {
 		return class
 	}
 	both := []string{}
-	for _, one := range route {
-		if class == nil || slices.Contains(class, one) {
-			both = append(both, one)
+	for _, value := range route {
+		if class == nil || slices.Contains(class, value) {
+			both = append(both, value)
 		}
 	}
 	slices.Sort(both)
 	return slices.Compact(both)
 }
 
-// withVariants adds the variants that the catalogue needs to settings, for the balancer alone. It is notified
-// of them.
+// withVariants returns the settings with the variants that the catalogue needs added to their classes, for
+// the balancer only, and records that the balancer is given them.
 func (srv *Server) withVariants(s balancer.Settings) balancer.Settings {
 	t := srv.tenants
 	if t == nil {
 		return s
 	}
-	t.routes.plan(t.routes.plannedFor, s.Classes)
+	t.routes.planAll(t.routes.plannedFor, s.Classes)
 	t.routes.previous, t.routes.current, t.routes.outdated = t.routes.current, maps.Clone(t.routes.wanted), false
 	s.Classes = slices.Clone(s.Classes)
 	for _, name := range slices.Sorted(maps.Keys(t.routes.current)) {
@@ -194,25 +203,26 @@
 	return s
 }
 
-// planRoutes follows a catalogue up.
-func (srv *Server) planRoutes(i *tenant.Snapshot) {
+// planRoutes plans the variants of a new catalogue, and gives them to the balancer if it lacks some.
+func (srv *Server) planRoutes(snapshot *tenant.Snapshot) {
 	l := &srv.tenants.routes
-	if l.plannedFor == i {
+	if l.plannedFor == snapshot {
 		return
 	}
-	l.follow(i, srv.config.Settings.Classes)
+	l.planChanges(snapshot, srv.config.Settings.Classes)
 	for name := range l.wanted {
-		if _, given := l.current[name]; !given {
+		if _, applied := l.current[name]; !applied {
 			l.outdated = true
 		}
 	}
 	srv.applyRoutes()
 }
 
-// applyRoutes adds the route variants that the balancer lacks. While requests still come in the form of the
-// settings before, which it would forget, it waits: until then the routes that are new get a 503.
+// applyRoutes gives the balancer the variants that it lacks. It waits while requests in the form of the
+// previous settings are still accepted, as the balancer would forget those settings: until then requests on
+// new routes get 503.
 func (srv *Server) applyRoutes() {
 	if srv.tenants.routes.outdated && time.Now().After(srv.frontend.rules.Load().previousUntil) {
-		srv.applySettings(srv.frontend.rules.Load().renumbered())
+		srv.applySettings(srv.frontend.rules.Load().withNextNumber())
 	}
 }
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// without the registry, a definite no ends so long after the last contact
+	// sessionTTL is also how long after the last contact with the registry the proxy still answers 403 and 404.
 	sessionTTL = 3 * time.Second
-	// for one call about the session: what is late by more is made anew
+	// sessionCallTimeout bounds each call about the session; a call that takes longer is repeated.
 	sessionCallTimeout = time.Second
-	retryPause         = 200 * time.Millisecond // and as much again at random, after a call that failed
+	retryPause         = 200 * time.Millisecond // after a failed call; pauseBeforeRetry adds up to as much
 )
 
 // registrySession is the proxy's session with the registry. One goroutine makes all calls about it.
 type registrySession struct {
 	session      registry.Session
-	status       atomic.Pointer[tenant.Status] // that it is to have
-	sentStatus   *tenant.Status                // that it has; the goroutine's
-	wake         chan struct{}                 // there is another status
-	readRequests chan struct{}                 // the catalogue is to be read
-	left         chan struct{}                 // closed when it is known that the proxy has left
-	ended        chan struct{}                 // closed when it is closed
-	close        context.CancelFunc            // set before it begins
+	status       atomic.Pointer[tenant.Status] // that the session should have
+	sentStatus   *tenant.Status                // that the session has; only the goroutine uses it
+	wake         chan struct{}                 // signals a new status
+	readRequests chan struct{}                 // signals that the catalogue has to be read
+	leftReported chan struct{}                 // closed when the registry has the status that the proxy has left
+	ended        chan struct{}                 // closed when the session has been closed
+	closeSession context.CancelFunc            // set before the goroutine starts
 }
 
 func newRegistrySession(name string) *registrySession {
@@ -37,29 +37,32 @@
 		session:      registry.Session{Process: name, TTL: sessionTTL},
 		wake:         make(chan struct{}, 1),
 		readRequests: make(chan struct{}, 1),
-		left:         make(chan struct{}),
+		leftReported: make(chan struct{}),
 		ended:        make(chan struct{}),
 	}
 }
 
-// setStatus changes the session's status. It does not wait: only the last one counts.
-func (s *registrySession) setStatus(w tenant.Status) {
-	s.status.Store(&w)
-	signal(s.wake)
+// setStatus sets the status that the session should have. It does not wait for the registry: only the last
+// status is sent.
+func (s *registrySession) setStatus(status tenant.Status) {
+	s.status.Store(&status)
+	notify(s.wake)
 }
 
-// requestRead has the catalogue read, after a read that is under way.
-func (s *registrySession) requestRead() { signal(s.readRequests) }
+// requestRead has the catalogue read, after any read that is in progress.
+func (s *registrySession) requestRead() { notify(s.readRequests) }
 
-func signal(c chan struct{}) {
+// notify signals on a channel of capacity one; a signal that is already pending is enough.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// keepSession has the proxy have a session until ctx ends, and closes the last one.
-func (srv *Server) keepSession(ctx context.Context) {
+// maintainSession opens and renews a session, and opens another one after it has ended, until ctx ends. Then
+// it closes the last one.
+func (srv *Server) maintainSession(ctx context.Context) {
 	s := srv.tenants.session
 	defer close(s.ended)
 	for ctx.Err() == nil {
@@ -72,28 +75,29 @@
 	if s.session.ID == "" {
 		return
 	}
-	call, done := context.WithTimeout(context.WithoutCancel(ctx), sessionCallTimeout)
-	defer done()
-	if err := srv.tenants.client.CloseSession(call, s.session.ID); err != nil {
+	callContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), sessionCallTimeout)
+	defer cancel()
+	if err := srv.tenants.client.CloseSession(callContext, s.session.ID); err != nil {
 		srv.log.Warn("closing the session failed, it expires by itself", "err", err)
 	}
 }
 
-// openSession makes one try under a new id: a previous one may have come to something, and then runs out.
+// openSession tries once to open a session, under a new ID: a previous attempt may have succeeded without an
+// answer, and its session then expires.
 func (srv *Server) openSession(ctx context.Context) bool {
 	t := srv.tenants
-	s, w := t.session, tenant.Status{}
-	if !srv.do(func() { w = t.cache.Status() }) {
+	s, status := t.session, tenant.Status{}
+	if !srv.do(func() { status = t.cache.Status() }) {
 		return false
 	}
 	s.session.ID, s.session.Info, s.sentStatus = srv.config.Name+"-"+crand.Text(), registry.ProcessInfo{
-		Note:    w.Encode(),
+		Note:    status.Encode(),
 		Version: version(),
 	}, nil
 	sent := srv.tenantClock()
-	call, done := context.WithTimeout(ctx, sessionCallTimeout)
-	defer done()
-	if err := t.client.OpenSession(call, s.session); err != nil {
+	callContext, cancel := context.WithTimeout(ctx, sessionCallTimeout)
+	defer cancel()
+	if err := t.client.OpenSession(callContext, s.session); err != nil {
 		srv.log.Warn("no session with the registry", "err", err)
 		return false
 	}
@@ -101,59 +105,61 @@
 	return true
 }
 
-// renewSession keeps a session, and has it say what the cache last said, until it has ended or ctx does.
+// renewSession renews the session, and sends it the cache's last status, until the session or ctx has ended.
 func (srv *Server) renewSession(ctx context.Context) {
 	s := srv.tenants.session
-	due := time.NewTimer(s.session.TTL / 3)
-	defer due.Stop()
+	renewTimer := time.NewTimer(s.session.TTL / 3)
+	defer renewTimer.Stop()
 	for {
 		if !srv.sendStatus(ctx) {
-			due.Reset(retryPause)
+			renewTimer.Reset(retryPause)
 		}
 		select {
 		case <-s.wake:
 			continue
-		case <-due.C:
+		case <-renewTimer.C:
 		case <-ctx.Done():
 			return
 		}
 		sent := srv.tenantClock()
-		call, done := context.WithTimeout(ctx, sessionCallTimeout)
-		known, err := srv.tenants.client.RenewSession(call, s.session.ID)
-		done()
+		callContext, cancel := context.WithTimeout(ctx, sessionCallTimeout)
+		known, err := srv.tenants.client.RenewSession(callContext, s.session.ID)
+		cancel()
 		if err != nil {
-			due.Reset(retryPause)
+			renewTimer.Reset(retryPause)
 			continue
 		}
 		srv.post(func() { srv.handleTenantEvent(tenant.SessionRenewed{Sent: sent, Known: known}) })
 		if !known {
 			return
 		}
-		due.Reset(s.session.TTL / 3)
+		renewTimer.Reset(s.session.TTL / 3)
 	}
 }
 
-// sendStatus sends the registry the cache's last status, unless it has it.
+// sendStatus sends the registry the cache's last status, unless the session already has it. It returns false
+// if the call failed.
 func (srv *Server) sendStatus(ctx context.Context) bool {
 	s := srv.tenants.session
-	w := s.status.Load()
-	if w == nil || w == s.sentStatus {
+	status := s.status.Load()
+	if status == nil || status == s.sentStatus {
 		return true
 	}
-	s.session.Info.Note = w.Encode()
-	call, done := context.WithTimeout(ctx, sessionCallTimeout)
-	defer done()
-	if err := srv.tenants.client.OpenSession(call, s.session); err != nil {
+	s.session.Info.Note = status.Encode()
+	callContext, cancel := context.WithTimeout(ctx, sessionCallTimeout)
+	defer cancel()
+	if err := srv.tenants.client.OpenSession(callContext, s.session); err != nil {
 		return false
 	}
-	if s.sentStatus = w; w.Left {
+	if s.sentStatus = status; status.Left {
 		select {
-		case <-s.left:
+		case <-s.leftReported:
 		default:
-			close(s.left)
+			close(s.leftReported)
 		}
 	}
 	return true
 }
 
+// pauseBeforeRetry waits between one and two retryPause, at random.
 func pauseBeforeRetry(ctx context.Context) { backoff.Sleep(ctx, retryPause+rand.N(retryPause)) }
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -113,7 +113,7 @@
 	same := formOf(0, tenant.Route{Zones: []string{"c", "b"}, MachineTypes: []string{"m"}})
 	pods := formOf(0, tenant.Route{Cells: []int{1}})
 	entries := []*tenant.Entry{{Name: "x", Current: f, Next: same}, {Name: "y", Current: pods}}
-	l.plan(tenant.NewSnapshot(1, entries...), classes)
+	l.planAll(tenant.NewSnapshot(1, entries...), classes)
 	l.current = l.wanted
 	one := l.classFor(&f.Routes[0], "saldo", false)
 	if v := l.current[one]; v.VariantOf != "saldo" || v.PriorityWeight != 3 || !slices.Equal(v.AllowedZones, []string{"b"}) || !slices.Equal(v.AllowedMachineTypes, []string{"m"}) {
@@ -137,15 +137,15 @@
 	for i := range maxVariants {
 		entries = append(entries, &tenant.Entry{Name: fmt.Sprint(i), Current: formOf(0, tenant.Route{Zones: []string{fmt.Sprint(i)}})})
 	}
-	if l.plan(tenant.NewSnapshot(2, entries...), classes); len(l.wanted) != maxVariants {
+	if l.planAll(tenant.NewSnapshot(2, entries...), classes); len(l.wanted) != maxVariants {
 		t.Errorf("%d variants", len(l.wanted))
 	}
-	last := entries[len(entries)-2:]                                                                                   // which had no room
-	if l.follow(tenant.NewSnapshot(3, last...), classes); len(l.wanted) != 3 || len(l.variantOf) != 4 || l.overLimit { // saldo has no zone of either
+	last := entries[len(entries)-2:]                                                                                        // which had no room
+	if l.planChanges(tenant.NewSnapshot(3, last...), classes); len(l.wanted) != 3 || len(l.variantOf) != 4 || l.overLimit { // saldo has no zone of either
 		t.Errorf("after the others have gone: %d variants of %d routes", len(l.wanted), len(l.variantOf))
 	}
 	again := []*tenant.Entry{last[0], {Name: "new", Current: formOf(0, tenant.Route{Zones: []string{last[1].Current.Routes[0].Zones[0]}})}}
-	if l.follow(tenant.NewSnapshot(4, again...), classes); len(l.wanted) != 3 || len(l.variantOf) != 4 {
+	if l.planChanges(tenant.NewSnapshot(4, again...), classes); len(l.wanted) != 3 || len(l.variantOf) != 4 {
 		t.Errorf("after one has changed: %d variants of %d routes", len(l.wanted), len(l.variantOf))
 	}
 }
--- a/internal/proxy/unsent_test.go
+++ b/internal/proxy/unsent_test.go
@@ -81,7 +81,7 @@
 			})
 		}, 503},
 		{"its server is in maintenance", func(t *testing.T, n *running, _ raw) {
-			if err := n.maintain(context.Background(), "s-0", true); err != nil {
+			if err := n.requestMaintenance(context.Background(), "s-0", true); err != nil {
 				t.Error(err)
 			}
 		}, 503},
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -73,7 +73,7 @@
 	client, _ := r.Context().Value(connKey{}).(*listener.Conn)
 	return &request{
 		id:             id,
-		settingsNumber: rules.numberFor(previous),
+		settingsNumber: rules.settingsNumberFor(previous),
 		deadline:       deadline,
 		releaseMemory:  body.releaseMemory,
 		class:          event.Class,
