--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -29,8 +29,8 @@
 	RegistryCache  string   // file that caches the registry's list for the next start; empty: none
 	RegistrySubset bool     // the proxy follows only its own subset of the registry's list
 	Control        string   // address of the operators' HTTP routes; empty: none
-	// FencingFolder stores the highest fencing token of each lease. Empty: the tokens are in memory only and
-	// are lost when the process ends.
+	// FencingFolder is where the highest fencing token of each lease is stored. Empty: the tokens are in memory
+	// only and are lost when the process ends.
 	FencingFolder  string
 	BackendStats   bool              // /stats has separate lines for each endpoint
 	Seed           int64             // of the balancer's random choices
@@ -188,7 +188,7 @@
 	return problems
 }
 
-// keyedValue is a value of the configuration file and the key under which it stands.
+// keyedValue is a value of the configuration file and its key.
 type keyedValue struct{ key, value string }
 
 // addresses returns the addresses that have to be valid for the proxy to start.
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -6,8 +6,9 @@
 	"wrenspread/balancer"
 )
 
-// requestMaintenance puts an endpoint into maintenance or takes it out. When it returns nil, no attempt
-// written from then on goes to an endpoint in maintenance, here and in linked processes of this proxy.
+// requestMaintenance puts an endpoint into maintenance or takes it out. When it returns nil, the change is in
+// force for all attempts that this process writes from then on, and has been forwarded to the linked
+// processes.
 func (srv *Server) requestMaintenance(ctx context.Context, name string, on bool) error {
 	ctx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
 	defer cancel()
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -24,8 +24,8 @@
 // and quota datagrams. Datagrams may be lost, late or repeated. The nil peerSocket sends nothing.
 type peerSocket struct {
 	conn        *net.UDPConn
-	addrs       []netip.AddrPort
-	indexByAddr map[netip.AddrPort]int
+	addrs       []netip.AddrPort       // of all proxies, by proxy index
+	indexByAddr map[netip.AddrPort]int // the proxy index of each valid address
 	log         *slog.Logger
 	// handlers of datagrams by their first four bits; a datagram without one is a load message
 	handlers       [16]datagramHandler
@@ -33,8 +33,8 @@
 	readerEnded    chan struct{} // closed when this process has stopped reading
 }
 
-// datagramHandler takes those of one kind, from whatever address they come. It does not wait, and does not
-// keep data.
+// datagramHandler handles the datagrams of one kind, from any address. It must not block, nor retain data
+// after it returns.
 type datagramHandler func(from netip.AddrPort, data []byte)
 
 // listenPeers opens the socket; it returns nil if listen is empty.
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -1,5 +1,6 @@
-// Package proxy carries out the decisions of package balancer on real sockets: it takes clients' requests,
-// forwards them to endpoints, follows the endpoint list and answers, each request once and in time.
+// Package proxy carries out the decisions of package balancer on real sockets: it accepts clients' requests,
+// forwards them to endpoints, follows the endpoint list, and answers each request once and before its
+// deadline.
 //
 // One goroutine, the loop (loop.go), owns the balancer and the requests; all others post functions to it. The
 // frontend reads requests and writes responses, the pool owns the connections to endpoints. The optional
@@ -73,8 +74,8 @@
 	Overlap func(bool)
 }
 
-// loopState is the state that only the loop reads and writes, except for listKnown, which any goroutine may
-// wait for.
+// loopState is the state that only the loop reads and writes, except for loopContext and listKnown, which any
+// goroutine may wait for.
 type loopState struct {
 	loopContext     context.Context
 	balancer        *balancer.Balancer
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -14,7 +14,7 @@
 )
 
 // minPreviousSettingsTime is how long requests in the form of the previous settings are accepted, at least:
-// clients learn of a change later than the proxy.
+// clients learn of a change at different times.
 const minPreviousSettingsTime = 2 * time.Second
 
 // optionalKeys are the keys of the settings that may be absent. Every other key of the running file has to be
@@ -56,7 +56,7 @@
 	return cfg, checkSettings(cfg)
 }
 
-// checkSettings rejects settings with which a running proxy could not keep its limits: attempts below 1, and
+// checkSettings rejects settings with which a running proxy could not keep its rules: attempts below 1, and
 // classes without a name, with a repeated name or without a deadline.
 func checkSettings(cfg Config) error {
 	if n := cfg.Settings.MaxAttempts; n <= 0 &&
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -160,14 +160,14 @@
 // variant returns the class restricted to the zones and machine types of a route. Its name is the same for
 // equal routes and in every process. It contains zero bytes, so that no client can send it.
 func variant(class balancer.Class, route *tenant.Route) balancer.Class {
-	zones, kinds := intersect(class.AllowedZones, route.Zones),
+	zones, machineTypes := intersect(class.AllowedZones, route.Zones),
 		intersect(class.AllowedMachineTypes, route.MachineTypes)
 	class.VariantOf = class.Name
 	class.Name = strings.Join(
-		[]string{class.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(kinds, "\x00")},
+		[]string{class.Name, "zones:" + strings.Join(zones, "\x00"), "kinds:" + strings.Join(machineTypes, "\x00")},
 		"\x00",
 	)
-	class.AllowedZones, class.AllowedMachineTypes = zones, kinds
+	class.AllowedZones, class.AllowedMachineTypes = zones, machineTypes
 	return class
 }
 
