--- a/internal/proxy/maintenance_test.go
+++ b/internal/proxy/maintenance_test.go
@@ -16,7 +16,8 @@
 )
 
 // TestMaintenanceIsInForceWhenTheCallIsAnswered: after a maintenance call has been answered, no request is
-// sent to the backend, and after a call that ends the maintenance, requests are sent again.
+// sent to the backend, not even by an attempt chosen before. After a call that ends the maintenance, requests
+// are sent again.
 func TestMaintenanceIsInForceWhenTheCallIsAnswered(t *testing.T) {
 	serve := func(_ int, c net.Conn, r *bufio.Reader) {
 		for readRequest(r) != nil {
