--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -27,7 +27,7 @@
 	_ = json.Unmarshal(raw, &form) // the type checker reports each value of a wrong type
 	checker := typeChecker{}
 	checker.check("", file, form)
-	if settings := member(file, "settings"); settings != nil {
+	if settings := lookupKey(file, "settings"); settings != nil {
 		checker.check("settings", settings, simwire.SettingsForm{})
 	}
 	problems, notes = checker.problems, checker.unknown
@@ -54,9 +54,9 @@
 		}
 	}
 	if config.Membership.Name != "" && !config.Settings.AllowGossip {
-		notes = append(notes, "fleet: "+membershipOff)
+		notes = append(notes, "fleet: "+membershipOffMessage)
 	}
-	for _, err := range form.Known.Skipped {
+	for _, err := range form.InitialList.Skipped {
 		notes = append(notes, "known.endpoints: passed over: "+err.Error())
 	}
 	return problems, notes
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -53,7 +53,7 @@
 			case <-waitCtx.Done():
 			}
 		}()
-		limited.WaitForConns(waitCtx, minOutlive)
+		limited.WaitForConns(waitCtx, minOverlapTime)
 		cancelWait()
 	case <-ctx.Done():
 	}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -53,7 +53,7 @@
 		successorEnded:   make(chan struct{}),
 		killTimeout:      maxKillTimeout,
 	}
-	f.rules.Store(newRules(srv.config.Settings, nil))
+	f.rules.Store(newRequestRules(srv.config.Settings, nil))
 	return f
 }
 
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -70,7 +70,7 @@
 		r.response <- response{status: http.StatusConflict}
 		return
 	}
-	settingsNumber := srv.frontend.rules.Load().number // as in the balancer: both change in one step
+	settingsNumber := srv.frontend.rules.Load().settingsNumber // as in the balancer: both change in one step
 	if maxOpen := srv.config.Settings.MaxOpenRequests; maxOpen > 0 && len(srv.requests) >= maxOpen ||
 		r.settingsNumber < settingsNumber-1 {
 		// The balancer no longer has the settings of the request's class: a present class of the same name may
--- a/internal/proxy/settings_odd_test.go
+++ b/internal/proxy/settings_odd_test.go
@@ -8,8 +8,8 @@
 	"wrenspread/balancer"
 )
 
-// TestServesUnderOddSettings: no figure of a proxy counts on settings being of some size.
-func TestServesUnderOddSettings(t *testing.T) {
+// TestServesUnderUnusualSettings: a proxy serves under extreme values of each setting.
+func TestServesUnderUnusualSettings(t *testing.T) {
 	for name, change := range map[string]func(*balancer.Settings){
 		"one attempt":                 func(s *balancer.Settings) { s.MaxAttempts = 1 },
 		"no number of attempts":       func(s *balancer.Settings) { s.MaxAttempts = 0 },
@@ -33,7 +33,7 @@
 			n := startNodeWith(t, func(n *Server) {
 				change(&n.config.Settings)
 				n.balancer = balancer.New(n.config.Settings, 1)
-				n.frontend.rules.Store(newRules(n.config.Settings, nil))
+				n.frontend.rules.Store(newRequestRules(n.config.Settings, nil))
 				n.pool.configure(n.config.Settings)
 			}, serving(t))
 			for _, c := range []struct{ method, class string }{{"GET", "saldo"}, {"POST", "pagar"}} {
