--- a/cmd/wrenspread-lab/quorum.go
+++ b/cmd/wrenspread-lab/quorum.go
@@ -156,7 +156,7 @@
 	if err := listSizes(ctx, w, o, under); err != nil {
 		return err
 	}
-	for _, o.Election = range []time.Duration{150 * time.Millisecond, server.Default().Election} {
+	for _, o.Election = range []time.Duration{150 * time.Millisecond, server.Default().ElectionTimeout} {
 		o.Dir = filepath.Join(under, "failovers"+o.Election.String())
 		all, err := quorum.Failovers(ctx, o, failovers)
 		if err != nil {
--- a/cmd/wrenspread-proxy/main.go
+++ b/cmd/wrenspread-proxy/main.go
@@ -62,8 +62,8 @@
 	}
 	n := proxy.New(cfg, log)
 	if inherited != "" { // then a new process can share the clients' socket
-		n.Overlap = limitMemory
-		n.TakeOver(os.TempDir())
+		n.OnOverlap = limitMemory
+		n.EnableHandoff(os.TempDir())
 	}
 	control := cmp.Or(os.Getenv("GW_CONTROL"), cfg.Control) // the environment is this process's own
 	// until Run returns: also while it finishes what is open
@@ -112,7 +112,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if err := n.Reread(path); err != nil {
+		if err := n.ReloadFile(path); err != nil {
 			log.Error("configuration rejected, keeping the present one", "err", err)
 		}
 	}
--- a/cmd/wrenspreadctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -76,7 +76,7 @@
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			if over == "" {
-				now, err := k.Current(ctx)
+				now, err := k.CurrentList(ctx)
 				if err != nil {
 					return err
 				}
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -107,7 +107,7 @@
 		Example: "  wrenspreadctl list get\n  wrenspreadctl list get s-5be2a07c --json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: f.with(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			a, err := k.Current(ctx)
+			a, err := k.CurrentList(ctx)
 			if err != nil {
 				return err
 			}
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -118,7 +118,7 @@
 	if plan.IsForProxies() {
 		return release.ProxyTargets(ctx, k, &http.Client{Timeout: callTime})
 	}
-	a, err := k.Current(ctx)
+	a, err := k.CurrentList(ctx)
 	return release.TargetsOf(a.Endpoints), err
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -51,7 +51,7 @@
 	c.Servers = []Server{{Name: "s", Address: at, Version: "v1", Ready: "/", Grace: time.Second, Command: []string{"/usr/bin/env", "AGENT_TEST_VERSION={version}", "AGENT_TEST_ADDRESS=" + at, os.Args[0]}}}
 	begin := func() func() { return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
 	listed := func() string {
-		a, err := k.Current(ctx)
+		a, err := k.CurrentList(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -82,7 +82,7 @@
 	names := map[string]bool{}
 	for _, s := range c.Servers {
 		bad(
-			s.Name != "" && len(s.Name) <= registry.MaxText && !names[s.Name],
+			s.Name != "" && len(s.Name) <= registry.MaxTextBytes && !names[s.Name],
 			"server: name %q is missing, too long or there twice",
 			s.Name,
 		)
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -31,8 +31,8 @@
 	if err == nil {
 		err = json.Unmarshal(raw, &o)
 	}
-	if err == nil && (o.Version == "" || len(o.Version) > registry.MaxText) {
-		err = fmt.Errorf("version: want 1 to %d bytes", registry.MaxText)
+	if err == nil && (o.Version == "" || len(o.Version) > registry.MaxTextBytes) {
+		err = fmt.Errorf("version: want 1 to %d bytes", registry.MaxTextBytes)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -62,7 +62,7 @@
 		return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
 	}
 	names := func() (all []string) {
-		a, err := k.Current(ctx)
+		a, err := k.CurrentList(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -90,14 +90,14 @@
 	jobs.Go(func() error { return reportTimeAndProxies(ctx, members, events) })
 	jobs.Go(func() error {
 		return allocator.Run(ctx, allocator.Config{
-			Fleet:    wire.FleetHash(q.Fleet),
-			Name:     name,
-			Registry: registryClient,
-			Leases:   session,
-			In:       datagrams,
-			Send:     members.SendTo,
-			Events:   events,
-			Log:      log,
+			Fleet:     wire.FleetHash(q.Fleet),
+			Name:      name,
+			Registry:  registryClient,
+			Leases:    session,
+			Datagrams: datagrams,
+			Send:      members.SendTo,
+			Events:    events,
+			Log:       log,
 		})
 	})
 	return jobs.Wait()
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -84,7 +84,7 @@
 // an error of the guard's folder. A token that is higher than all earlier ones is stored before it is
 // admitted.
 func (g *Guard) Check(token registry.FencingToken) error {
-	if token.Lease == "" || len(token.Lease) > registry.MaxText || token.Number == 0 {
+	if token.Lease == "" || len(token.Lease) > registry.MaxTextBytes || token.Number == 0 {
 		return ErrInvalidToken
 	}
 	g.mu.Lock()
--- a/internal/lab/fleet/crowd.go
+++ b/internal/lab/fleet/crowd.go
@@ -56,7 +56,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	want, err := s.boxes.client.Current(ctx)
+	want, err := s.boxes.client.CurrentList(ctx)
 	if err != nil {
 		return fmt.Errorf("the list as the crowd is to have it: %w", err)
 	}
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -164,7 +164,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	a, err := r.client.Current(ctx)
+	a, err := r.client.CurrentList(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/labtest/trial.go
+++ b/internal/lab/labtest/trial.go
@@ -54,7 +54,7 @@
 func List(t testing.TB) (address string, k *client.Client) {
 	t.Helper()
 	c := server.Default()
-	c.Folder, c.Listen, c.Election = t.TempDir(), Address(t), 50*time.Millisecond
+	c.Folder, c.Listen, c.ElectionTimeout = t.TempDir(), Address(t), 50*time.Millisecond
 	t.Cleanup(
 		Run(t, func(ctx context.Context) error { return server.Run(ctx, c, slog.New(slog.DiscardHandler)) }),
 	)
--- a/internal/lab/quorum/measure.go
+++ b/internal/lab/quorum/measure.go
@@ -25,7 +25,7 @@
 
 // measured runs something against a fresh cluster.
 func measured(ctx context.Context, o Options, do func(*cluster, *client.Client) error) error {
-	o.Snapshot = int(server.Default().Snapshot) // as in service
+	o.Snapshot = int(server.Default().SnapshotThreshold) // as in service
 	log, err := history.New("")
 	if err != nil {
 		return err
--- a/internal/lab/scale/constants.go
+++ b/internal/lab/scale/constants.go
@@ -34,7 +34,7 @@
 		for name, n := range map[string]float64{"entries": registry.MaxEndpoints, "records": registry.MaxRecords, "record_bytes": registry.MaxRecordBytes, "sessions": registry.MaxSessions,
 			"held_calls": float64(server.Default().MaxWatchers), "tenants": tenant.MaxTreeTenants, "enrolled": enrolled,
 			// as many, by internal/policy
-			"seats": quota.MaxProxies, "members": viewMembers, "policy_bytes": registry.MaxRecord,
+			"seats": quota.MaxProxies, "members": viewMembers, "policy_bytes": registry.MaxRecordValueBytes,
 			"platform_list_bytes": platformList, "entry_bytes": float64(len(two) - len(one))} {
 			p.Figures[name] = Spread{n, n, n}
 		}
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -49,7 +49,7 @@
 	k *client.Client,
 	entries int,
 ) (map[string]float64, error) {
-	now, err := k.Current(ctx)
+	now, err := k.CurrentList(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/herd.go
+++ b/internal/lab/scale/herd.go
@@ -15,7 +15,7 @@
 func (l *Lists) Cold(ctx context.Context, sizes []int, entries int) error {
 	return l.points(ctx, "cold", "watchers", sizes, nil, l.Say, func(n int) (f map[string]float64, err error) {
 		err = l.fresh(ctx, entries, func(set *replicas.Set, k *client.Client) error {
-			now, err := k.Current(ctx)
+			now, err := k.CurrentList(ctx)
 			if err != nil {
 				return err
 			}
@@ -63,7 +63,7 @@
 			if err := quorum.Fill(ctx, k, entries); err != nil {
 				return err
 			}
-			now, err := k.Current(ctx)
+			now, err := k.CurrentList(ctx)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -82,7 +82,7 @@
 			}
 		}
 		if n.Watchers > 0 {
-			now, err := k.Current(ctx)
+			now, err := k.CurrentList(ctx)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -211,7 +211,7 @@
 	k *client.Client,
 	n, entries int,
 ) (map[string]float64, error) {
-	now, err := k.Current(ctx)
+	now, err := k.CurrentList(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/policy/drawn_test.go
+++ b/internal/policy/drawn_test.go
@@ -130,7 +130,7 @@
 	for at := time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC); at.Month() == time.March; at = at.Add(time.Hour / 4 * 13) {
 		sums := map[[2]int]float64{}
 		for i, l := range table.Limits {
-			f := table.At(i, at)
+			f := table.RatesAt(i, at)
 			if f.Floor > f.Rate*1.000001 {
 				t.Fatalf("%s has floor %v and rate %v", l.Name, f.Floor, f.Rate)
 			}
@@ -138,7 +138,7 @@
 				continue
 			}
 			key := [2]int{l.Parent, int(l.Attribute)}
-			if sums[key] += f.Floor; sums[key] > table.At(l.Parent, at).Rate*1.000001 {
+			if sums[key] += f.Floor; sums[key] > table.RatesAt(l.Parent, at).Rate*1.000001 {
 				t.Fatalf("floors within %s come to %v", table.Limits[l.Parent].Name, sums[key])
 			}
 		}
--- a/internal/policy/floors.go
+++ b/internal/policy/floors.go
@@ -54,10 +54,10 @@
 	at time.Time,
 	places []*scope,
 ) bool {
-	there, sum, most := t.At(parent, at).Rate, 0.0, group[0]
+	there, sum, most := t.RatesAt(parent, at).Rate, 0.0, group[0]
 	for _, i := range group {
-		sum += t.At(i, at).Floor
-		if t.At(i, at).Floor > t.At(most, at).Floor {
+		sum += t.RatesAt(i, at).Floor
+		if t.RatesAt(i, at).Floor > t.RatesAt(most, at).Floor {
 			most = i
 		}
 	}
@@ -66,7 +66,7 @@
 	}
 	var names []string
 	for _, i := range group {
-		if f := t.At(i, at).Floor; f > 0 && len(names) < 8 {
+		if f := t.RatesAt(i, at).Floor; f > 0 && len(names) < 8 {
 			names = append(names, fmt.Sprintf("%s %s", t.Limits[i].Name, formatNumber(f)))
 		}
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -88,8 +88,8 @@
 		found := false
 		for i, l := range table.Limits {
 			if l.Name == want.limit {
-				if found = true; table.At(i, want.at) != want.Rates {
-					t.Errorf("%s at %v: %+v, want %+v", l.Name, want.at, table.At(i, want.at), want.Rates)
+				if found = true; table.RatesAt(i, want.at) != want.Rates {
+					t.Errorf("%s at %v: %+v, want %+v", l.Name, want.at, table.RatesAt(i, want.at), want.Rates)
 				}
 			}
 		}
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -50,7 +50,7 @@
 	listed := func(l registry.ListResponse) { srv.post(func() { srv.applyList(l, updateKindOf(l)) }) }
 	failed := func() { srv.post(func() { srv.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
 	if len(srv.config.Registry) == 0 {
-		return client.NewPlatform(
+		return client.NewPlatformFollower(
 			srv.config.Discovery,
 			srv.config.Settings.PollForEndpoints,
 			srv.config.initialList.Index,
@@ -62,7 +62,7 @@
 	source := &registrySource{onList: listed}
 	clientConfig := client.Config{
 		Addresses: srv.config.Registry,
-		File:      srv.config.RegistryCache,
+		CacheFile: srv.config.RegistryCache,
 		Hold:      registryWatchHold,
 		Log:       srv.log,
 		OnChange:  listed,
@@ -83,7 +83,7 @@
 // startEndpointSource applies the initial list, and follows the source where lists are pushed.
 func (srv *Server) startEndpointSource(ctx context.Context) {
 	pushed := !srv.config.Settings.PollForEndpoints
-	if _, agent := srv.endpointSource.(*client.Platform); pushed && agent {
+	if _, agent := srv.endpointSource.(*client.PlatformFollower); pushed && agent {
 		srv.awaitingAgent = true
 		time.AfterFunc(srv.firstListTimeout, func() { srv.post(srv.agentAnswered) })
 	}
@@ -157,7 +157,7 @@
 		if srv.tenants != nil {
 			_ = srv.tenants.client.SetAddresses(cfg.Registry) // valid for the same reason
 		}
-	case *client.Platform:
+	case *client.PlatformFollower:
 		polls := srv.config.Settings.PollForEndpoints
 		if cfg.Discovery != srv.config.Discovery || polls != source.Polls() {
 			srv.log.Info("discovery address changed", "to", cfg.Discovery, "asked", polls)
--- a/internal/proxy/handoff_calls_test.go
+++ b/internal/proxy/handoff_calls_test.go
@@ -13,7 +13,7 @@
 // to send its state. The new process receives the call after the state, which may be older than the call.
 func TestMaintenanceCallDuringStateTransferComesAfterTheState(t *testing.T) {
 	dir := handoffDir(t)
-	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.EnableHandoff(dir) }, serving(t))
 	if err := n.requestMaintenance(context.Background(), "s-0", true); err != nil {
 		t.Fatal(err)
 	}
@@ -61,8 +61,8 @@
 	})
 	restoredBeforeLink := make(chan bool, 1)
 	n := startNodeWith(t, func(n *Server) {
-		n.TakeOver(dir)
-		n.Overlap = func(on bool) {
+		n.EnableHandoff(dir)
+		n.OnOverlap = func(on bool) {
 			if on {
 				n.do(func() { restoredBeforeLink <- n.inMaintenance["s-0"] })
 			}
--- a/internal/proxy/handoff_links.go
+++ b/internal/proxy/handoff_links.go
@@ -53,8 +53,8 @@
 // shareLimits halves the limits of this process while another one runs, or restores them.
 func (srv *Server) shareLimits(on bool) {
 	srv.pool.halve(on)
-	if srv.Overlap != nil {
-		srv.Overlap(on)
+	if srv.OnOverlap != nil {
+		srv.OnOverlap(on)
 	}
 }
 
--- a/internal/proxy/handoff_new.go
+++ b/internal/proxy/handoff_new.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	handoffSocket       = "handover.sock"         // name of the socket in the directory given to TakeOver
+	handoffSocket       = "handover.sock"         // name of the socket in the directory given to EnableHandoff
 	handoffStateTimeout = 2500 * time.Millisecond // for the old process to send its state
 	handoffListTimeout  = 2 * time.Second         // for discovery to answer the new process
 	// handoffReleaseTimeout is for the old process to stop accepting. The three timeouts together stay below
@@ -25,9 +25,9 @@
 	handoffReleaseTimeout = time.Second
 )
 
-// TakeOver enables handoffs: from a process of this proxy that already serves, and later to the next one. The
+// EnableHandoff enables handoffs: from a process of this proxy that already serves, and later to the next one. The
 // processes connect at a socket in dir. It is called once, before Run.
-func (srv *Server) TakeOver(dir string) { srv.handoffPath = filepath.Join(dir, handoffSocket) }
+func (srv *Server) EnableHandoff(dir string) { srv.handoffPath = filepath.Join(dir, handoffSocket) }
 
 // requestHandoff connects to the process that serves and restores its state here. It returns nil without an
 // error if no process serves.
--- a/internal/proxy/handoff_new_test.go
+++ b/internal/proxy/handoff_new_test.go
@@ -75,7 +75,7 @@
 				}
 				c.script(o)
 			})
-			n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
+			n := startNodeWith(t, func(n *Server) { n.EnableHandoff(dir) }, serving(t))
 			if a := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); a.status != 200 {
 				t.Errorf("answer %+v", a)
 			}
@@ -100,7 +100,7 @@
 		calls <- m
 		_, _ = io.Copy(io.Discard, o)
 	})
-	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.EnableHandoff(dir) }, serving(t))
 	if a := do(t, n.request(t, "GET", "saldo", "q", "20", nil)); a.status != 503 {
 		t.Errorf("answer %+v, want a refusal", a)
 	}
--- a/internal/proxy/handoff_old_test.go
+++ b/internal/proxy/handoff_old_test.go
@@ -16,7 +16,7 @@
 // limits back, and accepts the next new process.
 func TestOldProcessContinuesWhenNewProcessEndsBeforeReady(t *testing.T) {
 	dir := handoffDir(t)
-	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.EnableHandoff(dir) }, serving(t))
 	fullLimit := n.maxBackendConns()
 	for range 2 {
 		o := dialHandoff(t, dir)
@@ -46,7 +46,7 @@
 // messages on a link are ignored.
 func TestInvalidHandoffMessagesAreHarmless(t *testing.T) {
 	dir := handoffDir(t)
-	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.EnableHandoff(dir) }, serving(t))
 	for _, noise := range []string{"", "\n", "{}", `{"v":2,"kind":"hello"}`, `{"v":1,"kind":"ready"}`, "GET / HTTP/1.1\r\n\r\n",
 		`[1]`, "\x00\xff"} {
 		o := dialHandoff(t, dir)
@@ -75,7 +75,7 @@
 // process notices it by the end of the link.
 func TestStopBeforeTheNewProcessIsReady(t *testing.T) {
 	dir := handoffDir(t)
-	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
+	n := startNodeWith(t, func(n *Server) { n.EnableHandoff(dir) }, serving(t))
 	o := dialHandoff(t, dir)
 	o.send(t, helloLine)
 	o.receive(t, kindState)
@@ -95,7 +95,7 @@
 	dir := handoffDir(t)
 	conn, ownAddr := udpSocket(t)
 	peerConn, peerAddr := udpSocket(t)
-	old := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, serving(t))
+	old := startNodeWith(t, func(n *Server) { n.EnableHandoff(dir) }, serving(t))
 	heard := make(chan string, 10)
 	p := newPeerSocket(conn, []netip.AddrPort{ownAddr, peerAddr}, quiet)
 	old.peers.Store(p)
--- a/internal/proxy/handoff_signal_test.go
+++ b/internal/proxy/handoff_signal_test.go
@@ -78,7 +78,7 @@
 func TestOldProcessEndsWhenNewProcessEndsAfterHandoff(t *testing.T) {
 	dir := handoffDir(t)
 	release, got := make(chan struct{}), make(chan bool, 2)
-	n := startNodeWith(t, func(n *Server) { n.TakeOver(dir) }, backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	n := startNodeWith(t, func(n *Server) { n.EnableHandoff(dir) }, backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for req := readRequest(r); req != nil; req = readRequest(r) {
 			if got <- true; req.Header.Get("X-Request-Id") == "q" {
 				<-release
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -136,7 +136,7 @@
 	}))
 	defer disc.Close()
 	n := startNodeWith(t, func(n *Server) {
-		n.TakeOver(dir)
+		n.EnableHandoff(dir)
 		n.config.initialList = registry.ListResponse{Snapshot: true, Endpoints: []registry.Endpoint{{Name: "old", Address: refusing(t), Status: registry.Ready}}}
 		told <- n.listKnown
 		cfg := n.config
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -45,7 +45,7 @@
 	startupError   error          // why Run refuses to start; nil: it starts
 	frontend       *frontend
 	stats          *stats
-	rawConfig      any // the configuration file last applied, as decoded JSON; for Reread
+	rawConfig      any // the configuration file last applied, as decoded JSON; for ReloadFile
 
 	fleetParts
 	handoffParts
@@ -69,9 +69,9 @@
 	handoffListTimeout time.Duration // longest wait for the list in a handoff, while the old process serves
 	handoffPath        string        // socket at which this proxy's processes connect; empty: no handoffs
 
-	// Overlap is called with true when another process of this proxy begins to share its limits, and with false
+	// OnOverlap is called with true when another process of this proxy begins to share its limits, and with false
 	// when none does any more. It may be nil.
-	Overlap func(bool)
+	OnOverlap func(bool)
 }
 
 // loopState is the state that only the loop reads and writes, except for loopContext and listKnown, which any
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -27,9 +27,9 @@
 	"warm_keys",
 }
 
-// Reread replaces the running configuration by the file at path. If the file is not valid, it changes nothing
+// ReloadFile replaces the running configuration by the file at path. If the file is not valid, it changes nothing
 // and returns the reason. It must not be called concurrently.
-func (srv *Server) Reread(path string) error {
+func (srv *Server) ReloadFile(path string) error {
 	cfg, err := srv.loadAndCheck(path)
 	if err != nil {
 		srv.stats.sighupRejected.Add(1)
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -36,7 +36,7 @@
 		if err := os.WriteFile(path, []byte(strings.Replace(config, "127.0.0.1:1\",\"seed", n.config.Discovery+"\",\"seed", 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return n.Reread(path)
+		return n.ReloadFile(path)
 	}
 }
 
@@ -81,7 +81,7 @@
 			t.Errorf("error %v, want one line with %q", err, c.want)
 		}
 	}
-	if err := n.Reread(filepath.Join(t.TempDir(), "none")); err == nil {
+	if err := n.ReloadFile(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("rereading a missing file gives no error")
 	}
 	n.post(func() {
@@ -177,7 +177,7 @@
 			t.Errorf("the configuration is %+v", n.config)
 		}
 	})
-	if err := n.Reread(t.TempDir()); err == nil {
+	if err := n.ReloadFile(t.TempDir()); err == nil {
 		t.Error("rereading a directory gives no error")
 	}
 }
--- a/internal/proxy/term_test.go
+++ b/internal/proxy/term_test.go
@@ -224,7 +224,7 @@
 	})
 	return startNodeWith(t, func(n *Server) {
 		if n.frontend.killTimeout = enough; upgrades {
-			n.TakeOver(handoffDir(t))
+			n.EnableHandoff(handoffDir(t))
 		}
 	}, server), release
 }
--- a/internal/proxy/word_test.go
+++ b/internal/proxy/word_test.go
@@ -127,7 +127,7 @@
 	})
 	a.answers <- ""
 	a.answers <- listOf(9, entryJSON("new", server, "ready"))
-	n = startWithInitialList(t, a, func(n *Server) { n.TakeOver(dir); n.handoffListTimeout = enough })
+	n = startWithInitialList(t, a, func(n *Server) { n.EnableHandoff(dir); n.handoffListTimeout = enough })
 	close(started)
 	if !wait(t, listKnown, "the new process to be ready") {
 		t.Error("the new process is ready before it has the list")
--- a/internal/quota/allocator/server.go
+++ b/internal/quota/allocator/server.go
@@ -22,14 +22,14 @@
 
 // Config configures an allocator.
 type Config struct {
-	Fleet    uint32 // hash of the fleet's name
-	Name     string // the name by which proxies send to the allocator: its name as a membership member
-	Registry *client.Client
-	Leases   *lease.Session
-	In       <-chan []byte                // received datagrams for which quota.IsOurs holds; Run owns the slices
-	Send     func(to string, data []byte) // sends to a member by its membership name, without blocking
-	Events   <-chan quota.Event           // TableChanged, WallClock, ExpectedProxies and Forget
-	Log      *slog.Logger                 // nil means no log
+	Fleet     uint32 // hash of the fleet's name
+	Name      string // the name by which proxies send to the allocator: its name as a membership member
+	Registry  *client.Client
+	Leases    *lease.Session
+	Datagrams <-chan []byte                // received datagrams for which quota.IsOurs holds; Run owns the slices
+	Send      func(to string, data []byte) // sends to a member by its membership name, without blocking
+	Events    <-chan quota.Event           // TableChanged, WallClock, ExpectedProxies and Forget
+	Log       *slog.Logger                 // nil means no log
 }
 
 // tenure is a period in which the process holds the lease, with the record of slots as it was read or written
@@ -127,7 +127,7 @@
 			s.core.Handle(s.time(), quota.LeaseHeld{Token: s.tenure.token.Number})
 			s.tenure = tenure{}
 			close(ended)
-		case data := <-s.config.In:
+		case data := <-s.config.Datagrams:
 			s.handle(ctx, group, quota.Message{Data: data})
 		case e := <-s.config.Events:
 			s.handle(ctx, group, e)
--- a/internal/quota/allocator/server_test.go
+++ b/internal/quota/allocator/server_test.go
@@ -106,7 +106,7 @@
 		b.inboxes[name] = in
 		b.mu.Unlock()
 		stop := labtest.Run(t, func(ctx context.Context) error {
-			err := Run(ctx, Config{Fleet: 7, Name: name, Registry: c, Leases: session, In: in, Send: b.send, Events: events})
+			err := Run(ctx, Config{Fleet: 7, Name: name, Registry: c, Leases: session, Datagrams: in, Send: b.send, Events: events})
 			if errors.Is(err, context.Canceled) {
 				err = session.Close(labtest.Enough)
 			}
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -49,7 +49,7 @@
 		result.all[i] = result.newLimit(i)
 	}
 	for at := len(t.Limits); at < len(result.all); {
-		source := t.LimitOf(at)
+		source := t.LimitOfSlot(at)
 		for k := range max(t.Limits[source].KeySlots, 1) {
 			limit := result.all[source]
 			limit.parent, limit.hash = -1, mixHash(limit.hash, uint64(k))
@@ -67,7 +67,7 @@
 
 // newLimit returns the table's limit with index i, at its unscheduled values.
 func (l *limits) newLimit(i int) quotaLimit {
-	source, minimum := &l.table.Limits[i], l.table.Minimum(i)
+	source, minimum := &l.table.Limits[i], l.table.MinimumRates(i)
 	limit := quotaLimit{
 		hash: mixHash(0, 0, source.Name), parent: int32(source.Parent), attribute: source.Attribute,
 		concurrency: source.Unit == ratelimit.UnitConcurrency, borrow: source.Borrow,
@@ -90,11 +90,11 @@
 // it: a proxy's fallback share follows from the lowest scheduled values.
 func (l *limits) applySchedule(now time.Time) {
 	for i := range l.all {
-		source := l.table.LimitOf(i)
+		source := l.table.LimitOfSlot(i)
 		if i >= len(l.table.Limits) && len(l.table.Limits[source].Schedule) == 0 {
 			continue
 		}
-		figures := l.table.At(source, now)
+		figures := l.table.RatesAt(source, now)
 		if !l.all[i].concurrency {
 			figures.Rate *= l.rateFactor
 		}
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -44,11 +44,11 @@
 // EncodeTable returns the value of a table's record. It fails if the table is too large for a record.
 func EncodeTable(t *ratelimit.Table) (json.RawMessage, error) {
 	raw := t.JSON()
-	if len(raw) > registry.MaxRecord {
+	if len(raw) > registry.MaxRecordValueBytes {
 		return nil, fmt.Errorf(
 			"the table has %d bytes, a record %d at most: use fewer limits, or shorter names",
 			len(raw),
-			registry.MaxRecord,
+			registry.MaxRecordValueBytes,
 		)
 	}
 	return raw, nil
--- a/internal/registry/client/broken_test.go
+++ b/internal/registry/client/broken_test.go
@@ -149,7 +149,7 @@
 	defer s.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	NewPlatform(s.Listener.Addr().String(), false, 0, slog.New(slog.DiscardHandler), func(registry.ListResponse) {}, func() {}).Follow(ctx)
+	NewPlatformFollower(s.Listener.Addr().String(), false, 0, slog.New(slog.DiscardHandler), func(registry.ListResponse) {}, func() {}).Follow(ctx)
 	for i, want := range []string{"", "from=42&hold_ms=3500", "from=42&hold_ms=1", "from=43&hold_ms=3500"} {
 		select {
 		case q := <-queries:
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/call.go
@@ -28,7 +28,7 @@
 // call makes one request and passes the response on. It requests the complete list if needsComplete is set,
 // and otherwise the changes since the known version. After a failure no existing connection is used again,
 // because the cause may affect all of them.
-func (d *Platform) call(ctx context.Context, hold time.Duration) error {
+func (d *PlatformFollower) call(ctx context.Context, hold time.Duration) error {
 	if d.runningTask.stopping.Load() {
 		d.runningTask.stop()
 		return ctx.Err()
@@ -72,7 +72,7 @@
 }
 
 // connect dials the connection of a call. It refuses to dial for a request that net/http sends a second time.
-func (d *Platform) connect(ctx context.Context, network, address string) (net.Conn, error) {
+func (d *PlatformFollower) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	if d.attempts.Load() > 1 {
 		return nil, errRepeatedRequest
 	}
@@ -87,7 +87,7 @@
 // get makes one request. If a reused connection breaks, net/http would send the request again, with too
 // little time left for the hold. The hook closes idle connections and connect refuses to dial, so the second
 // attempt fails.
-func (d *Platform) get(
+func (d *PlatformFollower) get(
 	ctx context.Context,
 	query string,
 	hold time.Duration,
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -22,7 +22,7 @@
 // Config configures a Client.
 type Config struct {
 	Addresses     []string      // addresses of the replicas, host:port; at least one
-	File          string        // file in which the list is cached for the next start; empty: none
+	CacheFile     string        // file in which the list is cached for the next start; empty: none
 	Hold          time.Duration // time for which a replica may delay its response to a watch; 0: DefaultHold
 	DeferralDelay time.Duration // delay before a suspect list of another epoch is used; 0: DefaultDeferralDelay
 	Log           *slog.Logger  // nil: no logging
@@ -101,9 +101,9 @@
 		k.log = slog.New(slog.DiscardHandler)
 	}
 	var cached List
-	if c.File != "" {
+	if c.CacheFile != "" {
 		var err error
-		if cached, err = readCache(c.File); err != nil {
+		if cached, err = readCache(c.CacheFile); err != nil {
 			k.log.Warn("cached endpoint list unusable, starting without", "err", err)
 		}
 	}
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -109,17 +109,17 @@
 	}
 	b := NewListState(30*time.Second, before)
 	empty := registry.ListResponse{Index: 1, Epoch: "b", Snapshot: true}
-	if got := b.Apply(0, 9, empty); got != HeldBack || len(b.List().Endpoints) != 6 {
+	if got := b.Apply(0, 9, empty); got != Deferred || len(b.List().Endpoints) != 6 {
 		t.Errorf("at first: %d, with %d entries", got, len(b.List().Endpoints))
 	}
-	if got := b.Apply(29*time.Second, 0, empty); got != HeldBack {
+	if got := b.Apply(29*time.Second, 0, empty); got != Deferred {
 		t.Errorf("before the delay is over: %d", got)
 	}
 	full := registry.ListResponse{Index: 7, Epoch: "b", Snapshot: true, Endpoints: before.Endpoints}
 	if got := b.Apply(30*time.Second, 0, full); got != Changed {
 		t.Errorf("after the endpoints registered again: %d", got)
 	}
-	if got := b.Apply(31*time.Second, 7, registry.ListResponse{Index: 10, Epoch: "a", Snapshot: true}); got != HeldBack {
+	if got := b.Apply(31*time.Second, 7, registry.ListResponse{Index: 10, Epoch: "a", Snapshot: true}); got != Deferred {
 		t.Errorf("the previous epoch: %d", got)
 	}
 	b = NewListState(30*time.Second, before)
@@ -147,7 +147,7 @@
 	bad := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { besteffort.Output(w.Write([]byte("{"))) }))
 	defer bad.Close()
 	file := filepath.Join(t.TempDir(), "list")
-	c := Config{Addresses: []string{"127.0.0.1:1", bad.Listener.Addr().String(), ok.Listener.Addr().String()}, File: file}
+	c := Config{Addresses: []string{"127.0.0.1:1", bad.Listener.Addr().String(), ok.Listener.Addr().String()}, CacheFile: file}
 	k, err := New(c)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -38,7 +38,7 @@
 	Unchanged     Change = iota // the response has nothing new
 	Changed                     // the list has changed
 	Stale                       // the response is older than the list: the replica lags or is cut off
-	HeldBack                    // the response is a suspect list of another epoch, not accepted yet
+	Deferred                    // the response is a suspect list of another epoch, not accepted yet
 	NeedsComplete               // the response does not follow the known version: request the complete list
 	TooNarrow                   // the response is a subset with too few endpoints: request a wider one
 )
@@ -142,7 +142,7 @@
 		}
 		b.deferred.ListResponse = a
 		if now-b.deferred.since < b.deferralDelay {
-			return HeldBack
+			return Deferred
 		}
 	}
 	b.accept(a)
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -131,7 +131,7 @@
 
 // followWithBalancer lets the balancer poll for lists, as the proxy does, and passes on the lists that
 // arrive.
-func followWithBalancer(ctx context.Context, d *Platform, received chan receivedList, now func() time.Duration, nodes int, seed int64) chan receivedList {
+func followWithBalancer(ctx context.Context, d *PlatformFollower, received chan receivedList, now func() time.Duration, nodes int, seed int64) chan receivedList {
 	lists := make(chan receivedList, 100)
 	go func() {
 		m, clock := balancer.New(balancer.Settings{Proxies: nodes, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}, seed), time.NewTicker(25*time.Millisecond)
@@ -175,7 +175,7 @@
 					var lists chan receivedList
 					switch way.nodes {
 					case 0:
-						var p *Platform
+						var p *PlatformFollower
 						p, lists = s.platform(false)
 						p.dial = d.dial(p.dial)
 						p.Follow(ctx)
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -14,10 +14,10 @@
 	"wrenspread/internal/registry"
 )
 
-// Platform follows the list of the platform's own discovery at one address: that of the agent on this
+// PlatformFollower follows the list of the platform's own discovery at one address: that of the agent on this
 // machine, which pushes lists, or that of the shared service, which is polled. This protocol has neither
 // epochs nor other replicas. Its methods are not safe for concurrent use.
-type Platform struct {
+type PlatformFollower struct {
 	url            string
 	client         *http.Client
 	dial           func(ctx context.Context, network, address string) (net.Conn, error)
@@ -52,17 +52,17 @@
 
 func platformURL(address string) string { return "http://" + address + "/registry/instances" }
 
-// NewPlatform returns a follower that knows the list of version index. polled says whether lists are polled
+// NewPlatformFollower returns a follower that knows the list of version index. polled says whether lists are polled
 // or pushed. onList is called with each list and onFailure after a failure, from one goroutine at a time.
-func NewPlatform(
+func NewPlatformFollower(
 	address string,
 	polled bool,
 	index uint64,
 	log *slog.Logger,
 	onList func(registry.ListResponse),
 	onFailure func(),
-) *Platform {
-	d := &Platform{
+) *PlatformFollower {
+	d := &PlatformFollower{
 		url:         platformURL(address),
 		polls:       polled,
 		sleep:       backoff.Sleep,
@@ -79,18 +79,18 @@
 }
 
 // setTimes sets the hold and the grace for polled or pushed lists.
-func (d *Platform) setTimes(polled bool) {
+func (d *PlatformFollower) setTimes(polled bool) {
 	if d.hold, d.grace = holdPushed, gracePushed; polled {
 		d.hold, d.grace = holdPolled, gracePolled
 	}
 }
 
 // Polls reports whether lists are polled, not pushed.
-func (d *Platform) Polls() bool { return d.polls }
+func (d *PlatformFollower) Polls() bool { return d.polls }
 
 // watch follows the list until a call fails. The calls follow each other without a pause, so that discovery
 // counts them as one watch.
-func (d *Platform) watch(ctx context.Context) error {
+func (d *PlatformFollower) watch(ctx context.Context) error {
 	for {
 		began, previousIndex := time.Now(), d.index
 		if err := d.call(ctx, d.hold); err != nil {
@@ -106,7 +106,7 @@
 }
 
 // run watches until a call fails. Its first call has no hold.
-func (d *Platform) run(ctx context.Context) error {
+func (d *PlatformFollower) run(ctx context.Context) error {
 	if err := d.call(ctx, minHold); err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 // follow watches until ctx ends; pushed lists need no request of the balancer. It retries at once after a
 // first failure, and after further failures in a row with a jittered backoff that doubles up to
 // maxPlatformBackoff.
-func (d *Platform) follow(ctx context.Context) {
+func (d *PlatformFollower) follow(ctx context.Context) {
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		began, previousAnswers := time.Now(), d.answers
@@ -139,7 +139,7 @@
 
 // Follow starts to watch until ctx ends. It begins with the complete list, because a change that the agent
 // has counts as known from the start, whatever list this process knows.
-func (d *Platform) Follow(ctx context.Context) {
+func (d *PlatformFollower) Follow(ctx context.Context) {
 	d.startTask(ctx, func(ctx context.Context) {
 		d.needsComplete = true
 		d.follow(ctx)
@@ -148,7 +148,7 @@
 
 // startTask starts a task after it has stopped an earlier one: lists reach the balancer in order only from
 // one task at a time. It does not block, and is not safe for concurrent use.
-func (d *Platform) startTask(ctx context.Context, run func(context.Context)) {
+func (d *PlatformFollower) startTask(ctx context.Context, run func(context.Context)) {
 	if d.latestTask != nil {
 		d.latestTask.stop()
 	}
@@ -156,7 +156,7 @@
 }
 
 // startTaskAfter starts a task that first calls end with the earlier task and waits until that has ended.
-func (d *Platform) startTaskAfter(ctx context.Context, end func(earlier *task), run func(context.Context)) {
+func (d *PlatformFollower) startTaskAfter(ctx context.Context, end func(earlier *task), run func(context.Context)) {
 	ctx, stop := context.WithCancel(ctx)
 	earlier, t := d.latestTask, &task{stop: stop, done: make(chan struct{})}
 	d.latestTask = t
@@ -175,7 +175,7 @@
 
 // Poll starts what the balancer requested for polled lists: a fetch of the complete list, a watch until it
 // fails, or both.
-func (d *Platform) Poll(ctx context.Context, fetch, watch bool) {
+func (d *PlatformFollower) Poll(ctx context.Context, fetch, watch bool) {
 	d.startTask(ctx, func(ctx context.Context) {
 		d.needsComplete = d.needsComplete || fetch
 		var err error
@@ -191,7 +191,7 @@
 // poll watches until discovery is down: two calls fail in a row, or one is answered with an unexpected
 // status. It repeats a single failed call by itself, because the balancer would wait longer than the bound on
 // how old the list may be. To a discovery that is down the balancer spreads its calls.
-func (d *Platform) poll(ctx context.Context) (err error) {
+func (d *PlatformFollower) poll(ctx context.Context) (err error) {
 	for failures := 0; failures < 2; failures++ {
 		if failures > 0 && !d.sleep(ctx, randomUpTo(silentRetrySpread)) {
 			return ctx.Err()
@@ -218,7 +218,7 @@
 }
 
 // reportFailure logs an error and calls onFailure, unless the task was stopped.
-func (d *Platform) reportFailure(ctx context.Context, err error) {
+func (d *PlatformFollower) reportFailure(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
 		d.log.Warn("discovery failed", "err", err)
 		d.onFailure()
--- a/internal/registry/client/platform_move.go
+++ b/internal/registry/client/platform_move.go
@@ -10,7 +10,7 @@
 
 // Move follows the list at another address, or changes between polled and pushed lists. Versions of the
 // previous address have no meaning there, so it begins with the complete list.
-func (d *Platform) Move(ctx context.Context, address string, polled bool) {
+func (d *PlatformFollower) Move(ctx context.Context, address string, polled bool) {
 	d.polls = polled
 	if d.latestTask != nil {
 		d.latestTask.stopping.Store(true)
@@ -28,7 +28,7 @@
 
 // endForMove stops a task for a move. A change that the previous address has sent by then counts as known, so
 // a response that has begun to arrive is read to its end.
-func (d *Platform) endForMove(t *task) {
+func (d *PlatformFollower) endForMove(t *task) {
 	if d.answerArriving() {
 		ctx, stop := context.WithTimeout(context.Background(), moveGrace)
 		context.AfterFunc(ctx, t.stop)
@@ -40,7 +40,7 @@
 }
 
 // answerArriving reports whether a part of the response to the call in progress has arrived, read or unread.
-func (d *Platform) answerArriving() bool {
+func (d *PlatformFollower) answerArriving() bool {
 	if c := d.conn.Load(); c != nil && socketoption.Readable(*c) {
 		return true
 	}
@@ -50,7 +50,7 @@
 // observedConn is a connection that sets answerBegun when data arrives.
 type observedConn struct {
 	net.Conn
-	platform *Platform
+	platform *PlatformFollower
 }
 
 func (c observedConn) Read(p []byte) (int, error) {
--- a/internal/registry/client/platform_test.go
+++ b/internal/registry/client/platform_test.go
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	lists := make(chan registry.ListResponse, 10)
-	d := NewPlatform(s.Listener.Addr().String(), false, 41, slog.New(slog.DiscardHandler), func(l registry.ListResponse) { lists <- l }, func() { t.Error("a failure is reported to the balancer") })
+	d := NewPlatformFollower(s.Listener.Addr().String(), false, 41, slog.New(slog.DiscardHandler), func(l registry.ListResponse) { lists <- l }, func() { t.Error("a failure is reported to the balancer") })
 	d.hold = time.Millisecond
 	go d.follow(ctx)
 	select {
@@ -82,7 +82,7 @@
 	}))
 	defer s.Close()
 	lists, failures := make(chan registry.ListResponse, 10), make(chan bool, 10)
-	d := NewPlatform(s.Listener.Addr().String(), true, 41, slog.New(slog.DiscardHandler), func(l registry.ListResponse) { lists <- l }, func() { failures <- true })
+	d := NewPlatformFollower(s.Listener.Addr().String(), true, 41, slog.New(slog.DiscardHandler), func(l registry.ListResponse) { lists <- l }, func() { failures <- true })
 	for _, c := range []struct {
 		fetch bool
 		index uint64
--- a/internal/registry/client/standin_test.go
+++ b/internal/registry/client/standin_test.go
@@ -97,9 +97,9 @@
 
 // platform returns a follower of the fake discovery. A failure is reported as a list without entries at a
 // negative time.
-func (s *fakeDiscovery) platform(polled bool) (*Platform, chan receivedList) {
+func (s *fakeDiscovery) platform(polled bool) (*PlatformFollower, chan receivedList) {
 	lists := make(chan receivedList, 100)
-	d := NewPlatform("one:1", polled, 41, slog.New(slog.DiscardHandler),
+	d := NewPlatformFollower("one:1", polled, 41, slog.New(slog.DiscardHandler),
 		func(l registry.ListResponse) { lists <- receivedList{l, s.now()} }, func() { lists <- receivedList{at: -s.now()} })
 	d.dial = s.dial
 	return d, lists
--- a/internal/registry/client/subset_cached_test.go
+++ b/internal/registry/client/subset_cached_test.go
@@ -46,7 +46,7 @@
 	if err := writeCache(file, cached); err != nil {
 		t.Fatal(err)
 	}
-	withoutSubsets, err := New(Config{Addresses: []string{"a:1"}, File: file})
+	withoutSubsets, err := New(Config{Addresses: []string{"a:1"}, CacheFile: file})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/client/subset_test.go
+++ b/internal/registry/client/subset_test.go
@@ -157,7 +157,7 @@
 // proxies.
 func newSubsetClient(t *testing.T, self int, nodes *int, file string, onChange func(registry.ListResponse)) *Client {
 	t.Helper()
-	k, err := New(Config{Addresses: []string{"a:1"}, File: file, OnChange: onChange, ChooseSubset: func(p registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
+	k, err := New(Config{Addresses: []string{"a:1"}, CacheFile: file, OnChange: onChange, ChooseSubset: func(p registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
 		return p.Next(self, *nodes, total, entries, []registry.Placement{{}})
 	}})
 	if err != nil {
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -28,12 +28,12 @@
 			continue
 		case err != nil:
 			k.log.Warn("registry does not answer, keeping the last list", "address", k.address(), "err", err)
-		case verdict == HeldBack:
+		case verdict == Deferred:
 			k.log.Error("deferring a suspect list of another epoch", "for", k.config.DeferralDelay)
 		case verdict == Stale:
 			k.log.Warn("replica is behind this client", "address", k.address())
 		}
-		if hold = minHold; verdict != HeldBack {
+		if hold = minHold; verdict != Deferred {
 			k.nextAddress()
 		}
 		if !backoff.Sleep(ctx, wait.Next(rand.Int64N)) {
@@ -135,7 +135,7 @@
 	a.Total = k.list.total
 	var v List
 	if verdict == Changed {
-		if endpointsChanged && k.config.File != "" {
+		if endpointsChanged && k.config.CacheFile != "" {
 			v = k.list.List()
 		}
 		close(k.changed)
@@ -145,8 +145,8 @@
 	if verdict == Changed && k.config.OnChange != nil {
 		k.config.OnChange(a)
 	}
-	if endpointsChanged && k.config.File != "" {
-		if err := writeCache(k.config.File, v); err != nil {
+	if endpointsChanged && k.config.CacheFile != "" {
+		if err := writeCache(k.config.CacheFile, v); err != nil {
 			k.log.Warn("caching the endpoint list failed", "err", err)
 		}
 	}
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -89,8 +89,8 @@
 	return r.Unknown, err
 }
 
-// Current reads the current list from the leader; other replicas may lag behind.
-func (k *Client) Current(ctx context.Context) (registry.ListResponse, error) {
+// CurrentList reads the current list from the leader; other replicas may lag behind.
+func (k *Client) CurrentList(ctx context.Context) (registry.ListResponse, error) {
 	var a registry.ListResponse
 	err := k.send(ctx, http.MethodGet, "/registry/instances?current=1", nil, &a)
 	return a, err
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -160,8 +160,8 @@
 
 // checkName validates the length of the name of an endpoint or a replica.
 func (c Command) checkName() error {
-	if c.Name == "" || len(c.Name) > MaxText {
-		return fmt.Errorf("name: want 1 to %d bytes", MaxText)
+	if c.Name == "" || len(c.Name) > MaxTextBytes {
+		return fmt.Errorf("name: want 1 to %d bytes", MaxTextBytes)
 	}
 	return nil
 }
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -19,7 +19,7 @@
 
 // Bounds on the list.
 const (
-	MaxText      = 256     // bytes of a name, an address, a zone, a type or a version
+	MaxTextBytes = 256     // bytes of a name, an address, a zone, a type or a version
 	MaxEndpoints = 1 << 16 // a fifth more than the design size (docs/list-design.md)
 	// MaxReplicas bounds the replicas of a cluster. Raft gains nothing from more than five voters; the others
 	// are for replicas that are being replaced.
@@ -51,8 +51,8 @@
 		"type":    e.Type,
 		"version": e.Version,
 	} {
-		if len(text) > MaxText {
-			return fmt.Errorf("%s: %d bytes, %d at most", key, len(text), MaxText)
+		if len(text) > MaxTextBytes {
+			return fmt.Errorf("%s: %d bytes, %d at most", key, len(text), MaxTextBytes)
 		}
 	}
 	if e.Status != Ready && e.Status != Draining {
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -40,8 +40,8 @@
 		return fmt.Errorf("session: missing")
 	}
 	for key, text := range map[string]string{"id": s.ID, "process": s.Process} {
-		if text == "" || len(text) > MaxText {
-			return fmt.Errorf("%s: want 1 to %d bytes", key, MaxText)
+		if text == "" || len(text) > MaxTextBytes {
+			return fmt.Errorf("%s: want 1 to %d bytes", key, MaxTextBytes)
 		}
 	}
 	if n := len(s.Info.Address) + len(s.Info.Version) + len(s.Info.Note); n > MaxProcessInfo {
--- a/internal/registry/lease_check.go
+++ b/internal/registry/lease_check.go
@@ -41,8 +41,8 @@
 		)
 	}
 	for _, candidacy := range c.Candidacies {
-		if candidacy.Lease == "" || len(candidacy.Lease) > MaxText {
-			return fmt.Errorf("duty: want 1 to %d bytes", MaxText)
+		if candidacy.Lease == "" || len(candidacy.Lease) > MaxTextBytes {
+			return fmt.Errorf("duty: want 1 to %d bytes", MaxTextBytes)
 		}
 	}
 	switch c.Op {
@@ -53,8 +53,8 @@
 			return fmt.Errorf("session: missing")
 		}
 	case OpTransfer, OpBlock:
-		if c.Name == "" || len(c.Name) > MaxText || len(c.Process) > MaxText || c.Op == OpBlock && c.Process == "" {
-			return fmt.Errorf("duty and process: want 1 to %d bytes", MaxText)
+		if c.Name == "" || len(c.Name) > MaxTextBytes || len(c.Process) > MaxTextBytes || c.Op == OpBlock && c.Process == "" {
+			return fmt.Errorf("duty and process: want 1 to %d bytes", MaxTextBytes)
 		}
 	}
 	return nil
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -43,7 +43,7 @@
 		return errors.New("address: missing")
 	}
 	for key, value := range map[string]string{"raft": a.Raft, "http": a.HTTP} {
-		if _, _, err := net.SplitHostPort(value); err != nil || len(value) > MaxText {
+		if _, _, err := net.SplitHostPort(value); err != nil || len(value) > MaxTextBytes {
 			return fmt.Errorf("%s: %q is not host:port", key, value)
 		}
 	}
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -11,9 +11,9 @@
 // total size is bounded because the restore of a backup is a single command: with more bytes the leader loses
 // its leadership while it replicates the command.
 const (
-	MaxRecords     = 1 << 18
-	MaxRecord      = 256 << 10 // bytes of one record's value
-	MaxRecordBytes = 32 << 20  // bytes of the values of all records
+	MaxRecords          = 1 << 18
+	MaxRecordValueBytes = 256 << 10 // bytes of one record's value
+	MaxRecordBytes      = 32 << 20  // bytes of the values of all records
 )
 
 // Record is a small JSON document that processes store in the registry.
@@ -100,11 +100,11 @@
 
 // checkRecord validates a command that writes a record.
 func (c Command) checkRecord() error {
-	if c.Name == "" || len(c.Name) > MaxText {
-		return fmt.Errorf("key: want 1 to %d bytes", MaxText)
+	if c.Name == "" || len(c.Name) > MaxTextBytes {
+		return fmt.Errorf("key: want 1 to %d bytes", MaxTextBytes)
 	}
-	if len(c.Value) > MaxRecord {
-		return fmt.Errorf("value: %d bytes, %d at most", len(c.Value), MaxRecord)
+	if len(c.Value) > MaxRecordValueBytes {
+		return fmt.Errorf("value: %d bytes, %d at most", len(c.Value), MaxRecordValueBytes)
 	}
 	if c.Value != nil && !json.Valid(c.Value) {
 		return errors.New("value: no JSON")
@@ -116,7 +116,7 @@
 func (s *State) restoreRecords(all []Record, version uint64) error {
 	for _, r := range all {
 		if _, duplicate := s.records[r.Key]; duplicate || r.Key == "" || r.Version > version || len(r.Value) == 0 ||
-			len(r.Value) > MaxRecord {
+			len(r.Value) > MaxRecordValueBytes {
 			return fmt.Errorf("record %q of version %d can't be", r.Key, r.Version)
 		}
 		s.records[r.Key] = r
--- a/internal/registry/records_test.go
+++ b/internal/registry/records_test.go
@@ -66,8 +66,8 @@
 // TestRecordsAreBounded fills the state up to the bounds on the number and the size of records: the last
 // record that fits is applied and the next one is rejected. Values that are not JSON are rejected, too.
 func TestRecordsAreBounded(t *testing.T) {
-	big := json.RawMessage(`"` + strings.Repeat("x", MaxRecord-2) + `"`)
-	for stored, value := range map[int]json.RawMessage{MaxRecordBytes/MaxRecord - 1: big, MaxRecords - 1: json.RawMessage("0")} {
+	big := json.RawMessage(`"` + strings.Repeat("x", MaxRecordValueBytes-2) + `"`)
+	for stored, value := range map[int]json.RawMessage{MaxRecordBytes/MaxRecordValueBytes - 1: big, MaxRecords - 1: json.RawMessage("0")} {
 		s, all := NewState(), make([]Record, stored)
 		for i := range all {
 			all[i] = Record{Key: fmt.Sprint(i), Value: value}
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -17,16 +17,16 @@
 	Listen string `koanf:"listen"` // address for HTTP
 	Raft   string `koanf:"raft"`   // address for the other replicas; empty: this replica is the only one
 	// Begin makes this replica start the cluster if its folder is empty. It is set at one replica, once.
-	Begin bool `koanf:"begin"`
+	Bootstrap bool `koanf:"begin"`
 	// Election is the election timeout: a new leader is elected after one to two times this duration without a
 	// message from the leader.
-	Election time.Duration `koanf:"election"`
+	ElectionTimeout time.Duration `koanf:"election"`
 	// Replicas lists the replicas that start the cluster or, at a replica that is added, those that it joins;
 	// this replica included.
 	Replicas []Replica `koanf:"replica"`
 	// Snapshot is the number of log entries after which a snapshot is made. Half as many entries before the
 	// snapshot are retained.
-	Snapshot uint64 `koanf:"snapshot"`
+	SnapshotThreshold uint64 `koanf:"snapshot"`
 
 	MaxWatchers int     `koanf:"max_watchers"` // watches that may wait at the same time
 	MaxWrites   float64 `koanf:"max_writes"`   // writes per second of one client, with bursts of twice as many
@@ -42,12 +42,12 @@
 // Default returns the configuration of a single replica without other replicas. Folder has to be set.
 func Default() Config {
 	return Config{
-		Name:        "r0",
-		Listen:      "127.0.0.1:8500",
-		Election:    500 * time.Millisecond,
-		Snapshot:    8192,
-		MaxWatchers: 20000,
-		MaxWrites:   200,
+		Name:              "r0",
+		Listen:            "127.0.0.1:8500",
+		ElectionTimeout:   500 * time.Millisecond,
+		SnapshotThreshold: 8192,
+		MaxWatchers:       20000,
+		MaxWrites:         200,
 	}
 }
 
@@ -59,13 +59,13 @@
 	bad(c.Folder != "", "folder: missing; it is where the log and the snapshots go")
 	address("listen", c.Listen)
 	bad(
-		c.Election >= 50*time.Millisecond && c.Election <= time.Minute,
+		c.ElectionTimeout >= 50*time.Millisecond && c.ElectionTimeout <= time.Minute,
 		"election: %v is not between 50ms and 1m",
-		c.Election,
+		c.ElectionTimeout,
 	)
 	bad(c.MaxWatchers > 0, "max_watchers: %d is not above 0", c.MaxWatchers)
 	bad(c.MaxWrites > 0, "max_writes: %v is not above 0", c.MaxWrites)
-	bad(c.Snapshot >= 16, "snapshot: %d entries are too few, want 16 or more", c.Snapshot)
+	bad(c.SnapshotThreshold >= 16, "snapshot: %d entries are too few, want 16 or more", c.SnapshotThreshold)
 	if c.Raft != "" || len(c.Replicas) > 0 {
 		address("raft", c.Raft)
 	}
@@ -81,7 +81,7 @@
 	}
 	bad(names[c.Name], "replica: %s itself is not among them", c.Name)
 	bad(
-		!c.Begin || len(c.Replicas)%2 == 1 && len(c.Replicas) <= 5,
+		!c.Bootstrap || len(c.Replicas)%2 == 1 && len(c.Replicas) <= 5,
 		"replica: %d are to begin, want 1, 3 or 5",
 		len(c.Replicas),
 	)
--- a/internal/registry/server/folder_test.go
+++ b/internal/registry/server/folder_test.go
@@ -74,7 +74,7 @@
 	}
 	defer free()
 	c := Default()
-	c.Folder, c.Listen, c.Election = folder, address, 50*time.Millisecond
+	c.Folder, c.Listen, c.ElectionTimeout = folder, address, 50*time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ended := make(chan error, 1)
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -65,7 +65,7 @@
 // FuzzHTTPCalls checks that no HTTP call makes a replica fail, hang or respond with status 500.
 func FuzzHTTPCalls(f *testing.F) {
 	c := Default()
-	c.Folder, c.Listen, c.Election, c.MaxWrites = f.TempDir(), "127.0.0.1:0", 50*time.Millisecond, 1e9
+	c.Folder, c.Listen, c.ElectionTimeout, c.MaxWrites = f.TempDir(), "127.0.0.1:0", 50*time.Millisecond, 1e9
 	s := &Server{config: c, log: slog.New(slog.DiscardHandler), rates: newRates(c.MaxWrites), contact: newLeaderContact(), broken: make(chan error, 1)}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	if err := s.open(); err != nil {
--- a/internal/registry/server/members_test.go
+++ b/internal/registry/server/members_test.go
@@ -11,7 +11,7 @@
 
 // stableElection is an election timeout for clusters of several replicas: on a loaded machine, a leader may
 // pause for half of it without losing its leadership.
-var stableElection = Default().Election
+var stableElection = Default().ElectionTimeout
 
 // TestClusterGrowsAndRemovesItsLeader lets a single replica grow to three while it serves. Then the first one
 // is removed although it leads, and the others continue to serve.
@@ -25,13 +25,13 @@
 		defer free()
 		at[name] = address
 	}
-	first, stop := serve(t, t.TempDir(), func(c *Config) { c.Raft, c.Election = at["r0"], stableElection })
+	first, stop := serve(t, t.TempDir(), func(c *Config) { c.Raft, c.ElectionTimeout = at["r0"], stableElection })
 	defer stop()
 	register(t, first, "a", "")
 	urls := []string{first}
 	for _, name := range []string{"r1", "r2"} {
 		url, stop := startReplica(t, t.TempDir(), func(c *Config) {
-			c.Name, c.Raft, c.Election = name, at[name], stableElection
+			c.Name, c.Raft, c.ElectionTimeout = name, at[name], stableElection
 			c.Replicas = []Replica{{"r0", at["r0"], strings.TrimPrefix(first, "http://")}, {name, at[name], c.Listen}}
 		})
 		defer stop()
--- a/internal/registry/server/records.go
+++ b/internal/registry/server/records.go
@@ -11,7 +11,7 @@
 )
 
 // maxPutBytes bounds the body of a write of a record: the value and the other fields.
-const maxPutBytes = registry.MaxRecord + maxBodyBytes
+const maxPutBytes = registry.MaxRecordValueBytes + maxBodyBytes
 
 // record responds with the current value of a record or, if the path has no key, with the keys under a
 // prefix.
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -67,9 +67,9 @@
 	}
 	conf := raft.DefaultConfig()
 	conf.LocalID, conf.Logger = raft.ServerID(c.Name), logger
-	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = c.Election, c.Election, c.Election/2
-	conf.CommitTimeout = c.Election / 20
-	conf.SnapshotThreshold, conf.TrailingLogs = c.Snapshot, c.Snapshot/2
+	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = c.ElectionTimeout, c.ElectionTimeout, c.ElectionTimeout/2
+	conf.CommitTimeout = c.ElectionTimeout / 20
+	conf.SnapshotThreshold, conf.TrailingLogs = c.SnapshotThreshold, c.SnapshotThreshold/2
 	if r.raft, err = raft.NewRaft(
 		conf,
 		m,
@@ -145,7 +145,7 @@
 	}
 	if len(c.Replicas) <= 1 {
 		servers = []raft.Server{{ID: raft.ServerID(c.Name), Address: raft.ServerAddress(c.Name)}}
-	} else if !c.Begin {
+	} else if !c.Bootstrap {
 		return nil
 	}
 	err := r.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -77,7 +77,7 @@
 	s.tasks.Go(func() { s.expiry.run(s.ctx) })
 	s.tasks.Go(func() { s.sessions.run(s.ctx) })
 	s.tasks.Go(s.followLeader)
-	s.tasks.Go(func() { s.contact.run(s.ctx, c.Election, s.replica.leader) })
+	s.tasks.Go(func() { s.contact.run(s.ctx, c.ElectionTimeout, s.replica.leader) })
 	s.tasks.Go(func() { s.contact.replay(s.ctx, replayCheckInterval, s.replica, s.machine) })
 	s.http = &http.Server{
 		Handler:           s.routes(),
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	c := Default()
-	c.Folder, c.Listen, c.Election = folder, address, 50*time.Millisecond
+	c.Folder, c.Listen, c.ElectionTimeout = folder, address, 50*time.Millisecond
 	if change != nil {
 		change(&c)
 	}
--- a/internal/registry/server/subsets_hard_test.go
+++ b/internal/registry/server/subsets_hard_test.go
@@ -33,7 +33,7 @@
 	var tasks sync.WaitGroup
 	t.Cleanup(tasks.Wait)
 	for i := range n + 1 {
-		conf := client.Config{Addresses: addresses(i), File: filepath.Join(t.TempDir(), "list"), Hold: time.Second, DeferralDelay: time.Second}
+		conf := client.Config{Addresses: addresses(i), CacheFile: filepath.Join(t.TempDir(), "list"), Hold: time.Second, DeferralDelay: time.Second}
 		if i < n {
 			conf.ChooseSubset = func(_ registry.Subset, total int, _ []registry.Endpoint) registry.Subset {
 				return c.wantedSubset(i, total)
@@ -126,7 +126,7 @@
 	stops := map[string]func(){}
 	for _, name := range names {
 		_, stop := startReplica(t, t.TempDir(), func(c *Config) {
-			c.Name, c.Listen, c.Raft, c.Begin, c.MaxWrites = name, at[name], raft[name], name == "r0", 1e6
+			c.Name, c.Listen, c.Raft, c.Bootstrap, c.MaxWrites = name, at[name], raft[name], name == "r0", 1e6
 			for _, other := range names {
 				c.Replicas = append(c.Replicas, Replica{other, raft[other], at[other]})
 			}
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -207,7 +207,7 @@
 
 // TestInvalidCommandsChangeNothing checks that malformed commands are rejected and do not change the version.
 func TestInvalidCommandsChangeNothing(t *testing.T) {
-	long := strings.Repeat("x", MaxText+1)
+	long := strings.Repeat("x", MaxTextBytes+1)
 	bad := map[string]func(*Endpoint){"name": func(e *Endpoint) { e.Name = "" }, "long": func(e *Endpoint) { e.Zone = long }, "status": func(e *Endpoint) { e.Status = Removed },
 		"address": func(e *Endpoint) { e.Address = "nowhere" }, "weight": func(e *Endpoint) { e.Weight = math.NaN() }, "since": func(e *Endpoint) { e.StartedAtMS = -1 }}
 	s := NewState()
--- a/internal/release/machine_test.go
+++ b/internal/release/machine_test.go
@@ -384,8 +384,8 @@
 		s.Baseline[fmt.Sprint("node-", i)] = Comparison{Counts{1 << 30, 1 << 30, 1 << 30}, Counts{1 << 30, 1 << 30, 1 << 30}}
 	}
 	raw, err := Encode(s)
-	if err != nil || len(raw) > registry.MaxRecord {
-		t.Errorf("%d bytes, %d at most; %v", len(raw), registry.MaxRecord, err)
+	if err != nil || len(raw) > registry.MaxRecordValueBytes {
+		t.Errorf("%d bytes, %d at most; %v", len(raw), registry.MaxRecordValueBytes, err)
 	}
 }
 
--- a/internal/sim/subset/node.go
+++ b/internal/sim/subset/node.go
@@ -109,7 +109,7 @@
 		return n.fail(stale, true)
 	case client.NeedsComplete:
 		return n.fail("finds a gap", true)
-	case client.HeldBack:
+	case client.Deferred:
 		n.calls--
 		return n.fail(fmt.Sprintf("holds %s back", a.Epoch), false)
 	}
--- a/internal/tenant/environment.go
+++ b/internal/tenant/environment.go
@@ -59,7 +59,7 @@
 
 // Endpoints returns the servers that are ready.
 func (f RegistryEnvironment) Endpoints(ctx context.Context) (all []Endpoint, err error) {
-	a, err := f.Registry.Current(ctx)
+	a, err := f.Registry.CurrentList(ctx)
 	for _, e := range a.Endpoints {
 		if e.Status == registry.Ready {
 			all = append(all, Endpoint{e.Zone, e.Type, e.Cell})
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -89,11 +89,11 @@
 	if raw, err = json.Marshal(p); err != nil {
 		return "", nil, fmt.Errorf("tenant: a page of the catalogue: %w", err)
 	}
-	if len(raw) > registry.MaxRecord {
+	if len(raw) > registry.MaxRecordValueBytes {
 		return "", nil, fmt.Errorf(
 			"tenant: a page of the catalogue has %d bytes, %d at most",
 			len(raw),
-			registry.MaxRecord,
+			registry.MaxRecordValueBytes,
 		)
 	}
 	return digestOf(raw), raw, nil
--- a/internal/tenant/spec.go
+++ b/internal/tenant/spec.go
@@ -128,8 +128,8 @@
 		}
 		sorted := slices.Sorted(slices.Values(c.all))
 		if len(slices.Compact(sorted)) != len(c.all) ||
-			slices.ContainsFunc(c.all, func(s string) bool { return s == "" || len(s) > registry.MaxText }) {
-			return fmt.Errorf("%s: want each once, with 1 to %d bytes", c.key, registry.MaxText)
+			slices.ContainsFunc(c.all, func(s string) bool { return s == "" || len(s) > registry.MaxTextBytes }) {
+			return fmt.Errorf("%s: want each once, with 1 to %d bytes", c.key, registry.MaxTextBytes)
 		}
 	}
 	if len(f.Routes) > MaxRoutes || len(f.Quotas) > MaxRoutes {
--- a/ratelimit/admit_test.go
+++ b/ratelimit/admit_test.go
@@ -29,10 +29,10 @@
 			before := slices.Clone(tokens.available)
 			lacking := map[int]bool{-1: false}
 			for slot, n := range charges {
-				l := table.Limits[table.LimitOf(slot)]
+				l := table.Limits[table.LimitOfSlot(slot)]
 				reserve := l.PriorityReserve * tokens.capacity[slot]
 				if before[slot] < n || n > 0 && !priority && before[slot]-n < reserve && before[slot] < tokens.capacity[slot] {
-					lacking[table.LimitOf(slot)] = true
+					lacking[table.LimitOfSlot(slot)] = true
 				}
 			}
 			if request.Degradation > 0 && request.Class == "b" || request.Degradation > 1 && request.Class == "c" {
--- a/ratelimit/read.go
+++ b/ratelimit/read.go
@@ -132,8 +132,8 @@
 // limit.
 func (t *Table) TokenSlots() int { return t.tokenSlots }
 
-// LimitOf returns the index of the limit that a token slot belongs to, or -1 if there is no such slot.
-func (t *Table) LimitOf(slot int) int {
+// LimitOfSlot returns the index of the limit that a token slot belongs to, or -1 if there is no such slot.
+func (t *Table) LimitOfSlot(slot int) int {
 	if slot < len(t.Limits) {
 		return slot
 	}
--- a/ratelimit/schedule.go
+++ b/ratelimit/schedule.go
@@ -12,8 +12,8 @@
 func (l *Limit) rates() Rates          { return Rates{l.Rate, l.Burst, l.Floor} }
 func (w *ScheduleWindow) rates() Rates { return Rates{w.Rate, w.Burst, w.Floor} }
 
-// At returns a limit's rates at a time of the wall clock. Rates change only at full minutes.
-func (t *Table) At(limit int, wall time.Time) Rates {
+// RatesAt returns a limit's rates at a time of the wall clock. Rates change only at full minutes.
+func (t *Table) RatesAt(limit int, wall time.Time) Rates {
 	l := &t.Limits[limit]
 	local := wall.UTC().Add(time.Duration(t.UTCOffset) * time.Minute)
 	for i := range l.Schedule {
@@ -24,9 +24,9 @@
 	return l.rates()
 }
 
-// Minimum returns the lowest rates that a limit has at any time. A proxy uses them while it can't trust its
+// MinimumRates returns the lowest rates that a limit has at any time. A proxy uses them while it can't trust its
 // wall clock.
-func (t *Table) Minimum(limit int) Rates {
+func (t *Table) MinimumRates(limit int) Rates {
 	l := &t.Limits[limit]
 	lowest := l.rates()
 	for i := range l.Schedule {
--- a/ratelimit/table_test.go
+++ b/ratelimit/table_test.go
@@ -121,7 +121,7 @@
 		case UnitPerKey:
 			if request.Key != "" {
 				at := t.tokenSlot(i, request.Key)
-				if at < first || at >= slots || t.LimitOf(at) != i {
+				if at < first || at >= slots || t.LimitOfSlot(at) != i {
 					panic("token slot outside the slots of its limit")
 				}
 				charges[at] = 1
