--- a/internal/proxy/handoff_new.go
+++ b/internal/proxy/handoff_new.go
@@ -25,8 +25,8 @@
 	handoffReleaseTimeout = time.Second
 )
 
-// EnableHandoff enables handoffs: from a process of this proxy that already serves, and later to the next one. The
-// processes connect at a socket in dir. It is called once, before Run.
+// EnableHandoff enables handoffs: from a process of this proxy that already serves, and later to the next
+// one. The processes connect at a socket in dir. It is called once, before Run.
 func (srv *Server) EnableHandoff(dir string) { srv.handoffPath = filepath.Join(dir, handoffSocket) }
 
 // requestHandoff connects to the process that serves and restores its state here. It returns nil without an
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -69,8 +69,8 @@
 	handoffListTimeout time.Duration // longest wait for the list in a handoff, while the old process serves
 	handoffPath        string        // socket at which this proxy's processes connect; empty: no handoffs
 
-	// OnOverlap is called with true when another process of this proxy begins to share its limits, and with false
-	// when none does any more. It may be nil.
+	// OnOverlap is called with true when another process of this proxy begins to share its limits, and with
+	// false when none does any more. It may be nil.
 	OnOverlap func(bool)
 }
 
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -27,8 +27,8 @@
 	"warm_keys",
 }
 
-// ReloadFile replaces the running configuration by the file at path. If the file is not valid, it changes nothing
-// and returns the reason. It must not be called concurrently.
+// ReloadFile replaces the running configuration by the file at path. If the file is not valid, it changes
+// nothing and returns the reason. It must not be called concurrently.
 func (srv *Server) ReloadFile(path string) error {
 	cfg, err := srv.loadAndCheck(path)
 	if err != nil {
--- a/internal/quota/allocator/server.go
+++ b/internal/quota/allocator/server.go
@@ -26,7 +26,7 @@
 	Name      string // the name by which proxies send to the allocator: its name as a membership member
 	Registry  *client.Client
 	Leases    *lease.Session
-	Datagrams <-chan []byte                // received datagrams for which quota.IsOurs holds; Run owns the slices
+	Datagrams <-chan []byte                // received datagrams that satisfy quota.IsOurs; Run owns them
 	Send      func(to string, data []byte) // sends to a member by its membership name, without blocking
 	Events    <-chan quota.Event           // TableChanged, WallClock, ExpectedProxies and Forget
 	Log       *slog.Logger                 // nil means no log
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -52,8 +52,9 @@
 
 func platformURL(address string) string { return "http://" + address + "/registry/instances" }
 
-// NewPlatformFollower returns a follower that knows the list of version index. polled says whether lists are polled
-// or pushed. onList is called with each list and onFailure after a failure, from one goroutine at a time.
+// NewPlatformFollower returns a follower that knows the list of version index. polled says whether lists are
+// polled or pushed. onList is called with each list and onFailure after a failure, from one goroutine at a
+// time.
 func NewPlatformFollower(
 	address string,
 	polled bool,
@@ -156,7 +157,11 @@
 }
 
 // startTaskAfter starts a task that first calls end with the earlier task and waits until that has ended.
-func (d *PlatformFollower) startTaskAfter(ctx context.Context, end func(earlier *task), run func(context.Context)) {
+func (d *PlatformFollower) startTaskAfter(
+	ctx context.Context,
+	end func(earlier *task),
+	run func(context.Context),
+) {
 	ctx, stop := context.WithCancel(ctx)
 	earlier, t := d.latestTask, &task{stop: stop, done: make(chan struct{})}
 	d.latestTask = t
--- a/internal/registry/lease_check.go
+++ b/internal/registry/lease_check.go
@@ -53,7 +53,8 @@
 			return fmt.Errorf("session: missing")
 		}
 	case OpTransfer, OpBlock:
-		if c.Name == "" || len(c.Name) > MaxTextBytes || len(c.Process) > MaxTextBytes || c.Op == OpBlock && c.Process == "" {
+		if c.Name == "" || len(c.Name) > MaxTextBytes || len(c.Process) > MaxTextBytes ||
+			c.Op == OpBlock && c.Process == "" {
 			return fmt.Errorf("duty and process: want 1 to %d bytes", MaxTextBytes)
 		}
 	}
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -67,7 +67,8 @@
 	}
 	conf := raft.DefaultConfig()
 	conf.LocalID, conf.Logger = raft.ServerID(c.Name), logger
-	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = c.ElectionTimeout, c.ElectionTimeout, c.ElectionTimeout/2
+	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = c.ElectionTimeout,
+		c.ElectionTimeout, c.ElectionTimeout/2
 	conf.CommitTimeout = c.ElectionTimeout / 20
 	conf.SnapshotThreshold, conf.TrailingLogs = c.SnapshotThreshold, c.SnapshotThreshold/2
 	if r.raft, err = raft.NewRaft(
--- a/internal/release/plan_check.go
+++ b/internal/release/plan_check.go
@@ -19,7 +19,8 @@
 }
 
 func (p *planProblems) requireText(key, value string) {
-	p.require(value != "" && len(value) <= registry.MaxTextBytes, "%s: want 1 to %d bytes", key, registry.MaxTextBytes)
+	p.require(value != "" && len(value) <= registry.MaxTextBytes, "%s: want 1 to %d bytes", key,
+		registry.MaxTextBytes)
 }
 
 func (p *planProblems) requireDuration(key string, d, least time.Duration) {
--- a/ratelimit/schedule.go
+++ b/ratelimit/schedule.go
@@ -24,8 +24,8 @@
 	return l.rates()
 }
 
-// MinimumRates returns the lowest rates that a limit has at any time. A proxy uses them while it can't trust its
-// wall clock.
+// MinimumRates returns the lowest rates that a limit has at any time. A proxy uses them while it can't trust
+// its wall clock.
 func (t *Table) MinimumRates(limit int) Rates {
 	l := &t.Limits[limit]
 	lowest := l.rates()
