--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -7,24 +7,26 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Bounds of a text: they keep compiling it under about ten seconds and a few hundred MB, whatever it says.
+// Bounds on a policy's source. With them, compiling any source takes less than about ten seconds and a few
+// hundred MB of memory.
 const (
-	maxText        = 256 << 10 // bytes: 1,000 tenants of some lines each
-	maxNesting     = 32        // brackets or signs within each other: the parser goes down a level for each
-	maxElements    = 1_000     // of a list or map: the most tenants that a fleet is planned for
-	maxEvaluations = 50e6      // of expressions evaluated, counted with each round of what is repeated
-	maxLocalText   = 128       // bytes of a text in a local
+	maxSourceBytes    = 256 << 10 // enough for 1,000 tenants with a few lines each
+	maxNesting        = 32        // nested brackets or consecutive unary operators; the parser recurses for each
+	maxElements       = 1_000     // of a list or map; the largest number of tenants that a fleet is planned for
+	maxEvaluations    = 50e6      // evaluated expressions, with each repetition counted
+	maxLocalTextBytes = 128       // length of a string in a local value
 )
 
-// checkBounds looks at the raw text, before the parser does.
+// checkBounds checks the length and the nesting of the source before the source is parsed, because the parser
+// recurses once for each nested bracket and sign.
 func (c *compiler) checkBounds() error {
-	if len(c.source) > maxText {
-		return fmt.Errorf("a policy of %d bytes: %d at most", len(c.source), maxText)
+	if len(c.source) > maxSourceBytes {
+		return fmt.Errorf("a policy of %d bytes: %d at most", len(c.source), maxSourceBytes)
 	}
 	tokens, _ := hclsyntax.LexConfig(c.source, "", hcl.InitialPos)
-	depth, run := 0, 0
-	for _, t := range tokens {
-		switch t.Type {
+	depth, signs := 0, 0
+	for _, token := range tokens {
+		switch token.Type {
 		case hclsyntax.TokenOBrace, hclsyntax.TokenOBrack, hclsyntax.TokenOParen, hclsyntax.TokenTemplateInterp,
 			hclsyntax.TokenTemplateControl, hclsyntax.TokenOQuote, hclsyntax.TokenOHeredoc:
 			depth++
@@ -32,31 +34,33 @@
 			hclsyntax.TokenCQuote, hclsyntax.TokenCHeredoc:
 			depth--
 		case hclsyntax.TokenNewline:
-			run = 0
+			signs = 0
 		case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion:
-			run++
+			signs++
 		}
-		if depth > maxNesting || run > maxNesting {
-			return fmt.Errorf("line %d: a policy nests %d deep at most", t.Range.Start.Line, maxNesting)
+		if depth > maxNesting || signs > maxNesting {
+			return fmt.Errorf("line %d: a policy nests %d deep at most", token.Range.Start.Line, maxNesting)
 		}
 	}
 	return nil
 }
 
-// checkCost bounds the work that the expressions take: a for expression, a splat and a dynamic block are
-// taken to go round as often as their literal list has elements, or maxElements times; and literal lists and
-// all values of locals are kept to so many.
+// checkCost reports whether the estimated work of evaluating all expressions is within maxEvaluations and no
+// literal list or map has more than maxElements elements. A for expression and a dynamic block count with one
+// repetition for each element of their literal list, or with maxElements repetitions if the list is no
+// literal; a splat always counts with maxElements repetitions. evalLocals limits the elements of local
+// values.
 func (c *compiler) checkCost(body *hclsyntax.Body) bool {
-	m := &costMeter{times: 1}
-	_ = hclsyntax.Walk(body, m) // the meter adds its findings itself
-	if m.tooLong != nil {
+	meter := &costMeter{multiplier: 1}
+	_ = hclsyntax.Walk(body, meter) // the meter records its results and returns no diagnostics
+	if meter.tooLong != nil {
 		c.addError(
-			*m.tooLong,
+			*meter.tooLong,
 			"A list too long",
 			fmt.Sprintf("A list or map has %d elements at most. Split it.", maxElements),
 		)
 	}
-	if m.nodes > maxEvaluations {
+	if meter.evaluations > maxEvaluations {
 		c.addError(
 			body.MissingItemRange(),
 			"A policy that takes too long to work out",
@@ -67,12 +71,13 @@
 	return !c.diags.HasErrors()
 }
 
+// costMeter counts the evaluations that the nodes of a syntax tree cause. It is a walker for hclsyntax.Walk.
 type costMeter struct {
-	nodes, times float64
-	tooLong      *hcl.Range
+	evaluations, multiplier float64    // multiplier is how often the current node's children are evaluated
+	tooLong                 *hcl.Range // the first literal list or map with more than maxElements elements
 }
 
-// repetitions is how often what is in a node is evaluated, for each time that the node is.
+// repetitions returns how often the children of a node are evaluated for each evaluation of the node.
 func repetitions(n hclsyntax.Node) float64 {
 	switch n := n.(type) {
 	case *hclsyntax.ForExpr:
@@ -80,17 +85,19 @@
 	case *hclsyntax.SplatExpr:
 		return maxElements
 	case *hclsyntax.Block:
-		if over := n.Body.Attributes["for_each"]; n.Type == "dynamic" && over != nil {
-			return maxElementsOf(over.Expr)
+		if list := n.Body.Attributes["for_each"]; n.Type == "dynamic" && list != nil {
+			return maxElementsOf(list.Expr)
 		}
 	case *hclsyntax.TemplateExpr:
 		if len(n.Parts) > 1 {
-			return 50 // text is copied
+			return 50 // joining the parts copies strings, which costs more than one evaluation
 		}
 	}
 	return 1
 }
 
+// maxElementsOf returns the number of elements of a literal list or map, and maxElements for any other
+// expression.
 func maxElementsOf(list hclsyntax.Expression) float64 {
 	switch list := list.(type) {
 	case *hclsyntax.TupleConsExpr:
@@ -101,9 +108,10 @@
 	return maxElements
 }
 
+// Enter counts the evaluations of a node before the walk visits the node's children.
 func (m *costMeter) Enter(n hclsyntax.Node) hcl.Diagnostics {
-	m.times *= repetitions(n)
-	m.nodes += m.times
+	m.multiplier *= repetitions(n)
+	m.evaluations += m.multiplier
 	elements := 0
 	switch n := n.(type) {
 	case *hclsyntax.TupleConsExpr:
@@ -118,7 +126,8 @@
 	return nil
 }
 
+// Exit restores the multiplier after the walk has visited a node's children.
 func (m *costMeter) Exit(n hclsyntax.Node) hcl.Diagnostics {
-	m.times /= repetitions(n)
+	m.multiplier /= repetitions(n)
 	return nil
 }
--- a/internal/policy/compare.go
+++ b/internal/policy/compare.go
@@ -10,49 +10,54 @@
 	"wrenspread/ratelimit"
 )
 
-// compare finds figures that contradict each other or those of the limit around.
-func (c *compiler) compare(p *scope, l *limit, r rawRates, f ratelimit.Rates, outer *limit) {
-	at := l.source
-	if g := firstGiven(r.rate, r.fraction); g != nil {
+// checkRates reports rates of a limit that contradict each other, and rates that exceed those of the outer
+// limit or, for retries and keys, those of the scope's own limit on requests.
+func (c *compiler) checkRates(
+	scope *policyScope, limit *policyLimit, raw rawRates, rates ratelimit.Rates, outer *policyLimit) {
+	at := limit.source
+	if g := firstGiven(raw.rate, raw.fraction); g != nil {
 		at = g.source
 	}
-	if outer != nil && f.Rate > outer.rates.Rate*(1+tolerance) {
+	if outer != nil && rates.Rate > outer.rates.Rate*(1+tolerance) {
 		c.addError(
 			at,
 			"A rule that can never matter",
 			fmt.Sprintf("%s can have %s, and the limit around it (line %d) ends at %s. Give it "+
-				"that or less.", p.path(), formatNumber(f.Rate), outer.source.Start.Line, formatNumber(outer.rates.Rate)),
+				"that or less.", scope.path(), formatNumber(rates.Rate), outer.source.Start.Line,
+				formatNumber(outer.rates.Rate)),
 		)
 	}
-	if f.Floor > f.Rate*(1+tolerance) {
-		if g := firstGiven(r.floor, r.share); g != nil {
+	if rates.Floor > rates.Rate*(1+tolerance) {
+		if g := firstGiven(raw.floor, raw.share); g != nil {
 			at = g.source
 		}
 		c.addError(
 			at,
 			"Rules that contradict",
 			fmt.Sprintf("%s is sure of %s and can have %s at most. Lower the floor, or raise the rate.",
-				p.path(), formatNumber(f.Floor), formatNumber(f.Rate)),
+				scope.path(), formatNumber(rates.Floor), formatNumber(rates.Rate)),
 		)
 	}
-	beside := p.limits[ratelimit.UnitRequests]
-	if inner := l.unit == ratelimit.UnitRetries ||
-		l.unit == ratelimit.UnitPerKey; inner && beside != nil &&
-		f.Rate > beside.rates.Rate*(1+tolerance) {
+	requestLimit := scope.limits[ratelimit.UnitRequests]
+	if inner := limit.unit == ratelimit.UnitRetries ||
+		limit.unit == ratelimit.UnitPerKey; inner && requestLimit != nil &&
+		rates.Rate > requestLimit.rates.Rate*(1+tolerance) {
 		c.addError(
 			at,
 			"A rule that can never matter",
 			fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. Lower this one.",
-				p.path(), formatNumber(beside.rates.Rate), beside.source.Start.Line, formatNumber(f.Rate)),
+				scope.path(), formatNumber(requestLimit.rates.Rate), requestLimit.source.Start.Line,
+				formatNumber(rates.Rate)),
 		)
 	}
 }
 
-// formatNumber writes a number for messages.
+// formatNumber formats a number for messages, with six significant digits.
 func formatNumber(n float64) string { return strconv.FormatFloat(n, 'g', 6, 64) }
 
-func firstGiven(list ...*number) *number {
-	for _, g := range list {
+// firstGiven returns the first candidate that the policy sets, or nil if it sets none.
+func firstGiven(candidates ...*number) *number {
+	for _, g := range candidates {
 		if g != nil {
 			return g
 		}
@@ -60,52 +65,57 @@
 	return nil
 }
 
-// burstOf is what may come at once: as said, or a second's worth, no more than the limit around lets in, and
-// capacity for one request.
-func (c *compiler) burstOf(l *limit, r rawRates, rate float64, outer *limit) float64 {
-	most, what := c.largest(l.unit)
-	at, burst := l.source, rate
+// burstOf returns the burst of a limit: the configured burst or, by default, the amount of one second, at
+// most the burst of the outer limit but at least the largest charge of one request. A limit on concurrency
+// has the burst 0. A limit that is smaller than the largest charge of one request is reported, because it
+// could never admit that request.
+func (c *compiler) burstOf(limit *policyLimit, raw rawRates, rate float64, outer *policyLimit) float64 {
+	charge, description := c.largestCharge(limit.unit)
+	at, burst := limit.source, rate
 	if outer != nil {
 		burst = min(burst, outer.rates.Burst)
 	}
-	burst = max(burst, most)
+	burst = max(burst, charge)
 	switch {
-	case rate == 0 && r.burst == nil: // it is closed
+	case rate == 0 && raw.burst == nil: // a rate of 0 closes the scope
 		return 0
-	case l.unit == ratelimit.UnitConcurrency:
-		if g := firstGiven(r.rate, r.fraction); g != nil {
+	case limit.unit == ratelimit.UnitConcurrency:
+		if g := firstGiven(raw.rate, raw.fraction); g != nil {
 			at = g.source
 		}
-		if burst = 0; rate < most {
-			c.addExceeded(at, rate, what)
+		if burst = 0; rate < charge {
+			c.addTooSmallForRequest(at, rate, description)
 		}
-	case r.burst != nil:
-		if at, burst = r.burst.source, r.burst.value; burst < most {
-			c.addExceeded(at, burst, what)
+	case raw.burst != nil:
+		if at, burst = raw.burst.source, raw.burst.value; burst < charge {
+			c.addTooSmallForRequest(at, burst, description)
 		}
 	}
 	return burst
 }
 
-func (c *compiler) addExceeded(at hcl.Range, there float64, what string) {
+// addTooSmallForRequest reports a limit that is smaller than the largest charge of one request, which the
+// argument charge describes.
+func (c *compiler) addTooSmallForRequest(at hcl.Range, amount float64, charge string) {
 	c.addError(
 		at,
 		"A limit that one request exceeds",
 		fmt.Sprintf("%s is less than %s, so that none would ever be let in. Raise it, or "+
-			"write rate = 0 to close the part.", formatNumber(there), what),
+			"write rate = 0 to close the part.", formatNumber(amount), charge),
 	)
 }
 
-// largest is the most that one request takes of a limit.
-func (c *compiler) largest(u ratelimit.Unit) (float64, string) {
-	if u != ratelimit.UnitWork {
+// largestCharge returns the largest amount that one request takes from a limit, in the limit's unit, and a
+// description of this amount for messages.
+func (c *compiler) largestCharge(unit ratelimit.Unit) (float64, string) {
+	if unit != ratelimit.UnitWork {
 		return 1, "one request"
 	}
-	most, name := 0.0, ""
-	for _, k := range c.known.Classes {
-		if ms := float64(k.Work) / float64(time.Millisecond); ms > most {
-			most, name = ms, k.Name
+	heaviest, name := 0.0, ""
+	for _, class := range c.known.Classes {
+		if ms := float64(class.Work) / float64(time.Millisecond); ms > heaviest {
+			heaviest, name = ms, class.Name
 		}
 	}
-	return most, fmt.Sprintf("the %v ms of work of a heavy %s", most, name)
+	return heaviest, fmt.Sprintf("the %v ms of work of a heavy %s", heaviest, name)
 }
--- a/internal/policy/degrade.go
+++ b/internal/policy/degrade.go
@@ -10,21 +10,24 @@
 	"wrenspread/ratelimit"
 )
 
-// degradeLevel is a `degrade` block.
+// degradeLevel is a degradation level that a `degrade` block defines.
 type degradeLevel struct {
 	ratelimit.DegradationLevel
 	name          string
 	source        hcl.Range
 	aboveSource   hcl.Range
-	classesSource hcl.Range // of the classes that it refuses
+	classesSource hcl.Range // of the list of rejected classes
 }
 
-func (c *compiler) degradeBlock(b *hcl.Block) {
-	attrs := c.content(b.Body, degradeSchema).Attributes
-	l := &degradeLevel{name: b.Labels[0], source: b.DefRange}
-	l.RejectClasses, l.Status, l.RetryAfter = c.texts(attrs["refuse"]), 503, defaultRetryAfter
+// degradeBlock reads a `degrade` block and adds its level to c.levels. Without `below`, the level is left
+// when the rejected fraction of the fleet's requests falls below half of `above`.
+func (c *compiler) degradeBlock(block *hcl.Block) {
+	attrs := c.content(block.Body, degradeSchema).Attributes
+	level := &degradeLevel{name: block.Labels[0], source: block.DefRange}
+	level.RejectClasses, level.Status, level.RetryAfter = c.texts(attrs["refuse"]), 503, defaultRetryAfter
 	if g := c.fraction(attrs["above"]); g != nil {
-		if l.EnterAbove, l.LeaveBelow, l.aboveSource = g.value, g.value/2, g.source; g.value == 0 || g.value == 1 {
+		if level.EnterAbove, level.LeaveBelow, level.aboveSource = g.value, g.value/2, g.source; g.value == 0 ||
+			g.value == 1 {
 			c.addError(
 				g.source,
 				"A level that never comes or always holds",
@@ -33,40 +36,42 @@
 		}
 	}
 	if g := c.fraction(attrs["below"]); g != nil {
-		if l.LeaveBelow = g.value; g.value >= l.EnterAbove {
+		if level.LeaveBelow = g.value; g.value >= level.EnterAbove {
 			c.addError(
 				g.source,
 				"A level that is left as it is taken",
 				fmt.Sprintf("below is %v and above %v: the fleet would go to and fro. "+
-					"Put below well under above.", g.value, l.EnterAbove),
+					"Put below well under above.", g.value, level.EnterAbove),
 			)
 		}
 	}
 	if n, ok := c.status(attrs["status"]); ok {
-		l.Status = n
+		level.Status = n
 	}
 	if d, ok := c.duration(attrs["wait"]); ok {
-		l.RetryAfter = d
+		level.RetryAfter = d
 	}
 	if a := attrs["refuse"]; a != nil {
-		if l.classesSource = a.Expr.Range(); l.RejectClasses == nil {
+		if level.classesSource = a.Expr.Range(); level.RejectClasses == nil {
 			c.addError(
-				l.classesSource,
+				level.classesSource,
 				"A level that refuses nothing",
 				"Name the classes that go first: refuse = [\"aging-report\"].",
 			)
 		}
 	}
-	for _, before := range c.levels {
-		if before.name == l.name {
-			c.checkDuplicate(b, l.name)
+	for _, previous := range c.levels {
+		if previous.name == level.name {
+			c.checkDuplicate(block, level.name)
 		}
 	}
-	c.levels = append(c.levels, l)
+	c.levels = append(c.levels, level)
 }
 
-// sortLevels puts the levels in order and checks them against each other, and against what the scopes say.
-func (c *compiler) sortLevels(fleet *scope) {
+// sortLevels sorts the levels by their thresholds. It reports too many levels, levels with the same
+// threshold, a class that an earlier level rejects already, and a class that a level rejects although a scope
+// gives it priority.
+func (c *compiler) sortLevels(fleet *policyScope) {
 	slices.SortStableFunc(
 		c.levels,
 		func(a, b *degradeLevel) int { return cmp.Compare(a.EnterAbove, b.EnterAbove) },
@@ -80,37 +85,38 @@
 		return
 	}
 	first := map[string]*degradeLevel{}
-	for i, l := range c.levels {
-		if i > 0 && l.EnterAbove == c.levels[i-1].EnterAbove {
+	for i, level := range c.levels {
+		if i > 0 && level.EnterAbove == c.levels[i-1].EnterAbove {
 			c.addError(
-				l.aboveSource,
+				level.aboveSource,
 				"Two levels at once",
 				fmt.Sprintf("Level %q begins above %v as well. Put them together, or apart.",
-					c.levels[i-1].name, l.EnterAbove),
+					c.levels[i-1].name, level.EnterAbove),
 			)
 		}
-		l.RejectClasses = slices.Compact(slices.Sorted(slices.Values(l.RejectClasses)))
-		for _, class := range l.RejectClasses {
-			if before := first[class]; before != nil {
+		level.RejectClasses = slices.Compact(slices.Sorted(slices.Values(level.RejectClasses)))
+		for _, class := range level.RejectClasses {
+			if previous := first[class]; previous != nil {
 				c.addError(
-					l.classesSource,
+					level.classesSource,
 					"A rule that can never matter",
 					fmt.Sprintf("%q is refused from level %q on already, which is below "+
-						"this one. Drop it here.", class, before.name),
+						"this one. Drop it here.", class, previous.name),
 				)
 				continue
 			}
-			first[class] = l
-			c.name(l.classesSource, "class", class, c.known.classNames())
+			first[class] = level
+			c.checkName(level.classesSource, "class", class, c.known.classNames())
 		}
 	}
-	fleet.each(func(p *scope) {
-		if l := first[p.value]; p.attribute == ratelimit.AttributeClass && p.priority > 0 && l != nil {
+	fleet.each(func(scope *policyScope) {
+		if level := first[scope.value]; scope.attribute == ratelimit.AttributeClass &&
+			scope.priority > 0 && level != nil {
 			c.addError(
-				p.prioritySource,
+				scope.prioritySource,
 				"Rules that contradict",
 				fmt.Sprintf("%s always has priority here, and level %q (line %d) refuses it. "+
-					"Drop one of them.", p.path(), l.name, l.classesSource.Start.Line),
+					"Drop one of them.", scope.path(), level.name, level.classesSource.Start.Line),
 			)
 		}
 	})
--- a/internal/policy/drawn_test.go
+++ b/internal/policy/drawn_test.go
@@ -16,17 +16,17 @@
 	"wrenspread/ratelimit"
 )
 
-// block is a drawn piece of text whose parts may come in any order.
-type block struct {
-	head string
-	kids []*block // none: an attribute
+// section is a drawn piece of text whose parts may come in any order.
+type section struct {
+	head     string
+	children []*section // none: an attribute
 }
 
-func (b *block) text(r *rand.Rand) string {
-	if b.kids == nil {
+func (b *section) text(r *rand.Rand) string {
+	if b.children == nil {
 		return b.head + "\n"
 	}
-	kids := slices.Clone(b.kids)
+	kids := slices.Clone(b.children)
 	if r != nil && !strings.HasPrefix(b.head, "requests") { // times go by their order, and stay
 		r.Shuffle(len(kids), func(i, j int) { kids[i], kids[j] = kids[j], kids[i] })
 	}
@@ -38,11 +38,11 @@
 	return s.String() + "}\n"
 }
 
-func attribute(format string, args ...any) *block { return &block{head: fmt.Sprintf(format, args...)} }
+func option(format string, args ...any) *section { return &section{head: fmt.Sprintf(format, args...)} }
 
 // drawLimit gives a limit's block. Shares are drawn so that floors fit now and then.
-func drawLimit(t *rapid.T, kind string, outermost bool) *block {
-	b := &block{head: kind, kids: []*block{}}
+func drawLimit(t *rapid.T, kind string, outermost bool) *section {
+	b := &section{head: kind, children: []*section{}}
 	rate, n := "rate", rapid.IntRange(1, 50).Draw(t, "rate")
 	if kind == "open" {
 		rate = "most"
@@ -51,45 +51,45 @@
 		n += 100
 	}
 	if kind == "requests" || kind == "work" || kind == "open" || outermost {
-		b.kids = append(b.kids, attribute("%s = %d", rate, n))
+		b.children = append(b.children, option("%s = %d", rate, n))
 	} else {
-		b.kids = append(b.kids, attribute("part = percent(%d)", n))
+		b.children = append(b.children, option("part = percent(%d)", n))
 	}
 	for name, most := range map[string]int{"floor": n, "weight": 9, "reserve": 1} {
 		if v := rapid.IntRange(0, 3*most).Draw(t, name); v > 0 && v <= most && (name != "floor" || !outermost && kind == "requests") {
-			b.kids = append(b.kids, attribute("%s = %v", name, map[bool]any{true: 0.5, false: v}[name == "reserve"]))
+			b.children = append(b.children, option("%s = %v", name, map[bool]any{true: 0.5, false: v}[name == "reserve"]))
 		}
 	}
 	if kind == "requests" && !outermost && rapid.IntRange(0, 5).Draw(t, "times") == 0 {
-		b.kids = append(b.kids, &block{head: "at", kids: []*block{attribute("from = \"%02d:00\"", rapid.IntRange(0, 11).Draw(t, "from")),
-			attribute("to = \"%02d:00\"", rapid.IntRange(12, 23).Draw(t, "to")), attribute("burst = 99")}})
+		b.children = append(b.children, &section{head: "at", children: []*section{option("from = \"%02d:00\"", rapid.IntRange(0, 11).Draw(t, "from")),
+			option("to = \"%02d:00\"", rapid.IntRange(12, 23).Draw(t, "to")), option("burst = 99")}})
 	}
-	slices.SortStableFunc(b.kids, func(a, c *block) int { return strings.Compare(a.head, c.head) })
+	slices.SortStableFunc(b.children, func(a, c *section) int { return strings.Compare(a.head, c.head) })
 	return b
 }
 
-func drawPart(t *rapid.T, head string, depth int) *block {
-	b := &block{head: head, kids: []*block{}}
+func drawPart(t *rapid.T, head string, depth int) *section {
+	b := &section{head: head, children: []*section{}}
 	if depth > 0 && rapid.Bool().Draw(t, "share") {
-		b.kids = append(b.kids, attribute("share = percent(%d)", rapid.IntRange(0, 45).Draw(t, "percent")))
+		b.children = append(b.children, option("share = percent(%d)", rapid.IntRange(0, 45).Draw(t, "percent")))
 	}
 	if p := rapid.SampledFrom([]string{"", "", "always", "never"}).Draw(t, "priority"); p != "" {
-		b.kids = append(b.kids, attribute("priority = %q", p))
+		b.children = append(b.children, option("priority = %q", p))
 	}
 	for _, kind := range []string{"requests", "work", "open", "repeats", "key"} {
 		if depth == 0 && kind != "key" || depth > 0 && rapid.IntRange(0, 3).Draw(t, kind) == 0 {
-			b.kids = append(b.kids, drawLimit(t, kind, depth == 0))
+			b.children = append(b.children, drawLimit(t, kind, depth == 0))
 		}
 	}
 	if depth < 2 {
 		axis := rapid.SampledFrom([]string{"book", "class", "site"}).Draw(t, "axis")
 		names := map[string][]string{"book": site.Tenants, "class": site.classNames(), "site": site.Sites}[axis]
 		for _, n := range rapid.SliceOfNDistinct(rapid.SampledFrom(append(slices.Clone(names), "*")), 0, 3, rapid.ID).Draw(t, "names") {
-			b.kids = append(b.kids, drawPart(t, fmt.Sprintf("%s %q", axis, n), depth+1))
+			b.children = append(b.children, drawPart(t, fmt.Sprintf("%s %q", axis, n), depth+1))
 		}
 	}
-	if len(b.kids) == 0 {
-		b.kids = append(b.kids, attribute("weight = 1"))
+	if len(b.children) == 0 {
+		b.children = append(b.children, option("weight = 1"))
 	}
 	return b
 }
--- a/internal/policy/errors.go
+++ b/internal/policy/errors.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	maxPrinted = 100 // errors that are printed
-	lineWidth  = 100 // of a line, in characters
+	maxPrintedErrors = 100 // further errors are only counted
+	lineWidth        = 100 // of a printed line, in characters
 )
 
-// addError notes an error: what is wrong where, and a way out.
-func (c *compiler) addError(at hcl.Range, what, wayOut string) {
+// addError adds an error: its place in the source, a summary of the fault, and how to correct it.
+func (c *compiler) addError(at hcl.Range, summary, detail string) {
 	c.diags = append(
 		c.diags,
-		&hcl.Diagnostic{Severity: hcl.DiagError, Summary: what, Detail: wayOut, Subject: at.Ptr()},
+		&hcl.Diagnostic{Severity: hcl.DiagError, Summary: summary, Detail: detail, Subject: at.Ptr()},
 	)
 }
 
-// sortedErrors has the errors by their places, each once.
+// sortedErrors returns the errors in the order of their places in the source, without duplicates.
 func (c *compiler) sortedErrors() hcl.Diagnostics {
 	at := func(d *hcl.Diagnostic) int {
 		if d.Subject == nil {
@@ -38,37 +38,40 @@
 	})
 }
 
-// Errors are all that is wrong with a text.
+// Errors are all faults that Compile has found in a policy's source. There is at least one.
 type Errors struct {
 	diags hcl.Diagnostics
 	file  string
 	text  []byte
 }
 
-// Count is how many there are.
+// Count returns the number of errors.
 func (e *Errors) Count() int { return len(e.diags) }
 
-// Error returns the first, and says how many there are.
+// Error returns the number of errors and the text of the first one.
 func (e *Errors) Error() string {
 	var b strings.Builder
-	e.write(&b, e.diags[0])
+	e.writeDiagnostic(&b, e.diags[0])
 	return fmt.Sprintf("%d errors in the policy; first: %s", len(e.diags), b.String())
 }
 
-// Print writes each error with its file, line and column, the offending words and a way out.
+// Print writes each error with its file, line and column, the marked source line and how to correct the
+// fault. It writes at most maxPrintedErrors errors and then the number of the others.
 func (e *Errors) Print(w io.Writer) error {
 	var b strings.Builder
-	for _, d := range e.diags[:min(len(e.diags), maxPrinted)] {
-		e.write(&b, d)
+	for _, d := range e.diags[:min(len(e.diags), maxPrintedErrors)] {
+		e.writeDiagnostic(&b, d)
 	}
-	if more := len(e.diags) - maxPrinted; more > 0 {
+	if more := len(e.diags) - maxPrintedErrors; more > 0 {
 		fmt.Fprintf(&b, "and %d more\n", more)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-func (e *Errors) write(b *strings.Builder, d *hcl.Diagnostic) {
+// writeDiagnostic writes one error. Of a source line that is longer than lineWidth it shows the section
+// around the error.
+func (e *Errors) writeDiagnostic(b *strings.Builder, d *hcl.Diagnostic) {
 	at := hcl.Range{Start: hcl.InitialPos, End: hcl.InitialPos}
 	if d.Subject != nil {
 		at = *d.Subject
@@ -77,23 +80,23 @@
 	if lines := bytes.SplitN(e.text, []byte("\n"), at.Start.Line+1); at.Start.Line <= len(lines) {
 		line := strings.ToValidUTF8(strings.ReplaceAll(string(lines[at.Start.Line-1]), "\t", " "), "?")
 		runes := []rune(strings.TrimRight(line, "\r "))
-		from := min(at.Start.Column-1, len(runes))
-		to := min(at.End.Column-1, len(runes))
+		markFrom := min(at.Start.Column-1, len(runes))
+		markTo := min(at.End.Column-1, len(runes))
 		if at.End.Line > at.Start.Line {
-			to = len(runes)
+			markTo = len(runes)
 		}
-		first := 0 // of a line too long to show
+		shownFrom := 0 // the first character shown of a long line
 		if len(runes) > lineWidth {
-			first, runes = max(0, from-lineWidth/4), runes[max(0, from-lineWidth/4):]
+			shownFrom, runes = max(0, markFrom-lineWidth/4), runes[max(0, markFrom-lineWidth/4):]
 			runes = runes[:min(len(runes), lineWidth)]
 		}
-		from, to = from-first, min(to-first, len(runes))
+		markFrom, markTo = markFrom-shownFrom, min(markTo-shownFrom, len(runes))
 		fmt.Fprintf(
 			b,
 			"    %s\n    %s%s\n",
 			string(runes),
-			strings.Repeat(" ", from),
-			strings.Repeat("^", max(1, to-from)),
+			strings.Repeat(" ", markFrom),
+			strings.Repeat("^", max(1, markTo-markFrom)),
 		)
 	}
 	detail := wordwrap.WrapString(strings.ToValidUTF8(d.Detail, "?"), lineWidth-2)
--- a/internal/policy/figures.go
+++ b/internal/policy/figures.go
@@ -7,164 +7,177 @@
 	"wrenspread/ratelimit"
 )
 
-const tolerance = 1e-9 // relative: sums of parts come out a little off
+// tolerance is the relative difference up to which two rates count as equal, because sums of shares are
+// subject to rounding errors.
+const tolerance = 1e-9
 
-// resolve evaluates all limits, from the fleet inwards.
-func (c *compiler) resolve(p *scope) {
-	if p.share != nil {
-		c.addImpliedLimits(p)
-	}
-	for _, l := range p.limits {
-		if l != nil {
-			c.resolveLimit(p, l)
+// resolveLimits computes the rates of all limits of a scope and of the scopes within it. Outer limits come
+// first, because inner limits refer to them.
+func (c *compiler) resolveLimits(scope *policyScope) {
+	if scope.share != nil {
+		c.addImpliedLimits(scope)
+	}
+	for _, limit := range scope.limits {
+		if limit != nil {
+			c.resolveLimit(scope, limit)
 		}
 	}
-	for _, k := range p.children {
-		c.resolve(k)
+	for _, child := range scope.children {
+		c.resolveLimits(child)
 	}
 }
 
-// addImpliedLimits gives a scope with a share its limits in the units that the limits around it have, where
-// it says none.
-func (c *compiler) addImpliedLimits(p *scope) {
+// addImpliedLimits adds limits to a scope with a share: one in each unit in which an outer limit exists and
+// in which the scope has no limit of its own.
+func (c *compiler) addImpliedLimits(scope *policyScope) {
 	found := false
-	for _, u := range []ratelimit.Unit{ratelimit.UnitRequests, ratelimit.UnitWork, ratelimit.UnitConcurrency} {
-		around := p.parent.nearest(u)
-		if found = found || around != nil; around != nil && p.limits[u] == nil {
-			p.limits[u] = &limit{settings: c.defaultSettings, unit: u, source: p.source}
+	for _, unit := range []ratelimit.Unit{
+		ratelimit.UnitRequests, ratelimit.UnitWork, ratelimit.UnitConcurrency} {
+		around := scope.parent.nearestLimit(unit)
+		if found = found || around != nil; around != nil && scope.limits[unit] == nil {
+			scope.limits[unit] = &policyLimit{limitSettings: c.defaultSettings, unit: unit, source: scope.source}
 		}
 	}
-	if !found && p.parent != nil {
+	if !found && scope.parent != nil {
 		c.addError(
-			p.share.source,
+			scope.share.source,
 			"A share of nothing",
-			fmt.Sprintf("No part around %s has a limit. Give one a rate, or this one.", p.path()),
+			fmt.Sprintf("No part around %s has a limit. Give one a rate, or this one.", scope.path()),
 		)
 	}
 }
 
-// nearest is the limit of a unit on a scope or the nearest scope around it.
-func (p *scope) nearest(u ratelimit.Unit) *limit {
-	for ; p != nil; p = p.parent {
-		if p.limits[u] != nil {
-			return p.limits[u]
+// nearestLimit returns the limit in a unit of the scope itself or of the nearest scope around it that has
+// one, and nil if there is none.
+func (s *policyScope) nearestLimit(unit ratelimit.Unit) *policyLimit {
+	for ; s != nil; s = s.parent {
+		if s.limits[unit] != nil {
+			return s.limits[unit]
 		}
 	}
 	return nil
 }
 
-// resolveLimit evaluates one limit. Its outer limit bounds it; its whole is what its parts are parts of.
-func (c *compiler) resolveLimit(p *scope, l *limit) {
-	var outer *limit
-	if p.parent != nil {
-		outer = p.parent.nearest(l.unit)
+// resolveLimit computes the rates and the schedule of one limit. The outer limit is the nearest one around it
+// in the same unit and bounds the limit. fractionBase is the limit that fractions and shares refer to: the
+// outer limit or, for retries and keys, the nearest limit on requests.
+func (c *compiler) resolveLimit(scope *policyScope, limit *policyLimit) {
+	var outer *policyLimit
+	if scope.parent != nil {
+		outer = scope.parent.nearestLimit(limit.unit)
 	}
-	whole := outer
-	if l.unit == ratelimit.UnitRetries || l.unit == ratelimit.UnitPerKey {
-		whole = p.nearest(ratelimit.UnitRequests)
+	fractionBase := outer
+	if limit.unit == ratelimit.UnitRetries || limit.unit == ratelimit.UnitPerKey {
+		fractionBase = scope.nearestLimit(ratelimit.UnitRequests)
 	}
-	if l.raw.share == nil && l.raw.floor == nil && l.unit <= ratelimit.UnitConcurrency {
-		l.raw.share = p.share
+	if limit.raw.share == nil && limit.raw.floor == nil && limit.unit <= ratelimit.UnitConcurrency {
+		limit.raw.share = scope.share
 	}
-	if l.raw.weight == nil {
-		l.raw.weight = p.weight
+	if limit.raw.weight == nil {
+		limit.raw.weight = scope.weight
 	}
-	if l.raw.borrow == nil {
-		l.raw.borrow = p.borrow
+	if limit.raw.borrow == nil {
+		limit.raw.borrow = scope.borrow
 	}
-	if l.broken = l.raw.broken || outer != nil && outer.broken || whole != nil && whole.broken; l.broken {
+	if limit.invalid = limit.raw.invalid || outer != nil && outer.invalid ||
+		fractionBase != nil && fractionBase.invalid; limit.invalid {
 		return
 	}
-	bad := len(c.diags)
+	previousErrors := len(c.diags)
 	var ok bool
-	if l.rates, ok = c.resolveRates(p, l, l.raw, outer, whole); !ok || len(c.diags) > bad {
-		l.broken = !ok
-		return // the same would be wrong at each time
+	if limit.rates, ok = c.resolveRates(scope, limit, limit.raw, outer, fractionBase); !ok ||
+		len(c.diags) > previousErrors {
+		limit.invalid = !ok
+		return // each schedule entry would report the same error again
 	}
-	c.resolveSchedule(p, l, outer, whole)
-	if r := l.reserve; r > 0 && p.priority > 0 {
+	c.resolveSchedule(scope, limit, outer, fractionBase)
+	if reserve := limit.priorityReserve; reserve > 0 && scope.priority > 0 {
 		c.addError(
-			l.source,
+			limit.source,
 			"Rules that contradict",
 			fmt.Sprintf("All requests here have priority (line %d), so that a reserve for those with "+
-				"priority keeps nothing back. Drop one of the two.", p.prioritySource.Start.Line),
+				"priority keeps nothing back. Drop one of the two.", scope.prioritySource.Start.Line),
 		)
 	}
 }
 
-// overriddenBy is a limit's figures at a time that gives others.
-func (r rawRates) overriddenBy(t rawRates) rawRates {
-	if t.rate != nil || t.fraction != nil {
-		r.rate, r.fraction = t.rate, t.fraction
+// withOverride returns the rates of a limit while a schedule entry with other rates is in force.
+func (r rawRates) withOverride(override rawRates) rawRates {
+	if override.rate != nil || override.fraction != nil {
+		r.rate, r.fraction = override.rate, override.fraction
 	}
-	if t.floor != nil || t.share != nil {
-		r.floor, r.share = t.floor, t.share
+	if override.floor != nil || override.share != nil {
+		r.floor, r.share = override.floor, override.share
 	}
-	if t.burst != nil {
-		r.burst = t.burst
+	if override.burst != nil {
+		r.burst = override.burst
 	}
 	return r
 }
 
-// limitedTo is a limit's figures while the limit around it has so much: a rate beyond gives way.
-func (r rawRates) limitedTo(most float64) rawRates {
-	if r.rate != nil && r.rate.value > most {
-		r.rate = &number{most, r.rate.source}
+// cappedAt returns the rates of a limit while the outer limit has the given rate. A higher rate is reduced to
+// this maximum.
+func (r rawRates) cappedAt(maximum float64) rawRates {
+	if r.rate != nil && r.rate.value > maximum {
+		r.rate = &number{maximum, r.rate.source}
 	}
 	return r
 }
 
-// resolveRates evaluates figures, if there are any, and notes what is wrong with them.
+// resolveRates computes the rates of a limit from the configured values and reports faults in them. The
+// result is false if the limit has no rate, neither of its own nor from an outer limit.
 func (c *compiler) resolveRates(
-	p *scope,
-	l *limit,
-	r rawRates,
-	outer, whole *limit,
-) (f ratelimit.Rates, ok bool) {
-	lends := r.borrow == nil || r.borrow.value
-	floor, hasFloor := c.units(r.floor, r.share, whole)
-	rate, hasRate := c.units(r.rate, r.fraction, whole)
+	scope *policyScope,
+	limit *policyLimit,
+	raw rawRates,
+	outer, fractionBase *policyLimit,
+) (rates ratelimit.Rates, ok bool) {
+	lends := raw.borrow == nil || raw.borrow.value
+	floor, hasFloor := c.resolveAmount(raw.floor, raw.share, fractionBase)
+	rate, hasRate := c.resolveAmount(raw.rate, raw.fraction, fractionBase)
 	switch {
 	case hasRate && hasFloor && !lends && math.Abs(rate-floor) > tolerance*rate:
 		c.addError(
-			r.borrow.source,
+			raw.borrow.source,
 			"Rules that contradict",
 			fmt.Sprintf("Without borrowing %s has its floor, %s, and no more, yet its rate is "+
-				"%s. Give one of the two.", p.path(), formatNumber(floor), formatNumber(rate)),
+				"%s. Give one of the two.", scope.path(), formatNumber(floor), formatNumber(rate)),
 		)
 	case !hasRate && hasFloor && !lends:
 		rate = floor
 	case !hasRate && outer != nil:
 		rate = outer.rates.Rate
-	case !hasRate && r.fraction != nil: // of nothing, as has been reported
-		return f, false
+	case !hasRate && raw.fraction != nil: // resolveAmount has reported the fraction without a base
+		return rates, false
 	case !hasRate:
 		c.addError(
-			l.source,
+			limit.source,
 			"A limit without a figure",
 			fmt.Sprintf("Nothing around %s has a limit on %s that it could keep to. Give it a %s.",
-				p.path(), l.unit, map[bool]string{true: "most", false: "rate"}[l.unit == ratelimit.UnitConcurrency]),
+				scope.path(), limit.unit,
+				map[bool]string{true: "most", false: "rate"}[limit.unit == ratelimit.UnitConcurrency]),
 		)
-		return f, false
+		return rates, false
 	}
-	if f.Rate, f.Floor = rate, floor; !lends {
-		f.Floor = rate
+	if rates.Rate, rates.Floor = rate, floor; !lends {
+		rates.Floor = rate
 	}
-	c.compare(p, l, r, f, outer)
-	f.Burst = c.burstOf(l, r, f.Rate, outer)
-	return f, true
+	c.checkRates(scope, limit, raw, rates, outer)
+	rates.Burst = c.burstOf(limit, raw, rates.Rate, outer)
+	return rates, true
 }
 
-// units are a figure in units, given so or as a part of the whole.
-func (c *compiler) units(n, part *number, whole *limit) (float64, bool) {
+// resolveAmount returns an amount in units, which the policy sets directly or as a fraction of the base's
+// rate. The result is false if the policy sets neither, or a fraction without a base, which is reported.
+func (c *compiler) resolveAmount(amount, fraction *number, fractionBase *policyLimit) (float64, bool) {
 	switch {
-	case n != nil:
-		return n.value, true
-	case part != nil && whole != nil:
-		return part.value * whole.rates.Rate, true
-	case part != nil:
+	case amount != nil:
+		return amount.value, true
+	case fraction != nil && fractionBase != nil:
+		return fraction.value * fractionBase.rates.Rate, true
+	case fraction != nil:
 		c.addError(
-			part.source,
+			fraction.source,
 			"A part of nothing",
 			"There is no limit that it could be a part of: give one around it, or units here.",
 		)
--- a/internal/policy/flatten.go
+++ b/internal/policy/flatten.go
@@ -7,77 +7,83 @@
 	"wrenspread/ratelimit"
 )
 
-// buildTable puts the scopes in the table's order, whatever order the text has.
-func (c *compiler) buildTable(fleet *scope) *ratelimit.Table {
-	t := &ratelimit.Table{
+// buildTable builds the table of scopes, limits and levels. The order of the scopes in the table does not
+// depend on the order of the blocks in the source.
+func (c *compiler) buildTable(fleet *policyScope) *ratelimit.Table {
+	table := &ratelimit.Table{
 		Format:    ratelimit.Format,
-		UTCOffset: c.zone,
+		UTCOffset: c.utcOffset,
 		Scopes:    []ratelimit.Scope{},
 		Limits:    []ratelimit.Limit{},
 		Levels:    []ratelimit.DegradationLevel{},
 	}
-	for _, l := range c.levels {
-		t.Levels = append(t.Levels, l.DegradationLevel)
+	for _, level := range c.levels {
+		table.Levels = append(table.Levels, level.DegradationLevel)
 	}
-	c.addScope(t, fleet, -1, map[*limit]int{})
-	return t
+	c.addScope(table, fleet, -1, map[*policyLimit]int{})
+	return table
 }
 
-func (c *compiler) addScope(t *ratelimit.Table, p *scope, within int, at map[*limit]int) {
-	self := len(t.Scopes)
-	t.Scopes = append(
-		t.Scopes,
+// addScope adds a scope, its limits and the scopes within it to the table, sorted by attribute and value. The
+// argument limitIndexes maps the limits that are in the table to their indexes; addScope adds the new ones.
+func (c *compiler) addScope(
+	table *ratelimit.Table, scope *policyScope, parentIndex int, limitIndexes map[*policyLimit]int) {
+	scopeIndex := len(table.Scopes)
+	table.Scopes = append(
+		table.Scopes,
 		ratelimit.Scope{
-			Parent:     within,
-			Attribute:  p.attribute,
-			Value:      p.value,
-			FirstLimit: len(t.Limits),
-			Priority:   p.priority,
+			Parent:     parentIndex,
+			Attribute:  scope.attribute,
+			Value:      scope.value,
+			FirstLimit: len(table.Limits),
+			Priority:   scope.priority,
 		},
 	)
-	for _, l := range p.limits {
-		if l == nil {
+	for _, limit := range scope.limits {
+		if limit == nil {
 			continue
 		}
 		parent := -1
-		if outer := p.parent.nearest(l.unit); outer != nil {
-			parent = at[outer]
+		if outer := scope.parent.nearestLimit(limit.unit); outer != nil {
+			parent = limitIndexes[outer]
 		}
-		at[l] = len(t.Limits)
-		t.Limits = append(t.Limits, l.toTable(t, self, parent))
-		t.Scopes[self].LimitCount++
+		limitIndexes[limit] = len(table.Limits)
+		table.Limits = append(table.Limits, limit.toTable(table, scopeIndex, parent))
+		table.Scopes[scopeIndex].LimitCount++
 	}
-	slices.SortFunc(p.children, func(a, b *scope) int {
+	slices.SortFunc(scope.children, func(a, b *policyScope) int {
 		return cmp.Or(cmp.Compare(a.attribute, b.attribute), cmp.Compare(a.value, b.value))
 	})
-	for _, k := range p.children {
-		c.addScope(t, k, self, at)
+	for _, child := range scope.children {
+		c.addScope(table, child, scopeIndex, limitIndexes)
 	}
 }
 
-func (l *limit) toTable(t *ratelimit.Table, part, parent int) ratelimit.Limit {
+// toTable returns the limit as an entry of the table, with the indexes of its scope and of its outer limit
+// there; parentIndex is -1 for a limit without an outer limit.
+func (l *policyLimit) toTable(table *ratelimit.Table, scopeIndex, parentIndex int) ratelimit.Limit {
 	weight := 1.0
 	if l.raw.weight != nil {
 		weight = l.raw.weight.value
 	}
-	f := l.rates
-	flat := ratelimit.Limit{
-		Scope:  part,
-		Parent: parent,
+	rates := l.rates
+	flattened := ratelimit.Limit{
+		Scope:  scopeIndex,
+		Parent: parentIndex,
 		Unit:   l.unit,
-		Rate:   f.Rate,
-		Burst:  f.Burst,
-		Floor:  f.Floor,
+		Rate:   rates.Rate,
+		Burst:  rates.Burst,
+		Floor:  rates.Floor,
 		Weight: weight,
 		Borrow: l.raw.borrow == nil ||
 			l.raw.borrow.value,
 		FallbackShare:   l.fallbackShare,
-		PriorityReserve: l.reserve,
-		KeySlots:        l.slots,
+		PriorityReserve: l.priorityReserve,
+		KeySlots:        l.keySlots,
 		Status:          l.status,
 		RetryAfter:      l.retryAfter,
 		Schedule:        l.windows,
 	}
-	flat.Name, flat.Attribute = t.LimitName(part, l.unit)
-	return flat
+	flattened.Name, flattened.Attribute = table.LimitName(scopeIndex, l.unit)
+	return flattened
 }
--- a/internal/policy/floors.go
+++ b/internal/policy/floors.go
@@ -9,132 +9,136 @@
 	"wrenspread/ratelimit"
 )
 
-// checkFloors finds floors of siblings that add up to more than the limit around them has, at any time.
-func (c *compiler) checkFloors(t *ratelimit.Table, fleet *scope) {
+// checkFloors reports sibling limits whose floors add up to more than the rate of their outer limit, at any
+// time of a schedule. Siblings have the same outer limit and attribute.
+func (c *compiler) checkFloors(table *ratelimit.Table, fleet *policyScope) {
 	type group struct {
-		parent int
-		axis   ratelimit.Attribute
+		parent    int
+		attribute ratelimit.Attribute
 	}
 	groups, order := map[group][]int{}, []group{}
-	for i, l := range t.Limits {
-		if l.Parent < 0 || l.Unit > ratelimit.UnitConcurrency {
+	for i, limit := range table.Limits {
+		if limit.Parent < 0 || limit.Unit > ratelimit.UnitConcurrency {
 			continue
 		}
-		g := group{l.Parent, l.Attribute}
-		if groups[g] == nil {
-			order = append(order, g)
+		siblings := group{limit.Parent, limit.Attribute}
+		if groups[siblings] == nil {
+			order = append(order, siblings)
 		}
-		groups[g] = append(groups[g], i)
+		groups[siblings] = append(groups[siblings], i)
 	}
-	places := scopesInOrder(fleet)
-	for _, g := range order {
-		at := moments(t, append([]int{g.parent}, groups[g]...))
-		if len(at) > maxMoments {
+	scopes := scopesInOrder(fleet)
+	for _, siblings := range order {
+		times := sampleTimes(table, append([]int{siblings.parent}, groups[siblings]...))
+		if len(times) > maxSampleTimes {
 			c.addError(
-				places[t.Limits[g.parent].Scope].source,
+				scopes[table.Limits[siblings.parent].Scope].source,
 				"Too many times",
 				"The limits within this one change at too many different "+
 					"times of day. Let them begin and end together.",
 			)
 			continue
 		}
-		for _, at := range at {
-			if c.checkFloorsAt(t, g.parent, groups[g], at, places) {
-				break // once for each group
+		for _, at := range times {
+			if c.checkFloorsAt(table, siblings.parent, groups[siblings], at, scopes) {
+				break // report each group of siblings once
 			}
 		}
 	}
 }
 
-// checkFloorsAt compares one group's floors with what is there at a time.
+// checkFloorsAt compares the sum of the floors of one group of siblings with the rate of their outer limit at
+// a time. It reports whether the sum exceeds the rate.
 func (c *compiler) checkFloorsAt(
-	t *ratelimit.Table,
+	table *ratelimit.Table,
 	parent int,
 	group []int,
 	at time.Time,
-	places []*scope,
+	scopes []*policyScope,
 ) bool {
-	there, sum, most := t.RatesAt(parent, at).Rate, 0.0, group[0]
+	available, sum, largest := table.RatesAt(parent, at).Rate, 0.0, group[0]
 	for _, i := range group {
-		sum += t.RatesAt(i, at).Floor
-		if t.RatesAt(i, at).Floor > t.RatesAt(most, at).Floor {
-			most = i
+		sum += table.RatesAt(i, at).Floor
+		if table.RatesAt(i, at).Floor > table.RatesAt(largest, at).Floor {
+			largest = i
 		}
 	}
-	if sum <= there*(1+tolerance) {
+	if sum <= available*(1+tolerance) {
 		return false
 	}
 	var names []string
 	for _, i := range group {
-		if f := t.RatesAt(i, at).Floor; f > 0 && len(names) < 8 {
-			names = append(names, fmt.Sprintf("%s %s", t.Limits[i].Name, formatNumber(f)))
+		if floor := table.RatesAt(i, at).Floor; floor > 0 && len(names) < 8 {
+			names = append(names, fmt.Sprintf("%s %s", table.Limits[i].Name, formatNumber(floor)))
 		}
 	}
-	p := places[t.Limits[most].Scope]
-	when := ""
-	if t.Limits[parent].Schedule != nil ||
-		slices.ContainsFunc(group, func(i int) bool { return t.Limits[i].Schedule != nil }) {
-		when = at.Add(time.Duration(t.UTCOffset)*time.Minute).
+	scope := scopes[table.Limits[largest].Scope]
+	timeText := ""
+	if table.Limits[parent].Schedule != nil ||
+		slices.ContainsFunc(group, func(i int) bool { return table.Limits[i].Schedule != nil }) {
+		timeText = at.Add(time.Duration(table.UTCOffset)*time.Minute).
 			Format(" at 15:04 on day 2") +
 			" of a month of 31 days"
 	}
 	c.addError(
-		p.source,
+		scope.source,
 		"Floors that add up to more than is there",
 		fmt.Sprintf("%s has %s%s, and the floors within it come to %s (%s). "+
 			"Lower some by %s together, or raise %s.",
-			t.Limits[parent].Name, formatNumber(there), when, formatNumber(sum),
-			strings.Join(names, ", "), formatNumber(sum-there), t.Limits[parent].Name),
+			table.Limits[parent].Name, formatNumber(available), timeText, formatNumber(sum),
+			strings.Join(names, ", "), formatNumber(sum-available), table.Limits[parent].Name),
 	)
 	return true
 }
 
-// scopesInOrder returns the blocks in the order of the table's scopes.
-func scopesInOrder(fleet *scope) (places []*scope) {
-	fleet.each(func(p *scope) { places = append(places, p) }) // flatten has put them in order
-	return places
+// scopesInOrder returns the scopes in the order of the table's scopes.
+func scopesInOrder(fleet *policyScope) (scopes []*policyScope) {
+	fleet.each(func(scope *policyScope) { scopes = append(scopes, scope) }) // addScope has sorted the children
+	return scopes
 }
 
-// times at which a limit's floors are added up: 30 times of day on each day of a month
-const maxMoments = 2_000
+// maxSampleTimes bounds the times at which the floors of one group of siblings are added up. It allows for 30
+// times of day on each day of a month.
+const maxSampleTimes = 2_000
 
-// moments are times, one in each stretch in which no figure of the limits changes: in a month of 31 days, as
-// far from its end as the times tell apart.
-func moments(t *ratelimit.Table, limits []int) (list []time.Time) {
-	minutes, left := []int{0}, []int{30}
+// sampleTimes returns one time within each interval in which the rates of all these limits are constant. The
+// times are in a month of 31 days: on its first day and on the days around each day on which a window that is
+// limited to the last days of the month begins to apply.
+func sampleTimes(table *ratelimit.Table, limits []int) (list []time.Time) {
+	minutes, daysLeft := []int{0}, []int{30}
 	for _, i := range limits {
-		for _, s := range t.Limits[i].Schedule {
-			minutes = append(minutes, s.FromMinute, s.ToMinute)
-			if s.LastDays > 0 {
-				left = append(left, max(s.LastDays-2, 0), s.LastDays-1, min(s.LastDays, 30))
+		for _, window := range table.Limits[i].Schedule {
+			minutes = append(minutes, window.FromMinute, window.ToMinute)
+			if window.LastDays > 0 {
+				daysLeft = append(daysLeft, max(window.LastDays-2, 0), window.LastDays-1, min(window.LastDays, 30))
 			}
 		}
 	}
 	slices.Sort(minutes)
-	slices.Sort(left)
-	minutes, left = slices.Compact(minutes), slices.Compact(left)
-	for _, days := range left {
-		for _, m := range minutes {
-			there := time.Date(2026, time.January, 31-days, 0, m, 0, 0, time.UTC)
-			list = append(list, there.Add(-time.Duration(t.UTCOffset)*time.Minute))
+	slices.Sort(daysLeft)
+	minutes, daysLeft = slices.Compact(minutes), slices.Compact(daysLeft)
+	for _, days := range daysLeft {
+		for _, minute := range minutes {
+			moment := time.Date(2026, time.January, 31-days, 0, minute, 0, 0, time.UTC)
+			list = append(list, moment.Add(-time.Duration(table.UTCOffset)*time.Minute))
 		}
 	}
 	return list
 }
 
-// checkSize compares the whole with what a table can hold.
-func (c *compiler) checkSize(t *ratelimit.Table, fleet *scope) {
-	if len(t.Limits) > ratelimit.MaxLimits {
+// checkSize reports a policy with more limits, key slots or limits for one request than a table may have.
+func (c *compiler) checkSize(table *ratelimit.Table, fleet *policyScope) {
+	if len(table.Limits) > ratelimit.MaxLimits {
 		c.addError(
 			fleet.source,
 			"Too many limits",
 			fmt.Sprintf("There are %d, %d at most. Let parts with little to do share one block with the "+
-				"name \"*\".", len(t.Limits), ratelimit.MaxLimits),
+				"name \"*\".", len(table.Limits), ratelimit.MaxLimits),
 		)
 	}
 	slots := 0
-	for _, l := range t.Limits {
-		slots += l.KeySlots
+	for _, limit := range table.Limits {
+		slots += limit.KeySlots
 	}
 	if slots > ratelimit.MaxKeySlots {
 		c.addError(
@@ -144,15 +148,15 @@
 				slots, ratelimit.MaxKeySlots),
 		)
 	}
-	if limits, parts := t.MaxMatched(); limits > ratelimit.MaxMatchedLimits ||
-		parts > ratelimit.MaxMatchedScopes {
+	if limits, scopes := table.MaxMatched(); limits > ratelimit.MaxMatchedLimits ||
+		scopes > ratelimit.MaxMatchedScopes {
 		c.addError(
 			fleet.source,
 			"Limits too deep",
 			fmt.Sprintf("One request can touch %d limits in %d parts, %d and %d at most. Drop limits "+
 				"that those around them make needless, or write requests { share = ... } where a part's share "+
 				"makes a limit in each unit.",
-				limits, parts, ratelimit.MaxMatchedLimits, ratelimit.MaxMatchedScopes),
+				limits, scopes, ratelimit.MaxMatchedLimits, ratelimit.MaxMatchedScopes),
 		)
 	}
 }
--- a/internal/policy/hostile_test.go
+++ b/internal/policy/hostile_test.go
@@ -76,7 +76,7 @@
 // Whatever a text asks for, it is answered, and without much memory. An eighth of the longest text keeps this quick; work
 // grows in line with the length: at the whole length 1 s and 290 MB for the worst.
 func TestHostileTexts(t *testing.T) {
-	for name, text := range hostile(maxText / 8) {
+	for name, text := range hostile(maxSourceBytes / 8) {
 		t.Run(name, func(t *testing.T) {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
--- a/internal/policy/limit.go
+++ b/internal/policy/limit.go
@@ -9,65 +9,68 @@
 	"wrenspread/ratelimit"
 )
 
-// limit is a block that bounds a scope in one unit. Its figures are computed from raw when the limit around
-// it is known.
-type limit struct {
-	settings
+// policyLimit is a block that limits a scope in one unit. Its rates are computed from raw after those of the
+// outer limit.
+type policyLimit struct {
+	limitSettings
 	unit     ratelimit.Unit
 	source   hcl.Range
 	raw      rawRates
 	schedule []scheduleEntry
-	slots    int
+	keySlots int
 
 	rates   ratelimit.Rates
 	windows []ratelimit.ScheduleWindow
-	broken  bool // it has no figures, as it or one that it goes by is wrong
+	invalid bool // no rates could be computed, because this limit or one that it refers to is faulty
 }
 
-// settings is what defaults can give as well.
-type settings struct {
-	fallbackShare, reserve float64
-	status                 int
-	retryAfter             time.Duration
-	reserveAt              hcl.Range
+// limitSettings are the settings of a limit that a `defaults` block can set as well.
+type limitSettings struct {
+	fallbackShare, priorityReserve float64
+	status                         int
+	retryAfter                     time.Duration
+	reserveSource                  hcl.Range
 }
 
-// rawRates are figures as the text gives them: by themselves, or as parts of the limit around.
+// rawRates are the rates of a limit as the policy sets them. A fraction or a share is relative to another
+// limit; see resolveLimit. What the policy does not set is nil.
 type rawRates struct {
 	rate, fraction, floor, share, burst *number
 	weight                              *number
 	borrow                              *boolean
-	broken                              bool // something is given that is none
+	invalid                             bool // a value is set but faulty
 }
 
-// scheduleEntry is an `at` block.
+// scheduleEntry is an `at` block: rates that replace those of the limit while a window of time is in force.
 type scheduleEntry struct {
 	raw    rawRates
 	window ratelimit.ScheduleWindow
 	source hcl.Range
 }
 
-// What holds where a policy says nothing.
+// Settings of limits for which a policy has no value.
 const (
-	defaultFallbackShare = 0.25 // a quarter is safe with the other three lent out: see docs/quota-design.md
+	defaultFallbackShare = 0.25 // safe with the other three quarters lent out: see docs/quota-design.md
 	defaultRetryAfter    = time.Second
 	defaultKeySlots      = 256
 )
 
-func defaultCommon() settings {
-	return settings{fallbackShare: defaultFallbackShare, status: 429, retryAfter: defaultRetryAfter}
+// builtInSettings returns the settings of limits in a policy without a `defaults` block.
+func builtInSettings() limitSettings {
+	return limitSettings{fallbackShare: defaultFallbackShare, status: 429, retryAfter: defaultRetryAfter}
 }
 
 var (
-	defaultsSchema = &hcl.BodySchema{Attributes: attributes("safe", "reserve", "status", "wait")}
+	defaultsSchema = &hcl.BodySchema{Attributes: optionalAttributes("safe", "reserve", "status", "wait")}
 	limitSchema    = &hcl.BodySchema{
 		Attributes: append(
-			attributes("rate", "most", "part", "floor", "share", "burst", "weight", "borrow", "slots"),
+			optionalAttributes("rate", "most", "part", "floor", "share", "burst", "weight", "borrow", "slots"),
 			defaultsSchema.Attributes...),
 		Blocks: []hcl.BlockHeaderSchema{{Type: "at"}},
 	}
 	atSchema = &hcl.BodySchema{
-		Attributes: attributes("from", "to", "last_days", "rate", "most", "part", "floor", "share", "burst"),
+		Attributes: optionalAttributes(
+			"from", "to", "last_days", "rate", "most", "part", "floor", "share", "burst"),
 	}
 	degradeSchema = &hcl.BodySchema{
 		Attributes: []hcl.AttributeSchema{
@@ -80,13 +83,16 @@
 	}
 )
 
-func (c *compiler) defaults(body hcl.Body) {
-	c.commonSettings(&c.defaultSettings, c.content(body, defaultsSchema).Attributes)
+// defaultsBlock reads a `defaults` block.
+func (c *compiler) defaultsBlock(body hcl.Body) {
+	c.readSettings(&c.defaultSettings, c.content(body, defaultsSchema).Attributes)
 }
 
-func (c *compiler) commonSettings(f *settings, attrs hcl.Attributes) {
+// readSettings reads the attributes that `defaults` blocks and limits have in common. Attributes that are not
+// set leave the settings unchanged.
+func (c *compiler) readSettings(settings *limitSettings, attrs hcl.Attributes) {
 	if g := c.fraction(attrs["safe"]); g != nil {
-		if f.fallbackShare = g.value; g.value == 0 {
+		if settings.fallbackShare = g.value; g.value == 0 {
 			c.addError(
 				g.source,
 				"Nothing is safe",
@@ -95,7 +101,7 @@
 		}
 	}
 	if g := c.fraction(attrs["reserve"]); g != nil {
-		if f.reserve, f.reserveAt = g.value, g.source; g.value == 1 {
+		if settings.priorityReserve, settings.reserveSource = g.value, g.source; g.value == 1 {
 			c.addError(
 				g.source,
 				"All of it in reserve",
@@ -104,44 +110,48 @@
 		}
 	}
 	if n, ok := c.status(attrs["status"]); ok {
-		f.status = n
+		settings.status = n
 	}
 	if d, ok := c.duration(attrs["wait"]); ok {
-		f.retryAfter = d
+		settings.retryAfter = d
 	}
 }
 
-func (c *compiler) limit(b *hcl.Block, u ratelimit.Unit) *limit {
-	l := &limit{settings: c.defaultSettings, unit: u, source: b.DefRange}
-	content := c.content(b.Body, limitSchema)
-	c.commonSettings(&l.settings, content.Attributes)
-	l.raw = c.rawRates(content.Attributes, u)
-	l.raw.weight, l.raw.borrow = c.amount(content.Attributes["weight"]), c.flag(content.Attributes["borrow"])
-	if w := l.raw.weight; w != nil && w.value == 0 {
-		c.addError(w.source, "No weight", "It would get nothing beyond its floor: say so with borrow = false.")
-	}
-	if a := content.Attributes["slots"]; u == ratelimit.UnitPerKey {
-		if l.slots = defaultKeySlots; a != nil {
-			l.slots, _ = c.integer(a, 1, ratelimit.MaxKeySlots)
+// limitBlock reads the block of a limit in a unit. resolveLimit computes its rates later.
+func (c *compiler) limitBlock(block *hcl.Block, unit ratelimit.Unit) *policyLimit {
+	limit := &policyLimit{limitSettings: c.defaultSettings, unit: unit, source: block.DefRange}
+	content := c.content(block.Body, limitSchema)
+	c.readSettings(&limit.limitSettings, content.Attributes)
+	limit.raw = c.readRawRates(content.Attributes, unit)
+	limit.raw.weight, limit.raw.borrow = c.amount(content.Attributes["weight"]),
+		c.flag(content.Attributes["borrow"])
+	if weight := limit.raw.weight; weight != nil && weight.value == 0 {
+		c.addError(weight.source, "No weight", "It would get nothing beyond its floor: say so with borrow = false.")
+	}
+	if a := content.Attributes["slots"]; unit == ratelimit.UnitPerKey {
+		if limit.keySlots = defaultKeySlots; a != nil {
+			limit.keySlots, _ = c.integer(a, 1, ratelimit.MaxKeySlots)
 		}
 	} else if a != nil {
 		c.addError(a.NameRange, "An odd unit", "Only a `key` block has slots, over which keys are spread.")
 	}
 	for _, inner := range content.Blocks {
-		l.schedule = append(l.schedule, c.scheduleBlock(inner, u))
+		limit.schedule = append(limit.schedule, c.scheduleBlock(inner, unit))
 	}
-	if len(l.schedule) > ratelimit.MaxWindows {
+	if len(limit.schedule) > ratelimit.MaxWindows {
 		c.addError(
-			l.schedule[ratelimit.MaxWindows].source,
+			limit.schedule[ratelimit.MaxWindows].source,
 			"Too many times",
 			fmt.Sprintf("A limit has %d `at` blocks at most.", ratelimit.MaxWindows),
 		)
 	}
-	return l
+	return limit
 }
 
-func (c *compiler) rawRates(attrs hcl.Attributes, u ratelimit.Unit) rawRates {
-	r := rawRates{
+// readRawRates reads the rates of a limit or of an `at` block and reports those that do not apply to the unit
+// and those that contradict each other.
+func (c *compiler) readRawRates(attrs hcl.Attributes, unit ratelimit.Unit) rawRates {
+	raw := rawRates{
 		rate:     c.amount(attrs["rate"]),
 		fraction: c.fraction(attrs["part"]),
 		floor:    c.amount(attrs["floor"]),
@@ -150,20 +160,20 @@
 	}
 	most := attrs["most"]
 	switch {
-	case u == ratelimit.UnitConcurrency && attrs["rate"] != nil:
+	case unit == ratelimit.UnitConcurrency && attrs["rate"] != nil:
 		c.addError(
 			attrs["rate"].NameRange,
 			"An odd unit",
 			"Open requests are counted, not by the second. Write most = how many at once.",
 		)
-	case u == ratelimit.UnitConcurrency && attrs["burst"] != nil:
+	case unit == ratelimit.UnitConcurrency && attrs["burst"] != nil:
 		c.addError(
 			attrs["burst"].NameRange,
 			"An odd unit",
 			"Open requests have no burst: `most` is all that there is.",
 		)
-	case u == ratelimit.UnitConcurrency:
-		r.rate = c.amount(most)
+	case unit == ratelimit.UnitConcurrency:
+		raw.rate = c.amount(most)
 	case most != nil:
 		c.addError(
 			most.NameRange,
@@ -171,19 +181,19 @@
 			"`most` counts open requests. This goes by the second: write rate, and burst.",
 		)
 	}
-	rateBroken := (attrs["rate"] != nil || attrs["most"] != nil) && r.rate == nil
-	fractionBroken := attrs["part"] != nil && r.fraction == nil
-	floorBroken := attrs["floor"] != nil && r.floor == nil || attrs["share"] != nil && r.share == nil
-	burstBroken := attrs["burst"] != nil && r.burst == nil
-	r.broken = rateBroken || fractionBroken || floorBroken || burstBroken
-	c.exclusive(attrs, "rate", "part")
-	c.exclusive(attrs, "most", "part")
-	c.exclusive(attrs, "floor", "share")
-	return r
+	rateInvalid := (attrs["rate"] != nil || attrs["most"] != nil) && raw.rate == nil
+	fractionInvalid := attrs["part"] != nil && raw.fraction == nil
+	floorInvalid := attrs["floor"] != nil && raw.floor == nil || attrs["share"] != nil && raw.share == nil
+	burstInvalid := attrs["burst"] != nil && raw.burst == nil
+	raw.invalid = rateInvalid || fractionInvalid || floorInvalid || burstInvalid
+	c.rejectBoth(attrs, "rate", "part")
+	c.rejectBoth(attrs, "most", "part")
+	c.rejectBoth(attrs, "floor", "share")
+	return raw
 }
 
-// exclusive notes two attributes that would say the same thing twice.
-func (c *compiler) exclusive(attrs hcl.Attributes, a, b string) {
+// rejectBoth reports two attributes that set the same value, if both are present.
+func (c *compiler) rejectBoth(attrs hcl.Attributes, a, b string) {
 	if attrs[a] != nil && attrs[b] != nil {
 		c.addError(
 			attrs[b].Range,
@@ -194,17 +204,19 @@
 	}
 }
 
-func (c *compiler) scheduleBlock(b *hcl.Block, u ratelimit.Unit) scheduleEntry {
-	attrs := c.content(b.Body, atSchema).Attributes
-	t := scheduleEntry{raw: c.rawRates(attrs, u), source: b.DefRange}
+// scheduleBlock reads an `at` block of a limit in a unit.
+func (c *compiler) scheduleBlock(block *hcl.Block, unit ratelimit.Unit) scheduleEntry {
+	attrs := c.content(block.Body, atSchema).Attributes
+	entry := scheduleEntry{raw: c.readRawRates(attrs, unit), source: block.DefRange}
 	if (attrs["from"] == nil) != (attrs["to"] == nil) {
-		c.addError(b.DefRange, "Half a time", "`from` and `to` come together: from = \"22:00\", to = \"06:00\".")
+		c.addError(block.DefRange, "Half a time",
+			"`from` and `to` come together: from = \"22:00\", to = \"06:00\".")
 	}
 	var begins, ends bool
-	t.window.FromMinute, begins = c.minute(attrs["from"])
-	t.window.ToMinute, ends = c.minute(attrs["to"])
-	t.window.LastDays, _ = c.integer(attrs["last_days"], 1, 31)
-	if begins && ends && t.window.FromMinute == t.window.ToMinute {
+	entry.window.FromMinute, begins = c.minute(attrs["from"])
+	entry.window.ToMinute, ends = c.minute(attrs["to"])
+	entry.window.LastDays, _ = c.integer(attrs["last_days"], 1, 31)
+	if begins && ends && entry.window.FromMinute == entry.window.ToMinute {
 		c.addError(
 			attrs["from"].Range,
 			"A time that never comes",
@@ -212,10 +224,10 @@
 		)
 	}
 	if attrs["from"] == nil && attrs["to"] == nil && attrs["last_days"] == nil {
-		c.addError(b.DefRange, "No time", "Say when: from and to as times of day, or last_days of the month.")
+		c.addError(block.DefRange, "No time", "Say when: from and to as times of day, or last_days of the month.")
 	}
-	if t.raw == (rawRates{}) {
-		c.addError(b.DefRange, "A time that changes nothing", "Give it other figures: rate, floor or burst.")
+	if entry.raw == (rawRates{}) {
+		c.addError(block.DefRange, "A time that changes nothing", "Give it other figures: rate, floor or burst.")
 	}
-	return t
+	return entry
 }
--- a/internal/policy/locals.go
+++ b/internal/policy/locals.go
@@ -12,19 +12,21 @@
 	"github.com/zclconf/go-cty/cty/function/stdlib"
 )
 
-// evalContext are what expressions can speak of: the fleet's names, and functions in the operators' terms.
+// evalContext returns the variables and functions that expressions can use: the names of the fleet, functions
+// that convert units, and functions for numbers, lists and maps.
 func (c *compiler) evalContext() *hcl.EvalContext {
 	return &hcl.EvalContext{
 		Variables: map[string]cty.Value{
-			"sites": texts(c.known.Sites), "books": texts(c.known.Tenants), "pods": texts(c.known.Cells),
-			"classes": texts(c.known.classNames()),
+			"sites": stringList(c.known.Sites), "books": stringList(c.known.Tenants),
+			"pods":    stringList(c.known.Cells),
+			"classes": stringList(c.known.classNames()),
 		},
 		Functions: map[string]function.Function{
-			"per_second":  scaled(1),
-			"per_minute":  scaled(1. / 60),
-			"per_hour":    scaled(1. / 3600),
-			"percent":     scaled(1. / 100),
-			"seconds":     scaled(1000),
+			"per_second":  scaleFunction(1),
+			"per_minute":  scaleFunction(1. / 60),
+			"per_hour":    scaleFunction(1. / 3600),
+			"percent":     scaleFunction(1. / 100),
+			"seconds":     scaleFunction(1000),
 			"worth":       c.priorityWeightFunction(),
 			"min":         stdlib.MinFunc,
 			"max":         stdlib.MaxFunc,
@@ -40,7 +42,8 @@
 	}
 }
 
-func texts(names []string) cty.Value {
+// stringList returns a list value, also for no names.
+func stringList(names []string) cty.Value {
 	if len(names) == 0 {
 		return cty.ListValEmpty(cty.String)
 	}
@@ -51,8 +54,9 @@
 	return cty.ListVal(list)
 }
 
-// scaled gives its number times a factor: units a second from those a minute, ms of work from seconds.
-func scaled(by float64) function.Function {
+// scaleFunction returns a function that multiplies its number by a factor. It converts, for instance, units
+// per minute to units per second, or seconds to milliseconds of work.
+func scaleFunction(factor float64) function.Function {
 	return function.New(&function.Spec{
 		Params: []function.Parameter{{Name: "number", Type: cty.Number}},
 		Type:   function.StaticReturnType(cty.Number),
@@ -60,14 +64,15 @@
 			if args[0].IsWhollyKnown() && args[0].AsBigFloat().IsInf() {
 				return cty.NilVal, function.NewArgErrorf(0, "it has no end")
 			}
-			if by < 1 { // divide, as 1/100 and 1/60 are no exact numbers
-				return args[0].Divide(cty.NumberFloatVal(float64(int(1/by + 0.5)))), nil
+			if factor < 1 { // division is exact; 1/100 and 1/60 as factors are not
+				return args[0].Divide(cty.NumberFloatVal(float64(int(1/factor + 0.5)))), nil
 			}
-			return args[0].Multiply(cty.NumberFloatVal(by)), nil
+			return args[0].Multiply(cty.NumberFloatVal(factor)), nil
 		},
 	})
 }
 
+// priorityWeightFunction returns the function that gives the priority weight of a known class.
 func (c *compiler) priorityWeightFunction() function.Function {
 	return function.New(&function.Spec{
 		Params: []function.Parameter{{Name: "class", Type: cty.String}},
@@ -76,15 +81,15 @@
 			i := slices.IndexFunc(c.known.Classes, func(k Class) bool { return k.Name == args[0].AsString() })
 			if i < 0 {
 				return cty.NilVal, function.NewArgErrorf(0, "no class %q is known.%s", args[0].AsString(),
-					strings.TrimRight(didYouMean(args[0].AsString(), c.known.classNames()), ".?"))
+					strings.TrimRight(nameSuggestion(args[0].AsString(), c.known.classNames()), ".?"))
 			}
 			return cty.NumberFloatVal(c.known.Classes[i].PriorityWeight), nil
 		},
 	})
 }
 
-// evalLocals evaluates the names that the text gives to values, each after those that it speaks of. One that
-// can't be is unknown to the others, so that its error is reported once.
+// evalLocals evaluates the local values, each after those that it refers to. A value that can't be evaluated
+// is unknown to the values that refer to it, so that its error is reported once.
 func (c *compiler) evalLocals(attrs hcl.Attributes) {
 	values := map[string]cty.Value{}
 	var path []string
@@ -105,8 +110,8 @@
 			return
 		}
 		path = append(path, name)
-		for _, t := range attr.Expr.Variables() {
-			if step, ok := nameAfter(t); ok && t.RootName() == "local" {
+		for _, traversal := range attr.Expr.Variables() {
+			if step, ok := localName(traversal); ok && traversal.RootName() == "local" {
 				visit(step)
 			}
 		}
@@ -114,17 +119,17 @@
 		if _, cyclic := values[name]; cyclic {
 			return
 		}
-		c.ctx.Variables["local"] = cty.ObjectVal(values)
-		v, diags := attr.Expr.Value(c.ctx)
+		c.evalCtx.Variables["local"] = cty.ObjectVal(values)
+		v, diags := attr.Expr.Value(c.evalCtx)
 		if c.diags = append(c.diags, diags...); diags.HasErrors() {
 			v = cty.DynamicVal
 		}
-		if elements(v) > maxElements {
+		if countElements(v) > maxElements {
 			c.addError(
 				attr.Expr.Range(),
 				"A value too large",
 				fmt.Sprintf("A local has %d elements at most, and no text "+
-					"over %d bytes. Split it.", maxElements, maxLocalText),
+					"over %d bytes. Split it.", maxElements, maxLocalTextBytes),
 			)
 			v = cty.DynamicVal
 		}
@@ -133,29 +138,30 @@
 	for _, name := range slices.Sorted(maps.Keys(attrs)) {
 		visit(name)
 	}
-	c.ctx.Variables["local"] = cty.ObjectVal(values)
+	c.evalCtx.Variables["local"] = cty.ObjectVal(values)
 }
 
-// nameAfter returns the name in local.NAME.
-func nameAfter(t hcl.Traversal) (string, bool) {
-	if len(t) < 2 {
+// localName returns the name of the local value in a reference of the form local.NAME.
+func localName(traversal hcl.Traversal) (string, bool) {
+	if len(traversal) < 2 {
 		return "", false
 	}
-	step, ok := t[1].(hcl.TraverseAttr)
+	step, ok := traversal[1].(hcl.TraverseAttr)
 	return step.Name, ok
 }
 
-// elements counts what is in a value, up to a little over what is allowed. Long texts count as too many.
-func elements(v cty.Value) int {
+// countElements returns the number of elements in a value, at all levels. It stops counting once there are
+// more than maxElements. A string that is longer than maxLocalTextBytes counts as too many elements.
+func countElements(v cty.Value) int {
 	n := 0
 	_ = cty.Walk(v, func(_ cty.Path, v cty.Value) (bool, error) {
-		if n++; v.Type() == cty.String && v.IsKnown() && !v.IsNull() && len(v.AsString()) > maxLocalText {
+		if n++; v.Type() == cty.String && v.IsKnown() && !v.IsNull() && len(v.AsString()) > maxLocalTextBytes {
 			n = maxElements + 2
 		}
 		if n > maxElements+1 {
-			return false, fmt.Errorf("too many")
+			return false, fmt.Errorf("count elements: value exceeds its limits")
 		}
 		return true, nil
 	})
-	return n - 1 // the value itself
+	return n - 1 // without the value itself
 }
--- a/internal/policy/names.go
+++ b/internal/policy/names.go
@@ -11,26 +11,27 @@
 	"wrenspread/ratelimit"
 )
 
-// each visits a scope and all within it.
-func (p *scope) each(do func(*scope)) {
-	do(p)
-	for _, k := range p.children {
-		k.each(do)
+// each calls visit for a scope and, after it, for all scopes within it.
+func (s *policyScope) each(visit func(*policyScope)) {
+	visit(s)
+	for _, child := range s.children {
+		child.each(visit)
 	}
 }
 
-// isWithin tells that a scope, or one around it, is of an attribute.
-func (p *scope) isWithin(a ratelimit.Attribute) bool {
-	for ; p.parent != nil; p = p.parent {
-		if p.attribute == a {
+// isWithin reports whether a scope, or a scope around it, is one for the attribute.
+func (s *policyScope) isWithin(a ratelimit.Attribute) bool {
+	for ; s.parent != nil; s = s.parent {
+		if s.attribute == a {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *compiler) namesOf(axis ratelimit.Attribute) []string {
-	switch axis {
+// namesOf returns the known values of an attribute. An empty list means that the values are not known.
+func (c *compiler) namesOf(attribute ratelimit.Attribute) []string {
+	switch attribute {
 	case ratelimit.AttributeSite:
 		return c.known.Sites
 	case ratelimit.AttributeTenant:
@@ -43,38 +44,41 @@
 	return nil
 }
 
-// checkNames finds names that the fleet doesn't have, and tenants that a policy forgets.
-func (c *compiler) checkNames(fleet *scope) {
-	fleet.each(func(p *scope) {
-		if p.parent != nil && p.value != ratelimit.AnyOther {
-			c.name(p.source, p.attribute.String(), p.value, c.namesOf(p.attribute))
+// checkNames reports names that are malformed or that the fleet does not have, and tenants for which a policy
+// has no rule although it distinguishes tenants.
+func (c *compiler) checkNames(fleet *policyScope) {
+	fleet.each(func(scope *policyScope) {
+		if scope.parent != nil && scope.value != ratelimit.AnyOther {
+			c.checkName(scope.source, scope.attribute.String(), scope.value, c.namesOf(scope.attribute))
 		}
-		if !p.isWithin(ratelimit.AttributeTenant) {
-			c.checkForgotten(p)
+		if !scope.isWithin(ratelimit.AttributeTenant) {
+			c.checkTenantsCovered(scope)
 		}
 	})
 }
 
-// name checks one, if the fleet's are known.
-func (c *compiler) name(at hcl.Range, axis, name string, known []string) {
+// checkName reports a malformed name, and a name that is not among the known ones if there are any.
+func (c *compiler) checkName(at hcl.Range, attribute, name string, known []string) {
 	switch {
 	case name == "" || len(name) > ratelimit.MaxName || strings.ContainsAny(name, "/:"):
 		c.addError(
 			at,
 			"Not a name",
 			fmt.Sprintf("The %s %.40q can be named by no policy: a name has 1 to %d bytes, and no slash or "+
-				"colon.", axis, name, ratelimit.MaxName),
+				"colon.", attribute, name, ratelimit.MaxName),
 		)
 	case len(known) > 0 && !slices.Contains(known, name):
 		c.addError(
 			at,
 			"A rule that can never match",
-			fmt.Sprintf("The fleet has no %s %q.%s", axis, name, didYouMean(name, known)),
+			fmt.Sprintf("The fleet has no %s %q.%s", attribute, name, nameSuggestion(name, known)),
 		)
 	}
 }
 
-func didYouMean(name string, known []string) string {
+// nameSuggestion returns a sentence for a message about an unknown name: the known name most similar to it
+// or, if none is similar, the list of known names.
+func nameSuggestion(name string, known []string) string {
 	best, distance := "", 0
 	for _, k := range known {
 		if d := levenshtein.Distance(name, k, nil); best == "" || d < distance {
@@ -84,45 +88,47 @@
 	if best != "" && distance <= max(2, len(name)/3) {
 		return fmt.Sprintf(" Did you mean %q?", best)
 	}
-	const some = 8
-	if len(known) > some {
-		return fmt.Sprintf(" It has %s and %d others.", strings.Join(known[:some], ", "), len(known)-some)
+	const maxListed = 8
+	if len(known) > maxListed {
+		return fmt.Sprintf(" It has %s and %d others.", strings.Join(known[:maxListed], ", "), len(known)-maxListed)
 	}
 	return fmt.Sprintf(" It has %s.", strings.Join(known, ", "))
 }
 
-// checkForgotten finds the known tenants that a scope which tells tenants apart says nothing of.
-func (c *compiler) checkForgotten(p *scope) {
-	said := map[string]bool{}
-	for _, k := range p.children {
-		if k.attribute == ratelimit.AttributeTenant {
-			said[k.value] = true
+// checkTenantsCovered reports the known tenants for which a scope has no block, if it has blocks for other
+// tenants and none for all others.
+func (c *compiler) checkTenantsCovered(scope *policyScope) {
+	covered := map[string]bool{}
+	for _, child := range scope.children {
+		if child.attribute == ratelimit.AttributeTenant {
+			covered[child.value] = true
 		}
 	}
-	if len(said) == 0 || said[ratelimit.AnyOther] {
+	if len(covered) == 0 || covered[ratelimit.AnyOther] {
 		return
 	}
-	missing := slices.DeleteFunc(slices.Clone(c.known.Tenants), func(b string) bool { return said[b] })
+	missing := slices.DeleteFunc(slices.Clone(c.known.Tenants), func(b string) bool { return covered[b] })
 	if len(missing) > 0 {
 		c.addError(
-			p.source,
+			scope.source,
 			"A book without a rule",
 			fmt.Sprintf("%s tells books apart and says nothing of %s. Give each a block, or all "+
-				"of them one with the name \"*\".", p.path(), strings.Join(missing, ", ")),
+				"of them one with the name \"*\".", scope.path(), strings.Join(missing, ", ")),
 		)
 	}
 }
 
-// checkShape finds blocks that can't match where they are.
-func (c *compiler) checkShape(fleet *scope) {
-	fleet.each(func(p *scope) {
-		for up := p.parent; up != nil; up = up.parent {
-			if up.attribute == p.attribute && p.parent != nil && up.parent != nil {
+// checkNesting reports scopes within a scope of the same attribute, which no request can match, because a
+// request has only one value of each attribute.
+func (c *compiler) checkNesting(fleet *policyScope) {
+	fleet.each(func(scope *policyScope) {
+		for ancestor := scope.parent; ancestor != nil; ancestor = ancestor.parent {
+			if ancestor.attribute == scope.attribute && scope.parent != nil && ancestor.parent != nil {
 				c.addError(
-					p.source,
+					scope.source,
 					"A rule that can never match",
 					fmt.Sprintf("It is within %s, and a request has one %s alone. "+
-						"Put it beside that block.", up.path(), p.attribute),
+						"Put it beside that block.", ancestor.path(), scope.attribute),
 				)
 				return
 			}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,8 +1,10 @@
-// Package policy compiles the operators' language of rate limits. Text in HCL's syntax is read, validated as
-// a whole, and compiled to the flat table with which proxies admit requests (ratelimit.Table). It is pure:
-// the same text and known names give the same bytes. Proxies evaluate tables and never link this package.
+// Package policy compiles the operators' language for rate limits. It parses a source in HCL syntax,
+// validates the complete source, and compiles it to the flat table with which proxies admit requests
+// (ratelimit.Table). Compiling is a pure function: the same source and known names give the same bytes.
+// Proxies evaluate tables and never link this package.
 //
-// In the language and its messages a scope is a "part" and a tenant a "book".
+// In the language and its messages a scope is called a "part", a tenant a "book", a cell a "pod", and the
+// retries are called "repeats".
 package policy
 
 import (
@@ -17,20 +19,20 @@
 	"wrenspread/ratelimit"
 )
 
-// Known are the names that a policy may speak of. A list that is empty is not checked against.
+// Known holds the names that a policy may refer to. Names of a kind whose list is empty are not checked.
 type Known struct {
 	Sites, Tenants, Cells []string
 	Classes               []Class
 }
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name           string
 	PriorityWeight float64
-	Work           time.Duration // of its heaviest request; 0: not known
+	Work           time.Duration // of the class's heaviest request; 0 means unknown
 }
 
-// KnownOf takes the names from a proxy's settings. A class's work is not known there.
+// KnownOf returns the names in a proxy's settings. The settings do not contain the work of a class.
 func KnownOf(s balancer.Settings) Known {
 	k := Known{Sites: s.Zones}
 	for _, t := range s.Tenants {
@@ -42,7 +44,8 @@
 	return k
 }
 
-// sorted has each name once and in order, so that no list's order shows in the table.
+// sorted returns the names sorted and without duplicates, so that the table does not depend on the order of
+// the lists.
 func (k Known) sorted() Known {
 	names := func(from []string) []string { return slices.Compact(slices.Sorted(slices.Values(from))) }
 	classes := slices.Clone(k.Classes)
@@ -59,7 +62,9 @@
 	return names
 }
 
-// Compile compiles a file's text to a table, or returns all faults, as *Errors.
+// Compile compiles the source of a policy to a table. For a faulty source it returns all faults as *Errors,
+// and for a source that exceeds the bounds on length or nesting another error. The file name appears in
+// messages only.
 func Compile(file string, text []byte, known Known) (*ratelimit.Table, error) {
 	c := &compiler{known: known.sorted(), source: text}
 	if err := c.checkBounds(); err != nil {
@@ -72,17 +77,20 @@
 	return table, nil
 }
 
+// compiler holds the state of one compilation.
 type compiler struct {
 	known           Known
 	source          []byte
 	diags           hcl.Diagnostics
-	ctx             *hcl.EvalContext
-	scopes          int      // made so far
-	defaultSettings settings // for all limits
-	zone            int
+	evalCtx         *hcl.EvalContext
+	scopeCount      int           // number of scopes read so far
+	defaultSettings limitSettings // defaults for the settings of all limits
+	utcOffset       int           // of the operators' clock, in minutes ahead of UTC
 	levels          []*degradeLevel
 }
 
+// compile returns the table, or nil if c.diags has errors. Checks that depend on earlier results are skipped
+// after an error.
 func (c *compiler) compile(file string) *ratelimit.Table {
 	f, diags := hclsyntax.ParseConfig(c.source, file, hcl.InitialPos)
 	if diags.HasErrors() {
@@ -93,25 +101,25 @@
 	if !c.checkCost(body) {
 		return nil
 	}
-	fleet := c.file(body)
+	fleet := c.readRoot(body)
 	if fleet == nil {
 		return nil
 	}
 	c.checkNames(fleet)
-	c.checkShape(fleet)
-	c.resolve(fleet)
+	c.checkNesting(fleet)
+	c.resolveLimits(fleet)
 	c.sortLevels(fleet)
-	if c.diags.HasErrors() { // sums of figures that aren't there would only add to the noise
+	if c.diags.HasErrors() { // sums of missing rates would cause misleading errors
 		return nil
 	}
-	t := c.buildTable(fleet)
-	c.checkFloors(t, fleet)
-	c.checkSize(t, fleet)
+	table := c.buildTable(fleet)
+	c.checkFloors(table, fleet)
+	c.checkSize(table, fleet)
 	if c.diags.HasErrors() {
 		return nil
 	}
-	if err := t.Finalize(); err != nil {
+	if err := table.Finalize(); err != nil {
 		c.addError(fleet.source, "No table", err.Error())
 	}
-	return t
+	return table
 }
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -11,29 +11,32 @@
 	"wrenspread/ratelimit"
 )
 
-// scope is a block that stands for some of the requests.
-type scope struct {
+// policyScope is a block that applies to the requests with one value of an attribute or, for the fleet's
+// block, to all requests.
+type policyScope struct {
 	attribute ratelimit.Attribute
 	value     string
 	source    hcl.Range // of its first line
-	parent    *scope
-	children  []*scope
-	limits    [ratelimit.UnitPerKey + 1]*limit
+	parent    *policyScope
+	children  []*policyScope
+	limits    [ratelimit.UnitPerKey + 1]*policyLimit
 
-	share, weight  *number // for its limits that say none
+	share, weight  *number // defaults for the scope's limits
 	borrow         *boolean
-	priority       int
+	priority       int // 1: always has priority, -1: never, 0: not set
 	prioritySource hcl.Range
 }
 
-var attributeNames = map[string]ratelimit.Attribute{
+// attributesByBlock maps the type of a scope's block to the attribute that the scope is for.
+var attributesByBlock = map[string]ratelimit.Attribute{
 	"site":  ratelimit.AttributeSite,
 	"book":  ratelimit.AttributeTenant,
 	"class": ratelimit.AttributeClass,
 	"pod":   ratelimit.AttributeCell,
 }
 
-var units = map[string]ratelimit.Unit{
+// unitsByBlock maps the type of a limit's block to the unit of the limit.
+var unitsByBlock = map[string]ratelimit.Unit{
 	"requests": ratelimit.UnitRequests,
 	"work":     ratelimit.UnitWork,
 	"open":     ratelimit.UnitConcurrency,
@@ -42,47 +45,50 @@
 }
 
 var fileSchema = &hcl.BodySchema{
-	Attributes: attributes("clock"),
+	Attributes: optionalAttributes("clock"),
 	Blocks: []hcl.BlockHeaderSchema{{Type: "locals"}, {Type: "defaults"}, {Type: "fleet"},
 		{Type: "degrade", LabelNames: []string{"name"}}},
 }
 
 var scopeSchema = &hcl.BodySchema{
-	Attributes: attributes("share", "weight", "borrow", "priority"),
+	Attributes: optionalAttributes("share", "weight", "borrow", "priority"),
 	Blocks:     scopeBlocks(),
 }
 
-func attributes(names ...string) (list []hcl.AttributeSchema) {
+// optionalAttributes returns the schema of attributes that may be absent.
+func optionalAttributes(names ...string) (list []hcl.AttributeSchema) {
 	for _, n := range names {
 		list = append(list, hcl.AttributeSchema{Name: n})
 	}
 	return list
 }
 
+// scopeBlocks returns the schema of the blocks within a scope: inner scopes and limits.
 func scopeBlocks() (list []hcl.BlockHeaderSchema) {
-	for _, name := range slices.Sorted(maps.Keys(attributeNames)) {
+	for _, name := range slices.Sorted(maps.Keys(attributesByBlock)) {
 		list = append(list, hcl.BlockHeaderSchema{Type: name, LabelNames: []string{"name"}})
 	}
-	for _, name := range slices.Sorted(maps.Keys(units)) {
+	for _, name := range slices.Sorted(maps.Keys(unitsByBlock)) {
 		list = append(list, hcl.BlockHeaderSchema{Type: name})
 	}
 	return list
 }
 
-// content reads a body by its schema and notes what doesn't belong there.
+// content reads a body by its schema and reports attributes and blocks that the schema does not have.
 func (c *compiler) content(body hcl.Body, schema *hcl.BodySchema) *hcl.BodyContent {
 	content, diags := body.Content(schema)
 	c.diags = append(c.diags, diags...)
 	return content
 }
 
-// file reads the outermost blocks and gives the fleet's.
-func (c *compiler) file(body hcl.Body) *scope {
-	c.ctx = c.evalContext()
+// readRoot reads the outermost blocks and returns the fleet's scope, or nil if there is none or there are too
+// many local values.
+func (c *compiler) readRoot(body hcl.Body) *policyScope {
+	c.evalCtx = c.evalContext()
 	content := c.content(body, fileSchema)
 	locals := hcl.Attributes{}
-	for _, b := range content.Blocks.OfType("locals") {
-		attrs, diags := b.Body.JustAttributes()
+	for _, block := range content.Blocks.OfType("locals") {
+		attrs, diags := block.Body.JustAttributes()
 		c.diags = append(c.diags, diags...)
 		for name, a := range attrs {
 			if locals[name] != nil {
@@ -100,17 +106,17 @@
 		return nil
 	}
 	c.evalLocals(locals)
-	c.zone = c.clockZone(content.Attributes["clock"])
-	c.defaultSettings = defaultCommon()
-	for i, b := range content.Blocks.OfType("defaults") {
+	c.utcOffset = c.clockOffset(content.Attributes["clock"])
+	c.defaultSettings = builtInSettings()
+	for i, block := range content.Blocks.OfType("defaults") {
 		if i > 0 {
-			c.checkDuplicate(b, "")
+			c.checkDuplicate(block, "")
 			continue
 		}
-		c.defaults(b.Body)
+		c.defaultsBlock(block.Body)
 	}
-	for _, b := range content.Blocks.OfType("degrade") {
-		c.degradeBlock(b)
+	for _, block := range content.Blocks.OfType("degrade") {
+		c.degradeBlock(block)
 	}
 	fleets := content.Blocks.OfType("fleet")
 	if len(fleets) == 0 {
@@ -121,106 +127,108 @@
 		)
 		return nil
 	}
-	for _, b := range fleets[1:] {
-		c.checkDuplicate(b, "")
+	for _, block := range fleets[1:] {
+		c.checkDuplicate(block, "")
 	}
 	return c.scopeBlock(fleets[0], nil)
 }
 
-// checkDuplicate notes a block that is there already.
-func (c *compiler) checkDuplicate(b *hcl.Block, name string) {
+// checkDuplicate reports a block as a duplicate. The name is empty for blocks without a label.
+func (c *compiler) checkDuplicate(block *hcl.Block, name string) {
 	if name != "" {
 		name = fmt.Sprintf(" %q", name)
 	}
 	c.addError(
-		b.DefRange,
+		block.DefRange,
 		"The same block twice",
 		fmt.Sprintf("There is a block `%s%s` in this place already, and two of them "+
-			"would contradict each other. Put them together in one.", b.Type, name),
+			"would contradict each other. Put them together in one.", block.Type, name),
 	)
 }
 
-// scopeBlock reads a scope's block and all within it.
-func (c *compiler) scopeBlock(b *hcl.Block, up *scope) *scope {
-	p := &scope{attribute: attributeNames[b.Type], source: b.DefRange, parent: up}
-	if len(b.Labels) > 0 {
-		p.value = b.Labels[0]
+// scopeBlock reads the block of a scope and all blocks within it. The parent of the fleet's scope is nil.
+func (c *compiler) scopeBlock(block *hcl.Block, parent *policyScope) *policyScope {
+	scope := &policyScope{attribute: attributesByBlock[block.Type], source: block.DefRange, parent: parent}
+	if len(block.Labels) > 0 {
+		scope.value = block.Labels[0]
 	}
-	if c.scopes++; c.scopes > ratelimit.MaxLimits {
-		if c.scopes == ratelimit.MaxLimits+1 {
+	if c.scopeCount++; c.scopeCount > ratelimit.MaxLimits {
+		if c.scopeCount == ratelimit.MaxLimits+1 {
 			c.addError(
-				b.DefRange,
+				block.DefRange,
 				"Too many parts",
 				fmt.Sprintf("A policy has %d at most. Let those with little to do share one "+
 					"block with the name \"*\".", ratelimit.MaxLimits),
 			)
 		}
-		return p
+		return scope
 	}
-	content := c.content(dynblock.Expand(b.Body, c.ctx), scopeSchema)
-	c.scopeAttributes(p, content.Attributes)
+	content := c.content(dynblock.Expand(block.Body, c.evalCtx), scopeSchema)
+	c.scopeAttributes(scope, content.Attributes)
 	names := map[string]bool{}
 	for _, inner := range content.Blocks {
-		if unit, ok := units[inner.Type]; ok {
-			if p.limits[unit] != nil {
+		if unit, ok := unitsByBlock[inner.Type]; ok {
+			if scope.limits[unit] != nil {
 				c.checkDuplicate(inner, "")
 				continue
 			}
-			p.limits[unit] = c.limit(inner, unit)
+			scope.limits[unit] = c.limitBlock(inner, unit)
 			continue
 		}
 		if key := inner.Type + "/" + inner.Labels[0]; names[key] {
 			c.checkDuplicate(inner, inner.Labels[0])
 		} else {
 			names[key] = true
-			p.children = append(p.children, c.scopeBlock(inner, p))
+			scope.children = append(scope.children, c.scopeBlock(inner, scope))
 		}
 	}
-	if up != nil && len(content.Attributes) == 0 && len(content.Blocks) == 0 {
+	if parent != nil && len(content.Attributes) == 0 && len(content.Blocks) == 0 {
 		c.addError(
-			b.DefRange,
+			block.DefRange,
 			"A block that says nothing",
 			"It changes nothing for any request. Give it a share, a limit or a "+
 				"priority, or drop it.",
 		)
 	}
-	return p
+	return scope
 }
 
-func (c *compiler) scopeAttributes(p *scope, attrs hcl.Attributes) {
-	p.share, p.weight, p.borrow = c.fraction(attrs["share"]), c.amount(attrs["weight"]), c.flag(attrs["borrow"])
+// scopeAttributes reads the attributes of a scope's block.
+func (c *compiler) scopeAttributes(scope *policyScope, attrs hcl.Attributes) {
+	scope.share, scope.weight, scope.borrow = c.fraction(attrs["share"]),
+		c.amount(attrs["weight"]), c.flag(attrs["borrow"])
 	if a := attrs["priority"]; a != nil {
-		p.prioritySource = a.Expr.Range()
-		switch word, ok := c.text(a); {
-		case ok && word == "always":
-			p.priority = 1
-		case ok && word == "never":
-			p.priority = -1
+		scope.prioritySource = a.Expr.Range()
+		switch text, ok := c.text(a); {
+		case ok && text == "always":
+			scope.priority = 1
+		case ok && text == "never":
+			scope.priority = -1
 		case ok:
 			c.addError(
-				p.prioritySource,
+				scope.prioritySource,
 				"Not a priority",
 				fmt.Sprintf("%q is none: write \"always\" or \"never\", or leave it out and "+
-					"the node judges by worth.", word),
+					"the node judges by worth.", text),
 			)
 		}
 	}
-	if p.share != nil && p.parent == nil {
+	if scope.share != nil && scope.parent == nil {
 		c.addError(
-			p.share.source,
+			scope.share.source,
 			"A share of nothing",
 			"Nothing is around the fleet that it could have a share of. Give its limits a rate.",
 		)
 	}
 }
 
-// path is a scope's name for messages.
-func (p *scope) path() string {
-	if p.parent == nil {
+// path returns the name of a scope for messages, such as book/NAME/class/NAME.
+func (s *policyScope) path() string {
+	if s.parent == nil {
 		return "fleet"
 	}
-	if p.parent.parent == nil {
-		return p.attribute.String() + "/" + p.value
+	if s.parent.parent == nil {
+		return s.attribute.String() + "/" + s.value
 	}
-	return p.parent.path() + "/" + p.attribute.String() + "/" + p.value
+	return s.parent.path() + "/" + s.attribute.String() + "/" + s.value
 }
--- a/internal/policy/schedule.go
+++ b/internal/policy/schedule.go
@@ -6,83 +6,89 @@
 	"wrenspread/ratelimit"
 )
 
-// resolveSchedule evaluates the times with other figures: the limit's own, or those that follow from the
-// whole's.
-func (c *compiler) resolveSchedule(p *scope, l *limit, outer, whole *limit) {
-	base := outer
-	if l.raw.fraction != nil || l.raw.share != nil {
-		base = whole
+// resolveSchedule computes the windows of time in which a limit has other rates. They come from the limit's
+// own schedule or, if the limit has none, from the windows of the limit that its rates follow from:
+// fractionBase for a limit with a fraction or a share, otherwise the outer limit. If none of those inherited
+// windows changes the limit's rates, the limit gets no windows.
+func (c *compiler) resolveSchedule(scope *policyScope, limit *policyLimit, outer, fractionBase *policyLimit) {
+	reference := outer
+	if limit.raw.fraction != nil || limit.raw.share != nil {
+		reference = fractionBase
 	}
-	timed := base != nil && base != l && len(base.windows) > 0
-	if timed && len(l.schedule) > 0 {
+	timed := reference != nil && reference != limit && len(reference.windows) > 0
+	if timed && len(limit.schedule) > 0 {
 		c.addError(
-			l.schedule[0].source,
+			limit.schedule[0].source,
 			"Times within times",
 			fmt.Sprintf("The limit around this one (line %d) has times of its own, which "+
-				"shares of it follow by themselves. Give times to one of the two.", base.source.Start.Line),
+				"shares of it follow by themselves. Give times to one of the two.", reference.source.Start.Line),
 		)
 		return
 	}
-	for i, t := range l.schedule {
-		if j := coveringWindow(l.schedule[:i], t.window); j >= 0 {
+	for i, entry := range limit.schedule {
+		if j := coveringWindow(limit.schedule[:i], entry.window); j >= 0 {
 			c.addError(
-				t.source,
+				entry.source,
 				"A rule that can never match",
 				fmt.Sprintf("Whenever it would hold, the one on line %d does, which comes first. "+
-					"Put the narrower time first.", l.schedule[j].source.Start.Line),
+					"Put the narrower time first.", limit.schedule[j].source.Start.Line),
 			)
 		}
-		if t.raw.broken {
+		if entry.raw.invalid {
 			continue
 		}
-		f, _ := c.resolveRates(p, l, l.raw.overriddenBy(t.raw), outer, whole)
-		l.windows = append(l.windows, windowWith(t.window, f))
+		rates, _ := c.resolveRates(scope, limit, limit.raw.withOverride(entry.raw), outer, fractionBase)
+		limit.windows = append(limit.windows, windowWith(entry.window, rates))
 	}
 	if !timed {
 		return
 	}
 	changes := false
-	for _, s := range base.windows {
-		at := &limit{rates: ratelimit.Rates{Rate: s.Rate, Burst: s.Burst, Floor: s.Floor}, source: base.source}
-		around, of := outer, whole
-		if outer == base {
-			around = at
+	for _, window := range reference.windows {
+		baseLimit := &policyLimit{
+			rates:  ratelimit.Rates{Rate: window.Rate, Burst: window.Burst, Floor: window.Floor},
+			source: reference.source}
+		outerAtTime, fractionBaseAtTime := outer, fractionBase
+		if outer == reference {
+			outerAtTime = baseLimit
 		}
-		if whole == base {
-			of = at
+		if fractionBase == reference {
+			fractionBaseAtTime = baseLimit
 		}
-		f, _ := c.resolveRates(p, l, l.raw.limitedTo(s.Rate), around, of)
-		changes = changes || f != l.rates
-		l.windows = append(l.windows, windowWith(s, f))
+		rates, _ := c.resolveRates(scope, limit, limit.raw.cappedAt(window.Rate), outerAtTime, fractionBaseAtTime)
+		changes = changes || rates != limit.rates
+		limit.windows = append(limit.windows, windowWith(window, rates))
 	}
 	if !changes {
-		l.windows = nil
+		limit.windows = nil
 	}
 }
 
-func windowWith(s ratelimit.ScheduleWindow, f ratelimit.Rates) ratelimit.ScheduleWindow {
-	s.Rate, s.Burst, s.Floor = f.Rate, f.Burst, f.Floor
-	return s
+// windowWith returns a window with the given rates.
+func windowWith(window ratelimit.ScheduleWindow, rates ratelimit.Rates) ratelimit.ScheduleWindow {
+	window.Rate, window.Burst, window.Floor = rates.Rate, rates.Burst, rates.Floor
+	return window
 }
 
-// coveringWindow finds an earlier time that holds whenever a later one does.
-func coveringWindow(before []scheduleEntry, s ratelimit.ScheduleWindow) int {
-	for i, b := range before {
-		if coversDays(b.window, s) && coversMinutes(b.window, s) {
+// coveringWindow returns the index of an earlier entry that is in force whenever the window is, or -1. The
+// first matching entry of a schedule decides, so the window would never take effect.
+func coveringWindow(earlier []scheduleEntry, window ratelimit.ScheduleWindow) int {
+	for i, entry := range earlier {
+		if coversDays(entry.window, window) && coversMinutes(entry.window, window) {
 			return i
 		}
 	}
 	return -1
 }
 
-// coversDays reports whether a window holds on all days of the month on which another does.
+// coversDays reports whether a window applies on all days of the month on which the other does.
 func coversDays(w, other ratelimit.ScheduleWindow) bool {
 	return w.LastDays == 0 || other.LastDays > 0 && other.LastDays <= w.LastDays
 }
 
-// coversMinutes reports whether a window holds in all minutes of a day in which another does. A window from a
-// minute to the same holds all day; one that ends before it begins goes over midnight, and covers only its
-// like.
+// coversMinutes reports whether a window applies in all minutes of a day in which the other does. A window
+// that starts and ends at the same minute applies all day. A window that ends before it starts extends over
+// midnight; it is taken to cover only a window with the same start and end.
 func coversMinutes(w, other ratelimit.ScheduleWindow) bool {
 	if w.FromMinute == w.ToMinute {
 		return true
--- a/internal/policy/values.go
+++ b/internal/policy/values.go
@@ -10,25 +10,29 @@
 	"github.com/zclconf/go-cty/cty/convert"
 )
 
-// number is a number that the text gives, and where.
+// number is a number that a policy sets, with its place in the source.
 type number struct {
 	value  float64
 	source hcl.Range
 }
 
+// boolean is a boolean that a policy sets, with its place in the source.
 type boolean struct {
 	value  bool
 	source hcl.Range
 }
 
-const maxUnits = 1e12 // of any figure, as in a table
+// maxUnits is the largest amount that a policy may set. Tables have the same bound.
+const maxUnits = 1e12
 
-// value evaluates an attribute as a type. What can't be is noted, or has been where it came from.
-func (c *compiler) value(a *hcl.Attribute, want cty.Type) (cty.Value, bool) {
-	if a == nil {
+// value evaluates an attribute and converts the result to a type. The result is false for an attribute that
+// is absent or has no such value. Faults are reported, except for a value that depends on a faulty local
+// value, which has been reported.
+func (c *compiler) value(attr *hcl.Attribute, want cty.Type) (cty.Value, bool) {
+	if attr == nil {
 		return cty.NilVal, false
 	}
-	v, diags := a.Expr.Value(c.ctx)
+	v, diags := attr.Expr.Value(c.evalCtx)
 	if diags.HasErrors() {
 		c.diags = append(c.diags, diags...)
 		return cty.NilVal, false
@@ -38,9 +42,9 @@
 	}
 	if v.IsNull() {
 		c.addError(
-			a.Expr.Range(),
+			attr.Expr.Range(),
 			"No value",
-			fmt.Sprintf("%s has none here. Give it one, or leave it out.", a.Name),
+			fmt.Sprintf("%s has none here. Give it one, or leave it out.", attr.Name),
 		)
 		return cty.NilVal, false
 	}
@@ -48,78 +52,85 @@
 	v, err := convert.Convert(v, want)
 	if err != nil || want == cty.Number && got != cty.Number {
 		c.addError(
-			a.Expr.Range(),
+			attr.Expr.Range(),
 			"Not of the right kind",
-			fmt.Sprintf("%s takes a %s, and this is a %s.%s", a.Name,
-				want.FriendlyName(), got.FriendlyName(), remedy(want, got)),
+			fmt.Sprintf("%s takes a %s, and this is a %s.%s", attr.Name,
+				want.FriendlyName(), got.FriendlyName(), conversionHint(want, got)),
 		)
 		return cty.NilVal, false
 	}
 	return v, true
 }
 
-func remedy(want, got cty.Type) string {
+// conversionHint returns how to correct a string where a number is wanted, and nothing for other types.
+func conversionHint(want, got cty.Type) string {
 	if want == cty.Number && got == cty.String {
 		return " Write it without quotes: 30, percent(30), per_minute(600), seconds(2)."
 	}
 	return ""
 }
 
-func (c *compiler) number(a *hcl.Attribute) *number {
-	v, ok := c.value(a, cty.Number)
+// number evaluates an attribute as a number. It returns nil for an absent or faulty one.
+func (c *compiler) number(attr *hcl.Attribute) *number {
+	v, ok := c.value(attr, cty.Number)
 	if !ok {
 		return nil
 	}
 	n, _ := v.AsBigFloat().Float64()
-	return &number{n, a.Expr.Range()}
+	return &number{n, attr.Expr.Range()}
 }
 
-// amount is a number of units, or of units a second.
-func (c *compiler) amount(a *hcl.Attribute) *number {
-	g := c.number(a)
+// amount evaluates an attribute as a number of units, or of units per second, between 0 and maxUnits. It
+// returns nil for an absent or faulty one.
+func (c *compiler) amount(attr *hcl.Attribute) *number {
+	g := c.number(attr)
 	if g != nil && !(g.value >= 0 && g.value <= maxUnits) {
 		c.addError(
 			g.source,
 			"A number out of bounds",
-			fmt.Sprintf("%s is %v: it can be 0 to %v.", a.Name, g.value, maxUnits),
+			fmt.Sprintf("%s is %v: it can be 0 to %v.", attr.Name, g.value, maxUnits),
 		)
 		return nil
 	}
 	return g
 }
 
-// fraction is a part of a whole.
-func (c *compiler) fraction(a *hcl.Attribute) *number {
-	g := c.number(a)
+// fraction evaluates an attribute as a number between 0 and 1. It returns nil for an absent or faulty one.
+func (c *compiler) fraction(attr *hcl.Attribute) *number {
+	g := c.number(attr)
 	if g != nil && !(g.value >= 0 && g.value <= 1) {
-		way := "It can be 0 to 1, or percent(0) to percent(100)."
+		hint := "It can be 0 to 1, or percent(0) to percent(100)."
 		if g.value > 1 && g.value <= 100 {
-			way = fmt.Sprintf("Did you mean percent(%v)?", g.value)
+			hint = fmt.Sprintf("Did you mean percent(%v)?", g.value)
 		}
-		c.addError(g.source, "Not a part of a whole", fmt.Sprintf("%s is %v. %s", a.Name, g.value, way))
+		c.addError(g.source, "Not a part of a whole", fmt.Sprintf("%s is %v. %s", attr.Name, g.value, hint))
 		return nil
 	}
 	return g
 }
 
-func (c *compiler) flag(a *hcl.Attribute) *boolean {
-	v, ok := c.value(a, cty.Bool)
+// flag evaluates an attribute as a boolean. It returns nil for an absent or faulty one.
+func (c *compiler) flag(attr *hcl.Attribute) *boolean {
+	v, ok := c.value(attr, cty.Bool)
 	if !ok {
 		return nil
 	}
-	return &boolean{v.True(), a.Expr.Range()}
+	return &boolean{v.True(), attr.Expr.Range()}
 }
 
-func (c *compiler) text(a *hcl.Attribute) (string, bool) {
-	v, ok := c.value(a, cty.String)
+// text evaluates an attribute as a string. The result is false for an absent or faulty one.
+func (c *compiler) text(attr *hcl.Attribute) (string, bool) {
+	v, ok := c.value(attr, cty.String)
 	if !ok {
 		return "", false
 	}
 	return v.AsString(), true
 }
 
-func (c *compiler) texts(a *hcl.Attribute) (list []string) {
-	v, ok := c.value(a, cty.List(cty.String))
+// texts evaluates an attribute as a list of strings, without the null elements. It returns nil for an absent,
+// faulty or empty list.
+func (c *compiler) texts(attr *hcl.Attribute) (list []string) {
+	v, ok := c.value(attr, cty.List(cty.String))
 	if !ok {
 		return nil
 	}
@@ -131,45 +142,48 @@
 	return list
 }
 
-// integer is a whole number within bounds.
-func (c *compiler) integer(a *hcl.Attribute, least, most int) (int, bool) {
-	g := c.number(a)
+// integer evaluates an attribute as an integer between minimum and maximum. The result is false for an absent
+// or faulty one.
+func (c *compiler) integer(attr *hcl.Attribute, minimum, maximum int) (int, bool) {
+	g := c.number(attr)
 	if g == nil {
 		return 0, false
 	}
-	if g.value != math.Trunc(g.value) || g.value < float64(least) || g.value > float64(most) {
+	if g.value != math.Trunc(g.value) || g.value < float64(minimum) || g.value > float64(maximum) {
 		c.addError(
 			g.source,
 			"A number out of bounds",
-			fmt.Sprintf("%s is %v: it can be a whole number from %d to %d.", a.Name, g.value, least, most),
+			fmt.Sprintf("%s is %v: it can be a whole number from %d to %d.", attr.Name, g.value, minimum, maximum),
 		)
 		return 0, false
 	}
 	return int(g.value), true
 }
 
-// duration is a time with its unit.
-func (c *compiler) duration(a *hcl.Attribute) (time.Duration, bool) {
-	text, ok := c.text(a)
+// duration evaluates an attribute as a duration with a unit, of at most one hour. The result is false for an
+// absent or faulty one.
+func (c *compiler) duration(attr *hcl.Attribute) (time.Duration, bool) {
+	text, ok := c.text(attr)
 	if !ok {
 		return 0, false
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 || d > time.Hour {
 		c.addError(
-			a.Expr.Range(),
+			attr.Expr.Range(),
 			"Not a time to wait",
 			fmt.Sprintf("%s is %q: write a number with its unit, such as \"500ms\" or "+
-				"\"2s\", one hour at most.", a.Name, text),
+				"\"2s\", one hour at most.", attr.Name, text),
 		)
 		return 0, false
 	}
 	return d, true
 }
 
-// status is the status that a client gets.
-func (c *compiler) status(a *hcl.Attribute) (int, bool) {
-	n, ok := c.number(a), a != nil
+// status evaluates an attribute as the HTTP status for rejected requests, 429 or 503. The result is false for
+// an absent or faulty one.
+func (c *compiler) status(attr *hcl.Attribute) (int, bool) {
+	n, ok := c.number(attr), attr != nil
 	if n == nil {
 		return 0, false
 	}
@@ -178,47 +192,49 @@
 			n.source,
 			"Not a status for a refusal",
 			fmt.Sprintf("%s is %v: write 429 (this client asks too much) or 503 (the "+
-				"service has no room).", a.Name, n.value),
+				"service has no room).", attr.Name, n.value),
 		)
 		ok = false
 	}
 	return int(n.value), ok
 }
 
-// minute is a time of day, as minutes.
-func (c *compiler) minute(a *hcl.Attribute) (int, bool) {
-	text, ok := c.text(a)
+// minute evaluates an attribute as a time of day, in minutes since midnight. The result is false for an
+// absent or faulty one.
+func (c *compiler) minute(attr *hcl.Attribute) (int, bool) {
+	text, ok := c.text(attr)
 	if !ok {
 		return 0, false
 	}
 	t, err := time.Parse("15:04", text)
 	if err != nil {
 		c.addError(
-			a.Expr.Range(),
+			attr.Expr.Range(),
 			"Not a time of day",
-			fmt.Sprintf("%s is %q: write hours and minutes, \"00:00\" to \"23:59\".", a.Name, text),
+			fmt.Sprintf("%s is %q: write hours and minutes, \"00:00\" to \"23:59\".", attr.Name, text),
 		)
 		return 0, false
 	}
 	return t.Hour()*60 + t.Minute(), true
 }
 
-// clockZone is how many minutes the operators' clock is ahead of UTC.
-func (c *compiler) clockZone(a *hcl.Attribute) int {
-	text, ok := c.text(a)
+// clockOffset evaluates the attribute for the operators' time zone. It returns the minutes by which their
+// clock is ahead of UTC, and 0 for an absent or faulty attribute.
+func (c *compiler) clockOffset(attr *hcl.Attribute) int {
+	text, ok := c.text(attr)
 	if !ok {
 		return 0
 	}
 	t, err := time.Parse("-07:00", text)
 	if err != nil {
 		c.addError(
-			a.Expr.Range(),
+			attr.Expr.Range(),
 			"Not a clock",
 			fmt.Sprintf("%s is %q: write how far the operators' clock is ahead of UTC, such as "+
-				"\"+02:00\".", a.Name, text),
+				"\"+02:00\".", attr.Name, text),
 		)
 		return 0
 	}
-	_, ahead := t.Zone()
-	return ahead / 60
+	_, offsetSeconds := t.Zone()
+	return offsetSeconds / 60
 }
