--- a/internal/release/actions.go
+++ b/internal/release/actions.go
@@ -5,57 +5,60 @@
 	"time"
 )
 
-// Action is one step to be carried out on a server. It may be carried out more than once.
+// Action is a step that is to be carried out on a server. After a change of controller or an error an action
+// is carried out again.
 type Action struct {
 	Step    Step
 	Target  Target
-	Version string // that the server is to have
+	Version string // the version that the server is to have after the step
 }
 
-// Actions returns the actions to be carried out, now that the state is written.
-func (s *State) Actions() (all []Action) {
-	for _, t := range s.Targets {
-		if t.isOut() {
-			all = append(all, Action{t.Step, t, s.versionAfter(t)})
+// Actions returns the actions that are to be carried out. The state has to be written before any of them is
+// carried out.
+func (s *State) Actions() (actions []Action) {
+	for _, target := range s.Targets {
+		if target.isOutOfService() {
+			actions = append(actions, Action{target.Step, target, s.versionAfter(target)})
 		}
 	}
-	return all
+	return actions
 }
 
-// versionAfter is the version that a server is to have after its step.
-func (s *State) versionAfter(t Target) string {
-	if s.isHolding() && (t.Step == Maintenance || t.Step == Drain || t.Step == Restore) {
-		return t.Version
+// versionAfter returns the version that a server is to have after its step. In a release that has stopped, a
+// server that is not replaced yet retains its version.
+func (s *State) versionAfter(target Target) string {
+	if s.isStopped() && (target.Step == Maintenance || target.Step == Drain || target.Step == Restore) {
+		return target.Version
 	}
-	return s.Goal
+	return s.DesiredVersion
 }
 
-// Done records the result of an action; the state has to be written before the next action. An action of a
-// step that is no longer the server's changes nothing.
-func (s *State) Done(now time.Duration, a Action, err error) {
-	i := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == a.Target.Name })
-	if i < 0 || s.Targets[i].Step != a.Step || s.versionAfter(s.Targets[i]) != a.Version {
+// RecordResult records the result of an action. The state has to be written before the next action. The
+// result is ignored if the server is at another step or is to have another version by now.
+func (s *State) RecordResult(now time.Duration, action Action, err error) {
+	index := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == action.Target.Name })
+	if index < 0 || s.Targets[index].Step != action.Step || s.versionAfter(s.Targets[index]) != action.Version {
 		return
 	}
-	t := &s.Targets[i]
+	target := &s.Targets[index]
 	if err != nil {
-		why := err.Error() // the action is retried until the step's deadline
-		t.Reason = why[:min(len(why), maxReason)]
+		reason := err.Error() // the action is retried until the step's deadline
+		target.Reason = reason[:min(len(reason), maxReasonBytes)]
 		return
 	}
-	t.Reason, t.Stuck, t.Since = "", false, now
+	target.Reason, target.Stuck, target.Since = "", false, now
 	switch {
-	case (a.Step == Maintenance || a.Step == Drain) && t.Version == a.Version:
-		t.Step = Restore // halted or rolled back before it was replaced: it is restored as it is
-	case a.Step == Replace:
-		t.Version, t.Step = a.Version, Ready
+	case (action.Step == Maintenance || action.Step == Drain) && target.Version == action.Version:
+		target.Step = Restore // the release was halted or rolled back before the server was replaced
+	case action.Step == Replace:
+		target.Version, target.Step = action.Version, Ready
 	default:
-		t.Step = nextStep[a.Step]
+		target.Step = nextStep[action.Step]
 	}
-	if t.Step == Released {
-		s.addNote(now, "%s serves in version %s", t.Name, t.Version)
-		if t.Version != s.Plan.To {
-			t.Step = Waiting
+	if target.Step == Released {
+		s.addNote(now, "%s serves in version %s", target.Name, target.Version)
+		if target.Version != s.Plan.To {
+			target.Step = Waiting
 		}
 	}
 }
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -11,39 +11,41 @@
 	"wrenspread/internal/registry/client"
 )
 
-// findAgents reads which agent keeps which server or proxy: addresses, by name.
-func findAgents(ctx context.Context, k *client.Client) (map[string]string, error) {
-	all, err := k.Records(ctx, agent.RecordPrefix)
+// findAgents reads the agents' records and returns the addresses of the agents by the names of their servers
+// and proxies.
+func findAgents(ctx context.Context, registryClient *client.Client) (map[string]string, error) {
+	records, err := registryClient.Records(ctx, agent.RecordPrefix)
 	if err != nil {
 		return nil, err
 	}
 	found := map[string]string{}
-	for _, r := range all {
-		one, err := k.Record(ctx, r.Key)
+	for _, record := range records {
+		latest, err := registryClient.Record(ctx, record.Key)
 		if err != nil {
 			return nil, err
 		}
-		var card agent.Record
-		if err := json.Unmarshal(one.Value, &card); err != nil {
-			return nil, fmt.Errorf("%s: %w", r.Key, err)
+		var agentRecord agent.Record
+		if err := json.Unmarshal(latest.Value, &agentRecord); err != nil {
+			return nil, fmt.Errorf("%s: %w", record.Key, err)
 		}
-		for _, s := range card.Servers {
-			found[s] = card.Address
+		for _, name := range agentRecord.Servers {
+			found[name] = agentRecord.Address
 		}
 	}
 	return found, nil
 }
 
-// agentDirectory are the addresses of agents by what they keep, as they were last read. It
-// is safe for concurrent use.
+// agentDirectory caches the addresses of the agents by the names of their servers and proxies. It is safe for
+// concurrent use.
 type agentDirectory struct {
 	mu        sync.Mutex
 	addresses map[string]string
 }
 
-// read reads them anew.
-func (a *agentDirectory) read(ctx context.Context, k *client.Client) (map[string]string, error) {
-	found, err := findAgents(ctx, k)
+// refresh reads the agents' records and replaces the cached addresses.
+func (a *agentDirectory) refresh(
+	ctx context.Context, registryClient *client.Client) (map[string]string, error) {
+	found, err := findAgents(ctx, registryClient)
 	if err != nil {
 		return nil, err
 	}
@@ -53,42 +55,44 @@
 	return found, nil
 }
 
-// find finds the agent that keeps a server or a proxy.
-func (a *agentDirectory) find(name string) (string, error) {
+// addressOf returns the cached address of the agent that manages a server or a proxy.
+func (a *agentDirectory) addressOf(name string) (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if at := a.addresses[name]; at != "" {
-		return at, nil
+	if address := a.addresses[name]; address != "" {
+		return address, nil
 	}
 	return "", fmt.Errorf("no agent keeps %s", name)
 }
 
-// all returns every agent by what it keeps.
-func (a *agentDirectory) all() map[string]string {
+// addressesByName returns the cached addresses. The caller does not change the map.
+func (a *agentDirectory) addressesByName() map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.addresses
 }
 
-// ProxyTargets gives the proxies themselves as their agents have them. An agent that does not answer is an
-// error: a plan is checked as a whole.
-func ProxyTargets(ctx context.Context, k *client.Client, h *http.Client) ([]Target, error) {
-	agents, err := findAgents(ctx, k)
+// ProxyTargets returns the proxies as targets, with the attributes that their agents report. If an agent does
+// not answer, ProxyTargets returns an error, because a plan is checked against the complete list of proxies.
+func ProxyTargets(
+	ctx context.Context, registryClient *client.Client, httpClient *http.Client) ([]Target, error) {
+	agents, err := findAgents(ctx, registryClient)
 	if err != nil {
 		return nil, err
 	}
-	var all []Target
-	for name, at := range agents {
-		s, err := agent.Caller{HTTP: h}.Status(ctx, at, name)
+	var targets []Target
+	for name, address := range agents {
+		status, err := agent.Caller{HTTP: httpClient}.Status(ctx, address, name)
 		if err != nil {
 			return nil, err
 		}
-		if s.Handover {
-			all = append(
-				all,
-				Target{Name: name, Address: s.Address, Zone: s.Zone, Type: s.Type, Cell: s.Cell, Version: s.Version},
+		if status.Handover {
+			targets = append(
+				targets,
+				Target{Name: name, Address: status.Address, Zone: status.Zone, Type: status.Type,
+					Cell: status.Cell, Version: status.Version},
 			)
 		}
 	}
-	return all, nil
+	return targets, nil
 }
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -10,55 +10,59 @@
 	"time"
 )
 
-// Store keeps a release's record. Save fails with ErrSuperseded where the record has
-// another version than was loaded, or the controller's fencing token is not the last.
+// Store stores the record of a release.
 type Store interface {
+	// Load returns the record and its version.
 	Load(ctx context.Context) (raw []byte, version uint64, err error)
+	// Save replaces the given version of the record and returns the new version. It fails with ErrSuperseded
+	// if the record has another version or the controller's fencing token is not the latest.
 	Save(ctx context.Context, raw []byte, version uint64) (uint64, error)
-	// Order returns the operator's order that waits, if one does.
+	// Order returns the pending order of an operator. The id is empty if there is none.
 	Order(ctx context.Context) (id, order, who string, err error)
-	// ClearOrder removes the order, once the record says that this one was taken.
+	// ClearOrder removes the pending order. It is called after the record with the order's id was written.
 	ClearOrder(ctx context.Context) error
 }
 
-// ErrSuperseded ends a controller that another has followed.
+// ErrSuperseded is the error with which a controller ends after another controller has taken over the
+// release.
 var ErrSuperseded = errors.New("release: another controller has it")
 
 // Executor carries out the actions of a release.
 type Executor interface {
-	// Unavailable returns the servers that do not serve for other reasons.
+	// Unavailable returns the servers that do not serve, whatever the reason.
 	Unavailable(ctx context.Context) (Unavailable, error)
-	// Do carries an action out, or a part of it. It is done once done is true, and
-	// may be called again at any time, also for one that was done.
+	// Do carries out an action or a part of it. The action is complete when done is true. Do may be called again
+	// at any time, also for a complete action.
 	Do(ctx context.Context, a Action) (done bool, err error)
-	// Counts tells what the named servers, and the rest, have done so far, by proxy. A proxy that can't be asked
-	// is not there.
+	// Counts returns, by proxy, the counts of the named servers and of the other servers so far. A proxy whose
+	// counts can't be read is missing in the result.
 	Counts(ctx context.Context, named []string) (map[string]Comparison, error)
 }
 
-// Controller carries a release out. It runs under a lease.
+// Controller carries out a release. It runs while its process holds the lease of the release.
 type Controller struct {
 	Store    Store
 	Executor Executor
-	Interval time.Duration // between two looks
+	Interval time.Duration // between two rounds
 	Log      *slog.Logger
-	Clock    func() time.Duration // a monotonic clock; nil: the machine's
+	Clock    func() time.Duration // a monotonic clock; nil means the machine's clock
 
 	state              *State
-	version            uint64
-	startedAt          time.Duration // of this controller, by its clock
-	releaseTimeAtStart time.Duration // the release's clock then
+	recordVersion      uint64
+	startedAt          time.Duration // time of this controller's start on its clock
+	releaseTimeAtStart time.Duration // time since the release began at this controller's start
 }
 
 const (
-	actionTimeout      = 10 * time.Second // for one action, or a part of it
-	maxParallelActions = 16               // actions carried out at once
+	actionTimeout      = 10 * time.Second // for one call of Executor.Do
+	maxParallelActions = 16
 )
 
+// now returns the time since the release began.
 func (c *Controller) now() time.Duration { return c.releaseTimeAtStart + c.Clock() - c.startedAt }
 
-// Run carries the release on from its record until it is over and no server is out of service, until ctx
-// ends, or another controller has it.
+// Run continues the release from its record. It returns nil when the release is in a final phase and no
+// server is out of service because of it, and an error when ctx ends or another controller has taken over.
 func (c *Controller) Run(ctx context.Context) error {
 	raw, version, err := c.Store.Load(ctx)
 	if err != nil {
@@ -71,9 +75,9 @@
 		start := time.Now()
 		c.Clock = func() time.Duration { return time.Since(start) }
 	}
-	c.version, c.startedAt, c.releaseTimeAtStart = version, c.Clock(), c.state.Clock
-	t := time.NewTicker(c.Interval)
-	defer t.Stop()
+	c.recordVersion, c.startedAt, c.releaseTimeAtStart = version, c.Clock(), c.state.Clock
+	ticker := time.NewTicker(c.Interval)
+	defer ticker.Stop()
 	for {
 		if err := c.runRound(ctx); err != nil {
 			return err
@@ -82,36 +86,37 @@
 			return nil
 		}
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// runRound makes one round: orders, what begins, what is carried out, what came of it.
+// runRound makes one round: it follows a pending order, advances the state, carries out the resulting
+// actions, records their results and evaluates the gate.
 func (c *Controller) runRound(ctx context.Context) error {
-	told, err := c.followOrder(ctx)
+	pending, err := c.followOrder(ctx)
 	if err != nil {
 		return err
 	}
-	view, err := c.Executor.Unavailable(ctx)
-	if err != nil { // nothing new begins on a guess
-		c.Log.Warn("reading the fleet's state failed", "err", err)
+	unavailable, err := c.Executor.Unavailable(ctx)
+	if err != nil { // without this list the limits can't be checked, so no server is taken out of service
+		c.Log.Warn("read unavailable servers failed", "err", err)
 	} else {
-		c.state.Step(c.now(), view)
+		c.state.Step(c.now(), unavailable)
 	}
 	if err := c.save(ctx); err != nil {
 		return err
 	}
-	if told {
+	if pending {
 		if err := c.Store.ClearOrder(ctx); err != nil {
 			return err
 		}
 	}
-	for _, r := range c.carryOut(ctx, c.state.Actions()) {
-		if r.done || r.err != nil {
-			c.state.Done(c.now(), r.action, r.err)
+	for _, result := range c.carryOut(ctx, c.state.Actions()) {
+		if result.done || result.err != nil {
+			c.state.RecordResult(c.now(), result.action, result.err)
 		}
 	}
 	if ctx.Err() != nil {
@@ -121,9 +126,9 @@
 	return c.save(ctx)
 }
 
-// followOrder follows the order that waits, and reports whether there is one. Its id goes into the record, so
-// that it is followed once.
-func (c *Controller) followOrder(ctx context.Context) (told bool, err error) {
+// followOrder follows the pending order and reports whether there is one. The order's id is written to the
+// record, so that the order is followed only once even if the controller changes before the order is removed.
+func (c *Controller) followOrder(ctx context.Context) (pending bool, err error) {
 	id, order, who, err := c.Store.Order(ctx)
 	if err != nil || id == "" {
 		return false, err
@@ -139,110 +144,113 @@
 	return true, nil
 }
 
-// save writes the record, also where only its clock has moved: the write tells a
-// controller whether another has followed it.
+// save writes the record, even if only its clock has changed, because the write fails if another controller
+// has taken over.
 func (c *Controller) save(ctx context.Context) error {
 	c.state.Clock = c.now()
 	raw, err := Encode(c.state)
 	if err != nil {
 		return err
 	}
-	if c.version, err = c.Store.Save(ctx, raw, c.version); err != nil {
+	if c.recordVersion, err = c.Store.Save(ctx, raw, c.recordVersion); err != nil {
 		return fmt.Errorf("release: writing the record: %w", err)
 	}
 	return nil
 }
 
-// result is what came of an action.
-type result struct {
+// actionResult is the result of Executor.Do for an action.
+type actionResult struct {
 	action Action
 	done   bool
 	err    error
 }
 
-func (c *Controller) carryOut(ctx context.Context, all []Action) []result {
-	results := make([]result, len(all))
-	room := make(chan bool, maxParallelActions)
-	var open sync.WaitGroup
-	for i, a := range all {
-		room <- true
-		open.Go(func() {
-			defer func() { <-room }()
-			call, cancel := context.WithTimeout(ctx, actionTimeout)
+// carryOut carries out the actions, at most maxParallelActions at a time, and returns their results in order.
+func (c *Controller) carryOut(ctx context.Context, actions []Action) []actionResult {
+	results := make([]actionResult, len(actions))
+	slots := make(chan bool, maxParallelActions)
+	var running sync.WaitGroup
+	for i, action := range actions {
+		slots <- true
+		running.Go(func() {
+			defer func() { <-slots }()
+			actionCtx, cancel := context.WithTimeout(ctx, actionTimeout)
 			defer cancel()
-			done, err := c.Executor.Do(call, a)
-			results[i] = result{a, done, err}
+			done, err := c.Executor.Do(actionCtx, action)
+			results[i] = actionResult{action, done, err}
 		})
 	}
-	open.Wait()
+	running.Wait()
 	return results
 }
 
-// evaluateGate notes the figures at the beginning of a soak, and asks for a verdict at its end.
+// evaluateGate records the counts at the beginning of a soak. At the end of the soak it compares them with
+// the present counts and applies the verdict of the gate.
 func (c *Controller) evaluateGate(ctx context.Context) {
-	s := c.state
-	if s.Phase != Soaking {
+	state := c.state
+	if state.Phase != Soaking {
 		return
 	}
-	var named []string
-	for _, t := range s.targetsOf(s.Wave) {
-		named = append(named, t.Name)
+	var released []string
+	for _, target := range state.targetsOf(state.Wave) {
+		released = append(released, target.Name)
 	}
-	now, err := c.Executor.Counts(ctx, named)
+	counts, err := c.Executor.Counts(ctx, released)
 	if err != nil {
-		c.Log.Warn("no figures for the gate", "err", err)
+		c.Log.Warn("read gate counts failed", "err", err)
 		return
 	}
-	if s.Baseline == nil {
-		s.Baseline = now
+	if state.Baseline == nil {
+		state.Baseline = counts
 		return
 	}
-	if !s.Soaked(c.now()) {
+	if !state.SoakElapsed(c.now()) {
 		return
 	}
-	those, rest := Since(s.Baseline, now)
-	verdict := s.Plan.Gate.Judge(those, rest, len(named) == len(s.Targets))
-	s.Judged(
+	releasedCounts, restCounts := CountsSince(state.Baseline, counts)
+	verdict := state.Plan.Gate.Evaluate(releasedCounts, restCounts, len(released) == len(state.Targets))
+	state.ApplyVerdict(
 		c.now(),
 		verdict,
 		fmt.Sprintf(
 			"gate: %s, %d of %d failed and %d were late, of the rest %d of %d and %d",
 			verdict,
-			those.Failed,
-			those.Requests,
-			those.Late,
-			rest.Failed,
-			rest.Requests,
-			rest.Late,
+			releasedCounts.Failed,
+			releasedCounts.Requests,
+			releasedCounts.Late,
+			restCounts.Failed,
+			restCounts.Requests,
+			restCounts.Late,
 		),
 	)
 }
 
-// Encode returns the form of a record.
-func Encode(s *State) ([]byte, error) { return json.Marshal(s) }
+// Encode returns a state in the format of a record.
+func Encode(state *State) ([]byte, error) { return json.Marshal(state) }
 
-// Decode reads a record. One of a later form is an error.
+// Decode decodes and validates a record. A record in another format is an error.
 func Decode(raw []byte) (*State, error) {
-	s := &State{}
-	if err := json.Unmarshal(raw, s); err != nil {
+	state := &State{}
+	if err := json.Unmarshal(raw, state); err != nil {
 		return nil, fmt.Errorf("release: a record that can't be read: %w", err)
 	}
-	if s.Format != format {
-		return nil, fmt.Errorf("release: a record of form %d, this program knows %d", s.Format, format)
+	if state.Format != recordFormat {
+		return nil, fmt.Errorf("release: a record of form %d, this program knows %d", state.Format, recordFormat)
 	}
-	if err := s.Plan.Check(); err != nil {
+	if err := state.Plan.Check(); err != nil {
 		return nil, fmt.Errorf("release: the record's plan: %w", err)
 	}
-	if s.Goal != s.Plan.From && s.Goal != s.Plan.To {
-		return nil, fmt.Errorf("release: a record whose goal is %q", s.Goal)
+	if state.DesiredVersion != state.Plan.From && state.DesiredVersion != state.Plan.To {
+		return nil, fmt.Errorf("release: a record whose goal is %q", state.DesiredVersion)
 	}
-	if s.Wave < 0 || s.Wave >= len(s.Plan.Waves) || len(s.Targets) == 0 || len(s.Targets) > MaxTargets {
+	if state.Wave < 0 || state.Wave >= len(state.Plan.Waves) ||
+		len(state.Targets) == 0 || len(state.Targets) > MaxTargets {
 		return nil, fmt.Errorf(
 			"release: a record at wave %d of %d with %d servers",
-			s.Wave+1,
-			len(s.Plan.Waves),
-			len(s.Targets),
+			state.Wave+1,
+			len(state.Plan.Waves),
+			len(state.Targets),
 		)
 	}
-	return s, nil
+	return state, nil
 }
--- a/internal/release/gate.go
+++ b/internal/release/gate.go
@@ -8,121 +8,127 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Verdict is the result of a gate.
+// Verdict is the result of evaluating a gate.
 type Verdict string
 
 // The verdicts.
 const (
-	Undecided Verdict = "undecided"
+	Undecided Verdict = "undecided" // too few requests for a comparison
 	Pass      Verdict = "pass"
 	Fail      Verdict = "fail"     // the released servers are worse than the rest
-	Incident  Verdict = "incident" // all servers are bad, so the release need not be the cause
+	Incident  Verdict = "incident" // the other servers fail as well, so the release need not be the cause
 )
 
-// Counts are the requests that some servers answered over a time.
+// Counts counts the requests to a group of servers and the failed and late ones among them.
 type Counts struct {
 	Requests int `json:"Requests"`
 	Failed   int `json:"Failed"`
-	Late     int `json:"Late"` // answered past their latency objective
+	Late     int `json:"Late"` // took longer than their latency objective
 }
 
-func (c Counts) minus(o Counts) Counts {
-	return Counts{c.Requests - o.Requests, c.Failed - o.Failed, c.Late - o.Late}
+func (c Counts) minus(other Counts) Counts {
+	return Counts{c.Requests - other.Requests, c.Failed - other.Failed, c.Late - other.Late}
 }
 
-func (c Counts) plus(o Counts) Counts {
-	return Counts{c.Requests + o.Requests, c.Failed + o.Failed, c.Late + o.Late}
+func (c Counts) plus(other Counts) Counts {
+	return Counts{c.Requests + other.Requests, c.Failed + other.Failed, c.Late + other.Late}
 }
 
-// Comparison are the figures of the released servers and of the rest, at one proxy.
+// Comparison holds the counts of the released servers and of the rest at one proxy.
 type Comparison struct {
 	Released Counts `json:"Those"`
 	Rest     Counts `json:"Rest"`
 }
 
-// Since sums up what all proxies have counted since base. Of a proxy that restarted since then, all that it
-// has counted since its restart is taken; one that is missing in base is left out.
-func Since(base, now map[string]Comparison) (those, rest Counts) {
-	for node, n := range now {
-		b, ok := base[node]
+// CountsSince returns the sums, over all proxies, of the requests counted between base and current. For a
+// proxy that has restarted in between, the counts since its restart are added. A proxy that is missing in
+// base is left out.
+func CountsSince(base, current map[string]Comparison) (released, rest Counts) {
+	for proxy, counts := range current {
+		before, ok := base[proxy]
 		if !ok {
 			continue
 		}
-		for _, p := range []struct {
+		for _, part := range []struct {
 			sum      *Counts
 			now, was Counts
-		}{{&those, n.Released, b.Released}, {&rest, n.Rest, b.Rest}} {
-			d := p.now.minus(p.was)
-			if d.Requests < 0 || d.Failed < 0 || d.Late < 0 {
-				d = p.now
+		}{{&released, counts.Released, before.Released}, {&rest, counts.Rest, before.Rest}} {
+			difference := part.now.minus(part.was)
+			if difference.Requests < 0 || difference.Failed < 0 || difference.Late < 0 {
+				difference = part.now
 			}
-			*p.sum = p.sum.plus(d)
+			*part.sum = part.sum.plus(difference)
 		}
 	}
-	return those, rest
+	return released, rest
 }
 
-// chanceDeviations is the significance level of a gate: the probability below which counts are blamed on the
-// version. With it one good release in hundreds is halted, over all waves and both figures.
-const chanceDeviations = 0.001
+// significanceLevel is the significance level of a gate's tests: a difference counts as caused by the new
+// version if the probability of a chance result is below it. At this level one good release in hundreds is
+// halted, counted over all waves and both tests (failed and late requests).
+const significanceLevel = 0.001
 
-// above reports whether n of so many are significantly more than a share, by a one-sided binomial test.
-func above(n, of int, share float64) bool {
-	if n == 0 || share >= 1 {
+// exceeds reports whether a count out of a total is significantly above a share of the total, by a one-sided
+// binomial test.
+func exceeds(count, total int, share float64) bool {
+	if count == 0 || share >= 1 {
 		return false
 	}
-	return 1-distuv.Binomial{N: float64(of), P: max(share, 1e-9)}.CDF(float64(n-1)) < chanceDeviations
+	return 1-distuv.Binomial{N: float64(total), P: max(share, 1e-9)}.CDF(float64(count-1)) < significanceLevel
 }
 
-// Judge compares the released servers with the rest. Without a rest, as after the last wave, the fixed bound
-// alone decides.
-func (g Gate) Judge(released, rest Counts, alone bool) Verdict {
-	share := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+// Evaluate compares the released servers with the rest. If alone is set, there is no rest, as after the last
+// wave, and only the fixed threshold for failed requests decides.
+func (g Gate) Evaluate(released, rest Counts, alone bool) Verdict {
+	share := func(count, total int) float64 { return float64(count) / float64(max(total, 1)) }
 	if released.Requests < g.MinRequests || !alone && rest.Requests < g.MinRequests {
 		return Undecided
 	}
-	most := cmp.Or(g.IncidentThreshold, Default().Gate.IncidentThreshold)
-	bad, restBad := above(released.Failed, released.Requests, most), above(rest.Failed, rest.Requests, most)
+	threshold := cmp.Or(g.IncidentThreshold, Default().Gate.IncidentThreshold)
+	releasedBad, restBad := exceeds(released.Failed, released.Requests, threshold),
+		exceeds(rest.Failed, rest.Requests, threshold)
 	switch {
-	case alone && bad:
+	case alone && releasedBad:
 		return Fail
 	case alone:
 		return Pass
-	case bad && restBad:
+	case releasedBad && restBad:
 		return Incident
-	case above(released.Failed, released.Requests, share(rest.Failed, rest.Requests)+g.MaxFailedExcess),
-		above(released.Late, released.Requests, share(rest.Late, rest.Requests)+g.MaxLateExcess):
+	case exceeds(released.Failed, released.Requests, share(rest.Failed, rest.Requests)+g.MaxFailedExcess),
+		exceeds(released.Late, released.Requests, share(rest.Late, rest.Requests)+g.MaxLateExcess):
 		return Fail
 	}
 	return Pass
 }
 
-// Soaked reports whether the soak is over and a verdict is wanted.
-func (s *State) Soaked(now time.Duration) bool {
+// SoakElapsed reports whether the soak of the present wave is over, so that the gate is to be evaluated.
+func (s *State) SoakElapsed(now time.Duration) bool {
 	return s.Phase == Soaking && now-s.Since >= s.Plan.Soak
 }
 
-// Judged applies the verdict on the wave that has soaked.
-func (s *State) Judged(now time.Duration, v Verdict, why string) {
+// ApplyVerdict applies the verdict on the wave that has soaked: the release continues, is halted or is rolled
+// back. An undecided verdict changes nothing; the gate is evaluated again until Deadline.Judge.
+func (s *State) ApplyVerdict(now time.Duration, verdict Verdict, reason string) {
 	if s.Phase != Soaking {
 		return
 	}
-	switch v {
+	switch verdict {
 	case Pass:
-		s.next(now, why)
+		s.completeWave(now, reason)
 	case Fail:
-		s.handleFault(now, fmt.Sprintf("the gate of wave %d failed: %s", s.Wave+1, why))
-	case Incident: // a rollback could be as wrong as to go on
-		s.HaltReason, s.Resume = why, Running
-		s.setPhase(now, Halted, "an incident of its own at wave %d: %s", s.Wave+1, why)
+		s.handleFault(now, fmt.Sprintf("the gate of wave %d failed: %s", s.Wave+1, reason))
+	case Incident: // a rollback could be as wrong as continuing
+		s.HaltReason, s.ResumePhase = reason, Running
+		s.setPhase(now, Halted, "an incident of its own at wave %d: %s", s.Wave+1, reason)
 	}
 }
 
-func (s *State) next(now time.Duration, why string) {
+// completeWave starts the next wave, or finishes the release after the last one.
+func (s *State) completeWave(now time.Duration, reason string) {
 	if s.Wave+1 == len(s.Plan.Waves) {
-		s.setPhase(now, Finished, "all have version %s; %s", s.Plan.To, why)
+		s.setPhase(now, Finished, "all have version %s; %s", s.Plan.To, reason)
 		return
 	}
 	s.Wave++
-	s.setPhase(now, Running, "wave %d of %d begins; %s", s.Wave+1, len(s.Plan.Waves), why)
+	s.setPhase(now, Running, "wave %d of %d begins; %s", s.Wave+1, len(s.Plan.Waves), reason)
 }
--- a/internal/release/machine_test.go
+++ b/internal/release/machine_test.go
@@ -355,7 +355,7 @@
 func TestSince(t *testing.T) {
 	base := map[string]Comparison{"a": {Counts{100, 10, 5}, Counts{1000, 0, 0}}, "b": {Counts{500, 50, 0}, Counts{}}, "gone": {}}
 	now := map[string]Comparison{"a": {Counts{150, 12, 5}, Counts{1300, 1, 0}}, "b": {Counts{20, 1, 1}, Counts{7, 0, 0}}, "new": {Counts{9999, 9999, 0}, Counts{}}}
-	if those, rest := Since(base, now); those != (Counts{70, 3, 1}) || rest != (Counts{307, 1, 0}) {
+	if those, rest := CountsSince(base, now); those != (Counts{70, 3, 1}) || rest != (Counts{307, 1, 0}) {
 		t.Errorf("%+v and %+v", those, rest)
 	}
 }
@@ -402,7 +402,7 @@
 		{Counts{1000, 200, 0}, Counts{1000, 150, 0}, false, Incident}, {Counts{1000, 0, 90}, Counts{1000, 0, 0}, false, Fail}, {Counts{1000, 0, 60}, Counts{1000, 0, 0}, false, Pass},
 		{Counts{1000, 100, 0}, Counts{}, true, Pass}, {Counts{1000, 150, 0}, Counts{}, true, Fail}, {Counts{9, 0, 0}, Counts{}, true, Undecided},
 	} {
-		if got := g.Judge(c.those, c.rest, c.alone); got != c.want {
+		if got := g.Evaluate(c.those, c.rest, c.alone); got != c.want {
 			t.Errorf("%+v beside %+v: %s, want %s", c.those, c.rest, got, c.want)
 		}
 	}
@@ -426,10 +426,10 @@
 	for range gates {
 		n := 40 + chance.IntN(400)
 		rest := Counts{2000, draw(2000, 0.02), draw(2000, 0.05)}
-		if g.Judge(Counts{n, draw(n, 0.02), draw(n, 0.05)}, rest, false) != Pass {
+		if g.Evaluate(Counts{n, draw(n, 0.02), draw(n, 0.05)}, rest, false) != Pass {
 			falsely++
 		}
-		if g.Judge(Counts{n, draw(n, 0.25), draw(n, 0.05)}, rest, false) == Fail {
+		if g.Evaluate(Counts{n, draw(n, 0.25), draw(n, 0.05)}, rest, false) == Fail {
 			found++
 		}
 	}
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -1,11 +1,12 @@
-// Package release takes servers, or the program's own proxies, from one version to another: in waves, each
-// judged by a gate after a soak, with a halt and a rollback.
+// Package release takes servers, or the proxies themselves, from one version to another in a staged rollout.
+// The servers are released in waves. Each wave is followed by a soak, at whose end a gate compares the
+// released servers with the rest. A fault halts the release or rolls it back.
 //
-// Plan and State are pure: State.Step, Done, Judged and Order take events with the time since the release
-// began, and State.Actions returns what is to be carried out. A Controller, which holds a lease, writes the
-// state to the registry before and after each action; so whichever controller follows goes on from the
-// record. An Executor carries the actions out, on servers through agents and proxies, or on the proxies
-// themselves.
+// Plan and State are pure: State.Step, RecordResult, ApplyVerdict and Order take events with the time since
+// the release began, and State.Actions returns the actions that are to be carried out. A Controller, which
+// runs under a lease, writes the state to the registry before and after each action, so that a controller
+// that takes over continues from the record. An Executor carries out the actions: ServerExecutor on servers,
+// through their agents and the proxies, and ProxyExecutor on the proxies themselves.
 package release
 
 import (
@@ -16,39 +17,41 @@
 	"time"
 )
 
-// Plan is what a release is to do. Times in its file have units, as in "30s".
+// Plan describes a release. In a plan's file, durations have units, as in "30s".
 type Plan struct {
 	Name string `koanf:"name" json:"name"`
-	// servers, also where it is absent, or program: the proxies themselves
+	// Kind is KindServers or KindProxies; empty means KindServers.
 	Kind     string   `koanf:"kind" json:"kind,omitempty"`
-	From     string   `koanf:"from" json:"from"` // version
-	To       string   `koanf:"to" json:"to"`
+	From     string   `koanf:"from" json:"from"` // the previous version
+	To       string   `koanf:"to" json:"to"`     // the new version
 	Selector Selector `koanf:"what" json:"what"`
 	Limits   Limits   `koanf:"limits" json:"limits"`
 	Waves    []Wave   `koanf:"wave" json:"waves"`
 
-	// from the return of a wave's last server to the gate
+	// Soak is the time from the return of a wave's last server to the evaluation of the gate.
 	Soak     time.Duration `koanf:"soak" json:"soak_ns"`
 	Gate     Gate          `koanf:"gate" json:"gate"`
-	Halt     string        `koanf:"halt" json:"halt"` // wait, or back
+	Halt     string        `koanf:"halt" json:"halt"` // HaltWait or HaltRollBack
 	Deadline Deadline      `koanf:"deadline" json:"deadline"`
 }
 
-// Selector selects the servers: those that match all that is given. Names may have * and ?.
+// Selector selects the servers that match each of its lists that is not empty. Names may be patterns with *
+// and ?.
 type Selector struct {
 	Zones []string `koanf:"zones" json:"zones,omitempty"`
 	Types []string `koanf:"types" json:"types,omitempty"`
 	Names []string `koanf:"names" json:"names,omitempty"`
 }
 
-// Limits say how many servers may be out at once, for whatever reason.
+// Limits bounds the number of servers that may be out of service at the same time, whatever the reason.
 type Limits struct {
-	Total int `koanf:"out" json:"out"`   // in all
-	Zone  int `koanf:"zone" json:"zone"` // in a zone; 0: as many as in all
-	Cell  int `koanf:"pod" json:"pod"`   // in a pod of a type; 0: as many as in all
+	Total int `koanf:"out" json:"out"`   // in the fleet
+	Zone  int `koanf:"zone" json:"zone"` // in each zone; 0 means Total
+	Cell  int `koanf:"pod" json:"pod"`   // in each cell of a type; 0 means Total
 }
 
-// Wave is a number or a share of the servers; the last takes all that are left.
+// Wave is a number of further servers to release, or the share of all servers that are released by the wave's
+// end. The last wave contains all remaining servers.
 type Wave struct {
 	Count int     `koanf:"count" json:"count,omitempty"`
 	Share float64 `koanf:"share" json:"share,omitempty"`
@@ -56,46 +59,47 @@
 
 // Gate compares the released servers with the rest over the soak.
 type Gate struct {
-	// requests that each part must have had, else it is undecided
+	// MinRequests is the number of requests that the released servers and the rest each need for a verdict.
 	MinRequests int `koanf:"least" json:"least"`
-	// the released part's share of failures may be so much above the rest's
+	// MaxFailedExcess is by how much the released servers' share of failures may exceed that of the rest.
 	MaxFailedExcess float64 `koanf:"failed" json:"failed"`
-	MaxLateExcess   float64 `koanf:"late" json:"late"` // the same, of requests past their latency objective
-	// failures of either part above this share are an incident of its own; 0: 0.1
+	MaxLateExcess   float64 `koanf:"late" json:"late"` // the same for requests past their latency objective
+	// IncidentThreshold is the share of failures above which a group of servers counts as bad. If both groups
+	// are bad, the gate finds an incident. 0 means 0.1.
 	IncidentThreshold float64 `koanf:"most" json:"most"`
 }
 
-// Deadline says how long a step may take.
+// Deadline bounds the time that each step may take. Drain applies to Maintenance, too, and Ready to Restore.
 type Deadline struct {
 	Drain   time.Duration `koanf:"drain" json:"drain_ns"`
 	Replace time.Duration `koanf:"replace" json:"replace_ns"`
 	Ready   time.Duration `koanf:"ready" json:"ready_ns"`
-	Judge   time.Duration `koanf:"judge" json:"judge_ns"` // past the soak, for a gate to decide
+	Judge   time.Duration `koanf:"judge" json:"judge_ns"` // from the end of the soak to the gate's verdict
 }
 
-// What is released.
+// The kinds of plans.
 const (
 	KindServers = "servers"
-	KindProxies = "program"
+	KindProxies = "program" // the proxies themselves
 )
 
-// IsForProxies reports whether the plan is about the proxies themselves.
+// IsForProxies reports whether the plan releases the proxies themselves.
 func (p Plan) IsForProxies() bool { return p.Kind == KindProxies }
 
-// What a halt may do by itself.
+// What a fault does to a release.
 const (
-	HaltWait     = "wait"
-	HaltRollBack = "back"
+	HaltWait     = "wait" // halts it until an operator's order
+	HaltRollBack = "back" // rolls it back
 )
 
 // Bounds on plans.
 const (
-	MaxTargets  = 500 // whose record has to fit into one of the registry
+	MaxTargets  = 500 // so that the record of a release fits into a record of the registry
 	maxWaves    = 50
 	maxDuration = 24 * time.Hour
 )
 
-// Default is a careful plan but for its name, versions and servers.
+// Default returns a cautious plan without a name, versions and a selector.
 func Default() Plan {
 	return Plan{
 		Limits: Limits{Total: 1},
@@ -112,59 +116,59 @@
 	}
 }
 
-// Matches reports whether a server or a proxy is one of those that the plan is about.
-func (p Plan) Matches(t Target) bool {
-	one := func(all []string, is string) bool { return len(all) == 0 || slices.Contains(all, is) }
-	named := len(p.Selector.Names) == 0 || slices.ContainsFunc(p.Selector.Names, func(n string) bool {
-		ok, err := path.Match(n, t.Name)
+// Matches reports whether the plan's selector selects a server or a proxy.
+func (p Plan) Matches(target Target) bool {
+	accepts := func(list []string, value string) bool { return len(list) == 0 || slices.Contains(list, value) }
+	named := len(p.Selector.Names) == 0 || slices.ContainsFunc(p.Selector.Names, func(pattern string) bool {
+		ok, err := path.Match(pattern, target.Name)
 		return ok && err == nil
 	})
-	return one(p.Selector.Zones, t.Zone) && one(p.Selector.Types, t.Type) && named
+	return accepts(p.Selector.Zones, target.Zone) && accepts(p.Selector.Types, target.Type) && named
 }
 
-// waveEnds gives, for each wave, how many of n servers are released by its end.
-func (p Plan) waveEnds(n int) (all []int) {
-	done := 0
-	for i, w := range p.Waves {
-		if w.Count > 0 {
-			done += w.Count
+// waveEnds returns, for each wave, how many of the targets are released by the wave's end.
+func (p Plan) waveEnds(targets int) (ends []int) {
+	released := 0
+	for i, wave := range p.Waves {
+		if wave.Count > 0 {
+			released += wave.Count
 		} else {
-			done = max(done, int(math.Ceil(w.Share*float64(n))))
+			released = max(released, int(math.Ceil(wave.Share*float64(targets))))
 		}
-		done = min(done, n)
+		released = min(released, targets)
 		if i == len(p.Waves)-1 {
-			done = n
+			released = targets
 		}
-		all = append(all, done)
+		ends = append(ends, released)
 	}
-	return all
+	return ends
 }
 
-// order puts servers in the order of their release: zones in turn, pods in turn
-// within a zone, so that a wave is spread as wide as it can be.
-func order(all []Target) []Target {
-	count := map[string]int{} // servers of a zone, of a pod in a zone
+// releaseOrder returns the servers in the order of their release: the zones in turn and, within a zone, the
+// cells in turn, so that the servers of a wave are spread over as many zones and cells as possible.
+func releaseOrder(targets []Target) []Target {
+	counts := map[string]int{} // servers counted so far, by zone and by cell
 	type ranked struct {
 		Target
-		pod, zone int // the how manieth of it
+		cellRank, zoneRank int // position of the server within its cell and its zone
 	}
-	var in []ranked
+	var ranking []ranked
 	byName := func(a, b Target) int { return cmp.Compare(a.Name, b.Name) }
-	for _, t := range slices.SortedFunc(slices.Values(all), byName) {
-		pod := t.cell()
-		in = append(in, ranked{t, count[pod], 0})
-		count[pod]++
+	for _, target := range slices.SortedFunc(slices.Values(targets), byName) {
+		cell := target.cell()
+		ranking = append(ranking, ranked{target, counts[cell], 0})
+		counts[cell]++
 	}
-	slices.SortStableFunc(in, func(a, b ranked) int { return a.pod - b.pod })
-	for i := range in {
-		zone := "zone " + in[i].Zone
-		in[i].zone = count[zone]
-		count[zone]++
+	slices.SortStableFunc(ranking, func(a, b ranked) int { return a.cellRank - b.cellRank })
+	for i := range ranking {
+		zone := "zone " + ranking[i].Zone
+		ranking[i].zoneRank = counts[zone]
+		counts[zone]++
 	}
-	slices.SortStableFunc(in, func(a, b ranked) int { return a.zone - b.zone })
-	var out []Target
-	for _, r := range in {
-		out = append(out, r.Target)
+	slices.SortStableFunc(ranking, func(a, b ranked) int { return a.zoneRank - b.zoneRank })
+	var ordered []Target
+	for _, entry := range ranking {
+		ordered = append(ordered, entry.Target)
 	}
-	return out
+	return ordered
 }
--- a/internal/release/plan_check.go
+++ b/internal/release/plan_check.go
@@ -9,31 +9,36 @@
 	"wrenspread/internal/registry"
 )
 
-// planProblems collects the faults of a plan, each with the key that it is about.
+// planProblems collects the faults of a plan, each with the key of the faulty value.
 type planProblems struct{ errs []error }
 
+// require adds a fault unless ok is set.
 func (p *planProblems) require(ok bool, format string, args ...any) {
 	if !ok {
 		p.errs = append(p.errs, fmt.Errorf(format, args...))
 	}
 }
 
+// requireText adds a fault if the text is empty or too long for the registry.
 func (p *planProblems) requireText(key, value string) {
-	p.require(value != "" && len(value) <= registry.MaxTextBytes, "%s: want 1 to %d bytes", key, registry.MaxTextBytes)
+	p.require(value != "" && len(value) <= registry.MaxTextBytes,
+		"%s: want 1 to %d bytes", key, registry.MaxTextBytes)
 }
 
-func (p *planProblems) requireDuration(key string, d, least time.Duration) {
-	p.require(d >= least && d <= maxDuration, "%s: %v is not between %v and %v", key, d, least, maxDuration)
+// requireDuration adds a fault if the duration is not between the minimum and maxDuration.
+func (p *planProblems) requireDuration(key string, d, minimum time.Duration) {
+	p.require(d >= minimum && d <= maxDuration, "%s: %v is not between %v and %v", key, d, minimum, maxDuration)
 }
 
+// requireShare adds a fault if the share is not between 0 and 1.
 func (p *planProblems) requireShare(key string, share float64) {
 	p.require(share >= 0 && share <= 1, "%s: %v is not between 0 and 1", key, share)
 }
 
-// Check validates a plan. The error names all faults, each with its key.
+// Check validates a plan. The error lists all faults, each with the key of the faulty value.
 func (p Plan) Check() error {
 	var problems planProblems
-	p.checkWhat(&problems)
+	p.checkSelection(&problems)
 	p.Limits.check(&problems)
 	p.checkWaves(&problems)
 	p.checkTimes(&problems)
@@ -45,8 +50,8 @@
 	return errors.Join(problems.errs...)
 }
 
-// checkWhat validates what is released, and from which version to which.
-func (p Plan) checkWhat(problems *planProblems) {
+// checkSelection validates the plan's name, kind, versions and selector.
+func (p Plan) checkSelection(problems *planProblems) {
 	problems.requireText("name", p.Name)
 	problems.requireText("from", p.From)
 	problems.requireText("to", p.To)
@@ -72,9 +77,9 @@
 		len(p.Waves) >= 1 && len(p.Waves) <= maxWaves,
 		"wave: there are %d, want 1 to %d", len(p.Waves), maxWaves,
 	)
-	for i, w := range p.Waves {
+	for i, wave := range p.Waves {
 		problems.require(
-			(w.Count > 0) != (w.Share > 0) && w.Count >= 0 && w.Share >= 0 && w.Share <= 1,
+			(wave.Count > 0) != (wave.Share > 0) && wave.Count >= 0 && wave.Share >= 0 && wave.Share <= 1,
 			"wave %d: give either count, above 0, or share, above 0 and at most 1", i+1,
 		)
 	}
--- a/internal/release/proxyexecutor.go
+++ b/internal/release/proxyexecutor.go
@@ -10,8 +10,9 @@
 	"wrenspread/internal/registry/client"
 )
 
-// ProxyExecutor is the proxies themselves, whose agents start a new version beside the old one and hand off.
-// Nothing has to be drained or listed. Its methods are safe for concurrent use.
+// ProxyExecutor carries out a release of the proxies themselves. A proxy's agent starts the new version while
+// the old one runs, and the old process hands off to the new one. So a proxy needs no maintenance, is not
+// drained and is not in the endpoint list. The methods are safe for concurrent use.
 type ProxyExecutor struct {
 	Registry *client.Client
 	Token    registry.FencingToken
@@ -20,85 +21,88 @@
 	agents agentDirectory
 }
 
-// Unavailable returns the proxies that do not serve.
+// Unavailable returns the proxies that are not ready, and those whose agents do not answer.
 func (f *ProxyExecutor) Unavailable(ctx context.Context) (Unavailable, error) {
-	agents, err := f.agents.read(ctx, f.Registry)
+	agents, err := f.agents.refresh(ctx, f.Registry)
 	if err != nil {
 		return Unavailable{}, err
 	}
-	var v Unavailable
-	for name, at := range agents {
-		s, err := agent.Caller{HTTP: f.HTTP}.Status(ctx, at, name)
-		if err != nil { // its machine may be lost
-			v.Endpoints = append(v.Endpoints, Target{Name: name})
-		} else if s.Handover && !s.Ready {
-			v.Endpoints = append(v.Endpoints, Target{Name: name, Zone: s.Zone, Type: s.Type, Cell: s.Cell})
+	var unavailable Unavailable
+	for name, address := range agents {
+		status, err := agent.Caller{HTTP: f.HTTP}.Status(ctx, address, name)
+		if err != nil { // the machine may be lost
+			unavailable.Endpoints = append(unavailable.Endpoints, Target{Name: name})
+		} else if status.Handover && !status.Ready {
+			unavailable.Endpoints = append(unavailable.Endpoints,
+				Target{Name: name, Zone: status.Zone, Type: status.Type, Cell: status.Cell})
 		}
 	}
-	return v, nil
+	return unavailable, nil
 }
 
-// Do carries an action out.
-func (f *ProxyExecutor) Do(ctx context.Context, a Action) (done bool, err error) {
-	at, err := f.agents.find(a.Target.Name)
+// Do carries out an action. Only Replace and Ready need work.
+func (f *ProxyExecutor) Do(ctx context.Context, action Action) (done bool, err error) {
+	address, err := f.agents.addressOf(action.Target.Name)
 	if err != nil {
 		return false, err
 	}
-	call := agent.Caller{HTTP: f.HTTP}
-	switch a.Step {
-	case Maintenance, Drain, Restore: // the handoff does it
+	caller := agent.Caller{HTTP: f.HTTP}
+	switch action.Step {
+	case Maintenance, Drain, Restore: // the handoff replaces these steps
 		return true, nil
 	case Replace:
-		s, err := call.Order(ctx, at, a.Target.Name, agent.DesiredState{Version: a.Version}, f.Token)
-		return err == nil && s.Version == a.Version, wrong(s, a, err)
+		status, err := caller.Order(ctx, address, action.Target.Name,
+			agent.DesiredState{Version: action.Version}, f.Token)
+		return err == nil && status.Version == action.Version, proxyError(status, action, err)
 	}
-	s, err := call.Status(ctx, at, a.Target.Name)
-	return err == nil && s.Version == a.Version && s.Ready, wrong(s, a, err)
+	status, err := caller.Status(ctx, address, action.Target.Name)
+	return err == nil && status.Version == action.Version && status.Ready, proxyError(status, action, err)
 }
 
-// wrong says the reason why a proxy does not run its version.
-func wrong(s agent.Status, a Action, err error) error {
+// proxyError returns why a proxy does not serve in the version of an action: err, or the reason that the
+// agent reports. It returns nil if there is no error.
+func proxyError(status agent.Status, action Action, err error) error {
 	switch {
 	case err != nil:
 		return err
-	case s.RejectedVersion == a.Version, s.Version == a.Version && !s.Ready:
-		return errors.New(s.Reason)
+	case status.RejectedVersion == action.Version, status.Version == action.Version && !status.Ready:
+		return errors.New(status.Reason)
 	}
 	return nil
 }
 
-// Counts asks every proxy, at the control address that its agent publishes. Whatever was not served counts as
-// failed: a version that rejects more than the others is worse.
+// Counts reads the counts of each proxy at the control address that its agent publishes. All requests that
+// did not succeed count as failed, also rejected ones, because a version that rejects more requests is worse.
 func (f *ProxyExecutor) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
-	is := map[string]bool{}
+	released := map[string]bool{}
 	for _, n := range named {
-		is[n] = true
+		released[n] = true
 	}
-	all := map[string]Comparison{}
-	for name, at := range f.agents.all() {
-		s, err := agent.Caller{HTTP: f.HTTP}.Status(ctx, at, name)
-		if err != nil || !s.Handover || s.Control == "" {
+	counts := map[string]Comparison{}
+	for name, address := range f.agents.addressesByName() {
+		status, err := agent.Caller{HTTP: f.HTTP}.Status(ctx, address, name)
+		if err != nil || !status.Handover || status.Control == "" {
 			continue
 		}
-		text, err := readControl(ctx, f.HTTP, s.Control)
+		text, err := fetchStats(ctx, f.HTTP, status.Control)
 		if err != nil {
 			continue
 		}
-		var c Counts
-		figures(text, "app.results.", func(_, what string, n int) {
-			c.Requests += n
+		var proxyCounts Counts
+		forEachStat(text, "app.results.", func(_, what string, n int) {
+			proxyCounts.Requests += n
 			if what != "succeeded" {
-				c.Failed += n
+				proxyCounts.Failed += n
 			}
 		})
-		p := Comparison{Rest: c}
-		if is[name] {
-			p = Comparison{Released: c}
+		comparison := Comparison{Rest: proxyCounts}
+		if released[name] {
+			comparison = Comparison{Released: proxyCounts}
 		}
-		all[name] = p
+		counts[name] = comparison
 	}
-	if len(all) == 0 {
-		return nil, errors.New("no node tells its figures")
+	if len(counts) == 0 {
+		return nil, errors.New("read gate counts: no proxy answered")
 	}
-	return all, nil
+	return counts, nil
 }
--- a/internal/release/proxystats.go
+++ b/internal/release/proxystats.go
@@ -3,7 +3,7 @@
 import (
 	"bufio"
 	"context"
-	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strconv"
@@ -12,44 +12,44 @@
 	"wrenspread/internal/besteffort"
 )
 
-const maxStats = 4 << 20 // bytes of a proxy's figures
+const maxStatsBytes = 4 << 20 // bytes that are read of a proxy's statistics
 
-// readControl reads the figures at a proxy's control address.
-func readControl(ctx context.Context, h *http.Client, control string) (string, error) {
+// fetchStats reads the statistics at a proxy's control address.
+func fetchStats(ctx context.Context, httpClient *http.Client, control string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/stats", nil)
 	if err != nil {
 		return "", err
 	}
-	resp, err := h.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return "", err
 	}
 	defer besteffort.Close(resp.Body)
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxStats))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxStatsBytes))
 	return string(raw), err
 }
 
-// figures calls do for each line of a proxy's figures that begins with a prefix: what
-// follows it, split at the last dot, and the number.
-func figures(text, prefix string, do func(name, what string, n int)) {
-	in := bufio.NewScanner(strings.NewReader(text))
-	for in.Scan() {
-		rest, ok := strings.CutPrefix(in.Text(), prefix)
+// forEachStat calls visit for each line of a proxy's statistics that begins with a prefix. The arguments are
+// the rest of the key, split at its last dot, and the number.
+func forEachStat(text, prefix string, visit func(name, what string, n int)) {
+	lines := bufio.NewScanner(strings.NewReader(text))
+	for lines.Scan() {
+		rest, ok := strings.CutPrefix(lines.Text(), prefix)
 		key, value, colon := strings.Cut(rest, ":")
 		dot := strings.LastIndexByte(key, '.')
 		number, _, _ := strings.Cut(value, "|")
 		n, err := strconv.Atoi(number)
 		if ok && colon && dot >= 0 && err == nil && n >= 0 {
-			do(key[:dot], key[dot+1:], n)
+			visit(key[:dot], key[dot+1:], n)
 		}
 	}
 }
 
-// readStats reads a proxy's figures on single servers.
-func readStats(text string) map[string]Counts {
-	all := map[string]Counts{}
-	figures(text, "app.backends.", func(name, what string, n int) {
-		c := all[name]
+// parseBackendCounts returns the counts in a proxy's statistics by server.
+func parseBackendCounts(text string) map[string]Counts {
+	counts := map[string]Counts{}
+	forEachStat(text, "app.backends.", func(name, what string, n int) {
+		c := counts[name]
 		switch what {
 		case "succeeded":
 			c.Requests += n
@@ -59,35 +59,35 @@
 		case "late":
 			c.Late += n
 		}
-		all[name] = c
+		counts[name] = c
 	})
-	return all
+	return counts
 }
 
-// Counts asks every proxy.
+// Counts reads the counts of each proxy.
 func (f *ServerExecutor) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
-	is := map[string]bool{}
+	released := map[string]bool{}
 	for _, n := range named {
-		is[n] = true
+		released[n] = true
 	}
-	all := map[string]Comparison{}
-	for _, n := range f.Proxies {
-		text, err := readControl(ctx, f.HTTP, n.Control)
+	counts := map[string]Comparison{}
+	for _, proxy := range f.Proxies {
+		text, err := fetchStats(ctx, f.HTTP, proxy.Control)
 		if err != nil {
-			continue // one that is not there counts nothing
+			continue // a proxy that can't be reached contributes no counts
 		}
-		var p Comparison
-		for name, c := range readStats(text) {
-			if is[name] {
-				p.Released = p.Released.plus(c)
+		var comparison Comparison
+		for name, c := range parseBackendCounts(text) {
+			if released[name] {
+				comparison.Released = comparison.Released.plus(c)
 			} else {
-				p.Rest = p.Rest.plus(c)
+				comparison.Rest = comparison.Rest.plus(c)
 			}
 		}
-		all[n.Name] = p
+		counts[proxy.Name] = comparison
 	}
-	if len(all) == 0 && len(f.Proxies) > 0 {
-		return nil, errors.New("no node tells its figures")
+	if len(counts) == 0 && len(f.Proxies) > 0 {
+		return nil, fmt.Errorf("read gate counts: none of %d proxies answered", len(f.Proxies))
 	}
-	return all, nil
+	return counts, nil
 }
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -11,101 +11,102 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Keys of a release in the registry: its record, and the one order of an
-// operator that waits to be taken.
+// Prefixes of the keys of a release in the registry: its record and the pending order of an operator.
 const (
 	RecordPrefix = "release/"
 	orderPrefix  = "release-order/"
 )
 
-// LeaseName is the lease whose holder runs the controller of a release.
+// LeaseName returns the name of the lease whose holder runs the controller of a release.
 func LeaseName(name string) string { return RecordPrefix + name }
 
-// pendingOrder is an operator's order in its record.
+// pendingOrder is the record of an operator's pending order.
 type pendingOrder struct {
 	ID       string `json:"id"`
 	Order    string `json:"order"`
 	Operator string `json:"who"`
 }
 
-// Records keeps a release in the registry, under its controller's fencing token.
+// Records stores a release in the registry. It writes with the controller's fencing token.
 type Records struct {
 	Registry *client.Client
 	Token    registry.FencingToken
 	Name     string
 }
 
-// Start puts a new release on record; there must be none of that name.
-func Start(ctx context.Context, k *client.Client, s *State) error {
+// Start writes the record of a new release. It fails if a release of this name exists.
+func Start(ctx context.Context, registryClient *client.Client, s *State) error {
 	raw, err := Encode(s)
 	if err != nil {
 		return err
 	}
-	none := uint64(0)
-	if _, err = k.Put(ctx, RecordPrefix+s.Plan.Name, raw, &none); hasCode(err, registry.Conflict) {
+	absent := uint64(0)
+	if _, err = registryClient.Put(ctx, RecordPrefix+s.Plan.Name, raw, &absent); hasCode(
+		err, registry.Conflict) {
 		return fmt.Errorf("there is a release %s already; a plan of another name makes another", s.Plan.Name)
 	}
 	return err
 }
 
-// Read returns a release as it is on record.
-func Read(ctx context.Context, k *client.Client, name string) (*State, error) {
-	r, err := k.Record(ctx, RecordPrefix+name)
+// Read returns a release from its record.
+func Read(ctx context.Context, registryClient *client.Client, name string) (*State, error) {
+	record, err := registryClient.Record(ctx, RecordPrefix+name)
 	if err != nil {
 		return nil, err
 	}
-	return Decode(r.Value)
+	return Decode(record.Value)
 }
 
-// SubmitOrder leaves an operator's order for the controller. One at a time waits.
-func SubmitOrder(ctx context.Context, k *client.Client, name, what, who, id string) error {
-	raw, err := json.Marshal(pendingOrder{id, what, who})
+// SubmitOrder writes an operator's order for the controller. It fails while another order is pending.
+func SubmitOrder(ctx context.Context, registryClient *client.Client, name, order, operator, id string) error {
+	raw, err := json.Marshal(pendingOrder{id, order, operator})
 	if err != nil {
 		return err
 	}
-	none := uint64(0)
-	if _, err = k.Put(ctx, orderPrefix+name, raw, &none); hasCode(err, registry.Conflict) {
+	absent := uint64(0)
+	if _, err = registryClient.Put(ctx, orderPrefix+name, raw, &absent); hasCode(err, registry.Conflict) {
 		return errors.New("an order waits there already; does a conductor run?")
 	}
 	return err
 }
 
-// hasCode reports whether the registry's refusal has a code.
+// hasCode reports whether err is an error response of the registry with the code.
 func hasCode(err error, code registry.Code) bool {
-	var r *client.Error
-	return errors.As(err, &r) && r.Code == string(code)
+	var response *client.Error
+	return errors.As(err, &response) && response.Code == string(code)
 }
 
-// Load reads the record.
+// Load reads the record and its version.
 func (r Records) Load(ctx context.Context) ([]byte, uint64, error) {
-	one, err := r.Registry.Record(ctx, RecordPrefix+r.Name)
-	return one.Value, one.Version, err
+	record, err := r.Registry.Record(ctx, RecordPrefix+r.Name)
+	return record.Value, record.Version, err
 }
 
-// Save writes the record.
+// Save writes the record. It fails with ErrSuperseded if the record has another version or the fencing token
+// is stale.
 func (r Records) Save(ctx context.Context, raw []byte, version uint64) (uint64, error) {
-	got, err := r.Registry.WithToken(r.Token).Put(ctx, RecordPrefix+r.Name, raw, &version)
+	written, err := r.Registry.WithToken(r.Token).Put(ctx, RecordPrefix+r.Name, raw, &version)
 	if hasCode(err, registry.Conflict) || hasCode(err, registry.StaleToken) {
 		return 0, fmt.Errorf("%w: %w", ErrSuperseded, err)
 	}
-	return got.EntryVersion, err
+	return written.EntryVersion, err
 }
 
-// Order reads the order that waits.
-func (r Records) Order(ctx context.Context) (id, what, who string, err error) {
-	one, err := r.Registry.Record(ctx, orderPrefix+r.Name)
-	var refused *client.Error
-	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
+// Order reads the pending order. The id is empty if there is none.
+func (r Records) Order(ctx context.Context) (id, order, operator string, err error) {
+	record, err := r.Registry.Record(ctx, orderPrefix+r.Name)
+	var response *client.Error
+	if errors.As(err, &response) && response.Status == http.StatusNotFound {
 		return "", "", "", nil
 	}
-	var o pendingOrder
+	var pending pendingOrder
 	if err == nil {
-		err = json.Unmarshal(one.Value, &o)
+		err = json.Unmarshal(record.Value, &pending)
 	}
-	return o.ID, o.Order, o.Operator, err
+	return pending.ID, pending.Order, pending.Operator, err
 }
 
-// ClearOrder removes the order, so that the next one can be left.
+// ClearOrder removes the pending order, so that another one can be submitted.
 func (r Records) ClearOrder(ctx context.Context) error {
 	if _, err := r.Registry.WithToken(r.Token).
 		Put(ctx, orderPrefix+r.Name, nil, nil); !hasCode(
--- a/internal/release/serverexecutor.go
+++ b/internal/release/serverexecutor.go
@@ -17,142 +17,151 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Proxy is a proxy at which servers are put into maintenance, and whose figures gates read.
+// Proxy is a proxy at which servers are put into maintenance and whose counts gates compare. Control is its
+// control address.
 type Proxy struct {
 	Name    string `koanf:"name"`
 	Control string `koanf:"control"`
 }
 
-// ServerExecutor is a fleet of servers that agents keep. Its methods are safe for concurrent use.
+// ServerExecutor carries out a release of servers that agents manage. Its methods are safe for concurrent
+// use.
 type ServerExecutor struct {
 	Registry *client.Client
 	Token    registry.FencingToken
 	Proxies  []Proxy
 	HTTP     *http.Client
-	Grace    time.Duration // for requests in flight at a server that is in maintenance
+	Grace    time.Duration // time that requests in flight get to complete at a server in maintenance
 
-	mu         sync.Mutex
-	agents     agentDirectory
-	emptySince map[string]time.Time // when a server has no request in flight left, since it was seen draining
+	mu        sync.Mutex
+	agents    agentDirectory
+	drainedAt map[string]time.Time // by server: the time at which its grace period ends
 }
 
-// Unavailable returns the servers that the endpoint list has as leaving, and those that agents keep and the
-// endpoint list does not have.
+// Unavailable returns the servers that are not ready in the endpoint list, and those that agents manage but
+// that are not in the list.
 func (f *ServerExecutor) Unavailable(ctx context.Context) (Unavailable, error) {
-	a, err := f.Registry.Registrations(ctx)
+	list, err := f.Registry.Registrations(ctx)
 	if err != nil {
 		return Unavailable{}, err
 	}
-	agents, err := f.agents.read(ctx, f.Registry)
+	agents, err := f.agents.refresh(ctx, f.Registry)
 	if err != nil {
 		return Unavailable{}, err
 	}
-	var v Unavailable
+	var unavailable Unavailable
 	listed := map[string]bool{}
-	for _, i := range a.Registrations {
-		listed[i.Endpoint.Name] = true
-		if i.Endpoint.Status != registry.Ready {
-			v.Endpoints = append(
-				v.Endpoints,
-				Target{Name: i.Endpoint.Name, Zone: i.Endpoint.Zone, Type: i.Endpoint.Type, Cell: i.Endpoint.Cell},
+	for _, registration := range list.Registrations {
+		listed[registration.Endpoint.Name] = true
+		if registration.Endpoint.Status != registry.Ready {
+			unavailable.Endpoints = append(
+				unavailable.Endpoints,
+				Target{Name: registration.Endpoint.Name, Zone: registration.Endpoint.Zone,
+					Type: registration.Endpoint.Type, Cell: registration.Endpoint.Cell},
 			)
 		}
 	}
-	for name, at := range agents {
+	for name, address := range agents {
 		if listed[name] {
 			continue
 		}
-		// Its zone went with its entry; one that is upgraded by handoff is a proxy, and in no list.
-		if s, err := (agent.Caller{HTTP: f.HTTP}).Status(ctx, at, name); err != nil || !s.Handover {
-			v.Endpoints = append(v.Endpoints, Target{Name: name, Zone: s.Zone, Type: s.Type, Cell: s.Cell})
+		// Without an entry in the list, the server's zone is known to its agent only. What is upgraded by handoff
+		// is a proxy, which is never in the list.
+		if status, err := (agent.Caller{HTTP: f.HTTP}).Status(ctx, address, name); err != nil || !status.Handover {
+			unavailable.Endpoints = append(unavailable.Endpoints,
+				Target{Name: name, Zone: status.Zone, Type: status.Type, Cell: status.Cell})
 		}
 	}
-	return v, nil
+	return unavailable, nil
 }
 
-// Do carries an action out.
-func (f *ServerExecutor) Do(ctx context.Context, a Action) (done bool, err error) {
-	at, err := f.agents.find(a.Target.Name)
+// Do carries out an action or a part of it.
+func (f *ServerExecutor) Do(ctx context.Context, action Action) (done bool, err error) {
+	address, err := f.agents.addressOf(action.Target.Name)
 	if err != nil {
 		return false, err
 	}
-	call, name := agent.Caller{HTTP: f.HTTP}, a.Target.Name
-	switch a.Step {
+	caller, name := agent.Caller{HTTP: f.HTTP}, action.Target.Name
+	switch action.Step {
 	case Maintenance:
 		err := f.callProxies(ctx, name, "maint")
 		return err == nil, err
 	case Drain:
-		_, err := call.Order(
+		_, err := caller.Order(
 			ctx,
-			at,
+			address,
 			name,
-			agent.DesiredState{Version: a.Target.Version, KeepDraining: true},
+			agent.DesiredState{Version: action.Target.Version, KeepDraining: true},
 			f.Token,
 		)
 		return err == nil && f.isDrained(name), err
 	case Replace:
-		s, err := call.Order(ctx, at, name, agent.DesiredState{Version: a.Version, KeepDraining: true}, f.Token)
-		return err == nil && s.Version == a.Version && s.Running, err
+		status, err := caller.Order(ctx, address, name,
+			agent.DesiredState{Version: action.Version, KeepDraining: true}, f.Token)
+		return err == nil && status.Version == action.Version && status.Running, err
 	case Ready:
-		s, err := call.Status(ctx, at, name)
-		if err == nil && s.Version == a.Version && !s.Ready {
-			err = errors.New(s.Reason)
+		status, err := caller.Status(ctx, address, name)
+		if err == nil && status.Version == action.Version && !status.Ready {
+			err = errors.New(status.Reason)
 		}
-		return err == nil && s.Version == a.Version, err
+		return err == nil && status.Version == action.Version, err
 	}
-	s, err := call.Order(ctx, at, name, agent.DesiredState{Version: a.Version}, f.Token)
-	if err != nil || !s.Ready || s.Version != a.Version {
+	status, err := caller.Order(ctx, address, name, agent.DesiredState{Version: action.Version}, f.Token)
+	if err != nil || !status.Ready || status.Version != action.Version {
 		return false, err
 	}
 	err = f.callProxies(ctx, name, "ready")
 	return err == nil, err
 }
 
-// isDrained reports whether a server has been in maintenance for its grace period.
+// isDrained reports whether the grace period of a server is over. The period starts with the first call for
+// the server; after it, the next call starts another period.
 func (f *ServerExecutor) isDrained(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.emptySince == nil {
-		f.emptySince = map[string]time.Time{}
+	if f.drainedAt == nil {
+		f.drainedAt = map[string]time.Time{}
 	}
-	at, ok := f.emptySince[name]
+	drained, ok := f.drainedAt[name]
 	if !ok {
-		at = time.Now().Add(f.Grace)
-		f.emptySince[name] = at
+		drained = time.Now().Add(f.Grace)
+		f.drainedAt[name] = drained
 	}
-	if time.Now().Before(at) {
+	if time.Now().Before(drained) {
 		return false
 	}
-	delete(f.emptySince, name)
+	delete(f.drainedAt, name)
 	return true
 }
 
-// callProxies has every proxy put a server into maintenance, or take it out. A proxy
-// that is not there sends nothing to anybody: nobody listens at its control
-// address. One that is there and does not answer is waited for.
-func (f *ServerExecutor) callProxies(ctx context.Context, server, call string) error {
-	errs := make(chan error, len(f.Proxies))
-	for _, n := range f.Proxies {
+// callProxies calls each proxy to put a server into maintenance ("maint") or to take it out ("ready"). A
+// proxy that refuses the connection is taken as done, because no process listens at its control address and
+// so it sends no requests to the server. For a proxy that accepts the connection and does not answer,
+// callProxies returns an error, so that the action is repeated.
+func (f *ServerExecutor) callProxies(ctx context.Context, server, action string) error {
+	results := make(chan error, len(f.Proxies))
+	for _, proxy := range f.Proxies {
 		go func() {
-			err := f.callProxy(ctx, n, server, call)
+			err := f.callProxy(ctx, proxy, server, action)
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				err = nil
 			}
-			errs <- err
+			results <- err
 		}()
 	}
-	var all []error
+	var failures []error
 	for range f.Proxies {
-		all = append(all, <-errs)
+		failures = append(failures, <-results)
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
-func (f *ServerExecutor) callProxy(ctx context.Context, n Proxy, server, call string) error {
+// callProxy calls one proxy for callProxies.
+func (f *ServerExecutor) callProxy(ctx context.Context, proxy Proxy, server, action string) error {
 	req, err := http.NewRequestWithContext(
 		ctx,
 		http.MethodPost,
-		"http://"+n.Control+"/backends/"+url.PathEscape(server)+"/"+call,
+		"http://"+proxy.Control+"/backends/"+url.PathEscape(server)+"/"+action,
 		nil,
 	)
 	if err != nil {
@@ -161,14 +170,14 @@
 	req.Header.Set(fencing.Header, fencing.Format(f.Token))
 	resp, err := f.HTTP.Do(req)
 	if err != nil {
-		return fmt.Errorf("node %s: %w", n.Name, err)
+		return fmt.Errorf("node %s: %w", proxy.Name, err)
 	}
 	besteffort.Close(resp.Body)
 	switch resp.StatusCode {
-	case http.StatusOK, http.StatusNotFound: // one that does not know the server sends it nothing
+	case http.StatusOK, http.StatusNotFound: // a proxy that does not know the server sends no requests to it
 		return nil
 	case http.StatusConflict:
-		return fmt.Errorf("node %s: %w", n.Name, ErrSuperseded)
+		return fmt.Errorf("node %s: %w", proxy.Name, ErrSuperseded)
 	}
-	return fmt.Errorf("node %s: %s", n.Name, resp.Status)
+	return fmt.Errorf("node %s: %s", proxy.Name, resp.Status)
 }
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -8,21 +8,22 @@
 	"wrenspread/internal/registry"
 )
 
-// Step is how far the release of one server has come. All but Waiting and Released are intents: the work that
-// they name is being done, or is to be done again by the controller that takes over.
+// Step is the step that the release of a server has reached. All steps but Waiting and Released are intents:
+// the action of the step is being carried out, and a controller that takes over carries it out again.
 type Step string
 
-// The steps, in their order.
+// The steps of a release of a server, in their order.
 const (
-	Waiting     Step = "waiting"  // it has not been touched
-	Maintenance Step = "maint"    // into maintenance at every proxy
-	Drain       Step = "drain"    // until it has no request in flight
-	Replace     Step = "replace"  // by its machine's agent
-	Ready       Step = "ready"    // until it answers, in the new version
-	Restore     Step = "lift"     // registered as what it is, and out of maintenance
-	Released    Step = "released" // it serves
+	Waiting     Step = "waiting"  // the server has not been taken out of service
+	Maintenance Step = "maint"    // put the server into maintenance at each proxy
+	Drain       Step = "drain"    // wait until the server has no request in flight
+	Replace     Step = "replace"  // have the agent of the server's machine start the new version
+	Ready       Step = "ready"    // wait until the server is ready in the new version
+	Restore     Step = "lift"     // register the server as ready and end its maintenance
+	Released    Step = "released" // the server serves
 )
 
+// nextStep maps each step with an action to the step that follows it.
 var nextStep = map[Step]Step{
 	Maintenance: Drain,
 	Drain:       Replace,
@@ -31,23 +32,23 @@
 	Restore:     Released,
 }
 
-// Phase is where a release is.
+// Phase is the phase of a release.
 type Phase string
 
-// The phases.
+// The phases of a release.
 const (
-	Running     Phase = "running"  // a wave is under way
-	Soaking     Phase = "soaking"  // its servers serve, and are watched
-	Paused      Phase = "paused"   // by an operator: nothing new begins
-	Halted      Phase = "halted"   // something went wrong: nothing new begins
-	RollingBack Phase = "back"     // what was released returns to the previous version
-	Finished    Phase = "finished" // all have the new version
-	RolledBack  Phase = "returned" // all have the previous version again
-	Failed      Phase = "failed"   // the rollback went wrong: the targets tell which version is where
-	Aborted     Phase = "aborted"  // by an operator: what is released stays so
+	Running     Phase = "running"  // the servers of a wave are being released
+	Soaking     Phase = "soaking"  // the servers of the wave serve, and their counts are collected for the gate
+	Paused      Phase = "paused"   // by an operator: no further server is taken out of service
+	Halted      Phase = "halted"   // after a fault: no further server is taken out of service
+	RollingBack Phase = "back"     // the released servers return to the previous version
+	Finished    Phase = "finished" // all servers have the new version
+	RolledBack  Phase = "returned" // all servers have the previous version again
+	Failed      Phase = "failed"   // the rollback had a fault; Target.Version has the version of each server
+	Aborted     Phase = "aborted"  // by an operator: released servers keep the new version
 )
 
-// IsFinal reports whether a phase is never left once no server is out of service.
+// IsFinal reports whether a phase is the last one once no server is out of service because of the release.
 func (p Phase) IsFinal() bool { return p == Finished || p == RolledBack || p == Failed || p == Aborted }
 
 // Target is one server of a release, with its step.
@@ -57,117 +58,123 @@
 	Zone    string        `json:"zone"`
 	Type    string        `json:"type"`
 	Cell    int           `json:"group"`
-	Version string        `json:"version"` // that it has, as far as is known
+	Version string        `json:"version"` // the version that the server has, as far as known
 	Step    Step          `json:"step"`
-	Since   time.Duration `json:"since_ns"` // when the step began
-	Stuck   bool          `json:"stuck,omitempty"`
-	Reason  string        `json:"why,omitempty"` // the last error of its step
+	Since   time.Duration `json:"since_ns"`        // when the step began
+	Stuck   bool          `json:"stuck,omitempty"` // the step has exceeded its deadline
+	Reason  string        `json:"why,omitempty"`   // the last error of the step
 }
 
+// cell identifies the target's cell by zone, type and number.
 func (t Target) cell() string { return fmt.Sprintf("%s/%s/%d", t.Zone, t.Type, t.Cell) }
 
-// isOut reports whether a server is out of service, or about to be, because of the release.
-func (t Target) isOut() bool { return t.Step != Waiting && t.Step != Released }
+// isOutOfService reports whether a server is out of service, or about to be, because of the release.
+func (t Target) isOutOfService() bool { return t.Step != Waiting && t.Step != Released }
 
-// State is a whole release: the record that its controller writes before and after every action, so that any
-// other controller can go on from it. Times are since the release began. It is pure, and not safe for
-// concurrent use.
+// State is the complete state of a release and the content of its record. A controller writes the record
+// before and after each action, so that another controller can continue from it. Times are since the release
+// began. The methods are pure, and not safe for concurrent use.
 type State struct {
-	Format     int           `json:"v"`
-	Plan       Plan          `json:"plan"`
-	Phase      Phase         `json:"phase"`
-	Goal       string        `json:"goal"`          // the version to which servers go now
-	HaltReason string        `json:"why,omitempty"` // of a halt
-	Wave       int           `json:"wave"`
-	Since      time.Duration `json:"since_ns"` // when the phase began
-	Targets    []Target      `json:"targets"`  // in the order of their release
-	History    []Note        `json:"history"`  // the last maxNotes
-	Clock      time.Duration `json:"clock_ns"` // when this was written; the next controller goes on from there
-	Resume     Phase         `json:"resume,omitempty"`
-	LastOrder  string        `json:"taken,omitempty"` // the id of the last order
-
-	Baseline map[string]Comparison `json:"base,omitempty"` // figures at the beginning of the soak, by proxy
+	Format         int           `json:"v"`
+	Plan           Plan          `json:"plan"`
+	Phase          Phase         `json:"phase"`
+	DesiredVersion string        `json:"goal"`          // the version that the servers are to have
+	HaltReason     string        `json:"why,omitempty"` // the fault behind a halt, rollback or failure
+	Wave           int           `json:"wave"`
+	Since          time.Duration `json:"since_ns"`         // when the phase began
+	Targets        []Target      `json:"targets"`          // in the order of their release
+	History        []Note        `json:"history"`          // the latest maxNotes notes
+	Clock          time.Duration `json:"clock_ns"`         // time of the last write, where a takeover continues
+	ResumePhase    Phase         `json:"resume,omitempty"` // the phase after OrderResume
+	LastOrder      string        `json:"taken,omitempty"`  // id of the last followed or rejected order
+
+	Baseline map[string]Comparison `json:"base,omitempty"` // counts at the beginning of the soak, by proxy
 }
 
-// Note is one line of a release's history.
+// Note is an entry of a release's history.
 type Note struct {
 	At   time.Duration `json:"at_ns"`
 	Text string        `json:"what"`
 }
 
 const (
-	format    = 1
-	maxNotes  = 200
-	maxReason = 160 // bytes of what went wrong with a server
+	recordFormat   = 1
+	maxNotes       = 200
+	maxReasonBytes = 160 // length of Target.Reason
 )
 
-// New begins a release of servers that have the plan's previous version.
-func New(p Plan, servers []Target) (*State, error) {
-	if err := p.Check(); err != nil {
+// New returns the initial state of a release. Each server has to have the plan's previous version or, if it
+// needs no release, the new one.
+func New(plan Plan, servers []Target) (*State, error) {
+	if err := plan.Check(); err != nil {
 		return nil, err
 	}
 	if len(servers) == 0 || len(servers) > MaxTargets {
 		return nil, fmt.Errorf("the plan is about %d servers, want 1 to %d", len(servers), MaxTargets)
 	}
-	s := &State{Format: format, Plan: p, Phase: Running, Goal: p.To, Targets: order(servers)}
-	for i := range s.Targets {
-		t := &s.Targets[i]
-		if t.Step = Waiting; t.Version == p.To {
-			t.Step = Released
+	state := &State{Format: recordFormat, Plan: plan, Phase: Running, DesiredVersion: plan.To,
+		Targets: releaseOrder(servers)}
+	for i := range state.Targets {
+		target := &state.Targets[i]
+		if target.Step = Waiting; target.Version == plan.To {
+			target.Step = Released
 		}
-		if t.Version != p.From && t.Version != p.To {
-			return nil, fmt.Errorf("%s has version %q, neither %q nor %q", t.Name, t.Version, p.From, p.To)
+		if target.Version != plan.From && target.Version != plan.To {
+			return nil, fmt.Errorf("%s has version %q, neither %q nor %q",
+				target.Name, target.Version, plan.From, plan.To)
 		}
 	}
-	s.addNote(0, "begun: %d servers in %d waves", len(servers), len(p.Waves))
-	return s, nil
+	state.addNote(0, "begun: %d servers in %d waves", len(servers), len(plan.Waves))
+	return state, nil
 }
 
-// NewForPlan is New for those of the servers that the plan matches.
-func NewForPlan(p Plan, all []Target) (*State, error) {
-	return New(p, slices.DeleteFunc(slices.Clone(all), func(t Target) bool { return !p.Matches(t) }))
+// NewForPlan calls New with the servers that the plan's selector selects.
+func NewForPlan(plan Plan, targets []Target) (*State, error) {
+	return New(plan, slices.DeleteFunc(slices.Clone(targets), func(t Target) bool { return !plan.Matches(t) }))
 }
 
 // TargetsOf returns the servers of an endpoint list as targets.
-func TargetsOf(all []registry.Endpoint) (targets []Target) {
-	for _, e := range all {
+func TargetsOf(endpoints []registry.Endpoint) (targets []Target) {
+	for _, endpoint := range endpoints {
 		targets = append(
 			targets,
-			Target{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Cell: e.Cell, Version: e.Version},
+			Target{Name: endpoint.Name, Address: endpoint.Address, Zone: endpoint.Zone, Type: endpoint.Type,
+				Cell: endpoint.Cell, Version: endpoint.Version},
 		)
 	}
 	return targets
 }
 
-// Count returns the servers that serve in the new version, and those that are out.
-func (s *State) Count() (released, out int) {
-	for _, t := range s.Targets {
-		if t.isOut() {
-			out++
-		} else if t.Version == s.Plan.To {
+// Count returns the numbers of servers that serve in the new version and that the release has out of service.
+func (s *State) Count() (released, outOfService int) {
+	for _, target := range s.Targets {
+		if target.isOutOfService() {
+			outOfService++
+		} else if target.Version == s.Plan.To {
 			released++
 		}
 	}
-	return released, out
+	return released, outOfService
 }
 
-// Waves names the servers of each wave.
-func (s *State) Waves() (all [][]string) {
-	begin := 0
+// Waves returns the names of the servers of each wave.
+func (s *State) Waves() (waves [][]string) {
+	start := 0
 	for _, end := range s.Plan.waveEnds(len(s.Targets)) {
 		wave := []string{}
-		for _, t := range s.Targets[begin:max(begin, end)] {
-			wave = append(wave, t.Name)
+		for _, target := range s.Targets[start:max(start, end)] {
+			wave = append(wave, target.Name)
 		}
-		begin = max(begin, end)
-		all = append(all, wave)
+		start = max(start, end)
+		waves = append(waves, wave)
 	}
-	return all
+	return waves
 }
 
+// addNote adds a note to the history and drops the oldest one if there are more than maxNotes.
 func (s *State) addNote(now time.Duration, format string, args ...any) {
 	s.History = append(s.History, Note{now, fmt.Sprintf(format, args...)})
-	if n := len(s.History) - maxNotes; n > 0 {
-		s.History = slices.Delete(s.History, 0, n)
+	if excess := len(s.History) - maxNotes; excess > 0 {
+		s.History = slices.Delete(s.History, 0, excess)
 	}
 }
--- a/internal/release/step.go
+++ b/internal/release/step.go
@@ -7,169 +7,179 @@
 	"time"
 )
 
-// Unavailable has the servers that do not serve for whatever other reason, as the controller sees it.
+// Unavailable lists the servers that do not serve, as seen by the controller. Servers that the release has
+// out of service may be among them; mayTakeOut counts them once.
 type Unavailable struct {
 	Endpoints []Target
 }
 
 // Step advances the release: it checks deadlines, ends waves and takes further servers out of service. The
-// state has to be written before Actions are carried out.
-func (s *State) Step(now time.Duration, v Unavailable) {
+// state has to be written before the actions that Actions returns are carried out.
+func (s *State) Step(now time.Duration, unavailable Unavailable) {
 	s.checkDeadlines(now)
 	switch s.Phase {
 	case Running:
-		if !s.startTargets(now, v, s.targetsOf(s.Wave)) {
+		if !s.startTargets(now, unavailable, s.targetsOf(s.Wave)) {
 			s.setPhase(now, Soaking, "wave %d of %d is released", s.Wave+1, len(s.Plan.Waves))
 		}
 	case RollingBack:
-		if !s.startTargets(now, v, s.rollbackTargets()) {
+		if !s.startTargets(now, unavailable, s.rollbackTargets()) {
 			s.setPhase(now, RolledBack, "all have version %s again", s.Plan.From)
 		}
 	}
 }
 
-func (s *State) setPhase(now time.Duration, p Phase, format string, args ...any) {
-	s.Phase, s.Since, s.Baseline = p, now, nil
-	s.addNote(now, "%s: "+format, append([]any{p}, args...)...)
+// setPhase enters a phase and adds a note with the phase and the formatted reason.
+func (s *State) setPhase(now time.Duration, phase Phase, format string, args ...any) {
+	s.Phase, s.Since, s.Baseline = phase, now, nil
+	s.addNote(now, "%s: "+format, append([]any{phase}, args...)...)
 }
 
-// targetsOf returns the servers that are to be released by the end of a wave.
-func (s *State) targetsOf(wave int) (all []*Target) {
+// targetsOf returns the servers that are to be released by the end of a wave, those of earlier waves
+// included.
+func (s *State) targetsOf(wave int) (targets []*Target) {
 	for i := range s.Plan.waveEnds(len(s.Targets))[wave] {
-		all = append(all, &s.Targets[i])
+		targets = append(targets, &s.Targets[i])
 	}
-	return all
+	return targets
 }
 
-// rollbackTargets returns the servers that are to be rolled back, the last released first.
-func (s *State) rollbackTargets() (all []*Target) {
+// rollbackTargets returns the servers that are to be rolled back, in the reverse order of their release.
+func (s *State) rollbackTargets() (targets []*Target) {
 	for i := range s.Targets {
-		if t := &s.Targets[i]; t.Version != s.Plan.From || t.isOut() {
-			all = append(all, t)
+		if target := &s.Targets[i]; target.Version != s.Plan.From || target.isOutOfService() {
+			targets = append(targets, target)
 		}
 	}
-	slices.Reverse(all)
-	return all
+	slices.Reverse(targets)
+	return targets
 }
 
-// startTargets takes as many of the servers out of service as the limits allow, and reports whether any are
-// not done.
-func (s *State) startTargets(now time.Duration, v Unavailable, all []*Target) (open bool) {
-	for _, t := range all {
-		if t.isOut() {
-			open = true
+// startTargets takes as many of the servers out of service as the limits allow. It reports whether any of
+// them is out of service or does not have the desired version yet.
+func (s *State) startTargets(
+	now time.Duration, unavailable Unavailable, targets []*Target) (unfinished bool) {
+	for _, target := range targets {
+		if target.isOutOfService() {
+			unfinished = true
 			continue
 		}
-		if t.Version == s.Goal {
+		if target.Version == s.DesiredVersion {
 			continue
 		}
-		open = true
-		if s.mayTakeOut(*t, v) {
-			t.Step, t.Since, t.Stuck, t.Reason = Maintenance, now, false, ""
-			s.addNote(now, "%s begins", t.Name)
+		unfinished = true
+		if s.mayTakeOut(*target, unavailable) {
+			target.Step, target.Since, target.Stuck, target.Reason = Maintenance, now, false, ""
+			s.addNote(now, "%s begins", target.Name)
 		}
 	}
-	return open
+	return unfinished
 }
 
-// mayTakeOut reports whether the limits allow this server to be out of service, too.
-func (s *State) mayTakeOut(t Target, v Unavailable) bool {
-	all, zone, pod := 1, 1, 1
-	count := func(o Target) {
-		all++
-		if o.Zone == t.Zone {
-			zone++
+// mayTakeOut reports whether the limits allow to take a server out of service in addition to those that do
+// not serve already, because of the release or for other reasons.
+func (s *State) mayTakeOut(target Target, unavailable Unavailable) bool {
+	total, inZone, inCell := 1, 1, 1
+	count := func(other Target) {
+		total++
+		if other.Zone == target.Zone {
+			inZone++
 		}
-		if o.cell() == t.cell() {
-			pod++
+		if other.cell() == target.cell() {
+			inCell++
 		}
 	}
-	ours := map[string]bool{t.Name: true}
-	for _, o := range s.Targets {
-		if o.isOut() {
-			ours[o.Name] = true
-			count(o)
+	counted := map[string]bool{target.Name: true}
+	for _, other := range s.Targets {
+		if other.isOutOfService() {
+			counted[other.Name] = true
+			count(other)
 		}
 	}
-	for _, o := range v.Endpoints {
-		if !ours[o.Name] {
-			count(o)
+	for _, other := range unavailable.Endpoints {
+		if !counted[other.Name] {
+			count(other)
 		}
 	}
-	l := s.Plan.Limits
-	return all <= l.Total && zone <= cmp.Or(l.Zone, l.Total) && pod <= cmp.Or(l.Cell, l.Total)
+	limits := s.Plan.Limits
+	return total <= limits.Total && inZone <= cmp.Or(limits.Zone, limits.Total) &&
+		inCell <= cmp.Or(limits.Cell, limits.Total)
 }
 
-// checkDeadlines finds steps that take too long.
+// checkDeadlines handles each step that has exceeded its deadline as a fault, and so a gate without a
+// verdict.
 func (s *State) checkDeadlines(now time.Duration) {
-	d := s.Plan.Deadline
-	most := map[Step]time.Duration{
-		Maintenance: d.Drain,
-		Drain:       d.Drain,
-		Replace:     d.Replace,
-		Ready:       d.Ready,
-		Restore:     d.Ready,
+	deadline := s.Plan.Deadline
+	deadlines := map[Step]time.Duration{
+		Maintenance: deadline.Drain,
+		Drain:       deadline.Drain,
+		Replace:     deadline.Replace,
+		Ready:       deadline.Ready,
+		Restore:     deadline.Ready,
 	}
 	for i := range s.Targets {
-		t := &s.Targets[i]
-		if t.isOut() && !t.Stuck && now-t.Since > most[t.Step] {
-			t.Stuck = true
+		target := &s.Targets[i]
+		if target.isOutOfService() && !target.Stuck && now-target.Since > deadlines[target.Step] {
+			target.Stuck = true
 			s.handleFault(
 				now,
 				fmt.Sprintf(
 					"%s has not got past %s within %v: %s",
-					t.Name,
-					t.Step,
-					most[t.Step],
-					cmp.Or(t.Reason, "no word"),
+					target.Name,
+					target.Step,
+					deadlines[target.Step],
+					cmp.Or(target.Reason, "no word"),
 				),
 			)
 		}
 	}
-	if s.Phase == Soaking && now-s.Since > s.Plan.Soak+d.Judge {
-		s.handleFault(now, fmt.Sprintf("the gate of wave %d is undecided %v after its soak", s.Wave+1, d.Judge))
+	if s.Phase == Soaking && now-s.Since > s.Plan.Soak+deadline.Judge {
+		s.handleFault(now, fmt.Sprintf("the gate of wave %d is undecided %v after its soak",
+			s.Wave+1, deadline.Judge))
 	}
 }
 
-// handleFault halts a release, or rolls it back if the plan says so. A fault during a rollback fails it.
-func (s *State) handleFault(now time.Duration, why string) {
+// handleFault halts the release, or rolls it back if the plan has HaltRollBack. A fault during a rollback
+// makes the release fail. In a phase without progress the fault is only noted.
+func (s *State) handleFault(now time.Duration, reason string) {
 	switch s.Phase {
 	case RollingBack:
-		s.HaltReason = why
-		s.setPhase(now, Failed, "%s", why)
+		s.HaltReason = reason
+		s.setPhase(now, Failed, "%s", reason)
 	case Running, Soaking, Paused:
-		if s.HaltReason = why; s.Plan.Halt == HaltRollBack {
-			s.rollBack(now, why)
+		if s.HaltReason = reason; s.Plan.Halt == HaltRollBack {
+			s.rollBack(now, reason)
 			return
 		}
-		s.Resume = Running
-		s.setPhase(now, Halted, "%s", why)
+		s.ResumePhase = Running
+		s.setPhase(now, Halted, "%s", reason)
 	default:
-		s.addNote(now, "%s", why)
+		s.addNote(now, "%s", reason)
 	}
 }
 
-// rollBack turns the release round. Servers that are out of service and have not been replaced are restored
-// as they are; the others are replaced once more.
-func (s *State) rollBack(now time.Duration, why string) {
-	s.setPhase(now, RollingBack, "%s", why)
-	s.Goal = s.Plan.From
+// rollBack starts a rollback. Servers that are out of service and have not been replaced are restored as they
+// are. The others are replaced by the previous version.
+func (s *State) rollBack(now time.Duration, reason string) {
+	s.setPhase(now, RollingBack, "%s", reason)
+	s.DesiredVersion = s.Plan.From
 	for i := range s.Targets {
-		t := &s.Targets[i]
-		if !t.isOut() {
+		target := &s.Targets[i]
+		if !target.isOutOfService() {
 			continue
 		}
-		t.Since, t.Stuck = now, false
-		switch t.Step {
+		target.Since, target.Stuck = now, false
+		switch target.Step {
 		case Maintenance, Drain:
-			t.Step = Drain // it may be empty already; what it has is decided there
+			target.Step = Drain // the server may be drained already; RecordResult decides by its version
 		case Replace, Ready:
-			t.Step = Replace
+			target.Step = Replace
 		case Restore:
-			t.Step = Maintenance // it may serve already
+			target.Step = Maintenance // the server may serve already
 		}
 	}
 }
 
-// isHolding reports whether servers that have not been replaced yet are restored as they are.
-func (s *State) isHolding() bool { return s.Phase == Halted || s.Phase == Aborted || s.Phase == Failed }
+// isStopped reports whether the release has stopped: no further server is replaced, and the servers that
+// have not been replaced yet are restored as they are.
+func (s *State) isStopped() bool { return s.Phase == Halted || s.Phase == Aborted || s.Phase == Failed }
