--- a/internal/policy/drawn_test.go
+++ b/internal/policy/drawn_test.go
@@ -16,23 +16,24 @@
 	"wrenspread/ratelimit"
 )
 
-// section is a drawn piece of text whose parts may come in any order.
+// section is a drawn block of a policy, whose parts may be written in any order, or an attribute.
 type section struct {
 	head     string
-	children []*section // none: an attribute
+	children []*section // the parts of a block; nil for an attribute
 }
 
+// text returns the section's source. With r the order of its parts is drawn.
 func (b *section) text(r *rand.Rand) string {
 	if b.children == nil {
 		return b.head + "\n"
 	}
-	kids := slices.Clone(b.children)
-	if r != nil && !strings.HasPrefix(b.head, "requests") { // times go by their order, and stay
-		r.Shuffle(len(kids), func(i, j int) { kids[i], kids[j] = kids[j], kids[i] })
+	children := slices.Clone(b.children)
+	if r != nil && !strings.HasPrefix(b.head, "requests") { // the order of `at` blocks has a meaning and stays
+		r.Shuffle(len(children), func(i, j int) { children[i], children[j] = children[j], children[i] })
 	}
 	var s strings.Builder
 	s.WriteString(b.head + " {\n")
-	for _, k := range kids {
+	for _, k := range children {
 		s.WriteString(k.text(r))
 	}
 	return s.String() + "}\n"
@@ -40,7 +41,7 @@
 
 func option(format string, args ...any) *section { return &section{head: fmt.Sprintf(format, args...)} }
 
-// drawLimit gives a limit's block. Shares are drawn so that floors fit now and then.
+// drawLimit returns the block of a limit. Floors are drawn so that they sometimes fit into the outer limit.
 func drawLimit(t *rapid.T, kind string, outermost bool) *section {
 	b := &section{head: kind, children: []*section{}}
 	rate, n := "rate", rapid.IntRange(1, 50).Draw(t, "rate")
@@ -55,8 +56,8 @@
 	} else {
 		b.children = append(b.children, option("part = percent(%d)", n))
 	}
-	for name, most := range map[string]int{"floor": n, "weight": 9, "reserve": 1} {
-		if v := rapid.IntRange(0, 3*most).Draw(t, name); v > 0 && v <= most && (name != "floor" || !outermost && kind == "requests") {
+	for name, maximum := range map[string]int{"floor": n, "weight": 9, "reserve": 1} {
+		if v := rapid.IntRange(0, 3*maximum).Draw(t, name); v > 0 && v <= maximum && (name != "floor" || !outermost && kind == "requests") {
 			b.children = append(b.children, option("%s = %v", name, map[bool]any{true: 0.5, false: v}[name == "reserve"]))
 		}
 	}
@@ -68,7 +69,8 @@
 	return b
 }
 
-func drawPart(t *rapid.T, head string, depth int) *section {
+// drawScope returns the block of a scope with limits and, up to depth 2, inner scopes.
+func drawScope(t *rapid.T, head string, depth int) *section {
 	b := &section{head: head, children: []*section{}}
 	if depth > 0 && rapid.Bool().Draw(t, "share") {
 		b.children = append(b.children, option("share = percent(%d)", rapid.IntRange(0, 45).Draw(t, "percent")))
@@ -82,10 +84,10 @@
 		}
 	}
 	if depth < 2 {
-		axis := rapid.SampledFrom([]string{"book", "class", "site"}).Draw(t, "axis")
-		names := map[string][]string{"book": site.Tenants, "class": site.classNames(), "site": site.Sites}[axis]
+		attribute := rapid.SampledFrom([]string{"book", "class", "site"}).Draw(t, "axis")
+		names := map[string][]string{"book": testNames.Tenants, "class": testNames.classNames(), "site": testNames.Sites}[attribute]
 		for _, n := range rapid.SliceOfNDistinct(rapid.SampledFrom(append(slices.Clone(names), "*")), 0, 3, rapid.ID).Draw(t, "names") {
-			b.children = append(b.children, drawPart(t, fmt.Sprintf("%s %q", axis, n), depth+1))
+			b.children = append(b.children, drawScope(t, fmt.Sprintf("%s %q", attribute, n), depth+1))
 		}
 	}
 	if len(b.children) == 0 {
@@ -94,58 +96,60 @@
 	return b
 }
 
-// A drawn policy, in whatever order it is written, comes to the same bytes; its floors fit at all times; no request
-// touches more than it may. Enough of the drawn ones are right for this to say something.
-func TestDrawnPolicies(t *testing.T) {
-	right, wrong := 0, 0
+// A drawn policy compiles to the same bytes in any order of its blocks. Its floors fit at all times, and no
+// request matches more limits than allowed. Enough of the drawn policies have to be valid for the test to be
+// significant.
+func TestDrawnPoliciesGiveValidTablesInAnyOrder(t *testing.T) {
+	valid, invalid := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		fleet := drawPart(t, "fleet", 0)
-		known := site
-		known.Tenants = nil // else most would forget some
+		fleet := drawScope(t, "fleet", 0)
+		known := testNames
+		known.Tenants = nil // with known tenants, most drawn policies would lack a rule for some of them
 		table, err := Compile("a.hcl", []byte(fleet.text(nil)), known)
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
 		for range 3 {
 			again, err2 := Compile("b.hcl", []byte(fleet.text(r)), known)
 			if (err == nil) != (err2 == nil) || err == nil && !bytes.Equal(table.JSON(), again.JSON()) {
-				t.Fatalf("in another order %v, first %v\n%s", err2, err, fleet.text(nil))
+				t.Fatalf("compiling in another order: error %v or another table, first error %v\n%s", err2, err, fleet.text(nil))
 			}
 		}
 		if err != nil {
-			wrong++
+			invalid++
 			return
 		}
-		right++
+		valid++
 		if limits, _ := table.MaxMatched(); limits > ratelimit.MaxMatchedLimits {
-			t.Fatalf("%d limits touched", limits)
+			t.Fatalf("a request matches up to %d limits, want at most ratelimit.MaxMatchedLimits", limits)
 		}
-		fits(t, table)
+		checkFloorsFit(t, table)
 	})
-	if right < wrong/20 || right < 10 {
-		t.Errorf("%d right, %d wrong", right, wrong)
+	if valid < invalid/20 || valid < 10 {
+		t.Errorf("%d valid and %d invalid policies were drawn, want more valid ones", valid, invalid)
 	}
 }
 
-// fits adds up the floors that a parent's disjoint children have at any quarter of an hour of a month.
-func fits(t *rapid.T, table *ratelimit.Table) {
+// checkFloorsFit checks at times throughout a month, 13 quarters of an hour apart, that no floor exceeds its
+// rate, and that the floors of sibling limits do not add up to more than the rate of their outer limit.
+func checkFloorsFit(t *rapid.T, table *ratelimit.Table) {
 	for at := time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC); at.Month() == time.March; at = at.Add(time.Hour / 4 * 13) {
 		sums := map[[2]int]float64{}
 		for i, l := range table.Limits {
-			f := table.RatesAt(i, at)
-			if f.Floor > f.Rate*1.000001 {
-				t.Fatalf("%s has floor %v and rate %v", l.Name, f.Floor, f.Rate)
+			rates := table.RatesAt(i, at)
+			if rates.Floor > rates.Rate*1.000001 {
+				t.Fatalf("limit %s has floor %v above its rate %v", l.Name, rates.Floor, rates.Rate)
 			}
 			if l.Parent < 0 || l.Unit > ratelimit.UnitConcurrency {
 				continue
 			}
 			key := [2]int{l.Parent, int(l.Attribute)}
-			if sums[key] += f.Floor; sums[key] > table.RatesAt(l.Parent, at).Rate*1.000001 {
-				t.Fatalf("floors within %s come to %v", table.Limits[l.Parent].Name, sums[key])
+			if sums[key] += rates.Floor; sums[key] > table.RatesAt(l.Parent, at).Rate*1.000001 {
+				t.Fatalf("floors within limit %s add up to %v, above its rate", table.Limits[l.Parent].Name, sums[key])
 			}
 		}
 	}
 }
 
-// BenchmarkCompile is 9,003 limits: 1,000 books with three limits and six classes each.
+// BenchmarkCompile compiles a policy with 9,003 limits: 1,000 tenants with three limits and six classes each.
 func BenchmarkCompile(b *testing.B) {
 	known := Known{}
 	for i := range 1000 {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -14,7 +14,8 @@
 	"wrenspread/ratelimit"
 )
 
-var site = Known{
+// testNames are the known names of the site in testdata/site.hcl.
+var testNames = Known{
 	Sites: []string{"klein-windhoek", "southern-ind", "okuryangava"},
 	Tenants: []string{"kalahari-core", "namib-factors", "oshana-credit", "erongo-trade", "kalahari-agri", "kunene-mining",
 		"otjozondjupa-sme"},
@@ -22,7 +23,7 @@
 		{Name: "payment-post", PriorityWeight: 6}, {Name: "advance-release", PriorityWeight: 8}},
 }
 
-func read(t *testing.T, path string) []byte {
+func readFile(t *testing.T, path string) []byte {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -30,8 +31,9 @@
 	return text
 }
 
-// Each file has something wrong: all that is said of it is kept beside it. Rewrite with go test -update.
-func TestErrorsAsKept(t *testing.T) {
+// Each policy in testdata/errors is faulty. Its diagnostics are compared with the golden file of the same
+// name, which go test -update rewrites.
+func TestDiagnosticsMatchGoldenFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/errors/*.hcl")
 	if err != nil || len(files) < 15 {
 		t.Fatal(files, err)
@@ -39,12 +41,12 @@
 	for _, f := range files {
 		name := strings.TrimSuffix(filepath.Base(f), ".hcl")
 		t.Run(name, func(t *testing.T) {
-			var wrong *Errors
-			if _, err := Compile(name+".hcl", read(t, f), site); !errors.As(err, &wrong) {
-				t.Fatalf("nothing wrong is found: %v", err)
+			var faults *Errors
+			if _, err := Compile(name+".hcl", readFile(t, f), testNames); !errors.As(err, &faults) {
+				t.Fatalf("compiling a faulty policy returns %v, want *Errors", err)
 			}
 			var out bytes.Buffer
-			if err := wrong.Print(&out); err != nil {
+			if err := faults.Print(&out); err != nil {
 				t.Fatal(err)
 			}
 			goldie.New(t, goldie.WithFixtureDir("testdata/errors"), goldie.WithNameSuffix(".txt")).Assert(t, name, out.Bytes())
@@ -52,19 +54,19 @@
 	}
 }
 
-// The example in the documentation is a policy.
-func TestTheDocumentsExample(t *testing.T) {
-	_, rest, _ := strings.Cut(string(read(t, "../../docs/policy.md")), "```hcl\n")
+// The example in the documentation is a valid policy.
+func TestDocumentedExampleCompiles(t *testing.T) {
+	_, rest, _ := strings.Cut(string(readFile(t, "../../docs/policy.md")), "```hcl\n")
 	text, _, found := strings.Cut(rest, "```")
-	if _, err := Compile("policy.md", []byte(text), site); err != nil || !found {
+	if _, err := Compile("policy.md", []byte(text), testNames); err != nil || !found {
 		t.Error(err)
 	}
 }
 
-// The site's policy compiles to the figures that it speaks of.
-func TestTheSitesPolicy(t *testing.T) {
-	text := read(t, "testdata/site.hcl")
-	table, err := Compile("site.hcl", text, site)
+// The site's policy compiles to the expected rates at different times, whatever the file is called.
+func TestSitePolicyCompilesToExpectedRates(t *testing.T) {
+	text := readFile(t, "testdata/site.hcl")
+	table, err := Compile("site.hcl", text, testNames)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +77,7 @@
 		ratelimit.Rates
 	}{
 		{"fleet", noon(5), ratelimit.Rates{Rate: 2400, Burst: 600}},
-		{"fleet", noon(5).Add(11 * time.Hour), ratelimit.Rates{Rate: 1200, Burst: 600}}, // 23:00 there
+		{"fleet", noon(5).Add(11 * time.Hour), ratelimit.Rates{Rate: 1200, Burst: 600}}, // 23:00 operators' time
 		{"fleet", noon(29), ratelimit.Rates{Rate: 3600, Burst: 600}},
 		{"book/kalahari-core", noon(5), ratelimit.Rates{Rate: 2400, Burst: 600, Floor: 720}},
 		{"book/kalahari-core", noon(29), ratelimit.Rates{Rate: 3600, Burst: 600, Floor: 1080}},
@@ -89,17 +91,17 @@
 		for i, l := range table.Limits {
 			if l.Name == want.limit {
 				if found = true; table.RatesAt(i, want.at) != want.Rates {
-					t.Errorf("%s at %v: %+v, want %+v", l.Name, want.at, table.RatesAt(i, want.at), want.Rates)
+					t.Errorf("limit %s at %v: rates %+v, want %+v", l.Name, want.at, table.RatesAt(i, want.at), want.Rates)
 				}
 			}
 		}
 		if !found {
-			t.Errorf("no limit %s", want.limit)
+			t.Errorf("table has no limit %s", want.limit)
 		}
 	}
-	again, err := Compile("other-name.hcl", text, Known{site.Sites, site.Tenants, nil, site.Classes})
+	again, err := Compile("other-name.hcl", text, Known{testNames.Sites, testNames.Tenants, nil, testNames.Classes})
 	if err != nil || !bytes.Equal(again.JSON(), table.JSON()) {
-		t.Errorf("the same text gives other bytes, %v", err)
+		t.Errorf("compiling the same source under another name gives other bytes or error %v", err)
 	}
 	if back, err := ratelimit.Read(table.JSON()); err != nil || back.Digest != table.Digest {
 		t.Error(err)
--- a/internal/release/machine_test.go
+++ b/internal/release/machine_test.go
@@ -17,294 +17,307 @@
 	"wrenspread/internal/registry"
 )
 
-// world is a fleet and a store without time: each call of a controller is a moment
-// at which it may die.
-type world struct {
-	mu       sync.Mutex
-	t        interface{ Fatalf(string, ...any) }
-	plan     Plan
-	raw      []byte
-	version  uint64
-	calls    int
-	dieAt    int // the call at which the controller dies; 0: never
-	servers  map[string]*server
-	order    string // that waits
-	orders   int    // so far
-	bad      string // servers that don't come up in this version
-	worse    bool   // the new version fails its requests
-	fails    func() failure
-	wrong    string // the first rule that was broken
-	replaced int
+// fakeFleet is the Store and the Executor of the tests. Each call by a controller is a moment at which the
+// controller may crash. The number of calls serves as the clock.
+type fakeFleet struct {
+	mu                 sync.Mutex
+	t                  interface{ Fatalf(string, ...any) }
+	plan               Plan
+	record             []byte
+	version            uint64
+	calls              int
+	crashAtCall        int // the call at which the controller crashes; 0 means never
+	servers            map[string]*fakeServer
+	order              string // the pending order
+	orderCount         int    // number of orders so far, the id of the pending one
+	unstartableVersion string // servers do not become ready in this version
+	newVersionFails    bool   // the new version fails requests
+	nextFailure        func() failure
+	violation          string // the first violation of a rule
+	replacements       int
 }
 
-type server struct {
+// fakeServer is a server of a fakeFleet with its actual version.
+type fakeServer struct {
 	Target
-	maint bool
+	inMaintenance bool
 }
 
 // failure is how an action fails.
 type failure int
 
 const (
-	fine   failure = iota
-	undone         // it was not carried out
-	unsaid         // it was, and the answer was lost
+	noFailure     failure = iota
+	notCarriedOut         // the action was not carried out
+	resultLost            // the action was carried out, but its result was lost
 )
 
-// fail keeps what is wrong; the caller holds the lock.
-func (w *world) fail(format string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(format, args...)
+// reportViolation records the first violation of a rule. The caller holds the lock.
+func (f *fakeFleet) reportViolation(format string, args ...any) {
+	if f.violation == "" {
+		f.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-var errDead = errors.New("the conductor has died")
+var errCrashed = errors.New("controller crashed")
 
-// call counts a call of the controller's; the caller holds no lock.
-func (w *world) call(ctx context.Context) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.calls++; w.dieAt != 0 && w.calls >= w.dieAt {
-		return errDead
+// countCall counts a call by the controller and fails if the controller crashes at it. The caller does not
+// hold the lock.
+func (f *fakeFleet) countCall(ctx context.Context) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.calls++; f.crashAtCall != 0 && f.calls >= f.crashAtCall {
+		return errCrashed
 	}
 	return ctx.Err()
 }
 
-func (w *world) Load(ctx context.Context) ([]byte, uint64, error) {
-	return w.raw, w.version, w.call(ctx)
+func (f *fakeFleet) Load(ctx context.Context) ([]byte, uint64, error) {
+	return f.record, f.version, f.countCall(ctx)
 }
 
-func (w *world) Save(ctx context.Context, raw []byte, version uint64) (uint64, error) {
-	if err := w.call(ctx); err != nil {
+func (f *fakeFleet) Save(ctx context.Context, raw []byte, version uint64) (uint64, error) {
+	if err := f.countCall(ctx); err != nil {
 		return 0, err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if version != w.version {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if version != f.version {
 		return 0, ErrSuperseded
 	}
-	w.raw = raw
-	w.version++
-	return w.version, nil
+	f.record = raw
+	f.version++
+	return f.version, nil
 }
 
-func (w *world) Order(ctx context.Context) (string, string, string, error) {
-	if w.order == "" {
-		return "", "", "", w.call(ctx)
+func (f *fakeFleet) Order(ctx context.Context) (string, string, string, error) {
+	if f.order == "" {
+		return "", "", "", f.countCall(ctx)
 	}
-	return fmt.Sprint(w.orders), w.order, "somebody", w.call(ctx)
+	return fmt.Sprint(f.orderCount), f.order, "somebody", f.countCall(ctx)
 }
 
-func (w *world) ClearOrder(ctx context.Context) error {
-	if err := w.call(ctx); err != nil {
+func (f *fakeFleet) ClearOrder(ctx context.Context) error {
+	if err := f.countCall(ctx); err != nil {
 		return err
 	}
-	w.order = ""
+	f.order = ""
 	return nil
 }
 
-func (w *world) Unavailable(ctx context.Context) (Unavailable, error) {
-	return Unavailable{}, w.call(ctx)
+func (f *fakeFleet) Unavailable(ctx context.Context) (Unavailable, error) {
+	return Unavailable{}, f.countCall(ctx)
 }
 
-// Do checks that the action's intent is in the record, and the limits.
-func (w *world) Do(ctx context.Context, a Action) (bool, error) {
-	if err := w.call(ctx); err != nil {
+// Do checks that the record has the step of the action as the server's step, and that the limits are
+// observed.
+func (f *fakeFleet) Do(ctx context.Context, action Action) (bool, error) {
+	if err := f.countCall(ctx); err != nil {
 		return false, err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s, err := Decode(w.raw)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	s, err := Decode(f.record)
 	if err != nil {
-		w.fail("%v", err)
+		f.reportViolation("%v", err)
 		return false, err
 	}
-	i := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == a.Target.Name })
-	if s.Targets[i].Step != a.Step {
-		w.fail("%s of %s is carried out, the record has %s", a.Step, a.Target.Name, s.Targets[i].Step)
+	i := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == action.Target.Name })
+	if s.Targets[i].Step != action.Step {
+		f.reportViolation("action %s of server %s is carried out while the record has step %s", action.Step, action.Target.Name, s.Targets[i].Step)
 	}
-	how := fine
-	if w.fails != nil {
-		how = w.fails()
+	outcome := noFailure
+	if f.nextFailure != nil {
+		outcome = f.nextFailure()
 	}
-	if how == undone {
+	if outcome == notCarriedOut {
 		return false, errors.New("no answer")
 	}
-	err = w.carryOut(w.servers[a.Target.Name], a)
-	w.count()
-	if how == unsaid {
+	err = f.apply(f.servers[action.Target.Name], action)
+	f.checkLimits()
+	if outcome == resultLost {
 		return false, errors.New("no answer")
 	}
 	return err == nil, err
 }
 
-func (w *world) carryOut(is *server, a Action) error {
-	switch a.Step {
+// apply carries out an action on a server and checks that the action may be carried out. The caller holds the
+// lock.
+func (f *fakeFleet) apply(server *fakeServer, action Action) error {
+	switch action.Step {
 	case Maintenance:
-		is.maint = true
+		server.inMaintenance = true
 	case Replace:
-		if !is.maint {
-			w.fail("%s is replaced while it serves", is.Name)
+		if !server.inMaintenance {
+			f.reportViolation("server %s is replaced while it serves", server.Name)
 		}
-		if is.Version != a.Version {
-			w.replaced++
+		if server.Version != action.Version {
+			f.replacements++
 		}
-		is.Version = a.Version
+		server.Version = action.Version
 	case Ready:
-		if is.Version == w.bad {
-			return errors.New("it does not come up")
+		if server.Version == f.unstartableVersion {
+			return errors.New("server does not become ready")
 		}
-		if is.Version != a.Version {
-			w.fail("%s has %s, not %s", is.Name, is.Version, a.Version)
+		if server.Version != action.Version {
+			f.reportViolation("server %s has version %s, want %s", server.Name, server.Version, action.Version)
 		}
 	case Restore:
-		if is.Version != a.Version {
-			w.fail("%s is registered as %s and has %s", is.Name, a.Version, is.Version)
+		if server.Version != action.Version {
+			f.reportViolation("server %s is registered with version %s but has %s", server.Name, action.Version, server.Version)
 		}
-		is.maint = false
+		server.inMaintenance = false
 	}
 	return nil
 }
 
-func (w *world) count() {
+// checkLimits checks the servers in maintenance against the plan's limits. The caller holds the lock.
+func (f *fakeFleet) checkLimits() {
 	out, zone := 0, map[string]int{}
-	for _, s := range w.servers {
-		if s.maint {
+	for _, s := range f.servers {
+		if s.inMaintenance {
 			out++
 			zone[s.Zone]++
 		}
 	}
 	for z, n := range zone {
-		if out > w.plan.Limits.Total || w.plan.Limits.Zone > 0 && n > w.plan.Limits.Zone {
-			w.fail("%d are out, %d of zone %s", out, n, z)
+		if out > f.plan.Limits.Total || f.plan.Limits.Zone > 0 && n > f.plan.Limits.Zone {
+			f.reportViolation("%d servers are out of service, %d of them in zone %s, which exceeds the limits", out, n, z)
 		}
 	}
 }
 
-func (w *world) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
-	n := w.calls // each look finds more
-	those := Counts{Requests: 1000 * n}
-	if w.worse {
-		those.Failed = 300 * n
+func (f *fakeFleet) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
+	calls := f.calls // the counts grow with each call
+	released := Counts{Requests: 1000 * calls}
+	if f.newVersionFails {
+		released.Failed = 300 * calls
 	}
-	return map[string]Comparison{"n0": {those, Counts{Requests: 1000 * n}}}, w.call(ctx)
+	return map[string]Comparison{"n0": {released, Counts{Requests: 1000 * calls}}}, f.countCall(ctx)
 }
 
-func newWorld(t interface{ Fatalf(string, ...any) }, n int, change func(*Plan)) *world {
-	p := Default()
-	p.Name, p.From, p.To, p.Soak, p.Limits = "r", "v1", "v2", 0, Limits{Total: 3, Zone: 2, Cell: 1}
+// newFakeFleet returns a fleet of n servers in three zones, with the record of a new release. The change
+// adapts the release's plan.
+func newFakeFleet(t interface{ Fatalf(string, ...any) }, n int, change func(*Plan)) *fakeFleet {
+	plan := Default()
+	plan.Name, plan.From, plan.To, plan.Soak, plan.Limits = "r", "v1", "v2", 0, Limits{Total: 3, Zone: 2, Cell: 1}
 	if change != nil {
-		change(&p)
+		change(&plan)
 	}
-	w := &world{t: t, plan: p, servers: map[string]*server{}}
+	fleet := &fakeFleet{t: t, plan: plan, servers: map[string]*fakeServer{}}
 	var all []Target
 	for i := range n {
-		one := Target{Name: fmt.Sprint("s", i), Zone: string(rune('a' + i%3)), Type: "m", Cell: i % 2, Version: p.From}
-		all = append(all, one)
-		w.servers[one.Name] = &server{Target: one}
+		target := Target{Name: fmt.Sprint("s", i), Zone: string(rune('a' + i%3)), Type: "m", Cell: i % 2, Version: plan.From}
+		all = append(all, target)
+		fleet.servers[target.Name] = &fakeServer{Target: target}
 	}
-	s, err := New(p, all)
+	s, err := New(plan, all)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	if w.raw, err = Encode(s); err != nil {
+	if fleet.record, err = Encode(s); err != nil {
 		t.Fatalf("%v", err)
 	}
-	return w
+	return fleet
 }
 
-// conduct runs controllers, each after the other's death, until the release rests; it gives the state then.
-func (w *world) conduct(rounds int) *State {
+// runToEnd runs controllers one after another, each after the crash of the previous one, until one ends
+// without an error. It returns the state from the record, and fails the test after the given number of
+// controllers.
+func (f *fakeFleet) runToEnd(rounds int) *State {
 	for range rounds {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Minute) // only a hang takes so long
-		err := w.conductor().Run(ctx)
+		ctx, cancel := context.WithTimeout(context.Background(), time.Minute) // reached only by a hang
+		err := f.newController().Run(ctx)
 		cancel()
-		s, e := Decode(w.raw)
-		if e != nil {
-			w.t.Fatalf("%v", e)
+		s, decodeErr := Decode(f.record)
+		if decodeErr != nil {
+			f.t.Fatalf("%v", decodeErr)
 		}
-		if w.wrong != "" {
-			w.t.Fatalf("%s", w.wrong)
+		if f.violation != "" {
+			f.t.Fatalf("%s", f.violation)
 		}
 		if err == nil {
 			return s
 		}
-		if !errors.Is(err, errDead) {
-			w.t.Fatalf("%v", err)
+		if !errors.Is(err, errCrashed) {
+			f.t.Fatalf("%v", err)
 		}
-		w.mu.Lock()
-		w.dieAt = 0
-		w.mu.Unlock()
+		f.mu.Lock()
+		f.crashAtCall = 0
+		f.mu.Unlock()
 	}
-	w.t.Fatalf("no end")
+	f.t.Fatalf("release does not end with the given number of controllers")
 	return nil
 }
 
-func (w *world) has(t *testing.T, version string) {
+// assertAllHave fails the test unless all servers serve in the version.
+func (f *fakeFleet) assertAllHave(t *testing.T, version string) {
 	t.Helper()
-	for _, s := range w.servers {
-		if s.Version != version || s.maint {
-			t.Fatalf("%s has %s (maintenance %v), want %s", s.Name, s.Version, s.maint, version)
+	for _, s := range f.servers {
+		if s.Version != version || s.inMaintenance {
+			t.Fatalf("server %s has version %s (maintenance %v), want %s without maintenance", s.Name, s.Version, s.inMaintenance, version)
 		}
 	}
 }
 
-// TestEveryCrash: a controller dies at each call that it makes, of a good release, of
-// one whose gate fails, and of one whose servers don't come up; the next brings it to its end.
-func TestEveryCrash(t *testing.T) {
-	for name, prepare := range map[string]func(*world){"good": func(*world) {}, "worse": func(w *world) { w.worse = true }, "bad": func(w *world) { w.bad = "v2" }} {
+// A controller crashes at each of its calls in turn: in a good release, in a release whose gate fails, and in
+// a release whose servers do not become ready. The next controller has to complete the release from the
+// record, with at most two replacements per server.
+func TestReleaseCompletesAfterControllerCrashAtAnyCall(t *testing.T) {
+	for name, prepare := range map[string]func(*fakeFleet){"good": func(*fakeFleet) {}, "worse": func(fleet *fakeFleet) { fleet.newVersionFails = true }, "bad": func(fleet *fakeFleet) { fleet.unstartableVersion = "v2" }} {
 		calls := 0
-		for at := 0; at == 0 || at <= calls; at++ {
-			w := newWorld(t, 7, func(p *Plan) {
+		for crashAt := 0; crashAt == 0 || crashAt <= calls; crashAt++ {
+			fleet := newFakeFleet(t, 7, func(p *Plan) {
 				p.Halt, p.Deadline.Ready = HaltRollBack, time.Second
 				if name == "bad" {
 					p.Limits = Limits{Total: 1}
 				}
 			})
-			prepare(w)
-			w.dieAt = at
-			s := w.conduct(2)
-			if at == 0 {
-				calls = w.calls
+			prepare(fleet)
+			fleet.crashAtCall = crashAt
+			s := fleet.runToEnd(2)
+			if crashAt == 0 {
+				calls = fleet.calls
 			}
 			if want := map[string]Phase{"good": Finished, "worse": RolledBack, "bad": RolledBack}[name]; s.Phase != want {
-				t.Fatalf("%s, dead at call %d: %s, %s", name, at, s.Phase, s.HaltReason)
+				t.Fatalf("release %q, controller crashed at call %d: phase %s, reason %q", name, crashAt, s.Phase, s.HaltReason)
 			}
-			w.has(t, map[string]string{"good": "v2", "worse": "v1", "bad": "v1"}[name])
-			if w.replaced > 2*len(w.servers) {
-				t.Fatalf("%s, dead at call %d: %d replacements", name, at, w.replaced)
+			fleet.assertAllHave(t, map[string]string{"good": "v2", "worse": "v1", "bad": "v1"}[name])
+			if fleet.replacements > 2*len(fleet.servers) {
+				t.Fatalf("release %q, controller crashed at call %d: %d replacements, want at most two per server", name, crashAt, fleet.replacements)
 			}
 		}
-		t.Logf("%s: %d calls", name, calls)
+		t.Logf("release %q: %d calls", name, calls)
 		if calls < 20 {
-			t.Errorf("%s makes %d calls only", name, calls)
+			t.Errorf("release %q makes %d calls, want at least 20", name, calls)
 		}
 	}
 }
 
-// controller makes one whose clock goes on by a step with each of its calls.
-func (w *world) conductor() *Controller {
-	return &Controller{Store: w, Executor: w, Interval: time.Microsecond, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return time.Duration(w.calls) * 10 * time.Millisecond
+// newController returns a controller whose clock advances by 10 ms with each call.
+func (f *fakeFleet) newController() *Controller {
+	return &Controller{Store: f, Executor: f, Interval: time.Microsecond, Log: slog.New(slog.DiscardHandler), Clock: func() time.Duration {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return time.Duration(f.calls) * 10 * time.Millisecond
 	}}
 }
 
-// TestDrawn: with failing actions, deaths and orders drawn, a release never has more
-// out than it may, never carries out what is not on record, and comes to rest.
-func TestDrawn(t *testing.T) {
+// With drawn failures of actions, crashes and orders, a release never has more servers out of service than
+// its limits allow, never carries out an action that is not in the record, and ends with each server in
+// service and in the version that the record has.
+func TestReleaseKeepsLimitsAndRecordUnderDrawnFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.IntRange(1, 12).Draw(t, "servers"), func(p *Plan) {
+		fleet := newFakeFleet(t, rapid.IntRange(1, 12).Draw(t, "servers"), func(p *Plan) {
 			p.Limits.Total = rapid.IntRange(1, 4).Draw(t, "out")
 			p.Limits.Zone, p.Limits.Cell = min(p.Limits.Total, 2), 0
 			p.Halt = rapid.SampledFrom([]string{HaltWait, HaltRollBack}).Draw(t, "halt")
 		})
-		w.worse = rapid.IntRange(0, 3).Draw(t, "worse") == 0
-		failing := rapid.SliceOfN(rapid.SampledFrom([]failure{fine, fine, undone, unsaid}), 0, 60).Draw(t, "failing")
-		w.fails = func() failure {
+		fleet.newVersionFails = rapid.IntRange(0, 3).Draw(t, "worse") == 0
+		failing := rapid.SliceOfN(rapid.SampledFrom([]failure{noFailure, noFailure, notCarriedOut, resultLost}), 0, 60).Draw(t, "failing")
+		fleet.nextFailure = func() failure {
 			if len(failing) == 0 {
-				return fine
+				return noFailure
 			}
 			f := failing[0]
 			failing = failing[1:]
@@ -312,72 +325,73 @@
 		}
 		orders := rapid.SliceOfN(rapid.SampledFrom([]string{"", OrderPause, OrderResume, OrderSkip, OrderRollBack, "dance"}), 0, 6).Draw(t, "orders")
 		var s *State
-		for _, o := range append(orders, OrderResume, OrderAbort) {
-			w.orders++
-			w.order, w.dieAt = o, w.calls+rapid.IntRange(1, 60).Draw(t, "dies after")
+		for _, order := range append(orders, OrderResume, OrderAbort) {
+			fleet.orderCount++
+			fleet.order, fleet.crashAtCall = order, fleet.calls+rapid.IntRange(1, 60).Draw(t, "dies after")
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-			err := w.conductor().Run(ctx)
+			err := fleet.newController().Run(ctx)
 			cancel()
-			if err != nil && !errors.Is(err, errDead) {
+			if err != nil && !errors.Is(err, errCrashed) {
 				t.Fatal(err)
 			}
 		}
-		w.orders++
-		w.dieAt, w.order = 0, OrderAbort
-		s = w.conduct(1)
-		for _, one := range w.servers {
-			i := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == one.Name })
-			if one.maint || s.Targets[i].Version != one.Version {
-				t.Fatalf("%s at the end of a %s release: maintenance %v, it has %s, the record %s", one.Name, s.Phase, one.maint, one.Version, s.Targets[i].Version)
+		fleet.orderCount++
+		fleet.crashAtCall, fleet.order = 0, OrderAbort
+		s = fleet.runToEnd(1)
+		for _, server := range fleet.servers {
+			i := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == server.Name })
+			if server.inMaintenance || s.Targets[i].Version != server.Version {
+				t.Fatalf("server %s at the end of a release in phase %s: maintenance %v, has version %s, record has %s", server.Name, s.Phase, server.inMaintenance, server.Version, s.Targets[i].Version)
 			}
 		}
 	})
 }
 
-// TestSecondConductor: one that was followed can write nothing more.
-func TestSecondConductor(t *testing.T) {
-	w := newWorld(t, 3, nil)
-	c := w.conductor()
-	w.dieAt = 4
-	if err := c.Run(context.Background()); !errors.Is(err, errDead) {
+// A controller that another one has superseded can't write the record any more.
+func TestSupersededControllerCannotWrite(t *testing.T) {
+	fleet := newFakeFleet(t, 3, nil)
+	c := fleet.newController()
+	fleet.crashAtCall = 4
+	if err := c.Run(context.Background()); !errors.Is(err, errCrashed) {
 		t.Fatal(err)
 	}
-	w.dieAt = 0
-	if s := w.conduct(1); s.Phase != Finished {
+	fleet.crashAtCall = 0
+	if s := fleet.runToEnd(1); s.Phase != Finished {
 		t.Fatal(s.Phase)
 	}
 	if err := c.runRound(context.Background()); !errors.Is(err, ErrSuperseded) {
-		t.Errorf("the first conductor goes on: %v", err)
+		t.Errorf("round of the superseded controller: error %v, want ErrSuperseded", err)
 	}
 }
 
-// TestSince: a proxy that began anew, and one that was not there, do not spoil the figures of others.
-func TestSince(t *testing.T) {
+// A proxy that has restarted counts from its restart. A proxy that is missing in one of the two readings does
+// not affect the counts of the others.
+func TestCountsSinceHandlesRestartedAndMissingProxies(t *testing.T) {
 	base := map[string]Comparison{"a": {Counts{100, 10, 5}, Counts{1000, 0, 0}}, "b": {Counts{500, 50, 0}, Counts{}}, "gone": {}}
 	now := map[string]Comparison{"a": {Counts{150, 12, 5}, Counts{1300, 1, 0}}, "b": {Counts{20, 1, 1}, Counts{7, 0, 0}}, "new": {Counts{9999, 9999, 0}, Counts{}}}
-	if those, rest := CountsSince(base, now); those != (Counts{70, 3, 1}) || rest != (Counts{307, 1, 0}) {
-		t.Errorf("%+v and %+v", those, rest)
+	if released, rest := CountsSince(base, now); released != (Counts{70, 3, 1}) || rest != (Counts{307, 1, 0}) {
+		t.Errorf("counts of the released servers %+v and of the rest %+v, want {70 3 1} and {307 1 0}", released, rest)
 	}
 }
 
-// TestLargestRecord fits into one record of the registry, with all that a release may note.
-func TestLargestRecord(t *testing.T) {
-	long := strings.Repeat("x", 64)
+// The record of a release with the most targets, notes and proxies fits into one record of the registry.
+func TestLargestReleaseFitsIntoOneRecord(t *testing.T) {
+	longText := strings.Repeat("x", 64)
 	var all []Target
 	for i := range MaxTargets {
-		all = append(all, Target{Name: fmt.Sprint(long[:32], i), Address: "255.255.255.255:65535", Zone: long[:16], Type: long[:16], Cell: i, Version: "v1"})
+		all = append(all, Target{Name: fmt.Sprint(longText[:32], i), Address: "255.255.255.255:65535", Zone: longText[:16], Type: longText[:16], Cell: i, Version: "v1"})
 	}
-	p := Default()
-	p.Name, p.From, p.To = "r", "v1", "v2"
-	s, err := New(p, all)
+	plan := Default()
+	plan.Name, plan.From, plan.To = "r", "v1", "v2"
+	s, err := New(plan, all)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range s.Targets {
-		s.Targets[i].Reason, s.Targets[i].Since = long, time.Hour
+		s.Targets[i].Reason, s.Targets[i].Since = longText, time.Hour
 	}
 	for range maxNotes {
-		s.addNote(time.Hour, "%s%s", long, long)
+		s.addNote(time.Hour, "%s%s", longText, longText)
 	}
 	s.Baseline = map[string]Comparison{}
 	for i := range 300 {
@@ -385,11 +399,13 @@
 	}
 	raw, err := Encode(s)
 	if err != nil || len(raw) > registry.MaxRecordValueBytes {
-		t.Errorf("%d bytes, %d at most; %v", len(raw), registry.MaxRecordValueBytes, err)
+		t.Errorf("record of the largest release has %d bytes, want at most %d; error %v", len(raw), registry.MaxRecordValueBytes, err)
 	}
 }
 
-func TestGate(t *testing.T) {
+// The verdict of a gate follows from the numbers of requests, failed and late requests of the released
+// servers and of the rest.
+func TestGateVerdictsByCounts(t *testing.T) {
 	g := Gate{MinRequests: 100, MaxFailedExcess: 0.02, MaxLateExcess: 0.05, IncidentThreshold: 0.1}
 	for _, c := range []struct {
 		those, rest Counts
@@ -403,18 +419,18 @@
 		{Counts{1000, 100, 0}, Counts{}, true, Pass}, {Counts{1000, 150, 0}, Counts{}, true, Fail}, {Counts{9, 0, 0}, Counts{}, true, Undecided},
 	} {
 		if got := g.Evaluate(c.those, c.rest, c.alone); got != c.want {
-			t.Errorf("%+v beside %+v: %s, want %s", c.those, c.rest, got, c.want)
+			t.Errorf("released %+v, rest %+v: verdict %s, want %s", c.those, c.rest, got, c.want)
 		}
 	}
 }
 
-// TestChance: of gates over equally good parts hardly any fails; of those over a part
-// that fails a quarter of its requests nearly all do, also with few requests.
-func TestChance(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 1))
+// Hardly any gate fails over servers that are as good as the rest. Nearly all gates fail over servers that
+// fail a quarter of their requests, even with few requests.
+func TestGateRarelyFailsEqualServersAndFindsWorseOnes(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 1))
 	draw := func(n int, p float64) (failed int) {
 		for range n {
-			if chance.Float64() < p {
+			if random.Float64() < p {
 				failed++
 			}
 		}
@@ -422,35 +438,35 @@
 	}
 	g := Gate{MinRequests: 25, MaxFailedExcess: 0.01, MaxLateExcess: 0.05, IncidentThreshold: 0.9}
 	const gates = 5000
-	falsely, found := 0, 0
+	falseAlarms, detected := 0, 0
 	for range gates {
-		n := 40 + chance.IntN(400)
+		n := 40 + random.IntN(400)
 		rest := Counts{2000, draw(2000, 0.02), draw(2000, 0.05)}
 		if g.Evaluate(Counts{n, draw(n, 0.02), draw(n, 0.05)}, rest, false) != Pass {
-			falsely++
+			falseAlarms++
 		}
 		if g.Evaluate(Counts{n, draw(n, 0.25), draw(n, 0.05)}, rest, false) == Fail {
-			found++
+			detected++
 		}
 	}
-	if falsely > gates/500 || found < gates*97/100 {
-		t.Errorf("of %d gates %d good ones fail, %d bad ones are found", gates, falsely, found)
+	if falseAlarms > gates/500 || detected < gates*97/100 {
+		t.Errorf("of %d gates %d fail equal servers (want at most 0.2 %%), %d find worse servers (want at least 97 %%)", gates, falseAlarms, detected)
 	}
 }
 
-// TestBadPlans are told by their keys.
-func TestBadPlans(t *testing.T) {
-	for want, spoil := range map[string]func(*Plan){"name:": func(p *Plan) { p.Name = "" }, "to:": func(p *Plan) { p.To = p.From }, "limits.out": func(p *Plan) { p.Limits.Total = 0 },
+// The error of a faulty plan names the key of the faulty value.
+func TestPlanCheckNamesKeyOfFault(t *testing.T) {
+	for want, breakPlan := range map[string]func(*Plan){"name:": func(p *Plan) { p.Name = "" }, "to:": func(p *Plan) { p.To = p.From }, "limits.out": func(p *Plan) { p.Limits.Total = 0 },
 		"limits.zone": func(p *Plan) { p.Limits.Zone = 9 }, "wave 1": func(p *Plan) { p.Waves = []Wave{{}} }, "wave:": func(p *Plan) { p.Waves = nil }, "halt:": func(p *Plan) { p.Halt = "" },
 		"gate.failed": func(p *Plan) { p.Gate.MaxFailedExcess = 2 }, "deadline.ready": func(p *Plan) { p.Deadline.Ready = 0 }, "what.names": func(p *Plan) { p.Selector.Names = []string{"["} }} {
-		p := Default()
-		p.Name, p.From, p.To = "r", "v1", "v2"
-		if err := p.Check(); err != nil {
+		plan := Default()
+		plan.Name, plan.From, plan.To = "r", "v1", "v2"
+		if err := plan.Check(); err != nil {
 			t.Fatal(err)
 		}
-		spoil(&p)
-		if err := p.Check(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+		breakPlan(&plan)
+		if err := plan.Check(); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
 }
--- a/internal/release/seeded_test.go
+++ b/internal/release/seeded_test.go
@@ -1,3 +1,3 @@
 package release
 
-import _ "wrenspread/internal/rapidseed" // the draws of this package are the same each time
+import _ "wrenspread/internal/rapidseed" // fixes the seed of the drawn tests
