--- a/internal/sim/actor.go
+++ b/internal/sim/actor.go
@@ -1,9 +1,9 @@
-// Package sim plays many pure cores on a fake clock and a drawn network, with faults drawn by a seed. The
-// same seed gives the same history. A schedule that breaks a check is cut down to the faults that it takes,
-// and drawn as a timeline.
+// Package sim simulates many pure cores on a simulated clock and network, with random faults. All draws
+// follow from a seed, so that the same seed gives the same history. A schedule of faults that violates a
+// check is reduced to the faults that are needed for the violation, and its history is drawn as a timeline.
 //
-// The package knows no core: an Actor wraps one, or several on one node. The play of the view is in
-// internal/sim/membership.
+// The package knows no core: an Actor wraps one core, or several on one host. Package internal/sim/membership
+// simulates the membership view, package internal/sim/subset the subscriptions to subsets of endpoints.
 package sim
 
 import (
@@ -12,75 +12,77 @@
 	"wrenspread/internal/registry"
 )
 
-// Actor is one process: a core, or several, with the little that their shell decides.
+// Actor is one simulated process: one or more cores, with the decisions that their shell makes around them.
 type Actor interface {
-	// Handle takes an event at a time of the process's own monotonic clock.
+	// Handle takes an event and returns the effects that it causes. now is the time of the host's own monotonic
+	// clock.
 	Handle(now time.Duration, e Event) []Effect
 }
 
-// Event is what happens to an Actor.
+// Event is something that happens to an Actor.
 type Event interface{ event() }
 
-// Started is the first event of each generation.
+// Started is the first event of each process.
 type Started struct{}
 
-// Tick comes when the Wake of that timer has run out.
+// Tick arrives when the Wake of its timer has run out.
 type Tick struct{ Timer string }
 
-// Message is a datagram from a named end. The data is not to be changed.
+// Message is a datagram from a named host. Its data must not be changed.
 type Message struct {
 	From string
 	Data []byte
 }
 
-// Told is a word from outside the network: an operator, a client, the play itself.
-type Told struct{ What any }
+// External is an event from outside the network: from an operator, a client or the play itself.
+type External struct{ Value any }
 
-// Answer is what a Call came to. With Lost set nobody knows whether a command was carried out.
+// Answer is the result of a Call. If Lost is set, the caller cannot know whether its command was carried out.
 type Answer struct {
 	Call   Call
 	Lost   bool
 	Result registry.Result
-	Seen   Seen
+	Read   ReadResult
 }
 
-// Effect is what an Actor wants done.
+// Effect is an action that an Actor requests.
 type Effect interface{ effect() }
 
-// Send wants a datagram sent to a named end. The data is not to be changed afterwards.
+// Send sends a datagram to a named host. Its data must not be changed afterwards.
 type Send struct {
 	To   string
 	Data []byte
 }
 
-// Wake wants a Tick after so long by the process's clock. It replaces the previous Wake of the same timer.
+// Wake requests a Tick when After has passed on the host's clock. It replaces the previous Wake of the same
+// timer.
 type Wake struct {
 	Timer string
 	After time.Duration
 }
 
-// Say puts a few words into the process's column of the timeline.
-type Say struct{ What string }
+// Note adds an event to the host's column of the timeline.
+type Note struct{ Text string }
 
-// Call asks the registry. Its Answer comes, or comes as Lost, within CallMost.
+// Call is a request to the registry. Its Answer arrives within CallTimeout, with Lost set if there was none.
 type Call struct {
-	Number  uint64            // the caller's own, to know the answer by
-	Command *registry.Command // carried out; or
-	Renew   string            // the session that gets its full TTL again; or
-	Read    Read              // what is looked at
+	Number  uint64            // chosen by the caller, to match the answer
+	Command *registry.Command // a command to carry out; or
+	Renew   string            // the session whose TTL starts again; or
+	Read    Read              // what is read, at the time of the answer
 }
 
 // Exit ends the process on purpose.
 type Exit struct{}
 
-func (Started) event() {}
-func (Tick) event()    {}
-func (Message) event() {}
-func (Told) event()    {}
-func (Answer) event()  {}
+func (Started) event()  {}
+func (Tick) event()     {}
+func (Message) event()  {}
+func (External) event() {}
+func (Answer) event()   {}
 
 func (Send) effect() {}
 func (Wake) effect() {}
-func (Say) effect()  {}
+func (Note) effect() {}
 func (Call) effect() {}
 func (Exit) effect() {}
--- a/internal/sim/end.go
+++ b/internal/sim/end.go
@@ -3,152 +3,164 @@
 import "time"
 
 const (
-	// inbox is how many datagrams wait for a process that stands still: as many small ones as the kernel keeps
-	// in a socket's usual buffer of 212,992 bytes, at 768 bytes each.
-	inbox   = 277
-	anyLife = -1 // a datagram is for whoever is there when it arrives
+	// maxPendingDatagrams bounds the datagrams that wait for a paused process. The kernel buffers as many small
+	// datagrams in a socket's default buffer of 212,992 bytes, at 768 bytes each.
+	maxPendingDatagrams = 277
+	// anyProcess addresses a task to the process that runs when the task is due. Datagrams use it.
+	anyProcess = -1
 )
 
-// End is a place in the network where a process may run: a machine with one socket.
-type End struct {
-	Name        string
-	Sent, Bytes int // datagrams so far
-	// bytes of the biggest; datagrams that came while nobody was there or the buffer was full
-	Biggest, Lost int
-	Woken, Stood  time.Duration // true time of the last Resume, and how long it had stood still
-
-	world   *World
-	start   func(now time.Duration) Actor
-	actor   Actor
-	life    int // of the process, from 1
-	rate    float64
-	skew    time.Duration
-	timers  map[string]uint64
-	count   uint64
-	still   bool
-	stopped time.Duration // when, by the true time
-	held    []task        // while it stands still
-	late    time.Duration
-	free    time.Duration // when a late process is through with what came before
+// Host is a simulated machine with one socket and one clock, on which at most one process runs at a time.
+type Host struct {
+	Name                     string
+	SentDatagrams, SentBytes int // totals since the host was added
+	// LargestDatagram is the size in bytes of the largest datagram sent. LostDatagrams counts datagrams that
+	// arrived while no process ran or the socket buffer was full.
+	LargestDatagram, LostDatagrams int
+	// ResumedAt is the true time of the last Resume, PausedFor how long the process had been paused then.
+	ResumedAt, PausedFor time.Duration
+
+	world         *World
+	start         func(now time.Duration) Actor
+	actor         Actor
+	processNumber int     // number of the current or last process, from 1
+	clockRate     float64 // clock seconds per true second
+	clockOffset   time.Duration
+	timers        map[string]uint64
+	wakeCount     uint64
+	paused        bool
+	pausedAt      time.Duration // true time at which the pause began
+	pending       []task        // events that wait for Resume
+	maxDelay      time.Duration // upper bound of the drawn time per event; 0: no delay
+	busyUntil     time.Duration // when a delayed process has handled its earlier events
 }
 
-// Up says that a process runs there, be it standing still.
-func (e *End) Up() bool { return e.actor != nil }
+// Running reports whether the host has a process, paused or not.
+func (h *Host) Running() bool { return h.actor != nil }
 
-// Still says that the process stands still.
-func (e *End) Still() bool { return e.still }
+// Paused reports whether the process is paused.
+func (h *Host) Paused() bool { return h.paused }
 
-// Actor is the process that runs there, nil if there is none.
-func (e *End) Actor() Actor { return e.actor }
+// Actor returns the process of the host, nil if there is none.
+func (h *Host) Actor() Actor { return h.actor }
 
-// Life counts the processes that ran there.
-func (e *End) Life() int { return e.life }
+// ProcessNumber returns how many processes have been started on the host.
+func (h *Host) ProcessNumber() int { return h.processNumber }
 
-// Clock is what the machine's monotonic clock shows.
-func (e *End) Clock() time.Duration {
-	return e.skew + time.Duration(e.rate*float64(e.world.now))
+// Clock returns the time of the host's own monotonic clock, which has an offset and a drift.
+func (h *Host) Clock() time.Duration {
+	return h.clockOffset + time.Duration(h.clockRate*float64(h.world.now))
 }
 
-// Start starts a process that remembers nothing. One that runs already is ended before.
-func (e *End) Start() {
-	e.Kill()
-	e.life++
-	e.timers = map[string]uint64{}
-	e.actor = e.start(e.Clock())
-	e.Handle(Started{})
+// Start starts a process without any state of a previous one. A process that still runs is killed first.
+func (h *Host) Start() {
+	h.Kill()
+	h.processNumber++
+	h.timers = map[string]uint64{}
+	h.actor = h.start(h.Clock())
+	h.Handle(Started{})
 }
 
-// Kill ends the process without a word.
-func (e *End) Kill() { e.actor, e.held, e.still, e.late, e.free = nil, nil, false, 0, 0 }
+// Kill ends the process at once, without letting it handle an event.
+func (h *Host) Kill() { h.actor, h.pending, h.paused, h.maxDelay, h.busyUntil = nil, nil, false, 0, 0 }
 
-// Stop lets the process stand still until Resume.
-func (e *End) Stop() {
-	if e.Up() && !e.still {
-		e.still, e.stopped = true, e.world.now
+// Pause stops the process from handling events until Resume, as SIGSTOP does.
+func (h *Host) Pause() {
+	if h.Running() && !h.paused {
+		h.paused, h.pausedAt = true, h.world.now
 	}
 }
 
-// Resume wakes the process: what came and what fell due meanwhile comes now, the datagrams or the timers
-// first as it is drawn.
-func (e *End) Resume() {
-	if !e.still {
+// Resume lets a paused process handle the events that have arrived or fallen due during the pause. A draw
+// decides whether the timers or all other events come first.
+func (h *Host) Resume() {
+	if !h.paused {
 		return
 	}
-	e.still, e.Woken, e.Stood = false, e.world.now, e.world.now-e.stopped
-	held := e.held
-	e.held = nil
-	ticksFirst := e.world.rng.IntN(2) == 0
+	h.paused, h.ResumedAt, h.PausedFor = false, h.world.now, h.world.now-h.pausedAt
+	pending := h.pending
+	h.pending = nil
+	ticksFirst := h.world.rng.IntN(2) == 0
 	for _, first := range []bool{true, false} {
-		for _, t := range held {
-			if _, tick := t.e.(Tick); (tick == ticksFirst) == first {
-				t.at = e.world.now + 1
-				e.world.queue.push(t)
+		for _, t := range pending {
+			if _, tick := t.event.(Tick); (tick == ticksFirst) == first {
+				t.at = h.world.now + 1
+				h.world.queue.push(t)
 			}
 		}
 	}
 }
 
-// Slow makes the process late: it takes up to so long over each event. 0 ends that.
-func (e *End) Slow(most time.Duration) { e.late = most }
+// SetMaxDelay makes the process slow: handling each event takes a drawn time below maxDelay. 0 ends the
+// delay.
+func (h *Host) SetMaxDelay(maxDelay time.Duration) { h.maxDelay = maxDelay }
 
-// Tell sends a message from outside to the process, if it runs.
-func (e *End) Tell(what any) { e.Handle(Told{what}) }
+// HandleExternal passes the process, if one runs, an External event.
+func (h *Host) HandleExternal(value any) { h.Handle(External{value}) }
 
-// arrive takes an event that the world has for the end now.
-func (e *End) arrive(t task) {
+// arrive handles, buffers, delays or drops an event that is due now. Events for an earlier process and ticks
+// of replaced timers are dropped.
+func (h *Host) arrive(t task) {
 	switch {
-	case !e.Up(), t.life != anyLife && t.life != e.life:
-		if t.life == anyLife {
-			e.Lost++
+	case !h.Running(), t.processNumber != anyProcess && t.processNumber != h.processNumber:
+		if t.processNumber == anyProcess {
+			h.LostDatagrams++
 		}
-	case t.timer > 0 && e.timers[t.e.(Tick).Timer] != t.timer:
-	case e.still:
-		if t.life == anyLife && len(e.held) >= inbox {
-			e.Lost++
+	case t.timer > 0 && h.timers[t.event.(Tick).Timer] != t.timer:
+	case h.paused:
+		if t.processNumber == anyProcess && len(h.pending) >= maxPendingDatagrams {
+			h.LostDatagrams++
 			return
 		}
-		e.held = append(e.held, t)
-	case e.late > 0 && t.at >= e.free:
-		e.free = t.at + time.Duration(e.world.rng.Int64N(int64(e.late)))
+		h.pending = append(h.pending, t)
+	case h.maxDelay > 0 && t.at >= h.busyUntil:
+		h.busyUntil = t.at + time.Duration(h.world.rng.Int64N(int64(h.maxDelay)))
 		fallthrough
-	case t.at < e.free:
-		t.at = e.free
-		t.life = e.life
-		e.world.queue.push(task{at: t.at, do: func() {
-			if e.life == t.life {
-				e.Handle(t.e)
+	case t.at < h.busyUntil:
+		t.at = h.busyUntil
+		t.processNumber = h.processNumber
+		h.world.queue.push(task{at: t.at, run: func() {
+			if h.processNumber == t.processNumber {
+				h.Handle(t.event)
 			}
 		}})
 	default:
-		e.Handle(t.e)
+		h.Handle(t.event)
 	}
 }
 
-// Handle passes an event to the process and carries out the actions that it returns.
-func (e *End) Handle(ev Event) {
-	if !e.Up() {
+// Handle passes an event to the process and carries out the effects that the process returns.
+func (h *Host) Handle(event Event) {
+	if !h.Running() {
 		return
 	}
-	if e.still {
-		e.held = append(e.held, task{to: e, e: ev, life: e.life})
+	if h.paused {
+		h.pending = append(h.pending, task{host: h, event: event, processNumber: h.processNumber})
 		return
 	}
-	for _, f := range e.actor.Handle(e.Clock(), ev) {
-		switch f := f.(type) {
+	for _, effect := range h.actor.Handle(h.Clock(), event) {
+		switch effect := effect.(type) {
 		case Send:
-			e.world.send(e, f)
+			h.world.send(h, effect)
 		case Wake:
-			e.count++
-			e.timers[f.Timer] = e.count
-			at := e.world.now + time.Duration(float64(max(f.After, 0))/e.rate) + 1 // so that the clock has passed it
-			e.world.queue.push(task{at: at, to: e, e: Tick{f.Timer}, life: e.life, timer: e.count})
-		case Say:
-			e.world.Say(e.Name, f.What)
+			h.wakeCount++
+			h.timers[effect.Timer] = h.wakeCount
+			// One more nanosecond, so that the host's clock has passed the time despite rounding.
+			at := h.world.now + time.Duration(float64(max(effect.After, 0))/h.clockRate) + 1
+			h.world.queue.push(task{
+				at:            at,
+				host:          h,
+				event:         Tick{effect.Timer},
+				processNumber: h.processNumber,
+				timer:         h.wakeCount,
+			})
+		case Note:
+			h.world.Note(h.Name, effect.Text)
 		case Call:
-			e.world.call(e, f)
+			h.world.call(h, effect)
 		case Exit:
-			e.world.Say(e.Name, "exits")
-			e.Kill()
+			h.world.Note(h.Name, "exits")
+			h.Kill()
 			return
 		}
 	}
--- a/internal/sim/fault.go
+++ b/internal/sim/fault.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong in a schedule. All that it draws is in it, so that it does the same when
-// others are dropped.
+// Fault is one fault of a schedule. It holds all of its draws, so that its effect stays the same when other
+// faults are dropped from the schedule.
 type Fault struct {
-	Kind  string
-	At    time.Duration // after the play's warming up
-	For   time.Duration // 0: for ever, or over at once
-	Who   []string
-	Loss  float64
-	Delay time.Duration
+	Kind     string
+	At       time.Duration // after the play's warm-up
+	Duration time.Duration // 0: the fault lasts for ever, or is over at once
+	Targets  []string      // hosts, or other arguments that the fault's kind has drawn
+	Loss     float64       // a fraction of datagrams
+	Delay    time.Duration // what is delayed depends on the kind
 }
 
 func (f Fault) String() string {
-	s := fmt.Sprintf("%.2f s %s %s", f.At.Seconds(), f.Kind, strings.Join(f.Who, ","))
-	if f.For > 0 {
-		s += fmt.Sprintf(" for %.2f s", f.For.Seconds())
+	s := fmt.Sprintf("%.2f s %s %s", f.At.Seconds(), f.Kind, strings.Join(f.Targets, ","))
+	if f.Duration > 0 {
+		s += fmt.Sprintf(" for %.2f s", f.Duration.Seconds())
 	}
 	if f.Loss > 0 {
 		s += fmt.Sprintf(" loss %.0f%%", 100*f.Loss)
@@ -33,68 +33,73 @@
 	return s
 }
 
-// Kind is a sort of fault: how one is drawn, and what it does. Plays add their own.
-type Kind struct {
+// FaultKind describes how a kind of fault is drawn and what it does. Plays can add their own kinds.
+type FaultKind struct {
 	Name string
-	Draw func(rng *rand.Rand, names []string) Fault // all but Kind and At
-	// Do begins it. What it gives, if anything, ends it after For; where For is 0 it does not end.
-	Do func(w *World, f Fault) (undo func())
+	Draw func(rng *rand.Rand, names []string) Fault // sets all fields but Kind and At
+	// Start begins the fault. The returned undo, if not nil, ends the fault after its Duration; a fault with a
+	// Duration of 0 is not ended.
+	Start func(w *World, f Fault) (undo func())
 }
 
-// some draws between least and most.
-func some(rng *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(rng.Int64N(int64(most-least)+1))
+// randomDuration draws a duration from lowest to highest, both included.
+func randomDuration(rng *rand.Rand, lowest, highest time.Duration) time.Duration {
+	return lowest + time.Duration(rng.Int64N(int64(highest-lowest)+1))
 }
 
-// pick draws n names, or fewer where there are fewer.
-func pick(rng *rand.Rand, names []string, n int) []string {
+// pickNames draws n of the names, or all of them where there are fewer.
+func pickNames(rng *rand.Rand, names []string, n int) []string {
 	names = slices.Clone(names)
 	rng.Shuffle(len(names), func(i, k int) { names[i], names[k] = names[k], names[i] })
 	return names[:min(n, len(names))]
 }
 
-// during returns a Draw of a fault of n that lasts between least and most.
-func during(n int, least, most time.Duration) func(*rand.Rand, []string) Fault {
+// drawLasting returns a Draw of a fault that hits n hosts and lasts from shortest to longest.
+func drawLasting(n int, shortest, longest time.Duration) func(*rand.Rand, []string) Fault {
 	return func(rng *rand.Rand, names []string) Fault {
-		return Fault{Who: pick(rng, names, n), For: some(rng, least, most)}
+		return Fault{Targets: pickNames(rng, names, n), Duration: randomDuration(rng, shortest, longest)}
 	}
 }
 
-// broken returns a Do that changes links while it lasts, and says so in the columns of those that it is
-// about.
-func broken(
-	begins, ends string,
-	on func(f Fault) func(from, to string) bool,
+// breakLinks returns a Start that changes the matching links while the fault lasts. startText and endText go
+// to the timeline columns of the fault's targets.
+func breakLinks(
+	startText, endText string,
+	matches func(f Fault) func(from, to string) bool,
 	change func(f Fault) func(*Link),
 ) func(*World, Fault) func() {
 	return func(w *World, f Fault) func() {
-		sayAll(w, f.Who, begins)
-		wrong := w.Net.Break(on(f), change(f))
+		noteAll(w, f.Targets, startText)
+		linkFault := w.Net.AddFault(matches(f), change(f))
 		return func() {
-			w.Net.Mend(wrong)
-			sayAll(w, f.Who, ends)
+			w.Net.RemoveFault(linkFault)
+			noteAll(w, f.Targets, endText)
 		}
 	}
 }
 
-func sayAll(w *World, who []string, what string) {
-	for _, n := range who {
-		w.Say(n, what)
+// noteAll adds the same event to the timeline columns of several hosts.
+func noteAll(w *World, hosts []string, text string) {
+	for _, n := range hosts {
+		w.Note(n, text)
 	}
 }
 
-func cutting(Fault) func(*Link) { return Cut }
+// cutChange is the change of faults that cut links.
+func cutChange(Fault) func(*Link) { return CutLink }
 
-// between picks the links between those of the fault and all others.
-func between(f Fault) func(from, to string) bool {
-	return func(from, to string) bool { return slices.Contains(f.Who, from) != slices.Contains(f.Who, to) }
+// linksAcross matches the links between the fault's targets and all other hosts, in both directions.
+func linksAcross(f Fault) func(from, to string) bool {
+	return func(from, to string) bool {
+		return slices.Contains(f.Targets, from) != slices.Contains(f.Targets, to)
+	}
 }
 
-// eachEnd has something done at each end that the fault names and that is there.
-func eachEnd(w *World, f Fault, do func(*End)) {
-	for _, n := range f.Who {
-		if e := w.End(n); e != nil {
-			do(e)
+// forEachHost calls do for each of the fault's targets that is a host of the world.
+func forEachHost(w *World, f Fault, do func(*Host)) {
+	for _, n := range f.Targets {
+		if host := w.Host(n); host != nil {
+			do(host)
 		}
 	}
 }
--- a/internal/sim/holder_test.go
+++ b/internal/sim/holder_test.go
@@ -28,7 +28,7 @@
 	call := func(c Call) {
 		h.calls++
 		c.Number = h.calls
-		c.Read = Read{Duty: "pen"}
+		c.Read = Read{Lease: "pen"}
 		h.sentAt[c.Number] = now
 		out = append(out, c)
 	}
@@ -54,10 +54,10 @@
 		if h.careless {
 			asked = now + time.Second
 		}
-		h.until = max(h.until, asked+holderTTL-time.Duration(2*Drift*float64(holderTTL)))
-		if has := e.Seen.Duty.Holder == h.session; has != h.has {
+		h.until = max(h.until, asked+holderTTL-time.Duration(2*MaxClockDrift*float64(holderTTL)))
+		if has := e.Read.Lease.Holder == h.session; has != h.has {
 			h.has = has
-			out = append(out, Say{map[bool]string{true: "takes over", false: "lets go"}[has]})
+			out = append(out, Note{map[bool]string{true: "takes over", false: "lets go"}[has]})
 		}
 	}
 	return out
@@ -66,9 +66,9 @@
 // holders is a play in which one at most acts at a time.
 func holders(careless bool) Play {
 	names := []string{"a", "b", "c"}
-	return Play{Names: names, Kinds: []Kind{Kill, Pause, Late, CutOff, OneWay, Deaf, SlowPair, Halves, Lossy, Doubled, Flap, ServiceDown, Unreachable},
-		Most: 6, Warm: time.Second, Length: 20 * time.Second, Quiet: 8 * time.Second, Every: 50 * time.Millisecond,
-		Drawn: timeline.Drawing{Columns: append([]string{ServiceName}, names...)},
+	return Play{Names: names, Kinds: []FaultKind{Kill, Pause, Late, CutOff, OneWay, Deaf, SlowPair, Halves, Lossy, Doubled, Flap, ServiceDown, Unreachable},
+		MaxFaults: 6, WarmUp: time.Second, FaultWindow: 20 * time.Second, RecoveryTime: 8 * time.Second, CheckInterval: 50 * time.Millisecond,
+		Drawing: timeline.Drawing{Columns: append([]string{ServiceName}, names...)},
 		Build: func(w *World) []Check {
 			w.AddService()
 			for _, n := range names {
@@ -77,8 +77,8 @@
 				})
 			}
 			acting := func() (all []string) {
-				for _, e := range w.Ends() {
-					if h, ok := e.Actor().(*holder); ok && !e.Still() && h.acts(e.Clock()) {
+				for _, e := range w.Hosts() {
+					if h, ok := e.Actor().(*holder); ok && !e.Paused() && h.acts(e.Clock()) {
 						all = append(all, e.Name)
 					}
 				}
@@ -91,10 +91,10 @@
 					}
 					return nil
 				}},
-				{Name: "one in the end", End: func() error {
+				{Name: "one in the end", AtEnd: func() error {
 					up := 0
-					for _, e := range w.Ends() {
-						if e.Up() {
+					for _, e := range w.Hosts() {
+						if e.Running() {
 							up++
 						}
 					}
@@ -132,7 +132,7 @@
 		least := p.Shrink(seed, faults, b.Check)
 		one, b1 := p.Run(seed, least)
 		two, b2 := p.Run(seed, least)
-		if b1 == nil || b2 == nil || b1.Error() != b2.Error() || p.Drawn.Draw(one.Log()) != p.Drawn.Draw(two.Log()) {
+		if b1 == nil || b2 == nil || b1.Error() != b2.Error() || p.Drawing.Draw(one.Log()) != p.Drawing.Draw(two.Log()) {
 			t.Fatalf("the same seed told two stories: %v, %v", b1, b2)
 		}
 		for i := range least {
--- a/internal/sim/kinds.go
+++ b/internal/sim/kinds.go
@@ -6,158 +6,174 @@
 	"time"
 )
 
-// The sorts of fault that every play has.
+// The kinds of fault that any play can use.
 var (
-	// Kill ends processes; those that come back after For remember nothing. One in five does not come back.
-	Kill = Kind{"kill", drawKill, func(w *World, f Fault) func() {
-		eachEnd(w, f, func(e *End) { w.Say(e.Name, "killed"); e.Kill() })
+	// Kill ends processes. A process that is started again has no state of the previous one. One fault in five
+	// is drawn without a restart.
+	Kill = FaultKind{"kill", drawKill, func(w *World, f Fault) func() {
+		forEachHost(w, f, func(e *Host) { w.Note(e.Name, "killed"); e.Kill() })
 		return func() {
-			eachEnd(w, f, func(e *End) {
-				if !e.Up() {
-					w.Say(e.Name, "starts")
+			forEachHost(w, f, func(e *Host) {
+				if !e.Running() {
+					w.Note(e.Name, "starts")
 					e.Start()
 				}
 			})
 		}
 	}}
-	// Pause lets a process stand still.
-	Pause = Kind{"pause", during(1, 100*time.Millisecond, 12*time.Second), func(w *World, f Fault) func() {
-		eachEnd(w, f, func(e *End) { w.Say(e.Name, "stands still"); e.Stop() })
+	// Pause pauses a process, as SIGSTOP does.
+	Pause = FaultKind{"pause", drawLasting(1, 100*time.Millisecond, 12*time.Second), func(
+		w *World, f Fault,
+	) func() {
+		forEachHost(w, f, func(e *Host) { w.Note(e.Name, "stands still"); e.Pause() })
 		return func() {
-			eachEnd(w, f, func(e *End) {
-				if e.Still() {
-					w.Say(e.Name, "woken")
+			forEachHost(w, f, func(e *Host) {
+				if e.Paused() {
+					w.Note(e.Name, "woken")
 					e.Resume()
 				}
 			})
 		}
 	}}
-	// Late makes a process late with all that it does.
-	Late = Kind{"late", func(rng *rand.Rand, names []string) Fault {
+	// Late delays all that a process does.
+	Late = FaultKind{"late", func(rng *rand.Rand, names []string) Fault {
 		return Fault{
-			Who:   pick(rng, names, 1),
-			For:   some(rng, time.Second, 20*time.Second),
-			Delay: some(rng, 10*time.Millisecond, time.Second),
+			Targets:  pickNames(rng, names, 1),
+			Duration: randomDuration(rng, time.Second, 20*time.Second),
+			Delay:    randomDuration(rng, 10*time.Millisecond, time.Second),
 		}
 	}, func(w *World, f Fault) func() {
-		eachEnd(w, f, func(e *End) { w.Say(e.Name, "late"); e.Slow(f.Delay) })
-		return func() { eachEnd(w, f, func(e *End) { w.Say(e.Name, "in time again"); e.Slow(0) }) }
+		forEachHost(w, f, func(e *Host) { w.Note(e.Name, "late"); e.SetMaxDelay(f.Delay) })
+		return func() { forEachHost(w, f, func(e *Host) { w.Note(e.Name, "in time again"); e.SetMaxDelay(0) }) }
 	}}
-	// CutOff takes one end off all others.
-	CutOff = Kind{
+	// CutOff cuts one host off from all others.
+	CutOff = FaultKind{
 		"cut",
-		during(1, 500*time.Millisecond, 30*time.Second),
-		broken("cut off", "healed", between, cutting),
+		drawLasting(1, 500*time.Millisecond, 30*time.Second),
+		breakLinks("cut off", "healed", linksAcross, cutChange),
 	}
-	// OneWay cuts the way from one end to another, not the way back.
-	OneWay = Kind{"one way", during(2, time.Second, 40*time.Second), func(w *World, f Fault) func() {
-		w.Say(f.Who[0], "can't reach "+f.Who[1])
-		wrong := w.Net.Break(func(from, to string) bool { return from == f.Who[0] && to == f.Who[1] }, Cut)
-		return func() { w.Net.Mend(wrong); w.Say(f.Who[0], "reaches "+f.Who[1]) }
+	// OneWay cuts the link from one host to another, but not the link back.
+	OneWay = FaultKind{"one way", drawLasting(2, time.Second, 40*time.Second), func(w *World, f Fault) func() {
+		w.Note(f.Targets[0], "can't reach "+f.Targets[1])
+		linkFault := w.Net.AddFault(
+			func(from, to string) bool { return from == f.Targets[0] && to == f.Targets[1] },
+			CutLink,
+		)
+		return func() { w.Net.RemoveFault(linkFault); w.Note(f.Targets[0], "reaches "+f.Targets[1]) }
 	}}
-	// Deaf lets nothing arrive at one end, while the others hear it.
-	Deaf = Kind{
+	// Deaf cuts all links to one host; what the host sends still arrives.
+	Deaf = FaultKind{
 		"deaf",
-		during(1, 500*time.Millisecond, 20*time.Second),
-		broken("deaf", "hears again", func(f Fault) func(string, string) bool {
-			return func(_, to string) bool { return slices.Contains(f.Who, to) }
-		}, cutting),
+		drawLasting(1, 500*time.Millisecond, 20*time.Second),
+		breakLinks("deaf", "hears again", func(f Fault) func(string, string) bool {
+			return func(_, to string) bool { return slices.Contains(f.Targets, to) }
+		}, cutChange),
 	}
-	// SlowPair delays what two ends send each other, and nothing else.
-	SlowPair = Kind{"slow pair", func(rng *rand.Rand, names []string) Fault {
+	// SlowPair delays the datagrams between two hosts, in both directions.
+	SlowPair = FaultKind{"slow pair", func(rng *rand.Rand, names []string) Fault {
 		return Fault{
-			Who:   pick(rng, names, 2),
-			For:   some(rng, time.Second, 30*time.Second),
-			Delay: some(rng, 20*time.Millisecond, time.Second),
+			Targets:  pickNames(rng, names, 2),
+			Duration: randomDuration(rng, time.Second, 30*time.Second),
+			Delay:    randomDuration(rng, 20*time.Millisecond, time.Second),
 		}
-	}, broken("slow pair", "pair in time", func(f Fault) func(string, string) bool {
+	}, breakLinks("slow pair", "pair in time", func(f Fault) func(string, string) bool {
 		return func(from, to string) bool {
-			return from == f.Who[0] && to == f.Who[1] || from == f.Who[1] && to == f.Who[0]
+			return from == f.Targets[0] && to == f.Targets[1] || from == f.Targets[1] && to == f.Targets[0]
 		}
 	}, func(f Fault) func(*Link) { return func(l *Link) { l.Delay += f.Delay } })}
-	// Halves cuts a drawn part of the ends off the others. What is not among the names stays with the others.
-	Halves = Kind{"halves", func(rng *rand.Rand, names []string) Fault {
+	// Halves cuts a drawn set of the named hosts off from all others. Hosts that are not among the names stay
+	// with the others.
+	Halves = FaultKind{"halves", func(rng *rand.Rand, names []string) Fault {
 		return Fault{
-			Who: pick(rng, names, 1+rng.IntN(max(1, len(names)-1))),
-			For: some(rng, time.Second, time.Minute),
+			Targets:  pickNames(rng, names, 1+rng.IntN(max(1, len(names)-1))),
+			Duration: randomDuration(rng, time.Second, time.Minute),
 		}
-	}, broken("cut off", "healed", between, cutting)}
-	// Lossy loses a part of all datagrams, up to 30%.
-	Lossy = Kind{"lossy", func(rng *rand.Rand, _ []string) Fault {
-		return Fault{For: some(rng, time.Second, 40*time.Second), Loss: 0.05 + 0.25*rng.Float64()}
-	}, broken("", "", everywhere, func(f Fault) func(*Link) { return func(l *Link) { l.Loss = max(l.Loss, f.Loss) } })}
-	// Doubled lets a part of all datagrams arrive twice and in another order.
-	Doubled = Kind{"doubled", func(rng *rand.Rand, _ []string) Fault {
+	}, breakLinks("cut off", "healed", linksAcross, cutChange)}
+	// Lossy drops a drawn fraction of all datagrams, from 5% to 30%.
+	Lossy = FaultKind{"lossy", func(rng *rand.Rand, _ []string) Fault {
+		return Fault{Duration: randomDuration(rng, time.Second, 40*time.Second), Loss: 0.05 + 0.25*rng.Float64()}
+	}, breakLinks("", "", allLinks, func(f Fault) func(*Link) {
+		return func(l *Link) { l.Loss = max(l.Loss, f.Loss) }
+	})}
+	// Doubled duplicates 30% of all datagrams and reorders datagrams by a larger jitter.
+	Doubled = FaultKind{"doubled", func(rng *rand.Rand, _ []string) Fault {
 		return Fault{
-			For:   some(rng, time.Second, 40*time.Second),
-			Loss:  0.3,
-			Delay: some(rng, time.Millisecond, 100*time.Millisecond),
+			Duration: randomDuration(rng, time.Second, 40*time.Second),
+			Loss:     0.3,
+			Delay:    randomDuration(rng, time.Millisecond, 100*time.Millisecond),
 		}
-	}, broken("", "", everywhere, func(f Fault) func(*Link) {
-		return func(l *Link) { l.Twice, l.Jitter = f.Loss, l.Jitter+f.Delay }
+	}, breakLinks("", "", allLinks, func(f Fault) func(*Link) {
+		return func(l *Link) { l.Duplicate, l.Jitter = f.Loss, l.Jitter+f.Delay }
 	})}
-	// Flap cuts one end off and heals it again, every Delay.
-	Flap = Kind{"flap", func(rng *rand.Rand, names []string) Fault {
+	// Flap cuts one host off from all others and heals the cut again, by turns, every Delay.
+	Flap = FaultKind{"flap", func(rng *rand.Rand, names []string) Fault {
 		return Fault{
-			Who:   pick(rng, names, 1),
-			For:   some(rng, 5*time.Second, 40*time.Second),
-			Delay: some(rng, time.Second, 3*time.Second),
+			Targets:  pickNames(rng, names, 1),
+			Duration: randomDuration(rng, 5*time.Second, 40*time.Second),
+			Delay:    randomDuration(rng, time.Second, 3*time.Second),
 		}
-	}, doFlap}
-	// ServiceDown takes the registry away; Unreachable takes it away from some.
-	ServiceDown = Kind{
+	}, startFlap}
+	// ServiceDown stops the registry.
+	ServiceDown = FaultKind{
 		"list down",
-		func(rng *rand.Rand, _ []string) Fault { return Fault{For: some(rng, time.Second, 40*time.Second)} },
+		func(rng *rand.Rand, _ []string) Fault {
+			return Fault{Duration: randomDuration(rng, time.Second, 40*time.Second)}
+		},
 		func(w *World, _ Fault) func() { w.Service.Down(); return w.Service.Up },
 	}
-	Unreachable = Kind{"list unreachable", func(rng *rand.Rand, names []string) Fault {
+	// Unreachable cuts a drawn set of hosts off from the registry.
+	Unreachable = FaultKind{"list unreachable", func(rng *rand.Rand, names []string) Fault {
 		return Fault{
-			Who: pick(rng, names, 1+rng.IntN(max(1, len(names)-1))),
-			For: some(rng, time.Second, 40*time.Second),
+			Targets:  pickNames(rng, names, 1+rng.IntN(max(1, len(names)-1))),
+			Duration: randomDuration(rng, time.Second, 40*time.Second),
 		}
-	}, broken("loses the list", "reaches the list", func(f Fault) func(string, string) bool {
+	}, breakLinks("loses the list", "reaches the list", func(f Fault) func(string, string) bool {
 		return func(from, to string) bool {
-			return to == ServiceName && slices.Contains(f.Who, from) ||
-				from == ServiceName && slices.Contains(f.Who, to)
+			return to == ServiceName && slices.Contains(f.Targets, from) ||
+				from == ServiceName && slices.Contains(f.Targets, to)
 		}
-	}, cutting)}
+	}, cutChange)}
 )
 
-func everywhere(Fault) func(string, string) bool { return func(string, string) bool { return true } }
+// allLinks matches every link.
+func allLinks(Fault) func(string, string) bool { return func(string, string) bool { return true } }
 
+// drawKill draws one host, or a third of the hosts in one fault of eight.
 func drawKill(rng *rand.Rand, names []string) Fault {
-	f := Fault{Who: pick(rng, names, 1)}
+	f := Fault{Targets: pickNames(rng, names, 1)}
 	switch rng.IntN(5) {
-	case 0: // stays away
+	case 0: // no restart
 	case 1, 2:
-		f.For = some(rng, 10*time.Millisecond, 300*time.Millisecond) // back before anybody may have noticed
+		// The restart may come before another host has noticed.
+		f.Duration = randomDuration(rng, 10*time.Millisecond, 300*time.Millisecond)
 	default:
-		f.For = some(rng, time.Second, 30*time.Second)
+		f.Duration = randomDuration(rng, time.Second, 30*time.Second)
 	}
 	if rng.IntN(8) == 0 {
-		f.Who = pick(rng, names, max(1, len(names)/3))
+		f.Targets = pickNames(rng, names, max(1, len(names)/3))
 	}
 	return f
 }
 
-func doFlap(w *World, f Fault) func() {
-	var wrong *Wrong
-	over := false
-	var turn func()
-	turn = func() {
+// startFlap starts a Flap fault. Its undo leaves the host connected.
+func startFlap(w *World, f Fault) func() {
+	var linkFault *LinkFault
+	ended := false
+	var toggle func()
+	toggle = func() {
 		switch {
-		case wrong != nil:
-			w.Net.Mend(wrong)
-			wrong = nil
-			sayAll(w, f.Who, "healed")
-		case !over:
-			wrong = w.Net.Break(between(f), Cut)
-			sayAll(w, f.Who, "cut off")
+		case linkFault != nil:
+			w.Net.RemoveFault(linkFault)
+			linkFault = nil
+			noteAll(w, f.Targets, "healed")
+		case !ended:
+			linkFault = w.Net.AddFault(linksAcross(f), CutLink)
+			noteAll(w, f.Targets, "cut off")
 		}
-		if !over {
-			w.After(f.Delay, turn)
+		if !ended {
+			w.After(f.Delay, toggle)
 		}
 	}
-	turn()
-	return func() { over = true; turn() }
+	toggle()
+	return func() { ended = true; toggle() }
 }
--- a/internal/sim/membership/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -10,30 +10,30 @@
 	"wrenspread/internal/sim"
 )
 
-// birth is the wall clock's milliseconds at the beginning of every play, from which lives are drawn.
-const birth = 1_750_000_000_000
+// startUnixMillis is the wall clock's milliseconds at the beginning of every play, from which lives are drawn.
+const startUnixMillis = 1_750_000_000_000
 
 // Fleet is a fleet of nodes in a world.
 type Fleet struct {
-	World *sim.World
-	Seeds []string                                            // ends by whose addresses nodes join
-	Bend  func(cfg *membership.Config)                        // changes what a core starts with
-	Core  func(cfg membership.Config, now time.Duration) Core // nil: membership.New
+	World        *sim.World
+	Seeds        []string                                            // ends by whose addresses nodes join
+	AdjustConfig func(cfg *membership.Config)                        // changes what a core starts with
+	Core         func(cfg membership.Config, now time.Duration) Core // nil: membership.New
 	// how wrong a process's wall clock is at its start; nil: it is right
-	Wall  func() (wrong time.Duration)
-	Blind bool       // stand-in: no node notices that it stood still
-	Quiet bool       // nothing is said in the timeline
-	Nodes []*sim.End // without the strangers
-	watch []func(*Node, time.Duration, membership.MemberChanged)
-	addrs map[string]netip.AddrPort
-	ends  map[netip.AddrPort]string
-	old   []sent // to be sent again
-	draws *rand.Rand
+	WallClockError func() (wrong time.Duration)
+	IgnoresPauses  bool        // stand-in: no node notices that it stood still
+	NoNotes        bool        // nothing is said in the timeline
+	Nodes          []*sim.Host // without the strangers
+	watchers       []func(*Node, time.Duration, membership.MemberChanged)
+	addrs          map[string]netip.AddrPort
+	hostNames      map[netip.AddrPort]string
+	recorded       []sentDatagram // to be sent again
+	rng            *rand.Rand
 }
 
 // NewFleet returns a fleet without nodes.
 func NewFleet(w *sim.World) *Fleet {
-	return &Fleet{World: w, addrs: map[string]netip.AddrPort{}, ends: map[netip.AddrPort]string{}}
+	return &Fleet{World: w, addrs: map[string]netip.AddrPort{}, hostNames: map[netip.AddrPort]string{}}
 }
 
 // Names returns the names of the first n nodes.
@@ -51,12 +51,12 @@
 	}
 	i := len(f.addrs) + 1
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
-	f.addrs[end], f.ends[a] = a, end
+	f.addrs[end], f.hostNames[a] = a, end
 	return a
 }
 
 // Start starts a node at an end that is not there yet.
-func (f *Fleet) Start(end string) *sim.End {
+func (f *Fleet) Start(end string) *sim.Host {
 	f.address(end)
 	e := f.World.Add(end, func(now time.Duration) sim.Actor { return f.process(end, now) })
 	f.Nodes = append(f.Nodes, e)
@@ -65,8 +65,8 @@
 
 func (f *Fleet) process(end string, now time.Duration) *Node {
 	at := f.World.Now()
-	if f.Wall != nil {
-		at += f.Wall()
+	if f.WallClockError != nil {
+		at += f.WallClockError()
 	}
 	cfg := membership.Config{
 		Fleet:      "books",
@@ -75,15 +75,15 @@
 		Addr:       f.address(end),
 		RandomSeed: f.World.Rand().Uint64(),
 		Generation: uint64(
-			birth + at.Milliseconds(),
+			startUnixMillis + at.Milliseconds(),
 		),
 		Metadata: membership.Metadata{Zone: "zone-a", Version: "2.1.0", State: membership.Serving},
 	}
 	for _, s := range f.Seeds {
 		cfg.Seeds = append(cfg.Seeds, f.address(s))
 	}
-	if f.Bend != nil {
-		f.Bend(&cfg)
+	if f.AdjustConfig != nil {
+		f.AdjustConfig(&cfg)
 	}
 	var core Core
 	if f.Core != nil {
@@ -91,19 +91,19 @@
 	} else {
 		core = membership.New(cfg, now)
 	}
-	return &Node{Core: core, Name: cfg.Name, Life: cfg.Generation, fleet: f, end: end, living: 1,
+	return &Node{Core: core, Name: cfg.Name, Generation: cfg.Generation, fleet: f, host: end, aliveCount: 1,
 		self: membership.Member{Name: cfg.Name, Generation: cfg.Generation, Metadata: cfg.Metadata}}
 }
 
 // Watch has every change of any node's view told.
-func (f *Fleet) Watch(saw func(n *Node, now time.Duration, c membership.MemberChanged)) {
-	f.watch = append(f.watch, saw)
+func (f *Fleet) Watch(onChange func(n *Node, now time.Duration, c membership.MemberChanged)) {
+	f.watchers = append(f.watchers, onChange)
 }
 
-// Live gives the processes that run, stand not still, keep their name and do not leave.
-func (f *Fleet) Live() (all []*Node) {
+// LiveNodes gives the processes that run, stand not still, keep their name and do not leave.
+func (f *Fleet) LiveNodes() (all []*Node) {
 	for _, e := range f.Nodes {
-		if n, ok := e.Actor().(*Node); ok && !e.Still() && !n.yielded && !n.leaving {
+		if n, ok := e.Actor().(*Node); ok && !e.Paused() && !n.yielded && !n.leaving {
 			all = append(all, n)
 		}
 	}
--- a/internal/sim/membership/growth.go
+++ b/internal/sim/membership/growth.go
@@ -34,19 +34,19 @@
 }
 
 const (
-	mostWait = 2 * time.Minute
-	idle     = 10 * time.Second
+	maxWait  = 2 * time.Minute
+	idleTime = 10 * time.Second
 )
 
-// grower is one measurement under way.
-type grower struct {
+// measurement is one measurement under way.
+type measurement struct {
 	Growth
-	ctx   context.Context // ends it early, within a second of the fleet's time
-	w     *sim.World
-	f     *Fleet
-	alive map[string]int // of how many nodes it is known that they have a name alive
-	dead  map[string]int
-	wrong int // times that a running node, which nobody held dead, was taken for dead by somebody
+	ctx             context.Context // ends it early, within a second of the fleet's time
+	world           *sim.World
+	fleet           *Fleet
+	alive           map[string]int // of how many nodes it is known that they have a name alive
+	dead            map[string]int
+	falseDeathCount int // times that a running node, which nobody held dead, was taken for dead by somebody
 }
 
 // Measure plays a fleet of one size through a join, a death, a cut and losses.
@@ -54,39 +54,39 @@
 	m := g.begin(ctx)
 	out.Nodes = g.Nodes
 	names := Names(g.Nodes)
-	over := max(time.Second, time.Duration(g.Nodes)*time.Second/300)
-	m.f.StartAll(names, over)
-	m.run(over)
-	if out.Joined, err = m.until("all have joined", m.whole); err != nil {
+	startTime := max(time.Second, time.Duration(g.Nodes)*time.Second/300)
+	m.fleet.StartAll(names, startTime)
+	m.run(startTime)
+	if out.Joined, err = m.waitFor("all have joined", m.complete); err != nil {
 		return out, err
 	}
 	m.run(5 * time.Second)
-	out.Sent, out.Bytes = m.pace()
+	out.Sent, out.Bytes = m.sendRates()
 
 	victim := names[g.Nodes/2]
-	m.w.End(victim).Kill()
+	m.world.Host(victim).Kill()
 	live := g.Nodes - 1
-	if out.Death, err = m.until("a death is known", func() bool { return m.dead[victim] == live }); err != nil {
+	if out.Death, err = m.waitFor("a death is known", func() bool { return m.dead[victim] == live }); err != nil {
 		return out, err
 	}
-	m.f.Start(newcomer)
-	if out.Join, err = m.until(
+	m.fleet.Start(newcomer)
+	if out.Join, err = m.waitFor(
 		"a join is known",
-		func() bool { return m.alive[newcomer] >= live && m.whole() },
+		func() bool { return m.alive[newcomer] >= live && m.complete() },
 	); err != nil {
 		return out, err
 	}
-	half := m.w.Net.Break(func(from, to string) bool { return m.side(from) != m.side(to) }, sim.Cut)
+	partition := m.world.Net.AddFault(func(from, to string) bool { return m.half(from) != m.half(to) }, sim.CutLink)
 	for i := range g.Moves {
 		m.run(g.Cut / time.Duration(g.Moves+1))
-		m.move(i)
+		m.replaceNodes(i)
 	}
 	m.run(g.Cut / time.Duration(g.Moves+1))
-	m.w.Net.Mend(half)
+	m.world.Net.RemoveFault(partition)
 	peak := m.peak()
-	if out.Heal, err = m.until(
+	if out.Heal, err = m.waitFor(
 		"the halves are one",
-		func() bool { out.Peak = peak(); return m.whole() },
+		func() bool { out.Peak = peak(); return m.complete() },
 	); err != nil {
 		return out, err
 	}
@@ -99,39 +99,39 @@
 	return out, ctx.Err()
 }
 
-// move ends a node of each half, one that nobody begins with, and starts another in it.
-func (m *grower) move(i int) {
+// replaceNodes ends a node of each half, one that nobody begins with, and starts another in it.
+func (m *measurement) replaceNodes(i int) {
 	for side := range 2 {
-		at := m.Nodes - 1 - 2*i - side // neighbours are of different halves
-		m.w.End(Names(m.Nodes)[at]).Kill()
-		m.f.Start(fmt.Sprint("late", 2*i+side))
+		index := m.Nodes - 1 - 2*i - side // neighbours are of different halves
+		m.world.Host(Names(m.Nodes)[index]).Kill()
+		m.fleet.Start(fmt.Sprint("late", 2*i+side))
 	}
 }
 
 // run plays on, in steps, unless the measurement is ended.
-func (m *grower) run(d time.Duration) {
-	for end := m.w.Now() + d; m.w.Now() < end && m.ctx.Err() == nil; {
-		m.w.RunTo(min(m.w.Now()+time.Second, end))
+func (m *measurement) run(d time.Duration) {
+	for end := m.world.Now() + d; m.world.Now() < end && m.ctx.Err() == nil; {
+		m.world.RunTo(min(m.world.Now()+time.Second, end))
 	}
 }
 
 // newcomer is the node that joins alone. The rival needs it on its list from the beginning.
 const newcomer = "x"
 
-func (g Growth) begin(ctx context.Context) *grower {
+func (g Growth) begin(ctx context.Context) *measurement {
 	w := sim.New(g.Seed)
-	m := &grower{Growth: g, ctx: ctx, w: w, f: NewFleet(w), alive: map[string]int{}, dead: map[string]int{}}
-	m.f.Quiet = true
-	m.f.Seeds = Names(1 + min(g.Moves, 1)) // one in each half
+	m := &measurement{Growth: g, ctx: ctx, world: w, fleet: NewFleet(w), alive: map[string]int{}, dead: map[string]int{}}
+	m.fleet.NoNotes = true
+	m.fleet.Seeds = Names(1 + min(g.Moves, 1)) // one in each half
 	if g.Rival {
-		m.f.Seeds = append(Names(g.Nodes), newcomer)
-		m.f.Core = func(cfg membership.Config, now time.Duration) Core { return newRival(cfg, now) }
+		m.fleet.Seeds = append(Names(g.Nodes), newcomer)
+		m.fleet.Core = func(cfg membership.Config, now time.Duration) Core { return newRival(cfg, now) }
 	}
-	m.f.Watch(m.saw)
+	m.fleet.Watch(m.memberChanged)
 	return m
 }
 
-func (m *grower) saw(_ *Node, _ time.Duration, c membership.MemberChanged) {
+func (m *measurement) memberChanged(_ *Node, _ time.Duration, c membership.MemberChanged) {
 	count := func(x membership.Member, by int) {
 		switch {
 		case x.Name == "":
@@ -143,71 +143,71 @@
 	}
 	count(c.Before, -1)
 	count(c.Member, 1)
-	if x := c.Member; x.Health == membership.Dead && m.dead[x.Name] == 1 && m.w.End(x.Name).Up() {
-		m.wrong++
+	if x := c.Member; x.Health == membership.Dead && m.dead[x.Name] == 1 && m.world.Host(x.Name).Running() {
+		m.falseDeathCount++
 	}
 }
 
-// whole says that every running node has as many alive as there are.
-func (m *grower) whole() bool {
-	live := m.f.Live()
+// complete says that every running node has as many alive as there are.
+func (m *measurement) complete() bool {
+	live := m.fleet.LiveNodes()
 	for _, n := range live {
-		if n.living != len(live) {
+		if n.aliveCount != len(live) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *grower) side(end string) bool { return m.f.addrs[end].Addr().As4()[3]%2 == 0 }
+func (m *measurement) half(end string) bool { return m.fleet.addrs[end].Addr().As4()[3]%2 == 0 }
 
-func (m *grower) until(what string, cond func() bool) (time.Duration, error) {
-	took, ok := m.w.Until(mostWait, 50*time.Millisecond, func() bool { return m.ctx.Err() != nil || cond() })
+func (m *measurement) waitFor(what string, cond func() bool) (time.Duration, error) {
+	elapsed, ok := m.world.RunUntil(maxWait, 50*time.Millisecond, func() bool { return m.ctx.Err() != nil || cond() })
 	if err := m.ctx.Err(); err != nil {
 		return 0, err
 	}
 	if !ok {
-		return 0, fmt.Errorf("%d nodes: not within %v: %s", m.Nodes, mostWait, what)
+		return 0, fmt.Errorf("%d nodes: not within %v: %s", m.Nodes, maxWait, what)
 	}
-	return took, nil
+	return elapsed, nil
 }
 
-func (m *grower) pace() (sent, bytes float64) {
+func (m *measurement) sendRates() (sent, bytes float64) {
 	count := func() (sent, bytes int) {
-		for _, e := range m.f.Nodes {
-			sent, bytes = sent+e.Sent, bytes+e.Bytes
+		for _, e := range m.fleet.Nodes {
+			sent, bytes = sent+e.SentDatagrams, bytes+e.SentBytes
 		}
 		return sent, bytes
 	}
 	s0, b0 := count()
-	m.run(idle)
+	m.run(idleTime)
 	s1, b1 := count()
-	per := float64(m.Nodes) * idle.Seconds()
-	return float64(s1-s0) / per, float64(b1-b0) / per
+	nodeSeconds := float64(m.Nodes) * idleTime.Seconds()
+	return float64(s1-s0) / nodeSeconds, float64(b1-b0) / nodeSeconds
 }
 
 // peak gives, call by call, the most bytes that one node has sent in a second so far.
-func (m *grower) peak() func() int {
-	most, at, before := 0, m.w.Now(), map[string]int{}
-	for _, e := range m.f.Nodes {
-		before[e.Name] = e.Bytes
+func (m *measurement) peak() func() int {
+	peak, secondStart, bytesBefore := 0, m.world.Now(), map[string]int{}
+	for _, e := range m.fleet.Nodes {
+		bytesBefore[e.Name] = e.SentBytes
 	}
 	return func() int {
-		if m.w.Now() >= at+time.Second {
-			for _, e := range m.f.Nodes {
-				most, before[e.Name] = max(most, e.Bytes-before[e.Name]), e.Bytes
+		if m.world.Now() >= secondStart+time.Second {
+			for _, e := range m.fleet.Nodes {
+				peak, bytesBefore[e.Name] = max(peak, e.SentBytes-bytesBefore[e.Name]), e.SentBytes
 			}
-			at += time.Second
+			secondStart += time.Second
 		}
-		return most
+		return peak
 	}
 }
 
-func (m *grower) falseDeaths(loss float64) float64 {
-	wrong := m.w.Net.Break(func(string, string) bool { return true }, func(l *sim.Link) { l.Loss = loss })
-	defer m.w.Net.Mend(wrong)
-	m.wrong = 0
-	took := time.Duration(m.Hours / float64(m.Nodes) * float64(time.Hour))
-	m.run(took)
-	return float64(m.wrong) / (took.Hours() * float64(m.Nodes))
+func (m *measurement) falseDeaths(loss float64) float64 {
+	lossFault := m.world.Net.AddFault(func(string, string) bool { return true }, func(l *sim.Link) { l.Loss = loss })
+	defer m.world.Net.RemoveFault(lossFault)
+	m.falseDeathCount = 0
+	duration := time.Duration(m.Hours / float64(m.Nodes) * float64(time.Hour))
+	m.run(duration)
+	return float64(m.falseDeathCount) / (duration.Hours() * float64(m.Nodes))
 }
--- a/internal/sim/membership/node.go
+++ b/internal/sim/membership/node.go
@@ -20,17 +20,17 @@
 
 // Node is one process with a view.
 type Node struct {
-	Core Core
-	Name string // in the fleet
-	Life uint64 // at its start
+	Core       Core
+	Name       string // in the fleet
+	Generation uint64 // at its start
 
-	fleet   *Fleet
-	end     string
-	due     time.Duration
-	self    membership.Member // as its own view has it
-	yielded bool
-	leaving bool
-	living  int // members that it holds alive or suspect, itself too
+	fleet      *Fleet
+	host       string
+	wakeAt     time.Duration
+	self       membership.Member // as its own view has it
+	yielded    bool
+	leaving    bool
+	aliveCount int // members that it holds alive or suspect, itself too
 }
 
 // Handle has the core do what is due and carries it out.
@@ -40,8 +40,8 @@
 		return n.step(now, membership.Tick{})
 	case sim.Message:
 		return n.step(now, membership.Received{From: n.fleet.addr(e.From), Data: e.Data})
-	case sim.Told:
-		if ev, ok := e.What.(membership.Event); ok {
+	case sim.External:
+		if ev, ok := e.Value.(membership.Event); ok {
 			if _, leave := ev.(membership.Leave); leave {
 				n.leaving = true
 			}
@@ -52,34 +52,34 @@
 }
 
 func (n *Node) step(now time.Duration, e membership.Event) (out []sim.Effect) {
-	if n.fleet.Blind { // a stand-in that does not notice that it stood still
-		for ; n.due > 0 && n.due < now-20*time.Millisecond; n.due += 20 * time.Millisecond {
-			out = append(out, n.carry(n.due, n.Core.Handle(n.due, membership.Tick{}))...)
+	if n.fleet.IgnoresPauses { // a stand-in that does not notice that it stood still
+		for ; n.wakeAt > 0 && n.wakeAt < now-20*time.Millisecond; n.wakeAt += 20 * time.Millisecond {
+			out = append(out, n.effects(n.wakeAt, n.Core.Handle(n.wakeAt, membership.Tick{}))...)
 		}
 	}
-	return append(out, n.carry(now, n.Core.Handle(now, e))...)
+	return append(out, n.effects(now, n.Core.Handle(now, e))...)
 }
 
-func (n *Node) carry(now time.Duration, actions []membership.Action) (out []sim.Effect) {
+func (n *Node) effects(now time.Duration, actions []membership.Action) (out []sim.Effect) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Send:
-			if to, ok := n.fleet.ends[a.To]; ok {
+			if to, ok := n.fleet.hostNames[a.To]; ok {
 				out = append(out, sim.Send{To: to, Data: a.Data})
 			}
 		case membership.Wake:
-			n.due = now + a.After
+			n.wakeAt = now + a.After
 			out = append(out, sim.Wake{After: a.After})
 		case membership.MemberChanged:
-			if said := n.changed(now, a); said != "" && !n.fleet.Quiet {
-				out = append(out, sim.Say{What: said})
+			if text := n.memberChanged(now, a); text != "" && !n.fleet.NoNotes {
+				out = append(out, sim.Note{Text: text})
 			}
 		case membership.NameConflict:
 			n.yielded = n.yielded || a.Yielded
 			if a.Yielded {
-				out = append(out, sim.Say{What: "falls silent: a later process has its name"})
+				out = append(out, sim.Note{Text: "falls silent: a later process has its name"})
 			} else {
-				out = append(out, sim.Say{What: "hears of another of its name"})
+				out = append(out, sim.Note{Text: "hears of another of its name"})
 			}
 		case membership.LeaveDone:
 			out = append(out, sim.Exit{})
@@ -88,21 +88,21 @@
 	return out
 }
 
-// changed keeps count and puts the change into a few words.
-func (n *Node) changed(now time.Duration, c membership.MemberChanged) string {
+// memberChanged keeps count and puts the change into a few words.
+func (n *Node) memberChanged(now time.Duration, c membership.MemberChanged) string {
 	m, b := c.Member, c.Before
-	is, was := m.Name != "" && m.Health <= membership.Suspect, b.Name != "" && b.Health <= membership.Suspect
+	isAlive, wasAlive := m.Name != "" && m.Health <= membership.Suspect, b.Name != "" && b.Health <= membership.Suspect
 	switch {
-	case is && !was:
-		n.living++
-	case was && !is:
-		n.living--
+	case isAlive && !wasAlive:
+		n.aliveCount++
+	case wasAlive && !isAlive:
+		n.aliveCount--
 	}
 	if m.Name == n.Name {
 		n.self = m
 	}
-	for _, saw := range n.fleet.watch {
-		saw(n, now, c)
+	for _, onChange := range n.fleet.watchers {
+		onChange(n, now, c)
 	}
 	switch {
 	case m.Name == "":
@@ -114,14 +114,14 @@
 		return ""
 	case b.Name == "" && m.Health == membership.Alive:
 		return "meets: " + m.Name
-	case m.Generation > b.Generation && b.Name != "" && is:
+	case m.Generation > b.Generation && b.Name != "" && isAlive:
 		return "new life of: " + m.Name
 	case m.Health == b.Health:
 		if m.Metadata.State != b.Metadata.State {
 			return m.Metadata.State.String() + ": " + m.Name
 		}
 		return ""
-	case m.Health == membership.Alive && was:
+	case m.Health == membership.Alive && wasAlive:
 		return "clears: " + m.Name
 	case m.Health == membership.Alive:
 		return "back: " + m.Name
--- a/internal/sim/membership/rival.go
+++ b/internal/sim/membership/rival.go
@@ -7,17 +7,17 @@
 	"wrenspread/internal/membership"
 )
 
-// rivalMisses is after how many periods without an answer the rival takes a member for dead: 2 s, about as
+// rivalMaxMisses is after how many periods without an answer the rival takes a member for dead: 2 s, about as
 // long as the view needs.
-const rivalMisses = 10
+const rivalMaxMisses = 10
 
 // rival is the plainest view: everybody asks everybody on a fixed list, each period, and believes only
 // itself. It has the interface of membership.Core, so that it is measured in the same way.
 type rival struct {
-	cfg   membership.Config
-	peers []rivalPeer
-	at    map[netip.AddrPort]int
-	next  time.Duration
+	cfg        membership.Config
+	peers      []rivalPeer
+	peerIndex  map[netip.AddrPort]int
+	nextPeriod time.Duration
 }
 
 type rivalPeer struct {
@@ -27,11 +27,11 @@
 }
 
 func newRival(cfg membership.Config, now time.Duration) *rival {
-	r := &rival{cfg: cfg, at: map[netip.AddrPort]int{}, next: now}
+	r := &rival{cfg: cfg, peerIndex: map[netip.AddrPort]int{}, nextPeriod: now}
 	r.cfg.ProbeInterval = max(cfg.ProbeInterval, 200*time.Millisecond)
 	for _, a := range cfg.Seeds {
 		if a != cfg.Addr {
-			r.at[a] = len(r.peers)
+			r.peerIndex[a] = len(r.peers)
 			r.peers = append(r.peers, rivalPeer{addr: a})
 		}
 	}
@@ -42,51 +42,51 @@
 func (r *rival) View() membership.View { return membership.View{Self: r.cfg.Name} }
 
 const (
-	rivalAsk = iota
+	rivalPing = iota
 	rivalAnswer
 )
 
 func (r *rival) Handle(now time.Duration, e membership.Event) (out []membership.Action) {
 	switch e := e.(type) {
 	case membership.Received:
-		i, known := r.at[e.From]
+		i, known := r.peerIndex[e.From]
 		if !known || len(e.Data) < 2 {
 			break
 		}
-		if e.Data[0] == rivalAsk {
-			out = append(out, r.say(rivalAnswer, r.peers[i]))
+		if e.Data[0] == rivalPing {
+			out = append(out, r.datagram(rivalAnswer, r.peers[i]))
 			break
 		}
 		p := &r.peers[i]
 		p.missed = 0
 		if p.member.Name == "" || p.member.Health != membership.Alive {
-			out = append(out, p.become(membership.Member{Name: string(e.Data[1:]), Addr: p.addr}))
+			out = append(out, p.setMember(membership.Member{Name: string(e.Data[1:]), Addr: p.addr}))
 		}
 	case membership.Tick:
-		if now < r.next {
+		if now < r.nextPeriod {
 			break
 		}
-		r.next = now + r.cfg.ProbeInterval
+		r.nextPeriod = now + r.cfg.ProbeInterval
 		for i := range r.peers {
 			p := &r.peers[i]
-			if p.missed++; p.missed > rivalMisses && p.member.Name != "" && p.member.Health == membership.Alive {
+			if p.missed++; p.missed > rivalMaxMisses && p.member.Name != "" && p.member.Health == membership.Alive {
 				dead := p.member
 				dead.Health = membership.Dead
-				out = append(out, p.become(dead))
+				out = append(out, p.setMember(dead))
 			}
-			out = append(out, r.say(rivalAsk, *p))
+			out = append(out, r.datagram(rivalPing, *p))
 		}
 		out = append(out, membership.Wake{After: r.cfg.ProbeInterval})
 	}
 	return out
 }
 
-func (p *rivalPeer) become(m membership.Member) membership.Action {
-	was := p.member
+func (p *rivalPeer) setMember(m membership.Member) membership.Action {
+	before := p.member
 	p.member = m
-	return membership.MemberChanged{Member: m, Before: was}
+	return membership.MemberChanged{Member: m, Before: before}
 }
 
-func (r *rival) say(kind byte, to rivalPeer) membership.Action {
-	return membership.Send{Name: to.member.Name, To: to.addr, Data: append([]byte{kind}, r.cfg.Name...)}
+func (r *rival) datagram(kind byte, peer rivalPeer) membership.Action {
+	return membership.Send{Name: peer.member.Name, To: peer.addr, Data: append([]byte{kind}, r.cfg.Name...)}
 }
--- a/internal/sim/membership/scenarios.go
+++ b/internal/sim/membership/scenarios.go
@@ -13,11 +13,11 @@
 
 // Scenario is one hard case, played always the same, so that its drawing can be kept and read.
 type Scenario struct {
-	Name  string
-	Says  string // what is to be seen, and why it must be so
-	Nodes int
-	Seeds []string // nil: n1 is the one known address
-	Warm  time.Duration
+	Name    string
+	Caption string // what is to be seen, and why it must be so
+	Nodes   int
+	Seeds   []string // nil: n1 is the one known address
+	WarmUp  time.Duration
 	// Faults begin after Warm, which is not drawn.
 	Faults  []sim.Fault
 	Length  time.Duration
@@ -25,57 +25,57 @@
 	Step    time.Duration
 	Fold    time.Duration
 	// Spared are nodes that nobody may take for dead, as nothing is wrong with them. nil: all.
-	Spared []string
+	NeverDead []string
 }
 
 // Play plays a scenario and gives its drawing. It is an error if a spared node was taken for dead, a check
 // was broken, or the views are not the same and right at the end.
-func (s Scenario) Play(bend func(*Fleet)) (string, error) {
+func (s Scenario) Play(alter func(*Fleet)) (string, error) {
 	w := sim.New(7)
 	f := NewFleet(w)
-	w.Play = f
-	f.draws = rand.New(rand.NewPCG(7, 1))
+	w.PlayState = f
+	f.rng = rand.New(rand.NewPCG(7, 1))
 	f.Seeds = s.Seeds
 	if f.Seeds == nil {
 		f.Seeds = Names(1)
 	}
 	names := Names(s.Nodes)
-	spared := s.Spared
-	if spared == nil {
-		spared = names
+	neverDead := s.NeverDead
+	if neverDead == nil {
+		neverDead = names
 	}
-	w.Pass = func(from, _ string, data []byte) [][]byte {
-		f.remember(from, data)
+	w.Intercept = func(from, _ string, data []byte) [][]byte {
+		f.record(from, data)
 		return [][]byte{data}
 	}
-	if bend != nil {
-		bend(f)
+	if alter != nil {
+		alter(f)
 	}
 	var broken error
 	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
-		if m := c.Member; m.Health == membership.Dead && slices.Contains(spared, m.Name) {
-			broken = fmt.Errorf("%s takes %s for dead, accused by %s", n.end, m.Name, m.Accusers)
+		if m := c.Member; m.Health == membership.Dead && slices.Contains(neverDead, m.Name) {
+			broken = fmt.Errorf("%s takes %s for dead, accused by %s", n.host, m.Name, m.Accusers)
 		}
 	})
 	p := sim.Play{
-		Kinds: kinds(),
-		Warm:  s.Warm,
-		Quiet: s.Length,
-		Every: 250 * time.Millisecond,
+		Kinds:         faultKinds(),
+		WarmUp:        s.WarmUp,
+		RecoveryTime:  s.Length,
+		CheckInterval: 250 * time.Millisecond,
 		Build: func(*sim.World) []sim.Check {
 			f.StartAll(names, time.Duration(s.Nodes)*300*time.Millisecond)
-			return append(f.checks(), holds("spared", &broken), sim.Check{Name: "settled", End: f.Settled})
+			return append(f.checks(), checkOf("spared", &broken), sim.Check{Name: "settled", AtEnd: f.Settled})
 		},
 	}
 	b := p.RunIn(w, s.Faults)
-	d := timeline.Drawing{Says: s.Says, Columns: s.Columns, Step: s.Step, Fold: s.Fold}
+	d := timeline.Drawing{Says: s.Caption, Columns: s.Columns, Step: s.Step, Fold: s.Fold}
 	if d.Columns == nil {
 		d.Columns = names
 	}
 	var events []timeline.Event
 	for _, e := range w.Log() {
-		if e.At >= s.Warm {
-			e.At -= s.Warm
+		if e.At >= s.WarmUp {
+			e.At -= s.WarmUp
 			events = append(events, e)
 		}
 	}
@@ -85,8 +85,8 @@
 	return d.Draw(events), nil
 }
 
-func kinds() []sim.Kind {
-	return []sim.Kind{
+func faultKinds() []sim.FaultKind {
+	return []sim.FaultKind{
 		sim.Kill,
 		sim.Pause,
 		sim.Late,
@@ -101,8 +101,8 @@
 		leaves,
 		joins,
 		twins,
-		facts,
-		stale,
+		metadataChanges,
+		staleDatagrams,
 		flood,
 	}
 }
--- a/internal/sim/membership/settled.go
+++ b/internal/sim/membership/settled.go
@@ -8,21 +8,21 @@
 	"wrenspread/internal/sim"
 )
 
-// Settle is the stated time after the last fault in which all views are the same and right. It is the sum of
+// SettleTime is the stated time after the last fault in which all views are the same and right. It is the sum of
 // the longest waits: a node that has just been accused by one is suspect for three times the joint time (6 s
 // in a fleet of 30), holds its own accusations back for 10 s where many probes fail, and asks a dead member
 // each second, and a seed each ten.
-const Settle = 30 * time.Second
+const SettleTime = 30 * time.Second
 
-// look is a picture of all live nodes' views.
-type look struct {
+// viewSnapshot is a picture of all live nodes' views.
+type viewSnapshot struct {
 	nodes []*Node
 	views []membership.View
 	names map[string]*Node
 }
 
-func (f *Fleet) look() look {
-	l := look{nodes: f.Live(), names: map[string]*Node{}}
+func (f *Fleet) snapshot() viewSnapshot {
+	l := viewSnapshot{nodes: f.LiveNodes(), names: map[string]*Node{}}
 	for _, n := range l.nodes {
 		l.views = append(l.views, n.Core.View())
 		l.names[n.Name] = n
@@ -31,7 +31,7 @@
 }
 
 // same reports whether all have one digest.
-func (l look) same() error {
+func (l viewSnapshot) same() error {
 	for i, v := range l.views {
 		if v.Digest != l.views[0].Digest {
 			return fmt.Errorf(
@@ -58,7 +58,7 @@
 }
 
 // complete reports whether every live node is alive in every view.
-func (l look) complete() error {
+func (l viewSnapshot) complete() error {
 	for _, v := range l.views {
 		alive := map[string]bool{}
 		for _, m := range v.Members {
@@ -74,7 +74,7 @@
 }
 
 // clean reports whether nobody else is alive in any view.
-func (l look) clean() error {
+func (l viewSnapshot) clean() error {
 	for _, v := range l.views {
 		for _, m := range v.Members {
 			if m.Health <= membership.Suspect && l.names[m.Name] == nil {
@@ -85,11 +85,11 @@
 	return nil
 }
 
-// single reports whether of several processes with one name one at most goes on.
-func (l look) single() error {
+// uniqueNames reports whether of several processes with one name one at most goes on.
+func (l viewSnapshot) uniqueNames() error {
 	for _, n := range l.nodes {
-		if o := l.names[n.Name]; o != n {
-			return fmt.Errorf("%s and %s both go on as %s", n.end, o.end, n.Name)
+		if other := l.names[n.Name]; other != n {
+			return fmt.Errorf("%s and %s both go on as %s", n.host, other.host, n.Name)
 		}
 	}
 	return nil
@@ -97,8 +97,8 @@
 
 // Settled says what is still missing until all views are the same and right.
 func (f *Fleet) Settled() error {
-	l := f.look()
-	for _, cond := range []func() error{l.single, l.complete, l.clean, l.same} {
+	l := f.snapshot()
+	for _, cond := range []func() error{l.uniqueNames, l.complete, l.clean, l.same} {
 		if err := cond(); err != nil {
 			return err
 		}
@@ -106,18 +106,18 @@
 	return nil
 }
 
-// settling returns the checks of what must come true within Settle after the last fault.
-func (f *Fleet) settling(took func(time.Duration)) (all []sim.Check) {
+// settleChecks returns the checks of what must come true within Settle after the last fault.
+func (f *Fleet) settleChecks(took func(time.Duration)) (all []sim.Check) {
 	var began time.Duration
-	wait := func(name string, cond func(look) error) {
-		all = append(all, sim.Check{Name: name, End: func() error {
+	add := func(name string, cond func(viewSnapshot) error) {
+		all = append(all, sim.Check{Name: name, AtEnd: func() error {
 			if began == 0 {
 				began = f.World.Now()
 			}
-			err := cond(f.look())
-			for err != nil && f.World.Now()-began < Settle {
+			err := cond(f.snapshot())
+			for err != nil && f.World.Now()-began < SettleTime {
 				f.World.RunTo(f.World.Now() + 100*time.Millisecond)
-				err = cond(f.look())
+				err = cond(f.snapshot())
 			}
 			if name == "settled" && took != nil && err == nil {
 				took(f.World.Now() - began)
@@ -125,9 +125,9 @@
 			return err
 		}})
 	}
-	wait("one of a name", look.single)
-	wait("alive", look.complete)
-	wait("dead", look.clean)
-	wait("settled", look.same)
+	add("one of a name", viewSnapshot.uniqueNames)
+	add("alive", viewSnapshot.complete)
+	add("dead", viewSnapshot.clean)
+	add("settled", viewSnapshot.same)
 	return all
 }
--- a/internal/sim/membership/standins_test.go
+++ b/internal/sim/membership/standins_test.go
@@ -14,8 +14,8 @@
 // rewrite gives a stand-in whose datagrams are altered, or dropped by giving nil.
 func rewrite(alter func(f *Fleet, from, to string, d *wire.Datagram) bool) func(*Fleet) {
 	return func(f *Fleet) {
-		f.World.Pass = func(from, to string, data []byte) [][]byte {
-			f.remember(from, data)
+		f.World.Intercept = func(from, to string, data []byte) [][]byte {
+			f.record(from, data)
 			d, err := wire.Decode(data)
 			if err != nil || !alter(f, from, to, &d) {
 				return nil
@@ -45,40 +45,40 @@
 var standins = []struct {
 	name  string
 	play  func(Options) sim.Play
-	kinds []sim.Kind // those that bring it out soonest; nil: all of the play's
+	kinds []sim.FaultKind // those that bring it out soonest; nil: all of the play's
 	bend  func(*Fleet)
 	found []string
 }{
-	{"nobody refutes", Wild, []sim.Kind{sim.Pause}, without(func(_ *Fleet, from, _ string, s wire.Statement) bool {
+	{"nobody refutes", Wild, []sim.FaultKind{sim.Pause}, without(func(_ *Fleet, from, _ string, s wire.Statement) bool {
 		return s.Name == nameAt(from) && s.Incarnation > 0
 	}), []string{"alive"}},
-	{"no digests, and news that get lost", Wild, []sim.Kind{joins, facts}, func(f *Fleet) {
+	{"no digests, and news that get lost", Wild, []sim.FaultKind{joins, metadataChanges}, func(f *Fleet) {
 		rewrite(func(f *Fleet, from, _ string, d *wire.Datagram) bool {
-			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name != nameAt(from) && f.draws.IntN(10) > 0 })
+			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name != nameAt(from) && f.rng.IntN(10) > 0 })
 			return d.Kind < wire.Digest || d.Kind > wire.Answer
 		})(f)
 	}, []string{"settled", "alive", "dead"}},
-	{"the dead are not asked, nor seeds by those that have met", Wild, []sim.Kind{sim.Halves}, rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
-		n, ok := f.World.End(from).Actor().(*Node)
-		return !ok || d.Kind != wire.Ping || n.living == 1 || n.Member(nameAt(to)).Health <= membership.Suspect
+	{"the dead are not asked, nor seeds by those that have met", Wild, []sim.FaultKind{sim.Halves}, rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
+		n, ok := f.World.Host(from).Actor().(*Node)
+		return !ok || d.Kind != wire.Ping || n.aliveCount == 1 || n.Member(nameAt(to)).Health <= membership.Suspect
 	}), []string{"alive"}},
-	{"lives do not count", Wild, []sim.Kind{sim.Kill}, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
-		d.Generation = birth
+	{"lives do not count", Wild, []sim.FaultKind{sim.Kill}, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
+		d.Generation = startUnixMillis
 		for i := range d.Statements {
-			d.Statements[i].Generation = birth
+			d.Statements[i].Generation = startUnixMillis
 		}
 		return true
 	}), []string{"alive"}},
 	{"deaths are not told, and nobody is suspected", Wild, nil, without(func(_ *Fleet, _, _ string, s wire.Statement) bool {
 		return s.Health == membership.Suspect || s.Health == membership.Dead
 	}), []string{"settled", "alive", "dead"}},
-	{"the dead are forgotten at once", Wild, []sim.Kind{sim.Kill, stale}, func(f *Fleet) {
-		f.Bend = func(cfg *membership.Config) {
+	{"the dead are forgotten at once", Wild, []sim.FaultKind{sim.Kill, staleDatagrams}, func(f *Fleet) {
+		f.AdjustConfig = func(cfg *membership.Config) {
 			cfg.DeadGossipTime, cfg.DeadReclaimTime = time.Millisecond, 2*time.Millisecond
 		}
 	}, []string{"lives", "dead"}},
-	{"lateness is not noticed", Wild, []sim.Kind{sim.Pause}, func(f *Fleet) { f.Blind = true }, []string{"blame"}},
-	{"a twin is not told", Wild, []sim.Kind{twins}, func(f *Fleet) {
+	{"lateness is not noticed", Wild, []sim.FaultKind{sim.Pause}, func(f *Fleet) { f.IgnoresPauses = true }, []string{"blame"}},
+	{"a twin is not told", Wild, []sim.FaultKind{twins}, func(f *Fleet) {
 		rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 			to = nameAt(to)
 			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name == to && s.Health == membership.Alive })
@@ -102,7 +102,7 @@
 		}
 		return true
 	}), []string{"nobody dead"}},
-	{"a leave told on is told as a death", Wild, []sim.Kind{leaves}, rewrite(func(_ *Fleet, from, _ string, d *wire.Datagram) bool {
+	{"a leave told on is told as a death", Wild, []sim.FaultKind{leaves}, rewrite(func(_ *Fleet, from, _ string, d *wire.Datagram) bool {
 		for i, s := range d.Statements {
 			if s.Health == membership.Left && s.Name != nameAt(from) {
 				d.Statements[i].Health, d.Statements[i].Incarnation = membership.Dead, s.Incarnation+1
@@ -110,11 +110,11 @@
 		}
 		return true
 	}), []string{"left"}},
-	{"somebody answers for the dead", Wild, []sim.Kind{sim.Kill}, rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
-		if d.Kind != wire.Ping || f.World.End(to) == nil || f.World.End(to).Up() {
+	{"somebody answers for the dead", Wild, []sim.FaultKind{sim.Kill}, rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
+		if d.Kind != wire.Ping || f.World.Host(to) == nil || f.World.Host(to).Running() {
 			return true
 		}
-		if n, ok := f.World.End(from).Actor().(*Node); ok {
+		if n, ok := f.World.Host(from).Actor().(*Node); ok {
 			ack := wire.Datagram{Header: wire.Header{Kind: wire.Ack, Fleet: d.Fleet, Sender: wire.Hash(nameAt(to)), Generation: n.Member(nameAt(to)).Generation, Digest: d.Digest}, Seq: d.Seq}
 			f.World.Inject(to, from, ack.Encode())
 		}
@@ -129,12 +129,12 @@
 		return true
 	}), []string{"settled"}},
 	{"a byte too many", Mild, nil, func(f *Fleet) {
-		f.World.Pass = func(_, _ string, data []byte) [][]byte {
+		f.World.Intercept = func(_, _ string, data []byte) [][]byte {
 			return [][]byte{append(slices.Clone(data), make([]byte, 200)...)}
 		}
 	}, []string{"size"}},
 	{"all that is sent is sent eight times", Mild, nil, func(f *Fleet) {
-		f.World.Pass = func(_, _ string, data []byte) [][]byte { return slices.Repeat([][]byte{data}, 8) }
+		f.World.Intercept = func(_, _ string, data []byte) [][]byte { return slices.Repeat([][]byte{data}, 8) }
 	}, []string{"pace"}},
 }
 
@@ -146,8 +146,8 @@
 		for _, s := range standins {
 			t.Run(s.name, func(t *testing.T) {
 				t.Parallel()
-				p := s.play(Options{Nodes: 5, Bend: s.bend})
-				p.Length = 20 * time.Second
+				p := s.play(Options{Nodes: 5, AlterFleet: s.bend})
+				p.FaultWindow = 20 * time.Second
 				if s.kinds != nil {
 					p.Kinds = s.kinds
 				}
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Link is the way from one end to another.
+// Link describes one direction between two hosts.
 type Link struct {
-	Delay  time.Duration
-	Jitter time.Duration // drawn evenly up to this; it reorders
-	Loss   float64       // the part of datagrams that does not arrive
-	Twice  float64       // the part that arrives twice
-	Cut    bool
+	Delay     time.Duration
+	Jitter    time.Duration // upper bound of a uniformly drawn extra delay, which reorders datagrams
+	Loss      float64       // fraction of datagrams that do not arrive
+	Duplicate float64       // fraction of datagrams that arrive twice
+	Cut       bool
 }
 
-// Near is a link within a site.
-var Near = Link{Delay: 200 * time.Microsecond, Jitter: 800 * time.Microsecond}
+// LocalLink is a link within a site, without loss.
+var LocalLink = Link{Delay: 200 * time.Microsecond, Jitter: 800 * time.Microsecond}
 
 func (l Link) delay(rng *rand.Rand) time.Duration {
 	if l.Jitter <= 0 {
@@ -25,42 +25,43 @@
 	return l.Delay + time.Duration(rng.Int64N(int64(l.Jitter)))
 }
 
-// Net is what lies between the ends: the usual link, and what is wrong with some of them now.
+// Net is the network between the hosts: the default link and the link faults that are active now.
 type Net struct {
-	Usual  Link
-	faults []*Wrong
+	Default Link
+	faults  []*LinkFault
 }
 
-// Wrong is something that is wrong with some links, until it is mended.
-type Wrong struct {
-	on     func(from, to string) bool
-	change func(*Link)
+// LinkFault changes the links that it matches until it is removed.
+type LinkFault struct {
+	matches func(from, to string) bool
+	change  func(*Link)
 }
 
-// Break changes the links that on picks, until the result is given to Mend.
-func (n *Net) Break(on func(from, to string) bool, change func(*Link)) *Wrong {
-	w := &Wrong{on, change}
-	n.faults = append(n.faults, w)
-	return w
+// AddFault changes the links that matches accepts, until the returned fault is passed to RemoveFault.
+func (n *Net) AddFault(matches func(from, to string) bool, change func(*Link)) *LinkFault {
+	fault := &LinkFault{matches, change}
+	n.faults = append(n.faults, fault)
+	return fault
 }
 
-// Mend takes back what Break did. It may be told twice.
-func (n *Net) Mend(w *Wrong) {
-	n.faults = slices.DeleteFunc(n.faults, func(f *Wrong) bool { return f == w })
+// RemoveFault ends a fault that AddFault began. A second call has no effect.
+func (n *Net) RemoveFault(fault *LinkFault) {
+	n.faults = slices.DeleteFunc(n.faults, func(f *LinkFault) bool { return f == fault })
 }
 
+// link returns the link from one host to another with all active faults applied, in the order of their start.
 func (n *Net) link(from, to string) Link {
-	l := n.Usual
+	l := n.Default
 	for _, f := range n.faults {
-		if f.on(from, to) {
+		if f.matches(from, to) {
 			f.change(&l)
 		}
 	}
 	return l
 }
 
-// Reaches says that datagrams from one end can arrive at another.
+// Reaches reports whether the link from one host to another is not cut.
 func (n *Net) Reaches(from, to string) bool { return !n.link(from, to).Cut }
 
-// Cut is a change for Break.
-func Cut(l *Link) { l.Cut = true }
+// CutLink is a change for AddFault: nothing arrives over the link.
+func CutLink(l *Link) { l.Cut = true }
--- a/internal/sim/play.go
+++ b/internal/sim/play.go
@@ -9,98 +9,99 @@
 	"wrenspread/internal/timeline"
 )
 
-// Check is something that must hold of a history.
+// Check is a property that every simulation of a play must have.
 type Check struct {
 	Name       string
-	Throughout func() error // asked each Every; nil: it is judged at the end alone
-	End        func() error // asked once, Quiet after the last fault is over; nil: throughout alone
+	Throughout func() error // called every CheckInterval; nil: only AtEnd is
+	AtEnd      func() error // called once, RecoveryTime after the last fault is over; nil: only Throughout is
 }
 
-// Play is what schedules are drawn for.
+// Play describes a family of simulations: what is simulated, which faults are drawn and what is checked.
 type Play struct {
-	Names  []string // of the ends that faults may hit
-	Kinds  []Kind
-	Most   int           // faults of a schedule
-	Warm   time.Duration // before the first fault
-	Length time.Duration // in which faults begin
-	Quiet  time.Duration // after the last fault's end: the stated time in which all must be well again
-	Every  time.Duration // between looks of the checks
-	Build  func(w *World) []Check
-	Drawn  timeline.Drawing // of a history that broke a check
+	Names         []string // the hosts that faults may hit
+	Kinds         []FaultKind
+	MaxFaults     int                    // most faults of a schedule
+	WarmUp        time.Duration          // true time before the first fault
+	FaultWindow   time.Duration          // after the warm-up, in which all faults begin
+	RecoveryTime  time.Duration          // after the last fault's end, within which the system has to recover
+	CheckInterval time.Duration          // between two calls of Check.Throughout
+	Build         func(w *World) []Check // adds hosts to a new world and returns the checks
+	Drawing       timeline.Drawing       // how Explain draws the timeline of a violation
 }
 
-// Broken says which check did not hold, and when.
-type Broken struct {
+// Violation says which check failed, when and why.
+type Violation struct {
 	Check string
 	At    time.Duration
-	Why   error
+	Err   error
 }
 
-func (b *Broken) Error() string {
-	return fmt.Sprintf("%s: after %.2f s: %v", b.Check, b.At.Seconds(), b.Why)
+// Error returns the check, the true time of the violation and its reason.
+func (b *Violation) Error() string {
+	return fmt.Sprintf("%s: after %.2f s: %v", b.Check, b.At.Seconds(), b.Err)
 }
 
-// Faults draws the schedule of a seed.
+// Faults draws the fault schedule of a seed, sorted by start.
 func (p Play) Faults(seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0xfa017))
-	faults := make([]Fault, 1+rng.IntN(p.Most))
+	faults := make([]Fault, 1+rng.IntN(p.MaxFaults))
 	for i := range faults {
 		k := p.Kinds[rng.IntN(len(p.Kinds))]
 		faults[i] = k.Draw(rng, p.Names)
-		faults[i].Kind, faults[i].At = k.Name, time.Duration(rng.Int64N(int64(p.Length)))
+		faults[i].Kind, faults[i].At = k.Name, time.Duration(rng.Int64N(int64(p.FaultWindow)))
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return faults
 }
 
-// Run plays a schedule in the world of a seed. It gives nil for what is broken if all held.
-func (p Play) Run(seed uint64, faults []Fault) (*World, *Broken) {
+// Run simulates a schedule in a new world of the seed. It returns a nil Violation if all checks held.
+func (p Play) Run(seed uint64, faults []Fault) (*World, *Violation) {
 	w := New(seed)
 	return w, p.RunIn(w, faults)
 }
 
-// RunIn plays a schedule in a world that is new.
-func (p Play) RunIn(w *World, faults []Fault) *Broken {
+// RunIn simulates a schedule in w, which must be new, up to the first violation.
+func (p Play) RunIn(w *World, faults []Fault) *Violation {
 	checks := p.Build(w)
-	w.RunTo(p.Warm)
-	over := time.Duration(0)
+	w.RunTo(p.WarmUp)
+	lastEnd := time.Duration(0)
 	for _, f := range faults {
-		w.After(f.At, func() { p.begin(w, f) })
-		over = max(over, f.At+f.For)
+		w.After(f.At, func() { p.startFault(w, f) })
+		lastEnd = max(lastEnd, f.At+f.Duration)
 	}
-	for end := p.Warm + over + p.Quiet; w.Now() < end; {
-		w.RunTo(min(w.Now()+p.Every, end))
+	for end := p.WarmUp + lastEnd + p.RecoveryTime; w.Now() < end; {
+		w.RunTo(min(w.Now()+p.CheckInterval, end))
 		for _, c := range checks {
 			if c.Throughout != nil {
 				if err := c.Throughout(); err != nil {
-					return &Broken{c.Name, w.Now(), err}
+					return &Violation{c.Name, w.Now(), err}
 				}
 			}
 		}
 	}
 	for _, c := range checks {
-		if c.End != nil {
-			if err := c.End(); err != nil {
-				return &Broken{c.Name, w.Now(), err}
+		if c.AtEnd != nil {
+			if err := c.AtEnd(); err != nil {
+				return &Violation{c.Name, w.Now(), err}
 			}
 		}
 	}
 	return nil
 }
 
-// begin begins a fault and has it ended in time.
-func (p Play) begin(w *World, f Fault) {
+// startFault starts a fault and schedules its end.
+func (p Play) startFault(w *World, f Fault) {
 	for _, k := range p.Kinds {
 		if k.Name == f.Kind {
-			if undo := k.Do(w, f); undo != nil && f.For > 0 {
-				w.After(f.For, undo)
+			if undo := k.Start(w, f); undo != nil && f.Duration > 0 {
+				w.After(f.Duration, undo)
 			}
 		}
 	}
 }
 
-// Shrink drops faults from a schedule as long as the same check breaks, halves first, then single ones, and
-// gives what is left.
+// Shrink drops faults from a schedule as long as the same check still fails, in ever smaller groups down to
+// single faults, and returns the remaining ones.
 func (p Play) Shrink(seed uint64, faults []Fault, check string) []Fault {
 	breaks := func(f []Fault) bool {
 		_, b := p.Run(seed, f)
@@ -108,9 +109,9 @@
 	}
 	for size := max(1, len(faults)/2); size >= 1; size /= 2 {
 		for at := 0; at < len(faults); {
-			less := slices.Concat(faults[:at], faults[min(at+size, len(faults)):])
-			if breaks(less) {
-				faults = less
+			fewer := slices.Concat(faults[:at], faults[min(at+size, len(faults)):])
+			if breaks(fewer) {
+				faults = fewer
 				continue
 			}
 			at += size
@@ -119,18 +120,18 @@
 	return faults
 }
 
-// Explain tells of a schedule that broke a check: the faults that it takes, and what happened.
-func (p Play) Explain(seed uint64, faults []Fault, broken *Broken) string {
-	least := p.Shrink(seed, faults, broken.Check)
-	w, b := p.Run(seed, least)
+// Explain describes a violation as text: the faults that cause it, after Shrink, and the timeline.
+func (p Play) Explain(seed uint64, faults []Fault, broken *Violation) string {
+	needed := p.Shrink(seed, faults, broken.Check)
+	w, b := p.Run(seed, needed)
 	if b == nil {
 		return fmt.Sprintf("seed %d broke %v, and does not again", seed, broken)
 	}
-	s := fmt.Sprintf("seed %d, %d of %d faults left:\n", seed, len(least), len(faults))
-	for _, f := range least {
+	s := fmt.Sprintf("seed %d, %d of %d faults left:\n", seed, len(needed), len(faults))
+	for _, f := range needed {
 		s += "  " + f.String() + "\n"
 	}
-	d := p.Drawn
+	d := p.Drawing
 	d.Says = fmt.Sprintf("Seed %d broke %s", seed, b.Error())
 	return s + d.Draw(w.Log())
 }
--- a/internal/sim/series.go
+++ b/internal/sim/series.go
@@ -6,26 +6,26 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Played is one schedule and what it came to.
+// Played is one schedule and its result.
 type Played struct {
 	Seed   uint64
 	Faults []Fault
-	Broken *Broken // nil: all held
+	Broken *Violation // nil: all checks held
 }
 
-// Series plays the schedules of seeds from first on, some at once, until ctx ends. Each is told, from several
-// goroutines.
-func (p Play) Series(ctx context.Context, first uint64, n, together int, told func(Played)) error {
+// Series simulates the schedules of n consecutive seeds from first on, up to parallel of them at a time,
+// until all are done or ctx ends. It passes each result to report, from several goroutines at once.
+func (p Play) Series(ctx context.Context, first uint64, n, parallel int, report func(Played)) error {
 	var g errgroup.Group
-	g.SetLimit(together)
+	g.SetLimit(parallel)
 	for i := range uint64(n) {
 		g.Go(func() error {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			one := Played{Seed: first + i, Faults: p.Faults(first + i)}
-			_, one.Broken = p.Run(one.Seed, one.Faults)
-			told(one)
+			played := Played{Seed: first + i, Faults: p.Faults(first + i)}
+			_, played.Broken = p.Run(played.Seed, played.Faults)
+			report(played)
 			return nil
 		})
 	}
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	// ServiceName is the registry's end in the network and its column in a timeline.
+	// ServiceName is the registry's name as a host in the network and its column in a timeline.
 	ServiceName = "list"
-	// CallMost is how long a call may take before its answer is lost.
-	CallMost    = time.Second
-	resendAfter = 200 * time.Millisecond // TCP's least wait before it sends again
-	expireEvery = 100 * time.Millisecond
+	// CallTimeout is how long a call may take before its answer counts as lost.
+	CallTimeout    = time.Second
+	resendDelay    = 200 * time.Millisecond // TCP's minimum retransmission timeout
+	expiryInterval = 100 * time.Millisecond
 )
 
-// Service is a model of the registry: its real state machine, one that never forgets, with deadlines of
-// sessions on the true clock. It can be down, and links to it can be cut. It grants without the real one's
-// pace.
+// Service is a model of the registry: the real state machine, whose state is never lost, with session
+// deadlines on the true clock. It can be stopped, and links to it can be cut. It grants leases at once,
+// without the pacing of the real registry.
 type Service struct {
-	world     *World
-	state     *registry.State
-	deadlines *registry.SessionExpiry
-	down      bool
-	holders   map[string]uint64 // fencing token by lease, as last seen
+	world         *World
+	state         *registry.State
+	deadlines     *registry.SessionExpiry
+	down          bool
+	fencingTokens map[string]uint64 // by lease name, as last noted in the timeline
 }
 
-// Read says what is looked at; each that is set is given.
+// Read says what a call reads from the registry. Each field that is set adds to the ReadResult.
 type Read struct {
-	Record   string
-	Prefix   string // the records that begin so, with their values
-	Duty     string
-	Sessions bool
+	Record   string // name of a record
+	Prefix   string // of the names of records, which are read with their values
+	Lease    string // name of a lease
+	Sessions bool   // all sessions
 }
 
-// Seen is what a look gave, at one version.
-type Seen struct {
+// ReadResult is what a Read returned, at one version of the state.
+type ReadResult struct {
 	Version  uint64
 	Record   registry.Record
 	Records  []registry.Record
-	Duty     registry.Lease
+	Lease    registry.Lease
 	Sessions []registry.Session
 }
 
-// AddService adds a registry that has begun to the world.
+// AddService adds a registry to the world, with a begun epoch and no data.
 func (w *World) AddService() *Service {
 	s := &Service{
-		world:     w,
-		state:     registry.NewState(),
-		deadlines: registry.NewSessionExpiry(nil, w.now),
-		holders:   map[string]uint64{},
+		world:         w,
+		state:         registry.NewState(),
+		deadlines:     registry.NewSessionExpiry(nil, w.now),
+		fencingTokens: map[string]uint64{},
 	}
 	s.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "sim"})
 	w.Service = s
@@ -59,28 +59,27 @@
 	return s
 }
 
-// State is the state itself, for checks and for what an operator writes.
+// State returns the registry's state machine, for checks and for commands of an operator.
 func (s *Service) State() *registry.State { return s.state }
 
-// Down ends the service for all; Up brings it back, with the full TTL of every session as a new leader gives
-// it.
+// Down stops the registry for all hosts until Up.
 func (s *Service) Down() {
 	s.down = true
-	s.world.Say(ServiceName, "down")
+	s.world.Note(ServiceName, "down")
 }
 
-// Up is the end of Down.
+// Up ends Down. Every session gets its full TTL again, as a new leader gives it.
 func (s *Service) Up() {
 	if s.down {
 		s.down, s.deadlines = false, registry.NewSessionExpiry(s.state.Sessions(), s.world.now)
-		s.world.Say(ServiceName, "up again")
+		s.world.Note(ServiceName, "up again")
 	}
 }
 
-// Apply carries out a command at once, granting what it frees or asks for.
+// Apply carries out a command at once and grants the leases that the command campaigns for or frees.
 func (s *Service) Apply(c registry.Command) registry.Result {
-	for _, w := range c.Candidacies {
-		c.Grant = append(c.Grant, w.Lease)
+	for _, candidacy := range c.Candidacies {
+		c.Grant = append(c.Grant, candidacy.Lease)
 	}
 	r := s.state.Apply(c)
 	if c.Op == registry.OpOpenSession && r.Code == registry.Applied {
@@ -90,49 +89,51 @@
 		s.deadlines.Drop(id)
 	}
 	s.state.Apply(registry.Command{Op: registry.OpGrant, Grant: s.state.UnheldLeases()})
-	s.tellGrants()
+	s.noteGrants()
 	return r
 }
 
-func (s *Service) tellGrants() {
-	all, _ := s.state.Leases("")
-	for _, d := range all {
-		if d.Holder != "" && s.holders[d.Name] != d.Token {
-			s.holders[d.Name] = d.Token
-			s.world.Say(ServiceName, fmt.Sprintf("grants %s to %s as %d", d.Name, d.Process, d.Token))
+// noteGrants adds the leases that have a new holder to the timeline.
+func (s *Service) noteGrants() {
+	leases, _ := s.state.Leases("")
+	for _, lease := range leases {
+		if lease.Holder != "" && s.fencingTokens[lease.Name] != lease.Token {
+			s.fencingTokens[lease.Name] = lease.Token
+			s.world.Note(ServiceName, fmt.Sprintf("grants %s to %s as %d", lease.Name, lease.Process, lease.Token))
 		}
 	}
 }
 
-// expire ends the sessions that are due, again and again.
+// expire closes the sessions whose TTL is over and schedules itself again.
 func (s *Service) expire() {
 	if !s.down {
 		if due := s.deadlines.Due(s.world.now); len(due) > 0 {
 			for _, id := range due {
-				s.world.Say(ServiceName, "ends session "+id)
+				s.world.Note(ServiceName, "ends session "+id)
 			}
 			s.Apply(registry.Command{Op: registry.OpCloseSessions, Sessions: due})
 		}
 	}
-	s.world.After(expireEvery, s.expire)
+	s.world.After(expiryInterval, s.expire)
 }
 
-func (s *Service) look(r Read) Seen {
-	seen := Seen{Version: s.state.Version()}
-	seen.Record, _ = s.state.Record(r.Record)
-	seen.Duty, _ = s.state.Lease(r.Duty)
+func (s *Service) read(r Read) ReadResult {
+	result := ReadResult{Version: s.state.Version()}
+	result.Record, _ = s.state.Record(r.Record)
+	result.Lease, _ = s.state.Lease(r.Lease)
 	if r.Prefix != "" {
-		for _, one := range s.state.Records(r.Prefix) {
-			whole, _ := s.state.Record(one.Key)
-			seen.Records = append(seen.Records, whole)
+		for _, record := range s.state.Records(r.Prefix) {
+			complete, _ := s.state.Record(record.Key)
+			result.Records = append(result.Records, complete)
 		}
 	}
 	if r.Sessions {
-		seen.Sessions = s.state.Sessions()
+		result.Sessions = s.state.Sessions()
 	}
-	return seen
+	return result
 }
 
+// serve carries out a call and returns its answer.
 func (s *Service) serve(c Call) Answer {
 	a := Answer{Call: c}
 	switch {
@@ -143,47 +144,50 @@
 			a.Result = registry.Result{Code: registry.NotFound, Reason: "there is no session " + c.Renew}
 		}
 	}
-	a.Seen = s.look(c.Read)
+	a.Read = s.read(c.Read)
 	return a
 }
 
-// call carries a call there and its answer back, over the links as they are when each sets out.
-func (w *World) call(e *End, c Call) {
+// call sends a call to the registry and its answer back. Each direction uses the link as it is when its
+// message is sent.
+func (w *World) call(host *Host, c Call) {
 	answered := false
 	answer := func(after time.Duration, a Answer) {
-		life := e.life
+		processNumber := host.processNumber
 		w.After(after, func() {
 			if !answered {
 				answered = true
-				e.arrive(task{at: w.now, to: e, e: a, life: life})
+				host.arrive(task{at: w.now, host: host, event: a, processNumber: processNumber})
 			}
 		})
 	}
-	answer(CallMost, Answer{Call: c, Lost: true})
-	if w.Service == nil || w.Service.down && !w.Net.link(e.Name, ServiceName).Cut {
-		answer(w.Net.Usual.Delay, Answer{Call: c, Lost: true}) // refused
+	answer(CallTimeout, Answer{Call: c, Lost: true})
+	if w.Service == nil || w.Service.down && !w.Net.link(host.Name, ServiceName).Cut {
+		answer(w.Net.Default.Delay, Answer{Call: c, Lost: true}) // refused
 		return
 	}
-	w.stream(e.Name, ServiceName, func() {
+	w.stream(host.Name, ServiceName, func() {
 		if !w.Service.down {
 			a := w.Service.serve(c)
-			w.stream(ServiceName, e.Name, func() { answer(0, a) })
+			w.stream(ServiceName, host.Name, func() { answer(0, a) })
 		}
 	})
 }
 
-// stream carries something over a connection: what is lost is sent again, what is cut off does not come.
+// stream calls arrived when a message has passed a TCP connection. Lost packets are sent again; over a cut
+// link nothing arrives.
 func (w *World) stream(from, to string, arrived func()) {
 	l := w.Net.link(from, to)
 	if l.Cut {
 		return
 	}
-	w.After(l.delay(w.rng)+resends(l.Loss, w.rng), arrived)
+	w.After(l.delay(w.rng)+resendTime(l.Loss, w.rng), arrived)
 }
 
-func resends(loss float64, rng *rand.Rand) (d time.Duration) {
-	for d < CallMost && rng.Float64() < loss {
-		d += resendAfter
+// resendTime draws the extra delay by retransmissions at a loss rate.
+func resendTime(loss float64, rng *rand.Rand) (d time.Duration) {
+	for d < CallTimeout && rng.Float64() < loss {
+		d += resendDelay
 	}
 	return d
 }
--- a/internal/sim/subset/checks.go
+++ b/internal/sim/subset/checks.go
@@ -8,50 +8,50 @@
 	"wrenspread/internal/sim"
 )
 
-// mostCalls is how many calls a node makes, once nothing changes any more, until it has the newest version of
+// maxCalls is how many calls a node makes, once nothing changes any more, until it has the newest version of
 // the part that it is to follow: one that is lost or passed over at each of two replicas, a watch, the move,
 // a wider part, and a watch that finds nothing new. Calls whose answer is held back for holdBack are not
 // counted: these are a matter of time.
-const mostCalls = 6
+const maxCalls = 6
 
-// saw checks what a node believes after an answer.
-func (f *Fleet) saw(n *node, v client.List) {
+// checkView checks what a node believes after an answer.
+func (f *Fleet) checkView(n *node, v client.List) {
 	if err := f.history[v.Epoch].differs(v); err != nil {
-		f.breaks("exact", n, err)
+		f.violate("exact", n, err)
 	}
-	if was := n.highest[v.Epoch]; v.Version < was {
-		f.breaks("forward", n, fmt.Errorf("version %d of %s after %d", v.Version, v.Epoch, was))
+	if highest := n.highestVersions[v.Epoch]; v.Version < highest {
+		f.violate("forward", n, fmt.Errorf("version %d of %s after %d", v.Version, v.Epoch, highest))
 	}
-	n.highest[v.Epoch] = max(n.highest[v.Epoch], v.Version)
-	if !n.settled && v.Epoch == f.leader.Epoch() && v.Version == f.leader.Version() && n.to == n.has {
-		n.settled, n.took = true, n.calls
+	n.highestVersions[v.Epoch] = max(n.highestVersions[v.Epoch], v.Version)
+	if !n.settled && v.Epoch == f.leader.Epoch() && v.Version == f.leader.Version() && n.target == n.current {
+		n.settled, n.callsToSettle = true, n.calls
 	}
 }
 
-func (f *Fleet) breaks(check string, n *node, err error) {
-	if f.broken[check] == nil {
-		f.broken[check] = fmt.Errorf("%s: %w", n.name, err)
+func (f *Fleet) violate(check string, n *node, err error) {
+	if f.violations[check] == nil {
+		f.violations[check] = fmt.Errorf("%s: %w", n.name, err)
 	}
 }
 
 func (f *Fleet) checks() []sim.Check {
-	broken := func(name string) func() error { return func() error { return f.broken[name] } }
+	broken := func(name string) func() error { return func() error { return f.violations[name] } }
 	return []sim.Check{
 		// what a node has at a version is the list of that version within its part
 		{Name: "exact", Throughout: broken("exact")},
 		// its version never goes back within an epoch, as long as it runs
 		{Name: "forward", Throughout: broken("forward")},
-		{Name: "newest", End: f.newest},
-		{Name: "held", End: f.held},
+		{Name: "newest", AtEnd: f.newestCheck},
+		{Name: "held", AtEnd: f.coverageCheck},
 	}
 }
 
-// newest says that each node has come to the newest version, and its part, within mostCalls.
-func (f *Fleet) newest() error {
+// newestCheck says that each node has come to the newest version, and its part, within mostCalls.
+func (f *Fleet) newestCheck() error {
 	for _, name := range names(len(f.nodes), "n") {
 		n := f.nodes[name]
 		v := n.view
-		if !n.settled || n.took > mostCalls {
+		if !n.settled || n.callsToSettle > maxCalls {
 			return fmt.Errorf(
 				"%s has version %d of %s, not %d of %s, and follows %s, not %s, after %d calls",
 				name,
@@ -59,25 +59,25 @@
 				v.Epoch,
 				f.leader.Version(),
 				f.leader.Epoch(),
-				n.has,
-				n.to,
-				n.took,
+				n.current,
+				n.target,
+				n.callsToSettle,
 			)
 		}
 	}
 	return nil
 }
 
-// held says that every server that is ready is known as that to some node.
-func (f *Fleet) held() error {
+// coverageCheck says that every server that is ready is known as that to some node.
+func (f *Fleet) coverageCheck() error {
 	known := map[string]bool{}
 	for _, n := range f.nodes {
 		for _, e := range n.view.Endpoints {
 			known[e.Name] = known[e.Name] || e.Status == registry.Ready
 		}
 	}
-	for _, name := range f.servers() {
-		if f.now[name].Status == registry.Ready && !known[name] {
+	for _, name := range f.endpointNames() {
+		if f.endpoints[name].Status == registry.Ready && !known[name] {
 			return fmt.Errorf("nobody has %s", name)
 		}
 	}
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -29,11 +29,11 @@
 )
 
 const (
-	played   = 13
-	hold     = 5 * time.Second         // of a watch
-	grace    = 1500 * time.Millisecond // for an answer, past the hold
-	holdBack = 6 * time.Second         // of a list of another epoch
-	mostLag  = 5 * time.Second         // of a replica's log
+	nodeCount     = 13
+	watchTimeout  = 5 * time.Second         // of a watch
+	answerGrace   = 1500 * time.Millisecond // for an answer, past the hold
+	newEpochDelay = 6 * time.Second         // of a list of another epoch
+	maxLag        = 5 * time.Second         // of a replica's log
 )
 
 // Fleet is the nodes, the replicas, and what the list was at each version.
@@ -41,38 +41,38 @@
 	World    *sim.World
 	Replicas []string
 	// stand-in: changes an answer; nil: none does
-	Alter func(q query, a *registry.ListResponse)
+	AlterAnswer func(q query, a *registry.ListResponse)
 	// a node's choice
-	Next func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset
+	NextSubset func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset
 	// stand-in: nodes begin anew at another replica after each watch
-	Forgets bool
-
-	leader *registry.State
-	log    []logged
-	disks  map[string]*disk
-	nodes  map[string]*node // the last process of each
-	sizes  map[string]int   // of the fleet, in each node's settings
-	files  map[string]client.List
-	epochs int
-
-	now     map[string]registry.Endpoint // the list, kept apart from State
-	history map[string]*history          // by epoch
-	broken  map[string]error             // by check, the first
-	mail    mail
+	ForgetsList bool
+
+	leader      *registry.State
+	log         []logEntry
+	disks       map[string]*disk
+	nodes       map[string]*node // the last process of each
+	fleetSizes  map[string]int   // of the fleet, in each node's settings
+	cachedLists map[string]client.List
+	epochCount  int
+
+	endpoints  map[string]registry.Endpoint // the list, kept apart from State
+	history    map[string]*history          // by epoch
+	violations map[string]error             // by check, the first
+	messages   messageStore
 }
 
-// logged is an entry of the log.
-type logged struct {
-	at   time.Duration
-	lost bool // the state is lost before it
+// logEntry is an entry of the log.
+type logEntry struct {
+	at             time.Duration
+	afterStateLoss bool // the state is lost before it
 	registry.Command
 }
 
-var groups = []registry.Placement{{}, {Types: []string{"big"}}}
+var placements = []registry.Placement{{}, {Types: []string{"big"}}}
 
-func names(n int, of string) (all []string) {
+func names(n int, prefix string) (all []string) {
 	for i := range n {
-		all = append(all, fmt.Sprint(of, i+1))
+		all = append(all, fmt.Sprint(prefix, i+1))
 	}
 	return all
 }
@@ -80,22 +80,22 @@
 // newFleet returns a fleet without nodes, before a list of total servers.
 func newFleet(w *sim.World, replicas, total int) *Fleet {
 	f := &Fleet{
-		World:    w,
-		Replicas: names(replicas, "r"),
-		Next:     registry.Subset.Next,
-		disks:    map[string]*disk{},
-		nodes:    map[string]*node{},
-		sizes:    map[string]int{},
-		files:    map[string]client.List{},
-		now:      map[string]registry.Endpoint{},
-		history:  map[string]*history{},
-		broken:   map[string]error{},
-		mail:     mail{kept: map[string]any{}, to: map[string][]string{}},
+		World:       w,
+		Replicas:    names(replicas, "r"),
+		NextSubset:  registry.Subset.Next,
+		disks:       map[string]*disk{},
+		nodes:       map[string]*node{},
+		fleetSizes:  map[string]int{},
+		cachedLists: map[string]client.List{},
+		endpoints:   map[string]registry.Endpoint{},
+		history:     map[string]*history{},
+		violations:  map[string]error{},
+		messages:    messageStore{contents: map[string]any{}, keysByNode: map[string][]string{}},
 	}
-	w.Play = f
-	f.begin()
+	w.PlayState = f
+	f.beginEpoch()
 	for i := range total {
-		f.register(server("s", i))
+		f.register(newEndpoint("s", i))
 	}
 	return f
 }
@@ -107,19 +107,19 @@
 		f.World.Add(name, func(time.Duration) sim.Actor { return &replica{fleet: f, disk: f.disks[name]} })
 	}
 	for _, name := range nodes {
-		f.sizes[name] = size
+		f.fleetSizes[name] = size
 		f.World.Add(name, func(time.Duration) sim.Actor {
-			n := &node{fleet: f, name: name, highest: map[string]uint64{}}
-			_, _ = fmt.Sscanf(name, "n%d", &n.self) // names are made here
-			n.self--
-			n.at = n.self % len(f.Replicas)
+			n := &node{fleet: f, name: name, highestVersions: map[string]uint64{}}
+			_, _ = fmt.Sscanf(name, "n%d", &n.index) // names are made here
+			n.index--
+			n.replicaIndex = n.index % len(f.Replicas)
 			f.nodes[name] = n
 			return n
 		})
 	}
 }
 
-func server(prefix string, i int) registry.Endpoint {
+func newEndpoint(prefix string, i int) registry.Endpoint {
 	e := registry.Endpoint{
 		Name:    fmt.Sprint(prefix, "-", i),
 		Address: "10.0.0.1:80",
@@ -134,16 +134,16 @@
 	return e
 }
 
-// begin begins a list without servers, in an epoch of its own.
-func (f *Fleet) begin() {
+// beginEpoch begins a list without servers, in an epoch of its own.
+func (f *Fleet) beginEpoch() {
 	f.leader = registry.NewState()
-	f.now = map[string]registry.Endpoint{}
-	f.write(registry.Command{Op: registry.OpBegin, Epoch: f.epoch()}, true)
+	f.endpoints = map[string]registry.Endpoint{}
+	f.write(registry.Command{Op: registry.OpBegin, Epoch: f.newEpoch()}, true)
 }
 
-func (f *Fleet) epoch() string {
-	f.epochs++
-	e := fmt.Sprint("E", f.epochs)
+func (f *Fleet) newEpoch() string {
+	f.epochCount++
+	e := fmt.Sprint("E", f.epochCount)
 	f.history[e] = &history{}
 	return e
 }
@@ -151,67 +151,67 @@
 // write has a command carried out and logged.
 func (f *Fleet) write(c registry.Command, lost bool) registry.Result {
 	r := f.leader.Apply(c)
-	f.log = append(f.log, logged{f.World.Now(), lost, c})
-	f.disturb()
+	f.log = append(f.log, logEntry{f.World.Now(), lost, c})
+	f.resetCallCounts()
 	return r
 }
 
 func (f *Fleet) register(e registry.Endpoint) {
-	f.put(e, registry.Command{Op: registry.OpRegister, Endpoint: &e})
+	f.changeEndpoint(e, registry.Command{Op: registry.OpRegister, Endpoint: &e})
 }
 
 func (f *Fleet) drain(name string) {
-	e := f.now[name]
+	e := f.endpoints[name]
 	e.Status = registry.Draining
-	f.put(e, registry.Command{Op: registry.OpDrain, Name: name})
+	f.changeEndpoint(e, registry.Command{Op: registry.OpDrain, Name: name})
 }
 
 func (f *Fleet) remove(name string) {
-	e := f.now[name]
+	e := f.endpoints[name]
 	e.Status = registry.Removed
-	f.put(e, registry.Command{Op: registry.OpRemove, Name: name})
+	f.changeEndpoint(e, registry.Command{Op: registry.OpRemove, Name: name})
 }
 
-func (f *Fleet) put(e registry.Endpoint, c registry.Command) {
+func (f *Fleet) changeEndpoint(e registry.Endpoint, c registry.Command) {
 	r := f.write(c, false)
-	if f.now[e.Name] == e {
+	if f.endpoints[e.Name] == e {
 		return
 	}
-	if f.now[e.Name] = e; e.Status == registry.Removed {
-		delete(f.now, e.Name)
+	if f.endpoints[e.Name] = e; e.Status == registry.Removed {
+		delete(f.endpoints, e.Name)
 	}
 	f.history[f.leader.Epoch()].add(r.Version, e)
 }
 
 // backup gives what puts today's list back.
 func (f *Fleet) backup() (restore func()) {
-	image, err := f.leader.EncodeSnapshot()
+	snapshot, err := f.leader.EncodeSnapshot()
 	if err != nil {
 		panic(err) // it is ours
 	}
-	was := maps.Clone(f.now)
+	endpoints := maps.Clone(f.endpoints)
 	return func() {
 		r := f.write(
 			registry.Command{
 				Op:            registry.OpRestore,
-				Epoch:         f.epoch(),
+				Epoch:         f.newEpoch(),
 				ReplacesEpoch: f.leader.Epoch(),
-				Snapshot:      image,
+				Snapshot:      snapshot,
 			},
 			false,
 		)
-		f.now = maps.Clone(was)
-		for _, e := range f.now {
+		f.endpoints = maps.Clone(endpoints)
+		for _, e := range f.endpoints {
 			f.history[f.leader.Epoch()].add(r.Version, e)
 		}
 	}
 }
 
-// servers gives the names of the list, in their order.
-func (f *Fleet) servers() []string { return slices.Sorted(maps.Keys(f.now)) }
+// endpointNames gives the names of the list, in their order.
+func (f *Fleet) endpointNames() []string { return slices.Sorted(maps.Keys(f.endpoints)) }
 
-// disturb says that something has changed: calls are counted from here.
-func (f *Fleet) disturb() {
+// resetCallCounts says that something has changed: calls are counted from here.
+func (f *Fleet) resetCallCounts() {
 	for _, n := range f.nodes {
 		n.calls, n.settled = 0, false
 	}
--- a/internal/sim/subset/history.go
+++ b/internal/sim/subset/history.go
@@ -11,40 +11,40 @@
 
 // history is what the list was at each version of an epoch, kept by name, in order, and without the list's
 // own code.
-type history struct{ servers []past }
+type history struct{ endpoints []endpointHistory }
 
-// past is what a server was.
-type past struct {
-	name    string
-	point   uint64
-	changes []change
+// endpointHistory is what a server was.
+type endpointHistory struct {
+	name     string
+	position uint64
+	changes  []change
 }
 
 type change struct {
-	version uint64
-	entry   registry.Endpoint
+	version  uint64
+	endpoint registry.Endpoint
 }
 
 func (h *history) add(version uint64, e registry.Endpoint) {
-	i, there := slices.BinarySearchFunc(
-		h.servers,
+	i, found := slices.BinarySearchFunc(
+		h.endpoints,
 		e.Name,
-		func(p past, name string) int { return cmp.Compare(p.name, name) },
+		func(p endpointHistory, name string) int { return cmp.Compare(p.name, name) },
 	)
-	if !there {
-		h.servers = slices.Insert(h.servers, i, past{name: e.Name, point: registry.Position(e.Name)})
+	if !found {
+		h.endpoints = slices.Insert(h.endpoints, i, endpointHistory{name: e.Name, position: registry.Position(e.Name)})
 	}
-	h.servers[i].changes = append(h.servers[i].changes, change{version, e})
+	h.endpoints[i].changes = append(h.endpoints[i].changes, change{version, e})
 }
 
-// at is what the server was at a version, nil where it was not listed.
-func (p *past) at(version uint64) *registry.Endpoint {
+// endpointAt is what the server was at a version, nil where it was not listed.
+func (p *endpointHistory) endpointAt(version uint64) *registry.Endpoint {
 	for i := len(p.changes) - 1; i >= 0; i-- {
 		if c := &p.changes[i]; c.version <= version {
-			if c.entry.Status == registry.Removed {
+			if c.endpoint.Status == registry.Removed {
 				return nil
 			}
-			return &c.entry
+			return &c.endpoint
 		}
 	}
 	return nil
@@ -52,49 +52,49 @@
 
 // differs says in what a view, which is by name, is not the list of its version within its part.
 func (h *history) differs(v client.List) error {
-	n, left := 0, v.Endpoints
-	for i := range h.servers {
-		p := &h.servers[i]
-		if !v.Subset.Contains(p.point) {
+	matched, remaining := 0, v.Endpoints
+	for i := range h.endpoints {
+		p := &h.endpoints[i]
+		if !v.Subset.Contains(p.position) {
 			continue
 		}
-		for len(left) > 0 && left[0].Name < p.name { // not of the part
-			left = left[1:]
+		for len(remaining) > 0 && remaining[0].Name < p.name { // not of the part
+			remaining = remaining[1:]
 		}
-		want, there := p.at(v.Version), len(left) > 0 && left[0].Name == p.name
+		want, found := p.endpointAt(v.Version), len(remaining) > 0 && remaining[0].Name == p.name
 		switch {
-		case want != nil && !there:
+		case want != nil && !found:
 			return fmt.Errorf("%s of %s at version %d lacks %s", v.Subset, v.Epoch, v.Version, p.name)
-		case want == nil && there:
+		case want == nil && found:
 			return fmt.Errorf(
 				"%s of %s at version %d still has %s as %s",
 				v.Subset,
 				v.Epoch,
 				v.Version,
 				p.name,
-				left[0].Status,
+				remaining[0].Status,
 			)
-		case want != nil && left[0] != *want:
+		case want != nil && remaining[0] != *want:
 			return fmt.Errorf(
 				"%s of %s at version %d has %s as %s, not %s",
 				v.Subset,
 				v.Epoch,
 				v.Version,
 				p.name,
-				left[0].Status,
+				remaining[0].Status,
 				want.Status,
 			)
 		case want != nil:
-			n++
+			matched++
 		}
 	}
-	if n != len(v.Endpoints) {
+	if matched != len(v.Endpoints) {
 		return fmt.Errorf(
 			"%s of %s at version %d has %d servers that are not of the part",
 			v.Subset,
 			v.Epoch,
 			v.Version,
-			len(v.Endpoints)-n,
+			len(v.Endpoints)-matched,
 		)
 	}
 	return nil
--- a/internal/sim/subset/mail.go
+++ b/internal/sim/subset/mail.go
@@ -6,31 +6,31 @@
 	"wrenspread/internal/sim"
 )
 
-// mail is what messages stand for, as answers go without their JSON. Those to a node are let go at its next
+// messageStore is what messages stand for, as answers go without their JSON. Those to a node are let go at its next
 // call, after which it takes none of them; calls, which are small, are kept.
-type mail struct {
-	posted int
-	kept   map[string]any
-	to     map[string][]string // the keys of those that are to be let go, by node
+type messageStore struct {
+	count      int
+	contents   map[string]any
+	keysByNode map[string][]string // the keys of those that are to be let go, by node
 }
 
-// post gives a message that stands for what it carries, to a node where it is an answer.
-func (m *mail) post(node string, what any) []byte {
-	key := strconv.Itoa(m.posted)
-	m.posted++
-	m.kept[key] = what
+// put gives a message that stands for what it carries, to a node where it is an answer.
+func (m *messageStore) put(node string, content any) []byte {
+	key := strconv.Itoa(m.count)
+	m.count++
+	m.contents[key] = content
 	if node != "" {
-		m.to[node] = append(m.to[node], key)
+		m.keysByNode[node] = append(m.keysByNode[node], key)
 	}
 	return []byte(key)
 }
 
-// of is what a message stands for, nil where that was let go.
-func (m *mail) of(e sim.Message) any { return m.kept[string(e.Data)] }
+// content is what a message stands for, nil where that was let go.
+func (m *messageStore) content(e sim.Message) any { return m.contents[string(e.Data)] }
 
-func (m *mail) forget(node string) {
-	for _, key := range m.to[node] {
-		delete(m.kept, key)
+func (m *messageStore) forget(node string) {
+	for _, key := range m.keysByNode[node] {
+		delete(m.contents, key)
 	}
-	m.to[node] = m.to[node][:0]
+	m.keysByNode[node] = m.keysByNode[node][:0]
 }
--- a/internal/sim/subset/node.go
+++ b/internal/sim/subset/node.go
@@ -9,46 +9,46 @@
 	"wrenspread/internal/sim"
 )
 
-const mostWait = 500 * time.Millisecond // after a call that failed
+const maxRetryDelay = 500 * time.Millisecond // after a call that failed
 
 // node follows its part.
 type node struct {
-	fleet  *Fleet
-	name   string
-	self   int
-	belief *client.ListState
-	view   client.List     // of it
-	at     int             // of the replicas
-	has    registry.Subset // that is known
-	to     registry.Subset // that is to be followed
-	asked  query
-	open   bool // a call is
-	failed bool // the last call has
-	putOff bool // it was one that moves
+	fleet        *Fleet
+	name         string
+	index        int
+	listState    *client.ListState
+	view         client.List     // of it
+	replicaIndex int             // of the replicas
+	current      registry.Subset // that is known
+	target       registry.Subset // that is to be followed
+	lastQuery    query
+	inFlight     bool // a call is
+	failed       bool // the last call has
+	moveFailed   bool // it was one that moves
 
-	highest map[string]uint64 // version, by epoch
-	calls   int               // since something changed, without those whose answer was held back
-	settled bool
-	took    int // calls, until it was
+	highestVersions map[string]uint64 // version, by epoch
+	calls           int               // since something changed, without those whose answer was held back
+	settled         bool
+	callsToSettle   int // calls, until it was
 }
 
 func (n *node) Handle(now time.Duration, e sim.Event) []sim.Effect {
 	switch e := e.(type) {
 	case sim.Started:
-		v := n.fleet.files[n.name]
-		n.belief, n.view, n.has, n.to = client.NewListState(holdBack, v), v, v.Subset, v.Subset
+		v := n.fleet.cachedLists[n.name]
+		n.listState, n.view, n.current, n.target = client.NewListState(newEpochDelay, v), v, v.Subset, v.Subset
 		if v.Version == 0 {
-			n.to = n.next(client.List{Total: registry.MaxEndpoints})
+			n.target = n.nextSubset(client.List{Total: registry.MaxEndpoints})
 		}
 		return n.call()
 	case sim.Tick:
-		if !n.open {
+		if !n.inFlight {
 			return n.call()
 		}
-		return n.fail("no answer", true)
+		return n.retryLater("no answer", true)
 	case sim.Message:
-		if r, ok := n.fleet.mail.of(e).(reply); ok && n.open && r.number == n.asked.number {
-			return n.take(now, r.answer)
+		if r, ok := n.fleet.messages.content(e).(reply); ok && n.inFlight && r.number == n.lastQuery.number {
+			return n.handleAnswer(now, r.answer)
 		}
 	}
 	return nil
@@ -56,78 +56,78 @@
 
 // call makes the next call.
 func (n *node) call() []sim.Effect {
-	q := query{number: n.asked.number + 1, part: n.has}
-	if n.fleet.Forgets && n.asked.hold > 0 {
-		n.belief, n.at = client.NewListState(holdBack, client.List{}), (n.at+1)%len(n.fleet.Replicas)
+	q := query{number: n.lastQuery.number + 1, subset: n.current}
+	if n.fleet.ForgetsList && n.lastQuery.timeout > 0 {
+		n.listState, n.replicaIndex = client.NewListState(newEpochDelay, client.List{}), (n.replicaIndex+1)%len(n.fleet.Replicas)
 	}
-	q.from, q.epoch = n.belief.Next()
+	q.since, q.epoch = n.listState.Next()
 	switch {
-	case q.from == 0:
-		q.part = n.to
-	case n.to != n.has && !n.putOff:
-		q = query{number: q.number, part: n.to, moves: true}
+	case q.since == 0:
+		q.subset = n.target
+	case n.target != n.current && !n.moveFailed:
+		q = query{number: q.number, subset: n.target, replacesSubset: true}
 	case !n.failed:
-		q.hold = hold
+		q.timeout = watchTimeout
 	}
-	n.fleet.mail.forget(n.name)
-	n.asked, n.open, n.putOff = q, true, false
+	n.fleet.messages.forget(n.name)
+	n.lastQuery, n.inFlight, n.moveFailed = q, true, false
 	n.calls++
 	out := []sim.Effect{
-		sim.Send{To: n.fleet.Replicas[n.at], Data: n.fleet.mail.post("", q)},
-		sim.Wake{After: q.hold + grace},
+		sim.Send{To: n.fleet.Replicas[n.replicaIndex], Data: n.fleet.messages.put("", q)},
+		sim.Wake{After: q.timeout + answerGrace},
 	}
-	if q.moves {
+	if q.replacesSubset {
 		out = append(
 			out,
-			sim.Say{What: fmt.Sprintf("asks %s for %s whole; %s stands", n.fleet.Replicas[n.at], q.part, n.has)},
+			sim.Note{Text: fmt.Sprintf("asks %s for %s whole; %s stands", n.fleet.Replicas[n.replicaIndex], q.subset, n.current)},
 		)
 	}
 	return out
 }
 
-// fail has the next call made after a drawn time.
-func (n *node) fail(why string, turn bool) []sim.Effect {
-	if n.open, n.failed = false, true; turn {
-		n.at = (n.at + 1) % len(n.fleet.Replicas)
+// retryLater has the next call made after a drawn time.
+func (n *node) retryLater(reason string, nextReplica bool) []sim.Effect {
+	if n.inFlight, n.failed = false, true; nextReplica {
+		n.replicaIndex = (n.replicaIndex + 1) % len(n.fleet.Replicas)
 	}
-	n.putOff = n.asked.moves && why != stale
+	n.moveFailed = n.lastQuery.replacesSubset && reason != olderVersion
 	return []sim.Effect{
-		sim.Say{What: why},
-		sim.Wake{After: time.Duration(n.fleet.World.Rand().Int64N(int64(mostWait)))},
+		sim.Note{Text: reason},
+		sim.Wake{After: time.Duration(n.fleet.World.Rand().Int64N(int64(maxRetryDelay)))},
 	}
 }
 
-const stale = "passes over what is older"
+const olderVersion = "passes over what is older"
 
-func (n *node) take(now time.Duration, a *registry.ListResponse) []sim.Effect {
+func (n *node) handleAnswer(now time.Duration, a *registry.ListResponse) []sim.Effect {
 	if a == nil {
-		return n.fail("refused by one that is behind", true)
+		return n.retryLater("refused by one that is behind", true)
 	}
-	verdict := n.belief.Apply(now, n.asked.from, *a)
+	verdict := n.listState.Apply(now, n.lastQuery.since, *a)
 	switch verdict {
 	case client.Stale:
-		return n.fail(stale, true)
+		return n.retryLater(olderVersion, true)
 	case client.NeedsComplete:
-		return n.fail("finds a gap", true)
+		return n.retryLater("finds a gap", true)
 	case client.Deferred:
 		n.calls--
-		return n.fail(fmt.Sprintf("holds %s back", a.Epoch), false)
+		return n.retryLater(fmt.Sprintf("holds %s back", a.Epoch), false)
 	}
 	if verdict == client.Changed {
-		n.view = n.belief.List()
+		n.view = n.listState.List()
 	}
 	v := n.view
-	var said []sim.Effect
+	var notes []sim.Effect
 	if verdict == client.Changed && (a.Snapshot || len(a.Endpoints) > 0) {
-		said = append(said, sim.Say{What: told(a, v)})
+		notes = append(notes, sim.Note{Text: describeAnswer(a, v)})
 	}
-	n.open, n.failed, n.has, n.to = false, false, v.Subset, n.next(v)
-	n.fleet.files[n.name] = v
-	n.fleet.saw(n, v)
-	return append(said, n.call()...)
+	n.inFlight, n.failed, n.current, n.target = false, false, v.Subset, n.nextSubset(v)
+	n.fleet.cachedLists[n.name] = v
+	n.fleet.checkView(n, v)
+	return append(notes, n.call()...)
 }
 
-func told(a *registry.ListResponse, v client.List) string {
+func describeAnswer(a *registry.ListResponse, v client.List) string {
 	if a.Snapshot {
 		return fmt.Sprintf(
 			"takes %s of %s at version %d: %d of %d",
@@ -144,7 +144,7 @@
 	return fmt.Sprintf("hears %d changes: version %d", len(a.Endpoints), v.Version)
 }
 
-// next is the part to follow for whoever has this.
-func (n *node) next(v client.List) registry.Subset {
-	return n.fleet.Next(v.Subset, n.self, n.fleet.sizes[n.name], v.Total, v.Endpoints, groups)
+// nextSubset is the part to follow for whoever has this.
+func (n *node) nextSubset(v client.List) registry.Subset {
+	return n.fleet.NextSubset(v.Subset, n.index, n.fleet.fleetSizes[n.name], v.Total, v.Endpoints, placements)
 }
--- a/internal/sim/subset/standins_test.go
+++ b/internal/sim/subset/standins_test.go
@@ -11,13 +11,13 @@
 
 // altering gives a stand-in whose answers are altered.
 func altering(alter func(q query, a *registry.ListResponse)) func(*Fleet) {
-	return func(f *Fleet) { f.Alter = alter }
+	return func(f *Fleet) { f.AlterAnswer = alter }
 }
 
 // choosing gives a stand-in whose nodes choose other parts than list.Part.Next says.
 func choosing(choose func(has, right registry.Subset, self int) registry.Subset) func(*Fleet) {
 	return func(f *Fleet) {
-		f.Next = func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset {
+		f.NextSubset = func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset {
 			return choose(has, has.Next(self, nodes, total, entries, g), self)
 		}
 	}
@@ -32,52 +32,52 @@
 var standins = []struct {
 	name     string
 	replicas int
-	kinds    []sim.Kind // those that bring it out soonest
+	kinds    []sim.FaultKind // those that bring it out soonest
 	bend     func(*Fleet)
 	found    string
 }{
-	{"who leaves is not told", 1, []sim.Kind{removes}, altering(func(_ query, a *registry.ListResponse) {
+	{"who leaves is not told", 1, []sim.FaultKind{removes}, altering(func(_ query, a *registry.ListResponse) {
 		a.Endpoints = slices.DeleteFunc(a.Endpoints, func(e registry.Endpoint) bool { return e.Status == registry.Removed })
 	}), "exact"},
-	{"who is gone is told as draining", 1, []sim.Kind{removes}, altering(func(_ query, a *registry.ListResponse) {
+	{"who is gone is told as draining", 1, []sim.FaultKind{removes}, altering(func(_ query, a *registry.ListResponse) {
 		for i := range a.Endpoints {
 			if a.Endpoints[i].Status == registry.Removed {
 				a.Endpoints[i].Status = registry.Draining
 			}
 		}
 	}), "exact"},
-	{"one server is missing from a part that is read in place of another", 1, []sim.Kind{resizes}, altering(func(q query, a *registry.ListResponse) {
-		if q.moves {
+	{"one server is missing from a part that is read in place of another", 1, []sim.FaultKind{resizes}, altering(func(q query, a *registry.ListResponse) {
+		if q.replacesSubset {
 			a.Endpoints = a.Endpoints[1:]
 		}
 	}), "exact"},
-	{"what left the part stays as draining", 1, []sim.Kind{resizes}, altering(func(q query, a *registry.ListResponse) {
-		for i := 0; q.moves && !q.part.IsAll(); i++ {
-			if e := server("s", i); !q.part.Contains(registry.Position(e.Name)) {
+	{"what left the part stays as draining", 1, []sim.FaultKind{resizes}, altering(func(q query, a *registry.ListResponse) {
+		for i := 0; q.replacesSubset && !q.subset.IsAll(); i++ {
+			if e := newEndpoint("s", i); !q.subset.Contains(registry.Position(e.Name)) {
 				e.Status = registry.Draining
 				a.Endpoints = append(a.Endpoints, e)
 				return
 			}
 		}
 	}), "exact"},
-	{"a watch goes on ahead of what it brings", 1, []sim.Kind{registers}, altering(func(_ query, a *registry.ListResponse) {
+	{"a watch goes on ahead of what it brings", 1, []sim.FaultKind{registers}, altering(func(_ query, a *registry.ListResponse) {
 		if !a.Snapshot && len(a.Endpoints) > 1 {
 			a.Endpoints = a.Endpoints[:len(a.Endpoints)-1]
 		}
 	}), "exact"},
-	{"begins anew at another replica after each watch", 3, []sim.Kind{registers, lagging}, func(f *Fleet) { f.Forgets = true }, "forward"},
-	{"a quiet watch ends at the version that it began with", 1, []sim.Kind{drains}, altering(func(q query, a *registry.ListResponse) {
+	{"begins anew at another replica after each watch", 3, []sim.FaultKind{registers, lagging}, func(f *Fleet) { f.ForgetsList = true }, "forward"},
+	{"a quiet watch ends at the version that it began with", 1, []sim.FaultKind{drains}, altering(func(q query, a *registry.ListResponse) {
 		if !a.Snapshot && len(a.Endpoints) == 0 {
-			a.Index = q.from
+			a.Index = q.since
 		}
 	}), "newest"},
-	{"all follow the part of one", 1, []sim.Kind{registers}, choosing(func(_, right registry.Subset, _ int) registry.Subset {
+	{"all follow the part of one", 1, []sim.FaultKind{registers}, choosing(func(_, right registry.Subset, _ int) registry.Subset {
 		if right.IsAll() {
 			return right
 		}
 		return arc(0, right.Width)
 	}), "held"},
-	{"parts end at half of their width", 1, []sim.Kind{registers}, choosing(func(_, right registry.Subset, _ int) registry.Subset {
+	{"parts end at half of their width", 1, []sim.FaultKind{registers}, choosing(func(_, right registry.Subset, _ int) registry.Subset {
 		return registry.Subset{Start: right.Start, Width: right.Width / 2}
 	}), "held"},
 }
@@ -94,7 +94,7 @@
 				p := play(s.replicas, s.bend)
 				p.Kinds = nil
 				for _, k := range s.kinds {
-					p.Kinds = append(p.Kinds, noted(k))
+					p.Kinds = append(p.Kinds, countingCalls(k))
 				}
 				for seed := uint64(1); seed <= most; seed++ {
 					_, broken := p.Run(seed, p.Faults(seed))
--- a/internal/sim/subset/stories_test.go
+++ b/internal/sim/subset/stories_test.go
@@ -18,9 +18,9 @@
 }
 
 // does has a sort of fault begun, and ended after length.
-func does(at time.Duration, k sim.Kind, length time.Duration, who ...string) step {
+func does(at time.Duration, k sim.FaultKind, length time.Duration, who ...string) step {
 	return step{at, func(f *Fleet) {
-		if undo := noted(k).Do(f.World, sim.Fault{Who: who}); undo != nil {
+		if undo := countingCalls(k).Start(f.World, sim.Fault{Targets: who}); undo != nil {
 			f.World.After(length, undo)
 		}
 	}}
@@ -29,10 +29,10 @@
 // first does something to the first server that is in one part and not in others.
 func first(at time.Duration, what string, do func(*Fleet, string), in registry.Subset, out ...registry.Subset) step {
 	return step{at, func(f *Fleet) {
-		for _, s := range f.servers() {
+		for _, s := range f.endpointNames() {
 			p := registry.Position(s)
 			if in.Contains(p) && !slices.ContainsFunc(out, func(o registry.Subset) bool { return o.Contains(p) }) {
-				f.World.Say("list", what+" "+s)
+				f.World.Note("list", what+" "+s)
 				do(f, s)
 				return
 			}
@@ -86,7 +86,7 @@
 		steps: []step{
 			does(2*second, restores, 16*second),
 			first(3*second, "removes", (*Fleet).remove, eighth),
-			does(4*second, losses, 0),
+			does(4*second, stateLosses, 0),
 			does(8*second, resizes, 0, "200", "n1"),
 			first(14*second, "drains", (*Fleet).drain, quarter, eighth),
 			first(20*second, "removes", (*Fleet).remove, eighth),
@@ -99,8 +99,8 @@
 	for _, s := range stories {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			p := sim.Play{Quiet: s.length, Every: second / 4, Build: func(w *sim.World) []sim.Check {
-				w.Net.Usual = sim.Link{Delay: 100 * time.Millisecond}
+			p := sim.Play{RecoveryTime: s.length, CheckInterval: second / 4, Build: func(w *sim.World) []sim.Check {
+				w.Net.Default = sim.Link{Delay: 100 * time.Millisecond}
 				f := newFleet(w, s.replicas, 2800)
 				f.start(2000, names(s.nodes, "n"))
 				for _, step := range s.steps {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -9,98 +9,106 @@
 )
 
 const (
-	// Drift is how far the rate of a process's clock may be from the true one: the stated bound of fleet
-	// control.
-	Drift = 0.001
-	// mostLog bounds the words kept of one history; a play that says more is drawn without its end.
-	mostLog = 200_000
+	// MaxClockDrift is the largest relative difference between the rate of a host's clock and true time. Fleet
+	// control promises to tolerate this drift.
+	MaxClockDrift = 0.001
+	// maxLogEvents bounds the timeline events stored for one simulation; later events are dropped.
+	maxLogEvents = 200_000
 )
 
-// World is one history being made. It is not safe for concurrent use.
+// World is one running simulation: its true time, hosts, network and registry, and the log of what happened.
+// It is not safe for concurrent use.
 type World struct {
 	Net     Net
-	Service *Service // nil: none
-	// Pass, where set, sees each datagram before the network does, and gives what is sent in its place. Broken
-	// stand-ins of a core are made with it.
-	Pass func(from, to string, data []byte) [][]byte
-	Play any // what a play keeps beside, for its own sorts of fault
+	Service *Service // the registry; nil: none
+	// Intercept, if set, sees each datagram before the network does and returns the datagrams that are sent in
+	// its place. Tests use it to make broken variants of a core.
+	Intercept func(from, to string, data []byte) [][]byte
+	PlayState any // state of the play, for its own kinds of fault
 
 	rng   *rand.Rand
 	now   time.Duration
 	queue queue
-	ends  map[string]*End
-	order []*End
+	hosts map[string]*Host
+	order []*Host
 	log   []timeline.Event
 }
 
-// New returns an empty world.
+// New returns a world without hosts, whose random draws follow from seed.
 func New(seed uint64) *World {
-	return &World{rng: rand.New(rand.NewPCG(seed, 0x5eed)), ends: map[string]*End{}, Net: Net{Usual: Near}}
+	return &World{
+		rng:   rand.New(rand.NewPCG(seed, 0x5eed)),
+		hosts: map[string]*Host{},
+		Net:   Net{Default: LocalLink},
+	}
 }
 
-// Now is the true time since the beginning.
+// Now returns the true time since the beginning of the simulation.
 func (w *World) Now() time.Duration { return w.now }
 
-// Rand is the world's own source of draws, for what a play decides on the way.
+// Rand returns the world's random source, for what a play draws while the simulation runs.
 func (w *World) Rand() *rand.Rand { return w.rng }
 
-// Say notes something in a column of the timeline.
-func (w *World) Say(who, what string) {
-	if len(w.log) < mostLog {
-		w.log = append(w.log, timeline.Event{At: w.now, Who: who, What: what})
+// Note adds an event to a column of the timeline.
+func (w *World) Note(column, text string) {
+	if len(w.log) < maxLogEvents {
+		w.log = append(w.log, timeline.Event{At: w.now, Who: column, What: text})
 	}
 }
 
-// Log is what was said so far.
+// Log returns the timeline events so far.
 func (w *World) Log() []timeline.Event { return w.log }
 
-// Add makes a named end whose processes are made by start, and starts the first one. The names are also the
-// addresses.
-func (w *World) Add(name string, start func(now time.Duration) Actor) *End {
-	if w.ends[name] != nil {
-		panic(fmt.Sprintf("two ends named %s", name))
+// Add adds a host and starts its first process. start makes each process of the host. The host's name is also
+// its address in the network.
+func (w *World) Add(name string, start func(now time.Duration) Actor) *Host {
+	if w.hosts[name] != nil {
+		panic(fmt.Sprintf("two hosts named %s", name))
 	}
-	e := &End{
-		Name:  name,
-		world: w,
-		start: start,
-		rate:  1 + Drift*(2*w.rng.Float64()-1),
-		skew:  time.Duration(w.rng.Int64N(int64(time.Hour))),
+	h := &Host{
+		Name:        name,
+		world:       w,
+		start:       start,
+		clockRate:   1 + MaxClockDrift*(2*w.rng.Float64()-1),
+		clockOffset: time.Duration(w.rng.Int64N(int64(time.Hour))),
 	}
-	w.ends[name] = e
-	w.order = append(w.order, e)
-	e.Start()
-	return e
+	w.hosts[name] = h
+	w.order = append(w.order, h)
+	h.Start()
+	return h
 }
 
-// End returns an end by name, nil if there is none.
-func (w *World) End(name string) *End { return w.ends[name] }
+// Host returns a host by name, nil if there is none.
+func (w *World) Host(name string) *Host { return w.hosts[name] }
 
-// Ends returns all ends in the order in which they were added.
-func (w *World) Ends() []*End { return w.order }
+// Hosts returns all hosts in the order in which they were added.
+func (w *World) Hosts() []*Host { return w.order }
 
-// After has something done later.
-func (w *World) After(d time.Duration, do func()) { w.queue.push(task{at: w.now + d, do: do}) }
+// After calls run when delay of true time has passed.
+func (w *World) After(delay time.Duration, run func()) {
+	w.queue.push(task{at: w.now + delay, run: run})
+}
 
-// RunTo plays until a time.
+// RunTo simulates until the true time reaches until.
 func (w *World) RunTo(until time.Duration) {
-	for len(w.queue.all) > 0 && w.queue.all[0].at <= until {
+	for len(w.queue.tasks) > 0 && w.queue.tasks[0].at <= until {
 		t := w.queue.pop()
 		w.now = t.at
-		if t.do != nil {
-			t.do()
+		if t.run != nil {
+			t.run()
 			continue
 		}
-		t.to.arrive(t)
+		t.host.arrive(t)
 	}
 	w.now = max(w.now, until)
 }
 
-// Until plays on until cond holds, asked each step, for the given time at most. It gives how long that took.
-func (w *World) Until(most, step time.Duration, cond func() bool) (took time.Duration, held bool) {
+// RunUntil simulates until cond holds, for limit at most, and checks cond after each step. It returns the
+// simulated time that passed and whether cond held.
+func (w *World) RunUntil(limit, step time.Duration, cond func() bool) (elapsed time.Duration, ok bool) {
 	from := w.now
-	for w.now-from < most {
-		w.RunTo(min(w.now+step, from+most))
+	for w.now-from < limit {
+		w.RunTo(min(w.now+step, from+limit))
 		if cond() {
 			return w.now - from, true
 		}
@@ -108,39 +116,40 @@
 	return w.now - from, false
 }
 
-// send hands a datagram of an end to the network.
-func (w *World) send(from *End, s Send) {
-	all := [][]byte{s.Data}
-	if w.Pass != nil {
-		all = w.Pass(from.Name, s.To, s.Data)
+// send passes a datagram of a host through Intercept to the network.
+func (w *World) send(from *Host, s Send) {
+	datagrams := [][]byte{s.Data}
+	if w.Intercept != nil {
+		datagrams = w.Intercept(from.Name, s.To, s.Data)
 	}
-	for _, data := range all {
-		from.Sent++
-		from.Bytes += len(data)
-		from.Biggest = max(from.Biggest, len(data))
-		if to := w.ends[s.To]; to != nil {
-			w.carry(from.Name, to, Message{From: from.Name, Data: data})
+	for _, data := range datagrams {
+		from.SentDatagrams++
+		from.SentBytes += len(data)
+		from.LargestDatagram = max(from.LargestDatagram, len(data))
+		if to := w.hosts[s.To]; to != nil {
+			w.deliver(from.Name, to, Message{From: from.Name, Data: data})
 		}
 	}
 }
 
-// Inject lets a datagram arrive at an end as if it came from another, over the link between them.
+// Inject sends a datagram to a host as if it came from another, over the link between the two.
 func (w *World) Inject(from, to string, data []byte) {
-	if e := w.ends[to]; e != nil {
-		w.carry(from, e, Message{From: from, Data: data})
+	if h := w.hosts[to]; h != nil {
+		w.deliver(from, h, Message{From: from, Data: data})
 	}
 }
 
-func (w *World) carry(from string, to *End, m Message) {
+// deliver schedules the arrival of a datagram, unless the link is cut or loses the datagram.
+func (w *World) deliver(from string, to *Host, m Message) {
 	l := w.Net.link(from, to.Name)
 	if l.Cut || l.Loss > 0 && w.rng.Float64() < l.Loss {
 		return
 	}
-	times := 1
-	if l.Twice > 0 && w.rng.Float64() < l.Twice {
-		times = 2
+	copies := 1
+	if l.Duplicate > 0 && w.rng.Float64() < l.Duplicate {
+		copies = 2
 	}
-	for range times {
-		w.queue.push(task{at: w.now + l.delay(w.rng), to: to, e: m, life: anyLife})
+	for range copies {
+		w.queue.push(task{at: w.now + l.delay(w.rng), host: to, event: m, processNumber: anyProcess})
 	}
 }
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-func pair(seed uint64) (w *World, a, b *End) {
+func pair(seed uint64) (w *World, a, b *Host) {
 	w = New(seed)
 	start := func(time.Duration) Actor { return &recorder{wake: time.Second} }
 	return w, w.Add("a", start), w.Add("b", start)
@@ -45,12 +45,12 @@
 			}
 		}
 		off := math.Abs(float64(len(r.at)-1)/1000 - 1)
-		if off > Drift+0.0011 {
+		if off > MaxClockDrift+0.0011 {
 			t.Fatalf("seed %d: %d ticks in 1,000 s", seed, len(r.at)-1)
 		}
 		apart = max(apart, off)
 	}
-	if apart < Drift/2 {
+	if apart < MaxClockDrift/2 {
 		t.Errorf("no clock is off by more than %v", apart)
 	}
 }
@@ -59,7 +59,7 @@
 func TestStillAndAgain(t *testing.T) {
 	w, a, b := pair(1)
 	w.RunTo(500 * time.Millisecond)
-	b.Stop()
+	b.Pause()
 	for range 1000 {
 		w.Inject("a", "b", []byte("x"))
 	}
@@ -69,26 +69,26 @@
 	}
 	b.Resume()
 	w.RunTo(5*time.Second + time.Millisecond)
-	if n := len(b.Actor().(*recorder).events); n != 1+inbox+1 {
-		t.Errorf("woken, it had %d events; want its start, %d datagrams and a tick", n, inbox)
+	if n := len(b.Actor().(*recorder).events); n != 1+maxPendingDatagrams+1 {
+		t.Errorf("woken, it had %d events; want its start, %d datagrams and a tick", n, maxPendingDatagrams)
 	}
-	if b.Lost != 1000-inbox {
-		t.Errorf("%d were lost", b.Lost)
+	if b.LostDatagrams != 1000-maxPendingDatagrams {
+		t.Errorf("%d were lost", b.LostDatagrams)
 	}
 	w.Inject("b", "a", []byte("x"))
-	a.Stop()
+	a.Pause()
 	w.RunTo(6 * time.Second)
 	a.Start()
 	w.RunTo(6*time.Second + time.Millisecond)
-	if r := a.Actor().(*recorder); len(r.events) != 1 || a.Life() != 2 {
-		t.Errorf("started anew, it was given %d events in life %d", len(r.events), a.Life())
+	if r := a.Actor().(*recorder); len(r.events) != 1 || a.ProcessNumber() != 2 {
+		t.Errorf("started anew, it was given %d events in life %d", len(r.events), a.ProcessNumber())
 	}
 }
 
 func TestLinks(t *testing.T) {
 	w, _, b := pair(1)
-	wrong := w.Net.Break(func(from, to string) bool { return from == "a" && to == "b" }, Cut)
-	other := w.Net.Break(func(string, string) bool { return true }, func(l *Link) { l.Loss, l.Twice = 0.5, 0.5 })
+	wrong := w.Net.AddFault(func(from, to string) bool { return from == "a" && to == "b" }, CutLink)
+	other := w.Net.AddFault(func(string, string) bool { return true }, func(l *Link) { l.Loss, l.Duplicate = 0.5, 0.5 })
 	count := func() int {
 		before := len(b.Actor().(*recorder).events)
 		for range 1000 {
@@ -100,11 +100,11 @@
 	if n := count(); n != 0 {
 		t.Errorf("%d arrived over a link that was cut", n)
 	}
-	w.Net.Mend(wrong)
+	w.Net.RemoveFault(wrong)
 	if n := count(); n < 700 || n > 800 {
 		t.Errorf("%d of 1,000 arrived, where half is lost and half of the rest comes twice", n)
 	}
-	w.Net.Mend(other)
+	w.Net.RemoveFault(other)
 	if n := count(); n != 1000 {
 		t.Errorf("%d of 1,000 arrived over a good link", n)
 	}
@@ -114,9 +114,9 @@
 func TestLostAnswer(t *testing.T) {
 	w, a, _ := pair(1)
 	s := w.AddService()
-	w.Net.Break(func(from, _ string) bool { return from == ServiceName }, Cut)
+	w.Net.AddFault(func(from, _ string) bool { return from == ServiceName }, CutLink)
 	w.call(a, Call{Command: &registry.Command{Op: registry.OpPutRecord, Name: "k", Value: []byte("1")}})
-	w.RunTo(CallMost + time.Millisecond)
+	w.RunTo(CallTimeout + time.Millisecond)
 	if _, there := s.State().Record("k"); !there {
 		t.Error("the command was not carried out")
 	}
@@ -133,13 +133,13 @@
 
 // A schedule is cut down to the faults that break the check.
 func TestShrink(t *testing.T) {
-	kinds := []Kind{Pause, CutOff, Lossy}
-	p := Play{Names: []string{"a", "b"}, Kinds: kinds, Most: 30, Length: 10 * time.Second, Quiet: time.Second, Every: time.Second, Build: func(w *World) []Check {
+	kinds := []FaultKind{Pause, CutOff, Lossy}
+	p := Play{Names: []string{"a", "b"}, Kinds: kinds, MaxFaults: 30, FaultWindow: 10 * time.Second, RecoveryTime: time.Second, CheckInterval: time.Second, Build: func(w *World) []Check {
 		start := func(time.Duration) Actor { return &recorder{wake: time.Second} }
 		a, _ := w.Add("a", start), w.Add("b", start)
 		still, cut := false, false
 		return []Check{{Name: "never both", Throughout: func() error {
-			still, cut = still || a.Still(), cut || !w.Net.Reaches("a", "b")
+			still, cut = still || a.Paused(), cut || !w.Net.Reaches("a", "b")
 			if still && cut {
 				return errors.New("it was both")
 			}
--- a/internal/timeline/cell.go
+++ b/internal/timeline/cell.go
@@ -7,11 +7,11 @@
 	"unicode/utf8"
 )
 
-// texts puts a cell's events into few words: repeats are counted, and what was
+// cellTexts puts a cell's events into few words: repeats are counted, and what was
 // done to several ("suspects n3", "suspects n4") is said once.
-func texts(events []Event) (out []string) {
+func cellTexts(events []Event) (out []string) {
 	type kind struct {
-		word    string
+		phrase  string
 		objects []string
 		times   map[string]int
 	}
@@ -25,7 +25,7 @@
 		}
 		k := byWord[word]
 		if k == nil {
-			k = &kind{word: word, times: map[string]int{}}
+			k = &kind{phrase: word, times: map[string]int{}}
 			byWord[word], kinds = k, append(kinds, k)
 		}
 		if k.times[object]++; k.times[object] == 1 {
@@ -37,19 +37,19 @@
 		for _, o := range k.objects {
 			switch n := k.times[o]; o {
 			case "":
-				out = append(out, k.word+times(n))
+				out = append(out, k.phrase+repeatSuffix(n))
 			default:
-				named = append(named, o+times(n))
+				named = append(named, o+repeatSuffix(n))
 			}
 		}
 		if len(named) > 0 {
-			out = append(out, k.word+" "+strings.Join(named, ", "))
+			out = append(out, k.phrase+" "+strings.Join(named, ", "))
 		}
 	}
 	return out
 }
 
-func times(n int) string {
+func repeatSuffix(n int) string {
 	if n == 1 {
 		return ""
 	}
@@ -90,8 +90,8 @@
 	return lines
 }
 
-// counted says how many more there are, in one piece: "+12" where there is no room for "+12 more".
-func counted(n, width int) string {
+// moreText says how many more there are, in one piece: "+12" where there is no room for "+12 more".
+func moreText(n, width int) string {
 	if more := fmt.Sprintf("+%d more", n); len(more) <= width {
 		return more
 	}
@@ -100,11 +100,11 @@
 
 // cell returns the lines of a cell, the further ones counted.
 func cell(events []Event, width int) (lines []string) {
-	all := texts(events)
+	all := cellTexts(events)
 	for i, text := range all {
 		next := wrap(text, width)
-		if left := len(all) - i; len(lines)+len(next) > mostLines && len(lines) > 0 {
-			return append(lines, counted(left, width))
+		if remaining := len(all) - i; len(lines)+len(next) > maxCellLines && len(lines) > 0 {
+			return append(lines, moreText(remaining, width))
 		}
 		lines = append(lines, next...)
 	}
@@ -113,19 +113,19 @@
 
 // write writes one row: its time, and beside it the cells, as high as the highest.
 func (t table) write(out *strings.Builder, label string, cells map[string][]Event) {
-	high := 1
+	height := 1
 	drawn := make([][]string, len(t.columns))
 	for i, c := range t.columns {
-		drawn[i] = cell(cells[c], t.cells[i])
-		high = max(high, len(drawn[i]))
+		drawn[i] = cell(cells[c], t.cellWidths[i])
+		height = max(height, len(drawn[i]))
 	}
-	for k := range high {
+	for k := range height {
 		var line strings.Builder
 		if k > 0 {
 			label = ""
 		}
-		fmt.Fprintf(&line, "%*s ", t.label, label)
-		for i, w := range t.cells {
+		fmt.Fprintf(&line, "%*s ", t.timeWidth, label)
+		for i, w := range t.cellWidths {
 			text := ""
 			if k < len(drawn[i]) {
 				text = drawn[i][k]
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -21,10 +21,10 @@
 
 // Bounds of a drawing, in runes and lines.
 const (
-	narrowest = 40 // of a drawing, so that there is room for the time and a column
-	usual     = 118
-	leastCell = 6
-	mostLines = 8 // of a cell; what is beyond is counted
+	minWidth     = 40 // of a drawing, so that there is room for the time and a column
+	defaultWidth = 118
+	minCellWidth = 6
+	maxCellLines = 8 // of a cell; what is beyond is counted
 )
 
 // Drawing says how a history is to be drawn.
@@ -51,19 +51,19 @@
 	}
 	out.WriteString("\n")
 	t.write(&out, "time", columnHeads(t.columns))
-	out.WriteString(strings.Repeat("-", t.label+1))
-	for _, w := range t.cells {
+	out.WriteString(strings.Repeat("-", t.timeWidth+1))
+	for _, w := range t.cellWidths {
 		out.WriteString("+" + strings.Repeat("-", w+2))
 	}
 	out.WriteString("\n")
 	for i, r := range rows {
 		if gap := r.at - rows[max(i-1, 0)].at; gap >= d.Fold {
-			fmt.Fprintf(&out, "%*s ~ %s of nothing\n", t.label, "", d.seconds(gap))
+			fmt.Fprintf(&out, "%*s ~ %s of nothing\n", t.timeWidth, "", d.seconds(gap))
 		}
 		t.write(&out, d.seconds(r.at), r.cells)
 	}
-	if n := rest.events + t.hidden(rows); n > 0 {
-		for _, l := range wrap(fmt.Sprintf("(%d more events: %s)", n, strings.Join(append(rest.of, t.left...), ", ")), d.Width) {
+	if n := rest.count + t.countHidden(rows); n > 0 {
+		for _, l := range wrap(fmt.Sprintf("(%d more events: %s)", n, strings.Join(append(rest.columns, t.hiddenColumns...), ", ")), d.Width) {
 			out.WriteString(l + "\n")
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 func (d Drawing) defaults() Drawing {
-	d.Width = max(cmp.Or(d.Width, usual), narrowest)
+	d.Width = max(cmp.Or(d.Width, defaultWidth), minWidth)
 	d.Step = cmp.Or(max(d.Step, 0), 100*time.Millisecond)
 	d.Fold = max(cmp.Or(max(d.Fold, 0), time.Second), d.Step)
 	return d
@@ -100,18 +100,18 @@
 	cells map[string][]Event
 }
 
-// others are the events that belong to no column.
-type others struct {
-	events int
-	of     []string
+// hiddenEvents are the events that belong to no column.
+type hiddenEvents struct {
+	count   int
+	columns []string
 }
 
-func (d Drawing) rows(events []Event) (rows []row, rest others) {
+func (d Drawing) rows(events []Event) (rows []row, rest hiddenEvents) {
 	for _, e := range events {
 		if !slices.Contains(d.Columns, e.Who) {
-			rest.events++
-			if !slices.Contains(rest.of, e.Who) {
-				rest.of = append(rest.of, e.Who)
+			rest.count++
+			if !slices.Contains(rest.columns, e.Who) {
+				rest.columns = append(rest.columns, e.Who)
 			}
 			continue
 		}
@@ -122,60 +122,60 @@
 		r := rows[len(rows)-1]
 		r.cells[e.Who] = append(r.cells[e.Who], e)
 	}
-	slices.Sort(rest.of)
+	slices.Sort(rest.columns)
 	return rows, rest
 }
 
 // table is where the cells stand.
 type table struct {
-	label   int      // the width of the time
-	columns []string // those for which there is room
-	left    []string // the others
-	cells   []int    // widths
+	timeWidth     int      // the width of the time
+	columns       []string // those for which there is room
+	hiddenColumns []string // the others
+	cellWidths    []int    // widths
 }
 
 // layout gives each column the width that it needs, and all an even part where that is too much.
 func (d Drawing) layout(rows []row) table {
-	t := table{label: len("time"), columns: slices.Compact(slices.Clone(d.Columns))}
+	t := table{timeWidth: len("time"), columns: slices.Compact(slices.Clone(d.Columns))}
 	for _, r := range rows {
-		t.label = max(t.label, len(d.seconds(r.at)))
+		t.timeWidth = max(t.timeWidth, len(d.seconds(r.at)))
 	}
-	room := d.Width - t.label - 1
-	if most := max(1, room/(leastCell+3)); len(t.columns) > most {
-		t.columns, t.left = t.columns[:most], t.columns[most:]
+	available := d.Width - t.timeWidth - 1
+	if maxColumns := max(1, available/(minCellWidth+3)); len(t.columns) > maxColumns {
+		t.columns, t.hiddenColumns = t.columns[:maxColumns], t.columns[maxColumns:]
 	}
 	need := make([]int, len(t.columns))
 	for i, c := range t.columns {
-		need[i] = max(leastCell, utf8.RuneCountInString(c))
+		need[i] = max(minCellWidth, utf8.RuneCountInString(c))
 		for _, r := range rows {
-			for _, text := range texts(r.cells[c]) {
+			for _, text := range cellTexts(r.cells[c]) {
 				need[i] = max(need[i], utf8.RuneCountInString(text))
 			}
 		}
 	}
-	t.cells = share(need, room-3*len(need))
+	t.cellWidths = shareWidth(need, available-3*len(need))
 	return t
 }
 
-// share gives each its need, and where all are more than there is, the most needy less.
-func share(need []int, room int) []int {
-	order := make([]int, len(need))
+// shareWidth gives each its need, and where all are more than there is, the most needy less.
+func shareWidth(needed []int, available int) []int {
+	order := make([]int, len(needed))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(need[a], need[b]) })
-	out := make([]int, len(need))
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(needed[a], needed[b]) })
+	widths := make([]int, len(needed))
 	for k, i := range order {
-		out[i] = min(need[i], room/(len(order)-k))
-		room -= out[i]
+		widths[i] = min(needed[i], available/(len(order)-k))
+		available -= widths[i]
 	}
-	return out
+	return widths
 }
 
-// hidden counts the events of columns for which there was no room.
-func (t table) hidden(rows []row) (n int) {
+// countHidden counts the events of columns for which there was no room.
+func (t table) countHidden(rows []row) (n int) {
 	for _, r := range rows {
-		for _, c := range t.left {
+		for _, c := range t.hiddenColumns {
 			n += len(r.cells[c])
 		}
 	}
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -71,13 +71,13 @@
 
 // What a cell leaves out is counted in one piece, also in the narrowest cell and for more events than a cell has lines.
 func TestCountedInOnePiece(t *testing.T) {
-	for width := leastCell; width <= 12; width++ {
+	for width := minCellWidth; width <= 12; width++ {
 		var events []Event
 		for i := range 1000 {
 			events = append(events, Event{What: fmt.Sprintf("e%d", i)})
 		}
 		lines := cell(events, width)
-		if got, want := lines[len(lines)-1], counted(1000-mostLines, width); got != want || len(lines) != mostLines+1 || utf8.RuneCountInString(got) > width {
+		if got, want := lines[len(lines)-1], moreText(1000-maxCellLines, width); got != want || len(lines) != maxCellLines+1 || utf8.RuneCountInString(got) > width {
 			t.Errorf("width %d: the last of %d lines is %q, want %q", width, len(lines), got, want)
 		}
 	}
