--- a/internal/sim/membership/checks.go
+++ b/internal/sim/membership/checks.go
@@ -12,24 +12,29 @@
 
 const (
 	maxDatagramBytes = 256
-	// maxDatagramsPerSecond is the most datagrams a node may send within paceTime, on average a second. Each period of 200 ms
-	// it may begin a probe with three helpers, warn a suspect, tell news, ask a dead member and a seed, and
-	// spend 24 datagrams on digests; besides it answers what it is asked, which is as much again on average.
+	// maxDatagramsPerSecond is the most datagrams a node may send per second, averaged over rateWindow. In each
+	// period of 200 ms a node may begin a probe with three helpers, notify a suspect, send a broadcast, query a
+	// dead member and a seed, and spend 24 datagrams on digests. The answers that the node sends are as many
+	// again on average.
 	maxDatagramsPerSecond = 2 * 5 * (7 + 24)
 	rateWindow            = 10 * time.Second
-	// noAccusationTime is how long a woken node may accuse nobody: the answers to what it sent before it stood still
-	// must come first.
+	// noAccusationTime is how long after a pause a node must not accuse any member: the answers to what the node
+	// sent before the pause must come first.
 	noAccusationTime = 400 * time.Millisecond
-	// noticeablePause is a pause that a node must notice: it waits 60 ms for an answer, and a shorter one is no
-	// lateness.
+	// noticeablePause is the shortest pause that a node must notice. A node waits 60 ms for an answer, so that a
+	// shorter pause does not make it late.
 	noticeablePause = 100 * time.Millisecond
 )
 
-// checks are those that hold throughout, whatever goes wrong.
+// checks returns the checks that must hold at any time, whatever the faults.
 func (f *Fleet) checks() []sim.Check {
-	return append([]sim.Check{f.sizeCheck(), f.paceCheck(), f.generationCheck(), f.accusationCheck()}, f.leaveCheck())
+	return append(
+		[]sim.Check{f.sizeCheck(), f.paceCheck(), f.generationCheck(), f.accusationCheck()},
+		f.leaveCheck(),
+	)
 }
 
+// sizeCheck checks that no node sends a datagram of more than maxDatagramBytes.
 func (f *Fleet) sizeCheck() sim.Check {
 	return sim.Check{Name: "size", Throughout: func() error {
 		for _, e := range f.Nodes {
@@ -41,6 +46,7 @@
 	}}
 }
 
+// paceCheck checks that no node sends more than maxDatagramsPerSecond within rateWindow.
 func (f *Fleet) paceCheck() sim.Check {
 	var windowStart time.Duration
 	sent := map[*sim.Host]int{}
@@ -60,13 +66,13 @@
 	}}
 }
 
-// checkOf returns a check that holds until something is put into the error.
+// checkOf returns a check that holds as long as *broken is nil.
 func checkOf(name string, broken *error) sim.Check {
 	return sim.Check{Name: name, Throughout: func() error { return *broken }}
 }
 
-// generationCheck says that in a process's view no name goes back to a previous generation, even if it was forgotten
-// between.
+// generationCheck checks that no member returns to an earlier generation in the view of a process, even if
+// the process has forgotten the member in the meantime.
 func (f *Fleet) generationCheck() sim.Check {
 	var broken error
 	highest := map[*Node]map[string]uint64{}
@@ -90,7 +96,8 @@
 	return checkOf("lives", &broken)
 }
 
-// accusationCheck says that a node which was woken accuses nobody before it can have heard of anybody.
+// accusationCheck checks that a node does not accuse any member within noAccusationTime after a noticeable
+// pause.
 func (f *Fleet) accusationCheck() sim.Check {
 	var broken error
 	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
@@ -98,14 +105,19 @@
 		accusedByNode := slices.Contains(strings.Split(c.Member.Accusers, ","), n.Name)
 		if c.Member.Health == membership.Suspect && accusedByNode && e.PausedFor >= noticeablePause &&
 			f.World.Now()-e.ResumedAt < noAccusationTime {
-			broken = fmt.Errorf("%s suspects %s %v after it was woken", n.host, c.Member.Name, f.World.Now()-e.ResumedAt)
+			broken = fmt.Errorf(
+				"%s suspects %s %v after it was woken",
+				n.host,
+				c.Member.Name,
+				f.World.Now()-e.ResumedAt,
+			)
 		}
 	})
 	return checkOf("blame", &broken)
 }
 
-// leaveCheck says that whoever has said that it leaves and was gone thereby is not taken for dead by those that
-// knew it, while they remember it and no other process of the name has come.
+// leaveCheck checks that no view changes a member from left to dead within a generation, as long as the view
+// contains the member.
 func (f *Fleet) leaveCheck() sim.Check {
 	var broken error
 	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
@@ -118,8 +130,8 @@
 	return checkOf("left", &broken)
 }
 
-// neverCheck says that nobody is taken for suspect, or dead, by anybody. It is no check for schedules in which
-// that is right.
+// neverCheck checks that no view gives another member the health h. It fits only plays whose faults must not
+// lead to that health.
 func (f *Fleet) neverCheck(name string, h membership.Health) sim.Check {
 	var broken error
 	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
--- a/internal/sim/membership/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -10,30 +10,31 @@
 	"wrenspread/internal/sim"
 )
 
-// startUnixMillis is the wall clock's milliseconds at the beginning of every play, from which lives are drawn.
+// startUnixMillis is the wall clock's Unix time in milliseconds at the beginning of every simulation.
+// Generations are made from the wall clock.
 const startUnixMillis = 1_750_000_000_000
 
-// Fleet is a fleet of nodes in a world.
+// Fleet is a simulated fleet of nodes, one per host.
 type Fleet struct {
 	World        *sim.World
-	Seeds        []string                                            // ends by whose addresses nodes join
-	AdjustConfig func(cfg *membership.Config)                        // changes what a core starts with
+	Seeds        []string                                            // hosts by whose addresses nodes join
+	AdjustConfig func(cfg *membership.Config)                        // if set, changes the config of each core
 	Core         func(cfg membership.Config, now time.Duration) Core // nil: membership.New
-	// how wrong a process's wall clock is at its start; nil: it is right
+	// WallClockError returns the error of a process's wall clock at its start; nil means no error.
 	WallClockError func() (wrong time.Duration)
-	IgnoresPauses  bool        // stand-in: no node notices that it stood still
-	NoNotes        bool        // nothing is said in the timeline
-	Nodes          []*sim.Host // without the strangers
+	IgnoresPauses  bool        // makes a broken variant: no node notices that it was paused
+	NoNotes        bool        // changes of views are not added to the timeline
+	Nodes          []*sim.Host // without the sender of floods
 	watchers       []func(*Node, time.Duration, membership.MemberChanged)
 	addrs          map[string]netip.AddrPort
-	hostNames      map[netip.AddrPort]string
-	recorded       []sentDatagram // to be sent again
+	hostsByAddr    map[netip.AddrPort]string
+	recorded       []sentDatagram // a sample of all datagrams, for the fault "stale"
 	rng            *rand.Rand
 }
 
 // NewFleet returns a fleet without nodes.
 func NewFleet(w *sim.World) *Fleet {
-	return &Fleet{World: w, addrs: map[string]netip.AddrPort{}, hostNames: map[netip.AddrPort]string{}}
+	return &Fleet{World: w, addrs: map[string]netip.AddrPort{}, hostsByAddr: map[netip.AddrPort]string{}}
 }
 
 // Names returns the names of the first n nodes.
@@ -44,35 +45,36 @@
 	return all
 }
 
-// address gives an end an address of its own.
-func (f *Fleet) address(end string) netip.AddrPort {
-	if a, ok := f.addrs[end]; ok {
+// address returns the address of a host; each host gets one of its own at the first call.
+func (f *Fleet) address(host string) netip.AddrPort {
+	if a, ok := f.addrs[host]; ok {
 		return a
 	}
 	i := len(f.addrs) + 1
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7000)
-	f.addrs[end], f.hostNames[a] = a, end
+	f.addrs[host], f.hostsByAddr[a] = a, host
 	return a
 }
 
-// Start starts a node at an end that is not there yet.
-func (f *Fleet) Start(end string) *sim.Host {
-	f.address(end)
-	e := f.World.Add(end, func(now time.Duration) sim.Actor { return f.process(end, now) })
-	f.Nodes = append(f.Nodes, e)
-	return e
+// Start adds a host to the world and starts a node on it.
+func (f *Fleet) Start(host string) *sim.Host {
+	f.address(host)
+	h := f.World.Add(host, func(now time.Duration) sim.Actor { return f.process(host, now) })
+	f.Nodes = append(f.Nodes, h)
+	return h
 }
 
-func (f *Fleet) process(end string, now time.Duration) *Node {
+// process returns a new process of the node on a host.
+func (f *Fleet) process(host string, now time.Duration) *Node {
 	at := f.World.Now()
 	if f.WallClockError != nil {
 		at += f.WallClockError()
 	}
 	cfg := membership.Config{
 		Fleet:      "books",
-		Name:       nameAt(end),
+		Name:       nameAt(host),
 		Number:     -1,
-		Addr:       f.address(end),
+		Addr:       f.address(host),
 		RandomSeed: f.World.Rand().Uint64(),
 		Generation: uint64(
 			startUnixMillis + at.Milliseconds(),
@@ -91,16 +93,16 @@
 	} else {
 		core = membership.New(cfg, now)
 	}
-	return &Node{Core: core, Name: cfg.Name, Generation: cfg.Generation, fleet: f, host: end, aliveCount: 1,
+	return &Node{Core: core, Name: cfg.Name, Generation: cfg.Generation, fleet: f, host: host, aliveCount: 1,
 		self: membership.Member{Name: cfg.Name, Generation: cfg.Generation, Metadata: cfg.Metadata}}
 }
 
-// Watch has every change of any node's view told.
+// Watch calls onChange for every change of any node's view.
 func (f *Fleet) Watch(onChange func(n *Node, now time.Duration, c membership.MemberChanged)) {
 	f.watchers = append(f.watchers, onChange)
 }
 
-// LiveNodes gives the processes that run, stand not still, keep their name and do not leave.
+// LiveNodes returns the processes that run, are not paused, have not yielded their name and do not leave.
 func (f *Fleet) LiveNodes() (all []*Node) {
 	for _, e := range f.Nodes {
 		if n, ok := e.Actor().(*Node); ok && !e.Paused() && !n.yielded && !n.leaving {
@@ -110,7 +112,7 @@
 	return all
 }
 
-// Member returns what a node believes of a name; without a Name if it knows nothing.
+// Member returns the member of that name in the node's view, or a zero Member if the view has none.
 func (n *Node) Member(name string) membership.Member {
 	for _, m := range n.Core.View().Members {
 		if m.Name == name {
@@ -120,7 +122,8 @@
 	return membership.Member{}
 }
 
-// StartAll starts nodes of these names, spread over a time.
+// StartAll starts a node on each of the named hosts, spread evenly over a time. Addresses are assigned at
+// once.
 func (f *Fleet) StartAll(names []string, over time.Duration) {
 	for i, name := range names {
 		f.address(name)
--- a/internal/sim/membership/growth.go
+++ b/internal/sim/membership/growth.go
@@ -9,47 +9,48 @@
 	"wrenspread/internal/sim"
 )
 
-// Growth says what is measured, at one size.
+// Growth describes a measurement of the view's cost and speed in a fleet of one size.
 type Growth struct {
 	Nodes  int
 	Seed   uint64
-	Rival  bool          // everybody asks everybody, instead of the view
-	Losses []float64     // at which false deaths are counted
-	Hours  float64       // node hours of counting, at each loss
-	Cut    time.Duration // of halves, before the heal
-	Moves  int           // deaths and joins in each half, evenly over the cut
+	Rival  bool          // measures the rival, in which every node probes every other, instead of the view
+	Losses []float64     // fractions of lost datagrams at which false deaths are counted
+	Hours  float64       // node hours of counting at each loss
+	Cut    time.Duration // how long the two halves of the fleet are cut off from each other
+	Moves  int           // deaths and joins in each half, spread evenly over the cut
 }
 
-// Grown is what it came to. Times are until all running nodes know, by the changes that they tell; 0: not
-// within mostWait.
+// Grown is the result of a Growth. Its times last until all running nodes have reported the change of their
+// view.
 type Grown struct {
 	Nodes       int
-	Sent, Bytes float64 // a node and second, with nothing happening
-	Joined      time.Duration
-	Join        time.Duration // of one more
-	Death       time.Duration
-	Heal        time.Duration
-	Peak        int       // bytes that one node sent in the worst second of the heal
-	False       []float64 // deaths of running nodes in anybody's view, a node and hour, by loss
+	Sent, Bytes float64       // datagrams and bytes per node and second, in a fleet without changes
+	Joined      time.Duration // of all nodes, after the last start
+	Join        time.Duration // of one more node
+	Death       time.Duration // of one node
+	Heal        time.Duration // of the cut, until all views are complete
+	Peak        int           // most bytes that one node sent in a second of the heal
+	False       []float64     // running nodes that some node took for dead, per node and hour, for each loss
 }
 
 const (
+	// maxWait bounds each measured time; a longer wait is an error.
 	maxWait  = 2 * time.Minute
 	idleTime = 10 * time.Second
 )
 
-// measurement is one measurement under way.
+// measurement is the state of a running Growth.Measure.
 type measurement struct {
 	Growth
-	ctx             context.Context // ends it early, within a second of the fleet's time
+	ctx             context.Context // ends the measurement early, within a second of simulated time
 	world           *sim.World
 	fleet           *Fleet
-	alive           map[string]int // of how many nodes it is known that they have a name alive
-	dead            map[string]int
-	falseDeathCount int // times that a running node, which nobody held dead, was taken for dead by somebody
+	alive           map[string]int // by name: number of views in which the member is alive or suspect
+	dead            map[string]int // by name: number of views in which the member is dead
+	falseDeathCount int            // running nodes that were taken for dead while no other view had them as dead
 }
 
-// Measure plays a fleet of one size through a join, a death, a cut and losses.
+// Measure simulates a fleet of one size through a join, a death, a cut into halves and losses of datagrams.
 func (g Growth) Measure(ctx context.Context) (out Grown, err error) {
 	m := g.begin(ctx)
 	out.Nodes = g.Nodes
@@ -66,7 +67,10 @@
 	victim := names[g.Nodes/2]
 	m.world.Host(victim).Kill()
 	live := g.Nodes - 1
-	if out.Death, err = m.waitFor("a death is known", func() bool { return m.dead[victim] == live }); err != nil {
+	if out.Death, err = m.waitFor(
+		"a death is known",
+		func() bool { return m.dead[victim] == live },
+	); err != nil {
 		return out, err
 	}
 	m.fleet.Start(newcomer)
@@ -76,7 +80,10 @@
 	); err != nil {
 		return out, err
 	}
-	partition := m.world.Net.AddFault(func(from, to string) bool { return m.half(from) != m.half(to) }, sim.CutLink)
+	partition := m.world.Net.AddFault(
+		func(from, to string) bool { return m.half(from) != m.half(to) },
+		sim.CutLink,
+	)
 	for i := range g.Moves {
 		m.run(g.Cut / time.Duration(g.Moves+1))
 		m.replaceNodes(i)
@@ -90,7 +97,7 @@
 	); err != nil {
 		return out, err
 	}
-	m.run(time.Second) // a heal may be shorter than the second that is counted
+	m.run(time.Second) // peak needs a full second, and a heal may be shorter
 	out.Peak = peak()
 	for _, loss := range g.Losses {
 		m.run(5 * time.Second)
@@ -99,28 +106,36 @@
 	return out, ctx.Err()
 }
 
-// replaceNodes ends a node of each half, one that nobody begins with, and starts another in it.
+// replaceNodes kills one node of each half, which is not a seed, and starts a new node in that half.
 func (m *measurement) replaceNodes(i int) {
 	for side := range 2 {
-		index := m.Nodes - 1 - 2*i - side // neighbours are of different halves
+		index := m.Nodes - 1 - 2*i - side // adjacent nodes belong to different halves
 		m.world.Host(Names(m.Nodes)[index]).Kill()
 		m.fleet.Start(fmt.Sprint("late", 2*i+side))
 	}
 }
 
-// run plays on, in steps, unless the measurement is ended.
+// run simulates for a time, in steps, unless the context ends.
 func (m *measurement) run(d time.Duration) {
 	for end := m.world.Now() + d; m.world.Now() < end && m.ctx.Err() == nil; {
 		m.world.RunTo(min(m.world.Now()+time.Second, end))
 	}
 }
 
-// newcomer is the node that joins alone. The rival needs it on its list from the beginning.
+// newcomer is the node that joins alone. The rival needs it in its list of peers from the beginning.
 const newcomer = "x"
 
+// begin prepares a world and a fleet without nodes.
 func (g Growth) begin(ctx context.Context) *measurement {
 	w := sim.New(g.Seed)
-	m := &measurement{Growth: g, ctx: ctx, world: w, fleet: NewFleet(w), alive: map[string]int{}, dead: map[string]int{}}
+	m := &measurement{
+		Growth: g,
+		ctx:    ctx,
+		world:  w,
+		fleet:  NewFleet(w),
+		alive:  map[string]int{},
+		dead:   map[string]int{},
+	}
 	m.fleet.NoNotes = true
 	m.fleet.Seeds = Names(1 + min(g.Moves, 1)) // one in each half
 	if g.Rival {
@@ -131,6 +146,7 @@
 	return m
 }
 
+// memberChanged keeps the counts of views by member health, and the count of false deaths.
 func (m *measurement) memberChanged(_ *Node, _ time.Duration, c membership.MemberChanged) {
 	count := func(x membership.Member, by int) {
 		switch {
@@ -148,7 +164,7 @@
 	}
 }
 
-// complete says that every running node has as many alive as there are.
+// complete reports whether every running node has as many living members as there are running nodes.
 func (m *measurement) complete() bool {
 	live := m.fleet.LiveNodes()
 	for _, n := range live {
@@ -159,10 +175,16 @@
 	return true
 }
 
-func (m *measurement) half(end string) bool { return m.fleet.addrs[end].Addr().As4()[3]%2 == 0 }
+// half reports which half of the fleet a host belongs to, by its address.
+func (m *measurement) half(host string) bool { return m.fleet.addrs[host].Addr().As4()[3]%2 == 0 }
 
+// waitFor simulates until cond holds and returns the time that took. A wait longer than maxWait is an error.
 func (m *measurement) waitFor(what string, cond func() bool) (time.Duration, error) {
-	elapsed, ok := m.world.RunUntil(maxWait, 50*time.Millisecond, func() bool { return m.ctx.Err() != nil || cond() })
+	elapsed, ok := m.world.RunUntil(
+		maxWait,
+		50*time.Millisecond,
+		func() bool { return m.ctx.Err() != nil || cond() },
+	)
 	if err := m.ctx.Err(); err != nil {
 		return 0, err
 	}
@@ -172,6 +194,7 @@
 	return elapsed, nil
 }
 
+// sendRates returns the datagrams and bytes sent per node and second over idleTime.
 func (m *measurement) sendRates() (sent, bytes float64) {
 	count := func() (sent, bytes int) {
 		for _, e := range m.fleet.Nodes {
@@ -186,7 +209,8 @@
 	return float64(s1-s0) / nodeSeconds, float64(b1-b0) / nodeSeconds
 }
 
-// peak gives, call by call, the most bytes that one node has sent in a second so far.
+// peak returns a function that, called often, returns the most bytes that one node has sent in a second so
+// far.
 func (m *measurement) peak() func() int {
 	peak, secondStart, bytesBefore := 0, m.world.Now(), map[string]int{}
 	for _, e := range m.fleet.Nodes {
@@ -203,8 +227,12 @@
 	}
 }
 
+// falseDeaths returns the false deaths per node and hour at a loss of datagrams.
 func (m *measurement) falseDeaths(loss float64) float64 {
-	lossFault := m.world.Net.AddFault(func(string, string) bool { return true }, func(l *sim.Link) { l.Loss = loss })
+	lossFault := m.world.Net.AddFault(
+		func(string, string) bool { return true },
+		func(l *sim.Link) { l.Loss = loss },
+	)
 	defer m.world.Net.RemoveFault(lossFault)
 	m.falseDeathCount = 0
 	duration := time.Duration(m.Hours / float64(m.Nodes) * float64(time.Hour))
--- a/internal/sim/membership/kinds.go
+++ b/internal/sim/membership/kinds.go
@@ -11,8 +11,9 @@
 	"wrenspread/internal/sim"
 )
 
-// The sorts of fault that are about views alone.
+// The kinds of faults that concern views only.
 var (
+	// leaves lets a node leave the fleet, for good or until a new start.
 	leaves = sim.FaultKind{Name: "leave", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{Targets: []string{names[rng.IntN(len(names))]}}
 		if rng.IntN(3) > 0 {
@@ -32,6 +33,7 @@
 			}
 		}
 	}}
+	// joins starts a node that is not in the fleet yet.
 	joins = sim.FaultKind{Name: "join", Draw: func(rng *rand.Rand, _ []string) sim.Fault {
 		return sim.Fault{Targets: []string{fmt.Sprintf("j%d", rng.IntN(1e6))}}
 	}, Start: func(w *sim.World, f sim.Fault) func() {
@@ -41,7 +43,7 @@
 		}
 		return nil
 	}}
-	// twins start a second process of a name on another machine, for a time or for good.
+	// twins starts a second process with the name of a node on another host, for a time or for good.
 	twins = sim.FaultKind{Name: "twin", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{Targets: []string{names[rng.IntN(len(names))]}}
 		if rng.IntN(2) > 0 {
@@ -58,17 +60,23 @@
 		}
 		return func() { w.Note(twin, "killed"); w.Host(twin).Kill() }
 	}}
+	// metadataChanges gives a node other metadata, drawn as a number in Delay.
 	metadataChanges = sim.FaultKind{Name: "facts", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		return sim.Fault{Targets: []string{names[rng.IntN(len(names))]}, Delay: time.Duration(rng.IntN(1000))}
 	}, Start: func(w *sim.World, f sim.Fault) func() {
 		w.Note(f.Targets[0], "changes facts")
 		w.Host(f.Targets[0]).
-			HandleExternal(membership.MetadataChanged{Metadata: membership.Metadata{Zone: "zone-b", Version: "2.1.1", Catalogue: uint64(f.Delay),
-				Load: uint16(f.Delay), State: membership.State(1 + f.Delay%2)}})
+			HandleExternal(membership.MetadataChanged{Metadata: membership.Metadata{
+				Zone:      "zone-b",
+				Version:   "2.1.1",
+				Catalogue: uint64(f.Delay),
+				Load:      uint16(f.Delay),
+				State:     membership.State(1 + f.Delay%2),
+			}})
 		return nil
 	}}
-	// staleDatagrams lets datagrams arrive again that were sent before, by whoever or by the one that is named, to
-	// whomever.
+	// staleDatagrams delivers recorded datagrams again, each to a drawn node. With a target, only datagrams from
+	// that host are delivered.
 	staleDatagrams = sim.FaultKind{Name: "stale", Draw: func(rng *rand.Rand, _ []string) sim.Fault {
 		return sim.Fault{Duration: time.Second + time.Duration(rng.Int64N(int64(10*time.Second)))}
 	}, Start: func(w *sim.World, f sim.Fault) func() {
@@ -79,8 +87,8 @@
 		}
 		return fleetOf(w).repeat(w, 20*time.Millisecond, func(w *sim.World) { fleetOf(w).replay(w, datagrams) })
 	}}
-	// flood lets a stranger send garbage, datagrams of another fleet, and pings of names that nobody knows: 500
-	// a second to each.
+	// flood lets a host outside the fleet send garbage, datagrams of another fleet, and pings from unknown
+	// senders to each node, 500 a second.
 	flood = sim.FaultKind{Name: "flood", Draw: func(rng *rand.Rand, _ []string) sim.Fault {
 		return sim.Fault{Duration: time.Second + time.Duration(rng.Int64N(int64(5*time.Second)))}
 	}, Start: func(w *sim.World, f sim.Fault) func() {
@@ -88,9 +96,10 @@
 	}}
 )
 
+// fleetOf returns the fleet that is simulated in a world.
 func fleetOf(w *sim.World) *Fleet { return w.PlayState.(*Fleet) }
 
-// repeat does something each so often until the result is called.
+// repeat calls do now and at each interval until the returned function is called.
 func (f *Fleet) repeat(w *sim.World, every time.Duration, do func(w *sim.World)) func() {
 	ended := false
 	var run func()
@@ -104,17 +113,17 @@
 	return func() { ended = true }
 }
 
-// sentDatagram is a datagram as it was sent once.
+// sentDatagram is a recorded datagram.
 type sentDatagram struct {
 	from string
 	data []byte
 }
 
-// maxRecorded bounds the datagrams remembered for stale ones: those of the whole play are drawn from, by
-// replacing any of them.
+// maxRecorded bounds the recorded datagrams. Later datagrams replace drawn ones, so that the sample spans the
+// whole simulation.
 const maxRecorded = 2000
 
-// record keeps a drawn part of what is sent.
+// record adds a datagram to the recorded sample; once the sample is full, a draw decides whether.
 func (f *Fleet) record(from string, data []byte) {
 	if len(f.recorded) < maxRecorded {
 		f.recorded = append(f.recorded, sentDatagram{from, data})
@@ -125,6 +134,7 @@
 	}
 }
 
+// replay delivers one drawn datagram to one drawn node.
 func (f *Fleet) replay(w *sim.World, datagrams []sentDatagram) {
 	if len(datagrams) > 0 {
 		s := datagrams[w.Rand().IntN(len(datagrams))]
@@ -132,8 +142,10 @@
 	}
 }
 
+// stranger is the host that sends floods; no node runs on it.
 const stranger = "stranger"
 
+// sendJunk sends one drawn datagram of a flood to every node.
 func (f *Fleet) sendJunk(w *sim.World) {
 	rng := w.Rand()
 	d := wire.Datagram{
--- a/internal/sim/membership/node.go
+++ b/internal/sim/membership/node.go
@@ -1,6 +1,6 @@
-// Package membership plays the nodes' own view of each other (internal/membership) in the simulator: drawn
-// schedules of faults with checks, the kept scenarios, and the growth of its cost with the fleet. It is for
-// tests and for wrenspread-lab.
+// Package membership simulates the nodes' view of each other (internal/membership): random schedules of
+// faults with checks, fixed scenarios whose timelines are in testdata, and the growth of the view's cost with
+// the size of the fleet. Tests and wrenspread-lab use it.
 package membership
 
 import (
@@ -12,28 +12,28 @@
 	"wrenspread/internal/sim"
 )
 
-// Core is the interface of membership.Core, which a rival has too.
+// Core is the interface of membership.Core, which the rival implements too.
 type Core interface {
 	Handle(now time.Duration, e membership.Event) []membership.Action
 	View() membership.View
 }
 
-// Node is one process with a view.
+// Node is one process with a view of the fleet.
 type Node struct {
 	Core       Core
-	Name       string // in the fleet
-	Generation uint64 // at its start
+	Name       string // in the fleet; see nameAt
+	Generation uint64 // of the process, at its start
 
 	fleet      *Fleet
 	host       string
 	wakeAt     time.Duration
-	self       membership.Member // as its own view has it
-	yielded    bool
+	self       membership.Member // the node in its own view
+	yielded    bool              // the process has yielded its name to a later process
 	leaving    bool
-	aliveCount int // members that it holds alive or suspect, itself too
+	aliveCount int // members that are alive or suspect in the view, with the node itself
 }
 
-// Handle has the core do what is due and carries it out.
+// Handle passes the event to the core and returns the effects of the core's actions.
 func (n *Node) Handle(now time.Duration, e sim.Event) []sim.Effect {
 	switch e := e.(type) {
 	case sim.Started, sim.Tick:
@@ -52,7 +52,7 @@
 }
 
 func (n *Node) step(now time.Duration, e membership.Event) (out []sim.Effect) {
-	if n.fleet.IgnoresPauses { // a stand-in that does not notice that it stood still
+	if n.fleet.IgnoresPauses { // broken variant: ticks that fell due during a pause come at their own times
 		for ; n.wakeAt > 0 && n.wakeAt < now-20*time.Millisecond; n.wakeAt += 20 * time.Millisecond {
 			out = append(out, n.effects(n.wakeAt, n.Core.Handle(n.wakeAt, membership.Tick{}))...)
 		}
@@ -60,11 +60,12 @@
 	return append(out, n.effects(now, n.Core.Handle(now, e))...)
 }
 
+// effects translates the actions of the core into effects.
 func (n *Node) effects(now time.Duration, actions []membership.Action) (out []sim.Effect) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Send:
-			if to, ok := n.fleet.hostNames[a.To]; ok {
+			if to, ok := n.fleet.hostsByAddr[a.To]; ok {
 				out = append(out, sim.Send{To: to, Data: a.Data})
 			}
 		case membership.Wake:
@@ -88,10 +89,12 @@
 	return out
 }
 
-// memberChanged keeps count and puts the change into a few words.
+// memberChanged updates aliveCount and self, calls the watchers, and returns the text of the timeline for the
+// change, "" for none.
 func (n *Node) memberChanged(now time.Duration, c membership.MemberChanged) string {
 	m, b := c.Member, c.Before
-	isAlive, wasAlive := m.Name != "" && m.Health <= membership.Suspect, b.Name != "" && b.Health <= membership.Suspect
+	isAlive, wasAlive := m.Name != "" && m.Health <= membership.Suspect,
+		b.Name != "" && b.Health <= membership.Suspect
 	switch {
 	case isAlive && !wasAlive:
 		n.aliveCount++
@@ -131,14 +134,14 @@
 	return m.Health.String() + ": " + m.Name
 }
 
-// twinMark parts a second process of a name from the name: the end n3'b is another machine with a node named
-// n3.
+// twinMark marks a host whose node has the same name as the node of another host: the node of host n3' is
+// named n3.
 const twinMark = "'"
 
-// nameAt is the fleet's name of the node at an end.
-func nameAt(end string) string {
-	name, _, _ := strings.Cut(end, twinMark)
+// nameAt returns the name in the fleet of the node on a host.
+func nameAt(host string) string {
+	name, _, _ := strings.Cut(host, twinMark)
 	return name
 }
 
-func (f *Fleet) addr(end string) netip.AddrPort { return f.addrs[end] }
+func (f *Fleet) addr(host string) netip.AddrPort { return f.addrs[host] }
--- a/internal/sim/membership/play.go
+++ b/internal/sim/membership/play.go
@@ -9,16 +9,16 @@
 	"wrenspread/internal/timeline"
 )
 
-// Options are what a play of the view may be bent by.
+// Options are the parameters of a play.
 type Options struct {
 	Nodes int
-	// Bend, where set, changes a fleet that is not started yet: a broken stand-in.
+	// AlterFleet, if set, changes the fleet before its start. Tests use it to make broken variants.
 	AlterFleet func(f *Fleet)
-	// Took, where set, is told how long after the last fault all views were the same and right.
+	// Took, if set, is called with the time from the end of the last fault until all views were equal and right.
 	Took func(time.Duration)
 }
 
-// Wild draws all that can go wrong, and checks what holds all the same.
+// Wild returns a play with all kinds of faults. It checks what must hold whatever the faults.
 func Wild(o Options) sim.Play {
 	p := basePlay(o)
 	p.Kinds = append(faultKinds(), sim.Kill)
@@ -29,8 +29,8 @@
 	return p
 }
 
-// Mild draws only what a fleet must bear without taking anybody for dead: a bad pair, a lossy network, a
-// short pause.
+// Mild returns a play with only those faults during which no running node may be taken for dead, such as a
+// pair with bad links, a lossy network or a short pause.
 func Mild(o Options) sim.Play {
 	p := basePlay(o)
 	shortPause := sim.Pause
@@ -59,21 +59,25 @@
 	return p
 }
 
-// Pairs draws pairs that can't talk well, and nothing else: others vouch for both, so that nobody is even
-// suspected.
+// Pairs returns a play whose only faults are bad links between two nodes. Other nodes still reach both, so
+// that no node may even be suspected.
 func Pairs(o Options) sim.Play {
 	p := basePlay(o)
-	// groups that found each other first may ask a seed of the others 10 s later
+	// Nodes may join in separate groups first, which query a seed of the other group up to 10 s later.
 	p.WarmUp = 15 * time.Second
-	// so that of three helpers one at least has good links
+	// At most two faults, so that at least one of three helpers has good links.
 	p.Kinds, p.MaxFaults = []sim.FaultKind{sim.OneWay, sim.SlowPair}, 2
 	p.Build = func(w *sim.World) []sim.Check {
 		f := startFleet(w, o)
-		return append(append(f.checks(), f.neverCheck("nobody suspected", membership.Suspect)), f.settleChecks(o.Took)...)
+		return append(
+			append(f.checks(), f.neverCheck("nobody suspected", membership.Suspect)),
+			f.settleChecks(o.Took)...,
+		)
 	}
 	return p
 }
 
+// basePlay returns what all plays of this package have in common.
 func basePlay(o Options) sim.Play {
 	names := Names(o.Nodes)
 	return sim.Play{
@@ -86,8 +90,8 @@
 	}
 }
 
-// startFleet starts a fleet within two seconds; all nodes know all addresses, as a node's settings name its peers.
-// One process in four starts with a wall clock that is up to ten minutes wrong.
+// startFleet starts a fleet within two seconds. All nodes have all addresses as seeds, as a node's settings
+// name its peers. One process in four starts with a wall clock that is wrong by up to ten minutes.
 func startFleet(w *sim.World, o Options) *Fleet {
 	f := NewFleet(w)
 	w.PlayState = f
--- a/internal/sim/membership/rival.go
+++ b/internal/sim/membership/rival.go
@@ -7,12 +7,13 @@
 	"wrenspread/internal/membership"
 )
 
-// rivalMaxMisses is after how many periods without an answer the rival takes a member for dead: 2 s, about as
-// long as the view needs.
+// rivalMaxMisses is how many periods without an answer the rival tolerates before it takes a member for dead:
+// 2 s, about as long as the view needs.
 const rivalMaxMisses = 10
 
-// rival is the plainest view: everybody asks everybody on a fixed list, each period, and believes only
-// itself. It has the interface of membership.Core, so that it is measured in the same way.
+// rival is the simplest view, measured for comparison: each node probes every peer on a fixed list in each
+// period and relies on its own probes only. It has the interface of membership.Core, so that it is measured
+// the same way.
 type rival struct {
 	cfg        membership.Config
 	peers      []rivalPeer
@@ -38,14 +39,16 @@
 	return r
 }
 
-// View is empty: what the rival believes is told by its changes alone.
+// View returns a view without members: the rival reports its members by MemberChanged actions only.
 func (r *rival) View() membership.View { return membership.View{Self: r.cfg.Name} }
 
+// The first byte of a rival's datagram.
 const (
 	rivalPing = iota
 	rivalAnswer
 )
 
+// Handle answers probes, takes answers, and at each period probes all peers and reports dead ones.
 func (r *rival) Handle(now time.Duration, e membership.Event) (out []membership.Action) {
 	switch e := e.(type) {
 	case membership.Received:
@@ -81,6 +84,7 @@
 	return out
 }
 
+// setMember sets the peer's member and returns the report of the change.
 func (p *rivalPeer) setMember(m membership.Member) membership.Action {
 	before := p.member
 	p.member = m
--- a/internal/sim/membership/scenarios.go
+++ b/internal/sim/membership/scenarios.go
@@ -11,25 +11,26 @@
 	"wrenspread/internal/timeline"
 )
 
-// Scenario is one hard case, played always the same, so that its drawing can be kept and read.
+// Scenario is one fixed schedule of faults, simulated the same way each time, whose drawing is in testdata.
 type Scenario struct {
 	Name    string
-	Caption string // what is to be seen, and why it must be so
+	Caption string // what the drawing shows, and why that is right
 	Nodes   int
-	Seeds   []string // nil: n1 is the one known address
+	Seeds   []string // nil: n1 is the only seed
 	WarmUp  time.Duration
-	// Faults begin after Warm, which is not drawn.
+	// Faults begin after WarmUp, which is not drawn.
 	Faults  []sim.Fault
 	Length  time.Duration
-	Columns []string // nil: the nodes
+	Columns []string // of the drawing; nil: the nodes
 	Step    time.Duration
 	Fold    time.Duration
-	// Spared are nodes that nobody may take for dead, as nothing is wrong with them. nil: all.
+	// NeverDead lists the nodes that no view may have as dead, as no fault hits them; nil means all nodes.
 	NeverDead []string
 }
 
-// Play plays a scenario and gives its drawing. It is an error if a spared node was taken for dead, a check
-// was broken, or the views are not the same and right at the end.
+// Play simulates the scenario and returns its drawing. It returns an error if a NeverDead node was taken for
+// dead, a check failed, or the views are not equal and right at the end. alter, if set, changes the fleet
+// before its start.
 func (s Scenario) Play(alter func(*Fleet)) (string, error) {
 	w := sim.New(7)
 	f := NewFleet(w)
@@ -85,6 +86,7 @@
 	return d.Draw(events), nil
 }
 
+// faultKinds returns the kinds of faults that scenarios may use; Wild draws from them too.
 func faultKinds() []sim.FaultKind {
 	return []sim.FaultKind{
 		sim.Kill,
--- a/internal/sim/membership/settled.go
+++ b/internal/sim/membership/settled.go
@@ -8,29 +8,29 @@
 	"wrenspread/internal/sim"
 )
 
-// SettleTime is the stated time after the last fault in which all views are the same and right. It is the sum of
-// the longest waits: a node that has just been accused by one is suspect for three times the joint time (6 s
-// in a fleet of 30), holds its own accusations back for 10 s where many probes fail, and asks a dead member
-// each second, and a seed each ten.
+// SettleTime is the promised time after the last fault within which all views are equal and right. It is the
+// sum of the longest waits: a node accused by a single member is suspect for three times the suspicion
+// timeout with three accusers (6 s in a fleet of 30), suppresses its own accusations for 10 s while many
+// probes fail, queries a dead member each second, and a seed every ten seconds.
 const SettleTime = 30 * time.Second
 
-// viewSnapshot is a picture of all live nodes' views.
+// viewSnapshot holds the views of all live nodes at one time.
 type viewSnapshot struct {
-	nodes []*Node
-	views []membership.View
-	names map[string]*Node
+	nodes  []*Node
+	views  []membership.View
+	byName map[string]*Node
 }
 
 func (f *Fleet) snapshot() viewSnapshot {
-	l := viewSnapshot{nodes: f.LiveNodes(), names: map[string]*Node{}}
+	l := viewSnapshot{nodes: f.LiveNodes(), byName: map[string]*Node{}}
 	for _, n := range l.nodes {
 		l.views = append(l.views, n.Core.View())
-		l.names[n.Name] = n
+		l.byName[n.Name] = n
 	}
 	return l
 }
 
-// same reports whether all have one digest.
+// same returns an error unless all views have the same digest and each node's current generation.
 func (l viewSnapshot) same() error {
 	for i, v := range l.views {
 		if v.Digest != l.views[0].Digest {
@@ -43,7 +43,7 @@
 			)
 		}
 		for _, m := range v.Members {
-			if n := l.names[m.Name]; i == 0 && n != nil && m.Generation != n.self.Generation {
+			if n := l.byName[m.Name]; i == 0 && n != nil && m.Generation != n.self.Generation {
 				return fmt.Errorf(
 					"%s has %s in life %d, which is in life %d",
 					v.Self,
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// complete reports whether every live node is alive in every view.
+// complete returns an error unless every live node is alive in every view.
 func (l viewSnapshot) complete() error {
 	for _, v := range l.views {
 		alive := map[string]bool{}
@@ -73,11 +73,11 @@
 	return nil
 }
 
-// clean reports whether nobody else is alive in any view.
+// clean returns an error if a view has a member alive or suspect that is not a live node.
 func (l viewSnapshot) clean() error {
 	for _, v := range l.views {
 		for _, m := range v.Members {
-			if m.Health <= membership.Suspect && l.names[m.Name] == nil {
+			if m.Health <= membership.Suspect && l.byName[m.Name] == nil {
 				return fmt.Errorf("%s has %s %v, of which no process runs", v.Self, m.Name, m.Health)
 			}
 		}
@@ -85,17 +85,17 @@
 	return nil
 }
 
-// uniqueNames reports whether of several processes with one name one at most goes on.
+// uniqueNames returns an error if several live processes have the same name.
 func (l viewSnapshot) uniqueNames() error {
 	for _, n := range l.nodes {
-		if other := l.names[n.Name]; other != n {
+		if other := l.byName[n.Name]; other != n {
 			return fmt.Errorf("%s and %s both go on as %s", n.host, other.host, n.Name)
 		}
 	}
 	return nil
 }
 
-// Settled says what is still missing until all views are the same and right.
+// Settled returns nil if all views are equal and right, or else the first difference.
 func (f *Fleet) Settled() error {
 	l := f.snapshot()
 	for _, cond := range []func() error{l.uniqueNames, l.complete, l.clean, l.same} {
@@ -106,7 +106,8 @@
 	return nil
 }
 
-// settleChecks returns the checks of what must come true within Settle after the last fault.
+// settleChecks returns the checks of what must come true within SettleTime after the last fault. took, if
+// set, is called with the time that the last of these checks needed.
 func (f *Fleet) settleChecks(took func(time.Duration)) (all []sim.Check) {
 	var began time.Duration
 	add := func(name string, cond func(viewSnapshot) error) {
