--- a/internal/sim/subset/checks.go
+++ b/internal/sim/subset/checks.go
@@ -8,19 +8,20 @@
 	"wrenspread/internal/sim"
 )
 
-// maxCalls is how many calls a node makes, once nothing changes any more, until it has the newest version of
-// the part that it is to follow: one that is lost or passed over at each of two replicas, a watch, the move,
-// a wider part, and a watch that finds nothing new. Calls whose answer is held back for holdBack are not
-// counted: these are a matter of time.
+// maxCalls is the most calls that a node may make, after the last change, until it has the newest version of
+// its target subset: one that is lost or discarded as too old at each of two replicas, a watch, the move to
+// another subset, a wider subset, and a watch that finds nothing new. Calls whose answer is deferred for
+// newEpochDelay do not count, as their number depends on the time.
 const maxCalls = 6
 
-// checkView checks what a node believes after an answer.
+// checkView checks the view of a node after an answer, and notes when the node has the newest version of its
+// target.
 func (f *Fleet) checkView(n *node, v client.List) {
 	if err := f.history[v.Epoch].differs(v); err != nil {
 		f.violate("exact", n, err)
 	}
 	if highest := n.highestVersions[v.Epoch]; v.Version < highest {
-		f.violate("forward", n, fmt.Errorf("version %d of %s after %d", v.Version, v.Epoch, highest))
+		f.violate("forward", n, fmt.Errorf("version %d of epoch %s after version %d", v.Version, v.Epoch, highest))
 	}
 	n.highestVersions[v.Epoch] = max(n.highestVersions[v.Epoch], v.Version)
 	if !n.settled && v.Epoch == f.leader.Epoch() && v.Version == f.leader.Version() && n.target == n.current {
@@ -28,6 +29,7 @@
 	}
 }
 
+// violate stores the first violation of a check.
 func (f *Fleet) violate(check string, n *node, err error) {
 	if f.violations[check] == nil {
 		f.violations[check] = fmt.Errorf("%s: %w", n.name, err)
@@ -37,23 +39,23 @@
 func (f *Fleet) checks() []sim.Check {
 	broken := func(name string) func() error { return func() error { return f.violations[name] } }
 	return []sim.Check{
-		// what a node has at a version is the list of that version within its part
+		// A node's view at a version is the list of that version within the node's subset.
 		{Name: "exact", Throughout: broken("exact")},
-		// its version never goes back within an epoch, as long as it runs
+		// The version of a running node never decreases within an epoch.
 		{Name: "forward", Throughout: broken("forward")},
 		{Name: "newest", AtEnd: f.newestCheck},
 		{Name: "held", AtEnd: f.coverageCheck},
 	}
 }
 
-// newestCheck says that each node has come to the newest version, and its part, within mostCalls.
+// newestCheck checks that each node has reached the newest version and its target subset within maxCalls.
 func (f *Fleet) newestCheck() error {
 	for _, name := range names(len(f.nodes), "n") {
 		n := f.nodes[name]
 		v := n.view
 		if !n.settled || n.callsToSettle > maxCalls {
 			return fmt.Errorf(
-				"%s has version %d of %s, not %d of %s, and follows %s, not %s, after %d calls",
+				"%s has version %d of epoch %s, want %d of %s, and follows subset %s, want %s, after %d calls",
 				name,
 				v.Version,
 				v.Epoch,
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// coverageCheck says that every server that is ready is known as that to some node.
+// coverageCheck checks that every ready endpoint is ready in the view of at least one node.
 func (f *Fleet) coverageCheck() error {
 	known := map[string]bool{}
 	for _, n := range f.nodes {
@@ -78,7 +80,7 @@
 	}
 	for _, name := range f.endpointNames() {
 		if f.endpoints[name].Status == registry.Ready && !known[name] {
-			return fmt.Errorf("nobody has %s", name)
+			return fmt.Errorf("no node has endpoint %s as ready", name)
 		}
 	}
 	return nil
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -1,20 +1,22 @@
-// Package subset plays subscriptions to subsets of the endpoint list: nodes that follow theirs at one or
-// three replicas, on a fake clock and a drawn network, with faults drawn by a seed.
+// Package subset simulates subscriptions to subsets of the endpoint list: nodes that follow their subsets at
+// one or three replicas, on a simulated clock and network, with random faults that follow from a seed.
 //
-// Real, line for line: registry.State (SubsetSince, HasNewer, restore), the client's ListState (Next, Apply,
-// List) and registry.Subset (Next).
+// The simulation runs the real code of registry.State (SubsetSince, HasNewer, restore), of the client's
+// ListState (Next, Apply, List) and of registry.Subset (Next).
 //
-// What stands in for the rest. A log, whose entries each replica applies after a moment, stands for raft:
-// writes never fail, and no replica answers without what is older than mostLag, less than the time for which
-// a list of another epoch is held back. A replica holds a watch until Newer, in place of the server's hub,
-// and refuses whoever is ahead of it; nothing is paced, and answers pass without their JSON. A node's own
-// loop stands for the client's (ask, fit, settle, widens): it moves at the next call, not after a drawn time,
-// watches once between two tries at a move, and takes a part that is too narrow before it reads the wider
-// one.
+// Models replace the rest. A log whose entries each replica applies after a short delay replaces raft: writes
+// never fail, and every replica has applied all entries older than maxLag when it answers. maxLag is shorter
+// than the time for which a list of another epoch is deferred. A replica keeps a watch open until HasNewer,
+// in place of the server's hub, and refuses a caller with a newer version than its own. Nothing is paced, and
+// answers are passed without their JSON encoding. A loop of the node replaces the client's (nextRead,
+// matchSubset, chooseSubset, widensSubset): the node moves to another subset at its next call instead of
+// after a drawn time, watches once between two attempts to move, and takes a subset that is too narrow before
+// it reads the wider one.
 //
-// Thirteen nodes stand for a fleet that they believe to be of hundreds. With under 5,461 servers no part is
-// narrower than an eighth of the ring, of which three quarters follow the node's place, and no gap between
-// thirteen places is wider than 0.0902 of the ring. So these alone must hold every server.
+// Thirteen nodes represent a fleet whose configured size is hundreds of nodes. With fewer than 5,461
+// endpoints no subset is narrower than an eighth of the ring, of which three quarters follow the node's start
+// position, and no gap between the thirteen start positions is wider than 0.0902 of the ring. So the thirteen
+// nodes alone must cover every endpoint.
 package subset
 
 import (
@@ -30,46 +32,53 @@
 
 const (
 	nodeCount     = 13
-	watchTimeout  = 5 * time.Second         // of a watch
-	answerGrace   = 1500 * time.Millisecond // for an answer, past the hold
-	newEpochDelay = 6 * time.Second         // of a list of another epoch
-	maxLag        = 5 * time.Second         // of a replica's log
+	watchTimeout  = 5 * time.Second         // how long a replica keeps a quiet watch open
+	answerGrace   = 1500 * time.Millisecond // how long after the watch timeout a node waits for the answer
+	newEpochDelay = 6 * time.Second         // how long a node defers a list of another epoch
+	maxLag        = 5 * time.Second         // the most that a replica's applied entries are behind the log
 )
 
-// Fleet is the nodes, the replicas, and what the list was at each version.
+// Fleet holds the simulated nodes and replicas, the log, and what the list was at each version.
 type Fleet struct {
 	World    *sim.World
 	Replicas []string
-	// stand-in: changes an answer; nil: none does
+	// AlterAnswer, if set, changes each answer, to make a broken variant.
 	AlterAnswer func(q query, a *registry.ListResponse)
-	// a node's choice
-	NextSubset func(has registry.Subset, self, nodes, total int, entries []registry.Endpoint, g []registry.Placement) registry.Subset
-	// stand-in: nodes begin anew at another replica after each watch
+	// NextSubset chooses the subset that a node should follow; broken variants replace it.
+	NextSubset func(
+		has registry.Subset,
+		self, nodes, total int,
+		entries []registry.Endpoint,
+		g []registry.Placement,
+	) registry.Subset
+	// ForgetsList makes a broken variant: after each watch a node drops its list and reads from another replica.
 	ForgetsList bool
 
 	leader      *registry.State
 	log         []logEntry
 	disks       map[string]*disk
-	nodes       map[string]*node // the last process of each
-	fleetSizes  map[string]int   // of the fleet, in each node's settings
-	cachedLists map[string]client.List
+	nodes       map[string]*node       // by name: the latest process
+	fleetSizes  map[string]int         // by node: the size of the fleet in the node's settings
+	cachedLists map[string]client.List // by node: the list on the node's disk
 	epochCount  int
 
-	endpoints  map[string]registry.Endpoint // the list, kept apart from State
+	endpoints  map[string]registry.Endpoint // the present list by name, tracked independently of State
 	history    map[string]*history          // by epoch
-	violations map[string]error             // by check, the first
+	violations map[string]error             // by check: the first violation
 	messages   messageStore
 }
 
-// logEntry is an entry of the log.
+// logEntry is a command in the log that all replicas apply.
 type logEntry struct {
 	at             time.Duration
-	afterStateLoss bool // the state is lost before it
+	afterStateLoss bool // the service has lost its state just before this entry
 	registry.Command
 }
 
+// placements is what nodes pass to NextSubset as their policies' placements.
 var placements = []registry.Placement{{}, {Types: []string{"big"}}}
 
+// names returns n names of a prefix and a number from 1.
 func names(n int, prefix string) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprint(prefix, i+1))
@@ -77,7 +86,7 @@
 	return all
 }
 
-// newFleet returns a fleet without nodes, before a list of total servers.
+// newFleet returns a fleet without nodes and a list of total endpoints.
 func newFleet(w *sim.World, replicas, total int) *Fleet {
 	f := &Fleet{
 		World:       w,
@@ -100,7 +109,7 @@
 	return f
 }
 
-// start starts the replicas, and nodes that have the fleet's size in their settings.
+// start starts the replicas, and nodes that have the given size of the fleet in their settings.
 func (f *Fleet) start(size int, nodes []string) {
 	for _, name := range f.Replicas {
 		f.disks[name] = &disk{state: registry.NewState()}
@@ -110,7 +119,7 @@
 		f.fleetSizes[name] = size
 		f.World.Add(name, func(time.Duration) sim.Actor {
 			n := &node{fleet: f, name: name, highestVersions: map[string]uint64{}}
-			_, _ = fmt.Sscanf(name, "n%d", &n.index) // names are made here
+			_, _ = fmt.Sscanf(name, "n%d", &n.index) // names() made the name
 			n.index--
 			n.replicaIndex = n.index % len(f.Replicas)
 			f.nodes[name] = n
@@ -119,6 +128,7 @@
 	}
 }
 
+// newEndpoint returns a ready endpoint; every twelfth is of type big.
 func newEndpoint(prefix string, i int) registry.Endpoint {
 	e := registry.Endpoint{
 		Name:    fmt.Sprint(prefix, "-", i),
@@ -134,13 +144,14 @@
 	return e
 }
 
-// beginEpoch begins a list without servers, in an epoch of its own.
+// beginEpoch loses the state and begins an empty list in a new epoch.
 func (f *Fleet) beginEpoch() {
 	f.leader = registry.NewState()
 	f.endpoints = map[string]registry.Endpoint{}
 	f.write(registry.Command{Op: registry.OpBegin, Epoch: f.newEpoch()}, true)
 }
 
+// newEpoch returns the name of a new epoch with an empty history.
 func (f *Fleet) newEpoch() string {
 	f.epochCount++
 	e := fmt.Sprint("E", f.epochCount)
@@ -148,7 +159,7 @@
 	return e
 }
 
-// write has a command carried out and logged.
+// write carries out a command at the leader and appends it to the log.
 func (f *Fleet) write(c registry.Command, lost bool) registry.Result {
 	r := f.leader.Apply(c)
 	f.log = append(f.log, logEntry{f.World.Now(), lost, c})
@@ -172,6 +183,7 @@
 	f.changeEndpoint(e, registry.Command{Op: registry.OpRemove, Name: name})
 }
 
+// changeEndpoint writes the command that gives an endpoint the state e, and records e in the history.
 func (f *Fleet) changeEndpoint(e registry.Endpoint, c registry.Command) {
 	r := f.write(c, false)
 	if f.endpoints[e.Name] == e {
@@ -183,11 +195,11 @@
 	f.history[f.leader.Epoch()].add(r.Version, e)
 }
 
-// backup gives what puts today's list back.
+// backup takes a snapshot and returns a function that restores the snapshot in a new epoch.
 func (f *Fleet) backup() (restore func()) {
 	snapshot, err := f.leader.EncodeSnapshot()
 	if err != nil {
-		panic(err) // it is ours
+		panic(err) // the simulation's own state must be encodable
 	}
 	endpoints := maps.Clone(f.endpoints)
 	return func() {
@@ -207,10 +219,10 @@
 	}
 }
 
-// endpointNames gives the names of the list, in their order.
+// endpointNames returns the names of all endpoints of the list, sorted.
 func (f *Fleet) endpointNames() []string { return slices.Sorted(maps.Keys(f.endpoints)) }
 
-// resetCallCounts says that something has changed: calls are counted from here.
+// resetCallCounts marks a change: each node has maxCalls from now on to reach the newest version.
 func (f *Fleet) resetCallCounts() {
 	for _, n := range f.nodes {
 		n.calls, n.settled = 0, false
--- a/internal/sim/subset/history.go
+++ b/internal/sim/subset/history.go
@@ -9,11 +9,11 @@
 	"wrenspread/internal/registry/client"
 )
 
-// history is what the list was at each version of an epoch, kept by name, in order, and without the list's
-// own code.
+// history records the list at each version of an epoch, sorted by endpoint name. It uses none of the list's
+// own code, so that it can check that code.
 type history struct{ endpoints []endpointHistory }
 
-// endpointHistory is what a server was.
+// endpointHistory records all changes of an endpoint, oldest first.
 type endpointHistory struct {
 	name     string
 	position uint64
@@ -32,12 +32,16 @@
 		func(p endpointHistory, name string) int { return cmp.Compare(p.name, name) },
 	)
 	if !found {
-		h.endpoints = slices.Insert(h.endpoints, i, endpointHistory{name: e.Name, position: registry.Position(e.Name)})
+		h.endpoints = slices.Insert(
+			h.endpoints,
+			i,
+			endpointHistory{name: e.Name, position: registry.Position(e.Name)},
+		)
 	}
 	h.endpoints[i].changes = append(h.endpoints[i].changes, change{version, e})
 }
 
-// endpointAt is what the server was at a version, nil where it was not listed.
+// endpointAt returns the endpoint at a version, nil if it was not in the list.
 func (p *endpointHistory) endpointAt(version uint64) *registry.Endpoint {
 	for i := len(p.changes) - 1; i >= 0; i-- {
 		if c := &p.changes[i]; c.version <= version {
@@ -50,7 +54,8 @@
 	return nil
 }
 
-// differs says in what a view, which is by name, is not the list of its version within its part.
+// differs returns an error if a view, which is sorted by name, is not the list of the view's version within
+// its subset.
 func (h *history) differs(v client.List) error {
 	matched, remaining := 0, v.Endpoints
 	for i := range h.endpoints {
@@ -58,16 +63,22 @@
 		if !v.Subset.Contains(p.position) {
 			continue
 		}
-		for len(remaining) > 0 && remaining[0].Name < p.name { // not of the part
+		for len(remaining) > 0 && remaining[0].Name < p.name { // outside the subset
 			remaining = remaining[1:]
 		}
 		want, found := p.endpointAt(v.Version), len(remaining) > 0 && remaining[0].Name == p.name
 		switch {
 		case want != nil && !found:
-			return fmt.Errorf("%s of %s at version %d lacks %s", v.Subset, v.Epoch, v.Version, p.name)
+			return fmt.Errorf(
+				"subset %s of epoch %s at version %d lacks endpoint %s",
+				v.Subset,
+				v.Epoch,
+				v.Version,
+				p.name,
+			)
 		case want == nil && found:
 			return fmt.Errorf(
-				"%s of %s at version %d still has %s as %s",
+				"subset %s of epoch %s at version %d still has endpoint %s as %s",
 				v.Subset,
 				v.Epoch,
 				v.Version,
@@ -76,7 +87,7 @@
 			)
 		case want != nil && remaining[0] != *want:
 			return fmt.Errorf(
-				"%s of %s at version %d has %s as %s, not %s",
+				"subset %s of epoch %s at version %d has endpoint %s as %s, want %s",
 				v.Subset,
 				v.Epoch,
 				v.Version,
@@ -90,7 +101,7 @@
 	}
 	if matched != len(v.Endpoints) {
 		return fmt.Errorf(
-			"%s of %s at version %d has %d servers that are not of the part",
+			"subset %s of epoch %s at version %d has %d endpoints outside the subset",
 			v.Subset,
 			v.Epoch,
 			v.Version,
--- a/internal/sim/subset/kinds.go
+++ b/internal/sim/subset/kinds.go
@@ -11,13 +11,16 @@
 	"wrenspread/internal/sim"
 )
 
+// fleetOf returns the fleet that is simulated in a world.
 func fleetOf(w *sim.World) *Fleet { return w.PlayState.(*Fleet) }
 
+// randomDuration draws a duration from lowest to below highest.
 func randomDuration(rng *rand.Rand, lowest, highest time.Duration) time.Duration {
 	return lowest + time.Duration(rng.Int64N(int64(highest-lowest)))
 }
 
-// drawLasting gives a Draw of faults that last up to most; who gives what else is drawn.
+// drawLasting returns a Draw of faults that last from a twentieth of longest up to longest, or without a
+// duration if longest is 0. drawTargets draws the targets, which may be any arguments of the fault.
 func drawLasting(
 	longest time.Duration,
 	drawTargets func(rng *rand.Rand, names []string) []string,
@@ -31,18 +34,20 @@
 	}
 }
 
+// pickOne draws one of the names.
 func pickOne(rng *rand.Rand, names []string) []string { return []string{names[rng.IntN(len(names))]} }
 
-// pickSome picks a drawn number of names.
+// pickSome draws at least one of the names, at most all.
 func pickSome(rng *rand.Rand, all []string) []string {
 	all = slices.Clone(all)
 	rng.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
 	return all[:1+rng.IntN(len(all))]
 }
 
+// randomNumber draws a number from 1 to highest, as text for the targets of a fault.
 func randomNumber(rng *rand.Rand, highest int) string { return strconv.Itoa(1 + rng.IntN(highest)) }
 
-// numberAt returns a number that a fault has drawn.
+// numberAt returns target k of a fault as the number that randomNumber drew.
 func numberAt(f sim.Fault, k int) int {
 	n, _ := strconv.Atoi(f.Targets[k])
 	return n
@@ -56,8 +61,9 @@
 	return slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n[0] != 'r' })
 }
 
-// The sorts of fault that are about parts alone.
+// The kinds of faults that concern the endpoint list and its subsets only.
 var (
+	// registers adds a drawn number of endpoints with a drawn prefix.
 	registers = sim.FaultKind{Name: "register", Draw: drawLasting(0, func(rng *rand.Rand, _ []string) []string {
 		return []string{fmt.Sprint("j", rng.IntN(1e6)), randomNumber(rng, 150)}
 	}), Start: func(w *sim.World, f sim.Fault) func() {
@@ -67,12 +73,16 @@
 		}
 		return nil
 	}}
+	// drains and removes drain or remove drawn endpoints.
 	drains  = endpointChange("drain", (*Fleet).drain)
 	removes = endpointChange("remove", (*Fleet).remove)
-	// racks take all servers of a sixteenth of the ring away, and bring them back.
+	// racks removes all endpoints in a sixteenth of the ring, and registers them again at its end.
 	racks = sim.FaultKind{
 		Name: "rack",
-		Draw: drawLasting(20*time.Second, func(rng *rand.Rand, _ []string) []string { return []string{randomNumber(rng, 16)} }),
+		Draw: drawLasting(
+			20*time.Second,
+			func(rng *rand.Rand, _ []string) []string { return []string{randomNumber(rng, 16)} },
+		),
 		Start: func(w *sim.World, f sim.Fault) func() {
 			lost := slices.DeleteFunc(
 				fleetOf(w).endpointNames(),
@@ -92,7 +102,7 @@
 			}
 		},
 	}
-	// resizes put another size of the fleet into the settings of some nodes.
+	// resizes changes the size of the fleet in the settings of some nodes.
 	resizes = sim.FaultKind{Name: "resize", Draw: drawLasting(0, func(rng *rand.Rand, names []string) []string {
 		sizes := []string{"1", "150", "300", "600", "2000"}
 		return append([]string{sizes[rng.IntN(len(sizes))]}, pickSome(rng, nodesAmong(names))...)
@@ -103,7 +113,7 @@
 		}
 		return nil
 	}}
-	// lagging lets a replica apply nothing younger than mostLag.
+	// lagging stops a replica from applying log entries younger than maxLag.
 	lagging = sim.FaultKind{
 		Name: "lag",
 		Draw: drawLasting(
@@ -119,9 +129,12 @@
 			}
 		},
 	}
-	// kills end processes; one of three replicas may be lost for good, and a node's cached list with it.
+	// kills kills a process until its end. Replica r3 may be killed for good. A node may lose its cached list.
 	kills = sim.FaultKind{Name: "kill", Draw: func(rng *rand.Rand, names []string) sim.Fault {
-		f := sim.Fault{Targets: pickOne(rng, names), Duration: randomDuration(rng, 100*time.Millisecond, 15*time.Second)}
+		f := sim.Fault{
+			Targets:  pickOne(rng, names),
+			Duration: randomDuration(rng, 100*time.Millisecond, 15*time.Second),
+		}
 		if f.Targets[0] == "r3" && rng.IntN(2) == 0 {
 			f.Duration = 0
 		}
@@ -140,7 +153,8 @@
 		}
 		return nil
 	}}
-	// stateLosses are of the service's state: it begins anew, and the servers' agents register within seconds.
+	// stateLosses loses the service's state. The service begins an empty list in a new epoch, and the endpoints'
+	// agents register again within seconds.
 	stateLosses = sim.FaultKind{
 		Name: "state lost",
 		Draw: drawLasting(0, func(*rand.Rand, []string) []string { return nil }),
@@ -164,7 +178,7 @@
 			return nil
 		},
 	}
-	// restores put back at their end what was there at their beginning.
+	// restores takes a snapshot of the list at its start and restores the snapshot at its end.
 	restores = sim.FaultKind{
 		Name: "restore",
 		Draw: drawLasting(15*time.Second, func(*rand.Rand, []string) []string { return nil }),
@@ -176,7 +190,8 @@
 	}
 )
 
-// endpointChange has something done to drawn servers, by their order.
+// endpointChange returns a kind of fault that calls do for every seventh endpoint from a drawn one on, up to
+// a drawn number of them.
 func endpointChange(name string, do func(*Fleet, string)) sim.FaultKind {
 	return sim.FaultKind{
 		Name: name,
@@ -197,7 +212,7 @@
 	}
 }
 
-// countingCalls has the calls counted from a fault's beginning, and from its end.
+// countingCalls returns the kind k with call counts that are reset at the fault's start and at its end.
 func countingCalls(k sim.FaultKind) sim.FaultKind {
 	do := k.Start
 	k.Start = func(w *sim.World, f sim.Fault) func() {
--- a/internal/sim/subset/mail.go
+++ b/internal/sim/subset/mail.go
@@ -6,15 +6,16 @@
 	"wrenspread/internal/sim"
 )
 
-// messageStore is what messages stand for, as answers go without their JSON. Those to a node are let go at its next
-// call, after which it takes none of them; calls, which are small, are kept.
+// messageStore holds the contents of simulated messages: a datagram carries only the key of its content, so
+// that answers need no JSON encoding. Answers to a node are dropped at the node's next call, after which the
+// node accepts none of them. Calls, which are small, stay for the whole simulation.
 type messageStore struct {
-	count      int
-	contents   map[string]any
-	keysByNode map[string][]string // the keys of those that are to be let go, by node
+	count      int                 // messages so far; the next key
+	contents   map[string]any      // by key
+	keysByNode map[string][]string // by node: the keys of the answers to drop
 }
 
-// put gives a message that stands for what it carries, to a node where it is an answer.
+// put stores a content and returns the data of its message. node is the receiver of an answer, "" for a call.
 func (m *messageStore) put(node string, content any) []byte {
 	key := strconv.Itoa(m.count)
 	m.count++
@@ -25,9 +26,10 @@
 	return []byte(key)
 }
 
-// content is what a message stands for, nil where that was let go.
+// content returns the content of a message, nil if it was dropped.
 func (m *messageStore) content(e sim.Message) any { return m.contents[string(e.Data)] }
 
+// forget drops all answers to a node.
 func (m *messageStore) forget(node string) {
 	for _, key := range m.keysByNode[node] {
 		delete(m.contents, key)
--- a/internal/sim/subset/node.go
+++ b/internal/sim/subset/node.go
@@ -9,29 +9,31 @@
 	"wrenspread/internal/sim"
 )
 
-const maxRetryDelay = 500 * time.Millisecond // after a call that failed
+// maxRetryDelay bounds the drawn delay before the call that follows a failed one.
+const maxRetryDelay = 500 * time.Millisecond
 
-// node follows its part.
+// node is a process that follows its subset of the endpoint list at the replicas.
 type node struct {
 	fleet        *Fleet
 	name         string
-	index        int
+	index        int // position among the nodes, from 0
 	listState    *client.ListState
-	view         client.List     // of it
-	replicaIndex int             // of the replicas
-	current      registry.Subset // that is known
-	target       registry.Subset // that is to be followed
+	view         client.List     // the list of listState
+	replicaIndex int             // of the replica that is called
+	current      registry.Subset // the subset of the view
+	target       registry.Subset // the subset that the node should follow
 	lastQuery    query
-	inFlight     bool // a call is
-	failed       bool // the last call has
-	moveFailed   bool // it was one that moves
+	inFlight     bool // a call awaits its answer
+	failed       bool // the last call failed
+	moveFailed   bool // the last call was a move to the target, and failed otherwise than by an older version
 
-	highestVersions map[string]uint64 // version, by epoch
-	calls           int               // since something changed, without those whose answer was held back
-	settled         bool
-	callsToSettle   int // calls, until it was
+	highestVersions map[string]uint64 // by epoch
+	calls           int               // since the last change, without those whose answer was deferred
+	settled         bool              // the node has the newest version of its target
+	callsToSettle   int               // value of calls when the node settled
 }
 
+// Handle starts from the cached list, retries after timeouts, and takes the answer to the call in flight.
 func (n *node) Handle(now time.Duration, e sim.Event) []sim.Effect {
 	switch e := e.(type) {
 	case sim.Started:
@@ -54,11 +56,13 @@
 	return nil
 }
 
-// call makes the next call.
+// call makes the next call: a first read, a move to the target, a watch, or a read without waiting after a
+// failure.
 func (n *node) call() []sim.Effect {
 	q := query{number: n.lastQuery.number + 1, subset: n.current}
 	if n.fleet.ForgetsList && n.lastQuery.timeout > 0 {
-		n.listState, n.replicaIndex = client.NewListState(newEpochDelay, client.List{}), (n.replicaIndex+1)%len(n.fleet.Replicas)
+		n.listState, n.replicaIndex = client.NewListState(newEpochDelay, client.List{}),
+			(n.replicaIndex+1)%len(n.fleet.Replicas)
 	}
 	q.since, q.epoch = n.listState.Next()
 	switch {
@@ -79,13 +83,18 @@
 	if q.replacesSubset {
 		out = append(
 			out,
-			sim.Note{Text: fmt.Sprintf("asks %s for %s whole; %s stands", n.fleet.Replicas[n.replicaIndex], q.subset, n.current)},
+			sim.Note{Text: fmt.Sprintf(
+				"asks %s for %s whole; %s stands",
+				n.fleet.Replicas[n.replicaIndex],
+				q.subset,
+				n.current,
+			)},
 		)
 	}
 	return out
 }
 
-// retryLater has the next call made after a drawn time.
+// retryLater schedules the next call after a drawn time, at the next replica if nextReplica is set.
 func (n *node) retryLater(reason string, nextReplica bool) []sim.Effect {
 	if n.inFlight, n.failed = false, true; nextReplica {
 		n.replicaIndex = (n.replicaIndex + 1) % len(n.fleet.Replicas)
@@ -97,8 +106,10 @@
 	}
 }
 
+// olderVersion is the note for an answer that is older than the view.
 const olderVersion = "passes over what is older"
 
+// handleAnswer takes the answer to the last call; a nil answer is a refusal.
 func (n *node) handleAnswer(now time.Duration, a *registry.ListResponse) []sim.Effect {
 	if a == nil {
 		return n.retryLater("refused by one that is behind", true)
@@ -127,6 +138,7 @@
 	return append(notes, n.call()...)
 }
 
+// describeAnswer returns the timeline text of an answer that led to the view v.
 func describeAnswer(a *registry.ListResponse, v client.List) string {
 	if a.Snapshot {
 		return fmt.Sprintf(
@@ -144,7 +156,7 @@
 	return fmt.Sprintf("hears %d changes: version %d", len(a.Endpoints), v.Version)
 }
 
-// nextSubset is the part to follow for whoever has this.
+// nextSubset returns the subset that the node should follow, given the list v.
 func (n *node) nextSubset(v client.List) registry.Subset {
 	return n.fleet.NextSubset(v.Subset, n.index, n.fleet.fleetSizes[n.name], v.Total, v.Endpoints, placements)
 }
--- a/internal/sim/subset/play.go
+++ b/internal/sim/subset/play.go
@@ -7,8 +7,8 @@
 	"wrenspread/internal/timeline"
 )
 
-// play draws what can go wrong before so many replicas. bend, where set, changes a fleet that is not started
-// yet: a broken stand-in.
+// play returns the play of subsets with a number of replicas. alter, if set, changes the fleet before its
+// start, to make a broken variant.
 func play(replicas int, alter func(*Fleet)) sim.Play {
 	all := append(names(replicas, "r"), names(nodeCount, "n")...)
 	p := sim.Play{
@@ -32,8 +32,10 @@
 			return f.checks()
 		},
 	}
-	for _, k := range []sim.FaultKind{registers, drains, removes, racks, resizes, lagging, kills, stateLosses, restores,
-		sim.Pause, sim.Late, sim.CutOff, sim.OneWay, sim.SlowPair, sim.Lossy, sim.Doubled} {
+	for _, k := range []sim.FaultKind{
+		registers, drains, removes, racks, resizes, lagging, kills, stateLosses, restores,
+		sim.Pause, sim.Late, sim.CutOff, sim.OneWay, sim.SlowPair, sim.Lossy, sim.Doubled,
+	} {
 		p.Kinds = append(p.Kinds, countingCalls(k))
 	}
 	return p
--- a/internal/sim/subset/replica.go
+++ b/internal/sim/subset/replica.go
@@ -10,54 +10,56 @@
 
 const (
 	applyInterval = 20 * time.Millisecond
-	applyDelay    = 30 * time.Millisecond // of what was logged
+	applyDelay    = 30 * time.Millisecond // from the log entry until a replica applies it
 )
 
-// query is a call for a part.
+// query is a call that reads or watches a subset.
 type query struct {
 	number         uint64
 	subset         registry.Subset
-	since          uint64
-	epoch          string
-	timeout        time.Duration
-	replacesSubset bool // it reads a part in place of the one that stands
+	since          uint64        // the caller's version; 0: a complete read
+	epoch          string        // of since
+	timeout        time.Duration // how long a watch may stay open; 0: answered at once
+	replacesSubset bool          // reads another subset than the current one, to replace it
 }
 
-// reply is what a call brings; without an answer it is refused, as the replica is behind.
+// reply is the result of a query. A nil answer is a refusal: the replica has an older version than the
+// caller.
 type reply struct {
 	number uint64
 	answer *registry.ListResponse
 }
 
-// disk is what a replica has after a restart.
+// disk is the part of a replica that survives a restart.
 type disk struct {
 	state     *registry.State
-	applied   int // entries of the log
-	lagFaults int // faults by which it applies nothing that is younger than mostLag
+	applied   int // number of applied log entries
+	lagFaults int // active lag faults; with any, entries younger than maxLag are not applied
 }
 
-// replica is a process of the registry.
+// replica is a process of a registry replica.
 type replica struct {
 	fleet *Fleet
 	*disk
 	watches []openWatch
-	// as the state is, for those who ask for the same; nil: it has changed
+	// answerCache holds the answers of the present state, for equal queries; nil after a change of the state.
 	answerCache map[answerKey]registry.ListResponse
 }
 
-// answerKey is what an answer is of: a part, since a version.
+// answerKey identifies an answer: the changes of a subset since a version.
 type answerKey struct {
 	subset registry.Subset
 	since  uint64
 }
 
-// openWatch is a watch that is open.
+// openWatch is a query that is not answered yet.
 type openWatch struct {
 	query
 	node   string
 	endsAt time.Duration
 }
 
+// Handle applies due log entries, accepts a query, and answers all open queries that can be answered.
 func (r *replica) Handle(_ time.Duration, e sim.Event) (out []sim.Effect) {
 	r.catchUp()
 	now := r.fleet.World.Now()
@@ -78,12 +80,13 @@
 	return out
 }
 
+// catchUp applies the log entries that are due.
 func (r *replica) catchUp() {
 	appliedUntil := r.fleet.World.Now() - applyDelay
 	if r.lagFaults > 0 {
 		appliedUntil = r.fleet.World.Now() - maxLag
 	}
-	// all have what there was at first
+	// Every replica has the entries from the beginning of the simulation at once.
 	for ; r.applied < len(r.fleet.log) && r.fleet.log[r.applied].at <= max(appliedUntil, 0); r.applied++ {
 		c := r.fleet.log[r.applied]
 		if c.afterStateLoss {
@@ -94,7 +97,7 @@
 	}
 }
 
-// subsetSince is SubsetSince, made once for all who ask for the same.
+// subsetSince returns State.SubsetSince, computed once for equal queries.
 func (r *replica) subsetSince(p registry.Subset, from uint64) registry.ListResponse {
 	a, ok := r.answerCache[answerKey{p, from}]
 	if !ok {
@@ -107,7 +110,7 @@
 	return a
 }
 
-// serve answers a call, or holds it: then it gives nothing.
+// serve answers a query. It returns nil if the query is a watch that stays open; timedOut ends the watch.
 func (r *replica) serve(q query, timedOut bool) *reply {
 	from := q.since
 	if q.epoch != r.state.Epoch() {
--- a/internal/timeline/cell.go
+++ b/internal/timeline/cell.go
@@ -7,8 +7,9 @@
 	"unicode/utf8"
 )
 
-// cellTexts puts a cell's events into few words: repeats are counted, and what was
-// done to several ("suspects n3", "suspects n4") is said once.
+// cellTexts returns the texts of a cell's events. Repeated events are merged into one text with their count,
+// and events of one verb with several objects ("suspects n3", "suspects n4") into one text ("suspects n3,
+// n4").
 func cellTexts(events []Event) (out []string) {
 	type kind struct {
 		phrase  string
@@ -21,7 +22,7 @@
 		what := clean(e.What)
 		word, object, _ := strings.Cut(what, " ")
 		if strings.Contains(object, " ") {
-			word, object = what, "" // a phrase, not something done to somebody
+			word, object = what, "" // more than a verb and an object
 		}
 		k := byWord[word]
 		if k == nil {
@@ -49,6 +50,7 @@
 	return out
 }
 
+// repeatSuffix returns the mark of an event that happened n times, "" for once.
 func repeatSuffix(n int) string {
 	if n == 1 {
 		return ""
@@ -56,7 +58,7 @@
 	return fmt.Sprintf(" x%d", n)
 }
 
-// clean keeps what can be drawn on one line.
+// clean replaces what cannot be drawn on one line by spaces, and joins runs of spaces.
 func clean(s string) string {
 	s = strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
@@ -67,7 +69,8 @@
 	return strings.Join(strings.Fields(s), " ")
 }
 
-// wrap breaks a text into lines, within a word only where the word is longer than a line.
+// wrap breaks a text into lines of at most width runes. It breaks a word only if the word is longer than a
+// line.
 func wrap(s string, width int) (lines []string) {
 	line := ""
 	for _, word := range strings.Fields(clean(s)) {
@@ -90,7 +93,7 @@
 	return lines
 }
 
-// moreText says how many more there are, in one piece: "+12" where there is no room for "+12 more".
+// moreText returns the text for n further events: "+12 more", or "+12" if that is too wide for one line.
 func moreText(n, width int) string {
 	if more := fmt.Sprintf("+%d more", n); len(more) <= width {
 		return more
@@ -98,7 +101,7 @@
 	return fmt.Sprintf("+%d", n)
 }
 
-// cell returns the lines of a cell, the further ones counted.
+// cell returns the lines of a cell. Texts beyond maxCellLines are replaced by their count.
 func cell(events []Event, width int) (lines []string) {
 	all := cellTexts(events)
 	for i, text := range all {
@@ -111,7 +114,8 @@
 	return lines
 }
 
-// write writes one row: its time, and beside it the cells, as high as the highest.
+// write writes one row: its time and its cells. The cell with the most lines sets the number of lines of the
+// row.
 func (t table) write(out *strings.Builder, label string, cells map[string][]Event) {
 	height := 1
 	drawn := make([][]string, len(t.columns))
--- a/internal/timeline/golden/kept.go
+++ b/internal/timeline/golden/kept.go
@@ -1,4 +1,4 @@
-// Package golden compares drawings with those kept in testdata. It is for tests.
+// Package golden compares drawings of timelines with those in testdata. Only tests use it.
 package golden
 
 import (
@@ -7,11 +7,15 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// Same fails a test whose drawing is not the one kept in testdata/NAME.timeline
-// and shows the lines that differ. "go test -update" in the test's package keeps
-// the new one instead: read it before it is committed.
+// Same fails the test and shows the lines that differ if drawing is not the text of testdata/NAME.timeline.
+// "go test -update" in the test's package writes the new drawing to that file instead: read it before
+// committing it.
 func Same(t *testing.T, name, drawing string) {
 	t.Helper()
-	goldie.New(t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".timeline"), goldie.WithDiffEngine(goldie.ClassicDiff)).
-		Assert(t, name, []byte(drawing))
+	goldie.New(
+		t,
+		goldie.WithFixtureDir("testdata"),
+		goldie.WithNameSuffix(".timeline"),
+		goldie.WithDiffEngine(goldie.ClassicDiff),
+	).Assert(t, name, []byte(drawing))
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline draws a history as text: time downwards, one column for
-// each node (service, holder, controller), and in each cell what happened there.
-// It is pure and takes events from anywhere.
+// Package timeline draws a history as text. Time runs downwards; each node (or service, lease holder,
+// controller) has a column, and each cell shows what happened there in a step of time. The package is pure
+// and takes events from any source.
 package timeline
 
 import (
@@ -12,28 +12,28 @@
 	"unicode/utf8"
 )
 
-// Event says that something happened somewhere.
+// Event is one thing that happened, in one column.
 type Event struct {
-	At   time.Duration // since the history's beginning
+	At   time.Duration // since the beginning of the history
 	Who  string        // the column
-	What string        // a few words: "suspects n3", "takes over"
+	What string        // a short text, such as "suspects n3" or "takes over"
 }
 
-// Bounds of a drawing, in runes and lines.
+// Bounds of a drawing: widths in runes, heights in lines.
 const (
-	minWidth     = 40 // of a drawing, so that there is room for the time and a column
-	defaultWidth = 118
-	minCellWidth = 6
-	maxCellLines = 8 // of a cell; what is beyond is counted
+	minWidth     = 40  // of a drawing, so that the time and one column fit
+	defaultWidth = 118 // of a drawing
+	minCellWidth = 6   // of a cell
+	maxCellLines = 8   // of a cell; further events are counted instead of drawn
 )
 
-// Drawing says how a history is to be drawn.
+// Drawing describes how a history is drawn.
 type Drawing struct {
-	Says    string        // a sentence on what it shows, and why it must be so
-	Columns []string      // who is drawn, from left to right; the others' events are counted at the foot
-	Width   int           // the most runes of a line; 0: 118, and 40 at least
+	Says    string        // the caption: what the drawing shows, and why that is right
+	Columns []string      // columns from left to right; events of other columns are counted below the drawing
+	Width   int           // maximum runes of a line, at least 40; 0: 118
 	Step    time.Duration // events of one step share a row; 0: 100 ms
-	Fold    time.Duration // a gap from here on is marked; 0: a second
+	Fold    time.Duration // a gap of this length or longer is marked; 0: 1 s
 }
 
 // Draw returns the drawing. The order of the events does not matter.
@@ -63,7 +63,10 @@
 		t.write(&out, d.seconds(r.at), r.cells)
 	}
 	if n := rest.count + t.countHidden(rows); n > 0 {
-		for _, l := range wrap(fmt.Sprintf("(%d more events: %s)", n, strings.Join(append(rest.columns, t.hiddenColumns...), ", ")), d.Width) {
+		for _, l := range wrap(
+			fmt.Sprintf("(%d more events: %s)", n, strings.Join(append(rest.columns, t.hiddenColumns...), ", ")),
+			d.Width,
+		) {
 			out.WriteString(l + "\n")
 		}
 	}
@@ -77,7 +80,7 @@
 	return d
 }
 
-// seconds writes a time as exactly as the steps are.
+// seconds formats a time in seconds, with the digits that Step needs.
 func (d Drawing) seconds(t time.Duration) string {
 	digits := 3
 	for unit := time.Millisecond; digits > 0 && d.Step%(10*unit) == 0; unit *= 10 {
@@ -86,6 +89,7 @@
 	return fmt.Sprintf("%.*f s", digits, t.Seconds())
 }
 
+// columnHeads returns the cells of the head row: the name of each column.
 func columnHeads(names []string) map[string][]Event {
 	heads := map[string][]Event{}
 	for _, n := range names {
@@ -94,18 +98,19 @@
 	return heads
 }
 
-// row is one step in which something happened.
+// row is one step of time in which something happened.
 type row struct {
 	at    time.Duration
-	cells map[string][]Event
+	cells map[string][]Event // by column
 }
 
-// hiddenEvents are the events that belong to no column.
+// hiddenEvents describes the events that belong to no column of the drawing.
 type hiddenEvents struct {
 	count   int
-	columns []string
+	columns []string // the names of their columns, sorted
 }
 
+// rows groups events, which are sorted by time, into rows, and returns the events without a column as rest.
 func (d Drawing) rows(events []Event) (rows []row, rest hiddenEvents) {
 	for _, e := range events {
 		if !slices.Contains(d.Columns, e.Who) {
@@ -126,15 +131,16 @@
 	return rows, rest
 }
 
-// table is where the cells stand.
+// table holds the layout of a drawing.
 type table struct {
-	timeWidth     int      // the width of the time
-	columns       []string // those for which there is room
-	hiddenColumns []string // the others
-	cellWidths    []int    // widths
+	timeWidth     int      // width of the times
+	columns       []string // columns that fit into the width
+	hiddenColumns []string // columns that do not fit
+	cellWidths    []int    // widths, by index of columns
 }
 
-// layout gives each column the width that it needs, and all an even part where that is too much.
+// layout gives each column the width that its texts need, or less if the sum exceeds the width of the
+// drawing.
 func (d Drawing) layout(rows []row) table {
 	t := table{timeWidth: len("time"), columns: slices.Compact(slices.Clone(d.Columns))}
 	for _, r := range rows {
@@ -157,7 +163,8 @@
 	return t
 }
 
-// shareWidth gives each its need, and where all are more than there is, the most needy less.
+// shareWidth gives each column the width that it needs. If the sum exceeds the available width, the widest
+// columns get an equal share of what the others leave.
 func shareWidth(needed []int, available int) []int {
 	order := make([]int, len(needed))
 	for i := range order {
@@ -172,7 +179,7 @@
 	return widths
 }
 
-// countHidden counts the events of columns for which there was no room.
+// countHidden returns the number of events of the columns that do not fit.
 func (t table) countHidden(rows []row) (n int) {
 	for _, r := range rows {
 		for _, c := range t.hiddenColumns {
