--- a/internal/sim/holder_test.go
+++ b/internal/sim/holder_test.go
@@ -11,23 +11,24 @@
 
 const holderTTL = 2 * time.Second
 
-// holder is the smallest core that needs the registry: it wants one lease, and acts while its own clock says that it has it.
+// holder is a minimal core that uses the registry: it campaigns for one lease, and acts as long as it holds
+// the lease by its own clock.
 type holder struct {
-	name     string
-	session  string
-	calls    uint64
-	sentAt   map[uint64]time.Duration // renewals under way, by call
-	until    time.Duration            // by its own clock
-	has      bool
-	careless bool // a broken stand-in: it counts its time from the answer instead of from the asking, and without drift
+	name       string
+	session    string
+	callCount  uint64
+	sentAt     map[uint64]time.Duration // send times of calls, by call number
+	actsUntil  time.Duration            // by the clock of its host
+	holdsLease bool
+	careless   bool // broken variant: takes the TTL to begin 1 s after the answer instead of at the call
 }
 
-func (h *holder) acts(now time.Duration) bool { return h.has && now < h.until }
+func (h *holder) acts(now time.Duration) bool { return h.holdsLease && now < h.actsUntil }
 
 func (h *holder) Handle(now time.Duration, e Event) (out []Effect) {
 	call := func(c Call) {
-		h.calls++
-		c.Number = h.calls
+		h.callCount++
+		c.Number = h.callCount
 		c.Read = Read{Lease: "pen"}
 		h.sentAt[c.Number] = now
 		out = append(out, c)
@@ -47,24 +48,25 @@
 			break
 		}
 		if e.Result.Code == registry.NotFound {
-			h.session, h.has = "", false
+			h.session, h.holdsLease = "", false
 			break
 		}
-		asked := h.sentAt[e.Call.Number]
+		askedAt := h.sentAt[e.Call.Number]
 		if h.careless {
-			asked = now + time.Second
+			askedAt = now + time.Second
 		}
-		h.until = max(h.until, asked+holderTTL-time.Duration(2*MaxClockDrift*float64(holderTTL)))
-		if has := e.Read.Lease.Holder == h.session; has != h.has {
-			h.has = has
+		h.actsUntil = max(h.actsUntil, askedAt+holderTTL-time.Duration(2*MaxClockDrift*float64(holderTTL)))
+		if has := e.Read.Lease.Holder == h.session; has != h.holdsLease {
+			h.holdsLease = has
 			out = append(out, Note{map[bool]string{true: "takes over", false: "lets go"}[has]})
 		}
 	}
 	return out
 }
 
-// holders is a play in which one at most acts at a time.
-func holders(careless bool) Play {
+// holderPlay returns a play of three holders. Its checks: at most one holder acts at a time, and in the end
+// exactly one does if any runs.
+func holderPlay(careless bool) Play {
 	names := []string{"a", "b", "c"}
 	return Play{Names: names, Kinds: []FaultKind{Kill, Pause, Late, CutOff, OneWay, Deaf, SlowPair, Halves, Lossy, Doubled, Flap, ServiceDown, Unreachable},
 		MaxFaults: 6, WarmUp: time.Second, FaultWindow: 20 * time.Second, RecoveryTime: 8 * time.Second, CheckInterval: 50 * time.Millisecond,
@@ -107,8 +109,9 @@
 		}}
 }
 
-func TestHolders(t *testing.T) {
-	p := holders(false)
+// With correct holders no schedule violates a check.
+func TestAtMostOneHolderActs(t *testing.T) {
+	p := holderPlay(false)
 	for seed := uint64(1); seed <= 100; seed++ {
 		faults := p.Faults(seed)
 		if _, b := p.Run(seed, faults); b != nil {
@@ -117,9 +120,10 @@
 	}
 }
 
-// A holder that counts wrongly is found, with few faults left of its schedule, and the same seed tells the same story.
-func TestCarelessHolder(t *testing.T) {
-	p := holders(true)
+// A careless holder is found by the check for it. Shrink leaves no fault that could be dropped, and the same
+// seed and faults give the same violation and the same drawing.
+func TestCarelessHolderIsFoundAndReproduced(t *testing.T) {
+	p := holderPlay(true)
 	for seed := uint64(1); seed <= 100; seed++ {
 		faults := p.Faults(seed)
 		_, b := p.Run(seed, faults)
@@ -127,17 +131,17 @@
 			continue
 		}
 		if b.Check != "one at most" {
-			t.Fatalf("found by %v", b)
+			t.Fatalf("found by the wrong check: %v", b)
 		}
-		least := p.Shrink(seed, faults, b.Check)
-		one, b1 := p.Run(seed, least)
-		two, b2 := p.Run(seed, least)
-		if b1 == nil || b2 == nil || b1.Error() != b2.Error() || p.Drawing.Draw(one.Log()) != p.Drawing.Draw(two.Log()) {
-			t.Fatalf("the same seed told two stories: %v, %v", b1, b2)
+		needed := p.Shrink(seed, faults, b.Check)
+		first, b1 := p.Run(seed, needed)
+		second, b2 := p.Run(seed, needed)
+		if b1 == nil || b2 == nil || b1.Error() != b2.Error() || p.Drawing.Draw(first.Log()) != p.Drawing.Draw(second.Log()) {
+			t.Fatalf("the same seed gave two histories: %v, %v", b1, b2)
 		}
-		for i := range least {
-			if _, b := p.Run(seed, append(append([]Fault{}, least[:i]...), least[i+1:]...)); b != nil && b.Check == "one at most" {
-				t.Errorf("%v could be dropped", least[i])
+		for i := range needed {
+			if _, b := p.Run(seed, append(append([]Fault{}, needed[:i]...), needed[i+1:]...)); b != nil && b.Check == "one at most" {
+				t.Errorf("Shrink left a fault that could be dropped: %v", needed[i])
 			}
 		}
 		return
--- a/internal/sim/membership/scenarios_test.go
+++ b/internal/sim/membership/scenarios_test.go
@@ -6,8 +6,8 @@
 	"wrenspread/internal/timeline/golden"
 )
 
-// Each scenario tells the story that is kept in testdata. Read the drawing before it is taken up anew with -update.
-func TestScenarios(t *testing.T) {
+// Each scenario gives the drawing in testdata. After a run with -update, read the new drawings.
+func TestScenariosMatchTheirDrawings(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/sim/membership/standins_test.go
+++ b/internal/sim/membership/standins_test.go
@@ -11,8 +11,9 @@
 	"wrenspread/internal/sim"
 )
 
-// rewrite gives a stand-in whose datagrams are altered, or dropped by giving nil.
-func rewrite(alter func(f *Fleet, from, to string, d *wire.Datagram) bool) func(*Fleet) {
+// rewritingDatagrams returns a broken variant that alters datagrams. A datagram is dropped if alter returns
+// false.
+func rewritingDatagrams(alter func(f *Fleet, from, to string, d *wire.Datagram) bool) func(*Fleet) {
 	return func(f *Fleet) {
 		f.World.Intercept = func(from, to string, data []byte) [][]byte {
 			f.record(from, data)
@@ -29,47 +30,48 @@
 	}
 }
 
-// without drops the statements that are picked.
-func without(drop func(f *Fleet, from, to string, s wire.Statement) bool) func(*Fleet) {
-	return rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
+// droppingStatements returns a broken variant that drops the statements that drop accepts.
+func droppingStatements(drop func(f *Fleet, from, to string, s wire.Statement) bool) func(*Fleet) {
+	return rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 		d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return drop(f, from, to, s) })
 		return true
 	})
 }
 
-func withoutKinds(kinds ...wire.Kind) func(*Fleet) {
-	return rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool { return !slices.Contains(kinds, d.Kind) })
+// droppingKinds returns a broken variant that drops datagrams of some kinds.
+func droppingKinds(kinds ...wire.Kind) func(*Fleet) {
+	return rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool { return !slices.Contains(kinds, d.Kind) })
 }
 
-// standins are broken cores, and the checks of which one must find each.
-var standins = []struct {
-	name  string
-	play  func(Options) sim.Play
-	kinds []sim.FaultKind // those that bring it out soonest; nil: all of the play's
-	bend  func(*Fleet)
-	found []string
+// brokenVariants lists broken cores, each with the checks of which one must find the fault.
+var brokenVariants = []struct {
+	name    string
+	play    func(Options) sim.Play
+	kinds   []sim.FaultKind // the kinds of faults that expose the variant soonest; nil: all of the play's
+	alter   func(*Fleet)
+	foundBy []string
 }{
-	{"nobody refutes", Wild, []sim.FaultKind{sim.Pause}, without(func(_ *Fleet, from, _ string, s wire.Statement) bool {
+	{"nobody refutes", Wild, []sim.FaultKind{sim.Pause}, droppingStatements(func(_ *Fleet, from, _ string, s wire.Statement) bool {
 		return s.Name == nameAt(from) && s.Incarnation > 0
 	}), []string{"alive"}},
 	{"no digests, and news that get lost", Wild, []sim.FaultKind{joins, metadataChanges}, func(f *Fleet) {
-		rewrite(func(f *Fleet, from, _ string, d *wire.Datagram) bool {
+		rewritingDatagrams(func(f *Fleet, from, _ string, d *wire.Datagram) bool {
 			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name != nameAt(from) && f.rng.IntN(10) > 0 })
 			return d.Kind < wire.Digest || d.Kind > wire.Answer
 		})(f)
 	}, []string{"settled", "alive", "dead"}},
-	{"the dead are not asked, nor seeds by those that have met", Wild, []sim.FaultKind{sim.Halves}, rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
+	{"the dead are not asked, nor seeds by those that have met", Wild, []sim.FaultKind{sim.Halves}, rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 		n, ok := f.World.Host(from).Actor().(*Node)
 		return !ok || d.Kind != wire.Ping || n.aliveCount == 1 || n.Member(nameAt(to)).Health <= membership.Suspect
 	}), []string{"alive"}},
-	{"lives do not count", Wild, []sim.FaultKind{sim.Kill}, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
+	{"lives do not count", Wild, []sim.FaultKind{sim.Kill}, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		d.Generation = startUnixMillis
 		for i := range d.Statements {
 			d.Statements[i].Generation = startUnixMillis
 		}
 		return true
 	}), []string{"alive"}},
-	{"deaths are not told, and nobody is suspected", Wild, nil, without(func(_ *Fleet, _, _ string, s wire.Statement) bool {
+	{"deaths are not told, and nobody is suspected", Wild, nil, droppingStatements(func(_ *Fleet, _, _ string, s wire.Statement) bool {
 		return s.Health == membership.Suspect || s.Health == membership.Dead
 	}), []string{"settled", "alive", "dead"}},
 	{"the dead are forgotten at once", Wild, []sim.FaultKind{sim.Kill, staleDatagrams}, func(f *Fleet) {
@@ -79,14 +81,14 @@
 	}, []string{"lives", "dead"}},
 	{"lateness is not noticed", Wild, []sim.FaultKind{sim.Pause}, func(f *Fleet) { f.IgnoresPauses = true }, []string{"blame"}},
 	{"a twin is not told", Wild, []sim.FaultKind{twins}, func(f *Fleet) {
-		rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
+		rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 			to = nameAt(to)
 			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name == to && s.Health == membership.Alive })
 			return nameAt(from) != to
 		})(f)
 	}, []string{"one of a name", "settled", "alive"}},
-	{"nobody is asked for others", Pairs, nil, withoutKinds(wire.PingReq), []string{"nobody suspected"}},
-	{"suspicion is death", Mild, nil, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
+	{"nobody is asked for others", Pairs, nil, droppingKinds(wire.PingReq), []string{"nobody suspected"}},
+	{"suspicion is death", Mild, nil, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		for i := range d.Statements {
 			if d.Statements[i].Health == membership.Suspect {
 				d.Statements[i].Health = membership.Dead
@@ -94,7 +96,7 @@
 		}
 		return true
 	}), []string{"nobody dead"}},
-	{"leaving is death", Mild, nil, rewrite(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
+	{"leaving is death", Mild, nil, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		for i := range d.Statements {
 			if d.Statements[i].Health == membership.Left {
 				d.Statements[i].Health, d.Statements[i].Incarnation = membership.Dead, d.Statements[i].Incarnation+1
@@ -102,7 +104,7 @@
 		}
 		return true
 	}), []string{"nobody dead"}},
-	{"a leave told on is told as a death", Wild, []sim.FaultKind{leaves}, rewrite(func(_ *Fleet, from, _ string, d *wire.Datagram) bool {
+	{"a leave told on is told as a death", Wild, []sim.FaultKind{leaves}, rewritingDatagrams(func(_ *Fleet, from, _ string, d *wire.Datagram) bool {
 		for i, s := range d.Statements {
 			if s.Health == membership.Left && s.Name != nameAt(from) {
 				d.Statements[i].Health, d.Statements[i].Incarnation = membership.Dead, s.Incarnation+1
@@ -110,7 +112,7 @@
 		}
 		return true
 	}), []string{"left"}},
-	{"somebody answers for the dead", Wild, []sim.FaultKind{sim.Kill}, rewrite(func(f *Fleet, from, to string, d *wire.Datagram) bool {
+	{"somebody answers for the dead", Wild, []sim.FaultKind{sim.Kill}, rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 		if d.Kind != wire.Ping || f.World.Host(to) == nil || f.World.Host(to).Running() {
 			return true
 		}
@@ -120,7 +122,7 @@
 		}
 		return true
 	}), []string{"dead"}},
-	{"one is told other facts", Wild, nil, rewrite(func(_ *Fleet, _, to string, d *wire.Datagram) bool {
+	{"one is told other facts", Wild, nil, rewritingDatagrams(func(_ *Fleet, _, to string, d *wire.Datagram) bool {
 		for i, s := range d.Statements {
 			if to == "n1" && s.Name == "n2" {
 				d.Statements[i].Metadata.Zone = "zone-z"
@@ -138,15 +140,16 @@
 	}, []string{"pace"}},
 }
 
-// Each check finds what it is there for, within a few schedules.
-func TestStandins(t *testing.T) {
+// Each broken variant is found by one of the checks meant for it, within 60 schedules, and each check finds
+// at least one variant.
+func TestEveryCheckFindsItsBrokenVariants(t *testing.T) {
 	var mu sync.Mutex
 	found := map[string]bool{}
 	t.Run("all", func(t *testing.T) {
-		for _, s := range standins {
+		for _, s := range brokenVariants {
 			t.Run(s.name, func(t *testing.T) {
 				t.Parallel()
-				p := s.play(Options{Nodes: 5, AlterFleet: s.bend})
+				p := s.play(Options{Nodes: 5, AlterFleet: s.alter})
 				p.FaultWindow = 20 * time.Second
 				if s.kinds != nil {
 					p.Kinds = s.kinds
@@ -156,7 +159,7 @@
 					if broken == nil {
 						continue
 					}
-					if !slices.Contains(s.found, broken.Check) {
+					if !slices.Contains(s.foundBy, broken.Check) {
 						t.Fatalf("seed %d: found by the wrong check: %v", seed, broken)
 					}
 					t.Logf("seed %d: %v", seed, broken)
@@ -172,7 +175,7 @@
 	for _, play := range []func(Options) sim.Play{Wild, Mild, Pairs} {
 		for _, c := range play(Options{Nodes: 5}).Build(sim.New(1)) {
 			if !found[c.Name] {
-				t.Errorf("no stand-in is found by the check %q", c.Name)
+				t.Errorf("no broken variant is found by the check %q", c.Name)
 			}
 		}
 	}
--- a/internal/sim/membership/views_test.go
+++ b/internal/sim/membership/views_test.go
@@ -6,8 +6,8 @@
 	"wrenspread/internal/sim"
 )
 
-// Drawn schedules of each sort break nothing. The long series is "wrenspread-lab sim".
-func TestSchedules(t *testing.T) {
+// Random schedules of each play violate no check. "wrenspread-lab sim" runs longer series.
+func TestRandomSchedulesViolateNoCheck(t *testing.T) {
 	for name, play := range map[string]func(Options) sim.Play{"wild": Wild, "mild": Mild, "pairs": Pairs} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -22,25 +22,26 @@
 	}
 }
 
-// What a node sends does not grow with the fleet, and nobody is taken for dead at any loss up to 30%; the rival's cost does grow, and it
-// does take some for dead.
-func TestGrowth(t *testing.T) {
-	few, many := grown(t, Growth{Nodes: 3}), grown(t, Growth{Nodes: 40})
-	if many.Sent > 1.2*few.Sent || many.Bytes > 1.2*few.Bytes {
-		t.Errorf("3 nodes: %+v, 40 nodes: %+v", few, many)
+// A node's send rate does not grow with the fleet, and no running node is taken for dead without loss or at a
+// loss of 30%. The rival's send rate does grow, and the rival does take running nodes for dead at that loss.
+func TestSendRateDoesNotGrowWithTheFleet(t *testing.T) {
+	small, large := measure(t, Growth{Nodes: 3}), measure(t, Growth{Nodes: 40})
+	if large.Sent > 1.2*small.Sent || large.Bytes > 1.2*small.Bytes {
+		t.Errorf("3 nodes: %+v, 40 nodes: %+v", small, large)
 	}
-	for _, g := range []Grown{few, many} {
+	for _, g := range []Grown{small, large} {
 		if g.False[0] > 0 || g.False[1] > 0 {
 			t.Errorf("false deaths: %+v", g)
 		}
 	}
-	plain := grown(t, Growth{Nodes: 20, Rival: true})
-	if plain.Sent < 5*few.Sent || plain.False[1] == 0 {
-		t.Errorf("the rival: %+v", plain)
+	rivalResult := measure(t, Growth{Nodes: 20, Rival: true})
+	if rivalResult.Sent < 5*small.Sent || rivalResult.False[1] == 0 {
+		t.Errorf("the rival: %+v", rivalResult)
 	}
 }
 
-func grown(t *testing.T, g Growth) Grown {
+// measure runs a growth measurement without loss and at a loss of 30%.
+func measure(t *testing.T, g Growth) Grown {
 	t.Helper()
 	g.Seed, g.Losses, g.Hours, g.Cut = 1, []float64{0, 0.3}, 0.1, 10*second
 	out, err := g.Measure(t.Context())
@@ -50,10 +51,11 @@
 	return out
 }
 
-// Halves that were apart, with deaths and joins in each, are one soon after, and no node sends more for it than its pace allows.
-func TestGrowthApart(t *testing.T) {
-	calm, moved := grown(t, Growth{Nodes: 20}), grown(t, Growth{Nodes: 20, Moves: 3})
-	if moved.Heal == 0 || moved.Heal > calm.Heal+5*second || moved.Peak == 0 || moved.Peak > 30_000 {
-		t.Errorf("calm %+v, moved %+v", calm, moved)
+// After a cut, halves with deaths and joins in each merge at most 5 s later than halves without changes, and
+// no node sends more than 30 kB in a second for the merge.
+func TestHalvesMergeSoonAfterACut(t *testing.T) {
+	unchanged, changed := measure(t, Growth{Nodes: 20}), measure(t, Growth{Nodes: 20, Moves: 3})
+	if changed.Heal == 0 || changed.Heal > unchanged.Heal+5*second || changed.Peak == 0 || changed.Peak > 30_000 {
+		t.Errorf("without changes %+v, with changes %+v", unchanged, changed)
 	}
 }
--- a/internal/sim/play.go
+++ b/internal/sim/play.go
@@ -54,7 +54,7 @@
 	return faults
 }
 
-// Run simulates a schedule in a new world of the seed. It returns a nil Violation if all checks held.
+// Run simulates a schedule in a new world of the seed. It returns a nil Violation if no check failed.
 func (p Play) Run(seed uint64, faults []Fault) (*World, *Violation) {
 	w := New(seed)
 	return w, p.RunIn(w, faults)
--- a/internal/sim/series.go
+++ b/internal/sim/series.go
@@ -10,7 +10,7 @@
 type Played struct {
 	Seed   uint64
 	Faults []Fault
-	Broken *Violation // nil: all checks held
+	Broken *Violation // nil: no check failed
 }
 
 // Series simulates the schedules of n consecutive seeds from first on, up to parallel of them at a time,
--- a/internal/sim/subset/kinds.go
+++ b/internal/sim/subset/kinds.go
@@ -76,7 +76,7 @@
 	// drains and removes drain or remove drawn endpoints.
 	drains  = endpointChange("drain", (*Fleet).drain)
 	removes = endpointChange("remove", (*Fleet).remove)
-	// racks removes all endpoints in a sixteenth of the ring, and registers them again at its end.
+	// racks removes all endpoints in a sixteenth of the ring, and registers them again at the fault's end.
 	racks = sim.FaultKind{
 		Name: "rack",
 		Draw: drawLasting(
@@ -129,7 +129,8 @@
 			}
 		},
 	}
-	// kills kills a process until its end. Replica r3 may be killed for good. A node may lose its cached list.
+	// kills ends a process and starts a new one at the fault's end. Replica r3 may be killed for good. A node may
+	// lose its cached list.
 	kills = sim.FaultKind{Name: "kill", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{
 			Targets:  pickOne(rng, names),
@@ -178,7 +179,7 @@
 			return nil
 		},
 	}
-	// restores takes a snapshot of the list at its start and restores the snapshot at its end.
+	// restores takes a snapshot of the list at the fault's start and restores the snapshot at the fault's end.
 	restores = sim.FaultKind{
 		Name: "restore",
 		Draw: drawLasting(15*time.Second, func(*rand.Rand, []string) []string { return nil }),
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -104,7 +104,7 @@
 }
 
 // RunUntil simulates until cond holds, for limit at most, and checks cond after each step. It returns the
-// simulated time that passed and whether cond held.
+// simulated time that passed and whether cond became true.
 func (w *World) RunUntil(limit, step time.Duration, cond func() bool) (elapsed time.Duration, ok bool) {
 	from := w.now
 	for w.now-from < limit {
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -9,7 +9,7 @@
 	"wrenspread/internal/registry"
 )
 
-// recorder notes what it is given and when, by its own clock.
+// recorder records its events and their times by its host's clock, and wakes regularly.
 type recorder struct {
 	now    time.Duration
 	events []Event
@@ -26,38 +26,41 @@
 	return nil
 }
 
-func pair(seed uint64) (w *World, a, b *Host) {
+// recorderPair returns a world with two hosts a and b that run recorders.
+func recorderPair(seed uint64) (w *World, a, b *Host) {
 	w = New(seed)
 	start := func(time.Duration) Actor { return &recorder{wake: time.Second} }
 	return w, w.Add("a", start), w.Add("b", start)
 }
 
-// A process counts by its own clock, which is off the true one by the stated drift at most.
-func TestClocks(t *testing.T) {
-	apart := 0.0
+// Timers run by the host's own clock, whose rate differs from true time by at most MaxClockDrift, and for
+// some host by more than half of that.
+func TestClockRateStaysWithinMaxDrift(t *testing.T) {
+	maxDeviation := 0.0
 	for seed := uint64(1); seed <= 20; seed++ {
-		w, a, _ := pair(seed)
+		w, a, _ := recorderPair(seed)
 		w.RunTo(1000 * time.Second)
 		r := a.Actor().(*recorder)
 		for i := 1; i < len(r.at); i++ {
 			if d := r.at[i] - r.at[i-1]; d < time.Second || d > time.Second+10*time.Nanosecond {
-				t.Fatalf("a tick after %v of the process's clock", d)
+				t.Fatalf("a tick after %v of the host's clock, want 1 s", d)
 			}
 		}
-		off := math.Abs(float64(len(r.at)-1)/1000 - 1)
-		if off > MaxClockDrift+0.0011 {
-			t.Fatalf("seed %d: %d ticks in 1,000 s", seed, len(r.at)-1)
+		deviation := math.Abs(float64(len(r.at)-1)/1000 - 1)
+		if deviation > MaxClockDrift+0.0011 {
+			t.Fatalf("seed %d: %d ticks in 1,000 s, want 1,000 within the drift", seed, len(r.at)-1)
 		}
-		apart = max(apart, off)
+		maxDeviation = max(maxDeviation, deviation)
 	}
-	if apart < MaxClockDrift/2 {
-		t.Errorf("no clock is off by more than %v", apart)
+	if maxDeviation < MaxClockDrift/2 {
+		t.Errorf("no clock deviates by more than %v", maxDeviation)
 	}
 }
 
-// What comes for a process that stands still waits, up to a socket's buffer; a later process gets none of it.
-func TestStillAndAgain(t *testing.T) {
-	w, a, b := pair(1)
+// Events for a paused process wait until Resume, datagrams up to the size of the socket buffer. A process
+// that is started on the same host later gets none of these events.
+func TestPausedProcessBuffersDatagramsAndRestartedOneDoesNot(t *testing.T) {
+	w, a, b := recorderPair(1)
 	w.RunTo(500 * time.Millisecond)
 	b.Pause()
 	for range 1000 {
@@ -65,15 +68,15 @@
 	}
 	w.RunTo(5 * time.Second)
 	if n := len(b.Actor().(*recorder).events); n != 1 {
-		t.Fatalf("it was given %d events while it stood still", n)
+		t.Fatalf("the paused process had %d events, want only its start", n)
 	}
 	b.Resume()
 	w.RunTo(5*time.Second + time.Millisecond)
 	if n := len(b.Actor().(*recorder).events); n != 1+maxPendingDatagrams+1 {
-		t.Errorf("woken, it had %d events; want its start, %d datagrams and a tick", n, maxPendingDatagrams)
+		t.Errorf("the resumed process had %d events; want its start, %d datagrams and a tick", n, maxPendingDatagrams)
 	}
 	if b.LostDatagrams != 1000-maxPendingDatagrams {
-		t.Errorf("%d were lost", b.LostDatagrams)
+		t.Errorf("%d datagrams were lost", b.LostDatagrams)
 	}
 	w.Inject("b", "a", []byte("x"))
 	a.Pause()
@@ -81,14 +84,16 @@
 	a.Start()
 	w.RunTo(6*time.Second + time.Millisecond)
 	if r := a.Actor().(*recorder); len(r.events) != 1 || a.ProcessNumber() != 2 {
-		t.Errorf("started anew, it was given %d events in life %d", len(r.events), a.ProcessNumber())
+		t.Errorf("the new process had %d events, want only its start; its number is %d, want 2", len(r.events), a.ProcessNumber())
 	}
 }
 
-func TestLinks(t *testing.T) {
-	w, _, b := pair(1)
-	wrong := w.Net.AddFault(func(from, to string) bool { return from == "a" && to == "b" }, CutLink)
-	other := w.Net.AddFault(func(string, string) bool { return true }, func(l *Link) { l.Loss, l.Duplicate = 0.5, 0.5 })
+// Over a cut link nothing arrives. With a loss of half and a duplication of half about 750 of 1,000 datagrams
+// arrive, and without faults all do.
+func TestLinkFaultsCutLoseAndDuplicate(t *testing.T) {
+	w, _, b := recorderPair(1)
+	cutFault := w.Net.AddFault(func(from, to string) bool { return from == "a" && to == "b" }, CutLink)
+	lossFault := w.Net.AddFault(func(string, string) bool { return true }, func(l *Link) { l.Loss, l.Duplicate = 0.5, 0.5 })
 	count := func() int {
 		before := len(b.Actor().(*recorder).events)
 		for range 1000 {
@@ -100,19 +105,20 @@
 	if n := count(); n != 0 {
 		t.Errorf("%d arrived over a link that was cut", n)
 	}
-	w.Net.RemoveFault(wrong)
+	w.Net.RemoveFault(cutFault)
 	if n := count(); n < 700 || n > 800 {
 		t.Errorf("%d of 1,000 arrived, where half is lost and half of the rest comes twice", n)
 	}
-	w.Net.RemoveFault(other)
+	w.Net.RemoveFault(lossFault)
 	if n := count(); n != 1000 {
 		t.Errorf("%d of 1,000 arrived over a good link", n)
 	}
 }
 
-// A command whose answer is cut off is carried out, and the caller is told that it can't know.
-func TestLostAnswer(t *testing.T) {
-	w, a, _ := pair(1)
+// If the link back from the registry is cut, a command is carried out and the caller gets one answer, as
+// lost.
+func TestCommandWithLostAnswerIsCarriedOut(t *testing.T) {
+	w, a, _ := recorderPair(1)
 	s := w.AddService()
 	w.Net.AddFault(func(from, _ string) bool { return from == ServiceName }, CutLink)
 	w.call(a, Call{Command: &registry.Command{Op: registry.OpPutRecord, Name: "k", Value: []byte("1")}})
@@ -127,12 +133,12 @@
 		}
 	}
 	if len(answers) != 1 || !answers[0].Lost {
-		t.Errorf("the caller was told %+v", answers)
+		t.Errorf("the caller got the answers %+v, want one that is lost", answers)
 	}
 }
 
-// A schedule is cut down to the faults that break the check.
-func TestShrink(t *testing.T) {
+// Shrink reduces a schedule to the two faults that are needed for the violation.
+func TestShrinkLeavesOnlyTheNeededFaults(t *testing.T) {
 	kinds := []FaultKind{Pause, CutOff, Lossy}
 	p := Play{Names: []string{"a", "b"}, Kinds: kinds, MaxFaults: 30, FaultWindow: 10 * time.Second, RecoveryTime: time.Second, CheckInterval: time.Second, Build: func(w *World) []Check {
 		start := func(time.Duration) Actor { return &recorder{wake: time.Second} }
@@ -152,8 +158,8 @@
 		if b == nil {
 			continue
 		}
-		if least := p.Shrink(seed, faults, b.Check); len(least) != 2 {
-			t.Fatalf("seed %d: of %d faults %v are left", seed, len(faults), least)
+		if needed := p.Shrink(seed, faults, b.Check); len(needed) != 2 {
+			t.Fatalf("seed %d: of %d faults %v are left, want two", seed, len(faults), needed)
 		}
 	}
 }
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -13,8 +13,9 @@
 	_ "wrenspread/internal/rapidseed"
 )
 
-// Whatever happened, it is in the drawing or counted, no line is too wide, and the order of telling does not matter.
-func TestDrawing(t *testing.T) {
+// Every event is drawn or counted, no line is wider than the drawing, and the order of the events does not
+// matter.
+func TestDrawingShowsOrCountsEveryEvent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Drawing{Says: "shows " + rapid.String().Draw(t, "says"), Width: rapid.IntRange(0, 160).Draw(t, "width")}
 		for i := range rapid.IntRange(1, 20).Draw(t, "columns") {
@@ -29,10 +30,10 @@
 			})
 		}
 		drawn := d.Draw(events)
-		most := d.defaults().Width
+		maxRunes := d.defaults().Width
 		for _, l := range strings.Split(drawn, "\n") {
-			if utf8.RuneCountInString(l) > most {
-				t.Fatalf("a line of %d runes, %d at most: %q", utf8.RuneCountInString(l), most, l)
+			if utf8.RuneCountInString(l) > maxRunes {
+				t.Fatalf("a line has %d runes, want at most %d: %q", utf8.RuneCountInString(l), maxRunes, l)
 			}
 		}
 		if seen, counted := occurrences(drawn, events); seen+counted != len(events) {
@@ -40,12 +41,12 @@
 		}
 		rand.New(rand.NewPCG(1, uint64(len(events)))).Shuffle(len(events), func(i, k int) { events[i], events[k] = events[k], events[i] })
 		if again := d.Draw(events); again != drawn {
-			t.Fatalf("in another order\n%s\nis not\n%s", again, drawn)
+			t.Fatalf("events in another order give\n%s\nwant\n%s", again, drawn)
 		}
 	})
 }
 
-// occurrences counts the events that stand in a drawing, and those that it says it left out.
+// occurrences returns how many events a drawing shows, and how many it reports as left out.
 func occurrences(drawn string, events []Event) (seen, counted int) {
 	_, table, _ := strings.Cut(drawn, "\n\n")
 	words := map[string]int{}
@@ -69,8 +70,9 @@
 	return seen, counted
 }
 
-// What a cell leaves out is counted in one piece, also in the narrowest cell and for more events than a cell has lines.
-func TestCountedInOnePiece(t *testing.T) {
+// The count of the events that a cell leaves out stays on one line, even in the narrowest cell and for many
+// more events than a cell has lines.
+func TestOmittedTextsAreCountedOnOneLine(t *testing.T) {
 	for width := minCellWidth; width <= 12; width++ {
 		var events []Event
 		for i := range 1000 {
@@ -83,7 +85,8 @@
 	}
 }
 
-func TestDrawn(t *testing.T) {
+// A small example with all parts of a drawing: caption, wrapped and merged texts, folded gaps, hidden events.
+func TestExampleIsDrawnAsExpected(t *testing.T) {
 	d := Drawing{Says: "n2 is taken for dead and comes back; the gap between is folded, as nothing happens in it.", Columns: []string{"n1", "n2", "list"}, Width: 60}
 	got := d.Draw([]Event{
 		{0, "n1", "joins"}, {20 * time.Millisecond, "n2", "joins"}, {30 * time.Millisecond, "n2", "hears n1"}, {40 * time.Millisecond, "n2", "hears n3"},
