--- a/internal/sim/membership/rival.go
+++ b/internal/sim/membership/rival.go
@@ -21,10 +21,11 @@
 	nextPeriod time.Duration
 }
 
+// rivalPeer is what the rival knows of a peer.
 type rivalPeer struct {
 	addr   netip.AddrPort
-	member membership.Member
-	missed int
+	member membership.Member // without a Name before the first answer
+	missed int               // periods since the last answer
 }
 
 func newRival(cfg membership.Config, now time.Duration) *rival {
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -119,7 +119,7 @@
 		f.fleetSizes[name] = size
 		f.World.Add(name, func(time.Duration) sim.Actor {
 			n := &node{fleet: f, name: name, highestVersions: map[string]uint64{}}
-			_, _ = fmt.Sscanf(name, "n%d", &n.index) // names() made the name
+			_, _ = fmt.Sscanf(name, "n%d", &n.index) // the function names made this name
 			n.index--
 			n.replicaIndex = n.index % len(f.Replicas)
 			f.nodes[name] = n
@@ -159,10 +159,10 @@
 	return e
 }
 
-// write carries out a command at the leader and appends it to the log.
-func (f *Fleet) write(c registry.Command, lost bool) registry.Result {
+// write carries out a command at the leader and appends the command to the log.
+func (f *Fleet) write(c registry.Command, afterStateLoss bool) registry.Result {
 	r := f.leader.Apply(c)
-	f.log = append(f.log, logEntry{f.World.Now(), lost, c})
+	f.log = append(f.log, logEntry{f.World.Now(), afterStateLoss, c})
 	f.resetCallCounts()
 	return r
 }
--- a/internal/sim/subset/history.go
+++ b/internal/sim/subset/history.go
@@ -20,11 +20,13 @@
 	changes  []change
 }
 
+// change is the state of an endpoint from a version on.
 type change struct {
 	version  uint64
 	endpoint registry.Endpoint
 }
 
+// add records that an endpoint is e from a version on.
 func (h *history) add(version uint64, e registry.Endpoint) {
 	i, found := slices.BinarySearchFunc(
 		h.endpoints,
--- a/internal/sim/subset/kinds.go
+++ b/internal/sim/subset/kinds.go
@@ -129,8 +129,8 @@
 			}
 		},
 	}
-	// kills ends a process and starts a new one at the fault's end. Replica r3 may be killed for good. A node may
-	// lose its cached list.
+	// kills ends a process and starts a new one at the fault's end. Replica r3 may be killed for good. A node
+	// may lose its cached list.
 	kills = sim.FaultKind{Name: "kill", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{
 			Targets:  pickOne(rng, names),
