--- a/internal/sim/subset/mail.go
+++ b/internal/sim/subset/mail.go
@@ -6,31 +6,33 @@
 	"wrenspread/internal/sim"
 )
 
-// mail is what messages stand for, as answers go without their JSON. Those to a node are let go at its next
-// call, after which it takes none of them; calls, which are small, are kept.
-type mail struct {
-	posted int
-	kept   map[string]any
-	to     map[string][]string // the keys of those that are to be let go, by node
+// messageStore holds the contents of simulated messages: a datagram carries only the key of its content, so
+// that answers need no JSON encoding. Answers to a node are dropped at the node's next call, after which the
+// node accepts none of them. Calls, which are small, stay for the whole simulation.
+type messageStore struct {
+	count      int                 // messages so far; the next key
+	contents   map[string]any      // by key
+	keysByNode map[string][]string // by node: the keys of the answers to drop
 }
 
-// post gives a message that stands for what it carries, to a node where it is an answer.
-func (m *mail) post(node string, what any) []byte {
-	key := strconv.Itoa(m.posted)
-	m.posted++
-	m.kept[key] = what
+// put stores a content and returns the data of its message. node is the receiver of an answer, "" for a call.
+func (m *messageStore) put(node string, content any) []byte {
+	key := strconv.Itoa(m.count)
+	m.count++
+	m.contents[key] = content
 	if node != "" {
-		m.to[node] = append(m.to[node], key)
+		m.keysByNode[node] = append(m.keysByNode[node], key)
 	}
 	return []byte(key)
 }
 
-// of is what a message stands for, nil where that was let go.
-func (m *mail) of(e sim.Message) any { return m.kept[string(e.Data)] }
+// content returns the content of a message, nil if it was dropped.
+func (m *messageStore) content(e sim.Message) any { return m.contents[string(e.Data)] }
 
-func (m *mail) forget(node string) {
-	for _, key := range m.to[node] {
-		delete(m.kept, key)
+// forget drops all answers to a node.
+func (m *messageStore) forget(node string) {
+	for _, key := range m.keysByNode[node] {
+		delete(m.contents, key)
 	}
-	m.to[node] = m.to[node][:0]
+	m.keysByNode[node] = m.keysByNode[node][:0]
 }
--- a/internal/timeline/cell.go
+++ b/internal/timeline/cell.go
@@ -7,11 +7,12 @@
 	"unicode/utf8"
 )
 
-// texts puts a cell's events into few words: repeats are counted, and what was
-// done to several ("suspects n3", "suspects n4") is said once.
-func texts(events []Event) (out []string) {
+// cellTexts returns the texts of a cell's events. Repeated events are merged into one text with their count,
+// and events of one verb with several objects ("suspects n3", "suspects n4") into one text ("suspects n3,
+// n4").
+func cellTexts(events []Event) (out []string) {
 	type kind struct {
-		word    string
+		phrase  string
 		objects []string
 		times   map[string]int
 	}
@@ -21,11 +22,11 @@
 		what := clean(e.What)
 		word, object, _ := strings.Cut(what, " ")
 		if strings.Contains(object, " ") {
-			word, object = what, "" // a phrase, not something done to somebody
+			word, object = what, "" // more than a verb and an object
 		}
 		k := byWord[word]
 		if k == nil {
-			k = &kind{word: word, times: map[string]int{}}
+			k = &kind{phrase: word, times: map[string]int{}}
 			byWord[word], kinds = k, append(kinds, k)
 		}
 		if k.times[object]++; k.times[object] == 1 {
@@ -37,26 +38,27 @@
 		for _, o := range k.objects {
 			switch n := k.times[o]; o {
 			case "":
-				out = append(out, k.word+times(n))
+				out = append(out, k.phrase+repeatSuffix(n))
 			default:
-				named = append(named, o+times(n))
+				named = append(named, o+repeatSuffix(n))
 			}
 		}
 		if len(named) > 0 {
-			out = append(out, k.word+" "+strings.Join(named, ", "))
+			out = append(out, k.phrase+" "+strings.Join(named, ", "))
 		}
 	}
 	return out
 }
 
-func times(n int) string {
+// repeatSuffix returns the mark of an event that happened n times, "" for once.
+func repeatSuffix(n int) string {
 	if n == 1 {
 		return ""
 	}
 	return fmt.Sprintf(" x%d", n)
 }
 
-// clean keeps what can be drawn on one line.
+// clean replaces what cannot be drawn on one line by spaces, and joins runs of spaces.
 func clean(s string) string {
 	s = strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
@@ -67,7 +69,8 @@
 	return strings.Join(strings.Fields(s), " ")
 }
 
-// wrap breaks a text into lines, within a word only where the word is longer than a line.
+// wrap breaks a text into lines of at most width runes. It breaks a word only if the word is longer than a
+// line.
 func wrap(s string, width int) (lines []string) {
 	line := ""
 	for _, word := range strings.Fields(clean(s)) {
@@ -90,42 +93,43 @@
 	return lines
 }
 
-// counted says how many more there are, in one piece: "+12" where there is no room for "+12 more".
-func counted(n, width int) string {
+// moreText returns the text for n further events: "+12 more", or "+12" if that is too wide for one line.
+func moreText(n, width int) string {
 	if more := fmt.Sprintf("+%d more", n); len(more) <= width {
 		return more
 	}
 	return fmt.Sprintf("+%d", n)
 }
 
-// cell returns the lines of a cell, the further ones counted.
+// cell returns the lines of a cell. Texts beyond maxCellLines are replaced by their count.
 func cell(events []Event, width int) (lines []string) {
-	all := texts(events)
+	all := cellTexts(events)
 	for i, text := range all {
 		next := wrap(text, width)
-		if left := len(all) - i; len(lines)+len(next) > mostLines && len(lines) > 0 {
-			return append(lines, counted(left, width))
+		if remaining := len(all) - i; len(lines)+len(next) > maxCellLines && len(lines) > 0 {
+			return append(lines, moreText(remaining, width))
 		}
 		lines = append(lines, next...)
 	}
 	return lines
 }
 
-// write writes one row: its time, and beside it the cells, as high as the highest.
+// write writes one row: its time and its cells. The cell with the most lines sets the number of lines of the
+// row.
 func (t table) write(out *strings.Builder, label string, cells map[string][]Event) {
-	high := 1
+	height := 1
 	drawn := make([][]string, len(t.columns))
 	for i, c := range t.columns {
-		drawn[i] = cell(cells[c], t.cells[i])
-		high = max(high, len(drawn[i]))
+		drawn[i] = cell(cells[c], t.cellWidths[i])
+		height = max(height, len(drawn[i]))
 	}
-	for k := range high {
+	for k := range height {
 		var line strings.Builder
 		if k > 0 {
 			label = ""
 		}
-		fmt.Fprintf(&line, "%*s ", t.label, label)
-		for i, w := range t.cells {
+		fmt.Fprintf(&line, "%*s ", t.timeWidth, label)
+		for i, w := range t.cellWidths {
 			text := ""
 			if k < len(drawn[i]) {
 				text = drawn[i][k]
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline draws a history as text: time downwards, one column for
-// each node (service, holder, controller), and in each cell what happened there.
-// It is pure and takes events from anywhere.
+// Package timeline draws a history as text. Time runs downwards; each node (or service, lease holder,
+// controller) has a column, and each cell shows what happened there in a step of time. The package is pure
+// and takes events from any source.
 package timeline
 
 import (
@@ -12,28 +12,28 @@
 	"unicode/utf8"
 )
 
-// Event says that something happened somewhere.
+// Event is one thing that happened, in one column.
 type Event struct {
-	At   time.Duration // since the history's beginning
+	At   time.Duration // since the beginning of the history
 	Who  string        // the column
-	What string        // a few words: "suspects n3", "takes over"
+	What string        // a short text, such as "suspects n3" or "takes over"
 }
 
-// Bounds of a drawing, in runes and lines.
+// Bounds of a drawing: widths in runes, heights in lines.
 const (
-	narrowest = 40 // of a drawing, so that there is room for the time and a column
-	usual     = 118
-	leastCell = 6
-	mostLines = 8 // of a cell; what is beyond is counted
+	minWidth     = 40  // of a drawing, so that the time and one column fit
+	defaultWidth = 118 // of a drawing
+	minCellWidth = 6   // of a cell
+	maxCellLines = 8   // of a cell; further events are counted instead of drawn
 )
 
-// Drawing says how a history is to be drawn.
+// Drawing describes how a history is drawn.
 type Drawing struct {
-	Says    string        // a sentence on what it shows, and why it must be so
-	Columns []string      // who is drawn, from left to right; the others' events are counted at the foot
-	Width   int           // the most runes of a line; 0: 118, and 40 at least
+	Says    string        // the caption: what the drawing shows, and why that is right
+	Columns []string      // columns from left to right; events of other columns are counted below the drawing
+	Width   int           // maximum runes of a line, at least 40; 0: 118
 	Step    time.Duration // events of one step share a row; 0: 100 ms
-	Fold    time.Duration // a gap from here on is marked; 0: a second
+	Fold    time.Duration // a gap of this length or longer is marked; 0: 1 s
 }
 
 // Draw returns the drawing. The order of the events does not matter.
@@ -51,19 +51,22 @@
 	}
 	out.WriteString("\n")
 	t.write(&out, "time", columnHeads(t.columns))
-	out.WriteString(strings.Repeat("-", t.label+1))
-	for _, w := range t.cells {
+	out.WriteString(strings.Repeat("-", t.timeWidth+1))
+	for _, w := range t.cellWidths {
 		out.WriteString("+" + strings.Repeat("-", w+2))
 	}
 	out.WriteString("\n")
 	for i, r := range rows {
 		if gap := r.at - rows[max(i-1, 0)].at; gap >= d.Fold {
-			fmt.Fprintf(&out, "%*s ~ %s of nothing\n", t.label, "", d.seconds(gap))
+			fmt.Fprintf(&out, "%*s ~ %s of nothing\n", t.timeWidth, "", d.seconds(gap))
 		}
 		t.write(&out, d.seconds(r.at), r.cells)
 	}
-	if n := rest.events + t.hidden(rows); n > 0 {
-		for _, l := range wrap(fmt.Sprintf("(%d more events: %s)", n, strings.Join(append(rest.of, t.left...), ", ")), d.Width) {
+	if n := rest.count + t.countHidden(rows); n > 0 {
+		for _, l := range wrap(
+			fmt.Sprintf("(%d more events: %s)", n, strings.Join(append(rest.columns, t.hiddenColumns...), ", ")),
+			d.Width,
+		) {
 			out.WriteString(l + "\n")
 		}
 	}
@@ -71,13 +74,13 @@
 }
 
 func (d Drawing) defaults() Drawing {
-	d.Width = max(cmp.Or(d.Width, usual), narrowest)
+	d.Width = max(cmp.Or(d.Width, defaultWidth), minWidth)
 	d.Step = cmp.Or(max(d.Step, 0), 100*time.Millisecond)
 	d.Fold = max(cmp.Or(max(d.Fold, 0), time.Second), d.Step)
 	return d
 }
 
-// seconds writes a time as exactly as the steps are.
+// seconds formats a time in seconds, with the digits that Step needs.
 func (d Drawing) seconds(t time.Duration) string {
 	digits := 3
 	for unit := time.Millisecond; digits > 0 && d.Step%(10*unit) == 0; unit *= 10 {
@@ -86,6 +89,7 @@
 	return fmt.Sprintf("%.*f s", digits, t.Seconds())
 }
 
+// columnHeads returns the cells of the head row: the name of each column.
 func columnHeads(names []string) map[string][]Event {
 	heads := map[string][]Event{}
 	for _, n := range names {
@@ -94,24 +98,25 @@
 	return heads
 }
 
-// row is one step in which something happened.
+// row is one step of time in which something happened.
 type row struct {
 	at    time.Duration
-	cells map[string][]Event
+	cells map[string][]Event // by column
 }
 
-// others are the events that belong to no column.
-type others struct {
-	events int
-	of     []string
+// hiddenEvents describes the events that belong to no column of the drawing.
+type hiddenEvents struct {
+	count   int
+	columns []string // the names of their columns, sorted
 }
 
-func (d Drawing) rows(events []Event) (rows []row, rest others) {
+// rows groups events, which are sorted by time, into rows, and returns the events without a column as rest.
+func (d Drawing) rows(events []Event) (rows []row, rest hiddenEvents) {
 	for _, e := range events {
 		if !slices.Contains(d.Columns, e.Who) {
-			rest.events++
-			if !slices.Contains(rest.of, e.Who) {
-				rest.of = append(rest.of, e.Who)
+			rest.count++
+			if !slices.Contains(rest.columns, e.Who) {
+				rest.columns = append(rest.columns, e.Who)
 			}
 			continue
 		}
@@ -122,60 +127,62 @@
 		r := rows[len(rows)-1]
 		r.cells[e.Who] = append(r.cells[e.Who], e)
 	}
-	slices.Sort(rest.of)
+	slices.Sort(rest.columns)
 	return rows, rest
 }
 
-// table is where the cells stand.
+// table holds the layout of a drawing.
 type table struct {
-	label   int      // the width of the time
-	columns []string // those for which there is room
-	left    []string // the others
-	cells   []int    // widths
+	timeWidth     int      // width of the times
+	columns       []string // columns that fit into the width
+	hiddenColumns []string // columns that do not fit
+	cellWidths    []int    // widths, by index of columns
 }
 
-// layout gives each column the width that it needs, and all an even part where that is too much.
+// layout gives each column the width that its texts need, or less if the sum exceeds the width of the
+// drawing.
 func (d Drawing) layout(rows []row) table {
-	t := table{label: len("time"), columns: slices.Compact(slices.Clone(d.Columns))}
+	t := table{timeWidth: len("time"), columns: slices.Compact(slices.Clone(d.Columns))}
 	for _, r := range rows {
-		t.label = max(t.label, len(d.seconds(r.at)))
+		t.timeWidth = max(t.timeWidth, len(d.seconds(r.at)))
 	}
-	room := d.Width - t.label - 1
-	if most := max(1, room/(leastCell+3)); len(t.columns) > most {
-		t.columns, t.left = t.columns[:most], t.columns[most:]
+	available := d.Width - t.timeWidth - 1
+	if maxColumns := max(1, available/(minCellWidth+3)); len(t.columns) > maxColumns {
+		t.columns, t.hiddenColumns = t.columns[:maxColumns], t.columns[maxColumns:]
 	}
 	need := make([]int, len(t.columns))
 	for i, c := range t.columns {
-		need[i] = max(leastCell, utf8.RuneCountInString(c))
+		need[i] = max(minCellWidth, utf8.RuneCountInString(c))
 		for _, r := range rows {
-			for _, text := range texts(r.cells[c]) {
+			for _, text := range cellTexts(r.cells[c]) {
 				need[i] = max(need[i], utf8.RuneCountInString(text))
 			}
 		}
 	}
-	t.cells = share(need, room-3*len(need))
+	t.cellWidths = shareWidth(need, available-3*len(need))
 	return t
 }
 
-// share gives each its need, and where all are more than there is, the most needy less.
-func share(need []int, room int) []int {
-	order := make([]int, len(need))
+// shareWidth gives each column the width that it needs. If the sum exceeds the available width, the widest
+// columns get an equal share of what the others leave.
+func shareWidth(needed []int, available int) []int {
+	order := make([]int, len(needed))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(need[a], need[b]) })
-	out := make([]int, len(need))
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(needed[a], needed[b]) })
+	widths := make([]int, len(needed))
 	for k, i := range order {
-		out[i] = min(need[i], room/(len(order)-k))
-		room -= out[i]
+		widths[i] = min(needed[i], available/(len(order)-k))
+		available -= widths[i]
 	}
-	return out
+	return widths
 }
 
-// hidden counts the events of columns for which there was no room.
-func (t table) hidden(rows []row) (n int) {
+// countHidden returns the number of events of the columns that do not fit.
+func (t table) countHidden(rows []row) (n int) {
 	for _, r := range rows {
-		for _, c := range t.left {
+		for _, c := range t.hiddenColumns {
 			n += len(r.cells[c])
 		}
 	}
