--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -1,4 +1,5 @@
-// Package check gives verdicts over a whole history. It is pure.
+// Package check judges the complete history of a lab run: each check is a pure function from the history's
+// events to a verdict.
 package check
 
 import (
@@ -11,20 +12,21 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Limits is what a run promised its processes.
+// Limits holds the resources that a run granted to each process, and the timing slack of the checks.
 type Limits struct {
-	Memory int64         // bytes for a process; 0: not checked
-	FDs    int           // descriptors for a process; 0: not checked
-	Slack  time.Duration // that the lab's own lateness and its links add to a time
+	Memory int64         // bytes of memory for each process; 0 disables the check
+	FDs    int           // file descriptors for each process; 0 disables the check
+	Slack  time.Duration // what the lab's own lateness and its links add to a measured time
 }
 
-// Finding is one thing that broke a rule.
+// Finding describes one event that broke a rule.
 type Finding struct {
 	T    time.Duration `json:"t"`
 	ID   string        `json:"id,omitempty"`
 	Text string        `json:"text"`
 }
 
+// String returns the finding with its request and time, as reports print it.
 func (f Finding) String() string {
 	s := f.Text
 	if f.ID != "" {
@@ -36,15 +38,15 @@
 	return s
 }
 
-// Verdict is what a check says of a history.
+// Verdict is the result of one check over a history.
 type Verdict struct {
 	Name   string    `json:"name"`
 	Rule   string    `json:"rule"`
-	Timed  bool      `json:"timed"`  // rests on times, so a late machine can break it
-	Seen   int       `json:"seen"`   // how many things it looked at
-	Broken []Finding `json:"broken"` // empty: kept
+	Timed  bool      `json:"timed"`  // the rule depends on times, so a slow machine can break it
+	Seen   int       `json:"seen"`   // the number of items that the check examined
+	Broken []Finding `json:"broken"` // violations of the rule; empty when the rule was kept
 
-	Measured []string `json:"measured,omitempty"` // what it found out beside the verdict
+	Measured []string `json:"measured,omitempty"` // measurements that the check reports in addition to the verdict
 }
 
 // OK reports whether the rule was kept.
@@ -54,7 +56,8 @@
 	v.Broken = append(v.Broken, Finding{T: e.T, ID: e.ID, Text: fmt.Sprintf(format, args...)})
 }
 
-// All makes every check. The history may be in the order in which it was written.
+// All runs every check that applies to each history. The events may be in the order in which they were
+// written; All sorts a copy by time.
 func All(events []history.Event, l Limits) []Verdict {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.T, b.T) })
@@ -71,12 +74,13 @@
 		drains(events, l.Slack),
 		cold(events),
 		processes(events),
-		use(events, l),
+		resourceUse(events, l),
 		growth(events),
 	}
 }
 
-// answered: each request that a node took gets one final answer.
+// answered checks that each request that a node accepted gets exactly one final answer. A broken or silent
+// answer is excused when a fault acted on the node while the request was open.
 func answered(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "answered",
@@ -86,7 +90,7 @@
 	faults := faultsOf(events)
 	sent := map[string]history.Event{}
 	answers := map[string]int{}
-	fresh, all := 0, 0
+	fresh, total := 0, 0
 	for _, e := range events {
 		switch e.Kind {
 		case history.Sent:
@@ -94,13 +98,13 @@
 		case history.Extra:
 			v.fail(e, "%s says more after the answer to %s", e.Node, e.ID)
 		case history.Answer:
-			all++
+			total++
 			answers[e.ID]++
 			if answers[e.ID] > 1 {
 				v.fail(e, "a second answer from %s", e.Node)
 			}
 			s, ok := sent[e.ID]
-			if !ok || (e.How != history.Broken && e.How != history.Silent) || faults.touch(e.Node, s.T, e.T) {
+			if !ok || (e.How != history.Broken && e.How != history.Silent) || faults.overlap(e.Node, s.T, e.T) {
 				continue
 			}
 			if e.Detail == history.Fresh {
@@ -122,17 +126,18 @@
 			v.fail(s, "nothing came of it")
 		}
 	}
-	// A first request on a connection that is closed unread has failed and is not lost, up to one in 200.
-	if fresh*200 > max(all, 200) {
+	// A first request on a new connection that the node closes unread counts as failed, not as lost, up to
+	// one request in 200.
+	if fresh*200 > max(total, 200) {
 		v.Broken = append(
 			v.Broken,
-			Finding{Text: fmt.Sprintf("%d of %d requests were closed unheard, more than one in 200", fresh, all)},
+			Finding{Text: fmt.Sprintf("%d of %d requests were closed unheard, more than one in 200", fresh, total)},
 		)
 	}
 	return v
 }
 
-// ended: each operation ends once.
+// ended checks that each due operation ends exactly once.
 func ended(events []history.Event) Verdict {
 	v := Verdict{Name: "ended", Rule: "each operation that was due ends once"}
 	over := map[int]int{}
@@ -154,14 +159,14 @@
 	return v
 }
 
-// ownAnswer: what is served is what a backend answered to that request.
+// ownAnswer checks that each served answer was made by the named backend for that same request.
 func ownAnswer(events []history.Event) Verdict {
 	v := Verdict{Name: "own-answer", Rule: "what a node serves is what a box answered to that very request"}
-	type made struct{ id, box string }
-	ends := map[made]bool{}
+	type answerKey struct{ id, box string }
+	ends := map[answerKey]bool{}
 	for _, e := range events {
 		if e.Kind == history.End && e.Status == 200 {
-			ends[made{e.ID, e.Box}] = true
+			ends[answerKey{e.ID, e.Box}] = true
 		}
 	}
 	for _, e := range events {
@@ -169,14 +174,14 @@
 			continue
 		}
 		v.Seen++
-		if !ends[made{e.ID, e.Box}] {
+		if !ends[answerKey{e.ID, e.Box}] {
 			v.fail(e, "%s serves an answer of box %q, which made none", e.Node, e.Box)
 		}
 	}
 	return v
 }
 
-// onceUnsafe: no operation of an unsafe class begins twice, over all tries.
+// onceUnsafe checks that no operation of an unsafe class begins twice at backends, over all of its tries.
 func onceUnsafe(events []history.Event) Verdict {
 	v := Verdict{Name: "unsafe-once", Rule: "no payment-post begins twice, over all of its client's tries"}
 	unsafe := map[int]bool{}
@@ -200,21 +205,21 @@
 	return v
 }
 
-// onceKeyed: no key begins twice, but by what the rule allows: a repeat that was
-// sent to the same pod within the window, and came later than that. The network
-// may hold a request back for longer than a pod remembers.
+// onceKeyed checks that no idempotency key begins twice. One repeat is allowed: it was sent to the same pod
+// within the deduplication window and arrived after it, because the network may delay a request for longer
+// than a pod remembers a key.
 func onceKeyed(events []history.Event, slack time.Duration) Verdict {
 	v := Verdict{
 		Name: "key-once",
 		Rule: "no key begins twice: repeats are sent to the same pod and within the window",
 	}
-	type at struct{ id, box string }
-	sent := map[at]time.Duration{}
+	type attempt struct{ id, box string }
+	sent := map[attempt]time.Duration{}
 	first := map[string]history.Event{}
 	for _, e := range events {
 		switch {
 		case e.Kind == history.Arrive:
-			sent[at{e.ID, e.Box}] = e.Sent
+			sent[attempt{e.ID, e.Box}] = e.Sent
 		case e.Kind == history.Begin && e.Key != "":
 			v.Seen++
 			f, again := first[e.Key]
@@ -222,7 +227,7 @@
 				first[e.Key] = e
 				continue
 			}
-			apart := sent[at{e.ID, e.Box}] - sent[at{f.ID, f.Box}]
+			apart := sent[attempt{e.ID, e.Box}] - sent[attempt{f.ID, f.Box}]
 			if e.Pod != f.Pod || apart > world.KeyWindow+world.SocketSlack+slack {
 				v.fail(
 					e,
@@ -239,7 +244,7 @@
 	return v
 }
 
-// oneAtATime: no two attempts of a request are open at once.
+// oneAtATime checks that no two attempts of one request are open at the same time.
 func oneAtATime(events []history.Event) Verdict {
 	v := Verdict{Name: "one-at-a-time", Rule: "no two attempts of one request are open at once"}
 	for _, e := range events {
@@ -254,7 +259,7 @@
 	return v
 }
 
-// asSent: what reaches a backend is what a client sent.
+// asSent checks that every request that reaches a backend is a request that a client sent, unchanged.
 func asSent(events []history.Event) Verdict {
 	v := Verdict{
 		Name: "as-sent",
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// sound is a history in which all rules are kept, though much goes wrong.
-func sound() []history.Event {
+// soundHistory returns a history with faults, refusals and delays in which all rules are kept.
+func soundHistory() []history.Event {
 	return []history.Event{
 		{T: 1, Kind: history.Proc, Node: "n0", Pid: 7, How: "start"},
 		{T: 1 * ms, Kind: history.Due, Op: 1, Class: "payment-post"},
@@ -36,11 +36,11 @@
 		{T: 1950 * ms, Kind: history.Proc, Node: "n0", Pid: 7, How: "signal", Detail: "SIGSTOP"},
 		{T: 3950 * ms, Kind: history.Proc, Node: "n0", Pid: 7, How: "signal", Detail: "SIGCONT"},
 		{T: 3990 * ms, Kind: history.Arrive, ID: "d", Box: "s0", Node: "n0", Sent: 3990 * ms},
-		{T: 3995 * ms, Kind: history.Arrive, Op: 2, ID: "b", Box: "s4", Node: "n0", Sent: 900 * ms}, // a link held it back
+		{T: 3995 * ms, Kind: history.Arrive, Op: 2, ID: "b", Box: "s4", Node: "n0", Sent: 900 * ms}, // delayed by a link
 		{T: 3996 * ms, Kind: history.Begin, Op: 2, ID: "b", Box: "s4", Key: "k", Pod: 1},
 		{T: 4000 * ms, Kind: history.Box, Box: "s3", How: "cold", Detail: "99"},
 		{T: 4001 * ms, Kind: history.Arrive, ID: "e", Box: "s3", Node: "n0", Took: time.Second},
-		{T: 4002 * ms, Kind: history.Box, Box: "s3", How: "fell"}, // nobody had been told
+		{T: 4002 * ms, Kind: history.Box, Box: "s3", How: "fell"}, // no node had been notified of the start
 		{T: 4003 * ms, Kind: history.Sample, Node: "n0", Pid: 7, RSS: 20 << 20, FDs: 30},
 		{T: 5000 * ms, Kind: history.Proc, Node: "n0", Pid: 7, How: "exit"},
 	}
@@ -54,8 +54,8 @@
 	return all
 }
 
-func TestSoundHistory(t *testing.T) {
-	for name, v := range run(sound()) {
+func TestSoundHistoryPassesEveryCheck(t *testing.T) {
+	for name, v := range run(soundHistory()) {
 		if !v.OK() {
 			t.Errorf("%s: %v", name, v.Broken)
 		}
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestEachFaultIsFound: one thing is wrong, and just the check for it says so.
-func TestEachFaultIsFound(t *testing.T) {
+// TestEachBrokenRuleFailsItsCheckAlone breaks one rule at a time: only the check of that rule may fail.
+func TestEachBrokenRuleFailsItsCheckAlone(t *testing.T) {
 	add := func(more ...history.Event) func([]history.Event) []history.Event {
 		return func(all []history.Event) []history.Event { return append(all, more...) }
 	}
@@ -124,7 +124,7 @@
 		"memory grows":    {add(growing...), "growth"},
 		"files leak":      {add(leaking...), "growth"},
 	} {
-		for check, v := range run(c.wrong(sound())) {
+		for check, v := range run(c.wrong(soundHistory())) {
 			if v.OK() == (check == c.check) {
 				t.Errorf("%s: %s says %v", name, check, v.Broken)
 			}
--- a/internal/lab/check/quota.go
+++ b/internal/lab/check/quota.go
@@ -8,23 +8,24 @@
 	"wrenspread/internal/lab/history"
 )
 
-// Quota is a limit on the requests of the whole fleet from a time on.
+// Quota is a limit on the requests of the whole fleet that applies from the time From on.
 type Quota struct {
 	From        time.Duration
-	Rate, Burst float64 // requests a second; at once
+	Rate, Burst float64 // requests per second; requests at once
 }
 
-// Slack of the check: a request is judged at a node and seen at a backend, by as much later as links and a
-// node that waits for a core make it. And a lowered limit holds from when the last lease by the one before
-// has run out: a lease, another for a holder that changes at the same time, and the way to the nodes.
+// Slack of the quota check. quotaArrivalSlack is the time between a node's admission decision and the arrival
+// at a backend, which links and a node that waits for a core prolong. quotaLoweringDelay is the time after
+// which a lowered limit applies: the last lease under the previous limit has to expire, which takes one lease,
+// a second one when the holder changes at the same time, and the delivery to the nodes.
 const (
-	quotaSeen  = 300 * time.Millisecond
-	quotaLower = 4 * time.Second
+	quotaArrivalSlack  = 300 * time.Millisecond
+	quotaLoweringDelay = 4 * time.Second
 )
 
-// Quotas judges what all nodes together let through to backends: in any window at most rate x window + burst,
-// as a bucket that leaks at the rate tells exactly. used is the least part of the quota to be used between
-// two times; 0: not judged.
+// Quotas checks the requests that all nodes together send to backends: in any window at most
+// rate x window + burst, computed exactly with a leaky bucket. all lists the limits in order of time. used is
+// the least share of the quota that has to be used between from and to; 0 disables that part.
 func Quotas(events []history.Event, all []Quota, from, to time.Duration, used float64) Verdict {
 	v := Verdict{
 		Name:  "quota",
@@ -43,19 +44,19 @@
 	v.Seen = len(at)
 	level, last, worst, inside := 0.0, time.Duration(0), 0.0, 0
 	for _, t := range at {
-		q := holds(all, t)
-		level = max(0, level-q.Rate*(t-last).Seconds()) + 1
+		limit := highestLimit(all, t)
+		level = max(0, level-limit.Rate*(t-last).Seconds()) + 1
 		last = t
-		worst = max(worst, (level-q.Burst)/q.Rate)
-		if level > q.Burst+q.Rate*quotaSeen.Seconds() {
+		worst = max(worst, (level-limit.Burst)/limit.Rate)
+		if level > limit.Burst+limit.Rate*quotaArrivalSlack.Seconds() {
 			v.fail(
 				history.Event{T: t},
 				"%.1f requests more than leak away at %.1f a second, the burst is %.1f",
 				level,
-				q.Rate,
-				q.Burst,
+				limit.Rate,
+				limit.Burst,
 			)
-			level = 0 // one finding for one flood
+			level = 0 // report one finding per excess
 		}
 		if t >= from && t < to {
 			inside++
@@ -63,7 +64,7 @@
 	}
 	quota := 0.0
 	for t := from; t < to; t += 100 * time.Millisecond {
-		quota += lowest(all, t).Rate / 10
+		quota += latestLimit(all, t).Rate / 10
 	}
 	v.Measured = append(
 		v.Measured,
@@ -82,22 +83,23 @@
 	return v
 }
 
-// holds is the highest limit that any node may rightly go by at a time.
-func holds(all []Quota, t time.Duration) (q Quota) {
-	for i, one := range all {
-		over := i+1 < len(all) && t > all[i+1].From+quotaLower
-		if one.From <= t && !over {
-			q.Rate, q.Burst = max(q.Rate, one.Rate), max(q.Burst, one.Burst)
+// highestLimit returns the highest limit that any node may still apply at time t: the current one, and the
+// previous one until quotaLoweringDelay has passed.
+func highestLimit(all []Quota, t time.Duration) (highest Quota) {
+	for i, limit := range all {
+		over := i+1 < len(all) && t > all[i+1].From+quotaLoweringDelay
+		if limit.From <= t && !over {
+			highest.Rate, highest.Burst = max(highest.Rate, limit.Rate), max(highest.Burst, limit.Burst)
 		}
 	}
-	return q
+	return highest
 }
 
-// lowest is the limit that was given last.
-func lowest(all []Quota, t time.Duration) Quota {
-	for _, one := range slices.Backward(all) {
-		if one.From <= t {
-			return one
+// latestLimit returns the limit that was set last before time t.
+func latestLimit(all []Quota, t time.Duration) Quota {
+	for _, limit := range slices.Backward(all) {
+		if limit.From <= t {
+			return limit
 		}
 	}
 	return all[0]
--- a/internal/lab/check/quota_test.go
+++ b/internal/lab/check/quota_test.go
@@ -9,7 +9,8 @@
 	"wrenspread/internal/lab/history"
 )
 
-// arrivals are requests at backends, evenly at a rate between two times; each comes twice, as a second attempt would.
+// arrivals returns arrivals at backends, evenly spaced at a rate between two times; each request arrives twice, as with
+// a second attempt.
 func arrivals(rate float64, from, to time.Duration) (events []history.Event) {
 	for t := from; t < to; t += time.Duration(float64(time.Second) / rate) {
 		for range 2 {
@@ -19,9 +20,9 @@
 	return events
 }
 
-// TestQuotas: a fleet that keeps to its limit passes, and one that goes on by the previous one for too long, that lets a
-// burst through, or that leaves too much of it unused is found.
-func TestQuotas(t *testing.T) {
+// TestQuotaCheckFindsExcessAndUnusedQuota: a fleet within its limit passes; a fleet that applies the previous limit for
+// too long, admits too large a burst, or leaves too much of the quota unused fails.
+func TestQuotaCheckFindsExcessAndUnusedQuota(t *testing.T) {
 	const s = time.Second
 	limits := []Quota{{Rate: 50, Burst: 20}, {From: 10 * s, Rate: 25, Burst: 10}}
 	good := append(arrivals(50, 0, 10*s), arrivals(25, 10*s, 20*s)...)
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -8,19 +8,20 @@
 	"wrenspread/internal/lab/world"
 )
 
-// spell is a time in which something was done to a node. A node that was killed
-// loses what it held, so a request that was open at any moment of it is excused.
-type spell struct{ from, to time.Duration }
+// interval is the time during which a fault acted on a node. A killed node loses its requests in flight, so a
+// request that was open at any moment of the interval is excused.
+type interval struct{ from, to time.Duration }
 
-type spells map[string][]spell
+// nodeIntervals holds the fault intervals of each node, by node name.
+type nodeIntervals map[string][]interval
 
-// after is how long past a fault's end a node may still show it: a retransmitted
-// piece comes up to a second later.
-const after = time.Second
+// faultAftermath is how long after a fault's end a node may still show its effects: a retransmitted segment
+// arrives up to a second later.
+const faultAftermath = time.Second
 
-// faultsOf collects the faults that touch nodes themselves or their clients' links.
-func faultsOf(events []history.Event) spells {
-	s := spells{}
+// faultsOf collects the intervals of the faults that act on nodes or on their clients' links.
+func faultsOf(events []history.Event) nodeIntervals {
+	s := nodeIntervals{}
 	open := map[string]time.Duration{}
 	for _, e := range events {
 		if e.Kind != history.Fault {
@@ -29,14 +30,14 @@
 		if e.How == "begin" {
 			open[e.Detail] = e.T
 			for _, n := range e.Nodes {
-				s[n] = append(s[n], spell{e.T, 1<<63 - 1})
+				s[n] = append(s[n], interval{e.T, 1<<63 - 1})
 			}
 			continue
 		}
 		for _, n := range e.Nodes {
 			for i := range s[n] {
 				if s[n][i].from == open[e.Detail] {
-					s[n][i].to = e.T + after
+					s[n][i].to = e.T + faultAftermath
 				}
 			}
 		}
@@ -44,14 +45,15 @@
 	return s
 }
 
-// touch reports whether anything was done to a node between two times.
-func (s spells) touch(node string, from, to time.Duration) bool {
-	return slices.ContainsFunc(s[node], func(f spell) bool { return f.from <= to && f.to >= from })
+// overlap reports whether a fault acted on the node at any moment between from and to.
+func (s nodeIntervals) overlap(node string, from, to time.Duration) bool {
+	return slices.ContainsFunc(s[node], func(f interval) bool { return f.from <= to && f.to >= from })
 }
 
-// stopped is how long a node stood still between two times.
-func stopped(events []history.Event) func(node string, from, to time.Duration) time.Duration {
-	stops := map[string][]spell{}
+// stoppedTime returns a function that sums the time during which a node was stopped by SIGSTOP between two
+// times.
+func stoppedTime(events []history.Event) func(node string, from, to time.Duration) time.Duration {
+	stops := map[string][]interval{}
 	for _, e := range events {
 		if e.Kind != history.Proc || e.How != "signal" {
 			continue
@@ -59,7 +61,7 @@
 		all := stops[e.Node]
 		switch {
 		case e.Detail == "SIGSTOP":
-			stops[e.Node] = append(all, spell{e.T, 1<<63 - 1})
+			stops[e.Node] = append(all, interval{e.T, 1<<63 - 1})
 		case e.Detail == "SIGCONT" && len(all) > 0:
 			all[len(all)-1].to = min(all[len(all)-1].to, e.T)
 		}
@@ -73,8 +75,8 @@
 	}
 }
 
-// drains: nothing new reaches a backend past the grace after its drain was told. A
-// node that stood still in that time has as much longer.
+// drains checks that a node sends no new request to a backend once the grace period after the notification of
+// its drain has passed. The time for which the node was stopped is added to the grace period.
 func drains(events []history.Event, slack time.Duration) Verdict {
 	v := Verdict{
 		Name:  "drains",
@@ -82,23 +84,23 @@
 		Timed: true,
 	}
 	type pair struct{ node, box string }
-	told := map[pair]time.Duration{}
-	still := stopped(events)
+	leavingSince := map[pair]time.Duration{}
+	stoppedBetween := stoppedTime(events)
 	for _, e := range events {
 		p := pair{e.Node, e.Box}
 		switch {
 		case e.Kind == history.Told && e.How == "ready":
-			delete(told, p)
+			delete(leavingSince, p)
 		case e.Kind == history.Told:
 			v.Seen++
-			if _, ok := told[p]; !ok {
-				told[p] = e.T
+			if _, ok := leavingSince[p]; !ok {
+				leavingSince[p] = e.T
 			}
 		case e.Kind == history.Arrive:
-			since, ok := told[p]
-			sent := max(e.Sent, since) // what was sent before it was told may come late
+			since, ok := leavingSince[p]
+			sent := max(e.Sent, since) // a request sent before the notification may arrive late
 			if limit := world.DrainGrace + world.SocketSlack + slack; ok &&
-				sent-since-still(e.Node, since, sent) > limit {
+				sent-since-stoppedBetween(e.Node, since, sent) > limit {
 				v.fail(e, "%s sends %s work %v after it was told that it leaves", e.Node, e.Box, sent-since)
 			}
 		}
@@ -106,8 +108,8 @@
 	return v
 }
 
-// use: memory and descriptors stay within the limits.
-func use(events []history.Event, l Limits) Verdict {
+// resourceUse checks that memory and descriptors of every process stay within the limits.
+func resourceUse(events []history.Event, l Limits) Verdict {
 	v := Verdict{Name: "limits", Rule: "memory and descriptors of every process stay within its limits"}
 	for _, e := range events {
 		if e.Kind != history.Sample {
@@ -124,39 +126,40 @@
 	return v
 }
 
-// Growth is judged on processes that live for grownAge; a part of it is start-up.
+// Growth is checked on processes that run for growthMinAge or longer, since part of their time is start-up.
 const (
-	grownAge    = 40 * time.Second
-	grownPart   = 0.25     // from the third to the last quarter of its generation
-	grownMemory = 16 << 20 // what a heap between two collections may differ by, in bytes
-	grownFDs    = 64       // what a burst of connections may differ by
+	growthMinAge        = 40 * time.Second
+	growthAllowedShare  = 0.25     // allowed from the third to the last quarter of the process's run time
+	growthAllowedMemory = 16 << 20 // bytes by which a heap may vary between two garbage collections
+	growthAllowedFDs    = 64       // descriptors that a burst of connections may add
 )
 
-// growth: memory and descriptors do not go on growing.
+// growth checks that memory and descriptors of a process stop growing: the medians of the third and the last
+// quarter of its run time are compared.
 func growth(events []history.Event) Verdict {
 	v := Verdict{
 		Name: "growth",
 		Rule: "memory and descriptors of a process do not go on growing through the last half of its life",
 	}
-	lives := map[int][]history.Event{}
+	samplesByPid := map[int][]history.Event{}
 	for _, e := range events {
 		if e.Kind == history.Sample {
-			lives[e.Pid] = append(lives[e.Pid], e)
+			samplesByPid[e.Pid] = append(samplesByPid[e.Pid], e)
 		}
 	}
-	for _, life := range lives {
-		last := life[len(life)-1]
-		if last.T-life[0].T < grownAge {
+	for _, samples := range samplesByPid {
+		last := samples[len(samples)-1]
+		if last.T-samples[0].T < growthMinAge {
 			continue
 		}
 		v.Seen++
-		third, fourth := life[len(life)/2:len(life)*3/4], life[len(life)*3/4:]
+		third, fourth := samples[len(samples)/2:len(samples)*3/4], samples[len(samples)*3/4:]
 		a, b := median(third, memory), median(fourth, memory)
-		if b-a > max(grownMemory, int64(grownPart*float64(a))) {
+		if b-a > max(growthAllowedMemory, int64(growthAllowedShare*float64(a))) {
 			v.fail(last, "%s (pid %d) grew from %d to %d MB", last.Node, last.Pid, a>>20, b>>20)
 		}
 		a, b = median(third, descriptors), median(fourth, descriptors)
-		if b-a > max(grownFDs, int64(grownPart*float64(a))) {
+		if b-a > max(growthAllowedFDs, int64(growthAllowedShare*float64(a))) {
 			v.fail(last, "%s (pid %d) grew from %d to %d descriptors", last.Node, last.Pid, a, b)
 		}
 	}
@@ -166,9 +169,10 @@
 func memory(e history.Event) int64      { return e.RSS }
 func descriptors(e history.Event) int64 { return int64(e.FDs) }
 
-func median(of []history.Event, value func(history.Event) int64) int64 {
-	all := make([]int64, len(of))
-	for i, e := range of {
+// median returns the median of a value over the samples.
+func median(samples []history.Event, value func(history.Event) int64) int64 {
+	all := make([]int64, len(samples))
+	for i, e := range samples {
 		all[i] = value(e)
 	}
 	slices.Sort(all)
--- a/internal/lab/check/view.go
+++ b/internal/lab/check/view.go
@@ -10,43 +10,45 @@
 	"wrenspread/internal/lab/history"
 )
 
-// shaken is how long past the end of a fault a view may still be wrong about those whom it touched, or be
-// wrong itself: the longest suspicion of a small fleet, and a round of asking the dead.
-const shaken = 10 * time.Second
+// viewSettleTime is how long after the end of a fault a touched node may still be wrong in the views of others,
+// or have a wrong view itself: the longest suspicion in a small fleet, and one round of probing dead members.
+const viewSettleTime = 10 * time.Second
 
-// sight is one member in a node's view.
-type sight struct {
-	health            string
-	life, incarnation uint64
+// memberState is the state of one member in a node's view.
+type memberState struct {
+	health                  string
+	generation, incarnation uint64
 }
 
-func sights(e history.Event) map[string]sight {
-	all := map[string]sight{}
+// parseMembers returns the members that a view event lists, by name.
+func parseMembers(e history.Event) map[string]memberState {
+	all := map[string]memberState{}
 	for _, text := range e.Also {
 		var name string
-		var s sight
-		if n, _ := fmt.Sscanf(text, "%s %s %d %d", &name, &s.health, &s.life, &s.incarnation); n == 4 {
+		var s memberState
+		if n, _ := fmt.Sscanf(text, "%s %s %d %d", &name, &s.health, &s.generation, &s.incarnation); n == 4 {
 			all[name] = s
 		}
 	}
 	return all
 }
 
-// View judges what the nodes saw of each other: at the end all that run have one view, with just those alive
-// that run; nobody whom no fault touched was taken for dead by another like that; an ordered end was not
-// taken for a death, nor an upgrade for any end; and no life went back in the eyes of one process.
+// View checks the nodes' views of each other. At the end all running nodes have the same view, in which
+// exactly the running nodes are alive. No node that was free of faults declared another such node dead. An
+// ordered end was not taken for a death, nor an upgrade for an end. No process saw a member's generation or
+// incarnation go back.
 func View(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "view",
 		Rule:  "views settle after the last fault, take no undisturbed node for dead, and never go back",
 		Timed: true,
 	}
-	w := views{
-		v:       &v,
-		faults:  touchedBy(events),
-		running: map[string]int{},
-		last:    map[string]history.Event{},
-		ordered: map[string]bool{},
+	w := viewCheck{
+		verdict:  &v,
+		faults:   faultsByName(events),
+		running:  map[string]int{},
+		lastView: map[string]history.Event{},
+		ordered:  map[string]bool{},
 	}
 	for _, e := range events {
 		switch e.Kind {
@@ -56,9 +58,9 @@
 			w.fault(e)
 		case history.View:
 			v.Seen++
-			w.saw(e)
+			w.viewChanged(e)
 		case history.Ending:
-			w.settled()
+			w.judgeEnd()
 			return v
 		}
 	}
@@ -66,26 +68,27 @@
 	return v
 }
 
-type views struct {
-	v       *Verdict
-	faults  spells                   // by everybody whom they name
-	running map[string]int           // processes of a node
-	last    map[string]history.Event // what it saw last
-	ordered map[string]bool          // nodes that have been told to end, or upgraded, and not killed since
-	end     time.Duration            // of the last fault
-	changed time.Duration            // the last change of any view
-	lost    []*loss                  // nodes that were killed or stopped
+// viewCheck is the state of the View check while it goes through the events.
+type viewCheck struct {
+	verdict        *Verdict
+	faults         nodeIntervals            // fault intervals of every named party, settle time included
+	running        map[string]int           // the number of running processes of each node
+	lastView       map[string]history.Event // the last view event of each node
+	ordered        map[string]bool          // nodes that got SIGTERM, for an end or an upgrade, and were not killed since
+	lastFaultEnd   time.Duration            // the end of the last fault
+	lastViewChange time.Duration            // the time of the last change of any view
+	lost           []*loss                  // nodes that a fault killed or stopped
 }
 
-// loss is a node that was lost, and who has seen that.
+// loss is the loss of a node, with the delay until each other node declared it dead.
 type loss struct {
-	name string
-	at   time.Duration
-	by   map[string]time.Duration
+	name      string
+	at        time.Duration
+	seenAfter map[string]time.Duration
 }
 
-// touchedBy collects all faults, by everybody whom they name.
-func touchedBy(events []history.Event) spells {
+// faultsByName collects the intervals of all faults for every party that they name, prolonged by viewSettleTime.
+func faultsByName(events []history.Event) nodeIntervals {
 	var named []history.Event
 	for _, e := range events {
 		if e.Kind == history.Fault {
@@ -96,13 +99,13 @@
 	s := faultsOf(named)
 	for _, all := range s {
 		for i := range all {
-			all[i].to += min(shaken, 1<<63-1-all[i].to)
+			all[i].to += min(viewSettleTime, 1<<63-1-all[i].to)
 		}
 	}
 	return s
 }
 
-func (w *views) process(e history.Event) {
+func (w *viewCheck) process(e history.Event) {
 	switch e.How {
 	case "start":
 		w.running[e.Node]++
@@ -115,63 +118,64 @@
 	}
 }
 
-func (w *views) fault(e history.Event) {
+func (w *viewCheck) fault(e history.Event) {
 	_, do, _ := strings.Cut(e.Detail, "-")
 	if e.How == "end" {
-		w.end = max(w.end, e.T)
+		w.lastFaultEnd = max(w.lastFaultEnd, e.T)
 		return
 	}
 	for _, name := range e.Also {
 		if do == "kill" || do == "pause" {
 			w.ordered[name] = false
-			w.lost = append(w.lost, &loss{name: name, at: e.T, by: map[string]time.Duration{}})
+			w.lost = append(w.lost, &loss{name: name, at: e.T, seenAfter: map[string]time.Duration{}})
 		}
 	}
 }
 
-func (w *views) saw(e history.Event) {
-	w.changed = max(w.changed, e.T)
-	now, before := sights(e), sights(w.last[e.Node])
-	if w.last[e.Node].Detail != e.Detail {
-		before = nil // another process
+func (w *viewCheck) viewChanged(e history.Event) {
+	w.lastViewChange = max(w.lastViewChange, e.T)
+	now, before := parseMembers(e), parseMembers(w.lastView[e.Node])
+	if w.lastView[e.Node].Detail != e.Detail {
+		before = nil // the view is of another process
 	}
 	for _, name := range slices.Sorted(maps.Keys(now)) {
 		s := now[name]
-		if b, ok := before[name]; ok && (s.life < b.life || s.life == b.life && s.incarnation < b.incarnation) {
-			w.v.fail(
+		if b, ok := before[name]; ok && (s.generation < b.generation || s.generation == b.generation && s.incarnation < b.incarnation) {
+			w.verdict.fail(
 				e,
 				"%s sees %s go back from life %d, %d to %d, %d",
 				e.Node,
 				name,
-				b.life,
+				b.generation,
 				b.incarnation,
-				s.life,
+				s.generation,
 				s.incarnation,
 			)
 		}
-		if s.health != "dead" || before[name].health == "dead" && before[name].life == s.life {
+		if s.health != "dead" || before[name].health == "dead" && before[name].generation == s.generation {
 			continue
 		}
-		if !w.faults.touch(name, e.T, e.T) && !w.faults.touch(e.Node, e.T, e.T) {
-			w.v.fail(e, "%s takes %s for dead, and nothing had been done to either", e.Node, name)
+		if !w.faults.overlap(name, e.T, e.T) && !w.faults.overlap(e.Node, e.T, e.T) {
+			w.verdict.fail(e, "%s takes %s for dead, and nothing had been done to either", e.Node, name)
 		}
-		if w.ordered[name] && !w.faults.touch(e.Node, e.T, e.T) {
-			w.v.fail(e, "%s takes %s for dead, which ended as ordered", e.Node, name)
+		if w.ordered[name] && !w.faults.overlap(e.Node, e.T, e.T) {
+			w.verdict.fail(e, "%s takes %s for dead, which ended as ordered", e.Node, name)
 		}
 		for _, l := range w.lost {
-			if l.name == name && l.by[e.Node] == 0 {
-				l.by[e.Node] = e.T - l.at
+			if l.name == name && l.seenAfter[e.Node] == 0 {
+				l.seenAfter[e.Node] = e.T - l.at
 			}
 		}
 	}
-	w.last[e.Node] = e
+	w.lastView[e.Node] = e
 }
 
-// settled judges the end, and tells the times.
-func (w *views) settled() {
+// judgeEnd checks the views at the end of the run, and reports how long views took to settle and losses to be
+// seen.
+func (w *viewCheck) judgeEnd() {
 	var first history.Event
-	for _, name := range slices.Sorted(maps.Keys(w.last)) {
-		e := w.last[name]
+	for _, name := range slices.Sorted(maps.Keys(w.lastView)) {
+		e := w.lastView[name]
 		if w.running[name] <= 0 {
 			continue
 		}
@@ -179,33 +183,33 @@
 			first = e
 		}
 		if e.How != first.How {
-			w.v.fail(e, "at the end %s has view %s and %s has %s", name, e.How, first.Node, first.How)
+			w.verdict.fail(e, "at the end %s has view %s and %s has %s", name, e.How, first.Node, first.How)
 		}
-		for member, s := range sights(e) {
+		for member, s := range parseMembers(e) {
 			if runs := w.running[member] > 0; runs != (s.health == "alive") {
-				w.v.fail(e, "at the end %s has %s as %s, which runs: %v", name, member, s.health, runs)
+				w.verdict.fail(e, "at the end %s has %s as %s, which runs: %v", name, member, s.health, runs)
 			}
 		}
 		for member, n := range w.running {
-			if _, known := sights(e)[member]; n > 0 && !known && w.last[member].Node != "" {
-				w.v.fail(e, "at the end %s does not know %s", name, member)
+			if _, known := parseMembers(e)[member]; n > 0 && !known && w.lastView[member].Node != "" {
+				w.verdict.fail(e, "at the end %s does not know %s", name, member)
 			}
 		}
 	}
-	if w.end > 0 {
-		w.v.Measured = append(
-			w.v.Measured,
-			fmt.Sprintf("the last view changed %.2f s after the end of the last fault", (w.changed-w.end).Seconds()),
+	if w.lastFaultEnd > 0 {
+		w.verdict.Measured = append(
+			w.verdict.Measured,
+			fmt.Sprintf("the last view changed %.2f s after the end of the last fault", (w.lastViewChange-w.lastFaultEnd).Seconds()),
 		)
 	}
 	for _, l := range w.lost {
 		var all []time.Duration
-		for _, took := range l.by {
+		for _, took := range l.seenAfter {
 			all = append(all, took)
 		}
 		if slices.Sort(all); len(all) > 0 {
-			w.v.Measured = append(
-				w.v.Measured,
+			w.verdict.Measured = append(
+				w.verdict.Measured,
 				fmt.Sprintf("%s was dead in %d views after %.2f s in the median, %.2f s in the last", l.name, len(all),
 					all[len(all)/2].Seconds(), all[len(all)-1].Seconds()),
 			)
--- a/internal/lab/check/view_test.go
+++ b/internal/lab/check/view_test.go
@@ -10,8 +10,8 @@
 	"wrenspread/internal/lab/history"
 )
 
-// views of three nodes of which n2 is killed at 2 s and returns at 5 s in a second life.
-func goodViews() []history.Event {
+// soundViews returns the views of three nodes: n2 is killed at 2 s and returns at 5 s with generation 2.
+func soundViews() []history.Event {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	see := func(t float64, node, digest string, members ...string) history.Event {
 		life := "1"
@@ -39,9 +39,10 @@
 		history.Event{T: at(31), Kind: history.Proc, Node: "n0", How: "exit", Pid: 1})
 }
 
-// TestView: a good history passes and its times are told; each kind of wrong view is found.
-func TestView(t *testing.T) {
-	if v := View(goodViews()); !v.OK() || !strings.Contains(fmt.Sprint(v.Measured), "n2 was dead in 2 views after 1.20 s in the median") {
+// TestViewCheckPassesSoundViewsAndFindsEachWrongOne: a sound history passes and its times are measured; each kind of
+// wrong view fails.
+func TestViewCheckPassesSoundViewsAndFindsEachWrongOne(t *testing.T) {
+	if v := View(soundViews()); !v.OK() || !strings.Contains(fmt.Sprint(v.Measured), "n2 was dead in 2 views after 1.20 s in the median") {
 		t.Fatalf("%v, measured %v", v.Broken, v.Measured)
 	}
 	change := func(t float64, node string, do func(e *history.Event)) func([]history.Event) []history.Event {
@@ -69,7 +70,7 @@
 		},
 		"no end": func(all []history.Event) []history.Event { return all[:len(all)-2] },
 	} {
-		if v := View(spoil(goodViews())); !strings.Contains(fmt.Sprint(v.Broken), name) {
+		if v := View(spoil(soundViews())); !strings.Contains(fmt.Sprint(v.Broken), name) {
 			t.Errorf("%q is not found: %v", name, v.Broken)
 		}
 	}
--- a/internal/lab/check/world.go
+++ b/internal/lab/check/world.go
@@ -1,6 +1,6 @@
 package check
 
-// What becomes of backends and processes.
+// This file holds the checks of backends and processes.
 
 import (
 	"time"
@@ -9,26 +9,27 @@
 	"wrenspread/internal/lab/world"
 )
 
-// cold: no cold backend is pushed over by those who were notified of its start.
+// cold checks that no cold backend is overloaded by nodes that had been notified of its start. A fall counts
+// when these nodes sent at least two thirds of the backend's recent work.
 func cold(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "cold",
 		Rule:  "no cold box falls over under what nodes send that were told of its start",
 		Timed: true,
 	}
-	since := map[string]string{}           // of a backend's last listed start
-	told := map[string]map[string]string{} // by backend and node
-	sent := map[string][]history.Event{}   // to a backend
+	lastStart := map[string]string{}                // since_ms of each backend's last listed start
+	notifiedStart := map[string]map[string]string{} // since_ms of the start that each node knows, by backend and node
+	sent := map[string][]history.Event{}            // arrivals at each backend
 	for _, e := range events {
 		switch {
 		case e.Kind == history.Box && e.How == "cold":
-			since[e.Box] = e.Detail
+			lastStart[e.Box] = e.Detail
 			v.Seen++
 		case e.Kind == history.Told && e.How == "ready":
-			if told[e.Box] == nil {
-				told[e.Box] = map[string]string{}
+			if notifiedStart[e.Box] == nil {
+				notifiedStart[e.Box] = map[string]string{}
 			}
-			told[e.Box][e.Node] = e.Detail
+			notifiedStart[e.Box][e.Node] = e.Detail
 		case e.Kind == history.Arrive:
 			sent[e.Box] = append(sent[e.Box], e)
 		case e.Kind == history.Box && e.How == "fell":
@@ -38,7 +39,7 @@
 					continue
 				}
 				sum += a.Took
-				if told[e.Box][a.Node] == since[e.Box] {
+				if notifiedStart[e.Box][a.Node] == lastStart[e.Box] {
 					knowing += a.Took
 				}
 			}
@@ -57,7 +58,7 @@
 	return v
 }
 
-// processes: every process ends as it was ordered.
+// processes checks that every process ends in the way that it was ordered to.
 func processes(events []history.Event) Verdict {
 	v := Verdict{
 		Name: "processes",
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,6 +1,5 @@
-// Package history is what happened in a run of the lab: its events, the one
-// clock that stamps them, and the file that keeps them. Every check and report
-// is a function of it.
+// Package history records a run of the lab: its events, the one clock that stamps them, and the file that
+// stores them. Every check and report is computed from a history.
 package history
 
 import (
@@ -14,64 +13,67 @@
 	"time"
 )
 
-// Kind says what an event tells.
+// Kind says what an event describes.
 type Kind string
 
-// The kinds, with the fields that each has beside T.
+// The kinds of events, with the fields that each kind sets in addition to T.
 const (
-	Due Kind = "due" // an operation is wanted: Op, Class, Tenant, Zone
+	Due Kind = "due" // an operation is due: Op, Class, Tenant, Zone
 	// a try's last byte was written to a node: Op, ID, Class, Node, Key, Wait (how long the client waits)
 	Sent Kind = "sent"
-	// what came of a try: Op, ID, Node, How, Status, Took (from Sent), Backend (who made the body), Detail
+	// a try ended: Op, ID, Node, How, Status, Took (from Sent), Box (the backend that made the body), Detail
 	// (Fresh)
 	Answer Kind = "answer"
-	// a node's close crossed a request on a used connection, which was sent once more: Op, ID, Node
+	// a node closed a reused connection while a request was on its way; the client sent the request again:
+	// Op, ID, Node
 	Cross Kind = "cross"
 	Extra Kind = "extra" // bytes came after an answer: Node, ID of the answer
 	// an operation ended: Op, Class, Tenant, Zone, Node of the last try, How, Took (from Due), Tries
 	Over Kind = "over"
-	// an attempt's last byte reached a backend: Op, ID, Class, Key, Backend, Node, Took (its work), Sent (when
-	// the node wrote its last byte), Also (backends where it is still open), Bad and How (what no node may send)
+	// an attempt's last byte reached a backend: Op, ID, Class, Key, Box, Node, Took (its work), Sent (when the
+	// node wrote its last byte), Also (backends where the request is still open), Bad and How (the request is one
+	// that no node may send)
 	Arrive Kind = "arrive"
-	Begin  Kind = "begin" // a backend began the work, so that it may have an effect: ID, Key, Backend, Pod
-	Drop   Kind = "drop"  // a backend's pod dropped the repeat of a key: ID, Key, Backend
-	Turn   Kind = "turn"  // a backend turned an attempt away unseen: ID, Backend, How
-	End    Kind = "end"   // a backend answered: ID, Backend, Status, Took (from Arrive)
-	Shut   Kind = "shut"  // the node ended an attempt that was open: ID, Backend, Node
-	// discovery wrote an entry to a node: Node, Backend, How (the status), Index, Detail (since_ms)
+	Begin  Kind = "begin" // a backend began the work, so the request may have an effect: ID, Key, Box, Pod
+	Drop   Kind = "drop"  // a backend's pod dropped a repeated key: ID, Key, Box
+	Turn   Kind = "turn"  // a backend rejected an attempt without reading it: ID, Box, How
+	End    Kind = "end"   // a backend answered: ID, Box, Status, Took (from Arrive)
+	Shut   Kind = "shut"  // the node ended an open attempt: ID, Box, Node
+	// discovery sent an entry to a node: Node, Box, How (the status), Index, Detail (since_ms)
 	Told Kind = "told"
-	Box  Kind = "box" // a backend changed: Backend, How, Detail (since_ms, of a start that is listed)
-	// a node's view of the fleet changed: Node, Index (its number), How (its digest), Detail (the node's own
-	// life), Also ("name health life incarnation" of each member)
+	Box  Kind = "box" // a backend changed its state: Box, How, Detail (since_ms of a start that is listed)
+	// a node's view of the fleet changed: Node, Index (the view's number), How (its digest), Detail (the node's
+	// own generation), Also ("name health generation incarnation" of each member)
 	View Kind = "view"
-	// a process: Node, Pid, How (start, ready, signal, exit), Detail, Bad (not as ordered)
+	// a process changed its state: Node, Pid, How (start, ready, signal, exit, overdue), Detail, Bad (not as
+	// ordered)
 	Proc   Kind = "proc"
-	Sample Kind = "sample" // a process's use: Node, Pid, RSS, FDs, CPU, Stall (both in all since its start)
-	Fault  Kind = "fault"  // a fault: How (begin or end), Detail, Nodes (processes that it touches)
-	// the lab's own lateness in the second before: Took (worst), P99, CPU (of the lab, in all)
+	Sample Kind = "sample" // a process's resource use: Node, Pid, RSS, FDs, CPU, Stall (both totals since its start)
+	Fault  Kind = "fault"  // a fault begins or ends: How (begin or end), Detail, Nodes (processes that it touches)
+	// the lab's own lateness in the previous second: Took (worst), P99, CPU (total of the lab)
 	Lab    Kind = "lab"
-	Meta   Kind = "meta"   // the run: Detail (experiment), Seed, Took (planned length)
-	Ending Kind = "ending" // all is over; the processes are about to be ended
+	Meta   Kind = "meta"   // describes the run: Detail (experiment), Seed, Took (planned length)
+	Ending Kind = "ending" // the experiment is over; the lab is about to end the processes
 )
 
 // How a try or an operation ended.
 const (
 	Served    = "served"
 	Refused   = "refused"
-	Failed    = "failed"    // an answer that promises nothing
-	Broken    = "broken"    // the connection ended without a whole answer
-	Silent    = "silent"    // no answer by the time the client gave up, and none half a second later
-	Unreached = "unreached" // no connection, or none that took the request
+	Failed    = "failed"    // an error that does not say whether the operation ran
+	Broken    = "broken"    // the connection ended without a complete answer
+	Silent    = "silent"    // no answer by the client's timeout, nor half a second after it
+	Unreached = "unreached" // no connection was made, or none that accepted the request
 )
 
-// Fresh is the detail of an answer that never began on a new connection.
+// Fresh is the Detail of an Answer event for a request on a new connection on which no answer began.
 const Fresh = "fresh"
 
-// Event is one line of the history. Fields that a kind does not have are absent.
+// Event is one line of the history. Fields that an event's kind does not use are absent from the line.
 type Event struct {
 	T      time.Duration `json:"t"` // since the run began, in nanoseconds
 	Kind   Kind          `json:"k"`
-	Op     int           `json:"op,omitempty"` // from 1
+	Op     int           `json:"op,omitempty"` // operation number, from 1
 	ID     string        `json:"id,omitempty"`
 	Class  string        `json:"class,omitempty"`
 	Tenant string        `json:"tenant,omitempty"`
@@ -95,20 +97,20 @@
 	Pod    int           `json:"pod,omitempty"`
 	P99    time.Duration `json:"p99,omitempty"`
 	CPU    time.Duration `json:"cpu,omitempty"`
-	Stall  time.Duration `json:"stall,omitempty"` // time that threads waited for a core
+	Stall  time.Duration `json:"stall,omitempty"` // time for which threads waited for a core
 	RSS    int64         `json:"rss,omitempty"`   // bytes
 	FDs    int           `json:"fds,omitempty"`
 }
 
-// Log takes the events of a run. It is safe for concurrent use.
+// Log collects the events of a run. It is safe for concurrent use.
 type Log struct {
-	start time.Time
-	mu    sync.Mutex
-	all   []Event
-	file  *os.File
-	out   *bufio.Writer
-	err   error // the first that writing met
-	tell  func(Event)
+	start    time.Time
+	mu       sync.Mutex
+	events   []Event
+	file     *os.File
+	writer   *bufio.Writer
+	err      error // the first write error
+	follower func(Event)
 }
 
 // New begins a history that is also written to the file at path, unless path is empty.
@@ -121,39 +123,40 @@
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
-	l.file, l.out = f, bufio.NewWriterSize(f, 1<<20)
+	l.file, l.writer = f, bufio.NewWriterSize(f, 1<<20)
 	return l, nil
 }
 
-// Follow has f told of each event to come. It must be quick and add none.
+// Follow has f called with each later event. f runs under the log's lock, so it must be quick and add no event.
 func (l *Log) Follow(f func(Event)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tell = f
+	l.follower = f
 }
 
-// Now is the time since the run began, by the monotonic clock.
+// Now returns the time since the run began, by the monotonic clock.
 func (l *Log) Now() time.Duration { return time.Since(l.start) }
 
-// At turns a time of the run into one of the clock.
+// At converts a time since the run began to clock time.
 func (l *Log) At(t time.Duration) time.Time { return l.start.Add(t) }
 
-// Add stamps an event that has no time yet and keeps it.
+// Add stores an event, and stamps it with the present time if it has none.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e.T == 0 {
 		e.T = l.Now()
 	}
-	l.all = append(l.all, e)
-	if l.tell != nil {
-		l.tell(e)
+	l.events = append(l.events, e)
+	if l.follower != nil {
+		l.follower(e)
 	}
-	if l.out != nil && l.err == nil {
-		l.err = write(l.out, e)
+	if l.writer != nil && l.err == nil {
+		l.err = write(l.writer, e)
 	}
 }
 
+// write writes an event as one line of JSON.
 func write(w io.Writer, e Event) error {
 	b, err := json.Marshal(e)
 	if err != nil {
@@ -163,43 +166,43 @@
 	return err
 }
 
-// Events gives what has been kept so far, in the order of its adding.
+// Events returns a copy of the events so far, in the order in which they were added.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Event(nil), l.all...)
+	return append([]Event(nil), l.events...)
 }
 
-// Flush writes what is still buffered to the file.
+// Flush writes buffered events to the file.
 func (l *Log) Flush() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.out == nil {
+	if l.writer == nil {
 		return nil
 	}
-	return errors.Join(l.err, l.out.Flush())
+	return errors.Join(l.err, l.writer.Flush())
 }
 
-// Close ends the file. Events may still be added; they are kept in memory only.
+// Close closes the file. Events that are added later are stored in memory only.
 func (l *Log) Close() error {
 	err := l.Flush()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.file != nil {
 		err = errors.Join(err, l.file.Close())
-		l.file, l.out = nil, nil
+		l.file, l.writer = nil, nil
 	}
 	return err
 }
 
-// maxLine bounds a line of a history that is read.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a line that Read accepts.
+const maxLineBytes = 1 << 20
 
-// Read returns the events of a history. A last line that was cut off, as a killed lab leaves it, is passed
-// over; anything else that is malformed is an error.
+// Read returns the events of a history file. A truncated last line, as a killed lab leaves it, is skipped;
+// any other malformed line is an error.
 func Read(r io.Reader) ([]Event, error) {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	var all []Event
 	var broken error
 	for n := 1; lines.Scan(); n++ {
--- a/internal/lab/link/book.go
+++ b/internal/lab/link/book.go
@@ -5,32 +5,31 @@
 	"sync"
 )
 
-// book finds streams by the address from which their second half comes. A
-// listener may see that before the one who dialled does, so a look-up waits
-// while anybody dials.
-type book struct {
-	mu      sync.Mutex
-	settled *sync.Cond
-	dialing int
-	streams map[string]*Stream
+// streamIndex finds streams by the local address of their connection to the target. The target may accept that
+// connection before the dialling side has entered it here, so a lookup waits while any dial is in progress.
+type streamIndex struct {
+	mu       sync.Mutex
+	dialDone *sync.Cond
+	dialing  int
+	streams  map[string]*Stream
 }
 
-func newBook() *book {
-	b := &book{streams: map[string]*Stream{}}
-	b.settled = sync.NewCond(&b.mu)
+func newStreamIndex() *streamIndex {
+	b := &streamIndex{streams: map[string]*Stream{}}
+	b.dialDone = sync.NewCond(&b.mu)
 	return b
 }
 
-// dial connects the second half of a stream and notes it under the key that it gives.
-func (b *book) dial(s *Stream, target string) (key string, err error) {
+// dial connects the second half of a stream to the target, and enters the stream under the key that it returns.
+func (b *streamIndex) dial(s *Stream, target string) (key string, err error) {
 	b.mu.Lock()
 	b.dialing++
 	b.mu.Unlock()
-	c, err := net.DialTimeout("tcp4", target, dialTime)
+	c, err := net.DialTimeout("tcp4", target, dialTimeout)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.dialing--
-	b.settled.Broadcast()
+	b.dialDone.Broadcast()
 	if err != nil {
 		return "", err
 	}
@@ -40,19 +39,19 @@
 	return key, nil
 }
 
-func (b *book) forget(key string) {
+func (b *streamIndex) forget(key string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.streams, key)
 }
 
-// Lookup finds the stream whose second half comes from that address.
+// Lookup returns the stream whose second half connects from the address remote.
 func (n *Net) Lookup(remote string) (*Stream, bool) {
-	b := n.known
+	b := n.streams
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for b.streams[remote] == nil && b.dialing > 0 {
-		b.settled.Wait()
+		b.dialDone.Wait()
 	}
 	s, ok := b.streams[remote]
 	return s, ok
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -17,14 +17,15 @@
 	"wrenspread/internal/besteffort"
 )
 
-const enough = 30 * time.Second // only a hang takes so long
+const hangTimeout = 30 * time.Second // longer than any step takes unless it hangs
 
 var ends = Ends{"a", "b"}
 
 func everything(Ends) bool { return true }
 
-// laid makes a network with one link to a listener; both end with the test, and leave nothing.
-func laid(t *testing.T) (n *Net, address string, taken chan net.Conn) {
+// newTestLink makes a network with one link to a listener, which sends accepted connections to taken. Both are closed
+// at the end of the test, and no goroutine may remain.
+func newTestLink(t *testing.T) (n *Net, address string, taken chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -58,16 +59,16 @@
 
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp4", address, enough)
+	c, err := net.DialTimeout("tcp4", address, hangTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { besteffort.Close(c) })
-	besteffort.SocketOption(c.SetDeadline(time.Now().Add(enough)))
+	besteffort.SocketOption(c.SetDeadline(time.Now().Add(hangTimeout)))
 	return c
 }
 
-func TestMergeAndLift(t *testing.T) {
+func TestMergeOrderDoesNotMatterAndLiftRestores(t *testing.T) {
 	shape := rapid.Custom(func(t *rapid.T) Shape {
 		return Shape{Delay: time.Duration(rapid.IntRange(0, 99).Draw(t, "delay")), Loss: rapid.Float64Range(0, 1).Draw(t, "loss"),
 			Rate: rapid.Int64Range(0, 99).Draw(t, "rate"), Hold: Way(rapid.IntRange(0, 3).Draw(t, "hold")), Cut: rapid.Bool().Draw(t, "cut"),
@@ -82,17 +83,17 @@
 		l.lay("a", &a)
 		l.lay("b", &b)
 		l.lay("a", nil)
-		if got := l.now.Load().Shape; got != b {
+		if got := l.current.Load().Shape; got != b {
 			t.Fatalf("with a lifted there is %+v, want %+v", got, b)
 		}
 	})
 }
 
-// TestBytesPassUnchanged: whatever the link does to their timing.
+// TestBytesPassUnchanged: bytes pass unchanged, whatever the link does to their timing.
 func TestBytesPassUnchanged(t *testing.T) {
 	for name, s := range map[string]Shape{"plain": {}, "late": {Delay: time.Millisecond, Jitter: 3 * time.Millisecond}, "lossy": {Loss: 0.05}, "slow": {Rate: 4 << 20}} {
 		t.Run(name, func(t *testing.T) {
-			n, address, taken := laid(t)
+			n, address, taken := newTestLink(t)
 			n.Lay("s", s, everything)
 			c := dial(t, address)
 			sent := make([]byte, 1<<20)
@@ -120,9 +121,10 @@
 	}
 }
 
-// TestCut: nothing passes and nobody is told; after the heal all goes on.
-func TestCut(t *testing.T) {
-	n, address, taken := laid(t)
+// TestCutHoldsBytesAndConnectionsUntilHealed: over a cut link no byte and no new connection passes, and neither end gets
+// an error; after the heal the held bytes and new connections pass.
+func TestCutHoldsBytesAndConnectionsUntilHealed(t *testing.T) {
+	n, address, taken := newTestLink(t)
 	c := dial(t, address)
 	far := <-taken
 	n.Lay("cut", Shape{Hold: Both, Cut: true}, everything)
@@ -136,7 +138,7 @@
 		t.Errorf("over a cut link come %d bytes and %v", k, err)
 	}
 	n.Lift("cut")
-	besteffort.SocketOption(far.SetReadDeadline(time.Now().Add(enough)))
+	besteffort.SocketOption(far.SetReadDeadline(time.Now().Add(hangTimeout)))
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(far, got); err != nil || string(got) != "held" {
 		t.Errorf("after the heal come %q, %v", got, err)
@@ -150,9 +152,9 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// TestOneWay: the other direction goes on.
-func TestOneWay(t *testing.T) {
-	n, address, taken := laid(t)
+// TestOneWayHoldLetsTheOtherDirectionPass: a hold of one direction does not affect the other.
+func TestOneWayHoldLetsTheOtherDirectionPass(t *testing.T) {
+	n, address, taken := newTestLink(t)
 	c := dial(t, address)
 	far := <-taken
 	n.Lay("cut", Shape{Hold: Forward}, everything)
@@ -168,9 +170,9 @@
 	}
 }
 
-// TestLeftByOpener: an end that leaves is seen though the link says nothing of it.
-func TestLeftByOpener(t *testing.T) {
-	n, address, taken := laid(t)
+// TestLeftByOpenerSeesACloseThroughAHeldLink: LeftByOpener reports a close that the link does not pass on.
+func TestLeftByOpenerSeesACloseThroughAHeldLink(t *testing.T) {
+	n, address, taken := newTestLink(t)
 	c := dial(t, address)
 	far := <-taken
 	s, ok := n.Lookup(far.RemoteAddr().String())
@@ -179,23 +181,23 @@
 	}
 	n.Lay("cut", Shape{Hold: Both}, everything)
 	besteffort.Close(c)
-	for until := time.Now().Add(enough); !s.LeftByOpener(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(hangTimeout); !s.LeftByOpener(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("nobody notices that it has left")
+			t.Fatal("LeftByOpener does not report the close")
 		}
 	}
 }
 
-func TestRefuseAndReset(t *testing.T) {
-	n, address, taken := laid(t)
+func TestRefuseAndResetReachBothEnds(t *testing.T) {
+	n, address, taken := newTestLink(t)
 	c := dial(t, address)
 	far := <-taken
 	n.Lay("down", Shape{Refuse: true}, everything)
-	if _, err := net.DialTimeout("tcp4", address, enough); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.DialTimeout("tcp4", address, hangTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a refusing link gives %v", err)
 	}
 	n.Reset(everything)
-	besteffort.SocketOption(far.SetDeadline(time.Now().Add(enough)))
+	besteffort.SocketOption(far.SetDeadline(time.Now().Add(hangTimeout)))
 	for _, end := range []net.Conn{c, far} {
 		if _, err := end.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("after a reset: %v", err)
@@ -206,23 +208,24 @@
 	besteffort.Close((<-taken))
 }
 
-// TestSnip: what comes is a beginning of what was sent, and then the end.
-func TestSnip(t *testing.T) {
-	n, address, taken := laid(t)
+// TestSnipPassesAPrefixAndEndsTheConnection: the receiver gets a prefix of what was sent, and then the end.
+func TestSnipPassesAPrefixAndEndsTheConnection(t *testing.T) {
+	n, address, taken := newTestLink(t)
 	n.Lay("snip", Shape{Snip: 100}, everything)
 	c := dial(t, address)
 	far := <-taken
 	sent := bytes.Repeat([]byte("0123456789"), 20)
 	besteffort.Output(c.Write(sent))
-	besteffort.SocketOption(far.SetDeadline(time.Now().Add(enough)))
+	besteffort.SocketOption(far.SetDeadline(time.Now().Add(hangTimeout)))
 	got, _ := io.ReadAll(far)
 	if len(got) > 100 || !bytes.HasPrefix(sent, got) {
 		t.Errorf("%d bytes come, a beginning of what was sent: %v", len(got), bytes.HasPrefix(sent, got))
 	}
 }
 
-// TestDatagrams: each end sees the other at the address that it was given.
-func TestDatagrams(t *testing.T) {
+// TestDatagramsKeepPeerAddressesAndFollowTheShape: each end sees datagrams come from the address that it was given for
+// the other, and a hold drops the datagrams of its direction.
+func TestDatagramsKeepPeerAddressesAndFollowTheShape(t *testing.T) {
 	n := NewNet(1)
 	defer goleak.VerifyNone(t)
 	defer n.Close()
@@ -236,7 +239,7 @@
 		t.Fatal(err)
 	}
 	defer besteffort.Close(b)
-	bSeen, aSeen, err := n.Pair(ends, local(a), local(b))
+	bSeen, aSeen, err := n.Pair(ends, localAddress(a), localAddress(b))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -247,18 +250,18 @@
 		return string(buf[:k]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	}
 	besteffort.Datagram(a.WriteToUDPAddrPort([]byte("hello"), bSeen))
-	if got, from := hear(b, enough); got != "hello" || from != aSeen {
+	if got, from := hear(b, hangTimeout); got != "hello" || from != aSeen {
 		t.Errorf("b hears %q from %v, want it from %v", got, from, aSeen)
 	}
 	n.Lay("cut", Shape{Hold: Forward}, everything)
-	n.links[ends].datagram(a, []byte("lost"), local(b), Forward, nil) // at once, so that what comes after it shows its loss
+	n.links[ends].datagram(a, []byte("lost"), localAddress(b), Forward, nil) // synchronous, so it is lost for certain if "again" is the next datagram at b
 	besteffort.Datagram(b.WriteToUDPAddrPort([]byte("back"), aSeen))
-	if got, from := hear(a, enough); got != "back" || from != bSeen {
+	if got, from := hear(a, hangTimeout); got != "back" || from != bSeen {
 		t.Errorf("a hears %q from %v, want it from %v", got, from, bSeen)
 	}
 	n.Lift("cut")
 	besteffort.Datagram(a.WriteToUDPAddrPort([]byte("again"), bSeen))
-	if got, _ := hear(b, enough); got != "again" {
+	if got, _ := hear(b, hangTimeout); got != "again" {
 		t.Errorf("after the cut b hears %q", got)
 	}
 }
--- a/internal/lab/link/net.go
+++ b/internal/lab/link/net.go
@@ -10,40 +10,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// Ends names a link: who connects, and who listens. Between nodes, by datagrams, each end is both.
+// Ends names a link by the party that connects and the party that listens. On a datagram link between nodes, each
+// end does both.
 type Ends struct{ From, To string }
 
+// String returns the ends as "from->to".
 func (e Ends) String() string { return e.From + "->" + e.To }
 
 // Net owns the links of a lab. It is safe for concurrent use.
 type Net struct {
-	seed   uint64
-	mu     sync.Mutex
-	links  map[Ends]*state
-	closes []func()
-	known  *book // of streams
-	tasks  sync.WaitGroup
-	done   chan struct{}
-	closed bool
+	seed    uint64
+	mu      sync.Mutex
+	links   map[Ends]*linkState
+	closers []func()
+	streams *streamIndex // finds open streams
+	tasks   sync.WaitGroup
+	done    chan struct{}
+	closed  bool
 }
 
-// NewNet makes a network without links. Chance on it is drawn by seed.
+// NewNet makes a network without links. seed determines its random losses and delays.
 func NewNet(seed uint64) *Net {
-	return &Net{seed: seed, links: map[Ends]*state{}, done: make(chan struct{}), known: newBook()}
+	return &Net{seed: seed, links: map[Ends]*linkState{}, done: make(chan struct{}), streams: newStreamIndex()}
 }
 
-// Lay lays a shape under a name on the links that match; one of the same name is replaced.
+// Lay applies a shape under a name to the links that match; it replaces a shape of the same name.
 func (n *Net) Lay(name string, s Shape, match func(Ends) bool) {
-	n.each(match, func(l *state) { l.lay(name, &s) })
+	n.each(match, func(l *linkState) { l.lay(name, &s) })
 }
 
-// Lift takes the shape of that name off all links.
-func (n *Net) Lift(name string) { n.each(nil, func(l *state) { l.lay(name, nil) }) }
+// Lift removes the shape of that name from all links.
+func (n *Net) Lift(name string) { n.each(nil, func(l *linkState) { l.lay(name, nil) }) }
 
 // Reset resets the open connections of the links that match.
-func (n *Net) Reset(match func(Ends) bool) { n.each(match, func(l *state) { l.resetAll() }) }
+func (n *Net) Reset(match func(Ends) bool) { n.each(match, func(l *linkState) { l.resetAll() }) }
 
-// Ends lists the links.
+// Ends returns the ends of all links.
 func (n *Net) Ends() []Ends {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,9 +56,10 @@
 	return all
 }
 
-func (n *Net) each(match func(Ends) bool, f func(*state)) {
+// each calls f for the links that match; a nil match selects all.
+func (n *Net) each(match func(Ends) bool, f func(*linkState)) {
 	n.mu.Lock()
-	var all []*state
+	var all []*linkState
 	for e, l := range n.links {
 		if match == nil || match(e) {
 			all = append(all, l)
@@ -68,7 +71,8 @@
 	}
 }
 
-func (n *Net) add(e Ends, l *state, closing func()) error {
+// add registers a link, and the function that closes it.
+func (n *Net) add(e Ends, l *linkState, closing func()) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -78,73 +82,75 @@
 		return fmt.Errorf("link %s: there is one already", e)
 	}
 	n.links[e] = l
-	n.closes = append(n.closes, closing)
+	n.closers = append(n.closers, closing)
 	return nil
 }
 
-// Close ends all links and waits for all that carries them.
+// Close closes all links and waits for their goroutines.
 func (n *Net) Close() {
 	n.mu.Lock()
 	if !n.closed {
 		n.closed = true
 		close(n.done)
 	}
-	closes := n.closes
-	n.closes = nil
+	closes := n.closers
+	n.closers = nil
 	n.mu.Unlock()
 	for _, f := range closes {
 		f()
 	}
-	n.each(nil, func(l *state) { l.resetAll() })
+	n.each(nil, func(l *linkState) { l.resetAll() })
 	n.tasks.Wait()
 }
 
-// state is what a link does now.
-type state struct {
-	ends    Ends
-	seed    uint64
-	now     atomic.Pointer[current]
-	mu      sync.Mutex
-	laid    map[string]Shape
-	streams map[*Stream]bool
-	changed func(before, after Shape) // under mu
-	opened  uint64
-	resets  int
+// linkState holds the shapes on a link and its open streams.
+type linkState struct {
+	ends     Ends
+	seed     uint64
+	current  atomic.Pointer[activeShape]
+	mu       sync.Mutex
+	shapes   map[string]Shape
+	streams  map[*Stream]bool
+	onChange func(before, after Shape) // called with mu locked
+	opened   uint64
+	resets   int
 }
 
-type current struct {
+// activeShape is the merged shape of a link at a time.
+type activeShape struct {
 	Shape
-	over chan struct{} // closed once it is no longer the current one
+	replaced chan struct{} // closed when another shape takes effect
 }
 
-func newState(n *Net, e Ends) *state {
-	l := &state{ends: e, seed: n.seed, laid: map[string]Shape{}, streams: map[*Stream]bool{}}
-	l.now.Store(&current{over: make(chan struct{})})
+func newState(n *Net, e Ends) *linkState {
+	l := &linkState{ends: e, seed: n.seed, shapes: map[string]Shape{}, streams: map[*Stream]bool{}}
+	l.current.Store(&activeShape{replaced: make(chan struct{})})
 	return l
 }
 
-func (l *state) lay(name string, s *Shape) {
+// lay sets the shape of a name on the link, or removes it if s is nil, and applies the merged shape.
+func (l *linkState) lay(name string, s *Shape) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, had := l.laid[name]; s == nil && !had {
+	if _, had := l.shapes[name]; s == nil && !had {
 		return
 	}
-	delete(l.laid, name)
+	delete(l.shapes, name)
 	if s != nil {
-		l.laid[name] = *s
+		l.shapes[name] = *s
 	}
 	var sum Shape
-	for _, s := range l.laid {
+	for _, s := range l.shapes {
 		sum = Merge(sum, s)
 	}
-	before := l.now.Swap(&current{Shape: sum, over: make(chan struct{})})
-	if l.changed != nil {
-		l.changed(before.Shape, sum)
+	before := l.current.Swap(&activeShape{Shape: sum, replaced: make(chan struct{})})
+	if l.onChange != nil {
+		l.onChange(before.Shape, sum)
 	}
-	close(before.over)
+	close(before.replaced)
 }
 
-func (l *state) resetAll() {
+func (l *linkState) resetAll() {
 	l.mu.Lock()
 	l.resets++
 	var all []*Stream
@@ -157,8 +163,8 @@
 	}
 }
 
-// chance makes the random source of one direction of one connection.
-func (l *state) chance(number uint64, way Way) *rand.Rand {
+// randomSource returns the random source for one direction of the connection with the given number.
+func (l *linkState) randomSource(number uint64, way Way) *rand.Rand {
 	h := l.seed
 	for _, c := range []byte(l.ends.String()) {
 		h = (h ^ uint64(c)) * 1099511628211
@@ -166,7 +172,8 @@
 	return rand.New(rand.NewPCG(h, number<<2|uint64(way)))
 }
 
-func (s Shape) lag(chance *rand.Rand) time.Duration {
+// drawDelay draws the delay of one piece or datagram.
+func (s Shape) drawDelay(chance *rand.Rand) time.Duration {
 	d := s.Delay
 	if s.Jitter > 0 {
 		d += time.Duration(chance.Int64N(int64(s.Jitter) + 1))
@@ -174,16 +181,15 @@
 	return d
 }
 
-// Reserve returns an address on loopback with a port that the system chose and gives to nobody else until
-// free is called. A listener that sets SO_REUSEADDR, as Go's do, can have it, any number of times after one
-// another.
+// Reserve returns an address on loopback with a port that the system assigns to no other socket until free is
+// called. A listener that sets SO_REUSEADDR, as Go's listeners do, can bind it repeatedly.
 func Reserve() (address string, free func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return "", nil, fmt.Errorf("reserving a port: %w", err)
 	}
 	fail := func(err error) (string, func(), error) {
-		_ = unix.Close(fd) // a socket without data
+		_ = unix.Close(fd) // the socket holds no data
 		return "", nil, fmt.Errorf("reserving a port: %w", err)
 	}
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	piece       = 32 << 10 // bytes read at once
-	under       = 32       // pieces of one direction that may be on their way
-	dialTime    = 2 * time.Second
+	pieceBytes  = 32 << 10 // most bytes of one read
+	maxPieces   = 32       // most pieces in flight in one direction
+	dialTimeout = 2 * time.Second
 	backlog     = 1024
-	acceptPause = 5 * time.Millisecond // after an Accept that failed for want of descriptors
+	acceptPause = 5 * time.Millisecond // wait after an Accept that failed for lack of descriptors
 )
 
-// Connect lays a link from one party to the address of another and gives the
-// address at which the first one finds the second.
+// Connect makes a link from one party to the address of another, and returns the address at which the first
+// party reaches the second.
 func (n *Net) Connect(e Ends, target string) (string, error) {
 	address, free, err := Reserve()
 	if err != nil {
 		return "", err
 	}
-	p := &proxy{net: n, target: target, address: address, state: newState(n, e), wake: make(chan struct{}, 1)}
-	p.parks = sync.NewCond(&p.mu)
+	p := &proxy{net: n, target: target, address: address, state: newState(n, e), listenerChanged: make(chan struct{}, 1)}
+	p.parkedChanged = sync.NewCond(&p.mu)
 	if err := p.open(); err != nil {
 		free()
 		return "", fmt.Errorf("link %s: %w", e, err)
 	}
-	p.state.changed = p.follow
+	p.state.onChange = p.follow
 	closing := func() {
 		p.state.lay("closed", &Shape{Refuse: true})
 		free()
@@ -53,88 +53,91 @@
 
 // proxy is the listening side of one link.
 type proxy struct {
-	net     *Net
-	target  string
-	address string
-	state   *state
-	wake    chan struct{} // there may be another listener, or one that can be used again
-
-	mu     sync.Mutex
-	ln     *net.TCPListener // nil while connections are refused
-	filler net.Conn         // fills the queue while the link is cut
-	filled string           // the address of the last one, which is met again after the cut
-	parked bool             // no Accept is under way
-	parks  *sync.Cond
+	net             *Net
+	target          string
+	address         string
+	state           *linkState
+	listenerChanged chan struct{} // signals that the listener was replaced or accepts again
+
+	mu            sync.Mutex
+	listener      *net.TCPListener // nil while connections are refused
+	filler        net.Conn         // fills the accept queue while the link is cut
+	fillerAddress string           // the local address of the last filler, which is accepted after the cut
+	parked        bool             // no Accept call is in progress
+	parkedChanged *sync.Cond
 }
 
+// open starts listening on the link's address.
 func (p *proxy) open() error {
 	ln, err := net.Listen("tcp4", p.address)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.ln = ln.(*net.TCPListener)
+	p.listener = ln.(*net.TCPListener)
 	p.mu.Unlock()
 	return nil
 }
 
+// close stops listening, so that new connections are refused.
 func (p *proxy) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ln != nil {
-		besteffort.Close(p.ln)
-		p.ln = nil
+	if p.listener != nil {
+		besteffort.Close(p.listener)
+		p.listener = nil
 	}
-	p.unfill()
+	p.drainQueue()
 }
 
-// follow brings the listener into the state that the link's shape asks for. The caller holds the state's
-// lock.
+// follow brings the listener into the state that the link's new shape requires. The caller holds the lock of the
+// link's state.
 func (p *proxy) follow(before, after Shape) {
 	switch {
 	case after.Refuse && !before.Refuse:
 		p.close()
 	case !after.Refuse && before.Refuse:
-		_ = p.open() // the port is reserved, so only a want of descriptors fails it; the next change tries again
+		_ = p.open() // the port is reserved, so it fails only for lack of descriptors; the next change retries
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ln != nil && after.Cut && p.filler == nil {
-		p.fill()
+	if p.listener != nil && after.Cut && p.filler == nil {
+		p.fillQueue()
 	} else if p.filler != nil && !after.Cut {
-		p.listen(backlog)
-		p.unfill()
-		besteffort.SocketOption(p.ln.SetDeadline(time.Time{}))
+		p.setBacklog(backlog)
+		p.drainQueue()
+		besteffort.SocketOption(p.listener.SetDeadline(time.Time{}))
 	}
 	select {
-	case p.wake <- struct{}{}:
+	case p.listenerChanged <- struct{}{}:
 	default:
 	}
 }
 
-// fill stops accepting and fills the queue of the listener, so that the kernel
-// answers no further connection: with a queue of length 0 one fits.
-func (p *proxy) fill() {
-	besteffort.SocketOption(p.ln.SetDeadline(time.Unix(1, 0)))
-	for !p.parked { // an Accept that was under way would take what is to fill the queue
-		p.parks.Wait()
+// fillQueue stops accepting and fills the accept queue of the listener, so that the kernel answers no further
+// connection attempt. A queue of length 0 has space for one connection.
+func (p *proxy) fillQueue() {
+	besteffort.SocketOption(p.listener.SetDeadline(time.Unix(1, 0)))
+	for !p.parked { // an Accept call in progress would remove the filler from the queue
+		p.parkedChanged.Wait()
 	}
-	p.listen(0)
-	if c, err := net.DialTimeout("tcp4", p.address, dialTime); err == nil {
-		p.filler, p.filled = c, c.LocalAddr().String()
+	p.setBacklog(0)
+	if c, err := net.DialTimeout("tcp4", p.address, dialTimeout); err == nil {
+		p.filler, p.fillerAddress = c, c.LocalAddr().String()
 	}
 }
 
-func (p *proxy) unfill() {
+// drainQueue closes the connection that fills the accept queue.
+func (p *proxy) drainQueue() {
 	if p.filler != nil {
 		besteffort.Close(p.filler)
 		p.filler = nil
 	}
 }
 
-// listen sets the length of the listener's queue.
-func (p *proxy) listen(queue int) {
-	raw, err := p.ln.SyscallConn()
+// setBacklog sets the length of the listener's accept queue.
+func (p *proxy) setBacklog(queue int) {
+	raw, err := p.listener.SyscallConn()
 	if err == nil {
 		besteffort.SocketOption(
 			raw.Control(func(fd uintptr) { besteffort.SocketOption(unix.Listen(int(fd), queue)) }),
@@ -146,10 +149,10 @@
 	defer p.net.tasks.Done()
 	for {
 		p.mu.Lock()
-		ln := p.ln
+		ln := p.listener
 		p.mu.Unlock()
 		if ln == nil {
-			if !p.sleep() {
+			if !p.waitForListener() {
 				return
 			}
 			continue
@@ -157,9 +160,9 @@
 		c, err := ln.AcceptTCP()
 		switch {
 		case err == nil:
-			p.take(c)
+			p.handle(c)
 		case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
-			if !p.sleep() {
+			if !p.waitForListener() {
 				return
 			}
 		default:
@@ -168,30 +171,31 @@
 	}
 }
 
-// sleep waits until the listener may have changed; it is false once the network is closed.
-func (p *proxy) sleep() bool {
-	p.park(true)
+// waitForListener waits until the listener may have changed. It returns false once the network is closed.
+func (p *proxy) waitForListener() bool {
+	p.setParked(true)
 	select {
-	case <-p.wake:
-		p.park(false)
+	case <-p.listenerChanged:
+		p.setParked(false)
 		return true
 	case <-p.net.done:
 		return false
 	}
 }
 
-func (p *proxy) park(is bool) {
+func (p *proxy) setParked(is bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.parked = is
-	p.parks.Broadcast()
+	p.parkedChanged.Broadcast()
 }
 
-func (p *proxy) take(a *net.TCPConn) {
+// handle carries an accepted connection, unless it is the one that filled the queue.
+func (p *proxy) handle(a *net.TCPConn) {
 	p.mu.Lock()
-	own := p.filled == a.RemoteAddr().String()
+	own := p.fillerAddress == a.RemoteAddr().String()
 	p.mu.Unlock()
-	if own { // after a cut
+	if own { // the filler of a cut that has ended
 		besteffort.Close(a)
 		return
 	}
@@ -202,33 +206,34 @@
 	}()
 }
 
-// Stream is one connection over a link.
+// Stream is one TCP connection over a link.
 type Stream struct {
-	Ends Ends
-	a, b *net.TCPConn // towards the end that connected, and the one that listens
-	link *state
-	once sync.Once
-	gone chan struct{} // closed once it is over
-	sent atomic.Int64  // when the opener's last piece was read, since base
-	snip struct {      // what may still pass before it is reset
+	Ends  Ends
+	a, b  *net.TCPConn // connections to the end that connected, and to the end that listens
+	link  *linkState
+	once  sync.Once
+	ended chan struct{} // closed when the stream has ended
+	sent  atomic.Int64  // time since base at which the opener's last piece was read
+	snip  struct {      // how many bytes may still pass before a snipped stream is reset
 		sync.Mutex
 		drawn bool
 		left  int
 	}
 }
 
+// carry connects an accepted connection to the target and passes bytes in both directions until both have ended.
 func (p *proxy) carry(a *net.TCPConn) {
-	s := &Stream{Ends: p.state.ends, a: a, link: p.state, gone: make(chan struct{})}
+	s := &Stream{Ends: p.state.ends, a: a, link: p.state, ended: make(chan struct{})}
 	p.state.mu.Lock()
 	resets := p.state.resets
 	p.state.mu.Unlock()
-	key, err := p.net.known.dial(s, p.target)
+	key, err := p.net.streams.dial(s, p.target)
 	if err != nil {
 		besteffort.SocketOption(a.SetLinger(0))
 		besteffort.Close(a)
 		return
 	}
-	defer p.net.known.forget(key)
+	defer p.net.streams.forget(key)
 	p.state.mu.Lock()
 	p.state.opened++
 	number := p.state.opened
@@ -240,7 +245,7 @@
 		delete(p.state.streams, s)
 		p.state.mu.Unlock()
 	}()
-	if missed { // it was not listed yet
+	if missed { // a reset came before the stream was listed
 		s.reset()
 	}
 	var halves sync.WaitGroup
@@ -251,19 +256,20 @@
 	s.end()
 }
 
+// base is the origin of Stream.sent.
 var base = time.Now()
 
-// LastSent is when the end that connected last wrote something, whenever the link lets it pass.
+// LastSent returns when the end that connected last wrote something, whether or not the link has passed it on.
 func (s *Stream) LastSent() time.Time { return base.Add(time.Duration(s.sent.Load())) }
 
-// LeftByOpener asks the kernel whether the end that connected has ended its
-// side, whatever the link still holds back.
+// LeftByOpener reports, from the kernel's state of the connection, whether the end that connected has closed its
+// side, even if the link has not passed that on.
 func (s *Stream) LeftByOpener() bool {
 	raw, err := s.a.SyscallConn()
 	if err != nil {
 		return true
 	}
-	left := true // a closed socket has no state to ask for
+	left := true // a closed socket has no state to read
 	besteffort.SocketOption(raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			left = info.State != unix.BPF_TCP_ESTABLISHED
@@ -274,7 +280,7 @@
 
 func (s *Stream) end() {
 	s.once.Do(func() {
-		close(s.gone)
+		close(s.ended)
 		besteffort.Close(s.a)
 		besteffort.Close(s.b)
 	})
@@ -286,19 +292,20 @@
 	s.end()
 }
 
-// part is a piece of a stream on its way, or its end.
-type part struct {
+// chunk is a piece of a stream in flight, or the stream's end.
+type chunk struct {
 	data []byte
-	due  time.Time // zero: at once
-	err  error     // io.EOF, or why no more comes
+	due  time.Time // when to write it; zero: at once
+	err  error     // io.EOF, or the error that ended reading
 }
 
-var pieces = sync.Pool{New: func() any { b := make([]byte, piece); return &b }}
+// buffers holds read buffers for reuse.
+var buffers = sync.Pool{New: func() any { b := make([]byte, pieceBytes); return &b }}
 
-// pass carries one direction until its end. Reading goes on while the link
-// holds things back, so that an end that leaves is noticed.
+// pass carries one direction until its end. It continues to read while the link holds bytes back, so that a close
+// of the sender is noticed.
 func (s *Stream) pass(from, to *net.TCPConn, way Way, number uint64) {
-	parts := make(chan part, under)
+	parts := make(chan chunk, maxPieces)
 	var reading sync.WaitGroup
 	reading.Add(1)
 	go func() {
@@ -311,18 +318,19 @@
 	reading.Wait()
 }
 
-func (s *Stream) read(from *net.TCPConn, parts chan<- part, way Way, number uint64) {
-	chance := s.link.chance(number, way)
+// read reads pieces and sends them to parts with the time at which each is due. The times never go back.
+func (s *Stream) read(from *net.TCPConn, parts chan<- chunk, way Way, number uint64) {
+	chance := s.link.randomSource(number, way)
 	var last time.Time
 	for {
-		buf := *pieces.Get().(*[]byte)
-		n, err := from.Read(buf[:piece])
+		buf := *buffers.Get().(*[]byte)
+		n, err := from.Read(buf[:pieceBytes])
 		if way == Forward && n > 0 {
 			s.sent.Store(int64(time.Since(base)))
 		}
-		now := s.link.now.Load().Shape
-		p := part{data: buf[:n], err: err}
-		lag := now.lag(chance)
+		now := s.link.current.Load().Shape
+		p := chunk{data: buf[:n], err: err}
+		lag := now.drawDelay(chance)
 		if now.Loss > 0 && chance.Float64() < now.Loss {
 			lag += RetransmitAfter
 		}
@@ -334,7 +342,7 @@
 		}
 		select {
 		case parts <- p:
-		case <-s.gone:
+		case <-s.ended:
 			return
 		}
 		if err != nil {
@@ -345,27 +353,27 @@
 
 var errOver = errors.New("the connection is over")
 
-// write forwards the parts when they are due. It is nil after an orderly end.
-func (s *Stream) write(to *net.TCPConn, parts <-chan part, way Way) error {
+// write forwards the parts when they are due. It returns nil after an orderly end.
+func (s *Stream) write(to *net.TCPConn, parts <-chan chunk, way Way) error {
 	for {
-		var p part
+		var p chunk
 		select {
 		case p = <-parts:
-		case <-s.gone:
+		case <-s.ended:
 			return errOver
 		}
-		if !s.until(p.due) {
+		if !s.waitUntil(p.due) {
 			return errOver
 		}
-		shape, ok := s.unheld(way)
+		shape, ok := s.waitUnheld(way)
 		if !ok {
 			return errOver
 		}
-		if err := s.give(to, p.data, shape); err != nil {
+		if err := s.send(to, p.data, shape); err != nil {
 			return err
 		}
-		if buf := p.data[:cap(p.data)]; cap(buf) == piece {
-			pieces.Put(&buf)
+		if buf := p.data[:cap(p.data)]; cap(buf) == pieceBytes {
+			buffers.Put(&buf)
 		}
 		if errors.Is(p.err, io.EOF) {
 			return to.CloseWrite()
@@ -376,7 +384,8 @@
 	}
 }
 
-func (s *Stream) until(due time.Time) bool {
+// waitUntil waits until due. It returns false if the stream ends before that.
+func (s *Stream) waitUntil(due time.Time) bool {
 	wait := time.Until(due)
 	if due.IsZero() || wait <= 0 {
 		return true
@@ -386,36 +395,38 @@
 	select {
 	case <-t.C:
 		return true
-	case <-s.gone:
+	case <-s.ended:
 		return false
 	}
 }
 
-// unheld waits until the link lets things pass that way.
-func (s *Stream) unheld(way Way) (Shape, bool) {
+// waitUnheld waits until the link does not hold the given direction, and returns the shape at that time. It
+// returns false if the stream ends before that.
+func (s *Stream) waitUnheld(way Way) (Shape, bool) {
 	for {
-		now := s.link.now.Load()
+		now := s.link.current.Load()
 		if now.Hold&way == 0 {
 			return now.Shape, true
 		}
 		select {
-		case <-now.over:
-		case <-s.gone:
+		case <-now.replaced:
+		case <-s.ended:
 			return Shape{}, false
 		}
 	}
 }
 
-func (s *Stream) give(to *net.TCPConn, data []byte, shape Shape) error {
+// send writes data at the rate of the shape, and returns an error if the shape cuts the connection off.
+func (s *Stream) send(to *net.TCPConn, data []byte, shape Shape) error {
 	cut := false
 	if shape.Snip > 0 {
 		data, cut = s.cutAt(data, shape.Snip)
 	}
 	for len(data) > 0 {
 		n := len(data)
-		if shape.Rate > 0 { // small steps, so that a slow link is slow and not just late
+		if shape.Rate > 0 { // small steps, so that bytes trickle instead of arriving late in one block
 			n = min(n, int(max(1, shape.Rate/50)))
-			if !s.until(time.Now().Add(time.Duration(float64(n) / float64(shape.Rate) * float64(time.Second)))) {
+			if !s.waitUntil(time.Now().Add(time.Duration(float64(n) / float64(shape.Rate) * float64(time.Second)))) {
 				return errOver
 			}
 		}
@@ -430,12 +441,13 @@
 	return nil
 }
 
-// cutAt shortens data to what may still pass on a connection that is to be cut off.
+// cutAt shortens data to the bytes that may still pass on a snipped connection, and reports whether the connection
+// has to be reset after them.
 func (s *Stream) cutAt(data []byte, within int) ([]byte, bool) {
 	s.snip.Lock()
 	defer s.snip.Unlock()
 	if !s.snip.drawn {
-		s.snip.drawn, s.snip.left = true, 1+int(s.link.chance(uint64(len(data)), Both).Int64N(int64(within)))
+		s.snip.drawn, s.snip.left = true, 1+int(s.link.randomSource(uint64(len(data)), Both).Int64N(int64(within)))
 	}
 	if len(data) < s.snip.left {
 		s.snip.left -= len(data)
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -11,12 +11,12 @@
 	"wrenspread/internal/besteffort"
 )
 
-// maxDatagram bounds what is passed on; a longer one comes cut, so that its reader sees that it is too long.
-const maxDatagram = 2048
+// maxDatagramBytes bounds the size of a forwarded datagram. A longer one arrives truncated to this size, so the
+// receiver sees that it is too long.
+const maxDatagramBytes = 2048
 
-// Pair lays a link for datagrams between two parties, which listen at the
-// addresses given. Each gets the address at which it finds the other, and from
-// which the other's datagrams come.
+// Pair makes a datagram link between two parties that listen at the given addresses. toSeen and fromSeen are the
+// addresses at which one party reaches the other, and from which the other's datagrams arrive.
 func (n *Net) Pair(
 	e Ends,
 	fromListens, toListens netip.AddrPort,
@@ -39,23 +39,24 @@
 	n.tasks.Add(2)
 	go n.datagrams(l, near, far, fromListens, toListens, Forward)
 	go n.datagrams(l, far, near, toListens, fromListens, Back)
-	return local(near), local(far), nil
+	return localAddress(near), localAddress(far), nil
 }
 
 func listenUDP() (*net.UDPConn, error) {
 	return net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 }
 
-func local(c *net.UDPConn) netip.AddrPort {
+func localAddress(c *net.UDPConn) netip.AddrPort {
 	a := c.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// datagrams passes on what one end sends to in, from out. Only that end is listened to.
-func (n *Net) datagrams(l *state, in, out *net.UDPConn, sender, receiver netip.AddrPort, way Way) {
+// datagrams forwards the datagrams that sender sends to in: they go from out to receiver. Datagrams from other
+// addresses are ignored.
+func (n *Net) datagrams(l *linkState, in, out *net.UDPConn, sender, receiver netip.AddrPort, way Way) {
 	defer n.tasks.Done()
-	chance := l.chance(0, way)
-	buf := make([]byte, maxDatagram)
+	chance := l.randomSource(0, way)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := in.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -68,12 +69,13 @@
 	}
 }
 
-func (l *state) datagram(out *net.UDPConn, b []byte, receiver netip.AddrPort, way Way, chance *rand.Rand) {
-	now := l.now.Load().Shape
+// datagram forwards one datagram according to the link's shape: it may be dropped or delayed.
+func (l *linkState) datagram(out *net.UDPConn, b []byte, receiver netip.AddrPort, way Way, chance *rand.Rand) {
+	now := l.current.Load().Shape
 	if now.Hold&way != 0 || (now.Loss > 0 && chance.Float64() < now.Loss) {
 		return
 	}
-	lag := now.lag(chance)
+	lag := now.drawDelay(chance)
 	if lag == 0 {
 		besteffort.Datagram(out.WriteToUDPAddrPort(b, receiver))
 		return
--- a/internal/lab/report/bounds.go
+++ b/internal/lab/report/bounds.go
@@ -10,7 +10,7 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// Bounds says which of an experiment's bounds the figures break.
+// Bounds compares the figures with an experiment's bounds; the verdict lists the bounds that they break.
 func Bounds(f Figures, b spec.Bounds) check.Verdict {
 	v := check.Verdict{Name: "bounds", Rule: "the experiment's bounds", Timed: true}
 	want := func(ok bool, format string, args ...any) {
@@ -27,19 +27,19 @@
 		want(f.All.Served() >= b.Served, "served %.4f, want %v", f.All.Served(), b.Served)
 	}
 	if b.Failed != nil {
-		got := f.All.part(f.All.Failed)
+		got := f.All.share(f.All.Failed)
 		want(got <= *b.Failed, "failed %.4f, want %v at most", got, *b.Failed)
 	}
 	if b.Refused != nil {
-		got := f.All.part(f.All.Refused)
+		got := f.All.share(f.All.Refused)
 		want(got <= *b.Refused, "refused %.4f, want %v at most", got, *b.Refused)
 	}
 	for _, c := range slices.Sorted(maps.Keys(b.Class)) {
 		want(f.Classes[c].Served() >= b.Class[c], "%s served %.4f, want %v", c, f.Classes[c].Served(), b.Class[c])
 	}
 	for _, c := range slices.Sorted(maps.Keys(b.P99)) {
-		most, _ := time.ParseDuration(b.P99[c]) // checked when the file was read
-		want(f.Latency[c].P99 <= most, "%s: 99th percentile %v, want %v at most", c, f.Latency[c].P99, most)
+		bound, _ := time.ParseDuration(b.P99[c]) // checked when the file was parsed
+		want(f.Latency[c].P99 <= bound, "%s: 99th percentile %v, want %v at most", c, f.Latency[c].P99, bound)
 	}
 	if b.Recovered > 0 {
 		level := b.Level * f.Before()
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// Compare writes the figures of two runs side by side.
+// Compare writes the figures of two runs side by side, with their differences.
 func Compare(w io.Writer, a, b Run) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	row := func(name string, x, y float64, form string) {
@@ -27,9 +27,9 @@
 	counts := func(name string, x, y Count) {
 		row(name+" asked", float64(x.Asked), float64(y.Asked), "%.0f")
 		row(name+" in time", x.Served(), y.Served(), "%.4f")
-		row(name+" late", x.part(x.Late), y.part(y.Late), "%.4f")
-		row(name+" refused", x.part(x.Refused), y.part(y.Refused), "%.4f")
-		row(name+" failed", x.part(x.Failed), y.part(y.Failed), "%.4f")
+		row(name+" late", x.share(x.Late), y.share(y.Late), "%.4f")
+		row(name+" refused", x.share(x.Refused), y.share(y.Refused), "%.4f")
+		row(name+" failed", x.share(x.Failed), y.share(y.Failed), "%.4f")
 	}
 	counts("all", a.Figures.All, b.Figures.All)
 	for _, c := range Names(a.Figures.Classes) {
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -1,5 +1,5 @@
-// Package report makes figures, plots and pages of a history. The figures are
-// pure; the writing of files is at its edge.
+// Package report computes figures from a history, and writes plots and pages of them. The computation of the
+// figures has no side effects.
 package report
 
 import (
@@ -14,25 +14,27 @@
 	"wrenspread/internal/lab/history"
 )
 
-// Count is what became of a group of operations.
+// Count counts the outcomes of a group of operations.
 type Count struct {
 	Asked   int `json:"asked"`
-	InTime  int `json:"in_time"` // served within the aim
-	Late    int `json:"late"`    // served after it
+	InTime  int `json:"in_time"` // served within the latency objective
+	Late    int `json:"late"`    // served after the latency objective
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"` // failed, broken, silent or unreached
 }
 
-// Served is the share of those asked for that was answered within the aim.
-func (c Count) Served() float64 { return c.part(c.InTime) }
+// Served returns the share of the operations that was served within the latency objective.
+func (c Count) Served() float64 { return c.share(c.InTime) }
 
-func (c Count) part(n int) float64 {
+// share returns n as a share of all operations, or 0 if there are none.
+func (c Count) share(n int) float64 {
 	if c.Asked == 0 {
 		return 0
 	}
 	return float64(n) / float64(c.Asked)
 }
 
+// add counts one operation by its outcome, the time it took, and its class's latency objective.
 func (c *Count) add(how string, took, aim time.Duration) {
 	c.Asked++
 	switch {
@@ -47,36 +49,36 @@
 	}
 }
 
-// Quantiles are of the times from when operations were due to their answers.
+// Quantiles are quantiles of the time from when an operation was due to its answer.
 type Quantiles struct {
 	P50, P90, P99, P999, Max time.Duration
 }
 
-// Second is one second of a run, by when operations were due.
+// Second holds the figures of the operations that were due in one second of a run.
 type Second struct {
 	Count
-	At       time.Duration `json:"at"`
-	P50, P99 time.Duration // of those served, in time or late
-	took     []time.Duration
+	At        time.Duration `json:"at"`
+	P50, P99  time.Duration // latencies of served operations, in time or late
+	latencies []time.Duration
 }
 
-// Span is a fault over time.
+// Span is the time during which a fault lasted.
 type Span struct {
 	Name     string        `json:"name"`
-	From, To time.Duration // To is the run's end where it was never lifted
+	From, To time.Duration // To is the run's end if the fault was never lifted
 }
 
-// NodeUse is what one node did and used.
+// NodeUse holds the outcomes of a node's operations and the resources that the node used.
 type NodeUse struct {
 	Count
-	CPU     time.Duration `json:"cpu"`   // of all its processes
-	Stall   time.Duration `json:"stall"` // its threads waited for a core
+	CPU     time.Duration `json:"cpu"`   // processor time of all its processes
+	Stall   time.Duration `json:"stall"` // time for which its threads waited for a core
 	Memory  int64         `json:"memory"`
 	FDs     int           `json:"fds"`
-	Sampled time.Duration `json:"-"`
+	Sampled time.Duration `json:"-"` // time that the samples cover
 }
 
-// BoxUse is what reached one backend.
+// BoxUse counts the attempts that reached one backend.
 type BoxUse struct {
 	Arrived int           `json:"arrived"`
 	Begun   int           `json:"begun"`
@@ -85,7 +87,7 @@
 	Work    time.Duration `json:"work"`
 }
 
-// Figures are those of one run.
+// Figures holds the figures of one run.
 type Figures struct {
 	Name     string               `json:"name"`
 	Seed     uint64               `json:"seed"`
@@ -97,20 +99,20 @@
 	Faults   []Span               `json:"faults"`
 	Nodes    map[string]NodeUse   `json:"nodes"`
 	Boxes    map[string]BoxUse    `json:"boxes"`
-	Attempts float64              `json:"attempts"` // at backends, for an operation
-	Crossed  int                  `json:"crossed"`  // requests that a node's close crossed
-	LateLab  time.Duration        `json:"late_lab"` // 99th percentile of the lab's own lateness
+	Attempts float64              `json:"attempts"` // mean number of attempts at backends per operation
+	Crossed  int                  `json:"crossed"`  // requests that were on their way when the node closed the connection
+	LateLab  time.Duration        `json:"late_lab"` // 99th percentile of the lab's own lateness, in its worst second
 	WorstLab time.Duration        `json:"worst_lab"`
-	LabCPU   float64              `json:"lab_cpu"`   // cores, in the mean
-	NodesCPU float64              `json:"nodes_cpu"` // of all nodes together
-	// share of the time that a node's threads waited for a core, in the mean
+	LabCPU   float64              `json:"lab_cpu"`   // mean number of cores
+	NodesCPU float64              `json:"nodes_cpu"` // mean number of cores of all nodes together
+	// Stalled is the mean share of the time for which a node's threads waited for a core.
 	Stalled float64 `json:"stalled"`
 }
 
-// latencyTop bounds what the histograms tell apart.
-const latencyTop = int64(time.Minute)
+// maxLatency is the greatest latency that the histograms distinguish.
+const maxLatency = int64(time.Minute)
 
-// Of makes the figures of a history. aims are those of the classes.
+// Of computes the figures of a history. aims holds the latency objective of each class.
 func Of(events []history.Event, aims map[string]time.Duration) Figures {
 	f := Figures{
 		Classes: map[string]Count{},
@@ -120,8 +122,8 @@
 	}
 	due := map[int]time.Duration{}
 	hists := map[string]*hdrhistogram.Histogram{}
-	type life struct{ first, last history.Event }
-	lives := map[int]*life{}
+	type processSamples struct{ first, last history.Event }
+	processes := map[int]*processSamples{}
 	arrived := 0
 	var lab history.Event
 	var labFirst time.Duration
@@ -132,25 +134,25 @@
 		case history.Due:
 			due[e.Op] = e.T
 		case history.Over:
-			f.over(e, due[e.Op], aims[e.Class], hists)
+			f.addOperation(e, due[e.Op], aims[e.Class], hists)
 		case history.Cross:
 			f.Crossed++
 		case history.Arrive:
 			arrived++
-			f.box(e.Box, func(b *BoxUse) { b.Arrived++; b.Work += e.Took })
+			f.updateBackend(e.Box, func(b *BoxUse) { b.Arrived++; b.Work += e.Took })
 		case history.Begin:
-			f.box(e.Box, func(b *BoxUse) { b.Begun++ })
+			f.updateBackend(e.Box, func(b *BoxUse) { b.Begun++ })
 		case history.Turn:
-			f.box(e.Box, func(b *BoxUse) { b.Turned++ })
+			f.updateBackend(e.Box, func(b *BoxUse) { b.Turned++ })
 		case history.End:
 			if e.Status != 200 {
-				f.box(e.Box, func(b *BoxUse) { b.Errors++ })
+				f.updateBackend(e.Box, func(b *BoxUse) { b.Errors++ })
 			}
 		case history.Sample:
-			if lives[e.Pid] == nil {
-				lives[e.Pid] = &life{first: e}
+			if processes[e.Pid] == nil {
+				processes[e.Pid] = &processSamples{first: e}
 			}
-			lives[e.Pid].last = e
+			processes[e.Pid].last = e
 			n := f.Nodes[e.Node]
 			n.Memory, n.FDs = max(n.Memory, e.RSS), max(n.FDs, e.FDs)
 			f.Nodes[e.Node] = n
@@ -164,10 +166,10 @@
 				f.LabCPU = float64(e.CPU-lab.CPU) / float64(e.T-labFirst)
 			}
 		case history.Fault:
-			f.fault(e)
+			f.addFault(e)
 		}
 	}
-	for _, l := range lives {
+	for _, l := range processes {
 		n := f.Nodes[l.last.Node]
 		n.CPU += l.last.CPU - l.first.CPU
 		n.Stall += l.last.Stall - l.first.Stall
@@ -178,7 +180,8 @@
 	return f
 }
 
-func (f *Figures) over(e history.Event, due, aim time.Duration, hists map[string]*hdrhistogram.Histogram) {
+// addOperation counts an operation that ended in all groups to which it belongs.
+func (f *Figures) addOperation(e history.Event, due, aim time.Duration, hists map[string]*hdrhistogram.Histogram) {
 	f.All.add(e.How, e.Took, aim)
 	c := f.Classes[e.Class]
 	c.add(e.How, e.Took, aim)
@@ -195,20 +198,22 @@
 	second.add(e.How, e.Took, aim)
 	if e.How == history.Served {
 		if hists[e.Class] == nil {
-			hists[e.Class] = hdrhistogram.New(int64(10*time.Microsecond), latencyTop, 3)
+			hists[e.Class] = hdrhistogram.New(int64(10*time.Microsecond), maxLatency, 3)
 		}
-		second.took = append(second.took, e.Took)
-		besteffort.Sample(hists[e.Class].RecordValue(min(latencyTop, int64(e.Took))))
+		second.latencies = append(second.latencies, e.Took)
+		besteffort.Sample(hists[e.Class].RecordValue(min(maxLatency, int64(e.Took))))
 	}
 }
 
-func (f *Figures) box(name string, change func(*BoxUse)) {
+// updateBackend applies a change to the counts of one backend.
+func (f *Figures) updateBackend(name string, change func(*BoxUse)) {
 	b := f.Boxes[name]
 	change(&b)
 	f.Boxes[name] = b
 }
 
-func (f *Figures) fault(e history.Event) {
+// addFault records the begin or the end of a fault.
+func (f *Figures) addFault(e history.Event) {
 	if e.How == "begin" {
 		f.Faults = append(f.Faults, Span{Name: e.Detail, From: e.T})
 		return
@@ -220,6 +225,7 @@
 	}
 }
 
+// finish computes the figures that need all events: quantiles, means, and the ends of faults never lifted.
 func (f *Figures) finish(hists map[string]*hdrhistogram.Histogram, arrived int) {
 	for class, h := range hists {
 		at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) }
@@ -230,8 +236,8 @@
 	}
 	for i := range f.Seconds {
 		s := &f.Seconds[i]
-		if slices.Sort(s.took); len(s.took) > 0 {
-			s.P50, s.P99 = s.took[len(s.took)/2], s.took[len(s.took)*99/100]
+		if slices.Sort(s.latencies); len(s.latencies) > 0 {
+			s.P50, s.P99 = s.latencies[len(s.latencies)/2], s.latencies[len(s.latencies)*99/100]
 		}
 	}
 	end := time.Duration(len(f.Seconds)) * time.Second
@@ -253,18 +259,19 @@
 	}
 }
 
-// Before is what was served in time ahead of the first fault: the run's own base line.
+// Before returns the share served in time before the first fault, the run's own baseline.
 func (f Figures) Before() float64 {
 	var sum Count
 	for _, s := range f.Seconds {
-		if len(f.Faults) == 0 || s.At+time.Second <= f.first() {
+		if len(f.Faults) == 0 || s.At+time.Second <= f.firstFault() {
 			sum.Asked, sum.InTime = sum.Asked+s.Asked, sum.InTime+s.InTime
 		}
 	}
 	return sum.Served()
 }
 
-func (f Figures) first() time.Duration {
+// firstFault returns the time at which the first fault began. There has to be one.
+func (f Figures) firstFault() time.Duration {
 	first := f.Faults[0].From
 	for _, s := range f.Faults {
 		first = min(first, s.From)
@@ -272,11 +279,11 @@
 	return first
 }
 
-// leastAsked is how many operations a second needs to report whether service has recovered.
-const leastAsked = 10
+// minAskedPerSecond is the least number of operations that a second needs to count for the recovery.
+const minAskedPerSecond = 10
 
-// Recovered is how long after the end of the last fault the service took to reach
-// a level and keep it to the end, but for one second in ten; it is negative if it never did.
+// Recovered returns the time from the end of the last fault until the share served in time reaches a level and
+// stays there to the end of the run, except for one second in ten. It is negative if that never happens.
 func (f Figures) Recovered(level float64) time.Duration {
 	var last time.Duration
 	for _, s := range f.Faults {
@@ -284,7 +291,7 @@
 	}
 	var after []Second
 	for _, s := range f.Seconds {
-		if s.At >= last-time.Second+1 && s.Asked >= leastAsked {
+		if s.At >= last-time.Second+1 && s.Asked >= minAskedPerSecond {
 			after = append(after, s)
 		}
 	}
@@ -302,7 +309,7 @@
 	return -1
 }
 
-// Names returns the sorted keys of one of the figures' maps.
+// Names returns the sorted keys of one of the figures' maps, with short numbered names in order of their number.
 func Names[V any](m map[string]V) []string {
 	return slices.SortedFunc(maps.Keys(m), func(a, b string) int {
 		if len(a) != len(b) && a[:1] == b[:1] && len(a) < 5 && len(b) < 5 { // n2 before n10
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	plotWidth  = 24 * vg.Centimeter
-	plotHeight = 7 * vg.Centimeter
-	leastWidth = 0.15 // seconds that a fault of one moment takes on a plot
+	plotWidth     = 24 * vg.Centimeter
+	plotHeight    = 7 * vg.Centimeter
+	minFaultWidth = 0.15 // seconds; the least width of a fault on a plot
 )
 
 // line is one series over the seconds of a run.
@@ -37,26 +37,26 @@
 	value func(Second) float64
 }
 
-// served plots the shares of what was asked for.
-func (f Figures) served() (*plot.Plot, error) {
+// plotServed plots the share of operations with each outcome.
+func (f Figures) plotServed() (*plot.Plot, error) {
 	return f.overTime("share of operations, by the second in which they were due", 1, []line{
 		{"served in time", green, func(s Second) float64 { return s.Served() }},
-		{"late", amber, func(s Second) float64 { return s.part(s.Late) }},
-		{"refused", blue, func(s Second) float64 { return s.part(s.Refused) }},
-		{"failed", red, func(s Second) float64 { return s.part(s.Failed) }},
+		{"late", amber, func(s Second) float64 { return s.share(s.Late) }},
+		{"refused", blue, func(s Second) float64 { return s.share(s.Refused) }},
+		{"failed", red, func(s Second) float64 { return s.share(s.Failed) }},
 	})
 }
 
-// latency plots the times of what was served.
-func (f Figures) latency() (*plot.Plot, error) {
+// plotLatency plots the latencies of served operations.
+func (f Figures) plotLatency() (*plot.Plot, error) {
 	return f.overTime("time from due to answer, ms", 0, []line{
 		{"median", green, func(s Second) float64 { return ms(s.P50) }},
 		{"99th percentile", red, func(s Second) float64 { return ms(s.P99) }},
 	})
 }
 
-// asked plots the load.
-func (f Figures) asked() (*plot.Plot, error) {
+// plotLoad plots the operations that were due per second.
+func (f Figures) plotLoad() (*plot.Plot, error) {
 	return f.overTime(
 		"operations asked for in a second",
 		0,
@@ -66,7 +66,8 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// overTime plots lines over the seconds, with the faults shaded. top 0 is chosen by the data.
+// overTime plots lines over the seconds of the run, with the faults shaded. top is the upper end of the vertical
+// axis; 0 chooses it from the data.
 func (f Figures) overTime(title string, top float64, lines []line) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = title, "s"
@@ -79,7 +80,7 @@
 	p.Y.Max = math.Max(p.Y.Max, 1e-3)
 	p.X.Min, p.X.Max = 0, float64(max(1, len(f.Seconds)))
 	for _, s := range f.Faults {
-		from, to := s.From.Seconds(), math.Max(s.To.Seconds(), s.From.Seconds()+leastWidth)
+		from, to := s.From.Seconds(), math.Max(s.To.Seconds(), s.From.Seconds()+minFaultWidth)
 		box, err := plotter.NewPolygon(
 			plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: p.Y.Max}, {X: from, Y: p.Y.Max}},
 		)
@@ -102,11 +103,12 @@
 		p.Add(drawn)
 		p.Legend.Add(l.name, drawn)
 	}
-	// between what is near 0 and near 1
+	// place the legend between lines near 0 and lines near 1
 	p.Legend.Top, p.Legend.Left, p.Legend.YOffs = true, true, -1.6*vg.Centimeter
 	return p, nil
 }
 
+// svg renders a plot as an SVG file.
 func svg(p *plot.Plot) ([]byte, error) {
 	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
@@ -117,8 +119,8 @@
 	return b.Bytes(), nil
 }
 
-// plots writes the plots of a run into its folder and gives their texts, for the page.
-func (f Figures) plots(dir string) ([][]byte, error) {
+// writePlots writes the plots of a run into its folder and returns their SVG elements for the page.
+func (f Figures) writePlots(dir string) ([][]byte, error) {
 	var all [][]byte
 	if len(f.Seconds) == 0 {
 		return nil, nil
@@ -126,7 +128,7 @@
 	for _, p := range []struct {
 		name string
 		make func() (*plot.Plot, error)
-	}{{"served", f.served}, {"latency", f.latency}, {"asked", f.asked}} {
+	}{{"served", f.plotServed}, {"latency", f.plotLatency}, {"asked", f.plotLoad}} {
 		drawn, err := p.make()
 		if err != nil {
 			return nil, fmt.Errorf("plot %s: %w", p.name, err)
@@ -138,7 +140,7 @@
 		if err := os.WriteFile(filepath.Join(dir, p.name+".svg"), text, 0o644); err != nil {
 			return nil, fmt.Errorf("plot %s: %w", p.name, err)
 		}
-		// without the lines ahead that only a file of its own needs
+		// drop the lines before the element, which only a separate file needs
 		if _, body, ok := bytes.Cut(text, []byte("<svg")); ok {
 			text = append([]byte("<svg"), body...)
 		}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -11,9 +11,9 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// day is a history of 20 s with 20 operations a second, of which those due from
-// 5 to 9 s fail; a fault lasts from 5 to 7 s.
-func day() []history.Event {
+// sampleHistory returns a history of 20 s with 20 operations per second. The operations due from 5 to 9 s fail;
+// a fault lasts from 5 to 7 s.
+func sampleHistory() []history.Event {
 	events := []history.Event{{Kind: history.Meta, Detail: "day", Seed: 4, Took: 20 * time.Second}}
 	for i := range 400 {
 		due := time.Duration(i) * 50 * time.Millisecond
@@ -34,8 +34,8 @@
 
 var aims = map[string]time.Duration{"a": 200 * time.Millisecond}
 
-func TestFigures(t *testing.T) {
-	f := Of(day(), aims)
+func TestFiguresCountOutcomesRecoveryAndLatency(t *testing.T) {
+	f := Of(sampleHistory(), aims)
 	if want := (Count{Asked: 400, InTime: 314, Late: 3, Refused: 3, Failed: 80}); f.All != want || f.Classes["a"] != want || f.Nodes["n0"].Count != want {
 		t.Errorf("counts %+v, want %+v", f.All, want)
 	}
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestBounds: each bound is broken by figures just beyond it, and kept by those at it.
-func TestBounds(t *testing.T) {
-	f := Of(day(), aims)
+// TestEachBoundPassesAtItsValueAndFailsBeyond: figures at a bound pass, and figures just beyond it fail.
+func TestEachBoundPassesAtItsValueAndFailsBeyond(t *testing.T) {
+	f := Of(sampleHistory(), aims)
 	share := func(v float64) *float64 { return &v }
 	for name, c := range map[string]struct{ kept, broken spec.Bounds }{
 		"served":    {spec.Bounds{Served: 0.785}, spec.Bounds{Served: 0.786}},
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestLateMachine: what rests on times is not judged when the machine was late; what rests on order is.
-func TestLateMachine(t *testing.T) {
+// TestLateMachineVoidsOnlyTimedVerdicts: on a slow machine, rules about times are not judged, rules about order are.
+func TestLateMachineVoidsOnlyTimedVerdicts(t *testing.T) {
 	bad := []check.Finding{{Text: "x"}}
 	for _, c := range []struct {
 		timed bool
@@ -86,14 +86,15 @@
 	}
 	slow := []history.Event{{Kind: history.Lab, P99: time.Second}, {Kind: history.Lab}}
 	if TooLate(slow, Figures{}) == "" || TooLate(nil, Figures{Stalled: 0.3}) == "" || TooLate(slow[1:], Figures{}) != "" {
-		t.Error("lateness is not told, or told without a reason")
+		t.Error("TooLate misses a late lab or stalled nodes, or reports a lab in time as late")
 	}
 }
 
-// TestWriteAndRead: the page is there, needs no other file, and the summary gives the run back.
-func TestWriteAndRead(t *testing.T) {
+// TestPageStandsAloneAndSummaryReadsBack: the page is written and needs no other file, and reading the summary returns
+// the same run.
+func TestPageStandsAloneAndSummaryReadsBack(t *testing.T) {
 	dir := t.TempDir()
-	run := Run{Figures: Of(day(), aims), Verdicts: []check.Verdict{{Name: "answered", Broken: []check.Finding{{ID: "<id>", Text: "lost"}}}}}
+	run := Run{Figures: Of(sampleHistory(), aims), Verdicts: []check.Verdict{{Name: "answered", Broken: []check.Finding{{ID: "<id>", Text: "lost"}}}}}
 	page, err := run.Write(dir)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -11,25 +11,25 @@
 	"wrenspread/internal/lab/history"
 )
 
-// Run is what a run shows.
+// Run holds the results of a run: its figures and the verdicts of the checks.
 type Run struct {
 	Figures  Figures         `json:"figures"`
 	Verdicts []check.Verdict `json:"verdicts"`
-	Late     string          `json:"late,omitempty"` // why times can't be judged; empty: they can
+	Late     string          `json:"late,omitempty"` // why times can't be judged; empty if they can
 }
 
-// Result is how a run counts.
+// Result is the overall result of a run.
 type Result int
 
-// The results, as a program's exit status.
+// The results. Their values are the program's exit status.
 const (
 	Pass Result = iota
 	Fail
-	Unplayed // the machine was too late to count
+	Unplayed // the machine was too slow for the run to count
 )
 
-// Result says how the run counts: a broken rule that rests on order fails it at
-// any time, one that rests on times only if the machine was in time.
+// Result returns the overall result. A broken rule about the order of events always fails the run; a broken rule
+// about times fails it only if the machine was fast enough.
 func (r Run) Result() Result {
 	result := Pass
 	for _, v := range r.Verdicts {
@@ -44,37 +44,36 @@
 	return result
 }
 
-// From these on, times are not judged. An aim of 200 ms is the shortest that is
-// measured, so a tenth of it may be the lab's; and a node that waits for a core
-// for a quarter of its time is measured no more.
+// Above these limits, times are not judged. The shortest latency objective is 200 ms, and a tenth of it may be
+// due to the lab. When nodes wait for a core for a quarter of the time, the run measures the machine instead.
 const (
-	lateP99     = 20 * time.Millisecond
-	lateSeconds = 0.1 // part of the run's seconds in which the lab may be later
-	lateStalled = 0.25
+	maxLabLateP99       = 20 * time.Millisecond
+	maxLateSecondsShare = 0.1 // share of the run's seconds in which the lab may exceed maxLabLateP99
+	maxStalledShare     = 0.25
 )
 
-// TooLate says why times of a history can't be judged, or nothing.
+// TooLate returns the reason why the times of a history can't be judged, or an empty string if they can.
 func TooLate(events []history.Event, f Figures) string {
 	seconds, late := 0, 0
 	for _, e := range events {
 		if e.Kind == history.Lab {
 			seconds++
-			if e.P99 > lateP99 {
+			if e.P99 > maxLabLateP99 {
 				late++
 			}
 		}
 	}
-	if float64(late) > lateSeconds*float64(seconds) {
-		return fmt.Sprintf("in %d of %d seconds the lab's own timers were over %v late", late, seconds, lateP99)
+	if float64(late) > maxLateSecondsShare*float64(seconds) {
+		return fmt.Sprintf("in %d of %d seconds the lab's own timers were over %v late", late, seconds, maxLabLateP99)
 	}
-	if f.Stalled > lateStalled {
+	if f.Stalled > maxStalledShare {
 		return fmt.Sprintf("the nodes' threads waited for a core for %.0f%% of the time", 100*f.Stalled)
 	}
 	return ""
 }
 
-// Line is the run in one line: PASS, FAIL or VOID, its name, and its figures, what broke or why it does not
-// count.
+// Line returns the run in one line: PASS, FAIL or VOID, the experiment's name and seed, and then the figures, the
+// first broken rule, or the reason why the run does not count.
 func (r Run) Line() string {
 	f := r.Figures
 	switch r.Result() {
@@ -97,16 +96,16 @@
 		f.Seed,
 		f.All.Asked,
 		f.All.Served(),
-		f.All.part(f.All.Late),
-		f.All.part(f.All.Refused),
-		f.All.part(f.All.Failed),
+		f.All.share(f.All.Late),
+		f.All.share(f.All.Refused),
+		f.All.share(f.All.Failed),
 		f.Attempts,
 	)
 }
 
 const summaryFile = "summary.json"
 
-// Write puts the summary, the plots and the page of a run into its folder and gives the page's path.
+// Write writes the summary, the plots and the page of a run into a folder, and returns the page's path.
 func (r Run) Write(dir string) (page string, err error) {
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -118,7 +117,7 @@
 	return r.writePage(dir)
 }
 
-// Read returns the run whose report lies in a folder.
+// Read returns the run whose summary is in a folder.
 func Read(dir string) (Run, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, summaryFile))
 	if err != nil {
--- a/internal/lab/spec/acts.go
+++ b/internal/lab/spec/acts.go
@@ -1,6 +1,6 @@
 package spec
 
-// What a fault may be, and to whom it may be done.
+// This file lists the kinds of faults and what each can be done to.
 
 import (
 	"cmp"
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// act is what a fault may be.
-type act struct {
-	on    string          // what it is done to: node, link, backend or discovery
-	lasts bool            // it needs a length
-	keys  map[string]bool // what else it takes
-	needs []string        // of them
-	about string
+// faultKind describes one kind of fault: its target and the keys that an experiment file may give for it.
+type faultKind struct {
+	target       string          // the kind of party that it acts on: node, link, box, replica or discovery
+	hasLength    bool            // the fault has a length, so its "for" is required
+	allowedKeys  map[string]bool // keys that the fault accepts in addition to the common ones
+	requiredKeys []string        // those of allowedKeys that have to be given
+	description  string
 }
 
-func keys(names ...string) map[string]bool {
+func keySet(names ...string) map[string]bool {
 	all := map[string]bool{}
 	for _, n := range names {
 		all[n] = true
@@ -27,83 +27,84 @@
 	return all
 }
 
-// acts are all faults and orders, by the name that a file gives them.
-var acts = map[string]act{
-	"kill":    {on: "node", lasts: true, about: "SIGKILL; started again after for"},
-	"pause":   {on: "node", lasts: true, about: "SIGSTOP, and SIGCONT after for"},
-	"join":    {on: "node", about: "a node that was absent so far is started"},
-	"restart": {on: "node", about: "SIGTERM, and started again once it has ended"},
+// faultKinds holds all kinds of faults and operator orders, by their name in experiment files.
+var faultKinds = map[string]faultKind{
+	"kill":    {target: "node", hasLength: true, description: "SIGKILL; started again after for"},
+	"pause":   {target: "node", hasLength: true, description: "SIGSTOP, and SIGCONT after for"},
+	"join":    {target: "node", description: "a node that was absent so far is started"},
+	"restart": {target: "node", description: "SIGTERM, and started again once it has ended"},
 	"upgrade": {
-		on:    "node",
-		about: "a new process beside the old one, which gets SIGTERM once the new one says yes",
+		target:      "node",
+		description: "a new process beside the old one, which gets SIGTERM once the new one says yes",
 	},
 	"cut": {
-		on:    "link",
-		lasts: true,
-		keys:  keys("way"),
-		about: "nothing passes and nothing is said; new connections never come up",
+		target:      "link",
+		hasLength:   true,
+		allowedKeys: keySet("way"),
+		description: "nothing passes and nothing is said; new connections never come up",
 	},
-	"mute":   {on: "link", lasts: true, keys: keys("way"), about: "connections come up, but nothing passes"},
-	"refuse": {on: "link", lasts: true, about: "new connections are refused"},
+	"mute":   {target: "link", hasLength: true, allowedKeys: keySet("way"), description: "connections come up, but nothing passes"},
+	"refuse": {target: "link", hasLength: true, description: "new connections are refused"},
 	"reset": {
-		on:    "link",
-		keys:  keys("every"),
-		about: "open connections are reset; with every and for, again and again",
+		target:      "link",
+		allowedKeys: keySet("every"),
+		description: "open connections are reset; with every and for, again and again",
 	},
 	"shape": {
-		on:    "link",
-		lasts: true,
-		keys:  keys("delay", "jitter", "loss", "rate"),
-		about: "what passes is late, lost or slow",
+		target:      "link",
+		hasLength:   true,
+		allowedKeys: keySet("delay", "jitter", "loss", "rate"),
+		description: "what passes is late, lost or slow",
 	},
 	"snip": {
-		on:    "link",
-		lasts: true,
-		keys:  keys("bytes"),
-		needs: []string{"bytes"},
-		about: "connections are reset after 1 to bytes bytes, anywhere in a message",
+		target:       "link",
+		hasLength:    true,
+		allowedKeys:  keySet("bytes"),
+		requiredKeys: []string{"bytes"},
+		description:  "connections are reset after 1 to bytes bytes, anywhere in a message",
 	},
 	"slow": {
-		on:    "box",
-		lasts: true,
-		keys:  keys("times"),
-		needs: []string{"times"},
-		about: "works so many times slower",
+		target:       "box",
+		hasLength:    true,
+		allowedKeys:  keySet("times"),
+		requiredKeys: []string{"times"},
+		description:  "works so many times slower",
 	},
-	"hang": {on: "box", lasts: true, about: "takes work and answers nothing"},
+	"hang": {target: "box", hasLength: true, description: "takes work and answers nothing"},
 	"errors": {
-		on:    "box",
-		lasts: true,
-		keys:  keys("part"),
-		needs: []string{"part"},
-		about: "that part of its requests fails at once",
+		target:       "box",
+		hasLength:    true,
+		allowedKeys:  keySet("part"),
+		requiredKeys: []string{"part"},
+		description:  "that part of its requests fails at once",
 	},
 	"neighbour": {
-		on:    "box",
-		lasts: true,
-		keys:  keys("part"),
-		needs: []string{"part"},
-		about: "another program takes that part of it",
+		target:       "box",
+		hasLength:    true,
+		allowedKeys:  keySet("part"),
+		requiredKeys: []string{"part"},
+		description:  "another program takes that part of it",
 	},
-	"crash": {on: "box", lasts: true, about: "its process dies; it returns cold after for"},
+	"crash": {target: "box", hasLength: true, description: "its process dies; it returns cold after for"},
 	"vanish": {
-		on:    "box",
-		lasts: true,
-		about: "its machine is lost without a word; it returns cold after for",
+		target:      "box",
+		hasLength:   true,
+		description: "its machine is lost without a word; it returns cold after for",
 	},
-	"drain": {on: "box", lasts: true, about: "listed as draining, then gone; it returns cold after for"},
-	"full":  {on: "replica", lasts: true, about: "its disk takes nothing"},
+	"drain": {target: "box", hasLength: true, description: "listed as draining, then gone; it returns cold after for"},
+	"full":  {target: "replica", hasLength: true, description: "its disk takes nothing"},
 	"corrupt": {
-		on:    "replica",
-		lasts: true,
-		about: "SIGKILL, its log is spoilt, and it is started after for, or replaced if it notices",
+		target:      "replica",
+		hasLength:   true,
+		description: "SIGKILL, its log is spoilt, and it is started after for, or replaced if it notices",
 	},
 	"move": {
-		on:    "discovery",
-		about: "discovery gets another address, told by SIGHUP; the old one ends after 1.5 s",
+		target:      "discovery",
+		description: "discovery gets another address, told by SIGHUP; the old one ends after 1.5 s",
 	},
 }
 
+// exclusive reports whether a fault stops or starts its target, so that no two of them may overlap on one target.
 func exclusive(do string) bool {
 	switch do {
 	case "kill", "pause", "restart", "join", "upgrade", "crash", "vanish", "drain", "full", "corrupt":
@@ -112,11 +113,11 @@
 	return false
 }
 
-// Acts lists what a fault may do, for a reader.
+// Acts returns one line of description for each kind of fault, sorted by target.
 func Acts() []string {
 	var all []string
-	for _, name := range slices.Sorted(maps.Keys(acts)) {
-		all = append(all, fmt.Sprintf("%-10s %-9s %s", name, acts[name].on, acts[name].about))
+	for _, name := range slices.Sorted(maps.Keys(faultKinds)) {
+		all = append(all, fmt.Sprintf("%-10s %-9s %s", name, faultKinds[name].target, faultKinds[name].description))
 	}
 	slices.SortStableFunc(
 		all,
--- a/internal/lab/spec/check.go
+++ b/internal/lab/spec/check.go
@@ -7,51 +7,52 @@
 	"time"
 )
 
-// Least lengths, so that a schedule can be carried out.
+// Bounds of an experiment, within which the lab can carry it out.
 const (
-	leastLength = 2 * time.Second
-	mostLength  = time.Hour
-	leastDrain  = 4 * time.Second // grace, and the backend's end after it
-	mostNodes   = 300
-	mostBoxes   = 1000
+	minLength   = 2 * time.Second
+	maxLength   = time.Hour
+	minDrain    = 4 * time.Second // the grace period, and the backend's end after it
+	maxNodes    = 300
+	maxBackends = 1000
 
-	mostFollowers = 10000
-	mostWorkers   = 100
+	maxFollowers = 10000
+	maxWorkers   = 100
 )
 
+// check returns an error for each value of the experiment that is out of its bounds or contradicts another one.
 func (e *Experiment) check() []error {
 	var errs []error
 	bad := func(header, key string, ok bool, format string, args ...any) {
 		if !ok {
-			errs = append(errs, e.at(header, 0, key, format, args...))
+			errs = append(errs, e.errorAt(header, 0, key, format, args...))
 		}
 	}
 	length := time.Duration(e.Length)
 	bad(
 		"",
 		"length",
-		length >= leastLength && length <= mostLength,
+		length >= minLength && length <= maxLength,
 		"%v is not between %v and %v",
 		length,
-		leastLength,
-		mostLength,
+		minLength,
+		maxLength,
 	)
 	f := e.Fleet
 	bad(
 		"[fleet]",
 		"nodes",
-		f.Nodes >= 1 && f.Nodes <= mostNodes,
+		f.Nodes >= 1 && f.Nodes <= maxNodes,
 		"%d is not between 1 and %d",
 		f.Nodes,
-		mostNodes,
+		maxNodes,
 	)
 	bad(
 		"[fleet]",
 		"boxes",
-		f.Boxes >= 1 && f.Boxes <= mostBoxes,
+		f.Boxes >= 1 && f.Boxes <= maxBackends,
 		"%d is not between 1 and %d",
 		f.Boxes,
-		mostBoxes,
+		maxBackends,
 	)
 	bad(
 		"[fleet]",
@@ -79,7 +80,7 @@
 		if s.At < 0 || s.For <= 0 || s.At+s.For > e.Length || s.Times < 0 {
 			errs = append(
 				errs,
-				e.at(
+				e.errorAt(
 					"[[load.surge]]",
 					i,
 					"at",
@@ -107,18 +108,18 @@
 	bad(
 		"[discovery]",
 		"followers",
-		e.List.Followers >= 0 && e.List.Followers <= mostFollowers,
+		e.List.Followers >= 0 && e.List.Followers <= maxFollowers,
 		"%d is not between 0 and %d",
 		e.List.Followers,
-		mostFollowers,
+		maxFollowers,
 	)
 	d := e.Duties
 	bad(
 		"[duties]",
 		"workers",
-		d.Workers >= 0 && d.Workers <= mostWorkers && (d.Workers == 0 || r > 0),
+		d.Workers >= 0 && d.Workers <= maxWorkers && (d.Workers == 0 || r > 0),
 		"want 0 to %d, and replicas of the registry",
-		mostWorkers,
+		maxWorkers,
 	)
 	bad(
 		"[duties]",
@@ -158,7 +159,7 @@
 			if c.At <= 0 || c.At >= e.Length || c.Rate <= 0 || c.Burst < 1 {
 				errs = append(
 					errs,
-					e.at(
+					e.errorAt(
 						"[[quota.change]]",
 						i,
 						"at",
@@ -184,23 +185,24 @@
 	return append(errs, e.checkBounds()...)
 }
 
+// checkFault returns the errors of the i-th fault.
 func (e *Experiment) checkFault(i int, f Fault) []error {
 	var errs []error
 	bad := func(key string, ok bool, format string, args ...any) {
 		if !ok {
-			errs = append(errs, e.at("[[fault]]", i, key, format, args...))
+			errs = append(errs, e.errorAt("[[fault]]", i, key, format, args...))
 		}
 	}
-	a, ok := acts[f.Do]
+	a, ok := faultKinds[f.Do]
 	if !ok {
 		return []error{
-			e.at(
+			e.errorAt(
 				"[[fault]]",
 				i,
 				"do",
 				"%q is not a fault; there are %s",
 				f.Do,
-				strings.Join(slices.Sorted(maps.Keys(acts)), ", "),
+				strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "),
 			),
 		}
 	}
@@ -212,13 +214,15 @@
 		time.Duration(f.At+f.For),
 		time.Duration(e.Length),
 	)
-	bad("for", !a.lasts || f.For > 0, "%s needs a length", f.Do)
-	bad("for", a.lasts || f.For == 0 || f.Every > 0, "%s is of one moment and takes no length", f.Do)
-	bad("for", f.Do != "drain" || time.Duration(f.For) >= leastDrain, "a drain takes %v or more", leastDrain)
-	for key, given := range map[string]bool{"way": f.Way != "", "delay": f.Delay != 0, "jitter": f.Jitter != 0, "loss": f.Loss != 0,
-		"rate": f.Rate != 0, "bytes": f.Bytes != 0, "every": f.Every != 0, "times": f.Times != 0, "part": f.Part != 0} {
-		bad(key, !given || a.keys[key], "%s takes no %s", f.Do, key)
-		bad(key, given || !slices.Contains(a.needs, key), "%s needs it", f.Do)
+	bad("for", !a.hasLength || f.For > 0, "%s needs a length", f.Do)
+	bad("for", a.hasLength || f.For == 0 || f.Every > 0, "%s is of one moment and takes no length", f.Do)
+	bad("for", f.Do != "drain" || time.Duration(f.For) >= minDrain, "a drain takes %v or more", minDrain)
+	for key, given := range map[string]bool{
+		"way": f.Way != "", "delay": f.Delay != 0, "jitter": f.Jitter != 0, "loss": f.Loss != 0, "rate": f.Rate != 0,
+		"bytes": f.Bytes != 0, "every": f.Every != 0, "times": f.Times != 0, "part": f.Part != 0,
+	} {
+		bad(key, !given || a.allowedKeys[key], "%s takes no %s", f.Do, key)
+		bad(key, given || !slices.Contains(a.requiredKeys, key), "%s needs it", f.Do)
 	}
 	bad(
 		"every",
@@ -237,7 +241,7 @@
 	bad("bytes", f.Bytes >= 0, "%d is not above 0", f.Bytes)
 	bad("delay", f.Delay >= 0 && f.Jitter >= 0, "a delay is 0 or more")
 	bad("share", f.Share >= 0 && f.Share <= 1, "%v is not between 0 and 1", f.Share)
-	bad("to", a.on == "link" || len(f.To) == 0, "%s has no other end", f.Do)
+	bad("to", a.target == "link" || len(f.To) == 0, "%s has no other end", f.Do)
 	bad(
 		"do",
 		f.Do != "upgrade" || e.Fleet.Accept ||
@@ -253,7 +257,7 @@
 			"only those of fleet.absent can join",
 		)
 	}
-	if a.on == "discovery" {
+	if a.target == "discovery" {
 		bad("on", len(f.On) == 0, "%s is done to discovery alone", f.Do)
 		return errs
 	}
@@ -261,10 +265,10 @@
 		for _, name := range ends {
 			got, err := e.Parties([]string{name})
 			bad(key, err == nil, "%v", err)
-			if kind := a.on; err == nil && kind != "link" {
+			if kind := a.target; err == nil && kind != "link" {
 				bad(
 					key,
-					slices.ContainsFunc(got, func(p string) bool { return suits(f.Do, p) }),
+					slices.ContainsFunc(got, func(p string) bool { return canTarget(f.Do, p) }),
 					"%s is done to a %s, and %q names none",
 					f.Do,
 					kind,
@@ -274,18 +278,18 @@
 		}
 	}
 	bad("on", len(f.On) > 0, "%s needs to know on whom", f.Do)
-	bad("to", a.on != "link" || len(f.To) > 0, "%s needs the links' other ends", f.Do)
+	bad("to", a.target != "link" || len(f.To) > 0, "%s needs the links' other ends", f.Do)
 	return errs
 }
 
-// overlaps finds faults that can't both be carried out: two that stop or start one process, or one backend,
-// at once.
+// overlaps returns an error for each pair of faults that can't both be carried out, since they stop or start
+// the same process or backend at the same time.
 func (e *Experiment) overlaps() []error {
 	type span struct {
 		i    int
 		a, b Duration
 	}
-	held := map[string][]span{}
+	scheduled := map[string][]span{}
 	var errs []error
 	for i, f := range e.Faults {
 		if !exclusive(f.Do) || f.Share > 0 {
@@ -293,14 +297,14 @@
 		}
 		parties, _ := e.Parties(f.On)
 		for _, p := range parties {
-			if !suits(f.Do, p) {
+			if !canTarget(f.Do, p) {
 				continue
 			}
-			for _, s := range held[p] {
+			for _, s := range scheduled[p] {
 				if f.At <= s.b && s.a <= f.At+f.For {
 					errs = append(
 						errs,
-						e.at(
+						e.errorAt(
 							"[[fault]]",
 							i,
 							"at",
@@ -313,62 +317,64 @@
 					)
 				}
 			}
-			held[p] = append(held[p], span{i, f.At, f.At + f.For})
+			scheduled[p] = append(scheduled[p], span{i, f.At, f.At + f.For})
 		}
 	}
 	return errs
 }
 
+// checkDraw returns the errors of the table from which faults are drawn.
 func (e *Experiment) checkDraw() []error {
 	var errs []error
 	d := e.Draw
 	if d.Faults < 1 || d.Faults > 1000 {
-		errs = append(errs, e.at("[draw]", 0, "faults", "%d is not between 1 and 1000", d.Faults))
+		errs = append(errs, e.errorAt("[draw]", 0, "faults", "%d is not between 1 and 1000", d.Faults))
 	}
-	if d.From < 0 || d.Until > e.Length || d.Until-d.From < Duration(leastLength) {
+	if d.From < 0 || d.Until > e.Length || d.Until-d.From < Duration(minLength) {
 		errs = append(
 			errs,
-			e.at(
+			e.errorAt(
 				"[draw]",
 				0,
 				"until",
 				"faults need %v or more from %v on, within the run's %v",
-				leastLength,
+				minLength,
 				time.Duration(d.From),
 				time.Duration(e.Length),
 			),
 		)
 	}
 	for _, do := range d.Menu {
-		if _, ok := menu[do]; !ok {
+		if _, ok := drawableFaults[do]; !ok {
 			errs = append(
 				errs,
-				e.at(
+				e.errorAt(
 					"[draw]",
 					0,
 					"menu",
 					"%q can't be drawn; there are %s",
 					do,
-					strings.Join(slices.Sorted(maps.Keys(menu)), ", "),
+					strings.Join(slices.Sorted(maps.Keys(drawableFaults)), ", "),
 				),
 			)
 		}
 		if do == "upgrade" && !e.Fleet.Accept {
-			errs = append(errs, e.at("[draw]", 0, "menu", "an upgrade needs fleet.accept_fd = true"))
+			errs = append(errs, e.errorAt("[draw]", 0, "menu", "an upgrade needs fleet.accept_fd = true"))
 		}
 	}
 	if len(d.Menu) == 0 {
-		errs = append(errs, e.at("[draw]", 0, "menu", "it is empty"))
+		errs = append(errs, e.errorAt("[draw]", 0, "menu", "it is empty"))
 	}
 	return errs
 }
 
+// checkBounds returns the errors of the bounds that the run's figures are compared with.
 func (e *Experiment) checkBounds() []error {
 	var errs []error
 	b := e.Bounds
 	share := func(key string, v float64) {
 		if v < 0 || v > 1 {
-			errs = append(errs, e.at("[bounds]", 0, key, "%v is not between 0 and 1", v))
+			errs = append(errs, e.errorAt("[bounds]", 0, key, "%v is not between 0 and 1", v))
 		}
 	}
 	share("served", b.Served)
@@ -386,27 +392,28 @@
 	for c, v := range b.P99 {
 		errs = append(errs, e.knownClass("p99", c)...)
 		if d, err := time.ParseDuration(v); err != nil || d <= 0 {
-			errs = append(errs, e.at("[bounds]", 0, "p99", "%q is not a duration, want a number with its unit", v))
+			errs = append(errs, e.errorAt("[bounds]", 0, "p99", "%q is not a duration, want a number with its unit", v))
 		}
 	}
 	if b.Holder > 0 && e.Duties.Workers == 0 {
-		errs = append(errs, e.at("[bounds]", 0, "holder", "nobody holds duties"))
+		errs = append(errs, e.errorAt("[bounds]", 0, "holder", "nobody holds duties"))
 	}
 	if b.Followers > 0 && e.List.Followers == 0 {
-		errs = append(errs, e.at("[bounds]", 0, "followers", "there are none"))
+		errs = append(errs, e.errorAt("[bounds]", 0, "followers", "there are none"))
 	}
 	if b.Recovered > 0 && len(e.Faults) == 0 && e.Draw == nil {
-		errs = append(errs, e.at("[bounds]", 0, "recovered", "there is no fault to recover from"))
+		errs = append(errs, e.errorAt("[bounds]", 0, "recovered", "there is no fault to recover from"))
 	}
 	return errs
 }
 
-// Classes are the names that bounds may use.
+// Classes lists the names of classes that bounds may use.
 var Classes = []string{"ledger-view", "aging-report", "payment-post", "advance-release"}
 
+// knownClass returns an error if name is not one of Classes.
 func (e *Experiment) knownClass(key, name string) []error {
 	if slices.Contains(Classes, name) {
 		return nil
 	}
-	return []error{e.at("[bounds]", 0, key, "%q is no class; there are %s", name, strings.Join(Classes, ", "))}
+	return []error{e.errorAt("[bounds]", 0, key, "%q is no class; there are %s", name, strings.Join(Classes, ", "))}
 }
--- a/internal/lab/spec/parse.go
+++ b/internal/lab/spec/parse.go
@@ -1,6 +1,6 @@
 package spec
 
-// How an experiment's file is read, and what is notified of one that can't be.
+// This file reads experiment files and makes the errors of invalid ones.
 
 import (
 	"errors"
@@ -22,27 +22,28 @@
 	return Parse(path, string(raw))
 }
 
-// Parse is LoadFile for a text that has been read already.
+// Parse is LoadFile for text that has been read already; path is used in errors and for the default name.
 func Parse(path, text string) (*Experiment, error) {
-	e := &Experiment{path: path, src: text}
+	e := &Experiment{path: path, source: text}
 	d := toml.NewDecoder(strings.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(e); err != nil {
-		return nil, e.decoding(err)
+		return nil, e.decodeError(err)
 	}
-	e.fill()
+	e.setDefaults()
 	errs := e.check()
 	slices.SortStableFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	if e.Bounds.Level == 0 {
-		e.Bounds.Level = recoveredAt
+		e.Bounds.Level = defaultRecoveredShare
 	}
 	return e, nil
 }
 
-func (e *Experiment) decoding(err error) error {
+// decodeError adds file, line and key to an error of the TOML decoder.
+func (e *Experiment) decodeError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		var all []error
@@ -69,12 +70,14 @@
 	return fmt.Errorf("%s: %w", e.path, err)
 }
 
-// fill puts in what the file leaves out.
-func (e *Experiment) fill() {
+// setDefaults sets the default value of each key that the file omits.
+func (e *Experiment) setDefaults() {
 	if e.Name == "" {
 		e.Name = strings.TrimSuffix(filepath.Base(e.path), ".toml")
 	}
-	for p, v := range map[*int]int{&e.Fleet.Nodes: 3, &e.Fleet.Boxes: 10, &e.Fleet.Zones: 3, &e.Fleet.MemoryMB: 192, &e.Fleet.Sockets: 1024} {
+	for p, v := range map[*int]int{
+		&e.Fleet.Nodes: 3, &e.Fleet.Boxes: 10, &e.Fleet.Zones: 3, &e.Fleet.MemoryMB: 192, &e.Fleet.Sockets: 1024,
+	} {
 		if *p == 0 {
 			*p = v
 		}
@@ -87,10 +90,11 @@
 	}
 }
 
-// line finds a key: in the table of that header, of which it is the nth.
+// line returns the line number of a key in the nth table with the given header. Where the key is absent, it is
+// the line of that header, or 1.
 func (e *Experiment) line(header string, nth int, key string) int {
 	seen, within, found := -1, header == "", 0
-	for i, text := range strings.Split(e.src, "\n") {
+	for i, text := range strings.Split(e.source, "\n") {
 		text = strings.TrimSpace(text)
 		if strings.HasPrefix(text, "[") {
 			within = false
@@ -111,8 +115,8 @@
 	return max(1, found)
 }
 
-// at makes an error of the file.
-func (e *Experiment) at(header string, nth int, key, format string, args ...any) error {
+// errorAt makes an error that names file, line and key. header and nth select the table, as in line.
+func (e *Experiment) errorAt(header string, nth int, key, format string, args ...any) error {
 	name := strings.Trim(header, "[]")
 	if name != "" {
 		name += "."
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -10,17 +10,18 @@
 	"wrenspread/internal/lab/world"
 )
 
-// The parties that are not numbered.
+// The parties that have no number.
 const (
 	Clients   = "clients"
 	Discovery = "discovery"
 
-	Conductors = "conductors" // all of them, for links
-	Agents     = "agents"     // of the backends' machines
+	Conductors = "conductors" // all controllers, as an end of links
+	Agents     = "agents"     // the agents of the backends' machines, as an end of links
 )
 
-// Parties returns those that the names stand for: n0, s0, nodes, backends, clients, discovery, zone:N or a
-// zone's name (its nodes and backends).
+// Parties returns the parties that the names select, without repeats. A name is a single party (n0, s0,
+// clients, discovery), a group (nodes, boxes, replicas, workers, holders, conductors, agents), or zone:NAME for
+// the nodes and backends of a zone.
 func (e *Experiment) Parties(names []string) ([]string, error) {
 	var all []string
 	for _, name := range names {
@@ -33,27 +34,27 @@
 		case name == Clients, name == Discovery:
 			got = []string{name}
 		case name == "nodes":
-			got = numbered("n", e.Fleet.Nodes)
+			got = numberedNames("n", e.Fleet.Nodes)
 		case e.Release != nil && (name == Conductors || name == Agents):
 			got = []string{name}
-		case e.Release != nil && slices.Contains(numbered("c", e.Release.Conductors), name):
+		case e.Release != nil && slices.Contains(numberedNames("c", e.Release.Conductors), name):
 			got = []string{name}
 		case e.Quota != nil && name == "holders":
-			got = numbered("k", e.Quota.Holders)
-		case e.Quota != nil && slices.Contains(numbered("k", e.Quota.Holders), name):
+			got = numberedNames("k", e.Quota.Holders)
+		case e.Quota != nil && slices.Contains(numberedNames("k", e.Quota.Holders), name):
 			got = []string{name}
 		case name == "workers" && e.Duties.Workers > 0:
-			got = numbered("d", e.Duties.Workers)
-		case slices.Contains(numbered("d", e.Duties.Workers), name):
+			got = numberedNames("d", e.Duties.Workers)
+		case slices.Contains(numberedNames("d", e.Duties.Workers), name):
 			got = []string{name}
 		case name == "replicas" && e.List.Replicas > 0:
-			got = numbered("r", e.List.Replicas)
-		case slices.Contains(numbered("r", e.List.Replicas), name):
+			got = numberedNames("r", e.List.Replicas)
+		case slices.Contains(numberedNames("r", e.List.Replicas), name):
 			got = []string{name}
 		case name == "boxes":
-			got = numbered("s", e.Fleet.Boxes)
-		case slices.Contains(numbered("n", e.Fleet.Nodes), name),
-			slices.Contains(numbered("s", e.Fleet.Boxes), name):
+			got = numberedNames("s", e.Fleet.Boxes)
+		case slices.Contains(numberedNames("n", e.Fleet.Nodes), name),
+			slices.Contains(numberedNames("s", e.Fleet.Boxes), name):
 			got = []string{name}
 		default:
 			return nil, fmt.Errorf(
@@ -74,7 +75,8 @@
 	return all, nil
 }
 
-func numbered(prefix string, n int) []string {
+// numberedNames returns prefix0 to prefix(n-1).
+func numberedNames(prefix string, n int) []string {
 	all := make([]string, n)
 	for i := range all {
 		all[i] = fmt.Sprint(prefix, i)
@@ -82,7 +84,7 @@
 	return all
 }
 
-// kindOf tells a node from a backend.
+// kindOf returns the kind of a party, by the prefix of its name.
 func kindOf(party string) string {
 	switch {
 	case party == Clients, party == Discovery, party == Conductors, party == Agents:
@@ -101,18 +103,19 @@
 	return "box"
 }
 
-// suits reports whether something can be done to a party. What ends or stops a process can be done to a
-// replica of the registry or a worker as well as to a node.
-func suits(do, party string) bool {
+// canTarget reports whether a fault can be done to a party. Faults that end or stop a process apply to nodes,
+// and also to registry replicas, controllers, quota keepers and workers; upgrades apply to workers too.
+func canTarget(do, party string) bool {
 	kind := kindOf(party)
 	process := do == "kill" || do == "pause" || do == "restart"
-	return kind == acts[do].on || (kind == "replica" || kind == "conductor" || kind == "keeper") && process ||
+	return kind == faultKinds[do].target || (kind == "replica" || kind == "conductor" || kind == "keeper") && process ||
 		kind == "worker" && (process || do == "upgrade")
 }
 
-// Zones are the zones' names.
+// Zones returns the names of the zones.
 func (e *Experiment) Zones() []string { return world.Draw(0, e.Fleet.Zones, 0).Zones }
 
+// inZone returns the nodes and backends of a zone, or nil if there is no such zone.
 func (e *Experiment) inZone(zone string) []string {
 	i := slices.Index(e.Zones(), zone)
 	if i < 0 {
@@ -128,66 +131,68 @@
 	return all
 }
 
-// Step is one fault of the schedule, with its parties drawn.
+// Step is one fault of the schedule, with the parties that were drawn for it.
 type Step struct {
 	Fault
-	Name string // of this step, in this run
+	Name string // identifies the step within the run
 	On   []string
 	To   []string
 }
 
-// menu draws one fault of a kind: at is when, room how long it may last.
-var menu = map[string]func(r *rand.Rand, room time.Duration) Fault{
-	"kill":    func(r *rand.Rand, room time.Duration) Fault { return Fault{For: upTo(r, room, 3)} },
-	"pause":   func(r *rand.Rand, room time.Duration) Fault { return Fault{For: upTo(r, room, 4)} },
-	"restart": func(r *rand.Rand, room time.Duration) Fault { return Fault{} },
-	"upgrade": func(r *rand.Rand, room time.Duration) Fault { return Fault{} },
-	"crash":   func(r *rand.Rand, room time.Duration) Fault { return Fault{For: upTo(r, room, 5)} },
-	"vanish":  func(r *rand.Rand, room time.Duration) Fault { return Fault{For: upTo(r, room, 6)} },
-	"slow": func(r *rand.Rand, room time.Duration) Fault {
-		return Fault{For: upTo(r, room, 8), Times: 3 + 5*r.Float64()}
+// drawableFaults holds, by the fault's name, the function that draws one fault of this kind. available is the
+// longest time that the fault may last.
+var drawableFaults = map[string]func(r *rand.Rand, available time.Duration) Fault{
+	"kill":    func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 3)} },
+	"pause":   func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 4)} },
+	"restart": func(r *rand.Rand, available time.Duration) Fault { return Fault{} },
+	"upgrade": func(r *rand.Rand, available time.Duration) Fault { return Fault{} },
+	"crash":   func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 5)} },
+	"vanish":  func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 6)} },
+	"slow": func(r *rand.Rand, available time.Duration) Fault {
+		return Fault{For: randomLength(r, available, 8), Times: 3 + 5*r.Float64()}
 	},
-	"hang": func(r *rand.Rand, room time.Duration) Fault { return Fault{For: upTo(r, room, 8)} },
-	"errors": func(r *rand.Rand, room time.Duration) Fault {
-		return Fault{For: upTo(r, room, 8), Part: 0.3 + 0.5*r.Float64()}
+	"hang": func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 8)} },
+	"errors": func(r *rand.Rand, available time.Duration) Fault {
+		return Fault{For: randomLength(r, available, 8), Part: 0.3 + 0.5*r.Float64()}
 	},
-	"cut": func(r *rand.Rand, room time.Duration) Fault {
-		return Fault{For: upTo(r, room, 5), Way: []string{"both", "forward", "back"}[r.IntN(3)]}
+	"cut": func(r *rand.Rand, available time.Duration) Fault {
+		return Fault{For: randomLength(r, available, 5), Way: []string{"both", "forward", "back"}[r.IntN(3)]}
 	},
-	"mute":  func(r *rand.Rand, room time.Duration) Fault { return Fault{For: upTo(r, room, 5)} },
-	"reset": func(r *rand.Rand, room time.Duration) Fault { return Fault{} },
-	"shape": func(r *rand.Rand, room time.Duration) Fault {
+	"mute":  func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 5)} },
+	"reset": func(r *rand.Rand, available time.Duration) Fault { return Fault{} },
+	"shape": func(r *rand.Rand, available time.Duration) Fault {
 		return Fault{
-			For:   upTo(r, room, 6),
+			For:   randomLength(r, available, 6),
 			Delay: Duration(time.Duration(5+r.IntN(60)) * time.Millisecond),
 			Loss:  0.2 * r.Float64(),
 		}
 	},
-	"snip": func(r *rand.Rand, room time.Duration) Fault {
-		return Fault{For: upTo(r, room, 3), Bytes: 200 + r.IntN(4000)}
+	"snip": func(r *rand.Rand, available time.Duration) Fault {
+		return Fault{For: randomLength(r, available, 3), Bytes: 200 + r.IntN(4000)}
 	},
 }
 
-func upTo(r *rand.Rand, room time.Duration, seconds int) Duration {
-	most := min(room, time.Duration(seconds)*time.Second)
-	return Duration(most/4 + time.Duration(r.Int64N(int64(most*3/4))))
+// randomLength draws a length between a quarter of the longest one and the longest one, which is the given
+// number of seconds or the available time.
+func randomLength(r *rand.Rand, available time.Duration, seconds int) Duration {
+	longest := min(available, time.Duration(seconds)*time.Second)
+	return Duration(longest/4 + time.Duration(r.Int64N(int64(longest*3/4))))
 }
 
-// Schedule is all faults of a run, in the order of their beginning: those of the
-// file, with shares drawn, and those drawn from the menu. It depends on the
-// experiment and the seed alone.
+// Schedule returns all faults of a run, in the order in which they begin: the faults of the file, with shares of
+// parties drawn, and the faults drawn from the menu. The result depends only on the experiment and the seed.
 func (e *Experiment) Schedule(seed uint64) []Step {
 	r := rand.New(rand.NewPCG(seed, 0x6661756c74))
 	var steps []Step
 	for _, f := range e.Faults {
-		on, _ := e.Parties(f.On) // checked when the file was read
+		on, _ := e.Parties(f.On) // checked when the file was parsed
 		to, _ := e.Parties(f.To)
-		if a := acts[f.Do].on; a == "node" || a == "box" {
-			on = slices.DeleteFunc(on, func(p string) bool { return !suits(f.Do, p) })
+		if a := faultKinds[f.Do].target; a == "node" || a == "box" {
+			on = slices.DeleteFunc(on, func(p string) bool { return !canTarget(f.Do, p) })
 		}
-		steps = append(steps, Step{Fault: f, On: part(r, on, f.Share), To: to})
+		steps = append(steps, Step{Fault: f, On: drawParties(r, on, f.Share), To: to})
 	}
-	steps = append(steps, e.drawn(r, steps)...)
+	steps = append(steps, e.drawSteps(r, steps)...)
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
 	for i := range steps {
 		steps[i].Name = fmt.Sprintf("%d-%s", i+1, steps[i].Do)
@@ -195,30 +200,31 @@
 	return steps
 }
 
-// part draws a share of the parties, one at least; 0 is all.
-func part(r *rand.Rand, all []string, share float64) []string {
+// drawParties draws a share of the parties, at least one party; a share of 0 selects all.
+func drawParties(r *rand.Rand, all []string, share float64) []string {
 	if share == 0 || len(all) == 0 {
 		return all
 	}
 	n := max(1, int(share*float64(len(all))+0.5))
-	out := slices.Clone(all)
-	r.Shuffle(len(out), func(i, k int) { out[i], out[k] = out[k], out[i] })
-	out = out[:n]
-	slices.Sort(out)
-	return out
+	chosen := slices.Clone(all)
+	r.Shuffle(len(chosen), func(i, k int) { chosen[i], chosen[k] = chosen[k], chosen[i] })
+	chosen = chosen[:n]
+	slices.Sort(chosen)
+	return chosen
 }
 
-// tries bounds how often a drawn fault is moved away from what is there already.
-const tries = 50
+// maxDrawAttempts bounds how often a fault is drawn again because it overlaps with scheduled ones.
+const maxDrawAttempts = 50
 
-func (e *Experiment) drawn(r *rand.Rand, fixed []Step) []Step {
+// drawSteps draws the faults of the menu so that they overlap neither with the fixed steps nor with each other.
+func (e *Experiment) drawSteps(r *rand.Rand, fixed []Step) []Step {
 	if e.Draw == nil {
 		return nil
 	}
 	var steps []Step
 	for range e.Draw.Faults {
-		for range tries {
-			s := e.drawOne(r)
+		for range maxDrawAttempts {
+			s := e.drawStep(r)
 			if !clashes(s, fixed) && !clashes(s, steps) {
 				steps = append(steps, s)
 				break
@@ -228,31 +234,34 @@
 	return steps
 }
 
-func (e *Experiment) drawOne(r *rand.Rand) Step {
+// drawStep draws one fault of the menu with its time and parties.
+func (e *Experiment) drawStep(r *rand.Rand) Step {
 	d := e.Draw
 	do := d.Menu[r.IntN(len(d.Menu))]
 	at := time.Duration(d.From) + time.Duration(r.Int64N(int64(d.Until-d.From-Duration(time.Second))))
-	f := menu[do](r, time.Duration(d.Until)-at)
+	f := drawableFaults[do](r, time.Duration(d.Until)-at)
 	f.Do, f.At = do, Duration(at)
 	s := Step{Fault: f}
-	switch acts[do].on {
+	switch faultKinds[do].target {
 	case "node":
-		s.On = numbered("n", e.Fleet.Nodes)[r.IntN(e.Fleet.Nodes):][:1]
+		s.On = numberedNames("n", e.Fleet.Nodes)[r.IntN(e.Fleet.Nodes):][:1]
 	case "box":
-		s.On = part(r, numbered("s", e.Fleet.Boxes), 0.05+0.15*r.Float64())
+		s.On = drawParties(r, numberedNames("s", e.Fleet.Boxes), 0.05+0.15*r.Float64())
 	case "link":
-		s.On = part(r, numbered("n", e.Fleet.Nodes), 0.1+0.4*r.Float64())
-		s.To = part(r, numbered("s", e.Fleet.Boxes), 0.1+0.4*r.Float64())
+		s.On = drawParties(r, numberedNames("n", e.Fleet.Nodes), 0.1+0.4*r.Float64())
+		s.To = drawParties(r, numberedNames("s", e.Fleet.Boxes), 0.1+0.4*r.Float64())
 	}
 	return s
 }
 
-// a process or a backend is left alone so long between two faults of its own
-const settle = Duration(2 * time.Second)
+// minGap is the least time between two exclusive faults of one process or backend.
+const minGap = Duration(2 * time.Second)
 
+// clashes reports whether a step acts on the same process or backend as another exclusive step, with less than
+// minGap between them.
 func clashes(s Step, others []Step) bool {
 	for _, o := range others {
-		if !exclusive(s.Do) || !exclusive(o.Do) || s.At > o.At+o.For+settle || o.At > s.At+s.For+settle {
+		if !exclusive(s.Do) || !exclusive(o.Do) || s.At > o.At+o.For+minGap || o.At > s.At+s.For+minGap {
 			continue
 		}
 		if slices.ContainsFunc(s.On, func(p string) bool { return slices.Contains(o.On, p) }) {
--- a/internal/lab/spec/spec_test.go
+++ b/internal/lab/spec/spec_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const good = `
+const validExperiment = `
 length = "30s"
 [fleet]
 nodes = 6
@@ -27,8 +27,8 @@
 menu = ["kill", "pause", "restart", "upgrade", "crash", "vanish", "slow", "hang", "errors", "cut", "mute", "reset", "shape", "snip"]
 `
 
-// TestBadFiles: what can't be played is told with its line and key.
-func TestBadFiles(t *testing.T) {
+// TestParseErrorNamesLineAndKey: the error for an invalid experiment names its line and key.
+func TestParseErrorNamesLineAndKey(t *testing.T) {
 	fault := func(lines string) string { return "length = \"30s\"\n[[fault]]\nat = \"1s\"\n" + lines }
 	for text, want := range map[string]string{
 		"length = ":                     "x.toml:1: ",
@@ -63,9 +63,10 @@
 	}
 }
 
-// TestSchedule: a seed always draws the same faults, all within their stretch, none of two that can't both be.
-func TestSchedule(t *testing.T) {
-	e, err := Parse("x.toml", good)
+// TestScheduleIsFixedBySeedAndFitsItsBounds: a seed always draws the same faults, all within their period, and no two
+// exclusive faults of one target at once.
+func TestScheduleIsFixedBySeedAndFitsItsBounds(t *testing.T) {
+	e, err := Parse("x.toml", validExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,9 +94,10 @@
 	}
 }
 
-// TestFleetOnPaper: a schedule for 300 nodes is drawn in no time.
-func TestFleetOnPaper(t *testing.T) {
-	e, err := Parse("x.toml", strings.NewReplacer("nodes = 6", "nodes = 300", "boxes = 12", "boxes = 200", "faults = 12", "faults = 200").Replace(good))
+// TestScheduleAndZonesOf300Nodes: most faults of a long menu find a time among 300 nodes, and a zone holds a third of the
+// parties.
+func TestScheduleAndZonesOf300Nodes(t *testing.T) {
+	e, err := Parse("x.toml", strings.NewReplacer("nodes = 6", "nodes = 300", "boxes = 12", "boxes = 200", "faults = 12", "faults = 200").Replace(validExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +110,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validExperiment)
 	f.Add("length = \"30s\"\n[bounds]\nserved = 0.5\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		if len(text) > 1<<12 {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -1,6 +1,6 @@
-// Package world draws a deployment by seed from the operators' figures: zones,
-// kinds of machine, classes of request, tenants. It is pure. The ranges are
-// those of the brief and of the site file windhoek-main.
+// Package world draws a deployment by seed from the operators' figures: zones, kinds of machines, classes of
+// requests, tenants. It has no side effects. The ranges are those of the brief and of the site file
+// windhoek-main.
 package world
 
 import (
@@ -10,64 +10,64 @@
 	"time"
 )
 
-// Effects of a class: what a repeat of its requests may do.
+// Effects of a class: how a repeat of its requests is treated.
 const (
 	Safe   = "safe"
-	Unsafe = "unsafe" // must never run twice
-	Keyed  = "keyed"  // a pod drops repeats of a key for a while
+	Unsafe = "unsafe" // a request must never run twice
+	Keyed  = "keyed"  // a pod drops repeats of an idempotency key for a time
 )
 
 // Class is one kind of request.
 type Class struct {
 	Name     string
 	Effect   string
-	Share    float64 // of all requests
+	Share    float64 // share of all requests
 	Work     time.Duration
-	CV       float64 // spread of the work of single requests, as deviation over mean
+	CV       float64 // coefficient of variation of the work of single requests
 	Aim      time.Duration
 	Deadline time.Duration
 	Worth    float64
-	Window   time.Duration // for which a pod drops a key
+	Window   time.Duration // time for which a pod drops repeats of a key
 }
 
-// Tenant is one book.
+// Tenant is one tenant, with its share of the service and its demand.
 type Tenant struct {
 	Name  string
-	Share float64 // of the service
-	Usage float64 // asked for, over its share
+	Share float64 // the tenant's share of the service
+	Usage float64 // demand divided by the share
 }
 
-// Machine is one app backend.
+// Machine describes the machine of one app backend.
 type Machine struct {
 	Name, Kind, Zone string
 	Pod              int
 	Cores            int
-	Speed            float64 // of a core, over a standard one
-	Slots            int     // requests in work
+	Speed            float64 // speed of a core relative to a standard core
+	Slots            int     // requests that are processed at once
 	Queue            int     // requests that may wait
-	Thrash, ThrashAt float64 // from so many requests a core, each further one costs that share of efficiency
+	Thrash, ThrashAt float64 // above ThrashAt requests per core, each further one costs the share Thrash of efficiency
 	ColdFrom         float64
 	ColdTime         time.Duration
 	PauseEvery       time.Duration
 	Pause            time.Duration
 	ErrorRate        float64
-	DropsCancelled   bool // waiting work whose node has left is dropped
+	DropsCancelled   bool // a waiting request is dropped when its node cancels it
 	Connections      int
-	Handshake        time.Duration // work for a new connection
-	Noise            float64       // spread of the work from attempt to attempt
+	Handshake        time.Duration // extra work for the first request of a connection
+	Noise            float64       // coefficient of variation of the work between attempts of one request
 	Choke            Choke
 }
 
-// Choke is the trouble of a machine that holds too much for too long.
+// Choke describes the overload state of a machine: it becomes slower after having too many requests for too long.
 type Choke struct {
-	At     float64 // requests a core; 0: it does not choke
+	At     float64 // requests per core above which the machine is crowded; 0: it has no overload state
 	Over   time.Duration
 	Slower float64
-	Rest   time.Duration // mostly idle for so long ends it
-	Most   time.Duration // and so does this time
+	Rest   time.Duration // time of being mostly idle that ends the state
+	Most   time.Duration // longest duration of the state
 }
 
-// World is one deployment.
+// World is one drawn deployment.
 type World struct {
 	Zones    []string
 	Kinds    []string
@@ -75,11 +75,11 @@
 	Tenants  []Tenant
 	Machines []Machine
 
-	Same, Cross, Client time.Duration // one way, over the network
-	Jitter              float64       // up to such a part more
+	Same, Cross, Client time.Duration // one-way network delays within a zone, between zones and from clients
+	Jitter              float64       // greatest random addition, as a share of the delay
 }
 
-// The rules' figures that the lab checks, from the brief and the site file.
+// Figures of the rules that the lab checks, from the brief and the site file.
 const (
 	DrainGrace     = 2 * time.Second
 	FallMultiple   = 3.0
@@ -89,31 +89,33 @@
 	AnswerSlack    = 16 * time.Millisecond
 	IdleClose      = 10 * time.Second
 	ConnectTimeout = 100 * time.Millisecond
-	KeyWindow      = 1200 * time.Millisecond // for which a pod drops a key
+	KeyWindow      = 1200 * time.Millisecond // time for which a pod drops repeats of a key
 	MaxAttempts    = 5
 	MaxRetryAfter  = 2 * time.Second
-	SocketSlack    = 50 * time.Millisecond // each time limit is longer by this on sockets
+	SocketSlack    = 50 * time.Millisecond // added to each time limit where real sockets are involved
 )
 
 var zones = []string{"klein-windhoek", "southern-ind", "okuryangava"}
 
+// tenants lists each tenant's share, and the range of its demand relative to that share.
 var tenants = []struct {
-	name        string
-	share       float64
-	least, most float64
+	name      string
+	share     float64
+	low, high float64
 }{
 	{"kalahari-core", 0.3, 0.51, 1.4}, {"namib-factors", 0.25, 0.54, 1.1}, {"oshana-credit", 0.17, 0.65, 1.2},
 	{"erongo-trade", 0.11, 0.74, 1.4}, {"kalahari-agri", 0.08, 0.67, 1.2}, {"kunene-mining", 0.05, 0.81, 1.4},
 	{"otjozondjupa-sme", 0.04, 0.82, 1.3},
 }
 
+// classes lists the classes of requests, with the ranges from which their work is drawn.
 var classes = []struct {
-	name, effect   string
-	share          float64
-	least, most    float64 // work, ms
-	cvMin, cvMax   float64
-	aim, deadline  float64 // ms
-	worth, windowS float64
+	name, effect         string
+	share                float64
+	low, high            float64 // work, ms
+	cvMin, cvMax         float64
+	aim, deadline        float64 // ms
+	worth, windowSeconds float64
 }{
 	{"ledger-view", Safe, 0.36, 33, 61, 0.83, 1.4, 600, 1200, 2, 0},
 	{"aging-report", Safe, 0.24, 81, 140, 0.73, 1.3, 600, 3000, 1, 0},
@@ -121,12 +123,13 @@
 	{"advance-release", Keyed, 0.17, 43, 78, 0.84, 1.3, 400, 1200, 5, 1.2},
 }
 
+// kinds lists the kinds of machines, with the ranges from which a machine is drawn.
 var kinds = []struct {
 	name               string
 	share              float64
 	cores              int
-	slow, fast         float64
-	queueMin, queueMax float64 // a core
+	minSpeed, maxSpeed float64
+	queueMin, queueMax float64 // per core
 	thrashMin          float64
 	coldMin, coldMax   float64 // s
 	pauseMax           float64 // ms
@@ -137,14 +140,15 @@
 	{"slow-dual", 0.32, 2, 0.59, 0.8, 8.2, 38, 0.067, 12, 22, 96, 1.6, 5.8},
 }
 
-// Draw draws a deployment of that many zones and machines. The same seed gives the same one.
+// Draw draws a deployment with zoneCount zones and the given number of machines. The same seed always gives the
+// same deployment.
 func Draw(seed uint64, zoneCount, machines int) World {
 	r := rand.New(rand.NewPCG(seed, 0x776f726c64))
-	in := func(least, most float64) float64 { return least + r.Float64()*(most-least) }
-	ms := func(least, most float64) time.Duration {
-		return time.Duration(in(least, most) * float64(time.Millisecond))
+	between := func(low, high float64) float64 { return low + r.Float64()*(high-low) }
+	ms := func(low, high float64) time.Duration {
+		return time.Duration(between(low, high) * float64(time.Millisecond))
 	}
-	w := World{Same: ms(0.1, 0.3), Cross: ms(0.76, 1.4), Client: ms(0.29, 1.2), Jitter: in(0.19, 0.34)}
+	w := World{Same: ms(0.1, 0.3), Cross: ms(0.76, 1.4), Client: ms(0.29, 1.2), Jitter: between(0.19, 0.34)}
 	for i := range zoneCount {
 		name := fmt.Sprintf("zone-%d", i+1)
 		if i < len(zones) {
@@ -153,22 +157,22 @@
 		w.Zones = append(w.Zones, name)
 	}
 	for _, t := range tenants {
-		w.Tenants = append(w.Tenants, Tenant{Name: t.name, Share: t.share, Usage: in(t.least, t.most)})
+		w.Tenants = append(w.Tenants, Tenant{Name: t.name, Share: t.share, Usage: between(t.low, t.high)})
 	}
 	for _, c := range classes {
 		w.Classes = append(
 			w.Classes,
-			Class{Name: c.name, Effect: c.effect, Share: c.share, Work: ms(c.least, c.most),
-				CV: in(c.cvMin, c.cvMax), Aim: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline), Worth: c.worth,
-				Window: time.Duration(c.windowS * float64(time.Second))},
+			Class{Name: c.name, Effect: c.effect, Share: c.share, Work: ms(c.low, c.high),
+				CV: between(c.cvMin, c.cvMax), Aim: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline), Worth: c.worth,
+				Window: time.Duration(c.windowSeconds * float64(time.Second))},
 		)
 	}
 	for _, k := range kinds {
 		w.Kinds = append(w.Kinds, k.name)
 	}
-	podSize := 2 + r.IntN(2) // small groups; the site's own cells are as large as its whole fleet
+	podSize := 2 + r.IntN(2) // small pods; the cells of the site file are as large as its complete fleet
 	for i := range machines {
-		m := drawMachine(r, in, ms)
+		m := drawMachine(r, between, ms)
 		m.Name, m.Zone = fmt.Sprintf("s%d", i), w.Zones[i%zoneCount]
 		m.Pod = i%zoneCount + zoneCount*(i/zoneCount/podSize) // no two zones share a number
 		w.Machines = append(w.Machines, m)
@@ -176,7 +180,8 @@
 	return w
 }
 
-func drawMachine(r *rand.Rand, in func(a, b float64) float64, ms func(a, b float64) time.Duration) Machine {
+// drawMachine draws a machine; between and ms draw a number and a time in milliseconds from a range.
+func drawMachine(r *rand.Rand, between func(a, b float64) float64, ms func(a, b float64) time.Duration) Machine {
 	pick := r.Float64()
 	k := kinds[0]
 	for _, next := range kinds[1:] {
@@ -189,12 +194,12 @@
 	m := Machine{
 		Kind:     k.name,
 		Cores:    k.cores,
-		Speed:    in(k.slow, k.fast),
-		Slots:    int(in(4, 12) * cores),
-		Queue:    int(in(k.queueMin, k.queueMax) * cores),
-		Thrash:   in(k.thrashMin, 0.14),
-		ThrashAt: in(6.8, 12),
-		ColdFrom: in(
+		Speed:    between(k.minSpeed, k.maxSpeed),
+		Slots:    int(between(4, 12) * cores),
+		Queue:    int(between(k.queueMin, k.queueMax) * cores),
+		Thrash:   between(k.thrashMin, 0.14),
+		ThrashAt: between(6.8, 12),
+		ColdFrom: between(
 			ColdFrom,
 			0.32,
 		),
@@ -204,17 +209,17 @@
 			37,
 			k.pauseMax,
 		),
-		ErrorRate:      in(0, 0.001),
+		ErrorRate:      between(0, 0.001),
 		DropsCancelled: r.IntN(2) == 0,
-		Connections:    int(in(600, 900) * cores),
+		Connections:    int(between(600, 900) * cores),
 		Handshake:      ms(0.59, 1.7),
-		Noise:          in(0.087, 0.55),
+		Noise:          between(0.087, 0.55),
 	}
 	if r.Float64() < 0.6 {
 		m.Choke = Choke{
-			At:     in(4, 7),
+			At:     between(4, 7),
 			Over:   ms(1500, 2500),
-			Slower: in(2.2, 3.2),
+			Slower: between(2.2, 3.2),
 			Rest:   ms(2400, 5000),
 			Most:   ms(21000, 33000),
 		}
@@ -222,10 +227,10 @@
 	return m
 }
 
-// Capacity is the work that a warm machine does in a second, in seconds on a standard core.
+// Capacity returns the work that a warm machine does per second, in seconds on a standard core.
 func (m Machine) Capacity() float64 { return float64(m.Cores) * m.Speed }
 
-// Capacity is that of all machines.
+// Capacity returns the sum of the capacities of all machines.
 func (w World) Capacity() float64 {
 	var sum float64
 	for _, m := range w.Machines {
@@ -234,7 +239,7 @@
 	return sum
 }
 
-// MeanWork is that of a request, over all classes.
+// MeanWork returns the mean work of a request over all classes.
 func (w World) MeanWork() time.Duration {
 	var sum, shares float64
 	for _, c := range w.Classes {
@@ -244,7 +249,7 @@
 	return time.Duration(sum / shares)
 }
 
-// Spread draws a factor of mean 1 and the deviation cv, log-normally.
+// Spread draws a log-normal factor with mean 1 and standard deviation cv.
 func Spread(r *rand.Rand, cv float64) float64 {
 	s2 := math.Log(1 + cv*cv)
 	return math.Exp(r.NormFloat64()*math.Sqrt(s2) - s2/2)
