--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/box.go
@@ -1,6 +1,6 @@
-// Package backend is one emulated app backend: a queue whose rate of work changes with
-// its cores, pauses, warmth and troubles. It is pure: events and a time in,
-// what it does out. Times are of the run and never go back.
+// Package backend emulates one app backend: a queue whose service rate depends on its cores, pauses, warm-up
+// and degradations. It has no side effects: each call passes an event and the time, and returns the resulting
+// actions. Times count from the start of the run and never go back.
 package backend
 
 import (
@@ -14,40 +14,41 @@
 
 // Job is an attempt that has reached the backend.
 type Job struct {
-	Num  uint64 // names it at this backend
-	Key  string // or empty
+	Num  uint64 // identifies the job at this backend
+	Key  string // idempotency key, or empty
 	Work time.Duration
 }
 
-// What a backend does with a job.
-type What int
+// ActionKind is what a backend does with a job.
+type ActionKind int
 
+// The kinds of actions.
 const (
-	Begun   What = iota // its work starts, so that it may have an effect
-	Dropped             // it repeats a key that its pod has seen
-	Turned              // rejected unseen; Why says why
-	Done                // answered with Status
-	Fell                // the backend has fallen over; it answers nothing more
+	Begun    ActionKind = iota // the work starts, so the job may have an effect
+	Dropped                    // the job repeats a key that its pod has seen
+	Rejected                   // the job is rejected without being read; Reason says why
+	Done                       // the job is answered with Status
+	Fell                       // the backend has fallen over; it answers nothing more
 )
 
-// Out is one thing that a backend does.
-type Out struct {
-	What   What
+// Action is one thing that a backend does.
+type Action struct {
+	Kind   ActionKind
 	Num    uint64
 	Status int
-	Why    string
+	Reason string
 }
 
-// Trouble is what goes wrong with a backend. The zero value is none.
+// Trouble is a degradation of a backend. The zero value has no effect.
 type Trouble struct {
-	Slower float64 // so many times; 0 or 1: not
-	Hangs  bool    // takes work, answers nothing
-	Fails  float64 // share that fails at once
-	Taken  float64 // share of the machine that another program takes
+	Slower float64 // factor by which work is slower; 0 or 1: none
+	Hangs  bool    // accepts jobs and answers none
+	Fails  float64 // share of jobs that fails at once
+	Taken  float64 // share of the machine that another program uses
 }
 
-// Worse is two troubles at once. Their order makes no difference.
-func Worse(a, b Trouble) Trouble {
+// Merge combines two degradations. Their order makes no difference.
+func Merge(a, b Trouble) Trouble {
 	return Trouble{
 		Slower: max(1, a.Slower) * max(1, b.Slower),
 		Hangs:  a.Hangs || b.Hangs,
@@ -56,21 +57,21 @@
 	}
 }
 
-// Pod is what the backends of one pod share: the keys they have begun. It keeps all
-// of a run, since a job may wait for longer than the window. It is not safe for
-// concurrent use.
+// Pod holds the keys that the backends of one pod have begun. It stores all keys of a run, since a job may
+// wait for longer than the window. It is not safe for concurrent use.
 type Pod struct {
 	window time.Duration
 	begun  map[string]time.Duration
 }
 
-// NewPod makes a pod that drops a key for window.
+// NewPod makes a pod that drops repeats of a key for the time window.
 func NewPod(window time.Duration) *Pod {
 	return &Pod{window: window, begun: map[string]time.Duration{}}
 }
 
-// first reports whether a job with that key, arrived then, is to run, and notes that it begins now.
-func (p *Pod) first(key string, arrived, now time.Duration) bool {
+// begin reports whether a job with this key and arrival time has to run. If so, it records that the key
+// begins now.
+func (p *Pod) begin(key string, arrived, now time.Duration) bool {
 	if t, ok := p.begun[key]; ok && arrived <= t+p.window {
 		return false
 	}
@@ -78,149 +79,159 @@
 	return true
 }
 
-// step bounds how long a rate that changes by itself is held constant.
-const step = 50 * time.Millisecond
+// maxStep bounds the time for which a rate that changes continuously is taken as constant.
+const maxStep = 50 * time.Millisecond
 
-// fallSlack is what a cold backend takes beyond the rule's budget, for chance.
-const fallSlack = 1.1
+// fallTolerance is the factor by which a cold backend tolerates more work than the rule allows nodes to send,
+// since arrivals are random.
+const fallTolerance = 1.1
 
 // Backend is the state of one backend.
-type Box struct {
-	m       world.Machine
-	pod     *Pod
-	chance  *rand.Rand
-	now     time.Duration
-	started time.Duration
-	cold    bool
-	done    float64 // work since the start, in seconds on a standard core
-	fallen  bool
-	trouble Trouble
-
-	pauseFrom, pauseTo time.Duration // the next standstill, or the present one
-	crowdedSince       time.Duration // -1: not crowded
-	choked             bool
-	chokedAt           time.Duration
-	restingSince       time.Duration // -1: not idle enough
-
-	served  float64 // work that each job in service has had, all since the start, as they share alike
-	running jobs
-	waiting []*job
-	sent    []parcel // what came within world.FallTime, while cold
+type Backend struct {
+	machine     world.Machine
+	pod         *Pod
+	rng         *rand.Rand
+	now         time.Duration
+	started     time.Duration
+	cold        bool
+	workDone    float64 // work since the start, in seconds on a standard core
+	fallen      bool
+	degradation Trouble
+
+	pauseFrom, pauseTo time.Duration // the next pause, or the present one
+	crowdedSince       time.Duration // since when there are too many jobs; -1: there are not
+	overloaded         bool
+	overloadedAt       time.Duration
+	restingSince       time.Duration // since when the backend is mostly idle; -1: it is not
+
+	// work that a job in service since the start would have had; jobs share the rate evenly
+	servicePerJob float64
+	running       jobHeap
+	waiting       []*job
+	recentWork    []arrivedWork // work that arrived within the last world.FallTime, while cold
 }
 
+// job is a job in service or waiting.
 type job struct {
 	Job
 	arrived time.Duration
-	ends    float64 // value of served at which it is done
+	endsAt  float64 // value of servicePerJob at which the job is done
 }
 
-type parcel struct {
+// arrivedWork is work that arrived at a time, in seconds on a standard core.
+type arrivedWork struct {
 	at   time.Duration
 	work float64
 }
 
-// New makes a backend that is warm, or as cold as one that has just started.
-func New(m world.Machine, pod *Pod, seed uint64, now time.Duration, cold bool) *Box {
-	b := &Box{m: m, pod: pod, chance: rand.New(rand.NewPCG(seed, 0x626f78)), now: now, started: now, cold: cold,
+// New makes a backend that is warm, or cold as after a start. Its random pauses and errors depend on seed.
+func New(m world.Machine, pod *Pod, seed uint64, now time.Duration, cold bool) *Backend {
+	b := &Backend{machine: m, pod: pod, rng: rand.New(rand.NewPCG(seed, 0x626f78)), now: now, started: now,
+		cold:         cold,
 		crowdedSince: -1, restingSince: -1}
 	b.nextPause(now)
 	return b
 }
 
-func (b *Box) nextPause(after time.Duration) {
-	if b.m.PauseEvery <= 0 {
+// nextPause draws the next pause after a time.
+func (b *Backend) nextPause(after time.Duration) {
+	if b.machine.PauseEvery <= 0 {
 		b.pauseFrom, b.pauseTo = math.MaxInt64, math.MaxInt64
 		return
 	}
-	gap := time.Duration(float64(b.m.PauseEvery) * (0.5 + b.chance.Float64()))
-	b.pauseFrom, b.pauseTo = after+gap, after+gap+b.m.Pause
+	gap := time.Duration(float64(b.machine.PauseEvery) * (0.5 + b.rng.Float64()))
+	b.pauseFrom, b.pauseTo = after+gap, after+gap+b.machine.Pause
 }
 
-// Capacity is the work that the backend could do in a second now, but for standstills
-// and troubles, in seconds on a standard core.
-func (b *Box) Capacity(now time.Duration) float64 { return b.m.Capacity() * b.warmth(now) }
+// Capacity returns the work that the backend could do per second now, without pauses and degradations, in
+// seconds on a standard core.
+func (b *Backend) Capacity(now time.Duration) float64 { return b.machine.Capacity() * b.warmth(now) }
 
-func (b *Box) warmth(now time.Duration) float64 {
-	if !b.cold || b.m.ColdTime <= 0 {
+// warmth returns the share of its capacity that the backend has now. It grows with time and with work done.
+func (b *Backend) warmth(now time.Duration) float64 {
+	if !b.cold || b.machine.ColdTime <= 0 {
 		return 1
 	}
-	byTime := float64(now-b.started) / float64(b.m.ColdTime)
-	byWork := b.done / (b.m.Capacity() * b.m.ColdTime.Seconds() / 2)
-	return b.m.ColdFrom + (1-b.m.ColdFrom)*min(1, max(byTime, byWork))
+	byTime := float64(now-b.started) / float64(b.machine.ColdTime)
+	byWork := b.workDone / (b.machine.Capacity() * b.machine.ColdTime.Seconds() / 2)
+	return b.machine.ColdFrom + (1-b.machine.ColdFrom)*min(1, max(byTime, byWork))
 }
 
-// rate is the work that each job in service gets in a second.
-func (b *Box) rate() float64 {
+// ratePerJob returns the work per second that each job in service gets.
+func (b *Backend) ratePerJob() float64 {
 	n := len(b.running)
-	if n == 0 || b.fallen || b.trouble.Hangs || (b.now >= b.pauseFrom && b.now < b.pauseTo) {
+	if n == 0 || b.fallen || b.degradation.Hangs || (b.now >= b.pauseFrom && b.now < b.pauseTo) {
 		return 0
 	}
-	r := min(1, float64(b.m.Cores)/float64(n)) * b.m.Speed * b.warmth(b.now) * (1 - b.trouble.Taken)
-	if over := float64(n)/float64(b.m.Cores) - b.m.ThrashAt; over > 0 {
-		r /= 1 + b.m.Thrash*over
+	r := min(1, float64(b.machine.Cores)/float64(n)) * b.machine.Speed * b.warmth(b.now) *
+		(1 - b.degradation.Taken)
+	if over := float64(n)/float64(b.machine.Cores) - b.machine.ThrashAt; over > 0 {
+		r /= 1 + b.machine.Thrash*over
 	}
-	if b.trouble.Slower > 1 {
-		r /= b.trouble.Slower
+	if b.degradation.Slower > 1 {
+		r /= b.degradation.Slower
 	}
-	if b.choked {
-		r /= b.m.Choke.Slower
+	if b.overloaded {
+		r /= b.machine.Overload.Slower
 	}
 	return r
 }
 
-// Next is when the backend wants Tick, if nothing else comes before.
-func (b *Box) Next() time.Duration {
+// Next returns when Tick has to be called, if no other call comes before that time.
+func (b *Backend) Next() time.Duration {
 	next := b.pauseFrom
 	if b.now >= b.pauseFrom {
 		next = b.pauseTo
 	}
-	if b.cold || b.m.Choke.At > 0 && (len(b.running) > 0 || b.choked) {
-		next = min(next, b.now+step)
+	if b.cold || b.machine.Overload.At > 0 && (len(b.running) > 0 || b.overloaded) {
+		next = min(next, b.now+maxStep)
 	}
-	if r := b.rate(); r > 0 {
-		left := (b.running[0].ends - b.served) / r
-		next = min(next, b.now+time.Duration(math.Ceil(left*float64(time.Second)))+1)
+	if r := b.ratePerJob(); r > 0 {
+		remaining := (b.running[0].endsAt - b.servicePerJob) / r
+		next = min(next, b.now+time.Duration(math.Ceil(remaining*float64(time.Second)))+1)
 	}
 	return next
 }
 
-// Tick lets the time pass.
-func (b *Box) Tick(now time.Duration) []Out { return b.pass(now, nil) }
+// Tick advances the backend to now.
+func (b *Backend) Tick(now time.Duration) []Action { return b.advance(now, nil) }
 
-// pass carries the state on to now, through every change of rate in between.
-func (b *Box) pass(now time.Duration, outs []Out) []Out {
+// advance moves the state forward to now in steps of constant rate, and adds the resulting actions to outs.
+func (b *Backend) advance(now time.Duration, outs []Action) []Action {
 	for b.now < now {
 		to := min(now, max(b.Next(), b.now+1))
-		r := b.rate()
-		b.served += r * (to - b.now).Seconds()
-		b.done += r * float64(len(b.running)) * (to - b.now).Seconds()
+		r := b.ratePerJob()
+		b.servicePerJob += r * (to - b.now).Seconds()
+		b.workDone += r * float64(len(b.running)) * (to - b.now).Seconds()
 		b.now = to
 		if to >= b.pauseTo {
 			b.nextPause(to)
 		}
 		if b.cold && b.warmth(to) >= 1 {
-			b.cold, b.sent = false, nil
+			b.cold, b.recentWork = false, nil
 		}
 		outs = b.finish(outs)
-		b.crowd()
+		b.updateOverload()
 	}
 	return outs
 }
 
-func (b *Box) finish(outs []Out) []Out {
-	for len(b.running) > 0 && b.running[0].ends <= b.served+1e-12 {
+// finish answers the jobs whose work is done, and starts waiting jobs in their slots.
+func (b *Backend) finish(outs []Action) []Action {
+	for len(b.running) > 0 && b.running[0].endsAt <= b.servicePerJob+1e-12 {
 		j := heap.Pop(&b.running).(*job)
 		status := 200
-		if b.chance.Float64() < b.m.ErrorRate {
+		if b.rng.Float64() < b.machine.ErrorRate {
 			status = 500
 		}
-		outs = append(outs, Out{What: Done, Num: j.Num, Status: status})
+		outs = append(outs, Action{Kind: Done, Num: j.Num, Status: status})
 	}
 	return b.fillSlots(outs)
 }
 
-func (b *Box) fillSlots(outs []Out) []Out {
-	for len(b.waiting) > 0 && len(b.running) < b.m.Slots {
+// fillSlots starts waiting jobs while there are free slots.
+func (b *Backend) fillSlots(outs []Action) []Action {
+	for len(b.waiting) > 0 && len(b.running) < b.machine.Slots {
 		j := b.waiting[0]
 		b.waiting = b.waiting[1:]
 		outs = b.start(j, outs)
@@ -228,33 +239,36 @@
 	return outs
 }
 
-func (b *Box) start(j *job, outs []Out) []Out {
-	if j.Key != "" && !b.pod.first(j.Key, j.arrived, b.now) {
-		return append(outs, Out{What: Dropped, Num: j.Num}, Out{What: Done, Num: j.Num, Status: 200})
+// start begins a job, or answers it at once if its pod has seen its key.
+func (b *Backend) start(j *job, outs []Action) []Action {
+	if j.Key != "" && !b.pod.begin(j.Key, j.arrived, b.now) {
+		return append(outs, Action{Kind: Dropped, Num: j.Num}, Action{Kind: Done, Num: j.Num, Status: 200})
 	}
-	j.ends = b.served + j.Work.Seconds()
+	j.endsAt = b.servicePerJob + j.Work.Seconds()
 	heap.Push(&b.running, j)
-	return append(outs, Out{What: Begun, Num: j.Num})
+	return append(outs, Action{Kind: Begun, Num: j.Num})
 }
 
-// crowd follows whether the backend holds too much, or has rested enough.
-func (b *Box) crowd() {
-	c := b.m.Choke
+// updateOverload enters the overload state when there were too many jobs for too long, and leaves it after
+// enough idle time or the longest duration.
+func (b *Backend) updateOverload() {
+	c := b.machine.Overload
 	if c.At <= 0 {
 		return
 	}
-	held := float64(len(b.running)+len(b.waiting)) / float64(b.m.Cores)
-	b.crowdedSince = since(held > c.At, b.crowdedSince, b.now)
-	b.restingSince = since(held < c.At/4, b.restingSince, b.now)
+	jobsPerCore := float64(len(b.running)+len(b.waiting)) / float64(b.machine.Cores)
+	b.crowdedSince = since(jobsPerCore > c.At, b.crowdedSince, b.now)
+	b.restingSince = since(jobsPerCore < c.At/4, b.restingSince, b.now)
 	switch {
-	case !b.choked && b.crowdedSince >= 0 && b.now-b.crowdedSince >= c.Over:
-		b.choked, b.chokedAt = true, b.now
-	case b.choked && (b.now-b.chokedAt >= c.Most || b.restingSince >= 0 && b.now-b.restingSince >= c.Rest):
-		b.choked, b.crowdedSince = false, -1
+	case !b.overloaded && b.crowdedSince >= 0 && b.now-b.crowdedSince >= c.After:
+		b.overloaded, b.overloadedAt = true, b.now
+	case b.overloaded && (b.now-b.overloadedAt >= c.MaxDuration ||
+		b.restingSince >= 0 && b.now-b.restingSince >= c.RecoveryIdle):
+		b.overloaded, b.crowdedSince = false, -1
 	}
 }
 
-// since is when a condition that holds now began to hold, or -1.
+// since returns when a condition began to hold, or -1 if it does not hold now. before is the previous result.
 func since(holds bool, before, now time.Duration) time.Duration {
 	if !holds {
 		return -1
@@ -265,62 +279,63 @@
 	return now
 }
 
-// Arrive takes a job. extra is work that its connection costs.
-func (b *Box) Arrive(now time.Duration, j Job, extra time.Duration) []Out {
-	outs := b.pass(now, nil)
+// Arrive adds a job that arrives now. extra is additional work for its connection.
+func (b *Backend) Arrive(now time.Duration, j Job, extra time.Duration) []Action {
+	outs := b.advance(now, nil)
 	if b.fallen {
 		return outs
 	}
-	if b.cold && b.pushedOver(j.Work.Seconds()) {
+	if b.cold && b.exceedsColdLimit(j.Work.Seconds()) {
 		b.fallen = true
-		return append(outs, Out{What: Fell})
+		return append(outs, Action{Kind: Fell})
 	}
 	j.Work += extra
 	in := &job{Job: j, arrived: b.now}
-	if b.trouble.Fails > 0 && b.chance.Float64() < b.trouble.Fails {
+	if b.degradation.Fails > 0 && b.rng.Float64() < b.degradation.Fails {
 		return append(outs, b.fail(in)...)
 	}
 	switch {
-	case len(b.running) < b.m.Slots && len(b.waiting) == 0:
+	case len(b.running) < b.machine.Slots && len(b.waiting) == 0:
 		outs = b.start(in, outs)
-	case len(b.waiting) < b.m.Queue:
+	case len(b.waiting) < b.machine.Queue:
 		b.waiting = append(b.waiting, in)
 	default:
-		outs = append(outs, Out{What: Turned, Num: j.Num, Why: "full"})
+		outs = append(outs, Action{Kind: Rejected, Num: j.Num, Reason: "full"})
 	}
-	b.crowd()
+	b.updateOverload()
 	return outs
 }
 
-// fail answers at once that the job has failed. It may have had its effect, so its pod knows the key.
-func (b *Box) fail(j *job) []Out {
-	first := Out{What: Begun, Num: j.Num}
-	if j.Key != "" && !b.pod.first(j.Key, j.arrived, b.now) {
-		first.What = Dropped
+// fail answers at once that the job has failed. It may still have had its effect, so its pod records the key.
+func (b *Backend) fail(j *job) []Action {
+	first := Action{Kind: Begun, Num: j.Num}
+	if j.Key != "" && !b.pod.begin(j.Key, j.arrived, b.now) {
+		first.Kind = Dropped
 	}
-	return []Out{first, {What: Done, Num: j.Num, Status: 500}}
+	return []Action{first, {Kind: Done, Num: j.Num, Status: 500}}
 }
 
-// pushedOver notes work sent to a cold backend and reports whether it is too much.
-func (b *Box) pushedOver(work float64) bool {
-	b.sent = append(b.sent, parcel{b.now, work})
-	for b.now-b.sent[0].at > world.FallTime {
-		b.sent = b.sent[1:]
+// exceedsColdLimit adds work that arrived at a cold backend, and reports whether the recent work makes it
+// fall over.
+func (b *Backend) exceedsColdLimit(work float64) bool {
+	b.recentWork = append(b.recentWork, arrivedWork{b.now, work})
+	for b.now-b.recentWork[0].at > world.FallTime {
+		b.recentWork = b.recentWork[1:]
 	}
-	var sum, most float64
-	for _, p := range b.sent {
+	var sum, largest float64
+	for _, p := range b.recentWork {
 		sum += p.work
-		most = max(most, p.work)
+		largest = max(largest, p.work)
 	}
-	// One heavy request alone can't push a backend over.
-	return sum-most > fallSlack*world.FallMultiple*b.Capacity(b.now)*world.FallTime.Seconds()
+	// The largest request is left out, since a single request must not make a backend fall over.
+	return sum-largest > fallTolerance*world.FallMultiple*b.Capacity(b.now)*world.FallTime.Seconds()
 }
 
-// Leave says that the node has ended the attempt.
-func (b *Box) Leave(now time.Duration, num uint64) []Out {
-	outs := b.pass(now, nil)
+// Cancel reports that the node has ended the attempt of a job.
+func (b *Backend) Cancel(now time.Duration, num uint64) []Action {
+	outs := b.advance(now, nil)
 	for i, j := range b.waiting {
-		if j.Num == num && b.m.DropsCancelled {
+		if j.Num == num && b.machine.DropsCancelled {
 			b.waiting = append(b.waiting[:i:i], b.waiting[i+1:]...)
 			break
 		}
@@ -328,24 +343,24 @@
 	return outs
 }
 
-// Suffer changes what is wrong with the backend.
-func (b *Box) Suffer(now time.Duration, t Trouble) []Out {
-	outs := b.pass(now, nil)
-	b.trouble = t
+// SetDegradation replaces the backend's degradation.
+func (b *Backend) SetDegradation(now time.Duration, t Trouble) []Action {
+	outs := b.advance(now, nil)
+	b.degradation = t
 	return outs
 }
 
-// Held is the number of jobs in work and waiting.
-func (b *Box) Held() int { return len(b.running) + len(b.waiting) }
+// JobCount returns the number of jobs in service and waiting.
+func (b *Backend) JobCount() int { return len(b.running) + len(b.waiting) }
 
-// jobs is a heap by the end of the work.
-type jobs []*job
+// jobHeap is a heap of the jobs in service, ordered by the end of their work.
+type jobHeap []*job
 
-func (h jobs) Len() int           { return len(h) }
-func (h jobs) Less(i, k int) bool { return h[i].ends < h[k].ends }
-func (h jobs) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
-func (h *jobs) Push(x any)        { *h = append(*h, x.(*job)) }
-func (h *jobs) Pop() any {
+func (h jobHeap) Len() int           { return len(h) }
+func (h jobHeap) Less(i, k int) bool { return h[i].endsAt < h[k].endsAt }
+func (h jobHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h *jobHeap) Push(x any)        { *h = append(*h, x.(*job)) }
+func (h *jobHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/internal/lab/backend/box_test.go
+++ b/internal/lab/backend/box_test.go
@@ -11,18 +11,18 @@
 	"wrenspread/internal/lab/world"
 )
 
-func machine(t *rapid.T) world.Machine {
+func drawTestMachine(t *rapid.T) world.Machine {
 	seed := rapid.Uint64().Draw(t, "seed")
 	m := world.Draw(seed, 1, 1).Machines[0]
 	return m
 }
 
-// TestEveryJobEndsOnce: whatever happens to a backend, a job begins at most once, is
-// answered once, no more work is done than the machine can, and no key begins
-// again for a job that came within the window.
-func TestEveryJobEndsOnce(t *testing.T) {
+// TestEveryJobBeginsAndEndsAtMostOnce: whatever happens to a backend, a job begins at most once and is
+// answered once. The backend does no more work than its machine can, and no key begins again for a job that
+// arrived within the window.
+func TestEveryJobBeginsAndEndsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := machine(t)
+		m := drawTestMachine(t)
 		m.ErrorRate = 0
 		const window = 1250 * time.Millisecond
 		b := New(m, NewPod(window), 1, 0, rapid.Bool().Draw(t, "cold"))
@@ -31,16 +31,16 @@
 		var now, finished time.Duration
 		fell := false
 		keys, came := map[uint64]string{}, map[uint64]time.Duration{}
-		lastBegun := -time.Hour // of the key "k", or a little before
-		var looked time.Duration
-		see := func(outs []Out) {
+		lastBegun := -time.Hour // time at which the key "k" last began, or a little before
+		var previous time.Duration
+		see := func(outs []Action) {
 			for _, o := range outs {
 				switch {
-				case o.What == Fell:
+				case o.Kind == Fell:
 					fell = true
-				case o.What == Begun && (begun[o.Num] || over[o.Num]):
+				case o.Kind == Begun && (begun[o.Num] || over[o.Num]):
 					t.Fatalf("job %d begins twice, or after its end", o.Num)
-				case o.What == Begun:
+				case o.Kind == Begun:
 					begun[o.Num] = true
 					if keys[o.Num] == "" {
 						continue
@@ -48,10 +48,10 @@
 					if came[o.Num] <= lastBegun+window {
 						t.Fatalf("the key begins again for job %d, which came %v after it began", o.Num, came[o.Num]-lastBegun)
 					}
-					lastBegun = looked
-				case (o.What == Done || o.What == Turned) && over[o.Num]:
+					lastBegun = previous
+				case (o.Kind == Done || o.Kind == Rejected) && over[o.Num]:
 					t.Fatalf("job %d ends twice", o.Num)
-				case o.What == Done || o.What == Turned:
+				case o.Kind == Done || o.Kind == Rejected:
 					over[o.Num] = true
 					if begun[o.Num] && o.Status == 200 {
 						finished += work[o.Num]
@@ -61,37 +61,37 @@
 		}
 		n := rapid.IntRange(1, 200).Draw(t, "events")
 		for i := range uint64(n) {
-			looked = now
+			previous = now
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				see(b.Leave(now, rapid.Uint64Range(0, i).Draw(t, "num")))
+				see(b.Cancel(now, rapid.Uint64Range(0, i).Draw(t, "num")))
 			case 1:
-				see(b.Suffer(now, Trouble{Hangs: rapid.Bool().Draw(t, "hangs"), Slower: 2, Fails: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "fails")}))
+				see(b.SetDegradation(now, Trouble{Hangs: rapid.Bool().Draw(t, "hangs"), Slower: 2, Fails: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "fails")}))
 			default:
 				work[i] = time.Duration(rapid.IntRange(1, 300).Draw(t, "work")) * time.Millisecond
 				keys[i], came[i] = rapid.SampledFrom([]string{"", "", "k"}).Draw(t, "key"), now
 				see(b.Arrive(now, Job{Num: i, Work: work[i], Key: keys[i]}, 0))
 			}
-			if b.Held() > m.Slots+m.Queue {
-				t.Fatalf("%d jobs in %d slots and %d places", b.Held(), m.Slots, m.Queue)
+			if b.JobCount() > m.Slots+m.Queue {
+				t.Fatalf("%d jobs in %d slots and %d places", b.JobCount(), m.Slots, m.Queue)
 			}
 		}
-		if most := time.Duration(m.Capacity() * float64(now)); finished > most+time.Microsecond {
-			t.Fatalf("%v of work in %v, %v at most", finished, now, most)
+		if limit := time.Duration(m.Capacity() * float64(now)); finished > limit+time.Microsecond {
+			t.Fatalf("%v of work in %v, %v at most", finished, now, limit)
 		}
-		see(b.Suffer(now, Trouble{}))
+		see(b.SetDegradation(now, Trouble{}))
 		see(b.Tick(now + time.Hour))
-		if !fell && b.Held() > 0 {
-			t.Fatalf("%d jobs never end", b.Held())
+		if !fell && b.JobCount() > 0 {
+			t.Fatalf("%d jobs never end", b.JobCount())
 		}
 	})
 }
 
-// TestWorkIsTheSameInAnySteps: how often a backend is looked at changes nothing.
-func TestWorkIsTheSameInAnySteps(t *testing.T) {
+// TestNumberOfTicksDoesNotChangeTheWorkDone: the number of Tick calls does not change when the work is done.
+func TestNumberOfTicksDoesNotChangeTheWorkDone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := machine(t)
+		m := drawTestMachine(t)
 		play := func(steps []time.Duration) time.Duration {
 			b := New(m, NewPod(time.Second), 1, 0, false)
 			for i := range uint64(3) {
@@ -100,7 +100,7 @@
 			for _, at := range steps {
 				b.Tick(at)
 			}
-			for b.Held() > 0 {
+			for b.JobCount() > 0 {
 				b.Tick(b.Next())
 			}
 			return b.now
@@ -113,16 +113,17 @@
 		}
 		a, b := play(nil), play(steps)
 		if len(steps) > 0 && steps[len(steps)-1] > a {
-			return // it was still looked at after the end
+			return // the last tick came after the end
 		}
 		if d := a - b; d > time.Microsecond || d < -time.Microsecond {
-			t.Fatalf("done at %v, and at %v when looked at on the way", a, b)
+			t.Fatalf("done at %v, and at %v with additional ticks", a, b)
 		}
 	})
 }
 
-// TestColdBox: it begins at its share, is warm in time, and falls over when pushed, but not under what the rule allows.
-func TestColdBox(t *testing.T) {
+// TestColdBackendWarmsUpAndFallsOnlyWhenOverloaded: a cold backend begins at its share of capacity, is warm
+// in time, and falls over under too much work, but not under what the rule allows.
+func TestColdBackendWarmsUpAndFallsOnlyWhenOverloaded(t *testing.T) {
 	for seed := range uint64(50) {
 		m := world.Draw(seed, 1, 1).Machines[0]
 		b := New(m, NewPod(time.Second), seed, 0, true)
@@ -134,20 +135,21 @@
 			t.Errorf("seed %d: after %v it has %.2f of %.2f", seed, m.ColdTime, got, m.Capacity())
 		}
 		for times, want := range map[float64]bool{2.5: false, 6: true} {
-			if got := pushed(m, seed, times); got != want {
+			if got := fallsUnderLoad(m, seed, times); got != want {
 				t.Errorf("seed %d: sent %v times what it can do it falls over: %v", seed, times, got)
 			}
 		}
 	}
 }
 
-// pushed sends a cold backend so many times what it can do, for three seconds.
-func pushed(m world.Machine, seed uint64, times float64) bool {
+// fallsUnderLoad sends a cold backend the given multiple of its capacity for three seconds, and reports
+// whether it falls over.
+func fallsUnderLoad(m world.Machine, seed uint64, times float64) bool {
 	b := New(m, NewPod(time.Second), seed, 0, true)
 	const work = 10 * time.Millisecond
 	for now, i := time.Duration(0), uint64(0); now < 3*time.Second; i++ {
 		for _, o := range b.Arrive(now, Job{Num: i, Work: work}, 0) {
-			if o.What == Fell {
+			if o.Kind == Fell {
 				return true
 			}
 		}
--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -14,42 +14,44 @@
 	"wrenspread/internal/lab/world"
 )
 
-// maxBody bounds a request's body, in bytes.
-const maxBody = 32 << 20
+// maxBodyBytes bounds the size of a request's body.
+const maxBodyBytes = 32 << 20
 
-// connection is one from a node. Its reader notices when the node leaves while an attempt is open.
+// connection is a connection from a node. Its reader notices when the node closes it while an attempt is
+// open.
 type connection struct {
 	server   *Server
 	tcp      *net.TCPConn
-	stream   *link.Stream // nil for one that no link carries
+	stream   *link.Stream // nil if the connection does not come over a link
 	node     string
-	requests chan *http.Request // closed when the node has ended its side
-	over     chan struct{}      // closed when nobody takes requests any more
+	requests chan *http.Request // closed when the node has closed its side
+	done     chan struct{}      // closed when no more requests are served
 	served   int
 }
 
+// accept serves the connections of a listener until it is closed.
 func (s *Server) accept(ln net.Listener) {
 	defer s.host.tasks.Done()
 	for {
 		tcp, err := ln.Accept()
 		if err != nil {
-			return // closed: the backend is down
+			return // the listener was closed: the backend is down
 		}
 		c := &connection{
 			server:   s,
 			tcp:      tcp.(*net.TCPConn),
 			requests: make(chan *http.Request),
-			over:     make(chan struct{}),
+			done:     make(chan struct{}),
 		}
 		if st, ok := s.host.net.Lookup(tcp.RemoteAddr().String()); ok {
 			c.stream, c.node = st, st.Ends.From
 		}
 		s.mu.Lock()
-		up := s.ln == ln
+		up := s.listener == ln
 		if up {
 			s.conns[c] = true
 		}
-		full := len(s.conns) > s.m.Connections
+		full := len(s.conns) > s.machine.Connections
 		s.mu.Unlock()
 		if !up {
 			besteffort.Close(tcp)
@@ -61,7 +63,7 @@
 	}
 }
 
-// read takes requests off the connection until the node ends it.
+// read reads requests from the connection until the node closes it.
 func (c *connection) read() {
 	defer c.server.host.tasks.Done()
 	defer close(c.requests)
@@ -71,21 +73,23 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(nil, req.Body, maxBody)); err != nil {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(nil, req.Body, maxBodyBytes)); err != nil {
 			return
 		}
 		select {
 		case c.requests <- req:
-		case <-c.over:
+		case <-c.done:
 			return
 		}
 	}
 }
 
+// serve answers the connection's requests until one side ends it or it is idle for too long. full means that
+// the backend has too many connections, so requests are rejected.
 func (c *connection) serve(full bool) {
 	defer c.server.host.tasks.Done()
 	defer func() {
-		close(c.over)
+		close(c.done)
 		besteffort.Close(c.tcp)
 		c.server.mu.Lock()
 		delete(c.server.conns, c)
@@ -106,22 +110,22 @@
 	}
 }
 
-// answer serves one request; it is false when the connection is over.
+// answer serves one request, and records it. It returns false when the connection has to be closed.
 func (c *connection) answer(req *http.Request, full bool) bool {
 	s := c.server
 	id := req.Header.Get("X-Request-Id")
-	a := &attempt{id: id, box: s.m.Name, conn: c, answer: make(chan answer, 1)}
+	a := &attempt{id: id, box: s.machine.Name, conn: c, answer: make(chan answer, 1)}
 	op := s.host.book.Find(id)
-	e := history.Event{Kind: history.Arrive, ID: id, Box: s.m.Name, Node: c.node}
+	e := history.Event{Kind: history.Arrive, ID: id, Box: s.machine.Name, Node: c.node}
 	if op == nil {
-		e.Bad = true // nobody sent it
+		e.Bad = true // no client sent it
 		s.host.log.Add(e)
 		return c.write(http.StatusBadRequest, "no client sent this", "")
 	}
 	e.Op, e.Key, e.Class, e.Took = op.N, op.Key, op.Class.Name, op.Work
-	s.host.book.Meet(id)
-	e.Also = s.host.enter(a)
-	defer s.host.leave(a)
+	s.host.book.MarkReached(id)
+	e.Also = s.host.addAttempt(a)
+	defer s.host.removeAttempt(a)
 	a.arrived = s.host.log.Now()
 	e.T, e.Sent = a.arrived, a.arrived
 	if c.stream != nil {
@@ -130,55 +134,58 @@
 	s.host.log.Add(e)
 	if req.Header.Get("Idempotency-Key") != op.Key {
 		s.host.log.Add(
-			history.Event{Kind: history.Arrive, ID: id, Box: s.m.Name, Node: c.node, Bad: true, How: "another key"},
+			history.Event{Kind: history.Arrive, ID: id, Box: s.machine.Name, Node: c.node, Bad: true,
+				How: "another key"},
 		)
 	}
 	if full {
-		s.host.log.Add(history.Event{Kind: history.Turn, ID: id, Box: s.m.Name, How: "connections"})
+		s.host.log.Add(history.Event{Kind: history.Turn, ID: id, Box: s.machine.Name, How: "connections"})
 		return c.write(http.StatusServiceUnavailable, "too many connections", "1")
 	}
 	c.served++
-	s.take(a, op.Work, op.Key, c.served == 1)
+	s.submit(a, op.Work, op.Key, c.served == 1)
 	select {
 	case got := <-a.answer:
 		switch {
-		case got.turned:
+		case got.rejected:
 			return c.write(got.status, "queue full", "1")
 		case got.status != http.StatusOK:
 			return c.write(got.status, "failed", "")
 		}
-		return c.write(got.status, Body(id, s.m.Name), "")
+		return c.write(got.status, Body(id, s.machine.Name), "")
 	case _, more := <-c.requests:
-		s.host.log.Add(history.Event{Kind: history.Shut, ID: id, Box: s.m.Name, Node: c.node})
+		s.host.log.Add(history.Event{Kind: history.Shut, ID: id, Box: s.machine.Name, Node: c.node})
 		if more {
 			s.host.log.Add(
 				history.Event{
 					Kind: history.Arrive,
 					ID:   id,
-					Box:  s.m.Name,
+					Box:  s.machine.Name,
 					Node: c.node,
 					Bad:  true,
 					How:  "two on one connection",
 				},
 			)
 		}
-		s.left(a)
+		s.cancel(a)
 		return false
 	}
 }
 
-// Body is what a backend answers, so that a client can tell whose answer it got.
+// Body returns the body of a backend's answer. It names request and backend, so that a client can check both.
 func Body(id, box string) string { return id + " " + box }
 
-// writeTime bounds the writing of an answer to a node that does not read.
-const writeTime = 30 * time.Second
+// writeTimeout bounds the time for writing an answer, for nodes that do not read.
+const writeTimeout = 30 * time.Second
 
+// write writes an answer, and reports whether that succeeded. notRun is the value of X-Not-Run; empty: no
+// header.
 func (c *connection) write(status int, body, notRun string) bool {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	if notRun != "" {
 		head += "X-Not-Run: " + notRun + "\r\n"
 	}
-	besteffort.SocketOption(c.tcp.SetWriteDeadline(time.Now().Add(writeTime)))
+	besteffort.SocketOption(c.tcp.SetWriteDeadline(time.Now().Add(writeTimeout)))
 	_, err := io.WriteString(c.tcp, head+"\r\n"+body)
 	return err == nil
 }
--- a/internal/lab/backendserver/host.go
+++ b/internal/lab/backendserver/host.go
@@ -1,5 +1,4 @@
-// Package backendserver puts sockets around emulated app backends and writes down every
-// attempt that reaches them.
+// Package backendserver serves emulated app backends on sockets, and records every attempt that reaches them.
 package backendserver
 
 import (
@@ -13,35 +12,36 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Host owns the backends of a lab.
+// Host runs the backends of a lab.
 type Host struct {
-	log   *history.Log
-	net   *link.Net
-	book  *load.Book
-	seed  uint64
-	boxes map[string]*Server
-	tasks sync.WaitGroup
+	log     *history.Log
+	net     *link.Net
+	book    *load.Book
+	seed    uint64
+	servers map[string]*Server
+	tasks   sync.WaitGroup
 
-	mu   sync.Mutex // never held while a backend's is taken
-	open map[string][]*attempt
-	pods map[int]*pod
+	mu           sync.Mutex // not to be held while a Server's lock is acquired
+	openAttempts map[string][]*attempt
+	pods         map[int]*pod
 }
 
+// pod is a backend.Pod with the lock that its backends share.
 type pod struct {
 	sync.Mutex
 	*backend.Pod
 }
 
-// NewHost makes the backends of a world; they answer at their addresses once started.
+// NewHost makes and starts the backends of a world.
 func NewHost(log *history.Log, net *link.Net, book *load.Book, seed uint64, w world.World) (*Host, error) {
 	h := &Host{
-		log:   log,
-		net:   net,
-		book:  book,
-		seed:  seed,
-		boxes: map[string]*Server{},
-		open:  map[string][]*attempt{},
-		pods:  map[int]*pod{},
+		log:          log,
+		net:          net,
+		book:         book,
+		seed:         seed,
+		servers:      map[string]*Server{},
+		openAttempts: map[string][]*attempt{},
+		pods:         map[int]*pod{},
 	}
 	var window = w.Classes[0].Window
 	for _, c := range w.Classes {
@@ -54,11 +54,12 @@
 		address, free, err := link.Reserve()
 		if err != nil {
 			h.Close()
-			return nil, fmt.Errorf("box %s: %w", m.Name, err)
+			return nil, fmt.Errorf("reserve address of backend %s: %w", m.Name, err)
 		}
-		s := &Server{host: h, m: m, Address: address, free: free, seed: seed + uint64(i)<<32, pod: h.pods[m.Pod],
-			attempts: map[uint64]*attempt{}, conns: map[*connection]bool{}, troubles: map[string]backend.Trouble{}}
-		h.boxes[m.Name] = s
+		s := &Server{host: h, machine: m, Address: address, free: free, seed: seed + uint64(i)<<32,
+			pod:      h.pods[m.Pod],
+			attempts: map[uint64]*attempt{}, conns: map[*connection]bool{}, degradations: map[string]backend.Trouble{}}
+		h.servers[m.Name] = s
 		if err := s.Start(""); err != nil {
 			h.Close()
 			return nil, err
@@ -67,38 +68,38 @@
 	return h, nil
 }
 
-// Backend finds a backend by its name, or nil.
-func (h *Host) Box(name string) *Server { return h.boxes[name] }
+// Box returns the backend of that name, or nil.
+func (h *Host) Box(name string) *Server { return h.servers[name] }
 
-// Close ends all backends and waits for all that serves them.
+// Close ends all backends and waits for their goroutines.
 func (h *Host) Close() {
-	for _, s := range h.boxes {
+	for _, s := range h.servers {
 		s.Crash()
 		s.free()
 	}
 	h.tasks.Wait()
 }
 
-// enter notes that an attempt is open and gives the backends where the same
-// request is open too: those of which the kernel says that the node has not
-// ended the connection.
-func (h *Host) enter(a *attempt) []string {
+// addAttempt records that an attempt is open. It returns the backends at which another attempt of the same
+// request is open, which means that according to the kernel the node has not closed that connection.
+func (h *Host) addAttempt(a *attempt) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var also []string
-	for _, other := range h.open[a.id] {
+	for _, other := range h.openAttempts[a.id] {
 		if other.conn.stream != nil && !other.conn.stream.LeftByOpener() {
 			also = append(also, other.box)
 		}
 	}
-	h.open[a.id] = append(h.open[a.id], a)
+	h.openAttempts[a.id] = append(h.openAttempts[a.id], a)
 	return also
 }
 
-func (h *Host) leave(a *attempt) {
+// removeAttempt records that an attempt has ended.
+func (h *Host) removeAttempt(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	all := h.open[a.id]
+	all := h.openAttempts[a.id]
 	for i, other := range all {
 		if other == a {
 			all = append(all[:i:i], all[i+1:]...)
@@ -106,8 +107,8 @@
 		}
 	}
 	if len(all) == 0 {
-		delete(h.open, a.id)
+		delete(h.openAttempts, a.id)
 	} else {
-		h.open[a.id] = all
+		h.openAttempts[a.id] = all
 	}
 }
--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -15,75 +15,78 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Server is one backend on its socket.
+// Server serves one backend on its socket.
 type Server struct {
 	Address string
 	host    *Host
-	m       world.Machine
+	machine world.Machine
 	seed    uint64
 	pod     *pod
 	free    func()
 
-	mu       sync.Mutex
-	ln       net.Listener // nil while the backend is down
-	box      *backend.Box
-	life     int // starts so far
-	num      uint64
-	timer    *time.Timer
-	attempts map[uint64]*attempt
-	conns    map[*connection]bool
-	troubles map[string]backend.Trouble
+	mu           sync.Mutex
+	listener     net.Listener // nil while the backend is down
+	backend      *backend.Backend
+	incarnation  int // number of starts so far
+	lastJob      uint64
+	timer        *time.Timer
+	attempts     map[uint64]*attempt
+	conns        map[*connection]bool
+	degradations map[string]backend.Trouble
 }
 
-// attempt is a request that a node has sent here.
+// attempt is a request that a node has sent to this backend.
 type attempt struct {
 	id, box string
 	conn    *connection
 	arrived time.Duration
-	num     uint64
-	answer  chan answer // takes one
+	job     uint64
+	answer  chan answer // buffered for the one answer
 }
 
+// answer is the outcome of an attempt.
 type answer struct {
-	status int
-	turned bool
+	status   int
+	rejected bool
 }
 
-// Start brings the backend up: warm, or cold where it is listed as started at since.
+// Start starts the backend: warm if since is empty, and otherwise cold, where since is the start time in its
+// entry.
 func (s *Server) Start(since string) error {
 	ln, err := net.Listen("tcp4", s.Address)
 	if err != nil {
-		return fmt.Errorf("box %s: %w", s.m.Name, err)
+		return fmt.Errorf("start backend %s: %w", s.machine.Name, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.life++
-	s.ln, s.box = ln, backend.New(s.m, s.pod.Pod, s.seed+uint64(s.life), s.host.log.Now(), since != "")
+	s.incarnation++
+	s.listener, s.backend = ln, backend.New(s.machine, s.pod.Pod, s.seed+uint64(s.incarnation),
+		s.host.log.Now(), since != "")
 	how := "up"
 	if since != "" {
 		how = "cold"
 	}
-	s.host.log.Add(history.Event{Kind: history.Box, Box: s.m.Name, How: how, Detail: since})
-	s.box.Suffer(s.host.log.Now(), s.sum())
+	s.host.log.Add(history.Event{Kind: history.Box, Box: s.machine.Name, How: how, Detail: since})
+	s.backend.SetDegradation(s.host.log.Now(), s.totalDegradation())
 	s.host.tasks.Add(1)
 	go s.accept(ln)
-	s.arm()
+	s.scheduleTick()
 	return nil
 }
 
-// Crash ends the backend as the death of its process does: connections are reset and new ones refused.
+// Crash ends the backend like the death of its process: connections are reset and new ones refused.
 func (s *Server) Crash() {
 	s.mu.Lock()
-	if s.ln == nil {
+	if s.listener == nil {
 		s.mu.Unlock()
 		return
 	}
-	besteffort.Close(s.ln)
-	s.ln, s.box = nil, nil
+	besteffort.Close(s.listener)
+	s.listener, s.backend = nil, nil
 	if s.timer != nil {
 		s.timer.Stop()
 	}
-	s.host.log.Add(history.Event{Kind: history.Box, Box: s.m.Name, How: "down"})
+	s.host.log.Add(history.Event{Kind: history.Box, Box: s.machine.Name, How: "down"})
 	conns := s.conns
 	s.conns, s.attempts = map[*connection]bool{}, map[uint64]*attempt{}
 	s.mu.Unlock()
@@ -93,56 +96,60 @@
 	}
 }
 
-// Suffer gives the backend a trouble of that name, or takes it away with nil. Troubles
-// add up, and go with the machine: a restart does not end them.
+// Suffer sets the backend's degradation of that name, or removes it if t is nil. Degradations add up. They
+// belong to the machine, so a restart does not end them.
 func (s *Server) Suffer(name string, t *backend.Trouble) {
 	s.mu.Lock()
-	delete(s.troubles, name)
+	delete(s.degradations, name)
 	if t != nil {
-		s.troubles[name] = *t
+		s.degradations[name] = *t
 	}
 	s.mu.Unlock()
-	s.with(func(b *backend.Box, now time.Duration) []backend.Out { return b.Suffer(now, s.sum()) })
+	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action {
+		return b.SetDegradation(now, s.totalDegradation())
+	})
 }
 
-// sum is all that is wrong with the backend. The caller holds the lock.
-func (s *Server) sum() backend.Trouble {
+// totalDegradation returns the merged degradations. The caller holds the lock.
+func (s *Server) totalDegradation() backend.Trouble {
 	var sum backend.Trouble
-	for _, t := range s.troubles {
-		sum = backend.Worse(sum, t)
+	for _, t := range s.degradations {
+		sum = backend.Merge(sum, t)
 	}
 	return sum
 }
 
-// with drives the backend and carries out what it does.
-func (s *Server) with(f func(*backend.Box, time.Duration) []backend.Out) {
+// drive calls f with the backend, unless it is down, and applies the resulting actions.
+func (s *Server) drive(f func(*backend.Backend, time.Duration) []backend.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.box == nil {
+	if s.backend == nil {
 		return
 	}
 	s.pod.Lock()
-	outs := f(s.box, s.host.log.Now())
+	outs := f(s.backend, s.host.log.Now())
 	s.pod.Unlock()
 	for _, o := range outs {
-		s.carryOut(o)
+		s.apply(o)
 	}
-	s.arm()
+	s.scheduleTick()
 }
 
-func (s *Server) arm() {
-	wait := max(0, s.box.Next()-s.host.log.Now())
+// scheduleTick sets the timer for the backend's next tick. The caller holds the lock.
+func (s *Server) scheduleTick() {
+	wait := max(0, s.backend.Next()-s.host.log.Now())
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 	s.timer = time.AfterFunc(wait, func() {
-		s.with(func(b *backend.Box, now time.Duration) []backend.Out { return b.Tick(now) })
+		s.drive(func(b *backend.Backend, now time.Duration) []backend.Action { return b.Tick(now) })
 	})
 }
 
-func (s *Server) carryOut(o backend.Out) {
-	if o.What == backend.Fell {
-		s.host.log.Add(history.Event{Kind: history.Box, Box: s.m.Name, How: "fell"})
+// apply records an action and sends the answer that it causes. The caller holds the lock.
+func (s *Server) apply(o backend.Action) {
+	if o.Kind == backend.Fell {
+		s.host.log.Add(history.Event{Kind: history.Box, Box: s.machine.Name, How: "fell"})
 		go s.Crash()
 		return
 	}
@@ -150,16 +157,16 @@
 	if a == nil {
 		return
 	}
-	e := history.Event{ID: a.id, Box: s.m.Name, Pod: s.m.Pod, How: o.Why}
+	e := history.Event{ID: a.id, Box: s.machine.Name, Pod: s.machine.Pod, How: o.Reason}
 	if op := s.host.book.Find(a.id); op != nil {
 		e.Key, e.Op = op.Key, op.N
 	}
-	switch o.What {
+	switch o.Kind {
 	case backend.Begun:
 		e.Kind = history.Begin
 	case backend.Dropped:
 		e.Kind = history.Drop
-	case backend.Turned:
+	case backend.Rejected:
 		e.Kind = history.Turn
 		a.answer <- answer{503, true}
 	case backend.Done:
@@ -167,34 +174,36 @@
 		a.answer <- answer{o.Status, false}
 	}
 	s.host.log.Add(e)
-	if o.What == backend.Turned || o.What == backend.Done {
+	if o.Kind == backend.Rejected || o.Kind == backend.Done {
 		delete(s.attempts, o.Num)
 	}
 }
 
-// take gives an attempt to the backend. firstOn says that it is the first on its connection.
-func (s *Server) take(a *attempt, work time.Duration, key string, firstOn bool) {
+// submit adds an attempt to the backend. firstOn means that it is the first on its connection, which costs
+// the handshake's work.
+func (s *Server) submit(a *attempt, work time.Duration, key string, firstOn bool) {
 	var extra time.Duration
 	if firstOn {
-		extra = s.m.Handshake
-	}
-	s.with(func(b *backend.Box, now time.Duration) []backend.Out {
-		s.num++
-		a.num = s.num
-		s.attempts[a.num] = a
-		chance := rand.New(rand.NewPCG(s.host.seed, idHash(a.id+s.m.Name)))
-		work = time.Duration(float64(work) * world.Spread(chance, s.m.Noise))
-		return b.Arrive(now, backend.Job{Num: a.num, Key: key, Work: work}, extra)
+		extra = s.machine.Handshake
+	}
+	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action {
+		s.lastJob++
+		a.job = s.lastJob
+		s.attempts[a.job] = a
+		chance := rand.New(rand.NewPCG(s.host.seed, idHash(a.id+s.machine.Name)))
+		work = time.Duration(float64(work) * world.Spread(chance, s.machine.Noise))
+		return b.Arrive(now, backend.Job{Num: a.job, Key: key, Work: work}, extra)
 	})
 }
 
-// left tells the backend that a node has ended an attempt. Its work may go on, so it stays known.
-func (s *Server) left(a *attempt) {
-	s.with(func(b *backend.Box, now time.Duration) []backend.Out { return b.Leave(now, a.num) })
+// cancel reports to the backend that a node has ended an attempt. Its work may continue, so the attempt stays
+// in attempts.
+func (s *Server) cancel(a *attempt) {
+	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action { return b.Cancel(now, a.job) })
 }
 
 func idHash(s string) uint64 {
 	h := fnv.New64a()
-	besteffort.Response(io.WriteString(h, s)) // never fails
+	besteffort.Response(io.WriteString(h, s)) // writing to a hash never fails
 	return h.Sum64()
 }
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -46,7 +46,8 @@
 	Seen   int       `json:"seen"`   // the number of items that the check examined
 	Broken []Finding `json:"broken"` // violations of the rule; empty when the rule was kept
 
-	Measured []string `json:"measured,omitempty"` // measurements that the check reports in addition to the verdict
+	// measurements that the check reports in addition to the verdict
+	Measured []string `json:"measured,omitempty"`
 }
 
 // OK reports whether the rule was kept.
--- a/internal/lab/check/quota.go
+++ b/internal/lab/check/quota.go
@@ -16,8 +16,8 @@
 
 // Slack of the quota check. quotaArrivalSlack is the time between a node's admission decision and the arrival
 // at a backend, which links and a node that waits for a core prolong. quotaLoweringDelay is the time after
-// which a lowered limit applies: the last lease under the previous limit has to expire, which takes one lease,
-// a second one when the holder changes at the same time, and the delivery to the nodes.
+// which a lowered limit applies: the last lease under the previous limit has to expire, which takes one
+// lease, a second one when the holder changes at the same time, and the delivery to the nodes.
 const (
 	quotaArrivalSlack  = 300 * time.Millisecond
 	quotaLoweringDelay = 4 * time.Second
--- a/internal/lab/check/quota_test.go
+++ b/internal/lab/check/quota_test.go
@@ -9,8 +9,8 @@
 	"wrenspread/internal/lab/history"
 )
 
-// arrivals returns arrivals at backends, evenly spaced at a rate between two times; each request arrives twice, as with
-// a second attempt.
+// arrivals returns arrivals at backends, evenly spaced at a rate between two times; each request arrives
+// twice, as with a second attempt.
 func arrivals(rate float64, from, to time.Duration) (events []history.Event) {
 	for t := from; t < to; t += time.Duration(float64(time.Second) / rate) {
 		for range 2 {
@@ -20,8 +20,8 @@
 	return events
 }
 
-// TestQuotaCheckFindsExcessAndUnusedQuota: a fleet within its limit passes; a fleet that applies the previous limit for
-// too long, admits too large a burst, or leaves too much of the quota unused fails.
+// TestQuotaCheckFindsExcessAndUnusedQuota: a fleet within its limit passes; a fleet that applies the previous
+// limit for too long, admits too large a burst, or leaves too much of the quota unused fails.
 func TestQuotaCheckFindsExcessAndUnusedQuota(t *testing.T) {
 	const s = time.Second
 	limits := []Quota{{Rate: 50, Burst: 20}, {From: 10 * s, Rate: 25, Burst: 10}}
--- a/internal/lab/check/view.go
+++ b/internal/lab/check/view.go
@@ -10,8 +10,9 @@
 	"wrenspread/internal/lab/history"
 )
 
-// viewSettleTime is how long after the end of a fault a touched node may still be wrong in the views of others,
-// or have a wrong view itself: the longest suspicion in a small fleet, and one round of probing dead members.
+// viewSettleTime is how long after the end of a fault a touched node may still be wrong in the views of
+// others, or have a wrong view itself: the longest suspicion in a small fleet, and one round of probing dead
+// members.
 const viewSettleTime = 10 * time.Second
 
 // memberState is the state of one member in a node's view.
@@ -70,14 +71,15 @@
 
 // viewCheck is the state of the View check while it goes through the events.
 type viewCheck struct {
-	verdict        *Verdict
-	faults         nodeIntervals            // fault intervals of every named party, settle time included
-	running        map[string]int           // the number of running processes of each node
-	lastView       map[string]history.Event // the last view event of each node
-	ordered        map[string]bool          // nodes that got SIGTERM, for an end or an upgrade, and were not killed since
-	lastFaultEnd   time.Duration            // the end of the last fault
-	lastViewChange time.Duration            // the time of the last change of any view
-	lost           []*loss                  // nodes that a fault killed or stopped
+	verdict  *Verdict
+	faults   nodeIntervals            // fault intervals of every named party, settle time included
+	running  map[string]int           // the number of running processes of each node
+	lastView map[string]history.Event // the last view event of each node
+	// nodes that got SIGTERM, for an end or an upgrade, and were not killed since
+	ordered        map[string]bool
+	lastFaultEnd   time.Duration // the end of the last fault
+	lastViewChange time.Duration // the time of the last change of any view
+	lost           []*loss       // nodes that a fault killed or stopped
 }
 
 // loss is the loss of a node, with the delay until each other node declared it dead.
@@ -87,7 +89,8 @@
 	seenAfter map[string]time.Duration
 }
 
-// faultsByName collects the intervals of all faults for every party that they name, prolonged by viewSettleTime.
+// faultsByName collects the intervals of all faults for every party that they name, prolonged by
+// viewSettleTime.
 func faultsByName(events []history.Event) nodeIntervals {
 	var named []history.Event
 	for _, e := range events {
@@ -140,7 +143,8 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(now)) {
 		s := now[name]
-		if b, ok := before[name]; ok && (s.generation < b.generation || s.generation == b.generation && s.incarnation < b.incarnation) {
+		if b, ok := before[name]; ok && (s.generation < b.generation ||
+			s.generation == b.generation && s.incarnation < b.incarnation) {
 			w.verdict.fail(
 				e,
 				"%s sees %s go back from life %d, %d to %d, %d",
@@ -199,7 +203,8 @@
 	if w.lastFaultEnd > 0 {
 		w.verdict.Measured = append(
 			w.verdict.Measured,
-			fmt.Sprintf("the last view changed %.2f s after the end of the last fault", (w.lastViewChange-w.lastFaultEnd).Seconds()),
+			fmt.Sprintf("the last view changed %.2f s after the end of the last fault",
+				(w.lastViewChange-w.lastFaultEnd).Seconds()),
 		)
 	}
 	for _, l := range w.lost {
--- a/internal/lab/check/view_test.go
+++ b/internal/lab/check/view_test.go
@@ -39,8 +39,8 @@
 		history.Event{T: at(31), Kind: history.Proc, Node: "n0", How: "exit", Pid: 1})
 }
 
-// TestViewCheckPassesSoundViewsAndFindsEachWrongOne: a sound history passes and its times are measured; each kind of
-// wrong view fails.
+// TestViewCheckPassesSoundViewsAndFindsEachWrongOne: a sound history passes and its times are measured; each
+// kind of wrong view fails.
 func TestViewCheckPassesSoundViewsAndFindsEachWrongOne(t *testing.T) {
 	if v := View(soundViews()); !v.OK() || !strings.Contains(fmt.Sprint(v.Measured), "n2 was dead in 2 views after 1.20 s in the median") {
 		t.Fatalf("%v, measured %v", v.Broken, v.Measured)
--- a/internal/lab/check/world.go
+++ b/internal/lab/check/world.go
@@ -17,9 +17,10 @@
 		Rule:  "no cold box falls over under what nodes send that were told of its start",
 		Timed: true,
 	}
-	lastStart := map[string]string{}                // since_ms of each backend's last listed start
-	notifiedStart := map[string]map[string]string{} // since_ms of the start that each node knows, by backend and node
-	sent := map[string][]history.Event{}            // arrivals at each backend
+	lastStart := map[string]string{} // since_ms of each backend's last listed start
+	// since_ms of the start that each node knows, by backend and node
+	notifiedStart := map[string]map[string]string{}
+	sent := map[string][]history.Event{} // arrivals at each backend
 	for _, e := range events {
 		switch {
 		case e.Kind == history.Box && e.How == "cold":
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -19,39 +19,39 @@
 	"wrenspread/internal/lab/world"
 )
 
-// late is how long past a client's patience an answer is still waited for, to
-// tell one that comes late from one that never comes.
-const late = 500 * time.Millisecond
+// lateAnswerWait is how long after a client's timeout the lab still waits for an answer, to distinguish a
+// late answer from a missing one.
+const lateAnswerWait = 500 * time.Millisecond
 
-// Clients carry out operations.
+// Clients sends the operations of a run, each with its tries, and records their outcomes.
 type Clients struct {
-	log   *history.Log
-	front *Front
-	book  *load.Book
-	seed  uint64
-	pool  pool
-	ops   sync.WaitGroup
-	// Late is told how late each operation was sent: the lab's own lateness.
+	log         *history.Log
+	front       *Front
+	book        *load.Book
+	seed        uint64
+	connections pool
+	running     sync.WaitGroup
+	// Late is called with how late each operation was sent: the lab's own lateness.
 	Late func(time.Duration)
-	// Disturbed reports whether something is, or was just now, done to a node or to the way to it, so that a
-	// connection's end says nothing of what the node has read.
+	// Disturbed reports whether a fault acts, or acted a moment ago, on a node or on the link to it. Then the
+	// end of a connection does not show whether the node has read the request.
 	Disturbed func(node string) bool
 }
 
-// New makes clients that reach nodes by way of front.
+// New makes clients that choose their nodes with front.
 func New(log *history.Log, front *Front, book *load.Book, seed uint64) *Clients {
 	c := &Clients{log: log, front: front, book: book, seed: seed, Late: func(time.Duration) {},
 		Disturbed: func(string) bool { return false }}
-	c.pool = pool{idle: map[string][]kept{}, extra: func(cn *conn) {
+	c.connections = pool{idle: map[string][]idleConn{}, onExtraBytes: func(cn *conn) {
 		log.Add(history.Event{Kind: history.Extra, Node: cn.node, ID: cn.lastID})
 	}}
 	return c
 }
 
-// Run sends every operation when it is due, counted from start, whatever has
-// become of those before. It returns when all are over, or ctx ends.
+// Run sends every operation when it is due, counted from start, whether or not previous ones have ended. It
+// returns when all operations have ended. It sends no more once ctx ends.
 func (c *Clients) Run(ctx context.Context, start time.Duration, ops []load.Op) {
-	defer c.pool.close()
+	defer c.connections.close()
 	swept := start
 	for i := range ops {
 		op := &ops[i]
@@ -60,56 +60,57 @@
 			break
 		}
 		if c.log.Now()-swept > time.Second {
-			c.pool.sweep()
+			c.connections.sweep()
 			swept = c.log.Now()
 		}
 		c.Late(c.log.Now() - due)
 		c.log.Add(
 			history.Event{T: due, Kind: history.Due, Op: op.N, Class: op.Class.Name, Tenant: op.Tenant, Zone: op.Zone},
 		)
-		c.ops.Add(1)
+		c.running.Add(1)
 		go func() {
-			defer c.ops.Done()
+			defer c.running.Done()
 			c.carryOut(ctx, op, due)
 		}()
 	}
-	c.ops.Wait()
+	c.running.Wait()
 }
 
-// result is what came of a try.
+// result is the outcome of a try.
 type result struct {
 	how        string
 	status     int
 	box        string
 	took       time.Duration
 	retryAfter time.Duration
-	begun      bool // the node has said something, or been silent to the end
+	responded  bool // the node sent at least one byte, or nothing until the timeout
 }
 
+// carryOut sends an operation's tries until one succeeds, the client may not retry, or the deadline is near.
 func (c *Clients) carryOut(ctx context.Context, op *load.Op, due time.Duration) {
 	var last result
 	var node string
 	tries := 0
 	for try := 0; ; try++ {
-		left := op.Class.Deadline - (c.log.Now() - due)
-		if left <= 0 {
+		remaining := op.Class.Deadline - (c.log.Now() - due)
+		if remaining <= 0 {
 			break
 		}
-		wait := min(left, time.Duration(op.Share*float64(op.Class.Deadline)))
+		wait := min(remaining, time.Duration(op.Share*float64(op.Class.Deadline)))
 		tries++
 		node, last = c.try(op, try, wait)
-		if !c.again(op, last) || try >= op.Retries {
+		if !c.shouldRetry(op, last) || try >= op.Retries {
 			break
 		}
-		hold := op.Backoff[try]
-		if op.Heeds && last.retryAfter > 0 {
-			hold = max(hold, min(last.retryAfter, world.MaxRetryAfter))
+		delay := op.Backoff[try]
+		if op.HonorsRetryAfter && last.retryAfter > 0 {
+			delay = max(delay, min(last.retryAfter, world.MaxRetryAfter))
 		}
-		if c.log.Now()+hold-due >= op.Class.Deadline || !backoff.Sleep(ctx, hold) {
+		if c.log.Now()+delay-due >= op.Class.Deadline || !backoff.Sleep(ctx, delay) {
 			break
 		}
 	}
-	if tries == 0 { // the lab itself was too late to send it
+	if tries == 0 { // the lab was too late to send it before its deadline
 		last.how = history.Unreached
 	}
 	c.log.Add(
@@ -129,9 +130,9 @@
 	)
 }
 
-// again reports whether a client tries again: a safe operation after anything but success, the others only
-// when they are known not to have run.
-func (c *Clients) again(op *load.Op, r result) bool {
+// shouldRetry reports whether a client retries: a safe operation after any result but success, other
+// operations only when they are known not to have run.
+func (c *Clients) shouldRetry(op *load.Op, r result) bool {
 	switch r.how {
 	case history.Served:
 		return false
@@ -141,23 +142,25 @@
 	return op.Class.Effect == world.Safe
 }
 
+// try sends one try to a node. A request that crossed the node's close of a reused connection is sent once
+// more, on a new connection.
 func (c *Clients) try(op *load.Op, try int, wait time.Duration) (node string, r result) {
-	node, address, ok := c.front.pick(op.Zone, op.Pick+uint64(try))
+	node, address, ok := c.front.pick(op.Zone, op.NodeChoice+uint64(try))
 	if !ok {
 		return "", result{how: history.Unreached}
 	}
 	id := op.ID(c.seed, try)
-	c.book.Write(id, op)
-	cn, err := c.pool.take(node, address, false)
+	c.book.Add(id, op)
+	cn, err := c.connections.take(node, address, false)
 	if err != nil {
 		return node, c.unreached(op, id, node)
 	}
 	r, keep := c.exchange(cn, op, id, try, wait)
-	if r.how == history.Broken && cn.used && !r.begun && !c.Disturbed(node) && !c.book.Met(id) {
-		// The node's close crossed the request: it goes out once more.
+	if r.how == history.Broken && cn.used && !r.responded && !c.Disturbed(node) && !c.book.Reached(id) {
+		// The node closed the connection while the request was on its way, so the request is sent once more.
 		c.log.Add(history.Event{Kind: history.Cross, Op: op.N, ID: id, Node: node})
 		besteffort.Close(cn)
-		if cn, err = c.pool.take(node, address, true); err != nil {
+		if cn, err = c.connections.take(node, address, true); err != nil {
 			return node, c.unreached(op, id, node)
 		}
 		r, keep = c.exchange(cn, op, id, try, wait)
@@ -173,19 +176,20 @@
 		Took:   r.took,
 		Box:    r.box,
 	}
-	if !cn.used && !r.begun {
+	if !cn.used && !r.responded {
 		e.Detail = history.Fresh
 	}
 	c.log.Add(e)
 	if keep {
 		cn.used, cn.lastID = true, id
-		c.pool.put(address, cn)
+		c.connections.put(address, cn)
 	} else {
 		besteffort.Close(cn)
 	}
 	return node, r
 }
 
+// unreached records a try that found no connection.
 func (c *Clients) unreached(op *load.Op, id, node string) result {
 	c.log.Add(
 		history.Event{
@@ -200,7 +204,7 @@
 	return result{how: history.Unreached}
 }
 
-// exchange sends one request and waits for its answer. keep says that the connection can be used again.
+// exchange sends one request and waits for its answer. keep reports whether the connection can be reused.
 func (c *Clients) exchange(
 	cn *conn,
 	op *load.Op,
@@ -208,7 +212,7 @@
 	try int,
 	wait time.Duration,
 ) (r result, keep bool) {
-	besteffort.SocketOption(cn.SetDeadline(time.Now().Add(wait + late)))
+	besteffort.SocketOption(cn.SetDeadline(time.Now().Add(wait + lateAnswerWait)))
 	if _, err := io.WriteString(cn, request(op, id, try, wait)); err != nil {
 		return result{how: history.Broken}, false
 	}
@@ -225,21 +229,21 @@
 			Wait:  wait,
 		},
 	)
-	first, err := cn.in.Peek(1)
+	first, err := cn.reader.Peek(1)
 	if err != nil {
-		r = result{how: history.Broken, took: c.log.Now() - sent, begun: len(first) > 0}
+		r = result{how: history.Broken, took: c.log.Now() - sent, responded: len(first) > 0}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			r.how, r.begun = history.Silent, true
+			r.how, r.responded = history.Silent, true
 		}
 		return r, false
 	}
-	resp, err := http.ReadResponse(cn.in, nil)
+	resp, err := http.ReadResponse(cn.reader, nil)
 	if err != nil {
-		return result{how: history.Broken, took: c.log.Now() - sent, begun: true}, false
+		return result{how: history.Broken, took: c.log.Now() - sent, responded: true}, false
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 	besteffort.Close(resp.Body)
-	r = result{status: resp.StatusCode, took: c.log.Now() - sent, begun: true}
+	r = result{status: resp.StatusCode, took: c.log.Now() - sent, responded: true}
 	if err != nil {
 		r.how = history.Broken
 		return r, false
@@ -249,7 +253,7 @@
 		madeFor, box, _ := strings.Cut(string(body), " ")
 		r.box = box
 		if madeFor != id {
-			r.box = "?" // nobody's answer to this request
+			r.box = "?" // the answer belongs to another request
 		}
 	}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
@@ -258,6 +262,7 @@
 	return r, !resp.Close
 }
 
+// outcome returns the history's word for a response status.
 func outcome(status int) string {
 	switch status {
 	case http.StatusOK:
@@ -268,7 +273,7 @@
 	return history.Failed
 }
 
-// request is the text of a try.
+// request returns the HTTP request of a try.
 func request(op *load.Op, id string, try int, wait time.Duration) string {
 	var b strings.Builder
 	method, body := http.MethodGet, ""
--- a/internal/lab/client/front.go
+++ b/internal/lab/client/front.go
@@ -1,5 +1,5 @@
-// Package client is the lab's load on sockets: a front that spreads clients over
-// the nodes of their zone, and clients that do what was drawn for them.
+// Package client sends the lab's load over sockets: a front distributes clients over the nodes of their zone,
+// and clients send the operations that were drawn for them.
 package client
 
 import (
@@ -11,55 +11,56 @@
 	"wrenspread/internal/besteffort"
 )
 
-// Front admits a node once its /health/ready has answered 200, and notices only
-// some time later that one has died.
+// Front chooses a node for each request. It admits a node once its /health/ready answers 200, and notices a
+// node's death only after a delay.
 type Front struct {
-	notice time.Duration
-	mu     sync.Mutex
-	nodes  map[string]*door
-	zones  map[string][]*door
-	all    []*door
+	deathDelay time.Duration
+	mu         sync.Mutex
+	nodes      map[string]*nodeState
+	zones      map[string][]*nodeState
+	all        []*nodeState
 }
 
-type door struct {
+// nodeState is what the front knows of one node.
+type nodeState struct {
 	name, address string
 	admitted      bool
 	leaving       bool      // a planned restart is under way
-	failing       time.Time // since when it has not answered; zero: it does
+	failingSince  time.Time // when health checks began to fail; zero: they succeed
 }
 
-// NewFront makes a front that notices a death after notice.
+// NewFront makes a front that notices a node's death after the time notice.
 func NewFront(notice time.Duration) *Front {
-	return &Front{notice: notice, nodes: map[string]*door{}, zones: map[string][]*door{}}
+	return &Front{deathDelay: notice, nodes: map[string]*nodeState{}, zones: map[string][]*nodeState{}}
 }
 
-// Add tells the front of a node of a zone and where its clients reach it.
+// Add adds a node of a zone, with the address at which clients reach it.
 func (f *Front) Add(name, zone, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := &door{name: name, address: address}
+	d := &nodeState{name: name, address: address}
 	f.nodes[name] = d
 	f.zones[zone] = append(f.zones[zone], d)
 	f.all = append(f.all, d)
 }
 
 const (
-	checkEvery = 200 * time.Millisecond
-	checkTime  = time.Second
+	healthCheckInterval = 200 * time.Millisecond
+	healthCheckTimeout  = time.Second
 )
 
-// Watch asks all nodes for their health until ctx ends.
+// Watch checks the health of all nodes until ctx ends.
 func (f *Front) Watch(ctx context.Context) {
 	var all sync.WaitGroup
-	client := &http.Client{Timeout: checkTime, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, d := range f.all {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			t := time.NewTicker(checkEvery)
+			t := time.NewTicker(healthCheckInterval)
 			defer t.Stop()
 			for {
-				f.heard(d, healthy(ctx, client, d.address))
+				f.recordHealth(d, healthy(ctx, client, d.address))
 				select {
 				case <-t.C:
 				case <-ctx.Done():
@@ -72,6 +73,7 @@
 	client.CloseIdleConnections()
 }
 
+// healthy reports whether a node's health check answers 200.
 func healthy(ctx context.Context, client *http.Client, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/health/ready", nil)
 	if err != nil {
@@ -85,36 +87,38 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (f *Front) heard(d *door, well bool) {
+// recordHealth applies the result of a health check: success admits the node, and failure for deathDelay
+// removes it.
+func (f *Front) recordHealth(d *nodeState, isHealthy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case d.leaving:
-	case well:
-		d.admitted, d.failing = true, time.Time{}
-	case d.failing.IsZero():
-		d.failing = time.Now()
-	case time.Since(d.failing) >= f.notice:
+	case isHealthy:
+		d.admitted, d.failingSince = true, time.Time{}
+	case d.failingSince.IsZero():
+		d.failingSince = time.Now()
+	case time.Since(d.failingSince) >= f.deathDelay:
 		d.admitted = false
 	}
 }
 
-// Leave sends no new clients to a node that is to be restarted, until Return.
-func (f *Front) Leave(name string) { f.leaving(name, true) }
+// Leave takes a node that is about to be restarted out of the choice, until Return.
+func (f *Front) Leave(name string) { f.setLeaving(name, true) }
 
-// Return has a node admitted again once it is ready.
-func (f *Front) Return(name string) { f.leaving(name, false) }
+// Return allows a node to be admitted again once it is ready.
+func (f *Front) Return(name string) { f.setLeaving(name, false) }
 
-func (f *Front) leaving(name string, is bool) {
+func (f *Front) setLeaving(name string, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nodes[name].leaving = is
-	if is {
+	f.nodes[name].leaving = leaving
+	if leaving {
 		f.nodes[name].admitted = false
 	}
 }
 
-// Admitted tells how many nodes are.
+// Admitted returns the number of admitted nodes.
 func (f *Front) Admitted() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,12 +131,13 @@
 	return n
 }
 
-// pick chooses a node for a client of a zone: one of that zone, or any where the zone has none.
+// pick chooses an admitted node of the client's zone, or of any zone if the zone has none. by selects among
+// them.
 func (f *Front) pick(zone string, by uint64) (name, address string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, doors := range [][]*door{f.zones[zone], f.all} {
-		var open []*door
+	for _, doors := range [][]*nodeState{f.zones[zone], f.all} {
+		var open []*nodeState
 		for _, d := range doors {
 			if d.admitted {
 				open = append(open, d)
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -12,52 +12,54 @@
 	"wrenspread/internal/besteffort"
 )
 
-// conn is a connection to a node, for one request at a time.
+// conn is a connection to a node, which carries one request at a time.
 type conn struct {
 	net.Conn
-	in     *bufio.Reader
+	reader *bufio.Reader
 	node   string
-	lastID string // of the request before
+	lastID string // ID of the previous request
 	used   bool
 }
 
 const (
-	dialTime = time.Second
-	idleTime = 8 * time.Second // clients leave what they have not used for so long
+	dialTimeout = time.Second
+	maxIdleTime = 8 * time.Second // clients close connections that were idle for longer
 )
 
-// pool keeps clients' connections.
+// pool holds the clients' idle connections.
 type pool struct {
-	mu     sync.Mutex
-	idle   map[string][]kept // by address, the last used last
-	extra  func(c *conn)     // told of bytes that nobody asked for
-	closed bool
+	mu           sync.Mutex
+	idle         map[string][]idleConn // by address, the most recently used last
+	onExtraBytes func(c *conn)         // called when bytes arrive outside of an answer
+	closed       bool
 }
 
-type kept struct {
+// idleConn is an idle connection with the time at which it became idle.
+type idleConn struct {
 	*conn
 	since time.Time
 }
 
-// take gives an idle connection to an address, or a new one.
+// take returns an idle connection to an address, or a new one. fresh requires a new one.
 func (p *pool) take(node, address string, fresh bool) (*conn, error) {
 	for !fresh {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		if c.quiet(p.extra) {
+		if c.reusable(p.onExtraBytes) {
 			return c, nil
 		}
 		besteffort.Close(c)
 	}
-	nc, err := net.DialTimeout("tcp4", address, dialTime)
+	nc, err := net.DialTimeout("tcp4", address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: nc, in: bufio.NewReader(nc), node: node}, nil
+	return &conn{Conn: nc, reader: bufio.NewReader(nc), node: node}, nil
 }
 
+// pop removes and returns the most recently used idle connection to an address, or nil.
 func (p *pool) pop(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,9 +72,9 @@
 	return c.conn
 }
 
-// quiet reports whether the connection is still there, with nothing said on it since the last answer.
-func (c *conn) quiet(extra func(*conn)) bool {
-	if c.in.Buffered() > 0 {
+// reusable reports whether the connection is still open and no bytes have arrived since the last answer.
+func (c *conn) reusable(extra func(*conn)) bool {
+	if c.reader.Buffered() > 0 {
 		extra(c)
 		return false
 	}
@@ -91,6 +93,7 @@
 	return err == nil && errors.Is(seen, unix.EAGAIN)
 }
 
+// put makes a connection available for reuse.
 func (p *pool) put(address string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,16 +101,16 @@
 		besteffort.Close(c)
 		return
 	}
-	p.idle[address] = append(p.idle[address], kept{c, time.Now()})
+	p.idle[address] = append(p.idle[address], idleConn{c, time.Now()})
 }
 
-// sweep closes what has stood idle for too long.
+// sweep closes connections that were idle for longer than maxIdleTime, or all if the pool is closed.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, all := range p.idle {
 		old := 0
-		for old < len(all) && (p.closed || time.Since(all[old].since) > idleTime) {
+		for old < len(all) && (p.closed || time.Since(all[old].since) > maxIdleTime) {
 			besteffort.Close(all[old])
 			old++
 		}
@@ -115,6 +118,7 @@
 	}
 }
 
+// close closes the idle connections, and those that are put back later.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/lab/discovery/disco_test.go
+++ b/internal/lab/discovery/disco_test.go
@@ -11,15 +11,15 @@
 	_ "wrenspread/internal/rapidseed"
 )
 
-// TestWatcherHasWhatTheAgentHas: whoever applies the answers in turn, whole lists
-// and changes, has the list of that version, and hears of changes in their order.
-func TestWatcherHasWhatTheAgentHas(t *testing.T) {
+// TestWatcherThatAppliesTheAnswersHasTheAgentsList: a watcher that applies the answers in turn, snapshots and
+// changes, has the list of each answer's version, and gets changes in their order.
+func TestWatcherThatAppliesTheAnswersHasTheAgentsList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reg Registry
 		var now time.Duration
 		late := func(bool) time.Duration { return time.Duration(rapid.IntRange(0, 5).Draw(t, "late")) }
 		a := reg.Agent("n0", nil, late, func(box string) string { return "at-" + box })
-		held := map[string]Entry{}
+		list := map[string]Entry{}
 		var from uint64
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 3).Draw(t, "pass"))
@@ -36,15 +36,15 @@
 				t.Fatalf("from %d comes %+v", from, got)
 			}
 			if got.Snapshot {
-				clear(held)
+				clear(list)
 			}
 			for _, e := range got.Endpoints {
 				if e.Address != "at-"+e.Name {
 					t.Fatalf("%s is at %s", e.Name, e.Address)
 				}
-				held[e.Name] = e
+				list[e.Name] = e
 				if e.Status == Gone {
-					delete(held, e.Name)
+					delete(list, e.Name)
 				}
 			}
 			from = got.Index
@@ -57,8 +57,8 @@
 					delete(want, e.Name)
 				}
 			}
-			if !reflect.DeepEqual(held, want) {
-				t.Fatalf("at %d the watcher has %v, the list is %v", from, held, want)
+			if !reflect.DeepEqual(list, want) {
+				t.Fatalf("at %d the watcher has %v, the list is %v", from, list, want)
 			}
 		}
 	})
--- a/internal/lab/discovery/serve.go
+++ b/internal/lab/discovery/serve.go
@@ -13,14 +13,14 @@
 	"wrenspread/internal/lab/history"
 )
 
-// maxHold bounds a watch, as the protocol does.
-const maxHold = time.Minute
+// maxWatchHold is the longest time for which a watch is held open; the protocol sets the same bound.
+const maxWatchHold = time.Minute
 
-// Serve answers one node's calls at an address of its own until stop is called.
+// Serve answers the requests of the agent's node, at a separate address, until stop is called.
 func (a *Agent) Serve(log *history.Log) (address string, stop func(), err error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return "", nil, fmt.Errorf("discovery of %s: %w", a.Node, err)
+		return "", nil, fmt.Errorf("listen for discovery of %s: %w", a.Node, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	srv := &http.Server{Handler: a.handler(log), ReadHeaderTimeout: 5 * time.Second,
@@ -28,21 +28,22 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = srv.Serve(ln) // its error is that it was closed
+		_ = srv.Serve(ln) // the error is that the server was closed
 	}()
 	return ln.Addr().String(), func() { cancel(); besteffort.Close(srv); <-ended }, nil
 }
 
+// handler serves the list protocol, and records each entry that it sends.
 func (a *Agent) handler(log *history.Log) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, r *http.Request) {
-		from, hold, err := query(r)
+		from, hold, err := parseQuery(r)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		if from > 0 && hold > 0 && !a.wait(r.Context(), from, hold) {
-			return // the caller has left
+			return // the client has disconnected
 		}
 		out := a.List(from, a.now())
 		w.Header().Set("Content-Type", "application/json")
@@ -57,7 +58,8 @@
 	return mux
 }
 
-func query(r *http.Request) (from uint64, hold time.Duration, err error) {
+// parseQuery returns the version that a request starts from, and how long the response may be held back.
+func parseQuery(r *http.Request) (from uint64, hold time.Duration, err error) {
 	q := r.URL.Query()
 	if s := q.Get("from"); s != "" {
 		if from, err = strconv.ParseUint(s, 10, 64); err != nil {
@@ -69,13 +71,13 @@
 		if err != nil {
 			return 0, 0, fmt.Errorf("hold_ms: %w", err)
 		}
-		hold = min(maxHold, time.Duration(ms)*time.Millisecond)
+		hold = min(maxWatchHold, time.Duration(ms)*time.Millisecond)
 	}
 	return from, hold, nil
 }
 
-// wait holds a call until the agent has something other than version from, or
-// hold is over. It is false when the caller has left.
+// wait waits until the agent has another version than from, or hold has passed. It returns false when the
+// client has disconnected.
 func (a *Agent) wait(ctx context.Context, from uint64, hold time.Duration) bool {
 	until := a.now() + hold
 	for {
--- a/internal/lab/discovery/view.go
+++ b/internal/lab/discovery/view.go
@@ -1,5 +1,5 @@
-// Package discovery is the lab's stand-in for the platform's discovery: a list with
-// versions, and an agent on each node's machine that hears of changes late.
+// Package discovery stands in for the platform's discovery in the lab: a versioned list of backends, and an
+// agent on each node's machine that receives changes with a delay.
 package discovery
 
 import (
@@ -12,59 +12,61 @@
 // Entry is one app backend in discovery's form.
 type Entry = registry.Endpoint
 
-// The statuses of an entry. Gone stands only among changes.
+// The statuses of an entry. Gone occurs only in changes, not in snapshots.
 const (
 	Ready    = registry.Ready
 	Draining = registry.Draining
 	Gone     = registry.Removed
 )
 
-// Answer is what an agent answers. It knows no epochs.
+// Answer is an agent's response. The lab's discovery does not use epochs.
 type Answer = registry.ListResponse
 
-// Registry is the list as it is, with all its changes. It is safe for concurrent use.
+// Registry is the current list with all its changes. It is safe for concurrent use.
 type Registry struct {
 	mu      sync.Mutex
 	changes []change // change i has the index i+1
 	agents  []*Agent
 }
 
+// change is one change of the list, with the time at which it was made.
 type change struct {
 	at    time.Duration
 	entry Entry
 }
 
-// Set makes a change, told to the agents as late as they hear of things. silent
-// says that the backend left without a word, which takes longer to be noticed.
+// Set makes a change, which reaches each agent after that agent's delay. silent means that the backend did
+// not announce its end, which takes longer to be noticed.
 func (r *Registry) Set(now time.Duration, e Entry, silent bool) {
 	r.mu.Lock()
 	r.changes = append(r.changes, change{now, e})
 	agents := r.agents
 	for _, a := range agents {
-		a.expect(now, silent)
+		a.scheduleChange(now, silent)
 	}
 	r.mu.Unlock()
 	for _, a := range agents {
-		a.stir()
+		a.wakeWatchers()
 	}
 }
 
-// Lateness says how late an agent hears of one change.
+// Lateness returns the delay with which one change reaches an agent.
 type Lateness func(silent bool) time.Duration
 
-// Agent is the one on a node's machine.
+// Agent is the discovery agent on a node's machine.
 type Agent struct {
-	Node    string
-	reg     *Registry
-	address func(box string) string // where this node finds a backend
-	late    Lateness
-	// under the registry's lock; when change i reaches the agent, never before those ahead of it
-	due  []time.Duration
-	wake chan struct{} // under the registry's lock; closed and replaced at each change
-	now  func() time.Duration
+	Node     string
+	registry *Registry
+	address  func(box string) string // the address at which this node reaches a backend
+	delay    Lateness
+	// arrivals[i] is when change i reaches the agent, never before the previous changes. The registry's lock
+	// guards it.
+	arrivals []time.Duration
+	changed  chan struct{} // closed and replaced at each change; the registry's lock guards it
+	now      func() time.Duration
 }
 
-// Agent adds the agent of a node. It has at once all that is listed now.
+// Agent adds the agent of a node. It starts with the current list.
 func (r *Registry) Agent(
 	node string,
 	now func() time.Duration,
@@ -74,64 +76,65 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := &Agent{
-		Node:    node,
-		reg:     r,
-		address: address,
-		late:    late,
-		now:     now,
-		wake:    make(chan struct{}),
-		due:     make([]time.Duration, len(r.changes)),
+		Node:     node,
+		registry: r,
+		address:  address,
+		delay:    late,
+		now:      now,
+		changed:  make(chan struct{}),
+		arrivals: make([]time.Duration, len(r.changes)),
 	}
 	r.agents = append(r.agents, a)
 	return a
 }
 
-// expect is called under the registry's lock.
-func (a *Agent) expect(now time.Duration, silent bool) {
-	at := now + a.late(silent)
-	if n := len(a.due); n > 0 {
-		at = max(at, a.due[n-1])
+// scheduleChange draws when a change made now reaches the agent. The caller holds the registry's lock.
+func (a *Agent) scheduleChange(now time.Duration, silent bool) {
+	at := now + a.delay(silent)
+	if n := len(a.arrivals); n > 0 {
+		at = max(at, a.arrivals[n-1])
 	}
-	a.due = append(a.due, at)
+	a.arrivals = append(a.arrivals, at)
 }
 
-func (a *Agent) stir() {
-	a.reg.mu.Lock()
-	defer a.reg.mu.Unlock()
-	close(a.wake)
-	a.wake = make(chan struct{})
+// wakeWatchers wakes the watches that wait for a change.
+func (a *Agent) wakeWatchers() {
+	a.registry.mu.Lock()
+	defer a.registry.mu.Unlock()
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// state is the index that the agent has, when the next change reaches it (0: none is on its way), and what
-// wakes whoever waits.
+// state returns the index of the list that the agent has, the time at which the next change reaches it (0 if
+// none is on its way), and a channel that is closed at the next change of the registry.
 func (a *Agent) state(now time.Duration) (index uint64, next time.Duration, wake <-chan struct{}) {
-	a.reg.mu.Lock()
-	defer a.reg.mu.Unlock()
-	for index < uint64(len(a.due)) && a.due[index] <= now {
+	a.registry.mu.Lock()
+	defer a.registry.mu.Unlock()
+	for index < uint64(len(a.arrivals)) && a.arrivals[index] <= now {
 		index++
 	}
-	if index < uint64(len(a.due)) {
-		next = a.due[index]
+	if index < uint64(len(a.arrivals)) {
+		next = a.arrivals[index]
 	}
-	return index, next, a.wake
+	return index, next, a.changed
 }
 
-// List is the answer to whoever has the list of version from: what has changed, or
-// the complete list where from is 0 or not a version that the agent has had.
+// List returns the response to a client that has version from: the changes since then, or the complete list
+// if from is 0 or a version that the agent does not have yet.
 func (a *Agent) List(from uint64, now time.Duration) Answer {
 	index, _, _ := a.state(now)
-	a.reg.mu.Lock()
-	defer a.reg.mu.Unlock()
+	a.registry.mu.Lock()
+	defer a.registry.mu.Unlock()
 	out := Answer{Index: index, Endpoints: []Entry{}, Snapshot: from == 0 || from > index}
 	if out.Snapshot {
 		from = 0
 	}
 	last := map[string]int{}
 	for i := from; i < index; i++ {
-		last[a.reg.changes[i].entry.Name] = int(i)
+		last[a.registry.changes[i].entry.Name] = int(i)
 	}
 	for i := from; i < index; i++ {
-		e := a.reg.changes[i].entry
+		e := a.registry.changes[i].entry
 		if last[e.Name] != int(i) || (out.Snapshot && e.Status == Gone) {
 			continue
 		}
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -31,8 +31,8 @@
 	// an operation ended: Op, Class, Tenant, Zone, Node of the last try, How, Took (from Due), Tries
 	Over Kind = "over"
 	// an attempt's last byte reached a backend: Op, ID, Class, Key, Box, Node, Took (its work), Sent (when the
-	// node wrote its last byte), Also (backends where the request is still open), Bad and How (the request is one
-	// that no node may send)
+	// node wrote its last byte), Also (backends where the request is still open), Bad and How (the request is
+	// one that no node may send)
 	Arrive Kind = "arrive"
 	Begin  Kind = "begin" // a backend began the work, so the request may have an effect: ID, Key, Box, Pod
 	Drop   Kind = "drop"  // a backend's pod dropped a repeated key: ID, Key, Box
@@ -47,9 +47,11 @@
 	View Kind = "view"
 	// a process changed its state: Node, Pid, How (start, ready, signal, exit, overdue), Detail, Bad (not as
 	// ordered)
-	Proc   Kind = "proc"
-	Sample Kind = "sample" // a process's resource use: Node, Pid, RSS, FDs, CPU, Stall (both totals since its start)
-	Fault  Kind = "fault"  // a fault begins or ends: How (begin or end), Detail, Nodes (processes that it touches)
+	Proc Kind = "proc"
+	// a process's resource use: Node, Pid, RSS, FDs, CPU, Stall (both totals since its start)
+	Sample Kind = "sample"
+	// a fault begins or ends: How (begin or end), Detail, Nodes (processes that it touches)
+	Fault Kind = "fault"
 	// the lab's own lateness in the previous second: Took (worst), P99, CPU (total of the lab)
 	Lab    Kind = "lab"
 	Meta   Kind = "meta"   // describes the run: Detail (experiment), Seed, Took (planned length)
@@ -121,13 +123,14 @@
 	}
 	f, err := os.Create(path)
 	if err != nil {
-		return nil, fmt.Errorf("history: %w", err)
+		return nil, fmt.Errorf("create history: %w", err)
 	}
 	l.file, l.writer = f, bufio.NewWriterSize(f, 1<<20)
 	return l, nil
 }
 
-// Follow has f called with each later event. f runs under the log's lock, so it must be quick and add no event.
+// Follow has f called with each later event. f runs under the log's lock, so it must be quick and add no
+// event.
 func (l *Log) Follow(f func(Event)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,13 +214,13 @@
 		}
 		var e Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			broken = fmt.Errorf("history, line %d: %w", n, err)
+			broken = fmt.Errorf("read history: line %d: %w", n, err)
 			continue
 		}
 		all = append(all, e)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("history: %w", err)
+		return nil, fmt.Errorf("read history: %w", err)
 	}
 	return all, nil
 }
--- a/internal/lab/labtest/trial.go
+++ b/internal/lab/labtest/trial.go
@@ -12,7 +12,7 @@
 	"wrenspread/internal/registry/server"
 )
 
-// Enough is a time that only a hang takes.
+// Enough is a timeout that is only reached when something hangs.
 const Enough = time.Minute
 
 // Address reserves a port on this machine until the test ends.
@@ -26,7 +26,8 @@
 	return a
 }
 
-// Run starts something that goes on until stop is called; its error then is the test's.
+// Run runs do in the background until stop is called, which cancels the context and fails the test if do
+// returned an error.
 func Run(t testing.TB, do func(context.Context) error) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -39,7 +40,7 @@
 	}
 }
 
-// Await waits until something is so.
+// Await waits until the condition is true, and fails the test after Enough. what names the condition.
 func Await(t testing.TB, what string, is func() bool) {
 	t.Helper()
 	for until := time.Now().Add(Enough); !is(); time.Sleep(5 * time.Millisecond) {
@@ -49,8 +50,7 @@
 	}
 }
 
-// List runs a registry of one replica until the test ends, and gives its address
-// and a client.
+// List runs a registry with one replica until the test ends, and returns its address and a client.
 func List(t testing.TB) (address string, k *client.Client) {
 	t.Helper()
 	c := server.Default()
--- a/internal/lab/link/book.go
+++ b/internal/lab/link/book.go
@@ -5,8 +5,9 @@
 	"sync"
 )
 
-// streamIndex finds streams by the local address of their connection to the target. The target may accept that
-// connection before the dialling side has entered it here, so a lookup waits while any dial is in progress.
+// streamIndex finds streams by the local address of their connection to the target. The target may accept
+// that connection before the dialling side has entered it here, so a lookup waits while any dial is in
+// progress.
 type streamIndex struct {
 	mu       sync.Mutex
 	dialDone *sync.Cond
@@ -20,7 +21,8 @@
 	return b
 }
 
-// dial connects the second half of a stream to the target, and enters the stream under the key that it returns.
+// dial connects the second half of a stream to the target, and enters the stream under the key that it
+// returns.
 func (b *streamIndex) dial(s *Stream, target string) (key string, err error) {
 	b.mu.Lock()
 	b.dialing++
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -23,8 +23,8 @@
 
 func everything(Ends) bool { return true }
 
-// newTestLink makes a network with one link to a listener, which sends accepted connections to taken. Both are closed
-// at the end of the test, and no goroutine may remain.
+// newTestLink makes a network with one link to a listener, which sends accepted connections to taken. Both
+// are closed at the end of the test, and no goroutine may remain.
 func newTestLink(t *testing.T) (n *Net, address string, taken chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestCutHoldsBytesAndConnectionsUntilHealed: over a cut link no byte and no new connection passes, and neither end gets
-// an error; after the heal the held bytes and new connections pass.
+// TestCutHoldsBytesAndConnectionsUntilHealed: over a cut link no byte and no new connection passes, and
+// neither end gets an error; after the heal the held bytes and new connections pass.
 func TestCutHoldsBytesAndConnectionsUntilHealed(t *testing.T) {
 	n, address, taken := newTestLink(t)
 	c := dial(t, address)
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestDatagramsKeepPeerAddressesAndFollowTheShape: each end sees datagrams come from the address that it was given for
-// the other, and a hold drops the datagrams of its direction.
+// TestDatagramsKeepPeerAddressesAndFollowTheShape: each end sees datagrams come from the address that it was
+// given for the other, and a hold drops the datagrams of its direction.
 func TestDatagramsKeepPeerAddressesAndFollowTheShape(t *testing.T) {
 	n := NewNet(1)
 	defer goleak.VerifyNone(t)
--- a/internal/lab/link/net.go
+++ b/internal/lab/link/net.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Ends names a link by the party that connects and the party that listens. On a datagram link between nodes, each
-// end does both.
+// Ends names a link by the party that connects and the party that listens. On a datagram link between nodes,
+// each end does both.
 type Ends struct{ From, To string }
 
 // String returns the ends as "from->to".
@@ -79,7 +79,7 @@
 		return fmt.Errorf("link %s: the network is closed", e)
 	}
 	if _, ok := n.links[e]; ok {
-		return fmt.Errorf("link %s: there is one already", e)
+		return fmt.Errorf("link %s: already exists", e)
 	}
 	n.links[e] = l
 	n.closers = append(n.closers, closing)
@@ -186,11 +186,11 @@
 func Reserve() (address string, free func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return "", nil, fmt.Errorf("reserving a port: %w", err)
+		return "", nil, fmt.Errorf("reserve port: %w", err)
 	}
 	fail := func(err error) (string, func(), error) {
 		_ = unix.Close(fd) // the socket holds no data
-		return "", nil, fmt.Errorf("reserving a port: %w", err)
+		return "", nil, fmt.Errorf("reserve port: %w", err)
 	}
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return fail(err)
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -30,7 +30,8 @@
 	if err != nil {
 		return "", err
 	}
-	p := &proxy{net: n, target: target, address: address, state: newState(n, e), listenerChanged: make(chan struct{}, 1)}
+	p := &proxy{net: n, target: target, address: address, state: newState(n, e),
+		listenerChanged: make(chan struct{}, 1)}
 	p.parkedChanged = sync.NewCond(&p.mu)
 	if err := p.open(); err != nil {
 		free()
@@ -87,11 +88,11 @@
 		besteffort.Close(p.listener)
 		p.listener = nil
 	}
-	p.drainQueue()
+	p.closeFiller()
 }
 
-// follow brings the listener into the state that the link's new shape requires. The caller holds the lock of the
-// link's state.
+// follow brings the listener into the state that the link's new shape requires. The caller holds the lock of
+// the link's state.
 func (p *proxy) follow(before, after Shape) {
 	switch {
 	case after.Refuse && !before.Refuse:
@@ -105,7 +106,7 @@
 		p.fillQueue()
 	} else if p.filler != nil && !after.Cut {
 		p.setBacklog(backlog)
-		p.drainQueue()
+		p.closeFiller()
 		besteffort.SocketOption(p.listener.SetDeadline(time.Time{}))
 	}
 	select {
@@ -127,8 +128,8 @@
 	}
 }
 
-// drainQueue closes the connection that fills the accept queue.
-func (p *proxy) drainQueue() {
+// closeFiller closes the connection that fills the accept queue.
+func (p *proxy) closeFiller() {
 	if p.filler != nil {
 		besteffort.Close(p.filler)
 		p.filler = nil
@@ -221,7 +222,8 @@
 	}
 }
 
-// carry connects an accepted connection to the target and passes bytes in both directions until both have ended.
+// carry connects an accepted connection to the target and passes bytes in both directions until both have
+// ended.
 func (p *proxy) carry(a *net.TCPConn) {
 	s := &Stream{Ends: p.state.ends, a: a, link: p.state, ended: make(chan struct{})}
 	p.state.mu.Lock()
@@ -259,11 +261,12 @@
 // base is the origin of Stream.sent.
 var base = time.Now()
 
-// LastSent returns when the end that connected last wrote something, whether or not the link has passed it on.
+// LastSent returns when the end that connected last wrote something, whether or not the link has passed it
+// on.
 func (s *Stream) LastSent() time.Time { return base.Add(time.Duration(s.sent.Load())) }
 
-// LeftByOpener reports, from the kernel's state of the connection, whether the end that connected has closed its
-// side, even if the link has not passed that on.
+// LeftByOpener reports, from the kernel's state of the connection, whether the end that connected has closed
+// its side, even if the link has not passed that on.
 func (s *Stream) LeftByOpener() bool {
 	raw, err := s.a.SyscallConn()
 	if err != nil {
@@ -302,8 +305,8 @@
 // buffers holds read buffers for reuse.
 var buffers = sync.Pool{New: func() any { b := make([]byte, pieceBytes); return &b }}
 
-// pass carries one direction until its end. It continues to read while the link holds bytes back, so that a close
-// of the sender is noticed.
+// pass carries one direction until its end. It continues to read while the link holds bytes back, so that a
+// close of the sender is noticed.
 func (s *Stream) pass(from, to *net.TCPConn, way Way, number uint64) {
 	parts := make(chan chunk, maxPieces)
 	var reading sync.WaitGroup
@@ -441,8 +444,8 @@
 	return nil
 }
 
-// cutAt shortens data to the bytes that may still pass on a snipped connection, and reports whether the connection
-// has to be reset after them.
+// cutAt shortens data to the bytes that may still pass on a snipped connection, and reports whether the
+// connection has to be reset after them.
 func (s *Stream) cutAt(data []byte, within int) ([]byte, bool) {
 	s.snip.Lock()
 	defer s.snip.Unlock()
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -11,12 +11,12 @@
 	"wrenspread/internal/besteffort"
 )
 
-// maxDatagramBytes bounds the size of a forwarded datagram. A longer one arrives truncated to this size, so the
-// receiver sees that it is too long.
+// maxDatagramBytes bounds the size of a forwarded datagram. A longer one arrives truncated to this size, so
+// the receiver sees that it is too long.
 const maxDatagramBytes = 2048
 
-// Pair makes a datagram link between two parties that listen at the given addresses. toSeen and fromSeen are the
-// addresses at which one party reaches the other, and from which the other's datagrams arrive.
+// Pair makes a datagram link between two parties that listen at the given addresses. toSeen and fromSeen are
+// the addresses at which one party reaches the other, and from which the other's datagrams arrive.
 func (n *Net) Pair(
 	e Ends,
 	fromListens, toListens netip.AddrPort,
@@ -51,8 +51,8 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// datagrams forwards the datagrams that sender sends to in: they go from out to receiver. Datagrams from other
-// addresses are ignored.
+// datagrams forwards the datagrams that sender sends to in: they go from out to receiver. Datagrams from
+// other addresses are ignored.
 func (n *Net) datagrams(l *linkState, in, out *net.UDPConn, sender, receiver netip.AddrPort, way Way) {
 	defer n.tasks.Done()
 	chance := l.randomSource(0, way)
@@ -70,7 +70,8 @@
 }
 
 // datagram forwards one datagram according to the link's shape: it may be dropped or delayed.
-func (l *linkState) datagram(out *net.UDPConn, b []byte, receiver netip.AddrPort, way Way, chance *rand.Rand) {
+func (l *linkState) datagram(out *net.UDPConn, b []byte, receiver netip.AddrPort, way Way,
+	chance *rand.Rand) {
 	now := l.current.Load().Shape
 	if now.Hold&way != 0 || (now.Loss > 0 && chance.Float64() < now.Loss) {
 		return
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,4 +1,4 @@
-// Package load draws ahead, by seed, all that the lab's clients will do. It is pure.
+// Package load draws, by seed and in advance, all operations of the lab's clients. It has no side effects.
 package load
 
 import (
@@ -10,66 +10,66 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Op is one operation that a client wants done: a first try and, where its
-// answer allows that, further ones.
+// Op is one operation of a client: a first try and, where its outcome allows that, retries.
 type Op struct {
-	N       int // from 1
-	Due     time.Duration
-	Class   world.Class
-	Tenant  string
-	Zone    string // of the client
-	Work    time.Duration
-	Hint    time.Duration // what the client believes of the work
-	Key     string        // for keyed ones
-	Share   float64       // of the deadline, after which a try is given up
-	Retries int
-	Backoff []time.Duration // before each retry
-	Heeds   bool            // Retry-After
-	Pick    uint64          // chooses among the nodes of its zone
+	N                int // the operation's number, from 1
+	Due              time.Duration
+	Class            world.Class
+	Tenant           string
+	Zone             string // the client's zone
+	Work             time.Duration
+	Hint             time.Duration // the client's estimate of the work
+	Key              string        // idempotency key of keyed classes
+	Share            float64       // share of the deadline after which the client gives up a try
+	Retries          int
+	Backoff          []time.Duration // wait before each retry
+	HonorsRetryAfter bool            // the client waits as long as Retry-After says
+	NodeChoice       uint64          // selects among the nodes of the zone
 }
 
-// Shape says how much is asked for, and when.
+// Shape describes the rate of operations over time.
 type Shape struct {
-	Rate   float64       // operations a second, in the mean
-	Length time.Duration // of arrivals
-	Bursty bool          // the rate swings, by Swing of itself
+	Rate   float64       // mean number of operations per second
+	Length time.Duration // time during which operations arrive
+	Bursty bool          // the rate oscillates by the share Swing
 	Swing  float64
-	Skew   float64 // the first zone has so much more than its even share, as a part of it
+	Skew   float64 // what the first zone has beyond an even share, as a fraction of that share
 	Surges []Surge
 }
 
-// Surge is a stretch with more load, or less.
+// Surge is a period in which the rate is multiplied by Times.
 type Surge struct {
 	From, To time.Duration
 	Times    float64
 }
 
-const swingPeriod = 7 * time.Second // of a bursty load: several in a short run
+// swingPeriod is the period of a bursty load. A short run has several periods.
+const swingPeriod = 7 * time.Second
 
 // Draw draws the operations in the order in which they are due.
 func Draw(seed uint64, w world.World, s Shape) []Op {
 	r := rand.New(rand.NewPCG(seed, 0x6c6f6164))
-	top := s.Rate * (1 + s.Swing)
+	maxRate := s.Rate * (1 + s.Swing)
 	for _, surge := range s.Surges {
-		top = max(top, s.Rate*(1+s.Swing)*surge.Times)
+		maxRate = max(maxRate, s.Rate*(1+s.Swing)*surge.Times)
 	}
 	var ops []Op
-	for t := time.Duration(0); top > 0; {
-		t += time.Duration(r.ExpFloat64() / top * float64(time.Second))
+	for t := time.Duration(0); maxRate > 0; {
+		t += time.Duration(r.ExpFloat64() / maxRate * float64(time.Second))
 		if t >= s.Length {
 			break
 		}
-		keep := r.Float64() * top // arrivals at the highest rate, thinned to the present one
-		op := draw(r, w, s, t, seed, len(ops)+1)
-		if keep < s.at(t) {
+		threshold := r.Float64() * maxRate // arrivals are drawn at the highest rate and thinned to the present one
+		op := drawOp(r, w, s, t, seed, len(ops)+1)
+		if threshold < s.rateAt(t) {
 			ops = append(ops, op)
 		}
 	}
 	return ops
 }
 
-// at is the rate at one time.
-func (s Shape) at(t time.Duration) float64 {
+// rateAt returns the rate at time t.
+func (s Shape) rateAt(t time.Duration) float64 {
 	rate := s.Rate
 	if s.Bursty {
 		rate *= 1 + s.Swing*math.Sin(2*math.Pi*float64(t)/float64(swingPeriod))
@@ -82,14 +82,15 @@
 	return rate
 }
 
-func draw(r *rand.Rand, w world.World, s Shape, due time.Duration, seed uint64, n int) Op {
+// drawOp draws one operation that is due at a time.
+func drawOp(r *rand.Rand, w world.World, s Shape, due time.Duration, seed uint64, n int) Op {
 	classes := make([]float64, len(w.Classes))
 	for i, c := range w.Classes {
 		classes[i] = c.Share
 	}
-	books := make([]float64, len(w.Tenants))
+	demands := make([]float64, len(w.Tenants))
 	for i, t := range w.Tenants {
-		books[i] = t.Share * t.Usage
+		demands[i] = t.Share * t.Demand
 	}
 	zones := make([]float64, len(w.Zones))
 	for i := range zones {
@@ -102,20 +103,20 @@
 		N:      n,
 		Due:    due,
 		Class:  class,
-		Tenant: w.Tenants[choose(r, books)].Name,
+		Tenant: w.Tenants[choose(r, demands)].Name,
 		Zone:   w.Zones[choose(r, zones)],
 		Work:   work,
 		Hint: time.Duration(
 			float64(work) * world.Spread(r, 0.4),
 		),
-		Share:   0.5 + 0.3*r.Float64(),
-		Retries: 1 + r.IntN(2),
-		Heeds:   r.Float64() < 0.85,
-		Pick:    r.Uint64(),
+		Share:            0.5 + 0.3*r.Float64(),
+		Retries:          1 + r.IntN(2),
+		HonorsRetryAfter: r.Float64() < 0.85,
+		NodeChoice:       r.Uint64(),
 	}
-	wait := (18 + 122*r.Float64()) * float64(time.Millisecond)
+	backoff := (18 + 122*r.Float64()) * float64(time.Millisecond)
 	for i := range op.Retries {
-		op.Backoff = append(op.Backoff, time.Duration(wait*float64(int(1)<<i)*(0.5+r.Float64())))
+		op.Backoff = append(op.Backoff, time.Duration(backoff*float64(int(1)<<i)*(0.5+r.Float64())))
 	}
 	if class.Effect == world.Keyed {
 		op.Key = fmt.Sprintf("%016x%016x", r.Uint64(), r.Uint64())
@@ -123,6 +124,7 @@
 	return op
 }
 
+// choose draws an index with the probabilities that the weights give.
 func choose(r *rand.Rand, weights []float64) int {
 	var sum float64
 	for _, w := range weights {
@@ -137,7 +139,7 @@
 	return len(weights) - 1
 }
 
-// ID is the request id of a try, from 0. No two of a run are the same.
+// ID returns the request ID of a try; the first try has number 0. All IDs of a run differ.
 func (o Op) ID(seed uint64, try int) string {
 	r := rand.New(rand.NewPCG(seed, uint64(o.N)<<8|uint64(try)))
 	return fmt.Sprintf("%016x%06x%02x", r.Uint64(), o.N, try)
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -8,8 +8,9 @@
 	"wrenspread/internal/lab/world"
 )
 
-// TestDraw: a seed gives the same load again, at the rate and with the shares asked for, and no id twice.
-func TestDraw(t *testing.T) {
+// TestDrawIsFixedBySeedAndHasTheRequestedRateAndShares: a seed always gives the same load, with the
+// configured rate and shares, and no ID occurs twice.
+func TestDrawIsFixedBySeedAndHasTheRequestedRateAndShares(t *testing.T) {
 	w := world.Draw(3, 3, 10)
 	s := Shape{Rate: 400, Length: 60 * time.Second, Bursty: true, Swing: 0.3, Surges: []Surge{{From: 20 * time.Second, To: 30 * time.Second, Times: 3}}}
 	ops := Draw(3, w, s)
@@ -34,7 +35,7 @@
 	if len(ids) != 3*len(ops) {
 		t.Errorf("%d ids for %d tries", len(ids), 3*len(ops))
 	}
-	// 400 a second for 50 s, 1,200 for 10 s; five deviations are under 3%.
+	// 400 per second for 50 s, 1,200 for 10 s; five standard deviations are under 3%.
 	if n := len(ops); n < 31000 || n > 33000 || surged < 10800 || surged > 13200 {
 		t.Errorf("%d operations, %d of them in the surge", n, surged)
 	}
--- a/internal/lab/measure/boxes.go
+++ b/internal/lab/measure/boxes.go
@@ -1,5 +1,5 @@
-// Package measure measures the lab itself: its emulated backends against the brief's
-// figures, what its links add, and how much load it can make before it is late.
+// Package measure measures the lab itself: its emulated backends against the brief's figures, the delay that
+// its links add, and the load that it can generate before it is late.
 package measure
 
 import (
@@ -13,22 +13,22 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Kind is what backends of one kind of machine do, in the mean over drawn ones.
+// Kind holds the mean figures of the drawn backends of one kind of machine.
 type Kind struct {
-	Name     string
-	Drawn    int
-	Stated   float64 // cores times speed: work a second, in seconds on a standard core
-	Measured float64 // kept as busy as it has cores
-	Still    float64 // share of the time that it stands still, as drawn
-	Full     float64 // with all slots taken, over Measured
-	Cold     float64 // at its start, over Stated
-	Half     float64 // after half of its stated time without work, over Stated
-	WarmIdle float64 // seconds until it is warm, without work
-	WarmBusy float64 // the same, kept busy
-	Tips     float64 // sent so many times what it can do, it falls over
+	Name         string
+	Count        int
+	Stated       float64 // cores times speed: work per second, in seconds on a standard core
+	Measured     float64 // work per second with one job per core
+	PausedShare  float64 // share of the time for which it pauses, as drawn
+	FullRatio    float64 // work per second with all slots in use, divided by Measured
+	Cold         float64 // capacity at a cold start, divided by Stated
+	Half         float64 // capacity after half of its warm-up time without work, divided by Stated
+	WarmIdle     float64 // seconds until it is warm, without work
+	WarmBusy     float64 // seconds until it is warm, under work
+	FallMultiple float64 // least multiple of its capacity under which a cold backend falls over
 }
 
-// Backends draws that many backends and measures them.
+// Boxes draws n backends and measures them, and returns the means for each kind of machine.
 func Boxes(n int) []Kind {
 	byName := map[string]*Kind{}
 	var order []string
@@ -45,48 +45,53 @@
 	var all []Kind
 	for _, name := range order {
 		k := byName[name]
-		for _, v := range []*float64{&k.Stated, &k.Measured, &k.Still, &k.Full, &k.Cold, &k.Half, &k.WarmIdle, &k.WarmBusy, &k.Tips} {
-			*v /= float64(k.Drawn)
+		for _, v := range []*float64{
+			&k.Stated, &k.Measured, &k.PausedShare, &k.FullRatio, &k.Cold, &k.Half, &k.WarmIdle, &k.WarmBusy,
+			&k.FallMultiple,
+		} {
+			*v /= float64(k.Count)
 		}
 		all = append(all, *k)
 	}
 	return all
 }
 
+// add adds the figures of one machine to the sums.
 func (k *Kind) add(m world.Machine, seed uint64) {
 	const long = 2 * time.Minute
-	busy := rate(m, seed, m.Cores, long)
-	k.Drawn++
+	busy := workRate(m, seed, m.Cores, long)
+	k.Count++
 	k.Stated += m.Capacity()
 	k.Measured += busy
-	k.Still += m.Pause.Seconds() / (m.PauseEvery + m.Pause).Seconds()
-	k.Full += rate(m, seed, m.Slots, long) / busy
+	k.PausedShare += m.Pause.Seconds() / (m.PauseEvery + m.Pause).Seconds()
+	k.FullRatio += workRate(m, seed, m.Slots, long) / busy
 	b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 	k.Cold += b.Capacity(0) / m.Capacity()
 	k.Half += b.Capacity(m.ColdTime/2) / m.Capacity()
 	k.WarmIdle += m.ColdTime.Seconds()
-	k.WarmBusy += warmBusy(m, seed).Seconds()
-	k.Tips += tips(m, seed)
+	k.WarmBusy += warmUpTime(m, seed).Seconds()
+	k.FallMultiple += fallMultiple(m, seed)
 }
 
 const (
-	jobWork = 50 * time.Millisecond
-	look    = 5 * time.Millisecond
+	jobWork      = 50 * time.Millisecond
+	tickInterval = 5 * time.Millisecond
 )
 
-// keep holds so many jobs at a backend and gives the work done by then.
-func keep(
-	b *backend.Box,
+// keepBusy keeps the given number of jobs at a backend until a time or until stop returns true, and returns
+// the work done.
+func keepBusy(
+	b *backend.Backend,
 	jobs int,
 	until time.Duration,
 	stop func(now time.Duration) bool,
 ) (done time.Duration) {
 	held, num := 0, uint64(0)
-	for now := time.Duration(0); now < until && !stop(now); now = min(now+look, max(now+1, b.Next())) {
+	for now := time.Duration(0); now < until && !stop(now); now = min(now+tickInterval, max(now+1, b.Next())) {
 		outs := b.Tick(now)
 		for {
 			for _, o := range outs {
-				if o.What == backend.Done {
+				if o.Kind == backend.Done {
 					held--
 					done += jobWork
 				}
@@ -101,32 +106,34 @@
 	return done
 }
 
-// rate is the work a second of a warm backend that holds so many jobs.
-func rate(m world.Machine, seed uint64, jobs int, long time.Duration) float64 {
-	m.Choke, m.ErrorRate = world.Choke{}, 0
+// workRate returns the work per second of a warm backend that always has the given number of jobs.
+func workRate(m world.Machine, seed uint64, jobs int, long time.Duration) float64 {
+	m.Overload, m.ErrorRate = world.Overload{}, 0
 	b := backend.New(m, backend.NewPod(time.Second), seed, 0, false)
-	return keep(b, jobs, long, func(time.Duration) bool { return false }).Seconds() / long.Seconds()
+	return keepBusy(b, jobs, long, func(time.Duration) bool { return false }).Seconds() / long.Seconds()
 }
 
-func warmBusy(m world.Machine, seed uint64) time.Duration {
-	m.Choke, m.ErrorRate = world.Choke{}, 0
+// warmUpTime returns how long a cold backend under work takes to become warm.
+func warmUpTime(m world.Machine, seed uint64) time.Duration {
+	m.Overload, m.ErrorRate = world.Overload{}, 0
 	b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 	var warm time.Duration
-	keep(b, m.Cores, time.Minute, func(now time.Duration) bool {
+	keepBusy(b, m.Cores, time.Minute, func(now time.Duration) bool {
 		warm = now
 		return b.Capacity(now) >= m.Capacity()
 	})
 	return warm
 }
 
-// tips finds the multiple of its present capacity from which on a cold backend falls over within 2 s.
-func tips(m world.Machine, seed uint64) float64 {
+// fallMultiple returns the least multiple of its present capacity under which a cold backend falls over
+// within 2 s.
+func fallMultiple(m world.Machine, seed uint64) float64 {
 	const work = 5 * time.Millisecond
 	for times := 2.0; times < 8; times += 0.1 {
 		b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 		for now, i := time.Duration(0), uint64(0); now < 2*time.Second; i++ {
 			for _, o := range b.Arrive(now, backend.Job{Num: i, Work: work}, 0) {
-				if o.What == backend.Fell {
+				if o.Kind == backend.Fell {
 					return times
 				}
 			}
@@ -136,7 +143,7 @@
 	return 8
 }
 
-// WriteBoxes writes the table.
+// WriteBoxes writes the kinds as a table.
 func WriteBoxes(w io.Writer, kinds []Kind) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	besteffort.Output(
@@ -151,16 +158,16 @@
 				t,
 				"%s\t%d\t%.3f\t%.3f\t%.1f%%\t%.2f\t%.2f\t%.2f\t%.1f s\t%.1f s\t%.1f x\t\n",
 				k.Name,
-				k.Drawn,
+				k.Count,
 				k.Stated,
 				k.Measured,
-				100*k.Still,
-				k.Full,
+				100*k.PausedShare,
+				k.FullRatio,
 				k.Cold,
 				k.Half,
 				k.WarmIdle,
 				k.WarmBusy,
-				k.Tips,
+				k.FallMultiple,
 			),
 		)
 	}
--- a/internal/lab/measure/cost.go
+++ b/internal/lab/measure/cost.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	trips   = 5000
-	message = 300 // bytes, about a request
+	tripCount    = 5000
+	messageBytes = 300 // about the size of a request
 )
 
-// Trip is the time of round trips.
+// Trip holds quantiles of the time of round trips.
 type Trip struct{ P50, P99 time.Duration }
 
-// Delay measures round trips on one connection, straight and over an idle link.
+// Delay measures round trips on one connection, directly and over an idle link.
 func Delay() (straight, linked Trip, err error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -51,22 +51,23 @@
 	if err != nil {
 		return straight, linked, err
 	}
-	if straight, err = trip(ln.Addr().String()); err != nil {
+	if straight, err = measureTrips(ln.Addr().String()); err != nil {
 		return straight, linked, err
 	}
-	linked, err = trip(over)
+	linked, err = measureTrips(over)
 	return straight, linked, err
 }
 
-func trip(address string) (Trip, error) {
+// measureTrips measures round trips to an echo server.
+func measureTrips(address string) (Trip, error) {
 	c, err := net.Dial("tcp4", address)
 	if err != nil {
 		return Trip{}, err
 	}
 	defer besteffort.Close(c)
 	h := hdrhistogram.New(1000, int64(time.Minute), 3)
-	in, out := bufio.NewReader(c), make([]byte, message)
-	for range trips {
+	in, out := bufio.NewReader(c), make([]byte, messageBytes)
+	for range tripCount {
 		before := time.Now()
 		if _, err := c.Write(out); err != nil {
 			return Trip{}, err
@@ -79,23 +80,23 @@
 	return Trip{time.Duration(h.ValueAtQuantile(50)), time.Duration(h.ValueAtQuantile(99))}, nil
 }
 
-// Step is one rate of load and how late the lab was at it.
+// Step holds one rate of load, and how late the lab was at this rate.
 type Step struct {
 	Rate  float64
-	P99   time.Duration // of the lab's lateness, in its worst second
-	Cores float64       // that the lab took, with the one that answers
+	P99   time.Duration // 99th percentile of the lab's lateness, in its worst second
+	Cores float64       // processor cores that the lab used, including the answering server
 	Ended int
 }
 
-// stepTime is how long each rate is held.
-const stepTime = 3 * time.Second
+// stepLength is how long each rate lasts.
+const stepLength = 3 * time.Second
 
-// Lateness raises the load, over links and to somebody who answers at once, until
-// the lab is later than bound or the rate passes most.
+// Lateness doubles the load, over a link to a server that answers at once, from the rate first until the lab
+// is later than bound or the rate exceeds most.
 func Lateness(ctx context.Context, first, most float64, bound time.Duration) ([]Step, error) {
 	var all []Step
 	for rate := first; rate <= most; rate *= 2 {
-		s, err := step(ctx, rate)
+		s, err := runStep(ctx, rate)
 		if err != nil {
 			return all, err
 		}
@@ -107,7 +108,8 @@
 	return all, nil
 }
 
-func step(ctx context.Context, rate float64) (Step, error) {
+// runStep measures the lab's lateness at one rate.
+func runStep(ctx context.Context, rate float64) (Step, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return Step{}, err
@@ -145,7 +147,7 @@
 			return Step{}, ctx.Err()
 		}
 	}
-	ops := load.Draw(1, w, load.Shape{Rate: rate, Length: stepTime})
+	ops := load.Draw(1, w, load.Shape{Rate: rate, Length: stepLength})
 	clients := client.New(log, front, load.NewBook(), 1)
 	clients.Late = late.Add
 	before, cpu := log.Now(), fleet.OwnCPU()
@@ -163,14 +165,14 @@
 	return s, ctx.Err()
 }
 
-// WriteCost measures and writes what the lab itself costs.
+// WriteCost measures the delay and lateness of the lab itself, and writes them.
 func WriteCost(ctx context.Context, w io.Writer) error {
 	straight, linked, err := Delay()
 	if err != nil {
-		return fmt.Errorf("measuring links: %w", err)
+		return fmt.Errorf("measure links: %w", err)
 	}
 	besteffort.Output(
-		fmt.Fprintf(w, "round trip of %d bytes, %d times: median and 99th percentile\n", message, trips),
+		fmt.Fprintf(w, "round trip of %d bytes, %d times: median and 99th percentile\n", messageBytes, tripCount),
 	)
 	besteffort.Output(
 		fmt.Fprintf(
@@ -184,7 +186,7 @@
 	)
 	steps, err := Lateness(ctx, 500, 64000, 5*time.Millisecond)
 	if err != nil {
-		return fmt.Errorf("measuring lateness: %w", err)
+		return fmt.Errorf("measure lateness: %w", err)
 	}
 	besteffort.Output(
 		fmt.Fprintln(w, "operations a second, over a link, to one in the lab's own process that answers at once:"),
--- a/internal/lab/platform/config.go
+++ b/internal/lab/platform/config.go
@@ -1,5 +1,5 @@
-// Package platform writes what the platform tells a node: its configuration
-// file, in the form of the deployment and wire pages.
+// Package platform writes the configuration file that the platform gives to a node, in the form that the
+// deployment and wire pages define.
 package platform
 
 import (
@@ -12,7 +12,7 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Node is what differs from node to node.
+// Node holds the parts of a node's configuration that differ between nodes.
 type Node struct {
 	Name       string
 	Number     int
@@ -21,35 +21,36 @@
 	Listen     string
 	Control    string
 	Discovery  string
-	List       []string // the registry, which the node then follows by itself
+	List       []string // addresses of the registry, if the node follows it directly
 	ListFile   string
-	ListPart   bool     // it follows its part of that list alone
-	ByServer   bool     // its figures tell servers apart
-	PeerListen string   // empty: nodes have no messages
-	Peers      []string // by number, its own included
-	Govern     bool     // it follows the operators' policy
-	Tenants    bool     // and the catalogue of tenants
-	Fleet      string   // the nodes' own view of each other; empty: they keep none
+	ListPart   bool     // the node follows only its part of the registry's list
+	ByServer   bool     // the node's metrics are separate for each backend
+	PeerListen string   // address for messages between nodes; empty: none
+	Peers      []string // addresses by node number, its own included
+	Govern     bool     // the node follows the operators' policy
+	Tenants    bool     // the node follows the catalogue of tenants
+	Fleet      string   // name of the fleet whose members the node tracks; empty: none
 	Known      discovery.Answer
 	Seed       uint64
 	MemoryMB   int
 	Sockets    int
 }
 
+// object is a JSON object.
 type object map[string]any
 
-// Write writes the configuration file at path, whole or not at all.
+// Write writes the configuration file at path atomically. rate is the mean number of requests per second.
 func (n Node) Write(path string, w world.World, rate float64) error {
 	raw, err := json.MarshalIndent(n.config(w, rate), "", " ")
 	if err != nil {
-		return fmt.Errorf("configuration of %s: %w", n.Name, err)
+		return fmt.Errorf("encode configuration of %s: %w", n.Name, err)
 	}
 	next := path + ".next"
 	if err := os.WriteFile(next, raw, 0o644); err != nil {
-		return fmt.Errorf("configuration of %s: %w", n.Name, err)
+		return fmt.Errorf("write configuration of %s: %w", n.Name, err)
 	}
 	if err := os.Rename(next, path); err != nil {
-		return fmt.Errorf("configuration of %s: %w", n.Name, err)
+		return fmt.Errorf("write configuration of %s: %w", n.Name, err)
 	}
 	return nil
 }
@@ -91,17 +92,18 @@
 	return c
 }
 
-var effects = map[string]string{world.Safe: "retryable", world.Unsafe: "fragile", world.Keyed: "dedup"}
+// effectNames holds the configuration's names for the effects of classes.
+var effectNames = map[string]string{world.Safe: "retryable", world.Unsafe: "fragile", world.Keyed: "dedup"}
 
 func (n Node) settings(w world.World, rate float64) object {
 	var classes, accounts []object
 	for _, c := range w.Classes {
 		k := object{
 			"name":            c.Name,
-			"effect":          effects[c.Effect],
+			"effect":          effectNames[c.Effect],
 			"aim_ns":          c.Aim,
 			"give_up_ns":      c.Deadline,
-			"importance":      c.Worth,
+			"importance":      c.Importance,
 			"late_worth":      0.0,
 			"streamed":        false,
 			"key_scope":       "all",
@@ -115,7 +117,7 @@
 	for _, t := range w.Tenants {
 		accounts = append(
 			accounts,
-			object{"name": t.Name, "fraction": t.Share, "quota_per_s": t.Share * rate * quota},
+			object{"name": t.Name, "fraction": t.Share, "quota_per_s": t.Share * rate * quotaFactor},
 		)
 	}
 	return object{
@@ -180,6 +182,6 @@
 	}
 }
 
-// quota is a tenant's share over what is asked for in the mean, so that most of a
-// tenant's usage, 0.5 to 1.4 of its share, stays inside.
-const quota = 1.3
+// quotaFactor is a tenant's quota divided by its share of the mean load. A tenant's demand is 0.5 to 1.4 of
+// its share, so it mostly stays within the quota.
+const quotaFactor = 1.3
--- a/internal/lab/platform/config_test.go
+++ b/internal/lab/platform/config_test.go
@@ -9,8 +9,9 @@
 	"wrenspread/internal/proxy"
 )
 
-// TestNodeReadsIt: what the lab's platform writes, a node takes whole.
-func TestNodeReadsIt(t *testing.T) {
+// TestProxyLoadsTheWrittenConfig: the proxy accepts the configuration that the platform writes, with all its
+// values.
+func TestProxyLoadsTheWrittenConfig(t *testing.T) {
 	w := world.Draw(1, 3, 4)
 	n := Node{Name: "n1", Number: 1, Nodes: 2, Zone: w.Zones[1], Listen: "127.0.0.1:1", Control: "127.0.0.1:2", Discovery: "127.0.0.1:3",
 		PeerListen: "127.0.0.1:4", Peers: []string{"127.0.0.1:5", "127.0.0.1:4"}, Seed: 1 << 63, MemoryMB: 64, Sockets: 256,
--- a/internal/lab/process/proc.go
+++ b/internal/lab/process/proc.go
@@ -1,5 +1,5 @@
-// Package process starts the real programs that the lab plays with, watches them,
-// and ends them: by id, also when the lab itself is killed.
+// Package process starts the real programs of a lab run, watches them, and ends them by process ID. They also
+// end when the lab itself is killed.
 package process
 
 import (
@@ -23,34 +23,34 @@
 	"wrenspread/internal/lab/history"
 )
 
-// Spec says what to start.
+// Spec describes a process to start.
 type Spec struct {
-	Name    string // of the party, the same after a restart
+	Name    string // name of the party, the same after a restart
 	Command []string
-	Env     []string // in place of the lab's own environment
-	Dir     string   // its folder; its log is there too
+	Env     []string // replaces the lab's own environment
+	Dir     string   // its working directory, which also holds its log
 	Files   []*os.File
-	FDs     uint64 // limit on descriptors; 0: the lab's own
-	// it may end by itself with an error of its own (status 1), as one that finds its folder damaged
+	FDs     uint64 // limit on file descriptors; 0: the lab's own limit
+	// MayFail allows the process to exit by itself with status 1, for instance when it finds its folder damaged.
 	MayFail bool
-	MayEnd  bool // it may end by itself once its work is done (status 0)
+	MayEnd  bool // the process may exit by itself with status 0 once its work is done
 }
 
-// Group owns the processes of a run.
+// Group starts and ends the processes of a run.
 type Group struct {
 	log    *history.Log
 	starts chan func()
 	mu     sync.Mutex
 	procs  []*Proc
-	ended  bool
+	closed bool
 	done   chan struct{}
 }
 
 // NewGroup makes a group whose events go to log. It must be closed.
 func NewGroup(log *history.Log) *Group {
 	g := &Group{log: log, starts: make(chan func()), done: make(chan struct{})}
-	// The kernel kills a child when the thread that started it ends, so one thread starts all and never ends
-	// before the lab.
+	// The kernel kills a child (Pdeathsig) when the thread that started it ends. So one thread starts all
+	// processes, and does not end before the lab.
 	go func() {
 		runtime.LockOSThread()
 		for {
@@ -65,97 +65,100 @@
 	return g
 }
 
-// order is what a process has been told to do.
-type order int32
+// orderedEnd says which end was ordered for a process, so that its exit can be judged.
+type orderedEnd int32
 
 const (
-	serve order = iota
-	end         // SIGTERM: it owes an exit with 0
-	die         // SIGKILL
+	noEndOrdered orderedEnd = iota
+	terminate               // SIGTERM: it has to exit with status 0
+	kill                    // SIGKILL
 )
 
-// Proc is one process.
+// Proc is one process that a Group started.
 type Proc struct {
-	Name   string
-	Pid    int
-	log    *history.Log
-	cmd    *exec.Cmd
-	order  atomic.Int32
-	exited chan struct{}
-	state  *os.ProcessState // once exited
-	out    *capped
-	may    map[int]bool // statuses with which it may end by itself
+	Name         string
+	Pid          int
+	log          *history.Log
+	cmd          *exec.Cmd
+	order        atomic.Int32
+	exited       chan struct{}
+	state        *os.ProcessState // set when exited is closed
+	output       *cappedLog
+	allowedExits map[int]bool // exit statuses with which it may end by itself
 }
 
-// Start starts a process. Its output goes to a file in its folder, as far as MaxLog.
+// Start starts a process. Its output goes to the file "log" in its folder, up to MaxLog bytes.
 func (g *Group) Start(s Spec) (*Proc, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ended {
-		return nil, errors.New("the group has ended")
+	if g.closed {
+		return nil, fmt.Errorf("start %s: the process group is closed", s.Name)
 	}
 	if err := os.MkdirAll(s.Dir, 0o755); err != nil {
-		return nil, fmt.Errorf("starting %s: %w", s.Name, err)
+		return nil, fmt.Errorf("start %s: %w", s.Name, err)
 	}
-	out, err := newCapped(filepath.Join(s.Dir, "log"))
+	out, err := openCappedLog(filepath.Join(s.Dir, "log"))
 	if err != nil {
-		return nil, fmt.Errorf("starting %s: %w", s.Name, err)
+		return nil, fmt.Errorf("start %s: %w", s.Name, err)
 	}
 	cmd := exec.Command(s.Command[0], s.Command[1:]...)
 	cmd.Env, cmd.Dir, cmd.ExtraFiles = s.Env, s.Dir, s.Files
 	cmd.Stdout, cmd.Stderr = out, out
-	cmd.WaitDelay = time.Second // for whoever still holds its output
+	cmd.WaitDelay = time.Second // for a child that still has its output open
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
 	g.starts <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		out.Close()
-		return nil, fmt.Errorf("starting %s: %w", s.Name, err)
+		return nil, fmt.Errorf("start %s: %w", s.Name, err)
 	}
 	p := &Proc{
-		Name:   s.Name,
-		Pid:    cmd.Process.Pid,
-		log:    g.log,
-		cmd:    cmd,
-		exited: make(chan struct{}),
-		out:    out,
-		may:    map[int]bool{0: s.MayEnd, 1: s.MayFail},
+		Name:         s.Name,
+		Pid:          cmd.Process.Pid,
+		log:          g.log,
+		cmd:          cmd,
+		exited:       make(chan struct{}),
+		output:       out,
+		allowedExits: map[int]bool{0: s.MayEnd, 1: s.MayFail},
 	}
 	if s.FDs > 0 {
 		limit := unix.Rlimit{Cur: s.FDs, Max: s.FDs}
 		if err := unix.Prlimit(p.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
 			besteffort.Signal(cmd.Process.Kill())
-			_ = cmd.Wait() // it was killed
-			return nil, fmt.Errorf("limiting %s: %w", s.Name, err)
+			_ = cmd.Wait() // the error is that it was killed
+			return nil, fmt.Errorf("set descriptor limit of %s: %w", s.Name, err)
 		}
 	}
 	g.procs = append(g.procs, p)
-	p.say("start", "", false)
+	p.record("start", "", false)
 	go p.wait()
 	return p, nil
 }
 
-func (p *Proc) say(how, detail string, bad bool) {
+// record adds an event of the process to the history.
+func (p *Proc) record(how, detail string, bad bool) {
 	p.log.Add(history.Event{Kind: history.Proc, Node: p.Name, Pid: p.Pid, How: how, Detail: detail, Bad: bad})
 }
 
+// wait waits for the end of the process and records whether it ended as ordered.
 func (p *Proc) wait() {
-	_ = p.cmd.Wait() // its error says no more than the state does
+	_ = p.cmd.Wait() // the state holds all that the error says
 	p.state = p.cmd.ProcessState
-	p.out.Close()
-	p.say("exit", p.state.String(), !p.asOrdered())
+	p.output.Close()
+	p.record("exit", p.state.String(), !p.asOrdered())
 	close(p.exited)
 }
 
+// asOrdered reports whether the exit status is that of the ordered end.
 func (p *Proc) asOrdered() bool {
 	status, _ := p.state.Sys().(syscall.WaitStatus)
-	switch order(p.order.Load()) {
-	case end:
+	switch orderedEnd(p.order.Load()) {
+	case terminate:
 		return p.state.ExitCode() == 0
-	case die:
+	case kill:
 		return status.Signaled() && status.Signal() == syscall.SIGKILL
 	default:
-		return p.may[p.state.ExitCode()]
+		return p.allowedExits[p.state.ExitCode()]
 	}
 }
 
@@ -172,13 +175,13 @@
 	}
 }
 
-// Signal sends a signal that does not end the process: SIGSTOP, SIGCONT, SIGHUP.
+// Signal records and sends a signal.
 func (p *Proc) Signal(s syscall.Signal) error {
-	p.say("signal", unix.SignalName(s), false)
+	p.record("signal", unix.SignalName(s), false)
 	return p.cmd.Process.Signal(s)
 }
 
-// Pause has the process stand still for that time, or until ctx ends.
+// Pause stops the process with SIGSTOP for the time last, or until ctx ends, and then continues it.
 func (p *Proc) Pause(ctx context.Context, last time.Duration) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -189,7 +192,7 @@
 
 // Kill ends the process with SIGKILL.
 func (p *Proc) Kill() error {
-	p.order.Store(int32(die))
+	p.order.Store(int32(kill))
 	return p.Signal(syscall.SIGKILL)
 }
 
@@ -202,16 +205,16 @@
 	return nil
 }
 
-// quitTime is what an overdue process has to write down what it does.
-const quitTime = time.Second
+// quitTimeout is how long an overdue process has to write its stack traces after SIGQUIT.
+const quitTimeout = time.Second
 
-// Term orders the process to end. One that still runs after patience is killed,
-// which the history tells as an end that was not as ordered.
+// Term ends the process with SIGTERM. A process that still runs after patience is killed, and the history
+// records that it did not end as ordered.
 func (p *Proc) Term(patience time.Duration) error {
 	if !p.Running() {
 		return nil
 	}
-	p.order.Store(int32(end))
+	p.order.Store(int32(terminate))
 	if err := p.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
@@ -220,12 +223,12 @@
 		return nil
 	case <-time.After(patience):
 	}
-	p.say("overdue", fmt.Sprintf("still runs %v after SIGTERM", patience), true)
-	besteffort.Signal(p.cmd.Process.Signal(syscall.SIGQUIT)) // a Go program writes into its log what it hangs on
+	p.record("overdue", fmt.Sprintf("still runs %v after SIGTERM", patience), true)
+	besteffort.Signal(p.cmd.Process.Signal(syscall.SIGQUIT)) // a Go program writes its stack traces to its log
 	select {
 	case <-p.exited:
 		return nil
-	case <-time.After(quitTime):
+	case <-time.After(quitTimeout):
 	}
 	if err := p.cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
@@ -234,41 +237,42 @@
 	return nil
 }
 
-// askEvery is how often a process is asked whether it is ready.
-const askEvery = 10 * time.Millisecond
+// readyPollInterval is the time between two readiness checks of a starting process.
+const readyPollInterval = 10 * time.Millisecond
 
-// WaitReady asks url until it answers 200, the process ends, or ctx does.
+// WaitReady requests url until it answers 200. It returns an error if the process or ctx ends first.
 func (p *Proc) WaitReady(ctx context.Context, url string) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
-			return fmt.Errorf("asking %s: %w", p.Name, err)
+			return fmt.Errorf("check readiness of %s: %w", p.Name, err)
 		}
 		if resp, err := client.Do(req); err == nil {
 			besteffort.Close(resp.Body)
 			if resp.StatusCode == http.StatusOK {
-				p.say("ready", "", false)
+				p.record("ready", "", false)
 				return nil
 			}
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s ended before it was ready: %s; its log: %s", p.Name, p.state, p.out.path)
+			return fmt.Errorf("%s ended before it was ready: %s; its log: %s", p.Name, p.state, p.output.path)
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready: %w; its log: %s", p.Name, ctx.Err(), p.out.path)
-		case <-time.After(askEvery):
+			return fmt.Errorf("%s is not ready: %w; its log: %s", p.Name, ctx.Err(), p.output.path)
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// Close ends all that still runs, one patience for all together, and waits for it.
+// Close ends all running processes at the same time, each within patience, and waits for them. Later calls do
+// nothing.
 func (g *Group) Close(patience time.Duration) {
 	g.mu.Lock()
-	procs, again := g.procs, g.ended
-	g.ended = true
+	procs, alreadyClosed := g.procs, g.closed
+	g.closed = true
 	g.mu.Unlock()
-	if again {
+	if alreadyClosed {
 		return
 	}
 	var ends sync.WaitGroup
@@ -277,8 +281,9 @@
 		go func() {
 			defer ends.Done()
 			if p.Running() {
-				besteffort.Signal(p.cmd.Process.Signal(syscall.SIGCONT)) // one that is stopped could not end
-				_ = p.Term(patience)                                     // one that does not end is killed and said so
+				besteffort.Signal(p.cmd.Process.Signal(syscall.SIGCONT)) // a stopped process could not end
+				// a process that does not end is killed, and that is recorded
+				_ = p.Term(patience)
 			}
 		}()
 	}
@@ -299,9 +304,9 @@
 	return all
 }
 
-// Suffer pauses, kills or ends a process as a fault orders: pauses it for last,
-// kills it and waits for so long, or tells it to end and has patience. again says
-// that the one which runs it is to start it anew.
+// Suffer carries out a fault on the process. "pause" stops it for the time last; "kill" kills it and waits
+// for the time last; "restart" ends it within patience. again reports whether the caller has to start the
+// process again.
 func (p *Proc) Suffer(ctx context.Context, do string, last, patience time.Duration) (again bool, err error) {
 	switch do {
 	case "pause":
--- a/internal/lab/process/proc_test.go
+++ b/internal/lab/process/proc_test.go
@@ -20,27 +20,27 @@
 	"wrenspread/internal/lab/history"
 )
 
-const enough = 30 * time.Second // only a hang takes so long
+const hangTimeout = 30 * time.Second // longer than any step takes unless it hangs
 
-// TestMain plays the processes that the tests start.
+// TestMain runs the tests, or the process that a test starts, which PROC_TEST selects.
 func TestMain(m *testing.M) {
 	switch os.Getenv("PROC_TEST") {
 	case "deaf": // ignores SIGTERM
 		signal.Ignore(syscall.SIGTERM)
 		fmt.Println("deaf")
-		time.Sleep(enough)
+		time.Sleep(hangTimeout)
 	case "flood":
 		line := strings.Repeat("x", 1023)
 		for range 2 * MaxLog / 1024 {
 			fmt.Fprintln(os.Stderr, line)
 		}
-	case "owner": // a lab that is killed
+	case "owner": // a lab, which the test kills
 		g := NewGroup(must(history.New("")))
-		p := must(g.Start(spec(os.Getenv("PROC_DIR"), "sleep")))
+		p := must(g.Start(testSpec(os.Getenv("PROC_DIR"), "sleep")))
 		fmt.Println(p.Pid)
-		time.Sleep(enough)
+		time.Sleep(hangTimeout)
 	case "sleep":
-		time.Sleep(enough)
+		time.Sleep(hangTimeout)
 	default:
 		os.Exit(m.Run())
 	}
@@ -53,12 +53,12 @@
 	return v
 }
 
-func spec(dir, what string) Spec {
+func testSpec(dir, what string) Spec {
 	return Spec{Name: what, Command: []string{os.Args[0]}, Env: []string{"PROC_TEST=" + what}, Dir: dir, FDs: 64}
 }
 
-// exits gives the events on ends that were not as ordered.
-func exits(l *history.Log) (all, bad int) {
+// countExits returns the number of exits, and of events that were not as ordered.
+func countExits(l *history.Log) (all, bad int) {
 	for _, e := range l.Events() {
 		if e.How == "exit" {
 			all++
@@ -70,22 +70,23 @@
 	return all, bad
 }
 
-func start(t *testing.T, what string) (*Group, *history.Log, *Proc, string) {
+func startTestProcess(t *testing.T, what string) (*Group, *history.Log, *Proc, string) {
 	t.Helper()
 	l, dir := must(history.New("")), t.TempDir()
 	g := NewGroup(l)
 	t.Cleanup(func() { g.Close(time.Millisecond) })
-	p, err := g.Start(spec(dir, what))
+	p, err := g.Start(testSpec(dir, what))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return g, l, p, filepath.Join(dir, "log")
 }
 
-// TestDeafProcess: one that ignores SIGTERM is killed in the end, and told of.
-func TestDeafProcess(t *testing.T) {
-	g, l, p, log := start(t, "deaf")
-	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
+// TestProcessThatIgnoresSigtermIsKilledAndRecorded: a process that ignores SIGTERM is killed after the
+// patience, and the history records that its end was not as ordered.
+func TestProcessThatIgnoresSigtermIsKilledAndRecorded(t *testing.T) {
+	g, l, p, log := startTestProcess(t, "deaf")
+	for until := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
 		if b, _ := os.ReadFile(log); len(b) > 0 {
 			break
 		} else if time.Now().After(until) {
@@ -93,17 +94,17 @@
 		}
 	}
 	g.Close(50 * time.Millisecond)
-	if all, bad := exits(l); p.Running() || all != 1 || bad == 0 {
+	if all, bad := countExits(l); p.Running() || all != 1 || bad == 0 {
 		t.Errorf("it runs: %v; %d ends, %d not as ordered", p.Running(), all, bad)
 	}
-	if _, err := g.Start(spec(t.TempDir(), "sleep")); err == nil {
+	if _, err := g.Start(testSpec(t.TempDir(), "sleep")); err == nil {
 		t.Error("a group that has ended starts a process")
 	}
 }
 
-// TestStoppedProcess: one that stands still ends all the same.
-func TestStoppedProcess(t *testing.T) {
-	g, _, p, _ := start(t, "sleep")
+// TestCloseEndsAStoppedProcess: a process stopped by SIGSTOP ends too.
+func TestCloseEndsAStoppedProcess(t *testing.T) {
+	g, _, p, _ := startTestProcess(t, "sleep")
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
@@ -113,26 +114,27 @@
 	}
 }
 
-// TestOrderedKill: an end by order is no fault, one by itself is.
-func TestOrderedKill(t *testing.T) {
-	_, l, p, _ := start(t, "sleep")
+// TestOnlyAnUnorderedEndIsRecordedAsBad: an ordered kill is not recorded as bad, an exit without an order is.
+func TestOnlyAnUnorderedEndIsRecordedAsBad(t *testing.T) {
+	_, l, p, _ := startTestProcess(t, "sleep")
 	if err := p.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	<-p.Exited()
-	if all, bad := exits(l); all != 1 || bad != 0 {
+	if all, bad := countExits(l); all != 1 || bad != 0 {
 		t.Errorf("%d ends, %d not as ordered", all, bad)
 	}
-	_, l, p, _ = start(t, "flood")
+	_, l, p, _ = startTestProcess(t, "flood")
 	<-p.Exited()
-	if _, bad := exits(l); bad != 1 {
+	if _, bad := countExits(l); bad != 1 {
 		t.Errorf("an end by itself counts as ordered")
 	}
 }
 
-// TestFlood: a log that floods is cut, and holds nobody up.
-func TestFlood(t *testing.T) {
-	_, _, p, log := start(t, "flood")
+// TestFloodedLogIsCutAndDoesNotBlockTheProcess: output beyond MaxLog is discarded, and the process is not
+// blocked.
+func TestFloodedLogIsCutAndDoesNotBlockTheProcess(t *testing.T) {
+	_, _, p, log := startTestProcess(t, "flood")
 	<-p.Exited()
 	b, err := os.ReadFile(log)
 	if err != nil || len(b) < MaxLog || len(b) > MaxLog+200 || !strings.Contains(string(b[MaxLog:]), "passed over") {
@@ -140,15 +142,15 @@
 	}
 }
 
-func TestNotReady(t *testing.T) {
-	_, _, p, _ := start(t, "flood")
+func TestWaitReadyFailsWhenTheProcessEnds(t *testing.T) {
+	_, _, p, _ := startTestProcess(t, "flood")
 	if err := p.WaitReady(context.Background(), "http://127.0.0.1:1/"); err == nil || !strings.Contains(err.Error(), "ended before") {
 		t.Errorf("a process that ends is waited for: %v", err)
 	}
 }
 
-// TestKilledOwner: what a lab started ends with it, however it ends.
-func TestKilledOwner(t *testing.T) {
+// TestProcessesEndWhenTheLabIsKilled: the processes of a lab end even when the lab is killed.
+func TestProcessesEndWhenTheLabIsKilled(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "PROC_TEST=owner", "PROC_DIR="+t.TempDir())
 	out, err := cmd.StdoutPipe()
@@ -173,7 +175,7 @@
 	besteffort.Signal(cmd.Process.Kill())
 	_, _ = io.Copy(io.Discard, in)
 	_ = cmd.Wait()
-	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
 		if !alive(pid) {
 			return
 		}
@@ -184,7 +186,7 @@
 	}
 }
 
-// alive tells whether a process runs; one that waits to be reaped does not.
+// alive reports whether a process runs; a zombie does not.
 func alive(pid int) bool {
 	if errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 		return false
--- a/internal/lab/process/use.go
+++ b/internal/lab/process/use.go
@@ -10,19 +10,19 @@
 	"wrenspread/internal/lab/history"
 )
 
-// tick is the unit of processor time in /proc/PID/stat: USER_HZ, 100 a second on every Linux port that Go
-// has.
-const tick = 10 * time.Millisecond
+// cpuTick is the unit of processor time in /proc/PID/stat: USER_HZ, which is 100 per second on every Linux
+// port of Go.
+const cpuTick = 10 * time.Millisecond
 
-// Use is what a process uses.
+// Use holds the resources that a process uses.
 type Use struct {
 	RSS   int64         // bytes
 	FDs   int           // open descriptors
-	CPU   time.Duration // since its start
-	Stall time.Duration // time that its threads were ready to run and had no core, since their start
+	CPU   time.Duration // processor time since its start
+	Stall time.Duration // time for which its threads were ready to run and had no core, since their start
 }
 
-// UseOf reads the use of a process from /proc.
+// UseOf reads the resource use of a process from /proc.
 func UseOf(pid int) (Use, error) {
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	var u Use
@@ -30,12 +30,12 @@
 	if err != nil {
 		return u, err
 	}
-	fields := bytes.Fields(stat[bytes.LastIndexByte(stat, ')')+1:]) // from the third field of the page on
+	fields := bytes.Fields(stat[bytes.LastIndexByte(stat, ')')+1:]) // starts with the third field of proc(5)
 	if len(fields) < 22 {
 		return u, fmt.Errorf("%sstat: %d fields", dir, len(fields))
 	}
-	u.CPU = time.Duration(number(fields[11])+number(fields[12])) * tick
-	u.RSS = number(fields[21]) * int64(os.Getpagesize())
+	u.CPU = time.Duration(parseInt(fields[11])+parseInt(fields[12])) * cpuTick
+	u.RSS = parseInt(fields[21]) * int64(os.Getpagesize())
 	fds, err := os.ReadDir(dir + "fd")
 	if err != nil {
 		return u, err
@@ -48,14 +48,14 @@
 	for _, t := range tasks { // a thread may have ended since
 		if b, err := os.ReadFile(dir + "task/" + t.Name() + "/schedstat"); err == nil {
 			if f := bytes.Fields(b); len(f) >= 2 {
-				u.Stall += time.Duration(number(f[1]))
+				u.Stall += time.Duration(parseInt(f[1]))
 			}
 		}
 	}
 	return u, nil
 }
 
-// Ran is the processor time of a process's threads that live, to the nanosecond.
+// Ran returns the processor time of a process's running threads, in nanosecond resolution.
 func Ran(pid int) (sum time.Duration, err error) {
 	dir := fmt.Sprintf("/proc/%d/task/", pid)
 	tasks, err := os.ReadDir(dir)
@@ -65,22 +65,22 @@
 	for _, t := range tasks { // a thread may have ended since
 		if b, err := os.ReadFile(dir + t.Name() + "/schedstat"); err == nil {
 			if f := bytes.Fields(b); len(f) >= 1 {
-				sum += time.Duration(number(f[0]))
+				sum += time.Duration(parseInt(f[0]))
 			}
 		}
 	}
 	return sum, nil
 }
 
-func number(b []byte) int64 {
-	n, _ := strconv.ParseInt(string(b), 10, 64) // the kernel writes numbers
+func parseInt(b []byte) int64 {
+	n, _ := strconv.ParseInt(string(b), 10, 64) // the kernel always writes numbers
 	return n
 }
 
-// Sample puts the use of every running process into the history.
+// Sample records the resource use of every running process in the history.
 func (g *Group) Sample() {
 	for _, p := range g.Running() {
-		if u, err := UseOf(p.Pid); err == nil { // else it has just ended
+		if u, err := UseOf(p.Pid); err == nil { // an error means that the process has just ended
 			g.log.Add(
 				history.Event{
 					Kind:  history.Sample,
--- a/internal/lab/report/bounds.go
+++ b/internal/lab/report/bounds.go
@@ -42,7 +42,7 @@
 		want(f.Latency[c].P99 <= bound, "%s: 99th percentile %v, want %v at most", c, f.Latency[c].P99, bound)
 	}
 	if b.Recovered > 0 {
-		level := b.Level * f.Before()
+		level := b.Level * f.Baseline()
 		got := f.Recovered(level)
 		want(
 			got >= 0 && got <= time.Duration(b.Recovered),
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -78,8 +78,8 @@
 	Sampled time.Duration `json:"-"` // time that the samples cover
 }
 
-// BoxUse counts the attempts that reached one backend.
-type BoxUse struct {
+// BackendUse counts the attempts that reached one backend.
+type BackendUse struct {
 	Arrived int           `json:"arrived"`
 	Begun   int           `json:"begun"`
 	Turned  int           `json:"turned"`
@@ -89,22 +89,24 @@
 
 // Figures holds the figures of one run.
 type Figures struct {
-	Name     string               `json:"name"`
-	Seed     uint64               `json:"seed"`
-	Length   time.Duration        `json:"length"`
-	All      Count                `json:"all"`
-	Classes  map[string]Count     `json:"classes"`
-	Latency  map[string]Quantiles `json:"latency"` // by class, of served operations
-	Seconds  []Second             `json:"seconds"`
-	Faults   []Span               `json:"faults"`
-	Nodes    map[string]NodeUse   `json:"nodes"`
-	Boxes    map[string]BoxUse    `json:"boxes"`
-	Attempts float64              `json:"attempts"` // mean number of attempts at backends per operation
-	Crossed  int                  `json:"crossed"`  // requests that were on their way when the node closed the connection
-	LateLab  time.Duration        `json:"late_lab"` // 99th percentile of the lab's own lateness, in its worst second
-	WorstLab time.Duration        `json:"worst_lab"`
-	LabCPU   float64              `json:"lab_cpu"`   // mean number of cores
-	NodesCPU float64              `json:"nodes_cpu"` // mean number of cores of all nodes together
+	Name     string                `json:"name"`
+	Seed     uint64                `json:"seed"`
+	Length   time.Duration         `json:"length"`
+	All      Count                 `json:"all"`
+	Classes  map[string]Count      `json:"classes"`
+	Latency  map[string]Quantiles  `json:"latency"` // by class, of served operations
+	Seconds  []Second              `json:"seconds"`
+	Faults   []Span                `json:"faults"`
+	Nodes    map[string]NodeUse    `json:"nodes"`
+	Boxes    map[string]BackendUse `json:"boxes"`
+	Attempts float64               `json:"attempts"` // mean number of attempts at backends per operation
+	// requests that were on their way when the node closed the connection
+	Crossed int `json:"crossed"`
+	// 99th percentile of the lab's own lateness, in its worst second
+	LateLab  time.Duration `json:"late_lab"`
+	WorstLab time.Duration `json:"worst_lab"`
+	LabCPU   float64       `json:"lab_cpu"`   // mean number of cores
+	NodesCPU float64       `json:"nodes_cpu"` // mean number of cores of all nodes together
 	// Stalled is the mean share of the time for which a node's threads waited for a core.
 	Stalled float64 `json:"stalled"`
 }
@@ -118,7 +120,7 @@
 		Classes: map[string]Count{},
 		Latency: map[string]Quantiles{},
 		Nodes:   map[string]NodeUse{},
-		Boxes:   map[string]BoxUse{},
+		Boxes:   map[string]BackendUse{},
 	}
 	due := map[int]time.Duration{}
 	hists := map[string]*hdrhistogram.Histogram{}
@@ -139,14 +141,14 @@
 			f.Crossed++
 		case history.Arrive:
 			arrived++
-			f.updateBackend(e.Box, func(b *BoxUse) { b.Arrived++; b.Work += e.Took })
+			f.updateBackend(e.Box, func(b *BackendUse) { b.Arrived++; b.Work += e.Took })
 		case history.Begin:
-			f.updateBackend(e.Box, func(b *BoxUse) { b.Begun++ })
+			f.updateBackend(e.Box, func(b *BackendUse) { b.Begun++ })
 		case history.Turn:
-			f.updateBackend(e.Box, func(b *BoxUse) { b.Turned++ })
+			f.updateBackend(e.Box, func(b *BackendUse) { b.Turned++ })
 		case history.End:
 			if e.Status != 200 {
-				f.updateBackend(e.Box, func(b *BoxUse) { b.Errors++ })
+				f.updateBackend(e.Box, func(b *BackendUse) { b.Errors++ })
 			}
 		case history.Sample:
 			if processes[e.Pid] == nil {
@@ -181,7 +183,8 @@
 }
 
 // addOperation counts an operation that ended in all groups to which it belongs.
-func (f *Figures) addOperation(e history.Event, due, aim time.Duration, hists map[string]*hdrhistogram.Histogram) {
+func (f *Figures) addOperation(e history.Event, due, aim time.Duration,
+	hists map[string]*hdrhistogram.Histogram) {
 	f.All.add(e.How, e.Took, aim)
 	c := f.Classes[e.Class]
 	c.add(e.How, e.Took, aim)
@@ -206,7 +209,7 @@
 }
 
 // updateBackend applies a change to the counts of one backend.
-func (f *Figures) updateBackend(name string, change func(*BoxUse)) {
+func (f *Figures) updateBackend(name string, change func(*BackendUse)) {
 	b := f.Boxes[name]
 	change(&b)
 	f.Boxes[name] = b
@@ -259,8 +262,8 @@
 	}
 }
 
-// Before returns the share served in time before the first fault, the run's own baseline.
-func (f Figures) Before() float64 {
+// Baseline returns the share served in time before the first fault, the run's own baseline.
+func (f Figures) Baseline() float64 {
 	var sum Count
 	for _, s := range f.Seconds {
 		if len(f.Faults) == 0 || s.At+time.Second <= f.firstFault() {
@@ -282,8 +285,8 @@
 // minAskedPerSecond is the least number of operations that a second needs to count for the recovery.
 const minAskedPerSecond = 10
 
-// Recovered returns the time from the end of the last fault until the share served in time reaches a level and
-// stays there to the end of the run, except for one second in ten. It is negative if that never happens.
+// Recovered returns the time from the end of the last fault until the share served in time reaches a level
+// and stays there to the end of the run, except for one second in ten. It is negative if that never happens.
 func (f Figures) Recovered(level float64) time.Duration {
 	var last time.Duration
 	for _, s := range f.Faults {
@@ -309,7 +312,8 @@
 	return -1
 }
 
-// Names returns the sorted keys of one of the figures' maps, with short numbered names in order of their number.
+// Names returns the sorted keys of one of the figures' maps, with short numbered names in order of their
+// number.
 func Names[V any](m map[string]V) []string {
 	return slices.SortedFunc(maps.Keys(m), func(a, b string) int {
 		if len(a) != len(b) && a[:1] == b[:1] && len(a) < 5 && len(b) < 5 { // n2 before n10
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -40,7 +40,7 @@
 		return Names(m)
 	case map[string]NodeUse:
 		return Names(m)
-	case map[string]BoxUse:
+	case map[string]BackendUse:
 		return Names(m)
 	}
 	return nil
@@ -59,7 +59,7 @@
 	path := filepath.Join(dir, pageFile)
 	f, err := os.Create(path)
 	if err != nil {
-		return "", fmt.Errorf("report: %w", err)
+		return "", fmt.Errorf("create report page: %w", err)
 	}
 	defer besteffort.Close(f)
 	err = page.Execute(f, struct {
@@ -68,7 +68,7 @@
 		Most  int
 	}{r, plots, maxFindings})
 	if err != nil {
-		return "", fmt.Errorf("report: %w", err)
+		return "", fmt.Errorf("write report page: %w", err)
 	}
 	return path, f.Close()
 }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -66,8 +66,8 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// overTime plots lines over the seconds of the run, with the faults shaded. top is the upper end of the vertical
-// axis; 0 chooses it from the data.
+// overTime plots lines over the seconds of the run, with the faults shaded. top is the upper end of the
+// vertical axis; 0 chooses it from the data.
 func (f Figures) overTime(title string, top float64, lines []line) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = title, "s"
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -11,8 +11,8 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// sampleHistory returns a history of 20 s with 20 operations per second. The operations due from 5 to 9 s fail;
-// a fault lasts from 5 to 7 s.
+// sampleHistory returns a history of 20 s with 20 operations per second. The operations due from 5 to 9 s
+// fail; a fault lasts from 5 to 7 s.
 func sampleHistory() []history.Event {
 	events := []history.Event{{Kind: history.Meta, Detail: "day", Seed: 4, Took: 20 * time.Second}}
 	for i := range 400 {
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestLateMachineVoidsOnlyTimedVerdicts: on a slow machine, rules about times are not judged, rules about order are.
+// TestLateMachineVoidsOnlyTimedVerdicts: on a slow machine, rules about times are not judged, rules about
+// order are.
 func TestLateMachineVoidsOnlyTimedVerdicts(t *testing.T) {
 	bad := []check.Finding{{Text: "x"}}
 	for _, c := range []struct {
@@ -90,8 +91,8 @@
 	}
 }
 
-// TestPageStandsAloneAndSummaryReadsBack: the page is written and needs no other file, and reading the summary returns
-// the same run.
+// TestPageStandsAloneAndSummaryReadsBack: the page is written and needs no other file, and reading the
+// summary returns the same run.
 func TestPageStandsAloneAndSummaryReadsBack(t *testing.T) {
 	dir := t.TempDir()
 	run := Run{Figures: Of(sampleHistory(), aims), Verdicts: []check.Verdict{{Name: "answered", Broken: []check.Finding{{ID: "<id>", Text: "lost"}}}}}
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -28,8 +28,8 @@
 	Unplayed // the machine was too slow for the run to count
 )
 
-// Result returns the overall result. A broken rule about the order of events always fails the run; a broken rule
-// about times fails it only if the machine was fast enough.
+// Result returns the overall result. A broken rule about the order of events always fails the run; a broken
+// rule about times fails it only if the machine was fast enough.
 func (r Run) Result() Result {
 	result := Pass
 	for _, v := range r.Verdicts {
@@ -44,8 +44,9 @@
 	return result
 }
 
-// Above these limits, times are not judged. The shortest latency objective is 200 ms, and a tenth of it may be
-// due to the lab. When nodes wait for a core for a quarter of the time, the run measures the machine instead.
+// Above these limits, times are not judged. The shortest latency objective is 200 ms, and a tenth of it may
+// be due to the lab. When nodes wait for a core for a quarter of the time, the run measures the machine
+// instead.
 const (
 	maxLabLateP99       = 20 * time.Millisecond
 	maxLateSecondsShare = 0.1 // share of the run's seconds in which the lab may exceed maxLabLateP99
@@ -64,7 +65,8 @@
 		}
 	}
 	if float64(late) > maxLateSecondsShare*float64(seconds) {
-		return fmt.Sprintf("in %d of %d seconds the lab's own timers were over %v late", late, seconds, maxLabLateP99)
+		return fmt.Sprintf("in %d of %d seconds the lab's own timers were over %v late",
+			late, seconds, maxLabLateP99)
 	}
 	if f.Stalled > maxStalledShare {
 		return fmt.Sprintf("the nodes' threads waited for a core for %.0f%% of the time", 100*f.Stalled)
@@ -72,8 +74,8 @@
 	return ""
 }
 
-// Line returns the run in one line: PASS, FAIL or VOID, the experiment's name and seed, and then the figures, the
-// first broken rule, or the reason why the run does not count.
+// Line returns the run in one line: PASS, FAIL or VOID, the experiment's name and seed, and then the figures,
+// the first broken rule, or the reason why the run does not count.
 func (r Run) Line() string {
 	f := r.Figures
 	switch r.Result() {
@@ -109,10 +111,10 @@
 func (r Run) Write(dir string) (page string, err error) {
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return "", fmt.Errorf("summary: %w", err)
+		return "", fmt.Errorf("encode summary: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, summaryFile), raw, 0o644); err != nil {
-		return "", fmt.Errorf("summary: %w", err)
+		return "", fmt.Errorf("write summary: %w", err)
 	}
 	return r.writePage(dir)
 }
--- a/internal/lab/spec/acts.go
+++ b/internal/lab/spec/acts.go
@@ -43,7 +43,8 @@
 		allowedKeys: keySet("way"),
 		description: "nothing passes and nothing is said; new connections never come up",
 	},
-	"mute":   {target: "link", hasLength: true, allowedKeys: keySet("way"), description: "connections come up, but nothing passes"},
+	"mute": {target: "link", hasLength: true, allowedKeys: keySet("way"),
+		description: "connections come up, but nothing passes"},
 	"refuse": {target: "link", hasLength: true, description: "new connections are refused"},
 	"reset": {
 		target:      "link",
@@ -91,8 +92,9 @@
 		hasLength:   true,
 		description: "its machine is lost without a word; it returns cold after for",
 	},
-	"drain": {target: "box", hasLength: true, description: "listed as draining, then gone; it returns cold after for"},
-	"full":  {target: "replica", hasLength: true, description: "its disk takes nothing"},
+	"drain": {target: "box", hasLength: true,
+		description: "listed as draining, then gone; it returns cold after for"},
+	"full": {target: "replica", hasLength: true, description: "its disk takes nothing"},
 	"corrupt": {
 		target:      "replica",
 		hasLength:   true,
@@ -104,7 +106,8 @@
 	},
 }
 
-// exclusive reports whether a fault stops or starts its target, so that no two of them may overlap on one target.
+// exclusive reports whether a fault stops or starts its target, so that no two of them may overlap on one
+// target.
 func exclusive(do string) bool {
 	switch do {
 	case "kill", "pause", "restart", "join", "upgrade", "crash", "vanish", "drain", "full", "corrupt":
--- a/internal/lab/spec/check.go
+++ b/internal/lab/spec/check.go
@@ -19,7 +19,8 @@
 	maxWorkers   = 100
 )
 
-// check returns an error for each value of the experiment that is out of its bounds or contradicts another one.
+// check returns an error for each value of the experiment that is out of its bounds or contradicts another
+// one.
 func (e *Experiment) check() []error {
 	var errs []error
 	bad := func(header, key string, ok bool, format string, args ...any) {
@@ -218,7 +219,8 @@
 	bad("for", a.hasLength || f.For == 0 || f.Every > 0, "%s is of one moment and takes no length", f.Do)
 	bad("for", f.Do != "drain" || time.Duration(f.For) >= minDrain, "a drain takes %v or more", minDrain)
 	for key, given := range map[string]bool{
-		"way": f.Way != "", "delay": f.Delay != 0, "jitter": f.Jitter != 0, "loss": f.Loss != 0, "rate": f.Rate != 0,
+		"way": f.Way != "", "delay": f.Delay != 0, "jitter": f.Jitter != 0, "loss": f.Loss != 0,
+		"rate":  f.Rate != 0,
 		"bytes": f.Bytes != 0, "every": f.Every != 0, "times": f.Times != 0, "part": f.Part != 0,
 	} {
 		bad(key, !given || a.allowedKeys[key], "%s takes no %s", f.Do, key)
@@ -392,7 +394,8 @@
 	for c, v := range b.P99 {
 		errs = append(errs, e.knownClass("p99", c)...)
 		if d, err := time.ParseDuration(v); err != nil || d <= 0 {
-			errs = append(errs, e.errorAt("[bounds]", 0, "p99", "%q is not a duration, want a number with its unit", v))
+			errs = append(errs,
+				e.errorAt("[bounds]", 0, "p99", "%q is not a duration, want a number with its unit", v))
 		}
 	}
 	if b.Holder > 0 && e.Duties.Workers == 0 {
@@ -415,5 +418,6 @@
 	if slices.Contains(Classes, name) {
 		return nil
 	}
-	return []error{e.errorAt("[bounds]", 0, key, "%q is no class; there are %s", name, strings.Join(Classes, ", "))}
+	return []error{
+		e.errorAt("[bounds]", 0, key, "%q is no class; there are %s", name, strings.Join(Classes, ", "))}
 }
--- a/internal/lab/spec/parse.go
+++ b/internal/lab/spec/parse.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// line returns the line number of a key in the nth table with the given header. Where the key is absent, it is
-// the line of that header, or 1.
+// line returns the line number of a key in the nth table with the given header. Where the key is absent, it
+// is the line of that header, or 1.
 func (e *Experiment) line(header string, nth int, key string) int {
 	seen, within, found := -1, header == "", 0
 	for i, text := range strings.Split(e.source, "\n") {
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -20,8 +20,8 @@
 )
 
 // Parties returns the parties that the names select, without repeats. A name is a single party (n0, s0,
-// clients, discovery), a group (nodes, boxes, replicas, workers, holders, conductors, agents), or zone:NAME for
-// the nodes and backends of a zone.
+// clients, discovery), a group (nodes, boxes, replicas, workers, holders, conductors, agents), or zone:NAME
+// for the nodes and backends of a zone.
 func (e *Experiment) Parties(names []string) ([]string, error) {
 	var all []string
 	for _, name := range names {
@@ -108,7 +108,8 @@
 func canTarget(do, party string) bool {
 	kind := kindOf(party)
 	process := do == "kill" || do == "pause" || do == "restart"
-	return kind == faultKinds[do].target || (kind == "replica" || kind == "conductor" || kind == "keeper") && process ||
+	return kind == faultKinds[do].target ||
+		(kind == "replica" || kind == "conductor" || kind == "keeper") && process ||
 		kind == "worker" && (process || do == "upgrade")
 }
 
@@ -139,48 +140,49 @@
 	To   []string
 }
 
-// drawableFaults holds, by the fault's name, the function that draws one fault of this kind. available is the
+// drawableFaults holds, by the fault's name, the function that draws one fault of this kind. limit is the
 // longest time that the fault may last.
-var drawableFaults = map[string]func(r *rand.Rand, available time.Duration) Fault{
-	"kill":    func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 3)} },
-	"pause":   func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 4)} },
-	"restart": func(r *rand.Rand, available time.Duration) Fault { return Fault{} },
-	"upgrade": func(r *rand.Rand, available time.Duration) Fault { return Fault{} },
-	"crash":   func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 5)} },
-	"vanish":  func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 6)} },
-	"slow": func(r *rand.Rand, available time.Duration) Fault {
-		return Fault{For: randomLength(r, available, 8), Times: 3 + 5*r.Float64()}
+var drawableFaults = map[string]func(r *rand.Rand, limit time.Duration) Fault{
+	"kill":    func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 3)} },
+	"pause":   func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 4)} },
+	"restart": func(r *rand.Rand, limit time.Duration) Fault { return Fault{} },
+	"upgrade": func(r *rand.Rand, limit time.Duration) Fault { return Fault{} },
+	"crash":   func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 5)} },
+	"vanish":  func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 6)} },
+	"slow": func(r *rand.Rand, limit time.Duration) Fault {
+		return Fault{For: randomLength(r, limit, 8), Times: 3 + 5*r.Float64()}
 	},
-	"hang": func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 8)} },
-	"errors": func(r *rand.Rand, available time.Duration) Fault {
-		return Fault{For: randomLength(r, available, 8), Part: 0.3 + 0.5*r.Float64()}
+	"hang": func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 8)} },
+	"errors": func(r *rand.Rand, limit time.Duration) Fault {
+		return Fault{For: randomLength(r, limit, 8), Part: 0.3 + 0.5*r.Float64()}
 	},
-	"cut": func(r *rand.Rand, available time.Duration) Fault {
-		return Fault{For: randomLength(r, available, 5), Way: []string{"both", "forward", "back"}[r.IntN(3)]}
+	"cut": func(r *rand.Rand, limit time.Duration) Fault {
+		return Fault{For: randomLength(r, limit, 5), Way: []string{"both", "forward", "back"}[r.IntN(3)]}
 	},
-	"mute":  func(r *rand.Rand, available time.Duration) Fault { return Fault{For: randomLength(r, available, 5)} },
-	"reset": func(r *rand.Rand, available time.Duration) Fault { return Fault{} },
-	"shape": func(r *rand.Rand, available time.Duration) Fault {
+	"mute":  func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 5)} },
+	"reset": func(r *rand.Rand, limit time.Duration) Fault { return Fault{} },
+	"shape": func(r *rand.Rand, limit time.Duration) Fault {
 		return Fault{
-			For:   randomLength(r, available, 6),
+			For:   randomLength(r, limit, 6),
 			Delay: Duration(time.Duration(5+r.IntN(60)) * time.Millisecond),
 			Loss:  0.2 * r.Float64(),
 		}
 	},
-	"snip": func(r *rand.Rand, available time.Duration) Fault {
-		return Fault{For: randomLength(r, available, 3), Bytes: 200 + r.IntN(4000)}
+	"snip": func(r *rand.Rand, limit time.Duration) Fault {
+		return Fault{For: randomLength(r, limit, 3), Bytes: 200 + r.IntN(4000)}
 	},
 }
 
 // randomLength draws a length between a quarter of the longest one and the longest one, which is the given
-// number of seconds or the available time.
-func randomLength(r *rand.Rand, available time.Duration, seconds int) Duration {
-	longest := min(available, time.Duration(seconds)*time.Second)
+// number of seconds or the limit.
+func randomLength(r *rand.Rand, limit time.Duration, seconds int) Duration {
+	longest := min(limit, time.Duration(seconds)*time.Second)
 	return Duration(longest/4 + time.Duration(r.Int64N(int64(longest*3/4))))
 }
 
-// Schedule returns all faults of a run, in the order in which they begin: the faults of the file, with shares of
-// parties drawn, and the faults drawn from the menu. The result depends only on the experiment and the seed.
+// Schedule returns all faults of a run, in the order in which they begin: the faults of the file, with shares
+// of parties drawn, and the faults drawn from the menu. The result depends only on the experiment and the
+// seed.
 func (e *Experiment) Schedule(seed uint64) []Step {
 	r := rand.New(rand.NewPCG(seed, 0x6661756c74))
 	var steps []Step
@@ -216,7 +218,8 @@
 // maxDrawAttempts bounds how often a fault is drawn again because it overlaps with scheduled ones.
 const maxDrawAttempts = 50
 
-// drawSteps draws the faults of the menu so that they overlap neither with the fixed steps nor with each other.
+// drawSteps draws the faults of the menu so that they overlap neither with the fixed steps nor with each
+// other.
 func (e *Experiment) drawSteps(r *rand.Rand, fixed []Step) []Step {
 	if e.Draw == nil {
 		return nil
@@ -257,8 +260,8 @@
 // minGap is the least time between two exclusive faults of one process or backend.
 const minGap = Duration(2 * time.Second)
 
-// clashes reports whether a step acts on the same process or backend as another exclusive step, with less than
-// minGap between them.
+// clashes reports whether a step acts on the same process or backend as another exclusive step, with less
+// than minGap between them.
 func clashes(s Step, others []Step) bool {
 	for _, o := range others {
 		if !exclusive(s.Do) || !exclusive(o.Do) || s.At > o.At+o.For+minGap || o.At > s.At+s.For+minGap {
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -103,7 +103,8 @@
 // List describes discovery: its delays, and the registry where it is used instead of the lab's discovery.
 type List struct {
 	Notice Duration `toml:"notice"` // delay until a change reaches a node, give or take half; 0: drawn
-	Silent Duration `toml:"silent"` // delay until the loss of a backend that did not announce it is noticed; 0: drawn
+	// delay until the loss of a backend that did not announce it is noticed; 0: drawn
+	Silent Duration `toml:"silent"`
 
 	// Replicas is the number of registry replicas that replace the lab's discovery; 0: no registry.
 	Replicas  int  `toml:"replicas"`
@@ -137,8 +138,9 @@
 
 // Quota is a policy with one limit on the requests of the whole fleet, which the quota keepers distribute.
 type Quota struct {
-	Holders int           `toml:"holders"` // number of keepers that compete for the lease, named k0, k1 and so on
-	Rate    float64       `toml:"rate"`    // requests per second
+	// number of keepers that compete for the lease, named k0, k1 and so on
+	Holders int           `toml:"holders"`
+	Rate    float64       `toml:"rate"` // requests per second
 	Burst   float64       `toml:"burst"`
 	Changes []QuotaChange `toml:"change"`
 }
@@ -180,14 +182,17 @@
 
 // Bounds are limits for the run's figures, in addition to the checks. Absent bounds are not checked.
 type Bounds struct {
-	Served    float64            `toml:"served"`    // least share of operations served within their latency objective
-	Failed    *float64           `toml:"failed"`    // greatest share that ends failed, broken, silent or unreached
-	Refused   *float64           `toml:"refused"`   // greatest share that ends refused
-	Class     map[string]float64 `toml:"class"`     // least share served within the latency objective, by class
-	P99       map[string]string  `toml:"p99"`       // greatest 99th percentile of served operations, by class
-	Holder    Duration           `toml:"holder"`    // longest time that a lease may be without a holder
-	Followers Duration           `toml:"followers"` // longest time until 99% of the followers know a change, counted from the first that does
-	Recovered Duration           `toml:"recovered"` // longest time from the last fault's end to recovery
+	// least share of operations served within their latency objective
+	Served float64 `toml:"served"`
+	// greatest share that ends failed, broken, silent or unreached
+	Failed  *float64           `toml:"failed"`
+	Refused *float64           `toml:"refused"` // greatest share that ends refused
+	Class   map[string]float64 `toml:"class"`   // least share served within the latency objective, by class
+	P99     map[string]string  `toml:"p99"`     // greatest 99th percentile of served operations, by class
+	Holder  Duration           `toml:"holder"`  // longest time that a lease may be without a holder
+	// longest time until 99% of the followers know a change, counted from the first that does
+	Followers Duration `toml:"followers"`
+	Recovered Duration `toml:"recovered"` // longest time from the last fault's end to recovery
 	// Level is the share of the service before the first fault that counts as recovered; 0 means
 	// defaultRecoveredShare.
 	Level float64 `toml:"recovered_at"`
--- a/internal/lab/spec/spec_test.go
+++ b/internal/lab/spec/spec_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestScheduleIsFixedBySeedAndFitsItsBounds: a seed always draws the same faults, all within their period, and no two
-// exclusive faults of one target at once.
+// TestScheduleIsFixedBySeedAndFitsItsBounds: a seed always draws the same faults, all within their period,
+// and no two exclusive faults of one target at once.
 func TestScheduleIsFixedBySeedAndFitsItsBounds(t *testing.T) {
 	e, err := Parse("x.toml", validExperiment)
 	if err != nil {
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestScheduleAndZonesOf300Nodes: most faults of a long menu find a time among 300 nodes, and a zone holds a third of the
-// parties.
+// TestScheduleAndZonesOf300Nodes: most faults of a long menu find a time among 300 nodes, and a zone holds a
+// third of the parties.
 func TestScheduleAndZonesOf300Nodes(t *testing.T) {
 	e, err := Parse("x.toml", strings.NewReplacer("nodes = 6", "nodes = 300", "boxes = 12", "boxes = 200", "faults = 12", "faults = 200").Replace(validExperiment))
 	if err != nil {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -19,22 +19,22 @@
 
 // Class is one kind of request.
 type Class struct {
-	Name     string
-	Effect   string
-	Share    float64 // share of all requests
-	Work     time.Duration
-	CV       float64 // coefficient of variation of the work of single requests
-	Aim      time.Duration
-	Deadline time.Duration
-	Worth    float64
-	Window   time.Duration // time for which a pod drops repeats of a key
+	Name       string
+	Effect     string
+	Share      float64 // share of all requests
+	Work       time.Duration
+	CV         float64 // coefficient of variation of the work of single requests
+	Aim        time.Duration
+	Deadline   time.Duration
+	Importance float64
+	Window     time.Duration // time for which a pod drops repeats of a key
 }
 
 // Tenant is one tenant, with its share of the service and its demand.
 type Tenant struct {
-	Name  string
-	Share float64 // the tenant's share of the service
-	Usage float64 // demand divided by the share
+	Name   string
+	Share  float64 // the tenant's share of the service
+	Demand float64 // demand divided by the share
 }
 
 // Machine describes the machine of one app backend.
@@ -45,7 +45,8 @@
 	Speed            float64 // speed of a core relative to a standard core
 	Slots            int     // requests that are processed at once
 	Queue            int     // requests that may wait
-	Thrash, ThrashAt float64 // above ThrashAt requests per core, each further one costs the share Thrash of efficiency
+	// above ThrashAt requests per core, each further one costs the share Thrash of efficiency
+	Thrash, ThrashAt float64
 	ColdFrom         float64
 	ColdTime         time.Duration
 	PauseEvery       time.Duration
@@ -55,16 +56,17 @@
 	Connections      int
 	Handshake        time.Duration // extra work for the first request of a connection
 	Noise            float64       // coefficient of variation of the work between attempts of one request
-	Choke            Choke
+	Overload         Overload
 }
 
-// Choke describes the overload state of a machine: it becomes slower after having too many requests for too long.
-type Choke struct {
-	At     float64 // requests per core above which the machine is crowded; 0: it has no overload state
-	Over   time.Duration
-	Slower float64
-	Rest   time.Duration // time of being mostly idle that ends the state
-	Most   time.Duration // longest duration of the state
+// Overload describes the overload state of a machine: it becomes slower after having too many requests for
+// too long.
+type Overload struct {
+	At           float64 // requests per core above which the machine is crowded; 0: it has no overload state
+	After        time.Duration
+	Slower       float64
+	RecoveryIdle time.Duration // time of being mostly idle that ends the state
+	MaxDuration  time.Duration // longest duration of the state
 }
 
 // World is one drawn deployment.
@@ -140,8 +142,8 @@
 	{"slow-dual", 0.32, 2, 0.59, 0.8, 8.2, 38, 0.067, 12, 22, 96, 1.6, 5.8},
 }
 
-// Draw draws a deployment with zoneCount zones and the given number of machines. The same seed always gives the
-// same deployment.
+// Draw draws a deployment with zoneCount zones and the given number of machines. The same seed always gives
+// the same deployment.
 func Draw(seed uint64, zoneCount, machines int) World {
 	r := rand.New(rand.NewPCG(seed, 0x776f726c64))
 	between := func(low, high float64) float64 { return low + r.Float64()*(high-low) }
@@ -157,14 +159,15 @@
 		w.Zones = append(w.Zones, name)
 	}
 	for _, t := range tenants {
-		w.Tenants = append(w.Tenants, Tenant{Name: t.name, Share: t.share, Usage: between(t.low, t.high)})
+		w.Tenants = append(w.Tenants, Tenant{Name: t.name, Share: t.share, Demand: between(t.low, t.high)})
 	}
 	for _, c := range classes {
 		w.Classes = append(
 			w.Classes,
 			Class{Name: c.name, Effect: c.effect, Share: c.share, Work: ms(c.low, c.high),
-				CV: between(c.cvMin, c.cvMax), Aim: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline), Worth: c.worth,
-				Window: time.Duration(c.windowSeconds * float64(time.Second))},
+				CV: between(c.cvMin, c.cvMax), Aim: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline),
+				Importance: c.worth,
+				Window:     time.Duration(c.windowSeconds * float64(time.Second))},
 		)
 	}
 	for _, k := range kinds {
@@ -181,7 +184,8 @@
 }
 
 // drawMachine draws a machine; between and ms draw a number and a time in milliseconds from a range.
-func drawMachine(r *rand.Rand, between func(a, b float64) float64, ms func(a, b float64) time.Duration) Machine {
+func drawMachine(r *rand.Rand, between func(a, b float64) float64,
+	ms func(a, b float64) time.Duration) Machine {
 	pick := r.Float64()
 	k := kinds[0]
 	for _, next := range kinds[1:] {
@@ -216,12 +220,12 @@
 		Noise:          between(0.087, 0.55),
 	}
 	if r.Float64() < 0.6 {
-		m.Choke = Choke{
-			At:     between(4, 7),
-			Over:   ms(1500, 2500),
-			Slower: between(2.2, 3.2),
-			Rest:   ms(2400, 5000),
-			Most:   ms(21000, 33000),
+		m.Overload = Overload{
+			At:           between(4, 7),
+			After:        ms(1500, 2500),
+			Slower:       between(2.2, 3.2),
+			RecoveryIdle: ms(2400, 5000),
+			MaxDuration:  ms(21000, 33000),
 		}
 	}
 	return m
