--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/box.go
@@ -197,7 +197,7 @@
 func (b *Backend) Tick(now time.Duration) []Action { return b.advance(now, nil) }
 
 // advance moves the state forward to now in steps of constant rate, and adds the resulting actions to outs.
-func (b *Backend) advance(now time.Duration, outs []Action) []Action {
+func (b *Backend) advance(now time.Duration, actions []Action) []Action {
 	for b.now < now {
 		to := min(now, max(b.Next(), b.now+1))
 		r := b.ratePerJob()
@@ -210,43 +210,43 @@
 		if b.cold && b.warmth(to) >= 1 {
 			b.cold, b.recentWork = false, nil
 		}
-		outs = b.finish(outs)
+		actions = b.finish(actions)
 		b.updateOverload()
 	}
-	return outs
+	return actions
 }
 
 // finish answers the jobs whose work is done, and starts waiting jobs in their slots.
-func (b *Backend) finish(outs []Action) []Action {
+func (b *Backend) finish(actions []Action) []Action {
 	for len(b.running) > 0 && b.running[0].endsAt <= b.servicePerJob+1e-12 {
 		j := heap.Pop(&b.running).(*job)
 		status := 200
 		if b.rng.Float64() < b.machine.ErrorRate {
 			status = 500
 		}
-		outs = append(outs, Action{Kind: Done, Num: j.Num, Status: status})
+		actions = append(actions, Action{Kind: Done, Num: j.Num, Status: status})
 	}
-	return b.fillSlots(outs)
+	return b.fillSlots(actions)
 }
 
 // fillSlots starts waiting jobs while there are free slots.
-func (b *Backend) fillSlots(outs []Action) []Action {
+func (b *Backend) fillSlots(actions []Action) []Action {
 	for len(b.waiting) > 0 && len(b.running) < b.machine.Slots {
 		j := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		outs = b.start(j, outs)
+		actions = b.start(j, actions)
 	}
-	return outs
+	return actions
 }
 
 // start begins a job, or answers it at once if its pod has seen its key.
-func (b *Backend) start(j *job, outs []Action) []Action {
+func (b *Backend) start(j *job, actions []Action) []Action {
 	if j.Key != "" && !b.pod.begin(j.Key, j.arrived, b.now) {
-		return append(outs, Action{Kind: Dropped, Num: j.Num}, Action{Kind: Done, Num: j.Num, Status: 200})
+		return append(actions, Action{Kind: Dropped, Num: j.Num}, Action{Kind: Done, Num: j.Num, Status: 200})
 	}
 	j.endsAt = b.servicePerJob + j.Work.Seconds()
 	heap.Push(&b.running, j)
-	return append(outs, Action{Kind: Begun, Num: j.Num})
+	return append(actions, Action{Kind: Begun, Num: j.Num})
 }
 
 // updateOverload enters the overload state when there were too many jobs for too long, and leaves it after
@@ -281,29 +281,29 @@
 
 // Arrive adds a job that arrives now. extra is additional work for its connection.
 func (b *Backend) Arrive(now time.Duration, j Job, extra time.Duration) []Action {
-	outs := b.advance(now, nil)
+	actions := b.advance(now, nil)
 	if b.fallen {
-		return outs
+		return actions
 	}
 	if b.cold && b.exceedsColdLimit(j.Work.Seconds()) {
 		b.fallen = true
-		return append(outs, Action{Kind: Fell})
+		return append(actions, Action{Kind: Fell})
 	}
 	j.Work += extra
-	in := &job{Job: j, arrived: b.now}
+	added := &job{Job: j, arrived: b.now}
 	if b.degradation.Fails > 0 && b.rng.Float64() < b.degradation.Fails {
-		return append(outs, b.fail(in)...)
+		return append(actions, b.fail(added)...)
 	}
 	switch {
 	case len(b.running) < b.machine.Slots && len(b.waiting) == 0:
-		outs = b.start(in, outs)
+		actions = b.start(added, actions)
 	case len(b.waiting) < b.machine.Queue:
-		b.waiting = append(b.waiting, in)
+		b.waiting = append(b.waiting, added)
 	default:
-		outs = append(outs, Action{Kind: Rejected, Num: j.Num, Reason: "full"})
+		actions = append(actions, Action{Kind: Rejected, Num: j.Num, Reason: "full"})
 	}
 	b.updateOverload()
-	return outs
+	return actions
 }
 
 // fail answers at once that the job has failed. It may still have had its effect, so its pod records the key.
@@ -333,21 +333,21 @@
 
 // Cancel reports that the node has ended the attempt of a job.
 func (b *Backend) Cancel(now time.Duration, num uint64) []Action {
-	outs := b.advance(now, nil)
+	actions := b.advance(now, nil)
 	for i, j := range b.waiting {
 		if j.Num == num && b.machine.DropsCancelled {
 			b.waiting = append(b.waiting[:i:i], b.waiting[i+1:]...)
 			break
 		}
 	}
-	return outs
+	return actions
 }
 
 // SetDegradation replaces the backend's degradation.
 func (b *Backend) SetDegradation(now time.Duration, t Trouble) []Action {
-	outs := b.advance(now, nil)
+	actions := b.advance(now, nil)
 	b.degradation = t
-	return outs
+	return actions
 }
 
 // JobCount returns the number of jobs in service and waiting.
--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -115,7 +115,7 @@
 	s := c.server
 	id := req.Header.Get("X-Request-Id")
 	a := &attempt{id: id, box: s.machine.Name, conn: c, answer: make(chan answer, 1)}
-	op := s.host.book.Find(id)
+	op := s.host.requests.Find(id)
 	e := history.Event{Kind: history.Arrive, ID: id, Box: s.machine.Name, Node: c.node}
 	if op == nil {
 		e.Bad = true // no client sent it
@@ -123,7 +123,7 @@
 		return c.write(http.StatusBadRequest, "no client sent this", "")
 	}
 	e.Op, e.Key, e.Class, e.Took = op.N, op.Key, op.Class.Name, op.Work
-	s.host.book.MarkReached(id)
+	s.host.requests.MarkReached(id)
 	e.Also = s.host.addAttempt(a)
 	defer s.host.removeAttempt(a)
 	a.arrived = s.host.log.Now()
--- a/internal/lab/backendserver/host.go
+++ b/internal/lab/backendserver/host.go
@@ -14,12 +14,12 @@
 
 // Host runs the backends of a lab.
 type Host struct {
-	log     *history.Log
-	net     *link.Net
-	book    *load.Book
-	seed    uint64
-	servers map[string]*Server
-	tasks   sync.WaitGroup
+	log      *history.Log
+	net      *link.Net
+	requests *load.Book
+	seed     uint64
+	servers  map[string]*Server
+	tasks    sync.WaitGroup
 
 	mu           sync.Mutex // not to be held while a Server's lock is acquired
 	openAttempts map[string][]*attempt
@@ -33,11 +33,12 @@
 }
 
 // NewHost makes and starts the backends of a world.
-func NewHost(log *history.Log, net *link.Net, book *load.Book, seed uint64, w world.World) (*Host, error) {
+func NewHost(log *history.Log, net *link.Net, requests *load.Book, seed uint64,
+	w world.World) (*Host, error) {
 	h := &Host{
 		log:          log,
 		net:          net,
-		book:         book,
+		requests:     requests,
 		seed:         seed,
 		servers:      map[string]*Server{},
 		openAttempts: map[string][]*attempt{},
--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -127,9 +127,9 @@
 		return
 	}
 	s.pod.Lock()
-	outs := f(s.backend, s.host.log.Now())
+	actions := f(s.backend, s.host.log.Now())
 	s.pod.Unlock()
-	for _, o := range outs {
+	for _, o := range actions {
 		s.apply(o)
 	}
 	s.scheduleTick()
@@ -158,7 +158,7 @@
 		return
 	}
 	e := history.Event{ID: a.id, Box: s.machine.Name, Pod: s.machine.Pod, How: o.Reason}
-	if op := s.host.book.Find(a.id); op != nil {
+	if op := s.host.requests.Find(a.id); op != nil {
 		e.Key, e.Op = op.Key, op.N
 	}
 	switch o.Kind {
--- a/internal/lab/check/quota.go
+++ b/internal/lab/check/quota.go
@@ -8,7 +8,7 @@
 	"wrenspread/internal/lab/history"
 )
 
-// Quota is a limit on the requests of the whole fleet that applies from the time From on.
+// Quota is a limit on the requests of the complete fleet that applies from the time From on.
 type Quota struct {
 	From        time.Duration
 	Rate, Burst float64 // requests per second; requests at once
@@ -24,9 +24,9 @@
 )
 
 // Quotas checks the requests that all nodes together send to backends: in any window at most
-// rate x window + burst, computed exactly with a leaky bucket. all lists the limits in order of time. used is
-// the least share of the quota that has to be used between from and to; 0 disables that part.
-func Quotas(events []history.Event, all []Quota, from, to time.Duration, used float64) Verdict {
+// rate x window + burst, computed exactly with a leaky bucket. limits are in order of time. minUsed is the
+// least share of the quota that has to be used between from and to; 0 disables that part.
+func Quotas(events []history.Event, limits []Quota, from, to time.Duration, minUsed float64) Verdict {
 	v := Verdict{
 		Name:  "quota",
 		Rule:  "all nodes together let no more through in any window than the limit's rate x window + burst",
@@ -44,7 +44,7 @@
 	v.Seen = len(at)
 	level, last, worst, inside := 0.0, time.Duration(0), 0.0, 0
 	for _, t := range at {
-		limit := highestLimit(all, t)
+		limit := highestLimit(limits, t)
 		level = max(0, level-limit.Rate*(t-last).Seconds()) + 1
 		last = t
 		worst = max(worst, (level-limit.Burst)/limit.Rate)
@@ -64,7 +64,7 @@
 	}
 	quota := 0.0
 	for t := from; t < to; t += 100 * time.Millisecond {
-		quota += latestLimit(all, t).Rate / 10
+		quota += latestLimit(limits, t).Rate / 10
 	}
 	v.Measured = append(
 		v.Measured,
@@ -74,10 +74,10 @@
 			1000*max(0, worst),
 		),
 	)
-	if used > 0 && float64(inside) < used*quota {
+	if minUsed > 0 && float64(inside) < minUsed*quota {
 		v.Broken = append(
 			v.Broken,
-			Finding{Text: fmt.Sprintf("%.3f of the quota was used, want %v at least", float64(inside)/quota, used)},
+			Finding{Text: fmt.Sprintf("%.3f of the quota was used, want %v at least", float64(inside)/quota, minUsed)},
 		)
 	}
 	return v
@@ -85,9 +85,9 @@
 
 // highestLimit returns the highest limit that any node may still apply at time t: the current one, and the
 // previous one until quotaLoweringDelay has passed.
-func highestLimit(all []Quota, t time.Duration) (highest Quota) {
-	for i, limit := range all {
-		over := i+1 < len(all) && t > all[i+1].From+quotaLoweringDelay
+func highestLimit(limits []Quota, t time.Duration) (highest Quota) {
+	for i, limit := range limits {
+		over := i+1 < len(limits) && t > limits[i+1].From+quotaLoweringDelay
 		if limit.From <= t && !over {
 			highest.Rate, highest.Burst = max(highest.Rate, limit.Rate), max(highest.Burst, limit.Burst)
 		}
@@ -96,11 +96,11 @@
 }
 
 // latestLimit returns the limit that was set last before time t.
-func latestLimit(all []Quota, t time.Duration) Quota {
-	for _, limit := range slices.Backward(all) {
+func latestLimit(limits []Quota, t time.Duration) Quota {
+	for _, limit := range slices.Backward(limits) {
 		if limit.From <= t {
 			return limit
 		}
 	}
-	return all[0]
+	return limits[0]
 }
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -27,7 +27,7 @@
 type Clients struct {
 	log         *history.Log
 	front       *Front
-	book        *load.Book
+	requests    *load.Book
 	seed        uint64
 	connections pool
 	running     sync.WaitGroup
@@ -39,8 +39,8 @@
 }
 
 // New makes clients that choose their nodes with front.
-func New(log *history.Log, front *Front, book *load.Book, seed uint64) *Clients {
-	c := &Clients{log: log, front: front, book: book, seed: seed, Late: func(time.Duration) {},
+func New(log *history.Log, front *Front, requests *load.Book, seed uint64) *Clients {
+	c := &Clients{log: log, front: front, requests: requests, seed: seed, Late: func(time.Duration) {},
 		Disturbed: func(string) bool { return false }}
 	c.connections = pool{idle: map[string][]idleConn{}, onExtraBytes: func(cn *conn) {
 		log.Add(history.Event{Kind: history.Extra, Node: cn.node, ID: cn.lastID})
@@ -150,13 +150,13 @@
 		return "", result{how: history.Unreached}
 	}
 	id := op.ID(c.seed, try)
-	c.book.Add(id, op)
+	c.requests.Add(id, op)
 	cn, err := c.connections.take(node, address, false)
 	if err != nil {
 		return node, c.unreached(op, id, node)
 	}
 	r, keep := c.exchange(cn, op, id, try, wait)
-	if r.how == history.Broken && cn.used && !r.responded && !c.Disturbed(node) && !c.book.Reached(id) {
+	if r.how == history.Broken && cn.used && !r.responded && !c.Disturbed(node) && !c.requests.Reached(id) {
 		// The node closed the connection while the request was on its way, so the request is sent once more.
 		c.log.Add(history.Event{Kind: history.Cross, Op: op.N, ID: id, Node: node})
 		besteffort.Close(cn)
--- a/internal/lab/client/front.go
+++ b/internal/lab/client/front.go
@@ -18,7 +18,7 @@
 	mu         sync.Mutex
 	nodes      map[string]*nodeState
 	zones      map[string][]*nodeState
-	all        []*nodeState
+	allNodes   []*nodeState
 }
 
 // nodeState is what the front knows of one node.
@@ -41,7 +41,7 @@
 	d := &nodeState{name: name, address: address}
 	f.nodes[name] = d
 	f.zones[zone] = append(f.zones[zone], d)
-	f.all = append(f.all, d)
+	f.allNodes = append(f.allNodes, d)
 }
 
 const (
@@ -53,7 +53,7 @@
 func (f *Front) Watch(ctx context.Context) {
 	var all sync.WaitGroup
 	client := &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, d := range f.all {
+	for _, d := range f.allNodes {
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -123,7 +123,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
-	for _, d := range f.all {
+	for _, d := range f.allNodes {
 		if d.admitted {
 			n++
 		}
@@ -136,7 +136,7 @@
 func (f *Front) pick(zone string, by uint64) (name, address string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, doors := range [][]*nodeState{f.zones[zone], f.all} {
+	for _, doors := range [][]*nodeState{f.zones[zone], f.allNodes} {
 		var open []*nodeState
 		for _, d := range doors {
 			if d.admitted {
--- a/internal/lab/discovery/serve.go
+++ b/internal/lab/discovery/serve.go
@@ -45,13 +45,13 @@
 		if from > 0 && hold > 0 && !a.wait(r.Context(), from, hold) {
 			return // the client has disconnected
 		}
-		out := a.List(from, a.now())
+		response := a.List(from, a.now())
 		w.Header().Set("Content-Type", "application/json")
-		if json.NewEncoder(w).Encode(out) != nil || http.NewResponseController(w).Flush() != nil {
+		if json.NewEncoder(w).Encode(response) != nil || http.NewResponseController(w).Flush() != nil {
 			return
 		}
-		for _, e := range out.Endpoints {
-			log.Add(history.Event{Kind: history.Told, Node: a.Node, Box: e.Name, How: e.Status, Index: out.Index,
+		for _, e := range response.Endpoints {
+			log.Add(history.Event{Kind: history.Told, Node: a.Node, Box: e.Name, How: e.Status, Index: response.Index,
 				Detail: strconv.FormatInt(e.StartedAtMS, 10)})
 		}
 	})
--- a/internal/lab/discovery/view.go
+++ b/internal/lab/discovery/view.go
@@ -125,8 +125,8 @@
 	index, _, _ := a.state(now)
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
-	out := Answer{Index: index, Endpoints: []Entry{}, Snapshot: from == 0 || from > index}
-	if out.Snapshot {
+	response := Answer{Index: index, Endpoints: []Entry{}, Snapshot: from == 0 || from > index}
+	if response.Snapshot {
 		from = 0
 	}
 	last := map[string]int{}
@@ -135,11 +135,11 @@
 	}
 	for i := from; i < index; i++ {
 		e := a.registry.changes[i].entry
-		if last[e.Name] != int(i) || (out.Snapshot && e.Status == Gone) {
+		if last[e.Name] != int(i) || (response.Snapshot && e.Status == Gone) {
 			continue
 		}
 		e.Address = a.address(e.Name)
-		out.Endpoints = append(out.Endpoints, e)
+		response.Endpoints = append(response.Endpoints, e)
 	}
-	return out
+	return response
 }
--- a/internal/lab/labtest/trial.go
+++ b/internal/lab/labtest/trial.go
@@ -41,9 +41,9 @@
 }
 
 // Await waits until the condition is true, and fails the test after Enough. what names the condition.
-func Await(t testing.TB, what string, is func() bool) {
+func Await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(Enough); !is(); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(Enough); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatalf("%s does not come", what)
 		}
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -122,7 +122,7 @@
 }
 
 // TestCutHoldsBytesAndConnectionsUntilHealed: over a cut link no byte and no new connection passes, and
-// neither end gets an error; after the heal the held bytes and new connections pass.
+// neither end gets an error; after the heal the delayed bytes and new connections pass.
 func TestCutHoldsBytesAndConnectionsUntilHealed(t *testing.T) {
 	n, address, taken := newTestLink(t)
 	c := dial(t, address)
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -184,10 +184,10 @@
 	}
 }
 
-func (p *proxy) setParked(is bool) {
+func (p *proxy) setParked(parked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.parked = is
+	p.parked = parked
 	p.parkedChanged.Broadcast()
 }
 
--- a/internal/lab/measure/boxes.go
+++ b/internal/lab/measure/boxes.go
@@ -86,21 +86,21 @@
 	until time.Duration,
 	stop func(now time.Duration) bool,
 ) (done time.Duration) {
-	held, num := 0, uint64(0)
+	inFlight, num := 0, uint64(0)
 	for now := time.Duration(0); now < until && !stop(now); now = min(now+tickInterval, max(now+1, b.Next())) {
-		outs := b.Tick(now)
+		actions := b.Tick(now)
 		for {
-			for _, o := range outs {
+			for _, o := range actions {
 				if o.Kind == backend.Done {
-					held--
+					inFlight--
 					done += jobWork
 				}
 			}
-			if held >= jobs {
+			if inFlight >= jobs {
 				break
 			}
-			held, num = held+1, num+1
-			outs = b.Arrive(now, backend.Job{Num: num, Work: jobWork}, 0)
+			inFlight, num = inFlight+1, num+1
+			actions = b.Arrive(now, backend.Job{Num: num, Work: jobWork}, 0)
 		}
 	}
 	return done
--- a/internal/lab/measure/cost.go
+++ b/internal/lab/measure/cost.go
@@ -66,13 +66,13 @@
 	}
 	defer besteffort.Close(c)
 	h := hdrhistogram.New(1000, int64(time.Minute), 3)
-	in, out := bufio.NewReader(c), make([]byte, messageBytes)
+	reader, buffer := bufio.NewReader(c), make([]byte, messageBytes)
 	for range tripCount {
 		before := time.Now()
-		if _, err := c.Write(out); err != nil {
+		if _, err := c.Write(buffer); err != nil {
 			return Trip{}, err
 		}
-		if _, err := io.ReadFull(in, out); err != nil {
+		if _, err := io.ReadFull(reader, buffer); err != nil {
 			return Trip{}, err
 		}
 		besteffort.Sample(h.RecordValue(int64(time.Since(before))))
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -76,11 +76,11 @@
 
 // Load describes the operations that clients send. Either Rate or Use is given.
 type Load struct {
-	Rate   float64 `toml:"rate"` // operations per second
-	Use    float64 `toml:"use"`  // load as a share of the capacity of all warm backends
-	Bursty bool    `toml:"bursty"`
-	Swing  float64 `toml:"swing"` // amplitude of a bursty load, as a share of the rate
-	Skew   float64 `toml:"skew"`  // what the first zone has beyond an even share, as a fraction of that share
+	Rate   float64 `toml:"rate"`   // operations per second
+	Use    float64 `toml:"use"`    // load as a share of the capacity of all warm backends
+	Bursty bool    `toml:"bursty"` // the rate oscillates
+	Swing  float64 `toml:"swing"`  // amplitude of a bursty load, as a share of the rate
+	Skew   float64 `toml:"skew"`   // what the first zone has beyond an even share, as a fraction of that share
 	Surges []Surge `toml:"surge"`
 }
 
@@ -136,7 +136,7 @@
 	End        string    `toml:"end"`      // the phase in which the release has to end
 }
 
-// Quota is a policy with one limit on the requests of the whole fleet, which the quota keepers distribute.
+// Quota is a policy with one limit on the requests of the complete fleet, which the quota keepers distribute.
 type Quota struct {
 	// number of keepers that compete for the lease, named k0, k1 and so on
 	Holders int           `toml:"holders"`
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -21,11 +21,11 @@
 type Class struct {
 	Name       string
 	Effect     string
-	Share      float64 // share of all requests
-	Work       time.Duration
-	CV         float64 // coefficient of variation of the work of single requests
-	Aim        time.Duration
-	Deadline   time.Duration
+	Share      float64       // share of all requests
+	Work       time.Duration // mean work of a request, on a standard core
+	CV         float64       // coefficient of variation of the work of single requests
+	Aim        time.Duration // latency objective
+	Deadline   time.Duration // time after which the client gives up the operation
 	Importance float64
 	Window     time.Duration // time for which a pod drops repeats of a key
 }
@@ -47,13 +47,13 @@
 	Queue            int     // requests that may wait
 	// above ThrashAt requests per core, each further one costs the share Thrash of efficiency
 	Thrash, ThrashAt float64
-	ColdFrom         float64
-	ColdTime         time.Duration
-	PauseEvery       time.Duration
-	Pause            time.Duration
-	ErrorRate        float64
-	DropsCancelled   bool // a waiting request is dropped when its node cancels it
-	Connections      int
+	ColdFrom         float64       // share of its capacity that the machine has after a start
+	ColdTime         time.Duration // time until it is warm, without work
+	PauseEvery       time.Duration // mean time between two pauses
+	Pause            time.Duration // length of a pause
+	ErrorRate        float64       // share of requests that fails
+	DropsCancelled   bool          // a waiting request is dropped when its node cancels it
+	Connections      int           // requests on connections beyond this number are rejected
 	Handshake        time.Duration // extra work for the first request of a connection
 	Noise            float64       // coefficient of variation of the work between attempts of one request
 	Overload         Overload
@@ -83,18 +83,19 @@
 
 // Figures of the rules that the lab checks, from the brief and the site file.
 const (
+	// a node may still send new requests this long after a drain notification
 	DrainGrace     = 2 * time.Second
-	FallMultiple   = 3.0
-	FallTime       = 1500 * time.Millisecond
-	ColdFrom       = 0.16
-	ColdTime       = 23 * time.Second
+	FallMultiple   = 3.0                     // a cold backend may fall over above this multiple of its capacity
+	FallTime       = 1500 * time.Millisecond // period over which FallMultiple is measured
+	ColdFrom       = 0.16                    // least share of its capacity that a cold backend has
+	ColdTime       = 23 * time.Second        // longest warm-up time
 	AnswerSlack    = 16 * time.Millisecond
-	IdleClose      = 10 * time.Second
+	IdleClose      = 10 * time.Second // backends close connections that were idle for this long
 	ConnectTimeout = 100 * time.Millisecond
 	KeyWindow      = 1200 * time.Millisecond // time for which a pod drops repeats of a key
-	MaxAttempts    = 5
-	MaxRetryAfter  = 2 * time.Second
-	SocketSlack    = 50 * time.Millisecond // added to each time limit where real sockets are involved
+	MaxAttempts    = 5                       // attempts of a node for one request
+	MaxRetryAfter  = 2 * time.Second         // longest Retry-After that clients follow
+	SocketSlack    = 50 * time.Millisecond   // added to each time limit where real sockets are involved
 )
 
 var zones = []string{"klein-windhoek", "southern-ind", "okuryangava"}
