--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/box.go
@@ -26,7 +26,7 @@
 const (
 	Begun    ActionKind = iota // the work starts, so the job may have an effect
 	Dropped                    // the job repeats a key that its pod has seen
-	Rejected                   // the job is rejected without being read; Reason says why
+	Rejected                   // the job is rejected without being started; Reason says why
 	Done                       // the job is answered with Status
 	Fell                       // the backend has fallen over; it answers nothing more
 )
--- a/internal/lab/backend/box_test.go
+++ b/internal/lab/backend/box_test.go
@@ -74,7 +74,7 @@
 				see(b.Arrive(now, Job{Num: i, Work: work[i], Key: keys[i]}, 0))
 			}
 			if b.JobCount() > m.Slots+m.Queue {
-				t.Fatalf("%d jobs in %d slots and %d places", b.JobCount(), m.Slots, m.Queue)
+				t.Fatalf("%d jobs in %d slots and %d queue places", b.JobCount(), m.Slots, m.Queue)
 			}
 		}
 		if limit := time.Duration(m.Capacity() * float64(now)); finished > limit+time.Microsecond {
@@ -128,15 +128,15 @@
 		m := world.Draw(seed, 1, 1).Machines[0]
 		b := New(m, NewPod(time.Second), seed, 0, true)
 		if got := b.Capacity(0) / m.Capacity(); got < world.ColdFrom || got > 0.33 {
-			t.Errorf("seed %d: it begins at %.2f of its capacity", seed, got)
+			t.Errorf("seed %d: the backend begins at %.2f of its capacity", seed, got)
 		}
 		b.Tick(m.ColdTime)
 		if got := b.Capacity(m.ColdTime); got != m.Capacity() || m.ColdTime > world.ColdTime {
-			t.Errorf("seed %d: after %v it has %.2f of %.2f", seed, m.ColdTime, got, m.Capacity())
+			t.Errorf("seed %d: after %v the backend has capacity %.2f of %.2f", seed, m.ColdTime, got, m.Capacity())
 		}
 		for times, want := range map[float64]bool{2.5: false, 6: true} {
 			if got := fallsUnderLoad(m, seed, times); got != want {
-				t.Errorf("seed %d: sent %v times what it can do it falls over: %v", seed, times, got)
+				t.Errorf("seed %d: under %v times its capacity the backend falls over: %v", seed, times, got)
 			}
 		}
 	}
--- a/internal/lab/discovery/disco_test.go
+++ b/internal/lab/discovery/disco_test.go
@@ -33,7 +33,7 @@
 			}
 			got := a.List(from, now)
 			if got.Index < from || got.Snapshot != (from == 0) {
-				t.Fatalf("from %d comes %+v", from, got)
+				t.Fatalf("the answer to a request from version %d is %+v", from, got)
 			}
 			if got.Snapshot {
 				clear(list)
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -36,7 +36,7 @@
 	Arrive Kind = "arrive"
 	Begin  Kind = "begin" // a backend began the work, so the request may have an effect: ID, Key, Box, Pod
 	Drop   Kind = "drop"  // a backend's pod dropped a repeated key: ID, Key, Box
-	Turn   Kind = "turn"  // a backend rejected an attempt without reading it: ID, Box, How
+	Turn   Kind = "turn"  // a backend rejected an attempt without starting it: ID, Box, How
 	End    Kind = "end"   // a backend answered: ID, Box, Status, Took (from Arrive)
 	Shut   Kind = "shut"  // the node ended an open attempt: ID, Box, Node
 	// discovery sent an entry to a node: Node, Box, How (the status), Index, Detail (since_ms)
@@ -60,8 +60,8 @@
 
 // How a try or an operation ended.
 const (
-	Served    = "served"
-	Refused   = "refused"
+	Served    = "served"    // answered with status 200
+	Refused   = "refused"   // the node refused the operation, with status 429 or 503
 	Failed    = "failed"    // an error that does not say whether the operation ran
 	Broken    = "broken"    // the connection ended without a complete answer
 	Silent    = "silent"    // no answer by the client's timeout, nor half a second after it
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -84,7 +84,7 @@
 		l.lay("b", &b)
 		l.lay("a", nil)
 		if got := l.current.Load().Shape; got != b {
-			t.Fatalf("with a lifted there is %+v, want %+v", got, b)
+			t.Fatalf("after shape a is lifted the link has %+v, want %+v", got, b)
 		}
 	})
 }
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -146,6 +146,7 @@
 	}
 }
 
+// accept accepts connections, while the listener allows that, until the network is closed.
 func (p *proxy) accept() {
 	defer p.net.tasks.Done()
 	for {
@@ -184,6 +185,7 @@
 	}
 }
 
+// setParked records whether the accept loop is waiting, so that no Accept call is in progress.
 func (p *proxy) setParked(parked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -281,6 +283,7 @@
 	return left
 }
 
+// end closes both connections of the stream, once.
 func (s *Stream) end() {
 	s.once.Do(func() {
 		close(s.ended)
@@ -289,6 +292,7 @@
 	})
 }
 
+// reset closes both connections of the stream with a TCP reset.
 func (s *Stream) reset() {
 	besteffort.SocketOption(s.a.SetLinger(0))
 	besteffort.SocketOption(s.b.SetLinger(0))
--- a/internal/lab/process/proc_test.go
+++ b/internal/lab/process/proc_test.go
@@ -90,15 +90,15 @@
 		if b, _ := os.ReadFile(log); len(b) > 0 {
 			break
 		} else if time.Now().After(until) {
-			t.Fatal("it says nothing")
+			t.Fatal("the process writes no output")
 		}
 	}
 	g.Close(50 * time.Millisecond)
 	if all, bad := countExits(l); p.Running() || all != 1 || bad == 0 {
-		t.Errorf("it runs: %v; %d ends, %d not as ordered", p.Running(), all, bad)
+		t.Errorf("the process runs: %v; %d ends, %d not as ordered", p.Running(), all, bad)
 	}
 	if _, err := g.Start(testSpec(t.TempDir(), "sleep")); err == nil {
-		t.Error("a group that has ended starts a process")
+		t.Error("a closed group starts a process")
 	}
 }
 
@@ -110,7 +110,7 @@
 	}
 	g.Close(time.Millisecond)
 	if p.Running() {
-		t.Error("it still runs")
+		t.Error("the stopped process still runs after Close")
 	}
 }
 
@@ -145,7 +145,7 @@
 func TestWaitReadyFailsWhenTheProcessEnds(t *testing.T) {
 	_, _, p, _ := startTestProcess(t, "flood")
 	if err := p.WaitReady(context.Background(), "http://127.0.0.1:1/"); err == nil || !strings.Contains(err.Error(), "ended before") {
-		t.Errorf("a process that ends is waited for: %v", err)
+		t.Errorf("WaitReady of a process that ends returns %v", err)
 	}
 }
 
@@ -181,7 +181,7 @@
 		}
 		if time.Now().After(until) {
 			besteffort.Signal(syscall.Kill(pid, syscall.SIGKILL))
-			t.Fatal("what a killed lab had started still runs")
+			t.Fatal("a process of a killed lab still runs")
 		}
 	}
 }
