--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	callTimeout    = 5 * time.Second
-	writeTimeout   = 10 * time.Second // for one write to the endpoint list
-	renewalsPerTTL = 3                // of a TTL between two renewals
-	maxDesiredFile = 1 << 20
+	callTimeout         = 5 * time.Second  // for reading a request, and for writing its response
+	writeTimeout        = 10 * time.Second // for one write to the registry
+	renewalsPerTTL      = 3                // renewals of a registration within its TTL
+	maxDesiredFileBytes = 1 << 20
 )
 
-// agent is one machine's agent at work.
+// agent is the running agent of one machine.
 type agent struct {
-	config      Config
-	log         *slog.Logger
-	registry    *client.Client
-	guard       *fencing.Guard
-	supervisors map[string]*supervisor
-	mu          sync.Mutex // of the file of orders
-	address     string
+	config        Config
+	log           *slog.Logger
+	registry      *client.Client
+	guard         *fencing.Guard
+	supervisors   map[string]*supervisor
+	desiredFileMu sync.Mutex // guards the file of desired states
+	address       string     // address at which the agent is published in the registry
 }
 
-// Run keeps the machine's servers until ctx ends. They outlive it: the next agent
-// on the same folder takes them up.
+// Run supervises the machine's servers until ctx ends. The servers' processes keep running after that; the
+// next agent that is started on the same folder adopts them.
 func Run(ctx context.Context, c Config, log *slog.Logger) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -51,7 +51,7 @@
 	if a.guard, err = fencing.Open(c.Folder); err != nil {
 		return err
 	}
-	wants, err := a.loadDesired()
+	desired, err := a.loadDesired()
 	if err != nil {
 		return err
 	}
@@ -65,18 +65,22 @@
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	for _, s := range c.Servers {
-		out, err := os.OpenFile(filepath.Join(c.Folder, s.Name+".log"), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
+		output, err := os.OpenFile(
+			filepath.Join(c.Folder, s.Name+".log"),
+			os.O_CREATE|os.O_WRONLY|os.O_APPEND,
+			0o644,
+		)
 		if err != nil {
 			besteffort.Close(ln)
 			return fmt.Errorf("server %s: %w", s.Name, err)
 		}
-		defer besteffort.Close(out)
-		o, ok := wants[s.Name]
+		defer besteffort.Close(output)
+		state, ok := desired[s.Name]
 		if !ok {
-			o = DesiredState{Version: s.Version}
+			state = DesiredState{Version: s.Version}
 		}
-		k := newSupervisor(s, o.Version, filepath.Join(c.Folder, s.Name+".process"), out, log)
-		k.status.KeepDraining = o.KeepDraining
+		k := newSupervisor(s, state.Version, filepath.Join(c.Folder, s.Name+".process"), output, log)
+		k.status.KeepDraining = state.KeepDraining
 		a.supervisors[s.Name] = k
 	}
 	for _, k := range a.supervisors {
@@ -96,6 +100,7 @@
 	return nil
 }
 
+// routes returns the handler of the agent's HTTP interface.
 func (a *agent) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
@@ -115,11 +120,12 @@
 		}
 		http.Error(w, "this agent keeps no "+r.PathValue("name"), http.StatusNotFound)
 	})
-	mux.HandleFunc("PUT /servers/{name}", a.order)
+	mux.HandleFunc("PUT /servers/{name}", a.handleOrder)
 	return mux
 }
 
+// writeJSON sends v as the response.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	besteffort.Encode(json.NewEncoder(w).Encode(v)) // a caller that has left needs nothing
+	besteffort.Encode(json.NewEncoder(w).Encode(v)) // fails only if the caller has closed the connection
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -10,70 +10,71 @@
 
 // Config is the configuration of an agent.
 type Config struct {
-	Machine string        `koanf:"machine"` // its name, the same over restarts
-	Listen  string        `koanf:"listen"`  // for calls
-	Address string        `koanf:"address"` // where others reach it; empty: at listen
-	List    []string      `koanf:"list"`    // replicas of the registry
-	Folder  string        `koanf:"folder"`  // for what it has to know after a restart
-	TTL     time.Duration `koanf:"ttl"`     // of its servers' entries
+	Machine string        `koanf:"machine"` // name of the machine, the same after a restart of the agent
+	Listen  string        `koanf:"listen"`  // address for HTTP calls
+	Address string        `koanf:"address"` // address at which others reach the agent; empty: Listen
+	List    []string      `koanf:"list"`    // addresses of the registry's replicas
+	Folder  string        `koanf:"folder"`  // folder for the state that the agent needs after a restart
+	TTL     time.Duration `koanf:"ttl"`     // TTL of the servers' registrations
 	Servers []Server      `koanf:"server"`
 }
 
-// Server is one server that the agent keeps. In its command and folder {version}
-// stands for the version.
+// Server configures one server that the agent runs. The text {version} in Command and Dir is replaced by the
+// server's version.
 type Server struct {
 	Name    string   `koanf:"name"`
-	Address string   `koanf:"address"` // where proxies reach it
+	Address string   `koanf:"address"` // address at which proxies reach the server
 	Zone    string   `koanf:"zone"`
 	Type    string   `koanf:"type"`
 	Cell    int      `koanf:"group"`
 	Weight  float64  `koanf:"weight"`
-	Version string   `koanf:"version"` // with which it begins on an empty folder
+	Version string   `koanf:"version"` // version that is started if the folder has no desired state
 	Command []string `koanf:"command"`
 	Dir     string   `koanf:"dir"`
-	// path that answers 200 once it is ready; empty: once it takes connections
+	// Ready is the path that answers 200 once the server is ready. Empty: the server is ready once it accepts
+	// connections.
 	Ready string        `koanf:"ready"`
-	Grace time.Duration `koanf:"grace"` // between SIGTERM and SIGKILL
+	Grace time.Duration `koanf:"grace"` // time between SIGTERM and SIGKILL; 0: defaultGrace
 
-	// Of a server that is upgraded by handoff, such as a proxy: this agent holds the clients' socket, which its
-	// processes get as descriptor 3 ($GW_ACCEPT_FD), and another version is started beside the old one, at the
-	// other of two control addresses ($GW_CONTROL).
+	// Handover is set for a server that is upgraded by handoff, such as a proxy. The agent owns the clients'
+	// socket and passes it to the server's processes as descriptor 3 ($GW_ACCEPT_FD). It starts the new version
+	// while the previous one is running, at the other of the two control addresses ($GW_CONTROL).
 	Handover bool     `koanf:"handover"`
-	Control  []string `koanf:"control"`
-	Unlisted bool     `koanf:"unlisted"` // it has no entry in the endpoint list
+	Control  []string `koanf:"control"`  // control addresses, two with Handover
+	Unlisted bool     `koanf:"unlisted"` // the server is not registered in the endpoint list
 }
 
-// Default is the configuration but for names, addresses and servers.
+// Default returns the configuration without its names, addresses and servers, which have no defaults.
 func Default() Config { return Config{Listen: "127.0.0.1:8800", TTL: 10 * time.Second} }
 
 const (
-	defaultGrace = 10 * time.Second
-	maxServers   = 200 // on one machine
-	versionMark  = "{version}"
+	defaultGrace       = 10 * time.Second // grace of a server whose configuration has none
+	maxServers         = 200              // servers of one agent
+	versionPlaceholder = "{version}"
 )
 
-// Check validates a configuration, by its keys.
+// Check returns all problems of a configuration, each with its key, or nil.
 func (c Config) Check() error {
-	var f config.Problems
-	bad, address := f.Require, f.RequireAddress
-	bad(c.Machine != "", "machine: missing; it names this agent, the same over restarts")
-	bad(c.Folder != "", "folder: missing; it is for versions and fences")
-	address("listen", c.Listen)
+	var problems config.Problems
+	require, requireAddress := problems.Require, problems.RequireAddress
+	require(c.Machine != "", "machine: missing; it names this agent, the same over restarts")
+	require(c.Folder != "", "folder: missing; it is for versions and fences")
+	requireAddress("listen", c.Listen)
 	if c.Address != "" {
-		address("address", c.Address)
+		requireAddress("address", c.Address)
 	}
-	bad(len(c.List) > 0, "list: missing; it has the addresses of the registry")
+	require(len(c.List) > 0, "list: missing; it has the addresses of the registry")
 	for _, a := range c.List {
-		address("list", a)
+		requireAddress("list", a)
 	}
-	bad(
+	require(
 		c.TTL >= registry.MinTTL && c.TTL <= registry.MaxTTL,
 		"ttl: %v is not between %v and %v",
 		c.TTL,
 		registry.MinTTL,
 		registry.MaxTTL,
 	)
-	bad(
+	require(
 		len(c.Servers) >= 1 && len(c.Servers) <= maxServers,
 		"server: there are %d, want 1 to %d",
 		len(c.Servers),
@@ -81,31 +82,37 @@
 	)
 	names := map[string]bool{}
 	for _, s := range c.Servers {
-		bad(
+		require(
 			s.Name != "" && len(s.Name) <= registry.MaxTextBytes && !names[s.Name],
 			"server: name %q is missing, too long or there twice",
 			s.Name,
 		)
 		names[s.Name] = true
-		address("server "+s.Name+": address", s.Address)
-		bad(len(s.Command) > 0, "server %s: command: missing", s.Name)
-		bad(s.Version != "", "server %s: version: missing", s.Name)
-		bad(s.Weight >= 0, "server %s: weight: %v is under 0", s.Name, s.Weight)
-		bad(s.Grace >= 0, "server %s: grace: %v is under 0", s.Name, s.Grace)
-		bad(
+		requireAddress("server "+s.Name+": address", s.Address)
+		require(len(s.Command) > 0, "server %s: command: missing", s.Name)
+		require(s.Version != "", "server %s: version: missing", s.Name)
+		require(s.Weight >= 0, "server %s: weight: %v is under 0", s.Name, s.Weight)
+		require(s.Grace >= 0, "server %s: grace: %v is under 0", s.Name, s.Grace)
+		require(
 			!s.Handover || len(s.Control) == 2,
 			"server %s: control: there are %d, want two addresses that are used in turn",
 			s.Name,
 			len(s.Control),
 		)
 		for _, a := range s.Control {
-			address("server "+s.Name+": control", a)
+			requireAddress("server "+s.Name+": control", a)
 		}
-		bad(s.Ready == "" || strings.HasPrefix(s.Ready, "/"), "server %s: ready: %q is no path", s.Name, s.Ready)
+		require(
+			s.Ready == "" || strings.HasPrefix(s.Ready, "/"),
+			"server %s: ready: %q is no path",
+			s.Name,
+			s.Ready,
+		)
 	}
-	return f.Err()
+	return problems.Err()
 }
 
+// grace returns the time between SIGTERM and SIGKILL.
 func (s Server) grace() time.Duration {
 	if s.Grace == 0 {
 		return defaultGrace
@@ -113,15 +120,16 @@
 	return s.Grace
 }
 
-// command returns what is started for a version.
-func (s Server) command(version string) (args []string, dir string) {
+// command returns the command line of a version and the folder in which it is started.
+func (s Server) command(version string) (arguments []string, dir string) {
 	for _, a := range s.Command {
-		args = append(args, strings.ReplaceAll(a, versionMark, version))
+		arguments = append(arguments, strings.ReplaceAll(a, versionPlaceholder, version))
 	}
-	return args, strings.ReplaceAll(s.Dir, versionMark, version)
+	return arguments, strings.ReplaceAll(s.Dir, versionPlaceholder, version)
 }
 
-// entry is the server's entry in the endpoint list.
+// entry returns the server's entry in the endpoint list. since is the Unix time in milliseconds at which its
+// process was started.
 func (s Server) entry(status, version string, since int64) registry.Endpoint {
 	return registry.Endpoint{
 		Name:        s.Name,
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -1,6 +1,7 @@
-// Package agent keeps the servers of one machine running: a supervisor for each starts, watches and replaces
-// its process, and keeps its endpoint registered. Orders come from the holder of a release's lease and are
-// checked by its fencing token. Processes outlive the agent: the next one on the same folder adopts them.
+// Package agent keeps the servers of one machine running. For each server a supervisor starts, checks and
+// replaces its process, and the agent keeps the server registered as an endpoint. The desired state of a
+// server is set by the holder of a release's lease, whose fencing token is checked. Processes keep running
+// when the agent ends; the next agent on the same folder adopts them.
 package agent
 
 import (
@@ -18,79 +19,84 @@
 	"wrenspread/internal/registry"
 )
 
-// RecordPrefix begins the keys of agents' records in the registry.
+// RecordPrefix is the prefix of the keys of agents' records in the registry. The machine's name follows it.
 const RecordPrefix = "agent/"
 
 // Record is what an agent publishes about itself in its record.
 type Record struct {
 	Machine string   `json:"machine"`
-	Address string   `json:"address"` // where it takes calls
-	Servers []string `json:"servers"` // that it keeps
+	Address string   `json:"address"` // address for HTTP calls
+	Servers []string `json:"servers"` // names of the servers that the agent runs
 }
 
-// Status is a server as its agent sees it.
+// Status describes a server as its agent sees it.
 type Status struct {
 	Name          string `json:"name"`
 	Zone          string `json:"zone"`
 	Type          string `json:"type"`
 	Cell          int    `json:"group"`
 	Address       string `json:"address"`
-	Version       string `json:"version"`         // that its process has, or had last
-	WantedVersion string `json:"want"`            // that it is to have
-	Running       bool   `json:"running"`         // its process is there
-	Ready         bool   `json:"ready"`           // it answers
-	Restarts      int    `json:"restarts"`        // of this version, by itself
-	Reason        string `json:"why,omitempty"`   // it is not ready
-	StartedAtMS   int64  `json:"since_ms"`        // Unix time of the process's start
-	KeepDraining  bool   `json:"quiet,omitempty"` // it is not to be listed as ready: it is being replaced
+	Version       string `json:"version"`         // version of the running process, or of the last one
+	WantedVersion string `json:"want"`            // version that is to run
+	Running       bool   `json:"running"`         // the server has a running process
+	Ready         bool   `json:"ready"`           // the last readiness check succeeded
+	Restarts      int    `json:"restarts"`        // restarts of this version after its process ended by itself
+	Reason        string `json:"why,omitempty"`   // reason for which the server is not ready
+	StartedAtMS   int64  `json:"since_ms"`        // Unix time of the process's start, in milliseconds
+	KeepDraining  bool   `json:"quiet,omitempty"` // the server is registered as draining while it is replaced
 
-	// its versions replace each other without an end in between
+	// Handover is set if a new version takes over from the running one without an interruption.
 	Handover bool   `json:"handover,omitempty"`
-	Control  string `json:"control,omitempty"` // where operators call such a one
-	// a version that did not get ready beside the one that runs, which stayed
+	Control  string `json:"control,omitempty"` // control address of the running process, with Handover
+	// RejectedVersion is the version that did not get ready in an upgrade. The previous version is still
+	// running.
 	RejectedVersion string `json:"refused,omitempty"`
 }
 
 // DesiredState is the desired state of a server.
 type DesiredState struct {
 	Version string `json:"version"`
-	// it stays draining in the endpoint list until an order without KeepDraining
+	// KeepDraining registers the server as draining until a desired state without KeepDraining is set.
 	KeepDraining bool `json:"quiet"`
 }
 
-const maxCall = 64 << 10 // bytes of a call or an answer
+const maxMessageBytes = 64 << 10 // bytes of a request's or a response's body
 
-// ErrStale is the refusal of an order whose holder has been followed by another.
+// ErrStale means that an agent rejected a desired state because its fencing token is not the latest: the
+// agent has accepted a later token of the same lease.
 var ErrStale = errors.New("agent: another holds the duty")
 
-// Caller calls agents.
+// Caller calls the HTTP interface of agents.
 type Caller struct {
 	HTTP *http.Client
 }
 
-// Status asks an agent for a server.
+// Status returns the status of a server, as the agent at address sees it.
 func (c Caller) Status(ctx context.Context, address, server string) (Status, error) {
 	var s Status
 	return s, c.call(ctx, http.MethodGet, address, server, nil, nil, &s)
 }
 
-// Order tells an agent the desired state of a server, under a fencing token; it does not wait for it.
+// Order sets the desired state of a server under a fencing token, and returns the server's status. It does
+// not wait until the server has that state.
 func (c Caller) Order(
 	ctx context.Context,
 	address, server string,
-	o DesiredState,
-	f registry.FencingToken,
+	desired DesiredState,
+	token registry.FencingToken,
 ) (Status, error) {
 	var s Status
-	return s, c.call(ctx, http.MethodPut, address, server, o, &f, &s)
+	return s, c.call(ctx, http.MethodPut, address, server, desired, &token, &s)
 }
 
+// call sends a request about a server to an agent, and decodes the response into result. body and token may
+// be nil.
 func (c Caller) call(
 	ctx context.Context,
 	method, address, server string,
 	body any,
-	f *registry.FencingToken,
-	into any,
+	token *registry.FencingToken,
+	result any,
 ) error {
 	var raw []byte
 	if body != nil {
@@ -108,15 +114,15 @@
 	if err != nil {
 		return err
 	}
-	if f != nil {
-		req.Header.Set(fencing.Header, fencing.Format(*f))
+	if token != nil {
+		req.Header.Set(fencing.Header, fencing.Format(*token))
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
 		return fmt.Errorf("agent at %s: %w", address, err)
 	}
 	defer besteffort.Close(resp.Body)
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxCall))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxMessageBytes))
 	switch {
 	case err != nil:
 		return fmt.Errorf("agent at %s: %w", address, err)
@@ -125,7 +131,7 @@
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("agent at %s: %s: %s", address, resp.Status, bytes.TrimSpace(text))
 	}
-	if err := json.Unmarshal(text, into); err != nil {
+	if err := json.Unmarshal(text, result); err != nil {
 		return fmt.Errorf("agent at %s: %w", address, err)
 	}
 	return nil
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -14,9 +14,9 @@
 	"wrenspread/internal/registry"
 )
 
-// order takes the desired state of a server, from the present lease holder alone. It is kept before it is
-// carried out, and the same order twice has the effect of one.
-func (a *agent) order(w http.ResponseWriter, r *http.Request) {
+// handleOrder sets the desired state of a server. It accepts requests from the current lease holder only. The
+// state is stored before it takes effect, and repeating a request changes nothing.
+func (a *agent) handleOrder(w http.ResponseWriter, r *http.Request) {
 	k := a.supervisors[r.PathValue("name")]
 	if k == nil {
 		http.Error(w, "this agent keeps no "+r.PathValue("name"), http.StatusNotFound)
@@ -26,12 +26,12 @@
 		http.Error(w, "an order needs a fence: "+fencing.Header+": DUTY NUMBER", http.StatusBadRequest)
 		return
 	}
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
-	var o DesiredState
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
+	var desired DesiredState
 	if err == nil {
-		err = json.Unmarshal(raw, &o)
+		err = json.Unmarshal(raw, &desired)
 	}
-	if err == nil && (o.Version == "" || len(o.Version) > registry.MaxTextBytes) {
+	if err == nil && (desired.Version == "" || len(desired.Version) > registry.MaxTextBytes) {
 		err = fmt.Errorf("version: want 1 to %d bytes", registry.MaxTextBytes)
 	}
 	if err != nil {
@@ -42,21 +42,23 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	if err := a.storeDesired(k.server.Name, o); err != nil {
+	if err := a.storeDesired(k.server.Name, desired); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	k.setDesired(o)
+	k.setDesired(desired)
 	status, _ := k.current()
 	writeJSON(w, status)
 }
 
+// desiredFile returns the path of the file that stores the desired states.
 func (a *agent) desiredFile() string { return filepath.Join(a.config.Folder, "orders") }
 
-// loadDesired reads the last desired states of the servers.
+// loadDesired reads the stored desired states of the servers, by name. It returns an empty map if there is no
+// file.
 func (a *agent) loadDesired() (map[string]DesiredState, error) {
 	all := map[string]DesiredState{}
-	raw, err := checksumfile.Read(a.desiredFile(), maxDesiredFile)
+	raw, err := checksumfile.Read(a.desiredFile(), maxDesiredFileBytes)
 	if errors.Is(err, os.ErrNotExist) {
 		return all, nil
 	}
@@ -69,17 +71,18 @@
 	return all, nil
 }
 
-func (a *agent) storeDesired(server string, o DesiredState) error {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// storeDesired stores the desired state of a server, unless the file has it already.
+func (a *agent) storeDesired(server string, desired DesiredState) error {
+	a.desiredFileMu.Lock()
+	defer a.desiredFileMu.Unlock()
 	all, err := a.loadDesired()
 	if err != nil {
 		return err
 	}
-	if all[server] == o {
+	if all[server] == desired {
 		return nil
 	}
-	all[server] = o
+	all[server] = desired
 	raw, err := json.Marshal(all)
 	if err == nil {
 		err = checksumfile.Write(a.desiredFile(), raw)
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -17,31 +17,31 @@
 	"wrenspread/internal/checksumfile"
 )
 
-// process is a server's process: a child of this agent, or one that an agent
-// before it started and that outlived it.
+// process is a running process of a server. It is either a child of this agent, or was adopted after a
+// previous agent had started it.
 type process struct {
 	ProcessRecord
-	fd    int // pidfd, so that a signal can't reach another process
-	ended chan error
+	pidfd int        // file descriptor of the process; signals sent by it can't reach another process
+	ended chan error // receives the result of the process when it ends
 }
 
-// ProcessRecord is what an agent keeps of a process that it started.
+// ProcessRecord is what an agent stores about a process that it started, so that the next agent can adopt it.
 type ProcessRecord struct {
 	PID          int    `json:"pid"`
-	StartTicks   uint64 `json:"start"` // in the kernel's ticks since boot: a number may be used again
+	StartTicks   uint64 `json:"start"` // kernel's ticks from boot to the start; a PID may be used again
 	Version      string `json:"version"`
 	StartedAtMS  int64  `json:"since_ms"`
-	ControlIndex int    `json:"control,omitempty"` // which of the control addresses it has
+	ControlIndex int    `json:"control,omitempty"` // index of the process's address in Server.Control
 }
 
 const (
-	maxRecordFile    = 4 << 10
-	exitPollInterval = 500 * time.Millisecond
+	maxRecordFileBytes = 4 << 10
+	exitPollInterval   = 500 * time.Millisecond // timeout of one poll for the end of an adopted process
 )
 
-// startProcess starts a command and stores its record in a file.
-func startProcess(cmd *exec.Cmd, version string, control int, trace string) (*process, error) {
-	// a signal to the agent's group is not one to its servers
+// startProcess starts a command and stores its record in a file. It kills the process if that fails.
+func startProcess(cmd *exec.Cmd, version string, control int, recordFile string) (*process, error) {
+	// The process gets a group of its own, so that a signal to the agent's group does not reach it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -55,13 +55,13 @@
 		},
 		ended: make(chan error, 1),
 	}
-	err := p.open()
+	err := p.openPidfd()
 	if err == nil {
-		err = p.writeRecord(trace)
+		err = p.writeRecord(recordFile)
 	}
 	if err != nil {
 		besteffort.Signal(cmd.Process.Kill())
-		_ = cmd.Wait() // it was killed; the error that led to this is returned
+		_ = cmd.Wait() // the process was killed; err has the reason
 		p.close()
 		return nil, err
 	}
@@ -69,22 +69,24 @@
 	return p, nil
 }
 
-func (p *process) open() (err error) {
+// openPidfd reads the start time of the process and opens its pidfd.
+func (p *process) openPidfd() (err error) {
 	if p.StartTicks, err = processStartTicks(p.PID); err != nil {
 		return err
 	}
-	p.fd, err = unix.PidfdOpen(p.PID, 0)
+	p.pidfd, err = unix.PidfdOpen(p.PID, 0)
 	if err != nil {
-		p.fd = 0
+		p.pidfd = 0
 		return fmt.Errorf("process %d: %w", p.PID, err)
 	}
 	return nil
 }
 
-func (p *process) writeRecord(trace string) error {
+// writeRecord stores the record of the process in a file.
+func (p *process) writeRecord(recordFile string) error {
 	raw, err := json.Marshal(p.ProcessRecord)
 	if err == nil {
-		err = checksumfile.Write(trace, raw)
+		err = checksumfile.Write(recordFile, raw)
 	}
 	if err != nil {
 		return fmt.Errorf("keeping the trace of process %d: %w", p.PID, err)
@@ -92,9 +94,10 @@
 	return nil
 }
 
-// adopt finds the process of an earlier agent by its record; nil where it has ended.
-func adopt(trace string) (*process, error) {
-	raw, err := checksumfile.Read(trace, maxRecordFile)
+// adopt returns the process that a previous agent started, by its record. It returns nil if there is no
+// record or the process has ended.
+func adopt(recordFile string) (*process, error) {
+	raw, err := checksumfile.Read(recordFile, maxRecordFileBytes)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -105,8 +108,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("the trace of a process: %w", err)
 	}
-	was := p.StartTicks
-	if err := p.open(); err != nil || p.StartTicks != was {
+	recordedTicks := p.StartTicks
+	if err := p.openPidfd(); err != nil || p.StartTicks != recordedTicks {
 		p.close()
 		return nil, nil
 	}
@@ -114,11 +117,11 @@
 	return p, nil
 }
 
-// await waits for the end of a process that is not a child.
+// await waits for the end of a process that is not a child, and reports it to p.ended.
 func (p *process) await() {
 	for {
 		n, err := unix.Poll(
-			[]unix.PollFd{{Fd: int32(p.fd), Events: unix.POLLIN}},
+			[]unix.PollFd{{Fd: int32(p.pidfd), Events: unix.POLLIN}},
 			int(exitPollInterval/time.Millisecond),
 		)
 		if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
@@ -128,15 +131,17 @@
 	}
 }
 
-func (p *process) signal(s syscall.Signal) error { return unix.PidfdSendSignal(p.fd, s, nil, 0) }
+// signal sends a signal to the process.
+func (p *process) signal(s syscall.Signal) error { return unix.PidfdSendSignal(p.pidfd, s, nil, 0) }
 
+// close closes the pidfd. The process keeps running.
 func (p *process) close() {
-	if p.fd > 0 {
-		_ = unix.Close(p.fd) // a pidfd has nothing to lose
+	if p.pidfd > 0 {
+		_ = unix.Close(p.pidfd) // closing a pidfd writes nothing, so an error loses nothing
 	}
 }
 
-// processStartTicks reads when a process was started.
+// processStartTicks returns when a process was started, in the kernel's ticks since boot.
 func processStartTicks(pid int) (uint64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -144,9 +149,9 @@
 	}
 	_, rest, ok := bytes.Cut(raw[bytes.LastIndexByte(raw, ')')+1:], []byte(" "))
 	fields := bytes.Fields(rest)
-	const start = 19 // the 22nd of all, and the 20th after the name
-	if !ok || len(fields) <= start {
+	const startField = 19 // the 22nd field of the line, and the 20th after the process's name
+	if !ok || len(fields) <= startField {
 		return 0, fmt.Errorf("process %d: its state can't be read", pid)
 	}
-	return strconv.ParseUint(string(fields[start]), 10, 64)
+	return strconv.ParseUint(string(fields[startField]), 10, 64)
 }
--- a/internal/agent/readiness.go
+++ b/internal/agent/readiness.go
@@ -10,7 +10,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// checkReadiness asks the server again and again whether it is ready.
+// checkReadiness checks at intervals whether the server is ready, and publishes the result in its status,
+// until ctx ends. control is the index of the process's control address.
 func (k *supervisor) checkReadiness(ctx context.Context, control int) {
 	for ctx.Err() == nil {
 		err := k.probeReady(ctx, control)
@@ -28,6 +29,8 @@
 	}
 }
 
+// probeReady checks once whether the process at a control address is ready, and returns the reason if it is
+// not.
 func (k *supervisor) probeReady(ctx context.Context, control int) error {
 	address := k.server.Address
 	if k.server.Handover {
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -11,35 +11,36 @@
 	"wrenspread/internal/registry/client"
 )
 
-// maintainEntry keeps a server's entry as the server is: ready, draining while it is to be drained, and gone
-// while it does not answer. The list drops it if this agent is lost.
+// maintainEntry keeps a server's registration in line with its status until ctx ends: ready, draining while
+// KeepDraining is set, and removed while the server is not ready. The registration expires if the agent
+// fails.
 func (a *agent) maintainEntry(ctx context.Context, k *supervisor) {
-	var has registry.Endpoint // as it was registered; without a name: it is not
+	var registered registry.Endpoint // the entry as registered; its name is empty if there is none
 	var writtenAt time.Time
 	for ctx.Err() == nil {
 		status, changed := k.current()
 		want := a.endpointOf(k, status)
 		var err error
 		switch {
-		case want != has && want.Name != "":
+		case want != registered && want.Name != "":
 			if err = a.writeWithTimeout(ctx, func(ctx context.Context) error {
 				_, err := a.registry.Register(ctx, want, a.config.TTL, nil)
 				return err
 			}); err == nil {
-				has, writtenAt = want, time.Now()
+				registered, writtenAt = want, time.Now()
 			}
-		case want != has:
+		case want != registered:
 			if err = a.writeWithTimeout(ctx, func(ctx context.Context) error {
 				_, err := a.registry.Remove(ctx, k.server.Name, nil)
 				return ignoreNotFound(err)
 			}); err == nil {
-				has = want
+				registered = want
 			}
-		case has.Name != "" && time.Since(writtenAt) >= a.config.TTL/renewalsPerTTL:
+		case registered.Name != "" && time.Since(writtenAt) >= a.config.TTL/renewalsPerTTL:
 			err = a.writeWithTimeout(ctx, func(ctx context.Context) error {
 				unknown, err := a.registry.Renew(ctx, []string{k.server.Name})
 				if len(unknown) > 0 {
-					has = registry.Endpoint{} // it is registered anew
+					registered = registry.Endpoint{} // registered again in the next round
 				}
 				return err
 			})
@@ -58,7 +59,8 @@
 	}
 }
 
-// endpointOf is the entry that a server is to have; none while it does not answer.
+// endpointOf returns the entry with which a server is to be registered. Its name is empty if the server is
+// not to be registered.
 func (a *agent) endpointOf(k *supervisor, s Status) registry.Endpoint {
 	switch {
 	case s.Running && s.KeepDraining:
@@ -69,28 +71,30 @@
 	return registry.Endpoint{}
 }
 
-func (a *agent) writeWithTimeout(ctx context.Context, do func(context.Context) error) error {
+// writeWithTimeout calls write with a context that ends after writeTimeout.
+func (a *agent) writeWithTimeout(ctx context.Context, write func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	return do(ctx)
+	return write(ctx)
 }
 
-// ignoreNotFound takes an entry that is not there for one that was removed.
+// ignoreNotFound returns nil if err says that the entry to be removed does not exist, and err otherwise.
 func ignoreNotFound(err error) error {
-	var refused *client.Error
-	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
+	var rejection *client.Error
+	if errors.As(err, &rejection) && rejection.Status == http.StatusNotFound {
 		return nil
 	}
 	return err
 }
 
-// publishRecord keeps this agent's record in the registry, where releases look for it.
+// publishRecord writes this agent's record to the registry, where release controllers look for agents. It
+// retries until that succeeds or ctx ends.
 func (a *agent) publishRecord(ctx context.Context) {
-	card := Record{Machine: a.config.Machine, Address: a.address}
+	record := Record{Machine: a.config.Machine, Address: a.address}
 	for _, s := range a.config.Servers {
-		card.Servers = append(card.Servers, s.Name)
+		record.Servers = append(record.Servers, s.Name)
 	}
-	raw, err := json.Marshal(card)
+	raw, err := json.Marshal(record)
 	for err == nil && ctx.Err() == nil {
 		if e := a.writeWithTimeout(ctx, func(ctx context.Context) error {
 			_, err := a.registry.Put(ctx, RecordPrefix+a.config.Machine, raw, nil)
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// before a process that ended by itself is started again; it doubles
+	// The backoff before a process that ended by itself is started again doubles from the first to the second.
 	minRestartBackoff = 500 * time.Millisecond
 	maxRestartBackoff = 30 * time.Second
-	stableRunTime     = time.Minute // a process that ran so long resets the backoff
-	readyInterval     = 200 * time.Millisecond
-	readyTimeout      = 2 * time.Second // for one readiness check
+	stableRunTime     = time.Minute            // a process that ran for longer resets the backoff
+	readyInterval     = 200 * time.Millisecond // between two readiness checks
+	readyTimeout      = 2 * time.Second        // for one readiness check
 )
 
-// supervisor keeps one server's process: the version that is wanted, started again
-// when it ends by itself, replaced when another version is wanted.
+// supervisor keeps one server's process running. It starts the wanted version, starts it again when its
+// process ends by itself, and replaces it when another version is wanted.
 type supervisor struct {
 	server     Server
 	log        *slog.Logger
-	output     *os.File // of its processes
-	recordFile string   // where the record of the running process is stored
+	output     *os.File // standard output and error of the server's processes
+	recordFile string   // path of the record of the running process
 	http       *http.Client
-	socket     *os.File // the clients' socket, where versions hand off; nil: not opened yet
+	socket     *os.File // the clients' socket of a server with Handover; nil: not opened yet
 
 	mu      sync.Mutex
 	status  Status
 	changed chan struct{} // closed and replaced when the status changes
-	wake    chan struct{} // a version may be wanted
+	wake    chan struct{} // signalled when the desired state was set
 }
 
-func newSupervisor(s Server, version, trace string, out *os.File, log *slog.Logger) *supervisor {
+// newSupervisor returns a supervisor that is to run a version. Its process is not started yet.
+func newSupervisor(s Server, version, recordFile string, output *os.File, log *slog.Logger) *supervisor {
 	return &supervisor{
 		server:     s,
 		log:        log.With("server", s.Name),
-		recordFile: trace,
-		output:     out,
+		recordFile: recordFile,
+		output:     output,
 		changed:    make(chan struct{}),
 		wake:       make(chan struct{}, 1),
 		http:       &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
@@ -65,6 +66,7 @@
 	return k.status, k.changed
 }
 
+// updateStatus applies change to the status, and wakes those that wait for a change if there is one.
 func (k *supervisor) updateStatus(change func(*Status)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -75,9 +77,9 @@
 	}
 }
 
-// setDesired sets the version that is to run.
-func (k *supervisor) setDesired(o DesiredState) {
-	k.updateStatus(func(s *Status) { s.WantedVersion, s.KeepDraining = o.Version, o.KeepDraining })
+// setDesired sets the desired state of the server.
+func (k *supervisor) setDesired(desired DesiredState) {
+	k.updateStatus(func(s *Status) { s.WantedVersion, s.KeepDraining = desired.Version, desired.KeepDraining })
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -91,7 +93,7 @@
 		status, _ := k.current()
 		version := status.WantedVersion
 		if version == status.RejectedVersion {
-			version = status.Version // the one that ran before
+			version = status.Version // the version that is still running
 		}
 		began := time.Now()
 		replaced, err := k.runProcess(ctx, version)
@@ -112,7 +114,7 @@
 	}
 }
 
-// sleep waits for d, or until another version is wanted, or ctx ends.
+// sleep waits for d, until the desired state is set, or until ctx ends.
 func (k *supervisor) sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -123,8 +125,7 @@
 	}
 }
 
-// runningProcess is the process that a supervisor runs at present, with the goroutine that checks whether it
-// is ready.
+// runningProcess is the process that a supervisor is running, with the goroutine that checks its readiness.
 type runningProcess struct {
 	*process
 	supervisor *supervisor
@@ -141,15 +142,15 @@
 	return running
 }
 
-// unwatch stops the readiness checks, and waits for their end.
+// unwatch stops the readiness checks and waits until they have ended.
 func (r *runningProcess) unwatch() {
 	r.stopChecks()
 	r.checks.Wait()
 }
 
-// runProcess runs one process until it ends, by itself or because another version is wanted (replaced). Of a
-// server whose versions hand off, the next version's process takes its place. When the agent ends, the
-// process is left running, for the agent's successor.
+// runProcess runs one process until it ends, either by itself or because another version is wanted, for which
+// it returns replaced. For a server with Handover, the process of the next version takes over without a
+// return. When ctx ends, the process is left running for the next agent.
 func (k *supervisor) runProcess(ctx context.Context, version string) (replaced bool, err error) {
 	p, err := k.adoptOrStart(version)
 	if err != nil {
@@ -157,7 +158,7 @@
 	}
 	running := k.watchProcess(ctx, p)
 	defer func() { running.close() }()
-	for over := false; !over; {
+	for finished := false; !finished; {
 		status, _ := k.current()
 		if status.WantedVersion != running.Version {
 			if !k.server.Handover {
@@ -172,10 +173,10 @@
 		}
 		select {
 		case err = <-running.ended:
-			over = true
+			finished = true
 		case <-k.wake:
 		case <-ctx.Done():
-			over = true
+			finished = true
 		}
 	}
 	running.unwatch()
@@ -185,8 +186,8 @@
 	return replaced, err
 }
 
-// upgradeRunning replaces a process by one of another version, and returns the one that runs from then on:
-// the present one, if the other did not get ready.
+// upgradeRunning replaces a process by one of another version, and returns the new process. If the new
+// version does not get ready, it returns the previous process, which is still running.
 func (k *supervisor) upgradeRunning(
 	ctx context.Context, running *runningProcess, version string,
 ) *runningProcess {
@@ -195,7 +196,7 @@
 		return running
 	}
 	running.unwatch()
-	// it has handed off; the next one goes on all the same
+	// The previous process has handed off, so an error at its end does not affect the next one.
 	if err := k.stopProcess(running.process); err != nil {
 		k.log.Debug("the previous process ended with an error", "version", running.Version, "err", err)
 	}
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	upgradeTimeout = 30 * time.Second // for a version to get ready beside the one that runs
-	nextSuffix     = ".next"          // of the record of one that is not ready yet
+	upgradeTimeout   = 30 * time.Second // for a new version to get ready while the previous one is running
+	nextRecordSuffix = ".next"          // suffix of the record of a process that is not ready yet
 )
 
-// upgrade starts another version beside a process, and gives it once it is ready.
-// One that does not get ready is ended, the old one goes on, and the version is
-// refused until another order: nil.
-func (k *supervisor) upgrade(ctx context.Context, old *process, version string) *process {
-	next, err := k.startBeside(ctx, old, version)
+// upgrade starts another version while a process is running, and returns the new process once it is ready. If
+// the new process does not get ready, upgrade ends it, marks the version as rejected and returns nil; the
+// running process is not touched.
+func (k *supervisor) upgrade(ctx context.Context, running *process, version string) *process {
+	next, err := k.startNextVersion(ctx, running, version)
 	if err == nil {
-		k.log.Info("the next version is ready", "version", version, "pid", next.PID)
+		k.log.Info("next version ready", "version", version, "pid", next.PID)
 		return next
 	}
 	k.log.Error(
@@ -35,7 +35,7 @@
 		"version",
 		version,
 		"old",
-		old.Version,
+		running.Version,
 		"err",
 		err,
 	)
@@ -45,11 +45,15 @@
 	return nil
 }
 
-func (k *supervisor) startBeside(ctx context.Context, old *process, version string) (*process, error) {
-	if err := k.clear(); err != nil {
+// startNextVersion starts a version while a process is running, and waits until it is ready. It then replaces
+// the record of the running process by that of the new one.
+func (k *supervisor) startNextVersion(
+	ctx context.Context, running *process, version string,
+) (*process, error) {
+	if err := k.stopUnfinishedUpgrade(); err != nil {
 		return nil, err
 	}
-	next, err := k.start(old, version, 1-old.ControlIndex, k.recordFile+nextSuffix)
+	next, err := k.start(running, version, 1-running.ControlIndex, k.recordFile+nextRecordSuffix)
 	if err != nil {
 		return nil, err
 	}
@@ -60,9 +64,9 @@
 			break
 		}
 		select {
-		case end := <-next.ended:
+		case endErr := <-next.ended:
 			next.close()
-			return nil, fmt.Errorf("it ended before it was ready: %w", end)
+			return nil, fmt.Errorf("it ended before it was ready: %w", endErr)
 		case <-within.Done():
 			defer next.close()
 			return nil, errors.Join(
@@ -72,37 +76,38 @@
 		case <-time.After(readyInterval):
 		}
 	}
-	if err := os.Rename(k.recordFile+nextSuffix, k.recordFile); err != nil {
+	if err := os.Rename(k.recordFile+nextRecordSuffix, k.recordFile); err != nil {
 		defer next.close()
 		return nil, errors.Join(err, k.stopProcess(next))
 	}
 	return next, nil
 }
 
-// clear ends the process of an upgrade that an earlier agent did not bring to its end.
-func (k *supervisor) clear() error {
-	left, err := adopt(k.recordFile + nextSuffix)
-	if err != nil || left == nil {
+// stopUnfinishedUpgrade ends the new process of an upgrade that a previous agent did not finish.
+func (k *supervisor) stopUnfinishedUpgrade() error {
+	unfinished, err := adopt(k.recordFile + nextRecordSuffix)
+	if err != nil || unfinished == nil {
 		return err
 	}
-	defer left.close()
-	k.log.Warn("abandoning an unfinished upgrade", "version", left.Version, "pid", left.PID)
-	if err := k.stopProcess(left); err != nil {
-		k.log.Debug("the abandoned process ended with an error", "version", left.Version, "err", err)
+	defer unfinished.close()
+	k.log.Warn("abandoning an unfinished upgrade", "version", unfinished.Version, "pid", unfinished.PID)
+	if err := k.stopProcess(unfinished); err != nil {
+		k.log.Debug("the abandoned process ended with an error", "version", unfinished.Version, "err", err)
 	}
 	return nil
 }
 
-// open has the clients' socket at hand: this agent's own, or that of the process
-// which an earlier agent gave it to.
-func (k *supervisor) open(beside *process) error {
+// openSocket opens the clients' socket, unless it is open. If a process is running, a previous agent has
+// passed the socket to it, and it is duplicated from there; otherwise this agent listens at the server's
+// address.
+func (k *supervisor) openSocket(running *process) error {
 	if k.socket != nil {
 		return nil
 	}
-	if beside != nil {
-		fd, err := beside.listening(k.server.Address)
+	if running != nil {
+		fd, err := running.duplicateListener(k.server.Address)
 		if err != nil {
-			return fmt.Errorf("the clients' socket can't be had from process %d: %w", beside.PID, err)
+			return fmt.Errorf("the clients' socket can't be had from process %d: %w", running.PID, err)
 		}
 		k.socket = os.NewFile(uintptr(fd), "clients")
 		return nil
@@ -118,9 +123,9 @@
 	return nil
 }
 
-// listening returns a copy of the descriptor with which a process listens at an address. Which one of its own
-// that is, is the process's business.
-func (p *process) listening(address string) (int, error) {
+// duplicateListener returns a duplicate of the descriptor with which a process listens at an address. The
+// process may use any number for that descriptor, so all of its sockets are examined.
+func (p *process) duplicateListener(address string) (int, error) {
 	want, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return 0, err
@@ -132,33 +137,34 @@
 	}
 	for _, e := range all {
 		n, err := strconv.Atoi(e.Name())
-		if to, e := os.Readlink(
+		if target, e := os.Readlink(
 			folder + "/" + e.Name(),
 		); err != nil || e != nil ||
-			!strings.HasPrefix(to, "socket:") {
+			!strings.HasPrefix(target, "socket:") {
 			continue
 		}
-		fd, err := unix.PidfdGetfd(p.fd, n, 0)
+		fd, err := unix.PidfdGetfd(p.pidfd, n, 0)
 		if err != nil {
 			return 0, err
 		}
 		if listensAt(fd, want) {
 			return fd, nil
 		}
-		_ = unix.Close(fd) // a duplicate that was only looked at
+		_ = unix.Close(fd) // the duplicate was only examined
 	}
 	return 0, fmt.Errorf("none of its descriptors listens at %s", address)
 }
 
+// listensAt reports whether a descriptor is a socket that listens at an address.
 func listensAt(fd int, want netip.AddrPort) bool {
-	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on != 1 {
+	if value, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || value != 1 {
 		return false
 	}
-	at, err := unix.Getsockname(fd)
+	local, err := unix.Getsockname(fd)
 	if err != nil {
 		return false
 	}
-	switch a := at.(type) {
+	switch a := local.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port)) == want
 	case *unix.SockaddrInet6:
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,6 @@
-// Package backoff waits between attempts: for a given time or until a context ends, and for times that grow
-// with each failure and are drawn at random, so that clients that failed together do not return together.
+// Package backoff waits between attempts. Sleep waits for a given time or until a context ends. FullJitter
+// draws random waits whose bound grows with each failure, so that clients that failed at the same time do not
+// retry at the same time.
 package backoff
 
 import (
@@ -23,13 +24,12 @@
 	}
 }
 
-// FullJitter is an exponential backoff whose waits are drawn evenly from the whole range up to the present
-// bound. The bound starts at First and doubles with each wait until it reaches Max. It is not safe for
-// concurrent use.
+// FullJitter is an exponential backoff whose waits are drawn uniformly between 0 and a bound. The bound
+// starts at First and doubles with each wait until it reaches Max. It is not safe for concurrent use.
 type FullJitter struct {
 	First time.Duration // bound of the first wait
-	Max   time.Duration // the bound never exceeds it
-	bound time.Duration // 0: no wait has been drawn yet
+	Max   time.Duration // maximum of the bound
+	bound time.Duration // bound of the next wait; 0: no wait has been drawn yet
 }
 
 // Next draws the next wait, at least 1 ns. draw returns a random number from 0 to n-1, as rand.Int64N does.
--- a/internal/checksumfile/checksumfile.go
+++ b/internal/checksumfile/checksumfile.go
@@ -1,5 +1,5 @@
-// Package checksumfile stores small files atomically and with a checksum. Wherever writing is interrupted,
-// the file has its old or its new content, and a file that was damaged later is detected.
+// Package checksumfile stores small files atomically and with a checksum. If writing is interrupted at any
+// point, the file has either its old or its new content. Damage that occurs later is detected on reading.
 //
 // The first line of a file is the xxHash64 of the rest in 16 hexadecimal digits.
 package checksumfile
@@ -18,13 +18,14 @@
 	"wrenspread/internal/besteffort"
 )
 
-// ErrDamaged means that content does not match its checksum.
+// ErrDamaged means that a file's content does not match its checksum.
 var ErrDamaged = errors.New("damaged: the checksum does not match")
 
 // Encode returns raw with its checksum line before it.
 func Encode(raw []byte) []byte { return append(fmt.Appendf(nil, "%016x\n", xxhash.Sum64(raw)), raw...) }
 
-// Decode returns what Encode was given. It returns ErrDamaged if the checksum is missing or does not match.
+// Decode returns the content that Encode was given. It returns ErrDamaged if the checksum is missing or does
+// not match.
 func Decode(text []byte) ([]byte, error) {
 	sum, raw, _ := bytes.Cut(text, []byte("\n"))
 	want, err := strconv.ParseUint(string(sum), 16, 64)
@@ -40,7 +41,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { besteffort.Cleanup(os.Remove(temporary.Name())) }() // after the rename there is none
+	// After the rename there is no temporary file any more, and the removal fails.
+	defer func() { besteffort.Cleanup(os.Remove(temporary.Name())) }()
 	if err := writeAndSync(temporary, Encode(raw)); err != nil {
 		return err
 	}
@@ -50,6 +52,7 @@
 	return SyncFolder(filepath.Dir(path))
 }
 
+// writeAndSync writes content to a file, syncs it to the disk and closes it.
 func writeAndSync(f *os.File, content []byte) error {
 	_, err := f.Write(content)
 	if err == nil {
@@ -68,8 +71,8 @@
 	return folder.Sync()
 }
 
-// Read returns the content of the file at path, which may have maxSize bytes. The error is fs.ErrNotExist if
-// there is no file, and ErrDamaged if its checksum does not match.
+// Read returns the content of the file at path, which may have maxSize bytes with its checksum. The error is
+// fs.ErrNotExist if there is no file, and ErrDamaged if its checksum does not match.
 func Read(path string, maxSize int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config assembles a program's configuration from its defaults, a TOML file and command-line flags,
-// of which each overrides those before it.
+// Package config assembles a program's configuration from its defaults, a TOML file and command-line flags.
+// The file overrides the defaults, and the flags override both.
 package config
 
 import (
@@ -15,11 +15,11 @@
 	"github.com/spf13/pflag"
 )
 
-// FileFlag is the flag that names the file.
+// FileFlag is the name of the flag that gives the path of the TOML file.
 const FileFlag = "config"
 
-// Load overrides c, which has the defaults, by the file that --config names, if there is one, and by the
-// other flags that were given. An unknown key is an error.
+// Load overrides the defaults in c by the file that --config names, if it is set, and by the other flags that
+// were set on the command line. An unknown key is an error.
 func Load[T any](c *T, flags *pflag.FlagSet) error {
 	k := koanf.New(".")
 	path := flags.Lookup(FileFlag).Value.String()
@@ -40,7 +40,7 @@
 	return unmarshal(k, c, path)
 }
 
-// File overrides c, which has the defaults, by a TOML file. An unknown key is an error.
+// File overrides the defaults in c by a TOML file. An unknown key is an error.
 func File[T any](c *T, path string) error {
 	k := koanf.New(".")
 	if err := k.Load(file.Provider(path), toml.Parser()); err != nil {
@@ -49,6 +49,7 @@
 	return unmarshal(k, c, path)
 }
 
+// unmarshal decodes the keys of k into c. path names the file in errors.
 func unmarshal[T any](k *koanf.Koanf, c *T, path string) error {
 	decoder := &mapstructure.DecoderConfig{
 		Result:      c,
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// decodeDuration reads a duration with its unit. A bare number would be nanoseconds, which nobody means.
+// decodeDuration decodes a duration with its unit. It rejects a bare number, which would mean nanoseconds.
 func decodeDuration(from, to reflect.Type, data any) (any, error) {
 	if to != reflect.TypeFor[time.Duration]() || from == to {
 		return data, nil
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -6,17 +6,17 @@
 	"net"
 )
 
-// Problems collects all that is wrong with a configuration, each with its key.
+// Problems collects the problems of a configuration, each with its key.
 type Problems struct{ errs []error }
 
-// Require adds a problem unless ok.
+// Require adds a problem with the formatted text unless ok is true.
 func (p *Problems) Require(ok bool, format string, args ...any) {
 	if !ok {
 		p.errs = append(p.errs, fmt.Errorf(format, args...))
 	}
 }
 
-// RequireAddress adds a problem unless value is host:port.
+// RequireAddress adds a problem unless value, which key has, is host:port.
 func (p *Problems) RequireAddress(key, value string) {
 	_, _, err := net.SplitHostPort(value)
 	p.Require(err == nil, "%s: %q is not host:port", key, value)
--- a/internal/config/program.go
+++ b/internal/config/program.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 )
 
-// Main runs a program's command until it ends or gets a signal, and exits with 1 after an error, which it
-// prints.
+// Main runs a program's command. SIGTERM and SIGINT end the command's context. After an error Main prints the
+// error and exits with status 1.
 func Main(c *cobra.Command) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/controller/checker.go
+++ b/internal/controller/checker.go
@@ -9,138 +9,143 @@
 	"wrenspread/internal/registry"
 )
 
-// Thresholds say how long something must be wrong before it counts.
+// Thresholds configures how long an inconsistency must last before the controller acts on it.
 type Thresholds struct {
-	Settle time.Duration `koanf:"settle"` // until it is reported: changes take time to arrive everywhere
+	Settle time.Duration `koanf:"settle"` // until a finding is reported: changes take time to reach proxies
 	Orphan time.Duration `koanf:"orphan"` // until an orphaned endpoint is removed
 }
 
-// Observation is all that was seen at a time of one monotonic clock.
+// Observation holds what one round of checks saw. At is read from one monotonic clock for all observations.
 type Observation struct {
 	At            time.Duration
 	Registrations []registry.Registration
-	Reachable     map[string]bool // endpoints, by name, that accept connections
+	Reachable     map[string]bool // by endpoint name: it accepts connections
 	Proxies       []ProxyObservation
 }
 
-// ProxyObservation is a proxy as its control address shows it.
+// ProxyObservation holds what a proxy's control address answered.
 type ProxyObservation struct {
 	Name       string
-	Up         bool // it answers
-	Ready      bool // it serves clients
-	Discovered int  // number of endpoints that it knows; negative: unknown
+	Up         bool // the proxy answers
+	Ready      bool // the proxy serves clients
+	Discovered int  // number of endpoints that the proxy knows; negative: unknown
 }
 
-// Finding is an inconsistency.
+// Finding is an inconsistency between the registry, the endpoints and the proxies.
 type Finding struct {
 	Kind    string        `json:"what"`
 	Subject string        `json:"who"`
 	Detail  string        `json:"detail"`
-	Lasting time.Duration `json:"for_ns"` // how long it has been observed
+	Lasting time.Duration `json:"for_ns"` // time since the finding was first observed
 }
 
-// Repair removes an orphaned endpoint, if it still has the version at which it was checked.
+// Repair is the removal of an orphaned endpoint. The registry carries it out only if the registration still
+// has the version at which it was checked.
 type Repair struct {
 	Name    string
 	Version uint64
 	Reason  string
 }
 
-// The kinds of finding.
+// The kinds of findings.
 const (
 	ProxyUnreachable     = "unreachable" // a proxy does not answer
 	ProxyNotReady        = "unready"     // a proxy answers and does not serve
-	EndpointCountDiffers = "differs"     // a proxy knows another number of endpoints than are registered
+	EndpointCountDiffers = "differs"     // a proxy does not know as many endpoints as are registered
 	EndpointUnreachable  = "silent"      // a registered endpoint accepts no connections
-	DuplicateAddress     = "twice"       // two endpoints have one address
-	OrphanedEndpoint     = "orphan"      // a draining endpoint accepts no connections and nobody would remove it
+	DuplicateAddress     = "twice"       // two endpoints have the same address
+	OrphanedEndpoint     = "orphan"      // a draining endpoint accepts no connections and has no TTL
 )
 
-// findingKey identifies a finding while it lasts.
+// findingKey identifies a finding over several observations.
 type findingKey struct{ kind, subject, detail string }
 
-// Checker compares observations, one after the other. It is pure, and not safe for concurrent use.
+// Checker finds inconsistencies in successive observations. It does no I/O and reads no clock, and is not
+// safe for concurrent use.
 type Checker struct {
 	thresholds Thresholds
-	since      map[findingKey]time.Duration // when something was first observed as it is now
+	since      map[findingKey]time.Duration // time of the first observation of each finding that lasts
 }
 
-// NewChecker returns a checker that has not observed anything.
+// NewChecker returns a checker without observations.
 func NewChecker(thresholds Thresholds) *Checker {
 	return &Checker{thresholds: thresholds, since: map[findingKey]time.Duration{}}
 }
 
-// check is the work of one observation.
+// check is the state of one call of Check.
 type check struct {
 	*Checker
-	at       time.Duration
-	seen     map[findingKey]bool
-	findings []Finding
-	repairs  []Repair
+	observedAt time.Duration
+	seen       map[findingKey]bool
+	findings   []Finding
+	repairs    []Repair
 }
 
-// Check returns what has been inconsistent for long enough, and what of it is to be repaired.
+// Check returns the findings that have lasted for Thresholds.Settle, ordered by kind and subject, and the
+// repairs of the orphaned endpoints that have lasted for Thresholds.Orphan.
 func (c *Checker) Check(observed Observation) (findings []Finding, repairs []Repair) {
-	now := &check{Checker: c, at: observed.At, seen: map[findingKey]bool{}}
+	current := &check{Checker: c, observedAt: observed.At, seen: map[findingKey]bool{}}
 	for _, proxy := range observed.Proxies {
-		now.proxy(proxy, len(observed.Registrations))
+		current.checkProxy(proxy, len(observed.Registrations))
 	}
 	byAddress := map[string]string{}
 	for _, registration := range observed.Registrations {
 		endpoint := registration.Endpoint
 		if other, duplicate := byAddress[endpoint.Address]; duplicate {
-			now.find(
+			current.recordFinding(
 				findingKey{DuplicateAddress, endpoint.Name, fmt.Sprintf("%s is at %s, too", other, endpoint.Address)},
 			)
 		}
 		byAddress[endpoint.Address] = endpoint.Name
 		if !observed.Reachable[endpoint.Name] {
-			now.unreachable(registration)
+			current.checkUnreachable(registration)
 		}
 	}
 	for key := range c.since {
-		if !now.seen[key] {
+		if !current.seen[key] {
 			delete(c.since, key)
 		}
 	}
-	slices.SortFunc(now.findings, func(x, y Finding) int {
+	slices.SortFunc(current.findings, func(x, y Finding) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Subject, y.Subject))
 	})
-	return now.findings, now.repairs
+	return current.findings, current.repairs
 }
 
-// find records that something is observed, reports it if it has lasted for long enough, and returns for how
-// long it has.
-func (c *check) find(key findingKey) (lasting time.Duration) {
+// recordFinding records that a finding is observed, reports it if it has lasted for Thresholds.Settle, and
+// returns how long it has lasted.
+func (c *check) recordFinding(key findingKey) (lasting time.Duration) {
 	c.seen[key] = true
 	if _, known := c.since[key]; !known {
-		c.since[key] = c.at
+		c.since[key] = c.observedAt
 	}
-	lasting = c.at - c.since[key]
+	lasting = c.observedAt - c.since[key]
 	if lasting >= c.thresholds.Settle {
 		c.findings = append(c.findings, Finding{key.kind, key.subject, key.detail, lasting})
 	}
 	return lasting
 }
 
-func (c *check) proxy(proxy ProxyObservation, registered int) {
+// checkProxy checks a proxy's answers. registered is the number of registered endpoints.
+func (c *check) checkProxy(proxy ProxyObservation, registered int) {
 	switch {
 	case !proxy.Up:
-		c.find(findingKey{ProxyUnreachable, proxy.Name, "its control address does not answer"})
+		c.recordFinding(findingKey{ProxyUnreachable, proxy.Name, "its control address does not answer"})
 	case !proxy.Ready:
-		c.find(findingKey{ProxyNotReady, proxy.Name, "it answers, but does not serve clients"})
+		c.recordFinding(findingKey{ProxyNotReady, proxy.Name, "it answers, but does not serve clients"})
 	case proxy.Discovered >= 0 && proxy.Discovered != registered:
 		detail := fmt.Sprintf("it knows %d endpoints, %d are registered", proxy.Discovered, registered)
-		c.find(findingKey{EndpointCountDiffers, proxy.Name, detail})
+		c.recordFinding(findingKey{EndpointCountDiffers, proxy.Name, detail})
 	}
 }
 
-// unreachable checks an endpoint that accepts no connections. One with a TTL expires in the registry by
-// itself, and one that is ready may be about to start; others that are draining are orphaned.
-func (c *check) unreachable(registration registry.Registration) {
+// checkUnreachable checks an endpoint that accepts no connections. A registration with a TTL expires by
+// itself, and a ready endpoint may be about to start, so they are only reported. A draining endpoint without
+// a TTL is orphaned: nothing else would remove its registration.
+func (c *check) checkUnreachable(registration registry.Registration) {
 	endpoint := registration.Endpoint
 	if endpoint.Status != registry.Draining || registration.TTL > 0 {
-		c.find(findingKey{EndpointUnreachable, endpoint.Name, endpoint.Address + " takes no connections"})
+		c.recordFinding(findingKey{EndpointUnreachable, endpoint.Name, endpoint.Address + " takes no connections"})
 		return
 	}
 	detail := fmt.Sprintf(
@@ -148,7 +153,9 @@
 		registration.Version,
 		endpoint.Address,
 	)
-	if lasting := c.find(findingKey{OrphanedEndpoint, endpoint.Name, detail}); lasting >= c.thresholds.Orphan {
+	if lasting := c.recordFinding(
+		findingKey{OrphanedEndpoint, endpoint.Name, detail},
+	); lasting >= c.thresholds.Orphan {
 		c.repairs = append(c.repairs, Repair{endpoint.Name, registration.Version, detail})
 	}
 }
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -10,21 +10,21 @@
 type Config struct {
 	Process    string        `koanf:"process"` // name of this process, the same over its restarts
 	Registry   []string      `koanf:"list"`    // addresses of the registry's replicas
-	Listen     string        `koanf:"listen"`  // for /report, /healthz and /metrics
-	Every      time.Duration `koanf:"every"`   // between two comparisons
-	Repair     bool          `koanf:"repair"`  // false: it only reports
-	Proxies    []Proxy       `koanf:"node"`    // that are compared
-	Quotas     Quotas        `koanf:"shares"`  // without a fleet this process allocates no limits
+	Listen     string        `koanf:"listen"`  // address for /report, /healthz and /metrics
+	Every      time.Duration `koanf:"every"`   // interval between two comparisons
+	Repair     bool          `koanf:"repair"`  // false: orphaned endpoints are reported and not removed
+	Proxies    []Proxy       `koanf:"node"`    // proxies that are compared with the registry
+	Quotas     Quotas        `koanf:"shares"`  // allocation of limits, off if Quotas.Fleet is empty
 	Thresholds `koanf:",squash"`
 }
 
 // Proxy is a proxy that is compared with the registry.
 type Proxy struct {
 	Name    string `koanf:"name"`
-	Control string `koanf:"control"` // its control address
+	Control string `koanf:"control"` // control address, host:port
 }
 
-// Default returns the configuration but for names and addresses.
+// Default returns the configuration without names and addresses, which have no defaults.
 func Default() Config {
 	return Config{
 		Listen:     "127.0.0.1:8700",
@@ -36,7 +36,7 @@
 
 const minInterval = 100 * time.Millisecond // between two comparisons
 
-// Check returns all that is wrong with a configuration, by its keys.
+// Check returns all problems of a configuration, each with its key, or nil.
 func (c Config) Check() error {
 	var problems config.Problems
 	problems.Require(c.Process != "", "process: missing; it names this process, the same over its restarts")
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,9 +1,9 @@
-// Package controller runs the singleton jobs of a fleet, each under a lease, so that of several controller
-// processes one does each job: comparing the registry with what endpoints and proxies answer, and allocating
-// the limits of the operators' policy to proxies (Quotas).
+// Package controller runs the jobs that one process does for a fleet. Each job runs under a lease, so that
+// only one of several controller processes does it. The jobs are to compare the registry with the answers of
+// endpoints and proxies, and to allocate the limits of the operators' policy to proxies (Quotas).
 //
-// The comparison repairs what is plainly orphaned, under its fencing token and by the version that was
-// checked, and reports the rest.
+// The comparison removes orphaned endpoints from the registry, under its fencing token and only at the
+// version that was checked. It reports all other findings.
 package controller
 
 import (
@@ -29,39 +29,39 @@
 )
 
 const (
-	callTimeout       = 2 * time.Second // for one address to answer
-	registryTimeout   = 10 * time.Second
-	closeTimeout      = 5 * time.Second
-	maxParallelChecks = 32
-	maxStats          = 1 << 20        // bytes of a proxy's statistics
-	leaseName         = "keeper"       // as the registry and operators know it
-	metricNamespace   = "indigokeeper" // as dashboards know it
+	callTimeout       = 2 * time.Second  // for one endpoint or proxy to answer
+	registryTimeout   = 10 * time.Second // for one call to the registry
+	closeTimeout      = 5 * time.Second  // for closing the lease session
+	maxParallelChecks = 32               // endpoints and proxies that are checked at a time
+	maxStatsBytes     = 1 << 20          // bytes of a proxy's statistics
+	leaseName         = "keeper"         // name of the comparison's lease in the registry
+	metricNamespace   = "indigokeeper"   // prefix of the metrics, used by dashboards
 )
 
-// Controller is one process that may hold the lease of the comparison.
+// Controller is one controller process, which may hold the lease of the comparison.
 type Controller struct {
 	config Config
 	log    *slog.Logger
 	client *client.Client
 	http   *http.Client
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	holding   bool
 	checkedAt time.Time
 	findings  []Finding
 	repairs   int
 }
 
-// Report is what /report shows.
+// Report is the response of /report.
 type Report struct {
 	Process   string    `json:"process"`
-	Holding   bool      `json:"holds"` // the lease; false: another process compares
+	Holding   bool      `json:"holds"` // this process holds the lease of the comparison
 	CheckedAt time.Time `json:"looked"`
 	Findings  []Finding `json:"findings"`
-	Repairs   int       `json:"repairs"` // by this process
+	Repairs   int       `json:"repairs"` // endpoints that this process has removed
 }
 
-// Run does the jobs whose leases this process holds, until ctx ends.
+// Run runs the jobs whose leases this process holds, until ctx ends.
 func Run(ctx context.Context, config Config, log *slog.Logger) error {
 	if err := config.Check(); err != nil {
 		return err
@@ -88,23 +88,24 @@
 	return controller.runJobs(ctx, session)
 }
 
+// newHTTPClient returns the client for proxies' control addresses.
 func newHTTPClient() *http.Client {
 	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// serve answers HTTP calls until stop is called.
+// serve serves HTTP at listener until stop is called.
 func (c *Controller) serve(listener net.Listener) (stop func()) {
 	server := &http.Server{Handler: c.routes(), ReadHeaderTimeout: callTimeout}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			c.log.Error("reports are not served any more", "err", err)
+			c.log.Error("serving reports failed", "err", err)
 		}
 	}()
 	return func() { besteffort.Close(server) }
 }
 
-// runJobs does the jobs until ctx ends, and closes the session. The session is closed while the jobs end:
-// without the registry they would not end by themselves.
+// runJobs runs the jobs until ctx ends, and closes the session. The session is closed while the jobs are
+// ending, because without the registry they would not end by themselves.
 func (c *Controller) runJobs(ctx context.Context, session *lease.Session) error {
 	jobs, ctx := errgroup.WithContext(ctx)
 	jobs.Go(func() error { return session.Run(ctx, leaseName, c.checkRepeatedly) })
@@ -123,6 +124,7 @@
 	return errors.Join(err, <-closed)
 }
 
+// routes returns the handler of the controller's HTTP interface.
 func (c *Controller) routes() http.Handler {
 	metrics := prometheus.NewRegistry()
 	gauge := func(name, help string, value func() float64) {
@@ -161,14 +163,14 @@
 	return Report{c.config.Process, c.holding, c.checkedAt, c.findings, c.repairs}
 }
 
-// checkRepeatedly compares at intervals, as the holder of the lease.
+// checkRepeatedly runs the comparison at intervals while this process holds the lease. It ends with ctx.
 func (c *Controller) checkRepeatedly(ctx context.Context, token lease.Token) error {
 	c.setHolding(true)
 	defer c.setHolding(false)
 	checker, start := NewChecker(c.config.Thresholds), time.Now()
 	for ctx.Err() == nil {
 		observed, err := c.observe(ctx)
-		if err != nil { // nobody is blamed for it
+		if err != nil { // a failed read is no observation, so no finding follows from it
 			c.log.Warn("reading the registry failed", "err", err)
 		} else {
 			observed.At = time.Since(start)
@@ -181,6 +183,7 @@
 	return ctx.Err()
 }
 
+// setHolding records whether this process holds the lease, and clears the findings.
 func (c *Controller) setHolding(holding bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,7 +191,8 @@
 	c.findings = nil
 }
 
-// recordFindings keeps the findings for reports, and logs those that are new.
+// recordFindings stores the findings for reports, and logs each finding that the previous comparison did not
+// have.
 func (c *Controller) recordFindings(findings []Finding) {
 	c.mu.Lock()
 	known := map[findingKey]bool{}
@@ -208,7 +212,8 @@
 
 func (f Finding) key() findingKey { return findingKey{f.Kind, f.Subject, f.Detail} }
 
-// removeOrphans removes orphaned endpoints under the fencing token, at the versions that were checked.
+// removeOrphans removes orphaned endpoints under the fencing token, each only at the version that was
+// checked. It does nothing if Config.Repair is false.
 func (c *Controller) removeOrphans(ctx context.Context, token lease.Token, repairs []Repair) {
 	if !c.config.Repair {
 		return
--- a/internal/controller/observe.go
+++ b/internal/controller/observe.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	discoveredStat = "app.discovered:" // line of a proxy's statistics
-	unknownCount   = -1
+	discoveredStat = "app.discovered:" // begins the line with the number of endpoints in a proxy's statistics
+	unknownCount   = -1                // ProxyObservation.Discovered of a proxy that reports no number
 )
 
-// observe reads the registry, and asks every endpoint and proxy at its address.
+// observe reads the registry, and checks every registered endpoint and every configured proxy.
 func (c *Controller) observe(ctx context.Context) (Observation, error) {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
@@ -47,12 +47,12 @@
 			return nil
 		})
 	}
-	_ = checks.Wait() // no check returns an error: what does not answer is part of the observation
+	_ = checks.Wait() // no check returns an error: a missing answer is part of the observation
 	observed := Observation{Registrations: answer.Registrations, Reachable: reachable.names, Proxies: proxies}
 	return observed, ctx.Err()
 }
 
-// nameSet is a set of names that several goroutines add to.
+// nameSet is a set of names to which several goroutines may add.
 type nameSet struct {
 	mu    sync.Mutex
 	names map[string]bool
@@ -66,6 +66,7 @@
 	s.names[name] = true
 }
 
+// acceptsConnections reports whether an endpoint accepts a connection within callTimeout.
 func acceptsConnections(ctx context.Context, endpoint registry.Endpoint) bool {
 	dialer := net.Dialer{Timeout: callTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", endpoint.Address)
@@ -76,6 +77,7 @@
 	return true
 }
 
+// observeProxy reads a proxy's health check and statistics at its control address.
 func (c *Controller) observeProxy(ctx context.Context, proxy Proxy) ProxyObservation {
 	observed := ProxyObservation{Name: proxy.Name, Discovered: unknownCount}
 	status, _, err := c.get(ctx, "http://"+proxy.Control+"/healthcheck")
@@ -87,6 +89,7 @@
 	return observed
 }
 
+// get sends a GET request, and returns the response's status and up to maxStatsBytes of its body.
 func (c *Controller) get(ctx context.Context, url string) (status int, body string, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -97,11 +100,11 @@
 		return 0, "", err
 	}
 	defer besteffort.Close(response.Body)
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxStats))
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxStatsBytes))
 	return response.StatusCode, string(raw), err
 }
 
-// parseDiscovered returns the number of endpoints in a proxy's statistics, unknownCount if there is none.
+// parseDiscovered returns the number of endpoints in a proxy's statistics, or unknownCount if they have none.
 func parseDiscovered(stats string) int {
 	lines := bufio.NewScanner(strings.NewReader(stats))
 	for lines.Scan() {
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -25,16 +25,17 @@
 	"wrenspread/ratelimit"
 )
 
-// Quotas configures the allocation of limits to the proxies of a fleet, which this process does whenever it
-// holds the lease for it. It takes part in the fleet's membership, to reach the proxies.
+// Quotas configures the allocation of limits to the proxies of a fleet. This process allocates while it holds
+// the allocator's lease. It takes part in the fleet's membership to reach the proxies.
 type Quotas struct {
-	Fleet  string   `koanf:"fleet"`  // name of the fleet, as the proxies have it; empty: it allocates nothing
-	Listen string   `koanf:"listen"` // for datagrams; proxies must reach this very address
-	Join   []string `koanf:"join"`   // peer addresses of some members
-	Number int      `koanf:"number"` // index of this process among the peers, if there are any
-	Peers  []string `koanf:"peers"`  // members' addresses by their numbers; empty: those that they advertise
+	Fleet  string   `koanf:"fleet"`  // name of the fleet, as in the proxies' configuration; empty: no allocation
+	Listen string   `koanf:"listen"` // address for datagrams; proxies must reach exactly this address
+	Join   []string `koanf:"join"`   // peer addresses of some members, used to join the fleet
+	Number int      `koanf:"number"` // index of this process in Peers, if there are any
+	Peers  []string `koanf:"peers"`  // members' addresses by number; empty: the advertised addresses
 }
 
+// check adds the problems of the configuration to problems.
 func (q Quotas) check(problems *config.Problems) {
 	if q.Fleet == "" {
 		problems.Require(q.Listen == "" && len(q.Join) == 0,
@@ -57,16 +58,16 @@
 }
 
 const (
-	maxDatagram    = 256  // bytes
-	datagramQueue  = 4096 // datagrams that wait for the allocator: a second's of 300 busy proxies
-	eventQueue     = 16   // events that wait for it
-	expectInterval = time.Second
-	wallInterval   = time.Minute
-	readErrorPause = 50 * time.Millisecond
+	maxDatagramBytes   = 256                   // larger datagrams are discarded
+	maxQueuedDatagrams = 4096                  // datagrams that 300 busy proxies send in a second
+	maxQueuedEvents    = 16                    // events that wait for the allocator
+	proxyCountInterval = time.Second           // between two reports of the number of proxies
+	wallClockInterval  = time.Minute           // between two reports of the time of day
+	readErrorPause     = 50 * time.Millisecond // after a failed read from the socket
 )
 
-// run takes part in the membership, follows the policy and allocates limits whenever the lease is held, until
-// ctx ends.
+// run takes part in the membership, follows the policy, and allocates limits while this process holds the
+// lease, until ctx ends. name is the name of this process.
 func (q Quotas) run(
 	ctx context.Context, name string, registryClient *client.Client, session *lease.Session, log *slog.Logger,
 ) error {
@@ -77,10 +78,10 @@
 	}
 	defer besteffort.Close(conn)
 	members := q.join(ctx, name, address, conn, log)
-	datagrams := make(chan []byte, datagramQueue)
-	events := make(chan quota.Event, eventQueue)
+	datagrams := make(chan []byte, maxQueuedDatagrams)
+	events := make(chan quota.Event, maxQueuedEvents)
 	jobs, ctx := errgroup.WithContext(ctx)
-	stop := context.AfterFunc(ctx, func() { besteffort.Close(conn) }) // ends receive
+	stop := context.AfterFunc(ctx, func() { besteffort.Close(conn) }) // makes receive return
 	defer stop()
 	jobs.Go(func() error { return receive(ctx, conn, members, datagrams) })
 	jobs.Go(func() error {
@@ -103,8 +104,8 @@
 	return jobs.Wait()
 }
 
-// join takes part in the fleet's membership. This process serves no requests, so for proxies it is always
-// joining.
+// join takes part in the fleet's membership until ctx ends. This process serves no requests, so it always
+// advertises the state joining.
 func (q Quotas) join(
 	ctx context.Context, name string, address netip.AddrPort, conn *net.UDPConn, log *slog.Logger,
 ) *gossip.Server {
@@ -127,7 +128,7 @@
 	})
 }
 
-// parseAddresses parses the addresses of a configuration that was checked.
+// parseAddresses parses the addresses of a configuration that has passed its check.
 func parseAddresses(texts []string) (addresses []netip.AddrPort) {
 	for _, text := range texts {
 		address, _ := netip.ParseAddrPort(text)
@@ -136,22 +137,22 @@
 	return addresses
 }
 
-// receive divides the socket's datagrams between the membership and the allocator, until the socket is
-// closed. A datagram for which the allocator has no time is lost.
+// receive passes the socket's datagrams on to the membership or the allocator, until the socket is closed. If
+// the allocator's queue is full, its datagram is dropped.
 func receive(
 	ctx context.Context,
 	conn *net.UDPConn,
 	members *gossip.Server,
 	toAllocator chan<- []byte,
 ) error {
-	buffer := make([]byte, maxDatagram+1)
+	buffer := make([]byte, maxDatagramBytes+1)
 	for ctx.Err() == nil {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		switch {
 		case ctx.Err() != nil:
 		case err != nil:
 			backoff.Sleep(ctx, readErrorPause)
-		case n == 0 || n > maxDatagram:
+		case n == 0 || n > maxDatagramBytes:
 		case quota.IsOurs(buffer[0]):
 			select {
 			case toAllocator <- slices.Clone(buffer[:n]):
@@ -164,7 +165,7 @@
 	return ctx.Err()
 }
 
-// followPolicy tells the allocator of each table, with the one before it.
+// followPolicy reports each new policy table to the allocator, with the previous table, until ctx ends.
 func followPolicy(
 	ctx context.Context,
 	registryClient *client.Client,
@@ -177,7 +178,7 @@
 		found := record.Find(records, record.CurrentKey)
 		table, err := record.DecodeTable(found)
 		if err != nil {
-			log.Error("the new policy is invalid, keeping the present one", "err", err)
+			log.Error("new policy invalid, keeping the current one", "err", err)
 			return
 		}
 		if found.Version == version {
@@ -189,14 +190,14 @@
 	})
 }
 
-// reportTimeAndProxies tells the allocator the time of day, and about how many proxies there are, until ctx
-// ends.
+// reportTimeAndProxies reports the time of day and the approximate number of proxies to the allocator, until
+// ctx ends.
 func reportTimeAndProxies(ctx context.Context, members *gossip.Server, events chan<- quota.Event) error {
-	ticker := time.NewTicker(expectInterval)
+	ticker := time.NewTicker(proxyCountInterval)
 	defer ticker.Stop()
 	var reported time.Time
 	for {
-		if time.Since(reported) >= wallInterval {
+		if time.Since(reported) >= wallClockInterval {
 			reported = time.Now()
 			sendEvent(ctx, events, quota.WallClock{Time: reported})
 		}
@@ -209,6 +210,7 @@
 	}
 }
 
+// sendEvent sends an event to the allocator, unless ctx ends first.
 func sendEvent(ctx context.Context, events chan<- quota.Event, event quota.Event) {
 	select {
 	case events <- event:
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,11 +1,12 @@
-// Package rapidseed is imported, without a name, by tests that draw with rapid. It fixes the seed, so that
-// the result of a run depends on the code alone. The flag -rapid.seed chooses another seed, 0 a random one.
+// Package rapidseed fixes the seed of tests that draw values with rapid, so that the result of a run depends
+// on the code only. Such tests import it for its side effect. The flag -rapid.seed sets another seed; 0 is a
+// random one.
 package rapidseed
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // it declares the flags that are set here
+	_ "pgregory.net/rapid" // declares the flags that are set here
 )
 
 func init() {
--- a/internal/socketoption/socketoption.go
+++ b/internal/socketoption/socketoption.go
@@ -1,4 +1,4 @@
-// Package socketoption asks the system about the state of sockets, without taking data from their readers.
+// Package socketoption reports the state of sockets without consuming their data.
 package socketoption
 
 import (
@@ -9,8 +9,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// Readable reports whether a read or an accept would not block: there is a connection, data or an end of the
-// stream. It does not wait. It returns false for what is not an open socket.
+// Readable reports whether a read or an accept would return at once, because there is a connection, data or
+// the end of the stream. Readable does not wait. It returns false if socket is not an open socket.
 func Readable(socket any) bool {
 	raw := rawConn(socket)
 	if raw == nil {
@@ -19,13 +19,13 @@
 	poll := []unix.PollFd{{Events: unix.POLLIN}}
 	besteffort.SocketOption(raw.Control(func(fd uintptr) {
 		poll[0].Fd = int32(fd)
-		_, _ = unix.Poll(poll, 0) // after an error nothing is known to be readable
+		_, _ = unix.Poll(poll, 0) // after an error Revents is 0, which reads as not readable
 	}))
 	return poll[0].Revents&unix.POLLIN != 0
 }
 
-// Await waits until a socket has data to be read. It returns false if none will come: the stream has ended,
-// or this is not an open socket.
+// Await waits until a socket has data to be read. It returns false if the stream has ended, or if socket is
+// not an open socket.
 func Await(socket any) bool {
 	raw := rawConn(socket)
 	if raw == nil {
@@ -36,13 +36,13 @@
 		var peeked [1]byte
 		var err error
 		available, _, err = syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		// a system call's own error is not wrapped
+		// Recvfrom returns the system call's error, which is not wrapped.
 		return err != syscall.EAGAIN && err != syscall.EINTR //nolint:errorlint
 	})
 	return err == nil && available > 0
 }
 
-// rawConn returns nil for what is not an open socket.
+// rawConn returns access to the socket's descriptor, or nil if socket is not an open socket.
 func rawConn(socket any) syscall.RawConn {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,5 +1,5 @@
-// Package splitmix has the finalizer of the SplitMix64 generator, which spreads similar numbers evenly over
-// 64 bits.
+// Package splitmix provides the finalizer of the SplitMix64 generator, which spreads similar numbers evenly
+// over 64 bits.
 package splitmix
 
 // Increment is the step of the SplitMix64 generator, 2^64 divided by the golden ratio.
