--- a/cmd/wrenspread-proxy/fleet_test.go
+++ b/cmd/wrenspread-proxy/fleet_test.go
@@ -10,8 +10,8 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// faulty is a short run of real proxies in which most of what the lab can do is done.
-const faulty = `
+// faultyExperiment is a short run of real proxies with most of the faults that the lab can cause.
+const faultyExperiment = `
 length = "9s"
 [fleet]
 nodes = 3
@@ -58,14 +58,14 @@
 do = "move"
 `
 
-// TestFleetUnderFaults: three real proxies keep every rule while processes, links,
-// backends and discovery fail. On a machine that is late, times are not judged.
-func TestFleetUnderFaults(t *testing.T) {
-	e, err := spec.Parse("faulty.toml", faulty)
+// TestFleetKeepsInvariantsUnderFaults: three real proxies keep all invariants while processes, links,
+// backends and discovery fail. Times are not checked if the machine was too busy during the run.
+func TestFleetKeepsInvariantsUnderFaults(t *testing.T) {
+	experiment, err := spec.Parse("faulty.toml", faultyExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run, err := fleet.Play(context.Background(), fleet.Options{Experiment: e, Seed: 11, Dir: t.TempDir(),
+	run, err := fleet.Play(context.Background(), fleet.Options{Experiment: experiment, Seed: 11, Dir: t.TempDir(),
 		Node: []string{os.Args[0]}, Env: []string{"WRENSPREAD_PROXY_AS_PROGRAM=1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -79,6 +79,6 @@
 		}
 	}
 	if run.Figures.All.InTime == 0 {
-		t.Error("nothing was served")
+		t.Error("no request was served in time")
 	}
 }
--- a/cmd/wrenspread-proxy/main_test.go
+++ b/cmd/wrenspread-proxy/main_test.go
@@ -21,7 +21,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// TestMain runs the program itself where a test has started it anew.
+// TestMain runs the proxy instead of the tests in a process that a test has started for it.
 func TestMain(m *testing.M) {
 	if os.Getenv("WRENSPREAD_PROXY_AS_PROGRAM") == "1" {
 		if n, err := strconv.ParseUint(os.Getenv("WRENSPREAD_PROXY_DESCRIPTORS"), 10, 64); err == nil {
@@ -30,7 +30,7 @@
 			}
 		}
 		main()
-		if os.Getenv("WRENSPREAD_PROXY_HELD") == "1" { // at its last line
+		if os.Getenv("WRENSPREAD_PROXY_HELD") == "1" { // keep the process alive after main has returned
 			fmt.Fprintln(os.Stderr, "the program has run")
 			_, _ = io.ReadAll(os.Stdin)
 		}
@@ -39,7 +39,9 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) (cmd *exec.Cmd, path string) {
+// programCommand returns the command of a proxy with a configuration, and the path of the configuration's
+// file.
+func programCommand(t *testing.T, config string) (cmd *exec.Cmd, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -50,33 +52,36 @@
 	return cmd, path
 }
 
-func TestBadConfigIsOneLineAndNonZero(t *testing.T) {
-	cmd, _ := program(t, `{"settings":{}}`)
+// TestBadConfigPrintsOneLineAndFails: with an unusable configuration the program prints one line and exits
+// with an error.
+func TestBadConfigPrintsOneLineAndFails(t *testing.T) {
+	cmd, _ := programCommand(t, `{"settings":{}}`)
 	out, err := cmd.CombinedOutput()
 	var exitError *exec.ExitError
 	if !errors.As(err, &exitError) || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "listen") {
-		t.Errorf("ends with %v and says %q, want a non-zero status and one line on listen", err, out)
+		t.Errorf("program ended with %v and printed %q, want a non-zero status and one line on listen", err, out)
 	}
 }
 
-// TestServesUntilSIGTERM: SIGHUP, with a file that can't be read and with one
-// that names another discovery, does not end it.
-func TestServesUntilSIGTERM(t *testing.T) {
-	var free [2]string
-	for i := range free {
+// TestServesOverSIGHUPUntilSIGTERM: SIGHUP does not end the program, neither with a file that can't be read
+// nor with one that names another discovery, which is then used. After SIGTERM the program exits with status
+// 0.
+func TestServesOverSIGHUPUntilSIGTERM(t *testing.T) {
+	var addresses [2]string
+	for i := range addresses {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer besteffort.Close(ln)
-		free[i] = ln.Addr().String()
+		addresses[i] = ln.Addr().String()
 		if i == 0 {
 			besteffort.Close(ln)
 		}
 	}
 	config := `{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","settings":{},
 		"known":{"index":1,"endpoints":[{"name":"s","address":%q,"status":"ready"}]}}`
-	cmd, path := program(t, fmt.Sprintf(config, free[0], free[1], free[1]))
+	cmd, path := programCommand(t, fmt.Sprintf(config, addresses[0], addresses[1], addresses[1]))
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -85,15 +90,15 @@
 		t.Fatal(err)
 	}
 	defer func() { besteffort.Signal(cmd.Process.Kill()) }()
-	said := make(chan string, 100)
+	logLines := make(chan string, 100)
 	go func() {
-		defer close(said)
+		defer close(logLines)
 		for lines := bufio.NewScanner(stderr); lines.Scan(); {
-			said <- lines.Text()
+			logLines <- lines.Text()
 		}
 	}()
 	ready := func() bool {
-		resp, err := http.Get("http://" + free[0] + "/health/ready")
+		resp, err := http.Get("http://" + addresses[0] + "/health/ready")
 		if err != nil {
 			return false
 		}
@@ -102,8 +107,8 @@
 	}
 	for until := time.Now().Add(30 * time.Second); !ready(); time.Sleep(5 * time.Millisecond) {
 		select {
-		case line := <-said:
-			t.Fatalf("the program says %q", line)
+		case line := <-logLines:
+			t.Fatalf("the program logs %q before it is ready", line)
 		default:
 		}
 		if time.Now().After(until) {
@@ -120,21 +125,21 @@
 	}
 	hup("{")
 	for {
-		line, ok := <-said
+		line, ok := <-logLines
 		if !ok {
-			t.Fatal("it ends on SIGHUP")
+			t.Fatal("the program ends on SIGHUP")
 		}
 		if strings.Contains(line, "keeping the present one") {
 			break
 		}
 	}
 	called := make(chan struct{})
-	once := sync.OnceFunc(func() { close(called) })
+	signalCall := sync.OnceFunc(func() { close(called) })
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		once()
+		signalCall()
 		<-r.Context().Done()
 	}))
-	hup(fmt.Sprintf(config, free[0], next.Listener.Addr(), free[1]))
+	hup(fmt.Sprintf(config, addresses[0], next.Listener.Addr(), addresses[1]))
 	select {
 	case <-called:
 	case <-time.After(30 * time.Second):
@@ -143,34 +148,36 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for range said { // to its end, before Wait closes the pipe
+	for range logLines { // read to its end before Wait closes the pipe
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM it ends with %v, want status 0", err)
+		t.Errorf("after SIGTERM the program ends with %v, want status 0", err)
 	}
 	next.Close()
 }
 
-// TestAddressStillHeld by the previous process: the next one waits for it, and is ready once that has ended.
-func TestAddressStillHeld(t *testing.T) {
-	former, err := net.Listen("tcp", "127.0.0.1:0")
+// TestWaitsForAddressOfPreviousProcess: while the previous process has the clients' address, the next one
+// retries. It is ready once the previous process has ended.
+func TestWaitsForAddressOfPreviousProcess(t *testing.T) {
+	previous, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer besteffort.Close(former)
+	defer besteffort.Close(previous)
 	p := newPlatform(t)
-	p.address = former.Addr().String()
+	p.address = previous.Addr().String()
 	c := p.start(t, "GW_ACCEPT_FD=")
-	c.waitSaid(t, "address in use, retrying")
-	besteffort.Close(former)
+	c.waitLogged(t, "address in use, retrying")
+	besteffort.Close(previous)
 	c.waitReady(t)
 	p.wantServed(t, "on the address")
 	besteffort.Signal(c.Process.Signal(syscall.SIGTERM))
 	c.waitEnd(t)
 }
 
-// TestGCPercent: the heap may grow to a part of the memory that the settings state, never to much of it.
-func TestGCPercent(t *testing.T) {
+// TestGCPercentBoundsHeapGrowth: the growth of a 4 MB heap between collections is at most a quarter of the
+// memory limit.
+func TestGCPercentBoundsHeapGrowth(t *testing.T) {
 	for mb, want := range map[int]int{16: 100, 32: 160, 48: 240, 64: 300, 192: 300} {
 		if got := gcPercent(mb); got != want || 4*got/100 > mb/4 {
 			t.Errorf("%d MB: %d, want %d", mb, got, want)
--- a/cmd/wrenspread-proxy/sighup_test.go
+++ b/cmd/wrenspread-proxy/sighup_test.go
@@ -13,13 +13,13 @@
 	"wrenspread/internal/besteffort"
 )
 
-// rewrite changes a key of the configuration file of a process that runs.
+// rewrite changes a key in the configuration file of a running process.
 func (c *process) rewrite(t *testing.T, key string, value any) {
 	t.Helper()
 	var path string
 	for _, v := range c.Env {
 		if after, ok := strings.CutPrefix(v, "GW_CONFIG="); ok {
-			path = after // the last one holds
+			path = after // the last value of a variable is the one in force
 		}
 	}
 	raw, err := os.ReadFile(path)
@@ -39,14 +39,14 @@
 	}
 }
 
-// TestSIGHUPWhileItEnds: a process that has got SIGTERM sends what is open to servers still, so it follows discovery.
-// A second SIGTERM changes nothing.
-func TestSIGHUPWhileItEnds(t *testing.T) {
+// TestSIGHUPIsAppliedWhileDraining: after SIGTERM a process still sends attempts of the requests in flight to
+// servers, so it has to follow a new discovery. A second SIGTERM changes nothing.
+func TestSIGHUPIsAppliedWhileDraining(t *testing.T) {
 	p := newPlatform(t)
 	c := p.start(t)
 	c.waitReady(t)
 	hold, called := make(chan struct{}), make(chan struct{}, 100)
-	open := p.waitOpen(t, hold)
+	open := p.holdRequest(t, hold)
 	signal := func(s syscall.Signal) {
 		t.Helper()
 		if err := c.Process.Signal(s); err != nil {
@@ -54,8 +54,8 @@
 		}
 	}
 	signal(syscall.SIGTERM)
-	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
-		if status, _, _ := ask("GET", "http://"+c.control+"/healthcheck", nil); status == http.StatusServiceUnavailable {
+	for until := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
+		if status, _, _ := sendRequest("GET", "http://"+c.control+"/healthcheck", nil); status == http.StatusServiceUnavailable {
 			break
 		} else if time.Now().After(until) {
 			t.Fatal("the process does not drain")
@@ -70,7 +70,7 @@
 	signal(syscall.SIGHUP)
 	select {
 	case <-called:
-	case <-time.After(enough):
+	case <-time.After(hangTimeout):
 		t.Error("the new discovery is not called")
 	}
 	signal(syscall.SIGTERM)
@@ -81,8 +81,9 @@
 	c.waitEnd(t)
 }
 
-// TestSIGHUPStorm: however many signals are dropped, what the file says at the last one holds.
-func TestSIGHUPStorm(t *testing.T) {
+// TestLastOfManySIGHUPsIsApplied: signals may be dropped when many arrive, but the configuration at the last
+// one is applied.
+func TestLastOfManySIGHUPsIsApplied(t *testing.T) {
 	p := newPlatform(t)
 	c := p.start(t)
 	c.waitReady(t)
@@ -102,15 +103,16 @@
 	}
 	select {
 	case <-called:
-	case <-time.After(enough):
+	case <-time.After(hangTimeout):
 		t.Error("the new discovery is not called")
 	}
 	besteffort.Signal(c.Process.Signal(syscall.SIGTERM))
 	c.waitEnd(t)
 }
 
-// TestSIGTERMAtTheLastLine does not make a process fail that has finished all it had.
-func TestSIGTERMAtTheLastLine(t *testing.T) {
+// TestSignalAtExitKeepsStatusZero: a signal that arrives after main has returned does not make the process
+// fail.
+func TestSignalAtExitKeepsStatusZero(t *testing.T) {
 	p := newPlatform(t)
 	hold, release, err := os.Pipe()
 	if err != nil {
@@ -122,7 +124,7 @@
 	c := p.start(t, "WRENSPREAD_PROXY_HELD=1")
 	c.waitReady(t)
 	besteffort.Signal(c.Process.Signal(syscall.SIGTERM))
-	c.waitSaid(t, "the program has run")
+	c.waitLogged(t, "the program has run")
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 		if err := c.Process.Signal(s); err != nil {
 			t.Fatal(err)
@@ -132,10 +134,10 @@
 	c.waitEnd(t)
 }
 
-// TestSignalsAfterSIGTERM: neither a second one nor a new configuration ends what is open. A process that is to end
-// before it is ready leaves the proxy to the one that serves.
-func TestSignalsAfterSIGTERM(t *testing.T) {
-	after := []os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT, syscall.SIGHUP}
+// TestSignalsAfterSIGTERMEndNoRequest: neither a second SIGTERM nor a new configuration ends the requests in
+// flight. A process that gets SIGTERM before it is ready leaves the clients to the process that serves.
+func TestSignalsAfterSIGTERMEndNoRequest(t *testing.T) {
+	furtherSignals := []os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT, syscall.SIGHUP}
 	signal := func(c *process, signals ...os.Signal) {
 		t.Helper()
 		for _, s := range signals {
@@ -148,17 +150,17 @@
 	c := p.start(t)
 	c.waitReady(t)
 	hold := make(chan struct{})
-	open := p.waitOpen(t, hold)
-	early := p.startWith(t, map[string]any{"discovery": "127.0.0.1:9"}) // no list comes
-	c.waitSaid(t, "new process connected")
-	signal(early, syscall.SIGTERM)
-	signal(early, after...)
-	early.waitEnd(t)
+	open := p.holdRequest(t, hold)
+	unready := p.startWith(t, map[string]any{"discovery": "127.0.0.1:9"}) // never answers, so the process does not get ready
+	c.waitLogged(t, "new process connected")
+	signal(unready, syscall.SIGTERM)
+	signal(unready, furtherSignals...)
+	unready.waitEnd(t)
 	p.wantServed(t, "meanwhile")
 	signal(c, syscall.SIGTERM)
-	signal(c, after...)
+	signal(c, furtherSignals...)
 	close(hold)
-	if got := <-open; got != "200 open true\n" && got != "200 open false\n" { // answered before or after the first signal is heard
+	if got := <-open; got != "200 open true\n" && got != "200 open false\n" { // answered before or after the first signal was handled
 		t.Errorf("the open request: %q", got)
 	}
 	c.waitEnd(t)
--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -25,37 +25,40 @@
 	"wrenspread/ratelimit"
 )
 
-// bookFleet is a fleet of real proxies that know tenants, each with a link of its own to a real registry.
-type bookFleet struct {
-	t       *testing.T
-	k       *client.Client
-	service string
-	net     *link.Net
-	nodes   map[string]*process
-	places  map[string]*platform
-	lists   map[string]string // where each finds the service
-	done    atomic.Int32      // orders that have returned
-	demand  map[string]bool   // proxies that read what their requests name
+// tenantFleet is a fleet of real proxies that know tenants. Each proxy reaches a real registry by its own
+// link.
+type tenantFleet struct {
+	t                 *testing.T
+	client            *client.Client
+	service           string
+	network           *link.Net
+	processes         map[string]*process
+	platforms         map[string]*platform
+	registryAddresses map[string]string // address of the registry for each proxy
+	ordersDone        atomic.Int32      // number of orders that have ended
+	onDemand          map[string]bool   // proxies that read only the tenants that requests name
 }
 
-func newBookFleet(t *testing.T, hashTree bool) *bookFleet {
+// newTenantFleet starts the registry with two servers, a policy and a controller. hashTree selects the form
+// of the catalogue.
+func newTenantFleet(t *testing.T, hashTree bool) *tenantFleet {
 	address, k := labtest.List(t)
-	f := &bookFleet{t: t, k: k, service: address, net: link.NewNet(1), nodes: map[string]*process{}, places: map[string]*platform{}, lists: map[string]string{}, demand: map[string]bool{}}
-	t.Cleanup(f.net.Close)
+	f := &tenantFleet{t: t, client: k, service: address, network: link.NewNet(1), processes: map[string]*process{}, platforms: map[string]*platform{}, registryAddresses: map[string]string{}, onDemand: map[string]bool{}}
+	t.Cleanup(f.network.Close)
 	for _, zone := range []string{"z1", "z2"} {
-		back := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { besteffort.Output(io.WriteString(w, zone)) }))
-		t.Cleanup(back.Close)
-		e := registry.Endpoint{Name: "s-" + zone, Address: back.Listener.Addr().String(), Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
+		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { besteffort.Output(io.WriteString(w, zone)) }))
+		t.Cleanup(backend.Close)
+		e := registry.Endpoint{Name: "s-" + zone, Address: backend.Listener.Addr().String(), Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
 		if _, err := k.Register(t.Context(), e, 0, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// Limits of repeats alone: without a controller the proxies have no tokens for others.
+	// The policy limits retries only: without an allocator the proxies have no tokens for other limits.
 	limits := &ratelimit.Table{Format: ratelimit.Format, Scopes: []ratelimit.Scope{{Parent: -1, LimitCount: 1}}}
 	limits.Limits = []ratelimit.Limit{{Name: "fleet:repeats", Parent: -1, Unit: ratelimit.UnitRetries, Rate: 9, Burst: 1, Floor: 9, Weight: 1, FallbackShare: 1, Status: 429}}
-	for i, book := range []string{"k", "l"} {
-		limits.Scopes = append(limits.Scopes, ratelimit.Scope{Parent: 0, Attribute: ratelimit.AttributeTenant, Value: book, FirstLimit: i + 1, LimitCount: 1})
-		limits.Limits = append(limits.Limits, ratelimit.Limit{Name: "book/" + book + ":repeats", Scope: i + 1, Parent: 0, Attribute: ratelimit.AttributeTenant, Unit: ratelimit.UnitRetries, Rate: 1, Burst: 1, Floor: 1, Weight: 1, FallbackShare: 1, Status: 429})
+	for i, name := range []string{"k", "l"} {
+		limits.Scopes = append(limits.Scopes, ratelimit.Scope{Parent: 0, Attribute: ratelimit.AttributeTenant, Value: name, FirstLimit: i + 1, LimitCount: 1})
+		limits.Limits = append(limits.Limits, ratelimit.Limit{Name: "book/" + name + ":repeats", Scope: i + 1, Parent: 0, Attribute: ratelimit.AttributeTenant, Unit: ratelimit.UnitRetries, Rate: 1, Burst: 1, Floor: 1, Weight: 1, FallbackShare: 1, Status: 429})
 	}
 	if err := limits.Finalize(); err != nil {
 		t.Fatal(err)
@@ -81,55 +84,58 @@
 	return f
 }
 
-// lay has a proxy find the service by a link of its own.
-func (f *bookFleet) lay(name string) {
+// connect creates the link of a proxy to the registry.
+func (f *tenantFleet) connect(name string) {
 	f.t.Helper()
 	var err error
-	if f.lists[name], err = f.net.Connect(link.Ends{From: name, To: "list"}, f.service); err != nil {
+	if f.registryAddresses[name], err = f.network.Connect(link.Ends{From: name, To: "list"}, f.service); err != nil {
 		f.t.Fatal(err)
 	}
-	f.places[name] = newPlatform(f.t)
+	f.platforms[name] = newPlatform(f.t)
 }
 
-// start begins a process of a proxy, a first one or a further one.
-func (f *bookFleet) start(name string) *process {
+// start starts a process of a proxy, which may have others already.
+func (f *tenantFleet) start(name string) *process {
 	f.t.Helper()
-	p, seeds := f.places[name], []string{}
-	for _, other := range f.places {
+	p, seeds := f.platforms[name], []string{}
+	for _, other := range f.platforms {
 		seeds = append(seeds, other.peerListen)
 	}
 	var classes []any
 	for _, c := range []string{"a", "b", "c"} {
-		classes = append(classes, map[string]any{"name": c, "effect": "retryable", "aim_ns": enough, "give_up_ns": 2 * enough, "worth": 1})
+		classes = append(classes, map[string]any{"name": c, "effect": "retryable", "aim_ns": hangTimeout, "give_up_ns": 2 * hangTimeout, "worth": 1})
 	}
-	f.nodes[name] = p.startWith(f.t, map[string]any{"name": name, "discovery": nil, "list": []string{f.lists[name]}, "peers": nil,
+	f.processes[name] = p.startWith(f.t, map[string]any{"name": name, "discovery": nil, "list": []string{f.registryAddresses[name]}, "peers": nil,
 		"fleet":  map[string]any{"name": "windhoek", "join": seeds, "period_ms": 100},
-		"govern": map[string]any{"policy": true, "tenants": true, "tenants_on_demand": f.demand[name]},
-		"settings": map[string]any{"balancers": 3, "caps": map[string]any{"peers": true, "max_attempts": 3, "connect_timeout_ns": enough},
+		"govern": map[string]any{"policy": true, "tenants": true, "tenants_on_demand": f.onDemand[name]},
+		"settings": map[string]any{"balancers": 3, "caps": map[string]any{"peers": true, "max_attempts": 3, "connect_timeout_ns": hangTimeout},
 			"invariants": map[string]any{"cold_from": 0.5, "overload_factor": 3}, "classes": classes}})
-	return f.nodes[name]
+	return f.processes[name]
 }
 
-func (f *bookFleet) cut(name string) {
-	of := func(e link.Ends) bool { return e.From == name }
-	f.net.Lay("cut-"+name, link.Shape{Refuse: true}, of)
-	f.net.Reset(of)
+// cut cuts the link of a proxy to the registry.
+func (f *tenantFleet) cut(name string) {
+	fromProxy := func(e link.Ends) bool { return e.From == name }
+	f.network.Lay("cut-"+name, link.Shape{Refuse: true}, fromProxy)
+	f.network.Reset(fromProxy)
 }
 
-func (f *bookFleet) heal(name string) { f.net.Lift("cut-" + name) }
+// heal restores the link of a proxy to the registry.
+func (f *tenantFleet) heal(name string) { f.network.Lift("cut-" + name) }
 
-// says asks a proxy for a tenant's class. What the balancer sheds, with no Retry-After here, says nothing of tenants and is
-// asked again.
-func (f *bookFleet) says(node, name, class string) string {
-	for until := time.Now().Add(enough); time.Now().Before(until); {
-		req, err := http.NewRequest("GET", "http://"+f.places[node].address+"/api/x", nil)
+// request sends a request of a tenant and a class to a proxy, and returns the response's status, with the
+// body if it is 200. A request that the balancer sheds, which is a 503 without Retry-After here, says nothing
+// about tenants and is repeated.
+func (f *tenantFleet) request(node, name, class string) string {
+	for until := time.Now().Add(hangTimeout); time.Now().Before(until); {
+		req, err := http.NewRequest("GET", "http://"+f.platforms[node].address+"/api/x", nil)
 		if err != nil {
 			return err.Error()
 		}
 		for key, value := range map[string]string{"X-Request-Id": fmt.Sprint(time.Now().UnixNano()), "X-Class": class, "X-Tenant": name, "X-Deadline": "20"} {
 			req.Header.Set(key, value)
 		}
-		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: enough}).Do(req)
+		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: hangTimeout}).Do(req)
 		if err != nil {
 			return err.Error()
 		}
@@ -145,10 +151,11 @@
 	return "nothing but 503"
 }
 
-func (f *bookFleet) all(name, class, want string) func() bool {
+// allAnswer returns a function that reports whether all proxies answer a request with want.
+func (f *tenantFleet) allAnswer(name, class, want string) func() bool {
 	return func() bool {
-		for node := range f.nodes {
-			if f.says(node, name, class) != want {
+		for node := range f.processes {
+			if f.request(node, name, class) != want {
 				return false
 			}
 		}
@@ -156,68 +163,69 @@
 	}
 }
 
-// order has the controller do something, and returns once it is done everywhere.
-func (f *bookFleet) order(do, name, form string) {
+// order submits an order to the tenants' controller, and returns once it has ended on all proxies.
+func (f *tenantFleet) order(op, name, spec string) {
 	f.t.Helper()
-	o := tenant.Order{ID: fmt.Sprint(time.Now().UnixNano()), Op: do, Operator: "the test"}
-	if form != "" {
-		if err := json.Unmarshal([]byte(form), &o.Spec); err != nil {
+	o := tenant.Order{ID: fmt.Sprint(time.Now().UnixNano()), Op: op, Operator: "the test"}
+	if spec != "" {
+		if err := json.Unmarshal([]byte(spec), &o.Spec); err != nil {
 			f.t.Fatal(err)
 		}
 	}
-	if placed, err := tenant.SubmitOrder(f.t.Context(), f.k, name, o); !placed || err != nil {
+	if placed, err := tenant.SubmitOrder(f.t.Context(), f.client, name, o); !placed || err != nil {
 		f.t.Fatal(placed, err)
 	}
-	labtest.Await(f.t, do+" "+name, func() bool {
-		s, err := tenant.ReadStored(f.t.Context(), f.k)
+	labtest.Await(f.t, op+" "+name, func() bool {
+		s, err := tenant.ReadStored(f.t.Context(), f.client)
 		if err != nil {
 			return false
 		}
-		for _, one := range tenant.AllProgress(s, nil) {
-			if out, done := one.Outcome(o.ID); one.Name == name && done {
-				if out.Reason != "" {
-					f.t.Fatalf("%s %s: %s", do, name, out.Reason)
+		for _, progress := range tenant.AllProgress(s, nil) {
+			if outcome, done := progress.Outcome(o.ID); progress.Name == name && done {
+				if outcome.Reason != "" {
+					f.t.Fatalf("%s %s: %s", op, name, outcome.Reason)
 				}
 				return true
 			}
 		}
 		return false
 	})
-	f.done.Add(1)
+	f.ordersDone.Add(1)
 }
 
-func (f *bookFleet) state(name string) tenant.State {
-	s, _ := tenant.ReadStored(f.t.Context(), f.k)
-	for _, one := range s.Tenants {
-		if one.Name == name {
-			return one.State
+// state returns the stored state of a tenant, or an empty one if it does not exist.
+func (f *tenantFleet) state(name string) tenant.State {
+	s, _ := tenant.ReadStored(f.t.Context(), f.client)
+	for _, stored := range s.Tenants {
+		if stored.Name == name {
+			return stored.State
 		}
 	}
 	return ""
 }
 
-// watch asks all proxies in turn all the time, and gives each answer to judge, until stop is called. done is how many
-// orders had returned when it asked.
-func (f *bookFleet) watch(t *testing.T, judge func(done int32, node, class, said string), name string, classes ...string) (stop func()) {
+// requestAll sends requests to all proxies in turn and passes each response to check, until stop is called.
+// ordersDone is the number of orders that had ended when the request was sent.
+func (f *tenantFleet) requestAll(t *testing.T, check func(ordersDone int32, node, class, answer string), name string, classes ...string) (stop func()) {
 	names := []string{}
-	for node := range f.nodes {
+	for node := range f.processes {
 		names = append(names, node)
 	}
 	slices.Sort(names)
-	end, ended := make(chan struct{}), sync.WaitGroup{}
-	ended.Go(func() {
+	stopping, loops := make(chan struct{}), sync.WaitGroup{}
+	loops.Go(func() {
 		for i := 0; ; i++ {
 			select {
-			case <-end:
+			case <-stopping:
 				return
 			case <-time.After(2 * time.Millisecond):
 			}
 			node, class := names[i%len(names)], classes[i/len(names)%len(classes)]
-			done := f.done.Load()
-			judge(done, node, class, f.says(node, name, class))
+			ordersDone := f.ordersDone.Load()
+			check(ordersDone, node, class, f.request(node, name, class))
 		}
 	})
-	stop = sync.OnceFunc(func() { close(end); ended.Wait() })
+	stop = sync.OnceFunc(func() { close(stopping); loops.Wait() })
 	t.Cleanup(stop)
 	return stop
 }
--- a/cmd/wrenspread-proxy/upgrade_test.go
+++ b/cmd/wrenspread-proxy/upgrade_test.go
@@ -10,23 +10,24 @@
 	"wrenspread/internal/lab/link"
 )
 
-// TestUpgrade: what is open at the old process is answered there, and the new one takes what comes.
-func TestUpgrade(t *testing.T) {
+// TestUpgradeFinishesOpenRequests: the previous process answers its requests in flight, and the new process
+// serves all further requests.
+func TestUpgradeFinishesOpenRequests(t *testing.T) {
 	p := newPlatform(t)
 	old := p.start(t)
 	old.waitReady(t)
 	p.wantServed(t, "before")
 	hold := make(chan struct{})
-	open := p.waitOpen(t, hold)
+	open := p.holdRequest(t, hold)
 	next := p.start(t)
 	next.waitReady(t)
-	old.waitSaid(t, "handing over")
-	if status, _, _ := ask("GET", "http://"+old.control+"/healthcheck", nil); status != 503 {
-		t.Errorf("the old process says it is ready: %d", status)
+	old.waitLogged(t, "handing over")
+	if status, _, _ := sendRequest("GET", "http://"+old.control+"/healthcheck", nil); status != 503 {
+		t.Errorf("health check of the previous process: status %d, want 503", status)
 	}
 	p.wantServed(t, "after")
-	if status, _, _ := ask("GET", "http://"+p.address+"/health/ready", nil); status != 200 {
-		t.Errorf("the node is not ready: %d", status)
+	if status, _, _ := sendRequest("GET", "http://"+p.address+"/health/ready", nil); status != 200 {
+		t.Errorf("the proxy is not ready: status %d", status)
 	}
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -43,13 +44,14 @@
 	next.waitEnd(t)
 }
 
-// TestBanOverUpgrades: it holds over two of them, and over both processes of one, whichever is called.
-func TestBanOverUpgrades(t *testing.T) {
+// TestMaintenanceLastsOverUpgrades: a backend stays in maintenance over two upgrades. While two processes are
+// running, a maintenance call to either one takes effect in both.
+func TestMaintenanceLastsOverUpgrades(t *testing.T) {
 	p := newPlatform(t)
 	refused := func(when string) {
 		t.Helper()
 		if status, _, _ := p.request("banned"); status != 503 {
-			t.Errorf("%s: %d, want a refusal", when, status)
+			t.Errorf("%s: status %d, want 503", when, status)
 		}
 	}
 	first := p.start(t)
@@ -66,7 +68,7 @@
 	third.waitReady(t)
 	refused("after the second upgrade")
 	second.operate(t, "/backends/s/ready")
-	for until := time.Now().Add(enough); ; time.Sleep(5 * time.Millisecond) { // it is cold
+	for until := time.Now().Add(hangTimeout); ; time.Sleep(5 * time.Millisecond) { // the backend is cold at first
 		if status, _, _ := p.request("back"); status == 200 {
 			break
 		} else if time.Now().After(until) {
@@ -74,15 +76,16 @@
 		}
 	}
 	second.operate(t, "/backends/s/maint")
-	refused("told by way of the old process")
+	refused("after a call to the previous process")
 }
 
-// TestUnusableDescriptor: the proxy serves at its address all the same.
-func TestUnusableDescriptor(t *testing.T) {
+// TestUnusableDescriptorFallsBackToAddress: if GW_ACCEPT_FD can't be used, the proxy listens at its
+// configured address.
+func TestUnusableDescriptorFallsBackToAddress(t *testing.T) {
 	for _, fd := range []string{"three", "-1", "77"} {
 		p := newPlatform(t)
 		besteffort.Close(p.socket)
-		address, free, err := link.Reserve() // nobody else can take it meanwhile
+		address, free, err := link.Reserve() // reserved against other processes until it is freed
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/wrenspreadctl/policy_test.go
+++ b/cmd/wrenspreadctl/policy_test.go
@@ -10,8 +10,9 @@
 	"wrenspread/ratelimit"
 )
 
-// policy check gives the table that proxies take, or all errors and a failure.
-func TestPolicyCheck(t *testing.T) {
+// TestPolicyCheckPrintsTableOrErrors: the command prints the table as proxies read it, or the compiler's
+// errors, and then fails.
+func TestPolicyCheckPrintsTableOrErrors(t *testing.T) {
 	run := func(args ...string) (string, string, error) {
 		var out, errs bytes.Buffer
 		c := root()
--- a/cmd/wrenspreadctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -20,68 +20,74 @@
 	"wrenspread/internal/tenant"
 )
 
-// cache is a proxy as far as tenants go: the real Desk and Reader over the real service.
-type desk struct {
-	mu    sync.Mutex
-	core  *tenant.Cache
-	now   *tenant.Catalogue
-	start time.Time
+// tenantProxy is the part of a proxy that knows tenants: a real tenant.Cache and tenant.Reader with a real
+// registry.
+type tenantProxy struct {
+	mu        sync.Mutex
+	cache     *tenant.Cache
+	catalogue *tenant.Catalogue
+	start     time.Time
 }
 
-func (d *desk) clock() time.Duration { return time.Since(d.start) }
+// clock returns the time since the start of the proxy.
+func (d *tenantProxy) clock() time.Duration { return time.Since(d.start) }
 
-// runDesk has a proxy with a session, until the test ends; it reads and renews each 100 ms.
-func runDesk(t *testing.T, k *client.Client, name string) *desk {
-	d := &desk{core: tenant.NewCache(uint64(time.Now().UnixMilli()), 0, false), start: time.Now()}
-	r := &tenant.Reader{Source: k, Member: d.core.Member(name)}
-	s := registry.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Info: registry.ProcessInfo{Note: d.core.Status().Encode()}}
+// startTenantProxy runs a proxy with a session until the test ends. It renews the session and reads the
+// catalogue every 100 ms.
+func startTenantProxy(t *testing.T, k *client.Client, name string) *tenantProxy {
+	proxy := &tenantProxy{cache: tenant.NewCache(uint64(time.Now().UnixMilli()), 0, false), start: time.Now()}
+	reader := &tenant.Reader{Source: k, Member: proxy.cache.Member(name)}
+	session := registry.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Info: registry.ProcessInfo{Note: proxy.cache.Status().Encode()}}
 	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
-		sent := d.clock()
-		if err := k.OpenSession(ctx, s); err != nil {
+		sent := proxy.clock()
+		if err := k.OpenSession(ctx, session); err != nil {
 			return err
 		}
-		d.handle(ctx, k, &s, tenant.SessionOpened{Sent: sent, TTL: s.TTL})
-		d.handle(ctx, k, &s, tenant.PolicyChanged{PolicyTable: tenant.PolicyTable{Version: 1 << 40, HasLimit: func(string) bool { return true }}})
+		proxy.handle(ctx, k, &session, tenant.SessionOpened{Sent: sent, TTL: session.TTL})
+		proxy.handle(ctx, k, &session, tenant.PolicyChanged{PolicyTable: tenant.PolicyTable{Version: 1 << 40, HasLimit: func(string) bool { return true }}})
 		for backoff.Sleep(ctx, 100*time.Millisecond) {
-			sent := d.clock()
-			if known, err := k.RenewSession(ctx, s.ID); err == nil {
-				d.handle(ctx, k, &s, tenant.SessionRenewed{Sent: sent, Known: known})
+			sent := proxy.clock()
+			if known, err := k.RenewSession(ctx, session.ID); err == nil {
+				proxy.handle(ctx, k, &session, tenant.SessionRenewed{Sent: sent, Known: known})
 			}
-			if read, err := r.Read(ctx, d.clock, d.core.Wanted()); err == nil {
-				d.handle(ctx, k, &s, read)
+			if read, err := reader.Read(ctx, proxy.clock, proxy.cache.Wanted()); err == nil {
+				proxy.handle(ctx, k, &session, read)
 			}
 		}
 		return nil
 	}))
-	return d
+	return proxy
 }
 
-func (d *desk) handle(ctx context.Context, k *client.Client, s *registry.Session, event any) {
-	for _, a := range d.core.Handle(d.clock(), event) {
+// handle passes an event to the cache, and carries out the resulting actions.
+func (d *tenantProxy) handle(ctx context.Context, k *client.Client, s *registry.Session, event any) {
+	for _, a := range d.cache.Handle(d.clock(), event) {
 		switch a := a.(type) {
 		case tenant.SwapCatalogue:
 			d.mu.Lock()
-			d.now = a.Catalogue
+			d.catalogue = a.Catalogue
 			d.mu.Unlock()
 		case tenant.TellStatus:
 			s.Info.Note = a.Status.Encode()
-			_ = k.OpenSession(ctx, *s) // the cache repeats a word while something moves
+			_ = k.OpenSession(ctx, *s) // on an error the cache reports its status again later
 		}
 	}
 }
 
-func (d *desk) says(name, class string) tenant.DecisionKind {
+// decision returns how the proxy decides a request of a tenant and a class.
+func (d *tenantProxy) decision(name, class string) tenant.DecisionKind {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.now == nil {
+	if d.catalogue == nil {
 		return tenant.Unavailable
 	}
-	return d.now.Decide(d.clock(), name, class, "").Kind
+	return d.catalogue.Decide(d.clock(), name, class, "").Kind
 }
 
-// TestTenants: operators bring tenants in, change and remove them on two proxies, over a
-// controller that transfers in between.
-func TestTenants(t *testing.T) {
+// TestTenantOrdersReachAllProxies: operators add, change, suspend and remove tenants on two proxies. In
+// between the first controller ends and the second one takes over. Orders whose quotas or routes are invalid
+// are rejected.
+func TestTenantOrdersReachAllProxies(t *testing.T) {
 	address, k := labtest.List(t)
 	ctx := t.Context()
 	for i, zone := range []string{"a", "b"} {
@@ -93,7 +99,7 @@
 	if _, err := k.Put(ctx, tenant.PolicyKey, []byte(`{"limits":[{"name":"fleet","parent":-1,"rate":10},{"name":"book/k","floor":6},{"name":"book/l","floor":6}]}`), nil); err != nil {
 		t.Fatal(err)
 	}
-	conduct := func(name string) (stop func()) {
+	startController := func(name string) (stop func()) {
 		return labtest.Run(t, func(ctx context.Context) error {
 			p, err := lease.Open(lease.Config{Client: k, Process: name, TTL: time.Second})
 			if err != nil {
@@ -106,9 +112,9 @@
 			return p.Close(time.Second)
 		})
 	}
-	stop := conduct("ops-1")
-	t.Cleanup(conduct("ops-2"))
-	nodes := []*desk{runDesk(t, k, "n0"), runDesk(t, k, "n1")}
+	stop := startController("ops-1")
+	t.Cleanup(startController("ops-2"))
+	proxies := []*tenantProxy{startTenantProxy(t, k, "n0"), startTenantProxy(t, k, "n1")}
 	file := func(name, limit, zone string) string {
 		path := filepath.Join(t.TempDir(), name)
 		raw := fmt.Sprintf(`{"names":[%q],"classes":["c"],"quotas":[{"limit":%q}],"routes":[{"zones":[%q]}]}`, name, limit, zone)
@@ -131,8 +137,8 @@
 	}
 	await := func(verdict tenant.DecisionKind) {
 		t.Helper()
-		for _, n := range nodes {
-			labtest.Await(t, verdict.String(), func() bool { return n.says("k", "c") == verdict })
+		for _, n := range proxies {
+			labtest.Await(t, verdict.String(), func() bool { return n.decision("k", "c") == verdict })
 		}
 	}
 	order("done", "add", "k", file("k", "book/k", "a"))
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -6,8 +6,9 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestCallAndTraceFormsAreUnchanged compares the agent's calls, its record and its files with golden files.
-func TestCallAndTraceFormsAreUnchanged(t *testing.T) {
+// TestEncodingsOfMessagesAndRecordsAreUnchanged compares the agent's messages, its record in the
+// registry and its process record with golden files.
+func TestEncodingsOfMessagesAndRecordsAreUnchanged(t *testing.T) {
 	for name, sample := range map[string]any{"card": &Record{}, "status": &Status{}, "order": &DesiredState{}, "trace": &ProcessRecord{}} {
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
 	}
--- a/internal/checksumfile/checksumfile_test.go
+++ b/internal/checksumfile/checksumfile_test.go
@@ -9,17 +9,17 @@
 	"testing"
 )
 
-// TestCutAnywhere: a file that is cut or changed anywhere is told as damaged, one that is too long is not
-// read.
-func TestCutAnywhere(t *testing.T) {
+// TestDamageIsDetected: a file that is cut or changed at any byte is not read as different content, and a
+// file above the size limit is not read.
+func TestDamageIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	if _, err := Read(path, 1); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("read without a file: %v, want fs.ErrNotExist", err)
 	}
 	if err := Write(path, []byte("something to keep")); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,20 +27,21 @@
 		t.Errorf("%q, %v", raw, err)
 	}
 	if _, err := Read(path, 10); err == nil {
-		t.Error("a file of any length is read")
+		t.Error("a file above the size limit is read")
 	}
-	for n := range whole {
-		other := bytes.Clone(whole)
-		other[n] ^= 1
-		for _, text := range [][]byte{whole[:n], other} {
+	for n := range complete {
+		changed := bytes.Clone(complete)
+		changed[n] ^= 1
+		for _, text := range [][]byte{complete[:n], changed} {
 			if raw, err := Decode(text); err == nil && !bytes.Equal(raw, []byte("something to keep")) {
-				t.Errorf("damaged at %d it reads %q", n, raw)
+				t.Errorf("the file damaged at byte %d is decoded as %q", n, raw)
 			}
 		}
 	}
 }
 
-func FuzzOpen(f *testing.F) {
+// FuzzDecode: content that is decoded from any text is the same after it is encoded and decoded again.
+func FuzzDecode(f *testing.F) {
 	f.Add(Encode([]byte("x")))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if raw, err := Decode(text); err == nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,13 +17,14 @@
 }
 
 type config struct {
-	Name string        `koanf:"name"`
-	Wait time.Duration `koanf:"wait"`
-	In   inner         `koanf:"in"`
-	All  []inner       `koanf:"all"`
-	Kept []string      `koanf:"kept"`
+	Name      string        `koanf:"name"`
+	Wait      time.Duration `koanf:"wait"`
+	Inner     inner         `koanf:"in"`
+	List      []inner       `koanf:"all"`
+	Unchanged []string      `koanf:"kept"`
 }
 
+// load loads a configuration with defaults from a file with this text and from flags.
 func load(t *testing.T, text string, args ...string) (config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.toml")
@@ -36,19 +37,21 @@
 	if err := flags.Parse(append([]string{"--" + FileFlag, path}, args...)); err != nil {
 		t.Fatal(err)
 	}
-	c := config{Name: "default", Wait: time.Second, In: inner{1, 2}, All: []inner{{1, 1}, {2, 2}}, Kept: []string{"x"}}
+	c := config{Name: "default", Wait: time.Second, Inner: inner{1, 2}, List: []inner{{1, 1}, {2, 2}}, Unchanged: []string{"x"}}
 	return c, Load(&c, flags)
 }
 
-// TestLoad: what a file does not name keeps its default, a list takes the place of the default's, flags win.
-func TestLoad(t *testing.T) {
+// TestLoadOverridesDefaultsByFileAndFlags: a key that the file does not have keeps its default, a list
+// replaces the default list, and flags override the file. An error mentions the key or the file that is
+// wrong.
+func TestLoadOverridesDefaultsByFileAndFlags(t *testing.T) {
 	got, err := load(t, "name = \"file\"\nwait = \"2m\"\n[in]\na = 9\n[[all]]\nb = 7\n", "--name", "flag")
-	want := config{Name: "flag", Wait: 2 * time.Minute, In: inner{9, 2}, All: []inner{{0, 7}}, Kept: []string{"x"}}
+	want := config{Name: "flag", Wait: 2 * time.Minute, Inner: inner{9, 2}, List: []inner{{0, 7}}, Unchanged: []string{"x"}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v, want %+v", got, err, want)
 	}
-	for text, names := range map[string]string{"nme = \"x\"": "nme", "name = ": "c.toml", "wait = 5": "wait", "[in]\nc = 1": "c"} {
-		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), names) {
+	for text, mentioned := range map[string]string{"nme = \"x\"": "nme", "name = ": "c.toml", "wait = 5": "wait", "[in]\nc = 1": "c"} {
+		if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), mentioned) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -12,17 +12,18 @@
 	"wrenspread/internal/registry"
 )
 
-// TestJudge: whatever comes and goes, an entry is removed only if it was draining
-// without a lease, at that version, and silent at every look for as long as stated.
-func TestJudge(t *testing.T) {
+// TestRepairsOnlyLastingOrphans draws random changes of endpoints. An entry may be removed only if it was
+// draining without a TTL, at the version that is removed, and unreachable in every observation for
+// Thresholds.Orphan.
+func TestRepairsOnlyLastingOrphans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Thresholds{Settle: 10 * time.Second, Orphan: 60 * time.Second}
-		c := NewChecker(p)
-		type state struct {
-			item   registry.Registration
-			silent time.Duration // since when it is silent and draining as it is; below 0: it is not
+		thresholds := Thresholds{Settle: 10 * time.Second, Orphan: 60 * time.Second}
+		checker := NewChecker(thresholds)
+		type endpointState struct {
+			registration  registry.Registration
+			orphanedSince time.Duration // when the endpoint became orphaned; negative: it is not
 		}
-		all := map[string]*state{}
+		all := map[string]*endpointState{}
 		var now time.Duration
 		version := uint64(1)
 		for range rapid.IntRange(1, 60).Draw(t, "looks") {
@@ -36,7 +37,7 @@
 					Status: rapid.SampledFrom([]string{registry.Ready, registry.Draining, registry.Draining}).
 						Draw(t, "status"),
 				}
-				all[name] = &state{
+				all[name] = &endpointState{
 					registry.Registration{
 						Endpoint: e,
 						Version:  version,
@@ -45,51 +46,52 @@
 					-1,
 				}
 			}
-			l := Observation{At: now, Reachable: map[string]bool{}}
+			observed := Observation{At: now, Reachable: map[string]bool{}}
 			for name, s := range all {
-				l.Registrations = append(l.Registrations, s.item)
+				observed.Registrations = append(observed.Registrations, s.registration)
 				if rapid.IntRange(0, 7).Draw(t, "answers") == 0 {
-					l.Reachable[name] = true
+					observed.Reachable[name] = true
 				}
-				switch quiet := s.item.Endpoint.Status == registry.Draining && s.item.TTL == 0 && !l.Reachable[name]; {
-				case !quiet:
-					s.silent = -1
-				case s.silent < 0:
-					s.silent = now
+				switch orphaned := s.registration.Endpoint.Status == registry.Draining && s.registration.TTL == 0 && !observed.Reachable[name]; {
+				case !orphaned:
+					s.orphanedSince = -1
+				case s.orphanedSince < 0:
+					s.orphanedSince = now
 				}
 			}
-			_, repairs := c.Check(l)
+			_, repairs := checker.Check(observed)
 			want := 0
 			for _, s := range all {
-				if s.silent >= 0 && now-s.silent >= p.Orphan {
+				if s.orphanedSince >= 0 && now-s.orphanedSince >= thresholds.Orphan {
 					want++
 				}
 			}
 			if len(repairs) != want {
-				t.Fatalf("at %v %v are removed, want %d", now, repairs, want)
+				t.Fatalf("at %v the repairs are %v, want %d", now, repairs, want)
 			}
 			for _, r := range repairs {
-				if s := all[r.Name]; s.silent < 0 || now-s.silent < p.Orphan || r.Version != s.item.Version {
-					t.Fatalf("at %v %+v is removed, which is %+v", now, r, *s)
+				if s := all[r.Name]; s.orphanedSince < 0 || now-s.orphanedSince < thresholds.Orphan || r.Version != s.registration.Version {
+					t.Fatalf("at %v the repair is %+v, but the endpoint is %+v", now, r, *s)
 				}
 			}
 		}
 	})
 }
 
-// TestFindings: each kind is reported once it has lasted, and not when it is over.
-func TestFindings(t *testing.T) {
+// TestFindingsAreReportedWhileTheyLast: a finding of each kind is reported once it has lasted for
+// Thresholds.Settle, and not any more when it is over.
+func TestFindingsAreReportedWhileTheyLast(t *testing.T) {
 	c := NewChecker(Thresholds{Settle: 10 * time.Second, Orphan: time.Hour})
-	item := func(name, address, status string) registry.Registration {
+	registration := func(name, address, status string) registry.Registration {
 		return registry.Registration{
 			Endpoint: registry.Endpoint{Name: name, Address: address, Status: status},
 			Version:  1,
 		}
 	}
-	wrong := Observation{
+	inconsistent := Observation{
 		Registrations: []registry.Registration{
-			item("a", "x:1", registry.Ready),
-			item("b", "x:1", registry.Draining),
+			registration("a", "x:1", registry.Ready),
+			registration("b", "x:1", registry.Draining),
 		},
 		Proxies: []ProxyObservation{
 			{Name: "n0"},
@@ -98,8 +100,8 @@
 			{Name: "n3", Up: true, Ready: true, Discovered: -1},
 		},
 	}
-	right := Observation{
-		Registrations: wrong.Registrations[:1],
+	consistent := Observation{
+		Registrations: inconsistent.Registrations[:1],
 		Reachable:     map[string]bool{"a": true},
 		Proxies:       []ProxyObservation{{Name: "n0", Up: true, Ready: true, Discovered: 1}},
 	}
@@ -112,16 +114,16 @@
 		return all
 	}
 	want := fmt.Sprint([]string{"differs n2", "orphan b", "silent a", "twice b", "unreachable n0", "unready n1"})
-	for _, k := range []struct {
-		at   time.Duration
-		look Observation
-		want string
-	}{{0, wrong, "[]"}, {9 * time.Second, wrong, "[]"}, {10 * time.Second, wrong, want}, {11 * time.Second, right, "[]"}, {12 * time.Second, wrong, "[]"}} {
-		if got := fmt.Sprint(kinds(k.at, k.look)); got != k.want {
-			t.Errorf("at %v: %s, want %s", k.at, got, k.want)
+	for _, step := range []struct {
+		at       time.Duration
+		observed Observation
+		want     string
+	}{{0, inconsistent, "[]"}, {9 * time.Second, inconsistent, "[]"}, {10 * time.Second, inconsistent, want}, {11 * time.Second, consistent, "[]"}, {12 * time.Second, inconsistent, "[]"}} {
+		if got := fmt.Sprint(kinds(step.at, step.observed)); got != step.want {
+			t.Errorf("at %v: %s, want %s", step.at, got, step.want)
 		}
 	}
 	if n := parseDiscovered("app.forwards:3|c\napp.discovered:12|g\n"); n != 12 {
-		t.Errorf("a node's figures say %d", n)
+		t.Errorf("parsed %d endpoints, want 12", n)
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -15,11 +15,11 @@
 	"wrenspread/internal/registry"
 )
 
-// TestTwoKeepers: one of two takes an orphan off the list, and nothing else; once it
-// ends, the other goes on.
-func TestTwoKeepers(t *testing.T) {
+// TestSecondControllerTakesOverRemovingOrphans: the controller that holds the lease removes an orphaned
+// endpoint and no other. Once it ends, the second controller gets the lease and removes the next orphan.
+func TestSecondControllerTakesOverRemovingOrphans(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	service, k := labtest.List(t)
+	registryAddress, k := labtest.List(t)
 	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
 	alive, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,66 +28,66 @@
 	}
 	defer besteffort.Close(alive)
 	dead := labtest.Address(t)
-	add := func(name, at, status string) {
+	register := func(name, address, status string) {
 		t.Helper()
 		if _, err := k.Register(
 			ctx,
-			registry.Endpoint{Name: name, Address: at, Status: status},
+			registry.Endpoint{Name: name, Address: address, Status: status},
 			0,
 			nil,
 		); err != nil {
 			t.Fatal(err)
 		}
 	}
-	add("leaves", alive.Addr().String(), registry.Draining)
-	add("silent", dead, registry.Ready)
-	add("orphan", dead, registry.Draining)
-	node := httptest.NewServer(
+	register("leaves", alive.Addr().String(), registry.Draining)
+	register("silent", dead, registry.Ready)
+	register("orphan", dead, registry.Draining)
+	proxy := httptest.NewServer(
 		http.HandlerFunc(
 			func(w http.ResponseWriter, r *http.Request) { besteffort.Output(fmt.Fprint(w, "app.discovered:9|g\n")) },
 		),
 	)
-	defer node.Close()
-	begin := func(name string) func() {
+	defer proxy.Close()
+	start := func(name string) func() {
 		c := Default()
 		c.Process, c.Registry, c.Listen, c.Every, c.Thresholds = name, []string{
-			service,
+			registryAddress,
 		}, labtest.Address(
 			t,
 		), 100*time.Millisecond, Thresholds{
 			300 * time.Millisecond,
 			time.Second,
 		}
-		c.Proxies = []Proxy{{"n0", node.Listener.Addr().String()}}
+		c.Proxies = []Proxy{{"n0", proxy.Listener.Addr().String()}}
 		return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
 	}
-	names := func() (all []string) {
-		a, err := k.CurrentList(ctx)
+	registeredNames := func() (all []string) {
+		list, err := k.CurrentList(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range a.Endpoints {
+		for _, e := range list.Endpoints {
 			all = append(all, e.Name)
 		}
 		return all
 	}
 	holder := func() string {
-		a, err := k.Leases(ctx)
+		leases, err := k.Leases(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, d := range a.Leases {
-			return d.Process
+		for _, l := range leases.Leases {
+			return l.Process
 		}
 		return ""
 	}
-	stopFirst := begin("one")
+	stopFirst := start("one")
 	labtest.Await(t, "the first holder", func() bool { return holder() == "one" })
-	stopSecond := begin("two")
-	labtest.Await(t, "the orphan's end", func() bool { return fmt.Sprint(names()) == "[leaves silent]" })
+	stopSecond := start("two")
+	labtest.Await(t, "the removal of the orphan", func() bool { return fmt.Sprint(registeredNames()) == "[leaves silent]" })
 	stopFirst()
 	labtest.Await(t, "the second holder", func() bool { return holder() == "two" })
-	add("orphan", dead, registry.Draining)
-	labtest.Await(t, "the second orphan's end", func() bool { return fmt.Sprint(names()) == "[leaves silent]" })
+	register("orphan", dead, registry.Draining)
+	labtest.Await(t, "the removal of the second orphan", func() bool { return fmt.Sprint(registeredNames()) == "[leaves silent]" })
 	stopSecond()
 }
--- a/internal/controller/fixture_test.go
+++ b/internal/controller/fixture_test.go
@@ -6,7 +6,7 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestReportFormIsUnchanged compares what /report answers with a golden file.
-func TestReportFormIsUnchanged(t *testing.T) {
+// TestReportEncodingIsUnchanged compares the response of /report with a golden file.
+func TestReportEncodingIsUnchanged(t *testing.T) {
 	fixture.AssertJSON(t, "report", &Report{})
 }
