--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -60,7 +60,7 @@
 			return nil
 		})
 	}
-	_ = reads.Wait() // no read returns an error: it is part of the proxy's view
+	_ = reads.Wait() // no read returns an error: errors are part of the proxies' views
 	return all
 }
 
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -327,10 +327,10 @@
 
 // controllerConfig is the configuration of a release controller.
 type controllerConfig struct {
-	Process string          `koanf:"process"`
-	Every   time.Duration   `koanf:"every"` // interval between two steps of the controller
-	Grace   time.Duration   `koanf:"grace"` // time for requests in flight at a server in maintenance
-	Proxies []release.Proxy `koanf:"node"`
+	Process  string          `koanf:"process"`
+	Interval time.Duration   `koanf:"every"` // interval between two steps of the controller
+	Grace    time.Duration   `koanf:"grace"` // time for requests in flight at a server in maintenance
+	Proxies  []release.Proxy `koanf:"node"`
 }
 
 // runReleaseCommand runs the controller of one release.
@@ -353,7 +353,7 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			host, _ := os.Hostname() // empty if the machine has no name, for which lease.Open returns an error
-			settings := controllerConfig{Process: host, Every: time.Second, Grace: 5 * time.Second}
+			settings := controllerConfig{Process: host, Interval: time.Second, Grace: 5 * time.Second}
 			if path != "" {
 				if err := config.File(&settings, path); err != nil {
 					return err
@@ -413,7 +413,7 @@
 		controller := &release.Controller{
 			Store:    release.Records{Registry: k, Token: token, Name: name},
 			Executor: executor,
-			Interval: config.Every,
+			Interval: config.Interval,
 			Log:      log,
 		}
 		return controller.Run(ctx)
--- a/cmd/wrenspreadctl/release_test.go
+++ b/cmd/wrenspreadctl/release_test.go
@@ -59,7 +59,7 @@
 	s := &site{t: t, addresses: map[string]string{}, folder: t.TempDir(), maintenance: map[string]bool{}, requests: map[string]int{}, failed: map[string]int{}}
 	s.registry, s.client = labtest.List(t)
 	ac := agent.Default()
-	ac.Machine, ac.Listen, ac.List, ac.Folder = "m", labtest.Address(t), []string{s.registry}, s.folder
+	ac.Machine, ac.Listen, ac.Registry, ac.Folder = "m", labtest.Address(t), []string{s.registry}, s.folder
 	for i := range 3 {
 		name := fmt.Sprint("s", i)
 		s.addresses[name] = labtest.Address(t)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -44,7 +44,7 @@
 	}
 	a := &agent{config: c, log: log, supervisors: map[string]*supervisor{}}
 	var err error
-	if a.registry, err = client.New(client.Config{Addresses: c.List}); err != nil {
+	if a.registry, err = client.New(client.Config{Addresses: c.Registry}); err != nil {
 		return err
 	}
 	defer a.registry.Close()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
 	c := Default()
-	c.Machine, c.Listen, c.List, c.Folder, c.TTL = "m", labtest.Address(t), []string{service}, t.TempDir(), 2*time.Second
+	c.Machine, c.Listen, c.Registry, c.Folder, c.TTL = "m", labtest.Address(t), []string{service}, t.TempDir(), 2*time.Second
 	address := labtest.Address(t)
 	c.Servers = []Server{{Name: "s", Address: address, Version: "v1", Ready: "/", Grace: time.Second, Command: []string{"/usr/bin/env", "AGENT_TEST_VERSION={version}", "AGENT_TEST_ADDRESS=" + address, os.Args[0]}}}
 	startAgent := func() func() { return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
@@ -148,7 +148,7 @@
 	quiet := slog.New(slog.DiscardHandler)
 	c := Default()
 	address := labtest.Address(t)
-	c.Machine, c.Listen, c.List, c.Folder = "m", labtest.Address(t), []string{"127.0.0.1:1"}, t.TempDir()
+	c.Machine, c.Listen, c.Registry, c.Folder = "m", labtest.Address(t), []string{"127.0.0.1:1"}, t.TempDir()
 	c.Servers = []Server{{Name: "n", Address: address, Version: "v1", Ready: "/", Grace: 5 * time.Second, Handover: true, Unlisted: true, Control: []string{labtest.Address(t), labtest.Address(t)},
 		Command: []string{"/usr/bin/env", "AGENT_TEST_VERSION={version}", os.Args[0]}}}
 	if err := c.Check(); err != nil {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -10,13 +10,13 @@
 
 // Config is the configuration of an agent.
 type Config struct {
-	Machine string        `koanf:"machine"` // name of the machine, the same after a restart of the agent
-	Listen  string        `koanf:"listen"`  // address for HTTP calls
-	Address string        `koanf:"address"` // address at which others reach the agent; empty: Listen
-	List    []string      `koanf:"list"`    // addresses of the registry's replicas
-	Folder  string        `koanf:"folder"`  // folder for the state that the agent needs after a restart
-	TTL     time.Duration `koanf:"ttl"`     // TTL of the servers' registrations
-	Servers []Server      `koanf:"server"`
+	Machine  string        `koanf:"machine"` // name of the machine, the same after a restart of the agent
+	Listen   string        `koanf:"listen"`  // address for HTTP calls
+	Address  string        `koanf:"address"` // address at which others reach the agent; empty: Listen
+	Registry []string      `koanf:"list"`    // addresses of the registry's replicas
+	Folder   string        `koanf:"folder"`  // folder for the state that the agent needs after a restart
+	TTL      time.Duration `koanf:"ttl"`     // TTL of the servers' registrations
+	Servers  []Server      `koanf:"server"`
 }
 
 // Server configures one server that the agent runs. The text {version} in Command and Dir is replaced by the
@@ -63,8 +63,8 @@
 	if c.Address != "" {
 		requireAddress("address", c.Address)
 	}
-	require(len(c.List) > 0, "list: missing; it has the addresses of the registry")
-	for _, a := range c.List {
+	require(len(c.Registry) > 0, "list: missing; it has the addresses of the registry")
+	for _, a := range c.Registry {
 		requireAddress("list", a)
 	}
 	require(
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -62,9 +62,9 @@
 
 const maxMessageBytes = 64 << 10 // bytes of a request's or a response's body
 
-// ErrStale means that an agent rejected a desired state because its fencing token is not the latest: the
+// ErrStaleToken means that an agent rejected a desired state because its fencing token is not the latest: the
 // agent has accepted a later token of the same lease.
-var ErrStale = errors.New("agent: another holds the duty")
+var ErrStaleToken = errors.New("agent: another holds the duty")
 
 // Caller calls the HTTP interface of agents.
 type Caller struct {
@@ -127,7 +127,7 @@
 	case err != nil:
 		return fmt.Errorf("agent at %s: %w", address, err)
 	case resp.StatusCode == http.StatusConflict:
-		return fmt.Errorf("%w: %s", ErrStale, bytes.TrimSpace(text))
+		return fmt.Errorf("%w: %s", ErrStaleToken, bytes.TrimSpace(text))
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("agent at %s: %s: %s", address, resp.Status, bytes.TrimSpace(text))
 	}
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -66,7 +66,8 @@
 	return k.status, k.changed
 }
 
-// updateStatus applies change to the status, and wakes those that wait for a change if there is one.
+// updateStatus applies change to the status, and wakes the goroutines that wait for a change if the status
+// differs.
 func (k *supervisor) updateStatus(change func(*Status)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/controller/checker.go
+++ b/internal/controller/checker.go
@@ -11,8 +11,8 @@
 
 // Thresholds configures how long an inconsistency must last before the controller acts on it.
 type Thresholds struct {
-	Settle time.Duration `koanf:"settle"` // until a finding is reported: changes take time to reach proxies
-	Orphan time.Duration `koanf:"orphan"` // until an orphaned endpoint is removed
+	ReportAfter time.Duration `koanf:"settle"` // until a finding is reported: changes take time to reach proxies
+	RemoveAfter time.Duration `koanf:"orphan"` // until an orphaned endpoint is removed
 }
 
 // Observation holds what one round of checks saw. At is read from one monotonic clock for all observations.
@@ -81,8 +81,8 @@
 	repairs    []Repair
 }
 
-// Check returns the findings that have lasted for Thresholds.Settle, ordered by kind and subject, and the
-// repairs of the orphaned endpoints that have lasted for Thresholds.Orphan.
+// Check returns the findings that have lasted for Thresholds.ReportAfter, ordered by kind and subject, and
+// the repairs of the orphaned endpoints that have lasted for Thresholds.RemoveAfter.
 func (c *Checker) Check(observed Observation) (findings []Finding, repairs []Repair) {
 	current := &check{Checker: c, observedAt: observed.At, seen: map[findingKey]bool{}}
 	for _, proxy := range observed.Proxies {
@@ -112,15 +112,15 @@
 	return current.findings, current.repairs
 }
 
-// recordFinding records that a finding is observed, reports it if it has lasted for Thresholds.Settle, and
-// returns how long it has lasted.
+// recordFinding records that a finding is observed, reports it if it has lasted for Thresholds.ReportAfter,
+// and returns how long it has lasted.
 func (c *check) recordFinding(key findingKey) (lasting time.Duration) {
 	c.seen[key] = true
 	if _, known := c.since[key]; !known {
 		c.since[key] = c.observedAt
 	}
 	lasting = c.observedAt - c.since[key]
-	if lasting >= c.thresholds.Settle {
+	if lasting >= c.thresholds.ReportAfter {
 		c.findings = append(c.findings, Finding{key.kind, key.subject, key.detail, lasting})
 	}
 	return lasting
@@ -155,7 +155,7 @@
 	)
 	if lasting := c.recordFinding(
 		findingKey{OrphanedEndpoint, endpoint.Name, detail},
-	); lasting >= c.thresholds.Orphan {
+	); lasting >= c.thresholds.RemoveAfter {
 		c.repairs = append(c.repairs, Repair{endpoint.Name, registration.Version, detail})
 	}
 }
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -14,10 +14,10 @@
 
 // TestRepairsOnlyLastingOrphans draws random changes of endpoints. An entry may be removed only if it was
 // draining without a TTL, at the version that is removed, and unreachable in every observation for
-// Thresholds.Orphan.
+// Thresholds.RemoveAfter.
 func TestRepairsOnlyLastingOrphans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		thresholds := Thresholds{Settle: 10 * time.Second, Orphan: 60 * time.Second}
+		thresholds := Thresholds{ReportAfter: 10 * time.Second, RemoveAfter: 60 * time.Second}
 		checker := NewChecker(thresholds)
 		type endpointState struct {
 			registration  registry.Registration
@@ -62,7 +62,7 @@
 			_, repairs := checker.Check(observed)
 			want := 0
 			for _, s := range all {
-				if s.orphanedSince >= 0 && now-s.orphanedSince >= thresholds.Orphan {
+				if s.orphanedSince >= 0 && now-s.orphanedSince >= thresholds.RemoveAfter {
 					want++
 				}
 			}
@@ -70,7 +70,7 @@
 				t.Fatalf("at %v the repairs are %v, want %d", now, repairs, want)
 			}
 			for _, r := range repairs {
-				if s := all[r.Name]; s.orphanedSince < 0 || now-s.orphanedSince < thresholds.Orphan || r.Version != s.registration.Version {
+				if s := all[r.Name]; s.orphanedSince < 0 || now-s.orphanedSince < thresholds.RemoveAfter || r.Version != s.registration.Version {
 					t.Fatalf("at %v the repair is %+v, but the endpoint is %+v", now, r, *s)
 				}
 			}
@@ -79,9 +79,9 @@
 }
 
 // TestFindingsAreReportedWhileTheyLast: a finding of each kind is reported once it has lasted for
-// Thresholds.Settle, and not any more when it is over.
+// Thresholds.ReportAfter, and not any more when it is over.
 func TestFindingsAreReportedWhileTheyLast(t *testing.T) {
-	c := NewChecker(Thresholds{Settle: 10 * time.Second, Orphan: time.Hour})
+	c := NewChecker(Thresholds{ReportAfter: 10 * time.Second, RemoveAfter: time.Hour})
 	registration := func(name, address, status string) registry.Registration {
 		return registry.Registration{
 			Endpoint: registry.Endpoint{Name: name, Address: address, Status: status},
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -11,7 +11,7 @@
 	Process    string        `koanf:"process"` // name of this process, the same over its restarts
 	Registry   []string      `koanf:"list"`    // addresses of the registry's replicas
 	Listen     string        `koanf:"listen"`  // address for /report, /healthz and /metrics
-	Every      time.Duration `koanf:"every"`   // interval between two comparisons
+	Interval   time.Duration `koanf:"every"`   // interval between two comparisons
 	Repair     bool          `koanf:"repair"`  // false: orphaned endpoints are reported and not removed
 	Proxies    []Proxy       `koanf:"node"`    // proxies that are compared with the registry
 	Quotas     Quotas        `koanf:"shares"`  // allocation of limits, off if Quotas.Fleet is empty
@@ -28,9 +28,9 @@
 func Default() Config {
 	return Config{
 		Listen:     "127.0.0.1:8700",
-		Every:      5 * time.Second,
+		Interval:   5 * time.Second,
 		Repair:     true,
-		Thresholds: Thresholds{Settle: 15 * time.Second, Orphan: 5 * time.Minute},
+		Thresholds: Thresholds{ReportAfter: 15 * time.Second, RemoveAfter: 5 * time.Minute},
 	}
 }
 
@@ -45,9 +45,9 @@
 		problems.RequireAddress("list", address)
 	}
 	problems.RequireAddress("listen", c.Listen)
-	problems.Require(c.Every >= minInterval, "every: %v is under %v", c.Every, minInterval)
-	problems.Require(c.Settle > 0 && c.Orphan >= c.Settle,
-		"settle and orphan: %v and %v, want the second not below the first", c.Settle, c.Orphan)
+	problems.Require(c.Interval >= minInterval, "every: %v is under %v", c.Interval, minInterval)
+	problems.Require(c.ReportAfter > 0 && c.RemoveAfter >= c.ReportAfter,
+		"settle and orphan: %v and %v, want the second not below the first", c.ReportAfter, c.RemoveAfter)
 	for _, proxy := range c.Proxies {
 		problems.Require(proxy.Name != "", "node: one has no name")
 		problems.RequireAddress("node "+proxy.Name+": control", proxy.Control)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -178,7 +178,7 @@
 			c.recordFindings(findings)
 			c.removeOrphans(ctx, token, repairs)
 		}
-		backoff.Sleep(ctx, c.config.Every)
+		backoff.Sleep(ctx, c.config.Interval)
 	}
 	return ctx.Err()
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -50,7 +50,7 @@
 	defer proxy.Close()
 	start := func(name string) func() {
 		c := Default()
-		c.Process, c.Registry, c.Listen, c.Every, c.Thresholds = name, []string{
+		c.Process, c.Registry, c.Listen, c.Interval, c.Thresholds = name, []string{
 			registryAddress,
 		}, labtest.Address(
 			t,
