--- a/internal/tenant/advance.go
+++ b/internal/tenant/advance.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// advance moves a tenant on when what it waits for has come, or its time has.
+// advance moves a tenant to its next state if the members that it waits for are ready, or if its time is
+// over.
 func (m *StateMachine) advance(r *round, t *Tenant) {
 	e := m.entries[t.Name]
 	if t.State.isSettled() {
@@ -13,51 +14,52 @@
 		return
 	}
 	if !entryOf(t).equivalent(e) {
-		return // what is on record is not published yet: a controller died between
+		return // not published yet: a controller failed between the two writes
 	}
 	switch t.State {
 	case Reserved:
 		if m.waitForMembers(r, t, e) {
 			m.applyNext(r, t)
 		} else if m.orderExpired(r, t) {
-			m.reject(r, t, m.lateMembers(t))
+			m.reject(r, t, m.lateMembersReason(t))
 		}
 	case Changing:
 		if m.waitForMembers(r, t, e) {
-			if why := m.recheck(r, t); why != "" {
-				m.revert(r, t, why)
+			if reason := m.recheck(r, t); reason != "" {
+				m.revert(r, t, reason)
 				return
 			}
 			m.setState(r, t, Switching)
 		} else if m.orderExpired(r, t) {
-			m.revert(r, t, m.lateMembers(t))
+			m.revert(r, t, m.lateMembersReason(t))
 		}
 	case Switching:
 		if m.waitForMembers(r, t, e) {
 			m.applyNext(r, t)
 		} else if r.now-m.stateSince[t.Name] >= m.times.Switch {
-			m.setState(r, t, Changing) // nobody has served the next spec: the present one is served again
+			m.setState(r, t, Changing) // no proxy has served the next spec, so the current one may be served again
 		}
 	case Draining:
 		if m.waitForMembers(r, t, e) {
 			m.setState(r, t, Removed)
-			t.finish("")
+			t.recordOutcome("")
 			t.ExpiresAt = m.clockAt(r.now) + m.times.Tombstone
 		}
 	}
 }
 
-// waitForMembers reports whether all that are needed have taken the tenant's entry up.
+// waitForMembers reports whether all members that the tenant's state waits for have applied its entry. It
+// records the others in waitingFor.
 func (m *StateMachine) waitForMembers(r *round, t *Tenant, e *Entry) bool {
 	m.waitingFor[t.Name] = m.membersBehind(r, e.Since, t.State.waitScope(), e.drainTime())
 	return len(m.waitingFor[t.Name]) == 0
 }
 
-// applyNext puts the next spec into effect, or begins the drain where there is none.
+// applyNext puts the next spec into effect, or begins the drain if there is none.
 func (m *StateMachine) applyNext(r *round, t *Tenant) {
 	if t.State == Reserved {
-		if why := m.recheck(r, t); why != "" {
-			m.reject(r, t, why)
+		if reason := m.recheck(r, t); reason != "" {
+			m.reject(r, t, reason)
 			return
 		}
 	}
@@ -66,11 +68,11 @@
 		return
 	}
 	t.Current, t.Next = t.Next, nil
-	t.finish("")
+	t.recordOutcome("")
 	m.settle(r, t)
 }
 
-// settle puts a tenant into the state that its spec in effect says.
+// settle sets a tenant's state to Active or Suspended, by its current spec.
 func (m *StateMachine) settle(r *round, t *Tenant) {
 	state := Active
 	if t.Current.Suspended {
@@ -79,107 +81,114 @@
 	m.setState(r, t, state)
 }
 
-// orderExpired reports whether the order that a tenant follows has had its time.
+// orderExpired reports whether a tenant's order has waited for longer than the prepare timeout.
 func (m *StateMachine) orderExpired(r *round, t *Tenant) bool {
 	return r.now-m.orderSeenAt[t.Name] >= m.prepareTimeout()
 }
 
-func (m *StateMachine) lateMembers(t *Tenant) string {
-	return fmt.Sprintf("taken back: %s had not taken it up in time", joinNames(m.waitingFor[t.Name]))
+// lateMembersReason returns the outcome's reason for an order that members have not prepared in time.
+func (m *StateMachine) lateMembersReason(t *Tenant) string {
+	return fmt.Sprintf("taken back: %s had not taken it up in time", summarizeNames(m.waitingFor[t.Name]))
 }
 
-// revert leaves a tenant as it was before its order.
-func (m *StateMachine) revert(r *round, t *Tenant, why string) {
+// revert drops a tenant's next spec and returns the tenant to the state before its order.
+func (m *StateMachine) revert(r *round, t *Tenant, reason string) {
 	t.Next = nil
-	t.finish(why)
+	t.recordOutcome(reason)
 	m.settle(r, t)
 }
 
-// reject ends a tenant that never was: nobody has served it.
-func (m *StateMachine) reject(r *round, t *Tenant, why string) {
+// reject ends the order to add a tenant that no proxy has served.
+func (m *StateMachine) reject(r *round, t *Tenant, reason string) {
 	t.Current, t.Next, t.ExpiresAt = nil, nil, m.clockAt(r.now)+m.times.Tombstone
-	t.finish(why)
+	t.recordOutcome(reason)
 	m.setState(r, t, Rejected)
 }
 
-// expireTombstone takes a tombstone or a refusal off the record in its time.
+// expireTombstone deletes the record of a removed or rejected tenant when it expires.
 func (m *StateMachine) expireTombstone(r *round, t *Tenant) {
 	if t.ExpiresAt > 0 && m.clockAt(r.now) >= t.ExpiresAt {
 		r.removed[t.Name] = true
 	}
 }
 
-// takeOrder follows an order that waits, or says on record why not. An order that is on
-// record as taken is only cleared away.
-func (m *StateMachine) takeOrder(r *round, a PendingOrder) {
-	if a.Order.Op == OrderForgetMember {
-		m.forgetMember(r, a)
+// takeOrder starts a pending order, or records the reason why not, and deletes the order's record. An order
+// that the tenant's record has as taken is only deleted.
+func (m *StateMachine) takeOrder(r *round, pending PendingOrder) {
+	if pending.Order.Op == OrderForgetMember {
+		m.forgetMember(r, pending)
 		return
 	}
-	t := m.tenants[a.Name]
-	if t != nil && (!t.State.isSettled() || r.removed[a.Name] || !entryOf(t).equivalent(m.entries[a.Name])) {
-		return // in order: after the one before is done, and published
+	t := m.tenants[pending.Name]
+	if t != nil &&
+		(!t.State.isSettled() || r.removed[pending.Name] || !entryOf(t).equivalent(m.entries[pending.Name])) {
+		return // the previous order has to be done and published first
 	}
 	if t == nil {
 		if len(m.tenants) >= m.maxTenants() {
-			return // it waits for capacity
+			return // the order waits until there is capacity for another tenant
 		}
-		if CheckName(a.Name) != nil { // no record can say why; the operator's command has rejected it before
-			r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: a.Key, Version: a.Version})
+		if CheckName(pending.Name) != nil { // no record can have this name; the operator's command rejects it
+			r.writes = append(r.writes, RecordWrite{Stage: stageCleanup, Key: pending.Key, Version: pending.Version})
 			return
 		}
-		t = &Tenant{Format: format, Name: a.Name, State: Rejected, ExpiresAt: m.clockAt(r.now) + m.times.Tombstone}
-		m.tenants[a.Name] = t
-	}
-	if a.Order.ID != t.Order {
-		t.Order = a.Order.ID
-		m.orderSeenAt[a.Name] = r.now
-		r.changed[a.Name] = true
-		if why := m.startOrder(r, t, a.Order); why != "" {
-			t.finish(why)
+		t = &Tenant{
+			Format:    documentFormat,
+			Name:      pending.Name,
+			State:     Rejected,
+			ExpiresAt: m.clockAt(r.now) + m.times.Tombstone,
+		}
+		m.tenants[pending.Name] = t
+	}
+	if pending.Order.ID != t.Order {
+		t.Order = pending.Order.ID
+		m.orderSeenAt[pending.Name] = r.now
+		r.changed[pending.Name] = true
+		if reason := m.startOrder(r, t, pending.Order); reason != "" {
+			t.recordOutcome(reason)
 		}
 	}
-	r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: a.Key, Version: a.Version})
+	r.writes = append(r.writes, RecordWrite{Stage: stageCleanup, Key: pending.Key, Version: pending.Version})
 }
 
-// startOrder begins what an order asks for; it says why if it does not.
-func (m *StateMachine) startOrder(r *round, t *Tenant, o Order) (why string) {
-	alive := t.State == Active || t.State == Suspended
-	if o.Op != OrderAdd && !alive {
-		return fmt.Sprintf("%s: the tenant is %s", o.Op, t.State)
+// startOrder starts an order. It returns the reason if it rejects the order, and "" otherwise.
+func (m *StateMachine) startOrder(r *round, t *Tenant, order Order) (reason string) {
+	served := t.State == Active || t.State == Suspended
+	if order.Op != OrderAdd && !served {
+		return fmt.Sprintf("%s: the tenant is %s", order.Op, t.State)
 	}
 	var next *Spec
-	switch o.Op {
+	switch order.Op {
 	case OrderAdd, OrderChange:
-		next = o.Spec
+		next = order.Spec
 	case OrderSuspend, OrderResume:
 		copied := *t.Current
-		copied.Suspended = o.Op == OrderSuspend
+		copied.Suspended = order.Op == OrderSuspend
 		next = &copied
 	case OrderRemove:
 		m.setState(r, t, Changing)
 		return ""
 	default:
-		return fmt.Sprintf("%q is no order", o.Op)
+		return fmt.Sprintf("%q is no order", order.Op)
 	}
 	switch {
-	case o.Op == OrderAdd && t.State == Removed:
+	case order.Op == OrderAdd && t.State == Removed:
 		return fmt.Sprintf("add: its tombstone stays for %v", (t.ExpiresAt - m.clockAt(r.now)).Round(time.Second))
-	case o.Op == OrderAdd && alive:
+	case order.Op == OrderAdd && served:
 		return "add: there is one already"
 	}
-	if o.Op != OrderSuspend { // which must go, whatever is amiss
-		if why := m.check(r, t, next); why != "" {
-			return why
+	if order.Op != OrderSuspend { // a tenant must be suspended even if its spec is no longer valid
+		if reason := m.check(r, t, next); reason != "" {
+			return reason
 		}
 	}
 	next.PolicyVersion, t.Next, t.ExpiresAt = r.Policy.Version, next, 0
-	if o.Op == OrderAdd {
+	if order.Op == OrderAdd {
 		m.setState(r, t, Reserved)
 	} else {
 		m.setState(r, t, Changing)
 	}
-	for _, limit := range m.claims.add(t) { // the next order of this round sees it
+	for _, limit := range m.claims.add(t) { // the next order of this round is checked against these floors, too
 		r.floorSum += r.Policy.Floors[limit]
 	}
 	return ""
--- a/internal/tenant/cache.go
+++ b/internal/tenant/cache.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Cache decides what a proxy knows of tenants, and how authoritative it may be. It is pure. Its safety rests
-// on the session and on reads of the records; membership (PeerHasCatalogue) only makes it more careful, and
-// quicker.
+// Cache holds a proxy's copy of the catalogue, or of some leaves, and decides whether the proxy may act on it
+// with authority. It is pure. Its safety depends on the session and on reads of the records only: membership
+// (PeerHasCatalogue) makes it more cautious and brings changes sooner.
 type Cache struct {
 	generation   uint64
 	maxStaleness time.Duration
@@ -17,47 +17,47 @@
 	enrolled      bool
 	leaving       bool
 	policy        PolicyTable
-	policyChanges int               // that it has had
-	entries       map[string]*Entry // those of snapshot, by tenant
-	inTransition  map[string]*Entry // those of them that are not simply served
-
-	onDemand        bool                // it reads the leaves that requests name, where the catalogue has leaves
-	leaves          map[int]*cachedLeaf // the leaves of snapshot, ready for requests
-	requestedLeaves map[int]bool        // leaves that are to be read, too
-	readBudget      tokenBucket         // of leaves that may be read now
-	idleTimeout     time.Duration       // leaves that have not been asked for so long are evicted
-	evictedAt       time.Duration       // when idle leaves were last looked for
-
-	sessionOpen    bool          // there is a session
-	sessionTTL     time.Duration // of it
-	authoritySince time.Duration // its unbroken authority began: only what was read since is authoritative
-	authorityUntil time.Duration // its authority ends
-	renewalSentAt  time.Duration // of the last renewal that was answered
-	authoritative  bool
-	confirmedAt    time.Duration // of the last renewal while it was authoritative
-
-	peerNumber    uint64
-	peerNumberAt  time.Duration
-	refutedNumber uint64 // a number that was heard of, and that a later read did not bear out
+	policyChanges int               // number of PolicyChanged events so far
+	entries       map[string]*Entry // entries of snapshot, by tenant
+	inTransition  map[string]*Entry // entries of snapshot in other phases than PhaseServe
+
+	onDemand        bool                // of a hash tree, only leaves that requests use are read
+	leaves          map[int]*cachedLeaf // leaves of snapshot, by number
+	requestedLeaves map[int]bool        // missing leaves that requests have asked for
+	readBudget      tokenBucket         // limits the reads of missing leaves
+	idleTimeout     time.Duration       // time after which unused leaves are evicted
+	evictedAt       time.Duration       // time of the last search for idle leaves
+
+	sessionOpen    bool
+	sessionTTL     time.Duration
+	authoritySince time.Duration // start of the session's unbroken authority; earlier reads have no authority
+	authorityUntil time.Duration // end of the session's authority
+	renewalSentAt  time.Duration // time at which the last answered renewal was sent
+	authoritative  bool          // snapshot was read since authoritySince
+	confirmedAt    time.Duration // renewalSentAt of the last renewal while the cache was authoritative
+
+	peerNumber    uint64        // highest catalogue number that a peer has reported
+	peerNumberAt  time.Duration // time of this report
+	refutedNumber uint64        // number that a peer has reported and a later read has not confirmed
 
 	openRequests   map[string]int           // requests in flight by tenant
-	departingSince map[string]time.Duration // since when a tenant is known to go
-	toldStatus     Status
-	hasTold        bool // toldStatus was reported
-	toldAt         time.Duration
+	departingSince map[string]time.Duration // time since which a tenant is known to be departing
+	reportedStatus Status
+	statusReported bool // reportedStatus has been reported in this session
+	reportedAt     time.Duration
 }
 
-// NewCache makes the cache of a proxy that knows nothing yet. generation is of this process, higher than of
-// the one before under its name. With a maximal staleness above 0 it serves no tenant after so long without
-// contact with the registry; it should be several TTLs. On demand it reads of a catalogue with leaves only
-// those that its requests name.
-func NewCache(life uint64, hold time.Duration, onDemand bool) *Cache {
+// NewCache returns an empty cache. generation is the generation of this process, higher than that of the
+// previous process with its name. If maxStaleness is above 0, the proxy serves no tenant after this time
+// without contact with the registry; it should be several session TTLs. With onDemand, the proxy reads only
+// the leaves of a hash tree that its requests use.
+func NewCache(generation uint64, maxStaleness time.Duration, onDemand bool) *Cache {
 	return &Cache{
-		generation:      life,
-		maxStaleness:    min(hold, maxMaxStaleness).Truncate(time.Millisecond),
+		generation:      generation,
+		maxStaleness:    min(maxStaleness, maxStalenessLimit).Truncate(time.Millisecond),
 		onDemand:        onDemand,
-		readBudget:      tokenBucket{left: readBurst},
-		idleTimeout:     idleTime,
+		readBudget:      tokenBucket{tokens: readBurst},
+		idleTimeout:     defaultIdleTimeout,
 		entries:         map[string]*Entry{},
 		inTransition:    map[string]*Entry{},
 		requestedLeaves: map[int]bool{},
@@ -66,142 +66,145 @@
 	}
 }
 
-// Member is how the member record has this proxy when it is enrolled.
-func (d *Cache) Member(name string) Member {
-	return Member{name, d.generation, d.maxStaleness.Milliseconds()}
+// Member returns the entry for this proxy in the member record when the proxy is enrolled.
+func (c *Cache) Member(name string) Member {
+	return Member{name, c.generation, c.maxStaleness.Milliseconds()}
 }
 
-// Handle takes an event and gives what is to be done about it.
-func (d *Cache) Handle(now time.Duration, event any) (do []any) {
+// Handle handles an event (events.go) and returns the actions to carry out, in order.
+func (c *Cache) Handle(now time.Duration, event any) (actions []any) {
 	swap := true
 	switch e := event.(type) {
 	case SessionOpened:
-		d.sessionOpen = true
-		d.sessionTTL = e.TTL
-		d.authoritySince = now
-		d.renewalSentAt = e.Sent
-		d.authoritative = false
-		d.hasTold = false
-		d.authorityUntil = e.Sent + shortened(e.TTL)
-		do = append(do, ReadCatalogue{})
+		c.sessionOpen = true
+		c.sessionTTL = e.TTL
+		c.authoritySince = now
+		c.renewalSentAt = e.Sent
+		c.authoritative = false
+		c.statusReported = false
+		c.authorityUntil = e.Sent + shortened(e.TTL)
+		actions = append(actions, ReadCatalogue{})
 	case SessionRenewed:
-		do = append(do, d.sessionRenewed(now, e)...)
+		actions = append(actions, c.sessionRenewed(now, e)...)
 	case CatalogueRead:
-		do = append(do, d.catalogueRead(now, e)...)
+		actions = append(actions, c.catalogueRead(now, e)...)
 	case LeafMissing:
-		return d.requestLeaf(now, e.Name)
+		return c.requestLeaf(now, e.Name)
 	case PeerHasCatalogue:
-		if e.Number <= max(d.number(), d.peerNumber) || e.Number == d.refutedNumber {
+		if e.Number <= max(c.number(), c.peerNumber) || e.Number == c.refutedNumber {
 			return nil
 		}
-		d.peerNumber, d.peerNumberAt = e.Number, now
-		do = append(do, ReadCatalogue{})
+		c.peerNumber, c.peerNumberAt = e.Number, now
+		actions = append(actions, ReadCatalogue{})
 	case PolicyChanged:
-		d.policy, d.policyChanges = e.PolicyTable, d.policyChanges+1
-		d.applySnapshot(now, d.snapshot)
+		c.policy, c.policyChanges = e.PolicyTable, c.policyChanges+1
+		c.applySnapshot(now, c.snapshot)
 	case RequestStarted:
-		d.openRequests[e.Tenant]++
+		c.openRequests[e.Tenant]++
 		return nil
 	case RequestEnded:
-		if d.openRequests[e.Tenant]--; d.openRequests[e.Tenant] > 0 {
+		if c.openRequests[e.Tenant]--; c.openRequests[e.Tenant] > 0 {
 			return nil
 		}
-		delete(d.openRequests, e.Tenant)
-		if _, going := d.departingSince[e.Tenant]; !going && !d.leaving {
+		delete(c.openRequests, e.Tenant)
+		if _, departing := c.departingSince[e.Tenant]; !departing && !c.leaving {
 			return nil
 		}
 		swap = false
 	case Leave:
-		d.leaving = true
+		c.leaving = true
 	default:
-		swap = d.evictIdle(now)
+		swap = c.evictIdle(now)
 	}
 	if swap {
-		do = append(do, SwapCatalogue{d.buildCatalogue()})
+		actions = append(actions, SwapCatalogue{c.buildCatalogue()})
 	}
-	do = append(do, d.cutDeparting(now)...)
-	return append(do, d.tellStatus(now)...)
+	actions = append(actions, c.cutExpiredRequests(now)...)
+	return append(actions, c.reportStatus(now)...)
 }
 
-// sessionRenewed prolongs the authority. Where it had run out before the answer came, the session may have
-// ended and begun again in between: what was read before is not authoritative any more.
-func (d *Cache) sessionRenewed(now time.Duration, e SessionRenewed) []any {
-	if !e.Known || !d.sessionOpen {
-		d.sessionOpen, d.authoritative = false, false
+// sessionRenewed extends the authority. If the authority had expired before the response came, the session
+// may have ended and begun again meanwhile, so that the last read has no authority any more.
+func (c *Cache) sessionRenewed(now time.Duration, e SessionRenewed) []any {
+	if !e.Known || !c.sessionOpen {
+		c.sessionOpen, c.authoritative = false, false
 		return nil
 	}
-	broken := now >= d.authorityUntil
-	d.authorityUntil, d.renewalSentAt = max(
-		d.authorityUntil,
-		e.Sent+shortened(d.sessionTTL),
+	expired := now >= c.authorityUntil
+	c.authorityUntil, c.renewalSentAt = max(
+		c.authorityUntil,
+		e.Sent+shortened(c.sessionTTL),
 	), max(
-		d.renewalSentAt,
+		c.renewalSentAt,
 		e.Sent,
 	)
-	if broken {
-		d.authoritative, d.authoritySince = false, now
+	if expired {
+		c.authoritative, c.authoritySince = false, now
 		return []any{ReadCatalogue{}}
 	}
-	if d.authoritative {
-		d.confirmedAt = d.renewalSentAt
+	if c.authoritative {
+		c.confirmedAt = c.renewalSentAt
 	}
 	return nil
 }
 
-// catalogueRead takes a catalogue up: as one, and never one before that which it has.
-func (d *Cache) catalogueRead(now time.Duration, e CatalogueRead) []any {
+// catalogueRead applies a catalogue as a unit, unless it is older than the cached one.
+func (c *Cache) catalogueRead(now time.Duration, e CatalogueRead) []any {
 	if e.Snapshot == nil {
 		return nil
 	}
-	d.enrolled = e.Enrolled
-	if !e.Snapshot.covers(d.snapshot, d.neededLeaves()) {
+	c.enrolled = e.Enrolled
+	if !e.Snapshot.canReplace(c.snapshot, c.neededLeaves()) {
 		return []any{ReadCatalogue{}}
 	}
-	// the registry's state is from a copy: the controller makes a new one
-	older := e.Snapshot.Number < d.number()
-	if d.snapshot == nil || e.Snapshot.Number > d.snapshot.Number ||
-		e.Snapshot.Number == d.snapshot.Number && e.Snapshot.levels > 0 {
-		d.applySnapshot(now, e.Snapshot)
+	// the registry was restored from a backup: the controller will publish a newer catalogue
+	older := e.Snapshot.Number < c.number()
+	if c.snapshot == nil || e.Snapshot.Number > c.snapshot.Number ||
+		e.Snapshot.Number == c.snapshot.Number && e.Snapshot.levels > 0 {
+		c.applySnapshot(now, e.Snapshot)
 	}
-	if d.sessionOpen && e.StartedAt >= d.authoritySince && !older {
-		d.authoritative, d.confirmedAt = true, d.renewalSentAt
+	if c.sessionOpen && e.StartedAt >= c.authoritySince && !older {
+		c.authoritative, c.confirmedAt = true, c.renewalSentAt
 	}
-	if d.peerNumber > e.Snapshot.Number && e.StartedAt >= d.peerNumberAt {
-		d.refutedNumber, d.peerNumber = d.peerNumber, e.Snapshot.Number
+	if c.peerNumber > e.Snapshot.Number && e.StartedAt >= c.peerNumberAt {
+		c.refutedNumber, c.peerNumber = c.peerNumber, e.Snapshot.Number
 	}
 	return nil
 }
 
-func (d *Cache) number() uint64 {
-	if d.snapshot == nil {
+// number returns the number of the cached catalogue; 0: none.
+func (c *Cache) number() uint64 {
+	if c.snapshot == nil {
 		return 0
 	}
-	return d.snapshot.Number
+	return c.snapshot.Number
 }
 
-// stopServingAt is when the proxy stops serving tenants for want of contact with the registry; 0: never.
-func (d *Cache) stopServingAt() time.Duration {
-	if d.maxStaleness == 0 {
+// stopServingAt returns the time at which the proxy stops serving tenants if it has no further contact with
+// the registry; 0: never.
+func (c *Cache) stopServingAt() time.Duration {
+	if c.maxStaleness == 0 {
 		return 0
 	}
-	return d.confirmedAt + d.maxStaleness
+	return c.confirmedAt + c.maxStaleness
 }
 
-func (d *Cache) buildCatalogue() *Catalogue {
-	c := &Catalogue{
-		number:         d.number(),
-		leaves:         d.leaves,
-		ready:          d.enrolled && d.snapshot != nil && !d.leaving,
-		authoritative:  d.authoritative,
-		authorityUntil: d.authorityUntil,
-		stopServingAt:  d.stopServingAt(),
-		behind:         d.peerNumber > d.number(),
+// buildCatalogue returns the catalogue by which the proxy decides on requests from now on.
+func (c *Cache) buildCatalogue() *Catalogue {
+	catalogue := &Catalogue{
+		number:         c.number(),
+		leaves:         c.leaves,
+		ready:          c.enrolled && c.snapshot != nil && !c.leaving,
+		authoritative:  c.authoritative,
+		authorityUntil: c.authorityUntil,
+		stopServingAt:  c.stopServingAt(),
+		behind:         c.peerNumber > c.number(),
 	}
-	if d.snapshot != nil {
-		c.levels, c.complete = d.snapshot.levels, d.snapshot.complete
+	if c.snapshot != nil {
+		catalogue.levels, catalogue.complete = c.snapshot.levels, c.snapshot.complete
 	}
-	return c
+	return catalogue
 }
 
-// OpenTenants returns the tenants with requests in flight, by name.
-func (d *Cache) OpenTenants() []string { return slices.Sorted(maps.Keys(d.openRequests)) }
+// OpenTenants returns the names of the tenants with requests in flight, sorted.
+func (c *Cache) OpenTenants() []string { return slices.Sorted(maps.Keys(c.openRequests)) }
--- a/internal/tenant/cache_status.go
+++ b/internal/tenant/cache_status.go
@@ -4,75 +4,81 @@
 	"time"
 )
 
-// A status is reported again so often while a tenant moves: an earlier one that was long on its way may have
-// come to the registry after it.
-const tellInterval = 5 * time.Second
+// statusReportInterval is the interval at which an unchanged status is reported again while a tenant is in
+// transition: an earlier status that was delayed on its way may have overwritten it in the registry.
+const statusReportInterval = 5 * time.Second
 
-// isDeparting reports whether the requests in flight of an entry are to end.
+// isDeparting reports whether an entry's tenant is being removed, so that its requests in flight have to end.
 func (e *Entry) isDeparting() bool {
 	return e.Phase == PhaseDrain || e.Phase == PhaseHold && e.Next == nil
 }
 
-// cutDeparting ends what has had its time: of a tenant that drains; of one that is about to, where this proxy
-// has no authority any more, so that the controller need not wait for its return; of all, where its maximal
-// staleness has stopped it; of one that is gone, at once.
-func (d *Cache) cutDeparting(now time.Duration) (do []any) {
-	right := d.authoritative && now < d.authorityUntil
-	over := map[string]bool{}
-	for _, e := range d.inTransition {
+// cutExpiredRequests returns the actions that end requests in flight whose drain time is over. The drain time
+// begins:
+//   - for a tenant that drains, when this proxy learns that the tenant is being removed;
+//   - for a tenant that is about to drain, at the same time, but only if this proxy has lost its authority,
+//     so that the controller need not wait for the proxy's return;
+//   - for all tenants, when the proxy's maximal staleness stops it.
+//
+// Requests of a tenant that is no longer in the catalogue are ended at once.
+func (c *Cache) cutExpiredRequests(now time.Duration) (actions []any) {
+	authoritative := c.authoritative && now < c.authorityUntil
+	expired := map[string]bool{}
+	for _, e := range c.inTransition {
 		if !e.isDeparting() {
 			continue
 		}
-		if _, known := d.departingSince[e.Name]; !known {
-			d.departingSince[e.Name] = now
+		if _, known := c.departingSince[e.Name]; !known {
+			c.departingSince[e.Name] = now
 		}
-		over[e.Name] = now >= d.departingSince[e.Name]+e.drainTime() && (e.Phase == PhaseDrain || !right)
+		expired[e.Name] = now >= c.departingSince[e.Name]+e.drainTime() && (e.Phase == PhaseDrain || !authoritative)
 	}
-	for _, name := range d.OpenTenants() {
-		e := d.entries[name]
-		if e == nil || over[name] || d.maxStaleness > 0 && now >= d.stopServingAt()+e.drainTime() {
-			do = append(do, CutRequests{name})
+	for _, name := range c.OpenTenants() {
+		e := c.entries[name]
+		if e == nil || expired[name] || c.maxStaleness > 0 && now >= c.stopServingAt()+e.drainTime() {
+			actions = append(actions, CutRequests{name})
 		}
 	}
-	return do
+	return actions
 }
 
-// Status is what a session has to be opened with: one that is open without it would let the controller pass
-// by a proxy that has its authority already.
-func (d *Cache) Status() Status {
-	w := Status{
-		Generation:   d.generation,
-		Prepared:     d.number(),
-		DrainedUpTo:  d.number(),
-		MaxStaleness: d.maxStaleness,
-		Left:         d.leaving && len(d.openRequests) == 0,
+// Status returns the status that the proxy's session has to report. The session has to be opened with it: a
+// session that is open without a status would let the controller not wait for a proxy that has authority
+// already.
+func (c *Cache) Status() Status {
+	status := Status{
+		Generation:   c.generation,
+		Prepared:     c.number(),
+		DrainedUpTo:  c.number(),
+		MaxStaleness: c.maxStaleness,
+		Left:         c.leaving && len(c.openRequests) == 0,
 	}
-	if d.snapshot != nil {
-		for _, n := range d.snapshot.needs { // of leaves that are not held, too: they may be tomorrow
-			if d.policy.Version < n.Policy {
-				w.Prepared = min(w.Prepared, n.Since-1)
+	if c.snapshot != nil {
+		for _, need := range c.snapshot.policyNeeds { // also of leaves that a request may load later
+			if c.policy.Version < need.Policy {
+				status.Prepared = min(status.Prepared, need.Since-1)
 			}
 		}
 	}
-	for _, e := range d.inTransition {
+	for _, e := range c.inTransition {
 		known := e.Phase == PhasePrepare || e.Phase == PhaseHold || e.Phase == PhaseDrain
-		if !known || e.Next != nil && !e.Next.Suspended && !d.policy.covers(e.Next) {
-			w.Prepared = min(w.Prepared, e.Since-1)
+		if !known || e.Next != nil && !e.Next.Suspended && !c.policy.covers(e.Next) {
+			status.Prepared = min(status.Prepared, e.Since-1)
 		}
-		if e.Phase == PhaseDrain && d.openRequests[e.Name] > 0 {
-			w.DrainedUpTo = min(w.DrainedUpTo, e.Since-1)
+		if e.Phase == PhaseDrain && c.openRequests[e.Name] > 0 {
+			status.DrainedUpTo = min(status.DrainedUpTo, e.Since-1)
 		}
 	}
-	return w
+	return status
 }
 
-// tellStatus reports the session's status where it has changed.
-func (d *Cache) tellStatus(now time.Duration) []any {
-	w := d.Status()
-	again := len(d.inTransition) > 0 && now-d.toldAt >= tellInterval
-	if !d.sessionOpen || d.hasTold && w == d.toldStatus && !again {
+// reportStatus returns the action that reports the status, if it has changed or has to be repeated.
+func (c *Cache) reportStatus(now time.Duration) []any {
+	status := c.Status()
+	repeat := len(c.inTransition) > 0 && now-c.reportedAt >= statusReportInterval
+	if !c.sessionOpen || c.statusReported && status == c.reportedStatus && !repeat {
 		return nil
 	}
-	d.toldStatus, d.hasTold, d.toldAt = w, true, now
-	return []any{TellStatus{w}}
+	c.reportedStatus, c.statusReported, c.reportedAt = status, true, now
+	return []any{TellStatus{status}}
 }
--- a/internal/tenant/cachedleaves.go
+++ b/internal/tenant/cachedleaves.go
@@ -8,241 +8,253 @@
 	"time"
 )
 
-// Bounds of what a proxy on demand holds and reads. A leaf has some 6 to 32 tenants, a tenant 230 bytes on
-// record and five times as many in memory: 12 MB of pages are 60 MB, half of a proxy's budget of 128 MB. Only
-// what requests in flight hold may be beyond.
+// Bounds of the leaves that a proxy on demand caches and reads. A leaf has some 6 to 32 tenants; a tenant has
+// 230 bytes on record and five times as many in memory. 12 MB of pages therefore take 60 MB, half of a
+// proxy's budget of 128 MB. Only leaves of tenants with requests in flight may exceed the bounds.
 const (
-	maxCachedLeaves = 4096
-	maxCachedBytes  = 12 << 20 // of their pages
-	idleTime        = 10 * time.Minute
-	evictInterval   = time.Second
-
-	// A leaf that is not held is read once, and then, however many names are made up, no more than readBurst (a
-	// proxy's usual leaves when it starts) and readInterval after it: 4 a second, with two pages between, are 15
-	// kB of a budget of 25 kB a second. maxRequestedLeaves are read with one head.
+	maxCachedLeaves    = 4096
+	maxCachedBytes     = 12 << 20 // total length of the pages of cached leaves
+	defaultIdleTimeout = 10 * time.Minute
+	evictInterval      = time.Second
+
+	// However many unknown names requests use, a proxy reads at most readBurst leaves at once (the leaves that
+	// it usually needs after its start) and then one per readInterval: 4 leaves a second with two inner pages
+	// each are 15 kB of a budget of 25 kB a second.
 	readBurst          = 2048
 	readInterval       = time.Second / 4
-	maxRequestedLeaves = 64
+	maxRequestedLeaves = 64 // read with one head
 )
 
-// cachedLeaf is a leaf that a proxy holds, ready for requests.
+// cachedLeaf is a cached leaf and its compiled entries.
 type cachedLeaf struct {
-	leaf   *Leaf
-	table  int                       // of the cache's, with which it was made ready
-	names  map[string]*compiledEntry // by what requests name
-	usedAt atomic.Int64              // when it was last asked for, by the cache's clock in ns
+	leaf          *Leaf
+	policyChanges int                       // Cache.policyChanges when the entries were compiled
+	names         map[string]*compiledEntry // by the names that requests use
+	usedAt        atomic.Int64              // last use by a request, in ns of the cache's clock
 }
 
-// tokenBucket lets a number of reads through at once, and then one in a while.
+// tokenBucket limits reads of leaves to readBurst at once, and then one per readInterval.
 type tokenBucket struct {
-	left int
-	at   time.Duration
+	tokens     int
+	refilledAt time.Duration
 }
 
+// take takes a token, and returns false if there is none.
 func (b *tokenBucket) take(now time.Duration) bool {
-	if n := (now - b.at) / readInterval; n > 0 {
-		b.left, b.at = min(readBurst, b.left+int(min(n, readBurst))), b.at+n*readInterval
+	if n := (now - b.refilledAt) / readInterval; n > 0 {
+		b.tokens, b.refilledAt = min(readBurst, b.tokens+int(min(n, readBurst))), b.refilledAt+n*readInterval
 	}
-	if b.left == 0 {
+	if b.tokens == 0 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// WantedLeaves is what a read has to bring.
+// WantedLeaves is the set of leaves that a read of the catalogue has to return.
 type WantedLeaves struct {
-	complete bool
-	snapshot *Snapshot // that the leaves are of; nil: there is none yet
-	leaves   []int     // in order
+	complete bool      // all leaves
+	snapshot *Snapshot // snapshot to which the numbers in leaves refer; nil: there is none yet
+	leaves   []int     // sorted
 }
 
-// Wanted says what the next read has to bring: whatever is held, as it is by the next
-// head, and what was asked for.
-func (d *Cache) Wanted() WantedLeaves {
-	w := WantedLeaves{complete: !d.onDemand, snapshot: d.snapshot}
-	if d.onDemand && d.snapshot != nil {
-		all := d.neededLeaves()
-		for part := range d.leaves {
-			all[part] = true
+// Wanted returns the leaves that the next read has to return: all cached leaves, the leaves of tenants with
+// requests in flight, and the leaves that requests have asked for.
+func (c *Cache) Wanted() WantedLeaves {
+	wanted := WantedLeaves{complete: !c.onDemand, snapshot: c.snapshot}
+	if c.onDemand && c.snapshot != nil {
+		leaves := c.neededLeaves()
+		for leaf := range c.leaves {
+			leaves[leaf] = true
 		}
-		maps.Copy(all, d.requestedLeaves)
-		w.leaves = slices.Sorted(maps.Keys(all))
+		maps.Copy(leaves, c.requestedLeaves)
+		wanted.leaves = slices.Sorted(maps.Keys(leaves))
 	}
-	return w
+	return wanted
 }
 
-// since returns the leaves that are wanted of a catalogue with so many levels. Where its leaves are others
-// than those that are held, it is where the tenants that are held are in it.
-func (w WantedLeaves) since(levels int) []int {
+// forLevels returns the leaves that are wanted of a catalogue with some number of levels. If this number
+// differs from that of the cached snapshot, it returns the leaves that contain the snapshot's tenants.
+func (w WantedLeaves) forLevels(levels int) []int {
 	if w.snapshot == nil || levels == w.snapshot.levels {
 		return w.leaves
 	}
-	return w.snapshot.changedLeaves(levels)
+	return w.snapshot.leavesAtLevels(levels)
 }
 
-// changedLeaves returns the leaves of another number of levels that have the tenants of a catalogue.
-func (i *Snapshot) changedLeaves(levels int) []int {
-	all := map[int]bool{}
-	for _, e := range i.byName() {
+// leavesAtLevels returns the leaves that contain the snapshot's tenants in a catalogue with another number of
+// levels.
+func (s *Snapshot) leavesAtLevels(levels int) []int {
+	leaves := map[int]bool{}
+	for _, e := range s.byName() {
 		for _, leaf := range leavesOf(e, levels) {
-			all[leaf] = true
+			leaves[leaf] = true
 		}
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(leaves))
 }
 
-// covers reports whether a catalogue may take the place of another, of which some leaves are needed: it must
-// not be without what a request that is open now needs.
-func (i *Snapshot) covers(former *Snapshot, needed map[int]bool) bool {
-	if i.complete || former == nil {
+// canReplace reports whether a snapshot may replace the previous one: it must not lack a leaf of the previous
+// that requests in flight need.
+func (s *Snapshot) canReplace(previous *Snapshot, needed map[int]bool) bool {
+	if s.complete || previous == nil {
 		return true
 	}
-	if i.levels == former.levels {
-		for part := range needed {
-			if former.hasLeaf(part) && !i.hasLeaf(part) {
+	if s.levels == previous.levels {
+		for leaf := range needed {
+			if previous.hasLeaf(leaf) && !s.hasLeaf(leaf) {
 				return false
 			}
 		}
 		return true
 	}
-	return !slices.ContainsFunc(former.changedLeaves(i.levels), func(part int) bool { return !i.hasLeaf(part) })
+	return !slices.ContainsFunc(
+		previous.leavesAtLevels(s.levels),
+		func(leaf int) bool { return !s.hasLeaf(leaf) },
+	)
 }
 
-// neededLeaves gives the leaves of tenants with requests in flight, by all their names: a tenant that gets
-// another name is found by it, and not taken for one that is gone.
-func (d *Cache) neededLeaves() map[int]bool {
-	all := map[int]bool{}
-	if d.snapshot == nil || d.snapshot.complete {
-		return all
-	}
-	for name := range d.openRequests {
-		if e := d.entries[name]; e != nil {
-			for _, leaf := range leavesOf(e, d.snapshot.levels) {
-				all[leaf] = true
+// neededLeaves returns the leaves of all names of tenants with requests in flight. With all names, a tenant
+// whose names change is still found, and not mistaken for a tenant that has been removed.
+func (c *Cache) neededLeaves() map[int]bool {
+	leaves := map[int]bool{}
+	if c.snapshot == nil || c.snapshot.complete {
+		return leaves
+	}
+	for name := range c.openRequests {
+		if e := c.entries[name]; e != nil {
+			for _, leaf := range leavesOf(e, c.snapshot.levels) {
+				leaves[leaf] = true
 			}
 		}
 	}
-	return all
+	return leaves
 }
 
-// requestLeaf has the leaf of a name read, which a request has named.
-func (d *Cache) requestLeaf(now time.Duration, name string) []any {
-	if d.snapshot == nil || d.snapshot.complete {
+// requestLeaf returns the action that reads the leaf of a name that a request uses, if the leaf is missing
+// and the bounds allow the read.
+func (c *Cache) requestLeaf(now time.Duration, name string) []any {
+	if c.snapshot == nil || c.snapshot.complete {
 		return nil
 	}
-	part := leafOf(name, d.snapshot.levels)
-	if d.snapshot.hasLeaf(part) || d.requestedLeaves[part] || len(d.requestedLeaves) >= maxRequestedLeaves ||
-		!d.readBudget.take(now) {
-		return nil // it is asked for by a later request again
+	leaf := leafOf(name, c.snapshot.levels)
+	if c.snapshot.hasLeaf(leaf) || c.requestedLeaves[leaf] || len(c.requestedLeaves) >= maxRequestedLeaves ||
+		!c.readBudget.take(now) {
+		return nil // a later request asks for the leaf again
 	}
-	d.requestedLeaves[part] = true
+	c.requestedLeaves[leaf] = true
 	return []any{ReadCatalogue{}}
 }
 
-// IsLeafRequested reports whether the leaf of a name is to be read.
-func (d *Cache) IsLeafRequested(name string) bool {
-	return d.snapshot != nil && d.requestedLeaves[leafOf(name, d.snapshot.levels)]
+// IsLeafRequested reports whether the next read includes the leaf of a name by request.
+func (c *Cache) IsLeafRequested(name string) bool {
+	return c.snapshot != nil && c.requestedLeaves[leafOf(name, c.snapshot.levels)]
 }
 
-// applySnapshot has a snapshot take the place of the present one, and makes what differs ready.
-func (d *Cache) applySnapshot(now time.Duration, i *Snapshot) {
-	if i == nil {
+// applySnapshot replaces the cached snapshot, and compiles the leaves that differ or that were compiled with
+// a previous policy table.
+func (c *Cache) applySnapshot(now time.Duration, snapshot *Snapshot) {
+	if snapshot == nil {
 		return
 	}
-	same := d.snapshot != nil && d.snapshot.levels == i.levels
-	if !same {
-		d.leaves, d.entries, d.inTransition = nil, map[string]*Entry{}, map[string]*Entry{}
-	}
-	next := make(map[int]*cachedLeaf, len(i.leaves))
-	for n, p := range i.leaves {
-		h := &cachedLeaf{leaf: p, table: d.policyChanges}
-		h.usedAt.Store(int64(now))
-		if has := d.leaves[n]; has != nil {
-			if has.leaf == p && has.table == d.policyChanges {
-				next[n] = has
+	sameLevels := c.snapshot != nil && c.snapshot.levels == snapshot.levels
+	if !sameLevels {
+		c.leaves, c.entries, c.inTransition = nil, map[string]*Entry{}, map[string]*Entry{}
+	}
+	next := make(map[int]*cachedLeaf, len(snapshot.leaves))
+	for number, leaf := range snapshot.leaves {
+		cached := &cachedLeaf{leaf: leaf, policyChanges: c.policyChanges}
+		cached.usedAt.Store(int64(now))
+		if previous := c.leaves[number]; previous != nil {
+			if previous.leaf == leaf && previous.policyChanges == c.policyChanges {
+				next[number] = previous
 				continue
 			}
-			h.usedAt.Store(has.usedAt.Load())
+			cached.usedAt.Store(previous.usedAt.Load())
 		}
-		h.names = compileLeaf(p, func(name string) bool { return leafOf(name, i.levels) == n }, d.policy)
-		next[n] = h
+		cached.names = compileLeaf(
+			leaf,
+			func(name string) bool { return leafOf(name, snapshot.levels) == number },
+			c.policy,
+		)
+		next[number] = cached
 	}
-	if !same {
-		clear(d.requestedLeaves)
+	if !sameLevels {
+		clear(c.requestedLeaves)
 	}
-	maps.DeleteFunc(d.requestedLeaves, func(n int, _ bool) bool { return i.hasLeaf(n) })
-	d.indexEntries(i, next)
-	for name := range d.departingSince {
-		if e := d.entries[name]; e == nil || !e.isDeparting() {
-			delete(d.departingSince, name)
+	maps.DeleteFunc(c.requestedLeaves, func(number int, _ bool) bool { return snapshot.hasLeaf(number) })
+	c.indexEntries(snapshot, next)
+	for name := range c.departingSince {
+		if e := c.entries[name]; e == nil || !e.isDeparting() {
+			delete(c.departingSince, name)
 		}
 	}
 }
 
-// indexEntries notes what the leaves that are held from now on have, by what differs from those before: the
-// others are not walked through.
-func (d *Cache) indexEntries(i *Snapshot, next map[int]*cachedLeaf) {
-	var out, in []*Entry
-	for n, h := range d.leaves {
-		if o := next[n]; o == nil || o.leaf != h.leaf {
-			out = append(out, h.leaf.entries...)
+// indexEntries replaces the snapshot and the cached leaves, and updates entries and inTransition. It looks
+// only at the leaves that differ.
+func (c *Cache) indexEntries(snapshot *Snapshot, next map[int]*cachedLeaf) {
+	var dropped, added []*Entry
+	for number, cached := range c.leaves {
+		if counterpart := next[number]; counterpart == nil || counterpart.leaf != cached.leaf {
+			dropped = append(dropped, cached.leaf.entries...)
 		}
 	}
-	for n, h := range next {
-		if o := d.leaves[n]; o == nil || o.leaf != h.leaf {
-			in = append(in, h.leaf.entries...)
+	for number, cached := range next {
+		if counterpart := c.leaves[number]; counterpart == nil || counterpart.leaf != cached.leaf {
+			added = append(added, cached.leaf.entries...)
 		}
 	}
-	d.snapshot, d.leaves = i, next
-	for _, e := range out {
-		delete(d.entries, e.Name)
-		delete(d.inTransition, e.Name)
-		for _, leaf := range leavesOf(e, i.levels) { // by another of its names it may be held still
-			if h := next[leaf]; h != nil {
-				in = append(in, h.leaf.find(e.Name)...)
+	c.snapshot, c.leaves = snapshot, next
+	for _, e := range dropped {
+		delete(c.entries, e.Name)
+		delete(c.inTransition, e.Name)
+		for _, leaf := range leavesOf(e, snapshot.levels) { // another leaf may still have the entry
+			if cached := next[leaf]; cached != nil {
+				added = append(added, cached.leaf.find(e.Name)...)
 			}
 		}
 	}
-	for _, e := range in {
-		if d.entries[e.Name] = e; e.Phase != PhaseServe {
-			d.inTransition[e.Name] = e
+	for _, e := range added {
+		if c.entries[e.Name] = e; e.Phase != PhaseServe {
+			c.inTransition[e.Name] = e
 		}
 	}
 }
 
-// evictIdle evicts leaves that have not been asked for in a while and, beyond the bounds, those that were not
-// for the longest; none that a tenant with requests in flight is in.
-func (d *Cache) evictIdle(now time.Duration) bool {
-	if d.snapshot == nil || d.snapshot.complete || now-d.evictedAt < evictInterval {
+// evictIdle evicts leaves that no request has used for idleTimeout and, while the cache exceeds its bounds,
+// the leaves whose last use is the longest ago. It evicts no leaf of a tenant with requests in flight. It
+// reports whether it has evicted any leaf.
+func (c *Cache) evictIdle(now time.Duration) bool {
+	if c.snapshot == nil || c.snapshot.complete || now-c.evictedAt < evictInterval {
 		return false
 	}
-	d.evictedAt = now
-	bytes, next, needed := 0, maps.Clone(d.leaves), d.neededLeaves()
-	for _, h := range next {
-		bytes += h.leaf.bytes
+	c.evictedAt = now
+	bytes, next, needed := 0, maps.Clone(c.leaves), c.neededLeaves()
+	for _, cached := range next {
+		bytes += cached.leaf.bytes
 	}
 	byUse := slices.SortedFunc(
 		maps.Keys(next),
 		func(a, b int) int { return cmp.Compare(next[a].usedAt.Load(), next[b].usedAt.Load()) },
 	)
-	for _, n := range byUse {
-		h := next[n]
-		over := now-time.Duration(h.usedAt.Load()) >= d.idleTimeout || len(next) > maxCachedLeaves ||
+	for _, number := range byUse {
+		cached := next[number]
+		evictable := now-time.Duration(cached.usedAt.Load()) >= c.idleTimeout || len(next) > maxCachedLeaves ||
 			bytes > maxCachedBytes
-		if over && !needed[n] {
-			delete(next, n)
-			bytes -= h.leaf.bytes
+		if evictable && !needed[number] {
+			delete(next, number)
+			bytes -= cached.leaf.bytes
 		}
 	}
-	if len(next) == len(d.leaves) {
+	if len(next) == len(c.leaves) {
 		return false
 	}
-	i := *d.snapshot
-	i.leaves = map[int]*Leaf{}
-	for n, h := range next {
-		i.leaves[n] = h.leaf
+	reduced := *c.snapshot
+	reduced.leaves = map[int]*Leaf{}
+	for number, cached := range next {
+		reduced.leaves[number] = cached.leaf
 	}
-	d.indexEntries(&i, next)
+	c.indexEntries(&reduced, next)
 	return true
 }
--- a/internal/tenant/cachedleaves_test.go
+++ b/internal/tenant/cachedleaves_test.go
@@ -15,7 +15,7 @@
 		name := fmt.Sprint("t", i)
 		entries[name] = &Entry{Name: name, Phase: PhaseServe, Current: testForm(name, 1), Since: number}
 	}
-	tree, raw, err := treeOf(3, entries)
+	tree, raw, err := buildTree(3, entries)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,8 +58,8 @@
 			for _, digest := range left {
 				delete(has, digest)
 			}
-			whole, all, err := treeOf(levels, entries)
-			if err != nil || !slices.Equal(whole.head(1, nil).Pages, tree.head(1, nil).Pages) || !maps.Equal(whole.uses, tree.uses) {
+			whole, all, err := buildTree(levels, entries)
+			if err != nil || !slices.Equal(whole.head(1, nil).Pages, tree.head(1, nil).Pages) || !maps.Equal(whole.useCounts, tree.useCounts) {
 				t.Fatalf("%d levels, step %d: it is not the tree of its entries (%v)", levels, step, err)
 			}
 			if len(all) != len(has) || slices.ContainsFunc(slices.Collect(maps.Keys(all)), func(d string) bool { return !has[d] }) {
@@ -83,7 +83,7 @@
 	d.Handle(now, SessionOpened{now, time.Hour})
 	read := func() {
 		want := d.Wanted()
-		d.Handle(now, CatalogueRead{now, true, assemble(head, pages, want.complete, want.since(head.Levels), nil).snapshot})
+		d.Handle(now, CatalogueRead{now, true, assemble(head, pages, want.complete, want.forLevels(head.Levels), nil).snapshot})
 	}
 	read()
 	if c := d.buildCatalogue(); !c.Ready() || d.TenantCount() != 0 || c.Decide(now, "x-t1", "a", "").Reason != ReasonLeafMissing {
@@ -112,23 +112,23 @@
 			t.Errorf("round %d: %d reads, %d parts", round, fetches, len(d.leaves))
 		}
 	}
-	d.idleTimeout = idleTime
-	d.buildCatalogue().Decide(now+idleTime, "x-t1", "a", "")
-	now += idleTime + evictInterval
+	d.idleTimeout = defaultIdleTimeout
+	d.buildCatalogue().Decide(now+defaultIdleTimeout, "x-t1", "a", "")
+	now += defaultIdleTimeout + evictInterval
 	if d.Handle(now, Tick{}); len(d.leaves) != 2 { // by each of its names
 		t.Errorf("idle: it holds %d parts", len(d.leaves))
 	}
-	now += idleTime
+	now += defaultIdleTimeout
 	if d.Handle(now, Tick{}); len(d.leaves) != 2 || d.buildCatalogue().Decide(now, "x-t1", "a", "").Kind != Routed {
 		t.Errorf("what is open is let go: it holds %d parts", len(d.leaves))
 	}
 	d.Handle(now, RequestEnded{"t1"})
-	d.buildCatalogue().Decide(now+idleTime, "x-t1", "a", "")
-	now += idleTime + evictInterval
+	d.buildCatalogue().Decide(now+defaultIdleTimeout, "x-t1", "a", "")
+	now += defaultIdleTimeout + evictInterval
 	if d.Handle(now, Tick{}); len(d.leaves) != 1 || d.TenantCount() == 0 || d.entries["t1"] == nil {
 		t.Errorf("by one of its names: it holds %d parts", len(d.leaves))
 	}
-	now += idleTime
+	now += defaultIdleTimeout
 	if d.Handle(now, Tick{}); len(d.leaves) != 0 {
 		t.Errorf("idle: it holds %d parts", len(d.leaves))
 	}
--- a/internal/tenant/catalogue.go
+++ b/internal/tenant/catalogue.go
@@ -9,26 +9,26 @@
 // DecisionKind is what a proxy does with a request of a tenant.
 type DecisionKind uint8
 
-// The verdicts, with what a client is answered.
+// The kinds of decisions, with the response that the client gets.
 const (
-	Unavailable DecisionKind = iota // 503 with Retry-After: this proxy lacks the authority to decide
-	Routed                          // on its route, within its limit
-	Forbidden                       // 403: known, and not to be served
-	NotFound                        // 404: a definite no
+	Unavailable DecisionKind = iota // 503 with Retry-After: this proxy lacks the authority or the data to decide
+	Routed                          // the request is served by its route and within its limit
+	Forbidden                       // 403: the tenant is known, and the request may not be served
+	NotFound                        // 404: the tenant definitely does not exist
 )
 
-// Decision is the verdict on one request.
+// Decision is the decision on one request.
 type Decision struct {
 	Kind            DecisionKind
-	Reason          string        // a constant: of Unavailable and Forbidden
-	RetryAfter      time.Duration // of Unavailable
-	CatalogueNumber uint64        // of the catalogue it comes from
-	Tenant          string        // by its name in the catalogue, where it is known
-	Route           *Route        // of Routed, as is Limit; never the one without the other
+	Reason          string        // one of the Reason constants; for Unavailable and Forbidden
+	RetryAfter      time.Duration // for Unavailable
+	CatalogueNumber uint64        // number of the catalogue that the decision is based on
+	Tenant          string        // the tenant's name in the catalogue; "": unknown
+	Route           *Route        // for Routed, always together with Limit
 	Limit           string
 }
 
-// Why a proxy answers Forbidden or Unavailable.
+// The reasons of Forbidden and Unavailable, which are sent to the client.
 const (
 	ReasonSuspended    = "the tenant is suspended"
 	ReasonClass        = "the class is not open to the tenant"
@@ -44,113 +44,116 @@
 	ReasonUnknownPhase = "this node is older than the tenant's state"
 )
 
-// The Retry-After of a client: once for a step of the controller, longer where the proxy has to find the
-// registry first.
+// The values of Decision.RetryAfter: retrySoon if a step of the controller has to be awaited, retryLater if
+// the proxy first has to reach the registry again.
 const (
 	retrySoon  = time.Second
 	retryLater = 3 * time.Second
 )
 
-// Catalogue is what a proxy answers from at one time. It never changes: the proxy's shell swaps a pointer, so
-// that a request sees one consistent catalogue. A request costs one hash of the name, one look into a table
-// of leaves, one into a table of names, two into tables of classes and at most 2 x MaxKeys comparisons of a
-// prefix; nothing is allocated. One thing is noted: when a leaf was last asked for.
+// Catalogue is the state by which a proxy decides on requests. It never changes, except for the times at
+// which leaves were last used: the proxy swaps a pointer, so that each request sees one consistent catalogue.
+// A decision costs one hash of the name, one lookup in a map of leaves, one in a map of names, two in maps of
+// classes and at most 2 x MaxKeyPrefixes comparisons of a prefix, and allocates no memory.
 type Catalogue struct {
 	number         uint64
-	levels         int                 // of the hash tree that it is of; 0: one leaf has all
-	complete       bool                // a leaf that is not held has no tenants
-	leaves         map[int]*cachedLeaf // leaves, by number
-	ready          bool                // the proxy is on the member record, and has read a catalogue since
-	authoritative  bool                // read since the present session began
-	authorityUntil time.Duration       // the session's authority ends then
-	// by its maximal staleness it serves no tenant from then on; 0: there is none
+	levels         int                 // of the hash tree; 0: leaf 0 has all entries
+	complete       bool                // a leaf that is not in leaves has no tenants
+	leaves         map[int]*cachedLeaf // by number of the leaf
+	ready          bool                // the proxy is enrolled and has read a catalogue
+	authoritative  bool                // read since the session's authority began
+	authorityUntil time.Duration       // time at which the session's authority ends
+	// stopServingAt is the time from which the proxy serves no tenant because of its maximal staleness; 0:
+	// never.
 	stopServingAt time.Duration
-	behind        bool // there is a newer catalogue, by what a peer said
+	behind        bool // a peer has reported a newer catalogue
 }
 
-// Ready reports whether the proxy may take requests of tenants at all.
+// Ready reports whether the proxy may serve tenants at all.
 func (c *Catalogue) Ready() bool { return c.ready }
 
-// isAuthoritative reports whether the proxy may say a definite no.
+// isAuthoritative reports whether the proxy may decide that a tenant does not exist.
 func (c *Catalogue) isAuthoritative(now time.Duration) bool {
 	return c.authoritative && now < c.authorityUntil && !c.behind
 }
 
-// HasLeaf reports whether the proxy holds the leaf of a name.
+// HasLeaf reports whether the proxy has the leaf of a name that a request uses.
 func (c *Catalogue) HasLeaf(tenant string) bool {
 	return c.complete || c.leaves[leafOf(tenant, c.levels)] != nil
 }
 
-// Decide returns the verdict on a request. tenant is as in X-Tenant.
+// Decide returns the decision on a request. tenant is the name in X-Tenant.
 func (c *Catalogue) Decide(now time.Duration, tenant, class, key string) Decision {
-	unsure := func(why string, retry time.Duration) Decision {
-		return Decision{Reason: why, RetryAfter: retry, CatalogueNumber: c.number}
+	unavailable := func(reason string, retry time.Duration) Decision {
+		return Decision{Reason: reason, RetryAfter: retry, CatalogueNumber: c.number}
 	}
 	switch {
 	case !c.ready:
-		return unsure(ReasonNotReady, retrySoon)
+		return unavailable(ReasonNotReady, retrySoon)
 	case c.stopServingAt > 0 && now >= c.stopServingAt:
-		return unsure(ReasonStale, retryLater)
+		return unavailable(ReasonStale, retryLater)
 	}
-	part := c.leaves[leafOf(tenant, c.levels)]
-	var p *compiledEntry
-	if part != nil {
-		part.usedAt.Store(int64(now))
-		p = part.names[tenant]
+	leaf := c.leaves[leafOf(tenant, c.levels)]
+	var entry *compiledEntry
+	if leaf != nil {
+		leaf.usedAt.Store(int64(now))
+		entry = leaf.names[tenant]
 	}
 	switch {
-	case part == nil && !c.complete && now < c.authorityUntil:
-		return unsure(ReasonLeafMissing, retrySoon)
-	case part == nil && !c.complete: // it can't be read for now
-		return unsure(ReasonStale, retryLater)
-	case p == nil && c.isAuthoritative(now):
+	case leaf == nil && !c.complete && now < c.authorityUntil:
+		return unavailable(ReasonLeafMissing, retrySoon)
+	case leaf == nil && !c.complete: // the leaf can't be read now
+		return unavailable(ReasonStale, retryLater)
+	case entry == nil && c.isAuthoritative(now):
 		return Decision{Kind: NotFound, CatalogueNumber: c.number}
-	case p == nil && c.behind:
-		return unsure(ReasonBehind, retrySoon)
-	case p == nil:
-		return unsure(ReasonStale, retryLater)
+	case entry == nil && c.behind:
+		return unavailable(ReasonBehind, retrySoon)
+	case entry == nil:
+		return unavailable(ReasonStale, retryLater)
 	}
-	a := p.decide(class, key, c.behind)
-	if p.phase == PhaseDrain && !c.isAuthoritative(now) { // the name may be another tenant's by now
-		a = unsure(ReasonStale, retryLater)
+	decision := entry.decide(class, key, c.behind)
+	if entry.phase == PhaseDrain && !c.isAuthoritative(now) { // the name may belong to another tenant by now
+		decision = unavailable(ReasonStale, retryLater)
 	}
-	a.CatalogueNumber, a.Tenant = c.number, p.name
-	return a
+	decision.CatalogueNumber, decision.Tenant = c.number, entry.name
+	return decision
 }
 
-// decide returns the verdict of an entry.
-func (p *compiledEntry) decide(class, key string, behind bool) Decision {
-	switch p.phase {
+// decide returns the decision by an entry. If the proxy is behind the catalogue, PhasePrepare is treated like
+// PhaseHold, which may have followed.
+func (e *compiledEntry) decide(class, key string, behind bool) Decision {
+	switch e.phase {
 	case PhaseServe:
-		return p.current.decide(class, key)
+		return e.current.decide(class, key)
 	case PhaseDrain:
 		return Decision{Kind: Forbidden, Reason: ReasonLeaving}
 	case PhasePrepare, PhaseHold:
 	default:
 		return Decision{Reason: ReasonUnknownPhase, RetryAfter: retryLater}
 	}
-	if p.phase == PhasePrepare && !behind {
-		if p.current == nil {
+	if e.phase == PhasePrepare && !behind {
+		if e.current == nil {
 			return Decision{Reason: ReasonPreparing, RetryAfter: retrySoon}
 		}
-		return p.current.decide(class, key)
+		return e.current.decide(class, key)
 	}
-	if p.current == nil || p.next == nil {
+	if e.current == nil || e.next == nil {
 		return Decision{Reason: ReasonChanging, RetryAfter: retrySoon}
 	}
-	a, b := p.current.decide(class, key), p.next.decide(class, key)
-	if a.Kind == b.Kind && a.Reason == b.Reason && (a.Kind != Routed || p.current.classes[class].unchanged) {
-		return a
+	current, next := e.current.decide(class, key), e.next.decide(class, key)
+	if current.Kind == next.Kind && current.Reason == next.Reason &&
+		(current.Kind != Routed || e.current.classes[class].unchanged) {
+		return current
 	}
 	return Decision{Reason: ReasonChanging, RetryAfter: retrySoon}
 }
 
-// decide returns the verdict of a spec.
+// decide returns the decision by a spec.
 func (c *compiledSpec) decide(class, key string) Decision {
 	if c == nil {
 		return Decision{Reason: ReasonUnknownPhase, RetryAfter: retryLater}
 	}
-	switch l, open := c.classes[class]; {
+	switch route, open := c.classes[class]; {
 	case c.suspended:
 		return Decision{Kind: Forbidden, Reason: ReasonSuspended}
 	case !open:
@@ -160,10 +163,11 @@
 	case !c.limitsKnown:
 		return Decision{Reason: ReasonLimitMissing, RetryAfter: retrySoon}
 	default:
-		return Decision{Kind: Routed, Route: l.route, Limit: l.limit}
+		return Decision{Kind: Routed, Route: route.route, Limit: route.limit}
 	}
 }
 
+// ownsKey reports whether a key is in the tenant's part of the key space.
 func (c *compiledSpec) ownsKey(key string) bool {
 	for _, prefix := range c.keys {
 		if strings.HasPrefix(key, prefix) {
@@ -173,12 +177,13 @@
 	return len(c.keys) == 0
 }
 
-// String is for logs.
-func (v DecisionKind) String() string {
-	if int(v) < len(verdicts) {
-		return verdicts[v]
+// String returns the name of the kind for logs.
+func (k DecisionKind) String() string {
+	if int(k) < len(decisionKindNames) {
+		return decisionKindNames[k]
 	}
-	return fmt.Sprint(uint8(v))
+	return fmt.Sprint(uint8(k))
 }
 
-var verdicts = [...]string{"unsure", "served", "declined", "unknown"}
+// decisionKindNames has the names of the kinds in the order of their values.
+var decisionKindNames = [...]string{"unsure", "served", "declined", "unknown"}
--- a/internal/tenant/check.go
+++ b/internal/tenant/check.go
@@ -6,101 +6,104 @@
 	"slices"
 )
 
-// check says why a tenant can't have a spec: names that are another's, limits that the policy has not or
-// another has, floors that do not add up, routes without backends.
-func (m *StateMachine) check(r *round, t *Tenant, next *Spec) (why string) {
+// check returns the reason why a tenant can't have a spec, or "" if it can. Reasons are: names or limits that
+// another tenant has, limits that the policy lacks, floors that exceed the fleet's rate, and routes with too
+// few endpoints.
+func (m *StateMachine) check(r *round, t *Tenant, next *Spec) (reason string) {
 	if err := next.Check(); err != nil {
 		return err.Error()
 	}
 	for _, name := range next.Names {
-		if o := m.claims.names[name]; o != "" && o != t.Name {
-			return fmt.Sprintf("names: %s is that of %s", name, o)
+		if owner := m.claims.names[name]; owner != "" && owner != t.Name {
+			return fmt.Sprintf("names: %s is that of %s", name, owner)
 		}
 	}
-	for _, q := range next.Quotas {
-		if o := m.claims.limits[q.Limit]; o != "" && o != t.Name {
-			return fmt.Sprintf("quotas: %s is that of %s", q.Limit, o)
+	for _, quota := range next.Quotas {
+		if owner := m.claims.limits[quota.Limit]; owner != "" && owner != t.Name {
+			return fmt.Sprintf("quotas: %s is that of %s", quota.Limit, owner)
 		}
 	}
-	if why := m.checkFloors(r, next); why != "" {
-		return why
+	if reason := m.checkFloors(r, next); reason != "" {
+		return reason
 	}
 	return checkRoutes(r, next)
 }
 
-// recheck looks again, just before a spec takes effect, at what may have changed since: the policy's table
-// and the backends.
-func (m *StateMachine) recheck(r *round, t *Tenant) (why string) {
+// recheck checks the next spec again just before it takes effect, as the policy table and the endpoints may
+// have changed since check. It returns the reason why the spec can't take effect, or "".
+func (m *StateMachine) recheck(r *round, t *Tenant) (reason string) {
 	if t.Next == nil || t.Next.Suspended {
 		return ""
 	}
-	if why = m.checkFloors(r, t.Next); why == "" {
-		why = checkRoutes(r, t.Next)
+	if reason = m.checkFloors(r, t.Next); reason == "" {
+		reason = checkRoutes(r, t.Next)
 	}
-	if why != "" {
-		why = "taken back: " + why
+	if reason != "" {
+		reason = "taken back: " + reason
 	}
-	return why
+	return reason
 }
 
-// claims are what tenants have for themselves: what was on record when a round began, and what has been
-// admitted since. So nothing is free before that is on record.
+// claims has the names and limits that belong to tenants: those on record when a round began, and those of
+// orders that the round has accepted. A name or limit that a tenant gives up is therefore not free before the
+// end of the round that wrote the change.
 type claims struct {
-	names, limits map[string]string  // their tenants
-	byTenant      map[string][]claim // by tenant
+	names, limits map[string]string  // the owning tenants
+	byTenant      map[string][]claim // the claims of each tenant
 }
 
-// claim is what one tenant has: names, of one that is gone, too, and limits.
+// claim has the names and limits of one tenant. A removed tenant still has its names.
 type claim struct{ names, limits []string }
 
-// add notes what a tenant has besides, and gives the limits that nobody had.
+// add adds the names and limits of a tenant, and returns the limits that had no owner before.
 func (c *claims) add(t *Tenant) (taken []string) {
-	one := t.claim()
-	for _, name := range one.names {
+	added := t.claim()
+	for _, name := range added.names {
 		c.names[name] = t.Name
 	}
-	for _, limit := range one.limits {
+	for _, limit := range added.limits {
 		if c.limits[limit] == "" {
 			taken = append(taken, limit)
 		}
 		c.limits[limit] = t.Name
 	}
-	c.byTenant[t.Name] = append(c.byTenant[t.Name], one)
+	c.byTenant[t.Name] = append(c.byTenant[t.Name], added)
 	return taken
 }
 
-// drop takes all away that a tenant has.
-func (c *claims) drop(tenant string) {
-	for _, one := range c.byTenant[tenant] {
-		for _, name := range one.names {
+// release removes all claims of a tenant.
+func (c *claims) release(tenant string) {
+	for _, claimed := range c.byTenant[tenant] {
+		for _, name := range claimed.names {
 			delete(c.names, name)
 		}
-		for _, limit := range one.limits {
+		for _, limit := range claimed.limits {
 			delete(c.limits, limit)
 		}
 	}
 	delete(c.byTenant, tenant)
 }
 
+// claim returns the names and limits that a tenant has by its state and its two specs.
 func (t *Tenant) claim() (c claim) {
-	for _, f := range []*Spec{t.Current, t.Next} {
-		if f == nil {
+	for _, spec := range []*Spec{t.Current, t.Next} {
+		if spec == nil {
 			continue
 		}
-		c.names = append(c.names, f.Names...)
-		for _, q := range f.Quotas {
+		c.names = append(c.names, spec.Names...)
+		for _, quota := range spec.Quotas {
 			if t.State.ownsLimits() {
-				c.limits = append(c.limits, q.Limit)
+				c.limits = append(c.limits, quota.Limit)
 			}
 		}
 	}
 	return c
 }
 
-// tenantSettled notes a tenant whose record has changed or is gone, at the end of a round: what it
-// does not have any more is free, and whether there is anything to be done about it.
-func (m *StateMachine) tenantSettled(name string) {
-	m.claims.drop(name)
+// reindexTenant updates the claims and the unsettled tenants after the record of a tenant has changed or has
+// been deleted. It is called at the end of a round.
+func (m *StateMachine) reindexTenant(name string) {
+	m.claims.release(name)
 	delete(m.unsettled, name)
 	if t := m.tenants[name]; t != nil {
 		m.claims.add(t)
@@ -110,10 +113,11 @@
 	}
 }
 
-// checkFloors reports whether the floors of all tenants' limits fit once one has its next spec, too. What is
-// taken is no count that is kept, but the sum over the states on record: so nothing is taken or freed twice,
-// whoever dies in between. A round has it once.
-func (m *StateMachine) checkFloors(r *round, next *Spec) (why string) {
+// checkFloors returns the reason why the limits of a tenant's next spec can't be added to those of all
+// tenants: the policy lacks a limit, or the sum of the floors exceeds PolicyFloors.TotalFloor. It returns ""
+// if they fit. The sum is computed from the states on record, once per round: a stored counter could count a
+// floor twice, or free it twice, when a controller fails between two writes.
+func (m *StateMachine) checkFloors(r *round, next *Spec) (reason string) {
 	if !r.floorSumKnown {
 		r.floorSum = 0
 		for _, limit := range slices.Sorted(maps.Keys(m.claims.limits)) {
@@ -122,15 +126,15 @@
 		r.floorSumKnown = true
 	}
 	sum, seen := r.floorSum, map[string]bool{}
-	for _, q := range next.Quotas {
-		floor, there := r.Policy.Floors[q.Limit]
-		if !there {
-			return fmt.Sprintf("quotas: %s is no limit of policy %d", q.Limit, r.Policy.Version)
+	for _, quota := range next.Quotas {
+		floor, known := r.Policy.Floors[quota.Limit]
+		if !known {
+			return fmt.Sprintf("quotas: %s is no limit of policy %d", quota.Limit, r.Policy.Version)
 		}
-		if m.claims.limits[q.Limit] == "" && !seen[q.Limit] {
+		if m.claims.limits[quota.Limit] == "" && !seen[quota.Limit] {
 			sum += floor
 		}
-		seen[q.Limit] = true
+		seen[quota.Limit] = true
 	}
 	if sum > r.Policy.TotalFloor {
 		return fmt.Sprintf("quotas: the floors of all tenants come to %g, of %g", sum, r.Policy.TotalFloor)
@@ -138,20 +142,21 @@
 	return ""
 }
 
-// checkRoutes reports whether each route has its backends.
-func checkRoutes(r *round, next *Spec) (why string) {
+// checkRoutes returns the reason why a spec's routes can't be used, or "" if each has its minimum of
+// endpoints.
+func checkRoutes(r *round, next *Spec) (reason string) {
 	for i := range next.Routes {
-		route, n := &next.Routes[i], 0
-		for _, b := range r.Endpoints {
-			if route.Allows(b) {
-				n++
+		route, count := &next.Routes[i], 0
+		for _, endpoint := range r.Endpoints {
+			if route.Allows(endpoint) {
+				count++
 			}
 		}
-		if n < max(1, route.MinEndpoints) {
+		if count < max(1, route.MinEndpoints) {
 			return fmt.Sprintf(
 				"routes: the one for %v has %d boxes, want %d",
 				route.Classes,
-				n,
+				count,
 				max(1, route.MinEndpoints),
 			)
 		}
--- a/internal/tenant/compile.go
+++ b/internal/tenant/compile.go
@@ -2,89 +2,92 @@
 
 import "reflect"
 
-// compiledEntry is an entry as requests find it.
+// compiledEntry is an entry of the catalogue in the form in which requests look it up.
 type compiledEntry struct {
 	name    string
 	phase   Phase
-	current *compiledSpec // nil: the name is not in effect
-	next    *compiledSpec
+	current *compiledSpec // nil: no spec in effect has the name
+	next    *compiledSpec // nil: no next spec has the name
 }
 
-// compiledSpec is a spec ready for requests.
+// compiledSpec is a spec in the form in which requests are decided.
 type compiledSpec struct {
 	suspended   bool
 	limitsKnown bool // the proxy's policy table has its limits
 	classes     map[string]classRoute
-	keys        []string
+	keys        []string // Spec.KeyPrefixes
 }
 
+// classRoute is the route and the limit of a class.
 type classRoute struct {
 	route     *Route
 	limit     string
-	unchanged bool // at a change: the other spec says the same for the class
+	unchanged bool // the entry's other spec has the same route and limit for the class
 }
 
-func compile(f *Spec, t PolicyTable) *compiledSpec {
-	c := &compiledSpec{
-		suspended:   f.Suspended,
-		limitsKnown: t.covers(f),
+// compile compiles a spec for a proxy with a policy table.
+func compile(spec *Spec, table PolicyTable) *compiledSpec {
+	compiled := &compiledSpec{
+		suspended:   spec.Suspended,
+		limitsKnown: table.covers(spec),
 		classes:     map[string]classRoute{},
-		keys:        f.KeyPrefixes,
+		keys:        spec.KeyPrefixes,
 	}
-	for _, class := range f.Classes {
-		if r, l := f.Route(class), f.limit(class); r != nil && l != "" {
-			c.classes[class] = classRoute{route: r, limit: l}
+	for _, class := range spec.Classes {
+		if route, limit := spec.Route(class), spec.limit(class); route != nil && limit != "" {
+			compiled.classes[class] = classRoute{route: route, limit: limit}
 		}
 	}
-	return c
+	return compiled
 }
 
-// markUnchanged marks what two specs of a tenant answer alike.
+// markUnchanged marks the classes for which two specs of a tenant have the same route and limit.
 func markUnchanged(a, b *compiledSpec) {
-	for class, x := range a.classes {
-		if y, both := b.classes[class]; both && x.limit == y.limit && reflect.DeepEqual(x.route, y.route) {
-			x.unchanged, y.unchanged = true, true
-			a.classes[class], b.classes[class] = x, y
+	for class, routeA := range a.classes {
+		if routeB, both := b.classes[class]; both && routeA.limit == routeB.limit &&
+			reflect.DeepEqual(routeA.route, routeB.route) {
+			routeA.unchanged, routeB.unchanged = true, true
+			a.classes[class], b.classes[class] = routeA, routeB
 		}
 	}
 }
 
-// PolicyTable is a proxy's policy table, as far as tenants need it.
+// PolicyTable is the part of a proxy's policy table that tenants need.
 type PolicyTable struct {
 	Version  uint64
 	HasLimit func(limit string) bool
 }
 
-// covers reports whether a table has what a spec needs.
-func (t PolicyTable) covers(f *Spec) bool {
-	if t.HasLimit == nil || t.Version < f.PolicyVersion {
+// covers reports whether a table has all limits of a spec, in the spec's policy version or a later one.
+func (t PolicyTable) covers(spec *Spec) bool {
+	if t.HasLimit == nil || t.Version < spec.PolicyVersion {
 		return false
 	}
-	for _, q := range f.Quotas {
-		if !t.HasLimit(q.Limit) {
+	for _, quota := range spec.Quotas {
+		if !t.HasLimit(quota.Limit) {
 			return false
 		}
 	}
 	return true
 }
 
-// compileLeaf returns the names by which requests find the entries of a leaf. An entry is found by a name in
-// the leaf of that name alone: others may have another leaf's name for it.
+// compileLeaf compiles the entries of a leaf and returns them by the names that requests use. Only names that
+// belong to the leaf are returned: an entry's other names are looked up in their own leaves.
 func compileLeaf(leaf *Leaf, inLeaf func(name string) bool, table PolicyTable) map[string]*compiledEntry {
 	byName := map[string]*compiledEntry{}
 	for _, entry := range leaf.entries {
 		current, next := compileSpecs(entry, table)
 		for _, name := range specNames(entry.Current, inLeaf) {
-			compiledFor(byName, name, entry).current = current
+			compiledEntryFor(byName, name, entry).current = current
 		}
 		for _, name := range specNames(entry.Next, inLeaf) {
-			compiledFor(byName, name, entry).next = next
+			compiledEntryFor(byName, name, entry).next = next
 		}
 	}
 	return byName
 }
 
-// compileSpecs compiles both specs of an entry; nil for one that it has not.
+// compileSpecs compiles both specs of an entry. The result of a missing spec is nil.
 func compileSpecs(entry *Entry, table PolicyTable) (current, next *compiledSpec) {
 	if entry.Current != nil {
 		current = compile(entry.Current, table)
@@ -98,7 +101,7 @@
 	return current, next
 }
 
-// specNames returns the names of a spec, which may be nil, that belong to a leaf.
+// specNames returns the names of a spec that belong to a leaf. The spec may be nil.
 func specNames(spec *Spec, inLeaf func(name string) bool) (names []string) {
 	if spec == nil {
 		return nil
@@ -111,8 +114,8 @@
 	return names
 }
 
-// compiledFor returns the compiled entry under a name, which it adds if there is none.
-func compiledFor(byName map[string]*compiledEntry, name string, entry *Entry) *compiledEntry {
+// compiledEntryFor returns the compiled entry of a name, and adds it if there is none.
+func compiledEntryFor(byName map[string]*compiledEntry, name string, entry *Entry) *compiledEntry {
 	if byName[name] == nil {
 		byName[name] = &compiledEntry{name: entry.Name, phase: entry.Phase}
 	}
--- a/internal/tenant/controller.go
+++ b/internal/tenant/controller.go
@@ -15,44 +15,44 @@
 // LeaseName is the lease whose holder runs the controller of all tenants.
 const LeaseName = "tenants"
 
-// Store keeps the records, and lists sessions, as they are now: a read that lags would let a step pass
-// without a proxy that it has to wait for.
+// Store reads and writes the current records, and lists the current sessions. A stale read would let a step
+// proceed without a proxy that it has to wait for.
 type Store interface {
 	Stored(ctx context.Context) (Stored, error)
 	Sessions(ctx context.Context) ([]Session, error)
 	PendingOrders(ctx context.Context) ([]PendingOrder, error)
-	// Put fails with ErrSuperseded where the fencing token is not the last any more.
+	// Put fails with ErrSuperseded if there is a newer fencing token.
 	Put(ctx context.Context, p RecordWrite) (version uint64, err error)
 }
 
-// Environment tells what tenants are checked against.
+// Environment provides the policy and the endpoints against which tenants are checked.
 type Environment interface {
 	Policy(ctx context.Context) (PolicyFloors, error)
 	Endpoints(ctx context.Context) ([]Endpoint, error)
 }
 
-// ErrSuperseded ends a controller that another has followed.
+// ErrSuperseded is the error of a controller whose lease another controller has taken over.
 var ErrSuperseded = errors.New("tenant: another controller has it")
 
 const (
-	roundTimeout      = 20 * time.Second // for one round's calls
-	maxParallelWrites = 16               // writes at once
-	failurePause      = 500 * time.Millisecond
+	roundTimeout     = 20 * time.Second // timeout of all calls of a round
+	maxParallelCalls = 16               // reads or writes at a time
+	failureBackoff   = 500 * time.Millisecond
 )
 
-// Controller onboards, changes and removes them. It is the work of a lease.
+// Controller onboards, changes and removes tenants. Only the holder of the lease LeaseName runs it.
 type Controller struct {
 	Store       Store
 	Environment Environment
-	Interval    time.Duration // between two looks
+	Interval    time.Duration // between two rounds
 	Times       Times
 	Log         *slog.Logger
 
-	HashTree bool // it writes the catalogue as a hash tree, of which a proxy may read leaves
+	HashTree bool // write the catalogue as a hash tree, of which a proxy may read single leaves
 }
 
-// Run works until ctx ends or another controller follows. After a call that failed it begins from what is on
-// record: whatever a write came to, the next round sees it.
+// Run runs rounds until ctx ends or another controller has taken over. After a failed call it loads the state
+// on record again, as the call may or may not have taken effect.
 func (c *Controller) Run(ctx context.Context) error {
 	start := time.Now()
 	var m *StateMachine
@@ -60,8 +60,8 @@
 		if m == nil {
 			s, err := c.stored(ctx)
 			if err != nil {
-				c.Log.Warn("reading the tenants' records failed", "err", err)
-				backoff.Sleep(ctx, failurePause)
+				c.Log.Warn("read of the tenants' records failed, retrying", "err", err)
+				backoff.Sleep(ctx, failureBackoff)
 				continue
 			}
 			m = Load(time.Since(start), s, c.Times, c.HashTree)
@@ -71,9 +71,9 @@
 		case errors.Is(err, ErrSuperseded):
 			return err
 		case err != nil:
-			c.Log.Warn("round failed, the next one starts from the records", "err", err)
+			c.Log.Warn("round failed, the next round loads the records again", "err", err)
 			m = nil
-			backoff.Sleep(ctx, failurePause)
+			backoff.Sleep(ctx, failureBackoff)
 		default:
 			backoff.Sleep(ctx, c.Interval)
 		}
@@ -81,67 +81,69 @@
 	return ctx.Err()
 }
 
+// stored reads the state on record within roundTimeout.
 func (c *Controller) stored(ctx context.Context) (Stored, error) {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	return c.Store.Stored(ctx)
 }
 
-// runRound makes one look and carries out what it calls for. The clock is read after the
-// look: a member counts as away only from when that is known.
+// runRound makes an observation and carries out the writes that follow from it. The clock is read after the
+// observation, so that a member counts as absent only from the time at which its absence is known.
 func (c *Controller) runRound(ctx context.Context, m *StateMachine, now func() time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	l, err := c.observe(ctx, m.IsIdle())
+	observation, err := c.observe(ctx, m.IsIdle())
 	if err != nil {
 		return err
 	}
-	puts, err := m.Handle(now(), l)
+	writes, err := m.Handle(now(), observation)
 	if err != nil {
 		return err
 	}
-	for len(puts) > 0 {
+	for len(writes) > 0 {
 		n := 1
-		for n < len(puts) && puts[n].Stage == puts[0].Stage {
+		for n < len(writes) && writes[n].Stage == writes[0].Stage {
 			n++
 		}
-		if err := c.write(ctx, m, puts[:n]); err != nil {
+		if err := c.write(ctx, m, writes[:n]); err != nil {
 			return err
 		}
-		puts = puts[n:]
+		writes = writes[n:]
 	}
 	return nil
 }
 
-// observe reads what the machine needs; what tenants are checked against only where one is
-// to be. Sessions come last: who is waited for is decided by them.
-func (c *Controller) observe(ctx context.Context, rests bool) (l Observation, err error) {
-	if l.Orders, err = c.Store.PendingOrders(ctx); err != nil {
-		return l, fmt.Errorf("tenant: orders: %w", err)
+// observe reads the state machine's input. It reads the policy and the endpoints only if there are orders or
+// tenants in transition, which may have to be checked against them. It reads the sessions last, as they
+// decide which proxies a step waits for.
+func (c *Controller) observe(ctx context.Context, idle bool) (observation Observation, err error) {
+	if observation.Orders, err = c.Store.PendingOrders(ctx); err != nil {
+		return observation, fmt.Errorf("tenant: read orders: %w", err)
 	}
-	if len(l.Orders) > 0 || !rests {
-		if l.Policy, err = c.Environment.Policy(ctx); err != nil {
-			return l, fmt.Errorf("tenant: policy: %w", err)
+	if len(observation.Orders) > 0 || !idle {
+		if observation.Policy, err = c.Environment.Policy(ctx); err != nil {
+			return observation, fmt.Errorf("tenant: read policy: %w", err)
 		}
-		if l.Endpoints, err = c.Environment.Endpoints(ctx); err != nil {
-			return l, fmt.Errorf("tenant: boxes: %w", err)
+		if observation.Endpoints, err = c.Environment.Endpoints(ctx); err != nil {
+			return observation, fmt.Errorf("tenant: read endpoints: %w", err)
 		}
 	}
-	if l.Sessions, err = c.Store.Sessions(ctx); err != nil {
-		return l, fmt.Errorf("tenant: sessions: %w", err)
+	if observation.Sessions, err = c.Store.Sessions(ctx); err != nil {
+		return observation, fmt.Errorf("tenant: read sessions: %w", err)
 	}
-	return l, nil
+	return observation, nil
 }
 
 // write carries out the writes of one stage.
-func (c *Controller) write(ctx context.Context, m *StateMachine, puts []RecordWrite) error {
-	versions := make([]uint64, len(puts))
+func (c *Controller) write(ctx context.Context, m *StateMachine, writes []RecordWrite) error {
+	versions := make([]uint64, len(writes))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(maxParallelWrites)
-	for i, p := range puts {
+	g.SetLimit(maxParallelCalls)
+	for i, write := range writes {
 		g.Go(func() (err error) {
-			if versions[i], err = c.Store.Put(ctx, p); err != nil {
-				return fmt.Errorf("tenant: writing %s: %w", p.Key, err)
+			if versions[i], err = c.Store.Put(ctx, write); err != nil {
+				return fmt.Errorf("tenant: write record %s: %w", write.Key, err)
 			}
 			return nil
 		})
@@ -149,9 +151,9 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	for i, p := range puts {
-		m.RecordWritten(p, versions[i])
-		c.Log.Debug("written", "key", p.Key, "version", versions[i])
+	for i, write := range writes {
+		m.RecordWritten(write, versions[i])
+		c.Log.Debug("record written", "key", write.Key, "version", versions[i])
 	}
 	return nil
 }
--- a/internal/tenant/environment.go
+++ b/internal/tenant/environment.go
@@ -12,15 +12,15 @@
 	"wrenspread/internal/registry/client"
 )
 
-// PolicyKey is the record of the table that holds.
+// PolicyKey is the key of the current policy table's record.
 const PolicyKey = quotarecord.CurrentKey
 
-// RegistryEnvironment is a fleet as the registry has it: the policy's table on record and the
-// servers on the list.
+// RegistryEnvironment is an Environment that reads the policy table and the list of endpoints from the
+// registry.
 type RegistryEnvironment struct{ Registry *client.Client }
 
-// table is what is needed of a policy's table; it is a ratelimit.Table.
-type table struct {
+// limitTable has the fields of an encoded ratelimit.Table that the controller needs.
+type limitTable struct {
 	Limits []struct {
 		Name   string  `json:"name"`
 		Parent int     `json:"parent"`
@@ -30,46 +30,46 @@
 	} `json:"limits"`
 }
 
-// Policy gives the limits of requests a second with their floors. All floors together
-// fit into the rate of the first limit that is within none: the fleet's. Of a limit in
-// another unit no floor counts. Without a table there is no limit to name.
-func (f RegistryEnvironment) Policy(ctx context.Context) (PolicyFloors, error) {
-	r, err := f.Registry.Record(ctx, PolicyKey)
+// Policy returns the policy's limits with their floors, in requests a second. The sum of the floors is
+// bounded by the rate of the first limit that has no parent, which is the fleet's limit. Limits in other
+// units than requests a second have no floor. Without a policy table there are no limits.
+func (e RegistryEnvironment) Policy(ctx context.Context) (PolicyFloors, error) {
+	record, err := e.Registry.Record(ctx, PolicyKey)
 	if isNotFound(err) {
 		return PolicyFloors{}, nil
 	}
 	if err != nil {
 		return PolicyFloors{}, err
 	}
-	var t table
-	if err := json.Unmarshal(r.Value, &t); err != nil {
-		return PolicyFloors{}, fmt.Errorf("the table on record can't be read: %w", err)
+	var table limitTable
+	if err := json.Unmarshal(record.Value, &table); err != nil {
+		return PolicyFloors{}, fmt.Errorf("decode policy table %s: %w", PolicyKey, err)
 	}
-	p := PolicyFloors{Version: r.Version, Floors: map[string]float64{}}
-	for _, l := range t.Limits {
-		if l.Unit != 0 {
-			l.Floor = 0
-		} else if l.Parent < 0 && p.TotalFloor == 0 {
-			p.TotalFloor = l.Rate
+	floors := PolicyFloors{Version: record.Version, Floors: map[string]float64{}}
+	for _, limit := range table.Limits {
+		if limit.Unit != 0 {
+			limit.Floor = 0
+		} else if limit.Parent < 0 && floors.TotalFloor == 0 {
+			floors.TotalFloor = limit.Rate
 		}
-		p.Floors[l.Name] = l.Floor
+		floors.Floors[limit.Name] = limit.Floor
 	}
-	return p, nil
+	return floors, nil
 }
 
-// Endpoints returns the servers that are ready.
-func (f RegistryEnvironment) Endpoints(ctx context.Context) (all []Endpoint, err error) {
-	a, err := f.Registry.CurrentList(ctx)
-	for _, e := range a.Endpoints {
-		if e.Status == registry.Ready {
-			all = append(all, Endpoint{e.Zone, e.Type, e.Cell})
+// Endpoints returns the endpoints that are ready.
+func (e RegistryEnvironment) Endpoints(ctx context.Context) (all []Endpoint, err error) {
+	list, err := e.Registry.CurrentList(ctx)
+	for _, endpoint := range list.Endpoints {
+		if endpoint.Status == registry.Ready {
+			all = append(all, Endpoint{endpoint.Zone, endpoint.Type, endpoint.Cell})
 		}
 	}
 	return all, err
 }
 
-// isNotFound reports whether an error says that there is no such record.
+// isNotFound reports whether an error is the registry's response that a record does not exist.
 func isNotFound(err error) bool {
-	var r *client.Error
-	return errors.As(err, &r) && r.Status == http.StatusNotFound
+	var refusal *client.Error
+	return errors.As(err, &refusal) && refusal.Status == http.StatusNotFound
 }
--- a/internal/tenant/events.go
+++ b/internal/tenant/events.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// Events of a proxy's Cache. Sent and StartedAt are times of the proxy's own clock at which a call was begun,
-// however late its answer.
+// Events of a proxy's Cache. Sent and StartedAt are the times, by the proxy's own clock, at which a call
+// began, regardless of when its response came.
 type (
-	// SessionOpened tells of a session that was opened with the cache's Status.
+	// SessionOpened reports that a session was opened with the cache's Status.
 	SessionOpened struct {
 		Sent time.Duration
 		TTL  time.Duration
 	}
-	// SessionRenewed tells of a renewal that was answered; Known is false where the session has ended.
+	// SessionRenewed reports the response to a renewal. Known is false if the session has ended.
 	SessionRenewed struct {
 		Sent  time.Duration
 		Known bool
 	}
-	// CatalogueRead brings the catalogue as it is now, as far as Wanted asked for it when the read began. It was
-	// read after the member record, of which Enrolled reports whether this proxy is in it, in its generation and
-	// with its maximal staleness.
+	// CatalogueRead has the leaves of the current catalogue that Wanted returned when the read began. The
+	// catalogue was read after the member record; Enrolled reports whether the member record has this proxy with
+	// its generation and maximal staleness. Snapshot is nil if there is no catalogue yet.
 	CatalogueRead struct {
 		StartedAt time.Duration
 		Enrolled  bool
 		Snapshot  *Snapshot
 	}
-	// PeerHasCatalogue tells of a catalogue's number by a peer's metadata.
+	// PeerHasCatalogue reports the number of a peer's catalogue, from the peer's metadata.
 	PeerHasCatalogue struct{ Number uint64 }
-	// PolicyChanged tells of the policy table that the proxy evaluates.
+	// PolicyChanged reports the policy table that the proxy evaluates from now on.
 	PolicyChanged struct{ PolicyTable }
-	// LeafMissing tells of a request of a leaf that the proxy does not hold, by what X-Tenant says.
+	// LeafMissing reports a request that needs a leaf that is not cached. Name is the name in X-Tenant.
 	LeafMissing struct{ Name string }
-	// RequestStarted tells of a request that is served for a tenant, by the tenant's name in the catalogue.
+	// RequestStarted reports a request that is served for a tenant, by the tenant's name in the catalogue.
 	RequestStarted struct{ Tenant string }
-	// RequestEnded tells of the end of such a request.
+	// RequestEnded reports the end of a request that RequestStarted reported.
 	RequestEnded struct{ Tenant string }
-	// Tick has the proxy look at its clock; it comes at least each half second.
+	// Tick makes the cache check its time limits. It comes at least each half second.
 	Tick struct{}
-	// Leave has the proxy serve no tenant any more.
+	// Leave makes the proxy stop serving tenants for good.
 	Leave struct{}
 )
 
 // Actions that the owner of a Cache carries out.
 type (
-	// SwapCatalogue answers requests from another catalogue from now on. It is carried out before
-	// a TellStatus that comes with it.
+	// SwapCatalogue replaces the catalogue by which requests are decided. It must be carried out before a
+	// TellStatus that is returned with it.
 	SwapCatalogue struct{ *Catalogue }
-	// TellStatus changes the status in the session's note.
+	// TellStatus replaces the status in the session's note.
 	TellStatus struct{ Status Status }
-	// ReadCatalogue reads the member record and then the catalogue, as they are now; one read at a time,
-	// and another after it where it was asked for in between.
+	// ReadCatalogue reads the current member record and then the current catalogue. Only one read runs at a
+	// time; if the action is returned during a read, another read follows.
 	ReadCatalogue struct{}
-	// CutRequests ends requests in flight of a tenant.
+	// CutRequests ends all requests in flight of a tenant.
 	CutRequests struct{ Tenant string }
 )
--- a/internal/tenant/members.go
+++ b/internal/tenant/members.go
@@ -7,51 +7,52 @@
 	"time"
 )
 
-// updateMembers keeps the member record: who comes, who has left, who must have stopped. A proxy serves
-// nothing before the member record has it in its present generation and hold.
+// updateMembers updates the member record: it adds proxies that have opened a session, and removes members
+// that have left or must have stopped. A proxy serves nothing before the member record has it with its
+// current generation and maximal staleness.
 func (m *StateMachine) updateMembers(r *round) {
 	m.members.Members = slices.DeleteFunc(slices.Clone(m.members.Members), func(member Member) bool {
-		words := r.sessions[member.Name]
-		if len(words) > 0 {
+		statuses := r.sessions[member.Name]
+		if len(statuses) > 0 {
 			delete(m.absentSince, member.Name)
-			left := !slices.ContainsFunc(words, func(w Status) bool { return !w.Left })
+			left := !slices.ContainsFunc(statuses, func(status Status) bool { return !status.Left })
 			m.membersDirty = m.membersDirty || left
 			return left
 		}
 		if _, known := m.absentSince[member.Name]; !known {
 			m.absentSince[member.Name] = r.now
 		}
-		// it serves nothing, and nothing is open there
-		over := member.MaxStalenessMS > 0 &&
+		// a stopped member serves no tenant and has no requests in flight
+		stopped := member.MaxStalenessMS > 0 &&
 			m.absentFor(r, member) >= lengthened(member.MaxStaleness()+MaxDrain)+drainSlack
-		m.membersDirty = m.membersDirty || over
-		return over
+		m.membersDirty = m.membersDirty || stopped
+		return stopped
 	})
 	for _, s := range r.Sessions {
 		if s.Status.Left {
 			continue
 		}
-		now := Member{s.Proxy, s.Status.Generation, s.Status.MaxStaleness.Milliseconds()}
+		current := Member{s.Proxy, s.Status.Generation, s.Status.MaxStaleness.Milliseconds()}
 		i, known := slices.BinarySearchFunc(
 			m.members.Members,
-			now,
+			current,
 			func(a, b Member) int { return cmp.Compare(a.Name, b.Name) },
 		)
 		switch {
 		case !known && len(m.members.Members) < maxMembers:
-			m.members.Members = slices.Insert(m.members.Members, i, now)
+			m.members.Members = slices.Insert(m.members.Members, i, current)
 			m.membersDirty = true
-		case known && m.members.Members[i].Generation < now.Generation:
-			m.members.Members[i] = now
+		case known && m.members.Members[i].Generation < current.Generation:
+			m.members.Members[i] = current
 			m.membersDirty = true
 		}
 	}
 	for _, t := range m.unsettled {
-		m.membersDirty = m.membersDirty || t.ExpiresAt > 0 && m.clockAt(r.now)-m.members.Clock >= clockInterval
+		m.membersDirty = m.membersDirty || t.ExpiresAt > 0 && m.clockAt(r.now)-m.members.Clock >= clockWriteInterval
 	}
 }
 
-// absentFor is how long a member has had no session, as this controller saw it.
+// absentFor returns for how long this controller has seen a member without a session.
 func (m *StateMachine) absentFor(r *round, member Member) time.Duration {
 	since, absent := m.absentSince[member.Name]
 	if !absent {
@@ -60,19 +61,22 @@
 	return r.now - since
 }
 
-// waitScope is who has to be waited for.
+// waitScope is the set of members that a tenant's step has to wait for.
 type waitScope int
 
 const (
-	// those that may say a definite no: members with a session; without one their right has run out
+	// waitAuthoritative waits for the members with a session. A member without a session has lost the authority
+	// to decide that a tenant does not exist.
 	waitAuthoritative waitScope = iota
-	// all members; one without a session counts once its hold must have stopped it
+	// waitAllMembers waits for all members. A member without a session is waited for until its maximal staleness
+	// must have stopped it.
 	waitAllMembers
-	// all members' requests in flight; one without a session counts once it must have cut them
+	// waitDrained waits for the end of requests in flight at all members. A member without a session is waited
+	// for until it must have cut them.
 	waitDrained
 )
 
-// waitScope is who a tenant in a state waits for.
+// waitScope returns the set of members that a tenant in a state waits for.
 func (s State) waitScope() waitScope {
 	switch s {
 	case Reserved:
@@ -83,69 +87,71 @@
 	return waitAllMembers
 }
 
-// membersBehind returns the members that are not yet at a number of the catalogue.
+// membersBehind returns the members in a scope that have not yet reached a catalogue number. drain is the
+// time that requests in flight have to end, for waitDrained.
 func (m *StateMachine) membersBehind(
 	r *round,
 	number uint64,
-	n waitScope,
+	scope waitScope,
 	drain time.Duration,
-) (wait []string) {
+) (behind []string) {
 	for _, member := range m.members.Members {
-		words := r.sessions[member.Name]
-		done := len(words) > 0 || n == waitAuthoritative || m.hasStopped(r, member, n, drain)
-		for _, w := range words {
-			at := w.Prepared
-			if n == waitDrained {
-				at = w.DrainedUpTo
+		statuses := r.sessions[member.Name]
+		done := len(statuses) > 0 || scope == waitAuthoritative || m.hasStopped(r, member, scope, drain)
+		for _, status := range statuses {
+			reached := status.Prepared
+			if scope == waitDrained {
+				reached = status.DrainedUpTo
 			}
-			done = done && (at >= number || w.Left)
+			done = done && (reached >= number || status.Left)
 		}
 		if !done {
-			wait = append(wait, member.Name)
+			behind = append(behind, member.Name)
 		}
 	}
-	return wait
+	return behind
 }
 
-// hasStopped reports whether a member without a session must have stopped serving tenants, or have ended what
-// it had open. Neither rests on membership.
-func (m *StateMachine) hasStopped(r *round, member Member, n waitScope, drain time.Duration) bool {
-	away := m.absentFor(r, member)
-	if n == waitDrained {
-		return away >= lengthened(member.MaxStaleness()+drain)+drainSlack
+// hasStopped reports whether a member without a session must have stopped serving tenants or, for
+// waitDrained, must have cut its requests in flight. It does not depend on the membership's view of the
+// member.
+func (m *StateMachine) hasStopped(r *round, member Member, scope waitScope, drain time.Duration) bool {
+	absent := m.absentFor(r, member)
+	if scope == waitDrained {
+		return absent >= lengthened(member.MaxStaleness()+drain)+drainSlack
 	}
-	return member.MaxStalenessMS > 0 && away >= lengthened(member.MaxStaleness())+drainSlack
+	return member.MaxStalenessMS > 0 && absent >= lengthened(member.MaxStaleness())+drainSlack
 }
 
-// prepareTimeout is how long an order may wait for proxies to prepare: at least until those
-// that are away must have stopped, where they ever do.
+// prepareTimeout returns how long an order may wait for proxies to prepare it: at least until all members
+// without a session that have a maximal staleness must have stopped.
 func (m *StateMachine) prepareTimeout() time.Duration {
-	most := m.times.Prepare
+	timeout := m.times.Prepare
 	for _, member := range m.members.Members {
 		if _, absent := m.absentSince[member.Name]; absent && member.MaxStalenessMS > 0 {
-			most = max(most, lengthened(member.MaxStaleness())+drainSlack+m.times.Prepare)
+			timeout = max(timeout, lengthened(member.MaxStaleness())+drainSlack+m.times.Prepare)
 		}
 	}
-	return most
+	return timeout
 }
 
-// forgetMember takes a member off the member record by an operator's order.
-func (m *StateMachine) forgetMember(r *round, a PendingOrder) {
+// forgetMember removes a member from the member record by an operator's order.
+func (m *StateMachine) forgetMember(r *round, order PendingOrder) {
 	m.members.Members = slices.DeleteFunc(m.members.Members, func(member Member) bool {
-		if member.Name != a.Name || len(r.sessions[member.Name]) > 0 { // one that is there can't be forgotten
+		if member.Name != order.Name || len(r.sessions[member.Name]) > 0 { // a member with a session stays
 			return false
 		}
 		m.membersDirty = true
-		delete(m.absentSince, a.Name)
+		delete(m.absentSince, order.Name)
 		return true
 	})
-	r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: a.Key, Version: a.Version})
+	r.writes = append(r.writes, RecordWrite{Stage: stageCleanup, Key: order.Key, Version: order.Version})
 }
 
-// joinNames shortens a list of members for a line of text.
-func joinNames(all []string) string {
-	if len(all) > 3 {
-		return fmt.Sprintf("%s, %s, %s and %d more", all[0], all[1], all[2], len(all)-3)
+// summarizeNames returns the first three names of a longer list and the number of the others, as text.
+func summarizeNames(names []string) string {
+	if len(names) > 3 {
+		return fmt.Sprintf("%s, %s, %s and %d more", names[0], names[1], names[2], len(names)-3)
 	}
-	return fmt.Sprint(all)
+	return fmt.Sprint(names)
 }
--- a/internal/tenant/mutated_test.go
+++ b/internal/tenant/mutated_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if n.w.broken["prepared unseen"] {
-		m.needs = nil
+		m.policyNeeds = nil
 	}
 	return &m
 }
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -12,51 +12,54 @@
 	"wrenspread/internal/registry"
 )
 
-// The catalogue is written as a head and pages, which are named by their digests and never change: a new
-// catalogue is some new pages and, by one write, another head. So it is taken as a whole. In the flat form
-// the head names 32 leaves with entries, by the hash of a tenant's own name; who reads it reads all. In the
-// form of a hash tree (Merkle tree) it names pages that name pages, and the leaves have entries by the hash
-// of each name that requests use: who has a request's name finds its leaf by levels-1 pages between.
+// The catalogue is written as a head and pages. Pages are named by their digests and never change: a new
+// catalogue consists of some new pages and, by a single write, another head, so that it takes effect as a
+// unit.
+//
+// In the flat form, the head names 32 leaves, in which entries are placed by the hash of the tenant's own
+// name; a reader reads all leaves. In the form of a hash tree (Merkle tree), the head names inner pages,
+// which name further pages, and an entry is in the leaves of all names that requests use for it. A reader
+// finds the leaf of such a name by reading levels-1 inner pages.
 const (
 	fanBits = 5
-	// pages that the head names, or a page between: a head has 1.2 kB
+	// fanOut is the number of pages that the head or an inner page names. A head has 1.2 kB.
 	fanOut = 1 << fanBits
-	// tenants for a leaf, on average, at which the tree gets another level
-	leafSize  = 16
-	minDepth  = 2                                            // of a tree
-	maxDepth  = 4                                            // 1,048,576 leaves
-	treePages = 1<<(3*fanBits) + 1<<(2*fanBits) + 1<<fanBits // of three levels
-	// of a head; programs that know the flat form alone refuse it
+	// tenantsPerLeaf is the average number of tenants per leaf above which the tree gets another level.
+	tenantsPerLeaf = 16
+	minLevels      = 2                                            // of a hash tree
+	maxLevels      = 4                                            // 1,048,576 leaves
+	maxInnerPages  = 1<<(3*fanBits) + 1<<(2*fanBits) + 1<<fanBits // all inner pages of maxLevels
+	// treeFormat is the format of a tree's head. Programs that know only the flat form reject it.
 	treeFormat = 2
 )
 
 // Head names the catalogue's uppermost pages by their digests.
 type Head struct {
 	Format      int          `json:"v"`
-	Number      uint64       `json:"number"`           // of the catalogue; each is higher than the last
-	Levels      int          `json:"levels,omitempty"` // of pages below the head of a tree; 0: the flat form
-	Pages       []string     `json:"pages"`            // digests; "" for one without entries
-	PolicyNeeds []PolicyNeed `json:"needs,omitempty"`  // what a proxy can't see that has not read all leaves
+	Number      uint64       `json:"number"`           // of the catalogue; it increases with each catalogue
+	Levels      int          `json:"levels,omitempty"` // levels of pages below a tree's head; 0: the flat form
+	Pages       []string     `json:"pages"`            // digests; "" for a page without entries
+	PolicyNeeds []PolicyNeed `json:"needs,omitempty"`  // of all leaves, for proxies that have read only some
 }
 
-// PolicyNeed says that some next specs, the first of them new in a catalogue, have their limits in a policy's
-// table: a proxy without it has not prepared them, whether it holds them or not.
+// PolicyNeed states that some next specs need a version of the policy table. A proxy that lacks this version
+// has not prepared these specs, whether or not it has cached their leaves.
 type PolicyNeed struct {
 	Policy uint64 `json:"policy"`
-	Since  uint64 `json:"since"`
+	Since  uint64 `json:"since"` // number of the first catalogue with such a spec
 }
 
-// page is a leaf, with entries, or a page between, with digests.
+// page is a leaf, which has entries, or an inner page, which has digests.
 type page struct {
 	Format  int      `json:"v"`
-	Entries []*Entry `json:"entries,omitempty"` // by name
+	Entries []*Entry `json:"entries,omitempty"` // sorted by name
 	Pages   []string `json:"pages,omitempty"`
 
-	leaf *Leaf
+	leaf *Leaf // the decoded entries of a leaf
 }
 
-// hash is FNV-1a. A request costs it once, without allocation.
-func hash(name string) uint32 {
+// hashName returns the FNV-1a hash of a name. Each request computes it once, without allocation.
+func hashName(name string) uint32 {
 	h := uint32(2166136261)
 	for i := range len(name) {
 		h = (h ^ uint32(name[i])) * 16777619
@@ -64,11 +67,11 @@
 	return h
 }
 
-// leafOf returns the leaf of a name, by the number of levels.
-func leafOf(name string, levels int) int { return int(hash(name)) & (1<<(fanBits*levels) - 1) }
+// leafOf returns the number of a name's leaf in a catalogue with some levels.
+func leafOf(name string, levels int) int { return int(hashName(name)) & (1<<(fanBits*levels) - 1) }
 
-// leavesOf returns the leaves of an entry: in the flat form that of the tenant, in a tree those of all names
-// that requests use.
+// leavesOf returns the sorted numbers of the leaves that contain an entry: in the flat form the leaf of the
+// tenant's own name, in a tree the leaves of all names that requests use.
 func leavesOf(e *Entry, levels int) (all []int) {
 	if levels == 0 {
 		return []int{leafOf(e.Name, 1)}
@@ -80,18 +83,18 @@
 	return slices.Compact(all)
 }
 
-// encode gives a page with its digest; "" for one that has nothing.
+// encode returns the encoded page and its digest. The digest of an empty page is "".
 func (p *page) encode() (digest string, raw []byte, err error) {
 	if len(p.Entries) == 0 && !slices.ContainsFunc(p.Pages, func(d string) bool { return d != "" }) {
 		return "", nil, nil
 	}
-	p.Format = format
+	p.Format = documentFormat
 	if raw, err = json.Marshal(p); err != nil {
-		return "", nil, fmt.Errorf("tenant: a page of the catalogue: %w", err)
+		return "", nil, fmt.Errorf("tenant: encode catalogue page: %w", err)
 	}
 	if len(raw) > registry.MaxRecordValueBytes {
 		return "", nil, fmt.Errorf(
-			"tenant: a page of the catalogue has %d bytes, %d at most",
+			"tenant: encode catalogue page: %d bytes, want at most %d",
 			len(raw),
 			registry.MaxRecordValueBytes,
 		)
@@ -99,33 +102,34 @@
 	return digestOf(raw), raw, nil
 }
 
+// digestOf returns the first 16 bytes of the SHA-256 hash of an encoded page, in hexadecimal.
 func digestOf(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:16])
 }
 
-// DecodeHead reads a head.
+// DecodeHead decodes a head, and rejects unknown formats.
 func DecodeHead(raw []byte) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(raw, &h); err != nil {
 		return h, fmt.Errorf("tenant: the catalogue's head can't be read: %w", err)
 	}
-	flat := h.Format == format && h.Levels == 0 && len(h.Pages) <= 1024
-	tree := h.Format == treeFormat && h.Levels >= minDepth && h.Levels <= maxDepth && len(h.Pages) == fanOut
+	flat := h.Format == documentFormat && h.Levels == 0 && len(h.Pages) <= 1024
+	tree := h.Format == treeFormat && h.Levels >= minLevels && h.Levels <= maxLevels && len(h.Pages) == fanOut
 	if !flat && !tree {
 		return h, fmt.Errorf(
 			"tenant: a catalogue of form %d with %d pages on %d levels, this program knows forms %d and %d",
 			h.Format,
 			len(h.Pages),
 			h.Levels,
-			format,
+			documentFormat,
 			treeFormat,
 		)
 	}
 	return h, nil
 }
 
-// decodePage reads a page, which must be what its digest says.
+// decodePage decodes a page, which must match its digest.
 func decodePage(digest string, raw []byte) (*page, error) {
 	if digestOf(raw) != digest {
 		return nil, fmt.Errorf("tenant: page %s of the catalogue is another", digest)
@@ -141,82 +145,92 @@
 	return p, nil
 }
 
-// errMissing tells of a page that has gone: there is a newer head.
-var errMissing = errors.New("tenant: a page is not there")
+// errPageMissing reports that a page of a head is not on record: a newer head has replaced the one that was
+// read.
+var errPageMissing = errors.New("tenant: a page is not there")
 
-// treeWalk is a way from a head down to some leaves.
+// treeWalk is a walk from a head down to some leaves or all of them.
 type treeWalk struct {
 	Head
-	known    map[string]*page // by digest
-	complete bool             // to all leaves
-	snapshot *Snapshot
-	used     map[string]*page // those of them on the way; nil: nobody asks
-	count    int              // of them
-	missing  []string
-	err      error
+	available map[string]*page // the pages that can be used, by digest
+	complete  bool             // walk to all leaves
+	snapshot  *Snapshot        // the result
+	used      map[string]*page // collects the pages that are used; nil: they are not collected
+	usedCount int              // number of pages that are used
+	missing   []string         // digests of the pages that are needed and not available
+	err       error            // a page of the wrong kind was found
 }
 
-// assemble makes the catalogue of a head, complete or with the leaves that are wanted (sorted), from pages by
-// digest. A page that is not there is reported as missing: then there is no catalogue yet.
-func assemble(h Head, have map[string]*page, whole bool, parts []int, used map[string]*page) *treeWalk {
-	w := &treeWalk{Head: h, known: have, used: used, complete: whole || h.Levels == 0}
+// assemble builds the catalogue of a head from available pages (by digest): the complete catalogue, or some
+// leaves of it (sorted by number). If treeWalk.missing is not empty, the snapshot is not usable until these
+// pages have been read. Pages that are used are added to used, unless it is nil.
+func assemble(
+	head Head,
+	available map[string]*page,
+	complete bool,
+	leaves []int,
+	used map[string]*page,
+) *treeWalk {
+	w := &treeWalk{Head: head, available: available, used: used, complete: complete || head.Levels == 0}
 	w.snapshot = &Snapshot{
-		Number:   h.Number,
-		levels:   h.Levels,
-		complete: w.complete,
-		leaves:   map[int]*Leaf{},
-		needs:    h.PolicyNeeds,
-	}
-	if h.Levels > 0 {
-		w.descend(h.Pages, 1, 0, parts)
+		Number:      head.Number,
+		levels:      head.Levels,
+		complete:    w.complete,
+		leaves:      map[int]*Leaf{},
+		policyNeeds: head.PolicyNeeds,
+	}
+	if head.Levels > 0 {
+		w.descend(head.Pages, 1, 0, leaves)
 		return w
 	}
 	entries := map[string]*Entry{}
-	for _, digest := range h.Pages {
+	for _, digest := range head.Pages {
 		if p := w.page(digest, true); p != nil {
 			for _, e := range p.Entries {
 				entries[e.Name] = e
 			}
 		}
 	}
-	w.snapshot = NewSnapshot(h.Number, slices.Collect(maps.Values(entries))...)
+	w.snapshot = NewSnapshot(head.Number, slices.Collect(maps.Values(entries))...)
 	return w
 }
 
-// descend goes on from the digests of one page.
-func (w *treeWalk) descend(digests []string, level, prefix int, parts []int) {
+// descend walks the pages that a page on the level above names. prefix is the index of that page; leaves are
+// the wanted leaves below it.
+func (w *treeWalk) descend(digests []string, level, prefix int, leaves []int) {
 	for n, digest := range digests {
-		at := prefix<<fanBits | n
-		here := 0 // so many leaves lie below
-		for here < len(parts) && parts[here]>>(fanBits*(w.Levels-level)) == at {
-			here++
+		index := prefix<<fanBits | n
+		count := 0 // of the wanted leaves that are below this page
+		for count < len(leaves) && leaves[count]>>(fanBits*(w.Levels-level)) == index {
+			count++
 		}
-		below := parts[:here]
-		parts = parts[here:]
+		leavesBelow := leaves[:count]
+		leaves = leaves[count:]
 		switch {
-		case !w.complete && here == 0 || w.complete && digest == "":
+		case !w.complete && count == 0 || w.complete && digest == "":
 		case digest == "":
-			for _, part := range below {
-				w.snapshot.leaves[part] = noEntries
+			for _, leaf := range leavesBelow {
+				w.snapshot.leaves[leaf] = emptyLeaf
 			}
 		case level < w.Levels:
 			if p := w.page(digest, false); p != nil {
-				w.descend(p.Pages, level+1, at, below)
+				w.descend(p.Pages, level+1, index, leavesBelow)
 			}
 		default:
 			if p := w.page(digest, true); p != nil {
-				w.snapshot.leaves[at] = p.leaf
+				w.snapshot.leaves[index] = p.leaf
 			}
 		}
 	}
 }
 
-// page gives a page by its digest, if it is there.
+// page returns the page with a digest, or nil if it is not available. leaf is the kind of page that is
+// expected.
 func (w *treeWalk) page(digest string, leaf bool) *page {
 	if digest == "" {
 		return nil
 	}
-	p := w.known[digest]
+	p := w.available[digest]
 	switch {
 	case p == nil:
 		w.missing = append(w.missing, digest)
@@ -224,7 +238,7 @@
 		w.err = fmt.Errorf("tenant: page %s of the catalogue is of another kind", digest)
 		return nil
 	default:
-		if w.count++; w.used != nil {
+		if w.usedCount++; w.used != nil {
 			w.used[digest] = p
 		}
 	}
--- a/internal/tenant/progress.go
+++ b/internal/tenant/progress.go
@@ -8,62 +8,67 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Progress is how far a tenant is, as an operator asks.
+// Progress is the state of a tenant, and of its order in progress, that is shown to operators.
 type Progress struct {
 	*Tenant
-	Published  bool     `json:"published"`           // proxies are notified of this state
-	Number     uint64   `json:"number,omitempty"`    // of the catalogue that tells them
-	WaitingFor []string `json:"waits_for,omitempty"` // members that it waits for
+	Published  bool     `json:"published"`           // the catalogue has the tenant in this state
+	Number     uint64   `json:"number,omitempty"`    // number of the first catalogue with the tenant's entry
+	WaitingFor []string `json:"waits_for,omitempty"` // members that the tenant waits for
 }
 
-// AllProgress tells how far all tenants are, by name, from what is on record and the
-// sessions that are open. How long members have been away only the controller knows: all
-// that may still have to be waited for are named.
-func AllProgress(s Stored, sessions []Session) (all []Progress) {
-	m := Load(0, s, DefaultTimes(), s.Head.Levels > 0)
+// AllProgress returns the progress of all tenants, sorted by name, from the state on record and the open
+// sessions. Only the controller knows for how long members have had no session, so WaitingFor names all
+// members that may still have to be waited for.
+func AllProgress(stored Stored, sessions []Session) (progresses []Progress) {
+	m := Load(0, stored, DefaultTimes(), stored.Head.Levels > 0)
 	r := &round{Observation: Observation{Sessions: sessions}, sessions: map[string][]Status{}}
-	for _, one := range sessions {
-		r.sessions[one.Proxy] = append(r.sessions[one.Proxy], one.Status)
+	for _, progress := range sessions {
+		r.sessions[progress.Proxy] = append(r.sessions[progress.Proxy], progress.Status)
 	}
-	for _, t := range s.Tenants {
+	for _, t := range stored.Tenants {
 		e := m.entries[t.Name]
-		one := Progress{Tenant: t, Published: entryOf(t).equivalent(e)}
+		progress := Progress{Tenant: t, Published: entryOf(t).equivalent(e)}
 		if e != nil {
-			one.Number = e.Since
+			progress.Number = e.Since
 		}
-		if one.Published && e != nil {
-			one.WaitingFor = m.membersBehind(r, e.Since, t.State.waitScope(), e.drainTime())
+		if progress.Published && e != nil {
+			progress.WaitingFor = m.membersBehind(r, e.Since, t.State.waitScope(), e.drainTime())
 		}
-		all = append(all, one)
+		progresses = append(progresses, progress)
 	}
-	slices.SortFunc(all, func(a, b Progress) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(progresses, func(a, b Progress) int { return cmp.Compare(a.Name, b.Name) })
+	return progresses
 }
 
-// ReadProgress tells how far one tenant is, from its own record and the leaves of the catalogue with its
-// names. One that is refused has none left, and all is read. there is false where there is no such tenant.
-func ReadProgress(ctx context.Context, k *client.Client, name string) (s Progress, there bool, err error) {
-	one, err := k.Record(ctx, Prefix+name)
+// ReadProgress returns the progress of a tenant, from its own record and the leaves of the catalogue with its
+// names. A rejected tenant has no names left, so the complete state is read for it. found is false if the
+// tenant has no record.
+func ReadProgress(
+	ctx context.Context,
+	reg *client.Client,
+	name string,
+) (progress Progress, found bool, err error) {
+	record, err := reg.Record(ctx, Prefix+name)
 	if isNotFound(err) {
-		return s, false, nil
+		return progress, false, nil
 	}
 	var t *Tenant
 	if err == nil {
-		t, err = DecodeTenant(one.Value, one.Version)
+		t, err = DecodeTenant(record.Value, record.Version)
 	}
 	if err != nil {
-		return s, false, err
+		return progress, false, err
 	}
 	stored := Stored{Tenants: []*Tenant{t}}
 	if t.Current == nil && t.Next == nil {
-		stored, err = ReadStored(ctx, k)
-		stored.Tenants = []*Tenant{t} // before what was read with the catalogue
+		stored, err = ReadStored(ctx, reg)
+		stored.Tenants = []*Tenant{t} // read before the catalogue
 	} else {
-		if stored.MembersVersion, err = readRecord(ctx, k, MembersKey, &stored.Members); err != nil {
-			return s, false, err
+		if stored.MembersVersion, err = readRecord(ctx, reg, MembersKey, &stored.Members); err != nil {
+			return progress, false, err
 		}
-		r := Reader{Source: k}
-		for range readAttempts { // it may change meanwhile
+		r := Reader{Source: reg}
+		for range readAttempts { // the catalogue may change while it is read
 			if stored.Snapshot, err = r.catalogue(
 				ctx,
 				WantedLeaves{snapshot: NewSnapshot(0, &Entry{Name: name, Current: t.Current, Next: t.Next})},
@@ -75,18 +80,18 @@
 		}
 	}
 	if err != nil {
-		return s, false, err
+		return progress, false, err
 	}
-	sessions, err := ReadSessions(ctx, k)
+	sessions, err := ReadSessions(ctx, reg)
 	return AllProgress(stored, sessions)[0], true, err
 }
 
-// Outcome tells what came of an order; done is false while it is under way. One that is
-// done and not published yet is under way still: proxies are to know of it first.
-func (s Progress) Outcome(order string) (o Outcome, done bool) {
-	i := slices.IndexFunc(s.Outcomes, func(o Outcome) bool { return o.Order == order })
-	if i < 0 || s.Order == order && !s.Published {
+// Outcome returns the outcome of an order; done is false while the order is in progress. An order is in
+// progress until its result is published, so that proxies can learn of the result before the operator does.
+func (p Progress) Outcome(order string) (outcome Outcome, done bool) {
+	i := slices.IndexFunc(p.Outcomes, func(outcome Outcome) bool { return outcome.Order == order })
+	if i < 0 || p.Order == order && !p.Published {
 		return Outcome{}, false
 	}
-	return s.Outcomes[i], true
+	return p.Outcomes[i], true
 }
--- a/internal/tenant/publish.go
+++ b/internal/tenant/publish.go
@@ -7,59 +7,60 @@
 	"slices"
 )
 
-// RecordWrite is a write under the controller's fencing token, conditional on the version that it
-// replaces. Puts of one stage may go together; a later stage waits for the earlier:
-// intent (tenants, members), pages, head, what is done with (orders, old pages).
+// RecordWrite is a write or deletion of a record under the controller's fencing token. It is conditional on
+// the version that it replaces. Writes of one stage may run in parallel; a stage starts after the previous
+// stage is complete.
 type RecordWrite struct {
 	Stage         int
 	Key           string
-	Value         []byte // nil: the record goes
-	Version       uint64 // that it must have; 0: none
-	Unconditional bool   // it is not conditional: a page is what its key says
+	Value         []byte // nil: the record is deleted
+	Version       uint64 // version that the record must have; 0: it must not exist
+	Unconditional bool   // Version is ignored: the key of a page determines its content
 }
 
-// The stages.
+// The stages of writes, in order.
 const (
-	stageIntent = iota
-	stagePages
-	stageHead
-	stageAfter
+	stageIntent  = iota // tenants and members
+	stagePages          // new pages of the catalogue
+	stageHead           // the catalogue's head
+	stageCleanup        // deletion of orders and of unused pages and tenants
 )
 
-// wasRestored reports whether a proxy has a higher catalogue than there is: the registry's state is from a
-// copy. All is published anew, above what any proxy has.
+// wasRestored reports whether a proxy has a higher catalogue number than the catalogue on record. The
+// registry has then been restored from a backup, and the complete catalogue is published again under a number
+// above that of each proxy.
 func (m *StateMachine) wasRestored(r *round) bool {
 	return slices.ContainsFunc(r.Sessions, func(s Session) bool { return s.Status.Prepared > m.head.Number })
 }
 
-// publish makes the next catalogue if what is on record differs from the last.
+// publish adds the writes of the next catalogue, if it would differ from the last one.
 func (m *StateMachine) publish(r *round) error {
-	number, anew := m.head.Number+1, m.wasRestored(r)
+	number, republish := m.head.Number+1, m.wasRestored(r)
 	for _, s := range r.Sessions {
 		number = max(number, s.Status.Prepared+1)
 	}
-	levels := depth(m.hashTree, m.head.Levels, len(m.tenants))
-	changes := m.catalogueChanges(r, number, anew)
-	if len(changes) == 0 && !anew && m.headVersion > 0 && levels == m.head.Levels {
+	levels := requiredLevels(m.hashTree, m.head.Levels, len(m.tenants))
+	changes := m.catalogueChanges(r, number, republish)
+	if len(changes) == 0 && !republish && m.headVersion > 0 && levels == m.head.Levels {
 		return nil
 	}
-	for _, c := range changes {
-		if c.before != nil {
-			delete(m.entries, c.before.Name)
-			delete(m.inTransition, c.before.Name)
+	for _, changed := range changes {
+		if changed.before != nil {
+			delete(m.entries, changed.before.Name)
+			delete(m.inTransition, changed.before.Name)
 		}
-		if c.after != nil {
-			m.entries[c.after.Name] = c.after
-			if c.after.Phase != PhaseServe {
-				m.inTransition[c.after.Name] = c.after
+		if changed.after != nil {
+			m.entries[changed.after.Name] = changed.after
+			if changed.after.Phase != PhaseServe {
+				m.inTransition[changed.after.Name] = changed.after
 			}
 		}
 	}
-	raw, left, err := m.updateTree(levels, changes)
+	raw, unused, err := m.updateTree(levels, changes)
 	if err != nil {
 		return err
 	}
-	// one that lies there may be about to go, by a call that is under way
+	// a page that is on record already is written again, as a delayed call may be about to delete it
 	for _, digest := range slices.Sorted(maps.Keys(raw)) {
 		r.writes = append(
 			r.writes,
@@ -67,56 +68,61 @@
 		)
 	}
 	m.head = m.tree.head(number, policyNeeds(m.inTransition))
-	b, err := json.Marshal(m.head)
+	encodedHead, err := json.Marshal(m.head)
 	if err != nil {
-		return fmt.Errorf("tenant: the catalogue's head: %w", err)
+		return fmt.Errorf("tenant: encode catalogue head: %w", err)
 	}
-	r.writes = append(r.writes, RecordWrite{Stage: stageHead, Key: HeadKey, Value: b, Version: m.headVersion})
-	// what only this head leaves stays for who reads it now
+	r.writes = append(
+		r.writes,
+		RecordWrite{Stage: stageHead, Key: HeadKey, Value: encodedHead, Version: m.headVersion},
+	)
+	// pages that this head is the first not to use stay until the next head, for readers of the last head
 	for _, digest := range slices.Sorted(slices.Values(m.stalePages)) {
-		if version, there := m.pages[digest]; there && m.tree.uses[digest] == 0 {
-			r.writes = append(r.writes, RecordWrite{Stage: stageAfter, Key: PagePrefix + digest, Version: version})
+		if version, recorded := m.pages[digest]; recorded && m.tree.useCounts[digest] == 0 {
+			r.writes = append(r.writes, RecordWrite{Stage: stageCleanup, Key: PagePrefix + digest, Version: version})
 			delete(m.pages, digest)
 		}
 	}
-	m.stalePages = left
+	m.stalePages = unused
 	return nil
 }
 
-// catalogueChanges returns the entries that differ from the last catalogue: among the tenants that changed in
-// this round; in a controller's first round, or anew, among all.
-func (m *StateMachine) catalogueChanges(r *round, number uint64, anew bool) (all []change) {
-	for name := range m.tenantsToCompare(r, anew) {
-		was := m.entries[name]
-		var e *Entry
+// catalogueChanges returns the entries that differ from the last catalogue. It compares the tenants that
+// changed in this round or, in a controller's first round and with republish, all tenants. With republish,
+// all entries count as changed.
+func (m *StateMachine) catalogueChanges(r *round, number uint64, republish bool) (changes []change) {
+	for name := range m.tenantsToCompare(r, republish) {
+		previous := m.entries[name]
+		var current *Entry
 		if t := m.tenants[name]; t != nil {
-			e = entryOf(t)
+			current = entryOf(t)
 		}
-		if e != nil && was != nil {
-			e.unknownFields = was.unknownFields
+		if current != nil && previous != nil {
+			current.unknownFields = previous.unknownFields
 		}
-		if e.equivalent(was) && (!anew || e == nil) {
-			if e != nil {
-				was.Current, was.Next = e.Current, e.Next // the next comparison is one of pointers
+		if current.equivalent(previous) && (!republish || current == nil) {
+			if current != nil {
+				// lets the next comparison compare pointers
+				previous.Current, previous.Next = current.Current, current.Next
 			}
 			continue
 		}
-		if e != nil {
-			e.Since = number
+		if current != nil {
+			current.Since = number
 		}
-		all = append(all, change{was, e})
+		changes = append(changes, change{previous, current})
 	}
-	return all
+	return changes
 }
 
-// tenantsToCompare returns the names of the tenants whose entries may differ from the last catalogue's.
-func (m *StateMachine) tenantsToCompare(r *round, anew bool) map[string]bool {
+// tenantsToCompare returns the names of the tenants whose entries may differ from the last catalogue.
+func (m *StateMachine) tenantsToCompare(r *round, republish bool) map[string]bool {
 	names := maps.Clone(r.changed)
 	maps.Copy(names, r.removed)
-	if m.comparedOnce && !anew {
+	if m.comparedAll && !republish {
 		return names
 	}
-	m.comparedOnce = true
+	m.comparedAll = true
 	for name := range m.tenants {
 		names[name] = true
 	}
@@ -126,40 +132,40 @@
 	return names
 }
 
-// updateTree brings the tree up to the entries. It gives the pages that are to be written, and
-// the digests of those that the last catalogue had and this one has not.
+// updateTree updates the tree to the entries. It returns the pages to write, by digest, and the digests of
+// the pages that only the last catalogue uses.
 func (m *StateMachine) updateTree(
 	levels int,
 	changes []change,
-) (raw map[string][]byte, left []string, err error) {
-	former := m.tree
-	if former != nil && former.levels == levels {
-		return former.apply(changes)
+) (newPages map[string][]byte, unused []string, err error) {
+	previous := m.tree
+	if previous != nil && previous.levels == levels {
+		return previous.apply(changes)
 	}
-	if m.tree, raw, err = treeOf(levels, m.entries); err != nil {
+	if m.tree, newPages, err = buildTree(levels, m.entries); err != nil {
 		return nil, nil, err
 	}
 	for digest := range m.pages {
-		if m.tree.uses[digest] == 0 && !slices.Contains(m.stalePages, digest) {
-			left = append(left, digest)
+		if m.tree.useCounts[digest] == 0 && !slices.Contains(m.stalePages, digest) {
+			unused = append(unused, digest)
 		}
 	}
-	if former != nil {
-		maps.DeleteFunc(raw, func(digest string, _ []byte) bool { return former.uses[digest] > 0 })
+	if previous != nil {
+		maps.DeleteFunc(newPages, func(digest string, _ []byte) bool { return previous.useCounts[digest] > 0 })
 	}
-	return raw, left, nil
+	return newPages, unused, nil
 }
 
-// loadTree makes the tree of the catalogue on record. Where its pages are not what this program makes of
-// their entries, there is none, and the next catalogue is written completely.
+// loadTree builds the tree of the catalogue on record. If this version of the program encodes the entries as
+// other pages than those on record, the tree stays nil, and the next catalogue is written completely.
 func (m *StateMachine) loadTree() {
-	t, _, err := treeOf(m.head.Levels, m.entries)
+	t, _, err := buildTree(m.head.Levels, m.entries)
 	if err != nil || m.headVersion == 0 || !slices.Equal(t.head(0, nil).Pages, m.head.Pages) {
 		return
 	}
 	m.tree = t
 	for digest := range m.pages {
-		if t.uses[digest] == 0 {
+		if t.useCounts[digest] == 0 {
 			m.stalePages = append(m.stalePages, digest)
 		}
 	}
--- a/internal/tenant/reader.go
+++ b/internal/tenant/reader.go
@@ -12,105 +12,105 @@
 	"wrenspread/internal/registry"
 )
 
-// Source has the records: the registry's client, or what stands for it where that is
-// too small. One that is not there is a client.Refused with 404.
+// Source provides the registry's records: the registry's client, or a replacement in simulations that the
+// registry is too small for. The error for a missing record is a client.Error with status 404.
 type Source interface {
 	Record(ctx context.Context, key string) (registry.Record, error)
 }
 
-// Reader reads the catalogue for a proxy's Cache, from the registry as it is now. Pages that it has already
-// are not read again. It is for one goroutine at a time.
+// Reader reads the current catalogue from the registry for a proxy's Cache. It does not read pages again that
+// it has cached. It must be used by one goroutine at a time.
 type Reader struct {
 	Source Source
-	Member Member // as the member record has to have the proxy
+	Member Member // the proxy's entry in the member record when it is enrolled
 
 	snapshot *Snapshot
-	leaves   []int            // of snapshot, that were wanted
-	pages    map[string]*page // that it was made of, and as many more, by digest
+	leaves   []int            // leaves that were wanted in snapshot
+	pages    map[string]*page // cached pages by digest: those of snapshot, and about as many others
 }
 
-// readAttempts is how often the catalogue may change while it is read.
+// readAttempts is the number of attempts to read a catalogue that changes while it is read.
 const readAttempts = 3
 
-// Read reads the member record and then the catalogue, as far as it is wanted. clock is the proxy's, of its
-// Cache.
+// Read reads the member record and then the wanted leaves of the catalogue. clock returns the time of the
+// proxy's Cache.
 func (r *Reader) Read(
 	ctx context.Context,
 	clock func() time.Duration,
 	want WantedLeaves,
 ) (CatalogueRead, error) {
-	got := CatalogueRead{StartedAt: clock()}
-	var b MemberRecord
-	if _, err := readRecord(ctx, r.Source, MembersKey, &b); err != nil {
-		return got, err
+	result := CatalogueRead{StartedAt: clock()}
+	var members MemberRecord
+	if _, err := readRecord(ctx, r.Source, MembersKey, &members); err != nil {
+		return result, err
 	}
-	got.Enrolled = slices.Contains(b.Members, r.Member)
+	result.Enrolled = slices.Contains(members.Members, r.Member)
 	var err error
 	for range readAttempts {
-		if got.Snapshot, err = r.catalogue(ctx, want); !isNotFound(err) {
-			return got, err
+		if result.Snapshot, err = r.catalogue(ctx, want); !isNotFound(err) {
+			return result, err
 		}
 	}
-	return got, fmt.Errorf("tenant: the catalogue changes too fast: %w", err)
+	return result, fmt.Errorf("tenant: read catalogue: changed during all %d attempts: %w", readAttempts, err)
 }
 
-// catalogue reads the head and the pages that are missing; nil where there is no
-// catalogue yet. A page that has gone in between is an error with 404.
+// catalogue reads the head and the missing pages. The result is nil if there is no catalogue yet. The error
+// is a client.Error with status 404 if a page has been deleted meanwhile.
 func (r *Reader) catalogue(ctx context.Context, want WantedLeaves) (*Snapshot, error) {
-	one, err := r.Source.Record(ctx, HeadKey)
+	record, err := r.Source.Record(ctx, HeadKey)
 	if isNotFound(err) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	head, err := DecodeHead(one.Value)
+	head, err := DecodeHead(record.Value)
 	if err != nil {
 		return nil, err
 	}
-	parts := want.since(head.Levels)
+	leaves := want.forLevels(head.Levels)
 	if r.snapshot != nil && r.snapshot.Number == head.Number &&
-		(r.snapshot.complete || !want.complete && slices.Equal(parts, r.leaves)) {
+		(r.snapshot.complete || !want.complete && slices.Equal(leaves, r.leaves)) {
 		return r.snapshot, nil
 	}
-	if r.pages == nil || len(r.pages) > maxKeptPages {
+	if r.pages == nil || len(r.pages) > maxRetainedPages {
 		r.pages = map[string]*page{}
 	}
 	for {
-		w := assemble(head, r.pages, want.complete, parts, nil)
-		if w.err != nil {
-			return nil, w.err
+		walk := assemble(head, r.pages, want.complete, leaves, nil)
+		if walk.err != nil {
+			return nil, walk.err
 		}
-		if len(w.missing) == 0 {
-			r.snapshot, r.leaves = w.snapshot, parts
-			if len(r.pages) > 2*w.count+fanOut {
+		if len(walk.missing) == 0 {
+			r.snapshot, r.leaves = walk.snapshot, leaves
+			if len(r.pages) > 2*walk.usedCount+fanOut {
 				used := map[string]*page{}
-				assemble(head, r.pages, want.complete, parts, used)
+				assemble(head, r.pages, want.complete, leaves, used)
 				r.pages = used
 			}
 			return r.snapshot, nil
 		}
-		if err := r.fetch(ctx, w.missing); err != nil {
+		if err := r.fetch(ctx, walk.missing); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// maxKeptPages pages are kept of reads that failed, besides.
-const maxKeptPages = 1 << 17
+// maxRetainedPages bounds the cached pages, which include those of failed reads. Beyond it, all are dropped.
+const maxRetainedPages = 1 << 17
 
-// fetch reads the pages that are missing on one level, some at a time.
+// fetch reads the missing pages of one level, with up to maxParallelCalls calls at a time.
 func (r *Reader) fetch(ctx context.Context, digests []string) error {
 	var mu sync.Mutex
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(maxParallelWrites)
+	g.SetLimit(maxParallelCalls)
 	for _, digest := range slices.Compact(slices.Sorted(slices.Values(digests))) {
 		g.Go(func() error {
-			one, err := r.Source.Record(ctx, PagePrefix+digest)
+			record, err := r.Source.Record(ctx, PagePrefix+digest)
 			if err != nil {
 				return err
 			}
-			p, err := decodePage(digest, one.Value)
+			p, err := decodePage(digest, record.Value)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// State is where a tenant is. Each is written before anything is done about it.
+// State is a tenant's state on record. A state is written before the controller acts on it.
 type State string
 
-// The states. What is asked for waits as an order (Ask); what is checked becomes
-// reserved by the same write, so that no two tenants are let in on one floor.
+// The states. A request to add a tenant waits as a PendingOrder. The write that accepts it makes the tenant
+// Reserved, so that two tenants can't be accepted for the same floor.
 const (
-	Rejected  State = "refused"   // not let in; its names and floors are free
-	Reserved  State = "reserved"  // its names and floors are its own; proxies prepare it and answer 503
+	Rejected  State = "refused"   // not accepted; its names and floors are free
+	Reserved  State = "reserved"  // its names and floors are reserved; proxies prepare it and answer 503
 	Active    State = "active"    // served
-	Suspended State = "suspended" // known, and refused
-	Changing  State = "changing"  // proxies prepare the next spec and serve the present one
-	Switching State = "switching" // proxies answer 503 for what differs
-	Draining  State = "draining"  // refused for good; requests in flight end
-	Removed   State = "gone"      // a tombstone: its floors are free, its names not yet
+	Suspended State = "suspended" // proxies know the tenant and reject its requests
+	Changing  State = "changing"  // proxies prepare the next spec and serve by the current one
+	Switching State = "switching" // proxies answer 503 for requests on which the two specs differ
+	Draining  State = "draining"  // proxies reject its requests; requests in flight end
+	Removed   State = "gone"      // a tombstone: its floors are free, its names are not yet
 )
 
-// isSettled reports whether a tenant takes an order.
+// isSettled reports whether a tenant in this state can take its next order.
 func (s State) isSettled() bool {
 	return s == Rejected || s == Active || s == Suspended || s == Removed
 }
 
-// ownsLimits reports whether a tenant's limits and their floors are taken.
+// ownsLimits reports whether a tenant in this state owns its limits and their floors.
 func (s State) ownsLimits() bool { return s != Rejected && s != Removed }
 
 // Tenant is a tenant on record.
@@ -35,46 +35,49 @@
 	Format   int       `json:"v"`
 	Name     string    `json:"name"`
 	State    State     `json:"state"`
-	Current  *Spec     `json:"now,omitempty"`   // in effect; of one that is gone, the last
-	Next     *Spec     `json:"next,omitempty"`  // to come; none while it goes
-	Order    string    `json:"order,omitempty"` // the id of the last order that was taken
-	Outcomes []Outcome `json:"done,omitempty"`  // of the last orders, as many as maxOutcomes
-	// on the controllers' clock: a tombstone or a refusal goes then
+	Current  *Spec     `json:"now,omitempty"`   // spec in effect; of a removed tenant, the last spec
+	Next     *Spec     `json:"next,omitempty"`  // spec to take effect next; nil during a removal
+	Order    string    `json:"order,omitempty"` // id of the last order that was taken
+	Outcomes []Outcome `json:"done,omitempty"`  // outcomes of the last orders, at most maxOutcomes
+	// ExpiresAt is the time, by the controllers' clock, at which the record of a removed or rejected tenant is
+	// deleted; 0: never.
 	ExpiresAt time.Duration `json:"until_ns,omitempty"`
 
 	unknownFields rawFields
-	version       uint64
+	version       uint64 // version of the record
 }
 
-// Outcome is what came of an order.
+// Outcome is the result of an order.
 type Outcome struct {
 	Order  string `json:"order"`
-	Reason string `json:"why,omitempty"` // it was not followed, or taken back; empty: it is done
+	Reason string `json:"why,omitempty"` // why the order was rejected or reverted; empty: it was carried out
 }
 
-const maxOutcomes = 4 // so that whoever asked finds its order's outcome after others
+const maxOutcomes = 4 // lets an operator find the outcome of an order after the next three orders
 
-// finish notes what came of the order that was taken last.
-func (t *Tenant) finish(why string) {
-	t.Outcomes = append(t.Outcomes, Outcome{t.Order, why})
-	if n := len(t.Outcomes) - maxOutcomes; n > 0 {
-		t.Outcomes = t.Outcomes[n:]
+// recordOutcome appends the outcome of the last order that was taken; reason is Outcome.Reason.
+func (t *Tenant) recordOutcome(reason string) {
+	t.Outcomes = append(t.Outcomes, Outcome{t.Order, reason})
+	if excess := len(t.Outcomes) - maxOutcomes; excess > 0 {
+		t.Outcomes = t.Outcomes[excess:]
 	}
 }
 
-const format = 1 // of all documents; a later one may add fields, never change what one means
+// documentFormat is the format of all documents except the head of a hash tree. Later versions of the program
+// may add fields, but may not change the meaning of a field.
+const documentFormat = 1
 
-// The orders.
+// The operations that an order may ask for.
 const (
 	OrderAdd          = "add"
 	OrderChange       = "change"
 	OrderSuspend      = "suspend"
 	OrderResume       = "resume"
 	OrderRemove       = "remove"
-	OrderForgetMember = "forget" // a proxy: the operator vouches that it serves nothing any more
+	OrderForgetMember = "forget" // removes a proxy from the members; the operator vouches that it serves nothing
 )
 
-// Order is what an operator asks for.
+// Order is an operator's request for a change.
 type Order struct {
 	Format   int    `json:"v"`
 	ID       string `json:"id"`
@@ -83,38 +86,43 @@
 	Operator string `json:"who,omitempty"`
 }
 
-// PendingOrder is an order on record, about a tenant or, to forget, a proxy. One a name waits
-// at a time, so that changes of one tenant go in order.
+// PendingOrder is an order on record that waits for the controller. Only one order per name can wait, so that
+// the changes of a tenant are made in order.
 type PendingOrder struct {
-	Key     string
-	Name    string
+	Key     string // key of the order's record
+	Name    string // name of the tenant, or of the proxy for OrderForgetMember
 	Version uint64
 	Order   Order
 }
 
-// Member is a proxy that may serve tenants. Enrolled it stays until it has left, is forgotten, or must have
-// stopped by its own maximal staleness: a step that has to have all proxies waits for it, there or not.
+// Member is a proxy that may serve tenants. It stays on the member record until it has left, an operator has
+// it forgotten, or it must have stopped by its own maximal staleness. Until then, each step that needs all
+// members waits for it, even if it has no session.
 type Member struct {
 	Name string `json:"name"`
-	// a restart is another; it serves nothing before the member record has it
+	// Generation differs between a process and its restart. A proxy serves no tenant before the member record
+	// has its generation.
 	Generation uint64 `json:"life"`
-	// it stops after so long without contact with the registry; 0: never
+	// MaxStalenessMS is the time, in ms, after which the proxy stops serving tenants if it has no contact with
+	// the registry; 0: it never stops.
 	MaxStalenessMS int64 `json:"hold_ms,omitempty"`
 }
 
-// MaxStaleness is how long a member serves on without contact with the registry; 0: for ever.
+// MaxStaleness returns for how long a member serves tenants without contact with the registry; 0: without
+// limit.
 func (m Member) MaxStaleness() time.Duration {
 	return time.Duration(m.MaxStalenessMS) * time.Millisecond
 }
 
-// MemberRecord has the members, and the controllers' clock, which goes on from one to the next.
+// MemberRecord is the record of the members and of the controllers' clock, which each controller continues
+// from the value on record.
 type MemberRecord struct {
 	Format  int           `json:"v"`
 	Clock   time.Duration `json:"clock_ns"`
-	Members []Member      `json:"members,omitempty"` // by name
+	Members []Member      `json:"members,omitempty"` // sorted by name
 }
 
-// Keys of the records.
+// Keys, and prefixes of the keys, of the records in the registry.
 const (
 	Prefix       = "tenant/"
 	OrderPrefix  = "tenant-ask/"
@@ -124,22 +132,27 @@
 	PagePrefix   = "catalogue/page/"
 )
 
-// orderKey is where an order waits.
-func orderKey(do, name string) string {
-	if do == OrderForgetMember {
+// orderKey returns the key of the record in which an order waits.
+func orderKey(op, name string) string {
+	if op == OrderForgetMember {
 		return ForgetPrefix + name
 	}
 	return OrderPrefix + name
 }
 
-// DecodeTenant reads a record.
+// DecodeTenant decodes a tenant's record; version is the version of the record.
 func DecodeTenant(raw []byte, version uint64) (*Tenant, error) {
 	t := &Tenant{version: version}
 	if err := json.Unmarshal(raw, t); err != nil {
 		return nil, fmt.Errorf("tenant: a record that can't be read: %w", err)
 	}
-	if t.Format != format || t.Name == "" {
-		return nil, fmt.Errorf("tenant: record %q of form %d, this program knows %d", t.Name, t.Format, format)
+	if t.Format != documentFormat || t.Name == "" {
+		return nil, fmt.Errorf(
+			"tenant: record %q of form %d, this program knows %d",
+			t.Name,
+			t.Format,
+			documentFormat,
+		)
 	}
 	served := t.State == Active || t.State == Suspended || t.State == Changing || t.State == Switching ||
 		t.State == Draining
--- a/internal/tenant/report.go
+++ b/internal/tenant/report.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// Report is what a proxy tells an operator of its tenants.
+// Report is the state of a proxy's tenants that is shown to operators.
 type Report struct {
-	Number        uint64 `json:"number"` // of the catalogue it answers from; 0: none
+	Number        uint64 `json:"number"` // of the catalogue in use; 0: none
 	Ready         bool   `json:"ready"`
-	Authoritative bool   `json:"sure"` // it may say a definite no
-	// its authority for that ends in so many ms, unless its session is renewed
+	Authoritative bool   `json:"sure"` // it may decide that a tenant does not exist
+	// AuthorityMS is the time, in ms, until this authority ends unless the session is renewed.
 	AuthorityMS int64         `json:"until_ms"`
 	Behind      bool          `json:"behind"`  // a peer has a newer catalogue
-	Tenants     []KnownTenant `json:"tenants"` // by name
+	Tenants     []KnownTenant `json:"tenants"` // sorted by name
 }
 
-// KnownTenant is a tenant as a proxy knows it.
+// KnownTenant is a tenant in a proxy's cache.
 type KnownTenant struct {
 	Name         string `json:"name"`
 	Phase        Phase  `json:"phase"`
-	Since        uint64 `json:"since"` // the number of the catalogue in which this was new
-	OpenRequests int    `json:"open"`  // requests
+	Since        uint64 `json:"since"` // Entry.Since
+	OpenRequests int    `json:"open"`  // requests in flight
 }
 
-// Number is that of the catalogue that the cache has; 0: none.
-func (d *Cache) Number() uint64 { return d.number() }
+// Number returns the number of the cached catalogue; 0: none.
+func (c *Cache) Number() uint64 { return c.number() }
 
-// TenantCount is how many tenants it has; on demand, those that it holds.
-func (d *Cache) TenantCount() int { return len(d.entries) }
+// TenantCount returns the number of cached tenants. A cache on demand has only some of the catalogue's
+// tenants.
+func (c *Cache) TenantCount() int { return len(c.entries) }
 
-// Report tells how it stands.
-func (d *Cache) Report(now time.Duration) Report {
-	c := d.buildCatalogue()
-	r := Report{
-		Number:        c.number,
-		Ready:         c.ready,
-		Authoritative: c.isAuthoritative(now),
-		Behind:        c.behind,
+// Report returns the cache's state for operators.
+func (c *Cache) Report(now time.Duration) Report {
+	catalogue := c.buildCatalogue()
+	report := Report{
+		Number:        catalogue.number,
+		Ready:         catalogue.ready,
+		Authoritative: catalogue.isAuthoritative(now),
+		Behind:        catalogue.behind,
 		Tenants:       []KnownTenant{},
 	}
-	if d.authoritative {
-		r.AuthorityMS = max(0, (d.authorityUntil - now).Milliseconds())
+	if c.authoritative {
+		report.AuthorityMS = max(0, (c.authorityUntil - now).Milliseconds())
 	}
-	for _, name := range slices.Sorted(maps.Keys(d.entries)) {
-		e := d.entries[name]
-		r.Tenants = append(r.Tenants, KnownTenant{e.Name, e.Phase, e.Since, d.openRequests[e.Name]})
+	for _, name := range slices.Sorted(maps.Keys(c.entries)) {
+		e := c.entries[name]
+		report.Tenants = append(report.Tenants, KnownTenant{e.Name, e.Phase, e.Since, c.openRequests[e.Name]})
 	}
-	return r
+	return report
 }
--- a/internal/tenant/service_test.go
+++ b/internal/tenant/service_test.go
@@ -80,7 +80,7 @@
 			}
 		}
 	}
-	got := assemble(head, w.have, want.complete, want.since(head.Levels), nil)
+	got := assemble(head, w.have, want.complete, want.forLevels(head.Levels), nil)
 	if err != nil || got.err != nil || len(got.missing) > 0 {
 		w.fail("the catalogue is not whole: %v, %v, without %v", err, got.err, got.missing)
 	}
--- a/internal/tenant/snapshot.go
+++ b/internal/tenant/snapshot.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Phase is what proxies do with a tenant.
+// Phase is a tenant's state in the catalogue. It determines how proxies decide on the tenant's requests.
 type Phase string
 
-// The phases. A proxy that does not know one answers 503 for the tenant.
+// The phases. A proxy that does not know an entry's phase answers 503 for the tenant.
 const (
-	PhaseServe   Phase = "serve"   // by Now
-	PhasePrepare Phase = "prepare" // by Now still, or 503 where there is none; Next is made ready
-	PhaseHold    Phase = "hold"    // 503 for what Now and Next answer differently
-	PhaseDrain   Phase = "drain"   // refused; requests in flight end within its time
+	PhaseServe   Phase = "serve"   // requests are decided by Current
+	PhasePrepare Phase = "prepare" // requests are decided by Current, or get 503 without it; Next is prepared
+	PhaseHold    Phase = "hold"    // requests on which Current and Next differ get 503
+	PhaseDrain   Phase = "drain"   // requests are rejected; requests in flight end within the drain time
 )
 
 // Entry is a tenant in the catalogue.
@@ -25,13 +25,13 @@
 	Name    string `json:"name"`
 	Phase   Phase  `json:"phase"`
 	Current *Spec  `json:"now,omitempty"`
-	Next    *Spec  `json:"next,omitempty"` // none at Prepare or Hold: it goes
-	Since   uint64 `json:"since"`          // the number of the catalogue in which this was new
+	Next    *Spec  `json:"next,omitempty"` // nil in PhasePrepare or PhaseHold: it is being removed
+	Since   uint64 `json:"since"`          // number of the first catalogue with this entry
 
 	unknownFields rawFields
 }
 
-// phaseOf is the phase in the catalogue of a tenant in a state; tenants in the other states are not in it.
+// phaseOf has the phase in the catalogue for each state. Tenants in other states are not in the catalogue.
 var phaseOf = map[State]Phase{
 	Reserved:  PhasePrepare,
 	Active:    PhaseServe,
@@ -41,16 +41,16 @@
 	Draining:  PhaseDrain,
 }
 
-// entryOf returns what proxies are to do with a tenant on record; nil: it is not in the catalogue.
+// entryOf returns the catalogue's entry for a tenant on record, without Since; nil if it has none.
 func entryOf(t *Tenant) *Entry {
-	phase, published := phaseOf[t.State]
-	if !published {
+	phase, inCatalogue := phaseOf[t.State]
+	if !inCatalogue {
 		return nil
 	}
 	return &Entry{Name: t.Name, Phase: phase, Current: t.Current, Next: t.Next}
 }
 
-// drainTime is how long requests in flight of a tenant have to end.
+// drainTime returns how long the tenant's requests in flight have to end.
 func (e *Entry) drainTime() time.Duration {
 	if e.Current == nil {
 		return 0
@@ -58,98 +58,99 @@
 	return e.Current.DrainTime()
 }
 
-// equivalent reports whether two entries mean the same, since whenever; what only a newer controller knows is
-// left aside, and kept.
-func (e *Entry) equivalent(o *Entry) bool {
-	if e == nil || o == nil {
-		return e == o
+// equivalent reports whether two entries are equal except for Since and for fields that only a newer
+// controller knows.
+func (e *Entry) equivalent(other *Entry) bool {
+	if e == nil || other == nil {
+		return e == other
 	}
-	// specs are not changed once they are there
-	if e.Phase == o.Phase && e.Current == o.Current && e.Next == o.Next {
+	// specs are immutable, so that equal pointers mean equal specs
+	if e.Phase == other.Phase && e.Current == other.Current && e.Next == other.Next {
 		return true
 	}
-	a, b := *e, *o
+	a, b := *e, *other
 	a.Since, b.Since, a.unknownFields, b.unknownFields = 0, 0, nil, nil
-	x, err1 := json.Marshal(&a)
-	y, err2 := json.Marshal(&b)
-	return err1 == nil && err2 == nil && bytes.Equal(x, y)
+	encodedA, err1 := json.Marshal(&a)
+	encodedB, err2 := json.Marshal(&b)
+	return err1 == nil && err2 == nil && bytes.Equal(encodedA, encodedB)
 }
 
-// names are all that requests may use for an entry, each once.
+// names returns the sorted distinct names by which requests may refer to an entry.
 func (e *Entry) names() (all []string) {
-	for _, f := range []*Spec{e.Current, e.Next} {
-		if f != nil {
-			all = append(all, f.Names...)
+	for _, spec := range []*Spec{e.Current, e.Next} {
+		if spec != nil {
+			all = append(all, spec.Names...)
 		}
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// Snapshot is a catalogue as one head has it: complete, or some leaves of it. It never changes.
+// Snapshot is the catalogue of one head: the complete catalogue, or some leaves of it. It never changes.
 type Snapshot struct {
-	Number   uint64
-	levels   int           // of the hash tree whose leaves are the leaves; 0: one leaf has all
-	complete bool          // a leaf that is not here has no entries
-	leaves   map[int]*Leaf // by number of the leaf
-	needs    []PolicyNeed
+	Number      uint64
+	levels      int           // of the hash tree; 0: leaf 0 has all entries
+	complete    bool          // a leaf that is not in leaves has no entries
+	leaves      map[int]*Leaf // by number of the leaf
+	policyNeeds []PolicyNeed
 }
 
-// Leaf is what a leaf of the catalogue has.
+// Leaf has the entries of a leaf of the catalogue.
 type Leaf struct {
-	entries []*Entry // by name
-	bytes   int      // of its page
+	entries []*Entry // sorted by name
+	bytes   int      // length of the leaf's page
 }
 
-// find returns the entry of a tenant, if it is here.
-func (p *Leaf) find(name string) []*Entry {
-	i, there := slices.BinarySearchFunc(
-		p.entries,
+// find returns a slice of the entry of a tenant, or nil if the leaf does not have it.
+func (l *Leaf) find(name string) []*Entry {
+	i, found := slices.BinarySearchFunc(
+		l.entries,
 		name,
 		func(e *Entry, name string) int { return cmp.Compare(e.Name, name) },
 	)
-	if !there {
+	if !found {
 		return nil
 	}
-	return p.entries[i : i+1]
+	return l.entries[i : i+1]
 }
 
-var noEntries = &Leaf{}
+// emptyLeaf is the content of a leaf without a page.
+var emptyLeaf = &Leaf{}
 
-// NewSnapshot is a catalogue that is complete, in one leaf.
+// NewSnapshot returns a complete catalogue in the flat form, with all entries in leaf 0.
 func NewSnapshot(number uint64, entries ...*Entry) *Snapshot {
-	all := slices.SortedFunc(
+	sorted := slices.SortedFunc(
 		slices.Values(entries),
 		func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) },
 	)
-	return &Snapshot{Number: number, complete: true, leaves: map[int]*Leaf{0: {entries: all}}}
+	return &Snapshot{Number: number, complete: true, leaves: map[int]*Leaf{0: {entries: sorted}}}
 }
 
-// Leaves are those of the catalogue that are here, by their numbers; they are not to be changed. A leaf that
-// two catalogues have alike is the same.
-func (i *Snapshot) Leaves() map[int]*Leaf { return i.leaves }
+// Leaves returns the leaves of the snapshot by their numbers, which the caller must not change. A leaf that
+// is the same in two catalogues that a Reader has read is the same pointer.
+func (s *Snapshot) Leaves() map[int]*Leaf { return s.leaves }
 
-// Entries are those of a leaf, by name; they are not to be changed.
-func (p *Leaf) Entries() []*Entry { return p.entries }
+// Entries returns the entries of a leaf, sorted by name. The caller must not change them.
+func (l *Leaf) Entries() []*Entry { return l.entries }
 
-// hasLeaf reports whether a leaf is here; one that has nothing may be.
-func (i *Snapshot) hasLeaf(part int) bool { return i.complete || i.leaves[part] != nil }
+// hasLeaf reports whether the snapshot has the content of a leaf, which may be empty.
+func (s *Snapshot) hasLeaf(leaf int) bool { return s.complete || s.leaves[leaf] != nil }
 
-// byName returns the entries; one that is in several leaves once.
-func (i *Snapshot) byName() map[string]*Entry {
+// byName returns the entries of all leaves by the tenants' names.
+func (s *Snapshot) byName() map[string]*Entry {
 	all := map[string]*Entry{}
-	for _, p := range i.leaves {
-		for _, e := range p.entries {
+	for _, leaf := range s.leaves {
+		for _, e := range leaf.entries {
 			all[e.Name] = e
 		}
 	}
 	return all
 }
 
-// Sorted returns the entries by name.
-func (i *Snapshot) Sorted() []*Entry {
+// Sorted returns the entries, sorted by the tenants' names.
+func (s *Snapshot) Sorted() []*Entry {
 	return slices.SortedFunc(
-		maps.Values(i.byName()),
+		maps.Values(s.byName()),
 		func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) },
 	)
 }
--- a/internal/tenant/statemachine.go
+++ b/internal/tenant/statemachine.go
@@ -10,28 +10,32 @@
 )
 
 const (
-	drainSlack = time.Second // beyond late: a proxy looks at its drains within it
-	// the member record's clock is written so often while a tombstone waits for it
-	clockInterval = 10 * time.Second
-	maxMembers    = 2000    // members, each with a session of the registry
-	maxAhead      = 1 << 32 // a proxy that says to be further ahead of the catalogue is not believed
+	// drainSlack is added to the waits for a member to stop, as a proxy checks its drains only at intervals.
+	drainSlack = time.Second
+	// clockWriteInterval is the interval at which the clock on the member record is written while a tombstone
+	// waits for its end.
+	clockWriteInterval = 10 * time.Second
+	maxMembers         = 2000 // each has a session of the registry
+	// maxCatalogueLead bounds by how many numbers a proxy's status may be ahead of the catalogue. The
+	// numbers of a status beyond the bound count as 0.
+	maxCatalogueLead = 1 << 32
 )
 
-// PolicyFloors is what the machine needs of the current table.
+// PolicyFloors has the part of the current policy table that the state machine needs.
 type PolicyFloors struct {
 	Version    uint64
-	Floors     map[string]float64 // of each limit that a tenant may have
-	TotalFloor float64            // all floors together at most
+	Floors     map[string]float64 // floor of each limit that a tenant may have
+	TotalFloor float64            // upper bound of the sum of all tenants' floors
 }
 
-// Session is a proxy's session with the registry, open when it was looked at.
+// Session is a proxy's session with the registry that was open when it was read.
 type Session struct {
 	Proxy  string
 	Status Status
 }
 
-// Observation is what a controller sees, read from the records as they are, not from membership: who has to
-// be waited for rests on it.
+// Observation is the input of a controller's round. It is read from the registry's current records, not from
+// membership, as the steps' waits for proxies depend on it.
 type Observation struct {
 	Sessions  []Session
 	Policy    PolicyFloors
@@ -39,52 +43,53 @@
 	Orders    []PendingOrder
 }
 
-// Stored is what is on record when a controller begins.
+// Stored is the state on record when a controller starts.
 type Stored struct {
 	Tenants        []*Tenant
 	Head           Head
-	HeadVersion    uint64            // 0: there is none
-	Snapshot       *Snapshot         // of the head
-	Pages          map[string]uint64 // versions by digest
+	HeadVersion    uint64            // 0: there is no head
+	Snapshot       *Snapshot         // the catalogue of the head
+	Pages          map[string]uint64 // versions of the pages' records, by digest
 	Members        MemberRecord
 	MembersVersion uint64
 }
 
-// StateMachine decides the next writes of a controller. It is pure; times are of the
-// controller's monotonic clock. One that a write fails for is thrown away: the next
-// begins from what is on record.
+// StateMachine decides the next writes of a controller. It is pure; its times are those of the controller's
+// monotonic clock. After a write that fails, the controller discards the state machine and loads another from
+// the state on record.
 type StateMachine struct {
 	times          Times
 	tenants        map[string]*Tenant
-	entries        map[string]*Entry  // of the last catalogue
-	unsettled      map[string]*Tenant // those that are not settled, or only for a time
+	entries        map[string]*Entry  // entries of the last catalogue, by tenant
+	unsettled      map[string]*Tenant // tenants that are not settled, or whose record expires
 	claims         claims
-	inTransition   map[string]*Entry // those of them that are not simply served
-	tree           *tree             // of it; nil: its pages are to be written anew
-	comparedOnce   bool              // all tenants have been compared with it once
-	stalePages     []string          // pages on record that it has not: the next one takes them away
+	inTransition   map[string]*Entry // entries of the last catalogue in other phases than PhaseServe
+	tree           *tree             // pages of the last catalogue; nil: all pages have to be written
+	comparedAll    bool              // all tenants have been compared with the last catalogue once
+	stalePages     []string          // digests of pages that the last catalogue lacks; the next one deletes them
 	head           Head
 	headVersion    uint64
-	pages          map[string]uint64 // versions of those on record, by digest
+	pages          map[string]uint64 // versions of the pages on record, by digest
 	members        MemberRecord
 	membersVersion uint64
-	membersDirty   bool // the member record is to be written
+	membersDirty   bool // the member record has to be written
 
-	hashTree bool // the catalogue is written as one
+	hashTree bool // the catalogue is written as a hash tree
 
 	startedAt    time.Duration            // by the controller's clock
-	clockAtStart time.Duration            // of the member record, then
-	absentSince  map[string]time.Duration // since when a member has had no session
-	orderSeenAt  map[string]time.Duration // when this controller saw the order that a tenant follows
-	stateSince   map[string]time.Duration // when a tenant came into its state
-	waitingFor   map[string][]string      // the members that a tenant waits for
+	clockAtStart time.Duration            // MemberRecord.Clock at startedAt
+	absentSince  map[string]time.Duration // time since which a member has had no session
+	orderSeenAt  map[string]time.Duration // time at which this controller first saw a tenant's current order
+	stateSince   map[string]time.Duration // time at which a tenant entered its state
+	waitingFor   map[string][]string      // members that a tenant waits for
 }
 
-// Load begins a controller's work. Waits that were under way begin anew. With hashTree the
-// catalogue is written as a hash tree, else flat, whichever it is on record.
-func Load(now time.Duration, s Stored, t Times, hashTree bool) *StateMachine {
+// Load returns a state machine that continues from the state on record. Waits that were in progress start
+// again. With hashTree the catalogue is written as a hash tree, otherwise in the flat form, regardless of its
+// form on record.
+func Load(now time.Duration, stored Stored, times Times, hashTree bool) *StateMachine {
 	m := &StateMachine{
-		times:        t,
+		times:        times,
 		hashTree:     hashTree,
 		tenants:      map[string]*Tenant{},
 		entries:      map[string]*Entry{},
@@ -95,29 +100,29 @@
 			map[string]string{},
 			map[string][]claim{},
 		},
-		head:           s.Head,
-		headVersion:    s.HeadVersion,
-		pages:          maps.Clone(s.Pages),
-		members:        s.Members,
-		membersVersion: s.MembersVersion,
+		head:           stored.Head,
+		headVersion:    stored.HeadVersion,
+		pages:          maps.Clone(stored.Pages),
+		members:        stored.Members,
+		membersVersion: stored.MembersVersion,
 		startedAt:      now,
-		clockAtStart:   s.Members.Clock,
+		clockAtStart:   stored.Members.Clock,
 		absentSince:    map[string]time.Duration{},
 		orderSeenAt:    map[string]time.Duration{},
 		stateSince:     map[string]time.Duration{},
 	}
-	if s.Snapshot != nil {
-		m.entries = s.Snapshot.byName()
+	if stored.Snapshot != nil {
+		m.entries = stored.Snapshot.byName()
 	}
 	for name, e := range m.entries {
 		if e.Phase != PhaseServe {
 			m.inTransition[name] = e
 		}
 	}
-	m.members.Format = format
-	for _, one := range s.Tenants {
-		m.tenants[one.Name], m.orderSeenAt[one.Name], m.stateSince[one.Name] = one, now, now
-		m.tenantSettled(one.Name)
+	m.members.Format = documentFormat
+	for _, tenant := range stored.Tenants {
+		m.tenants[tenant.Name], m.orderSeenAt[tenant.Name], m.stateSince[tenant.Name] = tenant, now, now
+		m.reindexTenant(tenant.Name)
 	}
 	if m.pages == nil {
 		m.pages = map[string]uint64{}
@@ -136,44 +141,44 @@
 	return true
 }
 
-// round is one look, with the writes that come of it.
+// round is one observation and the writes that follow from it.
 type round struct {
 	Observation
 	now           time.Duration
-	sessions      map[string][]Status // by proxy
-	changed       map[string]bool     // tenants
-	removed       map[string]bool     // records to be taken away
-	floorSum      float64             // of the floors that are taken, if
+	sessions      map[string][]Status // statuses by proxy
+	changed       map[string]bool     // tenants whose records have to be written
+	removed       map[string]bool     // tenants whose records have to be deleted
+	floorSum      float64             // sum of the floors of all claimed limits, if floorSumKnown
 	floorSumKnown bool
 	writes        []RecordWrite
 }
 
-// Handle returns the writes that a look calls for. All are carried out, and reported by RecordWritten, before
-// the next.
-func (m *StateMachine) Handle(now time.Duration, l Observation) ([]RecordWrite, error) {
+// Handle returns the writes that follow from an observation, sorted by stage. All of them have to be carried
+// out, and reported by RecordWritten, before the next call.
+func (m *StateMachine) Handle(now time.Duration, observation Observation) ([]RecordWrite, error) {
 	r := &round{
-		Observation: l,
+		Observation: observation,
 		now:         now,
 		sessions:    map[string][]Status{},
 		changed:     map[string]bool{},
 		removed:     map[string]bool{},
 	}
 	m.waitingFor = map[string][]string{}
-	r.Sessions = slices.Clone(l.Sessions)
+	r.Sessions = slices.Clone(observation.Sessions)
 	for i, s := range r.Sessions {
-		if s.Status.Prepared > m.head.Number+maxAhead {
+		if s.Status.Prepared > m.head.Number+maxCatalogueLead {
 			s.Status.Prepared, s.Status.DrainedUpTo = 0, 0
 			r.Sessions[i] = s
 		}
 		r.sessions[s.Proxy] = append(r.sessions[s.Proxy], s.Status)
 	}
 	m.updateMembers(r)
-	if !m.wasRestored(r) { // else the statuses are about another catalogue
+	if !m.wasRestored(r) { // after a restore, the statuses are about another catalogue
 		for _, name := range slices.Sorted(maps.Keys(m.unsettled)) {
 			m.advance(r, m.unsettled[name])
 		}
-		for _, a := range l.Orders {
-			m.takeOrder(r, a)
+		for _, order := range observation.Orders {
+			m.takeOrder(r, order)
 		}
 	}
 	if err := m.writeRecords(r); err != nil {
@@ -183,31 +188,32 @@
 		return nil, err
 	}
 	for name := range r.changed {
-		m.tenantSettled(name)
+		m.reindexTenant(name)
 	}
 	for name := range r.removed {
-		m.tenantSettled(name)
+		m.reindexTenant(name)
 	}
-	slices.SortStableFunc(r.writes, func(a, b RecordWrite) int { return cmp.Compare(a.Stage, b.Stage) })
+	slices.SortStableFunc(r.writes, func(order, b RecordWrite) int { return cmp.Compare(order.Stage, b.Stage) })
 	return r.writes, nil
 }
 
-// RecordWritten tells the version that a write has made.
-func (m *StateMachine) RecordWritten(p RecordWrite, version uint64) {
-	if digest, is := keyName(p.Key, PagePrefix); is && p.Value != nil {
+// RecordWritten reports the record's version after a write.
+func (m *StateMachine) RecordWritten(write RecordWrite, version uint64) {
+	if digest, ok := keyName(write.Key, PagePrefix); ok && write.Value != nil {
 		m.pages[digest] = version
 	}
-	switch name, is := keyName(p.Key, Prefix); {
-	case p.Key == HeadKey:
+	switch name, ok := keyName(write.Key, Prefix); {
+	case write.Key == HeadKey:
 		m.headVersion = version
-	case p.Key == MembersKey:
+	case write.Key == MembersKey:
 		m.membersVersion = version
-	case is && m.tenants[name] != nil:
+	case ok && m.tenants[name] != nil:
 		m.tenants[name].version = version
 	}
 }
 
-// keyName returns what follows a prefix.
+// keyName returns the part of a key that follows a prefix, and whether the key has the prefix and such a
+// part.
 func keyName(key, prefix string) (string, bool) {
 	if len(key) <= len(prefix) || key[:len(prefix)] != prefix {
 		return "", false
@@ -216,18 +222,18 @@
 }
 
 // setState moves a tenant to a state.
-func (m *StateMachine) setState(r *round, t *Tenant, s State) {
-	t.State, m.stateSince[t.Name] = s, r.now
+func (m *StateMachine) setState(r *round, t *Tenant, state State) {
+	t.State, m.stateSince[t.Name] = state, r.now
 	r.changed[t.Name] = true
 }
 
-// writeRecords writes tenants that changed, and the member record.
+// writeRecords adds the writes of changed and removed tenants and, if it has changed, of the member record.
 func (m *StateMachine) writeRecords(r *round) error {
 	for _, name := range slices.Sorted(maps.Keys(r.changed)) {
 		t := m.tenants[name]
 		raw, err := json.Marshal(t)
 		if err != nil {
-			return fmt.Errorf("tenant: record of %s: %w", name, err)
+			return fmt.Errorf("tenant: encode record of tenant %s: %w", name, err)
 		}
 		r.writes = append(
 			r.writes,
@@ -237,7 +243,7 @@
 	for _, name := range slices.Sorted(maps.Keys(r.removed)) {
 		r.writes = append(
 			r.writes,
-			RecordWrite{Stage: stageAfter, Key: Prefix + name, Version: m.tenants[name].version},
+			RecordWrite{Stage: stageCleanup, Key: Prefix + name, Version: m.tenants[name].version},
 		)
 		delete(m.tenants, name)
 	}
@@ -245,7 +251,7 @@
 		m.members.Clock = m.clockAt(r.now)
 		raw, err := json.Marshal(m.members)
 		if err != nil {
-			return fmt.Errorf("tenant: the members: %w", err)
+			return fmt.Errorf("tenant: encode member record: %w", err)
 		}
 		r.writes = append(
 			r.writes,
@@ -256,7 +262,7 @@
 	return nil
 }
 
-// clockAt is the controllers' clock.
+// clockAt returns the time of the controllers' clock.
 func (m *StateMachine) clockAt(now time.Duration) time.Duration {
 	return m.clockAtStart + now - m.startedAt
 }
--- a/internal/tenant/status.go
+++ b/internal/tenant/status.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Status is what a proxy's session tells the controller of it: the note of the session.
+// Status is the part of a proxy's state that the proxy reports to the controller in its session's note.
 type Status struct {
 	Generation  uint64
-	Prepared    uint64 // the number of the catalogue that it has taken up, with all that its specs need
-	DrainedUpTo uint64 // nothing is open of what began to drain up to this number
-	// it serves no tenant after so long without contact with the registry; 0: it serves on
+	Prepared    uint64 // number of the last catalogue that the proxy applies and has all needed limits for
+	DrainedUpTo uint64 // no requests are in flight of tenants whose drain began up to this catalogue number
+	// MaxStaleness is the time after which the proxy serves no tenant if it has no contact with the registry; 0:
+	// it serves without limit.
 	MaxStaleness time.Duration
-	Left         bool // it serves nothing any more, and nothing is open
+	Left         bool // the proxy has stopped serving tenants and has no requests in flight
 }
 
-// Encode is the text form of the status in a session's note. Other words of the note may stand beside it.
-func (w Status) Encode() string {
-	s := fmt.Sprintf(
+// Encode returns the text form of the status in a session's note. The note may contain other fields.
+func (s Status) Encode() string {
+	text := fmt.Sprintf(
 		"life=%d catalogue=%d ended=%d hold_ms=%d",
-		w.Generation,
-		w.Prepared,
-		w.DrainedUpTo,
-		w.MaxStaleness.Milliseconds(),
+		s.Generation,
+		s.Prepared,
+		s.DrainedUpTo,
+		s.MaxStaleness.Milliseconds(),
 	)
-	if w.Left {
-		s += " left=1"
+	if s.Left {
+		text += " left=1"
 	}
-	return s
+	return text
 }
 
-// ParseStatus finds a proxy's status in a session's note; ok is false where there is none. What it does not
-// know it passes over.
-func ParseStatus(note string) (w Status, ok bool) {
+// ParseStatus returns a proxy's status from a session's note; ok is false if the note has none. Unknown
+// fields are ignored.
+func ParseStatus(note string) (status Status, ok bool) {
 	for field := range strings.FieldsSeq(note) {
 		key, value, _ := strings.Cut(field, "=")
 		n, err := strconv.ParseUint(value, 10, 63)
@@ -43,26 +44,30 @@
 		}
 		switch key {
 		case "life":
-			w.Generation = n
+			status.Generation = n
 		case "catalogue":
-			w.Prepared, ok = n, true
+			status.Prepared, ok = n, true
 		case "ended":
-			w.DrainedUpTo = n
+			status.DrainedUpTo = n
 		case "hold_ms":
-			w.MaxStaleness = time.Duration(min(n, uint64(maxMaxStaleness.Milliseconds()))) * time.Millisecond
+			status.MaxStaleness = time.Duration(min(n, uint64(maxStalenessLimit.Milliseconds()))) * time.Millisecond
 		case "left":
-			w.Left = n == 1
+			status.Left = n == 1
 		}
 	}
-	return w, ok && w.Generation > 0
+	return status, ok && status.Generation > 0
 }
 
-// of a status that is read; the longer counts as this, also at the proxy
-const maxMaxStaleness = 24 * time.Hour
+// maxStalenessLimit bounds MaxStaleness. A larger value counts as this one, both for the controller and at
+// the proxy.
+const maxStalenessLimit = 24 * time.Hour
 
-// Times that the controller and the proxies count on different clocks. Two clocks' rates differ by at most 1
-// in 1,000. A proxy's authority for a definite no ends a five hundredth of the TTL early, and the controller
-// waits a four hundredth longer than the proxy: each is more than the two rates' difference.
+// The functions below adjust times that the controller and the proxies measure on different clocks, whose
+// rates differ by at most 1 in 1,000. A proxy's authority ends 1/500 of the TTL early, and the controller
+// waits 1/400 longer than the proxy. Both margins are larger than the difference of the rates.
+
+// shortened returns a time less the margin of a proxy.
 func shortened(d time.Duration) time.Duration { return d - d/500 }
 
+// lengthened returns a time plus the margin of the controller.
 func lengthened(d time.Duration) time.Duration { return d + d/400 }
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -13,64 +13,65 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Records keeps tenants in the registry, under the controller's fencing token.
+// Records is a Store in the registry. It writes under the controller's fencing token.
 type Records struct {
 	Registry *client.Client
 	Token    registry.FencingToken
 
 	mu         sync.Mutex
-	seenOrders map[string]registry.Record // orders by key, as far as they were read
+	seenOrders map[string]registry.Record // the pending orders that were read last, by key
 }
 
-// hasCode reports whether the registry's refusal has a code.
+// hasCode reports whether an error is a response of the registry with a code.
 func hasCode(err error, code registry.Code) bool {
-	var r *client.Error
-	return errors.As(err, &r) && r.Code == string(code)
+	var refusal *client.Error
+	return errors.As(err, &refusal) && refusal.Code == string(code)
 }
 
-// readRecords reads the records under a prefix, as they are now. One that goes in between is passed over.
+// readRecords reads the current records whose keys have a prefix. It skips records that are deleted
+// meanwhile. It takes records from seen (by key) that still have the same version.
 func readRecords(
 	ctx context.Context,
-	k *client.Client,
+	reg *client.Client,
 	prefix string,
 	seen map[string]registry.Record,
 ) ([]registry.Record, error) {
-	keys, err := k.Records(ctx, prefix)
+	keys, err := reg.Records(ctx, prefix)
 	if err != nil {
 		return nil, err
 	}
-	all := make([]registry.Record, len(keys))
+	records := make([]registry.Record, len(keys))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(maxParallelWrites)
-	for i, one := range keys {
-		if old, ok := seen[one.Key]; ok && old.Version == one.Version {
-			all[i] = old
+	g.SetLimit(maxParallelCalls)
+	for i, listed := range keys {
+		if cached, ok := seen[listed.Key]; ok && cached.Version == listed.Version {
+			records[i] = cached
 			continue
 		}
 		g.Go(func() error {
-			r, err := k.Record(ctx, one.Key)
+			r, err := reg.Record(ctx, listed.Key)
 			if isNotFound(err) {
 				return nil
 			}
-			all[i] = r
+			records[i] = r
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	there := all[:0]
-	for _, r := range all {
+	found := records[:0]
+	for _, r := range records {
 		if r.Key != "" {
-			there = append(there, r)
+			found = append(found, r)
 		}
 	}
-	return there, nil
+	return found, nil
 }
 
-// readRecord reads one record into v; a record that is not there has version 0.
-func readRecord(ctx context.Context, k Source, key string, v any) (uint64, error) {
-	r, err := k.Record(ctx, key)
+// readRecord decodes a record into v and returns its version. The version of a missing record is 0.
+func readRecord(ctx context.Context, source Source, key string, v any) (uint64, error) {
+	r, err := source.Record(ctx, key)
 	if isNotFound(err) {
 		return 0, nil
 	}
@@ -83,44 +84,44 @@
 	return r.Version, nil
 }
 
-// Stored reads all that a controller begins from.
+// Stored reads the state from which a controller starts.
 func (r *Records) Stored(ctx context.Context) (s Stored, err error) {
 	return ReadStored(ctx, r.Registry)
 }
 
-// ReadStored reads all that is on record. The catalogue may change while it is read by
-// one who does not hold the fencing token; then it is read again.
-func ReadStored(ctx context.Context, k *client.Client) (s Stored, err error) {
-	tenants, err := readRecords(ctx, k, Prefix, nil)
+// ReadStored reads all records of tenants. If another process is the lease holder, the catalogue may change
+// while it is read; then it is read again.
+func ReadStored(ctx context.Context, reg *client.Client) (stored Stored, err error) {
+	tenants, err := readRecords(ctx, reg, Prefix, nil)
 	if err != nil {
-		return s, err
+		return stored, err
 	}
-	for _, one := range tenants {
-		t, err := DecodeTenant(one.Value, one.Version)
+	for _, record := range tenants {
+		t, err := DecodeTenant(record.Value, record.Version)
 		if err != nil {
-			return s, err
+			return stored, err
 		}
-		s.Tenants = append(s.Tenants, t)
+		stored.Tenants = append(stored.Tenants, t)
 	}
-	if s.MembersVersion, err = readRecord(ctx, k, MembersKey, &s.Members); err != nil {
-		return s, err
+	if stored.MembersVersion, err = readRecord(ctx, reg, MembersKey, &stored.Members); err != nil {
+		return stored, err
 	}
 	for range readAttempts {
-		if err = s.catalogue(ctx, k); !errors.Is(err, errMissing) {
+		if err = stored.catalogue(ctx, reg); !errors.Is(err, errPageMissing) {
 			break
 		}
 	}
-	return s, err
+	return stored, err
 }
 
-// catalogue reads the head and then all pages that there are.
-func (s *Stored) catalogue(ctx context.Context, k *client.Client) error {
-	one, err := k.Record(ctx, HeadKey)
+// catalogue reads the head, and then all pages on record.
+func (s *Stored) catalogue(ctx context.Context, reg *client.Client) error {
+	record, err := reg.Record(ctx, HeadKey)
 	if err != nil && !isNotFound(err) {
 		return err
 	}
-	there := err == nil
-	found, err := readRecords(ctx, k, PagePrefix, nil)
+	hasHead := err == nil
+	found, err := readRecords(ctx, reg, PagePrefix, nil)
 	if err != nil {
 		return err
 	}
@@ -133,39 +134,40 @@
 		}
 		s.Pages[digest] = p.Version
 	}
-	if !there {
+	if !hasHead {
 		return nil
 	}
-	if s.Head, err = DecodeHead(one.Value); err != nil {
+	if s.Head, err = DecodeHead(record.Value); err != nil {
 		return err
 	}
-	s.HeadVersion = one.Version
-	w := assemble(s.Head, pages, true, nil, nil)
-	s.Snapshot = w.snapshot
-	if len(w.missing) > 0 {
-		return fmt.Errorf("%w: page %s of catalogue %d", errMissing, w.missing[0], s.Head.Number)
+	s.HeadVersion = record.Version
+	walk := assemble(s.Head, pages, true, nil, nil)
+	s.Snapshot = walk.snapshot
+	if len(walk.missing) > 0 {
+		return fmt.Errorf("%w: page %s of catalogue %d", errPageMissing, walk.missing[0], s.Head.Number)
 	}
-	return w.err
+	return walk.err
 }
 
-// Sessions returns the proxies' sessions.
+// Sessions returns the proxies' current sessions.
 func (r *Records) Sessions(ctx context.Context) ([]Session, error) {
 	return ReadSessions(ctx, r.Registry)
 }
 
-// ReadSessions returns the proxies' sessions, as they are now.
-func ReadSessions(ctx context.Context, k *client.Client) (all []Session, err error) {
-	a, err := k.Leases(ctx)
-	for _, s := range a.Sessions {
-		if w, ok := ParseStatus(s.Info.Note); ok {
-			all = append(all, Session{s.Process, w})
+// ReadSessions returns the proxies' current sessions.
+func ReadSessions(ctx context.Context, reg *client.Client) (all []Session, err error) {
+	leases, err := reg.Leases(ctx)
+	for _, s := range leases.Sessions {
+		if status, ok := ParseStatus(s.Info.Note); ok {
+			all = append(all, Session{s.Process, status})
 		}
 	}
 	return all, err
 }
 
-// PendingOrders returns the orders that wait. One that can't be read is no order, which goes on record.
-func (r *Records) PendingOrders(ctx context.Context) (all []PendingOrder, err error) {
+// PendingOrders returns the orders that wait. An invalid order gets the unknown operation "unreadable", so
+// that the controller records its rejection.
+func (r *Records) PendingOrders(ctx context.Context) (orders []PendingOrder, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := map[string]registry.Record{}
@@ -174,56 +176,57 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, one := range found {
-			next[one.Key] = one
-			a := PendingOrder{Version: one.Version}
-			a.Name, _ = keyName(one.Key, prefix)
-			if json.Unmarshal(one.Value, &a.Order) != nil || a.Order.Format != format || a.Order.ID == "" ||
-				(prefix == ForgetPrefix) != (a.Order.Op == OrderForgetMember) {
-				a.Order = Order{ID: fmt.Sprint("unreadable-", one.Version), Op: "unreadable"}
+		for _, record := range found {
+			next[record.Key] = record
+			order := PendingOrder{Version: record.Version}
+			order.Name, _ = keyName(record.Key, prefix)
+			if json.Unmarshal(record.Value, &order.Order) != nil ||
+				order.Order.Format != documentFormat || order.Order.ID == "" ||
+				(prefix == ForgetPrefix) != (order.Order.Op == OrderForgetMember) {
+				order.Order = Order{ID: fmt.Sprint("unreadable-", record.Version), Op: "unreadable"}
 			}
-			a.Key = one.Key
-			all = append(all, a)
+			order.Key = record.Key
+			orders = append(orders, order)
 		}
 	}
 	r.seenOrders = next
-	return all, nil
+	return orders, nil
 }
 
-// Put carries a write out under the fencing token.
-func (r *Records) Put(ctx context.Context, p RecordWrite) (uint64, error) {
-	cond := &p.Version
-	if p.Unconditional {
-		cond = nil
+// Put carries out a write under the fencing token, and returns the record's version after the write.
+func (r *Records) Put(ctx context.Context, write RecordWrite) (uint64, error) {
+	expected := &write.Version
+	if write.Unconditional {
+		expected = nil
 	}
-	got, err := r.Registry.WithToken(r.Token).Put(ctx, p.Key, p.Value, cond)
+	response, err := r.Registry.WithToken(r.Token).Put(ctx, write.Key, write.Value, expected)
 	switch {
 	case hasCode(err, registry.StaleToken):
 		return 0, fmt.Errorf("%w: %w", ErrSuperseded, err)
-	case p.Value == nil && isNotFound(err): // it is gone already
+	case write.Value == nil && isNotFound(err): // the record has been deleted already
 		return 0, nil
 	}
-	return got.EntryVersion, err
+	return response.EntryVersion, err
 }
 
-// SubmitOrder leaves an order for the controller. One at a time waits; false where there is one.
-func SubmitOrder(ctx context.Context, k *client.Client, name string, o Order) (bool, error) {
-	o.Format = format
-	raw, err := json.Marshal(o)
+// SubmitOrder writes an order for the controller. It returns false if another order with the same name waits.
+func SubmitOrder(ctx context.Context, reg *client.Client, name string, order Order) (bool, error) {
+	order.Format = documentFormat
+	raw, err := json.Marshal(order)
 	if err != nil {
 		return false, err
 	}
 	absent := uint64(0)
-	_, err = k.Put(ctx, orderKey(o.Op, name), raw, &absent)
+	_, err = reg.Put(ctx, orderKey(order.Op, name), raw, &absent)
 	if hasCode(err, registry.Conflict) {
 		return false, nil
 	}
 	return err == nil, err
 }
 
-// OrderPending reports whether an order still waits to be taken.
-func OrderPending(ctx context.Context, k *client.Client, name string, o Order) (bool, error) {
-	var waits Order
-	version, err := readRecord(ctx, k, orderKey(o.Op, name), &waits)
-	return version > 0 && waits.ID == o.ID, err
+// OrderPending reports whether an order still waits for the controller.
+func OrderPending(ctx context.Context, reg *client.Client, name string, order Order) (bool, error) {
+	var pending Order
+	version, err := readRecord(ctx, reg, orderKey(order.Op, name), &pending)
+	return version > 0 && pending.ID == order.ID, err
 }
--- a/internal/tenant/times.go
+++ b/internal/tenant/times.go
@@ -4,16 +4,19 @@
 	"time"
 )
 
-// Times of a controller's waits. docs/tenants.md has what ends each.
+// Times are the limits of a controller's waits. docs/tenants.md describes what ends each wait.
 type Times struct {
-	Prepare time.Duration // from an order's taking: proxies that have not prepared it by then have it taken back
-	// of 503 for what differs; after it the previous spec is served again, and it is prepared anew
+	// Prepare is the time that proxies have, from the taking of an order, to prepare it. Then the order is
+	// reverted.
+	Prepare time.Duration
+	// Switch is the longest time for which proxies answer 503 for requests on which the current and the next
+	// spec differ. Then proxies serve by the current spec again, and prepare the next spec again.
 	Switch    time.Duration
-	Tombstone time.Duration // names of one that is gone, or was refused, stay on record so long
+	Tombstone time.Duration // time for which the record of a removed or rejected tenant is retained
 }
 
-// DefaultTimes are those of a controller without other settings. Switch is ten times what a proxy needs to
-// hear of a catalogue when it polls each half second.
+// DefaultTimes returns the times of a controller without other settings. Switch is ten times the time in
+// which a proxy that polls each half second learns of a catalogue.
 func DefaultTimes() Times {
 	return Times{Prepare: 30 * time.Second, Switch: 5 * time.Second, Tombstone: 10 * time.Minute}
 }
--- a/internal/tenant/tree.go
+++ b/internal/tenant/tree.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// tree is the catalogue as its pages: what a controller has published, so that it writes
-// of the next only what differs.
+// tree has the pages of the catalogue that a controller published last, so that the controller writes only
+// the pages of the next catalogue that differ.
 type tree struct {
-	levels  int              // as in a head
-	leaves  map[int][]*Entry // by name
-	digests []map[int]string // of the pages of each level, the leaves' last
-	uses    map[string]int   // how often a digest is named: equal leaves are one page
+	levels    int              // Head.Levels
+	leaves    map[int][]*Entry // entries of each leaf, sorted by name
+	digests   []map[int]string // digests of the pages of each level, from the top to the leaves
+	useCounts map[string]int   // number of references to a digest: equal leaves are one page
 }
 
 func newTree(levels int) *tree {
 	t := &tree{
-		levels:  levels,
-		leaves:  map[int][]*Entry{},
-		uses:    map[string]int{},
-		digests: make([]map[int]string, max(1, levels)),
+		levels:    levels,
+		leaves:    map[int][]*Entry{},
+		useCounts: map[string]int{},
+		digests:   make([]map[int]string, max(1, levels)),
 	}
 	for i := range t.digests {
 		t.digests[i] = map[int]string{}
@@ -28,8 +28,8 @@
 	return t
 }
 
-// treeOf is the tree of some entries, with all its pages.
-func treeOf(levels int, entries map[string]*Entry) (*tree, map[string][]byte, error) {
+// buildTree returns the tree of some entries, and all its encoded pages by digest.
+func buildTree(levels int, entries map[string]*Entry) (*tree, map[string][]byte, error) {
 	t := newTree(levels)
 	all := make([]change, 0, len(entries))
 	for _, e := range entries {
@@ -39,91 +39,93 @@
 	return t, raw, err
 }
 
-// change is of one entry, nil where there is none.
+// change is the change of an entry. before is nil for a new entry, after is nil for a deleted entry.
 type change struct{ before, after *Entry }
 
-// apply makes changes, and gives the pages that are new by their digests, and the digests
-// that are not used any more.
-func (t *tree) apply(changes []change) (raw map[string][]byte, left []string, err error) {
+// apply makes changes. It returns the new pages, encoded, by digest, and the digests of pages that are no
+// longer used.
+func (t *tree) apply(changes []change) (raw map[string][]byte, unused []string, err error) {
 	raw = map[string][]byte{}
 	touched := t.changeLeaves(changes)
 	for level := len(t.digests) - 1; level >= 0; level-- {
-		above := map[int]bool{}
-		for at := range touched {
-			digest, b, err := t.page(level, at).encode()
+		parents := map[int]bool{}
+		for index := range touched {
+			digest, b, err := t.page(level, index).encode()
 			if err != nil {
 				return nil, nil, err
 			}
-			if was := t.digests[level][at]; was != digest {
-				above[at>>fanBits] = true
-				if t.digests[level][at] = digest; t.use(digest, 1) == 1 {
+			if previous := t.digests[level][index]; previous != digest {
+				parents[index>>fanBits] = true
+				if t.digests[level][index] = digest; t.addUses(digest, 1) == 1 {
 					raw[digest] = b
 				}
-				if t.use(was, -1) == 0 && was != "" {
-					left = append(left, was)
+				if t.addUses(previous, -1) == 0 && previous != "" {
+					unused = append(unused, previous)
 				}
 			}
 		}
-		touched = above
+		touched = parents
 	}
-	return raw, slices.DeleteFunc(left, func(digest string) bool { return t.uses[digest] > 0 }), nil
+	return raw, slices.DeleteFunc(unused, func(digest string) bool { return t.useCounts[digest] > 0 }), nil
 }
 
-// changeLeaves makes changes in the leaves' entries, and returns the leaves that they concern.
+// changeLeaves makes changes in the entries of the leaves, and returns the leaves that contain changed
+// entries.
 func (t *tree) changeLeaves(changes []change) (touched map[int]bool) {
 	touched = map[int]bool{}
-	edit := func(e *Entry, do func(entries []*Entry, at int, found bool) []*Entry) {
+	edit := func(e *Entry, update func(entries []*Entry, index int, found bool) []*Entry) {
 		if e == nil {
 			return
 		}
 		for _, leaf := range leavesOf(e, t.levels) {
 			byName := func(a, b *Entry) int { return cmp.Compare(a.Name, b.Name) }
-			at, found := slices.BinarySearchFunc(t.leaves[leaf], e, byName)
-			t.leaves[leaf] = do(t.leaves[leaf], at, found)
+			index, found := slices.BinarySearchFunc(t.leaves[leaf], e, byName)
+			t.leaves[leaf] = update(t.leaves[leaf], index, found)
 			touched[leaf] = true
 		}
 	}
 	for _, c := range changes {
-		edit(c.before, func(entries []*Entry, at int, found bool) []*Entry {
+		edit(c.before, func(entries []*Entry, index int, found bool) []*Entry {
 			if !found {
 				return entries
 			}
-			return slices.Delete(entries, at, at+1)
+			return slices.Delete(entries, index, index+1)
 		})
-		edit(c.after, func(entries []*Entry, at int, _ bool) []*Entry {
-			return slices.Insert(entries, at, c.after)
+		edit(c.after, func(entries []*Entry, index int, _ bool) []*Entry {
+			return slices.Insert(entries, index, c.after)
 		})
 	}
 	return touched
 }
 
-func (t *tree) page(level, at int) *page {
+// page returns the page with an index on a level.
+func (t *tree) page(level, index int) *page {
 	if level == len(t.digests)-1 {
-		return &page{Entries: t.leaves[at]}
+		return &page{Entries: t.leaves[index]}
 	}
 	p := &page{Pages: make([]string, fanOut)}
 	for n := range p.Pages {
-		p.Pages[n] = t.digests[level+1][at<<fanBits|n]
+		p.Pages[n] = t.digests[level+1][index<<fanBits|n]
 	}
 	return p
 }
 
-// use counts a digest's uses.
-func (t *tree) use(digest string, n int) int {
+// addUses adds delta to the number of references to a digest, and returns the sum. "" has no references.
+func (t *tree) addUses(digest string, delta int) int {
 	if digest == "" {
 		return 0
 	}
-	t.uses[digest] += n
-	left := t.uses[digest]
-	if left == 0 {
-		delete(t.uses, digest)
+	t.useCounts[digest] += delta
+	remaining := t.useCounts[digest]
+	if remaining == 0 {
+		delete(t.useCounts, digest)
 	}
-	return left
+	return remaining
 }
 
-// head names the tree's uppermost pages.
+// head returns the head of the tree's catalogue with a number.
 func (t *tree) head(number uint64, needs []PolicyNeed) Head {
-	h := Head{Format: format, Number: number, Levels: t.levels, Pages: make([]string, fanOut)}
+	h := Head{Format: documentFormat, Number: number, Levels: t.levels, Pages: make([]string, fanOut)}
 	if t.levels > 0 {
 		h.Format, h.PolicyNeeds = treeFormat, needs
 	}
@@ -133,20 +135,21 @@
 	return h
 }
 
-// depth is how many levels a catalogue has to have: one that was a tree gets no fewer, as
-// each change of their number has all proxies read again what they hold.
-func depth(hashTree bool, before, tenants int) int {
+// requiredLevels returns the number of levels that the catalogue needs, 0 for the flat form. The number of a
+// tree never shrinks, as after each change of the number all proxies read again the leaves that they have
+// cached.
+func requiredLevels(hashTree bool, current, tenants int) int {
 	if !hashTree {
 		return 0
 	}
-	levels := max(minDepth, before)
-	for levels < maxDepth && tenants > leafSize<<(fanBits*levels) {
+	levels := max(minLevels, current)
+	for levels < maxLevels && tenants > tenantsPerLeaf<<(fanBits*levels) {
 		levels++
 	}
 	return levels
 }
 
-// maxTenants is how many tenants there may be.
+// maxTenants returns the maximal number of tenants in the form in which the catalogue is written.
 func (m *StateMachine) maxTenants() int {
 	if m.hashTree {
 		return MaxTreeTenants
@@ -154,25 +157,26 @@
 	return MaxTenants
 }
 
-// policyNeeds returns what the next specs of entries need that move: of each policy, since when.
-func policyNeeds(moving map[string]*Entry) (all []PolicyNeed) {
+// policyNeeds returns the policy versions that the next specs of entries in transition need, each with the
+// number of the first catalogue that needs it.
+func policyNeeds(inTransition map[string]*Entry) (needs []PolicyNeed) {
 	since := map[uint64]uint64{}
-	for _, e := range moving {
-		if n := e.Next; n != nil && !n.Suspended {
-			if at, there := since[n.PolicyVersion]; !there || e.Since < at {
-				since[n.PolicyVersion] = e.Since
+	for _, e := range inTransition {
+		if next := e.Next; next != nil && !next.Suspended {
+			if first, known := since[next.PolicyVersion]; !known || e.Since < first {
+				since[next.PolicyVersion] = e.Since
 			}
 		}
 	}
 	policies := slices.Sorted(maps.Keys(since))
-	for len(policies) > maxPolicyNeeds { // the newer table is needed since earlier, then: that is safe
+	for len(policies) > maxPolicyNeeds { // requiring the newer table from the older one's catalogue on is safe
 		since[policies[1]] = min(since[policies[0]], since[policies[1]])
 		policies = policies[1:]
 	}
 	for _, p := range policies {
-		all = append(all, PolicyNeed{p, since[p]})
+		needs = append(needs, PolicyNeed{p, since[p]})
 	}
-	return all
+	return needs
 }
 
-const maxPolicyNeeds = 8 // in a head; policies rarely change while a tenant moves
+const maxPolicyNeeds = 8 // per head; the policy rarely changes while a tenant is in transition
--- a/internal/tenant/unknownfields.go
+++ b/internal/tenant/unknownfields.go
@@ -9,42 +9,42 @@
 	"strings"
 )
 
-// rawFields are those of a document that this version of the program does not know. They are written again as
-// they were read, so that an older controller takes nothing from a newer operator's spec.
+// rawFields are the fields of a document that this version of the program does not know. They are written
+// back as they were read, so that an older controller drops nothing from a newer operator's spec.
 type rawFields map[string]json.RawMessage
 
-// decodeKeeping reads a document into plain, and gives the fields that plain has not.
-func decodeKeeping(raw []byte, plain any) (rawFields, error) {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	if d.DisallowUnknownFields(); d.Decode(plain) == nil { // nearly always: it costs one pass
+// decodeDocument decodes a document into plain, and returns the fields that plain lacks.
+func decodeDocument(raw []byte, plain any) (rawFields, error) {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	if decoder.DisallowUnknownFields(); decoder.Decode(plain) == nil { // nearly always
 		return nil, nil
 	}
 	if err := json.Unmarshal(raw, plain); err != nil {
 		return nil, err
 	}
-	var all rawFields
-	if err := json.Unmarshal(raw, &all); err != nil {
+	var unknown rawFields
+	if err := json.Unmarshal(raw, &unknown); err != nil {
 		return nil, err
 	}
-	t := reflect.TypeOf(plain).Elem()
-	for i := range t.NumField() {
-		key, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
-		delete(all, key)
+	plainType := reflect.TypeOf(plain).Elem()
+	for i := range plainType.NumField() {
+		key, _, _ := strings.Cut(plainType.Field(i).Tag.Get("json"), ",")
+		delete(unknown, key)
 	}
-	if len(all) == 0 {
+	if len(unknown) == 0 {
 		return nil, nil
 	}
-	return all, nil
+	return unknown, nil
 }
 
-// encodeKeeping returns the document of plain with the fields beside it, by name.
-func encodeKeeping(plain any, more rawFields) ([]byte, error) {
+// encodeDocument encodes plain, followed by the unknown fields in the order of their names.
+func encodeDocument(plain any, unknown rawFields) ([]byte, error) {
 	raw, err := json.Marshal(plain)
-	if err != nil || len(more) == 0 {
+	if err != nil || len(unknown) == 0 {
 		return raw, err
 	}
 	raw = raw[:len(raw)-1]
-	for _, key := range slices.Sorted(maps.Keys(more)) {
+	for _, key := range slices.Sorted(maps.Keys(unknown)) {
 		name, err := json.Marshal(key)
 		if err != nil {
 			return nil, err
@@ -52,45 +52,46 @@
 		if len(raw) > 1 {
 			raw = append(raw, ',')
 		}
-		raw = append(append(append(raw, name...), ':'), more[key]...)
+		raw = append(append(append(raw, name...), ':'), unknown[key]...)
 	}
 	return append(raw, '}'), nil
 }
 
-// The documents without their methods.
+// The documents without their methods, so that encoding them does not call MarshalJSON and UnmarshalJSON
+// again.
 type (
 	plainSpec   Spec
 	plainTenant Tenant
 	plainEntry  Entry
 )
 
-// UnmarshalJSON reads a spec, with the fields that a newer version wrote.
-func (f *Spec) UnmarshalJSON(raw []byte) (err error) {
-	f.unknownFields, err = decodeKeeping(raw, (*plainSpec)(f))
+// UnmarshalJSON decodes a spec, including fields that a newer version of the program wrote.
+func (s *Spec) UnmarshalJSON(raw []byte) (err error) {
+	s.unknownFields, err = decodeDocument(raw, (*plainSpec)(s))
 	return err
 }
 
-// MarshalJSON writes a spec with all fields that were read.
-func (f *Spec) MarshalJSON() ([]byte, error) { return encodeKeeping((*plainSpec)(f), f.unknownFields) }
+// MarshalJSON encodes a spec with all fields that were decoded.
+func (s *Spec) MarshalJSON() ([]byte, error) { return encodeDocument((*plainSpec)(s), s.unknownFields) }
 
-// UnmarshalJSON reads a tenant, with the fields that a newer version wrote.
+// UnmarshalJSON decodes a tenant, including fields that a newer version of the program wrote.
 func (t *Tenant) UnmarshalJSON(raw []byte) (err error) {
-	t.unknownFields, err = decodeKeeping(raw, (*plainTenant)(t))
+	t.unknownFields, err = decodeDocument(raw, (*plainTenant)(t))
 	return err
 }
 
-// MarshalJSON writes a tenant with all fields that were read.
+// MarshalJSON encodes a tenant with all fields that were decoded.
 func (t *Tenant) MarshalJSON() ([]byte, error) {
-	return encodeKeeping((*plainTenant)(t), t.unknownFields)
+	return encodeDocument((*plainTenant)(t), t.unknownFields)
 }
 
-// UnmarshalJSON reads an entry, with the fields that a newer version wrote.
+// UnmarshalJSON decodes an entry, including fields that a newer version of the program wrote.
 func (e *Entry) UnmarshalJSON(raw []byte) (err error) {
-	e.unknownFields, err = decodeKeeping(raw, (*plainEntry)(e))
+	e.unknownFields, err = decodeDocument(raw, (*plainEntry)(e))
 	return err
 }
 
-// MarshalJSON writes an entry with all fields that were read.
+// MarshalJSON encodes an entry with all fields that were decoded.
 func (e *Entry) MarshalJSON() ([]byte, error) {
-	return encodeKeeping((*plainEntry)(e), e.unknownFields)
+	return encodeDocument((*plainEntry)(e), e.unknownFields)
 }
--- a/internal/tenant/world_test.go
+++ b/internal/tenant/world_test.go
@@ -161,7 +161,7 @@
 	}
 	w.asked++
 	w.removed[name] = w.removed[name] || do == OrderRemove
-	o := Order{Format: format, ID: fmt.Sprint("o", w.asked), Op: do}
+	o := Order{Format: documentFormat, ID: fmt.Sprint("o", w.asked), Op: do}
 	if do == OrderAdd || do == OrderChange {
 		o.Spec = testForm(name, k)
 	}
