--- a/internal/tenant/cachedleaves_test.go
+++ b/internal/tenant/cachedleaves_test.go
@@ -8,99 +8,100 @@
 	"time"
 )
 
-// treeImage is a catalogue of tenants t0, t1, ... as a hash tree, with the pages that it was made of.
-func treeImage(t *testing.T, number uint64, n int) (Head, map[string]*page) {
+// testTree returns the head and the pages of a catalogue of tenants t0, t1, ... as a hash tree.
+func testTree(t *testing.T, number uint64, count int) (Head, map[string]*page) {
 	entries := map[string]*Entry{}
-	for i := range n {
+	for i := range count {
 		name := fmt.Sprint("t", i)
-		entries[name] = &Entry{Name: name, Phase: PhaseServe, Current: testForm(name, 1), Since: number}
+		entries[name] = &Entry{Name: name, Phase: PhaseServe, Current: testSpec(name, 1), Since: number}
 	}
 	tree, raw, err := buildTree(3, entries)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return tree.head(number, nil), decoded(t, raw)
+	return tree.head(number, nil), decodePages(t, raw)
 }
 
-func decoded(t *testing.T, raw map[string][]byte) map[string]*page {
-	all := map[string]*page{}
+// decodePages decodes encoded pages by digest.
+func decodePages(t *testing.T, raw map[string][]byte) map[string]*page {
+	pages := map[string]*page{}
 	for digest, b := range raw {
-		p, err := decodePage(digest, b)
+		decoded, err := decodePage(digest, b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all[digest] = p
+		pages[digest] = decoded
 	}
-	return all
+	return pages
 }
 
-// TestTreeGrows: a tree that was changed is, page for page, the one that is made of the same entries at once; what it gives
-// as new and as left is what differs.
-func TestTreeGrows(t *testing.T) {
+// A tree that was changed has the same pages as a tree that is built of the same entries at once. The pages
+// that apply returns as new and as unused are the difference to the previous tree.
+func TestChangedTreeEqualsTreeBuiltAtOnce(t *testing.T) {
 	for _, levels := range []int{0, 2, 3} {
-		tree, entries, has := newTree(levels), map[string]*Entry{}, map[string]bool{}
+		tree, entries, recorded := newTree(levels), map[string]*Entry{}, map[string]bool{}
 		for step := range 60 {
 			name := fmt.Sprint("t", step*7%20)
-			c := change{before: entries[name]}
-			if step%3 == 2 && c.before != nil {
+			edit := change{before: entries[name]}
+			if step%3 == 2 && edit.before != nil {
 				delete(entries, name)
 			} else {
-				c.after = &Entry{Name: name, Phase: PhaseServe, Current: testForm(name, step), Since: uint64(step)}
-				entries[name] = c.after
+				edit.after = &Entry{Name: name, Phase: PhaseServe, Current: testSpec(name, step), Since: uint64(step)}
+				entries[name] = edit.after
 			}
-			raw, left, err := tree.apply([]change{c})
+			raw, unused, err := tree.apply([]change{edit})
 			if err != nil {
 				t.Fatal(err)
 			}
 			for digest := range raw {
-				has[digest] = true
+				recorded[digest] = true
 			}
-			for _, digest := range left {
-				delete(has, digest)
+			for _, digest := range unused {
+				delete(recorded, digest)
 			}
-			whole, all, err := buildTree(levels, entries)
-			if err != nil || !slices.Equal(whole.head(1, nil).Pages, tree.head(1, nil).Pages) || !maps.Equal(whole.useCounts, tree.useCounts) {
-				t.Fatalf("%d levels, step %d: it is not the tree of its entries (%v)", levels, step, err)
+			rebuilt, rebuiltPages, err := buildTree(levels, entries)
+			if err != nil || !slices.Equal(rebuilt.head(1, nil).Pages, tree.head(1, nil).Pages) || !maps.Equal(rebuilt.useCounts, tree.useCounts) {
+				t.Fatalf("%d levels, step %d: the tree differs from the tree built of its entries (error %v)", levels, step, err)
 			}
-			if len(all) != len(has) || slices.ContainsFunc(slices.Collect(maps.Keys(all)), func(d string) bool { return !has[d] }) {
-				t.Fatalf("%d levels, step %d: %d pages were told of, it has %d", levels, step, len(has), len(all))
+			if len(rebuiltPages) != len(recorded) || slices.ContainsFunc(slices.Collect(maps.Keys(rebuiltPages)), func(d string) bool { return !recorded[d] }) {
+				t.Fatalf("%d levels, step %d: apply returned %d pages that are in use, want %d", levels, step, len(recorded), len(rebuiltPages))
 			}
-			w := assemble(whole.head(1, nil), decoded(t, all), true, nil, nil)
-			if w.err != nil || len(w.missing) > 0 || len(w.snapshot.byName()) != len(entries) {
-				t.Fatalf("%d levels, step %d: %d entries of %d, %v", levels, step, len(w.snapshot.byName()), len(entries), w.err)
+			walk := assemble(rebuilt.head(1, nil), decodePages(t, rebuiltPages), true, nil, nil)
+			if walk.err != nil || len(walk.missing) > 0 || len(walk.snapshot.byName()) != len(entries) {
+				t.Fatalf("%d levels, step %d: assembled %d entries, want %d (error %v)", levels, step, len(walk.snapshot.byName()), len(entries), walk.err)
 			}
 		}
 	}
 }
 
-// TestOnDemandIsBounded: names that are made up get so many parts read and no more, held parts stay within their
-// bound, and what is open or in use is held on.
-func TestOnDemandIsBounded(t *testing.T) {
-	head, pages := treeImage(t, 1, 3000)
+// Requests with unknown names cause no more reads of leaves than the bound, the number of cached leaves stays
+// within its bound, and leaves that are in use or have requests in flight stay cached.
+func TestCacheOnDemandStaysWithinItsBounds(t *testing.T) {
+	head, pages := testTree(t, 1, 3000)
 	now := time.Second
-	d := NewCache(1, 0, true)
-	d.Handle(now, PolicyChanged{PolicyTable{1, func(string) bool { return true }}})
-	d.Handle(now, SessionOpened{now, time.Hour})
+	cache := NewCache(1, 0, true)
+	cache.Handle(now, PolicyChanged{PolicyTable{1, func(string) bool { return true }}})
+	cache.Handle(now, SessionOpened{now, time.Hour})
 	read := func() {
-		want := d.Wanted()
-		d.Handle(now, CatalogueRead{now, true, assemble(head, pages, want.complete, want.forLevels(head.Levels), nil).snapshot})
+		wanted := cache.Wanted()
+		cache.Handle(now, CatalogueRead{now, true, assemble(head, pages, wanted.complete, wanted.forLevels(head.Levels), nil).snapshot})
 	}
 	read()
-	if c := d.buildCatalogue(); !c.Ready() || d.TenantCount() != 0 || c.Decide(now, "x-t1", "a", "").Reason != ReasonLeafMissing {
-		t.Errorf("before the first request it knows %d", d.TenantCount())
+	if c := cache.buildCatalogue(); !c.Ready() || cache.TenantCount() != 0 || c.Decide(now, "x-t1", "a", "").Reason != ReasonLeafMissing {
+		t.Errorf("before the first request, %d tenants are cached, want 0, or the catalogue is not ready to ask for leaves", cache.TenantCount())
 	}
-	d.Handle(now, LeafMissing{"x-t1"})
-	d.Handle(now, LeafMissing{"x-t1"})
-	if read(); d.buildCatalogue().Decide(now, "x-t1", "a", "").Kind != Routed || len(d.leaves) != 1 {
-		t.Errorf("it holds %d parts", len(d.leaves))
+	cache.Handle(now, LeafMissing{"x-t1"})
+	cache.Handle(now, LeafMissing{"x-t1"})
+	if read(); cache.buildCatalogue().Decide(now, "x-t1", "a", "").Kind != Routed || len(cache.leaves) != 1 {
+		t.Errorf("after the first request, %d leaves are cached, want 1, or the request is not routed", len(cache.leaves))
 	}
-	d.Handle(now, RequestStarted{"t1"})
-	d.idleTimeout = 2 * time.Hour
-	for round := 1; round <= 3; round++ { // the bound on reads is met in each, that on parts in the last
-		fetches := 0
+	cache.Handle(now, RequestStarted{"t1"})
+	cache.idleTimeout = 2 * time.Hour
+	for round := 1; round <= 3; round++ { // the bound on reads is reached in each round, the bound on leaves in the last
+		reads := 0
 		for i := range 4 * readBurst {
-			if len(d.Handle(now, LeafMissing{fmt.Sprint("made-up-", round, "-", i)})) > 0 {
-				fetches++
+			if len(cache.Handle(now, LeafMissing{fmt.Sprint("made-up-", round, "-", i)})) > 0 {
+				reads++
 			}
 			if i%maxRequestedLeaves == 0 {
 				read()
@@ -108,28 +109,28 @@
 		}
 		read()
 		now += readBurst * readInterval
-		if d.Handle(now, Tick{}); fetches > readBurst || len(d.leaves) > maxCachedLeaves || round == 1 && len(d.leaves) < readBurst-maxRequestedLeaves {
-			t.Errorf("round %d: %d reads, %d parts", round, fetches, len(d.leaves))
+		if cache.Handle(now, Tick{}); reads > readBurst || len(cache.leaves) > maxCachedLeaves || round == 1 && len(cache.leaves) < readBurst-maxRequestedLeaves {
+			t.Errorf("round %d: %d reads, %d cached leaves", round, reads, len(cache.leaves))
 		}
 	}
-	d.idleTimeout = defaultIdleTimeout
-	d.buildCatalogue().Decide(now+defaultIdleTimeout, "x-t1", "a", "")
+	cache.idleTimeout = defaultIdleTimeout
+	cache.buildCatalogue().Decide(now+defaultIdleTimeout, "x-t1", "a", "")
 	now += defaultIdleTimeout + evictInterval
-	if d.Handle(now, Tick{}); len(d.leaves) != 2 { // by each of its names
-		t.Errorf("idle: it holds %d parts", len(d.leaves))
+	if cache.Handle(now, Tick{}); len(cache.leaves) != 2 { // a leaf for each of t1's names
+		t.Errorf("after idle leaves were evicted, %d leaves are cached, want 2", len(cache.leaves))
 	}
 	now += defaultIdleTimeout
-	if d.Handle(now, Tick{}); len(d.leaves) != 2 || d.buildCatalogue().Decide(now, "x-t1", "a", "").Kind != Routed {
-		t.Errorf("what is open is let go: it holds %d parts", len(d.leaves))
+	if cache.Handle(now, Tick{}); len(cache.leaves) != 2 || cache.buildCatalogue().Decide(now, "x-t1", "a", "").Kind != Routed {
+		t.Errorf("with a request in flight, %d leaves are cached, want 2, or a request is not routed", len(cache.leaves))
 	}
-	d.Handle(now, RequestEnded{"t1"})
-	d.buildCatalogue().Decide(now+defaultIdleTimeout, "x-t1", "a", "")
+	cache.Handle(now, RequestEnded{"t1"})
+	cache.buildCatalogue().Decide(now+defaultIdleTimeout, "x-t1", "a", "")
 	now += defaultIdleTimeout + evictInterval
-	if d.Handle(now, Tick{}); len(d.leaves) != 1 || d.TenantCount() == 0 || d.entries["t1"] == nil {
-		t.Errorf("by one of its names: it holds %d parts", len(d.leaves))
+	if cache.Handle(now, Tick{}); len(cache.leaves) != 1 || cache.TenantCount() == 0 || cache.entries["t1"] == nil {
+		t.Errorf("after one of two names was used, %d leaves are cached, want 1 with t1", len(cache.leaves))
 	}
 	now += defaultIdleTimeout
-	if d.Handle(now, Tick{}); len(d.leaves) != 0 {
-		t.Errorf("idle: it holds %d parts", len(d.leaves))
+	if cache.Handle(now, Tick{}); len(cache.leaves) != 0 {
+		t.Errorf("after all leaves were idle, %d leaves are cached, want 0", len(cache.leaves))
 	}
 }
--- a/internal/tenant/controller_test.go
+++ b/internal/tenant/controller_test.go
@@ -5,124 +5,130 @@
 	"time"
 )
 
-// controller is one lease holder with the real Machine, and a shell whose calls
-// take their time, so that it may die, or sleep while another follows, at each.
-type conductor struct {
-	w      *world
-	fence  uint64
-	rate   float64
-	tree   bool
-	m      *StateMachine
-	dead   bool
-	asleep time.Duration
+// testController is a lease holder with a real StateMachine. Its calls take time, and at each call it may
+// fail, or may pause while another controller takes over.
+type testController struct {
+	sim         *simulation
+	token       uint64
+	rate        float64 // rate of its clock, relative to true time
+	hashTree    bool
+	machine     *StateMachine
+	stopped     bool
+	asleepUntil time.Duration
 }
 
-// grant gives the lease to another controller.
-func (w *world) grant() {
-	w.fence++
-	c := &conductor{w: w, fence: w.fence, rate: 1 + (w.Float64()-0.5)/1000, tree: w.tree && w.fence%4 != 3}
-	w.conductors = append(w.conductors, c)
-	w.note("conductor %d", c.fence)
+// startController gives the lease to a new controller.
+func (w *simulation) startController() {
+	w.token++
+	c := &testController{sim: w, token: w.token, rate: 1 + (w.Float64()-0.5)/1000, hashTree: w.hashTree && w.token%4 != 3}
+	w.controllers = append(w.controllers, c)
+	w.logf("controller with token %d starts", c.token)
 	c.load()
 }
 
-// die ends the last controller and has another follow; one that only sleeps wakes later
-// and goes on where it was.
-func (w *world) die(sleeps time.Duration) {
-	c := w.conductors[len(w.conductors)-1]
-	if c.dead = sleeps == 0; !c.dead {
-		c.asleep = w.now + sleeps
+// failController stops the last controller and starts another after the TTL. With a pause above 0, the last
+// controller is not stopped, but continues after the pause without knowing of the other.
+func (w *simulation) failController(pause time.Duration) {
+	c := w.controllers[len(w.controllers)-1]
+	if c.stopped = pause == 0; !c.stopped {
+		c.asleepUntil = w.now + pause
 	}
-	w.after(ttl, w.grant)
+	w.after(testTTL, w.startController)
 }
 
-func (c *conductor) clock() time.Duration { return time.Duration(float64(c.w.now) * c.rate) }
+func (c *testController) clock() time.Duration { return time.Duration(float64(c.sim.now) * c.rate) }
 
-// call is one call of the controller's; it may be its last.
-func (c *conductor) call(serve func(), answered func(ok bool)) {
-	if c.dead {
+// call makes a call to the registry. At the call failAtCall, the controller fails, with or without having
+// made it.
+func (c *testController) call(serve func(), answered func(ok bool)) {
+	if c.stopped {
 		return
 	}
-	if c.w.calls++; c.w.calls == c.w.dieAt {
-		c.w.die(c.w.dieSleeps)
-		if c.w.IntN(2) == 0 {
+	if c.sim.controllerCalls++; c.sim.controllerCalls == c.sim.failAtCall {
+		c.sim.failController(c.sim.failurePause)
+		if c.sim.IntN(2) == 0 {
 			return
 		}
 	}
-	c.w.call(func() bool { return false }, serve, func(ok bool) { c.wake(func() { answered(ok) }) })
+	c.sim.call(func() bool { return false }, serve, func(ok bool) { c.whenAwake(func() { answered(ok) }) })
 }
 
-func (c *conductor) wake(do func()) {
+// whenAwake runs call when the controller is not paused, unless it has stopped.
+func (c *testController) whenAwake(call func()) {
 	switch {
-	case c.dead:
-	case c.asleep > c.w.now:
-		c.w.after(c.asleep-c.w.now, func() { c.wake(do) })
+	case c.stopped:
+	case c.asleepUntil > c.sim.now:
+		c.sim.after(c.asleepUntil-c.sim.now, func() { c.whenAwake(call) })
 	default:
-		do()
+		call()
 	}
 }
 
-func (c *conductor) load() {
-	var s Stored
-	c.call(func() { s = c.w.stored() }, func(ok bool) {
+// load loads the state on record and starts the first round.
+func (c *testController) load() {
+	var stored Stored
+	c.call(func() { stored = c.sim.stored() }, func(ok bool) {
 		if !ok {
 			c.load()
 			return
 		}
-		c.m = Load(c.clock(), s, Times{Prepare: 6 * time.Second, Switch: 1500 * time.Millisecond, Tombstone: c.w.tomb()}, c.tree)
+		c.machine = Load(c.clock(), stored, Times{Prepare: 6 * time.Second, Switch: 1500 * time.Millisecond, Tombstone: c.sim.tombstoneTime()}, c.hashTree)
 		c.round()
 	})
 }
 
-func (w *world) tomb() time.Duration {
-	if w.broken["no tombstone"] {
+// tombstoneTime returns the tombstone time that controllers use.
+func (w *simulation) tombstoneTime() time.Duration {
+	if w.mutations["no tombstone"] {
 		return 0
 	}
-	return testTomb
+	return testTombstone
 }
 
-func (c *conductor) round() {
-	var l Observation
-	c.call(func() { l = c.w.look() }, func(ok bool) {
+// round makes an observation and carries out the writes that follow from it.
+func (c *testController) round() {
+	var observation Observation
+	c.call(func() { observation = c.sim.observe() }, func(ok bool) {
 		if !ok {
 			c.load()
 			return
 		}
-		puts, err := c.m.Handle(c.clock(), l)
+		writes, err := c.machine.Handle(c.clock(), observation)
 		if err != nil {
-			c.w.fail("%v", err)
+			c.sim.fail("%v", err)
 		}
-		c.carryOut(puts)
+		c.carryOut(writes)
 	})
 }
 
-// carryOut makes the writes of the first stage at once, and the others after them.
-func (c *conductor) carryOut(puts []RecordWrite) {
-	if len(puts) == 0 {
-		c.w.after(150*time.Millisecond, func() { c.wake(c.round) })
+// carryOut makes the writes of the first stage in parallel, and then those of the later stages. After the
+// last, it schedules the next round.
+func (c *testController) carryOut(writes []RecordWrite) {
+	if len(writes) == 0 {
+		c.sim.after(150*time.Millisecond, func() { c.whenAwake(c.round) })
 		return
 	}
 	n := 1
-	for n < len(puts) && puts[n].Stage == puts[0].Stage {
+	for n < len(writes) && writes[n].Stage == writes[0].Stage {
 		n++
 	}
-	left, failed := n, false
-	for _, p := range puts[:n] {
+	pending, failed := n, false
+	for _, write := range writes[:n] {
 		var version uint64
 		var err error
-		c.call(func() { version, err = c.w.put(p, c.fence) }, func(ok bool) {
-			if left--; ok && err == nil {
-				c.m.RecordWritten(p, version)
+		c.call(func() { version, err = c.sim.putRecord(write, c.token) }, func(ok bool) {
+			if pending--; ok && err == nil {
+				c.machine.RecordWritten(write, version)
 			}
 			failed = failed || !ok || err != nil
 			switch {
-			case left > 0:
-			case failed && errors.Is(err, ErrSuperseded) && c.fence != c.w.fence:
-				c.dead = true
+			case pending > 0:
+			case failed && errors.Is(err, ErrSuperseded) && c.token != c.sim.token:
+				c.stopped = true
 			case failed:
 				c.load()
 			default:
-				c.carryOut(puts[n:])
+				c.carryOut(writes[n:])
 			}
 		})
 	}
--- a/internal/tenant/fixture_test.go
+++ b/internal/tenant/fixture_test.go
@@ -6,8 +6,9 @@
 	"wrenspread/internal/fixture"
 )
 
-// TestRecordFormsAreUnchanged compares the tenants' records, the catalogue and the reports with golden files.
-func TestRecordFormsAreUnchanged(t *testing.T) {
+// TestDocumentEncodingsAreUnchanged compares the tenants' records, the catalogue and the reports with golden
+// files.
+func TestDocumentEncodingsAreUnchanged(t *testing.T) {
 	for name, sample := range map[string]any{
 		"tenant": &Tenant{}, "form": &Spec{}, "order": &Order{}, "book": &MemberRecord{}, "head": &Head{}, "page": &page{},
 		"entry": &Entry{}, "report": &Report{},
--- a/internal/tenant/mutated_test.go
+++ b/internal/tenant/mutated_test.go
@@ -1,28 +1,28 @@
 package tenant
 
-// mutated is a catalogue as a proxy would have it that leaves something out.
-func (n *node) mutated(i *Snapshot) *Snapshot {
-	m := *i
-	m.leaves = map[int]*Leaf{}
-	for k, p := range i.leaves {
-		m.leaves[k] = p
+// mutateSnapshot returns the snapshot that a proxy would read with the simulation's mutations.
+func (p *testProxy) mutateSnapshot(original *Snapshot) *Snapshot {
+	mutated := *original
+	mutated.leaves = map[int]*Leaf{}
+	for number, leaf := range original.leaves {
+		mutated.leaves[number] = leaf
 		switch {
-		case n.w.broken["older part"] && n.desk.leaves[k] != nil && n.w.seq%2 == 0:
-			m.leaves[k] = n.desk.leaves[k].leaf
-		case n.w.broken["no barrier"]:
+		case p.sim.mutations["older part"] && p.cache.leaves[number] != nil && p.sim.seq%2 == 0:
+			mutated.leaves[number] = p.cache.leaves[number].leaf
+		case p.sim.mutations["no barrier"]:
 			served := &Leaf{}
-			for _, e := range p.entries {
+			for _, e := range leaf.entries {
 				copied := *e
 				if e.Phase == PhaseHold {
 					copied.Phase = PhasePrepare
 				}
 				served.entries = append(served.entries, &copied)
 			}
-			m.leaves[k] = served
+			mutated.leaves[number] = served
 		}
 	}
-	if n.w.broken["prepared unseen"] {
-		m.policyNeeds = nil
+	if p.sim.mutations["prepared unseen"] {
+		mutated.policyNeeds = nil
 	}
-	return &m
+	return &mutated
 }
--- a/internal/tenant/node_test.go
+++ b/internal/tenant/node_test.go
@@ -5,234 +5,243 @@
 	"time"
 )
 
-// proxy is a process with the real Desk, and a shell as the proxy's would be.
-type node struct {
-	w       *world
-	name    string
-	rate    float64
-	desk    *Cache
-	cat     *Catalogue
-	dead    bool
-	cutOff  bool
-	asleep  time.Duration // until then nothing of it runs
-	ticked  bool          // since it woke
-	id      string        // of its session
-	calling bool
-	reading bool
-	again   bool
-	word    *Status
-	table   int64 // policy version that it has; -1 while it takes none
-	open    map[string]int
-	left    bool
-	mute    bool // of a mutation: its session's first word comes late
+// testProxy is a proxy's process with a real Cache, whose actions it carries out as a proxy does.
+type testProxy struct {
+	sim             *simulation
+	name            string
+	rate            float64 // rate of its clock, relative to true time
+	cache           *Cache
+	catalogue       *Catalogue
+	dead            bool
+	cutOff          bool
+	asleepUntil     time.Duration // time until which the process is paused
+	tickedSinceWake bool          // it has handled a tick since its last pause
+	sessionID       string        // "": no session
+	renewing        bool          // a call to open or renew the session is in flight
+	reading         bool          // a read of the catalogue is in flight
+	readAgain       bool          // another read has to follow
+	status          *Status       // the last status to report
+	policyVersion   int64         // version of its policy table
+	openRequests    map[string]int
+	left            bool // its session has the status that the proxy has left
+	statusDelayed   bool // for the mutation "mute opening": the session's first status is delayed
 }
 
-func (w *world) start(name string) *node {
-	n := &node{w: w, name: name, rate: 1 + (w.Float64()-0.5)/1000, open: map[string]int{}, ticked: true}
-	hold := time.Duration(0)
+// startProxy starts a proxy's process. The proxies n0 and n3 have a maximal staleness.
+func (w *simulation) startProxy(name string) *testProxy {
+	proxy := &testProxy{sim: w, name: name, rate: 1 + (w.Float64()-0.5)/1000, openRequests: map[string]int{}, tickedSinceWake: true}
+	maxStaleness := time.Duration(0)
 	if name == "n0" || name == "n3" {
-		hold = 3 * ttl
+		maxStaleness = 3 * testTTL
 	}
-	n.desk = NewCache(uint64(w.now)+1+uint64(len(w.nodes)), hold, w.tree && len(w.nodes)%3 != 1)
-	n.desk.idleTimeout = 1500 * time.Millisecond
-	if w.broken["no hold"] {
-		n.desk.maxStaleness = 0
+	proxy.cache = NewCache(uint64(w.now)+1+uint64(len(w.proxies)), maxStaleness, w.hashTree && len(w.proxies)%3 != 1)
+	proxy.cache.idleTimeout = 1500 * time.Millisecond
+	if w.mutations["no hold"] {
+		proxy.cache.maxStaleness = 0
 	}
-	n.cat = n.desk.buildCatalogue()
-	w.nodes = append(w.nodes, n)
-	n.every(100*time.Millisecond, n.tick)
-	n.every(ttl/4, n.renew)
-	n.every(400*time.Millisecond, n.fetch)
-	n.every(300*time.Millisecond, n.gossip)
-	return n
+	proxy.catalogue = proxy.cache.buildCatalogue()
+	w.proxies = append(w.proxies, proxy)
+	proxy.every(100*time.Millisecond, proxy.tick)
+	proxy.every(testTTL/4, proxy.renew)
+	proxy.every(400*time.Millisecond, proxy.readCatalogue)
+	proxy.every(300*time.Millisecond, proxy.gossip)
+	return proxy
 }
 
-func (n *node) clock() time.Duration { return time.Duration(float64(n.w.now) * n.rate) }
-func (n *node) cut() bool            { return n.cutOff || n.dead }
+func (p *testProxy) clock() time.Duration { return time.Duration(float64(p.sim.now) * p.rate) }
+func (p *testProxy) isCutOff() bool       { return p.cutOff || p.dead }
 
-// wake runs something at the proxy, once it runs.
-func (n *node) wake(do func()) {
+// whenAwake calls do when the process is not paused, unless it is dead.
+func (p *testProxy) whenAwake(do func()) {
 	switch {
-	case n.dead:
-	case n.asleep > n.w.now:
-		n.w.after(n.asleep-n.w.now, func() { n.wake(do) })
+	case p.dead:
+	case p.asleepUntil > p.sim.now:
+		p.sim.after(p.asleepUntil-p.sim.now, func() { p.whenAwake(do) })
 	default:
 		do()
 	}
 }
 
-func (n *node) every(d time.Duration, do func()) {
-	n.w.after(time.Duration(n.w.Int64N(int64(d))), func() {
-		n.wake(func() {
+// every calls do with a period of d, from a random phase on.
+func (p *testProxy) every(d time.Duration, do func()) {
+	p.sim.after(time.Duration(p.sim.Int64N(int64(d))), func() {
+		p.whenAwake(func() {
 			do()
-			n.every(d, do)
+			p.every(d, do)
 		})
 	})
 }
 
-func (n *node) call(serve func(), answered func(ok bool)) {
-	n.w.call(n.cut, serve, func(ok bool) { n.wake(func() { answered(ok) }) })
+// call makes a call to the registry.
+func (p *testProxy) call(serve func(), answered func(ok bool)) {
+	p.sim.call(p.isCutOff, serve, func(ok bool) { p.whenAwake(func() { answered(ok) }) })
 }
 
-func (n *node) tick() {
-	n.ticked = true
-	if v := int64(n.w.policy.Version); n.table < v && n.w.IntN(10) == 0 {
-		n.table = v
-		if n.w.broken["no quota"] {
+// tick sometimes takes the current policy table, and handles a Tick.
+func (p *testProxy) tick() {
+	p.tickedSinceWake = true
+	if v := int64(p.sim.policy.Version); p.policyVersion < v && p.sim.IntN(10) == 0 {
+		p.policyVersion = v
+		if p.sim.mutations["no quota"] {
 			v = 1 << 40
 		}
-		n.handle(PolicyChanged{PolicyTable{uint64(v), func(limit string) bool { return inTable(limit, v) }}})
+		p.handle(PolicyChanged{PolicyTable{uint64(v), func(limit string) bool { return tableHasLimit(limit, v) }}})
 	}
-	busy := n.desk.openRequests
-	if n.w.broken["open let go"] {
-		n.desk.openRequests = map[string]int{}
-		n.desk.evictIdle(n.clock())
+	openRequests := p.cache.openRequests
+	if p.sim.mutations["open let go"] {
+		p.cache.openRequests = map[string]int{}
+		p.cache.evictIdle(p.clock())
 	}
-	n.desk.openRequests = busy
-	n.handle(Tick{})
+	p.cache.openRequests = openRequests
+	p.handle(Tick{})
 }
 
-func (n *node) handle(event any) {
-	for _, a := range n.desk.Handle(n.clock(), event) {
-		switch a := a.(type) {
+// handle handles an event and carries out the actions that follow.
+func (p *testProxy) handle(event any) {
+	for _, action := range p.cache.Handle(p.clock(), event) {
+		switch action := action.(type) {
 		case SwapCatalogue:
-			c := *a.Catalogue
-			n.cat = &c
-			n.cat.complete = n.cat.complete || n.w.broken["no without its part"]
-			if n.w.broken["stale no"] {
-				n.cat.authorityUntil, n.cat.authoritative, n.cat.behind = 1<<60, true, false
+			c := *action.Catalogue
+			p.catalogue = &c
+			p.catalogue.complete = p.catalogue.complete || p.sim.mutations["no without its part"]
+			if p.sim.mutations["stale no"] {
+				p.catalogue.authorityUntil, p.catalogue.authoritative, p.catalogue.behind = 1<<60, true, false
 			}
-			n.cat.ready = n.cat.ready || n.w.broken["not enrolled"] && n.cat.number > 0
+			p.catalogue.ready = p.catalogue.ready || p.sim.mutations["not enrolled"] && p.catalogue.number > 0
 		case TellStatus:
-			n.word = &a.Status
-			n.w.checkWord(n, a.Status)
-			if n.name == "n0" && n.w.broken["no hold"] {
-				n.word.MaxStaleness = 3 * ttl
+			p.status = &action.Status
+			p.sim.checkStatus(p, action.Status)
+			if p.name == "n0" && p.sim.mutations["no hold"] {
+				p.status.MaxStaleness = 3 * testTTL
 			}
-			n.tell()
+			p.reportStatus()
 		case ReadCatalogue:
-			n.fetch()
+			p.readCatalogue()
 		case CutRequests:
-			n.w.checkCut(n, a.Tenant)
-			if !n.w.broken["no cut"] {
-				for range n.open[a.Tenant] {
-					n.over(a.Tenant)
+			p.sim.checkCutRequests(p, action.Tenant)
+			if !p.sim.mutations["no cut"] {
+				for range p.openRequests[action.Tenant] {
+					p.endRequest(action.Tenant)
 				}
 			}
 		}
 	}
 }
 
-// over ends one request of a tenant.
-func (n *node) over(name string) {
-	n.open[name]--
-	n.w.after(0, func() { n.wake(func() { n.handle(RequestEnded{name}) }) })
+// endRequest ends one request of a tenant.
+func (p *testProxy) endRequest(name string) {
+	p.openRequests[name]--
+	p.sim.after(0, func() { p.whenAwake(func() { p.handle(RequestEnded{name}) }) })
 }
 
-func (n *node) renew() {
-	if n.calling || n.left {
+// renew opens or renews the session.
+func (p *testProxy) renew() {
+	if p.renewing || p.left {
 		return
 	}
-	n.calling = true
-	id, sent, known := n.id, n.clock(), false
+	p.renewing = true
+	id, sent, known := p.sessionID, p.clock(), false
 	if id == "" {
-		n.w.asked++
-		id = fmt.Sprint(n.name, "-", n.w.asked)
-		word := n.desk.Status()
-		n.call(func() {
-			n.w.sessions[id] = &session{n.name, &word, n.w.now + ttl}
-			if n.w.broken["mute opening"] {
-				n.w.sessions[id].word = nil
+		p.sim.idCount++
+		id = fmt.Sprint(p.name, "-", p.sim.idCount)
+		status := p.cache.Status()
+		p.call(func() {
+			p.sim.sessions[id] = &session{p.name, &status, p.sim.now + testTTL}
+			if p.sim.mutations["mute opening"] {
+				p.sim.sessions[id].status = nil
 			}
 		}, func(ok bool) {
-			if n.calling = false; ok {
-				n.id = id
-				n.handle(SessionOpened{sent, ttl})
+			if p.renewing = false; ok {
+				p.sessionID = id
+				p.handle(SessionOpened{sent, testTTL})
 			}
 		})
 		return
 	}
-	n.call(func() {
-		if s := n.w.sessions[id]; s != nil {
-			known, s.at = true, n.w.now+ttl
+	p.call(func() {
+		if s := p.sim.sessions[id]; s != nil {
+			known, s.endsAt = true, p.sim.now+testTTL
 		}
 	}, func(ok bool) {
-		if n.calling = false; !ok {
+		if p.renewing = false; !ok {
 			return
 		}
 		if !known {
-			n.id = ""
+			p.sessionID = ""
 		}
-		n.handle(SessionRenewed{sent, known})
-		if n.w.broken["right mends"] && known {
-			n.desk.authoritative, n.cat.authoritative = true, true
+		p.handle(SessionRenewed{sent, known})
+		if p.sim.mutations["right mends"] && known {
+			p.cache.authoritative, p.catalogue.authoritative = true, true
 		}
 	})
 }
 
-// tell repeats the word until the session has it. It may open the session anew, as the service's call does.
-func (n *node) tell() {
-	word, id := n.word, n.id
-	if word == nil || id == "" {
+// reportStatus repeats the status until the session has it. It may open the session again, as the registry's
+// call does.
+func (p *testProxy) reportStatus() {
+	status, id := p.status, p.sessionID
+	if status == nil || id == "" {
 		return
 	}
-	if s := n.w.sessions[id]; n.w.broken["mute opening"] && s != nil && s.word == nil && !n.mute {
-		n.mute = true
-		n.w.after(1500*time.Millisecond, func() { n.wake(n.tell) })
+	if s := p.sim.sessions[id]; p.sim.mutations["mute opening"] && s != nil && s.status == nil && !p.statusDelayed {
+		p.statusDelayed = true
+		p.sim.after(1500*time.Millisecond, func() { p.whenAwake(p.reportStatus) })
 		return
 	}
-	n.mute = false
-	n.call(func() {
-		if n.w.sessions[id] == nil {
-			n.w.sessions[id] = &session{node: n.name, at: n.w.now + ttl}
+	p.statusDelayed = false
+	p.call(func() {
+		if p.sim.sessions[id] == nil {
+			p.sim.sessions[id] = &session{proxy: p.name, endsAt: p.sim.now + testTTL}
 		}
-		n.w.sessions[id].word = word
+		p.sim.sessions[id].status = status
 	}, func(ok bool) {
-		if n.word != word || n.id != id {
+		if p.status != status || p.sessionID != id {
 			return
 		}
 		if ok {
-			n.left = word.Left
+			p.left = status.Left
 		} else {
-			n.tell()
+			p.reportStatus()
 		}
 	})
 }
 
-func (n *node) fetch() {
-	if n.reading || n.left {
-		n.again = true
+// readCatalogue reads the member record and then the catalogue, with one read in flight at a time.
+func (p *testProxy) readCatalogue() {
+	if p.reading || p.left {
+		p.readAgain = true
 		return
 	}
-	n.reading, n.again = true, false
-	began, enrolled, want := n.clock(), false, n.desk.Wanted()
-	n.call(func() {
-		for _, m := range n.w.book().Members {
-			enrolled = enrolled || m == n.desk.Member(n.name) || n.w.broken["no hold"] && m.Name == n.name
+	p.reading, p.readAgain = true, false
+	startedAt, enrolled, wanted := p.clock(), false, p.cache.Wanted()
+	p.call(func() {
+		for _, member := range p.sim.memberRecord().Members {
+			enrolled = enrolled || member == p.cache.Member(p.name) || p.sim.mutations["no hold"] && member.Name == p.name
 		}
 	}, func(ok bool) {
 		if !ok {
-			n.reading = false
+			p.reading = false
 			return
 		}
-		var image *Snapshot
-		n.call(func() { image = n.w.read(want) }, func(ok bool) {
-			if n.reading = false; ok {
-				if image != nil {
-					image = n.mutated(image)
+		var snapshot *Snapshot
+		p.call(func() { snapshot = p.sim.readCatalogue(wanted) }, func(ok bool) {
+			if p.reading = false; ok {
+				if snapshot != nil {
+					snapshot = p.mutateSnapshot(snapshot)
 				}
-				n.handle(CatalogueRead{began, enrolled, image})
+				p.handle(CatalogueRead{startedAt, enrolled, snapshot})
 			}
-			if n.again {
-				n.fetch()
+			if p.readAgain {
+				p.readCatalogue()
 			}
 		})
 	})
 }
 
-func (n *node) gossip() {
-	peer := n.w.nodes[n.w.IntN(len(n.w.nodes))]
-	if peer != n && !peer.dead && peer.asleep <= n.w.now && n.w.IntN(3) > 0 {
-		n.handle(PeerHasCatalogue{peer.cat.number})
+// gossip learns of the catalogue number of a random peer.
+func (p *testProxy) gossip() {
+	peer := p.sim.proxies[p.sim.IntN(len(p.sim.proxies))]
+	if peer != p && !peer.dead && peer.asleepUntil <= p.sim.now && p.sim.IntN(3) > 0 {
+		p.handle(PeerHasCatalogue{peer.catalogue.number})
 	}
 }
--- a/internal/tenant/progress.go
+++ b/internal/tenant/progress.go
@@ -48,7 +48,7 @@
 	reg *client.Client,
 	name string,
 ) (progress Progress, found bool, err error) {
-	record, err := reg.Record(ctx, Prefix+name)
+	record, err := reg.Record(ctx, TenantPrefix+name)
 	if isNotFound(err) {
 		return progress, false, nil
 	}
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -124,7 +124,7 @@
 
 // Keys, and prefixes of the keys, of the records in the registry.
 const (
-	Prefix       = "tenant/"
+	TenantPrefix = "tenant/"
 	OrderPrefix  = "tenant-ask/"
 	ForgetPrefix = "tenant-forget/"
 	MembersKey   = "catalogue/members"
--- a/internal/tenant/rules_test.go
+++ b/internal/tenant/rules_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-const testTomb = 4 * time.Second
+const testTombstone = 4 * time.Second
 
-// truth is what may be answered, worked out from what was written, not by the code
-// under test: of each tenant the last thing that was told of it.
-type truth struct {
-	number uint64
-	told   map[string]string // by tenant and class: "" for not known, "leaving", or what serves it
-	state  map[string]State
-	freed  map[string]time.Duration // when a tenant was gone
-	active map[string]int           // how often it was brought in
-	taken  [][2]string              // limits with their tenants
+// oracle has the decisions that are allowed for each tenant, derived from the records that were written and
+// not by the code under test.
+type oracle struct {
+	number      uint64            // of the catalogue on record
+	published   map[string]string // by tenant and class: "" for unknown, leaving, suspended, or route and limit
+	state       map[string]State
+	removedAt   map[string]time.Duration // time at which a tenant became Removed
+	activations map[string]int           // number of times a tenant was added
+	ownedLimits [][2]string              // limits with the tenants that own them
 }
 
-func newTruth() truth {
-	return truth{told: map[string]string{}, state: map[string]State{}, freed: map[string]time.Duration{}, active: map[string]int{}}
+func newOracle() oracle {
+	return oracle{published: map[string]string{}, state: map[string]State{}, removedAt: map[string]time.Duration{}, activations: map[string]int{}}
 }
 
 const (
@@ -28,171 +28,175 @@
 	suspended = "suspended"
 )
 
-// tag names what a form says of a class.
-func tag(f *Spec, class string) string {
-	if f.Suspended {
+// routeAndLimit returns the zone of the route and the limit that a spec has for a class, or suspended.
+func routeAndLimit(spec *Spec, class string) string {
+	if spec.Suspended {
 		return suspended
 	}
-	return f.Route(class).Zones[0] + " " + f.limit(class)
+	return spec.Route(class).Zones[0] + " " + spec.limit(class)
 }
 
-// written notes what a write means, and checks what records must keep to.
-func (t *truth) written(w *world, p RecordWrite) {
-	if name, is := keyName(p.Key, Prefix); is && p.Value != nil {
-		one, err := DecodeTenant(p.Value, 0)
+// recordWritten updates the oracle after a write, and checks the rules for records.
+func (o *oracle) recordWritten(w *simulation, write RecordWrite) {
+	if name, is := keyName(write.Key, TenantPrefix); is && write.Value != nil {
+		tenant, err := DecodeTenant(write.Value, 0)
 		if err != nil {
 			w.fail("%v", err)
 			return
 		}
-		if one.State != t.state[name] {
-			w.note("%s is %s %v", name, one.State, one.Outcomes)
-			if n := w.nodes[w.IntN(len(w.nodes))]; w.ambush > 0 && !w.quiet {
-				w.ambush--
-				w.after(time.Duration(w.IntN(300))*time.Millisecond, func() { w.cutOff(n, 9*time.Second) })
+		if tenant.State != o.state[name] {
+			w.logf("%s is %s %v", name, tenant.State, tenant.Outcomes)
+			if proxy := w.proxies[w.IntN(len(w.proxies))]; w.pendingCutOffs > 0 && !w.faultless {
+				w.pendingCutOffs--
+				w.after(time.Duration(w.IntN(300))*time.Millisecond, func() { w.cutOff(proxy, 9*time.Second) })
 			}
 		}
-		if one.State == Removed && t.state[name] != Removed {
-			t.freed[name] = w.now
+		if tenant.State == Removed && o.state[name] != Removed {
+			o.removedAt[name] = w.now
 		}
-		t.state[name] = one.State
-		t.sum(w, one)
+		o.state[name] = tenant.State
+		o.checkOwnedLimits(w, tenant)
 	}
-	if p.Key == HeadKey {
-		t.publish(w)
+	if write.Key == HeadKey {
+		o.catalogueWritten(w)
 	}
 }
 
-// sum checks that the floors of all limits that are taken fit, and that no two tenants have one.
-func (t *truth) sum(w *world, one *Tenant) {
-	t.taken = slices.DeleteFunc(t.taken, func(l [2]string) bool { return l[1] == one.Name })
-	for _, f := range []*Spec{one.Current, one.Next} {
-		if f == nil || one.State == Rejected || one.State == Removed {
+// checkOwnedLimits checks that the floors of all owned limits fit, and that no two tenants own the same
+// limit.
+func (o *oracle) checkOwnedLimits(w *simulation, tenant *Tenant) {
+	o.ownedLimits = slices.DeleteFunc(o.ownedLimits, func(l [2]string) bool { return l[1] == tenant.Name })
+	for _, spec := range []*Spec{tenant.Current, tenant.Next} {
+		if spec == nil || tenant.State == Rejected || tenant.State == Removed {
 			continue
 		}
-		for _, q := range f.Quotas {
-			i := slices.IndexFunc(t.taken, func(l [2]string) bool { return l[0] == q.Limit })
+		for _, quota := range spec.Quotas {
+			i := slices.IndexFunc(o.ownedLimits, func(l [2]string) bool { return l[0] == quota.Limit })
 			if i < 0 {
-				t.taken = append(t.taken, [2]string{q.Limit, one.Name})
-			} else if t.taken[i][1] != one.Name {
-				w.fail("%s is %s's and %s's", q.Limit, t.taken[i][1], one.Name)
+				o.ownedLimits = append(o.ownedLimits, [2]string{quota.Limit, tenant.Name})
+			} else if o.ownedLimits[i][1] != tenant.Name {
+				w.fail("limit %s is owned by both %s and %s", quota.Limit, o.ownedLimits[i][1], tenant.Name)
 			}
 		}
 	}
-	if sum := float64(len(t.taken)); sum > w.policy.TotalFloor { // each floor of the test's policy is 1
-		w.fail("the floors that are taken come to %g of %g", sum, w.policy.TotalFloor)
+	if sum := float64(len(o.ownedLimits)); sum > w.policy.TotalFloor { // each floor of the test's policy is 1
+		w.fail("the floors of all owned limits sum up to %g, want at most %g", sum, w.policy.TotalFloor)
 	}
 }
 
-// publish notes what the catalogue tells from now on.
-func (t *truth) publish(w *world) {
-	image := w.image()
-	if image == nil {
+// catalogueWritten updates the oracle after a new head was written, and checks the rules for catalogues.
+func (o *oracle) catalogueWritten(w *simulation) {
+	snapshot := w.snapshot()
+	if snapshot == nil {
 		return
 	}
-	if image.Number <= t.number {
-		w.fail("catalogue %d after %d", image.Number, t.number)
+	if snapshot.Number <= o.number {
+		w.fail("catalogue %d was written after catalogue %d", snapshot.Number, o.number)
 	}
-	t.number, w.images[image.Number] = image.Number, image
-	w.note("catalogue %d", t.number)
-	entries := image.byName()
-	for name := range w.tenants {
+	o.number, w.snapshots[snapshot.Number] = snapshot.Number, snapshot
+	w.logf("catalogue %d", o.number)
+	entries := snapshot.byName()
+	for name := range w.tenantCount {
 		name := fmt.Sprint("t", name)
 		e := entries[name]
 		for _, class := range []string{"a", "b"} {
-			key, was := name+" "+class, t.told[name+" "+class]
+			key, previous := name+" "+class, o.published[name+" "+class]
 			switch {
 			case e == nil:
-				t.told[key] = ""
+				o.published[key] = ""
 			case e.Phase == PhaseDrain:
-				t.told[key] = leaving
+				o.published[key] = leaving
 			case e.Current != nil && (e.Phase == PhaseServe || e.Phase == PhasePrepare):
-				if t.told[key] = tag(e.Current, class); was == "" && class == "a" {
-					t.active[name]++
-					if at, gone := t.freed[name]; gone && w.now-at < testTomb/2 {
-						w.fail("%s is back %v after it was gone", name, w.now-at)
+				if o.published[key] = routeAndLimit(e.Current, class); previous == "" && class == "a" {
+					o.activations[name]++
+					if at, gone := o.removedAt[name]; gone && w.now-at < testTombstone/2 {
+						w.fail("%s is served again %v after it was removed, within its tombstone", name, w.now-at)
 					}
 				}
 			}
 		}
 		if e == nil {
-			t.ended(w, name)
+			o.checkNoOpenRequests(w, name)
 		}
 	}
 }
 
-// ended checks that nothing is open of a tenant that is gone.
-func (t *truth) ended(w *world, name string) {
-	for _, n := range w.nodes {
-		if n.open[name] > 0 && !n.dead && n.ticked {
-			w.fail("%s is gone and %s has %d requests of it open", name, n.name, n.open[name])
+// checkNoOpenRequests checks that no proxy has requests in flight of a tenant that is no longer in the
+// catalogue.
+func (o *oracle) checkNoOpenRequests(w *simulation, name string) {
+	for _, proxy := range w.proxies {
+		if proxy.openRequests[name] > 0 && !proxy.dead && proxy.tickedSinceWake {
+			w.fail("%s is no longer in the catalogue, but %s has %d of its requests in flight", name, proxy.name, proxy.openRequests[name])
 		}
 	}
 }
 
-// request has one answered at a proxy now, and checks the answer.
-func (w *world) request(n *node, name, class string) {
-	n.wake(func() {
-		told, by := w.truth.told[name+" "+class], "x-"+name
+// sendRequest lets a proxy decide on a request of a tenant, and checks the decision.
+func (w *simulation) sendRequest(proxy *testProxy, name, class string) {
+	proxy.whenAwake(func() {
+		published, alias := w.oracle.published[name+" "+class], "x-"+name
 		if k := -1; w.seq%2 == 0 {
-			if _, _ = fmt.Sscanf(w.truth.told[name+" a"], "z%d", &k); k >= 0 {
-				by = alias(name, k)
+			if _, _ = fmt.Sscanf(w.oracle.published[name+" a"], "z%d", &k); k >= 0 {
+				alias = secondName(name, k)
 			}
 		}
-		a := n.cat.Decide(n.clock(), by, class, "any")
-		if a.Reason == ReasonLeafMissing {
-			n.handle(LeafMissing{by})
+		decision := proxy.catalogue.Decide(proxy.clock(), alias, class, "any")
+		if decision.Reason == ReasonLeafMissing {
+			proxy.handle(LeafMissing{alias})
 		}
-		switch a.Kind {
+		switch decision.Kind {
 		case Routed:
-			if got := a.Route.Zones[0] + " " + a.Limit; got != told {
-				w.fail("%s at catalogue %d serves %s %s by %q, what is told is %q", n.name, a.CatalogueNumber, name, class, got, told)
+			if got := decision.Route.Zones[0] + " " + decision.Limit; got != published {
+				w.fail("%s at catalogue %d serves %s class %s by %q, want %q as published", proxy.name, decision.CatalogueNumber, name, class, got, published)
 			}
-			if !inTable(a.Limit, n.table) {
-				w.fail("%s serves %s without its quota", n.name, name)
+			if !tableHasLimit(decision.Limit, proxy.policyVersion) {
+				w.fail("%s serves %s without its limit in the policy table", proxy.name, name)
 			}
-			n.open[name]++
-			n.handle(RequestStarted{name})
+			proxy.openRequests[name]++
+			proxy.handle(RequestStarted{name})
 			w.after(time.Duration(w.IntN(8000))*time.Millisecond, func() {
-				n.wake(func() {
-					if n.open[name] > 0 {
-						n.over(name)
+				proxy.whenAwake(func() {
+					if proxy.openRequests[name] > 0 {
+						proxy.endRequest(name)
 					}
 				})
 			})
 		case Forbidden:
-			if a.Reason == ReasonSuspended && told != suspended || a.Reason == ReasonLeaving && told != leaving && told != "" || a.Reason != ReasonSuspended && a.Reason != ReasonLeaving {
-				w.fail("%s at catalogue %d declines %s: %s; what is told is %q", n.name, a.CatalogueNumber, name, a.Reason, told)
+			if decision.Reason == ReasonSuspended && published != suspended || decision.Reason == ReasonLeaving && published != leaving && published != "" || decision.Reason != ReasonSuspended && decision.Reason != ReasonLeaving {
+				w.fail("%s at catalogue %d rejects %s: %s; published is %q", proxy.name, decision.CatalogueNumber, name, decision.Reason, published)
 			}
 		case NotFound:
-			if told != "" {
-				w.fail("%s at catalogue %d does not know %s; what is told is %q", n.name, a.CatalogueNumber, name, told)
+			if published != "" {
+				w.fail("%s at catalogue %d does not know %s; published is %q", proxy.name, decision.CatalogueNumber, name, published)
 			}
 		}
 	})
 }
 
-// checkWord checks that what a proxy says to have prepared has its limits in the proxy's table.
-func (w *world) checkWord(n *node, word Status) {
-	image := w.images[n.desk.Number()]
-	if image == nil {
+// checkStatus checks that a proxy's policy table has the limits of all specs that its status reports as
+// prepared.
+func (w *simulation) checkStatus(proxy *testProxy, status Status) {
+	snapshot := w.snapshots[proxy.cache.Number()]
+	if snapshot == nil {
 		return
 	}
-	for _, e := range image.Sorted() {
-		if e.Phase == PhaseServe || e.Next == nil || e.Next.Suspended || e.Since > word.Prepared {
+	for _, e := range snapshot.Sorted() {
+		if e.Phase == PhaseServe || e.Next == nil || e.Next.Suspended || e.Since > status.Prepared {
 			continue
 		}
 		for _, q := range e.Next.Quotas {
-			if !inTable(q.Limit, n.table) {
-				w.fail("%s says to have prepared %d without %s", n.name, word.Prepared, q.Limit)
+			if !tableHasLimit(q.Limit, proxy.policyVersion) {
+				w.fail("%s reports catalogue %d as prepared without limit %s", proxy.name, status.Prepared, q.Limit)
 			}
 		}
 	}
 }
 
-// checkCut checks that requests are cut off only of what goes, or where the hold is over.
-func (w *world) checkCut(n *node, name string) {
-	d := n.desk
-	if s := w.truth.state[name]; (s == Active || s == Suspended) && !w.removed[name] && (d.maxStaleness <= 0 || n.clock() < d.stopServingAt()) {
-		w.fail("%s cuts requests of %s, which is %s", n.name, name, s)
+// checkCutRequests checks that a proxy cuts requests only of tenants that are being removed, or after its
+// maximal staleness.
+func (w *simulation) checkCutRequests(proxy *testProxy, name string) {
+	cache := proxy.cache
+	if state := w.oracle.state[name]; (state == Active || state == Suspended) && !w.removalOrdered[name] && (cache.maxStaleness <= 0 || proxy.clock() < cache.stopServingAt()) {
+		w.fail("%s cuts requests of %s, whose state is %s", proxy.name, name, state)
 	}
 }
--- a/internal/tenant/service_test.go
+++ b/internal/tenant/service_test.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// call carries a call to the service and its answer back, both after drawn times.
-// Where the line is cut then, it is lost; answered tells which.
-func (w *world) call(cut func() bool, serve func(), answered func(ok bool)) {
+// call delivers a call to the registry and its response, each after a random time. Either is lost if cut
+// returns true at its delivery. answered is called with true after a response, and with false after
+// callTimeout without one.
+func (w *simulation) call(cut func() bool, serve func(), answered func(ok bool)) {
 	done := false
-	there := time.Duration(1+w.IntN(20)) * time.Millisecond
-	if w.IntN(50) == 0 && !w.quiet {
-		there += time.Duration(w.IntN(700)) * time.Millisecond
+	delay := time.Duration(1+w.IntN(20)) * time.Millisecond
+	if w.IntN(50) == 0 && !w.faultless {
+		delay += time.Duration(w.IntN(700)) * time.Millisecond
 	}
-	w.after(there, func() {
+	w.after(delay, func() {
 		if cut() {
 			return
 		}
-		w.expire()
+		w.expireSessions()
 		serve()
 		w.after(time.Duration(1+w.IntN(20))*time.Millisecond, func() {
 			if !cut() && !done {
@@ -28,7 +29,7 @@
 			}
 		})
 	})
-	w.after(lost, func() {
+	w.after(callTimeout, func() {
 		if !done {
 			done = true
 			answered(false)
@@ -36,126 +37,127 @@
 	})
 }
 
-// expire ends sessions by the service's clock, which is the world's.
-func (w *world) expire() {
+// expireSessions ends expired sessions by the registry's clock, which is true time.
+func (w *simulation) expireSessions() {
 	for id, s := range w.sessions {
-		if w.now > s.at {
+		if w.now > s.endsAt {
 			delete(w.sessions, id)
 		}
 	}
 }
 
-// put writes a record as the registry does.
-func (w *world) put(p RecordWrite, fence uint64) (uint64, error) {
-	has := w.records[p.Key]
-	if !w.broken["no fence"] && (fence != w.fence || !p.Unconditional && has.version != p.Version) {
+// putRecord writes or deletes a record as the registry does.
+func (w *simulation) putRecord(write RecordWrite, token uint64) (uint64, error) {
+	current := w.records[write.Key]
+	if !w.mutations["no fence"] && (token != w.token || !write.Unconditional && current.version != write.Version) {
 		return 0, ErrSuperseded
 	}
 	w.version++
-	if p.Value == nil {
-		delete(w.records, p.Key)
+	if write.Value == nil {
+		delete(w.records, write.Key)
 	} else {
-		w.records[p.Key] = record0{slices.Clone(p.Value), w.version}
+		w.records[write.Key] = storedRecord{slices.Clone(write.Value), w.version}
 	}
-	w.truth.written(w, p)
+	w.oracle.recordWritten(w, write)
 	return w.version, nil
 }
 
-// read is the catalogue as it is on record, as far as it is wanted.
-func (w *world) read(want WantedLeaves) *Snapshot {
+// readCatalogue returns the wanted leaves of the catalogue on record, or nil if there is none.
+func (w *simulation) readCatalogue(wanted WantedLeaves) *Snapshot {
 	r, ok := w.records[HeadKey]
 	if !ok {
 		return nil
 	}
 	head, err := DecodeHead(r.value)
-	if err == nil && w.haveAt != w.version {
-		w.have, w.haveAt = map[string]*page{}, w.version
+	if err == nil && w.currentPagesVersion != w.version {
+		w.currentPages, w.currentPagesVersion = map[string]*page{}, w.version
 		for key, r := range w.records {
 			digest, is := keyName(key, PagePrefix)
-			if is && w.pages[digest] == nil {
-				w.pages[digest], err = decodePage(digest, r.value)
+			if is && w.decodedPages[digest] == nil {
+				w.decodedPages[digest], err = decodePage(digest, r.value)
 			}
 			if is {
-				w.have[digest] = w.pages[digest]
+				w.currentPages[digest] = w.decodedPages[digest]
 			}
 		}
 	}
-	got := assemble(head, w.have, want.complete, want.forLevels(head.Levels), nil)
-	if err != nil || got.err != nil || len(got.missing) > 0 {
-		w.fail("the catalogue is not whole: %v, %v, without %v", err, got.err, got.missing)
+	walk := assemble(head, w.currentPages, wanted.complete, wanted.forLevels(head.Levels), nil)
+	if err != nil || walk.err != nil || len(walk.missing) > 0 {
+		w.fail("the catalogue on record is incomplete or invalid: %v, %v, missing pages %v", err, walk.err, walk.missing)
 	}
-	return got.snapshot
+	return walk.snapshot
 }
 
-// image is the whole catalogue.
-func (w *world) image() *Snapshot { return w.read(WantedLeaves{complete: true}) }
+// snapshot returns the complete catalogue on record.
+func (w *simulation) snapshot() *Snapshot { return w.readCatalogue(WantedLeaves{complete: true}) }
 
-func (w *world) book() (b MemberRecord) {
+// memberRecord returns the member record.
+func (w *simulation) memberRecord() (members MemberRecord) {
 	if r, ok := w.records[MembersKey]; ok {
-		if err := json.Unmarshal(r.value, &b); err != nil {
-			w.fail("the book: %v", err)
+		if err := json.Unmarshal(r.value, &members); err != nil {
+			w.fail("decode member record: %v", err)
 		}
 	}
-	return b
+	return members
 }
 
-// stored gives what a controller begins from.
-func (w *world) stored() (s Stored) {
-	s.Pages = map[string]uint64{}
+// stored returns the state on record from which a controller starts.
+func (w *simulation) stored() (stored Stored) {
+	stored.Pages = map[string]uint64{}
 	for _, key := range sortedKeys(w.records) {
 		r := w.records[key]
 		if digest, is := keyName(key, PagePrefix); is {
-			s.Pages[digest] = r.version
+			stored.Pages[digest] = r.version
 		}
-		if _, is := keyName(key, Prefix); is {
+		if _, is := keyName(key, TenantPrefix); is {
 			t, err := DecodeTenant(r.value, r.version)
 			if err != nil {
 				w.fail("%v", err)
 			}
-			s.Tenants = append(s.Tenants, t)
+			stored.Tenants = append(stored.Tenants, t)
 		}
 	}
-	s.Members, s.MembersVersion = w.book(), w.records[MembersKey].version
-	if s.Snapshot = w.image(); s.Snapshot != nil {
-		s.Head, _ = DecodeHead(w.records[HeadKey].value)
-		s.HeadVersion = w.records[HeadKey].version
+	stored.Members, stored.MembersVersion = w.memberRecord(), w.records[MembersKey].version
+	if stored.Snapshot = w.snapshot(); stored.Snapshot != nil {
+		stored.Head, _ = DecodeHead(w.records[HeadKey].value)
+		stored.HeadVersion = w.records[HeadKey].version
 	}
-	return s
+	return stored
 }
 
-// look gives what a controller sees.
-func (w *world) look() (l Observation) {
-	w.expire()
+// observe returns a controller's observation.
+func (w *simulation) observe() (observation Observation) {
+	w.expireSessions()
 	for _, id := range sortedKeys(w.sessions) {
 		s := w.sessions[id]
-		if s.word == nil {
+		if s.status == nil {
 			continue
 		}
-		word := *s.word
-		if w.broken["no waiting"] && s.word.Prepared > 0 {
-			word.Prepared, word.DrainedUpTo = w.truth.number, w.truth.number
+		status := *s.status
+		if w.mutations["no waiting"] && s.status.Prepared > 0 {
+			status.Prepared, status.DrainedUpTo = w.oracle.number, w.oracle.number
 		}
-		l.Sessions = append(l.Sessions, Session{s.node, word})
+		observation.Sessions = append(observation.Sessions, Session{s.proxy, status})
 	}
-	l.Policy = w.policy
-	if w.broken["free twice"] {
-		l.Policy.TotalFloor *= 2
+	observation.Policy = w.policy
+	if w.mutations["free twice"] {
+		observation.Policy.TotalFloor *= 2
 	}
 	for k := range 40 {
-		l.Endpoints = append(l.Endpoints, Endpoint{Zone: fmt.Sprint("z", k), MachineType: "k"})
+		observation.Endpoints = append(observation.Endpoints, Endpoint{Zone: fmt.Sprint("z", k), MachineType: "k"})
 	}
 	for _, key := range sortedKeys(w.records) {
 		for _, prefix := range []string{OrderPrefix, ForgetPrefix} {
 			if name, is := keyName(key, prefix); is {
-				a := PendingOrder{Key: key, Name: name, Version: w.records[key].version}
-				if err := json.Unmarshal(w.records[key].value, &a.Order); err != nil {
+				order := PendingOrder{Key: key, Name: name, Version: w.records[key].version}
+				if err := json.Unmarshal(w.records[key].value, &order.Order); err != nil {
 					w.fail("%v", err)
 				}
-				l.Orders = append(l.Orders, a)
+				observation.Orders = append(observation.Orders, order)
 			}
 		}
 	}
-	return l
+	return observation
 }
 
 func sortedKeys[T any](m map[string]T) []string {
--- a/internal/tenant/sim_test.go
+++ b/internal/tenant/sim_test.go
@@ -12,138 +12,141 @@
 	"time"
 )
 
-// clients ask all proxies for all tenants, at drawn times.
-func (w *world) clients() {
-	n := w.nodes[w.IntN(len(w.nodes))]
-	w.request(n, fmt.Sprint("t", w.IntN(w.tenants)), []string{"a", "b"}[w.IntN(2)])
-	w.after(time.Duration(1+w.IntN(60))*time.Millisecond, w.clients)
+// sendRequests sends requests of random tenants to random proxies, at random times.
+func (w *simulation) sendRequests() {
+	proxy := w.proxies[w.IntN(len(w.proxies))]
+	w.sendRequest(proxy, fmt.Sprint("t", w.IntN(w.tenantCount)), []string{"a", "b"}[w.IntN(2)])
+	w.after(time.Duration(1+w.IntN(60))*time.Millisecond, w.sendRequests)
 }
 
-// fault draws one fault, and its end.
-func (w *world) fault() {
-	if w.quiet {
+// injectFault injects a random fault with a random duration, and schedules the next fault.
+func (w *simulation) injectFault() {
+	if w.faultless {
 		return
 	}
-	w.after(time.Duration(w.IntN(3000))*time.Millisecond, w.fault)
-	n := w.nodes[w.IntN(len(w.nodes))]
-	long := time.Duration(w.IntN(9000)) * time.Millisecond
-	if n.dead || n.desk.leaving {
+	w.after(time.Duration(w.IntN(3000))*time.Millisecond, w.injectFault)
+	proxy := w.proxies[w.IntN(len(w.proxies))]
+	duration := time.Duration(w.IntN(9000)) * time.Millisecond
+	if proxy.dead || proxy.cache.leaving {
 		return
 	}
 	switch w.IntN(11) {
 	case 0, 1:
-		w.cutOff(n, long)
+		w.cutOff(proxy, duration)
 	case 2:
-		w.note("%s sleeps for %v", n.name, long)
-		n.asleep, n.ticked = w.now+long, false
+		w.logf("%s pauses for %v", proxy.name, duration)
+		proxy.asleepUntil, proxy.tickedSinceWake = w.now+duration, false
 	case 3:
-		w.note("%s is killed", n.name)
-		n.dead = true
+		w.logf("%s is killed", proxy.name)
+		proxy.dead = true
 		if w.IntN(4) > 0 {
-			w.after(long, func() { w.start(n.name) })
-		} else { // an operator saw to it
-			w.after(long, func() { w.ask(n.name, OrderForgetMember, 0) })
+			w.after(duration, func() { w.startProxy(proxy.name) })
+		} else { // the proxy does not return, and an operator has it forgotten
+			w.after(duration, func() { w.submitOrder(proxy.name, OrderForgetMember, 0) })
 		}
 	case 4:
-		w.note("%s leaves", n.name)
-		n.wake(func() { n.handle(Leave{}) })
-		w.after(long, func() { w.start(fmt.Sprint("n", len(w.nodes))) })
+		w.logf("%s leaves", proxy.name)
+		proxy.whenAwake(func() { proxy.handle(Leave{}) })
+		w.after(duration, func() { w.startProxy(fmt.Sprint("n", len(w.proxies))) })
 	case 5:
-		w.die(0)
+		w.failController(0)
 	case 6:
-		w.die(ttl + long)
+		w.failController(testTTL + duration)
 	case 7:
-		w.note("policy %d", w.policy.Version+1)
+		w.logf("policy %d", w.policy.Version+1)
 		w.newPolicy()
 	default:
-		w.ambush = 1 + w.IntN(4)
+		w.pendingCutOffs = 1 + w.IntN(4)
 	}
 }
 
-func (w *world) cutOff(n *node, long time.Duration) {
-	w.note("%s is cut off for %v", n.name, long)
-	n.cutOff = true
-	w.after(long, func() { n.cutOff = false })
+// cutOff makes a proxy lose all its calls to the registry for a time.
+func (w *simulation) cutOff(proxy *testProxy, duration time.Duration) {
+	w.logf("%s is cut off for %v", proxy.name, duration)
+	proxy.cutOff = true
+	w.after(duration, func() { proxy.cutOff = false })
 }
 
-// orders draws what operators ask for.
-func (w *world) orders() {
-	if w.quiet {
+// submitOrders submits random orders at random times.
+func (w *simulation) submitOrders() {
+	if w.faultless {
 		return
 	}
-	do := []string{OrderAdd, OrderAdd, OrderAdd, OrderChange, OrderChange, OrderSuspend, OrderResume, OrderRemove, OrderRemove}[w.IntN(9)]
-	k := w.IntN(40)
+	op := []string{OrderAdd, OrderAdd, OrderAdd, OrderChange, OrderChange, OrderSuspend, OrderResume, OrderRemove, OrderRemove}[w.IntN(9)]
+	variant := w.IntN(40)
 	if w.IntN(2) == 0 {
-		k = limitsOf(int64(w.policy.Version)) - 1 - w.IntN(5) // of the newest limits
+		variant = limitCount(int64(w.policy.Version)) - 1 - w.IntN(5) // of the newest limits
 	}
-	w.ask(fmt.Sprint("t", w.IntN(4)), do, k)
-	w.after(time.Duration(w.IntN(1200))*time.Millisecond, w.orders)
+	w.submitOrder(fmt.Sprint("t", w.IntN(4)), op, variant)
+	w.after(time.Duration(w.IntN(1200))*time.Millisecond, w.submitOrders)
 }
 
-// play runs one drawn schedule: faults for a time, then peace, after which all orders
-// must have come to rest and all proxies say what is told.
-func play(seed uint64, what broken) *world {
-	w := newWorld(seed, 3, 4, what)
-	w.after(0, w.clients)
-	w.after(time.Second, w.orders)
-	w.after(2*time.Second, w.fault)
+// runSchedule runs a random schedule: faults for 20 seconds, then 25 seconds without faults, after which all
+// orders must be done and all proxies must decide as published.
+func runSchedule(seed uint64, mutated mutations) *simulation {
+	w := newSimulation(seed, 3, 4, mutated)
+	w.after(0, w.sendRequests)
+	w.after(time.Second, w.submitOrders)
+	w.after(2*time.Second, w.injectFault)
 	w.run(20 * time.Second)
-	w.quiet = true
-	for _, n := range w.nodes {
-		if n.cutOff = false; n.dead && !w.alive(n.name) {
-			w.ask(n.name, OrderForgetMember, 0)
+	w.faultless = true
+	for _, proxy := range w.proxies {
+		if proxy.cutOff = false; proxy.dead && !w.isRunning(proxy.name) {
+			w.submitOrder(proxy.name, OrderForgetMember, 0)
 		}
 	}
 	w.run(w.now + 25*time.Second)
-	w.atRest()
+	w.checkSettled()
 	return w
 }
 
-func (w *world) alive(name string) bool {
-	return slices.ContainsFunc(w.nodes, func(n *node) bool { return n.name == name && !n.dead })
+// isRunning reports whether a process of a proxy is running.
+func (w *simulation) isRunning(name string) bool {
+	return slices.ContainsFunc(w.proxies, func(proxy *testProxy) bool { return proxy.name == name && !proxy.dead })
 }
 
-func (w *world) atRest() {
-	if w.wrong != "" {
+// checkSettled checks that all tenants are settled and that all proxies decide as published.
+func (w *simulation) checkSettled() {
+	if w.violation != "" {
 		return
 	}
-	for _, name := range sortedKeys(w.truth.state) {
-		if !w.truth.state[name].isSettled() {
-			w.fail("%s is %s still", name, w.truth.state[name])
+	for _, name := range sortedKeys(w.oracle.state) {
+		if !w.oracle.state[name].isSettled() {
+			w.fail("%s is still %s after the last fault, want a settled state", name, w.oracle.state[name])
 		}
 	}
-	for _, n := range w.nodes {
-		for t := range w.tenants {
-			n.wake(func() {
-				n.cat.Decide(n.clock(), fmt.Sprint("x-t", t), "a", "") // it is in use, or else it is asked for
-				n.handle(LeafMissing{fmt.Sprint("x-t", t)})
+	for _, proxy := range w.proxies {
+		for t := range w.tenantCount {
+			proxy.whenAwake(func() {
+				proxy.catalogue.Decide(proxy.clock(), fmt.Sprint("x-t", t), "a", "") // marks the leaf as used, if it is cached
+				proxy.handle(LeafMissing{fmt.Sprint("x-t", t)})
 			})
 		}
 	}
 	w.run(w.now + 300*time.Millisecond)
-	for _, n := range w.nodes {
-		for t := range w.tenants {
+	for _, proxy := range w.proxies {
+		for t := range w.tenantCount {
 			name := fmt.Sprint("t", t)
-			if n.dead || n.left {
+			if proxy.dead || proxy.left {
 				continue
 			}
-			a, told := n.cat.Decide(n.clock(), "x-"+name, "a", ""), w.truth.told[name+" a"]
-			if (a.Kind == Unavailable) || (a.Kind == NotFound) != (told == "") {
-				w.fail("%s at rest says %v (%s) of %s, told is %q", n.name, a.Kind, a.Reason, name, told)
+			decision, published := proxy.catalogue.Decide(proxy.clock(), "x-"+name, "a", ""), w.oracle.published[name+" a"]
+			if (decision.Kind == Unavailable) || (decision.Kind == NotFound) != (published == "") {
+				w.fail("%s decides %v (%s) on %s after the last fault, published is %q", proxy.name, decision.Kind, decision.Reason, name, published)
 			}
 		}
 	}
 }
 
-// each calls do with the numbers below n, many at once, until one call says that it is enough.
-func each(n int, do func(i int) (enough bool)) {
+// forEachInParallel calls do with the numbers below count, in parallel, until a call returns true.
+func forEachInParallel(count int, do func(i int) (stop bool)) {
 	var next atomic.Int64
 	var group sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		group.Go(func() {
-			for i := next.Add(1) - 1; i < int64(n); i = next.Add(1) - 1 {
+			for i := next.Add(1) - 1; i < int64(count); i = next.Add(1) - 1 {
 				if do(int(i)) {
-					next.Store(int64(n))
+					next.Store(int64(count))
 				}
 			}
 		})
@@ -151,59 +154,60 @@
 	group.Wait()
 }
 
-// schedules plays many and gives one that broke a rule.
-func schedules(n int, what broken) (bad *world, seed uint64, brought int) {
+// runSchedules runs schedules with the seeds below count until one violates a rule. It returns the simulation
+// and the seed of a schedule that violated a rule, or nil, and the number of times that tenants were added.
+func runSchedules(count int, mutated mutations) (failed *simulation, seed uint64, activations int) {
 	var mu sync.Mutex
-	each(n, func(i int) bool {
-		w := play(uint64(i), what)
+	forEachInParallel(count, func(i int) bool {
+		w := runSchedule(uint64(i), mutated)
 		mu.Lock()
 		defer mu.Unlock()
-		for _, k := range w.truth.active {
-			brought += k
+		for _, k := range w.oracle.activations {
+			activations += k
 		}
-		if w.wrong != "" && (bad == nil || uint64(i) < seed) {
-			bad, seed = w, uint64(i)
+		if w.violation != "" && (failed == nil || uint64(i) < seed) {
+			failed, seed = w, uint64(i)
 		}
-		return bad != nil
+		return failed != nil
 	})
-	return bad, seed, brought
+	return failed, seed, activations
 }
 
-// TestDrawnSchedules: no rule is broken whatever fails. TENANT_SCHEDULES plays more.
-func TestDrawnSchedules(t *testing.T) {
-	n := 40
-	if raceDetector { // which makes a schedule take six times as long
-		n = 12
+// No rule is violated in random schedules of faults. TENANT_SCHEDULES sets the number of schedules.
+func TestRulesHoldInDrawnSchedules(t *testing.T) {
+	count := 40
+	if raceDetector { // a schedule takes six times as long with it
+		count = 12
 	}
 	if s := os.Getenv("TENANT_SCHEDULES"); s != "" {
 		var err error
-		if n, err = strconv.Atoi(s); err != nil {
+		if count, err = strconv.Atoi(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	bad, seed, brought := schedules(n, broken{})
-	if bad != nil {
-		t.Fatalf("schedule %d: %s\n%s", seed, bad.wrong, bad.story())
+	failed, seed, activations := runSchedules(count, mutations{})
+	if failed != nil {
+		t.Fatalf("schedule %d: %s\n%s", seed, failed.violation, failed.traceText())
 	}
-	t.Logf("%d schedules, tenants brought in %d times", n, brought)
-	if brought < n {
-		t.Errorf("tenants came in only %d times in %d schedules", brought, n)
+	t.Logf("%d schedules, tenants were added %d times", count, activations)
+	if activations < count {
+		t.Errorf("tenants were added %d times in %d schedules, want at least once per schedule", activations, count)
 	}
 }
 
-// TestRulesFindMutations: each part that is left out is found by a rule: in the named
-// schedule, which found it first when this was written, or in another.
-func TestRulesFindMutations(t *testing.T) {
-	for what, first := range map[string]uint64{"no waiting": 0, "stale no": 0, "no barrier": 0, "not enrolled": 96, "right mends": 223, "no quota": 226, "no cut": 77, "no hold": 249,
+// The rules find each mutation, which shows that they can fail. The schedule with the listed seed was the
+// first to find the mutation when this test was written; if it no longer does, another schedule has to.
+func TestRulesFindDeliberatelyBrokenParts(t *testing.T) {
+	for mutation, firstSeed := range map[string]uint64{"no waiting": 0, "stale no": 0, "no barrier": 0, "not enrolled": 96, "right mends": 223, "no quota": 226, "no cut": 77, "no hold": 249,
 		"no tombstone": 14, "free twice": 13, "no fence": 1, "mute opening": 96, "older part": 1, "no without its part": 1, "prepared unseen": 3, "open let go": 5} {
-		bad, seed := play(first, broken{what: true}), first
-		if bad.wrong == "" {
-			bad, seed, _ = schedules(1000, broken{what: true})
+		failed, seed := runSchedule(firstSeed, mutations{mutation: true}), firstSeed
+		if failed.violation == "" {
+			failed, seed, _ = runSchedules(1000, mutations{mutation: true})
 		}
-		if bad == nil {
-			t.Errorf("%s: no rule finds it", what)
+		if failed == nil {
+			t.Errorf("mutation %q: not found by a rule in 1000 schedules", mutation)
 			continue
 		}
-		t.Logf("%s: found in schedule %d: %s", what, seed, bad.wrong)
+		t.Logf("mutation %q: found in schedule %d: %s", mutation, seed, failed.violation)
 	}
 }
--- a/internal/tenant/statemachine.go
+++ b/internal/tenant/statemachine.go
@@ -202,7 +202,7 @@
 	if digest, ok := keyName(write.Key, PagePrefix); ok && write.Value != nil {
 		m.pages[digest] = version
 	}
-	switch name, ok := keyName(write.Key, Prefix); {
+	switch name, ok := keyName(write.Key, TenantPrefix); {
 	case write.Key == HeadKey:
 		m.headVersion = version
 	case write.Key == MembersKey:
@@ -237,13 +237,13 @@
 		}
 		r.writes = append(
 			r.writes,
-			RecordWrite{Stage: stageIntent, Key: Prefix + name, Value: raw, Version: t.version},
+			RecordWrite{Stage: stageIntent, Key: TenantPrefix + name, Value: raw, Version: t.version},
 		)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.removed)) {
 		r.writes = append(
 			r.writes,
-			RecordWrite{Stage: stageCleanup, Key: Prefix + name, Version: m.tenants[name].version},
+			RecordWrite{Stage: stageCleanup, Key: TenantPrefix + name, Version: m.tenants[name].version},
 		)
 		delete(m.tenants, name)
 	}
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -92,7 +92,7 @@
 // ReadStored reads all records of tenants. If another process is the lease holder, the catalogue may change
 // while it is read; then it is read again.
 func ReadStored(ctx context.Context, reg *client.Client) (stored Stored, err error) {
-	tenants, err := readRecords(ctx, reg, Prefix, nil)
+	tenants, err := readRecords(ctx, reg, TenantPrefix, nil)
 	if err != nil {
 		return stored, err
 	}
--- a/internal/tenant/world_test.go
+++ b/internal/tenant/world_test.go
@@ -9,69 +9,89 @@
 	"time"
 )
 
-// world is proxies, a registry, controllers and clients on one drawn clock. Every
-// call takes a drawn time each way and may be lost; every clock has its own rate.
-type world struct {
+// simulation runs proxies, controllers, clients and the registry on a fake clock. Each call takes a random
+// time in each direction and may be lost; the clock of each process has its own rate.
+type simulation struct {
 	*rand.Rand
-	now    time.Duration
-	queue  queue
-	seq    int
-	wrong  string // the first rule that was broken
-	log    []string
-	broken broken // what a mutation leaves out
-
-	records  map[string]record0
-	version  uint64
-	sessions map[string]*session
-	fence    uint64
-	tree     bool             // controllers write the catalogue as a hash tree, but each fourth
-	pages    map[string]*page // that were read, by digest
-	have     map[string]*page // those that are on record at haveAt
-	haveAt   uint64
-	images   map[uint64]*Snapshot
-
-	nodes      []*node
-	conductors []*conductor
-	policy     PolicyFloors
-	truth      truth
-	quiet      bool // no more faults
-	ambush     int  // so many proxies are cut off just as a tenant comes into a state
-	tenants    int
-	dieAt      int           // the call at which a controller dies; 0: never
-	dieSleeps  time.Duration // it does not die then, but sleeps so long
-	calls      int           // of controllers
-	asked      int
-	removed    map[string]bool // tenants that were to be, at some time
+	now       time.Duration
+	queue     queue
+	seq       int
+	violation string // the first violation of a rule; "": none
+	trace     []string
+	mutations mutations // the parts that are broken deliberately
+
+	records             map[string]storedRecord
+	version             uint64
+	sessions            map[string]*session
+	token               uint64
+	hashTree            bool             // all controllers but each fourth write the catalogue as a hash tree
+	decodedPages        map[string]*page // all pages that have been read, by digest
+	currentPages        map[string]*page // pages on record at currentPagesVersion, by digest
+	currentPagesVersion uint64
+	snapshots           map[uint64]*Snapshot // complete catalogues by number
+
+	proxies         []*testProxy
+	controllers     []*testController
+	policy          PolicyFloors
+	oracle          oracle
+	faultless       bool // no faults are injected any more
+	pendingCutOffs  int  // number of proxies that are cut off soon after the next changes of tenants' states
+	tenantCount     int
+	failAtCall      int             // number of the call at which a controller fails; 0: never
+	failurePause    time.Duration   // if not 0, this controller pauses for this time instead of stopping
+	controllerCalls int             // number of all controllers' calls
+	idCount         int             // number of ids given to orders and sessions
+	removalOrdered  map[string]bool // tenants whose removal has been ordered at some time
 }
 
-// broken says which parts are left out, by a word each.
-type broken map[string]bool
-
-type record0 struct {
+// mutations names the parts of the program that are broken deliberately:
+//   - free twice: the policy allows a sum of floors twice as large as the oracle does;
+//   - mute opening: sessions are opened without a status, which follows later;
+//   - no barrier: proxies treat PhaseHold as PhasePrepare;
+//   - no cut: proxies ignore CutRequests;
+//   - no fence: writes are not checked for the fencing token and the version;
+//   - no hold: proxies have no maximal staleness, but n0 reports one;
+//   - no quota: proxies take any limit as present in their policy table;
+//   - no tombstone: the tombstone time is 0;
+//   - no waiting: controllers see all proxies as prepared and drained;
+//   - no without its part: a proxy decides that a tenant does not exist without the tenant's leaf;
+//   - not enrolled: proxies serve before they are enrolled;
+//   - older part: some reads return leaves of the previous snapshot;
+//   - open let go: proxies evict leaves of tenants with requests in flight;
+//   - prepared unseen: proxies ignore Head.PolicyNeeds;
+//   - right mends: each renewal restores a proxy's authority;
+//   - stale no: a proxy's authority does not end.
+type mutations map[string]bool
+
+// storedRecord is a record in the registry.
+type storedRecord struct {
 	value   []byte
 	version uint64
 }
 
+// session is a proxy's session in the registry.
 type session struct {
-	node string
-	word *Status
-	at   time.Duration // it ends
+	proxy  string
+	status *Status // nil: not reported yet
+	endsAt time.Duration
 }
 
-type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+// scheduledCall is a call at a time; seq orders calls at the same time.
+type scheduledCall struct {
+	at   time.Duration
+	seq  int
+	call func()
 }
 
-type queue []event
+// queue is a heap of scheduled calls.
+type queue []scheduledCall
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *queue) Push(x any)   { *q = append(*q, x.(scheduledCall)) }
 func (q *queue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
@@ -80,96 +100,103 @@
 }
 
 const (
-	ttl       = 2 * time.Second
-	testDrain = time.Second
-	lost      = 600 * time.Millisecond // a call without an answer is given up
+	testTTL     = 2 * time.Second
+	testDrain   = time.Second
+	callTimeout = 600 * time.Millisecond // after this time without a response, a call has failed
 )
 
-func newWorld(seed uint64, nodes, tenants int, what broken) *world {
-	w := &world{Rand: rand.New(rand.NewPCG(seed, 7)), records: map[string]record0{}, sessions: map[string]*session{}, tree: seed%2 == 1, pages: map[string]*page{}, images: map[uint64]*Snapshot{}, removed: map[string]bool{}, broken: what, tenants: tenants, truth: newTruth()}
+// newSimulation returns a simulation with the proxies n0, n1, ... and a controller.
+func newSimulation(seed uint64, proxyCount, tenantCount int, mutated mutations) *simulation {
+	w := &simulation{Rand: rand.New(rand.NewPCG(seed, 7)), records: map[string]storedRecord{}, sessions: map[string]*session{}, hashTree: seed%2 == 1, decodedPages: map[string]*page{}, snapshots: map[uint64]*Snapshot{}, removalOrdered: map[string]bool{}, mutations: mutated, tenantCount: tenantCount, oracle: newOracle()}
 	w.newPolicy()
-	for i := range nodes {
-		w.start(fmt.Sprint("n", i))
+	for i := range proxyCount {
+		w.startProxy(fmt.Sprint("n", i))
 	}
-	w.grant()
+	w.startController()
 	return w
 }
 
-// newPolicy makes the next table: each has more limits than the one before.
-func (w *world) newPolicy() {
-	w.policy = PolicyFloors{Version: w.policy.Version + 1, Floors: map[string]float64{}, TotalFloor: 9 * float64(w.tenants) / 4}
-	for t := range w.tenants {
+// newPolicy replaces the policy table by the next version, which has more limits.
+func (w *simulation) newPolicy() {
+	w.policy = PolicyFloors{Version: w.policy.Version + 1, Floors: map[string]float64{}, TotalFloor: 9 * float64(w.tenantCount) / 4}
+	for t := range w.tenantCount {
 		w.policy.Floors[fmt.Sprintf("t%d.p", t)] = 1
-		for k := range limitsOf(int64(w.policy.Version)) {
+		for k := range limitCount(int64(w.policy.Version)) {
 			w.policy.Floors[fmt.Sprintf("t%d.q%d", t, k)] = 1
 		}
 	}
 }
 
-// limitsOf is how many limits of class a each tenant has in a table.
-func limitsOf(version int64) int { return 20 + 5*int(version) }
+// limitCount returns the number of limits of class a that each tenant has in a version of the policy table.
+func limitCount(version int64) int { return 20 + 5*int(version) }
 
-// inTable tells whether a limit is in the table of a version.
-func inTable(limit string, version int64) bool {
+// tableHasLimit reports whether a version of the policy table has a limit.
+func tableHasLimit(limit string, version int64) bool {
 	var t, k int
 	n, _ := fmt.Sscanf(limit, "t%d.q%d", &t, &k)
-	return version > 0 && (n < 2 || k < limitsOf(version))
+	return version > 0 && (n < 2 || k < limitCount(version))
 }
 
-func (w *world) after(d time.Duration, do func()) {
+// after schedules a call.
+func (w *simulation) after(d time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.queue, event{w.now + d, w.seq, do})
+	heap.Push(&w.queue, scheduledCall{w.now + d, w.seq, do})
 }
 
-func (w *world) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.wrong == "" {
-		e := heap.Pop(&w.queue).(event)
+// run runs the scheduled calls until a time or the first violation.
+func (w *simulation) run(until time.Duration) {
+	for len(w.queue) > 0 && w.queue[0].at <= until && w.violation == "" {
+		e := heap.Pop(&w.queue).(scheduledCall)
 		w.now = e.at
-		e.do()
+		e.call()
 	}
 	w.now = max(w.now, until)
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(format, args...)
-		w.note("WRONG: %s", w.wrong)
+// fail records the first violation of a rule.
+func (w *simulation) fail(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
+		w.logf("VIOLATION: %s", w.violation)
 	}
 }
 
-func (w *world) note(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf("%8v %s", w.now.Round(time.Millisecond), fmt.Sprintf(format, args...)))
-	if len(w.log) > 400 {
-		w.log = w.log[200:]
+// logf adds a line to the trace, which has the last 200 to 400 lines.
+func (w *simulation) logf(format string, args ...any) {
+	w.trace = append(w.trace, fmt.Sprintf("%8v %s", w.now.Round(time.Millisecond), fmt.Sprintf(format, args...)))
+	if len(w.trace) > 400 {
+		w.trace = w.trace[200:]
 	}
 }
 
-// testForm is form k of a tenant: class a's route and quota carry k, as does a second name; class b's never change.
-func testForm(name string, k int) *Spec {
-	return &Spec{Names: []string{"x-" + name, alias(name, k)}, Classes: []string{"a", "b"}, DrainMS: testDrain.Milliseconds(),
-		Quotas: []QuotaRef{{fmt.Sprintf("%s.q%d", name, k), []string{"a"}}, {name + ".p", []string{"b"}}},
-		Routes: []Route{{Classes: []string{"a"}, Zones: []string{fmt.Sprint("z", k)}}, {Classes: []string{"b"}, Zones: []string{"z0"}}}}
+// testSpec returns a variant of a tenant's spec. The route and the limit of class a and the second name
+// contain the variant; the route and the limit of class b are the same in all variants.
+func testSpec(name string, variant int) *Spec {
+	return &Spec{Names: []string{"x-" + name, secondName(name, variant)}, Classes: []string{"a", "b"}, DrainMS: testDrain.Milliseconds(),
+		Quotas: []QuotaRef{{fmt.Sprintf("%s.q%d", name, variant), []string{"a"}}, {name + ".p", []string{"b"}}},
+		Routes: []Route{{Classes: []string{"a"}, Zones: []string{fmt.Sprint("z", variant)}}, {Classes: []string{"b"}, Zones: []string{"z0"}}}}
 }
 
-func alias(name string, k int) string { return fmt.Sprintf("y-%s-%d", name, k) }
+// secondName returns the tenant's name in X-Tenant that differs between variants.
+func secondName(name string, variant int) string { return fmt.Sprintf("y-%s-%d", name, variant) }
 
-// ask leaves an order, unless one waits.
-func (w *world) ask(name, do string, k int) bool {
-	key := orderKey(do, name)
-	if _, waits := w.records[key]; waits {
+// submitOrder submits an order for a tenant or a proxy, and returns false if another order waits.
+func (w *simulation) submitOrder(name, op string, variant int) bool {
+	key := orderKey(op, name)
+	if _, pending := w.records[key]; pending {
 		return false
 	}
-	w.asked++
-	w.removed[name] = w.removed[name] || do == OrderRemove
-	o := Order{Format: documentFormat, ID: fmt.Sprint("o", w.asked), Op: do}
-	if do == OrderAdd || do == OrderChange {
-		o.Spec = testForm(name, k)
+	w.idCount++
+	w.removalOrdered[name] = w.removalOrdered[name] || op == OrderRemove
+	order := Order{Format: documentFormat, ID: fmt.Sprint("o", w.idCount), Op: op}
+	if op == OrderAdd || op == OrderChange {
+		order.Spec = testSpec(name, variant)
 	}
-	raw, _ := json.Marshal(o)
+	raw, _ := json.Marshal(order)
 	w.version++
-	w.records[key] = record0{raw, w.version}
-	w.note("asked: %s %s %d", do, name, k)
+	w.records[key] = storedRecord{raw, w.version}
+	w.logf("order: %s %s, variant %d", op, name, variant)
 	return true
 }
 
-func (w *world) story() string { return strings.Join(w.log, "\n") }
+func (w *simulation) traceText() string { return strings.Join(w.trace, "\n") }
