--- a/internal/tenant/advance.go
+++ b/internal/tenant/advance.go
@@ -8,23 +8,23 @@
 // advance moves a tenant to its next state if the members that it waits for are ready, or if its time is
 // over.
 func (m *StateMachine) advance(r *round, t *Tenant) {
-	e := m.entries[t.Name]
+	entry := m.entries[t.Name]
 	if t.State.isSettled() {
 		m.expireTombstone(r, t)
 		return
 	}
-	if !entryOf(t).equivalent(e) {
+	if !entryOf(t).equivalent(entry) {
 		return // not published yet: a controller failed between the two writes
 	}
 	switch t.State {
 	case Reserved:
-		if m.waitForMembers(r, t, e) {
+		if m.waitForMembers(r, t, entry) {
 			m.applyNext(r, t)
 		} else if m.orderExpired(r, t) {
 			m.reject(r, t, m.lateMembersReason(t))
 		}
 	case Changing:
-		if m.waitForMembers(r, t, e) {
+		if m.waitForMembers(r, t, entry) {
 			if reason := m.recheck(r, t); reason != "" {
 				m.revert(r, t, reason)
 				return
@@ -34,13 +34,13 @@
 			m.revert(r, t, m.lateMembersReason(t))
 		}
 	case Switching:
-		if m.waitForMembers(r, t, e) {
+		if m.waitForMembers(r, t, entry) {
 			m.applyNext(r, t)
 		} else if r.now-m.stateSince[t.Name] >= m.times.Switch {
 			m.setState(r, t, Changing) // no proxy has served the next spec, so the current one may be served again
 		}
 	case Draining:
-		if m.waitForMembers(r, t, e) {
+		if m.waitForMembers(r, t, entry) {
 			m.setState(r, t, Removed)
 			t.recordOutcome("")
 			t.ExpiresAt = m.clockAt(r.now) + m.times.Tombstone
@@ -50,8 +50,8 @@
 
 // waitForMembers reports whether all members that the tenant's state waits for have applied its entry. It
 // records the others in waitingFor.
-func (m *StateMachine) waitForMembers(r *round, t *Tenant, e *Entry) bool {
-	m.waitingFor[t.Name] = m.membersBehind(r, e.Since, t.State.waitScope(), e.drainTime())
+func (m *StateMachine) waitForMembers(r *round, t *Tenant, entry *Entry) bool {
+	m.waitingFor[t.Name] = m.membersBehind(r, entry.Since, t.State.waitScope(), entry.drainTime())
 	return len(m.waitingFor[t.Name]) == 0
 }
 
--- a/internal/tenant/environment.go
+++ b/internal/tenant/environment.go
@@ -58,14 +58,14 @@
 }
 
 // Endpoints returns the endpoints that are ready.
-func (e RegistryEnvironment) Endpoints(ctx context.Context) (all []Endpoint, err error) {
+func (e RegistryEnvironment) Endpoints(ctx context.Context) (ready []Endpoint, err error) {
 	list, err := e.Registry.CurrentList(ctx)
 	for _, endpoint := range list.Endpoints {
 		if endpoint.Status == registry.Ready {
-			all = append(all, Endpoint{endpoint.Zone, endpoint.Type, endpoint.Cell})
+			ready = append(ready, Endpoint{endpoint.Zone, endpoint.Type, endpoint.Cell})
 		}
 	}
-	return all, err
+	return ready, err
 }
 
 // isNotFound reports whether an error is the registry's response that a record does not exist.
--- a/internal/tenant/members.go
+++ b/internal/tenant/members.go
@@ -15,9 +15,9 @@
 		statuses := r.sessions[member.Name]
 		if len(statuses) > 0 {
 			delete(m.absentSince, member.Name)
-			left := !slices.ContainsFunc(statuses, func(status Status) bool { return !status.Left })
-			m.membersDirty = m.membersDirty || left
-			return left
+			hasLeft := !slices.ContainsFunc(statuses, func(status Status) bool { return !status.Left })
+			m.membersDirty = m.membersDirty || hasLeft
+			return hasLeft
 		}
 		if _, known := m.absentSince[member.Name]; !known {
 			m.absentSince[member.Name] = r.now
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -72,15 +72,15 @@
 
 // leavesOf returns the sorted numbers of the leaves that contain an entry: in the flat form the leaf of the
 // tenant's own name, in a tree the leaves of all names that requests use.
-func leavesOf(e *Entry, levels int) (all []int) {
+func leavesOf(e *Entry, levels int) (leaves []int) {
 	if levels == 0 {
 		return []int{leafOf(e.Name, 1)}
 	}
 	for _, name := range e.names() {
-		all = append(all, leafOf(name, levels))
+		leaves = append(leaves, leafOf(name, levels))
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(leaves)
+	return slices.Compact(leaves)
 }
 
 // encode returns the encoded page and its digest. The digest of an empty page is "".
--- a/internal/tenant/service_test.go
+++ b/internal/tenant/service_test.go
@@ -161,10 +161,10 @@
 }
 
 func sortedKeys[T any](m map[string]T) []string {
-	var all []string
-	for k := range m {
-		all = append(all, k)
+	var keys []string
+	for key := range m {
+		keys = append(keys, key)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(keys)
+	return keys
 }
--- a/internal/tenant/snapshot.go
+++ b/internal/tenant/snapshot.go
@@ -76,14 +76,14 @@
 }
 
 // names returns the sorted distinct names by which requests may refer to an entry.
-func (e *Entry) names() (all []string) {
+func (e *Entry) names() (names []string) {
 	for _, spec := range []*Spec{e.Current, e.Next} {
 		if spec != nil {
-			all = append(all, spec.Names...)
+			names = append(names, spec.Names...)
 		}
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(names)
+	return slices.Compact(names)
 }
 
 // Snapshot is the catalogue of one head: the complete catalogue, or some leaves of it. It never changes.
@@ -138,13 +138,13 @@
 
 // byName returns the entries of all leaves by the tenants' names.
 func (s *Snapshot) byName() map[string]*Entry {
-	all := map[string]*Entry{}
+	entries := map[string]*Entry{}
 	for _, leaf := range s.leaves {
 		for _, e := range leaf.entries {
-			all[e.Name] = e
+			entries[e.Name] = e
 		}
 	}
-	return all
+	return entries
 }
 
 // Sorted returns the entries, sorted by the tenants' names.
--- a/internal/tenant/spec.go
+++ b/internal/tenant/spec.go
@@ -120,21 +120,24 @@
 		return errors.New("form: missing")
 	}
 	for _, list := range []struct {
-		key         string
-		all         []string
-		least, most int
+		field            string
+		values           []string
+		minimum, maximum int
 	}{
 		{"names", s.Names, 1, MaxNames},
 		{"classes", s.Classes, 1, MaxClasses},
 		{"keys", s.KeyPrefixes, 0, MaxKeyPrefixes},
 	} {
-		if len(list.all) < list.least || len(list.all) > list.most {
-			return fmt.Errorf("%s: %d, want %d to %d", list.key, len(list.all), list.least, list.most)
+		if len(list.values) < list.minimum || len(list.values) > list.maximum {
+			return fmt.Errorf("%s: %d, want %d to %d", list.field, len(list.values), list.minimum, list.maximum)
 		}
-		sorted := slices.Sorted(slices.Values(list.all))
-		if len(slices.Compact(sorted)) != len(list.all) ||
-			slices.ContainsFunc(list.all, func(s string) bool { return s == "" || len(s) > registry.MaxTextBytes }) {
-			return fmt.Errorf("%s: want each once, with 1 to %d bytes", list.key, registry.MaxTextBytes)
+		sorted := slices.Sorted(slices.Values(list.values))
+		if len(slices.Compact(sorted)) != len(list.values) ||
+			slices.ContainsFunc(
+				list.values,
+				func(s string) bool { return s == "" || len(s) > registry.MaxTextBytes },
+			) {
+			return fmt.Errorf("%s: want each once, with 1 to %d bytes", list.field, registry.MaxTextBytes)
 		}
 	}
 	if len(s.Routes) > MaxRoutes || len(s.Quotas) > MaxRoutes {
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -155,14 +155,14 @@
 }
 
 // ReadSessions returns the proxies' current sessions.
-func ReadSessions(ctx context.Context, reg *client.Client) (all []Session, err error) {
+func ReadSessions(ctx context.Context, reg *client.Client) (sessions []Session, err error) {
 	leases, err := reg.Leases(ctx)
 	for _, s := range leases.Sessions {
 		if status, ok := ParseStatus(s.Info.Note); ok {
-			all = append(all, Session{s.Process, status})
+			sessions = append(sessions, Session{s.Process, status})
 		}
 	}
-	return all, err
+	return sessions, err
 }
 
 // PendingOrders returns the orders that wait. An invalid order gets the unknown operation "unreadable", so
--- a/internal/tenant/tree.go
+++ b/internal/tenant/tree.go
@@ -31,11 +31,11 @@
 // buildTree returns the tree of some entries, and all its encoded pages by digest.
 func buildTree(levels int, entries map[string]*Entry) (*tree, map[string][]byte, error) {
 	t := newTree(levels)
-	all := make([]change, 0, len(entries))
+	additions := make([]change, 0, len(entries))
 	for _, e := range entries {
-		all = append(all, change{after: e})
+		additions = append(additions, change{after: e})
 	}
-	raw, _, err := t.apply(all)
+	raw, _, err := t.apply(additions)
 	return t, raw, err
 }
 
