--- a/cmd/wrenspread-lab/commands.go
+++ b/cmd/wrenspread-lab/commands.go
@@ -15,33 +15,38 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// flags that playing takes.
-type flags struct {
-	seed   uint64
-	out    string
-	bin    string
-	repeat int
+// playFlags are the flags of the commands that play experiments: the first seed, the folder of the results,
+// the folder of the programs, and the number of consecutive seeds.
+type playFlags struct {
+	firstSeed uint64
+	outDir    string
+	binDir    string
+	repeat    int
 }
 
-func (f *flags) add(c *cobra.Command) {
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "the seed of world, load, emulated work and drawn faults")
-	c.Flags().StringVar(&f.out, "out", "logs/lab", "the folder under which each run gets one of its own")
-	c.Flags().
-		StringVar(&f.bin, "bin", "", "the folder with the wrenspread-proxy to play with (default: beside wrenspread-lab, or built from the project)")
+// register adds the flags to a command.
+func (f *playFlags) register(c *cobra.Command) {
+	c.Flags().Uint64Var(&f.firstSeed, "seed", 1, "the seed of world, load, emulated work and drawn faults")
+	c.Flags().StringVar(&f.outDir, "out", "logs/lab", "the folder under which each run gets one of its own")
+	c.Flags().StringVar(&f.binDir, "bin", "",
+		"the folder with the wrenspread-proxy to play with (default: beside wrenspread-lab, or built from the project)")
 	c.Flags().IntVar(&f.repeat, "repeat", 1, "play so many seeds, from --seed on")
 }
 
-func (f *flags) play(c *cobra.Command, experiments ...*spec.Experiment) error {
-	p, done, err := newPlayer(c.Context(), c.OutOrStdout(), c.ErrOrStderr(), f.bin, f.out, experiments)
+// play runs each experiment with each of the seeds that the flags select.
+func (f *playFlags) play(c *cobra.Command, experiments ...*spec.Experiment) error {
+	p, removePrograms, err := newPlayer(c.Context(), c.OutOrStdout(), c.ErrOrStderr(), f.binDir, f.outDir,
+		experiments)
 	if err != nil {
 		return err
 	}
-	defer done()
-	return p.all(c.Context(), experiments, seedsFrom(f.seed, f.repeat))
+	defer removePrograms()
+	return p.playAll(c.Context(), experiments, seedsFrom(f.firstSeed, f.repeat))
 }
 
+// runCommand plays the experiment of one file.
 func runCommand() *cobra.Command {
-	var f flags
+	var f playFlags
 	c := &cobra.Command{
 		Use:     "run FILE",
 		Short:   "play an experiment",
@@ -50,17 +55,18 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := spec.LoadFile(args[0])
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			return f.play(c, e)
 		},
 	}
-	f.add(c)
+	f.register(c)
 	return c
 }
 
+// demoCommand plays the built-in experiment demoText.
 func demoCommand() *cobra.Command {
-	var f flags
+	var f playFlags
 	c := &cobra.Command{
 		Use:     "demo",
 		Short:   "3 nodes, 10 boxes, load, and a node that is killed: 15 seconds, then a report",
@@ -69,7 +75,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			e, err := spec.Parse("demo.toml", demoText)
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			besteffort.Output(
 				fmt.Fprintln(c.ErrOrStderr(), "3 nodes, 10 boxes; n1 is killed at 5 s and started again at 8 s"),
@@ -77,11 +83,11 @@
 			return f.play(c, e)
 		},
 	}
-	f.add(c)
+	f.register(c)
 	return c
 }
 
-// demoText is the demo's experiment.
+// demoText is the experiment that the demo command plays.
 const demoText = `
 about = "a node is killed and comes back"
 length = "15s"
@@ -94,6 +100,7 @@
 on = ["n1"]
 `
 
+// listCommand lists the experiments of a folder and the kinds of fault that an experiment can use.
 func listCommand() *cobra.Command {
 	var dir string
 	c := &cobra.Command{
@@ -102,15 +109,15 @@
 		Example: "  wrenspread-lab list\n  wrenspread-lab list --dir lab",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			all, err := experimentsIn(dir)
+			experiments, err := loadExperiments(dir)
 			if err != nil {
 				return err
 			}
-			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-			for _, e := range all {
+			table := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
+			for _, e := range experiments {
 				besteffort.Output(
 					fmt.Fprintf(
-						t,
+						table,
 						"%s\t%v\t%d nodes, %d boxes\t%s\n",
 						e.Name,
 						time.Duration(e.Length),
@@ -120,7 +127,7 @@
 					),
 				)
 			}
-			besteffort.Encode(t.Flush())
+			besteffort.Encode(table.Flush())
 			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "\nfaults:"))
 			for _, a := range spec.Acts() {
 				besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "  "+a))
@@ -128,10 +135,11 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&dir, "dir", defaultDir(), "the folder with the experiments")
+	c.Flags().StringVar(&dir, "dir", defaultExperimentsDir(), "the folder with the experiments")
 	return c
 }
 
+// checkCommand validates experiment files without playing them.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE...",
@@ -139,23 +147,24 @@
 		Example: "  wrenspread-lab check lab/*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			bad := 0
+			invalid := 0
 			for _, path := range args {
 				if _, err := spec.LoadFile(path); err != nil {
-					bad++
+					invalid++
 					besteffort.Output(fmt.Fprintln(c.OutOrStdout(), err))
 					continue
 				}
 				besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: can be played\n", path))
 			}
-			if bad > 0 {
-				return unplayed{fmt.Errorf("%d of %d files can't be played", bad, len(args))}
+			if invalid > 0 {
+				return unplayedError{fmt.Errorf("%d of %d files can't be played", invalid, len(args))}
 			}
 			return nil
 		},
 	}
 }
 
+// scheduleCommand prints the faults that an experiment draws for a seed, without playing it.
 func scheduleCommand() *cobra.Command {
 	var seed uint64
 	c := &cobra.Command{
@@ -166,21 +175,23 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := spec.LoadFile(args[0])
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
-			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-			for _, s := range e.Schedule(seed) {
+			table := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
+			for _, fault := range e.Schedule(seed) {
 				besteffort.Output(
-					fmt.Fprintf(t, "%v\t%v\t%s\t%v\t%v\n", time.Duration(s.At), time.Duration(s.For), s.Name, s.On, s.To),
+					fmt.Fprintf(table, "%v\t%v\t%s\t%v\t%v\n",
+						time.Duration(fault.At), time.Duration(fault.For), fault.Name, fault.On, fault.To),
 				)
 			}
-			return t.Flush()
+			return table.Flush()
 		},
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "the seed")
 	return c
 }
 
+// compareCommand prints the figures of two recorded runs next to each other.
 func compareCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "compare A B",
@@ -192,7 +203,7 @@
 			for _, dir := range args {
 				r, err := report.Read(filepath.Clean(dir))
 				if err != nil {
-					return unplayed{err}
+					return unplayedError{err}
 				}
 				runs = append(runs, r)
 			}
@@ -201,8 +212,9 @@
 	}
 }
 
+// allCommand plays every experiment of a folder, or only the quick ones.
 func allCommand() *cobra.Command {
-	var f flags
+	var f playFlags
 	var dir string
 	var quick bool
 	c := &cobra.Command{
@@ -211,22 +223,23 @@
 		Example: "  wrenspread-lab all --quick\n  wrenspread-lab all --repeat 3",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			all, err := experimentsIn(dir)
+			experiments, err := loadExperiments(dir)
 			if err != nil {
 				return err
 			}
 			if quick {
-				all = slices.DeleteFunc(all, func(e *spec.Experiment) bool { return !e.Quick })
+				experiments = slices.DeleteFunc(experiments, func(e *spec.Experiment) bool { return !e.Quick })
 			}
-			return f.play(c, all...)
+			return f.play(c, experiments...)
 		},
 	}
-	f.add(c)
-	c.Flags().StringVar(&dir, "dir", defaultDir(), "the folder with the experiments")
+	f.register(c)
+	c.Flags().StringVar(&dir, "dir", defaultExperimentsDir(), "the folder with the experiments")
 	c.Flags().BoolVar(&quick, "quick", false, "only those whose file says quick = true")
 	return c
 }
 
+// costCommand measures the overhead of the lab itself on this machine.
 func costCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "cost",
@@ -235,24 +248,25 @@
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := measure.WriteCost(c.Context(), c.OutOrStdout()); err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			return nil
 		},
 	}
 }
 
+// boxesCommand compares the emulated app machines with the distributions that they are drawn from.
 func boxesCommand() *cobra.Command {
-	n := 300
+	draws := 300
 	c := &cobra.Command{
 		Use:     "boxes",
 		Short:   "measure the emulated boxes against the figures they are drawn from",
 		Example: "  wrenspread-lab boxes --draw 1000",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return measure.WriteBoxes(c.OutOrStdout(), measure.Boxes(n))
+			return measure.WriteBoxes(c.OutOrStdout(), measure.Boxes(draws))
 		},
 	}
-	c.Flags().IntVar(&n, "draw", n, "how many boxes to draw")
+	c.Flags().IntVar(&draws, "draw", draws, "how many boxes to draw")
 	return c
 }
--- a/cmd/wrenspread-lab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -20,17 +20,18 @@
 	"wrenspread/internal/lab/leases"
 )
 
-// dutyFlags are what a series of runs with leases takes.
+// dutyFlags are the flags of a series of runs with leases, which the commands call duties.
 type dutyFlags struct {
-	seed           uint64
-	runs, together int
+	firstSeed      uint64
+	runs, parallel int
 	replicas       int
-	crew           leases.CrewOptions
+	workerGroup    leases.CrewOptions
 	length         time.Duration
-	out, bin       string
-	guard          string
+	outDir, binDir string
+	guard          string // whether the resource checks fencing tokens: yes, no or by-seed
 }
 
+// dutiesCommand plays a series of runs in which worker processes hold leases (duties) while faults occur.
 func dutiesCommand() *cobra.Command {
 	var f dutyFlags
 	c := &cobra.Command{
@@ -42,42 +43,44 @@
 that checks fences, and processes that stand still; the other has neither, so that time alone keeps holders apart.`,
 		Example: "  wrenspread-lab duties\n  wrenspread-lab duties --runs 200 --together 3",
 		Args:    cobra.NoArgs,
-		RunE:    func(c *cobra.Command, _ []string) error { return f.play(c) },
+		RunE:    func(c *cobra.Command, _ []string) error { return f.playSeries(c) },
 	}
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "the first seed")
+	c.Flags().Uint64Var(&f.firstSeed, "seed", 1, "the first seed")
 	c.Flags().IntVar(&f.runs, "runs", 2, "how many runs, a seed each")
-	c.Flags().IntVar(&f.together, "together", 1, "how many at once")
+	c.Flags().IntVar(&f.parallel, "together", 1, "how many at once")
 	c.Flags().IntVar(&f.replicas, "replicas", 3, "1, 3 or 5")
-	c.Flags().IntVar(&f.crew.Workers, "workers", 3, "processes")
-	c.Flags().IntVar(&f.crew.Duties, "duties", 2, "that all of them want")
-	c.Flags().DurationVar(&f.crew.TTL, "ttl", time.Second, "of their sessions")
-	c.Flags().
-		DurationVar(&f.crew.Deaf, "deaf", 0, "a broken stand-in: work goes on for so long after it is told to stop")
+	c.Flags().IntVar(&f.workerGroup.Workers, "workers", 3, "processes")
+	c.Flags().IntVar(&f.workerGroup.Duties, "duties", 2, "that all of them want")
+	c.Flags().DurationVar(&f.workerGroup.TTL, "ttl", time.Second, "of their sessions")
+	c.Flags().DurationVar(&f.workerGroup.Deaf, "deaf", 0,
+		"a broken stand-in: work goes on for so long after it is told to stop")
 	c.Flags().StringVar(&f.guard, "guard", "by-seed", "does the resource check fences: yes, no or by-seed")
 	c.Flags().DurationVar(&f.length, "length", 8*time.Second, "of each run's faults")
-	c.Flags().StringVar(&f.out, "out", "logs/lab", "the folder under which each run gets one of its own")
-	c.Flags().
-		StringVar(&f.bin, "bin", "", "the folder with the wrenspread-registry to play with (default: beside wrenspread-lab, or built from the project)")
+	c.Flags().StringVar(&f.outDir, "out", "logs/lab", "the folder under which each run gets one of its own")
+	c.Flags().StringVar(&f.binDir, "bin", "",
+		"the folder with the wrenspread-registry to play with (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
-func (f *dutyFlags) play(c *cobra.Command) error {
-	if f.runs < 1 || f.together < 1 || f.crew.Workers < 1 || f.crew.Duties < 1 || f.length < time.Second ||
+// playSeries checks the flags, plays one run per seed and prints a summary with the number of grants.
+func (f *dutyFlags) playSeries(c *cobra.Command) error {
+	if f.runs < 1 || f.parallel < 1 || f.workerGroup.Workers < 1 || f.workerGroup.Duties < 1 ||
+		f.length < time.Second ||
 		(f.replicas != 1 && f.replicas != 3 && f.replicas != 5) {
-		return unplayed{
+		return unplayedError{
 			errors.New(
 				"--runs, --together, --workers and --duties are 1 or more, --length 1s or more, --replicas 1, 3 or 5",
 			),
 		}
 	}
-	program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
+	program, removeProgram, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir, "wrenspread-registry")
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer removeProgram()
 	var grants atomic.Int64
-	return series{"duties", f.seed, f.runs, f.together}.play(c, func(seed uint64) (outcome, error) {
-		o, err := f.one(c.Context(), program, seed)
+	return series{"duties", f.firstSeed, f.runs, f.parallel}.play(c, func(seed uint64) (outcome, error) {
+		o, err := f.playSeed(c.Context(), program, seed)
 		grants.Add(int64(o.Grants))
 		return outcome{o.Line(), len(o.Broken) > 0, o.Unsure}, err
 	}, func(t tally, unplayed int) string {
@@ -87,30 +90,32 @@
 			f.length,
 			t.passed,
 			t.broken,
-			t.unsure+unplayed,
+			t.undecided+unplayed,
 			grants.Load(),
 		)
 	})
 }
 
-func (f *dutyFlags) one(ctx context.Context, program string, seed uint64) (leases.Outcome, error) {
+// playSeed plays one run in a folder of its own. With the guard "by-seed" the resource checks fencing tokens
+// in runs with an even seed only.
+func (f *dutyFlags) playSeed(ctx context.Context, program string, seed uint64) (leases.Outcome, error) {
 	dir, err := filepath.Abs(
-		filepath.Join(f.out, fmt.Sprintf("duties-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))),
+		filepath.Join(f.outDir, fmt.Sprintf("duties-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))),
 	)
 	if err != nil {
 		return leases.Outcome{}, err
 	}
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return leases.Outcome{}, err
 	}
-	crew := f.crew
-	crew.Command = []string{own, "duty-worker"}
-	crew.Guarded = f.guard == "yes" || f.guard == "by-seed" && seed%2 == 0
+	workerGroup := f.workerGroup
+	workerGroup.Command = []string{executable, "duty-worker"}
+	workerGroup.Guarded = f.guard == "yes" || f.guard == "by-seed" && seed%2 == 0
 	return leases.Play(
 		ctx,
 		leases.Options{
-			Crew:     crew,
+			Crew:     workerGroup,
 			Seed:     seed,
 			Replicas: f.replicas,
 			Length:   f.length,
@@ -120,8 +125,10 @@
 	)
 }
 
+// dutyCostCommand measures how long a lease has no holder after each kind of change, and what held leases
+// cost.
 func dutyCostCommand() *cobra.Command {
-	var bin string
+	var binDir string
 	var times int
 	c := &cobra.Command{
 		Use:     "duty-cost",
@@ -129,18 +136,18 @@
 		Example: "  wrenspread-lab duty-cost --times 50",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			program, done, err := findProgram(c.Context(), c.ErrOrStderr(), bin, "wrenspread-registry")
+			program, removeProgram, err := findProgram(c.Context(), c.ErrOrStderr(), binDir, "wrenspread-registry")
 			if err != nil {
 				return err
 			}
-			defer done()
-			own, err := os.Executable()
+			defer removeProgram()
+			executable, err := os.Executable()
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			dir, err := os.MkdirTemp("", "dutycost")
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 			o := leases.Options{
@@ -148,35 +155,39 @@
 				Replicas: 3,
 				Dir:      dir,
 				List:     []string{program},
-				Crew:     leases.CrewOptions{Workers: 3, TTL: time.Second, Command: []string{own, "duty-worker"}},
+				Crew:     leases.CrewOptions{Workers: 3, TTL: time.Second, Command: []string{executable, "duty-worker"}},
 			}
-			if err := dutyCost(c.Context(), c.OutOrStdout(), o, times); err != nil {
-				return unplayed{err}
+			if err := writeDutyCosts(c.Context(), c.OutOrStdout(), o, times); err != nil {
+				return unplayedError{err}
 			}
 			return nil
 		},
 	}
 	c.Flags().IntVar(&times, "times", 50, "how many times each kind of change is made")
-	c.Flags().
-		StringVar(&bin, "bin", "", "the folder with the wrenspread-registry to measure (default: beside wrenspread-lab, or built from the project)")
+	c.Flags().StringVar(&binDir, "bin", "",
+		"the folder with the wrenspread-registry to measure (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
-// Candidates of a contest, and how often they take turns.
-const contestants, contests = 100, 20
+// A contest has contestCandidates processes that request one lease; the lease changes its holder
+// contestRounds times.
+const contestCandidates, contestRounds = 100, 20
 
-// election is that of the lab's replicas, up to twice of which one may take.
-const election = 300 * time.Millisecond
+// labElectionTimeout is the election timeout of the lab's replicas. An election can take up to twice as long.
+const labElectionTimeout = 300 * time.Millisecond
 
-func dutyCost(ctx context.Context, w io.Writer, o leases.Options, times int) error {
-	under := o.Dir
-	var mu sync.Mutex // of the output
+// writeDutyCosts measures leases and writes one line per result to w: first, at the same time, the gap
+// between two holders for each kind of change and for a contest of many candidates; then the processor time
+// of 10 to 1000 held leases.
+func writeDutyCosts(ctx context.Context, w io.Writer, o leases.Options, times int) error {
+	parentDir := o.Dir
+	var mu sync.Mutex // guards w
 	var g errgroup.Group
 	for _, kind := range leases.Kinds {
 		g.Go(func() error {
 			o := o
-			o.Dir = filepath.Join(under, kind)
-			all, err := leases.Changes(ctx, o, kind, times)
+			o.Dir = filepath.Join(parentDir, kind)
+			gaps, err := leases.Changes(ctx, o, kind, times)
 			if err != nil {
 				return fmt.Errorf("%s: %w", kind, err)
 			}
@@ -187,12 +198,12 @@
 					w,
 					"%-8s %d changes: without a holder for %v in the median, %v at the worst; %v on paper\n",
 					kind,
-					len(all),
-					all[len(all)/2].Round(
+					len(gaps),
+					gaps[len(gaps)/2].Round(
 						time.Millisecond,
 					),
-					all[len(all)-1].Round(time.Millisecond),
-					leases.Bound(kind, o.Crew.TTL, election),
+					gaps[len(gaps)-1].Round(time.Millisecond),
+					leases.Bound(kind, o.Crew.TTL, labElectionTimeout),
 				),
 			)
 			return nil
@@ -200,10 +211,10 @@
 	}
 	g.Go(func() error {
 		o := o
-		o.Dir = filepath.Join(under, "contest")
-		all, err := leases.Contest(ctx, o, contestants, contests)
+		o.Dir = filepath.Join(parentDir, "contest")
+		gaps, err := leases.Contest(ctx, o, contestCandidates, contestRounds)
 		if err != nil {
-			return fmt.Errorf("%d candidates: %w", contestants, err)
+			return fmt.Errorf("%d candidates: %w", contestCandidates, err)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -211,10 +222,10 @@
 			fmt.Fprintf(
 				w,
 				"%d candidates at one duty, %d changes: %v in the median, %v at the worst\n",
-				contestants,
-				len(all),
-				all[len(all)/2].Round(time.Millisecond),
-				all[len(all)-1].Round(time.Millisecond),
+				contestCandidates,
+				len(gaps),
+				gaps[len(gaps)/2].Round(time.Millisecond),
+				gaps[len(gaps)-1].Round(time.Millisecond),
 			),
 		)
 		return nil
@@ -224,8 +235,8 @@
 	}
 	o.Crew.Workers = 10
 	for _, n := range []int{10, 100, 1000} {
-		o.Dir = filepath.Join(under, fmt.Sprint(n))
-		c, err := leases.Costs(ctx, o, n)
+		o.Dir = filepath.Join(parentDir, fmt.Sprint(n))
+		costs, err := leases.Costs(ctx, o, n)
 		if err != nil {
 			return fmt.Errorf("%d duties: %w", n, err)
 		}
@@ -233,19 +244,19 @@
 			fmt.Fprintf(
 				w,
 				"%4d duties in 10 processes: held after %v, %d to %d by each; workers take %v of processor a second in all, replicas %v\n",
-				c.Duties,
-				c.Settled.Round(10*time.Millisecond),
-				c.Held[0],
-				c.Held[len(c.Held)-1],
-				c.Workers.Round(100*time.Microsecond),
-				c.Replicas.Round(100*time.Microsecond),
+				costs.Duties,
+				costs.Settled.Round(10*time.Millisecond),
+				costs.Held[0],
+				costs.Held[len(costs.Held)-1],
+				costs.Workers.Round(100*time.Microsecond),
+				costs.Replicas.Round(100*time.Microsecond),
 			),
 		)
 	}
 	return nil
 }
 
-// dutyWorkerCommand is the process of a worker; the lab starts it.
+// dutyWorkerCommand runs a worker process that holds leases; the lab starts it.
 func dutyWorkerCommand() *cobra.Command {
 	var o leases.WorkerOptions
 	var addresses, names string
--- a/cmd/wrenspread-lab/duties_test.go
+++ b/cmd/wrenspread-lab/duties_test.go
@@ -19,7 +19,7 @@
 	"wrenspread/internal/registry/server"
 )
 
-// TestMain lets this test's own binary be a worker, hollow nodes, or a replica of the registry.
+// TestMain lets this test's own binary run as a worker, as hollow nodes, as a proxy or as a registry replica.
 func TestMain(m *testing.M) {
 	if os.Getenv("WRENSPREAD_LAB_AS_PROGRAM") != "1" {
 		os.Exit(m.Run())
@@ -28,9 +28,9 @@
 		main()
 		return
 	}
-	program := replica
+	program := runReplica
 	if os.Args[1] == "node" {
-		program = standNode
+		program = runProxy
 	}
 	if err := program(); err != nil {
 		besteffort.Output(os.Stderr.WriteString(err.Error() + "\n"))
@@ -38,7 +38,8 @@
 	}
 }
 
-func replica() error {
+// runReplica runs a replica of the registry, configured by the command line, until SIGTERM.
+func runReplica() error {
 	flags := pflag.NewFlagSet("replica", pflag.ContinueOnError)
 	flags.String(config.FileFlag, "", "")
 	if err := flags.Parse(os.Args[1:]); err != nil {
@@ -53,10 +54,14 @@
 	return server.Run(ctx, c, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 }
 
-func playDuties(t *testing.T, seed uint64, crew leases.CrewOptions) leases.Outcome {
+// playLeaseRun plays one run of 6 s with three workers, two leases and three replicas, all in processes of
+// this test's own binary.
+func playLeaseRun(t *testing.T, seed uint64, workerGroup leases.CrewOptions) leases.Outcome {
 	t.Helper()
-	crew.Workers, crew.Duties, crew.TTL, crew.Command = 3, 2, time.Second, []string{os.Args[0], "duty-worker"}
-	o, err := leases.Play(context.Background(), leases.Options{Crew: crew, Seed: seed, Replicas: 3, Length: 6 * time.Second, Dir: t.TempDir(),
+	workerGroup.Workers, workerGroup.Duties, workerGroup.TTL, workerGroup.Command =
+		3, 2, time.Second, []string{os.Args[0], "duty-worker"}
+	o, err := leases.Play(context.Background(), leases.Options{Crew: workerGroup, Seed: seed, Replicas: 3,
+		Length: 6 * time.Second, Dir: t.TempDir(),
 		List: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -65,26 +70,29 @@
 	return o
 }
 
-// TestDutiesHeld: behind a guard, and by time alone, one process holds a lease at a time.
-func TestDutiesHeld(t *testing.T) {
+// TestOneProcessHoldsALeaseWithAndWithoutFencing checks that a lease has one holder at a time, both where the
+// resource checks fencing tokens (seed 2) and where only time separates the holders (seed 1).
+func TestOneProcessHoldsALeaseWithAndWithoutFencing(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		o := playDuties(t, seed, leases.CrewOptions{Guarded: seed%2 == 0})
+		o := playLeaseRun(t, seed, leases.CrewOptions{Guarded: seed%2 == 0})
 		for _, b := range o.Broken {
 			t.Error(b)
 		}
 		if o.Acts == 0 {
-			t.Error("nobody acted")
+			t.Errorf("seed %d: no worker acted on a resource", seed)
 		}
 	}
 }
 
-// TestDeafWorkersAreFound: where work goes on after it is told to stop, and nobody checks fencing tokens, the check says so.
-func TestDeafWorkersAreFound(t *testing.T) {
+// TestCheckFindsWorkersThatActAfterTheirLeaseEnded checks the check itself: workers that keep acting for 3 s
+// after the order to stop, on a resource that does not check fencing tokens, are reported in one of nine
+// runs.
+func TestCheckFindsWorkersThatActAfterTheirLeaseEnded(t *testing.T) {
 	for seed := uint64(17); seed < 26; seed++ {
-		o := playDuties(t, seed, leases.CrewOptions{Deaf: 3 * time.Second})
+		o := playLeaseRun(t, seed, leases.CrewOptions{Deaf: 3 * time.Second})
 		if slices.ContainsFunc(o.Broken, func(b string) bool { return strings.Contains(b, "writes under fence") }) {
 			return
 		}
 	}
-	t.Error("nothing is found in nine runs")
+	t.Error("nine runs with workers that act after their lease ended: no write under an old fence was reported")
 }
--- a/cmd/wrenspread-lab/main.go
+++ b/cmd/wrenspread-lab/main.go
@@ -1,5 +1,6 @@
-// Command wrenspread-lab plays experiments: real processes of the program, emulated
-// backends and clients, and faults between them. It gives a verdict and a report.
+// Command wrenspread-lab is a fault-injection test lab. It starts real processes of the project, emulates
+// backends, clients and the network around them, injects faults, checks the recorded history and writes a
+// report with a verdict.
 package main
 
 import (
@@ -15,18 +16,23 @@
 	"wrenspread/internal/lab/report"
 )
 
-// unplayed is the error of a run that could not be played, or does not count.
-type unplayed struct{ error }
+// unplayedError marks the error of a run that could not be played, or whose result does not count because the
+// machine was too late.
+type unplayedError struct{ error }
 
-func (u unplayed) Unwrap() error { return u.error }
+// Unwrap returns the marked error.
+func (e unplayedError) Unwrap() error { return e.error }
 
-// errRuleBroken is the error of a run in which a rule or bound was broken. It has been told already.
+// errRuleBroken is the error of a run that broke a rule or a bound. The run has already printed what was
+// broken, so main prints nothing more.
 var errRuleBroken = errors.New("a bound or a rule was broken")
 
+// main runs the command and exits with 0 on success, 1 if a run broke a bound or a rule, and 2 if a run could
+// not be played or does not count.
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	err := root().ExecuteContext(ctx)
+	err := rootCommand().ExecuteContext(ctx)
 	switch {
 	case err == nil:
 	case errors.Is(err, errRuleBroken):
@@ -37,8 +43,9 @@
 	}
 }
 
-func root() *cobra.Command {
-	c := &cobra.Command{
+// rootCommand returns the wrenspread-lab command with all its subcommands.
+func rootCommand() *cobra.Command {
+	command := &cobra.Command{
 		Use:   "wrenspread-lab",
 		Short: "play experiments on real processes of wrenspread-proxy, with faults between them",
 		Long: `wrenspread-lab starts real nodes on this machine's loopback, emulates the app boxes, clients, discovery and
@@ -51,7 +58,7 @@
 		Args:          cobra.NoArgs,
 		RunE:          func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(
+	command.AddCommand(
 		demoCommand(),
 		runCommand(),
 		listCommand(),
@@ -69,5 +76,5 @@
 		simCommand(),
 		scaleCommand(),
 	)
-	return c
+	return command
 }
--- a/cmd/wrenspread-lab/play.go
+++ b/cmd/wrenspread-lab/play.go
@@ -20,76 +20,79 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// player plays experiments one after another.
+// player plays experiments one after another. The path of a program is empty if no experiment needs the
+// program.
 type player struct {
-	out    io.Writer // results
-	log    io.Writer // progress
-	node   string    // path of the program that nodes run
-	list   string    // of the registry's, where an experiment has one
-	ctl    string    // of wrenspreadctl; empty: no experiment needs it
-	keeper string    // of wrenspread-controller; empty: no experiment needs it
-	dir    string    // under which each run gets a folder
+	results        io.Writer // receives the results
+	progress       io.Writer // receives progress messages
+	proxyPath      string    // path of wrenspread-proxy, which the nodes run
+	registryPath   string    // path of wrenspread-registry
+	ctlPath        string    // path of wrenspreadctl
+	controllerPath string    // path of wrenspread-controller
+	outDir         string    // folder in which each run creates its own folder
 }
 
-// play plays one run, writes its report and prints its line.
-func (p *player) play(ctx context.Context, e *spec.Experiment, seed uint64) (report.Result, error) {
+// playRun plays an experiment with one seed, writes the report and prints a result line.
+func (p *player) playRun(ctx context.Context, e *spec.Experiment, seed uint64) (report.Result, error) {
 	dir := filepath.Join(
-		p.dir,
+		p.outDir,
 		fmt.Sprintf("%s-%d-%s", e.Name, seed, time.Now().UTC().Format("20060102T150405.000")),
 	)
-	live := newLive(p.log, e.Name)
+	display := newProgressDisplay(p.progress, e.Name)
 	run, err := fleet.Play(
 		ctx,
 		fleet.Options{
 			Experiment: e,
 			Seed:       seed,
 			Dir:        dir,
-			Node:       []string{p.node},
-			List:       []string{p.list},
-			Keeper:     []string{p.keeper},
-			Ctl:        []string{p.ctl},
-			Follow:     live.follow,
+			Node:       []string{p.proxyPath},
+			List:       []string{p.registryPath},
+			Keeper:     []string{p.controllerPath},
+			Ctl:        []string{p.ctlPath},
+			Follow:     display.observe,
 		},
 	)
-	live.end()
+	display.stop()
 	if err != nil {
 		besteffort.Output(
-			fmt.Fprintf(p.out, "VOID %s: seed %d, could not be played: %s\n", e.Name, seed, oneLine(err)),
+			fmt.Fprintf(p.results, "VOID %s: seed %d, could not be played: %s\n", e.Name, seed, joinErrorLines(err)),
 		)
-		return report.Unplayed, unplayed{fmt.Errorf("%s: %w", e.Name, err)}
+		return report.Unplayed, unplayedError{fmt.Errorf("%s: %w", e.Name, err)}
 	}
 	page, err := run.Write(dir)
 	if err != nil {
-		return report.Unplayed, unplayed{err}
+		return report.Unplayed, unplayedError{err}
 	}
-	besteffort.Output(fmt.Fprintf(p.log, "report: %s\n", page))
+	besteffort.Output(fmt.Fprintf(p.progress, "report: %s\n", page))
 	if run.Late != "" {
-		besteffort.Output(fmt.Fprintf(p.log, "the machine was late: %s\n", run.Late))
+		besteffort.Output(fmt.Fprintf(p.progress, "the machine was late: %s\n", run.Late))
 	}
 	for _, v := range run.Verdicts {
 		for _, m := range v.Measured {
-			besteffort.Output(fmt.Fprintf(p.log, "%s: %s\n", v.Name, m))
+			besteffort.Output(fmt.Fprintf(p.progress, "%s: %s\n", v.Name, m))
 		}
 	}
-	besteffort.Output(fmt.Fprintln(p.out, run.Line()))
+	besteffort.Output(fmt.Fprintln(p.results, run.Line()))
 	return run.Result(), nil
 }
 
-// words begin the line of a result.
-var words = map[report.Result]string{report.Pass: "PASS", report.Fail: "FAIL", report.Unplayed: "VOID"}
+// resultWords are the words with which a result line begins.
+var resultWords = map[report.Result]string{report.Pass: "PASS", report.Fail: "FAIL", report.Unplayed: "VOID"}
 
-func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
+// joinErrorLines returns the text of err on one line, its lines joined with semicolons.
+func joinErrorLines(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
-// all plays runs and tells the worst that came of them; of several, also in a closing line.
-func (p *player) all(ctx context.Context, experiments []*spec.Experiment, seeds []uint64) error {
+// playAll plays each experiment with each seed. It prints a closing line if there are several runs, and
+// returns an error for the worst result: nil if all runs passed, errRuleBroken if a run failed.
+func (p *player) playAll(ctx context.Context, experiments []*spec.Experiment, seeds []uint64) error {
 	worst := report.Pass
 	var errs []error
 	counts := map[report.Result]int{}
 	for _, e := range experiments {
 		for _, seed := range seeds {
-			result, err := p.play(ctx, e, seed)
+			result, err := p.playRun(ctx, e, seed)
 			if ctx.Err() != nil {
-				return unplayed{ctx.Err()}
+				return unplayedError{ctx.Err()}
 			}
 			counts[result]++
 			if result == report.Fail || (result == report.Unplayed && worst == report.Pass) {
@@ -107,9 +110,9 @@
 		}
 		besteffort.Output(
 			fmt.Fprintf(
-				p.out,
+				p.results,
 				"%s %s: %d runs, %d passed, %d failed, %d do not count\n",
-				words[worst],
+				resultWords[worst],
 				name,
 				runs,
 				counts[report.Pass],
@@ -122,33 +125,34 @@
 	case worst == report.Fail:
 		return errRuleBroken
 	case len(errs) > 0:
-		return unplayed{errors.Join(errs...)}
+		return unplayedError{errors.Join(errs...)}
 	case worst == report.Unplayed:
-		return unplayed{errors.New("the machine was too late for the run to count")}
+		return unplayedError{errors.New("the machine was too late for the run to count")}
 	}
 	return nil
 }
 
-// seeds are K of them, from the first on.
-func seedsFrom(first uint64, k int) []uint64 {
-	var all []uint64
-	for i := range max(1, k) {
-		all = append(all, first+uint64(i))
+// seedsFrom returns count consecutive seeds, at least one, starting with first.
+func seedsFrom(first uint64, count int) []uint64 {
+	var seeds []uint64
+	for i := range max(1, count) {
+		seeds = append(seeds, first+uint64(i))
 	}
-	return all
+	return seeds
 }
 
-// experimentsIn reads all files of a folder.
-func experimentsIn(dir string) ([]*spec.Experiment, error) {
+// loadExperiments reads all experiments (*.toml) of a folder, in the order of their file names. A folder with
+// no experiment is an error.
+func loadExperiments(dir string) ([]*spec.Experiment, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err != nil {
-		return nil, unplayed{err}
+		return nil, unplayedError{err}
 	}
 	if len(paths) == 0 {
-		return nil, unplayed{fmt.Errorf("there is no experiment (*.toml) in %s", dir)}
+		return nil, unplayedError{fmt.Errorf("there is no experiment (*.toml) in %s", dir)}
 	}
 	slices.Sort(paths)
-	var all []*spec.Experiment
+	var experiments []*spec.Experiment
 	var errs []error
 	for _, path := range paths {
 		e, err := spec.LoadFile(path)
@@ -156,16 +160,16 @@
 			errs = append(errs, err)
 			continue
 		}
-		all = append(all, e)
+		experiments = append(experiments, e)
 	}
 	if len(errs) > 0 {
-		return nil, unplayed{errors.Join(errs...)}
+		return nil, unplayedError{errors.Join(errs...)}
 	}
-	return all, nil
+	return experiments, nil
 }
 
-// defaultDir is where the project keeps its experiments.
-func defaultDir() string {
+// defaultExperimentsDir returns the lab folder of the project, or "lab" outside the project.
+func defaultExperimentsDir() string {
 	root, err := projectRoot()
 	if err != nil {
 		return "lab"
@@ -173,87 +177,93 @@
 	return filepath.Join(root, "lab")
 }
 
-// live shows a run as it goes: one line a second.
-type live struct {
-	name string
-	w    io.Writer
-	tty  bool
-	mu   sync.Mutex
-	n    map[string]int
-	done chan struct{}
-	over chan struct{}
-	at   time.Duration
-	on   []string // faults
+// progressDisplay prints the progress of a run while the run is played.
+type progressDisplay struct {
+	name          string
+	out           io.Writer
+	terminal      bool // out is a terminal
+	mu            sync.Mutex
+	ended         map[string]int // requests ended, by outcome, and "all"
+	stopRequested chan struct{}
+	stopped       chan struct{}
+	elapsed       time.Duration // time of the latest event
+	activeFaults  []string      // details of the faults that have begun and not ended
 }
 
-func newLive(w io.Writer, name string) *live {
-	l := &live{name: name, w: w, n: map[string]int{}, done: make(chan struct{}), over: make(chan struct{})}
+// newProgressDisplay starts a display that prints to w until its stop method is called.
+func newProgressDisplay(w io.Writer, name string) *progressDisplay {
+	l := &progressDisplay{name: name, out: w, ended: map[string]int{},
+		stopRequested: make(chan struct{}), stopped: make(chan struct{})}
 	if f, ok := w.(*os.File); ok {
 		info, err := f.Stat()
-		l.tty = err == nil && info.Mode()&os.ModeCharDevice != 0
+		l.terminal = err == nil && info.Mode()&os.ModeCharDevice != 0
 	}
-	go l.show()
+	go l.printUntilStopped()
 	return l
 }
 
-func (l *live) follow(e history.Event) {
+// observe updates the display's counts and active faults with an event of the run.
+func (l *progressDisplay) observe(e history.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.at = max(l.at, e.T)
+	l.elapsed = max(l.elapsed, e.T)
 	switch {
 	case e.Kind == history.Over:
-		l.n[e.How]++
-		l.n["all"]++
+		l.ended[e.How]++
+		l.ended["all"]++
 	case e.Kind == history.Fault && e.How == "begin":
-		l.on = append(l.on, e.Detail)
+		l.activeFaults = append(l.activeFaults, e.Detail)
 	case e.Kind == history.Fault:
-		l.on = slices.DeleteFunc(l.on, func(s string) bool { return s == e.Detail })
+		l.activeFaults = slices.DeleteFunc(l.activeFaults, func(s string) bool { return s == e.Detail })
 	}
 }
 
-func (l *live) show() {
-	defer close(l.over)
-	every := time.Second
-	if !l.tty {
-		every = 5 * time.Second
+// printUntilStopped prints a line every second to a terminal, and every 5 s elsewhere.
+func (l *progressDisplay) printUntilStopped() {
+	defer close(l.stopped)
+	interval := time.Second
+	if !l.terminal {
+		interval = 5 * time.Second
 	}
-	t := time.NewTicker(every)
-	defer t.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
-			l.line()
-		case <-l.done:
+		case <-ticker.C:
+			l.printLine()
+		case <-l.stopRequested:
 			return
 		}
 	}
 }
 
-func (l *live) line() {
+// printLine prints the current counts. On a terminal the line replaces the previous line.
+func (l *progressDisplay) printLine() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.n
+	ended := l.ended
 	text := fmt.Sprintf(
 		"%s %5.1f s: ended %d, served %d, refused %d, failed %d; faults on: %s",
 		l.name,
-		l.at.Seconds(),
-		n["all"],
-		n[history.Served],
-		n[history.Refused],
-		n["all"]-n[history.Served]-n[history.Refused],
-		cmp.Or(strings.Join(l.on, ", "), "none"),
+		l.elapsed.Seconds(),
+		ended["all"],
+		ended[history.Served],
+		ended[history.Refused],
+		ended["all"]-ended[history.Served]-ended[history.Refused],
+		cmp.Or(strings.Join(l.activeFaults, ", "), "none"),
 	)
-	if l.tty {
-		besteffort.Output(fmt.Fprintf(l.w, "\r\033[K%s", text))
+	if l.terminal {
+		besteffort.Output(fmt.Fprintf(l.out, "\r\033[K%s", text))
 	} else {
-		besteffort.Output(fmt.Fprintln(l.w, text))
+		besteffort.Output(fmt.Fprintln(l.out, text))
 	}
 }
 
-func (l *live) end() {
-	close(l.done)
-	<-l.over
-	if l.tty {
-		besteffort.Output(fmt.Fprint(l.w, "\r\033[K"))
+// stop ends the display, waits for its goroutine and clears the line on a terminal.
+func (l *progressDisplay) stop() {
+	close(l.stopRequested)
+	<-l.stopped
+	if l.terminal {
+		besteffort.Output(fmt.Fprint(l.out, "\r\033[K"))
 	}
 }
--- a/cmd/wrenspread-lab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -1,6 +1,6 @@
 package main
 
-// The programs that experiments need: found, or built.
+// This file finds or builds the programs that experiments need.
 
 import (
 	"context"
@@ -16,112 +16,122 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// newPlayer finds the programs that the experiments need.
+// newPlayer returns a player with the programs that the experiments need: always the proxy; the registry if
+// an experiment has replicas of it; with the registry also the controller for quotas and wrenspreadctl for
+// releases. The returned function removes the programs that were built.
 func newPlayer(
 	ctx context.Context,
-	out, log io.Writer,
-	bin, dir string,
+	results, progress io.Writer,
+	binDir, outDir string,
 	experiments []*spec.Experiment,
 ) (*player, func(), error) {
-	node, done, err := findProgram(ctx, log, bin, "wrenspread-proxy")
+	proxyPath, removeProxy, err := findProgram(ctx, progress, binDir, "wrenspread-proxy")
 	if err != nil {
 		return nil, nil, err
 	}
-	p := &player{out: out, log: log, dir: dir, node: node}
+	p := &player{results: results, progress: progress, outDir: outDir, proxyPath: proxyPath}
 	if !slices.ContainsFunc(experiments, func(e *spec.Experiment) bool { return e.List.Replicas > 0 }) {
-		return p, done, nil
+		return p, removeProxy, nil
 	}
-	var alsoDone func()
-	if p.list, alsoDone, err = findProgram(ctx, log, bin, "wrenspread-registry"); err != nil {
-		done()
+	var removeRegistry func()
+	if p.registryPath, removeRegistry, err = findProgram(
+		ctx, progress, binDir, "wrenspread-registry"); err != nil {
+		removeProxy()
 		return nil, nil, err
 	}
-	listDone := func() { done(); alsoDone() }
+	removeAll := func() { removeProxy(); removeRegistry() }
 	if slices.ContainsFunc(experiments, func(e *spec.Experiment) bool { return e.Quota != nil }) {
-		var keeperDone func()
-		if p.keeper, keeperDone, err = findProgram(ctx, log, bin, "wrenspread-controller"); err != nil {
-			listDone()
+		var removeController func()
+		if p.controllerPath, removeController, err = findProgram(
+			ctx, progress, binDir, "wrenspread-controller"); err != nil {
+			removeAll()
 			return nil, nil, err
 		}
-		former := listDone
-		listDone = func() { former(); keeperDone() }
+		removeEarlier := removeAll
+		removeAll = func() { removeEarlier(); removeController() }
 	}
 	if !slices.ContainsFunc(experiments, func(e *spec.Experiment) bool { return e.Release != nil }) {
-		return p, listDone, nil
+		return p, removeAll, nil
 	}
-	var ctlDone func()
-	if p.ctl, ctlDone, err = findProgram(ctx, log, bin, "wrenspreadctl"); err != nil {
-		listDone()
+	var removeCtl func()
+	if p.ctlPath, removeCtl, err = findProgram(ctx, progress, binDir, "wrenspreadctl"); err != nil {
+		removeAll()
 		return nil, nil, err
 	}
-	return p, func() { listDone(); ctlDone() }, nil
+	return p, func() { removeAll(); removeCtl() }, nil
 }
 
-// findProgram returns the absolute path of a program of the project: in the folder bin, beside
-// wrenspread-lab, or built from the project around the working folder. done removes what was built.
-func findProgram(ctx context.Context, log io.Writer, bin, name string) (path string, done func(), err error) {
-	nothing := func() {}
-	if bin != "" {
-		path = filepath.Join(bin, name)
-		if !fileThere(path) {
-			return "", nil, unplayed{
-				fmt.Errorf("--bin: there is no %s; to build it: go build -o %s ./cmd/*", path, bin),
+// findProgram returns the absolute path of a program of the project. It looks in the folder binDir if binDir
+// is set; otherwise in the folder of wrenspread-lab itself; otherwise it builds the program from the project
+// that contains the working directory. remove deletes what was built.
+func findProgram(ctx context.Context, log io.Writer, binDir, name string) (
+	path string, remove func(), err error,
+) {
+	removeNothing := func() {}
+	if binDir != "" {
+		path = filepath.Join(binDir, name)
+		if !isRegularFile(path) {
+			return "", nil, unplayedError{
+				fmt.Errorf("--bin: there is no %s; to build it: go build -o %s ./cmd/*", path, binDir),
 			}
 		}
-		return absolute(path, nothing)
+		return absolutePath(path, removeNothing)
 	}
-	if self, err := os.Executable(); err == nil {
-		if beside := filepath.Join(filepath.Dir(self), name); fileThere(beside) {
-			return absolute(beside, nothing)
+	if executable, err := os.Executable(); err == nil {
+		if sibling := filepath.Join(filepath.Dir(executable), name); isRegularFile(sibling) {
+			return absolutePath(sibling, removeNothing)
 		}
 	}
 	root, err := projectRoot()
 	if err != nil {
-		return "", nil, unplayed{err}
+		return "", nil, unplayedError{err}
 	}
-	built, err := os.MkdirTemp("", "wrenspread-lab")
+	buildDir, err := os.MkdirTemp("", "wrenspread-lab")
 	if err != nil {
-		return "", nil, unplayed{err}
+		return "", nil, unplayedError{err}
 	}
-	done = func() { besteffort.Cleanup(os.RemoveAll(built)) }
-	path = filepath.Join(built, name)
+	remove = func() { besteffort.Cleanup(os.RemoveAll(buildDir)) }
+	path = filepath.Join(buildDir, name)
 	cmd := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, "./cmd/"+name)
 	cmd.Dir, cmd.Stderr = root, log
 	if err := cmd.Run(); err != nil {
-		done()
-		return "", nil, unplayed{fmt.Errorf("building %s in %s: %w", name, root, err)}
+		remove()
+		return "", nil, unplayedError{fmt.Errorf("building %s in %s: %w", name, root, err)}
 	}
-	return absolute(path, done)
+	return absolutePath(path, remove)
 }
 
-func absolute(path string, done func()) (string, func(), error) {
+// absolutePath returns path as an absolute path, with the same remove function. On an error it calls remove.
+func absolutePath(path string, remove func()) (string, func(), error) {
 	path, err := filepath.Abs(path)
 	if err != nil {
-		done()
-		return "", nil, unplayed{err}
+		remove()
+		return "", nil, unplayedError{err}
 	}
-	return path, done, nil
+	return path, remove, nil
 }
 
-func fileThere(path string) bool {
+// isRegularFile reports whether path exists and is a regular file.
+func isRegularFile(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Mode().IsRegular()
 }
 
-// projectRoot is the folder above the working one that has the module's go.mod.
+// projectRoot returns the nearest folder, from the working directory upwards, that has the go.mod of the
+// module.
 func projectRoot() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return "", err
 	}
-	for at := dir; ; at = filepath.Dir(at) {
+	for ancestor := dir; ; ancestor = filepath.Dir(ancestor) {
 		if raw, err := os.ReadFile(
-			filepath.Join(at, "go.mod"),
+			filepath.Join(ancestor, "go.mod"),
 		); err == nil &&
 			strings.HasPrefix(string(raw), "module wrenspread-proxy\n") {
-			return at, nil
+			return ancestor, nil
 		}
-		if at == filepath.Dir(at) {
+		if ancestor == filepath.Dir(ancestor) {
 			return "", fmt.Errorf(
 				"there is no wrenspread-proxy beside this program, and %s is not in the project's folder: run there, or name a folder with --bin",
 				dir,
--- a/cmd/wrenspread-lab/quorum.go
+++ b/cmd/wrenspread-lab/quorum.go
@@ -16,15 +16,16 @@
 	"wrenspread/internal/registry/server"
 )
 
-// quorumFlags are what a series of quorum runs takes.
+// quorumFlags are the flags of a series of quorum runs.
 type quorumFlags struct {
-	seed            uint64
-	runs, together  int
-	replicas, users int
-	length          time.Duration
-	out, bin        string
+	firstSeed         uint64
+	runs, parallel    int
+	replicas, clients int
+	length            time.Duration
+	outDir, binDir    string
 }
 
+// quorumCommand plays a series of runs of registry replicas under faults and checks the clients' histories.
 func quorumCommand() *cobra.Command {
 	var f quorumFlags
 	c := &cobra.Command{
@@ -35,34 +36,35 @@
 gapless, in order, and the same for all. A run takes its length and about a second.`,
 		Example: "  wrenspread-lab quorum\n  wrenspread-lab quorum --runs 200 --together 4 --replicas 5",
 		Args:    cobra.NoArgs,
-		RunE:    func(c *cobra.Command, _ []string) error { return f.play(c) },
+		RunE:    func(c *cobra.Command, _ []string) error { return f.playSeries(c) },
 	}
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "the first seed")
+	c.Flags().Uint64Var(&f.firstSeed, "seed", 1, "the first seed")
 	c.Flags().IntVar(&f.runs, "runs", 1, "how many runs, a seed each")
-	c.Flags().IntVar(&f.together, "together", 1, "how many at once")
+	c.Flags().IntVar(&f.parallel, "together", 1, "how many at once")
 	c.Flags().IntVar(&f.replicas, "replicas", 3, "1, 3 or 5")
-	c.Flags().IntVar(&f.users, "clients", 4, "clients that write and read")
+	c.Flags().IntVar(&f.clients, "clients", 4, "clients that write and read")
 	c.Flags().DurationVar(&f.length, "length", 6*time.Second, "of each run's work and faults")
-	c.Flags().StringVar(&f.out, "out", "logs/lab", "the folder under which each run gets one of its own")
-	c.Flags().
-		StringVar(&f.bin, "bin", "", "the folder with the wrenspread-registry to play with (default: beside wrenspread-lab, or built from the project)")
+	c.Flags().StringVar(&f.outDir, "out", "logs/lab", "the folder under which each run gets one of its own")
+	c.Flags().StringVar(&f.binDir, "bin", "",
+		"the folder with the wrenspread-registry to play with (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
-func (f *quorumFlags) play(c *cobra.Command) error {
-	if f.runs < 1 || f.together < 1 || f.users < 1 || f.length < time.Second ||
+// playSeries checks the flags, plays one run per seed and prints a summary.
+func (f *quorumFlags) playSeries(c *cobra.Command) error {
+	if f.runs < 1 || f.parallel < 1 || f.clients < 1 || f.length < time.Second ||
 		(f.replicas != 1 && f.replicas != 3 && f.replicas != 5) {
-		return unplayed{
+		return unplayedError{
 			errors.New("--runs, --together and --clients are 1 or more, --length 1s or more, --replicas 1, 3 or 5"),
 		}
 	}
-	program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
+	program, removeProgram, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir, "wrenspread-registry")
 	if err != nil {
 		return err
 	}
-	defer done()
-	return series{"quorum", f.seed, f.runs, f.together}.play(c, func(seed uint64) (outcome, error) {
-		o, err := f.one(c.Context(), program, seed)
+	defer removeProgram()
+	return series{"quorum", f.firstSeed, f.runs, f.parallel}.play(c, func(seed uint64) (outcome, error) {
+		o, err := f.playSeed(c.Context(), program, seed)
 		return outcome{o.Line(), len(o.Broken) > 0, o.Unsure}, err
 	}, func(t tally, unplayed int) string {
 		return fmt.Sprintf(
@@ -72,15 +74,16 @@
 			f.replicas,
 			t.passed,
 			t.broken,
-			t.unsure,
+			t.undecided,
 			unplayed,
 		)
 	})
 }
 
-func (f *quorumFlags) one(ctx context.Context, program string, seed uint64) (quorum.Outcome, error) {
+// playSeed plays one run in a folder of its own.
+func (f *quorumFlags) playSeed(ctx context.Context, program string, seed uint64) (quorum.Outcome, error) {
 	dir, err := filepath.Abs(
-		filepath.Join(f.out, fmt.Sprintf("quorum-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))),
+		filepath.Join(f.outDir, fmt.Sprintf("quorum-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))),
 	)
 	if err != nil {
 		return quorum.Outcome{}, err
@@ -90,7 +93,7 @@
 		quorum.Options{
 			Seed:     seed,
 			Replicas: f.replicas,
-			Clients:  f.users,
+			Clients:  f.clients,
 			Length:   f.length,
 			Dir:      dir,
 			Command:  []string{program},
@@ -98,6 +101,8 @@
 	)
 }
 
+// listCostCommand measures the registry: failovers, and the cost of a change by watchers, entries and
+// callers.
 func listCostCommand() *cobra.Command {
 	var f quorumFlags
 	var failovers int
@@ -107,35 +112,37 @@
 		Example: "  wrenspread-lab list-cost --failovers 50",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			program, done, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
+			program, removeProgram, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir, "wrenspread-registry")
 			if err != nil {
 				return err
 			}
-			defer done()
+			defer removeProgram()
 			dir, err := os.MkdirTemp("", "listcost")
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 			o := quorum.Options{Seed: 1, Replicas: 3, Dir: dir, Command: []string{program}}
-			if err := listCost(c.Context(), c.OutOrStdout(), o, failovers); err != nil {
-				return unplayed{err}
+			if err := writeRegistryCosts(c.Context(), c.OutOrStdout(), o, failovers); err != nil {
+				return unplayedError{err}
 			}
 			return nil
 		},
 	}
 	c.Flags().IntVar(&failovers, "failovers", 50, "how many times the leader is killed")
-	c.Flags().
-		StringVar(&f.bin, "bin", "", "the folder with the wrenspread-registry to measure (default: beside wrenspread-lab, or built from the project)")
+	c.Flags().StringVar(&f.binDir, "bin", "",
+		"the folder with the wrenspread-registry to measure (default: beside wrenspread-lab, or built from the project)")
 	return c
 }
 
-func listCost(ctx context.Context, w io.Writer, o quorum.Options, failovers int) error {
-	under := o.Dir
+// writeRegistryCosts measures the registry and writes one line per result to w: changes by watchers, costs by
+// size, and failovers at two election timeouts.
+func writeRegistryCosts(ctx context.Context, w io.Writer, o quorum.Options, failovers int) error {
+	parentDir := o.Dir
 	for _, watchers := range []int{300, 1000, 10000} {
-		// each its own folders: a replica is of the cluster that it began with
-		o.Dir = filepath.Join(under, fmt.Sprint(watchers))
-		f, err := quorum.FanOut(ctx, o, watchers)
+		// Each measurement has its own folder, because a replica stays in the cluster it was created in.
+		o.Dir = filepath.Join(parentDir, fmt.Sprint(watchers))
+		fanOut, err := quorum.FanOut(ctx, o, watchers)
 		if err != nil {
 			return fmt.Errorf("%d watchers: %w", watchers, err)
 		}
@@ -143,34 +150,34 @@
 			fmt.Fprintf(
 				w,
 				"%5d watchers: a change reaches the median after %v, 99%% after %v; %.1f kB a watcher, and %v of processor a change\n",
-				f.Watchers,
-				f.P50.Round(
+				fanOut.Watchers,
+				fanOut.P50.Round(
 					10*time.Microsecond,
 				),
-				f.P99.Round(10*time.Microsecond),
-				f.Memory/1000,
-				f.CPU.Round(100*time.Microsecond),
+				fanOut.P99.Round(10*time.Microsecond),
+				fanOut.Memory/1000,
+				fanOut.CPU.Round(100*time.Microsecond),
 			),
 		)
 	}
-	if err := listSizes(ctx, w, o, under); err != nil {
+	if err := writeRegistryCostsBySize(ctx, w, o, parentDir); err != nil {
 		return err
 	}
 	for _, o.Election = range []time.Duration{150 * time.Millisecond, server.Default().ElectionTimeout} {
-		o.Dir = filepath.Join(under, "failovers"+o.Election.String())
-		all, err := quorum.Failovers(ctx, o, failovers)
+		o.Dir = filepath.Join(parentDir, "failovers"+o.Election.String())
+		outages, err := quorum.Failovers(ctx, o, failovers)
 		if err != nil {
 			return fmt.Errorf("failovers: %w", err)
 		}
-		if len(all) > 0 {
+		if len(outages) > 0 {
 			besteffort.Output(
 				fmt.Fprintf(
 					w,
 					"%d failovers with an election time of %v, from the leader's kill to the end of the next write: median %v, worst %v\n",
-					len(all),
+					len(outages),
 					o.Election,
-					all[len(all)/2].Round(time.Millisecond),
-					all[len(all)-1].Round(time.Millisecond),
+					outages[len(outages)/2].Round(time.Millisecond),
+					outages[len(outages)-1].Round(time.Millisecond),
 				),
 			)
 		}
@@ -178,11 +185,12 @@
 	return nil
 }
 
-// listSizes measures how costs grow with the list, the callers and the clients.
-func listSizes(ctx context.Context, w io.Writer, o quorum.Options, under string) error {
-	fresh := func(name string) quorum.Options { o := o; o.Dir = filepath.Join(under, name); return o }
+// writeRegistryCostsBySize measures how the costs of the registry grow with its entries, callers and clients,
+// and writes one line per result to w.
+func writeRegistryCostsBySize(ctx context.Context, w io.Writer, o quorum.Options, parentDir string) error {
+	optionsIn := func(name string) quorum.Options { o := o; o.Dir = filepath.Join(parentDir, name); return o }
 	for _, entries := range []int{100, 1000, 10000} {
-		s, err := quorum.Sized(ctx, fresh(fmt.Sprint("size", entries)), entries)
+		costs, err := quorum.Sized(ctx, optionsIn(fmt.Sprint("size", entries)), entries)
 		if err != nil {
 			return fmt.Errorf("%d entries: %w", entries, err)
 		}
@@ -190,19 +198,19 @@
 			fmt.Fprintf(
 				w,
 				"%5d entries: filled in %v, started from disk in %v, %.1f MB on disk, %.1f MB in memory, %v of processor a change\n",
-				s.Entries,
-				s.Fill.Round(
+				costs.Entries,
+				costs.Fill.Round(
 					time.Millisecond,
 				),
-				s.Start.Round(time.Millisecond),
-				float64(s.Disk)/1e6,
-				float64(s.RSS)/1e6,
-				s.Change.Round(time.Microsecond),
+				costs.Start.Round(time.Millisecond),
+				float64(costs.Disk)/1e6,
+				float64(costs.RSS)/1e6,
+				costs.Change.Round(time.Microsecond),
 			),
 		)
 	}
 	for _, callers := range []int{1, 10, 100} {
-		r, err := quorum.Rated(ctx, fresh(fmt.Sprint("rate", callers)), callers)
+		rates, err := quorum.Rated(ctx, optionsIn(fmt.Sprint("rate", callers)), callers)
 		if err != nil {
 			return fmt.Errorf("%d callers: %w", callers, err)
 		}
@@ -211,28 +219,28 @@
 				w,
 				"%5d callers: %.0f writes a second, %.0f entries renewed a second\n",
 				callers,
-				r.Writes,
-				r.Renewed,
+				rates.Writes,
+				rates.Renewed,
 			),
 		)
 	}
-	for _, n := range [][2]int{{200, 300}, {2000, 300}, {200, 3000}} {
-		took, err := quorum.Arrival(ctx, fresh(fmt.Sprint("arrival", n)), n[0], n[1])
+	for _, arrival := range [][2]int{{200, 300}, {2000, 300}, {200, 3000}} {
+		took, err := quorum.Arrival(ctx, optionsIn(fmt.Sprint("arrival", arrival)), arrival[0], arrival[1])
 		if err != nil {
-			return fmt.Errorf("%d servers arrive: %w", n[0], err)
+			return fmt.Errorf("%d servers arrive: %w", arrival[0], err)
 		}
 		besteffort.Output(
 			fmt.Fprintf(
 				w,
 				"%5d servers register and %d clients come at once: all have all after %v\n",
-				n[0],
-				n[1],
+				arrival[0],
+				arrival[1],
 				took.Round(time.Millisecond),
 			),
 		)
 	}
 	for _, entries := range []int{100, 1000} {
-		s, err := quorum.SideBySide(ctx, fresh(fmt.Sprint("side", entries)), entries, 300)
+		costs, err := quorum.SideBySide(ctx, optionsIn(fmt.Sprint("side", entries)), entries, 300)
 		if err != nil {
 			return fmt.Errorf("watching beside polling: %w", err)
 		}
@@ -241,10 +249,10 @@
 				w,
 				"%5d entries, 300 clients, a change a second: watching takes %v of processor and %.0f kB a second, reading all each second %v and %.0f kB\n",
 				entries,
-				s.Watch.Round(100*time.Microsecond),
-				s.WatchBytes/1e3,
-				s.Poll.Round(100*time.Microsecond),
-				s.PollBytes/1e3,
+				costs.Watch.Round(100*time.Microsecond),
+				costs.WatchBytes/1e3,
+				costs.Poll.Round(100*time.Microsecond),
+				costs.PollBytes/1e3,
 			),
 		)
 	}
--- a/cmd/wrenspread-lab/scale.go
+++ b/cmd/wrenspread-lab/scale.go
@@ -15,15 +15,17 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// scaleFlags are what each measurement of sizes takes.
+// scaleFlags are the flags that all measurements by size share.
 type scaleFlags struct {
-	run  scale.Run
-	bin  string
-	rest time.Duration
+	run        scale.Run
+	binDir     string
+	restLength time.Duration // how long processes are left idle, and how long nodes receive changes
 
-	parts bool
+	followParts bool // nodes and watchers follow only their parts of the list
 }
 
+// scaleCommand returns the command whose subcommands measure the cost of control by size and make the tables
+// of the capacity page.
 func scaleCommand() *cobra.Command {
 	var f scaleFlags
 	c := &cobra.Command{
@@ -37,19 +39,19 @@
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.PersistentFlags().StringVar(&f.run.Dir, "records", "docs/capacity", "the folder of the records")
-	c.PersistentFlags().
-		StringVar(&f.run.Label, "label", scale.Before, "before or after: of the mechanism that the page compares")
-	c.PersistentFlags().
-		StringVar(&f.run.Commit, "commit", "", "of the programs (default: the project's present one)")
-	c.PersistentFlags().
-		StringVar(&f.run.Trial, "trial", "", "how the programs differ from the commit, where they are those of a trial")
+	c.PersistentFlags().StringVar(&f.run.Label, "label", scale.Before,
+		"before or after: of the mechanism that the page compares")
+	c.PersistentFlags().StringVar(&f.run.Commit, "commit", "",
+		"of the programs (default: the project's present one)")
+	c.PersistentFlags().StringVar(&f.run.Trial, "trial", "",
+		"how the programs differ from the commit, where they are those of a trial")
 	c.PersistentFlags().IntVar(&f.run.Repeat, "repeat", 3, "how often each figure is taken")
-	c.PersistentFlags().
-		DurationVar(&f.rest, "rest", 5*time.Second, "for which processes are left alone, and for which nodes get changes")
-	c.PersistentFlags().
-		BoolVar(&f.parts, "parts", false, "nodes and watchers follow their parts of the list alone")
-	c.PersistentFlags().
-		StringVar(&f.bin, "bin", "", "the folder with the programs (default: beside wrenspread-lab, or built from the project)")
+	c.PersistentFlags().DurationVar(&f.restLength, "rest", 5*time.Second,
+		"for which processes are left alone, and for which nodes get changes")
+	c.PersistentFlags().BoolVar(&f.followParts, "parts", false,
+		"nodes and watchers follow their parts of the list alone")
+	c.PersistentFlags().StringVar(&f.binDir, "bin", "",
+		"the folder with the programs (default: beside wrenspread-lab, or built from the project)")
 	c.AddCommand(
 		scalePageCommand(&f),
 		scaleModuleCommand(&f),
@@ -141,28 +143,32 @@
 	return c
 }
 
-// begin checks the flags and gives a folder for the run.
-func (f *scaleFlags) begin(ctx context.Context, what string) (dir string, done func(), err error) {
-	if f.run.Label != scale.Before && f.run.Label != scale.After || f.run.Repeat < 1 || f.rest < time.Second {
-		return "", nil, unplayed{errors.New("--label is before or after, --repeat 1 or more, --rest 1s or more")}
+// prepare checks the flags, completes the run's command and commit, and creates a temporary folder for the
+// run. remove deletes the folder.
+func (f *scaleFlags) prepare(ctx context.Context, subcommand string) (dir string, remove func(), err error) {
+	if f.run.Label != scale.Before && f.run.Label != scale.After || f.run.Repeat < 1 ||
+		f.restLength < time.Second {
+		return "", nil, unplayedError{errors.New(
+			"--label is before or after, --repeat 1 or more, --rest 1s or more")}
 	}
-	f.run.Command = "wrenspread-lab scale " + what
-	if f.parts {
+	f.run.Command = "wrenspread-lab scale " + subcommand
+	if f.followParts {
 		f.run.Command += " --parts"
 	}
 	if f.run.Commit == "" {
 		raw, err := exec.CommandContext(ctx, "git", "rev-parse", "--short", "HEAD").Output()
 		if err != nil {
-			return "", nil, unplayed{fmt.Errorf("--commit is missing, and there is no repository here: %w", err)}
+			return "", nil, unplayedError{fmt.Errorf("--commit is missing, and there is no repository here: %w", err)}
 		}
 		f.run.Commit = strings.TrimSpace(string(raw))
 	}
 	if dir, err = os.MkdirTemp("", "scale"); err != nil {
-		return "", nil, unplayed{err}
+		return "", nil, unplayedError{err}
 	}
 	return dir, func() { besteffort.Cleanup(os.RemoveAll(dir)) }, nil
 }
 
+// scaleModuleCommand measures the decisions of a node alone, by backends, nodes and placement rules.
 func scaleModuleCommand(f *scaleFlags) *cobra.Command {
 	var backends, nodes, placements []int
 	c := &cobra.Command{
@@ -170,11 +176,11 @@
 		Short: "a node's decisions alone: at rest, for a change, memory, by backends and by nodes",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			dir, done, err := f.begin(c.Context(), "module")
+			dir, remove, err := f.prepare(c.Context(), "module")
 			if err != nil {
 				return err
 			}
-			defer done()
+			defer remove()
 			var sizes []scale.Sizes
 			for _, n := range nodes {
 				for _, b := range backends {
@@ -184,28 +190,31 @@
 			for _, p := range placements {
 				sizes = append(sizes, scale.Sizes{Backends: 2000, Nodes: 300, Placements: p})
 			}
-			return told(scale.Module(c.Context(), f.run, dir, sizes, saying(c)))
+			return asUnplayed(scale.Module(c.Context(), f.run, dir, sizes, pointPrinter(c)))
 		},
 	}
 	c.Flags().IntSliceVar(&backends, "backends", []int{200, 2000, 5000, 20000, 54000}, "how many there are")
 	c.Flags().IntSliceVar(&nodes, "nodes", []int{30, 100, 300, 1000, 4300}, "how many there are")
-	c.Flags().
-		IntSliceVar(&placements, "placements", []int{4, 16, 64, 256}, "rules of placement, at 2,000 backends and 300 nodes")
+	c.Flags().IntSliceVar(&placements, "placements", []int{4, 16, 64, 256},
+		"rules of placement, at 2,000 backends and 300 nodes")
 	return c
 }
 
-// saying prints points as they come.
-func saying(c *cobra.Command) func(scale.Point) {
+// pointPrinter returns a function that prints each measured point.
+func pointPrinter(c *cobra.Command) func(scale.Point) {
 	return func(p scale.Point) { besteffort.Output(fmt.Fprintln(c.OutOrStdout(), p)) }
 }
 
-func told(err error) error {
+// asUnplayed marks an error as that of a run that could not be played; nil stays nil.
+func asUnplayed(err error) error {
 	if err != nil {
-		return unplayed{err}
+		return unplayedError{err}
 	}
 	return nil
 }
 
+// scalePageCommand rewrites the tables of the capacity page from the records and the plan, or checks that the
+// page matches them.
 func scalePageCommand(f *scaleFlags) *cobra.Command {
 	var page string
 	var check bool
@@ -216,12 +225,12 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			raw, err := os.ReadFile(page)
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			text, err := scale.Page(string(raw), f.run.Dir)
 			switch {
 			case err != nil:
-				return unplayed{err}
+				return unplayedError{err}
 			case text == string(raw):
 				return nil
 			case check:
@@ -234,7 +243,7 @@
 				)
 				return errRuleBroken
 			}
-			return told(os.WriteFile(page, []byte(text), 0o644))
+			return asUnplayed(os.WriteFile(page, []byte(text), 0o644))
 		},
 	}
 	c.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "the page")
--- a/cmd/wrenspread-lab/scale_harm.go
+++ b/cmd/wrenspread-lab/scale_harm.go
@@ -13,7 +13,8 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// scaleHarmCommand plays a fault in the small lab, where real requests are.
+// scaleHarmCommand plays an experiment on real processes, with its faults and without, to count the requests
+// that the faults harm.
 func scaleHarmCommand(f *scaleFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "harm FILE",
@@ -23,32 +24,32 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := spec.LoadFile(args[0])
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
-			dir, done, err := f.begin(c.Context(), "harm lab/"+filepath.Base(args[0]))
+			dir, remove, err := f.prepare(c.Context(), "harm lab/"+filepath.Base(args[0]))
 			if err != nil {
 				return err
 			}
-			defer done()
-			p, found, err := newPlayer(
+			defer remove()
+			p, removePrograms, err := newPlayer(
 				c.Context(),
 				c.OutOrStdout(),
 				c.ErrOrStderr(),
-				f.bin,
+				f.binDir,
 				dir,
 				[]*spec.Experiment{e},
 			)
 			if err != nil {
 				return err
 			}
-			defer found()
-			return told(
+			defer removePrograms()
+			return asUnplayed(
 				scale.Harm(
 					c.Context(),
 					f.run,
 					e,
 					func(ctx context.Context, e *spec.Experiment, seed uint64) (report.Run, error) {
-						run, err := os.MkdirTemp(dir, e.Name)
+						runDir, err := os.MkdirTemp(dir, e.Name)
 						if err != nil {
 							return report.Run{}, err
 						}
@@ -57,14 +58,14 @@
 							fleet.Options{
 								Experiment: e,
 								Seed:       seed,
-								Dir:        run,
-								Node:       []string{p.node},
-								List:       []string{p.list},
-								Keeper:     []string{p.keeper},
+								Dir:        runDir,
+								Node:       []string{p.proxyPath},
+								List:       []string{p.registryPath},
+								Keeper:     []string{p.controllerPath},
 							},
 						)
 					},
-					saying(c),
+					pointPrinter(c),
 				),
 			)
 		},
--- a/cmd/wrenspread-lab/scale_latency_test.go
+++ b/cmd/wrenspread-lab/scale_latency_test.go
@@ -14,8 +14,9 @@
 	"wrenspread/internal/proxy"
 )
 
-// standNode is a node in this test's own binary.
-func standNode() error {
+// runProxy runs a node in this test's own binary until SIGTERM. The variable GW_CONFIG names its
+// configuration.
+func runProxy() error {
 	cfg, err := proxy.LoadConfig(os.Getenv("GW_CONFIG"))
 	if err != nil {
 		return err
@@ -31,25 +32,27 @@
 	return n.Run(ctx, clients)
 }
 
-// TestLatencyCounted: requests go through the node to the servers listed, once each, and on connections that are mostly kept.
-func TestLatencyCounted(t *testing.T) {
+// TestLatencyForwardsEachRequestOnceOnReusedConnections checks that requests pass through the node to the
+// registered servers, at most 1.2 attempts each, and that most of them reuse a connection.
+func TestLatencyForwardsEachRequestOnceOnReusedConnections(t *testing.T) {
 	const servers = 12
-	l := scale.Latency{Lists: lists(t), Node: []string{os.Args[0], "node"}, Rate: 200, Length: time.Second, PerNode: servers, Use: 0.01}
+	l := scale.Latency{Lists: registryMeasurement(t), Node: []string{os.Args[0], "node"},
+		Rate: 200, Length: time.Second, PerNode: servers, Use: 0.01}
 	if err := l.Measure(t.Context(), []int{servers}); err != nil {
 		t.Fatal(err)
 	}
-	sent := figureOf(t, l.Lists, "requests")[0] + figureOf(t, l.Lists, "failed")[0]
-	for name, in := range map[string][2]float64{
+	sent := recordedMedians(t, l.Lists, "requests")[0] + recordedMedians(t, l.Lists, "failed")[0]
+	for name, bounds := range map[string][2]float64{
 		"known":       {servers, servers},
 		"attempts":    {1, 1.2},
 		"made_share":  {0, 0.5},
 		"requests":    {0.9 * sent, sent},
-		"added_p50_s": {0, 10}, // there is one
+		"added_p50_s": {0, 10}, // the figure is recorded
 		"in_p50_s":    {0, 10},
 		"out_p50_s":   {0, 10},
 	} {
-		if got := figureOf(t, l.Lists, name)[0]; got < in[0] || got > in[1] {
-			t.Errorf("%s is %v, want %v to %v", name, got, in[0], in[1])
+		if got := recordedMedians(t, l.Lists, name)[0]; got < bounds[0] || got > bounds[1] {
+			t.Errorf("%s is %v, want %v to %v", name, got, bounds[0], bounds[1])
 		}
 	}
 }
--- a/cmd/wrenspread-lab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -10,34 +10,37 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// lists runs a measurement of the registry.
-func (f *scaleFlags) lists(c *cobra.Command, do func(context.Context, *scale.Lists) error) error {
-	dir, done, err := f.begin(c.Context(), c.Name())
+// measureRegistry prepares a run, finds the registry's program and calls measure.
+func (f *scaleFlags) measureRegistry(
+	c *cobra.Command, measure func(context.Context, *scale.Lists) error,
+) error {
+	dir, remove, err := f.prepare(c.Context(), c.Name())
 	if err != nil {
 		return err
 	}
-	defer done()
-	program, built, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
+	defer remove()
+	program, removeProgram, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir, "wrenspread-registry")
 	if err != nil {
 		return err
 	}
-	defer built()
-	return told(
-		do(
+	defer removeProgram()
+	return asUnplayed(
+		measure(
 			c.Context(),
 			&scale.Lists{
 				Run:     f.run,
 				Dir:     dir,
 				Program: []string{program},
-				Parts:   f.parts,
-				Rest:    f.rest,
-				Say:     saying(c),
+				Parts:   f.followParts,
+				Rest:    f.restLength,
+				Say:     pointPrinter(c),
 			},
 		),
 	)
 }
 
-// scaleWatchersCommand measures one replica, or three, by watchers.
+// scaleWatchersCommand returns a command that measures one replica of the registry, or three, by the number
+// of watchers, on a list with the given number of entries.
 func scaleWatchersCommand(
 	f *scaleFlags,
 	name, short string,
@@ -50,7 +53,7 @@
 		Short: short,
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return f.lists(
+			return f.measureRegistry(
 				c,
 				func(ctx context.Context, l *scale.Lists) error { return measure(l, ctx, sizes, entries) },
 			)
@@ -61,6 +64,7 @@
 	return c
 }
 
+// scaleEntriesCommand measures one replica of the registry by the number of its entries.
 func scaleEntriesCommand(f *scaleFlags) *cobra.Command {
 	var sizes []int
 	c := &cobra.Command{
@@ -68,13 +72,15 @@
 		Short: "one replica of the registry by the entries of its list: changes, whole lists, memory",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return f.lists(c, func(ctx context.Context, l *scale.Lists) error { return l.Entries(ctx, sizes) })
+			return f.measureRegistry(c,
+				func(ctx context.Context, l *scale.Lists) error { return l.Entries(ctx, sizes) })
 		},
 	}
 	c.Flags().IntSliceVar(&sizes, "entries", []int{200, 1000, 2000, 5000, 10000, 20000}, "of the list")
 	return c
 }
 
+// scaleRenewalsCommand measures the leader of the registry by renewals per second.
 func scaleRenewalsCommand(f *scaleFlags) *cobra.Command {
 	var rates []int
 	c := &cobra.Command{
@@ -82,17 +88,19 @@
 		Short: "the leader of the registry by the renewals a second that hollow agents make",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return f.lists(c, func(ctx context.Context, l *scale.Lists) error { return l.Renewals(ctx, rates) })
+			return f.measureRegistry(c,
+				func(ctx context.Context, l *scale.Lists) error { return l.Renewals(ctx, rates) })
 		},
 	}
 	c.Flags().IntSliceVar(&rates, "renewals", []int{250, 500, 1000, 2000, 4000}, "a second")
 	return c
 }
 
-// scaleCoreCommand measures a part of a node alone, in this process.
+// scaleCoreCommand returns a command that measures one part of a node alone, in this process. The flag named
+// sizesFlag sets the sizes; an empty sizesFlag means that the measurement has no size.
 func scaleCoreCommand(
 	f *scaleFlags,
-	name, along, short string,
+	name, sizesFlag, short string,
 	sizes []int,
 	measure func(context.Context, scale.Run, []int, func(scale.Point)) error,
 ) *cobra.Command {
@@ -101,36 +109,37 @@
 		Short: short,
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, done, err := f.begin(c.Context(), name)
+			_, remove, err := f.prepare(c.Context(), name)
 			if err != nil {
 				return err
 			}
-			defer done()
+			defer remove()
 			for _, n := range sizes {
 				if n < 2 {
-					return unplayed{errors.New("--" + along + " are 2 or more")}
+					return unplayedError{errors.New("--" + sizesFlag + " are 2 or more")}
 				}
 			}
-			return told(measure(c.Context(), f.run, sizes, saying(c)))
+			return asUnplayed(measure(c.Context(), f.run, sizes, pointPrinter(c)))
 		},
 	}
-	if along != "" {
-		c.Flags().IntSliceVar(&sizes, along, sizes, "how many there are")
+	if sizesFlag != "" {
+		c.Flags().IntSliceVar(&sizes, sizesFlag, sizes, "how many there are")
 	}
 	return c
 }
 
-// scaleApartCommand measures the view after regions that were apart.
+// scaleApartCommand measures how the membership view converges after a network partition between two halves
+// of the fleet.
 func scaleApartCommand(f *scaleFlags) *cobra.Command {
-	cut := time.Hour
+	cutLength := time.Hour
 	c := scaleCoreCommand(
 		f,
 		"apart",
 		"members",
 		"the view of the fleet once its halves were apart, with changes on both sides, in the simulator",
 		[]int{30, 100, 300},
-		scale.Apart(&cut),
+		scale.Apart(&cutLength),
 	)
-	c.Flags().DurationVar(&cut, "cut", cut, "for which they are apart, on the simulator's clock")
+	c.Flags().DurationVar(&cutLength, "cut", cutLength, "for which they are apart, on the simulator's clock")
 	return c
 }
--- a/cmd/wrenspread-lab/scale_nodes.go
+++ b/cmd/wrenspread-lab/scale_nodes.go
@@ -14,12 +14,14 @@
 	"wrenspread/internal/lab/scale"
 )
 
+// scaleNodesCommand measures complete nodes, hollow or real, by nodes and by backends: either changes of
+// single backends, or one of the faults zone, rack and roll.
 func scaleNodesCommand(f *scaleFlags) *cobra.Command {
 	var kind string
 	var zone, rack, roll bool
 	var nodes, backends, restarts []int
-	var last time.Duration
-	n := &scale.Nodes{}
+	var rollLength time.Duration
+	measurement := &scale.Nodes{}
 	c := &cobra.Command{
 		Use:   "nodes",
 		Short: "whole nodes for control, hollow ones in one process or real processes, by nodes and by backends",
@@ -32,38 +34,39 @@
 				}
 			}
 			if (rack || roll) && kind != "hollow" {
-				return unplayed{errors.New("--rack and --roll are of hollow nodes")}
+				return unplayedError{errors.New("--rack and --roll are of hollow nodes")}
 			}
-			dir, done, err := f.begin(c.Context(), command)
+			dir, remove, err := f.prepare(c.Context(), command)
 			if err != nil {
 				return err
 			}
-			defer done()
-			list, listDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-registry")
+			defer remove()
+			registryPath, removeRegistry, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir,
+				"wrenspread-registry")
 			if err != nil {
 				return err
 			}
-			defer listDone()
-			own, err := os.Executable()
+			defer removeRegistry()
+			executable, err := os.Executable()
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
-			n.Start = []string{own, "scale", "hollow"}
+			measurement.Start = []string{executable, "scale", "hollow"}
 			if kind == "real" {
-				node, nodeDone, err := findProgram(c.Context(), c.ErrOrStderr(), f.bin, "wrenspread-proxy")
+				proxyPath, removeProxy, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir, "wrenspread-proxy")
 				if err != nil {
 					return err
 				}
-				defer nodeDone()
-				n.Start = []string{node}
+				defer removeProxy()
+				measurement.Start = []string{proxyPath}
 			}
-			n.Lists, n.Kind = scale.Lists{
+			measurement.Lists, measurement.Kind = scale.Lists{
 				Run:     f.run,
 				Dir:     dir,
-				Program: []string{list},
-				Parts:   f.parts,
-				Rest:    f.rest,
-				Say:     saying(c),
+				Program: []string{registryPath},
+				Parts:   f.followParts,
+				Rest:    f.restLength,
+				Say:     pointPrinter(c),
 			}, kind
 			var sizes []scale.Sizes
 			for _, m := range nodes {
@@ -74,35 +77,35 @@
 			plan, err := scale.LoadPlan(filepath.Join(f.run.Dir, "plan.toml"))
 			switch {
 			case zone:
-				err = n.Zone(c.Context(), sizes)
+				err = measurement.Zone(c.Context(), sizes)
 			case rack && err == nil:
-				err = n.Rack(c.Context(), plan, sizes)
+				err = measurement.Rack(c.Context(), plan, sizes)
 			case roll && err == nil:
-				err = n.Roll(c.Context(), plan, sizes, restarts, last)
+				err = measurement.Roll(c.Context(), plan, sizes, restarts, rollLength)
 			case !rack && !roll:
-				err = n.Measure(c.Context(), sizes)
+				err = measurement.Measure(c.Context(), sizes)
 			}
-			return told(err)
+			return asUnplayed(err)
 		},
 	}
 	c.Flags().StringVar(&kind, "kind", "hollow", "hollow or real")
 	c.Flags().IntSliceVar(&nodes, "nodes", []int{10}, "how many run")
-	c.Flags().
-		IntSliceVar(&backends, "backends", []int{200, 1000, 2000, 5000, 10000, 20000}, "how many there are")
+	c.Flags().IntSliceVar(&backends, "backends", []int{200, 1000, 2000, 5000, 10000, 20000},
+		"how many there are")
 	c.Flags().BoolVar(&zone, "zone", false, "a seventh of the backends is gone at once, and back at once")
 	c.Flags().BoolVar(&rack, "rack", false, "the plan's rack is gone at once: nodes are killed, backends expire")
 	c.Flags().BoolVar(&roll, "roll", false, "nodes and backends are replaced by the second")
 	c.MarkFlagsMutuallyExclusive("zone", "rack", "roll")
-	c.Flags().
-		IntSliceVar(&restarts, "restarts", []int{625, 12500, 58300}, "an hour, of nodes and backends in the plan's proportion, with --roll")
-	c.Flags().DurationVar(&last, "last", time.Minute, "of a roll")
-	c.Flags().BoolVar(&n.View, "view", true, "they keep the view of the fleet")
-	c.Flags().IntVar(&n.Watchers, "watchers", 0, "further hollow clients at the replica")
-	c.Flags().IntVar(&n.Told, "told", 4300, "how many nodes they are told that there are, at least")
+	c.Flags().IntSliceVar(&restarts, "restarts", []int{625, 12500, 58300},
+		"an hour, of nodes and backends in the plan's proportion, with --roll")
+	c.Flags().DurationVar(&rollLength, "last", time.Minute, "of a roll")
+	c.Flags().BoolVar(&measurement.View, "view", true, "they keep the view of the fleet")
+	c.Flags().IntVar(&measurement.Watchers, "watchers", 0, "further hollow clients at the replica")
+	c.Flags().IntVar(&measurement.Told, "told", 4300, "how many nodes they are told that there are, at least")
 	return c
 }
 
-// scaleHollowCommand is a process of hollow nodes; the measurement starts it.
+// scaleHollowCommand runs a process of hollow nodes; the measurement starts it.
 func scaleHollowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "hollow FOLDER NODES",
@@ -112,7 +115,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			n, err := strconv.Atoi(args[1])
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM)
 			defer stop()
@@ -121,7 +124,8 @@
 	}
 }
 
-// scaleBesideCommand is a process of hollow nodes that are killed or restart; the measurement starts it.
+// scaleBesideCommand runs a process of hollow nodes that the measurement kills, or that restart in turn; the
+// measurement starts it.
 func scaleBesideCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    "beside FOLDER FIRST NODES EVERY",
@@ -133,7 +137,7 @@
 			nodes, err2 := strconv.Atoi(args[2])
 			every, err3 := time.ParseDuration(args[3])
 			if err := errors.Join(err1, err2, err3); err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM)
 			defer stop()
--- a/cmd/wrenspread-lab/scale_pairs.go
+++ b/cmd/wrenspread-lab/scale_pairs.go
@@ -10,9 +10,11 @@
 	"wrenspread/internal/lab/scale"
 )
 
+// scalePairsCommand measures along two sizes together: hollow nodes and their replica by nodes and backends
+// or by nodes and tenants, or the decisions of a node by services and routes.
 func scalePairsCommand(f *scaleFlags) *cobra.Command {
 	var nodes, backends, tenants, services, routes []int
-	p := &scale.Pairs{}
+	pairs := &scale.Pairs{}
 	c := &cobra.Command{
 		Use:   "pairs backends|tenants|routes",
 		Short: "hollow nodes and their replica by nodes and backends together, or by nodes and tenants; a node's decisions by services and routes",
@@ -22,37 +24,37 @@
 		),
 		ValidArgs: []string{"backends", "tenants", "routes"},
 		RunE: func(c *cobra.Command, args []string) error {
-			own, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
-			p.Kind, p.Start = "hollow", []string{own, "scale", "hollow"}
-			return f.lists(c, func(ctx context.Context, l *scale.Lists) error {
-				p.Lists = *l
-				p.Command += " " + args[0]
+			pairs.Kind, pairs.Start = "hollow", []string{executable, "scale", "hollow"}
+			return f.measureRegistry(c, func(ctx context.Context, l *scale.Lists) error {
+				pairs.Lists = *l
+				pairs.Command += " " + args[0]
 				switch args[0] {
 				case "backends":
-					return p.Backends(ctx, nodes, backends)
+					return pairs.Backends(ctx, nodes, backends)
 				case "routes":
-					return p.Routes(ctx, services, routes)
+					return pairs.Routes(ctx, services, routes)
 				}
 				if len(tenants) == 0 {
 					return errors.New("--tenants is empty")
 				}
-				return p.Tenants(ctx, nodes, tenants)
+				return pairs.Tenants(ctx, nodes, tenants)
 			})
 		},
 	}
 	c.Flags().IntSliceVar(&nodes, "nodes", []int{10, 30, 100}, "how many run")
 	c.Flags().IntSliceVar(&backends, "backends", []int{200, 2000, 10000}, "how many there are")
-	c.Flags().
-		IntSliceVar(&tenants, "tenants", []int{25, 100, 400}, "of the catalogue, one after another before the same nodes: from few to many")
+	c.Flags().IntSliceVar(&tenants, "tenants", []int{25, 100, 400},
+		"of the catalogue, one after another before the same nodes: from few to many")
 	c.Flags().IntSliceVar(&services, "services", []int{4, 100, 500, 2000}, "classes of the settings")
-	c.Flags().
-		IntSliceVar(&routes, "routes", []int{1, 16, 64, 128}, "different rules of placement; a node takes 128 from tenants")
-	c.Flags().
-		BoolVar(&p.View, "view", true, "they keep the view of the fleet, where backends are the other size")
-	c.Flags().
-		IntVar(&p.Told, "told", 4300, "how many nodes they are told that there are, at least, where backends are the other size")
+	c.Flags().IntSliceVar(&routes, "routes", []int{1, 16, 64, 128},
+		"different rules of placement; a node takes 128 from tenants")
+	c.Flags().BoolVar(&pairs.View, "view", true,
+		"they keep the view of the fleet, where backends are the other size")
+	c.Flags().IntVar(&pairs.Told, "told", 4300,
+		"how many nodes they are told that there are, at least, where backends are the other size")
 	return c
 }
--- a/cmd/wrenspread-lab/scale_pairs_test.go
+++ b/cmd/wrenspread-lab/scale_pairs_test.go
@@ -7,14 +7,15 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// TestPairsCounted: a tenant that is brought in is some kilobytes to each node.
-func TestPairsCounted(t *testing.T) {
-	p := scale.Pairs{Nodes: scale.Nodes{Lists: lists(t), Kind: "hollow", Start: []string{os.Args[0], "scale", "hollow"}}}
+// TestTenantChangeIsSomeKilobytesPerNode checks that a new tenant costs each node 300 to 20,000 bytes.
+func TestTenantChangeIsSomeKilobytesPerNode(t *testing.T) {
+	p := scale.Pairs{Nodes: scale.Nodes{Lists: registryMeasurement(t), Kind: "hollow",
+		Start: []string{os.Args[0], "scale", "hollow"}}}
 	if err := p.Tenants(t.Context(), []int{6}, []int{3}); err != nil {
 		t.Fatal(err)
 	}
-	in := figureOf(t, p.Lists, "change_bytes_in")
-	if len(in) != 1 || in[0] < 300 || in[0] > 20_000 {
-		t.Errorf("a tenant is %v bytes to a node", in)
+	bytesIn := recordedMedians(t, p.Lists, "change_bytes_in")
+	if len(bytesIn) != 1 || bytesIn[0] < 300 || bytesIn[0] > 20_000 {
+		t.Errorf("change_bytes_in of a new tenant is %v, want one figure of 300 to 20000", bytesIn)
 	}
 }
--- a/cmd/wrenspread-lab/scale_test.go
+++ b/cmd/wrenspread-lab/scale_test.go
@@ -8,14 +8,17 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// lists measures against this test's own binary as the registry, and keeps records in a folder of the test.
-func lists(t *testing.T) scale.Lists {
-	return scale.Lists{Run: scale.Run{Dir: t.TempDir(), Label: scale.Before, Commit: "test", Repeat: 1}, Dir: t.TempDir(),
-		Program: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"}, Rest: time.Second, Say: func(p scale.Point) { t.Log(p) }}
+// registryMeasurement returns a measurement that runs this test's own binary as the registry and writes its
+// records to a temporary folder.
+func registryMeasurement(t *testing.T) scale.Lists {
+	return scale.Lists{Run: scale.Run{Dir: t.TempDir(), Label: scale.Before, Commit: "test", Repeat: 1},
+		Dir:     t.TempDir(),
+		Program: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"},
+		Rest: time.Second, Say: func(p scale.Point) { t.Log(p) }}
 }
 
-// figureOf gives a figure at each point of the only record.
-func figureOf(t *testing.T, l scale.Lists, name string) (all []float64) {
+// recordedMedians returns the median of a figure at each point of the only record.
+func recordedMedians(t *testing.T, l scale.Lists, name string) (all []float64) {
 	t.Helper()
 	records, err := scale.Load(l.Run.Dir)
 	if err != nil || len(records) != 1 {
@@ -27,64 +30,72 @@
 	return all
 }
 
-// TestWatchersCounted: a change is a few hundred bytes to each watcher, whatever the list and however many watch.
-func TestWatchersCounted(t *testing.T) {
+// TestChangeBytesPerWatcherDoNotGrowWithListOrWatchers checks that a change costs each watcher a few hundred
+// bytes, for 20 and 400 entries and for 5 and 25 watchers.
+func TestChangeBytesPerWatcherDoNotGrowWithListOrWatchers(t *testing.T) {
 	for _, entries := range []int{20, 400} {
-		l := lists(t)
+		l := registryMeasurement(t)
 		if err := l.Watchers(t.Context(), []int{5, 25}, entries); err != nil {
 			t.Fatal(err)
 		}
-		for _, bytes := range figureOf(t, l, "watcher_change_bytes_in") {
-			if bytes < 150 || bytes > 1000 { // the head, one entry, and what looking itself reads
+		for _, bytes := range recordedMedians(t, l, "watcher_change_bytes_in") {
+			if bytes < 150 || bytes > 1000 { // the head, one entry, and what the measurement itself reads
 				t.Errorf("a change of %d entries is %v bytes to a watcher", entries, bytes)
 			}
 		}
-		all := figureOf(t, l, "change_bytes")
+		all := recordedMedians(t, l, "change_bytes")
 		if each := (all[1] - all[0]) / 20; each > 1000 {
 			t.Errorf("each further watcher costs the replica %v bytes a change of %d entries", each, entries)
 		}
 	}
 }
 
-// TestPartsCounted: who follows a part hears of that part's changes alone. Of fewer entries a part is all of the list.
-func TestPartsCounted(t *testing.T) {
+// TestWatcherOfAPartReceivesOnlyItsChanges checks that watchers of a part of the list receive at most 0.6 of
+// the bytes that watchers of the complete list receive. The list has 3000 entries because a part of a short
+// list is the complete list.
+func TestWatcherOfAPartReceivesOnlyItsChanges(t *testing.T) {
 	bytes := map[bool]float64{}
 	for _, parts := range []bool{false, true} {
-		l := lists(t)
+		l := registryMeasurement(t)
 		l.Parts = parts
 		if err := l.Watchers(t.Context(), []int{10}, 3000); err != nil {
 			t.Fatal(err)
 		}
-		bytes[parts] = figureOf(t, l, "watcher_change_bytes_in")[0]
+		bytes[parts] = recordedMedians(t, l, "watcher_change_bytes_in")[0]
 	}
 	if bytes[true] > 0.6*bytes[false] {
 		t.Errorf("a change is %v bytes to a watcher of a part, %v to one of all", bytes[true], bytes[false])
 	}
 }
 
-// TestHollowNodesCounted: hollow nodes follow the list and each other as nodes do.
-func TestHollowNodesCounted(t *testing.T) {
+// TestHollowNodesFollowRegistryAndEachOther checks that four hollow nodes receive and store changes of the
+// list and exchange membership datagrams, as real nodes do.
+func TestHollowNodesFollowRegistryAndEachOther(t *testing.T) {
 	const backends = 50
-	n := scale.Nodes{Lists: lists(t), Kind: "hollow", Start: []string{os.Args[0], "scale", "hollow"}, View: true, Told: 100}
+	n := scale.Nodes{Lists: registryMeasurement(t), Kind: "hollow",
+		Start: []string{os.Args[0], "scale", "hollow"}, View: true, Told: 100}
 	if err := n.Measure(t.Context(), []scale.Sizes{{Nodes: 4, Backends: backends}}); err != nil {
 		t.Fatal(err)
 	}
-	for name, in := range map[string][2]float64{
+	for name, bounds := range map[string][2]float64{
 		"change_bytes_in":  {100, 1500},                          // a change reaches each
-		"change_bytes_out": {50 * backends, 200*backends + 1500}, // and is kept, with the complete list
+		"change_bytes_out": {50 * backends, 200*backends + 1500}, // and is stored, with the complete list
 		"datagrams_per_s":  {1, 60},
 		"descriptors":      {1, 12},
 	} {
-		if got := figureOf(t, n.Lists, name)[0]; got < in[0] || got > in[1] {
-			t.Errorf("%s is %v, want %v to %v", name, got, in[0], in[1])
+		if got := recordedMedians(t, n.Lists, name)[0]; got < bounds[0] || got > bounds[1] {
+			t.Errorf("%s is %v, want %v to %v", name, got, bounds[0], bounds[1])
 		}
 	}
 }
 
-// TestFaultsCounted: a node pays for a zone, a rack and a roll by the changes of its part, and ends up knowing exactly what is left.
-func TestFaultsCounted(t *testing.T) {
+// TestFaultBytesFollowTheChangesInANodesPart checks that the bytes that a zone, a rack and a roll cost a node
+// and the replica are in proportion to the number of changes. The measurement itself fails if a node does not
+// end up with exactly the remaining backends.
+func TestFaultBytesFollowTheChangesInANodesPart(t *testing.T) {
 	const backends, nodes = 120, 3
-	plan := scale.Plan{Plan: scale.Demand{Nodes: 100, Backends: 500}, Assumed: scale.Assumed{RackNodes: 2, RackBackends: 20, TTL: 1}}
+	plan := scale.Plan{Plan: scale.Demand{Nodes: 100, Backends: 500},
+		Assumed: scale.Assumed{RackNodes: 2, RackBackends: 20, TTL: 1}}
 	for name, fault := range map[string]struct {
 		play    func(*scale.Nodes) error
 		changes float64
@@ -96,18 +107,21 @@
 			return n.Rack(t.Context(), plan, []scale.Sizes{{Nodes: nodes, Backends: backends}})
 		}, backends + 20},
 		"roll": {func(n *scale.Nodes) error {
-			return n.Roll(t.Context(), plan, []scale.Sizes{{Nodes: nodes, Backends: backends}}, []int{36000}, time.Second)
+			return n.Roll(t.Context(), plan, []scale.Sizes{{Nodes: nodes, Backends: backends}},
+				[]int{36000}, time.Second)
 		}, 2 * 10},
 	} {
-		n := scale.Nodes{Lists: lists(t), Kind: "hollow", Start: []string{os.Args[0], "scale", "hollow"}, View: true, Told: 100}
+		n := scale.Nodes{Lists: registryMeasurement(t), Kind: "hollow",
+			Start: []string{os.Args[0], "scale", "hollow"}, View: true, Told: 100}
 		n.Parts = true
 		if err := fault.play(&n); err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		for figure, per := range map[string][2]float64{"node_bytes_in": {20, 1500}, "replica_peak_bytes": {20, 40000}} { // with the pages of its log
-			got := figureOf(t, n.Lists, figure)[0]
-			if got < per[0]*fault.changes/10 || got > per[1]*fault.changes {
+		for figure, bytesPerChange := range map[string][2]float64{
+			"node_bytes_in": {20, 1500}, "replica_peak_bytes": {20, 40000}} { // with the pages of the replica's log
+			got := recordedMedians(t, n.Lists, figure)[0]
+			if got < bytesPerChange[0]*fault.changes/10 || got > bytesPerChange[1]*fault.changes {
 				t.Errorf("%s: %s is %v for %v changes", name, figure, got, fault.changes)
 			}
 		}
--- a/cmd/wrenspread-lab/series.go
+++ b/cmd/wrenspread-lab/series.go
@@ -12,77 +12,77 @@
 	"wrenspread/internal/lab/report"
 )
 
-// series is runs of one kind, a seed each.
+// series describes runs of one kind, each with its own seed, of which some run in parallel.
 type series struct {
 	kind           string
-	seed           uint64
-	runs, together int
+	firstSeed      uint64
+	runs, parallel int
 }
 
-// outcome is what a run of a series shows.
+// outcome is the result of one run of a series.
 type outcome struct {
-	line   string
-	broken bool
-	unsure bool // its history could not be decided in its time
+	line      string
+	broken    bool
+	undecided bool // the check of the history did not finish in time
 }
 
-// tally counts runs by how they ended.
-type tally struct{ passed, broken, unsure int }
+// tally counts the runs that were played by their result.
+type tally struct{ passed, broken, undecided int }
 
-// play plays all runs and prints a line for each, and one for all: about gives what
-// that one says after the kind.
+// play plays all runs and prints a line for each, and a closing line for the series: the worst result, the
+// kind, and the text that summarize returns for the counts and the number of runs that were not played.
 func (s series) play(
 	c *cobra.Command,
-	one func(seed uint64) (outcome, error),
-	about func(t tally, unplayed int) string,
+	playSeed func(seed uint64) (outcome, error),
+	summarize func(t tally, unplayed int) string,
 ) error {
-	var mu sync.Mutex // of the tally and the output
-	var t tally
+	var mu sync.Mutex // guards counts and the output
+	var counts tally
 	var g errgroup.Group
-	g.SetLimit(s.together)
+	g.SetLimit(s.parallel)
 	for i := range s.runs {
 		g.Go(func() error {
-			o, err := one(s.seed + uint64(i))
+			o, err := playSeed(s.firstSeed + uint64(i))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				return unplayed{fmt.Errorf("seed %d: %w", s.seed+uint64(i), err)}
+				return unplayedError{fmt.Errorf("seed %d: %w", s.firstSeed+uint64(i), err)}
 			}
 			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), o.line))
 			switch {
 			case o.broken:
-				t.broken++
-			case o.unsure:
-				t.unsure++
+				counts.broken++
+			case o.undecided:
+				counts.undecided++
 			default:
-				t.passed++
+				counts.passed++
 			}
 			return nil
 		})
 	}
 	err := g.Wait()
 	worst := report.Pass
-	if t.broken > 0 {
+	if counts.broken > 0 {
 		worst = report.Fail
-	} else if t.passed < s.runs {
+	} else if counts.passed < s.runs {
 		worst = report.Unplayed
 	}
 	besteffort.Output(
 		fmt.Fprintf(
 			c.OutOrStdout(),
 			"%s %s: %s\n",
-			words[worst],
+			resultWords[worst],
 			s.kind,
-			about(t, s.runs-t.passed-t.broken-t.unsure),
+			summarize(counts, s.runs-counts.passed-counts.broken-counts.undecided),
 		),
 	)
 	switch {
-	case t.broken > 0:
+	case counts.broken > 0:
 		return errRuleBroken
 	case err != nil:
 		return err
-	case t.unsure > 0:
-		return unplayed{errors.New("some histories could not be decided in their time")}
+	case counts.undecided > 0:
+		return unplayedError{errors.New("some histories could not be decided in their time")}
 	}
 	return nil
 }
--- a/cmd/wrenspread-lab/sim.go
+++ b/cmd/wrenspread-lab/sim.go
@@ -20,23 +20,25 @@
 	"wrenspread/internal/sim/membership"
 )
 
-// mostExplained bounds the broken schedules that are cut down and drawn; the others are named.
-const mostExplained = 3
+// maxExplained is the number of broken schedules of a kind that are shortened and drawn. Of the others only
+// the seed and the broken check are printed.
+const maxExplained = 3
 
-// plays are the sorts of schedule, by name.
-var plays = map[string]func(membership.Options) sim.Play{
+// playsByName maps the name of a kind of schedule to the function that makes the play.
+var playsByName = map[string]func(membership.Options) sim.Play{
 	"wild":  membership.Wild,
 	"mild":  membership.Mild,
 	"pairs": membership.Pairs,
 }
 
-// simFlags are what a series of schedules takes.
+// simFlags are the flags of a series of schedules.
 type simFlags struct {
-	seed                       uint64
-	schedules, together, nodes int
+	firstSeed                  uint64
+	schedules, parallel, nodes int
 	play                       string
 }
 
+// simCommand plays drawn schedules of faults in the simulator and checks the membership views.
 func simCommand() *cobra.Command {
 	var f simFlags
 	c := &cobra.Command{
@@ -47,47 +49,49 @@
 taken for dead, in those of bad pairs nobody may even be suspected. A broken one is cut down and drawn.`,
 		Example: "  wrenspread-lab sim --schedules 10000\n  wrenspread-lab sim --play mild --seed 17 --schedules 1\n  wrenspread-lab sim growth\n  wrenspread-lab sim story halves",
 		Args:    cobra.NoArgs,
-		RunE:    func(c *cobra.Command, _ []string) error { return f.run(c) },
+		RunE:    func(c *cobra.Command, _ []string) error { return f.playAll(c) },
 	}
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "the first seed")
+	c.Flags().Uint64Var(&f.firstSeed, "seed", 1, "the first seed")
 	c.Flags().IntVar(&f.schedules, "schedules", 1000, "how many, a seed each")
-	c.Flags().IntVar(&f.together, "together", runtime.NumCPU(), "how many at once")
+	c.Flags().IntVar(&f.parallel, "together", runtime.NumCPU(), "how many at once")
 	c.Flags().IntVar(&f.nodes, "nodes", 6, "of each fleet")
 	c.Flags().StringVar(&f.play, "play", "all", "wild, mild, pairs, or all: one of two is wild")
 	c.AddCommand(growthCommand(), storyCommand())
 	return c
 }
 
-func (f *simFlags) run(c *cobra.Command) error {
+// playAll checks the flags, plays the schedules of each selected kind and prints a table of the results.
+func (f *simFlags) playAll(c *cobra.Command) error {
 	names := []string{"wild", "mild", "wild", "pairs"}
 	if f.play != "all" {
 		names = []string{f.play}
 	}
-	if f.schedules < 1 || f.together < 1 || f.nodes < 2 || f.nodes > 1000 || plays[names[0]] == nil {
-		return unplayed{
+	if f.schedules < 1 || f.parallel < 1 || f.nodes < 2 || f.nodes > 1000 || playsByName[names[0]] == nil {
+		return unplayedError{
 			errors.New("--schedules and --together are 1 or more, --nodes 2 to 1000, --play wild, mild, pairs or all"),
 		}
 	}
-	debug.SetGCPercent(400) // small worlds that live for milliseconds: collecting took half of the time
-	began := time.Now()
+	debug.SetGCPercent(400) // at the default, collecting these short-lived worlds took half of the time
+	start := time.Now()
 	var broken int
-	t := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-	besteffort.Output(fmt.Fprintln(t, "play\tschedules\tbroken\tsettled after: median\t99%\tmost"))
+	table := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
+	besteffort.Output(fmt.Fprintln(table, "play\tschedules\tbroken\tsettled after: median\t99%\tmost"))
 	for i, name := range names {
-		n := (f.schedules + len(names) - 1 - i) / len(names)
-		if n == 0 {
+		count := (f.schedules + len(names) - 1 - i) / len(names)
+		if count == 0 {
 			continue
 		}
-		took, bad, err := f.series(c, name, f.seed+uint64(i*f.schedules), n)
+		settleTimes, brokenCount, err := f.playSeries(c, name, f.firstSeed+uint64(i*f.schedules), count)
 		if err != nil {
-			return unplayed{err}
+			return unplayedError{err}
 		}
-		broken += bad
+		broken += brokenCount
 		besteffort.Output(
-			fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\n", name, n, bad, part(took, 0.5), part(took, 0.99), part(took, 1)),
+			fmt.Fprintf(table, "%s\t%d\t%d\t%v\t%v\t%v\n", name, count, brokenCount,
+				quantile(settleTimes, 0.5), quantile(settleTimes, 0.99), quantile(settleTimes, 1)),
 		)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	besteffort.Output(
@@ -96,7 +100,7 @@
 			"%d schedules of %d nodes in %v: %d broken\n",
 			f.schedules,
 			f.nodes,
-			time.Since(began).Round(time.Second/10),
+			time.Since(start).Round(time.Second/10),
 			broken,
 		),
 	)
@@ -106,46 +110,50 @@
 	return nil
 }
 
-// series plays the schedules of one sort. The first that break are explained.
-func (f *simFlags) series(
+// playSeries plays count schedules of one kind, from seed on, and explains the first maxExplained broken
+// schedules. It returns the sorted times that the views took to settle and the number of broken schedules.
+func (f *simFlags) playSeries(
 	c *cobra.Command,
 	name string,
 	seed uint64,
-	n int,
-) (took []time.Duration, broken int, err error) {
-	var mu sync.Mutex // of what is counted and the output
+	count int,
+) (settleTimes []time.Duration, broken int, err error) {
+	var mu sync.Mutex // guards the results and the output
 	opts := membership.Options{Nodes: f.nodes, Took: func(d time.Duration) {
 		mu.Lock()
-		took = append(took, d)
+		settleTimes = append(settleTimes, d)
 		mu.Unlock()
 	}}
-	again := plays[name](membership.Options{Nodes: f.nodes})
-	err = plays[name](opts).Series(c.Context(), seed, n, f.together, func(p sim.Played) {
+	explainer := playsByName[name](membership.Options{Nodes: f.nodes})
+	err = playsByName[name](opts).Series(c.Context(), seed, count, f.parallel, func(p sim.Played) {
 		if p.Broken == nil {
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		if broken++; broken > mostExplained {
+		if broken++; broken > maxExplained {
 			besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: seed %d: %v\n", name, p.Seed, p.Broken))
 			return
 		}
-		besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", name, again.Explain(p.Seed, p.Faults, p.Broken)))
+		besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", name,
+			explainer.Explain(p.Seed, p.Faults, p.Broken)))
 	})
-	slices.Sort(took)
-	return took, broken, err
+	slices.Sort(settleTimes)
+	return settleTimes, broken, err
 }
 
-// part returns the time that so large a part of sorted ones does not go beyond.
-func part(sorted []time.Duration, of float64) time.Duration {
+// quantile returns the time that the given fraction of the sorted times does not exceed, or 0 if there are
+// none.
+func quantile(sorted []time.Duration, fraction float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[int(of*float64(len(sorted)-1))]
+	return sorted[int(fraction*float64(len(sorted)-1))]
 }
 
+// growthCommand measures the cost and the speed of the membership view by the size of the fleet.
 func growthCommand() *cobra.Command {
-	g := membership.Growth{Seed: 1, Cut: 30 * time.Second}
+	growth := membership.Growth{Seed: 1, Cut: 30 * time.Second}
 	var sizes, rivals []int
 	c := &cobra.Command{
 		Use:   "growth",
@@ -154,24 +162,27 @@
 were cut off. False deaths are of running nodes in anybody's view, a node and hour. 1,000 nodes take 2 minutes of one processor and 0.8 GB, 3,000 nine times as much.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if g.Hours < 0 ||
+			if growth.Hours < 0 ||
 				slices.ContainsFunc(slices.Concat(sizes, rivals), func(n int) bool { return n < 2 || n > 5000 }) ||
-				slices.ContainsFunc(g.Losses, func(l float64) bool { return l < 0 || l >= 1 }) {
-				return unplayed{errors.New("--nodes and --rival are 2 to 5000, --losses 0 to below 1, --hours 0 or more")}
+				slices.ContainsFunc(growth.Losses, func(l float64) bool { return l < 0 || l >= 1 }) {
+				return unplayedError{errors.New(
+					"--nodes and --rival are 2 to 5000, --losses 0 to below 1, --hours 0 or more")}
 			}
-			return grow(c.Context(), c.OutOrStdout(), g, sizes, rivals)
+			return writeGrowth(c.Context(), c.OutOrStdout(), growth, sizes, rivals)
 		},
 	}
 	c.Flags().IntSliceVar(&sizes, "nodes", []int{3, 30, 300}, "sizes of the fleet")
 	c.Flags().IntSliceVar(&rivals, "rival", []int{3, 30, 100}, "sizes of the rival's fleet")
-	c.Flags().
-		Float64SliceVar(&g.Losses, "losses", []float64{0, 0.1, 0.2, 0.3}, "at which false deaths are counted")
-	c.Flags().Float64Var(&g.Hours, "hours", 10, "node hours of counting, at each loss")
-	c.Flags().Uint64Var(&g.Seed, "seed", 1, "of all draws")
+	c.Flags().Float64SliceVar(&growth.Losses, "losses", []float64{0, 0.1, 0.2, 0.3},
+		"at which false deaths are counted")
+	c.Flags().Float64Var(&growth.Hours, "hours", 10, "node hours of counting, at each loss")
+	c.Flags().Uint64Var(&growth.Seed, "seed", 1, "of all draws")
 	return c
 }
 
-func grow(ctx context.Context, out io.Writer, g membership.Growth, sizes, rivals []int) error {
+// writeGrowth writes a table to out: one line per fleet size for the membership view, then one per rival size
+// for a protocol in which every node queries every other node.
+func writeGrowth(ctx context.Context, out io.Writer, growth membership.Growth, sizes, rivals []int) error {
 	besteffort.Output(
 		fmt.Fprintf(
 			out,
@@ -186,34 +197,34 @@
 			"heal",
 		),
 	)
-	for _, l := range g.Losses {
+	for _, l := range growth.Losses {
 		besteffort.Output(fmt.Fprintf(out, " %.0f%%", 100*l))
 	}
 	besteffort.Output(fmt.Fprintln(out))
-	for _, r := range []bool{false, true} {
-		g.Rival = r
+	for _, rival := range []bool{false, true} {
+		growth.Rival = rival
 		name := "ours"
-		if r {
+		if rival {
 			sizes, name = rivals, "rival"
 		}
-		for _, g.Nodes = range sizes {
-			o, err := g.Measure(ctx)
+		for _, growth.Nodes = range sizes {
+			costs, err := growth.Measure(ctx)
 			if err != nil {
-				return unplayed{err}
+				return unplayedError{err}
 			}
 			besteffort.Output(
 				fmt.Fprintf(
 					out,
 					"%-6s %6d  %12.1f %12.0f  %10v %10v %10v %10v  %s\n",
 					name,
-					o.Nodes,
-					o.Sent,
-					o.Bytes,
-					o.Joined,
-					o.Join,
-					o.Death,
-					o.Heal,
-					figures(o.False),
+					costs.Nodes,
+					costs.Sent,
+					costs.Bytes,
+					costs.Joined,
+					costs.Join,
+					costs.Death,
+					costs.Heal,
+					formatRates(costs.False),
 				),
 			)
 		}
@@ -221,14 +232,16 @@
 	return nil
 }
 
-func figures(all []float64) string {
-	var s []string
-	for _, f := range all {
-		s = append(s, fmt.Sprintf("%.3g", f))
+// formatRates formats each rate with three significant digits, two spaces apart.
+func formatRates(rates []float64) string {
+	var texts []string
+	for _, f := range rates {
+		texts = append(texts, fmt.Sprintf("%.3g", f))
 	}
-	return strings.Join(s, "  ")
+	return strings.Join(texts, "  ")
 }
 
+// storyCommand draws the named membership scenarios, or all of them if no name is given.
 func storyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "story [name]...",
@@ -240,15 +253,15 @@
 				if len(names) > 0 && !slices.Contains(names, s.Name) {
 					continue
 				}
-				drawn, err := s.Play(nil)
-				besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s\n\n%s\n", s.Name, drawn))
+				drawing, err := s.Play(nil)
+				besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s\n\n%s\n", s.Name, drawing))
 				if err != nil {
 					return fmt.Errorf("%s: %w", s.Name, err)
 				}
 			}
 			for _, n := range names {
 				if !slices.Contains(known, n) {
-					return unplayed{fmt.Errorf("there is no story %q; there are %s", n, strings.Join(known, ", "))}
+					return unplayedError{fmt.Errorf("there is no story %q; there are %s", n, strings.Join(known, ", "))}
 				}
 			}
 			return nil
