--- a/internal/lab/fleet/crowd.go
+++ b/internal/lab/fleet/crowd.go
@@ -27,7 +27,7 @@
 	if n == 0 {
 		return nil
 	}
-	doors, err := s.set.Doors("followers")
+	doors, err := s.set.Connect("followers")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -73,7 +73,7 @@
 func (n *node) connect() (err error) {
 	f := n.f
 	if f.e.List.Direct {
-		n.list, err = f.service.set.Doors(n.name)
+		n.list, err = f.service.set.Connect(n.name)
 		return err
 	}
 	boxes := map[string]string{}
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	doors, err := f.service.set.Doors(name)
+	doors, err := f.service.set.Connect(name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	doors, err := f.service.set.Doors(name)
+	doors, err := f.service.set.Connect(name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -92,7 +92,7 @@
 	if f.service.workers == nil {
 		return nil
 	}
-	return f.service.workers.End(endTime)
+	return f.service.workers.Terminate(endTime)
 }
 
 // admitted waits until the front lets clients to all nodes.
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -30,7 +30,7 @@
 	ctx   context.Context
 	crowd *crowd // nil: none
 
-	workers *leases.Crew // nil: none
+	workers *leases.WorkerPool // nil: none
 }
 
 const (
@@ -56,12 +56,12 @@
 	if err != nil {
 		return nil, err
 	}
-	f.atEnd(set.Free)
+	f.atEnd(set.ReleasePorts)
 	s := &service{f: f, set: set}
 	var cancel context.CancelFunc
 	s.ctx, cancel = context.WithCancel(context.Background())
 	f.atEnd(func() { cancel(); s.tasks.Wait() })
-	doors, err := set.Doors(registrars)
+	doors, err := set.Connect(registrars)
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	s.workers, err = leases.NewCrew(
+	s.workers, err = leases.NewWorkerPool(
 		leases.CrewOptions{
 			Workers: d.Workers,
 			Duties:  d.Count,
@@ -156,7 +156,7 @@
 	if err := s.workers.Start(); err != nil {
 		return err
 	}
-	return s.workers.Await(ctx, leases.Now())
+	return s.workers.AwaitWrites(ctx, leases.Now())
 }
 
 // dutyVerdicts says what the workers' resource saw, and how long a lease had no holder.
@@ -167,7 +167,7 @@
 		Rule: "one process holds a duty at a time: no act under a lower fence after one under a higher, none interleaved",
 		Seen: len(acts),
 	}
-	broken, sure, err := s.workers.Judge()
+	broken, sure, err := s.workers.Check()
 	if err != nil {
 		broken = append(broken, err.Error())
 	}
@@ -188,13 +188,13 @@
 		Rule:  fmt.Sprintf("no duty is without a holder for over %v", bound),
 	}
 	if len(gaps) > 0 {
-		in.Rule += fmt.Sprintf(" (%v at most, %d changes)", gaps[0].Took.Round(time.Millisecond), len(gaps))
+		in.Rule += fmt.Sprintf(" (%v at most, %d changes)", gaps[0].Length.Round(time.Millisecond), len(gaps))
 	}
 	for _, g := range gaps {
-		if g.Took > bound {
+		if g.Length > bound {
 			in.Broken = append(
 				in.Broken,
-				check.Finding{Text: fmt.Sprintf("%s had none for %v", g.Duty, g.Took.Round(time.Millisecond))},
+				check.Finding{Text: fmt.Sprintf("%s had none for %v", g.Lease, g.Length.Round(time.Millisecond))},
 			)
 		}
 	}
@@ -217,7 +217,7 @@
 
 // agent makes the agent of a node, which hears of changes from the service.
 func (s *service) agent(node string, address func(string) string) (*discovery.Agent, error) {
-	doors, err := s.set.Doors(node)
+	doors, err := s.set.Connect(node)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -99,9 +99,9 @@
 				}
 			}
 			if c := f.service.workers; c != nil && strings.HasPrefix(name, "d") {
-				return c.Suffer(ctx, name, s.Do, last, endTime)
+				return c.InjectFault(ctx, name, s.Do, last, endTime)
 			}
-			return f.service.set.Suffer(ctx, name, s.Do, last, endTime)
+			return f.service.set.InjectFault(ctx, name, s.Do, last, endTime)
 		})
 	case "move":
 		return together(f.names, func(name string) error { return f.nodes[name].move(ctx) })
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -14,12 +14,13 @@
 	"wrenspread/internal/besteffort"
 )
 
-// checkTime bounds the search for an order in which a lock could have been held.
-const checkTime = time.Minute
+// maxCheckTime bounds the search for an order of the operations that a lock with fencing tokens allows.
+const maxCheckTime = time.Minute
 
-// Interleaved checks what the resource took: for each lease, no write under a lower
-// fencing token after one under a higher, and all writes under a fencing token from one run of one process.
-func Interleaved(acts []Act) (broken []string) {
+// CheckFencing checks the acts that the resource accepted, in their order, and describes each violation. For
+// each lease, no act may carry a lower fencing token than an earlier act, and all acts under one fencing
+// token have to come from one run of one process.
+func CheckFencing(acts []Act) (broken []string) {
 	last := map[string]Act{}
 	owner := map[string]string{}
 	for _, a := range acts {
@@ -49,16 +50,16 @@
 	return broken
 }
 
-// lock is the state of a lease as the service has it: the last fencing token, and whether
-// its holder has been turned down since.
+// lock is the state of a lease in the registry: the latest fencing token, and whether a write under this
+// token has been refused since.
 type lock struct {
-	fence uint64
-	dead  bool
+	fence   uint64
+	refused bool
 }
 
-// lockModel is a lock with fencing tokens. Whoever comes to hold it has a higher fencing token
-// than all before; a write is taken from nobody but the last, and from that one
-// not again once it was turned down.
+// lockModel is the porcupine model of a lock with fencing tokens. Each new holder has a higher fencing token
+// than all previous holders. Only writes of the latest holder are accepted, and none of them after one of
+// its writes was refused.
 var lockModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
@@ -79,19 +80,20 @@
 		case a.Do == "hold" && a.Number > s.fence:
 			return true, lock{fence: a.Number}
 		case a.Do == "hold":
-			return a.Number == s.fence && !s.dead, s // the same grant again, after a while without the service
+			return a.Number == s.fence && !s.refused, s // the same grant, confirmed after the registry was unreachable
 		case a.Done:
-			return a.Number == s.fence && !s.dead, s
+			return a.Number == s.fence && !s.refused, s
 		case a.Number == s.fence:
-			return true, lock{fence: s.fence, dead: true}
+			return true, lock{fence: s.fence, refused: true}
 		}
 		return a.Number < s.fence, s
 	},
 }
 
-// Locked checks the grants, and the fenced writes to the list, as a lock. A grant
-// took place at any time between that of the fencing token before it and the work's beginning.
-func Locked(acts []Act) (legal, sure bool) {
+// CheckLock checks whether the grants and the fenced writes to the registry are a legal history of a lock.
+// The time of a grant is known only as a range: it lies between the last act of the same run on the lease, or
+// the start of the run, and the start of the work. sure is false if the check took more than maxCheckTime.
+func CheckLock(acts []Act) (legal, sure bool) {
 	var ops []porcupine.Operation
 	started, last := map[string]time.Duration{}, map[[2]string]time.Duration{}
 	for _, a := range acts {
@@ -100,7 +102,7 @@
 			continue
 		}
 		key := [2]string{a.Run, a.Lease}
-		// its process may have had the grant since its last word on the lease, and hear of it late
+		// The registry may have granted the lease at any time since the run's last act on the lease.
 		if a.Do == "hold" {
 			a.From = max(started[a.Run], last[key])
 		}
@@ -110,15 +112,16 @@
 			porcupine.Operation{ClientId: len(ops), Input: a, Call: int64(a.From), Return: int64(a.To)},
 		)
 	}
-	result := porcupine.CheckOperationsTimeout(lockModel, ops, checkTime)
+	result := porcupine.CheckOperationsTimeout(lockModel, ops, maxCheckTime)
 	return result != porcupine.Illegal, result != porcupine.Unknown
 }
 
-// ReadActs reads a worker's history. A last line that was cut off by its end is passed over.
+// ReadActs reads a worker's history from its file. A line that can't be parsed is skipped: the last line may
+// be incomplete if the worker was killed. A missing file is an empty history.
 func ReadActs(path string) (all []Act, err error) {
 	f, err := os.Open(path)
 	if os.IsNotExist(err) {
-		return nil, nil // it never held anything
+		return nil, nil // the worker never held a lease
 	}
 	if err != nil {
 		return nil, fmt.Errorf("a worker's history: %w", err)
@@ -134,14 +137,15 @@
 	return all, in.Err()
 }
 
-// Gap is a time without a holder's writes, from the last of one fencing token to the first of the next.
+// Gap is a time in which no holder acted on a lease: from the last act under one fencing token to the first
+// act under the next.
 type Gap struct {
-	Duty string
-	From time.Duration
-	Took time.Duration
+	Lease  string
+	From   time.Duration
+	Length time.Duration
 }
 
-// Gaps returns the times between holders, the longest first.
+// Gaps returns the gaps between the holders of each lease, the longest gap first.
 func Gaps(acts []Act) (all []Gap) {
 	last := map[string]Act{}
 	for _, a := range acts {
@@ -150,6 +154,6 @@
 		}
 		last[a.Lease] = a
 	}
-	slices.SortFunc(all, func(a, b Gap) int { return cmp.Compare(b.Took, a.Took) })
+	slices.SortFunc(all, func(a, b Gap) int { return cmp.Compare(b.Length, a.Length) })
 	return all
 }
--- a/internal/lab/leases/crew.go
+++ b/internal/lab/leases/crew.go
@@ -18,29 +18,31 @@
 	"wrenspread/internal/lab/replicas"
 )
 
-// CrewOptions say which workers there are.
+// CrewOptions configures the worker processes of a run.
 type CrewOptions struct {
 	Workers int
 	Duties  int
 	TTL     time.Duration
-	Guarded bool // the resource checks fencing tokens
-	Spread  bool
-	Rest    time.Duration // between two acts on one lease; 0: as many as the resource can take
-	Deaf    time.Duration // a broken stand-in, see WorkerOptions
+	Guarded bool          // the resource checks fencing tokens
+	Spread  bool          // the leases are distributed evenly over the workers
+	Rest    time.Duration // shortest time between two acts on one lease; 0 means as often as the resource allows
+	Deaf    time.Duration // fault of the workers, see WorkerOptions
 	Dir     string
-	Command []string // of a worker; its flags are added
+	Command []string // command line of a worker, to which its flags are appended
 	Env     []string
 }
 
-// Crew is the workers of a run and the resource that they act on. Workers are d0, d1 and so on.
-type Crew struct {
-	o        CrewOptions
+// WorkerPool is the set of worker processes of a run and the resource that they act on. The workers are
+// named d0, d1 and so on.
+type WorkerPool struct {
+	options  CrewOptions
 	group    *process.Group
 	Resource *Resource
-	all      []*member
+	workers  []*workerProcess
 }
 
-type member struct {
+// workerProcess is one worker, over all of its process incarnations.
+type workerProcess struct {
 	name string
 	args []string
 	dir  string
@@ -48,24 +50,30 @@
 	proc *process.Proc
 }
 
-// NewCrew lays the workers' links to the registry and the resource.
-func NewCrew(o CrewOptions, set *replicas.Set, net *link.Net, group *process.Group) (*Crew, error) {
-	c := &Crew{o: o, group: group}
+// NewWorkerPool starts the resource and creates the workers' links to the registry and to the resource. It
+// starts no worker yet.
+func NewWorkerPool(
+	o CrewOptions,
+	set *replicas.Set,
+	net *link.Net,
+	group *process.Group,
+) (*WorkerPool, error) {
+	c := &WorkerPool{options: o, group: group}
 	var err error
 	if c.Resource, err = NewResource(o.Guarded); err != nil {
 		return nil, err
 	}
-	var names []string
+	var leases []string
 	for i := range o.Duties {
-		names = append(names, fmt.Sprint("duty", i))
+		leases = append(leases, fmt.Sprint("duty", i))
 	}
 	for i := range o.Workers {
-		m := &member{name: fmt.Sprint("d", i)}
+		m := &workerProcess{name: fmt.Sprint("d", i)}
 		if m.dir, err = filepath.Abs(filepath.Join(o.Dir, m.name)); err != nil {
 			c.Resource.Close()
 			return nil, err
 		}
-		doors, err := set.Doors(m.name)
+		addresses, err := set.Connect(m.name)
 		if err != nil {
 			c.Resource.Close()
 			return nil, err
@@ -79,42 +87,44 @@
 			"--process",
 			m.name,
 			"--list",
-			strings.Join(doors, ","),
+			strings.Join(addresses, ","),
 			"--resource",
 			resource,
 			"--duties",
-			strings.Join(names, ","),
+			strings.Join(leases, ","),
 			"--ttl",
 			o.TTL.String(),
 			"--every",
-			o.every().String(),
+			o.actInterval().String(),
 			"--log",
-			m.log(),
+			m.actsPath(),
 			fmt.Sprintf("--spread=%v", o.Spread),
 			"--deaf",
 			o.Deaf.String(),
 		}
-		c.all = append(c.all, m)
+		c.workers = append(c.workers, m)
 	}
 	return c, nil
 }
 
-// Acts on one lease are actEvery apart, or farther where there are many leases, so
-// that the resource gets a thousand a second at most.
+// The acts on one lease are at least minActInterval apart, and at least actIntervalPerLease times the number
+// of leases, so that the resource receives at most 1000 acts a second.
 const (
-	actEvery = 4 * time.Millisecond
-	actShare = time.Millisecond
+	minActInterval      = 4 * time.Millisecond
+	actIntervalPerLease = time.Millisecond
 )
 
-func (o CrewOptions) every() time.Duration {
-	return max(o.Rest, actEvery, time.Duration(o.Duties)*actShare)
+// actInterval is the time between two acts on one lease.
+func (o CrewOptions) actInterval() time.Duration {
+	return max(o.Rest, minActInterval, time.Duration(o.Duties)*actIntervalPerLease)
 }
 
-func (m *member) log() string { return filepath.Join(m.dir, "acts.jsonl") }
+// actsPath is the file of the worker's own history.
+func (m *workerProcess) actsPath() string { return filepath.Join(m.dir, "acts.jsonl") }
 
-// Start starts all workers.
-func (c *Crew) Start() error {
-	for _, m := range c.all {
+// Start starts all workers, one after the other.
+func (c *WorkerPool) Start() error {
+	for _, m := range c.workers {
 		if err := c.start(m); err != nil {
 			return err
 		}
@@ -122,40 +132,41 @@
 	return nil
 }
 
-func (c *Crew) start(m *member) error {
+func (c *WorkerPool) start(m *workerProcess) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p, err := c.group.Start(
-		process.Spec{Name: m.name, Command: append(slices.Clone(c.o.Command), m.args...), Dir: m.dir,
-			Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + m.dir}, c.o.Env...)},
+		process.Spec{Name: m.name, Command: append(slices.Clone(c.options.Command), m.args...), Dir: m.dir,
+			Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + m.dir}, c.options.Env...)},
 	)
 	if err != nil {
 		return err
 	}
 	m.proc = p
-	return m.begun(p)
+	return m.awaitStart(p)
 }
 
-// begun waits until a worker has noted its start: before that, a signal to end
-// finds nobody who listens.
-func (m *member) begun(p *process.Proc) error {
+// awaitStart waits until a worker process has recorded its start in its history: an earlier SIGTERM would
+// arrive before the worker handles signals.
+func (m *workerProcess) awaitStart(p *process.Proc) error {
 	mark := fmt.Appendf(nil, `"run":"%s-%d"`, m.name, p.Pid)
-	for until := time.Now().Add(readyTime); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if raw, err := os.ReadFile(m.log()); err == nil && bytes.Contains(raw, mark) || !p.Running() {
-			return nil // one that ended by itself is told by the group
+	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+		if raw, err := os.ReadFile(m.actsPath()); err == nil && bytes.Contains(raw, mark) || !p.Running() {
+			return nil // the group reports a process that exited by itself
 		}
 	}
 	return fmt.Errorf("%s does not begin", m.name)
 }
 
-// Suffer kills, pauses or restarts a worker. A killed one is started again after
-// last. One that is replaced gets a successor beside it before it is told to end.
-func (c *Crew) Suffer(ctx context.Context, name, do string, last, patience time.Duration) error {
-	i := slices.IndexFunc(c.all, func(m *member) bool { return m.name == name })
+// InjectFault kills, pauses, restarts or upgrades the named worker. A killed worker is started again after
+// last. For an upgrade, the next process starts and waits for the leases before the previous process gets its
+// SIGTERM. patience bounds the time that a process may take to end after SIGTERM.
+func (c *WorkerPool) InjectFault(ctx context.Context, name, do string, last, patience time.Duration) error {
+	i := slices.IndexFunc(c.workers, func(m *workerProcess) bool { return m.name == name })
 	if i < 0 {
 		return fmt.Errorf("there is no worker %s", name)
 	}
-	m := c.all[i]
+	m := c.workers[i]
 	m.mu.Lock()
 	p := m.proc
 	m.mu.Unlock()
@@ -163,7 +174,7 @@
 		if err := c.start(m); err != nil {
 			return err
 		}
-		backoff.Sleep(ctx, c.o.TTL) // the new one waits in the queue by then
+		backoff.Sleep(ctx, c.options.TTL) // by then the new process waits for the leases
 		return p.Term(patience)
 	}
 	if again, err := p.Suffer(ctx, do, last, patience); err != nil || !again {
@@ -172,8 +183,8 @@
 	return c.start(m)
 }
 
-// Holding tells which worker wrote last to a lease.
-func (c *Crew) Holding(duty string) string {
+// LastWriter returns the name of the worker whose act on a lease the resource accepted last; "" if none.
+func (c *WorkerPool) LastWriter(duty string) string {
 	acts, _ := c.Resource.Acts()
 	for _, a := range slices.Backward(acts) {
 		if a.Lease == duty {
@@ -183,8 +194,8 @@
 	return ""
 }
 
-// Await waits until every lease has had a write after a time.
-func (c *Crew) Await(ctx context.Context, after time.Duration) error {
+// AwaitWrites waits until the resource has accepted an act on every lease after the given time.
+func (c *WorkerPool) AwaitWrites(ctx context.Context, after time.Duration) error {
 	for {
 		acts, _ := c.Resource.Acts()
 		has := map[string]bool{}
@@ -193,41 +204,43 @@
 				has[a.Lease] = true
 			}
 		}
-		if len(has) == c.o.Duties {
+		if len(has) == c.options.Duties {
 			return nil
 		}
 		if !backoff.Sleep(ctx, 5*time.Millisecond) {
-			return fmt.Errorf("%d of %d duties have a holder: %w", len(has), c.o.Duties, ctx.Err())
+			return fmt.Errorf("%d of %d duties have a holder: %w", len(has), c.options.Duties, ctx.Err())
 		}
 	}
 }
 
-// Now is the time by which acts are noted.
-func Now() time.Duration { return clock() }
+// Now is the present time on the clock of the acts, the machine's monotonic clock.
+func Now() time.Duration { return monotonicNow() }
 
-// Judge checks what the resource and the service saw.
-func (c *Crew) Judge() (broken []string, sure bool, err error) {
+// Check checks the acts that the resource accepted and the workers' own histories of grants and fenced
+// writes. sure is false if the check of the grants took more than maxCheckTime.
+func (c *WorkerPool) Check() (broken []string, sure bool, err error) {
 	acts, _ := c.Resource.Acts()
-	broken = Interleaved(acts)
+	broken = CheckFencing(acts)
 	var own []Act
-	for _, m := range c.all {
-		some, err := ReadActs(m.log())
+	for _, m := range c.workers {
+		some, err := ReadActs(m.actsPath())
 		if err != nil {
 			return nil, false, err
 		}
 		own = append(own, some...)
 	}
-	legal, sure := Locked(own)
+	legal, sure := CheckLock(own)
 	if !legal {
 		broken = append(broken, "grants and fenced writes are not those of a lock")
 	}
 	return broken, sure, nil
 }
 
-// End tells all workers to end, while those that they transfer to, and the registry, are still there.
-func (c *Crew) End(patience time.Duration) error {
-	errs := make(chan error, len(c.all))
-	for _, m := range c.all {
+// Terminate sends SIGTERM to all workers and waits until they have ended. The registry has to be still
+// running, so that the workers can hand their leases off.
+func (c *WorkerPool) Terminate(patience time.Duration) error {
+	errs := make(chan error, len(c.workers))
+	for _, m := range c.workers {
 		go func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
@@ -239,11 +252,11 @@
 		}()
 	}
 	var all []error
-	for range c.all {
+	for range c.workers {
 		all = append(all, <-errs)
 	}
 	return errors.Join(all...)
 }
 
-// Close ends the resource. The workers' processes are the group's.
-func (c *Crew) Close() { c.Resource.Close() }
+// Close ends the resource. The process group ends the workers.
+func (c *WorkerPool) Close() { c.Resource.Close() }
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -15,14 +15,15 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Kinds are the ways in which a holder can be followed by another.
+// Kinds lists the events after which another process becomes the lease holder.
 var Kinds = []string{"kill", "pause", "cut", "restart", "upgrade"}
 
-// betweenChanges keeps the pace at which the service grants one lease out of the times.
-const betweenChanges = 2200 * time.Millisecond
+// changeInterval is the time between two changes of the holder. It is long enough that the rate at which the
+// registry grants one lease doesn't delay the changes that are measured.
+const changeInterval = 2200 * time.Millisecond
 
-// Changes has the lease holder suffer so many times, and gives the times from
-// its last act to the first of the next, in order of length.
+// Changes injects a fault of one kind into the lease holder, as often as times says. It returns the durations
+// from the last act of a holder to the first act of the next holder, in ascending order.
 func Changes(ctx context.Context, o Options, kind string, times int) (all []time.Duration, err error) {
 	o.Crew.Duties, o.Crew.Guarded = 1, true
 	l, err := Begin(ctx, o)
@@ -31,29 +32,30 @@
 	}
 	defer besteffort.Close(l)
 	for i := range times {
-		backoff.Sleep(ctx, betweenChanges)
-		if err := l.Held(ctx); err != nil {
+		backoff.Sleep(ctx, changeInterval)
+		if err := l.AwaitHolders(ctx); err != nil {
 			return nil, err
 		}
-		before := l.Crew.last()
-		if err := l.change(ctx, kind, before.Process, i); err != nil {
+		before := l.Pool.lastAct()
+		if err := l.replaceHolder(ctx, kind, before.Process, i); err != nil {
 			return nil, err
 		}
-		if err := l.Crew.followed(ctx, before.Number); err != nil {
+		if err := l.Pool.awaitNextHolder(ctx, before.Number); err != nil {
 			return nil, err
 		}
 	}
-	acts, _ := l.Crew.Resource.Acts()
+	acts, _ := l.Pool.Resource.Acts()
 	for _, g := range Gaps(acts) {
-		all = append(all, g.Took)
+		all = append(all, g.Length)
 	}
 	slices.Sort(all)
-	return all, l.Crew.End(endTime)
+	return all, l.Pool.Terminate(shutdownTimeout)
 }
 
-// change does to a holder what the kind says, until another has its lease by then.
-func (l *Lab) change(ctx context.Context, kind, who string, n int) error {
-	last := 2 * l.o.Crew.TTL
+// replaceHolder injects a fault of the given kind into the holder who. A cut and a pause last for two TTLs,
+// by when another worker holds the lease.
+func (l *Lab) replaceHolder(ctx context.Context, kind, who string, n int) error {
+	last := 2 * l.options.Crew.TTL
 	switch kind {
 	case "cut":
 		name := fmt.Sprint("cut", n)
@@ -68,20 +70,20 @@
 	case "kill":
 		last = 0
 	}
-	return l.Crew.Suffer(ctx, who, kind, last, endTime)
+	return l.Pool.InjectFault(ctx, who, kind, last, shutdownTimeout)
 }
 
-// last is the last act that was taken.
-func (c *Crew) last() Act {
+// lastAct is the last act that the resource accepted.
+func (c *WorkerPool) lastAct() Act {
 	acts, _ := c.Resource.Acts()
 	return acts[len(acts)-1]
 }
 
-// followed waits for an act under a higher fencing token.
-func (c *Crew) followed(ctx context.Context, fence uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// awaitNextHolder waits until the resource has accepted an act under a higher fencing token than fence.
+func (c *WorkerPool) awaitNextHolder(ctx context.Context, fence uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for c.last().Number <= fence {
+	for c.lastAct().Number <= fence {
 		if !backoff.Sleep(ctx, time.Millisecond) {
 			return fmt.Errorf("nobody follows the holder under fence %d: %w", fence, ctx.Err())
 		}
@@ -89,32 +91,34 @@
 	return nil
 }
 
-// Bound is the longest that a lease may be without a holder on paper, but for the
-// calls themselves: the lease, if a renewal was answered just before, the looks at
-// it, and an election that may be under way. One that transfers leaves the election.
+// Bound is the longest time that a lease may be without a holder in theory, apart from the time of the calls:
+// a TTL, if a renewal was answered just before the fault, the interval at which the registry scans deadlines,
+// and an election of the registry that may be in progress. A holder that restarts or is upgraded hands the
+// lease off, so only the election remains.
 func Bound(kind string, ttl, election time.Duration) time.Duration {
-	const looks = 100 * time.Millisecond // between the service's looks at deadlines
+	const scanInterval = 100 * time.Millisecond // between two scans of the registry for expired leases
 	if kind == "restart" || kind == "upgrade" {
 		return election
 	}
-	return ttl + looks + election
+	return ttl + scanInterval + election
 }
 
-// Cost is what held leases take.
+// Cost is the cost of a number of held leases.
 type Cost struct {
 	Duties   int
-	Held     []int         // by each process, the fewest first
-	Workers  time.Duration // processor time of all workers in a second
-	Replicas time.Duration // and of all replicas
-	Settled  time.Duration // from the start of the workers until every lease is held
+	Held     []int         // leases of each worker, in ascending order
+	Workers  time.Duration // CPU time of all workers per second
+	Replicas time.Duration // CPU time of all replicas per second
+	Settled  time.Duration // from the start of the processes until every lease is held
 }
 
-// costTime is how long the processor times are taken.
-const costTime = 10 * time.Second
+// costWindow is the time over which CPU times are measured.
+const costWindow = 10 * time.Second
 
-// Costs measures so many leases that are shared out evenly and hardly act.
+// Costs measures the cost of a number of leases that are distributed evenly over the workers and whose
+// holders hardly act.
 func Costs(ctx context.Context, o Options, duties int) (c Cost, err error) {
-	o.Crew.Duties, o.Crew.Spread, o.Crew.Guarded, o.Crew.Rest = duties, true, true, costTime/2
+	o.Crew.Duties, o.Crew.Spread, o.Crew.Guarded, o.Crew.Rest = duties, true, true, costWindow/2
 	began := time.Now()
 	l, err := Begin(ctx, o)
 	if err != nil {
@@ -122,9 +126,9 @@
 	}
 	defer besteffort.Close(l)
 	c.Duties, c.Settled = duties, time.Since(began)
-	backoff.Sleep(ctx, costTime) // what was granted to the first that came goes to whom it belongs
+	backoff.Sleep(ctx, costWindow) // leases that the first workers took move to their assigned workers
 	pids := func() (workers, replicas []int) {
-		for _, m := range l.Crew.all {
+		for _, m := range l.Pool.workers {
 			workers = append(workers, m.proc.Pid)
 		}
 		for _, r := range l.Set.All {
@@ -133,29 +137,30 @@
 		return workers, replicas
 	}
 	workers, replicas := pids()
-	w0, err := used(workers)
+	w0, err := totalCPU(workers)
 	if err != nil {
 		return c, err
 	}
-	r0, err := used(replicas)
+	r0, err := totalCPU(replicas)
 	if err != nil {
 		return c, err
 	}
-	backoff.Sleep(ctx, costTime)
-	w1, err := used(workers)
+	backoff.Sleep(ctx, costWindow)
+	w1, err := totalCPU(workers)
 	if err != nil {
 		return c, err
 	}
-	r1, err := used(replicas)
+	r1, err := totalCPU(replicas)
 	if err != nil {
 		return c, err
 	}
-	c.Workers, c.Replicas = (w1-w0)/(costTime/time.Second), (r1-r0)/(costTime/time.Second)
-	c.Held = l.Crew.shares()
-	return c, l.Crew.End(endTime)
+	c.Workers, c.Replicas = (w1-w0)/(costWindow/time.Second), (r1-r0)/(costWindow/time.Second)
+	c.Held = l.Pool.leasesPerWorker()
+	return c, l.Pool.Terminate(shutdownTimeout)
 }
 
-func used(pids []int) (sum time.Duration, err error) {
+// totalCPU sums the CPU time that the processes have used since their start.
+func totalCPU(pids []int) (sum time.Duration, err error) {
 	for _, pid := range pids {
 		u, err := process.UseOf(pid)
 		if err != nil {
@@ -166,15 +171,16 @@
 	return sum, nil
 }
 
-// shares counts the leases that each process acted on last, the fewest first.
-func (c *Crew) shares() (all []int) {
+// leasesPerWorker counts, for each worker, the leases whose last act was the worker's. The counts are in
+// ascending order.
+func (c *WorkerPool) leasesPerWorker() (all []int) {
 	acts, _ := c.Resource.Acts()
 	by := map[string]string{}
 	for _, a := range acts {
 		by[a.Lease] = a.Process
 	}
 	count := map[string]int{}
-	for _, m := range c.all {
+	for _, m := range c.workers {
 		count[m.name] = 0
 	}
 	for _, p := range by {
@@ -187,9 +193,9 @@
 	return all
 }
 
-// Contest has so many processes want one lease, and the holder leave it so many
-// times; it gives the times from the end of one's work to the beginning of the
-// next's, in order of length.
+// Contest has a number of candidates compete for one lease, whose holder releases it as often as times says.
+// It returns the durations from the release by one holder to the start of the next holder's work, in
+// ascending order.
 func Contest(ctx context.Context, o Options, candidates, times int) (all []time.Duration, err error) {
 	o.Crew.Workers, o.Crew.Duties = 1, 1
 	l, err := Begin(ctx, o)
@@ -221,7 +227,7 @@
 		}
 		running.Go(func() {
 			_ = p.Run(wanted, "contested", func(ctx context.Context, _ lease.Token) error {
-				t := turn{clock(), make(chan struct{})}
+				t := turn{monotonicNow(), make(chan struct{})}
 				select {
 				case turns <- t:
 				case <-ctx.Done():
@@ -229,29 +235,29 @@
 				}
 				select {
 				case <-t.leave:
-					return nil // it does not want it any more
+					return nil // the candidate releases the lease
 				case <-ctx.Done():
 				}
 				return ctx.Err()
 			})
-			_ = p.Close(endTime) // the measurement is over
+			_ = p.Close(shutdownTimeout) // the measurement is over
 			k.Close()
 		})
 	}
-	var left time.Duration
+	var released time.Duration
 	for len(all) < times {
 		select {
 		case t := <-turns:
-			if left != 0 {
-				all = append(all, t.begun-left)
+			if released != 0 {
+				all = append(all, t.begun-released)
 			}
-			backoff.Sleep(ctx, betweenChanges)
-			left = clock()
+			backoff.Sleep(ctx, changeInterval)
+			released = monotonicNow()
 			close(t.leave)
-		case <-time.After(readyTime):
+		case <-time.After(readyTimeout):
 			return nil, fmt.Errorf("nobody holds the duty after %d turns", len(all))
 		}
 	}
 	slices.Sort(all)
-	return all, l.Crew.End(endTime)
+	return all, l.Pool.Terminate(shutdownTimeout)
 }
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -18,33 +18,33 @@
 	"wrenspread/internal/lab/replicas"
 )
 
-// Options say what is played.
+// Options configures a run.
 type Options struct {
 	Crew     CrewOptions
 	Seed     uint64
 	Replicas int
 	Length   time.Duration
 	Dir      string
-	List     []string // command of a replica
-	Env      []string // of both kinds of process
+	List     []string // command line of a registry replica
+	Env      []string // environment of workers and replicas
 }
 
 const (
-	endTime   = 20 * time.Second
-	readyTime = 30 * time.Second // only a hang takes so long
+	shutdownTimeout = 20 * time.Second
+	readyTimeout    = 30 * time.Second // only a process that hangs takes longer
 )
 
-// Lab is a running registry with workers on it.
+// Lab is a running registry with workers that hold its leases.
 type Lab struct {
-	o     Options
-	log   *history.Log
-	net   *link.Net
-	group *process.Group
-	Set   *replicas.Set
-	Crew  *Crew
+	options Options
+	log     *history.Log
+	net     *link.Net
+	group   *process.Group
+	Set     *replicas.Set
+	Pool    *WorkerPool
 }
 
-// Begin starts the replicas and the workers, and waits until every lease has a holder.
+// Begin starts the replicas and the workers, and waits until each lease has a holder that acts.
 func Begin(ctx context.Context, o Options) (l *Lab, err error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("duties: %w", err)
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l = &Lab{o: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
+	l = &Lab{options: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
 	defer func() {
 		if err != nil {
 			besteffort.Close(l)
@@ -70,37 +70,37 @@
 		return nil, err
 	}
 	o.Crew.Dir, o.Crew.Env = o.Dir, o.Env
-	if l.Crew, err = NewCrew(o.Crew, l.Set, l.net, l.group); err != nil {
+	if l.Pool, err = NewWorkerPool(o.Crew, l.Set, l.net, l.group); err != nil {
 		return nil, err
 	}
-	if err := l.Crew.Start(); err != nil {
+	if err := l.Pool.Start(); err != nil {
 		return nil, err
 	}
-	return l, l.Held(ctx)
+	return l, l.AwaitHolders(ctx)
 }
 
-// Held waits until every lease has had a write from now on.
-func (l *Lab) Held(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// AwaitHolders waits until the resource has accepted an act on every lease after the call.
+func (l *Lab) AwaitHolders(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	return l.Crew.Await(ctx, Now())
+	return l.Pool.AwaitWrites(ctx, Now())
 }
 
 // Close ends all processes and links.
 func (l *Lab) Close() error {
-	l.group.Close(endTime)
+	l.group.Close(shutdownTimeout)
 	l.net.Close()
 	if l.Set != nil {
-		l.Set.Free()
+		l.Set.ReleasePorts()
 	}
-	if l.Crew != nil {
-		l.Crew.Close()
+	if l.Pool != nil {
+		l.Pool.Close()
 	}
 	return l.log.Close()
 }
 
-// bad lists processes that ended as they were not told to.
-func (l *Lab) bad() (all []string) {
+// processFailures describes the processes that ended unexpectedly.
+func (l *Lab) processFailures() (all []string) {
 	for _, e := range l.log.Events() {
 		if e.Kind == history.Proc && e.Bad {
 			all = append(all, fmt.Sprintf("%s (pid %d) %s: %s", e.Node, e.Pid, e.How, e.Detail))
@@ -109,27 +109,27 @@
 	return all
 }
 
-// Outcome is what a run shows.
+// Outcome is the result of a run.
 type Outcome struct {
 	Seed    uint64
 	Guarded bool
-	Acts    int // taken by the resource
-	Down    int // turned down by it
+	Acts    int // accepted by the resource
+	Refused int // acts that the resource refused
 	Grants  int
 	Faults  int
 	Broken  []string
-	Unsure  bool
-	Longest time.Duration // without a holder, at the worst
+	Unsure  bool          // the check of the history took too long
+	Longest time.Duration // longest time that a lease had no holder
 }
 
-// Line is the run in one line.
+// Line is the result as a line of text.
 func (o Outcome) Line() string {
 	what := map[bool]string{true: "behind a guard", false: "by time alone"}[o.Guarded]
 	switch {
 	case len(o.Broken) > 0:
 		return fmt.Sprintf("FAIL duties: seed %d, %s, %s (and %d more)", o.Seed, what, o.Broken[0], len(o.Broken)-1)
 	case o.Unsure:
-		return fmt.Sprintf("VOID duties: seed %d, the check took over %v", o.Seed, checkTime)
+		return fmt.Sprintf("VOID duties: seed %d, the check took over %v", o.Seed, maxCheckTime)
 	}
 	return fmt.Sprintf(
 		"PASS duties: seed %d, %s, %d faults, %d grants, %d acts taken, %d turned down, %v at most without a holder",
@@ -138,52 +138,54 @@
 		o.Faults,
 		o.Grants,
 		o.Acts,
-		o.Down,
+		o.Refused,
 		o.Longest.Round(time.Millisecond),
 	)
 }
 
-// Play plays one run. Where the resource has no guard, processes and replicas are
-// killed and cut off, but none stands still: then time alone has to keep holders apart.
+// Play plays one run. If the resource has no guard, processes and replicas are killed and cut off, but never
+// paused: without fencing, only the TTL separates two holders, and a paused holder can't see that its lease
+// has expired.
 func Play(ctx context.Context, o Options) (out Outcome, err error) {
 	l, err := Begin(ctx, o)
 	if err != nil {
 		return Outcome{}, err
 	}
-	faults := draw(o)
-	err = l.carryOut(ctx, faults)
+	faults := drawFaults(o)
+	err = l.playFaults(ctx, faults)
 	if err == nil {
 		err = l.Set.Ready(ctx)
 	}
 	if err == nil {
-		if e := l.Held(ctx); e != nil {
+		if e := l.AwaitHolders(ctx); e != nil {
 			out.Broken = append(out.Broken, e.Error())
 		}
 	}
-	err = errors.Join(err, l.Crew.End(endTime))
-	l.group.Close(endTime)
-	acts, down := l.Crew.Resource.Acts()
-	out.Seed, out.Guarded, out.Acts, out.Down, out.Faults = o.Seed, o.Crew.Guarded, len(acts), down, len(faults)
+	err = errors.Join(err, l.Pool.Terminate(shutdownTimeout))
+	l.group.Close(shutdownTimeout)
+	acts, refused := l.Pool.Resource.Acts()
+	out.Seed, out.Guarded, out.Acts, out.Refused, out.Faults =
+		o.Seed, o.Crew.Guarded, len(acts), refused, len(faults)
 	if gaps := Gaps(acts); len(gaps) > 0 {
-		out.Grants, out.Longest = len(gaps)+o.Crew.Duties, gaps[0].Took
+		out.Grants, out.Longest = len(gaps)+o.Crew.Duties, gaps[0].Length
 	}
-	broken, sure, e := l.Crew.Judge()
-	out.Broken, out.Unsure = append(append(out.Broken, broken...), l.bad()...), !sure
+	broken, sure, e := l.Pool.Check()
+	out.Broken, out.Unsure = append(append(out.Broken, broken...), l.processFailures()...), !sure
 	return out, errors.Join(err, e, l.Close())
 }
 
-// fault is one thing that goes wrong for a while.
+// fault is one fault of a run, from start for a duration.
 type fault struct {
-	at, last time.Duration
-	do       string
-	who      string // a worker, the holder or a replica
+	start, duration time.Duration
+	kind            string
+	target          string // a worker, currentHolder or a replica
 }
 
-// holder stands for the worker that holds the first lease when the fault comes.
-const holder = "holder"
+// currentHolder is the target that stands for the worker that holds the first lease when the fault begins.
+const currentHolder = "holder"
 
-// draw draws the faults of a run by its seed.
-func draw(o Options) []fault {
+// drawFaults draws the faults of a run from its seed.
+func drawFaults(o Options) []fault {
 	chance := rand.New(rand.NewPCG(o.Seed, 0x64757479))
 	menu := []string{
 		"worker-kill",
@@ -201,37 +203,37 @@
 	var all []fault
 	for at := 200 * time.Millisecond; ; {
 		f := fault{
-			at:   at,
-			do:   menu[chance.IntN(len(menu))],
-			last: time.Duration(chance.Int64N(int64(3*o.Crew.TTL))) + 50*time.Millisecond,
+			start:    at,
+			kind:     menu[chance.IntN(len(menu))],
+			duration: time.Duration(chance.Int64N(int64(3*o.Crew.TTL))) + 50*time.Millisecond,
 		}
-		if f.at+f.last > o.Length {
+		if f.start+f.duration > o.Length {
 			return all
 		}
-		if f.who = fmt.Sprint("d", chance.IntN(o.Crew.Workers)); chance.IntN(3) > 0 {
-			f.who = holder
+		if f.target = fmt.Sprint("d", chance.IntN(o.Crew.Workers)); chance.IntN(3) > 0 {
+			f.target = currentHolder
 		}
-		if strings.HasPrefix(f.do, "replica") {
-			f.who = fmt.Sprint("r", chance.IntN(o.Replicas))
+		if strings.HasPrefix(f.kind, "replica") {
+			f.target = fmt.Sprint("r", chance.IntN(o.Replicas))
 		}
 		all = append(all, f)
-		at += f.last + time.Duration(chance.Int64N(int64(o.Crew.TTL)))
+		at += f.duration + time.Duration(chance.Int64N(int64(o.Crew.TTL)))
 	}
 }
 
-// carryOut plays the faults, one after the other.
-func (l *Lab) carryOut(ctx context.Context, faults []fault) error {
+// playFaults injects the faults one after the other, each at its time.
+func (l *Lab) playFaults(ctx context.Context, faults []fault) error {
 	start := l.log.Now()
 	for i, f := range faults {
-		if !backoff.Sleep(ctx, start+f.at-l.log.Now()) {
+		if !backoff.Sleep(ctx, start+f.start-l.log.Now()) {
 			return ctx.Err()
 		}
-		if f.who == holder {
-			f.who = l.Crew.Holding("duty0")
+		if f.target == currentHolder {
+			f.target = l.Pool.LastWriter("duty0")
 		}
-		name := fmt.Sprintf("%d-%s", i+1, f.do)
-		l.log.Add(history.Event{Kind: history.Fault, How: "begin", Detail: name, Also: []string{f.who}})
-		err := l.suffer(ctx, name, f)
+		name := fmt.Sprintf("%d-%s", i+1, f.kind)
+		l.log.Add(history.Event{Kind: history.Fault, How: "begin", Detail: name, Also: []string{f.target}})
+		err := l.injectFault(ctx, name, f)
 		l.log.Add(history.Event{Kind: history.Fault, How: "end", Detail: name})
 		if err != nil {
 			return fmt.Errorf("fault %s: %w", name, err)
@@ -240,40 +242,50 @@
 	return nil
 }
 
-func (l *Lab) suffer(ctx context.Context, name string, f fault) error {
-	on, do, _ := strings.Cut(f.do, "-")
+// injectFault injects one fault and returns after the fault has ended.
+func (l *Lab) injectFault(ctx context.Context, name string, f fault) error {
+	on, do, _ := strings.Cut(f.kind, "-")
 	switch {
-	case f.do == "worker-cut", f.do == "worker-cut-back", f.do == "replica-cut":
+	case f.kind == "worker-cut", f.kind == "worker-cut-back", f.kind == "replica-cut":
 		way := link.Both
-		if f.do == "worker-cut-back" { // it is heard, and hears nothing
+		if f.kind == "worker-cut-back" { // the worker's calls arrive, but their answers are lost
 			way = link.Back
 		}
 		l.net.Lay(name, link.Shape{Hold: way, Cut: true}, func(e link.Ends) bool {
 			return e.To != "resource" &&
-				(e.From == f.who || strings.HasPrefix(e.To, f.who) && on == "replica" && strings.HasPrefix(e.From, "r"))
+				(e.From == f.target ||
+					strings.HasPrefix(e.To, f.target) && on == "replica" && strings.HasPrefix(e.From, "r"))
 		})
-		backoff.Sleep(ctx, f.last)
+		backoff.Sleep(ctx, f.duration)
 		l.net.Lift(name)
 		return nil
-	case f.do == "all-kill":
+	case f.kind == "all-kill":
 		for _, r := range l.Set.All {
 			if err := r.Kill(); err != nil {
 				return err
 			}
 		}
-		backoff.Sleep(ctx, f.last)
+		backoff.Sleep(ctx, f.duration)
 		for _, r := range l.Set.All {
 			if err := l.Set.Start(r); err != nil {
 				return err
 			}
 		}
 		return nil
-	case f.do == "worker-kill-replica": // holder and leader may die together
+	case f.kind == "worker-kill-replica": // the holder and the registry's leader may end at the same time
 		errs := make(chan error, 1)
-		go func() { errs <- l.Set.Suffer(ctx, fmt.Sprint("r", int(f.at)%l.o.Replicas), "kill", f.last, endTime) }()
-		return errors.Join(l.Crew.Suffer(ctx, f.who, "kill", f.last, endTime), <-errs)
+		go func() {
+			errs <- l.Set.InjectFault(
+				ctx,
+				fmt.Sprint("r", int(f.start)%l.options.Replicas),
+				"kill",
+				f.duration,
+				shutdownTimeout,
+			)
+		}()
+		return errors.Join(l.Pool.InjectFault(ctx, f.target, "kill", f.duration, shutdownTimeout), <-errs)
 	case on == "replica":
-		return l.Set.Suffer(ctx, f.who, do, f.last, endTime)
+		return l.Set.InjectFault(ctx, f.target, do, f.duration, shutdownTimeout)
 	}
-	return l.Crew.Suffer(ctx, f.who, do, f.last, endTime)
+	return l.Pool.InjectFault(ctx, f.target, do, f.duration, shutdownTimeout)
 }
--- a/internal/lab/leases/resource.go
+++ b/internal/lab/leases/resource.go
@@ -13,21 +13,23 @@
 	"wrenspread/internal/fencing"
 )
 
-// Resource is what holders act on. It takes every write, or with a guard those
-// that no later holder has overtaken, and remembers the order in which they came.
+// Resource is the HTTP server that lease holders act on. It accepts every act or, with a guard, only acts
+// whose fencing token is not lower than the highest one of the lease so far. It records the accepted acts
+// in order.
 type Resource struct {
-	guard *fencing.Guard // nil: it takes all
-	srv   *http.Server
-	ln    net.Listener
-	mu    sync.Mutex
-	acts  []Act // those taken
-	down  int   // turned down
+	guard    *fencing.Guard // nil means that every act is accepted
+	server   *http.Server
+	listener net.Listener
+	mu       sync.Mutex
+	acts     []Act // accepted acts, in order of arrival
+	refused  int   // number of acts that the guard refused
 }
 
-// maxAct bounds a write, in bytes.
-const maxAct = 4 << 10
+// maxActBytes bounds the body of an act.
+const maxActBytes = 4 << 10
 
-// NewResource serves on a port of the system's choice until Close.
+// NewResource starts a resource on a free port; it serves until Close. A guarded resource checks fencing
+// tokens.
 func NewResource(guarded bool) (*Resource, error) {
 	r := &Resource{}
 	if guarded {
@@ -40,19 +42,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("resource: %w", err)
 	}
-	r.ln, r.srv = ln, &http.Server{Handler: r, ReadHeaderTimeout: time.Minute}
-	go func() { _ = r.srv.Serve(ln) }() // until Close
+	r.listener, r.server = ln, &http.Server{Handler: r, ReadHeaderTimeout: time.Minute}
+	go func() { _ = r.server.Serve(ln) }() // until Close
 	return r, nil
 }
 
-// Address is where it listens.
-func (r *Resource) Address() string { return r.ln.Addr().String() }
+// Address is the address at which the resource listens.
+func (r *Resource) Address() string { return r.listener.Addr().String() }
 
-// Close ends it.
-func (r *Resource) Close() { besteffort.Close(r.srv) }
+// Close ends the resource's server.
+func (r *Resource) Close() { besteffort.Close(r.server) }
 
+// ServeHTTP accepts or refuses one act.
 func (r *Resource) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxAct))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxActBytes))
 	var a Act
 	if err == nil {
 		err = json.Unmarshal(raw, &a)
@@ -61,22 +64,22 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	r.mu.Lock() // the check and the act are one step, as at any guarded resource
+	r.mu.Lock() // a guarded resource has to check and act in one atomic step
 	defer r.mu.Unlock()
 	if r.guard != nil {
 		if status, err := r.guard.CheckRequest(req); err != nil {
-			r.down++
+			r.refused++
 			http.Error(w, err.Error(), status)
 			return
 		}
 	}
-	a.To, a.Done = clock(), true
+	a.To, a.Done = monotonicNow(), true
 	r.acts = append(r.acts, a)
 }
 
-// Acts are those taken, in their order, and how many were turned down.
+// Acts returns the accepted acts in order, and the number of acts that the guard refused.
 func (r *Resource) Acts() (acts []Act, down int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Act(nil), r.acts...), r.down
+	return append([]Act(nil), r.acts...), r.refused
 }
--- a/internal/lab/leases/worker.go
+++ b/internal/lab/leases/worker.go
@@ -1,6 +1,6 @@
-// Package leases plays processes that hold leases: real workers that act on a
-// resource outside the registry, faults between them all, and a check of what
-// the resource and the service saw.
+// Package leases tests the registry's leases: real worker processes hold leases and act on a resource outside
+// the registry, faults are injected into processes and links, and a check judges the acts that the resource
+// accepted and the grants of the registry.
 package leases
 
 import (
@@ -26,54 +26,55 @@
 	"wrenspread/internal/registry/client"
 )
 
-// WorkerOptions say what a worker's process does.
+// WorkerOptions configures a worker process.
 type WorkerOptions struct {
 	Process  string
-	List     []string // where it finds the registry
-	Resource string   // and what it acts on, host:port
+	List     []string // addresses of the registry's replicas
+	Resource string   // address of the resource, host:port
 	Duties   []string
 	TTL      time.Duration
-	Every    time.Duration // between two acts on one lease
-	Log      string        // file for its own history
-	Spread   bool          // leases are shared out evenly
-	Deaf     time.Duration // a broken stand-in: work goes on for so long after it is told to stop
+	Every    time.Duration // time between two acts on one lease
+	Log      string        // file of the worker's own history
+	Spread   bool          // leases are distributed evenly over the workers
+	Deaf     time.Duration // fault: the work continues for this long after the lease is lost
 }
 
 const (
-	noteNth  = 8 // every so many acts one write goes to the list, too
-	actTime  = 300 * time.Millisecond
-	handTime = 3 * time.Second // to transfer at the end
+	actsPerRegistryWrite = 8 // one fenced write to the registry for this number of acts
+	requestTimeout       = 300 * time.Millisecond
+	handoffTimeout       = 3 * time.Second // for the handoff of the leases at the end
 )
 
-// Act is one line of a worker's history, and one write as the resource has it.
+// Act is one line of a worker's history, and the body of one write to the resource.
 type Act struct {
-	From    time.Duration `json:"from"` // by the machine's monotonic clock
+	From    time.Duration `json:"from"` // on the machine's monotonic clock
 	To      time.Duration `json:"to"`
 	Process string        `json:"process"`
-	Run     string        `json:"run"` // of the process; another after each restart
+	Run     string        `json:"run"` // name and PID of the process, different after each restart
 	Do      string        `json:"do"`  // start, hold, note or write
 	registry.FencingToken
-	Done bool `json:"done"` // else it was turned down
+	Done bool `json:"done"` // false if the act was refused
 }
 
-// clock reads the machine's monotonic clock, which all processes share.
-func clock() time.Duration {
+// monotonicNow reads the machine's monotonic clock, which is the same for all processes.
+func monotonicNow() time.Duration {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // never fails for this clock
 	return time.Duration(t.Nano())
 }
 
-// worker is a process that holds leases.
+// worker is the state of one worker process.
 type worker struct {
-	o    WorkerOptions
-	run  string
-	list *client.Client
-	http *http.Client
-	mu   sync.Mutex
-	file *os.File
+	options  WorkerOptions
+	run      string
+	registry *client.Client
+	http     *http.Client
+	mu       sync.Mutex
+	file     *os.File
 }
 
-// Work is the whole life of a worker's process.
+// Work runs a worker process until ctx ends: it requests its leases, acts on the resource while it holds
+// them, and hands them off at the end.
 func Work(ctx context.Context, o WorkerOptions, log *slog.Logger) error {
 	k, err := client.New(client.Config{Addresses: o.List})
 	if err != nil {
@@ -98,61 +99,65 @@
 		return err
 	}
 	w := &worker{
-		o:    o,
-		run:  fmt.Sprint(o.Process, "-", os.Getpid()),
-		list: k,
-		file: f,
-		http: &http.Client{Timeout: actTime},
+		options:  o,
+		run:      fmt.Sprint(o.Process, "-", os.Getpid()),
+		registry: k,
+		file:     f,
+		http:     &http.Client{Timeout: requestTimeout},
 	}
-	w.note(Act{From: clock(), Do: "start"})
+	w.record(Act{From: monotonicNow(), Do: "start"})
 	var all sync.WaitGroup
 	for _, name := range o.Duties {
 		var options []lease.Option
 		if o.Spread {
 			options = append(options, lease.Spread(o.Process, name))
 		}
-		// it ends with the session
+		// Run ends when the session is closed.
 		all.Go(func() { _ = p.Run(context.WithoutCancel(ctx), name, w.work, options...) })
 	}
 	<-ctx.Done()
-	err = p.Close(handTime)
+	err = p.Close(handoffTimeout)
 	all.Wait()
 	return err
 }
 
-// work acts on the resource as long as it may, and now and then on the list.
+// work runs while the worker holds a lease: it acts on the resource and, for one in actsPerRegistryWrite
+// acts, also writes to the registry.
 func (w *worker) work(ctx context.Context, f lease.Token) error {
-	now := clock()
-	w.note(Act{From: now, To: now, Do: "hold", FencingToken: f, Done: true})
+	now := monotonicNow()
+	w.record(Act{From: now, To: now, Do: "hold", FencingToken: f, Done: true})
 	acting := ctx
-	if w.o.Deaf > 0 {
+	if w.options.Deaf > 0 {
 		var cancel context.CancelFunc
 		acting, cancel = context.WithCancel(context.WithoutCancel(ctx))
 		defer cancel()
-		context.AfterFunc(ctx, func() { time.AfterFunc(w.o.Deaf, cancel) })
+		context.AfterFunc(ctx, func() { time.AfterFunc(w.options.Deaf, cancel) })
 	}
 	for n := 0; acting.Err() == nil; n++ {
 		if err := w.act(acting, f); err != nil {
 			return err
 		}
-		if n%noteNth == 0 {
-			w.noteInList(acting, f)
+		if n%actsPerRegistryWrite == 0 {
+			w.writeToRegistry(acting, f)
 		}
-		backoff.Sleep(acting, w.o.Every)
+		backoff.Sleep(acting, w.options.Every)
 	}
 	return ctx.Err()
 }
 
-// act writes to the resource, which is turned down with 409.
+// act sends one write to the resource. A refused write (status 409) is an error; an unreachable resource is
+// not.
 func (w *worker) act(ctx context.Context, f lease.Token) error {
-	raw, err := json.Marshal(Act{From: clock(), Process: w.o.Process, Run: w.run, Do: "write", FencingToken: f})
+	raw, err := json.Marshal(
+		Act{From: monotonicNow(), Process: w.options.Process, Run: w.run, Do: "write", FencingToken: f},
+	)
 	if err != nil {
 		return err
 	}
 	req, err := http.NewRequestWithContext(
 		ctx,
 		http.MethodPost,
-		"http://"+w.o.Resource+"/",
+		"http://"+w.options.Resource+"/",
 		bytes.NewReader(raw),
 	)
 	if err != nil {
@@ -161,7 +166,7 @@
 	req.Header.Set(fencing.Header, fencing.Format(f))
 	resp, err := w.http.Do(req)
 	if err != nil {
-		return nil // the resource can't be reached now
+		return nil // the resource can't be reached at present
 	}
 	defer besteffort.Close(resp.Body)
 	besteffort.Drained(io.Copy(io.Discard, resp.Body))
@@ -171,37 +176,38 @@
 	return nil
 }
 
-// noteInList makes a fenced write to the list.
-func (w *worker) noteInList(ctx context.Context, f lease.Token) {
-	ctx, cancel := context.WithTimeout(ctx, actTime)
+// writeToRegistry makes a fenced write to the registry and records its result.
+func (w *worker) writeToRegistry(ctx context.Context, f lease.Token) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	a := Act{From: clock(), Do: "note", FencingToken: f}
+	a := Act{From: monotonicNow(), Do: "note", FencingToken: f}
 	e := registry.Endpoint{
 		Name:        "note-" + f.Lease,
 		Address:     "127.0.0.1:1",
 		Status:      registry.Ready,
 		StartedAtMS: int64(a.From),
 	}
-	_, err := w.list.WithToken(f).Register(ctx, e, 0, nil)
-	a.To = clock()
+	_, err := w.registry.WithToken(f).Register(ctx, e, 0, nil)
+	a.To = monotonicNow()
 	var refused *client.Error
 	switch {
 	case err == nil:
 		a.Done = true
 	case errors.As(err, &refused) && refused.Code == string(registry.StaleToken):
 	default:
-		return // of unknown end, which changes nothing that is checked
+		return // the result is unknown; the check is valid without this write
 	}
-	w.note(a)
+	w.record(a)
 }
 
-func (w *worker) note(a Act) {
-	a.Process, a.Run = w.o.Process, w.run
+// record appends an act to the worker's history.
+func (w *worker) record(a Act) {
+	a.Process, a.Run = w.options.Process, w.run
 	raw, err := json.Marshal(a)
 	if err != nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	besteffort.Response(w.file.Write(append(raw, '\n'))) // a line that is missing takes nothing from the check
+	besteffort.Response(w.file.Write(append(raw, '\n'))) // the check is valid without a missing line
 }
--- a/internal/lab/quorum/client.go
+++ b/internal/lab/quorum/client.go
@@ -15,100 +15,105 @@
 	"wrenspread/internal/registry"
 )
 
-// The entries that clients write: few, so that they meet.
-const names = 4
+// entryCount is the number of entries that clients write. It is small, so that several clients write the same
+// entry at the same time.
+const entryCount = 4
 
-// op is one operation of a client on one entry, with its answer.
+// op is one operation of a client on one entry, with its response.
 type op struct {
 	client     int
-	do         string // register, drain, remove or read
+	kind       string // register, drain, remove or read
 	name       string
 	weight     float64
-	cond       *uint64
+	ifVersion  *uint64
 	from, to   time.Duration
-	known      bool // what came of it is known
+	known      bool // the result is known
 	status     int
-	version    uint64 // of the entry: after a write, or in the way
-	there      bool   // what a read found
+	version    uint64 // of the entry: after the write, or the version that conflicted with its condition
+	found      bool   // whether a read found the entry
 	seenWeight float64
 	seenStatus string
 }
 
 const (
-	tryTime = 1500 * time.Millisecond // for one try of a write
-	opTime  = 4 * time.Second         // at most, after which a write is given up, its end unknown
+	attemptTimeout = 1500 * time.Millisecond // for one attempt of a read or a write
+	maxWriteTime   = 4 * time.Second         // the result of a write that is given up is unknown
 )
 
-// worker is one client.
+// worker is one client that writes and reads entries at random, drawn from the seed and its number.
 type worker struct {
-	c      *cluster
-	n      int
-	chance *rand.Rand
-	http   *http.Client
-	last   map[string]uint64 // versions of entries, as last seen, for conditions
-	ops    []op
+	cluster  *cluster
+	number   int
+	chance   *rand.Rand
+	http     *http.Client
+	lastSeen map[string]uint64 // last known versions of entries, for conditional writes
+	ops      []op
 }
 
 func newWorker(c *cluster, n int) *worker {
 	return &worker{
-		c:      c,
-		n:      n,
-		chance: rand.New(rand.NewPCG(c.o.Seed, uint64(n))),
-		http:   &http.Client{Transport: &http.Transport{}},
-		last:   map[string]uint64{},
+		cluster:  c,
+		number:   n,
+		chance:   rand.New(rand.NewPCG(c.options.Seed, uint64(n))),
+		http:     &http.Client{Transport: &http.Transport{}},
+		lastSeen: map[string]uint64{},
 	}
 }
 
+// run carries out operations until ctx ends, and records them. A read without a result is not recorded.
 func (w *worker) run(ctx context.Context) {
 	defer w.http.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
 		o := op{
-			client: w.n,
-			name:   fmt.Sprint("s", w.chance.IntN(names)),
+			client: w.number,
+			name:   fmt.Sprint("s", w.chance.IntN(entryCount)),
 			weight: float64(w.chance.IntN(1000)),
-			do:     "read",
+			kind:   "read",
 		}
 		switch k := w.chance.IntN(10); {
 		case k < 4:
-			o.do = "register"
+			o.kind = "register"
 		case k < 5:
-			o.do = "drain"
+			o.kind = "drain"
 		case k < 6:
-			o.do = "remove"
+			o.kind = "remove"
 		}
-		if o.do != "read" && w.chance.IntN(2) == 0 {
-			v := w.last[o.name]
-			o.cond = &v
+		if o.kind != "read" && w.chance.IntN(2) == 0 {
+			v := w.lastSeen[o.name]
+			o.ifVersion = &v
 		}
-		o.from = w.c.log.Now()
-		if o.do == "read" {
+		o.from = w.cluster.log.Now()
+		if o.kind == "read" {
 			w.read(ctx, &o)
 		} else {
-			w.write(&o, fmt.Sprintf("%d-%d-%d", w.c.o.Seed, w.n, i))
+			w.write(&o, fmt.Sprintf("%d-%d-%d", w.cluster.options.Seed, w.number, i))
 		}
-		o.to = w.c.log.Now()
-		if o.known || o.do != "read" {
+		o.to = w.cluster.log.Now()
+		if o.known || o.kind != "read" {
 			w.ops = append(w.ops, o)
 		}
 		if o.known {
-			w.last[o.name] = o.version
+			w.lastSeen[o.name] = o.version
 		}
 		backoff.Sleep(ctx, time.Duration(w.chance.IntN(20))*time.Millisecond)
 	}
 }
 
-func (w *worker) door() string { return w.c.doors[w.chance.IntN(len(w.c.doors))] }
+func (w *worker) randomAddress() string {
+	return w.cluster.addresses[w.chance.IntN(len(w.cluster.addresses))]
+}
 
-// write tries one write, under one id, until its end is known or its time is over.
+// write attempts one write, always with the same request id, until its result is known or a random time has
+// passed.
 func (w *worker) write(o *op, id string) {
-	patience := time.Duration(w.chance.Int64N(int64(opTime)))
-	wait := tryTime
-	if w.chance.IntN(3) == 0 { // the first answer may well be lost, and the write is repeated under its id
+	patience := time.Duration(w.chance.Int64N(int64(maxWriteTime)))
+	wait := attemptTimeout
+	if w.chance.IntN(3) == 0 { // the first response is probably lost, and the write is retried with the same id
 		wait = time.Duration(1+w.chance.IntN(8)) * time.Millisecond
 	}
 	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		status, body := w.call(o, id, wait)
-		wait = tryTime
+		status, body := w.sendWrite(o, id, wait)
+		wait = attemptTimeout
 		switch status {
 		case http.StatusOK:
 			var r registry.Result
@@ -126,12 +131,13 @@
 	}
 }
 
-func (w *worker) call(o *op, id string, wait time.Duration) (int, []byte) {
+// sendWrite makes one attempt of a write. The status is 0 if there was no complete response.
+func (w *worker) sendWrite(o *op, id string, wait time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	body := registry.WriteRequest{ID: id, IfVersion: o.cond}
+	body := registry.WriteRequest{ID: id, IfVersion: o.ifVersion}
 	method, path := http.MethodDelete, "/registry/instances/"+o.name
-	switch o.do {
+	switch o.kind {
 	case "register":
 		method = http.MethodPut
 		body.Endpoint = &registry.Endpoint{
@@ -147,11 +153,12 @@
 	if err != nil {
 		return 0, nil
 	}
-	return w.do(ctx, method, path, raw)
+	return w.send(ctx, method, path, raw)
 }
 
-func (w *worker) do(ctx context.Context, method, path string, body []byte) (int, []byte) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.door()+path, bytes.NewReader(body))
+// send sends a request to a random replica. The status is 0 if there was no complete response.
+func (w *worker) send(ctx context.Context, method, path string, body []byte) (int, []byte) {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.randomAddress()+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -167,11 +174,11 @@
 	return resp.StatusCode, raw
 }
 
-// read makes one current read; one that fails says nothing.
+// read makes one linearizable read (current=1). The result of a read that fails stays unknown.
 func (w *worker) read(ctx context.Context, o *op) {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	status, body := w.do(ctx, http.MethodGet, "/registry/instances?current=1", nil)
+	status, body := w.send(ctx, http.MethodGet, "/registry/instances?current=1", nil)
 	var a registry.ListResponse
 	if status != http.StatusOK || json.Unmarshal(body, &a) != nil || !a.Snapshot {
 		return
@@ -179,74 +186,85 @@
 	o.known, o.status = true, status
 	for _, e := range a.Endpoints {
 		if e.Name == o.name {
-			o.there, o.seenWeight, o.seenStatus = true, e.Weight, e.Status
+			o.found, o.seenWeight, o.seenStatus = true, e.Weight, e.Status
 		}
 	}
 }
 
-// watcher follows the list over all replicas and keeps what it was told.
+// watcher watches the list through random replicas and records the entries and changes that it receives.
 type watcher struct {
-	w       *worker
-	version uint64
-	epoch   string
-	held    map[string]registry.Endpoint
-	told    map[uint64]registry.Endpoint // changes by their versions
-	wrong   []string
+	worker     *worker
+	version    uint64
+	epoch      string
+	entries    map[string]registry.Endpoint
+	changes    map[uint64]registry.Endpoint // received changes by version
+	violations []string
 }
 
 func newWatcher(c *cluster, n int) *watcher {
 	return &watcher{
-		w:    newWorker(c, n),
-		held: map[string]registry.Endpoint{},
-		told: map[uint64]registry.Endpoint{},
+		worker:  newWorker(c, n),
+		entries: map[string]registry.Endpoint{},
+		changes: map[uint64]registry.Endpoint{},
 	}
 }
 
-// run watches until ctx ends and it has reached the version that enough gives by then.
+// run watches until ctx has ended and the watcher has reached the version that enough returns.
 func (v *watcher) run(ctx context.Context, enough func() uint64) {
-	defer v.w.http.CloseIdleConnections()
+	defer v.worker.http.CloseIdleConnections()
 	var over time.Time
 	for ctx.Err() == nil || v.version < enough() {
 		if ctx.Err() != nil && over.IsZero() {
 			over = time.Now()
-		} else if !over.IsZero() && time.Since(over) > readyTime {
-			v.wrong = append(v.wrong, fmt.Sprintf("it stays at version %d, the list is at %d", v.version, enough()))
+		} else if !over.IsZero() && time.Since(over) > readyTimeout {
+			v.violations = append(
+				v.violations,
+				fmt.Sprintf("it stays at version %d, the list is at %d", v.version, enough()),
+			)
 			return
 		}
-		call, cancel := context.WithTimeout(context.Background(), tryTime)
+		call, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 		path := fmt.Sprintf("/registry/instances?from=%d&epoch=%s&hold_ms=300", v.version, v.epoch)
-		status, body := v.w.do(call, http.MethodGet, path, nil)
+		status, body := v.worker.send(call, http.MethodGet, path, nil)
 		cancel()
 		var a registry.ListResponse
 		if status != http.StatusOK || json.Unmarshal(body, &a) != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		v.take(a)
+		v.apply(a)
 	}
 }
 
-func (v *watcher) take(a registry.ListResponse) {
+// apply applies a response to the watcher's entries. Violations are a changed epoch, a version that goes
+// back, a complete list where changes suffice, and a gap in the changes.
+func (v *watcher) apply(a registry.ListResponse) {
 	switch {
 	case v.epoch != "" && a.Epoch != v.epoch:
-		v.wrong = append(v.wrong, fmt.Sprintf("epoch %s after %s, though nothing was lost", a.Epoch, v.epoch))
+		v.violations = append(
+			v.violations,
+			fmt.Sprintf("epoch %s after %s, though nothing was lost", a.Epoch, v.epoch),
+		)
 	case a.Index < v.version:
-		v.wrong = append(v.wrong, fmt.Sprintf("version %d after %d", a.Index, v.version))
+		v.violations = append(v.violations, fmt.Sprintf("version %d after %d", a.Index, v.version))
 	case a.Snapshot && v.version > 0:
-		v.wrong = append(
-			v.wrong,
+		v.violations = append(
+			v.violations,
 			fmt.Sprintf("a whole list at %d, though version %d can't have been trimmed", a.Index, v.version),
 		)
 	case !a.Snapshot && a.Index-v.version != uint64(len(a.Endpoints)):
-		v.wrong = append(v.wrong, fmt.Sprintf("%d changes from %d to %d", len(a.Endpoints), v.version, a.Index))
+		v.violations = append(
+			v.violations,
+			fmt.Sprintf("%d changes from %d to %d", len(a.Endpoints), v.version, a.Index),
+		)
 	}
 	for i, e := range a.Endpoints {
 		if !a.Snapshot {
-			v.told[v.version+uint64(i)+1] = e
+			v.changes[v.version+uint64(i)+1] = e
 		}
-		v.held[e.Name] = e
+		v.entries[e.Name] = e
 		if e.Status == registry.Removed {
-			delete(v.held, e.Name)
+			delete(v.entries, e.Name)
 		}
 	}
 	v.version, v.epoch = a.Index, a.Epoch
--- a/internal/lab/quorum/failover.go
+++ b/internal/lab/quorum/failover.go
@@ -11,12 +11,12 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Failovers kills the leader so many times, and gives the times from the kill to
-// the end of the first write that was begun after it.
+// Failovers kills the leader as often as times says. It returns the durations from the kill to the end of the
+// first write that began after the kill, in ascending order.
 func Failovers(ctx context.Context, o Options, times int) (all []time.Duration, err error) {
-	err = measured(ctx, o, func(c *cluster, k *client.Client) error {
+	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
 		for i := range times {
-			if _, err := write(ctx, k, i); err != nil {
+			if _, err := writeChange(ctx, k, i); err != nil {
 				return err
 			}
 			leader, err := Leading(ctx, c.set, k)
@@ -27,7 +27,7 @@
 			if err := leader.Kill(); err != nil {
 				return err
 			}
-			if _, err := write(ctx, k, -i-1); err != nil {
+			if _, err := writeChange(ctx, k, -i-1); err != nil {
 				return err
 			}
 			all = append(all, time.Since(before))
@@ -44,9 +44,9 @@
 	return all, err
 }
 
-// Leading waits until somebody leads, and gives it.
+// Leading waits until a replica is the leader and returns this replica.
 func Leading(ctx context.Context, set *replicas.Set, k *client.Client) (*replicas.Replica, error) {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		members, err := k.Replicas(ctx)
--- a/internal/lab/quorum/faults.go
+++ b/internal/lab/quorum/faults.go
@@ -15,14 +15,15 @@
 	"wrenspread/internal/lab/replicas"
 )
 
-// fault is one thing that goes wrong for a while.
+// fault is one fault of a run, from start for a duration.
 type fault struct {
-	at, last time.Duration
-	do       string
-	on       []int // replicas
+	start, duration time.Duration
+	kind            string
+	targets         []int // indices of replicas
 }
 
-var menu = []string{
+// faultKinds lists the faults to draw from.
+var faultKinds = []string{
 	"kill",
 	"kill-all",
 	"pause",
@@ -35,20 +36,25 @@
 	"corrupt",
 }
 
-// draw draws the faults of a run, by seed alone: no two touch a replica at once.
-func draw(seed uint64, replicas int, length time.Duration) []fault {
+// drawFaults draws the faults of a run from the seed alone. No two faults overlap.
+func drawFaults(seed uint64, replicas int, length time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, 0x71756f72756d))
 	var all []fault
 	for at := 500 * time.Millisecond; ; {
 		last := time.Duration(300+r.IntN(1500)) * time.Millisecond
-		f := fault{at: at, last: last, do: menu[r.IntN(len(menu))], on: []int{r.IntN(replicas)}}
-		if f.do == "kill-all" {
-			f.on = f.on[:0]
+		f := fault{
+			start:    at,
+			duration: last,
+			kind:     faultKinds[r.IntN(len(faultKinds))],
+			targets:  []int{r.IntN(replicas)},
+		}
+		if f.kind == "kill-all" {
+			f.targets = f.targets[:0]
 			for i := range replicas {
-				f.on = append(f.on, i)
+				f.targets = append(f.targets, i)
 			}
 		}
-		if f.at+f.last > length {
+		if f.start+f.duration > length {
 			return all
 		}
 		all = append(all, f)
@@ -56,15 +62,15 @@
 	}
 }
 
-// carryOut plays the faults, one after the other.
-func (c *cluster) carryOut(ctx context.Context, start time.Duration, faults []fault) error {
+// playFaults injects the faults one after the other, each at its time after start.
+func (c *cluster) playFaults(ctx context.Context, start time.Duration, faults []fault) error {
 	for i, f := range faults {
-		if !backoff.Sleep(ctx, start+f.at-c.log.Now()) {
+		if !backoff.Sleep(ctx, start+f.start-c.log.Now()) {
 			return nil
 		}
-		name := fmt.Sprintf("%d-%s", i+1, f.do)
-		c.log.Add(history.Event{Kind: history.Fault, How: "begin", Detail: name, Also: c.names(f.on)})
-		err := c.suffer(ctx, name, f)
+		name := fmt.Sprintf("%d-%s", i+1, f.kind)
+		c.log.Add(history.Event{Kind: history.Fault, How: "begin", Detail: name, Also: c.replicaNames(f.targets)})
+		err := c.injectFault(ctx, name, f)
 		c.log.Add(history.Event{Kind: history.Fault, How: "end", Detail: name})
 		if err != nil {
 			return fmt.Errorf("fault %s: %w", name, err)
@@ -73,7 +79,8 @@
 	return nil
 }
 
-func (c *cluster) names(on []int) []string {
+// replicaNames returns the names of the replicas with the given indices.
+func (c *cluster) replicaNames(on []int) []string {
 	var all []string
 	for _, i := range on {
 		all = append(all, c.set.All[i].Name)
@@ -81,34 +88,37 @@
 	return all
 }
 
-func (c *cluster) suffer(ctx context.Context, name string, f fault) error {
+// injectFault injects one fault and returns after the fault has ended.
+func (c *cluster) injectFault(ctx context.Context, name string, f fault) error {
 	if do, _, _ := strings.Cut(
-		f.do,
+		f.kind,
 		"-",
 	); do == "kill" || do == "restart" || do == "pause" || do == "full" ||
 		do == "corrupt" {
-		return c.together(
-			f.on,
-			func(r *replicas.Replica) error { return c.set.Suffer(ctx, r.Name, do, f.last, endTime) },
+		return c.onEach(
+			f.targets,
+			func(r *replicas.Replica) error {
+				return c.set.InjectFault(ctx, r.Name, do, f.duration, shutdownTimeout)
+			},
 		)
 	}
-	c.lay(name, f)
-	backoff.Sleep(ctx, f.last)
+	c.degradeLinks(name, f)
+	backoff.Sleep(ctx, f.duration)
 	c.net.Lift(name)
 	return nil
 }
 
-// lay cuts a replica off from the others, but not from its clients, or makes its links late.
-func (c *cluster) lay(name string, f fault) {
-	alone := c.names(f.on)
+// degradeLinks cuts replicas off from the other replicas, but not from their clients, or delays their links.
+func (c *cluster) degradeLinks(name string, f fault) {
+	alone := c.replicaNames(f.targets)
 	from := func(e link.Ends) bool { return slices.Contains(alone, e.From) }
 	to := func(e link.Ends) bool {
 		party, _, _ := strings.Cut(e.To, "/")
 		return slices.Contains(alone, party) && e.From != "clients"
 	}
 	in, out := link.Shape{Hold: link.Both, Cut: true}, link.Shape{Hold: link.Both, Cut: true}
-	switch f.do {
-	case "cut-in": // it hears nobody, and is heard on the connections that are there
+	switch f.kind {
+	case "cut-in": // the replica receives nothing, but the others receive what it sends on existing connections
 		in, out = link.Shape{Hold: link.Forward, Cut: true}, link.Shape{Hold: link.Back, Cut: true}
 	case "cut-out":
 		in, out = link.Shape{Hold: link.Back, Cut: true}, link.Shape{Hold: link.Forward, Cut: true}
@@ -124,8 +134,8 @@
 	c.net.Lay(name, out, from)
 }
 
-// together does something to several replicas at once.
-func (c *cluster) together(on []int, do func(*replicas.Replica) error) error {
+// onEach calls do for several replicas at the same time and returns the first error in the order of on.
+func (c *cluster) onEach(on []int, do func(*replicas.Replica) error) error {
 	errs := make([]error, len(on))
 	var all sync.WaitGroup
 	for k, i := range on {
--- a/internal/lab/quorum/library.go
+++ b/internal/lab/quorum/library.go
@@ -10,16 +10,19 @@
 	"wrenspread/internal/registry/client"
 )
 
-// follower is the project's own client of the list, which follows it, or a part of it, over all faults.
+// follower runs the project's own registry client, which follows the list or a subset of it during all
+// faults.
 type follower struct {
-	client *client.Client
-	wrong  []string
+	client     *client.Client
+	violations []string
 }
 
-// followHold is short, so that a run has many watches.
+// followHold is the longest time that the registry holds a watch. It is short, so that a run has many
+// watches.
 const followHold = 500 * time.Millisecond
 
-// newFollowers makes one of all of the list, and one of a quarter that goes on around the ring.
+// newFollowers creates a follower of the complete list, and a follower of a subset: a quarter of the hash
+// ring that moves around the ring with every eighth response.
 func newFollowers(c *cluster) (all []*follower, err error) {
 	answers := 0
 	around := func(registry.Subset, int, []registry.Endpoint) registry.Subset {
@@ -27,7 +30,7 @@
 		return registry.Subset{Start: uint16(answers/8%16) << 12, Width: 1 << 14}
 	}
 	for _, part := range []func(registry.Subset, int, []registry.Endpoint) registry.Subset{nil, around} {
-		k, err := client.New(client.Config{Addresses: c.doors, Hold: followHold, ChooseSubset: part})
+		k, err := client.New(client.Config{Addresses: c.addresses, Hold: followHold, ChooseSubset: part})
 		if err != nil {
 			return nil, err
 		}
@@ -36,7 +39,7 @@
 	return all, nil
 }
 
-// run follows until ctx ends, and looks at each view on the way.
+// run follows the list until ctx ends, and checks that its version never goes back.
 func (f *follower) run(ctx context.Context) {
 	defer f.client.Close()
 	go f.client.Follow(ctx)
@@ -45,7 +48,10 @@
 		changed := f.client.Changed()
 		v, _ := f.client.List()
 		if v.Version < version {
-			f.wrong = append(f.wrong, fmt.Sprintf("the client goes back from version %d to %d", version, v.Version))
+			f.violations = append(
+				f.violations,
+				fmt.Sprintf("the client goes back from version %d to %d", version, v.Version),
+			)
 		}
 		version = v.Version
 		select {
@@ -55,9 +61,10 @@
 	}
 }
 
-// reach waits until the client has the list of the end.
-func (f *follower) reach(last registry.ListResponse) (wrong []string) {
-	for until := time.Now().Add(readyTime); ; time.Sleep(5 * time.Millisecond) {
+// awaitFinal waits until the client has reached the version of the final list, and checks that it then has
+// the same endpoints, as far as they are in its subset.
+func (f *follower) awaitFinal(last registry.ListResponse) (wrong []string) {
+	for until := time.Now().Add(readyTimeout); ; time.Sleep(5 * time.Millisecond) {
 		v, _ := f.client.List()
 		if v.Version == last.Index {
 			want := slices.DeleteFunc(
--- a/internal/lab/quorum/measure.go
+++ b/internal/lab/quorum/measure.go
@@ -23,9 +23,9 @@
 	"wrenspread/internal/registry/server"
 )
 
-// measured runs something against a fresh cluster.
-func measured(ctx context.Context, o Options, do func(*cluster, *client.Client) error) error {
-	o.Snapshot = int(server.Default().SnapshotThreshold) // as in service
+// withCluster runs do against a new cluster with the snapshot threshold of production.
+func withCluster(ctx context.Context, o Options, do func(*cluster, *client.Client) error) error {
+	o.Snapshot = int(server.Default().SnapshotThreshold) // the production default
 	log, err := history.New("")
 	if err != nil {
 		return err
@@ -50,14 +50,15 @@
 	return do(c, k)
 }
 
-// Measure runs something against fresh replicas, set up as in service, and a client of them.
+// Measure runs do with new replicas, which have the snapshot threshold of production, and a client of them.
 func Measure(ctx context.Context, o Options, do func(*replicas.Set, *client.Client) error) error {
-	return measured(ctx, o, func(c *cluster, k *client.Client) error { return do(c.set, k) })
+	return withCluster(ctx, o, func(c *cluster, k *client.Client) error { return do(c.set, k) })
 }
 
-// write makes one change that no other call makes.
-func write(ctx context.Context, k *client.Client, n int) (registry.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// writeChange writes one entry with a start time that depends on n, so that calls with different n each
+// change the entry.
+func writeChange(ctx context.Context, k *client.Client, n int) (registry.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	return k.Register(
 		ctx,
@@ -72,26 +73,26 @@
 	)
 }
 
-// Fan is what a change costs with so many watchers at one replica.
-type Fan struct {
+// FanOutCost is the cost of a change for one replica with a number of watchers.
+type FanOutCost struct {
 	Watchers int
 	P50, P99 time.Duration // from the beginning of the write to the watcher's first byte
-	Memory   float64       // of the replica for each watcher, bytes
-	CPU      time.Duration // of the replica for each change
+	Memory   float64       // bytes of the replica per watcher
+	CPU      time.Duration // CPU time of the replica per change
 }
 
-const fanRounds = 10 // changes, over which the times are taken
+const fanRounds = 10 // number of changes that are measured
 
-// FanOut measures changes with so many watchers held at one replica that is alone.
-func FanOut(ctx context.Context, o Options, watchers int) (f Fan, err error) {
+// FanOut measures changes with a number of waiting watchers at a single replica.
+func FanOut(ctx context.Context, o Options, watchers int) (f FanOutCost, err error) {
 	o.Replicas = 1
-	err = measured(ctx, o, func(c *cluster, k *client.Client) error {
+	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
 		pid := c.set.All[0].Proc().Pid
 		empty, err := process.UseOf(pid)
 		if err != nil {
 			return err
 		}
-		first, err := write(ctx, k, 0)
+		first, err := writeChange(ctx, k, 0)
 		if err != nil {
 			return err
 		}
@@ -113,12 +114,12 @@
 			}
 			version++
 			took = append(took, one...)
-			if round == 0 { // now that each has its call held
-				held, err := process.UseOf(pid)
+			if round == 0 { // now each watcher has a waiting request
+				waiting, err := process.UseOf(pid)
 				if err != nil {
 					return err
 				}
-				f.Memory, f.CPU = float64(held.RSS-empty.RSS)/float64(watchers), -held.CPU
+				f.Memory, f.CPU = float64(waiting.RSS-empty.RSS)/float64(watchers), -waiting.CPU
 			}
 		}
 		last, err := process.UseOf(pid)
@@ -133,10 +134,12 @@
 	return f, err
 }
 
+// dialAll opens n connections to an address. The connections that were opened are returned with an error,
+// too.
 func dialAll(address string, n int) ([]net.Conn, error) {
 	var all []net.Conn
 	for range n {
-		c, err := net.DialTimeout("tcp4", address, readyTime)
+		c, err := net.DialTimeout("tcp4", address, readyTimeout)
 		if err != nil {
 			return all, fmt.Errorf("watcher %d of %d: %w", len(all)+1, n, err)
 		}
@@ -145,7 +148,8 @@
 	return all, nil
 }
 
-// fanRound has all watch from a version, makes a change, and gives the times to each.
+// fanRound sends a watch from the given version on each connection, makes a change, and returns the durations
+// from the start of the write to the first byte at each watcher.
 func fanRound(
 	ctx context.Context,
 	c *cluster,
@@ -159,12 +163,12 @@
 		version,
 	)
 	for _, w := range conns {
-		besteffort.SocketOption(w.SetDeadline(time.Now().Add(readyTime)))
+		besteffort.SocketOption(w.SetDeadline(time.Now().Add(readyTimeout)))
 		if _, err := io.WriteString(w, request); err != nil {
 			return nil, err
 		}
 	}
-	if err := held(ctx, c.set.All[0].Address(), len(conns)); err != nil {
+	if err := awaitWatchers(ctx, c.set.All[0].Address(), len(conns)); err != nil {
 		return nil, err
 	}
 	took, errs := make([]time.Duration, len(conns)), make([]error, len(conns))
@@ -184,8 +188,8 @@
 			}
 		})
 	}
-	begun := time.Since(start) // the readers had to be started
-	_, err := write(ctx, k, n)
+	begun := time.Since(start) // the time to start the readers is subtracted
+	_, err := writeChange(ctx, k, n)
 	all.Wait()
 	for i := range took {
 		took[i] -= begun
@@ -198,9 +202,9 @@
 	return took, err
 }
 
-// held waits until the replica counts so many watchers.
-func held(ctx context.Context, address string, n int) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// awaitWatchers waits until the metrics of the replica count n watchers.
+func awaitWatchers(ctx context.Context, address string, n int) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	want := "\nwrenspread-registry_watchers " + strconv.FormatFloat(float64(n), 'g', -1, 64) + "\n"
 	for {
--- a/internal/lab/quorum/model.go
+++ b/internal/lab/quorum/model.go
@@ -9,17 +9,17 @@
 	"wrenspread/internal/registry"
 )
 
-// known is what the model knows of one entry.
-type known struct {
-	there   bool
-	weight  float64
-	status  string
-	version uint64 // 0 with there: not known, but above least
-	least   uint64
+// entryState is the state of one entry in the model.
+type entryState struct {
+	exists     bool
+	weight     float64
+	status     string
+	version    uint64 // 0 if exists is set: not known, but higher than minVersion
+	minVersion uint64
 }
 
-// model is an entry as a register with conditions, for porcupine. Versions only
-// rise; that of a write whose answer was lost is taken from whoever sees it first.
+// model is the porcupine model of an entry: a register with conditional writes. Versions only rise. The
+// version of a write whose response was lost is taken from the first later operation that reports it.
 var model = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byName := map[string][]porcupine.Operation{}
@@ -33,78 +33,81 @@
 		}
 		return parts
 	},
-	Init: func() any { return known{} },
-	Step: func(state, input, _ any) (bool, any) { return state.(known).step(input.(op)) },
+	Init: func() any { return entryState{} },
+	Step: func(state, input, _ any) (bool, any) { return state.(entryState).step(input.(op)) },
 }
 
-func (k known) step(o op) (bool, known) {
-	if o.do == "read" {
-		return o.there == k.there && (!k.there || o.seenWeight == k.weight && o.seenStatus == k.status), k
+// step reports whether the model allows the operation in this state, and returns the next state.
+func (k entryState) step(o op) (bool, entryState) {
+	if o.kind == "read" {
+		return o.found == k.exists && (!k.exists || o.seenWeight == k.weight && o.seenStatus == k.status), k
 	}
-	if o.cond != nil {
-		meets := k.version == *o.cond && (k.version > 0 || !k.there)
-		if k.there && k.version == 0 { // not known: it may be
-			if meets = *o.cond > k.least && (!o.known || o.status != 409); meets {
-				k.version = *o.cond
+	if o.ifVersion != nil {
+		meets := k.version == *o.ifVersion && (k.version > 0 || !k.exists)
+		if k.exists && k.version == 0 { // the version is not known, so the condition may hold
+			if meets = *o.ifVersion > k.minVersion && (!o.known || o.status != 409); meets {
+				k.version = *o.ifVersion
 			}
 		}
 		if !meets {
-			return !o.known || o.status == 409 && k.sees(o.version), k.with(o)
+			return !o.known || o.status == 409 && k.mayReport(o.version), k.withReportedVersion(o)
 		}
 	}
 	if !o.known {
-		return true, k.write(o, 0)
+		return true, k.applyWrite(o, 0)
 	}
-	if o.status == 409 || (o.status == 404) == (k.there || o.do == "register") {
+	if o.status == 409 || (o.status == 404) == (k.exists || o.kind == "register") {
 		return false, k
 	}
 	if o.status == 404 {
 		return true, k
 	}
 	if k.unchanged(o) {
-		return k.sees(o.version), k.with(o)
+		return k.mayReport(o.version), k.withReportedVersion(o)
 	}
-	return o.version > max(k.version, k.least), k.write(o, o.version)
+	return o.version > max(k.version, k.minVersion), k.applyWrite(o, o.version)
 }
 
-// unchanged reports whether a write leaves the entry as it is, version included.
-func (k known) unchanged(o op) bool {
-	return k.there &&
-		(o.do == "register" && k.weight == o.weight && k.status == registry.Ready || o.do == "drain" && k.status == registry.Draining)
+// unchanged reports whether a write changes nothing, so that the entry also keeps its version.
+func (k entryState) unchanged(o op) bool {
+	return k.exists &&
+		(o.kind == "register" && k.weight == o.weight && k.status == registry.Ready ||
+			o.kind == "drain" && k.status == registry.Draining)
 }
 
-// sees reports whether an answer may name that version of the entry.
-func (k known) sees(version uint64) bool {
-	if k.there && k.version == 0 {
-		return version > k.least
+// mayReport reports whether a response may contain this version of the entry.
+func (k entryState) mayReport(version uint64) bool {
+	if k.exists && k.version == 0 {
+		return version > k.minVersion
 	}
 	return version == k.version
 }
 
-func (k known) with(o op) known {
-	if k.there && k.version == 0 && o.known {
+// withReportedVersion takes the version from the operation's response if the version was not known.
+func (k entryState) withReportedVersion(o op) entryState {
+	if k.exists && k.version == 0 && o.known {
 		k.version = o.version
 	}
 	return k
 }
 
-// write is the entry after a write that was carried out with that version, 0 for one that nobody knows.
-func (k known) write(o op, version uint64) known {
-	least := max(k.least, k.version)
-	if version == 0 && (k.unchanged(o) || !k.there && o.do != "register") {
+// applyWrite returns the state after a write that produced the given version; 0 if the version is not known.
+func (k entryState) applyWrite(o op, version uint64) entryState {
+	least := max(k.minVersion, k.version)
+	if version == 0 && (k.unchanged(o) || !k.exists && o.kind != "register") {
 		return k
 	}
-	switch o.do {
+	switch o.kind {
 	case "register":
-		return known{true, o.weight, registry.Ready, version, least}
+		return entryState{true, o.weight, registry.Ready, version, least}
 	case "drain":
-		return known{true, k.weight, registry.Draining, version, least}
+		return entryState{true, k.weight, registry.Draining, version, least}
 	}
-	return known{least: max(least, version)}
+	return entryState{minVersion: max(least, version)}
 }
 
-// operations returns the history in porcupine's form. A write of unknown end may take effect at any time
-// after its call.
+// operations returns the history in porcupine's form. A write whose result is unknown may take effect at any
+// time after its call.
 func operations(ops []op) []porcupine.Operation {
 	var all []porcupine.Operation
 	for _, o := range ops {
@@ -120,5 +123,5 @@
 	return all
 }
 
-// checkTime bounds the check of one history.
-const checkTime = time.Minute
+// maxCheckTime bounds the time of the check of one history.
+const maxCheckTime = time.Minute
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -1,5 +1,6 @@
-// Package quorum plays real replicas of the registry: clients that write,
-// read and watch, faults drawn by seed, and a check of the whole history.
+// Package quorum tests a cluster of real registry replicas: clients write, read and watch, faults are drawn
+// from a seed, and the complete history is checked for linearizability. It also measures the cost of
+// replicas.
 package quorum
 
 import (
@@ -25,37 +26,37 @@
 	"wrenspread/internal/registry"
 )
 
-// Options say what is played.
+// Options configures a run.
 type Options struct {
 	Seed     uint64
 	Replicas int
 	Clients  int
-	Length   time.Duration // of the clients' work and the faults
+	Length   time.Duration // how long clients work and faults are injected
 	Dir      string
-	Command  []string // of a replica; its configuration file is added
+	Command  []string // command line of a replica, to which its configuration file is appended
 	Env      []string
 
-	Election time.Duration // of the replicas; 0: a short one
-	Snapshot int           // entries of the log after which a replica makes one; 0: few
+	Election time.Duration // election timeout of the replicas; 0 means a short one
+	Snapshot int           // log entries after which a replica makes a snapshot; 0 means few
 }
 
 const (
-	readyTime = 30 * time.Second // only a hang takes so long
-	endTime   = 20 * time.Second
+	readyTimeout    = 30 * time.Second // only a process that hangs takes longer
+	shutdownTimeout = 20 * time.Second
 )
 
-// cluster is the replicas of a run, and what holds them.
+// cluster is the replicas of a run, with their links and processes.
 type cluster struct {
-	o     Options
-	log   *history.Log
-	net   *link.Net
-	group *process.Group
-	set   *replicas.Set
-	doors []string // where clients find the replicas
+	options   Options
+	log       *history.Log
+	net       *link.Net
+	group     *process.Group
+	set       *replicas.Set
+	addresses []string // of the links from clients to the replicas
 }
 
 func newCluster(o Options, log *history.Log) (*cluster, error) {
-	c := &cluster{o: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
+	c := &cluster{options: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
 	var err error
 	c.set, err = replicas.New(
 		replicas.Options{
@@ -71,7 +72,7 @@
 		c.group,
 	)
 	if err == nil {
-		c.doors, err = c.set.Doors("clients")
+		c.addresses, err = c.set.Connect("clients")
 	}
 	if err != nil {
 		c.close()
@@ -80,26 +81,27 @@
 	return c, nil
 }
 
+// close ends the replicas and their links.
 func (c *cluster) close() {
-	c.group.Close(endTime)
+	c.group.Close(shutdownTimeout)
 	c.net.Close()
 	if c.set != nil {
-		c.set.Free()
+		c.set.ReleasePorts()
 	}
 }
 
-// Outcome is what a run shows.
+// Outcome is the result of a run.
 type Outcome struct {
 	Seed    uint64
 	Faults  int
-	Ops     int // of clients
-	Unknown int // of them, writes whose end stayed unknown
+	Ops     int // operations of clients
+	Unknown int // writes whose result stayed unknown
 	Changes uint64
 	Broken  []string
 	Unsure  bool // the check of the history took too long
 }
 
-// Line is the run in one line.
+// Line is the result as a line of text.
 func (o Outcome) Line() string {
 	switch {
 	case len(o.Broken) > 0:
@@ -109,7 +111,7 @@
 			"VOID quorum: seed %d, the check of %d operations took over %v",
 			o.Seed,
 			o.Ops,
-			checkTime,
+			maxCheckTime,
 		)
 	}
 	return fmt.Sprintf(
@@ -122,10 +124,10 @@
 	)
 }
 
-// watchers is how many clients watch in a run.
-const watchers = 2
+// watcherCount is the number of clients that watch in a run.
+const watcherCount = 2
 
-// Play plays one run. The error says why it could not be played.
+// Play plays one run and checks its history. An error means that the run could not be played.
 func Play(ctx context.Context, o Options) (Outcome, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return Outcome{}, fmt.Errorf("quorum: %w", err)
@@ -148,6 +150,8 @@
 	return out, errors.Join(err, ctx.Err(), log.Close())
 }
 
+// play starts the replicas, runs clients and faults, and checks the result after all replicas are ready
+// again.
 func (c *cluster) play(ctx context.Context) (Outcome, error) {
 	if err := c.set.Begin(ctx); err != nil {
 		return Outcome{}, err
@@ -156,66 +160,66 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	faults := draw(c.o.Seed, c.o.Replicas, c.o.Length)
-	working, stop := context.WithTimeout(ctx, c.o.Length)
+	faults := drawFaults(c.options.Seed, c.options.Replicas, c.options.Length)
+	working, stop := context.WithTimeout(ctx, c.options.Length)
 	defer stop()
 	var workers []*worker
 	var watching []*watcher
 	var work, watch sync.WaitGroup
-	var final atomic.Uint64 // until it is known, no watcher is done
+	var final atomic.Uint64 // the final version; watchers run until it is set
 	final.Store(1<<64 - 1)
 	watched, done := context.WithCancel(ctx)
 	defer done()
-	for n := range c.o.Clients {
+	for n := range c.options.Clients {
 		w := newWorker(c, n)
 		workers = append(workers, w)
 		work.Go(func() { w.run(working) })
 	}
-	for n := range watchers {
-		v := newWatcher(c, c.o.Clients+n)
+	for n := range watcherCount {
+		v := newWatcher(c, c.options.Clients+n)
 		watching = append(watching, v)
 		watch.Go(func() { v.run(watched, final.Load) })
 	}
 	for _, f := range own {
 		watch.Go(func() { f.run(watched) })
 	}
-	err = c.carryOut(working, c.log.Now(), faults)
+	err = c.playFaults(working, c.log.Now(), faults)
 	work.Wait()
 	if err == nil {
 		err = c.set.Ready(ctx)
 	}
 	var last registry.ListResponse
 	if err == nil {
-		last, err = c.final(ctx)
+		last, err = c.readFinalList(ctx)
 	}
-	var left []string
+	var unreached []string
 	for _, f := range own {
 		if err == nil {
-			left = append(left, f.reach(last)...)
+			unreached = append(unreached, f.awaitFinal(last)...)
 		}
 	}
-	final.Store(last.Index) // 0 after an error, which ends the watchers
+	final.Store(last.Index) // 0 after an error, so that the watchers end
 	done()
 	watch.Wait()
 	if err != nil {
 		return Outcome{}, err
 	}
-	o := c.judge(faults, workers, watching, last)
-	o.Broken = append(o.Broken, left...)
+	o := c.check(faults, workers, watching, last)
+	o.Broken = append(o.Broken, unreached...)
 	for _, f := range own {
-		o.Broken = append(o.Broken, f.wrong...)
+		o.Broken = append(o.Broken, f.violations...)
 	}
 	return o, nil
 }
 
-// final reads the list once all is well again.
-func (c *cluster) final(ctx context.Context) (registry.ListResponse, error) {
+// readFinalList reads the list after the last fault has ended.
+func (c *cluster) readFinalList(ctx context.Context) (registry.ListResponse, error) {
 	w := newWorker(c, 1<<20)
 	defer w.http.CloseIdleConnections()
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		status, body := w.do(ctx, http.MethodGet, "/registry/instances?current=1", nil)
+		status, body := w.send(ctx, http.MethodGet, "/registry/instances?current=1", nil)
 		var a registry.ListResponse
 		if status == http.StatusOK && json.Unmarshal(body, &a) == nil {
 			return a, nil
@@ -224,18 +228,19 @@
 	}
 	return registry.ListResponse{}, fmt.Errorf(
 		"the list can't be read %v after the last fault: %w",
-		readyTime,
+		readyTimeout,
 		ctx.Err(),
 	)
 }
 
-func (c *cluster) judge(
+// check checks that writes and reads are linearizable, and what the watchers received.
+func (c *cluster) check(
 	faults []fault,
 	workers []*worker,
 	watching []*watcher,
 	last registry.ListResponse,
 ) Outcome {
-	o := Outcome{Seed: c.o.Seed, Faults: len(faults), Changes: last.Index}
+	o := Outcome{Seed: c.options.Seed, Faults: len(faults), Changes: last.Index}
 	var ops []op
 	for _, w := range workers {
 		ops = append(ops, w.ops...)
@@ -246,42 +251,42 @@
 			o.Unknown++
 		}
 	}
-	switch porcupine.CheckOperationsTimeout(model, operations(ops), checkTime) {
+	switch porcupine.CheckOperationsTimeout(model, operations(ops), maxCheckTime) {
 	case porcupine.Illegal:
 		o.Broken = append(o.Broken, "writes and current reads are not linearizable")
 	case porcupine.Unknown:
 		o.Unsure = true
 	}
-	o.Broken = append(o.Broken, agree(watching, last)...)
+	o.Broken = append(o.Broken, checkWatchers(watching, last)...)
 	return o
 }
 
-// agree checks that all watchers were told the same, and hold the list in the end.
-func agree(watching []*watcher, last registry.ListResponse) []string {
+// checkWatchers checks that all watchers received the same changes, and have the final list in the end.
+func checkWatchers(watching []*watcher, last registry.ListResponse) []string {
 	want := map[string]registry.Endpoint{}
 	for _, e := range last.Endpoints {
 		want[e.Name] = e
 	}
 	var broken []string
-	told := map[uint64]registry.Endpoint{}
+	received := map[uint64]registry.Endpoint{}
 	for n, v := range watching {
-		for _, w := range v.wrong {
+		for _, w := range v.violations {
 			broken = append(broken, fmt.Sprintf("watcher %d: %s", n, w))
 		}
-		if v.version == last.Index && !maps.Equal(v.held, want) {
+		if v.version == last.Index && !maps.Equal(v.entries, want) {
 			broken = append(
 				broken,
-				fmt.Sprintf("watcher %d holds %v at %d, the list is %v", n, v.held, v.version, want),
+				fmt.Sprintf("watcher %d holds %v at %d, the list is %v", n, v.entries, v.version, want),
 			)
 		}
-		for version, e := range v.told {
-			if other, ok := told[version]; ok && other != e {
+		for version, e := range v.changes {
+			if other, ok := received[version]; ok && other != e {
 				broken = append(
 					broken,
 					fmt.Sprintf("change %d is %+v to one watcher and %+v to another", version, e, other),
 				)
 			}
-			told[version] = e
+			received[version] = e
 		}
 	}
 	return broken
--- a/internal/lab/quorum/side.go
+++ b/internal/lab/quorum/side.go
@@ -15,32 +15,34 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Side is what clients cost a replica, by watching or by polling.
-type Side struct {
-	Watch, Poll           time.Duration // of processor in a second
-	WatchBytes, PollBytes float64       // to all clients in a second
+// ClientCost is the cost of clients for a replica: if they watch, and if they poll.
+type ClientCost struct {
+	Watch, Poll           time.Duration // CPU time of the replica per second
+	WatchBytes, PollBytes float64       // bytes to all clients per second
 }
 
-const sideTime = 10 * time.Second
+// sideWindow is the time over which each of the two costs is measured.
+const sideWindow = 10 * time.Second
 
-// SideBySide has so many clients follow a list that changes once a second: by
-// watches, and by reading all of it once a second.
-func SideBySide(ctx context.Context, o Options, entries, clients int) (s Side, err error) {
+// SideBySide measures the cost of clients that follow a list which changes once a second: first by watches,
+// then by polls of the complete list once a second.
+func SideBySide(ctx context.Context, o Options, entries, clients int) (s ClientCost, err error) {
 	o.Replicas = 1
-	err = measured(ctx, o, func(c *cluster, k *client.Client) error {
+	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
 		if err := Fill(ctx, k, entries); err != nil {
 			return err
 		}
-		if s.Watch, s.WatchBytes, err = side(ctx, c, k, clients, true); err != nil {
+		if s.Watch, s.WatchBytes, err = measureClients(ctx, c, k, clients, true); err != nil {
 			return err
 		}
-		s.Poll, s.PollBytes, err = side(ctx, c, k, clients, false)
+		s.Poll, s.PollBytes, err = measureClients(ctx, c, k, clients, false)
 		return err
 	})
 	return s, err
 }
 
-func side(
+// measureClients measures clients that either watch or poll for sideWindow.
+func measureClients(
 	ctx context.Context,
 	c *cluster,
 	k *client.Client,
@@ -49,7 +51,7 @@
 ) (cpu time.Duration, bytes float64, err error) {
 	r := c.set.All[0]
 	var read atomic.Int64
-	working, stop := context.WithTimeout(ctx, sideTime)
+	working, stop := context.WithTimeout(ctx, sideWindow)
 	defer stop()
 	before, err := process.UseOf(r.Proc().Pid)
 	if err != nil {
@@ -72,17 +74,20 @@
 		})
 	}
 	for n := 0; working.Err() == nil; n++ {
-		if _, err := write(ctx, k, n); err != nil {
+		if _, err := writeChange(ctx, k, n); err != nil {
 			return 0, 0, err
 		}
 		backoff.Sleep(working, time.Second)
 	}
 	all.Wait()
 	after, err := process.UseOf(r.Proc().Pid)
-	return (after.CPU - before.CPU) / (sideTime / time.Second), float64(read.Load()) / sideTime.Seconds(), err
+	return (after.CPU - before.CPU) / (sideWindow / time.Second),
+		float64(read.Load()) / sideWindow.Seconds(),
+		err
 }
 
-// readOnce makes one read, or one watch from a version, and gives the bytes and the version that came.
+// readOnce makes one read or, if from is not 0, one watch from this version. It returns the size of the
+// response in bytes and its version.
 func readOnce(ctx context.Context, h *http.Client, address string, from uint64) (n int64, index uint64) {
 	url := "http://" + address + "/registry/instances"
 	if from > 0 {
--- a/internal/lab/quorum/size.go
+++ b/internal/lab/quorum/size.go
@@ -16,13 +16,13 @@
 	"wrenspread/internal/registry/client"
 )
 
-// fillers write at once where a list is filled.
-const fillers = 64
+// fillConcurrency is the number of concurrent writes while a list is filled.
+const fillConcurrency = 64
 
-// Fill registers so many entries.
+// Fill registers n entries.
 func Fill(ctx context.Context, k *client.Client, n int) error {
 	var g errgroup.Group
-	g.SetLimit(fillers)
+	g.SetLimit(fillConcurrency)
 	for i := range n {
 		g.Go(func() error {
 			e := registry.Endpoint{
@@ -41,30 +41,30 @@
 	return g.Wait()
 }
 
-// Size is what a list of a size costs one replica that is alone.
+// Size is the cost of a list of some size for a single replica.
 type Size struct {
 	Entries int
-	Fill    time.Duration // for all entries, 64 at a time
-	Start   time.Duration // from the process's start until it is ready, on that folder
-	Disk    int64         // bytes of the folder
-	RSS     int64         // bytes, once started
-	Change  time.Duration // of processor for one change, with a watcher
+	Fill    time.Duration // to register all entries, 64 at a time
+	Start   time.Duration // from the start of the process, with the data on disk, until it is ready
+	Disk    int64         // bytes of the data folder
+	RSS     int64         // bytes after the start
+	Change  time.Duration // CPU time per change, with one watcher
 }
 
-// Sized measures a list of so many entries.
+// Sized measures a list of the given number of entries.
 func Sized(ctx context.Context, o Options, entries int) (s Size, err error) {
 	o.Replicas, s.Entries = 1, entries
-	err = measured(ctx, o, func(c *cluster, k *client.Client) error {
+	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
 		began := time.Now()
 		if err := Fill(ctx, k, entries); err != nil {
 			return err
 		}
 		s.Fill = time.Since(began)
 		r := c.set.All[0]
-		if err := r.Proc().Term(endTime); err != nil {
+		if err := r.Proc().Term(shutdownTimeout); err != nil {
 			return err
 		}
-		s.Disk = sizeOf(filepath.Join(o.Dir, r.Name))
+		s.Disk = folderSize(filepath.Join(o.Dir, r.Name))
 		began = time.Now()
 		if err := c.set.Start(r); err != nil {
 			return err
@@ -85,7 +85,7 @@
 		defer stop()
 		const changes = 200
 		for i := range changes {
-			if _, err := write(ctx, k, i); err != nil {
+			if _, err := writeChange(ctx, k, i); err != nil {
 				return err
 			}
 		}
@@ -96,7 +96,8 @@
 	return s, err
 }
 
-func sizeOf(dir string) (n int64) {
+// folderSize is the sum of the sizes of all files under dir, in bytes.
+func folderSize(dir string) (n int64) {
 	_ = filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
 		if err == nil && !d.IsDir() {
 			if info, err := d.Info(); err == nil {
@@ -108,24 +109,24 @@
 	return n
 }
 
-// Rates is how many calls three replicas take in a second.
+// Rates is the number of calls that the replicas answer per second.
 type Rates struct {
 	Callers int
-	Writes  float64 // each through the log
-	Renewed float64 // entries, twenty in a call
+	Writes  float64 // each write goes through the raft log
+	Renewed float64 // entries, namesPerRenewal in a call
 }
 
 const (
-	rateTime  = 3 * time.Second
-	rateNames = 20 // of one renewal: a machine's servers
+	rateWindow      = 3 * time.Second
+	namesPerRenewal = 20 // as many as an agent has backends on its machine
 )
 
-// Rated measures so many callers at once.
+// Rated measures writes and renewals with a number of concurrent callers.
 func Rated(ctx context.Context, o Options, callers int) (r Rates, err error) {
 	r.Callers = callers
-	err = measured(ctx, o, func(c *cluster, k *client.Client) error {
+	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
 		var names []string
-		for i := range rateNames {
+		for i := range namesPerRenewal {
 			names = append(names, fmt.Sprint("l", i))
 			if _, err := k.Register(
 				ctx,
@@ -137,11 +138,11 @@
 			}
 		}
 		var n atomic.Int64
-		r.Writes = counted(callers, func(int) error {
-			_, err := write(ctx, k, int(n.Add(1)))
+		r.Writes = callRate(callers, func(int) error {
+			_, err := writeChange(ctx, k, int(n.Add(1)))
 			return err
 		})
-		r.Renewed = rateNames * counted(callers, func(int) error {
+		r.Renewed = namesPerRenewal * callRate(callers, func(int) error {
 			_, err := k.Renew(ctx, names)
 			return err
 		})
@@ -150,11 +151,11 @@
 	return r, err
 }
 
-// counted returns the calls that so many callers make in a second, those that failed left out.
-func counted(callers int, call func(caller int) error) float64 {
+// callRate returns the number of successful calls per second of a number of concurrent callers.
+func callRate(callers int, call func(caller int) error) float64 {
 	var n atomic.Int64
 	var all sync.WaitGroup
-	until := time.Now().Add(rateTime)
+	until := time.Now().Add(rateWindow)
 	for i := range callers {
 		all.Go(func() {
 			for time.Now().Before(until) {
@@ -165,14 +166,14 @@
 		})
 	}
 	all.Wait()
-	return float64(n.Load()) / rateTime.Seconds()
+	return float64(n.Load()) / rateWindow.Seconds()
 }
 
-// Arrival has servers register and clients begin to follow in the same moment, and
-// gives the time until every client has every server.
+// Arrival has servers register and clients start to follow the list at the same time. It returns the time
+// until every client has every server.
 func Arrival(ctx context.Context, o Options, servers, clients int) (took time.Duration, err error) {
-	err = measured(ctx, o, func(c *cluster, k *client.Client) error {
-		ctx, cancel := context.WithTimeout(ctx, readyTime)
+	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
+		ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 		defer cancel()
 		var follow sync.WaitGroup
 		defer follow.Wait()
--- a/internal/lab/replicas/disk.go
+++ b/internal/lab/replicas/disk.go
@@ -16,15 +16,16 @@
 	"wrenspread/internal/registry/client"
 )
 
-// fill lets a replica write to no file for a while, which is more than a full disk does.
-func (r *Replica) fill(ctx context.Context, last time.Duration) error {
-	ready, cancel := context.WithTimeout(ctx, readyTime)
+// fillDisk makes all file writes of a replica fail for a while, through a limit on the file size of its
+// process. This is stricter than a full disk.
+func (r *Replica) fillDisk(ctx context.Context, last time.Duration) error {
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := r.Proc().WaitReady(ready, "http://"+r.http+"/readyz"); err != nil {
+	if err := r.Proc().WaitReady(ready, "http://"+r.httpAddress+"/readyz"); err != nil {
 		if ctx.Err() != nil {
-			return nil // the run is over
+			return nil // the run has ended
 		}
-		return err // one that finds its disk full while it starts ends with an error of its own
+		return err // a replica whose disk is full during its start exits with an error
 	}
 	pid := r.Proc().Pid
 	var was unix.Rlimit
@@ -43,17 +44,17 @@
 	return nil
 }
 
-// folder is where a replica keeps its log.
-func (r *Replica) folder() string { return filepath.Join(r.dir, "data") }
+// dataDir is the folder of a replica's log.
+func (r *Replica) dataDir() string { return filepath.Join(r.dir, "data") }
 
-// spoil cuts the log of a replica that is down, or writes over a part of it.
-func (s *Set) spoil(r *Replica) error {
-	path := filepath.Join(r.folder(), "log.db")
+// damageLog truncates the log of a replica that is not running, or overwrites up to 4096 bytes of it.
+func (s *Set) damageLog(r *Replica) error {
+	path := filepath.Join(r.dataDir(), "log.db")
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("spoiling the log of %s: %w", r.Name, err)
 	}
-	chance := rand.New(rand.NewPCG(s.o.Seed, uint64(len(raw))))
+	chance := rand.New(rand.NewPCG(s.options.Seed, uint64(len(raw))))
 	at := chance.IntN(len(raw))
 	if chance.IntN(2) == 0 {
 		raw = raw[:at]
@@ -68,36 +69,38 @@
 	return nil
 }
 
-// replace spoils a replica's log and starts it. If it finds that out, it is
-// removed from the cluster and added again on an empty folder; if the damage has
-// hit nothing that counts, it serves on.
-func (s *Set) replace(ctx context.Context, r *Replica) error {
-	if err := s.spoil(r); err != nil {
+// damageAndReplace damages a replica's log and starts the replica. If the replica detects the damage and
+// exits, it is removed from the cluster and added again with an empty folder. If the damage hit no data in
+// use, the replica continues to serve.
+func (s *Set) damageAndReplace(ctx context.Context, r *Replica) error {
+	if err := s.damageLog(r); err != nil {
 		return err
 	}
 	if err := s.start(r, true); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readyTime) // begun, it is brought to its end
+	// A replacement that has begun is completed, even if ctx ends.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readyTimeout)
 	defer cancel()
 	p := r.Proc()
-	if err := p.WaitReady(ctx, "http://"+r.http+"/readyz"); err == nil {
+	if err := p.WaitReady(ctx, "http://"+r.httpAddress+"/readyz"); err == nil {
 		return nil
 	} else if p.Running() {
 		return err
 	}
-	if err := os.RemoveAll(r.folder()); err != nil {
+	if err := os.RemoveAll(r.dataDir()); err != nil {
 		return fmt.Errorf("emptying the folder of %s: %w", r.Name, err)
 	}
 	return s.rejoin(ctx, r)
 }
 
-// rejoin has a replica on an empty folder removed and added again, as docs/list.md has it.
+// rejoin removes a replica from the cluster and adds it again with an empty folder, as docs/list.md
+// describes.
 func (s *Set) rejoin(ctx context.Context, r *Replica) error {
 	var others []string
 	for _, o := range s.All {
 		if o != r {
-			others = append(others, o.http)
+			others = append(others, o.httpAddress)
 		}
 	}
 	k, err := client.New(client.Config{Addresses: others})
--- a/internal/lab/replicas/replicas.go
+++ b/internal/lab/replicas/replicas.go
@@ -1,5 +1,5 @@
-// Package replicas runs real replicas of the registry in a lab: their
-// folders, their processes, and a link between any two of them.
+// Package replicas runs real replicas of the registry in the test lab: their folders, their processes, and a
+// link between any two of them.
 package replicas
 
 import (
@@ -18,127 +18,127 @@
 	"wrenspread/internal/lab/process"
 )
 
-// Options say what is run.
+// Options configures the replicas.
 type Options struct {
 	Count   int
-	Dir     string   // under which each has its folder
-	Command []string // of a replica; its configuration file is added
-	Seed    uint64   // of damage
+	Dir     string   // parent of the replicas' folders
+	Command []string // command line of a replica, to which its configuration file is appended
+	Seed    uint64   // for the damage of logs
 
-	Election time.Duration // 0: a short one, of which links on loopback take no part
-	Snapshot int           // entries of the log after which one is made; 0: so few that every run has some
+	Election time.Duration // election timeout; 0 means a short one, as links on loopback add hardly any delay
+	Snapshot int           // log entries after which a snapshot is made; 0 means defaultSnapshotEntries
 	Env      []string
 }
 
 const (
-	readyTime = 30 * time.Second // only a hang takes so long
-	election  = 150 * time.Millisecond
+	readyTimeout    = 30 * time.Second // only a process that hangs takes longer
+	defaultElection = 150 * time.Millisecond
 
-	// snapshotAfter is so few entries of the log that every run has snapshots made, and
-	// replicas that were away for some seconds brought up by one.
-	snapshotAfter = 64
+	// defaultSnapshotEntries is small, so that every run makes snapshots, and replicas that were away for some
+	// seconds catch up by a snapshot.
+	defaultSnapshotEntries = 64
 )
 
-// Set is the replicas of one service.
+// Set is the set of replicas of one registry.
 type Set struct {
-	o     Options
-	net   *link.Net
-	group *process.Group
-	All   []*Replica
-	frees []func()
+	options      Options
+	net          *link.Net
+	group        *process.Group
+	All          []*Replica
+	releasePorts []func()
 }
 
-// Replica is one of them, through all its processes.
+// Replica is one replica, over all of its process incarnations.
 type Replica struct {
-	Name       string
-	dir        string
-	http, raft string
-	mu         sync.Mutex
-	proc       *process.Proc
+	Name                     string
+	dir                      string
+	httpAddress, raftAddress string
+	mu                       sync.Mutex
+	proc                     *process.Proc
 }
 
-// New makes the replicas' folders and links. Names are r0, r1 and so on; links
-// between them end at NAME for raft and at NAME/http for what they pass on.
+// New creates the replicas' folders and links. The replicas are named r0, r1 and so on. The links between
+// them have the end NAME for raft, and NAME/http for requests that a replica forwards.
 func New(o Options, net *link.Net, group *process.Group) (*Set, error) {
-	s := &Set{o: o, net: net, group: group}
+	s := &Set{options: o, net: net, group: group}
 	for i := range o.Count {
 		dir, err := filepath.Abs(filepath.Join(o.Dir, fmt.Sprint("r", i)))
 		if err != nil {
 			return nil, err
 		}
 		r := &Replica{Name: fmt.Sprint("r", i), dir: dir}
-		for _, at := range []*string{&r.http, &r.raft} {
+		for _, at := range []*string{&r.httpAddress, &r.raftAddress} {
 			address, free, err := link.Reserve()
 			if err != nil {
-				s.Free()
+				s.ReleasePorts()
 				return nil, err
 			}
 			*at = address
-			s.frees = append(s.frees, free)
+			s.releasePorts = append(s.releasePorts, free)
 		}
 		s.All = append(s.All, r)
 	}
 	for _, r := range s.All {
 		if err := s.configure(r); err != nil {
-			s.Free()
+			s.ReleasePorts()
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// configure lays a replica's links and writes its file.
+// configure creates a replica's links to the others and writes its configuration file.
 func (s *Set) configure(r *Replica) error {
 	var text strings.Builder
 	fmt.Fprintf(
 		&text,
 		"name = %q\nfolder = %q\nlisten = %q\nraft = %q\nbegin = %v\nelection = %q\nsnapshot = %d\nmax_writes = 100000.0\n",
 		r.Name,
-		r.folder(),
-		r.http,
-		r.raft,
+		r.dataDir(),
+		r.httpAddress,
+		r.raftAddress,
 		r == s.All[0],
-		cmp.Or(s.o.Election, election),
-		cmp.Or(s.o.Snapshot, snapshotAfter),
+		cmp.Or(s.options.Election, defaultElection),
+		cmp.Or(s.options.Snapshot, defaultSnapshotEntries),
 	)
 	for _, o := range s.All {
-		raft, http := r.raft, r.http
+		raft, http := r.raftAddress, r.httpAddress
 		if o != r {
 			var err error
-			if raft, err = s.net.Connect(link.Ends{From: r.Name, To: o.Name}, o.raft); err != nil {
+			if raft, err = s.net.Connect(link.Ends{From: r.Name, To: o.Name}, o.raftAddress); err != nil {
 				return err
 			}
-			if http, err = s.net.Connect(link.Ends{From: r.Name, To: o.Name + "/http"}, o.http); err != nil {
+			if http, err = s.net.Connect(link.Ends{From: r.Name, To: o.Name + "/http"}, o.httpAddress); err != nil {
 				return err
 			}
 		}
-		if s.o.Count > 1 {
+		if s.options.Count > 1 {
 			fmt.Fprintf(&text, "[[replica]]\nname = %q\nraft = %q\nhttp = %q\n", o.Name, raft, http)
 		}
 	}
 	if err := os.MkdirAll(r.dir, 0o755); err != nil {
 		return fmt.Errorf("%s: %w", r.Name, err)
 	}
-	if err := os.WriteFile(r.file(), []byte(text.String()), 0o644); err != nil {
+	if err := os.WriteFile(r.configPath(), []byte(text.String()), 0o644); err != nil {
 		return fmt.Errorf("%s: %w", r.Name, err)
 	}
 	return nil
 }
 
-// Address is where the replica itself listens, without a link.
-func (r *Replica) Address() string { return r.http }
+// Address is the HTTP address at which the replica itself listens, not that of a link.
+func (r *Replica) Address() string { return r.httpAddress }
 
-func (r *Replica) file() string { return filepath.Join(r.dir, "config.toml") }
+func (r *Replica) configPath() string { return filepath.Join(r.dir, "config.toml") }
 
-// Doors lays links from a party to all replicas and gives the addresses at which it finds them.
-func (s *Set) Doors(from string) ([]string, error) {
+// Connect creates links from a party to all replicas and returns the addresses of the links.
+func (s *Set) Connect(from string) ([]string, error) {
 	var all []string
 	for _, r := range s.All {
-		door, err := s.net.Connect(link.Ends{From: from, To: r.Name}, r.http)
+		address, err := s.net.Connect(link.Ends{From: from, To: r.Name}, r.httpAddress)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, door)
+		all = append(all, address)
 	}
 	return all, nil
 }
@@ -152,10 +152,10 @@
 	p, err := s.group.Start(
 		process.Spec{
 			Name:    r.Name,
-			Command: append(append([]string(nil), s.o.Command...), "--config", r.file()),
+			Command: append(append([]string(nil), s.options.Command...), "--config", r.configPath()),
 			Dir:     r.dir,
 			MayFail: mayFail,
-			Env:     append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + r.dir}, s.o.Env...),
+			Env:     append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + r.dir}, s.options.Env...),
 		},
 	)
 	if err == nil {
@@ -164,14 +164,14 @@
 	return err
 }
 
-// Proc is the replica's present process, or its last.
+// Proc is the replica's present process, or its last one if none is running.
 func (r *Replica) Proc() *process.Proc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.proc
 }
 
-// Begin starts all and waits until each has the list and knows the leader.
+// Begin starts all replicas and waits until they are ready.
 func (s *Set) Begin(ctx context.Context) error {
 	for _, r := range s.All {
 		if err := s.Start(r); err != nil {
@@ -183,24 +183,24 @@
 
 // Ready waits until each replica has the list and knows the leader.
 func (s *Set) Ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, r := range s.All {
-		if err := r.Proc().WaitReady(ctx, "http://"+r.http+"/readyz"); err != nil {
+		if err := r.Proc().WaitReady(ctx, "http://"+r.httpAddress+"/readyz"); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Kill ends a replica at once; its addresses then refuse by themselves.
+// Kill ends a replica at once. Its addresses then refuse connections, as nothing listens there.
 func (r *Replica) Kill() error { return r.Proc().KillWait() }
 
-// Suffer kills, pauses or restarts the replica of that name, fills its disk, or
-// spoils its log. A killed one is started again after last, a paused one goes on
-// then; one that is told to end has patience for it. One whose log is spoilt
-// while it is down is replaced as an operator would do it.
-func (s *Set) Suffer(ctx context.Context, name, do string, last, patience time.Duration) error {
+// InjectFault kills, pauses or restarts the named replica, fills its disk, or damages its log. A killed
+// replica is started again after last, and a paused one continues then. patience bounds the time that a
+// replica may take to end after SIGTERM. A replica whose log is damaged while it is not running is replaced
+// in the same way as an operator does.
+func (s *Set) InjectFault(ctx context.Context, name, do string, last, patience time.Duration) error {
 	i := slices.IndexFunc(s.All, func(r *Replica) bool { return r.Name == name })
 	if i < 0 {
 		return fmt.Errorf("there is no replica %s", name)
@@ -208,13 +208,13 @@
 	r := s.All[i]
 	switch do {
 	case "full":
-		return r.fill(ctx, last)
+		return r.fillDisk(ctx, last)
 	case "corrupt":
 		if err := r.Kill(); err != nil {
 			return err
 		}
 		backoff.Sleep(ctx, last)
-		return s.replace(ctx, r)
+		return s.damageAndReplace(ctx, r)
 	}
 	if again, err := r.Proc().Suffer(ctx, do, last, patience); err != nil || !again {
 		return err
@@ -222,9 +222,9 @@
 	return s.Start(r)
 }
 
-// Free gives the reserved ports back. The processes and links are the group's and the network's.
-func (s *Set) Free() {
-	for _, f := range s.frees {
+// ReleasePorts releases the reserved ports. The process group ends the processes, and the network the links.
+func (s *Set) ReleasePorts() {
+	for _, f := range s.releasePorts {
 		f()
 	}
 }
