--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -19,35 +19,36 @@
 	"wrenspread/internal/registry"
 )
 
-// agents is the stand-in for the agents of all machines of backends: their calls and
-// fencing tokens are those of the real one, their servers the emulated backends. A backend of a
-// bad version has its trouble.
+// agents stands in for the agents of all backend machines. It has the API of the real agent and checks
+// fencing tokens in the same way, but its servers are the emulated backends. A backend that runs a version
+// in degradationByVersion is degraded accordingly.
 type agents struct {
-	f     *fleet
-	guard *fencing.Guard
-	bad   map[string]backend.Trouble // by version
-	srv   *http.Server
-	tasks sync.WaitGroup
+	fleet                *fleet
+	guard                *fencing.Guard
+	degradationByVersion map[string]backend.Trouble // degradation by version; other versions run normally
+	server               *http.Server
+	tasks                sync.WaitGroup
 
-	mu      sync.Mutex
-	boxes   map[string]*kept
-	mostOut int // backends that did not serve at once, at the most
+	mu             sync.Mutex
+	backends       map[string]*agentBackend
+	maxUnavailable int // highest number of backends that were unavailable at the same time
 }
 
-// kept is one backend as its agent has it.
-type kept struct {
+// agentBackend is the agent's state of one backend.
+type agentBackend struct {
 	agent.Status
-	busy bool // a replacement is under way
+	replacing bool // a replacement of the process is in progress
 }
 
 const (
-	agentsRecord = "lab"
-	replaceTime  = 400 * time.Millisecond // from the end of a backend's process to the start of the next
+	agentsRecordName = "lab"
+	replacementDelay = 400 * time.Millisecond // from the end of a backend's process to the start of the next one
 )
 
-// newAgents serves until the run ends. All backends begin in a version.
+// newAgents starts the server of the agents, which runs until the run ends, and puts the agents' record into
+// the registry. All backends start with the given version.
 func newAgents(f *fleet, version string, bad map[string]backend.Trouble) (*agents, error) {
-	a := &agents{f: f, bad: bad, boxes: map[string]*kept{}}
+	a := &agents{fleet: f, degradationByVersion: bad, backends: map[string]*agentBackend{}}
 	var err error
 	if a.guard, err = fencing.Open(""); err != nil {
 		return nil, err
@@ -56,39 +57,40 @@
 	if err != nil {
 		return nil, err
 	}
-	door, err := f.net.Connect(link.Ends{From: spec.Conductors, To: spec.Agents}, ln.Addr().String())
+	address, err := f.net.Connect(link.Ends{From: spec.Conductors, To: spec.Agents}, ln.Addr().String())
 	if err != nil {
 		besteffort.Close(ln)
 		return nil, err
 	}
-	card := agent.Record{Machine: agentsRecord, Address: door}
-	for _, m := range f.w.Machines {
-		card.Servers = append(card.Servers, m.Name)
-		a.boxes[m.Name] = &kept{
+	machineRecord := agent.Record{Machine: agentsRecordName, Address: address}
+	for _, m := range f.world.Machines {
+		machineRecord.Servers = append(machineRecord.Servers, m.Name)
+		a.backends[m.Name] = &agentBackend{
 			Status: agent.Status{Name: m.Name, Version: version, WantedVersion: version, Running: true, Ready: true},
 		}
-		a.list(m.Name)
+		a.updateEntry(m.Name)
 	}
-	raw, err := json.Marshal(card)
+	raw, err := json.Marshal(machineRecord)
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /servers/{name}", a.get)
-	mux.HandleFunc("PUT /servers/{name}", a.put)
-	a.srv = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
-	go func() { _ = a.srv.Serve(ln) }() // until Close
-	f.atEnd(func() { besteffort.Close(a.srv); a.tasks.Wait() })
-	ctx, cancel := context.WithTimeout(f.service.ctx, readyTime)
+	mux.HandleFunc("GET /servers/{name}", a.getBackend)
+	mux.HandleFunc("PUT /servers/{name}", a.putBackend)
+	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
+	go func() { _ = a.server.Serve(ln) }() // until Close
+	f.onClose(func() { besteffort.Close(a.server); a.tasks.Wait() })
+	ctx, cancel := context.WithTimeout(f.service.ctx, readyTimeout)
 	defer cancel()
-	_, err = f.service.boxes.client.Put(ctx, agent.RecordPrefix+agentsRecord, raw, nil)
+	_, err = f.service.registrar.client.Put(ctx, agent.RecordPrefix+agentsRecordName, raw, nil)
 	return a, err
 }
 
-func (a *agents) get(w http.ResponseWriter, r *http.Request) {
+// getBackend answers with the status of one backend.
+func (a *agents) getBackend(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := a.boxes[r.PathValue("name")]
+	k := a.backends[r.PathValue("name")]
 	if k == nil {
 		http.NotFound(w, r)
 		return
@@ -96,7 +98,9 @@
 	besteffort.Encode(json.NewEncoder(w).Encode(k.Status))
 }
 
-func (a *agents) put(w http.ResponseWriter, r *http.Request) {
+// putBackend sets the desired state of one backend: whether it stays draining, and its version. A different
+// version starts a replacement of the process, unless one is in progress.
+func (a *agents) putBackend(w http.ResponseWriter, r *http.Request) {
 	var o agent.DesiredState
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -109,75 +113,76 @@
 	name := r.PathValue("name")
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := a.boxes[name]
+	k := a.backends[name]
 	if k == nil {
 		http.NotFound(w, r)
 		return
 	}
 	if changed := k.KeepDraining != o.KeepDraining; changed {
 		k.KeepDraining = o.KeepDraining
-		a.list(name)
+		a.updateEntry(name)
 	}
-	if k.WantedVersion = o.Version; k.WantedVersion != k.Version && !k.busy {
-		k.busy, k.Running, k.Ready = true, false, false
-		a.tasks.Go(func() { a.replace(name) })
+	if k.WantedVersion = o.Version; k.WantedVersion != k.Version && !k.replacing {
+		k.replacing, k.Running, k.Ready = true, false, false
+		a.tasks.Go(func() { a.replaceProcess(name) })
 	}
-	a.count()
+	a.updateMaxUnavailable()
 	besteffort.Encode(json.NewEncoder(w).Encode(k.Status))
 }
 
-// count notes how many backends do not serve. The caller holds the lock.
-func (a *agents) count() {
+// updateMaxUnavailable counts the backends that are draining or not ready. The caller holds the lock.
+func (a *agents) updateMaxUnavailable() {
 	out := 0
-	for _, k := range a.boxes {
+	for _, k := range a.backends {
 		if k.KeepDraining || !k.Ready {
 			out++
 		}
 	}
-	a.mostOut = max(a.mostOut, out)
+	a.maxUnavailable = max(a.maxUnavailable, out)
 }
 
-// list has a backend's entry be as the backend is. The caller holds the lock.
-func (a *agents) list(name string) {
-	k := a.boxes[name]
-	e := a.f.entry(name, registry.Ready, strconv.FormatInt(k.StartedAtMS, 10))
+// updateEntry registers a backend's present version and status. The caller holds the lock.
+func (a *agents) updateEntry(name string) {
+	k := a.backends[name]
+	e := a.fleet.entry(name, registry.Ready, strconv.FormatInt(k.StartedAtMS, 10))
 	e.Version = k.Version
 	if k.KeepDraining {
 		e.Status = registry.Draining
 	}
-	a.f.service.boxes.ready(e)
+	a.fleet.service.registrar.register(e)
 }
 
-// replace ends a backend's process and starts it, cold, in the version that is wanted.
-func (a *agents) replace(name string) {
-	b := a.f.host.Box(name)
+// replaceProcess ends a backend's process and starts a cold process of the wanted version.
+func (a *agents) replaceProcess(name string) {
+	b := a.fleet.host.Box(name)
 	b.Crash()
-	backoff.Sleep(a.f.service.ctx, replaceTime)
-	since := a.f.log.At(a.f.log.Now()).UnixMilli()
+	backoff.Sleep(a.fleet.service.ctx, replacementDelay)
+	since := a.fleet.log.At(a.fleet.log.Now()).UnixMilli()
 	err := b.Start(strconv.FormatInt(since, 10))
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := a.boxes[name]
-	k.Version, k.StartedAtMS, k.busy = k.WantedVersion, since, false
+	k := a.backends[name]
+	k.Version, k.StartedAtMS, k.replacing = k.WantedVersion, since, false
 	if k.Running, k.Ready = err == nil, err == nil; err != nil {
 		k.Reason = err.Error()
 	}
 	b.Suffer("version", nil)
-	if t, ok := a.bad[k.Version]; ok {
+	if t, ok := a.degradationByVersion[k.Version]; ok {
 		b.Suffer("version", &t)
 	}
-	a.list(name)
+	a.updateEntry(name)
 }
 
-// versions counts the backends that serve, by version.
-func (a *agents) versions() (by map[string]int, mostOut int) {
+// servingByVersion counts the ready backends that aren't draining by version, and returns the highest
+// number of backends that were unavailable at the same time.
+func (a *agents) servingByVersion() (by map[string]int, mostOut int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	by = map[string]int{}
-	for _, k := range a.boxes {
+	for _, k := range a.backends {
 		if k.Ready && !k.KeepDraining {
 			by[k.Version]++
 		}
 	}
-	return by, a.mostOut
+	return by, a.maxUnavailable
 }
--- a/internal/lab/fleet/boxes.go
+++ b/internal/lab/fleet/boxes.go
@@ -1,6 +1,6 @@
 package fleet
 
-// What a step does to backends.
+// Faults of backends.
 
 import (
 	"context"
@@ -14,41 +14,44 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// drainShare is the part of a drain after which the backend ends.
-const drainShare = 0.6
+// drainServingShare is the share of a drain step's duration during which the backend still serves.
+const drainServingShare = 0.6
 
-// loseBox takes a backend away and brings it back cold.
-func (f *fleet) loseBox(ctx context.Context, s spec.Step, name string) error {
-	toBox := func(e link.Ends) bool { return e.To == name }
+// stopBackend ends a backend and starts a cold one after the step's duration. A backend that vanishes
+// doesn't close its connections, and leaves discovery only by its silence. A backend that drains leaves
+// discovery first and ends later. Otherwise its address refuses connections at once.
+func (f *fleet) stopBackend(ctx context.Context, s spec.Step, name string) error {
+	toBackend := func(e link.Ends) bool { return e.To == name }
 	down := "down-" + name
 	rest := time.Duration(s.For)
 	b := f.host.Box(name)
 	switch s.Do {
 	case "vanish":
-		f.net.Lay(down, link.Shape{Hold: link.Both, Cut: true}, toBox)
+		f.net.Lay(down, link.Shape{Hold: link.Both, Cut: true}, toBackend)
 		b.Crash()
-		f.list(name, discovery.Gone, "", true)
+		f.setEntry(name, discovery.Gone, "", true)
 	case "drain":
-		f.list(name, discovery.Draining, "", false)
-		served := time.Duration(drainShare * float64(rest))
+		f.setEntry(name, discovery.Draining, "", false)
+		served := time.Duration(drainServingShare * float64(rest))
 		backoff.Sleep(ctx, served)
 		rest -= served
 		fallthrough
 	default:
-		f.list(name, discovery.Gone, "", false)
-		f.net.Lay(down, link.Shape{Refuse: true}, toBox)
+		f.setEntry(name, discovery.Gone, "", false)
+		f.net.Lay(down, link.Shape{Refuse: true}, toBackend)
 		b.Crash()
 	}
 	backoff.Sleep(ctx, rest)
 	since := strconv.FormatInt(f.log.At(f.log.Now()).UnixMilli(), 10)
 	err := b.Start(since)
 	f.net.Lift(down)
-	f.list(name, discovery.Ready, since, false)
+	f.setEntry(name, discovery.Ready, since, false)
 	return err
 }
 
-// trouble gives backends what they suffer from, for the step's time. Troubles of a backend add up.
-func (f *fleet) trouble(ctx context.Context, s spec.Step) error {
+// degradeBackends makes backends slow, failing or hanging for the step's duration. Several degradations of a
+// backend add up.
+func (f *fleet) degradeBackends(ctx context.Context, s spec.Step) error {
 	t := backend.Trouble{Slower: s.Times}
 	switch s.Do {
 	case "hang":
--- a/internal/lab/fleet/disturbed.go
+++ b/internal/lab/fleet/disturbed.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// disturbed knows the nodes to which something is done, or was a moment ago.
-type disturbed struct {
-	mu    sync.Mutex
-	on    map[string]int
-	until map[string]time.Time
+// disturbedNodes records the nodes that a fault affects, or affected less than disturbanceTail ago.
+type disturbedNodes struct {
+	mu     sync.Mutex
+	active map[string]int // number of faults that affect each node now
+	until  map[string]time.Time
 }
 
-// moment is how long the end of a fault may still show on a connection.
-const moment = time.Second
+// disturbanceTail is how long connections may show a fault after its end.
+const disturbanceTail = time.Second
 
-func (d *disturbed) note(nodes []string, begins bool) {
+// update records the beginning or the end of a fault on nodes.
+func (d *disturbedNodes) update(nodes []string, begins bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.on == nil {
-		d.on, d.until = map[string]int{}, map[string]time.Time{}
+	if d.active == nil {
+		d.active, d.until = map[string]int{}, map[string]time.Time{}
 	}
 	for _, n := range nodes {
 		if begins {
-			d.on[n]++
+			d.active[n]++
 			continue
 		}
-		d.on[n]--
-		d.until[n] = time.Now().Add(moment)
+		d.active[n]--
+		d.until[n] = time.Now().Add(disturbanceTail)
 	}
 }
 
-func (d *disturbed) is(node string) bool {
+// includes reports whether a fault affects the node, or did so less than disturbanceTail ago.
+func (d *disturbedNodes) includes(node string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.on[node] > 0 || time.Now().Before(d.until[node])
+	return d.active[node] > 0 || time.Now().Before(d.until[node])
 }
--- a/internal/lab/fleet/drawing.go
+++ b/internal/lab/fleet/drawing.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	drawingFile = "timeline.txt"
-	lab         = "lab" // the column of what is done to the others
-	mostColumns = 8     // of a drawing that a reader can take in; the others' events are counted at its foot
+	timelineFile   = "timeline.txt"
+	labColumn      = "lab" // the column of the faults
+	maxNodeColumns = 8     // more columns are hard to read; the events of other nodes are counted at the foot
 )
 
-// draw puts the history of the nodes and their views into the run's folder, as text with a column for each.
-func (f *fleet) draw() error {
-	columns := append([]string{lab}, f.names[:min(len(f.names), mostColumns)]...)
+// writeTimeline writes the history of the nodes and their views into the run's folder, as a text with a
+// column for each node.
+func (f *fleet) writeTimeline() error {
+	columns := append([]string{labColumn}, f.nodeNames[:min(len(f.nodeNames), maxNodeColumns)]...)
 	text := timeline.Drawing{
-		Says:    fmt.Sprintf("%s, seed %d. %s.", f.e.Name, f.o.Seed, f.e.About),
+		Says:    fmt.Sprintf("%s, seed %d. %s.", f.experiment.Name, f.options.Seed, f.experiment.About),
 		Columns: columns,
 	}.Draw(
-		drawn(f.log.Events()),
+		timelineEvents(f.log.Events()),
 	)
-	if err := os.WriteFile(filepath.Join(f.o.Dir, drawingFile), []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(f.options.Dir, timelineFile), []byte(text), 0o644); err != nil {
 		return fmt.Errorf("drawing: %w", err)
 	}
 	return nil
 }
 
-// drawn are the events of a history that say what nodes did, and what was done to them, until the run's end.
-func drawn(events []history.Event) (all []timeline.Event) {
-	last := map[string]map[string]string{} // what each saw of each
+// timelineEvents converts the events of the history up to the end of the run: faults, starts and ends of
+// processes, and changes in the nodes' views of each other.
+func timelineEvents(events []history.Event) (all []timeline.Event) {
+	last := map[string]map[string]string{} // health of each node in the view of each node
 	tell := func(e history.Event, who, format string, args ...any) {
 		all = append(all, timeline.Event{At: e.T, Who: who, What: fmt.Sprintf(format, args...)})
 	}
@@ -46,7 +48,7 @@
 			_, do, _ := strings.Cut(e.Detail, "-")
 			tell(
 				e,
-				lab,
+				labColumn,
 				"%s: %s",
 				map[string]string{"begin": do, "end": "end of " + do}[e.How],
 				strings.Join(e.Also, ", "),
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet puts a run of the lab together: it starts the nodes, lets the
-// clients loose, carries out the schedule of faults, ends everything, and
-// judges the history.
+// Package fleet runs an experiment of the lab: it starts the nodes, sends the clients' load, carries out the
+// schedule of faults, ends all processes, and judges the recorded history.
 package fleet
 
 import (
@@ -25,55 +24,60 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Options say what is played.
+// Options configures a run.
 type Options struct {
 	Experiment *spec.Experiment
 	Seed       uint64
-	Dir        string   // where history, logs and configurations go
-	Node       []string // command of a node
-	Keeper     []string // command of wrenspread-controller, for those with a quota
-	List       []string // command of a replica of the registry, for experiments that have one
-	Ctl        []string // command of wrenspreadctl, for those with a release
-	Env        []string // further environment of both
-	Follow     func(history.Event)
+	Dir        string              // folder for the history, logs and configurations
+	Node       []string            // command line of a node
+	Keeper     []string            // command line of wrenspread-controller, for experiments with a quota
+	List       []string            // command line of a registry replica, for experiments with a registry
+	Ctl        []string            // command line of wrenspreadctl, for experiments with a release
+	Env        []string            // additional environment of all processes
+	Follow     func(history.Event) // called for each event of the history
 }
 
 const (
-	readyTime   = 30 * time.Second // only a hang takes so long
-	endTime     = 8 * time.Second  // the longest deadline, taken as 3 s, and 0.7 s, and what a busy machine adds
-	sampleEvery = 500 * time.Millisecond
+	readyTimeout = 30 * time.Second // only a process that hangs takes longer
+
+	// shutdownTimeout is the longest deadline of a request, taken as 3 s, plus 0.7 s, plus time for a busy
+	// machine.
+	shutdownTimeout = 8 * time.Second
+
+	sampleInterval = 500 * time.Millisecond
 )
 
-// fleet is a run under way.
+// fleet is the state of one run.
 type fleet struct {
-	o        Options
-	e        *spec.Experiment
-	log      *history.Log
-	w        world.World
-	ops      []load.Op
-	rate     float64
-	net      *link.Net
-	book     *load.Book
-	host     *backendserver.Host
-	registry *discovery.Registry // of the lab's own discovery
-	service  *service            // or the project's registry; nil: the previous
-	group    *process.Group
-	front    *client.Front
-	nodes    map[string]*node
-	names    []string // of nodes, by number
-	closing  sync.Mutex
-	closes   []func()
-	start    time.Duration // of the load
+	options     Options
+	experiment  *spec.Experiment
+	log         *history.Log
+	world       world.World
+	operations  []load.Op
+	requestRate float64
+	net         *link.Net
+	book        *load.Book
+	host        *backendserver.Host
+	registry    *discovery.Registry // of the lab's own discovery, unless service is set
+	service     *service            // the project's registry; nil means that the lab's own discovery is used
+	group       *process.Group
+	front       *client.Front
+	nodes       map[string]*node
+	nodeNames   []string // names of the nodes, by number
+	closersMu   sync.Mutex
+	closers     []func()
+	loadStart   time.Duration // start of the load on the lab's clock
 
-	disturbed disturbed
+	disturbed disturbedNodes
 
-	keepers         []*conductor // that share limits out
-	holders         []string     // where those listen, by number
-	release         *releasing   // nil: none
-	releaseVerdicts []check.Verdict
+	quotaControllers         []*controller // controllers that allocate the quota
+	quotaControllerAddresses []string      // listen addresses of the quota controllers, by number
+	release                  *releaseRun   // nil means that the experiment has no release
+	releaseVerdicts          []check.Verdict
 }
 
-// Play plays an experiment to its end. The error says why it could not be played.
+// Play plays an experiment to its end. An error means that the experiment could not be played; it is no
+// verdict.
 func Play(ctx context.Context, o Options) (report.Run, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return report.Run{}, fmt.Errorf("lab: %w", err)
@@ -91,7 +95,7 @@
 			Took:   time.Duration(o.Experiment.Length),
 		},
 	)
-	f := &fleet{o: o, e: o.Experiment, log: log, nodes: map[string]*node{}}
+	f := &fleet{options: o, experiment: o.Experiment, log: log, nodes: map[string]*node{}}
 	err = f.setUp(ctx)
 	if err == nil {
 		err = f.run(ctx)
@@ -100,19 +104,20 @@
 	if err := errors.Join(err, ctx.Err(), log.Close()); err != nil {
 		return report.Run{}, err
 	}
-	return f.judge(), f.draw()
+	return f.buildReport(), f.writeTimeline()
 }
 
+// setUp draws the emulated world and the load, and starts all parts of the run up to the nodes.
 func (f *fleet) setUp(ctx context.Context) error {
-	e := f.e
-	f.w = world.Draw(f.o.Seed, e.Fleet.Zones, e.Fleet.Boxes)
-	f.adjustNet()
-	f.rate = e.Load.Rate
-	if f.rate == 0 {
-		f.rate = e.Load.Use * f.w.Capacity() / f.w.MeanWork().Seconds()
+	e := f.experiment
+	f.world = world.Draw(f.options.Seed, e.Fleet.Zones, e.Fleet.Boxes)
+	f.overrideDelays()
+	f.requestRate = e.Load.Rate
+	if f.requestRate == 0 {
+		f.requestRate = e.Load.Use * f.world.Capacity() / f.world.MeanWork().Seconds()
 	}
 	shape := load.Shape{
-		Rate:   f.rate,
+		Rate:   f.requestRate,
 		Length: time.Duration(e.Length),
 		Bursty: e.Load.Bursty,
 		Swing:  e.Load.Swing,
@@ -124,35 +129,35 @@
 			load.Surge{From: time.Duration(s.At), To: time.Duration(s.At + s.For), Times: s.Times},
 		)
 	}
-	f.ops = load.Draw(f.o.Seed, f.w, shape)
+	f.operations = load.Draw(f.options.Seed, f.world, shape)
 	f.book = load.NewBook()
-	f.net = link.NewNet(f.o.Seed)
-	f.atEnd(f.net.Close)
+	f.net = link.NewNet(f.options.Seed)
+	f.onClose(f.net.Close)
 	f.registry = &discovery.Registry{}
 	var err error
-	if f.host, err = backendserver.NewHost(f.log, f.net, f.book, f.o.Seed, f.w); err != nil {
+	if f.host, err = backendserver.NewHost(f.log, f.net, f.book, f.options.Seed, f.world); err != nil {
 		return err
 	}
-	f.atEnd(f.host.Close)
+	f.onClose(f.host.Close)
 	f.group = process.NewGroup(f.log)
-	if f.e.List.Replicas > 0 {
+	if f.experiment.List.Replicas > 0 {
 		if f.service, err = f.newService(); err != nil {
 			return err
 		}
 	} else {
-		for _, m := range f.w.Machines {
-			f.list(m.Name, discovery.Ready, "0", false)
+		for _, m := range f.world.Machines {
+			f.setEntry(m.Name, discovery.Ready, "0", false)
 		}
 	}
-	f.front = client.NewFront(f.frontNotice())
-	if err := f.connect(); err != nil {
+	f.front = client.NewFront(f.frontDelay())
+	if err := f.connectNodes(); err != nil {
 		return err
 	}
-	f.layNet()
+	f.applyNetworkDelays()
 	if f.service != nil {
-		begin, cancel := context.WithTimeout(ctx, readyTime)
+		begin, cancel := context.WithTimeout(ctx, readyTimeout)
 		defer cancel()
-		if err := f.service.begin(begin); err != nil {
+		if err := f.service.start(begin); err != nil {
 			return err
 		}
 		if err := f.startQuota(begin); err != nil {
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -16,8 +16,8 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// short is an experiment that shows what each stand-in breaks.
-const short = `
+// shortExperiment is an experiment that is long enough to show the fault of most stand-ins.
+const shortExperiment = `
 length = "3s"
 [fleet]
 nodes = 2
@@ -30,8 +30,9 @@
 rate = 60
 `
 
-// drained also drains a backend, whose process stays until 2.4 s later.
-const drained = `
+// drainExperiment is longer and drains a backend, whose process ends 3 s after the drain begins
+// (drainServingShare of 5 s).
+const drainExperiment = `
 length = "6s"
 [fleet]
 nodes = 2
@@ -48,8 +49,8 @@
 on = ["s1"]
 `
 
-// returned also has a backend return cold, after half a second.
-const returned = short + `
+// crashExperiment is shortExperiment with a backend that crashes and returns cold after half a second.
+const crashExperiment = shortExperiment + `
 [[fault]]
 at = "100ms"
 for = "500ms"
@@ -57,44 +58,51 @@
 on = ["s1"]
 `
 
-func play(t *testing.T, mode, text string) report.Run {
+func playStandIn(t *testing.T, mode, text string) report.Run {
 	t.Helper()
 	e, err := spec.Parse("test.toml", text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run, err := Play(context.Background(), Options{Experiment: e, Seed: 5, Dir: t.TempDir(), Node: []string{os.Args[0]}, Env: []string{"STANDIN=" + mode}})
+	run, err := Play(context.Background(), Options{
+		Experiment: e,
+		Seed:       5,
+		Dir:        t.TempDir(),
+		Node:       []string{os.Args[0]},
+		Env:        []string{"STANDIN=" + mode},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return run
 }
 
-// TestStandIns: a node that keeps the rules passes, and each that breaks one is found out by the check for it.
-func TestStandIns(t *testing.T) {
+// TestEachCheckFindsTheStandInThatBreaksItsRule checks that a node that follows all rules passes, and that
+// each node that breaks one rule fails the check of this rule.
+func TestEachCheckFindsTheStandInThatBreaksItsRule(t *testing.T) {
 	for mode, c := range map[string]struct {
 		text   string
 		breaks []string
 	}{
-		"plain":  {short, nil},
-		"both":   {short, []string{"one-at-a-time", "unsafe-once"}},
-		"repeat": {short, []string{"unsafe-once", "key-once"}},
-		"lose":   {short, []string{"answered"}},
-		"invent": {short, []string{"own-answer"}},
-		"swap":   {short, []string{"own-answer"}},
-		"stray":  {short, []string{"as-sent"}},
-		"drains": {drained, []string{"drains"}},
-		"push":   {returned, []string{"cold"}},
-		"exit":   {short, []string{"processes"}},
-		"stay":   {short, []string{"processes"}},
-		"grow":   {short, []string{"limits"}},
+		"plain":  {shortExperiment, nil},
+		"both":   {shortExperiment, []string{"one-at-a-time", "unsafe-once"}},
+		"repeat": {shortExperiment, []string{"unsafe-once", "key-once"}},
+		"lose":   {shortExperiment, []string{"answered"}},
+		"invent": {shortExperiment, []string{"own-answer"}},
+		"swap":   {shortExperiment, []string{"own-answer"}},
+		"stray":  {shortExperiment, []string{"as-sent"}},
+		"drains": {drainExperiment, []string{"drains"}},
+		"push":   {crashExperiment, []string{"cold"}},
+		"exit":   {shortExperiment, []string{"processes"}},
+		"stay":   {shortExperiment, []string{"processes"}},
+		"grow":   {shortExperiment, []string{"limits"}},
 	} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			run := play(t, mode, c.text)
-			for range 3 { // a run in which the machine was late shows nothing of times
+			run := playStandIn(t, mode, c.text)
+			for range 3 { // a run on a machine that was late proves nothing about times
 				if run.Late != "" {
-					run = play(t, mode, c.text)
+					run = playStandIn(t, mode, c.text)
 				}
 			}
 			for _, v := range run.Verdicts {
@@ -114,8 +122,9 @@
 	}
 }
 
-// TestInterrupted: a run that is called off leaves nothing running and says so.
-func TestInterrupted(t *testing.T) {
+// TestInterruptedRunReportsCancellationAndLeavesNoProcesses checks that a cancelled run leaves no process and
+// no goroutine running, and returns the cancellation.
+func TestInterruptedRunReportsCancellationAndLeavesNoProcesses(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	e, err := spec.Parse("test.toml", `length = "1h"`)
 	if err != nil {
@@ -123,7 +132,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var pids []int
-	_, err = Play(ctx, Options{Experiment: e, Seed: 1, Dir: t.TempDir(), Node: []string{os.Args[0]}, Env: []string{"STANDIN=plain"},
+	_, err = Play(ctx, Options{
+		Experiment: e,
+		Seed:       1,
+		Dir:        t.TempDir(),
+		Node:       []string{os.Args[0]},
+		Env:        []string{"STANDIN=plain"},
 		Follow: func(e history.Event) {
 			if e.Kind == history.Proc && e.How == "start" {
 				pids = append(pids, e.Pid)
@@ -131,12 +145,13 @@
 			if e.Kind == history.Over {
 				cancel()
 			}
-		}})
+		},
+	})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("it says %v", err)
+		t.Errorf("the interrupted run returned %v, want context.Canceled", err)
 	}
 	if len(pids) != 3 {
-		t.Errorf("%d processes were started", len(pids))
+		t.Errorf("%d processes were started, want 3", len(pids))
 	}
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
@@ -145,8 +160,9 @@
 	}
 }
 
-// TestNotPlayed: what can't be started is an error of the lab, not a verdict.
-func TestNotPlayed(t *testing.T) {
+// TestRunWhoseNodesCantStartIsAnErrorAndNoVerdict checks that a node that can't be started is an error of the
+// lab, not a verdict on the program.
+func TestRunWhoseNodesCantStartIsAnErrorAndNoVerdict(t *testing.T) {
 	e, err := spec.Parse("test.toml", `length = "2s"`)
 	if err != nil {
 		t.Fatal(err)
@@ -155,7 +171,7 @@
 	defer cancel()
 	for name, command := range map[string][]string{"none": {"/nonexistent"}, "ends": {"/bin/false"}} {
 		if _, err := Play(ctx, Options{Experiment: e, Seed: 1, Dir: t.TempDir(), Node: command}); err == nil {
-			t.Errorf("%s: it was played", name)
+			t.Errorf("%s: the run returned no error", name)
 		}
 	}
 }
--- a/internal/lab/fleet/lateness.go
+++ b/internal/lab/fleet/lateness.go
@@ -12,57 +12,58 @@
 	"wrenspread/internal/lab/history"
 )
 
-// Lateness measures how late the lab itself is: its timers, and the sending of operations.
+// Lateness measures the delay of the lab itself: of its timers, and of the sending of operations.
 type Lateness struct {
-	log  *history.Log
-	mu   sync.Mutex
-	hist *hdrhistogram.Histogram
+	log       *history.Log
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
 const (
-	lateEvery = 2 * time.Millisecond
-	lateTop   = int64(10 * time.Second)
+	timerInterval = 2 * time.Millisecond
+	maxLateness   = int64(10 * time.Second)
 )
 
-// NewLateness makes a meter that writes to log.
+// NewLateness returns a meter that records its figures in the history.
 func NewLateness(log *history.Log) *Lateness {
-	return &Lateness{log: log, hist: hdrhistogram.New(int64(time.Microsecond), lateTop, 2)}
+	return &Lateness{log: log, histogram: hdrhistogram.New(int64(time.Microsecond), maxLateness, 2)}
 }
 
-// Add takes one reading.
+// Add adds one measured delay.
 func (l *Lateness) Add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	besteffort.Sample(l.hist.RecordValue(min(lateTop, max(0, int64(d)))))
+	besteffort.Sample(l.histogram.RecordValue(min(maxLateness, max(0, int64(d)))))
 }
 
-// Watch measures until ctx ends and writes a line a second.
+// Watch measures the delay of timers until ctx ends, and records an event each second.
 func (l *Lateness) Watch(ctx context.Context) {
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
 	for ctx.Err() == nil {
 		before := time.Now()
-		time.Sleep(lateEvery)
-		l.Add(time.Since(before) - lateEvery)
+		time.Sleep(timerInterval)
+		l.Add(time.Since(before) - timerInterval)
 		select {
 		case <-second.C:
-			l.write()
+			l.record()
 		default:
 		}
 	}
 }
 
-func (l *Lateness) write() {
+// record adds an event with the delays since the last event to the history.
+func (l *Lateness) record() {
 	l.mu.Lock()
-	p99, worst := l.hist.ValueAtQuantile(99), l.hist.Max()
-	l.hist.Reset()
+	p99, worst := l.histogram.ValueAtQuantile(99), l.histogram.Max()
+	l.histogram.Reset()
 	l.mu.Unlock()
 	l.log.Add(
 		history.Event{Kind: history.Lab, P99: time.Duration(p99), Took: time.Duration(worst), CPU: OwnCPU()},
 	)
 }
 
-// OwnCPU is the processor time that the lab's process has taken.
+// OwnCPU is the CPU time that the lab's process has used.
 func OwnCPU() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/lab/fleet/life.go
+++ b/internal/lab/fleet/life.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The processes of a node: begun, ended, replaced, moved.
+// The processes of a node: start, end, upgrade, and a new address of its agent.
 
 import (
 	"context"
@@ -14,134 +14,144 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// begin starts a process of the node and waits until it says yes.
-func (n *node) begin(ctx context.Context) error {
+// start starts a process of the node and waits until its health check succeeds.
+func (n *node) start(ctx context.Context) error {
 	n.mu.Lock()
-	p, control, err := n.launch()
+	p, control, err := n.startProcess()
 	if err == nil {
-		n.proc, n.control = p, control
+		n.proc, n.controlAddress = p, control
 	}
 	n.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	n.f.net.Lift("down-" + n.name)
+	n.fleet.net.Lift("down-" + n.name)
 	return p.WaitReady(ctx, "http://"+control+"/healthcheck")
 }
 
-// launch starts a process. The caller holds the lock.
-func (n *node) launch() (*process.Proc, string, error) {
+// startProcess starts a process and returns it with its control address. The caller holds the lock.
+func (n *node) startProcess() (*process.Proc, string, error) {
 	control, free, err := link.Reserve()
 	if err != nil {
 		return nil, "", err
 	}
-	n.f.atEnd(free)
-	path, err := n.write(control)
+	n.fleet.onClose(free)
+	path, err := n.writeConfig(control)
 	if err != nil {
 		return nil, "", err
 	}
 	s := process.Spec{
 		Name:    n.name,
-		Command: n.f.o.Node,
+		Command: n.fleet.options.Node,
 		Dir:     n.dir,
-		FDs:     uint64(n.f.e.Fleet.Sockets),
+		FDs:     uint64(n.fleet.experiment.Fleet.Sockets),
 		Env: append(
-			[]string{"GW_NAME=" + n.name, "GW_LISTEN=" + n.listen, "GW_DISCOVERY=" + n.discovery, "GW_CONFIG=" + path,
-				"TMPDIR=" + n.tmp, "PATH=" + os.Getenv("PATH"), "GOMAXPROCS=1"},
-			n.f.o.Env...),
-	} // its machine has one core
-	if n.accept != nil {
-		s.Files, s.Env = []*os.File{n.accept}, append(s.Env, "GW_ACCEPT_FD=3")
+			[]string{
+				"GW_NAME=" + n.name,
+				"GW_LISTEN=" + n.listen,
+				"GW_DISCOVERY=" + n.discoveryAddress,
+				"GW_CONFIG=" + path,
+				"TMPDIR=" + n.tmp,
+				"PATH=" + os.Getenv("PATH"),
+				"GOMAXPROCS=1", // the emulated machine of a node has one core
+			},
+			n.fleet.options.Env...),
 	}
-	p, err := n.f.group.Start(s)
+	if n.acceptSocket != nil {
+		s.Files, s.Env = []*os.File{n.acceptSocket}, append(s.Env, "GW_ACCEPT_FD=3")
+	}
+	p, err := n.fleet.group.Start(s)
 	return p, control, err
 }
 
-func (n *node) current() *process.Proc {
+func (n *node) currentProcess() *process.Proc {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.proc
 }
 
-// kill ends the process at once. From then on its address refuses, as that of a dead process does.
+// kill ends the process at once. From then on the node's address refuses connections, as that of a dead
+// process does.
 func (n *node) kill() error {
-	p := n.current()
+	p := n.currentProcess()
 	if err := p.Kill(); err != nil {
 		return err
 	}
 	<-p.Exited()
-	n.refuse()
+	n.refuseConnections()
 	return nil
 }
 
-func (n *node) refuse() {
-	n.f.net.Lay(
+// refuseConnections makes the clients' link to the node refuse connections.
+func (n *node) refuseConnections() {
+	n.fleet.net.Lay(
 		"down-"+n.name,
 		link.Shape{Refuse: true},
 		func(e link.Ends) bool { return e.From == spec.Clients && e.To == n.name },
 	)
 }
 
-// arriving is how long new connections go on to come to a node that was told to
-// end, by the platform's 0.2 to 0.4 s.
-const arriving = 300 * time.Millisecond
+// platformNoticeDelay is how long new connections still arrive at a node after its SIGTERM; the platform
+// takes 0.2 to 0.4 s.
+const platformNoticeDelay = 300 * time.Millisecond
 
-// stop is a planned end, of which the front knows.
+// stop ends the process by SIGTERM. The front learns of this planned end after platformNoticeDelay.
 func (n *node) stop() error {
-	told := time.AfterFunc(arriving, func() { n.f.front.Leave(n.name) })
-	defer told.Stop()
-	err := n.current().Term(endTime)
-	n.refuse()
+	notice := time.AfterFunc(platformNoticeDelay, func() { n.fleet.front.Leave(n.name) })
+	defer notice.Stop()
+	err := n.currentProcess().Term(shutdownTimeout)
+	n.refuseConnections()
 	return err
 }
 
-// upgradeTime is what a new process has to say yes.
-const upgradeTime = 6 * time.Second
+// upgradeTimeout is the time that a new process has until its health check succeeds.
+const upgradeTimeout = 6 * time.Second
 
-// upgrade puts a new process in place of the present one while it serves.
+// upgrade starts a new process while the present one serves, and then ends the previous one.
 func (n *node) upgrade(ctx context.Context) error {
-	old := n.current()
-	ctx, cancel := context.WithTimeout(ctx, upgradeTime)
+	old := n.currentProcess()
+	ctx, cancel := context.WithTimeout(ctx, upgradeTimeout)
 	defer cancel()
-	if err := n.begin(ctx); err != nil {
+	if err := n.start(ctx); err != nil {
 		return fmt.Errorf("upgrade: %w", err)
 	}
-	return old.Term(endTime)
+	return old.Term(shutdownTimeout)
 }
 
-// discoveryEnds is how long the old address of discovery serves on after a move.
-const discoveryEnds = 1500 * time.Millisecond
+// oldAgentLifetime is how long existing connections to the agent's old address last after a move.
+const oldAgentLifetime = 1500 * time.Millisecond
 
-// move changes the address of the proxy's agent, and notifies the proxy by SIGHUP.
-func (n *node) move(ctx context.Context) error {
+// moveAgent changes the address of the proxy's agent, and notifies the proxy by SIGHUP. The old address
+// refuses new connections at once, and its existing connections are reset after oldAgentLifetime.
+func (n *node) moveAgent(ctx context.Context) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	old := spec.Discovery
-	if n.moves > 0 {
-		old = fmt.Sprint(spec.Discovery, "-", n.moves)
+	if n.agentMoves > 0 {
+		old = fmt.Sprint(spec.Discovery, "-", n.agentMoves)
 	}
-	n.moves++
-	address, err := n.f.net.Connect(
-		link.Ends{From: n.name, To: fmt.Sprint(spec.Discovery, "-", n.moves)},
-		n.agentAt,
+	n.agentMoves++
+	address, err := n.fleet.net.Connect(
+		link.Ends{From: n.name, To: fmt.Sprint(spec.Discovery, "-", n.agentMoves)},
+		n.agentAddress,
 	)
 	if err != nil {
 		return err
 	}
-	n.discovery = address
-	if _, err := n.write(n.control); err != nil {
+	n.discoveryAddress = address
+	if _, err := n.writeConfig(n.controlAddress); err != nil {
 		return err
 	}
 	if err := n.proc.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	before := func(e link.Ends) bool { return e.From == n.name && e.To == old }
-	n.f.net.Lay("moved-"+n.name+old, link.Shape{Refuse: true}, before)
+	oldLinks := func(e link.Ends) bool { return e.From == n.name && e.To == old }
+	n.fleet.net.Lay("moved-"+n.name+old, link.Shape{Refuse: true}, oldLinks)
 	select {
-	case <-time.After(discoveryEnds):
+	case <-time.After(oldAgentLifetime):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	n.f.net.Reset(before)
+	n.fleet.net.Reset(oldLinks)
 	return nil
 }
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -1,6 +1,6 @@
 package fleet
 
-// What a step does to links.
+// Faults of links.
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// over reports whether a link runs between the ends of a step, and whether it does so in the step's own
-// direction.
-func over(s spec.Step, e link.Ends) (is, forward bool) {
+// matchLink reports whether a link connects the two sides of a step, and whether it runs in the step's
+// direction, from On to To.
+func matchLink(s spec.Step, e link.Ends) (is, forward bool) {
 	in := func(side []string, party string) bool {
-		party, _, _ = strings.Cut(party, "-") // discovery may have moved
-		party, _, _ = strings.Cut(party, "/") // a replica's own calls
+		party, _, _ = strings.Cut(party, "-") // the agent's address may have moved: discovery-1 ...
+		party, _, _ = strings.Cut(party, "/") // links between replicas for forwarded requests: r1/http
 		return slices.Contains(side, party)
 	}
 	if in(s.On, e.From) && in(s.To, e.To) {
@@ -27,19 +27,25 @@
 	return in(s.On, e.To) && in(s.To, e.From), false
 }
 
-// layStep lays a step's shape on its links.
-func (f *fleet) layStep(s spec.Step) {
+// shapeLinks applies a step's shape to its links until the step's name is lifted.
+func (f *fleet) shapeLinks(s spec.Step) {
 	for _, forward := range []bool{true, false} {
 		shape := shapeOf(s, forward)
 		f.net.Lay(s.Name, shape, func(e link.Ends) bool {
-			is, same := over(s, e)
+			is, same := matchLink(s, e)
 			return is && same == forward
 		})
 	}
 }
 
+// shapeOf converts a step into the shape of links that run in the step's direction, or against it.
 func shapeOf(s spec.Step, forward bool) link.Shape {
-	way := map[string]link.Way{"": link.Both, "both": link.Both, "forward": link.Forward, "back": link.Back}[s.Way]
+	way := map[string]link.Way{
+		"":        link.Both,
+		"both":    link.Both,
+		"forward": link.Forward,
+		"back":    link.Back,
+	}[s.Way]
 	if !forward && way != link.Both {
 		way ^= link.Both
 	}
@@ -61,10 +67,10 @@
 	}
 }
 
-// storm resets the connections of a step's links, once or again and again.
-func (f *fleet) storm(ctx context.Context, s spec.Step) error {
+// resetLinks resets the connections of a step's links: once, or at each interval during the step.
+func (f *fleet) resetLinks(ctx context.Context, s spec.Step) error {
 	for end := f.log.Now() + time.Duration(s.For); ; {
-		f.net.Reset(func(e link.Ends) bool { is, _ := over(s, e); return is })
+		f.net.Reset(func(e link.Ends) bool { is, _ := matchLink(s, e); return is })
 		if s.Every == 0 || f.log.Now()+time.Duration(s.Every) > end || !backoff.Sleep(ctx, time.Duration(s.Every)) {
 			return nil
 		}
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -16,104 +16,107 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// node is one node of the fleet, through all its processes.
+// node is one node of the fleet, over all of its process incarnations.
 type node struct {
-	f          *fleet
-	number     int
-	name, zone string
-	dir, tmp   string
-	listen     string
-	accept     *os.File         // the clients' socket, where the platform holds it
-	agent      *discovery.Agent // nil: it follows the registry by itself
-	agentAt    string
-	discovery  string   // where the node finds its agent
-	list       []string // where it finds the registry
-	peerListen netip.AddrPort
-	peers      []string
+	fleet             *fleet
+	number            int
+	name, zone        string
+	dir, tmp          string
+	listen            string
+	acceptSocket      *os.File         // listening socket for clients, if the platform passes it to the process
+	agent             *discovery.Agent // nil means that the node follows the registry itself
+	agentAddress      string
+	discoveryAddress  string   // address of the node's link to its agent
+	registryAddresses []string // addresses of the node's links to the registry
+	peerListen        netip.AddrPort
+	peers             []string
 
-	mu      sync.Mutex
-	proc    *process.Proc
-	control string
-	starts  uint64
-	moves   int
+	mu             sync.Mutex
+	proc           *process.Proc
+	controlAddress string
+	configWrites   uint64
+	agentMoves     int
 }
 
+// newNode creates the node with number i, its links, and its entry in the front. It starts no process.
 func (f *fleet) newNode(i int) (*node, error) {
 	n := &node{
-		f:      f,
+		fleet:  f,
 		number: i,
 		name:   fmt.Sprint("n", i),
-		zone:   f.w.Zones[i%len(f.w.Zones)],
-		peers:  make([]string, f.e.Fleet.Nodes),
+		zone:   f.world.Zones[i%len(f.world.Zones)],
+		peers:  make([]string, f.experiment.Fleet.Nodes),
 	}
-	dir, err := filepath.Abs(filepath.Join(f.o.Dir, n.name))
+	dir, err := filepath.Abs(filepath.Join(f.options.Dir, n.name))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", n.name, err)
 	}
 	n.dir = dir
-	if n.tmp, err = os.MkdirTemp("", "lab"); err != nil { // short, as a Unix socket's name goes there
+	// The path of a Unix socket goes there, whose length is limited, so the folder's path has to be short.
+	if n.tmp, err = os.MkdirTemp("", "lab"); err != nil {
 		return nil, fmt.Errorf("%s: %w", n.name, err)
 	}
-	f.atEnd(func() { besteffort.Cleanup(os.RemoveAll(n.tmp)) })
-	if err := n.reserve(); err != nil {
+	f.onClose(func() { besteffort.Cleanup(os.RemoveAll(n.tmp)) })
+	if err := n.reserveAddresses(); err != nil {
 		return nil, err
 	}
 	if err := n.connect(); err != nil {
 		return nil, err
 	}
-	door, err := f.net.Connect(link.Ends{From: spec.Clients, To: n.name}, n.listen)
+	clientAddress, err := f.net.Connect(link.Ends{From: spec.Clients, To: n.name}, n.listen)
 	if err != nil {
 		return nil, err
 	}
-	f.front.Add(n.name, n.zone, door)
+	f.front.Add(n.name, n.zone, clientAddress)
 	return n, nil
 }
 
-// connect lays the node's links to the backends, and to whoever tells it the list.
+// connect creates the node's links to the backends and to its agent, or to the registry if the node follows
+// it directly.
 func (n *node) connect() (err error) {
-	f := n.f
-	if f.e.List.Direct {
-		n.list, err = f.service.set.Connect(n.name)
+	f := n.fleet
+	if f.experiment.List.Direct {
+		n.registryAddresses, err = f.service.set.Connect(n.name)
 		return err
 	}
-	boxes := map[string]string{}
-	for _, m := range f.w.Machines {
-		if boxes[m.Name], err = f.net.Connect(
+	backendAddresses := map[string]string{}
+	for _, m := range f.world.Machines {
+		if backendAddresses[m.Name], err = f.net.Connect(
 			link.Ends{From: n.name, To: m.Name},
 			f.host.Box(m.Name).Address,
 		); err != nil {
 			return err
 		}
 	}
-	find := func(box string) string { return boxes[box] }
+	backendAddress := func(backend string) string { return backendAddresses[backend] }
 	if f.service == nil {
-		n.agent = f.registry.Agent(n.name, f.log.Now, f.lateness(n.number), find)
-	} else if n.agent, err = f.service.agent(n.name, find); err != nil {
+		n.agent = f.registry.Agent(n.name, f.log.Now, f.agentDelay(n.number), backendAddress)
+	} else if n.agent, err = f.service.newAgent(n.name, backendAddress); err != nil {
 		return err
 	}
 	var stop func()
-	if n.agentAt, stop, err = n.agent.Serve(f.log); err != nil {
+	if n.agentAddress, stop, err = n.agent.Serve(f.log); err != nil {
 		return err
 	}
-	f.atEnd(stop)
-	n.discovery, err = f.net.Connect(link.Ends{From: n.name, To: spec.Discovery}, n.agentAt)
+	f.onClose(stop)
+	n.discoveryAddress, err = f.net.Connect(link.Ends{From: n.name, To: spec.Discovery}, n.agentAddress)
 	return err
 }
 
-// reserve chooses the addresses that the node listens at.
-func (n *node) reserve() error {
+// reserveAddresses chooses the node's listen addresses.
+func (n *node) reserveAddresses() error {
 	var free func()
 	var err error
 	if n.listen, free, err = link.Reserve(); err != nil {
 		return err
 	}
-	n.f.atEnd(free)
-	if n.f.e.Fleet.Messages {
+	n.fleet.onClose(free)
+	if n.fleet.experiment.Fleet.Messages {
 		if n.peerListen, err = freeUDP(); err != nil {
 			return err
 		}
 	}
-	if !n.f.e.Fleet.Accept {
+	if !n.fleet.experiment.Fleet.Accept {
 		return nil
 	}
 	ln, err := net.Listen("tcp4", n.listen)
@@ -121,44 +124,44 @@
 		return fmt.Errorf("%s: %w", n.name, err)
 	}
 	defer besteffort.Close(ln)
-	if n.accept, err = ln.(*net.TCPListener).File(); err != nil {
+	if n.acceptSocket, err = ln.(*net.TCPListener).File(); err != nil {
 		return fmt.Errorf("%s: %w", n.name, err)
 	}
-	n.f.atEnd(func() { besteffort.Close(n.accept) })
+	n.fleet.onClose(func() { besteffort.Close(n.acceptSocket) })
 	return nil
 }
 
-// write writes the node's configuration, with the list as its agent has it now.
-func (n *node) write(control string) (path string, err error) {
-	f := n.f
-	n.starts++
+// writeConfig writes the node's configuration, with its agent's present list, and returns the file's path.
+func (n *node) writeConfig(control string) (path string, err error) {
+	f := n.fleet
+	n.configWrites++
 	c := platform.Node{
 		Name:      n.name,
 		Number:    n.number,
-		Nodes:     f.e.Fleet.Nodes,
+		Nodes:     f.experiment.Fleet.Nodes,
 		Zone:      n.zone,
 		Listen:    n.listen,
 		Control:   control,
-		Discovery: n.discovery,
-		List:      n.list,
+		Discovery: n.discoveryAddress,
+		List:      n.registryAddresses,
 		ListFile:  filepath.Join(n.dir, "list"),
-		ByServer:  f.e.Release != nil,
-		Seed:      f.o.Seed<<16 + uint64(n.number)<<8 + n.starts,
-		MemoryMB:  f.e.Fleet.MemoryMB,
-		Sockets:   f.e.Fleet.Sockets,
+		ByServer:  f.experiment.Release != nil,
+		Seed:      f.options.Seed<<16 + uint64(n.number)<<8 + n.configWrites,
+		MemoryMB:  f.experiment.Fleet.MemoryMB,
+		Sockets:   f.experiment.Fleet.Sockets,
 	}
 	if n.agent != nil {
 		c.Known = n.agent.List(0, f.log.Now())
 	}
-	if f.e.Fleet.Messages {
+	if f.experiment.Fleet.Messages {
 		c.PeerListen, c.Peers = n.peerListen.String(), n.peers
 	}
-	if f.e.Fleet.View {
-		c.Fleet, c.Govern = fleetName, f.e.Quota != nil
+	if f.experiment.Fleet.View {
+		c.Fleet, c.Govern = fleetName, f.experiment.Quota != nil
 	}
 	if err := os.MkdirAll(n.dir, 0o755); err != nil {
 		return "", fmt.Errorf("%s: %w", n.name, err)
 	}
 	path = filepath.Join(n.dir, "config.json")
-	return path, c.Write(path, f.w, f.rate)
+	return path, c.Write(path, f.world, f.requestRate)
 }
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -17,25 +17,26 @@
 	"wrenspread/internal/quota/record"
 )
 
+// fleetName is the name of the fleet that nodes and quota controllers join.
 const fleetName = "lab"
 
-// startQuota puts the policy on record and starts the keepers.
+// startQuota puts the policy table into the registry and starts the quota controllers.
 func (f *fleet) startQuota(ctx context.Context) error {
-	q := f.e.Quota
+	q := f.experiment.Quota
 	if q == nil {
 		return nil
 	}
-	if err := f.putQuota(ctx, q.Rate, q.Burst); err != nil {
+	if err := f.putPolicy(ctx, q.Rate, q.Burst); err != nil {
 		return err
 	}
 	for i := range q.Holders {
-		c, err := f.newKeeper(i)
+		c, err := f.newQuotaController(i)
 		if err != nil {
 			return err
 		}
-		f.keepers = append(f.keepers, c)
+		f.quotaControllers = append(f.quotaControllers, c)
 	}
-	for _, c := range f.keepers {
+	for _, c := range f.quotaControllers {
 		if err := c.start(f.group); err != nil {
 			return err
 		}
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// putQuota has a policy of one limit hold.
-func (f *fleet) putQuota(ctx context.Context, rate, burst float64) error {
+// putPolicy puts a policy table with one limit into the registry.
+func (f *fleet) putPolicy(ctx context.Context, rate, burst float64) error {
 	text := fmt.Sprintf("fleet {\n  requests {\n    rate = %g\n    burst = %g\n  }\n}\n", rate, burst)
 	t, err := policy.Compile("lab.hcl", []byte(text), policy.Known{})
 	if err != nil {
@@ -52,7 +53,7 @@
 	}
 	value, err := record.EncodeTable(t)
 	if err == nil {
-		_, err = f.service.boxes.client.Put(ctx, record.CurrentKey, value, nil)
+		_, err = f.service.registrar.client.Put(ctx, record.CurrentKey, value, nil)
 	}
 	if err != nil {
 		return fmt.Errorf("the lab's policy: %w", err)
@@ -60,15 +61,16 @@
 	return nil
 }
 
-// changeQuota puts the later policies on record, each at its time.
-func (f *fleet) changeQuota(ctx context.Context) <-chan error {
+// scheduleQuotaChanges puts the later policy tables into the registry, each at its time. The channel receives
+// the joined errors after the last one.
+func (f *fleet) scheduleQuotaChanges(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		var errs []error
-		if f.e.Quota != nil {
-			for _, c := range f.e.Quota.Changes {
+		if f.experiment.Quota != nil {
+			for _, c := range f.experiment.Quota.Changes {
 				if f.sleepUntil(ctx, time.Duration(c.At)) {
-					errs = append(errs, f.putQuota(ctx, c.Rate, c.Burst))
+					errs = append(errs, f.putPolicy(ctx, c.Rate, c.Burst))
 				}
 			}
 		}
@@ -77,15 +79,15 @@
 	return done
 }
 
-// newKeeper lays a controller's links to the registry and to each node, and writes its file. To nodes it is
-// one more peer.
-func (f *fleet) newKeeper(i int) (*conductor, error) {
+// newQuotaController creates a controller's links to the registry and to each node, and writes its
+// configuration. For the nodes, the controller is an additional peer.
+func (f *fleet) newQuotaController(i int) (*controller, error) {
 	name := fmt.Sprint("k", i)
-	dir, err := filepath.Abs(filepath.Join(f.o.Dir, name))
+	dir, err := filepath.Abs(filepath.Join(f.options.Dir, name))
 	if err != nil {
 		return nil, err
 	}
-	doors, err := f.service.set.Connect(name)
+	registryAddresses, err := f.service.set.Connect(name)
 	if err != nil {
 		return nil, err
 	}
@@ -97,23 +99,23 @@
 	if err != nil {
 		return nil, err
 	}
-	f.atEnd(free)
-	peers, err := f.pairKeeper(name, listen)
+	f.onClose(free)
+	peers, err := f.linkQuotaController(name, listen)
 	if err != nil {
 		return nil, err
 	}
 	text, err := toml.Marshal(
 		map[string]any{
 			"process": name,
-			"list":    doors,
+			"list":    registryAddresses,
 			"listen":  report,
 			"repair":  false,
 			"every":   "1s",
 			"shares": map[string]any{
 				"fleet":  fleetName,
 				"listen": listen.String(),
-				"join":   peers[:len(f.names)],
-				"number": len(f.names) + i,
+				"join":   peers[:len(f.nodeNames)],
+				"number": len(f.nodeNames) + i,
 				"peers":  peers,
 			},
 		},
@@ -128,21 +130,21 @@
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return &conductor{
+	return &controller{
 		name: name,
 		spec: process.Spec{
 			Name:    name,
-			Command: append(append([]string(nil), f.o.Keeper...), "--config", file),
+			Command: append(append([]string(nil), f.options.Keeper...), "--config", file),
 			Dir:     dir,
-			Env:     append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.o.Env...),
+			Env:     append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.options.Env...),
 		},
 	}, nil
 }
 
-// pairKeeper lays the links between a controller and the nodes, and gives where the controller finds the
-// peers that there are so far.
-func (f *fleet) pairKeeper(name string, listen netip.AddrPort) (peers []string, err error) {
-	for _, n := range f.names {
+// linkQuotaController creates the links between a controller and the nodes. It returns the addresses of the
+// controller's peers: the nodes, then the controllers up to and including this one.
+func (f *fleet) linkQuotaController(name string, listen netip.AddrPort) (peers []string, err error) {
+	for _, n := range f.nodeNames {
 		toSeen, fromSeen, err := f.net.Pair(link.Ends{From: n, To: name}, f.nodes[n].peerListen, listen)
 		if err != nil {
 			return nil, err
@@ -150,7 +152,7 @@
 		f.nodes[n].peers = append(f.nodes[n].peers, toSeen.String())
 		peers = append(peers, fromSeen.String())
 	}
-	f.holders = append(f.holders, listen.String())
-	f.layNet()
-	return append(peers, f.holders...), nil
+	f.quotaControllerAddresses = append(f.quotaControllerAddresses, listen.String())
+	f.applyNetworkDelays()
+	return append(peers, f.quotaControllerAddresses...), nil
 }
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -19,18 +19,18 @@
 	"wrenspread/internal/release"
 )
 
-// releasing is a release that real controllers carry out under the load.
-type releasing struct {
-	f      *fleet
-	client *client.Client
-	agents *agents
-	all    []*conductor
-	err    error
-	done   sync.WaitGroup
+// releaseRun is a release that real controllers carry out during the load.
+type releaseRun struct {
+	fleet       *fleet
+	client      *client.Client
+	agents      *agents
+	controllers []*controller
+	startErr    error
+	done        sync.WaitGroup
 }
 
-// controller is one process that may conduct, through all its processes.
-type conductor struct {
+// controller is one controller, of a release or of the quota, over all of its process incarnations.
+type controller struct {
 	name string
 	spec process.Spec
 	mu   sync.Mutex
@@ -38,20 +38,20 @@
 }
 
 const (
-	releaseName  = "r"
-	oldVersion   = "v1"
-	newVersion   = "v2"
-	conductTTL   = "2s"
-	conductEvery = 250 * time.Millisecond
+	releaseName        = "r"
+	oldVersion         = "v1"
+	newVersion         = "v2"
+	controllerTTL      = "2s"
+	controllerInterval = 250 * time.Millisecond
 )
 
-// startRelease starts the controllers, and puts the release on record at its time.
+// startRelease starts the controllers, and puts the release into the registry at its time.
 func (f *fleet) startRelease(ctx context.Context) error {
-	r := f.e.Release
+	r := f.experiment.Release
 	if r == nil {
 		return nil
 	}
-	f.release = &releasing{f: f}
+	f.release = &releaseRun{fleet: f}
 	bad := map[string]backend.Trouble{}
 	if r.Slower > 1 || r.Fails > 0 {
 		bad[newVersion] = backend.Trouble{Slower: r.Slower, Fails: r.Fails}
@@ -61,37 +61,38 @@
 		return err
 	}
 	for i := range r.Conductors {
-		c, err := f.newConductor(fmt.Sprint("c", i))
+		c, err := f.newReleaseController(fmt.Sprint("c", i))
 		if err != nil {
 			return err
 		}
-		f.release.all = append(f.release.all, c)
+		f.release.controllers = append(f.release.controllers, c)
 		if err := c.start(f.group); err != nil {
 			return err
 		}
 	}
-	f.release.client = f.service.boxes.client
+	f.release.client = f.service.registrar.client
 	f.release.done.Go(func() {
 		if f.sleepUntil(ctx, time.Duration(r.At)) {
-			f.release.err = f.release.put(ctx)
+			f.release.startErr = f.release.startRelease(ctx)
 		}
 	})
 	return nil
 }
 
-func (f *fleet) newConductor(name string) (*conductor, error) {
-	dir, err := filepath.Abs(filepath.Join(f.o.Dir, name))
+// newReleaseController writes the configuration of a controller of the release. It starts no process.
+func (f *fleet) newReleaseController(name string) (*controller, error) {
+	dir, err := filepath.Abs(filepath.Join(f.options.Dir, name))
 	if err != nil {
 		return nil, err
 	}
-	doors, err := f.service.set.Connect(name)
+	registryAddresses, err := f.service.set.Connect(name)
 	if err != nil {
 		return nil, err
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "process = %q\nevery = %q\ngrace = \"1s\"\n", name, conductEvery)
-	for _, n := range f.names {
-		fmt.Fprintf(&text, "[[node]]\nname = %q\ncontrol = %q\n", n, f.nodes[n].control)
+	fmt.Fprintf(&text, "process = %q\nevery = %q\ngrace = \"1s\"\n", name, controllerInterval)
+	for _, n := range f.nodeNames {
+		fmt.Fprintf(&text, "[[node]]\nname = %q\ncontrol = %q\n", n, f.nodes[n].controlAddress)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
@@ -105,20 +106,21 @@
 		"conduct",
 		releaseName,
 		"--list",
-		strings.Join(doors, ","),
+		strings.Join(registryAddresses, ","),
 		"--config",
 		file,
 		"--ttl",
-		conductTTL,
+		controllerTTL,
 	}
-	return &conductor{
+	return &controller{
 		name: name,
-		spec: process.Spec{Name: name, Command: append(append([]string(nil), f.o.Ctl...), args...), Dir: dir,
-			Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.o.Env...), MayEnd: true},
+		spec: process.Spec{Name: name, Command: append(append([]string(nil), f.options.Ctl...), args...), Dir: dir,
+			Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.options.Env...), MayEnd: true},
 	}, nil
 }
 
-func (c *conductor) start(g *process.Group) error {
+// start starts a process of the controller.
+func (c *controller) start(g *process.Group) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, err := g.Start(c.spec)
@@ -128,27 +130,27 @@
 	return err
 }
 
-// suffer does to a controller what a step orders.
-func (c *conductor) suffer(ctx context.Context, f *fleet, do string, last time.Duration) error {
+// injectFault kills, pauses or restarts a controller. A controller that has ended is started again.
+func (c *controller) injectFault(ctx context.Context, f *fleet, do string, last time.Duration) error {
 	c.mu.Lock()
 	p := c.proc
 	c.mu.Unlock()
-	if again, err := p.Suffer(ctx, do, last, endTime); err != nil || !again {
+	if again, err := p.Suffer(ctx, do, last, shutdownTimeout); err != nil || !again {
 		return err
 	}
 	return c.start(f.group)
 }
 
-// put puts the release on record.
-func (r *releasing) put(ctx context.Context) error {
-	e := r.f.e.Release
+// startRelease puts the release of the experiment into the registry.
+func (r *releaseRun) startRelease(ctx context.Context) error {
+	e := r.fleet.experiment.Release
 	p := release.Default()
 	p.Name, p.From, p.To, p.Limits, p.Soak, p.Halt = releaseName, oldVersion, newVersion, release.Limits{
 		Total: e.Out,
 	}, time.Duration(
 		e.Soak,
 	), e.Halt
-	// what a version does wrong has to show beside the rest
+	// The gate has to detect a bad version by comparison with the backends that don't run it.
 	p.Gate.MinRequests, p.Gate.IncidentThreshold = e.Least, 0.5
 	if p.Waves = nil; e.Gateless {
 		p.Gate = release.Gate{MaxFailedExcess: 1, MaxLateExcess: 1, IncidentThreshold: 1}
@@ -162,7 +164,7 @@
 		Ready:   10 * time.Second,
 		Judge:   10 * time.Second,
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	a, err := r.client.CurrentList(ctx)
 	if err != nil {
@@ -175,25 +177,26 @@
 	return release.Start(ctx, r.client, s)
 }
 
-// verdicts says where the release came to.
-func (r *releasing) verdicts() []check.Verdict {
-	e := r.f.e.Release
+// verdicts checks that the release ended in the expected phase, that never more backends were unavailable
+// than allowed, and that all backends run the version of this phase.
+func (r *releaseRun) verdicts() []check.Verdict {
+	e := r.fleet.experiment.Release
 	v := check.Verdict{
 		Name: "release",
 		Rule: "the release comes to be " + e.End + ", with no more out than it may",
-		Seen: len(r.agents.boxes),
+		Seen: len(r.agents.backends),
 	}
 	fail := func(format string, args ...any) {
 		v.Broken = append(v.Broken, check.Finding{Text: fmt.Sprintf(format, args...)})
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), readyTime)
+	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	s, err := r.last(ctx)
+	s, err := r.finalState(ctx)
 	if err != nil {
 		fail("%v", err)
 		return []check.Verdict{v}
 	}
-	by, out := r.agents.versions()
+	by, out := r.agents.servingByVersion()
 	v.Rule += fmt.Sprintf(" (%v; %d out at the most, wave %d of %d)", by, out, s.Wave+1, len(s.Plan.Waves))
 	if s.Phase != release.Phase(e.End) {
 		fail("it is %s: %s", s.Phase, s.HaltReason)
@@ -202,16 +205,16 @@
 		fail("%d boxes were out at once, %d may be", out, e.Out)
 	}
 	want := map[release.Phase]string{release.Finished: newVersion, release.RolledBack: oldVersion}[s.Phase]
-	if want != "" && by[want] != len(r.agents.boxes) {
-		fail("%d of %d boxes serve in %s", by[want], len(r.agents.boxes), want)
+	if want != "" && by[want] != len(r.agents.backends) {
+		fail("%d of %d boxes serve in %s", by[want], len(r.agents.backends), want)
 	}
 	return []check.Verdict{v}
 }
 
-// last is the record as the run's end found it.
-func (r *releasing) last(ctx context.Context) (*release.State, error) {
-	if r.err != nil {
-		return nil, r.err
+// finalState reads the release from the registry.
+func (r *releaseRun) finalState(ctx context.Context) (*release.State, error) {
+	if r.startErr != nil {
+		return nil, r.startErr
 	}
 	s, err := release.Read(ctx, r.client, releaseName)
 	var refused *client.Error
@@ -221,30 +224,31 @@
 	return s, err
 }
 
-// end waits a little for the release to come to its end, and ends the controllers.
-func (r *releasing) end(ctx context.Context) error {
+// finish waits up to readyTimeout for the release to reach the expected phase, checks it, and ends the
+// controllers.
+func (r *releaseRun) finish(ctx context.Context) error {
 	r.done.Wait()
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		if s, err := r.last(
+		if s, err := r.finalState(
 			ctx,
-		); err != nil || string(s.Phase) == r.f.e.Release.End && len(s.Actions()) == 0 ||
+		); err != nil || string(s.Phase) == r.fleet.experiment.Release.End && len(s.Actions()) == 0 ||
 			!backoff.Sleep(ctx, 100*time.Millisecond) {
 			break
 		}
 	}
-	r.f.releaseVerdicts = r.verdicts()
-	return endAll(r.all)
+	r.fleet.releaseVerdicts = r.verdicts()
+	return terminateAll(r.controllers)
 }
 
-// endAll ends controllers and keepers ahead of the registry, to which they give their leases back.
-func endAll(all []*conductor) error {
+// terminateAll ends controllers. The registry has to be still running, as controllers release their leases.
+func terminateAll(all []*controller) error {
 	var errs []error
 	for _, c := range all {
 		c.mu.Lock()
 		if c.proc.Running() {
-			errs = append(errs, c.proc.Term(endTime))
+			errs = append(errs, c.proc.Term(shutdownTimeout))
 		}
 		c.mu.Unlock()
 	}
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The run itself, from the first process to the end of the last.
+// The phases of a run, from the start of the first process to the end of the last.
 
 import (
 	"context"
@@ -14,13 +14,14 @@
 	"wrenspread/internal/lab/history"
 )
 
+// startNodes starts the nodes that are present from the beginning, all at the same time.
 func (f *fleet) startNodes(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	errs := make(chan error, len(f.names))
-	present := f.present()
+	errs := make(chan error, len(f.nodeNames))
+	present := f.presentNodes()
 	for _, name := range present {
-		go func() { errs <- f.nodes[name].begin(ctx) }()
+		go func() { errs <- f.nodes[name].start(ctx) }()
 	}
 	var all []error
 	for range present {
@@ -29,18 +30,21 @@
 	return errors.Join(all...)
 }
 
-// present are the nodes that are there from the beginning. The others' addresses refuse until they join.
-func (f *fleet) present() []string {
-	absent, _ := f.e.Parties(f.e.Fleet.Absent) // checked when the file was read
-	return slices.DeleteFunc(slices.Clone(f.names), func(name string) bool {
+// presentNodes returns the nodes that run from the beginning. The addresses of the other nodes refuse
+// connections until these nodes join.
+func (f *fleet) presentNodes() []string {
+	absent, _ := f.experiment.Parties(f.experiment.Fleet.Absent) // the error was checked by the parser
+	return slices.DeleteFunc(slices.Clone(f.nodeNames), func(name string) bool {
 		if !slices.Contains(absent, name) {
 			return false
 		}
-		f.nodes[name].refuse()
+		f.nodes[name].refuseConnections()
 		return true
 	})
 }
 
+// run sends the load while the schedule of faults is carried out, waits for both, and ends controllers and
+// workers.
 func (f *fleet) run(ctx context.Context) error {
 	bg, stop := context.WithCancel(ctx)
 	defer stop()
@@ -49,26 +53,26 @@
 	defer stop()
 	late := NewLateness(f.log)
 	tasks.Go(func() { late.Watch(bg) })
-	tasks.Go(func() { f.sample(bg) })
+	tasks.Go(func() { f.sampleProcesses(bg) })
 	tasks.Go(func() { f.front.Watch(bg) })
-	if f.e.Fleet.View {
-		for _, name := range f.names {
+	if f.experiment.Fleet.View {
+		for _, name := range f.nodeNames {
 			tasks.Go(func() { f.nodes[name].watchView(bg) })
 		}
 	}
-	if err := f.admitted(ctx); err != nil {
+	if err := f.awaitAdmission(ctx); err != nil {
 		return err
 	}
-	clients := client.New(f.log, f.front, f.book, f.o.Seed)
-	clients.Late, clients.Disturbed = late.Add, f.disturbed.is
-	f.start = f.log.Now() + 200*time.Millisecond
+	clients := client.New(f.log, f.front, f.book, f.options.Seed)
+	clients.Late, clients.Disturbed = late.Add, f.disturbed.includes
+	f.loadStart = f.log.Now() + 200*time.Millisecond
 	if err := f.startRelease(ctx); err != nil {
 		return err
 	}
 	steps := make(chan error, 1)
-	go func() { steps <- f.carryOut(ctx) }()
-	changed := f.changeQuota(ctx)
-	clients.Run(ctx, f.start, f.ops)
+	go func() { steps <- f.runSchedule(ctx) }()
+	changed := f.scheduleQuotaChanges(ctx)
+	clients.Run(ctx, f.loadStart, f.operations)
 	if err := <-changed; err != nil {
 		return err
 	}
@@ -76,29 +80,29 @@
 		return err
 	}
 	if f.service != nil {
-		if err := f.service.await(ctx); err != nil {
+		if err := f.service.awaitFollowers(ctx); err != nil {
 			return err
 		}
 	}
 	f.log.Add(history.Event{Kind: history.Ending})
-	if err := endAll(f.keepers); err != nil || f.service == nil {
+	if err := terminateAll(f.quotaControllers); err != nil || f.service == nil {
 		return err
 	}
 	if f.release != nil {
-		if err := f.release.end(ctx); err != nil {
+		if err := f.release.finish(ctx); err != nil {
 			return err
 		}
 	}
 	if f.service.workers == nil {
 		return nil
 	}
-	return f.service.workers.Terminate(endTime)
+	return f.service.workers.Terminate(shutdownTimeout)
 }
 
-// admitted waits until the front lets clients to all nodes.
-func (f *fleet) admitted(ctx context.Context) error {
-	limit := time.After(readyTime)
-	want := len(f.present())
+// awaitAdmission waits until the front admits clients to all present nodes.
+func (f *fleet) awaitAdmission(ctx context.Context) error {
+	limit := time.After(readyTimeout)
+	want := len(f.presentNodes())
 	for f.front.Admitted() < want {
 		select {
 		case <-time.After(10 * time.Millisecond):
@@ -111,8 +115,9 @@
 	return nil
 }
 
-func (f *fleet) sample(ctx context.Context) {
-	t := time.NewTicker(sampleEvery)
+// sampleProcesses samples the resource use of all processes until ctx ends.
+func (f *fleet) sampleProcesses(ctx context.Context) {
+	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
 	for {
 		f.group.Sample()
@@ -124,21 +129,21 @@
 	}
 }
 
-// atEnd has something ended with the run.
-func (f *fleet) atEnd(end func()) {
-	f.closing.Lock()
-	defer f.closing.Unlock()
-	f.closes = append(f.closes, end)
+// onClose registers a function that is called when the run is closed.
+func (f *fleet) onClose(end func()) {
+	f.closersMu.Lock()
+	defer f.closersMu.Unlock()
+	f.closers = append(f.closers, end)
 }
 
-// close ends everything: the processes, then what was made last first.
+// close ends all processes, and then calls the registered functions in reverse order.
 func (f *fleet) close() {
 	if f.group != nil {
-		f.group.Close(endTime)
+		f.group.Close(shutdownTimeout)
 	}
-	f.closing.Lock()
-	defer f.closing.Unlock()
-	for _, c := range slices.Backward(f.closes) {
+	f.closersMu.Lock()
+	defer f.closersMu.Unlock()
+	for _, c := range slices.Backward(f.closers) {
 		c()
 	}
 }
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -18,37 +18,38 @@
 	"wrenspread/internal/registry/client"
 )
 
-// service is the project's own registry in place of the lab's discovery. The
-// backends' entries are registered, renewed and drained by a registrar; the agent
-// on each node's machine follows the service and answers its node.
+// service is the project's own registry, used instead of the lab's discovery. A registrar registers, renews
+// and drains the backends' entries. The agent on each node's machine follows the registry and answers its
+// node.
 type service struct {
-	f     *fleet
-	set   *replicas.Set
-	boxes *registrar
-	doors map[string]string // to backends, of all nodes; nil: each has its own
-	tasks sync.WaitGroup
-	ctx   context.Context
-	crowd *crowd // nil: none
+	fleet            *fleet
+	set              *replicas.Set
+	registrar        *registrar
+	backendAddresses map[string]string // common links of all nodes to backends; nil: each node has its own
+	tasks            sync.WaitGroup
+	ctx              context.Context
+	followers        *followers // nil means that the experiment has no followers
 
-	workers *leases.WorkerPool // nil: none
+	workers *leases.WorkerPool // nil means that the experiment has no leases
 }
 
 const (
-	boxTTL     = 5 * time.Second
-	renewEvery = time.Second
-	writeTime  = time.Minute // for one write of the registrar, over the service's failures
-	registrars = "registrar" // the party that writes for the backends
-	agentHold  = 2 * time.Second
+	backendTTL     = 5 * time.Second
+	renewInterval  = time.Second
+	writeTimeout   = time.Minute // for one write of the registrar, including retries during failures
+	registrarParty = "registrar" // the party of the registrar's links
+	agentHoldTime  = 2 * time.Second
 )
 
+// newService creates the replicas and the registrar. It starts no process.
 func (f *fleet) newService() (*service, error) {
 	set, err := replicas.New(
 		replicas.Options{
-			Count:   f.e.List.Replicas,
-			Dir:     filepath.Join(f.o.Dir, "list"),
-			Command: f.o.List,
-			Env:     f.o.Env,
-			Seed:    f.o.Seed,
+			Count:   f.experiment.List.Replicas,
+			Dir:     filepath.Join(f.options.Dir, "list"),
+			Command: f.options.List,
+			Env:     f.options.Env,
+			Seed:    f.options.Seed,
 		},
 		f.net,
 		f.group,
@@ -56,48 +57,49 @@
 	if err != nil {
 		return nil, err
 	}
-	f.atEnd(set.ReleasePorts)
-	s := &service{f: f, set: set}
+	f.onClose(set.ReleasePorts)
+	s := &service{fleet: f, set: set}
 	var cancel context.CancelFunc
 	s.ctx, cancel = context.WithCancel(context.Background())
-	f.atEnd(func() { cancel(); s.tasks.Wait() })
-	doors, err := set.Connect(registrars)
+	f.onClose(func() { cancel(); s.tasks.Wait() })
+	addresses, err := set.Connect(registrarParty)
 	if err != nil {
 		return nil, err
 	}
-	k, err := client.New(client.Config{Addresses: doors})
+	k, err := client.New(client.Config{Addresses: addresses})
 	if err != nil {
 		return nil, err
 	}
-	s.boxes = &registrar{client: k, up: map[string]registry.Endpoint{}, wake: make(chan struct{}, 1)}
+	s.registrar = &registrar{client: k, renewed: map[string]registry.Endpoint{}, wake: make(chan struct{}, 1)}
 	return s, nil
 }
 
-// begin starts the replicas and has all backends registered before nodes look.
-func (s *service) begin(ctx context.Context) error {
+// start starts the replicas and registers all backends before the nodes start. It also starts the workers and
+// followers of the experiment.
+func (s *service) start(ctx context.Context) error {
 	if err := s.set.Begin(ctx); err != nil {
 		return err
 	}
-	if s.f.e.List.Direct {
-		if err := s.commonDoors(); err != nil {
+	if s.fleet.experiment.List.Direct {
+		if err := s.linkBackends(); err != nil {
 			return err
 		}
 	}
-	for _, m := range s.f.w.Machines {
-		s.boxes.ready(s.f.entry(m.Name, registry.Ready, ""))
+	for _, m := range s.fleet.world.Machines {
+		s.registrar.register(s.fleet.entry(m.Name, registry.Ready, ""))
 	}
-	if !s.boxes.work(ctx) {
+	if !s.registrar.processQueue(ctx) {
 		return fmt.Errorf("the boxes can't be registered: %w", ctx.Err())
 	}
-	s.tasks.Go(func() { s.boxes.run(s.ctx) })
+	s.tasks.Go(func() { s.registrar.run(s.ctx) })
 	if err := s.startWorkers(ctx); err != nil {
 		return err
 	}
-	if err := s.startFollowers(); err != nil || s.f.e.List.Direct {
+	if err := s.startFollowers(); err != nil || s.fleet.experiment.List.Direct {
 		return err
 	}
-	for _, name := range s.f.names { // so that nodes begin with the complete list
-		for len(s.f.nodes[name].agent.List(0, s.f.log.Now()).Endpoints) < len(s.f.w.Machines) {
+	for _, name := range s.fleet.nodeNames { // nodes start with the complete list
+		for len(s.fleet.nodes[name].agent.List(0, s.fleet.log.Now()).Endpoints) < len(s.fleet.world.Machines) {
 			if !backoff.Sleep(ctx, 5*time.Millisecond) {
 				return fmt.Errorf("the agent of %s has no list: %w", name, ctx.Err())
 			}
@@ -106,24 +108,25 @@
 	return nil
 }
 
-// commonDoors lays one link to each backend that all nodes find in the list: without
-// agents there is nobody to tell each node its own.
-func (s *service) commonDoors() error {
-	s.doors = map[string]string{}
-	for _, m := range s.f.w.Machines {
-		door, err := s.f.net.Connect(link.Ends{From: "nodes", To: m.Name}, s.f.host.Box(m.Name).Address)
+// linkBackends creates one link to each backend that all nodes use. Without agents, all nodes read the same
+// addresses from the registry, so a node can't have links of its own.
+func (s *service) linkBackends() error {
+	s.backendAddresses = map[string]string{}
+	for _, m := range s.fleet.world.Machines {
+		address, err := s.fleet.net.Connect(link.Ends{From: "nodes", To: m.Name}, s.fleet.host.Box(m.Name).Address)
 		if err != nil {
 			return err
 		}
-		s.doors[m.Name] = door
+		s.backendAddresses[m.Name] = address
 	}
-	s.f.layNet()
+	s.fleet.applyNetworkDelays()
 	return nil
 }
 
-// startWorkers starts those that hold leases, and waits until all leases are held.
+// startWorkers starts the workers that hold leases, if the experiment has any, and waits until each lease
+// has a holder.
 func (s *service) startWorkers(ctx context.Context) error {
-	d := s.f.e.Duties
+	d := s.fleet.experiment.Duties
 	if d.Workers == 0 {
 		return nil
 	}
@@ -139,28 +142,29 @@
 			Guarded: d.Guard,
 			Spread:  d.Spread,
 			Dir: filepath.Join(
-				s.f.o.Dir,
+				s.fleet.options.Dir,
 				"workers",
 			),
 			Command: []string{own, "duty-worker"},
-			Env:     s.f.o.Env,
+			Env:     s.fleet.options.Env,
 		},
 		s.set,
-		s.f.net,
-		s.f.group,
+		s.fleet.net,
+		s.fleet.group,
 	)
 	if err != nil {
 		return err
 	}
-	s.f.atEnd(s.workers.Close)
+	s.fleet.onClose(s.workers.Close)
 	if err := s.workers.Start(); err != nil {
 		return err
 	}
 	return s.workers.AwaitWrites(ctx, leases.Now())
 }
 
-// dutyVerdicts says what the workers' resource saw, and how long a lease had no holder.
-func (s *service) dutyVerdicts(bound time.Duration) []check.Verdict {
+// leaseVerdicts returns the verdict on the acts that the workers' resource accepted and, if there is a
+// bound, on the longest time that a lease had no holder.
+func (s *service) leaseVerdicts(bound time.Duration) []check.Verdict {
 	acts, _ := s.workers.Resource.Acts()
 	v := check.Verdict{
 		Name: "duties",
@@ -201,56 +205,57 @@
 	return []check.Verdict{v, in}
 }
 
-// change carries out what happens to a backend. One that dies says nothing.
-func (s *service) change(box, status, since string, silent bool) {
+// changeBackend changes a backend's entry. A backend that ends silently sends no request, so its entry
+// expires.
+func (s *service) changeBackend(backend, status, since string, silent bool) {
 	switch {
 	case status == registry.Ready:
-		s.boxes.ready(s.f.entry(box, status, since))
+		s.registrar.register(s.fleet.entry(backend, status, since))
 	case status == registry.Draining:
-		s.boxes.drain(box)
+		s.registrar.drain(backend)
 	case silent:
-		s.boxes.lose(box)
+		s.registrar.forget(backend)
 	default:
-		s.boxes.remove(box)
+		s.registrar.remove(backend)
 	}
 }
 
-// agent makes the agent of a node, which hears of changes from the service.
-func (s *service) agent(node string, address func(string) string) (*discovery.Agent, error) {
-	doors, err := s.set.Connect(node)
+// newAgent creates the agent of a node, which follows the registry.
+func (s *service) newAgent(node string, address func(string) string) (*discovery.Agent, error) {
+	addresses, err := s.set.Connect(node)
 	if err != nil {
 		return nil, err
 	}
-	k, err := client.New(client.Config{Addresses: doors, Hold: agentHold})
+	k, err := client.New(client.Config{Addresses: addresses, Hold: agentHoldTime})
 	if err != nil {
 		return nil, err
 	}
 	reg := &discovery.Registry{}
 	atOnce := func(bool) time.Duration { return 0 }
 	s.tasks.Go(func() { k.Follow(s.ctx); k.Close() })
-	s.tasks.Go(func() { s.feed(k, reg) })
-	return reg.Agent(node, s.f.log.Now, atOnce, address), nil
+	s.tasks.Go(func() { s.feedAgent(k, reg) })
+	return reg.Agent(node, s.fleet.log.Now, atOnce, address), nil
 }
 
-// feed tells an agent's registry what its client believes.
-func (s *service) feed(k *client.Client, reg *discovery.Registry) {
-	held := map[string]registry.Endpoint{}
+// feedAgent copies the list of a registry client to the registry of an agent until the run ends.
+func (s *service) feedAgent(k *client.Client, reg *discovery.Registry) {
+	known := map[string]registry.Endpoint{}
 	for s.ctx.Err() == nil {
 		changed := k.Changed()
 		v, _ := k.List()
-		there := map[string]bool{}
+		listed := map[string]bool{}
 		for _, e := range v.Endpoints {
-			there[e.Name] = true
-			if held[e.Name] != e {
-				held[e.Name] = e
-				reg.Set(s.f.log.Now(), e, false)
+			listed[e.Name] = true
+			if known[e.Name] != e {
+				known[e.Name] = e
+				reg.Set(s.fleet.log.Now(), e, false)
 			}
 		}
-		for name, e := range held {
-			if !there[name] {
-				delete(held, name)
+		for name, e := range known {
+			if !listed[name] {
+				delete(known, name)
 				e.Status = registry.Removed
-				reg.Set(s.f.log.Now(), e, false)
+				reg.Set(s.fleet.log.Now(), e, false)
 			}
 		}
 		select {
@@ -260,17 +265,18 @@
 	}
 }
 
-// registrar keeps the backends' entries: what it is told goes out in that order,
-// however long the service is away.
+// registrar writes the backends' entries to the registry, in the order in which the writes are queued, also
+// after the registry was unavailable, and renews the entries.
 type registrar struct {
-	client *client.Client
-	mu     sync.Mutex
-	up     map[string]registry.Endpoint // renewed
-	queue  []func(context.Context) error
-	wake   chan struct{}
+	client  *client.Client
+	mu      sync.Mutex
+	renewed map[string]registry.Endpoint // entries to renew, by name
+	queue   []func(context.Context) error
+	wake    chan struct{}
 }
 
-func (r *registrar) add(change func(), do func(context.Context) error) {
+// enqueue applies a change to the entries to renew and queues the write, in one step.
+func (r *registrar) enqueue(change func(), do func(context.Context) error) {
 	r.mu.Lock()
 	change()
 	r.queue = append(r.queue, do)
@@ -281,18 +287,18 @@
 	}
 }
 
-func (r *registrar) ready(e registry.Endpoint) {
-	r.add(func() { r.up[e.Name] = e }, func(ctx context.Context) error {
-		_, err := r.client.Register(ctx, e, boxTTL, nil)
+func (r *registrar) register(e registry.Endpoint) {
+	r.enqueue(func() { r.renewed[e.Name] = e }, func(ctx context.Context) error {
+		_, err := r.client.Register(ctx, e, backendTTL, nil)
 		return err
 	})
 }
 
 func (r *registrar) drain(name string) {
-	r.add(func() {
-		e := r.up[name]
+	r.enqueue(func() {
+		e := r.renewed[name]
 		e.Status = registry.Draining
-		r.up[name] = e
+		r.renewed[name] = e
 	}, func(ctx context.Context) error {
 		_, err := r.client.Drain(ctx, name, nil)
 		return err
@@ -300,27 +306,28 @@
 }
 
 func (r *registrar) remove(name string) {
-	r.add(func() { delete(r.up, name) }, func(ctx context.Context) error {
+	r.enqueue(func() { delete(r.renewed, name) }, func(ctx context.Context) error {
 		_, err := r.client.Remove(ctx, name, nil)
 		return err
 	})
 }
 
-// lose is a backend that says nothing any more: its entry is left to expire.
-func (r *registrar) lose(name string) {
+// forget stops the renewal of an entry, which then expires, as that of a backend that ended silently.
+func (r *registrar) forget(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.up, name)
+	delete(r.renewed, name)
 }
 
+// run processes queued writes and renews the entries until ctx ends.
 func (r *registrar) run(ctx context.Context) {
 	defer r.client.Close()
-	t := time.NewTicker(renewEvery)
+	t := time.NewTicker(renewInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-r.wake:
-			r.work(ctx)
+			r.processQueue(ctx)
 		case <-t.C:
 			r.renew(ctx)
 		case <-ctx.Done():
@@ -329,9 +336,9 @@
 	}
 }
 
-// work carries out what is queued; it returns false where ctx ended first. A refusal that is final, such as
-// the drain of an entry that has gone, ends a write too.
-func (r *registrar) work(ctx context.Context) bool {
+// processQueue carries out the queued writes; it returns false if ctx ended first. A write is also done if
+// it is finally refused, such as the drain of an entry that was removed.
+func (r *registrar) processQueue(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		if len(r.queue) == 0 {
@@ -341,35 +348,36 @@
 		do := r.queue[0]
 		r.queue = r.queue[1:]
 		r.mu.Unlock()
-		one, cancel := context.WithTimeout(ctx, writeTime)
-		_ = do(one) // what it came to is in the history
+		one, cancel := context.WithTimeout(ctx, writeTimeout)
+		_ = do(one) // the history shows the result
 		cancel()
 	}
 	return false
 }
 
+// renew renews all entries, and registers those again that the registry doesn't know.
 func (r *registrar) renew(ctx context.Context) {
 	r.mu.Lock()
 	var names []string
-	for n := range r.up {
+	for n := range r.renewed {
 		names = append(names, n)
 	}
 	r.mu.Unlock()
 	if len(names) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, renewEvery)
+	ctx, cancel := context.WithTimeout(ctx, renewInterval)
 	defer cancel()
 	unknown, err := r.client.Renew(ctx, names)
 	if err != nil {
-		return // again at the next tick
+		return // the next tick retries
 	}
 	for _, n := range unknown {
 		r.mu.Lock()
-		e, ok := r.up[n]
+		e, ok := r.renewed[n]
 		r.mu.Unlock()
 		if ok {
-			r.ready(e)
+			r.register(e)
 		}
 	}
 }
--- a/internal/lab/fleet/standin_test.go
+++ b/internal/lab/fleet/standin_test.go
@@ -30,8 +30,8 @@
 	os.Exit(m.Run())
 }
 
-// standIn is a plain node that keeps the rules in calm weather, but for the one
-// that its mode breaks. It has the list of its start.
+// standIn is a simple node that follows all rules as long as nothing fails, apart from the rule that its mode
+// breaks. It uses the list of its configuration and ignores later changes.
 func standIn(mode string) {
 	var config struct {
 		Listen, Control, Discovery string
@@ -44,13 +44,15 @@
 	if err != nil {
 		panic(err)
 	}
-	n := &simple{mode: mode, boxes: config.Known.Endpoints}
+	n := &standInNode{mode: mode, endpoints: config.Known.Endpoints}
 	if mode == "push" {
-		n.boxes = slices.DeleteFunc(n.boxes, func(e discovery.Entry) bool { return e.Name != "s1" })
+		n.endpoints = slices.DeleteFunc(n.endpoints, func(e discovery.Entry) bool { return e.Name != "s1" })
 	}
-	go func() { // told of changes, and heeds none
+	go func() { // requests changes and ignores them
 		for index := config.Known.Index; ; {
-			resp, err := http.Get("http://" + config.Discovery + "/registry/instances?hold_ms=500&from=" + strconv.FormatUint(index, 10))
+			resp, err := http.Get(
+				"http://" + config.Discovery + "/registry/instances?hold_ms=500&from=" + strconv.FormatUint(index, 10),
+			)
 			if err != nil {
 				continue
 			}
@@ -77,20 +79,21 @@
 	}
 }
 
-type simple struct {
-	mode  string
-	boxes []discovery.Entry
-	count atomic.Int64
-	hoard [][]byte
-	mu    sync.Mutex
+type standInNode struct {
+	mode      string
+	endpoints []discovery.Entry
+	count     atomic.Int64
+	leaked    [][]byte
+	mu        sync.Mutex
 }
 
-func (n *simple) serve(w http.ResponseWriter, r *http.Request) {
+// serve forwards a request to a random backend, apart from the fault of the mode.
+func (n *standInNode) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	nth := n.count.Add(1)
 	if n.mode == "grow" {
 		n.mu.Lock()
-		n.hoard = append(n.hoard, bytes.Repeat([]byte{1}, 4<<20))
+		n.leaked = append(n.leaked, bytes.Repeat([]byte{1}, 4<<20))
 		n.mu.Unlock()
 	}
 	switch {
@@ -101,12 +104,12 @@
 		besteffort.Output(io.WriteString(w, "another s0"))
 		return
 	case n.mode == "lose" && nth%10 == 0:
-		n.send(r, body) // begun, and then nobody is told
+		n.send(r, body) // the request is carried out, but the client gets no response
 		panic(http.ErrAbortHandler)
 	case n.mode == "stray" && nth%10 == 0:
 		r.Header.Set("X-Request-Id", "nobody's")
 	case n.mode == "repeat":
-		n.send(r, body) // what it answers is nothing to us
+		n.send(r, body) // the response is ignored
 	case n.mode == "both":
 		done := make(chan bool)
 		go func() {
@@ -120,11 +123,16 @@
 	besteffort.Output(w.Write(answer))
 }
 
-func (n *simple) send(r *http.Request, body []byte) (int, []byte) {
+func (n *standInNode) send(r *http.Request, body []byte) (int, []byte) {
 	wait, _ := time.ParseDuration(r.Header.Get("X-Deadline") + "s")
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, r.Method, "http://"+n.boxes[rand.IntN(len(n.boxes))].Address+r.URL.Path, bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(
+		ctx,
+		r.Method,
+		"http://"+n.endpoints[rand.IntN(len(n.endpoints))].Address+r.URL.Path,
+		bytes.NewReader(body),
+	)
 	req.Header = r.Header.Clone()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -13,10 +13,10 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// carryOut plays the schedule, each step in its own time. A step that can't be
-// carried out is an error of the lab and not a verdict on the program.
-func (f *fleet) carryOut(ctx context.Context) error {
-	steps := f.e.Schedule(f.o.Seed)
+// runSchedule carries out the schedule, each step at its time. A step that can't be carried out is an error
+// of the lab, not a verdict on the program.
+func (f *fleet) runSchedule(ctx context.Context) error {
+	steps := f.experiment.Schedule(f.options.Seed)
 	errs := make(chan error, len(steps))
 	for _, s := range steps {
 		go func() {
@@ -24,9 +24,9 @@
 				errs <- nil
 				return
 			}
-			f.tell("begin", s)
-			err := f.step(ctx, s)
-			f.tell("end", s)
+			f.recordStep("begin", s)
+			err := f.runStep(ctx, s)
+			f.recordStep("end", s)
 			if err != nil && ctx.Err() == nil {
 				err = fmt.Errorf("fault %s: %w", s.Name, err)
 			}
@@ -40,28 +40,29 @@
 	return errors.Join(all...)
 }
 
-// sleepUntil waits for a time of the load.
+// sleepUntil waits until t after the start of the load; it returns false if ctx ended first.
 func (f *fleet) sleepUntil(ctx context.Context, t time.Duration) bool {
-	return backoff.Sleep(ctx, f.start+t-f.log.Now())
+	return backoff.Sleep(ctx, f.loadStart+t-f.log.Now())
 }
 
-func (f *fleet) tell(how string, s spec.Step) {
-	f.disturbed.note(f.touched(s), how == "begin")
+// recordStep records the begin or the end of a step in the history, and the nodes that it disturbs.
+func (f *fleet) recordStep(how string, s spec.Step) {
+	f.disturbed.update(f.affectedNodes(s), how == "begin")
 	f.log.Add(
 		history.Event{
 			Kind:   history.Fault,
 			How:    how,
 			Detail: s.Name,
-			Nodes:  f.touched(s),
+			Nodes:  f.affectedNodes(s),
 			Also:   append(slices.Clone(s.On), s.To...),
 		},
 	)
 }
 
-// touched lists the nodes that can't be held to answering their clients while the step lasts.
-func (f *fleet) touched(s spec.Step) []string {
+// affectedNodes lists the nodes that need not answer their clients during the step.
+func (f *fleet) affectedNodes(s spec.Step) []string {
 	var all []string
-	for _, n := range f.names {
+	for _, n := range f.nodeNames {
 		named := slices.Contains(s.On, n)
 		switch s.Do {
 		case "kill", "pause":
@@ -78,51 +79,52 @@
 	return all
 }
 
-func (f *fleet) step(ctx context.Context, s spec.Step) error {
+// runStep carries out one step and returns after its duration.
+func (f *fleet) runStep(ctx context.Context, s spec.Step) error {
 	last := time.Duration(s.For)
 	switch s.Do {
 	case "kill", "pause", "restart", "upgrade", "join", "full", "corrupt":
-		return together(s.On, func(name string) error {
+		return onEach(s.On, func(name string) error {
 			if n := f.nodes[name]; n != nil {
-				return n.suffer(ctx, s.Do, last)
+				return n.injectFault(ctx, s.Do, last)
 			}
-			for _, c := range f.keepers {
+			for _, c := range f.quotaControllers {
 				if c.name == name {
-					return c.suffer(ctx, f, s.Do, last)
+					return c.injectFault(ctx, f, s.Do, last)
 				}
 			}
 			if f.release != nil {
-				for _, c := range f.release.all {
+				for _, c := range f.release.controllers {
 					if c.name == name {
-						return c.suffer(ctx, f, s.Do, last)
+						return c.injectFault(ctx, f, s.Do, last)
 					}
 				}
 			}
 			if c := f.service.workers; c != nil && strings.HasPrefix(name, "d") {
-				return c.InjectFault(ctx, name, s.Do, last, endTime)
+				return c.InjectFault(ctx, name, s.Do, last, shutdownTimeout)
 			}
-			return f.service.set.InjectFault(ctx, name, s.Do, last, endTime)
+			return f.service.set.InjectFault(ctx, name, s.Do, last, shutdownTimeout)
 		})
 	case "move":
-		return together(f.names, func(name string) error { return f.nodes[name].move(ctx) })
+		return onEach(f.nodeNames, func(name string) error { return f.nodes[name].moveAgent(ctx) })
 	case "reset":
-		return f.storm(ctx, s)
+		return f.resetLinks(ctx, s)
 	case "cut", "mute", "refuse", "shape", "snip":
-		f.layStep(s)
+		f.shapeLinks(s)
 		backoff.Sleep(ctx, last)
 		f.net.Lift(s.Name)
 		return nil
 	case "crash", "vanish", "drain":
-		return together(s.On, func(name string) error { return f.loseBox(ctx, s, name) })
+		return onEach(s.On, func(name string) error { return f.stopBackend(ctx, s, name) })
 	}
-	return f.trouble(ctx, s)
+	return f.degradeBackends(ctx, s)
 }
 
-// suffer does to a node what a step orders.
-func (n *node) suffer(ctx context.Context, do string, last time.Duration) error {
+// injectFault pauses, upgrades, kills, restarts or joins a node.
+func (n *node) injectFault(ctx context.Context, do string, last time.Duration) error {
 	switch do {
 	case "pause":
-		return n.current().Pause(ctx, last)
+		return n.currentProcess().Pause(ctx, last)
 	case "upgrade":
 		return n.upgrade(ctx)
 	case "kill":
@@ -130,23 +132,23 @@
 			return err
 		}
 	case "restart":
-		defer n.f.front.Return(n.name)
+		defer n.fleet.front.Return(n.name)
 		if err := n.stop(); err != nil {
 			return err
 		}
 	}
-	return n.again(ctx)
+	return n.restart(ctx)
 }
 
-// again starts a node that has ended.
-func (n *node) again(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// restart starts a node that isn't running, and waits until it is ready.
+func (n *node) restart(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	return n.begin(ctx)
+	return n.start(ctx)
 }
 
-// together does something to all of those named at once.
-func together(names []string, do func(string) error) error {
+// onEach calls do for all names at the same time and joins the errors.
+func onEach(names []string, do func(string) error) error {
 	errs := make(chan error, len(names))
 	for _, name := range names {
 		go func() {
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/views.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	lookEvery = 50 * time.Millisecond // the views' times are known as exactly as that
-	lookTime  = time.Second           // for a node to say what it sees
-	maxView   = 1 << 20               // bytes of a view
+	viewPollInterval = 50 * time.Millisecond // precision of the times of views
+	viewPollTimeout  = time.Second           // for a node to answer with its view
+	maxViewBytes     = 1 << 20               // size of a response
 )
 
-// seen is what a node says of its view on the control address.
-type seen struct {
+// nodeView is a node's view of the fleet, as its control address returns it.
+type nodeView struct {
 	Life    uint64 `json:"life"`
 	Number  uint64 `json:"number"`
 	Digest  string `json:"digest"`
@@ -33,18 +33,18 @@
 	} `json:"members"`
 }
 
-// watchView keeps the changes of a node's view in the history until ctx ends. A node that does not answer, as
-// one that is dead or stands still, has none.
+// watchView records the changes of a node's view in the history until ctx ends. Nothing is recorded while the
+// node doesn't answer, for instance because it is dead or paused.
 func (n *node) watchView(ctx context.Context) {
-	var last seen
-	for backoff.Sleep(ctx, lookEvery) {
+	var last nodeView
+	for backoff.Sleep(ctx, viewPollInterval) {
 		n.mu.Lock()
-		control := n.control
+		control := n.controlAddress
 		n.mu.Unlock()
 		if control == "" {
 			continue
 		}
-		s, err := look(ctx, control)
+		s, err := fetchView(ctx, control)
 		if err != nil || s.Life == last.Life && s.Digest == last.Digest {
 			continue
 		}
@@ -59,12 +59,13 @@
 		for _, m := range s.Members {
 			e.Also = append(e.Also, fmt.Sprintf("%s %s %d %d", m.Name, m.Health, m.Life, m.Incarnation))
 		}
-		n.f.log.Add(e)
+		n.fleet.log.Add(e)
 	}
 }
 
-func look(ctx context.Context, control string) (s seen, err error) {
-	ctx, cancel := context.WithTimeout(ctx, lookTime)
+// fetchView requests the view of the node with the given control address.
+func fetchView(ctx context.Context, control string) (s nodeView, err error) {
+	ctx, cancel := context.WithTimeout(ctx, viewPollTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/fleet", nil)
 	if err != nil {
@@ -78,6 +79,6 @@
 	if resp.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxView)).Decode(&s)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxViewBytes)).Decode(&s)
 	return s, err
 }
