--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -132,13 +132,13 @@
 
 // updateMaxUnavailable counts the backends that are draining or not ready. The caller holds the lock.
 func (a *agents) updateMaxUnavailable() {
-	out := 0
+	unavailable := 0
 	for _, k := range a.backends {
 		if k.KeepDraining || !k.Ready {
-			out++
+			unavailable++
 		}
 	}
-	a.maxUnavailable = max(a.maxUnavailable, out)
+	a.maxUnavailable = max(a.maxUnavailable, unavailable)
 }
 
 // updateEntry registers a backend's present version and status. The caller holds the lock.
--- a/internal/lab/fleet/boxes.go
+++ b/internal/lab/fleet/boxes.go
@@ -23,7 +23,7 @@
 func (f *fleet) stopBackend(ctx context.Context, s spec.Step, name string) error {
 	toBackend := func(e link.Ends) bool { return e.To == name }
 	down := "down-" + name
-	rest := time.Duration(s.For)
+	remaining := time.Duration(s.For)
 	b := f.host.Box(name)
 	switch s.Do {
 	case "vanish":
@@ -32,16 +32,16 @@
 		f.setEntry(name, discovery.Gone, "", true)
 	case "drain":
 		f.setEntry(name, discovery.Draining, "", false)
-		served := time.Duration(drainServingShare * float64(rest))
+		served := time.Duration(drainServingShare * float64(remaining))
 		backoff.Sleep(ctx, served)
-		rest -= served
+		remaining -= served
 		fallthrough
 	default:
 		f.setEntry(name, discovery.Gone, "", false)
 		f.net.Lay(down, link.Shape{Refuse: true}, toBackend)
 		b.Crash()
 	}
-	backoff.Sleep(ctx, rest)
+	backoff.Sleep(ctx, remaining)
 	since := strconv.FormatInt(f.log.At(f.log.Now()).UnixMilli(), 10)
 	err := b.Start(since)
 	f.net.Lift(down)
--- a/internal/lab/fleet/crowd.go
+++ b/internal/lab/fleet/crowd.go
@@ -148,7 +148,7 @@
 	if bound == 0 {
 		return all
 	}
-	in := check.Verdict{
+	timed := check.Verdict{
 		Name: "bound followers",
 		Rule: fmt.Sprintf(
 			"99%% of the clients know of a change within %v of the first one (%v)",
@@ -159,7 +159,7 @@
 		Seen:  versions,
 	}
 	if longest > bound {
-		in.Broken = []check.Finding{{Text: fmt.Sprintf("it took %v", longest.Round(time.Millisecond))}}
+		timed.Broken = []check.Finding{{Text: fmt.Sprintf("it took %v", longest.Round(time.Millisecond))}}
 	}
-	return append(all, in)
+	return append(all, timed)
 }
--- a/internal/lab/fleet/drawing.go
+++ b/internal/lab/fleet/drawing.go
@@ -36,7 +36,7 @@
 // timelineEvents converts the events of the history up to the end of the run: faults, starts and ends of
 // processes, and changes in the nodes' views of each other.
 func timelineEvents(events []history.Event) (all []timeline.Event) {
-	last := map[string]map[string]string{} // health of each node in the view of each node
+	previousViews := map[string]map[string]string{} // health of each node in the view of each node
 	tell := func(e history.Event, who, format string, args ...any) {
 		all = append(all, timeline.Event{At: e.T, Who: who, What: fmt.Sprintf(format, args...)})
 	}
@@ -60,11 +60,12 @@
 			for _, text := range e.Also {
 				name, rest, _ := strings.Cut(text, " ")
 				health, _, _ := strings.Cut(rest, " ")
-				if now[name] = health; last[e.Node] != nil && last[e.Node][name] != health && name != e.Node {
+				if now[name] = health; previousViews[e.Node] != nil &&
+					previousViews[e.Node][name] != health && name != e.Node {
 					tell(e, e.Node, "%s: %s", health, name)
 				}
 			}
-			last[e.Node] = now
+			previousViews[e.Node] = now
 		}
 	}
 	slices.SortStableFunc(all, func(a, b timeline.Event) int { return int(a.At - b.At) })
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -16,15 +16,15 @@
 // matchLink reports whether a link connects the two sides of a step, and whether it runs in the step's
 // direction, from On to To.
 func matchLink(s spec.Step, e link.Ends) (is, forward bool) {
-	in := func(side []string, party string) bool {
+	contains := func(side []string, party string) bool {
 		party, _, _ = strings.Cut(party, "-") // the agent's address may have moved: discovery-1 ...
 		party, _, _ = strings.Cut(party, "/") // links between replicas for forwarded requests: r1/http
 		return slices.Contains(side, party)
 	}
-	if in(s.On, e.From) && in(s.To, e.To) {
+	if contains(s.On, e.From) && contains(s.To, e.To) {
 		return true, true
 	}
-	return in(s.On, e.To) && in(s.To, e.From), false
+	return contains(s.On, e.To) && contains(s.To, e.From), false
 }
 
 // shapeLinks applies a step's shape to its links until the step's name is lifted.
@@ -40,20 +40,20 @@
 
 // shapeOf converts a step into the shape of links that run in the step's direction, or against it.
 func shapeOf(s spec.Step, forward bool) link.Shape {
-	way := map[string]link.Way{
+	direction := map[string]link.Way{
 		"":        link.Both,
 		"both":    link.Both,
 		"forward": link.Forward,
 		"back":    link.Back,
 	}[s.Way]
-	if !forward && way != link.Both {
-		way ^= link.Both
+	if !forward && direction != link.Both {
+		direction ^= link.Both
 	}
 	switch s.Do {
 	case "cut":
-		return link.Shape{Hold: way, Cut: true}
+		return link.Shape{Hold: direction, Cut: true}
 	case "mute":
-		return link.Shape{Hold: way}
+		return link.Shape{Hold: direction}
 	case "refuse":
 		return link.Shape{Refuse: true}
 	case "snip":
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -131,11 +131,11 @@
 }
 
 // injectFault kills, pauses or restarts a controller. A controller that has ended is started again.
-func (c *controller) injectFault(ctx context.Context, f *fleet, do string, last time.Duration) error {
+func (c *controller) injectFault(ctx context.Context, f *fleet, do string, duration time.Duration) error {
 	c.mu.Lock()
 	p := c.proc
 	c.mu.Unlock()
-	if again, err := p.Suffer(ctx, do, last, shutdownTimeout); err != nil || !again {
+	if again, err := p.Suffer(ctx, do, duration, shutdownTimeout); err != nil || !again {
 		return err
 	}
 	return c.start(f.group)
@@ -196,17 +196,23 @@
 		fail("%v", err)
 		return []check.Verdict{v}
 	}
-	by, out := r.agents.servingByVersion()
-	v.Rule += fmt.Sprintf(" (%v; %d out at the most, wave %d of %d)", by, out, s.Wave+1, len(s.Plan.Waves))
+	serving, maxUnavailable := r.agents.servingByVersion()
+	v.Rule += fmt.Sprintf(
+		" (%v; %d out at the most, wave %d of %d)",
+		serving,
+		maxUnavailable,
+		s.Wave+1,
+		len(s.Plan.Waves),
+	)
 	if s.Phase != release.Phase(e.End) {
 		fail("it is %s: %s", s.Phase, s.HaltReason)
 	}
-	if out > e.Out {
-		fail("%d boxes were out at once, %d may be", out, e.Out)
+	if maxUnavailable > e.Out {
+		fail("%d boxes were out at once, %d may be", maxUnavailable, e.Out)
 	}
 	want := map[release.Phase]string{release.Finished: newVersion, release.RolledBack: oldVersion}[s.Phase]
-	if want != "" && by[want] != len(r.agents.backends) {
-		fail("%d of %d boxes serve in %s", by[want], len(r.agents.backends), want)
+	if want != "" && serving[want] != len(r.agents.backends) {
+		fail("%d of %d boxes serve in %s", serving[want], len(r.agents.backends), want)
 	}
 	return []check.Verdict{v}
 }
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -46,18 +46,18 @@
 // run sends the load while the schedule of faults is carried out, waits for both, and ends controllers and
 // workers.
 func (f *fleet) run(ctx context.Context) error {
-	bg, stop := context.WithCancel(ctx)
+	background, stop := context.WithCancel(ctx)
 	defer stop()
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	defer stop()
 	late := NewLateness(f.log)
-	tasks.Go(func() { late.Watch(bg) })
-	tasks.Go(func() { f.sampleProcesses(bg) })
-	tasks.Go(func() { f.front.Watch(bg) })
+	tasks.Go(func() { late.Watch(background) })
+	tasks.Go(func() { f.sampleProcesses(background) })
+	tasks.Go(func() { f.front.Watch(background) })
 	if f.experiment.Fleet.View {
 		for _, name := range f.nodeNames {
-			tasks.Go(func() { f.nodes[name].watchView(bg) })
+			tasks.Go(func() { f.nodes[name].watchView(background) })
 		}
 	}
 	if err := f.awaitAdmission(ctx); err != nil {
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -130,7 +130,7 @@
 	if d.Workers == 0 {
 		return nil
 	}
-	own, err := os.Executable()
+	labProgram, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 				s.fleet.options.Dir,
 				"workers",
 			),
-			Command: []string{own, "duty-worker"},
+			Command: []string{labProgram, "duty-worker"},
 			Env:     s.fleet.options.Env,
 		},
 		s.set,
@@ -185,24 +185,24 @@
 		return []check.Verdict{v}
 	}
 	gaps := leases.Gaps(acts)
-	in := check.Verdict{
+	timed := check.Verdict{
 		Name:  "bound holder",
 		Timed: true,
 		Seen:  len(gaps),
 		Rule:  fmt.Sprintf("no duty is without a holder for over %v", bound),
 	}
 	if len(gaps) > 0 {
-		in.Rule += fmt.Sprintf(" (%v at most, %d changes)", gaps[0].Length.Round(time.Millisecond), len(gaps))
+		timed.Rule += fmt.Sprintf(" (%v at most, %d changes)", gaps[0].Length.Round(time.Millisecond), len(gaps))
 	}
 	for _, g := range gaps {
 		if g.Length > bound {
-			in.Broken = append(
-				in.Broken,
+			timed.Broken = append(
+				timed.Broken,
 				check.Finding{Text: fmt.Sprintf("%s had none for %v", g.Lease, g.Length.Round(time.Millisecond))},
 			)
 		}
 	}
-	return []check.Verdict{v, in}
+	return []check.Verdict{v, timed}
 }
 
 // changeBackend changes a backend's entry. A backend that ends silently sends no request, so its entry
@@ -231,10 +231,10 @@
 		return nil, err
 	}
 	reg := &discovery.Registry{}
-	atOnce := func(bool) time.Duration { return 0 }
+	noDelay := func(bool) time.Duration { return 0 }
 	s.tasks.Go(func() { k.Follow(s.ctx); k.Close() })
 	s.tasks.Go(func() { s.feedAgent(k, reg) })
-	return reg.Agent(node, s.fleet.log.Now, atOnce, address), nil
+	return reg.Agent(node, s.fleet.log.Now, noDelay, address), nil
 }
 
 // feedAgent copies the list of a registry client to the registry of an agent until the run ends.
@@ -345,11 +345,11 @@
 			r.mu.Unlock()
 			return true
 		}
-		do := r.queue[0]
+		write := r.queue[0]
 		r.queue = r.queue[1:]
 		r.mu.Unlock()
-		one, cancel := context.WithTimeout(ctx, writeTimeout)
-		_ = do(one) // the history shows the result
+		writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+		_ = write(writeCtx) // the history shows the result
 		cancel()
 	}
 	return false
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -81,29 +81,29 @@
 
 // runStep carries out one step and returns after its duration.
 func (f *fleet) runStep(ctx context.Context, s spec.Step) error {
-	last := time.Duration(s.For)
+	duration := time.Duration(s.For)
 	switch s.Do {
 	case "kill", "pause", "restart", "upgrade", "join", "full", "corrupt":
 		return onEach(s.On, func(name string) error {
 			if n := f.nodes[name]; n != nil {
-				return n.injectFault(ctx, s.Do, last)
+				return n.injectFault(ctx, s.Do, duration)
 			}
 			for _, c := range f.quotaControllers {
 				if c.name == name {
-					return c.injectFault(ctx, f, s.Do, last)
+					return c.injectFault(ctx, f, s.Do, duration)
 				}
 			}
 			if f.release != nil {
 				for _, c := range f.release.controllers {
 					if c.name == name {
-						return c.injectFault(ctx, f, s.Do, last)
+						return c.injectFault(ctx, f, s.Do, duration)
 					}
 				}
 			}
 			if c := f.service.workers; c != nil && strings.HasPrefix(name, "d") {
-				return c.InjectFault(ctx, name, s.Do, last, shutdownTimeout)
+				return c.InjectFault(ctx, name, s.Do, duration, shutdownTimeout)
 			}
-			return f.service.set.InjectFault(ctx, name, s.Do, last, shutdownTimeout)
+			return f.service.set.InjectFault(ctx, name, s.Do, duration, shutdownTimeout)
 		})
 	case "move":
 		return onEach(f.nodeNames, func(name string) error { return f.nodes[name].moveAgent(ctx) })
@@ -111,7 +111,7 @@
 		return f.resetLinks(ctx, s)
 	case "cut", "mute", "refuse", "shape", "snip":
 		f.shapeLinks(s)
-		backoff.Sleep(ctx, last)
+		backoff.Sleep(ctx, duration)
 		f.net.Lift(s.Name)
 		return nil
 	case "crash", "vanish", "drain":
@@ -121,14 +121,14 @@
 }
 
 // injectFault pauses, upgrades, kills, restarts or joins a node.
-func (n *node) injectFault(ctx context.Context, do string, last time.Duration) error {
+func (n *node) injectFault(ctx context.Context, do string, duration time.Duration) error {
 	switch do {
 	case "pause":
-		return n.currentProcess().Pause(ctx, last)
+		return n.currentProcess().Pause(ctx, duration)
 	case "upgrade":
 		return n.upgrade(ctx)
 	case "kill":
-		if err := n.kill(); err != nil || !backoff.Sleep(ctx, last) {
+		if err := n.kill(); err != nil || !backoff.Sleep(ctx, duration) {
 			return err
 		}
 	case "restart":
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -62,13 +62,13 @@
 // its writes was refused.
 var lockModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
+		byLease := map[string][]porcupine.Operation{}
 		for _, o := range all {
 			d := o.Input.(Act).Lease
-			by[d] = append(by[d], o)
+			byLease[d] = append(byLease[d], o)
 		}
 		var parts [][]porcupine.Operation
-		for _, p := range by {
+		for _, p := range byLease {
 			parts = append(parts, p)
 		}
 		return parts
@@ -127,14 +127,14 @@
 		return nil, fmt.Errorf("a worker's history: %w", err)
 	}
 	defer besteffort.Close(f)
-	in := bufio.NewScanner(f)
-	for in.Scan() {
+	scanner := bufio.NewScanner(f)
+	for scanner.Scan() {
 		var a Act
-		if json.Unmarshal(in.Bytes(), &a) == nil {
+		if json.Unmarshal(scanner.Bytes(), &a) == nil {
 			all = append(all, a)
 		}
 	}
-	return all, in.Err()
+	return all, scanner.Err()
 }
 
 // Gap is a time in which no holder acted on a lease: from the last act under one fencing token to the first
--- a/internal/lab/leases/crew.go
+++ b/internal/lab/leases/crew.go
@@ -20,16 +20,16 @@
 
 // CrewOptions configures the worker processes of a run.
 type CrewOptions struct {
-	Workers int
-	Duties  int
-	TTL     time.Duration
-	Guarded bool          // the resource checks fencing tokens
-	Spread  bool          // the leases are distributed evenly over the workers
-	Rest    time.Duration // shortest time between two acts on one lease; 0 means as often as the resource allows
-	Deaf    time.Duration // fault of the workers, see WorkerOptions
-	Dir     string
-	Command []string // command line of a worker, to which its flags are appended
-	Env     []string
+	Workers        int
+	Duties         int
+	TTL            time.Duration
+	Guarded        bool          // the resource checks fencing tokens
+	Spread         bool          // the leases are distributed evenly over the workers
+	MinActInterval time.Duration // between two acts on one lease; 0 means as short as the resource allows
+	Deaf           time.Duration // fault of the workers, see WorkerOptions
+	Dir            string
+	Command        []string // command line of a worker, to which its flags are appended
+	Env            []string
 }
 
 // WorkerPool is the set of worker processes of a run and the resource that they act on. The workers are
@@ -116,7 +116,7 @@
 
 // actInterval is the time between two acts on one lease.
 func (o CrewOptions) actInterval() time.Duration {
-	return max(o.Rest, minActInterval, time.Duration(o.Duties)*actIntervalPerLease)
+	return max(o.MinActInterval, minActInterval, time.Duration(o.Duties)*actIntervalPerLease)
 }
 
 // actsPath is the file of the worker's own history.
@@ -159,9 +159,13 @@
 }
 
 // InjectFault kills, pauses, restarts or upgrades the named worker. A killed worker is started again after
-// last. For an upgrade, the next process starts and waits for the leases before the previous process gets its
-// SIGTERM. patience bounds the time that a process may take to end after SIGTERM.
-func (c *WorkerPool) InjectFault(ctx context.Context, name, do string, last, patience time.Duration) error {
+// duration. For an upgrade, the next process starts and waits for the leases before the previous process
+// gets its SIGTERM. patience bounds the time that a process may take to end after SIGTERM.
+func (c *WorkerPool) InjectFault(
+	ctx context.Context,
+	name, do string,
+	duration, patience time.Duration,
+) error {
 	i := slices.IndexFunc(c.workers, func(m *workerProcess) bool { return m.name == name })
 	if i < 0 {
 		return fmt.Errorf("there is no worker %s", name)
@@ -177,7 +181,7 @@
 		backoff.Sleep(ctx, c.options.TTL) // by then the new process waits for the leases
 		return p.Term(patience)
 	}
-	if again, err := p.Suffer(ctx, do, last, patience); err != nil || !again {
+	if again, err := p.Suffer(ctx, do, duration, patience); err != nil || !again {
 		return err
 	}
 	return c.start(m)
@@ -221,15 +225,15 @@
 func (c *WorkerPool) Check() (broken []string, sure bool, err error) {
 	acts, _ := c.Resource.Acts()
 	broken = CheckFencing(acts)
-	var own []Act
+	var workerActs []Act
 	for _, m := range c.workers {
-		some, err := ReadActs(m.actsPath())
+		recorded, err := ReadActs(m.actsPath())
 		if err != nil {
 			return nil, false, err
 		}
-		own = append(own, some...)
+		workerActs = append(workerActs, recorded...)
 	}
-	legal, sure := CheckLock(own)
+	legal, sure := CheckLock(workerActs)
 	if !legal {
 		broken = append(broken, "grants and fenced writes are not those of a lock")
 	}
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -55,7 +55,7 @@
 // replaceHolder injects a fault of the given kind into the holder who. A cut and a pause last for two TTLs,
 // by when another worker holds the lease.
 func (l *Lab) replaceHolder(ctx context.Context, kind, who string, n int) error {
-	last := 2 * l.options.Crew.TTL
+	duration := 2 * l.options.Crew.TTL
 	switch kind {
 	case "cut":
 		name := fmt.Sprint("cut", n)
@@ -64,13 +64,13 @@
 			link.Shape{Hold: link.Both, Cut: true},
 			func(e link.Ends) bool { return e.From == who && e.To != "resource" },
 		)
-		backoff.Sleep(ctx, last)
+		backoff.Sleep(ctx, duration)
 		l.net.Lift(name)
 		return nil
 	case "kill":
-		last = 0
+		duration = 0
 	}
-	return l.Pool.InjectFault(ctx, who, kind, last, shutdownTimeout)
+	return l.Pool.InjectFault(ctx, who, kind, duration, shutdownTimeout)
 }
 
 // lastAct is the last act that the resource accepted.
@@ -118,7 +118,7 @@
 // Costs measures the cost of a number of leases that are distributed evenly over the workers and whose
 // holders hardly act.
 func Costs(ctx context.Context, o Options, duties int) (c Cost, err error) {
-	o.Crew.Duties, o.Crew.Spread, o.Crew.Guarded, o.Crew.Rest = duties, true, true, costWindow/2
+	o.Crew.Duties, o.Crew.Spread, o.Crew.Guarded, o.Crew.MinActInterval = duties, true, true, costWindow/2
 	began := time.Now()
 	l, err := Begin(ctx, o)
 	if err != nil {
@@ -175,18 +175,18 @@
 // ascending order.
 func (c *WorkerPool) leasesPerWorker() (all []int) {
 	acts, _ := c.Resource.Acts()
-	by := map[string]string{}
+	lastWriter := map[string]string{}
 	for _, a := range acts {
-		by[a.Lease] = a.Process
+		lastWriter[a.Lease] = a.Process
 	}
-	count := map[string]int{}
+	counts := map[string]int{}
 	for _, m := range c.workers {
-		count[m.name] = 0
+		counts[m.name] = 0
 	}
-	for _, p := range by {
-		count[p]++
+	for _, p := range lastWriter {
+		counts[p]++
 	}
-	for _, n := range count {
+	for _, n := range counts {
 		all = append(all, n)
 	}
 	slices.Sort(all)
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -124,17 +124,17 @@
 
 // Line is the result as a line of text.
 func (o Outcome) Line() string {
-	what := map[bool]string{true: "behind a guard", false: "by time alone"}[o.Guarded]
+	mode := map[bool]string{true: "behind a guard", false: "by time alone"}[o.Guarded]
 	switch {
 	case len(o.Broken) > 0:
-		return fmt.Sprintf("FAIL duties: seed %d, %s, %s (and %d more)", o.Seed, what, o.Broken[0], len(o.Broken)-1)
+		return fmt.Sprintf("FAIL duties: seed %d, %s, %s (and %d more)", o.Seed, mode, o.Broken[0], len(o.Broken)-1)
 	case o.Unsure:
 		return fmt.Sprintf("VOID duties: seed %d, the check took over %v", o.Seed, maxCheckTime)
 	}
 	return fmt.Sprintf(
 		"PASS duties: seed %d, %s, %d faults, %d grants, %d acts taken, %d turned down, %v at most without a holder",
 		o.Seed,
-		what,
+		mode,
 		o.Faults,
 		o.Grants,
 		o.Acts,
@@ -247,11 +247,11 @@
 	on, do, _ := strings.Cut(f.kind, "-")
 	switch {
 	case f.kind == "worker-cut", f.kind == "worker-cut-back", f.kind == "replica-cut":
-		way := link.Both
+		direction := link.Both
 		if f.kind == "worker-cut-back" { // the worker's calls arrive, but their answers are lost
-			way = link.Back
+			direction = link.Back
 		}
-		l.net.Lay(name, link.Shape{Hold: way, Cut: true}, func(e link.Ends) bool {
+		l.net.Lay(name, link.Shape{Hold: direction, Cut: true}, func(e link.Ends) bool {
 			return e.To != "resource" &&
 				(e.From == f.target ||
 					strings.HasPrefix(e.To, f.target) && on == "replica" && strings.HasPrefix(e.From, "r"))
--- a/internal/lab/quorum/faults.go
+++ b/internal/lab/quorum/faults.go
@@ -41,10 +41,10 @@
 	r := rand.New(rand.NewPCG(seed, 0x71756f72756d))
 	var all []fault
 	for at := 500 * time.Millisecond; ; {
-		last := time.Duration(300+r.IntN(1500)) * time.Millisecond
+		duration := time.Duration(300+r.IntN(1500)) * time.Millisecond
 		f := fault{
 			start:    at,
-			duration: last,
+			duration: duration,
 			kind:     faultKinds[r.IntN(len(faultKinds))],
 			targets:  []int{r.IntN(replicas)},
 		}
@@ -58,7 +58,7 @@
 			return all
 		}
 		all = append(all, f)
-		at += last + time.Duration(r.IntN(700))*time.Millisecond
+		at += duration + time.Duration(r.IntN(700))*time.Millisecond
 	}
 }
 
@@ -116,22 +116,22 @@
 		party, _, _ := strings.Cut(e.To, "/")
 		return slices.Contains(alone, party) && e.From != "clients"
 	}
-	in, out := link.Shape{Hold: link.Both, Cut: true}, link.Shape{Hold: link.Both, Cut: true}
+	toTargets, fromTargets := link.Shape{Hold: link.Both, Cut: true}, link.Shape{Hold: link.Both, Cut: true}
 	switch f.kind {
 	case "cut-in": // the replica receives nothing, but the others receive what it sends on existing connections
-		in, out = link.Shape{Hold: link.Forward, Cut: true}, link.Shape{Hold: link.Back, Cut: true}
+		toTargets, fromTargets = link.Shape{Hold: link.Forward, Cut: true}, link.Shape{Hold: link.Back, Cut: true}
 	case "cut-out":
-		in, out = link.Shape{Hold: link.Back, Cut: true}, link.Shape{Hold: link.Forward, Cut: true}
+		toTargets, fromTargets = link.Shape{Hold: link.Back, Cut: true}, link.Shape{Hold: link.Forward, Cut: true}
 	case "late":
-		in, out = link.Shape{
+		toTargets, fromTargets = link.Shape{
 			Delay:  60 * time.Millisecond,
 			Jitter: 60 * time.Millisecond,
 		}, link.Shape{
 			Delay: 60 * time.Millisecond,
 		}
 	}
-	c.net.Lay(name, in, to)
-	c.net.Lay(name, out, from)
+	c.net.Lay(name, toTargets, to)
+	c.net.Lay(name, fromTargets, from)
 }
 
 // onEach calls do for several replicas at the same time and returns the first error in the order of on.
--- a/internal/lab/quorum/measure.go
+++ b/internal/lab/quorum/measure.go
@@ -108,12 +108,12 @@
 		var took []time.Duration
 		version := first.Version
 		for round := range fanRounds {
-			one, err := fanRound(ctx, c, k, conns, version, round+1)
+			latencies, err := fanRound(ctx, c, k, conns, version, round+1)
 			if err != nil {
 				return err
 			}
 			version++
-			took = append(took, one...)
+			took = append(took, latencies...)
 			if round == 0 { // now each watcher has a waiting request
 				waiting, err := process.UseOf(pid)
 				if err != nil {
@@ -176,13 +176,13 @@
 	var all sync.WaitGroup
 	for i, w := range conns {
 		all.Go(func() {
-			in := bufio.NewReaderSize(w, 1024)
-			if _, errs[i] = in.Peek(1); errs[i] != nil {
+			reader := bufio.NewReaderSize(w, 1024)
+			if _, errs[i] = reader.Peek(1); errs[i] != nil {
 				return
 			}
 			took[i] = time.Since(start)
 			var resp *http.Response
-			if resp, errs[i] = http.ReadResponse(in, nil); errs[i] == nil {
+			if resp, errs[i] = http.ReadResponse(reader, nil); errs[i] == nil {
 				_, errs[i] = io.Copy(io.Discard, resp.Body)
 				besteffort.Close(resp.Body)
 			}
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -156,7 +156,7 @@
 	if err := c.set.Begin(ctx); err != nil {
 		return Outcome{}, err
 	}
-	own, err := newFollowers(c)
+	followers, err := newFollowers(c)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -180,7 +180,7 @@
 		watching = append(watching, v)
 		watch.Go(func() { v.run(watched, final.Load) })
 	}
-	for _, f := range own {
+	for _, f := range followers {
 		watch.Go(func() { f.run(watched) })
 	}
 	err = c.playFaults(working, c.log.Now(), faults)
@@ -193,7 +193,7 @@
 		last, err = c.readFinalList(ctx)
 	}
 	var unreached []string
-	for _, f := range own {
+	for _, f := range followers {
 		if err == nil {
 			unreached = append(unreached, f.awaitFinal(last)...)
 		}
@@ -206,7 +206,7 @@
 	}
 	o := c.check(faults, workers, watching, last)
 	o.Broken = append(o.Broken, unreached...)
-	for _, f := range own {
+	for _, f := range followers {
 		o.Broken = append(o.Broken, f.violations...)
 	}
 	return o, nil
--- a/internal/lab/quorum/size.go
+++ b/internal/lab/quorum/size.go
@@ -188,15 +188,15 @@
 		go func() { filled <- Fill(ctx, k, servers) }()
 		var g errgroup.Group
 		for range clients {
-			one, err := client.New(client.Config{Addresses: addresses})
+			registryClient, err := client.New(client.Config{Addresses: addresses})
 			if err != nil {
 				return err
 			}
-			follow.Go(func() { one.Follow(following); one.Close() })
+			follow.Go(func() { registryClient.Follow(following); registryClient.Close() })
 			g.Go(func() error {
 				for {
-					changed := one.Changed()
-					if v, _ := one.List(); len(v.Endpoints) == servers {
+					changed := registryClient.Changed()
+					if v, _ := registryClient.List(); len(v.Endpoints) == servers {
 						return nil
 					}
 					select {
--- a/internal/lab/replicas/disk.go
+++ b/internal/lab/replicas/disk.go
@@ -18,7 +18,7 @@
 
 // fillDisk makes all file writes of a replica fail for a while, through a limit on the file size of its
 // process. This is stricter than a full disk.
-func (r *Replica) fillDisk(ctx context.Context, last time.Duration) error {
+func (r *Replica) fillDisk(ctx context.Context, duration time.Duration) error {
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := r.Proc().WaitReady(ready, "http://"+r.httpAddress+"/readyz"); err != nil {
@@ -28,17 +28,17 @@
 		return err // a replica whose disk is full during its start exits with an error
 	}
 	pid := r.Proc().Pid
-	var was unix.Rlimit
+	var previous unix.Rlimit
 	if err := unix.Prlimit(
 		pid,
 		unix.RLIMIT_FSIZE,
 		&unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY},
-		&was,
+		&previous,
 	); err != nil {
 		return fmt.Errorf("filling the disk of %s: %w", r.Name, err)
 	}
-	backoff.Sleep(ctx, last)
-	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &was, nil); err != nil && !errors.Is(err, unix.ESRCH) {
+	backoff.Sleep(ctx, duration)
+	if err := unix.Prlimit(pid, unix.RLIMIT_FSIZE, &previous, nil); err != nil && !errors.Is(err, unix.ESRCH) {
 		return fmt.Errorf("emptying the disk of %s: %w", r.Name, err)
 	}
 	return nil
--- a/internal/lab/replicas/replicas.go
+++ b/internal/lab/replicas/replicas.go
@@ -197,10 +197,10 @@
 func (r *Replica) Kill() error { return r.Proc().KillWait() }
 
 // InjectFault kills, pauses or restarts the named replica, fills its disk, or damages its log. A killed
-// replica is started again after last, and a paused one continues then. patience bounds the time that a
+// replica is started again after duration, and a paused one continues then. patience bounds the time that a
 // replica may take to end after SIGTERM. A replica whose log is damaged while it is not running is replaced
 // in the same way as an operator does.
-func (s *Set) InjectFault(ctx context.Context, name, do string, last, patience time.Duration) error {
+func (s *Set) InjectFault(ctx context.Context, name, do string, duration, patience time.Duration) error {
 	i := slices.IndexFunc(s.All, func(r *Replica) bool { return r.Name == name })
 	if i < 0 {
 		return fmt.Errorf("there is no replica %s", name)
@@ -208,15 +208,15 @@
 	r := s.All[i]
 	switch do {
 	case "full":
-		return r.fillDisk(ctx, last)
+		return r.fillDisk(ctx, duration)
 	case "corrupt":
 		if err := r.Kill(); err != nil {
 			return err
 		}
-		backoff.Sleep(ctx, last)
+		backoff.Sleep(ctx, duration)
 		return s.damageAndReplace(ctx, r)
 	}
-	if again, err := r.Proc().Suffer(ctx, do, last, patience); err != nil || !again {
+	if again, err := r.Proc().Suffer(ctx, do, duration, patience); err != nil || !again {
 		return err
 	}
 	return s.Start(r)
