--- a/internal/lab/scale/asked.go
+++ b/internal/lab/scale/asked.go
@@ -12,25 +12,26 @@
 	"wrenspread/internal/besteffort"
 )
 
-// sent is what nodes have sent each other.
-type sent struct{ datagrams, bytes float64 }
+// sentTraffic counts the datagrams and bytes that a group of nodes has sent to its peers.
+type sentTraffic struct{ datagrams, bytes float64 }
 
+// statsLine matches a line of the answer to /stats: a figure and its value.
 var statsLine = regexp.MustCompile(`(?m)^app\.([a-z.]+):(\d+)\|`)
 
-// statsOf asks a node for its figures.
-func statsOf(ctx context.Context, control string) (map[string]float64, error) {
+// readStats reads the figures of the node at a control address, by name without the leading "app.".
+func readStats(ctx context.Context, control string) (map[string]float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/stats", nil)
 	if err != nil {
 		return nil, err
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("a node's figures: %w", err)
+		return nil, fmt.Errorf("read the figures of node %s: %w", control, err)
 	}
 	defer besteffort.Close(resp.Body)
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, fmt.Errorf("a node's figures: %w", err)
+		return nil, fmt.Errorf("read the figures of node %s: %w", control, err)
 	}
 	all := map[string]float64{}
 	for _, m := range statsLine.FindAllStringSubmatch(string(raw), -1) {
@@ -39,10 +40,10 @@
 	return all, nil
 }
 
-// sentBy asks the first nodes what they have sent.
-func sentBy(ctx context.Context, controls []string) (all sent, err error) {
-	for _, at := range controls[:min(sampled, len(controls))] {
-		f, err := statsOf(ctx, at)
+// trafficSentBy sums the traffic that the first sampledNodes nodes have sent since their start.
+func trafficSentBy(ctx context.Context, controls []string) (all sentTraffic, err error) {
+	for _, at := range controls[:min(sampledNodes, len(controls))] {
+		f, err := readStats(ctx, at)
 		if err != nil {
 			return all, err
 		}
@@ -51,14 +52,14 @@
 	return all, nil
 }
 
-// freeUDP finds so many addresses for messages, each another.
-func freeUDP(n int) (all []string, err error) {
+// freeUDPAddresses finds n different free loopback addresses for UDP.
+func freeUDPAddresses(n int) (all []string, err error) {
 	for range n {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
-			return nil, fmt.Errorf("an address for messages: %w", err)
+			return nil, fmt.Errorf("find a free UDP address: %w", err)
 		}
-		defer besteffort.Close(c) // once all are had: one that is free again may come twice
+		defer besteffort.Close(c) // only after all are found: a closed address may be assigned again
 		all = append(all, c.LocalAddr().String())
 	}
 	return all, nil
--- a/internal/lab/scale/beside.go
+++ b/internal/lab/scale/beside.go
@@ -12,8 +12,8 @@
 	"wrenspread/internal/proxy"
 )
 
-// Beside runs hollow nodes as Hollow does, from one number on. Where every is not 0 one of them restarts in
-// it, in turn.
+// Beside runs hollow nodes as Hollow does; first is the number of the first node. If every is not 0, the
+// nodes restart in turn, one after each interval of that length.
 func Beside(ctx context.Context, dir string, first, nodes int, every time.Duration) error {
 	debug.SetGCPercent(gcPercent)
 	ctx, stop := context.WithCancel(ctx)
@@ -25,43 +25,43 @@
 		turns[i] = make(chan struct{}, 1)
 		all.Go(func() {
 			for ctx.Err() == nil && errs[i] == nil {
-				errs[i] = oneLife(ctx, configOf(dir, first+i), turns[i])
+				errs[i] = runUntilTurn(ctx, configFile(dir, first+i), turns[i])
 			}
 			if errs[i] != nil {
-				stop() // as in Hollow
+				stop() // as in runHollow: a node that cannot run ends the others
 			}
 		})
 	}
 	for i := 0; every > 0 && backoff.Sleep(ctx, every); i++ {
 		select {
 		case turns[i%nodes] <- struct{}{}:
-		default: // it has not ended its previous generation yet
+		default: // the node has not yet ended for its previous restart
 		}
 	}
 	all.Wait()
 	return errors.Join(errs...)
 }
 
-// oneLife runs a node until ctx ends or its turn comes.
-func oneLife(ctx context.Context, config string, turn <-chan struct{}) error {
+// runUntilTurn runs a node until ctx ends or its turn to restart comes.
+func runUntilTurn(ctx context.Context, config string, turn <-chan struct{}) error {
 	cfg, err := proxy.LoadConfig(config)
 	if err != nil {
 		return err
 	}
-	life, end := context.WithCancel(ctx)
+	running, end := context.WithCancel(ctx)
 	defer end()
 	n := proxy.New(cfg, slog.New(slog.DiscardHandler))
-	var beside sync.WaitGroup
-	beside.Go(func() { n.ServeControl(life, cfg.Control) })
-	beside.Go(func() {
+	var tasks sync.WaitGroup
+	tasks.Go(func() { n.ServeControl(running, cfg.Control) })
+	tasks.Go(func() {
 		select {
 		case <-turn:
 			end()
-		case <-life.Done():
+		case <-running.Done():
 		}
 	})
-	err = n.Run(life, &silent{closed: make(chan struct{})})
+	err = n.Run(running, &idleListener{closed: make(chan struct{})})
 	end()
-	beside.Wait()
+	tasks.Wait()
 	return err
 }
--- a/internal/lab/scale/cost_lines.go
+++ b/internal/lab/scale/cost_lines.go
@@ -4,21 +4,21 @@
 	"errors"
 )
 
-// Line is one cost of a role, with its budget.
+// Line is one cost of a role, with its bound.
 type Line struct {
 	Role, What, Unit string
-	Command          string               // that measures it; empty: it is a constant of the program
-	Mechanism        string               // that carries it
-	Next             string               // what gives first beyond it
-	limit            string               // the constant that bounds it
-	budget           func(p Plan) float64 // where no constant does; nil: nobody has stated one
-	cost             func(m measured, p Plan) (value float64, on grounds, err error)
+	Command          string               // command that measures the cost; empty: the cost is bounded by a constant of the program
+	Mechanism        string               // mechanism that carries the cost
+	Next             string               // what fails first beyond the bound
+	limit            string               // name of the constant that bounds the cost
+	budget           func(p Plan) float64 // bound, if no constant bounds the cost; nil: none is stated
+	cost             func(m labelRecords, p Plan) (value float64, on grounds, err error)
 }
 
-// bound is what the cost has to stay within; 0 where nothing is stated.
-func (l Line) bound(m measured, p Plan) (float64, error) {
+// bound is the limit of the cost; 0 if none is stated.
+func (l Line) bound(m labelRecords, p Plan) (float64, error) {
 	if l.limit != "" {
-		r, has := m.of["constants"]
+		r, has := m.byName["constants"]
 		if !has {
 			return 0, errNotRun
 		}
@@ -30,19 +30,20 @@
 	return l.budget(p), nil
 }
 
-// measured is the records of one label.
-type measured struct {
-	label string
-	of    map[string]Record
+// labelRecords is the records of one label.
+type labelRecords struct {
+	label  string
+	byName map[string]Record
 }
 
-// at returns a figure at a size, by the fit along one direction with the others as they were played.
-func (m measured) at(
+// figureAt returns a figure at a size, by the fit along one kind of size, over the points whose other sizes
+// are as given.
+func (m labelRecords) figureAt(
 	what, along, figure string,
 	n float64,
 	others map[string]int,
 ) (value float64, on grounds, err error) {
-	r, has := m.of[what]
+	r, has := m.byName[what]
 	if !has {
 		return 0, grounds{}, errNotRun
 	}
@@ -53,9 +54,9 @@
 	return f.Cost(n), grounds{f.Reach(n), f.Residual}, nil
 }
 
-// played200 is a figure of ten nodes before 200 backends.
-func (m measured) played200(what, figure string) (float64, grounds, error) {
-	for _, p := range m.of[what].Points {
+// played200 is a figure as measured with ten nodes and 200 backends.
+func (m labelRecords) played200(what, figure string) (float64, grounds, error) {
+	for _, p := range m.byName[what].Points {
 		if p.Sizes["nodes"] == nodeFew["nodes"] && p.Sizes["backends"] == 200 {
 			return p.Figures[figure].Median, grounds{}, nil
 		}
@@ -63,13 +64,15 @@
 	return 0, grounds{}, errNotRun
 }
 
-// terms adds up costs, each times how often it comes, and keeps the weakest grounds.
+// terms adds up costs, each multiplied by how often it comes, and retains the weakest grounds and the first
+// error.
 type terms struct {
 	sum float64
 	on  grounds
 	err error
 }
 
+// add returns a function that adds a cost multiplied by times.
 func (t *terms) add(times float64) func(value float64, on grounds, err error) {
 	return func(value float64, on grounds, err error) {
 		t.sum, t.on = t.sum+times*value, grounds{max(t.on.reach, on.reach), max(t.on.residual, on.residual)}
@@ -81,10 +84,10 @@
 
 func (t *terms) total() (float64, grounds, error) { return t.sum, t.on, t.err }
 
-// constant is a limit of the program on a number of the plan.
-func constant(role, what, unit, limit string, number func(Plan) float64, mechanism, next string) Line {
+// constantLine is the line of a number of the plan that a constant of the program limits.
+func constantLine(role, what, unit, limit string, number func(Plan) float64, mechanism, next string) Line {
 	return Line{Role: role, What: what, Unit: unit, Mechanism: mechanism, Next: next, limit: limit,
-		cost: func(_ measured, p Plan) (float64, grounds, error) { return number(p), grounds{}, nil }}
+		cost: func(_ labelRecords, p Plan) (float64, grounds, error) { return number(p), grounds{}, nil }}
 }
 
 var (
@@ -92,39 +95,40 @@
 	nodesOfPlan = map[string]int{"nodes": 4300, "placements": 1}
 )
 
-// nodeCores is a node's processor at the peak: at rest, and its changes.
-func nodeCores(m measured, p Plan) (float64, grounds, error) {
+// nodeCores is a node's processor time for control at the peak: at rest, and for changes.
+func nodeCores(m labelRecords, p Plan) (float64, grounds, error) {
 	t := &terms{}
-	t.add(1)(m.at("real", "backends", "rest_cores", p.Plan.Backends, nodeFew))
-	t.add(p.listChanges())(m.at("real", "backends", "change_cpu_s", p.Plan.Backends, nodeFew))
+	t.add(1)(m.figureAt("real", "backends", "rest_cores", p.Plan.Backends, nodeFew))
+	t.add(p.listChangeRate())(m.figureAt("real", "backends", "change_cpu_s", p.Plan.Backends, nodeFew))
 	return t.total()
 }
 
-// nodeMemory is a hollow node's, and what a process of its own has beside it: a real one's limit hides what
-// it wants.
-func nodeMemory(m measured, p Plan) (float64, grounds, error) {
+// nodeMemory is the memory of a hollow node, plus what a real node of its own process needs more. A real
+// node's memory limit hides how much it would use.
+func nodeMemory(m labelRecords, p Plan) (float64, grounds, error) {
 	t := &terms{}
-	t.add(1)(m.at("hollow", "backends", "memory_bytes", p.Plan.Backends, nodeFew))
+	t.add(1)(m.figureAt("hollow", "backends", "memory_bytes", p.Plan.Backends, nodeFew))
 	t.add(1)(m.played200("real", "memory_bytes"))
 	t.add(-1)(m.played200("hollow", "memory_bytes"))
 	return t.total()
 }
 
-// nodeBytes is what a node sends and gets for control in a second, at the peak.
-func nodeBytes(m measured, p Plan) (float64, grounds, error) {
+// nodeBytes is the bytes that a node sends and receives for control in a second, at the peak.
+func nodeBytes(m labelRecords, p Plan) (float64, grounds, error) {
 	t := &terms{}
 	for _, way := range []string{"in", "out"} {
 		t.add(
-			p.listChanges(),
+			p.listChangeRate(),
 		)(
-			m.at("watchers", "watchers", "watcher_change_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil),
+			m.figureAt("watchers", "watchers", "watcher_change_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil),
 		)
-		t.add(1)(m.at("watchers", "watchers", "watcher_rest_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil))
+		t.add(1)(m.figureAt("watchers", "watchers", "watcher_rest_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil))
 	}
-	t.add(2)(m.at("view", "members", "datagram_bytes_per_s", p.Plan.Nodes, nil))
+	t.add(2)(m.figureAt("view", "members", "datagram_bytes_per_s", p.Plan.Nodes, nil))
 	return t.total()
 }
 
+// nodeLines are the costs of a node.
 func nodeLines() []Line {
 	return []Line{
 		{
@@ -146,8 +150,8 @@
 		{Role: "node", What: "whole list, at its bytes a second", Unit: "s", Command: "entries",
 			Mechanism: "one answer with every entry", Next: "a node that starts without a kept list",
 			budget: func(p Plan) float64 { return p.Assumed.Start },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				v, on, err := m.at("entries", "entries", "whole_bytes", p.Plan.Backends, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				v, on, err := m.figureAt("entries", "entries", "whole_bytes", p.Plan.Backends, nil)
 				return v / p.Plan.NodeBytes, on, err
 			}},
 		{
@@ -158,8 +162,8 @@
 			Mechanism: "changes of one answer are taken together",
 			Next:      "the kept list is written before the next answer is asked for",
 			budget:    func(p Plan) float64 { return p.Plan.InForce },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("zone", "backends", "settled_s", p.Plan.Backends, nodeFew)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("zone", "backends", "settled_s", p.Plan.Backends, nodeFew)
 			},
 		},
 		{
@@ -169,9 +173,9 @@
 			Command:   "nodes --kind hollow",
 			Mechanism: "the whole list to disk, with fsync, at each change",
 			Next:      "no budget is stated for a node's disk",
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				v, on, err := m.at("hollow", "backends", "change_bytes_out", p.Plan.Backends, nodeFew)
-				return v * p.listChanges(), on, err
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				v, on, err := m.figureAt("hollow", "backends", "change_bytes_out", p.Plan.Backends, nodeFew)
+				return v * p.listChangeRate(), on, err
 			},
 		},
 		{
@@ -181,8 +185,8 @@
 			Command:   "nodes --kind real",
 			Mechanism: "listeners, the watch, the view's socket",
 			Next:      "clients and servers take the rest",
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("real", "backends", "descriptors", p.Plan.Backends, nodeFew)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("real", "backends", "descriptors", p.Plan.Backends, nodeFew)
 			},
 		},
 		{
@@ -192,8 +196,8 @@
 			Command:   "view",
 			Mechanism: "a probe a period, news on probes",
 			Next:      "its rate is the same at all sizes",
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("view", "members", "datagrams_per_s", p.Plan.Nodes, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("view", "members", "datagrams_per_s", p.Plan.Nodes, nil)
 			},
 		},
 		{
@@ -203,11 +207,11 @@
 			Command:   "view",
 			Mechanism: "each learns of half of the fleet at a bounded pace",
 			Next:      "its time goes with the fleet",
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("view", "members", "heal_s", p.Plan.Nodes, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("view", "members", "heal_s", p.Plan.Nodes, nil)
 			},
 		},
-		constant(
+		constantLine(
 			"node",
 			"members of the view",
 			"members",
@@ -224,8 +228,8 @@
 			Mechanism: "one answer with every entry, parts or not",
 			Next:      "the answer is refused, the node keeps the list of before",
 			limit:     "platform_list_bytes",
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				r, has := m.of["constants"]
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				r, has := m.byName["constants"]
 				if !has {
 					return 0, grounds{}, errNotRun
 				}
@@ -235,16 +239,17 @@
 	}
 }
 
-// listCores is a replica's processor at the peak, the leader's with the renewals.
-func listCores(m measured, p Plan) (float64, grounds, error) {
+// listCores is a replica's processor time at the peak, with the renewals that the leader handles.
+func listCores(m labelRecords, p Plan) (float64, grounds, error) {
 	t := &terms{}
 	share := p.Plan.Nodes / p.Assumed.Replicas
-	t.add(1)(m.at("watchers", "watchers", "rest_cores", share, nil))
-	t.add(p.listChanges())(m.at("watchers", "watchers", "change_cpu_s", share, nil))
-	t.add(1)(m.at("renewals", "renewals", "cores", p.renewals(), nil))
+	t.add(1)(m.figureAt("watchers", "watchers", "rest_cores", share, nil))
+	t.add(p.listChangeRate())(m.figureAt("watchers", "watchers", "change_cpu_s", share, nil))
+	t.add(1)(m.figureAt("renewals", "renewals", "cores", p.renewalRate(), nil))
 	return t.total()
 }
 
+// listLines are the costs of a replica of the list.
 func listLines() []Line {
 	replica := "list replica"
 	machineCores := func(p Plan) float64 { return p.Assumed.MachineCores }
@@ -262,10 +267,10 @@
 		{Role: replica, What: "bytes out at the peak", Unit: "bytes/s", Command: "watchers",
 			Mechanism: "a third of the nodes watch each replica", Next: "each change goes to every node",
 			budget: func(p Plan) float64 { return p.Assumed.MachineBytes },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
 				t := &terms{}
-				t.add(p.listChanges())(m.at("watchers", "watchers", "change_bytes", p.Plan.Nodes/p.Assumed.Replicas, nil))
-				t.add(1)(m.at("watchers", "watchers", "rest_bytes_out", p.Plan.Nodes/p.Assumed.Replicas, nil))
+				t.add(p.listChangeRate())(m.figureAt("watchers", "watchers", "change_bytes", p.Plan.Nodes/p.Assumed.Replicas, nil))
+				t.add(1)(m.figureAt("watchers", "watchers", "rest_bytes_out", p.Plan.Nodes/p.Assumed.Replicas, nil))
 				return t.total()
 			}},
 		{
@@ -276,10 +281,10 @@
 			Mechanism: "entries, ring of changes, held calls",
 			Next:      "answers for watchers that stand at many versions",
 			budget:    func(p Plan) float64 { return p.Assumed.MachineMemory },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
 				t := &terms{}
-				t.add(1)(m.at("entries", "entries", "memory_bytes", p.Plan.Backends, nil))
-				t.add(1)(m.at("watchers", "watchers", "memory_bytes", p.Plan.Nodes/p.Assumed.Replicas, nil))
+				t.add(1)(m.figureAt("entries", "entries", "memory_bytes", p.Plan.Backends, nil))
+				t.add(1)(m.figureAt("watchers", "watchers", "memory_bytes", p.Plan.Nodes/p.Assumed.Replicas, nil))
 				return t.total()
 			},
 		},
@@ -291,16 +296,16 @@
 			Mechanism: "one encoded answer for all who need it, by three replicas",
 			Next:      "nothing paces those who come at once",
 			budget:    func(p Plan) float64 { return p.Assumed.Start },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				v, on, err := m.at("entries", "entries", "whole_bytes", p.Plan.Backends, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				v, on, err := m.figureAt("entries", "entries", "whole_bytes", p.Plan.Backends, nil)
 				return v * p.Plan.Nodes / p.Assumed.Replicas / p.Assumed.MachineBytes, on, err
 			},
 		},
 		{Role: replica, What: "in force: the last of its watchers", Unit: "s", Command: "watchers",
 			Mechanism: "held watches", Next: "the node's own time for the change comes to it",
 			budget: func(p Plan) float64 { return p.Plan.InForce },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("watchers", "watchers", "last_worst_s", p.Plan.Nodes/p.Assumed.Replicas, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("watchers", "watchers", "last_worst_s", p.Plan.Nodes/p.Assumed.Replicas, nil)
 			}},
 		{
 			Role:      replica,
@@ -309,11 +314,11 @@
 			Command:   "watchers",
 			Mechanism: "one for each watcher and caller",
 			Next:      "the limit of the process, which its machine sets",
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("watchers", "watchers", "descriptors", p.Plan.Nodes/p.Assumed.Replicas, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("watchers", "watchers", "descriptors", p.Plan.Nodes/p.Assumed.Replicas, nil)
 			},
 		},
-		constant(
+		constantLine(
 			replica,
 			"entries",
 			"entries",
@@ -322,7 +327,7 @@
 			"the list",
 			"registrations are refused",
 		),
-		constant(
+		constantLine(
 			replica,
 			"held calls",
 			"calls",
@@ -331,7 +336,7 @@
 			"three watches a node: list, policy, catalogue",
 			"watches are refused with 429",
 		),
-		constant(
+		constantLine(
 			replica,
 			"sessions",
 			"sessions",
@@ -340,7 +345,7 @@
 			"a session for each node with tenants or shares",
 			"opening is refused",
 		),
-		constant(
+		constantLine(
 			replica,
 			"records",
 			"records",
@@ -352,10 +357,11 @@
 	}
 }
 
-// Lines are all costs that the page has.
+// Lines are all costs on the page.
 func Lines() []Line {
 	all := append(nodeLines(), listLines()...)
 	return append(all, otherLines()...)
 }
 
+// errNotRun is the error of a figure that was not measured.
 var errNotRun = errors.New("not run")
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	readers    = 10 // complete lists that a figure is taken over
-	few        = 30 // watchers
-	agents     = 200
-	renewTime  = 4 * time.Second
-	renewedTTL = registry.MaxTTL // so that the rate is this measurement's alone
+	listReads      = 10 // complete lists over which a figure is averaged
+	fewWatchers    = 30
+	renewingAgents = 200
+	renewalTime    = 4 * time.Second
+	renewedTTL     = registry.MaxTTL // so that only this measurement sets the rate of renewals
 )
 
-// Entries measures one replica by the entries of its list.
+// Entries measures one replica by the number of entries in its list.
 func (l *Lists) Entries(ctx context.Context, sizes []int) error {
 	return l.points(
 		ctx,
 		"entries",
 		"entries",
 		sizes,
-		map[string]int{"watchers": few},
+		map[string]int{"watchers": fewWatchers},
 		l.Say,
 		func(n int) (f map[string]float64, err error) {
-			err = l.fresh(ctx, n, func(set *replicas.Set, k *client.Client) error {
-				f, err = l.sized(ctx, set, k, n)
+			err = l.withReplica(ctx, n, func(set *replicas.Set, k *client.Client) error {
+				f, err = l.measureEntries(ctx, set, k, n)
 				return err
 			})
 			return f, err
@@ -42,8 +42,9 @@
 	)
 }
 
-// sized measures changes and complete lists of a list of so many.
-func (l *Lists) sized(
+// measureEntries measures changes and reads of the complete list, of a list with the given number of
+// entries.
+func (l *Lists) measureEntries(
 	ctx context.Context,
 	set *replicas.Set,
 	k *client.Client,
@@ -54,55 +55,55 @@
 		return nil, err
 	}
 	pid, addresses := set.All[0].Proc().Pid, []string{set.All[0].Address()}
-	c, err := l.gather(ctx, addresses, few, few, now.Index)
+	c, err := l.startWatchers(ctx, addresses, fewWatchers, fewWatchers, now.Index)
 	if err != nil {
 		return nil, err
 	}
-	defer c.end()
-	begun, err := both(pid)
+	defer c.close()
+	begun, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
-	for i := range changes {
-		r, err := change(ctx, k, i, entries)
+	for i := range changesPerFigure {
+		r, err := registerRestart(ctx, k, i, entries)
 		if err != nil {
 			return nil, err
 		}
-		if err := c.await(ctx, few, r.Version, entryName(i%entries)); err != nil {
+		if err := c.await(ctx, fewWatchers, r.Version, entryName(i%entries)); err != nil {
 			return nil, err
 		}
 		now.Index = r.Version
 	}
-	told, err := both(pid)
+	changed, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
-	// one after the other, as new nodes: the list is made for the first and kept for the rest
-	for range readers {
-		one, err := l.gather(ctx, addresses, 1, 1, now.Index)
+	// New nodes read one after the other: the replica encodes the list for the first and caches it for the rest.
+	for range listReads {
+		one, err := l.startWatchers(ctx, addresses, 1, 1, now.Index)
 		if err != nil {
 			return nil, err
 		}
-		one.end()
+		one.close()
 	}
-	read, err := both(pid)
+	read, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
-	work, whole := told.minus(begun), read.minus(told)
+	work, lists := changed.minus(begun), read.minus(changed)
 	return map[string]float64{
-		"change_cpu_s": seconds(work.service.CPU) / changes,
-		"change_bytes": work.service.Written / changes,
+		"change_cpu_s": seconds(work.service.CPU) / changesPerFigure,
+		"change_bytes": work.service.Written / changesPerFigure,
 		"whole_cpu_s": seconds(
-			whole.service.CPU,
-		) / readers,
-		"whole_bytes":  whole.own.Read / readers,
-		"reader_cpu_s": seconds(whole.own.CPU) / readers,
+			lists.service.CPU,
+		) / listReads,
+		"whole_bytes":  lists.own.Read / listReads,
+		"reader_cpu_s": seconds(lists.own.CPU) / listReads,
 		"memory_bytes": read.service.RSS,
 	}, nil
 }
 
-// Renewals measures the leader by how many renewals a second come, one server a call as agents make them.
+// Renewals measures the leader by the renewals a second; as with agents, each call renews one server.
 func (l *Lists) Renewals(ctx context.Context, rates []int) error {
 	return l.points(
 		ctx,
@@ -112,8 +113,8 @@
 		nil,
 		l.Say,
 		func(n int) (f map[string]float64, err error) {
-			err = l.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
-				f, err = renewed(ctx, set, k, n)
+			err = l.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
+				f, err = measureRenewals(ctx, set, k, n)
 				return err
 			})
 			return f, err
@@ -121,10 +122,10 @@
 	)
 }
 
-// renewed has hollow agents renew at a rate, each its own servers on its own connection.
-func renewed(ctx context.Context, set *replicas.Set, k *client.Client, rate int) (map[string]float64, error) {
+// measureRenewals has hollow agents renew at a rate a second, each its own server on its own connection.
+func measureRenewals(ctx context.Context, set *replicas.Set, k *client.Client, rate int) (map[string]float64, error) {
 	var g errgroup.Group
-	all := make([]*client.Client, agents)
+	all := make([]*client.Client, renewingAgents)
 	for i := range all {
 		one, err := client.New(client.Config{Addresses: []string{set.All[0].Address()}})
 		if err != nil {
@@ -146,18 +147,18 @@
 		return nil, err
 	}
 	pid := set.All[0].Proc().Pid
-	begun, err := both(pid)
+	begun, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
 	start := time.Now()
-	each := time.Duration(agents) * time.Second / time.Duration(rate)
+	each := time.Duration(renewingAgents) * time.Second / time.Duration(rate)
 	var made atomic.Int64
 	var working sync.WaitGroup
-	errs := make([]error, agents)
+	errs := make([]error, renewingAgents)
 	for i, one := range all {
 		working.Go(func() {
-			for at := start.Add(each * time.Duration(i) / agents); at.Before(start.Add(renewTime)); at = at.Add(each) {
+			for at := start.Add(each * time.Duration(i) / renewingAgents); at.Before(start.Add(renewalTime)); at = at.Add(each) {
 				backoff.Sleep(ctx, time.Until(at))
 				if _, errs[i] = one.Renew(ctx, []string{fmt.Sprint("l", i)}); errs[i] != nil {
 					return
@@ -173,7 +174,7 @@
 		}
 	}
 	took := time.Since(start).Seconds()
-	ended, err := both(pid)
+	ended, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -7,13 +7,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// form is a way in which a cost may grow.
+// form is a function of the size by which a cost may grow.
 type form struct {
-	name string
-	of   func(n float64) float64 // nil: it does not grow
+	name  string
+	apply func(n float64) float64 // nil: the cost does not grow
 }
 
-// forms are those that are tried, the plainest first.
+// forms are the forms that a fit tries, the simplest first.
 var forms = []form{
 	{"constant", nil},
 	{"log n", func(n float64) float64 { return math.Log(n) }},
@@ -22,19 +22,19 @@
 	{"n²", func(n float64) float64 { return n * n }},
 }
 
-// Fit is a cost by a size: at + slope * form(n).
+// Fit is a cost by a size n: Intercept + Slope * form(n).
 type Fit struct {
-	Form     string
-	At       float64
-	Slope    float64 // of the form; 0 where it is constant
-	Residual float64 // relative, root of the mean square, by the degrees of freedom
-	Sizes    int     // that it rests on
-	Largest  float64 // of them
-	grow     func(float64) float64
+	Form      string
+	Intercept float64
+	Slope     float64 // factor of the form; 0 if the cost is constant
+	Residual  float64 // root mean square of the relative errors, by the degrees of freedom
+	Sizes     int     // number of sizes that were fitted
+	Largest   float64 // largest size that was fitted
+	growth    func(float64) float64
 }
 
-// fit finds the form with the least residual. Each point counts by its relative
-// error, as sizes and costs go over decades. A cost that falls with the size is constant.
+// fit finds the form with the least residual. Each point is weighted by its relative error, as sizes and
+// costs span decades. A cost that falls with the size is taken as constant.
 func fit(xs, ys []float64) (Fit, error) {
 	if len(xs) < 3 || len(xs) != len(ys) {
 		return Fit{}, fmt.Errorf("a fit wants three sizes, there are %d", len(xs))
@@ -48,49 +48,49 @@
 	}
 	best := Fit{Residual: math.Inf(1)}
 	for _, f := range forms {
-		one := Fit{Form: f.name, Sizes: len(xs), Largest: largest, grow: f.of}
-		free := len(xs) - 1
-		if f.of == nil {
-			one.At = stat.Mean(ys, weights)
+		candidate := Fit{Form: f.name, Sizes: len(xs), Largest: largest, growth: f.apply}
+		degreesOfFreedom := len(xs) - 1
+		if f.apply == nil {
+			candidate.Intercept = stat.Mean(ys, weights)
 		} else {
 			grown := make([]float64, len(xs))
 			for i, x := range xs {
-				grown[i] = f.of(x)
+				grown[i] = f.apply(x)
 			}
-			one.At, one.Slope = stat.LinearRegression(grown, ys, weights, false)
-			if free--; one.Slope <= 0 {
+			candidate.Intercept, candidate.Slope = stat.LinearRegression(grown, ys, weights, false)
+			if degreesOfFreedom--; candidate.Slope <= 0 {
 				continue
 			}
 		}
 		sum := 0.0
 		for i, x := range xs {
-			sum += math.Pow((one.Cost(x)-ys[i])/ys[i], 2)
+			sum += math.Pow((candidate.Cost(x)-ys[i])/ys[i], 2)
 		}
-		if one.Residual = math.Sqrt(sum / float64(free)); one.Residual < best.Residual {
-			best = one
+		if candidate.Residual = math.Sqrt(sum / float64(degreesOfFreedom)); candidate.Residual < best.Residual {
+			best = candidate
 		}
 	}
 	return best, nil
 }
 
-// Cost is what the fit gives at a size; never below 0.
+// Cost is the fitted cost at a size; never below 0.
 func (f Fit) Cost(n float64) float64 {
-	if f.grow == nil {
-		return f.At
+	if f.growth == nil {
+		return f.Intercept
 	}
-	return max(0, f.At+f.Slope*f.grow(n))
+	return max(0, f.Intercept+f.Slope*f.growth(n))
 }
 
-// Reach is by what factor a size is beyond the largest that was played.
+// Reach is the ratio of a size to the largest size that was measured.
 func (f Fit) Reach(n float64) float64 { return n / f.Largest }
 
-// grounds are what a figure at a size rests on.
+// grounds tell how well a figure at a size is supported by measurements.
 type grounds struct {
-	reach    float64 // the size over the largest that was played
-	residual float64 // of the fit
+	reach    float64 // ratio of the size to the largest that was measured
+	residual float64 // of the fit, relative
 }
 
-const poorly = 0.3 // residual from which a fit is said to be poor
+const poorResidual = 0.3 // residual above which a fit is called poor
 
 func (g grounds) String() string {
 	s := "measured"
@@ -99,13 +99,14 @@
 	} else if g.reach > 1 {
 		s = fmt.Sprintf("extrapolated %.1f times", g.reach)
 	}
-	if g.residual > poorly {
+	if g.residual > poorResidual {
 		s += ", by a poor fit"
 	}
 	return s
 }
 
-// fitOf fits a figure of a record along one size, where the other sizes are as said.
+// fitOf fits a figure of a record along one size, over the points whose other sizes equal others. The
+// tables of the page show the texts of its errors.
 func fitOf(r Record, along, figure string, others map[string]int) (Fit, error) {
 	var xs, ys []float64
 	for _, p := range r.Points {
@@ -121,6 +122,7 @@
 	return f, nil
 }
 
+// matches reports whether a point has all the given sizes.
 func matches(p Point, others map[string]int) bool {
 	for name, n := range others {
 		if p.Sizes[name] != n {
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -20,23 +20,24 @@
 )
 
 const (
-	forceEntries = 200
-	burstOf      = 10                     // changes that come at once
-	conductEvery = 200 * time.Millisecond // as the operators' command conducts
-	lookAgain    = 20 * time.Millisecond
+	forceEntries      = 200
+	burstChanges      = 10                     // changes made at once
+	conductInterval   = 200 * time.Millisecond // as in the operators' command
+	catalogueInterval = 20 * time.Millisecond
 )
 
-// Force measures policies, tenants and bans, from the operator's call to the last of many hollow nodes in
-// this process.
+// Force measures the time from the operator's call until a policy, a tenant or a ban is in force at the
+// last of many hollow nodes in this process.
 type Force struct {
 	Lists
-	Each    int     // changes of each kind
-	Changes float64 // of the list a second meanwhile, in bursts; 0: none
-	// in place of tenants and bans: what so many nodes take in one process, and when their views are whole
+	Each    int     // number of changes of each kind
+	Changes float64 // changes of the list a second meanwhile, in bursts; 0: none
+	// Fleet measures, in place of tenants and bans, what the nodes use in one process, and when their views
+	// of the fleet are complete.
 	Fleet bool
 }
 
-// Measure measures it by nodes.
+// Measure measures at each number of nodes and records the results.
 func (f *Force) Measure(ctx context.Context, sizes []int) error {
 	what := "force"
 	if f.Fleet {
@@ -50,8 +51,8 @@
 		map[string]int{"changes": int(f.Changes + 0.5)},
 		f.Say,
 		func(n int) (got map[string]float64, err error) {
-			err = f.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
-				got, err = f.one(ctx, k, set.All[0].Address(), n)
+			err = f.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
+				got, err = f.measureNodes(ctx, k, set.All[0].Address(), n)
 				return err
 			})
 			return got, err
@@ -59,8 +60,8 @@
 	)
 }
 
-// one runs so many nodes, and a controller of tenants, and makes the changes.
-func (f *Force) one(
+// measureNodes runs the nodes and a controller of tenants, and makes the changes.
+func (f *Force) measureNodes(
 	ctx context.Context,
 	k *client.Client,
 	service string,
@@ -74,28 +75,28 @@
 		return nil, err
 	}
 	defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-	controls, free, err := governed(dir, nodes, service, f.Parts, !f.Fleet)
+	controls, free, err := writeGovernedConfigs(dir, nodes, service, f.Parts, !f.Fleet)
 	defer free()
 	if err != nil {
 		return nil, err
 	}
-	got, n := map[string]float64{}, newNews(nodes)
+	got, n := map[string]float64{}, newUptakes(nodes)
 	running, stop := context.WithCancelCause(ctx)
 	var all errgroup.Group
 	begin := func(run func() error) {
 		all.Go(func() error {
 			err := run()
 			if running.Err() == nil {
-				stop(fmt.Errorf("it ended by itself: %w", err)) // what waits for it need not
+				stop(fmt.Errorf("a node or the controller ended early: %w", err)) // ends the waits for it
 			}
 			return err
 		})
 	}
-	begin(func() error { return hollow(running, dir, nodes, n.log) })
+	begin(func() error { return runHollow(running, dir, nodes, n.handler) })
 	if !f.Fleet {
-		begin(func() error { return holdConduct(running, k) })
+		begin(func() error { return runTenantController(running, k) })
 	}
-	err = f.play(running, k, controls, free, n, got)
+	err = f.measureChanges(running, k, controls, free, n, got)
 	if why := context.Cause(running); why != nil {
 		err = why
 	}
@@ -106,36 +107,37 @@
 	return got, err
 }
 
-// prepare lists servers, and puts a policy on record.
+// prepare lists the servers and stores the first policy.
 func (f *Force) prepare(ctx context.Context, k *client.Client) error {
 	for i := range forceEntries {
-		if _, err := change(ctx, k, i, forceEntries); err != nil {
+		if _, err := registerRestart(ctx, k, i, forceEntries); err != nil {
 			return err
 		}
 	}
-	_, err := f.policy(ctx, k, 0)
+	_, err := f.putPolicy(ctx, k, 0)
 	return err
 }
 
-// play makes the changes before nodes that run. free gives up what kept their addresses for them.
-func (f *Force) play(
+// measureChanges makes the changes while the nodes run, and adds its figures to got. free releases the
+// sockets that reserve the nodes' addresses.
+func (f *Force) measureChanges(
 	ctx context.Context,
 	k *client.Client,
 	controls []string,
 	free func(),
-	n *news,
+	n *uptakes,
 	got map[string]float64,
 ) error {
 	begun := time.Now()
 	for _, at := range controls {
-		if err := ready(ctx, at); err != nil {
+		if err := awaitReady(ctx, at); err != nil {
 			return err
 		}
 	}
 	got["ready_s"] = seconds(time.Since(begun))
-	free() // the nodes have their addresses
+	free() // the nodes listen on their addresses now
 	if f.Fleet {
-		return f.fleet(ctx, k, controls, n, begun, got)
+		return f.measureFleet(ctx, k, controls, n, begun, got)
 	}
 	used, err := ownUse()
 	if err != nil {
@@ -145,17 +147,17 @@
 		len(controls),
 	), used.FDs/float64(
 		len(controls),
-	), load()
+	), machineLoad()
 	busy, calm := context.WithCancel(ctx)
 	changing := make(chan error, 1)
-	go func() { changing <- f.bursts(busy, k) }()
+	go func() { changing <- f.changeInBursts(busy, k) }()
 	var policies, tenants, bans tally
-	policiesBefore, tenantsBefore := n.times("policy"), n.times("tenants")
+	policiesBefore, tenantsBefore := n.meanCount("policy"), n.meanCount("tenants")
 	for i := range f.Each {
 		if err = errors.Join(
-			f.policied(ctx, k, n, i+1, &policies),
-			f.tenanted(ctx, k, n, i, &tenants),
-			banned(ctx, controls, i, &bans),
+			f.measurePolicy(ctx, k, n, i+1, &policies),
+			f.measureTenant(ctx, k, n, i, &tenants),
+			measureBan(ctx, controls, i, &bans),
 		); err != nil {
 			break
 		}
@@ -164,22 +166,23 @@
 	if err = errors.Join(err, <-changing); err != nil {
 		return err
 	}
-	got["policy_taken"], got["tenant_taken"] = (n.times("policy")-policiesBefore)/float64(
+	got["policy_taken"], got["tenant_taken"] = (n.meanCount("policy")-policiesBefore)/float64(
 		f.Each,
-	), (n.times("tenants")-tenantsBefore)/float64(
+	), (n.meanCount("tenants")-tenantsBefore)/float64(
 		f.Each,
 	)
-	policies.figures("policy", got)
-	tenants.figures("tenant", got)
-	bans.figures("ban", got)
+	policies.addFigures("policy", got)
+	tenants.addFigures("tenant", got)
+	bans.addFigures("ban", got)
 	return nil
 }
 
-// policy puts the i-th table on record, with a limit for each tenant that is to come.
-func (f *Force) policy(ctx context.Context, k *client.Client, i int) (version uint64, err error) {
+// putPolicy stores the i-th policy table, with a limit for each tenant that is added later, and returns the
+// version of its record.
+func (f *Force) putPolicy(ctx context.Context, k *client.Client, i int) (version uint64, err error) {
 	known, text := policy.Known{}, fmt.Appendf(nil, "fleet {\n requests { rate = %d }\n", 1_000_000+i)
 	for j := range f.Each {
-		known.Tenants = append(known.Tenants, tenantForm(j).Names[0])
+		known.Tenants = append(known.Tenants, tenantSpec(j).Names[0])
 		text = fmt.Appendf(text, " book %q {\n  requests { rate = 10 }\n }\n", known.Tenants[j])
 	}
 	t, err := policy.Compile("force.hcl", append(text, "}\n"...), known)
@@ -194,8 +197,9 @@
 	return r.EntryVersion, err
 }
 
-func (f *Force) policied(ctx context.Context, k *client.Client, n *news, i int, to *tally) error {
-	version, err := f.policy(ctx, k, i)
+// measurePolicy stores the i-th policy and adds the times from then until each node has taken it up.
+func (f *Force) measurePolicy(ctx context.Context, k *client.Client, n *uptakes, i int, to *tally) error {
+	version, err := f.putPolicy(ctx, k, i)
 	if err != nil {
 		return err
 	}
@@ -206,13 +210,14 @@
 	return err
 }
 
-// tenanted brings a tenant in: it is in force at a node that has the catalogue in which it is served.
-func (f *Force) tenanted(ctx context.Context, k *client.Client, n *news, i int, to *tally) error {
-	if err := order(ctx, k, i); err != nil {
+// measureTenant adds a tenant. The tenant is in force at a node that has the catalogue in which it is
+// served.
+func (f *Force) measureTenant(ctx context.Context, k *client.Client, n *uptakes, i int, to *tally) error {
+	if err := orderTenant(ctx, k, i); err != nil {
 		return err
 	}
 	acknowledged := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for {
 		s, err := tenant.ReadStored(ctx, k)
@@ -223,7 +228,7 @@
 			all := s.Snapshot.Sorted()
 			at := slices.IndexFunc(
 				all,
-				func(e *tenant.Entry) bool { return e.Name == tenantForm(i).Names[0] && e.Phase == tenant.PhaseServe },
+				func(e *tenant.Entry) bool { return e.Name == tenantSpec(i).Names[0] && e.Phase == tenant.PhaseServe },
 			)
 			if at >= 0 {
 				times, err := n.await(ctx, "tenants", all[at].Since, acknowledged)
@@ -233,14 +238,15 @@
 				return err
 			}
 		}
-		if !backoff.Sleep(ctx, lookAgain) {
-			return fmt.Errorf("the %d-th tenant is not served: %w", i, ctx.Err())
+		if !backoff.Sleep(ctx, catalogueInterval) {
+			return fmt.Errorf("tenant %d is not served: %w", i, ctx.Err())
 		}
 	}
 }
 
-// banned takes a server out at each node, and puts it back: it is in force where the call is answered.
-func banned(ctx context.Context, controls []string, i int, to *tally) error {
+// measureBan takes a server out of service at each node, and puts it back. The ban is in force at a node
+// once the node has answered the call.
+func measureBan(ctx context.Context, controls []string, i int, to *tally) error {
 	for _, do := range []string{"maint", "ready"} {
 		times, err := callAll(ctx, controls, fmt.Sprintf("/backends/%s/%s", entryName(i%forceEntries), do))
 		if err != nil {
--- a/internal/lab/scale/force_calls.go
+++ b/internal/lab/scale/force_calls.go
@@ -14,11 +14,11 @@
 	"wrenspread/internal/besteffort"
 )
 
-const callTime = 2 * time.Second // a node answers its operators within one
+const callTimeout = 2 * time.Second // a node answers its operators within this time
 
-// callOf makes a call at a node's control address.
-func callOf(ctx context.Context, method, control, path string) (status int, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+// callNode makes a call at a node's control address and returns the status of the answer.
+func callNode(ctx context.Context, method, control, path string) (status int, err error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+control+path, nil)
 	if err != nil {
@@ -26,37 +26,37 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("a call to a node: %w", err)
+		return 0, fmt.Errorf("%s %s at node %s: %w", method, path, control, err)
 	}
 	defer besteffort.Close(resp.Body)
 	_, err = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, err
 }
 
-// ready waits until a node is.
-func ready(ctx context.Context, control string) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// awaitReady waits until the node at a control address is ready.
+func awaitReady(ctx context.Context, control string) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		status, err := callOf(ctx, http.MethodGet, control, "/healthcheck")
+		status, err := callNode(ctx, http.MethodGet, control, "/healthcheck")
 		if err == nil && status == http.StatusOK {
 			return nil
 		}
-		if !backoff.Sleep(ctx, lookEvery) {
-			return fmt.Errorf("a node is not ready: %d, %w", status, err)
+		if !backoff.Sleep(ctx, pollInterval) {
+			return fmt.Errorf("node %s is not ready: status %d: %w", control, status, err)
 		}
 	}
 }
 
-// callAll makes a call at every node, as many at once as operators write, and gives the times to each answer,
-// in order.
+// callAll makes a call at every node, concurrentWrites at a time, and returns the times from the start
+// until each answer, sorted.
 func callAll(ctx context.Context, controls []string, path string) ([]float64, error) {
 	all, start := make([]float64, len(controls)), time.Now()
 	var g errgroup.Group
-	g.SetLimit(operators)
+	g.SetLimit(concurrentWrites)
 	for i, control := range controls {
 		g.Go(func() error {
-			status, err := callOf(ctx, http.MethodPost, control, path)
+			status, err := callNode(ctx, http.MethodPost, control, path)
 			if err == nil && status != http.StatusOK {
 				err = fmt.Errorf("%s of node %d: status %d", path, i, status)
 			}
--- a/internal/lab/scale/force_fleet.go
+++ b/internal/lab/scale/force_fleet.go
@@ -8,31 +8,32 @@
 	"wrenspread/internal/registry/client"
 )
 
-// fleet waits until all views are whole, as long as it goes, and takes what the nodes use at rest, and some
-// policies. Their process is this one, so its few callers are counted with them.
-func (f *Force) fleet(
+// measureFleet waits until all views of the fleet are complete, or until the wait times out, then measures
+// the nodes' use at rest and some policies. The nodes run in this process, so the few goroutines that call
+// them are counted with them.
+func (f *Force) measureFleet(
 	ctx context.Context,
 	k *client.Client,
 	controls []string,
-	n *news,
+	n *uptakes,
 	begun time.Time,
 	got map[string]float64,
 ) error {
 	each := float64(len(controls))
 	r := rig{Sizes: Sizes{Nodes: len(controls)}, controls: controls}
-	if err := r.all(ctx, "fleet.alive", len(controls)); err != nil && ctx.Err() != nil {
+	if err := r.awaitStat(ctx, "fleet.alive", len(controls)); err != nil && ctx.Err() != nil {
 		return err
 	}
 	got["settled_s"], got["alive"] = seconds(time.Since(begun)), 0
-	asked := controls[:min(sampled, len(controls))]
+	asked := controls[:min(sampledNodes, len(controls))]
 	for _, at := range asked {
-		says, err := statsOf(ctx, at)
+		says, err := readStats(ctx, at)
 		if err != nil {
 			return err
 		}
 		got["alive"] += says["fleet.alive"] / each / float64(len(asked))
 	}
-	sentBefore, err := sentBy(ctx, controls)
+	sentBefore, err := trafficSentBy(ctx, controls)
 	if err != nil {
 		return err
 	}
@@ -47,7 +48,7 @@
 		return err
 	}
 	took := seconds(time.Since(began))
-	sentAfter, err := sentBy(ctx, controls)
+	sentAfter, err := trafficSentBy(ctx, controls)
 	if err != nil {
 		return err
 	}
@@ -56,13 +57,13 @@
 	)/took/each, after.RSS/each, after.FDs/each
 	got["datagrams_per_s"], got["load"] = (sentAfter.datagrams-sentBefore.datagrams)/took/float64(
 		len(asked),
-	), load()
+	), machineLoad()
 	var policies tally
 	for i := range f.Each {
-		if err := f.policied(ctx, k, n, i+1, &policies); err != nil {
+		if err := f.measurePolicy(ctx, k, n, i+1, &policies); err != nil {
 			return err
 		}
 	}
-	policies.figures("policy", got)
+	policies.addFigures("policy", got)
 	return nil
 }
--- a/internal/lab/scale/force_news.go
+++ b/internal/lab/scale/force_news.go
@@ -11,40 +11,46 @@
 	"wrenspread/internal/backoff"
 )
 
-// newsKinds are the lines of a node's log that tell what it has taken up, with the key of its number.
-var newsKinds = map[string]string{"policy": "version", "tenants": "catalogue"}
+// uptakeMessages are the messages of a node's log that report what the node has taken up. The value is the
+// key of the attribute that holds its number.
+var uptakeMessages = map[string]string{"policy": "version", "tenants": "catalogue"}
 
-// news is what many nodes have taken up last, and when, as their logs tell.
-type news struct {
-	begun time.Time
-	of    map[string][]taken // by kind, each node's
+// uptakes records what each of many nodes has taken up last, and when, according to their logs.
+type uptakes struct {
+	begun  time.Time
+	byKind map[string][]uptake // by kind of message, then by node
 }
 
-type taken struct{ number, when, times atomic.Int64 }
+// uptake is the last thing of one kind that a node has taken up: its number, the time since the begin of
+// the measurement in ns, and how often the node has taken up something of the kind.
+type uptake struct{ number, at, count atomic.Int64 }
 
-func newNews(nodes int) *news {
-	n := &news{begun: time.Now(), of: map[string][]taken{}}
-	for kind := range newsKinds {
-		n.of[kind] = make([]taken, nodes)
+func newUptakes(nodes int) *uptakes {
+	n := &uptakes{begun: time.Now(), byKind: map[string][]uptake{}}
+	for kind := range uptakeMessages {
+		n.byKind[kind] = make([]uptake, nodes)
 	}
 	return n
 }
 
-// log is the handler of a node's log.
-func (n *news) log(node int) slog.Handler { return listener{n, node} }
+// handler is the handler of a node's log.
+func (n *uptakes) handler(node int) slog.Handler { return uptakeHandler{n, node} }
 
-type listener struct {
-	to   *news
+// uptakeHandler is a log handler that records a node's uptakes.
+type uptakeHandler struct {
+	to   *uptakes
 	node int
 }
 
-func (listener) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
-func (l listener) WithAttrs([]slog.Attr) slog.Handler             { return l }
-func (l listener) WithGroup(string) slog.Handler                  { return l }
+func (uptakeHandler) Enabled(_ context.Context, level slog.Level) bool {
+	return level >= slog.LevelInfo
+}
+func (l uptakeHandler) WithAttrs([]slog.Attr) slog.Handler { return l }
+func (l uptakeHandler) WithGroup(string) slog.Handler      { return l }
 
-// Handle takes a line of the log.
-func (l listener) Handle(_ context.Context, r slog.Record) error {
-	key, known := newsKinds[r.Message]
+// Handle records the number in a line of the log that reports an uptake.
+func (l uptakeHandler) Handle(_ context.Context, r slog.Record) error {
+	key, known := uptakeMessages[r.Message]
 	if !known {
 		return nil
 	}
@@ -52,38 +58,38 @@
 		if a.Key != key {
 			return true
 		}
-		t := &l.to.of[r.Message][l.node]
-		t.when.Store(int64(time.Since(l.to.begun)))
+		t := &l.to.byKind[r.Message][l.node]
+		t.at.Store(int64(time.Since(l.to.begun)))
 		t.number.Store(int64(a.Value.Uint64()))
-		t.times.Add(1)
+		t.count.Add(1)
 		return false
 	})
 	return nil
 }
 
-// times is how often a node has taken something of a kind up, in the mean.
-func (n *news) times(kind string) float64 {
+// meanCount is how often a node has taken up something of a kind, averaged over the nodes.
+func (n *uptakes) meanCount(kind string) float64 {
 	sum := int64(0)
-	for i := range n.of[kind] {
-		sum += n.of[kind][i].times.Load()
+	for i := range n.byKind[kind] {
+		sum += n.byKind[kind][i].count.Load()
 	}
-	return float64(sum) / float64(len(n.of[kind]))
+	return float64(sum) / float64(len(n.byKind[kind]))
 }
 
-// await waits until every node has a number of a kind, and gives the times from a moment until each had it,
-// in order; 0 for one that had it before. No higher one may come meanwhile.
-func (n *news) await(ctx context.Context, kind string, number uint64, since time.Time) ([]float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+// await waits until every node has a number of a kind, and returns the times from since until each node had
+// it, sorted; 0 for a node that had it before. No higher number may come during the wait.
+func (n *uptakes) await(ctx context.Context, kind string, number uint64, since time.Time) ([]float64, error) {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	var all []float64
-	for i := range n.of[kind] {
-		t := &n.of[kind][i]
+	for i := range n.byKind[kind] {
+		t := &n.byKind[kind][i]
 		for t.number.Load() < int64(number) {
 			if !backoff.Sleep(ctx, time.Millisecond) {
 				return nil, fmt.Errorf(
 					"node %d of %d stays at %s %d, not %d: %w",
 					i,
-					len(n.of[kind]),
+					len(n.byKind[kind]),
 					kind,
 					t.number.Load(),
 					number,
@@ -91,37 +97,38 @@
 				)
 			}
 		}
-		all = append(all, max(0, seconds(time.Duration(t.when.Load())-since.Sub(n.begun))))
+		all = append(all, max(0, seconds(time.Duration(t.at.Load())-since.Sub(n.begun))))
 	}
 	slices.Sort(all)
 	return all, nil
 }
 
-// tally collects the times of many changes.
-type tally struct{ half, most, last []float64 }
+// tally collects the times of many changes: for each change the time until half, 99 in 100, and all of the
+// nodes have it.
+type tally struct{ medians, percentiles99, slowest []float64 }
 
 func (t *tally) add(times []float64) {
 	n := len(times)
-	t.half, t.most, t.last = append(
-		t.half,
+	t.medians, t.percentiles99, t.slowest = append(
+		t.medians,
 		times[n/2],
 	), append(
-		t.most,
+		t.percentiles99,
 		times[n*99/100],
 	), append(
-		t.last,
+		t.slowest,
 		times[n-1],
 	)
 }
 
-// figures returns the medians over the changes, and the worst last one.
-func (t *tally) figures(what string, into map[string]float64) {
-	into[what+"_last_worst_s"] = slices.Max(t.last)
+// addFigures adds the medians over the changes, and the longest time until the last node had a change.
+func (t *tally) addFigures(what string, into map[string]float64) {
+	into[what+"_last_worst_s"] = slices.Max(t.slowest)
 	into[what+"_half_s"], into[what+"_most99_s"], into[what+"_last_s"] = spreadOf(
-		t.half,
+		t.medians,
 	).Median, spreadOf(
-		t.most,
+		t.percentiles99,
 	).Median, spreadOf(
-		t.last,
+		t.slowest,
 	).Median
 }
--- a/internal/lab/scale/force_rig.go
+++ b/internal/lab/scale/force_rig.go
@@ -20,9 +20,10 @@
 	"wrenspread/internal/tenant"
 )
 
-// governed writes the files of nodes that follow the policy, and the tenants if told so, and have a view of
-// each other.
-func governed(
+// writeGovernedConfigs writes the configurations of nodes that follow the policy, have a view of the fleet
+// and, if tenants is set, follow the tenants. It returns the nodes' control addresses, and free, which
+// releases the reserved addresses.
+func writeGovernedConfigs(
 	dir string,
 	nodes int,
 	service string,
@@ -35,7 +36,7 @@
 		}
 		frees = nil
 	}
-	peers, err := freeUDP(nodes)
+	peers, err := freeUDPAddresses(nodes)
 	if err != nil {
 		return nil, free, err
 	}
@@ -65,7 +66,7 @@
 			Tenants:    tenants,
 			Seed:       uint64(i + 1),
 		}
-		if err := c.Write(configOf(dir, i), drawn, 1); err != nil {
+		if err := c.Write(configFile(dir, i), drawn, 1); err != nil {
 			return nil, free, err
 		}
 		controls = append(controls, control)
@@ -73,8 +74,9 @@
 	return controls, free, nil
 }
 
-// holdConduct holds the lease of the tenants' controller until ctx ends, as the operators' command does.
-func holdConduct(ctx context.Context, k *client.Client) error {
+// runTenantController holds the lease of the tenants' controller and runs the controller until ctx ends, as
+// the operators' command does.
+func runTenantController(ctx context.Context, k *client.Client) error {
 	p, err := lease.Open(lease.Config{Client: k, Process: "scale", TTL: lease.DefaultTTL})
 	if err != nil {
 		return err
@@ -82,27 +84,36 @@
 	ended := make(chan error, 1)
 	go func() {
 		ended <- p.Run(ctx, tenant.LeaseName, func(ctx context.Context, fenced lease.Token) error {
-			c := tenant.Controller{Store: &tenant.Records{Registry: k, Token: fenced}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: conductEvery, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
+			c := tenant.Controller{
+				Store:       &tenant.Records{Registry: k, Token: fenced},
+				Environment: tenant.RegistryEnvironment{Registry: k},
+				Interval:    conductInterval,
+				Times:       tenant.DefaultTimes(),
+				Log:         slog.New(slog.DiscardHandler),
+			}
 			return c.Run(ctx)
 		})
 	}()
 	select {
 	case err = <-ended:
 		return errors.Join(err, p.Close(lease.DefaultTTL))
-	case <-ctx.Done(): // without the service the lease is not given up: then closing ends it
+	case <-ctx.Done(): // Run cannot release the lease if the registry is gone; Close ends it then.
 		err = p.Close(lease.DefaultTTL)
-		besteffort.Ended(<-ended) // it has lost its session
+		besteffort.Ended(<-ended) // Run has lost its session
 		return errors.Join(ctx.Err(), err)
 	}
 }
 
-// bursts changes the list until ctx ends, several servers at once at drawn times.
-func (f *Force) bursts(ctx context.Context, k *client.Client) error {
+// changeInBursts changes the list until ctx ends: several servers at once, at random times.
+func (f *Force) changeInBursts(ctx context.Context, k *client.Client) error {
 	r := rand.New(rand.NewPCG(1, 0x6275727374))
-	for i := 0; f.Changes > 0 && backoff.Sleep(ctx, time.Duration(r.ExpFloat64()*burstOf/f.Changes*float64(time.Second))); i += burstOf {
+	for i := 0; f.Changes > 0 && backoff.Sleep(
+		ctx,
+		time.Duration(r.ExpFloat64()*burstChanges/f.Changes*float64(time.Second)),
+	); i += burstChanges {
 		var g errgroup.Group
-		for j := range burstOf {
-			g.Go(func() error { _, err := change(ctx, k, i+j, forceEntries); return err })
+		for j := range burstChanges {
+			g.Go(func() error { _, err := registerRestart(ctx, k, i+j, forceEntries); return err })
 		}
 		if err := g.Wait(); err != nil && ctx.Err() == nil {
 			return err
--- a/internal/lab/scale/force_table.go
+++ b/internal/lab/scale/force_table.go
@@ -1,29 +1,31 @@
 package scale
 
-// ordersTable is policies, tenants and bans until they are in force everywhere.
-func ordersTable(s sheet) (string, error) {
+// ordersTable is the table of the times until policies, tenants and bans are in force at all nodes.
+func ordersTable(s pageData) (string, error) {
 	var rows [][]string
 	for _, r := range s.records("force") {
-		for _, kind := range []struct{ name, what string }{{"policy", "a policy"}, {"tenant", "a tenant brought in"}, {"ban", "a ban"}} {
+		for _, kind := range []struct{ name, what string }{
+			{"policy", "a policy"}, {"tenant", "a tenant brought in"}, {"ban", "a ban"},
+		} {
 			for _, p := range r.Points {
-				t := func(name string) string { return p.shown(kind.name+name, "s") }
+				t := func(name string) string { return p.formatSpread(kind.name+name, "s") }
 				rows = append(
 					rows,
 					[]string{
 						kind.what,
-						number(float64(p.Sizes["nodes"])),
-						number(float64(p.Sizes["changes"])),
+						formatNumber(float64(p.Sizes["nodes"])),
+						formatNumber(float64(p.Sizes["changes"])),
 						t("_half_s"),
 						t("_most99_s"),
 						t("_last_s"),
 						t("_last_worst_s"),
-						p.shown("load", ""),
+						p.formatSpread("load", ""),
 					},
 				)
 			}
 		}
 	}
-	return table(
+	return markdownTable(
 		[]string{
 			"of",
 			"hollow nodes",
@@ -38,32 +40,32 @@
 	), nil
 }
 
-// fleetTable is what whole hollow nodes take, all in one process.
-func fleetTable(s sheet) (string, error) {
+// fleetTable is the table of what complete hollow nodes use, all in one process.
+func fleetTable(s pageData) (string, error) {
 	var rows [][]string
 	for _, r := range s.records("fleet") {
 		for _, p := range r.Points {
 			rows = append(
 				rows,
 				[]string{
-					number(float64(p.Sizes["nodes"])),
-					p.shown("memory_bytes", "bytes"),
-					p.shown("descriptors", ""),
-					p.shown("datagrams_per_s", ""),
-					p.shown("rest_cores", "cores"),
-					p.shown(
+					formatNumber(float64(p.Sizes["nodes"])),
+					p.formatSpread("memory_bytes", "bytes"),
+					p.formatSpread("descriptors", ""),
+					p.formatSpread("datagrams_per_s", ""),
+					p.formatSpread("rest_cores", "cores"),
+					p.formatSpread(
 						"ready_s",
 						"s",
 					),
-					p.shown("settled_s", "s"),
-					percent(p.Figures["alive"].Median),
-					p.shown("policy_half_s", "s"),
-					p.shown("policy_last_s", "s"),
+					p.formatSpread("settled_s", "s"),
+					formatPercent(p.Figures["alive"].Median),
+					p.formatSpread("policy_half_s", "s"),
+					p.formatSpread("policy_last_s", "s"),
 				},
 			)
 		}
 	}
-	return table(
+	return markdownTable(
 		[]string{
 			"nodes in a process",
 			"memory, each",
--- a/internal/lab/scale/harm.go
+++ b/internal/lab/scale/harm.go
@@ -8,14 +8,15 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// Harm plays an experiment with its faults and without, a seed each time, and counts the requests that were
-// not served within their aim while the faults were on, beyond those of the play without.
+// Harm plays an experiment with and without its faults, with a new seed for each repetition. It counts the
+// requests that were not served within their latency objective while the faults were on, less those of the
+// run without faults.
 func Harm(
 	ctx context.Context,
 	run Run,
 	e *spec.Experiment,
 	play func(context.Context, *spec.Experiment, uint64) (report.Run, error),
-	say func(Point),
+	reportPoint func(Point),
 ) error {
 	return run.record(e.Name, func() ([]Point, error) {
 		seed := uint64(0)
@@ -40,22 +41,23 @@
 		if err != nil {
 			return nil, err
 		}
-		say(p)
+		reportPoint(p)
 		return []Point{p}, nil
 	})
 }
 
-// harmed compares what came of the requests that were due during the faults.
+// harmed compares the outcomes of the requests that were due during the faults in a run with faults (hit)
+// and in one without (calm).
 func harmed(hit, calm report.Run) (map[string]float64, error) {
 	for _, r := range []report.Run{hit, calm} {
 		if r.Late != "" {
-			return nil, fmt.Errorf("seed %d does not count: %s", r.Figures.Seed, r.Late)
+			return nil, fmt.Errorf("seed %d: the run is not valid: %s", r.Figures.Seed, r.Late)
 		}
 	}
 	var during, spared, all, allSpared report.Count
 	for _, s := range hit.Figures.Faults {
 		if s.To <= s.From {
-			return nil, fmt.Errorf("the fault %s has no end", s.Name)
+			return nil, fmt.Errorf("fault %s has no end", s.Name)
 		}
 	}
 	on := func(s report.Second) bool {
@@ -67,7 +69,8 @@
 		return false
 	}
 	sum := func(all *report.Count, c report.Count) {
-		all.Asked, all.InTime, all.Late, all.Refused, all.Failed = all.Asked+c.Asked, all.InTime+c.InTime, all.Late+c.Late, all.Refused+c.Refused, all.Failed+c.Failed
+		all.Asked, all.InTime, all.Late, all.Refused, all.Failed =
+			all.Asked+c.Asked, all.InTime+c.InTime, all.Late+c.Late, all.Refused+c.Refused, all.Failed+c.Failed
 	}
 	for of, r := range map[*[2]*report.Count]report.Run{{&during, &all}: hit, {&spared, &allSpared}: calm} {
 		for _, s := range r.Figures.Seconds {
@@ -77,7 +80,7 @@
 		}
 	}
 	if during.Asked == 0 || spared.Asked == 0 {
-		return nil, fmt.Errorf("seed %d: nothing was asked for during the faults", hit.Figures.Seed)
+		return nil, fmt.Errorf("seed %d: no requests were due during the faults", hit.Figures.Seed)
 	}
 	share := func(n, of int) float64 { return float64(n) / float64(of) }
 	broken := 0
--- a/internal/lab/scale/harm_test.go
+++ b/internal/lab/scale/harm_test.go
@@ -7,8 +7,9 @@
 	"wrenspread/internal/lab/report"
 )
 
-// TestHarmed: what is lost during a fault counts, less what is lost without it; a run that was too late does not.
-func TestHarmed(t *testing.T) {
+// TestHarmCountsLossesBeyondCalmRun checks that the requests lost during a fault count, less those lost
+// without it, and that a run in which the lab itself was late is refused.
+func TestHarmCountsLossesBeyondCalmRun(t *testing.T) {
 	of := func(lost int) report.Run {
 		f := report.Figures{Faults: []report.Span{{From: time.Second, To: 2 * time.Second}}}
 		for i, n := range []int{0, lost, 1} {
@@ -17,12 +18,12 @@
 		return report.Run{Figures: f}
 	}
 	f, err := harmed(of(5), of(2))
-	if err != nil || round(f["harmed_share"]) != 0.3 || f["failed_share"] != 0.5 || f["asked"] != 10 || round(f["whole_run_share"]) != 0.1 {
+	if err != nil || roundToFourDigits(f["harmed_share"]) != 0.3 || f["failed_share"] != 0.5 || f["asked"] != 10 || roundToFourDigits(f["whole_run_share"]) != 0.1 {
 		t.Error(f, err)
 	}
 	late := of(5)
 	late.Late = "a busy machine"
 	if _, err := harmed(late, of(2)); err == nil {
-		t.Error("a run that was too late is taken")
+		t.Error("a run in which the lab was late is accepted")
 	}
 }
--- a/internal/lab/scale/herd.go
+++ b/internal/lab/scale/herd.go
@@ -11,26 +11,26 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Cold has watchers without a list come all at once.
+// Cold has n watchers without a cached list connect at once.
 func (l *Lists) Cold(ctx context.Context, sizes []int, entries int) error {
 	return l.points(ctx, "cold", "watchers", sizes, nil, l.Say, func(n int) (f map[string]float64, err error) {
-		err = l.fresh(ctx, entries, func(set *replicas.Set, k *client.Client) error {
+		err = l.withReplica(ctx, entries, func(set *replicas.Set, k *client.Client) error {
 			now, err := k.CurrentList(ctx)
 			if err != nil {
 				return err
 			}
-			begun, err := both(set.All[0].Proc().Pid)
+			begun, err := useOfBoth(set.All[0].Proc().Pid)
 			if err != nil {
 				return err
 			}
 			start := time.Now()
-			c, err := l.gather(ctx, []string{set.All[0].Address()}, n, n, now.Index)
+			c, err := l.startWatchers(ctx, []string{set.All[0].Address()}, n, n, now.Index)
 			if err != nil {
 				return err
 			}
-			defer c.end()
+			defer c.close()
 			took := c.since(start, "")
-			ended, err := both(set.All[0].Proc().Pid)
+			ended, err := useOfBoth(set.All[0].Proc().Pid)
 			work := ended.minus(begun)
 			f = map[string]float64{
 				"entries":            float64(entries),
@@ -48,14 +48,14 @@
 	})
 }
 
-// Lost kills the leader of three replicas under watchers of all three, and makes a change.
+// Lost kills the leader of three replicas while watchers follow all three, and then makes a change.
 func (l *Lists) Lost(ctx context.Context, sizes []int, entries int) error {
 	return l.points(ctx, "lost", "watchers", sizes, nil, l.Say, func(n int) (f map[string]float64, err error) {
-		l.number++
+		l.runNumber++
 		o := quorum.Options{
 			Seed:     1,
 			Replicas: 3,
-			Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.number)),
+			Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.runNumber)),
 			Command:  l.Program,
 			Env:      l.Env,
 		}
@@ -71,11 +71,11 @@
 			for _, r := range set.All {
 				addresses = append(addresses, r.Address())
 			}
-			c, err := l.gather(ctx, addresses, arriveTogether, n, now.Index)
+			c, err := l.startWatchers(ctx, addresses, watchersAtOnce, n, now.Index)
 			if err != nil {
 				return err
 			}
-			defer c.end()
+			defer c.close()
 			leader, err := quorum.Leading(ctx, set, k)
 			if err != nil {
 				return err
@@ -84,7 +84,7 @@
 			if err := leader.Kill(); err != nil {
 				return err
 			}
-			r, err := change(ctx, k, 0, entries)
+			r, err := registerRestart(ctx, k, 0, entries)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/scale/holders_lost.go
+++ b/internal/lab/scale/holders_lost.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// lost kills the holder and tells what became of the limit.
-func (s *shares) lost(ctx context.Context) (map[string]float64, error) {
+// measureKill kills the holder and measures how the limit is used before and after.
+func (s *shares) measureKill(ctx context.Context) (map[string]float64, error) {
 	used := func(end time.Duration) (float64, error) {
 		began, before := s.now, s.admitted
 		err := s.run(ctx, end)
 		return float64(s.admitted-before) / s.rate / seconds(s.now-began), err
 	}
-	if err := s.run(ctx, untilKilled-2*time.Second); err != nil {
+	if err := s.run(ctx, timeBeforeKill-2*time.Second); err != nil {
 		return nil, err
 	}
 	s.work = holderWork{}
-	before, err := used(untilKilled)
+	before, err := used(timeBeforeKill)
 	if err != nil {
 		return nil, err
 	}
 	calm := s.work
 	killed := s.now
 	s.acting = -1
-	s.first = 0
+	s.sentFirst = 0
 	f := map[string]float64{
 		"used_before":            before,
 		"holder_cores":           seconds(calm.cpu) / 2,
@@ -33,7 +33,7 @@
 		"holder_bytes_out":       calm.out / 2,
 	}
 	least, worst := before, 0.0
-	for second := 1; s.now < killed+afterKilled; second++ {
+	for second := 1; s.now < killed+timeAfterKill; second++ {
 		s.work = holderWork{}
 		u, err := used(killed + time.Duration(second)*time.Second)
 		if err != nil {
@@ -45,13 +45,13 @@
 		least, worst = min(least, u), max(worst, seconds(s.work.cpu))
 	}
 	f["heard_first_s"], f["heard_all_s"], f["holder_peak_cores"], f["used_least"] = seconds(
-		s.first-killed,
+		s.sentFirst-killed,
 	), seconds(
-		s.all-killed,
+		s.sentAll-killed,
 	), worst, least
-	f["over_burst"], f["admitted"] = max(0, s.over), float64(s.admitted)
-	if s.all == 0 {
-		return nil, fmt.Errorf("%d of %d nodes heard of the second holder", len(s.heard), len(s.names))
+	f["over_burst"], f["admitted"] = max(0, s.overBurst), float64(s.admitted)
+	if s.sentAll == 0 {
+		return nil, fmt.Errorf("the second holder sent to %d of %d nodes", len(s.contacted), len(s.names))
 	}
 	return f, nil
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -13,43 +13,44 @@
 	"wrenspread/internal/proxy"
 )
 
-// gcPercent is that of a node with the usual memory, by cmd/wrenspread-proxy.
+// gcPercent is the garbage collector's target that cmd/wrenspread-proxy sets for a node with the usual
+// memory.
 const gcPercent = 300
 
-// silent is a clients' listener to which nobody comes.
-type silent struct {
+// idleListener is a listener for clients to which no client connects.
+type idleListener struct {
 	closed chan struct{}
 	once   sync.Once
 }
 
-func (l *silent) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
-func (l *silent) Close() error              { l.once.Do(func() { close(l.closed) }); return nil }
-func (l *silent) Addr() net.Addr            { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (l *idleListener) Accept() (net.Conn, error) { <-l.closed; return nil, net.ErrClosed }
+func (l *idleListener) Close() error              { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *idleListener) Addr() net.Addr            { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// Hollow runs so many nodes of the program in this process until ctx ends: all of a node but its clients'
-// listener and, per process, the runtime and the text of the program. Their files are n0.json and so on in
-// dir.
+// Hollow runs the given number of hollow nodes in this process until ctx ends. A hollow node is a complete
+// node without its clients' listener; the runtime and the program's text exist once for the process. The
+// nodes' configurations are n0.json and so on in dir.
 func Hollow(ctx context.Context, dir string, nodes int) error {
-	return hollow(ctx, dir, nodes, func(int) slog.Handler { return slog.DiscardHandler })
+	return runHollow(ctx, dir, nodes, func(int) slog.Handler { return slog.DiscardHandler })
 }
 
-// hollow is Hollow with logs.
-func hollow(ctx context.Context, dir string, nodes int, log func(i int) slog.Handler) error {
+// runHollow does the same as Hollow, and takes the handler of each node's log.
+func runHollow(ctx context.Context, dir string, nodes int, log func(i int) slog.Handler) error {
 	debug.SetGCPercent(gcPercent)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
 	errs := make([]error, nodes)
 	for i := range nodes {
-		cfg, err := proxy.LoadConfig(configOf(dir, i))
+		cfg, err := proxy.LoadConfig(configFile(dir, i))
 		if err != nil {
 			return err
 		}
 		n := proxy.New(cfg, slog.New(log(i)))
 		all.Go(func() { n.ServeControl(ctx, cfg.Control) })
 		all.Go(func() {
-			if errs[i] = n.Run(ctx, &silent{closed: make(chan struct{})}); errs[i] != nil {
-				stop() // one that can't run ends the others: it would be counted as one that costs nothing
+			if errs[i] = n.Run(ctx, &idleListener{closed: make(chan struct{})}); errs[i] != nil {
+				stop() // a node that cannot run ends the others: else it would count as a node without cost
 			}
 		})
 	}
@@ -57,4 +58,4 @@
 	return errors.Join(errs...)
 }
 
-func configOf(dir string, i int) string { return filepath.Join(dir, fmt.Sprintf("n%d.json", i)) }
+func configFile(dir string, i int) string { return filepath.Join(dir, fmt.Sprintf("n%d.json", i)) }
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -20,45 +20,45 @@
 )
 
 const (
-	// of load that is not counted: a node that has just started takes little at first
-	warming    = 4 * time.Second
-	directTime = 3 * time.Second
-	leastSent  = 0.5 // of the requests, else the time of those that were served says little
+	// load before the measured one, which is not counted: a node that has just started accepts little load
+	warmUpTime     = 4 * time.Second
+	directTime     = 3 * time.Second
+	minServedShare = 0.5 // below this share of served requests, the times of the served ones say little
 )
 
-// Latency says how a node's own time is measured.
+// Latency says how the time that a node adds to a request is measured.
 type Latency struct {
 	Lists
-	Node    []string // the node's program
+	Node    []string // command of the node's program
 	Rate    float64  // requests a second at the node
 	Length  time.Duration
-	Changes int     // of the list a second: a server restarts
-	PerNode float64 // servers to a node of the fleet that it is notified of
-	Use     float64 // of what so many servers can do, by the requests' work
+	Changes int     // changes of the list a second; each is a server that restarts
+	PerNode float64 // servers per node of the fleet, of whose size the node is notified
+	Use     float64 // utilization of PerNode servers by the requests' work
 }
 
-// Measure measures what the node adds to a request, by the servers that it knows.
+// Measure measures the time that the node adds to a request, at each number of known servers.
 func (l *Latency) Measure(ctx context.Context, sizes []int) error {
 	return l.record("latency", func() (all []Point, err error) {
 		for _, n := range sizes {
 			var p Point
-			err := l.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
+			err := l.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
 				base := time.Now()
-				a, err := listenBehind(ctx, base)
+				a, err := startBackendServer(ctx, base)
 				if err != nil {
 					return err
 				}
 				defer a.close()
-				if err := a.list(ctx, k, n); err != nil {
+				if err := a.registerAll(ctx, k, n); err != nil {
 					return err
 				}
 				seed := uint64(0)
 				p, err = repeated(
 					l.Repeat,
-					map[string]int{"servers": n, "changes": l.Changes, "part": partOf(l.Parts)},
+					map[string]int{"servers": n, "changes": l.Changes, "part": subsetFlag(l.Parts)},
 					func() (map[string]float64, error) {
 						seed++
-						return l.one(ctx, a, k, set.All[0].Address(), n, seed)
+						return l.measureNode(ctx, a, k, set.All[0].Address(), n, seed)
 					},
 				)
 				return err
@@ -73,10 +73,10 @@
 	})
 }
 
-// one measures a fresh node, after the same requests sent straight to the server.
-func (l *Latency) one(
+// measureNode measures a fresh node, after the same requests were sent directly to the server.
+func (l *Latency) measureNode(
 	ctx context.Context,
-	a *answerer,
+	a *backendServer,
 	k *client.Client,
 	service string,
 	servers int,
@@ -114,42 +114,42 @@
 		ListPart: l.Parts,
 		Seed:     seed,
 	}
-	if err := c.Write(configOf(dir, 0), drawn, l.Rate); err != nil {
+	if err := c.Write(configFile(dir, 0), drawn, l.Rate); err != nil {
 		return nil, err
 	}
 	group := process.NewGroup(log)
-	defer group.Close(endTime)
+	defer group.Close(stopTimeout)
 	p, err := group.Start(
 		process.Spec{
 			Name:    "n0",
 			Command: l.Node,
 			Dir:     dir,
-			Env:     append([]string{"HOME=" + dir, "TMPDIR=" + dir, "GW_CONFIG=" + configOf(dir, 0)}, l.Env...),
+			Env:     append([]string{"HOME=" + dir, "TMPDIR=" + dir, "GW_CONFIG=" + configFile(dir, 0)}, l.Env...),
 		},
 	)
 	if err != nil {
 		return nil, err
 	}
-	ready, stop := context.WithTimeout(ctx, readyTime)
+	ready, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	if err := p.WaitReady(ready, "http://"+control+"/healthcheck"); err != nil {
 		return nil, err
 	}
 	f := map[string]float64{"nodes": float64(nodes)}
 	direct := newCaller(a.base, 10*seed)
-	if err := l.send(ctx, direct, "direct_", min(directTime, l.Length), a.address(0), f); err != nil {
+	if err := l.measureLoad(ctx, direct, "direct_", min(directTime, l.Length), a.address(0), f); err != nil {
 		return nil, err
 	}
-	newCaller(a.base, 10*seed+1).run(ctx, l.draw(10*seed+1, min(warming, l.Length)), listen)
+	newCaller(a.base, 10*seed+1).run(ctx, l.draw(10*seed+1, min(warmUpTime, l.Length)), listen)
 	changing, calm := context.WithCancel(ctx)
 	changed := make(chan error, 1)
 	go func() { changed <- l.change(changing, a, k, servers) }()
-	err = l.through(ctx, newCaller(a.base, 10*seed+2), p, control, listen, f)
+	err = l.measureThroughNode(ctx, newCaller(a.base, 10*seed+2), p, control, listen, f)
 	calm()
 	return f, errors.Join(err, <-changed)
 }
 
-// draw draws the requests of a length, with work as much as the servers are to be used.
+// draw draws the requests of the given length of time, with as much work as gives the utilization Use.
 func (l *Latency) draw(seed uint64, length time.Duration) []arrivals.Op {
 	ops := arrivals.Draw(seed, drawn, arrivals.Shape{Rate: l.Rate, Length: length})
 	times := l.Use * l.PerNode / l.Rate / seconds(meanWork())
@@ -160,8 +160,9 @@
 	return ops
 }
 
-// send plays a load and adds its figures. What is not served is not timed, so there may be little of it.
-func (l *Latency) send(
+// measureLoad plays a load and adds its figures. Requests that are not served have no times, so there is an
+// error if too few are served.
+func (l *Latency) measureLoad(
 	ctx context.Context,
 	c *caller,
 	prefix string,
@@ -174,7 +175,7 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if float64(c.served) < leastSent*float64(len(ops)) {
+	if float64(c.served) < minServedShare*float64(len(ops)) {
 		return fmt.Errorf("%s%d of %d requests were served; %v", prefix, c.served, len(ops), c.failed)
 	}
 	c.figures(prefix, into)
@@ -182,15 +183,15 @@
 	return nil
 }
 
-// through plays the load through the node, with what the node says of itself.
-func (l *Latency) through(
+// measureThroughNode plays the load through the node, and adds the node's own figures.
+func (l *Latency) measureThroughNode(
 	ctx context.Context,
 	c *caller,
 	p *process.Proc,
 	control, listen string,
 	f map[string]float64,
 ) error {
-	before, err := statsOf(ctx, control)
+	before, err := readStats(ctx, control)
 	if err != nil {
 		return err
 	}
@@ -203,7 +204,7 @@
 		return err
 	}
 	start := time.Now()
-	if err := l.send(ctx, c, "", l.Length, listen, f); err != nil {
+	if err := l.measureLoad(ctx, c, "", l.Length, listen, f); err != nil {
 		return err
 	}
 	took := time.Since(start)
@@ -215,22 +216,23 @@
 	if err != nil {
 		return err
 	}
-	after, err := statsOf(ctx, control)
+	after, err := readStats(ctx, control)
 	if err != nil {
 		return err
 	}
 	work := ended.minus(begun)
 	f["attempts"] = (after["forwards"] - before["forwards"]) / f["requests"]
-	f["made_share"] = float64(c.took[inMade].TotalCount()) / f["requests"]
+	f["made_share"] = float64(c.latencies[wayInNew].TotalCount()) / f["requests"]
 	f["node_cores"], f["node_request_cpu_s"] = seconds(work.CPU)/seconds(took), seconds(work.CPU)/f["requests"]
-	// for a core that another has
+	// wait for a core that another process uses
 	f["node_request_wait_s"] = seconds(waitedAll.Stall-waited.Stall) / f["requests"]
-	f["node_memory_bytes"], f["node_descriptors"], f["known"], f["load"] = ended.RSS, ended.FDs, after["discovered"], load()
+	f["node_memory_bytes"], f["node_descriptors"], f["known"], f["load"] =
+		ended.RSS, ended.FDs, after["discovered"], machineLoad()
 	return nil
 }
 
-// change has servers restart, so many a second, until ctx ends.
-func (l *Latency) change(ctx context.Context, a *answerer, k *client.Client, servers int) error {
+// change has servers restart, Changes a second, until ctx ends.
+func (l *Latency) change(ctx context.Context, a *backendServer, k *client.Client, servers int) error {
 	if l.Changes == 0 {
 		return nil
 	}
@@ -243,7 +245,7 @@
 	return nil
 }
 
-// meanWork is that of the drawn classes' requests.
+// meanWork is the mean work of a request over the drawn classes.
 func meanWork() (mean time.Duration) {
 	for _, c := range drawn.Classes {
 		mean += time.Duration(c.Share * float64(c.Work))
--- a/internal/lab/scale/latency_backend.go
+++ b/internal/lab/scale/latency_backend.go
@@ -19,22 +19,23 @@
 	"wrenspread/internal/registry/client"
 )
 
-// workKey is the request's own statement of its work, in us of a server's time.
+// workKey is the query parameter in which a request states its work, in us of a server's time.
 const workKey = "work_us"
 
-// answerer is one server behind all addresses of a list: it listens on the loopback device, whatever the
-// address, and states of each answer when it had the request and when it began to write.
-type answerer struct {
+// backendServer is one server behind all addresses of a list. It listens on the loopback device for every
+// address. Each answer states when the server had the request and when it began to write.
+type backendServer struct {
 	base  time.Time
 	port  int
 	serve http.Server
 	ended chan error
 }
 
+// connKey is the context key of the count of requests on a connection.
 type connKey struct{}
 
-// listenBehind starts a server; its times count from base.
-func listenBehind(ctx context.Context, base time.Time) (*answerer, error) {
+// startBackendServer starts a server; its times count from base.
+func startBackendServer(ctx context.Context, base time.Time) (*backendServer, error) {
 	only := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var bound error
 		err := c.Control(func(fd uintptr) { bound = unix.BindToDevice(int(fd), "lo") })
@@ -42,12 +43,12 @@
 	}}
 	l, err := only.Listen(ctx, "tcp4", "0.0.0.0:0")
 	if err != nil {
-		return nil, fmt.Errorf("a server on the loopback device: %w", err)
+		return nil, fmt.Errorf("listen on the loopback device: %w", err)
 	}
-	a := &answerer{base: base, port: l.Addr().(*net.TCPAddr).Port, ended: make(chan error, 1)}
+	a := &backendServer{base: base, port: l.Addr().(*net.TCPAddr).Port, ended: make(chan error, 1)}
 	a.serve = http.Server{
 		Handler:           http.HandlerFunc(a.answer),
-		ReadHeaderTimeout: patience,
+		ReadHeaderTimeout: answerTimeout,
 		IdleTimeout:       drawnIdle,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, new(atomic.Int64))
@@ -58,14 +59,14 @@
 }
 
 // close ends the server and its connections.
-func (a *answerer) close() {
+func (a *backendServer) close() {
 	besteffort.Close(&a.serve)
 	besteffort.Ended(<-a.ended)
 }
 
-// answer has a request wait for its work, and says when it came, when it was done, and the how manieth of its
-// connection it is.
-func (a *answerer) answer(w http.ResponseWriter, r *http.Request) {
+// answer delays a request by its work. The body states when the request came, when the work was done, and
+// the request's number on its connection, from 1.
+func (a *backendServer) answer(w http.ResponseWriter, r *http.Request) {
 	began := time.Since(a.base)
 	work, err := strconv.Atoi(r.URL.Query().Get(workKey))
 	if err != nil || work < 0 {
@@ -83,14 +84,14 @@
 	)
 }
 
-// stated is what a server says of a request.
-type stated struct {
+// serverTimes is what the server states about a request.
+type serverTimes struct {
 	began, ended time.Duration
-	nth          int64 // of its connection
+	nth          int64 // number of the request on its connection, from 1
 }
 
-// parseStated reads an answer to a request.
-func parseStated(id, body string) (s stated, err error) {
+// parseServerTimes parses the body of an answer, and checks that it belongs to the request id.
+func parseServerTimes(id, body string) (s serverTimes, err error) {
 	whose, rest, _ := strings.Cut(body, " ")
 	if whose != id {
 		return s, fmt.Errorf("the answer to %q came for %q", whose, id)
@@ -99,23 +100,23 @@
 	return s, err
 }
 
-// address is the i-th one of the server.
-func (a *answerer) address(i int) string {
+// address is the i-th address of the server.
+func (a *backendServer) address(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+i>>16, i>>8&255, i&255, a.port)
 }
 
-// list registers so many servers, up for long, each at an address of its own.
-func (a *answerer) list(ctx context.Context, k *client.Client, servers int) error {
+// registerAll registers the servers as started an hour ago, each at an address of its own.
+func (a *backendServer) registerAll(ctx context.Context, k *client.Client, servers int) error {
 	var g errgroup.Group
-	g.SetLimit(operators)
+	g.SetLimit(concurrentWrites)
 	for i := range servers {
 		g.Go(func() error { return a.register(ctx, k, i, time.Now().Add(-time.Hour)) })
 	}
 	return g.Wait()
 }
 
-// register lists a server as one that came up at a time.
-func (a *answerer) register(ctx context.Context, k *client.Client, i int, up time.Time) error {
+// register lists the i-th server as started at a time.
+func (a *backendServer) register(ctx context.Context, k *client.Client, i int, up time.Time) error {
 	e := entryOf(i)
 	e.Address, e.StartedAtMS = a.address(i), up.UnixMilli()
 	_, err := k.Register(ctx, e, 0, nil)
--- a/internal/lab/scale/latency_client.go
+++ b/internal/lab/scale/latency_client.go
@@ -20,75 +20,77 @@
 )
 
 const (
-	patience   = 10 * time.Second // for an answer
-	clientIdle = 5 * time.Second  // after which clients leave a connection
-	topLatency = 20 * time.Second
-	drawnIdle  = world.IdleClose
+	answerTimeout     = 10 * time.Second // for the answer to a request
+	clientIdleTimeout = 5 * time.Second  // after which clients no longer use a connection
+	maxLatency        = 20 * time.Second
+	drawnIdle         = world.IdleClose
 )
 
-// parts of a request's way, and ways of which only the requests on a new connection to the server count.
+// Parts of the time that a request takes. The last two divide the way in by whether the connection to the
+// server is new.
 const (
-	wayAll = iota // the client's time less the server's own
+	wayAll = iota // the client's time less the server's
 	wayIn
 	wayOut
-	inMade // the way in, of those that are the first on their connection to the server
-	inKept // of all others
-	ways
+	wayInNew    // the way in, of requests that are the first on their connection to the server
+	wayInReused // the way in, of all other requests
+	wayCount
 )
 
-var wayNames = [ways]string{"added", "in", "out", "in_made", "in_kept"}
+var wayNames = [wayCount]string{"added", "in", "out", "in_made", "in_kept"}
 
-// caller sends requests when they are due, whatever has become of those before, and times them.
+// caller sends requests when they are due, however many earlier ones are in flight, and times them.
 type caller struct {
 	base time.Time
 	seed uint64
 
-	mu     sync.Mutex
-	idle   map[string][]*callerConn // the last used last
-	took   [ways]*hdrhistogram.Histogram
-	late   *hdrhistogram.Histogram
-	served int
-	failed map[string]int // by reason
-	calm   map[int]*second
-	opened atomic.Int64 // connections
+	mu        sync.Mutex
+	idle      map[string][]*callerConn // by address; the most recently used connection is the last
+	latencies [wayCount]*hdrhistogram.Histogram
+	lateness  *hdrhistogram.Histogram
+	served    int
+	failed    map[string]int // number of requests by reason
+	seconds   map[int]*second
+	opened    atomic.Int64 // number of connections opened
 }
 
-// second is one of the play: how late the caller itself was, and what was added.
+// second is a second of the play: the largest delay of the caller itself, and the times added to its
+// requests.
 type second struct {
 	late  time.Duration
 	added []time.Duration
 }
 
-// calmLate is how late a caller may be in a second that counts as calm: in others the machine, not the node,
-// keeps it waiting.
-const calmLate = 2 * time.Millisecond
+// maxCalmLateness is the largest delay of the caller in a second that counts as calm: in other seconds it
+// is the machine, not the node, that delays the caller.
+const maxCalmLateness = 2 * time.Millisecond
 
 type callerConn struct {
 	net.Conn
-	in   *bufio.Reader
-	used time.Time
+	reader *bufio.Reader
+	used   time.Time
 }
 
 func newCaller(base time.Time, seed uint64) *caller {
 	c := &caller{
-		base:   base,
-		seed:   seed,
-		idle:   map[string][]*callerConn{},
-		failed: map[string]int{},
-		calm:   map[int]*second{},
-		late:   newTimes(),
+		base:     base,
+		seed:     seed,
+		idle:     map[string][]*callerConn{},
+		failed:   map[string]int{},
+		seconds:  map[int]*second{},
+		lateness: newTimes(),
 	}
-	for i := range c.took {
-		c.took[i] = newTimes()
+	for i := range c.latencies {
+		c.latencies[i] = newTimes()
 	}
 	return c
 }
 
 func newTimes() *hdrhistogram.Histogram {
-	return hdrhistogram.New(int64(time.Microsecond), int64(topLatency), 3)
+	return hdrhistogram.New(int64(time.Microsecond), int64(maxLatency), 3)
 }
 
-// run sends each operation to an address, and returns when all are over.
+// run sends each operation to an address, and returns when all have ended.
 func (c *caller) run(ctx context.Context, ops []arrivals.Op, to string) {
 	var all sync.WaitGroup
 	start := time.Now()
@@ -100,7 +102,7 @@
 		all.Go(func() {
 			sent := time.Since(c.base)
 			s, err := c.call(op, to)
-			c.count(late, sent, time.Since(c.base), s, err)
+			c.record(late, sent, time.Since(c.base), s, err)
 		})
 	}
 	all.Wait()
@@ -111,14 +113,15 @@
 	}
 }
 
-func (c *caller) count(late, sent, came time.Duration, s stated, err error) {
+// record counts the outcome of a request and its times.
+func (c *caller) record(late, sent, came time.Duration, s serverTimes, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	besteffort.Sample(c.late.RecordValue(int64(max(0, late))))
-	at := c.calm[int(sent/time.Second)]
+	besteffort.Sample(c.lateness.RecordValue(int64(max(0, late))))
+	at := c.seconds[int(sent/time.Second)]
 	if at == nil {
 		at = &second{}
-		c.calm[int(sent/time.Second)] = at
+		c.seconds[int(sent/time.Second)] = at
 	}
 	at.late = max(at.late, late)
 	if err != nil {
@@ -126,30 +129,32 @@
 		return
 	}
 	c.served++
-	for way, d := range map[int]time.Duration{wayAll: came - sent - (s.ended - s.began), wayIn: s.began - sent, wayOut: came - s.ended} {
-		besteffort.Sample(c.took[way].RecordValue(int64(max(0, d))))
+	for way, d := range map[int]time.Duration{
+		wayAll: came - sent - (s.ended - s.began), wayIn: s.began - sent, wayOut: came - s.ended,
+	} {
+		besteffort.Sample(c.latencies[way].RecordValue(int64(max(0, d))))
 	}
 	at.added = append(at.added, came-sent-(s.ended-s.began))
-	kept := inKept
+	wayInKind := wayInReused
 	if s.nth == 1 {
-		kept = inMade
+		wayInKind = wayInNew
 	}
-	besteffort.Sample(c.took[kept].RecordValue(int64(max(0, s.began-sent))))
+	besteffort.Sample(c.latencies[wayInKind].RecordValue(int64(max(0, s.began-sent))))
 }
 
-// call makes a request on a kept connection, or a new one.
-func (c *caller) call(op arrivals.Op, address string) (s stated, err error) {
-	cn, err := c.take(address)
+// call makes a request on an idle connection, or on a new one.
+func (c *caller) call(op arrivals.Op, address string) (s serverTimes, err error) {
+	cn, err := c.acquire(address)
 	if err != nil {
 		return s, fmt.Errorf("no connection")
 	}
 	id := op.ID(c.seed, 0)
-	besteffort.SocketOption(cn.SetDeadline(time.Now().Add(patience)))
-	if _, err := io.WriteString(cn, text(op, id)); err != nil {
+	besteffort.SocketOption(cn.SetDeadline(time.Now().Add(answerTimeout)))
+	if _, err := io.WriteString(cn, requestText(op, id)); err != nil {
 		besteffort.Close(cn)
 		return s, fmt.Errorf("not sent")
 	}
-	resp, err := http.ReadResponse(cn.in, nil)
+	resp, err := http.ReadResponse(cn.reader, nil)
 	if err != nil {
 		besteffort.Close(cn)
 		return s, fmt.Errorf("no answer")
@@ -158,16 +163,16 @@
 	if err != nil || resp.Close {
 		besteffort.Close(cn)
 	} else {
-		c.put(address, cn)
+		c.release(address, cn)
 	}
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	return parseStated(id, string(body))
+	return parseServerTimes(id, string(body))
 }
 
-// text is a request as clients send it.
-func text(op arrivals.Op, id string) string {
+// requestText is a request as clients send it.
+func requestText(op arrivals.Op, id string) string {
 	method, more := http.MethodGet, ""
 	if op.Class.Effect != world.Safe {
 		method, more = http.MethodPost, "Content-Length: 0\r\n"
@@ -184,18 +189,19 @@
 		id,
 		op.Class.Name,
 		op.Tenant,
-		patience.Seconds(),
+		answerTimeout.Seconds(),
 		op.Hint.Microseconds(),
 		more,
 	)
 }
 
-func (c *caller) take(address string) (*callerConn, error) {
+// acquire returns an idle connection to an address that may still be used, or dials a new one.
+func (c *caller) acquire(address string) (*callerConn, error) {
 	c.mu.Lock()
 	for all := c.idle[address]; len(all) > 0; all = c.idle[address] {
 		cn := all[len(all)-1]
 		c.idle[address] = all[:len(all)-1]
-		if time.Since(cn.used) < clientIdle {
+		if time.Since(cn.used) < clientIdleTimeout {
 			c.mu.Unlock()
 			return cn, nil
 		}
@@ -203,23 +209,24 @@
 	}
 	c.mu.Unlock()
 	c.opened.Add(1)
-	nc, err := net.DialTimeout("tcp4", address, patience)
+	nc, err := net.DialTimeout("tcp4", address, answerTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{Conn: nc, in: bufio.NewReader(nc)}, nil
+	return &callerConn{Conn: nc, reader: bufio.NewReader(nc)}, nil
 }
 
-func (c *caller) put(address string, cn *callerConn) {
+// release makes a connection idle.
+func (c *caller) release(address string, cn *callerConn) {
 	cn.used = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle[address] = append(c.idle[address], cn)
 }
 
-// figures are the percentiles of each way, in seconds, each name beginning with prefix.
+// figures adds the percentiles of each way, in seconds; each name begins with prefix.
 func (c *caller) figures(prefix string, into map[string]float64) {
-	for way, h := range c.took {
+	for way, h := range c.latencies {
 		if h.TotalCount() == 0 {
 			continue
 		}
@@ -228,8 +235,8 @@
 		}
 	}
 	calm, quiet := newTimes(), 0
-	for _, s := range c.calm {
-		if s.late > calmLate {
+	for _, s := range c.seconds {
+		if s.late > maxCalmLateness {
 			continue
 		}
 		quiet++
@@ -237,7 +244,7 @@
 			besteffort.Sample(calm.RecordValue(int64(max(0, d))))
 		}
 	}
-	into[prefix+"calm_share"] = float64(quiet) / float64(max(1, len(c.calm)))
+	into[prefix+"calm_share"] = float64(quiet) / float64(max(1, len(c.seconds)))
 	if quiet > 0 {
 		into[prefix+"calm_p50_s"], into[prefix+"calm_p99_s"] = seconds(
 			time.Duration(calm.ValueAtQuantile(50)),
@@ -246,6 +253,6 @@
 		)
 	}
 	into[prefix+"requests"] = float64(c.served)
-	into[prefix+"late_p99_s"] = seconds(time.Duration(c.late.ValueAtQuantile(99)))
+	into[prefix+"late_p99_s"] = seconds(time.Duration(c.lateness.ValueAtQuantile(99)))
 	into[prefix+"opened"] = float64(c.opened.Load())
 }
--- a/internal/lab/scale/latency_table.go
+++ b/internal/lab/scale/latency_table.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// latencyTable is what a node adds to a request, and of which ways that is made.
-func latencyTable(s sheet) (string, error) {
+// latencyTable is the table of the time that a node adds to a request, and of its parts.
+func latencyTable(s pageData) (string, error) {
 	var whole, ways [][]string
 	for _, r := range s.records("latency") {
 		for _, p := range r.Points {
-			all := func(name string) string { return p.shown(name, "s") }
-			at := []string{knows(p), number(float64(p.Sizes["servers"])), number(float64(p.Sizes["changes"]))}
-			share := percent(p.Figures["added_p99_s"].Median / s.plan.Plan.Added)
+			all := func(name string) string { return p.formatSpread(name, "s") }
+			at := []string{knownServers(p), formatNumber(float64(p.Sizes["servers"])), formatNumber(float64(p.Sizes["changes"]))}
+			share := formatPercent(p.Figures["added_p99_s"].Median / s.plan.Plan.Added)
 			whole = append(
 				whole,
 				append(
@@ -24,8 +24,8 @@
 					all("added_p999_s"),
 					all("direct_calm_p99_s"),
 					all("calm_p99_s"),
-					calmOf(p),
-					fmt.Sprintf("%s of %s", p.shown("failed", ""), p.shown("requests", "")),
+					calmShare(p),
+					fmt.Sprintf("%s of %s", p.formatSpread("failed", ""), p.formatSpread("requests", "")),
 				),
 			)
 			ways = append(
@@ -37,18 +37,18 @@
 					all("in_kept_p50_s"),
 					all("in_kept_p99_s"),
 					all("in_made_p50_s"),
-					percent(p.Figures["made_share"].Median),
+					formatPercent(p.Figures["made_share"].Median),
 					all("out_p50_s"),
 					all("out_p99_s"),
-					p.shown("attempts", ""),
+					p.formatSpread("attempts", ""),
 					all("node_request_cpu_s"),
 					all("node_request_wait_s"),
-					p.shown("load", ""),
+					p.formatSpread("load", ""),
 				),
 			)
 		}
 	}
-	return table(
+	return markdownTable(
 		[]string{
 			"known of the list",
 			"servers",
@@ -66,7 +66,7 @@
 		orNotRun(whole, 12),
 	) +
 		"\nOf which, through the node:\n\n" +
-		table(
+		markdownTable(
 			[]string{
 				"known of the list",
 				"servers",
@@ -88,53 +88,55 @@
 		), nil
 }
 
-// orNotRun is rows, or one that says that there are none.
+// orNotRun returns rows or, if there are none, a row that says that nothing was run.
 func orNotRun(rows [][]string, cells int) [][]string {
 	if len(rows) > 0 {
 		return rows
 	}
-	return [][]string{append([]string{notRun}, slicesOf(cells-1, "")...)}
+	return [][]string{append([]string{notRun}, repeatedString(cells-1, "")...)}
 }
 
-// partOf says as a size whether nodes follow their subsets of the list alone.
-func partOf(parts bool) int {
+// subsetFlag gives, as a size of a point, whether nodes follow only their subsets of the list.
+func subsetFlag(parts bool) int {
 	if parts {
 		return 1
 	}
 	return 0
 }
 
-func calmOf(p Point) string {
+// calmShare writes the share of calm seconds of a point.
+func calmShare(p Point) string {
 	if f, has := p.Figures["calm_share"]; has {
-		return percent(f.Median)
+		return formatPercent(f.Median)
 	}
 	return "none"
 }
 
-func knows(p Point) string {
+// knownServers says whether the node of a point knows all servers or its subset of them.
+func knownServers(p Point) string {
 	if p.Sizes["part"] == 1 {
 		return "its part"
 	}
 	return "all"
 }
 
-// records are those of something, of each program.
-func (s sheet) records(what string) (all []Record) {
-	for _, m := range []measured{s.before, s.after} {
-		if r, has := m.of[what]; has {
+// records are the records of a measurement, one of each program.
+func (s pageData) records(what string) (all []Record) {
+	for _, m := range []labelRecords{s.before, s.after} {
+		if r, has := m.byName[what]; has {
 			all = append(all, r)
 		}
 	}
 	return all
 }
 
-// shown is a figure with the least and the most of its repetitions.
-func (p Point) shown(name, unit string) string {
+// formatSpread writes a figure with the least and the most of its repetitions.
+func (p Point) formatSpread(name, unit string) string {
 	f, has := p.Figures[name]
 	if !has {
 		return "none"
 	}
-	one := func(v float64) string { return strings.TrimSpace(shown(v, unit)) }
+	one := func(v float64) string { return strings.TrimSpace(formatFigure(v, unit)) }
 	if f.Least == f.Most {
 		return one(f.Median)
 	}
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	tick = 25 * time.Millisecond // between a module's rounds of checks
-	// requests, after which a module has learned: two a server in reach, of all groups
-	warmUp     = 25000
-	leastTicks = 40 // a second of them
-	enough     = 200 * time.Millisecond
+	checkInterval = 25 * time.Millisecond // between two rounds of a module's checks
+	// requests after which a module has learned: two per server within reach, over all groups
+	warmUpRequests = 25000
+	minCalls       = 40 // rounds of checks in a second
+	minMeasuredCPU = 200 * time.Millisecond
 )
 
-// settingsOf is what the lab's platform tells a node of so many, with messages between them.
-func settingsOf(dir string, nodes int) (balancer.Settings, error) {
+// nodeSettings are the settings that the lab's platform gives a node in a fleet of that many nodes, which
+// exchange messages.
+func nodeSettings(dir string, nodes int) (balancer.Settings, error) {
 	path := filepath.Join(dir, "module.json")
 	c := platform.Node{
 		Name:       "n",
@@ -39,8 +40,8 @@
 	return cfg.Settings, err
 }
 
-// drawnServer is one of a drawn list.
-func drawnServer(i int) balancer.Endpoint {
+// drawnEndpoint is the i-th endpoint of a drawn list.
+func drawnEndpoint(i int) balancer.Endpoint {
 	return balancer.Endpoint{
 		ID:          balancer.EndpointID(uint32(i+1) * 2654435761),
 		Zone:        zoneOf(i),
@@ -50,17 +51,18 @@
 	}
 }
 
+// drawn is the drawn world from which zones, kinds and classes are taken.
 var drawn = world.Draw(1, 3, 1)
 
 func zoneOf(i int) string { return drawn.Zones[i%len(drawn.Zones)] }
 func kindOf(i int) string { return drawn.Kinds[i%len(drawn.Kinds)] }
 
-// Sizes are what a node's module is notified of.
+// Sizes are the numbers of backends, nodes and rules of placement of which a node's module is notified.
 type Sizes struct{ Backends, Nodes, Placements int }
 
-// place gives classes so many different rules of placement, each open to a third of the servers; one rule is
-// none.
-func place(s *balancer.Settings, rules int) {
+// addPlacements adds classes so that the settings have that many rules of placement, each of which allows a
+// third of the servers; with rules 1 it adds none.
+func addPlacements(s *balancer.Settings, rules int) {
 	plain := s.Classes
 	for i := range rules - 1 {
 		c := plain[i%len(plain)]
@@ -69,36 +71,38 @@
 	}
 }
 
-// Module measures a node's decisions alone, by the backends, nodes and rules of placement that it knows of.
-func Module(ctx context.Context, run Run, dir string, sizes []Sizes, say func(Point)) error {
+// Module measures a node's decisions alone, by the backends, nodes and rules of placement of which it is
+// notified.
+func Module(ctx context.Context, run Run, dir string, sizes []Sizes, report func(Point)) error {
 	return run.record("module", func() (all []Point, err error) {
 		for _, size := range sizes {
-			settings, err := settingsOf(dir, size.Nodes)
+			settings, err := nodeSettings(dir, size.Nodes)
 			if err != nil {
 				return nil, err
 			}
-			place(&settings, size.Placements)
+			addPlacements(&settings, size.Placements)
 			by := map[string]int{"backends": size.Backends, "nodes": size.Nodes, "placements": size.Placements}
 			p, err := repeated(
 				run.Repeat,
 				by,
-				func() (map[string]float64, error) { return module(ctx, settings, size.Backends) },
+				func() (map[string]float64, error) { return measureModule(ctx, settings, size.Backends) },
 			)
 			if err != nil {
 				return nil, err
 			}
-			say(p)
+			report(p)
 			all = append(all, p)
 		}
 		return all, nil
 	})
 }
 
-// cost is the processor time and the allocations of one of many calls.
-func cost(ctx context.Context, least int, call func(i int)) (cpu, pieces float64, err error) {
-	_, before := heap()
+// costPerCall is the processor time in seconds and the allocations of one call, averaged over at least
+// least calls and at least minMeasuredCPU.
+func costPerCall(ctx context.Context, least int, call func(i int)) (cpu, pieces float64, err error) {
+	_, before := heapUse()
 	began, n := fleet.OwnCPU(), 0
-	for n < least || fleet.OwnCPU()-began < enough {
+	for n < least || fleet.OwnCPU()-began < minMeasuredCPU {
 		if ctx.Err() != nil {
 			return 0, 0, ctx.Err()
 		}
@@ -106,25 +110,28 @@
 		n++
 	}
 	took := fleet.OwnCPU() - began
-	_, after := heap()
+	_, after := heapUse()
 	return seconds(took) / float64(n), (after - before) / float64(n), nil
 }
 
-// module measures one module.
-func module(ctx context.Context, settings balancer.Settings, backends int) (map[string]float64, error) {
+// measureModule measures the module of one node with that many backends.
+func measureModule(ctx context.Context, settings balancer.Settings, backends int) (map[string]float64, error) {
 	list := make([]balancer.Endpoint, backends)
 	for i := range list {
-		list[i] = drawnServer(i)
+		list[i] = drawnEndpoint(i)
 	}
-	empty, _ := heap()
+	empty, _ := heapUse()
 	m, now := balancer.New(settings, 1), time.Hour
 	began := fleet.OwnCPU()
 	m.Handle(now, balancer.EndpointsUpdated{Kind: balancer.UpdateComplete, Version: 1, Endpoints: list})
-	whole := seconds(fleet.OwnCPU() - began)
-	for i := range warmUp {
+	completeList := seconds(fleet.OwnCPU() - began)
+	for i := range warmUpRequests {
 		now += time.Millisecond
 		id := balancer.RequestID(fmt.Sprint(i))
-		for _, a := range m.Handle(now, balancer.RequestArrived{ID: id, Class: settings.Classes[0].Name, Timeout: time.Second}) {
+		for _, a := range m.Handle(
+			now,
+			balancer.RequestArrived{ID: id, Class: settings.Classes[0].Name, Timeout: time.Second},
+		) {
 			if s, ok := a.(balancer.StartAttempt); ok {
 				m.Handle(
 					now,
@@ -142,17 +149,17 @@
 			m.Handle(now, balancer.TimerFired{})
 		}
 	}
-	full, _ := heap()
-	round, roundPieces, err := cost(ctx, leastTicks, func(int) {
-		now += tick
+	full, _ := heapUse()
+	round, roundPieces, err := costPerCall(ctx, minCalls, func(int) {
+		now += checkInterval
 		m.Handle(now, balancer.TimerFired{})
 	})
 	if err != nil {
 		return nil, err
 	}
-	change, changePieces, err := cost(ctx, 10, func(i int) { // a server drains, or comes back as a new process
+	change, changePieces, err := costPerCall(ctx, 10, func(i int) { // a server drains, or is ready again as a new process
 		s := &list[i/2*7919%backends]
-		now += tick
+		now += checkInterval
 		if s.State = balancer.Draining; i%2 == 1 {
 			s.State, s.StartedAt = balancer.Ready, now
 		}
@@ -166,11 +173,11 @@
 		)
 	})
 	return map[string]float64{
-		"rest_cores":    round / tick.Seconds(),
+		"rest_cores":    round / checkInterval.Seconds(),
 		"rest_pieces":   roundPieces,
 		"change_s":      change,
 		"change_pieces": changePieces,
-		"whole_s":       whole,
+		"whole_s":       completeList,
 		"memory_bytes":  full - empty,
 	}, err
 }
--- a/internal/lab/scale/nodes.go
+++ b/internal/lab/scale/nodes.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	changePace = 300 * time.Millisecond // between two of them
-	readyTime  = time.Minute
-	endTime    = 10 * time.Second
-	sampled    = 3 // nodes that are asked for their figures of messages
+	changeInterval = 300 * time.Millisecond // between two changes
+	readyTimeout   = time.Minute
+	stopTimeout    = 10 * time.Second
+	sampledNodes   = 3 // number of nodes whose figures of datagrams are read
 )
 
 // Nodes says which nodes are measured.
 type Nodes struct {
 	Lists
 	Kind  string   // hollow or real
-	Start []string // of a hollow process, its folder and number of nodes are added; of a real one
-	View  bool     // they keep the view of the fleet
-	Told  int      // how many nodes they are told that there are; 0: as many as there are
+	Start []string // command; for a hollow process, its folder and number of nodes are appended
+	View  bool     // whether nodes have a view of the fleet
+	Told  int      // size of the fleet of which nodes are notified, if greater than their number
 
-	Watchers int // further hollow clients at the replica, each with a part of its own
-	beside   beside
+	Watchers int // further hollow clients of the replica, each with its own subset
+	extra    extraNodes
 }
 
-// Measure measures nodes at rest and by changes, by how many there are and by the backends that they know.
+// Measure measures nodes at rest and during changes, by the number of nodes and of backends that they know.
 func (n *Nodes) Measure(ctx context.Context, sizes []Sizes) error {
-	return n.played(ctx, n.Kind, sizes, func(r rig) (map[string]float64, error) { return n.worked(ctx, r) })
+	return n.measureSizes(ctx, n.Kind, sizes, func(r rig) (map[string]float64, error) { return n.measureUse(ctx, r) })
 }
 
-// played records something that is done with fresh nodes of each size.
-func (n *Nodes) played(
+// measureSizes records what do returns, with fresh nodes for each size and repetition.
+func (n *Nodes) measureSizes(
 	ctx context.Context,
 	what string,
 	sizes []Sizes,
@@ -42,13 +42,15 @@
 	return n.record(what, func() (all []Point, err error) {
 		for _, size := range sizes {
 			by := map[string]int{"nodes": size.Nodes, "backends": size.Backends}
-			for name, more := range map[string]int{"watchers": n.Watchers, "beside": n.beside.nodes, "restarts_per_h": n.beside.restarts} {
+			for name, more := range map[string]int{
+				"watchers": n.Watchers, "beside": n.extra.nodes, "restarts_per_h": n.extra.restarts,
+			} {
 				if more > 0 {
 					by[name] = more
 				}
 			}
 			p, err := repeated(n.Repeat, by, func() (f map[string]float64, err error) {
-				err = n.with(ctx, size, func(r rig) error {
+				err = n.withNodes(ctx, size, func(r rig) error {
 					f, err = do(r)
 					return err
 				})
@@ -64,47 +66,47 @@
 	})
 }
 
-// worked takes the nodes' use over a rest, and over changes.
-func (n *Nodes) worked(ctx context.Context, r rig) (map[string]float64, error) {
-	sent, err := sentBy(ctx, r.controls)
+// measureUse measures what the nodes use at rest and during changes.
+func (n *Nodes) measureUse(ctx context.Context, r rig) (map[string]float64, error) {
+	sent, err := trafficSentBy(ctx, r.controls)
 	if err != nil {
 		return nil, err
 	}
-	begun, err := usedBy(r.nodes)
+	begun, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
 	backoff.Sleep(ctx, n.Rest)
-	rested, err := usedBy(r.nodes)
+	rested, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
 	start, made := time.Now(), 0
-	for ; time.Since(start) < n.Rest-changePace; made++ {
-		if _, err := change(ctx, r.k, made, r.Backends); err != nil {
+	for ; time.Since(start) < n.Rest-changeInterval; made++ {
+		if _, err := registerRestart(ctx, r.k, made, r.Backends); err != nil {
 			return nil, err
 		}
-		backoff.Sleep(ctx, time.Until(start.Add(time.Duration(made+1)*changePace)))
+		backoff.Sleep(ctx, time.Until(start.Add(time.Duration(made+1)*changeInterval)))
 	}
 	backoff.Sleep(ctx, time.Until(start.Add(n.Rest)))
 	if _, err := r.k.Remove(ctx, fmt.Sprintf("s-%08x", r.Backends-1), nil); err != nil {
 		return nil, err
 	}
 	made++
-	if !n.Parts { // of which some have the last
-		if err := r.all(ctx, "discovered", r.Backends-1); err != nil { // else what is counted are not these changes
+	if !n.Parts { // with subsets, only some nodes have the removed server
+		if err := r.awaitStat(ctx, "discovered", r.Backends-1); err != nil { // else the use counted is not that of these changes
 			return nil, err
 		}
 	}
-	worked, err := usedBy(r.nodes)
+	worked, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
-	sentAll, err := sentBy(ctx, r.controls)
+	sentAll, err := trafficSentBy(ctx, r.controls)
 	if err != nil {
 		return nil, err
 	}
-	took := 2 * n.Rest.Seconds() * min(sampled, float64(r.Nodes))
+	took := 2 * n.Rest.Seconds() * min(sampledNodes, float64(r.Nodes))
 	rest, work, each := rested.minus(begun), worked.minus(rested), float64(r.Nodes)
 	perRest := func(all float64) float64 { return all / n.Rest.Seconds() / each }
 	perChange := func(rest, work float64) float64 {
--- a/internal/lab/scale/other_lines.go
+++ b/internal/lab/scale/other_lines.go
@@ -1,11 +1,12 @@
 package scale
 
-// ofTenants is a figure of a node's cache: of one that reads tenants on demand, where that was played.
-func (m measured) ofTenants(whole, onDemand string, tenants float64) (float64, grounds, error) {
-	if _, played := m.of["tenants-demand"]; played {
-		return m.at("tenants-demand", "tenants", onDemand, tenants, nil)
+// tenantFigure is a figure of a node's cache of tenants: of a cache that reads tenants on demand, if that
+// was measured.
+func (m labelRecords) tenantFigure(whole, onDemand string, tenants float64) (float64, grounds, error) {
+	if _, played := m.byName["tenants-demand"]; played {
+		return m.figureAt("tenants-demand", "tenants", onDemand, tenants, nil)
 	}
-	return m.at("tenants", "tenants", whole, tenants, nil)
+	return m.figureAt("tenants", "tenants", whole, tenants, nil)
 }
 
 func otherLines() []Line {
@@ -19,8 +20,8 @@
 			Mechanism: "the whole catalogue, compiled; after, what its requests name of a hash tree",
 			Next:      "bounds of what is held",
 			budget:    func(p Plan) float64 { return p.Plan.NodeMemory },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.ofTenants("memory_bytes", "memory_bytes", p.Plan.Tenants)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.tenantFigure("memory_bytes", "memory_bytes", p.Plan.Tenants)
 			},
 		},
 		{
@@ -31,8 +32,8 @@
 			Mechanism: "all pages by digest; after, the head, and leaves on demand",
 			Next:      "leaves read on demand are paced at 4 a second",
 			budget:    func(p Plan) float64 { return p.Assumed.Start },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				v, on, err := m.ofTenants("catalogue_bytes", "start_bytes", p.Plan.Tenants)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				v, on, err := m.tenantFigure("catalogue_bytes", "start_bytes", p.Plan.Tenants)
 				return v / p.Plan.NodeBytes, on, err
 			},
 		},
@@ -44,9 +45,9 @@
 			Mechanism: "the catalogue is compiled whole at each change; after, the parts that differ",
 			Next:      "17,000 changes a day, were all of them tenants'",
 			budget:    func(p Plan) float64 { return p.Plan.NodeCores },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				v, on, err := m.ofTenants("change_s", "change_s", p.Plan.Tenants)
-				return v * p.Assumed.Peak * p.Plan.Changes / day, on, err
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				v, on, err := m.tenantFigure("change_s", "change_s", p.Plan.Tenants)
+				return v * p.Assumed.Peak * p.Plan.Changes / secondsPerDay, on, err
 			},
 		},
 		{
@@ -57,11 +58,11 @@
 			Mechanism: "a backup comes back in one command of the log",
 			Next:      "writes are refused as full",
 			limit:     "record_bytes",
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("tenants", "tenants", "catalogue_bytes", p.Plan.Tenants, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("tenants", "tenants", "catalogue_bytes", p.Plan.Tenants, nil)
 			},
 		},
-		constant(
+		constantLine(
 			"tenants' conductor",
 			"tenants",
 			"tenants",
@@ -70,7 +71,7 @@
 			"one machine, one book",
 			"orders are refused",
 		),
-		constant(
+		constantLine(
 			"tenants' conductor",
 			"members enrolled",
 			"nodes",
@@ -87,8 +88,8 @@
 			Mechanism: "a claim a node and 200 ms, in the pure core",
 			Next:      "each further busy limit, in each claim",
 			budget:    func(p Plan) float64 { return p.Assumed.MachineCores },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("holders", "nodes", "holder_cores", p.Plan.Nodes, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("holders", "nodes", "holder_cores", p.Plan.Nodes, nil)
 			},
 		},
 		{
@@ -99,11 +100,11 @@
 			Mechanism: "as above",
 			Next:      "as above",
 			budget:    func(p Plan) float64 { return p.Assumed.MachineBytes },
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("holders", "nodes", "holder_bytes_in", p.Plan.Nodes, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("holders", "nodes", "holder_bytes_in", p.Plan.Nodes, nil)
 			},
 		},
-		constant(
+		constantLine(
 			"holder of shares",
 			"nodes with seats",
 			"nodes",
@@ -120,8 +121,8 @@
 			Mechanism: "one text, compiled at the operator's",
 			Next:      "a text is refused",
 			limit:     "policy_bytes",
-			cost: func(m measured, p Plan) (float64, grounds, error) {
-				return m.at("policy", "books", "text_bytes", p.Plan.Tenants, nil)
+			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
+				return m.figureAt("policy", "books", "text_bytes", p.Plan.Tenants, nil)
 			},
 		},
 		{
@@ -130,7 +131,7 @@
 			Unit:      "calls/s",
 			Mechanism: "a renewal for each server",
 			Next:      "the leader's renewals",
-			cost:      func(_ measured, p Plan) (float64, grounds, error) { return 20 * 3 / p.Assumed.TTL, grounds{}, nil },
+			cost:      func(_ labelRecords, p Plan) (float64, grounds, error) { return 20 * 3 / p.Assumed.TTL, grounds{}, nil },
 		},
 	}
 }
--- a/internal/lab/scale/page_test.go
+++ b/internal/lab/scale/page_test.go
@@ -21,17 +21,18 @@
 	return string(raw)
 }
 
-// TestPageAgrees: the page's tables are those that its records and its plan give.
-func TestPageAgrees(t *testing.T) {
+// TestPageMatchesRecordsAndPlan checks that the tables in the page are those made from the records and the
+// plan.
+func TestPageMatchesRecordsAndPlan(t *testing.T) {
 	text := readPage(t)
 	if got, err := Page(text, records); err != nil {
 		t.Fatal(err)
 	} else if got != text {
-		t.Error("docs/CAPACITY.md differs from its records: make it with wrenspread-lab scale page")
+		t.Error("docs/CAPACITY.md differs from its records: update it with wrenspread-lab scale page")
 	}
 }
 
-// copied gives the records' folder anew, each file changed by edit.
+// copied copies the folder of the records, each file changed by edit, and returns the copy.
 func copied(t *testing.T, edit func(name, text string) string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -51,8 +52,9 @@
 	return dir
 }
 
-// TestPageTellsChanges: a figure, a plan or a page that was touched shows, and what can't be is an error.
-func TestPageTellsChanges(t *testing.T) {
+// TestPageShowsChangesAndRefusesBadInput checks that a changed figure, plan or page changes the made page,
+// and that invalid records, plans and pages are errors.
+func TestPageShowsChangesAndRefusesBadInput(t *testing.T) {
 	text := readPage(t)
 	plan := func(from, to string) func(string, string) string {
 		return func(name, raw string) string {
@@ -72,7 +74,7 @@
 		"the plan": plan("nodes = 4300", "nodes = 4301"),
 	} {
 		if got, err := Page(text, copied(t, edit)); err != nil || got == text {
-			t.Errorf("%s was changed, and the page stays; %v", name, err)
+			t.Errorf("change of %s: the page is unchanged, or error %v", name, err)
 		}
 	}
 	for name, dir := range map[string]string{
@@ -82,7 +84,7 @@
 		"a record of another name":   copied(t, func(name, raw string) string { return strings.Replace(raw, `"label":"before"`, `"label":"after"`, 1) }),
 	} {
 		if _, err := Page(text, dir); err == nil {
-			t.Errorf("%s is no error", name)
+			t.Errorf("%s: no error", name)
 		}
 	}
 	for name, page := range map[string]string{
@@ -94,7 +96,7 @@
 		"a figure by hand": strings.Replace(text, "<!-- scale: walls -->\n", "<!-- scale: walls -->\n| 1 |\n", 1),
 	} {
 		if got, err := Page(page, records); err == nil && got == page {
-			t.Errorf("%s is let pass", name)
+			t.Errorf("%s: the page is accepted unchanged", name)
 		}
 	}
 }
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	broughtAtOnce = 50 // tenants that are ordered together: the service keeps 1,000 records
-	pairChanges   = 5  // of tenants, each alone
+	tenantsAtOnce = 50 // tenants ordered together: the registry holds at most 1,000 records
+	pairChanges   = 5  // changes of tenants, one at a time
 )
 
-// Pairs says which nodes, all hollow in one process, are measured along two sizes together.
+// Pairs says which nodes, all hollow in one process, are measured along two kinds of sizes together.
 type Pairs struct{ Nodes }
 
-// Backends measures nodes and their replica by nodes and backends.
+// Backends measures nodes and their replica by the numbers of nodes and backends.
 func (p *Pairs) Backends(ctx context.Context, nodes, backends []int) error {
 	return p.grid(nodes, "backends", "pairs", func(n int, add func(int, map[string]float64)) error {
 		for _, b := range backends {
 			size := Sizes{Nodes: n, Backends: b}
-			err := p.with(ctx, size, func(r rig) error {
+			err := p.withNodes(ctx, size, func(r rig) error {
 				before, err := useOf(r.service.Pid)
 				if err != nil {
 					return err
 				}
-				f, err := p.worked(ctx, r)
+				f, err := p.measureUse(ctx, r)
 				if err != nil {
 					return err
 				}
@@ -55,7 +55,7 @@
 	})
 }
 
-// grid records what one gives for each number of nodes, at sizes of another kind.
+// grid records the figures that one adds for each number of nodes, at sizes of another kind.
 func (p *Pairs) grid(
 	nodes []int,
 	other, what string,
@@ -77,9 +77,9 @@
 					return nil, fmt.Errorf("with %d nodes: %w", n, err)
 				}
 			}
-			for _, size := range sorted(found) {
+			for _, size := range sortedKeys(found) {
 				at := Point{
-					Sizes:   map[string]int{"nodes": n, other: size, "part": partOf(p.Parts)},
+					Sizes:   map[string]int{"nodes": n, other: size, "part": subsetFlag(p.Parts)},
 					Figures: map[string]Spread{},
 				}
 				for name, v := range found[size] {
@@ -93,11 +93,11 @@
 	})
 }
 
-// Tenants measures nodes and their replica by nodes and the tenants of the catalogue, which a controller
-// brings in.
+// Tenants measures nodes and their replica by the numbers of nodes and of tenants in the catalogue, which a
+// controller adds.
 func (p *Pairs) Tenants(ctx context.Context, nodes, tenants []int) error {
 	return p.grid(nodes, "tenants", "pairs-tenants", func(n int, add func(int, map[string]float64)) error {
-		return p.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
+		return p.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
 			f := Force{Lists: p.Lists, Each: tenants[len(tenants)-1] + pairChanges*len(tenants)}
 			if err := f.prepare(ctx, k); err != nil {
 				return err
@@ -107,30 +107,30 @@
 				return err
 			}
 			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-			controls, free, err := governed(dir, n, set.All[0].Address(), p.Parts, true)
+			controls, free, err := writeGovernedConfigs(dir, n, set.All[0].Address(), p.Parts, true)
 			defer free()
 			if err != nil {
 				return err
 			}
 			conducting, stop := context.WithCancel(ctx)
 			ended := make(chan error, 1)
-			go func() { ended <- holdConduct(conducting, k) }()
+			go func() { ended <- runTenantController(conducting, k) }()
 			defer func() { stop(); besteffort.Ended(<-ended) }()
 			log, err := history.New("")
 			if err != nil {
 				return err
 			}
 			group := process.NewGroup(log)
-			defer group.Close(endTime)
+			defer group.Close(stopTimeout)
 			r := rig{Sizes: Sizes{Nodes: n}, k: k, service: set.All[0].Proc(), controls: controls}
-			if r.nodes, err = p.begin(ctx, group, dir, controls); err != nil {
+			if r.nodes, err = p.startNodes(ctx, group, dir, controls); err != nil {
 				return err
 			}
 			for have, i := 0, 0; i < len(tenants); i++ {
-				if err := r.bring(ctx, have, tenants[i]); err != nil {
+				if err := r.addTenants(ctx, have, tenants[i]); err != nil {
 					return err
 				}
-				got, err := p.tenanted(ctx, r, tenants[i])
+				got, err := p.measureTenants(ctx, r, tenants[i])
 				if err != nil {
 					return err
 				}
@@ -142,26 +142,26 @@
 	})
 }
 
-// bring orders tenants until there are so many, and waits until every node knows them.
-func (r rig) bring(ctx context.Context, have, want int) error {
-	for ; have < want; have += broughtAtOnce {
+// addTenants orders tenants until there are want of them, and waits until every node knows them.
+func (r rig) addTenants(ctx context.Context, have, want int) error {
+	for ; have < want; have += tenantsAtOnce {
 		var g errgroup.Group
-		for i := have; i < min(want, have+broughtAtOnce); i++ {
-			g.Go(func() error { return order(ctx, r.k, i) })
+		for i := have; i < min(want, have+tenantsAtOnce); i++ {
+			g.Go(func() error { return orderTenant(ctx, r.k, i) })
 		}
 		if err := g.Wait(); err != nil {
 			return err
 		}
-		if err := r.all(ctx, "tenants.known", min(want, have+broughtAtOnce)); err != nil {
+		if err := r.awaitStat(ctx, "tenants.known", min(want, have+tenantsAtOnce)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// order leaves the order that brings the i-th tenant in.
-func order(ctx context.Context, k *client.Client, i int) error {
-	form := tenantForm(i)
+// orderTenant submits the order that adds the i-th tenant.
+func orderTenant(ctx context.Context, k *client.Client, i int) error {
+	form := tenantSpec(i)
 	placed, err := tenant.SubmitOrder(
 		ctx,
 		k,
@@ -169,38 +169,39 @@
 		tenant.Order{ID: fmt.Sprint("scale-", i), Op: tenant.OrderAdd, Spec: form},
 	)
 	if err == nil && !placed {
-		err = fmt.Errorf("an order for %s waits already", form.Names[0])
+		err = fmt.Errorf("submit an order for tenant %s: another order is pending", form.Names[0])
 	}
 	return err
 }
 
-// tenanted takes the use of nodes and replica at rest, and for tenants that come one after another.
-func (p *Pairs) tenanted(ctx context.Context, r rig, have int) (map[string]float64, error) {
+// measureTenants measures the use of nodes and replica at rest, and while tenants are added one after
+// another.
+func (p *Pairs) measureTenants(ctx context.Context, r rig, have int) (map[string]float64, error) {
 	var uses [3]struct{ nodes, service use }
-	look := func(i int) (err error) {
-		if uses[i].nodes, err = usedBy(r.nodes); err != nil {
+	sample := func(i int) (err error) {
+		if uses[i].nodes, err = useOfAll(r.nodes); err != nil {
 			return err
 		}
 		uses[i].service, err = useOf(r.service.Pid)
 		return err
 	}
 	backoff.Sleep(ctx, time.Second) // the last tenant is served
-	if err := look(0); err != nil {
+	if err := sample(0); err != nil {
 		return nil, err
 	}
 	backoff.Sleep(ctx, p.Rest)
-	if err := look(1); err != nil {
+	if err := sample(1); err != nil {
 		return nil, err
 	}
 	began := time.Now()
 	for i := range pairChanges {
-		if err := r.bring(ctx, have+i, have+i+1); err != nil {
+		if err := r.addTenants(ctx, have+i, have+i+1); err != nil {
 			return nil, err
 		}
 	}
 	backoff.Sleep(ctx, time.Second)
 	took := time.Since(began)
-	if err := look(2); err != nil {
+	if err := sample(2); err != nil {
 		return nil, err
 	}
 	rest, work, each := uses[1].nodes.minus(uses[0].nodes), uses[2].nodes.minus(uses[1].nodes), float64(r.Nodes)
--- a/internal/lab/scale/pairs_fit.go
+++ b/internal/lab/scale/pairs_fit.go
@@ -10,29 +10,30 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// pairForms are those in which a cost may go with one of two sizes: three sizes of each don't tell more
-// apart. What a node works with, its reach, falls as nodes come: 1/n.
+// pairForms are the forms in which a cost may grow with one of two sizes: three sizes of each do not tell more
+// forms apart. A node's reach, the number of backends that it uses, falls with the number of nodes: 1/n.
 var pairForms = append(slices.Clone(forms[1:3]), form{"1/n", func(n float64) float64 { return 1 / n }})
 
-// counts is how rarely chance alone may make a product look as it does, for it to count: in one of twenty
-// tables, each of which is looked at in all pairs of forms.
-const counts = 0.05 / 9
+// maxProductChance is the greatest probability at which a product counts that chance alone makes it appear:
+// in one of twenty tables, each of which is tried in all pairs of forms.
+const maxProductChance = 0.05 / 9
 
-// PairFit is a cost by two sizes: terms of 1, a, b and a*b, each size in its form.
+// PairFit is a cost by two sizes a and b: the sum of terms of 1, a, b and a*b, each size in its form.
 type PairFit struct {
-	A, B     string // the forms
+	A, B     string // names of the forms
 	Terms    [4]float64
-	Residual float64 // relative, of the fit without the product, or with it where that counts
-	Chance   float64 // that a product which isn't there would show as much
+	Residual float64 // relative; of the fit with the product if the product counts, else without
+	Chance   float64 // probability that a product that does not exist shows as much
 	Points   int
 	a, b     func(float64) float64
 	largest  [2]float64
 }
 
-// Product reports whether the product counts: then a cost at two large sizes is not the sum of two costs.
-func (f PairFit) Product() bool { return f.Chance < counts }
+// Product reports whether the product counts. If so, the cost at two large sizes is not the sum of two
+// costs.
+func (f PairFit) Product() bool { return f.Chance < maxProductChance }
 
-// Cost is what the fit gives at two sizes; never below 0.
+// Cost is the fitted cost at two sizes; never below 0.
 func (f PairFit) Cost(a, b float64) float64 {
 	t := f.row(a, b)
 	sum := 0.0
@@ -42,12 +43,13 @@
 	return max(0, sum)
 }
 
+// row is the value of each term at two sizes, without its factor.
 func (f PairFit) row(a, b float64) [4]float64 {
 	return [4]float64{1, f.a(a), f.b(b), f.a(a) * f.b(b)}
 }
 
-// fitPair finds the forms with the least residual, and whether their product counts, by what it takes off the
-// squares. Each point counts by its relative error.
+// fitPair finds the forms with the least residual, and whether their product counts, by how much it reduces
+// the sum of the squares. Each point is weighted by its relative error.
 func fitPair(as, bs, ys []float64) (PairFit, error) {
 	best := PairFit{Residual: math.Inf(1)}
 	if len(ys) < 9 || len(as) != len(ys) || len(bs) != len(ys) {
@@ -60,7 +62,7 @@
 	}
 	for _, a := range pairForms {
 		for _, b := range pairForms {
-			f := PairFit{A: a.name, B: b.name, a: a.of, b: b.of, Points: len(ys)}
+			f := PairFit{A: a.name, B: b.name, a: a.apply, b: b.apply, Points: len(ys)}
 			without, sum3, err := f.solve(3, as, bs, ys)
 			if err != nil {
 				return best, err
@@ -69,15 +71,15 @@
 			if err != nil {
 				return best, err
 			}
-			free := float64(len(ys) - 4)
+			degreesOfFreedom := float64(len(ys) - 4)
 			f.Chance = distuv.F{
 				D1: 1,
-				D2: free,
+				D2: degreesOfFreedom,
 			}.Survival(
-				max(0, sum3-sum4) / (sum4/free + math.SmallestNonzeroFloat64),
+				max(0, sum3-sum4) / (sum4/degreesOfFreedom + math.SmallestNonzeroFloat64),
 			)
-			if f.Terms, f.Residual = without, math.Sqrt(sum3/(free+1)); f.Product() {
-				f.Terms, f.Residual = with, math.Sqrt(sum4/free)
+			if f.Terms, f.Residual = without, math.Sqrt(sum3/(degreesOfFreedom+1)); f.Product() {
+				f.Terms, f.Residual = with, math.Sqrt(sum4/degreesOfFreedom)
 			}
 			if f.Residual < best.Residual {
 				best = f
@@ -90,7 +92,7 @@
 	return best, nil
 }
 
-// solve fits the first so many terms, and gives the sum of the squares of what is left.
+// solve fits the first terms, and returns them with the sum of the squares of the relative errors.
 func (f PairFit) solve(terms int, as, bs, ys []float64) (t [4]float64, left float64, err error) {
 	x, one, got := mat.NewDense(len(ys), terms, nil), mat.NewDense(len(ys), 1, nil), mat.NewDense(terms, 1, nil)
 	for i, y := range ys {
@@ -102,7 +104,7 @@
 	}
 	if err := got.Solve(x, one); err != nil {
 		var condition mat.Condition
-		if !errors.As(err, &condition) { // sizes go over decades: a rough solution is one
+		if !errors.As(err, &condition) { // sizes span decades: an ill-conditioned solution is accepted
 			return t, 0, fmt.Errorf("a fit of two sizes: %w", err)
 		}
 	}
@@ -120,7 +122,8 @@
 	return t, left, nil
 }
 
-// fitPairOf fits a figure of a record along two sizes, where the other sizes are as said.
+// fitPairOf fits a figure of a record along two sizes, over the points whose other sizes equal others. The
+// tables of the page show the texts of its errors.
 func fitPairOf(r Record, a, b, figure string, others map[string]int) (PairFit, error) {
 	var as, bs, ys []float64
 	for _, p := range r.Points {
--- a/internal/lab/scale/pairs_fit_test.go
+++ b/internal/lab/scale/pairs_fit_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestFitPair: a product that is there counts, one that is not doesn't, and a little noise changes neither.
-func TestFitPair(t *testing.T) {
+// TestPairFitCountsOnlyARealProduct checks that a product counts if and only if the cost has one, also with
+// 1% of noise, and that the fit extrapolates to twice the sizes within 10%.
+func TestPairFitCountsOnlyARealProduct(t *testing.T) {
 	for name, c := range map[string]struct {
 		of      func(a, b float64) float64
 		product bool
@@ -28,17 +29,17 @@
 			}
 			f, err := fitPair(as, bs, ys)
 			if err != nil || f.Product() != c.product || f.Residual > 0.03 || c.a != "" && f.A != c.a || f.B != c.b {
-				t.Errorf("%s: %+v, %v", name, f, err)
+				t.Errorf("%s: got the fit %+v, error %v", name, f, err)
 			}
 			if got, want := f.Cost(200, 20000), c.of(200, 20000); math.Abs(got/want-1) > 0.1 {
-				t.Errorf("%s: %v at twice the sizes, want %v", name, got, want)
+				t.Errorf("%s: got %v at twice the sizes, want %v", name, got, want)
 			}
 		}
 	}
 	nine := make([]float64, 9)
 	for _, ys := range [][]float64{nine, nine[:8]} {
 		if _, err := fitPair(ys, ys, ys); err == nil {
-			t.Errorf("%d costs of 0 are no error", len(ys))
+			t.Errorf("%d costs of 0: no error", len(ys))
 		}
 	}
 }
--- a/internal/lab/scale/pairs_routes.go
+++ b/internal/lab/scale/pairs_routes.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// Backends and nodes that stay as they are while services and routes grow.
+// Numbers of backends and nodes, which are fixed while services and routes grow.
 const (
 	routedBackends = 2000
 	routedNodes    = 300
 )
 
-// Routes measures a node's decisions alone by services, which are classes here, and routes, which are the
-// different rules of placement that classes have; one is none.
+// Routes measures a node's decisions alone by services and routes. Services are classes here, and routes
+// are the different rules of placement of classes; with one route there is no rule.
 func (p *Pairs) Routes(ctx context.Context, services, routes []int) error {
-	settings, err := settingsOf(p.Dir, routedNodes)
+	settings, err := nodeSettings(p.Dir, routedNodes)
 	if err != nil {
 		return err
 	}
@@ -28,11 +28,11 @@
 					c.Name = fmt.Sprint(c.Name, i)
 					at.Classes = append(at.Classes, c)
 				}
-				place(&at, r)
+				addPlacements(&at, r)
 				one, err := repeated(
 					p.Repeat,
 					map[string]int{"services": s, "routes": r},
-					func() (map[string]float64, error) { return module(ctx, at, routedBackends) },
+					func() (map[string]float64, error) { return measureModule(ctx, at, routedBackends) },
 				)
 				if err != nil {
 					return nil, err
--- a/internal/lab/scale/pairs_table.go
+++ b/internal/lab/scale/pairs_table.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// pairsTable is what was measured by two sizes together: its ends, its joint fit, and whether their product
-// counts.
-func pairsTable(s sheet) (string, error) {
+// pairsTable is the table of the figures measured by two sizes together: their ends, their joint fit, and
+// whether the product of the sizes counts.
+func pairsTable(s pageData) (string, error) {
 	var rows [][]string
 	figures := [][2]string{
 		{"rest_cores", "cores"},
@@ -32,16 +32,18 @@
 	for _, k := range []struct {
 		what, of, a, b string
 		others         map[string]int
-		figures        [][2]string // and their units
+		figures        [][2]string // names and units
 	}{
-		{"module", "decisions alone", "nodes", "backends", map[string]int{"placements": 1}, [][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
+		{"module", "decisions alone", "nodes", "backends", map[string]int{"placements": 1},
+			[][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
 		{"pairs", "hollow nodes, all of the list", "nodes", "backends", map[string]int{"part": 0}, figures},
 		{"pairs", "hollow nodes, their parts", "nodes", "backends", map[string]int{"part": 1}, figures},
-		{"pairs-routes", "decisions alone, 2,000 backends, 300 nodes", "services", "routes", nil, [][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
+		{"pairs-routes", "decisions alone, 2,000 backends, 300 nodes", "services", "routes", nil,
+			[][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
 		{"pairs-tenants", "hollow nodes, the whole catalogue", "nodes", "tenants", nil, ofTenants},
 	} {
-		for _, m := range []measured{s.before, s.after} {
-			r, has := m.of[k.what]
+		for _, m := range []labelRecords{s.before, s.after} {
+			r, has := m.byName[k.what]
 			if !has || !slices.ContainsFunc(r.Points, func(p Point) bool { return matches(p, k.others) }) {
 				continue
 			}
@@ -62,24 +64,24 @@
 					fit.Terms[2],
 					strings.Replace(fit.B, "n", "B", 1),
 				)
-				says := fmt.Sprintf("no (chance %s)", percent(fit.Chance))
+				says := fmt.Sprintf("no (chance %s)", formatPercent(fit.Chance))
 				if fit.Product() {
 					text, says = text+fmt.Sprintf(
 						" + %.3g × their product",
 						fit.Terms[3],
 					), fmt.Sprintf(
 						"yes (chance %s)",
-						percent(fit.Chance),
+						formatPercent(fit.Chance),
 					)
 				}
 				rows = append(
 					rows,
-					append(at, fmt.Sprintf("%s; residual %s, %d points", text, percent(fit.Residual), fit.Points), says),
+					append(at, fmt.Sprintf("%s; residual %s, %d points", text, formatPercent(fit.Residual), fit.Points), says),
 				)
 			}
 		}
 	}
-	return table(
+	return markdownTable(
 		[]string{
 			"program",
 			"of",
@@ -111,7 +113,7 @@
 		maps.Copy(here, others)
 		for _, p := range r.Points {
 			if f, has := p.Figures[figure]; has && matches(p, here) {
-				cell = fmt.Sprintf("%s, %s: %s", number(float64(at[0])), number(float64(at[1])), shown(f.Median, unit))
+				cell = fmt.Sprintf("%s, %s: %s", formatNumber(float64(at[0])), formatNumber(float64(at[1])), formatFigure(f.Median, unit))
 			}
 		}
 		cells = append(cells, cell)
@@ -119,6 +121,7 @@
 	return cells
 }
 
+// widen extends the least and the greatest size by n.
 func widen(ends [2]int, n int) [2]int {
 	if ends[0] == 0 {
 		return [2]int{n, n}
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Plan is what the page is worked out for.
+// Plan is the input of the page: the demand, today's size and assumptions.
 type Plan struct {
 	Plan    Demand  `toml:"plan"`
 	Today   Today   `toml:"today"`
@@ -22,28 +22,28 @@
 	Services float64 `toml:"services"`
 	Routes   float64 `toml:"routes"`
 	Tenants  float64 `toml:"tenants"`
-	Requests float64 `toml:"requests"` // a second, at the peak
-	Changes  float64 `toml:"changes"`  // of configuration a day
-	Restarts float64 `toml:"restarts"` // a day
-	Failures float64 `toml:"failures"` // machines a day
+	Requests float64 `toml:"requests"` // requests a second, at the peak
+	Changes  float64 `toml:"changes"`  // changes of configuration a day
+	Restarts float64 `toml:"restarts"` // restarts a day
+	Failures float64 `toml:"failures"` // failed machines a day
 
 	Regions    int     `toml:"regions"`
 	Zones      int     `toml:"zones"`
 	InForce    float64 `toml:"in_force_s"`
-	Added      float64 `toml:"added_s"`     // to a request, for 99 in 100
-	NodeCores  float64 `toml:"node_cores"`  // of a node, for control
-	NodeMemory float64 `toml:"node_memory"` // bytes
-	NodeBytes  float64 `toml:"node_bytes"`  // a second
-	Machines   int     `toml:"machines"`    // set aside for control
+	Added      float64 `toml:"added_s"`     // time added to a request, for 99 in 100 requests
+	NodeCores  float64 `toml:"node_cores"`  // a node's cores for control
+	NodeMemory float64 `toml:"node_memory"` // a node's memory for control, bytes
+	NodeBytes  float64 `toml:"node_bytes"`  // a node's traffic for control, bytes a second
+	Machines   int     `toml:"machines"`    // machines reserved for control
 }
 
-// Today is the size from which the walls are looked for.
+// Today is the size from which the growth towards the plan starts.
 type Today struct {
 	Nodes    float64 `toml:"nodes"`
 	Backends float64 `toml:"backends"`
 }
 
-// Assumed is what nobody has said.
+// Assumed is the numbers that are assumed, as no requirement states them.
 type Assumed struct {
 	Peak           float64 `toml:"peak"`
 	RestartChanges float64 `toml:"restart_changes"`
@@ -58,46 +58,51 @@
 	Reach          float64 `toml:"reach"`
 }
 
-// LoadPlan reads a plan. A key that it does not know is an error.
+// LoadPlan reads a plan. An unknown key is an error.
 func LoadPlan(path string) (p Plan, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return p, fmt.Errorf("the plan: %w", err)
+		return p, fmt.Errorf("read the plan: %w", err)
 	}
-	in := toml.NewDecoder(bytes.NewReader(raw))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&p); err != nil {
-		return p, fmt.Errorf("the plan %s: %w", path, err)
+	decoder := toml.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&p); err != nil {
+		return p, fmt.Errorf("parse the plan %s: %w", path, err)
 	}
-	for key, n := range map[string]float64{"plan.nodes": p.Plan.Nodes, "plan.backends": p.Plan.Backends, "plan.tenants": p.Plan.Tenants, "plan.zones": float64(p.Plan.Zones),
-		"today.nodes": p.Today.Nodes, "today.backends": p.Today.Backends, "assumed.replicas": p.Assumed.Replicas, "assumed.ttl_s": p.Assumed.TTL} {
+	for key, n := range map[string]float64{
+		"plan.nodes": p.Plan.Nodes, "plan.backends": p.Plan.Backends,
+		"plan.tenants": p.Plan.Tenants, "plan.zones": float64(p.Plan.Zones),
+		"today.nodes": p.Today.Nodes, "today.backends": p.Today.Backends,
+		"assumed.replicas": p.Assumed.Replicas, "assumed.ttl_s": p.Assumed.TTL} {
 		if n <= 0 {
-			return p, fmt.Errorf("the plan %s: %s is missing, or not above 0", path, key)
+			return p, fmt.Errorf("plan %s: %s is missing, or not above 0", path, key)
 		}
 	}
 	return p, nil
 }
 
-// times returns the demand with all numbers that grow scaled together; budgets stay.
-func (p Plan) times(f float64) Plan {
-	for _, n := range []*float64{&p.Plan.Nodes, &p.Plan.Backends, &p.Plan.Services, &p.Plan.Routes, &p.Plan.Tenants, &p.Plan.Requests,
+// scaledBy returns the plan with all numbers that grow multiplied by a factor; budgets stay.
+func (p Plan) scaledBy(f float64) Plan {
+	for _, n := range []*float64{&p.Plan.Nodes, &p.Plan.Backends, &p.Plan.Services, &p.Plan.Routes,
+		&p.Plan.Tenants, &p.Plan.Requests,
 		&p.Plan.Changes, &p.Plan.Restarts, &p.Plan.Failures} {
 		*n *= f
 	}
 	return p
 }
 
-// lowest is the factor of today's size, by the number that has the farthest to go.
-func (p Plan) lowest() float64 {
+// todayFactor is the factor from the plan to today's size, by the number that has to grow the most.
+func (p Plan) todayFactor() float64 {
 	return min(p.Today.Nodes/p.Plan.Nodes, p.Today.Backends/p.Plan.Backends)
 }
 
-const day = 86400.0 // s
+const secondsPerDay = 86400.0 // s
 
-// listChanges are those of the list a second, at the peak of the day: of configuration and by restarts.
-func (p Plan) listChanges() float64 {
-	return p.Assumed.Peak * (p.Plan.Changes + p.Assumed.RestartChanges*p.Plan.Restarts) / day
+// listChangeRate is the changes of the list a second, at the peak of the day: those of configuration and
+// those by restarts.
+func (p Plan) listChangeRate() float64 {
+	return p.Assumed.Peak * (p.Plan.Changes + p.Assumed.RestartChanges*p.Plan.Restarts) / secondsPerDay
 }
 
-// renewals come so many a second, three in a TTL of each backend.
-func (p Plan) renewals() float64 { return 3 * p.Plan.Backends / p.Assumed.TTL }
+// renewalRate is the renewals a second: each backend renews three times in a TTL.
+func (p Plan) renewalRate() float64 { return 3 * p.Plan.Backends / p.Assumed.TTL }
--- a/internal/lab/scale/played.go
+++ b/internal/lab/scale/played.go
@@ -8,16 +8,17 @@
 	"strings"
 )
 
-// play is the largest point of a fault's record; without one all that it tells is that it was not run.
-type play struct {
+// playedPoint is the largest point of a fault's record. Without a record its texts say that the fault was
+// not run.
+type playedPoint struct {
 	point  Point
 	has    bool
-	prefix string // of its figures
+	prefix string // of the names of its figures
 }
 
-// play finds the point with the most of everything, by the product of its sizes.
-func (m measured) play(what string) (p play) {
-	r, has := m.of[what]
+// largestPoint finds the point of a record with the greatest product of its sizes.
+func (m labelRecords) largestPoint(what string) (p playedPoint) {
+	r, has := m.byName[what]
 	if !has {
 		return p
 	}
@@ -28,14 +29,14 @@
 		}
 		return all
 	}
-	return play{
+	return playedPoint{
 		point: slices.MaxFunc(r.Points, func(a, b Point) int { return cmp.Compare(product(a), product(b)) }),
 		has:   true,
 	}
 }
 
-// sizeWords are what a play's sizes are called, in the order in which they are told.
-var sizeWords = [][2]string{
+// sizeLabels are the labels of a point's sizes, in the order in which the page lists them.
+var sizeLabels = [][2]string{
 	{"backends", "backends"},
 	{"nodes", "nodes"},
 	{"boxes", "boxes"},
@@ -47,14 +48,15 @@
 	{"cut_s", "s apart"},
 }
 
-func (p play) sizes() string {
+// sizes lists the point's sizes with their labels.
+func (p playedPoint) sizes() string {
 	if !p.has {
 		return notRun
 	}
 	var all []string
-	for _, w := range sizeWords {
+	for _, w := range sizeLabels {
 		if n, sized := p.point.Sizes[w[0]]; sized {
-			all = append(all, number(float64(n))+" "+w[1])
+			all = append(all, formatNumber(float64(n))+" "+w[1])
 		}
 	}
 	text := strings.Join(all, ", ")
@@ -64,10 +66,13 @@
 	return text
 }
 
+// figureName matches a placeholder of a figure in a sentence; the suffix :share has it written as a
+// percentage.
 var figureName = regexp.MustCompile(`\{([a-z_0-9]+)(:share)?\}`)
 
-// say fills figures into a sentence, each with its unit by its name, and times with their spread.
-func (p play) say(sentence string) string {
+// fillIn replaces the placeholders of a sentence by figures. The name of a figure gives its unit; times
+// come with their spread.
+func (p playedPoint) fillIn(sentence string) string {
 	if !p.has {
 		return notRun
 	}
@@ -79,7 +84,7 @@
 		case !there:
 			return notRun
 		case isShare:
-			return percent(f.Median)
+			return formatPercent(f.Median)
 		case strings.Contains(name, "bytes"):
 			unit = "bytes"
 		case strings.HasSuffix(name, "cores"):
@@ -87,43 +92,44 @@
 		case strings.HasSuffix(name, "_s") && !strings.HasSuffix(name, "_per_s"):
 			unit = "s"
 		}
-		text := strings.TrimSpace(shown(f.Median, unit))
+		text := strings.TrimSpace(formatFigure(f.Median, unit))
 		if unit == "s" && f.Least != f.Most {
-			text += fmt.Sprintf(" (%s to %s)", shown(f.Least, unit), shown(f.Most, unit))
+			text += fmt.Sprintf(" (%s to %s)", formatFigure(f.Least, unit), formatFigure(f.Most, unit))
 		}
 		return text
 	})
 }
 
-// atNode tells the worst second where it was looked for, else what it was in all.
-func (p play) atNode() string {
+// atNode gives a node's use in the worst second if it was sampled, else its use over the complete play.
+func (p playedPoint) atNode() string {
 	if _, peaked := p.point.Figures[p.prefix+"node_peak_cores"]; peaked {
-		return p.say("{node_peak_cores}, {node_peak_bytes} in, in the worst second; {node_memory_bytes}")
+		return p.fillIn("{node_peak_cores}, {node_peak_bytes} in, in the worst second; {node_memory_bytes}")
 	}
-	return p.say("in all {node_cpu_s} of processor, {node_bytes_in} in, {node_bytes_kept} kept")
+	return p.fillIn("in all {node_cpu_s} of processor, {node_bytes_in} in, {node_bytes_kept} kept")
 }
 
-func (p play) atReplica() string {
+// atReplica gives the same figures as atNode for the replica.
+func (p playedPoint) atReplica() string {
 	if _, peaked := p.point.Figures[p.prefix+"replica_peak_cores"]; peaked {
-		return p.say("{replica_peak_cores}, {replica_peak_bytes} out, in the worst second; {replica_memory_bytes}")
+		return p.fillIn("{replica_peak_cores}, {replica_peak_bytes} out, in the worst second; {replica_memory_bytes}")
 	}
-	return p.say("in all {replica_cpu_s} of processor, {replica_bytes_out} out")
+	return p.fillIn("in all {replica_cpu_s} of processor, {replica_bytes_out} out")
 }
 
-// harmed is the share of requests due during a fault that it harmed, in the small lab.
-func (p play) harmed() string {
+// harmed is the share of requests due during a fault that the fault harmed, in the small lab.
+func (p playedPoint) harmed() string {
 	if !p.has {
 		return notRun
 	}
 	f := p.point.Figures["harmed_share"]
 	return fmt.Sprintf(
 		"%s (%s to %s) of those due meanwhile, at %s: ",
-		percent(f.Median),
-		percent(f.Least),
-		percent(f.Most),
+		formatPercent(f.Median),
+		formatPercent(f.Least),
+		formatPercent(f.Most),
 		p.sizes(),
 	) +
-		p.say(
+		p.fillIn(
 			"{failed_share:share} failed, {refused_share:share} refused, {late_share:share} late; without the fault {spared_share:share} are not in time",
 		)
 }
--- a/internal/lab/scale/rack.go
+++ b/internal/lab/scale/rack.go
@@ -11,38 +11,39 @@
 	"wrenspread/internal/registry"
 )
 
-// Rack plays a rack gone at once: its nodes are killed, and nobody renews its backends.
+// Rack measures the loss of a rack: its nodes are killed at once, and the leases of its backends are no
+// longer renewed.
 func (n *Nodes) Rack(ctx context.Context, p Plan, sizes []Sizes) error {
-	n.beside = beside{nodes: int(p.Assumed.RackNodes), lease: registry.MaxTTL}
-	return n.played(ctx, "rack", sizes, func(r rig) (map[string]float64, error) {
+	n.extra = extraNodes{nodes: int(p.Assumed.RackNodes), lease: registry.MaxTTL}
+	return n.measureSizes(ctx, "rack", sizes, func(r rig) (map[string]float64, error) {
 		return r.rack(ctx, int(p.Assumed.RackBackends), time.Duration(p.Assumed.TTL*float64(time.Second)))
 	})
 }
 
-// rack leaves the rack's backends without renewals. All entries are leased, as what may expire at once is a
-// share of those.
+// rack stops the renewals of the first lost backends. All entries have leases, as those that may expire at
+// once are a share of the leased entries.
 func (r rig) rack(ctx context.Context, lost int, ttl time.Duration) (map[string]float64, error) {
-	if err := together(ctx, 0, lost, registering(r.k, ttl)); err != nil {
+	if err := concurrently(ctx, 0, lost, registerEntry(r.k, ttl)); err != nil {
 		return nil, err
 	}
 	renewed := time.Now()
 	var known, settled time.Duration
-	f, err := r.spent(ctx, func() error {
-		if err := r.beside.Kill(); err != nil {
+	f, err := r.measureCost(ctx, func() error {
+		if err := r.extra.Kill(); err != nil {
 			return err
 		}
 		killed := time.Now()
 		g, ctx := errgroup.WithContext(ctx)
 		if r.View {
 			g.Go(func() error {
-				err := r.all(ctx, "fleet.alive", r.Nodes)
+				err := r.awaitStat(ctx, "fleet.alive", r.Nodes)
 				known = time.Since(killed)
 				return err
 			})
 		}
 		g.Go(func() error {
-			backoff.Sleep(ctx, time.Until(renewed.Add(ttl))) // sooner none expires
-			err := r.know(ctx, namesOf(lost, r.Backends))
+			backoff.Sleep(ctx, time.Until(renewed.Add(ttl))) // no lease expires earlier
+			err := r.awaitEndpoints(ctx, entryNames(lost, r.Backends))
 			settled = time.Since(renewed.Add(ttl))
 			return err
 		})
@@ -58,16 +59,17 @@
 	return f, nil
 }
 
-// Roll plays nodes and backends replaced at so many an hour, by the second, in their numbers' proportion.
+// Roll measures rolling replacement of nodes and backends. Each value of restarts is a rate an hour for
+// both together, divided in proportion to their numbers in the plan.
 func (n *Nodes) Roll(ctx context.Context, p Plan, sizes []Sizes, restarts []int, last time.Duration) error {
 	for _, perHour := range restarts {
-		share := float64(perHour) / (p.Plan.Nodes + p.Plan.Backends) / time.Hour.Seconds() // of the fleet, a second
-		n.beside = beside{nodes: int(p.Assumed.RackNodes), every: every(share * p.Plan.Nodes), restarts: perHour}
-		err := n.played(
+		share := float64(perHour) / (p.Plan.Nodes + p.Plan.Backends) / time.Hour.Seconds() // of the fleet that restarts in a second
+		n.extra = extraNodes{nodes: int(p.Assumed.RackNodes), every: interval(share * p.Plan.Nodes), restarts: perHour}
+		err := n.measureSizes(
 			ctx,
 			"roll",
 			sizes,
-			func(r rig) (map[string]float64, error) { return r.roll(ctx, every(share*p.Plan.Backends), last) },
+			func(r rig) (map[string]float64, error) { return r.roll(ctx, interval(share*p.Plan.Backends), last) },
 		)
 		if err != nil {
 			return fmt.Errorf("%d restarts an hour: %w", perHour, err)
@@ -76,14 +78,17 @@
 	return nil
 }
 
-func every(perSecond float64) time.Duration { return time.Duration(float64(time.Second) / perSecond) }
+// interval is the time between two events that come at a rate a second.
+func interval(perSecond float64) time.Duration {
+	return time.Duration(float64(time.Second) / perSecond)
+}
 
-// roll replaces backends one by one, each by one of another name, and waits until every node knows those that
-// are left.
+// roll replaces backends one by one, each by a backend of another name, and waits until every node has
+// exactly the remaining ones.
 func (r rig) roll(ctx context.Context, pace, last time.Duration) (map[string]float64, error) {
 	var done int
 	var written, settled time.Duration
-	f, err := r.spent(ctx, func() error {
+	f, err := r.measureCost(ctx, func() error {
 		start := time.Now()
 		for ; time.Duration(done)*pace < last; done++ {
 			if !backoff.Sleep(ctx, time.Until(start.Add(time.Duration(done)*pace))) {
@@ -98,14 +103,14 @@
 		}
 		backoff.Sleep(ctx, time.Until(start.Add(last)))
 		written = time.Since(start)
-		err := r.know(ctx, namesOf(done, r.Backends+done))
+		err := r.awaitEndpoints(ctx, entryNames(done, r.Backends+done))
 		settled = time.Since(start) - written
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	over := f["took_s"] + 1 // that spent goes on for
+	over := f["took_s"] + 1 // measureCost continues for one second after the play
 	return map[string]float64{
 		"replaced":             float64(done),
 		"replaced_per_s":       float64(done) / seconds(written),
--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -1,5 +1,5 @@
-// Package scale measures what control costs by size: hollow nodes and backends
-// against the real programs, fits over the sizes, and the tables of the capacity page.
+// Package scale measures what control costs by the size of a fleet. It runs hollow nodes and backends against
+// the real programs, fits the costs over the sizes, and makes the tables of the capacity page.
 package scale
 
 import (
@@ -17,14 +17,14 @@
 	"time"
 )
 
-// Record is one command's measurements, as the repository keeps them.
+// Record is the measurements of one command, as they are stored in the repository.
 type Record struct {
 	What    string `json:"what"`
-	Label   string `json:"label"`  // before or after the mechanism
-	Commit  string `json:"commit"` // of the programs that were measured
+	Label   string `json:"label"`  // whether measured before or after the mechanism
+	Commit  string `json:"commit"` // commit of the programs that were measured
 	Command string `json:"command"`
 	Cores   int    `json:"cores"`
-	// of the machine over a minute: the least and the most, at the beginnings and ends of runs
+	// Load is the machine's load average over a minute: the least and the most at the begins and ends of runs.
 	Load   [2]float64 `json:"load"`
 	Points []Point    `json:"points"`
 }
@@ -32,31 +32,33 @@
 // Point is the figures at one choice of sizes.
 type Point struct {
 	Sizes map[string]int `json:"sizes"`
-	// how the programs differ from the commit; empty: not at all
+	// Trial says how the programs differ from the commit; empty: they do not.
 	Trial   string            `json:"trial,omitempty"`
 	Figures map[string]Spread `json:"figures"`
 }
 
-// Spread is a figure over its repetitions.
+// Spread is the median, the least and the most of a figure over its repetitions.
 type Spread struct {
 	Median float64 `json:"median"`
 	Least  float64 `json:"least"`
 	Most   float64 `json:"most"`
 }
 
-// The labels.
+// Labels of records: measured before or after the mechanism.
 const (
 	Before = "before"
 	After  = "after"
 )
 
+// spreadOf is the spread of values, each rounded to four digits; it sorts the slice.
 func spreadOf(all []float64) Spread {
 	slices.Sort(all)
-	return Spread{round(all[len(all)/2]), round(all[0]), round(all[len(all)-1])}
+	return Spread{roundToFourDigits(all[len(all)/2]), roundToFourDigits(all[0]), roundToFourDigits(all[len(all)-1])}
 }
 
-// round keeps four digits: no figure here is truer than that.
-func round(x float64) float64 {
+// roundToFourDigits rounds to four digits, as no figure here is more exact; it returns 0 for NaN and
+// infinities.
+func roundToFourDigits(x float64) float64 {
 	if x == 0 || math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
 	}
@@ -67,7 +69,7 @@
 	return math.Round(x/unit) / math.Round(1/unit)
 }
 
-// repeated measures a point so many times and gives each figure's spread.
+// repeated measures a point the given number of times and returns the spread of each figure.
 func repeated(times int, sizes map[string]int, one func() (map[string]float64, error)) (Point, error) {
 	all := map[string][]float64{}
 	for range times {
@@ -86,24 +88,24 @@
 	return p, nil
 }
 
-// File is where a record is kept.
+// File is the path of a record's file in a folder.
 func (r Record) File(dir string) string {
 	return filepath.Join(dir, r.What+"-"+r.Label+".json")
 }
 
-// Save keeps a record.
+// Save writes a record to its file in a folder.
 func (r Record) Save(dir string) error {
 	points := r.Points
 	r.Points = nil
 	raw, err := json.Marshal(r)
 	if err != nil {
-		return fmt.Errorf("the record of %s: %w", r.What, err)
+		return fmt.Errorf("save the record of %s: %w", r.What, err)
 	}
 	raw = append(bytes.TrimSuffix(raw, []byte("null}")), '[')
-	for i, p := range points { // one a line, so that a difference shows what was measured anew
+	for i, p := range points { // one per line, so that a diff shows which points were measured again
 		one, err := json.Marshal(p)
 		if err != nil {
-			return fmt.Errorf("the record of %s: %w", r.What, err)
+			return fmt.Errorf("save the record of %s: %w", r.What, err)
 		}
 		if i > 0 {
 			raw = append(raw, ',')
@@ -112,12 +114,13 @@
 	}
 	raw = append(raw, "\n]}\n"...)
 	if err := os.WriteFile(r.File(dir), raw, 0o644); err != nil {
-		return fmt.Errorf("the record of %s: %w", r.What, err)
+		return fmt.Errorf("save the record of %s: %w", r.What, err)
 	}
 	return nil
 }
 
-// Load reads all records of a folder, by what they are of and their label.
+// Load reads all records of a folder. The name of each file has to agree with the record's measurement and
+// label.
 func Load(dir string) ([]Record, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -125,34 +128,34 @@
 	}
 	var all []Record
 	for _, path := range files {
-		r, err := read(path)
+		r, err := readRecord(path)
 		if err != nil {
 			return nil, err
 		}
 		if r.File(dir) != path {
-			return nil, fmt.Errorf("%s: it is of %s, %s", path, r.What, r.Label)
+			return nil, fmt.Errorf("load %s: it has the record of %s, %s", path, r.What, r.Label)
 		}
 		all = append(all, r)
 	}
 	return all, nil
 }
 
-func read(path string) (r Record, err error) {
+func readRecord(path string) (r Record, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return r, err
 	}
-	in := json.NewDecoder(bytes.NewReader(raw))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&r); err != nil {
-		return r, fmt.Errorf("%s: %w", path, err)
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&r); err != nil {
+		return r, fmt.Errorf("parse record %s: %w", path, err)
 	}
 	return r, nil
 }
 
-// Run says how a record comes about.
+// Run says where records are stored and of what they are.
 type Run struct {
-	Dir     string // of the records
+	Dir     string // folder of the records
 	Label   string
 	Commit  string
 	Trial   string
@@ -160,7 +163,8 @@
 	Repeat  int
 }
 
-// record puts what measure gives into a record: that of before, if it is of the same commit, else a new one.
+// record stores the points that measure returns. They go into the stored record if that is of the same
+// commit and number of cores, else into a new one. A point replaces the stored point of the same sizes.
 func (run Run) record(what string, measure func() ([]Point, error)) error {
 	r := Record{
 		What:   what,
@@ -169,22 +173,22 @@
 		Cores:  cores(),
 		Load:   [2]float64{math.Inf(1), 0},
 	}
-	if former, err := read(
+	if previous, err := readRecord(
 		r.File(run.Dir),
-	); err == nil && former.Commit == run.Commit &&
-		former.Cores == r.Cores {
-		r = former
+	); err == nil && previous.Commit == run.Commit &&
+		previous.Cores == r.Cores {
+		r = previous
 	} else if err != nil &&
 		!errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	r.Command = run.Command
-	loads := []float64{r.Load[0], load()}
+	loads := []float64{r.Load[0], machineLoad()}
 	points, err := measure()
 	if err != nil {
-		return fmt.Errorf("measuring %s: %w", what, err)
+		return fmt.Errorf("measure %s: %w", what, err)
 	}
-	loads = append(loads, load())
+	loads = append(loads, machineLoad())
 	r.Load = [2]float64{slices.Min(loads), max(r.Load[1], loads[1], loads[2])}
 	for _, p := range points {
 		p.Trial = run.Trial
@@ -194,13 +198,13 @@
 	return r.Save(run.Dir)
 }
 
-// String is a line about a point.
+// String is a line with the sizes and the medians of a point.
 func (p Point) String() string {
 	var s strings.Builder
-	for _, k := range sorted(p.Sizes) {
+	for _, k := range sortedKeys(p.Sizes) {
 		fmt.Fprintf(&s, "%s=%d ", k, p.Sizes[k])
 	}
-	for _, k := range sorted(p.Figures) {
+	for _, k := range sortedKeys(p.Figures) {
 		fmt.Fprintf(&s, " %s %.4g", k, p.Figures[k].Median)
 	}
 	return s.String()
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -25,25 +25,26 @@
 	k        *client.Client
 	service  *process.Proc
 	nodes    []*process.Proc
-	controls []string      // of the nodes, where operators call
-	beside   *process.Proc // hollow nodes that are not measured
-	files    []string      // of the nodes' kept lists
+	controls []string      // control addresses of the nodes
+	extra    *process.Proc // process of the hollow nodes that are not measured
+	files    []string      // files of the nodes' cached lists
 	parts    bool
-	View     bool // the nodes keep one
+	View     bool // whether the nodes have a view of the fleet
 }
 
-// beside is further hollow nodes, in a process that is not measured.
-type beside struct {
+// extraNodes says which further hollow nodes run, in a process that is not measured.
+type extraNodes struct {
 	nodes    int
-	every    time.Duration // in which one of them restarts; 0: none does
-	restarts int           // of nodes and backends an hour that the play is of; 0: it is of none
-	lease    time.Duration // of the entries; 0: they have none
+	every    time.Duration // time between two restarts of these nodes; 0: they do not restart
+	restarts int           // restarts of nodes and backends an hour that are measured; 0: none
+	lease    time.Duration // time to live of the entries' leases; 0: entries have no leases
 }
 
-// with starts a replica with so many backends, and nodes, and does something once they are ready.
-func (n *Nodes) with(ctx context.Context, size Sizes, do func(rig) error) error {
-	return n.fresh(ctx, 0, func(set *replicas.Set, k *client.Client) error {
-		if err := together(ctx, 0, size.Backends, registering(k, n.beside.lease)); err != nil {
+// withNodes starts a replica with size.Backends backends, and the nodes, and calls do once the nodes are
+// ready.
+func (n *Nodes) withNodes(ctx context.Context, size Sizes, do func(rig) error) error {
+	return n.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
+		if err := concurrently(ctx, 0, size.Backends, registerEntry(k, n.extra.lease)); err != nil {
 			return err
 		}
 		dir, err := os.MkdirTemp(n.Dir, "nodes")
@@ -53,7 +54,7 @@
 		defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), parts: n.Parts, View: n.View}
 		var free func()
-		controls, free, err := n.configure(dir, size.Nodes+n.beside.nodes, set.All[0].Address())
+		controls, free, err := n.configure(dir, size.Nodes+n.extra.nodes, set.All[0].Address())
 		defer free()
 		if err != nil {
 			return err
@@ -63,21 +64,21 @@
 			return err
 		}
 		group := process.NewGroup(log)
-		defer group.Close(endTime)
+		defer group.Close(stopTimeout)
 		r.controls = controls[:size.Nodes]
-		if r.nodes, err = n.begin(ctx, group, dir, r.controls); err != nil {
+		if r.nodes, err = n.startNodes(ctx, group, dir, r.controls); err != nil {
 			return err
 		}
-		if n.beside.nodes > 0 {
-			if r.beside, err = n.begunBeside(ctx, group, dir, size.Nodes, controls[size.Nodes:]); err != nil {
+		if n.extra.nodes > 0 {
+			if r.extra, err = n.startExtra(ctx, group, dir, size.Nodes, controls[size.Nodes:]); err != nil {
 				return err
 			}
 		}
 		for i := range r.controls {
 			r.files = append(r.files, listFile(dir, i))
 		}
-		if n.View && n.beside.every == 0 {
-			if err := r.all(ctx, "fleet.alive", len(controls)); err != nil {
+		if n.View && n.extra.every == 0 {
+			if err := r.awaitStat(ctx, "fleet.alive", len(controls)); err != nil {
 				return err
 			}
 		}
@@ -86,18 +87,19 @@
 			if err != nil {
 				return err
 			}
-			c, err := n.gather(ctx, []string{set.All[0].Address()}, arriveTogether, n.Watchers, now.Index)
+			c, err := n.startWatchers(ctx, []string{set.All[0].Address()}, watchersAtOnce, n.Watchers, now.Index)
 			if err != nil {
 				return err
 			}
-			defer c.end()
+			defer c.close()
 		}
-		backoff.Sleep(ctx, time.Second) // what begins is over
+		backoff.Sleep(ctx, time.Second) // the work of the start has ended
 		return do(r)
 	})
 }
 
-// configure writes the nodes' files, with addresses of their own, and gives where operators call.
+// configure writes the nodes' configurations, with addresses of their own. It returns the control
+// addresses, and free, which releases the reserved addresses.
 func (n *Nodes) configure(dir string, nodes int, service string) (controls []string, free func(), err error) {
 	var frees []func()
 	free = func() {
@@ -114,9 +116,9 @@
 		frees = append(frees, done)
 		return address
 	}
-	peers := slicesOf(nodes, "127.0.0.1:0")
+	peers := repeatedString(nodes, "127.0.0.1:0")
 	if n.View {
-		if peers, err = freeUDP(nodes); err != nil {
+		if peers, err = freeUDPAddresses(nodes); err != nil {
 			return nil, free, err
 		}
 	}
@@ -140,7 +142,7 @@
 			c.Peers, c.Fleet = peers, "scale"
 		}
 		if err == nil {
-			err = c.Write(configOf(dir, i), drawn, 1)
+			err = c.Write(configFile(dir, i), drawn, 1)
 		}
 		if err != nil {
 			return nil, free, err
@@ -150,17 +152,18 @@
 	return controls, free, nil
 }
 
+// listFile is the path of the i-th node's cached list.
 func listFile(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("list", i)) }
 
-// begin starts the processes and waits until each node is ready.
-func (n *Nodes) begin(
+// startNodes starts the processes and waits until each node is ready.
+func (n *Nodes) startNodes(
 	ctx context.Context,
 	group *process.Group,
 	dir string,
 	controls []string,
 ) (all []*process.Proc, err error) {
 	if n.Kind == "hollow" {
-		p, err := n.hollow(
+		p, err := n.startHollow(
 			ctx,
 			group,
 			dir,
@@ -170,10 +173,10 @@
 		)
 		return []*process.Proc{p}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i, control := range controls {
-		p, err := n.start(group, dir, fmt.Sprint("n", i), "GW_CONFIG="+configOf(dir, i), n.Start)
+		p, err := n.startProcess(group, dir, fmt.Sprint("n", i), "GW_CONFIG="+configFile(dir, i), n.Start)
 		if err != nil {
 			return nil, err
 		}
@@ -185,8 +188,8 @@
 	return all, nil
 }
 
-// begunBeside starts the process of the nodes beside, from the first on.
-func (n *Nodes) begunBeside(
+// startExtra starts the process of the extra nodes; first is the number of the first one.
+func (n *Nodes) startExtra(
 	ctx context.Context,
 	group *process.Group,
 	dir string,
@@ -199,21 +202,21 @@
 		dir,
 		strconv.Itoa(first),
 		strconv.Itoa(len(controls)),
-		n.beside.every.String(),
+		n.extra.every.String(),
 	)
-	return n.hollow(ctx, group, dir, "beside", controls, command)
+	return n.startHollow(ctx, group, dir, "beside", controls, command)
 }
 
-// hollow starts a process of hollow nodes and waits until each is ready.
-func (n *Nodes) hollow(
+// startHollow starts a process of hollow nodes and waits until each node is ready.
+func (n *Nodes) startHollow(
 	ctx context.Context,
 	group *process.Group,
 	dir, name string,
 	controls, command []string,
 ) (*process.Proc, error) {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	p, err := n.start(group, dir, name, "PATH="+os.Getenv("PATH"), command)
+	p, err := n.startProcess(group, dir, name, "PATH="+os.Getenv("PATH"), command)
 	if err != nil {
 		return nil, err
 	}
@@ -225,7 +228,7 @@
 	return p, nil
 }
 
-func (n *Nodes) start(group *process.Group, dir, name, env string, command []string) (*process.Proc, error) {
+func (n *Nodes) startProcess(group *process.Group, dir, name, env string, command []string) (*process.Proc, error) {
 	return group.Start(
 		process.Spec{
 			Name:    name,
@@ -236,8 +239,8 @@
 	)
 }
 
-// usedBy sums what processes have used.
-func usedBy(all []*process.Proc) (sum use, err error) {
+// useOfAll sums what processes have used.
+func useOfAll(all []*process.Proc) (sum use, err error) {
 	for _, p := range all {
 		u, err := useOf(p.Pid)
 		if err != nil {
--- a/internal/lab/scale/settled.go
+++ b/internal/lab/scale/settled.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	lookEvery = 10 * time.Millisecond
-	maxKept   = 32 << 20 // bytes of a node's cached list
+	pollInterval = 10 * time.Millisecond
+	maxListBytes = 32 << 20 // limit for a node's file of its cached list
 )
 
-// know waits until every node knows of these servers and no others, of its subset of the list.
-func (r rig) know(ctx context.Context, names []string) error {
+// awaitEndpoints waits until the list of every node has exactly the named servers. A node that follows a
+// subset of the list needs to have only the servers of its subset.
+func (r rig) awaitEndpoints(ctx context.Context, names []string) error {
 	if !r.parts {
-		return r.all(ctx, "discovered", len(names))
+		return r.awaitStat(ctx, "discovered", len(names))
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	at := make(map[string]uint64, len(names))
 	for _, n := range names {
@@ -29,14 +30,14 @@
 	}
 	for i, file := range r.files {
 		for {
-			why, err := differs(file, at)
+			why, err := listDifference(file, at)
 			if err != nil {
 				return err
 			}
 			if why == "" {
 				break
 			}
-			if !backoff.Sleep(ctx, lookEvery) {
+			if !backoff.Sleep(ctx, pollInterval) {
 				return fmt.Errorf("node %d of %d: %s: %w", i, len(r.files), why, ctx.Err())
 			}
 		}
@@ -44,21 +45,21 @@
 	return nil
 }
 
-// differs says how a node's cached list is not what its subset of the list has, by the servers' places;
-// empty: it is that.
-func differs(file string, at map[string]uint64) (why string, err error) {
-	raw, err := checksumfile.Read(file, maxKept)
+// listDifference says how a node's cached list differs from the servers that belong to its subset of the
+// list, given the position of each server; empty means that the list does not differ.
+func listDifference(file string, at map[string]uint64) (why string, err error) {
+	raw, err := checksumfile.Read(file, maxListBytes)
 	if err != nil {
-		return "", fmt.Errorf("a node's kept list: %w", err)
+		return "", fmt.Errorf("read the cached list %s: %w", file, err)
 	}
 	var kept struct {
 		Of      struct{ Part string }
 		Entries []struct{ Name string }
 	}
 	if err := json.Unmarshal(raw, &kept); err != nil {
-		return "", fmt.Errorf("a node's kept list: %w", err)
+		return "", fmt.Errorf("read the cached list %s: %w", file, err)
 	}
-	var part registry.Subset // all of the list, where it says nothing of one
+	var part registry.Subset // the zero value, the complete list, applies if the file names no subset
 	if kept.Of.Part != "" {
 		if part, err = registry.ParseSubset(kept.Of.Part); err != nil {
 			return "", err
@@ -72,31 +73,31 @@
 	}
 	for _, e := range kept.Entries {
 		if p, there := at[e.Name]; !there || !part.Contains(p) {
-			return fmt.Sprintf("it has %s still, which is not in part %v", e.Name, part), nil
+			return fmt.Sprintf("the list still has %s, which is not in subset %v", e.Name, part), nil
 		}
 	}
 	if len(kept.Entries) != want {
-		return fmt.Sprintf("it has %d of %d servers of part %v", len(kept.Entries), want, part), nil
+		return fmt.Sprintf("the list has %d of %d servers of subset %v", len(kept.Entries), want, part), nil
 	}
 	return "", nil
 }
 
-// all waits until a figure of every node is so much.
-func (r rig) all(ctx context.Context, figure string, want int) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+// awaitStat waits until a figure of every node has the given value.
+func (r rig) awaitStat(ctx context.Context, figure string, want int) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for i, at := range r.controls {
 		for {
-			f, err := statsOf(ctx, at)
+			f, err := readStats(ctx, at)
 			if err != nil {
 				return err
 			}
 			if f[figure] == float64(want) {
 				break
 			}
-			if !backoff.Sleep(ctx, lookEvery) {
+			if !backoff.Sleep(ctx, pollInterval) {
 				return fmt.Errorf(
-					"node %d of %d has %s %v, not %d: %w",
+					"node %d of %d has %s %v, want %d: %w",
 					i,
 					len(r.controls),
 					figure,
--- a/internal/lab/scale/settled_test.go
+++ b/internal/lab/scale/settled_test.go
@@ -10,11 +10,12 @@
 	"wrenspread/internal/registry"
 )
 
-// TestDiffers: a kept list is settled if it has all servers of its part and no others.
-func TestDiffers(t *testing.T) {
+// TestListDifferenceAgainstSubset checks that a cached list has no difference if and only if it has all
+// servers of its subset and no others.
+func TestListDifferenceAgainstSubset(t *testing.T) {
 	part, at := registry.Subset{Start: 0, Width: 1 << 14}, map[string]uint64{}
 	var inside, outside []string
-	for _, name := range namesOf(0, 40) {
+	for _, name := range entryNames(0, 40) {
 		if at[name] = registry.Position(name); part.Contains(at[name]) {
 			inside = append(inside, name)
 		} else {
@@ -30,7 +31,7 @@
 		same bool
 	}{
 		"its part":        {inside, part.String(), true},
-		"all":             {namesOf(0, 40), "all", true},
+		"all":             {entryNames(0, 40), "all", true},
 		"one less":        {inside[1:], part.String(), false},
 		"one of another":  {append(outside[:1:1], inside[1:]...), part.String(), false},
 		"one that is not": {append([]string{entryName(41)}, inside[1:]...), part.String(), false},
@@ -43,8 +44,8 @@
 		if err := checksumfile.Write(file, fmt.Appendf(nil, `{"of":{"part":%q},"entries":[%s]}`, c.of, strings.Join(entries, ","))); err != nil {
 			t.Fatal(err)
 		}
-		if why, err := differs(file, at); err != nil || (why == "") != c.same {
-			t.Errorf("%s: %q, %v", name, why, err)
+		if why, err := listDifference(file, at); err != nil || (why == "") != c.same {
+			t.Errorf("%s: got difference %q, error %v", name, why, err)
 		}
 	}
 }
--- a/internal/lab/scale/sides.go
+++ b/internal/lab/scale/sides.go
@@ -5,34 +5,38 @@
 	"strings"
 )
 
-// sides are a node's and a replica's figures as they were measured, before and after.
-func sides(s sheet) (string, error) {
+// sidesTable is the table of the measured figures of a node and of a replica, before and after.
+func sidesTable(s pageData) (string, error) {
 	var rows [][]string
 	for _, k := range []struct {
 		what, along, name string
 		others            map[string]int
 		sizes             []int
-		figures           [][2]string // and their units
+		figures           [][2]string // names and units
 	}{
-		{"module", "backends", "decisions alone, told of 4,300 nodes", nodesOfPlan, []int{200, 2000, 20000, 54000}, [][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
-		{"real", "backends", "a real node's process", nodeFew, []int{200, 2000, 20000, 54000}, [][2]string{{"rest_cores", "cores"}, {"change_cpu_s", "s"}, {"change_bytes_out", "bytes"}, {"memory_bytes", "bytes"}}},
-		{"watchers", "watchers", "a replica by watchers", nil, []int{300, 1000, 4300}, [][2]string{{"change_cpu_s", "s"}, {"change_bytes", "bytes"}, {"last_s", "s"}}},
-		{"entries", "entries", "a replica by entries", nil, []int{200, 2000, 20000, 54000}, [][2]string{{"change_cpu_s", "s"}, {"whole_bytes", "bytes"}, {"memory_bytes", "bytes"}}},
+		{"module", "backends", "decisions alone, told of 4,300 nodes", nodesOfPlan, []int{200, 2000, 20000, 54000},
+			[][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
+		{"real", "backends", "a real node's process", nodeFew, []int{200, 2000, 20000, 54000},
+			[][2]string{{"rest_cores", "cores"}, {"change_cpu_s", "s"}, {"change_bytes_out", "bytes"}, {"memory_bytes", "bytes"}}},
+		{"watchers", "watchers", "a replica by watchers", nil, []int{300, 1000, 4300},
+			[][2]string{{"change_cpu_s", "s"}, {"change_bytes", "bytes"}, {"last_s", "s"}}},
+		{"entries", "entries", "a replica by entries", nil, []int{200, 2000, 20000, 54000},
+			[][2]string{{"change_cpu_s", "s"}, {"whole_bytes", "bytes"}, {"memory_bytes", "bytes"}}},
 	} {
 		for _, f := range k.figures {
 			row := []string{k.name, "`" + f[0] + "`"}
-			for _, m := range []measured{s.before, s.after} {
+			for _, m := range []labelRecords{s.before, s.after} {
 				row = append(row, asMeasured(m, k.what, k.along, f[0], f[1], k.others, k.sizes))
 			}
 			rows = append(rows, row)
 		}
 	}
-	return table([]string{"of", "figure", "before", "after"}, rows), nil
+	return markdownTable([]string{"of", "figure", "before", "after"}, rows), nil
 }
 
-// asMeasured lists a figure at sizes, with a sign at those of a trial.
-func asMeasured(m measured, what, along, figure, unit string, others map[string]int, sizes []int) string {
-	r, has := m.of[what]
+// asMeasured lists a figure at the given sizes, with a mark at the figures of a trial.
+func asMeasured(m labelRecords, what, along, figure, unit string, others map[string]int, sizes []int) string {
+	r, has := m.byName[what]
 	if !has {
 		return notRun
 	}
@@ -41,21 +45,21 @@
 		cell := notRun
 		for _, p := range r.Points {
 			if f, has := p.Figures[figure]; has && p.Sizes[along] == n && matches(p, others) {
-				if cell = shown(f.Median, unit); p.Trial != "" {
+				if cell = formatFigure(f.Median, unit); p.Trial != "" {
 					cell += " (trial)"
 				}
 			}
 		}
-		cells = append(cells, number(float64(n))+": "+cell)
+		cells = append(cells, formatNumber(float64(n))+": "+cell)
 	}
 	return strings.Join(cells, "; ")
 }
 
-// inForce is the time from the acknowledged write to the watchers.
-func inForce(s sheet) (string, error) {
+// inForceTable is the table of the times from the acknowledged write until watchers have it.
+func inForceTable(s pageData) (string, error) {
 	var rows [][]string
-	for _, m := range []measured{s.before, s.after} {
-		r, has := m.of["watchers"]
+	for _, m := range []labelRecords{s.before, s.after} {
+		r, has := m.byName["watchers"]
 		if !has {
 			rows = append(rows, []string{m.label, notRun, "", "", "", "", "", ""})
 			continue
@@ -63,24 +67,24 @@
 		for _, p := range r.Points {
 			t := func(name string) string {
 				f := p.Figures[name]
-				return fmt.Sprintf("%s (%s to %s)", shown(f.Median, "s"), shown(f.Least, "s"), shown(f.Most, "s"))
+				return fmt.Sprintf("%s (%s to %s)", formatFigure(f.Median, "s"), formatFigure(f.Least, "s"), formatFigure(f.Most, "s"))
 			}
 			rows = append(
 				rows,
 				[]string{
 					m.label,
-					number(float64(p.Sizes["watchers"])),
-					number(float64(p.Sizes["entries"])),
+					formatNumber(float64(p.Sizes["watchers"])),
+					formatNumber(float64(p.Sizes["entries"])),
 					t("half_s"),
 					t("most99_s"),
 					t("last_s"),
 					t("last_worst_s"),
-					fmt.Sprintf("%s to %s", number(r.Load[0]), number(r.Load[1])),
+					fmt.Sprintf("%s to %s", formatNumber(r.Load[0]), formatNumber(r.Load[1])),
 				},
 			)
 		}
 	}
-	return table(
+	return markdownTable(
 		[]string{
 			"program",
 			"watchers of one replica",
@@ -95,12 +99,12 @@
 	), nil
 }
 
-// honest sets hollow nodes beside real ones, at the same sizes and changes.
-func honest(s sheet) (string, error) {
+// hollowCheckTable compares hollow nodes with real ones, at the same sizes and changes.
+func hollowCheckTable(s pageData) (string, error) {
 	var rows [][]string
-	for _, m := range []measured{s.before, s.after} {
-		hollow, has := m.of["hollow"]
-		real, both := m.of["real"]
+	for _, m := range []labelRecords{s.before, s.after} {
+		hollow, has := m.byName["hollow"]
+		real, both := m.byName["real"]
 		if !has || !both {
 			rows = append(rows, []string{m.label, notRun, "", "", "", ""})
 			continue
@@ -111,23 +115,24 @@
 					h.Sizes["backends"] != 200 {
 					continue
 				}
-				for _, f := range [][2]string{{"datagrams_per_s", "/s"}, {"datagram_bytes_per_s", "bytes/s"}, {"change_bytes_in", "bytes"}, {"change_bytes_out", "bytes"},
+				for _, f := range [][2]string{{"datagrams_per_s", "/s"}, {"datagram_bytes_per_s", "bytes/s"},
+					{"change_bytes_in", "bytes"}, {"change_bytes_out", "bytes"},
 					{"change_cpu_s", "s"}, {"rest_cores", "cores"}, {"memory_bytes", "bytes"}} {
 					a, b := h.Figures[f[0]].Median, r.Figures[f[0]].Median
 					says := "within 15%"
 					if b < 0.85*a || b > 1.15*a {
-						if says = fmt.Sprintf("factor %s, %s more", number(b/a), shown(b-a, f[1])); b < a {
-							says = fmt.Sprintf("factor %s", number(b/a))
+						if says = fmt.Sprintf("factor %s, %s more", formatNumber(b/a), formatFigure(b-a, f[1])); b < a {
+							says = fmt.Sprintf("factor %s", formatNumber(b/a))
 						}
 					}
 					rows = append(
 						rows,
 						[]string{
 							m.label,
-							number(float64(h.Sizes["nodes"])),
+							formatNumber(float64(h.Sizes["nodes"])),
 							"`" + f[0] + "`",
-							shown(a, f[1]),
-							shown(b, f[1]),
+							formatFigure(a, f[1]),
+							formatFigure(b, f[1]),
 							says,
 						},
 					)
@@ -135,14 +140,14 @@
 			}
 		}
 	}
-	return table(
+	return markdownTable(
 		[]string{"program", "nodes, 200 backends", "figure, a node", "hollow", "real", "real over hollow"},
 		rows,
 	), nil
 }
 
-// runs say where the figures come from.
-func runs(s sheet) (string, error) {
+// runsTable is the table of the records from which the figures come.
+func runsTable(s pageData) (string, error) {
 	var rows [][]string
 	for _, r := range s.all {
 		var trial []string
@@ -159,10 +164,10 @@
 				r.Commit,
 				"`" + r.Command + "`",
 				fmt.Sprint(len(r.Points)),
-				fmt.Sprintf("%s to %s on %d cores", number(r.Load[0]), number(r.Load[1]), r.Cores),
+				fmt.Sprintf("%s to %s on %d cores", formatNumber(r.Load[0]), formatNumber(r.Load[1]), r.Cores),
 				strings.Join(trial, "; "),
 			},
 		)
 	}
-	return table([]string{"record", "program", "commit", "last made by", "points", "load", "trials"}, rows), nil
+	return markdownTable([]string{"record", "program", "commit", "last made by", "points", "load", "trials"}, rows), nil
 }
--- a/internal/lab/scale/spent.go
+++ b/internal/lab/scale/spent.go
@@ -8,42 +8,42 @@
 	"wrenspread/internal/lab/process"
 )
 
-// A fault's worst second is looked for in steps of a fifth of one.
+// A fault's worst second is searched for in steps of a fifth of a second.
 const (
-	sampleEvery = 200 * time.Millisecond
-	worstOver   = 5 // samples
+	sampleEvery      = 200 * time.Millisecond
+	samplesPerSecond = 5 // steps of sampleEvery in a second
 )
 
-// worst is the most that processes have used in a second, and the most memory that they had.
-type worst struct{ cores, read, written, rss float64 }
+// peakUse is the most that processes have used in a second, and the most memory that they had.
+type peakUse struct{ cores, read, written, rss float64 }
 
-// spent does something and gives what each node and the replica have used for it, in all and in the worst
+// measureCost calls do and returns what each node and the replica have used for it, in all and in the worst
 // second.
-func (r rig) spent(ctx context.Context, do func() error) (map[string]float64, error) {
+func (r rig) measureCost(ctx context.Context, do func() error) (map[string]float64, error) {
 	service := []*process.Proc{r.service}
-	nodes, err := usedBy(r.nodes)
+	nodes, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
-	before, err := usedBy(service)
+	before, err := useOfAll(service)
 	if err != nil {
 		return nil, err
 	}
 	following, stop := context.WithCancel(ctx)
 	type found struct {
-		nodes, service worst
+		nodes, service peakUse
 		err            error
 	}
 	peaks := make(chan found, 1)
 	go func() {
 		var f found
-		f.nodes, f.service, f.err = follow(following, r.nodes, service)
+		f.nodes, f.service, f.err = samplePeaks(following, r.nodes, service)
 		peaks <- f
 	}()
 	began := time.Now()
 	err = do()
 	took := time.Since(began)
-	backoff.Sleep(ctx, time.Second) // what is kept is written, and a second is whole
+	backoff.Sleep(ctx, time.Second) // nodes store their lists, and the last second is complete
 	stop()
 	peak := <-peaks
 	if err == nil {
@@ -52,11 +52,11 @@
 	if err != nil {
 		return nil, err
 	}
-	nodesAfter, err := usedBy(r.nodes)
+	nodesAfter, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
-	after, err := usedBy(service)
+	after, err := useOfAll(service)
 	work, served, each := nodesAfter.minus(nodes), after.minus(before), float64(r.Nodes)
 	return map[string]float64{
 		"took_s":               seconds(took),
@@ -74,8 +74,8 @@
 	}, err
 }
 
-// follow samples the use of nodes and of a service until ctx ends.
-func follow(ctx context.Context, nodes, service []*process.Proc) (n, s worst, err error) {
+// samplePeaks samples the use of nodes and of a service until ctx ends, and returns the peaks of both.
+func samplePeaks(ctx context.Context, nodes, service []*process.Proc) (n, s peakUse, err error) {
 	type sample struct {
 		at             time.Time
 		nodes, service use
@@ -83,16 +83,16 @@
 	var all []sample
 	for {
 		one := sample{at: time.Now()}
-		if one.nodes, err = usedBy(nodes); err != nil {
+		if one.nodes, err = useOfAll(nodes); err != nil {
 			return n, s, err
 		}
-		if one.service, err = usedBy(service); err != nil {
+		if one.service, err = useOfAll(service); err != nil {
 			return n, s, err
 		}
-		if all = append(all, one); len(all) > worstOver {
-			first := all[len(all)-1-worstOver]
-			n.see(one.nodes, first.nodes, one.at.Sub(first.at))
-			s.see(one.service, first.service, one.at.Sub(first.at))
+		if all = append(all, one); len(all) > samplesPerSecond {
+			first := all[len(all)-1-samplesPerSecond]
+			n.update(one.nodes, first.nodes, one.at.Sub(first.at))
+			s.update(one.service, first.service, one.at.Sub(first.at))
 		}
 		if !backoff.Sleep(ctx, sampleEvery) {
 			return n, s, nil
@@ -100,9 +100,10 @@
 	}
 }
 
-func (w *worst) see(now, before use, took time.Duration) {
+// update raises the peaks by the use between two samples that are took apart.
+func (w *peakUse) update(now, before use, took time.Duration) {
 	did, per := now.minus(before), took.Seconds()
-	*w = worst{
+	*w = peakUse{
 		max(w.cores, seconds(did.CPU)/per),
 		max(w.read, did.Read/per),
 		max(w.written, did.Written/per),
