--- a/internal/lab/scale/tables.go
+++ b/internal/lab/scale/tables.go
@@ -5,58 +5,58 @@
 	"strings"
 )
 
-// assumptions are those of the plan, each with its effect.
-func assumptions(s sheet) (string, error) {
+// assumptionsTable is the table of the plan's assumptions, each with its effect.
+func assumptionsTable(s pageData) (string, error) {
 	p, a := s.plan.Plan, s.plan.Assumed
-	return table([]string{"assumed", "its effect"}, [][]string{
+	return markdownTable([]string{"assumed", "its effect"}, [][]string{
 		{
-			fmt.Sprintf("the peak of changes is %s times the day's mean", number(a.Peak)),
+			fmt.Sprintf("the peak of changes is %s times the day's mean", formatNumber(a.Peak)),
 			fmt.Sprintf(
 				"%s changes of the list a second; twice the peak is twice all that is by change",
-				number(s.plan.listChanges()),
+				formatNumber(s.plan.listChangeRate()),
 			),
 		},
 		{
 			fmt.Sprintf(
 				"a restart is %s changes of the list, beside the changes of configuration",
-				number(a.RestartChanges),
+				formatNumber(a.RestartChanges),
 			),
 			fmt.Sprintf(
 				"%s of the day's %s changes",
-				number(a.RestartChanges*p.Restarts),
-				number(p.Changes+a.RestartChanges*p.Restarts),
+				formatNumber(a.RestartChanges*p.Restarts),
+				formatNumber(p.Changes+a.RestartChanges*p.Restarts),
 			),
 		},
 		{
 			fmt.Sprintf(
 				"an entry's TTL is %s s, its agent renews it three times in it, one server a call",
-				number(a.TTL),
+				formatNumber(a.TTL),
 			),
-			fmt.Sprintf("%s renewals a second at the leader", number(s.plan.renewals())),
+			fmt.Sprintf("%s renewals a second at the leader", formatNumber(s.plan.renewalRate())),
 		},
 		{
 			fmt.Sprintf(
 				"a node that starts without what was kept has %s s for a whole list, and as long for a whole catalogue",
-				number(a.Start),
+				formatNumber(a.Start),
 			),
 			"twice the time is twice the f of those two walls; one that kept them reads changes",
 		},
 		{
-			fmt.Sprintf("watchers are spread evenly over %s replicas", number(a.Replicas)),
-			fmt.Sprintf("%s nodes at each; with one lost, half as many again", number(p.Nodes/a.Replicas)),
+			fmt.Sprintf("watchers are spread evenly over %s replicas", formatNumber(a.Replicas)),
+			fmt.Sprintf("%s nodes at each; with one lost, half as many again", formatNumber(p.Nodes/a.Replicas)),
 		},
 		{
 			fmt.Sprintf(
 				"a control machine has %s cores, %s and %s a second",
-				number(a.MachineCores),
-				shown(a.MachineMemory, "bytes"),
-				shown(a.MachineBytes, "bytes"),
+				formatNumber(a.MachineCores),
+				formatFigure(a.MachineMemory, "bytes"),
+				formatFigure(a.MachineBytes, "bytes"),
 			),
 			"the budget of replicas, conductors and holders",
 		},
 		{
 			"requests come evenly to all nodes",
-			fmt.Sprintf("%s a second at a node at the peak", number(p.Requests/p.Nodes)),
+			fmt.Sprintf("%s a second at a node at the peak", formatNumber(p.Requests/p.Nodes)),
 		},
 		{
 			"every node has every service, route and tenant",
@@ -69,35 +69,35 @@
 			),
 			fmt.Sprintf(
 				"a zone is %s nodes and %s backends",
-				number(p.Nodes/float64(p.Zones)),
-				number(p.Backends/float64(p.Zones)),
+				formatNumber(p.Nodes/float64(p.Zones)),
+				formatNumber(p.Backends/float64(p.Zones)),
 			),
 		},
 		{
-			fmt.Sprintf("a rack has %s nodes and %s backends", number(a.RackNodes), number(a.RackBackends)),
+			fmt.Sprintf("a rack has %s nodes and %s backends", formatNumber(a.RackNodes), formatNumber(a.RackBackends)),
 			"the first row of the faults",
 		},
 	}), nil
 }
 
-// costs are all lines: what they take, what they may, and what carries them.
-func costs(s sheet) (string, error) {
+// costsTable is the table of all lines: their costs, their bounds, and the mechanisms that carry them.
+func costsTable(s pageData) (string, error) {
 	var rows [][]string
 	for _, l := range Lines() {
 		bound := "none stated"
 		b, a := l.cell(s.before, s.plan), l.cell(s.after, s.plan)
 		if b.bound > 0 {
-			bound = shown(b.bound, l.Unit)
+			bound = formatFigure(b.bound, l.Unit)
 		}
 		if l.limit != "" {
 			bound += ", a constant"
 		}
 		if a.bound > 0 && b.bound > 0 && a.bound != b.bound {
-			bound += "; after: " + shown(a.bound, l.Unit)
+			bound += "; after: " + formatFigure(a.bound, l.Unit)
 		}
 		rows = append(rows, []string{l.Role, l.What, bound, l.show(b), l.show(a), l.Mechanism, l.Next})
 	}
-	return table(
+	return markdownTable(
 		[]string{
 			"role",
 			"cost at the plan's size",
@@ -111,7 +111,7 @@
 	), nil
 }
 
-// show is a cost with the share of its budget and what it rests on.
+// show writes a cost with its share of the bound and its grounds.
 func (l Line) show(c cell) string {
 	switch {
 	case c.notRun():
@@ -119,9 +119,9 @@
 	case c.err != nil:
 		return "not known: " + c.err.Error()
 	}
-	text := shown(c.value, l.Unit)
+	text := formatFigure(c.value, l.Unit)
 	if c.bound > 0 {
-		text += ", " + percent(c.value/c.bound)
+		text += ", " + formatPercent(c.value/c.bound)
 	}
 	if l.Command == "" {
 		return text + " (the plan's number)"
@@ -129,27 +129,28 @@
 	return text + " (" + c.on.String() + ")"
 }
 
-// wallsTable is the limits on the way, and the ends of that way.
-func wallsTable(s sheet) (string, error) {
+// boundsTable is the table of the bounds that are reached between today's size and the plan, with both
+// ends.
+func boundsTable(s pageData) (string, error) {
 	var rows [][]string
 	text := fmt.Sprintf(
 		"f = 1 is the plan. Today's %s backends and %s nodes are f = %s and %s; the way begins at the lower.\n\n",
-		number(
+		formatNumber(
 			s.plan.Today.Backends,
 		),
-		number(s.plan.Today.Nodes),
-		number(s.plan.Today.Backends/s.plan.Plan.Backends),
-		number(s.plan.Today.Nodes/s.plan.Plan.Nodes),
+		formatNumber(s.plan.Today.Nodes),
+		formatNumber(s.plan.Today.Backends/s.plan.Plan.Backends),
+		formatNumber(s.plan.Today.Nodes/s.plan.Plan.Nodes),
 	)
-	for _, m := range []measured{s.before, s.after} {
-		if len(m.of) == 0 {
+	for _, m := range []labelRecords{s.before, s.after} {
+		if len(m.byName) == 0 {
 			rows = append(rows, []string{m.label, "", notRun, "", "", ""})
 			continue
 		}
-		all, untold := walls(m, s.plan)
+		all, untold := reachedBounds(m, s.plan)
 		for _, w := range all {
-			at, kind := number(w.f), "a budget"
-			if w.f == 0 {
+			at, kind := formatNumber(w.factor), "a budget"
+			if w.factor == 0 {
 				at = "met at the beginning"
 			}
 			if w.limit != "" {
@@ -165,8 +166,8 @@
 					m.label,
 					at,
 					w.Role + ": " + w.What,
-					kind + ": " + shown(w.bound, w.Unit),
-					shown(w.full, w.Unit),
+					kind + ": " + formatFigure(w.bound, w.Unit),
+					formatFigure(w.fullCost, w.Unit),
 					rests,
 				},
 			)
@@ -179,14 +180,14 @@
 			rows = append(rows, []string{m.label, notRun, strings.Join(names, "; "), "", "", ""})
 		}
 	}
-	return text + table(
+	return text + markdownTable(
 		[]string{"program", "f", "limit", "what it is", "at f = 1", "rests, at that f, on"},
 		rows,
 	), nil
 }
 
-// slopes are all fits that the costs rest on.
-func slopes(s sheet) (string, error) {
+// slopesTable is the table of all fits on which the costs rest.
+func slopesTable(s pageData) (string, error) {
 	var rows [][]string
 	for _, k := range []struct {
 		what, along string
@@ -194,32 +195,41 @@
 		figures     []string
 	}{
 		{"module", "backends", nodesOfPlan, []string{"rest_cores", "change_s", "whole_s", "memory_bytes"}},
-		{"module", "nodes", map[string]int{"backends": 54000, "placements": 1}, []string{"rest_cores", "change_s"}},
-		{"module", "placements", map[string]int{"backends": 2000, "nodes": 300}, []string{"rest_cores", "change_s", "memory_bytes"}},
+		{"module", "nodes", map[string]int{"backends": 54000, "placements": 1},
+			[]string{"rest_cores", "change_s"}},
+		{"module", "placements", map[string]int{"backends": 2000, "nodes": 300},
+			[]string{"rest_cores", "change_s", "memory_bytes"}},
 		{"real", "backends", nodeFew, []string{"rest_cores", "change_cpu_s", "memory_bytes"}},
 		{"hollow", "backends", nodeFew, []string{"rest_cores", "change_cpu_s", "change_bytes_out", "memory_bytes"}},
-		{"watchers", "watchers", nil, []string{"rest_cores", "change_cpu_s", "change_bytes", "memory_bytes", "most99_s", "last_worst_s", "watcher_change_bytes_in", "watcher_change_bytes_out"}},
+		{"watchers", "watchers", nil, []string{
+			"rest_cores", "change_cpu_s", "change_bytes", "memory_bytes",
+			"most99_s", "last_worst_s", "watcher_change_bytes_in", "watcher_change_bytes_out",
+		}},
 		{"entries", "entries", nil, []string{"change_cpu_s", "whole_bytes", "whole_cpu_s", "memory_bytes"}},
 		{"renewals", "renewals", nil, []string{"cores"}},
-		{"view", "members", nil, []string{"datagrams_per_s", "datagram_bytes_per_s", "all_joined_s", "one_dies_s", "heal_s"}},
+		{"view", "members", nil,
+			[]string{"datagrams_per_s", "datagram_bytes_per_s", "all_joined_s", "one_dies_s", "heal_s"}},
 		{"zone", "backends", nodeFew, []string{"settled_s", "node_cpu_s", "node_bytes_in"}},
 		{"apart", "members", nil, []string{"heal_s"}},
-		{"holders", "nodes", nil, []string{"holder_cores", "holder_peak_cores", "holder_bytes_in", "holder_bytes_out"}},
+		{"holders", "nodes", nil,
+			[]string{"holder_cores", "holder_peak_cores", "holder_bytes_in", "holder_bytes_out"}},
 		{"tenants", "tenants", nil, []string{"catalogue_bytes", "change_s", "memory_bytes"}},
-		{"tenants-demand", "tenants", nil, []string{"start_bytes", "change_bytes", "change_s", "memory_bytes", "conductor_order_s"}},
+		{"tenants-demand", "tenants", nil,
+			[]string{"start_bytes", "change_bytes", "change_s", "memory_bytes", "conductor_order_s"}},
 		{"policy", "books", nil, []string{"text_bytes", "compile_s", "memory_bytes"}},
 	} {
 		for _, figure := range k.figures {
 			row := []string{"`scale " + commandOf(k.what) + "`", figure, k.along}
-			for _, m := range []measured{s.before, s.after} {
+			for _, m := range []labelRecords{s.before, s.after} {
 				row = append(row, slopeCell(m, k.what, k.along, figure, k.others))
 			}
 			rows = append(rows, row)
 		}
 	}
-	return table([]string{"command", "figure", "by", "before", "after"}, rows), nil
+	return markdownTable([]string{"command", "figure", "by", "before", "after"}, rows), nil
 }
 
+// commandOf is the subcommand and flags that make the record of a measurement.
 func commandOf(what string) string {
 	switch what {
 	case "hollow", "real":
@@ -230,8 +240,9 @@
 	return what
 }
 
-func slopeCell(m measured, what, along, figure string, others map[string]int) string {
-	r, has := m.of[what]
+// slopeCell writes the fit of a figure.
+func slopeCell(m labelRecords, what, along, figure string, others map[string]int) string {
+	r, has := m.byName[what]
 	if !has {
 		return notRun
 	}
@@ -245,17 +256,17 @@
 			spread = max(spread, (s.Most-s.Least)/s.Median)
 		}
 	}
-	text := fmt.Sprintf("%.3g", f.At)
-	if f.grow != nil {
+	text := fmt.Sprintf("%.3g", f.Intercept)
+	if f.growth != nil {
 		text += fmt.Sprintf(" + %.3g × %s", f.Slope, f.Form)
 	}
 	return fmt.Sprintf(
 		"%s (%s); residual %s, %d sizes to %s, spread to %s",
 		text,
 		f.Form,
-		percent(f.Residual),
+		formatPercent(f.Residual),
 		f.Sizes,
-		number(f.Largest),
-		percent(spread),
+		formatNumber(f.Largest),
+		formatPercent(spread),
 	)
 }
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/tenant"
 )
 
-// tenantForm is a tenant as the documentation's example has it.
-func tenantForm(i int) *tenant.Spec {
+// tenantSpec is the i-th tenant, with a specification like the one in the documentation's example.
+func tenantSpec(i int) *tenant.Spec {
 	name := fmt.Sprintf("tenant-%06d", i)
 	return &tenant.Spec{
 		Names:   []string{name},
@@ -27,14 +27,14 @@
 	}
 }
 
-// Tenants measures a node's cache alone, by the tenants of the catalogue; the controller takes no more than
-// it states.
-func Tenants(ctx context.Context, run Run, sizes []int, say func(Point)) error {
-	return run.points(ctx, "tenants", "tenants", sizes, nil, say, func(n int) (map[string]float64, error) {
-		empty, _ := heap()
+// Tenants measures a node's cache alone, by the tenants in the catalogue; the controller accepts no more
+// tenants than its stated limit.
+func Tenants(ctx context.Context, run Run, sizes []int, report func(Point)) error {
+	return run.points(ctx, "tenants", "tenants", sizes, nil, report, func(n int) (map[string]float64, error) {
+		empty, _ := heapUse()
 		entries, bytes := make([]*tenant.Entry, n), 0
 		for i := range n {
-			f := tenantForm(i)
+			f := tenantSpec(i)
 			e := &tenant.Entry{Name: f.Names[0], Phase: tenant.PhaseServe, Current: f, Since: 1}
 			raw, err := json.Marshal(e)
 			if err != nil {
@@ -51,11 +51,11 @@
 		)
 		d.Handle(0, tenant.SessionOpened{TTL: time.Minute})
 		d.Handle(1, tenant.CatalogueRead{StartedAt: 1, Enrolled: true, Snapshot: tenant.NewSnapshot(1, entries...)})
-		full, _ := heap()
+		full, _ := heapUse()
 		number := uint64(1)
-		change, pieces, err := cost(ctx, 3, func(i int) { // the next catalogue differs in one tenant
+		change, pieces, err := costPerCall(ctx, 3, func(i int) { // the next catalogue differs in one tenant
 			number++
-			f := tenantForm(i % n)
+			f := tenantSpec(i % n)
 			entries[i%n] = &tenant.Entry{Name: f.Names[0], Phase: tenant.PhaseServe, Current: f, Since: number}
 			next := tenant.NewSnapshot(number, entries...)
 			d.Handle(
@@ -72,9 +72,10 @@
 	})
 }
 
-// Policy measures a text of limits, a line or two for each book: its bytes, its making, its table.
-func Policy(ctx context.Context, run Run, sizes []int, say func(Point)) error {
-	return run.points(ctx, "policy", "books", sizes, nil, say, func(n int) (map[string]float64, error) {
+// Policy measures a text of limits, a line or two for each book: its size, the time to compile it, and the
+// memory of its table.
+func Policy(ctx context.Context, run Run, sizes []int, report func(Point)) error {
+	return run.points(ctx, "policy", "books", sizes, nil, report, func(n int) (map[string]float64, error) {
 		known, text := policy.Known{}, []byte("fleet {\n requests { rate = 1000000 }\n")
 		for i := range n {
 			name := fmt.Sprintf("tenant-%06d", i)
@@ -82,14 +83,14 @@
 			text = fmt.Appendf(text, " book %q {\n  requests { rate = %d }\n }\n", name, 1+i%9)
 		}
 		text = append(text, "}\n"...)
-		empty, _ := heap()
+		empty, _ := heapUse()
 		began := fleet.OwnCPU()
 		table, err := policy.Compile("scale.hcl", text, known)
 		if err != nil {
 			return nil, err
 		}
 		took := seconds(fleet.OwnCPU() - began)
-		full, _ := heap()
+		full, _ := heapUse()
 		runtime.KeepAlive(table)
 		return map[string]float64{
 			"text_bytes":   float64(len(text)),
@@ -99,13 +100,13 @@
 	})
 }
 
-// points measures at each size of one direction; the others stay as fixed says, nil: nothing of them.
+// points measures at each size of the kind along; fixed has the other sizes, nil: there are none.
 func (run Run) points(
 	ctx context.Context,
 	what, along string,
 	sizes []int,
 	fixed map[string]int,
-	say func(Point),
+	report func(Point),
 	one func(n int) (map[string]float64, error),
 ) error {
 	return run.record(what, func() (all []Point, err error) {
@@ -119,7 +120,7 @@
 			if err != nil {
 				return nil, err
 			}
-			say(p)
+			report(p)
 			all = append(all, p)
 		}
 		return all, nil
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -15,16 +15,17 @@
 	"wrenspread/internal/tenant"
 )
 
-// workingSet is how many tenants a node works with in the measurement, of all that there are.
+// workingSet is how many of all tenants a node uses in the measurement.
 const workingSet = 2000
 
-// recordStore stands for the registry, whose records are fewer than the plan's tenants. What
-// a node reads is counted as its values' bytes: an answer's head and envelope come on top.
+// recordStore replaces the registry, which can hold fewer records than the plan has tenants. What a node reads
+// is counted by the bytes of the values, without the header and the envelope of an answer.
 type recordStore struct {
 	all   map[string]registry.Record
 	bytes int
 }
 
+// Record returns the record of a key, and counts its bytes.
 func (r *recordStore) Record(_ context.Context, key string) (registry.Record, error) {
 	one, there := r.all[key]
 	if !there {
@@ -34,53 +35,54 @@
 	return one, nil
 }
 
-// read returns the bytes that were read since it was last asked.
+// read returns the bytes that were read since its last call.
 func (r *recordStore) read() float64 {
 	n := r.bytes
 	r.bytes = 0
 	return float64(n)
 }
 
-// conducted is the controller's machine over records, with all its tenants at rest.
-type conducted struct {
+// controllerModel is the controller's state machine over records, with all its tenants at rest.
+type controllerModel struct {
 	recordStore
-	m       *tenant.StateMachine
-	look    tenant.Observation
-	now     time.Duration
-	version uint64
-	written int                        // bytes
-	kept    map[string]registry.Record // pages that were taken away
+	m            *tenant.StateMachine
+	observation  tenant.Observation
+	now          time.Duration
+	version      uint64
+	written      int                        // bytes of all values written
+	removedPages map[string]registry.Record // deleted pages
 }
 
-func conduct(n int) (*conducted, error) {
-	c := &conducted{
+// newControllerModel is a controller with n active tenants.
+func newControllerModel(n int) (*controllerModel, error) {
+	c := &controllerModel{
 		recordStore: recordStore{all: map[string]registry.Record{}},
-		look: tenant.Observation{
+		observation: tenant.Observation{
 			Policy: tenant.PolicyFloors{Version: 1, Floors: map[string]float64{}, TotalFloor: float64(2 * n)},
 		},
 	}
 	var s tenant.Stored
 	for i := range n {
-		f := tenantForm(i)
+		f := tenantSpec(i)
 		s.Tenants = append(s.Tenants, &tenant.Tenant{Format: 1, Name: f.Names[0], State: tenant.Active, Current: f})
-		c.look.Policy.Floors[f.Quotas[0].Limit] = 1
-		// as many, so that each route has its own
-		c.look.Endpoints = append(c.look.Endpoints, tenant.Endpoint{Zone: zoneOf(i), MachineType: "m"})
+		c.observation.Policy.Floors[f.Quotas[0].Limit] = 1
+		// as many endpoints as tenants, so that each route has its own
+		c.observation.Endpoints = append(c.observation.Endpoints, tenant.Endpoint{Zone: zoneOf(i), MachineType: "m"})
 	}
 	c.m = tenant.Load(0, s, tenant.DefaultTimes(), true)
 	return c, c.round()
 }
 
-// round has the machine look, and writes what it says.
-func (c *conducted) round() error {
+// round has the state machine handle the present observation, and writes the resulting records.
+func (c *controllerModel) round() error {
 	c.now += 200 * time.Millisecond
-	puts, err := c.m.Handle(c.now, c.look)
-	c.look.Orders = nil
+	puts, err := c.m.Handle(c.now, c.observation)
+	c.observation.Orders = nil
 	for _, p := range puts {
 		c.version++
 		if p.Value == nil {
-			if c.kept != nil {
-				c.kept[p.Key] = c.all[p.Key]
+			if c.removedPages != nil {
+				c.removedPages[p.Key] = c.all[p.Key]
 			}
 			delete(c.all, p.Key)
 		} else {
@@ -92,19 +94,19 @@
 	return err
 }
 
-// playedOrders is how many tenants are changed in one measurement, all over the catalogue.
-const playedOrders = 20
+// orderCount is how many tenants are changed in one measurement, spread over the catalogue.
+const orderCount = 20
 
-// changes has tenants changed one after the other, notes the controller's costs, and gives the
-// heads of all catalogues, whose pages stay.
-func (c *conducted) changes(
+// changeTenants changes tenants one after the other, records the controller's costs, and returns the heads
+// of all catalogues, whose pages stay readable.
+func (c *controllerModel) changeTenants(
 	ctx context.Context,
 	figures map[string]float64,
 ) (heads []registry.Record, err error) {
-	n := len(c.look.Endpoints)
-	c.written, c.kept = 0, map[string]registry.Record{}
+	n := len(c.observation.Endpoints)
+	c.written, c.removedPages = 0, map[string]registry.Record{}
 	began := fleet.OwnCPU()
-	for i := range playedOrders {
+	for i := range orderCount {
 		c.order((i*7919 + n/2) % n)
 		for range 3 {
 			if err := errors.Join(c.round(), ctx.Err()); err != nil {
@@ -115,20 +117,21 @@
 	}
 	figures["conductor_order_s"], figures["conductor_order_bytes"] = seconds(
 		fleet.OwnCPU()-began,
-	)/playedOrders, float64(
+	)/orderCount, float64(
 		c.written,
-	)/playedOrders
-	figures["conductor_rest_s"], _, err = cost(ctx, 3, func(int) { err = errors.Join(err, c.round()) })
-	maps.Copy(c.all, c.kept)
+	)/orderCount
+	figures["conductor_rest_s"], _, err = costPerCall(ctx, 3, func(int) { err = errors.Join(err, c.round()) })
+	maps.Copy(c.all, c.removedPages)
 	return heads, err
 }
 
-// order has a tenant changed; three rounds bring it to its end, each with a catalogue.
-func (c *conducted) order(i int) {
-	f := tenantForm(i)
+// order adds the order that changes the i-th tenant; three rounds complete it, each with a catalogue of its
+// own.
+func (c *controllerModel) order(i int) {
+	f := tenantSpec(i)
 	c.version++
 	f.DrainMS = int64(c.version % 60000)
-	c.look.Orders = []tenant.PendingOrder{
+	c.observation.Orders = []tenant.PendingOrder{
 		{
 			Key:     tenant.OrderPrefix + f.Names[0],
 			Name:    f.Names[0],
@@ -138,15 +141,15 @@
 	}
 }
 
-// demanding is a node's cache with its reader, on demand.
-type demanding struct {
+// demandCache is a node's cache with its reader, which read tenants on demand.
+type demandCache struct {
 	*tenant.Cache
 	*tenant.Reader
 	now time.Duration
 }
 
-// read has the cache take up what it wants.
-func (d *demanding) read(ctx context.Context) error {
+// read reads the records that the cache wants, and has the cache handle them.
+func (d *demandCache) read(ctx context.Context) error {
 	d.now += time.Second
 	got, err := d.Read(ctx, func() time.Duration { return d.now }, d.Wanted())
 	got.Enrolled = true
@@ -154,26 +157,26 @@
 	return err
 }
 
-// TenantsOnDemand measures a node that reads what its requests name, and the controller that writes for it,
-// by the tenants that there are.
-func TenantsOnDemand(ctx context.Context, run Run, sizes []int, say func(Point)) error {
+// TenantsOnDemand measures a node that reads only the tenants that its requests name, and the controller
+// that writes for that node, by the number of tenants.
+func TenantsOnDemand(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 	return run.points(
 		ctx,
 		"tenants-demand",
 		"tenants",
 		sizes,
 		nil,
-		say,
+		report,
 		func(n int) (map[string]float64, error) {
-			none, _ := heap()
-			c, err := conduct(n)
+			none, _ := heapUse()
+			c, err := newControllerModel(n)
 			if err != nil {
 				return nil, err
 			}
 			figures := map[string]float64{}
-			empty, _ := heap()
-			figures["conductor_memory_bytes"] = empty - none // with the records
-			d := &demanding{
+			empty, _ := heapUse()
+			figures["conductor_memory_bytes"] = empty - none // including the records
+			d := &demandCache{
 				Cache:  tenant.NewCache(1, 0, true),
 				Reader: &tenant.Reader{Source: &c.recordStore},
 				now:    time.Second,
@@ -191,7 +194,7 @@
 			figures["start_bytes"] = c.read()
 			began, set := fleet.OwnCPU(), min(n, workingSet)
 			for i := range set {
-				d.Handle(d.now, tenant.LeafMissing{Name: tenantForm(i * n / set).Names[0]})
+				d.Handle(d.now, tenant.LeafMissing{Name: tenantSpec(i * n / set).Names[0]})
 				if i%64 == 63 || i == set-1 {
 					if err := d.read(ctx); err != nil {
 						return nil, err
@@ -203,15 +206,15 @@
 			), float64(
 				d.TenantCount(),
 			)
-			full, _ := heap()
+			full, _ := heapUse()
 			figures["memory_bytes"] = full - empty
 
-			heads, err := c.changes(ctx, figures)
+			heads, err := c.changeTenants(ctx, figures)
 			if err != nil {
 				return nil, err
 			}
-			c.m, c.look, c.kept = nil, tenant.Observation{}, nil // else their garbage would be counted, too
-			_, before := heap()
+			c.m, c.observation, c.removedPages = nil, tenant.Observation{}, nil // else their garbage would be counted as well
+			_, before := heapUse()
 			began = fleet.OwnCPU()
 			for _, head := range heads {
 				c.all[tenant.HeadKey] = head
@@ -220,9 +223,10 @@
 				}
 			}
 			took := seconds(fleet.OwnCPU() - began)
-			_, after := heap()
+			_, after := heapUse()
 			catalogues := float64(len(heads))
-			figures["change_s"], figures["change_pieces"], figures["change_bytes"] = took/catalogues, (after-before)/catalogues, c.read()/catalogues
+			figures["change_s"], figures["change_pieces"], figures["change_bytes"] =
+				took/catalogues, (after-before)/catalogues, c.read()/catalogues
 			runtime.KeepAlive(d)
 			return figures, err
 		},
--- a/internal/lab/scale/use.go
+++ b/internal/lab/scale/use.go
@@ -14,12 +14,12 @@
 	"wrenspread/internal/lab/process"
 )
 
-// use is what a process has used since its start, to the kernel's finest count.
+// use is what a process has used since its start, in the finest counts of the kernel.
 type use struct {
-	CPU      time.Duration // of its threads that live: one that ends takes its time along, which Go's hardly do
-	Read     float64       // bytes, of sockets and files
+	CPU      time.Duration // of its live threads: the time of a thread that ends is lost, but Go's threads rarely end
+	Read     float64       // bytes read from sockets and files
 	Written  float64
-	Calls    float64 // reads and writes
+	Calls    float64 // number of reads and writes
 	RSS, FDs float64
 }
 
@@ -60,8 +60,8 @@
 
 func ownUse() (use, error) { return useOf(os.Getpid()) }
 
-// load is that of the machine over the last minute; 0 where the kernel says none.
-func load() float64 {
+// machineLoad is the machine's load average over the last minute; 0 if the kernel does not provide it.
+func machineLoad() float64 {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if fields := bytes.Fields(raw); err == nil && len(fields) > 0 {
 		l, _ := strconv.ParseFloat(string(fields[0]), 64)
@@ -72,13 +72,13 @@
 
 func cores() int { return runtime.NumCPU() }
 
-// heap is what lives on the heap, in bytes, and what has been allocated so far, in pieces.
-func heap() (bytes, pieces float64) {
+// heapUse is the bytes of live objects on the heap, and the number of all allocations so far.
+func heapUse() (bytes, pieces float64) {
 	runtime.GC()
-	runtime.GC() // what finalizers held
+	runtime.GC() // frees what finalizers retained
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc), float64(m.Mallocs)
 }
 
-func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -8,19 +8,20 @@
 	"wrenspread/internal/sim/membership"
 )
 
-const viewCut = 30 * time.Second // of halves, before they heal
+const partitionTime = 30 * time.Second // how long the halves are apart before they rejoin
 
-// Apart has the fleet's halves apart for a while, on the simulation's clock, with one node of forty of each
-// half that dies meanwhile and as many that come, and then together until all have one view.
-func Apart(cut *time.Duration) func(ctx context.Context, run Run, sizes []int, say func(Point)) error {
-	return func(ctx context.Context, run Run, sizes []int, say func(Point)) error {
+// Apart partitions the fleet into halves for the given time, on the simulation's clock, and then rejoins
+// them until all nodes have one view. During the partition, one node of forty of each half dies and as many
+// join.
+func Apart(cut *time.Duration) func(ctx context.Context, run Run, sizes []int, report func(Point)) error {
+	return func(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 		return run.points(
 			ctx,
 			"apart",
 			"members",
 			sizes,
 			map[string]int{"cut_s": int(cut.Seconds())},
-			say,
+			report,
 			func(n int) (map[string]float64, error) {
 				g, err := membership.Growth{Nodes: n, Seed: 1, Cut: *cut, Moves: max(1, n/40)}.Measure(ctx)
 				return map[string]float64{
@@ -34,12 +35,13 @@
 	}
 }
 
-// View measures the view of the fleet by its members, on the simulation's clock and network. Its processor
-// time and memory are those of the whole simulation, shared out: more than a node's.
-func View(ctx context.Context, run Run, sizes []int, say func(Point)) error {
-	return run.points(ctx, "view", "members", sizes, nil, say, func(n int) (map[string]float64, error) {
+// View measures the view of the fleet by the number of its members, on the simulation's clock and network.
+// Processor time and memory are those of the complete simulation, divided by the members: more than a
+// node's.
+func View(ctx context.Context, run Run, sizes []int, report func(Point)) error {
+	return run.points(ctx, "view", "members", sizes, nil, report, func(n int) (map[string]float64, error) {
 		began := fleet.OwnCPU()
-		g, err := membership.Growth{Nodes: n, Seed: 1, Cut: viewCut}.Measure(ctx)
+		g, err := membership.Growth{Nodes: n, Seed: 1, Cut: partitionTime}.Measure(ctx)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/scale/walls.go
+++ b/internal/lab/scale/walls.go
@@ -6,46 +6,46 @@
 	"slices"
 )
 
-// wall is a limit that is met on the way to the plan.
-type wall struct {
+// reachedBound is a bound that a cost reaches on the way to the plan.
+type reachedBound struct {
 	Line
-	f     float64 // at which it is met, all numbers of the plan scaled together; 0: at today's size already
-	full  float64 // the cost at f = 1
-	bound float64
-	on    grounds // of the cost, at f
+	factor   float64 // by which the plan is scaled where the bound is reached; 0: today's size exceeds it already
+	fullCost float64 // the cost at the plan's size
+	bound    float64
+	on       grounds // of the cost, at factor
 }
 
-// walls finds the limits that are met between today's size and the plan, the nearest first, and those that
-// can't be told.
-func walls(m measured, p Plan) (all []wall, untold []Line) {
+// reachedBounds finds the bounds that are reached between today's size and the plan, the nearest first, and
+// the lines for which this is unknown.
+func reachedBounds(m labelRecords, p Plan) (all []reachedBound, unknown []Line) {
 	for _, l := range Lines() {
-		w, met, err := l.wall(m, p)
+		w, met, err := l.reachedBound(m, p)
 		switch {
 		case err != nil:
-			untold = append(untold, l)
+			unknown = append(unknown, l)
 		case met:
 			all = append(all, w)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b wall) int { return cmp.Compare(a.f, b.f) })
-	return all, untold
+	slices.SortStableFunc(all, func(a, b reachedBound) int { return cmp.Compare(a.factor, b.factor) })
+	return all, unknown
 }
 
-// wall looks for the factor at which a cost passes its bound. Costs do not fall with the size.
-func (l Line) wall(m measured, p Plan) (w wall, met bool, err error) {
+// reachedBound searches for the factor at which a cost exceeds its bound. Costs do not fall with the size.
+func (l Line) reachedBound(m labelRecords, p Plan) (w reachedBound, met bool, err error) {
 	w.Line = l
 	if w.bound, err = l.bound(m, p); err != nil || w.bound == 0 {
 		return w, false, err
 	}
 	at := func(f float64) (cost float64, on grounds) {
-		cost, on, e := l.cost(m, p.times(f))
+		cost, on, e := l.cost(m, p.scaledBy(f))
 		err = cmp.Or(err, e)
 		return cost, on
 	}
-	if w.full, _ = at(1); w.full <= w.bound || err != nil {
+	if w.fullCost, _ = at(1); w.fullCost <= w.bound || err != nil {
 		return w, false, err
 	}
-	low, high := p.lowest(), 1.0
+	low, high := p.todayFactor(), 1.0
 	if cost, on := at(low); cost > w.bound {
 		w.on = on
 		return w, true, err
@@ -58,19 +58,19 @@
 			low = mid
 		}
 	}
-	w.f = low
+	w.factor = low
 	_, w.on = at(low)
 	return w, true, err
 }
 
-// cell is a cost of the page at one label.
+// cell is a cost on the page for one label.
 type cell struct {
 	value, bound float64
 	on           grounds
 	err          error
 }
 
-func (l Line) cell(m measured, p Plan) (c cell) {
+func (l Line) cell(m labelRecords, p Plan) (c cell) {
 	if c.bound, c.err = l.bound(m, p); c.err != nil {
 		return c
 	}
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	fleetNodes = 4300 // that watchers of parts believe in
+	assumedFleetNodes = 4300 // size of the fleet by which watchers choose their subsets
 
-	holdOfNode     = 5 * time.Second // of a watch, as a node has it
-	changes        = 20              // that a figure is taken over
-	settleTime     = time.Minute     // for all watchers to have a version: only a hang takes so long
-	arriveTogether = 200             // watchers that come at once
+	watchHold        = 5 * time.Second // hold time of a watch, as at a node
+	changesPerFigure = 20              // over which a figure is taken
+	settleTimeout    = time.Minute     // for all watchers to have a version: only a hang takes that long
+	watchersAtOnce   = 200             // watchers that connect at once
 )
 
-// Lists says against which programs the registry's part is measured.
+// Lists says with which programs the registry's part is measured.
 type Lists struct {
 	Run
-	Dir     string        // for what the programs keep
-	Program []string      // wrenspread-registry
-	Env     []string      // of it
-	Parts   bool          // watchers follow the parts of so many nodes as the plan has, each its own
-	Rest    time.Duration // for which nothing happens, and then changes come to nodes
-	Say     func(Point)
-	number  int
+	Dir       string        // folder for the programs' data
+	Program   []string      // command of wrenspread-registry
+	Env       []string      // environment of the program
+	Parts     bool          // whether each watcher follows its own subset, in a fleet of the plan's size
+	Rest      time.Duration // length of a measurement at rest, and of changes at nodes
+	Say       func(Point)
+	runNumber int
 }
 
-// fresh is one replica that is alone, on an empty folder.
-func (l *Lists) fresh(
+// withReplica runs do with a single replica on an empty folder, filled with the given number of entries.
+func (l *Lists) withReplica(
 	ctx context.Context,
 	entries int,
 	do func(set *replicas.Set, k *client.Client) error,
 ) error {
-	l.number++
+	l.runNumber++
 	o := quorum.Options{
 		Seed:     1,
 		Replicas: 1,
-		Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.number)),
+		Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.runNumber)),
 		Command:  l.Program,
 		Env:      l.Env,
 	}
@@ -59,12 +59,12 @@
 	})
 }
 
-// change is one change of an entry that every watcher gets: it restarts.
-func change(ctx context.Context, k *client.Client, i, entries int) (registry.Result, error) {
+// registerRestart makes one change of an entry, of which every watcher is notified: the server restarts.
+func registerRestart(ctx context.Context, k *client.Client, i, entries int) (registry.Result, error) {
 	return k.Register(ctx, entryOf(i%entries), 0, nil)
 }
 
-// entryOf is a server of a drawn list that has just started.
+// entryOf is the n-th server of a drawn list, just started.
 func entryOf(n int) registry.Endpoint {
 	return registry.Endpoint{
 		Name:        entryName(n),
@@ -78,59 +78,61 @@
 	}
 }
 
-// entryName is that of quorum.Fill.
+// entryName is the name that quorum.Fill gives the i-th entry.
 func entryName(i int) string { return fmt.Sprintf("s-%08x", i) }
 
-// crowd is hollow watchers in one process: the client of a node without the rest of it.
-type crowd struct {
-	all    []*client.Client
-	have   []atomic.Uint64 // the version that each has
-	when   []atomic.Int64  // it came, in ns since begun
-	begun  time.Time
-	part   []atomic.Pointer[registry.Subset] // that each follows; nil: all
-	follow sync.WaitGroup
-	stop   context.CancelFunc
+// watcherGroup is hollow watchers in one process: each is the client of a node without the rest of the
+// node.
+type watcherGroup struct {
+	clients   []*client.Client
+	versions  []atomic.Uint64 // the version that each client has
+	arrivedAt []atomic.Int64  // when the version arrived, in ns since begun
+	begun     time.Time
+	subsets   []atomic.Pointer[registry.Subset] // the subset that each client follows; nil: the complete list
+	followers sync.WaitGroup
+	stop      context.CancelFunc
 }
 
-// gather starts watchers, some together, and waits until all have a version.
-func (l *Lists) gather(
+// startWatchers starts n watchers, of which the number together connects at once, and waits until all have
+// a version.
+func (l *Lists) startWatchers(
 	ctx context.Context,
 	addresses []string,
 	together, n int,
 	version uint64,
-) (*crowd, error) {
+) (*watcherGroup, error) {
 	following, stop := context.WithCancel(ctx)
-	c := &crowd{
-		all:   make([]*client.Client, n),
-		have:  make([]atomic.Uint64, n),
-		when:  make([]atomic.Int64, n),
-		part:  make([]atomic.Pointer[registry.Subset], n),
-		begun: time.Now(),
-		stop:  stop,
+	c := &watcherGroup{
+		clients:   make([]*client.Client, n),
+		versions:  make([]atomic.Uint64, n),
+		arrivedAt: make([]atomic.Int64, n),
+		subsets:   make([]atomic.Pointer[registry.Subset], n),
+		begun:     time.Now(),
+		stop:      stop,
 	}
 	for i := range n {
-		conf := client.Config{Addresses: addresses, Hold: holdOfNode, OnChange: func(a registry.ListResponse) {
-			c.when[i].Store(int64(time.Since(c.begun)))
+		conf := client.Config{Addresses: addresses, Hold: watchHold, OnChange: func(a registry.ListResponse) {
+			c.arrivedAt[i].Store(int64(time.Since(c.begun)))
 			if part, err := registry.ParseSubset(a.Subset); err == nil {
-				c.part[i].Store(&part)
+				c.subsets[i].Store(&part)
 			}
-			c.have[i].Store(a.Index)
+			c.versions[i].Store(a.Index)
 		}}
 		if l.Parts {
 			conf.ChooseSubset = func(has registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
-				return has.Next(i, fleetNodes, total, entries, []registry.Placement{{}})
+				return has.Next(i, assumedFleetNodes, total, entries, []registry.Placement{{}})
 			}
 		}
 		k, err := client.New(conf)
 		if err != nil {
-			c.end()
+			c.close()
 			return nil, err
 		}
-		c.all[i] = k
-		c.follow.Go(func() { k.Follow(following); k.Close() })
+		c.clients[i] = k
+		c.followers.Go(func() { k.Follow(following); k.Close() })
 		if i%together == together-1 || i == n-1 {
 			if err := c.await(ctx, i+1, version, ""); err != nil {
-				c.end()
+				c.close()
 				return nil, err
 			}
 		}
@@ -138,32 +140,35 @@
 	return c, nil
 }
 
-func (c *crowd) end() {
+// close ends all watchers.
+func (c *watcherGroup) close() {
 	c.stop()
-	c.follow.Wait()
+	c.followers.Wait()
 }
 
-// concerned reports whether a watcher is to hear of an entry: of each, unless it follows a part.
-func (c *crowd) concerned(i int, entry string) bool {
-	part := c.part[i].Load()
+// concerns reports whether a watcher is notified of an entry: it is, unless it follows a subset without the
+// entry.
+func (c *watcherGroup) concerns(i int, entry string) bool {
+	part := c.subsets[i].Load()
 	return part == nil || entry == "" || part.Contains(registry.Position(entry))
 }
 
-// await waits until the first so many have a version, those that it concerns where it is of an entry.
-func (c *crowd) await(ctx context.Context, first int, version uint64, entry string) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+// await waits until the first watchers have a version; if entry is not empty, only those that the entry
+// concerns.
+func (c *watcherGroup) await(ctx context.Context, first int, version uint64, entry string) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for i := range first {
-		if !c.concerned(i, entry) {
+		if !c.concerns(i, entry) {
 			continue
 		}
-		for c.have[i].Load() < version {
+		for c.versions[i].Load() < version {
 			if !backoff.Sleep(ctx, time.Millisecond) {
 				return fmt.Errorf(
-					"watcher %d of %d stays at version %d, not %d: %w",
+					"watcher %d of %d has version %d, want %d: %w",
 					i,
-					len(c.all),
-					c.have[i].Load(),
+					len(c.clients),
+					c.versions[i].Load(),
 					version,
 					ctx.Err(),
 				)
@@ -173,19 +178,19 @@
 	return nil
 }
 
-// since gives the times from a moment until each that an entry concerns had its present version, in order.
-func (c *crowd) since(t time.Time, entry string) (all []float64) {
-	for i := range c.when {
-		if !c.concerned(i, entry) {
+// since returns the times from t until each watcher that an entry concerns had its present version, sorted.
+func (c *watcherGroup) since(t time.Time, entry string) (all []float64) {
+	for i := range c.arrivedAt {
+		if !c.concerns(i, entry) {
 			continue
 		}
-		all = append(all, seconds(time.Duration(c.when[i].Load())-t.Sub(c.begun)))
+		all = append(all, seconds(time.Duration(c.arrivedAt[i].Load())-t.Sub(c.begun)))
 	}
 	slices.Sort(all)
 	return all
 }
 
-// Watchers measures a change and the rest between changes by how many watch one replica.
+// Watchers measures a change, and the rest between changes, by the number of watchers of one replica.
 func (l *Lists) Watchers(ctx context.Context, sizes []int, entries int) error {
 	return l.points(
 		ctx,
@@ -195,8 +200,8 @@
 		map[string]int{"entries": entries},
 		l.Say,
 		func(n int) (f map[string]float64, err error) {
-			err = l.fresh(ctx, entries, func(set *replicas.Set, k *client.Client) error {
-				f, err = l.watched(ctx, set, k, n, entries)
+			err = l.withReplica(ctx, entries, func(set *replicas.Set, k *client.Client) error {
+				f, err = l.measureWatchers(ctx, set, k, n, entries)
 				return err
 			})
 			return f, err
@@ -204,8 +209,8 @@
 	)
 }
 
-// watched measures one replica with so many watchers.
-func (l *Lists) watched(
+// measureWatchers measures one replica with n watchers.
+func (l *Lists) measureWatchers(
 	ctx context.Context,
 	set *replicas.Set,
 	k *client.Client,
@@ -220,18 +225,18 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := l.gather(ctx, []string{set.All[0].Address()}, arriveTogether, n, now.Index)
+	c, err := l.startWatchers(ctx, []string{set.All[0].Address()}, watchersAtOnce, n, now.Index)
 	if err != nil {
 		return nil, err
 	}
-	defer c.end()
+	defer c.close()
 	var median, most99, last []float64
-	begun, err := both(pid)
+	begun, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
-	for i := range changes {
-		r, err := change(ctx, k, i, entries)
+	for i := range changesPerFigure {
+		r, err := registerRestart(ctx, k, i, entries)
 		if err != nil {
 			return nil, err
 		}
@@ -240,34 +245,34 @@
 			return nil, err
 		}
 		took := c.since(acknowledged, entryName(i%entries))
-		if n := len(took); n > 0 { // else it concerns nobody here
+		if n := len(took); n > 0 { // else the change concerns no watcher
 			median, most99, last = append(median, took[n/2]), append(most99, took[n*99/100]), append(last, took[n-1])
 		}
 	}
-	told, err := both(pid)
+	changed, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
 	backoff.Sleep(ctx, l.Rest)
-	rested, err := both(pid)
+	rested, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
-	work, rest := told.minus(begun), rested.minus(told)
-	each, whole := float64(n), l.Rest.Seconds()
+	work, rest := changed.minus(begun), rested.minus(changed)
+	each, restSeconds := float64(n), l.Rest.Seconds()
 	return map[string]float64{
-		"change_cpu_s":             seconds(work.service.CPU) / changes,
-		"change_bytes":             work.service.Written / changes,
-		"watcher_change_bytes_in":  work.own.Read / changes / each,
-		"watcher_change_bytes_out": work.own.Written / changes / each,
-		"watcher_change_cpu_s":     seconds(work.own.CPU) / changes / each,
+		"change_cpu_s":             seconds(work.service.CPU) / changesPerFigure,
+		"change_bytes":             work.service.Written / changesPerFigure,
+		"watcher_change_bytes_in":  work.own.Read / changesPerFigure / each,
+		"watcher_change_bytes_out": work.own.Written / changesPerFigure / each,
+		"watcher_change_cpu_s":     seconds(work.own.CPU) / changesPerFigure / each,
 		"rest_cores": seconds(
 			rest.service.CPU,
-		) / whole,
-		"rest_bytes_out":         rest.service.Written / whole,
-		"rest_bytes_in":          rest.service.Read / whole,
-		"watcher_rest_bytes_in":  rest.own.Read / whole / each,
-		"watcher_rest_bytes_out": rest.own.Written / whole / each,
+		) / restSeconds,
+		"rest_bytes_out":         rest.service.Written / restSeconds,
+		"rest_bytes_in":          rest.service.Read / restSeconds,
+		"watcher_rest_bytes_in":  rest.own.Read / restSeconds / each,
+		"watcher_rest_bytes_out": rest.own.Written / restSeconds / each,
 		"memory_bytes":           rested.service.RSS - empty.RSS,
 		"descriptors":            rested.service.FDs,
 		"half_s": spreadOf(
@@ -279,10 +284,10 @@
 	}, nil
 }
 
-// pair is what a replica and this process, with its hollow parts, have used.
-type pair struct{ service, own use }
+// usePair is what a replica and this process, with its hollow watchers, have used.
+type usePair struct{ service, own use }
 
-func both(pid int) (p pair, err error) {
+func useOfBoth(pid int) (p usePair, err error) {
 	if p.service, err = useOf(pid); err != nil {
 		return p, err
 	}
@@ -290,4 +295,6 @@
 	return p, err
 }
 
-func (p pair) minus(q pair) pair { return pair{p.service.minus(q.service), p.own.minus(q.own)} }
+func (p usePair) minus(q usePair) usePair {
+	return usePair{p.service.minus(q.service), p.own.minus(q.own)}
+}
