--- a/internal/lab/scale/cost_lines.go
+++ b/internal/lab/scale/cost_lines.go
@@ -7,12 +7,13 @@
 // Line is one cost of a role, with its bound.
 type Line struct {
 	Role, What, Unit string
-	Command          string               // command that measures the cost; empty: the cost is bounded by a constant of the program
-	Mechanism        string               // mechanism that carries the cost
-	Next             string               // what fails first beyond the bound
-	limit            string               // name of the constant that bounds the cost
-	budget           func(p Plan) float64 // bound, if no constant bounds the cost; nil: none is stated
-	cost             func(m labelRecords, p Plan) (value float64, on grounds, err error)
+	// Command measures the cost; empty: nothing is measured, the cost follows from the plan's numbers.
+	Command   string
+	Mechanism string               // mechanism that carries the cost
+	Next      string               // what fails first beyond the bound
+	limit     string               // name of the constant that bounds the cost
+	budget    func(p Plan) float64 // bound, if no constant bounds the cost; nil: none is stated
+	cost      func(m labelRecords, p Plan) (value float64, on grounds, err error)
 }
 
 // bound is the limit of the cost; 0 if none is stated.
@@ -122,7 +123,9 @@
 		)(
 			m.figureAt("watchers", "watchers", "watcher_change_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil),
 		)
-		t.add(1)(m.figureAt("watchers", "watchers", "watcher_rest_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil))
+		t.add(1)(
+			m.figureAt("watchers", "watchers", "watcher_rest_bytes_"+way, p.Plan.Nodes/p.Assumed.Replicas, nil),
+		)
 	}
 	t.add(2)(m.figureAt("view", "members", "datagram_bytes_per_s", p.Plan.Nodes, nil))
 	return t.total()
@@ -269,7 +272,9 @@
 			budget: func(p Plan) float64 { return p.Assumed.MachineBytes },
 			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
 				t := &terms{}
-				t.add(p.listChangeRate())(m.figureAt("watchers", "watchers", "change_bytes", p.Plan.Nodes/p.Assumed.Replicas, nil))
+				t.add(p.listChangeRate())(
+					m.figureAt("watchers", "watchers", "change_bytes", p.Plan.Nodes/p.Assumed.Replicas, nil),
+				)
 				t.add(1)(m.figureAt("watchers", "watchers", "rest_bytes_out", p.Plan.Nodes/p.Assumed.Replicas, nil))
 				return t.total()
 			}},
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -158,7 +158,9 @@
 	errs := make([]error, renewingAgents)
 	for i, one := range all {
 		working.Go(func() {
-			for at := start.Add(each * time.Duration(i) / renewingAgents); at.Before(start.Add(renewalTime)); at = at.Add(each) {
+			for at := start.Add(each * time.Duration(i) / renewingAgents); at.Before(
+				start.Add(renewalTime),
+			); at = at.Add(each) {
 				backoff.Sleep(ctx, time.Until(at))
 				if _, errs[i] = one.Renew(ctx, []string{fmt.Sprint("l", i)}); errs[i] != nil {
 					return
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -8,7 +8,7 @@
 	name, played, settled, node, control, slopes, harmed string
 }
 
-// notRun stands in the page for a figure that was not measured.
+// notRun marks a figure on the page that was not measured.
 const notRun = "not run"
 
 // faultsTable is the table of faults, for the programs before and after.
@@ -80,7 +80,9 @@
 	)
 	survivor := &terms{}
 	survivor.add(1)(m.figureAt("watchers", "watchers", "rest_cores", p.Nodes/(a.Replicas-1), nil))
-	survivor.add(plan.listChangeRate())(m.figureAt("watchers", "watchers", "change_cpu_s", p.Nodes/(a.Replicas-1), nil))
+	survivor.add(plan.listChangeRate())(
+		m.figureAt("watchers", "watchers", "change_cpu_s", p.Nodes/(a.Replicas-1), nil),
+	)
 	return []fault{
 		{
 			"a rack gone at once",
@@ -158,7 +160,9 @@
 		{
 			"one of three replicas lost, the leader",
 			lost.sizes(),
-			lost.fillIn("a list of {entries}: written {written_s} after the kill, the last watcher {last_s} after that"),
+			lost.fillIn(
+				"a list of {entries}: written {written_s} after the kill, the last watcher {last_s} after that",
+			),
 			lost.fillIn("a watch made anew"),
 			notRun,
 			"each of the others, at the peak: " + formatTotal(survivor, "cores"),
--- a/internal/lab/scale/force_fleet.go
+++ b/internal/lab/scale/force_fleet.go
@@ -27,11 +27,11 @@
 	got["settled_s"], got["alive"] = seconds(time.Since(begun)), 0
 	asked := controls[:min(sampledNodes, len(controls))]
 	for _, at := range asked {
-		says, err := readStats(ctx, at)
+		stats, err := readStats(ctx, at)
 		if err != nil {
 			return err
 		}
-		got["alive"] += says["fleet.alive"] / each / float64(len(asked))
+		got["alive"] += stats["fleet.alive"] / each / float64(len(asked))
 	}
 	sentBefore, err := trafficSentBy(ctx, controls)
 	if err != nil {
--- a/internal/lab/scale/holders.go
+++ b/internal/lab/scale/holders.go
@@ -14,10 +14,11 @@
 // holder's session as keepers have it, the delay of a datagram, and each node's demand, which is twice its
 // even part of the limit.
 const (
-	holderTTL      = time.Second
-	renewHolder    = holderTTL / 5
-	datagramDelay  = time.Millisecond
-	registryDelay  = 20 * time.Millisecond // until nodes learn of a new holder, and the holder of its record, from the registry
+	holderTTL     = time.Second
+	renewHolder   = holderTTL / 5
+	datagramDelay = time.Millisecond
+	// registryDelay is until nodes learn of a new holder, and the holder of its record, from the registry.
+	registryDelay  = 20 * time.Millisecond
 	ledgerTick     = 20 * time.Millisecond
 	fairRate       = 10.0 // a node's even part of the limit, requests a second
 	demandFactor   = 2.0  // demand of a node, in multiples of fairRate
--- a/internal/lab/scale/latency_backend.go
+++ b/internal/lab/scale/latency_backend.go
@@ -36,12 +36,12 @@
 
 // startBackendServer starts a server; its times count from base.
 func startBackendServer(ctx context.Context, base time.Time) (*backendServer, error) {
-	only := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+	loopbackOnly := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var bound error
 		err := c.Control(func(fd uintptr) { bound = unix.BindToDevice(int(fd), "lo") })
 		return errors.Join(err, bound)
 	}}
-	l, err := only.Listen(ctx, "tcp4", "0.0.0.0:0")
+	l, err := loopbackOnly.Listen(ctx, "tcp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("listen on the loopback device: %w", err)
 	}
@@ -92,9 +92,9 @@
 
 // parseServerTimes parses the body of an answer, and checks that it belongs to the request id.
 func parseServerTimes(id, body string) (s serverTimes, err error) {
-	whose, rest, _ := strings.Cut(body, " ")
-	if whose != id {
-		return s, fmt.Errorf("the answer to %q came for %q", whose, id)
+	answeredID, rest, _ := strings.Cut(body, " ")
+	if answeredID != id {
+		return s, fmt.Errorf("the answer to %q came for %q", answeredID, id)
 	}
 	_, err = fmt.Sscan(rest, &s.began, &s.ended, &s.nth)
 	return s, err
--- a/internal/lab/scale/latency_table.go
+++ b/internal/lab/scale/latency_table.go
@@ -7,14 +7,18 @@
 
 // latencyTable is the table of the time that a node adds to a request, and of its parts.
 func latencyTable(s pageData) (string, error) {
-	var whole, ways [][]string
+	var totals, ways [][]string
 	for _, r := range s.records("latency") {
 		for _, p := range r.Points {
 			all := func(name string) string { return p.formatSpread(name, "s") }
-			at := []string{knownServers(p), formatNumber(float64(p.Sizes["servers"])), formatNumber(float64(p.Sizes["changes"]))}
+			at := []string{
+				knownServers(p),
+				formatNumber(float64(p.Sizes["servers"])),
+				formatNumber(float64(p.Sizes["changes"])),
+			}
 			share := formatPercent(p.Figures["added_p99_s"].Median / s.plan.Plan.Added)
-			whole = append(
-				whole,
+			totals = append(
+				totals,
 				append(
 					at[:3:3],
 					all("direct_added_p50_s"),
@@ -63,7 +67,7 @@
 			"calm seconds",
 			"refused beside those timed",
 		},
-		orNotRun(whole, 12),
+		orNotRun(totals, 12),
 	) +
 		"\nOf which, through the node:\n\n" +
 		markdownTable(
--- a/internal/lab/scale/module.go
+++ b/internal/lab/scale/module.go
@@ -157,7 +157,8 @@
 	if err != nil {
 		return nil, err
 	}
-	change, changePieces, err := costPerCall(ctx, 10, func(i int) { // a server drains, or is ready again as a new process
+	change, changePieces, err := costPerCall(ctx, 10, func(i int) {
+		// a server drains, or is ready again as a new process
 		s := &list[i/2*7919%backends]
 		now += checkInterval
 		if s.State = balancer.Draining; i%2 == 1 {
--- a/internal/lab/scale/nodes.go
+++ b/internal/lab/scale/nodes.go
@@ -29,7 +29,12 @@
 
 // Measure measures nodes at rest and during changes, by the number of nodes and of backends that they know.
 func (n *Nodes) Measure(ctx context.Context, sizes []Sizes) error {
-	return n.measureSizes(ctx, n.Kind, sizes, func(r rig) (map[string]float64, error) { return n.measureUse(ctx, r) })
+	return n.measureSizes(
+		ctx,
+		n.Kind,
+		sizes,
+		func(r rig) (map[string]float64, error) { return n.measureUse(ctx, r) },
+	)
 }
 
 // measureSizes records what do returns, with fresh nodes for each size and repetition.
@@ -94,7 +99,8 @@
 	}
 	made++
 	if !n.Parts { // with subsets, only some nodes have the removed server
-		if err := r.awaitStat(ctx, "discovered", r.Backends-1); err != nil { // else the use counted is not that of these changes
+		// Without this wait the measured use could lack that of the last changes.
+		if err := r.awaitStat(ctx, "discovered", r.Backends-1); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/scale/other_lines.go
+++ b/internal/lab/scale/other_lines.go
@@ -9,11 +9,12 @@
 	return m.figureAt("tenants", "tenants", whole, tenants, nil)
 }
 
+// otherLines are the costs of tenants, of the holder of shares, of the operator's command and of agents.
 func otherLines() []Line {
-	desk := "node's desk of tenants"
+	cacheRole := "node's desk of tenants"
 	return []Line{
 		{
-			Role:      desk,
+			Role:      cacheRole,
 			What:      "memory",
 			Unit:      "bytes",
 			Command:   "tenants",
@@ -25,7 +26,7 @@
 			},
 		},
 		{
-			Role:      desk,
+			Role:      cacheRole,
 			What:      "catalogue at a start, at its bytes a second",
 			Unit:      "s",
 			Command:   "tenants",
@@ -38,7 +39,7 @@
 			},
 		},
 		{
-			Role:      desk,
+			Role:      cacheRole,
 			What:      "processor for changes of tenants at the peak",
 			Unit:      "cores",
 			Command:   "tenants",
@@ -131,7 +132,9 @@
 			Unit:      "calls/s",
 			Mechanism: "a renewal for each server",
 			Next:      "the leader's renewals",
-			cost:      func(_ labelRecords, p Plan) (float64, grounds, error) { return 20 * 3 / p.Assumed.TTL, grounds{}, nil },
+			cost: func(_ labelRecords, p Plan) (float64, grounds, error) {
+				return 20 * 3 / p.Assumed.TTL, grounds{}, nil
+			},
 		},
 	}
 }
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -66,7 +66,8 @@
 		before, rest, begun := strings.Cut(text, mark+"\n")
 		_, after, ended := strings.Cut(rest, endMark)
 		if !begun || !ended || strings.Contains(rest, mark) {
-			return "", fmt.Errorf("replace table %s: the page has to have it once, between %s and %s", name, mark, endMark)
+			return "", fmt.Errorf(
+				"replace table %s: the page has to have it once, between %s and %s", name, mark, endMark)
 		}
 		table, err := tableMakers[name](s)
 		if err != nil {
--- a/internal/lab/scale/pairs_fit.go
+++ b/internal/lab/scale/pairs_fit.go
@@ -10,8 +10,9 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// pairForms are the forms in which a cost may grow with one of two sizes: three sizes of each do not tell more
-// forms apart. A node's reach, the number of backends that it uses, falls with the number of nodes: 1/n.
+// pairForms are the forms in which a cost may grow with one of two sizes: three sizes of each do not tell
+// more forms apart. A node's reach, the number of backends that it uses, falls with the number of nodes:
+// 1/n.
 var pairForms = append(slices.Clone(forms[1:3]), form{"1/n", func(n float64) float64 { return 1 / n }})
 
 // maxProductChance is the greatest probability at which a product counts that chance alone makes it appear:
--- a/internal/lab/scale/pairs_table.go
+++ b/internal/lab/scale/pairs_table.go
@@ -64,9 +64,9 @@
 					fit.Terms[2],
 					strings.Replace(fit.B, "n", "B", 1),
 				)
-				says := fmt.Sprintf("no (chance %s)", formatPercent(fit.Chance))
+				verdict := fmt.Sprintf("no (chance %s)", formatPercent(fit.Chance))
 				if fit.Product() {
-					text, says = text+fmt.Sprintf(
+					text, verdict = text+fmt.Sprintf(
 						" + %.3g × their product",
 						fit.Terms[3],
 					), fmt.Sprintf(
@@ -76,7 +76,11 @@
 				}
 				rows = append(
 					rows,
-					append(at, fmt.Sprintf("%s; residual %s, %d points", text, formatPercent(fit.Residual), fit.Points), says),
+					append(
+						at,
+						fmt.Sprintf("%s; residual %s, %d points", text, formatPercent(fit.Residual), fit.Points),
+						verdict,
+					),
 				)
 			}
 		}
@@ -113,7 +117,9 @@
 		maps.Copy(here, others)
 		for _, p := range r.Points {
 			if f, has := p.Figures[figure]; has && matches(p, here) {
-				cell = fmt.Sprintf("%s, %s: %s", formatNumber(float64(at[0])), formatNumber(float64(at[1])), formatFigure(f.Median, unit))
+				cell = fmt.Sprintf(
+					"%s, %s: %s",
+					formatNumber(float64(at[0])), formatNumber(float64(at[1])), formatFigure(f.Median, unit))
 			}
 		}
 		cells = append(cells, cell)
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -91,7 +91,7 @@
 	return p
 }
 
-// todayFactor is the factor from the plan to today's size, by the number that has to grow the most.
+// todayFactor is today's size as a factor of the plan, by the number that has to grow the most.
 func (p Plan) todayFactor() float64 {
 	return min(p.Today.Nodes/p.Plan.Nodes, p.Today.Backends/p.Plan.Backends)
 }
--- a/internal/lab/scale/played.go
+++ b/internal/lab/scale/played.go
@@ -111,7 +111,9 @@
 // atReplica gives the same figures as atNode for the replica.
 func (p playedPoint) atReplica() string {
 	if _, peaked := p.point.Figures[p.prefix+"replica_peak_cores"]; peaked {
-		return p.fillIn("{replica_peak_cores}, {replica_peak_bytes} out, in the worst second; {replica_memory_bytes}")
+		return p.fillIn(
+			"{replica_peak_cores}, {replica_peak_bytes} out, in the worst second; {replica_memory_bytes}",
+		)
 	}
 	return p.fillIn("in all {replica_cpu_s} of processor, {replica_bytes_out} out")
 }
--- a/internal/lab/scale/rack.go
+++ b/internal/lab/scale/rack.go
@@ -63,8 +63,11 @@
 // both together, divided in proportion to their numbers in the plan.
 func (n *Nodes) Roll(ctx context.Context, p Plan, sizes []Sizes, restarts []int, last time.Duration) error {
 	for _, perHour := range restarts {
-		share := float64(perHour) / (p.Plan.Nodes + p.Plan.Backends) / time.Hour.Seconds() // of the fleet that restarts in a second
-		n.extra = extraNodes{nodes: int(p.Assumed.RackNodes), every: interval(share * p.Plan.Nodes), restarts: perHour}
+		// share of the fleet that restarts in a second
+		share := float64(perHour) / (p.Plan.Nodes + p.Plan.Backends) / time.Hour.Seconds()
+		n.extra = extraNodes{
+			nodes: int(p.Assumed.RackNodes), every: interval(share * p.Plan.Nodes), restarts: perHour,
+		}
 		err := n.measureSizes(
 			ctx,
 			"roll",
--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -53,7 +53,9 @@
 // spreadOf is the spread of values, each rounded to four digits; it sorts the slice.
 func spreadOf(all []float64) Spread {
 	slices.Sort(all)
-	return Spread{roundToFourDigits(all[len(all)/2]), roundToFourDigits(all[0]), roundToFourDigits(all[len(all)-1])}
+	return Spread{
+		roundToFourDigits(all[len(all)/2]), roundToFourDigits(all[0]), roundToFourDigits(all[len(all)-1]),
+	}
 }
 
 // roundToFourDigits rounds to four digits, as no figure here is more exact; it returns 0 for NaN and
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -228,7 +228,11 @@
 	return p, nil
 }
 
-func (n *Nodes) startProcess(group *process.Group, dir, name, env string, command []string) (*process.Proc, error) {
+func (n *Nodes) startProcess(
+	group *process.Group,
+	dir, name, env string,
+	command []string,
+) (*process.Proc, error) {
 	return group.Start(
 		process.Spec{
 			Name:    name,
--- a/internal/lab/scale/sides.go
+++ b/internal/lab/scale/sides.go
@@ -17,7 +17,10 @@
 		{"module", "backends", "decisions alone, told of 4,300 nodes", nodesOfPlan, []int{200, 2000, 20000, 54000},
 			[][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
 		{"real", "backends", "a real node's process", nodeFew, []int{200, 2000, 20000, 54000},
-			[][2]string{{"rest_cores", "cores"}, {"change_cpu_s", "s"}, {"change_bytes_out", "bytes"}, {"memory_bytes", "bytes"}}},
+			[][2]string{
+				{"rest_cores", "cores"}, {"change_cpu_s", "s"},
+				{"change_bytes_out", "bytes"}, {"memory_bytes", "bytes"},
+			}},
 		{"watchers", "watchers", "a replica by watchers", nil, []int{300, 1000, 4300},
 			[][2]string{{"change_cpu_s", "s"}, {"change_bytes", "bytes"}, {"last_s", "s"}}},
 		{"entries", "entries", "a replica by entries", nil, []int{200, 2000, 20000, 54000},
@@ -67,7 +70,9 @@
 		for _, p := range r.Points {
 			t := func(name string) string {
 				f := p.Figures[name]
-				return fmt.Sprintf("%s (%s to %s)", formatFigure(f.Median, "s"), formatFigure(f.Least, "s"), formatFigure(f.Most, "s"))
+				return fmt.Sprintf(
+					"%s (%s to %s)",
+					formatFigure(f.Median, "s"), formatFigure(f.Least, "s"), formatFigure(f.Most, "s"))
 			}
 			rows = append(
 				rows,
@@ -119,10 +124,10 @@
 					{"change_bytes_in", "bytes"}, {"change_bytes_out", "bytes"},
 					{"change_cpu_s", "s"}, {"rest_cores", "cores"}, {"memory_bytes", "bytes"}} {
 					a, b := h.Figures[f[0]].Median, r.Figures[f[0]].Median
-					says := "within 15%"
+					verdict := "within 15%"
 					if b < 0.85*a || b > 1.15*a {
-						if says = fmt.Sprintf("factor %s, %s more", formatNumber(b/a), formatFigure(b-a, f[1])); b < a {
-							says = fmt.Sprintf("factor %s", formatNumber(b/a))
+						if verdict = fmt.Sprintf("factor %s, %s more", formatNumber(b/a), formatFigure(b-a, f[1])); b < a {
+							verdict = fmt.Sprintf("factor %s", formatNumber(b/a))
 						}
 					}
 					rows = append(
@@ -133,7 +138,7 @@
 							"`" + f[0] + "`",
 							formatFigure(a, f[1]),
 							formatFigure(b, f[1]),
-							says,
+							verdict,
 						},
 					)
 				}
@@ -169,5 +174,6 @@
 			},
 		)
 	}
-	return markdownTable([]string{"record", "program", "commit", "last made by", "points", "load", "trials"}, rows), nil
+	return markdownTable(
+		[]string{"record", "program", "commit", "last made by", "points", "load", "trials"}, rows), nil
 }
--- a/internal/lab/scale/spent.go
+++ b/internal/lab/scale/spent.go
@@ -102,11 +102,11 @@
 
 // update raises the peaks by the use between two samples that are took apart.
 func (w *peakUse) update(now, before use, took time.Duration) {
-	did, per := now.minus(before), took.Seconds()
+	used, per := now.minus(before), took.Seconds()
 	*w = peakUse{
-		max(w.cores, seconds(did.CPU)/per),
-		max(w.read, did.Read/per),
-		max(w.written, did.Written/per),
+		max(w.cores, seconds(used.CPU)/per),
+		max(w.read, used.Read/per),
+		max(w.written, used.Written/per),
 		max(w.rss, now.RSS),
 	}
 }
--- a/internal/lab/scale/tables.go
+++ b/internal/lab/scale/tables.go
@@ -74,7 +74,8 @@
 			),
 		},
 		{
-			fmt.Sprintf("a rack has %s nodes and %s backends", formatNumber(a.RackNodes), formatNumber(a.RackBackends)),
+			fmt.Sprintf(
+				"a rack has %s nodes and %s backends", formatNumber(a.RackNodes), formatNumber(a.RackBackends)),
 			"the first row of the faults",
 		},
 	}), nil
@@ -147,7 +148,7 @@
 			rows = append(rows, []string{m.label, "", notRun, "", "", ""})
 			continue
 		}
-		all, untold := reachedBounds(m, s.plan)
+		all, unknown := reachedBounds(m, s.plan)
 		for _, w := range all {
 			at, kind := formatNumber(w.factor), "a budget"
 			if w.factor == 0 {
@@ -156,9 +157,9 @@
 			if w.limit != "" {
 				kind = "a constant"
 			}
-			rests := w.on.String()
+			basis := w.on.String()
 			if w.Command == "" {
-				rests = "the plan's number"
+				basis = "the plan's number"
 			}
 			rows = append(
 				rows,
@@ -168,12 +169,12 @@
 					w.Role + ": " + w.What,
 					kind + ": " + formatFigure(w.bound, w.Unit),
 					formatFigure(w.fullCost, w.Unit),
-					rests,
+					basis,
 				},
 			)
 		}
 		var names []string
-		for _, l := range untold {
+		for _, l := range unknown {
 			names = append(names, l.Role+": "+l.What)
 		}
 		if len(names) > 0 {
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -18,8 +18,8 @@
 // workingSet is how many of all tenants a node uses in the measurement.
 const workingSet = 2000
 
-// recordStore replaces the registry, which can hold fewer records than the plan has tenants. What a node reads
-// is counted by the bytes of the values, without the header and the envelope of an answer.
+// recordStore replaces the registry, which can hold fewer records than the plan has tenants. What a node
+// reads is counted by the bytes of the values, without the header and the envelope of an answer.
 type recordStore struct {
 	all   map[string]registry.Record
 	bytes int
@@ -67,7 +67,8 @@
 		s.Tenants = append(s.Tenants, &tenant.Tenant{Format: 1, Name: f.Names[0], State: tenant.Active, Current: f})
 		c.observation.Policy.Floors[f.Quotas[0].Limit] = 1
 		// as many endpoints as tenants, so that each route has its own
-		c.observation.Endpoints = append(c.observation.Endpoints, tenant.Endpoint{Zone: zoneOf(i), MachineType: "m"})
+		c.observation.Endpoints = append(
+			c.observation.Endpoints, tenant.Endpoint{Zone: zoneOf(i), MachineType: "m"})
 	}
 	c.m = tenant.Load(0, s, tenant.DefaultTimes(), true)
 	return c, c.round()
@@ -213,7 +214,8 @@
 			if err != nil {
 				return nil, err
 			}
-			c.m, c.observation, c.removedPages = nil, tenant.Observation{}, nil // else their garbage would be counted as well
+			// else their garbage would be counted as well
+			c.m, c.observation, c.removedPages = nil, tenant.Observation{}, nil
 			_, before := heapUse()
 			began = fleet.OwnCPU()
 			for _, head := range heads {
--- a/internal/lab/scale/use.go
+++ b/internal/lab/scale/use.go
@@ -16,8 +16,9 @@
 
 // use is what a process has used since its start, in the finest counts of the kernel.
 type use struct {
-	CPU      time.Duration // of its live threads: the time of a thread that ends is lost, but Go's threads rarely end
-	Read     float64       // bytes read from sockets and files
+	// CPU is that of live threads: the time of a thread that ends is lost, but Go's threads rarely end.
+	CPU      time.Duration
+	Read     float64 // bytes read from sockets and files
 	Written  float64
 	Calls    float64 // number of reads and writes
 	RSS, FDs float64
--- a/internal/lab/scale/walls.go
+++ b/internal/lab/scale/walls.go
@@ -9,7 +9,8 @@
 // reachedBound is a bound that a cost reaches on the way to the plan.
 type reachedBound struct {
 	Line
-	factor   float64 // by which the plan is scaled where the bound is reached; 0: today's size exceeds it already
+	// factor scales all numbers of the plan to where the bound is reached; 0: today's size already exceeds it.
+	factor   float64
 	fullCost float64 // the cost at the plan's size
 	bound    float64
 	on       grounds // of the cost, at factor
--- a/internal/lab/scale/zone.go
+++ b/internal/lab/scale/zone.go
@@ -22,10 +22,15 @@
 // zone removes the entries of a zone, and registers them again as servers that have just started.
 func (r rig) zone(ctx context.Context) (map[string]float64, error) {
 	lost := r.Backends / zoneCount
-	gone, err := r.applyAndAwait(ctx, lost, entryNames(lost, r.Backends), func(ctx context.Context, i int) error {
-		_, err := r.k.Remove(ctx, entryName(i), nil)
-		return err
-	})
+	gone, err := r.applyAndAwait(
+		ctx,
+		lost,
+		entryNames(lost, r.Backends),
+		func(ctx context.Context, i int) error {
+			_, err := r.k.Remove(ctx, entryName(i), nil)
+			return err
+		},
+	)
 	if err != nil {
 		return nil, err
 	}
