--- a/internal/lab/scale/cost_lines.go
+++ b/internal/lab/scale/cost_lines.go
@@ -58,7 +58,7 @@
 // played200 is a figure as measured with ten nodes and 200 backends.
 func (m labelRecords) played200(what, figure string) (float64, grounds, error) {
 	for _, p := range m.byName[what].Points {
-		if p.Sizes["nodes"] == nodeFew["nodes"] && p.Sizes["backends"] == 200 {
+		if p.Sizes["nodes"] == tenNodes["nodes"] && p.Sizes["backends"] == 200 {
 			return p.Figures[figure].Median, grounds{}, nil
 		}
 	}
@@ -68,22 +68,24 @@
 // terms adds up costs, each multiplied by how often it comes, and retains the weakest grounds and the first
 // error.
 type terms struct {
-	sum float64
-	on  grounds
-	err error
+	sum     float64
+	grounds grounds
+	err     error
 }
 
 // add returns a function that adds a cost multiplied by times.
 func (t *terms) add(times float64) func(value float64, on grounds, err error) {
 	return func(value float64, on grounds, err error) {
-		t.sum, t.on = t.sum+times*value, grounds{max(t.on.reach, on.reach), max(t.on.residual, on.residual)}
+		t.sum, t.grounds = t.sum+times*value, grounds{
+			max(t.grounds.reach, on.reach), max(t.grounds.residual, on.residual),
+		}
 		if t.err == nil {
 			t.err = err
 		}
 	}
 }
 
-func (t *terms) total() (float64, grounds, error) { return t.sum, t.on, t.err }
+func (t *terms) total() (float64, grounds, error) { return t.sum, t.grounds, t.err }
 
 // constantLine is the line of a number of the plan that a constant of the program limits.
 func constantLine(role, what, unit, limit string, number func(Plan) float64, mechanism, next string) Line {
@@ -92,15 +94,15 @@
 }
 
 var (
-	nodeFew     = map[string]int{"nodes": 10}
+	tenNodes    = map[string]int{"nodes": 10}
 	nodesOfPlan = map[string]int{"nodes": 4300, "placements": 1}
 )
 
 // nodeCores is a node's processor time for control at the peak: at rest, and for changes.
 func nodeCores(m labelRecords, p Plan) (float64, grounds, error) {
 	t := &terms{}
-	t.add(1)(m.figureAt("real", "backends", "rest_cores", p.Plan.Backends, nodeFew))
-	t.add(p.listChangeRate())(m.figureAt("real", "backends", "change_cpu_s", p.Plan.Backends, nodeFew))
+	t.add(1)(m.figureAt("real", "backends", "rest_cores", p.Plan.Backends, tenNodes))
+	t.add(p.listChangeRate())(m.figureAt("real", "backends", "change_cpu_s", p.Plan.Backends, tenNodes))
 	return t.total()
 }
 
@@ -108,7 +110,7 @@
 // node's memory limit hides how much it would use.
 func nodeMemory(m labelRecords, p Plan) (float64, grounds, error) {
 	t := &terms{}
-	t.add(1)(m.figureAt("hollow", "backends", "memory_bytes", p.Plan.Backends, nodeFew))
+	t.add(1)(m.figureAt("hollow", "backends", "memory_bytes", p.Plan.Backends, tenNodes))
 	t.add(1)(m.played200("real", "memory_bytes"))
 	t.add(-1)(m.played200("hollow", "memory_bytes"))
 	return t.total()
@@ -166,7 +168,7 @@
 			Next:      "the kept list is written before the next answer is asked for",
 			budget:    func(p Plan) float64 { return p.Plan.InForce },
 			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
-				return m.figureAt("zone", "backends", "settled_s", p.Plan.Backends, nodeFew)
+				return m.figureAt("zone", "backends", "settled_s", p.Plan.Backends, tenNodes)
 			},
 		},
 		{
@@ -177,7 +179,7 @@
 			Mechanism: "the whole list to disk, with fsync, at each change",
 			Next:      "no budget is stated for a node's disk",
 			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
-				v, on, err := m.figureAt("hollow", "backends", "change_bytes_out", p.Plan.Backends, nodeFew)
+				v, on, err := m.figureAt("hollow", "backends", "change_bytes_out", p.Plan.Backends, tenNodes)
 				return v * p.listChangeRate(), on, err
 			},
 		},
@@ -189,7 +191,7 @@
 			Mechanism: "listeners, the watch, the view's socket",
 			Next:      "clients and servers take the rest",
 			cost: func(m labelRecords, p Plan) (float64, grounds, error) {
-				return m.figureAt("real", "backends", "descriptors", p.Plan.Backends, nodeFew)
+				return m.figureAt("real", "backends", "descriptors", p.Plan.Backends, tenNodes)
 			},
 		},
 		{
--- a/internal/lab/scale/force_news.go
+++ b/internal/lab/scale/force_news.go
@@ -21,8 +21,8 @@
 	byKind map[string][]uptake // by kind of message, then by node
 }
 
-// uptake is the last thing of one kind that a node has taken up: its number, the time since the begin of
-// the measurement in ns, and how often the node has taken up something of the kind.
+// uptake is what a node has last taken up of one kind: its number, the time in ns since the start of the
+// measurement, and how often the node has taken up something of the kind.
 type uptake struct{ number, at, count atomic.Int64 }
 
 func newUptakes(nodes int) *uptakes {
@@ -38,8 +38,8 @@
 
 // uptakeHandler is a log handler that records a node's uptakes.
 type uptakeHandler struct {
-	to   *uptakes
-	node int
+	uptakes *uptakes
+	node    int
 }
 
 func (uptakeHandler) Enabled(_ context.Context, level slog.Level) bool {
@@ -58,8 +58,8 @@
 		if a.Key != key {
 			return true
 		}
-		t := &l.to.byKind[r.Message][l.node]
-		t.at.Store(int64(time.Since(l.to.begun)))
+		t := &l.uptakes.byKind[r.Message][l.node]
+		t.at.Store(int64(time.Since(l.uptakes.begun)))
 		t.number.Store(int64(a.Value.Uint64()))
 		t.count.Add(1)
 		return false
--- a/internal/lab/scale/holders.go
+++ b/internal/lab/scale/holders.go
@@ -17,7 +17,8 @@
 	holderTTL     = time.Second
 	renewHolder   = holderTTL / 5
 	datagramDelay = time.Millisecond
-	// registryDelay is until nodes learn of a new holder, and the holder of its record, from the registry.
+	// registryDelay is the time until nodes learn of a new holder, and a holder of its record, from the
+	// registry.
 	registryDelay  = 20 * time.Millisecond
 	ledgerTick     = 20 * time.Millisecond
 	fairRate       = 10.0 // a node's even part of the limit, requests a second
--- a/internal/lab/scale/latency_backend.go
+++ b/internal/lab/scale/latency_backend.go
@@ -25,10 +25,10 @@
 // backendServer is one server behind all addresses of a list. It listens on the loopback device for every
 // address. Each answer states when the server had the request and when it began to write.
 type backendServer struct {
-	base  time.Time
-	port  int
-	serve http.Server
-	ended chan error
+	base   time.Time
+	port   int
+	server http.Server
+	ended  chan error
 }
 
 // connKey is the context key of the count of requests on a connection.
@@ -46,7 +46,7 @@
 		return nil, fmt.Errorf("listen on the loopback device: %w", err)
 	}
 	a := &backendServer{base: base, port: l.Addr().(*net.TCPAddr).Port, ended: make(chan error, 1)}
-	a.serve = http.Server{
+	a.server = http.Server{
 		Handler:           http.HandlerFunc(a.answer),
 		ReadHeaderTimeout: answerTimeout,
 		IdleTimeout:       drawnIdle,
@@ -54,13 +54,13 @@
 			return context.WithValue(ctx, connKey{}, new(atomic.Int64))
 		},
 	}
-	go func() { a.ended <- a.serve.Serve(l) }()
+	go func() { a.ended <- a.server.Serve(l) }()
 	return a, nil
 }
 
 // close ends the server and its connections.
 func (a *backendServer) close() {
-	besteffort.Close(&a.serve)
+	besteffort.Close(&a.server)
 	besteffort.Ended(<-a.ended)
 }
 
--- a/internal/lab/scale/latency_client.go
+++ b/internal/lab/scale/latency_client.go
@@ -45,7 +45,7 @@
 	seed uint64
 
 	mu        sync.Mutex
-	idle      map[string][]*callerConn // by address; the most recently used connection is the last
+	idleConns map[string][]*callerConn // by address; the most recently used connection is the last
 	latencies [wayCount]*hdrhistogram.Histogram
 	lateness  *hdrhistogram.Histogram
 	served    int
@@ -73,12 +73,12 @@
 
 func newCaller(base time.Time, seed uint64) *caller {
 	c := &caller{
-		base:     base,
-		seed:     seed,
-		idle:     map[string][]*callerConn{},
-		failed:   map[string]int{},
-		seconds:  map[int]*second{},
-		lateness: newTimes(),
+		base:      base,
+		seed:      seed,
+		idleConns: map[string][]*callerConn{},
+		failed:    map[string]int{},
+		seconds:   map[int]*second{},
+		lateness:  newTimes(),
 	}
 	for i := range c.latencies {
 		c.latencies[i] = newTimes()
@@ -106,7 +106,7 @@
 		})
 	}
 	all.Wait()
-	for _, some := range c.idle {
+	for _, some := range c.idleConns {
 		for _, cn := range some {
 			besteffort.Close(cn)
 		}
@@ -198,9 +198,9 @@
 // acquire returns an idle connection to an address that may still be used, or dials a new one.
 func (c *caller) acquire(address string) (*callerConn, error) {
 	c.mu.Lock()
-	for all := c.idle[address]; len(all) > 0; all = c.idle[address] {
+	for all := c.idleConns[address]; len(all) > 0; all = c.idleConns[address] {
 		cn := all[len(all)-1]
-		c.idle[address] = all[:len(all)-1]
+		c.idleConns[address] = all[:len(all)-1]
 		if time.Since(cn.used) < clientIdleTimeout {
 			c.mu.Unlock()
 			return cn, nil
@@ -221,7 +221,7 @@
 	cn.used = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle[address] = append(c.idle[address], cn)
+	c.idleConns[address] = append(c.idleConns[address], cn)
 }
 
 // figures adds the percentiles of each way, in seconds; each name begins with prefix.
--- a/internal/lab/scale/pairs_fit.go
+++ b/internal/lab/scale/pairs_fit.go
@@ -15,8 +15,9 @@
 // 1/n.
 var pairForms = append(slices.Clone(forms[1:3]), form{"1/n", func(n float64) float64 { return 1 / n }})
 
-// maxProductChance is the greatest probability at which a product counts that chance alone makes it appear:
-// in one of twenty tables, each of which is tried in all pairs of forms.
+// maxProductChance bounds the probability that chance alone makes a product appear; above it the product does
+// not count. It allows a false product in one of twenty tables, each of which is tried in all nine pairs of
+// forms.
 const maxProductChance = 0.05 / 9
 
 // PairFit is a cost by two sizes a and b: the sum of terms of 1, a, b and a*b, each size in its form.
--- a/internal/lab/scale/rack.go
+++ b/internal/lab/scale/rack.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// rack stops the renewals of the first lost backends. All entries have leases, as those that may expire at
-// once are a share of the leased entries.
+// rack ends the renewals of as many backends as lost says. All entries have leases, as those that may
+// expire at once are a share of the leased entries.
 func (r rig) rack(ctx context.Context, lost int, ttl time.Duration) (map[string]float64, error) {
 	if err := concurrently(ctx, 0, lost, registerEntry(r.k, ttl)); err != nil {
 		return nil, err
--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -24,7 +24,7 @@
 	Commit  string `json:"commit"` // commit of the programs that were measured
 	Command string `json:"command"`
 	Cores   int    `json:"cores"`
-	// Load is the machine's load average over a minute: the least and the most at the begins and ends of runs.
+	// Load is the machine's load average over a minute: the least and the most at the starts and ends of runs.
 	Load   [2]float64 `json:"load"`
 	Points []Point    `json:"points"`
 }
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -28,7 +28,7 @@
 	controls []string      // control addresses of the nodes
 	extra    *process.Proc // process of the hollow nodes that are not measured
 	files    []string      // files of the nodes' cached lists
-	parts    bool
+	subsets  bool
 	View     bool // whether the nodes have a view of the fleet
 }
 
@@ -52,7 +52,7 @@
 			return err
 		}
 		defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), parts: n.Parts, View: n.View}
+		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), subsets: n.Parts, View: n.View}
 		var free func()
 		controls, free, err := n.configure(dir, size.Nodes+n.extra.nodes, set.All[0].Address())
 		defer free()
--- a/internal/lab/scale/settled.go
+++ b/internal/lab/scale/settled.go
@@ -19,7 +19,7 @@
 // awaitEndpoints waits until the list of every node has exactly the named servers. A node that follows a
 // subset of the list needs to have only the servers of its subset.
 func (r rig) awaitEndpoints(ctx context.Context, names []string) error {
-	if !r.parts {
+	if !r.subsets {
 		return r.awaitStat(ctx, "discovered", len(names))
 	}
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
--- a/internal/lab/scale/sides.go
+++ b/internal/lab/scale/sides.go
@@ -16,7 +16,7 @@
 	}{
 		{"module", "backends", "decisions alone, told of 4,300 nodes", nodesOfPlan, []int{200, 2000, 20000, 54000},
 			[][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
-		{"real", "backends", "a real node's process", nodeFew, []int{200, 2000, 20000, 54000},
+		{"real", "backends", "a real node's process", tenNodes, []int{200, 2000, 20000, 54000},
 			[][2]string{
 				{"rest_cores", "cores"}, {"change_cpu_s", "s"},
 				{"change_bytes_out", "bytes"}, {"memory_bytes", "bytes"},
--- a/internal/lab/scale/tables.go
+++ b/internal/lab/scale/tables.go
@@ -127,7 +127,7 @@
 	if l.Command == "" {
 		return text + " (the plan's number)"
 	}
-	return text + " (" + c.on.String() + ")"
+	return text + " (" + c.grounds.String() + ")"
 }
 
 // boundsTable is the table of the bounds that are reached between today's size and the plan, with both
@@ -157,7 +157,7 @@
 			if w.limit != "" {
 				kind = "a constant"
 			}
-			basis := w.on.String()
+			basis := w.grounds.String()
 			if w.Command == "" {
 				basis = "the plan's number"
 			}
@@ -200,8 +200,9 @@
 			[]string{"rest_cores", "change_s"}},
 		{"module", "placements", map[string]int{"backends": 2000, "nodes": 300},
 			[]string{"rest_cores", "change_s", "memory_bytes"}},
-		{"real", "backends", nodeFew, []string{"rest_cores", "change_cpu_s", "memory_bytes"}},
-		{"hollow", "backends", nodeFew, []string{"rest_cores", "change_cpu_s", "change_bytes_out", "memory_bytes"}},
+		{"real", "backends", tenNodes, []string{"rest_cores", "change_cpu_s", "memory_bytes"}},
+		{"hollow", "backends", tenNodes,
+			[]string{"rest_cores", "change_cpu_s", "change_bytes_out", "memory_bytes"}},
 		{"watchers", "watchers", nil, []string{
 			"rest_cores", "change_cpu_s", "change_bytes", "memory_bytes",
 			"most99_s", "last_worst_s", "watcher_change_bytes_in", "watcher_change_bytes_out",
@@ -210,7 +211,7 @@
 		{"renewals", "renewals", nil, []string{"cores"}},
 		{"view", "members", nil,
 			[]string{"datagrams_per_s", "datagram_bytes_per_s", "all_joined_s", "one_dies_s", "heal_s"}},
-		{"zone", "backends", nodeFew, []string{"settled_s", "node_cpu_s", "node_bytes_in"}},
+		{"zone", "backends", tenNodes, []string{"settled_s", "node_cpu_s", "node_bytes_in"}},
 		{"apart", "members", nil, []string{"heal_s"}},
 		{"holders", "nodes", nil,
 			[]string{"holder_cores", "holder_peak_cores", "holder_bytes_in", "holder_bytes_out"}},
--- a/internal/lab/scale/walls.go
+++ b/internal/lab/scale/walls.go
@@ -13,7 +13,7 @@
 	factor   float64
 	fullCost float64 // the cost at the plan's size
 	bound    float64
-	on       grounds // of the cost, at factor
+	grounds  grounds // of the cost, at factor
 }
 
 // reachedBounds finds the bounds that are reached between today's size and the plan, the nearest first, and
@@ -48,7 +48,7 @@
 	}
 	low, high := p.todayFactor(), 1.0
 	if cost, on := at(low); cost > w.bound {
-		w.on = on
+		w.grounds = on
 		return w, true, err
 	}
 	for high-low > 1e-4*low {
@@ -60,14 +60,14 @@
 		}
 	}
 	w.factor = low
-	_, w.on = at(low)
+	_, w.grounds = at(low)
 	return w, true, err
 }
 
 // cell is a cost on the page for one label.
 type cell struct {
 	value, bound float64
-	on           grounds
+	grounds      grounds
 	err          error
 }
 
@@ -75,7 +75,7 @@
 	if c.bound, c.err = l.bound(m, p); c.err != nil {
 		return c
 	}
-	c.value, c.on, c.err = l.cost(m, p)
+	c.value, c.grounds, c.err = l.cost(m, p)
 	return c
 }
 
