--- a/cmd/wrenspread-lab/commands.go
+++ b/cmd/wrenspread-lab/commands.go
@@ -129,7 +129,7 @@
 			}
 			besteffort.Encode(table.Flush())
 			besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "\nfaults:"))
-			for _, a := range spec.Acts() {
+			for _, a := range spec.FaultDescriptions() {
 				besteffort.Output(fmt.Fprintln(c.OutOrStdout(), "  "+a))
 			}
 			return nil
@@ -264,7 +264,7 @@
 		Example: "  wrenspread-lab boxes --draw 1000",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return measure.WriteBoxes(c.OutOrStdout(), measure.Boxes(draws))
+			return measure.WriteBackends(c.OutOrStdout(), measure.Backends(draws))
 		},
 	}
 	c.Flags().IntVar(&draws, "draw", draws, "how many boxes to draw")
--- a/cmd/wrenspread-lab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -25,7 +25,7 @@
 	firstSeed      uint64
 	runs, parallel int
 	replicas       int
-	workerGroup    leases.CrewOptions
+	workerGroup    leases.PoolOptions
 	length         time.Duration
 	outDir, binDir string
 	guard          string // whether the resource checks fencing tokens: yes, no or by-seed
@@ -52,7 +52,7 @@
 	c.Flags().IntVar(&f.workerGroup.Workers, "workers", 3, "processes")
 	c.Flags().IntVar(&f.workerGroup.Duties, "duties", 2, "that all of them want")
 	c.Flags().DurationVar(&f.workerGroup.TTL, "ttl", time.Second, "of their sessions")
-	c.Flags().DurationVar(&f.workerGroup.Deaf, "deaf", 0,
+	c.Flags().DurationVar(&f.workerGroup.OverrunAfterLoss, "deaf", 0,
 		"a broken stand-in: work goes on for so long after it is told to stop")
 	c.Flags().StringVar(&f.guard, "guard", "by-seed", "does the resource check fences: yes, no or by-seed")
 	c.Flags().DurationVar(&f.length, "length", 8*time.Second, "of each run's faults")
@@ -82,7 +82,7 @@
 	return series{"duties", f.firstSeed, f.runs, f.parallel}.play(c, func(seed uint64) (outcome, error) {
 		o, err := f.playSeed(c.Context(), program, seed)
 		grants.Add(int64(o.Grants))
-		return outcome{o.Line(), len(o.Broken) > 0, o.Unsure}, err
+		return outcome{o.Line(), len(o.Broken) > 0, o.Inconclusive}, err
 	}, func(t tally, unplayed int) string {
 		return fmt.Sprintf(
 			"%d runs of %v, %d passed, %d broken, %d not played or not decided, %d grants",
@@ -115,12 +115,12 @@
 	return leases.Play(
 		ctx,
 		leases.Options{
-			Crew:     workerGroup,
-			Seed:     seed,
-			Replicas: f.replicas,
-			Length:   f.length,
-			Dir:      dir,
-			List:     []string{program},
+			Pool:           workerGroup,
+			Seed:           seed,
+			Replicas:       f.replicas,
+			Length:         f.length,
+			Dir:            dir,
+			ReplicaCommand: []string{program},
 		},
 	)
 }
@@ -151,11 +151,11 @@
 			}
 			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
 			o := leases.Options{
-				Seed:     1,
-				Replicas: 3,
-				Dir:      dir,
-				List:     []string{program},
-				Crew:     leases.CrewOptions{Workers: 3, TTL: time.Second, Command: []string{executable, "duty-worker"}},
+				Seed:           1,
+				Replicas:       3,
+				Dir:            dir,
+				ReplicaCommand: []string{program},
+				Pool:           leases.PoolOptions{Workers: 3, TTL: time.Second, Command: []string{executable, "duty-worker"}},
 			}
 			if err := writeDutyCosts(c.Context(), c.OutOrStdout(), o, times); err != nil {
 				return unplayedError{err}
@@ -203,7 +203,7 @@
 						time.Millisecond,
 					),
 					gaps[len(gaps)-1].Round(time.Millisecond),
-					leases.Bound(kind, o.Crew.TTL, labElectionTimeout),
+					leases.Bound(kind, o.Pool.TTL, labElectionTimeout),
 				),
 			)
 			return nil
@@ -233,7 +233,7 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	o.Crew.Workers = 10
+	o.Pool.Workers = 10
 	for _, n := range []int{10, 100, 1000} {
 		o.Dir = filepath.Join(parentDir, fmt.Sprint(n))
 		costs, err := leases.Costs(ctx, o, n)
@@ -245,9 +245,9 @@
 				w,
 				"%4d duties in 10 processes: held after %v, %d to %d by each; workers take %v of processor a second in all, replicas %v\n",
 				costs.Duties,
-				costs.Settled.Round(10*time.Millisecond),
-				costs.Held[0],
-				costs.Held[len(costs.Held)-1],
+				costs.SettleTime.Round(10*time.Millisecond),
+				costs.LeasesPerWorker[0],
+				costs.LeasesPerWorker[len(costs.LeasesPerWorker)-1],
 				costs.Workers.Round(100*time.Microsecond),
 				costs.Replicas.Round(100*time.Microsecond),
 			),
@@ -266,7 +266,7 @@
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
-			o.List, o.Duties = strings.Split(addresses, ","), strings.Split(names, ",")
+			o.RegistryAddresses, o.Duties = strings.Split(addresses, ","), strings.Split(names, ",")
 			return leases.Work(c.Context(), o, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		},
 	}
@@ -275,9 +275,9 @@
 	c.Flags().StringVar(&o.Resource, "resource", "", "what it acts on")
 	c.Flags().StringVar(&names, "duties", "", "those it wants")
 	c.Flags().DurationVar(&o.TTL, "ttl", time.Second, "of its session")
-	c.Flags().DurationVar(&o.Every, "every", 4*time.Millisecond, "between two acts on one duty")
+	c.Flags().DurationVar(&o.ActInterval, "every", 4*time.Millisecond, "between two acts on one duty")
 	c.Flags().StringVar(&o.Log, "log", "acts.jsonl", "its history")
 	c.Flags().BoolVar(&o.Spread, "spread", false, "duties are shared out evenly")
-	c.Flags().DurationVar(&o.Deaf, "deaf", 0, "work goes on for so long after it is told to stop")
+	c.Flags().DurationVar(&o.OverrunAfterLoss, "deaf", 0, "work goes on for so long after it is told to stop")
 	return c
 }
--- a/cmd/wrenspread-lab/duties_test.go
+++ b/cmd/wrenspread-lab/duties_test.go
@@ -56,13 +56,13 @@
 
 // playLeaseRun plays one run of 6 s with three workers, two leases and three replicas, all in processes of
 // this test's own binary.
-func playLeaseRun(t *testing.T, seed uint64, workerGroup leases.CrewOptions) leases.Outcome {
+func playLeaseRun(t *testing.T, seed uint64, workerGroup leases.PoolOptions) leases.Outcome {
 	t.Helper()
 	workerGroup.Workers, workerGroup.Duties, workerGroup.TTL, workerGroup.Command =
 		3, 2, time.Second, []string{os.Args[0], "duty-worker"}
-	o, err := leases.Play(context.Background(), leases.Options{Crew: workerGroup, Seed: seed, Replicas: 3,
+	o, err := leases.Play(context.Background(), leases.Options{Pool: workerGroup, Seed: seed, Replicas: 3,
 		Length: 6 * time.Second, Dir: t.TempDir(),
-		List: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"}})
+		ReplicaCommand: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 // resource checks fencing tokens (seed 2) and where only time separates the holders (seed 1).
 func TestOneProcessHoldsALeaseWithAndWithoutFencing(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		o := playLeaseRun(t, seed, leases.CrewOptions{Guarded: seed%2 == 0})
+		o := playLeaseRun(t, seed, leases.PoolOptions{Guarded: seed%2 == 0})
 		for _, b := range o.Broken {
 			t.Error(b)
 		}
@@ -89,7 +89,7 @@
 // runs.
 func TestCheckFindsWorkersThatActAfterTheirLeaseEnded(t *testing.T) {
 	for seed := uint64(17); seed < 26; seed++ {
-		o := playLeaseRun(t, seed, leases.CrewOptions{Deaf: 3 * time.Second})
+		o := playLeaseRun(t, seed, leases.PoolOptions{OverrunAfterLoss: 3 * time.Second})
 		if slices.ContainsFunc(o.Broken, func(b string) bool { return strings.Contains(b, "writes under fence") }) {
 			return
 		}
--- a/cmd/wrenspread-lab/main.go
+++ b/cmd/wrenspread-lab/main.go
@@ -39,7 +39,7 @@
 		os.Exit(int(report.Fail))
 	default:
 		fmt.Fprintln(os.Stderr, "wrenspread-lab:", err)
-		os.Exit(int(report.Unplayed))
+		os.Exit(int(report.Void))
 	}
 }
 
--- a/cmd/wrenspread-lab/play.go
+++ b/cmd/wrenspread-lab/play.go
@@ -42,14 +42,14 @@
 	run, err := fleet.Play(
 		ctx,
 		fleet.Options{
-			Experiment: e,
-			Seed:       seed,
-			Dir:        dir,
-			Node:       []string{p.proxyPath},
-			List:       []string{p.registryPath},
-			Keeper:     []string{p.controllerPath},
-			Ctl:        []string{p.ctlPath},
-			Follow:     display.observe,
+			Experiment:        e,
+			Seed:              seed,
+			Dir:               dir,
+			NodeCommand:       []string{p.proxyPath},
+			ReplicaCommand:    []string{p.registryPath},
+			ControllerCommand: []string{p.controllerPath},
+			CtlCommand:        []string{p.ctlPath},
+			Follow:            display.observe,
 		},
 	)
 	display.stop()
@@ -57,11 +57,11 @@
 		besteffort.Output(
 			fmt.Fprintf(p.results, "VOID %s: seed %d, could not be played: %s\n", e.Name, seed, joinErrorLines(err)),
 		)
-		return report.Unplayed, unplayedError{fmt.Errorf("%s: %w", e.Name, err)}
+		return report.Void, unplayedError{fmt.Errorf("%s: %w", e.Name, err)}
 	}
 	page, err := run.Write(dir)
 	if err != nil {
-		return report.Unplayed, unplayedError{err}
+		return report.Void, unplayedError{err}
 	}
 	besteffort.Output(fmt.Fprintf(p.progress, "report: %s\n", page))
 	if run.Late != "" {
@@ -77,7 +77,7 @@
 }
 
 // resultWords are the words with which a result line begins.
-var resultWords = map[report.Result]string{report.Pass: "PASS", report.Fail: "FAIL", report.Unplayed: "VOID"}
+var resultWords = map[report.Result]string{report.Pass: "PASS", report.Fail: "FAIL", report.Void: "VOID"}
 
 // joinErrorLines returns the text of err on one line, its lines joined with semicolons.
 func joinErrorLines(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
@@ -95,7 +95,7 @@
 				return unplayedError{ctx.Err()}
 			}
 			counts[result]++
-			if result == report.Fail || (result == report.Unplayed && worst == report.Pass) {
+			if result == report.Fail || (result == report.Void && worst == report.Pass) {
 				worst = result
 			}
 			if err != nil {
@@ -117,7 +117,7 @@
 				runs,
 				counts[report.Pass],
 				counts[report.Fail],
-				counts[report.Unplayed],
+				counts[report.Void],
 			),
 		)
 	}
@@ -126,7 +126,7 @@
 		return errRuleBroken
 	case len(errs) > 0:
 		return unplayedError{errors.Join(errs...)}
-	case worst == report.Unplayed:
+	case worst == report.Void:
 		return unplayedError{errors.New("the machine was too late for the run to count")}
 	}
 	return nil
--- a/cmd/wrenspread-lab/quorum.go
+++ b/cmd/wrenspread-lab/quorum.go
@@ -65,7 +65,7 @@
 	defer removeProgram()
 	return series{"quorum", f.firstSeed, f.runs, f.parallel}.play(c, func(seed uint64) (outcome, error) {
 		o, err := f.playSeed(c.Context(), program, seed)
-		return outcome{o.Line(), len(o.Broken) > 0, o.Unsure}, err
+		return outcome{o.Line(), len(o.Broken) > 0, o.Inconclusive}, err
 	}, func(t tally, unplayed int) string {
 		return fmt.Sprintf(
 			"%d runs of %v with %d replicas, %d passed, %d broken, %d not decided, %d not played",
@@ -190,7 +190,7 @@
 func writeRegistryCostsBySize(ctx context.Context, w io.Writer, o quorum.Options, parentDir string) error {
 	optionsIn := func(name string) quorum.Options { o := o; o.Dir = filepath.Join(parentDir, name); return o }
 	for _, entries := range []int{100, 1000, 10000} {
-		costs, err := quorum.Sized(ctx, optionsIn(fmt.Sprint("size", entries)), entries)
+		costs, err := quorum.MeasureSize(ctx, optionsIn(fmt.Sprint("size", entries)), entries)
 		if err != nil {
 			return fmt.Errorf("%d entries: %w", entries, err)
 		}
@@ -210,7 +210,7 @@
 		)
 	}
 	for _, callers := range []int{1, 10, 100} {
-		rates, err := quorum.Rated(ctx, optionsIn(fmt.Sprint("rate", callers)), callers)
+		rates, err := quorum.MeasureRates(ctx, optionsIn(fmt.Sprint("rate", callers)), callers)
 		if err != nil {
 			return fmt.Errorf("%d callers: %w", callers, err)
 		}
--- a/cmd/wrenspread-lab/scale_harm.go
+++ b/cmd/wrenspread-lab/scale_harm.go
@@ -56,12 +56,12 @@
 						return fleet.Play(
 							ctx,
 							fleet.Options{
-								Experiment: e,
-								Seed:       seed,
-								Dir:        runDir,
-								Node:       []string{p.proxyPath},
-								List:       []string{p.registryPath},
-								Keeper:     []string{p.controllerPath},
+								Experiment:        e,
+								Seed:              seed,
+								Dir:               runDir,
+								NodeCommand:       []string{p.proxyPath},
+								ReplicaCommand:    []string{p.registryPath},
+								ControllerCommand: []string{p.controllerPath},
 							},
 						)
 					},
--- a/cmd/wrenspread-lab/scale_latency.go
+++ b/cmd/wrenspread-lab/scale_latency.go
@@ -35,12 +35,12 @@
 			}
 			defer removeProxy()
 			latency.Lists, latency.Node = scale.Lists{
-				Run:     f.run,
-				Dir:     dir,
-				Program: []string{registryPath},
-				Parts:   f.followParts,
-				Rest:    f.restLength,
-				Say:     pointPrinter(c),
+				Run:      f.run,
+				Dir:      dir,
+				Program:  []string{registryPath},
+				Subsets:  f.followParts,
+				RestTime: f.restLength,
+				Report:   pointPrinter(c),
 			}, []string{
 				proxyPath,
 			}
--- a/cmd/wrenspread-lab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -28,12 +28,12 @@
 		measure(
 			c.Context(),
 			&scale.Lists{
-				Run:     f.run,
-				Dir:     dir,
-				Program: []string{program},
-				Parts:   f.followParts,
-				Rest:    f.restLength,
-				Say:     pointPrinter(c),
+				Run:      f.run,
+				Dir:      dir,
+				Program:  []string{program},
+				Subsets:  f.followParts,
+				RestTime: f.restLength,
+				Report:   pointPrinter(c),
 			},
 		),
 	)
@@ -138,7 +138,7 @@
 		"members",
 		"the view of the fleet once its halves were apart, with changes on both sides, in the simulator",
 		[]int{30, 100, 300},
-		scale.Apart(&cutLength),
+		scale.Partition(&cutLength),
 	)
 	c.Flags().DurationVar(&cutLength, "cut", cutLength, "for which they are apart, on the simulator's clock")
 	return c
--- a/cmd/wrenspread-lab/scale_nodes.go
+++ b/cmd/wrenspread-lab/scale_nodes.go
@@ -61,12 +61,12 @@
 				measurement.Start = []string{proxyPath}
 			}
 			measurement.Lists, measurement.Kind = scale.Lists{
-				Run:     f.run,
-				Dir:     dir,
-				Program: []string{registryPath},
-				Parts:   f.followParts,
-				Rest:    f.restLength,
-				Say:     pointPrinter(c),
+				Run:      f.run,
+				Dir:      dir,
+				Program:  []string{registryPath},
+				Subsets:  f.followParts,
+				RestTime: f.restLength,
+				Report:   pointPrinter(c),
 			}, kind
 			var sizes []scale.Sizes
 			for _, m := range nodes {
@@ -101,7 +101,7 @@
 	c.Flags().DurationVar(&rollLength, "last", time.Minute, "of a roll")
 	c.Flags().BoolVar(&measurement.View, "view", true, "they keep the view of the fleet")
 	c.Flags().IntVar(&measurement.Watchers, "watchers", 0, "further hollow clients at the replica")
-	c.Flags().IntVar(&measurement.Told, "told", 4300, "how many nodes they are told that there are, at least")
+	c.Flags().IntVar(&measurement.NotifiedNodes, "told", 4300, "how many nodes they are told that there are, at least")
 	return c
 }
 
@@ -141,7 +141,7 @@
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM)
 			defer stop()
-			return scale.Beside(ctx, args[0], first, nodes, every)
+			return scale.RestartingHollow(ctx, args[0], first, nodes, every)
 		},
 	}
 }
--- a/cmd/wrenspread-lab/scale_pairs.go
+++ b/cmd/wrenspread-lab/scale_pairs.go
@@ -54,7 +54,7 @@
 		"different rules of placement; a node takes 128 from tenants")
 	c.Flags().BoolVar(&pairs.View, "view", true,
 		"they keep the view of the fleet, where backends are the other size")
-	c.Flags().IntVar(&pairs.Told, "told", 4300,
+	c.Flags().IntVar(&pairs.NotifiedNodes, "told", 4300,
 		"how many nodes they are told that there are, at least, where backends are the other size")
 	return c
 }
--- a/cmd/wrenspread-lab/scale_test.go
+++ b/cmd/wrenspread-lab/scale_test.go
@@ -14,7 +14,7 @@
 	return scale.Lists{Run: scale.Run{Dir: t.TempDir(), Label: scale.Before, Commit: "test", Repeat: 1},
 		Dir:     t.TempDir(),
 		Program: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"},
-		Rest: time.Second, Say: func(p scale.Point) { t.Log(p) }}
+		RestTime: time.Second, Report: func(p scale.Point) { t.Log(p) }}
 }
 
 // recordedMedians returns the median of a figure at each point of the only record.
@@ -57,7 +57,7 @@
 	bytes := map[bool]float64{}
 	for _, parts := range []bool{false, true} {
 		l := registryMeasurement(t)
-		l.Parts = parts
+		l.Subsets = parts
 		if err := l.Watchers(t.Context(), []int{10}, 3000); err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 func TestHollowNodesFollowRegistryAndEachOther(t *testing.T) {
 	const backends = 50
 	n := scale.Nodes{Lists: registryMeasurement(t), Kind: "hollow",
-		Start: []string{os.Args[0], "scale", "hollow"}, View: true, Told: 100}
+		Start: []string{os.Args[0], "scale", "hollow"}, View: true, NotifiedNodes: 100}
 	if err := n.Measure(t.Context(), []scale.Sizes{{Nodes: 4, Backends: backends}}); err != nil {
 		t.Fatal(err)
 	}
@@ -112,8 +112,8 @@
 		}, 2 * 10},
 	} {
 		n := scale.Nodes{Lists: registryMeasurement(t), Kind: "hollow",
-			Start: []string{os.Args[0], "scale", "hollow"}, View: true, Told: 100}
-		n.Parts = true
+			Start: []string{os.Args[0], "scale", "hollow"}, View: true, NotifiedNodes: 100}
+		n.Subsets = true
 		if err := fault.play(&n); err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
--- a/cmd/wrenspread-lab/series.go
+++ b/cmd/wrenspread-lab/series.go
@@ -65,7 +65,7 @@
 	if counts.broken > 0 {
 		worst = report.Fail
 	} else if counts.passed < s.runs {
-		worst = report.Unplayed
+		worst = report.Void
 	}
 	besteffort.Output(
 		fmt.Fprintf(
--- a/cmd/wrenspread-lab/sim.go
+++ b/cmd/wrenspread-lab/sim.go
@@ -119,24 +119,24 @@
 	count int,
 ) (settleTimes []time.Duration, broken int, err error) {
 	var mu sync.Mutex // guards the results and the output
-	opts := membership.Options{Nodes: f.nodes, Took: func(d time.Duration) {
+	opts := membership.Options{Nodes: f.nodes, OnSettled: func(d time.Duration) {
 		mu.Lock()
 		settleTimes = append(settleTimes, d)
 		mu.Unlock()
 	}}
 	explainer := playsByName[name](membership.Options{Nodes: f.nodes})
-	err = playsByName[name](opts).Series(c.Context(), seed, count, f.parallel, func(p sim.Played) {
-		if p.Broken == nil {
+	err = playsByName[name](opts).Series(c.Context(), seed, count, f.parallel, func(p sim.ScheduleResult) {
+		if p.Violation == nil {
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if broken++; broken > maxExplained {
-			besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: seed %d: %v\n", name, p.Seed, p.Broken))
+			besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: seed %d: %v\n", name, p.Seed, p.Violation))
 			return
 		}
 		besteffort.Output(fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", name,
-			explainer.Explain(p.Seed, p.Faults, p.Broken)))
+			explainer.Explain(p.Seed, p.Faults, p.Violation)))
 	})
 	slices.Sort(settleTimes)
 	return settleTimes, broken, err
@@ -162,7 +162,7 @@
 were cut off. False deaths are of running nodes in anybody's view, a node and hour. 1,000 nodes take 2 minutes of one processor and 0.8 GB, 3,000 nine times as much.`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if growth.Hours < 0 ||
+			if growth.NodeHours < 0 ||
 				slices.ContainsFunc(slices.Concat(sizes, rivals), func(n int) bool { return n < 2 || n > 5000 }) ||
 				slices.ContainsFunc(growth.Losses, func(l float64) bool { return l < 0 || l >= 1 }) {
 				return unplayedError{errors.New(
@@ -175,7 +175,7 @@
 	c.Flags().IntSliceVar(&rivals, "rival", []int{3, 30, 100}, "sizes of the rival's fleet")
 	c.Flags().Float64SliceVar(&growth.Losses, "losses", []float64{0, 0.1, 0.2, 0.3},
 		"at which false deaths are counted")
-	c.Flags().Float64Var(&growth.Hours, "hours", 10, "node hours of counting, at each loss")
+	c.Flags().Float64Var(&growth.NodeHours, "hours", 10, "node hours of counting, at each loss")
 	c.Flags().Uint64Var(&growth.Seed, "seed", 1, "of all draws")
 	return c
 }
@@ -218,13 +218,13 @@
 					"%-6s %6d  %12.1f %12.0f  %10v %10v %10v %10v  %s\n",
 					name,
 					costs.Nodes,
-					costs.Sent,
-					costs.Bytes,
+					costs.DatagramsPerSecond,
+					costs.BytesPerSecond,
 					costs.Joined,
 					costs.Join,
 					costs.Death,
 					costs.Heal,
-					formatRates(costs.False),
+					formatRates(costs.FalseDeaths),
 				),
 			)
 		}
--- a/cmd/wrenspread-proxy/fleet_test.go
+++ b/cmd/wrenspread-proxy/fleet_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	run, err := fleet.Play(context.Background(), fleet.Options{Experiment: experiment, Seed: 11, Dir: t.TempDir(),
-		Node: []string{os.Args[0]}, Env: []string{"WRENSPREAD_PROXY_AS_PROGRAM=1"}})
+		NodeCommand: []string{os.Args[0]}, Env: []string{"WRENSPREAD_PROXY_AS_PROGRAM=1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -76,7 +76,7 @@
 	}
 	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
 		_ = p.Run(ctx, tenant.LeaseName, func(ctx context.Context, fence lease.Token) error {
-			c := tenant.Controller{Store: &tenant.Records{Registry: k, Token: fence}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler), HashTree: hashTree}
+			c := tenant.Controller{Store: &tenant.RecordStore{Registry: k, Token: fence}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler), HashTree: hashTree}
 			return c.Run(ctx)
 		})
 		return p.Close(time.Second)
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -102,13 +102,13 @@
 
 // knownNames reads the names that a policy may use from a proxy's configuration or a file of names. With an
 // empty path it returns no names, and the compiler then checks none.
-func knownNames(path string) (policy.Known, error) {
+func knownNames(path string) (policy.KnownNames, error) {
 	if path == "" {
-		return policy.Known{}, nil
+		return policy.KnownNames{}, nil
 	}
 	data, err := readBounded(path, 16<<20)
 	if err != nil {
-		return policy.Known{}, err
+		return policy.KnownNames{}, err
 	}
 	var names struct {
 		Settings json.RawMessage `json:"settings"`
@@ -122,16 +122,16 @@
 		} `json:"classes"`
 	}
 	if err := json.Unmarshal(data, &names); err != nil {
-		return policy.Known{}, fmt.Errorf("%s: %w", path, err)
+		return policy.KnownNames{}, fmt.Errorf("%s: %w", path, err)
 	}
 	if names.Settings != nil {
 		s, err := simwire.DecodeSettings(names.Settings)
 		if err != nil {
-			return policy.Known{}, fmt.Errorf("%s: settings: %w", path, err)
+			return policy.KnownNames{}, fmt.Errorf("%s: settings: %w", path, err)
 		}
-		return policy.KnownOf(s), nil
+		return policy.KnownNamesOf(s), nil
 	}
-	k := policy.Known{Sites: names.Sites, Tenants: names.Books, Cells: names.Pods}
+	k := policy.KnownNames{Sites: names.Sites, Tenants: names.Books, Cells: names.Pods}
 	for _, c := range names.Classes {
 		k.Classes = append(
 			k.Classes,
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -104,7 +104,7 @@
 // loadPlan reads and checks a plan, and returns the state of its release before the start, with the servers
 // or proxies that are registered at present.
 func loadPlan(ctx context.Context, k *client.Client, path string) (*release.State, error) {
-	plan := release.Default()
+	plan := release.DefaultPlan()
 	if err := config.File(&plan, path); err != nil {
 		return nil, err
 	}
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -255,7 +255,7 @@
 			}
 			err = session.Run(c.Context(), tenant.LeaseName, func(ctx context.Context, token lease.Token) error {
 				controller := tenant.Controller{
-					Store:       &tenant.Records{Registry: k, Token: token},
+					Store:       &tenant.RecordStore{Registry: k, Token: token},
 					Environment: tenant.RegistryEnvironment{Registry: k},
 					Interval:    pollInterval,
 					Times:       tenant.DefaultTimes(),
--- a/cmd/wrenspreadctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -67,7 +67,7 @@
 			d.mu.Lock()
 			d.catalogue = a.Catalogue
 			d.mu.Unlock()
-		case tenant.TellStatus:
+		case tenant.ReportStatus:
 			s.Info.Note = a.Status.Encode()
 			_ = k.OpenSession(ctx, *s) // on an error the cache reports its status again later
 		}
@@ -106,7 +106,7 @@
 				return err
 			}
 			_ = p.Run(ctx, tenant.LeaseName, func(ctx context.Context, f lease.Token) error {
-				c := tenant.Controller{Store: &tenant.Records{Registry: k, Token: f}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
+				c := tenant.Controller{Store: &tenant.RecordStore{Registry: k, Token: f}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler)}
 				return c.Run(ctx)
 			})
 			return p.Close(time.Second)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -61,13 +61,13 @@
 		}
 		return "nothing"
 	}
-	caller := Caller{HTTP: http.DefaultClient}
+	caller := Client{HTTP: http.DefaultClient}
 	status := func() Status {
 		s, _ := caller.Status(ctx, c.Listen, "s") // the zero Status while the agent is not running
 		return s
 	}
 	order := func(o DesiredState, fence uint64) error {
-		_, err := caller.Order(ctx, c.Listen, "s", o, registry.FencingToken{Lease: "release/x", Number: fence})
+		_, err := caller.SetDesiredState(ctx, c.Listen, "s", o, registry.FencingToken{Lease: "release/x", Number: fence})
 		return err
 	}
 	stop := startAgent()
@@ -149,14 +149,14 @@
 	c := Default()
 	address := labtest.Address(t)
 	c.Machine, c.Listen, c.Registry, c.Folder = "m", labtest.Address(t), []string{"127.0.0.1:1"}, t.TempDir()
-	c.Servers = []Server{{Name: "n", Address: address, Version: "v1", Ready: "/", Grace: 5 * time.Second, Handover: true, Unlisted: true, Control: []string{labtest.Address(t), labtest.Address(t)},
+	c.Servers = []Server{{Name: "n", Address: address, Version: "v1", Ready: "/", Grace: 5 * time.Second, Handoff: true, Unlisted: true, Control: []string{labtest.Address(t), labtest.Address(t)},
 		Command: []string{"/usr/bin/env", "AGENT_TEST_VERSION={version}", os.Args[0]}}}
 	if err := c.Check(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
-	caller := Caller{HTTP: http.DefaultClient}
+	caller := Client{HTTP: http.DefaultClient}
 	status := func() Status {
 		s, _ := caller.Status(ctx, c.Listen, "n")
 		return s
@@ -165,7 +165,7 @@
 	order := func(version string) {
 		t.Helper()
 		fence++
-		if _, err := caller.Order(ctx, c.Listen, "n", DesiredState{Version: version}, registry.FencingToken{Lease: "release/x", Number: fence}); err != nil {
+		if _, err := caller.SetDesiredState(ctx, c.Listen, "n", DesiredState{Version: version}, registry.FencingToken{Lease: "release/x", Number: fence}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -36,11 +36,11 @@
 	Ready string        `koanf:"ready"`
 	Grace time.Duration `koanf:"grace"` // time between SIGTERM and SIGKILL; 0: defaultGrace
 
-	// Handover is set for a server that is upgraded by handoff, such as a proxy. The agent owns the clients'
+	// Handoff is set for a server that is upgraded by handoff, such as a proxy. The agent owns the clients'
 	// socket and passes it to the server's processes as descriptor 3 ($GW_ACCEPT_FD). It starts the new version
 	// while the previous one is running, at the other of the two control addresses ($GW_CONTROL).
-	Handover bool     `koanf:"handover"`
-	Control  []string `koanf:"control"`  // control addresses, two with Handover
+	Handoff  bool     `koanf:"handover"`
+	Control  []string `koanf:"control"`  // control addresses, two with Handoff
 	Unlisted bool     `koanf:"unlisted"` // the server is not registered in the endpoint list
 }
 
@@ -94,7 +94,7 @@
 		require(s.Weight >= 0, "server %s: weight: %v is under 0", s.Name, s.Weight)
 		require(s.Grace >= 0, "server %s: grace: %v is under 0", s.Name, s.Grace)
 		require(
-			!s.Handover || len(s.Control) == 2,
+			!s.Handoff || len(s.Control) == 2,
 			"server %s: control: there are %d, want two addresses that are used in turn",
 			s.Name,
 			len(s.Control),
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -45,9 +45,9 @@
 	StartedAtMS   int64  `json:"since_ms"`        // Unix time of the process's start, in milliseconds
 	KeepDraining  bool   `json:"quiet,omitempty"` // the server is registered as draining while it is replaced
 
-	// Handover is set if a new version takes over from the running one without an interruption.
-	Handover bool   `json:"handover,omitempty"`
-	Control  string `json:"control,omitempty"` // control address of the running process, with Handover
+	// Handoff is set if a new version takes over from the running one without an interruption.
+	Handoff bool   `json:"handover,omitempty"`
+	Control string `json:"control,omitempty"` // control address of the running process, with Handoff
 	// RejectedVersion is the version that did not get ready in an upgrade. The previous version is still
 	// running.
 	RejectedVersion string `json:"refused,omitempty"`
@@ -66,20 +66,20 @@
 // agent has accepted a later token of the same lease.
 var ErrStaleToken = errors.New("agent: another holds the duty")
 
-// Caller calls the HTTP interface of agents.
-type Caller struct {
+// Client calls the HTTP interface of agents.
+type Client struct {
 	HTTP *http.Client
 }
 
 // Status returns the status of a server, as the agent at address sees it.
-func (c Caller) Status(ctx context.Context, address, server string) (Status, error) {
+func (c Client) Status(ctx context.Context, address, server string) (Status, error) {
 	var s Status
 	return s, c.call(ctx, http.MethodGet, address, server, nil, nil, &s)
 }
 
-// Order sets the desired state of a server under a fencing token, and returns the server's status. It does
-// not wait until the server has that state.
-func (c Caller) Order(
+// SetDesiredState sets the desired state of a server under a fencing token, and returns the server's status.
+// It does not wait until the server has that state.
+func (c Client) SetDesiredState(
 	ctx context.Context,
 	address, server string,
 	desired DesiredState,
@@ -91,7 +91,7 @@
 
 // call sends a request about a server to an agent, and decodes the response into result. body and token may
 // be nil.
-func (c Caller) call(
+func (c Client) call(
 	ctx context.Context,
 	method, address, server string,
 	body any,
--- a/internal/agent/readiness.go
+++ b/internal/agent/readiness.go
@@ -33,7 +33,7 @@
 // not.
 func (k *supervisor) probeReady(ctx context.Context, control int) error {
 	address := k.server.Address
-	if k.server.Handover {
+	if k.server.Handoff {
 		address = k.server.Control[control]
 	}
 	if k.server.Ready == "" {
--- a/internal/agent/startstop.go
+++ b/internal/agent/startstop.go
@@ -30,7 +30,7 @@
 	args, dir := k.server.command(version)
 	cmd := exec.Command(args[0], args[1:]...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, k.output, k.output
-	if k.server.Handover {
+	if k.server.Handoff {
 		if err := k.openSocket(running); err != nil {
 			return nil, err
 		}
@@ -53,7 +53,7 @@
 		s.Reason = "it does not answer yet"
 		s.StartedAtMS = p.StartedAtMS
 		s.RejectedVersion = ""
-		if k.server.Handover {
+		if k.server.Handoff {
 			s.Control = k.server.Control[p.ControlIndex]
 		}
 	})
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -27,7 +27,7 @@
 	output     *os.File // standard output and error of the server's processes
 	recordFile string   // path of the record of the running process
 	http       *http.Client
-	socket     *os.File // the clients' socket of a server with Handover; nil: not opened yet
+	socket     *os.File // the clients' socket of a server with Handoff; nil: not opened yet
 
 	mu      sync.Mutex
 	status  Status
@@ -51,7 +51,7 @@
 			Type:          s.Type,
 			Cell:          s.Cell,
 			Address:       s.Address,
-			Handover:      s.Handover,
+			Handoff:       s.Handoff,
 			WantedVersion: version,
 			Version:       version,
 			Reason:        "it has not been started",
@@ -150,7 +150,7 @@
 }
 
 // runProcess runs one process until it ends, either by itself or because another version is wanted, for which
-// it returns replaced. For a server with Handover, the process of the next version takes over without a
+// it returns replaced. For a server with Handoff, the process of the next version takes over without a
 // return. When ctx ends, the process is left running for the next agent.
 func (k *supervisor) runProcess(ctx context.Context, version string) (replaced bool, err error) {
 	p, err := k.adoptOrStart(version)
@@ -162,7 +162,7 @@
 	for finished := false; !finished; {
 		status, _ := k.current()
 		if status.WantedVersion != running.Version {
-			if !k.server.Handover {
+			if !k.server.Handoff {
 				running.unwatch()
 				replaced, err = true, k.stopProcess(running.process)
 				break
--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/box.go
@@ -39,8 +39,8 @@
 	Reason string
 }
 
-// Trouble is a degradation of a backend. The zero value has no effect.
-type Trouble struct {
+// Degradation is a degradation of a backend. The zero value has no effect.
+type Degradation struct {
 	Slower float64 // factor by which work is slower; 0 or 1: none
 	Hangs  bool    // accepts jobs and answers none
 	Fails  float64 // share of jobs that fails at once
@@ -48,8 +48,8 @@
 }
 
 // Merge combines two degradations. Their order makes no difference.
-func Merge(a, b Trouble) Trouble {
-	return Trouble{
+func Merge(a, b Degradation) Degradation {
+	return Degradation{
 		Slower: max(1, a.Slower) * max(1, b.Slower),
 		Hangs:  a.Hangs || b.Hangs,
 		Fails:  1 - (1-a.Fails)*(1-b.Fails),
@@ -96,7 +96,7 @@
 	cold        bool
 	workDone    float64 // work since the start, in seconds on a standard core
 	fallen      bool
-	degradation Trouble
+	degradation Degradation
 
 	pauseFrom, pauseTo time.Duration // the next pause, or the present one
 	crowdedSince       time.Duration // since when there are too many jobs; -1: there are not
@@ -344,7 +344,7 @@
 }
 
 // SetDegradation replaces the backend's degradation.
-func (b *Backend) SetDegradation(now time.Duration, t Trouble) []Action {
+func (b *Backend) SetDegradation(now time.Duration, t Degradation) []Action {
 	actions := b.advance(now, nil)
 	b.degradation = t
 	return actions
--- a/internal/lab/backend/box_test.go
+++ b/internal/lab/backend/box_test.go
@@ -67,7 +67,7 @@
 			case 0:
 				see(b.Cancel(now, rapid.Uint64Range(0, i).Draw(t, "num")))
 			case 1:
-				see(b.SetDegradation(now, Trouble{Hangs: rapid.Bool().Draw(t, "hangs"), Slower: 2, Fails: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "fails")}))
+				see(b.SetDegradation(now, Degradation{Hangs: rapid.Bool().Draw(t, "hangs"), Slower: 2, Fails: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "fails")}))
 			default:
 				work[i] = time.Duration(rapid.IntRange(1, 300).Draw(t, "work")) * time.Millisecond
 				keys[i], came[i] = rapid.SampledFrom([]string{"", "", "k"}).Draw(t, "key"), now
@@ -80,7 +80,7 @@
 		if limit := time.Duration(m.Capacity() * float64(now)); finished > limit+time.Microsecond {
 			t.Fatalf("%v of work in %v, %v at most", finished, now, limit)
 		}
-		see(b.SetDegradation(now, Trouble{}))
+		see(b.SetDegradation(now, Degradation{}))
 		see(b.Tick(now + time.Hour))
 		if !fell && b.JobCount() > 0 {
 			t.Fatalf("%d jobs never end", b.JobCount())
--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -116,7 +116,7 @@
 	id := req.Header.Get("X-Request-Id")
 	a := &attempt{id: id, box: s.machine.Name, conn: c, answer: make(chan answer, 1)}
 	op := s.host.requests.Find(id)
-	e := history.Event{Kind: history.Arrive, ID: id, Box: s.machine.Name, Node: c.node}
+	e := history.Event{Kind: history.Arrive, ID: id, Backend: s.machine.Name, Node: c.node}
 	if op == nil {
 		e.Bad = true // no client sent it
 		s.host.log.Add(e)
@@ -134,12 +134,12 @@
 	s.host.log.Add(e)
 	if req.Header.Get("Idempotency-Key") != op.Key {
 		s.host.log.Add(
-			history.Event{Kind: history.Arrive, ID: id, Box: s.machine.Name, Node: c.node, Bad: true,
+			history.Event{Kind: history.Arrive, ID: id, Backend: s.machine.Name, Node: c.node, Bad: true,
 				How: "another key"},
 		)
 	}
 	if full {
-		s.host.log.Add(history.Event{Kind: history.Turn, ID: id, Box: s.machine.Name, How: "connections"})
+		s.host.log.Add(history.Event{Kind: history.Reject, ID: id, Backend: s.machine.Name, How: "connections"})
 		return c.write(http.StatusServiceUnavailable, "too many connections", "1")
 	}
 	c.served++
@@ -154,16 +154,16 @@
 		}
 		return c.write(got.status, Body(id, s.machine.Name), "")
 	case _, more := <-c.requests:
-		s.host.log.Add(history.Event{Kind: history.Shut, ID: id, Box: s.machine.Name, Node: c.node})
+		s.host.log.Add(history.Event{Kind: history.Shut, ID: id, Backend: s.machine.Name, Node: c.node})
 		if more {
 			s.host.log.Add(
 				history.Event{
-					Kind: history.Arrive,
-					ID:   id,
-					Box:  s.machine.Name,
-					Node: c.node,
-					Bad:  true,
-					How:  "two on one connection",
+					Kind:    history.Arrive,
+					ID:      id,
+					Backend: s.machine.Name,
+					Node:    c.node,
+					Bad:     true,
+					How:     "two on one connection",
 				},
 			)
 		}
--- a/internal/lab/backendserver/host.go
+++ b/internal/lab/backendserver/host.go
@@ -16,7 +16,7 @@
 type Host struct {
 	log      *history.Log
 	net      *link.Net
-	requests *load.Book
+	requests *load.RequestIndex
 	seed     uint64
 	servers  map[string]*Server
 	tasks    sync.WaitGroup
@@ -33,7 +33,7 @@
 }
 
 // NewHost makes and starts the backends of a world.
-func NewHost(log *history.Log, net *link.Net, requests *load.Book, seed uint64,
+func NewHost(log *history.Log, net *link.Net, requests *load.RequestIndex, seed uint64,
 	w world.World) (*Host, error) {
 	h := &Host{
 		log:          log,
@@ -59,7 +59,7 @@
 		}
 		s := &Server{host: h, machine: m, Address: address, free: free, seed: seed + uint64(i)<<32,
 			pod:      h.pods[m.Pod],
-			attempts: map[uint64]*attempt{}, conns: map[*connection]bool{}, degradations: map[string]backend.Trouble{}}
+			attempts: map[uint64]*attempt{}, conns: map[*connection]bool{}, degradations: map[string]backend.Degradation{}}
 		h.servers[m.Name] = s
 		if err := s.Start(""); err != nil {
 			h.Close()
@@ -69,8 +69,8 @@
 	return h, nil
 }
 
-// Box returns the backend of that name, or nil.
-func (h *Host) Box(name string) *Server { return h.servers[name] }
+// Backend returns the backend of that name, or nil.
+func (h *Host) Backend(name string) *Server { return h.servers[name] }
 
 // Close ends all backends and waits for their goroutines.
 func (h *Host) Close() {
--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -32,7 +32,7 @@
 	timer        *time.Timer
 	attempts     map[uint64]*attempt
 	conns        map[*connection]bool
-	degradations map[string]backend.Trouble
+	degradations map[string]backend.Degradation
 }
 
 // attempt is a request that a node has sent to this backend.
@@ -66,7 +66,7 @@
 	if since != "" {
 		how = "cold"
 	}
-	s.host.log.Add(history.Event{Kind: history.Box, Box: s.machine.Name, How: how, Detail: since})
+	s.host.log.Add(history.Event{Kind: history.BackendChange, Backend: s.machine.Name, How: how, Detail: since})
 	s.backend.SetDegradation(s.host.log.Now(), s.totalDegradation())
 	s.host.tasks.Add(1)
 	go s.accept(ln)
@@ -86,7 +86,7 @@
 	if s.timer != nil {
 		s.timer.Stop()
 	}
-	s.host.log.Add(history.Event{Kind: history.Box, Box: s.machine.Name, How: "down"})
+	s.host.log.Add(history.Event{Kind: history.BackendChange, Backend: s.machine.Name, How: "down"})
 	conns := s.conns
 	s.conns, s.attempts = map[*connection]bool{}, map[uint64]*attempt{}
 	s.mu.Unlock()
@@ -96,9 +96,9 @@
 	}
 }
 
-// Suffer sets the backend's degradation of that name, or removes it if t is nil. Degradations add up. They
+// SetDegradation sets the backend's degradation of that name, or removes it if t is nil. Degradations add up. They
 // belong to the machine, so a restart does not end them.
-func (s *Server) Suffer(name string, t *backend.Trouble) {
+func (s *Server) SetDegradation(name string, t *backend.Degradation) {
 	s.mu.Lock()
 	delete(s.degradations, name)
 	if t != nil {
@@ -111,8 +111,8 @@
 }
 
 // totalDegradation returns the merged degradations. The caller holds the lock.
-func (s *Server) totalDegradation() backend.Trouble {
-	var sum backend.Trouble
+func (s *Server) totalDegradation() backend.Degradation {
+	var sum backend.Degradation
 	for _, t := range s.degradations {
 		sum = backend.Merge(sum, t)
 	}
@@ -149,7 +149,7 @@
 // apply records an action and sends the answer that it causes. The caller holds the lock.
 func (s *Server) apply(o backend.Action) {
 	if o.Kind == backend.Fell {
-		s.host.log.Add(history.Event{Kind: history.Box, Box: s.machine.Name, How: "fell"})
+		s.host.log.Add(history.Event{Kind: history.BackendChange, Backend: s.machine.Name, How: "fell"})
 		go s.Crash()
 		return
 	}
@@ -157,7 +157,7 @@
 	if a == nil {
 		return
 	}
-	e := history.Event{ID: a.id, Box: s.machine.Name, Pod: s.machine.Pod, How: o.Reason}
+	e := history.Event{ID: a.id, Backend: s.machine.Name, Pod: s.machine.Pod, How: o.Reason}
 	if op := s.host.requests.Find(a.id); op != nil {
 		e.Key, e.Op = op.Key, op.N
 	}
@@ -167,7 +167,7 @@
 	case backend.Dropped:
 		e.Kind = history.Drop
 	case backend.Rejected:
-		e.Kind = history.Turn
+		e.Kind = history.Reject
 		a.answer <- answer{503, true}
 	case backend.Done:
 		e.Kind, e.Status, e.Took = history.End, o.Status, s.host.log.Now()-a.arrived
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -167,7 +167,7 @@
 	ends := map[answerKey]bool{}
 	for _, e := range events {
 		if e.Kind == history.End && e.Status == 200 {
-			ends[answerKey{e.ID, e.Box}] = true
+			ends[answerKey{e.ID, e.Backend}] = true
 		}
 	}
 	for _, e := range events {
@@ -175,8 +175,8 @@
 			continue
 		}
 		v.Seen++
-		if !ends[answerKey{e.ID, e.Box}] {
-			v.fail(e, "%s serves an answer of box %q, which made none", e.Node, e.Box)
+		if !ends[answerKey{e.ID, e.Backend}] {
+			v.fail(e, "%s serves an answer of box %q, which made none", e.Node, e.Backend)
 		}
 	}
 	return v
@@ -198,7 +198,7 @@
 		}
 		v.Seen++
 		if first, ok := begun[e.Op]; ok {
-			v.fail(e, "operation %d begins at %s, after %s at %v", e.Op, e.Box, first.Box, first.T)
+			v.fail(e, "operation %d begins at %s, after %s at %v", e.Op, e.Backend, first.Backend, first.T)
 			continue
 		}
 		begun[e.Op] = e
@@ -220,7 +220,7 @@
 	for _, e := range events {
 		switch {
 		case e.Kind == history.Arrive:
-			sent[attempt{e.ID, e.Box}] = e.Sent
+			sent[attempt{e.ID, e.Backend}] = e.Sent
 		case e.Kind == history.Begin && e.Key != "":
 			v.Seen++
 			f, again := first[e.Key]
@@ -228,13 +228,13 @@
 				first[e.Key] = e
 				continue
 			}
-			apart := sent[attempt{e.ID, e.Box}] - sent[attempt{f.ID, f.Box}]
+			apart := sent[attempt{e.ID, e.Backend}] - sent[attempt{f.ID, f.Backend}]
 			if e.Pod != f.Pod || apart > world.KeyWindow+world.SocketSlack+slack {
 				v.fail(
 					e,
 					"the key begins at %s, after %s at %v (request %s), sent %v later",
-					e.Box,
-					f.Box,
+					e.Backend,
+					f.Backend,
 					f.T,
 					f.ID,
 					apart,
@@ -254,7 +254,7 @@
 		}
 		v.Seen++
 		if len(e.Also) > 0 {
-			v.fail(e, "%s sends it to %s while it is open at %v", e.Node, e.Box, e.Also)
+			v.fail(e, "%s sends it to %s while it is open at %v", e.Node, e.Backend, e.Also)
 		}
 	}
 	return v
@@ -272,7 +272,7 @@
 		}
 		v.Seen++
 		if e.Bad {
-			v.fail(e, "%s sends %s what no client sent so: %s", e.Node, e.Box, cmp.Or(e.How, "an unknown id"))
+			v.fail(e, "%s sends %s what no client sent so: %s", e.Node, e.Backend, cmp.Or(e.How, "an unknown id"))
 		}
 	}
 	return v
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -87,11 +87,11 @@
 	leavingSince := map[pair]time.Duration{}
 	stoppedBetween := stoppedTime(events)
 	for _, e := range events {
-		p := pair{e.Node, e.Box}
+		p := pair{e.Node, e.Backend}
 		switch {
-		case e.Kind == history.Told && e.How == "ready":
+		case e.Kind == history.Notified && e.How == "ready":
 			delete(leavingSince, p)
-		case e.Kind == history.Told:
+		case e.Kind == history.Notified:
 			v.Seen++
 			if _, ok := leavingSince[p]; !ok {
 				leavingSince[p] = e.T
@@ -101,7 +101,7 @@
 			sent := max(e.Sent, since) // a request sent before the notification may arrive late
 			if limit := world.DrainGrace + world.SocketSlack + slack; ok &&
 				sent-since-stoppedBetween(e.Node, since, sent) > limit {
-				v.fail(e, "%s sends %s work %v after it was told that it leaves", e.Node, e.Box, sent-since)
+				v.fail(e, "%s sends %s work %v after it was told that it leaves", e.Node, e.Backend, sent-since)
 			}
 		}
 	}
--- a/internal/lab/check/world.go
+++ b/internal/lab/check/world.go
@@ -23,24 +23,24 @@
 	sent := map[string][]history.Event{} // arrivals at each backend
 	for _, e := range events {
 		switch {
-		case e.Kind == history.Box && e.How == "cold":
-			lastStart[e.Box] = e.Detail
+		case e.Kind == history.BackendChange && e.How == "cold":
+			lastStart[e.Backend] = e.Detail
 			v.Seen++
-		case e.Kind == history.Told && e.How == "ready":
-			if notifiedStart[e.Box] == nil {
-				notifiedStart[e.Box] = map[string]string{}
+		case e.Kind == history.Notified && e.How == "ready":
+			if notifiedStart[e.Backend] == nil {
+				notifiedStart[e.Backend] = map[string]string{}
 			}
-			notifiedStart[e.Box][e.Node] = e.Detail
+			notifiedStart[e.Backend][e.Node] = e.Detail
 		case e.Kind == history.Arrive:
-			sent[e.Box] = append(sent[e.Box], e)
-		case e.Kind == history.Box && e.How == "fell":
+			sent[e.Backend] = append(sent[e.Backend], e)
+		case e.Kind == history.BackendChange && e.How == "fell":
 			var sum, knowing time.Duration
-			for _, a := range sent[e.Box] {
+			for _, a := range sent[e.Backend] {
 				if e.T-a.T > world.FallTime {
 					continue
 				}
 				sum += a.Took
-				if notifiedStart[e.Box][a.Node] == lastStart[e.Box] {
+				if notifiedStart[e.Backend][a.Node] == lastStart[e.Backend] {
 					knowing += a.Took
 				}
 			}
@@ -48,7 +48,7 @@
 				v.fail(
 					e,
 					"%s falls over; %v of the %v of work of the last %v came from nodes that knew",
-					e.Box,
+					e.Backend,
 					knowing,
 					sum,
 					world.FallTime,
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -27,7 +27,7 @@
 type Clients struct {
 	log         *history.Log
 	front       *Front
-	requests    *load.Book
+	requests    *load.RequestIndex
 	seed        uint64
 	connections pool
 	running     sync.WaitGroup
@@ -39,7 +39,7 @@
 }
 
 // New makes clients that choose their nodes with front.
-func New(log *history.Log, front *Front, requests *load.Book, seed uint64) *Clients {
+func New(log *history.Log, front *Front, requests *load.RequestIndex, seed uint64) *Clients {
 	c := &Clients{log: log, front: front, requests: requests, seed: seed, Late: func(time.Duration) {},
 		Disturbed: func(string) bool { return false }}
 	c.connections = pool{idle: map[string][]idleConn{}, onExtraBytes: func(cn *conn) {
@@ -115,17 +115,17 @@
 	}
 	c.log.Add(
 		history.Event{
-			Kind:   history.Over,
-			Op:     op.N,
-			Class:  op.Class.Name,
-			Tenant: op.Tenant,
-			Zone:   op.Zone,
-			Node:   node,
-			How:    last.how,
-			Status: last.status,
-			Took:   c.log.Now() - due,
-			Tries:  tries,
-			Box:    last.box,
+			Kind:    history.Over,
+			Op:      op.N,
+			Class:   op.Class.Name,
+			Tenant:  op.Tenant,
+			Zone:    op.Zone,
+			Node:    node,
+			How:     last.how,
+			Status:  last.status,
+			Took:    c.log.Now() - due,
+			Tries:   tries,
+			Backend: last.box,
 		},
 	)
 }
@@ -166,15 +166,15 @@
 		r, keep = c.exchange(cn, op, id, try, wait)
 	}
 	e := history.Event{
-		Kind:   history.Answer,
-		Op:     op.N,
-		ID:     id,
-		Class:  op.Class.Name,
-		Node:   node,
-		How:    r.how,
-		Status: r.status,
-		Took:   r.took,
-		Box:    r.box,
+		Kind:    history.Answer,
+		Op:      op.N,
+		ID:      id,
+		Class:   op.Class.Name,
+		Node:    node,
+		How:     r.how,
+		Status:  r.status,
+		Took:    r.took,
+		Backend: r.box,
 	}
 	if !cn.used && !r.responded {
 		e.Detail = history.Fresh
--- a/internal/lab/discovery/serve.go
+++ b/internal/lab/discovery/serve.go
@@ -51,7 +51,7 @@
 			return
 		}
 		for _, e := range response.Endpoints {
-			log.Add(history.Event{Kind: history.Told, Node: a.Node, Box: e.Name, How: e.Status, Index: response.Index,
+			log.Add(history.Event{Kind: history.Notified, Node: a.Node, Backend: e.Name, How: e.Status, Index: response.Index,
 				Detail: strconv.FormatInt(e.StartedAtMS, 10)})
 		}
 	})
--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -25,7 +25,7 @@
 type agents struct {
 	fleet                *fleet
 	guard                *fencing.Guard
-	degradationByVersion map[string]backend.Trouble // degradation by version; other versions run normally
+	degradationByVersion map[string]backend.Degradation // degradation by version; other versions run normally
 	server               *http.Server
 	tasks                sync.WaitGroup
 
@@ -47,7 +47,7 @@
 
 // newAgents starts the server of the agents, which runs until the run ends, and puts the agents' record into
 // the registry. All backends start with the given version.
-func newAgents(f *fleet, version string, bad map[string]backend.Trouble) (*agents, error) {
+func newAgents(f *fleet, version string, bad map[string]backend.Degradation) (*agents, error) {
 	a := &agents{fleet: f, degradationByVersion: bad, backends: map[string]*agentBackend{}}
 	var err error
 	if a.guard, err = fencing.Open(""); err != nil {
@@ -154,7 +154,7 @@
 
 // replaceProcess ends a backend's process and starts a cold process of the wanted version.
 func (a *agents) replaceProcess(name string) {
-	b := a.fleet.host.Box(name)
+	b := a.fleet.host.Backend(name)
 	b.Crash()
 	backoff.Sleep(a.fleet.service.ctx, replacementDelay)
 	since := a.fleet.log.At(a.fleet.log.Now()).UnixMilli()
@@ -166,9 +166,9 @@
 	if k.Running, k.Ready = err == nil, err == nil; err != nil {
 		k.Reason = err.Error()
 	}
-	b.Suffer("version", nil)
+	b.SetDegradation("version", nil)
 	if t, ok := a.degradationByVersion[k.Version]; ok {
-		b.Suffer("version", &t)
+		b.SetDegradation("version", &t)
 	}
 	a.updateEntry(name)
 }
--- a/internal/lab/fleet/boxes.go
+++ b/internal/lab/fleet/boxes.go
@@ -24,7 +24,7 @@
 	toBackend := func(e link.Ends) bool { return e.To == name }
 	down := "down-" + name
 	remaining := time.Duration(s.For)
-	b := f.host.Box(name)
+	b := f.host.Backend(name)
 	switch s.Do {
 	case "vanish":
 		f.net.Lay(down, link.Shape{Hold: link.Both, Cut: true}, toBackend)
@@ -52,7 +52,7 @@
 // degradeBackends makes backends slow, failing or hanging for the step's duration. Several degradations of a
 // backend add up.
 func (f *fleet) degradeBackends(ctx context.Context, s spec.Step) error {
-	t := backend.Trouble{Slower: s.Times}
+	t := backend.Degradation{Slower: s.Times}
 	switch s.Do {
 	case "hang":
 		t.Hangs = true
@@ -62,11 +62,11 @@
 		t.Taken = s.Part
 	}
 	for _, name := range s.On {
-		f.host.Box(name).Suffer(s.Name, &t)
+		f.host.Backend(name).SetDegradation(s.Name, &t)
 	}
 	backoff.Sleep(ctx, time.Duration(s.For))
 	for _, name := range s.On {
-		f.host.Box(name).Suffer(s.Name, nil)
+		f.host.Backend(name).SetDegradation(s.Name, nil)
 	}
 	return nil
 }
--- a/internal/lab/fleet/drawing.go
+++ b/internal/lab/fleet/drawing.go
@@ -22,7 +22,7 @@
 func (f *fleet) writeTimeline() error {
 	columns := append([]string{labColumn}, f.nodeNames[:min(len(f.nodeNames), maxNodeColumns)]...)
 	text := timeline.Drawing{
-		Says:    fmt.Sprintf("%s, seed %d. %s.", f.experiment.Name, f.options.Seed, f.experiment.About),
+		Caption: fmt.Sprintf("%s, seed %d. %s.", f.experiment.Name, f.options.Seed, f.experiment.About),
 		Columns: columns,
 	}.Draw(
 		timelineEvents(f.log.Events()),
@@ -38,7 +38,7 @@
 func timelineEvents(events []history.Event) (all []timeline.Event) {
 	previousViews := map[string]map[string]string{} // health of each node in the view of each node
 	tell := func(e history.Event, who, format string, args ...any) {
-		all = append(all, timeline.Event{At: e.T, Who: who, What: fmt.Sprintf(format, args...)})
+		all = append(all, timeline.Event{At: e.T, Column: who, Text: fmt.Sprintf(format, args...)})
 	}
 	for _, e := range events {
 		switch e.Kind {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -26,15 +26,15 @@
 
 // Options configures a run.
 type Options struct {
-	Experiment *spec.Experiment
-	Seed       uint64
-	Dir        string              // folder for the history, logs and configurations
-	Node       []string            // command line of a node
-	Keeper     []string            // command line of wrenspread-controller, for experiments with a quota
-	List       []string            // command line of a registry replica, for experiments with a registry
-	Ctl        []string            // command line of wrenspreadctl, for experiments with a release
-	Env        []string            // additional environment of all processes
-	Follow     func(history.Event) // called for each event of the history
+	Experiment        *spec.Experiment
+	Seed              uint64
+	Dir               string              // folder for the history, logs and configurations
+	NodeCommand       []string            // command line of a node
+	ControllerCommand []string            // command line of wrenspread-controller, for experiments with a quota
+	ReplicaCommand    []string            // command line of a registry replica, for experiments with a registry
+	CtlCommand        []string            // command line of wrenspreadctl, for experiments with a release
+	Env               []string            // additional environment of all processes
+	Follow            func(history.Event) // called for each event of the history
 }
 
 const (
@@ -56,7 +56,7 @@
 	operations  []load.Op
 	requestRate float64
 	net         *link.Net
-	book        *load.Book
+	book        *load.RequestIndex
 	host        *backendserver.Host
 	registry    *discovery.Registry // of the lab's own discovery, unless service is set
 	service     *service            // the project's registry; nil means that the lab's own discovery is used
@@ -130,7 +130,7 @@
 		)
 	}
 	f.operations = load.Draw(f.options.Seed, f.world, shape)
-	f.book = load.NewBook()
+	f.book = load.NewRequestIndex()
 	f.net = link.NewNet(f.options.Seed)
 	f.onClose(f.net.Close)
 	f.registry = &discovery.Registry{}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -65,11 +65,11 @@
 		t.Fatal(err)
 	}
 	run, err := Play(context.Background(), Options{
-		Experiment: e,
-		Seed:       5,
-		Dir:        t.TempDir(),
-		Node:       []string{os.Args[0]},
-		Env:        []string{"STANDIN=" + mode},
+		Experiment:  e,
+		Seed:        5,
+		Dir:         t.TempDir(),
+		NodeCommand: []string{os.Args[0]},
+		Env:         []string{"STANDIN=" + mode},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -133,11 +133,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var pids []int
 	_, err = Play(ctx, Options{
-		Experiment: e,
-		Seed:       1,
-		Dir:        t.TempDir(),
-		Node:       []string{os.Args[0]},
-		Env:        []string{"STANDIN=plain"},
+		Experiment:  e,
+		Seed:        1,
+		Dir:         t.TempDir(),
+		NodeCommand: []string{os.Args[0]},
+		Env:         []string{"STANDIN=plain"},
 		Follow: func(e history.Event) {
 			if e.Kind == history.Proc && e.How == "start" {
 				pids = append(pids, e.Pid)
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for name, command := range map[string][]string{"none": {"/nonexistent"}, "ends": {"/bin/false"}} {
-		if _, err := Play(ctx, Options{Experiment: e, Seed: 1, Dir: t.TempDir(), Node: command}); err == nil {
+		if _, err := Play(ctx, Options{Experiment: e, Seed: 1, Dir: t.TempDir(), NodeCommand: command}); err == nil {
 			t.Errorf("%s: the run returned no error", name)
 		}
 	}
--- a/internal/lab/fleet/judge.go
+++ b/internal/lab/fleet/judge.go
@@ -13,9 +13,9 @@
 	events := f.log.Events()
 	latencyObjectives := map[string]time.Duration{}
 	for _, c := range f.world.Classes {
-		latencyObjectives[c.Name] = c.Aim
+		latencyObjectives[c.Name] = c.LatencyObjective
 	}
-	run := report.Run{Figures: report.Of(events, latencyObjectives)}
+	run := report.Run{Figures: report.Compute(events, latencyObjectives)}
 	run.Late = report.TooLate(events, run.Figures)
 	limits := check.Limits{Memory: int64(f.experiment.Fleet.MemoryMB) << 20, FDs: f.experiment.Fleet.Sockets,
 		Slack: 2*time.Duration(float64(f.world.Cross)*(1+f.world.Jitter)) + run.Figures.WorstLab}
--- a/internal/lab/fleet/life.go
+++ b/internal/lab/fleet/life.go
@@ -42,7 +42,7 @@
 	}
 	s := process.Spec{
 		Name:    n.name,
-		Command: n.fleet.options.Node,
+		Command: n.fleet.options.NodeCommand,
 		Dir:     n.dir,
 		FDs:     uint64(n.fleet.experiment.Fleet.Sockets),
 		Env: append(
--- a/internal/lab/fleet/net.go
+++ b/internal/lab/fleet/net.go
@@ -75,7 +75,7 @@
 	i := slices.IndexFunc(f.world.Machines, func(m world.Machine) bool { return m.Name == backend })
 	m := f.world.Machines[i]
 	ms, _ := strconv.ParseInt(since, 10, 64)
-	address := f.host.Box(backend).Address
+	address := f.host.Backend(backend).Address
 	if f.service != nil && f.service.backendAddresses != nil {
 		address = f.service.backendAddresses[backend]
 	}
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -83,7 +83,7 @@
 	for _, m := range f.world.Machines {
 		if backendAddresses[m.Name], err = f.net.Connect(
 			link.Ends{From: n.name, To: m.Name},
-			f.host.Box(m.Name).Address,
+			f.host.Backend(m.Name).Address,
 		); err != nil {
 			return err
 		}
@@ -136,19 +136,19 @@
 	f := n.fleet
 	n.configWrites++
 	c := platform.Node{
-		Name:      n.name,
-		Number:    n.number,
-		Nodes:     f.experiment.Fleet.Nodes,
-		Zone:      n.zone,
-		Listen:    n.listen,
-		Control:   control,
-		Discovery: n.discoveryAddress,
-		List:      n.registryAddresses,
-		ListFile:  filepath.Join(n.dir, "list"),
-		ByServer:  f.experiment.Release != nil,
-		Seed:      f.options.Seed<<16 + uint64(n.number)<<8 + n.configWrites,
-		MemoryMB:  f.experiment.Fleet.MemoryMB,
-		Sockets:   f.experiment.Fleet.Sockets,
+		Name:           n.name,
+		Number:         n.number,
+		Nodes:          f.experiment.Fleet.Nodes,
+		Zone:           n.zone,
+		Listen:         n.listen,
+		Control:        control,
+		Discovery:      n.discoveryAddress,
+		List:           n.registryAddresses,
+		ListFile:       filepath.Join(n.dir, "list"),
+		StatsByBackend: f.experiment.Release != nil,
+		Seed:           f.options.Seed<<16 + uint64(n.number)<<8 + n.configWrites,
+		MemoryMB:       f.experiment.Fleet.MemoryMB,
+		Sockets:        f.experiment.Fleet.Sockets,
 	}
 	if n.agent != nil {
 		c.Known = n.agent.List(0, f.log.Now())
@@ -157,7 +157,7 @@
 		c.PeerListen, c.Peers = n.peerListen.String(), n.peers
 	}
 	if f.experiment.Fleet.View {
-		c.Fleet, c.Govern = fleetName, f.experiment.Quota != nil
+		c.Fleet, c.FollowPolicy = fleetName, f.experiment.Quota != nil
 	}
 	if err := os.MkdirAll(n.dir, 0o755); err != nil {
 		return "", fmt.Errorf("%s: %w", n.name, err)
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -47,7 +47,7 @@
 // putPolicy puts a policy table with one limit into the registry.
 func (f *fleet) putPolicy(ctx context.Context, rate, burst float64) error {
 	text := fmt.Sprintf("fleet {\n  requests {\n    rate = %g\n    burst = %g\n  }\n}\n", rate, burst)
-	t, err := policy.Compile("lab.hcl", []byte(text), policy.Known{})
+	t, err := policy.Compile("lab.hcl", []byte(text), policy.KnownNames{})
 	if err != nil {
 		return fmt.Errorf("the lab's policy: %w", err)
 	}
@@ -134,7 +134,7 @@
 		name: name,
 		spec: process.Spec{
 			Name:    name,
-			Command: append(append([]string(nil), f.options.Keeper...), "--config", file),
+			Command: append(append([]string(nil), f.options.ControllerCommand...), "--config", file),
 			Dir:     dir,
 			Env:     append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.options.Env...),
 		},
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -52,9 +52,9 @@
 		return nil
 	}
 	f.release = &releaseRun{fleet: f}
-	bad := map[string]backend.Trouble{}
+	bad := map[string]backend.Degradation{}
 	if r.Slower > 1 || r.Fails > 0 {
-		bad[newVersion] = backend.Trouble{Slower: r.Slower, Fails: r.Fails}
+		bad[newVersion] = backend.Degradation{Slower: r.Slower, Fails: r.Fails}
 	}
 	var err error
 	if f.release.agents, err = newAgents(f, oldVersion, bad); err != nil {
@@ -114,7 +114,7 @@
 	}
 	return &controller{
 		name: name,
-		spec: process.Spec{Name: name, Command: append(append([]string(nil), f.options.Ctl...), args...), Dir: dir,
+		spec: process.Spec{Name: name, Command: append(append([]string(nil), f.options.CtlCommand...), args...), Dir: dir,
 			Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.options.Env...), MayEnd: true},
 	}, nil
 }
@@ -135,7 +135,7 @@
 	c.mu.Lock()
 	p := c.proc
 	c.mu.Unlock()
-	if again, err := p.Suffer(ctx, do, duration, shutdownTimeout); err != nil || !again {
+	if again, err := p.ApplyFault(ctx, do, duration, shutdownTimeout); err != nil || !again {
 		return err
 	}
 	return c.start(f.group)
@@ -144,7 +144,7 @@
 // startRelease puts the release of the experiment into the registry.
 func (r *releaseRun) startRelease(ctx context.Context) error {
 	e := r.fleet.experiment.Release
-	p := release.Default()
+	p := release.DefaultPlan()
 	p.Name, p.From, p.To, p.Limits, p.Soak, p.Halt = releaseName, oldVersion, newVersion, release.Limits{
 		Total: e.Out,
 	}, time.Duration(
@@ -162,7 +162,7 @@
 		Drain:   10 * time.Second,
 		Replace: 10 * time.Second,
 		Ready:   10 * time.Second,
-		Judge:   10 * time.Second,
+		Verdict: 10 * time.Second,
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -47,7 +47,7 @@
 		replicas.Options{
 			Count:   f.experiment.List.Replicas,
 			Dir:     filepath.Join(f.options.Dir, "list"),
-			Command: f.options.List,
+			Command: f.options.ReplicaCommand,
 			Env:     f.options.Env,
 			Seed:    f.options.Seed,
 		},
@@ -113,7 +113,7 @@
 func (s *service) linkBackends() error {
 	s.backendAddresses = map[string]string{}
 	for _, m := range s.fleet.world.Machines {
-		address, err := s.fleet.net.Connect(link.Ends{From: "nodes", To: m.Name}, s.fleet.host.Box(m.Name).Address)
+		address, err := s.fleet.net.Connect(link.Ends{From: "nodes", To: m.Name}, s.fleet.host.Backend(m.Name).Address)
 		if err != nil {
 			return err
 		}
@@ -135,7 +135,7 @@
 		return err
 	}
 	s.workers, err = leases.NewWorkerPool(
-		leases.CrewOptions{
+		leases.PoolOptions{
 			Workers: d.Workers,
 			Duties:  d.Count,
 			TTL:     time.Duration(d.TTL),
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -36,12 +36,12 @@
 	Arrive Kind = "arrive"
 	Begin  Kind = "begin" // a backend began the work, so the request may have an effect: ID, Key, Box, Pod
 	Drop   Kind = "drop"  // a backend's pod dropped a repeated key: ID, Key, Box
-	Turn   Kind = "turn"  // a backend rejected an attempt without starting it: ID, Box, How
+	Reject Kind = "turn"  // a backend rejected an attempt without starting it: ID, Box, How
 	End    Kind = "end"   // a backend answered: ID, Box, Status, Took (from Arrive)
 	Shut   Kind = "shut"  // the node ended an open attempt: ID, Box, Node
 	// discovery sent an entry to a node: Node, Box, How (the status), Index, Detail (since_ms)
-	Told Kind = "told"
-	Box  Kind = "box" // a backend changed its state: Box, How, Detail (since_ms of a start that is listed)
+	Notified      Kind = "told"
+	BackendChange Kind = "box" // a backend changed its state: Box, How, Detail (since_ms of a start that is listed)
 	// a node's view of the fleet changed: Node, Index (the view's number), How (its digest), Detail (the node's
 	// own generation), Also ("name health generation incarnation" of each member)
 	View Kind = "view"
@@ -73,35 +73,35 @@
 
 // Event is one line of the history. Fields that an event's kind does not use are absent from the line.
 type Event struct {
-	T      time.Duration `json:"t"` // since the run began, in nanoseconds
-	Kind   Kind          `json:"k"`
-	Op     int           `json:"op,omitempty"` // operation number, from 1
-	ID     string        `json:"id,omitempty"`
-	Class  string        `json:"class,omitempty"`
-	Tenant string        `json:"tenant,omitempty"`
-	Zone   string        `json:"zone,omitempty"`
-	Key    string        `json:"key,omitempty"`
-	Node   string        `json:"node,omitempty"`
-	Box    string        `json:"box,omitempty"`
-	How    string        `json:"how,omitempty"`
-	Detail string        `json:"detail,omitempty"`
-	Status int           `json:"status,omitempty"`
-	Tries  int           `json:"tries,omitempty"`
-	Index  uint64        `json:"index,omitempty"`
-	Seed   uint64        `json:"seed,omitempty"`
-	Pid    int           `json:"pid,omitempty"`
-	Bad    bool          `json:"bad,omitempty"`
-	Also   []string      `json:"also,omitempty"`
-	Nodes  []string      `json:"nodes,omitempty"`
-	Took   time.Duration `json:"took,omitempty"`
-	Wait   time.Duration `json:"wait,omitempty"`
-	Sent   time.Duration `json:"sent,omitempty"`
-	Pod    int           `json:"pod,omitempty"`
-	P99    time.Duration `json:"p99,omitempty"`
-	CPU    time.Duration `json:"cpu,omitempty"`
-	Stall  time.Duration `json:"stall,omitempty"` // time for which threads waited for a core
-	RSS    int64         `json:"rss,omitempty"`   // bytes
-	FDs    int           `json:"fds,omitempty"`
+	T       time.Duration `json:"t"` // since the run began, in nanoseconds
+	Kind    Kind          `json:"k"`
+	Op      int           `json:"op,omitempty"` // operation number, from 1
+	ID      string        `json:"id,omitempty"`
+	Class   string        `json:"class,omitempty"`
+	Tenant  string        `json:"tenant,omitempty"`
+	Zone    string        `json:"zone,omitempty"`
+	Key     string        `json:"key,omitempty"`
+	Node    string        `json:"node,omitempty"`
+	Backend string        `json:"box,omitempty"`
+	How     string        `json:"how,omitempty"`
+	Detail  string        `json:"detail,omitempty"`
+	Status  int           `json:"status,omitempty"`
+	Tries   int           `json:"tries,omitempty"`
+	Index   uint64        `json:"index,omitempty"`
+	Seed    uint64        `json:"seed,omitempty"`
+	Pid     int           `json:"pid,omitempty"`
+	Bad     bool          `json:"bad,omitempty"`
+	Also    []string      `json:"also,omitempty"`
+	Nodes   []string      `json:"nodes,omitempty"`
+	Took    time.Duration `json:"took,omitempty"`
+	Wait    time.Duration `json:"wait,omitempty"`
+	Sent    time.Duration `json:"sent,omitempty"`
+	Pod     int           `json:"pod,omitempty"`
+	P99     time.Duration `json:"p99,omitempty"`
+	CPU     time.Duration `json:"cpu,omitempty"`
+	Stall   time.Duration `json:"stall,omitempty"` // time for which threads waited for a core
+	RSS     int64         `json:"rss,omitempty"`   // bytes
+	FDs     int           `json:"fds,omitempty"`
 }
 
 // Log collects the events of a run. It is safe for concurrent use.
--- a/internal/lab/leases/crew.go
+++ b/internal/lab/leases/crew.go
@@ -18,24 +18,24 @@
 	"wrenspread/internal/lab/replicas"
 )
 
-// CrewOptions configures the worker processes of a run.
-type CrewOptions struct {
-	Workers        int
-	Duties         int
-	TTL            time.Duration
-	Guarded        bool          // the resource checks fencing tokens
-	Spread         bool          // the leases are distributed evenly over the workers
-	MinActInterval time.Duration // between two acts on one lease; 0 means as short as the resource allows
-	Deaf           time.Duration // fault of the workers, see WorkerOptions
-	Dir            string
-	Command        []string // command line of a worker, to which its flags are appended
-	Env            []string
+// PoolOptions configures the worker processes of a run.
+type PoolOptions struct {
+	Workers          int
+	Duties           int
+	TTL              time.Duration
+	Guarded          bool          // the resource checks fencing tokens
+	Spread           bool          // the leases are distributed evenly over the workers
+	MinActInterval   time.Duration // between two acts on one lease; 0 means as short as the resource allows
+	OverrunAfterLoss time.Duration // fault of the workers, see WorkerOptions
+	Dir              string
+	Command          []string // command line of a worker, to which its flags are appended
+	Env              []string
 }
 
 // WorkerPool is the set of worker processes of a run and the resource that they act on. The workers are
 // named d0, d1 and so on.
 type WorkerPool struct {
-	options  CrewOptions
+	options  PoolOptions
 	group    *process.Group
 	Resource *Resource
 	workers  []*workerProcess
@@ -53,7 +53,7 @@
 // NewWorkerPool starts the resource and creates the workers' links to the registry and to the resource. It
 // starts no worker yet.
 func NewWorkerPool(
-	o CrewOptions,
+	o PoolOptions,
 	set *replicas.Set,
 	net *link.Net,
 	group *process.Group,
@@ -100,7 +100,7 @@
 			m.actsPath(),
 			fmt.Sprintf("--spread=%v", o.Spread),
 			"--deaf",
-			o.Deaf.String(),
+			o.OverrunAfterLoss.String(),
 		}
 		c.workers = append(c.workers, m)
 	}
@@ -115,7 +115,7 @@
 )
 
 // actInterval is the time between two acts on one lease.
-func (o CrewOptions) actInterval() time.Duration {
+func (o PoolOptions) actInterval() time.Duration {
 	return max(o.MinActInterval, minActInterval, time.Duration(o.Duties)*actIntervalPerLease)
 }
 
@@ -181,7 +181,7 @@
 		backoff.Sleep(ctx, c.options.TTL) // by then the new process waits for the leases
 		return p.Term(patience)
 	}
-	if again, err := p.Suffer(ctx, do, duration, patience); err != nil || !again {
+	if again, err := p.ApplyFault(ctx, do, duration, patience); err != nil || !again {
 		return err
 	}
 	return c.start(m)
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -25,7 +25,7 @@
 // Changes injects a fault of one kind into the lease holder, as often as times says. It returns the durations
 // from the last act of a holder to the first act of the next holder, in ascending order.
 func Changes(ctx context.Context, o Options, kind string, times int) (all []time.Duration, err error) {
-	o.Crew.Duties, o.Crew.Guarded = 1, true
+	o.Pool.Duties, o.Pool.Guarded = 1, true
 	l, err := Begin(ctx, o)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 // replaceHolder injects a fault of the given kind into the holder who. A cut and a pause last for two TTLs,
 // by when another worker holds the lease.
 func (l *Lab) replaceHolder(ctx context.Context, kind, who string, n int) error {
-	duration := 2 * l.options.Crew.TTL
+	duration := 2 * l.options.Pool.TTL
 	switch kind {
 	case "cut":
 		name := fmt.Sprint("cut", n)
@@ -105,11 +105,11 @@
 
 // Cost is the cost of a number of held leases.
 type Cost struct {
-	Duties   int
-	Held     []int         // leases of each worker, in ascending order
-	Workers  time.Duration // CPU time of all workers per second
-	Replicas time.Duration // CPU time of all replicas per second
-	Settled  time.Duration // from the start of the processes until every lease is held
+	Duties          int
+	LeasesPerWorker []int         // leases of each worker, in ascending order
+	Workers         time.Duration // CPU time of all workers per second
+	Replicas        time.Duration // CPU time of all replicas per second
+	SettleTime      time.Duration // from the start of the processes until every lease is held
 }
 
 // costWindow is the time over which CPU times are measured.
@@ -118,14 +118,14 @@
 // Costs measures the cost of a number of leases that are distributed evenly over the workers and whose
 // holders hardly act.
 func Costs(ctx context.Context, o Options, duties int) (c Cost, err error) {
-	o.Crew.Duties, o.Crew.Spread, o.Crew.Guarded, o.Crew.MinActInterval = duties, true, true, costWindow/2
+	o.Pool.Duties, o.Pool.Spread, o.Pool.Guarded, o.Pool.MinActInterval = duties, true, true, costWindow/2
 	began := time.Now()
 	l, err := Begin(ctx, o)
 	if err != nil {
 		return c, err
 	}
 	defer besteffort.Close(l)
-	c.Duties, c.Settled = duties, time.Since(began)
+	c.Duties, c.SettleTime = duties, time.Since(began)
 	backoff.Sleep(ctx, costWindow) // leases that the first workers took move to their assigned workers
 	pids := func() (workers, replicas []int) {
 		for _, m := range l.Pool.workers {
@@ -155,7 +155,7 @@
 		return c, err
 	}
 	c.Workers, c.Replicas = (w1-w0)/(costWindow/time.Second), (r1-r0)/(costWindow/time.Second)
-	c.Held = l.Pool.leasesPerWorker()
+	c.LeasesPerWorker = l.Pool.leasesPerWorker()
 	return c, l.Pool.Terminate(shutdownTimeout)
 }
 
@@ -197,7 +197,7 @@
 // It returns the durations from the release by one holder to the start of the next holder's work, in
 // ascending order.
 func Contest(ctx context.Context, o Options, candidates, times int) (all []time.Duration, err error) {
-	o.Crew.Workers, o.Crew.Duties = 1, 1
+	o.Pool.Workers, o.Pool.Duties = 1, 1
 	l, err := Begin(ctx, o)
 	if err != nil {
 		return nil, err
@@ -221,7 +221,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p, err := lease.Open(lease.Config{Client: k, Process: fmt.Sprint("c", i), TTL: o.Crew.TTL})
+		p, err := lease.Open(lease.Config{Client: k, Process: fmt.Sprint("c", i), TTL: o.Pool.TTL})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -20,13 +20,13 @@
 
 // Options configures a run.
 type Options struct {
-	Crew     CrewOptions
-	Seed     uint64
-	Replicas int
-	Length   time.Duration
-	Dir      string
-	List     []string // command line of a registry replica
-	Env      []string // environment of workers and replicas
+	Pool           PoolOptions
+	Seed           uint64
+	Replicas       int
+	Length         time.Duration
+	Dir            string
+	ReplicaCommand []string // command line of a registry replica
+	Env            []string // environment of workers and replicas
 }
 
 const (
@@ -60,7 +60,7 @@
 		}
 	}()
 	if l.Set, err = replicas.New(
-		replicas.Options{Count: o.Replicas, Dir: o.Dir, Command: o.List, Env: o.Env, Seed: o.Seed},
+		replicas.Options{Count: o.Replicas, Dir: o.Dir, Command: o.ReplicaCommand, Env: o.Env, Seed: o.Seed},
 		l.net,
 		l.group,
 	); err != nil {
@@ -69,8 +69,8 @@
 	if err := l.Set.Begin(ctx); err != nil {
 		return nil, err
 	}
-	o.Crew.Dir, o.Crew.Env = o.Dir, o.Env
-	if l.Pool, err = NewWorkerPool(o.Crew, l.Set, l.net, l.group); err != nil {
+	o.Pool.Dir, o.Pool.Env = o.Dir, o.Env
+	if l.Pool, err = NewWorkerPool(o.Pool, l.Set, l.net, l.group); err != nil {
 		return nil, err
 	}
 	if err := l.Pool.Start(); err != nil {
@@ -111,15 +111,15 @@
 
 // Outcome is the result of a run.
 type Outcome struct {
-	Seed    uint64
-	Guarded bool
-	Acts    int // accepted by the resource
-	Refused int // acts that the resource refused
-	Grants  int
-	Faults  int
-	Broken  []string
-	Unsure  bool          // the check of the history took too long
-	Longest time.Duration // longest time that a lease had no holder
+	Seed         uint64
+	Guarded      bool
+	Acts         int // accepted by the resource
+	Refused      int // acts that the resource refused
+	Grants       int
+	Faults       int
+	Broken       []string
+	Inconclusive bool          // the check of the history took too long
+	Longest      time.Duration // longest time that a lease had no holder
 }
 
 // Line is the result as a line of text.
@@ -128,7 +128,7 @@
 	switch {
 	case len(o.Broken) > 0:
 		return fmt.Sprintf("FAIL duties: seed %d, %s, %s (and %d more)", o.Seed, mode, o.Broken[0], len(o.Broken)-1)
-	case o.Unsure:
+	case o.Inconclusive:
 		return fmt.Sprintf("VOID duties: seed %d, the check took over %v", o.Seed, maxCheckTime)
 	}
 	return fmt.Sprintf(
@@ -165,12 +165,12 @@
 	l.group.Close(shutdownTimeout)
 	acts, refused := l.Pool.Resource.Acts()
 	out.Seed, out.Guarded, out.Acts, out.Refused, out.Faults =
-		o.Seed, o.Crew.Guarded, len(acts), refused, len(faults)
+		o.Seed, o.Pool.Guarded, len(acts), refused, len(faults)
 	if gaps := Gaps(acts); len(gaps) > 0 {
-		out.Grants, out.Longest = len(gaps)+o.Crew.Duties, gaps[0].Length
+		out.Grants, out.Longest = len(gaps)+o.Pool.Duties, gaps[0].Length
 	}
 	broken, sure, e := l.Pool.Check()
-	out.Broken, out.Unsure = append(append(out.Broken, broken...), l.processFailures()...), !sure
+	out.Broken, out.Inconclusive = append(append(out.Broken, broken...), l.processFailures()...), !sure
 	return out, errors.Join(err, e, l.Close())
 }
 
@@ -197,7 +197,7 @@
 		"replica-cut",
 		"all-kill",
 	}
-	if o.Crew.Guarded {
+	if o.Pool.Guarded {
 		menu = append(menu, "worker-pause", "worker-pause", "replica-pause", "worker-kill-replica")
 	}
 	var all []fault
@@ -205,19 +205,19 @@
 		f := fault{
 			start:    at,
 			kind:     menu[chance.IntN(len(menu))],
-			duration: time.Duration(chance.Int64N(int64(3*o.Crew.TTL))) + 50*time.Millisecond,
+			duration: time.Duration(chance.Int64N(int64(3*o.Pool.TTL))) + 50*time.Millisecond,
 		}
 		if f.start+f.duration > o.Length {
 			return all
 		}
-		if f.target = fmt.Sprint("d", chance.IntN(o.Crew.Workers)); chance.IntN(3) > 0 {
+		if f.target = fmt.Sprint("d", chance.IntN(o.Pool.Workers)); chance.IntN(3) > 0 {
 			f.target = currentHolder
 		}
 		if strings.HasPrefix(f.kind, "replica") {
 			f.target = fmt.Sprint("r", chance.IntN(o.Replicas))
 		}
 		all = append(all, f)
-		at += f.duration + time.Duration(chance.Int64N(int64(o.Crew.TTL)))
+		at += f.duration + time.Duration(chance.Int64N(int64(o.Pool.TTL)))
 	}
 }
 
--- a/internal/lab/leases/worker.go
+++ b/internal/lab/leases/worker.go
@@ -28,15 +28,15 @@
 
 // WorkerOptions configures a worker process.
 type WorkerOptions struct {
-	Process  string
-	List     []string // addresses of the registry's replicas
-	Resource string   // address of the resource, host:port
-	Duties   []string
-	TTL      time.Duration
-	Every    time.Duration // time between two acts on one lease
-	Log      string        // file of the worker's own history
-	Spread   bool          // leases are distributed evenly over the workers
-	Deaf     time.Duration // fault: the work continues for this long after the lease is lost
+	Process           string
+	RegistryAddresses []string // addresses of the registry's replicas
+	Resource          string   // address of the resource, host:port
+	Duties            []string
+	TTL               time.Duration
+	ActInterval       time.Duration // time between two acts on one lease
+	Log               string        // file of the worker's own history
+	Spread            bool          // leases are distributed evenly over the workers
+	OverrunAfterLoss  time.Duration // fault: the work continues for this long after the lease is lost
 }
 
 const (
@@ -76,7 +76,7 @@
 // Work runs a worker process until ctx ends: it requests its leases, acts on the resource while it holds
 // them, and hands them off at the end.
 func Work(ctx context.Context, o WorkerOptions, log *slog.Logger) error {
-	k, err := client.New(client.Config{Addresses: o.List})
+	k, err := client.New(client.Config{Addresses: o.RegistryAddresses})
 	if err != nil {
 		return err
 	}
@@ -127,11 +127,11 @@
 	now := monotonicNow()
 	w.record(Act{From: now, To: now, Do: "hold", FencingToken: f, Done: true})
 	acting := ctx
-	if w.options.Deaf > 0 {
+	if w.options.OverrunAfterLoss > 0 {
 		var cancel context.CancelFunc
 		acting, cancel = context.WithCancel(context.WithoutCancel(ctx))
 		defer cancel()
-		context.AfterFunc(ctx, func() { time.AfterFunc(w.options.Deaf, cancel) })
+		context.AfterFunc(ctx, func() { time.AfterFunc(w.options.OverrunAfterLoss, cancel) })
 	}
 	for n := 0; acting.Err() == nil; n++ {
 		if err := w.act(acting, f); err != nil {
@@ -140,7 +140,7 @@
 		if n%actsPerRegistryWrite == 0 {
 			w.writeToRegistry(acting, f)
 		}
-		backoff.Sleep(acting, w.options.Every)
+		backoff.Sleep(acting, w.options.ActInterval)
 	}
 	return ctx.Err()
 }
--- a/internal/lab/load/book.go
+++ b/internal/lab/load/book.go
@@ -2,40 +2,42 @@
 
 import "sync"
 
-// Book records every request ID that a client sends, so that a backend can look up the work of a request and
+// RequestIndex records every request ID that a client sends, so that a backend can look up the work of a request and
 // whether a client sent it at all. It is safe for concurrent use.
-type Book struct {
+type RequestIndex struct {
 	mu      sync.RWMutex
 	ops     map[string]*Op
 	reached map[string]bool // IDs that have reached a backend
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book { return &Book{ops: map[string]*Op{}, reached: map[string]bool{}} }
+// NewRequestIndex makes an empty book.
+func NewRequestIndex() *RequestIndex {
+	return &RequestIndex{ops: map[string]*Op{}, reached: map[string]bool{}}
+}
 
 // Add records an ID before its request is sent.
-func (b *Book) Add(id string, op *Op) {
+func (b *RequestIndex) Add(id string, op *Op) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ops[id] = op
 }
 
 // Find returns the operation of an ID, or nil if no client sent it.
-func (b *Book) Find(id string) *Op {
+func (b *RequestIndex) Find(id string) *Op {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.ops[id]
 }
 
 // MarkReached records that an ID has reached a backend.
-func (b *Book) MarkReached(id string) {
+func (b *RequestIndex) MarkReached(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reached[id] = true
 }
 
 // Reached reports whether an ID has reached a backend, which shows that a node has read the request.
-func (b *Book) Reached(id string) bool {
+func (b *RequestIndex) Reached(id string) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.reached[id]
--- a/internal/lab/measure/boxes.go
+++ b/internal/lab/measure/boxes.go
@@ -28,8 +28,8 @@
 	FallMultiple float64 // least multiple of its capacity under which a cold backend falls over
 }
 
-// Boxes draws n backends and measures them, and returns the means for each kind of machine.
-func Boxes(n int) []Kind {
+// Backends draws n backends and measures them, and returns the means for each kind of machine.
+func Backends(n int) []Kind {
 	byName := map[string]*Kind{}
 	var order []string
 	for seed := range uint64(n) {
@@ -143,8 +143,8 @@
 	return 8
 }
 
-// WriteBoxes writes the kinds as a table.
-func WriteBoxes(w io.Writer, kinds []Kind) error {
+// WriteBackends writes the kinds as a table.
+func WriteBackends(w io.Writer, kinds []Kind) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	besteffort.Output(
 		fmt.Fprintln(
--- a/internal/lab/measure/cost.go
+++ b/internal/lab/measure/cost.go
@@ -148,7 +148,7 @@
 		}
 	}
 	ops := load.Draw(1, w, load.Shape{Rate: rate, Length: stepLength})
-	clients := client.New(log, front, load.NewBook(), 1)
+	clients := client.New(log, front, load.NewRequestIndex(), 1)
 	clients.Late = late.Add
 	before, cpu := log.Now(), fleet.OwnCPU()
 	clients.Run(ctx, before, ops)
--- a/internal/lab/platform/config.go
+++ b/internal/lab/platform/config.go
@@ -14,26 +14,26 @@
 
 // Node holds the parts of a node's configuration that differ between nodes.
 type Node struct {
-	Name       string
-	Number     int
-	Nodes      int
-	Zone       string
-	Listen     string
-	Control    string
-	Discovery  string
-	List       []string // addresses of the registry, if the node follows it directly
-	ListFile   string
-	ListPart   bool     // the node follows only its part of the registry's list
-	ByServer   bool     // the node's metrics are separate for each backend
-	PeerListen string   // address for messages between nodes; empty: none
-	Peers      []string // addresses by node number, its own included
-	Govern     bool     // the node follows the operators' policy
-	Tenants    bool     // the node follows the catalogue of tenants
-	Fleet      string   // name of the fleet whose members the node tracks; empty: none
-	Known      discovery.Answer
-	Seed       uint64
-	MemoryMB   int
-	Sockets    int
+	Name           string
+	Number         int
+	Nodes          int
+	Zone           string
+	Listen         string
+	Control        string
+	Discovery      string
+	List           []string // addresses of the registry, if the node follows it directly
+	ListFile       string
+	ListPart       bool     // the node follows only its part of the registry's list
+	StatsByBackend bool     // the node's metrics are separate for each backend
+	PeerListen     string   // address for messages between nodes; empty: none
+	Peers          []string // addresses by node number, its own included
+	FollowPolicy   bool     // the node follows the operators' policy
+	Tenants        bool     // the node follows the catalogue of tenants
+	Fleet          string   // name of the fleet whose members the node tracks; empty: none
+	Known          discovery.Answer
+	Seed           uint64
+	MemoryMB       int
+	Sockets        int
 }
 
 // object is a JSON object.
@@ -77,13 +77,13 @@
 			c["list_part"] = true
 		}
 	}
-	if n.ByServer {
+	if n.StatsByBackend {
 		c["backend_stats"] = true
 	}
 	if n.PeerListen != "" {
 		c["peer_listen"], c["peers"] = n.PeerListen, n.Peers
 	}
-	if n.Govern {
+	if n.FollowPolicy {
 		c["govern"] = object{"policy": true, "tenants": n.Tenants}
 	}
 	if n.Fleet != "" {
@@ -101,7 +101,7 @@
 		k := object{
 			"name":            c.Name,
 			"effect":          effectNames[c.Effect],
-			"aim_ns":          c.Aim,
+			"aim_ns":          c.LatencyObjective,
 			"give_up_ns":      c.Deadline,
 			"importance":      c.Importance,
 			"late_worth":      0.0,
--- a/internal/lab/platform/config_test.go
+++ b/internal/lab/platform/config_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("the node has %+v", c)
 	}
 	for i, k := range s.Classes {
-		if want := w.Classes[i]; k.Name != want.Name || k.LatencyObjective != want.Aim || k.Deadline != want.Deadline {
+		if want := w.Classes[i]; k.Name != want.Name || k.LatencyObjective != want.LatencyObjective || k.Deadline != want.Deadline {
 			t.Errorf("class %+v, want %+v", k, want)
 		}
 	}
--- a/internal/lab/process/proc.go
+++ b/internal/lab/process/proc.go
@@ -304,10 +304,10 @@
 	return all
 }
 
-// Suffer carries out a fault on the process. "pause" stops it for the time last; "kill" kills it and waits
+// ApplyFault carries out a fault on the process. "pause" stops it for the time last; "kill" kills it and waits
 // for the time last; "restart" ends it within patience. again reports whether the caller has to start the
 // process again.
-func (p *Proc) Suffer(ctx context.Context, do string, last, patience time.Duration) (again bool, err error) {
+func (p *Proc) ApplyFault(ctx context.Context, do string, last, patience time.Duration) (again bool, err error) {
 	switch do {
 	case "pause":
 		return false, p.Pause(ctx, last)
--- a/internal/lab/process/use.go
+++ b/internal/lab/process/use.go
@@ -55,8 +55,8 @@
 	return u, nil
 }
 
-// Ran returns the processor time of a process's running threads, in nanosecond resolution.
-func Ran(pid int) (sum time.Duration, err error) {
+// ThreadCPU returns the processor time of a process's running threads, in nanosecond resolution.
+func ThreadCPU(pid int) (sum time.Duration, err error) {
 	dir := fmt.Sprintf("/proc/%d/task/", pid)
 	tasks, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/lab/quorum/measure.go
+++ b/internal/lab/quorum/measure.go
@@ -50,8 +50,8 @@
 	return do(c, k)
 }
 
-// Measure runs do with new replicas, which have the snapshot threshold of production, and a client of them.
-func Measure(ctx context.Context, o Options, do func(*replicas.Set, *client.Client) error) error {
+// WithReplicas runs do with new replicas, which have the snapshot threshold of production, and a client of them.
+func WithReplicas(ctx context.Context, o Options, do func(*replicas.Set, *client.Client) error) error {
 	return withCluster(ctx, o, func(c *cluster, k *client.Client) error { return do(c.set, k) })
 }
 
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -92,13 +92,13 @@
 
 // Outcome is the result of a run.
 type Outcome struct {
-	Seed    uint64
-	Faults  int
-	Ops     int // operations of clients
-	Unknown int // writes whose result stayed unknown
-	Changes uint64
-	Broken  []string
-	Unsure  bool // the check of the history took too long
+	Seed         uint64
+	Faults       int
+	Ops          int // operations of clients
+	Unknown      int // writes whose result stayed unknown
+	Changes      uint64
+	Broken       []string
+	Inconclusive bool // the check of the history took too long
 }
 
 // Line is the result as a line of text.
@@ -106,7 +106,7 @@
 	switch {
 	case len(o.Broken) > 0:
 		return fmt.Sprintf("FAIL quorum: seed %d, %s (and %d more)", o.Seed, o.Broken[0], len(o.Broken)-1)
-	case o.Unsure:
+	case o.Inconclusive:
 		return fmt.Sprintf(
 			"VOID quorum: seed %d, the check of %d operations took over %v",
 			o.Seed,
@@ -255,7 +255,7 @@
 	case porcupine.Illegal:
 		o.Broken = append(o.Broken, "writes and current reads are not linearizable")
 	case porcupine.Unknown:
-		o.Unsure = true
+		o.Inconclusive = true
 	}
 	o.Broken = append(o.Broken, checkWatchers(watching, last)...)
 	return o
--- a/internal/lab/quorum/size.go
+++ b/internal/lab/quorum/size.go
@@ -51,8 +51,8 @@
 	Change  time.Duration // CPU time per change, with one watcher
 }
 
-// Sized measures a list of the given number of entries.
-func Sized(ctx context.Context, o Options, entries int) (s Size, err error) {
+// MeasureSize measures a list of the given number of entries.
+func MeasureSize(ctx context.Context, o Options, entries int) (s Size, err error) {
 	o.Replicas, s.Entries = 1, entries
 	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
 		began := time.Now()
@@ -121,8 +121,8 @@
 	namesPerRenewal = 20 // as many as an agent has backends on its machine
 )
 
-// Rated measures writes and renewals with a number of concurrent callers.
-func Rated(ctx context.Context, o Options, callers int) (r Rates, err error) {
+// MeasureRates measures writes and renewals with a number of concurrent callers.
+func MeasureRates(ctx context.Context, o Options, callers int) (r Rates, err error) {
 	r.Callers = callers
 	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
 		var names []string
--- a/internal/lab/replicas/replicas.go
+++ b/internal/lab/replicas/replicas.go
@@ -216,7 +216,7 @@
 		backoff.Sleep(ctx, duration)
 		return s.damageAndReplace(ctx, r)
 	}
-	if again, err := r.Proc().Suffer(ctx, do, duration, patience); err != nil || !again {
+	if again, err := r.Proc().ApplyFault(ctx, do, duration, patience); err != nil || !again {
 		return err
 	}
 	return s.Start(r)
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -114,8 +114,8 @@
 // maxLatency is the greatest latency that the histograms distinguish.
 const maxLatency = int64(time.Minute)
 
-// Of computes the figures of a history. aims holds the latency objective of each class.
-func Of(events []history.Event, aims map[string]time.Duration) Figures {
+// Compute computes the figures of a history. aims holds the latency objective of each class.
+func Compute(events []history.Event, aims map[string]time.Duration) Figures {
 	f := Figures{
 		Classes: map[string]Count{},
 		Latency: map[string]Quantiles{},
@@ -141,14 +141,14 @@
 			f.Crossed++
 		case history.Arrive:
 			arrived++
-			f.updateBackend(e.Box, func(b *BackendUse) { b.Arrived++; b.Work += e.Took })
+			f.updateBackend(e.Backend, func(b *BackendUse) { b.Arrived++; b.Work += e.Took })
 		case history.Begin:
-			f.updateBackend(e.Box, func(b *BackendUse) { b.Begun++ })
-		case history.Turn:
-			f.updateBackend(e.Box, func(b *BackendUse) { b.Turned++ })
+			f.updateBackend(e.Backend, func(b *BackendUse) { b.Begun++ })
+		case history.Reject:
+			f.updateBackend(e.Backend, func(b *BackendUse) { b.Turned++ })
 		case history.End:
 			if e.Status != 200 {
-				f.updateBackend(e.Box, func(b *BackendUse) { b.Errors++ })
+				f.updateBackend(e.Backend, func(b *BackendUse) { b.Errors++ })
 			}
 		case history.Sample:
 			if processes[e.Pid] == nil {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -35,7 +35,7 @@
 var aims = map[string]time.Duration{"a": 200 * time.Millisecond}
 
 func TestFiguresCountOutcomesRecoveryAndLatency(t *testing.T) {
-	f := Of(sampleHistory(), aims)
+	f := Compute(sampleHistory(), aims)
 	if want := (Count{Asked: 400, InTime: 314, Late: 3, Refused: 3, Failed: 80}); f.All != want || f.Classes["a"] != want || f.Nodes["n0"].Count != want {
 		t.Errorf("counts %+v, want %+v", f.All, want)
 	}
@@ -52,7 +52,7 @@
 
 // TestEachBoundPassesAtItsValueAndFailsBeyond: figures at a bound pass, and figures just beyond it fail.
 func TestEachBoundPassesAtItsValueAndFailsBeyond(t *testing.T) {
-	f := Of(sampleHistory(), aims)
+	f := Compute(sampleHistory(), aims)
 	share := func(v float64) *float64 { return &v }
 	for name, c := range map[string]struct{ kept, broken spec.Bounds }{
 		"served":    {spec.Bounds{Served: 0.785}, spec.Bounds{Served: 0.786}},
@@ -79,9 +79,9 @@
 		timed bool
 		late  string
 		want  Result
-	}{{true, "", Fail}, {true, "late", Unplayed}, {false, "", Fail}, {false, "late", Fail}} {
+	}{{true, "", Fail}, {true, "late", Void}, {false, "", Fail}, {false, "late", Fail}} {
 		r := Run{Verdicts: []check.Verdict{{Name: "v", Timed: c.timed, Broken: bad}}, Late: c.late}
-		if got := r.Result(); got != c.want || !strings.HasPrefix(r.Line(), map[Result]string{Fail: "FAIL", Unplayed: "VOID"}[c.want]) {
+		if got := r.Result(); got != c.want || !strings.HasPrefix(r.Line(), map[Result]string{Fail: "FAIL", Void: "VOID"}[c.want]) {
 			t.Errorf("%+v: %d, %s", c, got, r.Line())
 		}
 	}
@@ -95,7 +95,7 @@
 // summary returns the same run.
 func TestPageStandsAloneAndSummaryReadsBack(t *testing.T) {
 	dir := t.TempDir()
-	run := Run{Figures: Of(sampleHistory(), aims), Verdicts: []check.Verdict{{Name: "answered", Broken: []check.Finding{{ID: "<id>", Text: "lost"}}}}}
+	run := Run{Figures: Compute(sampleHistory(), aims), Verdicts: []check.Verdict{{Name: "answered", Broken: []check.Finding{{ID: "<id>", Text: "lost"}}}}}
 	page, err := run.Write(dir)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -25,7 +25,7 @@
 const (
 	Pass Result = iota
 	Fail
-	Unplayed // the machine was too slow for the run to count
+	Void // the machine was too slow for the run to count
 )
 
 // Result returns the overall result. A broken rule about the order of events always fails the run; a broken
@@ -38,7 +38,7 @@
 		case !v.Timed || r.Late == "":
 			return Fail
 		default:
-			result = Unplayed
+			result = Void
 		}
 	}
 	return result
@@ -89,7 +89,7 @@
 				return fmt.Sprintf("FAIL %s: seed %d, %s: %s%s", f.Name, f.Seed, v.Name, v.Broken[0], more)
 			}
 		}
-	case Unplayed:
+	case Void:
 		return fmt.Sprintf("VOID %s: seed %d, the machine was too late to count: %s", f.Name, f.Seed, r.Late)
 	}
 	return fmt.Sprintf(
--- a/internal/lab/scale/beside.go
+++ b/internal/lab/scale/beside.go
@@ -12,9 +12,9 @@
 	"wrenspread/internal/proxy"
 )
 
-// Beside runs hollow nodes as Hollow does; first is the number of the first node. If every is not 0, the
+// RestartingHollow runs hollow nodes as Hollow does; first is the number of the first node. If every is not 0, the
 // nodes restart in turn, one after each interval of that length.
-func Beside(ctx context.Context, dir string, first, nodes int, every time.Duration) error {
+func RestartingHollow(ctx context.Context, dir string, first, nodes int, every time.Duration) error {
 	debug.SetGCPercent(gcPercent)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -31,7 +31,7 @@
 		"entries",
 		sizes,
 		map[string]int{"watchers": fewWatchers},
-		l.Say,
+		l.Report,
 		func(n int) (f map[string]float64, err error) {
 			err = l.withReplica(ctx, n, func(set *replicas.Set, k *client.Client) error {
 				f, err = l.measureEntries(ctx, set, k, n)
@@ -111,7 +111,7 @@
 		"renewals",
 		rates,
 		nil,
-		l.Say,
+		l.Report,
 		func(n int) (f map[string]float64, err error) {
 			err = l.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
 				f, err = measureRenewals(ctx, set, k, n)
--- a/internal/lab/scale/force.go
+++ b/internal/lab/scale/force.go
@@ -49,7 +49,7 @@
 		"nodes",
 		sizes,
 		map[string]int{"changes": int(f.Changes + 0.5)},
-		f.Say,
+		f.Report,
 		func(n int) (got map[string]float64, err error) {
 			err = f.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
 				got, err = f.measureNodes(ctx, k, set.All[0].Address(), n)
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-	controls, free, err := writeGovernedConfigs(dir, nodes, service, f.Parts, !f.Fleet)
+	controls, free, err := writeGovernedConfigs(dir, nodes, service, f.Subsets, !f.Fleet)
 	defer free()
 	if err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 // putPolicy stores the i-th policy table, with a limit for each tenant that is added later, and returns the
 // version of its record.
 func (f *Force) putPolicy(ctx context.Context, k *client.Client, i int) (version uint64, err error) {
-	known, text := policy.Known{}, fmt.Appendf(nil, "fleet {\n requests { rate = %d }\n", 1_000_000+i)
+	known, text := policy.KnownNames{}, fmt.Appendf(nil, "fleet {\n requests { rate = %d }\n", 1_000_000+i)
 	for j := range f.Each {
 		known.Tenants = append(known.Tenants, tenantSpec(j).Names[0])
 		text = fmt.Appendf(text, " book %q {\n  requests { rate = 10 }\n }\n", known.Tenants[j])
--- a/internal/lab/scale/force_fleet.go
+++ b/internal/lab/scale/force_fleet.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	began := time.Now()
-	backoff.Sleep(ctx, f.Rest)
+	backoff.Sleep(ctx, f.RestTime)
 	after, err := ownUse()
 	if err != nil {
 		return err
--- a/internal/lab/scale/force_rig.go
+++ b/internal/lab/scale/force_rig.go
@@ -58,13 +58,13 @@
 				dir,
 				fmt.Sprint("list", i),
 			),
-			ListPart:   parts,
-			PeerListen: peers[i],
-			Peers:      peers,
-			Fleet:      "scale",
-			Govern:     true,
-			Tenants:    tenants,
-			Seed:       uint64(i + 1),
+			ListPart:     parts,
+			PeerListen:   peers[i],
+			Peers:        peers,
+			Fleet:        "scale",
+			FollowPolicy: true,
+			Tenants:      tenants,
+			Seed:         uint64(i + 1),
 		}
 		if err := c.Write(configFile(dir, i), drawn, 1); err != nil {
 			return nil, free, err
@@ -85,7 +85,7 @@
 	go func() {
 		ended <- p.Run(ctx, tenant.LeaseName, func(ctx context.Context, fenced lease.Token) error {
 			c := tenant.Controller{
-				Store:       &tenant.Records{Registry: k, Token: fenced},
+				Store:       &tenant.RecordStore{Registry: k, Token: fenced},
 				Environment: tenant.RegistryEnvironment{Registry: k},
 				Interval:    conductInterval,
 				Times:       tenant.DefaultTimes(),
--- a/internal/lab/scale/herd.go
+++ b/internal/lab/scale/herd.go
@@ -13,7 +13,7 @@
 
 // Cold has n watchers without a cached list connect at once.
 func (l *Lists) Cold(ctx context.Context, sizes []int, entries int) error {
-	return l.points(ctx, "cold", "watchers", sizes, nil, l.Say, func(n int) (f map[string]float64, err error) {
+	return l.points(ctx, "cold", "watchers", sizes, nil, l.Report, func(n int) (f map[string]float64, err error) {
 		err = l.withReplica(ctx, entries, func(set *replicas.Set, k *client.Client) error {
 			now, err := k.CurrentList(ctx)
 			if err != nil {
@@ -50,7 +50,7 @@
 
 // Lost kills the leader of three replicas while watchers follow all three, and then makes a change.
 func (l *Lists) Lost(ctx context.Context, sizes []int, entries int) error {
-	return l.points(ctx, "lost", "watchers", sizes, nil, l.Say, func(n int) (f map[string]float64, err error) {
+	return l.points(ctx, "lost", "watchers", sizes, nil, l.Report, func(n int) (f map[string]float64, err error) {
 		l.runNumber++
 		o := quorum.Options{
 			Seed:     1,
@@ -59,7 +59,7 @@
 			Command:  l.Program,
 			Env:      l.Env,
 		}
-		err = quorum.Measure(ctx, o, func(set *replicas.Set, k *client.Client) error {
+		err = quorum.WithReplicas(ctx, o, func(set *replicas.Set, k *client.Client) error {
 			if err := quorum.Fill(ctx, k, entries); err != nil {
 				return err
 			}
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -55,7 +55,7 @@
 				seed := uint64(0)
 				p, err = repeated(
 					l.Repeat,
-					map[string]int{"servers": n, "changes": l.Changes, "part": subsetFlag(l.Parts)},
+					map[string]int{"servers": n, "changes": l.Changes, "part": subsetFlag(l.Subsets)},
 					func() (map[string]float64, error) {
 						seed++
 						return l.measureNode(ctx, a, k, set.All[0].Address(), n, seed)
@@ -66,7 +66,7 @@
 			if err != nil {
 				return nil, err
 			}
-			l.Say(p)
+			l.Report(p)
 			all = append(all, p)
 		}
 		return all, nil
@@ -111,7 +111,7 @@
 		Control:  control,
 		List:     []string{service},
 		ListFile: filepath.Join(dir, "list"),
-		ListPart: l.Parts,
+		ListPart: l.Subsets,
 		Seed:     seed,
 	}
 	if err := c.Write(configFile(dir, 0), drawn, l.Rate); err != nil {
--- a/internal/lab/scale/nodes.go
+++ b/internal/lab/scale/nodes.go
@@ -18,10 +18,10 @@
 // Nodes says which nodes are measured.
 type Nodes struct {
 	Lists
-	Kind  string   // hollow or real
-	Start []string // command; for a hollow process, its folder and number of nodes are appended
-	View  bool     // whether nodes have a view of the fleet
-	Told  int      // size of the fleet of which nodes are notified, if greater than their number
+	Kind          string   // hollow or real
+	Start         []string // command; for a hollow process, its folder and number of nodes are appended
+	View          bool     // whether nodes have a view of the fleet
+	NotifiedNodes int      // size of the fleet of which nodes are notified, if greater than their number
 
 	Watchers int // further hollow clients of the replica, each with its own subset
 	extra    extraNodes
@@ -64,7 +64,7 @@
 			if err != nil {
 				return nil, err
 			}
-			n.Say(p)
+			n.Report(p)
 			all = append(all, p)
 		}
 		return all, nil
@@ -81,24 +81,24 @@
 	if err != nil {
 		return nil, err
 	}
-	backoff.Sleep(ctx, n.Rest)
+	backoff.Sleep(ctx, n.RestTime)
 	rested, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
 	start, made := time.Now(), 0
-	for ; time.Since(start) < n.Rest-changeInterval; made++ {
+	for ; time.Since(start) < n.RestTime-changeInterval; made++ {
 		if _, err := registerRestart(ctx, r.k, made, r.Backends); err != nil {
 			return nil, err
 		}
 		backoff.Sleep(ctx, time.Until(start.Add(time.Duration(made+1)*changeInterval)))
 	}
-	backoff.Sleep(ctx, time.Until(start.Add(n.Rest)))
+	backoff.Sleep(ctx, time.Until(start.Add(n.RestTime)))
 	if _, err := r.k.Remove(ctx, fmt.Sprintf("s-%08x", r.Backends-1), nil); err != nil {
 		return nil, err
 	}
 	made++
-	if !n.Parts { // with subsets, only some nodes have the removed server
+	if !n.Subsets { // with subsets, only some nodes have the removed server
 		// Without this wait the measured use could lack that of the last changes.
 		if err := r.awaitStat(ctx, "discovered", r.Backends-1); err != nil {
 			return nil, err
@@ -112,9 +112,9 @@
 	if err != nil {
 		return nil, err
 	}
-	took := 2 * n.Rest.Seconds() * min(sampledNodes, float64(r.Nodes))
+	took := 2 * n.RestTime.Seconds() * min(sampledNodes, float64(r.Nodes))
 	rest, work, each := rested.minus(begun), worked.minus(rested), float64(r.Nodes)
-	perRest := func(all float64) float64 { return all / n.Rest.Seconds() / each }
+	perRest := func(all float64) float64 { return all / n.RestTime.Seconds() / each }
 	perChange := func(rest, work float64) float64 {
 		return max(0, work-rest) / float64(made) / each
 	}
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -40,7 +40,7 @@
 					return err
 				}
 				after, err := useOf(r.service.Pid)
-				work, took := after.minus(before), 2*p.Rest.Seconds()
+				work, took := after.minus(before), 2*p.RestTime.Seconds()
 				f["replica_cores"], f["replica_bytes_out_per_s"], f["replica_memory_bytes"] = seconds(
 					work.CPU,
 				)/took, work.Written/took, after.RSS
@@ -79,13 +79,13 @@
 			}
 			for _, size := range sortedKeys(found) {
 				at := Point{
-					Sizes:   map[string]int{"nodes": n, other: size, "part": subsetFlag(p.Parts)},
+					Sizes:   map[string]int{"nodes": n, other: size, "part": subsetFlag(p.Subsets)},
 					Figures: map[string]Spread{},
 				}
 				for name, v := range found[size] {
 					at.Figures[name] = spreadOf(v)
 				}
-				p.Say(at)
+				p.Report(at)
 				all = append(all, at)
 			}
 		}
@@ -107,7 +107,7 @@
 				return err
 			}
 			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-			controls, free, err := writeGovernedConfigs(dir, n, set.All[0].Address(), p.Parts, true)
+			controls, free, err := writeGovernedConfigs(dir, n, set.All[0].Address(), p.Subsets, true)
 			defer free()
 			if err != nil {
 				return err
@@ -189,7 +189,7 @@
 	if err := sample(0); err != nil {
 		return nil, err
 	}
-	backoff.Sleep(ctx, p.Rest)
+	backoff.Sleep(ctx, p.RestTime)
 	if err := sample(1); err != nil {
 		return nil, err
 	}
@@ -206,10 +206,10 @@
 	}
 	rest, work, each := uses[1].nodes.minus(uses[0].nodes), uses[2].nodes.minus(uses[1].nodes), float64(r.Nodes)
 	restService, workService := uses[1].service.minus(uses[0].service), uses[2].service.minus(uses[1].service)
-	longer := seconds(took) / p.Rest.Seconds()
+	longer := seconds(took) / p.RestTime.Seconds()
 	perChange := func(work, rest float64) float64 { return max(0, work-rest*longer) / pairChanges }
 	return map[string]float64{
-		"rest_cores":   seconds(rest.CPU) / p.Rest.Seconds() / each,
+		"rest_cores":   seconds(rest.CPU) / p.RestTime.Seconds() / each,
 		"memory_bytes": uses[2].nodes.RSS / each,
 		"change_cpu_s": perChange(
 			seconds(work.CPU),
--- a/internal/lab/scale/pairs_routes.go
+++ b/internal/lab/scale/pairs_routes.go
@@ -37,7 +37,7 @@
 				if err != nil {
 					return nil, err
 				}
-				p.Say(one)
+				p.Report(one)
 				all = append(all, one)
 			}
 		}
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -52,7 +52,7 @@
 			return err
 		}
 		defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), subsets: n.Parts, View: n.View}
+		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), subsets: n.Subsets, View: n.View}
 		var free func()
 		controls, free, err := n.configure(dir, size.Nodes+n.extra.nodes, set.All[0].Address())
 		defer free()
@@ -126,7 +126,7 @@
 		c := platform.Node{
 			Name:    fmt.Sprint("n", i),
 			Number:  i,
-			Nodes:   max(n.Told, nodes),
+			Nodes:   max(n.NotifiedNodes, nodes),
 			Zone:    zoneOf(i),
 			Listen:  reserve(),
 			Control: reserve(),
@@ -134,7 +134,7 @@
 				service,
 			},
 			ListFile:   listFile(dir, i),
-			ListPart:   n.Parts,
+			ListPart:   n.Subsets,
 			PeerListen: peers[i],
 			Seed:       uint64(i + 1),
 		}
--- a/internal/lab/scale/tenants.go
+++ b/internal/lab/scale/tenants.go
@@ -76,7 +76,7 @@
 // memory of its table.
 func Policy(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 	return run.points(ctx, "policy", "books", sizes, nil, report, func(n int) (map[string]float64, error) {
-		known, text := policy.Known{}, []byte("fleet {\n requests { rate = 1000000 }\n")
+		known, text := policy.KnownNames{}, []byte("fleet {\n requests { rate = 1000000 }\n")
 		for i := range n {
 			name := fmt.Sprintf("tenant-%06d", i)
 			known.Tenants = append(known.Tenants, name)
--- a/internal/lab/scale/use.go
+++ b/internal/lab/scale/use.go
@@ -31,7 +31,7 @@
 		return u, err
 	}
 	u.RSS, u.FDs = float64(coarse.RSS), float64(coarse.FDs)
-	if u.CPU, err = process.Ran(pid); err != nil {
+	if u.CPU, err = process.ThreadCPU(pid); err != nil {
 		return u, err
 	}
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/view.go
@@ -10,10 +10,10 @@
 
 const partitionTime = 30 * time.Second // how long the halves are apart before they rejoin
 
-// Apart partitions the fleet into halves for the given time, on the simulation's clock, and then rejoins
+// Partition partitions the fleet into halves for the given time, on the simulation's clock, and then rejoins
 // them until all nodes have one view. During the partition, one node of forty of each half dies and as many
 // join.
-func Apart(cut *time.Duration) func(ctx context.Context, run Run, sizes []int, report func(Point)) error {
+func Partition(cut *time.Duration) func(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 	return func(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 		return run.points(
 			ctx,
@@ -23,12 +23,12 @@
 			map[string]int{"cut_s": int(cut.Seconds())},
 			report,
 			func(n int) (map[string]float64, error) {
-				g, err := membership.Growth{Nodes: n, Seed: 1, Cut: *cut, Moves: max(1, n/40)}.Measure(ctx)
+				g, err := membership.Growth{Nodes: n, Seed: 1, Cut: *cut, ChangesPerHalf: max(1, n/40)}.Measure(ctx)
 				return map[string]float64{
 					"moves":                float64(4 * max(1, n/40)),
 					"heal_s":               seconds(g.Heal),
-					"peak_bytes_per_s":     float64(g.Peak),
-					"datagram_bytes_per_s": g.Bytes,
+					"peak_bytes_per_s":     float64(g.PeakBytes),
+					"datagram_bytes_per_s": g.BytesPerSecond,
 				}, err
 			},
 		)
@@ -46,8 +46,8 @@
 			return nil, err
 		}
 		return map[string]float64{
-			"datagrams_per_s":      g.Sent,
-			"datagram_bytes_per_s": g.Bytes,
+			"datagrams_per_s":      g.DatagramsPerSecond,
+			"datagram_bytes_per_s": g.BytesPerSecond,
 			"all_joined_s":         seconds(g.Joined),
 			"one_joins_s":          seconds(g.Join),
 			"one_dies_s": seconds(
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -31,9 +31,9 @@
 	Dir       string        // folder for the programs' data
 	Program   []string      // command of wrenspread-registry
 	Env       []string      // environment of the program
-	Parts     bool          // whether each watcher follows its own subset, in a fleet of the plan's size
-	Rest      time.Duration // length of a measurement at rest, and of changes at nodes
-	Say       func(Point)
+	Subsets   bool          // whether each watcher follows its own subset, in a fleet of the plan's size
+	RestTime  time.Duration // length of a measurement at rest, and of changes at nodes
+	Report    func(Point)
 	runNumber int
 }
 
@@ -51,7 +51,7 @@
 		Command:  l.Program,
 		Env:      l.Env,
 	}
-	return quorum.Measure(ctx, o, func(set *replicas.Set, k *client.Client) error {
+	return quorum.WithReplicas(ctx, o, func(set *replicas.Set, k *client.Client) error {
 		if err := quorum.Fill(ctx, k, entries); err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 			}
 			c.versions[i].Store(a.Index)
 		}}
-		if l.Parts {
+		if l.Subsets {
 			conf.ChooseSubset = func(has registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
 				return has.Next(i, assumedFleetNodes, total, entries, []registry.Placement{{}})
 			}
@@ -198,7 +198,7 @@
 		"watchers",
 		sizes,
 		map[string]int{"entries": entries},
-		l.Say,
+		l.Report,
 		func(n int) (f map[string]float64, err error) {
 			err = l.withReplica(ctx, entries, func(set *replicas.Set, k *client.Client) error {
 				f, err = l.measureWatchers(ctx, set, k, n, entries)
@@ -253,13 +253,13 @@
 	if err != nil {
 		return nil, err
 	}
-	backoff.Sleep(ctx, l.Rest)
+	backoff.Sleep(ctx, l.RestTime)
 	rested, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
 	work, rest := changed.minus(begun), rested.minus(changed)
-	each, restSeconds := float64(n), l.Rest.Seconds()
+	each, restSeconds := float64(n), l.RestTime.Seconds()
 	return map[string]float64{
 		"change_cpu_s":             seconds(work.service.CPU) / changesPerFigure,
 		"change_bytes":             work.service.Written / changesPerFigure,
--- a/internal/lab/spec/acts.go
+++ b/internal/lab/spec/acts.go
@@ -116,8 +116,8 @@
 	return false
 }
 
-// Acts returns one line of description for each kind of fault, sorted by target.
-func Acts() []string {
+// FaultDescriptions returns one line of description for each kind of fault, sorted by target.
+func FaultDescriptions() []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(faultKinds)) {
 		all = append(all, fmt.Sprintf("%-10s %-9s %s", name, faultKinds[name].target, faultKinds[name].description))
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -19,15 +19,15 @@
 
 // Class is one kind of request.
 type Class struct {
-	Name       string
-	Effect     string
-	Share      float64       // share of all requests
-	Work       time.Duration // mean work of a request, on a standard core
-	CV         float64       // coefficient of variation of the work of single requests
-	Aim        time.Duration // latency objective
-	Deadline   time.Duration // time after which the client gives up the operation
-	Importance float64
-	Window     time.Duration // time for which a pod drops repeats of a key
+	Name             string
+	Effect           string
+	Share            float64       // share of all requests
+	Work             time.Duration // mean work of a request, on a standard core
+	CV               float64       // coefficient of variation of the work of single requests
+	LatencyObjective time.Duration // latency objective
+	Deadline         time.Duration // time after which the client gives up the operation
+	Importance       float64
+	Window           time.Duration // time for which a pod drops repeats of a key
 }
 
 // Tenant is one tenant, with its share of the service and its demand.
@@ -166,7 +166,7 @@
 		w.Classes = append(
 			w.Classes,
 			Class{Name: c.name, Effect: c.effect, Share: c.share, Work: ms(c.low, c.high),
-				CV: between(c.cvMin, c.cvMax), Aim: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline),
+				CV: between(c.cvMin, c.cvMax), LatencyObjective: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline),
 				Importance: c.worth,
 				Window:     time.Duration(c.windowSeconds * float64(time.Second))},
 		)
--- a/internal/policy/drawn_test.go
+++ b/internal/policy/drawn_test.go
@@ -151,7 +151,7 @@
 
 // BenchmarkCompile compiles a policy with 9,003 limits: 1,000 tenants with three limits and six classes each.
 func BenchmarkCompile(b *testing.B) {
-	known := Known{}
+	known := KnownNames{}
 	for i := range 1000 {
 		known.Tenants = append(known.Tenants, fmt.Sprintf("book-%04d", i))
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -19,8 +19,8 @@
 	"wrenspread/ratelimit"
 )
 
-// Known holds the names that a policy may refer to. Names of a kind whose list is empty are not checked.
-type Known struct {
+// KnownNames holds the names that a policy may refer to. Names of a kind whose list is empty are not checked.
+type KnownNames struct {
 	Sites, Tenants, Cells []string
 	Classes               []Class
 }
@@ -32,9 +32,9 @@
 	Work           time.Duration // of the class's heaviest request; 0 means unknown
 }
 
-// KnownOf returns the names in a proxy's settings. The settings do not contain the work of a class.
-func KnownOf(s balancer.Settings) Known {
-	k := Known{Sites: s.Zones}
+// KnownNamesOf returns the names in a proxy's settings. The settings do not contain the work of a class.
+func KnownNamesOf(s balancer.Settings) KnownNames {
+	k := KnownNames{Sites: s.Zones}
 	for _, t := range s.Tenants {
 		k.Tenants = append(k.Tenants, t.Name)
 	}
@@ -46,15 +46,15 @@
 
 // sorted returns the names sorted and without duplicates, so that the table does not depend on the order of
 // the lists.
-func (k Known) sorted() Known {
+func (k KnownNames) sorted() KnownNames {
 	names := func(from []string) []string { return slices.Compact(slices.Sorted(slices.Values(from))) }
 	classes := slices.Clone(k.Classes)
 	slices.SortStableFunc(classes, func(a, b Class) int { return strings.Compare(a.Name, b.Name) })
 	classes = slices.CompactFunc(classes, func(a, b Class) bool { return a.Name == b.Name })
-	return Known{names(k.Sites), names(k.Tenants), names(k.Cells), classes}
+	return KnownNames{names(k.Sites), names(k.Tenants), names(k.Cells), classes}
 }
 
-func (k Known) classNames() []string {
+func (k KnownNames) classNames() []string {
 	var names []string
 	for _, c := range k.Classes {
 		names = append(names, c.Name)
@@ -65,7 +65,7 @@
 // Compile compiles the source of a policy to a table. For a faulty source it returns all faults as *Errors,
 // and for a source that exceeds the bounds on length or nesting another error. The file name appears in
 // messages only.
-func Compile(file string, text []byte, known Known) (*ratelimit.Table, error) {
+func Compile(file string, text []byte, known KnownNames) (*ratelimit.Table, error) {
 	c := &compiler{known: known.sorted(), source: text}
 	if err := c.checkBounds(); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 
 // compiler holds the state of one compilation.
 type compiler struct {
-	known           Known
+	known           KnownNames
 	source          []byte
 	diags           hcl.Diagnostics
 	evalCtx         *hcl.EvalContext
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -15,7 +15,7 @@
 )
 
 // testNames are the known names of the site in testdata/site.hcl.
-var testNames = Known{
+var testNames = KnownNames{
 	Sites: []string{"klein-windhoek", "southern-ind", "okuryangava"},
 	Tenants: []string{"kalahari-core", "namib-factors", "oshana-credit", "erongo-trade", "kalahari-agri", "kunene-mining",
 		"otjozondjupa-sme"},
@@ -99,7 +99,7 @@
 			t.Errorf("table has no limit %s", want.limit)
 		}
 	}
-	again, err := Compile("other-name.hcl", text, Known{testNames.Sites, testNames.Tenants, nil, testNames.Classes})
+	again, err := Compile("other-name.hcl", text, KnownNames{testNames.Sites, testNames.Tenants, nil, testNames.Classes})
 	if err != nil || !bytes.Equal(again.JSON(), table.JSON()) {
 		t.Errorf("compiling the same source under another name gives other bytes or error %v", err)
 	}
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -111,7 +111,7 @@
 			case tenant.SwapCatalogue:
 				t.catalogue, t.catalogueChanged = a.Catalogue, true
 				srv.catalogueSwapped()
-			case tenant.TellStatus:
+			case tenant.ReportStatus:
 				t.session.setStatus(a.Status)
 			case tenant.ReadCatalogue:
 				t.session.requestRead()
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -82,11 +82,11 @@
 	}
 	var targets []Target
 	for name, address := range agents {
-		status, err := agent.Caller{HTTP: httpClient}.Status(ctx, address, name)
+		status, err := agent.Client{HTTP: httpClient}.Status(ctx, address, name)
 		if err != nil {
 			return nil, err
 		}
-		if status.Handover {
+		if status.Handoff {
 			targets = append(
 				targets,
 				Target{Name: name, Address: status.Address, Zone: status.Zone, Type: status.Type,
--- a/internal/release/gate.go
+++ b/internal/release/gate.go
@@ -84,7 +84,7 @@
 	if released.Requests < g.MinRequests || !alone && rest.Requests < g.MinRequests {
 		return Undecided
 	}
-	threshold := cmp.Or(g.IncidentThreshold, Default().Gate.IncidentThreshold)
+	threshold := cmp.Or(g.IncidentThreshold, DefaultPlan().Gate.IncidentThreshold)
 	releasedBad, restBad := exceeds(released.Failed, released.Requests, threshold),
 		exceeds(rest.Failed, rest.Requests, threshold)
 	switch {
@@ -107,7 +107,7 @@
 }
 
 // ApplyVerdict applies the verdict on the wave that has soaked: the release continues, is halted or is rolled
-// back. An undecided verdict changes nothing; the gate is evaluated again until Deadline.Judge.
+// back. An undecided verdict changes nothing; the gate is evaluated again until Deadline.Verdict.
 func (s *State) ApplyVerdict(now time.Duration, verdict Verdict, reason string) {
 	if s.Phase != Soaking {
 		return
--- a/internal/release/machine_test.go
+++ b/internal/release/machine_test.go
@@ -199,7 +199,7 @@
 // newFakeFleet returns a fleet of n servers in three zones, with the record of a new release. The change
 // adapts the release's plan.
 func newFakeFleet(t interface{ Fatalf(string, ...any) }, n int, change func(*Plan)) *fakeFleet {
-	plan := Default()
+	plan := DefaultPlan()
 	plan.Name, plan.From, plan.To, plan.Soak, plan.Limits = "r", "v1", "v2", 0, Limits{Total: 3, Zone: 2, Cell: 1}
 	if change != nil {
 		change(&plan)
@@ -381,7 +381,7 @@
 	for i := range MaxTargets {
 		all = append(all, Target{Name: fmt.Sprint(longText[:32], i), Address: "255.255.255.255:65535", Zone: longText[:16], Type: longText[:16], Cell: i, Version: "v1"})
 	}
-	plan := Default()
+	plan := DefaultPlan()
 	plan.Name, plan.From, plan.To = "r", "v1", "v2"
 	s, err := New(plan, all)
 	if err != nil {
@@ -459,7 +459,7 @@
 	for want, breakPlan := range map[string]func(*Plan){"name:": func(p *Plan) { p.Name = "" }, "to:": func(p *Plan) { p.To = p.From }, "limits.out": func(p *Plan) { p.Limits.Total = 0 },
 		"limits.zone": func(p *Plan) { p.Limits.Zone = 9 }, "wave 1": func(p *Plan) { p.Waves = []Wave{{}} }, "wave:": func(p *Plan) { p.Waves = nil }, "halt:": func(p *Plan) { p.Halt = "" },
 		"gate.failed": func(p *Plan) { p.Gate.MaxFailedExcess = 2 }, "deadline.ready": func(p *Plan) { p.Deadline.Ready = 0 }, "what.names": func(p *Plan) { p.Selector.Names = []string{"["} }} {
-		plan := Default()
+		plan := DefaultPlan()
 		plan.Name, plan.From, plan.To = "r", "v1", "v2"
 		if err := plan.Check(); err != nil {
 			t.Fatal(err)
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -74,7 +74,7 @@
 	Drain   time.Duration `koanf:"drain" json:"drain_ns"`
 	Replace time.Duration `koanf:"replace" json:"replace_ns"`
 	Ready   time.Duration `koanf:"ready" json:"ready_ns"`
-	Judge   time.Duration `koanf:"judge" json:"judge_ns"` // from the end of the soak to the gate's verdict
+	Verdict time.Duration `koanf:"judge" json:"judge_ns"` // from the end of the soak to the gate's verdict
 }
 
 // The kinds of plans.
@@ -99,8 +99,8 @@
 	maxDuration = 24 * time.Hour
 )
 
-// Default returns a cautious plan without a name, versions and a selector.
-func Default() Plan {
+// DefaultPlan returns a cautious plan without a name, versions and a selector.
+func DefaultPlan() Plan {
 	return Plan{
 		Limits: Limits{Total: 1},
 		Waves:  []Wave{{Count: 1}, {Share: 0.1}, {Share: 0.5}, {Share: 1}},
@@ -111,7 +111,7 @@
 			Drain:   time.Minute,
 			Replace: 2 * time.Minute,
 			Ready:   time.Minute,
-			Judge:   2 * time.Minute,
+			Verdict: 2 * time.Minute,
 		},
 	}
 }
--- a/internal/release/plan_check.go
+++ b/internal/release/plan_check.go
@@ -90,7 +90,7 @@
 	problems.requireDuration("deadline.drain", p.Deadline.Drain, time.Second)
 	problems.requireDuration("deadline.replace", p.Deadline.Replace, time.Second)
 	problems.requireDuration("deadline.ready", p.Deadline.Ready, time.Second)
-	problems.requireDuration("deadline.judge", p.Deadline.Judge, 0)
+	problems.requireDuration("deadline.judge", p.Deadline.Verdict, 0)
 }
 
 func (g Gate) check(problems *planProblems) {
--- a/internal/release/proxyexecutor.go
+++ b/internal/release/proxyexecutor.go
@@ -29,10 +29,10 @@
 	}
 	var unavailable Unavailable
 	for name, address := range agents {
-		status, err := agent.Caller{HTTP: f.HTTP}.Status(ctx, address, name)
+		status, err := agent.Client{HTTP: f.HTTP}.Status(ctx, address, name)
 		if err != nil { // the machine may be lost
 			unavailable.Endpoints = append(unavailable.Endpoints, Target{Name: name})
-		} else if status.Handover && !status.Ready {
+		} else if status.Handoff && !status.Ready {
 			unavailable.Endpoints = append(unavailable.Endpoints,
 				Target{Name: name, Zone: status.Zone, Type: status.Type, Cell: status.Cell})
 		}
@@ -46,12 +46,12 @@
 	if err != nil {
 		return false, err
 	}
-	caller := agent.Caller{HTTP: f.HTTP}
+	caller := agent.Client{HTTP: f.HTTP}
 	switch action.Step {
 	case Maintenance, Drain, Restore: // the handoff replaces these steps
 		return true, nil
 	case Replace:
-		status, err := caller.Order(ctx, address, action.Target.Name,
+		status, err := caller.SetDesiredState(ctx, address, action.Target.Name,
 			agent.DesiredState{Version: action.Version}, f.Token)
 		return err == nil && status.Version == action.Version, proxyError(status, action, err)
 	}
@@ -80,8 +80,8 @@
 	}
 	counts := map[string]Comparison{}
 	for name, address := range f.agents.addressesByName() {
-		status, err := agent.Caller{HTTP: f.HTTP}.Status(ctx, address, name)
-		if err != nil || !status.Handover || status.Control == "" {
+		status, err := agent.Client{HTTP: f.HTTP}.Status(ctx, address, name)
+		if err != nil || !status.Handoff || status.Control == "" {
 			continue
 		}
 		text, err := fetchStats(ctx, f.HTTP, status.Control)
--- a/internal/release/serverexecutor.go
+++ b/internal/release/serverexecutor.go
@@ -67,7 +67,7 @@
 		}
 		// Without an entry in the list, the server's zone is known to its agent only. What is upgraded by handoff
 		// is a proxy, which is never in the list.
-		if status, err := (agent.Caller{HTTP: f.HTTP}).Status(ctx, address, name); err != nil || !status.Handover {
+		if status, err := (agent.Client{HTTP: f.HTTP}).Status(ctx, address, name); err != nil || !status.Handoff {
 			unavailable.Endpoints = append(unavailable.Endpoints,
 				Target{Name: name, Zone: status.Zone, Type: status.Type, Cell: status.Cell})
 		}
@@ -81,13 +81,13 @@
 	if err != nil {
 		return false, err
 	}
-	caller, name := agent.Caller{HTTP: f.HTTP}, action.Target.Name
+	caller, name := agent.Client{HTTP: f.HTTP}, action.Target.Name
 	switch action.Step {
 	case Maintenance:
 		err := f.callProxies(ctx, name, "maint")
 		return err == nil, err
 	case Drain:
-		_, err := caller.Order(
+		_, err := caller.SetDesiredState(
 			ctx,
 			address,
 			name,
@@ -96,7 +96,7 @@
 		)
 		return err == nil && f.isDrained(name), err
 	case Replace:
-		status, err := caller.Order(ctx, address, name,
+		status, err := caller.SetDesiredState(ctx, address, name,
 			agent.DesiredState{Version: action.Version, KeepDraining: true}, f.Token)
 		return err == nil && status.Version == action.Version && status.Running, err
 	case Ready:
@@ -106,7 +106,8 @@
 		}
 		return err == nil && status.Version == action.Version, err
 	}
-	status, err := caller.Order(ctx, address, name, agent.DesiredState{Version: action.Version}, f.Token)
+	status, err := caller.SetDesiredState(ctx, address, name,
+		agent.DesiredState{Version: action.Version}, f.Token)
 	if err != nil || !status.Ready || status.Version != action.Version {
 		return false, err
 	}
--- a/internal/release/step.go
+++ b/internal/release/step.go
@@ -133,9 +133,9 @@
 			)
 		}
 	}
-	if s.Phase == Soaking && now-s.Since > s.Plan.Soak+deadline.Judge {
+	if s.Phase == Soaking && now-s.Since > s.Plan.Soak+deadline.Verdict {
 		s.handleFault(now, fmt.Sprintf("the gate of wave %d is undecided %v after its soak",
-			s.Wave+1, deadline.Judge))
+			s.Wave+1, deadline.Verdict))
 	}
 }
 
--- a/internal/sim/membership/growth.go
+++ b/internal/sim/membership/growth.go
@@ -11,26 +11,26 @@
 
 // Growth describes a measurement of the view's cost and speed in a fleet of one size.
 type Growth struct {
-	Nodes  int
-	Seed   uint64
-	Rival  bool          // measures the rival, in which every node probes every other, instead of the view
-	Losses []float64     // fractions of lost datagrams at which false deaths are counted
-	Hours  float64       // node hours of counting at each loss
-	Cut    time.Duration // how long the two halves of the fleet are cut off from each other
-	Moves  int           // deaths and joins in each half, spread evenly over the cut
+	Nodes          int
+	Seed           uint64
+	Rival          bool          // measures the rival, in which every node probes every other
+	Losses         []float64     // fractions of lost datagrams at which false deaths are counted
+	NodeHours      float64       // node hours of counting at each loss
+	Cut            time.Duration // how long the two halves of the fleet are cut off from each other
+	ChangesPerHalf int           // deaths and joins in each half, spread evenly over the cut
 }
 
-// Grown is the result of a Growth. Its times last until all running nodes have reported the change of their
-// view.
-type Grown struct {
-	Nodes       int
-	Sent, Bytes float64       // datagrams and bytes per node and second, in a fleet without changes
-	Joined      time.Duration // of all nodes, after the last start
-	Join        time.Duration // of one more node
-	Death       time.Duration // of one node
-	Heal        time.Duration // of the cut, until all views are complete
-	Peak        int           // most bytes that one node sent in a second of the heal
-	False       []float64     // running nodes that some node took for dead, per node and hour, for each loss
+// GrowthResult is the result of a Growth. Its times last until all running nodes have reported the change
+// of their view.
+type GrowthResult struct {
+	Nodes                              int
+	DatagramsPerSecond, BytesPerSecond float64       // per node, in a fleet without changes
+	Joined                             time.Duration // of all nodes, after the last start
+	Join                               time.Duration // of one more node
+	Death                              time.Duration // of one node
+	Heal                               time.Duration // of the cut, until all views are complete
+	PeakBytes                          int           // most bytes that one node sent in a second of the heal
+	FalseDeaths                        []float64     // running nodes taken for dead, per node and hour, by loss
 }
 
 const (
@@ -51,7 +51,7 @@
 }
 
 // Measure simulates a fleet of one size through a join, a death, a cut into halves and losses of datagrams.
-func (g Growth) Measure(ctx context.Context) (out Grown, err error) {
+func (g Growth) Measure(ctx context.Context) (out GrowthResult, err error) {
 	m := g.begin(ctx)
 	out.Nodes = g.Nodes
 	names := Names(g.Nodes)
@@ -62,7 +62,7 @@
 		return out, err
 	}
 	m.run(5 * time.Second)
-	out.Sent, out.Bytes = m.sendRates()
+	out.DatagramsPerSecond, out.BytesPerSecond = m.sendRates()
 
 	victim := names[g.Nodes/2]
 	m.world.Host(victim).Kill()
@@ -84,24 +84,24 @@
 		func(from, to string) bool { return m.half(from) != m.half(to) },
 		sim.CutLink,
 	)
-	for i := range g.Moves {
-		m.run(g.Cut / time.Duration(g.Moves+1))
+	for i := range g.ChangesPerHalf {
+		m.run(g.Cut / time.Duration(g.ChangesPerHalf+1))
 		m.replaceNodes(i)
 	}
-	m.run(g.Cut / time.Duration(g.Moves+1))
+	m.run(g.Cut / time.Duration(g.ChangesPerHalf+1))
 	m.world.Net.RemoveFault(partition)
 	peak := m.peak()
 	if out.Heal, err = m.waitFor(
 		"the halves are one",
-		func() bool { out.Peak = peak(); return m.complete() },
+		func() bool { out.PeakBytes = peak(); return m.complete() },
 	); err != nil {
 		return out, err
 	}
 	m.run(time.Second) // peak needs a full second, and a heal may be shorter
-	out.Peak = peak()
+	out.PeakBytes = peak()
 	for _, loss := range g.Losses {
 		m.run(5 * time.Second)
-		out.False = append(out.False, m.falseDeaths(loss))
+		out.FalseDeaths = append(out.FalseDeaths, m.falseDeaths(loss))
 	}
 	return out, ctx.Err()
 }
@@ -137,7 +137,7 @@
 		dead:   map[string]int{},
 	}
 	m.fleet.NoNotes = true
-	m.fleet.Seeds = Names(1 + min(g.Moves, 1)) // one in each half
+	m.fleet.Seeds = Names(1 + min(g.ChangesPerHalf, 1)) // one in each half
 	if g.Rival {
 		m.fleet.Seeds = append(Names(g.Nodes), newcomer)
 		m.fleet.Core = func(cfg membership.Config, now time.Duration) Core { return newRival(cfg, now) }
@@ -235,7 +235,7 @@
 	)
 	defer m.world.Net.RemoveFault(lossFault)
 	m.falseDeathCount = 0
-	duration := time.Duration(m.Hours / float64(m.Nodes) * float64(time.Hour))
+	duration := time.Duration(m.NodeHours / float64(m.Nodes) * float64(time.Hour))
 	m.run(duration)
 	return float64(m.falseDeathCount) / (duration.Hours() * float64(m.Nodes))
 }
--- a/internal/sim/membership/play.go
+++ b/internal/sim/membership/play.go
@@ -15,7 +15,7 @@
 	// AlterFleet, if set, changes the fleet before its start. Tests use it to make broken variants.
 	AlterFleet func(f *Fleet)
 	// Took, if set, is called with the time from the end of the last fault until all views were equal and right.
-	Took func(time.Duration)
+	OnSettled func(time.Duration)
 }
 
 // Wild returns a play with all kinds of faults. It checks what must hold whatever the faults.
@@ -24,7 +24,7 @@
 	p.Kinds = append(faultKinds(), sim.Kill)
 	p.Build = func(w *sim.World) []sim.Check {
 		f := startFleet(w, o)
-		return append(f.checks(), f.settleChecks(o.Took)...)
+		return append(f.checks(), f.settleChecks(o.OnSettled)...)
 	}
 	return p
 }
@@ -54,7 +54,8 @@
 	}
 	p.Build = func(w *sim.World) []sim.Check {
 		f := startFleet(w, o)
-		return append(append(f.checks(), f.neverCheck("nobody dead", membership.Dead)), f.settleChecks(o.Took)...)
+		return append(append(f.checks(), f.neverCheck("nobody dead", membership.Dead)),
+			f.settleChecks(o.OnSettled)...)
 	}
 	return p
 }
@@ -71,7 +72,7 @@
 		f := startFleet(w, o)
 		return append(
 			append(f.checks(), f.neverCheck("nobody suspected", membership.Suspect)),
-			f.settleChecks(o.Took)...,
+			f.settleChecks(o.OnSettled)...,
 		)
 	}
 	return p
@@ -86,7 +87,7 @@
 		WarmUp:        5 * time.Second,
 		FaultWindow:   40 * time.Second,
 		CheckInterval: 250 * time.Millisecond,
-		Drawing:       timeline.Drawing{Columns: names, Step: 500 * time.Millisecond, Fold: 3 * time.Second},
+		Drawing:       timeline.Drawing{Columns: names, Step: 500 * time.Millisecond, MinGap: 3 * time.Second},
 	}
 }
 
--- a/internal/sim/membership/scenarios.go
+++ b/internal/sim/membership/scenarios.go
@@ -69,7 +69,7 @@
 		},
 	}
 	b := p.RunIn(w, s.Faults)
-	d := timeline.Drawing{Says: s.Caption, Columns: s.Columns, Step: s.Step, Fold: s.Fold}
+	d := timeline.Drawing{Caption: s.Caption, Columns: s.Columns, Step: s.Step, MinGap: s.Fold}
 	if d.Columns == nil {
 		d.Columns = names
 	}
--- a/internal/sim/membership/views_test.go
+++ b/internal/sim/membership/views_test.go
@@ -26,24 +26,24 @@
 // loss of 30%. The rival's send rate does grow, and the rival does take running nodes for dead at that loss.
 func TestSendRateDoesNotGrowWithTheFleet(t *testing.T) {
 	small, large := measure(t, Growth{Nodes: 3}), measure(t, Growth{Nodes: 40})
-	if large.Sent > 1.2*small.Sent || large.Bytes > 1.2*small.Bytes {
+	if large.DatagramsPerSecond > 1.2*small.DatagramsPerSecond || large.BytesPerSecond > 1.2*small.BytesPerSecond {
 		t.Errorf("3 nodes: %+v, 40 nodes: %+v", small, large)
 	}
-	for _, g := range []Grown{small, large} {
-		if g.False[0] > 0 || g.False[1] > 0 {
+	for _, g := range []GrowthResult{small, large} {
+		if g.FalseDeaths[0] > 0 || g.FalseDeaths[1] > 0 {
 			t.Errorf("false deaths: %+v", g)
 		}
 	}
 	rivalResult := measure(t, Growth{Nodes: 20, Rival: true})
-	if rivalResult.Sent < 5*small.Sent || rivalResult.False[1] == 0 {
+	if rivalResult.DatagramsPerSecond < 5*small.DatagramsPerSecond || rivalResult.FalseDeaths[1] == 0 {
 		t.Errorf("the rival: %+v", rivalResult)
 	}
 }
 
 // measure runs a growth measurement without loss and at a loss of 30%.
-func measure(t *testing.T, g Growth) Grown {
+func measure(t *testing.T, g Growth) GrowthResult {
 	t.Helper()
-	g.Seed, g.Losses, g.Hours, g.Cut = 1, []float64{0, 0.3}, 0.1, 10*second
+	g.Seed, g.Losses, g.NodeHours, g.Cut = 1, []float64{0, 0.3}, 0.1, 10*second
 	out, err := g.Measure(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +54,8 @@
 // After a cut, halves with deaths and joins in each merge at most 5 s later than halves without changes, and
 // no node sends more than 30 kB in a second for the merge.
 func TestHalvesMergeSoonAfterACut(t *testing.T) {
-	unchanged, changed := measure(t, Growth{Nodes: 20}), measure(t, Growth{Nodes: 20, Moves: 3})
-	if changed.Heal == 0 || changed.Heal > unchanged.Heal+5*second || changed.Peak == 0 || changed.Peak > 30_000 {
+	unchanged, changed := measure(t, Growth{Nodes: 20}), measure(t, Growth{Nodes: 20, ChangesPerHalf: 3})
+	if changed.Heal == 0 || changed.Heal > unchanged.Heal+5*second || changed.PeakBytes == 0 || changed.PeakBytes > 30_000 {
 		t.Errorf("without changes %+v, with changes %+v", unchanged, changed)
 	}
 }
--- a/internal/sim/play.go
+++ b/internal/sim/play.go
@@ -132,6 +132,6 @@
 		s += "  " + f.String() + "\n"
 	}
 	d := p.Drawing
-	d.Says = fmt.Sprintf("Seed %d broke %s", seed, b.Error())
+	d.Caption = fmt.Sprintf("Seed %d broke %s", seed, b.Error())
 	return s + d.Draw(w.Log())
 }
--- a/internal/sim/series.go
+++ b/internal/sim/series.go
@@ -6,16 +6,16 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Played is one schedule and its result.
-type Played struct {
-	Seed   uint64
-	Faults []Fault
-	Broken *Violation // nil: no check failed
+// ScheduleResult is one schedule and its result.
+type ScheduleResult struct {
+	Seed      uint64
+	Faults    []Fault
+	Violation *Violation // nil: no check failed
 }
 
 // Series simulates the schedules of n consecutive seeds from first on, up to parallel of them at a time,
 // until all are done or ctx ends. It passes each result to report, from several goroutines at once.
-func (p Play) Series(ctx context.Context, first uint64, n, parallel int, report func(Played)) error {
+func (p Play) Series(ctx context.Context, first uint64, n, parallel int, report func(ScheduleResult)) error {
 	var g errgroup.Group
 	g.SetLimit(parallel)
 	for i := range uint64(n) {
@@ -23,8 +23,8 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			played := Played{Seed: first + i, Faults: p.Faults(first + i)}
-			_, played.Broken = p.Run(played.Seed, played.Faults)
+			played := ScheduleResult{Seed: first + i, Faults: p.Faults(first + i)}
+			_, played.Violation = p.Run(played.Seed, played.Faults)
 			report(played)
 			return nil
 		})
--- a/internal/sim/subset/play.go
+++ b/internal/sim/subset/play.go
@@ -21,7 +21,7 @@
 		Drawing: timeline.Drawing{
 			Columns: append([]string{"list"}, all...),
 			Step:    500 * time.Millisecond,
-			Fold:    3 * time.Second,
+			MinGap:  3 * time.Second,
 		},
 		Build: func(w *sim.World) []sim.Check {
 			f := newFleet(w, replicas, 1500+w.Rand().IntN(1400))
--- a/internal/sim/subset/stories_test.go
+++ b/internal/sim/subset/stories_test.go
@@ -110,7 +110,7 @@
 				return slices.DeleteFunc(f.checks(), func(c sim.Check) bool { return c.Name == "held" })
 			}}
 			w, broken := p.Run(7, nil)
-			drawn := timeline.Drawing{Says: s.caption, Columns: append(append([]string{"list"}, names(s.replicas, "r")...), names(s.nodes, "n")...)}.Draw(w.Log())
+			drawn := timeline.Drawing{Caption: s.caption, Columns: append(append([]string{"list"}, names(s.replicas, "r")...), names(s.nodes, "n")...)}.Draw(w.Log())
 			if broken != nil {
 				t.Fatalf("%v\n%s", broken, drawn)
 			}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -52,7 +52,7 @@
 // Note adds an event to a column of the timeline.
 func (w *World) Note(column, text string) {
 	if len(w.log) < maxLogEvents {
-		w.log = append(w.log, timeline.Event{At: w.now, Who: column, What: text})
+		w.log = append(w.log, timeline.Event{At: w.now, Column: column, Text: text})
 	}
 }
 
--- a/internal/tenant/cache_status.go
+++ b/internal/tenant/cache_status.go
@@ -80,5 +80,5 @@
 		return nil
 	}
 	c.reportedStatus, c.statusReported, c.reportedAt = status, true, now
-	return []any{TellStatus{status}}
+	return []any{ReportStatus{status}}
 }
--- a/internal/tenant/events.go
+++ b/internal/tenant/events.go
@@ -42,10 +42,10 @@
 // Actions that the owner of a Cache carries out.
 type (
 	// SwapCatalogue replaces the catalogue by which requests are decided. It must be carried out before a
-	// TellStatus that is returned with it.
+	// ReportStatus that is returned with it.
 	SwapCatalogue struct{ *Catalogue }
-	// TellStatus replaces the status in the session's note.
-	TellStatus struct{ Status Status }
+	// ReportStatus replaces the status in the session's note.
+	ReportStatus struct{ Status Status }
 	// ReadCatalogue reads the current member record and then the current catalogue. Only one read runs at a
 	// time; if the action is returned during a read, another read follows.
 	ReadCatalogue struct{}
--- a/internal/tenant/node_test.go
+++ b/internal/tenant/node_test.go
@@ -108,7 +108,7 @@
 				p.catalogue.authorityUntil, p.catalogue.authoritative, p.catalogue.behind = 1<<60, true, false
 			}
 			p.catalogue.ready = p.catalogue.ready || p.sim.mutations["not enrolled"] && p.catalogue.number > 0
-		case TellStatus:
+		case ReportStatus:
 			p.status = &action.Status
 			p.sim.checkStatus(p, action.Status)
 			if p.name == "n0" && p.sim.mutations["no hold"] {
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Records is a Store in the registry. It writes under the controller's fencing token.
-type Records struct {
+// RecordStore is a Store in the registry. It writes under the controller's fencing token.
+type RecordStore struct {
 	Registry *client.Client
 	Token    registry.FencingToken
 
@@ -85,7 +85,7 @@
 }
 
 // Stored reads the state from which a controller starts.
-func (r *Records) Stored(ctx context.Context) (s Stored, err error) {
+func (r *RecordStore) Stored(ctx context.Context) (s Stored, err error) {
 	return ReadStored(ctx, r.Registry)
 }
 
@@ -150,7 +150,7 @@
 }
 
 // Sessions returns the proxies' current sessions.
-func (r *Records) Sessions(ctx context.Context) ([]Session, error) {
+func (r *RecordStore) Sessions(ctx context.Context) ([]Session, error) {
 	return ReadSessions(ctx, r.Registry)
 }
 
@@ -167,7 +167,7 @@
 
 // PendingOrders returns the orders that wait. An invalid order gets the unknown operation "unreadable", so
 // that the controller records its rejection.
-func (r *Records) PendingOrders(ctx context.Context) (orders []PendingOrder, err error) {
+func (r *RecordStore) PendingOrders(ctx context.Context) (orders []PendingOrder, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := map[string]registry.Record{}
@@ -194,7 +194,7 @@
 }
 
 // Put carries out a write under the fencing token, and returns the record's version after the write.
-func (r *Records) Put(ctx context.Context, write RecordWrite) (uint64, error) {
+func (r *RecordStore) Put(ctx context.Context, write RecordWrite) (uint64, error) {
 	expected := &write.Version
 	if write.Unconditional {
 		expected = nil
--- a/internal/timeline/cell.go
+++ b/internal/timeline/cell.go
@@ -19,7 +19,7 @@
 	var kinds []*kind
 	byWord := map[string]*kind{}
 	for _, e := range events {
-		what := clean(e.What)
+		what := clean(e.Text)
 		word, object, _ := strings.Cut(what, " ")
 		if strings.Contains(object, " ") {
 			word, object = what, "" // more than a verb and an object
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -14,9 +14,9 @@
 
 // Event is one thing that happened, in one column.
 type Event struct {
-	At   time.Duration // since the beginning of the history
-	Who  string        // the column
-	What string        // a short text, such as "suspects n3" or "takes over"
+	At     time.Duration // since the beginning of the history
+	Column string        // the column
+	Text   string        // a short text, such as "suspects n3" or "takes over"
 }
 
 // Bounds of a drawing: widths in runes, heights in lines.
@@ -29,11 +29,11 @@
 
 // Drawing describes how a history is drawn.
 type Drawing struct {
-	Says    string        // the caption: what the drawing shows, and why that is right
+	Caption string        // the caption: what the drawing shows, and why that is right
 	Columns []string      // columns from left to right; events of other columns are counted below the drawing
 	Width   int           // maximum runes of a line, at least 40; 0: 118
 	Step    time.Duration // events of one step share a row; 0: 100 ms
-	Fold    time.Duration // a gap of this length or longer is marked; 0: 1 s
+	MinGap  time.Duration // a gap of this length or longer is marked; 0: 1 s
 }
 
 // Draw returns the drawing. The order of the events does not matter.
@@ -41,12 +41,12 @@
 	d = d.defaults()
 	events = slices.Clone(events)
 	slices.SortFunc(events, func(a, b Event) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Who, b.Who), cmp.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Column, b.Column), cmp.Compare(a.Text, b.Text))
 	})
 	rows, rest := d.rows(events)
 	t := d.layout(rows)
 	var out strings.Builder
-	for _, l := range wrap(d.Says, d.Width) {
+	for _, l := range wrap(d.Caption, d.Width) {
 		out.WriteString(l + "\n")
 	}
 	out.WriteString("\n")
@@ -57,7 +57,7 @@
 	}
 	out.WriteString("\n")
 	for i, r := range rows {
-		if gap := r.at - rows[max(i-1, 0)].at; gap >= d.Fold {
+		if gap := r.at - rows[max(i-1, 0)].at; gap >= d.MinGap {
 			fmt.Fprintf(&out, "%*s ~ %s of nothing\n", t.timeWidth, "", d.seconds(gap))
 		}
 		t.write(&out, d.seconds(r.at), r.cells)
@@ -76,7 +76,7 @@
 func (d Drawing) defaults() Drawing {
 	d.Width = max(cmp.Or(d.Width, defaultWidth), minWidth)
 	d.Step = cmp.Or(max(d.Step, 0), 100*time.Millisecond)
-	d.Fold = max(cmp.Or(max(d.Fold, 0), time.Second), d.Step)
+	d.MinGap = max(cmp.Or(max(d.MinGap, 0), time.Second), d.Step)
 	return d
 }
 
@@ -93,7 +93,7 @@
 func columnHeads(names []string) map[string][]Event {
 	heads := map[string][]Event{}
 	for _, n := range names {
-		heads[n] = []Event{{Who: n, What: n}}
+		heads[n] = []Event{{Column: n, Text: n}}
 	}
 	return heads
 }
@@ -113,10 +113,10 @@
 // rows groups events, which are sorted by time, into rows, and returns the events without a column as rest.
 func (d Drawing) rows(events []Event) (rows []row, rest hiddenEvents) {
 	for _, e := range events {
-		if !slices.Contains(d.Columns, e.Who) {
+		if !slices.Contains(d.Columns, e.Column) {
 			rest.count++
-			if !slices.Contains(rest.columns, e.Who) {
-				rest.columns = append(rest.columns, e.Who)
+			if !slices.Contains(rest.columns, e.Column) {
+				rest.columns = append(rest.columns, e.Column)
 			}
 			continue
 		}
@@ -125,7 +125,7 @@
 			rows = append(rows, row{at, map[string][]Event{}})
 		}
 		r := rows[len(rows)-1]
-		r.cells[e.Who] = append(r.cells[e.Who], e)
+		r.cells[e.Column] = append(r.cells[e.Column], e)
 	}
 	slices.Sort(rest.columns)
 	return rows, rest
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -17,16 +17,16 @@
 // matter.
 func TestDrawingShowsOrCountsEveryEvent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := Drawing{Says: "shows " + rapid.String().Draw(t, "says"), Width: rapid.IntRange(0, 160).Draw(t, "width")}
+		d := Drawing{Caption: "shows " + rapid.String().Draw(t, "says"), Width: rapid.IntRange(0, 160).Draw(t, "width")}
 		for i := range rapid.IntRange(1, 20).Draw(t, "columns") {
 			d.Columns = append(d.Columns, fmt.Sprintf("n%d", i))
 		}
 		var events []Event
 		for i := range rapid.IntRange(0, 60).Draw(t, "events") {
 			events = append(events, Event{
-				At:   time.Duration(rapid.IntRange(0, 400).Draw(t, "at")) * 50 * time.Millisecond,
-				Who:  fmt.Sprintf("n%d", rapid.IntRange(0, 22).Draw(t, "who")),
-				What: rapid.SampledFrom([]string{fmt.Sprintf("e%d", i), fmt.Sprintf("hits e%d", i), fmt.Sprintf("is then e%d", i)}).Draw(t, "what"),
+				At:     time.Duration(rapid.IntRange(0, 400).Draw(t, "at")) * 50 * time.Millisecond,
+				Column: fmt.Sprintf("n%d", rapid.IntRange(0, 22).Draw(t, "who")),
+				Text:   rapid.SampledFrom([]string{fmt.Sprintf("e%d", i), fmt.Sprintf("hits e%d", i), fmt.Sprintf("is then e%d", i)}).Draw(t, "what"),
 			})
 		}
 		drawn := d.Draw(events)
@@ -76,7 +76,7 @@
 	for width := minCellWidth; width <= 12; width++ {
 		var events []Event
 		for i := range 1000 {
-			events = append(events, Event{What: fmt.Sprintf("e%d", i)})
+			events = append(events, Event{Text: fmt.Sprintf("e%d", i)})
 		}
 		lines := cell(events, width)
 		if got, want := lines[len(lines)-1], moreText(1000-maxCellLines, width); got != want || len(lines) != maxCellLines+1 || utf8.RuneCountInString(got) > width {
@@ -87,7 +87,7 @@
 
 // A small example with all parts of a drawing: caption, wrapped and merged texts, folded gaps, hidden events.
 func TestExampleIsDrawnAsExpected(t *testing.T) {
-	d := Drawing{Says: "n2 is taken for dead and comes back; the gap between is folded, as nothing happens in it.", Columns: []string{"n1", "n2", "list"}, Width: 60}
+	d := Drawing{Caption: "n2 is taken for dead and comes back; the gap between is folded, as nothing happens in it.", Columns: []string{"n1", "n2", "list"}, Width: 60}
 	got := d.Draw([]Event{
 		{0, "n1", "joins"}, {20 * time.Millisecond, "n2", "joins"}, {30 * time.Millisecond, "n2", "hears n1"}, {40 * time.Millisecond, "n2", "hears n3"},
 		{1200 * time.Millisecond, "n1", "suspects n2"}, {9 * time.Second, "n2", "refutes what n1 says of it, with a higher incarnation"},
