--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -73,7 +73,13 @@
 	cancel context.CancelFunc // nil: the work has never been started
 }
 
-// Open starts a session. It is renewed, or replaced after it has expired, until Close.
+// Open checks the configuration and starts the goroutines of a session. They open the session with the
+// registry, renew it and open another one after it has expired, until Close. Open returns before the session
+// exists in the registry: if the registry cannot be reached, it returns no error, and the goroutines log the
+// failure and try again.
+//
+// Process and Client are required. A TTL of 0 is DefaultTTL; other values must be between
+// registry.MinSessionTTL and registry.MaxSessionTTL.
 func Open(config Config) (*Session, error) {
 	if config.TTL == 0 {
 		config.TTL = DefaultTTL
--- a/internal/membership/relay.go
+++ b/internal/membership/relay.go
@@ -18,7 +18,9 @@
 	nacked              bool
 }
 
-// startRelay starts the indirect probe that a PingReq requests.
+// startRelay pings the target of a PingReq on behalf of its sender, the origin. The request is dropped
+// silently if the target is unknown or is this node itself, or if maxRelays relays are pending. Without an
+// answer the origin gets a Nack after probeTimeout, and the relay expires ProbeInterval after that.
 func (c *Core) startRelay(origin *memberState, d wire.Datagram) {
 	target := c.byHash[d.Target]
 	if target == nil || target == c.self || len(c.relays) >= maxRelays {
--- a/internal/policy/figures.go
+++ b/internal/policy/figures.go
@@ -61,6 +61,12 @@
 // resolveLimit computes the rates and the schedule of one limit. The outer limit is the nearest one around it
 // in the same unit and bounds the limit. fractionBase is the limit that fractions and shares refer to: the
 // outer limit or, for retries and keys, the nearest limit on requests.
+//
+// A weight or borrow setting that the limit lacks is taken from the scope. So is the share, if the limit is
+// on requests, work or concurrency and has neither a share nor a floor. If the limit's own settings, the
+// outer limit or fractionBase are invalid, so is the limit, and nothing is computed. After an error in the
+// rates, the schedule and the priority reserve are not looked at; the limit is then invalid only if it has no
+// rate.
 func (c *compiler) resolveLimit(scope *policyScope, limit *policyLimit) {
 	var outer *policyLimit
 	if scope.parent != nil {
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -124,7 +124,9 @@
 	}
 }
 
-// dropLeaf removes the variants that only a leaf that is gone needed.
+// dropLeaf removes the routes of a leaf that is gone from the catalogue. A variant (a class restricted to the
+// zones and machine types of a route) that no other route uses is no longer wanted. As this makes room for
+// variants that were left out, overLimit is then cleared.
 func (l *routeVariants) dropLeaf(leaf *tenant.Leaf) {
 	for _, routed := range l.byLeaf[leaf] {
 		name := l.variantOf[routed]
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -189,8 +189,10 @@
 	return registry.Result{}, errUnknown
 }
 
-// classifyRaftError wraps an error of raft: errNotLeading if the write certainly was not applied, errUnknown
-// otherwise.
+// classifyRaftError wraps an error of a write to raft, be it a command or a change of the configuration.
+// After ErrNotLeader, ErrLeadershipTransferInProgress, ErrEnqueueTimeout and ErrRaftShutdown the write counts
+// as certainly not applied: they are wrapped with errNotLeading, and all other errors with errUnknown. nil
+// stays nil.
 func classifyRaftError(err error) error {
 	switch {
 	case err == nil:
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -133,7 +133,8 @@
 	return New(plan, slices.DeleteFunc(slices.Clone(targets), func(t Target) bool { return !plan.Matches(t) }))
 }
 
-// TargetsOf returns the servers of an endpoint list as targets.
+// TargetsOf converts every endpoint, whatever its state, to a target with the same name, address, zone, type,
+// cell and version, in the same order.
 func TargetsOf(endpoints []registry.Endpoint) (targets []Target) {
 	for _, endpoint := range endpoints {
 		targets = append(
--- a/internal/sim/membership/growth.go
+++ b/internal/sim/membership/growth.go
@@ -194,7 +194,9 @@
 	return elapsed, nil
 }
 
-// sendRates returns the datagrams and bytes sent per node and second over idleTime.
+// sendRates runs the simulation for idleTime and returns the datagrams and bytes sent per node and second in
+// that time: the growth of the nodes' counters, divided by the number of nodes and by idleTime. If the
+// context ends the run early, the rates are too low.
 func (m *measurement) sendRates() (sent, bytes float64) {
 	count := func() (sent, bytes int) {
 		for _, e := range m.fleet.Nodes {
--- a/internal/sim/membership/settled.go
+++ b/internal/sim/membership/settled.go
@@ -30,7 +30,10 @@
 	return l
 }
 
-// same returns an error unless all views have the same digest and each node's current generation.
+// same returns an error if the digests of two views differ or the first view has a live node in another
+// generation than its current one. The equal digests cover the generations in the other views, except those
+// of members that have been dead or left for DeadGossipTime. A live node that is in no view gives no error;
+// complete finds it.
 func (l viewSnapshot) same() error {
 	for i, v := range l.views {
 		if v.Digest != l.views[0].Digest {
--- a/internal/tenant/reader.go
+++ b/internal/tenant/reader.go
@@ -99,7 +99,9 @@
 // maxRetainedPages bounds the cached pages, which include those of failed reads. Beyond it, all are dropped.
 const maxRetainedPages = 1 << 17
 
-// fetch reads the missing pages of one level, with up to maxParallelCalls calls at a time.
+// fetch reads the pages with the given digests into r.pages, each page once and with a call of its own, up to
+// maxParallelCalls at a time. It does not check whether a page is cached; the caller passes missing pages
+// only. If a read fails, fetch returns the first error, and the pages that were read stay cached.
 func (r *Reader) fetch(ctx context.Context, digests []string) error {
 	var mu sync.Mutex
 	g, ctx := errgroup.WithContext(ctx)
