--- a/internal/lab/scale/spent.go
+++ b/internal/lab/scale/spent.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	following, stop := context.WithCancel(ctx)
+	changing, stop := context.WithCancel(ctx)
 	type found struct {
 		nodes, service peakUse
 		err            error
@@ -37,7 +37,7 @@
 	peaks := make(chan found, 1)
 	go func() {
 		var f found
-		f.nodes, f.service, f.err = samplePeaks(following, r.nodes, service)
+		f.nodes, f.service, f.err = samplePeaks(ctx, changing, r.nodes, service)
 		peaks <- f
 	}()
 	began := time.Now()
@@ -74,8 +74,9 @@
 	}, err
 }
 
-// samplePeaks samples the use of nodes and of a service until ctx ends, and returns the peaks of both.
-func samplePeaks(ctx context.Context, nodes, service []*process.Proc) (n, s peakUse, err error) {
+// samplePeaks samples the use of nodes and of a service until changing ends, and for a whole second at least:
+// a peak is the use in a second. It returns the peaks of both, or an error where ctx ends before that.
+func samplePeaks(ctx, changing context.Context, nodes, service []*process.Proc) (n, s peakUse, err error) {
 	type sample struct {
 		at             time.Time
 		nodes, service use
@@ -89,13 +90,16 @@
 		if one.service, err = useOfAll(service); err != nil {
 			return n, s, err
 		}
-		if all = append(all, one); len(all) > samplesPerSecond {
+		all = append(all, one)
+		wait := ctx
+		if len(all) > samplesPerSecond {
+			wait = changing
 			first := all[len(all)-1-samplesPerSecond]
 			n.update(one.nodes, first.nodes, one.at.Sub(first.at))
 			s.update(one.service, first.service, one.at.Sub(first.at))
 		}
-		if !backoff.Sleep(ctx, sampleEvery) {
-			return n, s, nil
+		if !backoff.Sleep(wait, sampleEvery) {
+			return n, s, ctx.Err()
 		}
 	}
 }
--- /dev/null
+++ b/internal/lab/scale/spent_test.go
@@ -0,0 +1,32 @@
+package scale
+
+import (
+	"context"
+	"os"
+	"testing"
+
+	"wrenspread/internal/lab/process"
+)
+
+// TestPeaksOfAShortChangeAreSampledForASecond checks that sampling goes on for a second when the change ends
+// sooner: fewer samples give no peak, and the peaks were recorded as 0 on a busy machine.
+func TestPeaksOfAShortChangeAreSampledForASecond(t *testing.T) {
+	self := []*process.Proc{{Pid: os.Getpid()}}
+	changing, stop := context.WithCancel(context.Background())
+	stop()
+	nodes, service, err := samplePeaks(context.Background(), changing, self, self)
+	if err != nil || nodes.rss <= 0 || service.rss <= 0 {
+		t.Errorf("samplePeaks = %+v, %+v, %v, want the memory of this process in both", nodes, service, err)
+	}
+}
+
+// TestPeaksWithoutAWholeSecondAreAnError checks that sampling that is cancelled within its first second
+// returns an error, not peaks of 0.
+func TestPeaksWithoutAWholeSecondAreAnError(t *testing.T) {
+	self := []*process.Proc{{Pid: os.Getpid()}}
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if nodes, service, err := samplePeaks(ctx, ctx, self, self); err == nil {
+		t.Errorf("samplePeaks of a cancelled context = %+v, %+v without an error", nodes, service)
+	}
+}
