--- a/internal/quota/allocate.go
+++ b/internal/quota/allocate.go
@@ -9,9 +9,10 @@
 )
 
 // allocate divides the budget of the limit with index i among the members that have demand, and sets their
-// targets. innerDemands has the demand of the inner limits; allocate adds this limit's to its parent's entry.
+// targets. innerDemands has the members' demand for the inner limits, to which allocate adds the demand for
+// this limit, at this limit's parent.
 func (a *Allocator) allocate(i int32, budget float64, innerDemands map[demandKey]innerDemand) {
-	limit := &a.limits.all[i]
+	limit := &a.limits.byIndex[i]
 	var claiming []*memberShare
 	allocation := a.allocation(i)
 	a.recomputeSum(i, allocation)
@@ -43,8 +44,8 @@
 	}
 }
 
-// usableDemand returns how much of the limit each member can use: what its inner limits were allocated, and
-// the demand that comes to no inner limit.
+// usableDemand returns how much of the limit each member can use: the rate that it was allocated of the inner
+// limits, and its demand that no inner limit applies to.
 func (a *Allocator) usableDemand(
 	i int32,
 	claiming []*memberShare,
@@ -62,10 +63,10 @@
 	return usable
 }
 
-// allocateRate divides the rate among the claiming members by max-min fairness and the rate that is left over
-// in proportion to demand, and divides the bucket's capacity in proportion to rate. If there is less than one
-// token's capacity for each member, some members take turns with all of it, since a bucket that can't hold a
-// token never admits a request.
+// allocateRate divides the rate among the claiming members by max-min fairness, and the rate beyond all
+// demands in proportion to demand. It divides the bucket's capacity in proportion to the rates. If there is
+// less than one token's capacity for each member, the members take turns at complete tokens, since a bucket
+// that can't hold a token never admits a request.
 func (a *Allocator) allocateRate(i int32, available shareSize, claiming []*memberShare, usable []float64) {
 	tokenCount := int(min(available.burst, float64(len(claiming))))
 	if tokenCount < len(claiming) {
@@ -89,7 +90,7 @@
 }
 
 // allocateConcurrency divides the number of requests that may be in flight, in complete requests. If there is
-// less than one request for each member, some members take turns.
+// less than one request for each member, the members take turns.
 func (a *Allocator) allocateConcurrency(
 	i int32,
 	available float64,
@@ -127,15 +128,16 @@
 	return max(2*time.Second, time.Duration(min(4/max(rate, 1e-3), 60)*float64(time.Second)))
 }
 
-// chooseInTurn returns count of the claiming members, with their usable demand. It chooses by a hash of
-// member name and turn, so that members that join or leave do not shift the turns of the others.
+// chooseInTurn returns count of the claiming members, with their usable demand. It chooses by a hash of the
+// limit, the turn and the member's name, so that members that join or leave do not change the order of the
+// other members.
 func (a *Allocator) chooseInTurn(
 	i int32,
 	claiming []*memberShare,
 	usable []float64,
 	count int,
 ) ([]*memberShare, []float64) {
-	limit := &a.limits.all[i]
+	limit := &a.limits.byIndex[i]
 	turn := uint64(a.now / turnDuration(limit.rate))
 	order := make([]int, len(claiming))
 	hashes := make([]uint64, len(claiming))
--- a/internal/quota/allocation.go
+++ b/internal/quota/allocation.go
@@ -12,14 +12,15 @@
 	currentLease shareLease // leased by the last grant
 	olderLease   shareLease // maximum of the earlier leases that the proxy may still use
 	grantNumber  uint32     // number of the last grant
-	// some grant that the proxy may have applied last lets it use its fallback share as soon as the lease ends
+	// the proxy may use its fallback share as soon as the lease ends, by the last grant or by an earlier grant
+	// that may be the last one that the proxy has applied
 	fallbackAtOnce          bool
-	lastGrantFallbackAtOnce bool          // the last grant does so
+	lastGrantFallbackAtOnce bool          // the last grant permits that
 	claimNumber             uint32        // number of the newest claim
 	claimedAt               time.Duration // when the newest claim was received
 	demand                  float64       // as claimed
 	inFlight                float64       // requests in flight, as claimed; only for limits on concurrency
-	target                  shareSize     // share that the next lease is to have, by the plan
+	target                  shareSize     // planned size of the next lease
 	counted                 shareSize     // this share's part of the limit's sum
 }
 
@@ -44,15 +45,15 @@
 	return largest
 }
 
-// recordGrant records a new lease. The proxy may use an older lease until it confirms that it has applied
-// this grant.
+// recordGrant records a new lease. The proxy may use older leases until it confirms that it has applied the
+// grant of the new lease.
 func (s *memberShare) recordGrant(now time.Duration, number uint32, lease shareLease, fallbackAtOnce bool) {
 	s.olderLease, s.currentLease, s.grantNumber = s.maxLiveLease(now), lease, number
 	s.lastGrantFallbackAtOnce, s.fallbackAtOnce = fallbackAtOnce, s.fallbackAtOnce || fallbackAtOnce
 }
 
-// confirmGrant records that the proxy has applied a grant. If it is the last one, the proxy uses no older
-// lease.
+// confirmGrant records that the proxy has applied a grant. Once the proxy has applied the last grant, it uses
+// no older lease.
 func (s *memberShare) confirmGrant(number uint32) {
 	if number == s.grantNumber && number > 0 {
 		s.olderLease, s.fallbackAtOnce = shareLease{}, s.lastGrantFallbackAtOnce
@@ -60,8 +61,8 @@
 }
 
 // limitAllocation is the allocator's state of one limit: the members' shares, and a bucket that collects the
-// tokens of the part that no member has. A grant takes tokens from this bucket as far as it adds capacity to
-// a proxy's bucket.
+// tokens of the spare part, which no member has. A grant that adds capacity to a proxy's bucket moves at most
+// as many tokens there from the allocator's bucket.
 type limitAllocation struct {
 	shares   []*memberShare // by the members' names
 	tokens   float64        // tokens in the bucket as of filledAt
@@ -70,8 +71,8 @@
 	sum      limitSum
 }
 
-// allocation returns the allocation of the limit with index i. A new one is made as of a limit that has been
-// idle since the allocator or the table is new.
+// allocation returns the allocation of the limit with index i. A new allocation assumes that the limit has
+// been idle since the previous allocator's leases ended or, if that was later, since the table changed.
 func (a *Allocator) allocation(i int32) *limitAllocation {
 	allocation := a.allocations[i]
 	if allocation == nil {
@@ -82,17 +83,17 @@
 }
 
 // unclaimed returns the part of a limit that no proxy can have while no member has a granted share: the limit
-// less all fallback shares, by the larger ones of the present and the previous table.
+// less all fallback shares, for which the larger values of the current and the previous table count.
 func (a *Allocator) unclaimed(i int32) shareSize {
-	limit := &a.limits.all[i]
+	limit := &a.limits.byIndex[i]
 	rate, tokens := limit.fallbackRate, limit.fallbackTokens
 	if previous, found := a.previousLimits.byHash[limit.hash]; found {
 		rate, tokens = max(
 			rate,
-			a.previousLimits.all[previous].fallbackRate,
+			a.previousLimits.byIndex[previous].fallbackRate,
 		), max(
 			tokens,
-			a.previousLimits.all[previous].fallbackTokens,
+			a.previousLimits.byIndex[previous].fallbackTokens,
 		)
 	}
 	return shareSize{max(limit.rate-rate, 0), max(limit.burst-float64(tokens), 0)}
@@ -127,7 +128,7 @@
 	delete(share.member.shares, i)
 }
 
-// refill refills the allocation's bucket up to now. While members have shares, the spare part counts for at
+// refill refills the allocation's bucket up to now. While members have shares, the spare part is added for at
 // most one lease duration.
 func (a *limitAllocation) refill(now time.Duration, leaseDuration time.Duration) {
 	if now <= a.filledAt {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -13,30 +13,30 @@
 }
 
 // Allocator allocates the limits among the proxies, for as long as its process holds the lease. It is pure:
-// times are of the process's monotonic clock.
+// the caller passes all times, which are readings of the process's monotonic clock.
 //
-// At any time, and for each limit, the shares that it counts for all members together stay within the limit
-// (see maxShare). Their correctness rests on the lease's fencing token and end, on the record of enrolled
-// proxies and on the leases that were granted; never on membership.
+// At any time, and for each limit, the shares that the allocator counts for all members (see maxShare) add up
+// to at most the limit. This depends on the lease's fencing token and end, on the record of enrolled proxies
+// and on the granted leases, but never on membership.
 type Allocator struct {
 	cfg            AllocatorConfig
 	times          times
 	now            time.Duration
 	limits         *limits
-	previousLimits *limits                    // of the table before, which some proxies may still use
+	previousLimits *limits                    // of the previous table, which some proxies may still use
 	allocations    map[int32]*limitAllocation // by the limit's index
 	wallTime       time.Time
 	tableChangedAt time.Duration
 
 	token             uint64
-	leaseUntil        time.Duration // until when the allocator may act on the lease
-	previousLeasesEnd time.Duration // from when on no lease of the previous allocator can be alive
+	leaseUntil        time.Duration // end of the time in which the allocator may act on the lease
+	previousLeasesEnd time.Duration // from this time on, no lease of the previous allocator can be alive
 	recordKnown       bool          // the record has been read under the fencing token
 	expectedProxies   int           // number of proxies that membership knows
 	plannedAt         time.Duration // when the targets were last computed
 
 	members         []*member      // by name
-	revision        int            // changes with the members, their slots and generations, and the table
+	revision        int            // rises with each change that makes the sums of limits invalid
 	departed        []leaveMessage // the last proxies that left, oldest first
 	recordDirty     bool           // the record is to be written
 	recordWrittenAt time.Duration  // when the last write was requested
@@ -44,9 +44,9 @@
 }
 
 const (
-	maxDeparted  = 1024                  // departed proxies that are remembered
+	maxDeparted  = 1024                  // number of departed proxies that are remembered
 	planInterval = 50 * time.Millisecond // time between two computations of the targets
-	writeTimeout = time.Second           // after which a write without a result is requested again
+	writeTimeout = time.Second           // time after which a write without a result is requested again
 )
 
 // NewAllocator returns an allocator that does not hold the lease.
@@ -126,7 +126,7 @@
 	for _, m := range a.members {
 		shares := map[int32]*memberShare{}
 		for i, share := range m.shares {
-			if next, found := a.limits.byHash[previous.all[i].hash]; found {
+			if next, found := a.limits.byHash[previous.byIndex[i].hash]; found {
 				shares[next] = share
 				a.allocation(next).add(share)
 			}
@@ -135,8 +135,8 @@
 	}
 }
 
-// handleDatagram handles claims and leave messages. Datagrams that can't be decoded are dropped, and so is
-// every datagram while the allocator may not grant.
+// handleDatagram handles claims and leave messages. It drops datagrams that can't be decoded and, while the
+// allocator may not grant, all datagrams.
 func (a *Allocator) handleDatagram(data []byte) []Action {
 	kind, r, err := readHeader(data, a.cfg.Fleet)
 	if err != nil || !a.mayGrant() {
@@ -144,12 +144,12 @@
 	}
 	switch kind {
 	case kindClaim:
-		if c, ok := decodeClaim(r); ok {
-			return a.answerClaim(c)
+		if claim, ok := decodeClaim(r); ok {
+			return a.answerClaim(claim)
 		}
 	case kindLeave:
-		if l, ok := decodeLeave(r); ok {
-			a.handleLeave(l)
+		if notice, ok := decodeLeave(r); ok {
+			a.handleLeave(notice)
 		}
 	}
 	return nil
@@ -169,8 +169,8 @@
 	return at, a.members[at]
 }
 
-// removeMember drops a member with its slot and shares, because the proxy has left or an operator has
-// declared that it will not come back.
+// removeMember removes a member with its slot and shares. It is called when the proxy has left, or when an
+// operator has declared that the proxy will not come back.
 func (a *Allocator) removeMember(name string) {
 	at, m := a.find(name)
 	if m == nil {
@@ -184,8 +184,8 @@
 	a.recordDirty = a.recordDirty || m.hasSlot
 }
 
-// handleLeave removes the member if the leave is of its present generation, and remembers the leave, so that
-// late claims of that process don't enroll the proxy again.
+// handleLeave removes a member that leaves, if the leave is of the member's present generation. It remembers
+// the leave, so that late claims of the process that left don't enroll the proxy again.
 func (a *Allocator) handleLeave(notice leaveMessage) {
 	if _, m := a.find(notice.name); m == nil || m.generation != notice.generation {
 		return
--- a/internal/quota/allocator/record.go
+++ b/internal/quota/allocator/record.go
@@ -21,10 +21,11 @@
 // ended.
 const registryTimeout = 2 * time.Second
 
-const format = 1
+// recordFormat is the only value of slotRecord.Format that this version reads and writes.
+const recordFormat = 1
 
-// slotRecord is the record of enrolled proxies as the registry stores it. Other formats are rejected: the
-// allocator has to be of a version that knows the format.
+// slotRecord is the record of enrolled proxies as the registry stores it. Records of other formats are
+// rejected, so only a process whose version knows the format can be the allocator.
 type slotRecord struct {
 	Format int          `json:"format"`
 	Slots  []quota.Slot `json:"seats"`
@@ -46,12 +47,12 @@
 	if err := json.Unmarshal(got.Value, &record); err != nil {
 		return nil, 0, fmt.Errorf("decode record %s: %w", RecordKey, err)
 	}
-	if record.Format != format {
+	if record.Format != recordFormat {
 		return nil, 0, fmt.Errorf(
 			"decode record %s: unsupported format %d, want %d",
 			RecordKey,
 			record.Format,
-			format,
+			recordFormat,
 		)
 	}
 	return record.Slots, got.Version, nil
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// writeSlots replaces the record, if it still has the version, under the fencing token. It returns the
-// record's new version.
+// writeSlots replaces the record under the fencing token, if the record still has the given version. It
+// returns the record's new version.
 func writeSlots(
 	ctx context.Context,
 	registryClient *client.Client,
@@ -82,7 +83,7 @@
 ) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	value, err := json.Marshal(slotRecord{format, slots})
+	value, err := json.Marshal(slotRecord{recordFormat, slots})
 	if err != nil {
 		return 0, fmt.Errorf("encode record %s: %w", RecordKey, err)
 	}
--- a/internal/quota/allocator/server.go
+++ b/internal/quota/allocator/server.go
@@ -23,7 +23,7 @@
 // Config configures an allocator.
 type Config struct {
 	Fleet     uint32 // hash of the fleet's name
-	Name      string // the name by which proxies send to the allocator: its name as a membership member
+	Name      string // the process's name as a membership member, to which proxies send claims
 	Registry  *client.Client
 	Leases    *lease.Session
 	Datagrams <-chan []byte                // received datagrams that satisfy quota.IsOurs; Run owns them
@@ -32,8 +32,8 @@
 	Log       *slog.Logger                 // nil means no log
 }
 
-// tenure is a period in which the process holds the lease, with the record of slots as it was read or written
-// last.
+// tenure is a period in which the process holds the lease, with the last record of slots that was read or
+// written.
 type tenure struct {
 	token   lease.Token
 	slots   []quota.Slot
@@ -56,7 +56,7 @@
 	core       *quota.Allocator
 	start      time.Time          // origin of the core's times
 	tenures    chan tenure        // new tenures, from holdLease to loop
-	tenureEnds chan chan struct{} // loop closes the sent channel once it acts for the tenure no more
+	tenureEnds chan chan struct{} // ends of tenures; loop closes the received channel once it is done
 	writes     chan writeResult
 	done       chan struct{} // closed once loop has ended
 	tenure     tenure        // its fencing token is 0 while the lease is not held
@@ -167,8 +167,8 @@
 	}
 }
 
-// write starts a write of the record, unless a write or read is in progress. The core requests a write that
-// was not started again.
+// write starts a write of the record, unless a write or read is in progress. If the write is not started, the
+// core requests it again later.
 func (s *server) write(ctx context.Context, group *errgroup.Group, a quota.WriteRecord) {
 	if s.writing || a.Token != s.tenure.token.Number {
 		return
--- a/internal/quota/allocator/server_test.go
+++ b/internal/quota/allocator/server_test.go
@@ -26,8 +26,8 @@
 func (b *bus) send(to string, data []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n := b.ledgers[to]; n != nil {
-		b.sendAll(n.Handle(time.Since(b.start), quota.Message{Data: data}))
+	if ledger := b.ledgers[to]; ledger != nil {
+		b.sendAll(ledger.Handle(time.Since(b.start), quota.Message{Data: data}))
 	}
 }
 
@@ -43,24 +43,24 @@
 	}
 }
 
-// tick notifies every ledger of an allocator and creates more demand than the limit allows.
-func (b *bus) tick(holder string) {
+// tick tells every ledger the allocator's name, creates more demand than the limit allows, and passes a Tick.
+func (b *bus) tick(allocatorName string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, n := range b.ledgers {
+	for _, ledger := range b.ledgers {
 		now := time.Since(b.start)
-		b.sendAll(n.Handle(now, quota.AllocatorKnown{Name: holder, Token: 1}))
-		n.Rejected(0, 100)
-		b.sendAll(n.Handle(now, quota.Tick{}))
+		b.sendAll(ledger.Handle(now, quota.AllocatorKnown{Name: allocatorName, Token: 1}))
+		ledger.Rejected(0, 100)
+		b.sendAll(ledger.Handle(now, quota.Tick{}))
 	}
 }
 
-// all reports whether is returns true for all ledgers.
-func (b *bus) all(is func(quota.Status, *quota.Ledger) bool) bool {
+// everyLedger reports whether holds returns true for every ledger.
+func (b *bus) everyLedger(holds func(quota.Status, *quota.Ledger) bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, n := range b.ledgers {
-		if !is(n.Status(), n) {
+	for _, ledger := range b.ledgers {
+		if !holds(ledger.Status(), ledger) {
 			return false
 		}
 	}
@@ -78,17 +78,16 @@
 	return table
 }
 
-// TestNextAllocatorContinuesUnderHigherToken: an allocator leases shares and enrolls the proxies in the
-// record; when it ends, the next one continues to lease shares under a higher fencing token, and the slots
-// stay.
+// An allocator leases shares and enrolls the proxies in the record. When it ends, the next allocator
+// continues to lease shares under a higher fencing token, and the slots in the record stay.
 func TestNextAllocatorContinuesUnderHigherToken(t *testing.T) {
 	address, registryClient := labtest.List(t)
 	b := &bus{ledgers: map[string]*quota.Ledger{}, inboxes: map[string]chan []byte{}, start: time.Now()}
 	limits := table(t)
 	for i := range 3 {
-		n := quota.NewLedger(quota.LedgerConfig{Fleet: 7, Name: fmt.Sprintf("n%d", i), Generation: 1})
-		n.Handle(0, quota.TableChanged{Current: limits})
-		b.ledgers[fmt.Sprintf("n%d", i)] = n
+		ledger := quota.NewLedger(quota.LedgerConfig{Fleet: 7, Name: fmt.Sprintf("n%d", i), Generation: 1})
+		ledger.Handle(0, quota.TableChanged{Current: limits})
+		b.ledgers[fmt.Sprintf("n%d", i)] = ledger
 	}
 	run := func(name string) (end func()) {
 		c, err := client.New(client.Config{Addresses: []string{address}})
@@ -118,24 +117,24 @@
 	leased := func(above uint64) func() bool {
 		return func() bool {
 			b.tick(fmt.Sprintf("h%d", min(above, 1)))
-			return b.all(func(s quota.Status, n *quota.Ledger) bool { return s.Token > above && n.Capacity(0) >= 10 })
+			return b.everyLedger(func(s quota.Status, n *quota.Ledger) bool { return s.Token > above && n.Capacity(0) >= 10 })
 		}
 	}
 	labtest.Await(t, "a lease for each proxy", leased(0))
 	var slots []quota.Slot
-	labtest.Await(t, "a slot for each proxy", func() (all bool) {
+	labtest.Await(t, "a slot for each proxy", func() (found bool) {
 		b.tick("h0")
 		slots, _, _ = readSlots(t.Context(), registryClient)
 		return len(slots) == 3
 	})
 	var token uint64
-	b.all(func(s quota.Status, _ *quota.Ledger) bool { token = s.Token; return true })
+	b.everyLedger(func(s quota.Status, _ *quota.Ledger) bool { token = s.Token; return true })
 	endSecond := run("h1")
 	endFirst()
 	labtest.Await(t, "the next allocator's leases", func() bool {
 		b.mu.Lock()
-		for _, n := range b.ledgers { // as the proxies' watch of the lease notifies them
-			b.sendAll(n.Handle(time.Since(b.start), quota.AllocatorKnown{Name: "h1", Token: token + 1}))
+		for _, ledger := range b.ledgers { // as the proxies' watch of the lease notifies them
+			b.sendAll(ledger.Handle(time.Since(b.start), quota.AllocatorKnown{Name: "h1", Token: token + 1}))
 		}
 		b.mu.Unlock()
 		return leased(token)()
--- a/internal/quota/cost_test.go
+++ b/internal/quota/benchmark_test.go
@@ -37,7 +37,7 @@
 			a.Handle(0, ExpectedProxies{proxies})
 			a.Handle(0, LeaseHeld{1, time.Hour * 1000})
 			a.Handle(0, RecordRead{Token: 1})
-			c := claimMessage{token: 1, generation: 1, table: 1, fallbackSuspendable: true, items: []claimItem{{hash: a.limits.all[0].hash, demand: 10}}}
+			c := claimMessage{token: 1, generation: 1, tableVersion: 1, fallbackSuspendable: true, items: []claimItem{{hash: a.limits.byIndex[0].hash, demand: 10}}}
 			now := 2 * time.Second
 			b.ReportAllocs()
 			for i := range 3*proxies + b.N {
--- a/internal/quota/check_test.go
+++ b/internal/quota/bound_check_test.go
@@ -6,8 +6,8 @@
 	"wrenspread/ratelimit"
 )
 
-// boundCheck checks the bound of one limit over every window, exactly: it is a bucket that leaks at the
-// limit's rate. Its level is the largest amount, over all windows that end now, that was admitted beyond rate
+// boundCheck checks the bound of one limit exactly, over every window, by a bucket that leaks at the limit's
+// rate. Over all windows that end now, the bucket's level is the largest amount that was admitted beyond rate
 // x window.
 type boundCheck struct {
 	rate, burst    float64
@@ -45,7 +45,7 @@
 	c.leakedAt = now
 }
 
-// lower starts the bound of windows that begin now; windows that began before still have the old burst.
+// lower lowers the bound for windows that begin from now on. Windows that began before keep the old burst.
 func (c *boundCheck) lower(now time.Duration, rate, burst float64) {
 	c.leak(now)
 	before := *c
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -6,20 +6,20 @@
 type limitBucket struct {
 	concurrency    bool          // the limit is on requests in flight
 	tokens         float64       // tokens in the bucket as of filledAt
-	filledAt       time.Duration // up to when the bucket has been refilled
+	filledAt       time.Duration // the bucket has been refilled up to this time
 	lease          shareSize
 	leaseUntil     time.Duration // end of the lease
 	claimSentAt    time.Duration // when the claim that obtained the lease was sent; extensions don't change it
 	grantToken     uint64        // fencing token of the grant that the lease is from
 	grantNumber    uint32        // number of the grant that the lease is from
-	fallbackAtOnce bool          // the fallback share is valid as soon as the lease ends, suspended or not
+	fallbackAtOnce bool          // the fallback share is valid once the lease ends, even if suspended
 	fallback       shareSize
 
 	inFlight      float64       // requests in flight
 	lent          float64       // tokens lent to other proxies: their capacity stays empty until lentUntil
-	lentUntil     time.Duration // until when lent counts
+	lentUntil     time.Duration // lent counts until then
 	borrowed      float64       // capacity for tokens borrowed from other proxies, until borrowedUntil
-	borrowedUntil time.Duration // until when borrowed counts
+	borrowedUntil time.Duration // borrowed counts until then
 
 	arrived      float64 // demand since the last round of claims
 	rejected     float64 // rejected demand since tokens were last borrowed
@@ -29,13 +29,13 @@
 	claimed      bool // the limit is among Ledger.claimedLimits
 }
 
-// currentShare returns a bucket's share at a time: the lease; without a lease the fallback share; and while
-// the fallback share is suspended a share of rate 0, which leaves the bucket's tokens as they are and does
-// not refill it.
+// currentShare returns a bucket's share at a time: the lease or, without a lease, the fallback share. While
+// the fallback share is suspended, the result has rate 0 and the fallback share's capacity, so the bucket
+// keeps its tokens and is not refilled.
 func (l *Ledger) currentShare(bucket *limitBucket, at time.Duration) shareSize {
 	switch {
-	// The fallback share of a limit on concurrency is never suspended and lent: requests that began on the lent
-	// share would outlast the lease.
+	// The fallback share of a limit on concurrency is never suspended and granted to another proxy: requests
+	// that began under that grant would outlast its lease.
 	case bucket.concurrency:
 		if at < bucket.leaseUntil {
 			return bucket.lease.max(bucket.fallback)
@@ -49,13 +49,14 @@
 	return shareSize{burst: bucket.fallback.burst}
 }
 
-// capacity returns how many tokens the bucket can hold under a share, lent and borrowed capacity considered.
+// capacity returns how many tokens the bucket can hold under a share: less the lent capacity, plus the
+// borrowed capacity.
 func (b *limitBucket) capacity(share shareSize) float64 {
 	return max(share.burst-b.lent, 0) + b.borrowed
 }
 
-// refill refills the bucket up to now, interval by interval between the times at which its share or its
-// capacity changes.
+// refill refills the bucket up to now. It does so in steps, which end at the times at which the bucket's
+// share or capacity changes.
 func (l *Ledger) refill(bucket *limitBucket) {
 	for bucket.filledAt < l.now {
 		end := l.now
@@ -82,8 +83,8 @@
 	bucket.tokens = min(bucket.tokens, bucket.capacity(l.currentShare(bucket, l.now)))
 }
 
-// AdvanceTo sets the ledger's time, as of which the next requests are admitted or rejected. The time never
-// goes back.
+// AdvanceTo sets the ledger's time, at which the next requests are admitted or rejected. An earlier time than
+// the present one is ignored.
 func (l *Ledger) AdvanceTo(now time.Duration) *Ledger {
 	if l.startedAt < 0 {
 		l.startedAt = now
@@ -146,7 +147,8 @@
 	l.recordDemand(i, amount)
 }
 
-// recordDemand counts demand for a limit and lists the limit for claims: urgently if it had no demand before.
+// recordDemand counts demand for a limit and adds the limit to the claimed limits. If the limit had no demand
+// before, it is claimed before the next round.
 func (l *Ledger) recordDemand(i int, amount float64) {
 	bucket := &l.buckets[i]
 	if bucket.demand == 0 && bucket.arrived == 0 {
--- a/internal/quota/claims.go
+++ b/internal/quota/claims.go
@@ -9,10 +9,10 @@
 // minDemand is the demand, in units a second, below which a limit counts as idle.
 const minDemand = 0.1
 
-// measureDemand updates the demand of the claimed limits, and stops claiming those that are idle. Demand
-// follows a rise beyond random variation (three standard deviations) at once, a fall beyond it within a few
-// rounds, and other changes by a quarter in each round, so that random variation makes no share swing or
-// exceed its use.
+// measureDemand updates the demand of the claimed limits, and stops claiming the limits that are idle. A rise
+// beyond random variation (three standard deviations) is followed at once, and such a fall within a few
+// rounds. Smaller changes are followed by a quarter in each round, so that random variation neither makes a
+// share oscillate nor makes it larger than its use.
 func (l *Ledger) measureDemand(since time.Duration) {
 	seconds := max(since, l.times.renewInterval).Seconds()
 	l.claimedLimits = slices.DeleteFunc(l.claimedLimits, func(i int32) bool {
@@ -43,8 +43,8 @@
 }
 
 // sendClaims claims limits from the allocator, in as many datagrams as the limits take, but at least one.
-// Limits that are not claimed are idle at this proxy: they cost nothing, and the allocator may lend their
-// fallback share to other proxies.
+// Limits that are not claimed are idle at this proxy: they need no datagrams, and the allocator may grant
+// their fallback share to other proxies.
 func (l *Ledger) sendClaims(limitIndices []int32) []Action {
 	if l.allocator == "" {
 		return nil
@@ -68,7 +68,7 @@
 		generation:          l.cfg.Generation,
 		number:              l.lastClaimNumber,
 		lastGrant:           l.lastGrantNumber,
-		table:               l.limits.version,
+		tableVersion:        l.limits.version,
 		fallbackSuspendable: l.now-l.startedAt >= l.times.warmUp,
 		name:                l.cfg.Name,
 	}
@@ -78,11 +78,11 @@
 	return claim.encode(l.cfg.Fleet)
 }
 
-// claimItem returns the claim of the limit with index i.
+// claimItem returns the part of a claim about the limit with index i.
 func (l *Ledger) claimItem(i int32) claimItem {
 	bucket := &l.buckets[i]
 	item := claimItem{
-		hash:   l.limits.all[i].hash,
+		hash:   l.limits.byIndex[i].hash,
 		demand: max(bucket.demand, bucket.arrived/l.times.renewInterval.Seconds()),
 	}
 	if bucket.grantToken == l.token {
@@ -99,10 +99,10 @@
 	return item
 }
 
-// applyGrant applies a grant that answers one of the last claims, if it is from the allocator with the
-// highest fencing token. Leases last from when the claim was sent. While tokens that this proxy lent may
-// still be used by other proxies, no share may shrink below them, so the grant is not applied; but
-// lastGrantAt is set, so the proxy lends no more tokens.
+// applyGrant applies a grant that answers one of the last claims, if the grant is from the allocator with the
+// highest fencing token. The duration of a lease counts from when the proxy sent the claim. While other
+// proxies may still use tokens that this proxy lent, no share may shrink below the lent tokens, so the grant
+// is not applied. But lastGrantAt is set, so that the proxy lends no more tokens.
 func (l *Ledger) applyGrant(grant grantMessage) {
 	sent := l.sentClaims[grant.claimNumber%uint32(len(l.sentClaims))]
 	if grant.generation != l.cfg.Generation || grant.token != l.token || sent.token != grant.token ||
--- a/internal/quota/events.go
+++ b/internal/quota/events.go
@@ -11,13 +11,13 @@
 
 // Events of both cores.
 type (
-	// Tick says that time has passed. It comes about every 20 ms.
+	// Tick only passes the time to the core. The owner sends one about every 20 ms.
 	Tick struct{}
 	// Message is a received datagram; the core checks it.
 	Message struct{ Data []byte }
 	// TableChanged sets the table by which requests are admitted from now on. The allocator also needs the
-	// Previous table (nil means none), since proxies that don't know the current table yet have the fallback
-	// share of the previous one.
+	// Previous table (nil means none), since a proxy that doesn't know the current table yet has its fallback
+	// share by the previous table.
 	TableChanged struct{ Current, Previous *ratelimit.Table }
 )
 
@@ -43,16 +43,16 @@
 		Token uint64
 		Until time.Duration
 	}
-	// RecordRead has the record of slots as it was read or written under Token.
+	// RecordRead has the record of slots, which was read or written under Token.
 	RecordRead struct {
 		Token uint64
 		Slots []Slot
 	}
-	// Forget says that, as an operator has declared, a proxy will never come back.
+	// Forget says that an operator has declared that a proxy will never come back.
 	Forget struct{ Name string }
 	// ExpectedProxies has the number of proxies that membership knows, which may be inexact.
 	ExpectedProxies struct{ Count int }
-	// WallClock has the wall-clock time for scheduled limits. It comes every minute.
+	// WallClock has the wall-clock time, which scheduled limits depend on. The owner sends it every minute.
 	WallClock struct{ Time time.Time }
 )
 
@@ -68,7 +68,7 @@
 func (ExpectedProxies) event() {}
 func (WallClock) event()       {}
 
-// Action is an output of a core, which its owner carries out.
+// Action is an output of a core; the core's owner carries it out.
 type Action interface{ action() }
 
 // Actions: both cores send, the Allocator also writes the record.
@@ -78,7 +78,8 @@
 		To   string
 		Data []byte
 	}
-	// WriteRecord replaces the record of slots under the fencing token. Success is reported as a RecordRead.
+	// WriteRecord replaces the record of slots under the fencing token. The owner reports success as a
+	// RecordRead.
 	WriteRecord struct {
 		Token uint64
 		Slots []Slot
--- a/internal/quota/fair.go
+++ b/internal/quota/fairness.go
@@ -32,9 +32,9 @@
 	demand, floor, maxRate, weight float64
 }
 
-// divideAmongLimits gives each claimant its floor as far as it has demand for it, then divides the budget by
-// weight among claimants with more demand, and then the budget beyond all demand by weight, so that it is
-// already allocated when demand jumps.
+// divideAmongLimits divides a budget in three steps. First each claimant gets its floor, or its demand if
+// that is less. Then the remaining budget is divided by weight among the claimants with more demand. Budget
+// beyond all demand is divided by weight too, so that it is already allocated when demand jumps.
 func divideAmongLimits(budget float64, claimants []claimant) []float64 {
 	n := len(claimants)
 	floors, extra, spare, weights := make([]float64, n), make([]float64, n),
@@ -54,7 +54,7 @@
 	return shares
 }
 
-// addEach adds each value of more to that of to with the same index.
+// addEach adds each value of more to the value of to with the same index.
 func addEach(to, more []float64) {
 	for i := range to {
 		to[i] += more[i]
--- a/internal/quota/fixture_test.go
+++ b/internal/quota/fixture_test.go
@@ -12,7 +12,7 @@
 func TestDatagramAndStatusEncodingsAreUnchanged(t *testing.T) {
 	const fleet = 0x01020304
 	leased := shareSize{rate: 5.5, burst: 6.5}
-	claim := claimMessage{token: 1, generation: 2, number: 3, lastGrant: 4, table: 5, fallbackSuspendable: true, name: "node-a",
+	claim := claimMessage{token: 1, generation: 2, number: 3, lastGrant: 4, tableVersion: 5, fallbackSuspendable: true, name: "node-a",
 		items: []claimItem{{hash: 6, demand: 7.5, leased: leased, grantNumber: 8}}}
 	grant := grantMessage{token: 1, generation: 2, claimNumber: 3, number: 4, slot: Slot{Name: "node-a", Level: 5, Index: 6}, fallbackSuspended: true, extendsOnly: true, slotCoversConcurrency: true,
 		items: []grantItem{{hash: 7, size: leased, tokens: 8.5, fallbackAtOnce: true}}}
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// answerClaim answers a claim that was sent under this allocator's present fencing token. Such a claim was
-// sent after the previous allocator's lease had ended, and the leases that it lists were counted by the
-// previous allocator until then. A claim under a lower token is answered with an announcement.
+// answerClaim answers a claim with a grant, if the claim was sent under this allocator's present fencing
+// token. The proxy sent such a claim after the previous allocator's lease had ended, and until that end the
+// previous allocator counted the leases that the claim lists. A claim under a lower token is answered with an
+// announcement.
 func (a *Allocator) answerClaim(claim claimMessage) []Action {
 	switch {
 	case claim.token > a.token:
@@ -55,7 +56,7 @@
 // grantShare records a claim's demand for the limit with index i and grants the proxy a lease of it. The
 // result is false if the proxy gets no lease.
 func (a *Allocator) grantShare(m *member, i int32, item claimItem, number uint32) (grantItem, bool) {
-	limit, allocation := &a.limits.all[i], a.allocation(i)
+	limit, allocation := &a.limits.byIndex[i], a.allocation(i)
 	allocation.refill(a.now, a.times.leaseDuration)
 	share := m.shares[i]
 	if share == nil {
@@ -93,11 +94,11 @@
 	return granted, true
 }
 
-// nextLease returns the size of a member's next lease: its target, as far as the other members leave
-// capacity. While grants of a previous allocator may be in use, the lease only extends the one that the proxy
-// claims to hold, which adds nothing to the shares in use.
+// nextLease returns the size of a member's next lease: its target, but no more than the other members leave
+// of the limit. While grants of a previous allocator may be in use, the next lease only extends the lease
+// that the proxy claims to hold, which adds nothing to the shares in use.
 func (a *Allocator) nextLease(share *memberShare, i int32, item claimItem) (shareSize, bool) {
-	limit := &a.limits.all[i]
+	limit := &a.limits.byIndex[i]
 	if a.now < a.previousGrantsEnd(i) {
 		extended := shareSize{
 			roundDownToWire(min(item.leased.rate, limit.rate)),
@@ -141,17 +142,18 @@
 }
 
 // previousGrantsEnd returns the time from which no grant of a previous allocator can be in use for the limit
-// with index i. For limits on concurrency, the last requests that began under its leases have ended by then.
+// with index i. For limits on concurrency, the last requests that began under the previous allocator's leases
+// have ended by then.
 func (a *Allocator) previousGrantsEnd(i int32) time.Duration {
-	if a.limits.all[i].concurrency {
+	if a.limits.byIndex[i].concurrency {
 		return a.previousLeasesEnd + a.times.maxRequestTime
 	}
 	return a.previousLeasesEnd
 }
 
-// updateSpare sets the part of the limit with index i that no member has from now on.
+// updateSpare updates the spare part of the limit with index i: the part that no member has from now on.
 func (a *Allocator) updateSpare(i int32, allocation *limitAllocation) {
-	limit, total := &a.limits.all[i], a.allocationWithSum(i).sum.total
+	limit, total := &a.limits.byIndex[i], a.allocationWithSum(i).sum.total
 	allocation.spare = shareSize{max(limit.rate-total.rate, 0), max(limit.burst-total.burst, 0)}
 	allocation.tokens = min(allocation.tokens, allocation.spare.burst)
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -11,13 +11,14 @@
 type LedgerConfig struct {
 	Fleet      uint32 // hash of the fleet's name
 	Name       string // the proxy's name, at most MaxName bytes
-	Generation uint64 // of the process; a later process under the name has a higher one
+	Generation uint64 // of the process; a later process of this name has a higher generation
 	Seed       uint64 // of the random draws
 }
 
-// Ledger holds a proxy's share of each limit. It is pure: times are of the process's monotonic clock and not
-// negative, and one goroutine uses it at a time. It implements ratelimit.Tokens, by which requests are
-// admitted, as of the last AdvanceTo or Handle, without allocating memory for a request.
+// Ledger holds a proxy's share of each limit. It is pure: the caller passes all times, which are readings of
+// the process's monotonic clock and not negative. Only one goroutine may use a Ledger at a time. It
+// implements ratelimit.Tokens, by which requests are admitted, as of the last AdvanceTo or Handle, without
+// allocating memory for a request.
 type Ledger struct {
 	cfg           LedgerConfig
 	times         times
@@ -26,14 +27,14 @@
 	startedAt     time.Duration // time of the first event; -1 before
 	limits        *limits
 	buckets       []limitBucket // by the limit's index
-	claimedLimits []int32       // indices of the limits that each round claims
-	urgentLimits  []int32       // those of them that are claimed before the next round
+	claimedLimits []int32       // indices of the limits that each round of claims includes
+	urgentLimits  []int32       // indices of the limits to claim before the next round
 	hasLeft       bool
 
 	allocator              string // the allocator's name; empty if not known
 	token                  uint64 // highest fencing token of an allocator seen
 	lastGrantAt            time.Duration
-	sentClaims             [64]sentClaim // the last claims, by number modulo their count
+	sentClaims             [64]sentClaim // the last 64 claims; a claim's index is its number modulo 64
 	lastClaimNumber        uint32
 	lastGrantNumber        uint32        // highest number of a grant that was applied under the fencing token
 	lastRoundAt            time.Duration // when all claimedLimits were last claimed
@@ -44,7 +45,7 @@
 
 	peers        []string // other proxies, from which tokens may be borrowed
 	pendingLoans map[uint64]pendingLoan
-	lentNonces   map[uint64]time.Duration // when borrowMessages were answered, by their nonce
+	lentNonces   map[uint64]time.Duration // when each borrowMessage was answered, by its nonce
 	lentUntil    time.Duration            // latest limitBucket.lentUntil
 }
 
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// handleDatagram handles grants, announcements and the messages by which proxies borrow tokens. Datagrams
-// that can't be decoded are dropped, and all datagrams after a leave.
+// handleDatagram handles grants, announcements and the messages by which proxies borrow tokens. It drops
+// datagrams that can't be decoded and, after a leave, all datagrams.
 func (l *Ledger) handleDatagram(data []byte) []Action {
 	kind, r, err := readHeader(data, l.cfg.Fleet)
 	if err != nil || l.hasLeft {
@@ -97,11 +98,11 @@
 	}
 	switch kind {
 	case kindGrant:
-		if g, ok := decodeGrant(r); ok {
-			l.applyGrant(g)
+		if grant, ok := decodeGrant(r); ok {
+			l.applyGrant(grant)
 		}
 	case kindAnnouncement:
-		if h, ok := decodeAnnouncement(r); ok && l.followAllocator(h.token, h.name) {
+		if a, ok := decodeAnnouncement(r); ok && l.followAllocator(a.token, a.name) {
 			return l.sendClaims(l.claimedLimits)
 		}
 	case kindBorrow:
@@ -109,15 +110,15 @@
 			return l.lendTokens(request)
 		}
 	case kindLoan:
-		if g, ok := decodeLoan(r); ok {
-			l.receiveLoan(g)
+		if loan, ok := decodeLoan(r); ok {
+			l.receiveLoan(loan)
 		}
 	}
 	return nil
 }
 
-// followAllocator follows an allocator if its fencing token is higher than any seen, and reports whether it
-// does.
+// followAllocator follows an allocator if the allocator's fencing token is higher than all tokens seen
+// before. It reports whether the token was higher.
 func (l *Ledger) followAllocator(token uint64, name string) bool {
 	if token <= l.token || len(name) == 0 || len(name) > MaxName {
 		return false
@@ -146,7 +147,7 @@
 }
 
 // leave notifies the allocator, once in each renewInterval for as long as the process lives, that the proxy
-// admits no more requests. It waits until none of the proxy's shares is in use: no lent tokens and no
+// admits no more requests. It waits until none of the proxy's shares is in use, neither by lent tokens nor by
 // requests in flight.
 func (l *Ledger) leave() []Action {
 	if l.allocator == "" || l.now < l.lentUntil || l.now-l.lastRoundAt < l.times.renewInterval {
@@ -165,15 +166,15 @@
 // setTable replaces the table. Limits whose names are in both tables keep their shares and tokens.
 func (l *Ledger) setTable(t *ratelimit.Table) {
 	next := newLimits(t, l.times.drift)
-	buckets := make([]limitBucket, len(next.all))
+	buckets := make([]limitBucket, len(next.byIndex))
 	var claimed []int32
 	for i := range buckets {
-		if previous, found := l.limits.byHash[next.all[i].hash]; found {
+		if previous, found := l.limits.byHash[next.byIndex[i].hash]; found {
 			l.refill(&l.buckets[previous])
 			buckets[i] = l.buckets[previous]
 		}
-		buckets[i].filledAt, buckets[i].concurrency = l.now, next.all[i].concurrency
-		buckets[i].fallback = next.all[i].fallback(l.slot, l.slotCoversConcurrency)
+		buckets[i].filledAt, buckets[i].concurrency = l.now, next.byIndex[i].concurrency
+		buckets[i].fallback = next.byIndex[i].fallback(l.slot, l.slotCoversConcurrency)
 		if buckets[i].claimed {
 			claimed = append(claimed, int32(i))
 		}
@@ -192,7 +193,7 @@
 	}
 	for i := range l.buckets {
 		l.refill(&l.buckets[i])
-		l.buckets[i].fallback = l.limits.all[i].fallback(slot, coversConcurrency)
+		l.buckets[i].fallback = l.limits.byIndex[i].fallback(slot, coversConcurrency)
 		l.refill(&l.buckets[i])
 	}
 	l.slot, l.slotCoversConcurrency = slot, coversConcurrency
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -16,50 +16,51 @@
 	parent         int32               // index of the next outer limit; -1 means none
 	attribute      ratelimit.Attribute // attribute of the limit's scope
 	concurrency    bool                // the limit is on requests in flight
-	borrow         bool                // the limit may have more than its floor of its parent
+	borrow         bool                // the limit may get more of its parent than its floor
 	rate, burst    float64             // units a second, units
 	floor          float64             // units a second that are guaranteed before siblings borrow
-	weight         float64             // by which siblings that want more divide what the floors leave
-	fallbackRate   float64             // of all fallback shares together, by the lowest scheduled values
-	fallbackTokens uint64              // tokens of all fallback shares together, likewise
+	weight         float64             // share, relative to siblings, of the parent's rate beyond the floors
+	fallbackRate   float64             // of all fallback shares together, at the lowest scheduled values
+	fallbackTokens uint64              // of all fallback shares together, at the lowest scheduled values
 }
 
 // maxPool bounds a limit's fallback tokens, so that the arithmetic of slots stays within 64 bits.
 const maxPool = 1 << 30
 
-// limits are the limits of a table. Their index is that of ratelimit.Tokens: first the table's limits, then
-// one entry for each key slot of the limits that have key slots.
+// limits are the limits of a table. A limit's index is the one that ratelimit.Tokens uses: first come the
+// table's limits, then an entry for each key slot of the limits that have key slots.
 type limits struct {
 	table      *ratelimit.Table
 	version    uint64
 	rateFactor float64 // reduces rates, so that a proxy with a fast clock does not exceed the limit
-	all        []quotaLimit
+	byIndex    []quotaLimit
 	byHash     map[uint64]int32 // index by quotaLimit.hash
 }
 
-// newLimits returns the limits of a finalized table; nil gives no limits. Rates are reduced by drift.
+// newLimits returns the limits of a finalized table, with rates reduced by drift. For a nil table there are
+// no limits.
 func newLimits(t *ratelimit.Table, drift float64) *limits {
 	result := &limits{table: t, rateFactor: 1 - drift, byHash: map[uint64]int32{}}
 	if t == nil {
 		return result
 	}
 	result.version = t.Version
-	result.all = make([]quotaLimit, t.TokenSlots())
+	result.byIndex = make([]quotaLimit, t.TokenSlots())
 	for i := range t.Limits {
-		result.all[i] = result.newLimit(i)
+		result.byIndex[i] = result.newLimit(i)
 	}
-	for at := len(t.Limits); at < len(result.all); {
-		source := t.LimitOfSlot(at)
-		for k := range max(t.Limits[source].KeySlots, 1) {
-			limit := result.all[source]
+	for at := len(t.Limits); at < len(result.byIndex); {
+		limitIndex := t.LimitOfSlot(at)
+		for k := range max(t.Limits[limitIndex].KeySlots, 1) {
+			limit := result.byIndex[limitIndex]
 			limit.parent, limit.hash = -1, mixHash(limit.hash, uint64(k))
-			result.all[at+k] = limit
+			result.byIndex[at+k] = limit
 		}
-		at += max(t.Limits[source].KeySlots, 1)
+		at += max(t.Limits[limitIndex].KeySlots, 1)
 	}
-	for i := range result.all {
-		if _, found := result.byHash[result.all[i].hash]; !found {
-			result.byHash[result.all[i].hash] = int32(i)
+	for i := range result.byIndex {
+		if _, found := result.byHash[result.byIndex[i].hash]; !found {
+			result.byHash[result.byIndex[i].hash] = int32(i)
 		}
 	}
 	return result
@@ -89,22 +90,22 @@
 // applySchedule sets the limits' values to those scheduled for a wall-clock time. Only the allocator calls
 // it: a proxy's fallback share follows from the lowest scheduled values.
 func (l *limits) applySchedule(now time.Time) {
-	for i := range l.all {
-		source := l.table.LimitOfSlot(i)
-		if i >= len(l.table.Limits) && len(l.table.Limits[source].Schedule) == 0 {
+	for i := range l.byIndex {
+		limitIndex := l.table.LimitOfSlot(i)
+		if i >= len(l.table.Limits) && len(l.table.Limits[limitIndex].Schedule) == 0 {
 			continue
 		}
-		figures := l.table.RatesAt(source, now)
-		if !l.all[i].concurrency {
-			figures.Rate *= l.rateFactor
+		scheduled := l.table.RatesAt(limitIndex, now)
+		if !l.byIndex[i].concurrency {
+			scheduled.Rate *= l.rateFactor
 		}
-		l.all[i].rate, l.all[i].burst, l.all[i].floor = figures.Rate, figures.Burst, figures.Floor
+		l.byIndex[i].rate, l.byIndex[i].burst, l.byIndex[i].floor = scheduled.Rate, scheduled.Burst, scheduled.Floor
 	}
 }
 
-// fallback returns the fallback share of the proxy that has the slot. A slot without a complete token has an
-// empty share, since a bucket that can't hold a token never admits a request. For limits on concurrency the
-// share is empty unless coversConcurrency is set.
+// fallback returns the fallback share of the proxy that has the slot. A slot that gets no complete token has
+// an empty share, since a bucket that can't hold a token never admits a request. For limits on concurrency
+// the share is empty unless coversConcurrency is set.
 func (l *quotaLimit) fallback(slot Slot, coversConcurrency bool) shareSize {
 	if l.fallbackTokens == 0 || slot.Level == noSlotLevel || l.concurrency && !coversConcurrency {
 		return shareSize{}
@@ -128,8 +129,8 @@
 	return shareSize{s.rate + other.rate, s.burst + other.burst}
 }
 
-// roundDownToWire returns the largest value of at most v that a datagram can carry, a 32-bit float; 0 if v is
-// negative.
+// roundDownToWire returns the largest 32-bit float of at most v, since datagrams carry 32-bit floats. For a
+// negative v it returns 0.
 func roundDownToWire(v float64) float64 {
 	f := float32(max(v, 0))
 	if float64(f) > v {
--- a/internal/quota/sum.go
+++ b/internal/quota/limit_sum.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// sumInterval is how long a limit's sum is used before it is computed again. In between only grants change
-// the sum: leases that end make it smaller, which may wait, and a fallback share whose suspension ends is
-// counted from twice the interval before the end on (fallbackSuspended).
+// sumInterval is how long a limit's sum is used before it is computed again. In between, only grants change
+// the sum. Leases that end make it smaller, which may be counted late. A fallback share whose suspension ends
+// is counted early, by twice sumInterval (see fallbackSuspended).
 const sumInterval = 50 * time.Millisecond
 
 // limitSum is the share that all members together may have of a limit.
@@ -14,7 +14,8 @@
 	revision   int // Allocator.revision at the computation; 0 if the sum is to be computed again
 }
 
-// othersShare returns what all members but the share's own may have of the limit with index i.
+// othersShare returns the share of the limit with index i that all members but the given share's member may
+// have.
 func (a *Allocator) othersShare(i int32, share *memberShare) shareSize {
 	total := a.allocationWithSum(i).sum.total
 	return shareSize{max(total.rate-share.counted.rate, 0), max(total.burst-share.counted.burst, 0)}
@@ -29,10 +30,10 @@
 	return allocation
 }
 
-// recomputeSum computes a limit's sum over all members. Capacity for the tokens of all fallback shares is
-// always counted, whether or not a member has them.
+// recomputeSum computes a limit's sum over all members. The capacity for the tokens of all fallback shares is
+// always counted, even if no member has these shares.
 func (a *Allocator) recomputeSum(i int32, allocation *limitAllocation) {
-	limit := &a.limits.all[i]
+	limit := &a.limits.byIndex[i]
 	total := shareSize{burst: max(limit.burst-a.unclaimed(i).burst, 0)}
 	for _, m := range a.members {
 		if m.hasSlot && (limit.concurrency || !a.fallbackSuspended(m)) {
@@ -46,7 +47,7 @@
 	allocation.sum = limitSum{total, a.now, a.revision}
 }
 
-// updateCounted updates one member's part of the sum.
+// updateCounted updates one member's part of the sum of the limit with index i.
 func (a *Allocator) updateCounted(i int32, share *memberShare) {
 	allocation := a.allocationWithSum(i)
 	current := a.maxShare(share.member, i)
@@ -56,11 +57,11 @@
 	share.counted = current
 }
 
-// beyondFallback returns what the member may have by grants in addition to the part that counts for it
-// without any grant.
+// beyondFallback returns the share that a member may have by grants, in addition to the part that the sum
+// counts for the member without any grant.
 func (a *Allocator) beyondFallback(share *memberShare, i int32) shareSize {
 	fallback, largest := a.fallback(share.member, i), a.maxShare(share.member, i)
-	if !a.limits.all[i].concurrency && a.fallbackSuspended(share.member) {
+	if !a.limits.byIndex[i].concurrency && a.fallbackSuspended(share.member) {
 		fallback.rate = 0
 	}
 	return shareSize{max(largest.rate-fallback.rate, 0), max(largest.burst-fallback.burst, 0)}
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -8,7 +8,7 @@
 
 // Bounds of lending between proxies.
 const (
-	borrowInterval  = 50 * time.Millisecond // time between two requests for tokens of one limit
+	borrowInterval  = 50 * time.Millisecond // shortest time between two requests for tokens of one limit
 	maxPendingLoans = 64                    // requests that wait for an answer
 	maxLentNonces   = 4096                  // answered requests that are remembered
 )
@@ -21,7 +21,7 @@
 	requestedAt time.Duration
 }
 
-// withoutAllocator reports whether the bucket is on its fallback share because no allocator answers.
+// withoutAllocator reports whether the bucket uses its fallback share because no allocator answers.
 func (l *Ledger) withoutAllocator(bucket *limitBucket) bool {
 	return !bucket.concurrency && l.now >= bucket.leaseUntil && l.now >= l.fallbackSuspendedUntil &&
 		(l.lastGrantAt == 0 || l.now-l.lastGrantAt > l.times.leaseDuration)
@@ -49,7 +49,7 @@
 		}
 		request := borrowMessage{
 			nonce:  l.random.Uint64(),
-			hash:   l.limits.all[i].hash,
+			hash:   l.limits.byIndex[i].hash,
 			amount: roundDownToWire(amount),
 			name:   l.cfg.Name,
 		}
@@ -60,9 +60,8 @@
 }
 
 // lendTokens lends an integer amount of tokens, once for each nonce. The tokens are debited before they are
-// sent, and their capacity in the bucket stays empty until the borrower can't use them any more. So the
-// tokens that all proxies have and those in transit never exceed the capacity of the buckets of all fallback
-// shares.
+// sent, and their capacity in the bucket stays empty until the borrower can't use the tokens any more. So all
+// tokens, at proxies and in transit, never exceed the capacity of the buckets of all fallback shares.
 func (l *Ledger) lendTokens(request borrowMessage) []Action {
 	i, known := l.limits.byHash[request.hash]
 	if _, answered := l.lentNonces[request.nonce]; !known || answered || !l.withoutAllocator(&l.buckets[i]) {
@@ -87,8 +86,8 @@
 	return []Action{Send{request.name, answer.encode(l.cfg.Fleet)}}
 }
 
-// forgetNonces drops the nonces of requests that have timed out, and reports whether there is space for
-// another.
+// forgetNonces drops the nonces of requests that have timed out, and reports whether another nonce may be
+// added.
 func (l *Ledger) forgetNonces() bool {
 	for nonce, answeredAt := range l.lentNonces {
 		if l.now-answeredAt > 2*l.times.loanTimeout {
@@ -98,8 +97,8 @@
 	return len(l.lentNonces) < maxLentNonces
 }
 
-// receiveLoan credits lent tokens, once for each request and only within loanTimeout. The capacity for them
-// ends loanUse after the request.
+// receiveLoan credits lent tokens, once for each request and only within loanTimeout. The capacity for these
+// tokens ends loanUse after the request.
 func (l *Ledger) receiveLoan(received loanMessage) {
 	pending, found := l.pendingLoans[received.nonce]
 	if !found || pending.hash != received.hash || received.amount > pending.amount {
--- a/internal/quota/member.go
+++ b/internal/quota/member.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// member is a proxy that the allocator knows: by the record of enrolled proxies or by a claim.
+// member is a proxy that the allocator knows from the record of enrolled proxies or from a claim.
 type member struct {
 	name         string
 	generation   uint64
 	tableVersion uint64
 	shares       map[int32]*memberShare // by the limit's index
 
-	slot                   Slot // by which the fallback share is counted
+	slot                   Slot // determines the fallback share
 	hasSlot                bool
 	slotRecorded           bool          // the record holds the slot, or a larger slot that contains it
 	fallbackCountedSince   time.Duration // since when the fallback share is counted for the present generation
@@ -21,8 +21,8 @@
 	shrinkingSinceGrant    uint32        // number of the first grant with the slot of half the size
 
 	lastGrantNumber        uint32
-	sentGrants             [32]sentGrant // the last grants, by number modulo their count
-	fallbackSuspendedUntil time.Duration // until when the proxy suspends its fallback share at least
+	sentGrants             [32]sentGrant // the last 32 grants; a grant's index is its number modulo 32
+	fallbackSuspendedUntil time.Duration // the proxy keeps its fallback share suspended at least until then
 }
 
 // sentGrant is a grant that the allocator has sent.
@@ -39,10 +39,10 @@
 	return sent, number > 0 && sent.number == number
 }
 
-// memberForClaim returns the member that a claim comes from, and adds it if it is new. It returns nil if
-// there are too many members, or the claim is of an older generation or of a process that has left. A new
-// generation starts without grants: its fallback share counts from now on, in addition to the live leases of
-// the previous generation.
+// memberForClaim returns the member that a claim comes from, and adds the member if it is new. It returns nil
+// if there are too many members, or if the claim is from an older generation or from a process that has left.
+// A new generation starts without grants: from now on, the allocator counts its fallback share in addition to
+// the live leases of the previous generation.
 func (a *Allocator) memberForClaim(claim claimMessage) *member {
 	at, m := a.find(claim.name)
 	if m == nil {
@@ -66,7 +66,7 @@
 		m.sentGrants = [32]sentGrant{}
 		a.revision++
 		for i, share := range m.shares {
-			if a.limits.all[i].concurrency { // the requests in flight ended with the previous process
+			if a.limits.byIndex[i].concurrency { // the requests in flight ended with the previous process
 				share.currentLease, share.inFlight = shareLease{}, 0
 				share.olderLease = shareLease{}
 			}
@@ -78,13 +78,14 @@
 	return m
 }
 
-// grantConfirmed handles the number of the last applied grant in a claim. It proves that the proxy will apply
-// no older grant and, if that grant suspended the fallback share, that the proxy suspends it for
-// fallbackSuspension after the grant's claim was sent; that claim was sent after sentGrant.claimSentAfter.
-// grantConfirmed returns the time at which the applied grant was sent, as the present claim was sent later,
-// or 0 if the grant is not remembered.
+// grantConfirmed handles the number of the last applied grant, which each claim carries. The number proves
+// that the proxy will apply no older grant. If the applied grant suspended the fallback share, the number
+// also proves that the share stays suspended until fallbackSuspension after the proxy sent the claim that the
+// grant answered; the proxy sent that claim after sentGrant.claimSentAfter. grantConfirmed returns the time
+// at which the applied grant was sent, or 0 if the allocator no longer remembers the grant. The proxy sent
+// the present claim after the returned time.
 func (a *Allocator) grantConfirmed(m *member, claim claimMessage) (claimSentAfter time.Duration) {
-	m.tableVersion = max(m.tableVersion, claim.table)
+	m.tableVersion = max(m.tableVersion, claim.tableVersion)
 	sent, known := m.sentGrant(claim.lastGrant)
 	if !known {
 		return 0
@@ -103,23 +104,24 @@
 }
 
 // fallback returns the share that the proxy may have of the limit with index i without any lease. Until the
-// proxy has claimed under the current table, it is the larger share by the current and the previous table.
+// proxy has sent a claim under the current table, the result is the larger of its shares by the current and
+// by the previous table.
 func (a *Allocator) fallback(m *member, i int32) shareSize {
 	if !m.hasSlot {
 		return shareSize{}
 	}
-	limit := &a.limits.all[i]
+	limit := &a.limits.byIndex[i]
 	fallback := limit.fallback(m.slot, true)
 	if m.tableVersion < a.limits.version {
 		if previous, found := a.previousLimits.byHash[limit.hash]; found {
-			fallback = fallback.max(a.previousLimits.all[previous].fallback(m.slot, true))
+			fallback = fallback.max(a.previousLimits.byIndex[previous].fallback(m.slot, true))
 		}
 	}
 	return fallback
 }
 
-// fallbackSuspended reports whether the proxy's fallback share may be lent to other proxies: it stays
-// suspended for longer than any lease that is granted now can stay alive.
+// fallbackSuspended reports whether the proxy's fallback share may be granted to other proxies, because the
+// share stays suspended for longer than any lease that is granted now can stay alive.
 func (a *Allocator) fallbackSuspended(m *member) bool {
 	return a.now+a.times.settleTime()+2*sumInterval <= m.fallbackSuspendedUntil
 }
@@ -129,7 +131,7 @@
 func (a *Allocator) maxShare(m *member, i int32) shareSize {
 	share := m.shares[i]
 	fallback := a.fallback(m, i)
-	if !a.limits.all[i].concurrency && a.fallbackSuspended(m) && (share == nil || !share.fallbackAtOnce) {
+	if !a.limits.byIndex[i].concurrency && a.fallbackSuspended(m) && (share == nil || !share.fallbackAtOnce) {
 		fallback.rate = 0
 	}
 	if share == nil {
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -1,7 +1,7 @@
 package quota
 
-// Each kind of datagram has an encode method and a decode function, which list its fields in their order on
-// the wire.
+// Each kind of datagram has an encode method and a decode function, which process the fields in their order
+// on the wire.
 
 func (c *claimMessage) encode(fleet uint32) []byte {
 	w := newWriter(kindClaim, fleet)
@@ -9,7 +9,7 @@
 	w.u64(c.generation)
 	w.u32(c.number)
 	w.u32(c.lastGrant)
-	w.u64(c.table)
+	w.u64(c.tableVersion)
 	w.flag(c.fallbackSuspendable)
 	w.text(c.name)
 	w.u8(uint8(len(c.items)))
@@ -29,7 +29,7 @@
 		generation:          r.u64(),
 		number:              r.u32(),
 		lastGrant:           r.u32(),
-		table:               r.u64(),
+		tableVersion:        r.u64(),
 		fallbackSuspendable: r.u8() == 1,
 		name:                r.text(),
 	}
@@ -80,16 +80,16 @@
 	return g, !r.failed
 }
 
-func (h *announcementMessage) encode(fleet uint32) []byte {
+func (a *announcementMessage) encode(fleet uint32) []byte {
 	w := newWriter(kindAnnouncement, fleet)
-	w.u64(h.token)
-	w.text(h.name)
+	w.u64(a.token)
+	w.text(a.name)
 	return w
 }
 
-func decodeAnnouncement(r *reader) (h announcementMessage, ok bool) {
-	h = announcementMessage{token: r.u64(), name: r.text()}
-	return h, !r.failed
+func decodeAnnouncement(r *reader) (a announcementMessage, ok bool) {
+	a = announcementMessage{token: r.u64(), name: r.text()}
+	return a, !r.failed
 }
 
 func (l *leaveMessage) encode(fleet uint32) []byte {
@@ -104,29 +104,29 @@
 	return l, !r.failed
 }
 
-func (a *borrowMessage) encode(fleet uint32) []byte {
+func (b *borrowMessage) encode(fleet uint32) []byte {
 	w := newWriter(kindBorrow, fleet)
-	w.u64(a.nonce)
-	w.u64(a.hash)
-	w.f32(a.amount)
-	w.text(a.name)
+	w.u64(b.nonce)
+	w.u64(b.hash)
+	w.f32(b.amount)
+	w.text(b.name)
 	return w
 }
 
-func decodeBorrow(r *reader) (a borrowMessage, ok bool) {
-	a = borrowMessage{nonce: r.u64(), hash: r.u64(), amount: r.f32(), name: r.text()}
-	return a, !r.failed
+func decodeBorrow(r *reader) (b borrowMessage, ok bool) {
+	b = borrowMessage{nonce: r.u64(), hash: r.u64(), amount: r.f32(), name: r.text()}
+	return b, !r.failed
 }
 
-func (g *loanMessage) encode(fleet uint32) []byte {
+func (l *loanMessage) encode(fleet uint32) []byte {
 	w := newWriter(kindLoan, fleet)
-	w.u64(g.nonce)
-	w.u64(g.hash)
-	w.f32(g.amount)
+	w.u64(l.nonce)
+	w.u64(l.hash)
+	w.f32(l.amount)
 	return w
 }
 
-func decodeLoan(r *reader) (g loanMessage, ok bool) {
-	g = loanMessage{nonce: r.u64(), hash: r.u64(), amount: r.f32()}
-	return g, !r.failed
+func decodeLoan(r *reader) (l loanMessage, ok bool) {
+	l = loanMessage{nonce: r.u64(), hash: r.u64(), amount: r.f32()}
+	return l, !r.failed
 }
--- a/internal/quota/mutation_test.go
+++ b/internal/quota/mutation_test.go
@@ -8,11 +8,11 @@
 	"wrenspread/ratelimit"
 )
 
-// The checks find each way of breaking the cores, which shows that the checks can fail.
+// Each way of breaking the cores is found by the checks, which shows that the checks can fail.
 func TestChecksFindDeliberatelyBrokenCores(t *testing.T) {
 	for name, hook := range map[string]hooks{
-		"no drift margin": {allocatorTick: func(_ *simulation, h *host) { h.allocator.times.drift = 0 }},
-		"no reserve for the silent": {allocatorTick: func(w *simulation, h *host) {
+		"rates and leases without drift margin": {allocatorTick: func(_ *simulation, h *host) { h.allocator.times.drift = 0 }},
+		"share of a silent proxy not reserved": {allocatorTick: func(sim *simulation, h *host) {
 			for _, m := range h.allocator.members { // as if a proxy that membership takes for dead had no share
 				if isSilent(h, m) {
 					h.allocator.removeMember(m.name)
@@ -20,23 +20,23 @@
 				}
 			}
 		}},
-		"credited twice": {
-			beforeMessage: func(n *proxy, data []byte) {
+		"loan credited twice": {
+			beforeMessage: func(p *proxy, data []byte) {
 				if data[0] == kindLoan {
-					n.handle(Message{data})
-					restorePendingLoan(n, data, n.ledger.now)
+					p.handle(Message{data})
+					restorePendingLoan(p, data, p.ledger.now)
 				}
 			},
 		},
-		"credited late": {beforeMessage: func(n *proxy, data []byte) {
+		"loan credited late": {beforeMessage: func(p *proxy, data []byte) {
 			if data[0] == kindLoan {
-				restorePendingLoan(n, data, n.ledger.now)
+				restorePendingLoan(p, data, p.ledger.now)
 			}
 		}},
-		"new holder grants at once": {leaseAcquired: func(h *host) {
+		"new allocator grants before previous leases end": {leaseAcquired: func(h *host) {
 			h.allocator.previousLeasesEnd = 0
 		}},
-		"lent while at rest": {allocatorTick: func(_ *simulation, h *host) {
+		"fallback share granted to others after its suspension": {allocatorTick: func(_ *simulation, h *host) {
 			for _, m := range h.allocator.members {
 				m.fallbackSuspendedUntil += time.Second / 20
 			}
@@ -58,37 +58,37 @@
 // runCutSchedule runs a fleet in which a proxy with all demand is cut off from the allocator, together with
 // an idle proxy, while another proxy gets demand.
 func runCutSchedule(seed uint64, hook hooks) *simulation {
-	w := newSimulation(seed, 0.05, tableOf(ratelimit.Limit{}, ratelimit.Limit{Rate: 200, Burst: 20, FallbackShare: 1}))
-	w.hooks, w.meanDelay = hook, 200*time.Microsecond
-	w.startRegistry()
-	w.watchInvariant()
-	w.startHost("h0")
+	sim := newSimulation(seed, 0.05, tableOf(ratelimit.Limit{}, ratelimit.Limit{Rate: 200, Burst: 20, FallbackShare: 1}))
+	sim.hooks, sim.meanDelay = hook, 200*time.Microsecond
+	sim.startRegistry()
+	sim.watchInvariant()
+	sim.startHost("h0")
 	for i := range 4 {
-		w.startProxy(fmt.Sprintf("n%d", i))
+		sim.startProxy(fmt.Sprintf("n%d", i))
 	}
-	w.run(9 * time.Second)
+	sim.run(9 * time.Second)
 	for range 3 {
-		order := w.rng.Perm(4)
-		busy, idle, other := w.proxies[w.names[order[0]]], w.proxies[w.names[order[1]]], w.proxies[w.names[order[2]]]
+		order := sim.rng.Perm(4)
+		busy, idle, other := sim.proxies[sim.names[order[0]]], sim.proxies[sim.names[order[1]]], sim.proxies[sim.names[order[2]]]
 		busy.setLoad(0, 400)
-		w.run(2 * time.Second)
+		sim.run(2 * time.Second)
 		cutOff := []string{busy.name, idle.name}
-		w.setCut(true, cutOff, []string{"h0"})
+		sim.setCut(true, cutOff, []string{"h0"})
 		other.setLoad(0, 400)
-		w.run(6 * time.Second)
-		w.setCut(false, cutOff, []string{"h0"})
+		sim.run(6 * time.Second)
+		sim.setCut(false, cutOff, []string{"h0"})
 		busy.setLoad(0, 0)
 		other.setLoad(0, 0)
-		w.run(time.Second + time.Duration(w.rng.Int64N(int64(time.Second))))
+		sim.run(time.Second + time.Duration(sim.rng.Int64N(int64(time.Second))))
 	}
-	return w
+	return sim
 }
 
 func TestBoundHoldsWhileProxiesAreCutOff(t *testing.T) {
 	for seed := range uint64(10) {
-		w := runCutSchedule(seed, hooks{})
-		if w.broken() {
-			t.Errorf("seed %d: over the bound by %v; %+v", seed, w.checks[0].worstExcess, w.invariant)
+		sim := runCutSchedule(seed, hooks{})
+		if sim.broken() {
+			t.Errorf("seed %d: over the bound by %v; %+v", seed, sim.checks[0].worstExcess, sim.invariant)
 		}
 	}
 }
@@ -103,12 +103,13 @@
 	return h.allocator.now-m.fallbackCountedSince > h.allocator.times.leaseDuration
 }
 
-// restorePendingLoan makes the ledger wait again for tokens that it has received or no longer waits for.
-func restorePendingLoan(n *proxy, data []byte, at time.Duration) {
+// restorePendingLoan makes the ledger wait again for lent tokens that it has received, or that it no longer
+// waits for because they are late.
+func restorePendingLoan(p *proxy, data []byte, at time.Duration) {
 	_, r, _ := readHeader(data, 1)
-	g, _ := decodeLoan(r)
-	i, found := n.ledger.limits.byHash[g.hash]
+	loan, _ := decodeLoan(r)
+	i, found := p.ledger.limits.byHash[loan.hash]
 	if found {
-		n.ledger.pendingLoans[g.nonce] = pendingLoan{limitIndex: i, hash: g.hash, amount: g.amount, requestedAt: at}
+		p.ledger.pendingLoans[loan.nonce] = pendingLoan{limitIndex: i, hash: loan.hash, amount: loan.amount, requestedAt: at}
 	}
 }
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -9,8 +9,8 @@
 
 // plan sets the target of each member's share, unless it did so within the last planInterval. It first
 // computes, from the outer limits inwards, how much each limit may have of its parent. Then it divides each
-// limit among the members, from the inner limits outwards, since a proxy needs as much of an outer limit as
-// it has of the inner limits.
+// limit among the members, from the inner limits outwards, since the share of an outer limit that a proxy can
+// use depends on its shares of the inner limits.
 func (a *Allocator) plan() {
 	if a.now-a.plannedAt < planInterval || a.now < a.previousLeasesEnd {
 		return
@@ -30,15 +30,16 @@
 	}
 }
 
-// demandKey identifies the demand of one member through those inner limits of an outer limit whose scopes
-// have the same attribute.
+// demandKey identifies the demand of one member for those inner limits of an outer limit whose scopes have
+// one attribute.
 type demandKey struct {
 	limit     int32 // index of the outer limit
 	attribute ratelimit.Attribute
 	member    *member
 }
 
-// innerDemand is a member's demand for inner limits, and the rate that it was allocated of them.
+// innerDemand is a member's demand for inner limits, and the rate that the member was allocated of these
+// limits.
 type innerDemand struct{ demand, allocated float64 }
 
 // activeLimits returns the indices of the limits that members have shares of, in ascending order.
@@ -64,8 +65,8 @@
 	}
 }
 
-// budgets returns the rate that each active limit may have: its own rate, or less if its part of its parent
-// is less.
+// budgets returns the rate that each active limit may have: its own rate or, if that is less, its part of its
+// parent's rate.
 func (a *Allocator) budgets(active []int32) map[int32]float64 {
 	type group struct {
 		parent    int32
@@ -74,7 +75,7 @@
 	budgets := map[int32]float64{}
 	inside := map[group][]int32{}
 	for _, i := range active {
-		limit := &a.limits.all[i]
+		limit := &a.limits.byIndex[i]
 		g := group{limit.parent, limit.attribute}
 		inside[g] = append(inside[g], i)
 		budgets[i] = limit.rate
@@ -93,11 +94,11 @@
 	return budgets
 }
 
-// claimants returns the claims of limits on their common parent.
+// claimants returns the demand and the bounds of the limits that divide their common parent.
 func (a *Allocator) claimants(indices []int32) []claimant {
 	claimants := make([]claimant, len(indices))
 	for n, i := range indices {
-		limit := &a.limits.all[i]
+		limit := &a.limits.byIndex[i]
 		claimants[n] = claimant{floor: limit.floor, maxRate: limit.rate, weight: max(limit.weight, 1e-9)}
 		if !limit.borrow {
 			claimants[n].maxRate = min(limit.floor, limit.rate)
--- a/internal/quota/record/record.go
+++ b/internal/quota/record/record.go
@@ -35,7 +35,7 @@
 	}
 	t, err := ratelimit.Read(r.Value)
 	if err != nil {
-		return nil, fmt.Errorf("record %s of version %d: %w", r.Key, r.Version, err)
+		return nil, fmt.Errorf("decode record %s of version %d: %w", r.Key, r.Version, err)
 	}
 	t.Version = r.Version
 	return t, nil
@@ -46,7 +46,7 @@
 	raw := t.JSON()
 	if len(raw) > registry.MaxRecordValueBytes {
 		return nil, fmt.Errorf(
-			"the table has %d bytes, a record %d at most: use fewer limits, or shorter names",
+			"encode policy table: %d bytes, a record holds at most %d: use fewer limits or shorter names",
 			len(raw),
 			registry.MaxRecordValueBytes,
 		)
@@ -55,12 +55,12 @@
 }
 
 // Find returns the record with the key; a missing record is returned with version 0.
-func Find(all client.Records, key string) registry.Record {
-	i := slices.IndexFunc(all.All, func(r registry.Record) bool { return r.Key == key })
+func Find(records client.Records, key string) registry.Record {
+	i := slices.IndexFunc(records.All, func(r registry.Record) bool { return r.Key == key })
 	if i < 0 {
 		return registry.Record{Key: key}
 	}
-	return all.All[i]
+	return records.All[i]
 }
 
 // ReadAllocator decodes the record of the allocator. A missing record gives a zero AllocatorRecord.
--- a/internal/quota/service_test.go
+++ b/internal/quota/simulated_registry_test.go
@@ -20,23 +20,23 @@
 const sessionTTL = time.Second
 
 // startRegistry starts the registry. Hosts renew their sessions every tenth of the TTL.
-func (w *simulation) startRegistry() {
-	w.registry.simulation = w
-	w.registry.step()
+func (sim *simulation) startRegistry() {
+	sim.registry.simulation = sim
+	sim.registry.renewSessions()
 }
 
-func (s *registry) step() {
+func (s *registry) renewSessions() {
 	if !s.down {
 		for _, h := range s.simulation.hosts {
-			s.session(h)
+			s.renewOrAcquire(h)
 		}
 	}
-	s.simulation.after(sessionTTL/10, s.step)
+	s.simulation.after(sessionTTL/10, s.renewSessions)
 }
 
-// session renews the lease holder's session, or lets another host acquire the lease once that session has
-// ended. The holder counts the time of its lease from before its renewal was sent.
-func (s *registry) session(h *host) {
+// renewOrAcquire renews the session of a host that holds the lease. Another host acquires the lease once the
+// holder's session has ended. The holder counts the time of its lease from before it sent the renewal.
+func (s *registry) renewOrAcquire(h *host) {
 	if h.dead || h.paused || h.cutOffFromRegistry {
 		return
 	}
@@ -46,8 +46,8 @@
 	if s.holder != h || h.token != s.token {
 		s.token++
 		s.holder, h.token = h, s.token
-		for _, n := range s.simulation.names {
-			s.watch(s.simulation.proxies[n])
+		for _, name := range s.simulation.names {
+			s.notifyProxy(s.simulation.proxies[name])
 		}
 		defer func() {
 			token, slots := s.token, slices.Clone(s.record)
@@ -62,20 +62,20 @@
 	h.handle(LeaseHeld{s.token, h.clock.at(s.simulation.now) + validFor})
 }
 
-// watch notifies a proxy, after a random delay, of the allocator that holds the lease now.
-func (s *registry) watch(n *proxy) {
+// notifyProxy notifies a proxy, after a random delay, of the allocator that holds the lease now.
+func (s *registry) notifyProxy(p *proxy) {
 	if s.holder == nil || s.down {
 		return
 	}
 	e := AllocatorKnown{s.holder.name, s.token}
 	s.simulation.after(time.Duration(s.simulation.rng.ExpFloat64()*float64(20*time.Millisecond)), func() {
-		if s.simulation.cutLinks[[2]string{"service", n.name}] {
+		if s.simulation.cutLinks[[2]string{"service", p.name}] {
 			return
 		}
-		if s.simulation.hooks.beforeAllocatorKnown != nil && n.ledger != nil {
-			s.simulation.hooks.beforeAllocatorKnown(n, &e)
+		if s.simulation.hooks.beforeAllocatorKnown != nil && p.ledger != nil {
+			s.simulation.hooks.beforeAllocatorKnown(p, &e)
 		}
-		n.handle(e)
+		p.handle(e)
 	})
 }
 
--- a/internal/quota/world_test.go
+++ b/internal/quota/simulation_test.go
@@ -36,11 +36,11 @@
 	leaseAcquired        func(h *host)                     // after a host has acquired the lease
 	beforeMessage        func(n *proxy, data []byte)       // before a proxy handles a datagram
 	afterMessage         func(n *proxy, data []byte)       // after a proxy has handled a datagram
-	allocatorTick        func(w *simulation, h *host)      // after a tick of a host that may grant
+	allocatorTick        func(sim *simulation, h *host)    // after a tick of a host that may grant
 	beforeAllocatorKnown func(n *proxy, e *AllocatorKnown) // before a ledger handles the event
 }
 
-// scheduledCall is a call at a time of the simulation; seq orders calls at one time.
+// scheduledCall is a call at a time of the simulation. seq orders the calls of one time.
 type scheduledCall struct {
 	at   time.Duration
 	seq  int
@@ -62,61 +62,61 @@
 }
 
 func newSimulation(seed uint64, drift float64, table *ratelimit.Table) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 7)), times: defaultTimes(), table: table, proxies: map[string]*proxy{},
 		cutLinks: map[[2]string]bool{}, meanDelay: time.Millisecond, sentDatagrams: map[string]int{}, sentBytes: map[string]int{},
 	}
-	w.times.drift = drift
+	sim.times.drift = drift
 	for i := range table.Limits {
-		w.checks = append(w.checks, newBoundCheck(table, i))
+		sim.checks = append(sim.checks, newBoundCheck(table, i))
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, scheduledCall{w.now + max(d, 0), w.seq, do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, scheduledCall{sim.now + max(d, 0), sim.seq, do})
 }
 
 // run runs the simulation for d.
-func (w *simulation) run(d time.Duration) {
-	end := w.now + d
-	for len(w.queue) > 0 && w.queue[0].at <= end {
-		h := heap.Pop(&w.queue).(scheduledCall)
-		w.now = h.at
+func (sim *simulation) run(d time.Duration) {
+	end := sim.now + d
+	for len(sim.queue) > 0 && sim.queue[0].at <= end {
+		h := heap.Pop(&sim.queue).(scheduledCall)
+		sim.now = h.at
 		h.call()
 	}
-	w.now = end
+	sim.now = end
 }
 
 // send delivers a datagram after a random delay, or loses it, or delivers it twice.
-func (w *simulation) send(from, to string, data []byte) {
+func (sim *simulation) send(from, to string, data []byte) {
 	if len(data) > MaxDatagram {
 		panic("datagram too long")
 	}
-	w.sentDatagrams[from]++
-	w.sentBytes[from] += len(data)
+	sim.sentDatagrams[from]++
+	sim.sentBytes[from] += len(data)
 	copies := 1
-	if w.rng.Float64() < w.duplicateRate {
+	if sim.rng.Float64() < sim.duplicateRate {
 		copies = 2
 	}
 	for range copies {
-		if w.rng.Float64() < w.lossRate {
+		if sim.rng.Float64() < sim.lossRate {
 			continue
 		}
-		w.after(time.Duration(w.rng.ExpFloat64()*float64(w.meanDelay)), func() {
-			if !w.cutLinks[[2]string{from, to}] {
-				w.deliver(to, data)
+		sim.after(time.Duration(sim.rng.ExpFloat64()*float64(sim.meanDelay)), func() {
+			if !sim.cutLinks[[2]string{from, to}] {
+				sim.deliver(to, data)
 			}
 		})
 	}
 }
 
-func (w *simulation) deliver(to string, data []byte) {
-	if n := w.proxies[to]; n != nil {
-		n.deliver(data)
+func (sim *simulation) deliver(to string, data []byte) {
+	if p := sim.proxies[to]; p != nil {
+		p.deliver(data)
 	}
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.name == to {
 			h.handle(Message{data})
 		}
@@ -124,10 +124,10 @@
 }
 
 // setCut cuts or restores the links between two sides.
-func (w *simulation) setCut(cut bool, a, b []string) {
+func (sim *simulation) setCut(cut bool, a, b []string) {
 	for _, x := range a {
 		for _, y := range b {
-			w.cutLinks[[2]string{x, y}], w.cutLinks[[2]string{y, x}] = cut, cut
+			sim.cutLinks[[2]string{x, y}], sim.cutLinks[[2]string{y, x}] = cut, cut
 		}
 	}
 }
@@ -137,12 +137,12 @@
 	startedAt time.Duration // true time at the start
 	rate      float64
 	offset    time.Duration // the clock's time at the start
-	frozenAt  time.Duration // if not 0, the clock stops at this time, which no real clock may do
+	frozenAt  time.Duration // if not 0, the clock always shows this time, which no real clock may do
 }
 
-func (w *simulation) clock() clock {
-	off := min(max(4*w.rng.Float64()-2, -1), 1) // half of the clocks have the largest error
-	return clock{startedAt: w.now, rate: 1 + w.times.drift*off, offset: time.Duration(w.rng.Int64N(int64(time.Hour)))}
+func (sim *simulation) clock() clock {
+	off := min(max(4*sim.rng.Float64()-2, -1), 1) // half of the clocks have the largest error
+	return clock{startedAt: sim.now, rate: 1 + sim.times.drift*off, offset: time.Duration(sim.rng.Int64N(int64(time.Hour)))}
 }
 
 func (c *clock) at(now time.Duration) time.Duration {
@@ -152,8 +152,8 @@
 	return c.offset + time.Duration(float64(now-c.startedAt)*c.rate)
 }
 
-// tableOf returns a table of an outer limit, of the fleet, unless outer.Rate is 0, and of limits of one
-// tenant each within the outer limit.
+// tableOf returns a table with the given limits, each of one tenant. They are within the outer limit, which
+// is of the fleet, unless outer.Rate is 0.
 func tableOf(outer ratelimit.Limit, each ...ratelimit.Limit) *ratelimit.Table {
 	t := &ratelimit.Table{Format: ratelimit.Format, Version: 1, Scopes: []ratelimit.Scope{{Parent: -1}}}
 	parent := -1
--- a/internal/quota/slot.go
+++ b/internal/quota/slot.go
@@ -15,9 +15,10 @@
 	circleBits   = 32   // bits of a slot's position on the circle
 )
 
-// Slot is an enrolled proxy's part of the fallback shares: the piece Index of 2^Level equal pieces of a
-// circle. Pieces of different proxies never overlap, so the fallback shares of all proxies never add up to
-// more than the part of the limit that is set aside for them.
+// Slot determines an enrolled proxy's part of the fallback shares. A circle is divided into 2^Level equal
+// pieces, and the slot is the piece with the index Index. The slots of different proxies never overlap, so
+// the fallback shares of all proxies never add up to more than the part of the limit that is reserved for
+// them.
 type Slot struct {
 	Name  string `json:"name"`
 	Level uint8  `json:"level"`
@@ -41,20 +42,20 @@
 
 // tokens returns how many of a limit's fallback tokens fall to the slot, as an integer. The circle is rotated
 // by the limit's hash, so that the slots that get the tokens left over by division differ from limit to
-// limit. Over a complete circle of slots the results add up to tokens.
+// limit. The results for slots that cover the complete circle add up to tokens.
 func (s Slot) tokens(tokens uint64, limitHash uint64) uint64 {
 	start, length := s.span()
 	start = (start + limitHash>>32) % (1 << circleBits)
 	return (start+length)*tokens>>circleBits - start*tokens>>circleBits
 }
 
-// slotLevel returns the lowest level at which each of the proxies has a slot; it gives at least four slots.
+// slotLevel returns the lowest level that has a slot for each proxy, but at least the level of four slots.
 func slotLevel(proxies int) uint8 {
 	return uint8(min(max(bits.Len(uint(max(proxies, 1)-1)), 2), maxSlotLevel))
 }
 
-// findFreeSlot returns a slot that overlaps none of slots: of the given level if there is one, else of the
-// lowest higher level that has one.
+// findFreeSlot returns a slot that overlaps none of the given slots. Its level is the given level or, if that
+// level has no free slot, the next higher level that has a free slot.
 func findFreeSlot(slots []Slot, level uint8) (Slot, bool) {
 	taken := slices.Clone(slots)
 	slices.SortFunc(taken, func(a, b Slot) int {
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// recordRead handles the record of slots as it was read or written under the fencing token. Slots that the
-// record holds may be granted; slots that this allocator has assigned and the record lacks are written again.
+// recordRead handles the record of slots, which was read or written under the fencing token. Slots that the
+// record holds may be granted. If the record differs from the slots that this allocator has assigned, the
+// record is written again.
 func (a *Allocator) recordRead(r RecordRead) {
 	if r.Token != a.token || len(r.Slots) > MaxProxies {
 		return
@@ -56,8 +57,8 @@
 	return slots
 }
 
-// writeRecord requests a write of the record when the record differs from the slots that this allocator has
-// assigned, and requests it again when a write has had no result for writeTimeout.
+// writeRecord requests a write of the record if the record differs from the slots that this allocator has
+// assigned, or if a requested write has had no result for writeTimeout.
 func (a *Allocator) writeRecord() []Action {
 	if !a.mayGrant() || !a.recordDirty && !a.writePending ||
 		a.writePending && a.now-a.recordWrittenAt < writeTimeout {
@@ -103,9 +104,9 @@
 	}
 }
 
-// slotForGrant returns the slot for a member's next grant. It returns a slot only if the record holds the
-// slot, the proxy knows the current table, and each live lease was granted after the slot's fallback share
-// began to be counted.
+// slotForGrant returns the slot for a member's next grant; its Level is noSlotLevel if the grant may not
+// assign a slot yet. A grant may assign the slot only if the record holds the slot, the proxy knows the
+// current table, and the slot's fallback share was already being counted when each live lease was granted.
 func (a *Allocator) slotForGrant(m *member) Slot {
 	none := Slot{Level: noSlotLevel}
 	switch {
--- a/internal/quota/status.go
+++ b/internal/quota/status.go
@@ -6,9 +6,9 @@
 type Status struct {
 	Allocator         string        `json:"holder"` // the allocator with the highest fencing token seen
 	Token             uint64        `json:"fence"`  // the allocator's fencing token
-	SinceGrant        time.Duration `json:"heard"`  // time since the last grant; 0 means none yet
+	SinceGrant        time.Duration `json:"heard"`  // time since the last grant; 0 means no grant yet
 	HasSlot           bool          `json:"seated"`
-	FallbackSuspended bool          `json:"resting"` // the fallback share may be lent to other proxies
+	FallbackSuspended bool          `json:"resting"` // other proxies may be granted the fallback share
 	ClaimedLimits     int           `json:"busy"`    // number of limits that the proxy claims
 	TableVersion      uint64        `json:"table"`
 }
--- a/internal/quota/times.go
+++ b/internal/quota/times.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Drift is the largest relative error of a clock's rate against true time. Two clocks differ by up to twice
-// as much.
+// Drift is the largest relative error of the rate of any process's clock, compared with true time. The rates
+// of two clocks differ by at most twice as much.
 const Drift = 0.001
 
 // times are the durations that proxies and allocator agree on. Only tests set other values than the defaults.
 type times struct {
 	leaseDuration time.Duration // how long a lease is valid after its claim was sent
 	renewInterval time.Duration // time between a proxy's rounds of claims
-	// shortest time between claims outside the rounds, which are for limits that have just got demand
+	// shortest time between claims outside of the rounds; such claims are for limits whose demand has just begun
 	minClaimInterval time.Duration
-	// how long a proxy keeps its fallback share suspended after the claim was sent whose grant suspended it
+	// how long a proxy keeps its fallback share suspended, counted from when it sent the claim whose grant
+	// suspended the share
 	fallbackSuspension time.Duration
-	loanTimeout        time.Duration // how long after the request lent tokens are still accepted
-	loanUse            time.Duration // how long after the request lent tokens may be used
+	loanTimeout        time.Duration // how long after its request a borrower still accepts lent tokens
+	loanUse            time.Duration // how long after its request a borrower may use lent tokens
 	idleClaimTime      time.Duration // how long a limit without demand is still claimed
 	// how long a new proxy keeps its fallback share unsuspended, to fill the buckets of limits without demand
 	warmUp time.Duration
-	// longest time that a request is in flight: an allocator counts requests in flight for so long after the
-	// lease under which they began
+	// longest time that a request is in flight; after a lease has ended, the allocator counts the requests that
+	// began under the lease for this long
 	maxRequestTime time.Duration
 	drift          float64 // Drift
 }
@@ -58,9 +59,10 @@
 // countedLease returns how long an allocator counts a lease after it received the claim.
 func (t times) countedLease() time.Duration { return t.longestElapsed(t.leaseDuration) }
 
-// settleTime returns how long any lease granted before now can stay alive: until its end, extended once by a
-// new allocator that still waits for the previous leases to end, and extended once more within that wait. No
-// live lease was granted out of a fallback share that has been counted for its proxy for this long.
+// settleTime returns how long a lease that was granted before now can stay alive: one lease duration, and two
+// extensions by a new allocator, which may extend it twice while it waits for the previous leases to end.
+// Once a fallback share has been counted for its proxy for this long, no lease that was granted to other
+// proxies out of that share is alive.
 func (t times) settleTime() time.Duration {
 	return 3 * t.longestElapsed(t.longestElapsed(t.leaseDuration))
 }
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -6,8 +6,9 @@
 	"math"
 )
 
-// Datagrams between proxies and the allocator are big-endian. The first byte is the kind, the second the
-// version, the next four the hash of the fleet's name; bytes after the known fields are ignored.
+// Datagrams between proxies and the allocator, and between proxies, are big-endian. The first byte is the
+// kind, the second byte is the version, and the next four bytes are the hash of the fleet's name. Bytes after
+// the known fields are ignored.
 const (
 	MaxDatagram   = 256
 	formatVersion = 1
@@ -20,7 +21,7 @@
 	kindLoan         = 0x65
 )
 
-// IsOurs reports whether a datagram with this first byte belongs to this package.
+// IsOurs reports whether a datagram whose first byte is kind belongs to this package.
 func IsOurs(kind byte) bool { return kind >= 0x60 && kind <= 0x6f }
 
 // claimMessage is a proxy's message to the allocator: the proxy's demand and the leases that it holds.
@@ -29,7 +30,7 @@
 	generation          uint64 // generation of the proxy's process
 	number              uint32 // rises with each claim of a generation
 	lastGrant           uint32 // highest number of a grant under this fencing token that the proxy applied
-	table               uint64 // version of the table by which the proxy admits requests
+	tableVersion        uint64 // version of the table by which the proxy admits requests
 	fallbackSuspendable bool   // the allocator may suspend the proxy's fallback share
 	name                string // the proxy's name
 	items               []claimItem
@@ -60,7 +61,7 @@
 	generation            uint64 // generation of the proxy that the grant is for
 	claimNumber           uint32 // number of the claim that the grant answers
 	number                uint32 // rises with each grant to a proxy
-	slot                  Slot   // the proxy's slot; Level noSlotLevel means that the grant assigns none
+	slot                  Slot   // the proxy's slot; Level noSlotLevel means that the grant assigns no slot
 	fallbackSuspended     bool   // the proxy's fallback share is suspended
 	extendsOnly           bool   // the grant only extends leases that the proxy had
 	slotCoversConcurrency bool   // the slot is valid for limits on concurrency too
@@ -87,7 +88,7 @@
 	name       string
 }
 
-// borrowMessage requests tokens of a limit, an integer amount, from another proxy.
+// borrowMessage requests an integer amount of a limit's tokens from another proxy.
 type borrowMessage struct {
 	nonce, hash uint64
 	amount      float64
@@ -163,15 +164,14 @@
 	return string(r.next(n))
 }
 
-// readHeader checks the header, which all datagrams share. It returns the kind and a reader for the fields
-// after the header.
+// readHeader checks a datagram's header. It returns the kind and a reader for the fields after the header.
 func readHeader(data []byte, fleet uint32) (byte, *reader, error) {
 	if len(data) < 6 || len(data) > MaxDatagram {
 		return 0, nil, fmt.Errorf("decode quota datagram: %d bytes, want 6 to %d", len(data), MaxDatagram)
 	}
 	r := &reader{data: data[2:]}
 	if data[1] != formatVersion || r.u32() != fleet {
-		return 0, nil, fmt.Errorf("decode quota datagram: version %d or other fleet", data[1])
+		return 0, nil, fmt.Errorf("decode quota datagram: version %d is unsupported or fleet differs", data[1])
 	}
 	return data[0], r, nil
 }
