--- a/internal/membership/awareness.go
+++ b/internal/membership/awareness.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// maxAwareness bounds the score, by which timeouts are stretched: to at most five times, so a period of one
-// second.
+// maxAwareness bounds the score by which the period and the timeouts are stretched: to at most five times, so
+// the period to at most one second by default.
 const maxAwareness = 4
 
 // maxAccusationSuppression bounds how long a node accuses no member because its probes of several members
-// fail. After that time the node trusts its probes: it may be the only node left.
+// fail. After that time the node trusts its probes, since it may be the only node that is still alive.
 const maxAccusationSuppression = 10 * time.Second
 
-// lateSuppressionPeriods is for how many periods after a late wake a node accuses no member: by then the
-// answers to what it sent before have come.
+// lateSuppressionPeriods is the number of periods after a late wake in which a node accuses no member. After
+// them, the answers to the datagrams that it sent before have arrived.
 const lateSuppressionPeriods = 3
 
 // awareness is how far the node distrusts its own probes: if the node wakes late, or if many probes fail, the
 // fault is probably its own.
 type awareness struct {
-	score                 int       // 0 to maxAwareness: timeouts are stretched to 1+score times
-	lateUntil             Time      // until when recentlyLate is true
+	score                 int       // 0 to maxAwareness: timeouts are multiplied by 1+score
+	lateUntil             Time      // recentlyLate is true until then
 	recentFailures        [4]uint64 // hashes of the last probed members that did not answer; 0 means an answer
 	nextFailure           int       // index in recentFailures of the next probe's result
 	accusationsSuppressed bool
@@ -35,8 +35,9 @@
 	return c.cfg.ProbeTimeout * time.Duration(1+c.awareness.score)
 }
 
-// checkWakeLateness compares the time with that of the last Wake. A node that was stopped has received
-// nothing meanwhile, so its pending probe is dropped and its suspects get the lost time in addition.
+// checkWakeLateness checks whether the last requested Wake is late. A node that was stopped has received
+// nothing while it was stopped, so it drops its pending probe and its relays, and extends its suspects'
+// timeouts by the lateness.
 func (c *Core) checkWakeLateness() {
 	late := c.now - c.wakeAt
 	if !c.wakePending || late <= c.cfg.ProbeTimeout {
@@ -59,20 +60,20 @@
 func (a *awareness) degrade() { a.score = min(a.score+1, maxAwareness) }
 func (a *awareness) recover() { a.score = max(a.score-1, 0) }
 
-// recordProbe records the result of a probe: the member that did not answer, or 0. If the probe was repeated,
-// its result replaces that of the previous probe, of the same member. When three of the last four members did
-// not answer, the node suppresses its accusations. In a fleet of three that never happens: the other two
-// members may well both be gone.
+// recordProbe records the result of a probe: the member that did not answer, or 0. The result of a repeated
+// probe replaces the result of the previous probe of the same member. When three of the last four probed
+// members did not answer, the node suppresses its accusations. In a fleet of three that never happens, since
+// the other two members may well both be dead.
 func (a *awareness) recordProbe(now Time, failedMember uint64, repeated bool) {
 	if repeated {
 		a.nextFailure = (a.nextFailure + len(a.recentFailures) - 1) % len(a.recentFailures)
 	}
 	a.recentFailures[a.nextFailure] = failedMember
 	a.nextFailure = (a.nextFailure + 1) % len(a.recentFailures)
-	all := a.recentFailures
-	slices.Sort(all[:])
-	failedMembers := len(slices.Compact(all[:]))
-	if all[0] == 0 {
+	hashes := a.recentFailures
+	slices.Sort(hashes[:])
+	failedMembers := len(slices.Compact(hashes[:]))
+	if hashes[0] == 0 {
 		failedMembers--
 	}
 	if suppress := failedMembers >= len(a.recentFailures)-1; suppress != a.accusationsSuppressed {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -16,10 +16,10 @@
 	Number   int            // the node's index among the configured peers; -1 means none
 	Addr     netip.AddrPort // address that the node advertises
 	Metadata Metadata
-	// Seeds are the addresses by which the node joins; those after the first maxSeeds are ignored. The node's
-	// own address among them is harmless.
+	// Seeds are the addresses that the node pings to join the fleet. Only the first maxSeeds are used. The
+	// node's own address among the seeds is ignored.
 	Seeds       []netip.AddrPort
-	RandomSeed  uint64 // of all random draws
+	RandomSeed  uint64 // seed of all random draws
 	Generation  uint64 // Unix milliseconds at the start, or the generation that an upgrade handed over
 	Incarnation uint32 // 0, or one more than the incarnation that an upgrade handed over
 
@@ -27,15 +27,16 @@
 	// a period, so ten a second, and a dead member among 30 disappears from all views in about 2.5 s.
 	ProbeInterval time.Duration
 	// ProbeTimeout is the time for a direct answer before indirect probes are requested: 60 ms, over 100 times a
-	// round trip within a site, and short enough that the indirect answers have the rest of the period.
+	// round trip within a site, and short enough that indirect answers can arrive before the period ends.
 	ProbeTimeout time.Duration
 	// DeadGossipTime is how long a dead or left member stays in the digest and is broadcast: 60 s, far beyond
 	// the time that a broadcast needs.
 	DeadGossipTime time.Duration
-	// DeadReclaimTime is how long a dead or left member is remembered, and a dead member probed: 10 min. Cuts
-	// that last longer heal by the seeds.
+	// DeadReclaimTime is how long a dead or left member is remembered, and how long a dead member is probed: 10
+	// min. After a partition that lasts longer, nodes find each other through the seeds.
 	DeadReclaimTime time.Duration
-	// MaxMembers bounds the members that are remembered, living and dead: 4096. Further strangers are rejected.
+	// MaxMembers bounds the members that are remembered, whatever their health: 4096. While all of them are
+	// living, further members are rejected.
 	MaxMembers int
 }
 
@@ -65,7 +66,7 @@
 // Check returns an error if New can't work with the configuration.
 func (cfg Config) Check() error {
 	if cfg.Fleet == "" {
-		return errors.New("fleet without a name")
+		return errors.New("fleet name is empty")
 	}
 	if err := cfg.ownStatement().Check(); err != nil {
 		return fmt.Errorf("own member: %w", err)
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -41,24 +41,24 @@
 	seeds           seedList
 	ownState        ownState
 
-	strangerBudget      int // answers to strangers that remain in this period
-	correctionBudget    int // corrections of senders with an old statement that remain in this period
+	strangerBudget      int // answers to strangers that may still be sent in this period
+	correctionBudget    int // corrections that may still be sent in this period
 	hasYielded, hasLeft bool
 	leavePeriodsLeft    int // periods in which the leave is still to be broadcast; 0 means not leaving
 }
 
-// Stats are the core's counters since its start, and some present values.
+// Stats are the core's counters since its start, and its present health and numbers of members.
 type Stats struct {
 	Sent, Bytes     uint64 // datagrams and bytes sent
-	Received        uint64 // datagrams of this fleet that could be read
-	Dropped         uint64 // datagrams of other fleets, of other kinds, or that could not be read
-	Refused         uint64 // strangers rejected because the view is full
+	Received        uint64 // decoded datagrams of this fleet
+	Dropped         uint64 // datagrams of other fleets, of other kinds, or that could not be decoded
+	Refused         uint64 // members rejected because the view is full
 	Probes, Failed  uint64 // probes started, probes without any answer
 	Refuted         uint64 // accusations of this node that it refuted
 	Late            uint64 // wakes that came late
 	Synced          uint64 // digests sent because views differed
-	Health          int    // local health: from 0, well, to 4, timeouts stretched to five times
-	Living, Members int    // other members that are living; all remembered members, this node included
+	Health          int    // awareness score, 0 (good) to 4: timeouts are multiplied by 1 + Health
+	Living, Members int    // number of other living members; of all remembered members and this node
 }
 
 // New returns a core that has not sent anything yet; the first Tick starts it. cfg has passed Check.
@@ -75,14 +75,14 @@
 	}
 	c.lastSeq = c.random.Uint32()
 	c.seeds.set(cfg.Seeds, cfg.Addr, c.random)
-	st := cfg.ownStatement()
-	c.self = c.addMember(st)
-	c.updateMember(c.self, st)
+	statement := cfg.ownStatement()
+	c.self = c.addMember(statement)
+	c.updateMember(c.self, statement)
 	c.actions = nil
 	return c
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters and present values.
 func (c *Core) Stats() Stats {
 	s := c.stats
 	s.Health, s.Living, s.Members = c.awareness.score, c.livingCount, len(c.sorted)
@@ -127,8 +127,8 @@
 	c.expireRelays()
 }
 
-// runPeriod does the work of one period. It sends the same few datagrams in each period, however large the
-// fleet is.
+// runPeriod does the work of one period. The number of datagrams that it sends does not depend on the size of
+// the fleet.
 func (c *Core) runPeriod() {
 	c.periods++
 	c.strangerBudget = strangersPerPeriod
@@ -148,8 +148,8 @@
 	c.startAntiEntropy()
 }
 
-// requestWake requests a Tick for the next time at which work is due, if that time has changed or the
-// requested Tick has come.
+// requestWake requests a Tick for the next time at which work is due. It does so if that time has changed, or
+// if the present event is a Tick.
 func (c *Core) requestWake(tick bool) {
 	due := c.nextPeriodAt
 	if c.probe.awaitsDirectAck() {
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -2,10 +2,11 @@
 
 import "wrenspread/internal/membership/wire"
 
-// The digest of a view is the exclusive or of its members' sums. The digests of ranges are formed alike: the
-// hashes of names fall into 16 ranges by their first four bits and into 256 ranges by their first eight bits.
-// At 3,000 members each of the 256 ranges has about twelve, which fit into one RangeList.
+// The digest of a view is the exclusive or of its members' sums. The digests of ranges are formed in the same
+// way: the first four bits of a name's hash determine one of 16 ranges, and the first eight bits one of 256
+// ranges. In a fleet of 3,000, each of the 256 ranges has about twelve members, which fit into one RangeList.
 
+// toggleInDigest adds a member to the digest, or removes the member from it.
 func (c *Core) toggleInDigest(member *memberState) {
 	member.inDigest = !member.inDigest
 	c.digest ^= member.sum
@@ -27,8 +28,8 @@
 	}
 }
 
-// rangeSumsOf returns the digests of the 16 ranges that the range with the index at depth 0 or 1 divides
-// into.
+// rangeSumsOf returns the digests of the 16 parts of a range. At depth 0 the range is that of all hashes; at
+// depth 1 it is the one of 16 ranges that has the index.
 func (c *Core) rangeSumsOf(depth, index uint8) (sums [wire.Fanout]uint64) {
 	if depth == 0 {
 		return c.rangeSums
@@ -37,8 +38,8 @@
 	return sums
 }
 
-// rangeOf returns the first and the last hash of the child-th of the ranges that the range with the index at
-// depth 0 or 1 divides into.
+// rangeOf returns the first and the last hash of one of the 16 parts of a range: of the part with the index
+// child. depth and index identify the range, as for rangeSumsOf.
 func rangeOf(depth, index uint8, child int) (from, to uint64) {
 	shift := 60 - 4*uint(depth)
 	from = uint64(child) << shift
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -21,14 +21,14 @@
 	Data []byte
 }
 
-// MetadataChanged replaces the node's own metadata. Metadata out of bounds are dropped with a Log.
+// MetadataChanged replaces the node's own metadata. Metadata out of bounds is not applied; a Log reports it.
 type MetadataChanged struct{ Metadata Metadata }
 
 // Leave makes the node broadcast that it leaves the fleet on purpose. LeaveDone follows once the leave has
 // been broadcast often enough.
 type Leave struct{}
 
-// Join replaces the seeds, the addresses by which the node joins the fleet.
+// Join replaces the seeds, the addresses that the node pings to join the fleet.
 type Join struct{ Addrs []netip.AddrPort }
 
 func (Tick) event()            {}
@@ -41,8 +41,8 @@
 // LeaveDone or Log.
 type Action interface{ action() }
 
-// Send sends a datagram. Name is the member that it is for; the owner may know a better address for the
-// member than To. For a stranger or a seed Name is empty.
+// Send sends a datagram to the member called Name at the address To. If the owner knows a better address of
+// that member, the owner uses that address. Name is empty if the receiver is a stranger or a seed.
 type Send struct {
 	Name string
 	To   netip.AddrPort
@@ -52,12 +52,12 @@
 // Wake requests a Tick after a duration. It replaces the previous Wake.
 type Wake struct{ After time.Duration }
 
-// MemberChanged reports a change of a member's view entry other than its load. Before has no Name if the
-// member was not known, and Member has no Name if the member is forgotten.
+// MemberChanged reports that a member's view entry has changed, not only in its load. Before has no Name if
+// the member was not known before, and Member has no Name if the member has been forgotten.
 type MemberChanged struct{ Member, Before Member }
 
 // NameConflict reports that another living process has the node's own name. If Yielded is set, this process
-// has the lower generation and has yielded: it sends nothing and does not change its view any more.
+// has the lower generation and has yielded: from now on it sends nothing and does not change its view.
 type NameConflict struct {
 	Generation uint64 // of the other process
 	From       netip.AddrPort
--- a/internal/membership/queue_test.go
+++ b/internal/membership/event_queue_test.go
@@ -3,7 +3,7 @@
 // event is a scheduled event at a node: a datagram or a tick.
 type event struct {
 	at         Time
-	number     uint64 // orders events at one time
+	number     uint64 // orders the events of one time
 	to         *node
 	tickNumber uint64 // 0 means a datagram
 	event      Event
--- a/internal/membership/forget.go
+++ b/internal/membership/forget.go
@@ -1,8 +1,8 @@
 package membership
 
-// expireDeparted takes members that have been dead or left for DeadGossipTime out of the digest, and forgets
-// them after DeadReclaimTime. In between they are remembered, so that a stale statement can't bring them
-// back.
+// expireDeparted removes members from the digest once they have been dead or left for DeadGossipTime, and
+// forgets them after DeadReclaimTime. In between they are remembered, so that a stale statement can't make
+// them alive again.
 func (c *Core) expireDeparted() {
 	if c.livingCount == len(c.sorted)-1 {
 		return
@@ -35,8 +35,8 @@
 	c.actions = append(c.actions, MemberChanged{Before: c.asMember(member.statement, member.since)})
 }
 
-// forgetOldest makes space by forgetting the member that has been dead or left for the longest time, and
-// reports whether there was one.
+// forgetOldest forgets the member that has been dead or left for the longest time, and reports whether there
+// was such a member.
 func (c *Core) forgetOldest() bool {
 	oldest := -1
 	for i, member := range c.sorted {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -11,28 +11,28 @@
 	ageResolution = 100 * 1e6 // unit of wire.Statement.Age in nanoseconds: a tenth of a second
 	maxAge        = wire.MaxAge * ageResolution
 
-	// gossipFanout is the number of members that are sent broadcasts in each period while there are broadcasts,
-	// in addition to those that ride on probes. With it a node passes broadcasts on to about four nodes a
-	// period.
+	// gossipFanout is the number of members to which a node sends queued broadcasts in each period, in addition
+	// to the broadcasts piggybacked on probes and answers. In total a node passes broadcasts on to about four
+	// nodes a period.
 	gossipFanout = 2
 )
 
 // broadcastQueue holds the members whose statements are to be broadcast.
 type broadcastQueue struct {
-	byTransmits [][]queuedBroadcast // by how often each has been broadcast
+	byTransmits [][]queuedBroadcast // index: how often the broadcast has been sent
 	count       int                 // of all entries, replaced ones included
 }
 
-// queuedBroadcast is a queued broadcast of a member's statement. It is replaced by a newer one if its
-// revision differs from the member's.
+// queuedBroadcast is a queued broadcast of a member's statement. If its revision differs from the member's, a
+// newer broadcast has replaced it.
 type queuedBroadcast struct {
 	member   *memberState
 	revision uint32
 }
 
 // retransmitLimit returns how often each node broadcasts a change: twice the binary logarithm of the fleet's
-// size, so that without loss all but about one in n squared nodes receive the change. The digests find the
-// remaining nodes.
+// size, so that without loss all but about one in n squared nodes receive the change, in a fleet of n. The
+// comparison of digests brings the change to the remaining nodes.
 func (c *Core) retransmitLimit() int { return 2 * bits.Len(uint(c.livingCount+1)) }
 
 // queueBroadcast queues a broadcast of the member's statement.
@@ -44,8 +44,8 @@
 	}
 }
 
-// compareDigest counts consecutive datagrams whose senders have this node's digest. Once retransmitLimit of
-// them came in a row, most of the fleet has the same view and the queued broadcasts are dropped.
+// compareDigest counts consecutive datagrams whose senders have this node's digest. After retransmitLimit
+// such datagrams in a row, most of the fleet has the same view, and the queued broadcasts are dropped.
 func (c *Core) compareDigest(digest uint64) {
 	c.matchingDigests++
 	if digest != c.digest {
@@ -56,8 +56,8 @@
 	}
 }
 
-// compact drops the broadcasts that newer ones have replaced, so that the number of members bounds the queue,
-// however quickly members change.
+// compact drops the broadcasts that newer broadcasts have replaced, so that the length of the queue is
+// bounded by the number of members, however often members change.
 func (q *broadcastQueue) compact() {
 	q.count = 0
 	for i := range q.byTransmits {
@@ -69,7 +69,7 @@
 	}
 }
 
-// push adds a broadcast that has been sent as often as transmits says.
+// push adds a broadcast that has been sent transmits times.
 func (q *broadcastQueue) push(transmits int, broadcast queuedBroadcast) {
 	for len(q.byTransmits) <= transmits {
 		q.byTransmits = append(q.byTransmits, nil)
@@ -94,7 +94,7 @@
 	return queuedBroadcast{}, 0, false
 }
 
-// statementOf returns the statement on a member as it is sent, with the age of a death or leave.
+// statementOf returns the statement on a member for a datagram, with the time since the member died or left.
 func (c *Core) statementOf(member *memberState) wire.Statement {
 	statement := member.statement
 	if !member.living() {
@@ -103,8 +103,8 @@
 	return statement
 }
 
-// appendBroadcasts appends statements to a datagram until one does not fit: those on the leading members, the
-// broadcasts, and last the statement on this node, which carries its load.
+// appendBroadcasts appends statements to a datagram as long as they fit: first the statements on the leading
+// members, then queued broadcasts, and last the statement on this node, which carries its load.
 func (c *Core) appendBroadcasts(datagram []byte, leading ...*memberState) []byte {
 	for _, member := range leading {
 		datagram, _ = wire.AppendStatement(datagram, c.statementOf(member))
@@ -137,7 +137,7 @@
 	return datagram
 }
 
-// gossipBroadcasts sends broadcasts to a few members in addition to the probes.
+// gossipBroadcasts sends queued broadcasts to gossipFanout random members.
 func (c *Core) gossipBroadcasts() {
 	for range gossipFanout {
 		if to := c.pickLiving(nil); to != nil && c.broadcasts.count > 0 {
--- a/internal/membership/gossip/changes.go
+++ b/internal/membership/gossip/changes.go
@@ -8,15 +8,15 @@
 	"wrenspread/internal/membership"
 )
 
-// Bounds of the log lines, a second and at once. Lines beyond them are counted, and the next line has the
-// count.
+// Bounds on log lines, per second and in a burst. Lines beyond these bounds are dropped and counted, and the
+// next line reports the count.
 const (
 	logRate  = 10
 	logBurst = 50
 )
 
-// memberChanged updates the server's own state of a member (counts, addresses and numbers) and logs the
-// change.
+// memberChanged updates what the server itself stores about a member (counts, addresses, peer number) and
+// logs the change.
 func (s *Server) memberChanged(change membership.MemberChanged) {
 	s.changes.Add(1)
 	if before := change.Before; before.Name != "" {
@@ -56,8 +56,8 @@
 	}
 }
 
-// logLimited writes a log line, unless there were too many. The limit is needed because other nodes can cause
-// lines at will.
+// logLimited writes a log line, unless the limit of lines is exceeded. The limit is needed because other
+// nodes can cause any number of lines.
 func (s *Server) logLimited(level slog.Level, text string, args ...any) {
 	if !s.logLimiter.Allow() {
 		s.suppressedLines++
--- a/internal/membership/gossip/contacts.go
+++ b/internal/membership/gossip/contacts.go
@@ -7,15 +7,15 @@
 	"wrenspread/internal/membership"
 )
 
-// contact is a member's address, whether the member serves, and the version of its tenant catalogue.
+// contact is what SendTo, ServingMembers and HighestCatalogue need to know of a member.
 type contact struct {
 	address   netip.AddrPort
 	serving   bool
-	catalogue uint64 // 0 if the member is not alive
+	catalogue uint64 // version of the member's tenant catalogue; 0 if the member is not alive
 }
 
-// SendTo sends a datagram of another part of the program to the member with the name, if it is known. It does
-// not block.
+// SendTo sends a datagram, which other packages define, to the member with the name. If the member's address
+// is not known, the datagram is dropped. SendTo does not block.
 func (s *Server) SendTo(name string, data []byte) {
 	if value, ok := s.contacts.Load(name); ok && value.(contact).address.IsValid() {
 		s.cfg.Send(value.(contact).address, data)
@@ -23,27 +23,27 @@
 }
 
 // ServingMembers returns the names, in order, of the other members that are alive and serve.
-func (s *Server) ServingMembers() (all []string) {
+func (s *Server) ServingMembers() (names []string) {
 	s.contacts.Range(func(name, value any) bool {
 		if value.(contact).serving && name != s.cfg.Name {
-			all = append(all, name.(string))
+			names = append(names, name.(string))
 		}
 		return true
 	})
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
 // HighestCatalogue returns the highest version of the tenant catalogue that a live member reports.
-func (s *Server) HighestCatalogue() (number uint64) {
+func (s *Server) HighestCatalogue() (version uint64) {
 	s.contacts.Range(func(_, value any) bool {
-		number = max(number, value.(contact).catalogue)
+		version = max(version, value.(contact).catalogue)
 		return true
 	})
-	return number
+	return version
 }
 
-// recordContact updates the contact of a member.
+// recordContact stores a member's contact.
 func (s *Server) recordContact(member membership.Member) {
 	c := contact{address: s.address(member.Name, member.Addr)}
 	if member.Health == membership.Alive {
--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -8,23 +8,24 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Bounds of the datagrams of this fleet from addresses of no member, a second and at once: somewhat more than
-// 300 nodes that join within a second send until they are known. Decoding that many takes about a
-// millisecond.
+// Bounds, per second and in a burst, on the datagrams of this fleet from strangers: addresses that are not of
+// a member. When 300 nodes join within a second, they send somewhat fewer datagrams before they are known.
+// Decoding 500 datagrams takes about a millisecond.
 const (
 	strangerRate  = 500
 	strangerBurst = 500
 )
 
-// receivedCounters count the received datagrams, those from strangers and those that were dropped.
+// receivedCounters count all received datagrams, and among them those from strangers and those that were
+// dropped.
 type receivedCounters struct {
 	trafficCounters
 	fromStrangers, dropped atomic.Int64
 }
 
 // Receive passes a datagram from the socket to the owner. It does not block and does not retain data. It
-// drops datagrams of other fleets, datagrams of strangers beyond a rate, and datagrams for which the owner's
-// queue is full.
+// drops datagrams of other fleets, datagrams of strangers beyond strangerRate, and datagrams that find the
+// owner's queue full.
 func (s *Server) Receive(from netip.AddrPort, data []byte) {
 	s.received.datagrams.Add(1)
 	s.received.bytes.Add(int64(len(data)))
--- a/internal/membership/gossip/handoff.go
+++ b/internal/membership/gossip/handoff.go
@@ -6,18 +6,18 @@
 	"wrenspread/internal/membership"
 )
 
-// maxHandoffAddresses bounds the addresses that are handed over. One that answers is enough; at a loss of
-// 30%, datagrams to all 16 are lost once in 10 to the 8.
+// maxHandoffAddresses bounds the addresses that are handed over. One address that answers is enough. At a
+// loss of 30%, the datagrams to all 16 are lost in one of 10 to the 8 cases.
 const maxHandoffAddresses = 16
 
-// Handoff is what one process of a node passes to the next, so that other nodes see neither a death nor a
-// second process.
+// Handoff is what one process of a node passes to the node's next process, so that other nodes see neither a
+// death nor a second process.
 type Handoff struct {
 	Generation  uint64           `json:"life"`
 	Incarnation uint32           `json:"incarnation"`
 	State       membership.State `json:"state"`
-	// Join has the addresses of living members, from which the next process learns the view. At most
-	// maxHandoffAddresses are used. It may be empty; the next process then joins by its seeds.
+	// Join has the addresses of members that are alive, from which the next process learns the view. At most
+	// maxHandoffAddresses are used. Join may be empty; the next process then joins through its seeds.
 	Join []netip.AddrPort `json:"join,omitempty"`
 }
 
@@ -37,7 +37,7 @@
 	return h
 }
 
-// addresses returns the addresses to join by, at most maxHandoffAddresses.
+// addresses returns a copy of Join of at most maxHandoffAddresses addresses.
 func (h *Handoff) addresses() []netip.AddrPort {
 	return append([]netip.AddrPort(nil), h.Join[:min(len(h.Join), maxHandoffAddresses)]...)
 }
--- a/internal/membership/gossip/metadata.go
+++ b/internal/membership/gossip/metadata.go
@@ -5,8 +5,8 @@
 // versions are the versions of the tenant catalogue and of the policy that this proxy has.
 type versions struct{ catalogue, policy uint64 }
 
-// SetVersions publishes the versions of the tenant catalogue and of the policy that this proxy has; this node
-// starts to broadcast them within a period. It does not block.
+// SetVersions sets the versions of the tenant catalogue and of the policy that this proxy has. The node
+// starts to broadcast them within a period. SetVersions does not block.
 func (s *Server) SetVersions(catalogue, policy uint64) {
 	s.versions.Store(&versions{catalogue, policy})
 }
--- a/internal/membership/gossip/report.go
+++ b/internal/membership/gossip/report.go
@@ -9,8 +9,8 @@
 	"wrenspread/internal/membership"
 )
 
-// Report is what a node reports about its view on the control address. It has at most 4,096 members, as many
-// as the core remembers.
+// Report is what a node reports about its view at the control address. It has at most 4,096 members, since
+// the core remembers no more.
 type Report struct {
 	Fleet       string   `json:"fleet"`
 	Name        string   `json:"name"`
@@ -18,7 +18,7 @@
 	Incarnation uint32   `json:"incarnation"`
 	Version     uint64   `json:"number"`  // rises with each change that the digest covers
 	Digest      string   `json:"digest"`  // 16 hexadecimal digits
-	Yielded     bool     `json:"yielded"` // the node is silent, as another process has its name
+	Yielded     bool     `json:"yielded"` // the node sends nothing, as another process has its name
 	Members     []Member `json:"members"` // by name, this node included
 	Sent        Traffic  `json:"sent"`
 	Received    Received `json:"received"`
@@ -51,8 +51,9 @@
 // Received counts the received datagrams.
 type Received struct {
 	Traffic
-	Strangers int64 `json:"strangers"` // datagrams from addresses of no member
-	// Dropped counts the datagrams that were not decoded: of another fleet or no fleet, or too many.
+	Strangers int64 `json:"strangers"` // datagrams from addresses that are not of a member
+	// Dropped counts the datagrams that were not passed to the core: those of another fleet or no fleet, and
+	// those beyond a limit (Server.Receive).
 	Dropped int64 `json:"dropped"`
 }
 
--- a/internal/membership/gossip/server.go
+++ b/internal/membership/gossip/server.go
@@ -1,5 +1,6 @@
 // Package gossip runs the membership core in a process: it passes datagrams and the time to the core, and
-// carries out the actions that the core returns. It has no socket: its user sends and receives the datagrams.
+// carries out the actions that the core returns. The package has no socket: its caller sends and receives the
+// datagrams.
 package gossip
 
 import (
@@ -21,22 +22,23 @@
 type Config struct {
 	Fleet, Name string
 	Number      int              // the node's index in Peers; -1 means none
-	Addr        netip.AddrPort   // the node's address, for members that have no Peers entry for it
-	Seeds       []netip.AddrPort // addresses to join by
+	Addr        netip.AddrPort   // the node's address, for members whose Peers lack the node
+	Seeds       []netip.AddrPort // addresses that the node pings to join the fleet
 	// Peers are the configured addresses of members, by member number. They take precedence over the addresses
 	// that members advertise.
 	Peers         []netip.AddrPort
 	ProbeInterval time.Duration // 0 means the core's default
 	Zone, Version string
-	// LocalState returns the node's present state and load. It is called in each period and must not block.
+	// LocalState returns the node's present state and load. The server calls it in each period; it must not
+	// block.
 	LocalState func() (state membership.State, load uint16)
 	Send       func(to netip.AddrPort, datagram []byte) // must not wait for an answer
 	Log        *slog.Logger
 	Handoff    *Handoff // from the node's previous process; nil means none
 }
 
-// eventQueue is the number of datagrams that may wait for the owner: 128 kB. At 10 a second from each of 30
-// members, that is over a second's datagrams.
+// eventQueue is the number of received datagrams that may wait for the owner; they take up to 128 kB. If each
+// of 30 members sends 10 a second, the queue holds the datagrams of more than a second.
 const eventQueue = 512
 
 // Server maintains one node's view. Its goroutine, run, is the only owner of the core; it ends with the
@@ -46,7 +48,7 @@
 	hash   uint32                // of the fleet's name
 	start  time.Time             // origin of the core's times
 	events chan membership.Event // datagrams for the owner
-	calls  chan func()           // functions for the owner to run
+	calls  chan func()           // functions that the owner is to run
 	stop   context.CancelFunc    // ends the owner
 	ended  chan struct{}         // closed once the owner has ended
 
@@ -117,8 +119,8 @@
 	}.Check()
 }
 
-// coreConfig returns the core's configuration. It continues the generation that was handed over; without a
-// usable handoff it starts a new generation.
+// coreConfig returns the core's configuration. If there is a usable handoff, the core continues the
+// generation of the handoff; otherwise it starts a new generation.
 func (s *Server) coreConfig() membership.Config {
 	cfg := s.cfg
 	fresh := membership.Config{
--- a/internal/membership/gossip/server_test.go
+++ b/internal/membership/gossip/server_test.go
@@ -25,27 +25,27 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7000)
 }
 
-func (n *network) start(ctx context.Context, i int, handed *Handoff) *Server {
+func (net *network) start(ctx context.Context, i int, handoff *Handoff) *Server {
 	s := Start(ctx, Config{Fleet: "f", Name: string(rune('a' + i)), Number: -1, Addr: addr(i), Seeds: []netip.AddrPort{addr(0)}, ProbeInterval: 20 * time.Millisecond,
-		LocalState: func() (membership.State, uint16) { return membership.Serving, 7 }, Log: slog.New(slog.DiscardHandler), Handoff: handed,
+		LocalState: func() (membership.State, uint16) { return membership.Serving, 7 }, Log: slog.New(slog.DiscardHandler), Handoff: handoff,
 		Send: func(to netip.AddrPort, data []byte) {
-			if s, ok := n.servers.Load(to); ok {
+			if s, ok := net.servers.Load(to); ok {
 				s.(*Server).Receive(addr(i), data)
 			}
 		}})
-	n.servers.Store(addr(i), s)
+	net.servers.Store(addr(i), s)
 	return s
 }
 
-// await waits until wanted is true for a server's report, and returns the report.
-func await(t *testing.T, s *Server, what string, wanted func(Report) bool) (r Report) {
+// await waits until wanted returns true for a server's report, and returns that report.
+func await(t *testing.T, s *Server, condition string, wanted func(Report) bool) (r Report) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), awaitTimeout)
 	defer cancel()
 	for {
 		r, ok := s.Report(ctx)
 		if !ok {
-			t.Fatalf("%s: no report in time: %+v", what, r)
+			t.Fatalf("%s: no report in time: %+v", condition, r)
 		}
 		if wanted(r) {
 			return r
@@ -54,21 +54,21 @@
 	}
 }
 
-func healthSummary(r Report) (all string) {
+func healthSummary(r Report) (summary string) {
 	for _, m := range r.Members {
-		all += m.Name + " " + m.Health + " "
+		summary += m.Name + " " + m.Health + " "
 	}
-	return all
+	return summary
 }
 
-// Metadata that is set reaches the other node, a generation is handed over, a leave is broadcast, the metrics
-// are right, and no goroutine is left.
+// New versions reach the other node, a generation is handed over, a leave is broadcast, the metrics are
+// right, and no goroutine remains.
 func TestServerSpreadsMetadataHandsOverAndLeaves(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	n := &network{}
-	a, b := n.start(ctx, 0, nil), n.start(ctx, 1, nil)
+	net := &network{}
+	a, b := net.start(ctx, 0, nil), net.start(ctx, 1, nil)
 	b.SetVersions(3, 4)
 	r := await(t, a, "b and its versions", func(r Report) bool {
 		return len(r.Members) == 2 && r.Members[1].Catalogue == 3 && r.Members[1].Policy == 4 && r.Members[1].Load == 7
@@ -79,7 +79,7 @@
 	if h.Generation != r.Members[1].Generation || h.State != membership.Serving || len(h.Join) != 1 || h.Join[0] != addr(0) {
 		t.Errorf("handed over %+v of %+v", h, r)
 	}
-	next := n.start(ctx, 1, h)
+	next := net.start(ctx, 1, h)
 	await(t, a, "the next process", func(r Report) bool {
 		if m := r.Members[1]; m.Health != "alive" || m.Generation != h.Generation {
 			t.Fatalf("during an upgrade the node is seen as %+v", m)
@@ -109,8 +109,8 @@
 	defer goleak.VerifyNone(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	n := &network{}
-	a, b := n.start(ctx, 0, nil), n.start(ctx, 1, nil)
+	net := &network{}
+	a, b := net.start(ctx, 0, nil), net.start(ctx, 1, nil)
 	await(t, a, "b", func(r Report) bool { return healthSummary(r) == "a alive b alive " })
 	rng := rand.New(rand.NewPCG(4, 2))
 	begun, before := time.Now(), a.received.read().Datagrams
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -2,8 +2,9 @@
 
 import "wrenspread/internal/membership/wire"
 
-// A leave is sent to leaveFanout random members in each of leavePeriods periods, so for 1.6 s, and rides on
-// answers. At a loss of 30% all 24 datagrams are lost with a probability of 10 to the -12.
+// A leave is sent to leaveFanout random members in each of leavePeriods periods, so for 1.6 s. The answers of
+// the leaving node carry it too. At a loss of 30%, all 24 datagrams are lost with a probability of 10 to the
+// -12.
 const (
 	leavePeriods = 8
 	leaveFanout  = 3
@@ -15,10 +16,10 @@
 		return
 	}
 	c.leavePeriodsLeft = leavePeriods + 1
-	st := c.self.statement
-	st.Incarnation++
-	st.Health, st.Metadata.State = Left, Leaving
-	c.updateMember(c.self, st)
+	statement := c.self.statement
+	statement.Incarnation++
+	statement.Health, statement.Metadata.State = Left, Leaving
+	c.updateMember(c.self, statement)
 	c.leavePeriod()
 }
 
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -7,18 +7,19 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// memberState is the node's state of one member.
+// memberState is this node's knowledge of one member.
 type memberState struct {
 	hash         uint64         // of the name
 	statement    wire.Statement // the merge of all statements received on the member
-	sum          uint64         // the statement's part in the digest
+	sum          uint64         // the statement's sum, which the digest of the view includes
 	since        Time           // since when the member has its generation and health
 	inDigest     bool           // the digest covers the member
-	suspectSince Time           // when the suspicion timeout began, moved by the time of late wakes
+	suspectSince Time           // start of the suspicion timeout; late wakes move it by their lateness
 	revision     uint32         // rises with each queued broadcast of the member
 	inRound      bool           // the member is in the present round of probes
 }
 
+// living reports whether the member is alive or suspect.
 func (m *memberState) living() bool { return m.statement.Health <= Suspect }
 
 // find returns the index in sorted of the member with the hash, or the index at which to insert it.
@@ -30,8 +31,8 @@
 	)
 }
 
-// addMember adds a member for a statement on a name that is not known yet; the caller updates it. It returns
-// nil if the view is full of living members.
+// addMember adds a member for a statement on a name that is not known yet. The caller then passes the
+// statement to updateMember. addMember returns nil if the view is full of living members.
 func (c *Core) addMember(statement wire.Statement) *memberState {
 	if len(c.sorted) >= c.cfg.MaxMembers && !c.forgetOldest() {
 		c.stats.Refused++
@@ -44,8 +45,9 @@
 	return member
 }
 
-// updateMember replaces a member's statement. It updates the digest, counts, the round of probes and the
-// broadcasts, and reports the change unless only load, accusers or age have changed.
+// updateMember replaces a member's statement and updates the counts of members. Unless only load, accusers or
+// age have changed, it also updates the digest and the round of probes, and reports the change. It queues a
+// broadcast if more than load and age have changed.
 func (c *Core) updateMember(member *memberState, statement wire.Statement) {
 	before, known := member.statement, member.statement.Name != ""
 	previous := Member{}
@@ -95,8 +97,8 @@
 	}
 }
 
-// pick returns a random member for which fits is true; nil if there is none. After eight misses it takes the
-// next member in order that fits.
+// pick returns a random member for which fits is true; nil if there is none. After eight random members that
+// don't fit, it returns the next member in order that fits.
 func (c *Core) pick(fits func(*memberState) bool) *memberState {
 	at := 0
 	for range 8 {
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -9,8 +9,8 @@
 )
 
 // compare orders two statements on one name by generation, then incarnation, then health. Two statements that
-// are equal in these but differ otherwise come from two processes of one name; their bytes decide, so that
-// all nodes agree.
+// are equal in these but differ otherwise come from two processes of one name. They are ordered by their
+// encodings, so that all nodes agree.
 func compare(a, b wire.Statement) int {
 	return cmp.Or(
 		cmp.Compare(a.Generation, b.Generation),
@@ -28,7 +28,7 @@
 }
 
 // merge merges two statements on one name: the result is the higher one by compare. Load has a sequence
-// number of its own within a generation, so that a new load needs no new incarnation. Accusers of the same
+// number of its own within a generation, so that a new load needs no new incarnation. The accusers of one
 // suspicion are united. Apart from Age, merge is commutative, associative and idempotent.
 func merge(a, b wire.Statement) wire.Statement {
 	high, low := a, b
@@ -47,8 +47,8 @@
 	return high
 }
 
-// mergeAccusers returns the three smallest of the accusers: any three accusers shorten the suspicion timeout
-// to its minimum.
+// mergeAccusers returns the three smallest of the accusers. More are not needed, since any three accusers
+// shorten the suspicion timeout to its minimum.
 func mergeAccusers(a, b [3]uint64) (merged [3]uint64) {
 	if a == b {
 		return a
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,26 +7,29 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// indirectProbes is the number of members that are asked for an indirect probe if there is no direct answer.
-// With three, and a loss of 30% on each way, one probe in nine of a living member fails (0.51 x 0.51 x
-// 0.76^3). So a member is accused only after several probes in a row have failed: see failedProbesToAccuse.
+// indirectProbes is the number of helpers: members that are requested to probe a member that has not answered
+// directly. With three helpers, and a loss of 30% in each direction, one probe in nine of a living member
+// fails (0.51 x 0.51 x 0.76^3). So a member is accused only after several probes in a row have failed: see
+// failedProbesToAccuse.
 const indirectProbes = 3
 
 // failedProbesToAccuse returns how many probes of a member, one a period, must fail in a row before the
-// member is accused: two, and three from 512 members on. At a loss of 30% that leaves one accusation in 80
-// (with three, 700) probes of living members, about 20 a second in a fleet of 300 (2,000), whose broadcasts
-// and refutations still fit on the datagrams. A death is found one period (two periods) later.
+// member is accused: two, and three from 512 members on. At a loss of 30%, two in a row fail in one of 80
+// cases, three in one of 700. That gives about 20 accusations a second in a fleet of 300 (with three, of
+// 2,000), whose broadcasts and refutations still fit into the datagrams. A death is found one period later
+// (with three, two periods).
 func (c *Core) failedProbesToAccuse() int { return max(2, (bits.Len(uint(c.livingCount+1))+2)/4) }
 
-// probeRound is the order of probes: in each round all living members once, in random order. So a node probes
-// each member after two rounds at the latest, and some node probes it after 1.6 periods on average, however
-// large the fleet is.
+// probeRound is the order of probes: in each round, a node probes each living member once, in random order.
+// So at most two rounds pass between a node's probes of one member. On average some node probes a member
+// within 1.6 periods, however large the fleet is.
 type probeRound struct {
 	members []*memberState
 	next    int
 }
 
-// addToRound adds a member that is new, or alive again, at a random position in the rest of the round.
+// addToRound adds a member that is new, or alive again, at a random position among the members not yet probed
+// in the round.
 func (c *Core) addToRound(member *memberState) {
 	if member == c.self || member.inRound || !member.living() {
 		return
@@ -38,8 +41,8 @@
 	c.probeRound.members = members
 }
 
-// nextInRound returns the next living member to probe, and starts a new round if the present one has ended;
-// nil if there is none.
+// nextInRound returns the next living member to probe; nil if there is none. It starts a new round if the
+// present round has ended.
 func (c *Core) nextInRound() *memberState {
 	if c.probeRound.next >= len(c.probeRound.members) {
 		c.shuffleRound()
@@ -73,16 +76,16 @@
 	repeatTarget        *memberState // member to probe once more in the next period
 	seq                 uint32
 	indirectAt          Time // when indirect probes are requested
-	pending             bool // there is no answer so far
-	indirectSent, nacks int  // helpers asked, and helpers that reported that they have no answer
+	pending             bool // the target has not answered so far
+	indirectSent, nacks int  // requests to helpers; helpers that reported no answer so far
 	failedBefore        int  // consecutive probes of the target that failed before this one
 }
 
 // awaitsDirectAck reports whether the probe waits for a direct answer, without indirect probes.
 func (p *probe) awaitsDirectAck() bool { return p.pending && p.indirectSent == 0 }
 
-// startProbe starts the probe of a period: of the member whose probe is to be repeated, or the next in the
-// round.
+// startProbe starts the probe of a period. It probes the member whose probe is to be repeated, or else the
+// next member in the round.
 func (c *Core) startProbe() {
 	member, failed := c.probe.repeatTarget, c.probe.failedBefore
 	if member == nil || !member.living() {
@@ -101,8 +104,8 @@
 	}
 }
 
-// sendPing pings a member and returns the ping's sequence number. A ping to a member that is not considered
-// alive begins with the statement that says so, so that the member can refute it.
+// sendPing pings a member and returns the ping's sequence number. A ping to a member that is suspect, dead or
+// left begins with the statement on that member, so that the member can refute it.
 func (c *Core) sendPing(member *memberState) uint32 {
 	c.lastSeq++
 	var leading []*memberState
@@ -113,8 +116,8 @@
 	return c.lastSeq
 }
 
-// sendIndirectProbes does the second half of a probe that has had no direct answer: it pings the member again
-// and asks helpers to ping it.
+// sendIndirectProbes continues a probe that has had no direct answer by indirectAt: it pings the member again
+// and requests indirect probes from helpers.
 func (c *Core) sendIndirectProbes() {
 	p := &c.probe
 	if !p.awaitsDirectAck() || c.now < p.indirectAt {
@@ -136,7 +139,7 @@
 	}
 }
 
-// ackReceived ends the probe successfully if the answer belongs to it.
+// ackReceived ends the probe successfully if the answer belongs to the probe.
 func (c *Core) ackReceived(target *memberState, seq uint32) {
 	if p := &c.probe; p.pending && p.target == target && p.seq == seq {
 		p.pending = false
@@ -145,8 +148,8 @@
 	}
 }
 
-// endProbe evaluates the probe of the last period. If not even a nack came from a helper, the fault is
-// probably this node's, and its awareness is degraded.
+// endProbe evaluates the probe of the last period. If the probe failed and not even a helper's nack arrived,
+// the fault is probably this node's, so the node's awareness score gets worse.
 func (c *Core) endProbe() {
 	p := &c.probe
 	if !p.pending {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -6,14 +6,14 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// strangersPerPeriod bounds the answers in a period to strangers: senders that are not known or are of
-// another generation than the known one. With 64, a seed answers 300 joins within one second, and a flood
-// costs no more.
+// strangersPerPeriod bounds the answers in a period to strangers: senders that are not known, or that have
+// another generation than the known one. With 64 answers a period, a seed can answer 300 joins within one
+// second, and a flood causes no more answers than that.
 const strangersPerPeriod = 64
 
-// correctionsPerPeriod bounds the datagrams in a period that only send a sender the newer statement on this
-// node. Nodes receive about two datagrams a period, so there is bandwidth for corrections; without a bound,
-// two nodes of which one can't apply the other's statement would answer each other once a round trip.
+// correctionsPerPeriod bounds the datagrams in a period that only correct a sender, by the newer statement on
+// this node. Nodes receive about two datagrams a period, so there is bandwidth for corrections; without a
+// bound, two nodes of which one can't apply the other's statement would answer each other once a round trip.
 const correctionsPerPeriod = 16
 
 // receiveDatagram handles a datagram. Datagrams of other fleets are dropped by their first five bytes.
@@ -47,39 +47,41 @@
 	}
 }
 
-// applyDatagram applies the statements in a datagram, the sender's on itself first. From a sender that is
-// unknown, of another generation, dead or left, it otherwise applies only statements on this node, which this
-// node can refute: so a node that was cut off does not spread the deaths that it saw. It returns the sender,
-// nil if not known, and whether the sender has an old statement on this node.
+// applyDatagram applies the statements in a datagram, first the sender's statement on itself. If the sender
+// is then unknown, of another generation, dead or left, the only other statements applied are those on this
+// node, which this node can refute. So a node that was cut off does not spread the deaths that it saw.
+// applyDatagram returns the sender (nil if not known) and whether the sender has an old statement on this
+// node.
 func (c *Core) applyDatagram(d wire.Datagram, from netip.AddrPort) (member *memberState, correctSender bool) {
-	for _, st := range d.Statements {
-		if wire.Hash(st.Name) == d.Sender && st.Generation == d.Generation {
-			c.applyStatement(st, d.Kind)
+	for _, statement := range d.Statements {
+		if wire.Hash(statement.Name) == d.Sender && statement.Generation == d.Generation {
+			c.applyStatement(statement, d.Kind)
 		}
 	}
 	member = c.byHash[d.Sender]
 	trusted := member != nil && member.statement.Generation == d.Generation && member.living()
-	for _, st := range d.Statements {
-		switch hash := wire.Hash(st.Name); {
+	for _, statement := range d.Statements {
+		switch hash := wire.Hash(statement.Name); {
 		case c.hasYielded:
 			return member, false
 		case hash == c.self.hash:
-			correctSender = c.receiveOwnStatement(st, from) || correctSender
+			correctSender = c.receiveOwnStatement(statement, from) || correctSender
 		case trusted && hash != d.Sender:
-			c.applyStatement(st, d.Kind)
+			c.applyStatement(statement, d.Kind)
 		}
 	}
 	return c.byHash[d.Sender], correctSender
 }
 
 // contradicts reports whether a sender's statement on itself differs from the view, into which it has been
-// merged, within one generation. Then another process has the sender's name and generation, and answers by
-// name would not reach this sender; or, which is harmless, the datagram was overtaken by a newer one.
+// merged, within one generation. If so, another process has the sender's name and generation, and an answer
+// to the member's known address would not reach this sender. It is also so if a newer datagram of the sender
+// arrived before this datagram, which is harmless.
 func contradicts(d wire.Datagram, member *memberState) bool {
-	for _, st := range d.Statements {
-		if st.Name == member.statement.Name && st.Generation == member.statement.Generation {
-			st.Health = member.statement.Health
-			return st.WithoutVolatile() != member.statement.WithoutVolatile()
+	for _, statement := range d.Statements {
+		if statement.Name == member.statement.Name && statement.Generation == member.statement.Generation {
+			statement.Health = member.statement.Health
+			return statement.WithoutVolatile() != member.statement.WithoutVolatile()
 		}
 	}
 	return false
@@ -97,7 +99,7 @@
 		}
 	} else {
 		if member.statement.Name != statement.Name {
-			return // two names with one hash: the first one stays
+			return // two names with one hash: the first name stays in the view
 		}
 		if statement = merge(member.statement, statement); statement == member.statement {
 			return
@@ -122,8 +124,9 @@
 	}
 }
 
-// answerDatagram handles a datagram by its kind. A sender that is not considered alive is notified of that,
-// and a sender with an old statement on this node gets the newer one.
+// answerDatagram handles a datagram by its kind. Answers to a sender that this node sees as suspect, dead or
+// left include the statement on that sender, and a sender with an old statement on this node gets the newer
+// statement.
 func (c *Core) answerDatagram(member *memberState, d wire.Datagram, correctSender bool) {
 	var leading []*memberState
 	if member.statement.Health != Alive {
@@ -160,15 +163,15 @@
 	}
 }
 
-// startsWithSender reports whether a datagram is a ping whose first statement is on its sender. The sender
-// may then not know this node, so the answer begins with a statement on this node.
+// startsWithSender reports whether a datagram is a ping whose first statement is on its sender. Such a sender
+// may not know this node, so the answer begins with a statement on this node.
 func startsWithSender(d wire.Datagram) bool {
 	return d.Kind == wire.Ping && len(d.Statements) > 0 && wire.Hash(d.Statements[0].Name) == d.Sender
 }
 
-// answerStranger answers a ping of a stranger at the address that the ping came from. The answer begins with
-// the statement on leading: if the sender's name is known, the statement on that name, so that the sender can
-// take a higher generation.
+// answerStranger answers a stranger's ping, at the address that the ping came from. The answer begins with
+// the statement on leading. If the sender's name is known, leading is the member of that name, so that the
+// sender can raise its generation above the known one; else it is this node.
 func (c *Core) answerStranger(d wire.Datagram, from netip.AddrPort, leading *memberState) {
 	if d.Kind != wire.Ping || c.strangerBudget <= 0 || !from.IsValid() {
 		return
--- a/internal/membership/relay.go
+++ b/internal/membership/relay.go
@@ -6,21 +6,21 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// maxRelays bounds the indirect probes that the node carries out for others at a time. Even if all probes
-// fail, a node gets at most three requests in a period on average.
+// maxRelays bounds the indirect probes that a node carries out for other nodes at a time. Even if all probes
+// fail, a node gets at most three requests a period on average.
 const maxRelays = 64
 
 // relay is an indirect probe that this node carries out for another node, the origin.
 type relay struct {
 	origin, target      *memberState
 	requestSeq, pingSeq uint32 // sequence numbers of the request and of this node's ping
-	nackAt              Time   // when the origin is notified that there is no answer so far
+	nackAt              Time   // when to notify the origin that the target has not answered so far
 	nacked              bool
 }
 
 // startRelay pings the target of a PingReq on behalf of its sender, the origin. The request is dropped
-// silently if the target is unknown or is this node itself, or if maxRelays relays are pending. Without an
-// answer the origin gets a Nack after probeTimeout, and the relay expires ProbeInterval after that.
+// silently if the target is unknown or is this node itself, or if maxRelays relays are pending. If the target
+// does not answer, the origin gets a Nack after probeTimeout, and the relay expires ProbeInterval after that.
 func (c *Core) startRelay(origin *memberState, d wire.Datagram) {
 	target := c.byHash[d.Target]
 	if target == nil || target == c.self || len(c.relays) >= maxRelays {
--- a/internal/membership/seeds.go
+++ b/internal/membership/seeds.go
@@ -8,24 +8,25 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Periods between two pings to seeds and between two pings to dead members. A node that has met no member yet
-// pings a seed in each period. A node pings seeds for as long as it runs, so that the halves of a divided
-// fleet find each other even after they have forgotten each other.
+// Number of periods from one ping to a seed, or to a dead member, to the next. A node that has not met the
+// fleet yet pings a seed in each period. All nodes continue to ping seeds, so that the parts of a fleet find
+// each other after a partition even if they have forgotten each other.
 const (
-	aloneSeedPeriods = 5  // seeds, by a node that knows no other living member
-	seedPeriods      = 50 // seeds, by other nodes
-	deadPeriods      = 5  // dead members
+	aloneSeedPeriods = 5  // pings to seeds, if the node knows no other living member
+	seedPeriods      = 50 // pings to seeds, if it knows one
+	deadPeriods      = 5  // pings to dead members
 )
 
-// Nodes that start together may meet in separate groups, or while the network is still divided. So a new node
-// continues to ping seeds after it has met a member: one in each period for the first round, of at most
-// maxFirstRoundSeeds, and then, for startupPeriods, as often as a node that is alone.
+// Nodes that start together may form separate groups at first, or start while the network is partitioned. So
+// a new node continues to ping seeds after it has met the fleet: in the first round, of at most
+// maxFirstRoundSeeds, one seed in each period, and then, until startupPeriods, one seed in every
+// aloneSeedPeriods periods.
 const (
 	maxFirstRoundSeeds = 16
 	startupPeriods     = 300 // a minute, by which the start of a fleet has ended
 )
 
-// seedList holds the seeds, the addresses by which the node joins, in random order.
+// seedList holds the seeds, the addresses that the node pings to join the fleet, in random order.
 type seedList struct {
 	seeds []netip.AddrPort
 	next  int
@@ -57,8 +58,8 @@
 	c.send(Send{To: to, Data: c.appendBroadcasts(c.newNumbered(wire.Ping, c.lastSeq, 0), c.self)})
 }
 
-// probeDead pings a dead member every deadPeriods, so that the halves of a divided fleet find each other once
-// the network is no longer divided.
+// probeDead pings a dead member every deadPeriods, so that the parts of a fleet find each other after a
+// partition.
 func (c *Core) probeDead() {
 	if c.deadCount > 0 && c.periods%deadPeriods == 0 {
 		c.sendPing(c.pick(func(member *memberState) bool { return member.statement.Health == Dead }))
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -10,21 +10,21 @@
 
 const (
 	// restartDetectionTime is how long after it met the fleet a process attributes a higher generation of its
-	// name to its own previous process, which a clock that has gone back explains. Later a higher generation
-	// means that another process has the name.
+	// name to its own previous process. The previous process had a higher generation if the clock has gone back
+	// since. After this time, a higher generation means that another process has the name.
 	restartDetectionTime = 10 * time.Second
-	// maxConflictingStatements is how many statements on its own name and generation that it never made a
-	// process attributes to its previous process before an upgrade. Further ones come from another process of
-	// the same name.
+	// maxConflictingStatements bounds the statements on its own name and generation that a process never made
+	// and attributes to its previous process, before an upgrade. Further conflicting statements come from
+	// another process of the same name.
 	maxConflictingStatements = 3
-	// loadStep is the change of load, per mille, from which a new load is broadcast at once. After smaller
-	// changes the load only rides on the node's own datagrams.
+	// loadStep is the change of load, per mille, from which on a new load is broadcast at once. After smaller
+	// changes, only the node's own datagrams carry the new load.
 	loadStep = 100
 )
 
-// ownState is the node's state about its own name.
+// ownState is what the node knows about the use of its own name.
 type ownState struct {
-	hasMetFleet           bool // the node has received a datagram of a member
+	hasMetFleet           bool // the node has received a datagram from a member
 	metFleetAt            Time
 	hasRaisedGeneration   bool   // the node has taken a generation above a received one
 	conflictingStatements int    // received statements on this name and generation that the node never made
@@ -56,8 +56,8 @@
 	}
 }
 
-// receiveOwnStatement handles a statement of another node on this node, and reports whether to correct the
-// sender.
+// receiveOwnStatement handles another node's statement on this node, and reports whether to send that node a
+// newer statement.
 func (c *Core) receiveOwnStatement(statement wire.Statement, from netip.AddrPort) (correct bool) {
 	mine := c.self.statement
 	statement.Name = mine.Name
@@ -90,11 +90,12 @@
 	return true
 }
 
-// handleHigherGeneration handles a generation of this node's name above its own. A process that has started
-// recently and has not raised its generation before takes the next higher one: the generation was its own
-// before a restart. Any other process yields: there is a second process, and the one with the later
-// generation keeps the name. As a process raises its generation in this way once, two processes don't raise
-// theirs in turn for ever.
+// handleHigherGeneration handles a received generation of this node's name that is above the present one. A
+// process that has met the fleet only recently and has not raised its generation before assumes that its own
+// previous process had the received generation, and raises its generation above it. In any other case a
+// second process has the name. The process with the higher generation keeps the name, so this process yields.
+// Since a process raises its generation in this way only once, two processes can't raise theirs in turn for
+// ever.
 func (c *Core) handleHigherGeneration(generation uint64, from netip.AddrPort) {
 	if !c.ownState.hasRaisedGeneration &&
 		(!c.ownState.hasMetFleet || c.now-c.ownState.metFleetAt < restartDetectionTime) {
@@ -107,7 +108,7 @@
 		NameConflict{Generation: generation, From: from, Yielded: true},
 		Log{
 			Text: fmt.Sprintf(
-				"another process named %s has the later generation %d and keeps the name: this process is silent",
+				"another process named %s has the later generation %d and keeps the name: this process sends nothing",
 				c.self.statement.Name,
 				generation,
 			),
@@ -115,7 +116,7 @@
 	)
 }
 
-// raiseGeneration continues in the given generation, unless it is out of bounds.
+// raiseGeneration lets the node continue in a higher generation, unless that generation is out of bounds.
 func (c *Core) raiseGeneration(generation uint64) {
 	if generation >= wire.MaxGeneration {
 		return
@@ -125,7 +126,7 @@
 		c.actions,
 		Log{
 			Text: fmt.Sprintf(
-				"%s continues in generation %d, as its name is known in an earlier one",
+				"%s continues in generation %d, above the generation that other nodes know",
 				c.self.statement.Name,
 				generation,
 			),
@@ -136,8 +137,8 @@
 	c.updateMember(c.self, statement)
 }
 
-// receiveFromOwnName handles a datagram whose sender has this node's name. Datagrams of the same generation
-// are ignored: they are this node's own, which come back through a seed.
+// receiveFromOwnName handles a datagram whose sender has this node's name. It ignores datagrams of the
+// present generation: they are this node's own pings to a seed address that leads back to the node.
 func (c *Core) receiveFromOwnName(d wire.Datagram, from netip.AddrPort) {
 	if d.Generation > c.self.statement.Generation {
 		c.handleHigherGeneration(d.Generation, from)
--- a/internal/membership/suspect.go
+++ b/internal/membership/suspect.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// The suspicion timeout with three accusers is suspectPeriods periods times one plus the logarithm of the
-// fleet's size: an accusation needs about that many periods to reach the suspect, and the refutation to come
-// back. With one accuser the timeout is loneAccuserFactor times as long.
+// With three accusers, the suspicion timeout is suspectPeriods periods times one plus the decimal logarithm
+// of the fleet's size. An accusation needs about that many periods to reach the suspect and the refutation to
+// come back. With one accuser the timeout is loneAccuserFactor times as long.
 const (
 	suspectPeriods    = 3
 	loneAccuserFactor = 3
 )
 
-// suspicionShrink is by how much, per mille, the number of accusers takes the timeout from that of one
-// accuser towards that of three: the logarithm to base 3 of the number.
+// suspicionShrink is how far the timeout is shortened from that of one accuser towards that of three
+// accusers, per mille. Its index is the number of accusers, of which it is the logarithm to base 3.
 var suspicionShrink = [4]time.Duration{0, 0, 631, 1000}
 
-// suspicionTimeout returns how long a suspect has for a refutation. It computes with integers only, so that
-// the result is the same on every machine.
+// suspicionTimeout returns the time in which a suspect's refutation must arrive. The computation uses
+// integers only, so that the result is the same on every machine.
 func suspicionTimeout(period time.Duration, members, accusers int) time.Duration {
 	shortest := period * suspectPeriods * time.Duration(10+3*bits.Len(uint(members))) / 10
 	longest := loneAccuserFactor * shortest
 	return longest - (longest-shortest)*suspicionShrink[min(accusers, 3)]/1000
 }
 
-// suspect makes a member that did not answer a suspect, or adds this node to the suspect's accusers.
+// suspect accuses a member that did not answer: the member becomes suspect, and this node is added to its
+// accusers.
 func (c *Core) suspect(member *memberState) {
 	if !member.living() || !c.mayAccuse() {
 		return
 	}
-	st := member.statement
-	st.Health = Suspect
-	st.Accusers = mergeAccusers(st.Accusers, [3]uint64{c.self.hash})
-	if st != member.statement {
-		c.updateMember(member, st)
+	statement := member.statement
+	statement.Health = Suspect
+	statement.Accusers = mergeAccusers(statement.Accusers, [3]uint64{c.self.hash})
+	if statement != member.statement {
+		c.updateMember(member, statement)
 	}
 }
 
@@ -50,9 +51,9 @@
 				c.livingCount+1,
 				countAccusers(member.statement.Accusers),
 			) {
-			st := member.statement
-			st.Health = Dead
-			c.updateMember(member, st)
+			statement := member.statement
+			statement.Health = Dead
+			c.updateMember(member, statement)
 		}
 	}
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -3,9 +3,10 @@
 import "wrenspread/internal/membership/wire"
 
 // Every datagram carries the digest of its sender's view. A node that has received a different digest sends
-// its sender the sums of 16 ranges, once in syncPeriods, or in each period while answers bring new
-// statements. The receiver of sums continues with at most maxRangesPerDigest ranges that differ, chosen at
-// random each time. A node spends at most syncPerPeriod datagrams a period on all this: about 80 members.
+// the sums of 16 ranges to the sender of that digest: once in syncPeriods periods, or in each period while
+// answers bring new statements. The receiver of the sums continues with at most maxRangesPerDigest ranges
+// that differ, chosen at random each time. A node sends at most syncPerPeriod datagrams a period to compare
+// views, which is enough for about 80 members.
 const (
 	syncPeriods        = 2
 	maxRangesPerDigest = 4
@@ -17,11 +18,11 @@
 type antiEntropy struct {
 	peer             *memberState // last member whose digest differed; nil means none
 	lastDigestPeriod uint64       // period in which the last Digest was sent
-	learnedByAnswer  bool         // an Answer has changed the view since then
+	learnedByAnswer  bool         // an Answer has changed the view since the last Digest was sent
 	datagramCredit   int          // datagrams that may still be sent in this period
 }
 
-// startAntiEntropy sends a Digest to the member whose digest differed, if one is due.
+// startAntiEntropy sends a Digest to the last member whose digest differed, if a Digest is due.
 func (c *Core) startAntiEntropy() {
 	state := &c.antiEntropy
 	if state.peer == nil || (!state.learnedByAnswer && state.lastDigestPeriod != 0 &&
@@ -42,7 +43,7 @@
 	return c.antiEntropy.datagramCredit >= 0
 }
 
-// sendDigest sends the sums of the ranges that the range with the index at a depth divides into.
+// sendDigest sends the sums of the 16 parts of a range, which depth and index identify as for rangeSumsOf.
 func (c *Core) sendDigest(to *memberState, depth, index uint8) {
 	if c.takeSyncCredit() {
 		c.sendTo(
@@ -59,8 +60,8 @@
 	}
 }
 
-// compareRangeSums answers a Digest: for a range that differs it sends the list of members, or the sums of
-// smaller ranges if the range has too many members for a list.
+// compareRangeSums answers a Digest. For each range that differs it sends the list of the range's members or,
+// if there are too many for one list, the sums of smaller ranges.
 func (c *Core) compareRangeSums(member *memberState, d wire.Datagram) {
 	mine := c.rangeSumsOf(d.Depth, d.Range)
 	first, branches := c.random.IntN(wire.Fanout), 0
@@ -136,8 +137,8 @@
 	c.sendStatements(member, toSend)
 }
 
-// sendStatements sends the statements on members in a few datagrams, starting at a random one, so that the
-// statements that don't fit are sent another time.
+// sendStatements sends the statements on members in at most maxListAnswers datagrams. It starts at a random
+// member, so that statements that don't fit this time are sent another time.
 func (c *Core) sendStatements(member *memberState, members []*memberState) {
 	if len(members) == 0 {
 		return
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -10,7 +10,7 @@
 )
 
 type (
-	// Health is whether a member is alive, according to other members or to itself.
+	// Health says whether a member is alive, according to other members or to itself.
 	Health = wire.Health
 	// State is the state that a member reports of itself.
 	State = wire.State
@@ -40,20 +40,20 @@
 	Incarnation uint32
 	Health      Health
 	Metadata    Metadata
-	Since       Time // since when the member has this generation and health, on the owner's clock
+	Since       Time // when the member got this generation and health, on the owner's clock
 	// Reason is why the member is suspect, dead or left; Accusers are the names of at most three accusers,
 	// separated by commas.
 	Reason, Accusers string
 }
 
 // View is the node's view at one moment. Version rises with each change that the digest covers. Two nodes
-// with the same Digest see the same members with the same generations, incarnations, healths and metadata,
-// load aside.
+// with the same Digest see the same members, with the same generations, incarnations, healths and metadata
+// except for the load.
 type View struct {
 	Version uint64
 	Digest  uint64
 	Self    string   // the node's name
-	Yielded bool     // the node is silent, as another process has its name
+	Yielded bool     // the node sends nothing any more, because another process has its name
 	Members []Member // by name, the node included; dead and left members until they are forgotten
 }
 
--- a/internal/membership/wire/datagram.go
+++ b/internal/membership/wire/datagram.go
@@ -11,15 +11,15 @@
 // MaxSize is the largest size in bytes of a datagram between nodes.
 const MaxSize = 256
 
-// Kind is a datagram's first byte. All kinds are 0x40 or more, so that nodes that know only load notes (kind
-// 1) drop them. 0x60 to 0x6f belong to package quota's datagrams on the same socket.
+// Kind is a datagram's first byte. All kinds are 0x40 or more, so that old nodes, which know only load notes
+// (kind 1), drop the datagrams. 0x60 to 0x6f are the kinds of package quota's datagrams on the same socket.
 type Kind uint8
 
 // The kinds of datagram. Ping, Ack, Gossip and Answer carry statements on members.
 const (
-	Ping        Kind = 0x40 + iota // asks the receiver for an Ack
+	Ping        Kind = 0x40 + iota // requests an Ack
 	Ack                            // answers a Ping, with its sequence number
-	PingReq                        // asks the receiver to ping Target for the sender
+	PingReq                        // requests that the receiver ping Target on behalf of the sender
 	Nack                           // reports that the Target of a PingReq has not answered so far
 	Gossip                         // carries statements only
 	Digest                         // carries the sums of 16 ranges of members
@@ -61,8 +61,8 @@
 	Header
 	Seq          uint32         // Ping, Ack, PingReq, Nack, IndirectAck: sequence number
 	Target       uint64         // PingReq, IndirectAck: hash of a member's name
-	Depth, Range uint8          // Digest: of the 16^Depth ranges of all hashes, the one with the index Range
-	Sums         [Fanout]uint64 // Digest: of the ranges that this range divides into
+	Depth, Range uint8          // Digest: the range with the index Range, of 16^Depth ranges
+	Sums         [Fanout]uint64 // Digest: of the 16 parts of this range
 	From, To     uint64         // RangeList: first and last hash of the range
 	Entries      []Entry        // RangeList
 	Wanted       []uint64       // WantMembers: hashes of members' names
@@ -72,13 +72,13 @@
 // FleetHash returns the hash of a fleet's name, which represents the name in datagrams.
 func FleetHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// IsOurs reports whether b may be a datagram of this fleet, without decoding it.
+// IsOurs reports whether b may be a datagram of the fleet. It checks only the size, the kind and the fleet.
 func IsOurs(b []byte, fleet uint32) bool {
 	return len(b) >= headerSize && len(b) <= MaxSize && Kind(b[0]) >= Ping && Kind(b[0]) <= IndirectAck &&
 		binary.BigEndian.Uint32(b[1:]) == fleet
 }
 
-// Encode encodes all of d but its statements, which AppendStatement appends as long as they fit.
+// Encode encodes d without its statements, which the caller appends by AppendStatement.
 func (d *Datagram) Encode() []byte {
 	b := make([]byte, 0, MaxSize)
 	b = append(b, byte(d.Kind))
@@ -161,7 +161,7 @@
 	case Digest:
 		d.Depth, d.Range = r.u8(), r.u8()
 		if d.Depth > 1 || int(d.Range) >= Fanout || (d.Depth == 0 && d.Range != 0) {
-			return fmt.Errorf("decode digest: no range %d at depth %d", d.Range, d.Depth)
+			return fmt.Errorf("decode digest: range %d does not exist at depth %d", d.Range, d.Depth)
 		}
 		for i := range d.Sums {
 			d.Sums[i] = r.u64()
--- a/internal/membership/wire/statement.go
+++ b/internal/membership/wire/statement.go
@@ -1,193 +1,132 @@
+// Package wire defines the datagrams that nodes send each other to maintain their views, and the statements
+// in them. The package has no state. A datagram has at most 256 bytes. Decoding a malformed datagram gives an
+// error, never a panic.
 package wire
 
 import (
-	"encoding/binary"
-	"errors"
+	"fmt"
 	"net/netip"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// Hash returns the hash of a member's name, which represents the name in datagrams and orders the members
-// into ranges. It is never 0.
-func Hash(name string) uint64 { return max(xxhash.Sum64String(name), 1) }
-
-// Sum returns the statement's part in the digest of a view: a hash of all fields but load, accusers and age.
-func (s Statement) Sum() uint64 {
-	var buffer [256]byte
-	return xxhash.Sum64(s.WithoutVolatile().appendBody(buffer[:0]))
-}
-
-// Bytes returns the encoding of the statement without load, accusers and age. Equal statements have equal
-// encodings.
-func (s Statement) Bytes() []byte { return s.WithoutVolatile().appendBody(nil) }
-
-// appendBody appends the statement's encoding, without a length. The statement is within its bounds.
-func (s Statement) appendBody(b []byte) []byte {
-	b = appendText(b, s.Name)
-	b = binary.AppendUvarint(b, s.Generation)
-	b = binary.AppendUvarint(b, uint64(s.Incarnation))
-	b = append(b, byte(s.Health))
-	b = binary.BigEndian.AppendUint16(b, uint16(s.Number+1))
-	b = appendAddr(b, s.Addr)
-	b = append(b, byte(s.Metadata.State))
-	b = appendText(b, s.Metadata.Zone)
-	b = appendText(b, s.Metadata.Version)
-	b = binary.AppendUvarint(b, s.Metadata.Catalogue)
-	b = binary.AppendUvarint(b, s.Metadata.Policy)
-	b = binary.AppendUvarint(b, s.Metadata.FencingToken)
-	b = binary.BigEndian.AppendUint16(b, s.Metadata.Load)
-	b = binary.AppendUvarint(b, uint64(s.LoadSeq))
-	b = appendAccusers(b, s.Accusers)
-	b = binary.BigEndian.AppendUint16(b, s.Age)
-	return append(b, s.UnknownFields...)
-}
-
-// appendText appends the length of s, in one byte, and s.
-func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
-
-// appendAddr appends the length of an address in bytes, the address and the port; for no address a 0 only.
-func appendAddr(b []byte, a netip.AddrPort) []byte {
-	ip := a.Addr().Unmap().WithZone("")
-	raw := ip.AsSlice() // none, 4 or 16 bytes
-	b = append(b, byte(len(raw)))
-	if len(raw) == 0 {
-		return b
-	}
-	return binary.BigEndian.AppendUint16(append(b, raw...), a.Port())
-}
-
-// appendAccusers appends the number of accusers and their hashes.
-func appendAccusers(b []byte, accusers [3]uint64) []byte {
-	countIndex := len(b)
-	b = append(b, 0)
-	for _, h := range accusers {
-		if h != 0 {
-			b = binary.BigEndian.AppendUint64(b, h)
-			b[countIndex]++
-		}
-	}
-	return b
-}
-
-var errMalformed = errors.New("decode datagram: too short, or a field out of bounds")
+// Health says whether a member is alive, according to a statement on the member. Of two statements of one
+// generation and incarnation, the one with the higher health prevails.
+type Health uint8
 
-// reader reads fields from a datagram. failed is set once a field is missing or malformed; from then on all
-// fields read as zero.
-type reader struct {
-	data   []byte
-	failed bool
-}
+// Only the member itself states Left, and only other members state Suspect and Dead.
+const (
+	Alive Health = iota
+	Suspect
+	Dead
+	Left
+)
 
-func (r *reader) next(n int) []byte {
-	if r.failed || n < 0 || n > len(r.data) {
-		r.failed = true
-		return nil
+func (h Health) String() string {
+	if names := [...]string{"alive", "suspect", "dead", "left"}; int(h) < len(names) {
+		return names[h]
 	}
-	field := r.data[:n]
-	r.data = r.data[n:]
-	return field
+	return fmt.Sprintf("health-%d", uint8(h))
 }
 
-func (r *reader) u8() byte {
-	if b := r.next(1); b != nil {
-		return b[0]
-	}
-	return 0
-}
+// State is the state that a member reports of itself. Values beyond the known ones come from newer versions;
+// such values are retained and passed on.
+type State uint8
 
-func (r *reader) u16() uint16 {
-	if b := r.next(2); b != nil {
-		return binary.BigEndian.Uint16(b)
-	}
-	return 0
-}
+// The states of a member, in the order in which the member goes through them.
+const (
+	Joining State = iota
+	Serving
+	Draining
+	Leaving
+)
 
-func (r *reader) u32() uint32 {
-	if b := r.next(4); b != nil {
-		return binary.BigEndian.Uint32(b)
+func (s State) String() string {
+	if names := [...]string{"joining", "serving", "draining", "leaving"}; int(s) < len(names) {
+		return names[s]
 	}
-	return 0
+	return fmt.Sprintf("state-%d", uint8(s))
 }
 
-func (r *reader) u64() uint64 {
-	if b := r.next(8); b != nil {
-		return binary.BigEndian.Uint64(b)
-	}
-	return 0
+// Metadata is what a member reports of itself. A change of any field but Load raises the member's
+// incarnation.
+type Metadata struct {
+	Zone, Version string // printable ASCII, at most MaxText bytes each
+	Catalogue     uint64 // version of the tenants' catalogue that the member has
+	Policy        uint64 // version of the policy that the member has
+	FencingToken  uint64 // fencing token under which the member holds the quota allocator's lease; 0 means none
+	Load          uint16 // per mille; not covered by the digest
+	State         State
 }
 
-// uvarint reads a number of at most maximum. A number that is encoded longer than necessary is malformed, so
-// that each value has one encoding.
-func (r *reader) uvarint(maximum uint64) uint64 {
-	v, n := binary.Uvarint(r.data)
-	if r.failed || n <= 0 || v > maximum || (n > 1 && r.data[n-1] == 0) {
-		r.failed = true
-		return 0
-	}
-	r.data = r.data[n:]
-	return v
+// Statement is a statement of one node on a member. Statements can be compared with ==.
+type Statement struct {
+	Name          string         // printable ASCII without blanks, 1 to MaxName bytes
+	Number        int            // index among the configured peers, at most MaxNumber; -1 means none
+	Addr          netip.AddrPort // advertised by the member; may be invalid
+	Generation    uint64         // below MaxGeneration
+	Incarnation   uint32
+	Health        Health
+	Metadata      Metadata
+	LoadSeq       uint32    // rises with each new load of a generation
+	Accusers      [3]uint64 // the three smallest hashes of accusers' names, ascending; unused ones 0 and last
+	Age           uint16    // tenths of a second since the member died or left; at most MaxAge
+	UnknownFields string    // fields of newer versions, passed on unchanged; at most MaxUnknownFields bytes
 }
 
-// text reads what appendText has written.
-func (r *reader) text() string { return string(r.next(int(r.u8()))) }
+// Bounds of statements. With all values at their bounds, one statement still fits into one datagram
+// (TestLargestStatementFitsIntoOneDatagram).
+const (
+	MaxName          = 48 // bytes
+	MaxText          = 24 // bytes
+	MaxUnknownFields = 21 // bytes
+	MaxNumber        = 65534
+	MaxGeneration    = 1 << 62 // far above any clock's milliseconds, so that a generation can always be raised
+	MaxAge           = 65535   // tenths of a second
+)
 
-// addr reads what appendAddr has written. IPv4 addresses must not be mapped to IPv6.
-func (r *reader) addr() netip.AddrPort {
-	n := int(r.u8())
-	if n == 0 {
-		return netip.AddrPort{}
-	}
-	ip, ok := netip.AddrFromSlice(r.next(n))
-	port := r.u16()
-	if !ok || ip.Is4In6() {
-		r.failed = true
-		return netip.AddrPort{}
-	}
-	return netip.AddrPortFrom(ip, port)
+// WithoutVolatile returns the statement without the fields that the digest does not cover: load, accusers and
+// age.
+func (s Statement) WithoutVolatile() Statement {
+	s.Metadata.Load, s.LoadSeq, s.Accusers, s.Age = 0, 0, [3]uint64{}, 0
+	return s
 }
 
-// accusers reads at most three hashes, which must ascend.
-func (r *reader) accusers() (accusers [3]uint64) {
-	n := int(r.u8())
-	if n > len(accusers) {
-		r.failed = true
-		return accusers
+// Check returns an error if a field of the statement is out of its bounds.
+func (s Statement) Check() error {
+	switch {
+	case len(s.Name) < 1 || len(s.Name) > MaxName || !printable(s.Name, '!'):
+		return fmt.Errorf("member's name %.60q: want 1 to %d printable bytes without blanks", s.Name, MaxName)
+	case len(s.Metadata.Zone) > MaxText || !printable(s.Metadata.Zone, ' '):
+		return fmt.Errorf("zone %.60q of %s: want at most %d printable bytes", s.Metadata.Zone, s.Name, MaxText)
+	case len(s.Metadata.Version) > MaxText || !printable(s.Metadata.Version, ' '):
+		return fmt.Errorf(
+			"version %.60q of %s: want at most %d printable bytes",
+			s.Metadata.Version,
+			s.Name,
+			MaxText,
+		)
+	case s.Number < -1 || s.Number > MaxNumber:
+		return fmt.Errorf("number %d of %s: want -1 to %d", s.Number, s.Name, MaxNumber)
+	case s.Generation >= MaxGeneration:
+		return fmt.Errorf("generation %d of %s: want less than 2^62", s.Generation, s.Name)
+	case s.Health > Left:
+		return fmt.Errorf("health %d of %s: unknown", s.Health, s.Name)
+	case len(s.UnknownFields) > MaxUnknownFields:
+		return fmt.Errorf(
+			"%d bytes of unknown fields of %s: want at most %d",
+			len(s.UnknownFields),
+			s.Name,
+			MaxUnknownFields,
+		)
 	}
-	var last uint64
-	for i := range n {
-		accusers[i] = r.u64()
-		r.failed = r.failed || accusers[i] <= last
-		last = accusers[i]
-	}
-	return accusers
+	return nil
 }
 
-// readStatement decodes a statement that takes up all of b.
-func readStatement(b []byte) (Statement, error) {
-	r := reader{data: b}
-	s := Statement{
-		Name:        r.text(),
-		Generation:  r.uvarint(MaxGeneration - 1),
-		Incarnation: uint32(r.uvarint(1<<32 - 1)),
-		Health:      Health(r.u8()),
-	}
-	s.Number = int(r.u16()) - 1
-	s.Addr = r.addr()
-	s.Metadata.State = State(r.u8())
-	s.Metadata.Zone, s.Metadata.Version = r.text(), r.text()
-	s.Metadata.Catalogue, s.Metadata.Policy, s.Metadata.FencingToken = r.uvarint(
-		1<<64-1,
-	), r.uvarint(
-		1<<64-1,
-	), r.uvarint(
-		1<<64-1,
-	)
-	s.Metadata.Load, s.LoadSeq = r.u16(), uint32(r.uvarint(1<<32-1))
-	s.Accusers, s.Age = r.accusers(), r.u16()
-	if r.failed {
-		return Statement{}, errMalformed
+// printable reports whether all bytes of s are printable ASCII and not below lowest.
+func printable(s string, lowest byte) bool {
+	for i := range len(s) {
+		if s[i] < lowest || s[i] > '~' {
+			return false
+		}
 	}
-	s.UnknownFields = string(r.data[:min(len(r.data), MaxUnknownFields)])
-	return s, s.Check()
+	return true
 }
--- a/internal/membership/wire/wire_test.go
+++ b/internal/membership/wire/wire_test.go
@@ -72,16 +72,16 @@
 }
 
 func TestStatementsOutOfBoundsAreRejected(t *testing.T) {
-	for name, spoil := range map[string]func(s *Statement){
-		"no name": func(s *Statement) { s.Name = "" }, "long name": func(s *Statement) { s.Name += "n" },
-		"blank in the name": func(s *Statement) { s.Name = "a b" }, "control byte": func(s *Statement) { s.Metadata.Zone = "a\nb" },
+	for name, corrupt := range map[string]func(s *Statement){
+		"empty name": func(s *Statement) { s.Name = "" }, "long name": func(s *Statement) { s.Name += "n" },
+		"blank in the name": func(s *Statement) { s.Name = "a b" }, "control byte in the zone": func(s *Statement) { s.Metadata.Zone = "a\nb" },
 		"long zone": func(s *Statement) { s.Metadata.Zone += "z" }, "long version": func(s *Statement) { s.Metadata.Version += "v" },
-		"life": func(s *Statement) { s.Generation = MaxGeneration }, "health": func(s *Statement) { s.Health = 4 },
-		"accusers": func(s *Statement) { s.Accusers = [3]uint64{2, 1, 3} },
+		"generation": func(s *Statement) { s.Generation = MaxGeneration }, "unknown health": func(s *Statement) { s.Health = 4 },
+		"accusers not ascending": func(s *Statement) { s.Accusers = [3]uint64{2, 1, 3} },
 	} {
 		s := largest()
 		s.Addr, s.UnknownFields = netip.AddrPort{}, ""
-		spoil(&s)
+		corrupt(&s)
 		d := Datagram{Header: Header{Kind: Gossip, Sender: 1}}
 		b, _ := AppendStatement(d.Encode(), s)
 		if _, err := Decode(b); err == nil {
