--- a/internal/membership/awareness.go
+++ b/internal/membership/awareness.go
@@ -61,9 +61,9 @@
 func (a *awareness) recover() { a.score = max(a.score-1, 0) }
 
 // recordProbe records the result of a probe: the member that did not answer, or 0. The result of a repeated
-// probe replaces the result of the previous probe of the same member. When three of the last four probed
-// members did not answer, the node suppresses its accusations. In a fleet of three that never happens, since
-// the other two members may well both be dead.
+// probe replaces the result of the previous probe of the same member. When three different members are among
+// the failures of the last four probes, the node suppresses its accusations. That never happens in a fleet of
+// three, whose other two members may well both be dead.
 func (a *awareness) recordProbe(now Time, failedMember uint64, repeated bool) {
 	if repeated {
 		a.nextFailure = (a.nextFailure + len(a.recentFailures) - 1) % len(a.recentFailures)
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -23,8 +23,8 @@
 	self                   *memberState
 	byHash                 map[uint64]*memberState
 	sorted                 []*memberState // all members, self included, by hash
-	livingCount, deadCount int            // of the other members
-	suspectCount           int            // of the other members
+	livingCount, deadCount int            // number of other members that are living, and that are dead
+	suspectCount           int            // number of other members that are suspect; they also count as living
 
 	version, digest uint64
 	rangeSums       [wire.Fanout]uint64
--- a/internal/membership/gossip/datagrams.go
+++ b/internal/membership/gossip/datagrams.go
@@ -9,8 +9,8 @@
 )
 
 // Bounds, per second and in a burst, on the datagrams of this fleet from strangers: addresses that are not of
-// a member. When 300 nodes join within a second, they send somewhat fewer datagrams before they are known.
-// Decoding 500 datagrams takes about a millisecond.
+// a member. When 300 nodes join within a second, they send somewhat fewer than 500 datagrams before they are
+// known. Decoding 500 datagrams takes about a millisecond.
 const (
 	strangerRate  = 500
 	strangerBurst = 500
--- a/internal/membership/lifecycle_test.go
+++ b/internal/membership/lifecycle_test.go
@@ -145,8 +145,8 @@
 	net.mustSettle(time.Second, "dead and left members were forgotten")
 }
 
-// A leave ends with LeaveDone; the node is silent afterwards and is not taken for dead.
-func TestLeaveEndsSilentlyWithoutFalseDeath(t *testing.T) {
+// A leave ends with LeaveDone. Afterwards the node sends nothing, and it is not taken for dead.
+func TestNodeThatLeftSendsNothingAndIsNotTakenForDead(t *testing.T) {
 	net, nodes := settledFleet(t, 26, 5)
 	net.lossRate = 0.3
 	start := net.now
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -202,7 +202,8 @@
 	return s
 }
 
-// falseDeaths counts how often after since a running node has seen one of the nodes become dead.
+// falseDeaths counts how often, from the time since on, one of the nodes became dead in the view of a running
+// node.
 func (net *network) falseDeaths(since Time, nodes ...*node) (count int) {
 	for _, n := range net.nodes {
 		for _, c := range n.changes {
@@ -221,7 +222,7 @@
 	change
 }
 
-// suspicions returns the changes after since in which a member became suspect.
+// suspicions returns the changes, from the time since on, in which a member became suspect.
 func (net *network) suspicions(since Time) (out []viewerChange) {
 	for _, n := range net.nodes {
 		for _, c := range n.changes {
--- a/internal/quota/allocator/server.go
+++ b/internal/quota/allocator/server.go
@@ -52,11 +52,13 @@
 // server owns the core in the goroutine of loop. At most one other goroutine at a time writes or reads the
 // record.
 type server struct {
-	config     Config
-	core       *quota.Allocator
-	start      time.Time          // origin of the core's times
-	tenures    chan tenure        // new tenures, from holdLease to loop
-	tenureEnds chan chan struct{} // ends of tenures; loop closes the received channel once it is done
+	config  Config
+	core    *quota.Allocator
+	start   time.Time   // origin of the core's times
+	tenures chan tenure // new tenures, from holdLease to loop
+	// ends of tenures, from holdLease to loop, which closes the received channel once it no longer acts on the
+	// lease
+	tenureEnds chan chan struct{}
 	writes     chan writeResult
 	done       chan struct{} // closed once loop has ended
 	tenure     tenure        // its fencing token is 0 while the lease is not held
--- a/internal/quota/claims.go
+++ b/internal/quota/claims.go
@@ -9,10 +9,10 @@
 // minDemand is the demand, in units a second, below which a limit counts as idle.
 const minDemand = 0.1
 
-// measureDemand updates the demand of the claimed limits, and stops claiming the limits that are idle. A rise
-// beyond random variation (three standard deviations) is followed at once, and such a fall within a few
-// rounds. Smaller changes are followed by a quarter in each round, so that random variation neither makes a
-// share oscillate nor makes it larger than its use.
+// measureDemand updates the demand of the claimed limits, and stops claiming the limits that are idle. The
+// recorded demand follows a rise beyond random variation (three standard deviations) at once, and a fall
+// beyond random variation within a few rounds. It follows smaller changes by a quarter in each round, so that
+// random variation neither makes a share oscillate nor makes it larger than its use.
 func (l *Ledger) measureDemand(since time.Duration) {
 	seconds := max(since, l.times.renewInterval).Seconds()
 	l.claimedLimits = slices.DeleteFunc(l.claimedLimits, func(i int32) bool {
--- a/internal/quota/simulated_registry_test.go
+++ b/internal/quota/simulated_registry_test.go
@@ -69,7 +69,7 @@
 	}
 	e := AllocatorKnown{s.holder.name, s.token}
 	s.simulation.after(time.Duration(s.simulation.rng.ExpFloat64()*float64(20*time.Millisecond)), func() {
-		if s.simulation.cutLinks[[2]string{"service", p.name}] {
+		if s.simulation.cutLinks[[2]string{"registry", p.name}] {
 			return
 		}
 		if s.simulation.hooks.beforeAllocatorKnown != nil && p.ledger != nil {
--- a/internal/quota/slot.go
+++ b/internal/quota/slot.go
@@ -40,9 +40,9 @@
 	return s
 }
 
-// tokens returns how many of a limit's fallback tokens fall to the slot, as an integer. The circle is rotated
-// by the limit's hash, so that the slots that get the tokens left over by division differ from limit to
-// limit. The results for slots that cover the complete circle add up to tokens.
+// tokens returns how many of a limit's fallback tokens belong to the slot, as an integer. The circle is
+// rotated by the limit's hash, so that the slots that get the tokens left over by division differ from limit
+// to limit. The results for slots that cover the complete circle add up to tokens.
 func (s Slot) tokens(tokens uint64, limitHash uint64) uint64 {
 	start, length := s.span()
 	start = (start + limitHash>>32) % (1 << circleBits)
