--- a/internal/proxy/start_test.go
+++ b/internal/proxy/start_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"wrenspread/internal/besteffort"
+	"wrenspread/internal/lab/link"
 )
 
 // fakeDiscovery answers each call for a list after answerTime. Where it is polled, it answers one call at a
@@ -25,26 +26,42 @@
 	polled     bool
 }
 
-// newDiscovery starts a fakeDiscovery that refuses connections at first, for the time down.
+// newDiscovery starts a fakeDiscovery that refuses connections at first, for the time down. Its port is
+// reserved meanwhile, so that no other socket of the machine is given it.
 func newDiscovery(t *testing.T, answerTime, down time.Duration, silent, polled bool) *fakeDiscovery {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	address, release, err := link.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &fakeDiscovery{address: ln.Addr().String(), answerTime: answerTime, silent: silent, polled: polled}
+	t.Cleanup(release)
+	d := &fakeDiscovery{address: address, answerTime: answerTime, silent: silent, polled: polled}
 	srv := &http.Server{Handler: d}
 	t.Cleanup(func() { besteffort.Close(srv) })
 	if down == 0 {
+		ln, err := net.Listen("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
 		go func() { _ = srv.Serve(ln) }()
 		return d
 	}
-	besteffort.Close(ln)
+	listenError := make(chan error, 1)
 	back := time.AfterFunc(down, func() {
-		if ln, err := net.Listen("tcp", d.address); err == nil { // otherwise discovery stays down
-			_ = srv.Serve(ln)
+		ln, err := net.Listen("tcp", address)
+		if err != nil {
+			listenError <- err
+			return
+		}
+		_ = srv.Serve(ln)
+	})
+	t.Cleanup(func() {
+		back.Stop()
+		select {
+		case err := <-listenError:
+			t.Errorf("discovery stayed down: %v", err)
+		default:
 		}
 	})
-	t.Cleanup(func() { back.Stop() })
 	return d
 }
 
