--- a/internal/proxy/listener/clientgone.go
+++ b/internal/proxy/listener/clientgone.go
@@ -9,23 +9,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClientGone reports whether the client has closed its connection, or its sending side, as far as the
-// kernel knows, also where unread bytes come before that end. The background read of the HTTP server,
-// which detects the same, may come later than an attempt.
+// ClientGone reports whether the client has closed its connection, or its sending side, as far as the kernel
+// knows, even if unread bytes precede that end. The HTTP server detects the same by its background read, but
+// that read may come later than an attempt.
 func (c *Conn) ClientGone() bool {
 	raw, err := c.socket()
 	if err != nil {
 		return true // closed
 	}
 	gone := false
-	// Control, because RawConn.Read would wait for a read of the HTTP server.
+	// Not RawConn.Read, which would wait for a read of the HTTP server.
 	err = raw.Control(func(fd uintptr) { gone = hasEnded(int(fd)) })
 	return gone || err != nil
 }
 
-// waitForClientEnd waits until the client ends its connection or its sending side. It reads nothing, as
-// the buffer for pipelined bytes is full. It returns io.EOF at the client's end; another error means that
-// the wait was interrupted.
+// waitForClientEnd waits until the client ends its connection or its sending side. It reads no bytes, as the
+// buffer for pipelined bytes is full. At the client's end it returns io.EOF; another error means that the
+// wait was interrupted.
 func (c *Conn) waitForClientEnd() error {
 	raw, err := c.socket()
 	if err != nil {
@@ -50,8 +50,8 @@
 	return sc.SyscallConn()
 }
 
-// hasEnded reports whether the peer of a socket has ended its side, so that nothing follows the bytes
-// that can be read already.
+// hasEnded reports whether the peer of a socket has ended its side, so that no bytes follow those that can be
+// read already.
 func hasEnded(fd int) bool {
 	var b [1]byte
 	if n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT); n <= 0 {
--- a/internal/proxy/listener/close_test.go
+++ b/internal/proxy/listener/close_test.go
@@ -102,35 +102,35 @@
 	return c.(*net.TCPConn)
 }
 
-func wait[T any](t *testing.T, c <-chan T, what string) (v T) {
+func wait[T any](t *testing.T, c <-chan T, awaited string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("timed out waiting for " + what)
+		t.Fatal("timed out waiting for " + awaited)
 	}
 	return v
 }
 
-// closeCases lists what a client sends, and what it sends as its connection is half-closed (crossing).
+// closeCases lists what a client sends before its connection is half-closed, and at that moment (crossing).
 var closeCases = []struct {
 	name, sent, crossing string
-	want                 int  // status of the last response; 0 means none
-	ends                 bool // the server closes the connection without Drain
+	wantStatus           int  // status of the last response; 0 means none
+	serverCloses         bool // the server closes the connection without Drain
 }{
-	{"asked to close", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "", 200, true},
-	{"asked to close, more behind", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 32<<10), "", 200, true},
-	{"asked to close, crossed", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 200, true},
-	{"no request", "x\r\n\r\n" + strings.Repeat("x", 32<<10), "", 400, true},
+	{"Connection: close", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "", 200, true},
+	{"Connection: close, bytes behind the request", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + strings.Repeat("x", 32<<10), "", 200, true},
+	{"Connection: close, request crosses the half-close", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 200, true},
+	{"malformed request", "x\r\n\r\n" + strings.Repeat("x", 32<<10), "", 400, true},
 	{"idle", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "", 200, false},
-	{"idle, crossed", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 200, false},
+	{"idle, request crosses the half-close", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 200, false},
 	{"new", "", "", 0, false},
-	{"new, crossed", "", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 0, false},
+	{"new, request crosses the half-close", "", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", 0, false},
 }
 
 // TestCloseDeliversLastResponseWithoutReset checks that a client gets its response and an end of the
-// connection, never a reset, however many of its bytes are unread. Bytes behind the request are not
-// served. The connection of a client that does not close is closed too.
+// connection, never a reset, however many of its bytes are unread. Bytes behind the request are not served.
+// If the client does not close its side, the connection is closed nevertheless.
 func TestCloseDeliversLastResponseWithoutReset(t *testing.T) {
 	for _, c := range closeCases {
 		for _, clientCloses := range []bool{true, false} {
@@ -141,17 +141,17 @@
 				conn := dial(t, ln)
 				besteffort.Output(io.WriteString(conn, c.sent)) // arrives completely before the server reads
 				served, states := serve(t, l, func(http.ResponseWriter, *http.Request) {})
-				if c.want > 0 {
+				if c.wantStatus > 0 {
 					wait(t, states, "the connection")
 				}
-				read := bufio.NewReader(conn)
-				if c.want > 0 {
-					resp, err := http.ReadResponse(read, nil)
-					if err != nil || resp.StatusCode != c.want {
+				reader := bufio.NewReader(conn)
+				if c.wantStatus > 0 {
+					resp, err := http.ReadResponse(reader, nil)
+					if err != nil || resp.StatusCode != c.wantStatus {
 						t.Fatalf("response %v, %v", resp, err)
 					}
 				}
-				if !c.ends {
+				if !c.serverCloses {
 					wait(t, states, "the connection to go idle, or to be new")
 					l.Drain()
 					l.CloseNew()
@@ -161,11 +161,11 @@
 					besteffort.Output(io.WriteString(conn, c.crossing))
 					open()
 				case <-ln.closed:
-					t.Fatalf("connection closed without a half-close: %v", readToEnd(read))
+					t.Fatalf("connection closed without a half-close: %v", readToEnd(reader))
 				case <-time.After(testTimeout):
 					t.Fatal("connection is not closed")
 				}
-				if err := readToEnd(read); err != nil {
+				if err := readToEnd(reader); err != nil {
 					t.Errorf("connection ends with %v, want a clean end", err)
 				}
 				if clientCloses {
@@ -186,7 +186,7 @@
 }
 
 // TestStalledNextRequestEndsAtHeadTimeout guards against a next request that stops within its first three
-// bytes: the HTTP server does not yet count them as a request, and would wait as for an idle client.
+// bytes: the HTTP server does not yet count these as a request, and would wait as long as for an idle client.
 func TestStalledNextRequestEndsAtHeadTimeout(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln, 1)
@@ -200,19 +200,19 @@
 	wait(t, ln.closeWriteGates, "the half-close")()
 }
 
-// TestBytesReadDuringCloseAreNotServed checks that a request which a read returns just as its connection
-// is closed is not served, and that the client sees a clean end.
+// TestBytesReadDuringCloseAreNotServed checks that a request is not served if its bytes are read just as its
+// connection is closed, and that the client sees a clean end.
 func TestBytesReadDuringCloseAreNotServed(t *testing.T) {
 	for _, previous := range []int{0, 1} { // requests served before
 		ln := listen(t)
 		l := Limit(ln, 1)
 		served, states := serve(t, l, func(http.ResponseWriter, *http.Request) {})
 		conn := dial(t, ln)
-		read := bufio.NewReader(conn)
+		reader := bufio.NewReader(conn)
 		wait(t, states, "the connection")
 		for range previous {
 			besteffort.Output(io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
-			if _, err := http.ReadResponse(read, nil); err != nil {
+			if _, err := http.ReadResponse(reader, nil); err != nil {
 				t.Fatal(err)
 			}
 			wait(t, states, "the connection to go idle")
@@ -224,8 +224,8 @@
 		l.CloseNew()
 		open()
 		wait(t, ln.closeWriteGates, "the half-close")()
-		if rest, err := io.ReadAll(read); len(rest) > 0 || err != nil || served.Load() != int32(previous) {
-			t.Errorf("after %d requests the connection ends with %q, %v, and %d have been served", previous, rest, err, served.Load())
+		if unexpected, err := io.ReadAll(reader); len(unexpected) > 0 || err != nil || served.Load() != int32(previous) {
+			t.Errorf("after %d requests the connection ends with %q, %v, and %d have been served", previous, unexpected, err, served.Load())
 		}
 	}
 }
--- a/internal/proxy/listener/conn.go
+++ b/internal/proxy/listener/conn.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// lingerTimeout is how long Close waits for the client to close its side: a round trip, at most around
-	// the planet, and the time that a busy client takes.
+	// lingerTimeout is how long Close waits for the client to close its side: one round trip to any place on
+	// Earth, and the time that a busy client needs.
 	lingerTimeout = 500 * time.Millisecond
-	// maxLingerBytes bounds the bytes that are read and discarded meanwhile: a few of the longest requests.
-	// A client that sends more does not read its response.
+	// maxLingerBytes bounds the bytes that Close reads and discards while it waits: a few of the longest
+	// requests. A client that sends more does not read its response.
 	maxLingerBytes    = 256 << 10
-	pipelinedReadSize = 1 << 10 // bytes of each read behind a request in flight
+	pipelinedReadSize = 1 << 10 // bytes; buffer size of a read behind a request in flight
 )
 
-// Conn is a client's connection. It passes the HTTP server only requests of unambiguous length, and
+// Conn is a client's connection. It passes only requests of unambiguous length to the HTTP server, and
 // buffers what the client sends behind a request in flight.
 type Conn struct {
 	net.Conn
@@ -33,17 +33,17 @@
 	mu             sync.Mutex // protects the fields below
 	state          state
 	evictedUnused  bool  // evicted before its first byte came
-	readError      error // how the client ended its side; nil while it has not
-	hasUnreadBytes bool  // the client ended its side behind bytes that were not read
+	readError      error // the error with which the client's side ended; nil until then
+	hasUnreadBytes bool  // the client ended its side, but bytes before the end are unread
 	framing        framing
-	inFlight       bool   // the HTTP server has a complete request and has not finished it
+	inFlight       bool   // the HTTP server has a complete request and has not finished serving it
 	hasReceived    bool   // some bytes of the client have been passed to the HTTP server
 	pipelined      []byte // bytes received behind the end of the current request
 }
 
-// Read withholds what follows a head of ambiguous length. It returns no bytes beyond the end of a
-// request, because an error in the bytes behind a request must not end that request. The HTTP server
-// never runs two reads at a time.
+// Read withholds the bytes behind a head of ambiguous length. It returns no bytes beyond the end of a
+// request, because an error in the bytes behind a request must not end that request. The HTTP server never
+// runs two reads at a time.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +53,7 @@
 		case c.framing.err != nil:
 			return 0, c.framing.err
 		case c.readError != nil:
-			return 0, c.readError // also with pipelined bytes: a client that has left is owed no more responses
+			return 0, c.readError // also with pipelined bytes: a client that has left gets no more responses
 		case len(c.pipelined) > 0 && !background:
 			n, err := c.followFraming(p[:copy(p, c.pipelined)])
 			c.pipelined = c.pipelined[n:]
@@ -76,13 +76,13 @@
 	}
 }
 
-// isBackgroundRead reports whether a read is the background read that the HTTP server runs during a
-// handler to detect that the client leaves. It asks for one byte, and detects nothing more once it has
-// that byte; so it gets none. The end of a chunked request is not known here, but in a chunked body the
-// server reads a single byte only in its background read.
+// isBackgroundRead reports whether a read is the background read that the HTTP server runs during a handler
+// to detect that the client leaves. Such a read asks for one byte, and detects nothing more once it has that
+// byte, so Read returns no byte to it. The end of a chunked request is not known here, but in a chunked body
+// the server reads a single byte only in its background read.
 func (c *Conn) isBackgroundRead(p []byte) bool { return c.inFlight || c.framing.chunked && len(p) == 1 }
 
-// receive reads what the client has sent, and returns io.EOF if the connection has been closed here.
+// receive reads what the client has sent. It returns io.EOF if the proxy has closed the connection meanwhile.
 func (c *Conn) receive(p []byte) (int, error) {
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
@@ -100,8 +100,8 @@
 	return n, nil
 }
 
-// followFraming tracks the framing of the bytes that the HTTP server is to be given, and returns how many
-// of them it may get. The first byte of a later request starts HeadTimeout.
+// followFraming tracks the framing of the bytes that are to be passed to the HTTP server, and returns how
+// many of them may be passed. At the first byte of a later request it starts HeadTimeout.
 func (c *Conn) followFraming(p []byte) (int, error) {
 	if c.framing.isBetweenRequests() && c.hasReceived {
 		now := time.Now()
@@ -119,8 +119,8 @@
 	return n, nil
 }
 
-// SetReadDeadline sets the read deadline, unless the connection has been closed: then the expired one
-// remains.
+// SetReadDeadline sets the read deadline. If the proxy has closed the connection, the deadline that has
+// already expired remains.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,8 +142,8 @@
 }
 
 // Close closes the connection and then frees its slot. Closing a socket with unread bytes sends a reset,
-// which may destroy a response on its way; so the client gets Connection: close first, and has up to
-// lingerTimeout to close.
+// which may destroy a response on its way to the client. So Close first ends the sending side, and waits up
+// to lingerTimeout for the client to close.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.state = closed
@@ -158,7 +158,7 @@
 }
 
 // linger ends the sending side of the proxy, and discards what the client sends until the client ends its
-// side, lingerTimeout is over or maxLingerBytes have come.
+// side, lingerTimeout has passed or maxLingerBytes have come.
 func (c *Conn) linger() {
 	writeCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || writeCloser.CloseWrite() != nil {
--- a/internal/proxy/listener/framing.go
+++ b/internal/proxy/listener/framing.go
@@ -12,18 +12,18 @@
 // errFraming makes the HTTP server answer 400 and close the connection.
 var errFraming = errors.New("read request: ambiguous body length")
 
-// framing tracks the request heads that one client sends, ahead of the HTTP server. Where a head can be
-// understood in two ways as to where its body ends, the server silently chooses one, and bytes that the
-// client sent as body may be taken for a request that it never sent (request smuggling). Such a head is
-// not passed on.
+// framing tracks the request heads that one client sends, before the HTTP server gets them. Some heads can be
+// read in two ways as to where the body ends. The server would silently choose one way, and might then take
+// bytes of the body for a request that the client never sent (request smuggling). Such a head is not passed
+// on.
 type framing struct {
-	headLine        []byte   // the current line of a head, so far
+	headLine        []byte   // the part of the current head line that has come
 	hasRequestLine  bool     // the request line of the current head is complete
 	isOldVersion    bool     // the request line does not name HTTP/1.1
 	contentLengths  []string // values of the Content-Length headers
 	transferCodings int      // number of Transfer-Encoding headers
 	bodyRemaining   int64    // bytes of the current body that are still to come
-	chunked         bool     // only the HTTP server finds the end of this request; nothing behind it is served
+	chunked         bool     // only the HTTP server knows where this request ends; bytes behind it aren't served
 	requestEnded    bool     // the HTTP server has been given the last byte of a request
 	err             error    // why no further byte is passed on
 }
@@ -33,9 +33,9 @@
 	return !f.hasRequestLine && len(f.headLine) == 0 && f.bodyRemaining == 0 && !f.chunked
 }
 
-// follow tracks the bytes that were read, and returns how many of them may be passed on: up to the end of
-// a request or, where a head line is rejected and f.err is set, up to the end of that line without its
-// line feed.
+// follow tracks the bytes that were read, and returns how many of them may be passed on: all, or those up to
+// the end of a request. If a head line is rejected, it sets f.err, and the count is up to the end of that
+// line without its line feed.
 func (f *framing) follow(p []byte) int {
 	for i := 0; i < len(p) && !f.chunked; {
 		if f.bodyRemaining > 0 {
@@ -66,8 +66,8 @@
 	return len(p)
 }
 
-// appendLine adds to the current head line, and cuts it at MaxHead bytes: the HTTP server rejects a
-// longer head.
+// appendLine adds bytes to the current head line, and cuts the line at MaxHead bytes: the HTTP server rejects
+// a longer head.
 func (f *framing) appendLine(p []byte) {
 	f.headLine = append(f.headLine, p[:min(len(p), MaxHead-len(f.headLine))]...)
 }
@@ -96,8 +96,8 @@
 	return false, nil
 }
 
-// endHead determines the length of the body. An HTTP/1.0 request has no transfer codings, and the HTTP
-// server would ignore the header.
+// endHead determines the length of the body. It rejects a Transfer-Encoding header in an HTTP/1.0 request:
+// that version has no transfer codings, and the HTTP server would ignore the header.
 func (f *framing) endHead() error {
 	switch {
 	case f.transferCodings > 0 && (f.transferCodings > 1 || len(f.contentLengths) > 0 || f.isOldVersion),
--- a/internal/proxy/listener/full_test.go
+++ b/internal/proxy/listener/full_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestClientsAreClosedWhileFullAndServedAfterwards checks that clients are closed unread while all slots
-// are taken for longer than FullTimeout, that Full reports it, and that a client that comes once a slot
-// is free is served.
+// TestClientsAreClosedWhileFullAndServedAfterwards checks that clients are closed unread when all slots have
+// been taken for longer than FullTimeout, that Full reports this, and that a client that comes after a slot
+// became free is served.
 func TestClientsAreClosedWhileFullAndServedAfterwards(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln.TCPListener, 1)
@@ -76,7 +76,7 @@
 	}
 }
 
-// descriptorLimitedListener fails some accepts as a system does that has no descriptor left.
+// descriptorLimitedListener fails some accepts with the error of a system that has no descriptor left.
 type descriptorLimitedListener struct {
 	net.Listener
 	failures int
@@ -90,8 +90,8 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptEvictsIdleClientWhenDescriptorsRunOut checks that Accept survives a lack of descriptors, and
-// that an idle client gives up its own.
+// TestAcceptEvictsIdleClientWhenDescriptorsRunOut checks that Accept continues after the system has run out
+// of descriptors, and that an idle client is closed to free one.
 func TestAcceptEvictsIdleClientWhenDescriptorsRunOut(t *testing.T) {
 	ln := listen(t)
 	limited := &descriptorLimitedListener{Listener: ln.TCPListener}
--- a/internal/proxy/listener/idle.go
+++ b/internal/proxy/listener/idle.go
@@ -9,17 +9,17 @@
 	"wrenspread/internal/socketoption"
 )
 
-// state is the state of a connection, in the terms of net/http. A client whose connection is closed
-// between two requests sends a request again that crosses the close; a client of whose request a byte has
-// been read is owed a response. The first request on a new connection is not sent again, so new
-// connections are closed last.
+// state is the state of a connection, in the terms of net/http. The proxy closes only idle and new
+// connections on its own initiative. If a client's request crosses the close of an idle connection, the
+// client sends it again; but a client sends the first request on a new connection only once, so new
+// connections are closed last. Once a byte of a request has been read, the client must get a response.
 type state int
 
 const (
 	fresh  state = iota // no byte has been read
 	active              // a request is being received or served
 	idle                // no byte of a next request has been read
-	closed              // bytes that come later are discarded
+	closed              // bytes that come after the close are discarded
 )
 
 // TrackState tracks which connections are new or idle, for the ConnState callback of http.Server. The
@@ -55,16 +55,18 @@
 	return true
 }
 
-// closeInState closes a connection if it is in state s, in which no response is owed, and reports whether
-// it was: the expired deadline ends the read of the HTTP server, which then closes the connection.
+// closeInState closes a connection if it is in state s, and reports whether it was. In s (idle or fresh) the
+// client awaits no response. The expired deadline ends the read of the HTTP server, which then closes the
+// connection.
 func (c *Conn) closeInState(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeInStateLocked(s)
 }
 
-// evict is closeInState for a connection that is closed in favour of another. A new connection that has
-// sent nothing, as far as the kernel knows, has no response on its way, so that its slot is free at once.
+// evict is closeInState for a connection that is closed to make its slot free for another. For a new
+// connection on which nothing has come, as far as the kernel knows, it notes that no response is on its way,
+// so that the slot is free at once.
 func (c *Conn) evict(s state) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,8 +87,8 @@
 	return true
 }
 
-// evictIdle closes the connection that has been idle longest or, with none idle, the new connection that
-// has been silent longest, if that is minFreshTime or more. It returns false if there is none.
+// evictIdle closes the connection that has been idle longest. If none is idle, it closes the new connection
+// that has been silent longest, if that is at least minFreshTime. It returns false if it closed none.
 func (l *Listener) evictIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,8 +100,8 @@
 	return evictOldest(l.fresh, fresh, now.Add(-minFreshTime))
 }
 
-// evictOldest evicts the connection that has been in state s longest, if that is since latest or earlier.
-// It reports whether it evicted one.
+// evictOldest evicts the connection that has been in state s longest, if it entered the state at latest or
+// earlier. It reports whether it evicted a connection.
 func evictOldest(conns map[net.Conn]time.Time, s state, latest time.Time) bool {
 	for len(conns) > 0 {
 		var oldest net.Conn
@@ -119,8 +121,7 @@
 	return false
 }
 
-// closeAllIdle closes all connections that are idle now, and each later one as it goes idle. It closes no
-// other.
+// closeAllIdle closes all connections that are idle now, and later each connection that goes idle.
 func (l *Listener) closeAllIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/listener/inherited.go
+++ b/internal/proxy/listener/inherited.go
@@ -10,9 +10,9 @@
 	"wrenspread/internal/besteffort"
 )
 
-// Inherited returns the listener for clients that the platform has opened; number is its descriptor, as
-// named in the environment. The socket is shared with other processes: it may be closed, but never shut
-// down.
+// Inherited returns the listener for clients that the platform has opened. number is the number of its
+// descriptor, as given in the environment. The socket is shared with other processes, so it may be closed,
+// but never shut down.
 func Inherited(number string) (net.Listener, error) {
 	fd, err := strconv.Atoi(number)
 	if err != nil || fd < 0 {
@@ -32,8 +32,8 @@
 }
 
 // sharedListener is a listener whose blocking mode is shared with all processes that have the socket. A
-// process that passes the socket on may set it to blocking, as os/exec does: an accept that finds no
-// client would then block, and even Close with it, until a client comes.
+// process that passes the socket on may set it to blocking, as os/exec does. Then an accept that finds no
+// client would block until a client comes, and Close would block with it.
 type sharedListener struct{ *net.TCPListener }
 
 // Accept sets the socket to non-blocking before each accept.
--- a/internal/proxy/listener/listener.go
+++ b/internal/proxy/listener/listener.go
@@ -1,7 +1,7 @@
 // Package listener accepts clients' connections for the proxy's HTTP server. It bounds their number, closes
-// idle ones to free slots, withholds requests whose framing is ambiguous (request smuggling), detects clients
-// that leave, and closes connections without losing the last response: it shuts down writing, reads to the
-// client's end, and then closes.
+// idle connections to free slots, withholds requests whose framing is ambiguous (request smuggling), detects
+// clients that leave, and closes connections without losing the last response: it shuts down writing, reads
+// to the client's end, and then closes.
 package listener
 
 import (
@@ -22,35 +22,35 @@
 const (
 	connPollInterval   = 50 * time.Millisecond // between checks of whether all connections have ended
 	queueAcceptTimeout = 50 * time.Millisecond // to accept a connection that already waits in the queue
-	// evictRetryInterval is the time for an evicted client to close, before another one is evicted.
+	// evictRetryInterval is the time for an evicted client to close before another client is evicted.
 	evictRetryInterval = 20 * time.Millisecond
-	// minFreshTime is the time for the first byte of a new client to come, before it can be evicted: one or
-	// two round trips, because clients connect when they have something to send.
+	// minFreshTime is the time for the first byte of a new client to come before the client can be evicted: one
+	// or two round trips, because clients connect when they have something to send.
 	minFreshTime = 100 * time.Millisecond
 )
 
 // Listener bounds the number of accepted connections, so that clients leave descriptors for the backends.
 type Listener struct {
 	net.Listener
-	// HeadTimeout bounds the time from the first byte of a later request to the end of its head; 0 leaves
-	// that to the HTTP server.
+	// HeadTimeout bounds the time from the first byte of a later request to the end of its head. 0: only the
+	// timeouts of the HTTP server apply.
 	HeadTimeout time.Duration
-	// FullTimeout is how long all slots may be taken, with no connection to evict, before further clients
-	// are closed unread; 0 lets them wait in the queue.
+	// FullTimeout is how long all slots may be taken, with no connection to evict, before further clients are
+	// closed unread. 0: they wait in the queue without limit.
 	FullTimeout time.Duration
 	slots       chan struct{} // one element for each open connection
 	full        atomic.Bool   // new clients are closed unread
-	skipLinger  atomic.Bool   // closing waits for no client
+	skipLinger  atomic.Bool   // connections close without waiting for their clients
 	closed      chan struct{} // closed by Close
-	closeOnce   sync.Once     // guards closed
+	closeOnce   sync.Once     // closes closed
 
-	// fullSince is since when Accept has found all slots taken and no connection to evict; zero means that
-	// the last slot was free at once. Only Accept uses it.
+	// fullSince is the time since which Accept has found all slots taken and no connection to evict. It is zero
+	// if the last slot was free at once. Only Accept uses it.
 	fullSince time.Time
 
 	mu       sync.Mutex
-	idle     map[net.Conn]time.Time // since when each connection is idle
-	fresh    map[net.Conn]time.Time // since when each new connection is open
+	idle     map[net.Conn]time.Time // when each idle connection became idle
+	fresh    map[net.Conn]time.Time // when each new connection was accepted
 	draining bool                   // connections that go idle are closed
 }
 
@@ -66,9 +66,9 @@
 }
 
 // Accept returns the next connection. It frees a slot by closing a connection that is not in use, so that
-// clients that keep unused connections do not shut out others. With all slots in use, further clients
-// wait in the queue of the socket; once that has lasted for FullTimeout, they are closed unread, so that
-// each learns of it and none waits behind a queue that keeps growing.
+// clients that keep unused connections do not shut out others. If all slots are in use, further clients wait
+// in the queue of the socket. When that has lasted for FullTimeout, they are closed unread, so that each of
+// them notices and none waits in a queue that keeps growing.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		hasSlot := l.takeSlot()
@@ -91,8 +91,8 @@
 	}
 }
 
-// acceptNext accepts the next connection of the queue. Where the system has no descriptor left, it evicts
-// a client that is not in use and tries again; the HTTP server would wait for up to a second.
+// acceptNext accepts the next connection of the queue. If the system has no descriptor left, it evicts a
+// client that is not in use and tries again; the HTTP server itself would wait for up to a second.
 func (l *Listener) acceptNext() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -109,8 +109,8 @@
 	}
 }
 
-// takeSlot waits for a free slot. It returns false where the listener has been closed, or where all slots
-// have been taken for FullTimeout and no connection can be evicted.
+// takeSlot waits for a free slot. It returns false if the listener has been closed, or if all slots have been
+// taken for FullTimeout and no connection can be evicted.
 func (l *Listener) takeSlot() bool {
 	select {
 	case l.slots <- struct{}{}:
@@ -125,7 +125,7 @@
 	defer retry.Stop()
 	for {
 		full := !l.evictIdle() && l.FullTimeout > 0 && time.Since(l.fullSince) >= l.FullTimeout
-		l.full.Store(full) // ahead of the last check for a free slot
+		l.full.Store(full) // set before the last check for a free slot
 		select {
 		case l.slots <- struct{}{}:
 			l.full.Store(false)
@@ -159,8 +159,8 @@
 	return l.Listener.Close()
 }
 
-// Drain closes all idle connections and ends accepting. Closing a listener resets the connections in its
-// queue, so those are accepted first, as slots get free.
+// Drain closes all idle connections and ends accepting. Because closing a listener resets the connections in
+// its queue, those are accepted first, as slots get free.
 func (l *Listener) Drain() {
 	l.closeAllIdle()
 	if ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); !ok ||
@@ -170,7 +170,8 @@
 }
 
 // queued reports whether a connection waits in the queue at the end of accepting. If so, it gives Accept
-// queueAcceptTimeout to take that, as another process may take it first.
+// queueAcceptTimeout to accept that connection; the time is limited because another process may accept it
+// first.
 func (l *Listener) queued() bool {
 	ln, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	return ok && socketoption.Readable(l.Listener) && ln.SetDeadline(time.Now().Add(queueAcceptTimeout)) == nil
@@ -179,7 +180,7 @@
 // SkipLinger makes connections close at once from now on, without waiting for their clients.
 func (l *Listener) SkipLinger() { l.skipLinger.Store(true) }
 
-// WaitForConns returns when ctx ends, or when minWait is over and all connections have been closed.
+// WaitForConns returns when ctx ends, or when minWait has passed and all connections have been closed.
 func (l *Listener) WaitForConns(ctx context.Context, minWait time.Duration) {
 	for ok := backoff.Sleep(ctx, minWait); ok && len(l.slots) > 0; {
 		ok = backoff.Sleep(ctx, connPollInterval)
--- a/internal/proxy/listener/listener_test.go
+++ b/internal/proxy/listener/listener_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestClientGoingIdleIsEvictedForWaitingClient checks that a connection that goes idle is closed for a
-// client that came while none was idle.
+// TestClientGoingIdleIsEvictedForWaitingClient checks that a connection that goes idle is closed for another
+// client that came while no connection was idle.
 func TestClientGoingIdleIsEvictedForWaitingClient(t *testing.T) {
 	ln := listen(t)
 	l := Limit(ln, 1)
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestDrainServesQueuedConnections checks that Drain serves the connections in the queue before the
-// listener is closed, whether all slots are taken or Accept has not been called yet.
+// TestDrainServesQueuedConnections checks that the connections in the queue are served after Drain, before
+// the listener is closed, whether all slots are taken or Accept has not been called yet.
 func TestDrainServesQueuedConnections(t *testing.T) {
 	for _, slotTaken := range []bool{false, true} {
 		ln := listen(t)
