--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -9,8 +9,9 @@
 	"wrenspread/balancer"
 )
 
-// startAttempt makes the attempt that the balancer has decided on, in a goroutine of its own, and posts
-// its end to the loop. An attempt that may not begin any more ends at once as balancer.NotSent.
+// startAttempt makes the attempt that the balancer has decided on, in a goroutine of its own, and posts its
+// outcome to the loop. If the request has been answered meanwhile, or another attempt runs and the settings
+// do not allow hedging, the attempt ends at once as balancer.NotSent.
 func (srv *Server) startAttempt(a balancer.StartAttempt) {
 	r := srv.requests[a.ID]
 	if r == nil {
@@ -122,8 +123,8 @@
 	srv.forgetRequest(r)
 }
 
-// latencyObjective returns the time in which a response of a class has its full value. A class that is
-// not configured has no limit.
+// latencyObjective returns the latency objective of a class: a response that takes longer is late. A class
+// that is not configured has no objective.
 func (srv *Server) latencyObjective(class string) time.Duration {
 	for _, c := range srv.config.Settings.Classes {
 		if c.Name == class {
--- a/internal/proxy/canceller.go
+++ b/internal/proxy/canceller.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// errResponseCut ends a response that the proxy has cancelled.
+// errResponseCut is the error of a response that the proxy has cancelled.
 var errResponseCut = errors.New("response cancelled by the proxy")
 
-// canceller lets another goroutine interrupt an operation of one goroutine, but nothing that this
-// goroutine does after the operation.
+// canceller lets one goroutine interrupt an operation that another goroutine runs. A cancellation that comes
+// after the operation has no effect on what the other goroutine does next.
 type canceller struct {
 	mu        sync.Mutex
 	interrupt func() // interrupts the operation; nil before the operation begins and after it ends
@@ -24,8 +24,8 @@
 	c.interrupt = interrupt
 }
 
-// cancel interrupts the operation, unless that has finished. If the operation has not begun yet,
-// isCancelled reports the cancellation to it.
+// cancel interrupts the operation, unless it has finished. If the operation has not begun yet, isCancelled
+// reports the cancellation to it.
 func (c *canceller) cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,8 +37,8 @@
 	}
 }
 
-// isCancelled reports whether the operation has been cancelled. The operation has to call it after each
-// step that would undo what interrupt did.
+// isCancelled reports whether the operation has been cancelled. The operation has to call it after each step
+// that would undo the effect of interrupt, such as setting a new deadline.
 func (c *canceller) isCancelled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -11,9 +11,9 @@
 	"wrenspread/internal/simwire"
 )
 
-// CheckConfig validates the configuration file at path and reports all findings at once, each with its
-// key. Problems keep the proxy from starting, or a part of it from working; notes are about values that
-// the proxy ignores, or with which it starts nevertheless.
+// CheckConfig validates the configuration file at path and reports all findings at once, each with its key.
+// Problems keep the proxy from starting, or a part of it from working. Notes are about values that the proxy
+// ignores, or that do not keep it from starting.
 func CheckConfig(path string) (problems, notes []string) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -40,24 +40,24 @@
 	for _, address := range form.addresses() {
 		if _, port, err := net.SplitHostPort(address.value); err == nil {
 			if _, err := net.LookupPort("tcp", port); err != nil {
-				problems = append(problems, fmt.Sprintf("%s: %q has no port that there is", address.key, address.value))
+				problems = append(problems, fmt.Sprintf("%s: %q has no valid port", address.key, address.value))
 			}
 		}
 	}
 	config.rawFile = file
 	if err := checkSettings(config); err != nil {
-		notes = append(notes, err.Error()+": it starts so, but a SIGHUP would turn the file down")
+		notes = append(notes, err.Error()+": the proxy starts with it, but would reject the file at a SIGHUP")
 	}
 	for i, peer := range form.Peers {
 		if _, err := netip.ParseAddrPort(peer); err != nil {
-			notes = append(notes, fmt.Sprintf("peers.%d: %q is not to be reached", i, peer))
+			notes = append(notes, fmt.Sprintf("peers.%d: %q is not a valid address and port", i, peer))
 		}
 	}
 	if config.Membership.Name != "" && !config.Settings.AllowGossip {
 		notes = append(notes, "fleet: "+membershipOffMessage)
 	}
 	for _, err := range form.InitialList.Skipped {
-		notes = append(notes, "known.endpoints: passed over: "+err.Error())
+		notes = append(notes, "known.endpoints: skipped: "+err.Error())
 	}
 	return problems, notes
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -14,7 +14,7 @@
 	"wrenspread/internal/simwire"
 )
 
-// The limits of a proxy whose configuration states none.
+// The limits of a proxy whose configuration sets none.
 const (
 	defaultMemoryMB       = 192
 	defaultMaxDescriptors = 1024
@@ -39,7 +39,7 @@
 	Settings       balancer.Settings // of the balancer; a reload replaces them
 
 	PeerListen string           // UDP address for other proxies' messages; empty: none
-	Peers      []netip.AddrPort // addresses of all proxies, by proxy index; invalid: that proxy can't be reached
+	Peers      []netip.AddrPort // addresses of all proxies, by proxy index; nothing is sent to an invalid one
 
 	Membership MembershipConfig // of the fleet's gossip membership
 	// Policy makes the proxy follow the operators' policy and share its limits with the other proxies.
@@ -133,13 +133,13 @@
 	if in.RegistrySubset && (len(in.Registry) == 0 || !hasIndex) {
 		problems = append(
 			problems,
-			fmt.Errorf("list_part: only the registry knows subsets, of a proxy with a number: "+
-				"want list, and a slot_no under balancers (%d of %d)", settings.ProxyIndex, settings.Proxies),
+			fmt.Errorf("list_part: a subset needs the registry and this proxy's number: want the key list, "+
+				"and slot_no less than balancers (have %d of %d)", settings.ProxyIndex, settings.Proxies),
 		)
 	}
-	membership, found := in.Fleet.config(in.Name, in.PeerListen, settings)
+	membership, membershipProblems := in.Fleet.config(in.Name, in.PeerListen, settings)
 	c.Membership = membership
-	problems = append(problems, found...)
+	problems = append(problems, membershipProblems...)
 	c.Policy = in.Policy != nil && in.Policy.Policy
 	c.Tenants = in.Policy.tenants()
 	problems = append(problems, in.Policy.check(c)...)
@@ -155,8 +155,8 @@
 	if in.Settings == nil {
 		return settings, []error{errors.New("settings are missing")}
 	}
-	settings, found := simwire.ReadSettings(in.Settings)
-	for _, err := range found {
+	settings, settingsProblems := simwire.ReadSettings(in.Settings)
+	for _, err := range settingsProblems {
 		problems = append(problems, fmt.Errorf("settings: %w", err))
 	}
 	settings.AllowLoadQueries = false // real endpoints answer only clients' requests, no load queries
@@ -173,7 +173,7 @@
 	return peers
 }
 
-// setDefaults sets the limits that the file leaves out, and returns the problems of those that it states.
+// setDefaults sets the limits that the file leaves out, and returns the problems of the others.
 func (c *Config) setDefaults() (problems []error) {
 	if c.MemoryMB <= 0 {
 		c.MemoryMB = defaultMemoryMB
@@ -191,17 +191,17 @@
 // keyedValue is a value of the configuration file and its key.
 type keyedValue struct{ key, value string }
 
-// addresses returns the addresses that have to be valid for the proxy to start.
+// addresses returns the addresses without which the proxy can't start, each with its key.
 func (in *configForm) addresses() []keyedValue {
-	all := []keyedValue{{"listen", in.Listen}}
+	addresses := []keyedValue{{"listen", in.Listen}}
 	for _, a := range in.Registry {
-		all = append(all, keyedValue{"list", a})
+		addresses = append(addresses, keyedValue{"list", a})
 	}
 	if len(in.Registry) == 0 || in.Discovery != "" {
-		all = append(all, keyedValue{"discovery", in.Discovery})
+		addresses = append(addresses, keyedValue{"discovery", in.Discovery})
 	}
 	if in.Control != "" {
-		all = append(all, keyedValue{"control", in.Control})
+		addresses = append(addresses, keyedValue{"control", in.Control})
 	}
-	return all
+	return addresses
 }
--- a/internal/proxy/conn.go
+++ b/internal/proxy/conn.go
@@ -15,17 +15,18 @@
 	"wrenspread/internal/besteffort"
 )
 
-// lateResponseWait is how long a connection rests after a response before it is reused. A second response
-// to the same request may come some milliseconds late, and nothing in it distinguishes it from the
-// response to the next request; after this time it shows as unsolicited bytes. The next request waits for
-// what remains of this time, which takes no longer than a new connection and costs the backend nothing.
+// lateResponseWait is the minimum time for which a connection is idle after a response before it is reused. A
+// backend may send a second response to the same request some milliseconds late. On a connection that is
+// already reused, such bytes could not be distinguished from the response to the next request; on an idle
+// connection they are recognised as unsolicited. If a request needs the connection earlier, it waits for the
+// rest of this time, which takes no longer than a new connection and costs the backend nothing.
 const lateResponseWait = 5 * time.Millisecond
 
 // errNoCapacity means that the pool has reached its limit of connections.
 var errNoCapacity = errors.New("too many connections")
 
-// isLocalLimit reports whether the proxy itself could not open a connection, which says nothing about the
-// backend.
+// isLocalLimit reports whether a limit of the proxy or of its system kept it from opening a connection. Such
+// an error shows nothing about the backend.
 func isLocalLimit(err error) bool {
 	for _, limit := range []error{
 		errNoCapacity,
@@ -48,13 +49,13 @@
 	pool          *pool
 	budget        io.LimitedReader // bounds the bytes that a response may take
 	reader        *bufio.Reader
-	readError     error  // how the last read ended; nil if the connection has not broken
+	readError     error  // of the last read; nil if the connection has not broken
 	releaseMemory func() // returns the memory reserved for the response; nil if there is none
 	idleSince     time.Time
 }
 
-// Read records how the connection ended, which distinguishes a broken connection from a response that is
-// malformed or exceeds its budget.
+// Read records the error that ended the connection, if any: it distinguishes a broken connection from a
+// response that is malformed or exceeds its budget.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.readError = err
@@ -92,9 +93,9 @@
 	return c, nil
 }
 
-// takeConn returns an idle connection: the most recently used of those that have rested for
-// lateResponseWait, otherwise the one idle longest. Without an idle connection it reserves a new one, and
-// returns the backend that the caller has to dial.
+// takeConn returns an idle connection: the most recently used of those that have been idle for
+// lateResponseWait, otherwise the one that has been idle longest. If there is no idle connection, it counts a
+// new one as open, and returns the backend and the dialer with which the caller has to open it.
 func (p *pool) takeConn(id balancer.EndpointID) (*backend, *conn, net.Dialer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,7 +130,7 @@
 	c.pool.mu.Unlock()
 }
 
-// release returns a connection to the pool whose response has been read cleanly to its end.
+// release returns a connection to the pool after its response has been read cleanly to the end.
 func (c *conn) release() {
 	c.releaseBudget() // first: once it is in the pool, the connection belongs to the next attempt
 	besteffort.SocketOption(c.SetDeadline(time.Time{}))
@@ -146,7 +147,7 @@
 	}
 }
 
-// isOpenAndEmpty reports whether an idle connection is open with nothing to read.
+// isOpenAndEmpty reports whether an idle connection is open and has no bytes to read.
 func isOpenAndEmpty(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -27,7 +27,7 @@
 )
 
 // ServeControl serves the operators' routes at an address until ctx ends. If it can't listen there, it tries
-// again at intervals; clients are served meanwhile.
+// again every controlRetryInterval; clients are served meanwhile.
 func (srv *Server) ServeControl(ctx context.Context, address string) {
 	logged := false
 	for ctx.Err() == nil {
@@ -108,8 +108,8 @@
 	})
 }
 
-// serveMaintenance carries out a maintenance call, unless the call has a fencing token of a lease and a later
-// holder of that lease has already called here.
+// serveMaintenance carries out a maintenance call. It rejects a call that has the fencing token of a lease if
+// a later holder of that lease has already called this proxy.
 func (srv *Server) serveMaintenance(w http.ResponseWriter, r *http.Request, on bool) {
 	if status, err := srv.fencing.CheckRequest(r); err != nil {
 		http.Error(w, err.Error(), status)
@@ -125,7 +125,7 @@
 	}
 }
 
-// operatorConnKey is the context key under which a request finds its operatorConn.
+// operatorConnKey is the context key of the operatorConn on which a request came.
 type operatorConnKey struct{}
 
 // operatorListener limits the operators' connections to maxOperatorConns. A new connection above the limit
@@ -157,7 +157,8 @@
 	}
 }
 
-// admit counts a connection, displacing one without a call if the limit is reached; nil if all have calls.
+// admit counts a connection as open. If the limit is reached, it closes the oldest connection that has made
+// no call; if all have made one, it returns nil.
 func (l *operatorListener) admit(c net.Conn) *operatorConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,7 +175,7 @@
 	return admitted
 }
 
-// Close closes the connection and frees its place in the listener's count.
+// Close closes the connection and removes it from the listener's count.
 func (c *operatorConn) Close() error {
 	c.listener.mu.Lock()
 	c.listener.open = slices.DeleteFunc(c.listener.open, func(open *operatorConn) bool { return open == c })
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// File descriptors are divided into fixed parts for clients, for backends and for everything else, so
-// that none can use up those of another: while discovery is down and idle clients fill their part, there
+// File descriptors are divided into fixed parts for clients, for backends and for everything else, so that no
+// part can use up the descriptors of another. While discovery is down and idle clients fill their part, there
 // is still a descriptor for discovery, a backend, an operator and the next process of this proxy.
 const (
 	clientShare = 0.5 // fraction of the descriptors that are not reserved
@@ -18,8 +18,8 @@
 	minDescriptors      = 64 // with fewer a proxy can't serve
 )
 
-// maxDescriptors returns the number of descriptors that the proxy may use: the configured number, but no
-// more than the limit of this process, because otherwise accepting would take the last one.
+// maxDescriptors returns the number of descriptors that the proxy may use: the configured number, but no more
+// than the limit of this process. With more, accepting clients could take the last descriptor.
 func maxDescriptors(configured int, log *slog.Logger) (int, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(configured) {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -16,34 +16,35 @@
 	// fullTimeout is how long all slots may be taken before further clients are closed unread. An idle
 	// client that was evicted has closed its connection by then.
 	fullTimeout = 600 * time.Millisecond
-	// maxKillTimeout is the longest time for the last responses after SIGTERM: SIGKILL may come this long
-	// after drainAcceptTime and finishSlack, or after the longest deadline if that is shorter.
-	maxKillTimeout = 3 * time.Second
+	// maxFinishTime is the longest time for the last responses after drainAcceptTime. SIGKILL may come when
+	// drainAcceptTime, finishSlack and the shorter of maxFinishTime and the longest deadline have passed since
+	// SIGTERM.
+	maxFinishTime = 3 * time.Second
 )
 
-// serve accepts clients until ctx ends. It accepts for drainAcceptTime longer, because the front sends
-// new connections until it has noticed, but asks each client to close; finally it finishes the open
-// requests.
+// serve accepts clients until ctx ends. It then accepts for drainAcceptTime longer, because new clients are
+// still sent to this proxy until its drain has been noticed, but asks each client to close. Finally it
+// finishes the open requests.
 func (f *frontend) serve(ctx context.Context, ln net.Listener) error {
-	srv := f.newHTTPServer()
-	limited := listener.Limit(ln, f.maxConnections)
-	limited.HeadTimeout, limited.FullTimeout = headTimeout, fullTimeout
-	srv.ConnState = limited.TrackState
-	f.clientListener.Store(limited)
+	httpServer := f.newHTTPServer()
+	clientListener := listener.Limit(ln, f.maxConnections)
+	clientListener.HeadTimeout, clientListener.FullTimeout = headTimeout, fullTimeout
+	httpServer.ConnState = clientListener.TrackState
+	f.clientListener.Store(clientListener)
 	if f.handedOff.Load() { // stopAccepting came before clientListener was set
-		besteffort.Close(limited)
+		besteffort.Close(clientListener)
 	}
 	f.accepting.Store(true)
-	var failed error
+	var serveError error
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		failed = srv.Serve(limited)
+		serveError = httpServer.Serve(clientListener)
 	}()
 	select {
 	case <-served:
 		if !f.handedOff.Load() {
-			return fmt.Errorf("serving clients: %w", failed)
+			return fmt.Errorf("serving clients: %w", serveError)
 		}
 		waitCtx, cancelWait := context.WithCancel(ctx)
 		go func() {
@@ -53,52 +54,52 @@
 			case <-waitCtx.Done():
 			}
 		}()
-		limited.WaitForConns(waitCtx, minOverlapTime)
+		clientListener.WaitForConns(waitCtx, minOverlapTime)
 		cancelWait()
 	case <-ctx.Done():
 	}
 	f.draining.Store(true)
 	longest := f.rules.Load().longestDeadline
 	if ctx.Err() != nil {
-		deadline := time.Now().Add(drainAcceptTime + min(longest, f.killTimeout))
+		deadline := time.Now().Add(drainAcceptTime + min(longest, f.finishTime))
 		f.waitForLateConns()
 		f.drainDeadline.Store(&deadline)
 	}
 	finishCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.longestRemainingTime())
 	defer cancel()
-	finishConnections(finishCtx, served, limited)
-	limited.CloseNew()
+	finishConnections(finishCtx, served, clientListener)
+	clientListener.CloseNew()
 	slackCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishSlack)
 	defer cancel()
-	limited.WaitForConns(slackCtx, 0)
-	limited.SkipLinger()
-	besteffort.Close(srv)
+	clientListener.WaitForConns(slackCtx, 0)
+	clientListener.SkipLinger()
+	besteffort.Close(httpServer)
 	return nil
 }
 
-// finishConnections closes idle connections and waits until the others have been answered, or ctx ends:
-// then all requests are past their deadlines, and the remaining connections have no request. Shutdown of
-// http.Server is no alternative: it drops without a response each request whose head is complete only
-// after its call.
-func finishConnections(ctx context.Context, served <-chan struct{}, limited *listener.Listener) {
-	limited.Drain()
+// finishConnections closes idle connections and waits until the requests on the others have been answered, or
+// ctx ends. When ctx ends, all requests are past their deadlines, so the remaining connections have no
+// request. Shutdown of http.Server is no alternative: a request whose head is complete only after the call of
+// Shutdown is dropped without a response.
+func finishConnections(ctx context.Context, served <-chan struct{}, clientListener *listener.Listener) {
+	clientListener.Drain()
 	select {
 	case <-served:
 	case <-ctx.Done():
-		besteffort.Close(limited)
-		<-served // connections accepted meanwhile are counted from here on
+		besteffort.Close(clientListener)
+		<-served // from here on, WaitForConns counts every accepted connection
 	}
-	limited.WaitForConns(ctx, 0)
+	clientListener.WaitForConns(ctx, 0)
 }
 
-// longestRemainingTime returns how long a request that is open, or that is still to come, may take. An
-// open request may have the deadline of earlier settings.
+// longestRemainingTime returns the longest time that an open request, or one that is still to come, may take.
+// An open request may have the deadline of earlier settings.
 func (f *frontend) longestRemainingTime() time.Duration {
 	return max(f.rules.Load().longestDeadline, time.Duration(f.latestDeadline.Load())-time.Since(f.server.start))
 }
 
-// remainingTime returns how much of its wait a request has whose last byte has just come: a request that
-// comes late in a drain has to be answered before SIGKILL.
+// remainingTime returns how long a request whose last byte has just come may still wait for its response. A
+// request that comes late in a drain has to be answered before SIGKILL.
 func (f *frontend) remainingTime(wait time.Duration) time.Duration {
 	if deadline := f.drainDeadline.Load(); deadline != nil {
 		return min(wait, time.Until(*deadline))
@@ -106,12 +107,12 @@
 	return wait
 }
 
-// stopAccepting leaves new connections to another process that listens on the same socket, which is
-// closed here but not shut down. It is called once, after handedOff is set. The clients of open
-// connections are asked to close.
+// stopAccepting stops accepting, so that new connections go to another process that listens on the same
+// socket; the socket is closed here but not shut down. The clients of open connections are asked to close. It
+// is called once, after handedOff is set.
 func (f *frontend) stopAccepting() {
 	f.draining.Store(true)
-	if limited := f.clientListener.Load(); limited != nil {
-		besteffort.Close(limited)
+	if clientListener := f.clientListener.Load(); clientListener != nil {
+		besteffort.Close(clientListener)
 	}
 }
--- a/internal/proxy/endpointids.go
+++ b/internal/proxy/endpointids.go
@@ -8,8 +8,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// endpointIDs assigns each endpoint an ID, a hash of its name, so that all proxies and all processes of a
-// proxy agree on the IDs.
+// endpointIDs assigns each endpoint an ID, a hash of its name, so that the IDs are the same in all proxies
+// and in all processes of a proxy.
 type endpointIDs struct {
 	byName   map[string]balancer.EndpointID
 	byID     map[balancer.EndpointID]string
@@ -28,8 +28,8 @@
 	}
 }
 
-// idOf returns the ID of a name and assigns one if it has none. Where two names have the same hash, the name
-// that comes later is hashed again with a suffix: two endpoints with one ID would share their load and their
+// idOf returns the ID of a name and assigns one if the name has none. If two names have the same hash, the
+// later name is hashed again with a suffix: two endpoints with one ID would share their load and their
 // drains.
 func (d *endpointIDs) idOf(name string) balancer.EndpointID {
 	if id, ok := d.byName[name]; ok {
--- a/internal/proxy/endpointsource.go
+++ b/internal/proxy/endpointsource.go
@@ -15,13 +15,13 @@
 type endpointSource interface {
 	// Follow delivers lists as they are pushed, the complete list first.
 	Follow(ctx context.Context)
-	// Poll reads the list once if fetch is set, and watches it for changes if watch is set: it serves the
-	// balancer's actions where lists are not pushed.
+	// Poll reads the list once if fetch is set, and watches it for changes if watch is set. It carries out the
+	// balancer's FetchEndpoints and Subscribe actions, where lists are not pushed.
 	Poll(ctx context.Context, fetch, watch bool)
 }
 
 // registryWatchHold is how long a registry replica may leave a watch unanswered. It is short, so that a proxy
-// soon notices a replica that is cut off without an error.
+// soon detects that its connection to a replica is cut off without an error.
 const registryWatchHold = 5 * time.Second
 
 // agentAnswerTimeout is how long a new process waits for the agent's list before it accepts clients with the
@@ -29,7 +29,7 @@
 // discovery does not answer it, not at all.
 const agentAnswerTimeout = 500 * time.Millisecond
 
-// endpointStates are the balancer's states by the status in the registry's lists.
+// endpointStates maps the status in the registry's lists to the balancer's state.
 var endpointStates = map[string]balancer.EndpointState{
 	registry.Ready:    balancer.Ready,
 	registry.Draining: balancer.Draining,
@@ -47,25 +47,25 @@
 // newEndpointSource returns a client of the registry if one is configured, and otherwise a client of the
 // platform's discovery.
 func (srv *Server) newEndpointSource() (endpointSource, error) {
-	listed := func(l registry.ListResponse) { srv.post(func() { srv.applyList(l, updateKindOf(l)) }) }
-	failed := func() { srv.post(func() { srv.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
+	onList := func(l registry.ListResponse) { srv.post(func() { srv.applyList(l, updateKindOf(l)) }) }
+	onError := func() { srv.post(func() { srv.handle(balancer.EndpointsUpdated{Kind: balancer.UpdateFailed}) }) }
 	if len(srv.config.Registry) == 0 {
 		return client.NewPlatformFollower(
 			srv.config.Discovery,
 			srv.config.Settings.PollForEndpoints,
 			srv.config.initialList.Index,
 			srv.log,
-			listed,
-			failed,
+			onList,
+			onError,
 		), nil
 	}
-	source := &registrySource{onList: listed}
+	source := &registrySource{onList: onList}
 	clientConfig := client.Config{
 		Addresses: srv.config.Registry,
 		CacheFile: srv.config.RegistryCache,
 		Hold:      registryWatchHold,
 		Log:       srv.log,
-		OnChange:  listed,
+		OnChange:  onList,
 	}
 	if source.subset.inputs.Store(subsetInputsOf(srv.config.Settings)); srv.config.RegistrySubset {
 		clientConfig.ChooseSubset = source.subset.next
@@ -98,15 +98,15 @@
 	}
 }
 
-// agentAnswered ends the wait for the agent's first answer, which the proxy's readiness depends on. It is
-// also called when agentAnswerTimeout has passed.
+// agentAnswered ends the wait for the agent's first answer, without which the proxy is not ready. It is also
+// called when firstListTimeout has passed.
 func (srv *Server) agentAnswered() {
 	srv.awaitingAgent = false
 	srv.updateReady()
 }
 
 // registrySource takes the endpoint list from the registry's replicas. The registry always pushes its lists,
-// so Poll gives a balancer that polls the last list received.
+// so if the balancer polls, Poll delivers the last list received.
 type registrySource struct {
 	client   *client.Client
 	subset   subsetChooser
@@ -122,7 +122,7 @@
 	}
 }
 
-// Poll delivers the last list received, if fetch is set, and follows the registry.
+// Poll delivers the last list received if fetch is set, and starts to follow the registry.
 func (s *registrySource) Poll(ctx context.Context, fetch, watch bool) {
 	if list, _ := s.client.List(); fetch && list.Version > 0 {
 		s.onList(listResponseOf(list))
@@ -132,9 +132,9 @@
 	}
 }
 
-// moveEndpointSource moves the source to the addresses of a new configuration, and changes between pushed and
-// polled lists if the settings have changed in that: a balancer with pushed lists does not poll when a watch
-// fails, so the source has to follow by itself.
+// moveEndpointSource moves the source to the addresses of a new configuration. If the settings change between
+// pushed and polled lists, the source changes too: with pushed lists the balancer does not poll after a
+// failed watch, so the source has to follow the list by itself.
 func (srv *Server) moveEndpointSource(cfg Config) {
 	switch source := srv.endpointSource.(type) {
 	case *registrySource:
@@ -167,8 +167,9 @@
 	}
 }
 
-// applyList applies a list from discovery: the pool gets the endpoints' addresses, the balancer the rest.
-// Endpoints that a complete list does not have, or that are listed as removed, leave both.
+// applyList applies a list from discovery: the pool gets the endpoints' addresses, the balancer their other
+// fields. Endpoints that are missing in a complete list, or that are listed as removed, are removed from
+// both.
 func (srv *Server) applyList(list registry.ListResponse, kind balancer.UpdateKind) {
 	entries := slices.Clone(list.Endpoints)
 	// The entries are sorted by name because the IDs of names with the same hash depend on the order. The sort
@@ -176,7 +177,7 @@
 	slices.SortStableFunc(entries, func(a, b registry.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	update := balancer.EndpointsUpdated{Kind: kind, Version: list.Index}
 	setSubset(&update, list, srv.config.Settings.ProxyIndex)
-	missing := map[string]bool{}
+	missing := map[string]bool{} // by name; true: the endpoint is to be removed
 	if kind != balancer.UpdateIncremental {
 		for name := range srv.listedEndpoints {
 			missing[name] = true
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -15,21 +15,21 @@
 // earlyResponseWait is the time for the response of a backend that has stopped reading the request.
 const earlyResponseWait = 50 * time.Millisecond
 
-// result is how an attempt ended, with the response if there is one.
+// result is the outcome of an attempt, with the response if there is one.
 type result struct {
 	outcome       balancer.Outcome
 	loadReport    *balancer.LoadReport
 	header        http.Header // of the response, with outcome OK
 	body          []byte
 	stream        *responseStream // with outcome OK, for a long response: instead of the body
-	bodyDiscarded bool            // no other attempt can be made, as the sent part of the upload is not retained
+	bodyDiscarded bool            // the sent part of the upload is not retained, so no other attempt can be made
 }
 
-// attempt sends a request once and waits for its response until ctx ends. When it returns, its connection
-// is closed or back in the pool, so that a further attempt cannot overlap it. Because connecting may take
-// some time, mayWrite is called right before the first byte and reports whether the request may still be
-// sent. A long response is handed to streamResponse, which returns when that response has ended, with an
-// error if it was cut off; ctx no longer applies to it.
+// attempt sends a request once and waits for its response until ctx ends. When it returns, its connection is
+// closed or back in the pool, so that a further attempt cannot overlap this one. Because connecting may take
+// some time, attempt calls mayWrite right before the first byte; mayWrite reports whether the request may
+// still be sent. A long response is handed to streamResponse, which returns when the response has ended, with
+// an error if it was cut off; ctx no longer applies to a long response.
 func (p *pool) attempt(
 	ctx context.Context,
 	id balancer.EndpointID,
@@ -92,10 +92,10 @@
 	return res
 }
 
-// send writes a request that is completely in memory, and counts it as forwarded. If ok is false, the
-// attempt has failed and code is its outcome; end is its deadline.
-func (c *conn) send(ctx context.Context, o *outbound, end time.Time) (code balancer.Outcome, ok bool) {
-	msg, err := o.encode(time.Until(end))
+// send writes a request that is completely in memory, and counts it as forwarded. If ok is false, the attempt
+// has failed with the returned outcome. until is the deadline of the attempt.
+func (c *conn) send(ctx context.Context, o *outbound, until time.Time) (outcome balancer.Outcome, ok bool) {
+	msg, err := o.encode(time.Until(until))
 	if err != nil {
 		return balancer.NotSent, false
 	}
@@ -113,8 +113,8 @@
 	return balancer.OK, true
 }
 
-// connectOutcome returns the outcome of an attempt that got no connection. A connection that was refused
-// or has broken shows that the backend is gone; one that timed out does not.
+// connectOutcome returns the outcome of an attempt that got no connection. If the connection was refused or
+// broke, the backend is gone; a timeout does not prove that.
 func connectOutcome(err error) balancer.Outcome {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -126,7 +126,8 @@
 // wasCancelled reports whether the proxy has ended an attempt before its deadline.
 func wasCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
-// timedWriter writes to a backend that may be slow, but may not stall for longer than progressTimeout.
+// timedWriter writes to a backend. A slow backend is allowed, but a write that stalls for progressTimeout
+// fails.
 type timedWriter struct {
 	*conn
 	ctx context.Context
@@ -140,9 +141,9 @@
 	return w.Conn.Write(b)
 }
 
-// sendStreaming sends an upload as it comes from its client, and reads the response meanwhile, so that it
-// detects an early rejection. The time for the response runs from the last byte. A request that broke off
-// before its last byte was never executed.
+// sendStreaming sends an upload while its client sends it, and reads the response at the same time, so that
+// it detects an early rejection. The response timeout starts when the last byte has been sent. A request that
+// broke off before its last byte was never executed.
 func (c *conn) sendStreaming(ctx context.Context, o *outbound) (res result, clean bool, err error) {
 	sent := make(chan error, 1)
 	sendCtx, stop := context.WithCancel(ctx)
@@ -189,7 +190,7 @@
 	return result{outcome: balancer.ConnectFailed, bodyDiscarded: res.bodyDiscarded}, false, writeErr
 }
 
-// streamResult has a long response forwarded, and ends the attempt when that has ended.
+// streamResult has a long response forwarded by streamResponse, and ends the attempt when that returns.
 func (c *conn) streamResult(res result, clean bool, streamResponse func(result) error) result {
 	err := streamResponse(res)
 	res.stream = nil
@@ -207,8 +208,8 @@
 	return res
 }
 
-// failedOutcome returns the outcome of an attempt that got no response. Its last byte was written, so the
-// request may have been executed. connErr is the error that ended the connection, if any.
+// failedOutcome returns the outcome of an attempt that got no response. The last byte of the request was
+// written, so the request may have been executed. connErr is the error that ended the connection, if any.
 func failedOutcome(ctx context.Context, connErr error) balancer.Outcome {
 	switch {
 	case wasCancelled(ctx):
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -35,12 +35,12 @@
 	waitForLateConns func()       // waits after SIGTERM, while new connections are still accepted
 	ready            atomic.Bool
 	draining         atomic.Bool
-	accepting        atomic.Bool                       // serve has begun to accept
+	accepting        atomic.Bool                       // set when serve begins to accept
 	handedOff        atomic.Bool                       // to a new process
 	clientListener   atomic.Pointer[listener.Listener] // nil before serve
-	// successorEnded is closed when the process has ended that accepts in place of this one.
+	// successorEnded is closed when the process that accepts in place of this one has ended.
 	successorEnded chan struct{}
-	killTimeout    time.Duration
+	finishTime     time.Duration
 	latestDeadline atomic.Int64              // of all requests so far, as time since the start of the proxy
 	drainDeadline  atomic.Pointer[time.Time] // for requests that come after SIGTERM; nil before
 }
@@ -51,7 +51,7 @@
 		maxConnections:   maxConnections,
 		waitForLateConns: func() { time.Sleep(drainAcceptTime) },
 		successorEnded:   make(chan struct{}),
-		killTimeout:      maxKillTimeout,
+		finishTime:       maxFinishTime,
 	}
 	f.rules.Store(newRequestRules(srv.config.Settings, nil))
 	return f
@@ -68,7 +68,7 @@
 
 // ServeHTTP answers the health checks, and passes requests to the loop.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Only the HTTP server knows where a chunked body ends, so nothing behind it may be taken for a request.
+	// Only the HTTP server knows where a chunked body ends, so bytes behind it must not be taken for a request.
 	if len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
@@ -95,7 +95,7 @@
 	}
 	outstanding := &f.server.stats.outstanding
 	if up := req.outbound.upload; up != nil {
-		// HTTP/1 always supports it; a response may precede the end of the body.
+		// It can't fail: HTTP/1 always supports it. A response may precede the end of the body.
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		up.clientGone = req.abandoned
 		up.onComplete = func(wait time.Duration) {
@@ -131,8 +131,8 @@
 	http.Error(w, err.Error(), status)
 }
 
-// askToClose makes a client close its connection after the response that is written next, if the proxy
-// drains. If bytes of its next request have been read, that request is answered before.
+// askToClose makes a client close its connection after the next response, if the proxy drains. If bytes of
+// the client's next request have been read, that request is answered first.
 func (f *frontend) askToClose(w http.ResponseWriter, r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*listener.Conn); f.draining.Load() && (!ok || !c.Pending()) {
 		w.Header().Set("Connection", "close")
@@ -142,15 +142,14 @@
 // serving reports whether the proxy is ready for new clients and does not drain.
 func (f *frontend) serving() bool { return f.ready.Load() && f.accepting.Load() && !f.draining.Load() }
 
-// acceptsNow reports whether the proxy accepts new clients at present: it does not while all slots are
-// taken.
+// acceptsNow reports whether the proxy accepts new clients at present. It does not while all slots are taken.
 func (f *frontend) acceptsNow() bool {
-	limited := f.clientListener.Load()
-	return f.serving() && limited != nil && !limited.Full()
+	clientListener := f.clientListener.Load()
+	return f.serving() && clientListener != nil && !clientListener.Full()
 }
 
-// requestResult is how a request ended, whether its client has a complete response to read, and whether
-// the response was truncated.
+// requestResult describes how a request ended: its outcome, whether its client has a complete response to
+// read, and whether the response was truncated.
 type requestResult struct {
 	outcome             requestOutcome
 	answered, truncated bool
@@ -164,7 +163,7 @@
 	event balancer.RequestArrived,
 ) requestResult {
 	var uploadEnded <-chan struct{} // closed when reading the upload has ended, with or without an error
-	// While a body is still to come, the HTTP server does not detect that the client leaves.
+	// While a body is still to come, the HTTP server does not detect that the client has left.
 	var clientChecks <-chan time.Time // when to check whether the client has left
 	if req.outbound.upload != nil {
 		uploadEnded = req.outbound.upload.readingEnded
@@ -205,8 +204,8 @@
 	}
 }
 
-// abandon ends a request whose client has left, or has only ended its sending side and can still read.
-// Without an explicit response the HTTP server would send 200, which no backend has sent.
+// abandon ends a request whose client has left, or has ended its sending side only and can still read.
+// Without an explicit response the HTTP server would send status 200, which no backend has sent.
 func (f *frontend) abandon(w http.ResponseWriter, req *request) {
 	f.server.post(func() { f.server.abandonRequest(req) })
 	writeComplete(w, response{status: http.StatusBadGateway})
--- a/internal/proxy/handoff_link.go
+++ b/internal/proxy/handoff_link.go
@@ -19,7 +19,7 @@
 
 const (
 	handoffVersion      = 1                      // of the messages' form
-	maxHandoffLineBytes = 4 << 20                // the state of a thousand endpoints takes a tenth
+	maxHandoffLineBytes = 4 << 20                // the state of a thousand endpoints takes a tenth of this
 	handoffHelloTimeout = 2 * time.Second        // for the other process's first message, and for each write
 	forwardTimeout      = 400 * time.Millisecond // for the other process to carry out a maintenance call
 )
@@ -41,13 +41,14 @@
 	Membership json.RawMessage `json:"fleet,omitempty"`
 }
 
-// The kinds of message, in the order in which they are sent.
+// The kinds of message, in the order in which they are sent. "New" and "old" are the two processes of a
+// handoff.
 const (
-	kindHello   = "hello"   // new to old: asks for the state
+	kindHello   = "hello"   // new to old: requests the state
 	kindRefused = "refused" // old to new: another new process is already connected
 	kindState   = "state"   // old to new: what the old process has learned
 	kindCall    = "call"    // in both directions: a maintenance call
-	kindDone    = "done"    // answers kindCall when the call is in force
+	kindDone    = "done"    // answers kindCall when the call has taken effect
 	kindReady   = "ready"   // new to old: the new process can serve
 	kindRelease = "yours"   // old to new, with the peer socket: the old process has stopped accepting
 )
@@ -93,7 +94,7 @@
 	return n, err
 }
 
-// receive reads one message; it gives up at the deadline, unless that is zero.
+// receive reads one message. It fails at the deadline; a zero deadline means no time limit.
 func (l *handoffLink) receive(deadline time.Time) (m handoffMessage, err error) {
 	besteffort.SocketOption(l.conn.SetReadDeadline(deadline))
 	if !l.scanner.Scan() {
@@ -128,8 +129,8 @@
 	return err
 }
 
-// forwardMaintenance forwards a maintenance call and waits, at most forwardTimeout, until it is in force in
-// the other process.
+// forwardMaintenance forwards a maintenance call and waits, at most forwardTimeout, until the call has taken
+// effect in the other process.
 func (l *handoffLink) forwardMaintenance(ctx context.Context, name string, on bool) {
 	completed := make(chan struct{})
 	l.mu.Lock()
@@ -179,7 +180,7 @@
 	}
 }
 
-// closeUnused closes the received descriptors that have not been taken.
+// closeUnused closes the received descriptors that have not been taken from the link.
 func (l *handoffLink) closeUnused() {
 	for _, fd := range l.descriptors {
 		if fd >= 0 {
--- a/internal/proxy/handoff_links.go
+++ b/internal/proxy/handoff_links.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// minOverlapTime is how long the old process continues at least after a handoff, unless the new one ends, as
-// operators may still call it.
+// minOverlapTime is the minimum time for which the old process continues after a handoff, because operators
+// may still call it. It ends earlier if the new process ends.
 const minOverlapTime = 5 * time.Second
 
 // handoffLinks are the links to other processes of this proxy: to the previous one until it ends, and to the
@@ -19,8 +19,8 @@
 	successor *handoffLink // the link to the next process; nil: none
 }
 
-// addLink adds the link to another process and halves this one's limits. It returns false for a second
-// successor: there is at most one at a time.
+// addLink adds the link to another process and halves the limits of this process. It returns false for a
+// second successor: there is at most one at a time.
 func (srv *Server) addLink(l *handoffLink, successor bool) bool {
 	srv.handoffLinks.mu.Lock()
 	defer srv.handoffLinks.mu.Unlock()
@@ -35,7 +35,7 @@
 	return true
 }
 
-// removeLink closes a link. Without any other link this process gets its full limits back.
+// removeLink closes a link. When no other link is left, this process gets its full limits back.
 func (srv *Server) removeLink(l *handoffLink) {
 	l.close()
 	srv.handoffLinks.mu.Lock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// forwardMaintenance forwards a maintenance call to the other processes, except to the one that it came from.
-// The processes are linked in a chain, so that none gets the call twice.
+// forwardMaintenance forwards a maintenance call to all linked processes except the one that it came from.
+// The processes are linked in a chain, so none of them gets the call twice.
 func (srv *Server) forwardMaintenance(from *handoffLink, name string, on bool) {
 	srv.handoffLinks.mu.Lock()
 	links := slices.Clone(srv.handoffLinks.links)
--- a/internal/proxy/handoff_new.go
+++ b/internal/proxy/handoff_new.go
@@ -25,8 +25,8 @@
 	handoffReleaseTimeout = time.Second
 )
 
-// EnableHandoff enables handoffs: from a process of this proxy that already serves, and later to the next
-// one. The processes connect at a socket in dir. It is called once, before Run.
+// EnableHandoff enables handoffs: from a process of this proxy that already serves to this one, and later
+// from this one to the next. The processes connect at a socket in dir. It is called once, before Run.
 func (srv *Server) EnableHandoff(dir string) { srv.handoffPath = filepath.Join(dir, handoffSocket) }
 
 // requestHandoff connects to the process that serves and restores its state here. It returns nil without an
@@ -57,7 +57,7 @@
 		l.closeUnused()
 		return nil, err
 	}
-	srv.addLink(l, false) // before any call can be in force here without being forwarded to the old process
+	srv.addLink(l, false) // first, so that each call that takes effect here is forwarded to the old process
 	srv.do(func() { srv.restoreState(m) })
 	return l, nil
 }
@@ -88,15 +88,15 @@
 	srv.log.Info("state of the previous process restored", "servers", len(endpoints))
 }
 
-// takeOver completes the handoff that requestHandoff began: it waits for the endpoint list, has the old
-// process stop accepting, and leaves the link open until the old process ends. It returns true when this
-// process is to serve, and false if ctx ended first (SIGTERM): then the old process continues to serve.
+// takeOver completes the handoff that requestHandoff began: it waits for the endpoint list, makes the old
+// process stop accepting, and keeps the link open until the old process ends. It returns true when this
+// process is to serve. If ctx ends first (SIGTERM), it returns false, and the old process continues to serve.
 func (srv *Server) takeOver(ctx context.Context, l *handoffLink) bool {
 	released := make(chan struct{})
 	markReleased := sync.OnceFunc(func() { close(released) })
 	go func() {
 		defer srv.removeLink(l)
-		defer markReleased() // an old process that has ended accepts no more either
+		defer markReleased() // without the link the old process has ended, and accepts no more
 		srv.receiveFromLink(l, func(m handoffMessage) {
 			if m.Kind == kindRelease {
 				srv.takePeerSocket(l, m.Membership)
@@ -106,7 +106,7 @@
 	}()
 	listDeadline := time.Now().Add(srv.handoffListTimeout)
 	srv.waitFor(ctx, srv.handoffListTimeout, srv.listKnown)
-	srv.waitFor(ctx, time.Until(listDeadline), srv.tenants.isReady())
+	srv.waitFor(ctx, time.Until(listDeadline), srv.tenants.readyChannel())
 	if ctx.Err() != nil {
 		return false
 	}
@@ -133,8 +133,8 @@
 	return false
 }
 
-// takePeerSocket takes over the socket at which the other proxies reach this one, and its generation in the
-// fleet, both of which came with the old process's release message.
+// takePeerSocket takes over the socket at which the other proxies reach this proxy, and the proxy's
+// generation in the fleet. Both came with the old process's release message.
 func (srv *Server) takePeerSocket(l *handoffLink, membershipState json.RawMessage) {
 	for i, fd := range l.descriptors {
 		if i > 0 || !srv.lacksPeerSocket() {
--- a/internal/proxy/handoff_old.go
+++ b/internal/proxy/handoff_old.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// handOff sends a new process the state, hands off to it when it is ready, and answers it until it ends. When
-// it hands off, it closes the listener: this process needs no further successor.
+// handOff sends a new process the state, hands off to it when it is ready, and then answers its maintenance
+// calls until it ends. When it hands off, it closes the listener, as this process needs no further successor.
 func (srv *Server) handOff(l *handoffLink, listener io.Closer) {
 	defer l.close()
 	m, err := l.receive(time.Now().Add(handoffHelloTimeout))
@@ -73,13 +73,13 @@
 		handedOff = true
 		srv.log.Info("handing over")
 		besteffort.Close(listener)
-		// The membership is handed off before this process drains, as the proxy itself does not drain.
+		// The membership is handed off first: to the fleet the proxy does not drain, only this process does.
 		membershipState := srv.handOffMembership()
 		srv.frontend.stopAccepting()
 		srv.do(func() {
 			srv.handle(balancer.HandedOver{})
 			if srv.policy != nil {
-				srv.handleQuotaEvent(quota.Leave{}) // only one process has the proxy's shares: now the new one
+				srv.handleQuotaEvent(quota.Leave{}) // only one process may have the proxy's shares: now the new one
 			}
 		})
 		srv.peers.Load().handOffSocket(func(fd int) {
@@ -95,13 +95,13 @@
 }
 
 // sendState adds the link to a new process and sends it this process's state. A maintenance call is either
-// part of the state or sent after it: forwarding a call needs the link's lock, which is locked until the
-// state is sent. It returns false if the new process is refused or the state can't be sent.
+// part of the state or forwarded after it: forwarding a call locks the link, which sendState keeps locked
+// until the state is sent. It returns false if the new process is refused or the state can't be sent.
 func (srv *Server) sendState(l *handoffLink) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !srv.addLink(l, true) {
-		_ = l.writeLocked(handoffMessage{Kind: kindRefused}, -1) // a process that has ended needs no answer
+		_ = l.writeLocked(handoffMessage{Kind: kindRefused}, -1) // an error only means that the process has ended
 		return false
 	}
 	var m handoffMessage
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -13,7 +13,7 @@
 const inboxSize = 1024
 
 // loop runs the functions that are posted to it, and is the only goroutine that uses the balancer and the
-// requests. Functions of do come first.
+// requests. Functions given to do run before those given to post.
 func (srv *Server) loop(ctx context.Context) {
 	defer close(srv.ended)
 	for {
@@ -55,21 +55,21 @@
 	return true
 }
 
-// now is the balancer's clock: wall time at the start plus the time that has passed since, so that it
-// compares with the times in the endpoint list and never steps back.
+// now is the balancer's clock: wall time at the start plus the time that has passed since. So it is
+// comparable with the times in the endpoint list and never steps back.
 func (srv *Server) now() balancer.Time {
 	return time.Duration(srv.start.UnixNano()) + time.Since(srv.start)
 }
 
-// handle passes an event to the balancer and carries out its actions, in order. Events that arise
-// meanwhile are queued.
+// handle passes an event to the balancer and carries out its actions, in order. Events that these actions
+// cause are queued and handled afterwards.
 func (srv *Server) handle(e balancer.Event) {
 	srv.pendingEvents = append(srv.pendingEvents, e)
 	if len(srv.pendingEvents) > 1 {
-		return // the outer call of handle processes it
+		return // the outer call of handle handles it
 	}
 	if srv.policy != nil {
-		srv.policy.ledger.AdvanceTo(time.Since(srv.start)) // the time at which requests are admitted
+		srv.policy.ledger.AdvanceTo(time.Since(srv.start)) // the time as of which requests are admitted
 	}
 	for len(srv.pendingEvents) > 0 {
 		for _, a := range srv.balancer.Handle(srv.now(), srv.pendingEvents[0]) {
--- a/internal/proxy/maintenance.go
+++ b/internal/proxy/maintenance.go
@@ -6,8 +6,8 @@
 	"wrenspread/balancer"
 )
 
-// requestMaintenance puts an endpoint into maintenance or takes it out. When it returns nil, the change is in
-// force for all attempts that this process writes from then on, and has been forwarded to the linked
+// requestMaintenance puts an endpoint into maintenance or ends its maintenance. When it returns nil, the
+// change applies to all attempts that this process writes from then on, and has been forwarded to the linked
 // processes.
 func (srv *Server) requestMaintenance(ctx context.Context, name string, on bool) error {
 	ctx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
@@ -34,8 +34,8 @@
 	return err
 }
 
-// setMaintenance changes the maintenance of an endpoint in the pool and in the balancer. Maintenance outlives
-// the list: an endpoint that is not listed keeps its ID until it leaves maintenance.
+// setMaintenance changes the maintenance of an endpoint in the pool and in the balancer. An endpoint that
+// leaves the list stays in maintenance, and keeps its ID until its maintenance ends.
 func (srv *Server) setMaintenance(name string, on bool) {
 	srv.log.Info("maintenance changed", "backend", name, "on", on)
 	id := srv.endpointIDs.idOf(name)
--- a/internal/proxy/membership.go
+++ b/internal/proxy/membership.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// membershipLeaveTimeout bounds how long the process stays to announce that it leaves: eight probe intervals
-	// of 200 ms, and a reserve for a proxy that is scheduled late.
+	// membershipLeaveTimeout bounds the time for announcing that the process leaves: eight probe intervals of
+	// 200 ms, and a reserve for a proxy that is scheduled late.
 	membershipLeaveTimeout = 2500 * time.Millisecond
 	// fleetReportTimeout bounds the wait for the gossip server's goroutine, which works for a millisecond at a
 	// time.
@@ -27,7 +27,7 @@
 type identity struct {
 	number          int // its index in Config.Peers; -1: none
 	zone            string
-	maxOpenRequests int64 // to which its load is relative
+	maxOpenRequests int64 // its load is reported relative to this
 }
 
 // newIdentity returns the identity of a proxy that accepts up to maxClients connections.
@@ -79,8 +79,8 @@
 }
 
 // otherPeers returns the valid addresses except that of the proxy itself.
-func otherPeers(all []netip.AddrPort, own int) (others []netip.AddrPort) {
-	for i, a := range all {
+func otherPeers(addrs []netip.AddrPort, own int) (others []netip.AddrPort) {
+	for i, a := range addrs {
 		if i != own && a.IsValid() {
 			others = append(others, a)
 		}
--- a/internal/proxy/membership_config.go
+++ b/internal/proxy/membership_config.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/membership/wire"
 )
 
-// Bounds of the probe interval. With a shorter one a member that is scheduled late would look dead, with a
-// longer one a dead member would be noticed only after minutes.
+// Bounds of the probe interval. With a shorter interval a member that is scheduled late would look dead; with
+// a longer one a dead member would be noticed only after minutes.
 const (
 	minProbeInterval = 20 * time.Millisecond
 	maxProbeInterval = 10 * time.Second
@@ -26,7 +26,8 @@
 // from, or "unknown".
 var Version string
 
-// MembershipConfig is the configuration of the fleet's gossip membership. Without a Name there is none.
+// MembershipConfig is the configuration of the fleet's gossip membership. An empty Name means that the proxy
+// joins no fleet.
 type MembershipConfig struct {
 	Name          string           // of the fleet
 	Join          []netip.AddrPort // members to join through; empty: the configured peers
@@ -42,8 +43,8 @@
 	PeriodMS int      `json:"period_ms"`
 }
 
-// config returns the membership configuration and the problems found in it, for the proxy with that name
-// whose peer socket listens at listen. f may be nil.
+// config returns the membership configuration and its problems, for the proxy named proxyName whose peer
+// socket listens at listen. f may be nil.
 func (f *fleetForm) config(
 	proxyName, listen string,
 	s balancer.Settings,
@@ -78,14 +79,14 @@
 	}
 	key, address := "address", f.Address
 	if address == "" {
-		key, address = "peer_listen (without an address of its own)", listen
+		key, address = "peer_listen (used because address is missing)", listen
 	}
 	var err error
 	if c.Address, err = parseReachableAddr(address); err != nil {
 		addProblem("%s: %w", key, err)
 	}
 	if listen == "" {
-		addProblem("peer_listen is missing: the view goes over that socket")
+		addProblem("peer_listen is missing: membership needs that socket")
 	}
 	gossipConfig := gossip.Config{
 		Fleet:   "any",
@@ -119,7 +120,7 @@
 	a, err := netip.ParseAddrPort(text)
 	if err == nil && (!a.Addr().Is4() || a.Addr().IsUnspecified() || a.Port() == 0) {
 		err = fmt.Errorf(
-			"%q is not to be reached: want an IPv4 address that others can send to, and a port above 0",
+			"%q is not reachable: want an IPv4 address that others can send to, and a port above 0",
 			text,
 		)
 	}
--- a/internal/proxy/memorybudget.go
+++ b/internal/proxy/memorybudget.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// memoryBudget bounds how many messages over maxSmallBody are in memory at a time, in each direction, so
-// that they take at most an eighth of the memory.
+// memoryBudget bounds how many messages over maxSmallBody are in memory at a time in one direction (requests
+// or responses), so that they take at most an eighth of the memory.
 type memoryBudget chan struct{}
 
 // errNoMemory means that no memory for a message became free within memoryWait.
--- a/internal/proxy/outbound.go
+++ b/internal/proxy/outbound.go
@@ -26,8 +26,8 @@
 	upload *upload // the rest of the body; nil if body is complete
 }
 
-// encode returns the complete request as bytes, so that one write sends it and its result tells whether
-// the last byte was written. wait is the time that remains for the response.
+// encode returns the complete request as bytes, so that a single write sends it, and the result of that write
+// tells whether the last byte was written. wait is the time that remains for the response.
 func (o *outbound) encode(wait time.Duration) ([]byte, error) {
 	uri := o.url.RequestURI()
 	if o.host == "" || strings.ContainsFunc(o.host+uri, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
@@ -52,7 +52,7 @@
 		}
 	}
 	names = append(names, deadlineHeader)
-	slices.Sort(names) // equal requests give equal bytes
+	slices.Sort(names) // so that equal requests give equal bytes
 	for _, name := range names {
 		if name == deadlineHeader {
 			line(name, ": ", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
@@ -66,7 +66,8 @@
 	return append(b, o.body...), nil
 }
 
-// streamingRequest is encode for an upload, which is sent as it comes until ctx ends.
+// streamingRequest returns the request of an upload, whose body is sent while it comes from the client, until
+// ctx ends. wait is the time that remains for the response.
 func (o *outbound) streamingRequest(ctx context.Context, wait time.Duration) *http.Request {
 	body := io.MultiReader(
 		bytes.NewReader(o.body),
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -17,7 +17,7 @@
 
 const peerSocketRetry = time.Second // between two attempts to open the peer socket
 
-// maxPeerMessageBytes is the length of the longest datagram between proxies; longer ones break the protocol.
+// maxPeerMessageBytes is the maximum length of a datagram between proxies; longer ones break the protocol.
 const maxPeerMessageBytes = 256
 
 // peerSocket sends datagrams to the other proxies and receives theirs: the balancer's load messages, gossip
@@ -27,9 +27,9 @@
 	addrs       []netip.AddrPort       // of all proxies, by proxy index
 	indexByAddr map[netip.AddrPort]int // the proxy index of each valid address
 	log         *slog.Logger
-	// handlers of datagrams by their first four bits; a datagram without one is a load message
+	// handlers of datagrams by their first four bits; a datagram whose bits have no handler is a load message
 	handlers       [16]datagramHandler
-	readingStopped atomic.Bool   // another process reads the socket from now on
+	readingStopped atomic.Bool   // set when another process takes over reading
 	readerEnded    chan struct{} // closed when this process has stopped reading
 }
 
@@ -70,9 +70,9 @@
 	return p
 }
 
-// handOffSocket stops reading and gives the socket's file descriptor to pass, which sends it to the next
+// handOffSocket stops reading and calls pass with the socket's file descriptor, which pass sends to the next
 // process. This process continues to send on the socket, as the other proxies know it by the socket's
-// address. Without an open socket the descriptor is negative.
+// address. If the socket is not open, the descriptor is -1.
 func (p *peerSocket) handOffSocket(pass func(fd int)) {
 	if p == nil {
 		pass(-1)
@@ -90,13 +90,13 @@
 	}
 }
 
-// send sends a load message to the proxy of an index. It does not wait, and the message may be lost.
+// send sends a load message to the proxy of that index. It does not wait, and the message may be lost.
 func (p *peerSocket) send(to int, data []byte) {
 	if p == nil || to < 0 || to >= len(p.addrs) || !p.addrs[to].IsValid() {
 		return
 	}
 	if len(data) > maxPeerMessageBytes {
-		p.log.Error("gossip message too long, not sent", "bytes", len(data))
+		p.log.Error("load message too long, not sent", "bytes", len(data))
 		return
 	}
 	p.write(p.addrs[to], data)
@@ -105,14 +105,14 @@
 // write sends a datagram to an address; an error is logged only, as datagrams may be lost anyway.
 func (p *peerSocket) write(to netip.AddrPort, data []byte) {
 	if _, err := p.conn.WriteToUDPAddrPort(data, to); err != nil {
-		p.log.Debug("gossip message not sent", "to", to, "err", err)
+		p.log.Debug("datagram not sent", "to", to, "err", err)
 	}
 }
 
-// run reads datagrams until ctx ends, which closes the socket, or until another process reads them. It passes
-// load messages to received, with the sender's index, and all others to their handlers. It drops datagrams
-// longer than maxPeerMessageBytes and load messages from unknown addresses.
-func (p *peerSocket) run(ctx context.Context, received func(from int, data []byte)) {
+// run reads datagrams until ctx ends, which closes the socket, or until another process takes over reading.
+// It passes load messages to onLoadMessage, with the sender's index, and all other datagrams to their
+// handlers. It drops datagrams longer than maxPeerMessageBytes and load messages from unknown addresses.
+func (p *peerSocket) run(ctx context.Context, onLoadMessage func(from int, data []byte)) {
 	defer close(p.readerEnded)
 	context.AfterFunc(ctx, func() { besteffort.Close(p.conn) })
 	buf := make([]byte, maxPeerMessageBytes+1)
@@ -134,7 +134,7 @@
 			continue
 		}
 		if from, known := p.indexByAddr[addr]; known {
-			received(from, append([]byte(nil), buf[:n]...))
+			onLoadMessage(from, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
@@ -164,8 +164,8 @@
 	}()
 }
 
-// startPeers starts membership and reading on a peer socket. handoff is the previous process's membership;
-// nil without a handoff.
+// startPeers starts the membership on a peer socket and begins to read the socket. handoff is the previous
+// process's membership; nil without a handoff.
 func (srv *Server) startPeers(p *peerSocket, handoff *gossip.Handoff) {
 	srv.peers.Store(p)
 	srv.startMembership(p, handoff)
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	quotaTickInterval = 20 * time.Millisecond  // of the ledger: bounds the delay until new demand is claimed
+	quotaTickInterval = 20 * time.Millisecond  // of the ledger; new demand is claimed after at most this time
 	peerCheckTicks    = 50                     // ticks between two updates of the serving peers
 	quotaDatagramKind = 0x6                    // the first four bits of quota datagrams
-	quotaLeaveTime    = 500 * time.Millisecond // to announce that the proxy leaves, at several ticks
+	quotaLeaveTime    = 500 * time.Millisecond // for announcing, at several ticks, that the proxy leaves
 )
 
 // policyForm is the JSON form of the key govern in the configuration file.
@@ -32,8 +32,8 @@
 	TenantsOnDemand bool `json:"tenants_on_demand"`
 }
 
-// check returns the problems of a configuration in which the key govern is present: what else the policy and
-// the tenants need.
+// check returns what the policy and the tenants require and the configuration lacks. Without the key govern,
+// g is nil and nothing is required.
 func (g *policyForm) check(c Config) (problems []error) {
 	if g == nil {
 		return nil
@@ -45,7 +45,7 @@
 	if c.Membership.Name == "" {
 		problems = append(
 			problems,
-			fmt.Errorf("govern: policy needs the view of the fleet: the key fleet with its name"),
+			fmt.Errorf("govern: policy needs the membership of a fleet: the key fleet with its name"),
 		)
 	}
 	if len(c.Registry) == 0 {
@@ -63,12 +63,12 @@
 	return problems
 }
 
-// policyFollower follows the operators' policy and has this proxy's shares of the policy's limits. Its fields
-// belong to the loop, except the atomic ones, which /stats reads.
+// policyFollower follows the operators' policy and manages this proxy's shares of the policy's limits. Only
+// the loop uses its fields, except the atomic ones, which /stats reads.
 type policyFollower struct {
 	client       *client.Client // follows records only
 	ledger       *quota.Ledger
-	policyKnown  bool   // this process has read the policy, or that there is none
+	policyKnown  bool   // this process has read the policy, or has read that there is none
 	ticks        int    // quota ticks so far
 	highestToken uint64 // highest fencing token of an allocator received so far
 
@@ -76,7 +76,7 @@
 	fallbackSuspended, hasSlot         atomic.Bool
 }
 
-// newPolicyFollower returns nil if the configuration follows no policy.
+// newPolicyFollower returns a follower, or nil if the configuration follows no policy.
 func newPolicyFollower(cfg Config) (*policyFollower, error) {
 	if !cfg.Policy {
 		return nil, nil
@@ -102,22 +102,22 @@
 // followPolicy follows the records of the policy and of the allocator, and runs the quota ticks, until ctx
 // ends.
 func (srv *Server) followPolicy(ctx context.Context) {
-	g := srv.policy
-	if g == nil {
+	follower := srv.policy
+	if follower == nil {
 		return
 	}
-	go g.client.FollowRecords(
+	go follower.client.FollowRecords(
 		ctx,
 		record.PolicyPrefix,
 		func(r client.Records) { srv.post(func() { srv.applyPolicy(r) }) },
 	)
-	go g.client.FollowRecords(
+	go follower.client.FollowRecords(
 		ctx,
 		record.QuotaPrefix,
 		func(r client.Records) { srv.post(func() { srv.applyAllocator(r) }) },
 	)
 	go func() {
-		defer g.client.Close()
+		defer follower.client.Close()
 		ticker := time.NewTicker(quotaTickInterval)
 		defer ticker.Stop()
 		for {
@@ -131,29 +131,29 @@
 	}()
 }
 
-// applyPolicy applies the current policy table. The ledger and the balancer change to it between two events,
-// so that no request is judged by parts of two tables. A table that can't be decoded changes nothing: a later
-// version of the program may have written it.
+// applyPolicy applies the current policy table. The ledger and the balancer change to the table in one step
+// of the loop, so that no request is checked against parts of two tables. If the table can't be decoded,
+// nothing changes: a later version of the program may have written it.
 func (srv *Server) applyPolicy(r client.Records) {
-	g, current := srv.policy, record.Find(r, record.CurrentKey)
+	follower, current := srv.policy, record.Find(r, record.CurrentKey)
 	table, err := record.DecodeTable(current)
 	if err != nil {
 		srv.log.Error("new policy is invalid, keeping the present one", "err", err)
 		return
 	}
-	if g.policyKnown && current.Version == g.version.Load() {
+	if follower.policyKnown && current.Version == follower.version.Load() {
 		return
 	}
-	g.policyKnown = true
-	g.version.Store(current.Version)
+	follower.policyKnown = true
+	follower.version.Store(current.Version)
 	srv.setTenantPolicy(table)
 	srv.handleQuotaEvent(quota.TableChanged{Current: table})
 	if table == nil {
 		srv.handle(balancer.TableChanged{})
 	} else {
-		srv.handle(balancer.TableChanged{Table: table, Tokens: g.ledger})
+		srv.handle(balancer.TableChanged{Table: table, Tokens: follower.ledger})
 	}
-	srv.log.Info("policy", "version", current.Version, "limits", limitCount(table))
+	srv.log.Info("policy applied", "version", current.Version, "limits", limitCount(table))
 	srv.updateReady()
 }
 
@@ -165,7 +165,8 @@
 	return len(t.Limits)
 }
 
-// applyAllocator passes a new allocator to the ledger. A record with an older fencing token is ignored.
+// applyAllocator passes a new allocator to the ledger. A record whose fencing token is not higher than all
+// earlier ones is ignored.
 func (srv *Server) applyAllocator(r client.Records) {
 	allocator, err := record.ReadAllocator(record.Find(r, record.AllocatorKey))
 	if err != nil {
@@ -181,20 +182,20 @@
 // handleQuotaTick advances the ledger by a tick, updates the serving peers every peerCheckTicks, and stores
 // the values for /stats.
 func (srv *Server) handleQuotaTick() {
-	g, gossipServer := srv.policy, srv.membership.Load()
-	if gossipServer != nil && g.ticks%peerCheckTicks == 0 {
+	follower, gossipServer := srv.policy, srv.membership.Load()
+	if gossipServer != nil && follower.ticks%peerCheckTicks == 0 {
 		srv.handleQuotaEvent(quota.Peers{Names: gossipServer.ServingMembers()})
 		srv.announceVersions()
 	}
-	g.ticks++
+	follower.ticks++
 	srv.handleQuotaEvent(quota.Tick{})
 	counts, _ := srv.balancer.LimitCounts()
-	status := g.ledger.Status()
-	g.requests.Store(counts.Requests)
-	g.rejected.Store(counts.Rejected)
-	g.token.Store(status.Token)
-	g.fallbackSuspended.Store(status.FallbackSuspended)
-	g.hasSlot.Store(status.HasSlot)
+	status := follower.ledger.Status()
+	follower.requests.Store(counts.Requests)
+	follower.rejected.Store(counts.Rejected)
+	follower.token.Store(status.Token)
+	follower.fallbackSuspended.Store(status.FallbackSuspended)
+	follower.hasSlot.Store(status.HasSlot)
 }
 
 // handleQuotaEvent passes an event to the ledger and sends the datagrams that result.
@@ -218,7 +219,7 @@
 }
 
 // leaveQuotas stops admission by quota and announces to the allocator that this proxy leaves, so that its
-// shares can be allocated to others at once.
+// shares can be allocated to other proxies at once.
 func (srv *Server) leaveQuotas(ctx context.Context) {
 	if srv.policy == nil {
 		return
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// idleTimeoutFraction is the part of the idle timeout in the settings after which the pool closes a
-// connection: the backend must never be the first to close.
+// idleTimeoutFraction is the fraction of the idle timeout in the settings after which the pool closes a
+// connection, so that the backend is never the first to close.
 const idleTimeoutFraction = 0.75
 
 // pool holds the connections to backends. It never sends anything itself.
@@ -29,17 +29,17 @@
 	maxConnections    int
 	sharesConnections bool // another process of this proxy has half of maxConnections
 	backends          map[balancer.EndpointID]*backend
-	idleCandidates    []*backend                   // with idle connections now, or some lately
-	barredBackends    map[balancer.EndpointID]bool // endpoints to which nothing is written
+	idleCandidates    []*backend                   // have idle connections, or had some since the last expire
+	barredBackends    map[balancer.EndpointID]bool // set for endpoints to which nothing may be written
 	memory            memoryBudget                 // for response bodies over maxSmallBody
 }
 
-// backend is one process of an endpoint. A restart or a new address makes a new backend, to which the
-// connections of the previous one never return.
+// backend is one process of an endpoint. After a restart or with a new address the endpoint gets a new
+// backend; connections of the previous one are never reused.
 type backend struct {
 	address         string
 	startedAtMS     int64
-	closed          bool    // replaced by another process, or removed
+	closed          bool    // replaced by a new backend, or removed
 	draining        bool    // nothing new may be written to it
 	isIdleCandidate bool    // it is in the idleCandidates of the pool
 	idle            []*conn // in the order of their last use
@@ -79,8 +79,8 @@
 	return p.maxIdleTime
 }
 
-// setBackend sets the address and start time of an endpoint. Connections to an earlier process are
-// useless and are closed.
+// setBackend sets the address and the start time of an endpoint. If one of them changes, idle connections to
+// the earlier process are closed, as they are useless.
 func (p *pool) setBackend(id balancer.EndpointID, address string, startedAtMS int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +114,8 @@
 	}
 }
 
-// halve leaves half of the connections to another process of this proxy, or takes them back.
+// halve halves the limit of connections while another process of this proxy uses the other half, or restores
+// it.
 func (p *pool) halve(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,8 +132,8 @@
 	return p.maxConnections
 }
 
-// barBackend makes sure that nothing more is written to an endpoint, even if it has been chosen already,
-// or allows writing again.
+// barBackend bars an endpoint, so that nothing more is written to it even if it has been chosen already, or
+// ends the bar.
 func (p *pool) barBackend(id balancer.EndpointID, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,8 +151,8 @@
 	}
 }
 
-// isBarred reports whether nothing may be written on a connection any more: since the endpoint was
-// chosen, it has restarted, moved, begun to drain, left the list or been barred.
+// isBarred reports whether nothing may be written on a connection any more, because after the endpoint was
+// chosen it has restarted, moved, begun to drain, left the list or been barred.
 func (p *pool) isBarred(id balancer.EndpointID, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,7 +197,7 @@
 	})
 }
 
-// closeExpiredLocked is expire for one backend. The caller holds p.mu.
+// closeExpiredLocked closes the expired connections of one backend. The caller holds p.mu.
 func (p *pool) closeExpiredLocked(b *backend, now time.Time) {
 	expired := 0
 	for expired < len(b.idle) && now.Sub(b.idle[expired].idleSince) >= p.maxIdleTime {
@@ -207,7 +208,7 @@
 	b.idle = slices.Delete(b.idle, 0, expired)
 }
 
-// run expires idle connections until ctx ends.
+// run calls expire at intervals until ctx ends.
 func (p *pool) run(ctx context.Context) {
 	for backoff.Sleep(ctx, max(p.idleTime()/8, 50*time.Millisecond)) {
 		p.expire(time.Now())
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	return p.attempt(ctx, 1, get("/api/x"), alwaysMayWrite, func(res result) error {
-		_, err := io.Copy(io.Discard, res.stream.rest)
+		_, err := io.Copy(io.Discard, res.stream.remaining)
 		return err
 	})
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -13,18 +13,18 @@
 	// guardDelay is the time after a deadline at which the proxy ends a request that the balancer has not
 	// ended.
 	guardDelay = 4 * time.Millisecond
-	// maxUploadTime bounds the time of an upload: the longest one at half of the slowest client's rate, with
-	// long pauses.
+	// maxUploadTime bounds the time of an upload: the longest upload at half the rate of the slowest client,
+	// with long pauses.
 	maxUploadTime = time.Hour
-	// clientGoneLimit is the time after which no attempt may begin for a client that has left.
+	// clientGoneLimit bounds the time between a client's leaving and the last attempt that may begin for it.
 	clientGoneLimit = 100 * time.Millisecond
 )
 
-// request is a client's request, until it is answered and its attempts have ended.
+// request is a client's request. It exists until it is answered and its attempts have ended.
 type request struct {
 	id              balancer.RequestID
 	class           string
-	settingsNumber  int // number of the settings that its class is from
+	settingsNumber  int // number of the settings in which its class is defined
 	outbound        *outbound
 	deadline        time.Time
 	response        chan response // receives the one final response
@@ -32,17 +32,17 @@
 	cancelAttempts  []context.CancelFunc
 	runningAttempts int
 	deadlineGuard   *time.Timer
-	// tenant is named as in the catalogue, until the request has ended; empty if tenants are not
-	// distinguished.
+	// tenant is the tenant's name in the catalogue, and is cleared when the request has ended; empty if tenants
+	// are not distinguished.
 	tenant        string
-	stream        *responseStream // the streamed response that has begun; nil if there is none
-	parked        bool            // it has waited for its tenant's part of the catalogue
+	stream        *responseStream // the response that is being streamed; nil if there is none
+	parked        bool            // it waits, or has waited, for its tenant's leaf of the catalogue
 	releaseMemory func()          // returns the memory reserved for its body; may be nil
 	client        *listener.Conn  // nil if not known
 	clientGone    <-chan struct{} // closed when the HTTP server has detected that the client left
 }
 
-// abandoned reports whether the client of a request has left, which the loop may not know yet.
+// abandoned reports whether the client of a request has left. The loop may not know it yet.
 func (r *request) abandoned() bool {
 	select {
 	case <-r.clientGone:
@@ -55,7 +55,7 @@
 // response is a final response to a client.
 type response struct {
 	status     int
-	retryAfter time.Duration // of a rejection; 0 means no advice
+	retryAfter time.Duration // for the Retry-After header of a rejection; 0: no header
 	header     http.Header
 	body       []byte
 	stream     *responseStream // instead of body, for a long response
@@ -73,8 +73,8 @@
 	settingsNumber := srv.frontend.rules.Load().settingsNumber // as in the balancer: both change in one step
 	if maxOpen := srv.config.Settings.MaxOpenRequests; maxOpen > 0 && len(srv.requests) >= maxOpen ||
 		r.settingsNumber < settingsNumber-1 {
-		// The balancer no longer has the settings of the request's class: a present class of the same name may
-		// allow retries freely.
+		// Too many requests are open, or the balancer no longer has the settings in which the request's class is
+		// defined. In the latter case the present class of the same name may allow retries freely.
 		r.answered = true
 		r.response <- response{status: http.StatusServiceUnavailable}
 		return
@@ -95,7 +95,7 @@
 	srv.handle(e)
 }
 
-// requestSent starts the deadline of an upload whose last byte has just been sent.
+// requestSent starts the deadline of an upload whose last byte has just been sent to a backend.
 func (srv *Server) requestSent(r *request, wait time.Duration) {
 	if r.answered {
 		return
@@ -107,15 +107,15 @@
 	srv.handle(balancer.RequestSent{ID: r.id, Timeout: wait})
 }
 
-// guardDeadline answers a request shortly after its deadline, if the balancer has not ended it: a
-// response in time is owed whatever the balancer does.
+// guardDeadline answers a request shortly after its deadline if the balancer has not ended it, so that the
+// client gets a response in time even if the balancer fails to end the request.
 func (srv *Server) guardDeadline(r *request, timeout time.Duration) {
 	r.deadlineGuard = time.AfterFunc(timeout+guardDelay, func() {
 		srv.post(func() {
 			if !r.answered {
 				srv.answerRequest(r.id, response{status: http.StatusGatewayTimeout})
 				for _, cancel := range r.cancelAttempts {
-					cancel() // a balancer that has lost the request does not cancel them
+					cancel() // if the balancer has lost the request, it does not cancel them
 				}
 				srv.handle(balancer.RequestAbandoned{ID: r.id})
 			}
@@ -139,8 +139,8 @@
 	}
 }
 
-// answerRequest gives a request its final response. All responses pass here, and only the first is
-// delivered.
+// answerRequest gives a request its final response. All responses pass through here, and only the first one
+// is delivered.
 func (srv *Server) answerRequest(id balancer.RequestID, resp response) {
 	if r := srv.requests[id]; r != nil && !r.answered {
 		r.response <- resp
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -20,8 +20,8 @@
 	maxInterimResponses = 8        // 1xx responses ahead of the final one
 )
 
-// receive reads one response to its end, or the beginning of a long one. clean reports whether the
-// connection can carry another request.
+// receive reads one response to its end, or the beginning of a long one. clean reports whether the connection
+// can carry another request afterwards.
 func (c *conn) receive(ctx context.Context, method string) (res result, clean bool, err error) {
 	c.budget.N = maxResponseHead + maxBufferedBody
 	var resp *http.Response
@@ -49,11 +49,11 @@
 	if long && resp.StatusCode == http.StatusOK {
 		res.outcome, res.header = balancer.OK, resp.Header
 		res.stream = &responseStream{
-			length: resp.ContentLength,
-			start:  body,
-			rest:   resp.Body,
-			conn:   c,
-			ended:  make(chan error, 1),
+			length:    resp.ContentLength,
+			start:     body,
+			remaining: resp.Body,
+			conn:      c,
+			ended:     make(chan error, 1),
 		}
 		return res, !resp.Close, nil
 	}
@@ -69,8 +69,8 @@
 	return res, !resp.Close && !long && c.reader.Buffered() == 0, nil
 }
 
-// readResponseBody reads a response's body. long reports that the body has more than maxBufferedBody
-// bytes, or that it has no stated length and takes longer than maxBufferingTime: then only its beginning
+// readResponseBody reads a response's body. long reports that the body has more than maxBufferedBody bytes,
+// or that it has no stated length and takes longer than maxBufferingTime. Of a long body only the beginning
 // has been read, if any.
 func readResponseBody(
 	ctx context.Context,
@@ -110,8 +110,9 @@
 	}
 }
 
-// parseLoad parses a load report. A report that is malformed in any part is ignored completely, because
-// an incomplete report says less than the count that it would replace.
+// parseLoad parses a load report. A report that is malformed in any part is ignored completely, because an
+// incomplete report is worth less than the balancer's count of requests in flight, which the report would
+// replace.
 func parseLoad(s string) *balancer.LoadReport {
 	if s == "" {
 		return nil
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	answerMargin = 10 * time.Millisecond // between the last moment for an answer and its client's deadline
+	answerMargin = 10 * time.Millisecond // an answer is due this long before its client's deadline
 	// shortWait is the pause between two checks of something that ends soon, and after an error that may recur
-	// at once.
+	// immediately.
 	shortWait = 50 * time.Millisecond
 )
 
@@ -66,7 +66,7 @@
 type handoffParts struct {
 	handoffLinks       handoffLinks
 	firstListTimeout   time.Duration // longest wait for the agent's first answer
-	handoffListTimeout time.Duration // longest wait for the list in a handoff, while the old process serves
+	handoffListTimeout time.Duration // longest wait for the list in a handoff; the old process serves meanwhile
 	handoffPath        string        // socket at which this proxy's processes connect; empty: no handoffs
 
 	// OnOverlap is called with true when another process of this proxy begins to share its limits, and with
@@ -74,8 +74,8 @@
 	OnOverlap func(bool)
 }
 
-// loopState is the state that only the loop reads and writes, except for loopContext and listKnown, which any
-// goroutine may wait for.
+// loopState is the state that only the loop reads and writes, except for loopContext and listKnown: any
+// goroutine may wait for these.
 type loopState struct {
 	loopContext     context.Context
 	balancer        *balancer.Balancer
@@ -89,7 +89,7 @@
 	pendingEvents   []balancer.Event // the event being handled, and those that its actions caused
 }
 
-// New makes a proxy; Run starts it. Errors are reported by Run.
+// New makes a proxy; Run starts it and reports errors found by New.
 func New(config Config, log *slog.Logger) *Server {
 	config = config.withoutMembership(log)
 	srv := &Server{
@@ -109,7 +109,7 @@
 	var err error
 	if srv.fencing, err = fencing.Open(config.FencingFolder); err != nil {
 		srv.failStart(err)
-		srv.fencing, _ = fencing.Open("") // tokens in memory only: can't fail
+		srv.fencing, _ = fencing.Open("") // can't fail, as it keeps the tokens in memory only
 	}
 	if srv.startupError == nil {
 		if srv.tenants, err = newTenantService(config); err != nil {
@@ -142,7 +142,7 @@
 	}
 }
 
-// failStart records the first error for which Run refuses to start.
+// failStart records the error for which Run refuses to start; a later error is dropped.
 func (srv *Server) failStart(err error) {
 	if srv.startupError == nil {
 		srv.startupError = err
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -13,8 +13,8 @@
 	"wrenspread/balancer"
 )
 
-// minPreviousSettingsTime is how long requests in the form of the previous settings are accepted, at least:
-// clients learn of a change at different times.
+// minPreviousSettingsTime is the minimum time for which requests in the form of the previous settings are
+// accepted: clients learn of a change at different times.
 const minPreviousSettingsTime = 2 * time.Second
 
 // optionalKeys are the keys of the settings that may be absent. Every other key of the running file has to be
@@ -56,12 +56,12 @@
 	return cfg, checkSettings(cfg)
 }
 
-// checkSettings rejects settings with which a running proxy could not keep its rules: attempts below 1, and
+// checkSettings rejects settings that a running proxy must not apply: a limit of attempts below 1, and
 // classes without a name, with a repeated name or without a deadline.
 func checkSettings(cfg Config) error {
 	if n := cfg.Settings.MaxAttempts; n <= 0 &&
 		lookupKey(cfg.rawFile, "settings", "caps", "max_attempts") != nil {
-		return fmt.Errorf("settings: caps.max_attempts: %d is no number of attempts", n)
+		return fmt.Errorf("settings: caps.max_attempts: %d: want 1 or more", n)
 	}
 	names := map[string]bool{}
 	for _, c := range cfg.Settings.Classes {
@@ -69,9 +69,9 @@
 		case c.Name == "":
 			return errors.New("settings: a class has no name")
 		case names[c.Name]:
-			return fmt.Errorf("settings: class %s comes twice", c.Name)
+			return fmt.Errorf("settings: class %s is defined twice", c.Name)
 		case c.Deadline <= 0:
-			return fmt.Errorf("settings: class %s: give_up_ns: %d is no deadline", c.Name, c.Deadline)
+			return fmt.Errorf("settings: class %s: give_up_ns: %d: want more than 0", c.Name, c.Deadline)
 		}
 		names[c.Name] = true
 	}
@@ -80,7 +80,7 @@
 
 // missingKey returns an error that names a key of the running file that the next file lacks; nil if there is
 // none. Each object of a list must have the keys that all objects of the running file's list have. Of the
-// initial endpoints (known) only the key itself is required, as they are not a setting.
+// initial endpoints (known) only the key itself is required, because they are not a setting.
 func missingKey(path string, running, next any) error {
 	switch running := running.(type) {
 	case map[string]any:
@@ -121,7 +121,7 @@
 // missingInList is missingKey for two lists at path.
 func missingInList(path string, running, next []any) error {
 	if path == "settings.classes." && len(running) > 0 && len(next) == 0 {
-		return errors.New("settings.classes has none")
+		return errors.New("settings.classes is empty")
 	}
 	required := sharedKeys(running)
 	if len(required) == 0 {
@@ -174,7 +174,7 @@
 }
 
 // applySettings gives the balancer the proxy's settings and the frontend the rules derived from them, in one
-// step of the loop: each request is opened either under the new or under the previous settings.
+// step of the loop, so that each request is opened either under the new or under the previous settings.
 func (srv *Server) applySettings(next *requestRules) {
 	srv.handle(balancer.SettingsChanged{Settings: srv.withVariants(srv.config.Settings)})
 	srv.frontend.rules.Store(next)
@@ -182,7 +182,8 @@
 
 // requestRules are the rules, derived from the settings, by which the frontend accepts a request.
 type requestRules struct {
-	// settingsNumber grows by one each time the balancer is given settings. The balancer knows the last two.
+	// settingsNumber grows by one each time the balancer is given settings. The balancer keeps the last two
+	// settings.
 	settingsNumber      int
 	firstSettingsNumber int                             // the number at which these settings were first given
 	idempotency         map[string]balancer.Idempotency // by class
@@ -191,7 +192,8 @@
 	previousUntil       time.Time                       // until when the previous form is accepted
 }
 
-// newRequestRules derives the rules from new settings. previous are the rules until now; nil at the start.
+// newRequestRules derives the rules from new settings. previous are the rules that they replace; nil at the
+// start.
 func newRequestRules(s balancer.Settings, previous *requestRules) *requestRules {
 	r := &requestRules{idempotency: map[string]balancer.Idempotency{}}
 	for _, c := range s.Classes {
@@ -207,15 +209,17 @@
 	return r
 }
 
-// withNextNumber returns the rules for giving the balancer the same settings again, with new route variants.
-// The previous form is not accepted any more, as the balancer forgets the settings before.
+// withNextNumber returns the rules for the case that the balancer is given the same settings again, with new
+// route variants. The form of the previous settings is not accepted any more, because the balancer then no
+// longer has those settings.
 func (r *requestRules) withNextNumber() *requestRules {
 	next := *r
 	next.settingsNumber, next.previous = r.settingsNumber+1, nil
 	return &next
 }
 
-// settingsNumberFor returns the number of the present or of the previous settings.
+// settingsNumberFor returns the number of the previous settings if previous is true, otherwise of the present
+// ones.
 func (r *requestRules) settingsNumberFor(previous bool) int {
 	if previous {
 		return r.settingsNumber - 1
@@ -223,22 +227,22 @@
 	return r.settingsNumber
 }
 
-// idempotencyOf checks a request's form, by fitsRequest, against the idempotency of its class. If the form
-// fits only the class of the previous settings, and that is still accepted, it returns true for previous.
-// Otherwise it returns the error for the present settings.
-func (r *requestRules) idempotencyOf(
+// matchForm checks a request's form, by calling checkRequest with the idempotency of its class. It returns
+// true for previous if the form fits only the class of the previous settings and their form is still
+// accepted. If the form fits neither, it returns the error for the present settings.
+func (r *requestRules) matchForm(
 	class string,
-	fitsRequest func(balancer.Idempotency) error,
+	checkRequest func(balancer.Idempotency) error,
 ) (previous bool, err error) {
 	idempotency, known := r.idempotency[class]
 	if known {
-		if err = fitsRequest(idempotency); err == nil {
+		if err = checkRequest(idempotency); err == nil {
 			return false, nil
 		}
 	} else {
 		err = badRequest("unknown X-Class %q", class)
 	}
-	if idempotency, known = r.previous[class]; known && fitsRequest(idempotency) == nil &&
+	if idempotency, known = r.previous[class]; known && checkRequest(idempotency) == nil &&
 		time.Now().Before(r.previousUntil) {
 		return true, nil
 	}
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -63,17 +63,17 @@
 		{swap(`"max_attempts":4`, `"max":4`), "max_attempts is missing"},
 		{swap(`"caps":{`, `"caps":null,"x":{`), "caps is missing"},
 		{swap(`,"give_up_ns":2000000000}`, `}`), "give_up_ns is missing"},
-		{swap(`"max_attempts":4`, `"max_attempts":0`), "no number of attempts"},
-		{swap(`"max_attempts":4`, `"max_attempts":-1`), "no number of attempts"},
+		{swap(`"max_attempts":4`, `"max_attempts":0`), "max_attempts: 0: want 1 or more"},
+		{swap(`"max_attempts":4`, `"max_attempts":-1`), "max_attempts: -1: want 1 or more"},
 		{swap(`"max_attempts":4`, `"max_attempts":"4"`), "cannot unmarshal"},
 		{swap(`"max_attempts":4`, `"max_attempts":NaN`), "invalid character"},
-		{swap(`"give_up_ns":2000000000`, `"give_up_ns":0`), "no deadline"},
-		{swap(`"give_up_ns":2000000000`, `"give_up_ns":-5`), "no deadline"},
+		{swap(`"give_up_ns":2000000000`, `"give_up_ns":0`), "give_up_ns: 0: want more than 0"},
+		{swap(`"give_up_ns":2000000000`, `"give_up_ns":-5`), "give_up_ns: -5: want more than 0"},
 		{swap(`"give_up_ns":2000000000`, `"give_up_ns":"soon"`), "cannot unmarshal"},
 		{swap(`"give_up_ns":2000000000`, `"give_up_ns":null`), "give_up_ns is missing"},
-		{swap(`"pagar"`, `"saldo"`), "comes twice"},
+		{swap(`"pagar"`, `"saldo"`), "is defined twice"},
 		{swap(`"pagar"`, `""`), "no name"},
-		{swap(`"classes":[`, `"classes":[],"x":[`), "classes has none"},
+		{swap(`"classes":[`, `"classes":[],"x":[`), "classes is empty"},
 		{swap(`"classes":[`, `"classes":4,"x":[`), "cannot unmarshal"},
 	}
 	for _, c := range bad {
@@ -215,7 +215,7 @@
 		accepted bool
 	}{{"a", balancer.NotIdempotent, false, true}, {"a", balancer.Idempotent, true, true}, {"a", balancer.IdempotentByKey, false, false}, {"b", balancer.Idempotent, true, true},
 		{"c", balancer.Idempotent, false, false}} {
-		previous, err := r.idempotencyOf(c.class, wantIdempotency(c.form))
+		previous, err := r.matchForm(c.class, wantIdempotency(c.form))
 		if previous != c.former || (err == nil) != c.accepted {
 			t.Errorf("class %s in form %d: previous %v, error %v", c.class, c.form, previous, err)
 		}
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -13,9 +13,9 @@
 //     previous process serves. agentAnswerTimeout passes during handoffListTimeout.
 //
 // So the time to readiness does not depend on how many processes start together, nor on a discovery that
-// serves them in turn, slowly, or not at all. Clients that use up the descriptors are displaced by the
-// connection that checks readiness. A proxy without an initial list first has to receive an endpoint: that
-// takes up to 6 s from when discovery can be reached, the bound for a silent discovery
+// serves them in turn, slowly, or not at all. If silent clients take all slots, the listener closes one of
+// them for the connection that checks readiness. A proxy without an initial list first has to receive an
+// endpoint. That takes up to 6 s from when discovery can be reached: the bound for a silent discovery
 // (internal/registry/client/silence.go). A proxy that follows a policy or distinguishes tenants waits for the
 // registry without a limit.
 const (
@@ -27,10 +27,10 @@
 	) // 5.5 s
 )
 
-// updateReady updates whether the proxy accepts clients. It needs endpoints, the agent's first answer or the
-// end of the wait for it, and, where a policy is followed, the policy: without that it would admit requests
-// that no limit bounds. Where tenants are distinguished, it also needs the catalogue and its entry in the
-// member record.
+// updateReady updates whether the proxy accepts clients. It needs endpoints, and the agent's first answer or
+// the end of the wait for it. If it follows a policy, it needs the policy, because without the policy it
+// would admit requests that no limit bounds. If tenants are distinguished, it also needs the catalogue and
+// its entry in the member record.
 func (srv *Server) updateReady() {
 	srv.frontend.ready.Store(
 		len(srv.listedEndpoints) > 0 && !srv.awaitingAgent && (srv.policy == nil || srv.policy.policyKnown) &&
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -13,7 +13,7 @@
 	"wrenspread/internal/besteffort"
 )
 
-// requestOutcome is how a request ended, as /stats counts it.
+// requestOutcome is the outcome of a request, as /stats counts it.
 type requestOutcome int
 
 const (
@@ -32,7 +32,7 @@
 	sighupApplied, sighupRejected              atomic.Int64
 
 	mu        sync.RWMutex
-	results   map[string]*[outcomeCount]atomic.Int64 // by class, dropped classes included
+	results   map[string]*[outcomeCount]atomic.Int64 // by class, including classes that a reload has dropped
 	endpoints map[string]*endpointCounts             // by name; nil: not counted by endpoint
 }
 
@@ -70,7 +70,8 @@
 }
 
 // attempt counts the end of an attempt at an endpoint. Attempts that the proxy cancelled or never sent are
-// not counted, as they show nothing about the endpoint. An empty endpoint is ignored.
+// not counted, as they show nothing about the endpoint. Attempts at an endpoint without a name are not
+// counted either.
 func (s *stats) attempt(endpoint string, outcome balancer.Outcome, late bool) {
 	if endpoint == "" || outcome == balancer.NotSent || outcome == balancer.Cancelled {
 		return
@@ -175,8 +176,8 @@
 	}
 }
 
-// sanitizeLabel replaces the characters of a class's or endpoint's name that would end the line or the part
-// of the metric's name.
+// sanitizeLabel replaces each character in the name of a class or an endpoint that would end the line or that
+// part of the metric's name.
 func sanitizeLabel(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r == 0x7f || strings.ContainsRune(".:|@#", r) {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	maxStreamedBody  = 32 << 20               // bytes of any body
-	copyBufSize      = 16 << 10               // bytes in which a long body is copied
-	maxBufferingTime = 100 * time.Millisecond // then a response of no stated length is streamed
+	maxStreamedBody  = 32 << 20               // bytes; longer bodies are rejected
+	copyBufSize      = 16 << 10               // bytes of the buffer with which a long body is copied
+	maxBufferingTime = 100 * time.Millisecond // a response of no stated length that takes longer is streamed
 	// progressTimeout is how long either side of a long message may stall.
 	progressTimeout = 20 * time.Second
 )
 
-// errClientGone ends a message whose client has left.
+// errClientGone is the error of a message whose client has left.
 var errClientGone = errors.New("the client has gone")
 
-// responseStream is a long response that has begun, and is forwarded to its client as it comes.
+// responseStream is a long response that has begun. It is forwarded to the client while it comes from the
+// backend.
 type responseStream struct {
-	length int64  // of the complete body; negative if not stated
-	start  []byte // the part of the body that has been read
-	rest   io.Reader
-	conn   *conn
-	ended  chan error // receives once how the stream ended
+	length    int64     // of the complete body; negative if not stated
+	start     []byte    // the part of the body that has been read
+	remaining io.Reader // the part that is still to come
+	conn      *conn
+	ended     chan error // receives one value: nil or the error that ended the stream
 	canceller
 }
 
@@ -41,7 +42,7 @@
 	return s.finish(s.copyTo(w, control, deadline))
 }
 
-// copyTo is writeTo without the registration of what interrupts the stream.
+// copyTo does the copying for writeTo, which has registered how to interrupt it.
 func (s *responseStream) copyTo(
 	w http.ResponseWriter,
 	control *http.ResponseController,
@@ -63,18 +64,18 @@
 		}
 		return nil
 	}
-	lastReadAt := time.Now() // return of the last read
+	lastReadAt := time.Now() // when the last read returned
 	err, passed := writePart(s.start), int64(len(s.start))
 	s.start = nil
 	for buf := make([]byte, copyBufSize); err == nil; {
 		var n int
 		var readErr error
-		deadline = deadline.Add(time.Since(lastReadAt)) // only the backend's time counts
+		deadline = deadline.Add(time.Since(lastReadAt)) // excludes the time for writing to the client
 		besteffort.SocketOption(s.conn.SetReadDeadline(s.progressDeadline(deadline, passed)))
 		if s.isCancelled() {
 			return errResponseCut
 		}
-		n, readErr = s.rest.Read(buf)
+		n, readErr = s.remaining.Read(buf)
 		lastReadAt = time.Now()
 		if passed += int64(n); passed > maxStreamedBody {
 			return errTooLong
@@ -89,10 +90,10 @@
 	return err
 }
 
-// progressDeadline returns when the next part of the stream must have come. A response of stated length,
-// and any response once it has more than maxBufferedBody bytes, only has to make progress. Until then, a
-// response of no stated length must not drip on beyond its request's deadline, but may still arrive at
-// minBodyRate, the rate that is required of clients.
+// progressDeadline returns the time by which the next part of the stream must have come. A response of stated
+// length, and any response once it has more than maxBufferedBody bytes, only has to make progress. Until
+// then, a response of no stated length must not go on slowly beyond its request's deadline, but may still
+// arrive at minBodyRate, the rate that is required of clients.
 func (s *responseStream) progressDeadline(deadline time.Time, passed int64) time.Time {
 	progressBy := time.Now().Add(progressTimeout)
 	if s.length >= 0 || passed > maxBufferedBody {
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -211,7 +211,7 @@
 		if cancel(); err != nil {
 			t.Fatal(err)
 		}
-		s := &responseStream{length: c.length, start: make([]byte, c.start), rest: conn.Conn, conn: conn}
+		s := &responseStream{length: c.length, start: make([]byte, c.start), remaining: conn.Conn, conn: conn}
 		w := httptest.NewRecorder()
 		if err := s.writeTo(w, time.Now().Add(c.due)); (err == nil) != c.complete || c.complete && w.Body.Len() != c.start+10 {
 			t.Errorf("%+v: %d bytes, %v", c, w.Body.Len(), err)
--- a/internal/proxy/subset.go
+++ b/internal/proxy/subset.go
@@ -15,7 +15,7 @@
 	placements          []registry.Placement // of the classes, each once
 }
 
-// subsetInputsOf takes the inputs from the balancer's settings.
+// subsetInputsOf returns the inputs that the balancer's settings contain.
 func subsetInputsOf(s balancer.Settings) *subsetInputs {
 	inputs := &subsetInputs{proxyIndex: s.ProxyIndex, proxies: s.Proxies}
 	for _, c := range s.Classes {
@@ -33,12 +33,12 @@
 // empty list allows none.
 func sameRestriction(a, b []string) bool { return slices.Equal(a, b) && (a == nil) == (b == nil) }
 
-// subsetChooser chooses the subset to follow. The registry's client calls it from a goroutine of its own, so
-// the inputs are atomic.
+// subsetChooser chooses the subset to follow. The registry's client calls it from its own goroutine, so the
+// inputs are atomic.
 type subsetChooser struct{ inputs atomic.Pointer[subsetInputs] }
 
-// next returns the subset to follow for a proxy that now has current with these entries, of total in the
-// list.
+// next returns the subset to follow. current is the subset that the proxy follows now, entries its endpoints,
+// and total the number of endpoints in the complete list.
 func (s *subsetChooser) next(
 	current registry.Subset,
 	total int,
@@ -48,7 +48,7 @@
 	return current.Next(inputs.proxyIndex, inputs.proxies, total, entries, inputs.placements)
 }
 
-// listResponseOf converts a client's present list to the form of a registry answer.
+// listResponseOf converts a client's present list to the form of a registry response.
 func listResponseOf(list client.List) registry.ListResponse {
 	return registry.ListResponse{
 		Index:     list.Version,
@@ -60,8 +60,8 @@
 	}
 }
 
-// setSubset sets in the update which subset of the complete list it holds, for the proxy of an index. For the
-// complete list it sets nothing.
+// setSubset records in the update which subset of the complete list it contains. proxyIndex is this proxy's
+// index. For the complete list it records nothing.
 func setSubset(update *balancer.EndpointsUpdated, list registry.ListResponse, proxyIndex int) {
 	if subset, err := registry.ParseSubset(list.Subset); err == nil && !subset.IsAll() {
 		update.TotalEndpoints, update.SubsetStart = list.Total, registry.StartPosition(proxyIndex)
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -14,16 +14,16 @@
 type tenantService struct {
 	client        *client.Client // for the catalogue and the session only
 	cache         *tenant.Cache
-	self          tenant.Member      // this proxy's entry in the member record, as it should be
-	catalogue     *tenant.Catalogue  // by which requests are decided
+	self          tenant.Member      // the entry that this proxy should have in the member record
+	catalogue     *tenant.Catalogue  // the catalogue by which requests are decided
 	pendingEvents []any              // events for the cache; the first one is being handled
-	policy        tenant.PolicyTable // as the cache was given it
+	policy        tenant.PolicyTable // the table that the cache was given last
 	// tenantByLimit has, for each limit of the policy's table, the tenant's name in that table.
 	tenantByLimit    map[string]string
 	routes           routeVariants
 	session          *registrySession
 	parked           []parkedRequest
-	catalogueChanged bool // parked requests have to be checked again
+	catalogueChanged bool // set when parked requests have to be checked again
 	// ready is closed when the proxy first has the catalogue and is in the member record.
 	ready             chan struct{}
 	removedFromRecord chan struct{} // closed when the proxy leaves and is no longer in the member record
@@ -32,7 +32,7 @@
 	unavailable, forbidden, notFound atomic.Uint64 // requests answered 503, 403, 404
 }
 
-// newTenantService returns nil where tenants are not distinguished.
+// newTenantService returns the service, or nil where tenants are not distinguished.
 func newTenantService(cfg Config) (*tenantService, error) {
 	if !cfg.Tenants.Enabled {
 		return nil, nil
@@ -53,15 +53,15 @@
 	return t, nil
 }
 
-// startGeneration makes an empty cache for a generation, and the proxy's entry in the member record.
+// startGeneration makes an empty cache for a generation, and sets the proxy's entry in the member record.
 func (t *tenantService) startGeneration(cfg Config, generation uint64) {
 	t.cache = tenant.NewCache(generation, cfg.Tenants.MaxStaleness, cfg.Tenants.OnDemand)
 	t.self = t.cache.Member(cfg.Name)
 }
 
 // continueGeneration continues the generation of the previous process, so that one entry in the member record
-// covers both processes while both serve. With another MaxStaleness the entry differs, so a later generation
-// begins.
+// covers both processes while both serve. If MaxStaleness has changed, the entry has to change too, so a
+// later generation begins.
 func (srv *Server) continueGeneration(previous *tenant.Member) {
 	t := srv.tenants
 	if t == nil || previous == nil {
@@ -84,8 +84,8 @@
 	return &t.self
 }
 
-// isReady returns a channel that is closed once tenants can be served.
-func (t *tenantService) isReady() <-chan struct{} {
+// readyChannel returns a channel that is closed once tenants can be served.
+func (t *tenantService) readyChannel() <-chan struct{} {
 	if t == nil {
 		done := make(chan struct{})
 		close(done)
@@ -94,7 +94,8 @@
 	return t.ready
 }
 
-// tenantClock is the cache's clock: the time since the start of the process, which never steps.
+// tenantClock is the cache's clock: the time since the start of the process, which changes of the system's
+// clock do not affect.
 func (srv *Server) tenantClock() time.Duration { return time.Since(srv.start) }
 
 // handleTenantEvent gives an event to the cache and carries out the actions that it returns. Events that
@@ -136,7 +137,7 @@
 		t.catalogueNumber.Store(number)
 		t.tenantCount.Store(uint64(t.cache.TenantCount()))
 		srv.announceVersions()
-		srv.log.Info("tenants", "catalogue", number, "known", t.cache.TenantCount())
+		srv.log.Info("tenant catalogue applied", "catalogue", number, "known", t.cache.TenantCount())
 	}
 	if t.catalogue.Ready() {
 		select {
@@ -159,7 +160,7 @@
 	}
 }
 
-// setTenantPolicy gives the cache the policy table that the proxy applies; nil for none.
+// setTenantPolicy gives the cache the policy table that the proxy applies; table is nil if there is none.
 func (srv *Server) setTenantPolicy(table *ratelimit.Table) {
 	t := srv.tenants
 	if t == nil {
@@ -178,8 +179,8 @@
 	srv.handleTenantEvent(tenant.PolicyChanged{PolicyTable: t.policy})
 }
 
-// tenantOfLimit returns the tenant's name in the innermost scope of a limit that names one tenant; empty if
-// the limit's scopes name none.
+// tenantOfLimit returns the tenant that a limit is for: the one named in the innermost of the limit's scopes
+// that name a tenant; empty if none of them does.
 func tenantOfLimit(table *ratelimit.Table, limit ratelimit.Limit) string {
 	for scope := limit.Scope; scope >= 0 && scope < len(table.Scopes); scope = table.Scopes[scope].Parent {
 		if condition := table.Scopes[scope]; condition.Attribute == ratelimit.AttributeTenant &&
--- a/internal/proxy/tenants_config.go
+++ b/internal/proxy/tenants_config.go
@@ -7,14 +7,14 @@
 	"wrenspread/internal/tenant"
 )
 
-// Bounds of govern.hold_ms. With less than two session TTLs a registry that is slightly late would stop all
-// tenants.
+// Bounds of govern.hold_ms. With less than two session TTLs a registry that answers slightly late would stop
+// all tenants.
 const (
 	minMaxStaleness = 2 * sessionTTL
 	maxMaxStaleness = 24 * time.Hour
 )
 
-// TenantsConfig is the configuration of tenants.
+// TenantsConfig is the configuration of the proxy's handling of tenants.
 type TenantsConfig struct {
 	Enabled bool // requests are decided by the catalogue of tenants
 	// MaxStaleness is how long the proxy serves tenants without contact with the registry; 0: without a limit.
@@ -22,7 +22,7 @@
 	OnDemand     bool // the proxy reads only the leaves of the catalogue that requests need
 }
 
-// tenants returns the tenants' configuration of the key govern. g may be nil.
+// tenants returns the tenants' configuration from the key govern. g may be nil.
 func (g *policyForm) tenants() (c TenantsConfig) {
 	if g != nil && g.Tenants {
 		c = TenantsConfig{
@@ -34,7 +34,7 @@
 	return c
 }
 
-// checkTenants returns the problems of the tenants' keys.
+// checkTenants returns the problems of the keys of govern that concern tenants.
 func (g *policyForm) checkTenants(c Config) (problems []error) {
 	if !g.Tenants {
 		if g.TenantsOnDemand {
--- a/internal/proxy/tenants_decide.go
+++ b/internal/proxy/tenants_decide.go
@@ -8,9 +8,9 @@
 	"wrenspread/internal/tenant"
 )
 
-// decideTenant decides a request by the catalogue. It returns true if the request is to be served, and sets
+// decideTenant decides a request by the catalogue. If the request is to be served, it returns true, and sets
 // the event's class (a route's variant) and tenant for the balancer. Otherwise it answers or parks the
-// request. The decision is one step of the loop, and so is a change of catalogue: no request is decided by
+// request. The decision is one step of the loop, and so is a change of catalogue, so no request is decided by
 // one catalogue and counted under the next.
 func (srv *Server) decideTenant(r *request, event *balancer.RequestArrived) (serve bool) {
 	t := srv.tenants
@@ -49,7 +49,7 @@
 	return false
 }
 
-// tenantRequestEnded tells the cache that a tenant's request has ended, with all its attempts.
+// tenantRequestEnded reports to the cache that a tenant's request has ended, with all its attempts.
 func (srv *Server) tenantRequestEnded(r *request) {
 	if name := r.tenant; name != "" {
 		r.tenant = ""
@@ -57,8 +57,9 @@
 	}
 }
 
-// cutTenantRequests ends a tenant's open requests. A request without an attempt gets 503; one with an attempt
-// may have run, so it gets 502, which is no rejection. A response that is being streamed is cut off.
+// cutTenantRequests ends a tenant's open requests. A request without an attempt gets 503. A request with an
+// attempt may have been executed, so it gets 502, which does not mean a rejection. A response that is being
+// streamed is cut off.
 func (srv *Server) cutTenantRequests(name string) {
 	cut := 0
 	for _, r := range srv.requests {
@@ -75,7 +76,7 @@
 			srv.handle(balancer.RequestAbandoned{ID: r.id})
 		}
 		for _, cancel := range r.cancelAttempts {
-			cancel() // here, as the settings may not allow the balancer to cancel attempts
+			cancel() // the settings may not allow the balancer to cancel them
 		}
 		if r.stream != nil {
 			r.stream.cancel()
--- a/internal/proxy/tenants_follow.go
+++ b/internal/proxy/tenants_follow.go
@@ -10,10 +10,10 @@
 
 const (
 	catalogueReadTimeout = 5 * time.Second        // for one read of the catalogue
-	tenantTick           = 250 * time.Millisecond // of the cache, which needs one each 500 ms
-	// leftTimeout bounds how long a leaving proxy waits until its status has been sent and it has been removed
-	// from the member record.
-	leftTimeout = 2 * time.Second
+	tenantTick           = 250 * time.Millisecond // of the cache, which needs a tick at least every 500 ms
+	// leaveTimeout bounds how long a proxy that leaves waits until its status has been sent and it has been
+	// removed from the member record.
+	leaveTimeout = 2 * time.Second
 )
 
 // followTenants starts the goroutines that maintain the session, read the catalogue and run the cache's
@@ -45,18 +45,19 @@
 	}()
 }
 
-// handleTenantTick gives the cache the peers' highest catalogue and a tick, resumes parked requests whose
-// time is over, and applies routes that had to wait.
+// handleTenantTick gives the cache the highest catalogue number of the peers and a tick, resumes parked
+// requests whose park timeout has passed, and applies routes that had to wait.
 func (srv *Server) handleTenantTick() {
 	if gossipServer := srv.membership.Load(); gossipServer != nil {
 		srv.handleTenantEvent(tenant.PeerHasCatalogue{Number: gossipServer.HighestCatalogue()})
 	}
-	srv.tenants.catalogueChanged = true // the time of some parked requests may be over
+	srv.tenants.catalogueChanged = true // the park timeout of some requests may have passed
 	srv.handleTenantEvent(tenant.Tick{})
 	srv.applyRoutes()
 }
 
-// readCatalogue reads the catalogue at each read request, and repeats a failed read until one succeeds.
+// readCatalogue reads the catalogue whenever a read is requested, and repeats a failed read until one
+// succeeds.
 func (srv *Server) readCatalogue(ctx context.Context) {
 	t := srv.tenants
 	reader := &tenant.Reader{Source: t.client, Member: t.self}
@@ -86,9 +87,9 @@
 	}
 }
 
-// applyCatalogue applies a read of the catalogue. The routes are planned first, so that tenants which the
-// cache then begins to serve can be routed. For a proxy that leaves, it notices the removal from the member
-// record.
+// applyCatalogue applies a read of the catalogue. It plans the routes first, so that tenants that the cache
+// then begins to serve can be routed. If the proxy is leaving, applyCatalogue detects its removal from the
+// member record.
 func (srv *Server) applyCatalogue(read tenant.CatalogueRead) {
 	t := srv.tenants
 	if read.Snapshot != nil && read.Snapshot.Number >= t.cache.Number() {
@@ -107,30 +108,30 @@
 	}
 }
 
-// leaveTenants starts to announce that this process serves tenants no more, after all its requests have
-// ended. The function wait waits until the proxy is removed from the member record, then closes the session:
-// until the removal, changes of tenants wait for this proxy. After leftTimeout it gives up and leaves the
-// session open, so that the status can still be read until the session expires.
+// leaveTenants starts to announce that this process will serve tenants no more once all its requests have
+// ended. The returned function waits until the proxy has been removed from the member record, because until
+// then changes of tenants wait for this proxy, and then closes the session. After leaveTimeout it gives up
+// and leaves the session open, so that the status can still be read until the session expires.
 func (srv *Server) leaveTenants(ctx context.Context) (wait func()) {
 	t := srv.tenants
 	if t == nil {
 		return func() {}
 	}
-	ctx, stop := context.WithTimeout(ctx, leftTimeout)
+	ctx, stop := context.WithTimeout(ctx, leaveTimeout)
 	srv.post(func() { srv.handleTenantEvent(tenant.Leave{}) })
 	return func() {
 		defer stop()
-		confirmed := srv.waitFor(ctx, leftTimeout, t.session.leftReported)
+		confirmed := srv.waitFor(ctx, leaveTimeout, t.session.leftReported)
 		// After a handoff the entry in the member record stays, for the next process.
 		if confirmed && !srv.frontend.handedOff.Load() {
 			t.session.requestRead()
-			confirmed = srv.waitFor(ctx, leftTimeout, t.removedFromRecord)
+			confirmed = srv.waitFor(ctx, leaveTimeout, t.removedFromRecord)
 		}
 		if !confirmed {
 			srv.log.Warn("tenant member record may still list this proxy; to remove it: wrenspreadctl tenant forget")
 			return
 		}
 		t.session.closeSession()
-		srv.waitFor(ctx, leftTimeout, t.session.ended)
+		srv.waitFor(ctx, leaveTimeout, t.session.ended)
 	}
 }
--- a/internal/proxy/tenants_park.go
+++ b/internal/proxy/tenants_park.go
@@ -7,12 +7,12 @@
 	"wrenspread/internal/tenant"
 )
 
-// A request whose tenant is in a leaf of the catalogue that is being read is parked until the leaf is there.
-// The timeout is twice the time of the present read and the next one, each of up to five registry calls of
-// about 20 ms. The number of parked requests is limited so that a proxy that starts parks no more than it can
-// read leaves for.
+// A request whose tenant is in a leaf of the catalogue that is being read is parked until the leaf has been
+// read. The timeout is twice the time of the present read and the next one, each of up to five registry calls
+// of about 20 ms. The number of parked requests is limited so that a proxy that starts parks no more requests
+// than it can read leaves for.
 const (
-	parkTimeout = 400 * time.Millisecond // noticed at most tenantTick later
+	parkTimeout = 400 * time.Millisecond // checked every tenantTick
 	maxParked   = 1024
 )
 
@@ -21,12 +21,12 @@
 	request             *request
 	event               balancer.RequestArrived
 	until               time.Time
-	firstSettingsNumber int // requestRules.firstSettingsNumber of its class's settings; -1: previous ones
+	firstSettingsNumber int // of the rules by which it was accepted; -1: by the previous settings
 }
 
-// parkRequest has the leaf of a request's tenant read, and parks the request meanwhile. It returns false if
-// the request has to be answered now: it has been parked before, too many are parked, or the leaf is not to
-// be read.
+// parkRequest requests a read of the leaf of the request's tenant, and parks the request meanwhile. It
+// returns false if the request has to be answered now: it has been parked before, too many requests are
+// parked, or the leaf will not be read.
 func (srv *Server) parkRequest(r *request, e balancer.RequestArrived) bool {
 	t := srv.tenants
 	srv.handleTenantEvent(tenant.LeafMissing{Name: e.Tenant})
@@ -41,14 +41,14 @@
 	}
 	t.parked = append(t.parked, p)
 	if r.outbound.upload != nil {
-		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // the deadline counts from the body's end
+		r.deadlineGuard = time.AfterFunc(maxUploadTime, func() {}) // placeholder until the body ends
 	} else {
 		srv.guardDeadline(r, time.Until(r.deadline))
 	}
 	return true
 }
 
-// resumeParked opens the parked requests whose leaf has been read, and those whose park timeout has passed.
+// resumeParked opens the parked requests that can be decided now, and those whose park timeout has passed.
 func (srv *Server) resumeParked() {
 	t := srv.tenants
 	parked := t.parked
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	maxVariants     = 128         // of all classes; limited, as the balancer goes through all placements often
+	maxVariants     = 128         // of all classes; the balancer often iterates over all placements
 	routeRetryAfter = time.Second // Retry-After of a request whose route the balancer has not been given
 )
 
-// routeVariants are the routes of the catalogue in the form that the balancer knows: variants of classes that
+// routeVariants are the routes of the catalogue in the form that the balancer uses: variants of classes that
 // are restricted to some zones and machine types. A route that names cells has no variant, as the balancer
-// does not choose by cells.
+// does not choose endpoints by cell.
 type routeVariants struct {
 	variantOf  map[routedClass]string         // variant's name, by route and class
 	wanted     map[string]balancer.Class      // variants that the catalogue needs, by name
@@ -43,8 +43,8 @@
 }
 
 // classFor returns the class by which the balancer places a request: the class itself if the route restricts
-// nothing, otherwise its variant; empty if the balancer does not have the variant. A request in the form of
-// the previous settings needs a variant that was given with those.
+// nothing, otherwise its variant; empty if the balancer does not have the variant. For a request in the form
+// of the previous settings, the variant must have been given to the balancer with those settings.
 func (l *routeVariants) classFor(route *tenant.Route, class string, previous bool) string {
 	if !narrows(route) {
 		return class
@@ -54,7 +54,7 @@
 	if previous {
 		variants = l.previous
 	}
-	if _, there := variants[name]; there {
+	if _, exists := variants[name]; exists {
 		return name
 	}
 	return ""
@@ -124,9 +124,8 @@
 	}
 }
 
-// dropLeaf removes the routes of a leaf that is gone from the catalogue. A variant (a class restricted to the
-// zones and machine types of a route) that no other route uses is no longer wanted. As this makes room for
-// variants that were left out, overLimit is then cleared.
+// dropLeaf removes the routes of a leaf that is gone from the catalogue. A variant that no other route uses
+// is then no longer wanted, and overLimit is cleared, as a variant that was left out may fit now.
 func (l *routeVariants) dropLeaf(leaf *tenant.Leaf) {
 	for _, routed := range l.byLeaf[leaf] {
 		name := l.variantOf[routed]
@@ -140,18 +139,18 @@
 	delete(l.byLeaf, leaf)
 }
 
-// addVariant adds the variant of a class for a route of a leaf, unless the route needs none or the limit of
-// variants is reached.
+// addVariant adds the variant of a class for a route of a leaf, unless the route needs no variant or
+// maxVariants is reached.
 func (l *routeVariants) addVariant(leaf *tenant.Leaf, route *tenant.Route, class balancer.Class) {
 	if route == nil || !narrows(route) || len(route.Cells) > 0 {
 		return
 	}
 	added, routed := variant(class, route), routedClass{route, class.Name}
-	if _, there := l.wanted[added.Name]; !there && len(l.wanted) >= maxVariants {
+	if _, exists := l.wanted[added.Name]; !exists && len(l.wanted) >= maxVariants {
 		l.overLimit = true
 		return
 	}
-	if _, there := l.variantOf[routed]; there {
+	if _, exists := l.variantOf[routed]; exists {
 		return
 	}
 	l.wanted[added.Name], l.variantOf[routed] = added, added.Name
@@ -221,8 +220,8 @@
 }
 
 // applyRoutes gives the balancer the variants that it lacks. It waits while requests in the form of the
-// previous settings are still accepted, as the balancer would forget those settings: until then requests on
-// new routes get 503.
+// previous settings are still accepted, because the balancer would forget those settings. Until then,
+// requests on new routes get 503.
 func (srv *Server) applyRoutes() {
 	if srv.tenants.routes.outdated && time.Now().After(srv.frontend.rules.Load().previousUntil) {
 		srv.applySettings(srv.frontend.rules.Load().withNextNumber())
--- a/internal/proxy/tenants_session.go
+++ b/internal/proxy/tenants_session.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// sessionTTL is also how long after the last contact with the registry the proxy still answers 403 and 404.
+	// sessionTTL is the time after which the registry ends a session that is not renewed. For the same time
+	// after the last contact with the registry the proxy still answers 403 and 404.
 	sessionTTL = 3 * time.Second
 	// sessionCallTimeout bounds each call about the session; a call that takes longer is repeated.
 	sessionCallTimeout = time.Second
@@ -22,23 +23,23 @@
 
 // registrySession is the proxy's session with the registry. One goroutine makes all calls about it.
 type registrySession struct {
-	session      registry.Session
-	status       atomic.Pointer[tenant.Status] // that the session should have
-	sentStatus   *tenant.Status                // that the session has; only the goroutine uses it
-	wake         chan struct{}                 // signals a new status
-	readRequests chan struct{}                 // signals that the catalogue has to be read
-	leftReported chan struct{}                 // closed when the registry has the status that the proxy has left
-	ended        chan struct{}                 // closed when the session has been closed
-	closeSession context.CancelFunc            // set before the goroutine starts
+	session       registry.Session
+	status        atomic.Pointer[tenant.Status] // that the session should have
+	sentStatus    *tenant.Status                // that the session has; only the goroutine uses it
+	statusChanged chan struct{}                 // signals a new status
+	readRequests  chan struct{}                 // signals that the catalogue has to be read
+	leftReported  chan struct{}                 // closed when the registry has the status Left
+	ended         chan struct{}                 // closed when the session has been closed
+	closeSession  context.CancelFunc            // set before the goroutine starts
 }
 
 func newRegistrySession(name string) *registrySession {
 	return &registrySession{
-		session:      registry.Session{Process: name, TTL: sessionTTL},
-		wake:         make(chan struct{}, 1),
-		readRequests: make(chan struct{}, 1),
-		leftReported: make(chan struct{}),
-		ended:        make(chan struct{}),
+		session:       registry.Session{Process: name, TTL: sessionTTL},
+		statusChanged: make(chan struct{}, 1),
+		readRequests:  make(chan struct{}, 1),
+		leftReported:  make(chan struct{}),
+		ended:         make(chan struct{}),
 	}
 }
 
@@ -46,7 +47,7 @@
 // status is sent.
 func (s *registrySession) setStatus(status tenant.Status) {
 	s.status.Store(&status)
-	notify(s.wake)
+	notify(s.statusChanged)
 }
 
 // requestRead has the catalogue read, after any read that is in progress.
@@ -82,8 +83,8 @@
 	}
 }
 
-// openSession tries once to open a session, under a new ID: a previous attempt may have succeeded without an
-// answer, and its session then expires.
+// openSession tries once to open a session, under a new ID. An earlier attempt may have opened a session
+// although its response was lost; that session expires.
 func (srv *Server) openSession(ctx context.Context) bool {
 	t := srv.tenants
 	s, status := t.session, tenant.Status{}
@@ -115,7 +116,7 @@
 			renewTimer.Reset(retryPause)
 		}
 		select {
-		case <-s.wake:
+		case <-s.statusChanged:
 			continue
 		case <-renewTimer.C:
 		case <-ctx.Done():
--- a/internal/proxy/term_test.go
+++ b/internal/proxy/term_test.go
@@ -190,7 +190,7 @@
 // would send SIGKILL, although its own deadline is later and no backend answers.
 func TestLateRequestIsAnsweredBeforeSIGKILL(t *testing.T) {
 	server, _, _ := silentServer(t)
-	n := startNodeWith(t, func(n *Server) { n.frontend.killTimeout = 100 * time.Millisecond }, server)
+	n := startNodeWith(t, func(n *Server) { n.frontend.finishTime = 100 * time.Millisecond }, server)
 	c := [2]raw{n.opened(t), n.opened(t)}
 	n.stop()
 	n.linger()
@@ -223,7 +223,7 @@
 		}
 	})
 	return startNodeWith(t, func(n *Server) {
-		if n.frontend.killTimeout = enough; upgrades {
+		if n.frontend.finishTime = enough; upgrades {
 			n.EnableHandoff(handoffDir(t))
 		}
 	}, server), release
--- a/internal/proxy/typecheck.go
+++ b/internal/proxy/typecheck.go
@@ -13,7 +13,7 @@
 // keys that do not exist.
 type typeChecker struct{ problems, unknown []string }
 
-// check compares the JSON value at path with the type of want.
+// check compares the JSON value at path with the type of the value want.
 func (c *typeChecker) check(path string, value, want any) { c.walk(path, value, reflect.TypeOf(want)) }
 
 // walk is check for the type t.
@@ -27,11 +27,11 @@
 	case t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(unmarshalerType):
 		c.object(path, value, t)
 	case t.Kind() == reflect.Slice:
-		all, ok := value.([]any)
+		list, ok := value.([]any)
 		if !ok {
 			c.addProblem(path, value, "a list")
 		}
-		for i, e := range all {
+		for i, e := range list {
 			c.walk(fmt.Sprintf("%s.%d", path, i), e, t.Elem())
 		}
 	default:
@@ -53,20 +53,20 @@
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(object)) {
-		at := strings.TrimPrefix(path+"."+key, ".")
+		keyPath := strings.TrimPrefix(path+"."+key, ".")
 		field, known := t.FieldByNameFunc(func(name string) bool {
 			f, _ := t.FieldByName(name)
 			return strings.EqualFold(f.Tag.Get("json"), key) // keys match without regard to case, as in encoding/json
 		})
 		if !known {
-			c.unknown = append(c.unknown, at+": no such key; it is passed over")
+			c.unknown = append(c.unknown, keyPath+": unknown key; it is ignored")
 			continue
 		}
-		c.walk(at, object[key], field.Type)
+		c.walk(keyPath, object[key], field.Type)
 	}
 }
 
-// addProblem records that the value at path is not what want says.
+// addProblem records that the value at path is not of the type that want describes.
 func (c *typeChecker) addProblem(path string, value any, want string) {
 	text, _ := json.Marshal(value) // it can't fail: the value was decoded from JSON
 	if len(text) > 40 {
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	bodyStartGrace = 400 * time.Millisecond // for a body to begin, after a head that took all of its time
+	bodyStartGrace = 400 * time.Millisecond // for a body to begin, if the head took all of its time
 	minBodyRate    = 32 << 10               // bytes per second: half of the rate of the slowest client
 )
 
-// bodyReader reads a request's body and enforces its rate: the body must come at minBodyRate or faster,
-// but has at least readTimeout from the first byte of the request. Time in which the proxy does not read
-// does not count.
+// bodyReader reads a request's body and enforces its rate: the body must come at minBodyRate or faster, but
+// has at least readTimeout from the first byte of the request. The time in which the proxy does not read is
+// excluded.
 type bodyReader struct {
 	body       io.Reader
 	stopped    atomic.Bool
 	control    *http.ResponseController
-	startedAt  time.Time // first byte of the request
-	headEnd    time.Time // end of its head, moved on by the time not spent reading
-	lastReadAt time.Time // return of the last read
-	received   int64     // bytes
+	startedAt  time.Time // when the first byte of the request came
+	headEnd    time.Time // when its head ended, plus the time since then in which the proxy did not read
+	lastReadAt time.Time // when the last read returned
+	received   int64     // bytes of the body
 }
 
 func newBodyReader(w http.ResponseWriter, r *http.Request) *bodyReader {
@@ -46,7 +46,7 @@
 	return b
 }
 
-// progressDeadline returns when the next part of the body must have come.
+// progressDeadline returns the time by which the next part of the body must have come.
 func (b *bodyReader) progressDeadline() time.Time {
 	deadline := b.headEnd.Add(bodyStartGrace + time.Duration(b.received)*time.Second/minBodyRate)
 	if earliest := b.startedAt.Add(readTimeout); deadline.Before(earliest) {
@@ -77,14 +77,14 @@
 	besteffort.SocketOption(b.control.SetReadDeadline(time.Unix(1, 0)))
 }
 
-// upload is the rest of a body that is too long to be buffered: it passes from the client to a backend as
-// fast as the backend reads it.
+// upload is the remainder of a body that is too long to be buffered. It is passed from the client to a
+// backend as fast as the backend reads it.
 type upload struct {
 	length          int64 // of the complete body; negative if not stated
 	pipe            *io.PipeReader
 	reader          *bodyReader
 	completedAt     atomic.Int64  // Unix nanoseconds at which the last byte was sent; 0 before
-	consumed        atomic.Bool   // some of it has been read by an attempt, so that no other attempt can send it
+	consumed        atomic.Bool   // an attempt has read some of it, so no other attempt can send it
 	clientGone      func() bool   // reports whether the client has left
 	clientGoneAtEnd atomic.Bool   // the client had left when the last byte was to be sent
 	readingEnded    chan struct{} // closed when nothing more is read from the client
@@ -97,15 +97,15 @@
 	countEnded           bool // countEnd has been called
 }
 
-// pump reads the body to its end into w, as fast as attempts read the upload. A body of more than
-// limit bytes fails.
+// pump copies the remaining body to w, as fast as attempts read the upload. It fails if the remaining body
+// has more than limit bytes.
 func (u *upload) pump(limit int64, w *io.PipeWriter) {
 	defer close(u.readingEnded)
 	n, err := io.CopyBuffer(struct{ io.Writer }{w}, io.LimitReader(u.reader, limit+1), make([]byte, copyBufSize))
 	switch {
 	case err == nil && n > limit:
 		err = errTooLong
-	case errors.Is(err, io.ErrClosedPipe): // no attempt needs the rest
+	case errors.Is(err, io.ErrClosedPipe): // no attempt reads any more
 		besteffort.Drained(
 			io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(u.reader, limit), make([]byte, copyBufSize)),
 		)
@@ -122,9 +122,9 @@
 	remaining int64 // bytes until the end of the body; negative if not stated
 }
 
-// Read reads the next bytes. It sets consumed before it checks ctx: so whoever ends ctx, and then finds
-// consumed unset, knows that nothing will be read. A backend begins to serve at the last byte, so the
-// last byte is withheld if the client has left.
+// Read reads the next bytes. It sets consumed before it checks ctx: whoever ends ctx and afterwards finds
+// consumed unset can rely on nothing being read. A backend begins to serve at the last byte, so the last byte
+// is withheld if the client has left.
 func (u *attemptUpload) Read(p []byte) (int, error) {
 	if u.ctx.Err() == nil {
 		u.consumed.Store(true)
@@ -151,8 +151,8 @@
 	}
 }
 
-// drain reads and discards what the client has still to send, and returns at the end of the body. A
-// client that is cut off while it sends may never read the response that waits for it.
+// drain reads and discards what the client still sends, and returns at the end of the body. A client that is
+// cut off while it sends might never read the response that has been sent to it.
 func (u *upload) drain() {
 	besteffort.Close(u.pipe)
 	<-u.readingEnded
@@ -168,7 +168,8 @@
 	}
 }
 
-// countStart counts the request as outstanding, once its last byte has been sent.
+// countStart counts the request as outstanding, unless it has ended. It is called when the last byte has been
+// sent.
 func (u *upload) countStart(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -178,7 +179,7 @@
 	}
 }
 
-// countEnd counts the request as ended.
+// countEnd counts the request as ended: no longer as outstanding, if it was.
 func (u *upload) countEnd(outstanding *atomic.Int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -188,14 +189,15 @@
 }
 
 // errTooLong means that a body has more than maxStreamedBody bytes.
-var errTooLong = errors.New("it is too long")
+var errTooLong = errors.New("body exceeds the size limit")
 
-// readStart reads a body to its end, or up to the size that is buffered; rest reports that there is more.
+// readStart reads a body to its end, or up to maxBufferedBody bytes; hasMore reports that the body is longer
+// and has to be streamed.
 func readStart(
 	ctx context.Context,
 	body io.Reader,
 	reserveMemory func(context.Context) error,
-) (start []byte, rest bool, err error) {
+) (start []byte, hasMore bool, err error) {
 	if start, err = io.ReadAll(io.LimitReader(body, maxSmallBody+1)); err != nil || len(start) <= maxSmallBody {
 		return start, false, err
 	}
@@ -208,12 +210,13 @@
 }
 
 const (
-	maxSmallBody  = 16 << 10                        // bytes of a body that needs no memory budget
+	maxSmallBody  = 16 << 10                        // bytes; a larger body needs a place in the memory budget
 	messageMemory = maxBufferedBody + 2*copyBufSize // bytes that one larger message takes at most
 	memoryWait    = 5 * time.Second                 // for a place in the memory budget
 )
 
-// startUpload starts to read the rest of a body of which start bytes have been read.
+// startUpload starts to read the remainder of a body of which start bytes have been read. wait is the time
+// for the response, from the last byte on.
 func startUpload(r *http.Request, body *bodyReader, start int, wait time.Duration) *upload {
 	read, write := io.Pipe()
 	u := &upload{
--- a/internal/proxy/validate.go
+++ b/internal/proxy/validate.go
@@ -21,7 +21,7 @@
 	maxDeadline = time.Hour
 )
 
-// requestError is the response to a request that is not accepted.
+// requestError is the error of a request that is not accepted, with the status of its response.
 type requestError struct {
 	status int
 	err    error
@@ -97,14 +97,15 @@
 	return balancer.RequestID(id), nil
 }
 
-// checkForm checks that a request has the form of its class, in the present settings or in the previous ones.
+// checkForm checks that a request has the form that its class requires, in the present settings or in the
+// previous ones.
 func (f *frontend) checkForm(rules *requestRules, r *http.Request, class string) (previous bool, err error) {
-	return rules.idempotencyOf(class, func(idempotency balancer.Idempotency) error {
+	return rules.matchForm(class, func(idempotency balancer.Idempotency) error {
 		return checkMethodAndKey(r, class, idempotency)
 	})
 }
 
-// workHint returns the expected work that the client names, if it names a plausible one.
+// workHint returns the expected work that the client states, if it states a plausible one.
 func workHint(r *http.Request) (hint time.Duration, ok bool) {
 	micros, err := strconv.ParseFloat(r.Header.Get("X-Cost-Hint"), 64)
 	if err != nil || !(micros >= 0 && micros < maxWorkHint) {
@@ -117,7 +118,7 @@
 type requestBody struct {
 	start         []byte
 	isLong        bool
-	reader        *bodyReader // of the rest
+	reader        *bodyReader // of the remainder of a long body
 	releaseMemory func()      // may be nil
 }
 
@@ -159,7 +160,7 @@
 	return &requestError{status, fmt.Errorf(format, args...)}
 }
 
-// newOutbound returns a client's request as it is sent to an endpoint.
+// newOutbound returns a client's request in the form in which it is sent to an endpoint.
 func newOutbound(r *http.Request, body []byte) *outbound {
 	return &outbound{
 		method: r.Method,
@@ -175,8 +176,8 @@
 	}
 }
 
-// updateLatestDeadline records how long the frontend may have to run to answer its requests, whatever its
-// settings are by then.
+// updateLatestDeadline records the deadline if it is the latest so far: until then the frontend has to run to
+// answer its requests, even if the settings change.
 func (f *frontend) updateLatestDeadline(deadline time.Time) {
 	for at := int64(deadline.Sub(f.server.start)); ; {
 		if before := f.latestDeadline.Load(); at <= before || f.latestDeadline.CompareAndSwap(before, at) {
@@ -185,8 +186,8 @@
 	}
 }
 
-// checkMethodAndKey checks that a request has the method and the Idempotency-Key of its class. They tell
-// the backend what a retry would do, so they must agree with what the balancer assumes.
+// checkMethodAndKey checks that a request has the method and the Idempotency-Key of its class. By these the
+// backend knows what a retry would do, so they must agree with what the balancer assumes.
 func checkMethodAndKey(r *http.Request, class string, idempotency balancer.Idempotency) error {
 	want := http.MethodPost
 	if idempotency == balancer.Idempotent {
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// parseSeconds parses a positive number of seconds, and cuts it at maxDeadline.
+// parseSeconds parses a positive number of seconds; a number over maxDeadline gives maxDeadline.
 func parseSeconds(s string) (time.Duration, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
