--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -1,6 +1,6 @@
-// Package fencing protects the receivers of orders from the holder of a lease. An order carries the holder's
-// fencing token. An order of an earlier holder, which may not know that it has lost the lease, has a lower
-// token and is rejected.
+// Package fencing rejects orders of earlier lease holders. An order is a request from the holder of a lease
+// and carries the holder's fencing token. An earlier holder may not know that it has lost the lease; its
+// orders have a lower token.
 package fencing
 
 import (
@@ -33,13 +33,13 @@
 
 // Errors of Check and Parse.
 var (
-	// ErrInvalidToken means that a token lacks a lease's name or a number.
+	// ErrInvalidToken means that a token has no valid lease name or no number above 0.
 	ErrInvalidToken = errors.New("fencing: want a lease's name and a number above 0")
-	// ErrTooManyLeases means that the guard knows MaxLeases other leases already.
+	// ErrTooManyLeases means that the guard already stores the tokens of MaxLeases other leases.
 	ErrTooManyLeases = errors.New("fencing: too many leases")
 )
 
-// StaleError rejects an order whose sender has been succeeded by another holder of the lease.
+// StaleError rejects an order of an earlier holder: a later holder of the lease has a higher token.
 type StaleError struct {
 	registry.FencingToken
 	Highest uint64 // highest number that the guard has admitted
@@ -80,9 +80,9 @@
 	return g, nil
 }
 
-// Check admits an order by its token, or rejects it with a *StaleError, ErrInvalidToken, ErrTooManyLeases or
-// an error of the guard's folder. A token that is higher than all earlier ones is stored before it is
-// admitted.
+// Check admits or rejects an order by its token. It rejects with a *StaleError, ErrInvalidToken,
+// ErrTooManyLeases or an error of the guard's folder. A token that is higher than all earlier tokens of its
+// lease is stored before the order is admitted.
 func (g *Guard) Check(token registry.FencingToken) error {
 	if token.Lease == "" || len(token.Lease) > registry.MaxTextBytes || token.Number == 0 {
 		return ErrInvalidToken
--- a/internal/fencing/fencing_test.go
+++ b/internal/fencing/fencing_test.go
@@ -30,19 +30,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f := registry.FencingToken{
-				Lease:  rapid.SampledFrom([]string{"a", "b c"}).Draw(t, "duty"),
-				Number: rapid.Uint64Range(1, 9).Draw(t, "fence"),
+			token := registry.FencingToken{
+				Lease:  rapid.SampledFrom([]string{"a", "b c"}).Draw(t, "lease"),
+				Number: rapid.Uint64Range(1, 9).Draw(t, "number"),
 			}
 			r := httptest.NewRequest("POST", "/", nil)
-			r.Header.Set(Header, Format(f))
+			r.Header.Set(Header, Format(token))
 			status, err := g.CheckRequest(r)
 			var stale *StaleError
-			if want := f.Number >= highest[f.Lease]; want != (err == nil) ||
-				!want && (status != 409 || !errors.As(err, &stale) || stale.Highest != highest[f.Lease]) {
-				t.Fatalf("%+v after %d: %d, %v", f, highest[f.Lease], status, err)
+			if want := token.Number >= highest[token.Lease]; want != (err == nil) ||
+				!want && (status != 409 || !errors.As(err, &stale) || stale.Highest != highest[token.Lease]) {
+				t.Fatalf("%+v after %d: %d, %v", token, highest[token.Lease], status, err)
 			}
-			highest[f.Lease] = max(highest[f.Lease], f.Number)
+			highest[token.Lease] = max(highest[token.Lease], token.Number)
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
 				if g, err = Open(dir); err != nil {
 					t.Fatal(err)
--- a/internal/fencing/fixture_test.go
+++ b/internal/fencing/fixture_test.go
@@ -14,10 +14,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := registry.FencingToken{Lease: "quota", Number: 41}
-	if err := g.Check(f); err != nil {
+	token := registry.FencingToken{Lease: "quota", Number: 41}
+	if err := g.Check(token); err != nil {
 		t.Fatal(err)
 	}
 	fixture.AssertFile(t, "fences", folder+"/fences")
-	fixture.Assert(t, "header", []byte(Header+": "+Format(f)))
+	fixture.Assert(t, "header", []byte(Header+": "+Format(token)))
 }
--- a/internal/lease/close.go
+++ b/internal/lease/close.go
@@ -13,7 +13,7 @@
 func (s *Session) Close(timeout time.Duration) error {
 	s.update(func(time.Duration) { s.core.closing = true })
 	err := s.awaitReleases(timeout)
-	if err == nil { // after a timeout the session expires by itself, once all work has had to stop
+	if err == nil { // after a timeout the session is left to expire, after the time by which work has to stop
 		err = s.closeInRegistry()
 	}
 	s.stop()
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -8,9 +8,10 @@
 	"wrenspread/internal/registry"
 )
 
-// Times of a session. If clock rates are off by at most maxClockDrift, a session that was renewed can't
-// expire by the registry's clock before TTL/(1+drift) of true time has passed. On this process's clock that
-// is at least TTL*(1-drift)/(1+drift). The last TTL/stopFraction of it is for work to stop.
+// Times of a session. Clock rates are assumed to be off by at most maxClockDrift. A renewed session then
+// can't expire by the registry's clock before TTL/(1+drift) of true time has passed, which is at least
+// TTL*(1-drift)/(1+drift) on this process's clock. Work is cancelled TTL/stopFraction before the end of that
+// time, so that it can stop.
 const (
 	// DefaultTTL is the time after which the leases of a process that does not renew its session are granted to
 	// other processes.
@@ -25,8 +26,8 @@
 }
 
 const (
-	minBackoff = time.Second // before a campaign after work that failed; doubles
-	maxBackoff = time.Minute // the longest such wait; work that ran for longer resets it
+	minBackoff = time.Second // wait after the first failure of work, before the next campaign; doubles
+	maxBackoff = time.Minute // the longest such wait; work that ran for longer resets the wait
 	// transferBackoff is the wait of a process that may preempt others, between a requested transfer and its
 	// next campaign.
 	transferBackoff = 10 * time.Second
@@ -54,7 +55,7 @@
 	token             uint64        // fencing token under which the session holds the lease; 0: it does not
 	grantedAt         time.Duration // when this process learned of the grant
 	releasedToken     uint64        // the highest token that was released
-	transferRequested bool
+	transferRequested bool          // the registry asks this process to transfer the lease
 
 	releasing bool // the lease is to be released before anything else
 	cancelled bool // the lease is not wanted any more
@@ -63,7 +64,7 @@
 	stopRequestedAt time.Duration // when the context of the work was cancelled; 0: it was not
 	startedAt       time.Duration // when the work was started
 
-	callPending    bool          // a campaign or a release is in progress
+	callPending    bool          // a call that campaigns for the lease or releases it is in progress
 	backoff        time.Duration // wait after the next failure of the work
 	nextCampaignAt time.Duration // earliest time of the next campaign
 }
@@ -120,21 +121,21 @@
 func (c *core) step(now time.Duration) (actions []action) {
 	order := c.highestReleaseOrder()
 	for _, cand := range c.candidacies {
-		if next, ok := c.stepOne(now, cand, order); ok {
+		if next, ok := c.nextAction(now, cand, order); ok {
 			actions = append(actions, next)
 		}
 	}
 	return actions
 }
 
-// stepOne returns the action to carry out for a candidacy, if there is one. While the session closes, leases
-// of releaseOrder and above are released.
-func (c *core) stepOne(now time.Duration, cand *candidacy, releaseOrder int) (next action, ok bool) {
-	leaves := cand.cancelled || cand.releasing || cand.transferRequested ||
+// nextAction returns the action to carry out for a candidacy, if there is one. While the session closes, it
+// releases the lease if cand.releaseOrder is at least releaseOrder.
+func (c *core) nextAction(now time.Duration, cand *candidacy, releaseOrder int) (next action, ok bool) {
+	mustRelease := cand.cancelled || cand.releasing || cand.transferRequested ||
 		c.closing && cand.releaseOrder >= releaseOrder
 	switch {
 	case cand.runningToken != 0:
-		mustStop := leaves || cand.token != cand.runningToken || !c.holds(cand, now)
+		mustStop := mustRelease || cand.token != cand.runningToken || !c.holds(cand, now)
 		if cand.stopRequestedAt != 0 || !mustStop {
 			return action{}, false
 		}
@@ -142,10 +143,10 @@
 		return action{stopWork, cand, cand.runningToken}, true
 	case !c.open || cand.callPending:
 		return action{}, false
-	case leaves && cand.registered:
+	case mustRelease && cand.registered:
 		cand.callPending = true
 		return action{releaseLease, cand, cand.token}, true
-	case leaves:
+	case mustRelease:
 		cand.releasing = false // there is nothing to release
 		return action{}, false
 	case c.closing: // leases of a higher release order come first
--- a/internal/lease/core_events.go
+++ b/internal/lease/core_events.go
@@ -38,31 +38,31 @@
 
 // leasesReported records a response on the session's leases. A response that is older than an earlier one is
 // ignored.
-func (c *core) leasesReported(now time.Duration, session string, answer registry.LeasesResponse) {
-	if !c.open || answer.Epoch == c.epoch && answer.Index < c.index {
+func (c *core) leasesReported(now time.Duration, session string, response registry.LeasesResponse) {
+	if !c.open || response.Epoch == c.epoch && response.Index < c.index {
 		return
 	}
-	c.index = answer.Index
-	c.epoch = answer.Epoch
+	c.index = response.Index
+	c.epoch = response.Epoch
 	for _, cand := range c.candidacies {
-		i := slices.IndexFunc(answer.Leases, func(l registry.Lease) bool { return l.Name == cand.spec.Lease })
+		i := slices.IndexFunc(response.Leases, func(l registry.Lease) bool { return l.Name == cand.spec.Lease })
 		cand.registered = i >= 0
-		if !cand.registered || answer.Leases[i].Holder != session {
+		if !cand.registered || response.Leases[i].Holder != session {
 			cand.token = 0
 			cand.transferRequested = false
 			continue
 		}
-		cand.granted(now, answer.Leases[i].Token)
-		cand.transferRequested = answer.Leases[i].TransferRequested
+		cand.granted(now, response.Leases[i].Token)
+		cand.transferRequested = response.Leases[i].TransferRequested
 	}
-	for _, l := range answer.Leases {
-		c.adoptUnwanted(now, session, l)
+	for _, l := range response.Leases {
+		c.addUnwanted(now, session, l)
 	}
 }
 
-// adoptUnwanted adds a cancelled candidacy for a lease that this process does not want, so that the lease is
+// addUnwanted adds a cancelled candidacy for a lease that this process does not want, so that the lease is
 // released. There is such a lease after a campaign whose outcome was unknown.
-func (c *core) adoptUnwanted(now time.Duration, session string, l registry.Lease) {
+func (c *core) addUnwanted(now time.Duration, session string, l registry.Lease) {
 	if slices.ContainsFunc(c.candidacies, func(cand *candidacy) bool { return cand.spec.Lease == l.Name }) {
 		return
 	}
--- a/internal/lease/core_test.go
+++ b/internal/lease/core_test.go
@@ -66,30 +66,30 @@
 }
 
 // send delivers a message of a process after a random delay, or never.
-func (s *sim) send(p *simProcess, do func()) {
+func (s *sim) send(p *simProcess, deliver func()) {
 	if s.realTime < p.cutOffUntil {
 		return
 	}
-	late := time.Duration(s.rng.IntN(60)) * time.Millisecond
+	delay := time.Duration(s.rng.IntN(60)) * time.Millisecond
 	switch s.rng.IntN(40) {
 	case 0:
 		return
 	case 1:
-		late = time.Duration(s.rng.Int64N(int64(3 * simTTL)))
+		delay = time.Duration(s.rng.Int64N(int64(3 * simTTL)))
 	}
-	s.inFlight = append(s.inFlight, message{s.realTime + late, do})
+	s.inFlight = append(s.inFlight, message{s.realTime + delay, deliver})
 }
 
 // apply applies a command to the state and checks that the fencing token does not fall.
 func (s *sim) apply(c registry.Command) registry.Result {
 	c.Grant = []string{"d"}
 	r := s.state.Apply(c)
-	d, _ := s.state.Lease("d") // an unused lease does not exist, its token is then 0
-	if d.Token != 0 && d.Token < s.highestGranted {
-		s.violation = fmt.Sprintf("fencing token %d after %d", d.Token, s.highestGranted)
+	lease, _ := s.state.Lease("d") // an unused lease does not exist, its token is then 0
+	if lease.Token != 0 && lease.Token < s.highestGranted {
+		s.violation = fmt.Sprintf("fencing token %d after %d", lease.Token, s.highestGranted)
 	}
-	if d.Token > s.highestGranted {
-		s.highestGranted = d.Token
+	if lease.Token > s.highestGranted {
+		s.highestGranted = lease.Token
 		s.grants++
 	}
 	return r
@@ -181,31 +181,31 @@
 
 // carryOut carries out an action of a process's core.
 func (s *sim) carryOut(p *simProcess, a action) {
-	c, w, id := p.core, a.candidacy, p.session
+	c, cand, id := p.core, a.candidacy, p.session
 	switch a.kind {
 	case startWork:
 		p.runningToken = a.token
 	case stopWork:
 		p.stopAt = s.realTime + time.Duration(s.rng.Int64N(int64(simTTL/stopFraction-2*simStep)))
 	default:
-		do := registry.OpCampaign
+		op := registry.OpCampaign
 		if a.kind == releaseLease {
-			do = registry.OpRelease
+			op = registry.OpRelease
 		}
 		answered := false
 		s.send(p, func() {
 			r := s.apply(
-				registry.Command{Op: do, Session: &registry.Session{ID: id}, Candidacies: []registry.Candidacy{w.spec}},
+				registry.Command{Op: op, Session: &registry.Session{ID: id}, Candidacies: []registry.Candidacy{cand.spec}},
 			)
 			s.send(p, func() {
 				if answered = true; p.core == c && p.session == id {
-					c.callEnded(a.kind, w, r.Code == registry.Applied)
+					c.callEnded(a.kind, cand, r.Code == registry.Applied)
 				}
 			})
 		})
 		s.inFlight = append(s.inFlight, message{s.realTime + 4*simTTL, func() {
 			if !answered && p.core == c && p.session == id {
-				c.callEnded(a.kind, w, false)
+				c.callEnded(a.kind, cand, false)
 			}
 		}})
 	}
@@ -249,11 +249,11 @@
 		})
 	})
 	s.send(p, func() {
-		all, ok := s.state.Leases(id)
-		a := registry.LeasesResponse{Index: s.state.LeasesVersion(), Epoch: "e", Leases: all}
+		leases, ok := s.state.Leases(id)
+		response := registry.LeasesResponse{Index: s.state.LeasesVersion(), Epoch: "e", Leases: leases}
 		s.send(p, func() {
 			if ok && p.core == c && p.session == id {
-				c.leasesReported(p.now(s), id, a)
+				c.leasesReported(p.now(s), id, response)
 			}
 		})
 	})
@@ -262,26 +262,26 @@
 // write makes one write of a process's work to an external resource. The resource checks the fencing token if
 // checksTokens is set.
 func (s *sim) write(i int, p *simProcess) {
-	who := fmt.Sprintf("p%d under %d", i, p.runningToken)
+	writer := fmt.Sprintf("p%d under %d", i, p.runningToken)
 	if s.checksTokens && p.runningToken < s.highestWritten {
 		return // the resource rejects the write
 	}
 	if p.runningToken < s.highestWritten {
-		s.violation = fmt.Sprintf("at %v %s writes after %s", s.realTime, who, s.lastWriter)
+		s.violation = fmt.Sprintf("at %v %s writes after %s", s.realTime, writer, s.lastWriter)
 	}
-	s.highestWritten, s.lastWriter = max(s.highestWritten, p.runningToken), who
+	s.highestWritten, s.lastWriter = max(s.highestWritten, p.runningToken), writer
 }
 
 // checkOverlap checks that the work of at most one process runs, unless processes are paused.
 func (s *sim) checkOverlap() {
-	n := 0
+	working := 0
 	for _, p := range s.processes {
 		if p.runningToken != 0 {
-			n++
+			working++
 		}
 	}
-	if n > 1 && !s.pausesProcesses {
-		s.violation = fmt.Sprintf("at %v the work of %d processes runs at the same time", s.realTime, n)
+	if working > 1 && !s.pausesProcesses {
+		s.violation = fmt.Sprintf("at %v the work of %d processes runs at the same time", s.realTime, working)
 	}
 }
 
@@ -351,12 +351,12 @@
 func TestCloseReleasesByReleaseOrder(t *testing.T) {
 	c := &core{ttl: simTTL}
 	c.sessionOpened()
-	a := registry.LeasesResponse{Index: 1}
+	response := registry.LeasesResponse{Index: 1}
 	for i, releaseOrder := range []int{0, 2, 2, -1} {
-		w := c.add(registry.Candidacy{Lease: fmt.Sprint("d", i)}, releaseOrder)
-		a.Leases = append(a.Leases, registry.Lease{Name: w.spec.Lease, Holder: "me", Token: uint64(i + 2)})
+		cand := c.add(registry.Candidacy{Lease: fmt.Sprint("d", i)}, releaseOrder)
+		response.Leases = append(response.Leases, registry.Lease{Name: cand.spec.Lease, Holder: "me", Token: uint64(i + 2)})
 	}
-	c.leasesReported(1, "me", a)
+	c.leasesReported(1, "me", response)
 	c.renewed(2)
 	if n := len(c.step(3)); n != 4 {
 		t.Fatalf("%d actions at the start, want 4", n)
@@ -364,12 +364,12 @@
 	c.closing = true
 	for _, want := range []int{2, 1, 1} {
 		stops := c.step(4)
-		for _, s := range stops {
-			c.workEnded(5, s.candidacy, nil)
+		for _, stop := range stops {
+			c.workEnded(5, stop.candidacy, nil)
 		}
 		releases := c.step(6)
-		for _, g := range releases {
-			c.callEnded(g.kind, g.candidacy, true)
+		for _, release := range releases {
+			c.callEnded(release.kind, release.candidacy, true)
 		}
 		if len(stops) != want || len(releases) != want || stops[0].kind != stopWork || releases[0].kind != releaseLease {
 			t.Fatalf("%+v and then %+v, want %d", stops, releases, want)
--- a/internal/lease/keepalive.go
+++ b/internal/lease/keepalive.go
@@ -12,16 +12,16 @@
 
 const (
 	renewalsPerTTL  = 4
-	minCallTimeout  = time.Second // for the call that opens a session
-	sessionIDLength = 12          // bytes, before hexadecimal encoding
-	watchHold       = 20 * time.Second
+	minCallTimeout  = time.Second      // for the call that opens a session
+	sessionIDLength = 12               // bytes, before hexadecimal encoding
+	watchHold       = 20 * time.Second // how long a replica may delay its response to a watch
 )
 
-// keepSession opens the session, renews it, and opens another one if it expires, until s.ctx ends.
-func (s *Session) keepSession() {
+// maintainSession opens the session, renews it, and opens another one if it expires, until s.ctx ends.
+func (s *Session) maintainSession() {
 	interval := s.config.TTL / renewalsPerTTL
 	for s.ctx.Err() == nil {
-		timer := time.NewTimer(s.keepOnce(interval))
+		timer := time.NewTimer(s.openOrRenewSession(interval))
 		select {
 		case <-timer.C:
 		case <-s.renewNow:
@@ -31,8 +31,9 @@
 	}
 }
 
-// keepOnce opens the session or renews it, and returns how long to wait before the next renewal or attempt.
-func (s *Session) keepOnce(interval time.Duration) (wait time.Duration) {
+// openOrRenewSession opens the session or renews it, and returns how long to wait before the next renewal or
+// attempt.
+func (s *Session) openOrRenewSession(interval time.Duration) (wait time.Duration) {
 	s.mu.Lock()
 	open, id := s.core.open, s.id
 	s.mu.Unlock()
@@ -119,7 +120,7 @@
 		}
 		ctx, cancel := context.WithCancel(s.ctx)
 		go s.cancelWhenSessionEnds(ctx, cancel, id)
-		answer, err := s.config.Client.SessionLeases(ctx, id, index, watchHold)
+		response, err := s.config.Client.SessionLeases(ctx, id, index, watchHold)
 		cancel()
 		if err != nil { // also from a lagging replica that does not know the session; renewals show a real loss
 			backoff.Sleep(s.ctx, retryPause)
@@ -127,7 +128,7 @@
 		}
 		s.update(func(now time.Duration) {
 			if id == s.id {
-				s.core.leasesReported(now, id, answer)
+				s.core.leasesReported(now, id, response)
 			}
 		})
 	}
@@ -137,9 +138,9 @@
 func (s *Session) cancelWhenSessionEnds(ctx context.Context, cancel context.CancelFunc, id string) {
 	for {
 		s.mu.Lock()
-		changed, same := s.changed, s.core.open && s.id == id
+		changed, isCurrent := s.changed, s.core.open && s.id == id
 		s.mu.Unlock()
-		if !same {
+		if !isCurrent {
 			cancel()
 			return
 		}
--- a/internal/lease/loop.go
+++ b/internal/lease/loop.go
@@ -74,7 +74,7 @@
 // startWork starts the work of a candidacy. The caller holds the lock.
 func (s *Session) startWork(cand *candidacy, token uint64) {
 	run := s.runs[cand]
-	if run == nil { // a lease that adoptUnwanted has added
+	if run == nil { // a lease that addUnwanted has added
 		cand.runningToken = 0
 		cand.cancelled = true
 		return
@@ -96,8 +96,8 @@
 	})
 }
 
-// stopWork cancels the context of work, and checks after the time for stopping that it has stopped. The
-// caller holds the lock.
+// stopWork cancels the context of a candidacy's work, and logs an error if the work has not stopped
+// TTL/stopFraction later. The caller holds the lock.
 func (s *Session) stopWork(cand *candidacy) {
 	token := cand.runningToken
 	s.runs[cand].cancel()
--- a/internal/lease/options.go
+++ b/internal/lease/options.go
@@ -30,12 +30,12 @@
 func Spread(process, lease string) Option {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(lease + "\x00" + process)) // a hash never returns an error
-	x := hash.Sum32()
-	x ^= x >> 16 // without this mixing, a difference in the last bytes changes too few bits
-	x *= 0x85ebca6b
-	x ^= x >> 13
+	mixed := hash.Sum32()
+	mixed ^= mixed >> 16 // without this mixing, a difference in the last bytes changes too few bits
+	mixed *= 0x85ebca6b
+	mixed ^= mixed >> 13
 	return func(r *request) {
-		r.Priority = int(x >> 1)
+		r.Priority = int(mixed >> 1)
 		r.Preempt = true
 	}
 }
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -24,7 +24,7 @@
 
 // Config configures a Session.
 type Config struct {
-	Client  *client.Client       // not shared with other sessions: after a failed call it changes the replica
+	Client  *client.Client       // not shared with other sessions, as it changes the replica after a failed call
 	Process string               // name of the process, the same after a restart
 	TTL     time.Duration        // time without a renewal after which the session expires; 0: DefaultTTL
 	Info    registry.ProcessInfo // information for other processes about this one
@@ -64,7 +64,7 @@
 	changed   chan struct{} // closed and replaced after every step
 	lateStops int           // how many times work did not stop in time
 
-	renewalsFailing bool // used by keepSession alone: a failure has been logged
+	renewalsFailing bool // a failed renewal has been logged; used by maintainSession alone
 }
 
 // run is the work of a candidacy.
@@ -106,7 +106,7 @@
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	s.goroutines.Go(s.loop)
-	s.goroutines.Go(s.keepSession)
+	s.goroutines.Go(s.maintainSession)
 	s.goroutines.Go(s.watchLeases)
 	return s, nil
 }
@@ -138,8 +138,8 @@
 	if s.core.closing {
 		return nil, ErrClosed
 	}
-	same := func(cand *candidacy) bool { return cand.spec.Lease == requested.Lease }
-	if slices.ContainsFunc(s.core.candidacies, same) {
+	isForLease := func(cand *candidacy) bool { return cand.spec.Lease == requested.Lease }
+	if slices.ContainsFunc(s.core.candidacies, isForLease) {
 		return nil, fmt.Errorf("%w: %s", ErrDuplicateCandidacy, requested.Lease)
 	}
 	cand := s.core.add(requested.Candidacy, requested.releaseOrder)
@@ -196,8 +196,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, cand := range s.core.candidacies {
-		runs := cand.spec.Lease == token.Lease && cand.runningToken == token.Number && cand.token == token.Number
-		if runs && cand.stopRequestedAt == 0 && s.core.holds(cand, s.now()) {
+		isRunning := cand.spec.Lease == token.Lease && cand.runningToken == token.Number &&
+			cand.token == token.Number
+		if isRunning && cand.stopRequestedAt == 0 && s.core.holds(cand, s.now()) {
 			return s.start.Add(s.core.safeUntil)
 		}
 	}
--- a/internal/lease/session_test.go
+++ b/internal/lease/session_test.go
@@ -15,18 +15,18 @@
 // passes to the next process when work fails or the holder's session closes, with a higher fencing token each
 // time, and that Run returns when work is done.
 func TestLeasePassesBetweenSessions(t *testing.T) {
-	service, _ := labtest.List(t)
+	address, _ := labtest.List(t)
 	open := func(name string) *Session {
-		k, err := client.New(client.Config{Addresses: []string{service}})
+		registryClient, err := client.New(client.Config{Addresses: []string{address}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(k.Close)
-		p, err := Open(Config{Client: k, Process: name, TTL: time.Second})
+		t.Cleanup(registryClient.Close)
+		session, err := Open(Config{Client: registryClient, Process: name, TTL: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return p
+		return session
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
@@ -34,9 +34,9 @@
 	started := make(chan string, 10)
 	tokens := make(chan uint64, 10)
 	work := func(name string, end func(ctx context.Context) error) Work {
-		return func(ctx context.Context, f Token) error {
+		return func(ctx context.Context, token Token) error {
 			started <- name
-			tokens <- f.Number
+			tokens <- token.Number
 			return end(ctx)
 		}
 	}
@@ -46,7 +46,7 @@
 	go func() {
 		ended <- a.Run(ctx, "d", work("a", func(context.Context) error { <-fail; return errors.New("it fails") }))
 	}()
-	next := func(want string) uint64 {
+	awaitWork := func(want string) uint64 {
 		t.Helper()
 		select {
 		case got := <-started:
@@ -58,20 +58,20 @@
 		}
 		return <-tokens
 	}
-	first := next("a")
+	first := awaitWork("a")
 	if err := a.Run(ctx, "d", work("twice", workUntilDone)); err == nil {
 		t.Error("a session has two candidacies for one lease")
 	}
 	go func() { ended <- b.Run(ctx, "d", work("b", workUntilDone)) }()
-	for waits := false; !waits; {
-		all, err := a.config.Client.Leases(ctx)
+	for bIsQueued := false; !bIsQueued; {
+		response, err := a.config.Client.Leases(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		waits = len(all.Leases) == 1 && len(all.Leases[0].Queue) == 1
+		bIsQueued = len(response.Leases) == 1 && len(response.Leases[0].Queue) == 1
 	}
 	close(fail)
-	second := next("b")
+	second := awaitWork("b")
 	if second <= first {
 		t.Errorf("fencing token %d after %d", second, first)
 	}
@@ -81,7 +81,7 @@
 	if err := <-ended; !errors.Is(err, ErrClosed) {
 		t.Errorf("Run of the closed session returns %v", err)
 	}
-	if third := next("a"); third <= second {
+	if third := awaitWork("a"); third <= second {
 		t.Errorf("fencing token %d after %d", third, second)
 	}
 	if err := a.Close(labtest.Enough); err != nil {
