--- a/internal/registry/client/cache.go
+++ b/internal/registry/client/cache.go
@@ -10,12 +10,13 @@
 	"wrenspread/internal/registry"
 )
 
-// maxCacheFileBytes bounds the size of a cache file. The largest list takes a tenth of it, or two thirds with
-// entries of maximal length.
+// maxCacheFileBytes bounds the size of a cache file. A list with the largest number of entries takes a tenth
+// of it, or two thirds if all entries have maximal length.
 const maxCacheFileBytes = 128 << 20
 
-// cachedList is the form of a list in its cache file. The epoch and version of a subset are in SubsetState. A
-// program that knows no subsets therefore reads a list without a version and requests the complete list.
+// cachedList is the form of a list in its cache file. If the list covers a subset, its epoch and version are
+// stored in SubsetState only. A program that knows no subsets therefore reads a list without a version and
+// requests the complete list.
 type cachedList struct {
 	List
 	SubsetState *cachedSubset `json:"of,omitempty"`
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -27,13 +27,13 @@
 	DeferralDelay time.Duration // delay before a suspect list of another epoch is used; 0: DefaultDeferralDelay
 	Log           *slog.Logger  // nil: no logging
 
-	// ChooseSubset, if set, returns the subset of the list to follow. now is the subset that is followed, total
-	// the number of entries in the complete list, and entries those of now, or nil if none are known yet. It is
-	// called after responses and must not call the client.
-	ChooseSubset func(now registry.Subset, total int, entries []registry.Endpoint) registry.Subset
+	// ChooseSubset, if set, returns the subset of the list to follow. current is the subset that is followed,
+	// total the number of entries in the complete list, and entries the known entries of current, or nil if
+	// none are known yet. ChooseSubset is called after responses and must not call the client.
+	ChooseSubset func(current registry.Subset, total int, entries []registry.Endpoint) registry.Subset
 
 	// OnChange, if set, is called with every response that changed the list, in order, from the goroutine that
-	// runs Follow. It must not call the client.
+	// runs Follow. OnChange must not call the client.
 	OnChange func(registry.ListResponse)
 }
 
@@ -43,15 +43,16 @@
 	// DefaultDeferralDelay is enough for a fleet to register again with a service that has lost its state.
 	DefaultDeferralDelay = 30 * time.Second
 
-	// A change that a silent watch misses must be known 2 s after the end of its hold; a change that a silent
-	// call for the complete list misses, after 6 s. The timeouts leave some of that time for the next call.
-	answerGrace         = 1500 * time.Millisecond // for a response, after the end of the hold
+	// A change that a silent watch misses must be known 2 s after the end of the watch's hold. A change that a
+	// silent call for the complete list misses must be known after 6 s. The timeouts end early enough for the
+	// next call.
+	responseGrace       = 1500 * time.Millisecond // for a response, after the end of the hold
 	completeReadTimeout = 5 * time.Second         // for the complete list, which is sent without a hold
 	dialTimeout         = time.Second
 	// initialBackoff spreads the attempts of a thousand clients that lose a replica to four per millisecond.
 	initialBackoff   = 250 * time.Millisecond
 	maxBackoff       = 2500 * time.Millisecond
-	maxResponseBytes = 128 << 20 // a list whose entries have maximal length takes two thirds
+	maxResponseBytes = 128 << 20 // the largest list, with entries of maximal length, takes two thirds of it
 )
 
 // Client follows the registry and writes to it. It is safe for concurrent use.
@@ -62,13 +63,13 @@
 
 	leasesFailed atomic.Bool // the last attempt to read a session's leases failed
 
-	mu           sync.Mutex
-	list         *ListState
-	pendingMove  subsetMove
-	start        time.Time
-	current      int           // index of the address that calls are made to
-	changed      chan struct{} // closed and replaced when the list changes
-	lastAnswerAt time.Time     // when the service last answered; zero: never
+	mu             sync.Mutex
+	list           *ListState
+	pendingMove    subsetMove
+	start          time.Time
+	current        int           // index of the address that calls are made to
+	changed        chan struct{} // closed and replaced when the list changes
+	lastResponseAt time.Time     // when the service last answered; zero: never
 }
 
 // New returns a client. It begins with the cached list if there is one. An unreadable cache file is logged
@@ -143,10 +144,10 @@
 
 // List returns the list as the client knows it, and when the service last answered, or zero if it never has.
 // The list does not expire while the service is unreachable.
-func (k *Client) List() (list List, lastAnswerAt time.Time) {
+func (k *Client) List() (list List, lastResponseAt time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.list.List(), k.lastAnswerAt
+	return k.list.List(), k.lastResponseAt
 }
 
 // Changed returns a channel that is closed at the next change of the client's list.
@@ -167,7 +168,7 @@
 	}
 	resp, err := k.http.Do(req)
 	if err != nil {
-		k.http.CloseIdleConnections() // the cause may affect the other connections, too
+		k.http.CloseIdleConnections() // the cause of the failure may affect the other connections, too
 		return 0, nil, err
 	}
 	defer besteffort.Close(resp.Body)
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -25,7 +25,7 @@
 const enough = 30 * time.Second // only a hang takes so long
 
 // TestListStateNeverGoesBackAndConverges reads from replicas that are up to date or lag. The known list never
-// goes back within an epoch, is always a list that the service had, and reaches the present one.
+// goes back within an epoch, is always a list that the service had, and becomes the present list.
 func TestListStateNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
@@ -36,24 +36,24 @@
 		copies := []*registry.State{decodedCopy(t, s)} // states of lagging replicas
 		b := NewListState(time.Second, List{})
 		var now time.Duration
-		call := func(of *registry.State) {
+		call := func(source *registry.State) {
 			from, epoch := b.Next()
-			if epoch != of.Epoch() {
+			if epoch != source.Epoch() {
 				from = 0
 			}
 			before := b.List()
-			verdict := b.Apply(now, from, of.Since(from))
+			change := b.Apply(now, from, source.Since(from))
 			v := b.List()
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
 			if want, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || len(want)+len(v.Endpoints) > 0 && !reflect.DeepEqual(want, v.Endpoints)) {
-				t.Fatalf("at %s %d the known list is %v, the service had %v (%d)", v.Epoch, v.Version, v.Endpoints, want, verdict)
+				t.Fatalf("at %s %d the known list is %v, the service had %v (%d)", v.Epoch, v.Version, v.Endpoints, want, change)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0, 1, 2:
 				e := registry.Endpoint{Name: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "name")), Address: "a:1", Status: registry.Ready, Weight: float64(n)}
 				s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &e})
@@ -99,8 +99,9 @@
 	return c
 }
 
-// TestSuspectListOfOtherEpochIsDeferred checks that an empty list of another epoch is accepted only after its
-// delay, that a full one replaces it at once, and that the previous epoch is then the suspect one.
+// TestSuspectListOfOtherEpochIsDeferred checks that an empty list of another epoch is accepted only after the
+// delay, that a full list of that epoch is accepted at once, and that a list of the previous epoch is then
+// deferred.
 func TestSuspectListOfOtherEpochIsDeferred(t *testing.T) {
 	var before List
 	before.Epoch, before.Version = "a", 9
@@ -129,8 +130,9 @@
 	}
 }
 
-// TestFollowSkipsFailingReplicasAndCachesList follows the list over an address that refuses connections, one
-// that responds with garbage and one that serves. The cached list is there at the next start.
+// TestFollowSkipsFailingReplicasAndCachesList follows the list with three addresses: the first refuses
+// connections, the second responds with garbage and the third serves the list. After a restart the client
+// begins with the cached list.
 func TestFollowSkipsFailingReplicasAndCachesList(t *testing.T) {
 	var failing atomic.Bool
 	ok := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -170,8 +172,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, lastAnswerAt := again.List(); v.Version != 3 || len(v.Endpoints) != 1 || !lastAnswerAt.IsZero() {
-		t.Errorf("the next start has %+v, last answer at %v", v, lastAnswerAt)
+	if v, lastResponseAt := again.List(); v.Version != 3 || len(v.Endpoints) != 1 || !lastResponseAt.IsZero() {
+		t.Errorf("the next start has %+v, last response at %v", v, lastResponseAt)
 	}
 }
 
@@ -199,22 +201,22 @@
 // the outage are spread over the backoff that they have reached.
 func TestRetriesAfterOutageAreSpread(t *testing.T) {
 	const clients, bin = 300, 100 * time.Millisecond
-	chance := rand.New(rand.NewPCG(1, 1))
-	for _, away := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
+	rng := rand.New(rand.NewPCG(1, 1))
+	for _, outage := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 		at := map[time.Duration]int{}
 		for range clients {
 			wait, now := watchBackoff(), time.Duration(0)
-			for now < away {
-				now += wait.Next(chance.Int64N)
+			for now < outage {
+				now += wait.Next(rng.Int64N)
 			}
 			at[now/bin]++
-			if now > away+maxBackoff {
-				t.Errorf("after an outage of %v a client retries only after %v", away, now)
+			if now > outage+maxBackoff {
+				t.Errorf("after an outage of %v a client retries only after %v", outage, now)
 			}
 		}
 		for when, n := range at {
 			if n > clients/4 {
-				t.Errorf("after an outage of %v, %d of %d clients retry in the %v from %v on", away, n, clients, bin, when*bin)
+				t.Errorf("after an outage of %v, %d of %d clients retry in the %v from %v on", outage, n, clients, bin, when*bin)
 			}
 		}
 	}
--- a/internal/registry/client/standin_test.go
+++ b/internal/registry/client/fake_discovery_test.go
@@ -23,10 +23,10 @@
 	start  time.Time
 	server *http.Server
 
-	mu    sync.Mutex
-	down  time.Duration // time until which connections are refused
-	dials int
-	calls []recordedCall
+	mu        sync.Mutex
+	downUntil time.Duration // time until which connections are refused
+	dials     int
+	calls     []recordedCall
 }
 
 // recordedCall describes a call that was made. Times are since the start.
@@ -51,7 +51,7 @@
 func (s *fakeDiscovery) dial(context.Context, string, string) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.now() < s.down {
+	if s.now() < s.downUntil {
 		return nil, errors.New("refused")
 	}
 	s.dials++
@@ -60,9 +60,9 @@
 	return near, nil
 }
 
-// withFakeDiscovery runs play in a synctest bubble with a discovery whose calls are answered by serve. Calls
-// are counted from 0.
-func withFakeDiscovery(t *testing.T, serve func(call int, w http.ResponseWriter, r *http.Request), play func(ctx context.Context, s *fakeDiscovery)) {
+// withFakeDiscovery calls run in a synctest bubble with a discovery that serve responds for. Calls are
+// counted from 0.
+func withFakeDiscovery(t *testing.T, serve func(call int, w http.ResponseWriter, r *http.Request), run func(ctx context.Context, s *fakeDiscovery)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeDiscovery{conns: make(chan net.Conn, 100), start: time.Now()}
@@ -78,11 +78,11 @@
 		}), ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
 		go func() { _ = s.server.Serve(s) }()
 		ctx, cancel := context.WithCancel(context.Background())
-		play(ctx, s)
+		run(ctx, s)
 		cancel()
 		time.Sleep(time.Minute) // lets calls and timers that are still open end
 		s.mu.Lock()
-		s.down = s.now() + time.Hour
+		s.downUntil = s.now() + time.Hour
 		close(s.conns)
 		s.mu.Unlock()
 		besteffort.Close(s.server)
@@ -129,14 +129,14 @@
 	}
 }
 
-// silent never responds to a call.
-func silent(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+// neverRespond never responds to a call.
+func neverRespond(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 // respondHalf sends half a response and then falls silent.
 func respondHalf(w http.ResponseWriter, r *http.Request) {
 	besteffort.Output(io.WriteString(w, `{"index":43,"snapshot":true,"endpoints":[{"name":"s","addr`))
 	w.(http.Flusher).Flush()
-	silent(w, r)
+	neverRespond(w, r)
 }
 
 // respondWithList responds with a list of one endpoint.
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -16,18 +16,19 @@
 	Version   uint64              `json:"version"`
 	Endpoints []registry.Endpoint `json:"entries"` // sorted by name
 	Subset    registry.Subset     `json:"-"`       // the subset that Endpoints covers
-	// Total is the number of entries in the complete list; 0: not known. It is set if a subset was requested.
+	// Total is the number of entries in the complete list; 0: not known. It is set only if a subset was
+	// requested.
 	Total int `json:"-"`
 }
 
-// Two kinds of lists of another epoch are accepted only after a delay. A list that lacks more than
-// maxLostShare of the known entries, not counting draining ones, is more likely to come from a service that
-// lost its state than from a fleet that vanished. A list whose version is not above the known one comes from
-// such a service, or from a replica that was cut off before a restore: a restore goes past every version that
-// was in use.
+// Two kinds of lists of another epoch are suspect and accepted only after a delay. The first kind lacks more
+// than maxLostShare of the known entries, not counting draining entries: the service has more likely lost its
+// state than the fleet has vanished. The second kind has a version that is not above the known version. As a
+// restore goes past every version that was in use, such a list comes from a service that has lost its state,
+// or from a replica that was cut off before a restore.
 const (
 	maxLostShare    = 0.5
-	minKnownForLoss = 2 // the loss of one or two entries proves nothing
+	minKnownForLoss = 2 // the loss of one or two known entries proves nothing
 )
 
 // Change is the effect of a response on the client's list.
@@ -37,7 +38,7 @@
 const (
 	Unchanged     Change = iota // the response has nothing new
 	Changed                     // the list has changed
-	Stale                       // the response is older than the list: the replica lags or is cut off
+	Stale                       // the response is older than the known list: the replica lags or is cut off
 	Deferred                    // the response is a suspect list of another epoch, not accepted yet
 	NeedsComplete               // the response does not follow the known version: request the complete list
 	TooNarrow                   // the response is a subset with too few endpoints: request a wider one
@@ -79,8 +80,9 @@
 	return b
 }
 
-// Next returns the version and the epoch that the next call requests changes from. While a list is deferred,
-// and after a response that did not follow the known version, they are zero: the complete list is requested.
+// Next returns the version and the epoch from which the next call requests changes. While a list is deferred,
+// and after a response that did not follow the known version, both are zero: the next call requests the
+// complete list.
 func (b *ListState) Next() (from uint64, epoch string) {
 	if b.deferred != nil || b.needsComplete {
 		return 0, ""
@@ -104,90 +106,91 @@
 	return all
 }
 
-// Apply accepts or rejects the response to a call that requested changes from version from. A response for
-// another subset than that of the known entries must be complete, and then replaces them.
-func (b *ListState) Apply(now time.Duration, from uint64, a registry.ListResponse) Change {
+// Apply accepts or rejects the response to a call that requested changes from version from. If the response
+// covers another subset than the known entries do, it must be complete, and its entries replace the known
+// entries.
+func (b *ListState) Apply(now time.Duration, from uint64, response registry.ListResponse) Change {
 	switch {
-	case a.Epoch != b.epoch && (b.epoch != "" || len(b.endpoints) > 0):
-		return b.applyOtherEpoch(now, a)
-	case a.Index < b.version:
+	case response.Epoch != b.epoch && (b.epoch != "" || len(b.endpoints) > 0):
+		return b.applyOtherEpoch(now, response)
+	case response.Index < b.version:
 		return Stale
-	case subsetOf(a) != b.subset && a.Snapshot:
-		b.accept(a)
+	case subsetOf(response) != b.subset && response.Snapshot:
+		b.accept(response)
 		return Changed
-	case subsetOf(a) != b.subset:
+	case subsetOf(response) != b.subset:
 		b.needsComplete = true
 		return NeedsComplete
-	case a.Index == b.version && a.Epoch == b.epoch:
-		b.updateTotal(a)
+	case response.Index == b.version && response.Epoch == b.epoch:
+		b.updateTotal(response)
 		b.deferred, b.needsComplete = nil, false // also ends the deferral of another list
 		return Unchanged
-	case !a.Snapshot && from != b.version:
+	case !response.Snapshot && from != b.version:
 		b.needsComplete = true
 		return NeedsComplete
 	}
-	b.accept(a)
+	b.accept(response)
 	return Changed
 }
 
 // applyOtherEpoch accepts, defers or rejects a response of another epoch.
-func (b *ListState) applyOtherEpoch(now time.Duration, a registry.ListResponse) Change {
-	if !a.Snapshot {
+func (b *ListState) applyOtherEpoch(now time.Duration, response registry.ListResponse) Change {
+	if !response.Snapshot {
 		b.needsComplete = true
 		return NeedsComplete
 	}
-	if a.Index <= b.version || b.lostMost(a) {
-		if b.deferred == nil || b.deferred.Epoch != a.Epoch {
+	if response.Index <= b.version || b.lostMost(response) {
+		if b.deferred == nil || b.deferred.Epoch != response.Epoch {
 			b.deferred = &deferredList{since: now}
 		}
-		b.deferred.ListResponse = a
+		b.deferred.ListResponse = response
 		if now-b.deferred.since < b.deferralDelay {
 			return Deferred
 		}
 	}
-	b.accept(a)
+	b.accept(response)
 	return Changed
 }
 
 // lostMost reports whether a list lacks more than maxLostShare of the known entries that were not draining.
-func (b *ListState) lostMost(a registry.ListResponse) bool {
-	present, subset := map[string]bool{}, subsetOf(a)
-	for _, e := range a.Endpoints {
+func (b *ListState) lostMost(response registry.ListResponse) bool {
+	present, subset := map[string]bool{}, subsetOf(response)
+	for _, e := range response.Endpoints {
 		present[e.Name] = true
 	}
-	known, gone := 0, 0
+	known, missing := 0, 0
 	for name, e := range b.endpoints {
 		if e.Status == registry.Draining || !subset.Contains(registry.Position(name)) {
 			continue
 		}
 		known++
 		if !present[name] {
-			gone++
+			missing++
 		}
 	}
-	return known > minKnownForLoss && float64(gone) > maxLostShare*float64(known)
+	return known > minKnownForLoss && float64(missing) > maxLostShare*float64(known)
 }
 
 // accept applies a response.
-func (b *ListState) accept(a registry.ListResponse) {
-	if a.Snapshot {
+func (b *ListState) accept(response registry.ListResponse) {
+	if response.Snapshot {
 		clear(b.endpoints)
 	}
-	for _, e := range a.Endpoints {
+	for _, e := range response.Endpoints {
 		b.endpoints[e.Name] = e
 		if e.Status == registry.Removed {
 			delete(b.endpoints, e.Name)
 		}
 	}
-	b.epoch, b.version, b.subset = a.Epoch, a.Index, subsetOf(a)
+	b.epoch, b.version, b.subset = response.Epoch, response.Index, subsetOf(response)
 	b.deferred, b.needsComplete = nil, false
-	b.updateTotal(a)
+	b.updateTotal(response)
 }
 
-// updateTotal sets the number of entries in the complete list. If a response for a subset does not have it,
-// the known number stays.
-func (b *ListState) updateTotal(a registry.ListResponse) {
-	if a.Subset == "" || a.Total > 0 {
-		b.total = a.Total
+// updateTotal sets the number of entries in the complete list. A response for a subset without that number
+// leaves the known number unchanged.
+func (b *ListState) updateTotal(response registry.ListResponse) {
+	if response.Subset == "" || response.Total > 0 {
+		b.total = response.Total
 	}
 }
--- a/internal/registry/client/move_test.go
+++ b/internal/registry/client/move_test.go
@@ -13,13 +13,13 @@
 	"wrenspread/internal/registry"
 )
 
-// TestMovesDuringListDeliveryKeepOrder moves twice while a list is being delivered. The list of the previous
-// address is delivered before that of the new one, and the address of the overtaken move is not called.
+// TestMovesDuringListDeliveryKeepOrder moves twice while a list is being delivered. The list of the first
+// address is delivered before the list of the third address, and the second address is not called.
 func TestMovesDuringListDeliveryKeepOrder(t *testing.T) {
 	withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Query().Has("from"):
-			silent(w, r)
+			neverRespond(w, r)
 		case r.Host == "one:1":
 			respondWithList(w, 42)
 		default:
@@ -48,10 +48,10 @@
 	})
 }
 
-// TestOvertakenMoveStillReadsCompleteList checks that a poll that replaces a move still begins with the
-// complete list, because versions of the previous address have no meaning at the new one.
-func TestOvertakenMoveStillReadsCompleteList(t *testing.T) {
-	withFakeDiscovery(t, func(_ int, w http.ResponseWriter, r *http.Request) { silent(w, r) }, func(ctx context.Context, s *fakeDiscovery) {
+// TestPollRightAfterMoveReadsCompleteList checks that a poll that replaces the task of a move still begins
+// with the complete list, because versions of the previous address have no meaning at the new address.
+func TestPollRightAfterMoveReadsCompleteList(t *testing.T) {
+	withFakeDiscovery(t, func(_ int, w http.ResponseWriter, r *http.Request) { neverRespond(w, r) }, func(ctx context.Context, s *fakeDiscovery) {
 		d, _ := s.platform(true)
 		d.Move(ctx, "two:1", true)
 		d.Poll(ctx, false, true)
@@ -66,7 +66,7 @@
 func TestHangingDialsDelayNoLaterCall(t *testing.T) {
 	withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("from") {
-			silent(w, r)
+			neverRespond(w, r)
 		}
 		respondWithList(w, 42)
 	}, func(ctx context.Context, s *fakeDiscovery) {
--- a/internal/registry/client/outage_test.go
+++ b/internal/registry/client/outage_test.go
@@ -19,8 +19,8 @@
 // during an outage fails in a drawn way; a watch that waits when an outage begins falls silent or is reset.
 type flakyDiscovery struct {
 	mu          sync.Mutex
-	chance      *rand.Rand
-	begin       time.Time
+	rng         *rand.Rand
+	start       time.Time
 	transitions []time.Duration // when it becomes unreachable and reachable, in turn; it is reachable at first
 	changes     []time.Duration // when its list changes
 	silentUntil time.Duration   // until then, a silent watch may still be within its bound
@@ -30,8 +30,8 @@
 
 // newFlakyDiscovery draws the outages and changes of a discovery for a test of a given length.
 func newFlakyDiscovery(seed uint64, length time.Duration) *flakyDiscovery {
-	d := &flakyDiscovery{chance: rand.New(rand.NewPCG(seed, 6)), begin: time.Now()}
-	upTo := func(limit time.Duration) time.Duration { return time.Duration(d.chance.Int64N(int64(limit))) }
+	d := &flakyDiscovery{rng: rand.New(rand.NewPCG(seed, 6)), start: time.Now()}
+	upTo := func(limit time.Duration) time.Duration { return time.Duration(d.rng.Int64N(int64(limit))) }
 	for at, down := 4*time.Second, false; at < length; down = !down {
 		if at += 100*time.Millisecond + upTo(14*time.Second); down {
 			at += 4 * time.Second
@@ -48,11 +48,11 @@
 // changes.
 func (d *flakyDiscovery) reachable(now time.Duration) (up bool, since, until time.Duration) {
 	up, until = true, time.Hour
-	for _, turn := range d.transitions {
-		if turn > now {
-			return up, since, turn
+	for _, transition := range d.transitions {
+		if transition > now {
+			return up, since, transition
 		}
-		up, since = !up, turn
+		up, since = !up, transition
 	}
 	return up, since, until
 }
@@ -71,13 +71,13 @@
 func (d *flakyDiscovery) draw(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.chance.IntN(n)
+	return d.rng.IntN(n)
 }
 
 // dial wraps a dial function. It fails or hangs in half of the dials during an outage.
 func (d *flakyDiscovery) dial(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if up, _, _ := d.reachable(time.Since(d.begin)); !up {
+		if up, _, _ := d.reachable(time.Since(d.start)); !up {
 			switch d.draw(4) {
 			case 0:
 				return nil, errors.New("refused")
@@ -92,8 +92,8 @@
 
 // serve answers a call, or lets it fail in a drawn way if the discovery can't be reached.
 func (d *flakyDiscovery) serve(w http.ResponseWriter, r *http.Request) {
-	came := time.Since(d.begin)
-	if up, _, _ := d.reachable(came); !up {
+	arrivedAt := time.Since(d.start)
+	if up, _, _ := d.reachable(arrivedAt); !up {
 		switch d.draw(5) {
 		case 0:
 			panic(http.ErrAbortHandler)
@@ -104,27 +104,27 @@
 		case 3:
 			respondHalf(w, r)
 		default:
-			silent(w, r)
+			neverRespond(w, r)
 		}
 		return
 	}
 	hold, _ := time.ParseDuration(r.URL.Query().Get("hold_ms") + "ms")
-	_, _, until := d.reachable(came)
-	v, next := d.version(came)
+	_, _, until := d.reachable(arrivedAt)
+	v, next := d.version(arrivedAt)
 	if from := r.URL.Query().Get("from"); from == fmt.Sprint(v) {
-		answer := min(next, came+hold)
-		if answer >= until {
-			if time.Sleep(until - came); d.draw(2) == 0 {
+		respondAt := min(next, arrivedAt+hold)
+		if respondAt >= until {
+			if time.Sleep(until - arrivedAt); d.draw(2) == 0 {
 				panic(http.ErrAbortHandler)
 			}
 			d.mu.Lock()
-			d.silentUntil = max(d.silentUntil, came+hold+2*time.Second)
+			d.silentUntil = max(d.silentUntil, arrivedAt+hold+2*time.Second)
 			d.mu.Unlock()
-			silent(w, r)
+			neverRespond(w, r)
 			return
 		}
-		time.Sleep(answer - came)
-		v, _ = d.version(answer)
+		time.Sleep(respondAt - arrivedAt)
+		v, _ = d.version(respondAt)
 	}
 	respondWithList(w, v)
 }
@@ -134,10 +134,10 @@
 func followWithBalancer(ctx context.Context, d *PlatformFollower, received chan receivedList, now func() time.Duration, nodes int, seed int64) chan receivedList {
 	lists := make(chan receivedList, 100)
 	go func() {
-		m, clock := balancer.New(balancer.Settings{Proxies: nodes, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}, seed), time.NewTicker(25*time.Millisecond)
-		defer clock.Stop()
+		model, ticker := balancer.New(balancer.Settings{Proxies: nodes, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}, seed), time.NewTicker(25*time.Millisecond)
+		defer ticker.Stop()
 		for e := balancer.Event(balancer.EndpointsUpdated{Kind: balancer.UpdateCached}); ctx.Err() == nil; {
-			for _, a := range m.Handle(time.Hour+now(), e) {
+			for _, a := range model.Handle(time.Hour+now(), e) {
 				if a, ok := a.(balancer.Subscribe); ok {
 					d.Poll(ctx, false, a.On)
 				}
@@ -149,7 +149,7 @@
 					e = balancer.EndpointsUpdated{Kind: balancer.UpdateComplete, Version: l.Index}
 					lists <- l
 				}
-			case <-clock.C:
+			case <-ticker.C:
 				e = balancer.TimerFired{}
 			case <-ctx.Done():
 			}
@@ -158,22 +158,22 @@
 	return lists
 }
 
-// TestKnownSixSecondsAfterAnyFailure checks, whenever discovery can be reached and could be for the last 6 s,
-// that the list that it had 6 s ago is known, whichever calls failed before and however. After a watch that
-// fell silent the bound of that watch applies if it ends later.
-func TestKnownSixSecondsAfterAnyFailure(t *testing.T) {
+// TestChangesAreKnownSixSecondsAfterAnyFailure checks that the list that discovery had 6 s ago is known
+// whenever discovery could be reached for the last 6 s, whichever calls failed before and however. After a
+// watch that fell silent, the bound for that watch applies if it is later.
+func TestChangesAreKnownSixSecondsAfterAnyFailure(t *testing.T) {
 	const length, step = 3 * time.Minute, 50 * time.Millisecond
-	for _, way := range []struct {
+	for _, c := range []struct {
 		name  string
 		nodes int
-	}{{"pushed", 0}, {"asked for", 1}, {"asked for by a fleet", 30}, {"asked for by the largest that keeps to it however long", 36}, {"list service", -1}} {
-		t.Run(way.name, func(t *testing.T) {
+	}{{"pushed", 0}, {"polled", 1}, {"polled by a fleet", 30}, {"polled by the largest fleet that keeps the bound in any outage", 36}, {"registry", -1}} {
+		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(30) {
 				var d *flakyDiscovery
 				withFakeDiscovery(t, func(_ int, w http.ResponseWriter, r *http.Request) { d.serve(w, r) }, func(ctx context.Context, s *fakeDiscovery) {
 					d = newFlakyDiscovery(seed, length)
 					var lists chan receivedList
-					switch way.nodes {
+					switch c.nodes {
 					case 0:
 						var p *PlatformFollower
 						p, lists = s.platform(false)
@@ -190,7 +190,7 @@
 					default:
 						p, received := s.platform(true)
 						p.dial = d.dial(p.dial)
-						lists = followWithBalancer(ctx, p, received, s.now, way.nodes, int64(seed))
+						lists = followWithBalancer(ctx, p, received, s.now, c.nodes, int64(seed))
 					}
 					known := uint64(41)
 					for now := step; now < length; now += step {
@@ -202,9 +202,9 @@
 						d.mu.Lock()
 						watchSilent := now < d.silentUntil
 						d.mu.Unlock()
-						was, _ := d.version(now - 6*time.Second)
-						if up && since <= now-6*time.Second && !watchSilent && known < was {
-							t.Errorf("seed %d: at %v version %d is known, discovery had %d 6 s ago and can be reached since %v", seed, now, known, was, since)
+						expected, _ := d.version(now - 6*time.Second)
+						if up && since <= now-6*time.Second && !watchSilent && known < expected {
+							t.Errorf("seed %d: at %v version %d is known, discovery had %d 6 s ago and can be reached since %v", seed, now, known, expected, since)
 							break
 						}
 					}
--- a/internal/registry/client/platform.go
+++ b/internal/registry/client/platform.go
@@ -14,9 +14,9 @@
 	"wrenspread/internal/registry"
 )
 
-// PlatformFollower follows the list of the platform's own discovery at one address: that of the agent on this
-// machine, which pushes lists, or that of the shared service, which is polled. This protocol has neither
-// epochs nor other replicas. Its methods are not safe for concurrent use.
+// PlatformFollower follows the list of the platform's own discovery at one address: the address of the agent
+// on this machine, which pushes lists, or the address of the shared service, which is polled. The platform's
+// protocol has neither epochs nor replicas. The methods are not safe for concurrent use.
 type PlatformFollower struct {
 	url            string
 	client         *http.Client
@@ -27,9 +27,9 @@
 	sleep          func(context.Context, time.Duration) bool
 	log            *slog.Logger
 	index          uint64
-	needsComplete  bool // the complete list has to be requested; index has no meaning
+	needsComplete  bool // the next call has to request the complete list; index has no meaning
 	lastCallFailed bool
-	answers        int // responses so far
+	responses      int // responses so far
 	onList         func(registry.ListResponse)
 	onFailure      func()
 
@@ -39,8 +39,8 @@
 	// lastCallFailed.
 	runningTask *task
 
-	answerBegun atomic.Bool              // a part of the response to the call in progress has been read
-	conn        atomic.Pointer[net.Conn] // the connection that was dialed last
+	responseBegun atomic.Bool              // a part of the response to the call in progress has been read
+	conn          atomic.Pointer[net.Conn] // the connection that was dialed last
 }
 
 // task is a goroutine that follows the list until another task replaces it.
@@ -99,7 +99,7 @@
 		}
 		if d.index == previousIndex && time.Since(began) < d.hold/100 {
 			// An agent that answers every call at once must not be called in a tight loop.
-			if !d.sleep(ctx, immediateAnswerPause) {
+			if !d.sleep(ctx, immediateResponsePause) {
 				return ctx.Err()
 			}
 		}
@@ -114,18 +114,18 @@
 	return d.watch(ctx)
 }
 
-// follow watches until ctx ends; pushed lists need no request of the balancer. It retries at once after a
-// first failure, and after further failures in a row with a jittered backoff that doubles up to
-// maxPlatformBackoff.
+// follow watches until ctx ends, without requests of the balancer, and is used for pushed lists. It retries
+// at once after a first failure, and after further failures in a row with a jittered backoff that doubles up
+// to maxPlatformBackoff.
 func (d *PlatformFollower) follow(ctx context.Context) {
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
-		began, previousAnswers := time.Now(), d.answers
+		began, previousResponses := time.Now(), d.responses
 		err := d.run(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if d.answers != previousAnswers && time.Since(began) > maxPlatformBackoff {
+		if d.responses != previousResponses && time.Since(began) > maxPlatformBackoff {
 			wait = 0
 		}
 		if wait == 0 { // a long outage is logged once, not at each attempt
@@ -138,8 +138,8 @@
 	}
 }
 
-// Follow starts to watch until ctx ends. It begins with the complete list, because a change that the agent
-// has counts as known from the start, whatever list this process knows.
+// Follow starts a task that watches pushed lists until ctx ends. It begins with the complete list, because a
+// change that the agent has counts as known from the start, whatever list this process knows.
 func (d *PlatformFollower) Follow(ctx context.Context) {
 	d.startTask(ctx, func(ctx context.Context) {
 		d.needsComplete = true
@@ -147,8 +147,9 @@
 	})
 }
 
-// startTask starts a task after it has stopped an earlier one: lists reach the balancer in order only from
-// one task at a time. It does not block, and is not safe for concurrent use.
+// startTask stops the latest task and starts another one, which runs once the latest task has ended: lists
+// reach the balancer in order only from one task at a time. startTask does not block, and is not safe for
+// concurrent use.
 func (d *PlatformFollower) startTask(ctx context.Context, run func(context.Context)) {
 	if d.latestTask != nil {
 		d.latestTask.stop()
@@ -156,7 +157,8 @@
 	d.startTaskAfter(ctx, func(*task) {}, run)
 }
 
-// startTaskAfter starts a task that first calls end with the earlier task and waits until that has ended.
+// startTaskAfter starts a task. The task first calls end with the earlier task, waits until the earlier task
+// has ended, and then calls run.
 func (d *PlatformFollower) startTaskAfter(
 	ctx context.Context,
 	end func(earlier *task),
@@ -178,8 +180,8 @@
 	}()
 }
 
-// Poll starts what the balancer requested for polled lists: a fetch of the complete list, a watch until it
-// fails, or both.
+// Poll starts a task for polled lists at the request of the balancer: it fetches the complete list, watches
+// until the watch fails, or does both.
 func (d *PlatformFollower) Poll(ctx context.Context, fetch, watch bool) {
 	d.startTask(ctx, func(ctx context.Context) {
 		d.needsComplete = d.needsComplete || fetch
@@ -193,15 +195,15 @@
 	})
 }
 
-// poll watches until discovery is down: two calls fail in a row, or one is answered with an unexpected
-// status. It repeats a single failed call by itself, because the balancer would wait longer than the bound on
-// how old the list may be. To a discovery that is down the balancer spreads its calls.
+// poll watches until discovery counts as down: two calls fail in a row, or the response to a call has an
+// unexpected status. poll itself repeats a single failed call, because the balancer would wait longer than
+// the list may be out of date. Once discovery counts as down, the balancer spreads its calls.
 func (d *PlatformFollower) poll(ctx context.Context) (err error) {
 	for failures := 0; failures < 2; failures++ {
 		if failures > 0 && !d.sleep(ctx, randomUpTo(silentRetrySpread)) {
 			return ctx.Err()
 		}
-		began, previousAnswers := time.Now(), d.answers
+		began, previousResponses := time.Now(), d.responses
 		if d.needsComplete || d.lastCallFailed {
 			err = d.run(ctx)
 		} else {
@@ -210,7 +212,7 @@
 		if ctx.Err() != nil || errors.Is(err, errUnexpectedStatus) {
 			return err
 		}
-		if d.answers != previousAnswers && time.Since(began) > d.grace {
+		if d.responses != previousResponses && time.Since(began) > d.grace {
 			failures = 0
 		}
 	}
--- a/internal/registry/client/call.go
+++ b/internal/registry/client/platform_call.go
@@ -15,8 +15,8 @@
 	"wrenspread/internal/registry"
 )
 
-// maxPlatformResponseBytes bounds the size of a list from the platform. A thousand endpoints take a
-// twentieth.
+// maxPlatformResponseBytes bounds the size of a list from the platform. A list of a thousand endpoints takes
+// a twentieth of it.
 const maxPlatformResponseBytes = 4 << 20
 
 var (
@@ -25,9 +25,9 @@
 	errOlderList        = errors.New("discovery's list is older than the known list")
 )
 
-// call makes one request and passes the response on. It requests the complete list if needsComplete is set,
-// and otherwise the changes since the known version. After a failure no existing connection is used again,
-// because the cause may affect all of them.
+// call makes one request and passes the list in the response to onList. It requests the complete list if
+// needsComplete is set, and otherwise the changes since the known version. After a failure no existing
+// connection is used again, because the cause may affect all connections.
 func (d *PlatformFollower) call(ctx context.Context, hold time.Duration) error {
 	if d.runningTask.stopping.Load() {
 		d.runningTask.stop()
@@ -51,7 +51,7 @@
 		return err
 	}
 	d.index, d.needsComplete, d.lastCallFailed = list.Index, false, false
-	d.answers++
+	d.responses++
 	for _, err := range list.Skipped {
 		d.log.Warn("endpoint entry skipped", "err", err)
 	}
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// isCompleteRead returns an error if a response is not the complete list though that was wanted, or if it is
-// a complete list whose endpoints are missing.
-func isCompleteRead(l registry.ListResponse, wanted bool) error {
+// isCompleteRead returns an error if a response is not the complete list although wantComplete is set, or if
+// it is a complete list without the field of the endpoints.
+func isCompleteRead(response registry.ListResponse, wantComplete bool) error {
 	switch {
-	case wanted && !l.Snapshot:
+	case wantComplete && !response.Snapshot:
 		return errors.New("requested the complete list, got changes")
-	case l.Snapshot && l.Endpoints == nil:
+	case response.Snapshot && response.Endpoints == nil:
 		return errors.New("complete list: endpoints are missing")
 	}
 	return nil
@@ -84,19 +84,19 @@
 	return observedConn{c, d}, nil
 }
 
-// get makes one request. If a reused connection breaks, net/http would send the request again, with too
-// little time left for the hold. The hook closes idle connections and connect refuses to dial, so the second
-// attempt fails.
+// get makes one request. If a reused connection breaks, net/http sends the request again, with too little
+// time left for the hold. get makes this second attempt fail: the GetConn hook closes idle connections, and
+// connect refuses to dial.
 func (d *PlatformFollower) get(
 	ctx context.Context,
 	query string,
 	hold time.Duration,
-) (l registry.ListResponse, err error) {
+) (list registry.ListResponse, err error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+d.grace)
 	defer cancel()
 	d.attempts.Store(0)
-	d.answerBegun.Store(false)
-	defer d.answerBegun.Store(false)
+	d.responseBegun.Store(false)
+	defer d.responseBegun.Store(false)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GetConn: func(string) {
 		if d.attempts.Add(1) > 1 {
 			d.client.CloseIdleConnections()
@@ -104,25 +104,25 @@
 	}})
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.url+query, nil)
 	if err != nil {
-		return l, err
+		return list, err
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		return l, err
+		return list, err
 	}
 	defer besteffort.Close(resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return l, fmt.Errorf("%w %s", errUnexpectedStatus, resp.Status)
+		return list, fmt.Errorf("%w %s", errUnexpectedStatus, resp.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPlatformResponseBytes+1))
 	if err != nil {
-		return l, fmt.Errorf("discovery's list: %w", err)
+		return list, fmt.Errorf("read discovery's list: %w", err)
 	}
 	if len(body) > maxPlatformResponseBytes {
-		return l, fmt.Errorf("discovery's list: more than %d bytes", maxPlatformResponseBytes)
+		return list, fmt.Errorf("read discovery's list: more than %d bytes", maxPlatformResponseBytes)
 	}
-	if err := json.Unmarshal(body, &l); err != nil {
-		return l, fmt.Errorf("discovery's list: %w", err)
+	if err := json.Unmarshal(body, &list); err != nil {
+		return list, fmt.Errorf("parse discovery's list: %w", err)
 	}
-	return l, nil
+	return list, nil
 }
--- a/internal/registry/client/platform_move.go
+++ b/internal/registry/client/platform_move.go
@@ -8,8 +8,8 @@
 	"wrenspread/internal/socketoption"
 )
 
-// Move follows the list at another address, or changes between polled and pushed lists. Versions of the
-// previous address have no meaning there, so it begins with the complete list.
+// Move follows the list at another address, or changes between polled and pushed lists. It begins with the
+// complete list, because versions of the previous address have no meaning at the new address.
 func (d *PlatformFollower) Move(ctx context.Context, address string, polled bool) {
 	d.polls = polled
 	if d.latestTask != nil {
@@ -26,10 +26,10 @@
 	})
 }
 
-// endForMove stops a task for a move. A change that the previous address has sent by then counts as known, so
-// a response that has begun to arrive is read to its end.
+// endForMove stops a task for a move. If a response has begun to arrive, endForMove first waits up to
+// moveGrace for its end, because a change that the previous address has sent before the move counts as known.
 func (d *PlatformFollower) endForMove(t *task) {
-	if d.answerArriving() {
+	if d.responseArriving() {
 		ctx, stop := context.WithTimeout(context.Background(), moveGrace)
 		context.AfterFunc(ctx, t.stop)
 		<-t.done
@@ -39,15 +39,16 @@
 	t.stop()
 }
 
-// answerArriving reports whether a part of the response to the call in progress has arrived, read or unread.
-func (d *PlatformFollower) answerArriving() bool {
+// responseArriving reports whether a part of the response to the call in progress has arrived, read or
+// unread.
+func (d *PlatformFollower) responseArriving() bool {
 	if c := d.conn.Load(); c != nil && socketoption.Readable(*c) {
 		return true
 	}
-	return d.answerBegun.Load() // checked last: see observedConn.Read
+	return d.responseBegun.Load() // checked last: see observedConn.Read
 }
 
-// observedConn is a connection that sets answerBegun when data arrives.
+// observedConn is a connection that sets responseBegun when data arrives.
 type observedConn struct {
 	net.Conn
 	platform *PlatformFollower
@@ -55,8 +56,8 @@
 
 func (c observedConn) Read(p []byte) (int, error) {
 	if socketoption.Await(c.Conn) {
-		// set before the data is read: answerArriving then finds the data unread or this flag set
-		c.platform.answerBegun.Store(true)
+		// set before the data is read, so that responseArriving finds either unread data or this flag
+		c.platform.responseBegun.Store(true)
 	}
 	return c.Conn.Read(p)
 }
--- a/internal/registry/client/continue_test.go
+++ b/internal/registry/client/platform_watch_test.go
@@ -16,16 +16,16 @@
 )
 
 // TestWatchCallsFollowWithin200Milliseconds checks that each call of a watch begins within 200 ms of the
-// previous response, whether that had changes, came at the end of its hold or came at once without changes. A
-// discovery that answers at once is not called in a tight loop.
+// previous response, whether that response had changes, came at the end of the hold or came at once without
+// changes. A discovery that always responds at once without changes is not called in a tight loop.
 func TestWatchCallsFollowWithin200Milliseconds(t *testing.T) {
-	for name, polled := range map[string]bool{"pushed": false, "asked for": true} {
+	for name, polled := range map[string]bool{"pushed": false, "polled": true} {
 		t.Run(name, func(t *testing.T) {
 			const calls = 12
 			withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 				switch {
 				case call > calls:
-					silent(w, r)
+					neverRespond(w, r)
 				case call%3 == 0: // changes, at once
 					respondWithList(w, uint64(50+call))
 				case call%3 == 1: // no changes, at the end of the hold
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestIndentedListsAreParsed checks that whitespace in a list, which comes line by line from a slow writer,
-// makes no difference.
+// TestIndentedListsAreParsed checks that a list is parsed whatever whitespace it contains. The list arrives
+// line by line, as from a slow writer.
 func TestIndentedListsAreParsed(t *testing.T) {
 	want := registry.ListResponse{Index: 44, Snapshot: true, Endpoints: []registry.Endpoint{
 		{Name: "s", Address: "127.0.0.1:1", Zone: "a", Type: "m2", Cell: 3, Status: registry.Ready, Weight: 1.5, StartedAtMS: 7},
@@ -71,16 +71,16 @@
 		t.Fatal(err)
 	}
 	for _, form := range []struct{ name, ahead, indent, end string }{
-		{"not", "", "", "\n"}, {"by blanks", "", "  ", "\n"}, {"by tabs", "\t", "\t", "\n"}, {"with carriage returns", " ", "    ", "\r\n"},
+		{"not indented", "", "", "\n"}, {"indented by blanks", "", "  ", "\n"}, {"indented by tabs", "\t", "\t", "\n"}, {"with carriage returns", " ", "    ", "\r\n"},
 	} {
 		var b bytes.Buffer
 		_ = json.Indent(&b, plain, form.ahead, form.indent)
 		text := form.end + form.ahead + strings.ReplaceAll(b.String(), "\n", form.end) + form.end
-		for name, polled := range map[string]bool{"pushed": false, "asked for": true} {
+		for name, polled := range map[string]bool{"pushed": false, "polled": true} {
 			t.Run(name+" "+form.name, func(t *testing.T) {
 				withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 					if call > 0 {
-						silent(w, r)
+						neverRespond(w, r)
 					}
 					for _, line := range strings.SplitAfter(text, "\n") { // one at a time, as a slow writer sends them
 						besteffort.Output(w.Write([]byte(line)))
--- a/internal/registry/client/follow.go
+++ b/internal/registry/client/record_follower.go
@@ -29,24 +29,24 @@
 	epoch   string
 	version uint64
 	records map[string]registry.Record
-	// otherEpochSince is when responses of another epoch began whose version is not above the known version;
-	// zero: the last response was not of this kind.
+	// otherEpochSince is the time of the first in an unbroken series of responses of another epoch whose
+	// version is not above the known version; zero: the last response was not of this kind.
 	otherEpochSince time.Time
 }
 
-// apply applies a response, or rejects it as stale: if it is older than the known version, or if it is of
-// another epoch and its version is not above the known one. The latter is accepted once such responses have
-// come for deferralDelay, as the service must have lost its state.
+// apply applies a response or rejects it as stale. A response of the known epoch is stale if it is older than
+// the known version. A response of another epoch is stale if its version is not above the known version;
+// it is accepted once such responses have come for deferralDelay, as the service must have lost its state.
 func (f *recordFollower) apply(
 	now time.Time,
 	deferralDelay time.Duration,
-	a registry.RecordsResponse,
+	response registry.RecordsResponse,
 ) (Change, error) {
 	known := f.records
 	switch {
-	case a.Epoch == f.epoch && a.Index < f.version:
+	case response.Epoch == f.epoch && response.Index < f.version:
 		return Stale, nil
-	case a.Epoch != f.epoch && a.Index <= f.version:
+	case response.Epoch != f.epoch && response.Index <= f.version:
 		if f.otherEpochSince.IsZero() {
 			f.otherEpochSince = now
 		}
@@ -54,15 +54,15 @@
 			return Stale, nil
 		}
 	}
-	if a.Epoch != f.epoch {
+	if response.Epoch != f.epoch {
 		known = nil
 	}
 	next, changed := make(
 		map[string]registry.Record,
-		len(a.Records),
-	), f.epoch != a.Epoch ||
-		len(a.Records) != len(known)
-	for _, r := range a.Records {
+		len(response.Records),
+	), f.epoch != response.Epoch ||
+		len(response.Records) != len(known)
+	for _, r := range response.Records {
 		if r.Value == nil {
 			current, ok := known[r.Key]
 			if !ok || current.Version != r.Version {
@@ -74,7 +74,7 @@
 		}
 		next[r.Key] = r
 	}
-	f.epoch, f.version, f.records, f.otherEpochSince = a.Epoch, a.Index, next, time.Time{}
+	f.epoch, f.version, f.records, f.otherEpochSince = response.Epoch, response.Index, next, time.Time{}
 	if !changed {
 		return Unchanged, nil
 	}
@@ -94,25 +94,25 @@
 }
 
 // FollowRecords watches the records under a prefix until ctx ends, and retries after failures of the service.
-// It calls onRecords from this goroutine with all records: once at first, and after each change. The states
-// are passed in order, never an older one after a newer one, but any of them may be out of date: a caller
-// that needs to know how old they are has to rely on its session. A call after a failure is made without a
-// hold, so that its own failure is noticed soon.
+// It calls onRecords from this goroutine with all records: once at first, and after each change. It never
+// passes an older state after a newer state, but any state may be out of date: a caller that needs to know
+// how old the records are has to rely on its session. The call that follows a failed call has no hold, so
+// that a second failure is noticed soon.
 func (k *Client) FollowRecords(ctx context.Context, prefix string, onRecords func(Records)) {
 	f, wait, hold := &recordFollower{}, watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
-		verdict, err := k.watchRecords(ctx, f, prefix, hold)
+		change, err := k.watchRecords(ctx, f, prefix, hold)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && verdict != Stale {
-			if verdict == Changed {
+		if err == nil && change != Stale {
+			if change == Changed {
 				onRecords(f.snapshot())
 			}
 			wait, hold = watchBackoff(), k.config.Hold
 			continue
 		}
-		if hold = minHold; verdict == NeedsComplete {
+		if hold = minHold; change == NeedsComplete {
 			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // version 0: read all records
 		}
 		k.log.Warn(
@@ -144,7 +144,7 @@
 		q.Set("from", strconv.FormatUint(f.version, 10))
 		q.Set("had", strconv.Itoa(len(f.records)))
 	}
-	ctx, cancel := context.WithTimeout(ctx, hold+answerGrace)
+	ctx, cancel := context.WithTimeout(ctx, hold+responseGrace)
 	defer cancel()
 	status, body, err := k.call(ctx, http.MethodGet, k.address(), "/registry/watch/records?"+q.Encode(), nil)
 	if err != nil {
--- a/internal/registry/client/follow_test.go
+++ b/internal/registry/client/record_follower_test.go
@@ -20,7 +20,7 @@
 
 // TestRecordFollowerNeverGoesBackAndConverges reads records from replicas that are up to date, lag or were
 // restored. The follower always has the records of a version that the service had, never goes back within an
-// epoch, and has the present records once an up-to-date replica answers.
+// epoch, and has the present records after a response of an up-to-date replica.
 func TestRecordFollowerNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
@@ -38,14 +38,14 @@
 		replicas := []*registry.State{decodedCopy(t, s)}
 		f := &recordFollower{}
 		now := time.Unix(0, 0)
-		call := func(of *registry.State) {
+		call := func(source *registry.State) {
 			from, before := f.version, f.version
 			epoch := f.epoch
-			if epoch != of.Epoch() {
+			if epoch != source.Epoch() {
 				from = 0
 			}
-			a, _ := of.RecordsSince("a/", from, len(f.records))
-			if verdict, err := f.apply(now, time.Minute, a); verdict == NeedsComplete {
+			a, _ := source.RecordsSince("a/", from, len(f.records))
+			if change, err := f.apply(now, time.Minute, a); change == NeedsComplete {
 				t.Fatal(err)
 			}
 			if f.epoch == epoch && f.version < before {
@@ -61,11 +61,11 @@
 		}
 		for n := range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now = now.Add(time.Second)
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
+			switch rapid.IntRange(0, 6).Draw(t, "operation") {
 			case 0, 1, 2:
 				key := rapid.SampledFrom([]string{"a/1", "a/2", "a/3", "b/1"}).Draw(t, "key")
 				c := registry.Command{Op: registry.OpPutRecord, Name: key, Value: json.RawMessage(fmt.Sprint(n))}
-				if rapid.IntRange(0, 2).Draw(t, "away") == 0 {
+				if rapid.IntRange(0, 2).Draw(t, "remove") == 0 {
 					c.Value = nil
 				}
 				s.Apply(c)
@@ -91,7 +91,7 @@
 }
 
 // TestCallAfterFailureHasNoHold checks that the call after a failed call has no hold, however that call
-// failed, and that the call after a response has one again.
+// failed, and that the call after a response has a hold again.
 func TestCallAfterFailureHasNoHold(t *testing.T) {
 	const hold = 5 * time.Second
 	followers := map[string]func(context.Context, *Client){
@@ -105,17 +105,17 @@
 		},
 	}
 	for name, follow := range followers {
-		for _, how := range append(silences, silence{"refused", 0, respondUnavailable}, silence{"cut in mid-answer", 0, abortMidResponse}) {
-			t.Run(name+" "+how.name, func(t *testing.T) {
+		for _, failure := range append(silentFailures, silentFailure{"refused", 0, respondUnavailable}, silentFailure{"reset in mid-response", 0, abortMidResponse}) {
+			t.Run(name+" "+failure.name, func(t *testing.T) {
 				withFakeDiscovery(t, func(n int, w http.ResponseWriter, r *http.Request) {
 					switch n {
 					case 0, 3:
 						besteffort.Encode(json.NewEncoder(w).Encode(registry.RecordsResponse{Index: uint64(7 + n), Epoch: "e", Records: []registry.Record{}}))
 					case 1, 2:
-						time.Sleep(how.after)
-						how.serve(w, r)
+						time.Sleep(failure.after)
+						failure.serve(w, r)
 					default:
-						silent(w, r)
+						neverRespond(w, r)
 					}
 				}, func(ctx context.Context, s *fakeDiscovery) {
 					k, _ := s.service(hold)
--- a/internal/registry/client/records.go
+++ b/internal/registry/client/records.go
@@ -25,15 +25,15 @@
 	return all, err
 }
 
-// Put writes a record, or removes it if value is nil. cond, if not nil, is the version that the record must
-// have; 0 means that it must be absent.
+// Put writes a record, or removes it if value is nil. ifVersion, if not nil, is the version that the record
+// must have; 0 means that the record must be absent.
 func (k *Client) Put(
 	ctx context.Context,
 	key string,
 	value json.RawMessage,
-	cond *uint64,
+	ifVersion *uint64,
 ) (registry.Result, error) {
-	return k.put(ctx, key, registry.PutRequest{Value: value, IfVersion: cond})
+	return k.put(ctx, key, registry.PutRequest{Value: value, IfVersion: ifVersion})
 }
 
 // Put is Client.Put under the fencing token.
@@ -41,15 +41,15 @@
 	ctx context.Context,
 	key string,
 	value json.RawMessage,
-	cond *uint64,
+	ifVersion *uint64,
 ) (registry.Result, error) {
-	return h.client.put(ctx, key, registry.PutRequest{Value: value, IfVersion: cond, Token: &h.token})
+	return h.client.put(ctx, key, registry.PutRequest{Value: value, IfVersion: ifVersion, Token: &h.token})
 }
 
 // put writes a record under a new write id.
-func (k *Client) put(ctx context.Context, key string, p registry.PutRequest) (registry.Result, error) {
-	p.ID = newID()
+func (k *Client) put(ctx context.Context, key string, request registry.PutRequest) (registry.Result, error) {
+	request.ID = newID()
 	var r registry.Result
-	err := k.send(ctx, http.MethodPut, recordPath(key), p, &r)
+	err := k.send(ctx, http.MethodPut, recordPath(key), request, &r)
 	return r, err
 }
--- a/internal/registry/client/broken_test.go
+++ b/internal/registry/client/rejected_response_test.go
@@ -21,9 +21,9 @@
 	return func(w http.ResponseWriter, _ *http.Request) { besteffort.Output(io.WriteString(w, body)) }
 }
 
-// TestRejectedResponseKeepsListAndIsRepeatedWithoutHold answers a call with a failure or with a response that
-// can't be used. The known list stays, and the next call is made at once, on a new connection and without a
-// hold. Only after that call the list is watched again.
+// TestRejectedResponseKeepsListAndIsRepeatedWithoutHold lets a call fail or get a response that can't be
+// used. The known list stays, and the next call is made at once, on a new connection and without a hold. The
+// call after it watches the list again.
 func TestRejectedResponseKeepsListAndIsRepeatedWithoutHold(t *testing.T) {
 	server := entryJSON("s", "127.0.0.1:1", "ready")
 	for _, c := range []struct {
@@ -35,17 +35,17 @@
 		{"reset", 1, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false},
 		{"refused", 1, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, false},
 		{"cut off", 1, respondWith(`{"index":43,"endp`), false},
-		{"of another type", 1, respondWith(`{"index":"43","snapshot":false,"endpoints":[]}`), false},
-		{"no servers", 1, respondWith(`{"index":43,"snapshot":true,"endpoints":null}`), false},
+		{"index of another type", 1, respondWith(`{"index":"43","snapshot":false,"endpoints":[]}`), false},
+		{"null endpoints", 1, respondWith(`{"index":43,"snapshot":true,"endpoints":null}`), false},
 		{"no body", 1, respondWith(``), false},
-		{"empty", 1, respondWith(`{}`), true},
+		{"empty object", 1, respondWith(`{}`), true},
 		{"null", 1, respondWith(`null`), true},
 		{"older changes", 1, respondWith(`{"index":41,"snapshot":false,"endpoints":[` + server + `]}`), true},
-		{"an older list", 1, respondWith(`{"index":41,"snapshot":true,"endpoints":[` + server + `]}`), true},
-		{"null for the whole list", 0, respondWith(`null`), true},
-		{"changes for the whole list", 0, respondWith(`{"index":43,"snapshot":false,"endpoints":[` + server + `]}`), true},
+		{"older complete list", 1, respondWith(`{"index":41,"snapshot":true,"endpoints":[` + server + `]}`), true},
+		{"null for the complete list", 0, respondWith(`null`), true},
+		{"changes for the complete list", 0, respondWith(`{"index":43,"snapshot":false,"endpoints":[` + server + `]}`), true},
 	} {
-		for name, polled := range map[string]bool{"pushed": false, "asked for": true} {
+		for name, polled := range map[string]bool{"pushed": false, "polled": true} {
 			if polled && c.name == "refused" {
 				continue // then the balancer waits: see TestPolledDiscoveryReportsFailures
 			}
@@ -63,7 +63,7 @@
 					case call == c.call+1:
 						respondWithList(w, index)
 					default:
-						silent(w, r)
+						neverRespond(w, r)
 					}
 				}, func(ctx context.Context, s *fakeDiscovery) {
 					d, lists := s.platform(polled)
@@ -80,9 +80,9 @@
 						t.Errorf("list %d is accepted at %v", l.Index, l.at)
 					}
 					synctest.Wait()
-					broken, retry, watch := s.calls[c.call], s.calls[c.call+1], s.calls[c.call+2]
-					if (retry.from == "") != c.nextIsComplete || !c.nextIsComplete && retry.hold != "1" || retry.dials == broken.dials {
-						t.Errorf("call %+v follows %+v", retry, broken)
+					rejected, retry, watch := s.calls[c.call], s.calls[c.call+1], s.calls[c.call+2]
+					if (retry.from == "") != c.nextIsComplete || !c.nextIsComplete && retry.hold != "1" || retry.dials == rejected.dials {
+						t.Errorf("call %+v follows %+v", retry, rejected)
 					}
 					if watch.from != fmt.Sprint(index) || watch.hold != fmt.Sprint(hold.Milliseconds()) || watch.dials != retry.dials {
 						t.Errorf("the watch continues with call %+v", watch)
@@ -97,10 +97,10 @@
 // known list after a response that can't be used.
 func TestRejectedServiceResponseKeepsList(t *testing.T) {
 	for name, bad := range map[string]string{
-		"no servers":    `{"index":43,"epoch":"e","snapshot":true,"endpoints":null}`,
-		"another epoch": `{"index":43,"epoch":"f","snapshot":false,"endpoints":[]}`,
-		"empty":         `{}`,
-		"older":         `{"index":41,"epoch":"e","snapshot":true,"endpoints":[]}`,
+		"null endpoints": `{"index":43,"epoch":"e","snapshot":true,"endpoints":null}`,
+		"another epoch":  `{"index":43,"epoch":"f","snapshot":false,"endpoints":[]}`,
+		"empty object":   `{}`,
+		"older":          `{"index":41,"epoch":"e","snapshot":true,"endpoints":[]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
@@ -110,7 +110,7 @@
 				case 1:
 					respondWith(bad)(w, r)
 				default:
-					silent(w, r)
+					neverRespond(w, r)
 				}
 			}, func(ctx context.Context, s *fakeDiscovery) {
 				k, lists := s.service(DefaultHold)
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -12,7 +12,7 @@
 
 func sessionPath(id string) string { return "/registry/sessions/" + url.PathEscape(id) }
 
-// OpenSession opens a session under a new id, or changes the process info of one that is open.
+// OpenSession opens a session under its id or, if it is open, changes its process info.
 func (k *Client) OpenSession(ctx context.Context, s registry.Session) error {
 	var r registry.Result
 	return k.send(
@@ -77,8 +77,8 @@
 }
 
 // SessionLeases makes one attempt to read the leases of a session. The replica answers once a lease has
-// changed since version from, or after hold. An attempt after a failed one has no hold, so that its own
-// failure is noticed soon.
+// changed since version from, or after hold. The attempt that follows a failed attempt has no hold, so that a
+// second failure is noticed soon.
 func (k *Client) SessionLeases(
 	ctx context.Context,
 	id string,
@@ -92,10 +92,10 @@
 	if from > 0 {
 		q.Set("from", strconv.FormatUint(from, 10))
 	}
-	try, cancel := context.WithTimeout(ctx, hold+answerGrace)
+	attemptCtx, cancel := context.WithTimeout(ctx, hold+responseGrace)
 	defer cancel()
 	var a registry.LeasesResponse
-	err := k.sendOnce(try, http.MethodGet, "/registry/duties?"+q.Encode(), nil, &a)
+	err := k.sendOnce(attemptCtx, http.MethodGet, "/registry/duties?"+q.Encode(), nil, &a)
 	if err != nil {
 		k.nextAddress()
 	}
@@ -110,26 +110,27 @@
 	return a, err
 }
 
-// TransferLease asks the lease holder to transfer the lease, to the process named by to unless that is empty.
-func (k *Client) TransferLease(ctx context.Context, lease, to string) error {
+// TransferLease asks the holder of a lease to transfer it. If successor is not empty, the lease goes to the
+// process of that name.
+func (k *Client) TransferLease(ctx context.Context, lease, successor string) error {
 	var r registry.Result
 	return k.send(
 		ctx,
 		http.MethodPost,
 		"/registry/duties/"+url.PathEscape(lease)+"/yield",
-		registry.LeaseOrder{Process: to},
+		registry.LeaseOrder{Process: successor},
 		&r,
 	)
 }
 
-// BlockProcess forbids a process to hold a lease (on), or allows it again.
-func (k *Client) BlockProcess(ctx context.Context, lease, process string, on bool) error {
+// BlockProcess forbids a process to hold a lease, or allows it again if block is false.
+func (k *Client) BlockProcess(ctx context.Context, lease, process string, block bool) error {
 	var r registry.Result
 	return k.send(
 		ctx,
 		http.MethodPost,
 		"/registry/duties/"+url.PathEscape(lease)+"/block",
-		registry.LeaseOrder{Process: process, Block: on},
+		registry.LeaseOrder{Process: process, Block: block},
 		&r,
 	)
 }
@@ -142,39 +143,39 @@
 }
 
 // WithToken returns a client whose writes carry the fencing token.
-func (k *Client) WithToken(f registry.FencingToken) FencedClient { return FencedClient{k, f} }
+func (k *Client) WithToken(token registry.FencingToken) FencedClient { return FencedClient{k, token} }
 
 // Register is Client.Register under the fencing token.
 func (h FencedClient) Register(
 	ctx context.Context,
 	e registry.Endpoint,
 	ttl time.Duration,
-	cond *uint64,
+	ifVersion *uint64,
 ) (registry.Result, error) {
 	return h.client.write(
 		ctx,
 		http.MethodPut,
 		entryPath(e.Name),
-		registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: cond, Token: &h.token},
+		registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: ifVersion, Token: &h.token},
 	)
 }
 
 // Drain is Client.Drain under the fencing token.
-func (h FencedClient) Drain(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
+func (h FencedClient) Drain(ctx context.Context, name string, ifVersion *uint64) (registry.Result, error) {
 	return h.client.write(
 		ctx,
 		http.MethodPost,
 		entryPath(name)+"/drain",
-		registry.WriteRequest{IfVersion: cond, Token: &h.token},
+		registry.WriteRequest{IfVersion: ifVersion, Token: &h.token},
 	)
 }
 
 // Remove is Client.Remove under the fencing token.
-func (h FencedClient) Remove(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
+func (h FencedClient) Remove(ctx context.Context, name string, ifVersion *uint64) (registry.Result, error) {
 	return h.client.write(
 		ctx,
 		http.MethodDelete,
 		entryPath(name),
-		registry.WriteRequest{IfVersion: cond, Token: &h.token},
+		registry.WriteRequest{IfVersion: ifVersion, Token: &h.token},
 	)
 }
--- a/internal/registry/client/silence_test.go
+++ b/internal/registry/client/silence_test.go
@@ -15,19 +15,19 @@
 	return max(silentAt+6*time.Second, began+hold+2*time.Second)
 }
 
-// silence is a way in which a call falls silent, and the time after its start at which it does.
-type silence struct {
+// silentFailure is a way in which a call falls silent. after is the time from the start of the call.
+type silentFailure struct {
 	name  string
 	after time.Duration
 	serve http.HandlerFunc
 }
 
-// silences lists the ways in which a call falls silent.
-var silences = []silence{
-	{"at once", 0, silent},
-	{"after a while", 3 * time.Second, silent},
-	{"amid the answer", 0, respondHalf},
-	{"amid a late answer", 4 * time.Second, respondHalf},
+// silentFailures lists the ways in which a call falls silent.
+var silentFailures = []silentFailure{
+	{"at once", 0, neverRespond},
+	{"after a while", 3 * time.Second, neverRespond},
+	{"in mid-response", 0, respondHalf},
+	{"in a late mid-response", 4 * time.Second, respondHalf},
 }
 
 // TestSilentCallIsRepeatedInTime checks that the list that a silent call missed arrives before the bound of
@@ -44,23 +44,23 @@
 		{"pushed, the watch", false, 1, 1, 0},
 		{"pushed, a later watch", false, 2, 1, 0},
 		{"pushed, the first two calls", false, 0, 2, 0},
-		{"pushed, the watch and the call anew", false, 1, 2, 0},
-		{"asked for, the watch", true, 0, 1, holdPolled},
-		{"asked for, a later watch", true, 1, 1, holdPolled},
+		{"pushed, the watch and the next call", false, 1, 2, 0},
+		{"polled, the watch", true, 0, 1, holdPolled},
+		{"polled, a later watch", true, 1, 1, holdPolled},
 	} {
-		for _, how := range silences {
-			t.Run(c.name+" "+how.name, func(t *testing.T) {
+		for _, failure := range silentFailures {
+			t.Run(c.name+" "+failure.name, func(t *testing.T) {
 				withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 					switch {
 					case call < c.call:
 						respondWithList(w, uint64(42+call))
 					case call == c.call:
-						time.Sleep(how.after)
-						how.serve(w, r)
+						time.Sleep(failure.after)
+						failure.serve(w, r)
 					case call == c.call+c.row:
 						respondWithList(w, 100)
 					default:
-						silent(w, r)
+						neverRespond(w, r)
 					}
 				}, func(ctx context.Context, s *fakeDiscovery) {
 					d, lists := s.platform(c.polled)
@@ -74,7 +74,7 @@
 					}
 					began := s.now()
 					l := nextList(t, lists)
-					limit := afterSilence(began, began+how.after, c.hold)
+					limit := afterSilence(began, began+failure.after, c.hold)
 					if !c.polled && c.call == 0 && c.row == 1 {
 						limit = 2 * time.Second // an upgrade waits for that long
 					}
@@ -90,7 +90,7 @@
 // TestPolledDiscoveryThatStaysSilentIsReported checks that after two silent calls the failure is reported to
 // the balancer, which spreads its calls, and that no further call is made.
 func TestPolledDiscoveryThatStaysSilentIsReported(t *testing.T) {
-	withFakeDiscovery(t, func(_ int, w http.ResponseWriter, r *http.Request) { silent(w, r) }, func(ctx context.Context, s *fakeDiscovery) {
+	withFakeDiscovery(t, func(_ int, w http.ResponseWriter, r *http.Request) { neverRespond(w, r) }, func(ctx context.Context, s *fakeDiscovery) {
 		d, lists := s.platform(true)
 		d.Poll(ctx, false, true)
 		if l := nextList(t, lists); l.at > 0 || -l.at > holdPolled+4*time.Second {
@@ -107,9 +107,9 @@
 // TestMoveCompletesWithinFourSeconds checks that the list of a new address arrives within 4 s of SIGHUP, even
 // if the first call to the new address or the watch at the old one falls silent.
 func TestMoveCompletesWithinFourSeconds(t *testing.T) {
-	for name, polled := range map[string]bool{"pushed": false, "asked for": true} {
-		for _, how := range silences {
-			t.Run(name+" "+how.name, func(t *testing.T) {
+	for name, polled := range map[string]bool{"pushed": false, "polled": true} {
+		for _, failure := range silentFailures {
+			t.Run(name+" "+failure.name, func(t *testing.T) {
 				var moved atomic.Int32
 				withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 					var at int32 // number of this call among those to the new address
@@ -118,12 +118,12 @@
 					}
 					switch at {
 					case 1:
-						time.Sleep(how.after)
-						how.serve(w, r)
+						time.Sleep(failure.after)
+						failure.serve(w, r)
 					case 2:
 						respondWithList(w, 7) // the new address has versions of its own
 					default:
-						silent(w, r)
+						neverRespond(w, r)
 					}
 				}, func(ctx context.Context, s *fakeDiscovery) {
 					d, lists := s.platform(polled)
@@ -133,10 +133,10 @@
 						d.Follow(ctx)
 					}
 					time.Sleep(300 * time.Millisecond)
-					hup := s.now()
+					movedAt := s.now()
 					d.Move(ctx, "two:1", polled)
-					if l := nextList(t, lists); l.Index != 7 || l.at > hup+4*time.Second {
-						t.Errorf("list %d at %v, SIGHUP came at %v", l.Index, l.at, hup)
+					if l := nextList(t, lists); l.Index != 7 || l.at > movedAt+4*time.Second {
+						t.Errorf("list %d at %v, SIGHUP came at %v", l.Index, l.at, movedAt)
 					}
 					synctest.Wait()
 					if last := s.calls[len(s.calls)-1]; last.host != "two:1" || last.from != "7" {
@@ -157,9 +157,9 @@
 				respondWithList(w, 42)
 				return
 			}
-			silent(w, r)
+			neverRespond(w, r)
 		}, func(ctx context.Context, s *fakeDiscovery) {
-			s.down = length
+			s.downUntil = length
 			d, lists := s.platform(false)
 			d.Follow(ctx)
 			if l := nextList(t, lists); l.at > length+400*time.Millisecond {
@@ -174,16 +174,16 @@
 // are never answered.
 func TestChangeAfterSilentOutageArrivesSoon(t *testing.T) {
 	for length := 100 * time.Millisecond; length < 12*time.Second; length += 370 * time.Millisecond {
-		var fell time.Time
+		var silentSince time.Time
 		withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
 			switch from := r.URL.Query().Get("from"); {
 			case call == 0:
-				fell = time.Now()
+				silentSince = time.Now()
 				respondWithList(w, 42)
-			case call > 1 && from == "42" && time.Since(fell) >= length:
+			case call > 1 && from == "42" && time.Since(silentSince) >= length:
 				respondWithList(w, 100)
 			default:
-				silent(w, r)
+				neverRespond(w, r)
 			}
 		}, func(ctx context.Context, s *fakeDiscovery) {
 			d, lists := s.platform(false)
@@ -206,19 +206,19 @@
 		if call == 2 {
 			call, row = 1, 2
 		}
-		for _, how := range silences {
-			t.Run(how.name, func(t *testing.T) {
+		for _, failure := range silentFailures {
+			t.Run(failure.name, func(t *testing.T) {
 				withFakeDiscovery(t, func(n int, w http.ResponseWriter, r *http.Request) {
 					switch {
 					case n < call:
 						respondWithList(w, 42)
 					case n == call:
-						time.Sleep(how.after)
-						how.serve(w, r)
+						time.Sleep(failure.after)
+						failure.serve(w, r)
 					case n == call+row:
 						respondWithList(w, 100)
 					default:
-						silent(w, r)
+						neverRespond(w, r)
 					}
 				}, func(ctx context.Context, s *fakeDiscovery) {
 					k, lists := s.service(hold)
@@ -228,7 +228,7 @@
 						nextList(t, lists)
 					}
 					l := nextList(t, lists)
-					limit := afterSilence(0, how.after, callHold)
+					limit := afterSilence(0, failure.after, callHold)
 					if synctest.Wait(); row > 1 {
 						limit = afterSilence(s.calls[call+1].startedAt, s.calls[call+1].startedAt, 0)
 					}
--- a/internal/registry/client/subset.go
+++ b/internal/registry/client/subset.go
@@ -13,16 +13,16 @@
 	"wrenspread/internal/registry"
 )
 
-// subsetMove is the subset that is to be followed. If the client follows another subset, it watches that
-// until readAt. This time is drawn at random from the length of a hold, because one change of the list can
-// make many proxies move at once.
+// subsetMove is the subset that is to be followed. If the client still follows another subset, it watches the
+// other subset until readAt and then reads target. readAt is random, up to one hold after the choice of
+// target, because one change of the list can make many proxies move at once.
 type subsetMove struct {
 	target registry.Subset
 	readAt time.Duration // since the client's start
 }
 
-// codePaced is the error code of a replica that sends too many complete subsets at present.
-const codePaced = "paced"
+// codeTooManyReads is the error code of a replica that sends too many complete subsets at present.
+const codeTooManyReads = "paced"
 
 // listRead describes a call that reads the list or a subset.
 type listRead struct {
@@ -35,12 +35,12 @@
 
 // subsetOf returns the subset that a response covers. The response of a service that knows no subsets covers
 // the complete list.
-func subsetOf(a registry.ListResponse) registry.Subset {
-	p, _ := registry.ParseSubset(a.Subset) // after an error p is the zero subset, which is the complete list
-	return p
+func subsetOf(response registry.ListResponse) registry.Subset {
+	subset, _ := registry.ParseSubset(response.Subset) // after an error it is the zero subset, the complete list
+	return subset
 }
 
-// nextRead returns what the next call requests.
+// nextRead returns the description of the next call.
 func (k *Client) nextRead(hold time.Duration) listRead {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -57,9 +57,9 @@
 	return listRead{subset: k.pendingMove.target, hold: hold, movesSubset: true}
 }
 
-// deferMove postpones a move whose read failed. Until then the client watches the subset in use. It reports
-// whether the read failed because the service paces complete reads.
-func (k *Client) deferMove(q listRead, err error) (paced bool) {
+// deferMove postpones a move whose read failed. Until the next attempt the client watches the subset in use.
+// rejected reports whether the read failed because the replica sends too many complete subsets.
+func (k *Client) deferMove(q listRead, err error) (rejected bool) {
 	if !q.movesSubset {
 		return false
 	}
@@ -67,33 +67,33 @@
 	defer k.mu.Unlock()
 	k.pendingMove.readAt = time.Since(k.start) + rand.N(maxBackoff)
 	var r *Error
-	return errors.As(err, &r) && r.Code == codePaced
+	return errors.As(err, &r) && r.Code == codeTooManyReads
 }
 
 // matchSubset checks that a response covers the requested subset. The response of a service that knows no
 // subsets is accepted as the complete list or, if it has changes, reduced to the changes of the subset.
-func (q listRead) matchSubset(a *registry.ListResponse) error {
+func (q listRead) matchSubset(response *registry.ListResponse) error {
 	switch {
-	case a.Subset == q.subset.String():
-	case a.Subset != "":
-		return fmt.Errorf("response covers subset %q, requested %q", a.Subset, q.subset)
-	case !a.Snapshot && !q.subset.IsAll():
-		a.Endpoints = slices.DeleteFunc(
-			a.Endpoints,
+	case response.Subset == q.subset.String():
+	case response.Subset != "":
+		return fmt.Errorf("response covers subset %q, requested %q", response.Subset, q.subset)
+	case !response.Snapshot && !q.subset.IsAll():
+		response.Endpoints = slices.DeleteFunc(
+			response.Endpoints,
 			func(e registry.Endpoint) bool { return !q.subset.Contains(registry.Position(e.Name)) },
 		)
-		a.Subset = q.subset.String()
+		response.Subset = q.subset.String()
 	}
 	return nil
 }
 
-// widensSubset reports whether a complete subset in a response is too narrow, and if so makes the wider
-// subset the one to follow. The response is then discarded, as the wider subset is read at once.
-func (k *Client) widensSubset(q listRead, a registry.ListResponse) bool {
-	if k.config.ChooseSubset == nil || a.Subset == "" || !a.Snapshot {
+// widensSubset reports whether a response is a complete subset that is too narrow. If so, the wider subset is
+// the one to follow from now on, and the caller discards the response and reads the wider subset at once.
+func (k *Client) widensSubset(q listRead, response registry.ListResponse) bool {
+	if k.config.ChooseSubset == nil || response.Subset == "" || !response.Snapshot {
 		return false
 	}
-	next := k.config.ChooseSubset(q.subset, a.Total, a.Endpoints)
+	next := k.config.ChooseSubset(q.subset, response.Total, response.Endpoints)
 	if q.subset.Covers(next) {
 		return false
 	}
@@ -104,11 +104,11 @@
 }
 
 // chooseSubset sets the subset to follow according to the known list. The caller holds k.mu.
-func (k *Client) chooseSubset(a registry.ListResponse) {
+func (k *Client) chooseSubset(response registry.ListResponse) {
 	if k.config.ChooseSubset == nil {
 		return
 	}
-	if a.Subset == "" { // the service knows no subsets
+	if response.Subset == "" { // the service knows no subsets
 		k.pendingMove = subsetMove{target: registry.Subset{}}
 		return
 	}
--- a/internal/registry/client/subset_cached_test.go
+++ b/internal/registry/client/subset_cached_test.go
@@ -11,10 +11,10 @@
 	"wrenspread/internal/registry"
 )
 
-// TestRestartWithCachedSubset restarts a proxy after an hour. It serves the cached subset, of whatever width,
-// and reads one complete subset to become current. A program that knows no subsets reads the cache file as a
-// list without a version.
-func TestRestartWithCachedSubset(t *testing.T) {
+// TestCachedSubsetIsUsedAfterRestart restarts a client after an hour, with another fleet size. The client
+// begins with the cached subset, of whatever width, and reads one complete subset to become current. A
+// program that knows no subsets reads the cache file as a list without a version.
+func TestCachedSubsetIsUsedAfterRestart(t *testing.T) {
 	file, nodes := filepath.Join(t.TempDir(), "list"), 4300
 	s := fleetState(t, 19000)
 	k := newSubsetClient(t, 9, &nodes, file, nil)
@@ -53,14 +53,14 @@
 	if q := withoutSubsets.nextRead(time.Second); q.from != 0 || !q.subset.IsAll() {
 		t.Errorf("without ChooseSubset the client requests %+v", q)
 	}
-	if verdict, _, err := withoutSubsets.callTo(replica{s, true}, func() {}); verdict != Changed || err != nil || len(withoutSubsets.list.endpoints) != 19000 {
+	if change, _, err := withoutSubsets.callTo(replica{s, true}, func() {}); change != Changed || err != nil || len(withoutSubsets.list.endpoints) != 19000 {
 		t.Errorf("without ChooseSubset the client has %d entries: %v", len(withoutSubsets.list.endpoints), err)
 	}
 	old := NewListState(time.Second, List{Endpoints: cached.Endpoints}) // the file as a program without subsets reads it
 	if from, _ := old.Next(); from != 0 {
 		t.Errorf("a program without subsets continues from version %d", from)
 	}
-	if verdict := old.Apply(0, 0, s.Since(0)); verdict != Changed || len(old.endpoints) != 19000 {
-		t.Errorf("a program without subsets has %d entries: %v", len(old.endpoints), verdict)
+	if change := old.Apply(0, 0, s.Since(0)); change != Changed || len(old.endpoints) != 19000 {
+		t.Errorf("a program without subsets has %d entries: %v", len(old.endpoints), change)
 	}
 }
--- a/internal/registry/client/subset_test.go
+++ b/internal/registry/client/subset_test.go
@@ -12,13 +12,13 @@
 	"wrenspread/internal/registry"
 )
 
-// replica responds as the service does or, if old is set, as a program that knows no subsets.
+// replica responds to reads as the service does or, if old is set, as a program that knows no subsets.
 type replica struct {
 	*registry.State
 	old bool
 }
 
-func (r replica) answer(q listRead) (a registry.ListResponse, err error) {
+func (r replica) respond(q listRead) (a registry.ListResponse, err error) {
 	if q.epoch != "" && q.epoch != r.Epoch() {
 		q.from = 0
 	}
@@ -36,7 +36,7 @@
 func (k *Client) callTo(r replica, meanwhile func()) (Change, listRead, error) {
 	q := k.nextRead(time.Second)
 	meanwhile()
-	a, err := r.answer(q)
+	a, err := r.respond(q)
 	if err == nil {
 		err = q.matchSubset(&a)
 	}
@@ -69,8 +69,9 @@
 }
 
 // TestFollowedSubsetNeverGoesBackAndConverges changes the subset to follow, the list, its epoch, the replica
-// and its program while calls are in progress. The known entries are always those of the subset in a list
-// that the service had, never go back within an epoch, and reach the present ones of the wanted subset.
+// and its program while calls are in progress. The known entries are always the entries of the subset in a
+// list that the service had, never go back within an epoch, and become the present entries of the wanted
+// subset.
 func TestFollowedSubsetNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
@@ -85,7 +86,7 @@
 			t.Fatal(err)
 		}
 		change := func(n int) {
-			switch name := fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "name")); rapid.IntRange(0, 9).Draw(t, "what") {
+			switch name := fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "name")); rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0, 1, 2, 3:
 				s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &registry.Endpoint{Name: name, Address: "a:1", Status: registry.Ready, Weight: float64(n)}})
 			case 4:
@@ -105,20 +106,20 @@
 		}
 		call := func(r replica, meanwhile func()) {
 			before, _ := k.List()
-			verdict, q, err := k.callTo(r, meanwhile)
+			result, q, err := k.callTo(r, meanwhile)
 			v, _ := k.List()
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
 			if all, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Endpoint{}, v.Endpoints...), endpointsIn(v.Subset, all))) {
-				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, all, verdict, err)
+				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, all, result, err)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			k.start = k.start.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "calls") {
 				meanwhile := func() {}
-				if rapid.Bool().Draw(t, "amid") {
+				if rapid.Bool().Draw(t, "change during the call") {
 					meanwhile = func() { change(n) }
 				}
 				call(replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "at")], meanwhile)
@@ -166,9 +167,9 @@
 	return k
 }
 
-// TestFirstSubsetIsWideEnough checks that a client without a list accepts none before its subset is wide
-// enough. A client with a subset reads a wider one while the first stays in use, and continues to watch the
-// first if the service paces complete reads.
+// TestFirstSubsetIsWideEnough checks that a client without a list accepts no subset that is too narrow. A
+// client with a subset reads a wider subset while the first one stays in use, and continues to watch the
+// first subset if the service rejects the read because it sends too many complete subsets.
 func TestFirstSubsetIsWideEnough(t *testing.T) {
 	for _, servers := range []int{1, 4, 75, 2000, 18000} {
 		nodes, changes := 4300, 0
@@ -202,16 +203,16 @@
 			t.Errorf("the client requests %+v", q)
 		}
 		if !k.deferMove(q, responseError(429, []byte(`{"code":"paced"}`))) || k.nextRead(time.Second).subset != v.Subset {
-			t.Error("a paced client does not watch its present subset")
+			t.Error("a client whose read was rejected does not watch its present subset")
 		}
 		registerRange(s.State, servers, servers+1000)
-		if verdict, _, err := k.callTo(s, func() {}); verdict != Changed || err != nil {
-			t.Errorf("the present subset gets no changes: %v, %v", verdict, err)
+		if change, _, err := k.callTo(s, func() {}); change != Changed || err != nil {
+			t.Errorf("the present subset gets no changes: %v, %v", change, err)
 		}
 		registerRange(s.State, servers+1000, servers+2000)
-		verdict, _, err := k.callTo(replica{s.State, true}, func() {})
-		if now, _ := k.List(); verdict != Changed || err != nil || now.Subset != v.Subset || !slices.Equal(now.Endpoints, endpointsIn(v.Subset, s.Since(0).Endpoints)) {
-			t.Errorf("from a replica without subsets the client accepts no changes, or others than its subset's: %v, %v", verdict, err)
+		change, _, err := k.callTo(replica{s.State, true}, func() {})
+		if now, _ := k.List(); change != Changed || err != nil || now.Subset != v.Subset || !slices.Equal(now.Endpoints, endpointsIn(v.Subset, s.Since(0).Endpoints)) {
+			t.Errorf("from a replica without subsets the client accepts no changes, or others than its subset's: %v, %v", change, err)
 		}
 	}
 }
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -14,26 +14,26 @@
 	"wrenspread/internal/registry"
 )
 
-// Follow watches the list until ctx ends, and retries after failures of the service. A watch after a failure
-// has no hold, so that its own failure is noticed soon.
+// Follow watches the list until ctx ends, and retries after failures of the service. The call that follows a
+// failed call has no hold, so that a second failure is noticed soon.
 func (k *Client) Follow(ctx context.Context) {
 	wait, hold := watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
-		verdict, err := k.watch(ctx, hold)
+		change, err := k.watch(ctx, hold)
 		switch {
 		case ctx.Err() != nil:
 			return
-		case err == nil && (verdict == Changed || verdict == TooNarrow || verdict == Unchanged && k.watching()):
+		case err == nil && (change == Changed || change == TooNarrow || change == Unchanged && k.watching()):
 			wait, hold = watchBackoff(), k.config.Hold
 			continue
 		case err != nil:
 			k.log.Warn("registry does not answer, keeping the last list", "address", k.address(), "err", err)
-		case verdict == Deferred:
+		case change == Deferred:
 			k.log.Error("deferring a suspect list of another epoch", "for", k.config.DeferralDelay)
-		case verdict == Stale:
+		case change == Stale:
 			k.log.Warn("replica is behind this client", "address", k.address())
 		}
-		if hold = minHold; verdict != Deferred {
+		if hold = minHold; change != Deferred {
 			k.nextAddress()
 		}
 		if !backoff.Sleep(ctx, wait.Next(rand.Int64N)) {
@@ -47,7 +47,7 @@
 	return backoff.FullJitter{First: initialBackoff, Max: maxBackoff}
 }
 
-// watching reports whether the next call waits for a change. A call for the complete list does not.
+// watching reports whether the next call waits for a change. A call for the complete list does not wait.
 func (k *Client) watching() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,7 +61,7 @@
 	return k.config.Addresses[k.current]
 }
 
-// nextAddress makes the next replica the one that calls are made to.
+// nextAddress makes later calls go to the next replica in the list of addresses.
 func (k *Client) nextAddress() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -71,84 +71,84 @@
 // watch makes one call and applies the response.
 func (k *Client) watch(ctx context.Context, hold time.Duration) (Change, error) {
 	q := k.nextRead(hold)
-	a, err := k.read(ctx, q)
+	response, err := k.read(ctx, q)
 	if err != nil {
 		if k.deferMove(q, err) {
 			return Unchanged, nil
 		}
 		return Unchanged, err
 	}
-	for _, err := range a.Skipped {
+	for _, err := range response.Skipped {
 		k.log.Warn("endpoint entry skipped", "err", err)
 	}
-	if k.widensSubset(q, a) {
+	if k.widensSubset(q, response) {
 		return TooNarrow, nil
 	}
-	return k.apply(q.from, a), nil
+	return k.apply(q.from, response), nil
 }
 
 // read makes one call and validates the response.
-func (k *Client) read(ctx context.Context, request listRead) (a registry.ListResponse, err error) {
+func (k *Client) read(ctx context.Context, request listRead) (response registry.ListResponse, err error) {
 	q := url.Values{"hold_ms": {strconv.FormatInt(request.hold.Milliseconds(), 10)}}
 	if k.config.ChooseSubset != nil {
 		q.Set("part", request.subset.String())
 	}
-	timeout := request.hold + answerGrace
+	timeout := request.hold + responseGrace
 	if request.from > 0 {
 		q.Set("from", strconv.FormatUint(request.from, 10))
 		q.Set("epoch", request.epoch)
 	} else {
-		timeout = min(k.config.Hold+answerGrace, completeReadTimeout)
+		timeout = min(k.config.Hold+responseGrace, completeReadTimeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	status, body, err := k.call(ctx, http.MethodGet, k.address(), "/registry/instances?"+q.Encode(), nil)
 	if err != nil {
-		return a, err
+		return response, err
 	}
 	if status != http.StatusOK {
-		return a, responseError(status, body)
+		return response, responseError(status, body)
 	}
-	if err := json.Unmarshal(body, &a); err != nil {
-		return a, fmt.Errorf("parse list response: %w", err)
+	if err := json.Unmarshal(body, &response); err != nil {
+		return response, fmt.Errorf("parse list response: %w", err)
 	}
 	if k.config.ChooseSubset != nil {
-		if err := request.matchSubset(&a); err != nil {
-			return a, err
+		if err := request.matchSubset(&response); err != nil {
+			return response, err
 		}
 	}
-	return a, isCompleteRead(a, request.from == 0)
+	return response, isCompleteRead(response, request.from == 0)
 }
 
 // apply applies a response to the list, notifies OnChange and the watchers of Changed, and caches the list.
-func (k *Client) apply(from uint64, a registry.ListResponse) Change {
+func (k *Client) apply(from uint64, response registry.ListResponse) Change {
 	k.mu.Lock()
-	verdict := k.list.Apply(time.Since(k.start), from, a)
-	if verdict != Stale {
-		k.lastAnswerAt = time.Now()
+	change := k.list.Apply(time.Since(k.start), from, response)
+	if change != Stale {
+		k.lastResponseAt = time.Now()
 	}
-	if verdict == Changed || verdict == Unchanged {
-		k.chooseSubset(a)
+	if change == Changed || change == Unchanged {
+		k.chooseSubset(response)
 	}
 	// a response without endpoints changes only the version
-	endpointsChanged := verdict == Changed && (a.Snapshot || len(a.Endpoints) > 0)
-	a.Total = k.list.total
-	var v List
-	if verdict == Changed {
+	endpointsChanged := change == Changed && (response.Snapshot || len(response.Endpoints) > 0)
+	response.Total = k.list.total
+	var list List
+	if change == Changed {
 		if endpointsChanged && k.config.CacheFile != "" {
-			v = k.list.List()
+			list = k.list.List()
 		}
 		close(k.changed)
 		k.changed = make(chan struct{})
 	}
 	k.mu.Unlock()
-	if verdict == Changed && k.config.OnChange != nil {
-		k.config.OnChange(a)
+	if change == Changed && k.config.OnChange != nil {
+		k.config.OnChange(response)
 	}
 	if endpointsChanged && k.config.CacheFile != "" {
-		if err := writeCache(k.config.CacheFile, v); err != nil {
+		if err := writeCache(k.config.CacheFile, list); err != nil {
 			k.log.Warn("caching the endpoint list failed", "err", err)
 		}
 	}
-	return verdict
+	return change
 }
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -21,64 +21,64 @@
 	registry.ErrorResponse
 }
 
-func (r *Error) Error() string { return fmt.Sprintf("the registry says %s: %s", r.Code, r.Reason) }
+func (r *Error) Error() string { return fmt.Sprintf("registry error %s: %s", r.Code, r.Reason) }
 
 // responseError parses an error response.
 func responseError(status int, body []byte) error {
 	r := &Error{Status: status}
 	if json.Unmarshal(body, &r.ErrorResponse) != nil || r.Code == "" {
-		r.Code, r.Reason = "odd", fmt.Sprintf("status %d with no reason that can be read", status)
+		r.Code, r.Reason = "odd", fmt.Sprintf("status %d without a readable error response", status)
 	}
 	return r
 }
 
 // ErrOutcomeUnknown marks a write that may or may not have been applied, or may still be applied.
-var ErrOutcomeUnknown = errors.New("it is not known whether it was done")
+var ErrOutcomeUnknown = errors.New("it is not known whether the write was applied")
 
 const (
-	attemptTimeout = 8 * time.Second // for one call; a replica answers within 5 or 6 s
+	attemptTimeout = 8 * time.Second // for one attempt of a call; a replica answers within 5 or 6 s
 	retryPause     = 100 * time.Millisecond
 )
 
 func entryPath(name string) string { return "/registry/instances/" + url.PathEscape(name) }
 
 // Register adds an entry to the list or changes it. With ttl 0 the entry stays until it is removed; with
-// another ttl it has to be renewed. cond, if not nil, is the version that the entry must have; 0 means that
-// it must be absent. Like every write, it is repeated under one write id until its outcome is known or ctx
-// ends.
+// another ttl it has to be renewed. ifVersion, if not nil, is the version that the entry must have; 0 means
+// that the entry must be absent. Like every write, Register is repeated under one write id until its outcome
+// is known or ctx ends.
 func (k *Client) Register(
 	ctx context.Context,
 	e registry.Endpoint,
 	ttl time.Duration,
-	cond *uint64,
+	ifVersion *uint64,
 ) (registry.Result, error) {
 	return k.write(
 		ctx,
 		http.MethodPut,
 		entryPath(e.Name),
-		registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: cond},
+		registry.WriteRequest{Endpoint: &e, TTLMS: ttl.Milliseconds(), IfVersion: ifVersion},
 	)
 }
 
 // Drain marks an entry as draining: it finishes its requests and gets no new ones.
-func (k *Client) Drain(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
-	return k.write(ctx, http.MethodPost, entryPath(name)+"/drain", registry.WriteRequest{IfVersion: cond})
+func (k *Client) Drain(ctx context.Context, name string, ifVersion *uint64) (registry.Result, error) {
+	return k.write(ctx, http.MethodPost, entryPath(name)+"/drain", registry.WriteRequest{IfVersion: ifVersion})
 }
 
 // Remove removes an entry from the list.
-func (k *Client) Remove(ctx context.Context, name string, cond *uint64) (registry.Result, error) {
-	return k.write(ctx, http.MethodDelete, entryPath(name), registry.WriteRequest{IfVersion: cond})
+func (k *Client) Remove(ctx context.Context, name string, ifVersion *uint64) (registry.Result, error) {
+	return k.write(ctx, http.MethodDelete, entryPath(name), registry.WriteRequest{IfVersion: ifVersion})
 }
 
 // write makes a write under a new write id.
 func (k *Client) write(
 	ctx context.Context,
 	method, path string,
-	w registry.WriteRequest,
+	request registry.WriteRequest,
 ) (registry.Result, error) {
-	w.ID = newID()
+	request.ID = newID()
 	var r registry.Result
-	err := k.send(ctx, method, path, w, &r)
+	err := k.send(ctx, method, path, request, &r)
 	return r, err
 }
 
@@ -130,7 +130,7 @@
 		}
 		if !backoff.Sleep(ctx, retryPause) {
 			return m, fmt.Errorf(
-				"%w: it learns, and is not up to date yet; the same call goes on from here",
+				"%w: the replica does not vote yet, as it is not up to date; repeat the call to continue",
 				ctx.Err(),
 			)
 		}
@@ -212,13 +212,13 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, response); err != nil {
-		return fmt.Errorf("an answer that can't be read: %w", err)
+		return fmt.Errorf("parse registry response: %w", err)
 	}
 	return nil
 }
 
-// isFinal reports whether a repeat of a failed call would fail the same way, because the cause is the call or
-// the state of the list.
+// isFinal reports whether a repeat of a failed call would fail in the same way, because the failure is due to
+// the call itself or the state of the list.
 func isFinal(err error) bool {
 	var r *Error
 	if !errors.As(err, &r) || r.Status == http.StatusTooManyRequests {
