--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -90,7 +90,7 @@
 	Enable      bool          `json:"on,omitempty"`    // true: block the process; false: unblock it
 }
 
-// EndpointVersion names an entry at a version: an expiry of the entry at another version has no effect.
+// EndpointVersion names an entry at a version. An expiry has no effect if the entry has another version.
 type EndpointVersion struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -21,8 +21,8 @@
 const (
 	MaxTextBytes = 256     // bytes of a name, an address, a zone, a type or a version
 	MaxEndpoints = 1 << 16 // a fifth more than the design size (docs/list-design.md)
-	// MaxReplicas bounds the replicas of a cluster. Raft gains nothing from more than five voters; the others
-	// are for replicas that are being replaced.
+	// MaxReplicas bounds the replicas of a cluster. Raft gains nothing from more than five voters; the other
+	// four are for replicas that are being replaced.
 	MaxReplicas = 9
 )
 
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// ListResponse is the response to a read or a watch of the list: the complete list (Snapshot), or the changes
-// since the reader's version. Readers that know no epochs ignore Epoch.
+// ListResponse is the response to a read or a watch of the list or of a subset: all entries (Snapshot), or
+// the changes since the reader's version. Readers that know no epochs ignore Epoch.
 type ListResponse struct {
 	Index     uint64     `json:"index"`
 	Epoch     string     `json:"epoch,omitempty"`
@@ -79,8 +79,8 @@
 	Skipped   []error    `json:"-"`               // errors of the entries that could not be parsed
 }
 
-// UnmarshalJSON parses a response. An invalid entry is skipped, so that the reader does not lose the valid
-// ones; its error is appended to Skipped.
+// UnmarshalJSON parses a response. It skips an invalid entry, so that the reader does not lose the valid
+// entries, and appends the error of the invalid entry to Skipped.
 func (a *ListResponse) UnmarshalJSON(raw []byte) error {
 	type plain ListResponse // a type without this method, so that Unmarshal does not recurse
 	decoded := struct {
@@ -90,7 +90,7 @@
 	if err := json.Unmarshal(raw, &decoded); err != nil {
 		return err
 	}
-	// a missing list stays nil, which differs from an empty list
+	// a missing list of endpoints stays nil, which differs from an empty list
 	if a.Endpoints, a.Skipped = nil, nil; decoded.Endpoints != nil {
 		a.Endpoints = []Endpoint{}
 	}
@@ -98,7 +98,7 @@
 		var e Endpoint
 		err := json.Unmarshal(rawEntry, &e)
 		if err == nil {
-			err = e.usable()
+			err = e.checkReceived()
 		}
 		if err != nil {
 			a.Skipped = append(a.Skipped, fmt.Errorf("entry %s: %w", rawEntry[:min(len(rawEntry), 200)], err))
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// usable validates an entry of a response. A removed entry needs no address.
-func (e Endpoint) usable() error {
+// checkReceived validates an entry of a response. A removed entry needs no address.
+func (e Endpoint) checkReceived() error {
 	if e.Name == "" {
 		return errors.New("no name")
 	}
--- a/internal/registry/endpointexpiry.go
+++ b/internal/registry/endpointexpiry.go
@@ -7,7 +7,8 @@
 )
 
 // Bounds on expiry: within expiryWindow at most maxExpiryShare of the entries with a time to live may expire.
-// If more are overdue at once, the cause is more likely this replica's network or a pause of its process.
+// If more entries are overdue at once, the more likely cause is this replica's network or a pause of its
+// process.
 const (
 	expiryWindow   = 10 * time.Second
 	maxExpiryShare = 0.25
@@ -23,9 +24,9 @@
 
 // NewEndpointExpiry starts the TTL of every entry at now, because a new leader does not know when the entries
 // were last renewed.
-func NewEndpointExpiry(items []Registration, now time.Duration) *EndpointExpiry {
+func NewEndpointExpiry(registrations []Registration, now time.Duration) *EndpointExpiry {
 	l := &EndpointExpiry{timers: newTimers[EndpointVersion]()}
-	for _, registration := range items {
+	for _, registration := range registrations {
 		l.Set(registration, now)
 	}
 	return l
@@ -48,8 +49,8 @@
 // Drop removes the deadline of an entry.
 func (l *EndpointExpiry) Drop(name string) { l.timers.drop(name) }
 
-// Renew restarts the TTL of an entry. It returns false for an entry without a time to live. A renewal at the
-// deadline, or after it but before the expiry, counts.
+// Renew restarts the TTL of an entry. It returns false for an entry without a time to live. A renewal counts
+// even after the deadline, as long as Due has not returned the entry.
 func (l *EndpointExpiry) Renew(name string, now time.Duration) bool { return l.timers.renew(name, now) }
 
 // Due removes and returns the entries that expire now, sorted by name. If too many entries are overdue, none
--- a/internal/registry/fixture_test.go
+++ b/internal/registry/fixture_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// TestAnswerFormIsUnchanged compares the response to a read or a watch with its golden file. It is a test of
-// its own because the parser skips invalid entries.
-func TestAnswerFormIsUnchanged(t *testing.T) {
+// TestListResponseFormIsUnchanged compares the response to a read or a watch with its golden file. It is a
+// test of its own because the parser skips invalid entries, so the sample must have a valid entry.
+func TestListResponseFormIsUnchanged(t *testing.T) {
 	entry := Endpoint{Name: "s", Address: "127.0.0.1:80", Zone: "z", Type: "t", Cell: 1, Status: Ready, Weight: 2, StartedAtMS: 3, Version: "v"}
 	answer := ListResponse{Index: 4, Epoch: "e", Snapshot: true, Subset: "0-4", Total: 5, Endpoints: []Endpoint{entry}}
 	fixture.AssertJSONOf(t, "answer", &answer, &ListResponse{})
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -10,7 +10,7 @@
 
 // Bounds on leases.
 const (
-	MaxSessions    = 1 << 13 // 4,300 proxies may have a session each; the rest is for sessions after restarts
+	MaxSessions    = 1 << 13 // enough for a session of each of 4,300 proxies and for sessions after restarts
 	MaxLeases      = 10000
 	MaxCandidates  = 256  // candidates in the queue of one lease, and processes blocked from it
 	MaxLeaseBatch  = 1000 // candidacies in one command
@@ -76,7 +76,7 @@
 	Process    string       `json:"process,omitempty"`
 	HolderInfo *ProcessInfo `json:"word,omitempty"`
 	Priority   int          `json:"priority,omitempty"` // the holder's priority
-	// Token is the fencing token of the last grant, which is the version of the grant; 0: there was no grant
+	// Token is the fencing token of the last grant: the list's version after the grant; 0: there was no grant
 	Token             uint64      `json:"fence"`
 	TransferRequested bool        `json:"asked,omitempty"`   // the holder is asked to transfer the lease
 	Successor         string      `json:"to,omitempty"`      // the process that is granted the lease next
@@ -111,8 +111,8 @@
 func (d *leaseState) copy() leaseState {
 	c := newLeaseState()
 	c.Changed = d.Changed
-	for id, h := range d.Sessions {
-		c.Sessions[id] = &openSession{h.Session, maps.Clone(h.Leases)}
+	for id, opened := range d.Sessions {
+		c.Sessions[id] = &openSession{opened.Session, maps.Clone(opened.Leases)}
 	}
 	for name, lease := range d.Leases {
 		leaseCopy := lease.copy()
@@ -123,11 +123,11 @@
 
 // Lease returns a lease by name.
 func (s *State) Lease(name string) (Lease, bool) {
-	d, ok := s.leases.Leases[name]
+	lease, ok := s.leases.Leases[name]
 	if !ok {
 		return Lease{}, false
 	}
-	return d.copy(), true
+	return lease.copy(), true
 }
 
 // copy returns a copy with its own queue and list of blocked processes.
@@ -137,60 +137,60 @@
 	return c
 }
 
-// LeasesVersion returns the version of the last change of a lease. Before the first change it is 1, the
-// version of a list that has just begun.
+// LeasesVersion returns the version of the last change of a lease. Before the first change of a lease it is
+// 1, the version of a new list.
 func (s *State) LeasesVersion() uint64 { return max(s.leases.Changed, 1) }
 
 // Leases returns the leases that a session holds or waits for, sorted by name, or all leases if session is
 // empty. known is false if there is no such session.
-func (s *State) Leases(session string) (all []Lease, known bool) {
+func (s *State) Leases(session string) (leases []Lease, known bool) {
 	names := maps.Keys(s.leases.Leases)
 	if session != "" {
-		h, ok := s.leases.Sessions[session]
+		opened, ok := s.leases.Sessions[session]
 		if !ok {
 			return nil, false
 		}
-		names = maps.Keys(h.Leases)
+		names = maps.Keys(opened.Leases)
 	}
 	for _, n := range slices.Sorted(names) {
-		all = append(all, s.leases.Leases[n].copy())
+		leases = append(leases, s.leases.Leases[n].copy())
 	}
-	return all, true
+	return leases, true
 }
 
 // Sessions returns all sessions, sorted by id.
 func (s *State) Sessions() []Session {
-	var all []Session
-	for _, h := range s.leases.Sessions {
-		all = append(all, h.Session)
+	var sessions []Session
+	for _, opened := range s.leases.Sessions {
+		sessions = append(sessions, opened.Session)
 	}
-	slices.SortFunc(all, func(a, b Session) int { return cmp.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(sessions, func(a, b Session) int { return cmp.Compare(a.ID, b.ID) })
+	return sessions
 }
 
-// UnheldLeases returns the leases that have no holder but a candidate that may be granted them.
+// UnheldLeases returns the names of the leases that have no holder but a candidate that may hold them.
 func (s *State) UnheldLeases() []string {
-	var all []string
-	for name, d := range s.leases.Leases {
-		if d.Holder == "" && d.next() >= 0 {
-			all = append(all, name)
+	var names []string
+	for name, lease := range s.leases.Leases {
+		if lease.Holder == "" && lease.next() >= 0 {
+			names = append(names, name)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// checkToken reports whether a fencing token is that of the lease's present holder, and the StaleToken result
-// if it is not. A write without a token passes.
+// checkToken reports whether a fencing token is the token of the lease's present holder. If it is not,
+// checkToken also returns the StaleToken result. A write without a token passes the check.
 func (s *State) checkToken(token *FencingToken) (Result, bool) {
 	if token == nil {
 		return Result{}, true
 	}
-	d, ok := s.leases.Leases[token.Lease]
-	if !ok || d.Holder == "" || d.Token != token.Number {
+	lease, ok := s.leases.Leases[token.Lease]
+	if !ok || lease.Holder == "" || lease.Token != token.Number {
 		var current uint64
 		if ok {
-			current = d.Token
+			current = lease.Token
 		}
 		return Result{
 			Code:         StaleToken,
--- a/internal/registry/lease_change.go
+++ b/internal/registry/lease_change.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// openSession opens a session, or changes the session if it is open.
+// openSession opens a session or, if the session is open, replaces its process, TTL and process info.
 func (s *State) openSession(c Command) Result {
 	session := c.Session
-	h, exists := s.leases.Sessions[session.ID]
+	opened, exists := s.leases.Sessions[session.ID]
 	if !exists && len(s.leases.Sessions) >= MaxSessions {
 		return Result{
 			Code:   CapacityExceeded,
@@ -19,47 +19,48 @@
 		}
 	}
 	if !exists {
-		h = &openSession{Leases: map[string]bool{}}
-		s.leases.Sessions[session.ID] = h
+		opened = &openSession{Leases: map[string]bool{}}
+		s.leases.Sessions[session.ID] = opened
 	}
-	h.Session = *session
+	opened.Session = *session
 	return Result{}
 }
 
-// closeSession ends a session, releases its leases and removes it from all queues. Of the released leases,
-// those in grant are granted to their next candidates.
+// closeSession ends a session, releases its leases and removes it from all queues. It grants a released lease
+// to the next candidate if the lease's name is in grant.
 func (s *State) closeSession(id string, grant []string) {
-	h, ok := s.leases.Sessions[id]
+	closed, ok := s.leases.Sessions[id]
 	if !ok {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.Leases)) {
-		s.removeFromLease(h, name, slices.Contains(grant, name))
+	for _, name := range slices.Sorted(maps.Keys(closed.Leases)) {
+		s.removeFromLease(closed, name, slices.Contains(grant, name))
 	}
 	delete(s.leases.Sessions, id)
 }
 
 // removeFromLease removes a session from a lease, as the holder or from the queue. If the session was the
 // holder and grant is set, the lease is granted to the next candidate.
-func (s *State) removeFromLease(h *openSession, name string, grant bool) {
-	d := s.leases.Leases[name]
-	delete(h.Leases, name)
-	d.Queue = slices.DeleteFunc(d.Queue, func(c Candidate) bool { return c.Session == h.ID })
-	if d.Holder == h.ID {
-		d.Holder, d.Process, d.HolderInfo, d.Priority, d.TransferRequested = "", "", nil, 0, false
+func (s *State) removeFromLease(session *openSession, name string, grant bool) {
+	lease := s.leases.Leases[name]
+	delete(session.Leases, name)
+	lease.Queue = slices.DeleteFunc(lease.Queue, func(c Candidate) bool { return c.Session == session.ID })
+	if lease.Holder == session.ID {
+		lease.Holder, lease.Process, lease.HolderInfo, lease.Priority, lease.TransferRequested =
+			"", "", nil, 0, false
 		s.leaseChanged()
 		if grant {
-			s.grant(d)
+			s.grant(lease)
 		}
 	}
-	s.removeIfUnused(d)
+	s.removeIfUnused(lease)
 }
 
-// removeIfUnused deletes a lease that has no holder, no candidates and no blocked processes. The name can be
-// used again: fencing tokens are versions, so a later grant still gets a higher token.
-func (s *State) removeIfUnused(d *Lease) {
-	if d.Holder == "" && len(d.Queue) == 0 && len(d.Blocked) == 0 {
-		delete(s.leases.Leases, d.Name)
+// removeIfUnused deletes a lease that has no holder, no candidates and no blocked processes. A lease of the
+// same name can be created later: fencing tokens are versions, so its grants get higher tokens.
+func (s *State) removeIfUnused(lease *Lease) {
+	if lease.Holder == "" && len(lease.Queue) == 0 && len(lease.Blocked) == 0 {
+		delete(s.leases.Leases, lease.Name)
 	}
 }
 
@@ -89,115 +90,117 @@
 }
 
 // grant gives a free lease to the next candidate in its queue, if there is one.
-func (s *State) grant(d *Lease) {
-	i := d.next()
-	if d.Holder != "" || i < 0 {
+func (s *State) grant(lease *Lease) {
+	i := lease.next()
+	if lease.Holder != "" || i < 0 {
 		return
 	}
-	c := d.Queue[i]
-	d.Queue = slices.Delete(d.Queue, i, i+1)
+	candidate := lease.Queue[i]
+	lease.Queue = slices.Delete(lease.Queue, i, i+1)
 	s.leaseChanged()
-	info := s.leases.Sessions[c.Session].Info
-	d.Holder = c.Session
-	d.Process = c.Process
-	d.HolderInfo = &info
-	d.Priority = c.Priority
-	d.Token = s.version
-	d.Successor = ""
-	s.preempt(d)
+	info := s.leases.Sessions[candidate.Session].Info
+	lease.Holder = candidate.Session
+	lease.Process = candidate.Process
+	lease.HolderInfo = &info
+	lease.Priority = candidate.Priority
+	lease.Token = s.version
+	lease.Successor = ""
+	s.preempt(lease)
 }
 
 // preempt asks the holder to transfer the lease if the next candidate has a higher priority and may preempt.
-func (s *State) preempt(d *Lease) {
-	if d.Holder == "" || d.TransferRequested {
+func (s *State) preempt(lease *Lease) {
+	if lease.Holder == "" || lease.TransferRequested {
 		return
 	}
-	if i := d.next(); i >= 0 && d.Queue[i].Preempt && d.Queue[i].Priority > d.Priority {
-		d.TransferRequested = true
+	if i := lease.next(); i >= 0 && lease.Queue[i].Preempt && lease.Queue[i].Priority > lease.Priority {
+		lease.TransferRequested = true
 		s.leaseChanged()
 	}
 }
 
 // campaign adds a session to the queues of leases.
 func (s *State) campaign(c Command) Result {
-	h, ok := s.leases.Sessions[c.Session.ID]
+	session, ok := s.leases.Sessions[c.Session.ID]
 	if !ok {
 		return Result{Code: NotFound, Reason: "there is no session " + c.Session.ID}
 	}
 	for _, candidacy := range c.Candidacies {
-		d := s.leases.Leases[candidacy.Lease]
+		lease := s.leases.Leases[candidacy.Lease]
 		switch {
-		case d == nil && len(s.leases.Leases) >= MaxLeases:
+		case lease == nil && len(s.leases.Leases) >= MaxLeases:
 			return Result{
 				Code:   CapacityExceeded,
 				Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases)),
 			}
-		case d == nil:
-			d = &Lease{Name: candidacy.Lease}
-			s.leases.Leases[candidacy.Lease] = d
-		case h.Leases[candidacy.Lease]:
+		case lease == nil:
+			lease = &Lease{Name: candidacy.Lease}
+			s.leases.Leases[candidacy.Lease] = lease
+		case session.Leases[candidacy.Lease]:
 			continue // the session waits for the lease or holds it already
-		case len(d.Queue) >= MaxCandidates:
+		case len(lease.Queue) >= MaxCandidates:
 			return Result{
 				Code:   CapacityExceeded,
-				Reason: fmt.Sprintf("%d wait for %s already", len(d.Queue), candidacy.Lease),
+				Reason: fmt.Sprintf("%d wait for %s already", len(lease.Queue), candidacy.Lease),
 			}
 		}
-		h.Leases[candidacy.Lease] = true
+		session.Leases[candidacy.Lease] = true
 		s.leaseChanged()
-		d.Queue = append(
-			d.Queue,
+		lease.Queue = append(
+			lease.Queue,
 			Candidate{
-				Session:  h.ID,
-				Process:  h.Process,
+				Session:  session.ID,
+				Process:  session.Process,
 				Priority: candidacy.Priority,
 				Preempt:  candidacy.Preempt,
 				Since:    s.version,
 			},
 		)
 		if slices.Contains(c.Grant, candidacy.Lease) {
-			s.grant(d)
+			s.grant(lease)
 		}
-		s.preempt(d)
+		s.preempt(lease)
 	}
 	return Result{}
 }
 
 // releaseLeases removes a session from leases that it holds or waits for.
 func (s *State) releaseLeases(c Command) Result {
-	h, ok := s.leases.Sessions[c.Session.ID]
+	session, ok := s.leases.Sessions[c.Session.ID]
 	if !ok {
 		return Result{Code: NotFound, Reason: "there is no session " + c.Session.ID}
 	}
 	for _, candidacy := range c.Candidacies {
-		if h.Leases[candidacy.Lease] {
-			s.removeFromLease(h, candidacy.Lease, slices.Contains(c.Grant, candidacy.Lease))
+		if session.Leases[candidacy.Lease] {
+			s.removeFromLease(session, candidacy.Lease, slices.Contains(c.Grant, candidacy.Lease))
 		}
 	}
 	return Result{}
 }
 
-// transferLease asks the holder to transfer a lease, to the command's process if one is named.
+// transferLease asks the holder to transfer a lease, and makes the command's process the successor if the
+// command names one.
 func (s *State) transferLease(c Command) Result {
-	d, ok := s.leases.Leases[c.Name]
-	if !ok || d.Holder == "" {
+	lease, ok := s.leases.Leases[c.Name]
+	if !ok || lease.Holder == "" {
 		return Result{Code: NotFound, Reason: "nobody holds " + c.Name}
 	}
 	if c.Process != "" &&
-		!slices.ContainsFunc(d.Queue, func(k Candidate) bool { return k.Process == c.Process }) {
+		!slices.ContainsFunc(
+			lease.Queue, func(candidate Candidate) bool { return candidate.Process == c.Process }) {
 		return Result{Code: NotFound, Reason: fmt.Sprintf("%s does not wait for %s", c.Process, c.Name)}
 	}
-	if !d.TransferRequested || d.Successor != c.Process {
-		d.TransferRequested, d.Successor = true, c.Process
+	if !lease.TransferRequested || lease.Successor != c.Process {
+		lease.TransferRequested, lease.Successor = true, c.Process
 		s.leaseChanged()
 	}
-	return Result{EntryVersion: d.Token}
+	return Result{EntryVersion: lease.Token}
 }
 
-// block forbids a process to hold a lease, or allows it again. If the process holds the lease it is asked to
-// transfer it.
+// block forbids a process to hold a lease, or allows it again. A blocked process that holds the lease is
+// asked to transfer it.
 func (s *State) block(c Command) Result {
-	d, ok := s.leases.Leases[c.Name]
+	lease, ok := s.leases.Leases[c.Name]
 	if !ok {
 		if len(s.leases.Leases) >= MaxLeases {
 			return Result{
@@ -205,27 +208,27 @@
 				Reason: fmt.Sprintf("there are %d duties already", len(s.leases.Leases)),
 			}
 		}
-		d = &Lease{Name: c.Name}
-		s.leases.Leases[c.Name] = d
+		lease = &Lease{Name: c.Name}
+		s.leases.Leases[c.Name] = lease
 	}
-	blocked := slices.Contains(d.Blocked, c.Process)
+	blocked := slices.Contains(lease.Blocked, c.Process)
 	switch {
-	case c.Enable && !blocked && len(d.Blocked) >= MaxCandidates:
+	case c.Enable && !blocked && len(lease.Blocked) >= MaxCandidates:
 		return Result{
 			Code:   CapacityExceeded,
-			Reason: fmt.Sprintf("%d processes are blocked already", len(d.Blocked)),
+			Reason: fmt.Sprintf("%d processes are blocked already", len(lease.Blocked)),
 		}
 	case c.Enable && !blocked:
-		d.Blocked = append(d.Blocked, c.Process)
+		lease.Blocked = append(lease.Blocked, c.Process)
 		s.leaseChanged()
-		if d.Process == c.Process && d.Holder != "" && !d.TransferRequested {
-			d.TransferRequested = true
+		if lease.Process == c.Process && lease.Holder != "" && !lease.TransferRequested {
+			lease.TransferRequested = true
 			s.leaseChanged()
 		}
 	case !c.Enable && blocked:
-		d.Blocked = slices.DeleteFunc(d.Blocked, func(p string) bool { return p == c.Process })
+		lease.Blocked = slices.DeleteFunc(lease.Blocked, func(p string) bool { return p == c.Process })
 		s.leaseChanged()
 	}
-	s.removeIfUnused(d)
+	s.removeIfUnused(lease)
 	return Result{}
 }
--- a/internal/registry/lease_check.go
+++ b/internal/registry/lease_check.go
@@ -23,8 +23,8 @@
 		return s.block(c)
 	case OpGrant:
 		for _, name := range c.Grant {
-			if d, ok := s.leases.Leases[name]; ok {
-				s.grant(d)
+			if lease, ok := s.leases.Leases[name]; ok {
+				s.grant(lease)
 			}
 		}
 	}
@@ -83,11 +83,11 @@
 
 // checkSessions validates the sessions and checks that the leases that they name exist.
 func (d *leaseState) checkSessions() error {
-	for id, h := range d.Sessions {
-		if h == nil || h.ID != id || h.Leases == nil {
+	for id, opened := range d.Sessions {
+		if opened == nil || opened.ID != id || opened.Leases == nil {
 			return fmt.Errorf("session %s is not itself", id)
 		}
-		for name := range h.Leases {
+		for name := range opened.Leases {
 			if d.Leases[name] == nil {
 				return fmt.Errorf("session %s is in %s, which is no duty", id, name)
 			}
@@ -96,16 +96,16 @@
 	return nil
 }
 
-// checkLease validates a lease: its holder and its candidates must have sessions, and its fencing token must
-// not be above the snapshot's version.
+// checkLease validates a lease of a snapshot: its holder and its candidates must have sessions, and its
+// fencing token must not be above the snapshot's version.
 func (d *leaseState) checkLease(name string, lease *Lease, version uint64) error {
 	heldWithoutSession := lease.Holder != "" && d.Sessions[lease.Holder] == nil
 	heldWithoutToken := lease.Holder != "" && lease.Token == 0
 	if lease.Name != name || lease.Token > version || heldWithoutSession || heldWithoutToken {
 		return fmt.Errorf("duty %s has a holder or a fence that can't be", name)
 	}
-	for _, c := range lease.Queue {
-		if d.Sessions[c.Session] == nil {
+	for _, candidate := range lease.Queue {
+		if d.Sessions[candidate.Session] == nil {
 			return fmt.Errorf("a candidate of %s has no session", name)
 		}
 	}
--- a/internal/registry/lease_test.go
+++ b/internal/registry/lease_test.go
@@ -13,16 +13,16 @@
 	_ "wrenspread/internal/rapidseed"
 )
 
-// drawLeaseCommand draws a command on sessions and leases. It uses few names, so that commands affect each
-// other.
+// drawLeaseCommand draws a command on sessions and leases. It uses few names, so that many commands concern
+// the same lease.
 func drawLeaseCommand(t *rapid.T) Command {
 	id := func() string { return fmt.Sprint("x", rapid.IntRange(0, 3).Draw(t, "session")) }
 	name := fmt.Sprint("d", rapid.IntRange(0, 1).Draw(t, "duty"))
 	c := Command{Op: rapid.SampledFrom([]string{OpOpenSession, OpOpenSession, OpCampaign, OpCampaign, OpCampaign, OpRelease, OpCloseSessions, OpTransfer, OpBlock, OpGrant, OpRegister}).Draw(t, "do")}
 	switch c.Op {
 	case OpOpenSession:
-		s := id()
-		c.Session = &Session{ID: s, Process: "p" + s[1:], TTL: time.Second}
+		session := id()
+		c.Session = &Session{ID: session, Process: "p" + session[1:], TTL: time.Second}
 	case OpCampaign, OpRelease:
 		c.Session = &Session{ID: id()}
 		c.Candidacies = []Candidacy{{Lease: name, Priority: rapid.IntRange(0, 2).Draw(t, "priority"), Preempt: rapid.Bool().Draw(t, "over")}}
@@ -38,16 +38,16 @@
 		e.StartedAtMS = int64(rapid.IntRange(0, 1000).Draw(t, "since"))
 		c.Endpoint, c.Token = &e, &FencingToken{Lease: name, Number: uint64(rapid.IntRange(0, 40).Draw(t, "fence"))}
 	}
-	if c.Grant = []string{"d0", "d1"}; rapid.IntRange(0, 3).Draw(t, "paced") == 0 {
+	if c.Grant = []string{"d0", "d1"}; rapid.IntRange(0, 3).Draw(t, "grants delayed") == 0 {
 		c.Grant = nil
 	}
 	return c
 }
 
-// TestLeaseInvariantsHoldForDrawnCommands applies drawn commands of sessions, holders and operators. Fencing
-// tokens only rise and are the versions of their grants, the best candidate is granted a lease, a write with
-// a fencing token is applied only for the present holder, and a replica that is restored from snapshots has
-// the same state.
+// TestLeaseInvariantsHoldForDrawnCommands applies drawn commands of sessions, holders and operators. It checks
+// that fencing tokens only rise and are the versions of their grants, that the best candidate is granted a
+// lease, that a write with a fencing token is applied only for the present holder, and that a replica that is
+// restored from snapshots has the same state.
 func TestLeaseInvariantsHoldForDrawnCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, replica := NewState(), NewState()
@@ -57,8 +57,8 @@
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := drawLeaseCommand(t)
 			if rapid.IntRange(0, 2).Draw(t, "as holder") == 0 && c.Token != nil {
-				if d, ok := s.Lease(c.Token.Lease); ok {
-					c.Token.Number = d.Token
+				if lease, ok := s.Lease(c.Token.Lease); ok {
+					c.Token.Number = lease.Token
 				}
 			}
 			before, _ := s.Leases("")
@@ -72,9 +72,9 @@
 				checkLeaseChange(t, s, c, version, findLease(before, d.Name), d)
 			}
 			if c.Token != nil {
-				d := findLease(before, c.Token.Lease)
-				if holds := d.Holder != "" && d.Token == c.Token.Number; holds != (r.Code == Applied) || !holds && (r.Code != StaleToken || r.EntryVersion != d.Token) {
-					t.Fatalf("a write with token %+v of lease %+v: %+v", *c.Token, d, r)
+				lease := findLease(before, c.Token.Lease)
+				if holds := lease.Holder != "" && lease.Token == c.Token.Number; holds != (r.Code == Applied) || !holds && (r.Code != StaleToken || r.EntryVersion != lease.Token) {
+					t.Fatalf("a write with token %+v of lease %+v: %+v", *c.Token, lease, r)
 				}
 			}
 			if rapid.IntRange(0, 9).Draw(t, "replace") == 0 {
@@ -90,8 +90,8 @@
 }
 
 // encodedLeases returns the JSON form of leases.
-func encodedLeases(t *rapid.T, all []Lease) (lines []string) {
-	for _, d := range all {
+func encodedLeases(t *rapid.T, leases []Lease) (lines []string) {
+	for _, d := range leases {
 		raw, err := json.Marshal(d)
 		if err != nil {
 			t.Fatal(err)
@@ -102,8 +102,8 @@
 }
 
 // findLease returns a lease by name, or a free lease of that name if there is none.
-func findLease(all []Lease, name string) Lease {
-	for _, d := range all {
+func findLease(leases []Lease, name string) Lease {
+	for _, d := range leases {
 		if d.Name == name {
 			return d
 		}
@@ -128,7 +128,7 @@
 			t.Fatalf("a grant with fencing token %d by %+v, from version %d to %d", after.Token, c, version, s.Version())
 		}
 		for _, q := range before.Queue {
-			if still := slices.ContainsFunc(after.Queue, func(k Candidate) bool { return k.Session == q.Session }); still &&
+			if waits := slices.ContainsFunc(after.Queue, func(k Candidate) bool { return k.Session == q.Session }); waits &&
 				!slices.Contains(after.Blocked, q.Process) && after.Process != before.Successor && q.Priority > after.Priority {
 				t.Fatalf("%+v is granted although candidate %+v has a higher priority", after, q)
 			}
--- a/internal/registry/since.go
+++ b/internal/registry/list_reads.go
@@ -26,24 +26,25 @@
 
 // endpointsIn returns the endpoints of a subset, sorted by name.
 func (s *State) endpointsIn(p Subset) []Endpoint {
-	all := []Endpoint{}
+	endpoints := []Endpoint{}
 	if p.IsAll() {
-		for _, i := range s.Registrations() {
-			all = append(all, i.Endpoint)
+		for _, registration := range s.Registrations() {
+			endpoints = append(endpoints, registration.Endpoint)
 		}
-		return all
+		return endpoints
 	}
-	const units = ringUnits / len(s.byPosition)
-	first, n := int(p.Start)/units, (int(p.Start)%units+int(p.Width)-1)/units+1
-	for k := range n {
-		for _, name := range s.byPosition[(first+k)%len(s.byPosition)] {
+	const unitsPerBucket = ringUnits / len(s.byPosition)
+	firstBucket, buckets := int(p.Start)/unitsPerBucket,
+		(int(p.Start)%unitsPerBucket+int(p.Width)-1)/unitsPerBucket+1
+	for k := range buckets {
+		for _, name := range s.byPosition[(firstBucket+k)%len(s.byPosition)] {
 			if p.Contains(Position(name)) {
-				all = append(all, s.registrations[name].Endpoint)
+				endpoints = append(endpoints, s.registrations[name].Endpoint)
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+	return endpoints
 }
 
 // firstChangeAfter returns the index of the first change after a version.
@@ -52,31 +53,31 @@
 }
 
 // Since returns the response for a reader that has the list of version from: the later changes in order, or
-// the complete list if from is 0 or too old. For a version above the state's own, the response has that
-// version and no changes; the caller decides whether such a reader is to be answered.
+// the complete list if from is 0 or too old. If from is above the state's version, the response has version
+// from and no changes; the caller decides whether to send it to such a reader.
 func (s *State) Since(from uint64) ListResponse { return s.SubsetSince(Subset{}, from) }
 
-// SubsetSince is Since for a reader of a subset. Versions are those of the complete list.
+// SubsetSince is Since for a reader of a subset. The versions are versions of the complete list.
 func (s *State) SubsetSince(p Subset, from uint64) ListResponse {
-	a := ListResponse{Index: s.version, Epoch: s.epoch, Endpoints: []Endpoint{}}
+	response := ListResponse{Index: s.version, Epoch: s.epoch, Endpoints: []Endpoint{}}
 	if from >= s.version && from > 0 {
-		a.Index = from
-		return a
+		response.Index = from
+		return response
 	}
 	if from < max(s.trimmedVersion, 1) {
-		a.Snapshot, a.Endpoints = true, s.endpointsIn(p)
-		return a
+		response.Snapshot, response.Endpoints = true, s.endpointsIn(p)
+		return response
 	}
 	for k := s.firstChangeAfter(from); k < s.changes.len(); k++ {
 		if e := s.changes.at(k).Entry; p.Contains(Position(e.Name)) {
-			a.Endpoints = append(a.Endpoints, e)
+			response.Endpoints = append(response.Endpoints, e)
 		}
 	}
-	return a
+	return response
 }
 
-// HasNewer reports whether a subset has changed since version from. It may report a change that did not
-// happen if the changes since then are no longer retained.
+// HasNewer reports whether a subset has changed since version from. If the changes since that version are no
+// longer retained, it may report true although the subset has not changed.
 func (s *State) HasNewer(p Subset, from uint64) bool {
 	if p.IsAll() || from < max(s.trimmedVersion, 1) {
 		return s.ListVersion() > from
@@ -93,13 +94,13 @@
 type ChangePosition struct{ Version, Position uint64 }
 
 // ChangePositions returns the changes after a version. ok is false if some of them are no longer retained.
-func (s *State) ChangePositions(after uint64) (all []ChangePosition, ok bool) {
+func (s *State) ChangePositions(after uint64) (positions []ChangePosition, ok bool) {
 	if after < s.trimmedVersion {
 		return nil, false
 	}
 	for k := s.firstChangeAfter(after); k < s.changes.len(); k++ {
-		c := s.changes.at(k)
-		all = append(all, ChangePosition{c.Version, Position(c.Entry.Name)})
+		change := s.changes.at(k)
+		positions = append(positions, ChangePosition{change.Version, Position(change.Entry.Name)})
 	}
-	return all, true
+	return positions, true
 }
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -14,13 +14,13 @@
 	// IfVersion is the version that the entry must have; 0: the entry must be absent; nil: any
 	IfVersion *uint64       `json:"if,omitempty"`
 	ID        string        `json:"id,omitempty"`    // id of the write: a repeat is not applied again
-	Token     *FencingToken `json:"fence,omitempty"` // of the writer's lease; 409 if it is stale
+	Token     *FencingToken `json:"fence,omitempty"` // of the writer's lease; a stale token gets status 409
 }
 
 // Renewal is the body of a renewal of entries (Names) and of its response (Unknown).
 type Renewal struct {
 	Names   []string `json:"names,omitempty"`
-	Unknown []string `json:"unknown,omitempty"` // names without a renewable entry: register them again
+	Unknown []string `json:"unknown,omitempty"` // names without a renewable entry, to be registered again
 }
 
 // ErrorResponse is the body of every response whose status is not 200.
@@ -74,8 +74,8 @@
 	Token     *FencingToken   `json:"fence,omitempty"`
 }
 
-// RecordsResponse is the response to a watch of records: all records under the prefix, with the values of
-// those that have changed since the reader's version.
+// RecordsResponse is the response to a watch of records: all records under the prefix, with the values of the
+// records that have changed since the reader's version.
 type RecordsResponse struct {
 	Index   uint64   `json:"index"`
 	Epoch   string   `json:"epoch,omitempty"`
@@ -100,7 +100,7 @@
 	Candidacies []Candidacy `json:"duties"`
 }
 
-// LeasesResponse is the response to a read or a watch of leases: all leases, or those of one session.
+// LeasesResponse is the response to a read or a watch of leases: all leases, or the leases of one session.
 type LeasesResponse struct {
 	Index    uint64    `json:"index"`
 	Epoch    string    `json:"epoch,omitempty"`
--- a/internal/registry/records.go
+++ b/internal/registry/records.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// Bounds on records. The design size is 200,000 tenants and 20,000 pages of their catalogue. A change, and a
-// watcher that the change wakes, cost the same with that many records as with 800 (BenchmarkRecords). The
-// total size is bounded because the restore of a backup is a single command: with more bytes the leader loses
-// its leadership while it replicates the command.
+// Bounds on records. The design size is 200,000 tenants and 20,000 pages of their catalogue. With that many
+// records, a change and a watcher that the change wakes cost the same as with 800 records (BenchmarkRecords).
+// The total size is bounded because the restore of a backup is a single command: with more bytes the leader
+// loses its leadership while it replicates the command.
 const (
 	MaxRecords          = 1 << 18
 	MaxRecordValueBytes = 256 << 10 // bytes of one record's value
@@ -31,33 +31,35 @@
 
 // Records returns the records whose keys begin with a prefix, sorted by key and without their values. It does
 // not visit other records.
-func (s *State) Records(prefix string) (all []Record) {
+func (s *State) Records(prefix string) (records []Record) {
 	s.recordKeys.withPrefix(
 		prefix,
-		func(key string) { all = append(all, Record{Key: key, Version: s.records[key].Version}) },
+		func(key string) { records = append(records, Record{Key: key, Version: s.records[key].Version}) },
 	)
-	return all
+	return records
 }
 
 // RecordsVersion returns the version of the last change of a record.
 func (s *State) RecordsVersion() uint64 { return s.recordsVersion }
 
 // RecordsSince returns the response for a reader that has the records under a prefix as of version from: the
-// keys and versions of all of them, and the values of those that have changed since. A key that is missing
-// was removed. knownCount is the number of records that the reader has; changed is false if the reader is up
-// to date. A removal shows only in the number of records.
-func (s *State) RecordsSince(prefix string, from uint64, knownCount int) (a RecordsResponse, changed bool) {
-	a = RecordsResponse{Index: s.version, Epoch: s.epoch, Records: append([]Record{}, s.Records(prefix)...)}
-	for i, r := range a.Records {
+// keys and versions of all records, and the values of the records that have changed since. A record that is
+// missing in the response was removed. knownCount is the number of records that the reader has: a removal is
+// noticed only because this number differs. changed is false if the reader is up to date.
+func (s *State) RecordsSince(
+	prefix string, from uint64, knownCount int) (response RecordsResponse, changed bool) {
+	response = RecordsResponse{
+		Index: s.version, Epoch: s.epoch, Records: append([]Record{}, s.Records(prefix)...)}
+	for i, r := range response.Records {
 		if r.Version > from {
-			a.Records[i].Value, changed = s.records[r.Key].Value, true
+			response.Records[i].Value, changed = s.records[r.Key].Value, true
 		}
 	}
-	return a, changed || len(a.Records) != knownCount
+	return response, changed || len(response.Records) != knownCount
 }
 
-// hasCapacityFor reports whether a value of the given size can be stored within the bounds, in place of the
-// record replaced if that exists.
+// hasCapacityFor reports whether a value of the given size can be stored within the bounds. If exists is set,
+// the value takes the place of the record replaced.
 func (s *State) hasCapacityFor(bytes int, replaced Record, exists bool) bool {
 	if !exists && len(s.records) >= MaxRecords {
 		return false
@@ -113,8 +115,8 @@
 }
 
 // restoreRecords adds the records of a snapshot of the given version to an empty state.
-func (s *State) restoreRecords(all []Record, version uint64) error {
-	for _, r := range all {
+func (s *State) restoreRecords(records []Record, version uint64) error {
+	for _, r := range records {
 		if _, duplicate := s.records[r.Key]; duplicate || r.Key == "" || r.Version > version || len(r.Value) == 0 ||
 			len(r.Value) > MaxRecordValueBytes {
 			return fmt.Errorf("record %q of version %d can't be", r.Key, r.Version)
@@ -128,7 +130,7 @@
 
 // allRecords returns the records with their values, sorted by key.
 func (s *State) allRecords() []Record {
-	all := make([]Record, 0, len(s.records))
-	s.recordKeys.withPrefix("", func(key string) { all = append(all, s.records[key]) })
-	return all
+	records := make([]Record, 0, len(s.records))
+	s.recordKeys.withPrefix("", func(key string) { records = append(records, s.records[key]) })
+	return records
 }
--- a/internal/registry/records_bench_test.go
+++ b/internal/registry/records_bench_test.go
@@ -33,7 +33,7 @@
 			b.Fatal(err, len(s.records))
 		}
 		value := json.RawMessage(`"` + strings.Repeat("y", 229) + `"`)
-		for name, do := range map[string]func(i int){
+		for name, operation := range map[string]func(i int){
 			"change": func(i int) {
 				s.Apply(Command{Op: OpPutRecord, Name: fmt.Sprintf("tenant/%06d", i%n), Value: value})
 			},
@@ -55,7 +55,7 @@
 				b.ReportAllocs()
 				b.ReportMetric(float64(len(raw)), "snapshot_bytes")
 				for i := range b.N {
-					do(i)
+					operation(i)
 				}
 			})
 		}
--- a/internal/registry/records_test.go
+++ b/internal/registry/records_test.go
@@ -21,7 +21,7 @@
 		model := map[string]Record{}
 		for range rapid.IntRange(1, 40).Draw(t, "writes") {
 			c := Command{Op: OpPutRecord, Name: fmt.Sprint("k", rapid.IntRange(0, 2).Draw(t, "key"))}
-			if rapid.IntRange(0, 3).Draw(t, "away") > 0 {
+			if rapid.IntRange(0, 3).Draw(t, "with value") > 0 {
 				c.Value = json.RawMessage(fmt.Sprintf(`{"n":"%s"}`, strings.Repeat("x", rapid.IntRange(0, 9).Draw(t, "length"))))
 			}
 			current, exists := model[c.Name]
@@ -68,11 +68,11 @@
 func TestRecordsAreBounded(t *testing.T) {
 	big := json.RawMessage(`"` + strings.Repeat("x", MaxRecordValueBytes-2) + `"`)
 	for stored, value := range map[int]json.RawMessage{MaxRecordBytes/MaxRecordValueBytes - 1: big, MaxRecords - 1: json.RawMessage("0")} {
-		s, all := NewState(), make([]Record, stored)
-		for i := range all {
-			all[i] = Record{Key: fmt.Sprint(i), Value: value}
+		s, records := NewState(), make([]Record, stored)
+		for i := range records {
+			records[i] = Record{Key: fmt.Sprint(i), Value: value}
 		}
-		if err := s.restoreRecords(all, 0); err != nil {
+		if err := s.restoreRecords(records, 0); err != nil {
 			t.Fatal(err)
 		}
 		for i, want := range []Code{Applied, CapacityExceeded} {
--- a/internal/registry/registrations.go
+++ b/internal/registry/registrations.go
@@ -4,8 +4,8 @@
 
 import "fmt"
 
-// checkVersion reports whether an entry has the version that the command requires, and the Conflict to return
-// if it does not. An absent entry has version 0.
+// checkVersion reports whether an entry has the version that the command requires. If it does not,
+// checkVersion also returns the Conflict result. An absent entry has version 0.
 func (s *State) checkVersion(c Command, name string) (Result, bool) {
 	if current := s.registrations[name].Version; c.IfVersion != nil && *c.IfVersion != current {
 		return Result{
@@ -29,7 +29,7 @@
 		}
 	}
 	if exists && registration.Endpoint == *c.Endpoint {
-		registration.TTL = c.TTL // not part of what watchers see, so the version does not change
+		registration.TTL = c.TTL // watchers do not see the TTL, so the version does not change
 		s.registrations[c.Endpoint.Name] = registration
 		return Result{EntryVersion: registration.Version}
 	}
--- a/internal/registry/ringbuffer.go
+++ b/internal/registry/ringbuffer.go
@@ -26,9 +26,9 @@
 
 // all returns a copy of the values, the oldest first.
 func (r *ringBuffer[T]) all() []T {
-	all := make([]T, 0, len(r.values))
+	values := make([]T, 0, len(r.values))
 	for i := range r.values {
-		all = append(all, r.at(i))
+		values = append(values, r.at(i))
 	}
-	return all
+	return values
 }
--- a/internal/registry/sessionexpiry.go
+++ b/internal/registry/sessionexpiry.go
@@ -11,9 +11,9 @@
 
 // NewSessionExpiry starts the TTL of every session at now, because a new leader does not know when the
 // sessions were last renewed.
-func NewSessionExpiry(all []Session, now time.Duration) *SessionExpiry {
+func NewSessionExpiry(sessions []Session, now time.Duration) *SessionExpiry {
 	d := &SessionExpiry{timers: newTimers[struct{}]()}
-	for _, s := range all {
+	for _, s := range sessions {
 		d.Set(s, now)
 	}
 	return d
@@ -29,8 +29,8 @@
 // returned.
 func (d *SessionExpiry) Renew(id string, now time.Duration) bool { return d.timers.renew(id, now) }
 
-// Due removes and returns the sessions that expire now, sorted. None of them can be renewed any more, even if
-// it takes long until the log has its end.
+// Due removes and returns the ids of the sessions that expire now, sorted. These sessions can't be renewed
+// any more, even if it takes long until the command that closes them is logged.
 func (d *SessionExpiry) Due(now time.Duration) (due []string) {
 	for _, expired := range d.timers.takeExpired(now) {
 		due = append(due, expired.name)
--- a/internal/registry/size_bench_test.go
+++ b/internal/registry/size_bench_test.go
@@ -67,18 +67,18 @@
 	for _, n := range []int{4300, MaxEndpoints} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := fullState(n)
-			const ttl, looks = 10 * time.Second, 33 // looks: checks between two renewals of an entry
+			const ttl, checks = 10 * time.Second, 33 // looks: checks between two renewals of an entry
 			items, now := s.Registrations(), time.Duration(0)
 			for i := range items {
 				items[i].TTL = ttl
 			}
-			l := NewEndpointExpiry(items, now)
+			expiry := NewEndpointExpiry(items, now)
 			for i := range b.N {
 				now += 100 * time.Millisecond
-				for k := i % looks; k < n; k += looks {
-					l.Renew(items[k].Endpoint.Name, now)
+				for k := i % checks; k < n; k += checks {
+					expiry.Renew(items[k].Endpoint.Name, now)
 				}
-				if due, retained := l.Due(now); len(due)+retained > 0 {
+				if due, retained := expiry.Due(now); len(due)+retained > 0 {
 					b.Fatal(len(due), retained)
 				}
 			}
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -8,8 +8,8 @@
 	"maps"
 )
 
-// restoreVersionStep is the number of versions that a restore skips, more than can have been used since the
-// backup was made.
+// restoreVersionStep is the number of versions that a restore skips. It is larger than the number of versions
+// that can have been used since the backup was made.
 const restoreVersionStep = 1 << 32
 
 // snapshotData is the form of a snapshot and of a backup.
@@ -56,7 +56,7 @@
 // Encode returns the encoded form of a snapshot or a backup.
 func (i Snapshot) Encode() ([]byte, error) { return json.Marshal(i.data) }
 
-// EncodeSnapshot encodes the complete state.
+// EncodeSnapshot copies and encodes the complete state.
 func (s *State) EncodeSnapshot() ([]byte, error) { return s.Snapshot().Encode() }
 
 // DecodeSnapshot decodes a state. It returns an error for a state that no sequence of commands can produce.
@@ -76,11 +76,11 @@
 	if err := s.restoreChanges(decoded); err != nil {
 		return nil, err
 	}
-	for _, w := range decoded.Writes {
-		s.rememberWrite(w)
+	for _, write := range decoded.Writes {
+		s.storeWriteResult(write)
 	}
-	for name, a := range decoded.Replicas {
-		s.replicaAddresses[name] = a
+	for name, address := range decoded.Replicas {
+		s.replicaAddresses[name] = address
 	}
 	if err := s.restoreRecords(decoded.Records, decoded.Version); err != nil {
 		return nil, fmt.Errorf("a snapshot: %w", err)
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// restore replaces the state by that of a backup. The new version is above every version that can have been
-// used since the backup was made, and no changes are retained, so every reader gets the complete list.
+// restore replaces the state by the state of a backup. The new version is above every version that can have
+// been used since the backup was made, and no changes are retained, so every reader gets the complete list.
 func (s *State) restore(c Command) Result {
 	if c.ReplacesEpoch != s.epoch {
 		return Result{
@@ -155,7 +155,7 @@
 	restored.changes = ringBuffer[Change]{capacity: maxRetainedChanges}
 	restored.trimmedVersion = restored.version
 	restored.recordsVersion = restored.version
-	// the backup's replicas and lease holders are out of date, so the present ones stay
+	// the backup's replica addresses, sessions and leases are out of date, so the present ones are kept
 	restored.replicaAddresses, restored.leases = s.replicaAddresses, s.leases
 	*s = *restored
 	return Result{}
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -18,7 +18,7 @@
 			for n := range rapid.IntRange(0, 20).Draw(t, "commands") {
 				s.Apply(drawLeaseCommand(t))
 				s.Apply(drawCommand(t, s, n))
-				s.Apply(Command{Op: OpPutRecord, Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), Value: json.RawMessage("7")[:rapid.IntRange(0, 1).Draw(t, "there")]})
+				s.Apply(Command{Op: OpPutRecord, Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"), Value: json.RawMessage("7")[:rapid.IntRange(0, 1).Draw(t, "with value")]})
 			}
 		}
 		applySome()
@@ -26,9 +26,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		image := s.Snapshot()
+		snapshot := s.Snapshot()
 		applySome()
-		if later, err := image.Encode(); err != nil || !bytes.Equal(encoded, later) {
+		if later, err := snapshot.Encode(); err != nil || !bytes.Equal(encoded, later) {
 			t.Fatalf("the state was %s, its snapshot is encoded as %s, %v", encoded, later, err)
 		}
 	})
--- a/internal/registry/sortedkeys.go
+++ b/internal/registry/sortedkeys.go
@@ -6,7 +6,7 @@
 )
 
 // sortedKeys holds the records' keys in order, in runs of at most maxRunKeys keys. Adding or removing a key
-// moves only the keys of its run, and the keys with a prefix are found without visiting the others.
+// moves only the keys of its run, and the keys with a prefix are found without visiting other keys.
 type sortedKeys struct{ runs [][]string }
 
 // maxRunKeys is the number of keys at which a run is full.
@@ -28,8 +28,8 @@
 	return run, index, exists
 }
 
-// add inserts a key that is not present. A key that comes after all others begins a new run if the last run
-// is full, so that keys that are added in order fill their runs; any other full run is split in half.
+// add inserts a key that is not present. A key after all other keys begins a new run if the last run is full,
+// so that keys that are added in order fill their runs. Any other full run is split in half.
 func (k *sortedKeys) add(key string) {
 	run, index, _ := k.find(key)
 	if run == len(k.runs) || run == len(k.runs)-1 && index == maxRunKeys {
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxRetainedChanges = 10000 // a watcher that is further behind gets the complete list
+	maxRetainedChanges = 10000 // a watcher that lags by more changes gets the complete list
 	maxRetainedWrites  = 10000 // write ids whose repeats are recognized
 )
 
@@ -37,7 +37,7 @@
 	epoch            string
 	version          uint64
 	registrations    map[string]Registration
-	byPosition       positionIndex // the names of all registrations, by position on the ring
+	byPosition       positionIndex // names of all registrations, by position on the ring
 	changes          ringBuffer[Change]
 	recentWrites     ringBuffer[writeResult]
 	writeResults     map[string]Result // by write id
@@ -89,12 +89,13 @@
 
 // Registrations returns all entries, sorted by name.
 func (s *State) Registrations() []Registration {
-	all := make([]Registration, 0, len(s.registrations))
+	registrations := make([]Registration, 0, len(s.registrations))
 	for _, registration := range s.registrations {
-		all = append(all, registration)
+		registrations = append(registrations, registration)
 	}
-	slices.SortFunc(all, func(a, b Registration) int { return cmp.Compare(a.Endpoint.Name, b.Endpoint.Name) })
-	return all
+	slices.SortFunc(
+		registrations, func(a, b Registration) int { return cmp.Compare(a.Endpoint.Name, b.Endpoint.Name) })
+	return registrations
 }
 
 // Apply carries out a command. A malformed command changes nothing, and a repeat of a write that is still
@@ -114,16 +115,16 @@
 	}
 	r.Version = s.version
 	if c.ID != "" {
-		s.rememberWrite(writeResult{c.ID, r})
+		s.storeWriteResult(writeResult{c.ID, r})
 	}
 	return r
 }
 
-// rememberWrite stores the result of a write and drops that of the oldest write if maxRetainedWrites are
-// stored.
-func (s *State) rememberWrite(w writeResult) {
-	s.writeResults[w.ID] = w.Result
-	if dropped, full := s.recentWrites.push(w); full {
+// storeWriteResult stores the result of a write. If maxRetainedWrites results are stored already, it drops
+// the result of the oldest write.
+func (s *State) storeWriteResult(write writeResult) {
+	s.writeResults[write.ID] = write.Result
+	if dropped, full := s.recentWrites.push(write); full {
 		delete(s.writeResults, dropped.ID)
 	}
 }
@@ -133,7 +134,7 @@
 	case OpBegin:
 		if s.epoch == "" {
 			s.epoch = c.Epoch
-			s.version++ // version 0 means a reader without a list, so no list with an epoch may have it
+			s.version++ // readers without a list send version 0, so no list with an epoch may have version 0
 		}
 		return Result{}
 	case OpRegister:
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -17,7 +17,7 @@
 	return Endpoint{Name: name, Address: "127.0.0.1:1", Status: Ready, Weight: 1}
 }
 
-// drawCommand draws a command on entries. It uses few names, so that commands affect each other.
+// drawCommand draws a command on entries. It uses few names, so that many commands concern the same entry.
 func drawCommand(t *rapid.T, s *State, n int) Command {
 	name := fmt.Sprint("s", rapid.IntRange(0, 3).Draw(t, "name"))
 	c := Command{Op: rapid.SampledFrom([]string{OpRegister, OpRegister, OpDrain, OpRemove, OpExpire}).Draw(t, "do"), Name: name}
@@ -25,7 +25,7 @@
 		v := rapid.SampledFrom([]uint64{0, s.registrations[name].Version, uint64(n)}).Draw(t, "if")
 		c.IfVersion = &v
 	}
-	if rapid.Bool().Draw(t, "named") {
+	if rapid.Bool().Draw(t, "with id") {
 		c.ID = fmt.Sprint("w", rapid.IntRange(0, 20).Draw(t, "id"))
 	}
 	switch c.Op {
@@ -51,14 +51,14 @@
 		var from uint64
 		for n := range rapid.IntRange(1, 80).Draw(t, "commands") {
 			c := drawCommand(t, s, n)
-			before, has := s.version, s.registrations[c.Name].Version
+			before, entryVersion := s.version, s.registrations[c.Name].Version
 			got := s.Apply(c)
 			if old, repeated := results[c.ID]; repeated && c.ID != "" {
 				if got != old || s.version != before {
 					t.Fatalf("repeating write %s: %+v, the first result was %+v", c.ID, got, old)
 				}
 			} else {
-				checkAndApplyToModel(t, model, c, has, got, s.version-before)
+				checkAndApplyToModel(t, model, c, entryVersion, got, s.version-before)
 				if c.ID != "" {
 					results[c.ID] = got
 				}
@@ -67,17 +67,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			back, err := Decode(raw)
+			decoded, err := Decode(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r := replica.Apply(back); r != got {
+			if r := replica.Apply(decoded); r != got {
 				t.Fatalf("the replica's result is %+v, want %+v", r, got)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "replace") == 0 {
 				replica = decodedCopy(t, replica)
 			}
-			if rapid.IntRange(0, 3).Draw(t, "look") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "read") == 0 {
 				catchUp(t, reader, &from, s)
 			}
 		}
@@ -94,7 +94,7 @@
 }
 
 // checkAndApplyToModel checks the result of a command against the model and applies the command to the model.
-// version is that of the entry before the command; changes is the number of versions that the command made.
+// version is the entry's version before the command; changes is the number of versions that the command made.
 func checkAndApplyToModel(t *rapid.T, model map[string]Endpoint, c Command, version uint64, got Result, changes uint64) {
 	_, exists := model[c.Name]
 	if c.IfVersion != nil && *c.IfVersion != version && c.Op != OpExpire {
@@ -158,7 +158,7 @@
 }
 
 // TestReaderFarBehindGetsCompleteList checks that a reader whose version is no longer retained gets the
-// complete list, and a reader of the oldest retained version gets all changes.
+// complete list, and that a reader that has the oldest retained version gets all changes.
 func TestReaderFarBehindGetsCompleteList(t *testing.T) {
 	s := NewState()
 	for i := range maxRetainedChanges + 5 {
@@ -185,13 +185,13 @@
 	s.Apply(Command{Op: OpBegin, Epoch: "first"})
 	a, b := entry("a"), entry("b")
 	s.Apply(Command{Op: OpRegister, Endpoint: &a})
-	image, err := s.EncodeSnapshot()
+	backup, err := s.EncodeSnapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Apply(Command{Op: OpRegister, Endpoint: &b})
 	before := s.Version()
-	if r := s.Apply(Command{Op: OpRestore, Epoch: "second", ReplacesEpoch: "first", Snapshot: image}); r.Code != Applied || r.Version <= before+1000 {
+	if r := s.Apply(Command{Op: OpRestore, Epoch: "second", ReplacesEpoch: "first", Snapshot: backup}); r.Code != Applied || r.Version <= before+1000 {
 		t.Errorf("%+v after version %d", r, before)
 	}
 	if got := s.Since(before); !got.Snapshot || len(got.Endpoints) != 1 || got.Epoch != "second" {
@@ -200,7 +200,7 @@
 	if r := s.Apply(Command{Op: OpRestore, Epoch: "third", ReplacesEpoch: "second", Snapshot: []byte(`{"v":1,"items":[{}]}`)}); r.Code != Invalid || s.Epoch() != "second" {
 		t.Errorf("restoring an invalid backup: %+v", r)
 	}
-	if r := s.Apply(Command{Op: OpRestore, Epoch: "third", ReplacesEpoch: "first", Snapshot: image}); r.Code != Conflict || s.Epoch() != "second" {
+	if r := s.Apply(Command{Op: OpRestore, Epoch: "third", ReplacesEpoch: "first", Snapshot: backup}); r.Code != Conflict || s.Epoch() != "second" {
 		t.Errorf("restoring over a list of another epoch: %+v", r)
 	}
 }
@@ -208,10 +208,10 @@
 // TestInvalidCommandsChangeNothing checks that malformed commands are rejected and do not change the version.
 func TestInvalidCommandsChangeNothing(t *testing.T) {
 	long := strings.Repeat("x", MaxTextBytes+1)
-	bad := map[string]func(*Endpoint){"name": func(e *Endpoint) { e.Name = "" }, "long": func(e *Endpoint) { e.Zone = long }, "status": func(e *Endpoint) { e.Status = Removed },
+	invalid := map[string]func(*Endpoint){"name": func(e *Endpoint) { e.Name = "" }, "long": func(e *Endpoint) { e.Zone = long }, "status": func(e *Endpoint) { e.Status = Removed },
 		"address": func(e *Endpoint) { e.Address = "nowhere" }, "weight": func(e *Endpoint) { e.Weight = math.NaN() }, "since": func(e *Endpoint) { e.StartedAtMS = -1 }}
 	s := NewState()
-	for name, invalidate := range bad {
+	for name, invalidate := range invalid {
 		e := entry("a")
 		invalidate(&e)
 		if r := s.Apply(Command{Op: OpRegister, Endpoint: &e}); r.Code != Invalid {
@@ -227,33 +227,33 @@
 	}
 }
 
-// TestEndpointExpiryIsBounded draws renewals and times: no entry expires before its deadline, no more than a
-// quarter of the entries expires within a window, and once most entries are renewed the others expire.
+// TestEndpointExpiryIsBounded draws renewals and times. No entry expires before its deadline, and no more than
+// a quarter of the entries expire within a window. Once most entries are renewed, the overdue entries expire.
 func TestEndpointExpiryIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "entries")
 		const ttl = 5 * time.Second
 		var items []Registration
-		last := map[string]time.Duration{}
+		lastRenewed := map[string]time.Duration{}
 		for i := range n {
 			items = append(items, Registration{Endpoint: entry(fmt.Sprint("s", i)), Version: uint64(i + 1), TTL: ttl})
-			last[items[i].Endpoint.Name] = 0
+			lastRenewed[items[i].Endpoint.Name] = 0
 		}
-		l := NewEndpointExpiry(items, 0)
+		expiry := NewEndpointExpiry(items, 0)
 		var now time.Duration
 		var expiredAt []time.Duration
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			for range rapid.IntRange(0, n).Draw(t, "renewals") {
-				name := fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(t, "who"))
-				if _, there := last[name]; l.Renew(name, now) != there {
-					t.Fatalf("renewing %s, which exists (%v), has the opposite result", name, there)
-				} else if there {
-					last[name] = now
+				name := fmt.Sprint("s", rapid.IntRange(0, n-1).Draw(t, "renewed"))
+				if _, exists := lastRenewed[name]; expiry.Renew(name, now) != exists {
+					t.Fatalf("renewing %s, which exists (%v), has the opposite result", name, exists)
+				} else if exists {
+					lastRenewed[name] = now
 				}
 			}
-			entries := len(last)
-			due, retained := l.Due(now)
+			entries := len(lastRenewed)
+			due, retained := expiry.Due(now)
 			recent := 0
 			for _, at := range expiredAt {
 				if now-at < expiryWindow {
@@ -267,19 +267,19 @@
 				t.Fatal("some entries expire while overdue ones are retained")
 			}
 			for _, d := range due {
-				if now-last[d.Name] <= ttl {
-					t.Fatalf("%s expires %v after its renewal", d.Name, now-last[d.Name])
+				if now-lastRenewed[d.Name] <= ttl {
+					t.Fatalf("%s expires %v after its renewal", d.Name, now-lastRenewed[d.Name])
 				}
-				delete(last, d.Name)
+				delete(lastRenewed, d.Name)
 				expiredAt = append(expiredAt, now)
 			}
 		}
-		for name := range last { // renew all entries but two
-			if len(last) > minExpiries && name != "s0" && name != "s1" {
-				l.Renew(name, now+time.Minute)
+		for name := range lastRenewed { // renew all entries but two
+			if len(lastRenewed) > minExpiries && name != "s0" && name != "s1" {
+				expiry.Renew(name, now+time.Minute)
 			}
 		}
-		if _, retained := l.Due(now + time.Minute); retained > 0 {
+		if _, retained := expiry.Due(now + time.Minute); retained > 0 {
 			t.Fatalf("%d overdue entries are still retained", retained)
 		}
 	})
--- a/internal/registry/subset.go
+++ b/internal/registry/subset.go
@@ -12,11 +12,11 @@
 )
 
 // Bounds on the size of a proxy's subset. A proxy balances over the endpoints that follow its start position
-// on the ring. Their number is the balancer's subset size: enough for proxiesPerEndpoint proxies to use each
-// endpoint, and at least the balancer's smallest subset. The proxy follows spareFactor times as many
-// endpoints, so that it can continue to serve if most of them fail while the registry is unreachable. It
-// follows at least minSubsetEndpoints: that many cost a proxy little and make it unlikely that a zone has
-// none of them.
+// on the ring. The number of these endpoints is the balancer's subset size: large enough for
+// proxiesPerEndpoint proxies to use each endpoint, and at least the balancer's smallest subset size. The
+// proxy follows spareFactor times as many endpoints, so that it can continue to serve if most of them fail
+// while the registry is unreachable. It follows at least minSubsetEndpoints endpoints: they cost a proxy
+// little, and a zone is unlikely to have none of them.
 const (
 	proxiesPerEndpoint = 6
 	spareFactor        = 4
@@ -24,8 +24,8 @@
 	// minPerPlacement is the number of ready endpoints that a subset must have for each placement of classes:
 	// spareFactor times the balancer's smallest subset size.
 	minPerPlacement = 4 * 5
-	// maxSubsetEndpoints bounds the growth of a subset for a placement that has too few endpoints; reading that
-	// many takes 1 MB.
+	// maxSubsetEndpoints bounds the growth of a subset for a placement that has too few endpoints. The response
+	// with that many endpoints has 1 MB.
 	maxSubsetEndpoints = 8192
 )
 
@@ -33,11 +33,11 @@
 	ringUnits = 1 << 16       // units of the ring in which subsets begin and end
 	minWidth  = 4             // units of the narrowest subset
 	maxWidth  = ringUnits / 4 // units of the widest subset; a wider one is the complete list
-	// goldenRatioStep is 2^64 / math.Phi: multiples of it are spread evenly over the ring, for any number of
-	// them.
+	// goldenRatioStep is 2^64 / math.Phi. Any number of consecutive multiples of it are spread evenly over the
+	// ring.
 	goldenRatioStep = splitmix.Increment
-	// sqrt2Step is 2^64 * (math.Sqrt2 - 1): multiples of it are spread evenly as well, and are not correlated
-	// with those of goldenRatioStep.
+	// sqrt2Step is 2^64 * (math.Sqrt2 - 1). Its multiples are spread evenly as well, and are not correlated with
+	// the multiples of goldenRatioStep.
 	sqrt2Step = 0x6a09e667f3bcc909
 )
 
@@ -77,10 +77,10 @@
 	if s == allSubsets {
 		return Subset{}, nil
 	}
-	first, second, _ := strings.Cut(s, "-")
-	start, err := strconv.ParseUint(first, 10, 16)
-	width, err2 := strconv.ParseUint(second, 10, 16)
-	if err != nil || err2 != nil || width < minWidth || width > maxWidth || width&(width-1) != 0 ||
+	startText, widthText, _ := strings.Cut(s, "-")
+	start, err := strconv.ParseUint(startText, 10, 16)
+	width, widthErr := strconv.ParseUint(widthText, 10, 16)
+	if err != nil || widthErr != nil || width < minWidth || width > maxWidth || width&(width-1) != 0 ||
 		start%(width/4) != 0 {
 		return Subset{}, fmt.Errorf(
 			"part: %q is neither %q nor FROM-WIDTH with a power of two from %d to %d and a multiple of its quarter",
@@ -94,12 +94,12 @@
 }
 
 // Contains reports whether an endpoint at a position belongs to the subset.
-func (p Subset) Contains(point uint64) bool { return p.IsAll() || uint16(point>>48)-p.Start < p.Width }
+func (p Subset) Contains(pos uint64) bool { return p.IsAll() || uint16(pos>>48)-p.Start < p.Width }
 
 // EachSubset calls do with every subset that contains a position: the complete list and four of each width.
-func EachSubset(point uint64, do func(Subset)) {
+func EachSubset(position uint64, do func(Subset)) {
 	do(Subset{})
-	unit := uint16(point >> 48)
+	unit := uint16(position >> 48)
 	for width := uint16(minWidth); width <= maxWidth; width *= 2 {
 		step := width / 4
 		for k := range uint16(4) {
@@ -131,10 +131,10 @@
 	return Subset{uint16(StartPosition(proxyNumber)>>48) / step * step, uint16(width)}
 }
 
-// SubsetOf returns the subset that a proxy needs if a number of proxies share a list of total endpoints. If
-// estimates of proxies or total differ, only the width of the subset differs. The list size at which the
-// width doubles varies from proxy to proxy by a factor of up to two, so that one endpoint or proxy more does
-// not change many subsets at once.
+// SubsetOf returns the subset that a proxy needs in a fleet with a number of proxies and a list with a total
+// number of endpoints. Other values of proxies or total change only the width of the subset. The list size at
+// which the width doubles varies from proxy to proxy by a factor of up to two, so that one more endpoint or
+// proxy does not change many subsets at once.
 func SubsetOf(proxyNumber, proxies, total int) Subset {
 	if proxies <= 0 || total <= 0 {
 		return Subset{}
@@ -165,14 +165,15 @@
 		if e.Status != Ready || !p.Contains(Position(e.Name)) {
 			continue
 		}
-		for i, g := range placements {
-			if g.allows(e) {
+		for i, placement := range placements {
+			if placement.allows(e) {
 				counts[i]++
 			}
 		}
 	}
-	for i, g := range placements {
-		empty := g.Zones != nil && len(g.Zones) == 0 || g.Types != nil && len(g.Types) == 0
+	for i, placement := range placements {
+		empty := placement.Zones != nil && len(placement.Zones) == 0 ||
+			placement.Types != nil && len(placement.Types) == 0
 		if counts[i] < minPerPlacement && !empty {
 			return false
 		}
@@ -180,10 +181,10 @@
 	return true
 }
 
-// Next returns the subset to follow for a proxy that follows p and knows its entries; entries is nil if none
-// are known yet. The subset grows as soon as it has to, and up to maxSubsetEndpoints if a placement has too
-// few endpoints. It shrinks only if less than a quarter of p is enough, so that it does not alternate between
-// widths.
+// Next returns the subset to follow for a proxy that follows p. entries are the known entries of p, or nil if
+// none are known yet. The returned subset is wider than p as soon as p is too narrow, and grows up to
+// maxSubsetEndpoints if a placement has too few endpoints. It is narrower than p only if less than a quarter
+// of p is enough, so that a proxy does not alternate between widths.
 func (p Subset) Next(proxyNumber, proxies, total int, entries []Endpoint, placements []Placement) Subset {
 	next := SubsetOf(proxyNumber, proxies, total)
 	for entries != nil && p.Covers(next) && !next.IsAll() && !next.suffices(entries, placements) {
--- a/internal/registry/subset_test.go
+++ b/internal/registry/subset_test.go
@@ -17,20 +17,20 @@
 		change[p.Start]++
 		change[int(p.Start)+p.width()]--
 	}
-	at, n := make([]int, ringUnits), 0
+	counts, n := make([]int, ringUnits), 0
 	for i := range 2 * ringUnits {
 		n += change[i]
-		at[i%ringUnits] += n
+		counts[i%ringUnits] += n
 	}
-	return at
+	return counts
 }
 
 // subsetsOfFleet returns the subsets of all proxies of a fleet.
-func subsetsOfFleet(nodes, total int) (all []Subset) {
-	for self := range nodes {
-		all = append(all, SubsetOf(self, nodes, total))
+func subsetsOfFleet(proxies, total int) (subsets []Subset) {
+	for proxyNumber := range proxies {
+		subsets = append(subsets, SubsetOf(proxyNumber, proxies, total))
 	}
-	return all
+	return subsets
 }
 
 // TestSubsetsCoverEveryEndpoint checks fleets and lists of drawn sizes: each endpoint is in the subsets of at
@@ -38,21 +38,21 @@
 // than it needs.
 func TestSubsetsCoverEveryEndpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes, total := rapid.IntRange(1, 6000).Draw(t, "nodes"), rapid.IntRange(1, 70000).Draw(t, "total")
-		subsets := subsetsOfFleet(nodes, total)
-		if fewest := slices.Min(subsetsPerUnit(subsets)); fewest < min(nodes, proxiesPerEndpoint) {
+		proxies, total := rapid.IntRange(1, 6000).Draw(t, "nodes"), rapid.IntRange(1, 70000).Draw(t, "total")
+		subsets := subsetsOfFleet(proxies, total)
+		if fewest := slices.Min(subsetsPerUnit(subsets)); fewest < min(proxies, proxiesPerEndpoint) {
 			t.Fatalf("an endpoint is in only %d subsets", fewest)
 		}
-		usedWidth := float64(max(5, proxiesPerEndpoint*total/nodes)) / float64(total) * ringUnits // in ring units
-		for self, p := range subsets {
+		usedWidth := float64(max(5, proxiesPerEndpoint*total/proxies)) / float64(total) * ringUnits // in ring units
+		for proxyNumber, p := range subsets {
 			if p.IsAll() {
 				continue
 			}
-			start := StartPosition(self) >> 48
-			if end := float64(uint16(start)-p.Start) + 3*usedWidth; end > float64(p.Width) || !p.Contains(StartPosition(self)) {
-				t.Fatalf("subset %v of proxy %d at %d is less than three times as wide as the endpoints that it uses", p, self, start)
+			start := StartPosition(proxyNumber) >> 48
+			if end := float64(uint16(start)-p.Start) + 3*usedWidth; end > float64(p.Width) || !p.Contains(StartPosition(proxyNumber)) {
+				t.Fatalf("subset %v of proxy %d at %d is less than three times as wide as the endpoints that it uses", p, proxyNumber, start)
 			}
-			if maxEndpoints := 4.01 * 1.5 * float64(max(minSubsetEndpoints, spareFactor*(proxiesPerEndpoint*total/nodes+1))); float64(p.Width)/ringUnits*float64(total) > maxEndpoints && p.Width > minWidth {
+			if maxEndpoints := 4.01 * 1.5 * float64(max(minSubsetEndpoints, spareFactor*(proxiesPerEndpoint*total/proxies+1))); float64(p.Width)/ringUnits*float64(total) > maxEndpoints && p.Width > minWidth {
 				t.Fatalf("subset %v has %v endpoints, want at most %v", p, float64(p.Width)/ringUnits*float64(total), maxEndpoints)
 			}
 		}
@@ -70,24 +70,24 @@
 		}
 		return n
 	}
-	for _, size := range []struct{ nodes, total int }{{300, 2000}, {2000, 13000}, {4300, 26000}, {4300, 54000}} {
+	for _, size := range []struct{ proxies, total int }{{300, 2000}, {2000, 13000}, {4300, 26000}, {4300, 54000}} {
 		moved, maxMoved, steps := 0, 0, 2000
-		before := subsetsOfFleet(size.nodes, size.total)
+		before := subsetsOfFleet(size.proxies, size.total)
 		for i := range steps {
-			after := subsetsOfFleet(size.nodes, size.total+i+1)
+			after := subsetsOfFleet(size.proxies, size.total+i+1)
 			n := count(before, after)
 			moved, maxMoved, before = moved+n, max(maxMoved, n), after
 		}
-		byNode := count(subsetsOfFleet(size.nodes, size.total), subsetsOfFleet(size.nodes+1, size.total)[:size.nodes])
-		t.Logf("%d proxies, %d endpoints: one more endpoint moves %.2f subsets on average, %d at most; one more proxy %d", size.nodes, size.total, float64(moved)/float64(steps), maxMoved, byNode)
-		if maxMoved > max(4, size.nodes/100) || byNode > max(4, size.nodes/100) || moved > 2*size.nodes {
-			t.Errorf("%d proxies, %d endpoints: one endpoint moves up to %d subsets, %d in all, one proxy %d", size.nodes, size.total, maxMoved, moved, byNode)
+		movedByProxy := count(subsetsOfFleet(size.proxies, size.total), subsetsOfFleet(size.proxies+1, size.total)[:size.proxies])
+		t.Logf("%d proxies, %d endpoints: one more endpoint moves %.2f subsets on average, %d at most; one more proxy %d", size.proxies, size.total, float64(moved)/float64(steps), maxMoved, movedByProxy)
+		if maxMoved > max(4, size.proxies/100) || movedByProxy > max(4, size.proxies/100) || moved > 2*size.proxies {
+			t.Errorf("%d proxies, %d endpoints: one endpoint moves up to %d subsets, %d in all, one proxy %d", size.proxies, size.total, maxMoved, moved, movedByProxy)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, limit int) int { return rapid.IntRange(1, limit).Draw(t, name) }
-		self := draw("self", 6000)
-		a, b := SubsetOf(self, draw("nodes", 6000), draw("total", 70000)), SubsetOf(self, draw("believed", 6000), draw("known", 70000))
+		proxyNumber := draw("self", 6000)
+		a, b := SubsetOf(proxyNumber, draw("nodes", 6000), draw("total", 70000)), SubsetOf(proxyNumber, draw("believed", 6000), draw("known", 70000))
 		if !a.Covers(b) && !b.Covers(a) {
 			t.Fatalf("neither of %v and %v contains the other", a, b)
 		}
@@ -109,24 +109,24 @@
 			t.Errorf("%q is parsed as %v", s, p)
 		}
 	}
-	for self, sizes := range [][2]int{{0, 0}, {-1, 9}, {9, -1}, {1, 1 << 40}, {1, 5}, {10, 75}, {4300, 300}, {64, 54000}} {
-		if p := SubsetOf(self, sizes[0], sizes[1]); !p.IsAll() {
+	for proxyNumber, sizes := range [][2]int{{0, 0}, {-1, 9}, {9, -1}, {1, 1 << 40}, {1, 5}, {10, 75}, {4300, 300}, {64, 54000}} {
+		if p := SubsetOf(proxyNumber, sizes[0], sizes[1]); !p.IsAll() {
 			t.Errorf("%d proxies and %d endpoints: %v, want the complete list", sizes[0], sizes[1], p)
 		}
 	}
 }
 
 // fleet returns n endpoints spread over a number of zones.
-func fleet(n, zones int) (all []Endpoint) {
+func fleet(n, zones int) (endpoints []Endpoint) {
 	for i := range n {
-		all = append(all, Endpoint{Name: fmt.Sprint("s-", i), Address: "a:1", Zone: fmt.Sprint("z", i%zones), Type: "m", Status: Ready})
+		endpoints = append(endpoints, Endpoint{Name: fmt.Sprint("s-", i), Address: "a:1", Zone: fmt.Sprint("z", i%zones), Type: "m", Status: Ready})
 	}
-	return all
+	return endpoints
 }
 
-// settle follows Next from a subset, as a client does, over a list that does not change, until the subset
-// stays.
-func settle(t *testing.T, p Subset, self, nodes int, list []Endpoint, groups []Placement) Subset {
+// settle calls Next repeatedly, as a client does, with a list that does not change, until Next returns the
+// subset that it was called for.
+func settle(t *testing.T, p Subset, proxyNumber, proxies int, list []Endpoint, placements []Placement) Subset {
 	t.Helper()
 	for range 20 {
 		known := []Endpoint{} // not nil: the entries are known
@@ -135,13 +135,13 @@
 				known = append(known, e)
 			}
 		}
-		next := p.Next(self, nodes, len(list), known, groups)
+		next := p.Next(proxyNumber, proxies, len(list), known, placements)
 		if next == p {
 			return p
 		}
 		p = next
 	}
-	t.Fatalf("proxy %d does not settle, its last subset is %v", self, p)
+	t.Fatalf("proxy %d does not settle, its last subset is %v", proxyNumber, p)
 	return p
 }
 
@@ -149,40 +149,40 @@
 // that grows tenfold and shrinks again, after all endpoints of a subset are removed, and for placements with
 // few endpoints.
 func TestNextSubsetSettles(t *testing.T) {
-	all := []Placement{{}}
+	anyEndpoint := []Placement{{}}
 	small, large := fleet(5400, 7), fleet(54000, 7)
-	for self := range 5 {
-		p := settle(t, SubsetOf(self, 4300, MaxEndpoints), self, 4300, small, all)
-		if !p.Covers(SubsetOf(self, 4300, 5400)) {
-			t.Errorf("proxy %d settles on %v", self, p)
+	for proxyNumber := range 5 {
+		p := settle(t, SubsetOf(proxyNumber, 4300, MaxEndpoints), proxyNumber, 4300, small, anyEndpoint)
+		if !p.Covers(SubsetOf(proxyNumber, 4300, 5400)) {
+			t.Errorf("proxy %d settles on %v", proxyNumber, p)
 		}
-		grown := settle(t, p, self, 4300, large, all)
-		if want := SubsetOf(self, 4300, 54000); grown != want || want.IsAll() {
-			t.Errorf("proxy %d settles on %v in a list ten times as large, want %v", self, grown, want)
+		grown := settle(t, p, proxyNumber, 4300, large, anyEndpoint)
+		if want := SubsetOf(proxyNumber, 4300, 54000); grown != want || want.IsAll() {
+			t.Errorf("proxy %d settles on %v in a list ten times as large, want %v", proxyNumber, grown, want)
 		}
-		if back := settle(t, grown, self, 4300, small, all); back != p {
-			t.Errorf("proxy %d returns to %v, want %v", self, back, p)
+		if shrunk := settle(t, grown, proxyNumber, 4300, small, anyEndpoint); shrunk != p {
+			t.Errorf("proxy %d returns to %v, want %v", proxyNumber, shrunk, p)
 		}
-		if p.Next(self, 4300, 5000, fleet(5000, 7), all) != p || p.Next(self, 4300, 6000, fleet(6000, 7), all) != p {
-			t.Errorf("proxy %d moves although the list changes by a tenth", self)
+		if p.Next(proxyNumber, 4300, 5000, fleet(5000, 7), anyEndpoint) != p || p.Next(proxyNumber, 4300, 6000, fleet(6000, 7), anyEndpoint) != p {
+			t.Errorf("proxy %d moves although the list changes by a tenth", proxyNumber)
 		}
-		gone := slices.DeleteFunc(slices.Clone(large), func(e Endpoint) bool { return grown.Contains(Position(e.Name)) })
-		if next := settle(t, grown, self, 4300, gone, all); next == grown || !next.Covers(grown) {
-			t.Errorf("proxy %d whose endpoints were all removed has %v, want a wider subset", self, next)
+		remaining := slices.DeleteFunc(slices.Clone(large), func(e Endpoint) bool { return grown.Contains(Position(e.Name)) })
+		if next := settle(t, grown, proxyNumber, 4300, remaining, anyEndpoint); next == grown || !next.Covers(grown) {
+			t.Errorf("proxy %d whose endpoints were all removed has %v, want a wider subset", proxyNumber, next)
 		}
 		for _, c := range []struct {
-			groups []Placement
-			same   bool
+			placements []Placement
+			same       bool
 		}{{[]Placement{{Zones: []string{"z3"}}}, true}, {[]Placement{{Zones: []string{}}, {Types: []string{}}}, true}, {nil, true}, {[]Placement{{Zones: []string{"z3"}, Types: []string{"rare"}}}, false}} {
-			few := slices.Clone(large)
-			for i := range few {
+			changed := slices.Clone(large)
+			for i := range changed {
 				if i%100 == 3 { // some endpoints of zone z3
-					few[i].Type = "rare"
+					changed[i].Type = "rare"
 				}
 			}
-			next := settle(t, grown, self, 4300, few, c.groups)
+			next := settle(t, grown, proxyNumber, 4300, changed, c.placements)
 			if c.same != (next == grown) || next.IsAll() || float64(next.width())*54000 > maxSubsetEndpoints*ringUnits {
-				t.Errorf("proxy %d with placements %+v goes from %v to %v", self, c.groups, grown, next)
+				t.Errorf("proxy %d with placements %+v goes from %v to %v", proxyNumber, c.placements, grown, next)
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 		s.changes.capacity = 8
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "name"))
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0, 1:
 				s.Apply(Command{Op: OpRemove, Name: name})
 			case 2:
@@ -216,8 +216,8 @@
 			default:
 				s.Apply(Command{Op: OpRegister, Endpoint: &Endpoint{Name: name, Address: "a:1", Status: Ready, Weight: rapid.Float64Range(0, 9).Draw(t, "weight")}})
 			}
-			arc := 1 << rapid.IntRange(2, 14).Draw(t, "arc")
-			p := Subset{uint16(rapid.IntRange(0, 4*ringUnits/arc-1).Draw(t, "from") * arc / 4), uint16(arc)}
+			width := 1 << rapid.IntRange(2, 14).Draw(t, "arc")
+			p := Subset{uint16(rapid.IntRange(0, 4*ringUnits/width-1).Draw(t, "from") * width / 4), uint16(width)}
 			from := max(s.version, 12) - uint64(rapid.IntRange(0, 12).Draw(t, "behind"))
 			complete := s.Since(from)
 			want := slices.DeleteFunc(slices.Clone(complete.Endpoints), func(e Endpoint) bool { return !p.Contains(Position(e.Name)) })
@@ -238,10 +238,10 @@
 // TestStartPositionsAreMultiplesOfGoldenRatio checks that the start position of a proxy is the fraction of
 // the ring from which the balancer derives the proxy's first endpoint of a complete list.
 func TestStartPositionsAreMultiplesOfGoldenRatio(t *testing.T) {
-	for self := range 10000 {
-		want := math.Mod(float64(self)*math.Phi, 1)
-		if got := float64(StartPosition(self)) / math.Exp2(64); math.Abs(got-want) > 1e-9 {
-			t.Fatalf("proxy %d: %v, want %v", self, got, want)
+	for proxyNumber := range 10000 {
+		want := math.Mod(float64(proxyNumber)*math.Phi, 1)
+		if got := float64(StartPosition(proxyNumber)) / math.Exp2(64); math.Abs(got-want) > 1e-9 {
+			t.Fatalf("proxy %d: %v, want %v", proxyNumber, got, want)
 		}
 	}
 }
--- a/internal/registry/timers.go
+++ b/internal/registry/timers.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// timers finds expired items without visiting all of them. Most calls are renewals, and a renewal leaves a
-// timer at its place in the queue: the timer is queued again under its present deadline once the deadline
-// under which it is queued has passed. The present deadline is never before the queued one.
+// timers finds expired items without visiting all of them. Most calls are renewals, and a renewal does not
+// move a timer in the queue. The timer is queued again under its present deadline once the deadline under
+// which it is queued has passed. The present deadline is never before the queued deadline.
 type timers[T any] struct {
 	byName map[string]*timer[T]
 	queue  timerQueue[T] // ordered by queuedDeadline
@@ -38,7 +38,7 @@
 	}
 }
 
-// requeue moves a timer to the place of its present deadline in the queue.
+// requeue moves a timer in the queue to the position of its present deadline.
 func (t *timers[T]) requeue(moved *timer[T]) {
 	moved.queuedDeadline = moved.deadline
 	heap.Fix(&t.queue, moved.index)
@@ -62,7 +62,7 @@
 }
 
 // takeExpired removes and returns the timers whose deadline has passed.
-func (t *timers[T]) takeExpired(now time.Duration) (all []*timer[T]) {
+func (t *timers[T]) takeExpired(now time.Duration) (expired []*timer[T]) {
 	for len(t.queue) > 0 && t.queue[0].queuedDeadline < now {
 		first := t.queue[0]
 		if first.deadline >= now {
@@ -71,12 +71,12 @@
 		}
 		heap.Pop(&t.queue)
 		delete(t.byName, first.name)
-		all = append(all, first)
+		expired = append(expired, first)
 	}
-	return all
+	return expired
 }
 
-// putBack adds a timer again that takeExpired has returned.
+// putBack adds a timer that takeExpired has returned.
 func (t *timers[T]) putBack(expired *timer[T]) {
 	t.byName[expired.name] = expired
 	heap.Push(&t.queue, expired)
