--- a/internal/lease/core_test.go
+++ b/internal/lease/core_test.go
@@ -347,7 +347,7 @@
 }
 
 // TestCloseReleasesByReleaseOrder checks that a closing process releases the leases of a higher release order
-// first, and none of a lower order before those are released.
+// first, and releases no lease of a lower order before they are released.
 func TestCloseReleasesByReleaseOrder(t *testing.T) {
 	c := &core{ttl: simTTL}
 	c.sessionOpened()
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -118,11 +118,11 @@
 }
 
 // checkAddresses validates the addresses of the replicas.
-func checkAddresses(all []string) error {
-	if len(all) == 0 {
+func checkAddresses(addresses []string) error {
+	if len(addresses) == 0 {
 		return errors.New("list client: no address")
 	}
-	for _, a := range all {
+	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a); err != nil {
 			return fmt.Errorf("list client: address: %w", err)
 		}
@@ -131,12 +131,12 @@
 }
 
 // SetAddresses replaces the addresses of the replicas, starting with the next call. The known list stays.
-func (k *Client) SetAddresses(all []string) error {
-	if err := checkAddresses(all); err != nil {
+func (k *Client) SetAddresses(addresses []string) error {
+	if err := checkAddresses(addresses); err != nil {
 		return err
 	}
 	k.mu.Lock()
-	k.config.Addresses, k.current = slices.Clone(all), rand.IntN(len(all))
+	k.config.Addresses, k.current = slices.Clone(addresses), rand.IntN(len(addresses))
 	k.mu.Unlock()
 	k.http.CloseIdleConnections()
 	return nil
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -92,18 +92,18 @@
 
 // List returns the list as the client knows it.
 func (b *ListState) List() List {
-	all := b.appendTo(nil)
-	slices.SortFunc(all, func(x, y registry.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
-	return List{b.epoch, b.version, all, b.subset, b.total}
+	entries := b.appendTo(nil)
+	slices.SortFunc(entries, func(x, y registry.Endpoint) int { return cmp.Compare(x.Name, y.Name) })
+	return List{b.epoch, b.version, entries, b.subset, b.total}
 }
 
 // appendTo appends the entries in no particular order.
-func (b *ListState) appendTo(all []registry.Endpoint) []registry.Endpoint {
-	all = slices.Grow(all, len(b.endpoints))
+func (b *ListState) appendTo(entries []registry.Endpoint) []registry.Endpoint {
+	entries = slices.Grow(entries, len(b.endpoints))
 	for _, e := range b.endpoints {
-		all = append(all, e)
+		entries = append(entries, e)
 	}
-	return all
+	return entries
 }
 
 // Apply accepts or rejects the response to a call that requested changes from version from. If the response
--- a/internal/registry/client/records.go
+++ b/internal/registry/client/records.go
@@ -20,9 +20,10 @@
 
 // Records lists the current keys and versions under a prefix, without values.
 func (k *Client) Records(ctx context.Context, prefix string) ([]registry.Record, error) {
-	var all []registry.Record
-	err := k.send(ctx, http.MethodGet, "/registry/records?"+url.Values{"prefix": {prefix}}.Encode(), nil, &all)
-	return all, err
+	var records []registry.Record
+	err := k.send(
+		ctx, http.MethodGet, "/registry/records?"+url.Values{"prefix": {prefix}}.Encode(), nil, &records)
+	return records, err
 }
 
 // Put writes a record, or removes it if value is nil. ifVersion, if not nil, is the version that the record
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -136,7 +136,7 @@
 }
 
 // FencedClient writes to the registry as the lease holder. Each write is rejected (*Error with status 409)
-// unless the fencing token is still that of the holder.
+// unless its fencing token is still the holder's token.
 type FencedClient struct {
 	client *Client
 	token  registry.FencingToken
--- a/internal/registry/client/silence_test.go
+++ b/internal/registry/client/silence_test.go
@@ -112,7 +112,7 @@
 			t.Run(name+" "+failure.name, func(t *testing.T) {
 				var moved atomic.Int32
 				withFakeDiscovery(t, func(call int, w http.ResponseWriter, r *http.Request) {
-					var at int32 // number of this call among those to the new address
+					var at int32 // number of this call among the calls to the new address
 					if r.Host == "two:1" {
 						at = moved.Add(1)
 					}
--- a/internal/registry/client/subset_cached_test.go
+++ b/internal/registry/client/subset_cached_test.go
@@ -15,9 +15,9 @@
 // begins with the cached subset, of whatever width, and reads one complete subset to become current. A
 // program that knows no subsets reads the cache file as a list without a version.
 func TestCachedSubsetIsUsedAfterRestart(t *testing.T) {
-	file, nodes := filepath.Join(t.TempDir(), "list"), 4300
+	file, proxies := filepath.Join(t.TempDir(), "list"), 4300
 	s := fleetState(t, 19000)
-	k := newSubsetClient(t, 9, &nodes, file, nil)
+	k := newSubsetClient(t, 9, &proxies, file, nil)
 	for _, err := k.List(); len(k.list.endpoints) == 0; {
 		if _, _, e := k.callTo(replica{s, false}, func() {}); e != nil {
 			t.Fatal(e, err)
@@ -27,8 +27,8 @@
 	for i := range 11000 { // more changes than the service retains
 		s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &registry.Endpoint{Name: fmt.Sprint("s-", i), Address: "b:1", Status: registry.Ready}})
 	}
-	nodes = 2000
-	k = newSubsetClient(t, 9, &nodes, file, nil)
+	proxies = 2000
+	k = newSubsetClient(t, 9, &proxies, file, nil)
 	if v, _ := k.List(); !reflect.DeepEqual(v, cached) || v.Subset.IsAll() {
 		t.Fatalf("the client begins with %d entries of subset %v, cached were %d of %v", len(v.Endpoints), v.Subset, len(cached.Endpoints), cached.Subset)
 	}
--- a/internal/registry/client/subset_test.go
+++ b/internal/registry/client/subset_test.go
@@ -64,8 +64,8 @@
 }
 
 // endpointsIn returns the endpoints that belong to a subset.
-func endpointsIn(p registry.Subset, all []registry.Endpoint) []registry.Endpoint {
-	return slices.DeleteFunc(slices.Clone(all), func(e registry.Endpoint) bool { return !p.Contains(registry.Position(e.Name)) })
+func endpointsIn(p registry.Subset, endpoints []registry.Endpoint) []registry.Endpoint {
+	return slices.DeleteFunc(slices.Clone(endpoints), func(e registry.Endpoint) bool { return !p.Contains(registry.Position(e.Name)) })
 }
 
 // TestFollowedSubsetNeverGoesBackAndConverges changes the subset to follow, the list, its epoch, the replica
@@ -111,8 +111,8 @@
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
-			if all, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Endpoint{}, v.Endpoints...), endpointsIn(v.Subset, all))) {
-				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, all, result, err)
+			if served, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Endpoint{}, v.Endpoints...), endpointsIn(v.Subset, served))) {
+				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, served, result, err)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -156,10 +156,10 @@
 
 // newSubsetClient returns a client that follows the subset of the proxy with number self in a fleet of nodes
 // proxies.
-func newSubsetClient(t *testing.T, self int, nodes *int, file string, onChange func(registry.ListResponse)) *Client {
+func newSubsetClient(t *testing.T, proxyNumber int, proxies *int, file string, onChange func(registry.ListResponse)) *Client {
 	t.Helper()
 	k, err := New(Config{Addresses: []string{"a:1"}, CacheFile: file, OnChange: onChange, ChooseSubset: func(p registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
-		return p.Next(self, *nodes, total, entries, []registry.Placement{{}})
+		return p.Next(proxyNumber, *proxies, total, entries, []registry.Placement{{}})
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -172,9 +172,9 @@
 // first subset if the service rejects the read because it sends too many complete subsets.
 func TestFirstSubsetIsWideEnough(t *testing.T) {
 	for _, servers := range []int{1, 4, 75, 2000, 18000} {
-		nodes, changes := 4300, 0
+		proxies, changes := 4300, 0
 		s := replica{fleetState(t, servers), false}
-		k := newSubsetClient(t, 7, &nodes, "", func(registry.ListResponse) { changes++ })
+		k := newSubsetClient(t, 7, &proxies, "", func(registry.ListResponse) { changes++ })
 		bytes := 0
 		for calls := 1; changes == 0; calls++ {
 			if _, q, err := k.callTo(s, func() {}); err != nil || calls > 10 {
@@ -184,7 +184,7 @@
 			}
 		}
 		v, _ := k.List()
-		if want := registry.SubsetOf(7, nodes, servers); !v.Subset.Covers(want) || len(v.Endpoints) < min(servers, 100) || changes != 1 {
+		if want := registry.SubsetOf(7, proxies, servers); !v.Subset.Covers(want) || len(v.Endpoints) < min(servers, 100) || changes != 1 {
 			t.Errorf("%d endpoints: the client accepts %v with %d of them, want %v", servers, v.Subset, len(v.Endpoints), want)
 		}
 		if bytes > 4*max(len(v.Endpoints), 1) {
@@ -193,7 +193,7 @@
 		if servers < 18000 {
 			continue
 		}
-		nodes = 1000 // this proxy now assumes a smaller fleet, in which each proxy uses more endpoints
+		proxies = 1000 // this proxy now assumes a smaller fleet, in which each proxy uses more endpoints
 		if _, q, _ := k.callTo(s, func() {}); q.from == 0 {
 			t.Errorf("the client moves at once: %+v", q)
 		}
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -82,7 +82,7 @@
 	return r, err
 }
 
-// Renew restarts the TTL of entries and returns the names of those that have to be registered again.
+// Renew restarts the TTL of entries and returns the names of the entries that have to be registered again.
 func (k *Client) Renew(ctx context.Context, names []string) (unknown []string, err error) {
 	var r registry.Renewal
 	err = k.send(ctx, http.MethodPost, "/registry/renew", registry.Renewal{Names: names}, &r)
@@ -105,9 +105,9 @@
 
 // Replicas lists the replicas.
 func (k *Client) Replicas(ctx context.Context) ([]registry.Replica, error) {
-	var all []registry.Replica
-	err := k.send(ctx, http.MethodGet, "/registry/members", nil, &all)
-	return all, err
+	var replicas []registry.Replica
+	err := k.send(ctx, http.MethodGet, "/registry/members", nil, &replicas)
+	return replicas, err
 }
 
 // AddReplica adds a replica that was started on an empty folder, and waits until it votes. If the address is
--- a/internal/registry/server/backup.go
+++ b/internal/registry/server/backup.go
@@ -10,7 +10,7 @@
 )
 
 // maxRestoreBytes bounds the size of a backup that is restored. The largest list with all records takes five
-// sixths.
+// sixths of it.
 const maxRestoreBytes = 80 << 20
 
 // backup responds with the complete current state, with a checksum.
@@ -31,8 +31,8 @@
 }
 
 // restore replaces the state by a backup, under a new epoch. The call names the epoch of the list to be
-// replaced, so that it can't replace the list of another cluster, and a write id, so that a repeat does not
-// restore again.
+// replaced, so that it can't replace the list of another cluster. It also has a write id, so that a repeat of
+// the call does not restore again.
 func (s *Server) restore(w http.ResponseWriter, r *http.Request) {
 	body, ok := readBody(w, r, maxRestoreBytes)
 	if !ok {
@@ -63,5 +63,5 @@
 	if err == nil && result.Code == registry.Applied {
 		s.log.Warn("backup restored", "epoch", c.Epoch, "version", result.Version)
 	}
-	s.finish(w, result, err)
+	s.writeResult(w, result, err)
 }
--- a/internal/registry/server/cold_fleet_test.go
+++ b/internal/registry/server/cold_fleet_test.go
@@ -28,26 +28,26 @@
 
 func (c *statusRecorder) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
-// TestColdFleetReadsEachSubsetOnce lets 300 clients start at once with one slot for each 75 of them, as 64
-// slots are for 4,300 proxies, and with all slots taken at first. Each client gets its subset and reads each
-// complete subset once, however often it was rejected: a narrow one, from which it learns the total, and then
-// the right one.
+// TestColdFleetReadsEachSubsetOnce lets 300 clients start at once. There is a slot for complete reads for
+// each 75 clients, similar to 64 slots for 4,300 proxies, and all slots are taken at first. Each client gets
+// its subset and reads each complete subset once, however often it was rejected: a narrow subset, from which
+// it learns the total, and then the subset that it needs.
 func TestColdFleetReadsEachSubsetOnce(t *testing.T) {
-	const clients, places, servers, nodes = 300, 4, 150, 4300
+	const clients, slots, servers, proxies = 300, 4, 150, 4300
 	m := &machine{state: registry.NewState()}
-	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newLeaderContact(), completeReads: make(chan struct{}, places), ctx: t.Context()}
+	s := &Server{config: Default(), machine: m, listHub: newHub(m), contact: newLeaderContact(), completeReads: make(chan struct{}, slots), ctx: t.Context()}
 	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	for i := range servers {
 		m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry(fmt.Sprint("s", i), 1)})
 	}
-	s.hub.publishList(m.state)
+	s.listHub.publishList(m.state)
 	s.contact.caughtUp.Store(true)
 	var sent, rejected atomic.Int32
 	allRejected := make(chan struct{})
 	closeAllRejected := sync.OnceFunc(func() { close(allRejected) })
 	front := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := &statusRecorder{w, http.StatusOK}
-		s.instances(c, r)
+		s.readList(c, r)
 		switch {
 		case r.URL.Query().Has("from"):
 		case c.status == http.StatusTooManyRequests:
@@ -62,20 +62,20 @@
 	front.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, 0)
 	front.Start()
 	defer front.Close()
-	for range places {
+	for range slots {
 		s.completeReads <- struct{}{}
 	}
-	wantedSubset := func(i, total int) registry.Subset { return registry.SubsetOf(i, nodes, endpointsPerEntry*total) }
+	wantedSubset := func(i, total int) registry.Subset { return registry.SubsetOf(i, proxies, endpointsPerEntry*total) }
 	ctx, stop := context.WithCancel(t.Context())
 	var tasks, pending sync.WaitGroup
 	defer tasks.Wait()
 	defer stop()
 	pending.Add(clients)
-	wide := 0
+	needWider := 0
 	for i := range clients {
 		first := wantedSubset(i, registry.MaxEndpoints/endpointsPerEntry)
 		if !first.Covers(wantedSubset(i, servers)) {
-			wide++
+			needWider++
 		}
 		var once sync.Once
 		k, err := client.New(client.Config{Addresses: []string{strings.TrimPrefix(front.URL, "http://")},
@@ -99,11 +99,11 @@
 	if n := sent.Load(); n != 0 {
 		t.Errorf("%d complete subsets are sent although all slots are taken", n)
 	}
-	for range places {
+	for range slots {
 		<-s.completeReads
 	}
 	pending.Wait()
-	if n := int(sent.Load()); n != clients+wide || wide < clients/2 {
-		t.Errorf("%d complete subsets are sent to %d clients, of which %d need a second one", n, clients, wide)
+	if n := int(sent.Load()); n != clients+needWider || needWider < clients/2 {
+		t.Errorf("%d complete subsets are sent to %d clients, of which %d need a second one", n, clients, needWider)
 	}
 }
--- a/internal/registry/server/complete_reads_test.go
+++ b/internal/registry/server/complete_reads_test.go
@@ -9,20 +9,20 @@
 	"wrenspread/internal/registry"
 )
 
-// TestCompleteSubsetsArePaced checks that readers of complete subsets get a Retry-After while all slots are
-// taken, and that changes, and the list for readers that name no subset, are not delayed.
-func TestCompleteSubsetsArePaced(t *testing.T) {
+// TestCompleteSubsetReadsAreLimited checks that readers of complete subsets get a Retry-After while all slots
+// are taken. Reads of changes, and reads of the list that name no subset, need no slot.
+func TestCompleteSubsetReadsAreLimited(t *testing.T) {
 	m := &machine{state: registry.NewState()}
-	s := &Server{config: Default(), machine: m, hub: newHub(m), contact: newLeaderContact(), completeReads: make(chan struct{}, 1), ctx: context.Background()}
+	s := &Server{config: Default(), machine: m, listHub: newHub(m), contact: newLeaderContact(), completeReads: make(chan struct{}, 1), ctx: context.Background()}
 	m.state.Apply(registry.Command{Op: registry.OpBegin, Epoch: "e"})
 	m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("s", 1)})
-	s.hub.publishList(m.state)
+	s.listHub.publishList(m.state)
 	s.contact.caughtUp.Store(true)
-	gone, cancel := context.WithCancel(context.Background())
+	cancelledCtx, cancel := context.WithCancel(context.Background())
 	cancel() // ends the wait for a slot at once
 	get := func(query string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
-		s.instances(w, httptest.NewRequestWithContext(gone, http.MethodGet, "/registry/instances"+query, nil))
+		s.readList(w, httptest.NewRequestWithContext(cancelledCtx, http.MethodGet, "/registry/instances"+query, nil))
 		return w
 	}
 	for busy, want := range map[bool]int{false: 200, true: 429} {
--- a/internal/registry/server/config.go
+++ b/internal/registry/server/config.go
@@ -16,16 +16,16 @@
 	Folder string `koanf:"folder"` // folder of its log and snapshots
 	Listen string `koanf:"listen"` // address for HTTP
 	Raft   string `koanf:"raft"`   // address for the other replicas; empty: this replica is the only one
-	// Begin makes this replica start the cluster if its folder is empty. It is set at one replica, once.
+	// Bootstrap makes this replica start the cluster if its folder is empty. It is set at one replica, once.
 	Bootstrap bool `koanf:"begin"`
-	// Election is the election timeout: a new leader is elected after one to two times this duration without a
-	// message from the leader.
+	// ElectionTimeout is how long replicas wait for a message from the leader: a new leader is elected after one
+	// to two times this duration.
 	ElectionTimeout time.Duration `koanf:"election"`
-	// Replicas lists the replicas that start the cluster or, at a replica that is added, those that it joins;
-	// this replica included.
+	// Replicas lists the replicas that start the cluster. At a replica that is added, it lists the replicas that
+	// it joins. It always includes this replica.
 	Replicas []Replica `koanf:"replica"`
-	// Snapshot is the number of log entries after which a snapshot is made. Half as many entries before the
-	// snapshot are retained.
+	// SnapshotThreshold is the number of log entries after which a snapshot is made. Half as many entries before
+	// the snapshot are retained.
 	SnapshotThreshold uint64 `koanf:"snapshot"`
 
 	MaxWatchers int     `koanf:"max_watchers"` // watches that may wait at the same time
@@ -53,45 +53,45 @@
 
 // Check validates a configuration. The error names the keys of all invalid settings.
 func (c Config) Check() error {
-	var f config.Problems
-	bad, address := f.Require, f.RequireAddress
-	bad(c.Name != "", "name: missing")
-	bad(c.Folder != "", "folder: missing; it is where the log and the snapshots go")
-	address("listen", c.Listen)
-	bad(
+	var problems config.Problems
+	require, requireAddress := problems.Require, problems.RequireAddress
+	require(c.Name != "", "name: missing")
+	require(c.Folder != "", "folder: missing; the log and the snapshots are stored there")
+	requireAddress("listen", c.Listen)
+	require(
 		c.ElectionTimeout >= 50*time.Millisecond && c.ElectionTimeout <= time.Minute,
 		"election: %v is not between 50ms and 1m",
 		c.ElectionTimeout,
 	)
-	bad(c.MaxWatchers > 0, "max_watchers: %d is not above 0", c.MaxWatchers)
-	bad(c.MaxWrites > 0, "max_writes: %v is not above 0", c.MaxWrites)
-	bad(c.SnapshotThreshold >= 16, "snapshot: %d entries are too few, want 16 or more", c.SnapshotThreshold)
+	require(c.MaxWatchers > 0, "max_watchers: %d is not above 0", c.MaxWatchers)
+	require(c.MaxWrites > 0, "max_writes: %v is not above 0", c.MaxWrites)
+	require(c.SnapshotThreshold >= 16, "snapshot: %d entries are too few, want 16 or more", c.SnapshotThreshold)
 	if c.Raft != "" || len(c.Replicas) > 0 {
-		address("raft", c.Raft)
+		requireAddress("raft", c.Raft)
 	}
 	if len(c.Replicas) == 0 {
-		return f.Err()
+		return problems.Err()
 	}
 	names := map[string]bool{}
 	for i, r := range c.Replicas {
-		bad(r.Name != "" && !names[r.Name], "replica %d: name %q is missing or there twice", i+1, r.Name)
+		require(r.Name != "" && !names[r.Name], "replica %d: name %q is empty or a duplicate", i+1, r.Name)
 		names[r.Name] = true
-		address(fmt.Sprintf("replica %s: raft", r.Name), r.Raft)
-		address(fmt.Sprintf("replica %s: http", r.Name), r.HTTP)
+		requireAddress(fmt.Sprintf("replica %s: raft", r.Name), r.Raft)
+		requireAddress(fmt.Sprintf("replica %s: http", r.Name), r.HTTP)
 	}
-	bad(names[c.Name], "replica: %s itself is not among them", c.Name)
-	bad(
+	require(names[c.Name], "replica: %s, this replica, is not listed", c.Name)
+	require(
 		!c.Bootstrap || len(c.Replicas)%2 == 1 && len(c.Replicas) <= 5,
-		"replica: %d are to begin, want 1, 3 or 5",
+		"replica: %d replicas are to begin the cluster, want 1, 3 or 5",
 		len(c.Replicas),
 	)
-	bad(
+	require(
 		len(c.Replicas) <= registry.MaxReplicas,
-		"replica: there are %d, %d at most",
+		"replica: %d replicas, want at most %d",
 		len(c.Replicas),
 		registry.MaxReplicas,
 	)
-	return f.Err()
+	return problems.Err()
 }
 
 // find returns a replica by name.
--- a/internal/registry/server/contact.go
+++ b/internal/registry/server/contact.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// leaderContact records whether this replica has been without a leader for longer than an election takes.
-// Then its list may be out of date, and readers that know other replicas are sent to those.
+// leaderContact records whether this replica has been without a leader for longer than an election takes. A
+// replica without a leader is cut off: its list may be out of date, and it rejects watchers that can call
+// other replicas.
 type leaderContact struct {
 	caughtUp atomic.Bool // the entries that the log had at the start of the process have been applied
 	mu       sync.Mutex
-	lost     bool          // the replica is cut off from the leader
+	cutOff   bool          // the replica is cut off from the leader
 	changed  chan struct{} // closed and replaced when lost changes
 }
 
@@ -22,7 +23,7 @@
 // cut off.
 const cutOffElectionTimeouts = 2
 
-// run checks for a leader, as the function leader names it, until ctx ends.
+// run checks periodically until ctx ends whether leader returns the name of a leader.
 func (c *leaderContact) run(ctx context.Context, election time.Duration, leader func() string) {
 	t := time.NewTicker(election / 2)
 	defer t.Stop()
@@ -36,34 +37,35 @@
 		if leader() != "" {
 			lastSeen = time.Now()
 		}
-		c.set(time.Since(lastSeen) >= cutOffElectionTimeouts*election)
+		c.setCutOff(time.Since(lastSeen) >= cutOffElectionTimeouts*election)
 	}
 }
 
-// set records whether the replica is cut off.
-func (c *leaderContact) set(lost bool) {
+// setCutOff records whether the replica is cut off.
+func (c *leaderContact) setCutOff(cutOff bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if lost == c.lost {
+	if cutOff == c.cutOff {
 		return
 	}
-	c.lost = lost
+	c.cutOff = cutOff
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // state returns whether the replica is cut off, and a channel that is closed when this changes.
-func (c *leaderContact) state() (lost bool, changed <-chan struct{}) {
+func (c *leaderContact) state() (cutOff bool, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lost, c.changed
+	return c.cutOff, c.changed
 }
 
-// replay sets caughtUp once the state machine has applied the entries that the log had when it was opened.
-// Raft's own applied index runs ahead of the state machine, and the last entries of the log may have been
-// replaced. So the state machine has also caught up if raft is past these entries and the machine's index did
-// not change between two checks.
-func (c *leaderContact) replay(ctx context.Context, every time.Duration, r *replica, m *machine) {
+// awaitReplay sets caughtUp once the state machine has applied the entries that the log had when it was
+// opened. Raft's own applied index runs ahead of the state machine, and the last of these entries may have
+// been replaced, so that the machine's index does not reach lastIndexAtOpen. The state machine therefore also
+// counts as caught up if raft's applied index has reached lastIndexAtOpen and the machine's index did not
+// change between two checks.
+func (c *leaderContact) awaitReplay(ctx context.Context, every time.Duration, r *replica, m *machine) {
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for lastIndex, wasPast := uint64(0), false; ; {
--- a/internal/registry/server/damaged_log_test.go
+++ b/internal/registry/server/damaged_log_test.go
@@ -21,8 +21,8 @@
 	"wrenspread/internal/registry"
 )
 
-// TestDamagedLogIsRejectedOrConsistent truncates or overwrites a log at random places. The replica then
-// serves a list that it had, or stops with an error; it never panics and never serves another list.
+// TestDamagedLogIsRejectedOrConsistent truncates or overwrites a log at random positions. The replica then
+// serves a list that it had before, or stops with an error. It never panics or serves another list.
 func TestDamagedLogIsRejectedOrConsistent(t *testing.T) {
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
@@ -36,16 +36,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	chance := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	rejected, served := 0, 0
 	for range 60 {
 		damaged := slices.Clone(intact)
-		at := chance.IntN(len(damaged))
-		if chance.IntN(2) == 0 {
+		at := rng.IntN(len(damaged))
+		if rng.IntN(2) == 0 {
 			damaged = damaged[:at]
 		} else {
-			for i := at; i < min(len(damaged), at+1+chance.IntN(8192)); i++ {
-				damaged[i] = byte(chance.Uint32())
+			for i := at; i < min(len(damaged), at+1+rng.IntN(8192)); i++ {
+				damaged[i] = byte(rng.Uint32())
 			}
 		}
 		dir := t.TempDir()
--- a/internal/registry/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -11,8 +11,8 @@
 
 const (
 	expiryInterval = 100 * time.Millisecond // between two checks of the deadlines
-	// maxLoopDelay is how late a check may be before all TTLs are restarted: a process that was paused has not
-	// received the renewals of that time.
+	// maxLoopDelay is the delay of a check from which on all TTLs are restarted: the process was paused, and did
+	// not receive renewals during the pause.
 	maxLoopDelay = time.Second
 )
 
@@ -24,8 +24,8 @@
 	log     *slog.Logger
 
 	mu        sync.Mutex
-	deadlines *registry.EndpointExpiry // nil while another leads
-	retained  int                      // overdue entries that do not expire, as too many are overdue
+	deadlines *registry.EndpointExpiry // nil while this replica does not lead
+	retained  int                      // number of overdue entries that do not expire, as too many are overdue
 	expired   int                      // number of entries expired so far
 }
 
@@ -35,9 +35,9 @@
 // applied all earlier commands.
 func (x *expiry) startLeading() {
 	x.machine.mu.RLock()
-	items := x.machine.state.Registrations()
+	registrations := x.machine.state.Registrations()
 	x.mu.Lock() // locked before the machine is unlocked, so that no change is missed
-	x.deadlines, x.retained = registry.NewEndpointExpiry(items, x.now()), 0
+	x.deadlines, x.retained = registry.NewEndpointExpiry(registrations, x.now()), 0
 	x.mu.Unlock()
 	x.machine.mu.RUnlock()
 }
@@ -58,12 +58,12 @@
 	}
 	switch c.Op {
 	case registry.OpRegister:
-		if i, ok := state.Registration(c.Endpoint.Name); ok {
-			x.deadlines.Set(i, x.now())
+		if registration, ok := state.Registration(c.Endpoint.Name); ok {
+			x.deadlines.Set(registration, x.now())
 		}
 	case registry.OpDrain:
-		if i, ok := state.Registration(c.Name); ok {
-			x.deadlines.Set(i, x.now())
+		if registration, ok := state.Registration(c.Name); ok {
+			x.deadlines.Set(registration, x.now())
 		}
 	case registry.OpRemove:
 		if _, exists := state.Registration(c.Name); !exists {
@@ -74,8 +74,8 @@
 	}
 }
 
-// renew restarts the TTL of entries and returns the names of those without a time to live. ok is false if
-// this replica does not lead.
+// renew restarts the TTL of entries and returns the names without an entry that has a time to live. ok is
+// false if this replica does not lead.
 func (x *expiry) renew(names []string) (unknown []string, ok bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -161,8 +161,8 @@
 		x.mu.Lock()
 		x.expired += len(batch)
 		x.mu.Unlock()
-		for _, l := range batch {
-			x.log.Info("endpoint expired", "entry", l.Name)
+		for _, expired := range batch {
+			x.log.Info("endpoint expired", "entry", expired.Name)
 		}
 	}
 }
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -71,13 +71,13 @@
 	if err := s.open(); err != nil {
 		f.Fatal(err)
 	}
-	s.tasks.Go(func() { s.hub.run(s.ctx.Done()) })
+	s.tasks.Go(func() { s.listHub.run(s.ctx.Done()) })
 	s.tasks.Go(func() { s.leaseHub.run(s.ctx.Done()) })
 	s.tasks.Go(s.followLeader)
 	s.http = &http.Server{}
 	f.Cleanup(func() { _ = s.shutdown() })
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
-		if _, epoch := s.hub.current(); epoch != "" {
+		if _, epoch := s.listHub.current(); epoch != "" {
 			break
 		} else if time.Now().After(until) {
 			f.Fatal("the list gets no epoch")
--- a/internal/registry/server/hub.go
+++ b/internal/registry/server/hub.go
@@ -13,14 +13,14 @@
 	wakePause = 200 * time.Microsecond
 )
 
-// hub lets watchers wait until there is a newer version for them, and caches encoded responses, so that
-// watchers with the same version of the same subset share them. It finds the watchers affected by a change
+// hub lets watchers wait until there is a newer version for them. It caches encoded responses, which are
+// shared by watchers with the same version of the same subset. It finds the watchers affected by a change
 // through the subsets that contain the change, without visiting other watchers.
 type hub struct {
 	machine       *machine
 	mu            sync.Mutex
 	subsets       map[registry.Subset]*subsetState
-	pruneAt       int               // number of subsets above which those without watchers are deleted
+	pruneAt       int               // number of subsets above which subsets without watchers are deleted
 	ahead         map[*watcher]bool // watchers whose version is above this replica's
 	dueGroups     []*watcherGroup   // groups to be woken
 	watcherCount  int               // number of watchers in all groups and in ahead
@@ -34,8 +34,8 @@
 
 // subsetState holds the watchers of a subset and the responses cached for it.
 type subsetState struct {
-	waiting *watcherGroup               // nil: no watcher has come since the subset's last change
-	answers map[uint64]encodedEndpoints // by the reader's version; dropped when the subset changes
+	waiting   *watcherGroup               // nil: no watcher has come since the subset's last change
+	responses map[uint64]encodedEndpoints // by the reader's version; dropped when the subset changes
 }
 
 // watcherGroup holds the watchers of a subset that have come since the last change of the subset.
@@ -54,8 +54,8 @@
 	}
 }
 
-// publish sets the version of the state and that of the newest change. If there is a newer change, it marks
-// all watchers to be woken, whatever they watch. It does not block.
+// publish sets the version of the state and the version of the newest change. If there is a newer change, it
+// marks all watchers to be woken, whatever they watch. It does not block.
 func (h *hub) publish(version, newest uint64, epoch string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -98,7 +98,7 @@
 	if state == nil {
 		return
 	}
-	h.dropAnswers(state)
+	h.dropResponses(state)
 	if state.waiting != nil {
 		state.waiting.due, state.waiting.after = true, after
 		h.dueGroups, state.waiting = append(h.dueGroups, state.waiting), nil
@@ -127,7 +127,7 @@
 		case <-done:
 			return
 		}
-		for h.wakeSome() {
+		for h.wakeNextBatch() {
 			select {
 			case <-time.After(wakePause):
 			case <-done:
@@ -137,8 +137,8 @@
 	}
 }
 
-// wakeSome wakes a batch of watchers and reports whether there may be more to wake.
-func (h *hub) wakeSome() bool {
+// wakeNextBatch wakes a batch of watchers and reports whether there may be more to wake.
+func (h *hub) wakeNextBatch() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	woken := 0
--- a/internal/registry/server/leases.go
+++ b/internal/registry/server/leases.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// order returns the handler of an operator's order on a lease.
-func (s *Server) order(op string) http.HandlerFunc {
+// leaseOrder returns the handler of an operator's order on a lease.
+func (s *Server) leaseOrder(op string) http.HandlerFunc {
 	return s.leaderOnly(maxBodyBytes, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.LeaseOrder
 		if readJSON(w, r, &body) {
@@ -80,12 +80,13 @@
 		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
 		return
 	}
-	result, err := s.sessions.applyPaced(c)
-	s.finish(w, result, err)
+	result, err := s.sessions.applyWithGrants(c)
+	s.writeResult(w, result, err)
 }
 
-// renewSessions renews sessions. Renewals are not logged. Before it renews, this replica verifies with a
-// quorum that it still leads: a later leader then restarts the TTL of these sessions after the present time.
+// renewSessions renews sessions. Renewals are not written to raft's log. Before it renews, this replica
+// verifies with a quorum that it still leads. Any later leader therefore restarts the TTL of these sessions
+// after this renewal.
 func (s *Server) renewSessions(w http.ResponseWriter, r *http.Request) {
 	var body registry.SessionRenewal
 	if !readJSON(w, r, &body) {
@@ -101,8 +102,8 @@
 		)
 		return
 	}
-	if err := s.replica.verify(); err != nil {
-		s.finish(w, registry.Result{}, err)
+	if err := s.replica.verifyLeadership(); err != nil {
+		s.writeResult(w, registry.Result{}, err)
 		return
 	}
 	unknown, ok := s.sessions.renew(body.Sessions)
@@ -113,7 +114,7 @@
 	writeJSON(w, http.StatusOK, registry.SessionRenewal{Unknown: unknown})
 }
 
-// readLeases answers reads and watches of leases with the state of this replica.
+// readLeases responds to a read or a watch of leases with the state of this replica.
 func (s *Server) readLeases(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	if err != nil {
@@ -127,27 +128,28 @@
 		return
 	}
 	s.machine.mu.RLock()
-	a := registry.LeasesResponse{
+	response := registry.LeasesResponse{
 		Index:  s.machine.state.LeasesVersion(),
 		Epoch:  s.machine.state.Epoch(),
 		Leases: []registry.Lease{},
 	}
 	session := r.URL.Query().Get("session")
-	all, known := s.machine.state.Leases(session)
+	leases, known := s.machine.state.Leases(session)
 	if session == "" {
-		a.Sessions = s.machine.state.Sessions()
+		response.Sessions = s.machine.state.Sessions()
 	}
 	s.machine.mu.RUnlock()
 	if !known {
 		writeError(w, http.StatusNotFound, string(registry.NotFound), "there is no session "+session, 0)
 		return
 	}
-	a.Leases = append(a.Leases, all...)
-	writeJSON(w, http.StatusOK, a)
+	response.Leases = append(response.Leases, leases...)
+	writeJSON(w, http.StatusOK, response)
 }
 
 // holdLeaseWatch waits until a lease has changed since the reader's version, or the hold is over. A replica
-// that is cut off answers such a call at once. It returns false if the call has been answered with an error.
+// that is cut off rejects such a call at once. holdLeaseWatch returns false if it has responded with an error
+// or the client has closed the call.
 func (s *Server) holdLeaseWatch(w http.ResponseWriter, r *http.Request, q query) bool {
 	_, ok := s.await(w, r, s.leaseHub, query{from: q.from}, q.hold, 0)
 	return ok
--- a/internal/registry/server/leases_test.go
+++ b/internal/registry/server/leases_test.go
@@ -21,9 +21,10 @@
 	return a
 }
 
-// TestLeasePassesOverHTTPAndRestart lets a session expire over a restart on the same folder. The next session
-// gets its lease with a higher fencing token, and writes of the earlier holder are rejected.
-func TestLeasePassesOverHTTPAndRestart(t *testing.T) {
+// TestExpiredLeaseIsGrantedAgainAfterRestart lets a session expire around a restart on the same folder. The
+// next session is granted the lease with a higher fencing token, and writes of the earlier holder are
+// rejected.
+func TestExpiredLeaseIsGrantedAgainAfterRestart(t *testing.T) {
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
 	open := func(id string, ttl time.Duration) {
@@ -32,23 +33,23 @@
 	campaign := func(id string) {
 		callUntilOK(t, "POST", url+"/registry/sessions/"+id+"/campaign", `{"duties":[{"duty":"d"}]}`)
 	}
-	waitForLease := func(by string) registry.Lease { // waits until the session holds the lease
+	waitForLease := func(session string) registry.Lease { // waits until the session holds the lease
 		t.Helper()
-		for a, until := getLeases(t, url, "?session="+by), time.Now().Add(enough); ; a = getLeases(t, url, fmt.Sprintf("?session=%s&from=%d&hold_ms=1000", by, a.Index)) {
-			if len(a.Leases) == 1 && a.Leases[0].Holder == by {
+		for a, until := getLeases(t, url, "?session="+session), time.Now().Add(enough); ; a = getLeases(t, url, fmt.Sprintf("?session=%s&from=%d&hold_ms=1000", session, a.Index)) {
+			if len(a.Leases) == 1 && a.Leases[0].Holder == session {
 				return a.Leases[0]
 			} else if time.Now().After(until) {
-				t.Fatalf("session %s does not get the lease: %+v", by, a)
+				t.Fatalf("session %s does not get the lease: %+v", session, a)
 			}
 		}
 	}
 	open("x", 2*enough) // too long to expire in a pause of this machine
 	campaign("x")
 	first := waitForLease("x")
-	fenced := func(f uint64) (int, string) {
+	registerWithToken := func(f uint64) (int, string) {
 		return register(t, url, "a", fmt.Sprintf(`,"fence":{"duty":"d","fence":%d}`, f))
 	}
-	if status, body := fenced(first.Token); status != 200 {
+	if status, body := registerWithToken(first.Token); status != 200 {
 		t.Error(status, body)
 	}
 	open("x", 600*time.Millisecond) // from here on the session may expire at any time
@@ -63,7 +64,7 @@
 	if second := waitForLease("y"); second.Token <= first.Token {
 		t.Errorf("fencing token %d after %d", second.Token, first.Token)
 	}
-	if status, body := fenced(first.Token); status != 409 || !strings.Contains(body, `"fenced"`) {
+	if status, body := registerWithToken(first.Token); status != 409 || !strings.Contains(body, `"fenced"`) {
 		t.Errorf("the earlier holder's write: %d %s", status, body)
 	}
 	if status, body := call(t, "POST", url+"/registry/sessions/renew", `{"sessions":["x"]}`); status != 200 || !strings.Contains(body, `"x"`) {
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestGrantsAreRateLimited lets candidates crash in a loop: they do not pass a lease around faster than the
-// limit on grants allows.
+// TestGrantsAreRateLimited lets candidates crash in a loop. The lease is not granted more often than the limit
+// on grants allows.
 func TestGrantsAreRateLimited(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
--- a/internal/registry/server/list_response.go
+++ b/internal/registry/server/list_response.go
@@ -15,26 +15,26 @@
 // Responses to watchers and readers of the list.
 
 const (
-	maxAnswersPerSubset = 64       // cached responses for one subset: its watchers have few different versions
-	maxCachedBytes      = 64 << 20 // of all cached responses; a larger response is cached alone
+	maxResponsesPerSubset = 64       // cached responses for one subset: its watchers have few different versions
+	maxCachedBytes        = 64 << 20 // size of all cached responses; a larger response is cached alone
 
-	// maxCompleteReads bounds the complete subsets that are encoded and sent at the same time, for fleets whose
-	// proxies all start at once.
+	// maxCompleteReads bounds the number of complete subsets that are encoded and sent at the same time, in case
+	// all proxies of a fleet start at once.
 	maxCompleteReads        = 64
 	completeReadWait        = time.Second     // wait for a slot, before a reader is rejected with Retry-After
 	completeReadTimeout     = 5 * time.Second // for sending a complete subset; by then the reader has given up
 	completeReadRetrySpread = 4               // seconds over which the retries of rejected readers are spread
 )
 
-// encodedEndpoints holds the encoded entries of a response. They are valid until the subset changes, whatever
-// the version of the list is by then.
+// encodedEndpoints holds the encoded entries of a response. They are valid until the subset changes, even if
+// the version of the list has changed.
 type encodedEndpoints struct {
 	snapshot  bool
 	endpoints []byte
 }
 
 // subset returns the state of a subset and creates it if it is missing. If there are more than pruneAt
-// subsets, it first deletes those without watchers.
+// subsets, it first deletes the subsets without watchers.
 func (h *hub) subset(p registry.Subset) *subsetState {
 	state := h.subsets[p]
 	if state != nil {
@@ -43,49 +43,49 @@
 	if len(h.subsets) > h.pruneAt {
 		for other, otherState := range h.subsets {
 			if otherState.waiting == nil || len(otherState.waiting.watchers) == 0 {
-				h.dropAnswers(otherState)
+				h.dropResponses(otherState)
 				delete(h.subsets, other)
 			}
 		}
-		h.pruneAt = 2*len(h.subsets) + maxAnswersPerSubset
+		h.pruneAt = 2*len(h.subsets) + maxResponsesPerSubset
 	}
-	state = &subsetState{answers: map[uint64]encodedEndpoints{}}
+	state = &subsetState{responses: map[uint64]encodedEndpoints{}}
 	h.subsets[p] = state
 	return state
 }
 
-// dropAnswers drops the cached responses for a subset.
-func (h *hub) dropAnswers(state *subsetState) {
-	for from, encoded := range state.answers {
+// dropResponses drops the cached responses for a subset.
+func (h *hub) dropResponses(state *subsetState) {
+	for from, encoded := range state.responses {
 		h.cachedBytes -= len(encoded.endpoints)
-		delete(state.answers, from)
+		delete(state.responses, from)
 	}
 }
 
-// cacheAnswer caches the response to readers of version from of a subset.
-func (h *hub) cacheAnswer(p registry.Subset, from uint64, encoded encodedEndpoints) {
+// cacheResponse caches the response to readers of version from of a subset.
+func (h *hub) cacheResponse(p registry.Subset, from uint64, encoded encodedEndpoints) {
 	if h.cachedBytes+len(encoded.endpoints) > maxCachedBytes {
 		for _, state := range h.subsets {
-			h.dropAnswers(state)
+			h.dropResponses(state)
 		}
 	}
 	state := h.subset(p)
-	if len(state.answers) >= maxAnswersPerSubset {
-		h.dropAnswers(state)
+	if len(state.responses) >= maxResponsesPerSubset {
+		h.dropResponses(state)
 	}
-	h.cachedBytes += len(encoded.endpoints) - len(state.answers[from].endpoints)
-	state.answers[from] = encoded
+	h.cachedBytes += len(encoded.endpoints) - len(state.responses[from].endpoints)
+	state.responses[from] = encoded
 }
 
-// answer returns the encoded response to a query: the JSON before the entries, and the entries. The caller
-// appends the closing brace.
-func (h *hub) answer(q query) (head, entries []byte, err error) {
+// encodeResponse returns the encoded response to a query: the JSON before the entries, and the entries. The
+// caller appends the closing brace.
+func (h *hub) encodeResponse(q query) (head, entries []byte, err error) {
 	h.mu.Lock()
 	encoded, ok := encodedEndpoints{}, false
 	if state := h.subsets[q.subset]; state != nil && q.from <= h.version {
-		encoded, ok = state.answers[q.from]
+		encoded, ok = state.responses[q.from]
 	}
-	a, total := registry.ListResponse{
+	response, total := registry.ListResponse{
 		Index:    h.version,
 		Epoch:    h.epoch,
 		Snapshot: encoded.snapshot,
@@ -93,31 +93,31 @@
 	h.mu.Unlock()
 	if !ok {
 		h.machine.mu.RLock()
-		a, total = h.machine.state.SubsetSince(q.subset, q.from), h.machine.state.Len()
+		response, total = h.machine.state.SubsetSince(q.subset, q.from), h.machine.state.Len()
 		h.machine.mu.RUnlock()
-		encoded = encodedEndpoints{snapshot: a.Snapshot}
-		if encoded.endpoints, err = json.Marshal(a.Endpoints); err != nil {
+		encoded = encodedEndpoints{snapshot: response.Snapshot}
+		if encoded.endpoints, err = json.Marshal(response.Endpoints); err != nil {
 			return nil, nil, err
 		}
 		h.mu.Lock()
-		if a.Index == h.version && a.Epoch == h.epoch {
-			h.cacheAnswer(q.subset, q.from, encoded)
+		if response.Index == h.version && response.Epoch == h.epoch {
+			h.cacheResponse(q.subset, q.from, encoded)
 		}
 		h.mu.Unlock()
 	}
-	a.Endpoints = []registry.Endpoint{}
+	response.Endpoints = []registry.Endpoint{}
 	if q.namesSubset {
-		a.Subset, a.Total = q.subset.String(), total
+		response.Subset, response.Total = q.subset.String(), total
 	}
-	head, err = json.Marshal(a)
+	head, err = json.Marshal(response)
 	return head[:len(head)-len("[]}")], encoded.endpoints, err
 }
 
-// answer responds with the changes since the reader's version. A reader whose version is above this replica's
-// never gets an older list: a reader with an epoch gets the error "behind", which sends it to another
-// replica, and a reader without an epoch gets no changes.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, q query) {
-	version, epoch := s.hub.current()
+// respondWithList responds with the changes since the reader's version, or with all entries. A reader whose
+// version is above this replica's version never gets an older list: if the reader knows the epoch, it gets
+// the error "behind" and calls another replica; otherwise it gets a response without changes.
+func (s *Server) respondWithList(w http.ResponseWriter, r *http.Request, q query) {
+	version, epoch := s.listHub.current()
 	if q.epoch != "" && q.epoch != epoch {
 		q.from = 0
 	}
@@ -138,12 +138,12 @@
 			return
 		}
 		defer func() { <-s.completeReads }()
-		send := http.NewResponseController(w)
+		controller := http.NewResponseController(w)
 		// an error means that the writer supports no deadline
-		besteffort.SocketOption(send.SetWriteDeadline(time.Now().Add(completeReadTimeout)))
-		defer func() { besteffort.SocketOption(send.SetWriteDeadline(time.Time{})) }()
+		besteffort.SocketOption(controller.SetWriteDeadline(time.Now().Add(completeReadTimeout)))
+		defer func() { besteffort.SocketOption(controller.SetWriteDeadline(time.Time{})) }()
 	}
-	head, entries, err := s.hub.answer(q)
+	head, entries, err := s.listHub.encodeResponse(q)
 	if err != nil {
 		writeError(w, http.StatusInternalServerError, "encoding", err.Error(), 0)
 		return
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -24,7 +24,7 @@
 	index    uint64 // index of the last applied log entry
 }
 
-// encode returns the logged form of a command. It has a checksum, so that damage on disk is detected.
+// encode returns the logged form of a command, with a checksum to detect damage on disk.
 func encode(c registry.Command) ([]byte, error) {
 	raw, err := c.Encode()
 	return checksumfile.Encode(raw), err
@@ -41,12 +41,12 @@
 	return registry.Decode(raw)
 }
 
-// errBroken is the result of commands from the first one on that could not be decoded.
+// errBroken is the result of a log entry that can't be decoded, and of all later entries.
 var errBroken = errors.New("this replica can't follow the log any further")
 
-// Apply applies a log entry. An entry that can't be decoded is damaged or was written by a later program. If
-// this replica skipped it, its state would differ from that of the others, so it applies no more entries and
-// stops.
+// Apply applies a log entry. An entry that can't be decoded is damaged or was written by a later version of
+// the program. If this replica skipped the entry, its state would differ from the state of the other
+// replicas, so it applies no more entries and stops.
 func (m *machine) Apply(l *raft.Log) any {
 	c, err := decode(l.Data)
 	m.mu.Lock()
@@ -76,7 +76,7 @@
 }
 
 // maxSnapshotBytes bounds the size of a snapshot that is read. The largest list with all records takes a
-// quarter.
+// quarter of it.
 const maxSnapshotBytes = 256 << 20
 
 // Restore replaces the state by a snapshot.
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -24,26 +24,26 @@
 		writeError(w, http.StatusServiceUnavailable, "members", err.Error(), time.Second)
 		return
 	}
-	all := []registry.Replica{}
+	replicas := []registry.Replica{}
 	for _, m := range servers {
-		all = append(all, s.describe(m))
+		replicas = append(replicas, s.describe(m))
 	}
-	writeJSON(w, http.StatusOK, all)
+	writeJSON(w, http.StatusOK, replicas)
 }
 
 // describe returns the API's form of a replica.
 func (s *Server) describe(m raft.Server) registry.Replica {
 	name := string(m.ID)
-	d := registry.Replica{
+	described := registry.Replica{
 		Name:   name,
 		Leader: name == s.replica.leader(),
 		Voter:  m.Suffrage == raft.Voter,
 		Self:   name == s.config.Name,
 	}
 	if a, ok := s.machine.replicaAddress(name); ok {
-		d.Address = &a
+		described.Address = &a
 	}
-	return d
+	return described
 }
 
 // addReplica adds a replica that has been started on an empty folder. The replica is a non-voter at first; a
@@ -66,7 +66,7 @@
 	}
 	servers, err := s.replica.servers()
 	if err != nil {
-		s.finish(w, registry.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
+		s.writeResult(w, registry.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
 		return
 	}
 	isNamed := func(m raft.Server) bool { return string(m.ID) == c.Name }
@@ -83,7 +83,7 @@
 	}
 	if known != address {
 		if result, err := s.replica.apply(c); err != nil || result.Code != registry.Applied {
-			s.finish(w, result, err)
+			s.writeResult(w, result, err)
 			return
 		}
 	}
@@ -101,14 +101,14 @@
 		servers, err = s.replica.servers()
 	}
 	if i = slices.IndexFunc(servers, isNamed); err != nil || i < 0 {
-		s.finish(w, registry.Result{}, removedError(err))
+		s.writeResult(w, registry.Result{}, removedError(err))
 		return
 	}
 	writeJSON(w, http.StatusOK, s.describe(servers[i]))
 }
 
-// removedError returns the error for a replica that is missing after it was added: another call has removed
-// it.
+// removedError returns the error for a replica that is missing after it was added. If err is nil, another
+// call has removed the replica.
 func removedError(err error) error {
 	if err == nil {
 		err = errors.New("it has been removed meanwhile")
@@ -120,7 +120,7 @@
 func (s *Server) upToDate(ctx context.Context, address registry.Address) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*behindWait)
 	defer cancel()
-	version, epoch := s.hub.current()
+	version, epoch := s.listHub.current()
 	q := url.Values{"from": {strconv.FormatUint(version, 10)}, "epoch": {epoch}}
 	req, err := http.NewRequestWithContext(
 		ctx,
@@ -141,12 +141,12 @@
 }
 
 // removeReplica removes a replica from the cluster. A leader that is to be removed transfers its leadership
-// and rejects the call; when the call is repeated, the successor removes it.
+// and rejects the call; the new leader removes it when the call is repeated.
 func (s *Server) removeReplica(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	servers, err := s.replica.servers()
 	if err != nil {
-		s.finish(w, registry.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
+		s.writeResult(w, registry.Result{}, fmt.Errorf("%w: %w", errNotLeading, err))
 		return
 	}
 	exists := slices.ContainsFunc(servers, func(m raft.Server) bool { return string(m.ID) == name })
@@ -176,6 +176,6 @@
 	if err = classifyRaftError(removal.Error()); err == nil {
 		_, err = s.replica.apply(registry.Command{Op: registry.OpForgetReplica, Name: name})
 	}
-	version, _ := s.hub.current()
-	s.finish(w, registry.Result{Version: version}, err)
+	version, _ := s.listHub.current()
+	s.writeResult(w, registry.Result{Version: version}, err)
 }
--- a/internal/registry/server/members_test.go
+++ b/internal/registry/server/members_test.go
@@ -13,8 +13,8 @@
 // pause for half of it without losing its leadership.
 var stableElection = Default().ElectionTimeout
 
-// TestClusterGrowsAndRemovesItsLeader lets a single replica grow to three while it serves. Then the first one
-// is removed although it leads, and the others continue to serve.
+// TestClusterGrowsAndRemovesItsLeader adds two replicas to a single replica while it serves. Then the first
+// replica is removed although it leads, and the others continue to serve.
 func TestClusterGrowsAndRemovesItsLeader(t *testing.T) {
 	at := map[string]string{}
 	for _, name := range []string{"r0", "r1", "r2"} {
--- a/internal/registry/server/rates.go
+++ b/internal/registry/server/rates.go
@@ -25,15 +25,15 @@
 func (r *rates) allow(client string, now time.Time) (wait time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.clients[client]
-	if l == nil {
+	limiter := r.clients[client]
+	if limiter == nil {
 		if len(r.clients) >= maxTrackedClients {
 			clear(r.clients)
 		}
-		l = rate.NewLimiter(rate.Limit(r.perSecond), max(1, int(2*r.perSecond)))
-		r.clients[client] = l
+		limiter = rate.NewLimiter(rate.Limit(r.perSecond), max(1, int(2*r.perSecond)))
+		r.clients[client] = limiter
 	}
-	reservation := l.ReserveN(now, 1)
+	reservation := limiter.ReserveN(now, 1)
 	if wait := reservation.DelayFrom(now); wait > 0 {
 		reservation.CancelAt(now)
 		return wait, false
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -14,17 +14,17 @@
 // maxWatchHold bounds the hold of a watch, as the protocol requires.
 const maxWatchHold = time.Minute
 
-// behindWait is how long a call whose version is above this replica's waits for the replica to catch up,
-// whatever its hold.
+// behindWait is the least time for which a call waits if its version is above this replica's version, so that
+// the replica can catch up.
 const behindWait = time.Second
 
 // maxCutOffHold is the longest time for which a watch waits at a replica that is cut off. A watch whose hold
-// is over waits at most half of it, which is a third of the client's grace for the response. The complete
-// time, together with two default election timeouts to lose a leader, two to count as cut off, and a client's
-// backoff and grace for the next call, is 4.8 s of the 6 s within which a change must be known.
+// is over waits for at most half of maxCutOffHold, which is a third of the client's grace for the response.
+// maxCutOffHold, two default election timeouts to lose a leader, two to count as cut off, and the client's
+// backoff and grace for the next call take 4.8 s of the 6 s within which a change must be known.
 const (
 	maxCutOffHold = time.Second
-	noCutOff      = time.Duration(math.MaxInt64) // for readers without an epoch, which are never sent elsewhere
+	noCutOff      = time.Duration(math.MaxInt64) // for readers without an epoch, which are never rejected
 )
 
 // query holds the parameters of a read or a watch.
@@ -61,8 +61,8 @@
 	return q, nil
 }
 
-// instances answers reads and watches of the list.
-func (s *Server) instances(w http.ResponseWriter, r *http.Request) {
+// readList responds to a read or a watch of the list.
+func (s *Server) readList(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	if err != nil {
 		writeError(w, http.StatusBadRequest, "bad", err.Error(), 0)
@@ -71,7 +71,7 @@
 	if q.current && !s.ensureCurrent(w, r) {
 		return
 	}
-	_, epoch := s.hub.current()
+	_, epoch := s.listHub.current()
 	if epoch == "" || q.from == 0 && !s.contact.caughtUp.Load() {
 		writeError(
 			w,
@@ -83,19 +83,19 @@
 		return
 	}
 	if q.epoch != "" && q.epoch != epoch {
-		q.from = 0 // the reader's version is of another list, so it gets the complete list
+		q.from = 0 // the reader's version is of another list, so the reader gets the complete list
 	}
-	if q.from > 0 && !s.hub.hasNewer(q.subset, q.from) {
+	if q.from > 0 && !s.listHub.hasNewer(q.subset, q.from) {
 		var ok bool
-		if q.from, ok = s.hold(w, r, q); !ok {
+		if q.from, ok = s.holdListWatch(w, r, q); !ok {
 			return
 		}
 	}
-	s.answer(w, r, q)
+	s.respondWithList(w, r, q)
 }
 
-// ensureCurrent forwards the call to the leader or, at the leader, waits until all earlier writes have been
-// applied. It returns false if the call has been answered.
+// ensureCurrent waits until all earlier writes have been applied. A replica that does not lead forwards the
+// call to the leader instead. ensureCurrent returns false if it has responded to the call.
 func (s *Server) ensureCurrent(w http.ResponseWriter, r *http.Request) bool {
 	if !s.replica.leads() {
 		s.forwardToLeader(w, r, maxBodyBytes)
@@ -106,15 +106,15 @@
 
 // waitUntilCurrent is ensureCurrent for calls that are handled at the leader only.
 func (s *Server) waitUntilCurrent(w http.ResponseWriter) bool {
-	if err := s.replica.current(); err != nil {
+	if err := s.replica.waitUntilApplied(); err != nil {
 		writeError(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
 		return false
 	}
 	return true
 }
 
-// registrations responds with the current list and the version and time to live of each entry.
-func (s *Server) registrations(w http.ResponseWriter, _ *http.Request) {
+// readRegistrations responds with the current list and the version and time to live of each entry.
+func (s *Server) readRegistrations(w http.ResponseWriter, _ *http.Request) {
 	if !s.waitUntilCurrent(w) {
 		return
 	}
@@ -128,12 +128,12 @@
 	writeJSON(w, http.StatusOK, a)
 }
 
-// hold waits until there is a newer version for the reader, or the hold is over, and returns the version from
-// which changes are to be sent. It returns false if the call has been answered with an error or its client is
-// gone.
-func (s *Server) hold(w http.ResponseWriter, r *http.Request, q query) (from uint64, ok bool) {
+// holdListWatch waits until there is a newer version for the reader or the hold is over, and returns the
+// version from which changes are to be sent. It returns false if it has responded with an error or the client
+// has closed the call.
+func (s *Server) holdListWatch(w http.ResponseWriter, r *http.Request, q query) (from uint64, ok bool) {
 	wait := q.hold
-	if version, _ := s.hub.current(); q.from > version {
+	if version, _ := s.listHub.current(); q.from > version {
 		wait = max(wait, behindWait)
 	}
 	if wait == 0 {
@@ -143,15 +143,15 @@
 	if q.epoch != "" {
 		maxCutOff = maxCutOffHold
 	}
-	return s.await(w, r, s.hub, q, wait, maxCutOff)
+	return s.await(w, r, s.listHub, q, wait, maxCutOff)
 }
 
 // await waits until the hub has a newer version for the call, or wait has passed. While this replica is cut
-// off, the call waits for a random time of up to maxCutOff, or up to half of it once wait has passed, and is
-// rejected unless there is a leader again by then. So a normal election costs hardly a watcher its call, even
-// if there are thousands of them, and a longer one sends them to other replicas at different times. await
-// returns the version up to which nothing that the call reads has changed. It returns false if the call has
-// been answered with an error or its client is gone.
+// off, the call waits for a random time of up to maxCutOff, or up to half of maxCutOff once wait has passed,
+// and is rejected unless there is a leader again by then. A normal election therefore rejects few watchers,
+// even if there are thousands, and a longer election sends them to other replicas at different times. await
+// returns the version up to which nothing that the call reads has changed. It returns false if it has
+// responded with an error or the client has closed the call.
 func (s *Server) await(
 	w http.ResponseWriter,
 	r *http.Request,
@@ -171,11 +171,11 @@
 	defer end.Stop()
 	var cutOffTimer <-chan time.Time // nil while there is a leader
 	for timedOut := false; ; {
-		lost, contactChanged := s.contact.state()
-		switch lost = lost && maxCutOff != noCutOff; {
-		case !lost && timedOut:
+		cutOff, contactChanged := s.contact.state()
+		switch cutOff = cutOff && maxCutOff != noCutOff; {
+		case !cutOff && timedOut:
 			return h.leave(watcher), true
-		case !lost:
+		case !cutOff:
 			cutOffTimer = nil
 		case cutOffTimer == nil && timedOut:
 			cutOffTimer = time.After(rand.N(maxCutOff/2 + 1))
--- a/internal/registry/server/records.go
+++ b/internal/registry/server/records.go
@@ -13,9 +13,9 @@
 // maxPutBytes bounds the body of a write of a record: the value and the other fields.
 const maxPutBytes = registry.MaxRecordValueBytes + maxBodyBytes
 
-// record responds with the current value of a record or, if the path has no key, with the keys under a
+// readRecords responds with the current value of a record or, if the path has no key, with the keys under a
 // prefix.
-func (s *Server) record(w http.ResponseWriter, r *http.Request) {
+func (s *Server) readRecords(w http.ResponseWriter, r *http.Request) {
 	if !s.waitUntilCurrent(w) {
 		return
 	}
@@ -62,12 +62,12 @@
 		return
 	}
 	result, err := s.replica.apply(c)
-	s.finish(w, result, err)
+	s.writeResult(w, result, err)
 }
 
-// watchRecords answers reads and watches of the records under a prefix with the state of this replica. A
-// reader with another epoch, or without one, gets all records at once. A reader whose version is above this
-// replica's gets an error, never an older state.
+// watchRecords responds to a read or a watch of the records under a prefix with the state of this replica. A
+// reader with another epoch, or without an epoch, gets all records at once. A reader whose version is above
+// this replica's version gets an error, never an older state.
 func (s *Server) watchRecords(w http.ResponseWriter, r *http.Request) {
 	q, err := parseQuery(r)
 	knownCount := 0
@@ -85,18 +85,18 @@
 		return
 	}
 	for end := time.Now().Add(q.hold); ; {
-		a, changed := s.recordsSince(q, r.URL.Query().Get("prefix"), knownCount)
+		response, changed := s.recordsSince(q, r.URL.Query().Get("prefix"), knownCount)
 		wait := time.Until(end)
-		if a.Epoch == q.epoch && q.from > a.Index {
-			reason := fmt.Sprintf("this replica has version %d", a.Index)
+		if response.Epoch == q.epoch && q.from > response.Index {
+			reason := fmt.Sprintf("this replica has version %d", response.Index)
 			writeError(w, http.StatusServiceUnavailable, "behind", reason, 0)
 			return
 		}
-		if changed || a.Epoch != q.epoch || wait <= 0 || s.ctx.Err() != nil {
-			writeJSON(w, http.StatusOK, a)
+		if changed || response.Epoch != q.epoch || wait <= 0 || s.ctx.Err() != nil {
+			writeJSON(w, http.StatusOK, response)
 			return
 		}
-		if _, ok := s.await(w, r, s.recordHub, query{from: a.Index}, wait, maxCutOffHold); !ok {
+		if _, ok := s.await(w, r, s.recordHub, query{from: response.Index}, wait, maxCutOffHold); !ok {
 			return
 		}
 	}
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	applyTimeout      = 5 * time.Second // the outcome of a write that is not logged by then is unknown
+	applyTimeout      = 5 * time.Second // the outcome of a write that is not logged in this time is unknown
 	retainedSnapshots = 2
 	maxRaftConns      = 3                // pooled connections to each other replica
 	raftTimeout       = 5 * time.Second  // for a call to another replica; a hanging call delays later ones
-	stopTimeout       = 10 * time.Second // reached only if a call hangs
+	stopTimeout       = 10 * time.Second // for raft to stop; exceeded only if a call hangs
 )
 
 // replica runs raft on a folder.
@@ -52,7 +52,7 @@
 	if r.lastIndexAtOpen, err = store.LastIndex(); err != nil {
 		besteffort.Close(store)
 		besteffort.Close(lock)
-		return nil, fmt.Errorf("the log in %s: %w", c.Folder, err)
+		return nil, fmt.Errorf("read the last index of the log in %s: %w", c.Folder, err)
 	}
 	r.closers = append(r.closers, store, lock)
 	logger := hclog.New(
@@ -60,7 +60,7 @@
 	)
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, retainedSnapshots, logger)
 	if err != nil {
-		return nil, fmt.Errorf("snapshots in %s: %w", c.Folder, err)
+		return nil, fmt.Errorf("open snapshots in %s: %w", c.Folder, err)
 	}
 	if err := r.listen(c, m, logger); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 		snaps,
 		r.transport,
 	); err != nil {
-		return nil, fmt.Errorf("starting raft on %s: %w", c.Folder, err)
+		return nil, fmt.Errorf("start raft on %s: %w", c.Folder, err)
 	}
 	return r, r.bootstrap(c)
 }
@@ -104,16 +104,16 @@
 			Logger: logger, ServerAddressProvider: addresses{c, m}},
 	)
 	if err != nil {
-		return fmt.Errorf("raft: listening at %s: %w", c.Raft, err)
+		return fmt.Errorf("raft: listen on %s: %w", c.Raft, err)
 	}
 	r.transport = t
 	r.closers = append(r.closers, t)
 	return nil
 }
 
-// addresses finds the addresses of the other replicas: those of replicas that were added to the running
-// cluster in the replicated state, all others in this replica's configuration. It is a
-// raft.ServerAddressProvider.
+// addresses finds the addresses of the other replicas. The addresses of replicas that were added to the
+// running cluster are in the replicated state, all other addresses are in this replica's configuration. It is
+// a raft.ServerAddressProvider.
 type addresses struct {
 	config  Config
 	machine *machine
@@ -124,8 +124,8 @@
 	if address, ok := a.machine.replicaAddress(name); ok {
 		return address, true
 	}
-	o, ok := a.config.find(name)
-	return registry.Address{Raft: o.Raft, HTTP: o.HTTP}, ok
+	configured, ok := a.config.find(name)
+	return registry.Address{Raft: configured.Raft, HTTP: configured.HTTP}, ok
 }
 
 // ServerAddr implements raft.ServerAddressProvider.
@@ -137,12 +137,13 @@
 	return raft.ServerAddress(other.Raft), nil
 }
 
-// bootstrap starts a cluster on empty folders. A single replica does so by itself; of several replicas, the
-// one that is configured to.
+// bootstrap starts a cluster on empty folders. A single replica always starts its cluster; of several
+// replicas, the replica that is configured to start the cluster does.
 func (r *replica) bootstrap(c Config) error {
 	var servers []raft.Server
-	for _, o := range c.Replicas {
-		servers = append(servers, raft.Server{ID: raft.ServerID(o.Name), Address: raft.ServerAddress(o.Name)})
+	for _, member := range c.Replicas {
+		servers = append(servers,
+			raft.Server{ID: raft.ServerID(member.Name), Address: raft.ServerAddress(member.Name)})
 	}
 	if len(c.Replicas) <= 1 {
 		servers = []raft.Server{{ID: raft.ServerID(c.Name), Address: raft.ServerAddress(c.Name)}}
@@ -151,7 +152,7 @@
 	}
 	err := r.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
 	if err != nil && !errors.Is(err, raft.ErrCantBootstrap) { // the cluster has been started before
-		return fmt.Errorf("beginning the cluster: %w", err)
+		return fmt.Errorf("bootstrap the cluster: %w", err)
 	}
 	return nil
 }
@@ -176,15 +177,15 @@
 	if err != nil {
 		return registry.Result{}, err
 	}
-	f := r.raft.Apply(raw, applyTimeout)
-	if err := classifyRaftError(f.Error()); err != nil {
+	future := r.raft.Apply(raw, applyTimeout)
+	if err := classifyRaftError(future.Error()); err != nil {
 		return registry.Result{}, err
 	}
-	switch r := f.Response().(type) {
+	switch response := future.Response().(type) {
 	case registry.Result:
-		return r, nil
+		return response, nil
 	case error:
-		return registry.Result{}, fmt.Errorf("%w: %w", errUnknown, r)
+		return registry.Result{}, fmt.Errorf("%w: %w", errUnknown, response)
 	}
 	return registry.Result{}, errUnknown
 }
@@ -209,15 +210,15 @@
 
 // servers returns the replicas in raft's configuration.
 func (r *replica) servers() ([]raft.Server, error) {
-	f := r.raft.GetConfiguration()
-	if err := f.Error(); err != nil {
+	future := r.raft.GetConfiguration()
+	if err := future.Error(); err != nil {
 		return nil, err
 	}
-	return f.Configuration().Servers, nil
+	return future.Configuration().Servers, nil
 }
 
-// current waits until this replica, as the leader, has applied all earlier commands.
-func (r *replica) current() error {
+// waitUntilApplied waits until this replica, as the leader, has applied all earlier commands.
+func (r *replica) waitUntilApplied() error {
 	if err := r.raft.Barrier(applyTimeout).Error(); err != nil {
 		return fmt.Errorf("%w: %w", errNotLeading, err)
 	}
@@ -236,7 +237,7 @@
 	select {
 	case err = <-ended:
 	case <-time.After(stopTimeout):
-		err = fmt.Errorf("raft does not end within %v", stopTimeout)
+		err = fmt.Errorf("raft did not stop within %v", stopTimeout)
 	}
 	r.close()
 	return err
--- a/internal/registry/server/rewritelog.go
+++ b/internal/registry/server/rewritelog.go
@@ -17,7 +17,7 @@
 )
 
 // rewriteLog reads a log completely and replaces it by a copy, or returns an error if any part is damaged. If
-// it is interrupted, either the old log or the copy is left.
+// it is interrupted, path is still a complete log: the old log or the copy.
 func rewriteLog(path string) (err error) {
 	info, err := os.Stat(path)
 	if os.IsNotExist(err) {
@@ -53,7 +53,7 @@
 func copyStore(path, newPath string, size int64) error {
 	old, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true})
 	if err != nil {
-		return fmt.Errorf("the log can't be read: %w", err)
+		return fmt.Errorf("open the log: %w", err)
 	}
 	defer besteffort.Close(old)
 	target, err := raftboltdb.New(
@@ -65,7 +65,7 @@
 	defer besteffort.Close(target)
 	err = old.View(func(tx *bbolt.Tx) error {
 		if recordedSize := tx.Size(); recordedSize > size {
-			return fmt.Errorf("the log is damaged: it was cut short, from %d bytes to %d", recordedSize, size)
+			return fmt.Errorf("the log is damaged: it was truncated from %d bytes to %d", recordedSize, size)
 		}
 		if err := copyLog(tx.Bucket([]byte("logs")), target); err != nil {
 			return fmt.Errorf("the log is damaged: %w", err)
@@ -95,7 +95,7 @@
 			return err
 		}
 		if last != 0 && e.Index != last+1 {
-			return fmt.Errorf("entry %d comes after %d", e.Index, last)
+			return fmt.Errorf("entry %d follows entry %d, entries between are missing", e.Index, last)
 		}
 		last = e.Index
 		if batch = append(batch, e); len(batch) == copyBatch {
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	if len(k) != 8 || binary.BigEndian.Uint64(k) != e.Index {
-		return nil, fmt.Errorf("entry %d stands at %x", e.Index, k)
+		return nil, fmt.Errorf("entry %d is stored under key %x", e.Index, k)
 	}
 	var err error
 	switch e.Type {
@@ -130,8 +130,8 @@
 	return e, nil
 }
 
-// copyStableState copies raft's stable state. It returns an error if the current term is lower than that of
-// the last log entry.
+// copyStableState copies raft's stable state. It returns an error if the current term is lower than the term
+// of the last log entry.
 func copyStableState(from *bbolt.Bucket, target *raftboltdb.BoltStore) error {
 	if from == nil {
 		return nil
@@ -149,7 +149,7 @@
 	}
 	term, err := target.GetUint64([]byte("CurrentTerm"))
 	if err != nil {
-		return fmt.Errorf("the log is damaged: its term can't be read: %w", err)
+		return fmt.Errorf("the log is damaged: read its term: %w", err)
 	}
 	if term < e.Term {
 		return fmt.Errorf("the log is damaged: its term is %d, that of the last entry %d", term, e.Term)
--- a/internal/registry/server/routes.go
+++ b/internal/registry/server/routes.go
@@ -13,15 +13,15 @@
 // routes returns the handler of the HTTP API.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", s.instances)
-	mux.HandleFunc("PUT /registry/instances/{name}", s.write(registry.OpRegister))
-	mux.HandleFunc("DELETE /registry/instances/{name}", s.write(registry.OpRemove))
-	mux.HandleFunc("POST /registry/instances/{name}/drain", s.write(registry.OpDrain))
-	mux.HandleFunc("POST /registry/renew", s.leaderOnly(maxBodyBytes, s.renew))
+	mux.HandleFunc("GET /registry/instances", s.readList)
+	mux.HandleFunc("PUT /registry/instances/{name}", s.writeEntry(registry.OpRegister))
+	mux.HandleFunc("DELETE /registry/instances/{name}", s.writeEntry(registry.OpRemove))
+	mux.HandleFunc("POST /registry/instances/{name}/drain", s.writeEntry(registry.OpDrain))
+	mux.HandleFunc("POST /registry/renew", s.leaderOnly(maxBodyBytes, s.renewEntries))
 	mux.HandleFunc("GET /registry/members", s.listReplicas)
 	mux.HandleFunc("PUT /registry/members/{name}", s.leaderOnly(maxBodyBytes, s.addReplica))
 	mux.HandleFunc("DELETE /registry/members/{name}", s.leaderOnly(maxBodyBytes, s.removeReplica))
-	mux.HandleFunc("GET /registry/items", s.leaderOnly(maxBodyBytes, s.registrations))
+	mux.HandleFunc("GET /registry/items", s.leaderOnly(maxBodyBytes, s.readRegistrations))
 	mux.HandleFunc("GET /registry/backup", s.leaderOnly(maxBodyBytes, s.backup))
 	mux.HandleFunc("POST /registry/restore", s.leaderOnly(maxRestoreBytes, s.restore))
 	mux.HandleFunc("PUT /registry/sessions/{id}", s.leaderOnly(maxBodyBytes, s.openSession))
@@ -30,10 +30,10 @@
 	mux.HandleFunc("POST /registry/sessions/{id}/campaign", s.candidacy(registry.OpCampaign))
 	mux.HandleFunc("POST /registry/sessions/{id}/give-up", s.candidacy(registry.OpRelease))
 	mux.HandleFunc("GET /registry/duties", s.readLeases)
-	mux.HandleFunc("POST /registry/duties/{name}/yield", s.order(registry.OpTransfer))
-	mux.HandleFunc("POST /registry/duties/{name}/block", s.order(registry.OpBlock))
-	mux.HandleFunc("GET /registry/records", s.leaderOnly(maxBodyBytes, s.record))
-	mux.HandleFunc("GET /registry/records/{key}", s.leaderOnly(maxBodyBytes, s.record))
+	mux.HandleFunc("POST /registry/duties/{name}/yield", s.leaseOrder(registry.OpTransfer))
+	mux.HandleFunc("POST /registry/duties/{name}/block", s.leaseOrder(registry.OpBlock))
+	mux.HandleFunc("GET /registry/records", s.leaderOnly(maxBodyBytes, s.readRecords))
+	mux.HandleFunc("GET /registry/records/{key}", s.leaderOnly(maxBodyBytes, s.readRecords))
 	mux.HandleFunc("PUT /registry/records/{key}", s.leaderOnly(maxPutBytes, s.putRecord))
 	mux.HandleFunc("GET /registry/watch/records", s.watchRecords)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -44,7 +44,7 @@
 
 // ready answers 200 once this replica has a list, has replayed its log and knows a leader.
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	_, epoch := s.hub.current()
+	_, epoch := s.listHub.current()
 	if epoch == "" || s.replica.leader() == "" || !s.contact.caughtUp.Load() {
 		writeError(
 			w,
@@ -74,12 +74,12 @@
 		defer s.machine.mu.RUnlock()
 		return float64(s.machine.state.Len())
 	})
-	gauge("version", "version of the list", func() float64 { v, _ := s.hub.current(); return float64(v) })
-	gauge("watchers", "calls that are held", func() float64 { return float64(s.hub.watchers()) })
+	gauge("version", "version of the list", func() float64 { v, _ := s.listHub.current(); return float64(v) })
+	gauge("watchers", "calls that are held", func() float64 { return float64(s.listHub.watchers()) })
 	gauge(
 		"parts",
 		"parts of the list that are watched or kept encoded",
-		func() float64 { return float64(s.hub.subsetCount()) },
+		func() float64 { return float64(s.listHub.subsetCount()) },
 	)
 	gauge("leads", "1 if this replica leads", func() float64 {
 		if s.replica.leads() {
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -21,7 +21,7 @@
 	config        Config
 	log           *slog.Logger
 	machine       *machine
-	hub           *hub
+	listHub       *hub
 	replica       *replica
 	leaseHub      *hub
 	recordHub     *hub
@@ -33,7 +33,7 @@
 	http          *http.Server
 	stop          context.CancelFunc
 	ctx           context.Context // of the background tasks and of waiting calls
-	broken        chan error      // the error because of which this replica has to stop
+	broken        chan error      // gets the error because of which this replica has to stop
 	completeReads chan struct{}   // slots: one element for each complete subset that is being sent
 	tasks         sync.WaitGroup
 }
@@ -48,8 +48,8 @@
 	replayCheckInterval = 20 * time.Millisecond
 )
 
-// Run runs a replica until ctx ends, and then transfers its leadership and shuts down. The error is what
-// prevented it from serving or from an orderly shutdown.
+// Run runs a replica until ctx ends, and then transfers its leadership and shuts down. It returns an error if
+// the replica could not serve or did not shut down in an orderly way.
 func Run(ctx context.Context, c Config, log *slog.Logger) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -71,14 +71,14 @@
 		besteffort.Close(ln)
 		return err
 	}
-	s.tasks.Go(func() { s.hub.run(s.ctx.Done()) })
+	s.tasks.Go(func() { s.listHub.run(s.ctx.Done()) })
 	s.tasks.Go(func() { s.leaseHub.run(s.ctx.Done()) })
 	s.tasks.Go(func() { s.recordHub.run(s.ctx.Done()) })
 	s.tasks.Go(func() { s.expiry.run(s.ctx) })
 	s.tasks.Go(func() { s.sessions.run(s.ctx) })
 	s.tasks.Go(s.followLeader)
 	s.tasks.Go(func() { s.contact.run(s.ctx, c.ElectionTimeout, s.replica.leader) })
-	s.tasks.Go(func() { s.contact.replay(s.ctx, replayCheckInterval, s.replica, s.machine) })
+	s.tasks.Go(func() { s.contact.awaitReplay(s.ctx, replayCheckInterval, s.replica, s.machine) })
 	s.http = &http.Server{
 		Handler:           s.routes(),
 		ReadHeaderTimeout: headerTimeout,
@@ -103,7 +103,7 @@
 func (s *Server) open() error {
 	s.completeReads = make(chan struct{}, maxCompleteReads)
 	s.machine = &machine{state: registry.NewState(), onBroken: func(err error) { s.broken <- err }}
-	s.hub, s.leaseHub, s.recordHub = newHub(s.machine), newHub(s.machine), newHub(s.machine)
+	s.listHub, s.leaseHub, s.recordHub = newHub(s.machine), newHub(s.machine), newHub(s.machine)
 	apply := func(c registry.Command) (registry.Result, error) { return s.replica.apply(c) }
 	s.expiry = &expiry{start: time.Now(), machine: s.machine, log: s.log, apply: apply}
 	s.sessions = &sessions{start: time.Now(), machine: s.machine, log: s.log, apply: apply}
@@ -111,7 +111,7 @@
 		s.expiry.applied(c, s.machine.state)
 		s.sessions.applied(c)
 		state := s.machine.state
-		s.hub.publishList(state)
+		s.listHub.publishList(state)
 		s.leaseHub.publish(state.LeasesVersion(), state.LeasesVersion(), state.Epoch())
 		s.recordHub.publish(state.RecordsVersion(), state.RecordsVersion(), state.Epoch())
 	}
@@ -146,10 +146,10 @@
 // beginLeading waits until all earlier commands are applied, begins the list if it has no epoch, and starts
 // the deadlines of entries and sessions.
 func (s *Server) beginLeading() error {
-	if err := s.replica.current(); err != nil {
+	if err := s.replica.waitUntilApplied(); err != nil {
 		return err
 	}
-	if _, epoch := s.hub.current(); epoch == "" {
+	if _, epoch := s.listHub.current(); epoch == "" {
 		if _, err := s.replica.apply(registry.Command{Op: registry.OpBegin, Epoch: newEpoch()}); err != nil {
 			return err
 		}
@@ -171,7 +171,7 @@
 func (s *Server) shutdown() error {
 	s.log.Info("shutting down")
 	err := s.replica.stop()
-	s.stop() // waiting watches are answered with the present state
+	s.stop() // waiting watches get a response with the present state
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if shutdownErr := s.http.Shutdown(ctx); shutdownErr != nil {
--- a/internal/registry/server/server_test.go
+++ b/internal/registry/server/server_test.go
@@ -90,9 +90,9 @@
 	return a
 }
 
-// TestEntryLifecycleOverRestart registers, drains and removes an entry over the API in the platform's form,
-// with watches, conditions, repeats and a restart on the same folder.
-func TestEntryLifecycleOverRestart(t *testing.T) {
+// TestEntryLifecycleIsWatchedAndSurvivesRestart registers, drains and removes an entry over the HTTP API, with
+// watches, conditions, repeats of writes and a restart on the same folder.
+func TestEntryLifecycleIsWatchedAndSurvivesRestart(t *testing.T) {
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
 	initial := readList(t, url, "")
@@ -134,7 +134,7 @@
 	}
 }
 
-// TestUnrenewedEntryExpires checks that an entry that is not renewed expires, and that a renewed one stays.
+// TestUnrenewedEntryExpires checks that an entry that is not renewed expires, and that a renewed entry stays.
 func TestUnrenewedEntryExpires(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
@@ -168,7 +168,7 @@
 }
 
 // TestInvalidCallsAreRejected checks that invalid calls, calls beyond a limit and garbage are rejected with a
-// status and do not affect others.
+// status and do not affect other calls.
 func TestInvalidCallsAreRejected(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), func(c *Config) { c.MaxWrites, c.MaxWatchers = 20, 1 })
 	defer stop()
@@ -188,11 +188,11 @@
 			t.Errorf("%s %s: %d %s, want %d", c.method, c.path, status, body, c.want)
 		}
 	}
-	ahead := readList(t, url, "").Index + 1000
-	if a := readList(t, url, fmt.Sprintf("?from=%d", ahead)); a.Index < ahead || len(a.Endpoints) > 0 {
+	newerVersion := readList(t, url, "").Index + 1000
+	if a := readList(t, url, fmt.Sprintf("?from=%d", newerVersion)); a.Index < newerVersion || len(a.Endpoints) > 0 {
 		t.Errorf("a reader without an epoch whose version is ahead gets %+v", a)
 	}
-	go func() { _, _ = http.Get(url + fmt.Sprintf("/registry/instances?from=%d&hold_ms=60000", ahead)) }() // ends with the replica
+	go func() { _, _ = http.Get(url + fmt.Sprintf("/registry/instances?from=%d&hold_ms=60000", newerVersion)) }() // ends with the replica
 	for until := time.Now().Add(enough); ; {
 		if _, body := call(t, "GET", url+"/metrics", ""); strings.Contains(body, "indigolist_watchers 1\n") {
 			break
@@ -200,7 +200,7 @@
 			t.Fatal("the watcher is not counted")
 		}
 	}
-	if status, _ := call(t, "GET", url+fmt.Sprintf("/registry/instances?from=%d&hold_ms=1", ahead), ""); status != 429 {
+	if status, _ := call(t, "GET", url+fmt.Sprintf("/registry/instances?from=%d&hold_ms=1", newerVersion), ""); status != 429 {
 		t.Errorf("a watcher too many: %d", status)
 	}
 	for until, status := time.Now().Add(enough), 0; status != 429; {
@@ -221,8 +221,8 @@
 }
 
 // TestBackupIsRestoredOnce checks that a backup is restored under a new epoch and a version above every
-// earlier one, that a repeat with the same id does not restore again, and that a damaged backup or one for
-// another epoch is rejected.
+// earlier version, that a repeat with the same id does not restore again, and that a damaged backup and a
+// restore over a list of another epoch are rejected.
 func TestBackupIsRestoredOnce(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/registry"
 )
 
-// A lease is granted up to grantBurst times without a delay, and then once in grantInterval, so that
-// candidates that crash in a loop do not pass it around.
+// A lease is granted up to grantBurst times without a delay, and then once per grantInterval, so that a lease
+// is not granted again and again to candidates that crash in a loop.
 const (
 	grantBurst    = 4
 	grantInterval = 2 * time.Second
@@ -77,8 +77,9 @@
 	}
 }
 
-// renew restarts the TTL of sessions and returns the ids of those that have ended. ok is false if this
-// replica does not lead. The caller has verified, after the request came, that this replica leads.
+// renew restarts the TTL of sessions and returns the ids of the sessions that have ended. ok is false if this
+// replica does not lead. The caller must have verified, after it received the request, that this replica
+// leads.
 func (x *sessions) renew(ids []string) (unknown []string, ok bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -93,35 +94,35 @@
 	return unknown, true
 }
 
-// grantable returns the leases among names that may be granted now, and counts them as granted.
-func (x *sessions) grantable(names []string) (granted []string) {
+// takeGrants returns the leases among names that may be granted now, and counts them as granted.
+func (x *sessions) takeGrants(names []string) (granted []string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, n := range names {
-		l := x.grantLimiters[n]
-		if l == nil {
+		limiter := x.grantLimiters[n]
+		if limiter == nil {
 			if x.grantLimiters == nil {
 				return nil // this replica does not lead
 			}
-			l = rate.NewLimiter(rate.Every(grantInterval), grantBurst)
-			x.grantLimiters[n] = l
+			limiter = rate.NewLimiter(rate.Every(grantInterval), grantBurst)
+			x.grantLimiters[n] = limiter
 		}
-		if l.Allow() {
+		if limiter.Allow() {
 			granted = append(granted, n)
 		}
 	}
 	return granted
 }
 
-// freedLeases returns the leases that a command on sessions may free, or that are free already.
-func (x *sessions) freedLeases(c registry.Command) (names []string) {
+// leasesToGrant returns the leases that a command on sessions may free, or that are free already.
+func (x *sessions) leasesToGrant(c registry.Command) (names []string) {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
 	addIfFree := func(id, name string) {
-		if d, ok := x.machine.state.Lease(
+		if lease, ok := x.machine.state.Lease(
 			name,
 		); !ok && c.Op == registry.OpCampaign ||
-			ok && (d.Holder == id || d.Holder == "") && !slices.Contains(names, name) {
+			ok && (lease.Holder == id || lease.Holder == "") && !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
@@ -132,28 +133,28 @@
 		}
 	case registry.OpCloseSessions:
 		for _, id := range c.Sessions {
-			all, _ := x.machine.state.Leases(id)
-			for _, d := range all {
-				addIfFree(id, d.Name)
+			leases, _ := x.machine.state.Leases(id)
+			for _, lease := range leases {
+				addIfFree(id, lease.Name)
 			}
 		}
 	}
 	return names
 }
 
-// applyPaced applies a command on sessions or leases. The command may grant the leases that it frees, as far
-// as the rate limit allows.
-func (x *sessions) applyPaced(c registry.Command) (registry.Result, error) {
-	c.Grant = x.grantable(x.freedLeases(c))
+// applyWithGrants applies a command on sessions or leases. The command also grants the leases that it frees,
+// as far as the rate limit allows.
+func (x *sessions) applyWithGrants(c registry.Command) (registry.Result, error) {
+	c.Grant = x.takeGrants(x.leasesToGrant(c))
 	return x.apply(c)
 }
 
-// run closes expired sessions and grants leases whose grant was delayed, until ctx ends.
+// run closes expired sessions and makes delayed grants of leases, until ctx ends.
 func (x *sessions) run(ctx context.Context) {
 	checkPeriodically(ctx, x.now, func(time.Duration) { x.restartAll() }, x.expireDue)
 }
 
-// restartAll restarts the TTL of every session except those that are being closed.
+// restartAll restarts the TTL of every session that is not being closed.
 func (x *sessions) restartAll() {
 	x.machine.mu.RLock()
 	defer x.machine.mu.RUnlock()
@@ -162,11 +163,11 @@
 	if x.deadlines == nil {
 		return
 	}
-	all := slices.DeleteFunc(
+	renewable := slices.DeleteFunc(
 		x.machine.state.Sessions(),
 		func(s registry.Session) bool { return x.closing[s.ID] },
 	)
-	x.deadlines = registry.NewSessionExpiry(all, x.now())
+	x.deadlines = registry.NewSessionExpiry(renewable, x.now())
 }
 
 // expireDue closes expired sessions and grants free leases that have candidates.
@@ -188,14 +189,14 @@
 	x.mu.Unlock()
 	if len(ids) > 0 {
 		slices.Sort(ids)
-		if _, err := x.applyPaced(registry.Command{Op: registry.OpCloseSessions, Sessions: ids}); err != nil {
+		if _, err := x.applyWithGrants(registry.Command{Op: registry.OpCloseSessions, Sessions: ids}); err != nil {
 			x.log.Warn("closing expired sessions failed", "sessions", len(ids), "err", err)
 		}
 	}
 	x.machine.mu.RLock()
 	waiting := x.machine.state.UnheldLeases()
 	x.machine.mu.RUnlock()
-	if grants := x.grantable(waiting); len(grants) > 0 {
+	if grants := x.takeGrants(waiting); len(grants) > 0 {
 		if _, err := x.apply(registry.Command{Op: registry.OpGrant, Grant: grants}); err != nil {
 			x.log.Warn("granting leases failed", "duties", len(grants), "err", err)
 		}
@@ -209,8 +210,8 @@
 	return x.expired
 }
 
-// verify checks with a quorum that this replica still leads.
-func (r *replica) verify() error {
+// verifyLeadership checks with a quorum that this replica still leads.
+func (r *replica) verifyLeadership() error {
 	if err := r.raft.VerifyLeader().Error(); err != nil {
 		return fmt.Errorf("%w: %w", errNotLeading, err)
 	}
--- a/internal/registry/server/stablestore.go
+++ b/internal/registry/server/stablestore.go
@@ -10,8 +10,8 @@
 
 // retryingStableStore stores raft's stable state (its term and its vote) and repeats failed writes until they
 // succeed, because raft panics if such a write fails. A replica whose disk is full therefore pauses, like a
-// paused process. When the replica stops, the store may be closed while a call of another replica waits for a
-// write; then the goroutine of that call exits and the call stays unanswered.
+// paused process. When the replica stops, a write may still be repeated for a call of another replica. The
+// goroutine of that call then exits, and the call gets no response.
 type retryingStableStore struct {
 	raft.StableStore
 	log  *slog.Logger
--- a/internal/registry/server/store.go
+++ b/internal/registry/server/store.go
@@ -37,8 +37,8 @@
 	path := filepath.Join(folder, logFileName)
 	if err = rewriteLog(path); err != nil {
 		err = fmt.Errorf(
-			"%s: %w; if it is damaged, a replica of several is removed from the cluster and added again "+
-				"on an empty folder, one that is alone needs a backup (docs/list.md)",
+			"%s: %w; if the log is damaged, remove this replica from the cluster and add it again "+
+				"on an empty folder; a single replica needs a backup (docs/list.md)",
 			path,
 			err,
 		)
@@ -69,7 +69,7 @@
 		}
 		if time.Now().After(until) {
 			besteffort.Close(f)
-			return nil, fmt.Errorf("folder %s: another process holds it: %w", folder, err)
+			return nil, fmt.Errorf("folder %s: another process holds the lock: %w", folder, err)
 		}
 	}
 }
--- a/internal/registry/server/subset_failures_test.go
+++ b/internal/registry/server/subset_failures_test.go
@@ -16,7 +16,7 @@
 	"wrenspread/internal/registry/client"
 )
 
-// clientFleet is a fleet of clients that follow subsets as proxies do. For the choice of subsets, each entry
+// clientFleet is a fleet of clients that follow subsets as proxies do. For the choice of a subset, each entry
 // of the list counts as endpointsPerEntry endpoints.
 type clientFleet struct {
 	clients        []*client.Client
@@ -24,12 +24,12 @@
 	withoutSubsets *client.Client // a client that knows no subsets
 }
 
-// endpointsPerEntry is the number of endpoints that an entry stands for, so that a small list has subsets.
+// endpointsPerEntry is the number of endpoints that an entry counts as, so that a small list has subsets.
 const endpointsPerEntry = 100
 
 // newClientFleet starts n clients that follow subsets, and one that follows the complete list.
-func newClientFleet(t *testing.T, ctx context.Context, n int, wants func(self, total int) registry.Subset, addresses func(i int) []string) *clientFleet {
-	c := &clientFleet{wantedSubset: wants}
+func newClientFleet(t *testing.T, ctx context.Context, n int, wantedSubset func(self, total int) registry.Subset, addresses func(i int) []string) *clientFleet {
+	c := &clientFleet{wantedSubset: wantedSubset}
 	var tasks sync.WaitGroup
 	t.Cleanup(tasks.Wait)
 	for i := range n + 1 {
@@ -55,10 +55,10 @@
 func callUntilOK(t *testing.T, method, url, body string) string {
 	t.Helper()
 	for until := time.Now().Add(enough); ; time.Sleep(5 * time.Millisecond) {
-		if status, answer := call(t, method, url, body); status == 200 {
-			return answer
+		if status, response := call(t, method, url, body); status == 200 {
+			return response
 		} else if time.Now().After(until) {
-			t.Fatalf("%s %s: %d %s", method, url, status, answer)
+			t.Fatalf("%s %s: %d %s", method, url, status, response)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 			subset = c.wantedSubset(i, len(a.Endpoints))
 		}
 		want := slices.DeleteFunc(slices.Clone(a.Endpoints), func(e registry.Endpoint) bool { return !subset.Contains(registry.Position(e.Name)) })
-		late := time.After(enough)
+		timeout := time.After(enough)
 		for {
 			changed := k.Changed()
 			v, _ := k.List()
@@ -91,7 +91,7 @@
 			}
 			select {
 			case <-changed:
-			case <-late:
+			case <-timeout:
 				t.Fatalf("%s: client %d has %d entries of subset %v at %s %d, want %d of %v at %s %d", when, i, len(v.Endpoints), v.Subset, v.Epoch, v.Version, len(want), subset, a.Epoch, a.Index)
 			}
 		}
@@ -99,14 +99,14 @@
 }
 
 // subsetInFleet returns a choice of subsets for a fleet of a number of proxies.
-func subsetInFleet(nodes int) func(self, total int) registry.Subset {
-	return func(self, total int) registry.Subset { return registry.SubsetOf(self, nodes, endpointsPerEntry*total) }
+func subsetInFleet(size int) func(self, total int) registry.Subset {
+	return func(self, total int) registry.Subset { return registry.SubsetOf(self, size, endpointsPerEntry*total) }
 }
 
-// TestSubsetsConvergeOverFailures runs three replicas, each behind a link of its own. The clients reach the
-// current entries of their subsets after a replica that some of them watch falls silent, after
-// another one stops, after the list grows tenfold, and after a restore. A client that knows no subsets has
-// the complete list.
+// TestSubsetsConvergeOverFailures runs three replicas, each behind a link of its own. The clients get the
+// current entries of their subsets after the list grows tenfold, after a replica that some clients watch
+// falls silent, after that replica stops, and after a restore. A client that knows no subsets gets the
+// complete list.
 func TestSubsetsConvergeOverFailures(t *testing.T) {
 	at, raft := map[string]string{}, map[string]string{}
 	names := []string{"r0", "r1", "r2"}
@@ -122,7 +122,7 @@
 	}
 	net := link.NewNet(1)
 	defer net.Close()
-	var doors []string
+	var linkAddresses []string
 	stops := map[string]func(){}
 	for _, name := range names {
 		_, stop := startReplica(t, t.TempDir(), func(c *Config) {
@@ -132,11 +132,11 @@
 			}
 		})
 		stops[name] = stop
-		door, err := net.Connect(link.Ends{From: "clients", To: name}, at[name])
+		address, err := net.Connect(link.Ends{From: "clients", To: name}, at[name])
 		if err != nil {
 			t.Fatal(err)
 		}
-		doors = append(doors, door)
+		linkAddresses = append(linkAddresses, address)
 	}
 	defer func() {
 		for _, stop := range stops {
@@ -165,7 +165,7 @@
 		tasks.Wait()
 	}
 	grow(0, 60)
-	c := newClientFleet(t, ctx, 24, subsetInFleet(4300), func(i int) []string { return append(slices.Clone(doors[i%3:]), doors[:i%3]...) })
+	c := newClientFleet(t, ctx, 24, subsetInFleet(4300), func(i int) []string { return append(slices.Clone(linkAddresses[i%3:]), linkAddresses[:i%3]...) })
 	t.Cleanup(cancel)
 	url := "http://" + at["r0"]
 	c.settle(t, "at first", url)
--- a/internal/registry/server/subsets_bench_test.go
+++ b/internal/registry/server/subsets_bench_test.go
@@ -24,14 +24,14 @@
 			b.Run(fmt.Sprint(watchers, "/", map[bool]string{false: "whole", true: "parts"}[bySubset]), func(b *testing.B) {
 				h := newHub(m)
 				h.publishList(m.state)
-				all := map[*watcher]query{}
+				waiting := map[*watcher]query{}
 				for i := range watchers {
 					q := query{namesSubset: bySubset, from: m.state.Version(), epoch: "e"}
 					if bySubset {
 						q.subset = registry.SubsetOf(i, 4300, servers)
 					}
 					w, _ := h.wait(q.subset, q.from, watchers)
-					all[w] = q
+					waiting[w] = q
 				}
 				bytes, woken := 0, 0
 				b.ResetTimer()
@@ -45,20 +45,20 @@
 							due = append(due, w)
 						}
 					}
-					for h.wakeSome() {
+					for h.wakeNextBatch() {
 					}
 					for _, w := range due {
-						q := all[w]
+						q := waiting[w]
 						q.from = h.leave(w)
-						head, entries, err := h.answer(q)
+						head, entries, err := h.encodeResponse(q)
 						if err != nil {
 							b.Fatal(err)
 						}
 						bytes, woken = bytes+len(head)+len(entries)+1, woken+1
-						delete(all, w)
+						delete(waiting, w)
 						q.from = m.state.Version()
 						again, _ := h.wait(q.subset, q.from, watchers)
-						all[again] = q
+						waiting[again] = q
 					}
 				}
 				b.ReportMetric(float64(bytes)/float64(b.N), "bytes/change")
--- a/internal/registry/server/subsets_test.go
+++ b/internal/registry/server/subsets_test.go
@@ -23,12 +23,12 @@
 	watcher   *watcher
 }
 
-// update applies the response for the reader's version and checks the entries against the state.
+// update applies the response for the reader's version and compares the reader's entries with the state.
 func (r *reader) update(t rapid.TB, h *hub) (snapshot bool) {
 	if _, epoch := h.current(); r.epoch != epoch {
 		r.from = 0
 	}
-	head, entries, err := h.answer(r.query)
+	head, entries, err := h.encodeResponse(r.query)
 	var a registry.ListResponse
 	if err == nil {
 		err = json.Unmarshal(append(append(slices.Clone(head), entries...), '}'), &a)
@@ -92,8 +92,8 @@
 		for i := range 12 {
 			r := &reader{endpoints: map[string]registry.Endpoint{}, query: query{namesSubset: true}}
 			if i > 1 {
-				arc := 1 << rapid.IntRange(10, 14).Draw(t, "arc")
-				r.subset = registry.Subset{Start: uint16(rapid.IntRange(0, 1<<18/arc-1).Draw(t, "from") * arc / 4), Width: uint16(arc)}
+				width := 1 << rapid.IntRange(10, 14).Draw(t, "arc")
+				r.subset = registry.Subset{Start: uint16(rapid.IntRange(0, 1<<18/width-1).Draw(t, "from") * width / 4), Width: uint16(width)}
 			}
 			r.watch(t, h)
 			readers = append(readers, r)
@@ -101,9 +101,9 @@
 		for n := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name, affected := fmt.Sprint("s", rapid.IntRange(0, 30).Draw(t, "name")), func(registry.Subset) bool { return true }
 			before := m.state.Version()
-			switch what := rapid.IntRange(0, 12).Draw(t, "what"); what {
+			switch operation := rapid.IntRange(0, 12).Draw(t, "what"); operation {
 			case 0, 1, 2:
-				do := []string{registry.OpRemove, registry.OpDrain, registry.OpPutRecord}[what]
+				do := []string{registry.OpRemove, registry.OpDrain, registry.OpPutRecord}[operation]
 				m.state.Apply(registry.Command{Op: do, Name: name, Value: json.RawMessage(fmt.Sprint(n))})
 				affected = func(p registry.Subset) bool {
 					return do != registry.OpPutRecord && m.state.Version() > before && p.Contains(registry.Position(name))
@@ -126,7 +126,7 @@
 				affected = func(p registry.Subset) bool { return r.Version > before && p.Contains(registry.Position(name)) }
 			}
 			h.publishList(m.state)
-			for h.wakeSome() {
+			for h.wakeNextBatch() {
 			}
 			for _, r := range readers {
 				if r.woken() != affected(r.subset) {
@@ -145,9 +145,9 @@
 	})
 }
 
-// TestQuietSubsetGetsChanges checks that the watchers of a subset that has not changed for long get its next
-// change as a change, not as a complete subset, however many other changes there were, and that the response
-// is encoded once for all of them.
+// TestQuietSubsetGetsChanges checks that the watchers of a subset that has not changed for long get only the
+// subset's next change, not the complete subset, however many other changes there were. The response is
+// encoded once for all of these watchers.
 func TestQuietSubsetGetsChanges(t *testing.T) {
 	m := &machine{state: registry.NewState()}
 	h := newHub(m)
@@ -173,7 +173,7 @@
 	}
 	m.state.Apply(registry.Command{Op: registry.OpRegister, Endpoint: entry("quiet", 1)})
 	h.publishList(m.state)
-	for h.wakeSome() {
+	for h.wakeNextBatch() {
 	}
 	for _, r := range readers[1:] {
 		if !r.woken() {
@@ -183,7 +183,7 @@
 			t.Error("a change brings a complete subset")
 		}
 	}
-	if n := len(h.subsets[subset].answers); n != 1 {
+	if n := len(h.subsets[subset].responses); n != 1 {
 		t.Errorf("%d responses were encoded for one change", n)
 	}
 	for i := range 5000 { // subsets without watchers
@@ -194,10 +194,10 @@
 	}
 }
 
-// TestSubsetsOverHTTP checks that a reader that names a subset gets the name of the subset and the size of
-// the complete list, that the response to a reader that names none has neither field, and that malformed
-// subsets are rejected.
-func TestSubsetsOverHTTP(t *testing.T) {
+// TestResponseNamesRequestedSubset checks that a reader that names a subset gets the name of the subset and
+// the size of the complete list, and that the response to a reader that names no subset has neither field.
+// Malformed subsets are rejected.
+func TestResponseNamesRequestedSubset(t *testing.T) {
 	url, stop := serve(t, t.TempDir(), nil)
 	defer stop()
 	var first registry.Endpoint
@@ -216,9 +216,9 @@
 	if again, err := json.Marshal(a); err != nil || string(again) != complete || strings.Contains(complete, "part") || strings.Contains(complete, "total") {
 		t.Errorf("a reader that names no subset gets %s", complete)
 	}
-	all := readList(t, url, "?part=all")
-	if all.Subset != "all" || all.Total != 40 || !reflect.DeepEqual(all.Endpoints, a.Endpoints) || all.Index != a.Index {
-		t.Errorf("the subset named all is %+v", all)
+	allSubsets := readList(t, url, "?part=all")
+	if allSubsets.Subset != "all" || allSubsets.Total != 40 || !reflect.DeepEqual(allSubsets.Endpoints, a.Endpoints) || allSubsets.Index != a.Index {
+		t.Errorf("the subset named all is %+v", allSubsets)
 	}
 	subset := registry.Subset{Start: uint16(registry.Position(first.Name)>>48) / 1024 * 1024, Width: 4096}
 	response := readList(t, url, "?current=1&part="+subset.String())
--- a/internal/registry/server/watch_test.go
+++ b/internal/registry/server/watch_test.go
@@ -11,9 +11,10 @@
 	"wrenspread/internal/registry/client"
 )
 
-// TestWatchRecordsOverRestart checks that a follower gets the records under its prefix and then every change
-// there, including a removal, but no others, also after a restart of the service.
-func TestWatchRecordsOverRestart(t *testing.T) {
+// TestFollowerGetsChangesOfRecordsOverRestart checks that a follower gets the records under its prefix and
+// then every change under the prefix, including a removal, also after a restart of the service. It gets no
+// other records.
+func TestFollowerGetsChangesOfRecordsOverRestart(t *testing.T) {
 	folder := t.TempDir()
 	url, stop := serve(t, folder, nil)
 	record := func(key, value string) {
--- a/internal/registry/server/watcher.go
+++ b/internal/registry/server/watcher.go
@@ -9,8 +9,8 @@
 	wake  chan struct{} // closed when the watcher is woken
 }
 
-// wait registers a watcher that has version from of a subset. w is nil if there is a newer version already,
-// or if tooMany is true: there are maxWatchers watchers.
+// wait registers a watcher that has version from of a subset. w is nil if there is a newer version already.
+// It is also nil, and tooMany is true, if there are maxWatchers watchers already.
 func (h *hub) wait(p registry.Subset, from uint64, maxWatchers int) (w *watcher, tooMany bool) {
 	if !p.IsAll() {
 		h.machine.mu.RLock() // nothing is published while it is locked
@@ -42,10 +42,10 @@
 	return w, false
 }
 
-// leave removes a watcher and returns the version up to which its subset has not changed since the reader's
-// version. The response can then start from that version and skip the changes of other subsets, however long
-// the watcher has waited.
-func (h *hub) leave(w *watcher) (after uint64) {
+// leave removes a watcher and returns the version up to which the watcher's subset has not changed. The
+// response can then start from that version and skip the changes of other subsets, however long the watcher
+// has waited.
+func (h *hub) leave(w *watcher) (unchangedUntil uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	watchers := h.ahead
--- a/internal/registry/server/writes.go
+++ b/internal/registry/server/writes.go
@@ -57,11 +57,11 @@
 // forwardedHeader marks a call that another replica has forwarded, with the name of that replica.
 const forwardedHeader = "X-Indigo-Forwarded"
 
-// leaderOnly wraps a handler that only the leader can execute. It limits the rate of each client, and other
-// replicas forward the call, with a body of up to maxBytes.
+// leaderOnly wraps a handler that only the leader can execute. It limits the rate of each client. A replica
+// that does not lead forwards the call, with a body of up to maxBytes, to the leader.
 func (s *Server) leaderOnly(maxBytes int64, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(forwardedHeader) == "" { // a forwarded call has been counted at the other replica
+		if r.Header.Get(forwardedHeader) == "" { // the replica that forwards a call has counted it
 			client, _, _ := net.SplitHostPort(r.RemoteAddr)
 			if wait, ok := s.rates.allow(cmp.Or(r.Header.Get("X-Client"), client), time.Now()); !ok {
 				writeError(w, http.StatusTooManyRequests, "rate", "too many writes of one client", wait)
@@ -109,8 +109,8 @@
 	proxy.ServeHTTP(w, r)
 }
 
-// leaderTransport is used for calls to the leader. It waits a little longer than the leader waits for the
-// log.
+// leaderTransport is used for calls to the leader. It waits a little longer for a response than the leader
+// waits for a command to be logged.
 var leaderTransport = &http.Transport{
 	ResponseHeaderTimeout: applyTimeout + time.Second,
 	MaxIdleConnsPerHost:   32,
@@ -151,8 +151,8 @@
 	return true
 }
 
-// write returns the handler of an operation on one entry.
-func (s *Server) write(op string) http.HandlerFunc {
+// writeEntry returns the handler of an operation on one entry.
+func (s *Server) writeEntry(op string) http.HandlerFunc {
 	return s.leaderOnly(maxBodyBytes, func(w http.ResponseWriter, r *http.Request) {
 		var body registry.WriteRequest
 		if !readJSON(w, r, &body) {
@@ -188,7 +188,7 @@
 			return
 		}
 		result, err := s.replica.apply(c)
-		s.finish(w, result, err)
+		s.writeResult(w, result, err)
 	})
 }
 
@@ -201,8 +201,8 @@
 	registry.StaleToken:       http.StatusConflict,
 }
 
-// finish responds with the result of a command, or with its error.
-func (s *Server) finish(w http.ResponseWriter, r registry.Result, err error) {
+// writeResult responds with the result of a command, or with its error.
+func (s *Server) writeResult(w http.ResponseWriter, r registry.Result, err error) {
 	switch {
 	case errors.Is(err, errNotLeading):
 		writeError(w, http.StatusServiceUnavailable, "not-leading", err.Error(), time.Second)
@@ -225,8 +225,8 @@
 	}
 }
 
-// renew renews entries. Renewals are not logged.
-func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
+// renewEntries renews entries. Renewals are not written to raft's log.
+func (s *Server) renewEntries(w http.ResponseWriter, r *http.Request) {
 	var body registry.Renewal
 	if !readJSON(w, r, &body) {
 		return
