--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -105,7 +105,7 @@
 	if c.CacheFile != "" {
 		var err error
 		if cached, err = readCache(c.CacheFile); err != nil {
-			k.log.Warn("cached endpoint list unusable, starting without", "err", err)
+			k.log.Warn("cached endpoint list is unusable, starting without a list", "err", err)
 		}
 	}
 	k.list = NewListState(c.DeferralDelay, cached)
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -42,13 +42,13 @@
 				from = 0
 			}
 			before := b.List()
-			change := b.Apply(now, from, source.Since(from))
+			effect := b.Apply(now, from, source.Since(from))
 			v := b.List()
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
 			if want, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || len(want)+len(v.Endpoints) > 0 && !reflect.DeepEqual(want, v.Endpoints)) {
-				t.Fatalf("at %s %d the known list is %v, the service had %v (%d)", v.Epoch, v.Version, v.Endpoints, want, change)
+				t.Fatalf("at %s %d the known list is %v, the service had %v (%d)", v.Epoch, v.Version, v.Endpoints, want, effect)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
--- a/internal/registry/client/fixture_test.go
+++ b/internal/registry/client/fixture_test.go
@@ -9,7 +9,7 @@
 
 // TestCachedListFormIsUnchanged compares the cache file of a client with golden files.
 func TestCachedListFormIsUnchanged(t *testing.T) {
-	for name, sample := range map[string]any{"view": &List{}, "kept": &cachedList{}} {
+	for name, sample := range map[string]any{"list": &List{}, "cached-list": &cachedList{}} {
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
 	}
 	path := t.TempDir() + "/list"
@@ -17,5 +17,5 @@
 	if err := writeCache(path, v); err != nil {
 		t.Fatal(err)
 	}
-	fixture.AssertFile(t, "cached-part", path)
+	fixture.AssertFile(t, "cached-subset", path)
 }
--- a/internal/registry/client/liststate.go
+++ b/internal/registry/client/liststate.go
@@ -31,12 +31,12 @@
 	minKnownForLoss = 2 // the loss of one or two known entries proves nothing
 )
 
-// Change is the effect of a response on the client's list.
-type Change int
+// Effect says how a response changed the client's list, or why it was not accepted.
+type Effect int
 
 // Effects of a response.
 const (
-	Unchanged     Change = iota // the response has nothing new
+	Unchanged     Effect = iota // the response has nothing new
 	Changed                     // the list has changed
 	Stale                       // the response is older than the known list: the replica lags or is cut off
 	Deferred                    // the response is a suspect list of another epoch, not accepted yet
@@ -109,7 +109,7 @@
 // Apply accepts or rejects the response to a call that requested changes from version from. If the response
 // covers another subset than the known entries do, it must be complete, and its entries replace the known
 // entries.
-func (b *ListState) Apply(now time.Duration, from uint64, response registry.ListResponse) Change {
+func (b *ListState) Apply(now time.Duration, from uint64, response registry.ListResponse) Effect {
 	switch {
 	case response.Epoch != b.epoch && (b.epoch != "" || len(b.endpoints) > 0):
 		return b.applyOtherEpoch(now, response)
@@ -134,7 +134,7 @@
 }
 
 // applyOtherEpoch accepts, defers or rejects a response of another epoch.
-func (b *ListState) applyOtherEpoch(now time.Duration, response registry.ListResponse) Change {
+func (b *ListState) applyOtherEpoch(now time.Duration, response registry.ListResponse) Effect {
 	if !response.Snapshot {
 		b.needsComplete = true
 		return NeedsComplete
--- a/internal/registry/client/record_follower.go
+++ b/internal/registry/client/record_follower.go
@@ -41,7 +41,7 @@
 	now time.Time,
 	deferralDelay time.Duration,
 	response registry.RecordsResponse,
-) (Change, error) {
+) (Effect, error) {
 	known := f.records
 	switch {
 	case response.Epoch == f.epoch && response.Index < f.version:
@@ -101,22 +101,22 @@
 func (k *Client) FollowRecords(ctx context.Context, prefix string, onRecords func(Records)) {
 	f, wait, hold := &recordFollower{}, watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
-		change, err := k.watchRecords(ctx, f, prefix, hold)
+		effect, err := k.watchRecords(ctx, f, prefix, hold)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && change != Stale {
-			if change == Changed {
+		if err == nil && effect != Stale {
+			if effect == Changed {
 				onRecords(f.snapshot())
 			}
 			wait, hold = watchBackoff(), k.config.Hold
 			continue
 		}
-		if hold = minHold; change == NeedsComplete {
+		if hold = minHold; effect == NeedsComplete {
 			*f = recordFollower{epoch: f.epoch, otherEpochSince: f.otherEpochSince} // version 0: read all records
 		}
 		k.log.Warn(
-			"following records failed, keeping the known ones",
+			"watching records failed, keeping the known records",
 			"prefix",
 			prefix,
 			"address",
@@ -137,7 +137,7 @@
 	f *recordFollower,
 	prefix string,
 	hold time.Duration,
-) (Change, error) {
+) (Effect, error) {
 	q := url.Values{"prefix": {prefix}, "hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)}}
 	if f.epoch != "" {
 		q.Set("epoch", f.epoch)
--- a/internal/registry/client/record_follower_test.go
+++ b/internal/registry/client/record_follower_test.go
@@ -45,7 +45,7 @@
 				from = 0
 			}
 			a, _ := source.RecordsSince("a/", from, len(f.records))
-			if change, err := f.apply(now, time.Minute, a); change == NeedsComplete {
+			if effect, err := f.apply(now, time.Minute, a); effect == NeedsComplete {
 				t.Fatal(err)
 			}
 			if f.epoch == epoch && f.version < before {
--- a/internal/registry/client/sessions.go
+++ b/internal/registry/client/sessions.go
@@ -118,7 +118,7 @@
 		ctx,
 		http.MethodPost,
 		"/registry/duties/"+url.PathEscape(lease)+"/yield",
-		registry.LeaseOrder{Process: successor},
+		registry.LeaseChangeRequest{Process: successor},
 		&r,
 	)
 }
@@ -130,7 +130,7 @@
 		ctx,
 		http.MethodPost,
 		"/registry/duties/"+url.PathEscape(lease)+"/block",
-		registry.LeaseOrder{Process: process, Block: block},
+		registry.LeaseChangeRequest{Process: process, Block: block},
 		&r,
 	)
 }
--- a/internal/registry/client/subset_cached_test.go
+++ b/internal/registry/client/subset_cached_test.go
@@ -53,14 +53,14 @@
 	if q := withoutSubsets.nextRead(time.Second); q.from != 0 || !q.subset.IsAll() {
 		t.Errorf("without ChooseSubset the client requests %+v", q)
 	}
-	if change, _, err := withoutSubsets.callTo(replica{s, true}, func() {}); change != Changed || err != nil || len(withoutSubsets.list.endpoints) != 19000 {
+	if effect, _, err := withoutSubsets.callTo(replica{s, true}, func() {}); effect != Changed || err != nil || len(withoutSubsets.list.endpoints) != 19000 {
 		t.Errorf("without ChooseSubset the client has %d entries: %v", len(withoutSubsets.list.endpoints), err)
 	}
 	old := NewListState(time.Second, List{Endpoints: cached.Endpoints}) // the file as a program without subsets reads it
 	if from, _ := old.Next(); from != 0 {
 		t.Errorf("a program without subsets continues from version %d", from)
 	}
-	if change := old.Apply(0, 0, s.Since(0)); change != Changed || len(old.endpoints) != 19000 {
-		t.Errorf("a program without subsets has %d entries: %v", len(old.endpoints), change)
+	if effect := old.Apply(0, 0, s.Since(0)); effect != Changed || len(old.endpoints) != 19000 {
+		t.Errorf("a program without subsets has %d entries: %v", len(old.endpoints), effect)
 	}
 }
--- a/internal/registry/client/subset_test.go
+++ b/internal/registry/client/subset_test.go
@@ -33,7 +33,7 @@
 }
 
 // callTo makes one call as watch does. meanwhile runs between the request and the response.
-func (k *Client) callTo(r replica, meanwhile func()) (Change, listRead, error) {
+func (k *Client) callTo(r replica, meanwhile func()) (Effect, listRead, error) {
 	q := k.nextRead(time.Second)
 	meanwhile()
 	a, err := r.respond(q)
@@ -106,13 +106,13 @@
 		}
 		call := func(r replica, meanwhile func()) {
 			before, _ := k.List()
-			result, q, err := k.callTo(r, meanwhile)
+			effect, q, err := k.callTo(r, meanwhile)
 			v, _ := k.List()
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
 			if served, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Endpoint{}, v.Endpoints...), endpointsIn(v.Subset, served))) {
-				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, served, result, err)
+				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, served, effect, err)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -206,13 +206,13 @@
 			t.Error("a client whose read was rejected does not watch its present subset")
 		}
 		registerRange(s.State, servers, servers+1000)
-		if change, _, err := k.callTo(s, func() {}); change != Changed || err != nil {
-			t.Errorf("the present subset gets no changes: %v, %v", change, err)
+		if effect, _, err := k.callTo(s, func() {}); effect != Changed || err != nil {
+			t.Errorf("the present subset gets no changes: %v, %v", effect, err)
 		}
 		registerRange(s.State, servers+1000, servers+2000)
-		change, _, err := k.callTo(replica{s.State, true}, func() {})
-		if now, _ := k.List(); change != Changed || err != nil || now.Subset != v.Subset || !slices.Equal(now.Endpoints, endpointsIn(v.Subset, s.Since(0).Endpoints)) {
-			t.Errorf("from a replica without subsets the client accepts no changes, or others than its subset's: %v, %v", change, err)
+		effect, _, err := k.callTo(replica{s.State, true}, func() {})
+		if now, _ := k.List(); effect != Changed || err != nil || now.Subset != v.Subset || !slices.Equal(now.Endpoints, endpointsIn(v.Subset, s.Since(0).Endpoints)) {
+			t.Errorf("from a replica without subsets the client accepts no changes, or others than its subset's: %v, %v", effect, err)
 		}
 	}
 }
--- a/internal/registry/client/watch.go
+++ b/internal/registry/client/watch.go
@@ -19,21 +19,21 @@
 func (k *Client) Follow(ctx context.Context) {
 	wait, hold := watchBackoff(), k.config.Hold
 	for ctx.Err() == nil {
-		change, err := k.watch(ctx, hold)
+		effect, err := k.watch(ctx, hold)
 		switch {
 		case ctx.Err() != nil:
 			return
-		case err == nil && (change == Changed || change == TooNarrow || change == Unchanged && k.watching()):
+		case err == nil && (effect == Changed || effect == TooNarrow || effect == Unchanged && k.watching()):
 			wait, hold = watchBackoff(), k.config.Hold
 			continue
 		case err != nil:
-			k.log.Warn("registry does not answer, keeping the last list", "address", k.address(), "err", err)
-		case change == Deferred:
+			k.log.Warn("watching the endpoint list failed, keeping the known list", "address", k.address(), "err", err)
+		case effect == Deferred:
 			k.log.Error("deferring a suspect list of another epoch", "for", k.config.DeferralDelay)
-		case change == Stale:
+		case effect == Stale:
 			k.log.Warn("replica is behind this client", "address", k.address())
 		}
-		if hold = minHold; change != Deferred {
+		if hold = minHold; effect != Deferred {
 			k.nextAddress()
 		}
 		if !backoff.Sleep(ctx, wait.Next(rand.Int64N)) {
@@ -69,7 +69,7 @@
 }
 
 // watch makes one call and applies the response.
-func (k *Client) watch(ctx context.Context, hold time.Duration) (Change, error) {
+func (k *Client) watch(ctx context.Context, hold time.Duration) (Effect, error) {
 	q := k.nextRead(hold)
 	response, err := k.read(ctx, q)
 	if err != nil {
@@ -121,20 +121,20 @@
 }
 
 // apply applies a response to the list, notifies OnChange and the watchers of Changed, and caches the list.
-func (k *Client) apply(from uint64, response registry.ListResponse) Change {
+func (k *Client) apply(from uint64, response registry.ListResponse) Effect {
 	k.mu.Lock()
-	change := k.list.Apply(time.Since(k.start), from, response)
-	if change != Stale {
+	effect := k.list.Apply(time.Since(k.start), from, response)
+	if effect != Stale {
 		k.lastResponseAt = time.Now()
 	}
-	if change == Changed || change == Unchanged {
+	if effect == Changed || effect == Unchanged {
 		k.chooseSubset(response)
 	}
 	// a response without endpoints changes only the version
-	endpointsChanged := change == Changed && (response.Snapshot || len(response.Endpoints) > 0)
+	endpointsChanged := effect == Changed && (response.Snapshot || len(response.Endpoints) > 0)
 	response.Total = k.list.total
 	var list List
-	if change == Changed {
+	if effect == Changed {
 		if endpointsChanged && k.config.CacheFile != "" {
 			list = k.list.List()
 		}
@@ -142,7 +142,7 @@
 		k.changed = make(chan struct{})
 	}
 	k.mu.Unlock()
-	if change == Changed && k.config.OnChange != nil {
+	if effect == Changed && k.config.OnChange != nil {
 		k.config.OnChange(response)
 	}
 	if endpointsChanged && k.config.CacheFile != "" {
@@ -150,5 +150,5 @@
 			k.log.Warn("caching the endpoint list failed", "err", err)
 		}
 	}
-	return change
+	return effect
 }
--- a/internal/registry/fixture_test.go
+++ b/internal/registry/fixture_test.go
@@ -10,10 +10,10 @@
 // golden files.
 func TestStoredAndSentFormsAreUnchanged(t *testing.T) {
 	for name, sample := range map[string]any{
-		"command": &Command{}, "snapshot": &snapshotData{}, "result": &Result{}, "write": &WriteRequest{}, "renewal": &Renewal{},
-		"refusal": &ErrorResponse{}, "replica": &Replica{}, "items": &Registrations{}, "put": &PutRequest{}, "record-answer": &RecordsResponse{},
-		"session-call": &OpenSessionRequest{}, "session-renewal": &SessionRenewal{}, "wishes": &CandidacyRequest{}, "duty-answer": &LeasesResponse{},
-		"duty-order": &LeaseOrder{},
+		"command": &Command{}, "snapshot": &snapshotData{}, "result": &Result{}, "write-request": &WriteRequest{}, "renewal": &Renewal{},
+		"error-response": &ErrorResponse{}, "replica": &Replica{}, "registrations": &Registrations{}, "put-request": &PutRequest{}, "records-response": &RecordsResponse{},
+		"open-session-request": &OpenSessionRequest{}, "session-renewal": &SessionRenewal{}, "candidacy-request": &CandidacyRequest{}, "leases-response": &LeasesResponse{},
+		"lease-change-request": &LeaseChangeRequest{},
 	} {
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
 	}
@@ -24,5 +24,5 @@
 func TestListResponseFormIsUnchanged(t *testing.T) {
 	entry := Endpoint{Name: "s", Address: "127.0.0.1:80", Zone: "z", Type: "t", Cell: 1, Status: Ready, Weight: 2, StartedAtMS: 3, Version: "v"}
 	answer := ListResponse{Index: 4, Epoch: "e", Snapshot: true, Subset: "0-4", Total: 5, Endpoints: []Endpoint{entry}}
-	fixture.AssertJSONOf(t, "answer", &answer, &ListResponse{})
+	fixture.AssertJSONOf(t, "list-response", &answer, &ListResponse{})
 }
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -108,8 +108,8 @@
 	Sessions []Session `json:"sessions,omitempty"` // set only if all leases are requested
 }
 
-// LeaseOrder is the body of an operator's request to transfer a lease or to block a process from it.
-type LeaseOrder struct {
+// LeaseChangeRequest is the body of an operator's request to transfer a lease or to block a process from it.
+type LeaseChangeRequest struct {
 	Process string `json:"process,omitempty"`
 	Block   bool   `json:"on,omitempty"` // true: block the process; false: unblock it
 }
--- a/internal/registry/records_bench_test.go
+++ b/internal/registry/records_bench_test.go
@@ -37,13 +37,13 @@
 			"change": func(i int) {
 				s.Apply(Command{Op: OpPutRecord, Name: fmt.Sprintf("tenant/%06d", i%n), Value: value})
 			},
-			"come-and-go": func(i int) {
+			"add-and-remove": func(i int) {
 				s.Apply(Command{Op: OpPutRecord, Name: "tenant/new", Value: value})
 				s.Apply(Command{Op: OpPutRecord, Name: "tenant/new"})
 			},
 			"woken":    func(int) { s.RecordsSince("policy/", s.version, 1) },
 			"read-all": func(int) { s.Records("tenant/") },
-			"image":    func(int) { s.Snapshot() },
+			"copy":     func(int) { s.Snapshot() },
 			"snapshot": func(int) { _, _ = s.EncodeSnapshot() },
 			"restore": func(int) {
 				if _, err := DecodeSnapshot(raw); err != nil {
--- a/internal/registry/server/leases.go
+++ b/internal/registry/server/leases.go
@@ -61,10 +61,10 @@
 	})
 }
 
-// leaseOrder returns the handler of an operator's order on a lease.
-func (s *Server) leaseOrder(op string) http.HandlerFunc {
+// changeLease returns the handler with which an operator transfers a lease or blocks a process from it.
+func (s *Server) changeLease(op string) http.HandlerFunc {
 	return s.leaderOnly(maxBodyBytes, func(w http.ResponseWriter, r *http.Request) {
-		var body registry.LeaseOrder
+		var body registry.LeaseChangeRequest
 		if readJSON(w, r, &body) {
 			s.applyLeaseCommand(
 				w,
--- a/internal/registry/server/list_response.go
+++ b/internal/registry/server/list_response.go
@@ -114,7 +114,7 @@
 }
 
 // respondWithList responds with the changes since the reader's version, or with all entries. A reader whose
-// version is above this replica's version never gets an older list: if the reader knows the epoch, it gets
+// version is above this replica's version never gets an older list: if the reader has sent an epoch, it gets
 // the error "behind" and calls another replica; otherwise it gets a response without changes.
 func (s *Server) respondWithList(w http.ResponseWriter, r *http.Request, q query) {
 	version, epoch := s.listHub.current()
--- a/internal/registry/server/server.go
+++ b/internal/registry/server/server.go
@@ -135,7 +135,7 @@
 				continue
 			}
 			if err := s.beginLeading(); err != nil {
-				s.log.Warn("leadership lost before it began", "err", err)
+				s.log.Warn("leadership lost before the leader's tasks were started", "err", err)
 			}
 		case <-s.ctx.Done():
 			return
--- a/internal/registry/server/subsets_bench_test.go
+++ b/internal/registry/server/subsets_bench_test.go
@@ -21,7 +21,7 @@
 	weight := 1 // changes with each iteration, so that each write is a change
 	for _, watchers := range []int{300, 1000, 4300} {
 		for _, bySubset := range []bool{false, true} {
-			b.Run(fmt.Sprint(watchers, "/", map[bool]string{false: "whole", true: "parts"}[bySubset]), func(b *testing.B) {
+			b.Run(fmt.Sprint(watchers, "/", map[bool]string{false: "complete", true: "subsets"}[bySubset]), func(b *testing.B) {
 				h := newHub(m)
 				h.publishList(m.state)
 				waiting := map[*watcher]query{}
--- a/internal/registry/size_bench_test.go
+++ b/internal/registry/size_bench_test.go
@@ -31,7 +31,7 @@
 				s.Apply(Command{Op: OpRegister, Endpoint: &Endpoint{Name: fmt.Sprintf("s-%08x", i%n), Address: "a:1", Status: Ready, Weight: float64(i)}})
 			}
 		})
-		b.Run(fmt.Sprint("come-and-go/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("add-and-remove/", n), func(b *testing.B) {
 			for i := range b.N {
 				name := fmt.Sprintf("s-%08x", i%n)
 				s.Apply(Command{Op: OpRemove, Name: name})
@@ -51,7 +51,7 @@
 				}
 			}
 		})
-		b.Run(fmt.Sprint("part/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("subset/", n), func(b *testing.B) {
 			p := SubsetOf(7, 4300, n)
 			b.ReportMetric(float64(len(s.SubsetSince(p, 0).Endpoints)), "entries")
 			for range b.N {
