--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -52,7 +52,7 @@
 	releaseOrder int // when the session closes, leases of a higher order are released first
 
 	registered        bool          // the session waits for the lease or holds it, according to the registry
-	token             uint64        // fencing token under which the session holds the lease; 0: it does not
+	token             uint64        // fencing token under which the session holds the lease; 0: not held
 	grantedAt         time.Duration // when this process learned of the grant
 	releasedToken     uint64        // the highest token that was released
 	transferRequested bool          // the registry asks this process to transfer the lease
@@ -61,7 +61,7 @@
 	cancelled bool // the lease is not wanted any more
 
 	runningToken    uint64        // token of the running work; 0: no work runs
-	stopRequestedAt time.Duration // when the context of the work was cancelled; 0: it was not
+	stopRequestedAt time.Duration // when the context of the work was cancelled; 0: not cancelled
 	startedAt       time.Duration // when the work was started
 
 	callPending    bool          // a call that campaigns for the lease or releases it is in progress
--- a/internal/registry/server/contact.go
+++ b/internal/registry/server/contact.go
@@ -14,7 +14,7 @@
 	caughtUp atomic.Bool // the entries that the log had at the start of the process have been applied
 	mu       sync.Mutex
 	cutOff   bool          // the replica is cut off from the leader
-	changed  chan struct{} // closed and replaced when lost changes
+	changed  chan struct{} // closed and replaced when cutOff changes
 }
 
 func newLeaderContact() *leaderContact { return &leaderContact{changed: make(chan struct{})} }
--- a/internal/registry/server/expiry.go
+++ b/internal/registry/server/expiry.go
@@ -42,7 +42,7 @@
 	x.machine.mu.RUnlock()
 }
 
-// stopLeading drops the deadlines, as another replica leads.
+// stopLeading drops the deadlines, as this replica does not lead any more.
 func (x *expiry) stopLeading() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -14,9 +14,9 @@
 	"wrenspread/internal/registry"
 )
 
-// TestFormatsOfFirstProgramsAreRead checks that commands without a checksum, and a snapshot without leases
-// whose changes have consecutive versions, are read. The first programs wrote such files.
-func TestFormatsOfFirstProgramsAreRead(t *testing.T) {
+// TestFormatsOfFirstVersionsAreRead checks that commands without a checksum, and a snapshot without leases
+// whose changes have consecutive versions, are read. The first versions of the program wrote such files.
+func TestFormatsOfFirstVersionsAreRead(t *testing.T) {
 	c, err := decode([]byte(`{"v":1,"do":"register","entry":{"name":"a","address":"a:1","status":"ready"}}`))
 	if err != nil || c.Endpoint == nil || c.Endpoint.Name != "a" {
 		t.Errorf("%+v, %v", c, err)
--- a/internal/registry/server/machine.go
+++ b/internal/registry/server/machine.go
@@ -30,7 +30,7 @@
 	return checksumfile.Encode(raw), err
 }
 
-// decode parses a logged command. The first programs logged commands without a checksum.
+// decode parses a logged command. The first versions of the program logged no checksum.
 func decode(raw []byte) (registry.Command, error) {
 	if len(raw) > 0 && raw[0] != '{' {
 		var err error
--- a/internal/registry/server/members.go
+++ b/internal/registry/server/members.go
@@ -116,7 +116,7 @@
 	return fmt.Errorf("%w: %w", errNotLeading, err)
 }
 
-// upToDate reports whether a replica answers and has at least this replica's version of the list.
+// upToDate reports whether a replica responds and has at least this replica's version of the list.
 func (s *Server) upToDate(ctx context.Context, address registry.Address) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*behindWait)
 	defer cancel()
--- a/internal/registry/server/reads.go
+++ b/internal/registry/server/reads.go
@@ -14,8 +14,8 @@
 // maxWatchHold bounds the hold of a watch, as the protocol requires.
 const maxWatchHold = time.Minute
 
-// behindWait is the least time for which a call waits if its version is above this replica's version, so that
-// the replica can catch up.
+// behindWait is the shortest hold of a call whose version is above this replica's version, whatever hold the
+// call requests. It gives the replica time to catch up.
 const behindWait = time.Second
 
 // maxCutOffHold is the longest time for which a watch waits at a replica that is cut off. A watch whose hold
--- a/internal/registry/server/replica.go
+++ b/internal/registry/server/replica.go
@@ -21,7 +21,7 @@
 	applyTimeout      = 5 * time.Second // the outcome of a write that is not logged in this time is unknown
 	retainedSnapshots = 2
 	maxRaftConns      = 3                // pooled connections to each other replica
-	raftTimeout       = 5 * time.Second  // for a call to another replica; a hanging call delays later ones
+	raftTimeout       = 5 * time.Second  // for a call to another replica; a hanging call delays later calls
 	stopTimeout       = 10 * time.Second // for raft to stop; exceeded only if a call hangs
 )
 
--- a/internal/registry/server/sessions.go
+++ b/internal/registry/server/sessions.go
@@ -29,7 +29,7 @@
 	log     *slog.Logger
 
 	mu            sync.Mutex
-	deadlines     *registry.SessionExpiry // nil while another leads
+	deadlines     *registry.SessionExpiry // nil while this replica does not lead
 	closing       map[string]bool         // expired sessions that are not closed yet; they can't be renewed
 	grantLimiters map[string]*rate.Limiter
 	expired       int // number of sessions expired so far
@@ -50,7 +50,7 @@
 	), map[string]bool{}, map[string]*rate.Limiter{}
 }
 
-// stopLeading drops the deadlines, as another replica leads.
+// stopLeading drops the deadlines, as this replica does not lead any more.
 func (x *sessions) stopLeading() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -23,10 +23,11 @@
 	Replicas      map[string]Address `json:"members,omitempty"`
 	Leases        leaseState         `json:"duties"`
 	Records       []Record           `json:"records,omitempty"`
-	// TrimmedVersion is absent in snapshots of the first programs, whose changes have consecutive versions.
+	// TrimmedVersion is absent in snapshots of the first versions of the program, whose changes have consecutive
+	// list versions.
 	TrimmedVersion *uint64 `json:"trimmed,omitempty"`
 
-	RecordsVersion uint64 `json:"recorded,omitempty"` // absent in snapshots of the first programs
+	RecordsVersion uint64 `json:"recorded,omitempty"` // absent in snapshots of the first versions of the program
 }
 
 // Snapshot is a copy of the complete state that can be encoded while the state changes.
@@ -92,7 +93,7 @@
 		s.recordsVersion = decoded.Version // watchers at an older version read once more than necessary
 	}
 	if decoded.Leases.Leases == nil && decoded.Leases.Sessions == nil {
-		return s, nil // a snapshot of a program that knew no leases
+		return s, nil // the snapshot is of a version of the program without leases
 	}
 	if err := decoded.Leases.check(decoded.Version); err != nil {
 		return nil, fmt.Errorf("a snapshot: %w", err)
