--- a/internal/registry/client/subset_test.go
+++ b/internal/registry/client/subset_test.go
@@ -12,13 +12,13 @@
 	"wrenspread/internal/registry"
 )
 
-// replica responds as the service does or, if old is set, as a program that knows no subsets.
+// replica responds to reads as the service does or, if old is set, as a program that knows no subsets.
 type replica struct {
 	*registry.State
 	old bool
 }
 
-func (r replica) answer(q listRead) (a registry.ListResponse, err error) {
+func (r replica) respond(q listRead) (a registry.ListResponse, err error) {
 	if q.epoch != "" && q.epoch != r.Epoch() {
 		q.from = 0
 	}
@@ -33,10 +33,10 @@
 }
 
 // callTo makes one call as watch does. meanwhile runs between the request and the response.
-func (k *Client) callTo(r replica, meanwhile func()) (Change, listRead, error) {
+func (k *Client) callTo(r replica, meanwhile func()) (Effect, listRead, error) {
 	q := k.nextRead(time.Second)
 	meanwhile()
-	a, err := r.answer(q)
+	a, err := r.respond(q)
 	if err == nil {
 		err = q.matchSubset(&a)
 	}
@@ -64,13 +64,14 @@
 }
 
 // endpointsIn returns the endpoints that belong to a subset.
-func endpointsIn(p registry.Subset, all []registry.Endpoint) []registry.Endpoint {
-	return slices.DeleteFunc(slices.Clone(all), func(e registry.Endpoint) bool { return !p.Contains(registry.Position(e.Name)) })
+func endpointsIn(p registry.Subset, endpoints []registry.Endpoint) []registry.Endpoint {
+	return slices.DeleteFunc(slices.Clone(endpoints), func(e registry.Endpoint) bool { return !p.Contains(registry.Position(e.Name)) })
 }
 
 // TestFollowedSubsetNeverGoesBackAndConverges changes the subset to follow, the list, its epoch, the replica
-// and its program while calls are in progress. The known entries are always those of the subset in a list
-// that the service had, never go back within an epoch, and reach the present ones of the wanted subset.
+// and its program while calls are in progress. The known entries are always the entries of the subset in a
+// list that the service had, never go back within an epoch, and become the present entries of the wanted
+// subset.
 func TestFollowedSubsetNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := registry.NewState()
@@ -85,7 +86,7 @@
 			t.Fatal(err)
 		}
 		change := func(n int) {
-			switch name := fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "name")); rapid.IntRange(0, 9).Draw(t, "what") {
+			switch name := fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "name")); rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0, 1, 2, 3:
 				s.Apply(registry.Command{Op: registry.OpRegister, Endpoint: &registry.Endpoint{Name: name, Address: "a:1", Status: registry.Ready, Weight: float64(n)}})
 			case 4:
@@ -105,20 +106,20 @@
 		}
 		call := func(r replica, meanwhile func()) {
 			before, _ := k.List()
-			verdict, q, err := k.callTo(r, meanwhile)
+			effect, q, err := k.callTo(r, meanwhile)
 			v, _ := k.List()
 			if v.Epoch == before.Epoch && v.Version < before.Version {
 				t.Fatalf("from version %d back to %d", before.Version, v.Version)
 			}
-			if all, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Endpoint{}, v.Endpoints...), endpointsIn(v.Subset, all))) {
-				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, all, verdict, err)
+			if served, ok := history[fmt.Sprint(v.Epoch, v.Version)]; v.Epoch != "" && (!ok || !reflect.DeepEqual(append([]registry.Endpoint{}, v.Endpoints...), endpointsIn(v.Subset, served))) {
+				t.Fatalf("after request %v the known subset %v at %s %d is %v, the service had %v (%d, %v)", q, v.Subset, v.Epoch, v.Version, v.Endpoints, served, effect, err)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			k.start = k.start.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "calls") {
 				meanwhile := func() {}
-				if rapid.Bool().Draw(t, "amid") {
+				if rapid.Bool().Draw(t, "change during the call") {
 					meanwhile = func() { change(n) }
 				}
 				call(replicas[rapid.IntRange(0, len(replicas)-1).Draw(t, "at")], meanwhile)
@@ -155,10 +156,10 @@
 
 // newSubsetClient returns a client that follows the subset of the proxy with number self in a fleet of nodes
 // proxies.
-func newSubsetClient(t *testing.T, self int, nodes *int, file string, onChange func(registry.ListResponse)) *Client {
+func newSubsetClient(t *testing.T, proxyNumber int, proxies *int, file string, onChange func(registry.ListResponse)) *Client {
 	t.Helper()
 	k, err := New(Config{Addresses: []string{"a:1"}, CacheFile: file, OnChange: onChange, ChooseSubset: func(p registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
-		return p.Next(self, *nodes, total, entries, []registry.Placement{{}})
+		return p.Next(proxyNumber, *proxies, total, entries, []registry.Placement{{}})
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -166,14 +167,14 @@
 	return k
 }
 
-// TestFirstSubsetIsWideEnough checks that a client without a list accepts none before its subset is wide
-// enough. A client with a subset reads a wider one while the first stays in use, and continues to watch the
-// first if the service paces complete reads.
+// TestFirstSubsetIsWideEnough checks that a client without a list accepts no subset that is too narrow. A
+// client with a subset reads a wider subset while the first one stays in use, and continues to watch the
+// first subset if the service rejects the read because it sends too many complete subsets.
 func TestFirstSubsetIsWideEnough(t *testing.T) {
 	for _, servers := range []int{1, 4, 75, 2000, 18000} {
-		nodes, changes := 4300, 0
+		proxies, changes := 4300, 0
 		s := replica{fleetState(t, servers), false}
-		k := newSubsetClient(t, 7, &nodes, "", func(registry.ListResponse) { changes++ })
+		k := newSubsetClient(t, 7, &proxies, "", func(registry.ListResponse) { changes++ })
 		bytes := 0
 		for calls := 1; changes == 0; calls++ {
 			if _, q, err := k.callTo(s, func() {}); err != nil || calls > 10 {
@@ -183,7 +184,7 @@
 			}
 		}
 		v, _ := k.List()
-		if want := registry.SubsetOf(7, nodes, servers); !v.Subset.Covers(want) || len(v.Endpoints) < min(servers, 100) || changes != 1 {
+		if want := registry.SubsetOf(7, proxies, servers); !v.Subset.Covers(want) || len(v.Endpoints) < min(servers, 100) || changes != 1 {
 			t.Errorf("%d endpoints: the client accepts %v with %d of them, want %v", servers, v.Subset, len(v.Endpoints), want)
 		}
 		if bytes > 4*max(len(v.Endpoints), 1) {
@@ -192,7 +193,7 @@
 		if servers < 18000 {
 			continue
 		}
-		nodes = 1000 // this proxy now assumes a smaller fleet, in which each proxy uses more endpoints
+		proxies = 1000 // this proxy now assumes a smaller fleet, in which each proxy uses more endpoints
 		if _, q, _ := k.callTo(s, func() {}); q.from == 0 {
 			t.Errorf("the client moves at once: %+v", q)
 		}
@@ -202,16 +203,16 @@
 			t.Errorf("the client requests %+v", q)
 		}
 		if !k.deferMove(q, responseError(429, []byte(`{"code":"paced"}`))) || k.nextRead(time.Second).subset != v.Subset {
-			t.Error("a paced client does not watch its present subset")
+			t.Error("a client whose read was rejected does not watch its present subset")
 		}
 		registerRange(s.State, servers, servers+1000)
-		if verdict, _, err := k.callTo(s, func() {}); verdict != Changed || err != nil {
-			t.Errorf("the present subset gets no changes: %v, %v", verdict, err)
+		if effect, _, err := k.callTo(s, func() {}); effect != Changed || err != nil {
+			t.Errorf("the present subset gets no changes: %v, %v", effect, err)
 		}
 		registerRange(s.State, servers+1000, servers+2000)
-		verdict, _, err := k.callTo(replica{s.State, true}, func() {})
-		if now, _ := k.List(); verdict != Changed || err != nil || now.Subset != v.Subset || !slices.Equal(now.Endpoints, endpointsIn(v.Subset, s.Since(0).Endpoints)) {
-			t.Errorf("from a replica without subsets the client accepts no changes, or others than its subset's: %v, %v", verdict, err)
+		effect, _, err := k.callTo(replica{s.State, true}, func() {})
+		if now, _ := k.List(); effect != Changed || err != nil || now.Subset != v.Subset || !slices.Equal(now.Endpoints, endpointsIn(v.Subset, s.Since(0).Endpoints)) {
+			t.Errorf("from a replica without subsets the client accepts no changes, or others than its subset's: %v, %v", effect, err)
 		}
 	}
 }
--- a/internal/registry/records_bench_test.go
+++ b/internal/registry/records_bench_test.go
@@ -33,17 +33,17 @@
 			b.Fatal(err, len(s.records))
 		}
 		value := json.RawMessage(`"` + strings.Repeat("y", 229) + `"`)
-		for name, do := range map[string]func(i int){
+		for name, operation := range map[string]func(i int){
 			"change": func(i int) {
 				s.Apply(Command{Op: OpPutRecord, Name: fmt.Sprintf("tenant/%06d", i%n), Value: value})
 			},
-			"come-and-go": func(i int) {
+			"add-and-remove": func(i int) {
 				s.Apply(Command{Op: OpPutRecord, Name: "tenant/new", Value: value})
 				s.Apply(Command{Op: OpPutRecord, Name: "tenant/new"})
 			},
 			"woken":    func(int) { s.RecordsSince("policy/", s.version, 1) },
 			"read-all": func(int) { s.Records("tenant/") },
-			"image":    func(int) { s.Snapshot() },
+			"copy":     func(int) { s.Snapshot() },
 			"snapshot": func(int) { _, _ = s.EncodeSnapshot() },
 			"restore": func(int) {
 				if _, err := DecodeSnapshot(raw); err != nil {
@@ -55,7 +55,7 @@
 				b.ReportAllocs()
 				b.ReportMetric(float64(len(raw)), "snapshot_bytes")
 				for i := range b.N {
-					do(i)
+					operation(i)
 				}
 			})
 		}
--- a/internal/registry/server/fuzz_test.go
+++ b/internal/registry/server/fuzz_test.go
@@ -14,9 +14,9 @@
 	"wrenspread/internal/registry"
 )
 
-// TestFormatsOfFirstProgramsAreRead checks that commands without a checksum, and a snapshot without leases
-// whose changes have consecutive versions, are read. The first programs wrote such files.
-func TestFormatsOfFirstProgramsAreRead(t *testing.T) {
+// TestFormatsOfFirstVersionsAreRead checks that commands without a checksum, and a snapshot without leases
+// whose changes have consecutive versions, are read. The first versions of the program wrote such files.
+func TestFormatsOfFirstVersionsAreRead(t *testing.T) {
 	c, err := decode([]byte(`{"v":1,"do":"register","entry":{"name":"a","address":"a:1","status":"ready"}}`))
 	if err != nil || c.Endpoint == nil || c.Endpoint.Name != "a" {
 		t.Errorf("%+v, %v", c, err)
@@ -71,13 +71,13 @@
 	if err := s.open(); err != nil {
 		f.Fatal(err)
 	}
-	s.tasks.Go(func() { s.hub.run(s.ctx.Done()) })
+	s.tasks.Go(func() { s.listHub.run(s.ctx.Done()) })
 	s.tasks.Go(func() { s.leaseHub.run(s.ctx.Done()) })
 	s.tasks.Go(s.followLeader)
 	s.http = &http.Server{}
 	f.Cleanup(func() { _ = s.shutdown() })
 	for until := time.Now().Add(enough); ; time.Sleep(time.Millisecond) {
-		if _, epoch := s.hub.current(); epoch != "" {
+		if _, epoch := s.listHub.current(); epoch != "" {
 			break
 		} else if time.Now().After(until) {
 			f.Fatal("the list gets no epoch")
--- a/internal/registry/size_bench_test.go
+++ b/internal/registry/size_bench_test.go
@@ -31,7 +31,7 @@
 				s.Apply(Command{Op: OpRegister, Endpoint: &Endpoint{Name: fmt.Sprintf("s-%08x", i%n), Address: "a:1", Status: Ready, Weight: float64(i)}})
 			}
 		})
-		b.Run(fmt.Sprint("come-and-go/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("add-and-remove/", n), func(b *testing.B) {
 			for i := range b.N {
 				name := fmt.Sprintf("s-%08x", i%n)
 				s.Apply(Command{Op: OpRemove, Name: name})
@@ -51,7 +51,7 @@
 				}
 			}
 		})
-		b.Run(fmt.Sprint("part/", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("subset/", n), func(b *testing.B) {
 			p := SubsetOf(7, 4300, n)
 			b.ReportMetric(float64(len(s.SubsetSince(p, 0).Endpoints)), "entries")
 			for range b.N {
@@ -67,18 +67,18 @@
 	for _, n := range []int{4300, MaxEndpoints} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := fullState(n)
-			const ttl, looks = 10 * time.Second, 33 // looks: checks between two renewals of an entry
+			const ttl, checks = 10 * time.Second, 33 // looks: checks between two renewals of an entry
 			items, now := s.Registrations(), time.Duration(0)
 			for i := range items {
 				items[i].TTL = ttl
 			}
-			l := NewEndpointExpiry(items, now)
+			expiry := NewEndpointExpiry(items, now)
 			for i := range b.N {
 				now += 100 * time.Millisecond
-				for k := i % looks; k < n; k += looks {
-					l.Renew(items[k].Endpoint.Name, now)
+				for k := i % checks; k < n; k += checks {
+					expiry.Renew(items[k].Endpoint.Name, now)
 				}
-				if due, retained := l.Due(now); len(due)+retained > 0 {
+				if due, retained := expiry.Due(now); len(due)+retained > 0 {
 					b.Fatal(len(due), retained)
 				}
 			}
