--- a/internal/tenant/advance.go
+++ b/internal/tenant/advance.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// advance moves a tenant to its next state if the members that it waits for are ready, or if its time is
-// over.
+// advance moves a tenant to its next state if the members that it waits for are ready, or if the time limit
+// of its state has passed.
 func (m *StateMachine) advance(r *round, t *Tenant) {
 	entry := m.entries[t.Name]
 	if t.State.isSettled() {
@@ -14,7 +14,7 @@
 		return
 	}
 	if !entryOf(t).equivalent(entry) {
-		return // not published yet: a controller failed between the two writes
+		return // the state is on record and not yet in the catalogue: a controller failed between the two writes
 	}
 	switch t.State {
 	case Reserved:
@@ -49,7 +49,7 @@
 }
 
 // waitForMembers reports whether all members that the tenant's state waits for have applied its entry. It
-// records the others in waitingFor.
+// records in waitingFor the members that have not.
 func (m *StateMachine) waitForMembers(r *round, t *Tenant, entry *Entry) bool {
 	m.waitingFor[t.Name] = m.membersBehind(r, entry.Since, t.State.waitScope(), entry.drainTime())
 	return len(m.waitingFor[t.Name]) == 0
@@ -112,8 +112,8 @@
 	}
 }
 
-// takeOrder starts a pending order, or records the reason why not, and deletes the order's record. An order
-// that the tenant's record has as taken is only deleted.
+// takeOrder starts a pending order, or records the reason why it can't be started, and deletes the order's
+// record. If the tenant's record already has the order's id, takeOrder only deletes the order's record.
 func (m *StateMachine) takeOrder(r *round, pending PendingOrder) {
 	if pending.Order.Op == OrderForgetMember {
 		m.forgetMember(r, pending)
@@ -188,7 +188,7 @@
 	} else {
 		m.setState(r, t, Changing)
 	}
-	for _, limit := range m.claims.add(t) { // the next order of this round is checked against these floors, too
+	for _, limit := range m.claims.add(t) { // later orders of this round are checked against these floors, too
 		r.floorSum += r.Policy.Floors[limit]
 	}
 	return ""
--- a/internal/tenant/cache.go
+++ b/internal/tenant/cache.go
@@ -7,8 +7,9 @@
 )
 
 // Cache holds a proxy's copy of the catalogue, or of some leaves, and decides whether the proxy may act on it
-// with authority. It is pure. Its safety depends on the session and on reads of the records only: membership
-// (PeerHasCatalogue) makes it more cautious and brings changes sooner.
+// with authority. It does no I/O and reads no clock. Only the session and reads of the records give
+// authority. The membership's reports of newer catalogues (PeerHasCatalogue) can only suspend it, and make
+// the proxy read the catalogue sooner.
 type Cache struct {
 	generation   uint64
 	maxStaleness time.Duration
@@ -26,7 +27,7 @@
 	requestedLeaves map[int]bool        // missing leaves that requests have asked for
 	readBudget      tokenBucket         // limits the reads of missing leaves
 	idleTimeout     time.Duration       // time after which unused leaves are evicted
-	evictedAt       time.Duration       // time of the last search for idle leaves
+	idleCheckedAt   time.Duration       // time at which evictIdle last searched for idle leaves
 
 	sessionOpen    bool
 	sessionTTL     time.Duration
@@ -157,7 +158,8 @@
 	if !e.Snapshot.canReplace(c.snapshot, c.neededLeaves()) {
 		return []any{ReadCatalogue{}}
 	}
-	// the registry was restored from a backup: the controller will publish a newer catalogue
+	// An older catalogue means that the registry was restored from a backup. Reading it gives no authority, and
+	// the proxy keeps its own catalogue until the controller publishes a newer one.
 	older := e.Snapshot.Number < c.number()
 	if c.snapshot == nil || e.Snapshot.Number > c.snapshot.Number ||
 		e.Snapshot.Number == c.snapshot.Number && e.Snapshot.levels > 0 {
--- a/internal/tenant/cache_status.go
+++ b/internal/tenant/cache_status.go
@@ -16,8 +16,9 @@
 // cutExpiredRequests returns the actions that end requests in flight whose drain time is over. The drain time
 // begins:
 //   - for a tenant that drains, when this proxy learns that the tenant is being removed;
-//   - for a tenant that is about to drain, at the same time, but only if this proxy has lost its authority,
-//     so that the controller need not wait for the proxy's return;
+//   - for a tenant that is about to drain, also when this proxy learns of the removal, but its requests are
+//     ended only while this proxy lacks authority, so that the controller need not wait for the proxy's
+//     return;
 //   - for all tenants, when the proxy's maximal staleness stops it.
 //
 // Requests of a tenant that is no longer in the catalogue are ended at once.
@@ -43,8 +44,8 @@
 }
 
 // Status returns the status that the proxy's session has to report. The session has to be opened with it: a
-// session that is open without a status would let the controller not wait for a proxy that has authority
-// already.
+// proxy can get authority as soon as its session is open, but the controller does not wait for a proxy whose
+// session has no status.
 func (c *Cache) Status() Status {
 	status := Status{
 		Generation:   c.generation,
--- a/internal/tenant/cachedleaves.go
+++ b/internal/tenant/cachedleaves.go
@@ -94,8 +94,9 @@
 	return slices.Sorted(maps.Keys(leaves))
 }
 
-// canReplace reports whether a snapshot may replace the previous one: it must not lack a leaf of the previous
-// that requests in flight need.
+// canReplace reports whether a snapshot may replace the previous one. It must have each leaf of the previous
+// snapshot that requests in flight need or, if the number of levels differs, the leaves of all tenants of the
+// previous snapshot.
 func (s *Snapshot) canReplace(previous *Snapshot, needed map[int]bool) bool {
 	if s.complete || previous == nil {
 		return true
@@ -140,13 +141,13 @@
 	leaf := leafOf(name, c.snapshot.levels)
 	if c.snapshot.hasLeaf(leaf) || c.requestedLeaves[leaf] || len(c.requestedLeaves) >= maxRequestedLeaves ||
 		!c.readBudget.take(now) {
-		return nil // a later request asks for the leaf again
+		return nil // a later request for the same name asks for the leaf again
 	}
 	c.requestedLeaves[leaf] = true
 	return []any{ReadCatalogue{}}
 }
 
-// IsLeafRequested reports whether the next read includes the leaf of a name by request.
+// IsLeafRequested reports whether the next read includes the leaf of a name because a request needs it.
 func (c *Cache) IsLeafRequested(name string) bool {
 	return c.snapshot != nil && c.requestedLeaves[leafOf(name, c.snapshot.levels)]
 }
@@ -226,10 +227,10 @@
 // the leaves whose last use is the longest ago. It evicts no leaf of a tenant with requests in flight. It
 // reports whether it has evicted any leaf.
 func (c *Cache) evictIdle(now time.Duration) bool {
-	if c.snapshot == nil || c.snapshot.complete || now-c.evictedAt < evictInterval {
+	if c.snapshot == nil || c.snapshot.complete || now-c.idleCheckedAt < evictInterval {
 		return false
 	}
-	c.evictedAt = now
+	c.idleCheckedAt = now
 	bytes, next, needed := 0, maps.Clone(c.leaves), c.neededLeaves()
 	for _, cached := range next {
 		bytes += cached.leaf.bytes
--- a/internal/tenant/cachedleaves_test.go
+++ b/internal/tenant/cachedleaves_test.go
@@ -35,8 +35,8 @@
 	return pages
 }
 
-// A tree that was changed has the same pages as a tree that is built of the same entries at once. The pages
-// that apply returns as new and as unused are the difference to the previous tree.
+// A tree that was changed step by step has the same pages as a tree that is built from the same entries at
+// once. The new and unused pages that apply returns are the difference from the previous tree.
 func TestChangedTreeEqualsTreeBuiltAtOnce(t *testing.T) {
 	for _, levels := range []int{0, 2, 3} {
 		tree, entries, recorded := newTree(levels), map[string]*Entry{}, map[string]bool{}
--- a/internal/tenant/catalogue.go
+++ b/internal/tenant/catalogue.go
@@ -58,10 +58,10 @@
 type Catalogue struct {
 	number         uint64
 	levels         int                 // of the hash tree; 0: leaf 0 has all entries
-	complete       bool                // a leaf that is not in leaves has no tenants
+	complete       bool                // all leaves are known: a leaf that is not in leaves has no tenants
 	leaves         map[int]*cachedLeaf // by number of the leaf
 	ready          bool                // the proxy is enrolled and has read a catalogue
-	authoritative  bool                // read since the session's authority began
+	authoritative  bool                // the catalogue was read since the session's authority began
 	authorityUntil time.Duration       // time at which the session's authority ends
 	// stopServingAt is the time from which the proxy serves no tenant because of its maximal staleness; 0:
 	// never.
@@ -119,8 +119,8 @@
 	return decision
 }
 
-// decide returns the decision by an entry. If the proxy is behind the catalogue, PhasePrepare is treated like
-// PhaseHold, which may have followed.
+// decide returns the decision by an entry. If the proxy is behind the catalogue, it treats PhasePrepare like
+// PhaseHold, because a newer catalogue may have moved the entry to PhaseHold.
 func (e *compiledEntry) decide(class, key string, behind bool) Decision {
 	switch e.phase {
 	case PhaseServe:
--- a/internal/tenant/check.go
+++ b/internal/tenant/check.go
@@ -44,9 +44,9 @@
 	return reason
 }
 
-// claims has the names and limits that belong to tenants: those on record when a round began, and those of
-// orders that the round has accepted. A name or limit that a tenant gives up is therefore not free before the
-// end of the round that wrote the change.
+// claims has the names and limits that belong to tenants: by the records at the beginning of a round, and by
+// the orders that the round has accepted. If a tenant gives up a name or limit, another tenant can therefore
+// get it only after the round that writes this change.
 type claims struct {
 	names, limits map[string]string  // the owning tenants
 	byTenant      map[string][]claim // the claims of each tenant
@@ -56,19 +56,19 @@
 type claim struct{ names, limits []string }
 
 // add adds the names and limits of a tenant, and returns the limits that had no owner before.
-func (c *claims) add(t *Tenant) (taken []string) {
+func (c *claims) add(t *Tenant) (newlyOwned []string) {
 	added := t.claim()
 	for _, name := range added.names {
 		c.names[name] = t.Name
 	}
 	for _, limit := range added.limits {
 		if c.limits[limit] == "" {
-			taken = append(taken, limit)
+			newlyOwned = append(newlyOwned, limit)
 		}
 		c.limits[limit] = t.Name
 	}
 	c.byTenant[t.Name] = append(c.byTenant[t.Name], added)
-	return taken
+	return newlyOwned
 }
 
 // release removes all claims of a tenant.
@@ -84,7 +84,7 @@
 	delete(c.byTenant, tenant)
 }
 
-// claim returns the names and limits that a tenant has by its state and its two specs.
+// claim returns the names in a tenant's two specs and, if the tenant's state owns its limits, their limits.
 func (t *Tenant) claim() (c claim) {
 	for _, spec := range []*Spec{t.Current, t.Next} {
 		if spec == nil {
--- a/internal/tenant/compile.go
+++ b/internal/tenant/compile.go
@@ -6,8 +6,8 @@
 type compiledEntry struct {
 	name    string
 	phase   Phase
-	current *compiledSpec // nil: no spec in effect has the name
-	next    *compiledSpec // nil: no next spec has the name
+	current *compiledSpec // nil: there is no current spec, or it lacks the name
+	next    *compiledSpec // nil: there is no next spec, or it lacks the name
 }
 
 // compiledSpec is a spec in the form in which requests are decided.
--- a/internal/tenant/controller.go
+++ b/internal/tenant/controller.go
@@ -32,7 +32,7 @@
 }
 
 // ErrSuperseded is the error of a controller whose lease another controller has taken over.
-var ErrSuperseded = errors.New("tenant: another controller has it")
+var ErrSuperseded = errors.New("tenant: another controller has taken over the lease")
 
 const (
 	roundTimeout     = 20 * time.Second // timeout of all calls of a round
@@ -48,11 +48,11 @@
 	Times       Times
 	Log         *slog.Logger
 
-	HashTree bool // write the catalogue as a hash tree, of which a proxy may read single leaves
+	HashTree bool // write the catalogue as a hash tree, so that a proxy can read single leaves
 }
 
 // Run runs rounds until ctx ends or another controller has taken over. After a failed call it loads the state
-// on record again, as the call may or may not have taken effect.
+// on record again, because it does not know whether the call took effect.
 func (c *Controller) Run(ctx context.Context) error {
 	start := time.Now()
 	var m *StateMachine
--- a/internal/tenant/controller_test.go
+++ b/internal/tenant/controller_test.go
@@ -38,8 +38,8 @@
 
 func (c *testController) clock() time.Duration { return time.Duration(float64(c.sim.now) * c.rate) }
 
-// call makes a call to the registry. At the call failAtCall, the controller fails, with or without having
-// made it.
+// call makes a call to the registry. At the call failAtCall the controller fails, either before or after it
+// has sent the call.
 func (c *testController) call(serve func(), answered func(ok bool)) {
 	if c.stopped {
 		return
--- a/internal/tenant/environment.go
+++ b/internal/tenant/environment.go
@@ -70,6 +70,6 @@
 
 // isNotFound reports whether an error is the registry's response that a record does not exist.
 func isNotFound(err error) bool {
-	var refusal *client.Error
-	return errors.As(err, &refusal) && refusal.Status == http.StatusNotFound
+	var response *client.Error
+	return errors.As(err, &response) && response.Status == http.StatusNotFound
 }
--- a/internal/tenant/fixture_test.go
+++ b/internal/tenant/fixture_test.go
@@ -10,7 +10,7 @@
 // files.
 func TestDocumentEncodingsAreUnchanged(t *testing.T) {
 	for name, sample := range map[string]any{
-		"tenant": &Tenant{}, "form": &Spec{}, "order": &Order{}, "book": &MemberRecord{}, "head": &Head{}, "page": &page{},
+		"tenant": &Tenant{}, "spec": &Spec{}, "order": &Order{}, "members": &MemberRecord{}, "head": &Head{}, "page": &page{},
 		"entry": &Entry{}, "report": &Report{},
 	} {
 		t.Run(name, func(t *testing.T) { fixture.AssertJSON(t, name, sample) })
--- a/internal/tenant/mutated_test.go
+++ b/internal/tenant/mutations_test.go
@@ -7,9 +7,9 @@
 	for number, leaf := range original.leaves {
 		mutated.leaves[number] = leaf
 		switch {
-		case p.sim.mutations["older part"] && p.cache.leaves[number] != nil && p.sim.seq%2 == 0:
+		case p.sim.mutations["previous leaves read"] && p.cache.leaves[number] != nil && p.sim.seq%2 == 0:
 			mutated.leaves[number] = p.cache.leaves[number].leaf
-		case p.sim.mutations["no barrier"]:
+		case p.sim.mutations["PhaseHold ignored"]:
 			served := &Leaf{}
 			for _, e := range leaf.entries {
 				copied := *e
@@ -21,7 +21,7 @@
 			mutated.leaves[number] = served
 		}
 	}
-	if p.sim.mutations["prepared unseen"] {
+	if p.sim.mutations["policy needs ignored"] {
 		mutated.policyNeeds = nil
 	}
 	return &mutated
--- a/internal/tenant/walk_test.go
+++ b/internal/tenant/orders_test.go
@@ -27,14 +27,14 @@
 	return w
 }
 
-// The controller fails at each of its calls or pauses at each. The next controller completes all orders, and
-// each order is carried out once.
+// The controller fails at one of its calls, or pauses at it while another controller takes over. This is
+// repeated for each call. The next controller completes all orders, and each order is carried out once.
 func TestOrdersAreCarriedOutOnceWhenControllerFailsAtAnyCall(t *testing.T) {
 	step := 1
-	if raceDetector { // each simulation runs in one goroutine, so that the detector needs only some calls
+	if raceDetector { // each simulation runs in one goroutine, so some of the calls are enough for the detector
 		step = 6
 	}
-	for seed := range uint64(2) { // one for the flat form and one for the hash tree
+	for seed := range uint64(2) { // seed 0 uses the flat form, and seed 1 the hash tree
 		calls := runScript(seed, 0, 0).controllerCalls
 		if calls < 60 {
 			t.Fatalf("the controllers make %d calls, want at least 60", calls)
--- a/internal/tenant/pages.go
+++ b/internal/tenant/pages.go
@@ -22,7 +22,7 @@
 // finds the leaf of such a name by reading levels-1 inner pages.
 const (
 	fanBits = 5
-	// fanOut is the number of pages that the head or an inner page names. A head has 1.2 kB.
+	// fanOut is the number of pages that the head or an inner page names. It makes a head 1.2 kB long.
 	fanOut = 1 << fanBits
 	// tenantsPerLeaf is the average number of tenants per leaf above which the tree gets another level.
 	tenantsPerLeaf = 16
@@ -112,13 +112,13 @@
 func DecodeHead(raw []byte) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(raw, &h); err != nil {
-		return h, fmt.Errorf("tenant: the catalogue's head can't be read: %w", err)
+		return h, fmt.Errorf("tenant: decode catalogue head: %w", err)
 	}
 	flat := h.Format == documentFormat && h.Levels == 0 && len(h.Pages) <= 1024
 	tree := h.Format == treeFormat && h.Levels >= minLevels && h.Levels <= maxLevels && len(h.Pages) == fanOut
 	if !flat && !tree {
 		return h, fmt.Errorf(
-			"tenant: a catalogue of form %d with %d pages on %d levels, this program knows forms %d and %d",
+			"tenant: decode catalogue head: unsupported format %d with %d pages on %d levels, want format %d or %d",
 			h.Format,
 			len(h.Pages),
 			h.Levels,
@@ -132,22 +132,22 @@
 // decodePage decodes a page, which must match its digest.
 func decodePage(digest string, raw []byte) (*page, error) {
 	if digestOf(raw) != digest {
-		return nil, fmt.Errorf("tenant: page %s of the catalogue is another", digest)
+		return nil, fmt.Errorf("tenant: decode catalogue page %s: its content has another digest", digest)
 	}
 	p := &page{}
 	if err := json.Unmarshal(raw, p); err != nil {
-		return nil, fmt.Errorf("tenant: page %s of the catalogue: %w", digest, err)
+		return nil, fmt.Errorf("tenant: decode catalogue page %s: %w", digest, err)
 	}
 	if slices.ContainsFunc(p.Entries, func(e *Entry) bool { return e == nil || e.Name == "" }) {
-		return nil, fmt.Errorf("tenant: page %s of the catalogue has an entry without a name", digest)
+		return nil, fmt.Errorf("tenant: decode catalogue page %s: an entry has no name", digest)
 	}
 	p.leaf = &Leaf{p.Entries, len(raw)}
 	return p, nil
 }
 
-// errPageMissing reports that a page of a head is not on record: a newer head has replaced the one that was
-// read.
-var errPageMissing = errors.New("tenant: a page is not there")
+// errPageMissing reports that a page of a head is not on record, because a newer head has replaced the head
+// that was read.
+var errPageMissing = errors.New("tenant: catalogue page missing")
 
 // treeWalk is a walk from a head down to some leaves or all of them.
 type treeWalk struct {
@@ -155,7 +155,7 @@
 	available map[string]*page // the pages that can be used, by digest
 	complete  bool             // walk to all leaves
 	snapshot  *Snapshot        // the result
-	used      map[string]*page // collects the pages that are used; nil: they are not collected
+	used      map[string]*page // receives the pages that are used; nil: they are not collected
 	usedCount int              // number of pages that are used
 	missing   []string         // digests of the pages that are needed and not available
 	err       error            // a page of the wrong kind was found
@@ -235,7 +235,7 @@
 	case p == nil:
 		w.missing = append(w.missing, digest)
 	case leaf != (p.Pages == nil) || !leaf && len(p.Pages) != fanOut:
-		w.err = fmt.Errorf("tenant: page %s of the catalogue is of another kind", digest)
+		w.err = fmt.Errorf("tenant: walk catalogue: page %s is not of the kind that its level needs", digest)
 		return nil
 	default:
 		if w.usedCount++; w.used != nil {
--- a/internal/tenant/progress.go
+++ b/internal/tenant/progress.go
@@ -22,8 +22,8 @@
 func AllProgress(stored Stored, sessions []Session) (progresses []Progress) {
 	m := Load(0, stored, DefaultTimes(), stored.Head.Levels > 0)
 	r := &round{Observation: Observation{Sessions: sessions}, sessions: map[string][]Status{}}
-	for _, progress := range sessions {
-		r.sessions[progress.Proxy] = append(r.sessions[progress.Proxy], progress.Status)
+	for _, proxySession := range sessions {
+		r.sessions[proxySession.Proxy] = append(r.sessions[proxySession.Proxy], proxySession.Status)
 	}
 	for _, t := range stored.Tenants {
 		e := m.entries[t.Name]
@@ -62,7 +62,7 @@
 	stored := Stored{Tenants: []*Tenant{t}}
 	if t.Current == nil && t.Next == nil {
 		stored, err = ReadStored(ctx, reg)
-		stored.Tenants = []*Tenant{t} // read before the catalogue
+		stored.Tenants = []*Tenant{t} // the record that was read before the catalogue
 	} else {
 		if stored.MembersVersion, err = readRecord(ctx, reg, MembersKey, &stored.Members); err != nil {
 			return progress, false, err
--- a/internal/tenant/node_test.go
+++ b/internal/tenant/proxy_test.go
@@ -24,7 +24,7 @@
 	policyVersion   int64         // version of its policy table
 	openRequests    map[string]int
 	left            bool // its session has the status that the proxy has left
-	statusDelayed   bool // for the mutation "mute opening": the session's first status is delayed
+	statusDelayed   bool // for the mutation "session without status": the session's first status is delayed
 }
 
 // startProxy starts a proxy's process. The proxies n0 and n3 have a maximal staleness.
@@ -36,7 +36,7 @@
 	}
 	proxy.cache = NewCache(uint64(w.now)+1+uint64(len(w.proxies)), maxStaleness, w.hashTree && len(w.proxies)%3 != 1)
 	proxy.cache.idleTimeout = 1500 * time.Millisecond
-	if w.mutations["no hold"] {
+	if w.mutations["maximal staleness ignored"] {
 		proxy.cache.maxStaleness = 0
 	}
 	proxy.catalogue = proxy.cache.buildCatalogue()
@@ -82,13 +82,13 @@
 	p.tickedSinceWake = true
 	if v := int64(p.sim.policy.Version); p.policyVersion < v && p.sim.IntN(10) == 0 {
 		p.policyVersion = v
-		if p.sim.mutations["no quota"] {
+		if p.sim.mutations["limits not checked"] {
 			v = 1 << 40
 		}
 		p.handle(PolicyChanged{PolicyTable{uint64(v), func(limit string) bool { return tableHasLimit(limit, v) }}})
 	}
 	openRequests := p.cache.openRequests
-	if p.sim.mutations["open let go"] {
+	if p.sim.mutations["leaf in use evicted"] {
 		p.cache.openRequests = map[string]int{}
 		p.cache.evictIdle(p.clock())
 	}
@@ -103,15 +103,15 @@
 		case SwapCatalogue:
 			c := *action.Catalogue
 			p.catalogue = &c
-			p.catalogue.complete = p.catalogue.complete || p.sim.mutations["no without its part"]
-			if p.sim.mutations["stale no"] {
+			p.catalogue.complete = p.catalogue.complete || p.sim.mutations["not found without leaf"]
+			if p.sim.mutations["authority never ends"] {
 				p.catalogue.authorityUntil, p.catalogue.authoritative, p.catalogue.behind = 1<<60, true, false
 			}
 			p.catalogue.ready = p.catalogue.ready || p.sim.mutations["not enrolled"] && p.catalogue.number > 0
 		case ReportStatus:
 			p.status = &action.Status
 			p.sim.checkStatus(p, action.Status)
-			if p.name == "n0" && p.sim.mutations["no hold"] {
+			if p.name == "n0" && p.sim.mutations["maximal staleness ignored"] {
 				p.status.MaxStaleness = 3 * testTTL
 			}
 			p.reportStatus()
@@ -119,7 +119,7 @@
 			p.readCatalogue()
 		case CutRequests:
 			p.sim.checkCutRequests(p, action.Tenant)
-			if !p.sim.mutations["no cut"] {
+			if !p.sim.mutations["CutRequests ignored"] {
 				for range p.openRequests[action.Tenant] {
 					p.endRequest(action.Tenant)
 				}
@@ -147,7 +147,7 @@
 		status := p.cache.Status()
 		p.call(func() {
 			p.sim.sessions[id] = &session{p.name, &status, p.sim.now + testTTL}
-			if p.sim.mutations["mute opening"] {
+			if p.sim.mutations["session without status"] {
 				p.sim.sessions[id].status = nil
 			}
 		}, func(ok bool) {
@@ -170,20 +170,20 @@
 			p.sessionID = ""
 		}
 		p.handle(SessionRenewed{sent, known})
-		if p.sim.mutations["right mends"] && known {
+		if p.sim.mutations["authority restored by renewal"] && known {
 			p.cache.authoritative, p.catalogue.authoritative = true, true
 		}
 	})
 }
 
-// reportStatus repeats the status until the session has it. It may open the session again, as the registry's
-// call does.
+// reportStatus reports the status, and repeats the call until it succeeds. If the session has ended, the call
+// opens it again, as the registry's call does.
 func (p *testProxy) reportStatus() {
 	status, id := p.status, p.sessionID
 	if status == nil || id == "" {
 		return
 	}
-	if s := p.sim.sessions[id]; p.sim.mutations["mute opening"] && s != nil && s.status == nil && !p.statusDelayed {
+	if s := p.sim.sessions[id]; p.sim.mutations["session without status"] && s != nil && s.status == nil && !p.statusDelayed {
 		p.statusDelayed = true
 		p.sim.after(1500*time.Millisecond, func() { p.whenAwake(p.reportStatus) })
 		return
@@ -216,7 +216,7 @@
 	startedAt, enrolled, wanted := p.clock(), false, p.cache.Wanted()
 	p.call(func() {
 		for _, member := range p.sim.memberRecord().Members {
-			enrolled = enrolled || member == p.cache.Member(p.name) || p.sim.mutations["no hold"] && member.Name == p.name
+			enrolled = enrolled || member == p.cache.Member(p.name) || p.sim.mutations["maximal staleness ignored"] && member.Name == p.name
 		}
 	}, func(ok bool) {
 		if !ok {
--- a/internal/tenant/publish.go
+++ b/internal/tenant/publish.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	// a page that is on record already is written again, as a delayed call may be about to delete it
+	// a page that is on record already is written again, because a delayed call may still delete it
 	for _, digest := range slices.Sorted(maps.Keys(raw)) {
 		r.writes = append(
 			r.writes,
@@ -76,7 +76,8 @@
 		r.writes,
 		RecordWrite{Stage: stageHead, Key: HeadKey, Value: encodedHead, Version: m.headVersion},
 	)
-	// pages that this head is the first not to use stay until the next head, for readers of the last head
+	// Readers of the last head may still need its pages, so pages that this head no longer uses are deleted with
+	// the next head. The pages deleted now fell out of use with the last head.
 	for _, digest := range slices.Sorted(slices.Values(m.stalePages)) {
 		if version, recorded := m.pages[digest]; recorded && m.tree.useCounts[digest] == 0 {
 			r.writes = append(r.writes, RecordWrite{Stage: stageCleanup, Key: PagePrefix + digest, Version: version})
@@ -132,8 +133,8 @@
 	return names
 }
 
-// updateTree updates the tree to the entries. It returns the pages to write, by digest, and the digests of
-// the pages that only the last catalogue uses.
+// updateTree updates the tree to m.entries. It returns the pages to write, by digest, and the digests of the
+// pages that are on record and that this catalogue is the first not to use.
 func (m *StateMachine) updateTree(
 	levels int,
 	changes []change,
--- a/internal/tenant/reader.go
+++ b/internal/tenant/reader.go
@@ -12,8 +12,8 @@
 	"wrenspread/internal/registry"
 )
 
-// Source provides the registry's records: the registry's client, or a replacement in simulations that the
-// registry is too small for. The error for a missing record is a client.Error with status 404.
+// Source provides the registry's records. It is the registry's client or, in simulations that are too large
+// for a registry, a replacement. The error for a missing record is a client.Error with status 404.
 type Source interface {
 	Record(ctx context.Context, key string) (registry.Record, error)
 }
@@ -26,7 +26,7 @@
 
 	snapshot *Snapshot
 	leaves   []int            // leaves that were wanted in snapshot
-	pages    map[string]*page // cached pages by digest: those of snapshot, and about as many others
+	pages    map[string]*page // cached pages by digest: those of snapshot, and at most about as many others
 }
 
 // readAttempts is the number of attempts to read a catalogue that changes while it is read.
@@ -96,7 +96,8 @@
 	}
 }
 
-// maxRetainedPages bounds the cached pages, which include those of failed reads. Beyond it, all are dropped.
+// maxRetainedPages bounds the cached pages, which include pages of failed reads. If there are more, the next
+// read drops all of them first.
 const maxRetainedPages = 1 << 17
 
 // fetch reads the pages with the given digests into r.pages, each page once and with a call of its own, up to
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -95,9 +95,9 @@
 	Order   Order
 }
 
-// Member is a proxy that may serve tenants. It stays on the member record until it has left, an operator has
-// it forgotten, or it must have stopped by its own maximal staleness. Until then, each step that needs all
-// members waits for it, even if it has no session.
+// Member is a proxy that may serve tenants. It stays on the member record until it has left, an operator
+// removes it (OrderForgetMember), or it must have stopped by its own maximal staleness. Until then, each step
+// that needs all members waits for it, even if it has no session.
 type Member struct {
 	Name string `json:"name"`
 	// Generation differs between a process and its restart. A proxy serves no tenant before the member record
@@ -144,11 +144,11 @@
 func DecodeTenant(raw []byte, version uint64) (*Tenant, error) {
 	t := &Tenant{version: version}
 	if err := json.Unmarshal(raw, t); err != nil {
-		return nil, fmt.Errorf("tenant: a record that can't be read: %w", err)
+		return nil, fmt.Errorf("tenant: decode tenant: %w", err)
 	}
 	if t.Format != documentFormat || t.Name == "" {
 		return nil, fmt.Errorf(
-			"tenant: record %q of form %d, this program knows %d",
+			"tenant: decode tenant %q: unsupported format %d, want %d",
 			t.Name,
 			t.Format,
 			documentFormat,
@@ -158,7 +158,7 @@
 		t.State == Draining
 	if !served && (t.State != Reserved || t.Next == nil) && t.State != Rejected && t.State != Removed ||
 		served && t.Current == nil {
-		return nil, fmt.Errorf("tenant: %s is %q and lacks a form", t.Name, t.State)
+		return nil, fmt.Errorf("tenant: decode tenant %s: state %q is unknown or lacks its spec", t.Name, t.State)
 	}
 	return t, nil
 }
--- a/internal/tenant/service_test.go
+++ b/internal/tenant/registry_test.go
@@ -49,7 +49,7 @@
 // putRecord writes or deletes a record as the registry does.
 func (w *simulation) putRecord(write RecordWrite, token uint64) (uint64, error) {
 	current := w.records[write.Key]
-	if !w.mutations["no fence"] && (token != w.token || !write.Unconditional && current.version != write.Version) {
+	if !w.mutations["writes not fenced"] && (token != w.token || !write.Unconditional && current.version != write.Version) {
 		return 0, ErrSuperseded
 	}
 	w.version++
@@ -134,13 +134,13 @@
 			continue
 		}
 		status := *s.status
-		if w.mutations["no waiting"] && s.status.Prepared > 0 {
+		if w.mutations["members not awaited"] && s.status.Prepared > 0 {
 			status.Prepared, status.DrainedUpTo = w.oracle.number, w.oracle.number
 		}
 		observation.Sessions = append(observation.Sessions, Session{s.proxy, status})
 	}
 	observation.Policy = w.policy
-	if w.mutations["free twice"] {
+	if w.mutations["floors doubled"] {
 		observation.Policy.TotalFloor *= 2
 	}
 	for k := range 40 {
--- a/internal/tenant/report.go
+++ b/internal/tenant/report.go
@@ -10,7 +10,7 @@
 type Report struct {
 	Number        uint64 `json:"number"` // of the catalogue in use; 0: none
 	Ready         bool   `json:"ready"`
-	Authoritative bool   `json:"sure"` // it may decide that a tenant does not exist
+	Authoritative bool   `json:"sure"` // the proxy may decide that a tenant does not exist
 	// AuthorityMS is the time, in ms, until this authority ends unless the session is renewed.
 	AuthorityMS int64         `json:"until_ms"`
 	Behind      bool          `json:"behind"`  // a peer has a newer catalogue
--- a/internal/tenant/sim_test.go
+++ b/internal/tenant/schedules_test.go
@@ -41,7 +41,7 @@
 		proxy.dead = true
 		if w.IntN(4) > 0 {
 			w.after(duration, func() { w.startProxy(proxy.name) })
-		} else { // the proxy does not return, and an operator has it forgotten
+		} else { // the proxy does not return, and an operator removes it from the members
 			w.after(duration, func() { w.submitOrder(proxy.name, OrderForgetMember, 0) })
 		}
 	case 4:
@@ -174,9 +174,9 @@
 }
 
 // No rule is violated in random schedules of faults. TENANT_SCHEDULES sets the number of schedules.
-func TestRulesHoldInDrawnSchedules(t *testing.T) {
+func TestRulesHoldInRandomSchedules(t *testing.T) {
 	count := 40
-	if raceDetector { // a schedule takes six times as long with it
+	if raceDetector { // a schedule takes six times as long with the race detector
 		count = 12
 	}
 	if s := os.Getenv("TENANT_SCHEDULES"); s != "" {
@@ -195,11 +195,11 @@
 	}
 }
 
-// The rules find each mutation, which shows that they can fail. The schedule with the listed seed was the
-// first to find the mutation when this test was written; if it no longer does, another schedule has to.
-func TestRulesFindDeliberatelyBrokenParts(t *testing.T) {
-	for mutation, firstSeed := range map[string]uint64{"no waiting": 0, "stale no": 0, "no barrier": 0, "not enrolled": 96, "right mends": 223, "no quota": 226, "no cut": 77, "no hold": 249,
-		"no tombstone": 14, "free twice": 13, "no fence": 1, "mute opening": 96, "older part": 1, "no without its part": 1, "prepared unseen": 3, "open let go": 5} {
+// The rules detect each mutation, which shows that they can fail. The listed seed is that of a schedule that
+// detected the mutation when this test was written. If that schedule no longer detects it, another one has to.
+func TestRulesDetectEachMutation(t *testing.T) {
+	for mutation, firstSeed := range map[string]uint64{"members not awaited": 0, "authority never ends": 0, "PhaseHold ignored": 0, "not enrolled": 96, "authority restored by renewal": 223, "limits not checked": 226, "CutRequests ignored": 77, "maximal staleness ignored": 249,
+		"no tombstone": 14, "floors doubled": 13, "writes not fenced": 1, "session without status": 96, "previous leaves read": 1, "not found without leaf": 1, "policy needs ignored": 3, "leaf in use evicted": 5} {
 		failed, seed := runSchedule(firstSeed, mutations{mutation: true}), firstSeed
 		if failed.violation == "" {
 			failed, seed, _ = runSchedules(1000, mutations{mutation: true})
--- a/internal/tenant/world_test.go
+++ b/internal/tenant/simulation_test.go
@@ -13,7 +13,7 @@
 // time in each direction and may be lost; the clock of each process has its own rate.
 type simulation struct {
 	*rand.Rand
-	now       time.Duration
+	now       time.Duration // true time since the start
 	queue     queue
 	seq       int
 	violation string // the first violation of a rule; "": none
@@ -24,7 +24,7 @@
 	version             uint64
 	sessions            map[string]*session
 	token               uint64
-	hashTree            bool             // all controllers but each fourth write the catalogue as a hash tree
+	hashTree            bool             // all controllers except every fourth write the catalogue as a hash tree
 	decodedPages        map[string]*page // all pages that have been read, by digest
 	currentPages        map[string]*page // pages on record at currentPagesVersion, by digest
 	currentPagesVersion uint64
@@ -34,33 +34,33 @@
 	controllers     []*testController
 	policy          PolicyFloors
 	oracle          oracle
-	faultless       bool // no faults are injected any more
+	faultless       bool // no faults are injected from now on
 	pendingCutOffs  int  // number of proxies that are cut off soon after the next changes of tenants' states
 	tenantCount     int
 	failAtCall      int             // number of the call at which a controller fails; 0: never
-	failurePause    time.Duration   // if not 0, this controller pauses for this time instead of stopping
+	failurePause    time.Duration   // if not 0, the failing controller pauses for this time instead of stopping
 	controllerCalls int             // number of all controllers' calls
 	idCount         int             // number of ids given to orders and sessions
 	removalOrdered  map[string]bool // tenants whose removal has been ordered at some time
 }
 
 // mutations names the parts of the program that are broken deliberately:
-//   - free twice: the policy allows a sum of floors twice as large as the oracle does;
-//   - mute opening: sessions are opened without a status, which follows later;
-//   - no barrier: proxies treat PhaseHold as PhasePrepare;
-//   - no cut: proxies ignore CutRequests;
-//   - no fence: writes are not checked for the fencing token and the version;
-//   - no hold: proxies have no maximal staleness, but n0 reports one;
-//   - no quota: proxies take any limit as present in their policy table;
+//   - CutRequests ignored: proxies do not end requests in flight;
+//   - PhaseHold ignored: proxies treat PhaseHold as PhasePrepare;
+//   - authority never ends: a proxy's authority does not end;
+//   - authority restored by renewal: each renewal restores a proxy's authority;
+//   - floors doubled: the policy allows a sum of floors twice as large as the oracle does;
+//   - leaf in use evicted: proxies evict leaves of tenants with requests in flight;
+//   - limits not checked: proxies take any limit as present in their policy table;
+//   - maximal staleness ignored: proxies have no maximal staleness, but n0 reports one;
+//   - members not awaited: controllers see all proxies as prepared and drained;
 //   - no tombstone: the tombstone time is 0;
-//   - no waiting: controllers see all proxies as prepared and drained;
-//   - no without its part: a proxy decides that a tenant does not exist without the tenant's leaf;
 //   - not enrolled: proxies serve before they are enrolled;
-//   - older part: some reads return leaves of the previous snapshot;
-//   - open let go: proxies evict leaves of tenants with requests in flight;
-//   - prepared unseen: proxies ignore Head.PolicyNeeds;
-//   - right mends: each renewal restores a proxy's authority;
-//   - stale no: a proxy's authority does not end.
+//   - not found without leaf: a proxy decides that a tenant does not exist without the tenant's leaf;
+//   - policy needs ignored: proxies ignore Head.PolicyNeeds;
+//   - previous leaves read: some reads return leaves of the previous snapshot;
+//   - session without status: sessions are opened without a status, which follows later;
+//   - writes not fenced: writes are not checked for the fencing token and the version.
 type mutations map[string]bool
 
 // storedRecord is a record in the registry.
--- a/internal/tenant/snapshot.go
+++ b/internal/tenant/snapshot.go
@@ -25,7 +25,7 @@
 	Name    string `json:"name"`
 	Phase   Phase  `json:"phase"`
 	Current *Spec  `json:"now,omitempty"`
-	Next    *Spec  `json:"next,omitempty"` // nil in PhasePrepare or PhaseHold: it is being removed
+	Next    *Spec  `json:"next,omitempty"` // nil in PhasePrepare or PhaseHold: the tenant is being removed
 	Since   uint64 `json:"since"`          // number of the first catalogue with this entry
 
 	unknownFields rawFields
@@ -90,7 +90,7 @@
 type Snapshot struct {
 	Number      uint64
 	levels      int           // of the hash tree; 0: leaf 0 has all entries
-	complete    bool          // a leaf that is not in leaves has no entries
+	complete    bool          // all leaves are known: a leaf that is not in leaves has no entries
 	leaves      map[int]*Leaf // by number of the leaf
 	policyNeeds []PolicyNeed
 }
@@ -101,7 +101,7 @@
 	bytes   int      // length of the leaf's page
 }
 
-// find returns a slice of the entry of a tenant, or nil if the leaf does not have it.
+// find returns a slice with only the entry of a tenant, or nil if the leaf does not have it.
 func (l *Leaf) find(name string) []*Entry {
 	i, found := slices.BinarySearchFunc(
 		l.entries,
@@ -126,8 +126,8 @@
 	return &Snapshot{Number: number, complete: true, leaves: map[int]*Leaf{0: {entries: sorted}}}
 }
 
-// Leaves returns the leaves of the snapshot by their numbers, which the caller must not change. A leaf that
-// is the same in two catalogues that a Reader has read is the same pointer.
+// Leaves returns the leaves of the snapshot by their numbers. The caller must not change the map. If a leaf
+// is the same in two catalogues that a Reader has read, both have the same pointer.
 func (s *Snapshot) Leaves() map[int]*Leaf { return s.leaves }
 
 // Entries returns the entries of a leaf, sorted by name. The caller must not change them.
--- a/internal/tenant/statemachine.go
+++ b/internal/tenant/statemachine.go
@@ -12,10 +12,10 @@
 const (
 	// drainSlack is added to the waits for a member to stop, as a proxy checks its drains only at intervals.
 	drainSlack = time.Second
-	// clockWriteInterval is the interval at which the clock on the member record is written while a tombstone
-	// waits for its end.
+	// clockWriteInterval is the interval at which the clock on the member record is written while there is a
+	// tombstone that expires by it.
 	clockWriteInterval = 10 * time.Second
-	maxMembers         = 2000 // each has a session of the registry
+	maxMembers         = 2000 // each has a session in the registry
 	// maxCatalogueLead bounds by how many numbers a proxy's status may be ahead of the catalogue. The
 	// numbers of a status beyond the bound count as 0.
 	maxCatalogueLead = 1 << 32
@@ -54,9 +54,9 @@
 	MembersVersion uint64
 }
 
-// StateMachine decides the next writes of a controller. It is pure; its times are those of the controller's
-// monotonic clock. After a write that fails, the controller discards the state machine and loads another from
-// the state on record.
+// StateMachine decides the next writes of a controller. It does no I/O and reads no clock; its times are
+// those of the controller's monotonic clock. After a write that fails, the controller discards the state
+// machine and loads another one from the state on record.
 type StateMachine struct {
 	times          Times
 	tenants        map[string]*Tenant
@@ -66,7 +66,7 @@
 	inTransition   map[string]*Entry // entries of the last catalogue in other phases than PhaseServe
 	tree           *tree             // pages of the last catalogue; nil: all pages have to be written
 	comparedAll    bool              // all tenants have been compared with the last catalogue once
-	stalePages     []string          // digests of pages that the last catalogue lacks; the next one deletes them
+	stalePages     []string          // digests of pages that fell out of use with the last catalogue
 	head           Head
 	headVersion    uint64
 	pages          map[string]uint64 // versions of the pages on record, by digest
@@ -193,7 +193,7 @@
 	for name := range r.removed {
 		m.reindexTenant(name)
 	}
-	slices.SortStableFunc(r.writes, func(order, b RecordWrite) int { return cmp.Compare(order.Stage, b.Stage) })
+	slices.SortStableFunc(r.writes, func(a, b RecordWrite) int { return cmp.Compare(a.Stage, b.Stage) })
 	return r.writes, nil
 }
 
@@ -221,7 +221,7 @@
 	return key[len(prefix):], true
 }
 
-// setState moves a tenant to a state.
+// setState moves a tenant to a state, and marks its record to be written.
 func (m *StateMachine) setState(r *round, t *Tenant, state State) {
 	t.State, m.stateSince[t.Name] = state, r.now
 	r.changed[t.Name] = true
--- a/internal/tenant/store.go
+++ b/internal/tenant/store.go
@@ -24,12 +24,12 @@
 
 // hasCode reports whether an error is a response of the registry with a code.
 func hasCode(err error, code registry.Code) bool {
-	var refusal *client.Error
-	return errors.As(err, &refusal) && refusal.Code == string(code)
+	var response *client.Error
+	return errors.As(err, &response) && response.Code == string(code)
 }
 
 // readRecords reads the current records whose keys have a prefix. It skips records that are deleted
-// meanwhile. It takes records from seen (by key) that still have the same version.
+// meanwhile. It does not read records again that seen, by key, has in the listed version.
 func readRecords(
 	ctx context.Context,
 	reg *client.Client,
@@ -79,7 +79,7 @@
 		return 0, err
 	}
 	if err := json.Unmarshal(r.Value, v); err != nil {
-		return 0, fmt.Errorf("tenant: %s can't be read: %w", key, err)
+		return 0, fmt.Errorf("tenant: decode record %s: %w", key, err)
 	}
 	return r.Version, nil
 }
@@ -89,8 +89,8 @@
 	return ReadStored(ctx, r.Registry)
 }
 
-// ReadStored reads all records of tenants. If another process is the lease holder, the catalogue may change
-// while it is read; then it is read again.
+// ReadStored reads the records of all tenants, the member record and the catalogue. If another process holds
+// the lease, the catalogue may change while it is read; ReadStored then reads it again.
 func ReadStored(ctx context.Context, reg *client.Client) (stored Stored, err error) {
 	tenants, err := readRecords(ctx, reg, TenantPrefix, nil)
 	if err != nil {
--- a/internal/tenant/times.go
+++ b/internal/tenant/times.go
@@ -6,8 +6,8 @@
 
 // Times are the limits of a controller's waits. docs/tenants.md describes what ends each wait.
 type Times struct {
-	// Prepare is the time that proxies have, from the taking of an order, to prepare it. Then the order is
-	// reverted.
+	// Prepare is the time that proxies have to prepare an order after a controller has taken it. Then the order
+	// is reverted.
 	Prepare time.Duration
 	// Switch is the longest time for which proxies answer 503 for requests on which the current and the next
 	// spec differ. Then proxies serve by the current spec again, and prepare the next spec again.
--- a/internal/tenant/tree.go
+++ b/internal/tenant/tree.go
@@ -136,8 +136,8 @@
 }
 
 // requiredLevels returns the number of levels that the catalogue needs, 0 for the flat form. The number of a
-// tree never shrinks, as after each change of the number all proxies read again the leaves that they have
-// cached.
+// tree's levels never decreases, because after each change of the number all proxies read their cached leaves
+// again.
 func requiredLevels(hashTree bool, current, tenants int) int {
 	if !hashTree {
 		return 0
@@ -169,7 +169,8 @@
 		}
 	}
 	policies := slices.Sorted(maps.Keys(since))
-	for len(policies) > maxPolicyNeeds { // requiring the newer table from the older one's catalogue on is safe
+	// Drop the oldest version: it is safe to require the next newer one from the earlier of both catalogues on.
+	for len(policies) > maxPolicyNeeds {
 		since[policies[1]] = min(since[policies[0]], since[policies[1]])
 		policies = policies[1:]
 	}
--- a/internal/tenant/unknownfields.go
+++ b/internal/tenant/unknownfields.go
@@ -16,7 +16,7 @@
 // decodeDocument decodes a document into plain, and returns the fields that plain lacks.
 func decodeDocument(raw []byte, plain any) (rawFields, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	if decoder.DisallowUnknownFields(); decoder.Decode(plain) == nil { // nearly always
+	if decoder.DisallowUnknownFields(); decoder.Decode(plain) == nil { // nearly always: no unknown field
 		return nil, nil
 	}
 	if err := json.Unmarshal(raw, plain); err != nil {
@@ -57,8 +57,8 @@
 	return append(raw, '}'), nil
 }
 
-// The documents without their methods, so that encoding them does not call MarshalJSON and UnmarshalJSON
-// again.
+// The documents without their methods, so that encoding and decoding them does not call MarshalJSON and
+// UnmarshalJSON again.
 type (
 	plainSpec   Spec
 	plainTenant Tenant
