--- a/internal/release/actions.go
+++ b/internal/release/actions.go
@@ -33,8 +33,8 @@
 	return s.DesiredVersion
 }
 
-// RecordResult records the result of an action. The state has to be written before the next action. The
-// result is ignored if the server is at another step or is to have another version by now.
+// RecordResult records the result of an action. The state has to be written before the next action is carried
+// out. The result is ignored if the server has reached another step meanwhile, or is to have another version.
 func (s *State) RecordResult(now time.Duration, action Action, err error) {
 	index := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == action.Target.Name })
 	if index < 0 || s.Targets[index].Step != action.Step || s.versionAfter(s.Targets[index]) != action.Version {
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -18,7 +18,7 @@
 	// if the record has another version or the controller's fencing token is not the latest.
 	Save(ctx context.Context, raw []byte, version uint64) (uint64, error)
 	// Order returns the pending order of an operator. The id is empty if there is none.
-	Order(ctx context.Context) (id, order, who string, err error)
+	Order(ctx context.Context) (id, order, operator string, err error)
 	// ClearOrder removes the pending order. It is called after the record with the order's id was written.
 	ClearOrder(ctx context.Context) error
 }
@@ -29,12 +29,12 @@
 
 // Executor carries out the actions of a release.
 type Executor interface {
-	// Unavailable returns the servers that do not serve, whatever the reason.
+	// Unavailable returns the servers that do not serve, because of the release or for any other reason.
 	Unavailable(ctx context.Context) (Unavailable, error)
 	// Do carries out an action or a part of it. The action is complete when done is true. Do may be called again
 	// at any time, also for a complete action.
 	Do(ctx context.Context, a Action) (done bool, err error)
-	// Counts returns, by proxy, the counts of the named servers and of the other servers so far. A proxy whose
+	// Counts returns, by proxy, the counts so far of the named servers and of all other servers. A proxy whose
 	// counts can't be read is missing in the result.
 	Counts(ctx context.Context, named []string) (map[string]Comparison, error)
 }
@@ -45,7 +45,7 @@
 	Executor Executor
 	Interval time.Duration // between two rounds
 	Log      *slog.Logger
-	Clock    func() time.Duration // a monotonic clock; nil means the machine's clock
+	Clock    func() time.Duration // a monotonic clock; nil: the machine's monotonic clock
 
 	state              *State
 	recordVersion      uint64
@@ -66,7 +66,7 @@
 func (c *Controller) Run(ctx context.Context) error {
 	raw, version, err := c.Store.Load(ctx)
 	if err != nil {
-		return fmt.Errorf("release: loading the record: %w", err)
+		return fmt.Errorf("release: load record: %w", err)
 	}
 	if c.state, err = Decode(raw); err != nil {
 		return err
@@ -129,7 +129,7 @@
 // followOrder follows the pending order and reports whether there is one. The order's id is written to the
 // record, so that the order is followed only once even if the controller changes before the order is removed.
 func (c *Controller) followOrder(ctx context.Context) (pending bool, err error) {
-	id, order, who, err := c.Store.Order(ctx)
+	id, order, operator, err := c.Store.Order(ctx)
 	if err != nil || id == "" {
 		return false, err
 	}
@@ -137,9 +137,9 @@
 		return true, nil
 	}
 	c.state.LastOrder = id
-	if err := c.state.Order(c.now(), order, who); err != nil {
-		c.state.addNote(c.now(), "not followed: %v, ordered by %s", err, who)
-		c.Log.Warn("order rejected", "err", err, "by", who)
+	if err := c.state.Order(c.now(), order, operator); err != nil {
+		c.state.addNote(c.now(), "not followed: %v, ordered by %s", err, operator)
+		c.Log.Warn("order rejected", "err", err, "by", operator)
 	}
 	return true, nil
 }
@@ -153,7 +153,7 @@
 		return err
 	}
 	if c.recordVersion, err = c.Store.Save(ctx, raw, c.recordVersion); err != nil {
-		return fmt.Errorf("release: writing the record: %w", err)
+		return fmt.Errorf("release: write record: %w", err)
 	}
 	return nil
 }
@@ -232,21 +232,21 @@
 func Decode(raw []byte) (*State, error) {
 	state := &State{}
 	if err := json.Unmarshal(raw, state); err != nil {
-		return nil, fmt.Errorf("release: a record that can't be read: %w", err)
+		return nil, fmt.Errorf("release: decode record: %w", err)
 	}
 	if state.Format != recordFormat {
-		return nil, fmt.Errorf("release: a record of form %d, this program knows %d", state.Format, recordFormat)
+		return nil, fmt.Errorf("release: decode record: unsupported format %d, want %d", state.Format, recordFormat)
 	}
 	if err := state.Plan.Check(); err != nil {
-		return nil, fmt.Errorf("release: the record's plan: %w", err)
+		return nil, fmt.Errorf("release: decode record: invalid plan: %w", err)
 	}
 	if state.DesiredVersion != state.Plan.From && state.DesiredVersion != state.Plan.To {
-		return nil, fmt.Errorf("release: a record whose goal is %q", state.DesiredVersion)
+		return nil, fmt.Errorf("release: decode record: the plan has no version %q", state.DesiredVersion)
 	}
 	if state.Wave < 0 || state.Wave >= len(state.Plan.Waves) ||
 		len(state.Targets) == 0 || len(state.Targets) > MaxTargets {
 		return nil, fmt.Errorf(
-			"release: a record at wave %d of %d with %d servers",
+			"release: decode record: invalid wave %d of %d or number of servers %d",
 			state.Wave+1,
 			len(state.Plan.Waves),
 			len(state.Targets),
--- a/internal/release/gate.go
+++ b/internal/release/gate.go
@@ -16,10 +16,10 @@
 	Undecided Verdict = "undecided" // too few requests for a comparison
 	Pass      Verdict = "pass"
 	Fail      Verdict = "fail"     // the released servers are worse than the rest
-	Incident  Verdict = "incident" // the other servers fail as well, so the release need not be the cause
+	Incident  Verdict = "incident" // the rest fail as well, so the release need not be the cause
 )
 
-// Counts counts the requests to a group of servers and the failed and late ones among them.
+// Counts has the number of requests to a group of servers, and how many of them failed or were late.
 type Counts struct {
 	Requests int `json:"Requests"`
 	Failed   int `json:"Failed"`
@@ -42,7 +42,7 @@
 
 // CountsSince returns the sums, over all proxies, of the requests counted between base and current. For a
 // proxy that has restarted in between, the counts since its restart are added. A proxy that is missing in
-// base is left out.
+// base or in current is left out.
 func CountsSince(base, current map[string]Comparison) (released, rest Counts) {
 	for proxy, counts := range current {
 		before, ok := base[proxy]
@@ -64,8 +64,8 @@
 }
 
 // significanceLevel is the significance level of a gate's tests: a difference counts as caused by the new
-// version if the probability of a chance result is below it. At this level one good release in hundreds is
-// halted, counted over all waves and both tests (failed and late requests).
+// version if the probability that it arises by chance is below this level. One good release in hundreds is
+// then halted, counted over all waves and both tests (of failed and of late requests).
 const significanceLevel = 0.001
 
 // exceeds reports whether a count out of a total is significantly above a share of the total, by a one-sided
@@ -77,8 +77,8 @@
 	return 1-distuv.Binomial{N: float64(total), P: max(share, 1e-9)}.CDF(float64(count-1)) < significanceLevel
 }
 
-// Evaluate compares the released servers with the rest. If alone is set, there is no rest, as after the last
-// wave, and only the fixed threshold for failed requests decides.
+// Evaluate compares the released servers with the rest. alone means that there is no rest, as after the last
+// wave; then only the fixed threshold for failed requests decides.
 func (g Gate) Evaluate(released, rest Counts, alone bool) Verdict {
 	share := func(count, total int) float64 { return float64(count) / float64(max(total, 1)) }
 	if released.Requests < g.MinRequests || !alone && rest.Requests < g.MinRequests {
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -2,11 +2,11 @@
 // The servers are released in waves. Each wave is followed by a soak, at whose end a gate compares the
 // released servers with the rest. A fault halts the release or rolls it back.
 //
-// Plan and State are pure: State.Step, RecordResult, ApplyVerdict and Order take events with the time since
-// the release began, and State.Actions returns the actions that are to be carried out. A Controller, which
-// runs under a lease, writes the state to the registry before and after each action, so that a controller
-// that takes over continues from the record. An Executor carries out the actions: ServerExecutor on servers,
-// through their agents and the proxies, and ProxyExecutor on the proxies themselves.
+// Plan and State do no I/O and read no clock: State.Step, RecordResult, ApplyVerdict and Order take events
+// with the time since the release began, and State.Actions returns the actions to carry out. A Controller,
+// which runs under a lease, writes the state to the registry before and after each action, so that a
+// controller that takes over continues from the record. An Executor carries out the actions: ServerExecutor
+// on servers, through their agents and the proxies, and ProxyExecutor on the proxies themselves.
 package release
 
 import (
@@ -35,8 +35,8 @@
 	Deadline Deadline      `koanf:"deadline" json:"deadline"`
 }
 
-// Selector selects the servers that match each of its lists that is not empty. Names may be patterns with *
-// and ?.
+// Selector selects the servers that match all of its lists. An empty list matches every server. Names may be
+// patterns with * and ?.
 type Selector struct {
 	Zones []string `koanf:"zones" json:"zones,omitempty"`
 	Types []string `koanf:"types" json:"types,omitempty"`
@@ -61,15 +61,16 @@
 type Gate struct {
 	// MinRequests is the number of requests that the released servers and the rest each need for a verdict.
 	MinRequests int `koanf:"least" json:"least"`
-	// MaxFailedExcess is by how much the released servers' share of failures may exceed that of the rest.
+	// MaxFailedExcess is by how much the released servers' share of failed requests may exceed the rest's.
 	MaxFailedExcess float64 `koanf:"failed" json:"failed"`
-	MaxLateExcess   float64 `koanf:"late" json:"late"` // the same for requests past their latency objective
-	// IncidentThreshold is the share of failures above which a group of servers counts as bad. If both groups
-	// are bad, the gate finds an incident. 0 means 0.1.
+	MaxLateExcess   float64 `koanf:"late" json:"late"` // the same for late requests, see Counts.Late
+	// IncidentThreshold is the share of failed requests above which a group of servers counts as bad. If the
+	// released servers and the rest are both bad, the verdict is Incident. 0 means 0.1.
 	IncidentThreshold float64 `koanf:"most" json:"most"`
 }
 
-// Deadline bounds the time that each step may take. Drain applies to Maintenance, too, and Ready to Restore.
+// Deadline bounds the time that each step may take. Drain also bounds the step Maintenance, and Ready also
+// bounds the step Restore.
 type Deadline struct {
 	Drain   time.Duration `koanf:"drain" json:"drain_ns"`
 	Replace time.Duration `koanf:"replace" json:"replace_ns"`
@@ -88,8 +89,8 @@
 
 // What a fault does to a release.
 const (
-	HaltWait     = "wait" // halts it until an operator's order
-	HaltRollBack = "back" // rolls it back
+	HaltWait     = "wait" // the fault halts the release until an operator's order
+	HaltRollBack = "back" // the fault rolls the release back
 )
 
 // Bounds on plans.
--- a/internal/release/proxyexecutor.go
+++ b/internal/release/proxyexecutor.go
@@ -71,8 +71,9 @@
 	return nil
 }
 
-// Counts reads the counts of each proxy at the control address that its agent publishes. All requests that
-// did not succeed count as failed, also rejected ones, because a version that rejects more requests is worse.
+// Counts reads the counts of each proxy at the control address that the proxy's agent reports. All requests
+// that did not succeed count as failed, also rejected ones, because a version that rejects more requests is
+// worse.
 func (f *ProxyExecutor) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
 	released := map[string]bool{}
 	for _, n := range named {
@@ -89,9 +90,9 @@
 			continue
 		}
 		var proxyCounts Counts
-		forEachStat(text, "app.results.", func(_, what string, n int) {
+		forEachStat(text, "app.results.", func(_, counter string, n int) {
 			proxyCounts.Requests += n
-			if what != "succeeded" {
+			if counter != "succeeded" {
 				proxyCounts.Failed += n
 			}
 		})
--- a/internal/release/proxystats.go
+++ b/internal/release/proxystats.go
@@ -29,9 +29,9 @@
 	return string(raw), err
 }
 
-// forEachStat calls visit for each line of a proxy's statistics that begins with a prefix. The arguments are
-// the rest of the key, split at its last dot, and the number.
-func forEachStat(text, prefix string, visit func(name, what string, n int)) {
+// forEachStat calls visit for each line of a proxy's statistics that begins with a prefix. The part of the
+// line's key after the prefix is split at its last dot into name and counter; n is the counter's value.
+func forEachStat(text, prefix string, visit func(name, counter string, n int)) {
 	lines := bufio.NewScanner(strings.NewReader(text))
 	for lines.Scan() {
 		rest, ok := strings.CutPrefix(lines.Text(), prefix)
@@ -48,9 +48,9 @@
 // parseBackendCounts returns the counts in a proxy's statistics by server.
 func parseBackendCounts(text string) map[string]Counts {
 	counts := map[string]Counts{}
-	forEachStat(text, "app.backends.", func(name, what string, n int) {
+	forEachStat(text, "app.backends.", func(name, counter string, n int) {
 		c := counts[name]
-		switch what {
+		switch counter {
 		case "succeeded":
 			c.Requests += n
 		case "failed":
--- a/internal/release/records.go
+++ b/internal/release/records.go
@@ -43,7 +43,7 @@
 	absent := uint64(0)
 	if _, err = registryClient.Put(ctx, RecordPrefix+s.Plan.Name, raw, &absent); hasCode(
 		err, registry.Conflict) {
-		return fmt.Errorf("there is a release %s already; a plan of another name makes another", s.Plan.Name)
+		return fmt.Errorf("start release %s: a release of this name exists, rename the plan", s.Plan.Name)
 	}
 	return err
 }
@@ -65,7 +65,7 @@
 	}
 	absent := uint64(0)
 	if _, err = registryClient.Put(ctx, orderPrefix+name, raw, &absent); hasCode(err, registry.Conflict) {
-		return errors.New("an order waits there already; does a conductor run?")
+		return errors.New("submit order: another order is pending; does a controller of the release run?")
 	}
 	return err
 }
--- a/internal/release/machine_test.go
+++ b/internal/release/release_test.go
@@ -17,8 +17,8 @@
 	"wrenspread/internal/registry"
 )
 
-// fakeFleet is the Store and the Executor of the tests. Each call by a controller is a moment at which the
-// controller may crash. The number of calls serves as the clock.
+// fakeFleet is the Store and the Executor of the tests. A controller may crash at each of its calls. The
+// number of calls serves as the clock.
 type fakeFleet struct {
 	mu                 sync.Mutex
 	t                  interface{ Fatalf(string, ...any) }
@@ -109,8 +109,8 @@
 	return Unavailable{}, f.countCall(ctx)
 }
 
-// Do checks that the record has the step of the action as the server's step, and that the limits are
-// observed.
+// Do carries out an action. It checks that the server's step in the record is that of the action, and that
+// the limits are observed.
 func (f *fakeFleet) Do(ctx context.Context, action Action) (bool, error) {
 	if err := f.countCall(ctx); err != nil {
 		return false, err
@@ -188,7 +188,7 @@
 }
 
 func (f *fakeFleet) Counts(ctx context.Context, named []string) (map[string]Comparison, error) {
-	calls := f.calls // the counts grow with each call
+	calls := f.calls // the counts increase with each call
 	released := Counts{Requests: 1000 * calls}
 	if f.newVersionFails {
 		released.Failed = 300 * calls
@@ -205,13 +205,13 @@
 		change(&plan)
 	}
 	fleet := &fakeFleet{t: t, plan: plan, servers: map[string]*fakeServer{}}
-	var all []Target
+	var targets []Target
 	for i := range n {
 		target := Target{Name: fmt.Sprint("s", i), Zone: string(rune('a' + i%3)), Type: "m", Cell: i % 2, Version: plan.From}
-		all = append(all, target)
+		targets = append(targets, target)
 		fleet.servers[target.Name] = &fakeServer{Target: target}
 	}
-	s, err := New(plan, all)
+	s, err := New(plan, targets)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
@@ -222,10 +222,10 @@
 }
 
 // runToEnd runs controllers one after another, each after the crash of the previous one, until one ends
-// without an error. It returns the state from the record, and fails the test after the given number of
-// controllers.
-func (f *fakeFleet) runToEnd(rounds int) *State {
-	for range rounds {
+// without an error. It returns the state from the record, and fails the test if none of maxControllers
+// controllers does.
+func (f *fakeFleet) runToEnd(maxControllers int) *State {
+	for range maxControllers {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute) // reached only by a hang
 		err := f.newController().Run(ctx)
 		cancel()
@@ -264,12 +264,12 @@
 // a release whose servers do not become ready. The next controller has to complete the release from the
 // record, with at most two replacements per server.
 func TestReleaseCompletesAfterControllerCrashAtAnyCall(t *testing.T) {
-	for name, prepare := range map[string]func(*fakeFleet){"good": func(*fakeFleet) {}, "worse": func(fleet *fakeFleet) { fleet.newVersionFails = true }, "bad": func(fleet *fakeFleet) { fleet.unstartableVersion = "v2" }} {
+	for name, prepare := range map[string]func(*fakeFleet){"good": func(*fakeFleet) {}, "gate fails": func(fleet *fakeFleet) { fleet.newVersionFails = true }, "never ready": func(fleet *fakeFleet) { fleet.unstartableVersion = "v2" }} {
 		calls := 0
 		for crashAt := 0; crashAt == 0 || crashAt <= calls; crashAt++ {
 			fleet := newFakeFleet(t, 7, func(p *Plan) {
 				p.Halt, p.Deadline.Ready = HaltRollBack, time.Second
-				if name == "bad" {
+				if name == "never ready" {
 					p.Limits = Limits{Total: 1}
 				}
 			})
@@ -279,10 +279,10 @@
 			if crashAt == 0 {
 				calls = fleet.calls
 			}
-			if want := map[string]Phase{"good": Finished, "worse": RolledBack, "bad": RolledBack}[name]; s.Phase != want {
+			if want := map[string]Phase{"good": Finished, "gate fails": RolledBack, "never ready": RolledBack}[name]; s.Phase != want {
 				t.Fatalf("release %q, controller crashed at call %d: phase %s, reason %q", name, crashAt, s.Phase, s.HaltReason)
 			}
-			fleet.assertAllHave(t, map[string]string{"good": "v2", "worse": "v1", "bad": "v1"}[name])
+			fleet.assertAllHave(t, map[string]string{"good": "v2", "gate fails": "v1", "never ready": "v1"}[name])
 			if fleet.replacements > 2*len(fleet.servers) {
 				t.Fatalf("release %q, controller crashed at call %d: %d replacements, want at most two per server", name, crashAt, fleet.replacements)
 			}
@@ -303,18 +303,18 @@
 	}}
 }
 
-// With drawn failures of actions, crashes and orders, a release never has more servers out of service than
-// its limits allow, never carries out an action that is not in the record, and ends with each server in
-// service and in the version that the record has.
-func TestReleaseKeepsLimitsAndRecordUnderDrawnFailures(t *testing.T) {
+// With random failures of actions, crashes and orders, a release never has more servers out of service than
+// its limits allow, and never carries out an action that is not in the record. At its end each server serves,
+// in the version that the record has for it.
+func TestReleaseKeepsLimitsAndRecordUnderRandomFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newFakeFleet(t, rapid.IntRange(1, 12).Draw(t, "servers"), func(p *Plan) {
 			p.Limits.Total = rapid.IntRange(1, 4).Draw(t, "out")
 			p.Limits.Zone, p.Limits.Cell = min(p.Limits.Total, 2), 0
 			p.Halt = rapid.SampledFrom([]string{HaltWait, HaltRollBack}).Draw(t, "halt")
 		})
-		fleet.newVersionFails = rapid.IntRange(0, 3).Draw(t, "worse") == 0
-		failing := rapid.SliceOfN(rapid.SampledFrom([]failure{noFailure, noFailure, notCarriedOut, resultLost}), 0, 60).Draw(t, "failing")
+		fleet.newVersionFails = rapid.IntRange(0, 3).Draw(t, "new version fails if 0") == 0
+		failing := rapid.SliceOfN(rapid.SampledFrom([]failure{noFailure, noFailure, notCarriedOut, resultLost}), 0, 60).Draw(t, "failures")
 		fleet.nextFailure = func() failure {
 			if len(failing) == 0 {
 				return noFailure
@@ -323,11 +323,11 @@
 			failing = failing[1:]
 			return f
 		}
-		orders := rapid.SliceOfN(rapid.SampledFrom([]string{"", OrderPause, OrderResume, OrderSkip, OrderRollBack, "dance"}), 0, 6).Draw(t, "orders")
+		orders := rapid.SliceOfN(rapid.SampledFrom([]string{"", OrderPause, OrderResume, OrderSkip, OrderRollBack, "unknown"}), 0, 6).Draw(t, "orders")
 		var s *State
 		for _, order := range append(orders, OrderResume, OrderAbort) {
 			fleet.orderCount++
-			fleet.order, fleet.crashAtCall = order, fleet.calls+rapid.IntRange(1, 60).Draw(t, "dies after")
+			fleet.order, fleet.crashAtCall = order, fleet.calls+rapid.IntRange(1, 60).Draw(t, "calls until crash")
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			err := fleet.newController().Run(ctx)
 			cancel()
@@ -347,7 +347,7 @@
 	})
 }
 
-// A controller that another one has superseded can't write the record any more.
+// A controller can't write the record any more after another controller has taken over.
 func TestSupersededControllerCannotWrite(t *testing.T) {
 	fleet := newFakeFleet(t, 3, nil)
 	c := fleet.newController()
@@ -377,13 +377,13 @@
 // The record of a release with the most targets, notes and proxies fits into one record of the registry.
 func TestLargestReleaseFitsIntoOneRecord(t *testing.T) {
 	longText := strings.Repeat("x", 64)
-	var all []Target
+	var targets []Target
 	for i := range MaxTargets {
-		all = append(all, Target{Name: fmt.Sprint(longText[:32], i), Address: "255.255.255.255:65535", Zone: longText[:16], Type: longText[:16], Cell: i, Version: "v1"})
+		targets = append(targets, Target{Name: fmt.Sprint(longText[:32], i), Address: "255.255.255.255:65535", Zone: longText[:16], Type: longText[:16], Cell: i, Version: "v1"})
 	}
 	plan := DefaultPlan()
 	plan.Name, plan.From, plan.To = "r", "v1", "v2"
-	s, err := New(plan, all)
+	s, err := New(plan, targets)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -408,9 +408,9 @@
 func TestGateVerdictsByCounts(t *testing.T) {
 	g := Gate{MinRequests: 100, MaxFailedExcess: 0.02, MaxLateExcess: 0.05, IncidentThreshold: 0.1}
 	for _, c := range []struct {
-		those, rest Counts
-		alone       bool
-		want        Verdict
+		released, rest Counts
+		alone          bool
+		want           Verdict
 	}{
 		{Counts{99, 0, 0}, Counts{1000, 0, 0}, false, Undecided}, {Counts{1000, 0, 0}, Counts{99, 0, 0}, false, Undecided},
 		{Counts{100, 3, 0}, Counts{1000, 0, 0}, false, Pass}, {Counts{100, 12, 0}, Counts{1000, 0, 0}, false, Fail}, {Counts{10000, 260, 0}, Counts{1000, 0, 0}, false, Fail},
@@ -418,8 +418,8 @@
 		{Counts{1000, 200, 0}, Counts{1000, 150, 0}, false, Incident}, {Counts{1000, 0, 90}, Counts{1000, 0, 0}, false, Fail}, {Counts{1000, 0, 60}, Counts{1000, 0, 0}, false, Pass},
 		{Counts{1000, 100, 0}, Counts{}, true, Pass}, {Counts{1000, 150, 0}, Counts{}, true, Fail}, {Counts{9, 0, 0}, Counts{}, true, Undecided},
 	} {
-		if got := g.Evaluate(c.those, c.rest, c.alone); got != c.want {
-			t.Errorf("released %+v, rest %+v: verdict %s, want %s", c.those, c.rest, got, c.want)
+		if got := g.Evaluate(c.released, c.rest, c.alone); got != c.want {
+			t.Errorf("released %+v, rest %+v: verdict %s, want %s", c.released, c.rest, got, c.want)
 		}
 	}
 }
--- a/internal/release/serverexecutor.go
+++ b/internal/release/serverexecutor.go
@@ -65,8 +65,8 @@
 		if listed[name] {
 			continue
 		}
-		// Without an entry in the list, the server's zone is known to its agent only. What is upgraded by handoff
-		// is a proxy, which is never in the list.
+		// Only the agent knows the zone of a server that is not in the list. A server with Handoff is a proxy,
+		// which is never in the list and therefore not counted.
 		if status, err := (agent.Client{HTTP: f.HTTP}).Status(ctx, address, name); err != nil || !status.Handoff {
 			unavailable.Endpoints = append(unavailable.Endpoints,
 				Target{Name: name, Zone: status.Zone, Type: status.Type, Cell: status.Cell})
@@ -115,8 +115,8 @@
 	return err == nil, err
 }
 
-// isDrained reports whether the grace period of a server is over. The period starts with the first call for
-// the server; after it, the next call starts another period.
+// isDrained reports whether the grace period of a server is over. The first call for a server starts the
+// period. After a call that returned true, the next call starts another period.
 func (f *ServerExecutor) isDrained(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,8 +135,8 @@
 	return true
 }
 
-// callProxies calls each proxy to put a server into maintenance ("maint") or to take it out ("ready"). A
-// proxy that refuses the connection is taken as done, because no process listens at its control address and
+// callProxies calls each proxy to put a server into maintenance ("maint") or to end its maintenance
+// ("ready"). A proxy that refuses the connection is taken as done: no process listens at its control address,
 // so it sends no requests to the server. For a proxy that accepts the connection and does not answer,
 // callProxies returns an error, so that the action is repeated.
 func (f *ServerExecutor) callProxies(ctx context.Context, server, action string) error {
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -8,8 +8,8 @@
 	"wrenspread/internal/registry"
 )
 
-// Step is the step that the release of a server has reached. All steps but Waiting and Released are intents:
-// the action of the step is being carried out, and a controller that takes over carries it out again.
+// Step is the step that the release of a server has reached. Each step except Waiting and Released has an
+// action, which is being carried out; a controller that takes over carries it out again.
 type Step string
 
 // The steps of a release of a server, in their order.
@@ -48,7 +48,7 @@
 	Aborted     Phase = "aborted"  // by an operator: released servers keep the new version
 )
 
-// IsFinal reports whether a phase is the last one once no server is out of service because of the release.
+// IsFinal reports whether the release ends in this phase, once no server is out of service because of it.
 func (p Phase) IsFinal() bool { return p == Finished || p == RolledBack || p == Failed || p == Aborted }
 
 // Target is one server of a release, with its step.
@@ -84,8 +84,8 @@
 	Since          time.Duration `json:"since_ns"`         // when the phase began
 	Targets        []Target      `json:"targets"`          // in the order of their release
 	History        []Note        `json:"history"`          // the latest maxNotes notes
-	Clock          time.Duration `json:"clock_ns"`         // time of the last write, where a takeover continues
-	ResumePhase    Phase         `json:"resume,omitempty"` // the phase after OrderResume
+	Clock          time.Duration `json:"clock_ns"`         // time of the last write; a takeover continues it
+	ResumePhase    Phase         `json:"resume,omitempty"` // the phase that OrderResume enters
 	LastOrder      string        `json:"taken,omitempty"`  // id of the last followed or rejected order
 
 	Baseline map[string]Comparison `json:"base,omitempty"` // counts at the beginning of the soak, by proxy
@@ -103,8 +103,8 @@
 	maxReasonBytes = 160 // length of Target.Reason
 )
 
-// New returns the initial state of a release. Each server has to have the plan's previous version or, if it
-// needs no release, the new one.
+// New returns the initial state of a release. Each server has to have the plan's previous or new version. A
+// server with the new version counts as released.
 func New(plan Plan, servers []Target) (*State, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 	return New(plan, slices.DeleteFunc(slices.Clone(targets), func(t Target) bool { return !plan.Matches(t) }))
 }
 
-// TargetsOf converts every endpoint, whatever its state, to a target with the same name, address, zone, type,
+// TargetsOf converts all endpoints, whatever their state, to targets with the same name, address, zone, type,
 // cell and version, in the same order.
 func TargetsOf(endpoints []registry.Endpoint) (targets []Target) {
 	for _, endpoint := range endpoints {
@@ -146,7 +146,8 @@
 	return targets
 }
 
-// Count returns the numbers of servers that serve in the new version and that the release has out of service.
+// Count returns how many servers serve in the new version, and how many are out of service because of the
+// release.
 func (s *State) Count() (released, outOfService int) {
 	for _, target := range s.Targets {
 		if target.isOutOfService() {
--- a/internal/release/step.go
+++ b/internal/release/step.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Unavailable lists the servers that do not serve, as seen by the controller. Servers that the release has
-// out of service may be among them; mayTakeOut counts them once.
+// Unavailable lists the servers that do not serve, as seen by the controller. It may contain servers that are
+// out of service because of the release; mayTakeOut counts each server once.
 type Unavailable struct {
 	Endpoints []Target
 }
@@ -106,8 +106,8 @@
 		inCell <= cmp.Or(limits.Cell, limits.Total)
 }
 
-// checkDeadlines handles each step that has exceeded its deadline as a fault, and so a gate without a
-// verdict.
+// checkDeadlines treats each step that has exceeded its deadline as a fault, and also a gate that has no
+// verdict at its deadline.
 func (s *State) checkDeadlines(now time.Duration) {
 	deadline := s.Plan.Deadline
 	deadlines := map[Step]time.Duration{
@@ -139,8 +139,9 @@
 	}
 }
 
-// handleFault halts the release, or rolls it back if the plan has HaltRollBack. A fault during a rollback
-// makes the release fail. In a phase without progress the fault is only noted.
+// handleFault halts a release that is running, soaking or paused, or rolls it back if the plan has
+// HaltRollBack. A fault during a rollback makes the release fail. In all other phases the fault is only
+// noted.
 func (s *State) handleFault(now time.Duration, reason string) {
 	switch s.Phase {
 	case RollingBack:
@@ -171,7 +172,7 @@
 		target.Since, target.Stuck = now, false
 		switch target.Step {
 		case Maintenance, Drain:
-			target.Step = Drain // the server may be drained already; RecordResult decides by its version
+			target.Step = Drain // the server may be drained already; RecordResult chooses the next step
 		case Replace, Ready:
 			target.Step = Replace
 		case Restore:
