--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -105,12 +105,12 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("GET /servers", func(w http.ResponseWriter, _ *http.Request) {
-		all := []Status{}
+		statuses := []Status{}
 		for _, s := range a.config.Servers {
 			status, _ := a.supervisors[s.Name].current()
-			all = append(all, status)
+			statuses = append(statuses, status)
 		}
-		writeJSON(w, all)
+		writeJSON(w, statuses)
 	})
 	mux.HandleFunc("GET /servers/{name}", func(w http.ResponseWriter, r *http.Request) {
 		if k := a.supervisors[r.PathValue("name")]; k != nil {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -20,8 +20,8 @@
 	"wrenspread/internal/registry"
 )
 
-// TestMain lets the test's own binary run as a server, which answers with its version. A server of the
-// version bad ends at once.
+// TestMain lets the test's own binary run as a server, which answers with its version. A server of version
+// "bad" ends at once.
 func TestMain(m *testing.M) {
 	if version := os.Getenv("AGENT_TEST_VERSION"); version != "" {
 		if version == "bad" {
@@ -37,13 +37,13 @@
 	os.Exit(m.Run())
 }
 
-// TestServerIsRestartedReplacedAndAdopted follows one server. It is started and registered, and started again
-// after it was killed. The lease holder replaces its version, and a request with an older fencing token is
-// rejected. The next agent adopts the running process. A version whose process ends at once is removed from
-// the list, and can be replaced by the previous one.
+// TestServerIsRestartedReplacedAndAdopted: the agent starts and registers a server, and starts it again after
+// it was killed. It replaces the server's version on request, and rejects a request with an older fencing
+// token. The next agent adopts the running process. While the server has a version whose process ends at once,
+// it is not in the list; a further request returns it to the first version.
 func TestServerIsRestartedReplacedAndAdopted(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	service, k := labtest.List(t)
+	service, registryClient := labtest.List(t)
 	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
 	c := Default()
@@ -52,7 +52,7 @@
 	c.Servers = []Server{{Name: "s", Address: address, Version: "v1", Ready: "/", Grace: time.Second, Command: []string{"/usr/bin/env", "AGENT_TEST_VERSION={version}", "AGENT_TEST_ADDRESS=" + address, os.Args[0]}}}
 	startAgent := func() func() { return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
 	registered := func() string {
-		list, err := k.CurrentList(ctx)
+		list, err := registryClient.CurrentList(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,10 +110,10 @@
 	besteffort.Ended(<-last.ended)
 }
 
-// serveInheritedSocket runs a server that takes over the clients' socket. On SIGTERM it answers what it has
-// accepted and then ends. A server of the version mute never gets ready.
+// serveInheritedSocket runs a server that takes over the clients' socket. On SIGTERM it answers the requests of
+// all accepted connections and then ends. A server of version "never-ready" never gets ready.
 func serveInheritedSocket(version string) {
-	if version != "mute" {
+	if version != "never-ready" {
 		go func() { _ = http.ListenAndServe(os.Getenv("GW_CONTROL"), nil) }()
 	}
 	ln, err := net.FileListener(os.NewFile(3, "clients"))
@@ -142,8 +142,8 @@
 }
 
 // TestUpgradeByHandoffLosesNoRequest upgrades a server by handoff under load. No request may fail, and a
-// version whose process ends before it is ready is rejected. The next agent, which gets the socket from the
-// running process, can upgrade, too.
+// version whose process ends before it is ready is rejected. The next agent, which duplicates the socket of the
+// running process, can upgrade the server, too.
 func TestUpgradeByHandoffLosesNoRequest(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
 	c := Default()
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -28,7 +28,7 @@
 	Type    string   `koanf:"type"`
 	Cell    int      `koanf:"group"`
 	Weight  float64  `koanf:"weight"`
-	Version string   `koanf:"version"` // version that is started if the folder has no desired state
+	Version string   `koanf:"version"` // version that is started if no desired state is stored in Config.Folder
 	Command []string `koanf:"command"`
 	Dir     string   `koanf:"dir"`
 	// Ready is the path that answers 200 once the server is ready. Empty: the server is ready once it accepts
@@ -38,7 +38,8 @@
 
 	// Handoff is set for a server that is upgraded by handoff, such as a proxy. The agent owns the clients'
 	// socket and passes it to the server's processes as descriptor 3 ($GW_ACCEPT_FD). It starts the new version
-	// while the previous one is running, at the other of the two control addresses ($GW_CONTROL).
+	// while the previous one is still running. The two processes use different addresses of Control
+	// ($GW_CONTROL).
 	Handoff  bool     `koanf:"handover"`
 	Control  []string `koanf:"control"`  // control addresses, two with Handoff
 	Unlisted bool     `koanf:"unlisted"` // the server is not registered in the endpoint list
@@ -57,13 +58,13 @@
 func (c Config) Check() error {
 	var problems config.Problems
 	require, requireAddress := problems.Require, problems.RequireAddress
-	require(c.Machine != "", "machine: missing; it names this agent, the same over restarts")
-	require(c.Folder != "", "folder: missing; it is for versions and fences")
+	require(c.Machine != "", "machine: missing; want a name that stays the same over restarts of the agent")
+	require(c.Folder != "", "folder: missing; it stores the state that the agent needs after a restart")
 	requireAddress("listen", c.Listen)
 	if c.Address != "" {
 		requireAddress("address", c.Address)
 	}
-	require(len(c.Registry) > 0, "list: missing; it has the addresses of the registry")
+	require(len(c.Registry) > 0, "list: missing; want the addresses of the registry")
 	for _, a := range c.Registry {
 		requireAddress("list", a)
 	}
@@ -84,7 +85,7 @@
 	for _, s := range c.Servers {
 		require(
 			s.Name != "" && len(s.Name) <= registry.MaxTextBytes && !names[s.Name],
-			"server: name %q is missing, too long or there twice",
+			"server: name %q is missing, too long or used twice",
 			s.Name,
 		)
 		names[s.Name] = true
@@ -95,7 +96,7 @@
 		require(s.Grace >= 0, "server %s: grace: %v is under 0", s.Name, s.Grace)
 		require(
 			!s.Handoff || len(s.Control) == 2,
-			"server %s: control: there are %d, want two addresses that are used in turn",
+			"server %s: control: there are %d addresses, want 2, which the processes use in turn",
 			s.Name,
 			len(s.Control),
 		)
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -41,14 +41,14 @@
 	Running       bool   `json:"running"`         // the server has a running process
 	Ready         bool   `json:"ready"`           // the last readiness check succeeded
 	Restarts      int    `json:"restarts"`        // restarts of this version after its process ended by itself
-	Reason        string `json:"why,omitempty"`   // reason for which the server is not ready
+	Reason        string `json:"why,omitempty"`   // why the server is not ready
 	StartedAtMS   int64  `json:"since_ms"`        // Unix time of the process's start, in milliseconds
 	KeepDraining  bool   `json:"quiet,omitempty"` // the server is registered as draining while it is replaced
 
 	// Handoff is set if a new version takes over from the running one without an interruption.
 	Handoff bool   `json:"handover,omitempty"`
 	Control string `json:"control,omitempty"` // control address of the running process, with Handoff
-	// RejectedVersion is the version that did not get ready in an upgrade. The previous version is still
+	// RejectedVersion is the version that did not get ready in the last upgrade. The previous version is still
 	// running.
 	RejectedVersion string `json:"refused,omitempty"`
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -14,8 +14,9 @@
 	"wrenspread/internal/registry"
 )
 
-// handleOrder sets the desired state of a server. It accepts requests from the current lease holder only. The
-// state is stored before it takes effect, and repeating a request changes nothing.
+// handleOrder handles a request that sets the desired state of a server. It rejects a request without a
+// fencing token, or with an older token of a lease than this agent has accepted before. The state is stored
+// before it takes effect, and repeating a request changes nothing.
 func (a *agent) handleOrder(w http.ResponseWriter, r *http.Request) {
 	k := a.supervisors[r.PathValue("name")]
 	if k == nil {
@@ -57,33 +58,33 @@
 // loadDesired reads the stored desired states of the servers, by name. It returns an empty map if there is no
 // file.
 func (a *agent) loadDesired() (map[string]DesiredState, error) {
-	all := map[string]DesiredState{}
+	desired := map[string]DesiredState{}
 	raw, err := checksumfile.Read(a.desiredFile(), maxDesiredFileBytes)
 	if errors.Is(err, os.ErrNotExist) {
-		return all, nil
+		return desired, nil
 	}
 	if err == nil {
-		err = json.Unmarshal(raw, &all)
+		err = json.Unmarshal(raw, &desired)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("the orders of before: %w", err)
 	}
-	return all, nil
+	return desired, nil
 }
 
 // storeDesired stores the desired state of a server, unless the file has it already.
 func (a *agent) storeDesired(server string, desired DesiredState) error {
 	a.desiredFileMu.Lock()
 	defer a.desiredFileMu.Unlock()
-	all, err := a.loadDesired()
+	stored, err := a.loadDesired()
 	if err != nil {
 		return err
 	}
-	if all[server] == desired {
+	if stored[server] == desired {
 		return nil
 	}
-	all[server] = desired
-	raw, err := json.Marshal(all)
+	stored[server] = desired
+	raw, err := json.Marshal(stored)
 	if err == nil {
 		err = checksumfile.Write(a.desiredFile(), raw)
 	}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -17,18 +17,18 @@
 	"wrenspread/internal/checksumfile"
 )
 
-// process is a running process of a server. It is either a child of this agent, or was adopted after a
-// previous agent had started it.
+// process is a running process of a server. Either it is a child of this agent, or a previous agent started
+// it and this agent has adopted it.
 type process struct {
 	ProcessRecord
 	pidfd int        // file descriptor of the process; signals sent by it can't reach another process
-	ended chan error // receives the result of the process when it ends
+	ended chan error // receives one value when the process ends: its exit error, or nil
 }
 
 // ProcessRecord is what an agent stores about a process that it started, so that the next agent can adopt it.
 type ProcessRecord struct {
 	PID          int    `json:"pid"`
-	StartTicks   uint64 `json:"start"` // kernel's ticks from boot to the start; a PID may be used again
+	StartTicks   uint64 `json:"start"` // kernel's ticks from boot to the start; another process may get the PID
 	Version      string `json:"version"`
 	StartedAtMS  int64  `json:"since_ms"`
 	ControlIndex int    `json:"control,omitempty"` // index of the process's address in Server.Control
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -11,9 +11,8 @@
 	"wrenspread/internal/registry/client"
 )
 
-// maintainEntry keeps a server's registration in line with its status until ctx ends: ready, draining while
-// KeepDraining is set, and removed while the server is not ready. The registration expires if the agent
-// fails.
+// maintainEntry keeps a server's registration in line with its status until ctx ends. endpointOf describes
+// how a server is registered in each status. The registration has a TTL and expires if the agent fails.
 func (a *agent) maintainEntry(ctx context.Context, k *supervisor) {
 	var registered registry.Endpoint // the entry as registered; its name is empty if there is none
 	var writtenAt time.Time
@@ -59,7 +58,8 @@
 	}
 }
 
-// endpointOf returns the entry with which a server is to be registered. Its name is empty if the server is
+// endpointOf returns the entry with which a server is to be registered: as draining while it runs and
+// KeepDraining is set, and otherwise as ready while it is ready. The entry's name is empty if the server is
 // not to be registered.
 func (a *agent) endpointOf(k *supervisor, s Status) registry.Endpoint {
 	switch {
@@ -88,7 +88,7 @@
 }
 
 // publishRecord writes this agent's record to the registry, where release controllers look for agents. It
-// retries until that succeeds or ctx ends.
+// retries until the write succeeds or ctx ends.
 func (a *agent) publishRecord(ctx context.Context) {
 	record := Record{Machine: a.config.Machine, Address: a.address}
 	for _, s := range a.config.Servers {
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	// The backoff before a process that ended by itself is started again doubles from the first to the second.
+	// After a process has ended by itself, the wait before its restart is minRestartBackoff. The wait doubles
+	// with each further restart, up to maxRestartBackoff.
 	minRestartBackoff = 500 * time.Millisecond
 	maxRestartBackoff = 30 * time.Second
-	stableRunTime     = time.Minute            // a process that ran for longer resets the backoff
+	stableRunTime     = time.Minute            // a process that ran for longer resets the wait
 	readyInterval     = 200 * time.Millisecond // between two readiness checks
 	readyTimeout      = 2 * time.Second        // for one readiness check
 )
@@ -87,7 +88,7 @@
 	}
 }
 
-// run keeps a process running until ctx ends. The process itself is left running then.
+// run keeps a process of the server running until ctx ends. After that the process keeps running.
 func (k *supervisor) run(ctx context.Context) {
 	wait := minRestartBackoff
 	for ctx.Err() == nil {
@@ -149,9 +150,10 @@
 	r.checks.Wait()
 }
 
-// runProcess runs one process until it ends, either by itself or because another version is wanted, for which
-// it returns replaced. For a server with Handoff, the process of the next version takes over without a
-// return. When ctx ends, the process is left running for the next agent.
+// runProcess adopts or starts a process and returns when it has ended. replaced means that runProcess ended
+// the process because another version is wanted. For a server with Handoff, runProcess does not return in
+// that case, but continues with the process of the wanted version. When ctx ends, runProcess returns and
+// leaves the process running for the next agent.
 func (k *supervisor) runProcess(ctx context.Context, version string) (replaced bool, err error) {
 	p, err := k.adoptOrStart(version)
 	if err != nil {
@@ -197,7 +199,7 @@
 		return running
 	}
 	running.unwatch()
-	// The previous process has handed off, so an error at its end does not affect the next one.
+	// The previous process has handed off, so an error at its end does not affect the next process.
 	if err := k.stopProcess(running.process); err != nil {
 		k.log.Debug("the previous process ended with an error", "version", running.Version, "err", err)
 	}
--- a/internal/agent/upgrade.go
+++ b/internal/agent/upgrade.go
@@ -83,7 +83,8 @@
 	return next, nil
 }
 
-// stopUnfinishedUpgrade ends the new process of an upgrade that a previous agent did not finish.
+// stopUnfinishedUpgrade ends the new process of an upgrade that a previous agent did not finish, if there is
+// one.
 func (k *supervisor) stopUnfinishedUpgrade() error {
 	unfinished, err := adopt(k.recordFile + nextRecordSuffix)
 	if err != nil || unfinished == nil {
@@ -98,8 +99,8 @@
 }
 
 // openSocket opens the clients' socket, unless it is open. If a process is running, a previous agent has
-// passed the socket to it, and it is duplicated from there; otherwise this agent listens at the server's
-// address.
+// passed the socket to that process, and openSocket duplicates the process's descriptor. Otherwise openSocket
+// listens at the server's address.
 func (k *supervisor) openSocket(running *process) error {
 	if k.socket != nil {
 		return nil
@@ -131,11 +132,11 @@
 		return 0, err
 	}
 	folder := fmt.Sprintf("/proc/%d/fd", p.PID)
-	all, err := os.ReadDir(folder)
+	descriptors, err := os.ReadDir(folder)
 	if err != nil {
 		return 0, err
 	}
-	for _, e := range all {
+	for _, e := range descriptors {
 		n, err := strconv.Atoi(e.Name())
 		if target, e := os.Readlink(
 			folder + "/" + e.Name(),
