--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -12,10 +12,10 @@
 	"wrenspread/internal/registry"
 )
 
-// TestRepairsOnlyLastingOrphans draws random changes of endpoints. An entry may be removed only if it was
-// draining without a TTL, at the version that is removed, and unreachable in every observation for
-// Thresholds.RemoveAfter.
-func TestRepairsOnlyLastingOrphans(t *testing.T) {
+// TestOnlyLastingOrphansAreRemoved draws random changes of endpoints. A registration may be removed only if,
+// in every observation for Thresholds.RemoveAfter, it was draining without a TTL, at the version that is
+// removed, and its endpoint was unreachable.
+func TestOnlyLastingOrphansAreRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		thresholds := Thresholds{ReportAfter: 10 * time.Second, RemoveAfter: 60 * time.Second}
 		checker := NewChecker(thresholds)
@@ -23,13 +23,13 @@
 			registration  registry.Registration
 			orphanedSince time.Duration // when the endpoint became orphaned; negative: it is not
 		}
-		all := map[string]*endpointState{}
+		endpoints := map[string]*endpointState{}
 		var now time.Duration
 		version := uint64(1)
-		for range rapid.IntRange(1, 60).Draw(t, "looks") {
-			now += time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second
-			name := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "who"))
-			if rapid.IntRange(0, 3).Draw(t, "change") == 0 {
+		for range rapid.IntRange(1, 60).Draw(t, "observations") {
+			now += time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second
+			name := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "endpoint"))
+			if rapid.IntRange(0, 3).Draw(t, "changed if 0") == 0 {
 				version++
 				e := registry.Endpoint{
 					Name:    name,
@@ -37,7 +37,7 @@
 					Status: rapid.SampledFrom([]string{registry.Ready, registry.Draining, registry.Draining}).
 						Draw(t, "status"),
 				}
-				all[name] = &endpointState{
+				endpoints[name] = &endpointState{
 					registry.Registration{
 						Endpoint: e,
 						Version:  version,
@@ -47,9 +47,9 @@
 				}
 			}
 			observed := Observation{At: now, Reachable: map[string]bool{}}
-			for name, s := range all {
+			for name, s := range endpoints {
 				observed.Registrations = append(observed.Registrations, s.registration)
-				if rapid.IntRange(0, 7).Draw(t, "answers") == 0 {
+				if rapid.IntRange(0, 7).Draw(t, "reachable if 0") == 0 {
 					observed.Reachable[name] = true
 				}
 				switch orphaned := s.registration.Endpoint.Status == registry.Draining && s.registration.TTL == 0 && !observed.Reachable[name]; {
@@ -61,7 +61,7 @@
 			}
 			_, repairs := checker.Check(observed)
 			want := 0
-			for _, s := range all {
+			for _, s := range endpoints {
 				if s.orphanedSince >= 0 && now-s.orphanedSince >= thresholds.RemoveAfter {
 					want++
 				}
@@ -70,7 +70,7 @@
 				t.Fatalf("at %v the repairs are %v, want %d", now, repairs, want)
 			}
 			for _, r := range repairs {
-				if s := all[r.Name]; s.orphanedSince < 0 || now-s.orphanedSince < thresholds.RemoveAfter || r.Version != s.registration.Version {
+				if s := endpoints[r.Name]; s.orphanedSince < 0 || now-s.orphanedSince < thresholds.RemoveAfter || r.Version != s.registration.Version {
 					t.Fatalf("at %v the repair is %+v, but the endpoint is %+v", now, r, *s)
 				}
 			}
@@ -105,13 +105,13 @@
 		Reachable:     map[string]bool{"a": true},
 		Proxies:       []ProxyObservation{{Name: "n0", Up: true, Ready: true, Discovered: 1}},
 	}
-	kinds := func(at time.Duration, l Observation) (all []string) {
-		l.At = at
-		findings, _ := c.Check(l)
+	kinds := func(at time.Duration, observed Observation) (reported []string) {
+		observed.At = at
+		findings, _ := c.Check(observed)
 		for _, f := range findings {
-			all = append(all, f.Kind+" "+f.Subject)
+			reported = append(reported, f.Kind+" "+f.Subject)
 		}
-		return all
+		return reported
 	}
 	want := fmt.Sprint([]string{"differs n2", "orphan b", "silent a", "twice b", "unreachable n0", "unready n1"})
 	for _, step := range []struct {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -39,8 +39,8 @@
 // Check returns all problems of a configuration, each with its key, or nil.
 func (c Config) Check() error {
 	var problems config.Problems
-	problems.Require(c.Process != "", "process: missing; it names this process, the same over its restarts")
-	problems.Require(len(c.Registry) > 0, "list: missing; it has the addresses of the registry")
+	problems.Require(c.Process != "", "process: missing; want a name that stays the same over restarts")
+	problems.Require(len(c.Registry) > 0, "list: missing; want the addresses of the registry")
 	for _, address := range c.Registry {
 		problems.RequireAddress("list", address)
 	}
@@ -49,7 +49,7 @@
 	problems.Require(c.ReportAfter > 0 && c.RemoveAfter >= c.ReportAfter,
 		"settle and orphan: %v and %v, want the second not below the first", c.ReportAfter, c.RemoveAfter)
 	for _, proxy := range c.Proxies {
-		problems.Require(proxy.Name != "", "node: one has no name")
+		problems.Require(proxy.Name != "", "node: name: missing")
 		problems.RequireAddress("node "+proxy.Name+": control", proxy.Control)
 	}
 	c.Quotas.check(&problems)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller runs the jobs that one process does for a fleet. Each job runs under a lease, so that
-// only one of several controller processes does it. The jobs are to compare the registry with the answers of
-// endpoints and proxies, and to allocate the limits of the operators' policy to proxies (Quotas).
+// Package controller runs the jobs that only one process at a time may do for a fleet: a process runs a job
+// while it holds the job's lease. One job compares the registry with the answers of endpoints and proxies.
+// The other allocates the limits of the operators' policy to proxies (Quotas).
 //
 // The comparison removes orphaned endpoints from the registry, under its fencing token and only at the
 // version that was checked. It reports all other findings.
@@ -29,11 +29,11 @@
 )
 
 const (
-	callTimeout       = 2 * time.Second  // for one endpoint or proxy to answer
+	callTimeout       = 2 * time.Second  // for one call to an endpoint or a proxy
 	registryTimeout   = 10 * time.Second // for one call to the registry
 	closeTimeout      = 5 * time.Second  // for closing the lease session
 	maxParallelChecks = 32               // endpoints and proxies that are checked at a time
-	maxStatsBytes     = 1 << 20          // bytes of a proxy's statistics
+	maxStatsBytes     = 1 << 20          // bytes that are read of a proxy's statistics
 	leaseName         = "keeper"         // name of the comparison's lease in the registry
 	metricNamespace   = "indigokeeper"   // prefix of the metrics, used by dashboards
 )
@@ -104,8 +104,8 @@
 	return func() { besteffort.Close(server) }
 }
 
-// runJobs runs the jobs until ctx ends, and closes the session. The session is closed while the jobs are
-// ending, because without the registry they would not end by themselves.
+// runJobs runs the jobs until ctx ends, and closes the session. It closes the session before the jobs have
+// ended, because while the registry does not answer, the jobs end only once the session is closed.
 func (c *Controller) runJobs(ctx context.Context, session *lease.Session) error {
 	jobs, ctx := errgroup.WithContext(ctx)
 	jobs.Go(func() error { return session.Run(ctx, leaseName, c.checkRepeatedly) })
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -19,18 +19,18 @@
 // endpoint and no other. Once it ends, the second controller gets the lease and removes the next orphan.
 func TestSecondControllerTakesOverRemovingOrphans(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	registryAddress, k := labtest.List(t)
+	registryAddress, registryClient := labtest.List(t)
 	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 	defer cancel()
-	alive, err := net.Listen("tcp", "127.0.0.1:0")
+	listening, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer besteffort.Close(alive)
-	dead := labtest.Address(t)
+	defer besteffort.Close(listening)
+	unusedAddress := labtest.Address(t)
 	register := func(name, address, status string) {
 		t.Helper()
-		if _, err := k.Register(
+		if _, err := registryClient.Register(
 			ctx,
 			registry.Endpoint{Name: name, Address: address, Status: status},
 			0,
@@ -39,9 +39,9 @@
 			t.Fatal(err)
 		}
 	}
-	register("leaves", alive.Addr().String(), registry.Draining)
-	register("silent", dead, registry.Ready)
-	register("orphan", dead, registry.Draining)
+	register("draining", listening.Addr().String(), registry.Draining)
+	register("silent", unusedAddress, registry.Ready)
+	register("orphan", unusedAddress, registry.Draining)
 	proxy := httptest.NewServer(
 		http.HandlerFunc(
 			func(w http.ResponseWriter, r *http.Request) { besteffort.Output(fmt.Fprint(w, "app.discovered:9|g\n")) },
@@ -61,18 +61,18 @@
 		c.Proxies = []Proxy{{"n0", proxy.Listener.Addr().String()}}
 		return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
 	}
-	registeredNames := func() (all []string) {
-		list, err := k.CurrentList(ctx)
+	registeredNames := func() (names []string) {
+		list, err := registryClient.CurrentList(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range list.Endpoints {
-			all = append(all, e.Name)
+			names = append(names, e.Name)
 		}
-		return all
+		return names
 	}
 	holder := func() string {
-		leases, err := k.Leases(ctx)
+		leases, err := registryClient.Leases(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -84,10 +84,10 @@
 	stopFirst := start("one")
 	labtest.Await(t, "the first holder", func() bool { return holder() == "one" })
 	stopSecond := start("two")
-	labtest.Await(t, "the removal of the orphan", func() bool { return fmt.Sprint(registeredNames()) == "[leaves silent]" })
+	labtest.Await(t, "the removal of the orphan", func() bool { return fmt.Sprint(registeredNames()) == "[draining silent]" })
 	stopFirst()
 	labtest.Await(t, "the second holder", func() bool { return holder() == "two" })
-	register("orphan", dead, registry.Draining)
-	labtest.Await(t, "the removal of the second orphan", func() bool { return fmt.Sprint(registeredNames()) == "[leaves silent]" })
+	register("orphan", unusedAddress, registry.Draining)
+	labtest.Await(t, "the removal of the second orphan", func() bool { return fmt.Sprint(registeredNames()) == "[draining silent]" })
 	stopSecond()
 }
--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -31,15 +31,15 @@
 	Fleet  string   `koanf:"fleet"`  // name of the fleet, as in the proxies' configuration; empty: no allocation
 	Listen string   `koanf:"listen"` // address for datagrams; proxies must reach exactly this address
 	Join   []string `koanf:"join"`   // peer addresses of some members, used to join the fleet
-	Number int      `koanf:"number"` // index of this process in Peers, if there are any
-	Peers  []string `koanf:"peers"`  // members' addresses by number; empty: the advertised addresses
+	Number int      `koanf:"number"` // index of this process in Peers, if Peers is not empty
+	Peers  []string `koanf:"peers"`  // members' addresses by number; empty: the addresses that members advertise
 }
 
 // check adds the problems of the configuration to problems.
 func (q Quotas) check(problems *config.Problems) {
 	if q.Fleet == "" {
 		problems.Require(q.Listen == "" && len(q.Join) == 0,
-			"shares: fleet is missing; it names the fleet, as the proxies' configuration does")
+			"shares.fleet: missing; want the name of the fleet in the proxies' configuration")
 		return
 	}
 	problems.Require(
@@ -48,7 +48,7 @@
 		len(q.Fleet),
 		wire.MaxName,
 	)
-	problems.Require(len(q.Join) > 0, "shares.join: missing; it has the peer addresses of some proxies")
+	problems.Require(len(q.Join) > 0, "shares.join: missing; want the peer addresses of some proxies")
 	problems.Require(len(q.Peers) == 0 || q.Number >= 0 && q.Number < len(q.Peers),
 		"shares.number: %d is not an index of %d peers", q.Number, len(q.Peers))
 	for _, address := range slices.Concat([]string{q.Listen}, q.Join, q.Peers) {
