--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -12,7 +12,7 @@
 const (
 	maxSourceBytes    = 256 << 10 // enough for 1,000 tenants with a few lines each
 	maxNesting        = 32        // nested brackets or consecutive unary operators; the parser recurses for each
-	maxElements       = 1_000     // of a list or map; the largest number of tenants that a fleet is planned for
+	maxElements       = 1_000     // of a list or map: the largest number of tenants that a fleet is planned for
 	maxEvaluations    = 50e6      // evaluated expressions, with each repetition counted
 	maxLocalTextBytes = 128       // length of a string in a local value
 )
@@ -21,7 +21,7 @@
 // recurses once for each nested bracket and sign.
 func (c *compiler) checkBounds() error {
 	if len(c.source) > maxSourceBytes {
-		return fmt.Errorf("a policy of %d bytes: %d at most", len(c.source), maxSourceBytes)
+		return fmt.Errorf("compile policy: source has %d bytes, want at most %d", len(c.source), maxSourceBytes)
 	}
 	tokens, _ := hclsyntax.LexConfig(c.source, "", hcl.InitialPos)
 	depth, signs := 0, 0
@@ -39,7 +39,7 @@
 			signs++
 		}
 		if depth > maxNesting || signs > maxNesting {
-			return fmt.Errorf("line %d: a policy nests %d deep at most", token.Range.Start.Line, maxNesting)
+			return fmt.Errorf("compile policy: line %d nested over %d deep", token.Range.Start.Line, maxNesting)
 		}
 	}
 	return nil
@@ -47,25 +47,25 @@
 
 // checkCost reports whether the estimated work of evaluating all expressions is within maxEvaluations and no
 // literal list or map has more than maxElements elements. A for expression and a dynamic block count with one
-// repetition for each element of their literal list, or with maxElements repetitions if the list is no
-// literal; a splat always counts with maxElements repetitions. evalLocals limits the elements of local
-// values.
+// repetition for each element of their list if it is a literal, and with maxElements repetitions otherwise. A
+// splat always counts with maxElements repetitions. evalLocals limits the elements of local values to
+// maxElements, too.
 func (c *compiler) checkCost(body *hclsyntax.Body) bool {
 	meter := &costMeter{multiplier: 1}
 	_ = hclsyntax.Walk(body, meter) // the meter records its results and returns no diagnostics
 	if meter.tooLong != nil {
 		c.addError(
 			*meter.tooLong,
-			"A list too long",
-			fmt.Sprintf("A list or map has %d elements at most. Split it.", maxElements),
+			"List too long",
+			fmt.Sprintf("A list or map can have %d elements at most. Split it.", maxElements),
 		)
 	}
 	if meter.evaluations > maxEvaluations {
 		c.addError(
 			body.MissingItemRange(),
-			"A policy that takes too long to work out",
-			"Its for expressions and dynamic blocks, "+
-				"each counted as 1,000 rounds, come to too much work. Nest fewer of them in each other.",
+			"Policy too costly to evaluate",
+			"Its for expressions and dynamic blocks, each counted with up to 1,000 repetitions, "+
+				"take too many evaluations. Nest fewer of them in each other.",
 		)
 	}
 	return !c.diags.HasErrors()
--- a/internal/policy/compare.go
+++ b/internal/policy/checkrates.go
@@ -21,9 +21,9 @@
 	if outer != nil && rates.Rate > outer.rates.Rate*(1+tolerance) {
 		c.addError(
 			at,
-			"A rule that can never matter",
-			fmt.Sprintf("%s can have %s, and the limit around it (line %d) ends at %s. Give it "+
-				"that or less.", scope.path(), formatNumber(rates.Rate), outer.source.Start.Line,
+			"Limit without effect",
+			fmt.Sprintf("%s allows %s, but the limit around it (line %d) allows only %s. Set at most "+
+				"that.", scope.path(), formatNumber(rates.Rate), outer.source.Start.Line,
 				formatNumber(outer.rates.Rate)),
 		)
 	}
@@ -33,8 +33,8 @@
 		}
 		c.addError(
 			at,
-			"Rules that contradict",
-			fmt.Sprintf("%s is sure of %s and can have %s at most. Lower the floor, or raise the rate.",
+			"Contradicting settings",
+			fmt.Sprintf("%s has a floor of %s but allows only %s. Lower the floor, or raise the rate.",
 				scope.path(), formatNumber(rates.Floor), formatNumber(rates.Rate)),
 		)
 	}
@@ -44,8 +44,8 @@
 		rates.Rate > requestLimit.rates.Rate*(1+tolerance) {
 		c.addError(
 			at,
-			"A rule that can never matter",
-			fmt.Sprintf("%s lets %s requests a second in (line %d), fewer than the %s here. Lower this one.",
+			"Limit without effect",
+			fmt.Sprintf("%s allows %s requests a second (line %d), fewer than the %s here. Lower this limit.",
 				scope.path(), formatNumber(requestLimit.rates.Rate), requestLimit.source.Start.Line,
 				formatNumber(rates.Rate)),
 		)
@@ -99,9 +99,9 @@
 func (c *compiler) addTooSmallForRequest(at hcl.Range, amount float64, charge string) {
 	c.addError(
 		at,
-		"A limit that one request exceeds",
-		fmt.Sprintf("%s is less than %s, so that none would ever be let in. Raise it, or "+
-			"write rate = 0 to close the part.", formatNumber(amount), charge),
+		"Limit below one request",
+		fmt.Sprintf("%s is less than %s, so no such request would ever be admitted. Raise it, or "+
+			"write rate = 0 to admit no request at all.", formatNumber(amount), charge),
 	)
 }
 
--- a/internal/policy/degrade.go
+++ b/internal/policy/degrade.go
@@ -30,8 +30,8 @@
 			g.value == 1 {
 			c.addError(
 				g.source,
-				"A level that never comes or always holds",
-				"Give a part between 0 and 1 of the fleet's requests, such as percent(5).",
+				"Level never or always in force",
+				"Set above to a fraction of the fleet's requests, over 0 and under 1, such as percent(5).",
 			)
 		}
 	}
@@ -39,9 +39,9 @@
 		if level.LeaveBelow = g.value; g.value >= level.EnterAbove {
 			c.addError(
 				g.source,
-				"A level that is left as it is taken",
-				fmt.Sprintf("below is %v and above %v: the fleet would go to and fro. "+
-					"Put below well under above.", g.value, level.EnterAbove),
+				"Level left as soon as entered",
+				fmt.Sprintf("below is %v and above is %v: the fleet would keep entering and leaving this level. "+
+					"Set below well under above.", g.value, level.EnterAbove),
 			)
 		}
 	}
@@ -55,14 +55,14 @@
 		if level.classesSource = a.Expr.Range(); level.RejectClasses == nil {
 			c.addError(
 				level.classesSource,
-				"A level that refuses nothing",
-				"Name the classes that go first: refuse = [\"aging-report\"].",
+				"Level without classes",
+				"Name the classes that it refuses, such as refuse = [\"aging-report\"].",
 			)
 		}
 	}
 	for _, previous := range c.levels {
 		if previous.name == level.name {
-			c.checkDuplicate(block, level.name)
+			c.addDuplicateError(block, level.name)
 		}
 	}
 	c.levels = append(c.levels, level)
@@ -80,43 +80,43 @@
 		c.addError(
 			c.levels[ratelimit.MaxLevels].source,
 			"Too many levels",
-			fmt.Sprintf("There can be %d.", ratelimit.MaxLevels),
+			fmt.Sprintf("A policy can have %d levels at most.", ratelimit.MaxLevels),
 		)
 		return
 	}
-	first := map[string]*degradeLevel{}
+	refusedFrom := map[string]*degradeLevel{}
 	for i, level := range c.levels {
 		if i > 0 && level.EnterAbove == c.levels[i-1].EnterAbove {
 			c.addError(
 				level.aboveSource,
-				"Two levels at once",
-				fmt.Sprintf("Level %q begins above %v as well. Put them together, or apart.",
+				"Two levels with the same threshold",
+				fmt.Sprintf("Level %q also begins above %v. Combine the levels, or set another threshold.",
 					c.levels[i-1].name, level.EnterAbove),
 			)
 		}
 		level.RejectClasses = slices.Compact(slices.Sorted(slices.Values(level.RejectClasses)))
 		for _, class := range level.RejectClasses {
-			if previous := first[class]; previous != nil {
+			if previous := refusedFrom[class]; previous != nil {
 				c.addError(
 					level.classesSource,
-					"A rule that can never matter",
-					fmt.Sprintf("%q is refused from level %q on already, which is below "+
-						"this one. Drop it here.", class, previous.name),
+					"Class refused already",
+					fmt.Sprintf("%q is refused from level %q on already, which begins below "+
+						"this level. Remove the class here.", class, previous.name),
 				)
 				continue
 			}
-			first[class] = level
+			refusedFrom[class] = level
 			c.checkName(level.classesSource, "class", class, c.known.classNames())
 		}
 	}
 	fleet.each(func(scope *policyScope) {
-		if level := first[scope.value]; scope.attribute == ratelimit.AttributeClass &&
+		if level := refusedFrom[scope.value]; scope.attribute == ratelimit.AttributeClass &&
 			scope.priority > 0 && level != nil {
 			c.addError(
 				scope.prioritySource,
-				"Rules that contradict",
-				fmt.Sprintf("%s always has priority here, and level %q (line %d) refuses it. "+
-					"Drop one of them.", scope.path(), level.name, level.classesSource.Start.Line),
+				"Contradicting settings",
+				fmt.Sprintf("%s always has priority here, but level %q (line %d) refuses it. "+
+					"Remove one of the two.", scope.path(), level.name, level.classesSource.Start.Line),
 			)
 		}
 	})
--- a/internal/policy/errors.go
+++ b/internal/policy/errors.go
@@ -69,8 +69,8 @@
 	return err
 }
 
-// writeDiagnostic writes one error. Of a source line that is longer than lineWidth it shows the section
-// around the error.
+// writeDiagnostic writes one error. If the source line is longer than lineWidth, it shows only the section of
+// the line around the error.
 func (e *Errors) writeDiagnostic(b *strings.Builder, d *hcl.Diagnostic) {
 	at := hcl.Range{Start: hcl.InitialPos, End: hcl.InitialPos}
 	if d.Subject != nil {
--- a/internal/policy/floors.go
+++ b/internal/policy/floors.go
@@ -35,7 +35,7 @@
 				scopes[table.Limits[siblings.parent].Scope].source,
 				"Too many times",
 				"The limits within this one change at too many different "+
-					"times of day. Let them begin and end together.",
+					"times of day. Let their `at` blocks begin and end at the same times.",
 			)
 			continue
 		}
@@ -82,9 +82,9 @@
 	}
 	c.addError(
 		scope.source,
-		"Floors that add up to more than is there",
-		fmt.Sprintf("%s has %s%s, and the floors within it come to %s (%s). "+
-			"Lower some by %s together, or raise %s.",
+		"Floors above the limit around them",
+		fmt.Sprintf("%s allows %s%s, but the floors within it add up to %s (%s). "+
+			"Lower them by %s in total, or raise %s.",
 			table.Limits[parent].Name, formatNumber(available), timeText, formatNumber(sum),
 			strings.Join(names, ", "), formatNumber(sum-available), table.Limits[parent].Name),
 	)
@@ -97,14 +97,14 @@
 	return scopes
 }
 
-// maxSampleTimes bounds the times at which the floors of one group of siblings are added up. It allows for 30
-// times of day on each day of a month.
+// maxSampleTimes bounds the times at which the floors of one group of siblings are added up. It is enough for
+// 30 times of day on each day of a month.
 const maxSampleTimes = 2_000
 
-// sampleTimes returns one time within each interval in which the rates of all these limits are constant. The
-// times are in a month of 31 days: on its first day and on the days around each day on which a window that is
-// limited to the last days of the month begins to apply.
-func sampleTimes(table *ratelimit.Table, limits []int) (list []time.Time) {
+// sampleTimes returns one time within each interval in which the rates of all given limits are constant. The
+// times are in a month of 31 days: on its first day and, for each window that applies only to the last days
+// of the month, on the first of these days and on the days before and after it.
+func sampleTimes(table *ratelimit.Table, limits []int) (times []time.Time) {
 	minutes, daysLeft := []int{0}, []int{30}
 	for _, i := range limits {
 		for _, window := range table.Limits[i].Schedule {
@@ -120,10 +120,10 @@
 	for _, days := range daysLeft {
 		for _, minute := range minutes {
 			moment := time.Date(2026, time.January, 31-days, 0, minute, 0, 0, time.UTC)
-			list = append(list, moment.Add(-time.Duration(table.UTCOffset)*time.Minute))
+			times = append(times, moment.Add(-time.Duration(table.UTCOffset)*time.Minute))
 		}
 	}
-	return list
+	return times
 }
 
 // checkSize reports a policy with more limits, key slots or limits for one request than a table may have.
@@ -132,8 +132,8 @@
 		c.addError(
 			fleet.source,
 			"Too many limits",
-			fmt.Sprintf("There are %d, %d at most. Let parts with little to do share one block with the "+
-				"name \"*\".", len(table.Limits), ratelimit.MaxLimits),
+			fmt.Sprintf("The policy has %d limits, %d at most. Let parts with little traffic share one block "+
+				"with the name \"*\".", len(table.Limits), ratelimit.MaxLimits),
 		)
 	}
 	slots := 0
@@ -143,8 +143,8 @@
 	if slots > ratelimit.MaxKeySlots {
 		c.addError(
 			fleet.source,
-			"Too many slots of keys",
-			fmt.Sprintf("All `key` blocks have %d together, %d at most. Give each fewer slots.",
+			"Too many key slots",
+			fmt.Sprintf("All `key` blocks have %d slots together, %d at most. Set fewer slots in each.",
 				slots, ratelimit.MaxKeySlots),
 		)
 	}
@@ -152,10 +152,10 @@
 		scopes > ratelimit.MaxMatchedScopes {
 		c.addError(
 			fleet.source,
-			"Limits too deep",
-			fmt.Sprintf("One request can touch %d limits in %d parts, %d and %d at most. Drop limits "+
-				"that those around them make needless, or write requests { share = ... } where a part's share "+
-				"makes a limit in each unit.",
+			"Too many limits for one request",
+			fmt.Sprintf("One request can match %d limits in %d parts, %d and %d at most. Remove limits that "+
+				"the limits around them make needless, or write requests { share = ... } in a part instead of "+
+				"a share, which adds a limit in each unit.",
 				limits, scopes, ratelimit.MaxMatchedLimits, ratelimit.MaxMatchedScopes),
 		)
 	}
--- a/internal/policy/limit.go
+++ b/internal/policy/limit.go
@@ -95,8 +95,8 @@
 		if settings.fallbackShare = g.value; g.value == 0 {
 			c.addError(
 				g.source,
-				"Nothing is safe",
-				"A node without a lease would refuse everything. Give it a part above 0, such as percent(25).",
+				"No requests without a lease",
+				"A node without a lease would refuse all requests. Set safe above 0, such as percent(25).",
 			)
 		}
 	}
@@ -104,8 +104,8 @@
 		if settings.priorityReserve, settings.reserveSource = g.value, g.source; g.value == 1 {
 			c.addError(
 				g.source,
-				"All of it in reserve",
-				"Requests without priority would never get in. Leave them a part: percent(99) at most.",
+				"Reserve of the whole limit",
+				"Requests without priority would never be admitted. Set reserve to percent(99) at most.",
 			)
 		}
 	}
@@ -126,14 +126,14 @@
 	limit.raw.weight, limit.raw.borrow = c.amount(content.Attributes["weight"]),
 		c.flag(content.Attributes["borrow"])
 	if weight := limit.raw.weight; weight != nil && weight.value == 0 {
-		c.addError(weight.source, "No weight", "It would get nothing beyond its floor: say so with borrow = false.")
+		c.addError(weight.source, "Weight of 0", "The limit would have only its floor. Set borrow = false instead.")
 	}
 	if a := content.Attributes["slots"]; unit == ratelimit.UnitPerKey {
 		if limit.keySlots = defaultKeySlots; a != nil {
 			limit.keySlots, _ = c.integer(a, 1, ratelimit.MaxKeySlots)
 		}
 	} else if a != nil {
-		c.addError(a.NameRange, "An odd unit", "Only a `key` block has slots, over which keys are spread.")
+		c.addError(a.NameRange, "Wrong attribute", "Only a `key` block has slots, over which keys are spread.")
 	}
 	for _, inner := range content.Blocks {
 		limit.schedule = append(limit.schedule, c.scheduleBlock(inner, unit))
@@ -142,7 +142,7 @@
 		c.addError(
 			limit.schedule[ratelimit.MaxWindows].source,
 			"Too many times",
-			fmt.Sprintf("A limit has %d `at` blocks at most.", ratelimit.MaxWindows),
+			fmt.Sprintf("A limit can have %d `at` blocks at most.", ratelimit.MaxWindows),
 		)
 	}
 	return limit
@@ -163,22 +163,22 @@
 	case unit == ratelimit.UnitConcurrency && attrs["rate"] != nil:
 		c.addError(
 			attrs["rate"].NameRange,
-			"An odd unit",
-			"Open requests are counted, not by the second. Write most = how many at once.",
+			"Wrong attribute",
+			"An `open` block limits the number of open requests, not a rate per second. Write most instead.",
 		)
 	case unit == ratelimit.UnitConcurrency && attrs["burst"] != nil:
 		c.addError(
 			attrs["burst"].NameRange,
-			"An odd unit",
-			"Open requests have no burst: `most` is all that there is.",
+			"Wrong attribute",
+			"An `open` block limits the number of open requests, which has no burst. Write only most.",
 		)
 	case unit == ratelimit.UnitConcurrency:
 		raw.rate = c.amount(most)
 	case most != nil:
 		c.addError(
 			most.NameRange,
-			"An odd unit",
-			"`most` counts open requests. This goes by the second: write rate, and burst.",
+			"Wrong attribute",
+			"Only an `open` block has most. This block limits a rate per second: write rate and burst.",
 		)
 	}
 	rateInvalid := (attrs["rate"] != nil || attrs["most"] != nil) && raw.rate == nil
@@ -197,8 +197,8 @@
 	if attrs[a] != nil && attrs[b] != nil {
 		c.addError(
 			attrs[b].Range,
-			"Two figures for one thing",
-			fmt.Sprintf("%s is given as %s as well, which contradicts it. "+
+			"Value set twice",
+			fmt.Sprintf("%s and %s set the same value. "+
 				"Keep one of them.", b, a),
 		)
 	}
@@ -209,8 +209,8 @@
 	attrs := c.content(block.Body, atSchema).Attributes
 	entry := scheduleEntry{raw: c.readRawRates(attrs, unit), source: block.DefRange}
 	if (attrs["from"] == nil) != (attrs["to"] == nil) {
-		c.addError(block.DefRange, "Half a time",
-			"`from` and `to` come together: from = \"22:00\", to = \"06:00\".")
+		c.addError(block.DefRange, "Incomplete time",
+			"Set both `from` and `to`, such as from = \"22:00\", to = \"06:00\".")
 	}
 	var begins, ends bool
 	entry.window.FromMinute, begins = c.minute(attrs["from"])
@@ -219,15 +219,15 @@
 	if begins && ends && entry.window.FromMinute == entry.window.ToMinute {
 		c.addError(
 			attrs["from"].Range,
-			"A time that never comes",
-			"It ends as it begins. For all day leave out `from` and `to`.",
+			"Empty time",
+			"`from` and `to` are equal. For the whole day, leave out both.",
 		)
 	}
 	if attrs["from"] == nil && attrs["to"] == nil && attrs["last_days"] == nil {
-		c.addError(block.DefRange, "No time", "Say when: from and to as times of day, or last_days of the month.")
+		c.addError(block.DefRange, "Missing time", "Set from and to as times of day, or last_days of the month.")
 	}
 	if entry.raw == (rawRates{}) {
-		c.addError(block.DefRange, "A time that changes nothing", "Give it other figures: rate, floor or burst.")
+		c.addError(block.DefRange, "Time without a change", "Set another rate, floor or burst for this time.")
 	}
 	return entry
 }
--- a/internal/policy/locals.go
+++ b/internal/policy/locals.go
@@ -62,7 +62,7 @@
 		Type:   function.StaticReturnType(cty.Number),
 		Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
 			if args[0].IsWhollyKnown() && args[0].AsBigFloat().IsInf() {
-				return cty.NilVal, function.NewArgErrorf(0, "it has no end")
+				return cty.NilVal, function.NewArgErrorf(0, "it is infinite")
 			}
 			if factor < 1 { // division is exact; 1/100 and 1/60 as factors are not
 				return args[0].Divide(cty.NumberFloatVal(float64(int(1/factor + 0.5)))), nil
@@ -102,9 +102,9 @@
 		if i := slices.Index(path, name); i >= 0 {
 			c.addError(
 				attr.Range,
-				"Locals go round in a cycle",
-				fmt.Sprintf("%s -> %s: each needs the next to be worked out. "+
-					"Give one of them a value of its own.", strings.Join(path[i:], " -> "), name),
+				"Cycle of locals",
+				fmt.Sprintf("%s -> %s: each refers to the next. "+
+					"Give one of them a value that refers to none of the others.", strings.Join(path[i:], " -> "), name),
 			)
 			values[name] = cty.DynamicVal
 			return
@@ -127,8 +127,8 @@
 		if countElements(v) > maxElements {
 			c.addError(
 				attr.Expr.Range(),
-				"A value too large",
-				fmt.Sprintf("A local has %d elements at most, and no text "+
+				"Local too large",
+				fmt.Sprintf("A local can have %d elements at most, and no text "+
 					"over %d bytes. Split it.", maxElements, maxLocalTextBytes),
 			)
 			v = cty.DynamicVal
--- a/internal/policy/names.go
+++ b/internal/policy/names.go
@@ -63,14 +63,14 @@
 	case name == "" || len(name) > ratelimit.MaxName || strings.ContainsAny(name, "/:"):
 		c.addError(
 			at,
-			"Not a name",
-			fmt.Sprintf("The %s %.40q can be named by no policy: a name has 1 to %d bytes, and no slash or "+
+			"Invalid name",
+			fmt.Sprintf("The %s name %.40q is invalid: a name has 1 to %d bytes, and no slash or "+
 				"colon.", attribute, name, ratelimit.MaxName),
 		)
 	case len(known) > 0 && !slices.Contains(known, name):
 		c.addError(
 			at,
-			"A rule that can never match",
+			"Unknown name",
 			fmt.Sprintf("The fleet has no %s %q.%s", attribute, name, nameSuggestion(name, known)),
 		)
 	}
@@ -111,9 +111,9 @@
 	if len(missing) > 0 {
 		c.addError(
 			scope.source,
-			"A book without a rule",
-			fmt.Sprintf("%s tells books apart and says nothing of %s. Give each a block, or all "+
-				"of them one with the name \"*\".", scope.path(), strings.Join(missing, ", ")),
+			"Book without a block",
+			fmt.Sprintf("%s has blocks for some books, but none for %s. Add a block for each of them, "+
+				"or one with the name \"*\" for all.", scope.path(), strings.Join(missing, ", ")),
 		)
 	}
 }
@@ -126,9 +126,9 @@
 			if ancestor.attribute == scope.attribute && scope.parent != nil && ancestor.parent != nil {
 				c.addError(
 					scope.source,
-					"A rule that can never match",
-					fmt.Sprintf("It is within %s, and a request has one %s alone. "+
-						"Put it beside that block.", ancestor.path(), scope.attribute),
+					"Block that matches no request",
+					fmt.Sprintf("It is within %s, but a request has only one %s. "+
+						"Move it out of that block.", ancestor.path(), scope.attribute),
 				)
 				return
 			}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -119,7 +119,7 @@
 		return nil
 	}
 	if err := table.Finalize(); err != nil {
-		c.addError(fleet.source, "No table", err.Error())
+		c.addError(fleet.source, "Invalid table", err.Error())
 	}
 	return table
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -99,8 +99,8 @@
 			t.Errorf("table has no limit %s", want.limit)
 		}
 	}
-	again, err := Compile("other-name.hcl", text, KnownNames{testNames.Sites, testNames.Tenants, nil, testNames.Classes})
-	if err != nil || !bytes.Equal(again.JSON(), table.JSON()) {
+	renamed, err := Compile("other-name.hcl", text, KnownNames{testNames.Sites, testNames.Tenants, nil, testNames.Classes})
+	if err != nil || !bytes.Equal(renamed.JSON(), table.JSON()) {
 		t.Errorf("compiling the same source under another name gives other bytes or error %v", err)
 	}
 	if back, err := ratelimit.Read(table.JSON()); err != nil || back.Digest != table.Digest {
--- a/internal/policy/drawn_test.go
+++ b/internal/policy/random_test.go
@@ -16,13 +16,13 @@
 	"wrenspread/ratelimit"
 )
 
-// section is a drawn block of a policy, whose parts may be written in any order, or an attribute.
+// section is a random block of a policy, whose contents may be written in any order, or an attribute.
 type section struct {
 	head     string
-	children []*section // the parts of a block; nil for an attribute
+	children []*section // the contents of a block; nil for an attribute
 }
 
-// text returns the section's source. With r the order of its parts is drawn.
+// text returns the section's source. If r is not nil, the order of the contents of blocks is random.
 func (b *section) text(r *rand.Rand) string {
 	if b.children == nil {
 		return b.head + "\n"
@@ -96,10 +96,10 @@
 	return b
 }
 
-// A drawn policy compiles to the same bytes in any order of its blocks. Its floors fit at all times, and no
-// request matches more limits than allowed. Enough of the drawn policies have to be valid for the test to be
-// significant.
-func TestDrawnPoliciesGiveValidTablesInAnyOrder(t *testing.T) {
+// A random policy compiles to the same bytes in any order of its blocks. Its floors fit at all times, and no
+// request matches more limits than allowed. The test would show little if few of the random policies were
+// valid, so it also requires a minimum of valid ones.
+func TestRandomPoliciesCompileToSameValidTableInAnyOrder(t *testing.T) {
 	valid, invalid := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := drawScope(t, "fleet", 0)
@@ -108,8 +108,8 @@
 		table, err := Compile("a.hcl", []byte(fleet.text(nil)), known)
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
 		for range 3 {
-			again, err2 := Compile("b.hcl", []byte(fleet.text(r)), known)
-			if (err == nil) != (err2 == nil) || err == nil && !bytes.Equal(table.JSON(), again.JSON()) {
+			reordered, err2 := Compile("b.hcl", []byte(fleet.text(r)), known)
+			if (err == nil) != (err2 == nil) || err == nil && !bytes.Equal(table.JSON(), reordered.JSON()) {
 				t.Fatalf("compiling in another order: error %v or another table, first error %v\n%s", err2, err, fleet.text(nil))
 			}
 		}
--- a/internal/policy/figures.go
+++ b/internal/policy/rates.go
@@ -41,8 +41,8 @@
 	if !found && scope.parent != nil {
 		c.addError(
 			scope.share.source,
-			"A share of nothing",
-			fmt.Sprintf("No part around %s has a limit. Give one a rate, or this one.", scope.path()),
+			"Share without a limit",
+			fmt.Sprintf("No part around %s has a limit to take a share of. Set a rate there or here.", scope.path()),
 		)
 	}
 }
@@ -100,14 +100,15 @@
 	if reserve := limit.priorityReserve; reserve > 0 && scope.priority > 0 {
 		c.addError(
 			limit.source,
-			"Rules that contradict",
-			fmt.Sprintf("All requests here have priority (line %d), so that a reserve for those with "+
-				"priority keeps nothing back. Drop one of the two.", scope.prioritySource.Start.Line),
+			"Contradicting settings",
+			fmt.Sprintf("All requests here have priority (line %d), so a reserve for requests with "+
+				"priority has no effect. Remove one of the two.", scope.prioritySource.Start.Line),
 		)
 	}
 }
 
-// withOverride returns the rates of a limit while a schedule entry with other rates is in force.
+// withOverride returns the rates of a limit while a schedule entry is in force: those of the entry replace
+// those of the limit.
 func (r rawRates) withOverride(override rawRates) rawRates {
 	if override.rate != nil || override.fraction != nil {
 		r.rate, r.fraction = override.rate, override.fraction
@@ -145,9 +146,9 @@
 	case hasRate && hasFloor && !lends && math.Abs(rate-floor) > tolerance*rate:
 		c.addError(
 			raw.borrow.source,
-			"Rules that contradict",
-			fmt.Sprintf("Without borrowing %s has its floor, %s, and no more, yet its rate is "+
-				"%s. Give one of the two.", scope.path(), formatNumber(floor), formatNumber(rate)),
+			"Contradicting settings",
+			fmt.Sprintf("Without borrowing, %s is limited to its floor of %s, but its rate is "+
+				"%s. Set only one of the two.", scope.path(), formatNumber(floor), formatNumber(rate)),
 		)
 	case !hasRate && hasFloor && !lends:
 		rate = floor
@@ -158,8 +159,8 @@
 	case !hasRate:
 		c.addError(
 			limit.source,
-			"A limit without a figure",
-			fmt.Sprintf("Nothing around %s has a limit on %s that it could keep to. Give it a %s.",
+			"Limit without a rate",
+			fmt.Sprintf("No part around %s has a limit on %s that would apply here. Set its %s.",
 				scope.path(), limit.unit,
 				map[bool]string{true: "most", false: "rate"}[limit.unit == ratelimit.UnitConcurrency]),
 		)
@@ -184,8 +185,8 @@
 	case fraction != nil:
 		c.addError(
 			fraction.source,
-			"A part of nothing",
-			"There is no limit that it could be a part of: give one around it, or units here.",
+			"Fraction without a limit",
+			"There is no limit to take a fraction of. Set a limit around this one, or an amount here.",
 		)
 	}
 	return 0, false
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -94,15 +94,15 @@
 			if locals[name] != nil {
 				c.addError(
 					a.NameRange,
-					"A local given twice",
-					fmt.Sprintf("%q has a value already. Drop one of them.", name),
+					"Local set twice",
+					fmt.Sprintf("%q has a value already. Remove one of the two.", name),
 				)
 			}
 			locals[name] = a
 		}
 	}
 	if len(locals) > maxElements {
-		c.addError(body.MissingItemRange(), "Too many locals", fmt.Sprintf("A policy has %d at most.", maxElements))
+		c.addError(body.MissingItemRange(), "Too many locals", fmt.Sprintf("There can be %d at most.", maxElements))
 		return nil
 	}
 	c.evalLocals(locals)
@@ -110,7 +110,7 @@
 	c.defaultSettings = builtInSettings()
 	for i, block := range content.Blocks.OfType("defaults") {
 		if i > 0 {
-			c.checkDuplicate(block, "")
+			c.addDuplicateError(block, "")
 			continue
 		}
 		c.defaultsBlock(block.Body)
@@ -122,27 +122,28 @@
 	if len(fleets) == 0 {
 		c.addError(
 			body.MissingItemRange(),
-			"No fleet",
-			"A policy has one block `fleet { ... }`, in which all limits nest.",
+			"Missing fleet",
+			"A policy needs one block `fleet { ... }`, which contains all limits.",
 		)
 		return nil
 	}
 	for _, block := range fleets[1:] {
-		c.checkDuplicate(block, "")
+		c.addDuplicateError(block, "")
 	}
 	return c.scopeBlock(fleets[0], nil)
 }
 
-// checkDuplicate reports a block as a duplicate. The name is empty for blocks without a label.
-func (c *compiler) checkDuplicate(block *hcl.Block, name string) {
+// addDuplicateError reports a block as a duplicate of an earlier one. The name is empty for blocks without a
+// label.
+func (c *compiler) addDuplicateError(block *hcl.Block, name string) {
 	if name != "" {
 		name = fmt.Sprintf(" %q", name)
 	}
 	c.addError(
 		block.DefRange,
-		"The same block twice",
+		"Duplicate block",
 		fmt.Sprintf("There is a block `%s%s` in this place already, and two of them "+
-			"would contradict each other. Put them together in one.", block.Type, name),
+			"could contradict each other. Combine them.", block.Type, name),
 	)
 }
 
@@ -157,7 +158,7 @@
 			c.addError(
 				block.DefRange,
 				"Too many parts",
-				fmt.Sprintf("A policy has %d at most. Let those with little to do share one "+
+				fmt.Sprintf("A policy can have %d at most. Let parts with little traffic share one "+
 					"block with the name \"*\".", ratelimit.MaxLimits),
 			)
 		}
@@ -169,14 +170,14 @@
 	for _, inner := range content.Blocks {
 		if unit, ok := unitsByBlock[inner.Type]; ok {
 			if scope.limits[unit] != nil {
-				c.checkDuplicate(inner, "")
+				c.addDuplicateError(inner, "")
 				continue
 			}
 			scope.limits[unit] = c.limitBlock(inner, unit)
 			continue
 		}
 		if key := inner.Type + "/" + inner.Labels[0]; names[key] {
-			c.checkDuplicate(inner, inner.Labels[0])
+			c.addDuplicateError(inner, inner.Labels[0])
 		} else {
 			names[key] = true
 			scope.children = append(scope.children, c.scopeBlock(inner, scope))
@@ -185,9 +186,9 @@
 	if parent != nil && len(content.Attributes) == 0 && len(content.Blocks) == 0 {
 		c.addError(
 			block.DefRange,
-			"A block that says nothing",
-			"It changes nothing for any request. Give it a share, a limit or a "+
-				"priority, or drop it.",
+			"Empty block",
+			"It has no effect on any request. Set a share, a limit or a "+
+				"priority, or remove it.",
 		)
 	}
 	return scope
@@ -207,17 +208,17 @@
 		case ok:
 			c.addError(
 				scope.prioritySource,
-				"Not a priority",
-				fmt.Sprintf("%q is none: write \"always\" or \"never\", or leave it out and "+
-					"the node judges by worth.", text),
+				"Invalid priority",
+				fmt.Sprintf("%q is not allowed: write \"always\" or \"never\", or leave it out, and "+
+					"the node decides by worth.", text),
 			)
 		}
 	}
 	if scope.share != nil && scope.parent == nil {
 		c.addError(
 			scope.share.source,
-			"A share of nothing",
-			"Nothing is around the fleet that it could have a share of. Give its limits a rate.",
+			"Share without a limit",
+			"The fleet has no part around it to take a share of. Set rates in its limits.",
 		)
 	}
 }
--- a/internal/policy/schedule.go
+++ b/internal/policy/schedule.go
@@ -7,9 +7,9 @@
 )
 
 // resolveSchedule computes the windows of time in which a limit has other rates. They come from the limit's
-// own schedule or, if the limit has none, from the windows of the limit that its rates follow from:
-// fractionBase for a limit with a fraction or a share, otherwise the outer limit. If none of those inherited
-// windows changes the limit's rates, the limit gets no windows.
+// own schedule. If it has none, they come from the windows of the limit that its rates depend on:
+// fractionBase for a limit with a fraction or a share, otherwise the outer limit. If no inherited window
+// changes the limit's rates, the limit gets no windows.
 func (c *compiler) resolveSchedule(scope *policyScope, limit *policyLimit, outer, fractionBase *policyLimit) {
 	reference := outer
 	if limit.raw.fraction != nil || limit.raw.share != nil {
@@ -20,8 +20,8 @@
 		c.addError(
 			limit.schedule[0].source,
 			"Times within times",
-			fmt.Sprintf("The limit around this one (line %d) has times of its own, which "+
-				"shares of it follow by themselves. Give times to one of the two.", reference.source.Start.Line),
+			fmt.Sprintf("The limit around this one (line %d) has `at` blocks, which also "+
+				"apply to limits within it. Keep the `at` blocks of one of the two.", reference.source.Start.Line),
 		)
 		return
 	}
@@ -29,8 +29,8 @@
 		if j := coveringWindow(limit.schedule[:i], entry.window); j >= 0 {
 			c.addError(
 				entry.source,
-				"A rule that can never match",
-				fmt.Sprintf("Whenever it would hold, the one on line %d does, which comes first. "+
+				"Time without effect",
+				fmt.Sprintf("The `at` block on line %d covers all of this time, and the first block decides. "+
 					"Put the narrower time first.", limit.schedule[j].source.Start.Line),
 			)
 		}
--- a/internal/policy/values.go
+++ b/internal/policy/values.go
@@ -43,8 +43,8 @@
 	if v.IsNull() {
 		c.addError(
 			attr.Expr.Range(),
-			"No value",
-			fmt.Sprintf("%s has none here. Give it one, or leave it out.", attr.Name),
+			"Missing value",
+			fmt.Sprintf("%s is null here. Set a value, or leave it out.", attr.Name),
 		)
 		return cty.NilVal, false
 	}
@@ -53,8 +53,8 @@
 	if err != nil || want == cty.Number && got != cty.Number {
 		c.addError(
 			attr.Expr.Range(),
-			"Not of the right kind",
-			fmt.Sprintf("%s takes a %s, and this is a %s.%s", attr.Name,
+			"Wrong type",
+			fmt.Sprintf("%s takes a %s, but this is a %s.%s", attr.Name,
 				want.FriendlyName(), got.FriendlyName(), conversionHint(want, got)),
 		)
 		return cty.NilVal, false
@@ -87,8 +87,8 @@
 	if g != nil && !(g.value >= 0 && g.value <= maxUnits) {
 		c.addError(
 			g.source,
-			"A number out of bounds",
-			fmt.Sprintf("%s is %v: it can be 0 to %v.", attr.Name, g.value, maxUnits),
+			"Number out of bounds",
+			fmt.Sprintf("%s is %v, want 0 to %v.", attr.Name, g.value, maxUnits),
 		)
 		return nil
 	}
@@ -99,11 +99,11 @@
 func (c *compiler) fraction(attr *hcl.Attribute) *number {
 	g := c.number(attr)
 	if g != nil && !(g.value >= 0 && g.value <= 1) {
-		hint := "It can be 0 to 1, or percent(0) to percent(100)."
+		hint := "Write 0 to 1, or percent(0) to percent(100)."
 		if g.value > 1 && g.value <= 100 {
 			hint = fmt.Sprintf("Did you mean percent(%v)?", g.value)
 		}
-		c.addError(g.source, "Not a part of a whole", fmt.Sprintf("%s is %v. %s", attr.Name, g.value, hint))
+		c.addError(g.source, "Invalid fraction", fmt.Sprintf("%s is %v. %s", attr.Name, g.value, hint))
 		return nil
 	}
 	return g
@@ -152,8 +152,8 @@
 	if g.value != math.Trunc(g.value) || g.value < float64(minimum) || g.value > float64(maximum) {
 		c.addError(
 			g.source,
-			"A number out of bounds",
-			fmt.Sprintf("%s is %v: it can be a whole number from %d to %d.", attr.Name, g.value, minimum, maximum),
+			"Number out of bounds",
+			fmt.Sprintf("%s is %v, want a whole number from %d to %d.", attr.Name, g.value, minimum, maximum),
 		)
 		return 0, false
 	}
@@ -171,7 +171,7 @@
 	if err != nil || d < 0 || d > time.Hour {
 		c.addError(
 			attr.Expr.Range(),
-			"Not a time to wait",
+			"Invalid duration",
 			fmt.Sprintf("%s is %q: write a number with its unit, such as \"500ms\" or "+
 				"\"2s\", one hour at most.", attr.Name, text),
 		)
@@ -190,9 +190,9 @@
 	if n.value != 429 && n.value != 503 {
 		c.addError(
 			n.source,
-			"Not a status for a refusal",
-			fmt.Sprintf("%s is %v: write 429 (this client asks too much) or 503 (the "+
-				"service has no room).", attr.Name, n.value),
+			"Invalid status",
+			fmt.Sprintf("%s is %v: write 429 (the client sends too many requests) or 503 (the "+
+				"service is overloaded).", attr.Name, n.value),
 		)
 		ok = false
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		c.addError(
 			attr.Expr.Range(),
-			"Not a time of day",
+			"Invalid time of day",
 			fmt.Sprintf("%s is %q: write hours and minutes, \"00:00\" to \"23:59\".", attr.Name, text),
 		)
 		return 0, false
@@ -229,7 +229,7 @@
 	if err != nil {
 		c.addError(
 			attr.Expr.Range(),
-			"Not a clock",
+			"Invalid clock",
 			fmt.Sprintf("%s is %q: write how far the operators' clock is ahead of UTC, such as "+
 				"\"+02:00\".", attr.Name, text),
 		)
