--- a/internal/policy/limit.go
+++ b/internal/policy/limit.go
@@ -50,7 +50,7 @@
 
 // Settings of limits for which a policy has no value.
 const (
-	defaultFallbackShare = 0.25 // safe with the other three quarters lent out: see docs/quota-design.md
+	defaultFallbackShare = 0.25 // safe while three quarters are leased to proxies: see docs/quota-design.md
 	defaultRetryAfter    = time.Second
 	defaultKeySlots      = 256
 )
--- a/internal/policy/schedule.go
+++ b/internal/policy/schedule.go
@@ -82,20 +82,20 @@
 }
 
 // coversDays reports whether a window applies on all days of the month on which the other does.
-func coversDays(w, other ratelimit.ScheduleWindow) bool {
-	return w.LastDays == 0 || other.LastDays > 0 && other.LastDays <= w.LastDays
+func coversDays(window, other ratelimit.ScheduleWindow) bool {
+	return window.LastDays == 0 || other.LastDays > 0 && other.LastDays <= window.LastDays
 }
 
 // coversMinutes reports whether a window applies in all minutes of a day in which the other does. A window
 // that starts and ends at the same minute applies all day. A window that ends before it starts extends over
 // midnight; it is taken to cover only a window with the same start and end.
-func coversMinutes(w, other ratelimit.ScheduleWindow) bool {
-	if w.FromMinute == w.ToMinute {
+func coversMinutes(window, other ratelimit.ScheduleWindow) bool {
+	if window.FromMinute == window.ToMinute {
 		return true
 	}
-	if w.FromMinute == other.FromMinute && w.ToMinute == other.ToMinute {
+	if window.FromMinute == other.FromMinute && window.ToMinute == other.ToMinute {
 		return true
 	}
-	withinADay := other.FromMinute < other.ToMinute && w.FromMinute < w.ToMinute
-	return withinADay && w.FromMinute <= other.FromMinute && w.ToMinute >= other.ToMinute
+	withinADay := other.FromMinute < other.ToMinute && window.FromMinute < window.ToMinute
+	return withinADay && window.FromMinute <= other.FromMinute && window.ToMinute >= other.ToMinute
 }
--- a/internal/release/agents.go
+++ b/internal/release/agents.go
@@ -26,7 +26,7 @@
 		}
 		var agentRecord agent.Record
 		if err := json.Unmarshal(latest.Value, &agentRecord); err != nil {
-			return nil, fmt.Errorf("%s: %w", record.Key, err)
+			return nil, fmt.Errorf("decode agent's record %s: %w", record.Key, err)
 		}
 		for _, name := range agentRecord.Servers {
 			found[name] = agentRecord.Address
--- a/internal/release/plan_check.go
+++ b/internal/release/plan_check.go
@@ -59,10 +59,10 @@
 		p.Kind == "" || p.Kind == KindServers || p.Kind == KindProxies,
 		"kind: %q is neither %q nor %q", p.Kind, KindServers, KindProxies,
 	)
-	problems.require(p.From != p.To, "to: %q is the version that is there already", p.To)
+	problems.require(p.From != p.To, "to: %q is the same version as from", p.To)
 	for _, name := range p.Selector.Names {
 		_, err := path.Match(name, "")
-		problems.require(err == nil, "what.names: %q is no pattern", name)
+		problems.require(err == nil, "what.names: %q is no valid pattern", name)
 	}
 }
 
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	if len(servers) == 0 || len(servers) > MaxTargets {
-		return nil, fmt.Errorf("the plan is about %d servers, want 1 to %d", len(servers), MaxTargets)
+		return nil, fmt.Errorf("the plan selects %d servers, want 1 to %d", len(servers), MaxTargets)
 	}
 	state := &State{Format: recordFormat, Plan: plan, Phase: Running, DesiredVersion: plan.To,
 		Targets: releaseOrder(servers)}
@@ -120,7 +120,7 @@
 			target.Step = Released
 		}
 		if target.Version != plan.From && target.Version != plan.To {
-			return nil, fmt.Errorf("%s has version %q, neither %q nor %q",
+			return nil, fmt.Errorf("server %s has version %q, want %q or %q",
 				target.Name, target.Version, plan.From, plan.To)
 		}
 	}
--- a/internal/tenant/cachedleaves.go
+++ b/internal/tenant/cachedleaves.go
@@ -17,9 +17,9 @@
 	defaultIdleTimeout = 10 * time.Minute
 	evictInterval      = time.Second
 
-	// However many unknown names requests use, a proxy reads at most readBurst leaves at once (the leaves that
-	// it usually needs after its start) and then one per readInterval: 4 leaves a second with two inner pages
-	// each are 15 kB of a budget of 25 kB a second.
+	// These bounds hold however many unknown names requests use. A proxy reads at most readBurst leaves at once,
+	// which are those that it usually needs after its start, and then one per readInterval. 4 leaves a second
+	// with two inner pages each are 15 kB of a budget of 25 kB a second.
 	readBurst          = 2048
 	readInterval       = time.Second / 4
 	maxRequestedLeaves = 64 // read with one head
--- a/internal/tenant/controller_test.go
+++ b/internal/tenant/controller_test.go
@@ -27,7 +27,7 @@
 }
 
 // failController stops the last controller and starts another after the TTL. With a pause above 0, the last
-// controller is not stopped, but continues after the pause without knowing of the other.
+// controller is not stopped, but continues after the pause and does not know of its successor.
 func (w *simulation) failController(pause time.Duration) {
 	c := w.controllers[len(w.controllers)-1]
 	if c.stopped = pause == 0; !c.stopped {
--- a/internal/tenant/record.go
+++ b/internal/tenant/record.go
@@ -74,7 +74,7 @@
 	OrderSuspend      = "suspend"
 	OrderResume       = "resume"
 	OrderRemove       = "remove"
-	OrderForgetMember = "forget" // removes a proxy from the members; the operator vouches that it serves nothing
+	OrderForgetMember = "forget" // removes a proxy that, as the operator knows, serves nothing
 )
 
 // Order is an operator's request for a change.
