--- a/internal/tenant/controller_test.go
+++ b/internal/tenant/controller_test.go
@@ -27,7 +27,7 @@
 }
 
 // failController stops the last controller and starts another after the TTL. With a pause above 0, the last
-// controller is not stopped, but continues after the pause without knowing of the other.
+// controller is not stopped, but continues after the pause and does not know of its successor.
 func (w *simulation) failController(pause time.Duration) {
 	c := w.controllers[len(w.controllers)-1]
 	if c.stopped = pause == 0; !c.stopped {
@@ -38,8 +38,8 @@
 
 func (c *testController) clock() time.Duration { return time.Duration(float64(c.sim.now) * c.rate) }
 
-// call makes a call to the registry. At the call failAtCall, the controller fails, with or without having
-// made it.
+// call makes a call to the registry. At the call failAtCall the controller fails, either before or after it
+// has sent the call.
 func (c *testController) call(serve func(), answered func(ok bool)) {
 	if c.stopped {
 		return
