--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// startAttempt starts an attempt of a request at an endpoint; every attempt starts here. timeout bounds the
-// attempt, as the request's deadline does. It returns false and changes nothing if e is nil or canSend
-// forbids the attempt.
+// startAttempt starts an attempt of a request at an endpoint; every attempt starts here. The attempt ends
+// after timeout or at the request's deadline, whichever is earlier. startAttempt returns false and changes
+// nothing if e is nil or canSend forbids the attempt.
 func (b *Balancer) startAttempt(r *request, e *endpoint, timeout time.Duration) bool {
 	if e == nil || b.canSend(r, e) != sendAllowed {
 		return false
@@ -44,16 +44,17 @@
 	b.changeLoad(e, a.work, 0)
 }
 
-// removeInFlight takes an attempt out of its endpoint's in-flight count. latency is the latency of a mean
-// request that the attempt has shown, in seconds, or 0 if it has shown none.
+// removeInFlight takes an attempt out of its endpoint's in-flight count. latency is what the attempt shows of
+// the latency of a mean request at the endpoint, in seconds; 0: it shows nothing.
 func (b *Balancer) removeInFlight(a *attempt, latency float64) {
 	a.uncounted = true
 	a.endpoint.inFlight = max(0, a.endpoint.inFlight-1)
 	b.changeLoad(a.endpoint, -a.work, latency)
 }
 
-// changeLoad adds work, in mean requests, to the work that this proxy has in flight at an endpoint, and
-// gossips the result and a latency in seconds (0: none) to the proxies that share the endpoint.
+// changeLoad adds work, in mean requests, to the work that this proxy has in flight at an endpoint. If the
+// processor time for gossip allows it, it also sends the new sum and a latency in seconds (0: none) to the
+// proxies that share the endpoint.
 func (b *Balancer) changeLoad(e *endpoint, work, latency float64) {
 	e.inFlightWork = math.Max(0, e.inFlightWork+work)
 	if e.inFlight == 0 {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -23,6 +23,9 @@
 //	gossip.go           the load that proxies report to each other, by endpoint
 //	limits.go           the operators' rate limits (package ratelimit)
 //
+// A mean request is a request whose work is the mean over all requests. It is the unit of work: a request
+// with twice the mean work counts as two mean requests.
+//
 // The state that the decisions share is in balancer.go, endpoint.go, placement.go and request.go.
 package balancer
 
@@ -99,7 +102,7 @@
 
 // fleetEstimates are estimates over all endpoints that this proxy uses.
 type fleetEstimates struct {
-	hasEstimates        bool    // there have been enough responses for the estimates to be used
+	hasEstimates        bool    // enough responses have arrived for the estimates to be used
 	responses           float64 // number of responses
 	meanLatency         float64 // s, smoothed
 	baseLatency         float64 // s, mean latency while the fleet is not loaded
@@ -108,7 +111,7 @@
 	meanRate            float64 // responses per second of the mean endpoint
 	peakRate            float64 // highest recent meanRate
 	meanWeight          float64 // weight of the mean endpoint
-	tightestObjective   float64 // s, the smallest latency objective, for a request of mean cost
+	tightestObjective   float64 // s, the smallest latency objective, scaled to a mean request
 }
 
 // New returns the balancer of a proxy that has just started. Equal settings, seeds and events lead to equal
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -30,9 +30,9 @@
 	cycle := func(i int) {
 		id, sent := ids[i%len(ids)], false
 		now += time.Millisecond
-		for _, a := range proxy.Handle(now, balancer.RequestArrived{ID: id, Class: "cheap", Timeout: time.Second}) {
-			if s, ok := a.(balancer.StartAttempt); ok {
-				proxy.Handle(now, balancer.AttemptEnded{ID: id, Endpoint: s.Endpoint, Outcome: balancer.OK, RequestAnswered: true, Elapsed: time.Millisecond})
+		for _, a := range proxy.Handle(now, balancer.RequestArrived{ID: id, Class: "low", Timeout: time.Second}) {
+			if attempt, ok := a.(balancer.StartAttempt); ok {
+				proxy.Handle(now, balancer.AttemptEnded{ID: id, Endpoint: attempt.Endpoint, Outcome: balancer.OK, RequestAnswered: true, Elapsed: time.Millisecond})
 				sent = true
 			}
 		}
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -3,47 +3,48 @@
 import "time"
 
 const (
-	// minPollBackoff is the mean backoff after the first failed poll; while polls fail it grows to four times
-	// that.
+	// minPollBackoff is the mean backoff after the first failed poll. While polls fail, the mean backoff grows
+	// to four times minPollBackoff.
 	minPollBackoff = 200 * time.Millisecond
-	// pollSpacing is the backoff that each proxy of the fleet adds, as all may poll one discovery service at the
-	// same time.
+	// pollSpacing times the number of proxies is the shortest mean backoff in a large fleet, as all proxies may
+	// poll one discovery service at the same time.
 	pollSpacing = 50 * time.Millisecond
-	// immediateFailure is the time after which a failed poll is taken to have waited in the queue of discovery.
-	immediateFailure = 500 * time.Millisecond
-	// congestionTimeout is the time for which slow polls have to fail before discovery is taken to be congested.
+	// A poll that fails after slowFailureThreshold or later is taken to have waited in discovery's queue.
+	slowFailureThreshold = 500 * time.Millisecond
+	// congestionTimeout is the time for which polls have to fail, the last of them slowly, before discovery is
+	// taken to be congested.
 	congestionTimeout = 20 * time.Second
-	// provenCongestionTimeout replaces congestionTimeout where an answer has shown that the polls of all proxies
+	// provenCongestionTimeout replaces congestionTimeout if an answer has shown that the polls of all proxies
 	// fit into maxPollRoundTime.
 	provenCongestionTimeout = 10 * congestionTimeout
-	// maxPollRoundTime is the time in which discovery has to answer one poll of each proxy in turn.
+	// maxPollRoundTime is the time within which discovery must be able to answer one poll of each proxy.
 	maxPollRoundTime = 3400 * time.Millisecond
 )
 
-// MaxPollBackoff bounds the time from an UpdateFailed to the next Subscribe. A proxy must learn of a change
-// within 6 s of the moment from which discovery has the change and can be reached, however many polls have
-// failed before. A poll that began just before this moment may stay unanswered for 1.5 s, and the next one
-// may be answered after another 1.5 s (package registry/client). With the backoff that makes 1.5 s + 2.7 s +
-// 1.5 s; the rest is a margin for the proxy's own clock. The backoff is shorter where the settings
-// require a shorter poll interval.
+// MaxPollBackoff bounds the time from an UpdateFailed to the next Subscribe. Once discovery has a change and
+// can be reached, each proxy must learn of the change within 6 s, however many polls have failed before. In
+// the worst case, a poll that began just before stays unanswered for 1.5 s, then the proxy waits 2.7 s, and
+// the next poll is answered after another 1.5 s (package registry/client). The remaining 0.3 s are a margin
+// for the proxy's own clock. The backoff is shorter where the settings require a shorter poll interval.
 const MaxPollBackoff = 2700 * time.Millisecond
 
-// maxMeanPollBackoff is the longest mean backoff: jitter extends a backoff to MaxPollBackoff at most.
+// maxMeanPollBackoff is the longest mean backoff. Jitter extends it by half, to MaxPollBackoff.
 const maxMeanPollBackoff = MaxPollBackoff * 2 / 3
 
-// discoveryPoller is the state of this proxy's polls of discovery and of its watch.
+// discoveryPoller is the state of this proxy's polls of discovery. A poll is a Subscribe action. When
+// discovery answers it, a watch begins.
 type discoveryPoller struct {
-	watching           bool          // discovery has accepted a watch, which has not ended
+	watching           bool          // the last poll was answered, and its watch has not ended
 	pollInFlight       bool          // a poll waits for its answer
 	nextPollAt         Time          // time before which no poll is made
 	lastPollAt         Time          // when the last poll began
-	failingSince       Time          // time of the first of the failures in a row; 0: the last poll did not fail
-	lastFailureWasSlow bool          // the last poll that failed did so after immediateFailure or later
-	fastestAnswer      time.Duration // shortest time in which a poll was answered; 0: none was
+	failingSince       Time          // when the present series of failures began; 0: there is none
+	lastFailureWasSlow bool          // the last failed poll took slowFailureThreshold or longer
+	fastestAnswer      time.Duration // shortest time in which a poll was answered; 0: none was answered
 }
 
-// pollDiscovery polls discovery if the next poll is due. While a poll waits for its answer or a watch is open
-// it makes no new poll, which would lose its place in the queue of discovery.
+// pollDiscovery polls discovery if the next poll is due. It makes no new poll while a watch is open or while
+// a poll is unanswered: that poll would lose its place in discovery's queue.
 func (b *Balancer) pollDiscovery() {
 	if b.settings.PollForEndpoints && !b.watching && !b.pollInFlight && b.now >= b.nextPollAt {
 		b.pollInFlight = true
@@ -68,7 +69,7 @@
 	if b.failingSince == 0 {
 		b.failingSince = b.now
 	}
-	b.lastFailureWasSlow = b.pollInFlight && b.now-b.lastPollAt >= immediateFailure
+	b.lastFailureWasSlow = b.pollInFlight && b.now-b.lastPollAt >= slowFailureThreshold
 	b.watching = false
 	b.pollInFlight = false
 	b.nextPollAt = b.now + b.jitter(b.pollBackoff())
@@ -91,12 +92,14 @@
 	return min(maxMeanPollBackoff, max(minWait, min(failingFor, 4*minPollBackoff, b.settings.PollInterval/2)))
 }
 
-// discoveryCongested reports whether polls may fail because they queue at a discovery service that is too
-// slow for all proxies to poll at this rate, so that none would ever be answered. From here an outage looks
-// the same. Discovery is therefore taken to be congested only after congestionTimeout, and never after a poll
-// that failed at once. An answered poll has waited for its turn at least: if the fastest answer, times the
-// number of proxies, is within maxPollRoundTime, the polls of all proxies fit, unless discovery has become
-// slower since. That is assumed only after provenCongestionTimeout.
+// discoveryCongested reports whether discovery is taken to be too slow for all proxies to poll at this rate.
+// Their polls would then time out in its queue and be repeated, and none would ever be answered. To this
+// proxy an outage looks the same. It therefore assumes congestion only if polls have failed for longer than
+// congestionTimeout and the last of them did not fail at once.
+//
+// An answered poll has taken at least as long as discovery needs for one poll. If the fastest answer, times
+// the number of proxies, is within maxPollRoundTime, the polls of all proxies fit, unless discovery has
+// become slower since. Congestion is then assumed only after provenCongestionTimeout.
 func (b *Balancer) discoveryCongested() bool {
 	timeout := congestionTimeout
 	if b.fastestAnswer > 0 && time.Duration(b.settings.Proxies)*b.fastestAnswer <= maxPollRoundTime {
--- a/balancer/ask_test.go
+++ b/balancer/discovery_test.go
@@ -18,21 +18,21 @@
 	return min(d.freeAt, now+d.callTimeout), d.freeAt <= now+d.callTimeout
 }
 
-// Guards against proxies that start together and poll discovery at the same rate: its queue then consists of
-// calls whose callers have given up and call again, so no proxy is ever served.
+// Guards against proxies that start together and poll discovery at the same rate: discovery's queue then
+// consists of calls whose callers have given up and call again, so no proxy is ever served.
 func TestProxiesStartingTogetherAllGetTheList(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		proxies     int
-		within      Time
+		timeLimit   Time
 		callTimeout Time
 	}{
-		{"a fleet", 80, 9 * time.Second, 2 * time.Second},
-		{"a fleet and an impatient discovery", 80, 15 * time.Second, time.Second},
-		{"a few", 3, time.Second, 2 * time.Second},
+		{"80 proxies", 80, 9 * time.Second, 2 * time.Second},
+		{"80 proxies, short call timeout", 80, 15 * time.Second, time.Second},
+		{"3 proxies", 3, time.Second, 2 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := sequentialDiscovery{serviceTime: 60 * time.Millisecond, callTimeout: c.callTimeout}
+			discovery := sequentialDiscovery{serviceTime: 60 * time.Millisecond, callTimeout: c.callTimeout}
 			type answer struct {
 				at     Time
 				served bool
@@ -44,11 +44,11 @@
 				balancers[i] = New(settings, int64(i+1))
 				balancers[i].Handle(start, EndpointsUpdated{Kind: UpdateCached, Endpoints: []Endpoint{{ID: 1}}})
 			}
-			for now := start; now < start+c.within; now += tickInterval {
+			for now := start; now < start+c.timeLimit; now += tickInterval {
 				for i, proxy := range balancers {
-					if p := pending[i]; p != nil && now >= p.at {
+					if poll := pending[i]; poll != nil && now >= poll.at {
 						kind := UpdateFailed
-						if p.served {
+						if poll.served {
 							kind = UpdateIncremental
 						}
 						pending[i] = nil
@@ -59,7 +59,7 @@
 							if pending[i] != nil {
 								t.Fatalf("proxy %d polls again while its poll waits for its answer", i)
 							}
-							at, served := d.call(now)
+							at, served := discovery.call(now)
 							pending[i] = &answer{at, served}
 						}
 					}
@@ -67,15 +67,14 @@
 			}
 			for i, proxy := range balancers {
 				if !proxy.watching {
-					t.Errorf("proxy %d has no list after %v", i, c.within)
+					t.Errorf("proxy %d has no list after %v", i, c.timeLimit)
 				}
 			}
 		})
 	}
 }
 
-// A watch may stay open without an answer until the list changes. Another poll would end the watch and cost a
-// call.
+// A watch stays open until the list changes. Another poll would end the watch and cost a call.
 func TestOpenWatchIsNotReplaced(t *testing.T) {
 	proxy := New(Settings{Proxies: 1, PollForEndpoints: true, PollInterval: 10 * time.Second, MinEventInterval: time.Millisecond}, 1)
 	calls, now := 0, time.Hour
@@ -99,77 +98,78 @@
 	}
 }
 
-// longestPollWait feeds a proxy with polls that fail after failed(), a number of failures or for the time
-// storm. Before them, one poll is answered after took, if took is above 0. It returns the longest wait from a
-// failure to the next poll.
-func longestPollWait(t *testing.T, settings Settings, seed int64, took Time, failures int, failingFor Time, failed func() Time) (longest Time) {
+// longestPollWait simulates a proxy whose polls fail, each after failureTime(). It stops after the given
+// number of failures, or once polls have failed for failingFor. If answerTime is above 0, one poll is
+// answered after answerTime before the failures. The result is the longest wait from a failure to the next
+// poll.
+func longestPollWait(t *testing.T, settings Settings, seed int64, answerTime Time, failures int, failingFor Time, failureTime func() Time) (longestWait Time) {
 	t.Helper()
 	proxy, now := New(settings, seed), time.Hour
-	for at, first := Time(-1), time.Hour; failures >= 0 && now <= first+failingFor; now += tickInterval {
+	for lastFailure, firstFailure := Time(-1), time.Hour; failures >= 0 && now <= firstFailure+failingFor; now += tickInterval {
 		for _, a := range proxy.Handle(now, TimerFired{}) {
 			if _, ok := a.(Subscribe); !ok {
 				continue
 			}
-			if at >= 0 {
-				longest = max(longest, now-at)
+			if lastFailure >= 0 {
+				longestWait = max(longestWait, now-lastFailure)
 			}
-			if at < 0 && took > 0 {
-				proxy.Handle(now+took, EndpointsUpdated{Kind: UpdateIncremental})
+			if lastFailure < 0 && answerTime > 0 {
+				proxy.Handle(now+answerTime, EndpointsUpdated{Kind: UpdateIncremental})
 			}
-			now += max(took, failed())
-			if at < 0 {
-				first = now
+			now += max(answerTime, failureTime())
+			if lastFailure < 0 {
+				firstFailure = now
 			}
-			at, failures = now, failures-1
+			lastFailure, failures = now, failures-1
 			proxy.Handle(now, EndpointsUpdated{Kind: UpdateFailed})
 		}
-		if at >= 0 && now > at+time.Minute {
+		if lastFailure >= 0 && now > lastFailure+time.Minute {
 			t.Fatalf("%d proxies: no poll within a minute of a failed one", settings.Proxies)
 		}
 	}
-	return longest
+	return longestWait
 }
 
 // A failed poll is repeated within MaxPollBackoff, however many polls have failed before and however many
-// proxies there are, and sooner where the settings require a shorter poll interval. The exception is a fleet
-// whose polls would keep the queue of a slow discovery filled forever: after congestionTimeout it polls less
-// often. This does not apply to polls that fail at once, and applies only after provenCongestionTimeout if an
-// answer has shown that the polls of all proxies fit.
+// proxies there are, and sooner where the settings require a shorter poll interval. There is one exception:
+// proxies so many that their polls would keep the queue of a slow discovery filled forever poll less often
+// after congestionTimeout. The exception does not apply to polls that fail at once, and applies only after
+// provenCongestionTimeout if an answer has shown that the polls of all proxies fit.
 func TestFailedPollIsRepeatedWithinMaxPollBackoff(t *testing.T) {
 	random := rand.New(rand.NewPCG(28, 1))
 	for _, proxies := range []int{1, 3, 30, 80, 300} {
-		for _, within := range []Time{10 * time.Second, time.Second} {
+		for _, pollInterval := range []Time{10 * time.Second, time.Second} {
 			for _, c := range []struct {
-				name       string
-				longest    Time // longest time that a poll takes to fail
-				took       Time // time in which one poll was answered before; 0: none was
-				failingFor Time // time for which the bound holds, but no longer; 0: it always holds
+				name           string
+				maxFailureTime Time // longest time that a poll takes to fail
+				answerTime     Time // time in which one poll was answered before; 0: none was
+				failingFor     Time // time for which the bound holds, but no longer; 0: it always holds
 			}{
-				{"waited for", 4 * time.Second, 0, congestionTimeout},
-				{"refused", immediateFailure, 0, 0},
-				{"waited for, after a soon answer", 4 * time.Second, maxPollRoundTime / Time(proxies), provenCongestionTimeout},
-				{"waited for, after a late answer", 4 * time.Second, maxPollRoundTime/Time(proxies) + time.Millisecond, congestionTimeout},
+				{"slow failures", 4 * time.Second, 0, congestionTimeout},
+				{"immediate failures", slowFailureThreshold, 0, 0},
+				{"slow failures after a fast answer", 4 * time.Second, maxPollRoundTime / Time(proxies), provenCongestionTimeout},
+				{"slow failures after a slow answer", 4 * time.Second, maxPollRoundTime/Time(proxies) + time.Millisecond, congestionTimeout},
 			} {
 				if proxies <= 36 {
 					c.failingFor = 0
 				}
-				settings := Settings{Proxies: proxies, PollForEndpoints: true, PollInterval: within, MinEventInterval: time.Millisecond}
-				limit := min(MaxPollBackoff, within) + tickInterval
-				failed := func() Time { return Time(random.Int64N(int64(c.longest))) }
+				settings := Settings{Proxies: proxies, PollForEndpoints: true, PollInterval: pollInterval, MinEventInterval: time.Millisecond}
+				limit := min(MaxPollBackoff, pollInterval) + tickInterval
+				failureTime := func() Time { return Time(random.Int64N(int64(c.maxFailureTime))) }
 				for seed := range int64(20) {
 					failingFor, failures := time.Hour, 1+random.IntN(30)
 					if c.failingFor > 0 {
 						failingFor, failures = c.failingFor, 1000
 					}
-					if longest := longestPollWait(t, settings, seed, c.took, failures, failingFor, failed); longest > limit {
-						t.Errorf("%d proxies, poll interval %v, %s: polled again after %v, want at most %v", proxies, within, c.name, longest, limit)
+					if longestWait := longestPollWait(t, settings, seed, c.answerTime, failures, failingFor, failureTime); longestWait > limit {
+						t.Errorf("%d proxies, poll interval %v, %s: polled again after %v, want at most %v", proxies, pollInterval, c.name, longestWait, limit)
 					}
 				}
-				if c.failingFor == 0 || within < MaxPollBackoff {
+				if c.failingFor == 0 || pollInterval < MaxPollBackoff {
 					continue
 				}
-				if longest := longestPollWait(t, settings, 1, c.took, 1000, c.failingFor+time.Minute, failed); longest <= limit {
-					t.Errorf("%d proxies, %s: the polls keep the queue of a slow discovery filled forever", proxies, c.name)
+				if longestWait := longestPollWait(t, settings, 1, c.answerTime, 1000, c.failingFor+time.Minute, failureTime); longestWait <= limit {
+					t.Errorf("%d proxies, %s: polls are so frequent that the queue of a slow discovery never empties", proxies, c.name)
 				}
 			}
 		}
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -30,7 +30,7 @@
 
 // endpoint is the balancer's state of a listed endpoint.
 type endpoint struct {
-	Endpoint              // the last entry that lists it
+	Endpoint              // its last entry in the list
 	observedSince Time    // when it was first listed, or began its last slow start
 	ringPosition  uint64  // hash of its ID
 	inBaseSubset  bool    // in the subset that this proxy uses while no endpoint is ejected
@@ -64,25 +64,25 @@
 	overloadFraction float64 // position of the count between the limit (0) and the blocking threshold (1)
 }
 
-// latencyEstimate is the latency and the rate of an endpoint's responses.
+// latencyEstimate holds the estimates of an endpoint's latency and of the rate of its responses.
 type latencyEstimate struct {
-	excessLatency   float64 // s, smoothed latency of a mean request above the mean of the fleet
+	excessLatency   float64 // s, smoothed latency of a mean request, minus the fleet's mean latency
 	excessLatencyAt Time    // when excessLatency was updated
 	responseRate    float64 // responses per second to this proxy, smoothed
 	responseRateAt  Time    // when responseRate was updated
 }
 
-// outlierState is what failures have shown of an endpoint.
+// outlierState holds the failures of an endpoint and the state that follows from them.
 type outlierState struct {
 	ejected bool // it gets only recovery probes
-	// maybeRestarted is set if the endpoint may be down, so that it may return restarted without being listed as
-	// such.
+	// maybeRestarted is set if the endpoint may be down: it may come back as a new process that the list does
+	// not show.
 	maybeRestarted      bool
 	failureRate         float64       // smoothed fraction of its attempts that fail
 	consecutiveFailures int           // since its last success; a refused connection counts twice
 	unansweredSends     int           // attempts since its last response
-	unresponsiveSince   Time          // when the unanswered attempt of number ejectAfterFailures began
-	lastAnsweredSend    Time          // when the latest of the attempts that were answered began
+	unresponsiveSince   Time          // when unansweredSends reached ejectAfterFailures
+	lastAnsweredSend    Time          // latest start of an attempt that was answered
 	nextProbeAt         Time          // time before which no recovery probe is sent
 	probeBackoff        time.Duration // wait after the next recovery probe, before jitter
 }
@@ -95,19 +95,19 @@
 	slowStartTokensAt Time    // when slowStartTokens was updated
 }
 
-// endpointPeers is what this proxy knows of the other proxies that use an endpoint.
+// endpointPeers holds what this proxy knows of the other proxies that use an endpoint.
 type endpointPeers struct {
 	peers        []int      // indexes of these proxies, as peersOf determined them
 	peersVersion int        // Balancer.ringVersion when peers was determined
 	peerLoads    []peerLoad // the last report of each proxy
 }
 
-// isUnresponsive reports whether a listed endpoint leaves ejectAfterFailures attempts or more unanswered.
+// isUnresponsive reports whether ejectAfterFailures or more attempts at a listed endpoint are unanswered.
 func (e *endpoint) isUnresponsive() bool {
 	return e.State != Removed && e.unansweredSends >= ejectAfterFailures
 }
 
-// forgetFailures drops what failures have shown of a previous process of the endpoint.
+// forgetFailures resets the state that follows from failures of a previous process of the endpoint.
 func (e *endpoint) forgetFailures(now Time) {
 	e.ejected = false
 	e.consecutiveFailures = 0
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -5,11 +5,11 @@
 const (
 	// minSubsetSize is the smallest number of endpoints that a proxy uses, as some may fail together.
 	minSubsetSize = 5.0
-	// proxiesPerQueriedEndpoint is the number of proxies that use an endpoint where load queries are used; an
-	// endpoint accepts few connections.
+	// proxiesPerQueriedEndpoint is the number of proxies that use an endpoint where load queries are used. It is
+	// limited because an endpoint accepts few connections.
 	proxiesPerQueriedEndpoint = 30.0
-	// proxiesPerLearnedEndpoint is the number of proxies that use an endpoint where each proxy knows the
-	// endpoint only by the responses to its own attempts.
+	// proxiesPerLearnedEndpoint is the number of proxies that use an endpoint where load queries are not used,
+	// so that each proxy knows the endpoint only by the responses to its own attempts.
 	proxiesPerLearnedEndpoint = 6.0
 )
 
@@ -55,8 +55,9 @@
 	return e
 }
 
-// endpointFor returns the endpoint with an ID, and creates it if it is unknown. An endpoint whose maintenance
-// has ended recently begins a slow start, as it may have been outside the subset at that time or since.
+// endpointFor returns the endpoint with an ID, and creates it if it is unknown. A new endpoint whose
+// maintenance has ended recently begins a slow start: it may have been outside the subset when the
+// maintenance ended, or have left the subset since.
 func (b *Balancer) endpointFor(id EndpointID) *endpoint {
 	if e := b.endpoints[id]; e != nil {
 		return e
@@ -85,16 +86,18 @@
 	b.updateCandidates()
 }
 
-// placementSize is the number of endpoints that a placement allows in the complete list. If this proxy was
-// given a subset of the list, the placement is assumed to allow the same fraction of the rest.
+// placementSize is the number of endpoints in the complete list that a placement allows. If this proxy was
+// given only a subset of the list, the placement is assumed to allow the same fraction of the other
+// endpoints.
 func (b *Balancer) placementSize(p *placement) float64 {
 	size := float64(len(p.ring.endpoints))
 	return math.Max(size, float64(b.totalEndpoints)*size/math.Max(1, float64(len(b.ring.endpoints))))
 }
 
-// selectSubsets determines how many endpoints of each placement this proxy uses: the first ones on the ring,
-// and as many as give each endpoint its number of proxies. If more proxies shared an endpoint, each would get
-// too few responses from it to notice changes in time.
+// selectSubsets selects the endpoints of each placement that this proxy uses, which are the first ones on the
+// ring. There are minSubsetSize at least, and as many as are needed for each endpoint to be used by
+// proxiesPerLearnedEndpoint or proxiesPerQueriedEndpoint proxies. If more proxies shared an endpoint, each
+// would get too few responses from it to notice changes in time.
 func (b *Balancer) selectSubsets() {
 	for _, e := range b.baseSubset {
 		e.inBaseSubset = false
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -10,8 +10,8 @@
 // Event is an input to Handle. The types in this file are its only implementations.
 type Event interface{ event() }
 
-// RequestArrived announces a new request. The balancer owes the request one final answer: the response of an
-// attempt, Reject or Fail.
+// RequestArrived announces a new request. The balancer must give the request one final answer: the response
+// of an attempt, Reject or Fail.
 type RequestArrived struct {
 	ID               RequestID
 	Class            string
@@ -34,7 +34,7 @@
 	Timeout time.Duration
 }
 
-// RequestAbandoned reports that the client has gone. The balancer owes the request no answer any more.
+// RequestAbandoned reports that the client has gone. The request needs no answer any more.
 type RequestAbandoned struct{ ID RequestID }
 
 // AttemptEnded reports the result of an attempt. There is one for each StartAttempt.
@@ -43,7 +43,7 @@
 	Attempt         int
 	Endpoint        EndpointID
 	RequestAnswered bool // the request has its final answer
-	BodyDiscarded   bool // the sent part of the body is lost, so no other attempt is possible
+	BodyDiscarded   bool // the sent part of the body was not kept, so no other attempt is possible
 	Elapsed         time.Duration
 	Outcome         Outcome
 	LoadReport      *LoadReport // nil: none was received
@@ -79,18 +79,18 @@
 	SubsetStart    uint64 // ring position of the subset's start
 }
 
-// Maintenance starts or ends the maintenance of an endpoint by order of an operator. It holds whatever the
-// endpoint list says.
+// Maintenance starts or ends the maintenance of an endpoint by order of an operator. Maintenance continues
+// whatever the endpoint list says.
 type Maintenance struct {
 	Endpoint EndpointID
 	On       bool
 }
 
-// Restored hands over what a previous process of this proxy has learned. It precedes the first endpoint list.
+// Restored passes on what a previous process of this proxy has learned. It precedes the first endpoint list.
 type Restored struct{ Learned LearnedState }
 
-// HandedOver reports that a new process of this proxy serves new requests, while this process finishes its
-// own.
+// HandedOver reports that a new process of this proxy serves new requests, while this process finishes the
+// requests that it has.
 type HandedOver struct{}
 
 // MessageReceived is a gossip message from another proxy.
@@ -99,8 +99,8 @@
 	Data []byte
 }
 
-// TableChanged sets a table of limits, which must be ready for use, and this proxy's tokens of it. A nil
-// table removes the present one.
+// TableChanged sets a table of limits and this proxy's tokens of the table, which must be ready for use. A
+// nil table removes the present one.
 type TableChanged struct {
 	Table  *ratelimit.Table
 	Tokens ratelimit.Tokens
@@ -162,8 +162,8 @@
 	ConnectionReset
 	// Cancelled means that the attempt was cancelled; the endpoint may have run the request.
 	Cancelled
-	// NotSent means that nothing was sent, as the request was over or the proxy had no connection available. It
-	// says nothing about the endpoint.
+	// NotSent means that nothing was sent, as the request was over or the proxy had no connection available.
+	// This says nothing about the endpoint.
 	NotSent
 	// ConnectTimedOut means that nothing was sent, as the connection was not established in time. The endpoint
 	// may be unreachable or slow to accept connections.
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -17,8 +17,8 @@
 	proxy.Handle(clock, balancer.EndpointsUpdated{Kind: balancer.UpdateCached, Endpoints: []balancer.Endpoint{{ID: 7, State: balancer.Ready}}})
 	for _, a := range proxy.Handle(clock, balancer.RequestArrived{ID: "r1", Class: "page", Timeout: time.Second}) {
 		if s, ok := a.(balancer.StartAttempt); ok {
-			fmt.Printf("send %s to server %d for %v\n", s.ID, s.Endpoint, s.Timeout)
+			fmt.Printf("send %s to endpoint %d with timeout %v\n", s.ID, s.Endpoint, s.Timeout)
 		}
 	}
-	// Output: send r1 to server 7 for 1s
+	// Output: send r1 to endpoint 7 with timeout 1s
 }
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -7,8 +7,8 @@
 func StartPosition(proxyIndex int) uint64       { return startPosition(proxyIndex) }
 func (b *Balancer) ProxiesPerEndpoint() float64 { return b.proxiesPerEndpoint }
 func (b *Balancer) BaseSubset() (ids []EndpointID) {
-	for _, s := range b.baseSubset {
-		ids = append(ids, s.ID)
+	for _, ep := range b.baseSubset {
+		ids = append(ids, ep.ID)
 	}
 	return ids
 }
--- a/balancer/fixture_test.go
+++ b/balancer/fixture_test.go
@@ -11,5 +11,5 @@
 // encoding, as processes of different versions exchange them.
 func TestLearnedStateAndLoadMessageEncodingsAreUnchanged(t *testing.T) {
 	fixture.AssertJSON(t, "learned", &LearnedState{})
-	fixture.Assert(t, "note", fmt.Appendf(nil, "%x\n%x\n", encodeLoadMessage(7, 2.5, 0), encodeLoadMessage(7, 2.5, 0.05)))
+	fixture.Assert(t, "loadmessage", fmt.Appendf(nil, "%x\n%x\n", encodeLoadMessage(7, 2.5, 0), encodeLoadMessage(7, 2.5, 0.05)))
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -14,7 +14,7 @@
 	// peerLoadLifetime is the time for which a message is valid, in mean latencies: the message that replaces it
 	// may be lost.
 	peerLoadLifetime = 10.0
-	gossipPriceUnit  = 256.0 // bytes that Prices.Message pays for
+	gossipPriceUnit  = 256.0 // bytes per Prices.Message
 )
 
 // gossipState decides whether this proxy gossips, and with which proxies.
@@ -28,8 +28,9 @@
 }
 
 // updatePeers decides whether this proxy gossips: few proxies must share an endpoint, and the messages must
-// cost little. The cost is estimated from the pairs of a proxy and an endpoint, where a proxy counts at most
-// once for each endpoint and placement.
+// cost little. Their cost grows with the number of pairs of another proxy and an endpoint that the proxy
+// uses. The upper bound of countPairs is used for this number, unless the bound is too expensive and the
+// exact number might not be.
 func (b *Balancer) updatePeers() {
 	endpoints := float64(max(len(b.ring.endpoints), b.totalEndpoints))
 	b.ringVersion++
@@ -47,7 +48,8 @@
 		return b.settings.Prices.Message*bytesPerRequest/gossipPriceUnit > maxGossipPrice
 	}
 	pairs := b.countPairs()
-	overlap := endpoints * float64(len(b.placements)-1) // pairs that may be counted in two placements
+	// overlap is an upper bound on the pairs that countPairs counts again in another placement.
+	overlap := endpoints * float64(len(b.placements)-1)
 	if b.totalEndpoints == 0 && tooExpensive(pairs) && !tooExpensive(pairs-overlap) {
 		pairs = 0
 		for _, e := range b.ring.endpoints {
@@ -71,8 +73,8 @@
 
 // gossipLoad reports the work that this proxy has in flight at an endpoint to the proxies that share it. A
 // message replaces the previous one, so a lost, delayed or duplicated message does little harm. latency is
-// the latency of a mean request that a response has shown, in seconds, 0 for none. It is shared because each
-// proxy alone gets few responses from an endpoint and would notice a change late.
+// the latency of a mean request that a response has shown, in seconds; 0: none. It is sent because each proxy
+// alone gets few responses from an endpoint and would notice a change late.
 func (b *Balancer) gossipLoad(e *endpoint, latency float64) {
 	if !b.gossips || e.State != Ready {
 		return
@@ -84,8 +86,9 @@
 }
 
 // takeGossipCPU takes the cost of the messages about an attempt from the processor time for gossip and
-// reports whether the messages may be sent. When the time is used up, the start of an attempt is not
-// reported, as the next end of an attempt at the endpoint reports it, too. Ends are reported on credit.
+// reports whether the messages may be sent. The end of an attempt is reported even if this makes the
+// available time negative. The start of an attempt is not reported if too little time is available, as the
+// next end of an attempt at the endpoint reports the same sum.
 func (b *Balancer) takeGossipCPU(e *endpoint, attemptEnds bool) bool {
 	rate := b.settings.CPUPerSecond.Seconds()
 	cost := gossipMessageCPU * float64(len(b.peersOf(e)))
@@ -98,8 +101,8 @@
 	return true
 }
 
-// receiveGossip handles a message. It ignores messages of an unknown form, about unknown endpoints and from
-// senders that are not among the other proxies.
+// receiveGossip handles a message. It ignores a message of an unknown form, about an unknown endpoint, or
+// from a sender that is not one of the other proxies.
 func (b *Balancer) receiveGossip(event MessageReceived) {
 	id, work, latency, ok := decodeLoadMessage(event.Data)
 	e := b.endpoints[id]
--- a/balancer/peers_test.go
+++ b/balancer/gossip_test.go
@@ -32,9 +32,9 @@
 	return out
 }
 
-// Each proxy alone sees a part of an endpoint's load, so an idle endpoint looks like one that other proxies
-// keep busy. The work that a proxy has in flight must be reported to the proxies that use the endpoint and to
-// no others, in a fleet of any size.
+// Each proxy alone sees only its part of an endpoint's load, so it can't tell an idle endpoint from one that
+// other proxies keep busy. The work that a proxy has in flight must therefore be reported to the proxies that
+// use the endpoint, and to no others, in a fleet of any size.
 func TestGossipReachesTheProxiesThatShareTheEndpoint(t *testing.T) {
 	for _, size := range []struct{ proxies, endpoints int }{{2, 3}, {3, 10}, {80, 60}} {
 		var fleet []*Balancer
@@ -45,20 +45,20 @@
 			out := proxy.Handle(proxy.now, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
 			sent := attemptedEndpoints(out)
 			if len(sent) != 1 {
-				t.Fatalf("%v", out)
+				t.Fatalf("actions %v, want one attempt", out)
 			}
 			var want, got []int
-			for other, o := range fleet {
-				if other != proxyIndex && o.endpoints[sent[0]].inBaseSubset {
+			for other, otherProxy := range fleet {
+				if other != proxyIndex && otherProxy.endpoints[sent[0]].inBaseSubset {
 					want = append(want, other)
 				}
 			}
 			for _, a := range sentMessages(out) {
 				got = append(got, a.To)
-				o := fleet[a.To]
-				o.Handle(o.now, MessageReceived{From: proxyIndex, Data: a.Data})
-				if l := o.knownLoad(o.endpoints[sent[0]]); l < 1 {
-					t.Errorf("proxy %d takes the load to be %v", a.To, l)
+				receiver := fleet[a.To]
+				receiver.Handle(receiver.now, MessageReceived{From: proxyIndex, Data: a.Data})
+				if load := receiver.knownLoad(receiver.endpoints[sent[0]]); load < 1 {
+					t.Errorf("proxy %d takes the load to be %v", a.To, load)
 				}
 			}
 			if !slices.Equal(got, want) {
@@ -66,11 +66,11 @@
 			}
 			out = proxy.Handle(proxy.now, AttemptEnded{ID: "a", Endpoint: sent[0], Elapsed: time.Millisecond, Outcome: OK, RequestAnswered: true})
 			for _, a := range sentMessages(out) {
-				o := fleet[a.To]
-				o.Handle(o.now, MessageReceived{From: proxyIndex, Data: a.Data})
-				o.Handle(o.now, MessageReceived{From: proxyIndex, Data: a.Data}) // a duplicate must not add up
-				if l := o.knownLoad(o.endpoints[sent[0]]); l != o.endpoints[sent[0]].inFlightWork {
-					t.Errorf("proxy %d still takes the load to be %v", a.To, l)
+				receiver := fleet[a.To]
+				receiver.Handle(receiver.now, MessageReceived{From: proxyIndex, Data: a.Data})
+				receiver.Handle(receiver.now, MessageReceived{From: proxyIndex, Data: a.Data}) // a duplicate must not add up
+				if load := receiver.knownLoad(receiver.endpoints[sent[0]]); load != receiver.endpoints[sent[0]].inFlightWork {
+					t.Errorf("proxy %d still takes the load to be %v", a.To, load)
 				}
 			}
 		}
@@ -80,8 +80,8 @@
 // Of two equal endpoints, the one where another proxy reports work in flight gets no attempts.
 func TestEndpointLoadedByOtherProxiesIsAvoided(t *testing.T) {
 	proxy := newGossipingProxy(0, 2, 2)
-	note := []byte{loadMessageKind, 0, 0, 0, 1, 8}
-	proxy.Handle(proxy.now, MessageReceived{From: 1, Data: note})
+	message := []byte{loadMessageKind, 0, 0, 0, 1, 8}
+	proxy.Handle(proxy.now, MessageReceived{From: 1, Data: message})
 	for i := range 20 {
 		id := RequestID(rune('a' + i))
 		sent := attemptedEndpoints(proxy.Handle(proxy.now, RequestArrived{ID: id, Class: "page", Timeout: time.Second}))
@@ -91,8 +91,8 @@
 		proxy.Handle(proxy.now, AttemptEnded{ID: id, Endpoint: 2, Elapsed: time.Millisecond, Outcome: Cancelled, RequestAnswered: true})
 	}
 	proxy.now += time.Hour // the message about the end of the work was lost
-	if l := proxy.knownLoad(proxy.endpoints[1]); l != 0 {
-		t.Errorf("an old message still counts as %v", l)
+	if load := proxy.knownLoad(proxy.endpoints[1]); load != 0 {
+		t.Errorf("an old message still counts as %v", load)
 	}
 }
 
@@ -108,10 +108,10 @@
 		{From: 1, Data: make([]byte, 256)},
 	} {
 		if out := proxy.Handle(proxy.now, e); len(out) != 0 {
-			t.Errorf("%v: %v", e, out)
+			t.Errorf("actions after message %v: %v, want none", e, out)
 		}
 		if proxy.knownLoad(proxy.endpoints[1]) != 0 || len(proxy.endpoints) != 2 {
-			t.Errorf("%v has an effect", e)
+			t.Errorf("message %v changes the known load or the endpoints", e)
 		}
 	}
 }
@@ -121,49 +121,49 @@
 	for _, change := range []func(*Settings){
 		func(s *Settings) { s.AllowGossip = false }, func(s *Settings) { s.Prices.Message = 1 }, func(s *Settings) { s.Proxies = 1 },
 	} {
-		s := gossipSettings(0, 3)
-		change(&s)
-		proxy := New(s, 1)
+		settings := gossipSettings(0, 3)
+		change(&settings)
+		proxy := New(settings, 1)
 		proxy.Handle(time.Hour, EndpointsUpdated{Kind: UpdateCached, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}})
 		out := proxy.Handle(proxy.now, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
 		if len(attemptedEndpoints(out)) != 1 || len(sentMessages(out)) != 0 {
-			t.Errorf("%+v", out)
+			t.Errorf("actions %+v, want one attempt and no message", out)
 		}
 	}
 }
 
-// All proxies that use an endpoint learn that it has become slow by the responses to each of them: one proxy
-// alone has too few.
+// The responses that one proxy gets from an endpoint are reported to all proxies that use it, so that all
+// learn when it has become slow: one proxy alone has too few responses.
 func TestLatencySeenByOtherProxiesCounts(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		took    time.Duration
-		outcome Outcome
-		want    bool
+		name     string
+		elapsed  time.Duration
+		outcome  Outcome
+		wantSlow bool
 	}{
-		{"slow answers", 300 * time.Millisecond, OK, true},
+		{"slow responses", 300 * time.Millisecond, OK, true},
 		{"fast failures", time.Millisecond, ServerError, true},
-		{"usual answers", 30 * time.Millisecond, OK, false},
-		{"called off", 300 * time.Millisecond, Cancelled, false},
+		{"normal responses", 30 * time.Millisecond, OK, false},
+		{"cancelled attempts", 300 * time.Millisecond, Cancelled, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a, b := newGossipingProxy(0, 2, 2), newGossipingProxy(1, 2, 2)
+			sender, receiver := newGossipingProxy(0, 2, 2), newGossipingProxy(1, 2, 2)
 			for i := range 20 {
 				id := RequestID(rune('a' + i))
-				sent := attemptedEndpoints(a.Handle(a.now, RequestArrived{ID: id, Class: "page", Timeout: time.Second}))
-				a.endpoints[sent[0]].ejected = false
-				for _, note := range sentMessages(a.Handle(a.now, AttemptEnded{ID: id, Endpoint: sent[0], Elapsed: c.took,
+				sent := attemptedEndpoints(sender.Handle(sender.now, RequestArrived{ID: id, Class: "page", Timeout: time.Second}))
+				sender.endpoints[sent[0]].ejected = false
+				for _, message := range sentMessages(sender.Handle(sender.now, AttemptEnded{ID: id, Endpoint: sent[0], Elapsed: c.elapsed,
 					Outcome: c.outcome, RequestAnswered: true})) {
-					b.Handle(b.now, MessageReceived{From: 0, Data: note.Data})
+					receiver.Handle(receiver.now, MessageReceived{From: 0, Data: message.Data})
 				}
 			}
 			slow := 0
-			for _, s := range b.ring.endpoints {
-				if b.expectedLatency(s) > 1.5*b.meanLatency {
+			for _, ep := range receiver.ring.endpoints {
+				if receiver.expectedLatency(ep) > 1.5*receiver.meanLatency {
 					slow++
 				}
 			}
-			if (slow > 0) != c.want {
+			if (slow > 0) != c.wantSlow {
 				t.Errorf("%d of 2 endpoints count as slow at the proxy that received the messages", slow)
 			}
 		})
@@ -173,20 +173,21 @@
 // An implausible number of proxies, and messages without a price, must not keep a proxy busy or make it send
 // to all.
 func TestNoGossipWithImplausibleNumberOfProxies(t *testing.T) {
-	s := gossipSettings(0, 1<<40)
-	s.Prices.Message = 0
-	proxy := New(s, 1)
+	settings := gossipSettings(0, 1<<40)
+	settings.Prices.Message = 0
+	proxy := New(settings, 1)
 	proxy.Handle(time.Hour, EndpointsUpdated{Kind: UpdateCached, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}})
 	if out := proxy.Handle(proxy.now, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}); len(sentMessages(out)) != 0 {
 		t.Errorf("%d messages", len(sentMessages(out)))
 	}
 }
 
-// Messages take processor time, which is limited. Where it is short, the ends of attempts are still reported.
-func TestGossipKeepsToTheProcessorTime(t *testing.T) {
+// Messages take processor time, which is limited. Where processor time is short, the ends of attempts are
+// still reported.
+func TestGossipStaysWithinTheProcessorTime(t *testing.T) {
 	for _, c := range []struct {
-		cpu         time.Duration // a second
-		starts, all bool          // whether some starts are reported, and whether all are
+		cpu                   time.Duration // a second
+		someStarts, allStarts bool          // whether some starts are reported, and whether all are
 	}{{0, true, true}, {100 * time.Millisecond, true, true}, {3 * time.Millisecond, true, false}, {time.Millisecond, false, false}} {
 		proxy := newGossipingProxy(0, 2, 3)
 		proxy.settings.CPUPerSecond = c.cpu
@@ -195,12 +196,12 @@
 			out := proxy.Handle(proxy.now+5*time.Millisecond, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
 			at := attemptedEndpoints(out)
 			if len(at) != 1 {
-				t.Fatalf("%v", out)
+				t.Fatalf("actions %v, want one attempt", out)
 			}
 			starts += len(sentMessages(out))
 			ends += len(sentMessages(proxy.Handle(proxy.now, AttemptEnded{ID: "a", Endpoint: at[0], Elapsed: time.Millisecond, Outcome: OK, RequestAnswered: true})))
 		}
-		if ends != 200 || (starts == 200) != c.all || (starts > 50) != c.starts {
+		if ends != 200 || (starts == 200) != c.allStarts || (starts > 50) != c.someStarts {
 			t.Errorf("with %v a second: %d starts and %d ends are reported", c.cpu, starts, ends)
 		}
 	}
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -15,21 +15,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l LearnedState
-	if err := json.Unmarshal(raw, &l); err != nil {
+	var learned LearnedState
+	if err := json.Unmarshal(raw, &learned); err != nil {
 		t.Fatal(err)
 	}
-	change(&l)
+	change(&learned)
 	successor := New(proxy.settings, 9)
-	successor.Handle(proxy.now, Restored{Learned: l})
+	successor.Handle(proxy.now, Restored{Learned: learned})
 	return successor
 }
 
-func listedEndpoints(proxy *Balancer) (all []Endpoint) {
-	for _, s := range proxy.ring.endpoints {
-		all = append(all, s.Endpoint)
+func listedEndpoints(proxy *Balancer) (list []Endpoint) {
+	for _, ep := range proxy.ring.endpoints {
+		list = append(list, ep.Endpoint)
 	}
-	return all
+	return list
 }
 
 // A new process continues with the learned state, whatever the order of the list, and also if the first list
@@ -48,25 +48,26 @@
 		t.Errorf("mean latency %v, want %v; %v responses, retry budget %v, has estimates: %v", successor.meanLatency, proxy.meanLatency, successor.responses, successor.retryBudget, successor.hasEstimates)
 	}
 	load := 0.0
-	for id, s := range successor.endpoints {
-		before := proxy.endpoints[id]
-		if s.responseRate != before.responseRate || s.ejected != before.ejected || s.slowStarting != before.slowStarting || s.slowStartSince != before.slowStartSince {
-			t.Errorf("endpoint %d: %+v, before %+v", id, s, before)
+	for id, ep := range successor.endpoints {
+		old := proxy.endpoints[id]
+		if ep.responseRate != old.responseRate || ep.ejected != old.ejected || ep.slowStarting != old.slowStarting || ep.slowStartSince != old.slowStartSince {
+			t.Errorf("endpoint %d: %+v, before %+v", id, ep, old)
 		}
-		load += successor.knownLoad(s)
+		load += successor.knownLoad(ep)
 	}
 	if load < 0.9 {
-		t.Errorf("the work in flight of the old process counts as %v, want 0.9 or more", load)
+		t.Errorf("the work in flight of the old process counts as %v, want at least 0.9", load)
 	}
 	successor.Handle(proxy.now+time.Minute, TimerFired{})
-	for id, s := range successor.endpoints {
-		if successor.knownLoad(s) != 0 {
+	for id, ep := range successor.endpoints {
+		if successor.knownLoad(ep) != 0 {
 			t.Errorf("endpoint %d: work of the old process still counts a minute later", id)
 		}
 	}
 }
 
-// An endpoint that has restarted since is taken as new, and an endpoint that no list names gets no attempts.
+// An endpoint that has restarted since the old process learned of it counts as new, and an endpoint that no
+// list names gets no attempts.
 func TestNewProcessPrefersTheListToInheritedState(t *testing.T) {
 	proxy := newLearnedProxy(t)
 	proxy.endpoints[1].ejected = true
@@ -79,7 +80,7 @@
 
 // Learned state with implausible values, as of a faulty process, must not prevent attempts or lead to
 // infinite delays.
-func TestImplausibleLearnedStateDoesNoHarm(t *testing.T) {
+func TestImplausibleLearnedStateDoesNotPreventAttempts(t *testing.T) {
 	for _, change := range []func(*LearnedState){
 		func(l *LearnedState) { l.MeanLatency = -1 },
 		func(l *LearnedState) { l.Responses = math.Inf(1) },
@@ -96,8 +97,8 @@
 		if got := countAttempts(t, successor, 60); got[1]+got[2]+got[3]+got[4] != 60 || len(got) != 4 {
 			t.Errorf("attempts %v", got)
 		}
-		for _, s := range successor.endpoints {
-			if x := successor.expectedDelay(&request{class: successor.classes["a"], relativeWork: 1}, s); !(x > 0) || math.IsInf(x, 0) {
+		for _, ep := range successor.endpoints {
+			if x := successor.expectedDelay(&request{class: successor.classes["a"], relativeWork: 1}, ep); !(x > 0) || math.IsInf(x, 0) {
 				t.Errorf("expected delay of %v", x)
 			}
 		}
--- a/balancer/large_test.go
+++ b/balancer/incomplete_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// While a request is incomplete, its deadline does not run, no attempt counts as unanswered and its endpoint
-// has no work. All of this begins with the request's last byte.
+// While a request is incomplete, its deadline does not run, its attempt does not count as unanswered and its
+// endpoint has no work. All three begin with the last byte of the request.
 func TestIncompleteRequestCountsFromItsLastByte(t *testing.T) {
 	proxy := newLearnedProxy(t)
 	at := startRequest(t, proxy, RequestArrived{ID: "q", Class: "a", Timeout: time.Second, Incomplete: true})
-	s := proxy.endpoints[at]
+	ep := proxy.endpoints[at]
 	for range 400 { // 20 s
 		if out := proxy.Handle(proxy.now+50*time.Millisecond, TimerFired{}); len(out) > 1 {
-			t.Fatalf("while the request arrives: %v", out)
+			t.Fatalf("actions while the request arrives: %v, want a timer at most", out)
 		}
 	}
-	if s.inFlight != 0 || s.inFlightWork != 0 || s.unansweredSends != 0 || s.ejected {
-		t.Errorf("while the request arrives: %+v", s)
+	if ep.inFlight != 0 || ep.inFlightWork != 0 || ep.unansweredSends != 0 || ep.ejected {
+		t.Errorf("while the request arrives: %+v", ep)
 	}
 	proxy.Handle(proxy.now, RequestSent{ID: "q", Timeout: time.Second})
 	proxy.Handle(proxy.now, RequestSent{ID: "q", Timeout: time.Hour}) // a repeated event has no effect
-	if s.inFlight != 1 || s.inFlightWork == 0 || s.unansweredSends != 1 {
-		t.Errorf("once the request is complete: %+v", s)
+	if ep.inFlight != 1 || ep.inFlightWork == 0 || ep.unansweredSends != 1 {
+		t.Errorf("once the request is complete: %+v", ep)
 	}
 	proxy.Handle(proxy.now+999*time.Millisecond, TimerFired{})
 	if r := proxy.requests["q"]; r == nil || r.answered {
@@ -30,11 +30,11 @@
 	}
 	out := proxy.Handle(proxy.now+2*time.Millisecond, TimerFired{})
 	if len(out) < 2 || out[0] != Action(Reject{ID: "q"}) {
-		t.Errorf("at its deadline: %v", out)
+		t.Errorf("actions at the deadline: %v, want a rejection", out)
 	}
 	proxy.Handle(proxy.now, AttemptEnded{ID: "q", Endpoint: at, RequestAnswered: true, Outcome: Cancelled})
-	if s.inFlight != 0 || s.inFlightWork != 0 || len(proxy.requests) != 0 {
-		t.Errorf("at the end: %+v, %d requests", s, len(proxy.requests))
+	if ep.inFlight != 0 || ep.inFlightWork != 0 || len(proxy.requests) != 0 {
+		t.Errorf("at the end: %+v, %d requests", ep, len(proxy.requests))
 	}
 }
 
@@ -42,25 +42,25 @@
 // class, and failed otherwise.
 func TestDiscardedBodyPreventsRetry(t *testing.T) {
 	for _, c := range []struct {
-		effect  Idempotency
-		outcome Outcome
-		spent   bool
-		sends   int
-		final   Action
+		idempotency   Idempotency
+		outcome       Outcome
+		bodyDiscarded bool
+		wantAttempts  int
+		wantAnswer    Action
 	}{
 		{Idempotent, ConnectFailed, true, 0, Reject{ID: "q"}}, {NotIdempotent, ConnectFailed, true, 0, Reject{ID: "q"}},
 		{NotIdempotent, Rejected, true, 0, Reject{ID: "q"}}, {NotIdempotent, ConnectionReset, true, 0, Fail{ID: "q"}},
 		{NotIdempotent, ConnectFailed, false, 1, nil}, {Idempotent, ConnectionReset, false, 1, nil},
 	} {
 		proxy := newLearnedProxy(t)
-		s := proxy.settings
-		s.Classes = []Class{{Name: "a", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second, Idempotency: c.effect}}
-		proxy.Handle(proxy.now, SettingsChanged{Settings: s})
+		settings := proxy.settings
+		settings.Classes = []Class{{Name: "a", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second, Idempotency: c.idempotency}}
+		proxy.Handle(proxy.now, SettingsChanged{Settings: settings})
 		at := startRequest(t, proxy, RequestArrived{ID: "q", Class: "a", Timeout: time.Second, Incomplete: true})
 		proxy.Handle(proxy.now+10*time.Second, TimerFired{})
-		out := proxy.Handle(proxy.now, AttemptEnded{ID: "q", Endpoint: at, Outcome: c.outcome, BodyDiscarded: c.spent})
-		if len(attemptedEndpoints(out)) != c.sends || c.final != nil && (len(out) != 1 || out[0] != c.final) {
-			t.Errorf("%+v: %v", c, out)
+		out := proxy.Handle(proxy.now, AttemptEnded{ID: "q", Endpoint: at, Outcome: c.outcome, BodyDiscarded: c.bodyDiscarded})
+		if len(attemptedEndpoints(out)) != c.wantAttempts || c.wantAnswer != nil && (len(out) != 1 || out[0] != c.wantAnswer) {
+			t.Errorf("case %+v: actions %v", c, out)
 		}
 	}
 }
@@ -70,19 +70,19 @@
 func TestLongResponseIsNotInFlightOnceItBegins(t *testing.T) {
 	proxy := newLearnedProxy(t)
 	at := startRequest(t, proxy, RequestArrived{ID: "q", Class: "a", Timeout: time.Second})
-	s := proxy.endpoints[at]
+	ep := proxy.endpoints[at]
 	proxy.Handle(proxy.now+20*time.Millisecond, ResponseStarted{ID: "q", Endpoint: at, Elapsed: 20 * time.Millisecond})
-	if s.inFlight != 0 || s.inFlightWork != 0 {
-		t.Errorf("when the response begins: %+v", s)
+	if ep.inFlight != 0 || ep.inFlightWork != 0 {
+		t.Errorf("when the response begins: %+v", ep)
 	}
-	mean := proxy.meanLatency
+	meanBefore := proxy.meanLatency
 	for range 400 {
 		if out := proxy.Handle(proxy.now+50*time.Millisecond, TimerFired{}); len(out) > 1 {
-			t.Fatalf("while the response is read: %v", out)
+			t.Fatalf("actions while the response is read: %v, want a timer at most", out)
 		}
 	}
 	proxy.Handle(proxy.now, AttemptEnded{ID: "q", Endpoint: at, RequestAnswered: true, Elapsed: 20 * time.Second, Outcome: OK})
-	if s.inFlight != 0 || s.ejected || proxy.meanLatency != mean || len(proxy.requests) != 0 {
-		t.Errorf("at the end: %+v, mean latency %v, want %v", s, proxy.meanLatency, mean)
+	if ep.inFlight != 0 || ep.ejected || proxy.meanLatency != meanBefore || len(proxy.requests) != 0 {
+		t.Errorf("at the end: %+v, mean latency %v, want %v", ep, proxy.meanLatency, meanBefore)
 	}
 }
--- a/balancer/inflightlimit.go
+++ b/balancer/inflightlimit.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	// maxObjectiveFraction is the fraction of a latency objective that the mean latency may take: latencies have
-	// a long tail.
+	// maxObjectiveFraction is the fraction of a latency objective that the mean latency may reach: latencies
+	// have a long tail.
 	maxObjectiveFraction = 0.4
-	// maxLatencyFactor is the multiple of the base latency that the mean latency may reach by queueing.
+	// maxLatencyFactor is the multiple of the base latency that the mean latency may reach because of queueing.
 	maxLatencyFactor = 1.8
-	// baseLatencyNoise is the fraction by which chance alone takes a mean latency below its true value.
+	// baseLatencyNoise is the fraction by which a mean latency may be below its true value by chance.
 	baseLatencyNoise = 0.15
 	// minFleetInFlight is the number of requests that all proxies together may always have in flight at an
 	// endpoint. It is doubled until there are estimates.
@@ -16,16 +16,16 @@
 	// minResponsesPerEndpoint is the number of responses, on average over the endpoints of its subset, after
 	// which a proxy uses its estimates.
 	minResponsesPerEndpoint = 2.0
-	// fleetRateFraction is the fraction of the rate behind a limit that is the fleet's rate: noise in the
-	// endpoint's own rate must not starve the endpoint.
+	// fleetRateFraction is the weight of the fleet's mean rate in the rate that a limit is computed from. The
+	// other part is the endpoint's own rate, whose noise alone must not starve the endpoint.
 	fleetRateFraction = 0.3
-	// maxLimitGrowth is the factor by which the limit may exceed what the present latency allows.
+	// maxLimitGrowth bounds the factor by which the limit is raised while the mean latency is below its target.
 	maxLimitGrowth = 3.0
 )
 
-// updateCandidates selects the candidates of each placement, the first endpoints on the ring that are ready,
-// not ejected and not in maintenance. It updates the fleet's estimates over the candidates, and their
-// in-flight limits.
+// updateCandidates selects the candidates of each placement: the first endpoints on the ring that are ready,
+// not ejected and not in maintenance. It updates the fleet's estimates over the candidates, and the in-flight
+// limits of the candidates.
 func (b *Balancer) updateCandidates() {
 	var rates, weights, count, subsetSizes float64
 	for _, p := range b.placements {
@@ -54,8 +54,7 @@
 	}
 }
 
-// updateTightestObjective finds the smallest latency objective of all classes, scaled to a request of mean
-// cost.
+// updateTightestObjective finds the smallest latency objective of all classes, scaled to a mean request.
 func (b *Balancer) updateTightestObjective() {
 	b.tightestObjective = math.Inf(1)
 	for _, c := range b.classOrder {
@@ -75,15 +74,16 @@
 	}
 }
 
-// computeInFlightLimit returns H of the overload control: by Little's law, the requests that this proxy may
-// have in flight at an endpoint that responds as fast as the objectives require. Part of the rate is the
-// fleet's. As load slows endpoints down, the limit keeps queues short. It does not fall below the requests
-// that keep an endpoint busy: when all endpoints slow down together, shedding could not meet any objective.
+// computeInFlightLimit returns the number of requests that this proxy may have in flight at an endpoint. By
+// Little's law this is the rate of responses times a target latency that satisfies the latency objectives.
+// Part of the rate is the fleet's mean rate. The limit falls as load slows endpoints down, which keeps queues
+// short. It does not fall below the number of requests that keep an endpoint busy: when all endpoints slow
+// down together, shedding could not make any response meet its objective.
 func (b *Balancer) computeInFlightLimit(e *endpoint) float64 {
 	if !b.hasEstimates {
 		return 2 * minFleetInFlight / b.proxiesPerEndpoint
 	}
-	// speed is that of the endpoint relative to the fleet.
+	// speed is the endpoint's speed relative to the fleet.
 	speed := math.Min(1, b.meanLatency/b.expectedLatency(e))
 	rate := (1-fleetRateFraction)*b.responseRate(e) + fleetRateFraction*b.meanRate*speed // responses per second
 	// targetLatency, in seconds, satisfies the objectives and keeps queues short.
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// observationDecay is the time constant, in seconds, with which a proxy's observations of an endpoint lose
-	// weight.
+	// observationDecay is the time constant, in seconds, of the exponential decay of a proxy's observations of
+	// an endpoint.
 	observationDecay = 3.0
 	// longTermDecay is the time constant, in seconds, with which the peak rate and the base latency decay. It is
 	// longer than faults last.
@@ -20,13 +20,13 @@
 	minLatency    = 1e-6 // s, lower bound of a recorded latency
 )
 
-// decay returns the weight that is left of an observation of some age, by exponential decay with a time
-// constant in seconds.
+// decay returns the weight of an observation of some age, by exponential decay with a time constant in
+// seconds.
 func decay(age time.Duration, constant float64) float64 { return math.Exp(-age.Seconds() / constant) }
 
 // responseRate is the rate at which an endpoint responds to this proxy, in responses per second.
 func (b *Balancer) responseRate(e *endpoint) float64 {
-	// observed corrects the estimate for a short time of observation.
+	// Dividing by observed corrects the estimate if the endpoint has been observed only for a short time.
 	observed := 1 - decay(b.now-e.observedSince+tickInterval, observationDecay)
 	return e.responseRateNow(b.now) / observed
 }
@@ -42,14 +42,14 @@
 	l.responseRateAt = now
 }
 
-// expectedLatency is the latency of a mean request at an endpoint, in seconds. Without new responses the
-// estimate drifts to the mean of the fleet, so that a slow endpoint is tried again.
+// expectedLatency is the latency of a mean request at an endpoint, in seconds. Without new responses it
+// drifts to the mean of the fleet, so that a slow endpoint is tried again.
 func (b *Balancer) expectedLatency(e *endpoint) float64 {
 	return b.meanLatency + e.excessLatency*decay(b.now-e.excessLatencyAt, observationDecay)
 }
 
-// recordResponse updates the latency estimates of the fleet, the class and the endpoint by a response or its
-// beginning.
+// recordResponse updates the latency estimates of the fleet, the class and the endpoint with the latency of a
+// response or of its beginning.
 func (b *Balancer) recordResponse(a *attempt, r *request, elapsed time.Duration) {
 	c := r.class
 	b.responses++
@@ -64,15 +64,16 @@
 
 	c.meanLatency += classGain * (latency - c.meanLatency)
 	c.fleetLatency += classGain * (b.meanLatency - c.fleetLatency)
-	// The cost is not relative to the present mean latency, as a class with few requests would keep the latency
-	// of a fault that is over.
+	// The mean latency of the class is divided by the fleet's latency at the times of the class's responses, not
+	// by the present one: the mean of a class with few requests may still include latencies of a fault that is
+	// over.
 	c.relativeCost = c.meanLatency / c.fleetLatency
 
 	b.recordLatency(a.endpoint, elapsed.Seconds()/c.relativeCost)
 }
 
 // recordLatency adds the latency of a mean request, in seconds, to the estimate of an endpoint. The latency
-// is capped, as a heavy request says more about itself than about its endpoint.
+// is capped, as a very long one is due to a heavy request rather than to the endpoint.
 func (b *Balancer) recordLatency(e *endpoint, latency float64) {
 	expected := b.expectedLatency(e)
 	capped := math.Min(latency, overdueFactor*math.Max(expected, b.meanLatency))
@@ -81,8 +82,8 @@
 	e.excessLatencyAt = b.now
 }
 
-// observedLatency returns the latency of a mean request that an attempt has shown, in seconds, or 0 if it has
-// shown none. A failure counts as a slow response, as an endpoint that fails fast must not attract work.
+// observedLatency returns what an attempt shows of the latency of a mean request, in seconds; 0: it shows
+// nothing. A failure counts as a slow response, as an endpoint that fails fast must not attract work.
 func observedLatency(r *request, event AttemptEnded) float64 {
 	if r.responseStarted {
 		return 0
@@ -96,7 +97,7 @@
 	return failureLatency(r, event)
 }
 
-// failureLatency returns the latency of a mean request, in seconds, that a failure counts as.
+// failureLatency returns the latency that a failed attempt counts as, scaled to a mean request, in seconds.
 func failureLatency(r *request, event AttemptEnded) float64 {
 	return max(event.Elapsed, r.class.LatencyObjective).Seconds() / r.class.relativeCost
 }
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// LearnedState is what a balancer has learned, for a new process of the same proxy to continue with. Its
-// times are on the monotonic clock that both processes share. The JSON keys are those of the first version,
-// as the old and the new process may be of different versions.
+// LearnedState is what a balancer has learned. A new process of the same proxy continues with it. Its times
+// are on the monotonic clock that both processes share. The JSON keys are those of the first version, as the
+// old and the new process may be of different versions.
 type LearnedState struct {
 	MeanLatency         float64           `json:"Mean"`    // s
 	BaseLatency         float64           `json:"Base"`    // s
@@ -119,9 +119,9 @@
 	return !slices.ContainsFunc(figures, func(f float64) bool { return !(f >= minimum) || f > math.MaxFloat32 })
 }
 
-// restore adopts what a previous process has learned. What concerns an endpoint waits until a list names the
-// endpoint. Budgets are handed over and not granted again: an upgrade allows no more attempts than one
-// process would have had.
+// restore adopts what a previous process has learned. It keeps the state of an endpoint until a list names
+// the endpoint. The budgets continue with the amounts that were left, so that the two processes of an upgrade
+// together make no more attempts than one process would.
 func (b *Balancer) restore(learned LearnedState) {
 	if !learned.plausible() {
 		return
@@ -172,8 +172,8 @@
 }
 
 // inherit gives a newly listed endpoint the state that the previous process of this proxy learned of it. The
-// work that the previous process has in flight there counts like that of another proxy, until it must have
-// ended.
+// work that the previous process has in flight there counts like work that another proxy has reported, and
+// lapses after the same time.
 func (b *Balancer) inherit(e *endpoint) {
 	learned, ok := b.inherited[e.ID]
 	if !ok || learned.StartedAt != e.StartedAt {
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -8,7 +8,7 @@
 type LimitCounts struct {
 	Requests        uint64
 	Rejected        uint64
-	Disagreements   uint64   // of a shadow table: requests on which the table in force decided otherwise
+	Disagreements   uint64   // of a shadow table: requests that the table in force decided differently
 	RejectedByLimit []uint64 // by index of the limit; the last element is for the degradation level
 }
 
@@ -20,12 +20,12 @@
 	shadowTable
 )
 
-// limiter is a table of limits with this proxy's tokens of it. A nil table admits every request.
+// limiter is a table of limits with this proxy's tokens of the table. A nil table admits every request.
 type limiter struct {
 	table          *ratelimit.Table
 	tokens         ratelimit.Tokens
 	counts         LimitCounts
-	classOfVariant map[string]string // class by the name of its variant; limits know only classes
+	classOfVariant map[string]string // class by the name of its variant; limits name only classes
 }
 
 // tableReservation is what an open request has reserved of a table's limits on concurrency.
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -16,11 +16,11 @@
 	return &fixedTokens{available: make([]float64, t.TokenSlots()), capacity: make([]float64, t.TokenSlots())}
 }
 
-func (f *fixedTokens) Available(i int) float64 { return f.available[i] }
-func (f *fixedTokens) Capacity(i int) float64  { return f.capacity[i] }
-func (f *fixedTokens) Take(i int, n float64)   { f.available[i] -= n }
-func (f *fixedTokens) Return(i int, n float64) { f.available[i] += n }
-func (f *fixedTokens) Rejected(int, float64)   {}
+func (f *fixedTokens) Available(slot int) float64      { return f.available[slot] }
+func (f *fixedTokens) Capacity(slot int) float64       { return f.capacity[slot] }
+func (f *fixedTokens) Take(slot int, amount float64)   { f.available[slot] -= amount }
+func (f *fixedTokens) Return(slot int, amount float64) { f.available[slot] += amount }
+func (f *fixedTokens) Rejected(int, float64)           {}
 
 // fleetTable returns a table with one limit, on all requests.
 func fleetTable(unit ratelimit.Unit) *ratelimit.Table {
@@ -72,14 +72,14 @@
 	out := sendRequests(proxy, 3, "view")
 	r, ok := out[2][0].(Reject)
 	if !ok || proxy.requests["2"] != nil || r.Status != 429 || r.RetryAfter < 5*time.Second || r.RetryAfter > 15*time.Second || tokens.available[0] != 0 {
-		t.Fatalf("%+v, %v tokens available", out, tokens.available)
+		t.Fatalf("actions %+v, want the third request rejected with status 429; %v tokens available, want none", out, tokens.available)
 	}
 	proxy.Handle(time.Hour+time.Second, DegradationChanged{Level: 1})
 	if out := proxy.Handle(time.Hour+time.Second, RequestArrived{ID: "x", Class: "report", Timeout: time.Second}); out[0].(Reject).Status != 503 {
-		t.Fatalf("%+v at level 1", out)
+		t.Fatalf("actions at level 1: %+v, want a rejection with status 503", out)
 	}
 	if inForce, shadow := proxy.LimitCounts(); inForce.Requests != 4 || !slices.Equal(inForce.RejectedByLimit, []uint64{1, 1}) || shadow.Requests != 0 {
-		t.Fatalf("%+v, %+v", inForce, shadow)
+		t.Fatalf("counts of the table in force %+v, of the shadow table %+v", inForce, shadow)
 	}
 	proxy.Handle(time.Hour+time.Second, TableChanged{})
 	proxy.Handle(time.Hour+time.Second, AttemptEnded{ID: "0", Endpoint: out[0][0].(StartAttempt).Endpoint, Outcome: OK, RequestAnswered: true})
@@ -96,9 +96,9 @@
 	proxy.Handle(0, TableChanged{Table: table, Tokens: tokens, Shadow: true})
 	got, want := sendRequests(proxy, 40, "view"), sendRequests(newLimitedBalancer(), 40, "view")
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Fatalf("%v\nwithout a table %v", got, want)
+		t.Fatalf("actions with a shadow table %v\nwithout a table %v", got, want)
 	}
 	if inForce, shadow := proxy.LimitCounts(); shadow.Requests != 40 || shadow.Rejected != 38 || shadow.Disagreements != 38 || inForce.Requests != 0 {
-		t.Fatalf("%+v, %+v", inForce, shadow)
+		t.Fatalf("counts of the table in force %+v, of the shadow table %+v", inForce, shadow)
 	}
 }
--- a/balancer/loadquery.go
+++ b/balancer/loadquery.go
@@ -13,15 +13,15 @@
 	maxLoadQueryPrice = 0.005
 	// loadQueryTimeout is a few round trips, well below any latency objective.
 	loadQueryTimeout = 5 * time.Millisecond
-	// maxLoadQueryRounds is the number of rounds, of up to two endpoints each, after which all endpoints count
-	// as full.
+	// maxLoadQueryRounds is the number of rounds, of up to two endpoints each, after which no further endpoint
+	// is queried and all count as full.
 	maxLoadQueryRounds = 3
 )
 
-// queryLoad queries two endpoints for their load and holds the request back until they have answered or
-// loadQueryTimeout has passed. It returns false and does nothing unless load reports come only by cheap
-// queries, and rounds and endpoints are left. Queries pay because with many proxies the count of one proxy, 0
-// or 1, says nothing about an endpoint's load.
+// queryLoad queries two endpoints for their load and delays the request until both have answered or
+// loadQueryTimeout has passed. It returns false and queries no endpoint if load queries are not used, if the
+// request has had maxLoadQueryRounds, or if no endpoint is available. Load queries are used because, with
+// many proxies, the count of one proxy is 0 or 1 and says nothing about an endpoint's load.
 func (b *Balancer) queryLoad(r *request) bool {
 	first, second, mode := b.drawTwo(r, r.class.placement.ring)
 	if !b.queriesLoad || r.loadQueryRounds >= maxLoadQueryRounds || mode == Blocking {
--- a/balancer/look_test.go
+++ b/balancer/loadquery_test.go
@@ -13,8 +13,8 @@
 		Classes: []Class{{Name: "page", PriorityWeight: 1, LatencyObjective: 500 * time.Millisecond, Deadline: time.Second, Idempotency: Idempotent}}}
 }
 
-func newLoadQueryingProxy(s Settings) *Balancer {
-	proxy := New(s, 3)
+func newLoadQueryingProxy(settings Settings) *Balancer {
+	proxy := New(settings, 3)
 	var list []Endpoint
 	for i := range 20 {
 		list = append(list, Endpoint{ID: EndpointID(i + 1), Zone: "z"})
@@ -26,8 +26,8 @@
 
 func queriedEndpoints(actions []Action) (ids []EndpointID) {
 	for _, a := range actions {
-		if p, ok := a.(QueryLoad); ok {
-			ids = append(ids, p.Endpoint)
+		if query, ok := a.(QueryLoad); ok {
+			ids = append(ids, query.Endpoint)
 		}
 	}
 	return ids
@@ -42,8 +42,8 @@
 	return ids
 }
 
-func newLoadReport(n, waiting float64) *LoadReport {
-	return &LoadReport{InFlight: n, HasInFlight: true, QueueLength: waiting, HasQueueLength: true}
+func newLoadReport(inFlight, queueLength float64) *LoadReport {
+	return &LoadReport{InFlight: inFlight, HasInFlight: true, QueueLength: queueLength, HasQueueLength: true}
 }
 
 // One of many proxies does not know what the others have sent: it queries two endpoints for their load and
@@ -53,7 +53,7 @@
 	out := proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
 	queried := queriedEndpoints(out)
 	if len(queried) != 2 || queried[0] == queried[1] || len(attemptedEndpoints(out)) > 0 {
-		t.Fatalf("%v", out)
+		t.Fatalf("actions %v, want load queries to two endpoints and no attempt", out)
 	}
 	if out = proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(2, 1)}); len(attemptedEndpoints(out)) > 0 {
 		t.Fatal("attempt before the second load report")
@@ -63,8 +63,8 @@
 	}
 }
 
-// An endpoint that hangs answers no load query: after loadQueryTimeout the request goes to the endpoint that
-// did.
+// An endpoint that hangs answers no load query: after loadQueryTimeout the request goes to the other
+// endpoint, which has answered.
 func TestLoadQueryTimeoutDispatchesToTheEndpointThatAnswered(t *testing.T) {
 	proxy := newLoadQueryingProxy(loadQuerySettings())
 	queried := queriedEndpoints(proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}))
@@ -74,32 +74,32 @@
 	}
 }
 
-// Two full endpoints may be chance: further endpoints are queried before the request is rejected, but not
-// forever.
+// That two endpoints are full may be chance: further endpoints are queried before the request is rejected,
+// but only for maxLoadQueryRounds.
 func TestFullEndpointsLeadToFurtherLoadQueryRounds(t *testing.T) {
 	proxy := newLoadQueryingProxy(loadQuerySettings())
 	out := proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})
 	for round := 1; round <= maxLoadQueryRounds; round++ {
 		queried := queriedEndpoints(out)
 		if len(queried) != 2 {
-			t.Fatalf("round %d: %v", round, out)
+			t.Fatalf("round %d: actions %v, want two load queries", round, out)
 		}
 		proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(30, 29)})
 		out = proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[1], LoadReport: newLoadReport(30, 29)})
 	}
 	if len(out) != 1 || out[0].(Reject).ID != "a" {
-		t.Errorf("after %d rounds: %v", maxLoadQueryRounds, out)
+		t.Errorf("actions after %d rounds: %v, want a rejection", maxLoadQueryRounds, out)
 	}
 }
 
 // Where load queries are expensive, the proxy uses its own counts. The answer of an endpoint that is no
 // longer listed must not add the endpoint again.
 func TestNoLoadQueriesWhereTheyAreExpensive(t *testing.T) {
-	s := loadQuerySettings()
-	s.Prices.LoadQuery = 0.01
-	proxy := newLoadQueryingProxy(s)
+	settings := loadQuerySettings()
+	settings.Prices.LoadQuery = 0.01
+	proxy := newLoadQueryingProxy(settings)
 	if out := proxy.Handle(time.Hour, RequestArrived{ID: "a", Class: "page", Timeout: time.Second}); len(queriedEndpoints(out)) > 0 || len(attemptedEndpoints(out)) != 1 {
-		t.Errorf("%v", out)
+		t.Errorf("actions %v, want one attempt and no load query", out)
 	}
 	proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: 999, LoadReport: newLoadReport(0, 0)})
 	if proxy.endpoints[999] != nil {
@@ -122,23 +122,23 @@
 	}
 }
 
-// Before a proxy has had responses, a limit on requests in flight must apply already: without it, a fully
-// loaded fleet is overloaded in its first seconds, while all proxies still learn.
+// A limit on requests in flight must apply before a proxy has had responses. Otherwise a fully loaded fleet
+// is overloaded in its first seconds, while all proxies still learn.
 func TestInFlightLimitAppliesBeforeFirstResponses(t *testing.T) {
 	proxy := newLoadQueryingProxy(loadQuerySettings())
 	proxy.serviceTime, proxy.responses = 0, 0
 	proxy.updateCandidates()
-	s := proxy.ring.endpoints[0]
-	if proxy.recordLoadReport(s, newLoadReport(1, 0)); proxy.updateMode(proxy.placements[0], s) != Normal {
+	ep := proxy.ring.endpoints[0]
+	if proxy.recordLoadReport(ep, newLoadReport(1, 0)); proxy.updateMode(proxy.placements[0], ep) != Normal {
 		t.Error("one request overloads an endpoint")
 	}
-	if proxy.recordLoadReport(s, newLoadReport(9, 8)); proxy.updateMode(proxy.placements[0], s) != Blocking {
+	if proxy.recordLoadReport(ep, newLoadReport(9, 8)); proxy.updateMode(proxy.placements[0], ep) != Blocking {
 		t.Error("nine requests at an unknown endpoint do not block it")
 	}
 }
 
-// A heavy request that would be late behind the work of two endpoints queries further ones, where a light
-// request is sent.
+// If a heavy request would be late behind the work of two endpoints, the proxy queries further endpoints. It
+// sends a light request to one of the two.
 func TestHeavyRequestQueriesFurtherEndpoints(t *testing.T) {
 	for hint, want := range map[time.Duration]int{20 * time.Millisecond: 1, 400 * time.Millisecond: 0} {
 		proxy := newLoadQueryingProxy(loadQuerySettings())
@@ -148,7 +148,7 @@
 		proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(1, 0)})
 		out := proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[1], LoadReport: newLoadReport(1, 0)})
 		if len(attemptedEndpoints(out)) != want || len(queriedEndpoints(out)) != 2*(1-want) {
-			t.Errorf("hint %v: %v", hint, out)
+			t.Errorf("work hint %v: actions %v, want an attempt for a short hint, load queries for a long one", hint, out)
 		}
 	}
 }
@@ -164,6 +164,6 @@
 	}
 	proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[0], LoadReport: newLoadReport(1, 0)})
 	if out := proxy.Handle(proxy.now, LoadQueryEnded{Endpoint: queried[1], LoadReport: newLoadReport(1, 0)}); len(queriedEndpoints(out)) != 2 {
-		t.Errorf("%v", out)
+		t.Errorf("actions %v, want two further load queries", out)
 	}
 }
--- a/balancer/lostattempts.go
+++ b/balancer/lostattempts.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// isLost reports whether an attempt is unlikely to be answered: it has taken overdueFactor times the latency
-// expected of its endpoint, and the endpoint has answered a later attempt or is ejected.
+// isLost reports whether an attempt is unlikely to be answered: it has taken longer than overdueFactor times
+// the latency expected of its endpoint, and the endpoint has answered a later attempt or is ejected.
 func (b *Balancer) isLost(a *attempt, r *request) bool {
 	if !b.hasEstimates || r.responseStarted || r.incomplete {
 		return false
@@ -17,9 +17,9 @@
 	return (b.now - a.sentAt).Seconds() > overdueFactor*expected
 }
 
-// dropLostAttempts takes lost attempts out of the in-flight counts of their endpoints, as they say nothing
-// about load. It also cancels a lost attempt, which leads to a retry, if the settings and the retry budget
-// allow it and a retry at an endpoint in normal mode could still meet the latency objective.
+// dropLostAttempts takes lost attempts out of the in-flight counts of their endpoints, as lost attempts say
+// nothing about load. It also cancels a lost attempt, which leads to a retry, if the settings and the retry
+// budget allow it and a retry at an endpoint in normal mode could still meet the latency objective.
 func (b *Balancer) dropLostAttempts(r *request) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -3,8 +3,8 @@
 import "maps"
 
 // setMaintenance starts or ends the maintenance of an endpoint by order of an operator, whatever the endpoint
-// list says. An endpoint is restarted during maintenance: afterwards nothing that was learned of it counts,
-// and it begins a slow start.
+// list says. The endpoint is restarted during maintenance. When maintenance ends, what was learned of its
+// failures and latency is therefore dropped, and it begins a slow start.
 func (b *Balancer) setMaintenance(event Maintenance) {
 	if event.On != b.maintenance[event.Endpoint] {
 		if e := b.endpoints[event.Endpoint]; e != nil {
@@ -31,8 +31,9 @@
 	b.beginSlowStart(e, b.now)
 }
 
-// rememberEndOfMaintenance stores the time for the duration of a slow start. Endpoints that are not listed,
-// or that leave the subset and return, need it.
+// rememberEndOfMaintenance stores when the maintenance of an endpoint ended, and drops the times that are
+// longer ago than a slow start takes. An endpoint that is not listed at that time, or that leaves the subset
+// and returns, begins its slow start from the stored time.
 func (b *Balancer) rememberEndOfMaintenance(id EndpointID) {
 	maps.DeleteFunc(b.maintenanceEnded, func(_ EndpointID, endedAt Time) bool {
 		return b.now-endedAt > b.settings.SlowStartDuration
--- a/balancer/pool_test.go
+++ b/balancer/many_proxies_test.go
@@ -23,19 +23,19 @@
 // Endpoints accept few connections: each of many proxies uses a subset of them, and all endpoints are used by
 // about the same number of proxies.
 func TestSubsetsSpreadProxiesEvenlyOverEndpoints(t *testing.T) {
-	const nodes, servers = 360, 60
+	const proxies, endpoints = 360, 60
 	count := map[EndpointID]int{}
-	for proxyIndex := range nodes {
-		proxy := newProxyOfMany(proxyIndex, nodes, servers)
+	for proxyIndex := range proxies {
+		proxy := newProxyOfMany(proxyIndex, proxies, endpoints)
 		if len(proxy.placements[0].candidates) != 5 {
 			t.Fatalf("proxy %d uses %d endpoints, want %v", proxyIndex, len(proxy.placements[0].candidates), 5)
 		}
-		for _, s := range proxy.placements[0].candidates {
-			count[s.ID]++
+		for _, ep := range proxy.placements[0].candidates {
+			count[ep.ID]++
 		}
 	}
-	want := nodes * 5 / servers
-	for id := range servers {
+	want := proxies * 5 / endpoints
+	for id := range endpoints {
 		if n := count[EndpointID(id+1)]; n < want-3 || n > want+3 {
 			t.Errorf("endpoint %d is used by %d proxies, want about %d", id+1, n, want)
 		}
@@ -51,13 +51,13 @@
 	for proxyIndex := range 50 {
 		proxy := newProxyOfMany(proxyIndex, 360, 60)
 		before := map[EndpointID]bool{}
-		for _, s := range proxy.placements[0].candidates {
-			before[s.ID] = true
+		for _, ep := range proxy.placements[0].candidates {
+			before[ep.ID] = true
 		}
 		proxy.Handle(time.Hour, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 7, State: Removed}}})
 		changed := 0
-		for _, s := range proxy.placements[0].candidates {
-			if !before[s.ID] {
+		for _, ep := range proxy.placements[0].candidates {
+			if !before[ep.ID] {
 				changed++
 			}
 		}
@@ -77,9 +77,9 @@
 func newPooledProxy(t *testing.T) *Balancer {
 	proxy := newProxyOfMany(1, 360, 60)
 	proxy.hasEstimates, proxy.meanLatency, proxy.baseLatency, proxy.tightestObjective, proxy.meanRate, proxy.peakRate = true, 0.1, 0.1, 1, 0.5, 0.5
-	for _, s := range proxy.placements[0].candidates {
-		s.responseRate, s.responseRateAt, s.observedSince = 0.5, proxy.now, proxy.now-time.Hour
-		s.inFlightLimit = proxy.computeInFlightLimit(s)
+	for _, ep := range proxy.placements[0].candidates {
+		ep.responseRate, ep.responseRateAt, ep.observedSince = 0.5, proxy.now, proxy.now-time.Hour
+		ep.inFlightLimit = proxy.computeInFlightLimit(ep)
 	}
 	if proxy.updatePooledMode(proxy.placements[0]); !proxy.placements[0].usesPooledMode {
 		t.Fatalf("in-flight limit %v, but no pooled mode", proxy.computeInFlightLimit(proxy.placements[0].candidates[0]))
@@ -87,13 +87,13 @@
 	return proxy
 }
 
-// A proxy with few requests at each endpoint must not shed because some coincide by chance, but must if they
-// persist: counts are added up and smoothed.
+// A proxy with few requests at each endpoint must not shed because some of them coincide by chance. It must
+// shed if their number stays high. The counts are therefore added up and smoothed.
 func TestPooledModeUsesSmoothedSums(t *testing.T) {
 	proxy := newPooledProxy(t)
 	limit := 0.0
-	for _, s := range proxy.placements[0].candidates {
-		limit += proxy.computeInFlightLimit(s)
+	for _, ep := range proxy.placements[0].candidates {
+		limit += proxy.computeInFlightLimit(ep)
 	}
 	proxy.placements[0].candidates[0].inFlight = 1
 	if proxy.updatePooledMode(proxy.placements[0]); proxy.placements[0].mode != Normal || proxy.updateMode(proxy.placements[0], proxy.placements[0].candidates[0]) != Normal {
@@ -104,22 +104,22 @@
 		t.Errorf("four requests at once at a common limit of %.2f: normal mode", limit)
 	}
 	proxy = newPooledProxy(t)
-	for _, s := range proxy.placements[0].candidates {
-		s.inFlight = 0.25 // 1.5 in total
+	for _, ep := range proxy.placements[0].candidates {
+		ep.inFlight = 0.25 // 1.5 in total
 	}
 	proxy.placements[0].smoothedInFlight = 0
 	for range 200 {
 		proxy.now += tickInterval
-		for _, s := range proxy.placements[0].candidates {
-			s.responseRateAt = proxy.now
+		for _, ep := range proxy.placements[0].candidates {
+			ep.responseRateAt = proxy.now
 		}
 		proxy.updatePooledMode(proxy.placements[0])
 	}
 	if proxy.placements[0].mode != Overloaded {
 		t.Errorf("1.5 requests for 5 s: mode %v", proxy.placements[0].mode)
 	}
-	for _, s := range proxy.placements[0].candidates {
-		s.inFlight = 0
+	for _, ep := range proxy.placements[0].candidates {
+		ep.inFlight = 0
 	}
 	for range 500 {
 		proxy.now += tickInterval
@@ -143,29 +143,29 @@
 }
 
 // If each of thirty proxies could send one request to an endpoint that has just started, the burst would
-// overload it. Also after an hour without attempts, the tokens that the proxies have saved must stay within
-// the budget in total.
+// overload it. After an hour without attempts, the sum of the tokens that the proxies have saved must still
+// stay within the budget.
 func TestSlowStartTokensOfManyProxiesStayWithinTheBudget(t *testing.T) {
-	sends, saved, budget := 0, 0.0, 0.0
+	initialAttempts, savedTokens, budget := 0, 0.0, 0.0
 	for proxyIndex := range 36 {
 		proxy := newProxyOfMany(proxyIndex, 360, 60)
 		proxy.hasEstimates, proxy.meanLatency, proxy.meanRate, proxy.peakRate, proxy.baseLatency, proxy.tightestObjective = true, 0.1, 0.5, 0.5, 0.1, 1
-		s := proxy.endpointFor(1)
-		s.inBaseSubset = true
-		proxy.beginSlowStart(s, proxy.now)
-		if !proxy.limitedBySlowStart(s) {
-			sends++
+		ep := proxy.endpointFor(1)
+		ep.inBaseSubset = true
+		proxy.beginSlowStart(ep, proxy.now)
+		if !proxy.limitedBySlowStart(ep) {
+			initialAttempts++
 		}
 		budget += proxy.settings.SlowStartInitial * proxy.meanRate * proxy.settings.OverloadFactor * proxy.settings.OverloadDuration.Seconds()
-		if s.slowStartTokensAt -= time.Hour; !proxy.limitedBySlowStart(s) {
-			saved += math.Floor(s.slowStartTokens)
+		if ep.slowStartTokensAt -= time.Hour; !proxy.limitedBySlowStart(ep) {
+			savedTokens += math.Floor(ep.slowStartTokens)
 		}
 	}
-	if sends > 4 {
-		t.Errorf("%d of 36 proxies may send to an endpoint at the moment of its start", sends)
+	if initialAttempts > 4 {
+		t.Errorf("%d of 36 proxies may send to an endpoint at the moment of its start", initialAttempts)
 	}
-	if saved < 1 || saved > 0.6*budget {
-		t.Errorf("36 proxies saved %v attempts, where the rule allows %.1f in the overload duration", saved, budget)
+	if savedTokens < 1 || savedTokens > 0.6*budget {
+		t.Errorf("36 proxies saved %v attempts, of %.1f that the settings allow in the overload duration", savedTokens, budget)
 	}
 }
 
@@ -173,8 +173,8 @@
 // and costs a connection.
 func TestRecoveryProbesAreFew(t *testing.T) {
 	proxy := newProxyOfMany(1, 360, 60)
-	for _, s := range proxy.ring.endpoints[:20] {
-		proxy.eject(s, "test")
+	for _, ep := range proxy.ring.endpoints[:20] {
+		proxy.eject(ep, "test")
 	}
 	probes := 0
 	for i := range 400 {
@@ -194,62 +194,63 @@
 func TestRoundingOfLimitsChangesOverTime(t *testing.T) {
 	proxy := newProxyOfMany(0, 5, 15)
 	proxy.hasEstimates, proxy.meanLatency, proxy.baseLatency, proxy.tightestObjective, proxy.meanRate, proxy.peakRate = true, 0.1, 0.1, 1, 1.5, 1.5
-	for _, s := range proxy.ring.endpoints {
-		open := 0
+	for _, ep := range proxy.ring.endpoints {
+		normalCount := 0
 		for range 200 {
 			proxy.now += sheddingPeriod
 			proxy.periodStart = proxy.now
-			proxy.placements[0].usesPooledMode, s.localMode, s.responseRate, s.responseRateAt, s.observedSince = false, Normal, 1.5, proxy.now, proxy.now-time.Hour
-			if s.inFlightLimit = proxy.computeInFlightLimit(s); proxy.updateMode(proxy.placements[0], s) == Normal {
-				open++
+			proxy.placements[0].usesPooledMode, ep.localMode, ep.responseRate, ep.responseRateAt, ep.observedSince = false, Normal, 1.5, proxy.now, proxy.now-time.Hour
+			if ep.inFlightLimit = proxy.computeInFlightLimit(ep); proxy.updateMode(proxy.placements[0], ep) == Normal {
+				normalCount++
 			}
 		}
-		limit := proxy.computeInFlightLimit(s)
-		if fraction := float64(open) / 200; limit >= 1 || fraction < limit-0.1 || fraction > limit+0.1 {
-			t.Errorf("endpoint %d is in normal mode %.2f of the time at a limit of %.2f", s.ID, fraction, limit)
+		limit := proxy.computeInFlightLimit(ep)
+		if fraction := float64(normalCount) / 200; limit >= 1 || fraction < limit-0.1 || fraction > limit+0.1 {
+			t.Errorf("endpoint %d is in normal mode %.2f of the time at a limit of %.2f", ep.ID, fraction, limit)
 		}
 	}
 }
 
-// Guards against overloading an endpoint that has just restarted when most endpoints are ejected (dropped
-// idle connections, slow handshakes): the candidates of every proxy then extend to the few that are not, and
-// the sum of all proxies' attempts made such an endpoint fail.
+// Guards against overloading an endpoint that has just restarted when most endpoints are ejected (after
+// dropped idle connections or slow handshakes). The candidates of every proxy then include the few endpoints
+// that are not ejected, and the sum of all proxies' attempts made such an endpoint fail.
 func TestSlowStartingEndpointIsUsedOnlyInBaseSubsets(t *testing.T) {
-	const nodes = 360
+	const proxies = 360
 	senders := 0
-	for proxyIndex := range nodes {
-		proxy := newProxyOfMany(proxyIndex, nodes, 60)
-		for _, s := range proxy.ring.endpoints {
-			if s.ID != 1 {
-				proxy.eject(s, "test")
+	for proxyIndex := range proxies {
+		proxy := newProxyOfMany(proxyIndex, proxies, 60)
+		for _, ep := range proxy.ring.endpoints {
+			if ep.ID != 1 {
+				proxy.eject(ep, "test")
 			}
 		}
 		proxy.Handle(proxy.now, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 1, Zone: "z", StartedAt: proxy.now}}})
-		s := proxy.endpoints[1]
-		if s.slowStartTokens = 1; !proxy.limitedBySlowStart(s) {
+		ep := proxy.endpoints[1]
+		if ep.slowStartTokens = 1; !proxy.limitedBySlowStart(ep) {
 			senders++
 		}
 	}
 	if senders < 20 || senders > 40 {
-		t.Errorf("%d of %d proxies may send to an endpoint that has just started, want about 30", senders, nodes)
+		t.Errorf("%d of %d proxies may send to an endpoint that has just started, want about 30", senders, proxies)
 	}
 }
 
-// A proxy must get enough responses of an endpoint to know it: its observations are valid for about the time
-// in which a fault does harm. Yet an endpoint must have several proxies, so that their traffic evens out.
+// A proxy must get enough responses from an endpoint to estimate its latency: its observations are valid for
+// about the time in which a fault does harm. On the other hand, several proxies must use an endpoint, so that
+// their traffic evens out.
 func TestProxySeesEnoughResponsesOfItsEndpoints(t *testing.T) {
-	const nodes, servers, rate = 80, 60, 20.0 // requests per second of a proxy
+	const proxies, endpoints, rate = 80, 60, 20.0 // requests per second of a proxy
 	count := map[EndpointID]int{}
-	for proxyIndex := range nodes {
-		proxy := newProxyOfMany(proxyIndex, nodes, servers)
-		for _, s := range proxy.placements[0].candidates {
-			count[s.ID]++
+	for proxyIndex := range proxies {
+		proxy := newProxyOfMany(proxyIndex, proxies, endpoints)
+		for _, ep := range proxy.placements[0].candidates {
+			count[ep.ID]++
 		}
-		if seen := rate * observationDecay / proxy.placements[0].subsetSize; seen < 10 {
-			t.Fatalf("proxy %d sees %.1f responses of an endpoint within observationDecay, want 10", proxyIndex, seen)
+		if responses := rate * observationDecay / proxy.placements[0].subsetSize; responses < 10 {
+			t.Fatalf("proxy %d sees %.1f responses of an endpoint within observationDecay, want 10", proxyIndex, responses)
 		}
 	}
-	for id := range servers {
+	for id := range endpoints {
 		if n := count[EndpointID(id+1)]; n < 5 {
 			t.Errorf("%d proxies use endpoint %d, want 5 or more", n, id+1)
 		}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// ejectAfterFailures is the number of refused connections, or of attempts without any answer, that eject an
-	// endpoint. Fewer may be chance.
+	// ejectAfterFailures is the number of refused connections, or of attempts without any answer, after which an
+	// endpoint is ejected. Fewer may be chance.
 	ejectAfterFailures = 3
-	// ejectFailureRate is the smoothed fraction of an endpoint's attempts that fail from which on it is ejected.
+	// ejectFailureRate is the failure rate, a smoothed fraction of an endpoint's attempts, from which on the
+	// endpoint is ejected.
 	ejectFailureRate = 0.5
-	// failureSmoothing is the weight of one outcome in that fraction.
+	// failureSmoothing is the weight of one outcome in the failure rate.
 	failureSmoothing = 0.05
 )
 
-// recordOutcome updates an endpoint's latency estimate and its outlier state by the outcome of an attempt.
+// recordOutcome updates an endpoint's latency estimate and its outlier state with the outcome of an attempt.
 func (b *Balancer) recordOutcome(e *endpoint, r *request, event AttemptEnded) {
 	switch event.Outcome {
 	case Cancelled, NotSent: // they say nothing about the endpoint
@@ -33,8 +34,9 @@
 	}
 }
 
-// recordSuccess records a response. An ejected endpoint that responds is no longer ejected; if a recovery
-// probe finds that it may have restarted unannounced, it begins a slow start.
+// recordSuccess records a response. An endpoint that was ejected is no longer ejected. If the response is
+// that of a recovery probe and the endpoint may have restarted (see maybeRestarted), the endpoint begins a
+// slow start.
 func (b *Balancer) recordSuccess(e *endpoint, r *request, event AttemptEnded) {
 	e.countResponse(b.now)
 	e.unansweredSends = 0
@@ -53,10 +55,11 @@
 	b.logEndpoint(e, fmt.Sprintf("answers again; slow start: %v", e.slowStarting))
 }
 
-// recordFailure records a failed attempt or load query. At an endpoint that fails a fraction of its requests,
-// a few failures in a row are chance; to keep the endpoint is better than to have one endpoint less. An
-// endpoint that refuses connections has no process, and is ejected after ejectAfterFailures refusals or
-// fewer. An endpoint whose connections are only established late is found to be unresponsive instead.
+// recordFailure records a failed attempt or load query. An endpoint whose failure rate is below
+// ejectFailureRate is kept: several failures in a row are then chance, and ejecting it would leave one
+// endpoint less. An endpoint that refuses connections has no process. It is ejected after ejectAfterFailures
+// refusals or fewer, as each counts twice. An endpoint at which connections are established too late is
+// ejected by ejectUnresponsive instead.
 func (b *Balancer) recordFailure(e *endpoint, outcome Outcome) {
 	refused := outcome == ConnectFailed
 	e.failureRate += failureSmoothing * (1 - e.failureRate)
@@ -71,7 +74,7 @@
 }
 
 // eject stops all attempts at an endpoint except recovery probes.
-func (b *Balancer) eject(e *endpoint, why string) {
+func (b *Balancer) eject(e *endpoint, reason string) {
 	if e.ejected {
 		return
 	}
@@ -80,7 +83,7 @@
 	e.probeBackoff = minProbeBackoff
 	e.nextProbeAt = b.now + b.jitter(minProbeBackoff)
 	b.ejected.insert(e)
-	b.logEndpoint(e, fmt.Sprintf("ejected: %s; recovery probes only", why))
+	b.logEndpoint(e, fmt.Sprintf("ejected: %s; recovery probes only", reason))
 }
 
 // ejectUnresponsive ejects endpoints that have left several attempts unanswered for overdueFactor times the
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -11,15 +11,15 @@
 	// recoveryFactor is the fraction of the in-flight limit below which an endpoint returns to normal mode. The
 	// gap to the limit is the hysteresis.
 	recoveryFactor = 0.5
-	// blockFactor is the multiple of the limit from which on an endpoint blocks. The capacity between the two is
-	// for bursts of priority requests.
+	// blockFactor is the multiple of the limit from which on an endpoint blocks. The capacity between the limit
+	// and that multiple is for bursts of priority requests.
 	blockFactor = 3.0
 	// maxPooledLimit is the mean in-flight limit below which the candidates of a placement get a common mode.
 	maxPooledLimit = 0.33
-	// poolWindowResponses is the number of responses in the time over which the common count is smoothed.
+	// The common count is smoothed over the time in which poolWindowResponses responses arrive.
 	poolWindowResponses = 10.0
 	// poolNoiseFactor, times the square root of the common limit, is how far the count may exceed the limit for
-	// a moment.
+	// a moment without leading to another mode.
 	poolNoiseFactor = 3.0
 	// pooledCountScale multiplies the common count and limits, so that the margins of 1 in NextMode become
 	// small.
@@ -39,7 +39,7 @@
 	Normal Mode = iota
 	// Overloaded endpoints get requests only if no endpoint is normal, and some of these are shed.
 	Overloaded
-	// Blocking endpoints get nothing.
+	// Blocking endpoints get no requests.
 	Blocking
 )
 
@@ -66,7 +66,7 @@
 // updateMode updates the mode of an endpoint of a placement and returns it, or the imposed mode if that is
 // higher.
 func (b *Balancer) updateMode(p *placement, e *endpoint) Mode {
-	if e.inFlightLimit == 0 { // it is no candidate, but an attempt may use it like one
+	if e.inFlightLimit == 0 { // the endpoint is no candidate, but may get an attempt
 		e.inFlightLimit = b.computeInFlightLimit(e)
 	}
 	switch {
@@ -85,9 +85,9 @@
 	return e.mode
 }
 
-// updateLocalMode determines the mode of an endpoint by its own count. The limit is rounded up or down in a
-// random phase, which moves with each shedding period: if all proxies rounded up at once, they would overload
-// the endpoint together.
+// updateLocalMode determines the mode of an endpoint by its own count. The limit is rounded up or down by a
+// phase that is random for each endpoint and moves with each shedding period: if all proxies rounded up at
+// once, they would overload the endpoint together.
 func (b *Balancer) updateLocalMode(e *endpoint) {
 	phase := math.Mod(e.roundingPhase+b.periodStart.Seconds()*math.Phi, 1)
 	limit := math.Floor(e.inFlightLimit + phase)
@@ -97,8 +97,8 @@
 }
 
 // updatePooledMode determines a common mode of a placement's candidates by the sums of their counts and
-// limits. It is used if the limits are so low that a candidate may have less than one request of this proxy.
-// The sum is smoothed, as the few requests of one proxy come and go by chance.
+// limits. The common mode is used if the limits are so low that a candidate may have less than one request of
+// this proxy. The sum of the counts is smoothed, as the few requests of one proxy come and go by chance.
 func (b *Balancer) updatePooledMode(p *placement) {
 	var inFlight, limit float64
 	for _, e := range p.candidates {
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -6,8 +6,8 @@
 	"sort"
 )
 
-// peersOf returns the indexes of the other proxies that use an endpoint; for an endpoint that has left the
-// list, those that used it last. They are determined at the first call after a change.
+// peersOf returns the indexes of the other proxies that use an endpoint. For an endpoint that has left the
+// list, these are the proxies that used it last. The indexes are determined at the first call after a change.
 func (b *Balancer) peersOf(e *endpoint) []int {
 	index, listed := b.ring.find(e.ringPosition)
 	if e.peersVersion == b.ringVersion || !listed || b.ring.endpoints[index] != e {
@@ -34,10 +34,11 @@
 	return e.peers
 }
 
-// proxiesReaching returns the proxies that use an endpoint of a placement, which is given by its index in the
-// placement's ring and in the ring of all endpoints. These are the proxies whose subsets start at the
-// endpoint or before it, at a distance of less than a subset's size. If this proxy knows only a subset of the
-// list, which starts too close to the endpoint, the part before it is assumed to be as dense as the subset.
+// proxiesReaching returns the proxies that use an endpoint of a placement. The endpoint is given by its index
+// in the placement's ring and its index in the ring of all endpoints. The proxies are those whose subsets
+// start at the endpoint or before it, at a distance of less than a subset's size. If this proxy knows only a
+// subset of the list, and that subset starts too close to the endpoint, the part of the ring before the
+// subset is assumed to be as dense as the subset.
 func (b *Balancer) proxiesReaching(p *placement, indexInPlacement, index int) []int {
 	if p.subsetSize >= b.placementSize(p) {
 		return b.proxiesByStart
@@ -61,9 +62,9 @@
 	return b.proxiesStartingBetween(b.subsetStart-distance, position)
 }
 
-// proxiesStartingBetween returns the proxies whose subsets start after one place and not after another.
-// Places are indexes in the ring of all endpoints or, if this proxy knows only a subset of the list, ring
-// positions.
+// proxiesStartingBetween returns the proxies whose subsets start after one place on the ring and not after
+// another. A place is an index in the ring of all endpoints or, if this proxy knows only a subset of the
+// list, a ring position.
 func (b *Balancer) proxiesStartingBetween(after, upTo uint64) []int {
 	startsAfter := func(place uint64) int {
 		return sort.Search(len(b.proxiesByStart), func(i int) bool {
--- a/balancer/pickendpoint.go
+++ b/balancer/pickendpoint.go
@@ -2,8 +2,8 @@
 
 // pickEndpoint picks the endpoint for the next attempt by the power of two choices: it draws two endpoints in
 // normal mode or, if there is none, in overloaded mode, and returns the one with the lower expected delay.
-// Where load queries are used, it draws from the endpoints that have answered. The mode is Blocking if no
-// endpoint is available.
+// Where load queries are used, it draws from the endpoints that have answered them. The mode is Blocking if
+// no endpoint is available.
 func (b *Balancer) pickEndpoint(r *request) (*endpoint, Mode) {
 	from := r.class.placement.ring
 	if b.queriesLoad {
@@ -16,8 +16,8 @@
 	return best, mode
 }
 
-// drawTwo draws two of the endpoints that may get a request, of those in normal mode or, if there is none, of
-// those in overloaded mode. If there is only one, it is returned twice.
+// drawTwo draws two of the endpoints that may get a request: two in normal mode or, if there is none, two in
+// overloaded mode. If there is only one, it is returned twice.
 func (b *Balancer) drawTwo(r *request, from ring) (first, second *endpoint, mode Mode) {
 	var byMode [Blocking][]*endpoint
 	p := r.class.placement
@@ -59,8 +59,8 @@
 }
 
 // expectedDelay estimates the delay of a request at an endpoint from the work in flight there, the request's
-// own work and the endpoint's latency. Where load queries are used, the endpoint's own count replaces the
-// work. The result is only comparable between endpoints.
+// own work and the endpoint's latency. Where load queries are used, the number of requests that the endpoint
+// reported replaces the work in flight. The result can only be compared between endpoints.
 func (b *Balancer) expectedDelay(r *request, e *endpoint) float64 {
 	if b.queriesLoad {
 		return (e.inFlight + 1) * b.expectedLatency(e)
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// placement is a rule on which endpoints requests may use, shared by the classes that have this rule.
+// placement is a rule that says which endpoints a request may use. All classes with the same rule share it.
 // In-flight limits and shedding are applied to the endpoints of one placement together.
 type placement struct {
 	zones        []string    // zones whose endpoints may be used; nil: all, empty: none
 	machineTypes []string    // machine types whose endpoints may be used; nil: all, empty: none
 	ring         ring        // the allowed endpoints, starting at this proxy's origin
 	subsetSize   float64     // number of the allowed endpoints that this proxy uses
-	candidates   []*endpoint // the first subsetSize of them that are ready, not ejected and not in maintenance
+	candidates   []*endpoint // the first subsetSize endpoints of ring that are available, see updateCandidates
 
-	maxPriorityWeight float64 // the highest of its classes
+	maxPriorityWeight float64 // the highest weight of its classes
 
 	pooledOverload
 	sheddingState
@@ -30,8 +30,8 @@
 	overloadFraction float64 // position of the sum between the limit (0) and the blocking threshold (1)
 }
 
-// sheddingState counts what the drop probabilities of the next shedding period are computed from, and holds
-// the drop probabilities of the present period.
+// sheddingState holds the drop probabilities of the present shedding period, and the counts from which those
+// of the next period are computed.
 type sheddingState struct {
 	overloadedAt     Time    // when a request last found no candidate in normal mode
 	priorityArrivals float64 // in the present period
@@ -42,7 +42,7 @@
 	otherDrop        float64 // probability that a request without priority is shed
 }
 
-// class is a request class and what was learned of it.
+// class is a request class and what was learned of its requests.
 type class struct {
 	Class
 	placement    *placement
--- a/balancer/recoveryprobe.go
+++ b/balancer/recoveryprobe.go
@@ -11,14 +11,15 @@
 	minProbeBackoff = 500 * time.Millisecond
 	// maxProbeBackoff is the longest mean wait between recovery probes, well below the duration of faults.
 	maxProbeBackoff = 4 * time.Second
-	// maxIdleWithoutProbe is the longest time without an attempt where no warm endpoint is left.
+	// maxIdleWithoutProbe is the longest time without an attempt while no warm endpoint is available.
 	maxIdleWithoutProbe = 3 * time.Second
 )
 
 // sendRecoveryProbe uses a request that may be repeated to test an ejected endpoint whose probe is due, and
-// reports whether it did. The timeout leaves time for a retry. Where no warm endpoint is left, neither the
-// probe budget nor an endpoint's backoff may leave the proxy idle: the endpoint that has waited longest is
-// then tested within maxIdleWithoutProbe of the last attempt, or up to a third sooner by chance.
+// reports whether it did. The timeout leaves time for a retry. If no endpoint is warm, neither the probe
+// budget nor backoffs may stop this proxy from sending: after a time without an attempt, which is drawn
+// between two thirds of maxIdleWithoutProbe and all of it, it tests the endpoint whose probe has been due
+// longest.
 func (b *Balancer) sendRecoveryProbe(r *request) bool {
 	isWarm := func(e *endpoint) bool { return !e.slowStarting && !e.ejected }
 	hasWarm := slices.ContainsFunc(r.class.placement.candidates, isWarm)
--- a/balancer/idle_test.go
+++ b/balancer/recoveryprobe_test.go
@@ -11,9 +11,9 @@
 // newRigWithFailingEndpoints returns the rig of a proxy after ten seconds of traffic. From then on all
 // endpoints fail with the outcome, and sent is called with the time of each attempt since then.
 func newRigWithFailingEndpoints(t *testing.T, proxies, proxyIndex, endpoints int, rate float64, class string, outcome balancer.Outcome, sent func(at time.Duration)) *rig {
-	s := rigSettings()
-	s.Proxies, s.ProxyIndex = proxies, proxyIndex
-	r := newRig(t, s, endpoints)
+	settings := rigSettings()
+	settings.Proxies, settings.ProxyIndex = proxies, proxyIndex
+	r := newRig(t, settings, endpoints)
 	r.run(10*time.Second, rate, class)
 	start := r.now
 	r.delay = func(balancer.EndpointID) (time.Duration, balancer.Outcome) {
@@ -30,16 +30,16 @@
 // with the next request that may be repeated. It never uses a request that must not run twice.
 func TestProxyWithoutWarmEndpointsKeepsProbing(t *testing.T) {
 	for _, endpoints := range []int{1, 2, 10, 40} {
-		for outcome, name := range map[balancer.Outcome]string{balancer.ConnectFailed: "refusing", balancer.TimedOut: "silent"} {
+		for outcome, name := range map[balancer.Outcome]string{balancer.ConnectFailed: "refused", balancer.TimedOut: "unanswered"} {
 			for _, rate := range []float64{4, 10, 40} {
-				t.Run(fmt.Sprint(endpoints, " servers, ", name, ", ", rate, " requests a second"), func(t *testing.T) {
+				t.Run(fmt.Sprint(endpoints, " endpoints, attempts ", name, ", ", rate, " requests per second"), func(t *testing.T) {
 					for proxyIndex := range 3 {
-						last, longest := time.Duration(0), time.Duration(0)
-						r := newRigWithFailingEndpoints(t, 3, proxyIndex, endpoints, rate, "cheap", outcome, func(at time.Duration) { last, longest = at, max(longest, at-last) })
-						r.run(time.Minute, rate, "cheap")
-						longest = max(longest, time.Minute-last)
-						if limit := 3*time.Second + time.Duration(float64(time.Second)/rate) + 10*time.Millisecond; longest > limit {
-							t.Errorf("%v without an attempt, want at most %v", longest, limit)
+						lastAttempt, longestPause := time.Duration(0), time.Duration(0)
+						r := newRigWithFailingEndpoints(t, 3, proxyIndex, endpoints, rate, "low", outcome, func(at time.Duration) { lastAttempt, longestPause = at, max(longestPause, at-lastAttempt) })
+						r.run(time.Minute, rate, "low")
+						longestPause = max(longestPause, time.Minute-lastAttempt)
+						if limit := 3*time.Second + time.Duration(float64(time.Second)/rate) + 10*time.Millisecond; longestPause > limit {
+							t.Errorf("%v without an attempt, want at most %v", longestPause, limit)
 						}
 					}
 				})
@@ -47,27 +47,27 @@
 		}
 	}
 	attempts := 0
-	r := newRigWithFailingEndpoints(t, 1, 0, 2, 40, "once", balancer.ConnectFailed, func(time.Duration) { attempts++ })
-	r.run(10*time.Second, 40, "once")
-	before := attempts
-	if r.run(time.Minute, 40, "once"); attempts != before {
-		t.Errorf("%d recovery probes of requests that must not run twice", attempts-before)
+	r := newRigWithFailingEndpoints(t, 1, 0, 2, 40, "nonidempotent", balancer.ConnectFailed, func(time.Duration) { attempts++ })
+	r.run(10*time.Second, 40, "nonidempotent")
+	attemptsBefore := attempts
+	if r.run(time.Minute, 40, "nonidempotent"); attempts != attemptsBefore {
+		t.Errorf("%d recovery probes of requests that must not run twice", attempts-attemptsBefore)
 	}
-	if r.run(10*time.Millisecond, 100, "cheap"); attempts == before {
+	if r.run(10*time.Millisecond, 100, "low"); attempts == attemptsBefore {
 		t.Error("no recovery probe with the first request that may be repeated")
 	}
 }
 
-// Proxies that have lost all endpoints at the same time do not cause a thundering herd: each makes two
-// attempts in 5 s, and the attempts spread.
+// Proxies that have lost all endpoints at the same time do not all probe at the same time: each makes
+// two attempts in 5 s, and the attempts are spread.
 func TestProxiesWithoutWarmEndpointsSpreadTheirProbes(t *testing.T) {
 	for _, proxies := range []int{30, 300} {
-		seconds, total := map[time.Duration]int{}, 0
+		attemptsBySecond, total := map[time.Duration]int{}, 0
 		for proxyIndex := range proxies {
-			r := newRigWithFailingEndpoints(t, proxies, proxyIndex, 2, 4, "cheap", balancer.ConnectFailed, func(at time.Duration) { seconds[at/time.Second]++ })
-			r.run(time.Minute, 4, "cheap")
+			r := newRigWithFailingEndpoints(t, proxies, proxyIndex, 2, 4, "low", balancer.ConnectFailed, func(at time.Duration) { attemptsBySecond[at/time.Second]++ })
+			r.run(time.Minute, 4, "low")
 		}
-		for second, n := range seconds {
+		for second, n := range attemptsBySecond {
 			if second >= 20 {
 				total += n
 				if float64(n) > 0.8*float64(proxies) {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -11,7 +11,7 @@
 	class        *class
 	arrived      Time
 	deadline     Time
-	waitedBefore time.Duration // in previous tries of its client, as estimated from the class's deadline
+	waitedBefore time.Duration // by the client in its previous tries, estimated from the class's deadline
 	relativeWork float64       // expected work, as a multiple of its class's mean
 	priority     bool          // it is shed only after requests without priority
 
@@ -43,6 +43,6 @@
 	queuedAhead float64 // requests that its endpoint was known to have at its start
 	work        float64 // expected work, in mean requests
 	ended       bool
-	mayHaveRun  bool // it is in flight, or ended without proof that the endpoint did not run it
+	mayHaveRun  bool // it has not ended, or ended without proof that the endpoint did not run it
 	uncounted   bool // it is not, or no longer, included in its endpoint's in-flight count
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -8,7 +8,7 @@
 
 const (
 	// maxRequestReadTime bounds the time in which an incomplete request arrives. The caller enforces a minimum
-	// speed.
+	// transfer speed.
 	maxRequestReadTime = time.Hour
 	// retryAfterFraction is the fraction of the latency objective that a rejection recommends as Retry-After,
 	// before jitter.
@@ -49,7 +49,7 @@
 		r.incomplete = true
 		r.deadline = b.now + maxRequestReadTime
 	}
-	if e.ClientRetry { // its client has waited for the rest of the class's deadline at most
+	if e.ClientRetry { // its previous tries took at most the class's deadline without this timeout
 		r.waitedBefore = max(0, c.Deadline-e.Timeout)
 	}
 	if e.HasWorkHint && e.WorkHint > 0 {
@@ -61,7 +61,7 @@
 	return r
 }
 
-// requestSent starts the time of a request that was incomplete, and that of its attempt, as the endpoint
+// requestSent starts the time of a request that was incomplete, and the time of its attempt, as the endpoint
 // starts to work on it now.
 func (b *Balancer) requestSent(r *request, timeout time.Duration) {
 	if r == nil || r.answered || !r.incomplete {
@@ -79,8 +79,8 @@
 	}
 }
 
-// dispatch starts the first attempt or a retry of a request, possibly after load queries. If no attempt can
-// be started and none is in flight, it gives the request up.
+// dispatch starts the first attempt or a retry of a request, possibly after load queries. If it can't start
+// an attempt and none is in flight, it gives the request up.
 func (b *Balancer) dispatch(r *request) {
 	e, mode := b.pickEndpoint(r)
 	if r.awaitingLoad || mode != Normal && b.queryLoad(r) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// refillBudgets adds what a new request allows to the retry budget and to the budget of recovery probes.
+// refillBudgets adds the retries and the recovery probes that a new request allows to their budgets.
 func (b *Balancer) refillBudgets() {
 	b.retryBudget = math.Min(maxRetryBudget, b.retryBudget+retryBudgetRatio)
 	b.probeBudget = math.Min(1, b.probeBudget+retryBudgetRatio/2)
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -10,13 +10,13 @@
 	maxRetryBudget = 10.0
 )
 
-// budgets bound the attempts in addition to one for each request.
+// budgets bound the retries of requests that may have run, and the recovery probes.
 type budgets struct {
 	retryBudget   float64 // retries that are allowed for requests that may have run
 	probeBudget   float64 // recovery probes that are allowed
 	lastAttemptAt Time    // when the last attempt of any kind started
-	// idleProbeWait is the time after lastAttemptAt at which an ejected endpoint is tested where no warm one is
-	// left.
+	// idleProbeWait is the time without an attempt after which an ejected endpoint is tested if no endpoint is
+	// warm.
 	idleProbeWait time.Duration
 }
 
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -15,9 +15,9 @@
 	balancer *balancer.Balancer
 	now      time.Duration
 	// delay returns the latency and the outcome of an attempt at an endpoint.
-	delay        func(s balancer.EndpointID) (time.Duration, balancer.Outcome)
+	delay        func(id balancer.EndpointID) (time.Duration, balancer.Outcome)
 	dueEvents    []rigEvent
-	sent         map[balancer.EndpointID]int            // attempts by endpoint
+	sent         map[balancer.EndpointID]int            // attempts by endpoint, since the last reset
 	lastAnswer   map[balancer.RequestID]balancer.Action // Reject or Fail by request
 	attempts     map[balancer.RequestID]int             // attempts by request
 	answered     map[balancer.RequestID]bool
@@ -28,7 +28,7 @@
 	inTime       map[string]int                         // requests answered within 600 ms, by class
 	arrivedAt    map[balancer.RequestID]time.Duration
 	rejected, failed,
-	polls, nextID, logLines int // number of Log actions
+	polls, nextID, logLines int // polls counts Subscribe actions, logLines counts Log actions
 }
 
 type rigEvent struct {
@@ -41,13 +41,13 @@
 		ConnectTimeout: 100 * time.Millisecond, SlowStartInitial: 0.3, SlowStartDuration: 8 * time.Second, OverloadFactor: 2.5,
 		OverloadDuration: time.Second, SendRetryAfter: true, MaxRetryAfter: time.Second,
 		Classes: []balancer.Class{
-			{Name: "dear", PriorityWeight: 12, LatencyObjective: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Idempotency: balancer.Idempotent},
-			{Name: "cheap", PriorityWeight: 1, LatencyObjective: 1500 * time.Millisecond, Deadline: 4 * time.Second, Idempotency: balancer.Idempotent},
-			{Name: "once", PriorityWeight: 1, LatencyObjective: 1500 * time.Millisecond, Deadline: 2 * time.Second, Idempotency: balancer.NotIdempotent}}}
+			{Name: "high", PriorityWeight: 12, LatencyObjective: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Idempotency: balancer.Idempotent},
+			{Name: "low", PriorityWeight: 1, LatencyObjective: 1500 * time.Millisecond, Deadline: 4 * time.Second, Idempotency: balancer.Idempotent},
+			{Name: "nonidempotent", PriorityWeight: 1, LatencyObjective: 1500 * time.Millisecond, Deadline: 2 * time.Second, Idempotency: balancer.NotIdempotent}}}
 }
 
-func newRig(t *testing.T, s balancer.Settings, endpoints int) *rig {
-	r := &rig{t: t, balancer: balancer.New(s, 5+7*int64(s.ProxyIndex)), now: time.Hour, sent: map[balancer.EndpointID]int{}, answered: map[balancer.RequestID]bool{},
+func newRig(t *testing.T, settings balancer.Settings, endpoints int) *rig {
+	r := &rig{t: t, balancer: balancer.New(settings, 5+7*int64(settings.ProxyIndex)), now: time.Hour, sent: map[balancer.EndpointID]int{}, answered: map[balancer.RequestID]bool{},
 		lastAnswer: map[balancer.RequestID]balancer.Action{}, attempts: map[balancer.RequestID]int{}, timeout: 2 * time.Second,
 		inTime: map[string]int{}, arrivedAt: map[balancer.RequestID]time.Duration{}}
 	r.extraLatency = func(balancer.RequestID) time.Duration { return 0 }
@@ -62,6 +62,7 @@
 	return r
 }
 
+// feed passes an event to the balancer and carries out the actions.
 func (r *rig) feed(e balancer.Event) {
 	for _, a := range r.balancer.Handle(r.now, e) {
 		switch a := a.(type) {
@@ -69,22 +70,22 @@
 			r.sent[a.Endpoint]++
 			attempt := r.attempts[a.ID]
 			r.attempts[a.ID]++
-			d, outcome := r.delay(a.Endpoint)
-			d += r.extraLatency(a.ID)
-			if d > a.Timeout {
-				d, outcome = a.Timeout, balancer.TimedOut
+			latency, outcome := r.delay(a.Endpoint)
+			latency += r.extraLatency(a.ID)
+			if latency > a.Timeout {
+				latency, outcome = a.Timeout, balancer.TimedOut
 			}
-			r.dueEvents = append(r.dueEvents, rigEvent{r.now + d, balancer.AttemptEnded{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Outcome: outcome, Elapsed: d}})
+			r.dueEvents = append(r.dueEvents, rigEvent{r.now + latency, balancer.AttemptEnded{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Outcome: outcome, Elapsed: latency}})
 		case balancer.CancelAttempt:
 			r.dueEvents = append(r.dueEvents, rigEvent{r.now + time.Millisecond, balancer.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: balancer.Cancelled}})
 		case balancer.Reject:
 			r.rejected++
 			r.answered[a.ID], r.lastAnswer[a.ID] = true, a
 			r.retryAfters = append(r.retryAfters, a.RetryAfter)
-			class, try, _ := strings.Cut(string(a.ID), "/")
-			if remaining := r.timeout - (r.now + a.RetryAfter - r.arrivedAt[balancer.RequestID(class)]); len(try) < r.retries && remaining > 0 {
-				id := balancer.RequestID(class + "/" + try + "x")
-				r.dueEvents = append(r.dueEvents, rigEvent{r.now + a.RetryAfter, balancer.RequestArrived{ID: id, Class: strings.TrimRight(class,
+			firstTry, triesSuffix, _ := strings.Cut(string(a.ID), "/")
+			if remaining := r.timeout - (r.now + a.RetryAfter - r.arrivedAt[balancer.RequestID(firstTry)]); len(triesSuffix) < r.retries && remaining > 0 {
+				id := balancer.RequestID(firstTry + "/" + triesSuffix + "x")
+				r.dueEvents = append(r.dueEvents, rigEvent{r.now + a.RetryAfter, balancer.RequestArrived{ID: id, Class: strings.TrimRight(firstTry,
 					"0123456789"), Timeout: remaining}})
 			}
 		case balancer.Fail:
@@ -106,25 +107,25 @@
 	arrived := 0.0
 	for end := r.now + length; r.now < end; r.now += 5 * time.Millisecond {
 		var later, due []rigEvent
-		for _, d := range r.dueEvents {
-			if d.at <= r.now {
-				due = append(due, d)
+		for _, event := range r.dueEvents {
+			if event.at <= r.now {
+				due = append(due, event)
 			} else {
-				later = append(later, d)
+				later = append(later, event)
 			}
 		}
 		r.dueEvents = later
-		for _, d := range due {
-			if e, ok := d.event.(balancer.AttemptEnded); ok {
+		for _, event := range due {
+			if e, ok := event.event.(balancer.AttemptEnded); ok {
 				e.RequestAnswered = r.answered[e.ID] || e.Outcome == balancer.OK
-				first, _, _ := strings.Cut(string(e.ID), "/")
-				if e.Outcome == balancer.OK && !r.answered[e.ID] && r.now-r.arrivedAt[balancer.RequestID(first)] < 600*time.Millisecond {
-					r.inTime[strings.TrimRight(first, "0123456789")]++
+				firstTry, _, _ := strings.Cut(string(e.ID), "/")
+				if e.Outcome == balancer.OK && !r.answered[e.ID] && r.now-r.arrivedAt[balancer.RequestID(firstTry)] < 600*time.Millisecond {
+					r.inTime[strings.TrimRight(firstTry, "0123456789")]++
 				}
 				r.answered[e.ID] = e.RequestAnswered
-				d.event = e
+				event.event = e
 			}
-			r.feed(d.event)
+			r.feed(event.event)
 		}
 		for arrived += rate * 0.005; arrived >= 1; arrived-- {
 			r.nextID++
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -8,8 +8,8 @@
 	"wrenspread/internal/splitmix"
 )
 
-// ring is a set of endpoints in the order of their ring positions, iterated from a start on. An update costs
-// as much as the changed endpoints, and the moving of pointers.
+// ring is a set of endpoints in the order of their ring positions, iterated from a start on. The cost of an
+// update grows with the number of changed endpoints; the others are only moved within the slice.
 type ring struct {
 	endpoints []*endpoint
 	first     int // index of the endpoint at the start
@@ -84,8 +84,9 @@
 	r.mergeTail(retained, added)
 }
 
-// mergeTail merges added endpoints, whose space is at the end of the ring, into the first retained ones. It
-// proceeds from the last position backwards, so that each endpoint moves once.
+// mergeTail merges the added endpoints, for which there is space at the end of the ring, into the retained
+// ones, which are at its beginning. It proceeds from the last position backwards, so that each endpoint moves
+// once.
 func (r *ring) mergeTail(retained int, added []*endpoint) {
 	end := retained
 	for n := len(added) - 1; n >= 0; n-- {
@@ -96,7 +97,7 @@
 	}
 }
 
-// startIndex is the index, on a ring of so many endpoints, at which a proxy's subset starts.
+// startIndex is the index at which a proxy's subset starts on a ring with the given number of endpoints.
 func startIndex(proxy, endpoints int) int { return int(float64(endpoints) * startFraction(proxy)) }
 
 // startPosition is the ring position at which a proxy's subset starts, for proxies that know only a subset of
--- a/balancer/ring_test.go
+++ b/balancer/ring_test.go
@@ -10,8 +10,7 @@
 )
 
 // expectedRings is the expected result of updateRings, selectSubsets and updatePeers. It is computed from all
-// endpoints: sorted, rotated, filtered, and walked proxy by proxy. An endpoint that has left the list keeps
-// its last peers.
+// endpoints, separately for each proxy. An endpoint that has left the list keeps its last peers.
 type expectedRings struct {
 	all                []*endpoint
 	byPlacement        [][]*endpoint
@@ -24,60 +23,60 @@
 	everListed         []*endpoint
 }
 
-func (p *expectedRings) compute(proxy *Balancer) {
+func (expected *expectedRings) compute(proxy *Balancer) {
 	var sorted []*endpoint
-	for _, s := range proxy.endpoints {
-		sorted = append(sorted, s)
+	for _, ep := range proxy.endpoints {
+		sorted = append(sorted, ep)
 	}
 	slices.SortFunc(sorted, func(a, b *endpoint) int { return cmp.Compare(a.ringPosition, b.ringPosition) })
 	start := startIndex(proxy.settings.ProxyIndex, len(sorted))
-	p.all = append(append([]*endpoint{}, sorted[start:]...), sorted[:start]...)
-	p.byPlacement, p.candidates, p.subsetSizes, p.proxiesPerEndpoint, p.inBaseSubset, p.gossips = nil, nil, nil, 0, map[*endpoint]bool{}, false
+	expected.all = append(append([]*endpoint{}, sorted[start:]...), sorted[:start]...)
+	expected.byPlacement, expected.candidates, expected.subsetSizes, expected.proxiesPerEndpoint, expected.inBaseSubset, expected.gossips = nil, nil, nil, 0, map[*endpoint]bool{}, false
 	perEndpoint := proxiesPerLearnedEndpoint
 	if proxy.queriesLoad {
 		perEndpoint = proxiesPerQueriedEndpoint
 	}
-	for _, g := range proxy.placements {
-		allowed := slices.DeleteFunc(slices.Clone(p.all), func(s *endpoint) bool { return !g.allows(s) })
+	for _, p := range proxy.placements {
+		allowed := slices.DeleteFunc(slices.Clone(expected.all), func(ep *endpoint) bool { return !p.allows(ep) })
 		size := float64(len(allowed))
 		subsetSize := min(size, max(minSubsetSize, ceil(perEndpoint*size/float64(proxy.settings.Proxies))))
-		for _, s := range allowed[:int(subsetSize)] {
-			p.inBaseSubset[s] = true
+		for _, ep := range allowed[:int(subsetSize)] {
+			expected.inBaseSubset[ep] = true
 		}
-		candidates := slices.DeleteFunc(slices.Clone(allowed), func(s *endpoint) bool { return s.ejected || s.inMaintenance || s.State != Ready })
-		p.proxiesPerEndpoint += float64(proxy.settings.Proxies) * subsetSize / max(1, size)
-		p.byPlacement, p.candidates, p.subsetSizes = append(p.byPlacement, allowed), append(p.candidates, candidates[:min(len(candidates), int(subsetSize))]), append(p.subsetSizes, subsetSize)
-	}
-	p.proxiesPerEndpoint = max(1, p.proxiesPerEndpoint)
-	for _, s := range sorted {
-		if _, ok := p.peers[s]; !ok {
-			p.everListed = append(p.everListed, s)
+		candidates := slices.DeleteFunc(slices.Clone(allowed), func(ep *endpoint) bool { return ep.ejected || ep.inMaintenance || ep.State != Ready })
+		expected.proxiesPerEndpoint += float64(proxy.settings.Proxies) * subsetSize / max(1, size)
+		expected.byPlacement, expected.candidates, expected.subsetSizes = append(expected.byPlacement, allowed), append(expected.candidates, candidates[:min(len(candidates), int(subsetSize))]), append(expected.subsetSizes, subsetSize)
+	}
+	expected.proxiesPerEndpoint = max(1, expected.proxiesPerEndpoint)
+	for _, ep := range sorted {
+		if _, ok := expected.peers[ep]; !ok {
+			expected.everListed = append(expected.everListed, ep)
 		}
-		p.peers[s] = nil
+		expected.peers[ep] = nil
 	}
-	if !proxy.settings.AllowGossip || proxy.queriesLoad || proxy.settings.Proxies < 2 || len(sorted) == 0 || p.proxiesPerEndpoint > maxGossipPeers {
+	if !proxy.settings.AllowGossip || proxy.queriesLoad || proxy.settings.Proxies < 2 || len(sorted) == 0 || expected.proxiesPerEndpoint > maxGossipPeers {
 		return
 	}
 	pairs := 0.0
-	for i, g := range proxy.placements {
+	for i, p := range proxy.placements {
 		for proxyIndex := range proxy.settings.Proxies {
 			if proxyIndex == proxy.settings.ProxyIndex {
 				continue
 			}
-			for at, remaining := startIndex(proxyIndex, len(sorted)), int(p.subsetSizes[i]); remaining > 0; at++ {
-				s := sorted[at%len(sorted)]
-				if !g.allows(s) {
+			for at, remaining := startIndex(proxyIndex, len(sorted)), int(expected.subsetSizes[i]); remaining > 0; at++ {
+				ep := sorted[at%len(sorted)]
+				if !p.allows(ep) {
 					continue
 				}
 				remaining--
-				if w := p.peers[s]; len(w) == 0 || w[len(w)-1] != proxyIndex {
-					p.peers[s] = append(w, proxyIndex)
+				if peers := expected.peers[ep]; len(peers) == 0 || peers[len(peers)-1] != proxyIndex {
+					expected.peers[ep] = append(peers, proxyIndex)
 					pairs++
 				}
 			}
 		}
 	}
-	p.gossips = proxy.settings.Prices.Message*((2*loadMessageSize+1)*pairs/float64(len(sorted)))/256 <= maxGossipPrice
+	expected.gossips = proxy.settings.Prices.Message*((2*loadMessageSize+1)*pairs/float64(len(sorted)))/256 <= maxGossipPrice
 }
 
 func ceil(f float64) float64 {
@@ -88,43 +87,43 @@
 }
 
 // endpointsFromStart returns the endpoints of a ring that satisfy a condition, from its start on.
-func endpointsFromStart(r ring, of func(*endpoint) bool) (out []*endpoint) {
+func endpointsFromStart(r ring, condition func(*endpoint) bool) (endpoints []*endpoint) {
 	for i := range r.endpoints {
-		if s := r.at(i); of(s) {
-			out = append(out, s)
+		if ep := r.at(i); condition(ep) {
+			endpoints = append(endpoints, ep)
 		}
 	}
-	return out
+	return endpoints
 }
 
-func (p *expectedRings) check(proxy *Balancer, checkPeers bool) error {
-	every := func(*endpoint) bool { return true }
-	if got := endpointsFromStart(proxy.ring, every); !slices.Equal(got, p.all) {
-		return fmt.Errorf("%d endpoints, want %d, or in another order", len(got), len(p.all))
+func (expected *expectedRings) check(proxy *Balancer, checkPeers bool) error {
+	always := func(*endpoint) bool { return true }
+	if got := endpointsFromStart(proxy.ring, always); !slices.Equal(got, expected.all) {
+		return fmt.Errorf("%d endpoints, want %d, or in another order", len(got), len(expected.all))
 	}
-	for i, g := range proxy.placements {
-		if got := endpointsFromStart(g.ring, every); !slices.Equal(got, p.byPlacement[i]) || g.subsetSize != p.subsetSizes[i] || !slices.Equal(g.candidates, p.candidates[i]) {
+	for i, p := range proxy.placements {
+		if got := endpointsFromStart(p.ring, always); !slices.Equal(got, expected.byPlacement[i]) || p.subsetSize != expected.subsetSizes[i] || !slices.Equal(p.candidates, expected.candidates[i]) {
 			return fmt.Errorf("placement %d: %d endpoints, want %d; subset size %v, want %v; %d candidates, want %d; or in another order", i,
-				len(got), len(p.byPlacement[i]), g.subsetSize, p.subsetSizes[i], len(g.candidates), len(p.candidates[i]))
+				len(got), len(expected.byPlacement[i]), p.subsetSize, expected.subsetSizes[i], len(p.candidates), len(expected.candidates[i]))
 		}
 	}
-	if proxy.proxiesPerEndpoint != p.proxiesPerEndpoint || proxy.gossips != p.gossips {
-		return fmt.Errorf("proxies per endpoint %v, want %v; gossips: %v, want %v", proxy.proxiesPerEndpoint, p.proxiesPerEndpoint, proxy.gossips, p.gossips)
+	if proxy.proxiesPerEndpoint != expected.proxiesPerEndpoint || proxy.gossips != expected.gossips {
+		return fmt.Errorf("proxies per endpoint %v, want %v; gossips: %v, want %v", proxy.proxiesPerEndpoint, expected.proxiesPerEndpoint, proxy.gossips, expected.gossips)
 	}
-	for s, want := range p.peers {
-		if s.inBaseSubset != p.inBaseSubset[s] {
-			return fmt.Errorf("endpoint %d: in base subset %v, want %v", s.ID, s.inBaseSubset, p.inBaseSubset[s])
+	for ep, want := range expected.peers {
+		if ep.inBaseSubset != expected.inBaseSubset[ep] {
+			return fmt.Errorf("endpoint %d: in base subset %v, want %v", ep.ID, ep.inBaseSubset, expected.inBaseSubset[ep])
 		}
-		if !checkPeers { // so that endpoints can leave before their peers have been determined
+		if !checkPeers { // so that some endpoints leave before their peers have been determined
 			continue
 		}
-		if got := proxy.peersOf(s); !slices.Equal(got, want) {
-			return fmt.Errorf("endpoint %d is shared with %v, want %v", s.ID, got, want)
+		if got := proxy.peersOf(ep); !slices.Equal(got, want) {
+			return fmt.Errorf("endpoint %d is shared with %v, want %v", ep.ID, got, want)
 		}
 	}
 	ejected := 0
-	for _, s := range p.all {
-		if s.ejected || s.inMaintenance {
+	for _, ep := range expected.all {
+		if ep.ejected || ep.inMaintenance {
 			ejected++
 		}
 	}
@@ -132,11 +131,11 @@
 		return fmt.Errorf("%d endpoints count as ejected, want %d", n, ejected)
 	}
 	for name, kind := range map[string]struct {
-		set ring
-		of  func(*endpoint) bool
-	}{"ejected endpoints": {proxy.ejected, func(s *endpoint) bool { return s.ejected }}, "unresponsive endpoints": {proxy.unresponsive, (*endpoint).isUnresponsive}} {
+		set       ring
+		condition func(*endpoint) bool
+	}{"ejected endpoints": {proxy.ejected, func(ep *endpoint) bool { return ep.ejected }}, "unresponsive endpoints": {proxy.unresponsive, (*endpoint).isUnresponsive}} {
 		kind.set.rotateTo(proxy.origin)
-		if got, want := endpointsFromStart(kind.set, kind.of), slices.DeleteFunc(slices.Clone(p.all), func(s *endpoint) bool { return !kind.of(s) }); !slices.Equal(got, want) {
+		if got, want := endpointsFromStart(kind.set, kind.condition), slices.DeleteFunc(slices.Clone(expected.all), func(ep *endpoint) bool { return !kind.condition(ep) }); !slices.Equal(got, want) {
 			return fmt.Errorf("%d %s, want %d, or in another order", len(got), name, len(want))
 		}
 	}
@@ -161,22 +160,22 @@
 }
 
 func drawList(r *rand.Rand, now Time, endpoints int) EndpointsUpdated {
-	u := EndpointsUpdated{Kind: UpdateIncremental}
+	update := EndpointsUpdated{Kind: UpdateIncremental}
 	n := 1 + r.Intn(3)
 	if r.Intn(5) == 0 {
-		u.Kind, n = []UpdateKind{UpdateComplete, UpdateCached, UpdateIncremental}[r.Intn(3)], r.Intn(endpoints)
+		update.Kind, n = []UpdateKind{UpdateComplete, UpdateCached, UpdateIncremental}[r.Intn(3)], r.Intn(endpoints)
 	}
 	for range n {
 		e := Endpoint{ID: EndpointID(1 + r.Intn(endpoints)), Zone: fmt.Sprint("z", r.Intn(3)), MachineType: fmt.Sprint("k", r.Intn(2))}
-		if e.State = EndpointState(r.Intn(3)); u.Kind != UpdateIncremental || r.Intn(2) == 0 {
+		if e.State = EndpointState(r.Intn(3)); update.Kind != UpdateIncremental || r.Intn(2) == 0 {
 			e.State = Ready
 		}
 		if r.Intn(6) == 0 {
 			e.StartedAt = now
 		}
-		u.Endpoints = append(u.Endpoints, e)
+		update.Endpoints = append(update.Endpoints, e)
 	}
-	return u
+	return update
 }
 
 // The rings and subsets that are updated change by change must equal those that are computed from all
@@ -203,24 +202,24 @@
 				proxy.Handle(now, Maintenance{Endpoint: EndpointID(1 + r.Intn(endpoints)), On: r.Intn(2) == 0})
 			case action == 6 && len(proxy.endpoints) > 0:
 				proxy.Handle(now+time.Second, TimerFired{})
-			case action == 7: // the list is, or claims to be, a subset for a while; this must leave no trace
+			case action == 7: // the list counts as a subset for a while; this must have no later effect
 				proxy.Handle(now, EndpointsUpdated{Kind: UpdateIncremental, TotalEndpoints: r.Intn(2000) - 5, SubsetStart: r.Uint64()})
-				for _, s := range proxy.ring.endpoints {
-					if n := len(proxy.peersOf(s)); n > proxy.settings.Proxies*len(proxy.placements) || proxy.proxiesPerEndpoint < 1 {
+				for _, ep := range proxy.ring.endpoints {
+					if n := len(proxy.peersOf(ep)); n > proxy.settings.Proxies*len(proxy.placements) || proxy.proxiesPerEndpoint < 1 {
 						t.Fatalf("seed %d, step %d: shared with %d proxies, proxies per endpoint %v", seed, step, n, proxy.proxiesPerEndpoint)
 					}
 				}
 				proxy.Handle(now, EndpointsUpdated{Kind: UpdateIncremental})
 			default: // attempts in flight can eject and count endpoints that have left the list
-				for _, s := range expected.everListed {
+				for _, ep := range expected.everListed {
 					switch change = "attempts"; {
 					case r.Intn(3) > 0:
 					case r.Intn(2) == 0:
-						proxy.eject(s, "test")
+						proxy.eject(ep, "test")
 					case r.Intn(2) == 0:
-						s.ejected, s.unansweredSends = false, 0
+						ep.ejected, ep.unansweredSends = false, 0
 					default:
-						proxy.addInFlight(&attempt{endpoint: s})
+						proxy.addInFlight(&attempt{endpoint: ep})
 					}
 				}
 			}
@@ -233,17 +232,17 @@
 	}
 }
 
-// A change of one endpoint must not determine the peers of all others, also where messages are nearly too
-// expensive.
-func TestListChangeDeterminesNoPeers(t *testing.T) {
+// A change of one endpoint must not lead to the computation of the peers of all others, also where messages
+// are nearly too expensive.
+func TestListChangeDoesNotComputePeersOfOtherEndpoints(t *testing.T) {
 	proxy := newProxyOfMany(0, 430, 200)
 	proxy.settings.AllowGossip = true
 	pairs := float64(proxy.settings.Proxies) * proxy.placements[0].subsetSize
 	proxy.settings.Prices.Message = maxGossipPrice * 256 * 200 / ((2*loadMessageSize + 1) * (pairs - 100))
 	proxy.Handle(proxy.now, EndpointsUpdated{Kind: UpdateIncremental, Endpoints: []Endpoint{{ID: 7, Zone: "z", State: Draining}}})
-	for _, s := range proxy.ring.endpoints {
-		if proxy.tracksPeers && s.peersVersion == proxy.ringVersion {
-			t.Fatalf("the peers of endpoint %d have been determined", s.ID)
+	for _, ep := range proxy.ring.endpoints {
+		if proxy.tracksPeers && ep.peersVersion == proxy.ringVersion {
+			t.Fatalf("the peers of endpoint %d have been determined", ep.ID)
 		}
 	}
 	if !proxy.tracksPeers {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -9,11 +9,11 @@
 	"wrenspread/balancer"
 )
 
-// arrivalsPerSecond is the rate of requests in a world.
+// arrivalsPerSecond is the rate of requests in a simulated environment.
 const arrivalsPerSecond = 60
 
-// playWorld runs a world for some time. mutate may change the balancer's actions.
-func playWorld(seed int64, length time.Duration, mutate func(*world, []balancer.Action) []balancer.Action) *world {
+// simulateWorld runs a simulated environment for some time. mutate may change the balancer's actions.
+func simulateWorld(seed int64, length time.Duration, mutate func(*world, []balancer.Action) []balancer.Action) *world {
 	w := newWorld(seed)
 	w.capacity, w.mutate = arrivalsPerSecond/3, mutate
 	w.run(length, arrivalsPerSecond, true)
@@ -21,10 +21,10 @@
 	return w
 }
 
-// The balancer keeps the rules under arbitrary legal sequences of events and settings.
-func TestRulesUnderRandomEvents(t *testing.T) {
+// The balancer follows the rules under arbitrary legal sequences of events and settings.
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		w := playWorld(seed, 15*time.Second, nil)
+		w := simulateWorld(seed, 15*time.Second, nil)
 		if len(w.violations) > 0 {
 			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 		}
@@ -36,29 +36,29 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if w := playWorld(seed, 5*time.Second, nil); len(w.violations) > 0 {
+		if w := simulateWorld(seed, 5*time.Second, nil); len(w.violations) > 0 {
 			t.Fatal(w.violations[0])
 		}
 	})
 }
 
 // Equal seeds and events must lead to equal actions.
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsLeadToSameActions(t *testing.T) {
 	w := newWorld(7)
 	w.run(10*time.Second, arrivalsPerSecond, false)
-	again := newWorld(7)
-	again.run(10*time.Second, arrivalsPerSecond, false)
-	if len(w.actions) < 500 || len(w.actions) != len(again.actions) {
-		t.Fatalf("%d and %d steps", len(w.actions), len(again.actions))
+	repeated := newWorld(7)
+	repeated.run(10*time.Second, arrivalsPerSecond, false)
+	if len(w.actions) < 500 || len(w.actions) != len(repeated.actions) {
+		t.Fatalf("%d and %d steps", len(w.actions), len(repeated.actions))
 	}
 	for i := range w.actions {
-		if w.actions[i] != again.actions[i] {
-			t.Fatalf("step %d: %s, then %s", i, w.actions[i], again.actions[i])
+		if w.actions[i] != repeated.actions[i] {
+			t.Fatalf("step %d: %s, then %s", i, w.actions[i], repeated.actions[i])
 		}
 	}
 }
 
-// Changes the balancer's actions in each way that the rules forbid.
+// The checker reports each kind of violation, when the balancer's actions are changed accordingly.
 func TestCheckerCatchesEachRuleViolation(t *testing.T) {
 	mapActions := func(change func(*world, balancer.Action) []balancer.Action) func(*world, []balancer.Action) []balancer.Action {
 		return func(w *world, in []balancer.Action) (out []balancer.Action) {
@@ -68,14 +68,14 @@
 			return out
 		}
 	}
-	toOtherEndpoint := func(w *world, s balancer.StartAttempt) balancer.StartAttempt {
+	toOtherEndpoint := func(w *world, attempt balancer.StartAttempt) balancer.StartAttempt {
 		for _, id := range w.endpointIDs {
-			if l := w.endpoints[id]; id != s.Endpoint && l.drainListedAt == 0 {
-				s.Endpoint = id
-				return s
+			if endpoint := w.endpoints[id]; id != attempt.Endpoint && endpoint.drainListedAt == 0 {
+				attempt.Endpoint = id
+				return attempt
 			}
 		}
-		return s
+		return attempt
 	}
 	for _, c := range []struct {
 		want   string
@@ -101,7 +101,7 @@
 			}
 			return []balancer.Action{a}
 		}},
-		{"drains or is gone", func(w *world, a balancer.Action) []balancer.Action {
+		{"drains or is removed", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
 				for _, id := range w.endpointIDs {
 					if w.endpoints[id].drainListedAt > 0 {
@@ -151,7 +151,7 @@
 		{"its budget is", func(w *world, a balancer.Action) []balancer.Action {
 			if s, ok := a.(balancer.StartAttempt); ok {
 				for _, id := range w.endpointIDs {
-					if l := w.endpoints[id]; l.startListed && l.drainListedAt == 0 && w.now-l.StartedAt < 2*time.Second {
+					if endpoint := w.endpoints[id]; endpoint.startListed && endpoint.drainListedAt == 0 && w.now-endpoint.StartedAt < 2*time.Second {
 						s.Endpoint = id
 					}
 				}
@@ -187,7 +187,7 @@
 	} {
 		found := false
 		for seed := int64(1); seed <= 25 && !found; seed++ {
-			w := playWorld(seed, 10*time.Second, mapActions(c.change))
+			w := simulateWorld(seed, 10*time.Second, mapActions(c.change))
 			found = strings.Contains(fmt.Sprint(w.violations), c.want)
 		}
 		if !found {
--- a/balancer/sendrules.go
+++ b/balancer/sendrules.go
@@ -13,13 +13,13 @@
 	concurrentAttempt            // two attempts are in flight, or one and hedging is not allowed
 	endpointTried                // an earlier attempt of the request was at this endpoint
 	mayRunTwice                  // the request is not idempotent, and an earlier attempt may have run
-	dedupWindowOver              // endpoints may have forgotten the idempotency key
+	dedupWindowOver              // endpoints may have dropped the idempotency key
 	outsideDedupScope            // the endpoint does not share the knowledge of the idempotency key
 )
 
 // canSend returns the first rule that forbids an attempt of a request at an endpoint, or sendAllowed. Every
-// attempt has to pass it. The guarantee that a request which is not idempotent never runs twice depends on
-// canSend and on Outcome.provesNotRun.
+// attempt is checked by canSend. The guarantee that a request which is not idempotent never runs twice
+// depends on canSend and on Outcome.provesNotRun.
 func (b *Balancer) canSend(r *request, e *endpoint) sendRule {
 	switch {
 	case r.answered, r.responseStarted, b.now >= r.deadline:
@@ -73,8 +73,8 @@
 	return true
 }
 
-// dedupUntil is the time at which endpoints may forget the idempotency key of a request that may have run, or
-// forever if no endpoint has to remember it.
+// dedupUntil is the time at which endpoints may drop the idempotency key of a request that may have run, or
+// forever if no endpoint has to store it.
 func (r *request) dedupUntil() Time {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.mayHaveRun && r.class.Idempotency == IdempotentByKey {
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -37,7 +37,7 @@
 	if ids := attemptedEndpoints(out); len(ids) == 1 {
 		return ids[0]
 	}
-	t.Fatalf("request %s: %v", e.ID, out)
+	t.Fatalf("actions for request %s: %v, want one attempt", e.ID, out)
 	return 0
 }
 
@@ -45,26 +45,26 @@
 // the new ones. What was learned is retained.
 func TestOpenRequestsKeepTheirClassAfterSettingsChange(t *testing.T) {
 	proxy := newLearnedProxy(t)
-	mean, count := proxy.meanLatency, proxy.classes["a"].responses
+	meanBefore, responsesBefore := proxy.meanLatency, proxy.classes["a"].responses
 	before := startRequest(t, proxy, RequestArrived{ID: "before", Class: "a", Timeout: time.Second})
-	s := newSettings(Class{Name: "a", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: NotIdempotent},
+	settings := newSettings(Class{Name: "a", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: NotIdempotent},
 		Class{Name: "b", PriorityWeight: 5, LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: IdempotentByKey, DedupScope: DedupInCell})
-	s.MaxAttempts = 5
-	proxy.Handle(proxy.now, SettingsChanged{Settings: s})
-	if proxy.meanLatency != mean || proxy.classes["a"].responses != count || len(proxy.ring.endpoints) != 4 || proxy.placements[0].maxPriorityWeight != 5 {
-		t.Errorf("mean latency %v, want %v; %v responses, want %v; %d endpoints; highest weight %v", proxy.meanLatency, mean, proxy.classes["a"].responses, count,
+	settings.MaxAttempts = 5
+	proxy.Handle(proxy.now, SettingsChanged{Settings: settings})
+	if proxy.meanLatency != meanBefore || proxy.classes["a"].responses != responsesBefore || len(proxy.ring.endpoints) != 4 || proxy.placements[0].maxPriorityWeight != 5 {
+		t.Errorf("mean latency %v, want %v; %v responses, want %v; %d endpoints; highest weight %v", proxy.meanLatency, meanBefore, proxy.classes["a"].responses, responsesBefore,
 			len(proxy.ring.endpoints), proxy.placements[0].maxPriorityWeight)
 	}
 	after := startRequest(t, proxy, RequestArrived{ID: "after", Class: "a", Timeout: time.Second})
-	previous := startRequest(t, proxy, RequestArrived{ID: "former", Class: "a", PreviousSettings: true, Timeout: time.Second})
+	withPreviousSettings := startRequest(t, proxy, RequestArrived{ID: "previous", Class: "a", PreviousSettings: true, Timeout: time.Second})
 	for _, c := range []struct {
-		id    RequestID
-		at    EndpointID
-		again bool
-	}{{"before", before, true}, {"after", after, false}, {"former", previous, true}} {
+		id        RequestID
+		at        EndpointID
+		wantRetry bool
+	}{{"before", before, true}, {"after", after, false}, {"previous", withPreviousSettings, true}} {
 		out := proxy.Handle(proxy.now, AttemptEnded{ID: c.id, Endpoint: c.at, Outcome: ConnectionReset})
-		if (len(attemptedEndpoints(out)) == 1) != c.again {
-			t.Errorf("%s after a reset: %v", c.id, out)
+		if (len(attemptedEndpoints(out)) == 1) != c.wantRetry {
+			t.Errorf("actions for request %s after a connection reset: %v", c.id, out)
 		}
 	}
 }
@@ -74,9 +74,9 @@
 func TestAddedAndRemovedClassesLeaveOthersUnchanged(t *testing.T) {
 	proxy := newLearnedProxy(t)
 	openAt := startRequest(t, proxy, RequestArrived{ID: "kept", Class: "a", Timeout: time.Second})
-	s := newSettings(Class{Name: "b", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second, Idempotency: Idempotent, AllowedZones: []string{"y"}})
-	s.MaxAttempts = 1
-	proxy.Handle(proxy.now, SettingsChanged{Settings: s})
+	settings := newSettings(Class{Name: "b", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: time.Second, Idempotency: Idempotent, AllowedZones: []string{"y"}})
+	settings.MaxAttempts = 1
+	proxy.Handle(proxy.now, SettingsChanged{Settings: settings})
 	if out := proxy.Handle(proxy.now, AttemptEnded{ID: "kept", Endpoint: openAt, Outcome: Rejected}); len(attemptedEndpoints(out)) != 0 {
 		t.Errorf("a second attempt where one is allowed: %v", out)
 	}
--- a/balancer/shedding.go
+++ b/balancer/shedding.go
@@ -29,8 +29,8 @@
 }
 
 // startSheddingPeriod computes the drop probabilities from the arrivals and the overload in the period that
-// ends. All requests without priority may be shed; of the priority requests the more, the closer the
-// endpoints are to their blocking thresholds.
+// ends. They apply while all endpoints are overloaded. All requests without priority may then be shed. The
+// fraction of priority requests that is shed grows as the endpoints approach their blocking thresholds.
 func (p *placement) startSheddingPeriod() {
 	meanOverload := p.overloadSum / math.Max(1, p.overloadSamples)
 	arrivals := math.Max(1, p.priorityArrivals+p.otherArrivals)
@@ -42,8 +42,9 @@
 	p.overloadSamples = 0
 }
 
-// shouldShed reports whether a new request is shed: because its response would come too late to count while
-// endpoints are overloaded, or because all endpoints are overloaded and it is drawn by its drop probability.
+// shouldShed reports whether a new request is shed. It is shed if its response would come too late to count
+// while endpoints are overloaded. If all endpoints are overloaded, it is also shed at random, with its drop
+// probability.
 func (b *Balancer) shouldShed(r *request, mode Mode) bool {
 	p := r.class.placement
 	if b.now < p.overloadedAt+sheddingPeriod && b.isTooLate(r, b.meanLatency*r.class.relativeCost) {
@@ -64,10 +65,11 @@
 	return math.Max(0, (weight/math.Max(maxWeight, 1e-9)-minPriorityFraction)/(1-minPriorityFraction))
 }
 
-// isTooLate reports whether a response in after seconds would miss the latency objective of a class whose
-// late responses have no weight.
-func (b *Balancer) isTooLate(r *request, after float64) bool {
+// isTooLate reports whether a response in untilResponse seconds would miss the latency objective of a class
+// whose late responses have no weight.
+func (b *Balancer) isTooLate(r *request, untilResponse float64) bool {
 	spent := (r.waitedBefore + b.now - r.arrived).Seconds()
 	objective := r.class.LatencyObjective.Seconds()
-	return !r.incomplete && r.class.LateWeight == 0 && objective > 0 && spent > 0 && spent+after >= objective
+	return !r.incomplete && r.class.LateWeight == 0 && objective > 0 &&
+		spent > 0 && spent+untilResponse >= objective
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -3,20 +3,21 @@
 import "math"
 
 const (
-	// fallbackSlowStartRate is the rate of attempts, per second, of all proxies at an endpoint where no warm
-	// endpoint shows what rate is possible.
+	// fallbackSlowStartRate is the rate of attempts, per second, of all proxies together at an endpoint in slow
+	// start if no warm endpoint shows which rate is possible.
 	fallbackSlowStartRate = 4.0
-	// slowStartLoadFraction is the fraction of the overload factor that the proxies use.
+	// slowStartLoadFraction is the fraction of the settings' overload factor up to which the proxies load an
+	// endpoint in slow start.
 	slowStartLoadFraction = 0.6
 	// slowStartTokenLifetime is the time for which an unused token is valid, as a fraction of the overload
-	// duration. Tokens that arrive within an overload duration and those saved before it stay below the
-	// overload: 0.6 x (1 + 0.6) < 1.
+	// duration. The tokens that arrive within an overload duration and the tokens saved before it together stay
+	// below the load that makes an endpoint fail: 0.6 x (1 + 0.6) < 1.
 	slowStartTokenLifetime = 0.6
 )
 
-// beginSlowStart starts the slow start of an endpoint that started at some time. Responses of a previous
-// process say nothing about it. The initial tokens are random, so that the proxies do not all send at the
-// moment of the start.
+// beginSlowStart starts the slow start of an endpoint whose process started at startedAt. The responses of a
+// previous process say nothing about the new one. The initial tokens are random, so that the proxies do not
+// all send at the moment of the start.
 func (b *Balancer) beginSlowStart(e *endpoint, startedAt Time) {
 	e.slowStarting = true
 	e.slowStartSince = startedAt
@@ -26,7 +27,8 @@
 	e.observedSince = b.now
 }
 
-// slowStartProgress is the fraction of the slow start that has passed. From 1 on the endpoint is warm.
+// slowStartProgress is the fraction of the slow start's duration that has passed. From 1 on the endpoint is
+// warm.
 func (b *Balancer) slowStartProgress(e *endpoint) float64 {
 	return (b.now - e.slowStartSince).Seconds() / math.Max(b.settings.SlowStartDuration.Seconds(), 1e-9)
 }
@@ -50,15 +52,17 @@
 
 // limitedBySlowStart reports whether an endpoint in slow start may not get an attempt now. Such an endpoint
 // can fail under the attempts of all proxies together. Tokens therefore arrive at its warm fraction of the
-// rate of this proxy's warm endpoints. Unused tokens lapse one by one, so that each proxy stays in the phase
-// that it drew at the endpoint's start. Within the settings' overload duration, the proxies together send the
-// tokens that arrive, the few that they have saved, and one more.
+// rate of this proxy's warm endpoints.
+//
+// Each proxy has drawn a random phase, its initial tokens, when the endpoint started. Unused tokens lapse one
+// by one, which keeps this phase. Within the settings' overload duration, the proxies together send no more
+// than the tokens that arrive, the few that they have saved, and one more.
 func (b *Balancer) limitedBySlowStart(e *endpoint) bool {
 	warmFraction := b.warmFraction(e)
 	if !e.slowStarting {
 		return false
 	}
-	// When most endpoints are ejected, the candidates of every proxy extend to one that has restarted.
+	// If most endpoints are ejected, an endpoint that has restarted may be a candidate of every proxy.
 	if !e.inBaseSubset || b.handedOver {
 		return true
 	}
--- a/balancer/cold_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -15,29 +15,29 @@
 // on one clock.
 type slowStartScenario struct {
 	proxies, endpoints int
-	load               float64       // arrivals, as a fraction of the capacity of all endpoints when warm
+	load               float64       // rate of arrivals, as a fraction of the capacity of all endpoints when warm
 	endpointRate       float64       // mean requests per second that a warm endpoint can serve
 	minLatency         time.Duration // shortest latency of a response
 	hidesQueue         bool          // the latency of endpoint 1 does not show its queue
-	downFor            time.Duration // endpoint 1 is down for this long before its start; 0: it joins the list
-	burstAt            time.Duration // when arrivals rise by half for burstDuration, after the start; 0: never
-	listingDelay       time.Duration // time after the start at which the last proxy learns of it
-	proxiesRestart     bool          // each proxy restarts once in the slow start, without learned state
+	downFor            time.Duration // how long endpoint 1 is down before its start; 0: it is new in the list
+	burstAt            time.Duration // time after the start at which arrivals rise by burstFactor for burstDuration; 0: never
+	listingDelay       time.Duration // time after the start at which the last proxy learns of the start
+	proxiesRestart     bool          // each proxy restarts once during the slow start, without learned state
 	// From this time after the start on, six in ten of the other endpoints refuse connections; 0: never.
 	refusalsAt time.Duration
 	// From this time after the start on, connections to endpoint 1 fail for 2 s; 0: never.
-	cutOffAt          time.Duration
+	connectionsFailAt time.Duration
 	mixedWork         bool          // some requests are four times as heavy as others
 	overloadFactor    float64       // Settings.OverloadFactor
 	overloadDuration  time.Duration // Settings.OverloadDuration
 	slowStartDuration time.Duration // Settings.SlowStartDuration
-	subsetFactor      int           // proxies know this multiple of the endpoints that they use; 0: all
+	subsetFactor      int           // proxies know this multiple of the endpoints that they use; 0: all endpoints
 	subsetsMove       bool          // a third of the proxies change their index, and so their subset
-	proxyCountsDiffer bool          // every other proxy's settings name half the number of proxies
-	// Capacity of endpoint 1 relative to the mean; the others have 0.6 and 1.4 in turn, and lists show it as the
-	// weight. 0: all are equal.
-	endpointSize float64
-	deadProxies  float64 // fraction of proxies that end before the start; the others get their clients
+	proxyCountsDiffer bool          // the settings of every second proxy name half the number of proxies
+	// endpointCapacity is the capacity of endpoint 1 relative to the mean. The others have 0.6 and 1.4 in turn,
+	// and lists show the capacities as weights. 0: all are equal.
+	endpointCapacity float64
+	stoppedProxies   float64 // fraction of proxies that stop before the start; their clients use the other proxies
 }
 
 const (
@@ -46,8 +46,8 @@
 	burstFactor      = 1.5
 )
 
-// scheduledEvent is an event that is due for an incarnation of a proxy, 0 for any. If event is nil, run is
-// called instead.
+// scheduledEvent is an event that is due for one incarnation of a proxy; incarnation 0 stands for any. If
+// event is nil, run is called instead.
 type scheduledEvent struct {
 	at          time.Duration
 	proxy       int
@@ -70,6 +70,7 @@
 	work float64
 }
 
+// slowStartFleet is the state of a simulation of a slowStartScenario.
 type slowStartFleet struct {
 	slowStartScenario
 	baseSettings               balancer.Settings
@@ -78,8 +79,8 @@
 	queue                      eventQueue
 	balancers                  []*balancer.Balancer
 	incarnations, proxyIndexes []int
-	deathOrder                 []int                 // proxies in reverse order of their ends
-	listOrder                  []balancer.EndpointID // endpoints in the order of lists
+	stopOrder                  []int                 // proxies in reverse order of their stops
+	listOrder                  []balancer.EndpointID // endpoints in the order in which lists name them
 	listedAt                   []time.Duration       // by proxy: when it learns of the start
 	idleAt                     []time.Duration       // by endpoint: when its queue is empty
 	attempts                   map[balancer.RequestID]int
@@ -87,50 +88,51 @@
 	work                       map[balancer.RequestID]float64
 	arrivals                   []arrivedWork // from proxies that knew of the start
 	nextRequest                int
-	subsetEntries, subsetExits int // proxies whose move took endpoint 1 into their base subset, or out of it
+	subsetEntries, subsetExits int // proxies whose new index put endpoint 1 into their base subset, or out of it
 }
 
-func playSlowStart(d slowStartScenario, seed int64) *slowStartFleet {
-	f := &slowStartFleet{slowStartScenario: d, random: rand.New(rand.NewSource(seed)), now: time.Hour, start: time.Hour + 8*time.Second,
-		balancers: make([]*balancer.Balancer, d.proxies), incarnations: make([]int, d.proxies), proxyIndexes: make([]int, d.proxies), listedAt: make([]time.Duration, d.proxies),
-		idleAt: make([]time.Duration, d.endpoints+1), attempts: map[balancer.RequestID]int{}, answered: map[balancer.RequestID]bool{},
+// simulateSlowStart runs a scenario until endpoint 1 is warm.
+func simulateSlowStart(scenario slowStartScenario, seed int64) *slowStartFleet {
+	f := &slowStartFleet{slowStartScenario: scenario, random: rand.New(rand.NewSource(seed)), now: time.Hour, start: time.Hour + 8*time.Second,
+		balancers: make([]*balancer.Balancer, scenario.proxies), incarnations: make([]int, scenario.proxies), proxyIndexes: make([]int, scenario.proxies), listedAt: make([]time.Duration, scenario.proxies),
+		idleAt: make([]time.Duration, scenario.endpoints+1), attempts: map[balancer.RequestID]int{}, answered: map[balancer.RequestID]bool{},
 		work: map[balancer.RequestID]float64{}}
-	f.baseSettings = balancer.Settings{Proxies: d.proxies, MaxAttempts: 3, AllowCancel: true, MinEventInterval: 5 * time.Millisecond,
-		ConnectTimeout: 100 * time.Millisecond, SlowStartInitial: slowStartInitial, SlowStartDuration: d.slowStartDuration, OverloadFactor: d.overloadFactor,
-		WeightKnown: d.endpointSize > 0, OverloadDuration: d.overloadDuration, SendRetryAfter: true, MaxRetryAfter: time.Second, Classes: []balancer.Class{
+	f.baseSettings = balancer.Settings{Proxies: scenario.proxies, MaxAttempts: 3, AllowCancel: true, MinEventInterval: 5 * time.Millisecond,
+		ConnectTimeout: 100 * time.Millisecond, SlowStartInitial: slowStartInitial, SlowStartDuration: scenario.slowStartDuration, OverloadFactor: scenario.overloadFactor,
+		WeightKnown: scenario.endpointCapacity > 0, OverloadDuration: scenario.overloadDuration, SendRetryAfter: true, MaxRetryAfter: time.Second, Classes: []balancer.Class{
 			{Name: "a", PriorityWeight: 3, LatencyObjective: time.Second, Deadline: 3 * time.Second, Idempotency: balancer.Idempotent},
 			{Name: "b", PriorityWeight: 1, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, Idempotency: balancer.Idempotent}}}
-	if f.deathOrder = rand.New(rand.NewSource(seed)).Perm(d.proxies); d.deadProxies == 0 {
-		slices.Sort(f.deathOrder)
+	if f.stopOrder = rand.New(rand.NewSource(seed)).Perm(scenario.proxies); scenario.stoppedProxies == 0 {
+		slices.Sort(f.stopOrder)
 	}
 	f.sortEndpoints()
 	for i := range f.balancers {
 		f.proxyIndexes[i] = i
-		f.listedAt[i] = f.start + time.Duration(f.random.Float64()*float64(d.listingDelay))
+		f.listedAt[i] = f.start + time.Duration(f.random.Float64()*float64(scenario.listingDelay))
 		f.startProxy(i)
 		heap.Push(&f.queue, scheduledEvent{f.listedAt[i], i, 0, nil, f.sendStart})
-		if d.proxiesRestart {
+		if scenario.proxiesRestart {
 			at := f.start + time.Duration(f.random.Float64()*float64(f.slowStartDuration))
 			heap.Push(&f.queue, scheduledEvent{at, i, 0, nil, f.startProxy})
 		}
-		if d.subsetsMove && i%3 == 0 {
+		if scenario.subsetsMove && i%3 == 0 {
 			at := f.start + time.Duration(f.random.Float64()*float64(f.slowStartDuration))
 			heap.Push(&f.queue, scheduledEvent{at, i, 0, nil, f.moveSubset})
 		}
 	}
-	f.play()
+	f.run()
 	return f
 }
 
-// startProxy starts a proxy, with the list that it has at present.
+// startProxy starts a proxy and gives it its present list.
 func (f *slowStartFleet) startProxy(i int) {
 	f.balancers[i], f.incarnations[i] = balancer.New(f.settingsOf(i), f.random.Int63()), f.incarnations[i]+1
 	f.feed(i, f.listFor(i))
 }
 
-// play runs the simulation until endpoint 1 is warm. It delivers due events, and arrivals: a third of the
-// proxies get several times as many as the others.
-func (f *slowStartFleet) play() {
+// run simulates the fleet until endpoint 1 is warm. It delivers due events and creates requests. A third of
+// the proxies get several times as many requests as the others.
+func (f *slowStartFleet) run() {
 	for end := f.start + f.slowStartDuration; f.now < end; {
 		rate := f.endpointRate * f.load * float64(f.endpoints)
 		if at := f.now - f.start; f.burstAt > 0 && at >= f.burstAt && at < f.burstAt+burstDuration {
@@ -139,18 +141,18 @@
 		f.now += time.Duration(f.random.ExpFloat64() / rate * float64(time.Second))
 		arrival := f.now
 		for len(f.queue) > 0 && f.queue[0].at <= arrival {
-			p := heap.Pop(&f.queue).(scheduledEvent)
-			f.now = p.at
-			switch e, ended := p.event.(balancer.AttemptEnded); {
-			case p.event == nil:
-				p.run(p.proxy)
-			case p.incarnation > 0 && p.incarnation != f.incarnations[p.proxy]:
+			due := heap.Pop(&f.queue).(scheduledEvent)
+			f.now = due.at
+			switch e, ended := due.event.(balancer.AttemptEnded); {
+			case due.event == nil:
+				due.run(due.proxy)
+			case due.incarnation > 0 && due.incarnation != f.incarnations[due.proxy]:
 			case ended:
 				e.RequestAnswered = f.answered[e.ID] || e.Outcome == balancer.OK
 				f.answered[e.ID] = e.RequestAnswered
-				f.feed(p.proxy, e)
+				f.feed(due.proxy, e)
 			default:
-				f.feed(p.proxy, p.event)
+				f.feed(due.proxy, due.event)
 			}
 		}
 		f.now = arrival
@@ -164,14 +166,14 @@
 		}
 		alive := len(f.balancers)
 		if f.now > f.start-4*time.Second {
-			alive = max(1, int(float64(alive)*(1-f.deadProxies)))
+			alive = max(1, int(float64(alive)*(1-f.stoppedProxies)))
 		}
-		i := f.random.Intn(alive)
-		if i%3 > 0 && f.random.Intn(3) > 0 {
-			i -= i % 3
+		proxy := f.random.Intn(alive)
+		if proxy%3 > 0 && f.random.Intn(3) > 0 {
+			proxy -= proxy % 3
 		}
-		i = f.deathOrder[i]
-		f.feed(i, balancer.RequestArrived{ID: id, Class: class, Timeout: 2 * time.Second})
+		proxy = f.stopOrder[proxy]
+		f.feed(proxy, balancer.RequestArrived{ID: id, Class: class, Timeout: 2 * time.Second})
 	}
 }
 
@@ -180,6 +182,7 @@
 	return slowStartInitial + (1-slowStartInitial)*math.Min(1, math.Max(0, float64(at-f.start)/float64(f.slowStartDuration)))
 }
 
+// feed passes an event to a proxy and carries out the actions.
 func (f *slowStartFleet) feed(i int, e balancer.Event) {
 	for _, a := range f.balancers[i].Handle(f.now, e) {
 		switch a := a.(type) {
@@ -201,14 +204,15 @@
 	}
 }
 
-// serve returns the latency and the outcome of an attempt. An endpoint serves requests in turn, and takes
-// minLatency at least. While it is below its capacity, an endpoint in slow start seems as fast as the others.
+// serve returns the latency and the outcome of an attempt. An endpoint serves requests one after the other; a
+// response takes at least minLatency. While its load is below its capacity, an endpoint in slow start seems
+// as fast as the others.
 func (f *slowStartFleet) serve(i, id int, work float64, timeout time.Duration) (time.Duration, balancer.Outcome) {
-	rate, refused := f.endpointRate*f.relativeSize(id), f.refusalsAt > 0 && id%5 > 1 && f.now > f.start+f.refusalsAt
+	rate, refused := f.endpointRate*f.relativeCapacity(id), f.refusalsAt > 0 && id%5 > 1 && f.now > f.start+f.refusalsAt
 	if id == 1 {
 		rate *= f.capacityFraction(f.now)
 		at := f.now - f.start
-		refused = at < 0 && at > -f.downFor || f.cutOffAt > 0 && at > f.cutOffAt && at < f.cutOffAt+2*time.Second
+		refused = at < 0 && at > -f.downFor || f.connectionsFailAt > 0 && at > f.connectionsFailAt && at < f.connectionsFailAt+2*time.Second
 		if !refused && at >= 0 && f.now >= f.listedAt[i] {
 			f.arrivals = append(f.arrivals, arrivedWork{f.now, work})
 		}
@@ -227,26 +231,27 @@
 	return took, balancer.OK
 }
 
-// countOverloadedWindows counts the windows of the length overloadDuration, one from each arrival on, in
-// which endpoint 1 gets more than N + 2 sqrt(N) + 2 during its slow start. N is what the settings allow in
-// the window: its capacity at the start of the window, times the overload factor, times the length. worst is
-// the highest fraction of this bound in any window, used the fraction of the sum of all N that was used.
-func (f *slowStartFleet) countOverloadedWindows() (windows, over int, worst, used float64) {
+// countOverloadedWindows counts the windows in which endpoint 1 gets more than N + 2 sqrt(N) + 2 during its
+// slow start. A window has the length overloadDuration and begins with an arrival. N is what the settings
+// allow in the window: the endpoint's capacity at the start of the window, times the overload factor, times
+// the length. worst is the highest fraction of this bound in any window, used the used fraction of what the
+// settings allow in the entire slow start.
+func (f *slowStartFleet) countOverloadedWindows() (windows, overloaded int, worst, used float64) {
 	warm := slices.IndexFunc(f.arrivals, func(s arrivedWork) bool { return s.at >= f.start+f.slowStartDuration })
 	if warm < 0 {
 		warm = len(f.arrivals)
 	}
-	all, k, sum := 0.0, 0, 0.0
-	for _, s := range f.arrivals[:warm] {
-		for ; k < warm && f.arrivals[k].at < s.at+f.overloadDuration; k++ {
-			sum += f.arrivals[k].work
+	totalWork, windowEnd, windowWork := 0.0, 0, 0.0
+	for _, arrival := range f.arrivals[:warm] {
+		for ; windowEnd < warm && f.arrivals[windowEnd].at < arrival.at+f.overloadDuration; windowEnd++ {
+			windowWork += f.arrivals[windowEnd].work
 		}
-		n := f.endpointRate * f.relativeSize(1) * f.capacityFraction(s.at) * f.overloadFactor * f.overloadDuration.Seconds()
-		bound := n + 2*math.Sqrt(n) + 2
-		if windows++; sum > bound {
-			over++
+		allowed := f.endpointRate * f.relativeCapacity(1) * f.capacityFraction(arrival.at) * f.overloadFactor * f.overloadDuration.Seconds()
+		bound := allowed + 2*math.Sqrt(allowed) + 2
+		if windows++; windowWork > bound {
+			overloaded++
 		}
-		worst, sum, all = math.Max(worst, sum/bound), sum-s.work, all+s.work
+		worst, windowWork, totalWork = math.Max(worst, windowWork/bound), windowWork-arrival.work, totalWork+arrival.work
 	}
-	return windows, over, worst, all / (f.endpointRate * f.relativeSize(1) * (1 + slowStartInitial) / 2 * f.overloadFactor * f.slowStartDuration.Seconds())
+	return windows, overloaded, worst, totalWork / (f.endpointRate * f.relativeCapacity(1) * (1 + slowStartInitial) / 2 * f.overloadFactor * f.slowStartDuration.Seconds())
 }
--- a/balancer/cold_part_test.go
+++ b/balancer/slowstart_subset_test.go
@@ -28,45 +28,45 @@
 	return settings
 }
 
-// relativeSize is the capacity of an endpoint relative to the mean.
-func (f *slowStartFleet) relativeSize(id int) float64 {
-	if f.endpointSize == 0 {
+// relativeCapacity is the capacity of an endpoint relative to the mean.
+func (f *slowStartFleet) relativeCapacity(id int) float64 {
+	if f.endpointCapacity == 0 {
 		return 1
 	} else if id == 1 {
-		return f.endpointSize
+		return f.endpointCapacity
 	}
 	return 0.6 + 0.8*float64(id%2)
 }
 
 // listFor returns the present list of a proxy: all endpoints, or those of its subset.
 func (f *slowStartFleet) listFor(i int) balancer.EndpointsUpdated {
-	u := balancer.EndpointsUpdated{Kind: balancer.UpdateComplete}
+	update := balancer.EndpointsUpdated{Kind: balancer.UpdateComplete}
 	for _, id := range f.listOrder {
-		s := balancer.Endpoint{ID: id, Zone: "z", Weight: 8 * f.relativeSize(int(id))}
+		listed := balancer.Endpoint{ID: id, Zone: "z", Weight: 8 * f.relativeCapacity(int(id))}
 		if id == 1 && f.now >= f.start {
-			s.StartedAt = f.start
+			listed.StartedAt = f.start
 		}
-		if id > 1 || f.downFor > 0 || s.StartedAt > 0 {
-			u.Endpoints = append(u.Endpoints, s)
+		if id > 1 || f.downFor > 0 || listed.StartedAt > 0 {
+			update.Endpoints = append(update.Endpoints, listed)
 		}
 	}
 	if f.subsetFactor > 0 {
-		u.TotalEndpoints, u.SubsetStart = len(u.Endpoints), balancer.StartPosition(f.proxyIndexes[i])
-		first := sort.Search(u.TotalEndpoints, func(i int) bool { return balancer.Position(u.Endpoints[i].ID) >= u.SubsetStart })
-		subsetSize := max(5, 6*u.TotalEndpoints/f.settingsOf(i).Proxies+1)
-		u.Endpoints = slices.Concat(u.Endpoints[first:], u.Endpoints[:first])[:min(u.TotalEndpoints, f.subsetFactor*subsetSize)]
+		update.TotalEndpoints, update.SubsetStart = len(update.Endpoints), balancer.StartPosition(f.proxyIndexes[i])
+		first := sort.Search(update.TotalEndpoints, func(i int) bool { return balancer.Position(update.Endpoints[i].ID) >= update.SubsetStart })
+		subsetSize := max(5, 6*update.TotalEndpoints/f.settingsOf(i).Proxies+1)
+		update.Endpoints = slices.Concat(update.Endpoints[first:], update.Endpoints[:first])[:min(update.TotalEndpoints, f.subsetFactor*subsetSize)]
 	}
-	if slices.ContainsFunc(u.Endpoints, func(s balancer.Endpoint) bool { return s.StartedAt > 0 }) {
+	if slices.ContainsFunc(update.Endpoints, func(s balancer.Endpoint) bool { return s.StartedAt > 0 }) {
 		f.listedAt[i] = min(f.listedAt[i], f.now)
 	}
-	return u
+	return update
 }
 
 // sendStart sends a proxy the incremental update with the start of endpoint 1, if that is in its subset.
 func (f *slowStartFleet) sendStart(i int) {
-	u := f.listFor(i)
-	u.Kind, u.Endpoints = balancer.UpdateIncremental, slices.DeleteFunc(u.Endpoints, func(s balancer.Endpoint) bool { return s.ID != 1 })
-	f.feed(i, u)
+	update := f.listFor(i)
+	update.Kind, update.Endpoints = balancer.UpdateIncremental, slices.DeleteFunc(update.Endpoints, func(s balancer.Endpoint) bool { return s.ID != 1 })
+	f.feed(i, update)
 }
 
 // moveSubset increases the index of a proxy by three, and gives the proxy the subset of the new index.
@@ -82,22 +82,22 @@
 	}
 }
 
-// The bound on the sum of all proxies' attempts holds where proxies know subsets that change during a slow
-// start: the endpoint leaves the subsets of some proxies and enters those of others, which must take it to be
-// as cold as it is. The proxies' estimates of how many proxies share an endpoint must be right on average,
-// and at each proxy within a factor of two, or of four where proxies use the smallest number of endpoints, as
-// ring positions are random. Proxies whose settings name half the number of proxies may estimate half as
-// many.
+// The bound on the sum of all proxies' attempts also holds where proxies know subsets that change during a
+// slow start: the endpoint leaves the subsets of some proxies and enters those of others, which must know how
+// far its slow start has progressed. The proxies' estimates of how many proxies share an endpoint must be
+// right on average. At each proxy they must be right within a factor of two, or of four where proxies use the
+// smallest number of endpoints, as ring positions are random. Proxies whose settings name half the number of
+// proxies may estimate half as many.
 func TestProxiesWithMovingSubsetsDoNotOverloadSlowStart(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
 		name     string
 		scenario slowStartScenario
 	}{
-		{"joined, parts move", slowStartScenario{load: 0.7, subsetsMove: true}},
-		{"returned, busy, parts move", slowStartScenario{load: 1.1, downFor: s, subsetsMove: true}},
-		{"burst, parts move, sizes differ", slowStartScenario{load: 0.7, burstAt: 3 * s, subsetsMove: true, proxyCountsDiffer: true}},
-		{"busy, nodes restart, sizes differ", slowStartScenario{load: 1.1, proxiesRestart: true, subsetsMove: true, proxyCountsDiffer: true}},
+		{"new endpoint, subsets move", slowStartScenario{load: 0.7, subsetsMove: true}},
+		{"returned endpoint, high load, subsets move", slowStartScenario{load: 1.1, downFor: s, subsetsMove: true}},
+		{"burst, subsets move, proxy counts differ", slowStartScenario{load: 0.7, burstAt: 3 * s, subsetsMove: true, proxyCountsDiffer: true}},
+		{"high load, proxies restart, proxy counts differ", slowStartScenario{load: 1.1, proxiesRestart: true, subsetsMove: true, proxyCountsDiffer: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -108,29 +108,29 @@
 				if size.proxies == 300 && c.scenario.load < 1 {
 					continue // the simulation is slow: only the hard scenarios
 				}
-				d := c.scenario
-				d.proxies, d.endpoints, d.subsetFactor, d.hidesQueue, d.endpointRate, d.minLatency = size.proxies, size.endpoints, 2, true, 16, 30*time.Millisecond
-				d.overloadFactor, d.overloadDuration, d.slowStartDuration = 3, 1500*time.Millisecond, 10*s
-				f := playSlowStart(d, int64(size.proxies))
-				windows, over, worst, used := f.countOverloadedWindows()
+				scenario := c.scenario
+				scenario.proxies, scenario.endpoints, scenario.subsetFactor, scenario.hidesQueue, scenario.endpointRate, scenario.minLatency = size.proxies, size.endpoints, 2, true, 16, 30*time.Millisecond
+				scenario.overloadFactor, scenario.overloadDuration, scenario.slowStartDuration = 3, 1500*time.Millisecond, 10*s
+				f := simulateSlowStart(scenario, int64(size.proxies))
+				windows, overloaded, worst, used := f.countOverloadedWindows()
 				low, mean, high := f.proxiesPerEndpointRatios()
 				t.Logf("%d proxies: %.0f%% of the budget used, at most %.2f of the bound; %d entered; estimated over true proxies per endpoint: %.2f to %.2f, %.3f in all",
-					d.proxies, 100*used, worst, f.subsetEntries, low, high, mean)
-				if over > 0 {
-					t.Errorf("%d proxies: %d of %d windows over the bound, the worst at %.2f of it", d.proxies, over, windows, worst)
+					scenario.proxies, 100*used, worst, f.subsetEntries, low, high, mean)
+				if overloaded > 0 {
+					t.Errorf("%d proxies: %d of %d windows over the bound, the worst at %.2f of it", scenario.proxies, overloaded, windows, worst)
 				}
 				if windows < 20 || used < 0.05 {
-					t.Errorf("%d proxies: only %d windows and %.3f of the budget used", d.proxies, windows, used)
+					t.Errorf("%d proxies: only %d windows and %.3f of the budget used", scenario.proxies, windows, used)
 				}
 				minRatio := 1.0
-				if d.proxyCountsDiffer {
+				if scenario.proxyCountsDiffer {
 					minRatio = 0.5
 				}
 				if low < minRatio/size.factor || high > size.factor || mean < 0.99*minRatio || mean > 1.01 {
-					t.Errorf("%d proxies estimate %.2f to %.2f times the true proxies per endpoint, %.3f in all", d.proxies, low, high, mean)
+					t.Errorf("%d proxies estimate %.2f to %.2f times the true proxies per endpoint, %.3f in all", scenario.proxies, low, high, mean)
 				}
-				if f.subsetEntries == 0 || f.subsetExits == 0 && !d.proxyCountsDiffer {
-					t.Errorf("%d proxies: endpoint 1 left %d subsets and entered %d", d.proxies, f.subsetExits, f.subsetEntries)
+				if f.subsetEntries == 0 || f.subsetExits == 0 && !scenario.proxyCountsDiffer {
+					t.Errorf("%d proxies: endpoint 1 left %d subsets and entered %d", scenario.proxies, f.subsetExits, f.subsetEntries)
 				}
 			}
 		})
@@ -141,17 +141,17 @@
 // true numbers. low and high are the extremes over the proxies, each relative to the mean over the endpoints
 // that the proxy uses. mean relates the mean estimate to the mean over all endpoints.
 func (f *slowStartFleet) proxiesPerEndpointRatios() (low, mean, high float64) {
-	with, pairs := map[balancer.EndpointID]float64{}, 0.0
+	users, pairs := map[balancer.EndpointID]float64{}, 0.0
 	for _, proxy := range f.balancers {
 		for _, id := range proxy.BaseSubset() {
-			with[id], pairs = with[id]+1, pairs+1
+			users[id], pairs = users[id]+1, pairs+1
 		}
 	}
 	low = math.Inf(1)
 	for _, proxy := range f.balancers {
 		sum, baseSubset := 0.0, proxy.BaseSubset()
 		for _, id := range baseSubset {
-			sum += with[id]
+			sum += users[id]
 		}
 		ratio := proxy.ProxiesPerEndpoint() / (sum / float64(len(baseSubset)))
 		low, high = math.Min(low, ratio), math.Max(high, ratio)
--- a/balancer/part_leave_test.go
+++ b/balancer/subset_leave_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// newSubsetProxy returns a proxy that knows a subset of 40 endpoints, and a function that updates the list:
-// endpoints 1 to 4, with a complete update, and more.
-func newSubsetProxy(t *testing.T) (proxy *Balancer, updateList func(kind UpdateKind, more ...Endpoint)) {
+// newSubsetProxy returns a proxy that knows a subset of 40 endpoints, and a function that updates the list
+// with the given entries. A complete update also contains endpoints 1 to 4.
+func newSubsetProxy(t *testing.T) (proxy *Balancer, updateList func(kind UpdateKind, entries ...Endpoint)) {
 	proxy = newLearnedProxy(t)
-	return proxy, func(kind UpdateKind, more ...Endpoint) {
+	return proxy, func(kind UpdateKind, entries ...Endpoint) {
 		if kind == UpdateComplete {
-			more = append(more, Endpoint{ID: 1, Zone: "z"}, Endpoint{ID: 2, Zone: "z"}, Endpoint{ID: 3, Zone: "z"}, Endpoint{ID: 4, Zone: "z"})
+			entries = append(entries, Endpoint{ID: 1, Zone: "z"}, Endpoint{ID: 2, Zone: "z"}, Endpoint{ID: 3, Zone: "z"}, Endpoint{ID: 4, Zone: "z"})
 		}
-		proxy.Handle(proxy.now, EndpointsUpdated{Kind: kind, Endpoints: more, TotalEndpoints: 40, SubsetStart: startPosition(proxy.settings.ProxyIndex)})
+		proxy.Handle(proxy.now, EndpointsUpdated{Kind: kind, Endpoints: entries, TotalEndpoints: 40, SubsetStart: startPosition(proxy.settings.ProxyIndex)})
 	}
 }
 
-// Maintenance holds for an endpoint that enters the subset after the maintenance began, however often it
-// does. If maintenance ends while the endpoint is outside the subset, the proxies whose subset it enters
-// treat it as in slow start, as do those that had it then.
-func TestMaintenanceOutsideTheSubset(t *testing.T) {
+// Maintenance applies to an endpoint that enters the subset after the maintenance began, however often it
+// leaves and enters. If the maintenance ends while the endpoint is outside the subset, the endpoint is in
+// slow start when it enters the subset, as it is at the proxies that had it in their subset.
+func TestMaintenanceAppliesOutsideTheSubset(t *testing.T) {
 	proxy, updateList := newSubsetProxy(t)
 	updateList(UpdateComplete)
 	proxy.Handle(proxy.now, Maintenance{Endpoint: 9, On: true})
@@ -34,7 +34,7 @@
 				t.Errorf("maintenance begun outside the subset, entered by update kind %v: attempts %v", kind, got)
 			}
 			if updateList(kind, Endpoint{ID: 9, State: Removed}); proxy.Ejected() != 0 {
-				t.Errorf("%d endpoints count as ejected after it has gone", proxy.Ejected())
+				t.Errorf("%d endpoints count as ejected after the endpoint was removed", proxy.Ejected())
 			}
 		}
 	}
@@ -43,21 +43,21 @@
 	proxy.Handle(proxy.now+time.Second, Maintenance{Endpoint: 9}) // the maintenance has ended already
 	proxy.Handle(proxy.now, Maintenance{Endpoint: 8})             // never was in maintenance
 	updateList(UpdateComplete, Endpoint{ID: 8, Zone: "z"}, Endpoint{ID: 9, Zone: "z", StartedAt: endedAt - time.Minute})
-	s := proxy.endpoints[9]
-	if !s.slowStarting || s.slowStartSince != endedAt || s.slowStartTokens >= 1 || proxy.endpoints[8].slowStarting {
-		t.Errorf("maintenance ended outside the subset, then entered: slow start %v since %v ago, %v tokens", s.slowStarting, proxy.now-s.slowStartSince, s.slowStartTokens)
+	ep := proxy.endpoints[9]
+	if !ep.slowStarting || ep.slowStartSince != endedAt || ep.slowStartTokens >= 1 || proxy.endpoints[8].slowStarting {
+		t.Errorf("maintenance ended outside the subset, then entered: slow start %v since %v ago, %v tokens", ep.slowStarting, proxy.now-ep.slowStartSince, ep.slowStartTokens)
 	}
 	if got := countAttempts(t, proxy, 70); got[9] == 0 || got[9] >= 14 { // warm endpoints get 14 each
 		t.Errorf("attempts %v, want those of a slow start at endpoint 9", got)
 	}
 	updateList(UpdateComplete)
 	updateList(UpdateIncremental, Endpoint{ID: 9, Zone: "z"})
-	if again := proxy.endpoints[9]; again == s || !again.slowStarting || again.slowStartSince != endedAt {
-		t.Errorf("gone and back within its slow start: %+v", again)
+	if returned := proxy.endpoints[9]; returned == ep || !returned.slowStarting || returned.slowStartSince != endedAt {
+		t.Errorf("removed and listed again within its slow start: %+v", returned)
 	}
 	updateList(UpdateIncremental, Endpoint{ID: 9, Zone: "z", StartedAt: proxy.now})
-	if s := proxy.endpoints[9]; !s.slowStarting || s.slowStartSince != proxy.now {
-		t.Errorf("started again: %+v", s)
+	if ep := proxy.endpoints[9]; !ep.slowStarting || ep.slowStartSince != proxy.now {
+		t.Errorf("started again: %+v", ep)
 	}
 	updateList(UpdateComplete)
 	proxy.Handle(proxy.now+proxy.settings.SlowStartDuration, TimerFired{})
@@ -73,29 +73,28 @@
 	}
 }
 
-// An endpoint that enters the subset during its slow start is as cold as it is for other proxies. Its initial
-// tokens are drawn each time.
-func TestSlowStartingEndpointEntersTheSubset(t *testing.T) {
+// An endpoint that enters the subset during its slow start has the same warm fraction as at other proxies.
+// Its initial tokens are drawn again each time.
+func TestEndpointEnteringTheSubsetContinuesItsSlowStart(t *testing.T) {
 	proxy, updateList := newSubsetProxy(t)
-	started, drawn := proxy.now-proxy.settings.SlowStartDuration/4, map[float64]bool{}
+	startedAt, drawnTokens := proxy.now-proxy.settings.SlowStartDuration/4, map[float64]bool{}
 	for range 5 {
-		updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z", StartedAt: started})
-		s := proxy.endpoints[9]
-		if want := proxy.settings.SlowStartInitial + (1-proxy.settings.SlowStartInitial)/4; proxy.warmFraction(s) != want || s.slowStartTokens < 0 || s.slowStartTokens >= 1 || !s.inBaseSubset {
-			t.Errorf("warm fraction %v, want %v; %v tokens; in base subset: %v", proxy.warmFraction(s), want, s.slowStartTokens, s.inBaseSubset)
+		updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z", StartedAt: startedAt})
+		ep := proxy.endpoints[9]
+		if want := proxy.settings.SlowStartInitial + (1-proxy.settings.SlowStartInitial)/4; proxy.warmFraction(ep) != want || ep.slowStartTokens < 0 || ep.slowStartTokens >= 1 || !ep.inBaseSubset {
+			t.Errorf("warm fraction %v, want %v; %v tokens; in base subset: %v", proxy.warmFraction(ep), want, ep.slowStartTokens, ep.inBaseSubset)
 		}
-		drawn[s.slowStartTokens] = true
+		drawnTokens[ep.slowStartTokens] = true
 		updateList(UpdateIncremental, Endpoint{ID: 9, State: Removed})
 	}
-	if len(drawn) != 5 {
-		t.Errorf("tokens %v", drawn)
+	if len(drawnTokens) != 5 {
+		t.Errorf("tokens %v", drawnTokens)
 	}
 }
 
-// An ejection ends when the endpoint leaves the subset: when it returns, it is judged by new attempts only,
-// and attempts that were still in flight from before have no effect. If it still refuses connections, few
-// requests find out.
-func TestEjectedEndpointLeavesTheSubsetAndReturns(t *testing.T) {
+// An ejection ends when the endpoint leaves the subset. When it returns, only new attempts count; attempts in
+// flight from before have no effect. If it still refuses connections, it is ejected after few attempts.
+func TestEjectionEndsWhenEndpointLeavesTheSubset(t *testing.T) {
 	proxy, updateList := newSubsetProxy(t)
 	updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
 	previous := proxy.endpoints[9]
@@ -112,8 +111,8 @@
 	updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
 	proxy.recordFailure(previous, ConnectFailed)
 	proxy.eject(previous, "an attempt from before")
-	if s := proxy.endpoints[9]; s == previous || s.ejected || s.consecutiveFailures > 0 || len(proxy.ejected.endpoints) != 0 {
-		t.Errorf("after the return: %+v", s)
+	if ep := proxy.endpoints[9]; ep == previous || ep.ejected || ep.consecutiveFailures > 0 || len(proxy.ejected.endpoints) != 0 {
+		t.Errorf("after the return: %+v", ep)
 	}
 	sent := 0
 	for i := range 100 {
--- a/balancer/mode_test.go
+++ b/balancer/thresholds_test.go
@@ -9,9 +9,9 @@
 func TestNextModeThresholds(t *testing.T) {
 	const low, high, block = 3, 5, 9
 	for _, c := range []struct {
-		from Mode
-		n    float64
-		want Mode
+		from     Mode
+		inFlight float64
+		want     Mode
 	}{
 		{Normal, 4, Normal}, {Normal, 5, Overloaded}, // above high-1
 		{Normal, 8, Overloaded}, {Normal, 9, Blocking}, // above block-1
@@ -19,15 +19,15 @@
 		{Overloaded, 8, Overloaded}, {Overloaded, 9, Blocking},
 		{Blocking, 6, Blocking}, {Blocking, 5, Overloaded}, // below high+1
 	} {
-		if got := NextMode(c.from, c.n, low, high, block); got != c.want {
-			t.Errorf("from %v at n=%v: %v, want %v", c.from, c.n, got, c.want)
+		if got := NextMode(c.from, c.inFlight, low, high, block); got != c.want {
+			t.Errorf("from mode %v with %v in flight: %v, want %v", c.from, c.inFlight, got, c.want)
 		}
 	}
 }
 
 // In the comments, others are the requests without priority.
 func TestSplitSheddingDropsRequestsWithoutPriorityFirst(t *testing.T) {
-	for _, c := range []struct{ q, n1, n2, q1, q2 float64 }{
+	for _, c := range []struct{ drop, priorityArrivals, otherArrivals, priorityDrop, otherDrop float64 }{
 		{0.3, 50, 50, 0, 0.6},  // dropping some others suffices
 		{0.5, 50, 50, 0, 1},    // exactly all others are dropped
 		{0.75, 50, 50, 0.5, 1}, // priority requests are dropped, too
@@ -37,9 +37,9 @@
 		{1, 0, 50, 0, 1},
 		{0, 10, 10, 0, 0},
 	} {
-		q1, q2 := SplitShedding(c.q, c.n1, c.n2)
-		if math.Abs(q1-c.q1) > 1e-9 || math.Abs(q2-c.q2) > 1e-9 {
-			t.Errorf("q=%v N1=%v N2=%v: q1=%v q2=%v, want %v %v", c.q, c.n1, c.n2, q1, q2, c.q1, c.q2)
+		priorityDrop, otherDrop := SplitShedding(c.drop, c.priorityArrivals, c.otherArrivals)
+		if math.Abs(priorityDrop-c.priorityDrop) > 1e-9 || math.Abs(otherDrop-c.otherDrop) > 1e-9 {
+			t.Errorf("drop %v, arrivals %v and %v: drop probabilities %v and %v, want %v and %v", c.drop, c.priorityArrivals, c.otherArrivals, priorityDrop, otherDrop, c.priorityDrop, c.otherDrop)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 	if priorityFraction(12, 12) != 1 || priorityFraction(1, 12) != 0 || priorityFraction(0, 0) != 0 {
 		t.Error("want 1 for the highest weight, 0 for a twelfth of it and for no weight")
 	}
-	if r := priorityFraction(5, 10); r < 0.4 || r > 0.5 {
-		t.Errorf("half the highest weight: fraction %v, want 0.4 to 0.5", r)
+	if fraction := priorityFraction(5, 10); fraction < 0.4 || fraction > 0.5 {
+		t.Errorf("half the highest weight: fraction %v, want 0.4 to 0.5", fraction)
 	}
 }
--- a/balancer/world_test.go
+++ b/balancer/world_test.go
@@ -1,7 +1,7 @@
 package balancer_test
 
-// A simulated environment that confronts the balancer with legal but adverse events. Nothing in this file, in
-// checker_test.go or in happenings_test.go uses the balancer's code except through its interface.
+// A simulated environment that sends the balancer legal but adverse events. Nothing in this file, in
+// world_checker_test.go or in world_events_test.go uses the balancer's code except through its interface.
 
 import (
 	"fmt"
@@ -12,6 +12,7 @@
 	"wrenspread/balancer"
 )
 
+// sentAttempt is an attempt that the balancer has started, and its outcome.
 type sentAttempt struct {
 	endpoint balancer.EndpointID
 	at       time.Duration
@@ -19,6 +20,7 @@
 	outcome  balancer.Outcome
 }
 
+// liveRequest is a request that has arrived since the last start of the balancer.
 type liveRequest struct {
 	class     balancer.Class
 	deadline  time.Duration
@@ -27,13 +29,15 @@
 	streaming bool
 }
 
+// listedEndpoint is an endpoint that a list has named.
 type listedEndpoint struct {
 	balancer.Endpoint
-	drainListedAt time.Duration // when the list first showed it as draining or gone; 0: it is ready
+	drainListedAt time.Duration // when the list first showed it as draining or removed; 0: it is ready
 	startListed   bool          // the list shows when it started
 	lastUsedAt    time.Duration // last attempt, outcome or start of a drain; 0: none since CloseIdleConnections
 }
 
+// pendingEvent is an event that is scheduled for a time. order is the tie-breaker for equal times.
 type pendingEvent struct {
 	at    time.Duration
 	order int
@@ -41,34 +45,36 @@
 	id    balancer.RequestID
 }
 
+// world is the simulated environment of one balancer.
 type world struct {
 	settings     balancer.Settings
 	random       *rand.Rand
 	now          time.Duration
 	queue        []pendingEvent
-	order        int
+	order        int // number of events that have been scheduled
 	requests     map[balancer.RequestID]*liveRequest
 	endpoints    map[balancer.EndpointID]*listedEndpoint
 	endpointIDs  []balancer.EndpointID
 	attemptTimes map[balancer.EndpointID][]time.Duration
 	capacity     float64 // requests per second of this proxy that a warm endpoint can serve
 	balancer     *balancer.Balancer
-	mutate       func(w *world, a []balancer.Action) []balancer.Action
-	events       []balancer.Event
-	times        []time.Duration
-	actions      []string
-	violations   []string
-	nextID       int
+	// mutate changes the actions that the balancer returns; nil: they are not changed.
+	mutate     func(w *world, a []balancer.Action) []balancer.Action
+	events     []balancer.Event
+	times      []time.Duration
+	actions    []string
+	violations []string
+	nextID     int
 }
 
 func (w *world) addViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) later(d time.Duration, p pendingEvent) {
+func (w *world) schedule(delay time.Duration, pending pendingEvent) {
 	w.order++
-	p.at, p.order = w.now+max(d, w.settings.MinEventInterval), w.order
-	w.queue = append(w.queue, p)
+	pending.at, pending.order = w.now+max(delay, w.settings.MinEventInterval), w.order
+	w.queue = append(w.queue, pending)
 }
 
 func (w *world) handle(e balancer.Event) {
@@ -111,17 +117,17 @@
 func (w *world) start() {
 	w.balancer = balancer.New(w.settings, w.random.Int63())
 	w.requests, w.queue = map[balancer.RequestID]*liveRequest{}, nil
-	var all []balancer.Endpoint
+	var entries []balancer.Endpoint
 	for _, id := range w.endpointIDs {
 		if e := w.endpoints[id].Endpoint; e.State != balancer.Removed {
-			all = append(all, e)
+			entries = append(entries, e)
 		}
 	}
-	for len(all) < 4 {
-		all = append(all, w.newEndpoint(0))
+	for len(entries) < 4 {
+		entries = append(entries, w.newEndpoint(0))
 	}
 	w.endpoints, w.endpointIDs = map[balancer.EndpointID]*listedEndpoint{}, nil
-	w.updateList(balancer.UpdateCached, all)
+	w.updateList(balancer.UpdateCached, entries)
 }
 
 // run simulates some time with arrivals at a rate per second. restarts says whether the proxy may be
@@ -149,16 +155,16 @@
 			w.start()
 		}
 		for _, id := range w.endpointIDs {
-			if s := w.endpoints[id]; s.State == balancer.Draining && s.lastUsedAt > 0 && w.settings.DrainClose > 0 &&
-				w.now > s.lastUsedAt+w.settings.DrainClose {
+			if endpoint := w.endpoints[id]; endpoint.State == balancer.Draining && endpoint.lastUsedAt > 0 && w.settings.DrainClose > 0 &&
+				w.now > endpoint.lastUsedAt+w.settings.DrainClose {
 				w.addViolation("connections to endpoint %d, which drains, were left open", id)
-				s.lastUsedAt = 0
+				endpoint.lastUsedAt = 0
 			}
 		}
-		for id, q := range w.requests {
-			if !q.answered && !q.streaming && w.now > q.deadline+w.settings.ResponseSlack+step {
+		for id, request := range w.requests {
+			if !request.answered && !request.streaming && w.now > request.deadline+w.settings.ResponseSlack+step {
 				w.addViolation("request %s has no answer in time", id)
-				q.answered = true
+				request.answered = true
 			}
 		}
 	}
