--- a/ratelimit/admit.go
+++ b/ratelimit/admit.go
@@ -23,7 +23,8 @@
 		return rejected
 	}
 	scopes, matched := t.match(&request)
-	// The innermost scope that sets a priority decides; of two at one depth, the one with the later attribute.
+	// The innermost scope that sets a priority decides. Of two such scopes at one depth, the one with the later
+	// attribute decides.
 	for _, scope := range scopes[:matched] {
 		if priority := t.Scopes[scope].Priority; priority != 0 {
 			request.Priority = priority > 0
@@ -68,8 +69,8 @@
 	return Decision{}, false
 }
 
-// reportRejected records the demand of a rejected request at the limit that rejected it, and at the limits
-// inside that one, which had the tokens for it.
+// reportRejected records the demand of a rejected request at the limit that rejected it, and at the inner
+// limits, which had enough tokens for it.
 func reportRejected(tokens Tokens, inner []charge, rejecting charge) {
 	for _, c := range inner {
 		tokens.Rejected(c.slot, c.amount)
@@ -128,8 +129,8 @@
 	return 1
 }
 
-// required is the number of tokens that a limit must have available for a request to take its amount. With a
-// full slot any amount that the slot can hold is allowed, whatever the reserve.
+// required is the number of tokens that a limit must have available for a request to take its amount. If a
+// token slot is full, any amount that it can hold is allowed, whatever the reserve.
 func (l *Limit) required(c charge, priority bool, tokens Tokens) float64 {
 	if priority || l.PriorityReserve == 0 {
 		return c.amount
--- a/ratelimit/admit_test.go
+++ b/ratelimit/admit_test.go
@@ -20,18 +20,18 @@
 		table := drawTable(t)
 		tokens := newTokens(table)
 		for i := range tokens.available {
-			tokens.capacity[i] = float64(rapid.IntRange(0, 6).Draw(t, "full"))
-			tokens.available[i] = float64(rapid.IntRange(0, int(tokens.capacity[i])).Draw(t, "left"))
+			tokens.capacity[i] = float64(rapid.IntRange(0, 6).Draw(t, "capacity"))
+			tokens.available[i] = float64(rapid.IntRange(0, int(tokens.capacity[i])).Draw(t, "available"))
 		}
 		for range 6 {
 			request := drawRequest(t)
 			charges, priority := expectedCharges(table, request)
 			before := slices.Clone(tokens.available)
 			lacking := map[int]bool{-1: false}
-			for slot, n := range charges {
-				l := table.Limits[table.LimitOfSlot(slot)]
-				reserve := l.PriorityReserve * tokens.capacity[slot]
-				if before[slot] < n || n > 0 && !priority && before[slot]-n < reserve && before[slot] < tokens.capacity[slot] {
+			for slot, amount := range charges {
+				limit := table.Limits[table.LimitOfSlot(slot)]
+				reserve := limit.PriorityReserve * tokens.capacity[slot]
+				if before[slot] < amount || amount > 0 && !priority && before[slot]-amount < reserve && before[slot] < tokens.capacity[slot] {
 					lacking[table.LimitOfSlot(slot)] = true
 				}
 			}
@@ -53,7 +53,7 @@
 					t.Fatalf("request %+v should take %v tokens of slot %d: %v available before and %v after", request, charges[slot], slot, before[slot], tokens.available[slot])
 				}
 			}
-			if rapid.Bool().Draw(t, "ends") {
+			if rapid.Bool().Draw(t, "ended") {
 				decision.Reservation.Release(tokens)
 				for slot := range before {
 					if open := slot < len(table.Limits) && table.Limits[slot].Unit == UnitConcurrency; open && tokens.available[slot] != before[slot] {
@@ -71,11 +71,11 @@
 		table := drawTable(t)
 		table.Version = rapid.Uint64().Draw(t, "version")
 		data := table.JSON()
-		back, err := Read(data)
-		if err != nil || string(back.JSON()) != string(data) {
+		decoded, err := Read(data)
+		if err != nil || string(decoded.JSON()) != string(data) {
 			t.Fatalf("%v: %s", err, data)
 		}
-		data[rapid.IntRange(len(`{"format":`), len(data)-2).Draw(t, "at")] ^= 1
+		data[rapid.IntRange(len(`{"format":`), len(data)-2).Draw(t, "changed byte")] ^= 1
 		if _, err := Read(data); err == nil && string(data[:60]) == string(table.JSON()[:60]) {
 			t.Fatalf("table accepted with a byte changed: %s", data)
 		}
@@ -85,9 +85,9 @@
 	if err := table.Finalize(); err != nil {
 		t.Fatal(err)
 	}
-	later := fmt.Sprintf(`"zone":0,"later":[1],%s`, table.JSON()[len(`{"format":1,"version":0,"digest":"","zone":0,`)+64:])
-	later = fmt.Sprintf(`{"format":1,"version":7,"digest":%q,%s`, digest(1, []byte(later)), later)
-	if _, err := Read([]byte(later)); err != nil {
+	extended := fmt.Sprintf(`"zone":0,"later":[1],%s`, table.JSON()[len(`{"format":1,"version":0,"digest":"","zone":0,`)+64:])
+	extended = fmt.Sprintf(`{"format":1,"version":7,"digest":%q,%s`, digest(1, []byte(extended)), extended)
+	if _, err := Read([]byte(extended)); err != nil {
 		t.Error(err)
 	}
 }
@@ -101,9 +101,9 @@
 		if _, err := Read(data); err == nil {
 			return
 		}
-		bad := &Table{}
-		if json.Unmarshal(data, bad) == nil {
-			_ = bad.Finalize() // must not panic
+		table := &Table{}
+		if json.Unmarshal(data, table) == nil {
+			_ = table.Finalize() // must not panic
 		}
 	})
 }
@@ -114,8 +114,8 @@
 		table := newTable()
 		table.addScope(-1, AttributeFleet, "", UnitRequests, UnitWork, UnitConcurrency)
 		for i := range tenants {
-			p := table.addScope(0, AttributeTenant, fmt.Sprintf("book-%04d", i), UnitRequests, UnitWork, UnitConcurrency)
-			table.addScope(p, AttributeClass, "view", UnitRequests)
+			tenantScope := table.addScope(0, AttributeTenant, fmt.Sprintf("book-%04d", i), UnitRequests, UnitWork, UnitConcurrency)
+			table.addScope(tenantScope, AttributeClass, "view", UnitRequests)
 		}
 		for len(table.Limits) < 10 {
 			table.addScope(0, AttributeSite, fmt.Sprintf("site-%d", len(table.Limits)), UnitRequests)
--- a/ratelimit/check.go
+++ b/ratelimit/check.go
@@ -14,13 +14,14 @@
 func (t *Table) check() error {
 	switch {
 	case t.Format != Format:
-		return fmt.Errorf("format %d", t.Format)
+		return fmt.Errorf("unsupported format %d", t.Format)
 	case len(t.Scopes) == 0 || len(t.Scopes) > MaxLimits,
 		len(t.Limits) > MaxLimits,
 		len(t.Levels) > MaxLevels:
-		return fmt.Errorf("%d parts, %d limits, %d levels", len(t.Scopes), len(t.Limits), len(t.Levels))
+		return fmt.Errorf("%d parts, %d limits, %d levels: too many, or no part",
+			len(t.Scopes), len(t.Limits), len(t.Levels))
 	case t.UTCOffset < -minutesPerDay || t.UTCOffset > minutesPerDay:
-		return fmt.Errorf("%d minutes ahead of UTC", t.UTCOffset)
+		return fmt.Errorf("operators' clock is %d minutes ahead of UTC, more than a day", t.UTCOffset)
 	}
 	nextLimit := 0
 	for i, scope := range t.Scopes {
@@ -30,7 +31,7 @@
 		nextLimit += scope.LimitCount
 	}
 	if nextLimit != len(t.Limits) {
-		return errors.New("limits without a part")
+		return errors.New("limits at the end belong to no part")
 	}
 	for i := range t.Limits {
 		if err := t.checkLimit(i); err != nil {
@@ -39,7 +40,7 @@
 	}
 	for i := range t.Levels {
 		if level := &t.Levels[i]; !level.valid() {
-			return fmt.Errorf("level %d: %+v", i+1, *level)
+			return fmt.Errorf("level %d is invalid: %+v", i+1, *level)
 		}
 	}
 	return nil
@@ -57,13 +58,14 @@
 	switch {
 	case isRoot && (scope.Parent != -1 || scope.Attribute != AttributeFleet),
 		!isRoot && (scope.Parent < 0 || scope.Parent >= i):
-		return fmt.Errorf("within %d", scope.Parent)
+		return fmt.Errorf("invalid parent (within) %d, or an attribute (axis) of the first part", scope.Parent)
 	case !isRoot && !validChild:
-		return fmt.Errorf("axis %d, word %.40q", scope.Attribute, scope.Value)
+		return fmt.Errorf("invalid attribute (axis) %d or value (word) %.40q", scope.Attribute, scope.Value)
 	case scope.FirstLimit != nextLimit || scope.LimitCount < 0 || scope.LimitCount > len(t.Limits)-nextLimit:
-		return fmt.Errorf("limits %d and %d after", scope.FirstLimit, scope.LimitCount)
+		return fmt.Errorf("first limit %d or limit count %d does not fit the previous parts and the table",
+			scope.FirstLimit, scope.LimitCount)
 	case scope.Priority < -1 || scope.Priority > 1:
-		return fmt.Errorf("priority %d", scope.Priority)
+		return fmt.Errorf("priority %d, want -1, 0 or 1", scope.Priority)
 	}
 	return nil
 }
@@ -75,22 +77,24 @@
 func (t *Table) checkLimit(i int) error {
 	l := &t.Limits[i]
 	if l.Scope < 0 || l.Scope >= len(t.Scopes) {
-		return fmt.Errorf("part %d", l.Scope)
+		return fmt.Errorf("part %d does not exist", l.Scope)
 	}
 	if err := t.checkPosition(i); err != nil {
 		return err
 	}
 	switch {
 	case !l.validShares():
-		return fmt.Errorf("weight %v, safe %v, reserve %v", l.Weight, l.FallbackShare, l.PriorityReserve)
+		return fmt.Errorf("weight %v, safe %v or reserve %v out of range",
+			l.Weight, l.FallbackShare, l.PriorityReserve)
 	case !validRejection(l.Status, l.RetryAfter) || len(l.Schedule) > MaxWindows:
-		return fmt.Errorf("status %d, wait %v, %d spans", l.Status, l.RetryAfter, len(l.Schedule))
+		return fmt.Errorf("status %d or wait %v out of range, or %d spans are too many",
+			l.Status, l.RetryAfter, len(l.Schedule))
 	case !l.allows(l.rates()):
-		return fmt.Errorf("rate %v, burst %v, floor %v", l.Rate, l.Burst, l.Floor)
+		return fmt.Errorf("invalid combination of rate %v, burst %v and floor %v", l.Rate, l.Burst, l.Floor)
 	}
 	for i := range l.Schedule {
 		if window := &l.Schedule[i]; !window.valid() || !l.allows(window.rates()) {
-			return fmt.Errorf("span %+v", *window)
+			return fmt.Errorf("invalid span %+v", *window)
 		}
 	}
 	return nil
@@ -103,15 +107,15 @@
 	scope := t.Scopes[l.Scope]
 	outside := i < scope.FirstLimit || i >= scope.FirstLimit+scope.LimitCount
 	if outside || i > scope.FirstLimit && l.Unit <= t.Limits[i-1].Unit {
-		return errors.New("not in the order of its part's limits")
+		return errors.New("not in the range of its part's limits, or not in order of units")
 	}
 	knownUnit := l.Unit >= UnitRequests && l.Unit <= UnitPerKey
 	if !knownUnit || (l.Unit == UnitPerKey) != (l.KeySlots > 0) || l.KeySlots > MaxKeySlots {
-		return fmt.Errorf("unit %d, %d slots", l.Unit, l.KeySlots)
+		return fmt.Errorf("unknown unit %d, or wrong number of key slots %d", l.Unit, l.KeySlots)
 	}
 	parent, attribute := t.enclosing(l.Scope, l.Unit)
 	if l.Parent != parent || l.Attribute != attribute || l.Name != t.ScopeName(l.Scope)+l.Unit.suffix() {
-		return fmt.Errorf("%.80q has parent %d, axis %d, for %d and %d by its place",
+		return fmt.Errorf("%.80q has the wrong name, or parent %d and axis %d, want %d and %d",
 			l.Name, l.Parent, l.Attribute, parent, attribute)
 	}
 	return nil
--- a/ratelimit/read.go
+++ b/ratelimit/read.go
@@ -44,22 +44,22 @@
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if t.Format != Format {
-		return nil, fmt.Errorf("%w: %d, this program knows %d", ErrFormat, t.Format, Format)
+		return nil, fmt.Errorf("%w: %d, want %d", ErrFormat, t.Format, Format)
 	}
-	head := fmt.Appendf(nil, `{"format":%d,"version":%d,"digest":%q,`, t.Format, t.Version, t.Digest)
-	rest, canonical := bytes.CutPrefix(data, head)
-	if !canonical || t.Digest != digest(t.Format, rest) {
+	header := fmt.Appendf(nil, `{"format":%d,"version":%d,"digest":%q,`, t.Format, t.Version, t.Digest)
+	afterDigest, canonical := bytes.CutPrefix(data, header)
+	if !canonical || t.Digest != digest(t.Format, afterDigest) {
 		return nil, fmt.Errorf("%w: %.16q", ErrDigest, t.Digest)
 	}
 	return t, t.prepare()
 }
 
-// digest is the SHA-256 of a table's JSON with version 0 and an empty digest, in hex; rest is the JSON that
-// follows these fields.
-func digest(format int, rest []byte) string {
+// digest is the SHA-256, in hex, of a table's JSON with version 0 and an empty digest. afterDigest is the
+// part of the JSON that follows the digest field.
+func digest(format int, afterDigest []byte) string {
 	sum := sha256.New()
 	sum.Write(fmt.Appendf(nil, `{"format":%d,"version":0,"digest":"",`, format)) // a hash never returns an error
-	sum.Write(rest)
+	sum.Write(afterDigest)
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
@@ -76,8 +76,9 @@
 	}
 	t.Version = 0
 	t.Digest = ""
-	rest := bytes.TrimPrefix(t.JSON(), fmt.Appendf(nil, `{"format":%d,"version":0,"digest":"",`, t.Format))
-	t.Digest = digest(t.Format, rest)
+	afterDigest := bytes.TrimPrefix(t.JSON(),
+		fmt.Appendf(nil, `{"format":%d,"version":0,"digest":"",`, t.Format))
+	t.Digest = digest(t.Format, afterDigest)
 	return nil
 }
 
@@ -90,12 +91,12 @@
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if limits, scopes := t.MaxMatched(); limits > MaxMatchedLimits || scopes > MaxMatchedScopes {
-		return fmt.Errorf("%w: one request can touch %d limits and %d parts, %d and %d at most", ErrInvalid,
+		return fmt.Errorf("%w: one request can match %d limits and %d parts, at most %d and %d", ErrInvalid,
 			limits, scopes, MaxMatchedLimits, MaxMatchedScopes)
 	}
 	t.layOutTokenSlots()
 	if keySlots := t.tokenSlots - len(t.Limits); keySlots > MaxKeySlots {
-		return fmt.Errorf("%w: %d slots of keys, %d at most", ErrInvalid, keySlots, MaxKeySlots)
+		return fmt.Errorf("%w: %d key slots, at most %d", ErrInvalid, keySlots, MaxKeySlots)
 	}
 	return nil
 }
@@ -108,7 +109,7 @@
 		t.childAttributes[scope.Parent] |= 1 << scope.Attribute
 		key := scopeKey{int32(scope.Parent), scope.Attribute, scope.Value}
 		if _, duplicate := t.children[key]; duplicate {
-			return fmt.Errorf("part %d is there twice", i+1)
+			return fmt.Errorf("part %d is a duplicate", i+1)
 		}
 		t.children[key] = int32(i + 1)
 	}
--- a/ratelimit/scopes.go
+++ b/ratelimit/scopes.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// LimitName returns the name that a limit with a unit must have in a scope, and the attribute of the
-// outermost scope below the scope of the enclosing limit.
+// LimitName returns the name that a limit with a unit must have in a scope. It also returns the limit's
+// attribute, which is that of the outermost scope below the scope of the enclosing limit.
 func (t *Table) LimitName(scope int, unit Unit) (name string, attribute Attribute) {
 	_, attribute = t.enclosing(scope, unit)
 	return t.ScopeName(scope) + unit.suffix(), attribute
@@ -28,8 +28,8 @@
 	return -1, attribute
 }
 
-// MaxMatched returns upper bounds of the limits and scopes that one request can match: of sibling scopes of
-// one attribute, a request matches one.
+// MaxMatched returns upper bounds of the limits and scopes that one request can match. Of sibling scopes with
+// the same attribute, a request matches only one.
 func (t *Table) MaxMatched() (limits, scopes int) {
 	type counts struct{ limits, scopes int }
 	largestChild := make([][AttributeCell + 1]counts, len(t.Scopes)) // by scope and attribute
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -1,6 +1,6 @@
 // Package ratelimit evaluates the operators' compiled limits. A Table is plain data that internal/policy
-// compiles. A proxy calls Table.Admit for every request; internal/quota holds the tokens, behind the Tokens
-// interface. The package does no I/O, reads no clock, and Admit allocates nothing.
+// compiles. A proxy calls Table.Admit for every request; internal/quota provides the tokens through the
+// Tokens interface. The package does no I/O and reads no clock, and Admit allocates no memory.
 //
 // A table must be made ready for use by Read or Finalize and must not be changed afterwards; it may then be
 // read by any number of goroutines.
@@ -51,8 +51,8 @@
 	AttributeCell                    // Request.Cell
 )
 
-// AnyOther is the value of a scope that matches the requests whose attribute matches no sibling's value.
-// These requests share the scope's limits.
+// AnyOther is the value of a scope that matches every request whose attribute equals the value of no sibling
+// scope. All these requests share the scope's limits.
 const AnyOther = "*"
 
 // Scope is a set of requests, and a node of the tree of limits.
--- a/ratelimit/table_test.go
+++ b/ratelimit/table_test.go
@@ -13,8 +13,8 @@
 	rejected            float64
 }
 
-func newTokens(t *Table) *fixedTokens {
-	return &fixedTokens{available: make([]float64, t.TokenSlots()), capacity: make([]float64, t.TokenSlots())}
+func newTokens(table *Table) *fixedTokens {
+	return &fixedTokens{available: make([]float64, table.TokenSlots()), capacity: make([]float64, table.TokenSlots())}
 }
 
 func (f *fixedTokens) Available(i int) float64   { return f.available[i] }
@@ -25,19 +25,19 @@
 
 // addScope adds a scope with a limit for each unit to a table that is being built, and returns its index.
 func (t *Table) addScope(parent int, attribute Attribute, value string, units ...Unit) int {
-	proxyIndex := len(t.Scopes)
+	scope := len(t.Scopes)
 	t.Scopes = append(t.Scopes, Scope{Parent: parent, Attribute: attribute, Value: value, FirstLimit: len(t.Limits), LimitCount: len(units)})
 	for _, u := range units {
-		l := Limit{Scope: proxyIndex, Unit: u, Rate: 10, Weight: 1, Borrow: true, FallbackShare: 0.25, Status: 429, RetryAfter: time.Second}
+		l := Limit{Scope: scope, Unit: u, Rate: 10, Weight: 1, Borrow: true, FallbackShare: 0.25, Status: 429, RetryAfter: time.Second}
 		if u == UnitPerKey {
 			l.KeySlots = 3
 		}
 		t.Limits = append(t.Limits, l)
-		l.Parent, _ = t.enclosing(proxyIndex, u)
-		l.Name, l.Attribute = t.LimitName(proxyIndex, u)
+		l.Parent, _ = t.enclosing(scope, u)
+		l.Name, l.Attribute = t.LimitName(scope, u)
 		t.Limits[len(t.Limits)-1] = l
 	}
-	return proxyIndex
+	return scope
 }
 
 func newTable() *Table { return &Table{Format: Format} }
@@ -56,18 +56,18 @@
 	}
 	table := newTable()
 	table.addScope(-1, AttributeFleet, "", units(2)...)
-	attribute := rapid.IntRange(int(AttributeSite), int(AttributeCell))
-	value := rapid.SampledFrom([]string{"a", "b", AnyOther})
-	for range rapid.IntRange(0, 12).Draw(t, "parts") {
-		parent := rapid.IntRange(0, len(table.Scopes)-1).Draw(t, "within")
-		attr, value := Attribute(attribute.Draw(t, "axis")), value.Draw(t, "word")
+	attributes := rapid.IntRange(int(AttributeSite), int(AttributeCell))
+	values := rapid.SampledFrom([]string{"a", "b", AnyOther})
+	for range rapid.IntRange(0, 12).Draw(t, "scopes") {
+		parent := rapid.IntRange(0, len(table.Scopes)-1).Draw(t, "parent")
+		attr, value := Attribute(attributes.Draw(t, "attribute")), values.Draw(t, "value")
 		if slices.ContainsFunc(table.Scopes, func(s Scope) bool { return s.Parent == parent && s.Attribute == attr && s.Value == value }) {
 			continue
 		}
 		before := *table
 		scope := table.addScope(parent, attr, value, units(2)...)
 		table.Scopes[scope].Priority = rapid.IntRange(-1, 1).Draw(t, "priority")
-		if limits, parts := table.MaxMatched(); limits > MaxMatchedLimits || parts > MaxMatchedScopes {
+		if limits, scopes := table.MaxMatched(); limits > MaxMatchedLimits || scopes > MaxMatchedScopes {
 			*table = before
 		}
 	}
@@ -83,9 +83,9 @@
 
 func drawRequest(t *rapid.T) Request {
 	value := rapid.SampledFrom(attributeValues)
-	return Request{Site: value.Draw(t, "site"), Tenant: value.Draw(t, "book"), Class: value.Draw(t, "class"), Cell: value.Draw(t, "pod"),
-		Key: rapid.SampledFrom([]string{"", "k", "l", "m", "n", "o"}).Draw(t, "key"), Retry: rapid.Bool().Draw(t, "repeat"),
-		Work:     time.Duration(rapid.IntRange(0, 3).Draw(t, "cost")) * time.Millisecond,
+	return Request{Site: value.Draw(t, "site"), Tenant: value.Draw(t, "tenant"), Class: value.Draw(t, "class"), Cell: value.Draw(t, "cell"),
+		Key: rapid.SampledFrom([]string{"", "k", "l", "m", "n", "o"}).Draw(t, "key"), Retry: rapid.Bool().Draw(t, "retry"),
+		Work:     time.Duration(rapid.IntRange(0, 3).Draw(t, "work")) * time.Millisecond,
 		Priority: rapid.Bool().Draw(t, "priority"), Degradation: rapid.IntRange(-1, 3).Draw(t, "level")}
 }
 
@@ -100,18 +100,18 @@
 		if p.Parent < 0 {
 			return true
 		}
-		own := map[Attribute]string{AttributeSite: request.Site, AttributeTenant: request.Tenant, AttributeClass: request.Class, AttributeCell: request.Cell}[p.Attribute]
-		named := slices.ContainsFunc(t.Scopes, func(q Scope) bool { return q.Parent == p.Parent && q.Attribute == p.Attribute && q.Value == own })
-		return matches(p.Parent) && (p.Value == own || p.Value == AnyOther && !named)
+		value := map[Attribute]string{AttributeSite: request.Site, AttributeTenant: request.Tenant, AttributeClass: request.Class, AttributeCell: request.Cell}[p.Attribute]
+		hasOwnScope := slices.ContainsFunc(t.Scopes, func(q Scope) bool { return q.Parent == p.Parent && q.Attribute == p.Attribute && q.Value == value })
+		return matches(p.Parent) && (p.Value == value || p.Value == AnyOther && !hasOwnScope)
 	}
-	slots := len(t.Limits)
-	for i, l := range t.Limits {
-		first := slots
-		slots += l.KeySlots
-		if !matches(l.Scope) {
+	nextSlot := len(t.Limits)
+	for i, limit := range t.Limits {
+		firstSlot := nextSlot
+		nextSlot += limit.KeySlots
+		if !matches(limit.Scope) {
 			continue
 		}
-		switch l.Unit {
+		switch limit.Unit {
 		case UnitWork:
 			charges[i] = float64(request.Work) / 1e6
 		case UnitRetries:
@@ -120,11 +120,11 @@
 			}
 		case UnitPerKey:
 			if request.Key != "" {
-				at := t.tokenSlot(i, request.Key)
-				if at < first || at >= slots || t.LimitOfSlot(at) != i {
+				slot := t.tokenSlot(i, request.Key)
+				if slot < firstSlot || slot >= nextSlot || t.LimitOfSlot(slot) != i {
 					panic("token slot outside the slots of its limit")
 				}
-				charges[at] = 1
+				charges[slot] = 1
 			}
 		default:
 			charges[i] = 1
