--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -153,7 +153,8 @@
 	} else {
 		srv.handle(balancer.TableChanged{Table: table, Tokens: follower.ledger})
 	}
-	srv.log.Info("policy applied", "version", current.Version, "limits", limitCount(table))
+	// The lab finds this line by its message and the key version.
+	srv.log.Info("policy", "version", current.Version, "limits", limitCount(table))
 	srv.updateReady()
 }
 
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -137,7 +137,8 @@
 		t.catalogueNumber.Store(number)
 		t.tenantCount.Store(uint64(t.cache.TenantCount()))
 		srv.announceVersions()
-		srv.log.Info("tenant catalogue applied", "catalogue", number, "known", t.cache.TenantCount())
+		// The lab finds this line by its message and the key catalogue.
+		srv.log.Info("tenants", "catalogue", number, "known", t.cache.TenantCount())
 	}
 	if t.catalogue.Ready() {
 		select {
