--- a/cmd/wrenspread-lab/commands.go
+++ b/cmd/wrenspread-lab/commands.go
@@ -64,7 +64,7 @@
 	return c
 }
 
-// demoCommand plays the built-in experiment demoText.
+// demoCommand plays the experiment demoText.
 func demoCommand() *cobra.Command {
 	var f playFlags
 	c := &cobra.Command{
--- a/cmd/wrenspread-lab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -62,7 +62,7 @@
 	return c
 }
 
-// playSeries checks the flags, plays one run per seed and prints a summary with the number of grants.
+// playSeries checks the flags, plays a run with each seed, and prints a summary with the number of grants.
 func (f *dutyFlags) playSeries(c *cobra.Command) error {
 	if f.runs < 1 || f.parallel < 1 || f.workerGroup.Workers < 1 || f.workerGroup.Duties < 1 ||
 		f.length < time.Second ||
@@ -96,8 +96,8 @@
 	})
 }
 
-// playSeed plays one run in a folder of its own. With the guard "by-seed" the resource checks fencing tokens
-// in runs with an even seed only.
+// playSeed plays one run in a new folder. With the guard "by-seed", the resource checks fencing tokens only
+// if the seed is even.
 func (f *dutyFlags) playSeed(ctx context.Context, program string, seed uint64) (leases.Outcome, error) {
 	dir, err := filepath.Abs(
 		filepath.Join(f.outDir, fmt.Sprintf("duties-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))),
@@ -189,7 +189,7 @@
 			o.Dir = filepath.Join(parentDir, kind)
 			gaps, err := leases.Changes(ctx, o, kind, times)
 			if err != nil {
-				return fmt.Errorf("%s: %w", kind, err)
+				return fmt.Errorf("measure changes of kind %s: %w", kind, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -214,7 +214,7 @@
 		o.Dir = filepath.Join(parentDir, "contest")
 		gaps, err := leases.Contest(ctx, o, contestCandidates, contestRounds)
 		if err != nil {
-			return fmt.Errorf("%d candidates: %w", contestCandidates, err)
+			return fmt.Errorf("measure a contest of %d candidates: %w", contestCandidates, err)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -238,7 +238,7 @@
 		o.Dir = filepath.Join(parentDir, fmt.Sprint(n))
 		costs, err := leases.Costs(ctx, o, n)
 		if err != nil {
-			return fmt.Errorf("%d duties: %w", n, err)
+			return fmt.Errorf("measure the costs of %d leases: %w", n, err)
 		}
 		besteffort.Output(
 			fmt.Fprintf(
--- a/cmd/wrenspread-lab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -96,7 +96,7 @@
 	cmd.Dir, cmd.Stderr = root, log
 	if err := cmd.Run(); err != nil {
 		remove()
-		return "", nil, unplayedError{fmt.Errorf("building %s in %s: %w", name, root, err)}
+		return "", nil, unplayedError{fmt.Errorf("build %s in %s: %w", name, root, err)}
 	}
 	return absolutePath(path, remove)
 }
--- a/cmd/wrenspread-lab/quorum.go
+++ b/cmd/wrenspread-lab/quorum.go
@@ -50,7 +50,7 @@
 	return c
 }
 
-// playSeries checks the flags, plays one run per seed and prints a summary.
+// playSeries checks the flags, plays a run with each seed, and prints a summary.
 func (f *quorumFlags) playSeries(c *cobra.Command) error {
 	if f.runs < 1 || f.parallel < 1 || f.clients < 1 || f.length < time.Second ||
 		(f.replicas != 1 && f.replicas != 3 && f.replicas != 5) {
@@ -80,7 +80,7 @@
 	})
 }
 
-// playSeed plays one run in a folder of its own.
+// playSeed plays one run in a new folder.
 func (f *quorumFlags) playSeed(ctx context.Context, program string, seed uint64) (quorum.Outcome, error) {
 	dir, err := filepath.Abs(
 		filepath.Join(f.outDir, fmt.Sprintf("quorum-%d-%s", seed, time.Now().UTC().Format("20060102T150405.000"))),
@@ -101,7 +101,7 @@
 	)
 }
 
-// listCostCommand measures the registry: failovers, and the cost of a change by watchers, entries and
+// listCostCommand measures the registry: failovers, and costs by the numbers of watchers, entries and
 // callers.
 func listCostCommand() *cobra.Command {
 	var f quorumFlags
@@ -135,8 +135,8 @@
 	return c
 }
 
-// writeRegistryCosts measures the registry and writes one line per result to w: changes by watchers, costs by
-// size, and failovers at two election timeouts.
+// writeRegistryCosts measures the registry and writes one line per result to w: the propagation of a change
+// by the number of watchers, the costs by size, and failovers at two election timeouts.
 func writeRegistryCosts(ctx context.Context, w io.Writer, o quorum.Options, failovers int) error {
 	parentDir := o.Dir
 	for _, watchers := range []int{300, 1000, 10000} {
@@ -144,7 +144,7 @@
 		o.Dir = filepath.Join(parentDir, fmt.Sprint(watchers))
 		fanOut, err := quorum.FanOut(ctx, o, watchers)
 		if err != nil {
-			return fmt.Errorf("%d watchers: %w", watchers, err)
+			return fmt.Errorf("measure changes with %d watchers: %w", watchers, err)
 		}
 		besteffort.Output(
 			fmt.Fprintf(
@@ -167,7 +167,7 @@
 		o.Dir = filepath.Join(parentDir, "failovers"+o.Election.String())
 		outages, err := quorum.Failovers(ctx, o, failovers)
 		if err != nil {
-			return fmt.Errorf("failovers: %w", err)
+			return fmt.Errorf("measure failovers: %w", err)
 		}
 		if len(outages) > 0 {
 			besteffort.Output(
@@ -192,7 +192,7 @@
 	for _, entries := range []int{100, 1000, 10000} {
 		costs, err := quorum.MeasureSize(ctx, optionsIn(fmt.Sprint("size", entries)), entries)
 		if err != nil {
-			return fmt.Errorf("%d entries: %w", entries, err)
+			return fmt.Errorf("measure the size of %d entries: %w", entries, err)
 		}
 		besteffort.Output(
 			fmt.Fprintf(
@@ -212,7 +212,7 @@
 	for _, callers := range []int{1, 10, 100} {
 		rates, err := quorum.MeasureRates(ctx, optionsIn(fmt.Sprint("rate", callers)), callers)
 		if err != nil {
-			return fmt.Errorf("%d callers: %w", callers, err)
+			return fmt.Errorf("measure the rates of %d callers: %w", callers, err)
 		}
 		besteffort.Output(
 			fmt.Fprintf(
@@ -227,7 +227,7 @@
 	for _, arrival := range [][2]int{{200, 300}, {2000, 300}, {200, 3000}} {
 		took, err := quorum.Arrival(ctx, optionsIn(fmt.Sprint("arrival", arrival)), arrival[0], arrival[1])
 		if err != nil {
-			return fmt.Errorf("%d servers arrive: %w", arrival[0], err)
+			return fmt.Errorf("measure the arrival of %d servers: %w", arrival[0], err)
 		}
 		besteffort.Output(
 			fmt.Fprintf(
@@ -242,7 +242,7 @@
 	for _, entries := range []int{100, 1000} {
 		costs, err := quorum.SideBySide(ctx, optionsIn(fmt.Sprint("side", entries)), entries, 300)
 		if err != nil {
-			return fmt.Errorf("watching beside polling: %w", err)
+			return fmt.Errorf("compare watching with polling: %w", err)
 		}
 		besteffort.Output(
 			fmt.Fprintf(
--- a/cmd/wrenspread-lab/scale.go
+++ b/cmd/wrenspread-lab/scale.go
@@ -15,13 +15,13 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// scaleFlags are the flags that all measurements by size share.
+// scaleFlags are the flags that all subcommands of scale share.
 type scaleFlags struct {
-	run        scale.Run
-	binDir     string
-	restLength time.Duration // how long processes are left idle, and how long nodes receive changes
+	run      scale.Run
+	binDir   string
+	restTime time.Duration // length of measurements at rest, and of measurements of changes at nodes
 
-	followParts bool // nodes and watchers follow only their parts of the list
+	followSubsets bool // whether nodes and watchers follow only their subsets of the list
 }
 
 // scaleCommand returns the command whose subcommands measure the cost of control by size and make the tables
@@ -46,9 +46,9 @@
 	c.PersistentFlags().StringVar(&f.run.Trial, "trial", "",
 		"how the programs differ from the commit, where they are those of a trial")
 	c.PersistentFlags().IntVar(&f.run.Repeat, "repeat", 3, "how often each figure is taken")
-	c.PersistentFlags().DurationVar(&f.restLength, "rest", 5*time.Second,
+	c.PersistentFlags().DurationVar(&f.restTime, "rest", 5*time.Second,
 		"for which processes are left alone, and for which nodes get changes")
-	c.PersistentFlags().BoolVar(&f.followParts, "parts", false,
+	c.PersistentFlags().BoolVar(&f.followSubsets, "parts", false,
 		"nodes and watchers follow their parts of the list alone")
 	c.PersistentFlags().StringVar(&f.binDir, "bin", "",
 		"the folder with the programs (default: beside wrenspread-lab, or built from the project)")
@@ -68,7 +68,7 @@
 			"one replica of the registry by how many hollow nodes' clients watch it",
 			[]int{30, 100, 300, 1000, 4300},
 			200,
-			(*scale.Lists).Watchers,
+			(*scale.RegistryRun).Watchers,
 		),
 		scaleWatchersCommand(
 			&f,
@@ -76,7 +76,7 @@
 			"watchers without a list that come to one replica all at once",
 			[]int{30, 100, 300, 1000, 4300},
 			2000,
-			(*scale.Lists).Cold,
+			(*scale.RegistryRun).ColdStart,
 		),
 		scaleWatchersCommand(
 			&f,
@@ -84,7 +84,7 @@
 			"the leader of three replicas killed under watchers, and a change",
 			[]int{30, 100, 300, 1000, 4300},
 			200,
-			(*scale.Lists).Lost,
+			(*scale.RegistryRun).LeaderLoss,
 		),
 		scaleCoreCommand(
 			&f,
@@ -92,7 +92,7 @@
 			"members",
 			"the view of the fleet by its members, in the simulator",
 			[]int{10, 30, 100, 300, 1000},
-			scale.View,
+			scale.MembershipView,
 		),
 		scaleApartCommand(&f),
 		scaleHarmCommand(&f),
@@ -103,7 +103,7 @@
 			"nodes",
 			"the holder of shares killed with another in wait, in the pure cores, by nodes",
 			[]int{30, 100, 300, 1000, 4000},
-			scale.Holders,
+			scale.AllocatorFailover,
 		),
 		scaleCoreCommand(
 			&f,
@@ -135,8 +135,8 @@
 			"",
 			"what the programs refuse beyond",
 			nil,
-			func(ctx context.Context, run scale.Run, _ []int, say func(scale.Point)) error {
-				return scale.Constants(ctx, run, say)
+			func(ctx context.Context, run scale.Run, _ []int, report func(scale.Point)) error {
+				return scale.Constants(ctx, run, report)
 			},
 		),
 	)
@@ -147,12 +147,12 @@
 // run. remove deletes the folder.
 func (f *scaleFlags) prepare(ctx context.Context, subcommand string) (dir string, remove func(), err error) {
 	if f.run.Label != scale.Before && f.run.Label != scale.After || f.run.Repeat < 1 ||
-		f.restLength < time.Second {
+		f.restTime < time.Second {
 		return "", nil, unplayedError{errors.New(
 			"--label is before or after, --repeat 1 or more, --rest 1s or more")}
 	}
 	f.run.Command = "wrenspread-lab scale " + subcommand
-	if f.followParts {
+	if f.followSubsets {
 		f.run.Command += " --parts"
 	}
 	if f.run.Commit == "" {
@@ -168,7 +168,8 @@
 	return dir, func() { besteffort.Cleanup(os.RemoveAll(dir)) }, nil
 }
 
-// scaleModuleCommand measures the decisions of a node alone, by backends, nodes and placement rules.
+// scaleModuleCommand measures the decision module of a node alone, by the numbers of backends, nodes and
+// rules of placement.
 func scaleModuleCommand(f *scaleFlags) *cobra.Command {
 	var backends, nodes, placements []int
 	c := &cobra.Command{
--- a/cmd/wrenspread-lab/scale_force_test.go
+++ b/cmd/wrenspread-lab/scale_force_test.go
@@ -10,7 +10,7 @@
 // each policy once and a tenant in 2 to 4 catalogues, and policies, tenants and bans reach the last node
 // within 60 s.
 func TestForceRecordsPolicyTenantAndBanAtEachNode(t *testing.T) {
-	f := scale.Force{Lists: registryMeasurement(t), Each: 2, Changes: 20}
+	f := scale.Propagation{RegistryRun: registryMeasurement(t), ChangesPerKind: 2, ChangeRate: 20}
 	if err := f.Measure(t.Context(), []int{3}); err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 		"ban_last_s":    {0, 60},
 		"descriptors":   {1, 60},
 	} {
-		if got := recordedMedians(t, f.Lists, name)[0]; got < bounds[0] || got > bounds[1] {
+		if got := recordedMedians(t, f.RegistryRun, name)[0]; got < bounds[0] || got > bounds[1] {
 			t.Errorf("%s is %v, want %v to %v", name, got, bounds[0], bounds[1])
 		}
 	}
--- a/cmd/wrenspread-lab/scale_latency.go
+++ b/cmd/wrenspread-lab/scale_latency.go
@@ -34,12 +34,12 @@
 				return err
 			}
 			defer removeProxy()
-			latency.Lists, latency.Node = scale.Lists{
+			latency.RegistryRun, latency.NodeCommand = scale.RegistryRun{
 				Run:      f.run,
-				Dir:      dir,
+				DataDir:  dir,
 				Program:  []string{registryPath},
-				Subsets:  f.followParts,
-				RestTime: f.restLength,
+				Subsets:  f.followSubsets,
+				RestTime: f.restTime,
 				Report:   pointPrinter(c),
 			}, []string{
 				proxyPath,
@@ -48,12 +48,12 @@
 		},
 	}
 	c.Flags().IntSliceVar(&servers, "servers", []int{75, 750, 10000}, "how many are listed")
-	c.Flags().Float64Var(&latency.Rate, "rate", 1.3e6/4300, "requests a second at the node")
+	c.Flags().Float64Var(&latency.RequestRate, "rate", 1.3e6/4300, "requests a second at the node")
 	c.Flags().DurationVar(&latency.Length, "length", 30*time.Second, "of the requests that are counted")
-	c.Flags().IntVar(&latency.Changes, "changes", 0, "of the list a second: a server restarts")
-	c.Flags().Float64Var(&latency.PerNode, "per-node", 54000.0/4300,
+	c.Flags().IntVar(&latency.ChangeRate, "changes", 0, "of the list a second: a server restarts")
+	c.Flags().Float64Var(&latency.ServersPerNode, "per-node", 54000.0/4300,
 		"servers to a node of the fleet that the node is told of")
-	c.Flags().Float64Var(&latency.Use, "use", 0.25,
+	c.Flags().Float64Var(&latency.Utilization, "use", 0.25,
 		"of what a node's part of the servers can do, by the requests' work")
 	return c
 }
--- a/cmd/wrenspread-lab/scale_latency_test.go
+++ b/cmd/wrenspread-lab/scale_latency_test.go
@@ -33,15 +33,15 @@
 }
 
 // TestLatencyForwardsEachRequestOnceOnReusedConnections checks that requests pass through the node to the
-// registered servers, at most 1.2 attempts each, and that most of them reuse a connection.
+// registered servers, with at most 1.2 attempts each, and that at most half of them need a new connection.
 func TestLatencyForwardsEachRequestOnceOnReusedConnections(t *testing.T) {
 	const servers = 12
-	l := scale.Latency{Lists: registryMeasurement(t), Node: []string{os.Args[0], "node"},
-		Rate: 200, Length: time.Second, PerNode: servers, Use: 0.01}
+	l := scale.Latency{RegistryRun: registryMeasurement(t), NodeCommand: []string{os.Args[0], "node"},
+		RequestRate: 200, Length: time.Second, ServersPerNode: servers, Utilization: 0.01}
 	if err := l.Measure(t.Context(), []int{servers}); err != nil {
 		t.Fatal(err)
 	}
-	sent := recordedMedians(t, l.Lists, "requests")[0] + recordedMedians(t, l.Lists, "failed")[0]
+	sent := recordedMedians(t, l.RegistryRun, "requests")[0] + recordedMedians(t, l.RegistryRun, "failed")[0]
 	for name, bounds := range map[string][2]float64{
 		"known":       {servers, servers},
 		"attempts":    {1, 1.2},
@@ -51,7 +51,7 @@
 		"in_p50_s":    {0, 10},
 		"out_p50_s":   {0, 10},
 	} {
-		if got := recordedMedians(t, l.Lists, name)[0]; got < bounds[0] || got > bounds[1] {
+		if got := recordedMedians(t, l.RegistryRun, name)[0]; got < bounds[0] || got > bounds[1] {
 			t.Errorf("%s is %v, want %v to %v", name, got, bounds[0], bounds[1])
 		}
 	}
--- a/cmd/wrenspread-lab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -12,7 +12,7 @@
 
 // measureRegistry prepares a run, finds the registry's program and calls measure.
 func (f *scaleFlags) measureRegistry(
-	c *cobra.Command, measure func(context.Context, *scale.Lists) error,
+	c *cobra.Command, measure func(context.Context, *scale.RegistryRun) error,
 ) error {
 	dir, remove, err := f.prepare(c.Context(), c.Name())
 	if err != nil {
@@ -27,26 +27,26 @@
 	return asUnplayed(
 		measure(
 			c.Context(),
-			&scale.Lists{
+			&scale.RegistryRun{
 				Run:      f.run,
-				Dir:      dir,
+				DataDir:  dir,
 				Program:  []string{program},
-				Subsets:  f.followParts,
-				RestTime: f.restLength,
+				Subsets:  f.followSubsets,
+				RestTime: f.restTime,
 				Report:   pointPrinter(c),
 			},
 		),
 	)
 }
 
-// scaleWatchersCommand returns a command that measures one replica of the registry, or three, by the number
-// of watchers, on a list with the given number of entries.
+// scaleWatchersCommand returns a command that calls measure with numbers of watchers and a number of entries
+// in the list. The parameters sizes and entries are the defaults of the flags.
 func scaleWatchersCommand(
 	f *scaleFlags,
 	name, short string,
 	sizes []int,
 	entries int,
-	measure func(*scale.Lists, context.Context, []int, int) error,
+	measure func(*scale.RegistryRun, context.Context, []int, int) error,
 ) *cobra.Command {
 	c := &cobra.Command{
 		Use:   name,
@@ -55,7 +55,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			return f.measureRegistry(
 				c,
-				func(ctx context.Context, l *scale.Lists) error { return measure(l, ctx, sizes, entries) },
+				func(ctx context.Context, l *scale.RegistryRun) error { return measure(l, ctx, sizes, entries) },
 			)
 		},
 	}
@@ -73,7 +73,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return f.measureRegistry(c,
-				func(ctx context.Context, l *scale.Lists) error { return l.Entries(ctx, sizes) })
+				func(ctx context.Context, l *scale.RegistryRun) error { return l.Entries(ctx, sizes) })
 		},
 	}
 	c.Flags().IntSliceVar(&sizes, "entries", []int{200, 1000, 2000, 5000, 10000, 20000}, "of the list")
@@ -89,15 +89,15 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return f.measureRegistry(c,
-				func(ctx context.Context, l *scale.Lists) error { return l.Renewals(ctx, rates) })
+				func(ctx context.Context, l *scale.RegistryRun) error { return l.Renewals(ctx, rates) })
 		},
 	}
 	c.Flags().IntSliceVar(&rates, "renewals", []int{250, 500, 1000, 2000, 4000}, "a second")
 	return c
 }
 
-// scaleCoreCommand returns a command that measures one part of a node alone, in this process. The flag named
-// sizesFlag sets the sizes; an empty sizesFlag means that the measurement has no size.
+// scaleCoreCommand returns a command whose measurement runs in this process, without other programs. The flag
+// named sizesFlag sets the sizes; if sizesFlag is empty, the measurement has no sizes.
 func scaleCoreCommand(
 	f *scaleFlags,
 	name, sizesFlag, short string,
--- a/cmd/wrenspread-lab/scale_nodes.go
+++ b/cmd/wrenspread-lab/scale_nodes.go
@@ -14,8 +14,8 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// scaleNodesCommand measures complete nodes, hollow or real, by nodes and by backends: either changes of
-// single backends, or one of the faults zone, rack and roll.
+// scaleNodesCommand measures complete nodes, hollow or real, by the numbers of nodes and backends: during
+// changes of single backends, or during one of the faults zone, rack and roll.
 func scaleNodesCommand(f *scaleFlags) *cobra.Command {
 	var kind string
 	var zone, rack, roll bool
@@ -51,37 +51,37 @@
 			if err != nil {
 				return unplayedError{err}
 			}
-			measurement.Start = []string{executable, "scale", "hollow"}
+			measurement.StartCommand = []string{executable, "scale", "hollow"}
 			if kind == "real" {
 				proxyPath, removeProxy, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir, "wrenspread-proxy")
 				if err != nil {
 					return err
 				}
 				defer removeProxy()
-				measurement.Start = []string{proxyPath}
+				measurement.StartCommand = []string{proxyPath}
 			}
-			measurement.Lists, measurement.Kind = scale.Lists{
+			measurement.RegistryRun, measurement.Kind = scale.RegistryRun{
 				Run:      f.run,
-				Dir:      dir,
+				DataDir:  dir,
 				Program:  []string{registryPath},
-				Subsets:  f.followParts,
-				RestTime: f.restLength,
+				Subsets:  f.followSubsets,
+				RestTime: f.restTime,
 				Report:   pointPrinter(c),
 			}, kind
 			var sizes []scale.Sizes
-			for _, m := range nodes {
+			for _, n := range nodes {
 				for _, b := range backends {
-					sizes = append(sizes, scale.Sizes{Nodes: m, Backends: b})
+					sizes = append(sizes, scale.Sizes{Nodes: n, Backends: b})
 				}
 			}
 			plan, err := scale.LoadPlan(filepath.Join(f.run.Dir, "plan.toml"))
 			switch {
 			case zone:
-				err = measurement.Zone(c.Context(), sizes)
+				err = measurement.ZoneLoss(c.Context(), sizes)
 			case rack && err == nil:
-				err = measurement.Rack(c.Context(), plan, sizes)
+				err = measurement.RackLoss(c.Context(), plan, sizes)
 			case roll && err == nil:
-				err = measurement.Roll(c.Context(), plan, sizes, restarts, rollLength)
+				err = measurement.RollingReplacement(c.Context(), plan, sizes, restarts, rollLength)
 			case !rack && !roll:
 				err = measurement.Measure(c.Context(), sizes)
 			}
@@ -119,7 +119,7 @@
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM)
 			defer stop()
-			return scale.Hollow(ctx, args[0], n)
+			return scale.RunHollow(ctx, args[0], n)
 		},
 	}
 }
@@ -141,7 +141,7 @@
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM)
 			defer stop()
-			return scale.RestartingHollow(ctx, args[0], first, nodes, every)
+			return scale.RunRestartingHollow(ctx, args[0], first, nodes, every)
 		},
 	}
 }
--- a/cmd/wrenspread-lab/scale_pairs.go
+++ b/cmd/wrenspread-lab/scale_pairs.go
@@ -10,8 +10,8 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// scalePairsCommand measures along two sizes together: hollow nodes and their replica by nodes and backends
-// or by nodes and tenants, or the decisions of a node by services and routes.
+// scalePairsCommand measures by two sizes together: hollow nodes and their replica by nodes and backends or
+// by nodes and tenants, or the decision module of a node by services and routes.
 func scalePairsCommand(f *scaleFlags) *cobra.Command {
 	var nodes, backends, tenants, services, routes []int
 	pairs := &scale.Pairs{}
@@ -28,9 +28,9 @@
 			if err != nil {
 				return unplayedError{err}
 			}
-			pairs.Kind, pairs.Start = "hollow", []string{executable, "scale", "hollow"}
-			return f.measureRegistry(c, func(ctx context.Context, l *scale.Lists) error {
-				pairs.Lists = *l
+			pairs.Kind, pairs.StartCommand = "hollow", []string{executable, "scale", "hollow"}
+			return f.measureRegistry(c, func(ctx context.Context, l *scale.RegistryRun) error {
+				pairs.RegistryRun = *l
 				pairs.Command += " " + args[0]
 				switch args[0] {
 				case "backends":
--- a/cmd/wrenspread-lab/sim.go
+++ b/cmd/wrenspread-lab/sim.go
@@ -20,7 +20,7 @@
 	"wrenspread/internal/sim/membership"
 )
 
-// maxExplained is the number of broken schedules of a kind that are shortened and drawn. Of the others only
+// maxExplained is the number of broken schedules of a kind that are shortened and drawn. For the others only
 // the seed and the broken check are printed.
 const maxExplained = 3
 
@@ -71,7 +71,7 @@
 			errors.New("--schedules and --together are 1 or more, --nodes 2 to 1000, --play wild, mild, pairs or all"),
 		}
 	}
-	debug.SetGCPercent(400) // at the default, collecting these short-lived worlds took half of the time
+	debug.SetGCPercent(400) // at the default, garbage collection of these short-lived fleets took half of the time
 	start := time.Now()
 	var broken int
 	table := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
@@ -241,7 +241,7 @@
 	return strings.Join(texts, "  ")
 }
 
-// storyCommand draws the named membership scenarios, or all of them if no name is given.
+// storyCommand draws the named membership scenarios, or all scenarios if no name is given.
 func storyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "story [name]...",
@@ -261,7 +261,7 @@
 			}
 			for _, n := range names {
 				if !slices.Contains(known, n) {
-					return unplayedError{fmt.Errorf("there is no story %q; there are %s", n, strings.Join(known, ", "))}
+					return unplayedError{fmt.Errorf("unknown story %q, want one of %s", n, strings.Join(known, ", "))}
 				}
 			}
 			return nil
--- a/internal/lab/scale/sides.go
+++ b/internal/lab/scale/comparison_tables.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// sidesTable is the table of the measured figures of a node and of a replica, before and after.
-func sidesTable(s pageData) (string, error) {
+// beforeAfterTable returns the table of the measured figures of a node and of a replica, before and after.
+func beforeAfterTable(data pageData) (string, error) {
 	var rows [][]string
 	for _, k := range []struct {
-		what, along, name string
-		others            map[string]int
-		sizes             []int
-		figures           [][2]string // names and units
+		measurement, sizeName, subject string
+		otherSizes                     map[string]int
+		sizes                          []int
+		figures                        [][2]string // names and units
 	}{
-		{"module", "backends", "decisions alone, told of 4,300 nodes", nodesOfPlan, []int{200, 2000, 20000, 54000},
+		{"module", "backends", "decisions alone, told of 4,300 nodes", planNodesOnePlacement,
+			[]int{200, 2000, 20000, 54000},
 			[][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
 		{"real", "backends", "a real node's process", tenNodes, []int{200, 2000, 20000, 54000},
 			[][2]string{
@@ -27,9 +28,9 @@
 			[][2]string{{"change_cpu_s", "s"}, {"whole_bytes", "bytes"}, {"memory_bytes", "bytes"}}},
 	} {
 		for _, f := range k.figures {
-			row := []string{k.name, "`" + f[0] + "`"}
-			for _, m := range []labelRecords{s.before, s.after} {
-				row = append(row, asMeasured(m, k.what, k.along, f[0], f[1], k.others, k.sizes))
+			row := []string{k.subject, "`" + f[0] + "`"}
+			for _, m := range []labelRecords{data.before, data.after} {
+				row = append(row, asMeasured(m, k.measurement, k.sizeName, f[0], f[1], k.otherSizes, k.sizes))
 			}
 			rows = append(rows, row)
 		}
@@ -37,9 +38,13 @@
 	return markdownTable([]string{"of", "figure", "before", "after"}, rows), nil
 }
 
-// asMeasured lists a figure at the given sizes, with a mark at the figures of a trial.
-func asMeasured(m labelRecords, what, along, figure, unit string, others map[string]int, sizes []int) string {
-	r, has := m.byName[what]
+// asMeasured returns the text of the medians of a figure at the given sizes, with a mark at those of a trial.
+func asMeasured(
+	m labelRecords,
+	measurement, sizeName, figure, unit string,
+	otherSizes map[string]int,
+	sizes []int) string {
+	r, has := m.byName[measurement]
 	if !has {
 		return notRun
 	}
@@ -47,7 +52,7 @@
 	for _, n := range sizes {
 		cell := notRun
 		for _, p := range r.Points {
-			if f, has := p.Figures[figure]; has && p.Sizes[along] == n && matches(p, others) {
+			if f, has := p.Figures[figure]; has && p.Sizes[sizeName] == n && matches(p, otherSizes) {
 				if cell = formatFigure(f.Median, unit); p.Trial != "" {
 					cell += " (trial)"
 				}
@@ -58,21 +63,22 @@
 	return strings.Join(cells, "; ")
 }
 
-// inForceTable is the table of the times from the acknowledged write until watchers have it.
-func inForceTable(s pageData) (string, error) {
+// inForceTable returns the table of the times from an acknowledged change of the list until its watchers have
+// it.
+func inForceTable(data pageData) (string, error) {
 	var rows [][]string
-	for _, m := range []labelRecords{s.before, s.after} {
+	for _, m := range []labelRecords{data.before, data.after} {
 		r, has := m.byName["watchers"]
 		if !has {
 			rows = append(rows, []string{m.label, notRun, "", "", "", "", "", ""})
 			continue
 		}
 		for _, p := range r.Points {
-			t := func(name string) string {
+			timeText := func(name string) string {
 				f := p.Figures[name]
 				return fmt.Sprintf(
 					"%s (%s to %s)",
-					formatFigure(f.Median, "s"), formatFigure(f.Least, "s"), formatFigure(f.Most, "s"))
+					formatFigure(f.Median, "s"), formatFigure(f.Min, "s"), formatFigure(f.Max, "s"))
 			}
 			rows = append(
 				rows,
@@ -80,10 +86,10 @@
 					m.label,
 					formatNumber(float64(p.Sizes["watchers"])),
 					formatNumber(float64(p.Sizes["entries"])),
-					t("half_s"),
-					t("most99_s"),
-					t("last_s"),
-					t("last_worst_s"),
+					timeText("half_s"),
+					timeText("most99_s"),
+					timeText("last_s"),
+					timeText("last_worst_s"),
 					fmt.Sprintf("%s to %s", formatNumber(r.Load[0]), formatNumber(r.Load[1])),
 				},
 			)
@@ -104,10 +110,11 @@
 	), nil
 }
 
-// hollowCheckTable compares hollow nodes with real ones, at the same sizes and changes.
-func hollowCheckTable(s pageData) (string, error) {
+// hollowCheckTable returns the table that compares hollow nodes with real nodes, at the same sizes and
+// changes.
+func hollowCheckTable(data pageData) (string, error) {
 	var rows [][]string
-	for _, m := range []labelRecords{s.before, s.after} {
+	for _, m := range []labelRecords{data.before, data.after} {
 		hollow, has := m.byName["hollow"]
 		real, both := m.byName["real"]
 		if !has || !both {
@@ -123,11 +130,12 @@
 				for _, f := range [][2]string{{"datagrams_per_s", "/s"}, {"datagram_bytes_per_s", "bytes/s"},
 					{"change_bytes_in", "bytes"}, {"change_bytes_out", "bytes"},
 					{"change_cpu_s", "s"}, {"rest_cores", "cores"}, {"memory_bytes", "bytes"}} {
-					a, b := h.Figures[f[0]].Median, r.Figures[f[0]].Median
-					verdict := "within 15%"
-					if b < 0.85*a || b > 1.15*a {
-						if verdict = fmt.Sprintf("factor %s, %s more", formatNumber(b/a), formatFigure(b-a, f[1])); b < a {
-							verdict = fmt.Sprintf("factor %s", formatNumber(b/a))
+					hollowMedian, realMedian := h.Figures[f[0]].Median, r.Figures[f[0]].Median
+					comparison := "within 15%"
+					if realMedian < 0.85*hollowMedian || realMedian > 1.15*hollowMedian {
+						if comparison = fmt.Sprintf("factor %s, %s more", formatNumber(realMedian/hollowMedian),
+							formatFigure(realMedian-hollowMedian, f[1])); realMedian < hollowMedian {
+							comparison = fmt.Sprintf("factor %s", formatNumber(realMedian/hollowMedian))
 						}
 					}
 					rows = append(
@@ -136,9 +144,9 @@
 							m.label,
 							formatNumber(float64(h.Sizes["nodes"])),
 							"`" + f[0] + "`",
-							formatFigure(a, f[1]),
-							formatFigure(b, f[1]),
-							verdict,
+							formatFigure(hollowMedian, f[1]),
+							formatFigure(realMedian, f[1]),
+							comparison,
 						},
 					)
 				}
@@ -151,26 +159,26 @@
 	), nil
 }
 
-// runsTable is the table of the records from which the figures come.
-func runsTable(s pageData) (string, error) {
+// runsTable returns the table of the records from which the figures come.
+func runsTable(data pageData) (string, error) {
 	var rows [][]string
-	for _, r := range s.all {
-		var trial []string
+	for _, r := range data.allRecords {
+		var trials []string
 		for _, p := range r.Points {
 			if p.Trial != "" {
-				trial = append(trial, Point{Sizes: p.Sizes}.String()+"with "+p.Trial)
+				trials = append(trials, Point{Sizes: p.Sizes}.String()+"with "+p.Trial)
 			}
 		}
 		rows = append(
 			rows,
 			[]string{
-				r.What,
+				r.Measurement,
 				r.Label,
 				r.Commit,
 				"`" + r.Command + "`",
 				fmt.Sprint(len(r.Points)),
 				fmt.Sprintf("%s to %s on %d cores", formatNumber(r.Load[0]), formatNumber(r.Load[1]), r.Cores),
-				strings.Join(trial, "; "),
+				strings.Join(trials, "; "),
 			},
 		)
 	}
--- a/internal/lab/scale/constants.go
+++ b/internal/lab/scale/constants.go
@@ -10,23 +10,23 @@
 	"wrenspread/internal/tenant"
 )
 
-// Bounds that their packages do not export.
+// Copies of bounds that their packages do not export.
 const (
-	maxPlatformListBytes = 4 << 20 // maxPlatform of internal/registry/client
-	maxViewMembers       = 4096    // MaxMembers of internal/membership, if a configuration does not set it
+	maxPlatformListBytes = 4 << 20 // maxPlatformResponseBytes of internal/registry/client
+	maxViewMembers       = 4096    // default of MaxMembers of internal/membership
 	maxEnrolled          = 2000    // maxMembers of internal/tenant
 )
 
-// Constants records the limits beyond which the program of this commit refuses.
+// Constants records the limits at which the programs of this commit refuse entries, nodes, tenants and so on.
 func Constants(_ context.Context, run Run, report func(Point)) error {
 	return run.record("constants", func() ([]Point, error) {
 		list := registry.ListResponse{Endpoints: []registry.Endpoint{entryOf(1)}}
-		one, err := json.Marshal(list)
+		oneEntry, err := json.Marshal(list)
 		if err != nil {
 			return nil, err
 		}
 		list.Endpoints = append(list.Endpoints, entryOf(2))
-		two, err := json.Marshal(list)
+		twoEntries, err := json.Marshal(list)
 		if err != nil {
 			return nil, err
 		}
@@ -35,9 +35,9 @@
 			"record_bytes": registry.MaxRecordBytes, "sessions": registry.MaxSessions,
 			"held_calls": float64(server.Default().MaxWatchers), "tenants": tenant.MaxTreeTenants,
 			"enrolled": maxEnrolled,
-			// internal/policy allows as many
+			// internal/policy has the same limit
 			"seats": quota.MaxProxies, "members": maxViewMembers, "policy_bytes": registry.MaxRecordValueBytes,
-			"platform_list_bytes": maxPlatformListBytes, "entry_bytes": float64(len(two) - len(one))} {
+			"platform_list_bytes": maxPlatformListBytes, "entry_bytes": float64(len(twoEntries) - len(oneEntry))} {
 			p.Figures[name] = Spread{n, n, n}
 		}
 		report(p)
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	listReads      = 10 // complete lists over which a figure is averaged
+	listReads      = 10 // number of reads of the complete list over which a figure is averaged
 	fewWatchers    = 30
 	renewingAgents = 200
-	renewalTime    = 4 * time.Second
+	renewalTime    = 4 * time.Second // length of the measurement of renewals
 	renewedTTL     = registry.MaxTTL // so that only this measurement sets the rate of renewals
 )
 
 // Entries measures one replica by the number of entries in its list.
-func (l *Lists) Entries(ctx context.Context, sizes []int) error {
+func (l *RegistryRun) Entries(ctx context.Context, sizes []int) error {
 	return l.points(
 		ctx,
 		"entries",
@@ -42,24 +42,23 @@
 	)
 }
 
-// measureEntries measures changes and reads of the complete list, of a list with the given number of
-// entries.
-func (l *Lists) measureEntries(
+// measureEntries measures changes of a list with the given number of entries, and reads of the complete list.
+func (l *RegistryRun) measureEntries(
 	ctx context.Context,
 	set *replicas.Set,
 	k *client.Client,
 	entries int,
 ) (map[string]float64, error) {
-	now, err := k.CurrentList(ctx)
+	list, err := k.CurrentList(ctx)
 	if err != nil {
 		return nil, err
 	}
 	pid, addresses := set.All[0].Proc().Pid, []string{set.All[0].Address()}
-	c, err := l.startWatchers(ctx, addresses, fewWatchers, fewWatchers, now.Index)
+	watchers, err := l.startWatchers(ctx, addresses, fewWatchers, fewWatchers, list.Index)
 	if err != nil {
 		return nil, err
 	}
-	defer c.close()
+	defer watchers.close()
 	begun, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
@@ -69,22 +68,23 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := c.await(ctx, fewWatchers, r.Version, entryName(i%entries)); err != nil {
+		if err := watchers.await(ctx, fewWatchers, r.Version, entryName(i%entries)); err != nil {
 			return nil, err
 		}
-		now.Index = r.Version
+		list.Index = r.Version
 	}
 	changed, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
-	// New nodes read one after the other: the replica encodes the list for the first and caches it for the rest.
+	// New nodes read the list one after the other. The replica encodes it for the first of them, and answers
+	// the others from a cache.
 	for range listReads {
-		one, err := l.startWatchers(ctx, addresses, 1, 1, now.Index)
+		reader, err := l.startWatchers(ctx, addresses, 1, 1, list.Index)
 		if err != nil {
 			return nil, err
 		}
-		one.close()
+		reader.close()
 	}
 	read, err := useOfBoth(pid)
 	if err != nil {
@@ -103,8 +103,9 @@
 	}, nil
 }
 
-// Renewals measures the leader by the renewals a second; as with agents, each call renews one server.
-func (l *Lists) Renewals(ctx context.Context, rates []int) error {
+// Renewals measures the leader by the rate of renewals, in renewals a second. As with agents, each call
+// renews the lease of one server.
+func (l *RegistryRun) Renewals(ctx context.Context, rates []int) error {
 	return l.points(
 		ctx,
 		"renewals",
@@ -122,19 +123,21 @@
 	)
 }
 
-// measureRenewals has hollow agents renew at a rate a second, each its own server on its own connection.
-func measureRenewals(ctx context.Context, set *replicas.Set, k *client.Client, rate int) (map[string]float64, error) {
+// measureRenewals runs hollow agents that together make rate renewals a second. Each agent renews its own
+// server on its own connection.
+func measureRenewals(
+	ctx context.Context, set *replicas.Set, k *client.Client, rate int) (map[string]float64, error) {
 	var g errgroup.Group
-	all := make([]*client.Client, renewingAgents)
-	for i := range all {
-		one, err := client.New(client.Config{Addresses: []string{set.All[0].Address()}})
+	agents := make([]*client.Client, renewingAgents)
+	for i := range agents {
+		agent, err := client.New(client.Config{Addresses: []string{set.All[0].Address()}})
 		if err != nil {
 			return nil, err
 		}
-		defer one.Close()
-		all[i] = one
+		defer agent.Close()
+		agents[i] = agent
 		g.Go(func() error {
-			_, err := one.Register(
+			_, err := agent.Register(
 				ctx,
 				registry.Endpoint{Name: fmt.Sprint("l", i), Address: "127.0.0.1:1", Status: registry.Ready},
 				renewedTTL,
@@ -152,24 +155,24 @@
 		return nil, err
 	}
 	start := time.Now()
-	each := time.Duration(renewingAgents) * time.Second / time.Duration(rate)
+	agentInterval := time.Duration(renewingAgents) * time.Second / time.Duration(rate)
 	var made atomic.Int64
-	var working sync.WaitGroup
+	var renewing sync.WaitGroup
 	errs := make([]error, renewingAgents)
-	for i, one := range all {
-		working.Go(func() {
-			for at := start.Add(each * time.Duration(i) / renewingAgents); at.Before(
+	for i, agent := range agents {
+		renewing.Go(func() {
+			for due := start.Add(agentInterval * time.Duration(i) / renewingAgents); due.Before(
 				start.Add(renewalTime),
-			); at = at.Add(each) {
-				backoff.Sleep(ctx, time.Until(at))
-				if _, errs[i] = one.Renew(ctx, []string{fmt.Sprint("l", i)}); errs[i] != nil {
+			); due = due.Add(agentInterval) {
+				backoff.Sleep(ctx, time.Until(due))
+				if _, errs[i] = agent.Renew(ctx, []string{fmt.Sprint("l", i)}); errs[i] != nil {
 					return
 				}
 				made.Add(1)
 			}
 		})
 	}
-	working.Wait()
+	renewing.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
--- a/internal/lab/scale/played.go
+++ b/internal/lab/scale/fault_point.go
@@ -8,34 +8,34 @@
 	"strings"
 )
 
-// playedPoint is the largest point of a fault's record. Without a record its texts say that the fault was
-// not run.
-type playedPoint struct {
+// faultPoint is the point with the largest sizes in a fault's record. Without a record, its texts say that
+// the fault was not run.
+type faultPoint struct {
 	point  Point
 	has    bool
-	prefix string // of the names of its figures
+	prefix string // prefix of the names of the figures that the texts use
 }
 
-// largestPoint finds the point of a record with the greatest product of its sizes.
-func (m labelRecords) largestPoint(what string) (p playedPoint) {
-	r, has := m.byName[what]
+// largestPoint returns the point of a record with the greatest product of its sizes.
+func (m labelRecords) largestPoint(measurement string) (p faultPoint) {
+	r, has := m.byName[measurement]
 	if !has {
 		return p
 	}
 	product := func(p Point) float64 {
-		all := 1.0
+		total := 1.0
 		for _, n := range p.Sizes {
-			all *= float64(max(1, n))
+			total *= float64(max(1, n))
 		}
-		return all
+		return total
 	}
-	return playedPoint{
+	return faultPoint{
 		point: slices.MaxFunc(r.Points, func(a, b Point) int { return cmp.Compare(product(a), product(b)) }),
 		has:   true,
 	}
 }
 
-// sizeLabels are the labels of a point's sizes, in the order in which the page lists them.
+// sizeLabels holds the names of a point's sizes and their labels, in the order in which the page lists them.
 var sizeLabels = [][2]string{
 	{"backends", "backends"},
 	{"nodes", "nodes"},
@@ -48,40 +48,40 @@
 	{"cut_s", "s apart"},
 }
 
-// sizes lists the point's sizes with their labels.
-func (p playedPoint) sizes() string {
+// sizes returns the text of the point's sizes with their labels.
+func (p faultPoint) sizes() string {
 	if !p.has {
 		return notRun
 	}
-	var all []string
-	for _, w := range sizeLabels {
-		if n, sized := p.point.Sizes[w[0]]; sized {
-			all = append(all, formatNumber(float64(n))+" "+w[1])
+	var texts []string
+	for _, nameAndLabel := range sizeLabels {
+		if n, has := p.point.Sizes[nameAndLabel[0]]; has {
+			texts = append(texts, formatNumber(float64(n))+" "+nameAndLabel[1])
 		}
 	}
-	text := strings.Join(all, ", ")
+	text := strings.Join(texts, ", ")
 	if p.point.Trial != "" {
 		text += " (trial)"
 	}
 	return text
 }
 
-// figureName matches a placeholder of a figure in a sentence; the suffix :share has it written as a
-// percentage.
-var figureName = regexp.MustCompile(`\{([a-z_0-9]+)(:share)?\}`)
+// figurePlaceholder matches the placeholder of a figure in a sentence. The suffix :share formats the figure
+// as a percentage.
+var figurePlaceholder = regexp.MustCompile(`\{([a-z_0-9]+)(:share)?\}`)
 
-// fillIn replaces the placeholders of a sentence by figures. The name of a figure gives its unit; times
-// come with their spread.
-func (p playedPoint) fillIn(sentence string) string {
+// fillIn replaces the placeholders of a sentence by figures. The unit of a figure follows from its name.
+// Times are given with their spread.
+func (p faultPoint) fillIn(sentence string) string {
 	if !p.has {
 		return notRun
 	}
-	return figureName.ReplaceAllStringFunc(sentence, func(name string) string {
+	return figurePlaceholder.ReplaceAllStringFunc(sentence, func(name string) string {
 		name, isShare := strings.CutSuffix(strings.Trim(name, "{}"), ":share")
-		f, there := p.point.Figures[p.prefix+name]
+		f, has := p.point.Figures[p.prefix+name]
 		unit := ""
 		switch {
-		case !there:
+		case !has:
 			return notRun
 		case isShare:
 			return formatPercent(f.Median)
@@ -93,23 +93,24 @@
 			unit = "s"
 		}
 		text := strings.TrimSpace(formatFigure(f.Median, unit))
-		if unit == "s" && f.Least != f.Most {
-			text += fmt.Sprintf(" (%s to %s)", formatFigure(f.Least, unit), formatFigure(f.Most, unit))
+		if unit == "s" && f.Min != f.Max {
+			text += fmt.Sprintf(" (%s to %s)", formatFigure(f.Min, unit), formatFigure(f.Max, unit))
 		}
 		return text
 	})
 }
 
-// atNode gives a node's use in the worst second if it was sampled, else its use over the complete play.
-func (p playedPoint) atNode() string {
+// atNode returns the text of what a node used in its worst second if that was sampled, otherwise over the
+// complete fault.
+func (p faultPoint) atNode() string {
 	if _, peaked := p.point.Figures[p.prefix+"node_peak_cores"]; peaked {
 		return p.fillIn("{node_peak_cores}, {node_peak_bytes} in, in the worst second; {node_memory_bytes}")
 	}
 	return p.fillIn("in all {node_cpu_s} of processor, {node_bytes_in} in, {node_bytes_kept} kept")
 }
 
-// atReplica gives the same figures as atNode for the replica.
-func (p playedPoint) atReplica() string {
+// atReplica returns the same text as atNode for the replica.
+func (p faultPoint) atReplica() string {
 	if _, peaked := p.point.Figures[p.prefix+"replica_peak_cores"]; peaked {
 		return p.fillIn(
 			"{replica_peak_cores}, {replica_peak_bytes} out, in the worst second; {replica_memory_bytes}",
@@ -118,8 +119,9 @@
 	return p.fillIn("in all {replica_cpu_s} of processor, {replica_bytes_out} out")
 }
 
-// harmed is the share of requests due during a fault that the fault harmed, in the small lab.
-func (p playedPoint) harmed() string {
+// harmed returns the text of the share of the requests due during a fault that the fault harmed, as measured
+// in an experiment of the lab.
+func (p faultPoint) harmed() string {
 	if !p.has {
 		return notRun
 	}
@@ -127,8 +129,8 @@
 	return fmt.Sprintf(
 		"%s (%s to %s) of those due meanwhile, at %s: ",
 		formatPercent(f.Median),
-		formatPercent(f.Least),
-		formatPercent(f.Most),
+		formatPercent(f.Min),
+		formatPercent(f.Max),
 		p.sizes(),
 	) +
 		p.fillIn(
--- a/internal/lab/scale/played_test.go
+++ b/internal/lab/scale/fault_point_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// TestFigureSentencesUseLargestPointAndUnits checks that figures come with their units, that the largest
-// point is used, and that a figure that was not run says so.
+// TestFigureSentencesUseLargestPointAndUnits checks that the texts have the figures of the largest point,
+// with their units, and say so if a figure was not measured.
 func TestFigureSentencesUseLargestPointAndUnits(t *testing.T) {
 	few := Point{Sizes: map[string]int{"nodes": 10, "backends": 200}, Figures: map[string]Spread{"settled_s": {Median: 9}}}
-	many := Point{Sizes: map[string]int{"nodes": 100, "backends": 200}, Trial: "more entries", Figures: map[string]Spread{"settled_s": {Median: 0.5, Least: 0.25, Most: 2},
+	many := Point{Sizes: map[string]int{"nodes": 100, "backends": 200}, Trial: "more entries", Figures: map[string]Spread{"settled_s": {Median: 0.5, Min: 0.25, Max: 2},
 		"back_peak_bytes_per_s": {Median: 2000}, "used_least": {Median: 0.25}, "peak_cores": {Median: 0.75}}}
 	m := labelRecords{After, map[string]Record{"zone": {Points: []Point{many, few}}}}
 	back := m.largestPoint("zone")
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -2,25 +2,25 @@
 
 import "fmt"
 
-// fault is a row of the table of faults: what was measured of the fault, and what the slopes give for it at
-// the plan's size.
-type fault struct {
-	name, played, settled, node, control, slopes, harmed string
+// faultRow is a row of the table of faults: the measured figures of the fault, and its costs at the plan's
+// size (atPlan), which fits over the measured sizes give.
+type faultRow struct {
+	name, sizes, settled, node, replica, atPlan, harmed string
 }
 
-// notRun marks a figure on the page that was not measured.
+// notRun is the text on the page for a figure whose measurement was not run.
 const notRun = "not run"
 
-// faultsTable is the table of faults, for the programs before and after.
-func faultsTable(s pageData) (string, error) {
+// faultsTable returns the table of faults, for the programs before and after.
+func faultsTable(data pageData) (string, error) {
 	var rows [][]string
-	for _, m := range []labelRecords{s.before, s.after} {
+	for _, m := range []labelRecords{data.before, data.after} {
 		if len(m.byName) == 0 {
 			rows = append(rows, []string{"all of them", m.label, notRun, "", "", "", "", ""})
 			continue
 		}
-		for _, f := range m.faultRows(s.plan) {
-			rows = append(rows, []string{f.name, m.label, f.played, f.settled, f.node, f.control, f.slopes, f.harmed})
+		for _, f := range m.faultRows(data.plan) {
+			rows = append(rows, []string{f.name, m.label, f.sizes, f.settled, f.node, f.replica, f.atPlan, f.harmed})
 		}
 	}
 	return markdownTable(
@@ -38,34 +38,35 @@
 	), nil
 }
 
-// faultRows gives the rows of one label.
-func (m labelRecords) faultRows(plan Plan) []fault {
-	p, a := plan.Plan, plan.Assumed
-	removalCost := func(n float64) string { // what n changes of the list cost
-		loop, out := &terms{}, &terms{}
-		loop.add(n)(m.figureAt("module", "backends", "change_s", p.Backends, nodesOfPlan))
-		out.add(n)(m.figureAt("watchers", "watchers", "change_bytes", p.Nodes/a.Replicas, nil))
-		if loop.err != nil || out.err != nil {
+// faultRows returns the rows of the table of faults for one label.
+func (m labelRecords) faultRows(plan Plan) []faultRow {
+	p, a := plan.Demand, plan.Assumed
+	removalCost := func(n float64) string { // text of the cost of n changes of the list
+		nodeTime, replicaBytes := &costSum{}, &costSum{}
+		nodeTime.add(n)(m.figureAt("module", "backends", "change_s", p.Backends, planNodesOnePlacement))
+		replicaBytes.add(n)(m.figureAt("watchers", "watchers", "change_bytes", p.Nodes/a.Replicas, nil))
+		if nodeTime.err != nil || replicaBytes.err != nil {
 			return notRun
 		}
 		return "a node's loop " + formatTotal(
-			loop,
+			nodeTime,
 			"s",
 		) + ", were each change taken alone; out of a replica " + formatTotal(
-			out,
+			replicaBytes,
 			"bytes",
 		)
 	}
-	costAt := func(prefix string, times float64, what, along, figure string, n float64, unit string) string {
-		t := &terms{}
-		if t.add(times)(m.figureAt(what, along, figure, n, nil)); t.err != nil {
+	costAt := func(
+		prefix string, times float64, measurement, sizeName, figure string, n float64, unit string) string {
+		t := &costSum{}
+		if t.add(times)(m.figureAt(measurement, sizeName, figure, n, nil)); t.err != nil {
 			return notRun
 		}
 		return prefix + formatTotal(t, unit)
 	}
-	zone, back := m.largestPoint("zone"), m.largestPoint("zone")
-	back.prefix = "back_"
-	rack, roll, apart, holders, cold, lost := m.largestPoint(
+	zone, zoneBack := m.largestPoint("zone"), m.largestPoint("zone")
+	zoneBack.prefix = "back_"
+	rack, rolling, partition, allocator, coldStart, leaderLoss := m.largestPoint(
 		"rack",
 	), m.largestPoint(
 		"roll",
@@ -78,12 +79,12 @@
 	), m.largestPoint(
 		"lost",
 	)
-	survivor := &terms{}
+	survivor := &costSum{}
 	survivor.add(1)(m.figureAt("watchers", "watchers", "rest_cores", p.Nodes/(a.Replicas-1), nil))
 	survivor.add(plan.listChangeRate())(
 		m.figureAt("watchers", "watchers", "change_cpu_s", p.Nodes/(a.Replicas-1), nil),
 	)
-	return []fault{
+	return []faultRow{
 		{
 			"a rack gone at once",
 			rack.sizes(),
@@ -104,19 +105,19 @@
 		},
 		{
 			"a zone's backends back",
-			back.sizes(),
-			back.fillIn("{settled_s} after the last of {changes} writes"),
-			back.atNode(),
-			back.atReplica(),
+			zoneBack.sizes(),
+			zoneBack.fillIn("{settled_s} after the last of {changes} writes"),
+			zoneBack.atNode(),
+			zoneBack.atReplica(),
 			"as gone",
 			"in the row above",
 		},
 		{
 			"halves apart for an hour, with deaths and joins on both sides, then together",
-			apart.sizes(),
-			apart.fillIn("one view after {heal_s}"),
-			apart.fillIn("view: {peak_bytes_per_s} sent in the worst second"),
-			apart.fillIn(
+			partition.sizes(),
+			partition.fillIn("one view after {heal_s}"),
+			partition.fillIn("view: {peak_bytes_per_s} sent in the worst second"),
+			partition.fillIn(
 				"none: a region has its own",
 			),
 			costAt("one view after ", 1, "apart", "members", "heal_s", p.Nodes, "s"),
@@ -124,19 +125,19 @@
 		},
 		{
 			"nodes and backends rolled, by the second",
-			roll.sizes(),
-			roll.fillIn("{settled_s} after the last of {replaced} replacements"),
-			roll.atNode(),
-			roll.atReplica(),
+			rolling.sizes(),
+			rolling.fillIn("{settled_s} after the last of {replaced} replacements"),
+			rolling.atNode(),
+			rolling.atReplica(),
 			"each second: " + removalCost(a.RestartChanges*(p.Nodes+p.Backends)/3600),
 			notRun,
 		},
 		{
 			"everything cold at once",
-			cold.sizes(),
-			cold.fillIn("a list of {entries}: half {half_s}, the last {last_s}"),
-			cold.fillIn("{watcher_cpu_s} of processor in all"),
-			cold.fillIn("{replica_cpu_s} of processor, {replica_bytes_out} in all"),
+			coldStart.sizes(),
+			coldStart.fillIn("a list of {entries}: half {half_s}, the last {last_s}"),
+			coldStart.fillIn("{watcher_cpu_s} of processor in all"),
+			coldStart.fillIn("{replica_cpu_s} of processor, {replica_bytes_out} in all"),
 			costAt(
 				"the list whole, at a node's bytes a second: ",
 				1/p.NodeBytes,
@@ -159,25 +160,25 @@
 		},
 		{
 			"one of three replicas lost, the leader",
-			lost.sizes(),
-			lost.fillIn(
+			leaderLoss.sizes(),
+			leaderLoss.fillIn(
 				"a list of {entries}: written {written_s} after the kill, the last watcher {last_s} after that",
 			),
-			lost.fillIn("a watch made anew"),
+			leaderLoss.fillIn("a watch made anew"),
 			notRun,
 			"each of the others, at the peak: " + formatTotal(survivor, "cores"),
 			notRun,
 		},
 		{
 			"the holder of shares lost, another in wait",
-			holders.sizes(),
-			holders.fillIn(
+			allocator.sizes(),
+			allocator.fillIn(
 				"heard by all after {heard_all_s}, the limit used as before after {settled_s}; granted beyond it: {over_burst}",
 			),
-			holders.fillIn(
+			allocator.fillIn(
 				"least used in a second: {used_least:share} of the limit",
 			),
-			holders.fillIn("{holder_peak_cores}; {holder_bytes_in} in, {holder_bytes_out} out a second"),
+			allocator.fillIn("{holder_peak_cores}; {holder_bytes_in} in, {holder_bytes_out} out a second"),
 			costAt(
 				"",
 				1,
@@ -193,11 +194,11 @@
 	}
 }
 
-// formatTotal writes a sum of slopes with its unit and the grounds on which it rests.
-func formatTotal(t *terms, unit string) string {
-	value, on, err := t.total()
+// formatTotal formats a sum of costs with its unit and grounds.
+func formatTotal(t *costSum, unit string) string {
+	value, g, err := t.total()
 	if err != nil {
 		return notRun
 	}
-	return fmt.Sprintf("%s (%v)", formatFigure(value, unit), on)
+	return fmt.Sprintf("%s (%v)", formatFigure(value, unit), g)
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -7,13 +7,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// form is a function of the size by which a cost may grow.
+// form is a function of the size in proportion to which a cost may grow.
 type form struct {
 	name  string
-	apply func(n float64) float64 // nil: the cost does not grow
+	apply func(n float64) float64 // nil: the cost is constant
 }
 
-// forms are the forms that a fit tries, the simplest first.
+// forms holds the forms that a fit tries, the simplest first.
 var forms = []form{
 	{"constant", nil},
 	{"log n", func(n float64) float64 { return math.Log(n) }},
@@ -22,19 +22,20 @@
 	{"n²", func(n float64) float64 { return n * n }},
 }
 
-// Fit is a cost by a size n: Intercept + Slope * form(n).
+// Fit describes a cost as a function of a size n: Intercept + Slope * form(n).
 type Fit struct {
 	Form      string
 	Intercept float64
 	Slope     float64 // factor of the form; 0 if the cost is constant
-	Residual  float64 // root mean square of the relative errors, by the degrees of freedom
+	Residual  float64 // root mean square of the relative errors; the mean is over the degrees of freedom
 	Sizes     int     // number of sizes that were fitted
 	Largest   float64 // largest size that was fitted
 	growth    func(float64) float64
 }
 
-// fit finds the form with the least residual. Each point is weighted by its relative error, as sizes and
-// costs span decades. A cost that falls with the size is taken as constant.
+// fit returns the fit with the form that has the least residual. It minimizes relative errors, as sizes and
+// costs span orders of magnitude. A cost that falls with the size is fitted as a constant. The tables of the
+// page show the texts of its errors.
 func fit(xs, ys []float64) (Fit, error) {
 	if len(xs) < 3 || len(xs) != len(ys) {
 		return Fit{}, fmt.Errorf("a fit wants three sizes, there are %d", len(xs))
@@ -73,7 +74,7 @@
 	return best, nil
 }
 
-// Cost is the fitted cost at a size; never below 0.
+// Cost returns the fitted cost at a size; it is never below 0.
 func (f Fit) Cost(n float64) float64 {
 	if f.growth == nil {
 		return f.Intercept
@@ -81,23 +82,23 @@
 	return max(0, f.Intercept+f.Slope*f.growth(n))
 }
 
-// Reach is the ratio of a size to the largest size that was measured.
-func (f Fit) Reach(n float64) float64 { return n / f.Largest }
+// Extrapolation returns the ratio of a size to the largest size that was measured.
+func (f Fit) Extrapolation(n float64) float64 { return n / f.Largest }
 
-// grounds tell how well a figure at a size is supported by measurements.
+// grounds tells how well measurements support a figure at a size.
 type grounds struct {
-	reach    float64 // ratio of the size to the largest that was measured
-	residual float64 // of the fit, relative
+	extrapolation float64 // ratio of the size to the largest size that was measured
+	residual      float64 // of the fit
 }
 
-const poorResidual = 0.3 // residual above which a fit is called poor
+const poorResidual = 0.3 // the texts call a fit with a larger residual poor
 
 func (g grounds) String() string {
 	s := "measured"
-	if g.reach > 10 {
-		s = fmt.Sprintf("a guess, %.0f times beyond", g.reach)
-	} else if g.reach > 1 {
-		s = fmt.Sprintf("extrapolated %.1f times", g.reach)
+	if g.extrapolation > 10 {
+		s = fmt.Sprintf("a guess, %.0f times beyond", g.extrapolation)
+	} else if g.extrapolation > 1 {
+		s = fmt.Sprintf("extrapolated %.1f times", g.extrapolation)
 	}
 	if g.residual > poorResidual {
 		s += ", by a poor fit"
@@ -105,26 +106,26 @@
 	return s
 }
 
-// fitOf fits a figure of a record along one size, over the points whose other sizes equal others. The
-// tables of the page show the texts of its errors.
-func fitOf(r Record, along, figure string, others map[string]int) (Fit, error) {
+// fitOf fits a figure of a record over the sizes of the kind sizeName, at the points whose other sizes equal
+// otherSizes. The tables of the page show the texts of its errors.
+func fitOf(r Record, sizeName, figure string, otherSizes map[string]int) (Fit, error) {
 	var xs, ys []float64
 	for _, p := range r.Points {
 		f, has := p.Figures[figure]
-		if n, sized := p.Sizes[along]; has && sized && matches(p, others) {
+		if n, sized := p.Sizes[sizeName]; has && sized && matches(p, otherSizes) {
 			xs, ys = append(xs, float64(n)), append(ys, f.Median)
 		}
 	}
 	f, err := fit(xs, ys)
 	if err != nil {
-		return f, fmt.Errorf("%s of %s, %s, by %s: %w", figure, r.What, r.Label, along, err)
+		return f, fmt.Errorf("%s of %s, %s, by %s: %w", figure, r.Measurement, r.Label, sizeName, err)
 	}
 	return f, nil
 }
 
-// matches reports whether a point has all the given sizes.
-func matches(p Point, others map[string]int) bool {
-	for name, n := range others {
+// matches reports whether a point has all of the given sizes.
+func matches(p Point, sizes map[string]int) bool {
+	for name, n := range sizes {
 		if p.Sizes[name] != n {
 			return false
 		}
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -5,28 +5,28 @@
 	"testing"
 )
 
-// someSizes are sizes as they are measured, over decades.
-var someSizes = []float64{200, 2000, 5000, 20000, 54000}
+// measuredSizes holds sizes like those of the records, which span orders of magnitude.
+var measuredSizes = []float64{200, 2000, 5000, 20000, 54000}
 
-// TestFitFindsEachFormUnderNoise checks that each form is distinguished from the others and found with its
-// slope, and that a spread of 5% changes the cost at the largest size by at most 15%.
+// TestFitFindsEachFormUnderNoise checks that a fit finds each form with its slope, and that noise of 5%
+// changes the fitted cost at the largest size by at most 15%.
 func TestFitFindsEachFormUnderNoise(t *testing.T) {
 	for _, f := range forms {
 		for _, noise := range []float64{0, 0.05} {
 			var ys []float64
-			for i, x := range someSizes {
+			for i, x := range measuredSizes {
 				y := 3.0
 				if f.apply != nil {
 					y += 2 * f.apply(x)
 				}
 				ys = append(ys, y*(1+noise*float64(i%2*2-1)))
 			}
-			got, err := fit(someSizes, ys)
+			got, err := fit(measuredSizes, ys)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if noise == 0 && (got.Form != f.name || f.apply != nil && math.Abs(got.Slope-2) > 1e-6 || got.Residual > 1e-9) {
-				t.Errorf("form %s: got the fit %+v", f.name, got)
+				t.Errorf("form %s without noise: got the fit %+v", f.name, got)
 			}
 			if noise > 0 && math.Abs(got.Cost(54000)/ys[4]-1) > 0.15 {
 				t.Errorf("form %s with noise of 5%%: the fit %+v gives %v, want about %v", f.name, got, got.Cost(54000), ys[4])
@@ -49,8 +49,8 @@
 func TestGroundsTellMeasuredFromExtrapolated(t *testing.T) {
 	f := Fit{Largest: 1000}
 	for n, want := range map[float64]string{500: "measured", 1000: "measured", 4300: "extrapolated 4.3 times", 20000: "a guess, 20 times beyond"} {
-		if got := (grounds{reach: f.Reach(n)}).String(); got != want {
-			t.Errorf("size %v with 1,000 measured: got %s", n, got)
+		if got := (grounds{extrapolation: f.Extrapolation(n)}).String(); got != want {
+			t.Errorf("grounds of size %v, with 1,000 as the largest measured size: got %s", n, got)
 		}
 	}
 	if got := (grounds{2, 0.5}).String(); got != "extrapolated 2.0 times, by a poor fit" {
--- a/internal/lab/scale/harm.go
+++ b/internal/lab/scale/harm.go
@@ -8,9 +8,9 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// Harm plays an experiment with and without its faults, with a new seed for each repetition. It counts the
-// requests that were not served within their latency objective while the faults were on, less those of the
-// run without faults.
+// Harm plays an experiment with and without its faults, with a new seed for each repetition. It records by
+// how much the faults increase the share of requests that are not served within their latency objective while
+// the faults are active.
 func Harm(
 	ctx context.Context,
 	run Run,
@@ -25,17 +25,17 @@
 			map[string]int{"nodes": e.Fleet.Nodes, "boxes": e.Fleet.Boxes},
 			func() (map[string]float64, error) {
 				seed++
-				hit, err := play(ctx, e, seed)
+				withFaults, err := play(ctx, e, seed)
 				if err != nil {
 					return nil, err
 				}
-				spared := *e
-				spared.Faults = nil
-				calm, err := play(ctx, &spared, seed)
+				faultless := *e
+				faultless.Faults = nil
+				withoutFaults, err := play(ctx, &faultless, seed)
 				if err != nil {
 					return nil, err
 				}
-				return harmed(hit, calm)
+				return harmed(withFaults, withoutFaults)
 			},
 		)
 		if err != nil {
@@ -46,60 +46,63 @@
 	})
 }
 
-// harmed compares the outcomes of the requests that were due during the faults in a run with faults (hit)
-// and in one without (calm).
-func harmed(hit, calm report.Run) (map[string]float64, error) {
-	for _, r := range []report.Run{hit, calm} {
+// harmed compares a run with faults and a run without faults by the outcomes of the requests that were due
+// while the faults of the first run were active.
+func harmed(withFaults, withoutFaults report.Run) (map[string]float64, error) {
+	for _, r := range []report.Run{withFaults, withoutFaults} {
 		if r.Late != "" {
-			return nil, fmt.Errorf("seed %d: the run is not valid: %s", r.Figures.Seed, r.Late)
+			return nil, fmt.Errorf("seed %d: the run does not count, as the lab was late: %s", r.Figures.Seed, r.Late)
 		}
 	}
-	var during, spared, all, allSpared report.Count
-	for _, s := range hit.Figures.Faults {
-		if s.To <= s.From {
-			return nil, fmt.Errorf("fault %s has no end", s.Name)
+	var faultTime, faultTimeBaseline, wholeRun, wholeRunBaseline report.Count
+	for _, fault := range withFaults.Figures.Faults {
+		if fault.To <= fault.From {
+			return nil, fmt.Errorf("compare the runs: fault %s has no end", fault.Name)
 		}
 	}
-	on := func(s report.Second) bool {
-		for _, f := range hit.Figures.Faults {
-			if s.At >= f.From && s.At < f.To {
+	duringFault := func(sec report.Second) bool {
+		for _, fault := range withFaults.Figures.Faults {
+			if sec.At >= fault.From && sec.At < fault.To {
 				return true
 			}
 		}
 		return false
 	}
-	sum := func(all *report.Count, c report.Count) {
-		all.Asked, all.InTime, all.Late, all.Refused, all.Failed =
-			all.Asked+c.Asked, all.InTime+c.InTime, all.Late+c.Late, all.Refused+c.Refused, all.Failed+c.Failed
+	addTo := func(total *report.Count, c report.Count) {
+		total.Asked, total.InTime, total.Late, total.Refused, total.Failed =
+			total.Asked+c.Asked, total.InTime+c.InTime, total.Late+c.Late,
+			total.Refused+c.Refused, total.Failed+c.Failed
 	}
-	for of, r := range map[*[2]*report.Count]report.Run{{&during, &all}: hit, {&spared, &allSpared}: calm} {
-		for _, s := range r.Figures.Seconds {
-			if sum(of[1], s.Count); on(s) {
-				sum(of[0], s.Count)
+	for counts, r := range map[*[2]*report.Count]report.Run{
+		{&faultTime, &wholeRun}: withFaults, {&faultTimeBaseline, &wholeRunBaseline}: withoutFaults} {
+		for _, sec := range r.Figures.Seconds {
+			if addTo(counts[1], sec.Count); duringFault(sec) {
+				addTo(counts[0], sec.Count)
 			}
 		}
 	}
-	if during.Asked == 0 || spared.Asked == 0 {
-		return nil, fmt.Errorf("seed %d: no requests were due during the faults", hit.Figures.Seed)
+	if faultTime.Asked == 0 || faultTimeBaseline.Asked == 0 {
+		return nil, fmt.Errorf("seed %d: compare the runs: no requests were due during the faults",
+			withFaults.Figures.Seed)
 	}
-	share := func(n, of int) float64 { return float64(n) / float64(of) }
-	broken := 0
-	for _, v := range hit.Verdicts {
+	share := func(part, whole int) float64 { return float64(part) / float64(whole) }
+	brokenChecks := 0
+	for _, v := range withFaults.Verdicts {
 		if !v.OK() {
-			broken++
+			brokenChecks++
 		}
 	}
 	return map[string]float64{
-		"asked":        float64(during.Asked),
-		"harmed_share": spared.Served() - during.Served(),
-		"failed_share": share(during.Failed, during.Asked),
+		"asked":        float64(faultTime.Asked),
+		"harmed_share": faultTimeBaseline.Served() - faultTime.Served(),
+		"failed_share": share(faultTime.Failed, faultTime.Asked),
 		"refused_share": share(
-			during.Refused,
-			during.Asked,
+			faultTime.Refused,
+			faultTime.Asked,
 		),
-		"late_share":      share(during.Late, during.Asked),
-		"spared_share":    1 - spared.Served(),
-		"whole_run_share": allSpared.Served() - all.Served(),
-		"broken_checks":   float64(broken),
+		"late_share":      share(faultTime.Late, faultTime.Asked),
+		"spared_share":    1 - faultTimeBaseline.Served(),
+		"whole_run_share": wholeRunBaseline.Served() - wholeRun.Served(),
+		"broken_checks":   float64(brokenChecks),
 	}, nil
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -17,7 +17,7 @@
 // memory.
 const gcPercent = 300
 
-// idleListener is a listener for clients to which no client connects.
+// idleListener stands in for a node's listener for clients; no client connects to it.
 type idleListener struct {
 	closed chan struct{}
 	once   sync.Once
@@ -27,19 +27,19 @@
 func (l *idleListener) Close() error              { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *idleListener) Addr() net.Addr            { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// Hollow runs the given number of hollow nodes in this process until ctx ends. A hollow node is a complete
-// node without its clients' listener; the runtime and the program's text exist once for the process. The
-// nodes' configurations are n0.json and so on in dir.
-func Hollow(ctx context.Context, dir string, nodes int) error {
+// RunHollow runs hollow nodes in this process until ctx ends. A hollow node is a complete node without a
+// listener for clients, and without a process of its own: all hollow nodes share the Go runtime and the
+// program's code. The configurations of the nodes are the files n0.json, n1.json and so on in dir.
+func RunHollow(ctx context.Context, dir string, nodes int) error {
 	return runHollow(ctx, dir, nodes, func(int) slog.Handler { return slog.DiscardHandler })
 }
 
-// runHollow does the same as Hollow, and takes the handler of each node's log.
+// runHollow runs hollow nodes as RunHollow does. The function log returns the log handler of the i-th node.
 func runHollow(ctx context.Context, dir string, nodes int, log func(i int) slog.Handler) error {
 	debug.SetGCPercent(gcPercent)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	var all sync.WaitGroup
+	var nodeRuns sync.WaitGroup
 	errs := make([]error, nodes)
 	for i := range nodes {
 		cfg, err := proxy.LoadConfig(configFile(dir, i))
@@ -47,14 +47,14 @@
 			return err
 		}
 		n := proxy.New(cfg, slog.New(log(i)))
-		all.Go(func() { n.ServeControl(ctx, cfg.Control) })
-		all.Go(func() {
+		nodeRuns.Go(func() { n.ServeControl(ctx, cfg.Control) })
+		nodeRuns.Go(func() {
 			if errs[i] = n.Run(ctx, &idleListener{closed: make(chan struct{})}); errs[i] != nil {
-				stop() // a node that cannot run ends the others: else it would count as a node without cost
+				stop() // a node that cannot run ends the others; otherwise it would be counted as a node without cost
 			}
 		})
 	}
-	all.Wait()
+	nodeRuns.Wait()
 	return errors.Join(errs...)
 }
 
--- a/internal/lab/scale/latency_backend.go
+++ b/internal/lab/scale/latency_backend.go
@@ -19,11 +19,11 @@
 	"wrenspread/internal/registry/client"
 )
 
-// workKey is the query parameter in which a request states its work, in us of a server's time.
+// workKey is the query parameter with a request's work: how long the server takes to answer, in us.
 const workKey = "work_us"
 
-// backendServer is one server behind all addresses of a list. It listens on the loopback device for every
-// address. Each answer states when the server had the request and when it began to write.
+// backendServer is one server for all addresses of a list. It listens on all addresses of the loopback
+// device. Each answer states when the server received the request and when it began to write the answer.
 type backendServer struct {
 	base   time.Time
 	port   int
@@ -31,10 +31,10 @@
 	ended  chan error
 }
 
-// connKey is the context key of the count of requests on a connection.
+// connKey is the context key of a connection's counter of requests.
 type connKey struct{}
 
-// startBackendServer starts a server; its times count from base.
+// startBackendServer starts a server, which states its times since base.
 func startBackendServer(ctx context.Context, base time.Time) (*backendServer, error) {
 	loopbackOnly := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var bound error
@@ -64,13 +64,13 @@
 	besteffort.Ended(<-a.ended)
 }
 
-// answer delays a request by its work. The body states when the request came, when the work was done, and
-// the request's number on its connection, from 1.
+// answer answers a request after the time that its work takes. The body has the request's id, the times when
+// the request was received and when the work was done, and the request's number on its connection, from 1.
 func (a *backendServer) answer(w http.ResponseWriter, r *http.Request) {
 	began := time.Since(a.base)
 	work, err := strconv.Atoi(r.URL.Query().Get(workKey))
 	if err != nil || work < 0 {
-		http.Error(w, "how long?", http.StatusBadRequest)
+		http.Error(w, "work_us: want a number of microseconds, 0 or more", http.StatusBadRequest)
 		return
 	}
 	nth := r.Context().Value(connKey{}).(*atomic.Int64).Add(1)
@@ -84,28 +84,28 @@
 	)
 }
 
-// serverTimes is what the server states about a request.
+// serverTimes holds what the server states about a request.
 type serverTimes struct {
 	began, ended time.Duration
 	nth          int64 // number of the request on its connection, from 1
 }
 
-// parseServerTimes parses the body of an answer, and checks that it belongs to the request id.
+// parseServerTimes parses the body of an answer, and checks that it answers the request with an id.
 func parseServerTimes(id, body string) (s serverTimes, err error) {
-	answeredID, rest, _ := strings.Cut(body, " ")
+	answeredID, times, _ := strings.Cut(body, " ")
 	if answeredID != id {
 		return s, fmt.Errorf("the answer to %q came for %q", answeredID, id)
 	}
-	_, err = fmt.Sscan(rest, &s.began, &s.ended, &s.nth)
+	_, err = fmt.Sscan(times, &s.began, &s.ended, &s.nth)
 	return s, err
 }
 
-// address is the i-th address of the server.
+// address returns the i-th address of the server.
 func (a *backendServer) address(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+i>>16, i>>8&255, i&255, a.port)
 }
 
-// registerAll registers the servers as started an hour ago, each at an address of its own.
+// registerAll registers servers that started an hour ago, each with its own address of the backend server.
 func (a *backendServer) registerAll(ctx context.Context, k *client.Client, servers int) error {
 	var g errgroup.Group
 	g.SetLimit(concurrentWrites)
@@ -115,10 +115,10 @@
 	return g.Wait()
 }
 
-// register lists the i-th server as started at a time.
-func (a *backendServer) register(ctx context.Context, k *client.Client, i int, up time.Time) error {
+// register registers the i-th server with a start time.
+func (a *backendServer) register(ctx context.Context, k *client.Client, i int, startedAt time.Time) error {
 	e := entryOf(i)
-	e.Address, e.StartedAtMS = a.address(i), up.UnixMilli()
+	e.Address, e.StartedAtMS = a.address(i), startedAt.UnixMilli()
 	_, err := k.Register(ctx, e, 0, nil)
 	return err
 }
--- a/internal/lab/scale/latency_table.go
+++ b/internal/lab/scale/latency_table.go
@@ -5,48 +5,48 @@
 	"strings"
 )
 
-// latencyTable is the table of the time that a node adds to a request, and of its parts.
-func latencyTable(s pageData) (string, error) {
-	var totals, ways [][]string
-	for _, r := range s.records("latency") {
+// latencyTable returns the tables of the time that a node adds to a request, and of the parts of that time.
+func latencyTable(data pageData) (string, error) {
+	var totals, parts [][]string
+	for _, r := range data.records("latency") {
 		for _, p := range r.Points {
-			all := func(name string) string { return p.formatSpread(name, "s") }
-			at := []string{
+			timeText := func(name string) string { return p.formatSpread(name, "s") }
+			sizes := []string{
 				knownServers(p),
 				formatNumber(float64(p.Sizes["servers"])),
 				formatNumber(float64(p.Sizes["changes"])),
 			}
-			share := formatPercent(p.Figures["added_p99_s"].Median / s.plan.Plan.Added)
+			share := formatPercent(p.Figures["added_p99_s"].Median / data.plan.Demand.AddedLatency)
 			totals = append(
 				totals,
 				append(
-					at[:3:3],
-					all("direct_added_p50_s"),
-					all("direct_added_p99_s"),
-					all("added_p50_s"),
-					all("added_p99_s")+", "+share,
-					all("added_p999_s"),
-					all("direct_calm_p99_s"),
-					all("calm_p99_s"),
+					sizes[:3:3],
+					timeText("direct_added_p50_s"),
+					timeText("direct_added_p99_s"),
+					timeText("added_p50_s"),
+					timeText("added_p99_s")+", "+share,
+					timeText("added_p999_s"),
+					timeText("direct_calm_p99_s"),
+					timeText("calm_p99_s"),
 					calmShare(p),
 					fmt.Sprintf("%s of %s", p.formatSpread("failed", ""), p.formatSpread("requests", "")),
 				),
 			)
-			ways = append(
-				ways,
+			parts = append(
+				parts,
 				append(
-					at[:3:3],
-					all("direct_in_p50_s"),
-					all("direct_out_p50_s"),
-					all("in_kept_p50_s"),
-					all("in_kept_p99_s"),
-					all("in_made_p50_s"),
+					sizes[:3:3],
+					timeText("direct_in_p50_s"),
+					timeText("direct_out_p50_s"),
+					timeText("in_kept_p50_s"),
+					timeText("in_kept_p99_s"),
+					timeText("in_made_p50_s"),
 					formatPercent(p.Figures["made_share"].Median),
-					all("out_p50_s"),
-					all("out_p99_s"),
+					timeText("out_p50_s"),
+					timeText("out_p99_s"),
 					p.formatSpread("attempts", ""),
-					all("node_request_cpu_s"),
-					all("node_request_wait_s"),
+					timeText("node_request_cpu_s"),
+					timeText("node_request_wait_s"),
 					p.formatSpread("load", ""),
 				),
 			)
@@ -88,11 +88,11 @@
 				"its threads' wait for a core a request",
 				"load",
 			},
-			orNotRun(ways, 15),
+			orNotRun(parts, 15),
 		), nil
 }
 
-// orNotRun returns rows or, if there are none, a row that says that nothing was run.
+// orNotRun returns the rows or, if there are none, a row that says that the measurement was not run.
 func orNotRun(rows [][]string, cells int) [][]string {
 	if len(rows) > 0 {
 		return rows
@@ -100,15 +100,16 @@
 	return [][]string{append([]string{notRun}, repeatedString(cells-1, "")...)}
 }
 
-// subsetFlag gives, as a size of a point, whether nodes follow only their subsets of the list.
-func subsetFlag(parts bool) int {
-	if parts {
+// subsetFlag returns the size of a point that says whether nodes follow only their subsets of the list: 1 or
+// 0.
+func subsetFlag(subsets bool) int {
+	if subsets {
 		return 1
 	}
 	return 0
 }
 
-// calmShare writes the share of calm seconds of a point.
+// calmShare formats the share of calm seconds of a point.
 func calmShare(p Point) string {
 	if f, has := p.Figures["calm_share"]; has {
 		return formatPercent(f.Median)
@@ -116,7 +117,7 @@
 	return "none"
 }
 
-// knownServers says whether the node of a point knows all servers or its subset of them.
+// knownServers returns the text that says whether the node of a point knows all servers or only its subset.
 func knownServers(p Point) string {
 	if p.Sizes["part"] == 1 {
 		return "its part"
@@ -124,25 +125,25 @@
 	return "all"
 }
 
-// records are the records of a measurement, one of each program.
-func (s pageData) records(what string) (all []Record) {
+// records returns the records of a measurement: the one before and the one after, as far as they exist.
+func (s pageData) records(measurement string) (found []Record) {
 	for _, m := range []labelRecords{s.before, s.after} {
-		if r, has := m.byName[what]; has {
-			all = append(all, r)
+		if r, has := m.byName[measurement]; has {
+			found = append(found, r)
 		}
 	}
-	return all
+	return found
 }
 
-// formatSpread writes a figure with the least and the most of its repetitions.
+// formatSpread formats the median of a figure with the minimum and the maximum of its repetitions.
 func (p Point) formatSpread(name, unit string) string {
 	f, has := p.Figures[name]
 	if !has {
 		return "none"
 	}
-	one := func(v float64) string { return strings.TrimSpace(formatFigure(v, unit)) }
-	if f.Least == f.Most {
-		return one(f.Median)
+	format := func(v float64) string { return strings.TrimSpace(formatFigure(v, unit)) }
+	if f.Min == f.Max {
+		return format(f.Median)
 	}
-	return fmt.Sprintf("%s (%s to %s)", one(f.Median), one(f.Least), one(f.Most))
+	return fmt.Sprintf("%s (%s to %s)", format(f.Median), format(f.Min), format(f.Max))
 }
--- a/internal/lab/scale/view.go
+++ b/internal/lab/scale/membership_view.go
@@ -8,11 +8,11 @@
 	"wrenspread/internal/sim/membership"
 )
 
-const partitionTime = 30 * time.Second // how long the halves are apart before they rejoin
+const partitionTime = 30 * time.Second // how long the two halves are partitioned
 
-// Partition partitions the fleet into halves for the given time, on the simulation's clock, and then rejoins
-// them until all nodes have one view. During the partition, one node of forty of each half dies and as many
-// join.
+// Partition returns a measurement that partitions the fleet into halves for the time cut, on the simulation's
+// clock, and measures the time from the end of the partition until all nodes have the same view. During the
+// partition, one in forty of the fleet's nodes dies in each half, and as many join.
 func Partition(cut *time.Duration) func(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 	return func(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 		return run.points(
@@ -35,10 +35,10 @@
 	}
 }
 
-// View measures the view of the fleet by the number of its members, on the simulation's clock and network.
-// Processor time and memory are those of the complete simulation, divided by the members: more than a
-// node's.
-func View(ctx context.Context, run Run, sizes []int, report func(Point)) error {
+// MembershipView measures the membership view of the fleet by the number of members, on the simulation's
+// clock and network. The processor time is that of the complete simulation divided by the members, which is
+// more than a node's.
+func MembershipView(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 	return run.points(ctx, "view", "members", sizes, nil, report, func(n int) (map[string]float64, error) {
 		began := fleet.OwnCPU()
 		g, err := membership.Growth{Nodes: n, Seed: 1, Cut: partitionTime}.Measure(ctx)
--- a/internal/lab/scale/force_calls.go
+++ b/internal/lab/scale/node_calls.go
@@ -14,9 +14,9 @@
 	"wrenspread/internal/besteffort"
 )
 
-const callTimeout = 2 * time.Second // a node answers its operators within this time
+const callTimeout = 2 * time.Second // for a node's answer to a call at its control address
 
-// callNode makes a call at a node's control address and returns the status of the answer.
+// callNode makes an HTTP request at a node's control address, and returns the status of the answer.
 func callNode(ctx context.Context, method, control, path string) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -33,7 +33,7 @@
 	return resp.StatusCode, err
 }
 
-// awaitReady waits until the node at a control address is ready.
+// awaitReady waits until the node with a control address is ready.
 func awaitReady(ctx context.Context, control string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -48,10 +48,10 @@
 	}
 }
 
-// callAll makes a call at every node, concurrentWrites at a time, and returns the times from the start
-// until each answer, sorted.
+// callAll makes the same POST request at every node, concurrentWrites requests at a time. It returns the
+// times from the start of the calls until each answer, sorted.
 func callAll(ctx context.Context, controls []string, path string) ([]float64, error) {
-	all, start := make([]float64, len(controls)), time.Now()
+	times, start := make([]float64, len(controls)), time.Now()
 	var g errgroup.Group
 	g.SetLimit(concurrentWrites)
 	for i, control := range controls {
@@ -60,11 +60,11 @@
 			if err == nil && status != http.StatusOK {
 				err = fmt.Errorf("%s of node %d: status %d", path, i, status)
 			}
-			all[i] = seconds(time.Since(start))
+			times[i] = seconds(time.Since(start))
 			return err
 		})
 	}
 	err := g.Wait()
-	slices.Sort(all)
-	return all, err
+	slices.Sort(times)
+	return times, err
 }
--- a/internal/lab/scale/nodes.go
+++ b/internal/lab/scale/nodes.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	changeInterval = 300 * time.Millisecond // between two changes
+	changeInterval = 300 * time.Millisecond // between two changes of the list
 	readyTimeout   = time.Minute
 	stopTimeout    = 10 * time.Second
-	sampledNodes   = 3 // number of nodes whose figures of datagrams are read
+	sampledNodes   = 3 // number of nodes whose sent datagrams are counted
 )
 
-// Nodes says which nodes are measured.
+// Nodes holds the parameters of a measurement of nodes.
 type Nodes struct {
-	Lists
+	RegistryRun
 	Kind          string   // hollow or real
-	Start         []string // command; for a hollow process, its folder and number of nodes are appended
-	View          bool     // whether nodes have a view of the fleet
-	NotifiedNodes int      // size of the fleet of which nodes are notified, if greater than their number
+	StartCommand  []string // command of a process; for hollow nodes, their folder and number are appended
+	View          bool     // whether the nodes have a membership view of the fleet
+	NotifiedNodes int      // fleet size of which the nodes are notified, if it is greater than their number
 
-	Watchers int // further hollow clients of the replica, each with its own subset
+	Watchers int // number of further hollow clients of the replica, each with its own subset
 	extra    extraNodes
 }
 
-// Measure measures nodes at rest and during changes, by the number of nodes and of backends that they know.
+// Measure measures nodes at rest and during changes of the list, by the numbers of nodes and backends.
 func (n *Nodes) Measure(ctx context.Context, sizes []Sizes) error {
 	return n.measureSizes(
 		ctx,
@@ -37,24 +37,24 @@
 	)
 }
 
-// measureSizes records what do returns, with fresh nodes for each size and repetition.
+// measureSizes records the figures that do returns. It starts new nodes for each size and repetition.
 func (n *Nodes) measureSizes(
 	ctx context.Context,
-	what string,
+	measurement string,
 	sizes []Sizes,
 	do func(rig) (map[string]float64, error),
 ) error {
-	return n.record(what, func() (all []Point, err error) {
+	return n.record(measurement, func() (points []Point, err error) {
 		for _, size := range sizes {
-			by := map[string]int{"nodes": size.Nodes, "backends": size.Backends}
-			for name, more := range map[string]int{
-				"watchers": n.Watchers, "beside": n.extra.nodes, "restarts_per_h": n.extra.restarts,
+			pointSizes := map[string]int{"nodes": size.Nodes, "backends": size.Backends}
+			for name, count := range map[string]int{
+				"watchers": n.Watchers, "beside": n.extra.nodes, "restarts_per_h": n.extra.restartsPerHour,
 			} {
-				if more > 0 {
-					by[name] = more
+				if count > 0 {
+					pointSizes[name] = count
 				}
 			}
-			p, err := repeated(n.Repeat, by, func() (f map[string]float64, err error) {
+			p, err := repeated(n.Repeat, pointSizes, func() (f map[string]float64, err error) {
 				err = n.withNodes(ctx, size, func(r rig) error {
 					f, err = do(r)
 					return err
@@ -65,58 +65,58 @@
 				return nil, err
 			}
 			n.Report(p)
-			all = append(all, p)
+			points = append(points, p)
 		}
-		return all, nil
+		return points, nil
 	})
 }
 
-// measureUse measures what the nodes use at rest and during changes.
+// measureUse measures the resources that the nodes use at rest and during changes of the list.
 func (n *Nodes) measureUse(ctx context.Context, r rig) (map[string]float64, error) {
-	sent, err := trafficSentBy(ctx, r.controls)
+	sentBefore, err := trafficSentBy(ctx, r.controls)
 	if err != nil {
 		return nil, err
 	}
-	begun, err := useOfAll(r.nodes)
+	before, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
 	backoff.Sleep(ctx, n.RestTime)
-	rested, err := useOfAll(r.nodes)
+	afterRest, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
-	start, made := time.Now(), 0
-	for ; time.Since(start) < n.RestTime-changeInterval; made++ {
-		if _, err := registerRestart(ctx, r.k, made, r.Backends); err != nil {
+	start, changes := time.Now(), 0
+	for ; time.Since(start) < n.RestTime-changeInterval; changes++ {
+		if _, err := registerRestart(ctx, r.k, changes, r.Backends); err != nil {
 			return nil, err
 		}
-		backoff.Sleep(ctx, time.Until(start.Add(time.Duration(made+1)*changeInterval)))
+		backoff.Sleep(ctx, time.Until(start.Add(time.Duration(changes+1)*changeInterval)))
 	}
 	backoff.Sleep(ctx, time.Until(start.Add(n.RestTime)))
 	if _, err := r.k.Remove(ctx, fmt.Sprintf("s-%08x", r.Backends-1), nil); err != nil {
 		return nil, err
 	}
-	made++
-	if !n.Subsets { // with subsets, only some nodes have the removed server
-		// Without this wait the measured use could lack that of the last changes.
+	changes++
+	if !n.Subsets { // with subsets, only some nodes have had the removed server
+		// Without this wait, the measurement could end before the nodes have processed the last changes.
 		if err := r.awaitStat(ctx, "discovered", r.Backends-1); err != nil {
 			return nil, err
 		}
 	}
-	worked, err := useOfAll(r.nodes)
+	afterChanges, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
-	sentAll, err := trafficSentBy(ctx, r.controls)
+	sentAfter, err := trafficSentBy(ctx, r.controls)
 	if err != nil {
 		return nil, err
 	}
 	took := 2 * n.RestTime.Seconds() * min(sampledNodes, float64(r.Nodes))
-	rest, work, each := rested.minus(begun), worked.minus(rested), float64(r.Nodes)
-	perRest := func(all float64) float64 { return all / n.RestTime.Seconds() / each }
+	rest, work, each := afterRest.minus(before), afterChanges.minus(afterRest), float64(r.Nodes)
+	perRest := func(total float64) float64 { return total / n.RestTime.Seconds() / each }
 	perChange := func(rest, work float64) float64 {
-		return max(0, work-rest) / float64(made) / each
+		return max(0, work-rest) / float64(changes) / each
 	}
 	return map[string]float64{
 		"rest_cores":     perRest(seconds(rest.CPU)),
@@ -131,9 +131,9 @@
 			rest.Written,
 			work.Written,
 		),
-		"memory_bytes":         worked.RSS / each,
-		"descriptors":          worked.FDs / each,
-		"datagrams_per_s":      (sentAll.datagrams - sent.datagrams) / took,
-		"datagram_bytes_per_s": (sentAll.bytes - sent.bytes) / took,
+		"memory_bytes":         afterChanges.RSS / each,
+		"descriptors":          afterChanges.FDs / each,
+		"datagrams_per_s":      (sentAfter.datagrams - sentBefore.datagrams) / took,
+		"datagram_bytes_per_s": (sentAfter.bytes - sentBefore.bytes) / took,
 	}, nil
 }
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -7,24 +7,24 @@
 	"strings"
 )
 
-// Marks of the page around each table; the first names the table.
+// Marks on the page before and after each table. The mark before a table names the table.
 const (
 	beginMark = "<!-- scale: %s -->"
 	endMark   = "<!-- /scale -->"
 )
 
-// pageData is the plan and the records of which the tables are made.
+// pageData holds the plan and the records from which the tables are made.
 type pageData struct {
 	plan          Plan
 	before, after labelRecords
-	all           []Record
+	allRecords    []Record
 }
 
-// tableMakers are the functions that make the page's tables, by the tables' names.
+// tableMakers holds the functions that make the page's tables, by the names of the tables.
 var tableMakers = map[string]func(pageData) (string, error){
 	"assumptions": assumptionsTable,
 	"costs":       costsTable,
-	"sides":       sidesTable,
+	"sides":       beforeAfterTable,
 	"walls":       boundsTable,
 	"force":       inForceTable,
 	"faults":      faultsTable,
@@ -32,32 +32,31 @@
 	"slopes":      slopesTable,
 	"runs":        runsTable,
 	"latency":     latencyTable,
-	"orders":      ordersTable,
+	"orders":      propagationTable,
 	"pairs":       pairsTable,
 	"fleet":       fleetTable,
 }
 
-// Page returns a page's text with its tables replaced by those made from the plan and the records in a
-// folder.
+// Page returns the text of the page with its tables made anew from the plan and the records in a folder.
 func Page(text, dir string) (string, error) {
 	plan, err := LoadPlan(filepath.Join(dir, "plan.toml"))
 	if err != nil {
 		return "", err
 	}
-	all, err := Load(dir)
+	records, err := Load(dir)
 	if err != nil {
 		return "", err
 	}
-	s := pageData{
-		plan:   plan,
-		before: labelRecords{Before, map[string]Record{}},
-		after:  labelRecords{After, map[string]Record{}},
-		all:    all,
+	data := pageData{
+		plan:       plan,
+		before:     labelRecords{Before, map[string]Record{}},
+		after:      labelRecords{After, map[string]Record{}},
+		allRecords: records,
 	}
-	for _, r := range all {
-		for _, m := range []labelRecords{s.before, s.after} {
+	for _, r := range records {
+		for _, m := range []labelRecords{data.before, data.after} {
 			if r.Label == m.label {
-				m.byName[r.What] = r
+				m.byName[r.Measurement] = r
 			}
 		}
 	}
@@ -67,21 +66,21 @@
 		_, after, ended := strings.Cut(rest, endMark)
 		if !begun || !ended || strings.Contains(rest, mark) {
 			return "", fmt.Errorf(
-				"replace table %s: the page has to have it once, between %s and %s", name, mark, endMark)
+				"replace table %s: the page does not have it exactly once, between %s and %s", name, mark, endMark)
 		}
-		table, err := tableMakers[name](s)
+		table, err := tableMakers[name](data)
 		if err != nil {
 			return "", fmt.Errorf("make table %s: %w", name, err)
 		}
 		text = before + mark + "\n" + table + endMark + after
 	}
 	if n := strings.Count(text, "<!-- scale:"); n != len(tableMakers) {
-		return "", fmt.Errorf("the page has %d tables, want %d", n, len(tableMakers))
+		return "", fmt.Errorf("replace the tables: the page has %d tables, want %d", n, len(tableMakers))
 	}
 	return text, nil
 }
 
-// markdownTable writes rows as a Markdown table.
+// markdownTable formats rows as a Markdown table.
 func markdownTable(head []string, rows [][]string) string {
 	var t strings.Builder
 	line := func(cells []string) { t.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
@@ -93,16 +92,16 @@
 	return t.String()
 }
 
-// repeatedString is a slice of n times s.
+// repeatedString returns a slice that has s n times.
 func repeatedString(n int, s string) []string {
-	all := make([]string, n)
-	for i := range all {
-		all[i] = s
+	copies := make([]string, n)
+	for i := range copies {
+		copies[i] = s
 	}
-	return all
+	return copies
 }
 
-// formatFigure writes a figure with its unit.
+// formatFigure formats a figure with its unit.
 func formatFigure(v float64, unit string) string {
 	switch unit {
 	case "cores":
@@ -112,11 +111,11 @@
 		return formatNumber(v) + " cores"
 	case "bytes", "bytes/s":
 		for _, u := range []struct {
-			of   float64
+			size float64
 			name string
 		}{{1e9, "GB"}, {1e6, "MB"}, {1e3, "kB"}} {
-			if v >= u.of {
-				return formatNumber(v/u.of) + " " + u.name + strings.TrimPrefix(unit, "bytes")
+			if v >= u.size {
+				return formatNumber(v/u.size) + " " + u.name + strings.TrimPrefix(unit, "bytes")
 			}
 		}
 		return formatNumber(v) + " B" + strings.TrimPrefix(unit, "bytes")
@@ -131,7 +130,7 @@
 	return formatNumber(v) + " " + unit
 }
 
-// formatNumber writes a number with three digits; from 100 on, with all digits before the decimal point.
+// formatNumber formats a number with three significant digits, and a number from 100 on without decimals.
 func formatNumber(v float64) string {
 	if math.Abs(v) >= 100 || v == 0 {
 		s := fmt.Sprintf("%.0f", v)
@@ -143,5 +142,5 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// formatPercent writes a share as a percentage.
-func formatPercent(part float64) string { return formatNumber(100*part) + "%" }
+// formatPercent formats a share as a percentage.
+func formatPercent(share float64) string { return formatNumber(100*share) + "%" }
--- a/internal/lab/scale/page_test.go
+++ b/internal/lab/scale/page_test.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	pageFile = "../../../docs/CAPACITY.md"
-	records  = "../../../docs/capacity"
+	pageFile   = "../../../docs/CAPACITY.md"
+	recordsDir = "../../../docs/capacity"
 )
 
 func readPage(t *testing.T) string {
@@ -21,27 +21,28 @@
 	return string(raw)
 }
 
-// TestPageMatchesRecordsAndPlan checks that the tables in the page are those made from the records and the
-// plan.
+// TestPageMatchesRecordsAndPlan checks that the tables on the page are those that the records and the plan
+// give.
 func TestPageMatchesRecordsAndPlan(t *testing.T) {
 	text := readPage(t)
-	if got, err := Page(text, records); err != nil {
+	if got, err := Page(text, recordsDir); err != nil {
 		t.Fatal(err)
 	} else if got != text {
 		t.Error("docs/CAPACITY.md differs from its records: update it with wrenspread-lab scale page")
 	}
 }
 
-// copied copies the folder of the records, each file changed by edit, and returns the copy.
-func copied(t *testing.T, edit func(name, text string) string) string {
+// copyRecords copies the folder of the records, with each file changed by edit, and returns the path of the
+// copy.
+func copyRecords(t *testing.T, edit func(name, text string) string) string {
 	t.Helper()
 	dir := t.TempDir()
-	files, err := os.ReadDir(records)
+	files, err := os.ReadDir(recordsDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range files {
-		raw, err := os.ReadFile(filepath.Join(records, f.Name()))
+		raw, err := os.ReadFile(filepath.Join(recordsDir, f.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,8 +53,8 @@
 	return dir
 }
 
-// TestPageShowsChangesAndRefusesBadInput checks that a changed figure, plan or page changes the made page,
-// and that invalid records, plans and pages are errors.
+// TestPageShowsChangesAndRefusesBadInput checks that a changed figure or plan changes the page, that invalid
+// records and plans are errors, and that a changed page is an error or is restored.
 func TestPageShowsChangesAndRefusesBadInput(t *testing.T) {
 	text := readPage(t)
 	plan := func(from, to string) func(string, string) string {
@@ -73,29 +74,29 @@
 		},
 		"the plan": plan("nodes = 4300", "nodes = 4301"),
 	} {
-		if got, err := Page(text, copied(t, edit)); err != nil || got == text {
+		if got, err := Page(text, copyRecords(t, edit)); err != nil || got == text {
 			t.Errorf("change of %s: the page is unchanged, or error %v", name, err)
 		}
 	}
 	for name, dir := range map[string]string{
-		"an unknown key of the plan": copied(t, plan("nodes = 4300", "nodes = 4300\nnoodles = 2")),
-		"a plan without nodes":       copied(t, plan("nodes = 4300", "")),
-		"an unknown key of a record": copied(t, func(name, raw string) string { return strings.Replace(raw, `"commit"`, `"comit"`, 1) }),
-		"a record of another name":   copied(t, func(name, raw string) string { return strings.Replace(raw, `"label":"before"`, `"label":"after"`, 1) }),
+		"an unknown key of the plan":         copyRecords(t, plan("nodes = 4300", "nodes = 4300\nnoodles = 2")),
+		"a plan without nodes":               copyRecords(t, plan("nodes = 4300", "")),
+		"an unknown key of a record":         copyRecords(t, func(name, raw string) string { return strings.Replace(raw, `"commit"`, `"comit"`, 1) }),
+		"a record in a file of another name": copyRecords(t, func(name, raw string) string { return strings.Replace(raw, `"label":"before"`, `"label":"after"`, 1) }),
 	} {
 		if _, err := Page(text, dir); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 	for name, page := range map[string]string{
-		"a table less":     strings.Replace(text, "<!-- scale: walls -->", "", 1),
-		"a table more":     text + "<!-- scale: other -->\n" + endMark,
-		"a table twice":    text + "<!-- scale: walls -->\n" + endMark,
-		"no end of one":    strings.ReplaceAll(text, endMark, ""),
-		"an empty page":    "",
-		"a figure by hand": strings.Replace(text, "<!-- scale: walls -->\n", "<!-- scale: walls -->\n| 1 |\n", 1),
+		"a missing table":        strings.Replace(text, "<!-- scale: walls -->", "", 1),
+		"an unknown table":       text + "<!-- scale: other -->\n" + endMark,
+		"a table twice":          text + "<!-- scale: walls -->\n" + endMark,
+		"tables without an end":  strings.ReplaceAll(text, endMark, ""),
+		"an empty page":          "",
+		"a figure added by hand": strings.Replace(text, "<!-- scale: walls -->\n", "<!-- scale: walls -->\n| 1 |\n", 1),
 	} {
-		if got, err := Page(page, records); err == nil && got == page {
+		if got, err := Page(page, recordsDir); err == nil && got == page {
 			t.Errorf("%s: the page is accepted unchanged", name)
 		}
 	}
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -19,15 +19,16 @@
 
 const (
 	tenantsAtOnce = 50 // tenants ordered together: the registry holds at most 1,000 records
-	pairChanges   = 5  // changes of tenants, one at a time
+	pairChanges   = 5  // number of tenants that are added one at a time
 )
 
-// Pairs says which nodes, all hollow in one process, are measured along two kinds of sizes together.
+// Pairs holds the parameters of a measurement by two kinds of sizes together. Its nodes are hollow and run in
+// one process.
 type Pairs struct{ Nodes }
 
-// Backends measures nodes and their replica by the numbers of nodes and backends.
+// Backends measures nodes and their replica, by the numbers of nodes and backends.
 func (p *Pairs) Backends(ctx context.Context, nodes, backends []int) error {
-	return p.grid(nodes, "backends", "pairs", func(n int, add func(int, map[string]float64)) error {
+	return p.recordGrid(nodes, "backends", "pairs", func(n int, add func(int, map[string]float64)) error {
 		for _, b := range backends {
 			size := Sizes{Nodes: n, Backends: b}
 			err := p.withNodes(ctx, size, func(r rig) error {
@@ -55,66 +56,68 @@
 	})
 }
 
-// grid records the figures that one adds for each number of nodes, at sizes of another kind.
-func (p *Pairs) grid(
+// recordGrid calls measure with each number of nodes. It records the figures that measure adds for each size
+// of the kind otherSize.
+func (p *Pairs) recordGrid(
 	nodes []int,
-	other, what string,
-	one func(n int, add func(size int, f map[string]float64)) error,
+	otherSize, measurement string,
+	measure func(n int, add func(size int, f map[string]float64)) error,
 ) error {
-	return p.record(what, func() (all []Point, err error) {
+	return p.record(measurement, func() (points []Point, err error) {
 		for _, n := range nodes {
-			found := map[int]map[string][]float64{}
+			values := map[int]map[string][]float64{}
 			for range p.Repeat {
-				err := one(n, func(size int, f map[string]float64) {
-					if found[size] == nil {
-						found[size] = map[string][]float64{}
+				err := measure(n, func(size int, f map[string]float64) {
+					if values[size] == nil {
+						values[size] = map[string][]float64{}
 					}
 					for name, v := range f {
-						found[size][name] = append(found[size][name], v)
+						values[size][name] = append(values[size][name], v)
 					}
 				})
 				if err != nil {
 					return nil, fmt.Errorf("with %d nodes: %w", n, err)
 				}
 			}
-			for _, size := range sortedKeys(found) {
-				at := Point{
-					Sizes:   map[string]int{"nodes": n, other: size, "part": subsetFlag(p.Subsets)},
+			for _, size := range sortedKeys(values) {
+				point := Point{
+					Sizes:   map[string]int{"nodes": n, otherSize: size, "part": subsetFlag(p.Subsets)},
 					Figures: map[string]Spread{},
 				}
-				for name, v := range found[size] {
-					at.Figures[name] = spreadOf(v)
+				for name, v := range values[size] {
+					point.Figures[name] = spreadOf(v)
 				}
-				p.Report(at)
-				all = append(all, at)
+				p.Report(point)
+				points = append(points, point)
 			}
 		}
-		return all, nil
+		return points, nil
 	})
 }
 
-// Tenants measures nodes and their replica by the numbers of nodes and of tenants in the catalogue, which a
-// controller adds.
+// Tenants measures nodes and their replica, by the numbers of nodes and tenants. A controller adds the
+// tenants to the catalogue.
 func (p *Pairs) Tenants(ctx context.Context, nodes, tenants []int) error {
-	return p.grid(nodes, "tenants", "pairs-tenants", func(n int, add func(int, map[string]float64)) error {
+	return p.recordGrid(nodes, "tenants", "pairs-tenants", func(n int, add func(int, map[string]float64)) error {
 		return p.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
-			f := Force{Lists: p.Lists, Each: tenants[len(tenants)-1] + pairChanges*len(tenants)}
-			if err := f.prepare(ctx, k); err != nil {
+			f := Propagation{RegistryRun: p.RegistryRun,
+				ChangesPerKind: tenants[len(tenants)-1] + pairChanges*len(tenants)}
+			if err := f.storeInitialState(ctx, k); err != nil {
 				return err
 			}
-			dir, err := os.MkdirTemp(p.Dir, "pairs")
+			dir, err := os.MkdirTemp(p.DataDir, "pairs")
 			if err != nil {
 				return err
 			}
 			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-			controls, free, err := writeGovernedConfigs(dir, n, set.All[0].Address(), p.Subsets, true)
-			defer free()
+			controls, release, err := writeNodeConfigsWithPolicy(dir, n, set.All[0].Address(), p.Subsets, true)
+			defer release()
 			if err != nil {
 				return err
 			}
-			conducting, stop := context.WithCancel(ctx)
+			controllerCtx, stop := context.WithCancel(ctx)
 			ended := make(chan error, 1)
-			go func() { ended <- runTenantController(conducting, k) }()
+			go func() { ended <- runTenantController(controllerCtx, k) }()
 			defer func() { stop(); besteffort.Ended(<-ended) }()
 			log, err := history.New("")
 			if err != nil {
@@ -130,11 +133,11 @@
 				if err := r.addTenants(ctx, have, tenants[i]); err != nil {
 					return err
 				}
-				got, err := p.measureTenants(ctx, r, tenants[i])
+				figures, err := p.measureTenants(ctx, r, tenants[i])
 				if err != nil {
 					return err
 				}
-				add(tenants[i], got)
+				add(tenants[i], figures)
 				have = tenants[i] + pairChanges
 			}
 			return nil
@@ -142,7 +145,8 @@
 	})
 }
 
-// addTenants orders tenants until there are want of them, and waits until every node knows them.
+// addTenants submits orders that add the tenants from number have up to number want, and waits until every
+// node knows them.
 func (r rig) addTenants(ctx context.Context, have, want int) error {
 	for ; have < want; have += tenantsAtOnce {
 		var g errgroup.Group
@@ -161,21 +165,21 @@
 
 // orderTenant submits the order that adds the i-th tenant.
 func orderTenant(ctx context.Context, k *client.Client, i int) error {
-	form := tenantSpec(i)
-	placed, err := tenant.SubmitOrder(
+	spec := tenantSpec(i)
+	submitted, err := tenant.SubmitOrder(
 		ctx,
 		k,
-		form.Names[0],
-		tenant.Order{ID: fmt.Sprint("scale-", i), Op: tenant.OrderAdd, Spec: form},
+		spec.Names[0],
+		tenant.Order{ID: fmt.Sprint("scale-", i), Op: tenant.OrderAdd, Spec: spec},
 	)
-	if err == nil && !placed {
-		err = fmt.Errorf("submit an order for tenant %s: another order is pending", form.Names[0])
+	if err == nil && !submitted {
+		err = fmt.Errorf("submit an order for tenant %s: another order is pending", spec.Names[0])
 	}
 	return err
 }
 
-// measureTenants measures the use of nodes and replica at rest, and while tenants are added one after
-// another.
+// measureTenants measures the resources that the nodes and the replica use at rest, and while tenants are
+// added one after another.
 func (p *Pairs) measureTenants(ctx context.Context, r rig, have int) (map[string]float64, error) {
 	var uses [3]struct{ nodes, service use }
 	sample := func(i int) (err error) {
@@ -185,7 +189,7 @@
 		uses[i].service, err = useOf(r.service.Pid)
 		return err
 	}
-	backoff.Sleep(ctx, time.Second) // the last tenant is served
+	backoff.Sleep(ctx, time.Second) // until the last tenant is served
 	if err := sample(0); err != nil {
 		return nil, err
 	}
@@ -206,8 +210,8 @@
 	}
 	rest, work, each := uses[1].nodes.minus(uses[0].nodes), uses[2].nodes.minus(uses[1].nodes), float64(r.Nodes)
 	restService, workService := uses[1].service.minus(uses[0].service), uses[2].service.minus(uses[1].service)
-	longer := seconds(took) / p.RestTime.Seconds()
-	perChange := func(work, rest float64) float64 { return max(0, work-rest*longer) / pairChanges }
+	timesRest := seconds(took) / p.RestTime.Seconds()
+	perChange := func(work, rest float64) float64 { return max(0, work-rest*timesRest) / pairChanges }
 	return map[string]float64{
 		"rest_cores":   seconds(rest.CPU) / p.RestTime.Seconds() / each,
 		"memory_bytes": uses[2].nodes.RSS / each,
--- a/internal/lab/scale/pairs_fit.go
+++ b/internal/lab/scale/pairs_fit.go
@@ -10,32 +10,32 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// pairForms are the forms in which a cost may grow with one of two sizes: three sizes of each do not tell
-// more forms apart. A node's reach, the number of backends that it uses, falls with the number of nodes:
-// 1/n.
+// pairForms holds the forms in which a cost may depend on one of two sizes. There are few, as three sizes of
+// each kind do not distinguish more forms. The form 1/n is that of the number of backends that a node uses,
+// which falls with the number of nodes.
 var pairForms = append(slices.Clone(forms[1:3]), form{"1/n", func(n float64) float64 { return 1 / n }})
 
-// maxProductChance bounds the probability that chance alone makes a product appear; above it the product does
-// not count. It allows a false product in one of twenty tables, each of which is tried in all nine pairs of
-// forms.
-const maxProductChance = 0.05 / 9
+// maxProductPValue is the significance level below which a product counts. It allows a false product in one
+// of twenty fits, each of which tries all nine pairs of forms.
+const maxProductPValue = 0.05 / 9
 
-// PairFit is a cost by two sizes a and b: the sum of terms of 1, a, b and a*b, each size in its form.
+// PairFit describes a cost as a function of two sizes a and b: the sum of multiples of 1, A(a), B(b) and
+// A(a)*B(b), where A and B are the forms.
 type PairFit struct {
-	A, B     string // names of the forms
-	Terms    [4]float64
-	Residual float64 // relative; of the fit with the product if the product counts, else without
-	Chance   float64 // probability that a product that does not exist shows as much
+	A, B     string     // names of the forms
+	Terms    [4]float64 // factors of the terms 1, A(a), B(b) and A(a)*B(b)
+	Residual float64    // relative; of the fit with the product if the product counts, otherwise without it
+	PValue   float64    // probability of a product as strong as this one if there is none
 	Points   int
 	a, b     func(float64) float64
 	largest  [2]float64
 }
 
-// Product reports whether the product counts. If so, the cost at two large sizes is not the sum of two
-// costs.
-func (f PairFit) Product() bool { return f.Chance < maxProductChance }
+// ProductCounts reports whether the cost has a product of the sizes. If so, the cost at two large sizes is
+// not the sum of two costs.
+func (f PairFit) ProductCounts() bool { return f.PValue < maxProductPValue }
 
-// Cost is the fitted cost at two sizes; never below 0.
+// Cost returns the fitted cost at two sizes; it is never below 0.
 func (f PairFit) Cost(a, b float64) float64 {
 	t := f.row(a, b)
 	sum := 0.0
@@ -45,13 +45,14 @@
 	return max(0, sum)
 }
 
-// row is the value of each term at two sizes, without its factor.
+// row returns the value of each term at two sizes, without its factor.
 func (f PairFit) row(a, b float64) [4]float64 {
 	return [4]float64{1, f.a(a), f.b(b), f.a(a) * f.b(b)}
 }
 
-// fitPair finds the forms with the least residual, and whether their product counts, by how much it reduces
-// the sum of the squares. Each point is weighted by its relative error.
+// fitPair returns the fit with the forms that have the least residual. An F-test on the sum of squares
+// decides whether the product counts. It minimizes relative errors. The tables of the page show the texts of
+// its errors.
 func fitPair(as, bs, ys []float64) (PairFit, error) {
 	best := PairFit{Residual: math.Inf(1)}
 	if len(ys) < 9 || len(as) != len(ys) || len(bs) != len(ys) {
@@ -74,13 +75,13 @@
 				return best, err
 			}
 			degreesOfFreedom := float64(len(ys) - 4)
-			f.Chance = distuv.F{
+			f.PValue = distuv.F{
 				D1: 1,
 				D2: degreesOfFreedom,
 			}.Survival(
 				max(0, sum3-sum4) / (sum4/degreesOfFreedom + math.SmallestNonzeroFloat64),
 			)
-			if f.Terms, f.Residual = without, math.Sqrt(sum3/(degreesOfFreedom+1)); f.Product() {
+			if f.Terms, f.Residual = without, math.Sqrt(sum3/(degreesOfFreedom+1)); f.ProductCounts() {
 				f.Terms, f.Residual = with, math.Sqrt(sum4/degreesOfFreedom)
 			}
 			if f.Residual < best.Residual {
@@ -94,24 +95,27 @@
 	return best, nil
 }
 
-// solve fits the first terms, and returns them with the sum of the squares of the relative errors.
-func (f PairFit) solve(terms int, as, bs, ys []float64) (t [4]float64, left float64, err error) {
-	x, one, got := mat.NewDense(len(ys), terms, nil), mat.NewDense(len(ys), 1, nil), mat.NewDense(terms, 1, nil)
+// solve fits the factors of the given number of first terms. It returns the factors, and the sum of the
+// squares of the relative errors.
+func (f PairFit) solve(terms int, as, bs, ys []float64) (t [4]float64, sumOfSquares float64, err error) {
+	x, ones, solution := mat.NewDense(len(ys), terms, nil), mat.NewDense(len(ys), 1, nil),
+		mat.NewDense(terms, 1, nil)
 	for i, y := range ys {
 		row := f.row(as[i], bs[i])
 		for j := range terms {
 			x.Set(i, j, row[j]/y)
 		}
-		one.Set(i, 0, 1)
+		ones.Set(i, 0, 1)
 	}
-	if err := got.Solve(x, one); err != nil {
+	if err := solution.Solve(x, ones); err != nil {
 		var condition mat.Condition
-		if !errors.As(err, &condition) { // sizes span decades: an ill-conditioned solution is accepted
+		// An ill-conditioned solution is accepted, as sizes span orders of magnitude.
+		if !errors.As(err, &condition) {
 			return t, 0, fmt.Errorf("a fit of two sizes: %w", err)
 		}
 	}
 	for j := range terms {
-		t[j] = got.At(j, 0)
+		t[j] = solution.At(j, 0)
 	}
 	for i, y := range ys {
 		sum := 0.0
@@ -119,23 +123,23 @@
 			sum += t[j] * v
 		}
 		relative := (sum - y) / y
-		left += relative * relative
+		sumOfSquares += relative * relative
 	}
-	return t, left, nil
+	return t, sumOfSquares, nil
 }
 
-// fitPairOf fits a figure of a record along two sizes, over the points whose other sizes equal others. The
-// tables of the page show the texts of its errors.
-func fitPairOf(r Record, a, b, figure string, others map[string]int) (PairFit, error) {
+// fitPairOf fits a figure of a record over the kinds of sizes a and b, at the points whose other sizes equal
+// otherSizes. The tables of the page show the texts of its errors.
+func fitPairOf(r Record, a, b, figure string, otherSizes map[string]int) (PairFit, error) {
 	var as, bs, ys []float64
 	for _, p := range r.Points {
-		if f, has := p.Figures[figure]; has && p.Sizes[a] > 0 && p.Sizes[b] > 0 && matches(p, others) {
+		if f, has := p.Figures[figure]; has && p.Sizes[a] > 0 && p.Sizes[b] > 0 && matches(p, otherSizes) {
 			as, bs, ys = append(as, float64(p.Sizes[a])), append(bs, float64(p.Sizes[b])), append(ys, f.Median)
 		}
 	}
 	f, err := fitPair(as, bs, ys)
 	if err != nil {
-		return f, fmt.Errorf("%s of %s, %s: %w", figure, r.What, r.Label, err)
+		return f, fmt.Errorf("%s of %s, %s: %w", figure, r.Measurement, r.Label, err)
 	}
 	return f, nil
 }
--- a/internal/lab/scale/pairs_table.go
+++ b/internal/lab/scale/pairs_table.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// pairsTable is the table of the figures measured by two sizes together: their ends, their joint fit, and
-// whether the product of the sizes counts.
-func pairsTable(s pageData) (string, error) {
+// pairsTable returns the table of the figures measured by two sizes together: their values at the smallest
+// and largest sizes, their fit over both sizes, and whether the product of the sizes counts.
+func pairsTable(data pageData) (string, error) {
 	var rows [][]string
-	figures := [][2]string{
+	backendFigures := [][2]string{
 		{"rest_cores", "cores"},
 		{"change_cpu_s", "s"},
 		{"change_bytes_in", "bytes"},
@@ -20,7 +20,7 @@
 		{"replica_bytes_out_per_s", "bytes/s"},
 		{"replica_memory_bytes", "bytes"},
 	}
-	ofTenants := [][2]string{
+	tenantFigures := [][2]string{
 		{"rest_cores", "cores"},
 		{"change_cpu_s", "s"},
 		{"change_bytes_in", "bytes"},
@@ -30,30 +30,30 @@
 		{"replica_memory_bytes", "bytes"},
 	}
 	for _, k := range []struct {
-		what, of, a, b string
-		others         map[string]int
-		figures        [][2]string // names and units
+		measurement, subject, a, b string
+		otherSizes                 map[string]int
+		figures                    [][2]string // names and units
 	}{
 		{"module", "decisions alone", "nodes", "backends", map[string]int{"placements": 1},
 			[][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
-		{"pairs", "hollow nodes, all of the list", "nodes", "backends", map[string]int{"part": 0}, figures},
-		{"pairs", "hollow nodes, their parts", "nodes", "backends", map[string]int{"part": 1}, figures},
+		{"pairs", "hollow nodes, all of the list", "nodes", "backends", map[string]int{"part": 0}, backendFigures},
+		{"pairs", "hollow nodes, their parts", "nodes", "backends", map[string]int{"part": 1}, backendFigures},
 		{"pairs-routes", "decisions alone, 2,000 backends, 300 nodes", "services", "routes", nil,
 			[][2]string{{"rest_cores", "cores"}, {"change_s", "s"}, {"memory_bytes", "bytes"}}},
-		{"pairs-tenants", "hollow nodes, the whole catalogue", "nodes", "tenants", nil, ofTenants},
+		{"pairs-tenants", "hollow nodes, the whole catalogue", "nodes", "tenants", nil, tenantFigures},
 	} {
-		for _, m := range []labelRecords{s.before, s.after} {
-			r, has := m.byName[k.what]
-			if !has || !slices.ContainsFunc(r.Points, func(p Point) bool { return matches(p, k.others) }) {
+		for _, m := range []labelRecords{data.before, data.after} {
+			r, has := m.byName[k.measurement]
+			if !has || !slices.ContainsFunc(r.Points, func(p Point) bool { return matches(p, k.otherSizes) }) {
 				continue
 			}
 			for _, f := range k.figures {
-				at := append(
-					[]string{m.label, k.of, k.a + ", " + k.b, "`" + f[0] + "`"},
-					corners(r, k.a, k.b, f[0], f[1], k.others)...)
-				fit, err := fitPairOf(r, k.a, k.b, f[0], k.others)
+				row := append(
+					[]string{m.label, k.subject, k.a + ", " + k.b, "`" + f[0] + "`"},
+					corners(r, k.a, k.b, f[0], f[1], k.otherSizes)...)
+				fit, err := fitPairOf(r, k.a, k.b, f[0], k.otherSizes)
 				if err != nil {
-					rows = append(rows, append(at, "no fit: "+err.Error(), "", ""))
+					rows = append(rows, append(row, "no fit: "+err.Error(), "", ""))
 					continue
 				}
 				text := fmt.Sprintf(
@@ -64,22 +64,22 @@
 					fit.Terms[2],
 					strings.Replace(fit.B, "n", "B", 1),
 				)
-				verdict := fmt.Sprintf("no (chance %s)", formatPercent(fit.Chance))
-				if fit.Product() {
-					text, verdict = text+fmt.Sprintf(
+				productCounts := fmt.Sprintf("no (chance %s)", formatPercent(fit.PValue))
+				if fit.ProductCounts() {
+					text, productCounts = text+fmt.Sprintf(
 						" + %.3g × their product",
 						fit.Terms[3],
 					), fmt.Sprintf(
 						"yes (chance %s)",
-						formatPercent(fit.Chance),
+						formatPercent(fit.PValue),
 					)
 				}
 				rows = append(
 					rows,
 					append(
-						at,
+						row,
 						fmt.Sprintf("%s; residual %s, %d points", text, formatPercent(fit.Residual), fit.Points),
-						verdict,
+						productCounts,
 					),
 				)
 			}
@@ -102,24 +102,24 @@
 	), nil
 }
 
-// corners are a figure at the ends of two sizes: least of both, most of the first, most of the second, most
-// of both.
-func corners(r Record, a, b, figure, unit string, others map[string]int) []string {
+// corners returns the texts of a figure at the smallest and largest measured sizes of the kinds a and b: at
+// the smallest of both, the largest a, the largest b, and the largest of both.
+func corners(r Record, a, b, figure, unit string, otherSizes map[string]int) []string {
 	var as, bs [2]int
 	for _, p := range r.Points {
-		if _, has := p.Figures[figure]; has && matches(p, others) {
+		if _, has := p.Figures[figure]; has && matches(p, otherSizes) {
 			as, bs = widen(as, p.Sizes[a]), widen(bs, p.Sizes[b])
 		}
 	}
 	var cells []string
-	for _, at := range [][2]int{{as[0], bs[0]}, {as[1], bs[0]}, {as[0], bs[1]}, {as[1], bs[1]}} {
-		here, cell := map[string]int{a: at[0], b: at[1]}, "none"
-		maps.Copy(here, others)
+	for _, corner := range [][2]int{{as[0], bs[0]}, {as[1], bs[0]}, {as[0], bs[1]}, {as[1], bs[1]}} {
+		sizes, cell := map[string]int{a: corner[0], b: corner[1]}, "none"
+		maps.Copy(sizes, otherSizes)
 		for _, p := range r.Points {
-			if f, has := p.Figures[figure]; has && matches(p, here) {
+			if f, has := p.Figures[figure]; has && matches(p, sizes) {
 				cell = fmt.Sprintf(
 					"%s, %s: %s",
-					formatNumber(float64(at[0])), formatNumber(float64(at[1])), formatFigure(f.Median, unit))
+					formatNumber(float64(corner[0])), formatNumber(float64(corner[1])), formatFigure(f.Median, unit))
 			}
 		}
 		cells = append(cells, cell)
@@ -127,7 +127,7 @@
 	return cells
 }
 
-// widen extends the least and the greatest size by n.
+// widen extends a range of sizes, its least and its greatest, to include n.
 func widen(ends [2]int, n int) [2]int {
 	if ends[0] == 0 {
 		return [2]int{n, n}
--- a/internal/lab/scale/spent_test.go
+++ b/internal/lab/scale/peak_use_test.go
@@ -8,8 +8,8 @@
 	"wrenspread/internal/lab/process"
 )
 
-// TestPeaksOfAShortChangeAreSampledForASecond checks that sampling goes on for a second when the change ends
-// sooner: fewer samples give no peak, and the peaks were recorded as 0 on a busy machine.
+// TestPeaksOfAShortChangeAreSampledForASecond checks that sampling continues for a second if the change ends
+// sooner. Fewer samples give no peak, so that the peaks were recorded as 0 on a busy machine.
 func TestPeaksOfAShortChangeAreSampledForASecond(t *testing.T) {
 	self := []*process.Proc{{Pid: os.Getpid()}}
 	changing, stop := context.WithCancel(context.Background())
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -8,14 +8,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Plan is the input of the page: the demand, today's size and assumptions.
+// Plan is the input of the capacity page, as plan.toml states it: the demand, today's size and the
+// assumptions.
 type Plan struct {
-	Plan    Demand  `toml:"plan"`
+	Demand  Demand  `toml:"plan"`
 	Today   Today   `toml:"today"`
 	Assumed Assumed `toml:"assumed"`
 }
 
-// Demand is the numbers to design for and their budgets.
+// Demand holds the numbers to design for, and the budgets of their costs.
 type Demand struct {
 	Nodes    float64 `toml:"nodes"`
 	Backends float64 `toml:"backends"`
@@ -27,32 +28,32 @@
 	Restarts float64 `toml:"restarts"` // restarts a day
 	Failures float64 `toml:"failures"` // failed machines a day
 
-	Regions    int     `toml:"regions"`
-	Zones      int     `toml:"zones"`
-	InForce    float64 `toml:"in_force_s"`
-	Added      float64 `toml:"added_s"`     // time added to a request, for 99 in 100 requests
-	NodeCores  float64 `toml:"node_cores"`  // a node's cores for control
-	NodeMemory float64 `toml:"node_memory"` // a node's memory for control, bytes
-	NodeBytes  float64 `toml:"node_bytes"`  // a node's traffic for control, bytes a second
-	Machines   int     `toml:"machines"`    // machines reserved for control
+	Regions      int     `toml:"regions"`
+	Zones        int     `toml:"zones"`
+	InForce      float64 `toml:"in_force_s"`
+	AddedLatency float64 `toml:"added_s"`     // 99th percentile of the time that a node adds to a request, s
+	NodeCores    float64 `toml:"node_cores"`  // a node's cores for control
+	NodeMemory   float64 `toml:"node_memory"` // a node's memory for control, bytes
+	NodeBytes    float64 `toml:"node_bytes"`  // a node's traffic for control, bytes a second
+	Machines     int     `toml:"machines"`    // machines reserved for control
 }
 
-// Today is the size from which the growth towards the plan starts.
+// Today holds today's numbers, from which the fleet grows to those of the plan.
 type Today struct {
 	Nodes    float64 `toml:"nodes"`
 	Backends float64 `toml:"backends"`
 }
 
-// Assumed is the numbers that are assumed, as no requirement states them.
+// Assumed holds the assumed numbers, which no requirement states.
 type Assumed struct {
-	Peak           float64 `toml:"peak"`
+	PeakFactor     float64 `toml:"peak"`
 	RestartChanges float64 `toml:"restart_changes"`
 	MachineCores   float64 `toml:"machine_cores"`
 	MachineMemory  float64 `toml:"machine_memory"`
 	MachineBytes   float64 `toml:"machine_bytes"`
 	Replicas       float64 `toml:"replicas"`
 	TTL            float64 `toml:"ttl_s"`
-	Start          float64 `toml:"start_s"`
+	StartTime      float64 `toml:"start_s"`
 	RackNodes      float64 `toml:"rack_nodes"`
 	RackBackends   float64 `toml:"rack_backends"`
 	Reach          float64 `toml:"reach"`
@@ -70,8 +71,8 @@
 		return p, fmt.Errorf("parse the plan %s: %w", path, err)
 	}
 	for key, n := range map[string]float64{
-		"plan.nodes": p.Plan.Nodes, "plan.backends": p.Plan.Backends,
-		"plan.tenants": p.Plan.Tenants, "plan.zones": float64(p.Plan.Zones),
+		"plan.nodes": p.Demand.Nodes, "plan.backends": p.Demand.Backends,
+		"plan.tenants": p.Demand.Tenants, "plan.zones": float64(p.Demand.Zones),
 		"today.nodes": p.Today.Nodes, "today.backends": p.Today.Backends,
 		"assumed.replicas": p.Assumed.Replicas, "assumed.ttl_s": p.Assumed.TTL} {
 		if n <= 0 {
@@ -81,28 +82,30 @@
 	return p, nil
 }
 
-// scaledBy returns the plan with all numbers that grow multiplied by a factor; budgets stay.
-func (p Plan) scaledBy(f float64) Plan {
-	for _, n := range []*float64{&p.Plan.Nodes, &p.Plan.Backends, &p.Plan.Services, &p.Plan.Routes,
-		&p.Plan.Tenants, &p.Plan.Requests,
-		&p.Plan.Changes, &p.Plan.Restarts, &p.Plan.Failures} {
-		*n *= f
+// scaledBy returns the plan with all numbers that grow with the fleet multiplied by a factor. The budgets
+// stay the same.
+func (p Plan) scaledBy(factor float64) Plan {
+	for _, n := range []*float64{&p.Demand.Nodes, &p.Demand.Backends, &p.Demand.Services, &p.Demand.Routes,
+		&p.Demand.Tenants, &p.Demand.Requests,
+		&p.Demand.Changes, &p.Demand.Restarts, &p.Demand.Failures} {
+		*n *= factor
 	}
 	return p
 }
 
-// todayFactor is today's size as a factor of the plan, by the number that has to grow the most.
+// todayFactor returns today's size as a factor of the plan, by whichever of nodes and backends has to grow
+// more.
 func (p Plan) todayFactor() float64 {
-	return min(p.Today.Nodes/p.Plan.Nodes, p.Today.Backends/p.Plan.Backends)
+	return min(p.Today.Nodes/p.Demand.Nodes, p.Today.Backends/p.Demand.Backends)
 }
 
-const secondsPerDay = 86400.0 // s
+const secondsPerDay = 86400.0
 
-// listChangeRate is the changes of the list a second, at the peak of the day: those of configuration and
-// those by restarts.
+// listChangeRate returns the changes of the list a second at the peak of the day: the changes of
+// configuration and the changes that restarts cause.
 func (p Plan) listChangeRate() float64 {
-	return p.Assumed.Peak * (p.Plan.Changes + p.Assumed.RestartChanges*p.Plan.Restarts) / secondsPerDay
+	return p.Assumed.PeakFactor * (p.Demand.Changes + p.Assumed.RestartChanges*p.Demand.Restarts) / secondsPerDay
 }
 
-// renewalRate is the renewals a second: each backend renews three times in a TTL.
-func (p Plan) renewalRate() float64 { return 3 * p.Plan.Backends / p.Assumed.TTL }
+// renewalRate returns the renewals a second: each backend renews its lease three times in a TTL.
+func (p Plan) renewalRate() float64 { return 3 * p.Demand.Backends / p.Assumed.TTL }
--- a/internal/lab/scale/force_table.go
+++ b/internal/lab/scale/propagation_tables.go
@@ -1,24 +1,24 @@
 package scale
 
-// ordersTable is the table of the times until policies, tenants and bans are in force at all nodes.
-func ordersTable(s pageData) (string, error) {
+// propagationTable returns the table of the times until policies, tenants and bans are in force at all nodes.
+func propagationTable(data pageData) (string, error) {
 	var rows [][]string
-	for _, r := range s.records("force") {
-		for _, kind := range []struct{ name, what string }{
+	for _, r := range data.records("force") {
+		for _, kind := range []struct{ prefix, subject string }{
 			{"policy", "a policy"}, {"tenant", "a tenant brought in"}, {"ban", "a ban"},
 		} {
 			for _, p := range r.Points {
-				t := func(name string) string { return p.formatSpread(kind.name+name, "s") }
+				timeText := func(name string) string { return p.formatSpread(kind.prefix+name, "s") }
 				rows = append(
 					rows,
 					[]string{
-						kind.what,
+						kind.subject,
 						formatNumber(float64(p.Sizes["nodes"])),
 						formatNumber(float64(p.Sizes["changes"])),
-						t("_half_s"),
-						t("_most99_s"),
-						t("_last_s"),
-						t("_last_worst_s"),
+						timeText("_half_s"),
+						timeText("_most99_s"),
+						timeText("_last_s"),
+						timeText("_last_worst_s"),
 						p.formatSpread("load", ""),
 					},
 				)
@@ -40,10 +40,10 @@
 	), nil
 }
 
-// fleetTable is the table of what complete hollow nodes use, all in one process.
-func fleetTable(s pageData) (string, error) {
+// fleetTable returns the table of the resources that hollow nodes use in one process.
+func fleetTable(data pageData) (string, error) {
 	var rows [][]string
-	for _, r := range s.records("fleet") {
+	for _, r := range data.records("fleet") {
 		for _, p := range r.Points {
 			rows = append(
 				rows,
--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -1,5 +1,6 @@
-// Package scale measures what control costs by the size of a fleet. It runs hollow nodes and backends against
-// the real programs, fits the costs over the sizes, and makes the tables of the capacity page.
+// Package scale measures how the costs of control grow with the size of a fleet. It runs hollow nodes and
+// watchers against the real programs, fits the costs over the sizes, and makes the tables of the capacity
+// page.
 package scale
 
 import (
@@ -17,49 +18,51 @@
 	"time"
 )
 
-// Record is the measurements of one command, as they are stored in the repository.
+// Record holds the results of one command's measurement, as they are stored in the repository.
 type Record struct {
-	What    string `json:"what"`
-	Label   string `json:"label"`  // whether measured before or after the mechanism
-	Commit  string `json:"commit"` // commit of the programs that were measured
-	Command string `json:"command"`
-	Cores   int    `json:"cores"`
-	// Load is the machine's load average over a minute: the least and the most at the starts and ends of runs.
+	Measurement string `json:"what"`
+	Label       string `json:"label"`  // Before or After
+	Commit      string `json:"commit"` // commit of the programs that were measured
+	Command     string `json:"command"`
+	Cores       int    `json:"cores"`
+	// Load is the least and the greatest of the machine's load averages over a minute, which are read at the
+	// start and the end of each run of the command.
 	Load   [2]float64 `json:"load"`
 	Points []Point    `json:"points"`
 }
 
-// Point is the figures at one choice of sizes.
+// Point holds the figures that were measured at one combination of sizes.
 type Point struct {
 	Sizes map[string]int `json:"sizes"`
-	// Trial says how the programs differ from the commit; empty: they do not.
+	// Trial says how the measured programs differ from the commit; empty: they do not differ.
 	Trial   string            `json:"trial,omitempty"`
 	Figures map[string]Spread `json:"figures"`
 }
 
-// Spread is the median, the least and the most of a figure over its repetitions.
+// Spread is the median, the minimum and the maximum of a figure over its repetitions.
 type Spread struct {
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
-// Labels of records: measured before or after the mechanism.
+// Labels of records: measured before or after the change of mechanism that the page compares.
 const (
 	Before = "before"
 	After  = "after"
 )
 
-// spreadOf is the spread of values, each rounded to four digits; it sorts the slice.
-func spreadOf(all []float64) Spread {
-	slices.Sort(all)
+// spreadOf returns the spread of values, rounded to four digits. It sorts the slice.
+func spreadOf(values []float64) Spread {
+	slices.Sort(values)
 	return Spread{
-		roundToFourDigits(all[len(all)/2]), roundToFourDigits(all[0]), roundToFourDigits(all[len(all)-1]),
+		roundToFourDigits(values[len(values)/2]), roundToFourDigits(values[0]),
+		roundToFourDigits(values[len(values)-1]),
 	}
 }
 
-// roundToFourDigits rounds to four digits, as no figure here is more exact; it returns 0 for NaN and
-// infinities.
+// roundToFourDigits rounds to four significant digits, as no figure here is more exact. It returns 0 for NaN
+// and infinities.
 func roundToFourDigits(x float64) float64 {
 	if x == 0 || math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
@@ -71,75 +74,76 @@
 	return math.Round(x/unit) / math.Round(1/unit)
 }
 
-// repeated measures a point the given number of times and returns the spread of each figure.
-func repeated(times int, sizes map[string]int, one func() (map[string]float64, error)) (Point, error) {
-	all := map[string][]float64{}
+// repeated calls measure the given number of times, and returns a point with the spread of each figure.
+func repeated(times int, sizes map[string]int, measure func() (map[string]float64, error)) (Point, error) {
+	values := map[string][]float64{}
 	for range times {
-		figures, err := one()
+		figures, err := measure()
 		if err != nil {
 			return Point{}, fmt.Errorf("at %v: %w", sizes, err)
 		}
 		for name, f := range figures {
-			all[name] = append(all[name], f)
+			values[name] = append(values[name], f)
 		}
 	}
 	p := Point{Sizes: sizes, Figures: map[string]Spread{}}
-	for name, f := range all {
+	for name, f := range values {
 		p.Figures[name] = spreadOf(f)
 	}
 	return p, nil
 }
 
-// File is the path of a record's file in a folder.
+// File returns the path of the record's file in a folder.
 func (r Record) File(dir string) string {
-	return filepath.Join(dir, r.What+"-"+r.Label+".json")
+	return filepath.Join(dir, r.Measurement+"-"+r.Label+".json")
 }
 
-// Save writes a record to its file in a folder.
+// Save writes the record to its file in a folder.
 func (r Record) Save(dir string) error {
 	points := r.Points
 	r.Points = nil
 	raw, err := json.Marshal(r)
 	if err != nil {
-		return fmt.Errorf("save the record of %s: %w", r.What, err)
+		return fmt.Errorf("save the record of %s: %w", r.Measurement, err)
 	}
 	raw = append(bytes.TrimSuffix(raw, []byte("null}")), '[')
-	for i, p := range points { // one per line, so that a diff shows which points were measured again
-		one, err := json.Marshal(p)
+	for i, p := range points { // one point a line, so that a diff shows which points were measured again
+		line, err := json.Marshal(p)
 		if err != nil {
-			return fmt.Errorf("save the record of %s: %w", r.What, err)
+			return fmt.Errorf("save the record of %s: %w", r.Measurement, err)
 		}
 		if i > 0 {
 			raw = append(raw, ',')
 		}
-		raw = append(append(raw, '\n'), one...)
+		raw = append(append(raw, '\n'), line...)
 	}
 	raw = append(raw, "\n]}\n"...)
 	if err := os.WriteFile(r.File(dir), raw, 0o644); err != nil {
-		return fmt.Errorf("save the record of %s: %w", r.What, err)
+		return fmt.Errorf("save the record of %s: %w", r.Measurement, err)
 	}
 	return nil
 }
 
-// Load reads all records of a folder. The name of each file has to agree with the record's measurement and
-// label.
+// Load reads all records of a folder. The name of each file has to match the measurement and the label of the
+// record in it.
 func Load(dir string) ([]Record, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, err
 	}
-	var all []Record
+	var records []Record
 	for _, path := range files {
 		r, err := readRecord(path)
 		if err != nil {
 			return nil, err
 		}
 		if r.File(dir) != path {
-			return nil, fmt.Errorf("load %s: it has the record of %s, %s", path, r.What, r.Label)
+			return nil, fmt.Errorf("load record %s: its name does not match its measurement %s and label %s",
+				path, r.Measurement, r.Label)
 		}
-		all = append(all, r)
+		records = append(records, r)
 	}
-	return all, nil
+	return records, nil
 }
 
 func readRecord(path string) (r Record, err error) {
@@ -155,25 +159,26 @@
 	return r, nil
 }
 
-// Run says where records are stored and of what they are.
+// Run holds the folder of the records, how often figures are measured, and what is stored about the run.
 type Run struct {
 	Dir     string // folder of the records
-	Label   string
-	Commit  string
-	Trial   string
-	Command string
-	Repeat  int
+	Label   string // Before or After
+	Commit  string // commit of the measured programs
+	Trial   string // how the programs differ from the commit; empty: they do not differ
+	Command string // command line that is stored in the record
+	Repeat  int    // number of repetitions of each figure
 }
 
-// record stores the points that measure returns. They go into the stored record if that is of the same
-// commit and number of cores, else into a new one. A point replaces the stored point of the same sizes.
-func (run Run) record(what string, measure func() ([]Point, error)) error {
+// record stores the points that measure returns. If the stored record has the same commit and number of
+// cores, the points are added to it, and a point replaces the stored point of the same sizes. Otherwise a new
+// record replaces the stored one.
+func (run Run) record(measurement string, measure func() ([]Point, error)) error {
 	r := Record{
-		What:   what,
-		Label:  run.Label,
-		Commit: run.Commit,
-		Cores:  cores(),
-		Load:   [2]float64{math.Inf(1), 0},
+		Measurement: measurement,
+		Label:       run.Label,
+		Commit:      run.Commit,
+		Cores:       cores(),
+		Load:        [2]float64{math.Inf(1), 0},
 	}
 	if previous, err := readRecord(
 		r.File(run.Dir),
@@ -188,7 +193,7 @@
 	loads := []float64{r.Load[0], machineLoad()}
 	points, err := measure()
 	if err != nil {
-		return fmt.Errorf("measure %s: %w", what, err)
+		return fmt.Errorf("measure %s: %w", measurement, err)
 	}
 	loads = append(loads, machineLoad())
 	r.Load = [2]float64{slices.Min(loads), max(r.Load[1], loads[1], loads[2])}
@@ -200,7 +205,7 @@
 	return r.Save(run.Dir)
 }
 
-// String is a line with the sizes and the medians of a point.
+// String returns a line with the sizes and the medians of the point.
 func (p Point) String() string {
 	var s strings.Builder
 	for _, k := range sortedKeys(p.Sizes) {
--- a/internal/lab/scale/use.go
+++ b/internal/lab/scale/resource_use.go
@@ -14,9 +14,11 @@
 	"wrenspread/internal/lab/process"
 )
 
-// use is what a process has used since its start, in the finest counts of the kernel.
+// use holds the resources that a process has used since its start, from the most exact counters of the
+// kernel.
 type use struct {
-	// CPU is that of live threads: the time of a thread that ends is lost, but Go's threads rarely end.
+	// CPU is the processor time of the live threads. It lacks the time of threads that have ended, but Go's
+	// threads rarely end.
 	CPU      time.Duration
 	Read     float64 // bytes read from sockets and files
 	Written  float64
@@ -24,7 +26,7 @@
 	RSS, FDs float64
 }
 
-// useOf reads the use of a process.
+// useOf reads the resources that a process has used.
 func useOf(pid int) (u use, err error) {
 	coarse, err := process.UseOf(pid)
 	if err != nil {
@@ -61,7 +63,7 @@
 
 func ownUse() (use, error) { return useOf(os.Getpid()) }
 
-// machineLoad is the machine's load average over the last minute; 0 if the kernel does not provide it.
+// machineLoad returns the machine's load average over the last minute; 0 if the kernel does not provide it.
 func machineLoad() float64 {
 	raw, err := os.ReadFile("/proc/loadavg")
 	if fields := bytes.Fields(raw); err == nil && len(fields) > 0 {
@@ -73,10 +75,10 @@
 
 func cores() int { return runtime.NumCPU() }
 
-// heapUse is the bytes of live objects on the heap, and the number of all allocations so far.
-func heapUse() (bytes, pieces float64) {
+// heapUse returns the bytes of the live objects on the heap, and the number of all allocations so far.
+func heapUse() (bytes, allocations float64) {
 	runtime.GC()
-	runtime.GC() // frees what finalizers retained
+	runtime.GC() // frees what finalizers have kept
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc), float64(m.Mallocs)
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -19,43 +19,42 @@
 	"wrenspread/internal/registry/client"
 )
 
-// rig is nodes that follow one replica.
+// rig is one replica of the registry, and the nodes that follow it.
 type rig struct {
 	Sizes
-	k        *client.Client
-	service  *process.Proc
-	nodes    []*process.Proc
-	controls []string      // control addresses of the nodes
-	extra    *process.Proc // process of the hollow nodes that are not measured
-	files    []string      // files of the nodes' cached lists
-	subsets  bool
-	View     bool // whether the nodes have a view of the fleet
+	k         *client.Client
+	service   *process.Proc
+	nodes     []*process.Proc
+	controls  []string      // control addresses of the measured nodes
+	extra     *process.Proc // process of the hollow nodes that are not measured; nil: there are none
+	listFiles []string      // files of the cached lists of the measured nodes
+	subsets   bool
+	view      bool // whether the nodes have a membership view of the fleet
 }
 
-// extraNodes says which further hollow nodes run, in a process that is not measured.
+// extraNodes describes further hollow nodes, which run in a process that is not measured.
 type extraNodes struct {
-	nodes    int
-	every    time.Duration // time between two restarts of these nodes; 0: they do not restart
-	restarts int           // restarts of nodes and backends an hour that are measured; 0: none
-	lease    time.Duration // time to live of the entries' leases; 0: entries have no leases
+	nodes           int
+	restartInterval time.Duration // time between two restarts of extra nodes; 0: they do not restart
+	restartsPerHour int           // rate of the restarts of nodes and backends that the point records; 0: none
+	leaseTTL        time.Duration // time to live of the entries' leases; 0: the entries have no leases
 }
 
-// withNodes starts a replica with size.Backends backends, and the nodes, and calls do once the nodes are
-// ready.
+// withNodes starts a replica with size.Backends entries and the nodes, and calls do once all nodes are ready.
 func (n *Nodes) withNodes(ctx context.Context, size Sizes, do func(rig) error) error {
 	return n.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
-		if err := concurrently(ctx, 0, size.Backends, registerEntry(k, n.extra.lease)); err != nil {
+		if err := concurrently(ctx, 0, size.Backends, registerEntry(k, n.extra.leaseTTL)); err != nil {
 			return err
 		}
-		dir, err := os.MkdirTemp(n.Dir, "nodes")
+		dir, err := os.MkdirTemp(n.DataDir, "nodes")
 		if err != nil {
 			return err
 		}
 		defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), subsets: n.Subsets, View: n.View}
-		var free func()
-		controls, free, err := n.configure(dir, size.Nodes+n.extra.nodes, set.All[0].Address())
-		defer free()
+		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), subsets: n.Subsets, view: n.View}
+		var release func()
+		controls, release, err := n.configure(dir, size.Nodes+n.extra.nodes, set.All[0].Address())
+		defer release()
 		if err != nil {
 			return err
 		}
@@ -75,55 +74,57 @@
 			}
 		}
 		for i := range r.controls {
-			r.files = append(r.files, listFile(dir, i))
+			r.listFiles = append(r.listFiles, listFile(dir, i))
 		}
-		if n.View && n.extra.every == 0 {
+		if n.View && n.extra.restartInterval == 0 {
 			if err := r.awaitStat(ctx, "fleet.alive", len(controls)); err != nil {
 				return err
 			}
 		}
 		if n.Watchers > 0 {
-			now, err := k.CurrentList(ctx)
+			list, err := k.CurrentList(ctx)
 			if err != nil {
 				return err
 			}
-			c, err := n.startWatchers(ctx, []string{set.All[0].Address()}, watchersAtOnce, n.Watchers, now.Index)
+			watchers, err := n.startWatchers(ctx, []string{set.All[0].Address()}, watchersAtOnce,
+				n.Watchers, list.Index)
 			if err != nil {
 				return err
 			}
-			defer c.close()
+			defer watchers.close()
 		}
-		backoff.Sleep(ctx, time.Second) // the work of the start has ended
+		backoff.Sleep(ctx, time.Second) // until the nodes have finished the work of their start
 		return do(r)
 	})
 }
 
-// configure writes the nodes' configurations, with addresses of their own. It returns the control
-// addresses, and free, which releases the reserved addresses.
-func (n *Nodes) configure(dir string, nodes int, service string) (controls []string, free func(), err error) {
-	var frees []func()
-	free = func() {
-		for _, f := range frees {
-			f()
+// configure writes the configurations of the nodes, each with its own addresses. It returns the control
+// addresses, and a function that releases the reserved addresses.
+func (n *Nodes) configure(dir string, nodes int, service string) (
+	controls []string, release func(), err error) {
+	var releases []func()
+	release = func() {
+		for _, releaseAddress := range releases {
+			releaseAddress()
 		}
 	}
 	reserve := func() string {
-		address, done, e := link.Reserve()
+		address, releaseAddress, e := link.Reserve()
 		if e != nil {
 			err = e
 			return ""
 		}
-		frees = append(frees, done)
+		releases = append(releases, releaseAddress)
 		return address
 	}
 	peers := repeatedString(nodes, "127.0.0.1:0")
 	if n.View {
 		if peers, err = freeUDPAddresses(nodes); err != nil {
-			return nil, free, err
+			return nil, release, err
 		}
 	}
 	for i := range nodes {
-		c := platform.Node{
+		node := platform.Node{
 			Name:    fmt.Sprint("n", i),
 			Number:  i,
 			Nodes:   max(n.NotifiedNodes, nodes),
@@ -139,29 +140,30 @@
 			Seed:       uint64(i + 1),
 		}
 		if n.View {
-			c.Peers, c.Fleet = peers, "scale"
+			node.Peers, node.Fleet = peers, "scale"
 		}
 		if err == nil {
-			err = c.Write(configFile(dir, i), drawn, 1)
+			err = node.Write(configFile(dir, i), drawnWorld, 1)
 		}
 		if err != nil {
-			return nil, free, err
+			return nil, release, err
 		}
-		controls = append(controls, c.Control)
+		controls = append(controls, node.Control)
 	}
-	return controls, free, nil
+	return controls, release, nil
 }
 
-// listFile is the path of the i-th node's cached list.
+// listFile returns the path of the i-th node's cached list.
 func listFile(dir string, i int) string { return filepath.Join(dir, fmt.Sprint("list", i)) }
 
-// startNodes starts the processes and waits until each node is ready.
+// startNodes starts the nodes, as one process if they are hollow and as one process each if they are real,
+// and waits until each node is ready.
 func (n *Nodes) startNodes(
 	ctx context.Context,
 	group *process.Group,
 	dir string,
 	controls []string,
-) (all []*process.Proc, err error) {
+) (procs []*process.Proc, err error) {
 	if n.Kind == "hollow" {
 		p, err := n.startHollow(
 			ctx,
@@ -169,40 +171,40 @@
 			dir,
 			"hollow",
 			controls,
-			append(slices.Clone(n.Start), dir, strconv.Itoa(len(controls))),
+			append(slices.Clone(n.StartCommand), dir, strconv.Itoa(len(controls))),
 		)
 		return []*process.Proc{p}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for i, control := range controls {
-		p, err := n.startProcess(group, dir, fmt.Sprint("n", i), "GW_CONFIG="+configFile(dir, i), n.Start)
+		p, err := n.startProcess(group, dir, fmt.Sprint("n", i), "GW_CONFIG="+configFile(dir, i), n.StartCommand)
 		if err != nil {
 			return nil, err
 		}
 		if err := p.WaitReady(ctx, "http://"+control+"/healthcheck"); err != nil {
 			return nil, err
 		}
-		all = append(all, p)
+		procs = append(procs, p)
 	}
-	return all, nil
+	return procs, nil
 }
 
-// startExtra starts the process of the extra nodes; first is the number of the first one.
+// startExtra starts the process of the extra nodes; firstNode is the number of the first of them.
 func (n *Nodes) startExtra(
 	ctx context.Context,
 	group *process.Group,
 	dir string,
-	first int,
+	firstNode int,
 	controls []string,
 ) (*process.Proc, error) {
 	command := append(
-		slices.Clone(n.Start[:len(n.Start)-1]),
+		slices.Clone(n.StartCommand[:len(n.StartCommand)-1]),
 		"beside",
 		dir,
-		strconv.Itoa(first),
+		strconv.Itoa(firstNode),
 		strconv.Itoa(len(controls)),
-		n.extra.every.String(),
+		n.extra.restartInterval.String(),
 	)
 	return n.startHollow(ctx, group, dir, "beside", controls, command)
 }
@@ -243,9 +245,9 @@
 	)
 }
 
-// useOfAll sums what processes have used.
-func useOfAll(all []*process.Proc) (sum use, err error) {
-	for _, p := range all {
+// useOfAll returns the sum of what the processes have used.
+func useOfAll(procs []*process.Proc) (sum use, err error) {
+	for _, p := range procs {
 		u, err := useOf(p.Pid)
 		if err != nil {
 			return sum, err
--- a/internal/lab/scale/tables.go
+++ b/internal/lab/scale/tables.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// assumptionsTable is the table of the plan's assumptions, each with its effect.
-func assumptionsTable(s pageData) (string, error) {
-	p, a := s.plan.Plan, s.plan.Assumed
+// assumptionsTable returns the table of the plan's assumptions, each with its effect.
+func assumptionsTable(data pageData) (string, error) {
+	p, a := data.plan.Demand, data.plan.Assumed
 	return markdownTable([]string{"assumed", "its effect"}, [][]string{
 		{
-			fmt.Sprintf("the peak of changes is %s times the day's mean", formatNumber(a.Peak)),
+			fmt.Sprintf("the peak of changes is %s times the day's mean", formatNumber(a.PeakFactor)),
 			fmt.Sprintf(
 				"%s changes of the list a second; twice the peak is twice all that is by change",
-				formatNumber(s.plan.listChangeRate()),
+				formatNumber(data.plan.listChangeRate()),
 			),
 		},
 		{
@@ -32,12 +32,12 @@
 				"an entry's TTL is %s s, its agent renews it three times in it, one server a call",
 				formatNumber(a.TTL),
 			),
-			fmt.Sprintf("%s renewals a second at the leader", formatNumber(s.plan.renewalRate())),
+			fmt.Sprintf("%s renewals a second at the leader", formatNumber(data.plan.renewalRate())),
 		},
 		{
 			fmt.Sprintf(
 				"a node that starts without what was kept has %s s for a whole list, and as long for a whole catalogue",
-				formatNumber(a.Start),
+				formatNumber(a.StartTime),
 			),
 			"twice the time is twice the f of those two walls; one that kept them reads changes",
 		},
@@ -81,22 +81,23 @@
 	}), nil
 }
 
-// costsTable is the table of all lines: their costs, their bounds, and the mechanisms that carry them.
-func costsTable(s pageData) (string, error) {
+// costsTable returns the table of all costs, with their bounds and the mechanisms that cause them.
+func costsTable(data pageData) (string, error) {
 	var rows [][]string
-	for _, l := range Lines() {
+	for _, l := range CostLines() {
 		bound := "none stated"
-		b, a := l.cell(s.before, s.plan), l.cell(s.after, s.plan)
-		if b.bound > 0 {
-			bound = formatFigure(b.bound, l.Unit)
+		before, after := l.cell(data.before, data.plan), l.cell(data.after, data.plan)
+		if before.bound > 0 {
+			bound = formatFigure(before.bound, l.Unit)
 		}
 		if l.limit != "" {
 			bound += ", a constant"
 		}
-		if a.bound > 0 && b.bound > 0 && a.bound != b.bound {
-			bound += "; after: " + formatFigure(a.bound, l.Unit)
+		if after.bound > 0 && before.bound > 0 && after.bound != before.bound {
+			bound += "; after: " + formatFigure(after.bound, l.Unit)
 		}
-		rows = append(rows, []string{l.Role, l.What, bound, l.show(b), l.show(a), l.Mechanism, l.Next})
+		rows = append(rows, []string{l.Role, l.Name, bound, l.formatCell(before), l.formatCell(after),
+			l.Mechanism, l.FailsFirst})
 	}
 	return markdownTable(
 		[]string{
@@ -112,8 +113,8 @@
 	), nil
 }
 
-// show writes a cost with its share of the bound and its grounds.
-func (l Line) show(c cell) string {
+// formatCell formats a cost with its share of the bound and its grounds.
+func (l CostLine) formatCell(c cell) string {
 	switch {
 	case c.notRun():
 		return notRun
@@ -130,52 +131,52 @@
 	return text + " (" + c.grounds.String() + ")"
 }
 
-// boundsTable is the table of the bounds that are reached between today's size and the plan, with both
-// ends.
-func boundsTable(s pageData) (string, error) {
+// boundsTable returns the table of the bounds that costs reach between today's size and the plan's. A line
+// before the table states both sizes.
+func boundsTable(data pageData) (string, error) {
 	var rows [][]string
 	text := fmt.Sprintf(
 		"f = 1 is the plan. Today's %s backends and %s nodes are f = %s and %s; the way begins at the lower.\n\n",
 		formatNumber(
-			s.plan.Today.Backends,
+			data.plan.Today.Backends,
 		),
-		formatNumber(s.plan.Today.Nodes),
-		formatNumber(s.plan.Today.Backends/s.plan.Plan.Backends),
-		formatNumber(s.plan.Today.Nodes/s.plan.Plan.Nodes),
+		formatNumber(data.plan.Today.Nodes),
+		formatNumber(data.plan.Today.Backends/data.plan.Demand.Backends),
+		formatNumber(data.plan.Today.Nodes/data.plan.Demand.Nodes),
 	)
-	for _, m := range []labelRecords{s.before, s.after} {
+	for _, m := range []labelRecords{data.before, data.after} {
 		if len(m.byName) == 0 {
 			rows = append(rows, []string{m.label, "", notRun, "", "", ""})
 			continue
 		}
-		all, unknown := reachedBounds(m, s.plan)
-		for _, w := range all {
-			at, kind := formatNumber(w.factor), "a budget"
-			if w.factor == 0 {
-				at = "met at the beginning"
+		reached, unknown := reachedBounds(m, data.plan)
+		for _, r := range reached {
+			factor, kind := formatNumber(r.planFactor), "a budget"
+			if r.planFactor == 0 {
+				factor = "met at the beginning"
 			}
-			if w.limit != "" {
+			if r.limit != "" {
 				kind = "a constant"
 			}
-			basis := w.grounds.String()
-			if w.Command == "" {
+			basis := r.grounds.String()
+			if r.Command == "" {
 				basis = "the plan's number"
 			}
 			rows = append(
 				rows,
 				[]string{
 					m.label,
-					at,
-					w.Role + ": " + w.What,
-					kind + ": " + formatFigure(w.bound, w.Unit),
-					formatFigure(w.fullCost, w.Unit),
+					factor,
+					r.Role + ": " + r.Name,
+					kind + ": " + formatFigure(r.bound, r.Unit),
+					formatFigure(r.fullCost, r.Unit),
 					basis,
 				},
 			)
 		}
 		var names []string
 		for _, l := range unknown {
-			names = append(names, l.Role+": "+l.What)
+			names = append(names, l.Role+": "+l.Name)
 		}
 		if len(names) > 0 {
 			rows = append(rows, []string{m.label, notRun, strings.Join(names, "; "), "", "", ""})
@@ -187,15 +188,16 @@
 	), nil
 }
 
-// slopesTable is the table of all fits on which the costs rest.
-func slopesTable(s pageData) (string, error) {
+// slopesTable returns the table of all fits from which the costs are computed.
+func slopesTable(data pageData) (string, error) {
 	var rows [][]string
 	for _, k := range []struct {
-		what, along string
-		others      map[string]int
-		figures     []string
+		measurement, sizeName string
+		otherSizes            map[string]int
+		figures               []string
 	}{
-		{"module", "backends", nodesOfPlan, []string{"rest_cores", "change_s", "whole_s", "memory_bytes"}},
+		{"module", "backends", planNodesOnePlacement,
+			[]string{"rest_cores", "change_s", "whole_s", "memory_bytes"}},
 		{"module", "nodes", map[string]int{"backends": 54000, "placements": 1},
 			[]string{"rest_cores", "change_s"}},
 		{"module", "placements", map[string]int{"backends": 2000, "nodes": 300},
@@ -221,9 +223,9 @@
 		{"policy", "books", nil, []string{"text_bytes", "compile_s", "memory_bytes"}},
 	} {
 		for _, figure := range k.figures {
-			row := []string{"`scale " + commandOf(k.what) + "`", figure, k.along}
-			for _, m := range []labelRecords{s.before, s.after} {
-				row = append(row, slopeCell(m, k.what, k.along, figure, k.others))
+			row := []string{"`scale " + commandOf(k.measurement) + "`", figure, k.sizeName}
+			for _, m := range []labelRecords{data.before, data.after} {
+				row = append(row, slopeCell(m, k.measurement, k.sizeName, figure, k.otherSizes))
 			}
 			rows = append(rows, row)
 		}
@@ -231,31 +233,31 @@
 	return markdownTable([]string{"command", "figure", "by", "before", "after"}, rows), nil
 }
 
-// commandOf is the subcommand and flags that make the record of a measurement.
-func commandOf(what string) string {
-	switch what {
+// commandOf returns the subcommand, with its flags, that makes the record of a measurement.
+func commandOf(measurement string) string {
+	switch measurement {
 	case "hollow", "real":
-		return "nodes --kind " + what
+		return "nodes --kind " + measurement
 	case "zone":
 		return "nodes --zone"
 	}
-	return what
+	return measurement
 }
 
-// slopeCell writes the fit of a figure.
-func slopeCell(m labelRecords, what, along, figure string, others map[string]int) string {
-	r, has := m.byName[what]
+// slopeCell formats the fit of a figure.
+func slopeCell(m labelRecords, measurement, sizeName, figure string, otherSizes map[string]int) string {
+	r, has := m.byName[measurement]
 	if !has {
 		return notRun
 	}
-	f, err := fitOf(r, along, figure, others)
+	f, err := fitOf(r, sizeName, figure, otherSizes)
 	if err != nil {
 		return "not known: " + err.Error()
 	}
 	spread := 0.0
 	for _, p := range r.Points {
-		if s, has := p.Figures[figure]; has && matches(p, others) {
-			spread = max(spread, (s.Most-s.Least)/s.Median)
+		if s, has := p.Figures[figure]; has && matches(p, otherSizes) {
+			spread = max(spread, (s.Max-s.Min)/s.Median)
 		}
 	}
 	text := fmt.Sprintf("%.3g", f.Intercept)
--- a/internal/lab/scale/tenants_demand.go
+++ b/internal/lab/scale/tenants_demand.go
@@ -15,134 +15,136 @@
 	"wrenspread/internal/tenant"
 )
 
-// workingSet is how many of all tenants a node uses in the measurement.
-const workingSet = 2000
+// workingSetTenants is the number of tenants that a node uses in the measurement, of all that there are.
+const workingSetTenants = 2000
 
-// recordStore replaces the registry, which can hold fewer records than the plan has tenants. What a node
-// reads is counted by the bytes of the values, without the header and the envelope of an answer.
+// recordStore replaces the registry, which can hold fewer records than the plan has tenants. It counts the
+// bytes of the values that a node reads, without the header and the envelope of an answer.
 type recordStore struct {
-	all   map[string]registry.Record
-	bytes int
+	records map[string]registry.Record
+	bytes   int
 }
 
-// Record returns the record of a key, and counts its bytes.
+// Record returns the record of a key, and counts the bytes of its value.
 func (r *recordStore) Record(_ context.Context, key string) (registry.Record, error) {
-	one, there := r.all[key]
-	if !there {
-		return one, &client.Error{Status: http.StatusNotFound}
+	record, found := r.records[key]
+	if !found {
+		return record, &client.Error{Status: http.StatusNotFound}
 	}
-	r.bytes += len(one.Value)
-	return one, nil
+	r.bytes += len(record.Value)
+	return record, nil
 }
 
-// read returns the bytes that were read since its last call.
-func (r *recordStore) read() float64 {
+// takeBytesRead returns the bytes that were read since its previous call.
+func (r *recordStore) takeBytesRead() float64 {
 	n := r.bytes
 	r.bytes = 0
 	return float64(n)
 }
 
-// controllerModel is the controller's state machine over records, with all its tenants at rest.
+// controllerModel is the state machine of the tenants' controller with its records in memory. At the start
+// all its tenants are active.
 type controllerModel struct {
 	recordStore
-	m            *tenant.StateMachine
+	machine      *tenant.StateMachine
 	observation  tenant.Observation
 	now          time.Duration
 	version      uint64
-	written      int                        // bytes of all values written
-	removedPages map[string]registry.Record // deleted pages
+	bytesWritten int                        // bytes of all written values
+	removedPages map[string]registry.Record // pages that were deleted; nil: deleted pages are not kept
 }
 
-// newControllerModel is a controller with n active tenants.
+// newControllerModel returns a controller with n active tenants.
 func newControllerModel(n int) (*controllerModel, error) {
 	c := &controllerModel{
-		recordStore: recordStore{all: map[string]registry.Record{}},
+		recordStore: recordStore{records: map[string]registry.Record{}},
 		observation: tenant.Observation{
 			Policy: tenant.PolicyFloors{Version: 1, Floors: map[string]float64{}, TotalFloor: float64(2 * n)},
 		},
 	}
-	var s tenant.Stored
+	var stored tenant.Stored
 	for i := range n {
-		f := tenantSpec(i)
-		s.Tenants = append(s.Tenants, &tenant.Tenant{Format: 1, Name: f.Names[0], State: tenant.Active, Current: f})
-		c.observation.Policy.Floors[f.Quotas[0].Limit] = 1
+		spec := tenantSpec(i)
+		stored.Tenants = append(stored.Tenants,
+			&tenant.Tenant{Format: 1, Name: spec.Names[0], State: tenant.Active, Current: spec})
+		c.observation.Policy.Floors[spec.Quotas[0].Limit] = 1
 		// as many endpoints as tenants, so that each route has its own
 		c.observation.Endpoints = append(
 			c.observation.Endpoints, tenant.Endpoint{Zone: zoneOf(i), MachineType: "m"})
 	}
-	c.m = tenant.Load(0, s, tenant.DefaultTimes(), true)
-	return c, c.round()
+	c.machine = tenant.Load(0, stored, tenant.DefaultTimes(), true)
+	return c, c.step()
 }
 
-// round has the state machine handle the present observation, and writes the resulting records.
-func (c *controllerModel) round() error {
+// step has the state machine handle the present observation, and writes the resulting records.
+func (c *controllerModel) step() error {
 	c.now += 200 * time.Millisecond
-	puts, err := c.m.Handle(c.now, c.observation)
+	puts, err := c.machine.Handle(c.now, c.observation)
 	c.observation.Orders = nil
 	for _, p := range puts {
 		c.version++
 		if p.Value == nil {
 			if c.removedPages != nil {
-				c.removedPages[p.Key] = c.all[p.Key]
+				c.removedPages[p.Key] = c.records[p.Key]
 			}
-			delete(c.all, p.Key)
+			delete(c.records, p.Key)
 		} else {
-			c.all[p.Key] = registry.Record{Key: p.Key, Value: p.Value, Version: c.version}
+			c.records[p.Key] = registry.Record{Key: p.Key, Value: p.Value, Version: c.version}
 		}
-		c.written += len(p.Value)
-		c.m.RecordWritten(p, c.version)
+		c.bytesWritten += len(p.Value)
+		c.machine.RecordWritten(p, c.version)
 	}
 	return err
 }
 
-// orderCount is how many tenants are changed in one measurement, spread over the catalogue.
-const orderCount = 20
+// changedTenants is the number of tenants that one measurement changes; they are spread over the catalogue.
+const changedTenants = 20
 
-// changeTenants changes tenants one after the other, records the controller's costs, and returns the heads
-// of all catalogues, whose pages stay readable.
+// changeTenants changes tenants one after the other, and adds the costs of the controller to figures. It
+// returns the head of the catalogue after each step; the pages of all these catalogues stay readable.
 func (c *controllerModel) changeTenants(
 	ctx context.Context,
 	figures map[string]float64,
 ) (heads []registry.Record, err error) {
 	n := len(c.observation.Endpoints)
-	c.written, c.removedPages = 0, map[string]registry.Record{}
+	c.bytesWritten, c.removedPages = 0, map[string]registry.Record{}
 	began := fleet.OwnCPU()
-	for i := range orderCount {
+	for i := range changedTenants {
 		c.order((i*7919 + n/2) % n)
 		for range 3 {
-			if err := errors.Join(c.round(), ctx.Err()); err != nil {
+			if err := errors.Join(c.step(), ctx.Err()); err != nil {
 				return nil, err
 			}
-			heads = append(heads, c.all[tenant.HeadKey])
+			heads = append(heads, c.records[tenant.HeadKey])
 		}
 	}
 	figures["conductor_order_s"], figures["conductor_order_bytes"] = seconds(
 		fleet.OwnCPU()-began,
-	)/orderCount, float64(
-		c.written,
-	)/orderCount
-	figures["conductor_rest_s"], _, err = costPerCall(ctx, 3, func(int) { err = errors.Join(err, c.round()) })
-	maps.Copy(c.all, c.removedPages)
+	)/changedTenants, float64(
+		c.bytesWritten,
+	)/changedTenants
+	figures["conductor_rest_s"], _, err = costPerCall(ctx, 3, func(int) { err = errors.Join(err, c.step()) })
+	maps.Copy(c.records, c.removedPages)
 	return heads, err
 }
 
-// order adds the order that changes the i-th tenant; three rounds complete it, each with a catalogue of its
-// own.
+// order adds the order that changes the i-th tenant. Three steps complete the order, and each of them makes a
+// new catalogue.
 func (c *controllerModel) order(i int) {
-	f := tenantSpec(i)
+	spec := tenantSpec(i)
 	c.version++
-	f.DrainMS = int64(c.version % 60000)
+	spec.DrainMS = int64(c.version % 60000)
 	c.observation.Orders = []tenant.PendingOrder{
 		{
-			Key:     tenant.OrderPrefix + f.Names[0],
-			Name:    f.Names[0],
+			Key:     tenant.OrderPrefix + spec.Names[0],
+			Name:    spec.Names[0],
 			Version: c.version,
-			Order:   tenant.Order{Format: 1, ID: fmt.Sprint(c.version), Op: tenant.OrderChange, Spec: f},
+			Order:   tenant.Order{Format: 1, ID: fmt.Sprint(c.version), Op: tenant.OrderChange, Spec: spec},
 		},
 	}
 }
 
-// demandCache is a node's cache with its reader, which read tenants on demand.
+// demandCache is a node's cache of tenants and its reader, which read tenants on demand.
 type demandCache struct {
 	*tenant.Cache
 	*tenant.Reader
@@ -152,14 +154,14 @@
 // read reads the records that the cache wants, and has the cache handle them.
 func (d *demandCache) read(ctx context.Context) error {
 	d.now += time.Second
-	got, err := d.Read(ctx, func() time.Duration { return d.now }, d.Wanted())
-	got.Enrolled = true
-	d.Handle(d.now, got)
+	read, err := d.Read(ctx, func() time.Duration { return d.now }, d.Wanted())
+	read.Enrolled = true
+	d.Handle(d.now, read)
 	return err
 }
 
-// TenantsOnDemand measures a node that reads only the tenants that its requests name, and the controller
-// that writes for that node, by the number of tenants.
+// TenantsOnDemand measures a node that reads only the tenants that its requests name, and the controller that
+// writes the catalogue, by the number of tenants.
 func TenantsOnDemand(ctx context.Context, run Run, sizes []int, report func(Point)) error {
 	return run.points(
 		ctx,
@@ -169,67 +171,67 @@
 		nil,
 		report,
 		func(n int) (map[string]float64, error) {
-			none, _ := heapUse()
-			c, err := newControllerModel(n)
+			heapAtStart, _ := heapUse()
+			controller, err := newControllerModel(n)
 			if err != nil {
 				return nil, err
 			}
 			figures := map[string]float64{}
-			empty, _ := heapUse()
-			figures["conductor_memory_bytes"] = empty - none // including the records
-			d := &demandCache{
+			heapBefore, _ := heapUse()
+			figures["conductor_memory_bytes"] = heapBefore - heapAtStart // includes the records
+			cache := &demandCache{
 				Cache:  tenant.NewCache(1, 0, true),
-				Reader: &tenant.Reader{Source: &c.recordStore},
+				Reader: &tenant.Reader{Source: &controller.recordStore},
 				now:    time.Second,
 			}
-			d.Handle(
-				d.now,
+			cache.Handle(
+				cache.now,
 				tenant.PolicyChanged{
 					PolicyTable: tenant.PolicyTable{Version: 1, HasLimit: func(string) bool { return true }},
 				},
 			)
-			d.Handle(d.now, tenant.SessionOpened{TTL: time.Hour})
-			if err := d.read(ctx); err != nil {
+			cache.Handle(cache.now, tenant.SessionOpened{TTL: time.Hour})
+			if err := cache.read(ctx); err != nil {
 				return nil, err
 			}
-			figures["start_bytes"] = c.read()
-			began, set := fleet.OwnCPU(), min(n, workingSet)
-			for i := range set {
-				d.Handle(d.now, tenant.LeafMissing{Name: tenantSpec(i * n / set).Names[0]})
-				if i%64 == 63 || i == set-1 {
-					if err := d.read(ctx); err != nil {
+			figures["start_bytes"] = controller.takeBytesRead()
+			began, used := fleet.OwnCPU(), min(n, workingSetTenants)
+			for i := range used {
+				cache.Handle(cache.now, tenant.LeafMissing{Name: tenantSpec(i * n / used).Names[0]})
+				if i%64 == 63 || i == used-1 {
+					if err := cache.read(ctx); err != nil {
 						return nil, err
 					}
 				}
 			}
-			figures["working_bytes"], figures["working_s"], figures["known"] = c.read(), seconds(
+			figures["working_bytes"], figures["working_s"], figures["known"] = controller.takeBytesRead(), seconds(
 				fleet.OwnCPU()-began,
 			), float64(
-				d.TenantCount(),
+				cache.TenantCount(),
 			)
-			full, _ := heapUse()
-			figures["memory_bytes"] = full - empty
+			heapAfter, _ := heapUse()
+			figures["memory_bytes"] = heapAfter - heapBefore
 
-			heads, err := c.changeTenants(ctx, figures)
+			heads, err := controller.changeTenants(ctx, figures)
 			if err != nil {
 				return nil, err
 			}
-			// else their garbage would be counted as well
-			c.m, c.observation, c.removedPages = nil, tenant.Observation{}, nil
-			_, before := heapUse()
+			// so that the following figures do not include their garbage
+			controller.machine, controller.observation, controller.removedPages = nil, tenant.Observation{}, nil
+			_, allocationsBefore := heapUse()
 			began = fleet.OwnCPU()
 			for _, head := range heads {
-				c.all[tenant.HeadKey] = head
-				if err := d.read(ctx); err != nil {
+				controller.records[tenant.HeadKey] = head
+				if err := cache.read(ctx); err != nil {
 					return nil, err
 				}
 			}
 			took := seconds(fleet.OwnCPU() - began)
-			_, after := heapUse()
+			_, allocationsAfter := heapUse()
 			catalogues := float64(len(heads))
 			figures["change_s"], figures["change_pieces"], figures["change_bytes"] =
-				took/catalogues, (after-before)/catalogues, c.read()/catalogues
-			runtime.KeepAlive(d)
+				took/catalogues, (allocationsAfter-allocationsBefore)/catalogues, controller.takeBytesRead()/catalogues
+			runtime.KeepAlive(cache)
 			return figures, err
 		},
 	)
--- a/internal/lab/scale/herd.go
+++ b/internal/lab/scale/watcher_faults.go
@@ -11,11 +11,12 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Cold has n watchers without a cached list connect at once.
-func (l *Lists) Cold(ctx context.Context, sizes []int, entries int) error {
+// ColdStart measures how n watchers without a cached list get the list when they connect to one replica at
+// once.
+func (l *RegistryRun) ColdStart(ctx context.Context, sizes []int, entries int) error {
 	return l.points(ctx, "cold", "watchers", sizes, nil, l.Report, func(n int) (f map[string]float64, err error) {
 		err = l.withReplica(ctx, entries, func(set *replicas.Set, k *client.Client) error {
-			now, err := k.CurrentList(ctx)
+			list, err := k.CurrentList(ctx)
 			if err != nil {
 				return err
 			}
@@ -24,12 +25,12 @@
 				return err
 			}
 			start := time.Now()
-			c, err := l.startWatchers(ctx, []string{set.All[0].Address()}, n, n, now.Index)
+			watchers, err := l.startWatchers(ctx, []string{set.All[0].Address()}, n, n, list.Index)
 			if err != nil {
 				return err
 			}
-			defer c.close()
-			took := c.since(start, "")
+			defer watchers.close()
+			took := watchers.delaysSince(start, "")
 			ended, err := useOfBoth(set.All[0].Proc().Pid)
 			work := ended.minus(begun)
 			f = map[string]float64{
@@ -48,14 +49,15 @@
 	})
 }
 
-// Lost kills the leader of three replicas while watchers follow all three, and then makes a change.
-func (l *Lists) Lost(ctx context.Context, sizes []int, entries int) error {
+// LeaderLoss kills the leader of three replicas while watchers follow all three replicas, then changes an
+// entry and measures when the change is acknowledged and when the watchers have it.
+func (l *RegistryRun) LeaderLoss(ctx context.Context, sizes []int, entries int) error {
 	return l.points(ctx, "lost", "watchers", sizes, nil, l.Report, func(n int) (f map[string]float64, err error) {
 		l.runNumber++
 		o := quorum.Options{
 			Seed:     1,
 			Replicas: 3,
-			Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.runNumber)),
+			Dir:      filepath.Join(l.DataDir, fmt.Sprint("list", l.runNumber)),
 			Command:  l.Program,
 			Env:      l.Env,
 		}
@@ -63,7 +65,7 @@
 			if err := quorum.Fill(ctx, k, entries); err != nil {
 				return err
 			}
-			now, err := k.CurrentList(ctx)
+			list, err := k.CurrentList(ctx)
 			if err != nil {
 				return err
 			}
@@ -71,11 +73,11 @@
 			for _, r := range set.All {
 				addresses = append(addresses, r.Address())
 			}
-			c, err := l.startWatchers(ctx, addresses, watchersAtOnce, n, now.Index)
+			watchers, err := l.startWatchers(ctx, addresses, watchersAtOnce, n, list.Index)
 			if err != nil {
 				return err
 			}
-			defer c.close()
+			defer watchers.close()
 			leader, err := quorum.Leading(ctx, set, k)
 			if err != nil {
 				return err
@@ -89,10 +91,10 @@
 				return err
 			}
 			acknowledged := time.Now()
-			if err := c.await(ctx, n, r.Version, entryName(0)); err != nil {
+			if err := watchers.await(ctx, n, r.Version, entryName(0)); err != nil {
 				return err
 			}
-			took := c.since(acknowledged, entryName(0))
+			took := watchers.delaysSince(acknowledged, entryName(0))
 			f = map[string]float64{
 				"entries":   float64(entries),
 				"written_s": seconds(acknowledged.Sub(killed)),
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -17,28 +17,28 @@
 )
 
 const (
-	assumedFleetNodes = 4300 // size of the fleet by which watchers choose their subsets
+	assumedFleetNodes = 4300 // fleet size by which watchers choose their subsets
 
-	watchHold        = 5 * time.Second // hold time of a watch, as at a node
-	changesPerFigure = 20              // over which a figure is taken
-	settleTimeout    = time.Minute     // for all watchers to have a version: only a hang takes that long
-	watchersAtOnce   = 200             // watchers that connect at once
+	watchHold        = 5 * time.Second // time for which a replica may hold a watch; nodes use the same
+	changesPerFigure = 20              // number of changes over which a figure is taken
+	settleTimeout    = time.Minute     // for all watchers to have a version; only a hang takes longer
+	watchersAtOnce   = 200             // number of watchers that connect together
 )
 
-// Lists says with which programs the registry's part is measured.
-type Lists struct {
+// RegistryRun holds the parameters of a measurement with replicas of the registry.
+type RegistryRun struct {
 	Run
-	Dir       string        // folder for the programs' data
+	DataDir   string        // folder for the data of the programs
 	Program   []string      // command of wrenspread-registry
 	Env       []string      // environment of the program
-	Subsets   bool          // whether each watcher follows its own subset, in a fleet of the plan's size
-	RestTime  time.Duration // length of a measurement at rest, and of changes at nodes
+	Subsets   bool          // whether each watcher or node follows only its own subset of the list
+	RestTime  time.Duration // length of the measurement at rest, and of the measurement of changes at nodes
 	Report    func(Point)
-	runNumber int
+	runNumber int // number of sets of replicas started so far; each has its own folder
 }
 
-// withReplica runs do with a single replica on an empty folder, filled with the given number of entries.
-func (l *Lists) withReplica(
+// withReplica starts a replica on an empty folder, adds the given number of entries, and calls do.
+func (l *RegistryRun) withReplica(
 	ctx context.Context,
 	entries int,
 	do func(set *replicas.Set, k *client.Client) error,
@@ -47,7 +47,7 @@
 	o := quorum.Options{
 		Seed:     1,
 		Replicas: 1,
-		Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.runNumber)),
+		Dir:      filepath.Join(l.DataDir, fmt.Sprint("list", l.runNumber)),
 		Command:  l.Program,
 		Env:      l.Env,
 	}
@@ -59,18 +59,19 @@
 	})
 }
 
-// registerRestart makes one change of an entry, of which every watcher is notified: the server restarts.
+// registerRestart registers a restart of the i-th server. It is a change of one entry, of which every watcher
+// of the entry is notified.
 func registerRestart(ctx context.Context, k *client.Client, i, entries int) (registry.Result, error) {
 	return k.Register(ctx, entryOf(i%entries), 0, nil)
 }
 
-// entryOf is the n-th server of a drawn list, just started.
+// entryOf returns the entry of the n-th server of a drawn list, which has just started.
 func entryOf(n int) registry.Endpoint {
 	return registry.Endpoint{
 		Name:        entryName(n),
 		Address:     fmt.Sprintf("10.1.%d.%d:5000", n>>8&255, n&255),
 		Zone:        zoneOf(n),
-		Type:        kindOf(n),
+		Type:        machineTypeOf(n),
 		Cell:        n / 3,
 		Status:      registry.Ready,
 		Weight:      1,
@@ -78,14 +79,14 @@
 	}
 }
 
-// entryName is the name that quorum.Fill gives the i-th entry.
+// entryName returns the name that quorum.Fill gives to the i-th entry.
 func entryName(i int) string { return fmt.Sprintf("s-%08x", i) }
 
-// watcherGroup is hollow watchers in one process: each is the client of a node without the rest of the
-// node.
+// watcherGroup is a group of hollow watchers in this process. A hollow watcher is a node's client of the
+// registry without the rest of the node.
 type watcherGroup struct {
 	clients   []*client.Client
-	versions  []atomic.Uint64 // the version that each client has
+	versions  []atomic.Uint64 // the version of the list that each client has
 	arrivedAt []atomic.Int64  // when the version arrived, in ns since begun
 	begun     time.Time
 	subsets   []atomic.Pointer[registry.Subset] // the subset that each client follows; nil: the complete list
@@ -93,16 +94,16 @@
 	stop      context.CancelFunc
 }
 
-// startWatchers starts n watchers, of which the number together connects at once, and waits until all have
-// a version.
-func (l *Lists) startWatchers(
+// startWatchers starts n watchers, of which atOnce connect together, and waits until all of them have the
+// given version of the list.
+func (l *RegistryRun) startWatchers(
 	ctx context.Context,
 	addresses []string,
-	together, n int,
+	atOnce, n int,
 	version uint64,
 ) (*watcherGroup, error) {
 	following, stop := context.WithCancel(ctx)
-	c := &watcherGroup{
+	group := &watcherGroup{
 		clients:   make([]*client.Client, n),
 		versions:  make([]atomic.Uint64, n),
 		arrivedAt: make([]atomic.Int64, n),
@@ -112,32 +113,32 @@
 	}
 	for i := range n {
 		conf := client.Config{Addresses: addresses, Hold: watchHold, OnChange: func(a registry.ListResponse) {
-			c.arrivedAt[i].Store(int64(time.Since(c.begun)))
-			if part, err := registry.ParseSubset(a.Subset); err == nil {
-				c.subsets[i].Store(&part)
+			group.arrivedAt[i].Store(int64(time.Since(group.begun)))
+			if subset, err := registry.ParseSubset(a.Subset); err == nil {
+				group.subsets[i].Store(&subset)
 			}
-			c.versions[i].Store(a.Index)
+			group.versions[i].Store(a.Index)
 		}}
 		if l.Subsets {
-			conf.ChooseSubset = func(has registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
-				return has.Next(i, assumedFleetNodes, total, entries, []registry.Placement{{}})
+			conf.ChooseSubset = func(current registry.Subset, total int, entries []registry.Endpoint) registry.Subset {
+				return current.Next(i, assumedFleetNodes, total, entries, []registry.Placement{{}})
 			}
 		}
 		k, err := client.New(conf)
 		if err != nil {
-			c.close()
+			group.close()
 			return nil, err
 		}
-		c.clients[i] = k
-		c.followers.Go(func() { k.Follow(following); k.Close() })
-		if i%together == together-1 || i == n-1 {
-			if err := c.await(ctx, i+1, version, ""); err != nil {
-				c.close()
+		group.clients[i] = k
+		group.followers.Go(func() { k.Follow(following); k.Close() })
+		if i%atOnce == atOnce-1 || i == n-1 {
+			if err := group.await(ctx, i+1, version, ""); err != nil {
+				group.close()
 				return nil, err
 			}
 		}
 	}
-	return c, nil
+	return group, nil
 }
 
 // close ends all watchers.
@@ -146,20 +147,20 @@
 	c.followers.Wait()
 }
 
-// concerns reports whether a watcher is notified of an entry: it is, unless it follows a subset without the
-// entry.
-func (c *watcherGroup) concerns(i int, entry string) bool {
-	part := c.subsets[i].Load()
-	return part == nil || entry == "" || part.Contains(registry.Position(entry))
+// isNotifiedOf reports whether the i-th watcher is notified of a change of an entry: it is, unless it follows
+// a subset without the entry. An empty entry stands for any entry.
+func (c *watcherGroup) isNotifiedOf(i int, entry string) bool {
+	subset := c.subsets[i].Load()
+	return subset == nil || entry == "" || subset.Contains(registry.Position(entry))
 }
 
-// await waits until the first watchers have a version; if entry is not empty, only those that the entry
-// concerns.
-func (c *watcherGroup) await(ctx context.Context, first int, version uint64, entry string) error {
+// await waits until the first count watchers have a version. It does not wait for watchers that are not
+// notified of the entry; if entry is empty, it waits for all.
+func (c *watcherGroup) await(ctx context.Context, count int, version uint64, entry string) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	for i := range first {
-		if !c.concerns(i, entry) {
+	for i := range count {
+		if !c.isNotifiedOf(i, entry) {
 			continue
 		}
 		for c.versions[i].Load() < version {
@@ -178,20 +179,21 @@
 	return nil
 }
 
-// since returns the times from t until each watcher that an entry concerns had its present version, sorted.
-func (c *watcherGroup) since(t time.Time, entry string) (all []float64) {
+// delaysSince returns the times from t until each watcher that is notified of an entry received its present
+// version, sorted.
+func (c *watcherGroup) delaysSince(t time.Time, entry string) (delays []float64) {
 	for i := range c.arrivedAt {
-		if !c.concerns(i, entry) {
+		if !c.isNotifiedOf(i, entry) {
 			continue
 		}
-		all = append(all, seconds(time.Duration(c.arrivedAt[i].Load())-t.Sub(c.begun)))
+		delays = append(delays, seconds(time.Duration(c.arrivedAt[i].Load())-t.Sub(c.begun)))
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(delays)
+	return delays
 }
 
-// Watchers measures a change, and the rest between changes, by the number of watchers of one replica.
-func (l *Lists) Watchers(ctx context.Context, sizes []int, entries int) error {
+// Watchers measures one replica during changes and at rest, by the number of its watchers.
+func (l *RegistryRun) Watchers(ctx context.Context, sizes []int, entries int) error {
 	return l.points(
 		ctx,
 		"watchers",
@@ -210,13 +212,13 @@
 }
 
 // measureWatchers measures one replica with n watchers.
-func (l *Lists) measureWatchers(
+func (l *RegistryRun) measureWatchers(
 	ctx context.Context,
 	set *replicas.Set,
 	k *client.Client,
 	n, entries int,
 ) (map[string]float64, error) {
-	now, err := k.CurrentList(ctx)
+	list, err := k.CurrentList(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -225,13 +227,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := l.startWatchers(ctx, []string{set.All[0].Address()}, watchersAtOnce, n, now.Index)
+	group, err := l.startWatchers(ctx, []string{set.All[0].Address()}, watchersAtOnce, n, list.Index)
 	if err != nil {
 		return nil, err
 	}
-	defer c.close()
-	var median, most99, last []float64
-	begun, err := useOfBoth(pid)
+	defer group.close()
+	var medians, percentiles99, slowest []float64
+	before, err := useOfBoth(pid)
 	if err != nil {
 		return nil, err
 	}
@@ -241,12 +243,13 @@
 			return nil, err
 		}
 		acknowledged := time.Now()
-		if err := c.await(ctx, n, r.Version, entryName(i%entries)); err != nil {
+		if err := group.await(ctx, n, r.Version, entryName(i%entries)); err != nil {
 			return nil, err
 		}
-		took := c.since(acknowledged, entryName(i%entries))
-		if n := len(took); n > 0 { // else the change concerns no watcher
-			median, most99, last = append(median, took[n/2]), append(most99, took[n*99/100]), append(last, took[n-1])
+		took := group.delaysSince(acknowledged, entryName(i%entries))
+		if n := len(took); n > 0 { // otherwise no watcher is notified of the change
+			medians, percentiles99, slowest = append(medians, took[n/2]),
+				append(percentiles99, took[n*99/100]), append(slowest, took[n-1])
 		}
 	}
 	changed, err := useOfBoth(pid)
@@ -258,33 +261,33 @@
 	if err != nil {
 		return nil, err
 	}
-	work, rest := changed.minus(begun), rested.minus(changed)
-	each, restSeconds := float64(n), l.RestTime.Seconds()
+	work, rest := changed.minus(before), rested.minus(changed)
+	watchers, restSeconds := float64(n), l.RestTime.Seconds()
 	return map[string]float64{
 		"change_cpu_s":             seconds(work.service.CPU) / changesPerFigure,
 		"change_bytes":             work.service.Written / changesPerFigure,
-		"watcher_change_bytes_in":  work.own.Read / changesPerFigure / each,
-		"watcher_change_bytes_out": work.own.Written / changesPerFigure / each,
-		"watcher_change_cpu_s":     seconds(work.own.CPU) / changesPerFigure / each,
+		"watcher_change_bytes_in":  work.own.Read / changesPerFigure / watchers,
+		"watcher_change_bytes_out": work.own.Written / changesPerFigure / watchers,
+		"watcher_change_cpu_s":     seconds(work.own.CPU) / changesPerFigure / watchers,
 		"rest_cores": seconds(
 			rest.service.CPU,
 		) / restSeconds,
 		"rest_bytes_out":         rest.service.Written / restSeconds,
 		"rest_bytes_in":          rest.service.Read / restSeconds,
-		"watcher_rest_bytes_in":  rest.own.Read / restSeconds / each,
-		"watcher_rest_bytes_out": rest.own.Written / restSeconds / each,
+		"watcher_rest_bytes_in":  rest.own.Read / restSeconds / watchers,
+		"watcher_rest_bytes_out": rest.own.Written / restSeconds / watchers,
 		"memory_bytes":           rested.service.RSS - empty.RSS,
 		"descriptors":            rested.service.FDs,
 		"half_s": spreadOf(
-			median,
+			medians,
 		).Median,
-		"most99_s":     spreadOf(most99).Median,
-		"last_s":       spreadOf(last).Median,
-		"last_worst_s": slices.Max(last),
+		"most99_s":     spreadOf(percentiles99).Median,
+		"last_s":       spreadOf(slowest).Median,
+		"last_worst_s": slices.Max(slowest),
 	}, nil
 }
 
-// usePair is what a replica and this process, with its hollow watchers, have used.
+// usePair holds the resources that a replica, and this process with its hollow watchers, have used.
 type usePair struct{ service, own use }
 
 func useOfBoth(pid int) (p usePair, err error) {
--- a/internal/lab/scale/zone.go
+++ b/internal/lab/scale/zone_loss.go
@@ -11,18 +11,19 @@
 
 const (
 	zoneCount        = 7
-	concurrentWrites = 64 // calls made at once
+	concurrentWrites = 64 // number of calls in flight at once
 )
 
-// Zone measures the loss and the return of all backends of a zone at once, with nodes that follow the list.
-func (n *Nodes) Zone(ctx context.Context, sizes []Sizes) error {
-	return n.measureSizes(ctx, "zone", sizes, func(r rig) (map[string]float64, error) { return r.zone(ctx) })
+// ZoneLoss measures nodes that follow the list while all backends of a zone are lost at once, and return at
+// once.
+func (n *Nodes) ZoneLoss(ctx context.Context, sizes []Sizes) error {
+	return n.measureSizes(ctx, "zone", sizes, func(r rig) (map[string]float64, error) { return r.loseZone(ctx) })
 }
 
-// zone removes the entries of a zone, and registers them again as servers that have just started.
-func (r rig) zone(ctx context.Context) (map[string]float64, error) {
+// loseZone removes the entries of a zone, and registers them again as servers that have just started.
+func (r rig) loseZone(ctx context.Context) (map[string]float64, error) {
 	lost := r.Backends / zoneCount
-	gone, err := r.applyAndAwait(
+	figures, err := r.applyAndAwait(
 		ctx,
 		lost,
 		entryNames(lost, r.Backends),
@@ -34,11 +35,11 @@
 	if err != nil {
 		return nil, err
 	}
-	back, err := r.applyAndAwait(ctx, lost, entryNames(0, r.Backends), registerEntry(r.k, 0))
-	for name, f := range back {
-		gone["back_"+name] = f
+	figuresBack, err := r.applyAndAwait(ctx, lost, entryNames(0, r.Backends), registerEntry(r.k, 0))
+	for name, f := range figuresBack {
+		figures["back_"+name] = f
 	}
-	return gone, err
+	return figures, err
 }
 
 // applyAndAwait makes changes as fast as the registry accepts them, and waits until every node has exactly
@@ -47,12 +48,12 @@
 	ctx context.Context,
 	changes int,
 	remaining []string,
-	one func(context.Context, int) error,
+	change func(context.Context, int) error,
 ) (map[string]float64, error) {
 	var written, settled time.Duration
 	f, err := r.measureCost(ctx, func() error {
 		began := time.Now()
-		if err := concurrently(ctx, 0, changes, one); err != nil {
+		if err := concurrently(ctx, 0, changes, change); err != nil {
 			return err
 		}
 		written = time.Since(began)
@@ -67,17 +68,18 @@
 	return f, nil
 }
 
-// concurrently makes the calls from one number up to another, concurrentWrites at a time.
-func concurrently(ctx context.Context, from, to int, one func(context.Context, int) error) error {
+// concurrently calls the function with each number from the first up to the last, which is excluded;
+// concurrentWrites calls run at a time.
+func concurrently(ctx context.Context, from, to int, call func(context.Context, int) error) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(concurrentWrites)
 	for i := from; i < to; i++ {
-		g.Go(func() error { return one(ctx, i) })
+		g.Go(func() error { return call(ctx, i) })
 	}
 	return g.Wait()
 }
 
-// registerEntry returns a call that registers the i-th entry, as a server that has just started.
+// registerEntry returns a function that registers the i-th entry, as a server that has just started.
 func registerEntry(k *client.Client, ttl time.Duration) func(context.Context, int) error {
 	return func(ctx context.Context, i int) error {
 		_, err := k.Register(ctx, entryOf(i), ttl, nil)
@@ -85,10 +87,11 @@
 	}
 }
 
-// entryNames are the names of the entries from one number up to another, which is excluded.
-func entryNames(from, to int) (all []string) {
+// entryNames returns the names of the entries with the numbers from the first up to the last, which is
+// excluded.
+func entryNames(from, to int) (names []string) {
 	for i := from; i < to; i++ {
-		all = append(all, entryName(i))
+		names = append(names, entryName(i))
 	}
-	return all
+	return names
 }
