--- a/cmd/wrenspread-lab/play.go
+++ b/cmd/wrenspread-lab/play.go
@@ -127,7 +127,7 @@
 	case len(errs) > 0:
 		return unplayedError{errors.Join(errs...)}
 	case worst == report.Void:
-		return unplayedError{errors.New("the machine was too late for the run to count")}
+		return unplayedError{errors.New("the run does not count: the machine was too late")}
 	}
 	return nil
 }
--- a/cmd/wrenspread-lab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -61,9 +61,9 @@
 	return p, func() { removeAll(); removeCtl() }, nil
 }
 
-// findProgram returns the absolute path of a program of the project. It looks in the folder binDir if binDir
-// is set; otherwise in the folder of wrenspread-lab itself; otherwise it builds the program from the project
-// that contains the working directory. remove deletes what was built.
+// findProgram returns the absolute path of a program of the project. If binDir is set, it looks only in that
+// folder. Otherwise it looks in the folder of wrenspread-lab itself, and if the program is not there, builds
+// it from the project that contains the working directory. The function remove deletes what was built.
 func findProgram(ctx context.Context, log io.Writer, binDir, name string) (
 	path string, remove func(), err error,
 ) {
@@ -133,7 +133,7 @@
 		}
 		if ancestor == filepath.Dir(ancestor) {
 			return "", fmt.Errorf(
-				"there is no wrenspread-proxy beside this program, and %s is not in the project's folder: run there, or name a folder with --bin",
+				"find the programs: they are not in the folder of wrenspread-lab, and %s is not in the project's folder: run in the project, or name their folder with --bin",
 				dir,
 			)
 		}
--- a/cmd/wrenspread-lab/scale_latency.go
+++ b/cmd/wrenspread-lab/scale_latency.go
@@ -36,7 +36,7 @@
 			defer removeProxy()
 			latency.RegistryRun, latency.NodeCommand = scale.RegistryRun{
 				Run:      f.run,
-				DataDir:  dir,
+				Dir:      dir,
 				Program:  []string{registryPath},
 				Subsets:  f.followSubsets,
 				RestTime: f.restTime,
--- a/cmd/wrenspread-lab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -29,7 +29,7 @@
 			c.Context(),
 			&scale.RegistryRun{
 				Run:      f.run,
-				DataDir:  dir,
+				Dir:      dir,
 				Program:  []string{program},
 				Subsets:  f.followSubsets,
 				RestTime: f.restTime,
--- a/cmd/wrenspread-lab/scale_nodes.go
+++ b/cmd/wrenspread-lab/scale_nodes.go
@@ -34,7 +34,7 @@
 				}
 			}
 			if (rack || roll) && kind != "hollow" {
-				return unplayedError{errors.New("--rack and --roll are of hollow nodes")}
+				return unplayedError{errors.New("--rack and --roll need --kind hollow")}
 			}
 			dir, remove, err := f.prepare(c.Context(), command)
 			if err != nil {
@@ -62,7 +62,7 @@
 			}
 			measurement.RegistryRun, measurement.Kind = scale.RegistryRun{
 				Run:      f.run,
-				DataDir:  dir,
+				Dir:      dir,
 				Program:  []string{registryPath},
 				Subsets:  f.followSubsets,
 				RestTime: f.restTime,
--- a/cmd/wrenspread-lab/scale_test.go
+++ b/cmd/wrenspread-lab/scale_test.go
@@ -12,7 +12,7 @@
 // records to a temporary folder.
 func registryMeasurement(t *testing.T) scale.RegistryRun {
 	return scale.RegistryRun{Run: scale.Run{Dir: t.TempDir(), Label: scale.Before, Commit: "test", Repeat: 1},
-		DataDir: t.TempDir(),
+		Dir:     t.TempDir(),
 		Program: []string{os.Args[0]}, Env: []string{"WRENSPREAD_LAB_AS_PROGRAM=1"},
 		RestTime: time.Second, Report: func(p scale.Point) { t.Log(p) }}
 }
--- a/cmd/wrenspread-lab/series.go
+++ b/cmd/wrenspread-lab/series.go
@@ -82,7 +82,7 @@
 	case err != nil:
 		return err
 	case counts.undecided > 0:
-		return unplayedError{errors.New("some histories could not be decided in their time")}
+		return unplayedError{errors.New("some histories could not be checked in time")}
 	}
 	return nil
 }
--- a/internal/lab/scale/cost_lines.go
+++ b/internal/lab/scale/cost_lines.go
@@ -96,6 +96,7 @@
 		cost:  func(_ labelRecords, p Plan) (float64, grounds, error) { return number(p), grounds{}, nil }}
 }
 
+// Sizes that select points: those of ten nodes, and those of 4,300 nodes with one rule of placement.
 var (
 	tenNodes              = map[string]int{"nodes": 10}
 	planNodesOnePlacement = map[string]int{"nodes": 4300, "placements": 1}
--- a/internal/lab/scale/entries.go
+++ b/internal/lab/scale/entries.go
@@ -92,14 +92,14 @@
 	}
 	work, lists := changed.minus(begun), read.minus(changed)
 	return map[string]float64{
-		"change_cpu_s": seconds(work.service.CPU) / changesPerFigure,
-		"change_bytes": work.service.Written / changesPerFigure,
+		"change_cpu_s": seconds(work.replica.CPU) / changesPerFigure,
+		"change_bytes": work.replica.Written / changesPerFigure,
 		"whole_cpu_s": seconds(
-			lists.service.CPU,
+			lists.replica.CPU,
 		) / listReads,
-		"whole_bytes":  lists.own.Read / listReads,
-		"reader_cpu_s": seconds(lists.own.CPU) / listReads,
-		"memory_bytes": read.service.RSS,
+		"whole_bytes":  lists.self.Read / listReads,
+		"reader_cpu_s": seconds(lists.self.CPU) / listReads,
+		"memory_bytes": read.replica.RSS,
 	}, nil
 }
 
@@ -186,10 +186,10 @@
 	work, n := ended.minus(begun), float64(made.Load())
 	return map[string]float64{
 		"made_per_s":  n / took,
-		"cores":       seconds(work.service.CPU) / took,
-		"cpu_s":       seconds(work.service.CPU) / n,
-		"bytes_in":    work.service.Read / n,
-		"bytes_out":   work.service.Written / n,
-		"agent_cpu_s": seconds(work.own.CPU) / n,
+		"cores":       seconds(work.replica.CPU) / took,
+		"cpu_s":       seconds(work.replica.CPU) / n,
+		"bytes_in":    work.replica.Read / n,
+		"bytes_out":   work.replica.Written / n,
+		"agent_cpu_s": seconds(work.self.CPU) / n,
 	}, nil
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -88,7 +88,7 @@
 // grounds tells how well measurements support a figure at a size.
 type grounds struct {
 	extrapolation float64 // ratio of the size to the largest size that was measured
-	residual      float64 // of the fit
+	residual      float64 // relative residual of the fit
 }
 
 const poorResidual = 0.3 // the texts call a fit with a larger residual poor
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -80,11 +80,11 @@
 	ctx context.Context,
 	server *backendServer,
 	k *client.Client,
-	service string,
+	registryAddress string,
 	servers int,
 	seed uint64,
 ) (map[string]float64, error) {
-	dir, err := os.MkdirTemp(l.DataDir, "latency")
+	dir, err := os.MkdirTemp(l.Dir, "latency")
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 		Zone:     zoneOf(0),
 		Listen:   listen,
 		Control:  control,
-		List:     []string{service},
+		List:     []string{registryAddress},
 		ListFile: filepath.Join(dir, "list"),
 		ListPart: l.Subsets,
 		Seed:     seed,
--- a/internal/lab/scale/latency_table.go
+++ b/internal/lab/scale/latency_table.go
@@ -100,8 +100,7 @@
 	return [][]string{append([]string{notRun}, repeatedString(cells-1, "")...)}
 }
 
-// subsetFlag returns the size of a point that says whether nodes follow only their subsets of the list: 1 or
-// 0.
+// subsetFlag returns 1 if nodes follow only their subsets of the list, and 0 if not, as a size of a point.
 func subsetFlag(subsets bool) int {
 	if subsets {
 		return 1
--- a/internal/lab/scale/node_faults.go
+++ b/internal/lab/scale/node_faults.go
@@ -20,9 +20,9 @@
 	})
 }
 
-// loseRack registers the first lost backends with leases of length ttl, which nobody renews, and kills the
-// extra nodes. All other entries have leases too, because the registry bounds the entries that may expire at
-// once to a share of the leased entries.
+// loseRack registers the first backends, as many as lost says, with leases of length ttl that nobody renews,
+// and kills the extra nodes. All other entries have leases too, because the registry bounds the entries that
+// may expire at once to a share of the leased entries.
 func (r rig) loseRack(ctx context.Context, lost int, ttl time.Duration) (map[string]float64, error) {
 	if err := concurrently(ctx, 0, lost, registerEntry(r.k, ttl)); err != nil {
 		return nil, err
@@ -89,8 +89,8 @@
 	return time.Duration(float64(time.Second) / perSecond)
 }
 
-// roll replaces backends one by one, each by a backend with another name, and waits until every
-// node has exactly the registered backends.
+// roll replaces backends one by one, each by a backend with another name, and waits until every node has
+// exactly the registered backends.
 func (r rig) roll(
 	ctx context.Context, replaceInterval, length time.Duration) (map[string]float64, error) {
 	var replaced int
--- a/internal/lab/scale/nodes.go
+++ b/internal/lab/scale/nodes.go
@@ -113,10 +113,10 @@
 		return nil, err
 	}
 	took := 2 * n.RestTime.Seconds() * min(sampledNodes, float64(r.Nodes))
-	rest, work, each := afterRest.minus(before), afterChanges.minus(afterRest), float64(r.Nodes)
-	perRest := func(total float64) float64 { return total / n.RestTime.Seconds() / each }
+	rest, work, nodeCount := afterRest.minus(before), afterChanges.minus(afterRest), float64(r.Nodes)
+	perRest := func(total float64) float64 { return total / n.RestTime.Seconds() / nodeCount }
 	perChange := func(rest, work float64) float64 {
-		return max(0, work-rest) / float64(changes) / each
+		return max(0, work-rest) / float64(changes) / nodeCount
 	}
 	return map[string]float64{
 		"rest_cores":     perRest(seconds(rest.CPU)),
@@ -131,8 +131,8 @@
 			rest.Written,
 			work.Written,
 		),
-		"memory_bytes":         afterChanges.RSS / each,
-		"descriptors":          afterChanges.FDs / each,
+		"memory_bytes":         afterChanges.RSS / nodeCount,
+		"descriptors":          afterChanges.FDs / nodeCount,
 		"datagrams_per_s":      (sentAfter.datagrams - sentBefore.datagrams) / took,
 		"datagram_bytes_per_s": (sentAfter.bytes - sentBefore.bytes) / took,
 	}, nil
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -32,7 +32,7 @@
 		for _, b := range backends {
 			size := Sizes{Nodes: n, Backends: b}
 			err := p.withNodes(ctx, size, func(r rig) error {
-				before, err := useOf(r.service.Pid)
+				before, err := useOf(r.replica.Pid)
 				if err != nil {
 					return err
 				}
@@ -40,7 +40,7 @@
 				if err != nil {
 					return err
 				}
-				after, err := useOf(r.service.Pid)
+				after, err := useOf(r.replica.Pid)
 				work, took := after.minus(before), 2*p.RestTime.Seconds()
 				f["replica_cores"], f["replica_bytes_out_per_s"], f["replica_memory_bytes"] = seconds(
 					work.CPU,
@@ -105,7 +105,7 @@
 			if err := f.storeInitialState(ctx, k); err != nil {
 				return err
 			}
-			dir, err := os.MkdirTemp(p.DataDir, "pairs")
+			dir, err := os.MkdirTemp(p.Dir, "pairs")
 			if err != nil {
 				return err
 			}
@@ -125,7 +125,7 @@
 			}
 			group := process.NewGroup(log)
 			defer group.Close(stopTimeout)
-			r := rig{Sizes: Sizes{Nodes: n}, k: k, service: set.All[0].Proc(), controls: controls}
+			r := rig{Sizes: Sizes{Nodes: n}, k: k, replica: set.All[0].Proc(), controls: controls}
 			if r.nodes, err = p.startNodes(ctx, group, dir, controls); err != nil {
 				return err
 			}
@@ -179,14 +179,14 @@
 }
 
 // measureTenants measures the resources that the nodes and the replica use at rest, and while tenants are
-// added one after another.
+// added one after another. The catalogue has have tenants before.
 func (p *Pairs) measureTenants(ctx context.Context, r rig, have int) (map[string]float64, error) {
-	var uses [3]struct{ nodes, service use }
+	var uses [3]struct{ nodes, replica use }
 	sample := func(i int) (err error) {
 		if uses[i].nodes, err = useOfAll(r.nodes); err != nil {
 			return err
 		}
-		uses[i].service, err = useOf(r.service.Pid)
+		uses[i].replica, err = useOf(r.replica.Pid)
 		return err
 	}
 	backoff.Sleep(ctx, time.Second) // until the last tenant is served
@@ -208,23 +208,24 @@
 	if err := sample(2); err != nil {
 		return nil, err
 	}
-	rest, work, each := uses[1].nodes.minus(uses[0].nodes), uses[2].nodes.minus(uses[1].nodes), float64(r.Nodes)
-	restService, workService := uses[1].service.minus(uses[0].service), uses[2].service.minus(uses[1].service)
-	timesRest := seconds(took) / p.RestTime.Seconds()
-	perChange := func(work, rest float64) float64 { return max(0, work-rest*timesRest) / pairChanges }
+	rest, work, nodeCount := uses[1].nodes.minus(uses[0].nodes), uses[2].nodes.minus(uses[1].nodes),
+		float64(r.Nodes)
+	restReplica, workReplica := uses[1].replica.minus(uses[0].replica), uses[2].replica.minus(uses[1].replica)
+	durationRatio := seconds(took) / p.RestTime.Seconds()
+	perChange := func(work, rest float64) float64 { return max(0, work-rest*durationRatio) / pairChanges }
 	return map[string]float64{
-		"rest_cores":   seconds(rest.CPU) / p.RestTime.Seconds() / each,
-		"memory_bytes": uses[2].nodes.RSS / each,
+		"rest_cores":   seconds(rest.CPU) / p.RestTime.Seconds() / nodeCount,
+		"memory_bytes": uses[2].nodes.RSS / nodeCount,
 		"change_cpu_s": perChange(
 			seconds(work.CPU),
 			seconds(rest.CPU),
-		) / each,
-		"change_bytes_in":      perChange(work.Read, rest.Read) / each,
-		"replica_memory_bytes": uses[2].service.RSS,
-		"replica_change_cpu_s": perChange(seconds(workService.CPU), seconds(restService.CPU)),
+		) / nodeCount,
+		"change_bytes_in":      perChange(work.Read, rest.Read) / nodeCount,
+		"replica_memory_bytes": uses[2].replica.RSS,
+		"replica_change_cpu_s": perChange(seconds(workReplica.CPU), seconds(restReplica.CPU)),
 		"replica_change_bytes_out": perChange(
-			workService.Written,
-			restService.Written,
+			workReplica.Written,
+			restReplica.Written,
 		),
 		"known_s": seconds(took-time.Second) / pairChanges,
 	}, nil
--- a/internal/lab/scale/pairs_routes.go
+++ b/internal/lab/scale/pairs_routes.go
@@ -14,7 +14,7 @@
 // Routes measures a node's decision module alone, by the numbers of services and routes. A service is
 // measured as a class, and a route as a rule of placement of classes; with one route there is no rule.
 func (p *Pairs) Routes(ctx context.Context, services, routes []int) error {
-	settings, err := nodeSettings(p.DataDir, routedNodes)
+	settings, err := nodeSettings(p.Dir, routedNodes)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/peak_use.go
+++ b/internal/lab/scale/peak_use.go
@@ -20,24 +20,24 @@
 // measureCost calls do, and returns what each node and the replica have used during the call and the second
 // after it, in total and in the worst second.
 func (r rig) measureCost(ctx context.Context, do func() error) (map[string]float64, error) {
-	service := []*process.Proc{r.service}
+	replica := []*process.Proc{r.replica}
 	nodes, err := useOfAll(r.nodes)
 	if err != nil {
 		return nil, err
 	}
-	before, err := useOfAll(service)
+	before, err := useOfAll(replica)
 	if err != nil {
 		return nil, err
 	}
 	changing, stop := context.WithCancel(ctx)
 	type peakResult struct {
-		nodes, service peakUse
+		nodes, replica peakUse
 		err            error
 	}
 	peaks := make(chan peakResult, 1)
 	go func() {
 		var f peakResult
-		f.nodes, f.service, f.err = samplePeaks(ctx, changing, r.nodes, service)
+		f.nodes, f.replica, f.err = samplePeaks(ctx, changing, r.nodes, replica)
 		peaks <- f
 	}()
 	began := time.Now()
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	after, err := useOfAll(service)
+	after, err := useOfAll(replica)
 	nodeWork, replicaWork, nodeCount := nodesAfter.minus(nodes), after.minus(before), float64(r.Nodes)
 	return map[string]float64{
 		"took_s":               seconds(took),
@@ -68,28 +68,28 @@
 		"node_peak_cores":      peak.nodes.cores / nodeCount,
 		"node_peak_bytes":      peak.nodes.read / nodeCount,
 		"node_memory_bytes":    peak.nodes.rss / nodeCount,
-		"replica_peak_cores":   peak.service.cores,
-		"replica_peak_bytes":   peak.service.written,
-		"replica_memory_bytes": peak.service.rss,
+		"replica_peak_cores":   peak.replica.cores,
+		"replica_peak_bytes":   peak.replica.written,
+		"replica_memory_bytes": peak.replica.rss,
 	}, err
 }
 
-// samplePeaks samples the use of nodes and of a service until changing ends, and for at least a second, as a
+// samplePeaks samples the use of nodes and of a replica until changing ends, and for at least a second, as a
 // peak is the use in a second. It returns the peaks of both, or an error if ctx ends first.
-func samplePeaks(ctx, changing context.Context, nodes, service []*process.Proc) (
-	nodePeaks, servicePeaks peakUse, err error) {
+func samplePeaks(ctx, changing context.Context, nodes, replica []*process.Proc) (
+	nodePeaks, replicaPeaks peakUse, err error) {
 	type sample struct {
 		at             time.Time
-		nodes, service use
+		nodes, replica use
 	}
 	var samples []sample
 	for {
 		latest := sample{at: time.Now()}
 		if latest.nodes, err = useOfAll(nodes); err != nil {
-			return nodePeaks, servicePeaks, err
+			return nodePeaks, replicaPeaks, err
 		}
-		if latest.service, err = useOfAll(service); err != nil {
-			return nodePeaks, servicePeaks, err
+		if latest.replica, err = useOfAll(replica); err != nil {
+			return nodePeaks, replicaPeaks, err
 		}
 		samples = append(samples, latest)
 		waitCtx := ctx
@@ -97,10 +97,10 @@
 			waitCtx = changing
 			secondAgo := samples[len(samples)-1-stepsPerSecond]
 			nodePeaks.update(latest.nodes, secondAgo.nodes, latest.at.Sub(secondAgo.at))
-			servicePeaks.update(latest.service, secondAgo.service, latest.at.Sub(secondAgo.at))
+			replicaPeaks.update(latest.replica, secondAgo.replica, latest.at.Sub(secondAgo.at))
 		}
 		if !backoff.Sleep(waitCtx, sampleInterval) {
-			return nodePeaks, servicePeaks, ctx.Err()
+			return nodePeaks, replicaPeaks, ctx.Err()
 		}
 	}
 }
--- a/internal/lab/scale/peak_use_test.go
+++ b/internal/lab/scale/peak_use_test.go
@@ -14,9 +14,9 @@
 	self := []*process.Proc{{Pid: os.Getpid()}}
 	changing, stop := context.WithCancel(context.Background())
 	stop()
-	nodes, service, err := samplePeaks(context.Background(), changing, self, self)
-	if err != nil || nodes.rss <= 0 || service.rss <= 0 {
-		t.Errorf("samplePeaks = %+v, %+v, %v, want the memory of this process in both", nodes, service, err)
+	nodes, replica, err := samplePeaks(context.Background(), changing, self, self)
+	if err != nil || nodes.rss <= 0 || replica.rss <= 0 {
+		t.Errorf("samplePeaks = %+v, %+v, %v, want the memory of this process in both", nodes, replica, err)
 	}
 }
 
@@ -26,7 +26,7 @@
 	self := []*process.Proc{{Pid: os.Getpid()}}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if nodes, service, err := samplePeaks(ctx, ctx, self, self); err == nil {
-		t.Errorf("samplePeaks of a cancelled context = %+v, %+v without an error", nodes, service)
+	if nodes, replica, err := samplePeaks(ctx, ctx, self, self); err == nil {
+		t.Errorf("samplePeaks of a cancelled context = %+v, %+v without an error", nodes, replica)
 	}
 }
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -64,18 +64,18 @@
 func (f *Propagation) measureNodes(
 	ctx context.Context,
 	k *client.Client,
-	service string,
+	registryAddress string,
 	nodes int,
 ) (map[string]float64, error) {
 	if err := f.storeInitialState(ctx, k); err != nil {
 		return nil, err
 	}
-	dir, err := os.MkdirTemp(f.DataDir, "force")
+	dir, err := os.MkdirTemp(f.Dir, "force")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-	controls, release, err := writeNodeConfigsWithPolicy(dir, nodes, service, f.Subsets, !f.MeasureFleet)
+	controls, release, err := writeNodeConfigsWithPolicy(dir, nodes, registryAddress, f.Subsets, !f.MeasureFleet)
 	defer release()
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/propagation_setup.go
+++ b/internal/lab/scale/propagation_setup.go
@@ -26,7 +26,7 @@
 func writeNodeConfigsWithPolicy(
 	dir string,
 	nodes int,
-	service string,
+	registryAddress string,
 	subsets, followTenants bool,
 ) (controls []string, release func(), err error) {
 	var releases []func()
@@ -53,7 +53,7 @@
 			Zone:    zoneOf(i),
 			Listen:  "127.0.0.1:1",
 			Control: control,
-			List:    []string{service},
+			List:    []string{registryAddress},
 			ListFile: filepath.Join(
 				dir,
 				fmt.Sprint("list", i),
--- a/internal/lab/scale/reached_bounds.go
+++ b/internal/lab/scale/reached_bounds.go
@@ -21,11 +21,11 @@
 // their factors, and the lines whose cost or bound is unknown.
 func reachedBounds(m labelRecords, p Plan) (reached []reachedBound, unknown []CostLine) {
 	for _, l := range CostLines() {
-		r, met, err := l.reachedBound(m, p)
+		r, isReached, err := l.reachedBound(m, p)
 		switch {
 		case err != nil:
 			unknown = append(unknown, l)
-		case met:
+		case isReached:
 			reached = append(reached, r)
 		}
 	}
@@ -36,7 +36,7 @@
 
 // reachedBound searches for the factor of the plan from which on the cost exceeds its bound. The search is
 // binary, as costs do not fall with the size.
-func (l CostLine) reachedBound(m labelRecords, p Plan) (reached reachedBound, met bool, err error) {
+func (l CostLine) reachedBound(m labelRecords, p Plan) (reached reachedBound, isReached bool, err error) {
 	reached.CostLine = l
 	if reached.bound, err = l.bound(m, p); err != nil || reached.bound == 0 {
 		return reached, false, err
--- a/internal/lab/scale/restarting_hollow.go
+++ b/internal/lab/scale/restarting_hollow.go
@@ -36,7 +36,7 @@
 	for i := 0; restartInterval > 0 && backoff.Sleep(ctx, restartInterval); i++ {
 		select {
 		case restarts[i%nodes] <- struct{}{}:
-		default: // the previous restart of the node has not begun
+		default: // the node has not received the previous request to restart
 		}
 	}
 	nodeRuns.Wait()
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -22,8 +22,8 @@
 // rig is one replica of the registry, and the nodes that follow it.
 type rig struct {
 	Sizes
-	k         *client.Client
-	service   *process.Proc
+	k         *client.Client // client of the replica
+	replica   *process.Proc
 	nodes     []*process.Proc
 	controls  []string      // control addresses of the measured nodes
 	extra     *process.Proc // process of the hollow nodes that are not measured; nil: there are none
@@ -46,12 +46,12 @@
 		if err := concurrently(ctx, 0, size.Backends, registerEntry(k, n.extra.leaseTTL)); err != nil {
 			return err
 		}
-		dir, err := os.MkdirTemp(n.DataDir, "nodes")
+		dir, err := os.MkdirTemp(n.Dir, "nodes")
 		if err != nil {
 			return err
 		}
 		defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-		r := rig{Sizes: size, k: k, service: set.All[0].Proc(), subsets: n.Subsets, view: n.View}
+		r := rig{Sizes: size, k: k, replica: set.All[0].Proc(), subsets: n.Subsets, view: n.View}
 		var release func()
 		controls, release, err := n.configure(dir, size.Nodes+n.extra.nodes, set.All[0].Address())
 		defer release()
@@ -100,7 +100,7 @@
 
 // configure writes the configurations of the nodes, each with its own addresses. It returns the control
 // addresses, and a function that releases the reserved addresses.
-func (n *Nodes) configure(dir string, nodes int, service string) (
+func (n *Nodes) configure(dir string, nodes int, registryAddress string) (
 	controls []string, release func(), err error) {
 	var releases []func()
 	release = func() {
@@ -132,7 +132,7 @@
 			Listen:  reserve(),
 			Control: reserve(),
 			List: []string{
-				service,
+				registryAddress,
 			},
 			ListFile:   listFile(dir, i),
 			ListPart:   n.Subsets,
--- a/internal/lab/scale/watcher_faults.go
+++ b/internal/lab/scale/watcher_faults.go
@@ -38,10 +38,10 @@
 				"half_s":             took[n/2],
 				"most99_s":           took[n*99/100],
 				"last_s":             took[n-1],
-				"replica_cpu_s":      seconds(work.service.CPU),
-				"replica_bytes_out":  work.service.Written,
-				"replica_bytes_held": ended.service.RSS,
-				"watcher_cpu_s":      seconds(work.own.CPU) / float64(n),
+				"replica_cpu_s":      seconds(work.replica.CPU),
+				"replica_bytes_out":  work.replica.Written,
+				"replica_bytes_held": ended.replica.RSS,
+				"watcher_cpu_s":      seconds(work.self.CPU) / float64(n),
 			}
 			return err
 		})
@@ -57,7 +57,7 @@
 		o := quorum.Options{
 			Seed:     1,
 			Replicas: 3,
-			Dir:      filepath.Join(l.DataDir, fmt.Sprint("list", l.runNumber)),
+			Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.runNumber)),
 			Command:  l.Program,
 			Env:      l.Env,
 		}
--- a/internal/lab/scale/watchers.go
+++ b/internal/lab/scale/watchers.go
@@ -28,7 +28,7 @@
 // RegistryRun holds the parameters of a measurement with replicas of the registry.
 type RegistryRun struct {
 	Run
-	DataDir   string        // folder for the data of the programs
+	Dir       string        // folder for the data of the programs
 	Program   []string      // command of wrenspread-registry
 	Env       []string      // environment of the program
 	Subsets   bool          // whether each watcher or node follows only its own subset of the list
@@ -47,7 +47,7 @@
 	o := quorum.Options{
 		Seed:     1,
 		Replicas: 1,
-		Dir:      filepath.Join(l.DataDir, fmt.Sprint("list", l.runNumber)),
+		Dir:      filepath.Join(l.Dir, fmt.Sprint("list", l.runNumber)),
 		Command:  l.Program,
 		Env:      l.Env,
 	}
@@ -264,20 +264,20 @@
 	work, rest := changed.minus(before), rested.minus(changed)
 	watchers, restSeconds := float64(n), l.RestTime.Seconds()
 	return map[string]float64{
-		"change_cpu_s":             seconds(work.service.CPU) / changesPerFigure,
-		"change_bytes":             work.service.Written / changesPerFigure,
-		"watcher_change_bytes_in":  work.own.Read / changesPerFigure / watchers,
-		"watcher_change_bytes_out": work.own.Written / changesPerFigure / watchers,
-		"watcher_change_cpu_s":     seconds(work.own.CPU) / changesPerFigure / watchers,
+		"change_cpu_s":             seconds(work.replica.CPU) / changesPerFigure,
+		"change_bytes":             work.replica.Written / changesPerFigure,
+		"watcher_change_bytes_in":  work.self.Read / changesPerFigure / watchers,
+		"watcher_change_bytes_out": work.self.Written / changesPerFigure / watchers,
+		"watcher_change_cpu_s":     seconds(work.self.CPU) / changesPerFigure / watchers,
 		"rest_cores": seconds(
-			rest.service.CPU,
+			rest.replica.CPU,
 		) / restSeconds,
-		"rest_bytes_out":         rest.service.Written / restSeconds,
-		"rest_bytes_in":          rest.service.Read / restSeconds,
-		"watcher_rest_bytes_in":  rest.own.Read / restSeconds / watchers,
-		"watcher_rest_bytes_out": rest.own.Written / restSeconds / watchers,
-		"memory_bytes":           rested.service.RSS - empty.RSS,
-		"descriptors":            rested.service.FDs,
+		"rest_bytes_out":         rest.replica.Written / restSeconds,
+		"rest_bytes_in":          rest.replica.Read / restSeconds,
+		"watcher_rest_bytes_in":  rest.self.Read / restSeconds / watchers,
+		"watcher_rest_bytes_out": rest.self.Written / restSeconds / watchers,
+		"memory_bytes":           rested.replica.RSS - empty.RSS,
+		"descriptors":            rested.replica.FDs,
 		"half_s": spreadOf(
 			medians,
 		).Median,
@@ -287,17 +287,18 @@
 	}, nil
 }
 
-// usePair holds the resources that a replica, and this process with its hollow watchers, have used.
-type usePair struct{ service, own use }
+// usePair holds the resources that a replica has used, and those that this process with its hollow watchers
+// has used.
+type usePair struct{ replica, self use }
 
 func useOfBoth(pid int) (p usePair, err error) {
-	if p.service, err = useOf(pid); err != nil {
+	if p.replica, err = useOf(pid); err != nil {
 		return p, err
 	}
-	p.own, err = ownUse()
+	p.self, err = ownUse()
 	return p, err
 }
 
 func (p usePair) minus(q usePair) usePair {
-	return usePair{p.service.minus(q.service), p.own.minus(q.own)}
+	return usePair{p.replica.minus(q.replica), p.self.minus(q.self)}
 }
