--- a/internal/lab/scale/spent_test.go
+++ b/internal/lab/scale/peak_use_test.go
@@ -8,15 +8,15 @@
 	"wrenspread/internal/lab/process"
 )
 
-// TestPeaksOfAShortChangeAreSampledForASecond checks that sampling goes on for a second when the change ends
-// sooner: fewer samples give no peak, and the peaks were recorded as 0 on a busy machine.
+// TestPeaksOfAShortChangeAreSampledForASecond checks that sampling continues for a second if the change ends
+// sooner. Fewer samples give no peak, so that the peaks were recorded as 0 on a busy machine.
 func TestPeaksOfAShortChangeAreSampledForASecond(t *testing.T) {
 	self := []*process.Proc{{Pid: os.Getpid()}}
 	changing, stop := context.WithCancel(context.Background())
 	stop()
-	nodes, service, err := samplePeaks(context.Background(), changing, self, self)
-	if err != nil || nodes.rss <= 0 || service.rss <= 0 {
-		t.Errorf("samplePeaks = %+v, %+v, %v, want the memory of this process in both", nodes, service, err)
+	nodes, replica, err := samplePeaks(context.Background(), changing, self, self)
+	if err != nil || nodes.rss <= 0 || replica.rss <= 0 {
+		t.Errorf("samplePeaks = %+v, %+v, %v, want the memory of this process in both", nodes, replica, err)
 	}
 }
 
@@ -26,7 +26,7 @@
 	self := []*process.Proc{{Pid: os.Getpid()}}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if nodes, service, err := samplePeaks(ctx, ctx, self, self); err == nil {
-		t.Errorf("samplePeaks of a cancelled context = %+v, %+v without an error", nodes, service)
+	if nodes, replica, err := samplePeaks(ctx, ctx, self, self); err == nil {
+		t.Errorf("samplePeaks of a cancelled context = %+v, %+v without an error", nodes, replica)
 	}
 }
