--- a/cmd/wrenspread-lab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -117,6 +117,9 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
+// modulePath is the path of the project's module.
+const modulePath = "wrenspread"
+
 // projectRoot returns the nearest folder, from the working directory upwards, that has the go.mod of the
 // module.
 func projectRoot() (string, error) {
@@ -128,7 +131,7 @@
 		if raw, err := os.ReadFile(
 			filepath.Join(ancestor, "go.mod"),
 		); err == nil &&
-			strings.HasPrefix(string(raw), "module wrenspread-proxy\n") {
+			strings.HasPrefix(string(raw), "module "+modulePath+"\n") {
 			return ancestor, nil
 		}
 		if ancestor == filepath.Dir(ancestor) {
