--- a/internal/lab/backendserver/host.go
+++ b/internal/lab/backendserver/host.go
@@ -88,7 +88,7 @@
 	defer h.mu.Unlock()
 	var also []string
 	for _, other := range h.openAttempts[a.id] {
-		if other.conn.stream != nil && !other.conn.stream.LeftByOpener() {
+		if other.conn.stream != nil && !other.conn.stream.ClosedByOpener() {
 			also = append(also, other.box)
 		}
 	}
--- a/internal/lab/link/net.go
+++ b/internal/lab/link/net.go
@@ -23,18 +23,18 @@
 	mu      sync.Mutex
 	links   map[Ends]*linkState
 	closers []func()
-	streams *streamIndex // finds open streams
+	streams *streamIndex
 	tasks   sync.WaitGroup
-	done    chan struct{}
+	done    chan struct{} // closed by Close
 	closed  bool
 }
 
-// NewNet makes a network without links. seed determines its random losses and delays.
+// NewNet returns a network without links. seed determines its random losses and delays.
 func NewNet(seed uint64) *Net {
 	return &Net{seed: seed, links: map[Ends]*linkState{}, done: make(chan struct{}), streams: newStreamIndex()}
 }
 
-// Lay applies a shape under a name to the links that match; it replaces a shape of the same name.
+// Lay applies a shape to the links that match. It replaces the shape that has the same name on these links.
 func (n *Net) Lay(name string, s Shape, match func(Ends) bool) {
 	n.each(match, func(l *linkState) { l.lay(name, &s) })
 }
@@ -49,30 +49,30 @@
 func (n *Net) Ends() []Ends {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := make([]Ends, 0, len(n.links))
+	ends := make([]Ends, 0, len(n.links))
 	for e := range n.links {
-		all = append(all, e)
+		ends = append(ends, e)
 	}
-	return all
+	return ends
 }
 
-// each calls f for the links that match; a nil match selects all.
-func (n *Net) each(match func(Ends) bool, f func(*linkState)) {
+// each calls do for each link that matches; a nil match selects all links.
+func (n *Net) each(match func(Ends) bool, do func(*linkState)) {
 	n.mu.Lock()
-	var all []*linkState
+	var matching []*linkState
 	for e, l := range n.links {
 		if match == nil || match(e) {
-			all = append(all, l)
+			matching = append(matching, l)
 		}
 	}
 	n.mu.Unlock()
-	for _, l := range all {
-		f(l)
+	for _, l := range matching {
+		do(l)
 	}
 }
 
-// add registers a link, and the function that closes it.
-func (n *Net) add(e Ends, l *linkState, closing func()) error {
+// add registers a link and the function that closes it.
+func (n *Net) add(e Ends, l *linkState, closeLink func()) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -82,7 +82,7 @@
 		return fmt.Errorf("link %s: already exists", e)
 	}
 	n.links[e] = l
-	n.closers = append(n.closers, closing)
+	n.closers = append(n.closers, closeLink)
 	return nil
 }
 
@@ -93,11 +93,11 @@
 		n.closed = true
 		close(n.done)
 	}
-	closes := n.closers
+	closers := n.closers
 	n.closers = nil
 	n.mu.Unlock()
-	for _, f := range closes {
-		f()
+	for _, closeLink := range closers {
+		closeLink()
 	}
 	n.each(nil, func(l *linkState) { l.resetAll() })
 	n.tasks.Wait()
@@ -112,11 +112,11 @@
 	shapes   map[string]Shape
 	streams  map[*Stream]bool
 	onChange func(before, after Shape) // called with mu locked
-	opened   uint64
-	resets   int
+	opened   uint64                    // connections opened so far
+	resets   int                       // calls of resetAll so far
 }
 
-// activeShape is the merged shape of a link at a time.
+// activeShape is the merge of all shapes on a link, as of the last change.
 type activeShape struct {
 	Shape
 	replaced chan struct{} // closed when another shape takes effect
@@ -128,7 +128,7 @@
 	return l
 }
 
-// lay sets the shape of a name on the link, or removes it if s is nil, and applies the merged shape.
+// lay sets the shape with this name on the link, or removes it if s is nil, and applies the merged shape.
 func (l *linkState) lay(name string, s *Shape) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,26 +139,27 @@
 	if s != nil {
 		l.shapes[name] = *s
 	}
-	var sum Shape
-	for _, s := range l.shapes {
-		sum = Merge(sum, s)
+	var merged Shape
+	for _, shape := range l.shapes {
+		merged = Merge(merged, shape)
 	}
-	before := l.current.Swap(&activeShape{Shape: sum, replaced: make(chan struct{})})
+	before := l.current.Swap(&activeShape{Shape: merged, replaced: make(chan struct{})})
 	if l.onChange != nil {
-		l.onChange(before.Shape, sum)
+		l.onChange(before.Shape, merged)
 	}
 	close(before.replaced)
 }
 
+// resetAll resets the open streams of the link.
 func (l *linkState) resetAll() {
 	l.mu.Lock()
 	l.resets++
-	var all []*Stream
+	var streams []*Stream
 	for s := range l.streams {
-		all = append(all, s)
+		streams = append(streams, s)
 	}
 	l.mu.Unlock()
-	for _, s := range all {
+	for _, s := range streams {
 		s.reset()
 	}
 }
@@ -172,16 +173,16 @@
 	return rand.New(rand.NewPCG(h, number<<2|uint64(way)))
 }
 
-// drawDelay draws the delay of one piece or datagram.
-func (s Shape) drawDelay(chance *rand.Rand) time.Duration {
+// drawDelay draws the delay of one chunk or datagram.
+func (s Shape) drawDelay(rng *rand.Rand) time.Duration {
 	d := s.Delay
 	if s.Jitter > 0 {
-		d += time.Duration(chance.Int64N(int64(s.Jitter) + 1))
+		d += time.Duration(rng.Int64N(int64(s.Jitter) + 1))
 	}
 	return d
 }
 
-// Reserve returns an address on loopback with a port that the system assigns to no other socket until free is
+// Reserve returns a loopback address. The system does not assign its port to another socket until free is
 // called. A listener that sets SO_REUSEADDR, as Go's listeners do, can bind it repeatedly.
 func Reserve() (address string, free func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -198,9 +199,9 @@
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return fail(err)
 	}
-	name, err := unix.Getsockname(fd)
+	socketName, err := unix.Getsockname(fd)
 	if err != nil {
 		return fail(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port), func() { _ = unix.Close(fd) }, nil
+	return fmt.Sprintf("127.0.0.1:%d", socketName.(*unix.SockaddrInet4).Port), func() { _ = unix.Close(fd) }, nil
 }
--- a/internal/lab/link/seeded_test.go
+++ b/internal/lab/link/seeded_test.go
@@ -1,3 +1,3 @@
 package link
 
-import _ "wrenspread/internal/rapidseed" // the draws of this package are the same each time
+import _ "wrenspread/internal/rapidseed" // makes rapid draw the same values in every run
--- a/internal/lab/link/shape.go
+++ b/internal/lab/link/shape.go
@@ -1,5 +1,5 @@
-// Package link is the lab's network: a proxy on loopback for every pair of parties that communicate, named by
-// its two ends, with the faults that are applied to it.
+// Package link emulates the lab's network. Each pair of parties that communicate has a link: a proxy on
+// loopback, named by its two ends, that delays, drops or resets traffic as the faults on it require.
 package link
 
 import "time"
@@ -14,20 +14,20 @@
 	Both = Forward | Back
 )
 
-// Shape says what a link does to traffic. The zero value passes everything at once.
+// Shape describes what a link does to traffic. The zero value forwards all traffic without delay.
 type Shape struct {
 	Delay  time.Duration // added in each direction
 	Jitter time.Duration // greatest random addition to Delay, evenly distributed
-	// share of datagrams that is lost, and of pieces of streams that arrive RetransmitAfter later
+	// share of datagrams that are dropped, and of stream chunks that are delayed by RetransmitAfter
 	Loss   float64
 	Rate   int64 // bytes per second in each direction; 0: no limit
-	Hold   Way   // directions in which nothing passes and no error is reported; bytes of streams wait
-	Cut    bool  // new connections stay pending until the cut is healed, and then are accepted or reset
+	Hold   Way   // directions in which nothing passes, without an error; stream bytes wait, datagrams are lost
+	Cut    bool  // new connections stay pending until the cut is lifted, and are then accepted or reset
 	Refuse bool  // new connections are refused
 	Snip   int   // each connection is reset after 1 to Snip further bytes; 0: never
 }
 
-// RetransmitAfter is the additional delay of a lost piece of a stream: TCP's minimum retransmission timeout
+// RetransmitAfter is the additional delay of a lost stream chunk: TCP's minimum retransmission timeout
 // on Linux.
 const RetransmitAfter = 200 * time.Millisecond
 
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	pieceBytes  = 32 << 10 // most bytes of one read
-	maxPieces   = 32       // most pieces in flight in one direction
-	dialTimeout = 2 * time.Second
-	backlog     = 1024
-	acceptPause = 5 * time.Millisecond // wait after an Accept that failed for lack of descriptors
+	maxChunkBytes = 32 << 10 // size of the buffer of one read
+	maxChunks     = 32       // chunks that may wait in one direction of a stream
+	dialTimeout   = 2 * time.Second
+	backlog       = 1024                 // length of the accept queue, except during a cut
+	acceptPause   = 5 * time.Millisecond // wait after Accept failed, for instance for lack of descriptors
 )
 
-// Connect makes a link from one party to the address of another, and returns the address at which the first
-// party reaches the second.
+// Connect makes a link from e.From to e.To, which listens on target. It returns the address to which e.From
+// connects.
 func (n *Net) Connect(e Ends, target string) (string, error) {
 	address, free, err := Reserve()
 	if err != nil {
@@ -37,12 +37,12 @@
 		free()
 		return "", fmt.Errorf("link %s: %w", e, err)
 	}
-	p.state.onChange = p.follow
-	closing := func() {
+	p.state.onChange = p.applyShape
+	closeLink := func() {
 		p.state.lay("closed", &Shape{Refuse: true})
 		free()
 	}
-	if err := n.add(e, p.state, closing); err != nil {
+	if err := n.add(e, p.state, closeLink); err != nil {
 		p.close()
 		free()
 		return "", err
@@ -63,9 +63,9 @@
 	mu            sync.Mutex
 	listener      *net.TCPListener // nil while connections are refused
 	filler        net.Conn         // fills the accept queue while the link is cut
-	fillerAddress string           // the local address of the last filler, which is accepted after the cut
-	parked        bool             // no Accept call is in progress
-	parkedChanged *sync.Cond
+	fillerAddress string           // local address of the last filler, which accept gets after the cut
+	parked        bool             // the accept loop waits: no Accept call is in progress
+	parkedChanged *sync.Cond       // signals a change of parked
 }
 
 // open starts listening on the link's address.
@@ -91,14 +91,14 @@
 	p.closeFiller()
 }
 
-// follow brings the listener into the state that the link's new shape requires. The caller holds the lock of
-// the link's state.
-func (p *proxy) follow(before, after Shape) {
+// applyShape brings the listener into the state that the link's new shape requires. The caller holds the lock
+// of the link's state.
+func (p *proxy) applyShape(before, after Shape) {
 	switch {
 	case after.Refuse && !before.Refuse:
 		p.close()
 	case !after.Refuse && before.Refuse:
-		_ = p.open() // the port is reserved, so it fails only for lack of descriptors; the next change retries
+		_ = p.open() // fails only for lack of descriptors, as the port is reserved; the next change retries
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,8 +115,8 @@
 	}
 }
 
-// fillQueue stops accepting and fills the accept queue of the listener, so that the kernel answers no further
-// connection attempt. A queue of length 0 has space for one connection.
+// fillQueue stops the accept loop and fills the listener's accept queue with one connection, the filler. The
+// kernel then answers no further connection attempt. A queue of length 0 holds one connection.
 func (p *proxy) fillQueue() {
 	besteffort.SocketOption(p.listener.SetDeadline(time.Unix(1, 0)))
 	for !p.parked { // an Accept call in progress would remove the filler from the queue
@@ -146,7 +146,8 @@
 	}
 }
 
-// accept accepts connections, while the listener allows that, until the network is closed.
+// accept accepts connections until the network is closed. It pauses while connections are refused or the link
+// is cut.
 func (p *proxy) accept() {
 	defer p.net.tasks.Done()
 	for {
@@ -173,7 +174,8 @@
 	}
 }
 
-// waitForListener waits until the listener may have changed. It returns false once the network is closed.
+// waitForListener waits until the listener is replaced or may accept again. It returns false once the network
+// is closed.
 func (p *proxy) waitForListener() bool {
 	p.setParked(true)
 	select {
@@ -185,7 +187,7 @@
 	}
 }
 
-// setParked records whether the accept loop is waiting, so that no Accept call is in progress.
+// setParked records whether the accept loop waits.
 func (p *proxy) setParked(parked bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,48 +195,48 @@
 	p.parkedChanged.Broadcast()
 }
 
-// handle carries an accepted connection, unless it is the one that filled the queue.
-func (p *proxy) handle(a *net.TCPConn) {
+// handle forwards an accepted connection, or closes it if it is the filler of a cut that has ended.
+func (p *proxy) handle(openerConn *net.TCPConn) {
 	p.mu.Lock()
-	own := p.fillerAddress == a.RemoteAddr().String()
+	isFiller := p.fillerAddress == openerConn.RemoteAddr().String()
 	p.mu.Unlock()
-	if own { // the filler of a cut that has ended
-		besteffort.Close(a)
+	if isFiller {
+		besteffort.Close(openerConn)
 		return
 	}
 	p.net.tasks.Add(1)
 	go func() {
 		defer p.net.tasks.Done()
-		p.carry(a)
+		p.forward(openerConn)
 	}()
 }
 
-// Stream is one TCP connection over a link.
+// Stream is one TCP connection over a link. It joins a connection from the opener, the end that connected,
+// to a connection to the target, the end that listens.
 type Stream struct {
-	Ends  Ends
-	a, b  *net.TCPConn // connections to the end that connected, and to the end that listens
-	link  *linkState
-	once  sync.Once
-	ended chan struct{} // closed when the stream has ended
-	sent  atomic.Int64  // time since base at which the opener's last piece was read
-	snip  struct {      // how many bytes may still pass before a snipped stream is reset
+	Ends                   Ends
+	openerConn, targetConn *net.TCPConn
+	link                   *linkState
+	endOnce                sync.Once
+	ended                  chan struct{} // closed when the stream has ended
+	lastSent               atomic.Int64  // time since clockOrigin of the last read from the opener
+	snip                   struct {      // how many bytes may still pass before a snipped stream is reset
 		sync.Mutex
-		drawn bool
-		left  int
+		drawn     bool // remaining has been drawn
+		remaining int
 	}
 }
 
-// carry connects an accepted connection to the target and passes bytes in both directions until both have
-// ended.
-func (p *proxy) carry(a *net.TCPConn) {
-	s := &Stream{Ends: p.state.ends, a: a, link: p.state, ended: make(chan struct{})}
+// forward connects an accepted connection to the target and forwards bytes until both directions have ended.
+func (p *proxy) forward(openerConn *net.TCPConn) {
+	s := &Stream{Ends: p.state.ends, openerConn: openerConn, link: p.state, ended: make(chan struct{})}
 	p.state.mu.Lock()
 	resets := p.state.resets
 	p.state.mu.Unlock()
 	key, err := p.net.streams.dial(s, p.target)
 	if err != nil {
-		besteffort.SocketOption(a.SetLinger(0))
-		besteffort.Close(a)
+		besteffort.SocketOption(openerConn.SetLinger(0))
+		besteffort.Close(openerConn)
 		return
 	}
 	defer p.net.streams.forget(key)
@@ -242,113 +244,112 @@
 	p.state.opened++
 	number := p.state.opened
 	p.state.streams[s] = true
-	missed := p.state.resets != resets
+	resetMissed := p.state.resets != resets
 	p.state.mu.Unlock()
 	defer func() {
 		p.state.mu.Lock()
 		delete(p.state.streams, s)
 		p.state.mu.Unlock()
 	}()
-	if missed { // a reset came before the stream was listed
+	if resetMissed { // the link was reset before the stream was registered
 		s.reset()
 	}
-	var halves sync.WaitGroup
-	halves.Add(2)
-	go func() { defer halves.Done(); s.pass(s.a, s.b, Forward, number) }()
-	go func() { defer halves.Done(); s.pass(s.b, s.a, Back, number) }()
-	halves.Wait()
+	var directions sync.WaitGroup
+	directions.Add(2)
+	go func() { defer directions.Done(); s.forwardDirection(s.openerConn, s.targetConn, Forward, number) }()
+	go func() { defer directions.Done(); s.forwardDirection(s.targetConn, s.openerConn, Back, number) }()
+	directions.Wait()
 	s.end()
 }
 
-// base is the origin of Stream.sent.
-var base = time.Now()
+// clockOrigin is the time from which Stream.lastSent counts.
+var clockOrigin = time.Now()
 
-// LastSent returns when the end that connected last wrote something, whether or not the link has passed it
-// on.
-func (s *Stream) LastSent() time.Time { return base.Add(time.Duration(s.sent.Load())) }
+// LastSent returns when the link last read bytes from the opener, whether or not it has forwarded them.
+func (s *Stream) LastSent() time.Time { return clockOrigin.Add(time.Duration(s.lastSent.Load())) }
 
-// LeftByOpener reports, from the kernel's state of the connection, whether the end that connected has closed
-// its side, even if the link has not passed that on.
-func (s *Stream) LeftByOpener() bool {
-	raw, err := s.a.SyscallConn()
+// ClosedByOpener reports whether the opener has closed its side, even if the link has not forwarded the
+// close. It reads the kernel's state of the connection.
+func (s *Stream) ClosedByOpener() bool {
+	raw, err := s.openerConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	left := true // a closed socket has no state to read
+	closed := true // a closed socket has no state to read
 	besteffort.SocketOption(raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			left = info.State != unix.BPF_TCP_ESTABLISHED
+			closed = info.State != unix.BPF_TCP_ESTABLISHED
 		}
 	}))
-	return left
+	return closed
 }
 
 // end closes both connections of the stream, once.
 func (s *Stream) end() {
-	s.once.Do(func() {
+	s.endOnce.Do(func() {
 		close(s.ended)
-		besteffort.Close(s.a)
-		besteffort.Close(s.b)
+		besteffort.Close(s.openerConn)
+		besteffort.Close(s.targetConn)
 	})
 }
 
 // reset closes both connections of the stream with a TCP reset.
 func (s *Stream) reset() {
-	besteffort.SocketOption(s.a.SetLinger(0))
-	besteffort.SocketOption(s.b.SetLinger(0))
+	besteffort.SocketOption(s.openerConn.SetLinger(0))
+	besteffort.SocketOption(s.targetConn.SetLinger(0))
 	s.end()
 }
 
-// chunk is a piece of a stream in flight, or the stream's end.
+// chunk holds bytes that wait to be forwarded, or the end of a direction.
 type chunk struct {
 	data []byte
-	due  time.Time // when to write it; zero: at once
+	due  time.Time // when to write the bytes; zero: at once
 	err  error     // io.EOF, or the error that ended reading
 }
 
 // buffers holds read buffers for reuse.
-var buffers = sync.Pool{New: func() any { b := make([]byte, pieceBytes); return &b }}
+var buffers = sync.Pool{New: func() any { b := make([]byte, maxChunkBytes); return &b }}
 
-// pass carries one direction until its end. It continues to read while the link holds bytes back, so that a
-// close of the sender is noticed.
-func (s *Stream) pass(from, to *net.TCPConn, way Way, number uint64) {
-	parts := make(chan chunk, maxPieces)
+// forwardDirection forwards bytes in one direction until its end. It continues to read while the link holds
+// bytes back, so that it notices when the sender closes.
+func (s *Stream) forwardDirection(from, to *net.TCPConn, way Way, number uint64) {
+	chunks := make(chan chunk, maxChunks)
 	var reading sync.WaitGroup
 	reading.Add(1)
 	go func() {
 		defer reading.Done()
-		s.read(from, parts, way, number)
+		s.read(from, chunks, way, number)
 	}()
-	if err := s.write(to, parts, way); err != nil {
+	if err := s.write(to, chunks, way); err != nil {
 		s.reset()
 	}
 	reading.Wait()
 }
 
-// read reads pieces and sends them to parts with the time at which each is due. The times never go back.
-func (s *Stream) read(from *net.TCPConn, parts chan<- chunk, way Way, number uint64) {
-	chance := s.link.randomSource(number, way)
-	var last time.Time
+// read reads from a connection and sends what it reads to chunks, with due times that never go back.
+func (s *Stream) read(from *net.TCPConn, chunks chan<- chunk, way Way, number uint64) {
+	rng := s.link.randomSource(number, way)
+	var lastDue time.Time
 	for {
 		buf := *buffers.Get().(*[]byte)
-		n, err := from.Read(buf[:pieceBytes])
+		n, err := from.Read(buf[:maxChunkBytes])
 		if way == Forward && n > 0 {
-			s.sent.Store(int64(time.Since(base)))
+			s.lastSent.Store(int64(time.Since(clockOrigin)))
 		}
-		now := s.link.current.Load().Shape
-		p := chunk{data: buf[:n], err: err}
-		lag := now.drawDelay(chance)
-		if now.Loss > 0 && chance.Float64() < now.Loss {
-			lag += RetransmitAfter
+		shape := s.link.current.Load().Shape
+		c := chunk{data: buf[:n], err: err}
+		delay := shape.drawDelay(rng)
+		if shape.Loss > 0 && rng.Float64() < shape.Loss {
+			delay += RetransmitAfter
 		}
-		if due := time.Now().Add(lag); lag > 0 || !last.IsZero() {
-			if due.Before(last) {
-				due = last
+		if due := time.Now().Add(delay); delay > 0 || !lastDue.IsZero() {
+			if due.Before(lastDue) {
+				due = lastDue
 			}
-			p.due, last = due, due
+			c.due, lastDue = due, due
 		}
 		select {
-		case parts <- p:
+		case chunks <- c:
 		case <-s.ended:
 			return
 		}
@@ -358,40 +359,41 @@
 	}
 }
 
-var errOver = errors.New("the connection is over")
+// errStreamEnded says that a stream has ended, or has to be reset.
+var errStreamEnded = errors.New("the stream has ended")
 
-// write forwards the parts when they are due. It returns nil after an orderly end.
-func (s *Stream) write(to *net.TCPConn, parts <-chan chunk, way Way) error {
+// write writes the chunks when they are due. It returns nil after it has forwarded the sender's close.
+func (s *Stream) write(to *net.TCPConn, chunks <-chan chunk, way Way) error {
 	for {
-		var p chunk
+		var c chunk
 		select {
-		case p = <-parts:
+		case c = <-chunks:
 		case <-s.ended:
-			return errOver
+			return errStreamEnded
 		}
-		if !s.waitUntil(p.due) {
-			return errOver
+		if !s.waitUntil(c.due) {
+			return errStreamEnded
 		}
 		shape, ok := s.waitUnheld(way)
 		if !ok {
-			return errOver
+			return errStreamEnded
 		}
-		if err := s.send(to, p.data, shape); err != nil {
+		if err := s.send(to, c.data, shape); err != nil {
 			return err
 		}
-		if buf := p.data[:cap(p.data)]; cap(buf) == pieceBytes {
+		if buf := c.data[:cap(c.data)]; cap(buf) == maxChunkBytes {
 			buffers.Put(&buf)
 		}
-		if errors.Is(p.err, io.EOF) {
+		if errors.Is(c.err, io.EOF) {
 			return to.CloseWrite()
 		}
-		if p.err != nil {
-			return p.err
+		if c.err != nil {
+			return c.err
 		}
 	}
 }
 
-// waitUntil waits until due. It returns false if the stream ends before that.
+// waitUntil waits until the time due, or returns at once if due is zero. It returns false if the stream ends before that.
 func (s *Stream) waitUntil(due time.Time) bool {
 	wait := time.Until(due)
 	if due.IsZero() || wait <= 0 {
@@ -407,8 +409,8 @@
 	}
 }
 
-// waitUnheld waits until the link does not hold the given direction, and returns the shape at that time. It
-// returns false if the stream ends before that.
+// waitUnheld waits until the link does not hold traffic in the given direction, and returns the shape at that
+// time. It returns false if the stream ends before that.
 func (s *Stream) waitUnheld(way Way) (Shape, bool) {
 	for {
 		now := s.link.current.Load()
@@ -423,18 +425,18 @@
 	}
 }
 
-// send writes data at the rate of the shape, and returns an error if the shape cuts the connection off.
+// send writes data at the rate of the shape. It returns an error if the shape's Snip ends the connection.
 func (s *Stream) send(to *net.TCPConn, data []byte, shape Shape) error {
-	cut := false
+	snipped := false
 	if shape.Snip > 0 {
-		data, cut = s.cutAt(data, shape.Snip)
+		data, snipped = s.truncate(data, shape.Snip)
 	}
 	for len(data) > 0 {
 		n := len(data)
-		if shape.Rate > 0 { // small steps, so that bytes trickle instead of arriving late in one block
+		if shape.Rate > 0 { // small steps, so that bytes arrive at an even rate and not late in one block
 			n = min(n, int(max(1, shape.Rate/50)))
 			if !s.waitUntil(time.Now().Add(time.Duration(float64(n) / float64(shape.Rate) * float64(time.Second)))) {
-				return errOver
+				return errStreamEnded
 			}
 		}
 		if _, err := to.Write(data[:n]); err != nil {
@@ -442,23 +444,24 @@
 		}
 		data = data[n:]
 	}
-	if cut {
-		return errOver
+	if snipped {
+		return errStreamEnded
 	}
 	return nil
 }
 
-// cutAt shortens data to the bytes that may still pass on a snipped connection, and reports whether the
-// connection has to be reset after them.
-func (s *Stream) cutAt(data []byte, within int) ([]byte, bool) {
+// truncate shortens data to the bytes that may still pass on a snipped connection, and reports whether the
+// connection has to be reset after these bytes. The first call draws the limit, which is at most maxBytes.
+func (s *Stream) truncate(data []byte, maxBytes int) ([]byte, bool) {
 	s.snip.Lock()
 	defer s.snip.Unlock()
 	if !s.snip.drawn {
-		s.snip.drawn, s.snip.left = true, 1+int(s.link.randomSource(uint64(len(data)), Both).Int64N(int64(within)))
+		s.snip.drawn, s.snip.remaining = true, 1+int(
+			s.link.randomSource(uint64(len(data)), Both).Int64N(int64(maxBytes)))
 	}
-	if len(data) < s.snip.left {
-		s.snip.left -= len(data)
+	if len(data) < s.snip.remaining {
+		s.snip.remaining -= len(data)
 		return data, false
 	}
-	return data[:s.snip.left], true
+	return data[:s.snip.remaining], true
 }
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -15,31 +15,32 @@
 // the receiver sees that it is too long.
 const maxDatagramBytes = 2048
 
-// Pair makes a datagram link between two parties that listen at the given addresses. toSeen and fromSeen are
-// the addresses at which one party reaches the other, and from which the other's datagrams arrive.
+// Pair makes a datagram link between two parties that listen at the given addresses. toSeen is the address at
+// which e.From reaches e.To, and from which e.To's datagrams arrive at e.From. fromSeen is the address of
+// e.From, as e.To sees it.
 func (n *Net) Pair(
 	e Ends,
 	fromListens, toListens netip.AddrPort,
 ) (toSeen, fromSeen netip.AddrPort, err error) {
-	near, err := listenUDP()
+	fromSocket, err := listenUDP()
 	if err != nil {
 		return toSeen, fromSeen, fmt.Errorf("link %s: %w", e, err)
 	}
-	far, err := listenUDP()
+	toSocket, err := listenUDP()
 	if err != nil {
-		besteffort.Close(near)
+		besteffort.Close(fromSocket)
 		return toSeen, fromSeen, fmt.Errorf("link %s: %w", e, err)
 	}
 	l := newState(n, e)
-	closing := func() { besteffort.Close(near); besteffort.Close(far) }
-	if err := n.add(e, l, closing); err != nil {
-		closing()
+	closeLink := func() { besteffort.Close(fromSocket); besteffort.Close(toSocket) }
+	if err := n.add(e, l, closeLink); err != nil {
+		closeLink()
 		return toSeen, fromSeen, err
 	}
 	n.tasks.Add(2)
-	go n.datagrams(l, near, far, fromListens, toListens, Forward)
-	go n.datagrams(l, far, near, toListens, fromListens, Back)
-	return localAddress(near), localAddress(far), nil
+	go n.forwardDatagrams(l, fromSocket, toSocket, fromListens, toListens, Forward)
+	go n.forwardDatagrams(l, toSocket, fromSocket, toListens, fromListens, Back)
+	return localAddress(fromSocket), localAddress(toSocket), nil
 }
 
 func listenUDP() (*net.UDPConn, error) {
@@ -51,11 +52,11 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// datagrams forwards the datagrams that sender sends to in: they go from out to receiver. Datagrams from
-// other addresses are ignored.
-func (n *Net) datagrams(l *linkState, in, out *net.UDPConn, sender, receiver netip.AddrPort, way Way) {
+// forwardDatagrams forwards the datagrams that sender sends to the socket in. It sends them to receiver from
+// the socket out. Datagrams from other addresses are ignored.
+func (n *Net) forwardDatagrams(l *linkState, in, out *net.UDPConn, sender, receiver netip.AddrPort, way Way) {
 	defer n.tasks.Done()
-	chance := l.randomSource(0, way)
+	rng := l.randomSource(0, way)
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := in.ReadFromUDPAddrPort(buf)
@@ -65,22 +66,22 @@
 		if err != nil || netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) != sender {
 			continue
 		}
-		l.datagram(out, buf[:size], receiver, way, chance)
+		l.forwardDatagram(out, buf[:size], receiver, way, rng)
 	}
 }
 
-// datagram forwards one datagram according to the link's shape: it may be dropped or delayed.
-func (l *linkState) datagram(out *net.UDPConn, b []byte, receiver netip.AddrPort, way Way,
-	chance *rand.Rand) {
-	now := l.current.Load().Shape
-	if now.Hold&way != 0 || (now.Loss > 0 && chance.Float64() < now.Loss) {
+// forwardDatagram forwards one datagram. The link's shape may drop or delay the datagram.
+func (l *linkState) forwardDatagram(out *net.UDPConn, b []byte, receiver netip.AddrPort, way Way,
+	rng *rand.Rand) {
+	shape := l.current.Load().Shape
+	if shape.Hold&way != 0 || (shape.Loss > 0 && rng.Float64() < shape.Loss) {
 		return
 	}
-	lag := now.drawDelay(chance)
-	if lag == 0 {
+	delay := shape.drawDelay(rng)
+	if delay == 0 {
 		besteffort.Datagram(out.WriteToUDPAddrPort(b, receiver))
 		return
 	}
-	kept := append([]byte(nil), b...)
-	time.AfterFunc(lag, func() { besteffort.Datagram(out.WriteToUDPAddrPort(kept, receiver)) })
+	clone := append([]byte(nil), b...)
+	time.AfterFunc(delay, func() { besteffort.Datagram(out.WriteToUDPAddrPort(clone, receiver)) })
 }
