--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -1,5 +1,5 @@
-// Package check judges the complete history of a lab run: each check is a pure function from the history's
-// events to a verdict.
+// Package check checks the complete history of a lab run. Each check is a pure function that computes a
+// verdict from the history's events.
 package check
 
 import (
@@ -12,11 +12,11 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Limits holds the resources that a run granted to each process, and the timing slack of the checks.
+// Limits holds the limits on the resources of each process, and the timing slack of the checks.
 type Limits struct {
 	Memory int64         // bytes of memory for each process; 0 disables the check
 	FDs    int           // file descriptors for each process; 0 disables the check
-	Slack  time.Duration // what the lab's own lateness and its links add to a measured time
+	Slack  time.Duration // the most that the lab's own lateness and its links add to a measured time
 }
 
 // Finding describes one event that broke a rule.
@@ -26,7 +26,7 @@
 	Text string        `json:"text"`
 }
 
-// String returns the finding with its request and time, as reports print it.
+// String returns the finding as reports print it, with its time and request ID.
 func (f Finding) String() string {
 	s := f.Text
 	if f.ID != "" {
@@ -53,12 +53,12 @@
 // OK reports whether the rule was kept.
 func (v Verdict) OK() bool { return len(v.Broken) == 0 }
 
+// fail adds a finding about the event e.
 func (v *Verdict) fail(e history.Event, format string, args ...any) {
 	v.Broken = append(v.Broken, Finding{T: e.T, ID: e.ID, Text: fmt.Sprintf(format, args...)})
 }
 
-// All runs every check that applies to each history. The events may be in the order in which they were
-// written; All sorts a copy by time.
+// All runs the checks that apply to every history. The events need not be in order of time: All sorts a copy.
 func All(events []history.Event, l Limits) []Verdict {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.T, b.T) })
@@ -80,8 +80,8 @@
 	}
 }
 
-// answered checks that each request that a node accepted gets exactly one final answer. A broken or silent
-// answer is excused when a fault acted on the node while the request was open.
+// answered checks that each request that was sent to a node gets exactly one final answer. The outcomes
+// Broken and Silent are allowed if a fault acted on the node while the request was open.
 func answered(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "answered",
@@ -127,8 +127,8 @@
 			v.fail(s, "nothing came of it")
 		}
 	}
-	// A first request on a new connection that the node closes unread counts as failed, not as lost, up to
-	// one request in 200.
+	// A node may close a new connection before it reads the first request. Such requests count as failed and
+	// not as lost, up to one request in 200.
 	if fresh*200 > max(total, 200) {
 		v.Broken = append(
 			v.Broken,
@@ -138,13 +138,13 @@
 	return v
 }
 
-// ended checks that each due operation ends exactly once.
+// ended checks that each operation that was due ends exactly once.
 func ended(events []history.Event) Verdict {
 	v := Verdict{Name: "ended", Rule: "each operation that was due ends once"}
-	over := map[int]int{}
+	endings := map[int]int{}
 	for _, e := range events {
 		if e.Kind == history.Over {
-			if over[e.Op]++; over[e.Op] > 1 {
+			if endings[e.Op]++; endings[e.Op] > 1 {
 				v.fail(e, "operation %d ends twice", e.Op)
 			}
 		}
@@ -152,7 +152,7 @@
 	for _, e := range events {
 		if e.Kind == history.Due {
 			v.Seen++
-			if over[e.Op] == 0 {
+			if endings[e.Op] == 0 {
 				v.fail(e, "operation %d never ends", e.Op)
 			}
 		}
@@ -160,10 +160,10 @@
 	return v
 }
 
-// ownAnswer checks that each served answer was made by the named backend for that same request.
+// ownAnswer checks that the backend which a served answer names made this answer for the same request.
 func ownAnswer(events []history.Event) Verdict {
 	v := Verdict{Name: "own-answer", Rule: "what a node serves is what a box answered to that very request"}
-	type answerKey struct{ id, box string }
+	type answerKey struct{ id, backend string }
 	ends := map[answerKey]bool{}
 	for _, e := range events {
 		if e.Kind == history.End && e.Status == 200 {
@@ -182,7 +182,8 @@
 	return v
 }
 
-// onceUnsafe checks that no operation of an unsafe class begins twice at backends, over all of its tries.
+// onceUnsafe checks that no operation of the unsafe class payment-post begins twice at backends, counting all
+// of its tries.
 func onceUnsafe(events []history.Event) Verdict {
 	v := Verdict{Name: "unsafe-once", Rule: "no payment-post begins twice, over all of its client's tries"}
 	unsafe := map[int]bool{}
@@ -206,37 +207,37 @@
 	return v
 }
 
-// onceKeyed checks that no idempotency key begins twice. One repeat is allowed: it was sent to the same pod
-// within the deduplication window and arrived after it, because the network may delay a request for longer
-// than a pod remembers a key.
+// onceKeyed checks that no idempotency key begins twice. A repeat may begin if it was sent to the same pod
+// within the deduplication window, because the network may delay it for longer than the pod remembers the
+// key.
 func onceKeyed(events []history.Event, slack time.Duration) Verdict {
 	v := Verdict{
 		Name: "key-once",
 		Rule: "no key begins twice: repeats are sent to the same pod and within the window",
 	}
-	type attempt struct{ id, box string }
-	sent := map[attempt]time.Duration{}
-	first := map[string]history.Event{}
+	type attempt struct{ id, backend string }
+	sentAt := map[attempt]time.Duration{}
+	firstBegin := map[string]history.Event{}
 	for _, e := range events {
 		switch {
 		case e.Kind == history.Arrive:
-			sent[attempt{e.ID, e.Backend}] = e.Sent
+			sentAt[attempt{e.ID, e.Backend}] = e.Sent
 		case e.Kind == history.Begin && e.Key != "":
 			v.Seen++
-			f, again := first[e.Key]
+			first, again := firstBegin[e.Key]
 			if !again {
-				first[e.Key] = e
+				firstBegin[e.Key] = e
 				continue
 			}
-			apart := sent[attempt{e.ID, e.Backend}] - sent[attempt{f.ID, f.Backend}]
-			if e.Pod != f.Pod || apart > world.KeyWindow+world.SocketSlack+slack {
+			apart := sentAt[attempt{e.ID, e.Backend}] - sentAt[attempt{first.ID, first.Backend}]
+			if e.Pod != first.Pod || apart > world.KeyWindow+world.SocketSlack+slack {
 				v.fail(
 					e,
 					"the key begins at %s, after %s at %v (request %s), sent %v later",
 					e.Backend,
-					f.Backend,
-					f.T,
-					f.ID,
+					first.Backend,
+					first.T,
+					first.ID,
 					apart,
 				)
 			}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// soundHistory returns a history with faults, refusals and delays in which all rules are kept.
+// soundHistory returns a history with faults, rejections and delays that breaks no rule.
 func soundHistory() []history.Event {
 	return []history.Event{
 		{T: 1, Kind: history.Proc, Node: "n0", Pid: 7, How: "start"},
@@ -46,34 +46,35 @@
 	}
 }
 
-func run(events []history.Event) map[string]Verdict {
-	all := map[string]Verdict{}
+// runAll returns the verdicts of all checks by the check's name.
+func runAll(events []history.Event) map[string]Verdict {
+	verdicts := map[string]Verdict{}
 	for _, v := range All(events, Limits{Memory: 64 << 20, FDs: 100}) {
-		all[v.Name] = v
+		verdicts[v.Name] = v
 	}
-	return all
+	return verdicts
 }
 
 func TestSoundHistoryPassesEveryCheck(t *testing.T) {
-	for name, v := range run(soundHistory()) {
+	for name, v := range runAll(soundHistory()) {
 		if !v.OK() {
 			t.Errorf("%s: %v", name, v.Broken)
 		}
 		if v.Seen == 0 && name != "growth" {
-			t.Errorf("%s looks at nothing", name)
+			t.Errorf("check %s examined nothing", name)
 		}
 	}
 }
 
 // TestEachBrokenRuleFailsItsCheckAlone breaks one rule at a time: only the check of that rule may fail.
 func TestEachBrokenRuleFailsItsCheckAlone(t *testing.T) {
-	add := func(more ...history.Event) func([]history.Event) []history.Event {
-		return func(all []history.Event) []history.Event { return append(all, more...) }
+	add := func(added ...history.Event) func([]history.Event) []history.Event {
+		return func(events []history.Event) []history.Event { return append(events, added...) }
 	}
 	without := func(kind history.Kind, id string) func([]history.Event) []history.Event {
-		return func(all []history.Event) []history.Event {
+		return func(events []history.Event) []history.Event {
 			var kept []history.Event
-			for _, e := range all {
+			for _, e := range events {
 				if e.Kind != kind || e.ID != id {
 					kept = append(kept, e)
 				}
@@ -90,43 +91,43 @@
 		leaking = append(leaking, history.Event{T: time.Duration(i) * time.Second, Kind: history.Sample, Pid: 7, RSS: 1, FDs: min(100, 4*max(0, i-60))})
 	}
 	for name, c := range map[string]struct {
-		wrong func([]history.Event) []history.Event
-		check string
+		breakRule func([]history.Event) []history.Event
+		check     string
 	}{
-		"no answer":      {without(history.Answer, "b"), "answered"},
-		"two answers":    {add(history.Event{T: 9 * ms, Kind: history.Answer, ID: "a", Node: "n0", How: history.Refused}), "answered"},
-		"bytes after it": {add(history.Event{T: 9 * ms, Kind: history.Extra, ID: "a", Node: "n0"}), "answered"},
-		"lost by a well node": {add(history.Event{T: 3000 * ms, Kind: history.Sent, ID: "z", Node: "n1"},
+		"no answer":              {without(history.Answer, "b"), "answered"},
+		"two answers":            {add(history.Event{T: 9 * ms, Kind: history.Answer, ID: "a", Node: "n0", How: history.Refused}), "answered"},
+		"bytes after the answer": {add(history.Event{T: 9 * ms, Kind: history.Extra, ID: "a", Node: "n0"}), "answered"},
+		"broken without a fault": {add(history.Event{T: 3000 * ms, Kind: history.Sent, ID: "z", Node: "n1"},
 			history.Event{T: 3100 * ms, Kind: history.Answer, ID: "z", Node: "n1", How: history.Broken}), "answered"},
-		"silent though well": {add(history.Event{T: 3000 * ms, Kind: history.Sent, ID: "z", Node: "n1"},
+		"silent without a fault": {add(history.Event{T: 3000 * ms, Kind: history.Sent, ID: "z", Node: "n1"},
 			history.Event{T: 3100 * ms, Kind: history.Answer, ID: "z", Node: "n1", How: history.Silent}), "answered"},
-		"operation open":       {add(history.Event{T: ms, Kind: history.Due, Op: 9}), "ended"},
-		"operation over twice": {add(history.Event{T: 8 * ms, Kind: history.Over, Op: 1}), "ended"},
-		"made up":              {without(history.End, "a"), "own-answer"},
-		"of another box": {add(history.Event{T: 8 * ms, Kind: history.Sent, ID: "z", Node: "n0"},
+		"operation never ends":        {add(history.Event{T: ms, Kind: history.Due, Op: 9}), "ended"},
+		"operation ends twice":        {add(history.Event{T: 8 * ms, Kind: history.Over, Op: 1}), "ended"},
+		"answer that no backend made": {without(history.End, "a"), "own-answer"},
+		"answer of an unknown backend": {add(history.Event{T: 8 * ms, Kind: history.Sent, ID: "z", Node: "n0"},
 			history.Event{T: 9 * ms, Kind: history.Answer, ID: "z", Node: "n0", How: history.Served, Backend: "?"}), "own-answer"},
-		"payment twice": {add(history.Event{T: 9 * ms, Kind: history.Begin, Op: 1, ID: "a2", Backend: "s2"}), "unsafe-once"},
-		"key in two pods": {add(history.Event{T: 100 * ms, Kind: history.Arrive, Op: 2, ID: "b", Backend: "s5", Node: "n0", Sent: 99 * ms},
+		"payment begins twice": {add(history.Event{T: 9 * ms, Kind: history.Begin, Op: 1, ID: "a2", Backend: "s2"}), "unsafe-once"},
+		"key begins in two pods": {add(history.Event{T: 100 * ms, Kind: history.Arrive, Op: 2, ID: "b", Backend: "s5", Node: "n0", Sent: 99 * ms},
 			history.Event{T: 101 * ms, Kind: history.Begin, Op: 2, ID: "b", Backend: "s5", Key: "k", Pod: 2}), "key-once"},
-		"key sent late": {add(history.Event{T: 2000 * ms, Kind: history.Arrive, Op: 2, ID: "b", Backend: "s5", Node: "n0", Sent: 1999 * ms},
+		"key repeated after the window": {add(history.Event{T: 2000 * ms, Kind: history.Arrive, Op: 2, ID: "b", Backend: "s5", Node: "n0", Sent: 1999 * ms},
 			history.Event{T: 2001 * ms, Kind: history.Begin, Op: 2, ID: "b", Backend: "s5", Key: "k", Pod: 1}), "key-once"},
-		"two at once":      {add(history.Event{T: 9 * ms, Kind: history.Arrive, ID: "b", Backend: "s2", Node: "n0", Also: []string{"s1"}}), "one-at-a-time"},
-		"nobody's request": {add(history.Event{T: 9 * ms, Kind: history.Arrive, ID: "x", Backend: "s2", Node: "n0", Bad: true}), "as-sent"},
-		"sent after drain": {add(history.Event{T: 4200 * ms, Kind: history.Arrive, ID: "f", Backend: "s0", Node: "n0", Sent: 4200 * ms}), "drains"},
-		"pushed over": {add(history.Event{T: 4100 * ms, Kind: history.BackendChange, Backend: "s5", How: "cold", Detail: "99"},
+		"two attempts open":           {add(history.Event{T: 9 * ms, Kind: history.Arrive, ID: "b", Backend: "s2", Node: "n0", Also: []string{"s1"}}), "one-at-a-time"},
+		"request that no client sent": {add(history.Event{T: 9 * ms, Kind: history.Arrive, ID: "x", Backend: "s2", Node: "n0", Bad: true}), "as-sent"},
+		"sent after the drain grace":  {add(history.Event{T: 4200 * ms, Kind: history.Arrive, ID: "f", Backend: "s0", Node: "n0", Sent: 4200 * ms}), "drains"},
+		"cold backend overloaded": {add(history.Event{T: 4100 * ms, Kind: history.BackendChange, Backend: "s5", How: "cold", Detail: "99"},
 			history.Event{T: 4101 * ms, Kind: history.Notified, Node: "n0", Backend: "s5", How: "ready", Detail: "99"},
 			history.Event{T: 4102 * ms, Kind: history.Arrive, ID: "e", Backend: "s5", Node: "n0", Took: time.Second},
 			history.Event{T: 4103 * ms, Kind: history.BackendChange, Backend: "s5", How: "fell"}), "cold"},
-		"ended by itself": {add(history.Event{T: 4200 * ms, Kind: history.Proc, Node: "n1", Pid: 8, How: "exit", Bad: true}), "processes"},
-		"never ended":     {add(history.Event{T: 4200 * ms, Kind: history.Proc, Node: "n1", Pid: 8, How: "start"}), "processes"},
-		"too much memory": {add(history.Event{T: 4200 * ms, Kind: history.Sample, Pid: 7, RSS: 65 << 20}), "limits"},
-		"too many open":   {add(history.Event{T: 4200 * ms, Kind: history.Sample, Pid: 7, FDs: 101}), "limits"},
-		"memory grows":    {add(growing...), "growth"},
-		"files leak":      {add(leaking...), "growth"},
+		"process ends without an order": {add(history.Event{T: 4200 * ms, Kind: history.Proc, Node: "n1", Pid: 8, How: "exit", Bad: true}), "processes"},
+		"process never ends":            {add(history.Event{T: 4200 * ms, Kind: history.Proc, Node: "n1", Pid: 8, How: "start"}), "processes"},
+		"too much memory":               {add(history.Event{T: 4200 * ms, Kind: history.Sample, Pid: 7, RSS: 65 << 20}), "limits"},
+		"too many descriptors":          {add(history.Event{T: 4200 * ms, Kind: history.Sample, Pid: 7, FDs: 101}), "limits"},
+		"memory grows":                  {add(growing...), "growth"},
+		"descriptors leak":              {add(leaking...), "growth"},
 	} {
-		for check, v := range run(c.wrong(soundHistory())) {
+		for check, v := range runAll(c.breakRule(soundHistory())) {
 			if v.OK() == (check == c.check) {
-				t.Errorf("%s: %s says %v", name, check, v.Broken)
+				t.Errorf("%s: check %s has the findings %v", name, check, v.Broken)
 			}
 		}
 	}
--- a/internal/lab/check/world.go
+++ b/internal/lab/check/lifecycle.go
@@ -1,6 +1,6 @@
 package check
 
-// This file holds the checks of backends and processes.
+// This file holds the checks of the starts and ends of backends and processes.
 
 import (
 	"time"
@@ -9,18 +9,18 @@
 	"wrenspread/internal/lab/world"
 )
 
-// cold checks that no cold backend is overloaded by nodes that had been notified of its start. A fall counts
-// when these nodes sent at least two thirds of the backend's recent work.
+// cold checks that no cold backend falls over because of nodes that had been notified of its start. A fall
+// counts as a finding if these nodes sent at least two thirds of the backend's recent work.
 func cold(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "cold",
 		Rule:  "no cold box falls over under what nodes send that were told of its start",
 		Timed: true,
 	}
-	lastStart := map[string]string{} // since_ms of each backend's last listed start
-	// since_ms of the start that each node knows, by backend and node
+	lastStart := map[string]string{} // since_ms of each backend's last cold start
+	// since_ms of the start of which each node was last notified, by backend and node
 	notifiedStart := map[string]map[string]string{}
-	sent := map[string][]history.Event{} // arrivals at each backend
+	arrivals := map[string][]history.Event{} // arrivals at each backend
 	for _, e := range events {
 		switch {
 		case e.Kind == history.BackendChange && e.How == "cold":
@@ -32,25 +32,25 @@
 			}
 			notifiedStart[e.Backend][e.Node] = e.Detail
 		case e.Kind == history.Arrive:
-			sent[e.Backend] = append(sent[e.Backend], e)
+			arrivals[e.Backend] = append(arrivals[e.Backend], e)
 		case e.Kind == history.BackendChange && e.How == "fell":
-			var sum, knowing time.Duration
-			for _, a := range sent[e.Backend] {
+			var totalWork, notifiedWork time.Duration
+			for _, a := range arrivals[e.Backend] {
 				if e.T-a.T > world.FallTime {
 					continue
 				}
-				sum += a.Took
+				totalWork += a.Took
 				if notifiedStart[e.Backend][a.Node] == lastStart[e.Backend] {
-					knowing += a.Took
+					notifiedWork += a.Took
 				}
 			}
-			if 3*knowing >= 2*sum {
+			if 3*notifiedWork >= 2*totalWork {
 				v.fail(
 					e,
 					"%s falls over; %v of the %v of work of the last %v came from nodes that knew",
 					e.Backend,
-					knowing,
-					sum,
+					notifiedWork,
+					totalWork,
 					world.FallTime,
 				)
 			}
@@ -59,7 +59,7 @@
 	return v
 }
 
-// processes checks that every process ends in the way that it was ordered to.
+// processes checks that every process ends, and in the way that was ordered.
 func processes(events []history.Event) Verdict {
 	v := Verdict{
 		Name: "processes",
--- a/internal/lab/check/quota_test.go
+++ b/internal/lab/check/quota_test.go
@@ -9,8 +9,8 @@
 	"wrenspread/internal/lab/history"
 )
 
-// arrivals returns arrivals at backends, evenly spaced at a rate between two times; each request arrives
-// twice, as with a second attempt.
+// arrivals returns evenly spaced arrivals at backends, at the given rate from from to to. Each request
+// arrives twice, as it does with a second attempt.
 func arrivals(rate float64, from, to time.Duration) (events []history.Event) {
 	for t := from; t < to; t += time.Duration(float64(time.Second) / rate) {
 		for range 2 {
@@ -25,24 +25,24 @@
 func TestQuotaCheckFindsExcessAndUnusedQuota(t *testing.T) {
 	const s = time.Second
 	limits := []Quota{{Rate: 50, Burst: 20}, {From: 10 * s, Rate: 25, Burst: 10}}
-	good := append(arrivals(50, 0, 10*s), arrivals(25, 10*s, 20*s)...)
+	within := append(arrivals(50, 0, 10*s), arrivals(25, 10*s, 20*s)...)
 	burst := append(arrivals(50, 0, 5*s), arrivals(400, 5*s, 5*s+200*time.Millisecond)...)
 	for name, c := range map[string]struct {
-		events []history.Event
-		used   float64
-		want   string
+		events  []history.Event
+		minUsed float64
+		want    string
 	}{
-		"kept":                {good, 0.95, ""},
-		"lowered in time":     {append(arrivals(50, 0, 13*s), arrivals(25, 13*s, 20*s)...), 0, ""},
-		"lowered too late":    {append(arrivals(50, 0, 17*s), arrivals(25, 17*s, 20*s)...), 0, "more than leak away at 25.0"},
-		"a second holder":     {arrivals(100, 0, 10*s), 0, "more than leak away at 50.0"},
-		"a burst":             {burst, 0, "the burst is 20.0"},
-		"hardly used":         {arrivals(10, 0, 20*s), 0.5, "of the quota was used"},
-		"asked little, as is": {arrivals(10, 0, 20*s), 0, ""},
+		"within the limit":        {within, 0.95, ""},
+		"lowered in time":         {append(arrivals(50, 0, 13*s), arrivals(25, 13*s, 20*s)...), 0, ""},
+		"lowered too late":        {append(arrivals(50, 0, 17*s), arrivals(25, 17*s, 20*s)...), 0, "more than leak away at 25.0"},
+		"twice the limit":         {arrivals(100, 0, 10*s), 0, "more than leak away at 50.0"},
+		"burst too large":         {burst, 0, "the burst is 20.0"},
+		"too little used":         {arrivals(10, 0, 20*s), 0.5, "of the quota was used"},
+		"little used, no minimum": {arrivals(10, 0, 20*s), 0, ""},
 	} {
-		v := Quotas(c.events, limits, 0, 20*s, c.used)
+		v := Quotas(c.events, limits, 0, 20*s, c.minUsed)
 		if got := fmt.Sprint(v.Broken); c.want == "" && !v.OK() || !strings.Contains(got, c.want) {
-			t.Errorf("%s: %s, measured %v", name, got, v.Measured)
+			t.Errorf("%s: findings %s, measured %v", name, got, v.Measured)
 		}
 	}
 }
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -8,41 +8,41 @@
 	"wrenspread/internal/lab/world"
 )
 
-// interval is the time during which a fault acted on a node. A killed node loses its requests in flight, so a
-// request that was open at any moment of the interval is excused.
+// interval is a time during which a node was stopped, or a fault acted on it. A killed node loses its
+// requests in flight, so a request that was open at any moment of a fault may end without an answer.
 type interval struct{ from, to time.Duration }
 
-// nodeIntervals holds the fault intervals of each node, by node name.
+// nodeIntervals holds intervals by node name.
 type nodeIntervals map[string][]interval
 
-// faultAftermath is how long after a fault's end a node may still show its effects: a retransmitted segment
-// arrives up to a second later.
+// faultAftermath is the time after a fault's end for which the fault may still affect a node: a retransmitted
+// segment arrives up to a second later.
 const faultAftermath = time.Second
 
 // faultsOf collects the intervals of the faults that act on nodes or on their clients' links.
 func faultsOf(events []history.Event) nodeIntervals {
-	s := nodeIntervals{}
-	open := map[string]time.Duration{}
+	intervals := nodeIntervals{}
+	beganAt := map[string]time.Duration{}
 	for _, e := range events {
 		if e.Kind != history.Fault {
 			continue
 		}
 		if e.How == "begin" {
-			open[e.Detail] = e.T
+			beganAt[e.Detail] = e.T
 			for _, n := range e.Nodes {
-				s[n] = append(s[n], interval{e.T, 1<<63 - 1})
+				intervals[n] = append(intervals[n], interval{e.T, 1<<63 - 1})
 			}
 			continue
 		}
 		for _, n := range e.Nodes {
-			for i := range s[n] {
-				if s[n][i].from == open[e.Detail] {
-					s[n][i].to = e.T + faultAftermath
+			for i := range intervals[n] {
+				if intervals[n][i].from == beganAt[e.Detail] {
+					intervals[n][i].to = e.T + faultAftermath
 				}
 			}
 		}
 	}
-	return s
+	return intervals
 }
 
 // overlap reports whether a fault acted on the node at any moment between from and to.
@@ -50,40 +50,40 @@
 	return slices.ContainsFunc(s[node], func(f interval) bool { return f.from <= to && f.to >= from })
 }
 
-// stoppedTime returns a function that sums the time during which a node was stopped by SIGSTOP between two
-// times.
+// stoppedTime returns a function that computes for how long a node was stopped by SIGSTOP between two times.
 func stoppedTime(events []history.Event) func(node string, from, to time.Duration) time.Duration {
 	stops := map[string][]interval{}
 	for _, e := range events {
 		if e.Kind != history.Proc || e.How != "signal" {
 			continue
 		}
-		all := stops[e.Node]
+		stopped := stops[e.Node]
 		switch {
 		case e.Detail == "SIGSTOP":
-			stops[e.Node] = append(all, interval{e.T, 1<<63 - 1})
-		case e.Detail == "SIGCONT" && len(all) > 0:
-			all[len(all)-1].to = min(all[len(all)-1].to, e.T)
+			stops[e.Node] = append(stopped, interval{e.T, 1<<63 - 1})
+		case e.Detail == "SIGCONT" && len(stopped) > 0:
+			stopped[len(stopped)-1].to = min(stopped[len(stopped)-1].to, e.T)
 		}
 	}
 	return func(node string, from, to time.Duration) time.Duration {
-		var sum time.Duration
+		var total time.Duration
 		for _, s := range stops[node] {
-			sum += max(0, min(to, s.to)-max(from, s.from))
+			total += max(0, min(to, s.to)-max(from, s.from))
 		}
-		return sum
+		return total
 	}
 }
 
-// drains checks that a node sends no new request to a backend once the grace period after the notification of
-// its drain has passed. The time for which the node was stopped is added to the grace period.
+// drains checks that a node sends no new request to a backend that drains or is gone, once the grace period
+// has passed since the node was notified. The time for which the node was stopped is added to the grace
+// period.
 func drains(events []history.Event, slack time.Duration) Verdict {
 	v := Verdict{
 		Name:  "drains",
 		Rule:  "nothing new reaches a box past the grace after the node was told that it drains or is gone",
 		Timed: true,
 	}
-	type pair struct{ node, box string }
+	type pair struct{ node, backend string }
 	leavingSince := map[pair]time.Duration{}
 	stoppedBetween := stoppedTime(events)
 	for _, e := range events {
@@ -126,10 +126,11 @@
 	return v
 }
 
-// Growth is checked on processes that run for growthMinAge or longer, since part of their time is start-up.
+// Only processes that run for growthMinAge or longer are checked for growth, since part of their time is
+// start-up.
 const (
 	growthMinAge        = 40 * time.Second
-	growthAllowedShare  = 0.25     // allowed from the third to the last quarter of the process's run time
+	growthAllowedShare  = 0.25     // growth allowed from the third to the last quarter of a process's run time
 	growthAllowedMemory = 16 << 20 // bytes by which a heap may vary between two garbage collections
 	growthAllowedFDs    = 64       // descriptors that a burst of connections may add
 )
@@ -154,13 +155,13 @@
 		}
 		v.Seen++
 		third, fourth := samples[len(samples)/2:len(samples)*3/4], samples[len(samples)*3/4:]
-		a, b := median(third, memory), median(fourth, memory)
-		if b-a > max(growthAllowedMemory, int64(growthAllowedShare*float64(a))) {
-			v.fail(last, "%s (pid %d) grew from %d to %d MB", last.Node, last.Pid, a>>20, b>>20)
+		before, after := median(third, memory), median(fourth, memory)
+		if after-before > max(growthAllowedMemory, int64(growthAllowedShare*float64(before))) {
+			v.fail(last, "%s (pid %d) grew from %d to %d MB", last.Node, last.Pid, before>>20, after>>20)
 		}
-		a, b = median(third, descriptors), median(fourth, descriptors)
-		if b-a > max(growthAllowedFDs, int64(growthAllowedShare*float64(a))) {
-			v.fail(last, "%s (pid %d) grew from %d to %d descriptors", last.Node, last.Pid, a, b)
+		before, after = median(third, descriptors), median(fourth, descriptors)
+		if after-before > max(growthAllowedFDs, int64(growthAllowedShare*float64(before))) {
+			v.fail(last, "%s (pid %d) grew from %d to %d descriptors", last.Node, last.Pid, before, after)
 		}
 	}
 	return v
@@ -171,10 +172,10 @@
 
 // median returns the median of a value over the samples.
 func median(samples []history.Event, value func(history.Event) int64) int64 {
-	all := make([]int64, len(samples))
+	values := make([]int64, len(samples))
 	for i, e := range samples {
-		all[i] = value(e)
+		values[i] = value(e)
 	}
-	slices.Sort(all)
-	return all[len(all)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -393,7 +393,8 @@
 	}
 }
 
-// waitUntil waits until the time due, or returns at once if due is zero. It returns false if the stream ends before that.
+// waitUntil waits until the time due, or returns at once if due is zero. It returns false if the stream ends
+// before that.
 func (s *Stream) waitUntil(due time.Time) bool {
 	wait := time.Until(due)
 	if due.IsZero() || wait <= 0 {
