--- a/internal/lab/report/bounds.go
+++ b/internal/lab/report/bounds.go
@@ -10,41 +10,43 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// Bounds compares the figures with an experiment's bounds; the verdict lists the bounds that they break.
+// Bounds compares the figures of a run with its experiment's bounds. The verdict's findings are the broken
+// bounds.
 func Bounds(f Figures, b spec.Bounds) check.Verdict {
 	v := check.Verdict{Name: "bounds", Rule: "the experiment's bounds", Timed: true}
-	want := func(ok bool, format string, args ...any) {
+	require := func(ok bool, format string, args ...any) {
 		v.Seen++
 		if !ok {
 			v.Broken = append(v.Broken, check.Finding{Text: fmt.Sprintf(format, args...)})
 		}
 	}
 	if f.All.Asked == 0 {
-		want(false, "nothing was asked for")
+		require(false, "nothing was asked for")
 		return v
 	}
 	if b.Served > 0 {
-		want(f.All.Served() >= b.Served, "served %.4f, want %v", f.All.Served(), b.Served)
+		require(f.All.Served() >= b.Served, "served %.4f, want %v", f.All.Served(), b.Served)
 	}
 	if b.Failed != nil {
 		got := f.All.share(f.All.Failed)
-		want(got <= *b.Failed, "failed %.4f, want %v at most", got, *b.Failed)
+		require(got <= *b.Failed, "failed %.4f, want %v at most", got, *b.Failed)
 	}
 	if b.Refused != nil {
 		got := f.All.share(f.All.Refused)
-		want(got <= *b.Refused, "refused %.4f, want %v at most", got, *b.Refused)
+		require(got <= *b.Refused, "refused %.4f, want %v at most", got, *b.Refused)
 	}
 	for _, c := range slices.Sorted(maps.Keys(b.Class)) {
-		want(f.Classes[c].Served() >= b.Class[c], "%s served %.4f, want %v", c, f.Classes[c].Served(), b.Class[c])
+		require(f.Classes[c].Served() >= b.Class[c],
+			"%s served %.4f, want %v", c, f.Classes[c].Served(), b.Class[c])
 	}
 	for _, c := range slices.Sorted(maps.Keys(b.P99)) {
 		bound, _ := time.ParseDuration(b.P99[c]) // checked when the file was parsed
-		want(f.Latency[c].P99 <= bound, "%s: 99th percentile %v, want %v at most", c, f.Latency[c].P99, bound)
+		require(f.Latency[c].P99 <= bound, "%s: 99th percentile %v, want %v at most", c, f.Latency[c].P99, bound)
 	}
 	if b.Recovered > 0 {
 		level := b.Level * f.Baseline()
 		got := f.Recovered(level)
-		want(
+		require(
 			got >= 0 && got <= time.Duration(b.Recovered),
 			"back at %.4f %v after the last fault (negative: never), want %v at most",
 			level,
@@ -53,7 +55,7 @@
 		)
 	}
 	if b.Attempts > 0 {
-		want(f.Attempts <= b.Attempts, "%.3f attempts an operation, want %v at most", f.Attempts, b.Attempts)
+		require(f.Attempts <= b.Attempts, "%.3f attempts an operation, want %v at most", f.Attempts, b.Attempts)
 	}
 	return v
 }
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -11,8 +11,8 @@
 // Compare writes the figures of two runs side by side, with their differences.
 func Compare(w io.Writer, a, b Run) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	row := func(name string, x, y float64, form string) {
-		besteffort.Output(fmt.Fprintf(t, "%s\t"+form+"\t"+form+"\t%+.4f\n", name, x, y, y-x))
+	row := func(name string, x, y float64, format string) {
+		besteffort.Output(fmt.Fprintf(t, "%s\t"+format+"\t"+format+"\t%+.4f\n", name, x, y, y-x))
 	}
 	besteffort.Output(
 		fmt.Fprintf(
@@ -41,13 +41,13 @@
 	row("attempts an operation", a.Figures.Attempts, b.Figures.Attempts, "%.4f")
 	row("nodes' processor, cores", a.Figures.NodesCPU, b.Figures.NodesCPU, "%.3f")
 	row("lab's lateness, ms", ms(a.Figures.LateLab), ms(b.Figures.LateLab), "%.2f")
-	broken := func(r Run) int {
+	countFindings := func(r Run) int {
 		n := 0
 		for _, v := range r.Verdicts {
 			n += len(v.Broken)
 		}
 		return n
 	}
-	row("findings", float64(broken(a)), float64(broken(b)), "%.0f")
+	row("findings", float64(countFindings(a)), float64(countFindings(b)), "%.0f")
 	return t.Flush()
 }
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -1,5 +1,5 @@
-// Package report computes figures from a history, and writes plots and pages of them. The computation of the
-// figures has no side effects.
+// Package report computes the figures of a run from its history, and writes them as plots and pages.
+// Computing the figures has no side effects.
 package report
 
 import (
@@ -35,10 +35,10 @@
 }
 
 // add counts one operation by its outcome, the time it took, and its class's latency objective.
-func (c *Count) add(how string, took, aim time.Duration) {
+func (c *Count) add(how string, took, objective time.Duration) {
 	c.Asked++
 	switch {
-	case how == history.Served && took <= aim:
+	case how == history.Served && took <= objective:
 		c.InTime++
 	case how == history.Served:
 		c.Late++
@@ -49,12 +49,13 @@
 	}
 }
 
-// Quantiles are quantiles of the time from when an operation was due to its answer.
+// Quantiles holds quantiles of the time from when an operation was due until its answer.
 type Quantiles struct {
 	P50, P90, P99, P999, Max time.Duration
 }
 
-// Second holds the figures of the operations that were due in one second of a run.
+// Second holds the figures of the operations that were due in one second of a run. At is the start of the
+// second.
 type Second struct {
 	Count
 	At        time.Duration `json:"at"`
@@ -78,13 +79,13 @@
 	Sampled time.Duration `json:"-"` // time that the samples cover
 }
 
-// BackendUse counts the attempts that reached one backend.
+// BackendUse counts the attempts that reached one backend, and the events of these attempts.
 type BackendUse struct {
-	Arrived int           `json:"arrived"`
-	Begun   int           `json:"begun"`
-	Turned  int           `json:"turned"`
-	Errors  int           `json:"errors"`
-	Work    time.Duration `json:"work"`
+	Arrived  int           `json:"arrived"`
+	Begun    int           `json:"begun"`
+	Rejected int           `json:"turned"`
+	Errors   int           `json:"errors"`
+	Work     time.Duration `json:"work"` // total work of the attempts that arrived
 }
 
 // Figures holds the figures of one run.
@@ -98,7 +99,7 @@
 	Seconds  []Second              `json:"seconds"`
 	Faults   []Span                `json:"faults"`
 	Nodes    map[string]NodeUse    `json:"nodes"`
-	Boxes    map[string]BackendUse `json:"boxes"`
+	Backends map[string]BackendUse `json:"boxes"`
 	Attempts float64               `json:"attempts"` // mean number of attempts at backends per operation
 	// requests that were on their way when the node closed the connection
 	Crossed int `json:"crossed"`
@@ -114,29 +115,30 @@
 // maxLatency is the greatest latency that the histograms distinguish.
 const maxLatency = int64(time.Minute)
 
-// Compute computes the figures of a history. aims holds the latency objective of each class.
-func Compute(events []history.Event, aims map[string]time.Duration) Figures {
+// Compute computes the figures of a run from its history. objectives holds the latency objective of each
+// class.
+func Compute(events []history.Event, objectives map[string]time.Duration) Figures {
 	f := Figures{
-		Classes: map[string]Count{},
-		Latency: map[string]Quantiles{},
-		Nodes:   map[string]NodeUse{},
-		Boxes:   map[string]BackendUse{},
+		Classes:  map[string]Count{},
+		Latency:  map[string]Quantiles{},
+		Nodes:    map[string]NodeUse{},
+		Backends: map[string]BackendUse{},
 	}
-	due := map[int]time.Duration{}
-	hists := map[string]*hdrhistogram.Histogram{}
+	dueAt := map[int]time.Duration{}
+	histograms := map[string]*hdrhistogram.Histogram{}
 	type processSamples struct{ first, last history.Event }
 	processes := map[int]*processSamples{}
 	arrived := 0
-	var lab history.Event
-	var labFirst time.Duration
+	var firstLab history.Event
+	var firstLabTime time.Duration
 	for _, e := range events {
 		switch e.Kind {
 		case history.Meta:
 			f.Name, f.Seed, f.Length = e.Detail, e.Seed, e.Took
 		case history.Due:
-			due[e.Op] = e.T
+			dueAt[e.Op] = e.T
 		case history.Over:
-			f.addOperation(e, due[e.Op], aims[e.Class], hists)
+			f.addOperation(e, dueAt[e.Op], objectives[e.Class], histograms)
 		case history.Cross:
 			f.Crossed++
 		case history.Arrive:
@@ -145,7 +147,7 @@
 		case history.Begin:
 			f.updateBackend(e.Backend, func(b *BackendUse) { b.Begun++ })
 		case history.Reject:
-			f.updateBackend(e.Backend, func(b *BackendUse) { b.Turned++ })
+			f.updateBackend(e.Backend, func(b *BackendUse) { b.Rejected++ })
 		case history.End:
 			if e.Status != 200 {
 				f.updateBackend(e.Backend, func(b *BackendUse) { b.Errors++ })
@@ -159,60 +161,60 @@
 			n.Memory, n.FDs = max(n.Memory, e.RSS), max(n.FDs, e.FDs)
 			f.Nodes[e.Node] = n
 		case history.Lab:
-			if labFirst == 0 {
-				labFirst = e.T
-				lab.CPU = e.CPU
+			if firstLabTime == 0 {
+				firstLabTime = e.T
+				firstLab.CPU = e.CPU
 			}
 			f.LateLab, f.WorstLab = max(f.LateLab, e.P99), max(f.WorstLab, e.Took)
-			if e.T > labFirst {
-				f.LabCPU = float64(e.CPU-lab.CPU) / float64(e.T-labFirst)
+			if e.T > firstLabTime {
+				f.LabCPU = float64(e.CPU-firstLab.CPU) / float64(e.T-firstLabTime)
 			}
 		case history.Fault:
 			f.addFault(e)
 		}
 	}
-	for _, l := range processes {
-		n := f.Nodes[l.last.Node]
-		n.CPU += l.last.CPU - l.first.CPU
-		n.Stall += l.last.Stall - l.first.Stall
-		n.Sampled += l.last.T - l.first.T
-		f.Nodes[l.last.Node] = n
+	for _, p := range processes {
+		n := f.Nodes[p.last.Node]
+		n.CPU += p.last.CPU - p.first.CPU
+		n.Stall += p.last.Stall - p.first.Stall
+		n.Sampled += p.last.T - p.first.T
+		f.Nodes[p.last.Node] = n
 	}
-	f.finish(hists, arrived)
+	f.finish(histograms, arrived)
 	return f
 }
 
 // addOperation counts an operation that ended in all groups to which it belongs.
-func (f *Figures) addOperation(e history.Event, due, aim time.Duration,
-	hists map[string]*hdrhistogram.Histogram) {
-	f.All.add(e.How, e.Took, aim)
+func (f *Figures) addOperation(e history.Event, due, objective time.Duration,
+	histograms map[string]*hdrhistogram.Histogram) {
+	f.All.add(e.How, e.Took, objective)
 	c := f.Classes[e.Class]
-	c.add(e.How, e.Took, aim)
+	c.add(e.How, e.Took, objective)
 	f.Classes[e.Class] = c
 	if e.Node != "" {
 		n := f.Nodes[e.Node]
-		n.add(e.How, e.Took, aim)
+		n.add(e.How, e.Took, objective)
 		f.Nodes[e.Node] = n
 	}
 	for at := int(due / time.Second); len(f.Seconds) <= at; {
 		f.Seconds = append(f.Seconds, Second{At: time.Duration(len(f.Seconds)) * time.Second})
 	}
 	second := &f.Seconds[due/time.Second]
-	second.add(e.How, e.Took, aim)
+	second.add(e.How, e.Took, objective)
 	if e.How == history.Served {
-		if hists[e.Class] == nil {
-			hists[e.Class] = hdrhistogram.New(int64(10*time.Microsecond), maxLatency, 3)
+		if histograms[e.Class] == nil {
+			histograms[e.Class] = hdrhistogram.New(int64(10*time.Microsecond), maxLatency, 3)
 		}
 		second.latencies = append(second.latencies, e.Took)
-		besteffort.Sample(hists[e.Class].RecordValue(min(maxLatency, int64(e.Took))))
+		besteffort.Sample(histograms[e.Class].RecordValue(min(maxLatency, int64(e.Took))))
 	}
 }
 
 // updateBackend applies a change to the counts of one backend.
 func (f *Figures) updateBackend(name string, change func(*BackendUse)) {
-	b := f.Boxes[name]
+	b := f.Backends[name]
 	change(&b)
-	f.Boxes[name] = b
+	f.Backends[name] = b
 }
 
 // addFault records the begin or the end of a fault.
@@ -228,9 +230,10 @@
 	}
 }
 
-// finish computes the figures that need all events: quantiles, means, and the ends of faults never lifted.
-func (f *Figures) finish(hists map[string]*hdrhistogram.Histogram, arrived int) {
-	for class, h := range hists {
+// finish computes the figures that need all events: quantiles and means. It ends the faults that were never
+// lifted at the run's end.
+func (f *Figures) finish(histograms map[string]*hdrhistogram.Histogram, arrived int) {
+	for class, h := range histograms {
 		at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) }
 		f.Latency[class] = Quantiles{at(50), at(90), at(99), at(99.9), time.Duration(h.Max())}
 	}
@@ -262,7 +265,8 @@
 	}
 }
 
-// Baseline returns the share served in time before the first fault, the run's own baseline.
+// Baseline returns the share of operations that were served in time before the first fault, or in the whole
+// run if it had no faults.
 func (f Figures) Baseline() float64 {
 	var sum Count
 	for _, s := range f.Seconds {
@@ -273,7 +277,7 @@
 	return sum.Served()
 }
 
-// firstFault returns the time at which the first fault began. There has to be one.
+// firstFault returns the time at which the first fault began. The run must have had a fault.
 func (f Figures) firstFault() time.Duration {
 	first := f.Faults[0].From
 	for _, s := range f.Faults {
@@ -286,15 +290,16 @@
 const minAskedPerSecond = 10
 
 // Recovered returns the time from the end of the last fault until the share served in time reaches a level
-// and stays there to the end of the run, except for one second in ten. It is negative if that never happens.
+// and stays at or above it to the end of the run. At most one second in ten may be below the level. The
+// result is negative if the run never recovered.
 func (f Figures) Recovered(level float64) time.Duration {
-	var last time.Duration
+	var lastFaultEnd time.Duration
 	for _, s := range f.Faults {
-		last = max(last, s.To)
+		lastFaultEnd = max(lastFaultEnd, s.To)
 	}
 	var after []Second
 	for _, s := range f.Seconds {
-		if s.At >= last-time.Second+1 && s.Asked >= minAskedPerSecond {
+		if s.At >= lastFaultEnd-time.Second+1 && s.Asked >= minAskedPerSecond {
 			after = append(after, s)
 		}
 	}
@@ -306,14 +311,13 @@
 			}
 		}
 		if after[i].Served() >= level && below*10 <= len(after)-i {
-			return max(0, after[i].At-last)
+			return max(0, after[i].At-lastFaultEnd)
 		}
 	}
 	return -1
 }
 
-// Names returns the sorted keys of one of the figures' maps, with short numbered names in order of their
-// number.
+// Names returns the sorted keys of one of the figures' maps. Short numbered names are sorted by their number.
 func Names[V any](m map[string]V) []string {
 	return slices.SortedFunc(maps.Keys(m), func(a, b string) int {
 		if len(a) != len(b) && a[:1] == b[:1] && len(a) < 5 && len(b) < 5 { // n2 before n10
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -67,7 +67,7 @@
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // overTime plots lines over the seconds of the run, with the faults shaded. top is the upper end of the
-// vertical axis; 0 chooses it from the data.
+// vertical axis: 1, or 0 to derive it from the data.
 func (f Figures) overTime(title string, top float64, lines []line) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = title, "s"
@@ -81,34 +81,34 @@
 	p.X.Min, p.X.Max = 0, float64(max(1, len(f.Seconds)))
 	for _, s := range f.Faults {
 		from, to := s.From.Seconds(), math.Max(s.To.Seconds(), s.From.Seconds()+minFaultWidth)
-		box, err := plotter.NewPolygon(
+		shading, err := plotter.NewPolygon(
 			plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: p.Y.Max}, {X: from, Y: p.Y.Max}},
 		)
 		if err != nil {
 			return nil, err
 		}
-		box.Color, box.Width = shaded, 0
-		p.Add(box)
+		shading.Color, shading.Width = shaded, 0
+		p.Add(shading)
 	}
 	for _, l := range lines {
-		var at plotter.XYs
+		var points plotter.XYs
 		for _, s := range f.Seconds {
-			at = append(at, plotter.XY{X: s.At.Seconds() + 0.5, Y: l.value(s)})
+			points = append(points, plotter.XY{X: s.At.Seconds() + 0.5, Y: l.value(s)})
 		}
-		drawn, err := plotter.NewLine(at)
+		curve, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, err
 		}
-		drawn.Color, drawn.Width = l.color, 1.5
-		p.Add(drawn)
-		p.Legend.Add(l.name, drawn)
+		curve.Color, curve.Width = l.color, 1.5
+		p.Add(curve)
+		p.Legend.Add(l.name, curve)
 	}
-	// place the legend between lines near 0 and lines near 1
+	// keep the legend clear of lines near 0 and of lines near 1
 	p.Legend.Top, p.Legend.Left, p.Legend.YOffs = true, true, -1.6*vg.Centimeter
 	return p, nil
 }
 
-// svg renders a plot as an SVG file.
+// svg returns a plot as the content of an SVG file.
 func svg(p *plot.Plot) ([]byte, error) {
 	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
@@ -121,7 +121,7 @@
 
 // writePlots writes the plots of a run into its folder and returns their SVG elements for the page.
 func (f Figures) writePlots(dir string) ([][]byte, error) {
-	var all [][]byte
+	var elements [][]byte
 	if len(f.Seconds) == 0 {
 		return nil, nil
 	}
@@ -129,22 +129,22 @@
 		name string
 		make func() (*plot.Plot, error)
 	}{{"served", f.plotServed}, {"latency", f.plotLatency}, {"asked", f.plotLoad}} {
-		drawn, err := p.make()
+		rendered, err := p.make()
 		if err != nil {
 			return nil, fmt.Errorf("plot %s: %w", p.name, err)
 		}
-		text, err := svg(drawn)
+		text, err := svg(rendered)
 		if err != nil {
 			return nil, fmt.Errorf("plot %s: %w", p.name, err)
 		}
 		if err := os.WriteFile(filepath.Join(dir, p.name+".svg"), text, 0o644); err != nil {
 			return nil, fmt.Errorf("plot %s: %w", p.name, err)
 		}
-		// drop the lines before the element, which only a separate file needs
+		// drop the lines before the svg element, which only a separate file needs
 		if _, body, ok := bytes.Cut(text, []byte("<svg")); ok {
 			text = append([]byte("<svg"), body...)
 		}
-		all = append(all, text)
+		elements = append(elements, text)
 	}
-	return all, nil
+	return elements, nil
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -32,10 +32,10 @@
 		history.Event{T: 7 * time.Second, Kind: history.Fault, How: "end", Detail: "1-kill", Nodes: []string{"n0"}})
 }
 
-var aims = map[string]time.Duration{"a": 200 * time.Millisecond}
+var objectives = map[string]time.Duration{"a": 200 * time.Millisecond}
 
 func TestFiguresCountOutcomesRecoveryAndLatency(t *testing.T) {
-	f := Compute(sampleHistory(), aims)
+	f := Compute(sampleHistory(), objectives)
 	if want := (Count{Asked: 400, InTime: 314, Late: 3, Refused: 3, Failed: 80}); f.All != want || f.Classes["a"] != want || f.Nodes["n0"].Count != want {
 		t.Errorf("counts %+v, want %+v", f.All, want)
 	}
@@ -43,7 +43,7 @@
 		t.Errorf("recovered after %v, want 2s", got)
 	}
 	if got := f.Recovered(1.01); got >= 0 {
-		t.Errorf("recovered to a level that was never kept, after %v", got)
+		t.Errorf("recovered after %v to a level that was never reached", got)
 	}
 	if p := f.Latency["a"]; p.P50 < 79*time.Millisecond || p.P50 > 81*time.Millisecond || p.Max < 299*time.Millisecond {
 		t.Errorf("latency %+v", p)
@@ -52,7 +52,7 @@
 
 // TestEachBoundPassesAtItsValueAndFailsBeyond: figures at a bound pass, and figures just beyond it fail.
 func TestEachBoundPassesAtItsValueAndFailsBeyond(t *testing.T) {
-	f := Compute(sampleHistory(), aims)
+	f := Compute(sampleHistory(), objectives)
 	share := func(v float64) *float64 { return &v }
 	for name, c := range map[string]struct{ kept, broken spec.Bounds }{
 		"served":    {spec.Bounds{Served: 0.785}, spec.Bounds{Served: 0.786}},
@@ -66,12 +66,12 @@
 			t.Errorf("%s: %v", name, v.Broken)
 		}
 		if Bounds(f, c.broken).OK() {
-			t.Errorf("%s: what is beyond the bound passes", name)
+			t.Errorf("%s: figures beyond the bound pass", name)
 		}
 	}
 }
 
-// TestLateMachineVoidsOnlyTimedVerdicts: on a slow machine, rules about times are not judged, rules about
+// TestLateMachineVoidsOnlyTimedVerdicts: on a slow machine rules about times are not judged, but rules about
 // order are.
 func TestLateMachineVoidsOnlyTimedVerdicts(t *testing.T) {
 	bad := []check.Finding{{Text: "x"}}
@@ -82,20 +82,20 @@
 	}{{true, "", Fail}, {true, "late", Void}, {false, "", Fail}, {false, "late", Fail}} {
 		r := Run{Verdicts: []check.Verdict{{Name: "v", Timed: c.timed, Broken: bad}}, Late: c.late}
 		if got := r.Result(); got != c.want || !strings.HasPrefix(r.Line(), map[Result]string{Fail: "FAIL", Void: "VOID"}[c.want]) {
-			t.Errorf("%+v: %d, %s", c, got, r.Line())
+			t.Errorf("%+v: result %d, line %s", c, got, r.Line())
 		}
 	}
 	slow := []history.Event{{Kind: history.Lab, P99: time.Second}, {Kind: history.Lab}}
 	if TooLate(slow, Figures{}) == "" || TooLate(nil, Figures{Stalled: 0.3}) == "" || TooLate(slow[1:], Figures{}) != "" {
-		t.Error("TooLate misses a late lab or stalled nodes, or reports a lab in time as late")
+		t.Error("TooLate does not report a late lab or stalled nodes, or reports a lab that is not late")
 	}
 }
 
-// TestPageStandsAloneAndSummaryReadsBack: the page is written and needs no other file, and reading the
+// TestPageNeedsNoOtherFileAndSummaryReadsBack: the page is written and needs no other file, and reading the
 // summary returns the same run.
-func TestPageStandsAloneAndSummaryReadsBack(t *testing.T) {
+func TestPageNeedsNoOtherFileAndSummaryReadsBack(t *testing.T) {
 	dir := t.TempDir()
-	run := Run{Figures: Compute(sampleHistory(), aims), Verdicts: []check.Verdict{{Name: "answered", Broken: []check.Finding{{ID: "<id>", Text: "lost"}}}}}
+	run := Run{Figures: Compute(sampleHistory(), objectives), Verdicts: []check.Verdict{{Name: "answered", Broken: []check.Finding{{ID: "<id>", Text: "lost"}}}}}
 	page, err := run.Write(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 	}
 	got, err := Read(dir)
 	if err != nil || got.Line() != run.Line() {
-		t.Errorf("read back: %v, %s", err, got.Line())
+		t.Errorf("summary read back: error %v, line %s", err, got.Line())
 	}
 	var b strings.Builder
 	if err := Compare(&b, run, got); err != nil || !strings.Contains(b.String(), "all in time") {
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -15,10 +15,10 @@
 type Run struct {
 	Figures  Figures         `json:"figures"`
 	Verdicts []check.Verdict `json:"verdicts"`
-	Late     string          `json:"late,omitempty"` // why times can't be judged; empty if they can
+	Late     string          `json:"late,omitempty"` // why rules about times can't be judged; empty if they can
 }
 
-// Result is the overall result of a run.
+// Result says whether a run passed, failed or does not count.
 type Result int
 
 // The results. Their values are the program's exit status.
@@ -44,16 +44,17 @@
 	return result
 }
 
-// Above these limits, times are not judged. The shortest latency objective is 200 ms, and a tenth of it may
-// be due to the lab. When nodes wait for a core for a quarter of the time, the run measures the machine
-// instead.
+// Above these limits, rules about times are not judged. The shortest latency objective is 200 ms, and a tenth
+// of it may be due to the lab. If the nodes wait for a core for a quarter of the time, the run measures the
+// machine and not the nodes.
 const (
 	maxLabLateP99       = 20 * time.Millisecond
 	maxLateSecondsShare = 0.1 // share of the run's seconds in which the lab may exceed maxLabLateP99
 	maxStalledShare     = 0.25
 )
 
-// TooLate returns the reason why the times of a history can't be judged, or an empty string if they can.
+// TooLate returns the reason why rules about times can't be judged on a history, or an empty string if they
+// can.
 func TooLate(events []history.Event, f Figures) string {
 	seconds, late := 0, 0
 	for _, e := range events {
@@ -123,11 +124,11 @@
 func Read(dir string) (Run, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, summaryFile))
 	if err != nil {
-		return Run{}, fmt.Errorf("%s is not the report of a run: %w", dir, err)
+		return Run{}, fmt.Errorf("read summary of a run: folder %s: %w", dir, err)
 	}
 	var r Run
 	if err := json.Unmarshal(raw, &r); err != nil {
-		return Run{}, fmt.Errorf("%s: %w", filepath.Join(dir, summaryFile), err)
+		return Run{}, fmt.Errorf("parse summary %s: %w", filepath.Join(dir, summaryFile), err)
 	}
 	return r, nil
 }
