--- a/internal/lab/process/capped.go
+++ b/internal/lab/process/capped_log.go
@@ -8,8 +8,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// MaxLog is how many bytes of a process's output are stored. The rest is read and counted, so that a process
-// that floods its log neither blocks nor fills the disk.
+// MaxLog is how many bytes of a process's output are stored. Further bytes are read and counted, so that a
+// process that floods its log neither blocks nor fills the disk.
 const MaxLog = 4 << 20
 
 // cappedLog is a log file that stores the first MaxLog bytes written to it and counts the others.
@@ -30,7 +30,7 @@
 	return &cappedLog{path: path, file: f, remaining: MaxLog}, nil
 }
 
-// Write never fails, since the writing process must not notice the limit.
+// Write stores what fits under the limit. It never fails, since the process must not notice the limit.
 func (c *cappedLog) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +43,7 @@
 	return len(b), nil
 }
 
-// Close closes the file, after a line on how many bytes were discarded.
+// Close closes the file. If bytes were discarded, it first appends a line with their number.
 func (c *cappedLog) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/process/proc.go
+++ b/internal/lab/process/proc.go
@@ -1,5 +1,5 @@
-// Package process starts the real programs of a lab run, watches them, and ends them by process ID. They also
-// end when the lab itself is killed.
+// Package process starts the real programs of a lab run, watches them, and ends them by process ID. The
+// programs also end when the lab itself is killed.
 package process
 
 import (
@@ -27,36 +27,36 @@
 type Spec struct {
 	Name    string // name of the party, the same after a restart
 	Command []string
-	Env     []string // replaces the lab's own environment
-	Dir     string   // its working directory, which also holds its log
-	Files   []*os.File
-	FDs     uint64 // limit on file descriptors; 0: the lab's own limit
+	Env     []string   // replaces the lab's own environment
+	Dir     string     // working directory, which also holds the process's log
+	Files   []*os.File // open files that the process inherits
+	FDs     uint64     // limit on file descriptors; 0: the lab's own limit
 	// MayFail allows the process to exit by itself with status 1, for instance when it finds its folder damaged.
 	MayFail bool
-	MayEnd  bool // the process may exit by itself with status 0 once its work is done
+	MayEnd  bool // allows the process to exit by itself with status 0, once its work is done
 }
 
 // Group starts and ends the processes of a run.
 type Group struct {
 	log    *history.Log
-	starts chan func()
+	starts chan func() // run by the thread that starts all processes
 	mu     sync.Mutex
 	procs  []*Proc
 	closed bool
-	done   chan struct{}
+	done   chan struct{} // closed by Close
 }
 
-// NewGroup makes a group whose events go to log. It must be closed.
+// NewGroup returns a group that records its events in log. The group must be closed.
 func NewGroup(log *history.Log) *Group {
 	g := &Group{log: log, starts: make(chan func()), done: make(chan struct{})}
-	// The kernel kills a child (Pdeathsig) when the thread that started it ends. So one thread starts all
-	// processes, and does not end before the lab.
+	// With Pdeathsig the kernel kills a child when the thread that started it ends. So one thread, which runs
+	// until the group is closed, starts all processes.
 	go func() {
 		runtime.LockOSThread()
 		for {
 			select {
-			case f := <-g.starts:
-				f()
+			case start := <-g.starts:
+				start()
 			case <-g.done:
 				return
 			}
@@ -80,11 +80,11 @@
 	Pid          int
 	log          *history.Log
 	cmd          *exec.Cmd
-	order        atomic.Int32
+	ordered      atomic.Int32 // an orderedEnd
 	exited       chan struct{}
 	state        *os.ProcessState // set when exited is closed
 	output       *cappedLog
-	allowedExits map[int]bool // exit statuses with which it may end by itself
+	allowedExits map[int]bool // exit statuses with which the process may end by itself
 }
 
 // Start starts a process. Its output goes to the file "log" in its folder, up to MaxLog bytes.
@@ -142,17 +142,18 @@
 
 // wait waits for the end of the process and records whether it ended as ordered.
 func (p *Proc) wait() {
-	_ = p.cmd.Wait() // the state holds all that the error says
+	_ = p.cmd.Wait() // ProcessState says how the process ended
 	p.state = p.cmd.ProcessState
 	p.output.Close()
 	p.record("exit", p.state.String(), !p.asOrdered())
 	close(p.exited)
 }
 
-// asOrdered reports whether the exit status is that of the ordered end.
+// asOrdered reports whether the process ended as ordered or, if no end was ordered, with an allowed exit
+// status.
 func (p *Proc) asOrdered() bool {
 	status, _ := p.state.Sys().(syscall.WaitStatus)
-	switch orderedEnd(p.order.Load()) {
+	switch orderedEnd(p.ordered.Load()) {
 	case terminate:
 		return p.state.ExitCode() == 0
 	case kill:
@@ -162,7 +163,7 @@
 	}
 }
 
-// Exited is closed once the process has ended.
+// Exited returns a channel that is closed once the process has ended.
 func (p *Proc) Exited() <-chan struct{} { return p.exited }
 
 // Running reports whether the process has not ended.
@@ -181,22 +182,22 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Pause stops the process with SIGSTOP for the time last, or until ctx ends, and then continues it.
-func (p *Proc) Pause(ctx context.Context, last time.Duration) error {
+// Pause stops the process with SIGSTOP for the given duration, or until ctx ends, and then continues it.
+func (p *Proc) Pause(ctx context.Context, duration time.Duration) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	backoff.Sleep(ctx, last)
+	backoff.Sleep(ctx, duration)
 	return p.Signal(syscall.SIGCONT)
 }
 
 // Kill ends the process with SIGKILL.
 func (p *Proc) Kill() error {
-	p.order.Store(int32(kill))
+	p.ordered.Store(int32(kill))
 	return p.Signal(syscall.SIGKILL)
 }
 
-// KillWait kills the process, and waits until it has ended.
+// KillWait kills the process and waits until it has ended.
 func (p *Proc) KillWait() error {
 	if err := p.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
@@ -205,16 +206,16 @@
 	return nil
 }
 
-// quitTimeout is how long an overdue process has to write its stack traces after SIGQUIT.
+// quitTimeout is the time that an overdue process has to write its stack traces after SIGQUIT.
 const quitTimeout = time.Second
 
-// Term ends the process with SIGTERM. A process that still runs after patience is killed, and the history
-// records that it did not end as ordered.
+// Term ends the process with SIGTERM. If the process still runs after patience, Term kills it, and the
+// history records that the process did not end as ordered.
 func (p *Proc) Term(patience time.Duration) error {
 	if !p.Running() {
 		return nil
 	}
-	p.order.Store(int32(terminate))
+	p.ordered.Store(int32(terminate))
 	if err := p.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
@@ -265,8 +266,8 @@
 	}
 }
 
-// Close ends all running processes at the same time, each within patience, and waits for them. Later calls do
-// nothing.
+// Close ends all running processes at the same time, each within patience, and waits until they have ended.
+// Later calls do nothing.
 func (g *Group) Close(patience time.Duration) {
 	g.mu.Lock()
 	procs, alreadyClosed := g.procs, g.closed
@@ -275,19 +276,20 @@
 	if alreadyClosed {
 		return
 	}
-	var ends sync.WaitGroup
+	var ending sync.WaitGroup
 	for _, p := range procs {
-		ends.Add(1)
+		ending.Add(1)
 		go func() {
-			defer ends.Done()
+			defer ending.Done()
 			if p.Running() {
-				besteffort.Signal(p.cmd.Process.Signal(syscall.SIGCONT)) // a stopped process could not end
-				// a process that does not end is killed, and that is recorded
+				// a process that SIGSTOP has stopped can't end after SIGTERM
+				besteffort.Signal(p.cmd.Process.Signal(syscall.SIGCONT))
+				// Term kills a process that does not end, and records that
 				_ = p.Term(patience)
 			}
 		}()
 	}
-	ends.Wait()
+	ending.Wait()
 	close(g.done)
 }
 
@@ -295,30 +297,31 @@
 func (g *Group) Running() []*Proc {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var all []*Proc
+	var running []*Proc
 	for _, p := range g.procs {
 		if p.Running() {
-			all = append(all, p)
+			running = append(running, p)
 		}
 	}
-	return all
+	return running
 }
 
-// ApplyFault carries out a fault on the process. "pause" stops it for the time last; "kill" kills it and waits
-// for the time last; "restart" ends it within patience. again reports whether the caller has to start the
-// process again.
-func (p *Proc) ApplyFault(ctx context.Context, do string, last, patience time.Duration) (again bool, err error) {
-	switch do {
+// ApplyFault applies a fault of the given kind to the process. "pause" stops the process for the given
+// duration. "kill" kills it, and then waits for the duration. "restart" ends it within patience. mustStart
+// reports whether the caller has to start the process again.
+func (p *Proc) ApplyFault(ctx context.Context, kind string,
+	duration, patience time.Duration) (mustStart bool, err error) {
+	switch kind {
 	case "pause":
-		return false, p.Pause(ctx, last)
+		return false, p.Pause(ctx, duration)
 	case "kill":
 		if err := p.KillWait(); err != nil {
 			return false, err
 		}
-		backoff.Sleep(ctx, last)
+		backoff.Sleep(ctx, duration)
 		return true, nil
 	case "restart":
 		return true, p.Term(patience)
 	}
-	return false, fmt.Errorf("%s can't be done to %s", do, p.Name)
+	return false, fmt.Errorf("apply fault %q to process %s: unknown kind of fault", kind, p.Name)
 }
--- a/internal/lab/process/proc_test.go
+++ b/internal/lab/process/proc_test.go
@@ -22,19 +22,20 @@
 
 const hangTimeout = 30 * time.Second // longer than any step takes unless it hangs
 
-// TestMain runs the tests, or the process that a test starts, which PROC_TEST selects.
+// TestMain runs the tests or, if PROC_TEST is set, the process that a test has started. PROC_TEST selects
+// what this process does.
 func TestMain(m *testing.M) {
 	switch os.Getenv("PROC_TEST") {
-	case "deaf": // ignores SIGTERM
+	case "ignore-sigterm":
 		signal.Ignore(syscall.SIGTERM)
-		fmt.Println("deaf")
+		fmt.Println("ignoring SIGTERM")
 		time.Sleep(hangTimeout)
-	case "flood":
+	case "flood-log":
 		line := strings.Repeat("x", 1023)
 		for range 2 * MaxLog / 1024 {
 			fmt.Fprintln(os.Stderr, line)
 		}
-	case "owner": // a lab, which the test kills
+	case "lab": // starts a process, as a lab does; the test kills the lab
 		g := NewGroup(must(history.New("")))
 		p := must(g.Start(testSpec(os.Getenv("PROC_DIR"), "sleep")))
 		fmt.Println(p.Pid)
@@ -46,6 +47,7 @@
 	}
 }
 
+// must returns v, and panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -53,29 +55,30 @@
 	return v
 }
 
-func testSpec(dir, what string) Spec {
-	return Spec{Name: what, Command: []string{os.Args[0]}, Env: []string{"PROC_TEST=" + what}, Dir: dir, FDs: 64}
+func testSpec(dir, role string) Spec {
+	return Spec{Name: role, Command: []string{os.Args[0]}, Env: []string{"PROC_TEST=" + role}, Dir: dir, FDs: 64}
 }
 
-// countExits returns the number of exits, and of events that were not as ordered.
-func countExits(l *history.Log) (all, bad int) {
+// countExits returns the number of exits, and the number of events that are marked as bad.
+func countExits(l *history.Log) (exits, bad int) {
 	for _, e := range l.Events() {
 		if e.How == "exit" {
-			all++
+			exits++
 		}
 		if e.Bad {
 			bad++
 		}
 	}
-	return all, bad
+	return exits, bad
 }
 
-func startTestProcess(t *testing.T, what string) (*Group, *history.Log, *Proc, string) {
+// startTestProcess starts a process with the given role, and returns it with its group, history and log file.
+func startTestProcess(t *testing.T, role string) (*Group, *history.Log, *Proc, string) {
 	t.Helper()
 	l, dir := must(history.New("")), t.TempDir()
 	g := NewGroup(l)
 	t.Cleanup(func() { g.Close(time.Millisecond) })
-	p, err := g.Start(testSpec(dir, what))
+	p, err := g.Start(testSpec(dir, role))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +88,7 @@
 // TestProcessThatIgnoresSigtermIsKilledAndRecorded: a process that ignores SIGTERM is killed after the
 // patience, and the history records that its end was not as ordered.
 func TestProcessThatIgnoresSigtermIsKilledAndRecorded(t *testing.T) {
-	g, l, p, log := startTestProcess(t, "deaf")
+	g, l, p, log := startTestProcess(t, "ignore-sigterm")
 	for until := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
 		if b, _ := os.ReadFile(log); len(b) > 0 {
 			break
@@ -94,15 +97,15 @@
 		}
 	}
 	g.Close(50 * time.Millisecond)
-	if all, bad := countExits(l); p.Running() || all != 1 || bad == 0 {
-		t.Errorf("the process runs: %v; %d ends, %d not as ordered", p.Running(), all, bad)
+	if exits, bad := countExits(l); p.Running() || exits != 1 || bad == 0 {
+		t.Errorf("the process runs: %v; %d exits, %d bad events", p.Running(), exits, bad)
 	}
 	if _, err := g.Start(testSpec(t.TempDir(), "sleep")); err == nil {
 		t.Error("a closed group starts a process")
 	}
 }
 
-// TestCloseEndsAStoppedProcess: a process stopped by SIGSTOP ends too.
+// TestCloseEndsAStoppedProcess: Close also ends a process that SIGSTOP has stopped.
 func TestCloseEndsAStoppedProcess(t *testing.T) {
 	g, _, p, _ := startTestProcess(t, "sleep")
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
@@ -114,45 +117,45 @@
 	}
 }
 
-// TestOnlyAnUnorderedEndIsRecordedAsBad: an ordered kill is not recorded as bad, an exit without an order is.
+// TestOnlyAnUnorderedEndIsRecordedAsBad: an exit without an order is recorded as bad, an ordered kill is not.
 func TestOnlyAnUnorderedEndIsRecordedAsBad(t *testing.T) {
 	_, l, p, _ := startTestProcess(t, "sleep")
 	if err := p.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	<-p.Exited()
-	if all, bad := countExits(l); all != 1 || bad != 0 {
-		t.Errorf("%d ends, %d not as ordered", all, bad)
+	if exits, bad := countExits(l); exits != 1 || bad != 0 {
+		t.Errorf("%d exits, %d bad events; want one exit and no bad event", exits, bad)
 	}
-	_, l, p, _ = startTestProcess(t, "flood")
+	_, l, p, _ = startTestProcess(t, "flood-log")
 	<-p.Exited()
 	if _, bad := countExits(l); bad != 1 {
-		t.Errorf("an end by itself counts as ordered")
+		t.Errorf("an exit without an order is not recorded as one bad event")
 	}
 }
 
 // TestFloodedLogIsCutAndDoesNotBlockTheProcess: output beyond MaxLog is discarded, and the process is not
 // blocked.
 func TestFloodedLogIsCutAndDoesNotBlockTheProcess(t *testing.T) {
-	_, _, p, log := startTestProcess(t, "flood")
+	_, _, p, log := startTestProcess(t, "flood-log")
 	<-p.Exited()
 	b, err := os.ReadFile(log)
 	if err != nil || len(b) < MaxLog || len(b) > MaxLog+200 || !strings.Contains(string(b[MaxLog:]), "passed over") {
-		t.Errorf("%d bytes are kept of twice %d, %v", len(b), MaxLog, err)
+		t.Errorf("the log has %d bytes, want %d and a line on the discarded ones; error %v", len(b), MaxLog, err)
 	}
 }
 
 func TestWaitReadyFailsWhenTheProcessEnds(t *testing.T) {
-	_, _, p, _ := startTestProcess(t, "flood")
+	_, _, p, _ := startTestProcess(t, "flood-log")
 	if err := p.WaitReady(context.Background(), "http://127.0.0.1:1/"); err == nil || !strings.Contains(err.Error(), "ended before") {
-		t.Errorf("WaitReady of a process that ends returns %v", err)
+		t.Errorf("WaitReady of a process that ends returned %v", err)
 	}
 }
 
 // TestProcessesEndWhenTheLabIsKilled: the processes of a lab end even when the lab is killed.
 func TestProcessesEndWhenTheLabIsKilled(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "PROC_TEST=owner", "PROC_DIR="+t.TempDir())
+	cmd.Env = append(os.Environ(), "PROC_TEST=lab", "PROC_DIR="+t.TempDir())
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -170,7 +173,7 @@
 		t.Fatal(err)
 	}
 	if _, err := UseOf(pid); err != nil {
-		t.Fatalf("the process does not run: %v", err)
+		t.Fatalf("read resource use of the process that the lab started: %v", err)
 	}
 	besteffort.Signal(cmd.Process.Kill())
 	_, _ = io.Copy(io.Discard, in)
@@ -186,7 +189,7 @@
 	}
 }
 
-// alive reports whether a process runs; a zombie does not.
+// alive reports whether a process runs. A zombie does not run.
 func alive(pid int) bool {
 	if errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) {
 		return false
--- a/internal/lab/process/use.go
+++ b/internal/lab/process/resource_use.go
@@ -19,7 +19,7 @@
 	RSS   int64         // bytes
 	FDs   int           // open descriptors
 	CPU   time.Duration // processor time since its start
-	Stall time.Duration // time for which its threads were ready to run and had no core, since their start
+	Stall time.Duration // total time for which its running threads were ready to run but had no core
 }
 
 // UseOf reads the resource use of a process from /proc.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return u, err
 	}
-	for _, t := range tasks { // a thread may have ended since
+	for _, t := range tasks { // skip threads that have ended since
 		if b, err := os.ReadFile(dir + "task/" + t.Name() + "/schedstat"); err == nil {
 			if f := bytes.Fields(b); len(f) >= 2 {
 				u.Stall += time.Duration(parseInt(f[1]))
@@ -55,14 +55,14 @@
 	return u, nil
 }
 
-// ThreadCPU returns the processor time of a process's running threads, in nanosecond resolution.
+// ThreadCPU returns the total processor time of a process's running threads, in nanosecond resolution.
 func ThreadCPU(pid int) (sum time.Duration, err error) {
 	dir := fmt.Sprintf("/proc/%d/task/", pid)
 	tasks, err := os.ReadDir(dir)
 	if err != nil {
 		return 0, err
 	}
-	for _, t := range tasks { // a thread may have ended since
+	for _, t := range tasks { // skip threads that have ended since
 		if b, err := os.ReadFile(dir + t.Name() + "/schedstat"); err == nil {
 			if f := bytes.Fields(b); len(f) >= 1 {
 				sum += time.Duration(parseInt(f[0]))
@@ -72,6 +72,7 @@
 	return sum, nil
 }
 
+// parseInt parses a number from a file in /proc.
 func parseInt(b []byte) int64 {
 	n, _ := strconv.ParseInt(string(b), 10, 64) // the kernel always writes numbers
 	return n
