--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -19,8 +19,8 @@
 	"wrenspread/internal/lab/world"
 )
 
-// lateAnswerWait is how long after a client's timeout the lab still waits for an answer, to distinguish a
-// late answer from a missing one.
+// lateAnswerWait is the time for which the lab waits for an answer after a client's timeout, to distinguish a
+// late answer from a missing answer.
 const lateAnswerWait = 500 * time.Millisecond
 
 // Clients sends the operations of a run, each with its tries, and records their outcomes.
@@ -31,14 +31,15 @@
 	seed        uint64
 	connections pool
 	running     sync.WaitGroup
-	// Late is called with how late each operation was sent: the lab's own lateness.
+	// Late is called for each operation with the delay between its due time and its sending: the lab's own
+	// lateness.
 	Late func(time.Duration)
-	// Disturbed reports whether a fault acts, or acted a moment ago, on a node or on the link to it. Then the
-	// end of a connection does not show whether the node has read the request.
+	// Disturbed reports whether a fault acts, or acted a moment ago, on a node or on the link to it. In that
+	// case the end of a connection does not show whether the node has read the request.
 	Disturbed func(node string) bool
 }
 
-// New makes clients that choose their nodes with front.
+// New returns clients that choose their nodes with front.
 func New(log *history.Log, front *Front, requests *load.RequestIndex, seed uint64) *Clients {
 	c := &Clients{log: log, front: front, requests: requests, seed: seed, Late: func(time.Duration) {},
 		Disturbed: func(string) bool { return false }}
@@ -48,20 +49,21 @@
 	return c
 }
 
-// Run sends every operation when it is due, counted from start, whether or not previous ones have ended. It
-// returns when all operations have ended. It sends no more once ctx ends.
+// Run sends every operation when it is due, counted from start, whether or not previous operations have
+// ended. Once ctx ends it sends no further operations. It returns when all operations that it sent have
+// ended.
 func (c *Clients) Run(ctx context.Context, start time.Duration, ops []load.Op) {
 	defer c.connections.close()
-	swept := start
+	lastSweep := start
 	for i := range ops {
 		op := &ops[i]
 		due := start + op.Due
 		if !backoff.Sleep(ctx, due-c.log.Now()) {
 			break
 		}
-		if c.log.Now()-swept > time.Second {
+		if c.log.Now()-lastSweep > time.Second {
 			c.connections.sweep()
-			swept = c.log.Now()
+			lastSweep = c.log.Now()
 		}
 		c.Late(c.log.Now() - due)
 		c.log.Add(
@@ -80,15 +82,16 @@
 type result struct {
 	how        string
 	status     int
-	box        string
+	backend    string
 	took       time.Duration
 	retryAfter time.Duration
-	responded  bool // the node sent at least one byte, or nothing until the timeout
+	responded  bool // the node sent at least one byte, or the try ended by its timeout
 }
 
-// carryOut sends an operation's tries until one succeeds, the client may not retry, or the deadline is near.
+// carryOut sends an operation's tries until a try succeeds, the client may not retry, or the deadline comes
+// before the next try.
 func (c *Clients) carryOut(ctx context.Context, op *load.Op, due time.Duration) {
-	var last result
+	var lastResult result
 	var node string
 	tries := 0
 	for try := 0; ; try++ {
@@ -98,20 +101,20 @@
 		}
 		wait := min(remaining, time.Duration(op.Share*float64(op.Class.Deadline)))
 		tries++
-		node, last = c.try(op, try, wait)
-		if !c.shouldRetry(op, last) || try >= op.Retries {
+		node, lastResult = c.try(op, try, wait)
+		if !c.shouldRetry(op, lastResult) || try >= op.Retries {
 			break
 		}
 		delay := op.Backoff[try]
-		if op.HonorsRetryAfter && last.retryAfter > 0 {
-			delay = max(delay, min(last.retryAfter, world.MaxRetryAfter))
+		if op.HonorsRetryAfter && lastResult.retryAfter > 0 {
+			delay = max(delay, min(lastResult.retryAfter, world.MaxRetryAfter))
 		}
 		if c.log.Now()+delay-due >= op.Class.Deadline || !backoff.Sleep(ctx, delay) {
 			break
 		}
 	}
 	if tries == 0 { // the lab was too late to send it before its deadline
-		last.how = history.Unreached
+		lastResult.how = history.Unreached
 	}
 	c.log.Add(
 		history.Event{
@@ -121,17 +124,17 @@
 			Tenant:  op.Tenant,
 			Zone:    op.Zone,
 			Node:    node,
-			How:     last.how,
-			Status:  last.status,
+			How:     lastResult.how,
+			Status:  lastResult.status,
 			Took:    c.log.Now() - due,
 			Tries:   tries,
-			Backend: last.box,
+			Backend: lastResult.backend,
 		},
 	)
 }
 
-// shouldRetry reports whether a client retries: a safe operation after any result but success, other
-// operations only when they are known not to have run.
+// shouldRetry reports whether a client retries an operation after the result r. It retries a safe operation
+// after any result but success, and other operations only if they are known not to have run.
 func (c *Clients) shouldRetry(op *load.Op, r result) bool {
 	switch r.how {
 	case history.Served:
@@ -142,8 +145,8 @@
 	return op.Class.Effect == world.Safe
 }
 
-// try sends one try to a node. A request that crossed the node's close of a reused connection is sent once
-// more, on a new connection.
+// try sends one try to a node. If the node closed a reused connection while the request was on its way, try
+// sends the request once more, on a new connection.
 func (c *Clients) try(op *load.Op, try int, wait time.Duration) (node string, r result) {
 	node, address, ok := c.front.pick(op.Zone, op.NodeChoice+uint64(try))
 	if !ok {
@@ -174,7 +177,7 @@
 		How:     r.how,
 		Status:  r.status,
 		Took:    r.took,
-		Backend: r.box,
+		Backend: r.backend,
 	}
 	if !cn.used && !r.responded {
 		e.Detail = history.Fresh
@@ -189,7 +192,7 @@
 	return node, r
 }
 
-// unreached records a try that found no connection.
+// unreached records a try for which no connection was made.
 func (c *Clients) unreached(op *load.Op, id, node string) result {
 	c.log.Add(
 		history.Event{
@@ -204,7 +207,7 @@
 	return result{how: history.Unreached}
 }
 
-// exchange sends one request and waits for its answer. keep reports whether the connection can be reused.
+// exchange sends a request and waits for its answer. keep reports whether the connection can be reused.
 func (c *Clients) exchange(
 	cn *conn,
 	op *load.Op,
@@ -229,9 +232,9 @@
 			Wait:  wait,
 		},
 	)
-	first, err := cn.reader.Peek(1)
+	peeked, err := cn.reader.Peek(1)
 	if err != nil {
-		r = result{how: history.Broken, took: c.log.Now() - sent, responded: len(first) > 0}
+		r = result{how: history.Broken, took: c.log.Now() - sent, responded: len(peeked) > 0}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			r.how, r.responded = history.Silent, true
 		}
@@ -250,10 +253,10 @@
 	}
 	r.how = outcome(resp.StatusCode)
 	if r.how == history.Served {
-		madeFor, box, _ := strings.Cut(string(body), " ")
-		r.box = box
+		madeFor, backend, _ := strings.Cut(string(body), " ")
+		r.backend = backend
 		if madeFor != id {
-			r.box = "?" // the answer belongs to another request
+			r.backend = "?" // the answer belongs to another request
 		}
 	}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
@@ -262,7 +265,7 @@
 	return r, !resp.Close
 }
 
-// outcome returns the history's word for a response status.
+// outcome returns the value of Event.How for a response status.
 func outcome(status int) string {
 	switch status {
 	case http.StatusOK:
--- a/internal/lab/client/front.go
+++ b/internal/lab/client/front.go
@@ -21,27 +21,27 @@
 	allNodes   []*nodeState
 }
 
-// nodeState is what the front knows of one node.
+// nodeState is the front's state of one node.
 type nodeState struct {
 	name, address string
-	admitted      bool
+	admitted      bool      // requests may be sent to the node
 	leaving       bool      // a planned restart is under way
 	failingSince  time.Time // when health checks began to fail; zero: they succeed
 }
 
-// NewFront makes a front that notices a node's death after the time notice.
-func NewFront(notice time.Duration) *Front {
-	return &Front{deathDelay: notice, nodes: map[string]*nodeState{}, zones: map[string][]*nodeState{}}
+// NewFront returns a front that notices a node's death after deathDelay.
+func NewFront(deathDelay time.Duration) *Front {
+	return &Front{deathDelay: deathDelay, nodes: map[string]*nodeState{}, zones: map[string][]*nodeState{}}
 }
 
 // Add adds a node of a zone, with the address at which clients reach it.
 func (f *Front) Add(name, zone, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := &nodeState{name: name, address: address}
-	f.nodes[name] = d
-	f.zones[zone] = append(f.zones[zone], d)
-	f.allNodes = append(f.allNodes, d)
+	n := &nodeState{name: name, address: address}
+	f.nodes[name] = n
+	f.zones[zone] = append(f.zones[zone], n)
+	f.allNodes = append(f.allNodes, n)
 }
 
 const (
@@ -51,16 +51,16 @@
 
 // Watch checks the health of all nodes until ctx ends.
 func (f *Front) Watch(ctx context.Context) {
-	var all sync.WaitGroup
+	var watches sync.WaitGroup
 	client := &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, d := range f.allNodes {
-		all.Add(1)
+	for _, n := range f.allNodes {
+		watches.Add(1)
 		go func() {
-			defer all.Done()
+			defer watches.Done()
 			t := time.NewTicker(healthCheckInterval)
 			defer t.Stop()
 			for {
-				f.recordHealth(d, healthy(ctx, client, d.address))
+				f.recordHealth(n, healthy(ctx, client, n.address))
 				select {
 				case <-t.C:
 				case <-ctx.Done():
@@ -69,7 +69,7 @@
 			}
 		}()
 	}
-	all.Wait()
+	watches.Wait()
 	client.CloseIdleConnections()
 }
 
@@ -89,21 +89,21 @@
 
 // recordHealth applies the result of a health check: success admits the node, and failure for deathDelay
 // removes it.
-func (f *Front) recordHealth(d *nodeState, isHealthy bool) {
+func (f *Front) recordHealth(n *nodeState, isHealthy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case d.leaving:
+	case n.leaving:
 	case isHealthy:
-		d.admitted, d.failingSince = true, time.Time{}
-	case d.failingSince.IsZero():
-		d.failingSince = time.Now()
-	case time.Since(d.failingSince) >= f.deathDelay:
-		d.admitted = false
+		n.admitted, n.failingSince = true, time.Time{}
+	case n.failingSince.IsZero():
+		n.failingSince = time.Now()
+	case time.Since(n.failingSince) >= f.deathDelay:
+		n.admitted = false
 	}
 }
 
-// Leave takes a node that is about to be restarted out of the choice, until Return.
+// Leave stops sending requests to a node that is about to be restarted, until Return is called.
 func (f *Front) Leave(name string) { f.setLeaving(name, true) }
 
 // Return allows a node to be admitted again once it is ready.
@@ -122,30 +122,30 @@
 func (f *Front) Admitted() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := 0
-	for _, d := range f.allNodes {
-		if d.admitted {
-			n++
+	count := 0
+	for _, n := range f.allNodes {
+		if n.admitted {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// pick chooses an admitted node of the client's zone, or of any zone if the zone has none. by selects among
-// them.
-func (f *Front) pick(zone string, by uint64) (name, address string, ok bool) {
+// pick returns an admitted node of the client's zone, or of any zone if no node of the client's zone is
+// admitted. choice selects among the admitted nodes.
+func (f *Front) pick(zone string, choice uint64) (name, address string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, doors := range [][]*nodeState{f.zones[zone], f.allNodes} {
-		var open []*nodeState
-		for _, d := range doors {
-			if d.admitted {
-				open = append(open, d)
+	for _, candidates := range [][]*nodeState{f.zones[zone], f.allNodes} {
+		var admitted []*nodeState
+		for _, n := range candidates {
+			if n.admitted {
+				admitted = append(admitted, n)
 			}
 		}
-		if len(open) > 0 {
-			d := open[by%uint64(len(open))]
-			return d.name, d.address, true
+		if len(admitted) > 0 {
+			n := admitted[choice%uint64(len(admitted))]
+			return n.name, n.address, true
 		}
 	}
 	return "", "", false
--- a/internal/lab/client/pool.go
+++ b/internal/lab/client/pool.go
@@ -18,7 +18,7 @@
 	reader *bufio.Reader
 	node   string
 	lastID string // ID of the previous request
-	used   bool
+	used   bool   // at least one request was answered on it
 }
 
 const (
@@ -29,7 +29,7 @@
 // pool holds the clients' idle connections.
 type pool struct {
 	mu           sync.Mutex
-	idle         map[string][]idleConn // by address, the most recently used last
+	idle         map[string][]idleConn // by address; the most recently used connection is the last
 	onExtraBytes func(c *conn)         // called when bytes arrive outside of an answer
 	closed       bool
 }
@@ -63,12 +63,12 @@
 func (p *pool) pop(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := p.idle[address]
-	if len(all) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := all[len(all)-1]
-	p.idle[address] = all[:len(all)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c.conn
 }
 
@@ -83,17 +83,17 @@
 		return false
 	}
 	var n int
-	var seen error
+	var peekErr error
 	err = raw.Control(func(fd uintptr) {
-		n, _, seen = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, peekErr = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if n > 0 {
 		extra(c)
 	}
-	return err == nil && errors.Is(seen, unix.EAGAIN)
+	return err == nil && errors.Is(peekErr, unix.EAGAIN)
 }
 
-// put makes a connection available for reuse.
+// put adds an idle connection to the pool, or closes the connection if the pool is closed.
 func (p *pool) put(address string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,21 +104,22 @@
 	p.idle[address] = append(p.idle[address], idleConn{c, time.Now()})
 }
 
-// sweep closes connections that were idle for longer than maxIdleTime, or all if the pool is closed.
+// sweep closes connections that were idle for longer than maxIdleTime, or all connections if the pool is
+// closed.
 func (p *pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, all := range p.idle {
-		old := 0
-		for old < len(all) && (p.closed || time.Since(all[old].since) > maxIdleTime) {
-			besteffort.Close(all[old])
-			old++
+	for address, conns := range p.idle {
+		expired := 0
+		for expired < len(conns) && (p.closed || time.Since(conns[expired].since) > maxIdleTime) {
+			besteffort.Close(conns[expired])
+			expired++
 		}
-		p.idle[address] = all[old:]
+		p.idle[address] = conns[expired:]
 	}
 }
 
-// close closes the idle connections, and those that are put back later.
+// close closes the idle connections. A connection that is put back later is closed too.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -12,10 +12,10 @@
 	"wrenspread/internal/registry/server"
 )
 
-// Enough is a timeout that is only reached when something hangs.
+// Enough is a timeout that no step of a test reaches unless it hangs.
 const Enough = time.Minute
 
-// Address reserves a port on this machine until the test ends.
+// Address returns a loopback address whose port is reserved until the test ends.
 func Address(t testing.TB) string {
 	t.Helper()
 	a, free, err := link.Reserve()
@@ -26,12 +26,12 @@
 	return a
 }
 
-// Run runs do in the background until stop is called, which cancels the context and fails the test if do
-// returned an error.
-func Run(t testing.TB, do func(context.Context) error) (stop func()) {
+// Run calls run in the background. stop cancels run's context, waits until run has returned, and fails the
+// test if run returned an error.
+func Run(t testing.TB, run func(context.Context) error) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- do(ctx) }()
+	go func() { ended <- run(ctx) }()
 	return func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -40,28 +40,30 @@
 	}
 }
 
-// Await waits until the condition is true, and fails the test after Enough. what names the condition.
+// Await waits until the condition is true. It fails the test if that takes longer than Enough. what names the
+// condition in the failure.
 func Await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for until := time.Now().Add(Enough); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%s does not come", what)
+			t.Fatalf("timed out while waiting for: %s", what)
 		}
 	}
 }
 
-// List runs a registry with one replica until the test ends, and returns its address and a client.
-func List(t testing.TB) (address string, k *client.Client) {
+// List runs a registry with one replica until the test ends. It returns the address of the registry and a
+// client for it.
+func List(t testing.TB) (address string, registryClient *client.Client) {
 	t.Helper()
 	c := server.Default()
 	c.Folder, c.Listen, c.ElectionTimeout = t.TempDir(), Address(t), 50*time.Millisecond
 	t.Cleanup(
 		Run(t, func(ctx context.Context) error { return server.Run(ctx, c, slog.New(slog.DiscardHandler)) }),
 	)
-	k, err := client.New(client.Config{Addresses: []string{c.Listen}})
+	registryClient, err := client.New(client.Config{Addresses: []string{c.Listen}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(k.Close)
-	return c.Listen, k
+	t.Cleanup(registryClient.Close)
+	return c.Listen, registryClient
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,4 +1,5 @@
-// Package load draws, by seed and in advance, all operations of the lab's clients. It has no side effects.
+// Package load draws all operations of the lab's clients before a run. The seed determines them. The package
+// has no side effects.
 package load
 
 import (
@@ -10,7 +11,7 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Op is one operation of a client: a first try and, where its outcome allows that, retries.
+// Op is one operation of a client: a first try and, if the outcome of the previous try allows it, retries.
 type Op struct {
 	N                int // the operation's number, from 1
 	Due              time.Duration
@@ -31,9 +32,9 @@
 type Shape struct {
 	Rate   float64       // mean number of operations per second
 	Length time.Duration // time during which operations arrive
-	Bursty bool          // the rate oscillates by the share Swing
-	Swing  float64
-	Skew   float64 // what the first zone has beyond an even share, as a fraction of that share
+	Bursty bool          // the rate oscillates
+	Swing  float64       // amplitude of the oscillation, as a share of the rate
+	Skew   float64       // additional load of the first zone, as a fraction of an even share
 	Surges []Surge
 }
 
@@ -59,7 +60,7 @@
 		if t >= s.Length {
 			break
 		}
-		threshold := r.Float64() * maxRate // arrivals are drawn at the highest rate and thinned to the present one
+		threshold := r.Float64() * maxRate // arrivals are drawn at the highest rate and thinned to the rate at t
 		op := drawOp(r, w, s, t, seed, len(ops)+1)
 		if threshold < s.rateAt(t) {
 			ops = append(ops, op)
@@ -82,7 +83,7 @@
 	return rate
 }
 
-// drawOp draws one operation that is due at a time.
+// drawOp draws operation n, which is due at the time due.
 func drawOp(r *rand.Rand, w world.World, s Shape, due time.Duration, seed uint64, n int) Op {
 	classes := make([]float64, len(w.Classes))
 	for i, c := range w.Classes {
@@ -124,15 +125,15 @@
 	return op
 }
 
-// choose draws an index with the probabilities that the weights give.
+// choose draws an index with a probability that is proportional to its weight.
 func choose(r *rand.Rand, weights []float64) int {
 	var sum float64
 	for _, w := range weights {
 		sum += w
 	}
-	pick := r.Float64() * sum
+	remaining := r.Float64() * sum
 	for i, w := range weights {
-		if pick -= w; pick < 0 {
+		if remaining -= w; remaining < 0 {
 			return i
 		}
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,14 +15,14 @@
 	s := Shape{Rate: 400, Length: 60 * time.Second, Bursty: true, Swing: 0.3, Surges: []Surge{{From: 20 * time.Second, To: 30 * time.Second, Times: 3}}}
 	ops := Draw(3, w, s)
 	if !reflect.DeepEqual(ops, Draw(3, w, s)) {
-		t.Error("one seed gives two loads")
+		t.Error("two draws with the same seed differ")
 	}
 	ids := map[string]bool{}
 	perClass := map[string]int{}
 	surged := 0
 	for i, op := range ops {
 		if op.N != i+1 || i > 0 && op.Due < ops[i-1].Due {
-			t.Fatalf("operation %d is number %d, due at %v", i, op.N, op.Due)
+			t.Fatalf("operation at index %d has number %d and is due at %v: wrong number or order", i, op.N, op.Due)
 		}
 		for try := range 3 {
 			ids[op.ID(3, try)] = true
@@ -33,7 +33,7 @@
 		}
 	}
 	if len(ids) != 3*len(ops) {
-		t.Errorf("%d ids for %d tries", len(ids), 3*len(ops))
+		t.Errorf("%d different IDs for %d tries", len(ids), 3*len(ops))
 	}
 	// 400 per second for 50 s, 1,200 for 10 s; five standard deviations are under 3%.
 	if n := len(ops); n < 31000 || n > 33000 || surged < 10800 || surged > 13200 {
