--- a/internal/lab/backend/box.go
+++ b/internal/lab/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend emulates one app backend: a queue whose service rate depends on its cores, pauses, warm-up
-// and degradations. It has no side effects: each call passes an event and the time, and returns the resulting
-// actions. Times count from the start of the run and never go back.
+// Package backend emulates an app backend: a queue whose service rate depends on its cores, pauses, warm-up
+// and degradations. The package has no side effects: each call passes an event and the time, and returns the
+// resulting actions. Times count from the start of the run and never go back.
 package backend
 
 import (
@@ -19,19 +19,19 @@
 	Work time.Duration
 }
 
-// ActionKind is what a backend does with a job.
+// ActionKind says what happened to a job or to the backend.
 type ActionKind int
 
 // The kinds of actions.
 const (
 	Begun    ActionKind = iota // the work starts, so the job may have an effect
-	Dropped                    // the job repeats a key that its pod has seen
+	Dropped                    // the job repeats a key that its pod has begun within the window
 	Rejected                   // the job is rejected without being started; Reason says why
 	Done                       // the job is answered with Status
 	Fell                       // the backend has fallen over; it answers nothing more
 )
 
-// Action is one thing that a backend does.
+// Action is one result of an event at a backend. Num is the number of the job.
 type Action struct {
 	Kind   ActionKind
 	Num    uint64
@@ -39,7 +39,7 @@
 	Reason string
 }
 
-// Degradation is a degradation of a backend. The zero value has no effect.
+// Degradation describes how a backend is degraded. The zero value has no effect.
 type Degradation struct {
 	Slower float64 // factor by which work is slower; 0 or 1: none
 	Hangs  bool    // accepts jobs and answers none
@@ -47,7 +47,7 @@
 	Taken  float64 // share of the machine that another program uses
 }
 
-// Merge combines two degradations. Their order makes no difference.
+// Merge combines two degradations. The order of merging makes no difference.
 func Merge(a, b Degradation) Degradation {
 	return Degradation{
 		Slower: max(1, a.Slower) * max(1, b.Slower),
@@ -69,7 +69,7 @@
 	return &Pod{window: window, begun: map[string]time.Duration{}}
 }
 
-// begin reports whether a job with this key and arrival time has to run. If so, it records that the key
+// begin reports whether a job with this key and arrival time has to run. If so, begin records that the key
 // begins now.
 func (p *Pod) begin(key string, arrived, now time.Duration) bool {
 	if t, ok := p.begun[key]; ok && arrived <= t+p.window {
@@ -79,7 +79,7 @@
 	return true
 }
 
-// maxStep bounds the time for which a rate that changes continuously is taken as constant.
+// maxStep is the longest time for which a continuously changing service rate is treated as constant.
 const maxStep = 50 * time.Millisecond
 
 // fallTolerance is the factor by which a cold backend tolerates more work than the rule allows nodes to send,
@@ -98,13 +98,13 @@
 	fallen      bool
 	degradation Degradation
 
-	pauseFrom, pauseTo time.Duration // the next pause, or the present one
-	crowdedSince       time.Duration // since when there are too many jobs; -1: there are not
+	pauseFrom, pauseTo time.Duration // the next or current pause
+	crowdedSince       time.Duration // when there began to be too many jobs; -1: there are not too many
 	overloaded         bool
 	overloadedAt       time.Duration
-	restingSince       time.Duration // since when the backend is mostly idle; -1: it is not
+	restingSince       time.Duration // when the backend became mostly idle; -1: it is not mostly idle
 
-	// work that a job in service since the start would have had; jobs share the rate evenly
+	// work that a job in service since the start would have received; jobs share the service rate evenly
 	servicePerJob float64
 	running       jobHeap
 	waiting       []*job
@@ -118,13 +118,14 @@
 	endsAt  float64 // value of servicePerJob at which the job is done
 }
 
-// arrivedWork is work that arrived at a time, in seconds on a standard core.
+// arrivedWork is work with the time of its arrival, in seconds on a standard core.
 type arrivedWork struct {
 	at   time.Duration
 	work float64
 }
 
-// New makes a backend that is warm, or cold as after a start. Its random pauses and errors depend on seed.
+// New returns a backend that is warm or, as after a start, cold. seed determines its random pauses and
+// errors.
 func New(m world.Machine, pod *Pod, seed uint64, now time.Duration, cold bool) *Backend {
 	b := &Backend{machine: m, pod: pod, rng: rand.New(rand.NewPCG(seed, 0x626f78)), now: now, started: now,
 		cold:         cold,
@@ -133,7 +134,7 @@
 	return b
 }
 
-// nextPause draws the next pause after a time.
+// nextPause draws the next pause after the time after.
 func (b *Backend) nextPause(after time.Duration) {
 	if b.machine.PauseEvery <= 0 {
 		b.pauseFrom, b.pauseTo = math.MaxInt64, math.MaxInt64
@@ -147,7 +148,8 @@
 // seconds on a standard core.
 func (b *Backend) Capacity(now time.Duration) float64 { return b.machine.Capacity() * b.warmth(now) }
 
-// warmth returns the share of its capacity that the backend has now. It grows with time and with work done.
+// warmth returns the share of its full capacity that the backend has now. The share grows with time and with
+// the work done.
 func (b *Backend) warmth(now time.Duration) float64 {
 	if !b.cold || b.machine.ColdTime <= 0 {
 		return 1
@@ -157,7 +159,7 @@
 	return b.machine.ColdFrom + (1-b.machine.ColdFrom)*min(1, max(byTime, byWork))
 }
 
-// ratePerJob returns the work per second that each job in service gets.
+// ratePerJob returns the work per second that each job in service receives.
 func (b *Backend) ratePerJob() float64 {
 	n := len(b.running)
 	if n == 0 || b.fallen || b.degradation.Hangs || (b.now >= b.pauseFrom && b.now < b.pauseTo) {
@@ -177,7 +179,7 @@
 	return r
 }
 
-// Next returns when Tick has to be called, if no other call comes before that time.
+// Next returns the time at which Tick has to be called, unless another method is called before.
 func (b *Backend) Next() time.Duration {
 	next := b.pauseFrom
 	if b.now >= b.pauseFrom {
@@ -196,7 +198,8 @@
 // Tick advances the backend to now.
 func (b *Backend) Tick(now time.Duration) []Action { return b.advance(now, nil) }
 
-// advance moves the state forward to now in steps of constant rate, and adds the resulting actions to outs.
+// advance moves the state forward to now in steps of constant rate, and appends the resulting actions to
+// actions.
 func (b *Backend) advance(now time.Duration, actions []Action) []Action {
 	for b.now < now {
 		to := min(now, max(b.Next(), b.now+1))
@@ -216,7 +219,7 @@
 	return actions
 }
 
-// finish answers the jobs whose work is done, and starts waiting jobs in their slots.
+// finish answers the jobs whose work is done, and starts waiting jobs in the free slots.
 func (b *Backend) finish(actions []Action) []Action {
 	for len(b.running) > 0 && b.running[0].endsAt <= b.servicePerJob+1e-12 {
 		j := heap.Pop(&b.running).(*job)
@@ -239,7 +242,7 @@
 	return actions
 }
 
-// start begins a job, or answers it at once if its pod has seen its key.
+// start begins a job, or answers the job at once if its pod has begun its key within the window.
 func (b *Backend) start(j *job, actions []Action) []Action {
 	if j.Key != "" && !b.pod.begin(j.Key, j.arrived, b.now) {
 		return append(actions, Action{Kind: Dropped, Num: j.Num}, Action{Kind: Done, Num: j.Num, Status: 200})
@@ -249,26 +252,27 @@
 	return append(actions, Action{Kind: Begun, Num: j.Num})
 }
 
-// updateOverload enters the overload state when there were too many jobs for too long, and leaves it after
-// enough idle time or the longest duration.
+// updateOverload enters the overload state after there have been too many jobs for too long. It leaves the
+// state after enough idle time or the longest duration.
 func (b *Backend) updateOverload() {
-	c := b.machine.Overload
-	if c.At <= 0 {
+	overload := b.machine.Overload
+	if overload.At <= 0 {
 		return
 	}
 	jobsPerCore := float64(len(b.running)+len(b.waiting)) / float64(b.machine.Cores)
-	b.crowdedSince = since(jobsPerCore > c.At, b.crowdedSince, b.now)
-	b.restingSince = since(jobsPerCore < c.At/4, b.restingSince, b.now)
+	b.crowdedSince = since(jobsPerCore > overload.At, b.crowdedSince, b.now)
+	b.restingSince = since(jobsPerCore < overload.At/4, b.restingSince, b.now)
 	switch {
-	case !b.overloaded && b.crowdedSince >= 0 && b.now-b.crowdedSince >= c.After:
+	case !b.overloaded && b.crowdedSince >= 0 && b.now-b.crowdedSince >= overload.After:
 		b.overloaded, b.overloadedAt = true, b.now
-	case b.overloaded && (b.now-b.overloadedAt >= c.MaxDuration ||
-		b.restingSince >= 0 && b.now-b.restingSince >= c.RecoveryIdle):
+	case b.overloaded && (b.now-b.overloadedAt >= overload.MaxDuration ||
+		b.restingSince >= 0 && b.now-b.restingSince >= overload.RecoveryIdle):
 		b.overloaded, b.crowdedSince = false, -1
 	}
 }
 
-// since returns when a condition began to hold, or -1 if it does not hold now. before is the previous result.
+// since returns when a condition began to hold, or -1 if the condition does not hold now. before is the
+// previous result.
 func since(holds bool, before, now time.Duration) time.Duration {
 	if !holds {
 		return -1
@@ -306,7 +310,7 @@
 	return actions
 }
 
-// fail answers at once that the job has failed. It may still have had its effect, so its pod records the key.
+// fail answers a job at once as failed. The job may still have had its effect, so its pod records the key.
 func (b *Backend) fail(j *job) []Action {
 	first := Action{Kind: Begun, Num: j.Num}
 	if j.Key != "" && !b.pod.begin(j.Key, j.arrived, b.now) {
@@ -315,23 +319,23 @@
 	return []Action{first, {Kind: Done, Num: j.Num, Status: 500}}
 }
 
-// exceedsColdLimit adds work that arrived at a cold backend, and reports whether the recent work makes it
-// fall over.
+// exceedsColdLimit adds work that arrived at a cold backend, and reports whether the recent work makes the
+// backend fall over.
 func (b *Backend) exceedsColdLimit(work float64) bool {
 	b.recentWork = append(b.recentWork, arrivedWork{b.now, work})
 	for b.now-b.recentWork[0].at > world.FallTime {
 		b.recentWork = b.recentWork[1:]
 	}
 	var sum, largest float64
-	for _, p := range b.recentWork {
-		sum += p.work
-		largest = max(largest, p.work)
+	for _, a := range b.recentWork {
+		sum += a.work
+		largest = max(largest, a.work)
 	}
-	// The largest request is left out, since a single request must not make a backend fall over.
+	// the largest request is left out, since a single request must not make a backend fall over
 	return sum-largest > fallTolerance*world.FallMultiple*b.Capacity(b.now)*world.FallTime.Seconds()
 }
 
-// Cancel reports that the node has ended the attempt of a job.
+// Cancel handles the end of a job's attempt by the node.
 func (b *Backend) Cancel(now time.Duration, num uint64) []Action {
 	actions := b.advance(now, nil)
 	for i, j := range b.waiting {
@@ -344,9 +348,9 @@
 }
 
 // SetDegradation replaces the backend's degradation.
-func (b *Backend) SetDegradation(now time.Duration, t Degradation) []Action {
+func (b *Backend) SetDegradation(now time.Duration, d Degradation) []Action {
 	actions := b.advance(now, nil)
-	b.degradation = t
+	b.degradation = d
 	return actions
 }
 
--- a/internal/lab/backend/box_test.go
+++ b/internal/lab/backend/backend_test.go
@@ -11,6 +11,7 @@
 	"wrenspread/internal/lab/world"
 )
 
+// drawTestMachine draws the machine of a backend.
 func drawTestMachine(t *rapid.T) world.Machine {
 	seed := rapid.Uint64().Draw(t, "seed")
 	m := world.Draw(seed, 1, 1).Machines[0]
@@ -30,31 +31,31 @@
 		work := map[uint64]time.Duration{}
 		var now, finished time.Duration
 		fell := false
-		keys, came := map[uint64]string{}, map[uint64]time.Duration{}
-		lastBegun := -time.Hour // time at which the key "k" last began, or a little before
+		keys, arrivedAt := map[uint64]string{}, map[uint64]time.Duration{}
+		lastBegun := -time.Hour // when the key "k" last began, or a short time before that
 		var previous time.Duration
-		see := func(outs []Action) {
-			for _, o := range outs {
+		check := func(actions []Action) {
+			for _, a := range actions {
 				switch {
-				case o.Kind == Fell:
+				case a.Kind == Fell:
 					fell = true
-				case o.Kind == Begun && (begun[o.Num] || over[o.Num]):
-					t.Fatalf("job %d begins twice, or after its end", o.Num)
-				case o.Kind == Begun:
-					begun[o.Num] = true
-					if keys[o.Num] == "" {
+				case a.Kind == Begun && (begun[a.Num] || over[a.Num]):
+					t.Fatalf("job %d begins twice, or after its end", a.Num)
+				case a.Kind == Begun:
+					begun[a.Num] = true
+					if keys[a.Num] == "" {
 						continue
 					}
-					if came[o.Num] <= lastBegun+window {
-						t.Fatalf("the key begins again for job %d, which came %v after it began", o.Num, came[o.Num]-lastBegun)
+					if arrivedAt[a.Num] <= lastBegun+window {
+						t.Fatalf("the key begins again for job %d, which arrived %v after it began", a.Num, arrivedAt[a.Num]-lastBegun)
 					}
 					lastBegun = previous
-				case (o.Kind == Done || o.Kind == Rejected) && over[o.Num]:
-					t.Fatalf("job %d ends twice", o.Num)
-				case o.Kind == Done || o.Kind == Rejected:
-					over[o.Num] = true
-					if begun[o.Num] && o.Status == 200 {
-						finished += work[o.Num]
+				case (a.Kind == Done || a.Kind == Rejected) && over[a.Num]:
+					t.Fatalf("job %d ends twice", a.Num)
+				case a.Kind == Done || a.Kind == Rejected:
+					over[a.Num] = true
+					if begun[a.Num] && a.Status == 200 {
+						finished += work[a.Num]
 					}
 				}
 			}
@@ -63,25 +64,25 @@
 		for i := range uint64(n) {
 			previous = now
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				see(b.Cancel(now, rapid.Uint64Range(0, i).Draw(t, "num")))
+				check(b.Cancel(now, rapid.Uint64Range(0, i).Draw(t, "num")))
 			case 1:
-				see(b.SetDegradation(now, Degradation{Hangs: rapid.Bool().Draw(t, "hangs"), Slower: 2, Fails: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "fails")}))
+				check(b.SetDegradation(now, Degradation{Hangs: rapid.Bool().Draw(t, "hangs"), Slower: 2, Fails: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "fails")}))
 			default:
 				work[i] = time.Duration(rapid.IntRange(1, 300).Draw(t, "work")) * time.Millisecond
-				keys[i], came[i] = rapid.SampledFrom([]string{"", "", "k"}).Draw(t, "key"), now
-				see(b.Arrive(now, Job{Num: i, Work: work[i], Key: keys[i]}, 0))
+				keys[i], arrivedAt[i] = rapid.SampledFrom([]string{"", "", "k"}).Draw(t, "key"), now
+				check(b.Arrive(now, Job{Num: i, Work: work[i], Key: keys[i]}, 0))
 			}
 			if b.JobCount() > m.Slots+m.Queue {
 				t.Fatalf("%d jobs in %d slots and %d queue places", b.JobCount(), m.Slots, m.Queue)
 			}
 		}
 		if limit := time.Duration(m.Capacity() * float64(now)); finished > limit+time.Microsecond {
-			t.Fatalf("%v of work in %v, %v at most", finished, now, limit)
+			t.Fatalf("%v of work done in %v, want %v at most", finished, now, limit)
 		}
-		see(b.SetDegradation(now, Degradation{}))
-		see(b.Tick(now + time.Hour))
+		check(b.SetDegradation(now, Degradation{}))
+		check(b.Tick(now + time.Hour))
 		if !fell && b.JobCount() > 0 {
 			t.Fatalf("%d jobs never end", b.JobCount())
 		}
@@ -92,12 +93,12 @@
 func TestNumberOfTicksDoesNotChangeTheWorkDone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawTestMachine(t)
-		play := func(steps []time.Duration) time.Duration {
+		finishTime := func(ticks []time.Duration) time.Duration {
 			b := New(m, NewPod(time.Second), 1, 0, false)
 			for i := range uint64(3) {
 				b.Arrive(time.Duration(i)*time.Millisecond, Job{Num: i, Work: 50 * time.Millisecond}, 0)
 			}
-			for _, at := range steps {
+			for _, at := range ticks {
 				b.Tick(at)
 			}
 			for b.JobCount() > 0 {
@@ -105,14 +106,14 @@
 			}
 			return b.now
 		}
-		var steps []time.Duration
+		var ticks []time.Duration
 		at := 3 * time.Millisecond
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			at += time.Duration(rapid.IntRange(0, 3000).Draw(t, "us")) * time.Microsecond
-			steps = append(steps, at)
+			ticks = append(ticks, at)
 		}
-		a, b := play(nil), play(steps)
-		if len(steps) > 0 && steps[len(steps)-1] > a {
+		a, b := finishTime(nil), finishTime(ticks)
+		if len(ticks) > 0 && ticks[len(ticks)-1] > a {
 			return // the last tick came after the end
 		}
 		if d := a - b; d > time.Microsecond || d < -time.Microsecond {
@@ -134,9 +135,9 @@
 		if got := b.Capacity(m.ColdTime); got != m.Capacity() || m.ColdTime > world.ColdTime {
 			t.Errorf("seed %d: after %v the backend has capacity %.2f of %.2f", seed, m.ColdTime, got, m.Capacity())
 		}
-		for times, want := range map[float64]bool{2.5: false, 6: true} {
-			if got := fallsUnderLoad(m, seed, times); got != want {
-				t.Errorf("seed %d: under %v times its capacity the backend falls over: %v", seed, times, got)
+		for multiple, want := range map[float64]bool{2.5: false, 6: true} {
+			if got := fallsUnderLoad(m, seed, multiple); got != want {
+				t.Errorf("seed %d: under %v times its capacity the backend falls over: %v", seed, multiple, got)
 			}
 		}
 	}
@@ -144,16 +145,16 @@
 
 // fallsUnderLoad sends a cold backend the given multiple of its capacity for three seconds, and reports
 // whether it falls over.
-func fallsUnderLoad(m world.Machine, seed uint64, times float64) bool {
+func fallsUnderLoad(m world.Machine, seed uint64, multiple float64) bool {
 	b := New(m, NewPod(time.Second), seed, 0, true)
 	const work = 10 * time.Millisecond
 	for now, i := time.Duration(0), uint64(0); now < 3*time.Second; i++ {
-		for _, o := range b.Arrive(now, Job{Num: i, Work: work}, 0) {
-			if o.Kind == Fell {
+		for _, a := range b.Arrive(now, Job{Num: i, Work: work}, 0) {
+			if a.Kind == Fell {
 				return true
 			}
 		}
-		now += time.Duration(float64(work) / (times * b.Capacity(now)))
+		now += time.Duration(float64(work) / (multiple * b.Capacity(now)))
 	}
 	return false
 }
--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -17,16 +17,16 @@
 // maxBodyBytes bounds the size of a request's body.
 const maxBodyBytes = 32 << 20
 
-// connection is a connection from a node. Its reader notices when the node closes it while an attempt is
-// open.
+// connection is a connection from a node. While an attempt is open it continues to read, so that it notices
+// when the node closes the connection.
 type connection struct {
 	server   *Server
 	tcp      *net.TCPConn
-	stream   *link.Stream // nil if the connection does not come over a link
+	stream   *link.Stream // the stream of the link; nil if the connection does not come over a link
 	node     string
 	requests chan *http.Request // closed when the node has closed its side
 	done     chan struct{}      // closed when no more requests are served
-	served   int
+	served   int                // number of requests submitted to the backend
 }
 
 // accept serves the connections of a listener until it is closed.
@@ -43,8 +43,8 @@
 			requests: make(chan *http.Request),
 			done:     make(chan struct{}),
 		}
-		if st, ok := s.host.net.Lookup(tcp.RemoteAddr().String()); ok {
-			c.stream, c.node = st, st.Ends.From
+		if stream, ok := s.host.net.Lookup(tcp.RemoteAddr().String()); ok {
+			c.stream, c.node = stream, stream.Ends.From
 		}
 		s.mu.Lock()
 		up := s.listener == ln
@@ -84,8 +84,8 @@
 	}
 }
 
-// serve answers the connection's requests until one side ends it or it is idle for too long. full means that
-// the backend has too many connections, so requests are rejected.
+// serve answers the connection's requests until a side ends the connection or it is idle for too long. full
+// means that the backend has too many connections, so serve rejects the requests.
 func (c *connection) serve(full bool) {
 	defer c.server.host.tasks.Done()
 	defer func() {
@@ -110,11 +110,11 @@
 	}
 }
 
-// answer serves one request, and records it. It returns false when the connection has to be closed.
+// answer serves a request and records it. It returns false if the connection has to be closed.
 func (c *connection) answer(req *http.Request, full bool) bool {
 	s := c.server
 	id := req.Header.Get("X-Request-Id")
-	a := &attempt{id: id, box: s.machine.Name, conn: c, answer: make(chan answer, 1)}
+	a := &attempt{id: id, backend: s.machine.Name, conn: c, answer: make(chan answer, 1)}
 	op := s.host.requests.Find(id)
 	e := history.Event{Kind: history.Arrive, ID: id, Backend: s.machine.Name, Node: c.node}
 	if op == nil {
@@ -145,14 +145,14 @@
 	c.served++
 	s.submit(a, op.Work, op.Key, c.served == 1)
 	select {
-	case got := <-a.answer:
+	case result := <-a.answer:
 		switch {
-		case got.rejected:
-			return c.write(got.status, "queue full", "1")
-		case got.status != http.StatusOK:
-			return c.write(got.status, "failed", "")
+		case result.rejected:
+			return c.write(result.status, "queue full", "1")
+		case result.status != http.StatusOK:
+			return c.write(result.status, "failed", "")
 		}
-		return c.write(got.status, Body(id, s.machine.Name), "")
+		return c.write(result.status, Body(id, s.machine.Name), "")
 	case _, more := <-c.requests:
 		s.host.log.Add(history.Event{Kind: history.Shut, ID: id, Backend: s.machine.Name, Node: c.node})
 		if more {
@@ -172,14 +172,15 @@
 	}
 }
 
-// Body returns the body of a backend's answer. It names request and backend, so that a client can check both.
-func Body(id, box string) string { return id + " " + box }
+// Body returns the body of a backend's answer. The body names the request and the backend, so that a client
+// can check both.
+func Body(id, backendName string) string { return id + " " + backendName }
 
 // writeTimeout bounds the time for writing an answer, for nodes that do not read.
 const writeTimeout = 30 * time.Second
 
-// write writes an answer, and reports whether that succeeded. notRun is the value of X-Not-Run; empty: no
-// header.
+// write writes an answer, and reports whether that succeeded. notRun is the value of the header X-Not-Run; if
+// it is empty, the header is not sent.
 func (c *connection) write(status int, body, notRun string) bool {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, http.StatusText(status), len(body))
 	if notRun != "" {
--- a/internal/lab/backendserver/host.go
+++ b/internal/lab/backendserver/host.go
@@ -18,12 +18,12 @@
 	net      *link.Net
 	requests *load.RequestIndex
 	seed     uint64
-	servers  map[string]*Server
+	servers  map[string]*Server // by the backend's name
 	tasks    sync.WaitGroup
 
-	mu           sync.Mutex // not to be held while a Server's lock is acquired
-	openAttempts map[string][]*attempt
-	pods         map[int]*pod
+	mu           sync.Mutex            // not to be held while a Server's lock is acquired
+	openAttempts map[string][]*attempt // by request ID
+	pods         map[int]*pod          // by number
 }
 
 // pod is a backend.Pod with the lock that its backends share.
@@ -32,7 +32,7 @@
 	*backend.Pod
 }
 
-// NewHost makes and starts the backends of a world.
+// NewHost creates and starts the backends of a world.
 func NewHost(log *history.Log, net *link.Net, requests *load.RequestIndex, seed uint64,
 	w world.World) (*Host, error) {
 	h := &Host{
@@ -59,7 +59,8 @@
 		}
 		s := &Server{host: h, machine: m, Address: address, free: free, seed: seed + uint64(i)<<32,
 			pod:      h.pods[m.Pod],
-			attempts: map[uint64]*attempt{}, conns: map[*connection]bool{}, degradations: map[string]backend.Degradation{}}
+			attempts: map[uint64]*attempt{}, conns: map[*connection]bool{},
+			degradations: map[string]backend.Degradation{}}
 		h.servers[m.Name] = s
 		if err := s.Start(""); err != nil {
 			h.Close()
@@ -81,35 +82,35 @@
 	h.tasks.Wait()
 }
 
-// addAttempt records that an attempt is open. It returns the backends at which another attempt of the same
-// request is open, which means that according to the kernel the node has not closed that connection.
+// addAttempt records that an attempt is open. It returns the backends at which other attempts of the same
+// request are open. An attempt is open if, according to the kernel, the node has not closed its connection.
 func (h *Host) addAttempt(a *attempt) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var also []string
+	var openAt []string
 	for _, other := range h.openAttempts[a.id] {
 		if other.conn.stream != nil && !other.conn.stream.ClosedByOpener() {
-			also = append(also, other.box)
+			openAt = append(openAt, other.backend)
 		}
 	}
 	h.openAttempts[a.id] = append(h.openAttempts[a.id], a)
-	return also
+	return openAt
 }
 
 // removeAttempt records that an attempt has ended.
 func (h *Host) removeAttempt(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	all := h.openAttempts[a.id]
-	for i, other := range all {
+	attempts := h.openAttempts[a.id]
+	for i, other := range attempts {
 		if other == a {
-			all = append(all[:i:i], all[i+1:]...)
+			attempts = append(attempts[:i:i], attempts[i+1:]...)
 			break
 		}
 	}
-	if len(all) == 0 {
+	if len(attempts) == 0 {
 		delete(h.openAttempts, a.id)
 	} else {
-		h.openAttempts[a.id] = all
+		h.openAttempts[a.id] = attempts
 	}
 }
--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -27,21 +27,21 @@
 	mu           sync.Mutex
 	listener     net.Listener // nil while the backend is down
 	backend      *backend.Backend
-	incarnation  int // number of starts so far
-	lastJob      uint64
+	incarnation  int    // number of starts so far
+	lastJob      uint64 // number of the last job
 	timer        *time.Timer
 	attempts     map[uint64]*attempt
 	conns        map[*connection]bool
 	degradations map[string]backend.Degradation
 }
 
-// attempt is a request that a node has sent to this backend.
+// attempt is a request that a node has sent to a backend.
 type attempt struct {
-	id, box string
-	conn    *connection
-	arrived time.Duration
-	job     uint64
-	answer  chan answer // buffered for the one answer
+	id, backend string
+	conn        *connection
+	arrived     time.Duration
+	job         uint64
+	answer      chan answer // has a buffer for the only answer
 }
 
 // answer is the outcome of an attempt.
@@ -50,8 +50,8 @@
 	rejected bool
 }
 
-// Start starts the backend: warm if since is empty, and otherwise cold, where since is the start time in its
-// entry.
+// Start starts the backend. If since is empty, the backend is warm. Otherwise it is cold, and since is the
+// start time in its discovery entry.
 func (s *Server) Start(since string) error {
 	ln, err := net.Listen("tcp4", s.Address)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Crash ends the backend like the death of its process: connections are reset and new ones refused.
+// Crash ends the backend like a crash of its process: connections are reset and new connections are refused.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	if s.listener == nil {
@@ -96,13 +96,13 @@
 	}
 }
 
-// SetDegradation sets the backend's degradation of that name, or removes it if t is nil. Degradations add up. They
-// belong to the machine, so a restart does not end them.
-func (s *Server) SetDegradation(name string, t *backend.Degradation) {
+// SetDegradation sets the backend's degradation with this name, or removes it if d is nil. Degradations with
+// different names add up. They belong to the machine, so a restart does not end them.
+func (s *Server) SetDegradation(name string, d *backend.Degradation) {
 	s.mu.Lock()
 	delete(s.degradations, name)
-	if t != nil {
-		s.degradations[name] = *t
+	if d != nil {
+		s.degradations[name] = *d
 	}
 	s.mu.Unlock()
 	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action {
@@ -112,25 +112,25 @@
 
 // totalDegradation returns the merged degradations. The caller holds the lock.
 func (s *Server) totalDegradation() backend.Degradation {
-	var sum backend.Degradation
-	for _, t := range s.degradations {
-		sum = backend.Merge(sum, t)
+	var merged backend.Degradation
+	for _, d := range s.degradations {
+		merged = backend.Merge(merged, d)
 	}
-	return sum
+	return merged
 }
 
-// drive calls f with the backend, unless it is down, and applies the resulting actions.
-func (s *Server) drive(f func(*backend.Backend, time.Duration) []backend.Action) {
+// drive calls event with the backend, unless the backend is down, and applies the resulting actions.
+func (s *Server) drive(event func(*backend.Backend, time.Duration) []backend.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.backend == nil {
 		return
 	}
 	s.pod.Lock()
-	actions := f(s.backend, s.host.log.Now())
+	actions := event(s.backend, s.host.log.Now())
 	s.pod.Unlock()
-	for _, o := range actions {
-		s.apply(o)
+	for _, action := range actions {
+		s.apply(action)
 	}
 	s.scheduleTick()
 }
@@ -146,22 +146,22 @@
 	})
 }
 
-// apply records an action and sends the answer that it causes. The caller holds the lock.
-func (s *Server) apply(o backend.Action) {
-	if o.Kind == backend.Fell {
+// apply records an action and sends the answer that results from it. The caller holds the lock.
+func (s *Server) apply(action backend.Action) {
+	if action.Kind == backend.Fell {
 		s.host.log.Add(history.Event{Kind: history.BackendChange, Backend: s.machine.Name, How: "fell"})
 		go s.Crash()
 		return
 	}
-	a := s.attempts[o.Num]
+	a := s.attempts[action.Num]
 	if a == nil {
 		return
 	}
-	e := history.Event{ID: a.id, Backend: s.machine.Name, Pod: s.machine.Pod, How: o.Reason}
+	e := history.Event{ID: a.id, Backend: s.machine.Name, Pod: s.machine.Pod, How: action.Reason}
 	if op := s.host.requests.Find(a.id); op != nil {
 		e.Key, e.Op = op.Key, op.N
 	}
-	switch o.Kind {
+	switch action.Kind {
 	case backend.Begun:
 		e.Kind = history.Begin
 	case backend.Dropped:
@@ -170,38 +170,39 @@
 		e.Kind = history.Reject
 		a.answer <- answer{503, true}
 	case backend.Done:
-		e.Kind, e.Status, e.Took = history.End, o.Status, s.host.log.Now()-a.arrived
-		a.answer <- answer{o.Status, false}
+		e.Kind, e.Status, e.Took = history.End, action.Status, s.host.log.Now()-a.arrived
+		a.answer <- answer{action.Status, false}
 	}
 	s.host.log.Add(e)
-	if o.Kind == backend.Rejected || o.Kind == backend.Done {
-		delete(s.attempts, o.Num)
+	if action.Kind == backend.Rejected || action.Kind == backend.Done {
+		delete(s.attempts, action.Num)
 	}
 }
 
-// submit adds an attempt to the backend. firstOn means that it is the first on its connection, which costs
-// the handshake's work.
-func (s *Server) submit(a *attempt, work time.Duration, key string, firstOn bool) {
+// submit adds an attempt to the backend. firstOnConn means that the attempt is the first on its connection,
+// so that it includes the work of the handshake.
+func (s *Server) submit(a *attempt, work time.Duration, key string, firstOnConn bool) {
 	var extra time.Duration
-	if firstOn {
+	if firstOnConn {
 		extra = s.machine.Handshake
 	}
 	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action {
 		s.lastJob++
 		a.job = s.lastJob
 		s.attempts[a.job] = a
-		chance := rand.New(rand.NewPCG(s.host.seed, idHash(a.id+s.machine.Name)))
-		work = time.Duration(float64(work) * world.Spread(chance, s.machine.Noise))
+		rng := rand.New(rand.NewPCG(s.host.seed, idHash(a.id+s.machine.Name)))
+		work = time.Duration(float64(work) * world.Spread(rng, s.machine.Noise))
 		return b.Arrive(now, backend.Job{Num: a.job, Key: key, Work: work}, extra)
 	})
 }
 
-// cancel reports to the backend that a node has ended an attempt. Its work may continue, so the attempt stays
-// in attempts.
+// cancel reports to the backend that a node has ended an attempt. The work of the attempt may continue, so
+// the attempt stays in s.attempts.
 func (s *Server) cancel(a *attempt) {
 	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action { return b.Cancel(now, a.job) })
 }
 
+// idHash returns a hash that seeds the random work of an attempt.
 func idHash(s string) uint64 {
 	h := fnv.New64a()
 	besteffort.Response(io.WriteString(h, s)) // writing to a hash never fails
--- a/internal/lab/measure/boxes.go
+++ b/internal/lab/measure/backends.go
@@ -1,5 +1,5 @@
-// Package measure measures the lab itself: its emulated backends against the brief's figures, the delay that
-// its links add, and the load that it can generate before it is late.
+// Package measure measures the lab itself: its emulated backends, for comparison with the brief's figures,
+// the delay that its links add, and the load that it can generate before it is late.
 package measure
 
 import (
@@ -13,22 +13,22 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Kind holds the mean figures of the drawn backends of one kind of machine.
+// Kind holds the mean figures of the drawn backends whose machines are of one kind.
 type Kind struct {
 	Name         string
 	Count        int
 	Stated       float64 // cores times speed: work per second, in seconds on a standard core
 	Measured     float64 // work per second with one job per core
-	PausedShare  float64 // share of the time for which it pauses, as drawn
+	PausedShare  float64 // share of the time for which the backend pauses, as drawn
 	FullRatio    float64 // work per second with all slots in use, divided by Measured
 	Cold         float64 // capacity at a cold start, divided by Stated
-	Half         float64 // capacity after half of its warm-up time without work, divided by Stated
-	WarmIdle     float64 // seconds until it is warm, without work
-	WarmBusy     float64 // seconds until it is warm, under work
+	Half         float64 // capacity after half of the warm-up time without work, divided by Stated
+	WarmIdle     float64 // seconds until a cold backend is warm, without work
+	WarmBusy     float64 // seconds until a cold backend is warm, under work
 	FallMultiple float64 // least multiple of its capacity under which a cold backend falls over
 }
 
-// Backends draws n backends and measures them, and returns the means for each kind of machine.
+// Backends draws n backends and measures them. It returns the means for each kind of machine.
 func Backends(n int) []Kind {
 	byName := map[string]*Kind{}
 	var order []string
@@ -42,7 +42,7 @@
 		}
 		k.add(m, seed)
 	}
-	var all []Kind
+	var means []Kind
 	for _, name := range order {
 		k := byName[name]
 		for _, v := range []*float64{
@@ -51,20 +51,20 @@
 		} {
 			*v /= float64(k.Count)
 		}
-		all = append(all, *k)
+		means = append(means, *k)
 	}
-	return all
+	return means
 }
 
-// add adds the figures of one machine to the sums.
+// add measures a backend on one machine, and adds its figures to the sums.
 func (k *Kind) add(m world.Machine, seed uint64) {
-	const long = 2 * time.Minute
-	busy := workRate(m, seed, m.Cores, long)
+	const duration = 2 * time.Minute
+	busy := workRate(m, seed, m.Cores, duration)
 	k.Count++
 	k.Stated += m.Capacity()
 	k.Measured += busy
 	k.PausedShare += m.Pause.Seconds() / (m.PauseEvery + m.Pause).Seconds()
-	k.FullRatio += workRate(m, seed, m.Slots, long) / busy
+	k.FullRatio += workRate(m, seed, m.Slots, duration) / busy
 	b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 	k.Cold += b.Capacity(0) / m.Capacity()
 	k.Half += b.Capacity(m.ColdTime/2) / m.Capacity()
@@ -90,8 +90,8 @@
 	for now := time.Duration(0); now < until && !stop(now); now = min(now+tickInterval, max(now+1, b.Next())) {
 		actions := b.Tick(now)
 		for {
-			for _, o := range actions {
-				if o.Kind == backend.Done {
+			for _, action := range actions {
+				if action.Kind == backend.Done {
 					inFlight--
 					done += jobWork
 				}
@@ -107,10 +107,10 @@
 }
 
 // workRate returns the work per second of a warm backend that always has the given number of jobs.
-func workRate(m world.Machine, seed uint64, jobs int, long time.Duration) float64 {
+func workRate(m world.Machine, seed uint64, jobs int, duration time.Duration) float64 {
 	m.Overload, m.ErrorRate = world.Overload{}, 0
 	b := backend.New(m, backend.NewPod(time.Second), seed, 0, false)
-	return keepBusy(b, jobs, long, func(time.Duration) bool { return false }).Seconds() / long.Seconds()
+	return keepBusy(b, jobs, duration, func(time.Duration) bool { return false }).Seconds() / duration.Seconds()
 }
 
 // warmUpTime returns how long a cold backend under work takes to become warm.
@@ -125,19 +125,19 @@
 	return warm
 }
 
-// fallMultiple returns the least multiple of its present capacity under which a cold backend falls over
-// within 2 s.
+// fallMultiple returns the least multiple of its capacity at each time under which a cold backend falls over
+// within 2 s, or 8 if it does not fall over under less.
 func fallMultiple(m world.Machine, seed uint64) float64 {
 	const work = 5 * time.Millisecond
-	for times := 2.0; times < 8; times += 0.1 {
+	for multiple := 2.0; multiple < 8; multiple += 0.1 {
 		b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 		for now, i := time.Duration(0), uint64(0); now < 2*time.Second; i++ {
-			for _, o := range b.Arrive(now, backend.Job{Num: i, Work: work}, 0) {
-				if o.Kind == backend.Fell {
-					return times
+			for _, action := range b.Arrive(now, backend.Job{Num: i, Work: work}, 0) {
+				if action.Kind == backend.Fell {
+					return multiple
 				}
 			}
-			now += time.Duration(float64(work) / (times * b.Capacity(now)))
+			now += time.Duration(float64(work) / (multiple * b.Capacity(now)))
 		}
 	}
 	return 8
--- a/internal/lab/measure/cost.go
+++ b/internal/lab/measure/cost.go
@@ -26,14 +26,14 @@
 	messageBytes = 300 // about the size of a request
 )
 
-// Trip holds quantiles of the time of round trips.
+// Trip holds quantiles of the duration of round trips.
 type Trip struct{ P50, P99 time.Duration }
 
-// Delay measures round trips on one connection, directly and over an idle link.
-func Delay() (straight, linked Trip, err error) {
+// Delay measures round trips on a direct connection, and on a connection over an idle link.
+func Delay() (direct, linked Trip, err error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return straight, linked, err
+		return direct, linked, err
 	}
 	defer besteffort.Close(ln)
 	go func() {
@@ -47,15 +47,15 @@
 	}()
 	n := link.NewNet(1)
 	defer n.Close()
-	over, err := n.Connect(link.Ends{From: "a", To: "b"}, ln.Addr().String())
+	linkAddress, err := n.Connect(link.Ends{From: "a", To: "b"}, ln.Addr().String())
 	if err != nil {
-		return straight, linked, err
+		return direct, linked, err
 	}
-	if straight, err = measureTrips(ln.Addr().String()); err != nil {
-		return straight, linked, err
+	if direct, err = measureTrips(ln.Addr().String()); err != nil {
+		return direct, linked, err
 	}
-	linked, err = measureTrips(over)
-	return straight, linked, err
+	linked, err = measureTrips(linkAddress)
+	return direct, linked, err
 }
 
 // measureTrips measures round trips to an echo server.
@@ -80,32 +80,32 @@
 	return Trip{time.Duration(h.ValueAtQuantile(50)), time.Duration(h.ValueAtQuantile(99))}, nil
 }
 
-// Step holds one rate of load, and how late the lab was at this rate.
+// Step holds the results of the lab at one rate of load.
 type Step struct {
-	Rate  float64
+	Rate  float64       // operations per second
 	P99   time.Duration // 99th percentile of the lab's lateness, in its worst second
 	Cores float64       // processor cores that the lab used, including the answering server
-	Ended int
+	Ended int           // operations that ended
 }
 
-// stepLength is how long each rate lasts.
+// stepLength is the time for which each rate is applied.
 const stepLength = 3 * time.Second
 
-// Lateness doubles the load, over a link to a server that answers at once, from the rate first until the lab
-// is later than bound or the rate exceeds most.
-func Lateness(ctx context.Context, first, most float64, bound time.Duration) ([]Step, error) {
-	var all []Step
-	for rate := first; rate <= most; rate *= 2 {
+// Lateness measures how late the lab is under load over a link to a server that answers at once. It doubles
+// the rate, beginning at firstRate, until the lab is later than bound or the rate exceeds maxRate.
+func Lateness(ctx context.Context, firstRate, maxRate float64, bound time.Duration) ([]Step, error) {
+	var steps []Step
+	for rate := firstRate; rate <= maxRate; rate *= 2 {
 		s, err := runStep(ctx, rate)
 		if err != nil {
-			return all, err
+			return steps, err
 		}
-		all = append(all, s)
+		steps = append(steps, s)
 		if s.P99 > bound {
 			break
 		}
 	}
-	return all, nil
+	return steps, nil
 }
 
 // runStep measures the lab's lateness at one rate.
@@ -119,12 +119,12 @@
 	})}
 	var serving sync.WaitGroup
 	serving.Add(1)
-	go func() { defer serving.Done(); _ = srv.Serve(ln) }() // until Close
+	go func() { defer serving.Done(); _ = srv.Serve(ln) }() // returns when srv is closed
 	defer serving.Wait()
 	defer besteffort.Close(srv)
 	n := link.NewNet(1)
 	defer n.Close()
-	at, err := n.Connect(link.Ends{From: "clients", To: "n0"}, ln.Addr().String())
+	address, err := n.Connect(link.Ends{From: "clients", To: "n0"}, ln.Addr().String())
 	if err != nil {
 		return Step{}, err
 	}
@@ -134,12 +134,12 @@
 	}
 	w := world.Draw(1, 1, 1)
 	front := client.NewFront(time.Minute)
-	front.Add("n0", w.Zones[0], at)
-	bg, stop := context.WithCancel(ctx)
+	front.Add("n0", w.Zones[0], address)
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	late := fleet.NewLateness(log)
-	go late.Watch(bg)
-	go front.Watch(bg)
+	go late.Watch(watchCtx)
+	go front.Watch(watchCtx)
 	for front.Admitted() == 0 {
 		select {
 		case <-time.After(time.Millisecond):
@@ -150,10 +150,10 @@
 	ops := load.Draw(1, w, load.Shape{Rate: rate, Length: stepLength})
 	clients := client.New(log, front, load.NewRequestIndex(), 1)
 	clients.Late = late.Add
-	before, cpu := log.Now(), fleet.OwnCPU()
-	clients.Run(ctx, before, ops)
-	took := log.Now() - before
-	s := Step{Rate: rate, Cores: float64(fleet.OwnCPU()-cpu) / float64(took)}
+	began, cpuBefore := log.Now(), fleet.OwnCPU()
+	clients.Run(ctx, began, ops)
+	took := log.Now() - began
+	s := Step{Rate: rate, Cores: float64(fleet.OwnCPU()-cpuBefore) / float64(took)}
 	for _, e := range log.Events() {
 		switch e.Kind {
 		case history.Lab:
@@ -165,9 +165,9 @@
 	return s, ctx.Err()
 }
 
-// WriteCost measures the delay and lateness of the lab itself, and writes them.
+// WriteCost measures the delay that links add and the lateness of the lab, and writes the results.
 func WriteCost(ctx context.Context, w io.Writer) error {
-	straight, linked, err := Delay()
+	direct, linked, err := Delay()
 	if err != nil {
 		return fmt.Errorf("measure links: %w", err)
 	}
@@ -178,8 +178,8 @@
 		fmt.Fprintf(
 			w,
 			"  straight            %v  %v\n  over an idle link   %v  %v\n",
-			straight.P50,
-			straight.P99,
+			direct.P50,
+			direct.P99,
 			linked.P50,
 			linked.P99,
 		),
