--- a/internal/lab/discovery/registry.go
+++ b/internal/lab/discovery/registry.go
@@ -1,5 +1,5 @@
-// Package discovery stands in for the platform's discovery in the lab: a versioned list of backends, and an
-// agent on each node's machine that receives changes with a delay.
+// Package discovery emulates the platform's discovery in the lab: a versioned list of backends, and an agent
+// on each node's machine that receives the changes of the list with a delay.
 package discovery
 
 import (
@@ -9,7 +9,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Entry is one app backend in discovery's form.
+// Entry is the entry of an app backend in discovery's list.
 type Entry = registry.Endpoint
 
 // The statuses of an entry. Gone occurs only in changes, not in snapshots.
@@ -19,24 +19,24 @@
 	Gone     = registry.Removed
 )
 
-// Answer is an agent's response. The lab's discovery does not use epochs.
+// Answer is an agent's response to a request for the list. The lab's discovery does not use epochs.
 type Answer = registry.ListResponse
 
-// Registry is the current list with all its changes. It is safe for concurrent use.
+// Registry holds all changes of the list, which determine the current list. It is safe for concurrent use.
 type Registry struct {
 	mu      sync.Mutex
-	changes []change // change i has the index i+1
+	changes []change // changes[i] leads to version i+1 of the list
 	agents  []*Agent
 }
 
-// change is one change of the list, with the time at which it was made.
+// change is a change of the list, with the time at which it was made.
 type change struct {
 	at    time.Duration
 	entry Entry
 }
 
-// Set makes a change, which reaches each agent after that agent's delay. silent means that the backend did
-// not announce its end, which takes longer to be noticed.
+// Set makes a change, which reaches each agent after the agent's delay. silent means that the backend did not
+// announce its end, so that discovery takes longer to notice it.
 func (r *Registry) Set(now time.Duration, e Entry, silent bool) {
 	r.mu.Lock()
 	r.changes = append(r.changes, change{now, e})
@@ -50,28 +50,28 @@
 	}
 }
 
-// Lateness returns the delay with which one change reaches an agent.
+// Lateness returns the delay with which a change reaches an agent.
 type Lateness func(silent bool) time.Duration
 
 // Agent is the discovery agent on a node's machine.
 type Agent struct {
 	Node     string
 	registry *Registry
-	address  func(box string) string // the address at which this node reaches a backend
+	address  func(backend string) string // the address at which this node reaches a backend
 	delay    Lateness
-	// arrivals[i] is when change i reaches the agent, never before the previous changes. The registry's lock
-	// guards it.
+	// arrivals[i] is when change i reaches the agent. A change never arrives before the previous changes. The
+	// registry's lock guards arrivals.
 	arrivals []time.Duration
-	changed  chan struct{} // closed and replaced at each change; the registry's lock guards it
+	changed  chan struct{} // closed and replaced at each change of the list; guarded by the registry's lock
 	now      func() time.Duration
 }
 
-// Agent adds the agent of a node. It starts with the current list.
+// Agent adds the agent of a node. The agent starts with the current list.
 func (r *Registry) Agent(
 	node string,
 	now func() time.Duration,
-	late Lateness,
-	address func(box string) string,
+	delay Lateness,
+	address func(backend string) string,
 ) *Agent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +79,7 @@
 		Node:     node,
 		registry: r,
 		address:  address,
-		delay:    late,
+		delay:    delay,
 		now:      now,
 		changed:  make(chan struct{}),
 		arrivals: make([]time.Duration, len(r.changes)),
@@ -97,7 +97,7 @@
 	a.arrivals = append(a.arrivals, at)
 }
 
-// wakeWatchers wakes the watches that wait for a change.
+// wakeWatchers wakes the requests that wait for a change.
 func (a *Agent) wakeWatchers() {
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
@@ -105,8 +105,8 @@
 	a.changed = make(chan struct{})
 }
 
-// state returns the index of the list that the agent has, the time at which the next change reaches it (0 if
-// none is on its way), and a channel that is closed at the next change of the registry.
+// state returns the version of the agent's list, the time at which the next change reaches the agent (0 if no
+// change is on its way), and a channel that is closed at the next change of the registry.
 func (a *Agent) state(now time.Duration) (index uint64, next time.Duration, wake <-chan struct{}) {
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
@@ -119,8 +119,8 @@
 	return index, next, a.changed
 }
 
-// List returns the response to a client that has version from: the changes since then, or the complete list
-// if from is 0 or a version that the agent does not have yet.
+// List returns the response to a client that has the list of version from. The response contains the changes
+// since this version, or the complete list if from is 0 or a version that the agent does not have yet.
 func (a *Agent) List(from uint64, now time.Duration) Answer {
 	index, _, _ := a.state(now)
 	a.registry.mu.Lock()
@@ -129,13 +129,13 @@
 	if response.Snapshot {
 		from = 0
 	}
-	last := map[string]int{}
+	lastChange := map[string]int{}
 	for i := from; i < index; i++ {
-		last[a.registry.changes[i].entry.Name] = int(i)
+		lastChange[a.registry.changes[i].entry.Name] = int(i)
 	}
 	for i := from; i < index; i++ {
 		e := a.registry.changes[i].entry
-		if last[e.Name] != int(i) || (response.Snapshot && e.Status == Gone) {
+		if lastChange[e.Name] != int(i) || (response.Snapshot && e.Status == Gone) {
 			continue
 		}
 		e.Address = a.address(e.Name)
--- a/internal/lab/discovery/serve.go
+++ b/internal/lab/discovery/serve.go
@@ -13,10 +13,11 @@
 	"wrenspread/internal/lab/history"
 )
 
-// maxWatchHold is the longest time for which a watch is held open; the protocol sets the same bound.
+// maxWatchHold is the longest time for which a response is held back until a change. The protocol sets the
+// same bound.
 const maxWatchHold = time.Minute
 
-// Serve answers the requests of the agent's node, at a separate address, until stop is called.
+// Serve answers the requests of the agent's node until stop is called. It listens on a separate address.
 func (a *Agent) Serve(log *history.Log) (address string, stop func(), err error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -28,12 +29,12 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = srv.Serve(ln) // the error is that the server was closed
+		_ = srv.Serve(ln) // returns an error when the server is closed
 	}()
 	return ln.Addr().String(), func() { cancel(); besteffort.Close(srv); <-ended }, nil
 }
 
-// handler serves the list protocol, and records each entry that it sends.
+// handler returns a handler that serves the list protocol and records each entry that it sends.
 func (a *Agent) handler(log *history.Log) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, r *http.Request) {
@@ -51,14 +52,14 @@
 			return
 		}
 		for _, e := range response.Endpoints {
-			log.Add(history.Event{Kind: history.Notified, Node: a.Node, Backend: e.Name, How: e.Status, Index: response.Index,
-				Detail: strconv.FormatInt(e.StartedAtMS, 10)})
+			log.Add(history.Event{Kind: history.Notified, Node: a.Node, Backend: e.Name, How: e.Status,
+				Index: response.Index, Detail: strconv.FormatInt(e.StartedAtMS, 10)})
 		}
 	})
 	return mux
 }
 
-// parseQuery returns the version that a request starts from, and how long the response may be held back.
+// parseQuery returns the version that the client has, and for how long the response may be held back.
 func parseQuery(r *http.Request) (from uint64, hold time.Duration, err error) {
 	q := r.URL.Query()
 	if s := q.Get("from"); s != "" {
@@ -76,20 +77,20 @@
 	return from, hold, nil
 }
 
-// wait waits until the agent has another version than from, or hold has passed. It returns false when the
+// wait waits until the agent has another version than from, or hold has passed. It returns false if the
 // client has disconnected.
 func (a *Agent) wait(ctx context.Context, from uint64, hold time.Duration) bool {
 	until := a.now() + hold
 	for {
 		now := a.now()
-		index, next, wake := a.state(now)
+		index, nextArrival, wake := a.state(now)
 		if index != from || now >= until {
 			return true
 		}
-		if next == 0 || next > until {
-			next = until
+		if nextArrival == 0 || nextArrival > until {
+			nextArrival = until
 		}
-		t := time.NewTimer(next - now)
+		t := time.NewTimer(nextArrival - now)
 		select {
 		case <-wake:
 		case <-t.C:
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,5 +1,5 @@
-// Package history records a run of the lab: its events, the one clock that stamps them, and the file that
-// stores them. Every check and report is computed from a history.
+// Package history records the events of a lab run, with times of the same clock, and stores them in a file.
+// Every check and report is computed from a history.
 package history
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Kind says what an event describes.
+// Kind is the kind of an event.
 type Kind string
 
 // The kinds of events, with the fields that each kind sets in addition to T.
@@ -21,7 +21,7 @@
 	Due Kind = "due" // an operation is due: Op, Class, Tenant, Zone
 	// a try's last byte was written to a node: Op, ID, Class, Node, Key, Wait (how long the client waits)
 	Sent Kind = "sent"
-	// a try ended: Op, ID, Node, How, Status, Took (from Sent), Box (the backend that made the body), Detail
+	// a try ended: Op, ID, Node, How, Status, Took (from Sent), Backend (the backend that made the body), Detail
 	// (Fresh)
 	Answer Kind = "answer"
 	// a node closed a reused connection while a request was on its way; the client sent the request again:
@@ -30,27 +30,28 @@
 	Extra Kind = "extra" // bytes came after an answer: Node, ID of the answer
 	// an operation ended: Op, Class, Tenant, Zone, Node of the last try, How, Took (from Due), Tries
 	Over Kind = "over"
-	// an attempt's last byte reached a backend: Op, ID, Class, Key, Box, Node, Took (its work), Sent (when the
-	// node wrote its last byte), Also (backends where the request is still open), Bad and How (the request is
-	// one that no node may send)
+	// an attempt's last byte reached a backend: Op, ID, Class, Key, Backend, Node, Took (its work), Sent (when
+	// the node wrote its last byte), Also (backends where the request is still open), Bad and How (the request
+	// is one that a node must not send)
 	Arrive Kind = "arrive"
-	Begin  Kind = "begin" // a backend began the work, so the request may have an effect: ID, Key, Box, Pod
-	Drop   Kind = "drop"  // a backend's pod dropped a repeated key: ID, Key, Box
-	Reject Kind = "turn"  // a backend rejected an attempt without starting it: ID, Box, How
-	End    Kind = "end"   // a backend answered: ID, Box, Status, Took (from Arrive)
-	Shut   Kind = "shut"  // the node ended an open attempt: ID, Box, Node
-	// discovery sent an entry to a node: Node, Box, How (the status), Index, Detail (since_ms)
-	Notified      Kind = "told"
-	BackendChange Kind = "box" // a backend changed its state: Box, How, Detail (since_ms of a start that is listed)
+	Begin  Kind = "begin" // a backend began the work, so the request may have an effect: ID, Key, Backend, Pod
+	Drop   Kind = "drop"  // a backend's pod dropped a repeated key: ID, Key, Backend
+	Reject Kind = "turn"  // a backend rejected an attempt without starting it: ID, Backend, How
+	End    Kind = "end"   // a backend answered: ID, Backend, Status, Took (from Arrive)
+	Shut   Kind = "shut"  // the node ended an open attempt: ID, Backend, Node
+	// discovery sent an entry to a node: Node, Backend, How (the status), Index, Detail (since_ms)
+	Notified Kind = "told"
+	// a backend changed its state: Backend, How, Detail (since_ms of a start that discovery lists)
+	BackendChange Kind = "box"
 	// a node's view of the fleet changed: Node, Index (the view's number), How (its digest), Detail (the node's
 	// own generation), Also ("name health generation incarnation" of each member)
 	View Kind = "view"
 	// a process changed its state: Node, Pid, How (start, ready, signal, exit, overdue), Detail, Bad (not as
 	// ordered)
 	Proc Kind = "proc"
-	// a process's resource use: Node, Pid, RSS, FDs, CPU, Stall (both totals since its start)
+	// a process's resource use: Node, Pid, RSS, FDs, CPU and Stall (both are totals since the process's start)
 	Sample Kind = "sample"
-	// a fault begins or ends: How (begin or end), Detail, Nodes (processes that it touches)
+	// a fault begins or ends: How (begin or end), Detail, Nodes (processes that the fault affects)
 	Fault Kind = "fault"
 	// the lab's own lateness in the previous second: Took (worst), P99, CPU (total of the lab)
 	Lab    Kind = "lab"
@@ -58,7 +59,7 @@
 	Ending Kind = "ending" // the experiment is over; the lab is about to end the processes
 )
 
-// How a try or an operation ended.
+// Values of Event.How: how a try or an operation ended.
 const (
 	Served    = "served"    // answered with status 200
 	Refused   = "refused"   // the node refused the operation, with status 429 or 503
@@ -68,7 +69,8 @@
 	Unreached = "unreached" // no connection was made, or none that accepted the request
 )
 
-// Fresh is the Detail of an Answer event for a request on a new connection on which no answer began.
+// Fresh is the Detail of an Answer event if the request was sent on a new connection and no byte of an answer
+// came.
 const Fresh = "fresh"
 
 // Event is one line of the history. Fields that an event's kind does not use are absent from the line.
@@ -111,11 +113,11 @@
 	events   []Event
 	file     *os.File
 	writer   *bufio.Writer
-	err      error // the first write error
-	follower func(Event)
+	err      error       // the first write error
+	follower func(Event) // called with each event; may be nil
 }
 
-// New begins a history that is also written to the file at path, unless path is empty.
+// New begins a history. The history is also written to the file at path, unless path is empty.
 func New(path string) (*Log, error) {
 	l := &Log{start: time.Now()}
 	if path == "" {
@@ -129,21 +131,21 @@
 	return l, nil
 }
 
-// Follow has f called with each later event. f runs under the log's lock, so it must be quick and add no
-// event.
-func (l *Log) Follow(f func(Event)) {
+// Follow sets the function that is called with each later event. The function is called with the log's lock
+// held, so it must be quick and must not add an event.
+func (l *Log) Follow(follower func(Event)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.follower = f
+	l.follower = follower
 }
 
 // Now returns the time since the run began, by the monotonic clock.
 func (l *Log) Now() time.Duration { return time.Since(l.start) }
 
-// At converts a time since the run began to clock time.
+// At converts a time since the run began to wall-clock time.
 func (l *Log) At(t time.Duration) time.Time { return l.start.Add(t) }
 
-// Add stores an event, and stamps it with the present time if it has none.
+// Add stores an event. If the event has no time, Add sets the current time.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -186,7 +188,7 @@
 	return errors.Join(l.err, l.writer.Flush())
 }
 
-// Close closes the file. Events that are added later are stored in memory only.
+// Close closes the file. Later events are stored in memory only.
 func (l *Log) Close() error {
 	err := l.Flush()
 	l.mu.Lock()
@@ -201,26 +203,26 @@
 // maxLineBytes bounds the length of a line that Read accepts.
 const maxLineBytes = 1 << 20
 
-// Read returns the events of a history file. A truncated last line, as a killed lab leaves it, is skipped;
-// any other malformed line is an error.
+// Read returns the events of a history file. It skips a malformed last line, since a killed lab may leave a
+// truncated line. Any other malformed line is an error.
 func Read(r io.Reader) ([]Event, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
-	var all []Event
-	var broken error
+	var events []Event
+	var lineErr error
 	for n := 1; lines.Scan(); n++ {
-		if broken != nil {
-			return nil, broken
+		if lineErr != nil {
+			return nil, lineErr
 		}
 		var e Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			broken = fmt.Errorf("read history: line %d: %w", n, err)
+			lineErr = fmt.Errorf("read history: line %d: %w", n, err)
 			continue
 		}
-		all = append(all, e)
+		events = append(events, e)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("read history: %w", err)
 	}
-	return all, nil
+	return events, nil
 }
--- a/internal/lab/platform/config.go
+++ b/internal/lab/platform/config.go
@@ -1,5 +1,5 @@
-// Package platform writes the configuration file that the platform gives to a node, in the form that the
-// deployment and wire pages define.
+// Package platform writes the configuration file that the platform gives to a node. The deployment and
+// wire pages define its form.
 package platform
 
 import (
@@ -15,18 +15,18 @@
 // Node holds the parts of a node's configuration that differ between nodes.
 type Node struct {
 	Name           string
-	Number         int
-	Nodes          int
+	Number         int // number of the node in the fleet, from 0
+	Nodes          int // number of nodes in the fleet
 	Zone           string
 	Listen         string
 	Control        string
 	Discovery      string
 	List           []string // addresses of the registry, if the node follows it directly
 	ListFile       string
-	ListPart       bool     // the node follows only its part of the registry's list
-	StatsByBackend bool     // the node's metrics are separate for each backend
+	ListPart       bool     // the node follows only its subset of the registry's list
+	StatsByBackend bool     // the node has separate metrics for each backend
 	PeerListen     string   // address for messages between nodes; empty: none
-	Peers          []string // addresses by node number, its own included
+	Peers          []string // addresses of all nodes by node number, with the node's own address
 	FollowPolicy   bool     // the node follows the operators' policy
 	Tenants        bool     // the node follows the catalogue of tenants
 	Fleet          string   // name of the fleet whose members the node tracks; empty: none
@@ -36,7 +36,7 @@
 	Sockets        int
 }
 
-// object is a JSON object.
+// object is a JSON object of the configuration file.
 type object map[string]any
 
 // Write writes the configuration file at path atomically. rate is the mean number of requests per second.
@@ -45,16 +45,17 @@
 	if err != nil {
 		return fmt.Errorf("encode configuration of %s: %w", n.Name, err)
 	}
-	next := path + ".next"
-	if err := os.WriteFile(next, raw, 0o644); err != nil {
+	tempPath := path + ".next"
+	if err := os.WriteFile(tempPath, raw, 0o644); err != nil {
 		return fmt.Errorf("write configuration of %s: %w", n.Name, err)
 	}
-	if err := os.Rename(next, path); err != nil {
+	if err := os.Rename(tempPath, path); err != nil {
 		return fmt.Errorf("write configuration of %s: %w", n.Name, err)
 	}
 	return nil
 }
 
+// config returns the content of the node's configuration file.
 func (n Node) config(w world.World, rate float64) object {
 	c := object{
 		"name":      n.Name,
@@ -95,6 +96,8 @@
 // effectNames holds the configuration's names for the effects of classes.
 var effectNames = map[string]string{world.Safe: "retryable", world.Unsafe: "fragile", world.Keyed: "dedup"}
 
+// settings returns the settings of the balancer: the classes, the tenants, and the limits and rules of the
+// lab.
 func (n Node) settings(w world.World, rate float64) object {
 	var classes, accounts []object
 	for _, c := range w.Classes {
@@ -182,6 +185,6 @@
 	}
 }
 
-// quotaFactor is a tenant's quota divided by its share of the mean load. A tenant's demand is 0.5 to 1.4 of
-// its share, so it mostly stays within the quota.
+// quotaFactor is a tenant's quota divided by the tenant's share of the mean load. The demand of a tenant is
+// 0.5 to 1.4 times this share, so it mostly stays within the quota.
 const quotaFactor = 1.3
--- a/internal/lab/platform/config_test.go
+++ b/internal/lab/platform/config_test.go
@@ -27,11 +27,11 @@
 	s := c.Settings
 	if c.Control != n.Control || len(c.Peers) != 2 || c.MemoryMB != 64 || s.ProxyIndex != 1 || s.Zone != n.Zone || len(s.Classes) != len(w.Classes) ||
 		s.DrainGrace != world.DrainGrace || s.MaxAttempts != world.MaxAttempts || s.MaxRetryAfter != world.MaxRetryAfter || !s.SendRetryAfter || s.AllowHedging {
-		t.Errorf("the node has %+v", c)
+		t.Errorf("the proxy loaded the configuration %+v", c)
 	}
 	for i, k := range s.Classes {
 		if want := w.Classes[i]; k.Name != want.Name || k.LatencyObjective != want.LatencyObjective || k.Deadline != want.Deadline {
-			t.Errorf("class %+v, want %+v", k, want)
+			t.Errorf("the proxy loaded the class %+v, want %+v", k, want)
 		}
 	}
 }
