--- a/internal/lab/backend/backend.go
+++ b/internal/lab/backend/backend.go
@@ -102,7 +102,7 @@
 	crowdedSince       time.Duration // when there began to be too many jobs; -1: there are not too many
 	overloaded         bool
 	overloadedAt       time.Duration
-	restingSince       time.Duration // when the backend became mostly idle; -1: it is not mostly idle
+	idleSince          time.Duration // when the backend became mostly idle; -1: it is not mostly idle
 
 	// work that a job in service since the start would have received; jobs share the service rate evenly
 	servicePerJob float64
@@ -129,7 +129,7 @@
 func New(m world.Machine, pod *Pod, seed uint64, now time.Duration, cold bool) *Backend {
 	b := &Backend{machine: m, pod: pod, rng: rand.New(rand.NewPCG(seed, 0x626f78)), now: now, started: now,
 		cold:         cold,
-		crowdedSince: -1, restingSince: -1}
+		crowdedSince: -1, idleSince: -1}
 	b.nextPause(now)
 	return b
 }
@@ -167,8 +167,8 @@
 	}
 	r := min(1, float64(b.machine.Cores)/float64(n)) * b.machine.Speed * b.warmth(b.now) *
 		(1 - b.degradation.Taken)
-	if over := float64(n)/float64(b.machine.Cores) - b.machine.ThrashAt; over > 0 {
-		r /= 1 + b.machine.Thrash*over
+	if excess := float64(n)/float64(b.machine.Cores) - b.machine.ThrashAt; excess > 0 {
+		r /= 1 + b.machine.Thrash*excess
 	}
 	if b.degradation.Slower > 1 {
 		r /= b.degradation.Slower
@@ -261,12 +261,12 @@
 	}
 	jobsPerCore := float64(len(b.running)+len(b.waiting)) / float64(b.machine.Cores)
 	b.crowdedSince = since(jobsPerCore > overload.At, b.crowdedSince, b.now)
-	b.restingSince = since(jobsPerCore < overload.At/4, b.restingSince, b.now)
+	b.idleSince = since(jobsPerCore < overload.At/4, b.idleSince, b.now)
 	switch {
 	case !b.overloaded && b.crowdedSince >= 0 && b.now-b.crowdedSince >= overload.After:
 		b.overloaded, b.overloadedAt = true, b.now
 	case b.overloaded && (b.now-b.overloadedAt >= overload.MaxDuration ||
-		b.restingSince >= 0 && b.now-b.restingSince >= overload.RecoveryIdle):
+		b.idleSince >= 0 && b.now-b.idleSince >= overload.RecoveryIdle):
 		b.overloaded, b.crowdedSince = false, -1
 	}
 }
--- a/internal/lab/backend/backend_test.go
+++ b/internal/lab/backend/backend_test.go
@@ -27,7 +27,7 @@
 		m.ErrorRate = 0
 		const window = 1250 * time.Millisecond
 		b := New(m, NewPod(window), 1, 0, rapid.Bool().Draw(t, "cold"))
-		begun, over := map[uint64]bool{}, map[uint64]bool{}
+		begun, ended := map[uint64]bool{}, map[uint64]bool{}
 		work := map[uint64]time.Duration{}
 		var now, finished time.Duration
 		fell := false
@@ -39,7 +39,7 @@
 				switch {
 				case a.Kind == Fell:
 					fell = true
-				case a.Kind == Begun && (begun[a.Num] || over[a.Num]):
+				case a.Kind == Begun && (begun[a.Num] || ended[a.Num]):
 					t.Fatalf("job %d begins twice, or after its end", a.Num)
 				case a.Kind == Begun:
 					begun[a.Num] = true
@@ -50,10 +50,10 @@
 						t.Fatalf("the key begins again for job %d, which arrived %v after it began", a.Num, arrivedAt[a.Num]-lastBegun)
 					}
 					lastBegun = previous
-				case (a.Kind == Done || a.Kind == Rejected) && over[a.Num]:
+				case (a.Kind == Done || a.Kind == Rejected) && ended[a.Num]:
 					t.Fatalf("job %d ends twice", a.Num)
 				case a.Kind == Done || a.Kind == Rejected:
-					over[a.Num] = true
+					ended[a.Num] = true
 					if begun[a.Num] && a.Status == 200 {
 						finished += work[a.Num]
 					}
--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -153,9 +153,9 @@
 			return c.write(result.status, "failed", "")
 		}
 		return c.write(result.status, Body(id, s.machine.Name), "")
-	case _, more := <-c.requests:
+	case _, secondRequest := <-c.requests:
 		s.host.log.Add(history.Event{Kind: history.Shut, ID: id, Backend: s.machine.Name, Node: c.node})
-		if more {
+		if secondRequest {
 			s.host.log.Add(
 				history.Event{
 					Kind:    history.Arrive,
--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -62,11 +62,12 @@
 	s.incarnation++
 	s.listener, s.backend = ln, backend.New(s.machine, s.pod.Pod, s.seed+uint64(s.incarnation),
 		s.host.log.Now(), since != "")
-	how := "up"
+	state := "up"
 	if since != "" {
-		how = "cold"
+		state = "cold"
 	}
-	s.host.log.Add(history.Event{Kind: history.BackendChange, Backend: s.machine.Name, How: how, Detail: since})
+	s.host.log.Add(history.Event{Kind: history.BackendChange, Backend: s.machine.Name,
+		How: state, Detail: since})
 	s.backend.SetDegradation(s.host.log.Now(), s.totalDegradation())
 	s.host.tasks.Add(1)
 	go s.accept(ln)
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -63,32 +63,32 @@
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.T, b.T) })
 	return []Verdict{
-		answered(
+		checkAnswered(
 			events,
 		),
-		ended(events),
-		ownAnswer(events),
-		onceUnsafe(events),
-		onceKeyed(events, l.Slack),
-		oneAtATime(events),
-		asSent(events),
-		drains(events, l.Slack),
-		cold(events),
-		processes(events),
-		resourceUse(events, l),
-		growth(events),
+		checkEnded(events),
+		checkOwnAnswer(events),
+		checkUnsafeOnce(events),
+		checkKeyOnce(events, l.Slack),
+		checkOneAtATime(events),
+		checkAsSent(events),
+		checkDrains(events, l.Slack),
+		checkCold(events),
+		checkProcesses(events),
+		checkLimits(events, l),
+		checkGrowth(events),
 	}
 }
 
-// answered checks that each request that was sent to a node gets exactly one final answer. The outcomes
+// checkAnswered checks that each request that was sent to a node gets exactly one final answer. The outcomes
 // Broken and Silent are allowed if a fault acted on the node while the request was open.
-func answered(events []history.Event) Verdict {
+func checkAnswered(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "answered",
 		Rule:  "each request that was taken gets one final answer in its time",
 		Timed: true,
 	}
-	faults := faultsOf(events)
+	faults := faultIntervals(events)
 	sent := map[string]history.Event{}
 	answers := map[string]int{}
 	fresh, total := 0, 0
@@ -138,8 +138,8 @@
 	return v
 }
 
-// ended checks that each operation that was due ends exactly once.
-func ended(events []history.Event) Verdict {
+// checkEnded checks that each operation that was due ends exactly once.
+func checkEnded(events []history.Event) Verdict {
 	v := Verdict{Name: "ended", Rule: "each operation that was due ends once"}
 	endings := map[int]int{}
 	for _, e := range events {
@@ -160,8 +160,8 @@
 	return v
 }
 
-// ownAnswer checks that the backend which a served answer names made this answer for the same request.
-func ownAnswer(events []history.Event) Verdict {
+// checkOwnAnswer checks that the backend which a served answer names made this answer for the same request.
+func checkOwnAnswer(events []history.Event) Verdict {
 	v := Verdict{Name: "own-answer", Rule: "what a node serves is what a box answered to that very request"}
 	type answerKey struct{ id, backend string }
 	ends := map[answerKey]bool{}
@@ -182,9 +182,9 @@
 	return v
 }
 
-// onceUnsafe checks that no operation of the unsafe class payment-post begins twice at backends, counting all
-// of its tries.
-func onceUnsafe(events []history.Event) Verdict {
+// checkUnsafeOnce checks that no operation of the unsafe class payment-post begins twice at backends,
+// counting all of its tries.
+func checkUnsafeOnce(events []history.Event) Verdict {
 	v := Verdict{Name: "unsafe-once", Rule: "no payment-post begins twice, over all of its client's tries"}
 	unsafe := map[int]bool{}
 	for _, e := range events {
@@ -207,10 +207,10 @@
 	return v
 }
 
-// onceKeyed checks that no idempotency key begins twice. A repeat may begin if it was sent to the same pod
+// checkKeyOnce checks that no idempotency key begins twice. A repeat may begin if it was sent to the same pod
 // within the deduplication window, because the network may delay it for longer than the pod remembers the
 // key.
-func onceKeyed(events []history.Event, slack time.Duration) Verdict {
+func checkKeyOnce(events []history.Event, slack time.Duration) Verdict {
 	v := Verdict{
 		Name: "key-once",
 		Rule: "no key begins twice: repeats are sent to the same pod and within the window",
@@ -246,8 +246,8 @@
 	return v
 }
 
-// oneAtATime checks that no two attempts of one request are open at the same time.
-func oneAtATime(events []history.Event) Verdict {
+// checkOneAtATime checks that no two attempts of one request are open at the same time.
+func checkOneAtATime(events []history.Event) Verdict {
 	v := Verdict{Name: "one-at-a-time", Rule: "no two attempts of one request are open at once"}
 	for _, e := range events {
 		if e.Kind != history.Arrive {
@@ -261,8 +261,8 @@
 	return v
 }
 
-// asSent checks that every request that reaches a backend is a request that a client sent, unchanged.
-func asSent(events []history.Event) Verdict {
+// checkAsSent checks that every request that reaches a backend is a request that a client sent, unchanged.
+func checkAsSent(events []history.Event) Verdict {
 	v := Verdict{
 		Name: "as-sent",
 		Rule: "what reaches a box is a request that a client sent, with its id and key, one to a connection",
--- a/internal/lab/check/lifecycle.go
+++ b/internal/lab/check/lifecycle.go
@@ -9,9 +9,9 @@
 	"wrenspread/internal/lab/world"
 )
 
-// cold checks that no cold backend falls over because of nodes that had been notified of its start. A fall
-// counts as a finding if these nodes sent at least two thirds of the backend's recent work.
-func cold(events []history.Event) Verdict {
+// checkCold checks that no cold backend falls over because of nodes that had been notified of its start. A
+// fall counts as a finding if these nodes sent at least two thirds of the backend's recent work.
+func checkCold(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "cold",
 		Rule:  "no cold box falls over under what nodes send that were told of its start",
@@ -59,8 +59,8 @@
 	return v
 }
 
-// processes checks that every process ends, and in the way that was ordered.
-func processes(events []history.Event) Verdict {
+// checkProcesses checks that every process ends, and in the way that was ordered.
+func checkProcesses(events []history.Event) Verdict {
 	v := Verdict{
 		Name: "processes",
 		Rule: "every process ends as ordered: with 0 after SIGTERM, and not by itself",
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -1,5 +1,7 @@
 package check
 
+// This file holds the intervals of faults, and the checks of drains and of resource use.
+
 import (
 	"slices"
 	"time"
@@ -19,8 +21,8 @@
 // segment arrives up to a second later.
 const faultAftermath = time.Second
 
-// faultsOf collects the intervals of the faults that act on nodes or on their clients' links.
-func faultsOf(events []history.Event) nodeIntervals {
+// faultIntervals collects the intervals of the faults that act on nodes or on their clients' links.
+func faultIntervals(events []history.Event) nodeIntervals {
 	intervals := nodeIntervals{}
 	beganAt := map[string]time.Duration{}
 	for _, e := range events {
@@ -74,10 +76,10 @@
 	}
 }
 
-// drains checks that a node sends no new request to a backend that drains or is gone, once the grace period
-// has passed since the node was notified. The time for which the node was stopped is added to the grace
-// period.
-func drains(events []history.Event, slack time.Duration) Verdict {
+// checkDrains checks that a node sends no new request to a backend that drains or is gone, once the grace
+// period has passed since the node was notified. The time for which the node was stopped is added to the
+// grace period.
+func checkDrains(events []history.Event, slack time.Duration) Verdict {
 	v := Verdict{
 		Name:  "drains",
 		Rule:  "nothing new reaches a box past the grace after the node was told that it drains or is gone",
@@ -108,8 +110,8 @@
 	return v
 }
 
-// resourceUse checks that memory and descriptors of every process stay within the limits.
-func resourceUse(events []history.Event, l Limits) Verdict {
+// checkLimits checks that memory and descriptors of every process stay within the limits.
+func checkLimits(events []history.Event, l Limits) Verdict {
 	v := Verdict{Name: "limits", Rule: "memory and descriptors of every process stay within its limits"}
 	for _, e := range events {
 		if e.Kind != history.Sample {
@@ -135,9 +137,9 @@
 	growthAllowedFDs    = 64       // descriptors that a burst of connections may add
 )
 
-// growth checks that memory and descriptors of a process stop growing: the medians of the third and the last
-// quarter of its run time are compared.
-func growth(events []history.Event) Verdict {
+// checkGrowth checks that memory and descriptors of a process stop growing: the medians of the third and the
+// last quarter of its run time are compared.
+func checkGrowth(events []history.Event) Verdict {
 	v := Verdict{
 		Name: "growth",
 		Rule: "memory and descriptors of a process do not go on growing through the last half of its life",
--- a/internal/lab/check/view.go
+++ b/internal/lab/check/view.go
@@ -46,7 +46,7 @@
 	}
 	c := viewCheck{
 		verdict:    &v,
-		faults:     faultsByName(events),
+		faults:     faultIntervalsByName(events),
 		running:    map[string]int{},
 		lastView:   map[string]history.Event{},
 		terminated: map[string]bool{},
@@ -89,9 +89,9 @@
 	deadAfter map[string]time.Duration // by viewing node: the delay until its view had the lost node as dead
 }
 
-// faultsByName collects the intervals of all faults by the parties that they name, each prolonged by
+// faultIntervalsByName collects the intervals of all faults by the parties that they name, each prolonged by
 // viewSettleTime.
-func faultsByName(events []history.Event) nodeIntervals {
+func faultIntervalsByName(events []history.Event) nodeIntervals {
 	var named []history.Event
 	for _, e := range events {
 		if e.Kind == history.Fault {
@@ -99,7 +99,7 @@
 			named = append(named, e)
 		}
 	}
-	byName := faultsOf(named)
+	byName := faultIntervals(named)
 	for _, intervals := range byName {
 		for i := range intervals {
 			intervals[i].to += min(viewSettleTime, 1<<63-1-intervals[i].to)
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -80,7 +80,7 @@
 
 // result is the outcome of a try.
 type result struct {
-	how        string
+	outcome    string
 	status     int
 	backend    string
 	took       time.Duration
@@ -114,7 +114,7 @@
 		}
 	}
 	if tries == 0 { // the lab was too late to send it before its deadline
-		lastResult.how = history.Unreached
+		lastResult.outcome = history.Unreached
 	}
 	c.log.Add(
 		history.Event{
@@ -124,7 +124,7 @@
 			Tenant:  op.Tenant,
 			Zone:    op.Zone,
 			Node:    node,
-			How:     lastResult.how,
+			How:     lastResult.outcome,
 			Status:  lastResult.status,
 			Took:    c.log.Now() - due,
 			Tries:   tries,
@@ -136,7 +136,7 @@
 // shouldRetry reports whether a client retries an operation after the result r. It retries a safe operation
 // after any result but success, and other operations only if they are known not to have run.
 func (c *Clients) shouldRetry(op *load.Op, r result) bool {
-	switch r.how {
+	switch r.outcome {
 	case history.Served:
 		return false
 	case history.Refused, history.Unreached:
@@ -150,7 +150,7 @@
 func (c *Clients) try(op *load.Op, try int, wait time.Duration) (node string, r result) {
 	node, address, ok := c.front.pick(op.Zone, op.NodeChoice+uint64(try))
 	if !ok {
-		return "", result{how: history.Unreached}
+		return "", result{outcome: history.Unreached}
 	}
 	id := op.ID(c.seed, try)
 	c.requests.Add(id, op)
@@ -158,15 +158,15 @@
 	if err != nil {
 		return node, c.unreached(op, id, node)
 	}
-	r, keep := c.exchange(cn, op, id, try, wait)
-	if r.how == history.Broken && cn.used && !r.responded && !c.Disturbed(node) && !c.requests.Reached(id) {
+	r, reusable := c.exchange(cn, op, id, try, wait)
+	if r.outcome == history.Broken && cn.used && !r.responded && !c.Disturbed(node) && !c.requests.Reached(id) {
 		// The node closed the connection while the request was on its way, so the request is sent once more.
 		c.log.Add(history.Event{Kind: history.Cross, Op: op.N, ID: id, Node: node})
 		besteffort.Close(cn)
 		if cn, err = c.connections.take(node, address, true); err != nil {
 			return node, c.unreached(op, id, node)
 		}
-		r, keep = c.exchange(cn, op, id, try, wait)
+		r, reusable = c.exchange(cn, op, id, try, wait)
 	}
 	e := history.Event{
 		Kind:    history.Answer,
@@ -174,7 +174,7 @@
 		ID:      id,
 		Class:   op.Class.Name,
 		Node:    node,
-		How:     r.how,
+		How:     r.outcome,
 		Status:  r.status,
 		Took:    r.took,
 		Backend: r.backend,
@@ -183,7 +183,7 @@
 		e.Detail = history.Fresh
 	}
 	c.log.Add(e)
-	if keep {
+	if reusable {
 		cn.used, cn.lastID = true, id
 		c.connections.put(address, cn)
 	} else {
@@ -204,20 +204,20 @@
 			How:   history.Unreached,
 		},
 	)
-	return result{how: history.Unreached}
+	return result{outcome: history.Unreached}
 }
 
-// exchange sends a request and waits for its answer. keep reports whether the connection can be reused.
+// exchange sends a request and waits for its answer. reusable reports whether the connection can be reused.
 func (c *Clients) exchange(
 	cn *conn,
 	op *load.Op,
 	id string,
 	try int,
 	wait time.Duration,
-) (r result, keep bool) {
+) (r result, reusable bool) {
 	besteffort.SocketOption(cn.SetDeadline(time.Now().Add(wait + lateAnswerWait)))
 	if _, err := io.WriteString(cn, request(op, id, try, wait)); err != nil {
-		return result{how: history.Broken}, false
+		return result{outcome: history.Broken}, false
 	}
 	sent := c.log.Now()
 	c.log.Add(
@@ -234,25 +234,25 @@
 	)
 	peeked, err := cn.reader.Peek(1)
 	if err != nil {
-		r = result{how: history.Broken, took: c.log.Now() - sent, responded: len(peeked) > 0}
+		r = result{outcome: history.Broken, took: c.log.Now() - sent, responded: len(peeked) > 0}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			r.how, r.responded = history.Silent, true
+			r.outcome, r.responded = history.Silent, true
 		}
 		return r, false
 	}
 	resp, err := http.ReadResponse(cn.reader, nil)
 	if err != nil {
-		return result{how: history.Broken, took: c.log.Now() - sent, responded: true}, false
+		return result{outcome: history.Broken, took: c.log.Now() - sent, responded: true}, false
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 	besteffort.Close(resp.Body)
 	r = result{status: resp.StatusCode, took: c.log.Now() - sent, responded: true}
 	if err != nil {
-		r.how = history.Broken
+		r.outcome = history.Broken
 		return r, false
 	}
-	r.how = outcome(resp.StatusCode)
-	if r.how == history.Served {
+	r.outcome = outcome(resp.StatusCode)
+	if r.outcome == history.Served {
 		madeFor, backend, _ := strings.Cut(string(body), " ")
 		r.backend = backend
 		if madeFor != id {
--- a/internal/lab/discovery/serve.go
+++ b/internal/lab/discovery/serve.go
@@ -80,15 +80,15 @@
 // wait waits until the agent has another version than from, or hold has passed. It returns false if the
 // client has disconnected.
 func (a *Agent) wait(ctx context.Context, from uint64, hold time.Duration) bool {
-	until := a.now() + hold
+	deadline := a.now() + hold
 	for {
 		now := a.now()
 		index, nextArrival, wake := a.state(now)
-		if index != from || now >= until {
+		if index != from || now >= deadline {
 			return true
 		}
-		if nextArrival == 0 || nextArrival > until {
-			nextArrival = until
+		if nextArrival == 0 || nextArrival > deadline {
+			nextArrival = deadline
 		}
 		t := time.NewTimer(nextArrival - now)
 		select {
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -40,13 +40,13 @@
 	}
 }
 
-// Await waits until the condition is true. It fails the test if that takes longer than Enough. what names the
-// condition in the failure.
-func Await(t testing.TB, what string, condition func() bool) {
+// Await waits until the condition is true. It fails the test if that takes longer than Enough. description
+// names the condition in the failure.
+func Await(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(Enough); !condition(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatalf("timed out while waiting for: %s", what)
+	for deadline := time.Now().Add(Enough); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out while waiting for: %s", description)
 		}
 	}
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -81,9 +81,9 @@
 			t.Fatal("the result of Merge depends on the order, or the zero shape changes it")
 		}
 		l := newState(NewNet(1), ends)
-		l.lay("a", &a)
-		l.lay("b", &b)
-		l.lay("a", nil)
+		l.setShape("a", &a)
+		l.setShape("b", &b)
+		l.setShape("a", nil)
 		if got := l.current.Load().Shape; got != b {
 			t.Fatalf("shape of the link after shape a is lifted: %+v, want %+v", got, b)
 		}
@@ -171,7 +171,8 @@
 	}
 }
 
-// TestClosedByOpenerSeesACloseThroughAHeldLink: ClosedByOpener reports a close that the link does not forward.
+// TestClosedByOpenerSeesACloseThroughAHeldLink: ClosedByOpener reports a close that the link does not
+// forward.
 func TestClosedByOpenerSeesACloseThroughAHeldLink(t *testing.T) {
 	n, address, accepted := newTestLink(t)
 	c := dial(t, address)
@@ -182,8 +183,8 @@
 	}
 	n.Lay("cut", Shape{Hold: Both}, allLinks)
 	besteffort.Close(c)
-	for until := time.Now().Add(hangTimeout); !s.ClosedByOpener(); time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
+	for deadline := time.Now().Add(hangTimeout); !s.ClosedByOpener(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("ClosedByOpener does not report the close")
 		}
 	}
--- a/internal/lab/link/net.go
+++ b/internal/lab/link/net.go
@@ -36,11 +36,11 @@
 
 // Lay applies a shape to the links that match. It replaces the shape that has the same name on these links.
 func (n *Net) Lay(name string, s Shape, match func(Ends) bool) {
-	n.each(match, func(l *linkState) { l.lay(name, &s) })
+	n.each(match, func(l *linkState) { l.setShape(name, &s) })
 }
 
 // Lift removes the shape of that name from all links.
-func (n *Net) Lift(name string) { n.each(nil, func(l *linkState) { l.lay(name, nil) }) }
+func (n *Net) Lift(name string) { n.each(nil, func(l *linkState) { l.setShape(name, nil) }) }
 
 // Reset resets the open connections of the links that match.
 func (n *Net) Reset(match func(Ends) bool) { n.each(match, func(l *linkState) { l.resetAll() }) }
@@ -128,8 +128,9 @@
 	return l
 }
 
-// lay sets the shape with this name on the link, or removes it if s is nil, and applies the merged shape.
-func (l *linkState) lay(name string, s *Shape) {
+// setShape sets the shape with this name on the link, or removes it if s is nil, and applies the merged
+// shape.
+func (l *linkState) setShape(name string, s *Shape) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, had := l.shapes[name]; s == nil && !had {
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -39,7 +39,7 @@
 	}
 	p.state.onChange = p.applyShape
 	closeLink := func() {
-		p.state.lay("closed", &Shape{Refuse: true})
+		p.state.setShape("closed", &Shape{Refuse: true})
 		free()
 	}
 	if err := n.add(e, p.state, closeLink); err != nil {
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -11,8 +11,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// maxDatagramBytes bounds the size of a forwarded datagram. A longer one arrives truncated to this size, so
-// the receiver sees that it is too long.
+// maxDatagramBytes bounds the size of a forwarded datagram. A longer datagram arrives truncated to this size,
+// so the receiver sees that it is too long.
 const maxDatagramBytes = 2048
 
 // Pair makes a datagram link between two parties that listen at the given addresses. toSeen is the address at
--- a/internal/lab/measure/cost.go
+++ b/internal/lab/measure/cost.go
@@ -137,8 +137,8 @@
 	front.Add("n0", w.Zones[0], address)
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	late := fleet.NewLateness(log)
-	go late.Watch(watchCtx)
+	lateness := fleet.NewLateness(log)
+	go lateness.Watch(watchCtx)
 	go front.Watch(watchCtx)
 	for front.Admitted() == 0 {
 		select {
@@ -149,7 +149,7 @@
 	}
 	ops := load.Draw(1, w, load.Shape{Rate: rate, Length: stepLength})
 	clients := client.New(log, front, load.NewRequestIndex(), 1)
-	clients.Late = late.Add
+	clients.Late = lateness.Add
 	began, cpuBefore := log.Now(), fleet.OwnCPU()
 	clients.Run(ctx, began, ops)
 	took := log.Now() - began
--- a/internal/lab/process/proc_test.go
+++ b/internal/lab/process/proc_test.go
@@ -89,10 +89,10 @@
 // patience, and the history records that its end was not as ordered.
 func TestProcessThatIgnoresSigtermIsKilledAndRecorded(t *testing.T) {
 	g, l, p, log := startTestProcess(t, "ignore-sigterm")
-	for until := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
 		if b, _ := os.ReadFile(log); len(b) > 0 {
 			break
-		} else if time.Now().After(until) {
+		} else if time.Now().After(deadline) {
 			t.Fatal("the process writes no output")
 		}
 	}
@@ -178,11 +178,11 @@
 	besteffort.Signal(cmd.Process.Kill())
 	_, _ = io.Copy(io.Discard, in)
 	_ = cmd.Wait()
-	for until := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(hangTimeout); ; time.Sleep(time.Millisecond) {
 		if !alive(pid) {
 			return
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			besteffort.Signal(syscall.Kill(pid, syscall.SIGKILL))
 			t.Fatal("a process of a killed lab still runs")
 		}
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -34,15 +34,15 @@
 	return float64(n) / float64(c.Asked)
 }
 
-// add counts one operation by its outcome, the time it took, and its class's latency objective.
-func (c *Count) add(how string, took, objective time.Duration) {
+// add counts an operation by its outcome, the time that it took, and the latency objective of its class.
+func (c *Count) add(outcome string, took, objective time.Duration) {
 	c.Asked++
 	switch {
-	case how == history.Served && took <= objective:
+	case outcome == history.Served && took <= objective:
 		c.InTime++
-	case how == history.Served:
+	case outcome == history.Served:
 		c.Late++
-	case how == history.Refused:
+	case outcome == history.Refused:
 		c.Refused++
 	default:
 		c.Failed++
--- a/internal/lab/report/run.go
+++ b/internal/lab/report/run.go
@@ -83,11 +83,11 @@
 	case Fail:
 		for _, v := range r.Verdicts {
 			if !v.OK() && (!v.Timed || r.Late == "") {
-				more := ""
+				suffix := ""
 				if n := len(v.Broken) - 1; n > 0 {
-					more = fmt.Sprintf(" (and %d more)", n)
+					suffix = fmt.Sprintf(" (and %d more)", n)
 				}
-				return fmt.Sprintf("FAIL %s: seed %d, %s: %s%s", f.Name, f.Seed, v.Name, v.Broken[0], more)
+				return fmt.Sprintf("FAIL %s: seed %d, %s: %s%s", f.Name, f.Seed, v.Name, v.Broken[0], suffix)
 			}
 		}
 	case Void:
