--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -106,7 +106,7 @@
 		s.degradations[name] = *d
 	}
 	s.mu.Unlock()
-	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action {
+	s.update(func(b *backend.Backend, now time.Duration) []backend.Action {
 		return b.SetDegradation(now, s.totalDegradation())
 	})
 }
@@ -120,8 +120,8 @@
 	return merged
 }
 
-// drive calls event with the backend, unless the backend is down, and applies the resulting actions.
-func (s *Server) drive(event func(*backend.Backend, time.Duration) []backend.Action) {
+// update calls event with the backend, unless the backend is down, and applies the resulting actions.
+func (s *Server) update(event func(*backend.Backend, time.Duration) []backend.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.backend == nil {
@@ -143,7 +143,7 @@
 		s.timer.Stop()
 	}
 	s.timer = time.AfterFunc(wait, func() {
-		s.drive(func(b *backend.Backend, now time.Duration) []backend.Action { return b.Tick(now) })
+		s.update(func(b *backend.Backend, now time.Duration) []backend.Action { return b.Tick(now) })
 	})
 }
 
@@ -187,7 +187,7 @@
 	if firstOnConn {
 		extra = s.machine.Handshake
 	}
-	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action {
+	s.update(func(b *backend.Backend, now time.Duration) []backend.Action {
 		s.lastJob++
 		a.job = s.lastJob
 		s.attempts[a.job] = a
@@ -200,7 +200,7 @@
 // cancel reports to the backend that a node has ended an attempt. The work of the attempt may continue, so
 // the attempt stays in s.attempts.
 func (s *Server) cancel(a *attempt) {
-	s.drive(func(b *backend.Backend, now time.Duration) []backend.Action { return b.Cancel(now, a.job) })
+	s.update(func(b *backend.Backend, now time.Duration) []backend.Action { return b.Cancel(now, a.job) })
 }
 
 // idHash returns a hash that seeds the random work of an attempt.
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -113,7 +113,7 @@
 			break
 		}
 	}
-	if tries == 0 { // the lab was too late to send it before its deadline
+	if tries == 0 { // the lab was too late to send the operation before its deadline
 		lastResult.outcome = history.Unreached
 	}
 	c.log.Add(
--- a/internal/lab/link/net.go
+++ b/internal/lab/link/net.go
@@ -76,10 +76,10 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
-		return fmt.Errorf("link %s: the network is closed", e)
+		return fmt.Errorf("add link %s: the network is closed", e)
 	}
 	if _, ok := n.links[e]; ok {
-		return fmt.Errorf("link %s: already exists", e)
+		return fmt.Errorf("add link %s: the link already exists", e)
 	}
 	n.links[e] = l
 	n.closers = append(n.closers, closeLink)
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -32,10 +32,10 @@
 	}
 	p := &proxy{net: n, target: target, address: address, state: newState(n, e),
 		listenerChanged: make(chan struct{}, 1)}
-	p.parkedChanged = sync.NewCond(&p.mu)
+	p.acceptPausedChanged = sync.NewCond(&p.mu)
 	if err := p.open(); err != nil {
 		free()
-		return "", fmt.Errorf("link %s: %w", e, err)
+		return "", fmt.Errorf("listen for link %s: %w", e, err)
 	}
 	p.state.onChange = p.applyShape
 	closeLink := func() {
@@ -60,12 +60,12 @@
 	state           *linkState
 	listenerChanged chan struct{} // signals that the listener was replaced or accepts again
 
-	mu            sync.Mutex
-	listener      *net.TCPListener // nil while connections are refused
-	filler        net.Conn         // fills the accept queue while the link is cut
-	fillerAddress string           // local address of the last filler, which accept gets after the cut
-	parked        bool             // the accept loop waits: no Accept call is in progress
-	parkedChanged *sync.Cond       // signals a change of parked
+	mu                  sync.Mutex
+	listener            *net.TCPListener // nil while connections are refused
+	filler              net.Conn         // fills the accept queue while the link is cut
+	fillerAddress       string           // local address of the last filler, which accept gets after the cut
+	acceptPaused        bool             // the accept loop waits: no Accept call is in progress
+	acceptPausedChanged *sync.Cond       // signals a change of acceptPaused
 }
 
 // open starts listening on the link's address.
@@ -119,8 +119,8 @@
 // kernel then answers no further connection attempt. A queue of length 0 holds one connection.
 func (p *proxy) fillQueue() {
 	besteffort.SocketOption(p.listener.SetDeadline(time.Unix(1, 0)))
-	for !p.parked { // an Accept call in progress would remove the filler from the queue
-		p.parkedChanged.Wait()
+	for !p.acceptPaused { // an Accept call in progress would remove the filler from the queue
+		p.acceptPausedChanged.Wait()
 	}
 	p.setBacklog(0)
 	if c, err := net.DialTimeout("tcp4", p.address, dialTimeout); err == nil {
@@ -137,11 +137,11 @@
 }
 
 // setBacklog sets the length of the listener's accept queue.
-func (p *proxy) setBacklog(queue int) {
+func (p *proxy) setBacklog(length int) {
 	raw, err := p.listener.SyscallConn()
 	if err == nil {
 		besteffort.SocketOption(
-			raw.Control(func(fd uintptr) { besteffort.SocketOption(unix.Listen(int(fd), queue)) }),
+			raw.Control(func(fd uintptr) { besteffort.SocketOption(unix.Listen(int(fd), length)) }),
 		)
 	}
 }
@@ -177,22 +177,22 @@
 // waitForListener waits until the listener is replaced or may accept again. It returns false once the network
 // is closed.
 func (p *proxy) waitForListener() bool {
-	p.setParked(true)
+	p.setAcceptPaused(true)
 	select {
 	case <-p.listenerChanged:
-		p.setParked(false)
+		p.setAcceptPaused(false)
 		return true
 	case <-p.net.done:
 		return false
 	}
 }
 
-// setParked records whether the accept loop waits.
-func (p *proxy) setParked(parked bool) {
+// setAcceptPaused records whether the accept loop waits.
+func (p *proxy) setAcceptPaused(paused bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.parked = parked
-	p.parkedChanged.Broadcast()
+	p.acceptPaused = paused
+	p.acceptPausedChanged.Broadcast()
 }
 
 // handle forwards an accepted connection, or closes it if it is the filler of a cut that has ended.
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -24,12 +24,12 @@
 ) (toSeen, fromSeen netip.AddrPort, err error) {
 	fromSocket, err := listenUDP()
 	if err != nil {
-		return toSeen, fromSeen, fmt.Errorf("link %s: %w", e, err)
+		return toSeen, fromSeen, fmt.Errorf("listen for link %s: %w", e, err)
 	}
 	toSocket, err := listenUDP()
 	if err != nil {
 		besteffort.Close(fromSocket)
-		return toSeen, fromSeen, fmt.Errorf("link %s: %w", e, err)
+		return toSeen, fromSeen, fmt.Errorf("listen for link %s: %w", e, err)
 	}
 	l := newState(n, e)
 	closeLink := func() { besteffort.Close(fromSocket); besteffort.Close(toSocket) }
--- a/internal/lab/measure/backends.go
+++ b/internal/lab/measure/backends.go
@@ -13,8 +13,8 @@
 	"wrenspread/internal/lab/world"
 )
 
-// Kind holds the mean figures of the drawn backends whose machines are of one kind.
-type Kind struct {
+// KindFigures holds the mean figures of the drawn backends whose machines are of one kind.
+type KindFigures struct {
 	Name         string
 	Count        int
 	Stated       float64 // cores times speed: work per second, in seconds on a standard core
@@ -29,20 +29,20 @@
 }
 
 // Backends draws n backends and measures them. It returns the means for each kind of machine.
-func Backends(n int) []Kind {
-	byName := map[string]*Kind{}
+func Backends(n int) []KindFigures {
+	byName := map[string]*KindFigures{}
 	var order []string
 	for seed := range uint64(n) {
 		m := world.Draw(seed, 1, 1).Machines[0]
 		k := byName[m.Kind]
 		if k == nil {
-			k = &Kind{Name: m.Kind}
+			k = &KindFigures{Name: m.Kind}
 			byName[m.Kind] = k
 			order = append(order, m.Kind)
 		}
 		k.add(m, seed)
 	}
-	var means []Kind
+	var means []KindFigures
 	for _, name := range order {
 		k := byName[name]
 		for _, v := range []*float64{
@@ -57,7 +57,7 @@
 }
 
 // add measures a backend on one machine, and adds its figures to the sums.
-func (k *Kind) add(m world.Machine, seed uint64) {
+func (k *KindFigures) add(m world.Machine, seed uint64) {
 	const duration = 2 * time.Minute
 	busy := workRate(m, seed, m.Cores, duration)
 	k.Count++
@@ -144,7 +144,7 @@
 }
 
 // WriteBackends writes the kinds as a table.
-func WriteBackends(w io.Writer, kinds []Kind) error {
+func WriteBackends(w io.Writer, kinds []KindFigures) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	besteffort.Output(
 		fmt.Fprintln(
--- a/internal/lab/measure/cost.go
+++ b/internal/lab/measure/cost.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	tripCount    = 5000
-	messageBytes = 300 // about the size of a request
+	roundTripCount = 5000
+	messageBytes   = 300 // about the size of a request
 )
 
-// Trip holds quantiles of the duration of round trips.
-type Trip struct{ P50, P99 time.Duration }
+// RoundTrip holds quantiles of the duration of round trips.
+type RoundTrip struct{ P50, P99 time.Duration }
 
 // Delay measures round trips on a direct connection, and on a connection over an idle link.
-func Delay() (direct, linked Trip, err error) {
+func Delay() (direct, linked RoundTrip, err error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return direct, linked, err
@@ -51,33 +51,33 @@
 	if err != nil {
 		return direct, linked, err
 	}
-	if direct, err = measureTrips(ln.Addr().String()); err != nil {
+	if direct, err = measureRoundTrips(ln.Addr().String()); err != nil {
 		return direct, linked, err
 	}
-	linked, err = measureTrips(linkAddress)
+	linked, err = measureRoundTrips(linkAddress)
 	return direct, linked, err
 }
 
-// measureTrips measures round trips to an echo server.
-func measureTrips(address string) (Trip, error) {
+// measureRoundTrips measures round trips to an echo server.
+func measureRoundTrips(address string) (RoundTrip, error) {
 	c, err := net.Dial("tcp4", address)
 	if err != nil {
-		return Trip{}, err
+		return RoundTrip{}, err
 	}
 	defer besteffort.Close(c)
 	h := hdrhistogram.New(1000, int64(time.Minute), 3)
 	reader, buffer := bufio.NewReader(c), make([]byte, messageBytes)
-	for range tripCount {
+	for range roundTripCount {
 		before := time.Now()
 		if _, err := c.Write(buffer); err != nil {
-			return Trip{}, err
+			return RoundTrip{}, err
 		}
 		if _, err := io.ReadFull(reader, buffer); err != nil {
-			return Trip{}, err
+			return RoundTrip{}, err
 		}
 		besteffort.Sample(h.RecordValue(int64(time.Since(before))))
 	}
-	return Trip{time.Duration(h.ValueAtQuantile(50)), time.Duration(h.ValueAtQuantile(99))}, nil
+	return RoundTrip{time.Duration(h.ValueAtQuantile(50)), time.Duration(h.ValueAtQuantile(99))}, nil
 }
 
 // Step holds the results of the lab at one rate of load.
@@ -172,7 +172,8 @@
 		return fmt.Errorf("measure links: %w", err)
 	}
 	besteffort.Output(
-		fmt.Fprintf(w, "round trip of %d bytes, %d times: median and 99th percentile\n", messageBytes, tripCount),
+		fmt.Fprintf(w, "round trip of %d bytes, %d times: median and 99th percentile\n",
+			messageBytes, roundTripCount),
 	)
 	besteffort.Output(
 		fmt.Fprintf(
--- a/internal/lab/process/proc.go
+++ b/internal/lab/process/proc.go
@@ -145,13 +145,13 @@
 	_ = p.cmd.Wait() // ProcessState says how the process ended
 	p.state = p.cmd.ProcessState
 	p.output.Close()
-	p.record("exit", p.state.String(), !p.asOrdered())
+	p.record("exit", p.state.String(), !p.endedAsOrdered())
 	close(p.exited)
 }
 
-// asOrdered reports whether the process ended as ordered or, if no end was ordered, with an allowed exit
+// endedAsOrdered reports whether the process ended as ordered or, if no end was ordered, with an allowed exit
 // status.
-func (p *Proc) asOrdered() bool {
+func (p *Proc) endedAsOrdered() bool {
 	status, _ := p.state.Sys().(syscall.WaitStatus)
 	switch orderedEnd(p.ordered.Load()) {
 	case terminate:
