--- a/internal/sim/actor.go
+++ b/internal/sim/actor.go
@@ -1,9 +1,11 @@
-// Package sim simulates many pure cores on a simulated clock and network, with random faults. All draws
-// follow from a seed, so that the same seed gives the same history. A schedule of faults that violates a
-// check is reduced to the faults that are needed for the violation, and its history is drawn as a timeline.
+// Package sim simulates many cores (state machines without I/O or a clock of their own) on a simulated clock
+// and network, with random faults. All draws follow from a seed, so that the same seed gives the same
+// history. A schedule of faults that violates a check is reduced to the faults that are needed for the
+// violation, and its history is drawn as a timeline.
 //
-// The package knows no core: an Actor wraps one core, or several on one host. Package internal/sim/membership
-// simulates the membership view, package internal/sim/subset the subscriptions to subsets of endpoints.
+// The package depends on no particular core: an Actor wraps one core, or several on one host. Package
+// internal/sim/membership simulates the membership view, package internal/sim/subset the subscriptions to
+// subsets of endpoints.
 package sim
 
 import (
@@ -12,7 +14,8 @@
 	"wrenspread/internal/registry"
 )
 
-// Actor is one simulated process: one or more cores, with the decisions that their shell makes around them.
+// Actor is one simulated process: one or more cores, and a model of the code that drives them in a real
+// process.
 type Actor interface {
 	// Handle takes an event and returns the effects that it causes. now is the time of the host's own monotonic
 	// clock.
@@ -34,7 +37,8 @@
 	Data []byte
 }
 
-// External is an event from outside the network: from an operator, a client or the play itself.
+// External is an event that does not come over the network, such as an operator's command or an event that a
+// Play causes.
 type External struct{ Value any }
 
 // Answer is the result of a Call. If Lost is set, the caller cannot know whether its command was carried out.
--- a/internal/sim/holder_test.go
+++ b/internal/sim/holder_test.go
@@ -20,7 +20,7 @@
 	sentAt     map[uint64]time.Duration // send times of calls, by call number
 	actsUntil  time.Duration            // by the clock of its host
 	holdsLease bool
-	careless   bool // broken variant: takes the TTL to begin 1 s after the answer instead of at the call
+	careless   bool // broken variant: counts the TTL from 1 s after the answer instead of from the call
 }
 
 func (h *holder) acts(now time.Duration) bool { return h.holdsLease && now < h.actsUntil }
@@ -56,9 +56,9 @@
 			askedAt = now + time.Second
 		}
 		h.actsUntil = max(h.actsUntil, askedAt+holderTTL-time.Duration(2*MaxClockDrift*float64(holderTTL)))
-		if has := e.Read.Lease.Holder == h.session; has != h.holdsLease {
-			h.holdsLease = has
-			out = append(out, Note{map[bool]string{true: "takes over", false: "lets go"}[has]})
+		if holds := e.Read.Lease.Holder == h.session; holds != h.holdsLease {
+			h.holdsLease = holds
+			out = append(out, Note{map[bool]string{true: "takes over", false: "lets go"}[holds]})
 		}
 	}
 	return out
@@ -78,30 +78,30 @@
 					return &holder{name: n, sentAt: map[uint64]time.Duration{}, careless: careless}
 				})
 			}
-			acting := func() (all []string) {
-				for _, e := range w.Hosts() {
-					if h, ok := e.Actor().(*holder); ok && !e.Paused() && h.acts(e.Clock()) {
-						all = append(all, e.Name)
+			acting := func() (names []string) {
+				for _, host := range w.Hosts() {
+					if h, ok := host.Actor().(*holder); ok && !host.Paused() && h.acts(host.Clock()) {
+						names = append(names, host.Name)
 					}
 				}
-				return all
+				return names
 			}
 			return []Check{
 				{Name: "one at most", Throughout: func() error {
-					if all := acting(); len(all) > 1 {
-						return fmt.Errorf("%v act at once", all)
+					if names := acting(); len(names) > 1 {
+						return fmt.Errorf("%v act at once, want at most one", names)
 					}
 					return nil
 				}},
 				{Name: "one in the end", AtEnd: func() error {
-					up := 0
-					for _, e := range w.Hosts() {
-						if e.Running() {
-							up++
+					running := 0
+					for _, host := range w.Hosts() {
+						if host.Running() {
+							running++
 						}
 					}
-					if all := acting(); up > 0 && len(all) != 1 {
-						return fmt.Errorf("%v act", all)
+					if names := acting(); running > 0 && len(names) != 1 {
+						return fmt.Errorf("%v act, want one", names)
 					}
 					return nil
 				}},
@@ -109,38 +109,38 @@
 		}}
 }
 
-// With correct holders no schedule violates a check.
+// TestAtMostOneHolderActs: with correct holders no schedule violates a check.
 func TestAtMostOneHolderActs(t *testing.T) {
 	p := holderPlay(false)
 	for seed := uint64(1); seed <= 100; seed++ {
 		faults := p.Faults(seed)
-		if _, b := p.Run(seed, faults); b != nil {
-			t.Fatal(p.Explain(seed, faults, b))
+		if _, violation := p.Run(seed, faults); violation != nil {
+			t.Fatal(p.Explain(seed, faults, violation))
 		}
 	}
 }
 
-// A careless holder is found by the check for it. Shrink leaves no fault that could be dropped, and the same
-// seed and faults give the same violation and the same drawing.
+// TestCarelessHolderIsFoundAndReproduced: a careless holder violates the check "one at most". Shrink leaves
+// no fault that could be dropped, and the same seed and faults give the same violation and the same drawing.
 func TestCarelessHolderIsFoundAndReproduced(t *testing.T) {
 	p := holderPlay(true)
 	for seed := uint64(1); seed <= 100; seed++ {
 		faults := p.Faults(seed)
-		_, b := p.Run(seed, faults)
-		if b == nil {
+		_, violation := p.Run(seed, faults)
+		if violation == nil {
 			continue
 		}
-		if b.Check != "one at most" {
-			t.Fatalf("found by the wrong check: %v", b)
+		if violation.Check != "one at most" {
+			t.Fatalf("found by the wrong check: %v", violation)
 		}
-		needed := p.Shrink(seed, faults, b.Check)
-		first, b1 := p.Run(seed, needed)
-		second, b2 := p.Run(seed, needed)
-		if b1 == nil || b2 == nil || b1.Error() != b2.Error() || p.Drawing.Draw(first.Log()) != p.Drawing.Draw(second.Log()) {
-			t.Fatalf("the same seed gave two histories: %v, %v", b1, b2)
+		needed := p.Shrink(seed, faults, violation.Check)
+		first, violation1 := p.Run(seed, needed)
+		second, violation2 := p.Run(seed, needed)
+		if violation1 == nil || violation2 == nil || violation1.Error() != violation2.Error() || p.Drawing.Draw(first.Log()) != p.Drawing.Draw(second.Log()) {
+			t.Fatalf("two runs with the same seed differ: %v, %v", violation1, violation2)
 		}
 		for i := range needed {
-			if _, b := p.Run(seed, append(append([]Fault{}, needed[:i]...), needed[i+1:]...)); b != nil && b.Check == "one at most" {
+			if _, violation := p.Run(seed, append(append([]Fault{}, needed[:i]...), needed[i+1:]...)); violation != nil && violation.Check == "one at most" {
 				t.Errorf("Shrink left a fault that could be dropped: %v", needed[i])
 			}
 		}
--- a/internal/sim/end.go
+++ b/internal/sim/host.go
@@ -26,8 +26,8 @@
 	processNumber int     // number of the current or last process, from 1
 	clockRate     float64 // clock seconds per true second
 	clockOffset   time.Duration
-	timers        map[string]uint64
-	wakeCount     uint64
+	timers        map[string]uint64 // by timer: the number of its last Wake
+	wakeCount     uint64            // Wakes so far; each Wake is numbered by it
 	paused        bool
 	pausedAt      time.Duration // true time at which the pause began
 	pending       []task        // events that wait for Resume
@@ -61,7 +61,7 @@
 	h.Handle(Started{})
 }
 
-// Kill ends the process at once, without letting it handle an event.
+// Kill ends the process at once. The process handles no further event, not even pending ones.
 func (h *Host) Kill() { h.actor, h.pending, h.paused, h.maxDelay, h.busyUntil = nil, nil, false, 0, 0 }
 
 // Pause stops the process from handling events until Resume, as SIGSTOP does.
--- a/internal/sim/kinds.go
+++ b/internal/sim/kinds.go
@@ -11,12 +11,12 @@
 	// Kill ends processes. A process that is started again has no state of the previous one. One fault in five
 	// is drawn without a restart.
 	Kill = FaultKind{"kill", drawKill, func(w *World, f Fault) func() {
-		forEachHost(w, f, func(e *Host) { w.Note(e.Name, "killed"); e.Kill() })
+		forEachHost(w, f, func(h *Host) { w.Note(h.Name, "killed"); h.Kill() })
 		return func() {
-			forEachHost(w, f, func(e *Host) {
-				if !e.Running() {
-					w.Note(e.Name, "starts")
-					e.Start()
+			forEachHost(w, f, func(h *Host) {
+				if !h.Running() {
+					w.Note(h.Name, "starts")
+					h.Start()
 				}
 			})
 		}
@@ -25,17 +25,17 @@
 	Pause = FaultKind{"pause", drawLasting(1, 100*time.Millisecond, 12*time.Second), func(
 		w *World, f Fault,
 	) func() {
-		forEachHost(w, f, func(e *Host) { w.Note(e.Name, "stands still"); e.Pause() })
+		forEachHost(w, f, func(h *Host) { w.Note(h.Name, "stands still"); h.Pause() })
 		return func() {
-			forEachHost(w, f, func(e *Host) {
-				if e.Paused() {
-					w.Note(e.Name, "woken")
-					e.Resume()
+			forEachHost(w, f, func(h *Host) {
+				if h.Paused() {
+					w.Note(h.Name, "woken")
+					h.Resume()
 				}
 			})
 		}
 	}}
-	// Late delays all that a process does.
+	// Late delays the handling of each event by a process.
 	Late = FaultKind{"late", func(rng *rand.Rand, names []string) Fault {
 		return Fault{
 			Targets:  pickNames(rng, names, 1),
@@ -43,8 +43,8 @@
 			Delay:    randomDuration(rng, 10*time.Millisecond, time.Second),
 		}
 	}, func(w *World, f Fault) func() {
-		forEachHost(w, f, func(e *Host) { w.Note(e.Name, "late"); e.SetMaxDelay(f.Delay) })
-		return func() { forEachHost(w, f, func(e *Host) { w.Note(e.Name, "in time again"); e.SetMaxDelay(0) }) }
+		forEachHost(w, f, func(h *Host) { w.Note(h.Name, "late"); h.SetMaxDelay(f.Delay) })
+		return func() { forEachHost(w, f, func(h *Host) { w.Note(h.Name, "in time again"); h.SetMaxDelay(0) }) }
 	}}
 	// CutOff cuts one host off from all others.
 	CutOff = FaultKind{
@@ -81,8 +81,8 @@
 			return from == f.Targets[0] && to == f.Targets[1] || from == f.Targets[1] && to == f.Targets[0]
 		}
 	}, func(f Fault) func(*Link) { return func(l *Link) { l.Delay += f.Delay } })}
-	// Halves cuts a drawn set of the named hosts off from all others. Hosts that are not among the names stay
-	// with the others.
+	// Halves cuts a drawn set of the named hosts off from all other hosts, which are the rest of the named hosts
+	// and all hosts that are not named.
 	Halves = FaultKind{"halves", func(rng *rand.Rand, names []string) Fault {
 		return Fault{
 			Targets:  pickNames(rng, names, 1+rng.IntN(max(1, len(names)-1))),
@@ -105,7 +105,7 @@
 	}, breakLinks("", "", allLinks, func(f Fault) func(*Link) {
 		return func(l *Link) { l.Duplicate, l.Jitter = f.Loss, l.Jitter+f.Delay }
 	})}
-	// Flap cuts one host off from all others and heals the cut again, by turns, every Delay.
+	// Flap alternates every Delay between cutting one host off from all others and healing the cut.
 	Flap = FaultKind{"flap", func(rng *rand.Rand, names []string) Fault {
 		return Fault{
 			Targets:  pickNames(rng, names, 1),
@@ -144,7 +144,7 @@
 	switch rng.IntN(5) {
 	case 0: // no restart
 	case 1, 2:
-		// The restart may come before another host has noticed.
+		// The restart may come before other hosts have noticed the end of the process.
 		f.Duration = randomDuration(rng, 10*time.Millisecond, 300*time.Millisecond)
 	default:
 		f.Duration = randomDuration(rng, time.Second, 30*time.Second)
--- a/internal/sim/membership/standins_test.go
+++ b/internal/sim/membership/broken_variants_test.go
@@ -11,8 +11,7 @@
 	"wrenspread/internal/sim"
 )
 
-// rewritingDatagrams returns a broken variant that alters datagrams. A datagram is dropped if alter returns
-// false.
+// rewritingDatagrams returns a broken variant that alters each datagram, or drops it if alter returns false.
 func rewritingDatagrams(alter func(f *Fleet, from, to string, d *wire.Datagram) bool) func(*Fleet) {
 	return func(f *Fleet) {
 		f.World.Intercept = func(from, to string, data []byte) [][]byte {
@@ -43,7 +42,8 @@
 	return rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool { return !slices.Contains(kinds, d.Kind) })
 }
 
-// brokenVariants lists broken cores, each with the checks of which one must find the fault.
+// brokenVariants lists broken variants of the core. For each variant, one of the checks in foundBy must find
+// it.
 var brokenVariants = []struct {
 	name    string
 	play    func(Options) sim.Play
@@ -51,44 +51,44 @@
 	alter   func(*Fleet)
 	foundBy []string
 }{
-	{"nobody refutes", Wild, []sim.FaultKind{sim.Pause}, droppingStatements(func(_ *Fleet, from, _ string, s wire.Statement) bool {
+	{"no node refutes", Wild, []sim.FaultKind{sim.Pause}, droppingStatements(func(_ *Fleet, from, _ string, s wire.Statement) bool {
 		return s.Name == nameAt(from) && s.Incarnation > 0
 	}), []string{"alive"}},
-	{"no digests, and news that get lost", Wild, []sim.FaultKind{joins, metadataChanges}, func(f *Fleet) {
+	{"no digests, and most gossiped statements are dropped", Wild, []sim.FaultKind{joins, metadataChanges}, func(f *Fleet) {
 		rewritingDatagrams(func(f *Fleet, from, _ string, d *wire.Datagram) bool {
 			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name != nameAt(from) && f.rng.IntN(10) > 0 })
 			return d.Kind < wire.Digest || d.Kind > wire.Answer
 		})(f)
 	}, []string{"settled", "alive", "dead"}},
-	{"the dead are not asked, nor seeds by those that have met", Wild, []sim.FaultKind{sim.Halves}, rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
+	{"no pings to dead members, nor to seeds by nodes that have members", Wild, []sim.FaultKind{sim.Halves}, rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 		n, ok := f.World.Host(from).Actor().(*Node)
 		return !ok || d.Kind != wire.Ping || n.aliveCount == 1 || n.Member(nameAt(to)).Health <= membership.Suspect
 	}), []string{"alive"}},
-	{"lives do not count", Wild, []sim.FaultKind{sim.Kill}, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
+	{"all generations are equal", Wild, []sim.FaultKind{sim.Kill}, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		d.Generation = startUnixMillis
 		for i := range d.Statements {
 			d.Statements[i].Generation = startUnixMillis
 		}
 		return true
 	}), []string{"alive"}},
-	{"deaths are not told, and nobody is suspected", Wild, nil, droppingStatements(func(_ *Fleet, _, _ string, s wire.Statement) bool {
+	{"no statements on suspect or dead members", Wild, nil, droppingStatements(func(_ *Fleet, _, _ string, s wire.Statement) bool {
 		return s.Health == membership.Suspect || s.Health == membership.Dead
 	}), []string{"settled", "alive", "dead"}},
-	{"the dead are forgotten at once", Wild, []sim.FaultKind{sim.Kill, staleDatagrams}, func(f *Fleet) {
+	{"dead members are forgotten at once", Wild, []sim.FaultKind{sim.Kill, staleDatagrams}, func(f *Fleet) {
 		f.AdjustConfig = func(cfg *membership.Config) {
 			cfg.DeadGossipTime, cfg.DeadReclaimTime = time.Millisecond, 2*time.Millisecond
 		}
 	}, []string{"lives", "dead"}},
-	{"lateness is not noticed", Wild, []sim.FaultKind{sim.Pause}, func(f *Fleet) { f.IgnoresPauses = true }, []string{"blame"}},
-	{"a twin is not told", Wild, []sim.FaultKind{twins}, func(f *Fleet) {
+	{"pauses are not noticed", Wild, []sim.FaultKind{sim.Pause}, func(f *Fleet) { f.IgnoresPauses = true }, []string{"blame"}},
+	{"processes of the same name do not learn of each other", Wild, []sim.FaultKind{twins}, func(f *Fleet) {
 		rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 			to = nameAt(to)
 			d.Statements = slices.DeleteFunc(d.Statements, func(s wire.Statement) bool { return s.Name == to && s.Health == membership.Alive })
 			return nameAt(from) != to
 		})(f)
 	}, []string{"one of a name", "settled", "alive"}},
-	{"nobody is asked for others", Pairs, nil, droppingKinds(wire.PingReq), []string{"nobody suspected"}},
-	{"suspicion is death", Mild, nil, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
+	{"no indirect probes", Pairs, nil, droppingKinds(wire.PingReq), []string{"nobody suspected"}},
+	{"suspect members are reported as dead", Mild, nil, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		for i := range d.Statements {
 			if d.Statements[i].Health == membership.Suspect {
 				d.Statements[i].Health = membership.Dead
@@ -96,7 +96,7 @@
 		}
 		return true
 	}), []string{"nobody dead"}},
-	{"leaving is death", Mild, nil, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
+	{"leaving members are reported as dead", Mild, nil, rewritingDatagrams(func(_ *Fleet, _, _ string, d *wire.Datagram) bool {
 		for i := range d.Statements {
 			if d.Statements[i].Health == membership.Left {
 				d.Statements[i].Health, d.Statements[i].Incarnation = membership.Dead, d.Statements[i].Incarnation+1
@@ -104,7 +104,7 @@
 		}
 		return true
 	}), []string{"nobody dead"}},
-	{"a leave told on is told as a death", Wild, []sim.FaultKind{leaves}, rewritingDatagrams(func(_ *Fleet, from, _ string, d *wire.Datagram) bool {
+	{"a leave is passed on as a death", Wild, []sim.FaultKind{leaves}, rewritingDatagrams(func(_ *Fleet, from, _ string, d *wire.Datagram) bool {
 		for i, s := range d.Statements {
 			if s.Health == membership.Left && s.Name != nameAt(from) {
 				d.Statements[i].Health, d.Statements[i].Incarnation = membership.Dead, s.Incarnation+1
@@ -112,7 +112,7 @@
 		}
 		return true
 	}), []string{"left"}},
-	{"somebody answers for the dead", Wild, []sim.FaultKind{sim.Kill}, rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
+	{"pings to ended processes are answered", Wild, []sim.FaultKind{sim.Kill}, rewritingDatagrams(func(f *Fleet, from, to string, d *wire.Datagram) bool {
 		if d.Kind != wire.Ping || f.World.Host(to) == nil || f.World.Host(to).Running() {
 			return true
 		}
@@ -122,7 +122,7 @@
 		}
 		return true
 	}), []string{"dead"}},
-	{"one is told other facts", Wild, nil, rewritingDatagrams(func(_ *Fleet, _, to string, d *wire.Datagram) bool {
+	{"n1 gets other metadata of n2 than the other nodes", Wild, nil, rewritingDatagrams(func(_ *Fleet, _, to string, d *wire.Datagram) bool {
 		for i, s := range d.Statements {
 			if to == "n1" && s.Name == "n2" {
 				d.Statements[i].Metadata.Zone = "zone-z"
@@ -130,18 +130,18 @@
 		}
 		return true
 	}), []string{"settled"}},
-	{"a byte too many", Mild, nil, func(f *Fleet) {
+	{"datagrams are too large", Mild, nil, func(f *Fleet) {
 		f.World.Intercept = func(_, _ string, data []byte) [][]byte {
 			return [][]byte{append(slices.Clone(data), make([]byte, 200)...)}
 		}
 	}, []string{"size"}},
-	{"all that is sent is sent eight times", Mild, nil, func(f *Fleet) {
+	{"each datagram is sent eight times", Mild, nil, func(f *Fleet) {
 		f.World.Intercept = func(_, _ string, data []byte) [][]byte { return slices.Repeat([][]byte{data}, 8) }
 	}, []string{"pace"}},
 }
 
-// Each broken variant is found by one of the checks meant for it, within 60 schedules, and each check finds
-// at least one variant.
+// TestEveryCheckFindsItsBrokenVariants: each broken variant is found within 60 schedules by one of the checks
+// meant for it, and each check finds at least one variant.
 func TestEveryCheckFindsItsBrokenVariants(t *testing.T) {
 	var mu sync.Mutex
 	found := map[string]bool{}
@@ -155,16 +155,16 @@
 					p.Kinds = s.kinds
 				}
 				for seed := uint64(1); seed <= 60; seed++ {
-					_, broken := p.Run(seed, p.Faults(seed))
-					if broken == nil {
+					_, violation := p.Run(seed, p.Faults(seed))
+					if violation == nil {
 						continue
 					}
-					if !slices.Contains(s.foundBy, broken.Check) {
-						t.Fatalf("seed %d: found by the wrong check: %v", seed, broken)
+					if !slices.Contains(s.foundBy, violation.Check) {
+						t.Fatalf("seed %d: found by the wrong check: %v", seed, violation)
 					}
-					t.Logf("seed %d: %v", seed, broken)
+					t.Logf("seed %d: %v", seed, violation)
 					mu.Lock()
-					found[broken.Check] = true
+					found[violation.Check] = true
 					mu.Unlock()
 					return
 				}
@@ -175,7 +175,7 @@
 	for _, play := range []func(Options) sim.Play{Wild, Mild, Pairs} {
 		for _, c := range play(Options{Nodes: 5}).Build(sim.New(1)) {
 			if !found[c.Name] {
-				t.Errorf("no broken variant is found by the check %q", c.Name)
+				t.Errorf("no violation variant is found by the check %q", c.Name)
 			}
 		}
 	}
--- a/internal/sim/membership/fleet.go
+++ b/internal/sim/membership/fleet.go
@@ -20,11 +20,12 @@
 	Seeds        []string                                            // hosts by whose addresses nodes join
 	AdjustConfig func(cfg *membership.Config)                        // if set, changes the config of each core
 	Core         func(cfg membership.Config, now time.Duration) Core // nil: membership.New
-	// WallClockError returns the error of a process's wall clock at its start; nil means no error.
-	WallClockError func() (wrong time.Duration)
+	// WallClockError returns the error of a process's wall clock at the start of the process. nil: no wall clock
+	// has an error.
+	WallClockError func() (offset time.Duration)
 	IgnoresPauses  bool        // makes a broken variant: no node notices that it was paused
-	NoNotes        bool        // changes of views are not added to the timeline
-	Nodes          []*sim.Host // without the sender of floods
+	NoNotes        bool        // leaves changes of views out of the timeline
+	Nodes          []*sim.Host // the hosts of nodes, in the order of their start
 	watchers       []func(*Node, time.Duration, membership.MemberChanged)
 	addrs          map[string]netip.AddrPort
 	hostsByAddr    map[netip.AddrPort]string
@@ -38,14 +39,14 @@
 }
 
 // Names returns the names of the first n nodes.
-func Names(n int) (all []string) {
+func Names(n int) (names []string) {
 	for i := range n {
-		all = append(all, fmt.Sprintf("n%d", i+1))
+		names = append(names, fmt.Sprintf("n%d", i+1))
 	}
-	return all
+	return names
 }
 
-// address returns the address of a host; each host gets one of its own at the first call.
+// address returns the address of a host. The first call for a host assigns the address.
 func (f *Fleet) address(host string) netip.AddrPort {
 	if a, ok := f.addrs[host]; ok {
 		return a
@@ -102,14 +103,15 @@
 	f.watchers = append(f.watchers, onChange)
 }
 
-// LiveNodes returns the processes that run, are not paused, have not yielded their name and do not leave.
-func (f *Fleet) LiveNodes() (all []*Node) {
-	for _, e := range f.Nodes {
-		if n, ok := e.Actor().(*Node); ok && !e.Paused() && !n.yielded && !n.leaving {
-			all = append(all, n)
+// LiveNodes returns the processes that run and are not paused, have not yielded their name, and are not
+// leaving.
+func (f *Fleet) LiveNodes() (nodes []*Node) {
+	for _, host := range f.Nodes {
+		if n, ok := host.Actor().(*Node); ok && !host.Paused() && !n.yielded && !n.leaving {
+			nodes = append(nodes, n)
 		}
 	}
-	return all
+	return nodes
 }
 
 // Member returns the member of that name in the node's view, or a zero Member if the view has none.
@@ -122,8 +124,8 @@
 	return membership.Member{}
 }
 
-// StartAll starts a node on each of the named hosts, spread evenly over a time. Addresses are assigned at
-// once.
+// StartAll starts a node on each of the named hosts, at equal intervals within the time over. It assigns all
+// addresses at once.
 func (f *Fleet) StartAll(names []string, over time.Duration) {
 	for i, name := range names {
 		f.address(name)
--- a/internal/sim/membership/growth.go
+++ b/internal/sim/membership/growth.go
@@ -13,20 +13,20 @@
 type Growth struct {
 	Nodes          int
 	Seed           uint64
-	Rival          bool          // measures the rival, in which every node probes every other
+	Rival          bool          // measures the type rival, in which every node probes every other node
 	Losses         []float64     // fractions of lost datagrams at which false deaths are counted
 	NodeHours      float64       // node hours of counting at each loss
 	Cut            time.Duration // how long the two halves of the fleet are cut off from each other
 	ChangesPerHalf int           // deaths and joins in each half, spread evenly over the cut
 }
 
-// GrowthResult is the result of a Growth. Its times last until all running nodes have reported the change
-// of their view.
+// GrowthResult is the result of a Growth. Each time in it ends when all running nodes have reported the
+// change of their view.
 type GrowthResult struct {
 	Nodes                              int
 	DatagramsPerSecond, BytesPerSecond float64       // per node, in a fleet without changes
-	Joined                             time.Duration // of all nodes, after the last start
-	Join                               time.Duration // of one more node
+	Joined                             time.Duration // from the last start of all, until all nodes have joined
+	Join                               time.Duration // of one further node
 	Death                              time.Duration // of one node
 	Heal                               time.Duration // of the cut, until all views are complete
 	PeakBytes                          int           // most bytes that one node sent in a second of the heal
@@ -58,7 +58,7 @@
 	startTime := max(time.Second, time.Duration(g.Nodes)*time.Second/300)
 	m.fleet.StartAll(names, startTime)
 	m.run(startTime)
-	if out.Joined, err = m.waitFor("all have joined", m.complete); err != nil {
+	if out.Joined, err = m.waitFor("all nodes have joined", m.complete); err != nil {
 		return out, err
 	}
 	m.run(5 * time.Second)
@@ -68,14 +68,14 @@
 	m.world.Host(victim).Kill()
 	live := g.Nodes - 1
 	if out.Death, err = m.waitFor(
-		"a death is known",
+		"all nodes know of the death",
 		func() bool { return m.dead[victim] == live },
 	); err != nil {
 		return out, err
 	}
 	m.fleet.Start(newcomer)
 	if out.Join, err = m.waitFor(
-		"a join is known",
+		"all nodes know of the join",
 		func() bool { return m.alive[newcomer] >= live && m.complete() },
 	); err != nil {
 		return out, err
@@ -92,12 +92,12 @@
 	m.world.Net.RemoveFault(partition)
 	peak := m.peak()
 	if out.Heal, err = m.waitFor(
-		"the halves are one",
+		"all views are complete after the cut",
 		func() bool { out.PeakBytes = peak(); return m.complete() },
 	); err != nil {
 		return out, err
 	}
-	m.run(time.Second) // peak needs a full second, and a heal may be shorter
+	m.run(time.Second) // peak counts full seconds, and the heal may take less than one
 	out.PeakBytes = peak()
 	for _, loss := range g.Losses {
 		m.run(5 * time.Second)
@@ -106,7 +106,8 @@
 	return out, ctx.Err()
 }
 
-// replaceNodes kills one node of each half, which is not a seed, and starts a new node in that half.
+// replaceNodes kills one node in each half and starts a new node in its place. i is the number of earlier
+// calls. The killed nodes are not seeds.
 func (m *measurement) replaceNodes(i int) {
 	for side := range 2 {
 		index := m.Nodes - 1 - 2*i - side // adjacent nodes belong to different halves
@@ -122,7 +123,8 @@
 	}
 }
 
-// newcomer is the node that joins alone. The rival needs it in its list of peers from the beginning.
+// newcomer is the node that joins alone. The rival needs all nodes in its list of peers from the beginning,
+// and so this one, too.
 const newcomer = "x"
 
 // begin prepares a world and a fleet without nodes.
@@ -137,7 +139,7 @@
 		dead:   map[string]int{},
 	}
 	m.fleet.NoNotes = true
-	m.fleet.Seeds = Names(1 + min(g.ChangesPerHalf, 1)) // one in each half
+	m.fleet.Seeds = Names(1 + min(g.ChangesPerHalf, 1)) // one in each half, if nodes are to join in both
 	if g.Rival {
 		m.fleet.Seeds = append(Names(g.Nodes), newcomer)
 		m.fleet.Core = func(cfg membership.Config, now time.Duration) Core { return newRival(cfg, now) }
@@ -178,8 +180,9 @@
 // half reports which half of the fleet a host belongs to, by its address.
 func (m *measurement) half(host string) bool { return m.fleet.addrs[host].Addr().As4()[3]%2 == 0 }
 
-// waitFor simulates until cond holds and returns the time that took. A wait longer than maxWait is an error.
-func (m *measurement) waitFor(what string, cond func() bool) (time.Duration, error) {
+// waitFor simulates until cond holds, and returns how long that took. A wait longer than maxWait is an error,
+// which describes cond by the text condition.
+func (m *measurement) waitFor(condition string, cond func() bool) (time.Duration, error) {
 	elapsed, ok := m.world.RunUntil(
 		maxWait,
 		50*time.Millisecond,
@@ -189,7 +192,7 @@
 		return 0, err
 	}
 	if !ok {
-		return 0, fmt.Errorf("%d nodes: not within %v: %s", m.Nodes, maxWait, what)
+		return 0, fmt.Errorf("%d nodes: waited %v in vain until %s", m.Nodes, maxWait, condition)
 	}
 	return elapsed, nil
 }
@@ -199,8 +202,8 @@
 // context ends the run early, the rates are too low.
 func (m *measurement) sendRates() (sent, bytes float64) {
 	count := func() (sent, bytes int) {
-		for _, e := range m.fleet.Nodes {
-			sent, bytes = sent+e.SentDatagrams, bytes+e.SentBytes
+		for _, host := range m.fleet.Nodes {
+			sent, bytes = sent+host.SentDatagrams, bytes+host.SentBytes
 		}
 		return sent, bytes
 	}
@@ -211,17 +214,17 @@
 	return float64(s1-s0) / nodeSeconds, float64(b1-b0) / nodeSeconds
 }
 
-// peak returns a function that, called often, returns the most bytes that one node has sent in a second so
-// far.
+// peak returns a function that returns the most bytes that one node has sent in a second so far. The function
+// must be called several times a second.
 func (m *measurement) peak() func() int {
 	peak, secondStart, bytesBefore := 0, m.world.Now(), map[string]int{}
-	for _, e := range m.fleet.Nodes {
-		bytesBefore[e.Name] = e.SentBytes
+	for _, host := range m.fleet.Nodes {
+		bytesBefore[host.Name] = host.SentBytes
 	}
 	return func() int {
 		if m.world.Now() >= secondStart+time.Second {
-			for _, e := range m.fleet.Nodes {
-				peak, bytesBefore[e.Name] = max(peak, e.SentBytes-bytesBefore[e.Name]), e.SentBytes
+			for _, host := range m.fleet.Nodes {
+				peak, bytesBefore[host.Name] = max(peak, host.SentBytes-bytesBefore[host.Name]), host.SentBytes
 			}
 			secondStart += time.Second
 		}
@@ -229,7 +232,7 @@
 	}
 }
 
-// falseDeaths returns the false deaths per node and hour at a loss of datagrams.
+// falseDeaths simulates a loss of datagrams, and returns the false deaths per node and hour.
 func (m *measurement) falseDeaths(loss float64) float64 {
 	lossFault := m.world.Net.AddFault(
 		func(string, string) bool { return true },
--- a/internal/sim/membership/kinds.go
+++ b/internal/sim/membership/kinds.go
@@ -11,9 +11,9 @@
 	"wrenspread/internal/sim"
 )
 
-// The kinds of faults that concern views only.
+// The kinds of faults that only plays of this package use.
 var (
-	// leaves lets a node leave the fleet, for good or until a new start.
+	// leaves makes a node leave the fleet. The node is started again after the fault's Duration, if it has one.
 	leaves = sim.FaultKind{Name: "leave", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{Targets: []string{names[rng.IntN(len(names))]}}
 		if rng.IntN(3) > 0 {
@@ -21,15 +21,15 @@
 		}
 		return f
 	}, Start: func(w *sim.World, f sim.Fault) func() {
-		e := w.Host(f.Targets[0])
-		if e.Running() {
-			w.Note(e.Name, "leaves")
-			e.HandleExternal(membership.Leave{})
+		host := w.Host(f.Targets[0])
+		if host.Running() {
+			w.Note(host.Name, "leaves")
+			host.HandleExternal(membership.Leave{})
 		}
 		return func() {
-			if !e.Running() {
-				w.Note(e.Name, "starts")
-				e.Start()
+			if !host.Running() {
+				w.Note(host.Name, "starts")
+				host.Start()
 			}
 		}
 	}}
@@ -43,7 +43,8 @@
 		}
 		return nil
 	}}
-	// twins starts a second process with the name of a node on another host, for a time or for good.
+	// twins starts a second process with the name of a running node on another host. It is killed after the
+	// fault's Duration, if the fault has one.
 	twins = sim.FaultKind{Name: "twin", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{Targets: []string{names[rng.IntN(len(names))]}}
 		if rng.IntN(2) > 0 {
@@ -53,14 +54,14 @@
 	}, Start: func(w *sim.World, f sim.Fault) func() {
 		twin := f.Targets[0] + twinMark
 		w.Note(twin, "starts")
-		if e := w.Host(twin); e != nil {
-			e.Start()
+		if host := w.Host(twin); host != nil {
+			host.Start()
 		} else {
 			fleetOf(w).Start(twin)
 		}
 		return func() { w.Note(twin, "killed"); w.Host(twin).Kill() }
 	}}
-	// metadataChanges gives a node other metadata, drawn as a number in Delay.
+	// metadataChanges gives a node other metadata, which is derived from the number that is drawn as Delay.
 	metadataChanges = sim.FaultKind{Name: "facts", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		return sim.Fault{Targets: []string{names[rng.IntN(len(names))]}, Delay: time.Duration(rng.IntN(1000))}
 	}, Start: func(w *sim.World, f sim.Fault) func() {
@@ -87,8 +88,8 @@
 		}
 		return fleetOf(w).repeat(w, 20*time.Millisecond, func(w *sim.World) { fleetOf(w).replay(w, datagrams) })
 	}}
-	// flood lets a host outside the fleet send garbage, datagrams of another fleet, and pings from unknown
-	// senders to each node, 500 a second.
+	// flood makes a host outside the fleet send 500 datagrams a second to each node: garbage, datagrams of
+	// another fleet, and pings from unknown senders.
 	flood = sim.FaultKind{Name: "flood", Draw: func(rng *rand.Rand, _ []string) sim.Fault {
 		return sim.Fault{Duration: time.Second + time.Duration(rng.Int64N(int64(5*time.Second)))}
 	}, Start: func(w *sim.World, f sim.Fault) func() {
@@ -99,7 +100,7 @@
 // fleetOf returns the fleet that is simulated in a world.
 func fleetOf(w *sim.World) *Fleet { return w.PlayState.(*Fleet) }
 
-// repeat calls do now and at each interval until the returned function is called.
+// repeat calls do now and then once in every interval, until the returned function is called.
 func (f *Fleet) repeat(w *sim.World, every time.Duration, do func(w *sim.World)) func() {
 	ended := false
 	var run func()
@@ -113,17 +114,18 @@
 	return func() { ended = true }
 }
 
-// sentDatagram is a recorded datagram.
+// sentDatagram is a recorded datagram with its sender's host.
 type sentDatagram struct {
 	from string
 	data []byte
 }
 
-// maxRecorded bounds the recorded datagrams. Later datagrams replace drawn ones, so that the sample spans the
-// whole simulation.
+// maxRecorded bounds the number of recorded datagrams. Later datagrams replace drawn ones, so that the sample
+// covers the whole simulation.
 const maxRecorded = 2000
 
-// record adds a datagram to the recorded sample; once the sample is full, a draw decides whether.
+// record adds a datagram to the recorded sample. Once the sample is full, each datagram replaces a drawn one
+// with a probability of 1/20.
 func (f *Fleet) record(from string, data []byte) {
 	if len(f.recorded) < maxRecorded {
 		f.recorded = append(f.recorded, sentDatagram{from, data})
@@ -168,7 +170,7 @@
 		}
 	}
 	f.address(stranger)
-	for _, e := range f.Nodes {
-		w.Inject(stranger, e.Name, b)
+	for _, host := range f.Nodes {
+		w.Inject(stranger, host.Name, b)
 	}
 }
--- a/internal/sim/membership/node.go
+++ b/internal/sim/membership/node.go
@@ -26,20 +26,21 @@
 
 	fleet      *Fleet
 	host       string
-	wakeAt     time.Duration
-	self       membership.Member // the node in its own view
+	wakeAt     time.Duration     // time of the next requested Tick
+	self       membership.Member // the node as its own view has it
 	yielded    bool              // the process has yielded its name to a later process
 	leaving    bool
-	aliveCount int // members that are alive or suspect in the view, with the node itself
+	aliveCount int // members that are alive or suspect in the view, including the node itself
 }
 
-// Handle passes the event to the core and returns the effects of the core's actions.
+// Handle translates a simulated event into an event of the core, and returns the effects of the core's
+// actions.
 func (n *Node) Handle(now time.Duration, e sim.Event) []sim.Effect {
 	switch e := e.(type) {
 	case sim.Started, sim.Tick:
 		return n.step(now, membership.Tick{})
 	case sim.Message:
-		return n.step(now, membership.Received{From: n.fleet.addr(e.From), Data: e.Data})
+		return n.step(now, membership.Received{From: n.fleet.assignedAddress(e.From), Data: e.Data})
 	case sim.External:
 		if ev, ok := e.Value.(membership.Event); ok {
 			if _, leave := ev.(membership.Leave); leave {
@@ -51,8 +52,9 @@
 	return nil
 }
 
+// step passes an event to the core and returns the effects of the core's actions.
 func (n *Node) step(now time.Duration, e membership.Event) (out []sim.Effect) {
-	if n.fleet.IgnoresPauses { // broken variant: ticks that fell due during a pause come at their own times
+	if n.fleet.IgnoresPauses { // broken variant: ticks that fell due during a pause arrive as if in time
 		for ; n.wakeAt > 0 && n.wakeAt < now-20*time.Millisecond; n.wakeAt += 20 * time.Millisecond {
 			out = append(out, n.effects(n.wakeAt, n.Core.Handle(n.wakeAt, membership.Tick{}))...)
 		}
@@ -89,8 +91,8 @@
 	return out
 }
 
-// memberChanged updates aliveCount and self, calls the watchers, and returns the text of the timeline for the
-// change, "" for none.
+// memberChanged updates aliveCount and self, calls the watchers, and returns the change's text for the
+// timeline, "" for none.
 func (n *Node) memberChanged(now time.Duration, c membership.MemberChanged) string {
 	m, b := c.Member, c.Before
 	isAlive, wasAlive := m.Name != "" && m.Health <= membership.Suspect,
@@ -144,4 +146,5 @@
 	return name
 }
 
-func (f *Fleet) addr(host string) netip.AddrPort { return f.addrs[host] }
+// assignedAddress returns the address of a host that has one already.
+func (f *Fleet) assignedAddress(host string) netip.AddrPort { return f.addrs[host] }
--- a/internal/sim/membership/play.go
+++ b/internal/sim/membership/play.go
@@ -14,11 +14,12 @@
 	Nodes int
 	// AlterFleet, if set, changes the fleet before its start. Tests use it to make broken variants.
 	AlterFleet func(f *Fleet)
-	// Took, if set, is called with the time from the end of the last fault until all views were equal and right.
+	// OnSettled, if set, is called with the time from the end of the last fault until all views were equal and
+	// correct.
 	OnSettled func(time.Duration)
 }
 
-// Wild returns a play with all kinds of faults. It checks what must hold whatever the faults.
+// Wild returns a play with all kinds of faults. Its checks must hold whatever the faults.
 func Wild(o Options) sim.Play {
 	p := basePlay(o)
 	p.Kinds = append(faultKinds(), sim.Kill)
@@ -64,9 +65,10 @@
 // that no node may even be suspected.
 func Pairs(o Options) sim.Play {
 	p := basePlay(o)
-	// Nodes may join in separate groups first, which query a seed of the other group up to 10 s later.
+	// The nodes may first form separate groups. It takes up to 10 s until a node queries a seed in another
+	// group.
 	p.WarmUp = 15 * time.Second
-	// At most two faults, so that at least one of three helpers has good links.
+	// With at most two faults at least one of three helpers has good links.
 	p.Kinds, p.MaxFaults = []sim.FaultKind{sim.OneWay, sim.SlowPair}, 2
 	p.Build = func(w *sim.World) []sim.Check {
 		f := startFleet(w, o)
@@ -91,8 +93,9 @@
 	}
 }
 
-// startFleet starts a fleet within two seconds. All nodes have all addresses as seeds, as a node's settings
-// name its peers. One process in four starts with a wall clock that is wrong by up to ten minutes.
+// startFleet starts a fleet within two seconds. Each node has the addresses of all nodes as seeds, because
+// the settings of a real proxy name all of its peers. One process in four starts with a wall clock that is
+// wrong by up to ten minutes.
 func startFleet(w *sim.World, o Options) *Fleet {
 	f := NewFleet(w)
 	w.PlayState = f
--- a/internal/sim/membership/rival.go
+++ b/internal/sim/membership/rival.go
@@ -7,13 +7,13 @@
 	"wrenspread/internal/membership"
 )
 
-// rivalMaxMisses is how many periods without an answer the rival tolerates before it takes a member for dead:
-// 2 s, about as long as the view needs.
+// rivalMaxMisses is the number of periods without an answer that the rival tolerates before it reports a
+// member as dead: 2 s, which is about as long as membership.Core needs.
 const rivalMaxMisses = 10
 
-// rival is the simplest view, measured for comparison: each node probes every peer on a fixed list in each
-// period and relies on its own probes only. It has the interface of membership.Core, so that it is measured
-// the same way.
+// rival is a simple alternative to membership.Core, measured for comparison: in each period a node probes
+// every peer on a fixed list, and it relies on its own probes only. It implements Core, so that it is
+// measured in the same way.
 type rival struct {
 	cfg        membership.Config
 	peers      []rivalPeer
@@ -49,7 +49,7 @@
 	rivalAnswer
 )
 
-// Handle answers probes, takes answers, and at each period probes all peers and reports dead ones.
+// Handle answers probes, records answers, and in each period probes all peers and reports dead ones.
 func (r *rival) Handle(now time.Duration, e membership.Event) (out []membership.Action) {
 	switch e := e.(type) {
 	case membership.Received:
@@ -85,13 +85,14 @@
 	return out
 }
 
-// setMember sets the peer's member and returns the report of the change.
+// setMember sets the peer's member and returns the action that reports the change.
 func (p *rivalPeer) setMember(m membership.Member) membership.Action {
 	before := p.member
 	p.member = m
 	return membership.MemberChanged{Member: m, Before: before}
 }
 
+// datagram returns the action that sends a peer a datagram of a kind with this node's name.
 func (r *rival) datagram(kind byte, peer rivalPeer) membership.Action {
 	return membership.Send{Name: peer.member.Name, To: peer.addr, Data: append([]byte{kind}, r.cfg.Name...)}
 }
--- a/internal/sim/membership/stories.go
+++ b/internal/sim/membership/scenario_list.go
@@ -94,7 +94,7 @@
 			NeverDead: []string{},
 			Columns:   []string{"n1", "n2", "n3", "x", "n4", "n5", "n6", "y"},
 			Step:      second / 2,
-			Fold:      2 * second,
+			MinGap:    2 * second,
 			Faults: []sim.Fault{
 				fault("halves", []string{"n4", "n5", "n6", "y"}, second, 60*second),
 				fault("kill", []string{"n3"}, 15*second, 0),
--- a/internal/sim/membership/scenarios.go
+++ b/internal/sim/membership/scenarios.go
@@ -11,7 +11,7 @@
 	"wrenspread/internal/timeline"
 )
 
-// Scenario is one fixed schedule of faults, simulated the same way each time, whose drawing is in testdata.
+// Scenario is a fixed schedule of faults. Each simulation of it gives the drawing that is in testdata.
 type Scenario struct {
 	Name    string
 	Caption string // what the drawing shows, and why that is right
@@ -20,16 +20,16 @@
 	WarmUp  time.Duration
 	// Faults begin after WarmUp, which is not drawn.
 	Faults  []sim.Fault
-	Length  time.Duration
-	Columns []string // of the drawing; nil: the nodes
-	Step    time.Duration
-	Fold    time.Duration
-	// NeverDead lists the nodes that no view may have as dead, as no fault hits them; nil means all nodes.
+	Length  time.Duration // from the end of the last fault
+	Columns []string      // of the drawing; nil: the nodes
+	Step    time.Duration // of the drawing, as in timeline.Drawing
+	MinGap  time.Duration // of the drawing, as in timeline.Drawing
+	// NeverDead lists the nodes that no view may have as dead, because no fault hits them. nil: all nodes.
 	NeverDead []string
 }
 
-// Play simulates the scenario and returns its drawing. It returns an error if a NeverDead node was taken for
-// dead, a check failed, or the views are not equal and right at the end. alter, if set, changes the fleet
+// Play simulates the scenario and returns its drawing. It returns an error if a view has a NeverDead node as
+// dead, a check fails, or the views are not equal and correct at the end. alter, if set, changes the fleet
 // before its start.
 func (s Scenario) Play(alter func(*Fleet)) (string, error) {
 	w := sim.New(7)
@@ -55,7 +55,7 @@
 	var broken error
 	f.Watch(func(n *Node, _ time.Duration, c membership.MemberChanged) {
 		if m := c.Member; m.Health == membership.Dead && slices.Contains(neverDead, m.Name) {
-			broken = fmt.Errorf("%s takes %s for dead, accused by %s", n.host, m.Name, m.Accusers)
+			broken = fmt.Errorf("%s has %s as dead, accused by %s", n.host, m.Name, m.Accusers)
 		}
 	})
 	p := sim.Play{
@@ -68,8 +68,8 @@
 			return append(f.checks(), checkOf("spared", &broken), sim.Check{Name: "settled", AtEnd: f.Settled})
 		},
 	}
-	b := p.RunIn(w, s.Faults)
-	d := timeline.Drawing{Caption: s.Caption, Columns: s.Columns, Step: s.Step, MinGap: s.Fold}
+	violation := p.RunIn(w, s.Faults)
+	d := timeline.Drawing{Caption: s.Caption, Columns: s.Columns, Step: s.Step, MinGap: s.MinGap}
 	if d.Columns == nil {
 		d.Columns = names
 	}
@@ -80,8 +80,8 @@
 			events = append(events, e)
 		}
 	}
-	if b != nil {
-		return d.Draw(events), b
+	if violation != nil {
+		return d.Draw(events), violation
 	}
 	return d.Draw(events), nil
 }
--- a/internal/sim/membership/scenarios_test.go
+++ b/internal/sim/membership/scenarios_test.go
@@ -6,7 +6,8 @@
 	"wrenspread/internal/timeline/golden"
 )
 
-// Each scenario gives the drawing in testdata. After a run with -update, read the new drawings.
+// TestScenariosMatchTheirDrawings: each scenario gives the drawing in testdata. After a run with -update,
+// read the new drawings.
 func TestScenariosMatchTheirDrawings(t *testing.T) {
 	for _, s := range Scenarios() {
 		t.Run(s.Name, func(t *testing.T) {
--- a/internal/sim/membership/settled.go
+++ b/internal/sim/membership/settled.go
@@ -8,10 +8,10 @@
 	"wrenspread/internal/sim"
 )
 
-// SettleTime is the promised time after the last fault within which all views are equal and right. It is the
-// sum of the longest waits: a node accused by a single member is suspect for three times the suspicion
-// timeout with three accusers (6 s in a fleet of 30), suppresses its own accusations for 10 s while many
-// probes fail, queries a dead member each second, and a seed every ten seconds.
+// SettleTime is the guaranteed time after the last fault within which all views are equal and correct. It
+// covers the sum of the longest waits: a node that a single member accuses is suspect for three times the
+// suspicion timeout with three accusers (6 s in a fleet of 30), suppresses its own accusations for 10 s while
+// many probes fail, queries a dead member each second, and a seed every ten seconds.
 const SettleTime = 30 * time.Second
 
 // viewSnapshot holds the views of all live nodes at one time.
@@ -22,33 +22,33 @@
 }
 
 func (f *Fleet) snapshot() viewSnapshot {
-	l := viewSnapshot{nodes: f.LiveNodes(), byName: map[string]*Node{}}
-	for _, n := range l.nodes {
-		l.views = append(l.views, n.Core.View())
-		l.byName[n.Name] = n
+	s := viewSnapshot{nodes: f.LiveNodes(), byName: map[string]*Node{}}
+	for _, n := range s.nodes {
+		s.views = append(s.views, n.Core.View())
+		s.byName[n.Name] = n
 	}
-	return l
+	return s
 }
 
-// same returns an error if the digests of two views differ or the first view has a live node in another
-// generation than its current one. The equal digests cover the generations in the other views, except those
-// of members that have been dead or left for DeadGossipTime. A live node that is in no view gives no error;
-// complete finds it.
-func (l viewSnapshot) same() error {
-	for i, v := range l.views {
-		if v.Digest != l.views[0].Digest {
+// same returns an error if the digests of two views differ, or if the first view has a live node in a
+// generation other than the node's current one. The equal digests cover the generations in the other views,
+// except those of members that have been dead or left for DeadGossipTime. A live node that is in no view
+// gives no error; complete finds it.
+func (s viewSnapshot) same() error {
+	for i, v := range s.views {
+		if v.Digest != s.views[0].Digest {
 			return fmt.Errorf(
 				"%s has the digest %016x, %s has %016x",
 				v.Self,
 				v.Digest,
-				l.views[0].Self,
-				l.views[0].Digest,
+				s.views[0].Self,
+				s.views[0].Digest,
 			)
 		}
 		for _, m := range v.Members {
-			if n := l.byName[m.Name]; i == 0 && n != nil && m.Generation != n.self.Generation {
+			if n := s.byName[m.Name]; i == 0 && n != nil && m.Generation != n.self.Generation {
 				return fmt.Errorf(
-					"%s has %s in life %d, which is in life %d",
+					"%s has %s in generation %d, want %d",
 					v.Self,
 					m.Name,
 					m.Generation,
@@ -61,27 +61,27 @@
 }
 
 // complete returns an error unless every live node is alive in every view.
-func (l viewSnapshot) complete() error {
-	for _, v := range l.views {
+func (s viewSnapshot) complete() error {
+	for _, v := range s.views {
 		alive := map[string]bool{}
 		for _, m := range v.Members {
 			alive[m.Name] = m.Health == membership.Alive
 		}
-		for _, n := range l.nodes {
+		for _, n := range s.nodes {
 			if !alive[n.Name] {
-				return fmt.Errorf("%s does not have %s alive", v.Self, n.Name)
+				return fmt.Errorf("%s does not have %s as alive", v.Self, n.Name)
 			}
 		}
 	}
 	return nil
 }
 
-// clean returns an error if a view has a member alive or suspect that is not a live node.
-func (l viewSnapshot) clean() error {
-	for _, v := range l.views {
+// clean returns an error if a view has a member as alive or suspect that is not a live node.
+func (s viewSnapshot) clean() error {
+	for _, v := range s.views {
 		for _, m := range v.Members {
-			if m.Health <= membership.Suspect && l.byName[m.Name] == nil {
-				return fmt.Errorf("%s has %s %v, of which no process runs", v.Self, m.Name, m.Health)
+			if m.Health <= membership.Suspect && s.byName[m.Name] == nil {
+				return fmt.Errorf("%s has %s as %v, but no live node has this name", v.Self, m.Name, m.Health)
 			}
 		}
 	}
@@ -89,19 +89,19 @@
 }
 
 // uniqueNames returns an error if several live processes have the same name.
-func (l viewSnapshot) uniqueNames() error {
-	for _, n := range l.nodes {
-		if other := l.byName[n.Name]; other != n {
-			return fmt.Errorf("%s and %s both go on as %s", n.host, other.host, n.Name)
+func (s viewSnapshot) uniqueNames() error {
+	for _, n := range s.nodes {
+		if other := s.byName[n.Name]; other != n {
+			return fmt.Errorf("the processes on %s and %s both use the name %s", n.host, other.host, n.Name)
 		}
 	}
 	return nil
 }
 
-// Settled returns nil if all views are equal and right, or else the first difference.
+// Settled returns nil if all views are equal and correct, or else the first difference.
 func (f *Fleet) Settled() error {
-	l := f.snapshot()
-	for _, cond := range []func() error{l.uniqueNames, l.complete, l.clean, l.same} {
+	s := f.snapshot()
+	for _, cond := range []func() error{s.uniqueNames, s.complete, s.clean, s.same} {
 		if err := cond(); err != nil {
 			return err
 		}
@@ -109,22 +109,22 @@
 	return nil
 }
 
-// settleChecks returns the checks of what must come true within SettleTime after the last fault. took, if
-// set, is called with the time that the last of these checks needed.
-func (f *Fleet) settleChecks(took func(time.Duration)) (all []sim.Check) {
-	var began time.Duration
+// settleChecks returns the checks that must pass within SettleTime after the last fault. They share this
+// time. onSettled, if set, is called with the time until the last of them passed.
+func (f *Fleet) settleChecks(onSettled func(time.Duration)) (checks []sim.Check) {
+	var startedAt time.Duration
 	add := func(name string, cond func(viewSnapshot) error) {
-		all = append(all, sim.Check{Name: name, AtEnd: func() error {
-			if began == 0 {
-				began = f.World.Now()
+		checks = append(checks, sim.Check{Name: name, AtEnd: func() error {
+			if startedAt == 0 {
+				startedAt = f.World.Now()
 			}
 			err := cond(f.snapshot())
-			for err != nil && f.World.Now()-began < SettleTime {
+			for err != nil && f.World.Now()-startedAt < SettleTime {
 				f.World.RunTo(f.World.Now() + 100*time.Millisecond)
 				err = cond(f.snapshot())
 			}
-			if name == "settled" && took != nil && err == nil {
-				took(f.World.Now() - began)
+			if name == "settled" && onSettled != nil && err == nil {
+				onSettled(f.World.Now() - startedAt)
 			}
 			return err
 		}})
@@ -133,5 +133,5 @@
 	add("alive", viewSnapshot.complete)
 	add("dead", viewSnapshot.clean)
 	add("settled", viewSnapshot.same)
-	return all
+	return checks
 }
--- a/internal/sim/play.go
+++ b/internal/sim/play.go
@@ -12,8 +12,8 @@
 // Check is a property that every simulation of a play must have.
 type Check struct {
 	Name       string
-	Throughout func() error // called every CheckInterval; nil: only AtEnd is
-	AtEnd      func() error // called once, RecoveryTime after the last fault is over; nil: only Throughout is
+	Throughout func() error // called every CheckInterval; may be nil
+	AtEnd      func() error // called once, RecoveryTime after the last fault is over; may be nil
 }
 
 // Play describes a family of simulations: what is simulated, which faults are drawn and what is checked.
@@ -29,7 +29,7 @@
 	Drawing       timeline.Drawing       // how Explain draws the timeline of a violation
 }
 
-// Violation says which check failed, when and why.
+// Violation is the failure of a check.
 type Violation struct {
 	Check string
 	At    time.Duration
@@ -37,8 +37,8 @@
 }
 
 // Error returns the check, the true time of the violation and its reason.
-func (b *Violation) Error() string {
-	return fmt.Sprintf("%s: after %.2f s: %v", b.Check, b.At.Seconds(), b.Err)
+func (v *Violation) Error() string {
+	return fmt.Sprintf("%s: after %.2f s: %v", v.Check, v.At.Seconds(), v.Err)
 }
 
 // Faults draws the fault schedule of a seed, sorted by start.
@@ -103,14 +103,14 @@
 // Shrink drops faults from a schedule as long as the same check still fails, in ever smaller groups down to
 // single faults, and returns the remaining ones.
 func (p Play) Shrink(seed uint64, faults []Fault, check string) []Fault {
-	breaks := func(f []Fault) bool {
-		_, b := p.Run(seed, f)
-		return b != nil && b.Check == check
+	violates := func(f []Fault) bool {
+		_, v := p.Run(seed, f)
+		return v != nil && v.Check == check
 	}
 	for size := max(1, len(faults)/2); size >= 1; size /= 2 {
 		for at := 0; at < len(faults); {
 			fewer := slices.Concat(faults[:at], faults[min(at+size, len(faults)):])
-			if breaks(fewer) {
+			if violates(fewer) {
 				faults = fewer
 				continue
 			}
@@ -120,18 +120,18 @@
 	return faults
 }
 
-// Explain describes a violation as text: the faults that cause it, after Shrink, and the timeline.
-func (p Play) Explain(seed uint64, faults []Fault, broken *Violation) string {
-	needed := p.Shrink(seed, faults, broken.Check)
-	w, b := p.Run(seed, needed)
-	if b == nil {
-		return fmt.Sprintf("seed %d broke %v, and does not again", seed, broken)
+// Explain describes a violation as text: the faults that Shrink leaves, and the timeline of a run with them.
+func (p Play) Explain(seed uint64, faults []Fault, violation *Violation) string {
+	needed := p.Shrink(seed, faults, violation.Check)
+	w, reproduced := p.Run(seed, needed)
+	if reproduced == nil {
+		return fmt.Sprintf("seed %d broke %v, and does not again", seed, violation)
 	}
 	s := fmt.Sprintf("seed %d, %d of %d faults left:\n", seed, len(needed), len(faults))
 	for _, f := range needed {
 		s += "  " + f.String() + "\n"
 	}
 	d := p.Drawing
-	d.Caption = fmt.Sprintf("Seed %d broke %s", seed, b.Error())
+	d.Caption = fmt.Sprintf("Seed %d broke %s", seed, reproduced.Error())
 	return s + d.Draw(w.Log())
 }
--- a/internal/sim/series.go
+++ b/internal/sim/series.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ScheduleResult is one schedule and its result.
+// ScheduleResult is a schedule of faults and the result of its simulation.
 type ScheduleResult struct {
 	Seed      uint64
 	Faults    []Fault
@@ -23,9 +23,9 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			played := ScheduleResult{Seed: first + i, Faults: p.Faults(first + i)}
-			_, played.Violation = p.Run(played.Seed, played.Faults)
-			report(played)
+			result := ScheduleResult{Seed: first + i, Faults: p.Faults(first + i)}
+			_, result.Violation = p.Run(result.Seed, result.Faults)
+			report(result)
 			return nil
 		})
 	}
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -18,8 +18,8 @@
 )
 
 // Service is a model of the registry: the real state machine, whose state is never lost, with session
-// deadlines on the true clock. It can be stopped, and links to it can be cut. It grants leases at once,
-// without the pacing of the real registry.
+// deadlines on the true clock. It can be stopped, and links to it can be cut. It grants leases at once, where
+// the real registry limits the rate of grants.
 type Service struct {
 	world         *World
 	state         *registry.State
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -10,7 +10,7 @@
 
 const (
 	// MaxClockDrift is the largest relative difference between the rate of a host's clock and true time. Fleet
-	// control promises to tolerate this drift.
+	// control has to tolerate this drift.
 	MaxClockDrift = 0.001
 	// maxLogEvents bounds the timeline events stored for one simulation; later events are dropped.
 	maxLogEvents = 200_000
@@ -30,7 +30,7 @@
 	now   time.Duration
 	queue queue
 	hosts map[string]*Host
-	order []*Host
+	order []*Host // the hosts in the order in which they were added
 	log   []timeline.Event
 }
 
@@ -59,8 +59,8 @@
 // Log returns the timeline events so far.
 func (w *World) Log() []timeline.Event { return w.log }
 
-// Add adds a host and starts its first process. start makes each process of the host. The host's name is also
-// its address in the network.
+// Add adds a host and starts its first process. start is called for each new process of the host and returns
+// its Actor. The host's name is also its address in the network.
 func (w *World) Add(name string, start func(now time.Duration) Actor) *Host {
 	if w.hosts[name] != nil {
 		panic(fmt.Sprintf("two hosts named %s", name))
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -33,8 +33,8 @@
 	return w, w.Add("a", start), w.Add("b", start)
 }
 
-// Timers run by the host's own clock, whose rate differs from true time by at most MaxClockDrift, and for
-// some host by more than half of that.
+// TestClockRateStaysWithinMaxDrift: timers run by the host's own clock. Its rate differs from true time by at
+// most MaxClockDrift, and for some host by more than half of that.
 func TestClockRateStaysWithinMaxDrift(t *testing.T) {
 	maxDeviation := 0.0
 	for seed := uint64(1); seed <= 20; seed++ {
@@ -57,8 +57,9 @@
 	}
 }
 
-// Events for a paused process wait until Resume, datagrams up to the size of the socket buffer. A process
-// that is started on the same host later gets none of these events.
+// TestPausedProcessBuffersDatagramsAndRestartedOneDoesNot: events for a paused process wait until Resume,
+// datagrams up to the size of the socket buffer. A process that is started on the same host later gets none
+// of these events.
 func TestPausedProcessBuffersDatagramsAndRestartedOneDoesNot(t *testing.T) {
 	w, a, b := recorderPair(1)
 	w.RunTo(500 * time.Millisecond)
@@ -76,7 +77,7 @@
 		t.Errorf("the resumed process had %d events; want its start, %d datagrams and a tick", n, maxPendingDatagrams)
 	}
 	if b.LostDatagrams != 1000-maxPendingDatagrams {
-		t.Errorf("%d datagrams were lost", b.LostDatagrams)
+		t.Errorf("%d datagrams were lost, want those of 1,000 that do not fit into the socket buffer", b.LostDatagrams)
 	}
 	w.Inject("b", "a", []byte("x"))
 	a.Pause()
@@ -88,8 +89,8 @@
 	}
 }
 
-// Over a cut link nothing arrives. With a loss of half and a duplication of half about 750 of 1,000 datagrams
-// arrive, and without faults all do.
+// TestLinkFaultsCutLoseAndDuplicate: over a cut link nothing arrives. With a loss of half and a duplication
+// of half about 750 of 1,000 datagrams arrive, and without faults all do.
 func TestLinkFaultsCutLoseAndDuplicate(t *testing.T) {
 	w, _, b := recorderPair(1)
 	cutFault := w.Net.AddFault(func(from, to string) bool { return from == "a" && to == "b" }, CutLink)
@@ -103,27 +104,27 @@
 		return len(b.Actor().(*recorder).events) - before
 	}
 	if n := count(); n != 0 {
-		t.Errorf("%d arrived over a link that was cut", n)
+		t.Errorf("%d datagrams arrived over a cut link", n)
 	}
 	w.Net.RemoveFault(cutFault)
 	if n := count(); n < 700 || n > 800 {
-		t.Errorf("%d of 1,000 arrived, where half is lost and half of the rest comes twice", n)
+		t.Errorf("%d datagrams arrived, want 700 to 800 of 1,000 with half lost and half of the rest duplicated", n)
 	}
 	w.Net.RemoveFault(lossFault)
 	if n := count(); n != 1000 {
-		t.Errorf("%d of 1,000 arrived over a good link", n)
+		t.Errorf("%d of 1,000 datagrams arrived over a link without faults", n)
 	}
 }
 
-// If the link back from the registry is cut, a command is carried out and the caller gets one answer, as
-// lost.
+// TestCommandWithLostAnswerIsCarriedOut: if the link back from the registry is cut, a command is carried out
+// and the caller gets one answer, which is marked as lost.
 func TestCommandWithLostAnswerIsCarriedOut(t *testing.T) {
 	w, a, _ := recorderPair(1)
 	s := w.AddService()
 	w.Net.AddFault(func(from, _ string) bool { return from == ServiceName }, CutLink)
 	w.call(a, Call{Command: &registry.Command{Op: registry.OpPutRecord, Name: "k", Value: []byte("1")}})
 	w.RunTo(CallTimeout + time.Millisecond)
-	if _, there := s.State().Record("k"); !there {
+	if _, found := s.State().Record("k"); !found {
 		t.Error("the command was not carried out")
 	}
 	var answers []Answer
@@ -137,28 +138,29 @@
 	}
 }
 
-// Shrink reduces a schedule to the two faults that are needed for the violation.
+// TestShrinkLeavesOnlyTheNeededFaults: Shrink reduces a schedule to the two faults that are needed for the
+// violation.
 func TestShrinkLeavesOnlyTheNeededFaults(t *testing.T) {
 	kinds := []FaultKind{Pause, CutOff, Lossy}
 	p := Play{Names: []string{"a", "b"}, Kinds: kinds, MaxFaults: 30, FaultWindow: 10 * time.Second, RecoveryTime: time.Second, CheckInterval: time.Second, Build: func(w *World) []Check {
 		start := func(time.Duration) Actor { return &recorder{wake: time.Second} }
 		a, _ := w.Add("a", start), w.Add("b", start)
-		still, cut := false, false
+		paused, cut := false, false
 		return []Check{{Name: "never both", Throughout: func() error {
-			still, cut = still || a.Paused(), cut || !w.Net.Reaches("a", "b")
-			if still && cut {
-				return errors.New("it was both")
+			paused, cut = paused || a.Paused(), cut || !w.Net.Reaches("a", "b")
+			if paused && cut {
+				return errors.New("a was paused and its link to b was cut")
 			}
 			return nil
 		}}}
 	}}
 	for seed := uint64(1); seed < 20; seed++ {
 		faults := p.Faults(seed)
-		_, b := p.Run(seed, faults)
-		if b == nil {
+		_, violation := p.Run(seed, faults)
+		if violation == nil {
 			continue
 		}
-		if needed := p.Shrink(seed, faults, b.Check); len(needed) != 2 {
+		if needed := p.Shrink(seed, faults, violation.Check); len(needed) != 2 {
 			t.Fatalf("seed %d: of %d faults %v are left, want two", seed, len(faults), needed)
 		}
 	}
