--- a/internal/sim/membership/scenarios_test.go
+++ b/internal/sim/membership/scenarios_test.go
@@ -16,7 +16,7 @@
 			if err != nil {
 				t.Fatalf("%v\n%s", err, drawn)
 			}
-			golden.Same(t, s.Name, drawn)
+			golden.Assert(t, s.Name, drawn)
 		})
 	}
 }
--- a/internal/sim/subset/checks.go
+++ b/internal/sim/subset/checks.go
@@ -9,19 +9,19 @@
 )
 
 // maxCalls is the most calls that a node may make, after the last change, until it has the newest version of
-// its target subset: one that is lost or discarded as too old at each of two replicas, a watch, the move to
-// another subset, a wider subset, and a watch that finds nothing new. Calls whose answer is deferred for
-// newEpochDelay do not count, as their number depends on the time.
+// its target subset: one call to each of two replicas whose answer is lost or discarded as too old, a watch,
+// the move to another subset, the read of a wider subset, and a watch that finds nothing new. Calls whose
+// answer is deferred for newEpochDelay are not counted, because their number depends on how long that takes.
 const maxCalls = 6
 
-// checkView checks the view of a node after an answer, and notes when the node has the newest version of its
-// target.
+// checkView checks the view of a node after an answer, and marks the node as settled once it has the newest
+// version of its target subset.
 func (f *Fleet) checkView(n *node, v client.List) {
 	if err := f.history[v.Epoch].differs(v); err != nil {
 		f.violate("exact", n, err)
 	}
-	if highest := n.highestVersions[v.Epoch]; v.Version < highest {
-		f.violate("forward", n, fmt.Errorf("version %d of epoch %s after version %d", v.Version, v.Epoch, highest))
+	if before := n.highestVersions[v.Epoch]; v.Version < before {
+		f.violate("monotonic", n, fmt.Errorf("version %d of epoch %s after version %d", v.Version, v.Epoch, before))
 	}
 	n.highestVersions[v.Epoch] = max(n.highestVersions[v.Epoch], v.Version)
 	if !n.settled && v.Epoch == f.leader.Epoch() && v.Version == f.leader.Version() && n.target == n.current {
@@ -29,22 +29,24 @@
 	}
 }
 
-// violate stores the first violation of a check.
+// violate stores a violation of a check, unless the check has one already.
 func (f *Fleet) violate(check string, n *node, err error) {
 	if f.violations[check] == nil {
 		f.violations[check] = fmt.Errorf("%s: %w", n.name, err)
 	}
 }
 
+// checks returns the checks of the play. Throughout the simulation, the first two return violations that
+// checkView has stored.
 func (f *Fleet) checks() []sim.Check {
-	broken := func(name string) func() error { return func() error { return f.violations[name] } }
+	stored := func(name string) func() error { return func() error { return f.violations[name] } }
 	return []sim.Check{
 		// A node's view at a version is the list of that version within the node's subset.
-		{Name: "exact", Throughout: broken("exact")},
+		{Name: "exact", Throughout: stored("exact")},
 		// The version of a running node never decreases within an epoch.
-		{Name: "forward", Throughout: broken("forward")},
+		{Name: "monotonic", Throughout: stored("monotonic")},
 		{Name: "newest", AtEnd: f.newestCheck},
-		{Name: "held", AtEnd: f.coverageCheck},
+		{Name: "coverage", AtEnd: f.coverageCheck},
 	}
 }
 
@@ -80,7 +82,7 @@
 	}
 	for _, name := range f.endpointNames() {
 		if f.endpoints[name].Status == registry.Ready && !known[name] {
-			return fmt.Errorf("no node has endpoint %s as ready", name)
+			return fmt.Errorf("endpoint %s is ready, but no node has it as ready", name)
 		}
 	}
 	return nil
--- a/internal/sim/subset/fleet.go
+++ b/internal/sim/subset/fleet.go
@@ -4,19 +4,21 @@
 // The simulation runs the real code of registry.State (SubsetSince, HasNewer, restore), of the client's
 // ListState (Next, Apply, List) and of registry.Subset (Next).
 //
-// Models replace the rest. A log whose entries each replica applies after a short delay replaces raft: writes
-// never fail, and every replica has applied all entries older than maxLag when it answers. maxLag is shorter
-// than the time for which a list of another epoch is deferred. A replica keeps a watch open until HasNewer,
-// in place of the server's hub, and refuses a caller with a newer version than its own. Nothing is paced, and
-// answers are passed without their JSON encoding. A loop of the node replaces the client's (nextRead,
-// matchSubset, chooseSubset, widensSubset): the node moves to another subset at its next call instead of
-// after a drawn time, watches once between two attempts to move, and takes a subset that is too narrow before
-// it reads the wider one.
+// Models replace the other parts:
+//   - A log replaces raft. Each replica applies the log's entries after a short delay. Writes never fail, and
+//     when a replica answers, it has applied all entries older than maxLag. maxLag is shorter than the time
+//     for which a node defers a list of another epoch.
+//   - In place of the server's hub, a replica keeps a watch open until HasNewer returns true. It refuses a
+//     caller that has a newer version than the replica.
+//   - No rate is limited, and answers are passed without their JSON encoding.
+//   - The node's own loop replaces the client's (nextRead, matchSubset, chooseSubset, widensSubset). The node
+//     moves to another subset at its next call instead of after a drawn time, watches once between two
+//     attempts to move, and uses a subset that is too narrow before it reads the wider one.
 //
-// Thirteen nodes represent a fleet whose configured size is hundreds of nodes. With fewer than 5,461
-// endpoints no subset is narrower than an eighth of the ring, of which three quarters follow the node's start
-// position, and no gap between the thirteen start positions is wider than 0.0902 of the ring. So the thirteen
-// nodes alone must cover every endpoint.
+// Thirteen nodes represent a fleet whose configured size is hundreds of nodes, and they alone must cover
+// every endpoint: with fewer than 5,461 endpoints no subset is narrower than an eighth of the ring. Three
+// quarters of a subset follow the node's start position, and no gap between the thirteen start positions is
+// wider than 0.0902 of the ring.
 package subset
 
 import (
@@ -32,37 +34,37 @@
 
 const (
 	nodeCount     = 13
-	watchTimeout  = 5 * time.Second         // how long a replica keeps a quiet watch open
+	watchTimeout  = 5 * time.Second         // how long a replica keeps a watch open if nothing changes
 	answerGrace   = 1500 * time.Millisecond // how long after the watch timeout a node waits for the answer
 	newEpochDelay = 6 * time.Second         // how long a node defers a list of another epoch
-	maxLag        = 5 * time.Second         // the most that a replica's applied entries are behind the log
+	maxLag        = 5 * time.Second         // a replica has applied all log entries that are older
 )
 
-// Fleet holds the simulated nodes and replicas, the log, and what the list was at each version.
+// Fleet holds the simulated nodes and replicas, the log, and the history of the list.
 type Fleet struct {
 	World    *sim.World
 	Replicas []string
-	// AlterAnswer, if set, changes each answer, to make a broken variant.
+	// AlterAnswer, if set, alters each answer, which makes a broken variant.
 	AlterAnswer func(q query, a *registry.ListResponse)
 	// NextSubset chooses the subset that a node should follow; broken variants replace it.
 	NextSubset func(
-		has registry.Subset,
+		current registry.Subset,
 		self, nodes, total int,
 		entries []registry.Endpoint,
-		g []registry.Placement,
+		placements []registry.Placement,
 	) registry.Subset
 	// ForgetsList makes a broken variant: after each watch a node drops its list and reads from another replica.
 	ForgetsList bool
 
-	leader      *registry.State
+	leader      *registry.State // the state after all entries of the log
 	log         []logEntry
-	disks       map[string]*disk
+	disks       map[string]*disk       // by replica
 	nodes       map[string]*node       // by name: the latest process
 	fleetSizes  map[string]int         // by node: the size of the fleet in the node's settings
 	cachedLists map[string]client.List // by node: the list on the node's disk
 	epochCount  int
 
-	endpoints  map[string]registry.Endpoint // the present list by name, tracked independently of State
+	endpoints  map[string]registry.Endpoint // by name: the present list, tracked independently of leader
 	history    map[string]*history          // by epoch
 	violations map[string]error             // by check: the first violation
 	messages   messageStore
@@ -71,22 +73,22 @@
 // logEntry is a command in the log that all replicas apply.
 type logEntry struct {
 	at             time.Duration
-	afterStateLoss bool // the service has lost its state just before this entry
+	afterStateLoss bool // the registry has lost its state just before this entry
 	registry.Command
 }
 
-// placements is what nodes pass to NextSubset as their policies' placements.
+// placements are the placements of the policy, which every node passes to NextSubset.
 var placements = []registry.Placement{{}, {Types: []string{"big"}}}
 
-// names returns n names of a prefix and a number from 1.
-func names(n int, prefix string) (all []string) {
+// names returns n names, which are the prefix followed by a number from 1.
+func names(n int, prefix string) (list []string) {
 	for i := range n {
-		all = append(all, fmt.Sprint(prefix, i+1))
+		list = append(list, fmt.Sprint(prefix, i+1))
 	}
-	return all
+	return list
 }
 
-// newFleet returns a fleet without nodes and a list of total endpoints.
+// newFleet returns a fleet with a list of total endpoints, but without nodes and running replicas.
 func newFleet(w *sim.World, replicas, total int) *Fleet {
 	f := &Fleet{
 		World:       w,
@@ -109,7 +111,7 @@
 	return f
 }
 
-// start starts the replicas, and nodes that have the given size of the fleet in their settings.
+// start starts the replicas and the named nodes, whose settings give the fleet's size as size.
 func (f *Fleet) start(size int, nodes []string) {
 	for _, name := range f.Replicas {
 		f.disks[name] = &disk{state: registry.NewState()}
@@ -119,7 +121,7 @@
 		f.fleetSizes[name] = size
 		f.World.Add(name, func(time.Duration) sim.Actor {
 			n := &node{fleet: f, name: name, highestVersions: map[string]uint64{}}
-			_, _ = fmt.Sscanf(name, "n%d", &n.index) // the function names made this name
+			_, _ = fmt.Sscanf(name, "n%d", &n.index) // the name comes from the function names
 			n.index--
 			n.replicaIndex = n.index % len(f.Replicas)
 			f.nodes[name] = n
@@ -144,7 +146,7 @@
 	return e
 }
 
-// beginEpoch loses the state and begins an empty list in a new epoch.
+// beginEpoch drops the state and begins an empty list in a new epoch.
 func (f *Fleet) beginEpoch() {
 	f.leader = registry.NewState()
 	f.endpoints = map[string]registry.Endpoint{}
@@ -159,7 +161,7 @@
 	return e
 }
 
-// write carries out a command at the leader and appends the command to the log.
+// write applies a command to the leader and appends the command to the log.
 func (f *Fleet) write(c registry.Command, afterStateLoss bool) registry.Result {
 	r := f.leader.Apply(c)
 	f.log = append(f.log, logEntry{f.World.Now(), afterStateLoss, c})
@@ -183,7 +185,7 @@
 	f.changeEndpoint(e, registry.Command{Op: registry.OpRemove, Name: name})
 }
 
-// changeEndpoint writes the command that gives an endpoint the state e, and records e in the history.
+// changeEndpoint writes the command c, which changes an endpoint to e, and records e in the history.
 func (f *Fleet) changeEndpoint(e registry.Endpoint, c registry.Command) {
 	r := f.write(c, false)
 	if f.endpoints[e.Name] == e {
@@ -195,7 +197,7 @@
 	f.history[f.leader.Epoch()].add(r.Version, e)
 }
 
-// backup takes a snapshot and returns a function that restores the snapshot in a new epoch.
+// backup takes a snapshot of the list and returns a function that restores the list from it in a new epoch.
 func (f *Fleet) backup() (restore func()) {
 	snapshot, err := f.leader.EncodeSnapshot()
 	if err != nil {
@@ -222,7 +224,7 @@
 // endpointNames returns the names of all endpoints of the list, sorted.
 func (f *Fleet) endpointNames() []string { return slices.Sorted(maps.Keys(f.endpoints)) }
 
-// resetCallCounts marks a change: each node has maxCalls from now on to reach the newest version.
+// resetCallCounts is called after a change: from now on each node has maxCalls to reach the newest version.
 func (f *Fleet) resetCallCounts() {
 	for _, n := range f.nodes {
 		n.calls, n.settled = 0, false
--- a/internal/sim/subset/history.go
+++ b/internal/sim/subset/history.go
@@ -9,18 +9,18 @@
 	"wrenspread/internal/registry/client"
 )
 
-// history records the list at each version of an epoch, sorted by endpoint name. It uses none of the list's
-// own code, so that it can check that code.
-type history struct{ endpoints []endpointHistory }
+// history records the list at each version of an epoch. It uses none of the registry's code for lists, so
+// that it can check that code.
+type history struct{ endpoints []endpointHistory } // sorted by endpoint name
 
 // endpointHistory records all changes of an endpoint, oldest first.
 type endpointHistory struct {
 	name     string
-	position uint64
+	position uint64 // on the ring
 	changes  []change
 }
 
-// change is the state of an endpoint from a version on.
+// change is an endpoint as it is from a version on.
 type change struct {
 	version  uint64
 	endpoint registry.Endpoint
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// differs returns an error if a view, which is sorted by name, is not the list of the view's version within
-// its subset.
+// differs returns an error unless a view has exactly the endpoints that the list has at the view's version
+// within the view's subset. The view must be sorted by name.
 func (h *history) differs(v client.List) error {
 	matched, remaining := 0, v.Endpoints
 	for i := range h.endpoints {
@@ -65,7 +65,7 @@
 		if !v.Subset.Contains(p.position) {
 			continue
 		}
-		for len(remaining) > 0 && remaining[0].Name < p.name { // outside the subset
+		for len(remaining) > 0 && remaining[0].Name < p.name { // not within the subset; counted below
 			remaining = remaining[1:]
 		}
 		want, found := p.endpointAt(v.Version), len(remaining) > 0 && remaining[0].Name == p.name
--- a/internal/sim/subset/kinds.go
+++ b/internal/sim/subset/kinds.go
@@ -19,8 +19,8 @@
 	return lowest + time.Duration(rng.Int64N(int64(highest-lowest)))
 }
 
-// drawLasting returns a Draw of faults that last from a twentieth of longest up to longest, or without a
-// duration if longest is 0. drawTargets draws the targets, which may be any arguments of the fault.
+// drawLasting returns a Draw of faults that last from a twentieth of longest up to longest, or that have no
+// duration if longest is 0. drawTargets draws the targets, which are names or other arguments of the fault.
 func drawLasting(
 	longest time.Duration,
 	drawTargets func(rng *rand.Rand, names []string) []string,
@@ -37,31 +37,33 @@
 // pickOne draws one of the names.
 func pickOne(rng *rand.Rand, names []string) []string { return []string{names[rng.IntN(len(names))]} }
 
-// pickSome draws at least one of the names, at most all.
-func pickSome(rng *rand.Rand, all []string) []string {
-	all = slices.Clone(all)
-	rng.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
-	return all[:1+rng.IntN(len(all))]
+// pickSome draws one or more of the names.
+func pickSome(rng *rand.Rand, names []string) []string {
+	names = slices.Clone(names)
+	rng.Shuffle(len(names), func(i, k int) { names[i], names[k] = names[k], names[i] })
+	return names[:1+rng.IntN(len(names))]
 }
 
-// randomNumber draws a number from 1 to highest, as text for the targets of a fault.
+// randomNumber draws a number from 1 to highest, as a text that can be a target of a fault.
 func randomNumber(rng *rand.Rand, highest int) string { return strconv.Itoa(1 + rng.IntN(highest)) }
 
-// numberAt returns target k of a fault as the number that randomNumber drew.
+// numberAt returns target k of a fault, which randomNumber drew, as a number.
 func numberAt(f sim.Fault, k int) int {
 	n, _ := strconv.Atoi(f.Targets[k])
 	return n
 }
 
-func nodesAmong(all []string) []string {
-	return slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n[0] != 'n' })
+// nodesAmong returns those of the names that are names of nodes.
+func nodesAmong(names []string) []string {
+	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n[0] != 'n' })
 }
 
-func replicasAmong(all []string) []string {
-	return slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n[0] != 'r' })
+// replicasAmong returns those of the names that are names of replicas.
+func replicasAmong(names []string) []string {
+	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n[0] != 'r' })
 }
 
-// The kinds of faults that concern the endpoint list and its subsets only.
+// The kinds of faults that only the play of this package uses.
 var (
 	// registers adds a drawn number of endpoints with a drawn prefix.
 	registers = sim.FaultKind{Name: "register", Draw: drawLasting(0, func(rng *rand.Rand, _ []string) []string {
@@ -73,7 +75,7 @@
 		}
 		return nil
 	}}
-	// drains and removes drain or remove drawn endpoints.
+	// drains sets drawn endpoints to draining, and removes removes drawn endpoints.
 	drains  = endpointChange("drain", (*Fleet).drain)
 	removes = endpointChange("remove", (*Fleet).remove)
 	// racks removes all endpoints in a sixteenth of the ring, and registers them again at the fault's end.
@@ -108,7 +110,7 @@
 		return append([]string{sizes[rng.IntN(len(sizes))]}, pickSome(rng, nodesAmong(names))...)
 	}), Start: func(w *sim.World, f sim.Fault) func() {
 		for _, n := range f.Targets[1:] {
-			w.Note(n, "is told of "+f.Targets[0]+" nodes")
+			w.Note(n, "gets a fleet size of "+f.Targets[0]+" nodes")
 			fleetOf(w).fleetSizes[n] = numberAt(f, 0)
 		}
 		return nil
@@ -124,13 +126,13 @@
 			w.Note(f.Targets[0], "lags")
 			fleetOf(w).disks[f.Targets[0]].lagFaults++
 			return func() {
-				w.Note(f.Targets[0], "lags no more")
+				w.Note(f.Targets[0], "stops lagging")
 				fleetOf(w).disks[f.Targets[0]].lagFaults--
 			}
 		},
 	}
-	// kills ends a process and starts a new one at the fault's end. Replica r3 may be killed for good. A node
-	// may lose its cached list.
+	// kills ends a process and starts a new one at the fault's end. Replica r3 may be killed without a restart.
+	// A node may lose its cached list.
 	kills = sim.FaultKind{Name: "kill", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{
 			Targets:  pickOne(rng, names),
@@ -154,14 +156,14 @@
 		}
 		return nil
 	}}
-	// stateLosses loses the service's state. The service begins an empty list in a new epoch, and the endpoints'
-	// agents register again within seconds.
+	// stateLosses makes the registry lose its state. The registry begins an empty list in a new epoch, and the
+	// agents register their endpoints again within three seconds.
 	stateLosses = sim.FaultKind{
 		Name: "state lost",
 		Draw: drawLasting(0, func(*rand.Rand, []string) []string { return nil }),
 		Start: func(w *sim.World, _ sim.Fault) func() {
 			f := fleetOf(w)
-			w.Note("list", "has lost its state")
+			w.Note("list", "loses its state")
 			var endpoints []registry.Endpoint
 			for _, s := range f.endpointNames() {
 				endpoints = append(endpoints, f.endpoints[s])
@@ -184,15 +186,15 @@
 		Name: "restore",
 		Draw: drawLasting(15*time.Second, func(*rand.Rand, []string) []string { return nil }),
 		Start: func(w *sim.World, _ sim.Fault) func() {
-			w.Note("list", "is copied")
+			w.Note("list", "is backed up")
 			restore := fleetOf(w).backup()
 			return func() { w.Note("list", "is restored"); restore() }
 		},
 	}
 )
 
-// endpointChange returns a kind of fault that calls do for every seventh endpoint from a drawn one on, up to
-// a drawn number of them.
+// endpointChange returns a kind of fault that calls do for a drawn number of endpoints: every seventh one by
+// name, from a drawn one on.
 func endpointChange(name string, do func(*Fleet, string)) sim.FaultKind {
 	return sim.FaultKind{
 		Name: name,
@@ -204,16 +206,17 @@
 		),
 		Start: func(w *sim.World, f sim.Fault) func() {
 			w.Note("list", name+" "+f.Targets[0])
-			all := fleetOf(w).endpointNames()
-			for i := range min(numberAt(f, 0), len(all)) {
-				do(fleetOf(w), all[(numberAt(f, 1)+i*7)%len(all)])
+			endpoints := fleetOf(w).endpointNames()
+			for i := range min(numberAt(f, 0), len(endpoints)) {
+				do(fleetOf(w), endpoints[(numberAt(f, 1)+i*7)%len(endpoints)])
 			}
 			return nil
 		},
 	}
 }
 
-// countingCalls returns the kind k with call counts that are reset at the fault's start and at its end.
+// countingCalls returns the kind k, changed so that the nodes' call counts are reset at the fault's start and
+// at its end.
 func countingCalls(k sim.FaultKind) sim.FaultKind {
 	do := k.Start
 	k.Start = func(w *sim.World, f sim.Fault) func() {
--- a/internal/sim/subset/node.go
+++ b/internal/sim/subset/node.go
@@ -25,15 +25,16 @@
 	lastQuery    query
 	inFlight     bool // a call awaits its answer
 	failed       bool // the last call failed
-	moveFailed   bool // the last call was a move to the target, and failed otherwise than by an older version
+	moveFailed   bool // the last call was a move to the target, and failed for another reason than olderVersion
 
-	highestVersions map[string]uint64 // by epoch
-	calls           int               // since the last change, without those whose answer was deferred
+	highestVersions map[string]uint64 // by epoch: the highest version that a view has had
+	calls           int               // calls since the last change, except those whose answer was deferred
 	settled         bool              // the node has the newest version of its target
 	callsToSettle   int               // value of calls when the node settled
 }
 
-// Handle starts from the cached list, retries after timeouts, and takes the answer to the call in flight.
+// Handle starts the node from its cached list, retries after timeouts, and handles the answer to the call in
+// flight.
 func (n *node) Handle(now time.Duration, e sim.Event) []sim.Effect {
 	switch e := e.(type) {
 	case sim.Started:
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// call makes the next call: a first read, a move to the target, a watch, or a read without waiting after a
-// failure.
+// call makes the next call: a first read, a move to the target, a watch, or after a failure a read that does
+// not wait for changes.
 func (n *node) call() []sim.Effect {
 	q := query{number: n.lastQuery.number + 1, subset: n.current}
 	if n.fleet.ForgetsList && n.lastQuery.timeout > 0 {
@@ -84,7 +85,7 @@
 		out = append(
 			out,
 			sim.Note{Text: fmt.Sprintf(
-				"asks %s for %s whole; %s stands",
+				"reads from %s all of %s; keeps %s",
 				n.fleet.Replicas[n.replicaIndex],
 				q.subset,
 				n.current,
@@ -107,22 +108,22 @@
 }
 
 // olderVersion is the note for an answer that is older than the view.
-const olderVersion = "passes over what is older"
+const olderVersion = "ignores an older version"
 
 // handleAnswer takes the answer to the last call; a nil answer is a refusal.
 func (n *node) handleAnswer(now time.Duration, a *registry.ListResponse) []sim.Effect {
 	if a == nil {
-		return n.retryLater("refused by one that is behind", true)
+		return n.retryLater("refused: the replica is behind", true)
 	}
 	verdict := n.listState.Apply(now, n.lastQuery.since, *a)
 	switch verdict {
 	case client.Stale:
 		return n.retryLater(olderVersion, true)
 	case client.NeedsComplete:
-		return n.retryLater("finds a gap", true)
+		return n.retryLater("finds a gap in the changes", true)
 	case client.Deferred:
 		n.calls--
-		return n.retryLater(fmt.Sprintf("holds %s back", a.Epoch), false)
+		return n.retryLater(fmt.Sprintf("defers %s", a.Epoch), false)
 	}
 	if verdict == client.Changed {
 		n.view = n.listState.List()
@@ -142,7 +143,7 @@
 func describeAnswer(a *registry.ListResponse, v client.List) string {
 	if a.Snapshot {
 		return fmt.Sprintf(
-			"takes %s of %s at version %d: %d of %d",
+			"has %s of %s at version %d: %d of %d",
 			v.Subset,
 			v.Epoch,
 			v.Version,
@@ -151,9 +152,9 @@
 		)
 	}
 	if len(a.Endpoints) == 1 {
-		return fmt.Sprintf("hears %s is %s: version %d", a.Endpoints[0].Name, a.Endpoints[0].Status, v.Version)
+		return fmt.Sprintf("gets %s as %s: version %d", a.Endpoints[0].Name, a.Endpoints[0].Status, v.Version)
 	}
-	return fmt.Sprintf("hears %d changes: version %d", len(a.Endpoints), v.Version)
+	return fmt.Sprintf("gets %d changes: version %d", len(a.Endpoints), v.Version)
 }
 
 // nextSubset returns the subset that the node should follow, given the list v.
--- a/internal/sim/subset/play.go
+++ b/internal/sim/subset/play.go
@@ -8,18 +8,18 @@
 )
 
 // play returns the play of subsets with a number of replicas. alter, if set, changes the fleet before its
-// start, to make a broken variant.
+// start, which makes a broken variant.
 func play(replicas int, alter func(*Fleet)) sim.Play {
-	all := append(names(replicas, "r"), names(nodeCount, "n")...)
+	processes := append(names(replicas, "r"), names(nodeCount, "n")...)
 	p := sim.Play{
-		Names:         all,
+		Names:         processes,
 		MaxFaults:     10,
 		WarmUp:        3 * time.Second,
 		FaultWindow:   25 * time.Second,
 		RecoveryTime:  40 * time.Second,
 		CheckInterval: 250 * time.Millisecond,
 		Drawing: timeline.Drawing{
-			Columns: append([]string{"list"}, all...),
+			Columns: append([]string{"list"}, processes...),
 			Step:    500 * time.Millisecond,
 			MinGap:  3 * time.Second,
 		},
--- a/internal/sim/subset/replica.go
+++ b/internal/sim/subset/replica.go
@@ -19,7 +19,7 @@
 	subset         registry.Subset
 	since          uint64        // the caller's version; 0: a complete read
 	epoch          string        // of since
-	timeout        time.Duration // how long a watch may stay open; 0: answered at once
+	timeout        time.Duration // how long a watch may stay open; 0: the query is answered at once
 	replacesSubset bool          // reads another subset than the current one, to replace it
 }
 
@@ -37,12 +37,13 @@
 	lagFaults int // active lag faults; with any, entries younger than maxLag are not applied
 }
 
-// replica is a process of a registry replica.
+// replica is a process of a replica of the registry.
 type replica struct {
 	fleet *Fleet
 	*disk
 	watches []openWatch
-	// answerCache holds the answers of the present state, for equal queries; nil after a change of the state.
+	// answerCache holds the answers that were computed from the present state. It is nil after a change of the
+	// state.
 	answerCache map[answerKey]registry.ListResponse
 }
 
@@ -59,7 +60,7 @@
 	endsAt time.Duration
 }
 
-// Handle applies due log entries, accepts a query, and answers all open queries that can be answered.
+// Handle applies due log entries, accepts a query, and answers all queries that can be answered now.
 func (r *replica) Handle(_ time.Duration, e sim.Event) (out []sim.Effect) {
 	r.catchUp()
 	now := r.fleet.World.Now()
@@ -70,10 +71,10 @@
 		q := r.fleet.messages.content(e).(query)
 		r.watches = append(r.watches, openWatch{q, e.From, now + q.timeout})
 	}
-	r.watches = slices.DeleteFunc(r.watches, func(h openWatch) bool {
-		a := r.serve(h.query, now >= h.endsAt)
+	r.watches = slices.DeleteFunc(r.watches, func(w openWatch) bool {
+		a := r.serve(w.query, now >= w.endsAt)
 		if a != nil {
-			out = append(out, sim.Send{To: h.node, Data: r.fleet.messages.put(h.node, *a)})
+			out = append(out, sim.Send{To: w.node, Data: r.fleet.messages.put(w.node, *a)})
 		}
 		return a != nil
 	})
@@ -86,7 +87,7 @@
 	if r.lagFaults > 0 {
 		appliedUntil = r.fleet.World.Now() - maxLag
 	}
-	// Every replica has the entries from the beginning of the simulation at once.
+	// The entries that were written at time 0 are applied without a delay.
 	for ; r.applied < len(r.fleet.log) && r.fleet.log[r.applied].at <= max(appliedUntil, 0); r.applied++ {
 		c := r.fleet.log[r.applied]
 		if c.afterStateLoss {
@@ -97,15 +98,15 @@
 	}
 }
 
-// subsetSince returns State.SubsetSince, computed once for equal queries.
-func (r *replica) subsetSince(p registry.Subset, from uint64) registry.ListResponse {
-	a, ok := r.answerCache[answerKey{p, from}]
+// subsetSince returns the result of State.SubsetSince, which it computes only once for equal queries.
+func (r *replica) subsetSince(subset registry.Subset, from uint64) registry.ListResponse {
+	a, ok := r.answerCache[answerKey{subset, from}]
 	if !ok {
-		a = r.state.SubsetSince(p, from)
+		a = r.state.SubsetSince(subset, from)
 		if r.answerCache == nil {
 			r.answerCache = map[answerKey]registry.ListResponse{}
 		}
-		r.answerCache[answerKey{p, from}] = a
+		r.answerCache[answerKey{subset, from}] = a
 	}
 	return a
 }
--- a/internal/sim/subset/scenarios_test.go
+++ b/internal/sim/subset/scenarios_test.go
@@ -11,7 +11,7 @@
 	"wrenspread/internal/timeline/golden"
 )
 
-// step is an action in a story, at a time after its start.
+// step is an action in a scenario, at a time after the scenario's start.
 type step struct {
 	at time.Duration
 	do func(f *Fleet)
@@ -26,7 +26,8 @@
 	}}
 }
 
-// onFirstEndpoint returns a step that calls do for the first endpoint inside one subset and outside others.
+// onFirstEndpoint returns a step that calls do for the first endpoint by name that is inside one subset and
+// outside others. text is the verb of the step's note in the timeline.
 func onFirstEndpoint(at time.Duration, text string, do func(*Fleet, string), inside registry.Subset, outside ...registry.Subset) step {
 	return step{at, func(f *Fleet) {
 		for _, s := range f.endpointNames() {
@@ -46,7 +47,8 @@
 // start position of n1, which is 0.
 var eighth, quarter = subsetOfWidth(0, 1<<13), subsetOfWidth(0, 1<<14)
 
-var stories = []struct {
+// scenarios are fixed schedules of steps whose drawings are in testdata.
+var scenarios = []struct {
 	name     string
 	caption  string
 	replicas int
@@ -55,9 +57,9 @@
 	steps    []step
 }{
 	{name: "moving", replicas: 1, nodes: 1, length: 16 * second,
-		caption: "n1 has to follow a wider part while its watch is open, and the answer to its first try is lost. The part that it has stands and is watched on meanwhile, so it hears " +
-			"of who drains and leaves there, and of nobody beyond it; the wider part then comes whole, as of one version, so that what changed there before is in it, and needs no word of its own. " +
-			"As it needs less again it stays: a part shrinks to under a quarter only, lest it go to and fro.",
+		caption: "n1 has to move to a wider subset while its watch is open. The answer to its first call for the wider subset is lost. Meanwhile n1 keeps its subset and watches it, so it gets " +
+			"the changes within that subset and none outside it. It then reads the wider subset completely at one version, which includes earlier changes there. When a narrower " +
+			"subset would do again, n1 keeps the wider one: a subset shrinks only if less than a quarter of it is enough, so that it does not change back and forth.",
 		steps: []step{
 			onFirstEndpoint(2*second, "drains", (*Fleet).drain, eighth),
 			faultAt(3*second, resizes, 0, "200", "n1"),
@@ -70,9 +72,9 @@
 			onFirstEndpoint(10*second, "removes", (*Fleet).remove, quarter, eighth),
 		}},
 	{name: "lagging", replicas: 3, nodes: 1, length: 16 * second,
-		caption: "n1 has to follow a wider part, and the replica that told it so is cut off; the two others lag. r2 refuses the watch, as n1 has a newer version than it; r3 gives the wider part " +
-			"as of an older version, which n1 passes over: it would lose what it was told of the narrower one, and know a server again that it was told has gone. " +
-			"So the part that it has stands until a replica has the wider one of no older version.",
+		caption: "n1 has to move to a wider subset. Its call to r1 gets no answer, because n1 is cut off, and r2 and r3 lag. r2 refuses the watch, because n1 has " +
+			"a newer version than r2. r3 returns the wider subset at an older version, which n1 ignores: it would lose changes of the narrower subset that it " +
+			"has already, and have a removed endpoint again. So n1 keeps its subset until a replica returns the wider one at a version that is not older.",
 		steps: []step{
 			faultAt(1*second, lagging, 4*second, "r2"),
 			faultAt(1*second, lagging, 4*second, "r3"),
@@ -81,9 +83,9 @@
 			faultAt(2200*time.Millisecond, sim.CutOff, second, "n1"),
 		}},
 	{name: "epoch", replicas: 1, nodes: 1, length: 26 * second,
-		caption: "The service loses its state and begins another epoch, E2, into which the servers register again; later the copy of before is restored, as E3. E2's versions don't go past those that n1 " +
-			"knows, so its part is held back for 6 s, though n1 needs a wider one by then: a service that lost its state must not empty a fleet. It is taken when it holds for so long, in the wider part, " +
-			"and whole. E3 goes past every version given out, so it is taken at once; who was removed since the copy is back.",
+		caption: "The registry loses its state and begins another epoch, E2, in which the servers register again. Later a backup from before the loss is restored as epoch E3. The versions of E2 do not exceed " +
+			"those that n1 knows, so n1 defers the list of E2 for 6 s, although it needs a wider subset by then: a registry that has lost its state must not empty the fleet's lists. After 6 s n1 takes " +
+			"the list of E2, completely and in the wider subset. The versions of E3 exceed all earlier ones, so n1 takes E3 at once. Endpoints that were removed after the backup are back.",
 		steps: []step{
 			faultAt(2*second, restores, 16*second),
 			onFirstEndpoint(3*second, "removes", (*Fleet).remove, eighth),
@@ -94,10 +96,11 @@
 		}},
 }
 
-// Each story gives the drawing in testdata and violates no check. The check "held" is left out: too few nodes
-// follow the list to cover all endpoints. After a run with -update, read the new drawings.
-func TestStoriesMatchTheirDrawings(t *testing.T) {
-	for _, s := range stories {
+// TestScenariosMatchTheirDrawings: each scenario gives the drawing in testdata and violates no check. The
+// check "coverage" is left out, because too few nodes follow the list to cover all endpoints. After a run
+// with -update, read the new drawings.
+func TestScenariosMatchTheirDrawings(t *testing.T) {
+	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			p := sim.Play{RecoveryTime: s.length, CheckInterval: second / 4, Build: func(w *sim.World) []sim.Check {
@@ -107,14 +110,14 @@
 				for _, step := range s.steps {
 					w.After(step.at, func() { step.do(f) })
 				}
-				return slices.DeleteFunc(f.checks(), func(c sim.Check) bool { return c.Name == "held" })
+				return slices.DeleteFunc(f.checks(), func(c sim.Check) bool { return c.Name == "coverage" })
 			}}
-			w, broken := p.Run(7, nil)
+			w, violation := p.Run(7, nil)
 			drawn := timeline.Drawing{Caption: s.caption, Columns: append(append([]string{"list"}, names(s.replicas, "r")...), names(s.nodes, "n")...)}.Draw(w.Log())
-			if broken != nil {
-				t.Fatalf("%v\n%s", broken, drawn)
+			if violation != nil {
+				t.Fatalf("%v\n%s", violation, drawn)
 			}
-			golden.Same(t, s.name, drawn)
+			golden.Assert(t, s.name, drawn)
 		})
 	}
 }
--- a/internal/timeline/golden/golden.go
+++ b/internal/timeline/golden/golden.go
@@ -7,10 +7,10 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// Same fails the test and shows the lines that differ if drawing is not the text of testdata/NAME.timeline.
+// Assert fails the test and shows the lines that differ if drawing is not the text of testdata/NAME.timeline.
 // "go test -update" in the test's package writes the new drawing to that file instead: read it before
 // committing it.
-func Same(t *testing.T, name, drawing string) {
+func Assert(t *testing.T, name, drawing string) {
 	t.Helper()
 	goldie.New(
 		t,
