--- a/internal/besteffort/besteffort.go
+++ b/internal/besteffort/besteffort.go
@@ -1,11 +1,11 @@
-// Package besteffort discards errors that need no handling. Each function stands for one reason, so that a
-// reader of the call knows why the error is ignored. An error that indicates a fault must be returned or
-// logged instead.
+// Package besteffort discards errors that need no handling. Each function is for one reason, so that a reader
+// of the call knows why the error is ignored. An error that indicates a fault must be returned or logged
+// instead.
 package besteffort
 
 import "io"
 
-// Close closes a connection, a listener, or a file that was only read. Closing fails if it is closed or
+// Close closes a connection, a listener, or a file that was only read. Closing fails only if c is closed or
 // broken already, so nothing is lost. A file that was written must be closed with its error checked.
 func Close(c io.Closer) { _ = c.Close() }
 
--- a/internal/checksumfile/checksumfile.go
+++ b/internal/checksumfile/checksumfile.go
@@ -1,7 +1,7 @@
 // Package checksumfile stores small files atomically and with a checksum. If writing is interrupted at any
 // point, the file has either its old or its new content. Damage that occurs later is detected on reading.
 //
-// The first line of a file is the xxHash64 of the rest in 16 hexadecimal digits.
+// The first line of a file is the xxHash64 of the following content, in 16 hexadecimal digits.
 package checksumfile
 
 import (
@@ -35,13 +35,13 @@
 	return raw, nil
 }
 
-// Write replaces the file at path by one with this content. It returns after the content is on the disk.
+// Write replaces the file at path by one with the content raw. It returns once the content is on the disk.
 func Write(path string, raw []byte) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
 	}
-	// After the rename there is no temporary file any more, and the removal fails.
+	// After the rename the temporary file no longer exists, and the removal fails without harm.
 	defer func() { besteffort.Cleanup(os.Remove(temporary.Name())) }()
 	if err := writeAndSync(temporary, Encode(raw)); err != nil {
 		return err
@@ -71,15 +71,15 @@
 	return folder.Sync()
 }
 
-// Read returns the content of the file at path, which may have maxSize bytes with its checksum. The error is
-// fs.ErrNotExist if there is no file, and ErrDamaged if its checksum does not match.
+// Read returns the content of the file at path, which may have at most maxSize bytes including the checksum
+// line. The error is fs.ErrNotExist if there is no file, and ErrDamaged if the checksum does not match.
 func Read(path string, maxSize int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxSize {
-		err := fmt.Errorf("%d bytes, at most %d", info.Size(), maxSize)
+		err := fmt.Errorf("file has %d bytes, want at most %d", info.Size(), maxSize)
 		return nil, &fs.PathError{Op: "read", Path: path, Err: err}
 	}
 	text, err := os.ReadFile(path)
--- a/internal/checksumfile/checksumfile_test.go
+++ b/internal/checksumfile/checksumfile_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if raw, err := Read(path, 1000); err != nil || string(raw) != "something to keep" {
-		t.Errorf("%q, %v", raw, err)
+		t.Errorf("read %q, %v, want the written content", raw, err)
 	}
 	if _, err := Read(path, 10); err == nil {
 		t.Error("a file above the size limit is read")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,8 +18,8 @@
 // FileFlag is the name of the flag that gives the path of the TOML file.
 const FileFlag = "config"
 
-// Load overrides the defaults in c by the file that --config names, if it is set, and by the other flags that
-// were set on the command line. An unknown key is an error.
+// Load overrides the defaults in c by the file that the flag --config names, if it is set, and by the other
+// flags that were set on the command line. An unknown key is an error.
 func Load[T any](c *T, flags *pflag.FlagSet) error {
 	k := koanf.New(".")
 	path := flags.Lookup(FileFlag).Value.String()
@@ -64,14 +64,15 @@
 	return nil
 }
 
-// decodeDuration decodes a duration with its unit. It rejects a bare number, which would mean nanoseconds.
+// decodeDuration decodes a duration from a text with its unit. It rejects a bare number, which would
+// otherwise be decoded as nanoseconds.
 func decodeDuration(from, to reflect.Type, data any) (any, error) {
 	if to != reflect.TypeFor[time.Duration]() || from == to {
 		return data, nil
 	}
 	text, ok := data.(string)
 	if !ok {
-		return nil, fmt.Errorf("%v is no duration; want a number with its unit, as in \"30s\"", data)
+		return nil, fmt.Errorf("invalid duration %v: want a number with its unit, as in \"30s\"", data)
 	}
 	return time.ParseDuration(text)
 }
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -6,7 +6,7 @@
 	"net"
 )
 
-// Problems collects the problems of a configuration, each with its key.
+// Problems collects the problems of a configuration.
 type Problems struct{ errs []error }
 
 // Require adds a problem with the formatted text unless ok is true.
@@ -16,7 +16,7 @@
 	}
 }
 
-// RequireAddress adds a problem unless value, which key has, is host:port.
+// RequireAddress adds a problem unless value, which is the value of key, has the form host:port.
 func (p *Problems) RequireAddress(key, value string) {
 	_, _, err := net.SplitHostPort(value)
 	p.Require(err == nil, "%s: %q is not host:port", key, value)
--- a/internal/config/program.go
+++ b/internal/config/program.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 )
 
-// Main runs a program's command. SIGTERM and SIGINT end the command's context. After an error Main prints the
-// error and exits with status 1.
+// Main runs a program's command. SIGTERM and SIGINT cancel the command's context. If the command returns an
+// error, Main prints it and exits with status 1.
 func Main(c *cobra.Command) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -10,11 +10,11 @@
 
 // Reply is the list of actions of one instance.
 type Reply struct {
-	Proxy   int
+	Proxy   int // number of the instance
 	Actions []balancer.Action
 }
 
-// AppendReply appends the line that answers a batch, with its line end. It leaves out instances without
+// AppendReply appends the line that answers a batch, including the newline. It leaves out instances without
 // actions.
 func AppendReply(b []byte, replies []Reply) []byte {
 	b = append(b, `{"groups":[`...)
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -12,7 +12,7 @@
 )
 
 // decodeEvent decodes an event with the given name on the wire.
-func decodeEvent(name string, raw json.RawMessage) (ScheduledEvent, error) {
+func decodeEvent(name string, raw json.RawMessage) (InstanceEvent, error) {
 	switch name {
 	case "submit":
 		return decodeRequest(raw)
@@ -29,13 +29,13 @@
 	case "up":
 		return decodeStart(raw)
 	case "retire":
-		return ScheduledEvent{Retire: true}, nil
+		return InstanceEvent{Retire: true}, nil
 	}
-	return ScheduledEvent{}, errors.New("unknown event")
+	return InstanceEvent{}, errors.New("unknown event")
 }
 
 // decodeRequest decodes the arrival of a request. A user_group that is not a string means no tenant.
-func decodeRequest(raw json.RawMessage) (ScheduledEvent, error) {
+func decodeRequest(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req      *string `json:"req"`
 		Class    string  `json:"band"`
@@ -46,16 +46,16 @@
 		Flags    int     `json:"flags"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return ScheduledEvent{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Req == nil {
-		return ScheduledEvent{}, missing("req")
+		return InstanceEvent{}, missing("req")
 	}
 	if e.Timeout == nil {
-		return ScheduledEvent{}, missing("patience_left_ns")
+		return InstanceEvent{}, missing("patience_left_ns")
 	}
 	tenant, _ := e.Tenant.(string)
-	return ScheduledEvent{
+	return InstanceEvent{
 		Event: balancer.RequestArrived{
 			ID:          balancer.RequestID(*e.Req),
 			Class:       e.Class,
@@ -70,51 +70,51 @@
 	}, nil
 }
 
-// decodeTimer decodes the end of a timer.
-func decodeTimer(raw json.RawMessage) (ScheduledEvent, error) {
+// decodeTimer decodes the firing of a timer.
+func decodeTimer(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Token *int64 `json:"label"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return ScheduledEvent{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Token == nil {
-		return ScheduledEvent{}, missing("label")
+		return InstanceEvent{}, missing("label")
 	}
-	return ScheduledEvent{Event: balancer.TimerFired{Token: *e.Token}}, nil
+	return InstanceEvent{Event: balancer.TimerFired{Token: *e.Token}}, nil
 }
 
-// decodeAbandoned decodes the departure of a request's client.
-func decodeAbandoned(raw json.RawMessage) (ScheduledEvent, error) {
+// decodeAbandoned decodes the abandonment of a request by its client.
+func decodeAbandoned(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req *string `json:"req"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return ScheduledEvent{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Req == nil {
-		return ScheduledEvent{}, missing("req")
+		return InstanceEvent{}, missing("req")
 	}
-	return ScheduledEvent{Event: balancer.RequestAbandoned{ID: balancer.RequestID(*e.Req)}}, nil
+	return InstanceEvent{Event: balancer.RequestAbandoned{ID: balancer.RequestID(*e.Req)}}, nil
 }
 
 // decodeMessage decodes a gossip message.
-func decodeMessage(raw json.RawMessage) (ScheduledEvent, error) {
+func decodeMessage(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		From *int   `json:"from"`
 		Data []byte `json:"bytes"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return ScheduledEvent{}, err
+		return InstanceEvent{}, err
 	}
 	if e.From == nil {
-		return ScheduledEvent{}, missing("from")
+		return InstanceEvent{}, missing("from")
 	}
-	return ScheduledEvent{Event: balancer.MessageReceived{From: *e.From, Data: e.Data}}, nil
+	return InstanceEvent{Event: balancer.MessageReceived{From: *e.From, Data: e.Data}}, nil
 }
 
 // decodeOutcome decodes the end of an attempt or of a load query, or the start of a streamed response.
-func decodeOutcome(name string, raw json.RawMessage) (ScheduledEvent, error) {
+func decodeOutcome(name string, raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req             *string                    `json:"req"`
 		Attempt         *int                       `json:"leg"`
@@ -125,73 +125,73 @@
 		LoadReport      map[string]json.RawMessage `json:"feedback"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return ScheduledEvent{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Endpoint == nil {
-		return ScheduledEvent{}, missing("backend")
+		return InstanceEvent{}, missing("backend")
 	}
 	endpoint, elapsed := balancer.EndpointID(*e.Endpoint), time.Duration(e.Elapsed)
 	var id balancer.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
-			return ScheduledEvent{}, missing("req")
+			return InstanceEvent{}, missing("req")
 		}
 		if e.Attempt == nil {
-			return ScheduledEvent{}, missing("leg")
+			return InstanceEvent{}, missing("leg")
 		}
 		id = balancer.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return ScheduledEvent{
+		return InstanceEvent{
 			Event: balancer.ResponseStarted{ID: id, Attempt: *e.Attempt, Endpoint: endpoint, Elapsed: elapsed},
 		}, nil
 	}
 	if e.Outcome == nil {
-		return ScheduledEvent{}, missing("disposition")
+		return InstanceEvent{}, missing("disposition")
 	}
 	outcome, ok := outcomes[*e.Outcome]
 	if !ok {
-		return ScheduledEvent{}, fmt.Errorf("unknown disposition %d", *e.Outcome)
+		return InstanceEvent{}, fmt.Errorf("unknown disposition %d", *e.Outcome)
 	}
 	report := decodeReport(e.LoadReport)
 	if name == "probe_result" {
-		return ScheduledEvent{
+		return InstanceEvent{
 			Event: balancer.LoadQueryEnded{Endpoint: endpoint, Outcome: outcome, Elapsed: elapsed, LoadReport: report},
 		}, nil
 	}
-	return ScheduledEvent{
+	return InstanceEvent{
 		Event: balancer.AttemptEnded{ID: id, Attempt: *e.Attempt, Endpoint: endpoint,
 			RequestAnswered: e.RequestAnswered, Elapsed: elapsed, Outcome: outcome, LoadReport: report},
 	}, nil
 }
 
-// decodeStart decodes the settings and the seed of a new instance. For a seed that is not an integer, the
-// bits of its floating-point value are the seed.
-func decodeStart(raw json.RawMessage) (ScheduledEvent, error) {
+// decodeStart decodes the settings and the seed of a new instance. If the seed on the wire is not an integer,
+// the bits of its floating-point value are used as the seed.
+func decodeStart(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Seed     *json.Number    `json:"seed"`
 		Settings json.RawMessage `json:"profile_data"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return ScheduledEvent{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Seed == nil {
-		return ScheduledEvent{}, missing("seed")
+		return InstanceEvent{}, missing("seed")
 	}
 	if e.Settings == nil {
-		return ScheduledEvent{}, missing("profile_data")
+		return InstanceEvent{}, missing("profile_data")
 	}
 	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
 	if err != nil {
 		float, floatErr := e.Seed.Float64()
 		if floatErr != nil {
-			return ScheduledEvent{}, fmt.Errorf("seed: %w", err)
+			return InstanceEvent{}, fmt.Errorf("seed: %w", err)
 		}
 		seed = math.Float64bits(float)
 	}
 	settings, err := DecodeSettings(e.Settings)
 	if err != nil {
-		return ScheduledEvent{}, err
+		return InstanceEvent{}, err
 	}
-	return ScheduledEvent{Start: &Start{Settings: settings, Seed: int64(seed)}}, nil
+	return InstanceEvent{Start: &Start{Settings: settings, Seed: int64(seed)}}, nil
 }
--- a/internal/simwire/list.go
+++ b/internal/simwire/list.go
@@ -33,27 +33,27 @@
 }
 
 // decodeList decodes an update of the endpoint list.
-func decodeList(raw json.RawMessage) (ScheduledEvent, error) {
+func decodeList(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Kind      string  `json:"how"`
 		Version   uint64  `json:"version"`
 		Endpoints []entry `json:"items"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return ScheduledEvent{}, err
+		return InstanceEvent{}, err
 	}
 	kind, ok := updateKinds[e.Kind]
 	if !ok {
-		return ScheduledEvent{}, fmt.Errorf("unknown how %q", e.Kind)
+		return InstanceEvent{}, fmt.Errorf("unknown how %q", e.Kind)
 	}
 	update := balancer.EndpointsUpdated{Kind: kind, Version: e.Version}
 	for i, listed := range e.Endpoints {
 		if listed.Backend == nil {
-			return ScheduledEvent{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
+			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
 		}
 		state, ok := endpointStates[listed.State]
 		if !ok {
-			return ScheduledEvent{}, fmt.Errorf("entry %d: unknown state %q", i, listed.State)
+			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, listed.State)
 		}
 		update.Endpoints = append(
 			update.Endpoints,
@@ -62,5 +62,5 @@
 				Weight: listed.Weight, StartedAt: time.Duration(listed.StartedAt)},
 		)
 	}
-	return ScheduledEvent{Event: update}, nil
+	return InstanceEvent{Event: update}, nil
 }
--- a/internal/simwire/report.go
+++ b/internal/simwire/report.go
@@ -23,8 +23,9 @@
 	return &r
 }
 
-// SetReportField sets the field of a load report that has the given name, either in the simulator or in the
-// responses of a server. It returns false if the name is unknown.
+// SetReportField sets the field of a load report that has the given name on the wire. Each field has two
+// names: one that the simulator uses, and one that servers use in their responses. SetReportField returns
+// false if the name is unknown.
 func SetReportField(r *balancer.LoadReport, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -29,7 +29,7 @@
 	"answers": balancer.LoadReportsInResponses,
 }
 
-// The meanings of the values of weight_kind. If the key is absent, weights say nothing about capacity.
+// The meanings of the values of weight_kind. If the key is absent, weights do not describe capacity.
 const (
 	weightNone = iota
 	weightExact
@@ -45,6 +45,7 @@
 	"live":    weightDynamic,
 }
 
+// hasKey reports whether a map has a key.
 func hasKey[V any](m map[string]V, key string) bool {
 	_, ok := m[key]
 	return ok
@@ -60,8 +61,8 @@
 	return s, nil
 }
 
-// ReadSettings decodes settings like DecodeSettings, but returns all errors. Of values of a wrong type, it
-// returns only the first error.
+// ReadSettings decodes settings like DecodeSettings, but returns all errors. If several values have a wrong
+// type, it returns the error of the first one only.
 func ReadSettings(raw json.RawMessage) (s balancer.Settings, problems []error) {
 	var form *SettingsForm
 	if err := json.Unmarshal(raw, &form); err != nil {
@@ -83,7 +84,7 @@
 	return s, problems
 }
 
-// checkChoices checks the keys whose value must be one of a few words. Each key may be absent.
+// checkChoices checks the keys that have only a few valid values. Each key may be absent.
 func (p *SettingsForm) checkChoices() (problems []error) {
 	for _, c := range []struct {
 		key, value string
@@ -175,7 +176,8 @@
 	}
 }
 
-// class converts a class of requests. For each unknown value it returns an error and sets the zero value.
+// class converts a class of requests. For each unknown value it returns an error, and leaves the setting
+// zero.
 func (c classForm) class() (class balancer.Class, problems []error) {
 	idempotency, ok := idempotencies[c.Idempotency]
 	if !ok {
--- a/internal/simwire/settings_form.go
+++ b/internal/simwire/settings_form.go
@@ -1,7 +1,8 @@
 package simwire
 
 // SettingsForm is the encoding of settings: the keys and the types of their values. The fields are named
-// after the settings that ReadSettings converts them to. Values of keys in _ns are in nanoseconds.
+// after the settings that ReadSettings converts them to. The values of keys that end in _ns are in
+// nanoseconds.
 type SettingsForm struct {
 	Tenants []struct {
 		Name     string  `json:"name"`
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,7 @@
 // Package simwire converts between the JSON lines of the simulator and the types of package balancer. The
-// names on the wire (submit, leg, roster, note) occur only in this package. The settings of a proxy have the
-// same encoding as those of the simulator, so package proxy decodes them with this package, too.
+// simulator drives several balancers, which it numbers: the instances. The simulator's names (submit, leg,
+// roster, note) occur only in this package. The settings of a proxy have the same encoding as those of the
+// simulator, so package proxy decodes them with this package, too.
 package simwire
 
 import (
@@ -49,8 +50,9 @@
 	Seed     int64
 }
 
-// ScheduledEvent is an event for an instance: its start, its end (Retire), or an event for its balancer.
-type ScheduledEvent struct {
+// InstanceEvent is an event for an instance: its start (Start), its end (Retire), or an event that its
+// balancer handles (Event).
+type InstanceEvent struct {
 	Start  *Start
 	Retire bool
 	Event  balancer.Event
@@ -58,8 +60,8 @@
 
 // Group is the list of events for one instance.
 type Group struct {
-	Proxy  int
-	Events []ScheduledEvent
+	Proxy  int // number of the instance
+	Events []InstanceEvent
 }
 
 // Batch is one line from the simulator. All of its events occur at the time Now.
@@ -107,7 +109,7 @@
 	return decoded, nil
 }
 
-// missing is the error that a key with this name is absent.
+// missing is the error that the key of this name is absent.
 type missing string
 
 func (m missing) Error() string { return string(m) + " is missing" }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -23,7 +23,7 @@
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
-func decodeOne(t *testing.T, event string) ScheduledEvent {
+func decodeOne(t *testing.T, event string) InstanceEvent {
 	t.Helper()
 	b, err := DecodeBatch([]byte(batchLine(event)))
 	if err != nil {
@@ -50,7 +50,8 @@
 	}
 }
 
-// If a key is absent or null there is no such rule; an empty list allows nothing.
+// TestAbsentPlacementAndDrainCloseMeanNoRule: if drain_close_ns or a list of allowed zones or machine types
+// is absent or null, there is no such rule. An empty list allows nothing.
 func TestAbsentPlacementAndDrainCloseMeanNoRule(t *testing.T) {
 	class := func(extra string) balancer.Settings {
 		return decodeOne(t, `{"up":{"seed":1,"profile_data":{"invariants":{"drain_close_ns":500000000},"weight_kind":"rough","classes":[
@@ -72,7 +73,7 @@
 	}
 }
 
-func TestOutcomeCodes(t *testing.T) {
+func TestOutcomeCodesAreDecoded(t *testing.T) {
 	for code, want := range map[string]balancer.Outcome{"0": balancer.OK, "13": balancer.ServerError, "8": balancer.Rejected,
 		"4": balancer.TimedOut, "14": balancer.ConnectFailed, "10": balancer.ConnectionReset, "1": balancer.Cancelled, "9": balancer.NotSent} {
 		event := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
@@ -84,7 +85,7 @@
 	}
 }
 
-func TestReportWithNoKnownFieldIsNone(t *testing.T) {
+func TestReportWithoutKnownFieldIsNil(t *testing.T) {
 	event := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
 	if e := event.Event.(balancer.AttemptEnded); e.LoadReport != nil {
 		t.Errorf("%+v", e.LoadReport)
@@ -98,7 +99,7 @@
 	}
 }
 
-func TestInvalidInputIsNamedInTheError(t *testing.T) {
+func TestErrorNamesInvalidPartOfInput(t *testing.T) {
 	for in, want := range map[string]string{
 		`nonsense`:                        "batch",
 		`{"groups":[]}`:                   "sim_time_ns is missing",
@@ -128,7 +129,7 @@
 	}
 }
 
-func TestReplyIsJSON(t *testing.T) {
+func TestReplyIsEncodedAsJSON(t *testing.T) {
 	line := AppendReply(nil, []Reply{{Proxy: 3, Actions: []balancer.Action{
 		balancer.StartAttempt{ID: "q", Endpoint: 4294967295, Timeout: 80 * time.Millisecond}, balancer.Reject{ID: "q", RetryAfter: 5},
 		balancer.Fail{ID: "q"}, balancer.CancelAttempt{ID: "q", Attempt: 1}, balancer.SetTimer{After: 5, Token: 77},
@@ -149,6 +150,7 @@
 	}
 }
 
+// FuzzDecode: decoding does not panic, and an empty line is an error.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(batchLine(strings.ReplaceAll(startEvent, "\n", ""))))
 	f.Add([]byte(batchLine(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
@@ -156,7 +158,7 @@
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if b, err := DecodeBatch(line); err == nil && b.Groups == nil && len(line) == 0 {
-			t.Fatal("an empty line is no batch")
+			t.Fatal("an empty line is decoded as a batch")
 		}
 	})
 }
--- a/internal/socketoption/socketoption.go
+++ b/internal/socketoption/socketoption.go
@@ -9,8 +9,8 @@
 	"wrenspread/internal/besteffort"
 )
 
-// Readable reports whether a read or an accept would return at once, because there is a connection, data or
-// the end of the stream. Readable does not wait. It returns false if socket is not an open socket.
+// Readable reports whether a read or an accept would return at once, because a connection, data or the end of
+// the stream is pending. Readable does not wait. It returns false if socket is not an open socket.
 func Readable(socket any) bool {
 	raw := rawConn(socket)
 	if raw == nil {
@@ -19,7 +19,7 @@
 	poll := []unix.PollFd{{Events: unix.POLLIN}}
 	besteffort.SocketOption(raw.Control(func(fd uintptr) {
 		poll[0].Fd = int32(fd)
-		_, _ = unix.Poll(poll, 0) // after an error Revents is 0, which reads as not readable
+		_, _ = unix.Poll(poll, 0) // after an error Revents is 0, which means not readable
 	}))
 	return poll[0].Revents&unix.POLLIN != 0
 }
--- a/internal/timeline/cell.go
+++ b/internal/timeline/cell.go
@@ -7,50 +7,50 @@
 	"unicode/utf8"
 )
 
-// cellTexts returns the texts of a cell's events. Repeated events are merged into one text with their count,
-// and events of one verb with several objects ("suspects n3", "suspects n4") into one text ("suspects n3,
+// cellTexts returns the texts of a cell's events. Equal events are merged into one text with their count, and
+// events of the same verb with different objects ("suspects n3", "suspects n4") into one text ("suspects n3,
 // n4").
 func cellTexts(events []Event) (out []string) {
-	type kind struct {
-		phrase  string
-		objects []string
-		times   map[string]int
+	type group struct {
+		verb    string
+		objects []string       // in the order of their first event
+		counts  map[string]int // by object
 	}
-	var kinds []*kind
-	byWord := map[string]*kind{}
+	var groups []*group
+	byVerb := map[string]*group{}
 	for _, e := range events {
-		what := clean(e.Text)
-		word, object, _ := strings.Cut(what, " ")
+		text := clean(e.Text)
+		verb, object, _ := strings.Cut(text, " ")
 		if strings.Contains(object, " ") {
-			word, object = what, "" // more than a verb and an object
+			verb, object = text, "" // a longer text is not split
 		}
-		k := byWord[word]
-		if k == nil {
-			k = &kind{phrase: word, times: map[string]int{}}
-			byWord[word], kinds = k, append(kinds, k)
+		g := byVerb[verb]
+		if g == nil {
+			g = &group{verb: verb, counts: map[string]int{}}
+			byVerb[verb], groups = g, append(groups, g)
 		}
-		if k.times[object]++; k.times[object] == 1 {
-			k.objects = append(k.objects, object)
+		if g.counts[object]++; g.counts[object] == 1 {
+			g.objects = append(g.objects, object)
 		}
 	}
-	for _, k := range kinds {
-		var named []string
-		for _, o := range k.objects {
-			switch n := k.times[o]; o {
+	for _, g := range groups {
+		var objects []string
+		for _, o := range g.objects {
+			switch n := g.counts[o]; o {
 			case "":
-				out = append(out, k.phrase+repeatSuffix(n))
+				out = append(out, g.verb+repeatSuffix(n))
 			default:
-				named = append(named, o+repeatSuffix(n))
+				objects = append(objects, o+repeatSuffix(n))
 			}
 		}
-		if len(named) > 0 {
-			out = append(out, k.phrase+" "+strings.Join(named, ", "))
+		if len(objects) > 0 {
+			out = append(out, g.verb+" "+strings.Join(objects, ", "))
 		}
 	}
 	return out
 }
 
-// repeatSuffix returns the mark of an event that happened n times, "" for once.
+// repeatSuffix returns the suffix of an event that happened n times, "" for once.
 func repeatSuffix(n int) string {
 	if n == 1 {
 		return ""
@@ -58,7 +58,7 @@
 	return fmt.Sprintf(" x%d", n)
 }
 
-// clean replaces what cannot be drawn on one line by spaces, and joins runs of spaces.
+// clean replaces unprintable characters and line breaks by spaces, and joins runs of spaces.
 func clean(s string) string {
 	s = strings.Map(func(r rune) rune {
 		if !unicode.IsPrint(r) {
@@ -93,7 +93,7 @@
 	return lines
 }
 
-// moreText returns the text for n further events: "+12 more", or "+12" if that is too wide for one line.
+// moreText returns the text for n omitted texts: "+12 more", or "+12" if that is too wide for one line.
 func moreText(n, width int) string {
 	if more := fmt.Sprintf("+%d more", n); len(more) <= width {
 		return more
@@ -101,12 +101,12 @@
 	return fmt.Sprintf("+%d", n)
 }
 
-// cell returns the lines of a cell. Texts beyond maxCellLines are replaced by their count.
+// cell returns the lines of a cell. Texts that do not fit into maxCellLines are replaced by their count.
 func cell(events []Event, width int) (lines []string) {
-	all := cellTexts(events)
-	for i, text := range all {
+	texts := cellTexts(events)
+	for i, text := range texts {
 		next := wrap(text, width)
-		if remaining := len(all) - i; len(lines)+len(next) > maxCellLines && len(lines) > 0 {
+		if remaining := len(texts) - i; len(lines)+len(next) > maxCellLines && len(lines) > 0 {
 			return append(lines, moreText(remaining, width))
 		}
 		lines = append(lines, next...)
@@ -114,8 +114,8 @@
 	return lines
 }
 
-// write writes one row: its time and its cells. The cell with the most lines sets the number of lines of the
-// row.
+// write writes one row, which is a label (the time, except in the head) and the cells. The row has as many
+// lines as its highest cell.
 func (t table) write(out *strings.Builder, label string, cells map[string][]Event) {
 	height := 1
 	drawn := make([][]string, len(t.columns))
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline draws a history as text. Time runs downwards; each node (or service, lease holder,
-// controller) has a column, and each cell shows what happened there in a step of time. The package is pure
-// and takes events from any source.
+// Package timeline draws a history as text. Time runs downwards. Each node, service, lease holder or
+// controller has a column, and each cell shows its events in a step of time. The package does no I/O and
+// takes events from any source.
 package timeline
 
 import (
@@ -12,11 +12,11 @@
 	"unicode/utf8"
 )
 
-// Event is one thing that happened, in one column.
+// Event is something that happened, with the column in which it is drawn.
 type Event struct {
 	At     time.Duration // since the beginning of the history
-	Column string        // the column
-	Text   string        // a short text, such as "suspects n3" or "takes over"
+	Column string        // name of the column
+	Text   string        // short, such as "suspects n3" or "takes over"
 }
 
 // Bounds of a drawing: widths in runes, heights in lines.
@@ -24,13 +24,13 @@
 	minWidth     = 40  // of a drawing, so that the time and one column fit
 	defaultWidth = 118 // of a drawing
 	minCellWidth = 6   // of a cell
-	maxCellLines = 8   // of a cell; further events are counted instead of drawn
+	maxCellLines = 8   // of a cell; texts that do not fit are counted instead
 )
 
 // Drawing describes how a history is drawn.
 type Drawing struct {
-	Caption string        // the caption: what the drawing shows, and why that is right
-	Columns []string      // columns from left to right; events of other columns are counted below the drawing
+	Caption string        // what the drawing shows, and why that is correct
+	Columns []string      // names from left to right; events of other columns are counted below the drawing
 	Width   int           // maximum runes of a line, at least 40; 0: 118
 	Step    time.Duration // events of one step share a row; 0: 100 ms
 	MinGap  time.Duration // a gap of this length or longer is marked; 0: 1 s
@@ -43,7 +43,7 @@
 	slices.SortFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Column, b.Column), cmp.Compare(a.Text, b.Text))
 	})
-	rows, rest := d.rows(events)
+	rows, hidden := d.rows(events)
 	t := d.layout(rows)
 	var out strings.Builder
 	for _, l := range wrap(d.Caption, d.Width) {
@@ -62,9 +62,9 @@
 		}
 		t.write(&out, d.seconds(r.at), r.cells)
 	}
-	if n := rest.count + t.countHidden(rows); n > 0 {
+	if n := hidden.count + t.countHidden(rows); n > 0 {
 		for _, l := range wrap(
-			fmt.Sprintf("(%d more events: %s)", n, strings.Join(append(rest.columns, t.hiddenColumns...), ", ")),
+			fmt.Sprintf("(%d more events: %s)", n, strings.Join(append(hidden.columns, t.hiddenColumns...), ", ")),
 			d.Width,
 		) {
 			out.WriteString(l + "\n")
@@ -73,6 +73,7 @@
 	return out.String()
 }
 
+// defaults returns d with valid values for fields that are 0 or out of range.
 func (d Drawing) defaults() Drawing {
 	d.Width = max(cmp.Or(d.Width, defaultWidth), minWidth)
 	d.Step = cmp.Or(max(d.Step, 0), 100*time.Millisecond)
@@ -89,7 +90,7 @@
 	return fmt.Sprintf("%.*f s", digits, t.Seconds())
 }
 
-// columnHeads returns the cells of the head row: the name of each column.
+// columnHeads returns the cells of the head row, which have the names of the columns.
 func columnHeads(names []string) map[string][]Event {
 	heads := map[string][]Event{}
 	for _, n := range names {
@@ -110,13 +111,14 @@
 	columns []string // the names of their columns, sorted
 }
 
-// rows groups events, which are sorted by time, into rows, and returns the events without a column as rest.
-func (d Drawing) rows(events []Event) (rows []row, rest hiddenEvents) {
+// rows groups events, which must be sorted by time, into rows. hidden describes the events whose column is
+// not in d.Columns.
+func (d Drawing) rows(events []Event) (rows []row, hidden hiddenEvents) {
 	for _, e := range events {
 		if !slices.Contains(d.Columns, e.Column) {
-			rest.count++
-			if !slices.Contains(rest.columns, e.Column) {
-				rest.columns = append(rest.columns, e.Column)
+			hidden.count++
+			if !slices.Contains(hidden.columns, e.Column) {
+				hidden.columns = append(hidden.columns, e.Column)
 			}
 			continue
 		}
@@ -127,16 +129,16 @@
 		r := rows[len(rows)-1]
 		r.cells[e.Column] = append(r.cells[e.Column], e)
 	}
-	slices.Sort(rest.columns)
-	return rows, rest
+	slices.Sort(hidden.columns)
+	return rows, hidden
 }
 
 // table holds the layout of a drawing.
 type table struct {
-	timeWidth     int      // width of the times
-	columns       []string // columns that fit into the width
+	timeWidth     int      // width of the column of times
+	columns       []string // columns that fit into the drawing's width
 	hiddenColumns []string // columns that do not fit
-	cellWidths    []int    // widths, by index of columns
+	cellWidths    []int    // by index of columns
 }
 
 // layout gives each column the width that its texts need, or less if the sum exceeds the width of the
@@ -150,16 +152,16 @@
 	if maxColumns := max(1, available/(minCellWidth+3)); len(t.columns) > maxColumns {
 		t.columns, t.hiddenColumns = t.columns[:maxColumns], t.columns[maxColumns:]
 	}
-	need := make([]int, len(t.columns))
+	needed := make([]int, len(t.columns))
 	for i, c := range t.columns {
-		need[i] = max(minCellWidth, utf8.RuneCountInString(c))
+		needed[i] = max(minCellWidth, utf8.RuneCountInString(c))
 		for _, r := range rows {
 			for _, text := range cellTexts(r.cells[c]) {
-				need[i] = max(need[i], utf8.RuneCountInString(text))
+				needed[i] = max(needed[i], utf8.RuneCountInString(text))
 			}
 		}
 	}
-	t.cellWidths = shareWidth(need, available-3*len(need))
+	t.cellWidths = shareWidth(needed, available-3*len(needed))
 	return t
 }
 
@@ -179,7 +181,7 @@
 	return widths
 }
 
-// countHidden returns the number of events of the columns that do not fit.
+// countHidden returns the number of events in hiddenColumns.
 func (t table) countHidden(rows []row) (n int) {
 	for _, r := range rows {
 		for _, c := range t.hiddenColumns {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -13,8 +13,8 @@
 	_ "wrenspread/internal/rapidseed"
 )
 
-// Every event is drawn or counted, no line is wider than the drawing, and the order of the events does not
-// matter.
+// TestDrawingShowsOrCountsEveryEvent: every event is drawn or counted, no line is wider than the drawing, and
+// the order of the events does not matter.
 func TestDrawingShowsOrCountsEveryEvent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Drawing{Caption: "shows " + rapid.String().Draw(t, "says"), Width: rapid.IntRange(0, 160).Draw(t, "width")}
@@ -37,7 +37,7 @@
 			}
 		}
 		if seen, counted := occurrences(drawn, events); seen+counted != len(events) {
-			t.Fatalf("%d events drawn and %d counted of %d:\n%s", seen, counted, len(events), drawn)
+			t.Fatalf("%d events are drawn and %d counted, want %d in total:\n%s", seen, counted, len(events), drawn)
 		}
 		rand.New(rand.NewPCG(1, uint64(len(events)))).Shuffle(len(events), func(i, k int) { events[i], events[k] = events[k], events[i] })
 		if again := d.Draw(events); again != drawn {
@@ -70,8 +70,8 @@
 	return seen, counted
 }
 
-// The count of the events that a cell leaves out stays on one line, even in the narrowest cell and for many
-// more events than a cell has lines.
+// TestOmittedTextsAreCountedOnOneLine: the count of the events that a cell leaves out stays on one line, even
+// in the narrowest cell and for many more events than a cell has lines.
 func TestOmittedTextsAreCountedOnOneLine(t *testing.T) {
 	for width := minCellWidth; width <= 12; width++ {
 		var events []Event
@@ -85,7 +85,8 @@
 	}
 }
 
-// A small example with all parts of a drawing: caption, wrapped and merged texts, folded gaps, hidden events.
+// TestExampleIsDrawnAsExpected: a small example has all parts of a drawing: caption, wrapped and merged
+// texts, marked gaps, hidden events.
 func TestExampleIsDrawnAsExpected(t *testing.T) {
 	d := Drawing{Caption: "n2 is taken for dead and comes back; the gap between is folded, as nothing happens in it.", Columns: []string{"n1", "n2", "list"}, Width: 60}
 	got := d.Draw([]Event{
