--- a/cmd/wrenspread-proxy/descriptors_test.go
+++ b/cmd/wrenspread-proxy/descriptors_test.go
@@ -43,21 +43,21 @@
 // openDescriptors returns the number of descriptors that a process has open.
 func (c *process) openDescriptors(t *testing.T) int {
 	t.Helper()
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.Process.Pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(all)
+	return len(entries)
 }
 
 // TestProxyWorksWhileClientsTakeAllDescriptors: idle clients open more connections than the system's limit on
-// descriptors allows, of which the settings say nothing, while discovery does not respond. Other clients, a
-// connection to a server, operators, discovery after its return, a new configuration and the next process
-// must still get descriptors. All descriptors are closed in the end.
+// descriptors allows, while discovery does not respond. The settings have no limit on sockets. The proxy must
+// still have descriptors for other clients, a connection to a server, operators, discovery after its return,
+// a new configuration and the next process. It closes all descriptors in the end.
 func TestProxyWorksWhileClientsTakeAllDescriptors(t *testing.T) {
 	const maxDescriptors = 128
 	p := newPlatform(t)
-	discovery, err := net.Listen("tcp", "127.0.0.1:0") // connections are not accepted
+	discovery, err := net.Listen("tcp", "127.0.0.1:0") // no connection is accepted until it is served below
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,15 +85,15 @@
 	})}
 	go func() { _ = returned.Serve(discovery) }()
 	t.Cleanup(func() { besteffort.Close(returned) })
-	wantCall := func(what string) {
+	wantCall := func(callee string) {
 		t.Helper()
 		select {
 		case <-calls:
 		case <-time.After(hangTimeout):
-			t.Errorf("%s is not called", what)
+			t.Errorf("%s is not called", callee)
 		}
 	}
-	wantCall("discovery that is back")
+	wantCall("discovery after its return")
 	next := httptest.NewServer(returned.Handler)
 	t.Cleanup(func() { next.CloseClientConnections(); next.Close() })
 	besteffort.Close(returned)
@@ -117,8 +117,8 @@
 	closeConnections()
 	successor.waitReady(t)
 	p.wantServed(t, "by the next process")
-	for _, ending := range []*process{c, successor} {
-		besteffort.Signal(ending.Process.Signal(syscall.SIGTERM))
-		ending.waitEnd(t)
+	for _, proxy := range []*process{c, successor} {
+		besteffort.Signal(proxy.Process.Signal(syscall.SIGTERM))
+		proxy.waitEnd(t)
 	}
 }
--- a/cmd/wrenspread-proxy/main.go
+++ b/cmd/wrenspread-proxy/main.go
@@ -32,10 +32,10 @@
 
 // run starts the proxy, and returns once it has ended.
 func run() error {
-	// The notification is never stopped, because then a second SIGTERM would kill a process that is about to
-	// exit with 0.
+	// The notification is never stopped. Otherwise a second SIGTERM could kill a process that is about to exit
+	// with status 0.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	// Registered before anything else: without a handler SIGHUP ends the process.
+	// SIGHUP is handled from the start, because it ends a process that has no handler for it.
 	reloadSignals := make(chan os.Signal, 16)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	path := os.Getenv("GW_CONFIG")
@@ -46,10 +46,11 @@
 	if err != nil {
 		return err
 	}
-	// The garbage collector runs more often well before the machine's memory limit kills the proxy.
+	// The soft limit of three quarters makes the garbage collector run more often well before the machine's
+	// memory limit kills the proxy.
 	limitMemory := func(shared bool) {
 		mb := cfg.MemoryMB
-		if shared { // another process of this proxy is running, too
+		if shared { // two processes of this proxy are running
 			mb /= 2
 		}
 		debug.SetMemoryLimit(int64(mb) << 20 * 3 / 4)
@@ -67,9 +68,10 @@
 		server.OnOverlap = limitMemory
 		server.EnableHandoff(os.TempDir())
 	}
-	// Processes of one proxy share the configuration file, but each has an environment of its own.
+	// GW_CONTROL overrides the configuration file, which the processes of one proxy share: each process can have
+	// a control address of its own.
 	control := cmp.Or(os.Getenv("GW_CONTROL"), cfg.Control)
-	// The control address is served until Run returns, also while requests in flight finish.
+	// The control address is served until Run returns, so it is also served while requests in flight finish.
 	controlContext, stopControl := context.WithCancel(context.Background())
 	defer stopControl()
 	if control != "" {
@@ -79,13 +81,13 @@
 	return server.Run(ctx, ln)
 }
 
-// gcPercent returns the garbage collector's target percentage for a memory limit. It lets the heap grow to a
-// fifth of the memory between collections, and to no more than four times what is in use. A proxy has only a
+// gcPercent returns the garbage collector's target percentage for a memory limit. Between collections it lets
+// the heap grow to a fifth of the memory limit, and to at most four times the live heap. A proxy has only a
 // part of a core, and its live heap is so small that with the default of 100 it would collect all the time.
 func gcPercent(memoryMB int) int { return min(300, max(100, memoryMB*5)) }
 
-// listen returns the clients' socket: the inherited one, or a new one if there is none or it can't be used.
-// While the previous process still has the address, listen retries for up to proxy.MaxBindTime.
+// listen returns the clients' socket: the inherited one, or a new one if no socket is inherited or it can't
+// be used. While the previous process still has the address, listen retries for up to proxy.MaxBindTime.
 func listen(ctx context.Context, inherited, address string, log *slog.Logger) (net.Listener, error) {
 	if inherited != "" {
 		ln, err := listener.Inherited(inherited)
--- a/cmd/wrenspread-proxy/main_test.go
+++ b/cmd/wrenspread-proxy/main_test.go
@@ -39,8 +39,8 @@
 	os.Exit(m.Run())
 }
 
-// programCommand returns the command of a proxy with a configuration, and the path of the configuration's
-// file.
+// programCommand returns the command that runs a proxy with a configuration, and the path of the
+// configuration's file.
 func programCommand(t *testing.T, config string) (cmd *exec.Cmd, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestServesOverSIGHUPUntilSIGTERM: SIGHUP does not end the program, neither with a file that can't be read
-// nor with one that names another discovery, which is then used. After SIGTERM the program exits with status
-// 0.
+// TestServesOverSIGHUPUntilSIGTERM: SIGHUP does not end the program. If the file is invalid then, the program
+// keeps its configuration, and if the file names another discovery, the program uses it. After SIGTERM the
+// program exits with status 0.
 func TestServesOverSIGHUPUntilSIGTERM(t *testing.T) {
 	var addresses [2]string
 	for i := range addresses {
--- a/cmd/wrenspread-proxy/platform_test.go
+++ b/cmd/wrenspread-proxy/platform_test.go
@@ -26,7 +26,7 @@
 	backend         string
 	backendRequests atomic.Int32                  // requests that the backend has received
 	listReads       chan bool                     // receives a value for each read of the complete list
-	heldUntil       atomic.Pointer[chan struct{}] // the backend answers once it is closed; nil: at once
+	heldUntil       atomic.Pointer[chan struct{}] // the backend answers once this channel is closed; nil: at once
 	peerListen      string
 	stdin           *os.File // standard input of processes; nil: none
 }
--- a/cmd/wrenspread-proxy/process_test.go
+++ b/cmd/wrenspread-proxy/process_test.go
@@ -18,9 +18,9 @@
 // process is one process of the proxy.
 type process struct {
 	*exec.Cmd
-	control  string
-	logLines chan string // lines of its log
-	ended    chan error  // its result
+	control  string      // address for operators
+	logLines chan string // of its log
+	ended    chan error  // receives the result of Wait
 }
 
 // start starts a process with the platform's configuration.
--- a/cmd/wrenspread-proxy/sighup_test.go
+++ b/cmd/wrenspread-proxy/sighup_test.go
@@ -81,8 +81,8 @@
 	c.waitEnd(t)
 }
 
-// TestLastOfManySIGHUPsIsApplied: signals may be dropped when many arrive, but the configuration at the last
-// one is applied.
+// TestLastOfManySIGHUPsIsApplied: signals may be dropped when many arrive, but the configuration that the
+// file has at the last signal is applied.
 func TestLastOfManySIGHUPsIsApplied(t *testing.T) {
 	p := newPlatform(t)
 	c := p.start(t)
@@ -135,7 +135,7 @@
 }
 
 // TestSignalsAfterSIGTERMEndNoRequest: neither a second SIGTERM nor a new configuration ends the requests in
-// flight. A process that gets SIGTERM before it is ready leaves the clients to the process that serves.
+// flight. A process that gets SIGTERM before it is ready ends, and the previous process continues to serve.
 func TestSignalsAfterSIGTERMEndNoRequest(t *testing.T) {
 	furtherSignals := []os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT, syscall.SIGHUP}
 	signal := func(c *process, signals ...os.Signal) {
@@ -151,7 +151,7 @@
 	c.waitReady(t)
 	hold := make(chan struct{})
 	open := p.holdRequest(t, hold)
-	unready := p.startWith(t, map[string]any{"discovery": "127.0.0.1:9"}) // never answers, so the process does not get ready
+	unready := p.startWith(t, map[string]any{"discovery": "127.0.0.1:9"}) // there is no answer, so the process does not get ready
 	c.waitLogged(t, "new process connected")
 	signal(unready, syscall.SIGTERM)
 	signal(unready, furtherSignals...)
--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -30,11 +30,11 @@
 type tenantFleet struct {
 	t                 *testing.T
 	client            *client.Client
-	service           string
+	service           string // address of the registry
 	network           *link.Net
 	processes         map[string]*process
 	platforms         map[string]*platform
-	registryAddresses map[string]string // address of the registry for each proxy
+	registryAddresses map[string]string // by proxy: the address at which its link to the registry begins
 	ordersDone        atomic.Int32      // number of orders that have ended
 	onDemand          map[string]bool   // proxies that read only the tenants that requests name
 }
@@ -124,8 +124,8 @@
 func (f *tenantFleet) heal(name string) { f.network.Lift("cut-" + name) }
 
 // request sends a request of a tenant and a class to a proxy, and returns the response's status, with the
-// body if it is 200. A request that the balancer sheds, which is a 503 without Retry-After here, says nothing
-// about tenants and is repeated.
+// body if the status is 200. It repeats a request that gets a 503 without Retry-After: the balancer has shed
+// the request, independently of the tenant.
 func (f *tenantFleet) request(node, name, class string) string {
 	for until := time.Now().Add(hangTimeout); time.Now().Before(until); {
 		req, err := http.NewRequest("GET", "http://"+f.platforms[node].address+"/api/x", nil)
@@ -151,7 +151,7 @@
 	return "nothing but 503"
 }
 
-// allAnswer returns a function that reports whether all proxies answer a request with want.
+// allAnswer returns a function that sends a request to each proxy and reports whether all answers are want.
 func (f *tenantFleet) allAnswer(name, class, want string) func() bool {
 	return func() bool {
 		for node := range f.processes {
@@ -163,7 +163,7 @@
 	}
 }
 
-// order submits an order to the tenants' controller, and returns once it has ended on all proxies.
+// order submits an order to the tenants' controller, and returns once the order has ended on all proxies.
 func (f *tenantFleet) order(op, name, spec string) {
 	f.t.Helper()
 	o := tenant.Order{ID: fmt.Sprint(time.Now().UnixNano()), Op: op, Operator: "the test"}
@@ -172,8 +172,8 @@
 			f.t.Fatal(err)
 		}
 	}
-	if placed, err := tenant.SubmitOrder(f.t.Context(), f.client, name, o); !placed || err != nil {
-		f.t.Fatal(placed, err)
+	if submitted, err := tenant.SubmitOrder(f.t.Context(), f.client, name, o); !submitted || err != nil {
+		f.t.Fatal(submitted, err)
 	}
 	labtest.Await(f.t, op+" "+name, func() bool {
 		s, err := tenant.ReadStored(f.t.Context(), f.client)
@@ -193,7 +193,7 @@
 	f.ordersDone.Add(1)
 }
 
-// state returns the stored state of a tenant, or an empty one if it does not exist.
+// state returns the stored state of a tenant, or "" if the tenant does not exist.
 func (f *tenantFleet) state(name string) tenant.State {
 	s, _ := tenant.ReadStored(f.t.Context(), f.client)
 	for _, stored := range s.Tenants {
@@ -205,7 +205,7 @@
 }
 
 // requestAll sends requests to all proxies in turn and passes each response to check, until stop is called.
-// ordersDone is the number of orders that had ended when the request was sent.
+// The argument ordersDone of check is the number of orders that had ended when the request was sent.
 func (f *tenantFleet) requestAll(t *testing.T, check func(ordersDone int32, node, class, answer string), name string, classes ...string) (stop func()) {
 	names := []string{}
 	for node := range f.processes {
--- a/cmd/wrenspread-proxy/tenants_test.go
+++ b/cmd/wrenspread-proxy/tenants_test.go
@@ -18,8 +18,9 @@
 	return fmt.Sprintf(`{"names":["k","kal"],"classes":[%s],"quotas":[{"limit":"book/k:repeats"}],"routes":[{"zones":[%q]}]}`, classes, zone)
 }
 
-// testChange changes k from the classes a and b in z1 to a and c in z2 under load. Each proxy must answer by
-// the previous spec or by the new one, and no proxy by the previous one after the new one was seen anywhere.
+// testChange changes k under load, from the classes a and b in z1 to a and c in z2. Each proxy must answer by
+// the previous spec or by the new one. Once any proxy has answered by the new spec, no proxy may answer by
+// the previous one.
 func (f *tenantFleet) testChange(t *testing.T) {
 	changeSeen := false
 	stop := f.requestAll(t, func(_ int32, node, class, answer string) {
@@ -31,26 +32,26 @@
 		changeSeen = changeSeen || changed
 	}, "k", "b", "c")
 	f.order(tenant.OrderChange, "k", specOfK(`"a","c"`, "z2"))
-	labtest.Await(t, "the change everywhere", f.allAnswer("k", "c", "200 z2"))
+	labtest.Await(t, "all proxies to use the new spec", f.allAnswer("k", "c", "200 z2"))
 	stop()
 }
 
 // knownTenants returns the names of the tenants in a proxy's report.
-func (f *tenantFleet) knownTenants(node string) (all []string) {
+func (f *tenantFleet) knownTenants(node string) (names []string) {
 	var r tenant.Report
 	_, body, _ := sendRequest("GET", "http://"+f.processes[node].control+"/tenants", nil)
 	if err := json.Unmarshal([]byte(body), &r); err != nil || !r.Ready {
 		f.t.Errorf("%v: %s", err, body)
 	}
 	for _, known := range r.Tenants {
-		all = append(all, known.Name)
+		names = append(names, known.Name)
 	}
-	return all
+	return names
 }
 
-// TestProxyReadsTenantsOnDemand: the catalogue is a hash tree. One proxy reads only the tenants that requests
-// name, the other one reads the complete catalogue. Without the registry the first one serves the tenants
-// that it has read.
+// TestProxyReadsTenantsOnDemand: the catalogue is a hash tree. The proxy n0 reads only the tenants that
+// requests name, and n1 reads the complete catalogue. Without the registry, n0 serves the tenants that it has
+// read.
 func TestProxyReadsTenantsOnDemand(t *testing.T) {
 	f := newTenantFleet(t, true)
 	f.onDemand["n0"] = true
@@ -74,7 +75,7 @@
 	if n0 := f.knownTenants("n0"); !slices.Equal(n0, []string{"k"}) {
 		t.Errorf("n0 has read %v, want k only", n0)
 	}
-	t.Run("a change is seen whole and never goes back", f.testChange)
+	t.Run("no proxy uses the previous spec after the new one was seen", f.testChange)
 
 	f.cut("n0")
 	labtest.Await(t, "a 503 for an unknown name without the registry", func() bool { return f.request("n0", "nobody", "a") == "503" })
@@ -105,7 +106,7 @@
 	}
 	labtest.Await(t, "a 404 from all proxies", f.allAnswer("k", "a", "404"))
 
-	t.Run("nobody serves before it is active, and nobody denies it after", func(t *testing.T) {
+	t.Run("no proxy serves a tenant before it is active or denies it afterwards", func(t *testing.T) {
 		served := false
 		stop := f.requestAll(t, func(_ int32, node, _, answer string) {
 			switch {
@@ -114,7 +115,7 @@
 					t.Errorf("%s serves a tenant in state %s", node, f.state("k"))
 				}
 				if served = true; answer != "200 z1" {
-					t.Errorf("%s serves by another route: %s", node, answer)
+					t.Errorf("%s answers by another route: %s", node, answer)
 				}
 			case answer != "503" && (served || answer != "404"):
 				t.Errorf("%s answers %s, served before: %v", node, answer, served)
@@ -128,13 +129,13 @@
 				}
 			}
 		}
-		labtest.Await(t, "k everywhere", f.allAnswer("k", "a", "200 z1"))
+		labtest.Await(t, "all proxies to serve k", f.allAnswer("k", "a", "200 z1"))
 		stop()
 	})
 
-	t.Run("a change is seen whole and never goes back", f.testChange)
+	t.Run("no proxy uses the previous spec after the new one was seen", f.testChange)
 
-	t.Run("one that is cut off is not sure, and serves on", func(t *testing.T) {
+	t.Run("a proxy without the registry serves known tenants and answers 503 for others", func(t *testing.T) {
 		f.cut("n2")
 		before := f.ordersDone.Load()
 		stop := f.requestAll(t, func(ordersDone int32, node, _, answer string) {
@@ -149,7 +150,7 @@
 		}, "k", "a")
 		f.order(tenant.OrderAdd, "l", `{"names":["l"],"classes":["a"],"quotas":[{"limit":"book/l:repeats"}],"routes":[{}]}`)
 		for node, want := range map[string]string{"n0": "200", "n1": "200", "n2": "503"} {
-			labtest.Await(t, node+" to say "+want, func() bool { return strings.HasPrefix(f.request(node, "l", "a"), want) })
+			labtest.Await(t, node+" to answer "+want, func() bool { return strings.HasPrefix(f.request(node, "l", "a"), want) })
 		}
 		if status, _, _ := sendRequest("GET", "http://"+f.processes["n2"].control+"/healthcheck", nil); status != 200 {
 			t.Errorf("the proxy that is cut off is not ready: status %d", status)
@@ -160,12 +161,12 @@
 		stopKnown()
 	})
 
-	t.Run("what is removed is gone", func(t *testing.T) {
+	t.Run("a removed tenant gets 404", func(t *testing.T) {
 		f.order(tenant.OrderRemove, "k", "")
 		labtest.Await(t, "a 404 for the removed k", f.allAnswer("k", "a", "404"))
 	})
 
-	t.Run("a node that begins without the service is not ready", func(t *testing.T) {
+	t.Run("a proxy that starts without the registry is not ready", func(t *testing.T) {
 		f.connect("n3")
 		f.cut("n3")
 		isolated := f.start("n3")
@@ -184,7 +185,7 @@
 		}
 	})
 
-	t.Run("nobody sees an upgrade", func(t *testing.T) {
+	t.Run("an upgrade fails no request", func(t *testing.T) {
 		previous := f.processes["n1"]
 		stop := f.requestAll(t, func(_ int32, node, _, answer string) {
 			if !strings.HasPrefix(answer, "200") {
@@ -200,7 +201,7 @@
 		labtest.Await(t, "a 403 for l from the new process", f.allAnswer("l", "a", "403"))
 	})
 
-	t.Run("one that ends is off the book", func(t *testing.T) {
+	t.Run("a proxy that ends is removed from the member record", func(t *testing.T) {
 		c := f.processes["n0"]
 		besteffort.Signal(c.Process.Signal(syscall.SIGTERM))
 		c.waitEnd(t)
--- a/cmd/wrenspread-proxy/upgrade_test.go
+++ b/cmd/wrenspread-proxy/upgrade_test.go
@@ -85,7 +85,7 @@
 	for _, fd := range []string{"three", "-1", "77"} {
 		p := newPlatform(t)
 		besteffort.Close(p.socket)
-		address, free, err := link.Reserve() // reserved against other processes until it is freed
+		address, free, err := link.Reserve() // no other process gets the address until it is freed
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/wrenspread-proxy/usage.go
+++ b/cmd/wrenspread-proxy/usage.go
@@ -23,7 +23,7 @@
   wrenspread-proxy --check FILE     print all faults of FILE, and start nothing; status 1 if there are any
   wrenspread-proxy --help           this
 
-Keys of the file, which is JSON; those of no meaning are passed over:
+Keys of the file, which is JSON; those of no meaning are ignored:
 
   listen          host:port for clients                                            needed
   discovery       host:port of discovery or a wrenspread-registry                  needed, or list
@@ -54,7 +54,7 @@
 
 `
 
-// nextSteps follows the example in the text of --help.
+// nextSteps is the text of --help after the example.
 const nextSteps = `
 Save it as node.json, then
 
@@ -66,11 +66,11 @@
 What operators call, and what they see: docs/on-call.md.
 `
 
-// errUsage points to --help. It is joined to the error that names the invalid argument.
-var errUsage = errors.New("wrenspread-proxy --help says what it needs")
+// errUsage refers to --help. It is added to the error that names the invalid argument.
+var errUsage = errors.New("see wrenspread-proxy --help")
 
-// handleArguments handles --help, --check and invalid arguments. finished reports that the program is to end
-// with err instead of serving. config is the value of GW_CONFIG.
+// handleArguments handles --help, --check and invalid arguments, and a missing configuration. If finished is
+// true, the program must end with err instead of serving. config is the value of GW_CONFIG.
 func handleArguments(args []string, config string, output, errorOutput io.Writer) (finished bool, err error) {
 	flags := flag.NewFlagSet("wrenspread-proxy", flag.ContinueOnError)
 	flags.SetOutput(io.Discard) // the returned error has the message
@@ -82,12 +82,12 @@
 	case err != nil:
 		return true, fmt.Errorf("%w; %w", err, errUsage)
 	case flags.NArg() > 0:
-		return true, fmt.Errorf("%q is no argument; %w", flags.Arg(0), errUsage)
+		return true, fmt.Errorf("unexpected argument %q; %w", flags.Arg(0), errUsage)
 	case flags.NFlag() > 0:
 		return true, checkFile(*check, output)
 	case config == "":
 		besteffort.Output(fmt.Fprint(errorOutput, usage, example, nextSteps))
-		return true, errors.New("GW_CONFIG names no configuration")
+		return true, errors.New("GW_CONFIG names no configuration file")
 	}
 	return false, nil
 }
@@ -102,7 +102,7 @@
 		besteffort.Output(fmt.Fprintln(output, "note:", n))
 	}
 	if len(problems) > 0 {
-		return fmt.Errorf("%s: %d found wrong", path, len(problems))
+		return fmt.Errorf("%s: problems found: %d", path, len(problems))
 	}
 	besteffort.Output(fmt.Fprintln(output, path+": good"))
 	return nil
--- a/cmd/wrenspread-proxy/usage_test.go
+++ b/cmd/wrenspread-proxy/usage_test.go
@@ -37,7 +37,7 @@
 func TestUsageIsPrinted(t *testing.T) {
 	parts := []string{"GW_CONFIG=FILE", "--check FILE", "discovery", "settings", example, "healthcheck"}
 	out, problems, code := runProgram(t)
-	if wantParts(t, problems, parts...); code != 1 || out != "" || !strings.HasSuffix(problems, "wrenspread-proxy: GW_CONFIG names no configuration\n") {
+	if wantParts(t, problems, parts...); code != 1 || out != "" || !strings.HasSuffix(problems, "wrenspread-proxy: GW_CONFIG names no configuration file\n") {
 		t.Errorf("without arguments: status %d, %q", code, problems)
 	}
 	out, problems, code = runProgram(t, "--help")
--- a/cmd/wrenspread-proxy/view_test.go
+++ b/cmd/wrenspread-proxy/view_test.go
@@ -52,7 +52,7 @@
 	return r
 }
 
-// memberOf returns how a view sees a member, or the zero Member if it does not have it.
+// memberOf returns the member of this name in a view, or the zero Member if the view does not have it.
 func memberOf(r gossip.Report, name string) gossip.Member {
 	if i := slices.IndexFunc(r.Members, func(m gossip.Member) bool { return m.Name == name }); i >= 0 {
 		return r.Members[i]
@@ -60,9 +60,9 @@
 	return gossip.Member{}
 }
 
-// settle waits until the views of all running proxies have the same digest and meet a condition, and returns
-// one of them.
-func (f *viewFleet) settle(t *testing.T, what string, wanted func(gossip.Report) bool) (r gossip.Report) {
+// settle waits until the views of all running proxies have the same digest and meet the condition wanted, and
+// returns one of the views. condition describes wanted.
+func (f *viewFleet) settle(t *testing.T, condition string, wanted func(gossip.Report) bool) (r gossip.Report) {
 	t.Helper()
 	last := map[string]gossip.Report{}
 	for until := time.Now().Add(hangTimeout); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -79,7 +79,7 @@
 			return r
 		}
 	}
-	t.Fatalf("not settled: %s\n%+v", what, last)
+	t.Fatalf("not settled: %s\n%+v", condition, last)
 	return r
 }
 
@@ -94,8 +94,7 @@
 }
 
 // TestViewsSettleAfterFaults: the views of five real proxies agree again after a flood of invalid datagrams,
-// a pause, an upgrade, a kill and an ordered end. A proxy that is configured without membership serves,
-// too.
+// a pause, an upgrade, a kill and a normal end. A proxy that is configured without membership serves, too.
 func TestViewsSettleAfterFaults(t *testing.T) {
 	f := &viewFleet{t: t, platforms: map[string]*platform{}, running: map[string]*process{}}
 	olderPlatform := newPlatform(t)
@@ -107,7 +106,7 @@
 	}
 	first := f.settle(t, "five join by one address", func(r gossip.Report) bool { return len(r.Members) == 5 && f.allServing(r) })
 
-	t.Run("a stranger's flood costs nothing", func(t *testing.T) {
+	t.Run("a flood of invalid datagrams changes no view", func(t *testing.T) {
 		flood(t, f.platforms["n0"].peerListen)
 		after := f.settle(t, "after a flood", f.allServing)
 		for _, m := range first.Members {
@@ -119,7 +118,7 @@
 			t.Errorf("received %+v", r)
 		}
 	})
-	t.Run("one that was stopped refutes its death", func(t *testing.T) {
+	t.Run("a paused process refutes its death", func(t *testing.T) {
 		before := memberOf(first, "n4")
 		stopped := f.running["n4"]
 		besteffort.Signal(stopped.Process.Signal(syscall.SIGSTOP))
@@ -138,12 +137,12 @@
 			t.Errorf("the paused process reports a lateness of %d ms, want at least 500", late)
 		}
 	})
-	t.Run("nobody sees an upgrade", func(t *testing.T) {
+	t.Run("an upgrade changes no view", func(t *testing.T) {
 		before := f.running["n1"]
 		generation := before.view(t).Generation
 		next := f.start("n1")
-		for taken := false; !taken; time.Sleep(10 * time.Millisecond) {
-			taken = next.view(t).Generation != 0
+		for hasView := false; !hasView; time.Sleep(10 * time.Millisecond) {
+			hasView = next.view(t).Generation != 0
 			for _, name := range []string{"n0", "n2", "n3", "n4"} {
 				if m := memberOf(f.running[name].view(t), "n1"); m.Health != "alive" || m.State != "serving" || m.Generation != generation {
 					t.Fatalf("%s sees %+v", name, m)
@@ -156,7 +155,7 @@
 			t.Errorf("generation %d after the upgrade, want %d", m.Generation, generation)
 		}
 	})
-	t.Run("a killed one is dead, and comes back in a new life", func(t *testing.T) {
+	t.Run("a killed process is dead and returns in a new generation", func(t *testing.T) {
 		besteffort.Signal(f.running["n3"].Process.Kill())
 		delete(f.running, "n3")
 		dead := memberOf(f.settle(t, "n3 is dead", func(r gossip.Report) bool { return memberOf(r, "n3").Health == "dead" && f.allServing(r) }), "n3")
@@ -165,7 +164,7 @@
 			t.Errorf("generation %d after a restart, want more than %d", m.Generation, dead.Generation)
 		}
 	})
-	t.Run("an ordered end is no death", func(t *testing.T) {
+	t.Run("a process that ends normally has left and is not dead", func(t *testing.T) {
 		leaving := f.running["n2"]
 		delete(f.running, "n2")
 		besteffort.Signal(leaving.Process.Signal(syscall.SIGTERM))
@@ -190,8 +189,8 @@
 	}
 }
 
-// flood sends 20,000 datagrams of a stranger: random bytes, and headers of this fleet followed by random
-// bytes.
+// flood sends 20,000 invalid datagrams from an unknown sender: random bytes, and headers of this fleet
+// followed by random bytes.
 func flood(t *testing.T, to string) {
 	t.Helper()
 	c, err := net.Dial("udp", to)
--- a/cmd/wrenspread-registry/quorum_test.go
+++ b/cmd/wrenspread-registry/quorum_test.go
@@ -9,7 +9,7 @@
 	"wrenspread/internal/lab/quorum"
 )
 
-// TestMain runs the program itself if a test has started this binary as a replica.
+// TestMain runs the program instead of the tests if a test has started this binary as a replica.
 func TestMain(m *testing.M) {
 	if os.Getenv("WRENSPREAD_REGISTRY_AS_PROGRAM") == "1" {
 		main()
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// TestQuorumUnderFaults runs three replicas with kills, pauses, cuts and delays. Writes and current reads are
+// TestQuorumUnderFaults: under kills, pauses, cuts and delays of three replicas, writes and current reads are
 // linearizable, and watches have no gaps, are in order and agree with each other.
 func TestQuorumUnderFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
--- a/cmd/wrenspread-sim-adapter/main.go
+++ b/cmd/wrenspread-sim-adapter/main.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// handleBatch passes the events of a batch to the instances, by their numbers, and returns their actions. It
-// starts and ends instances as the batch says.
+// handleBatch passes the events of a batch to the instances, which are keyed by their numbers, and returns
+// the instances' actions. It starts and ends instances for the events up and retire.
 func handleBatch(instances map[int]*balancer.Balancer, line []byte) ([]simwire.Reply, error) {
 	batch, err := simwire.DecodeBatch(line)
 	if err != nil {
@@ -68,7 +68,7 @@
 			default:
 				instance := instances[group.Proxy]
 				if instance == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", group.Proxy, i)
+					return nil, fmt.Errorf("node %d, event %d: the instance was not started by an up event", group.Proxy, i)
 				}
 				reply.Actions = append(reply.Actions, instance.Handle(batch.Now, event.Event)...)
 			}
--- a/cmd/wrenspread-sim-adapter/main_test.go
+++ b/cmd/wrenspread-sim-adapter/main_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestBadLineIsNamedAndNothingIsReplied(t *testing.T) {
+func TestErrorNamesInvalidLineWhichGetsNoReply(t *testing.T) {
 	for _, bad := range []string{"no json\n", batchLine(1, `{"submit":{"req":"q","patience_left_ns":1}}`), batchLine(1, `{"odd":{}}`)} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(`{"sim_time_ns":1,"groups":[]}`+"\n"+bad), &out)
@@ -54,6 +54,6 @@
 		t.Error(err)
 	}
 	if err := run(strings.NewReader(big[:len(big)/2]), &out); err == nil {
-		t.Error("a truncated batch was accepted")
+		t.Error("a truncated batch is accepted")
 	}
 }
--- a/cmd/wrenspreadctl/backup.go
+++ b/cmd/wrenspreadctl/backup.go
@@ -13,10 +13,11 @@
 	"wrenspread/internal/registry/client"
 )
 
-// maxBackupBytes is the maximum size of a backup file that is read. The registry accepts half of it.
+// maxBackupBytes is the maximum size of a backup file that is read. It is twice the size that the registry
+// accepts.
 const maxBackupBytes = 64 << 20
 
-// backupCommand writes a snapshot of the registry to a file with a checksum.
+// backupCommand returns the command that writes a snapshot of the registry to a file with a checksum.
 func (f *registryFlags) backupCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "backup FILE",
@@ -30,7 +31,7 @@
 			}
 			raw, err := checksumfile.Decode(backup)
 			if err != nil {
-				return fmt.Errorf("the service's answer: %w", err)
+				return fmt.Errorf("decode the registry's backup: %w", err)
 			}
 			s, err := registry.DecodeSnapshot(raw)
 			if err != nil {
@@ -48,18 +49,18 @@
 	}
 }
 
-// backupInfo is the JSON output that describes a backup.
+// backupInfo describes a backup in the JSON output.
 type backupInfo struct {
 	Entries int    `json:"entries"`
 	Version uint64 `json:"version"`
 	Epoch   string `json:"epoch"`
 }
 
-// summarize returns the summary of a snapshot.
+// summarize returns the description of a snapshot.
 func summarize(s *registry.State) backupInfo { return backupInfo{s.Len(), s.Version(), s.Epoch()} }
 
-// restoreCommand replaces the registry's list by a backup. Without --over it only prints what would be
-// replaced.
+// restoreCommand returns the command that replaces the registry's list by a backup. Without --over the
+// command fails with an error that says what would be replaced.
 func (f *registryFlags) restoreCommand() *cobra.Command {
 	var epoch string
 	c := &cobra.Command{
--- a/cmd/wrenspreadctl/fleet.go
+++ b/cmd/wrenspreadctl/fleet.go
@@ -19,7 +19,7 @@
 
 const (
 	viewTimeout      = 2 * time.Second // for a proxy to answer; its own limit is 0.8 s
-	maxViewBytes     = 8 << 20         // of a response; 4,096 members take two million bytes
+	maxViewBytes     = 8 << 20         // of a response; a view of 4,096 members has two million bytes
 	maxParallelReads = 32              // proxies that are read at a time
 )
 
@@ -30,7 +30,8 @@
 	err     error
 }
 
-// fleetCommand prints the membership as the proxies see it, and fails if their views differ.
+// fleetCommand returns the command that prints the membership as the proxies see it, and fails if their views
+// differ.
 func fleetCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "fleet ADDRESS...",
@@ -41,27 +42,27 @@
 		Example: "  wrenspreadctl fleet 10.1.0.1:10250 10.1.0.2:10250",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			all := readViews(c.Context(), args)
+			views := readViews(c.Context(), args)
 			c.SilenceUsage = true
-			return showViews(c.OutOrStdout(), all)
+			return showViews(c.OutOrStdout(), views)
 		},
 	}
 }
 
 // readViews reads the views of all proxies, and returns them in the order of the addresses.
 func readViews(ctx context.Context, addresses []string) []proxyView {
-	all := make([]proxyView, len(addresses))
+	views := make([]proxyView, len(addresses))
 	var reads errgroup.Group
 	reads.SetLimit(maxParallelReads)
 	for i, address := range addresses {
 		reads.Go(func() error {
 			report, err := readView(ctx, address)
-			all[i] = proxyView{address: address, report: report, err: err}
+			views[i] = proxyView{address: address, report: report, err: err}
 			return nil
 		})
 	}
-	_ = reads.Wait() // no read returns an error: errors are part of the proxies' views
-	return all
+	_ = reads.Wait() // always nil: each error is in the proxyView
+	return views
 }
 
 // readView reads the view of the proxy with this control address.
@@ -84,33 +85,33 @@
 		return report, err
 	case http.StatusNotFound:
 		return report, errors.New(
-			"it keeps no view: its configuration has no key \"fleet\", " +
-				"or its settings allow no messages between nodes",
+			"the proxy has no view: its configuration has no key \"fleet\", " +
+				"or its settings allow no messages between proxies",
 		)
 	}
 	text, _ := io.ReadAll(io.LimitReader(body, 200))
 	return report, fmt.Errorf("%s: %q", resp.Status, text)
 }
 
-// showViews prints the views in common tables. It returns an error if a proxy could not be read or if the
-// views differ.
-func showViews(w io.Writer, all []proxyView) error {
-	var views []gossip.Report
+// showViews prints all views in one table, and all members in another one. It returns an error if a view
+// could not be read or if the views differ.
+func showViews(w io.Writer, views []proxyView) error {
+	var reports []gossip.Report
 	var failed error
-	for _, proxy := range all {
+	for _, proxy := range views {
 		if proxy.err != nil {
 			failed = errors.Join(failed, fmt.Errorf("%s: %w", proxy.address, proxy.err))
 			continue
 		}
-		views = append(views, proxy.report)
+		reports = append(reports, proxy.report)
 	}
-	if len(views) == 0 {
+	if len(reports) == 0 {
 		return failed
 	}
-	differ := compareDigests(w, views)
+	differ := compareDigests(w, reports)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	printViews(t, views)
-	printMembers(t, views)
+	printViews(t, reports)
+	printMembers(t, reports)
 	return errors.Join(failed, differ, t.Flush())
 }
 
@@ -145,7 +146,7 @@
 	}
 }
 
-// printMembers prints a line for each different view of a member, with the proxies that share it.
+// printMembers prints a line for each different view of a member, with the proxies that have this view.
 func printMembers(t io.Writer, views []gossip.Report) {
 	besteffort.Output(
 		fmt.Fprintln(
--- a/cmd/wrenspreadctl/fleet_compare.go
+++ b/cmd/wrenspreadctl/fleet_compare.go
@@ -13,10 +13,11 @@
 )
 
 // errNotSettled means that the proxies' views have different digests.
-var errNotSettled = errors.New("not settled: the nodes see different fleets")
+var errNotSettled = errors.New("not settled: the proxies' views differ")
 
-// compareDigests prints whether all views have the same digest, and otherwise which proxies have which. It
-// also prints the alive members whose views were not read. It returns errNotSettled if the digests differ.
+// compareDigests prints the common digest of all views, or else the different digests with the proxies that
+// have them. It also prints the alive members whose views were not read. It returns errNotSettled if the
+// digests differ.
 func compareDigests(w io.Writer, views []gossip.Report) error {
 	proxiesByDigest := map[string][]string{}
 	var digests, asked []string
@@ -41,14 +42,14 @@
 			)
 		}
 	}
-	var others []string
+	var notAsked []string
 	for _, m := range views[0].Members {
 		if m.Health == "alive" && !slices.Contains(asked, m.Name) {
-			others = append(others, m.Name)
+			notAsked = append(notAsked, m.Name)
 		}
 	}
-	if len(others) > 0 {
-		besteffort.Output(fmt.Fprintf(w, "alive and not asked: %s\n", strings.Join(others, ", ")))
+	if len(notAsked) > 0 {
+		besteffort.Output(fmt.Fprintf(w, "alive and not asked: %s\n", strings.Join(notAsked, ", ")))
 	}
 	if len(digests) > 1 {
 		return errNotSettled
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// memberView is a view of one member, and the names of the proxies that share it.
+// memberView is a view of one member, and the names of the proxies that have this view.
 type memberView struct {
 	member    gossip.Member
 	observers []string
@@ -70,26 +71,26 @@
 		member gossip.Member
 	}
 	indexes := map[key]int{}
-	var all []memberView
+	var groups []memberView
 	for _, v := range views {
 		for _, m := range v.Members {
 			k := key{m.Name, m}
 			k.member.AgeMS, k.member.Load, k.member.Accusers = 0, 0, ""
 			i, known := indexes[k]
 			if !known {
-				i = len(all)
+				i = len(groups)
 				indexes[k] = i
-				all = append(all, memberView{member: m})
+				groups = append(groups, memberView{member: m})
 			}
-			all[i].observers = append(all[i].observers, v.Name)
+			groups[i].observers = append(groups[i].observers, v.Name)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b memberView) int { return cmp.Compare(a.member.Name, b.member.Name) })
-	return all
+	slices.SortStableFunc(groups, func(a, b memberView) int { return cmp.Compare(a.member.Name, b.member.Name) })
+	return groups
 }
 
-// observersText returns the names of the proxies that share the view, or "all" if all of the asked proxies
-// do.
+// observersText returns the names of the proxies that have the view, or "all" if all of the asked proxies
+// have it.
 func (o memberView) observersText(asked int) string {
 	if len(o.observers) == asked {
 		return "all"
@@ -97,7 +98,7 @@
 	return strings.Join(o.observers, ",")
 }
 
-// reasonText returns why a member is not alive, and which proxies accused it.
+// reasonText returns why a member is not alive and which proxies accused it, or a dash.
 func reasonText(m gossip.Member) string {
 	if m.Reason == "" {
 		return "-"
--- a/cmd/wrenspreadctl/fleet_test.go
+++ b/cmd/wrenspreadctl/fleet_test.go
@@ -13,7 +13,8 @@
 )
 
 // TestFleetComparesViews: the command prints all views in one table, the proxies that differ, the members
-// whose views were not read, and why a member is dead. It fails if views differ or a proxy has no view.
+// whose views were not read, and why a member is dead. The command fails if views differ or a proxy has no
+// view.
 func TestFleetComparesViews(t *testing.T) {
 	alive := func(name string) gossip.Member { return gossip.Member{Name: name, Health: "alive", State: "serving"} }
 	dead := gossip.Member{Name: "n2", Health: "dead", State: "serving", Reason: "suspected, and did not speak up in time", Accusers: "n0"}
@@ -36,7 +37,7 @@
 		{[]string{serveView(n0), serveView(sameView)}, false, []string{"settled: 2 asked, fleet f, digest aa\n", "did not speak up in time; by n0"}},
 		{[]string{serveView(n0)}, false, []string{"alive and not asked: n1\n"}},
 		{[]string{serveView(n0), serveView(n1)}, true, []string{"not settled: fleet f, digest aa at n0\n", "digest bb at n1\n"}},
-		{[]string{serveView(n0), withoutView.Listener.Addr().String()}, true, []string{"settled: 1 asked", "it keeps no view"}},
+		{[]string{serveView(n0), withoutView.Listener.Addr().String()}, true, []string{"settled: 1 asked", "the proxy has no view"}},
 	} {
 		var out bytes.Buffer
 		r := root()
--- a/cmd/wrenspreadctl/lease.go
+++ b/cmd/wrenspreadctl/lease.go
@@ -21,7 +21,8 @@
 	"wrenspread/internal/registry/client"
 )
 
-// leaseCommand returns the command whose subcommands read and change leases. Operators know leases as duties.
+// leaseCommand returns the command whose subcommands read and change leases. In the command line, a lease is
+// called a duty.
 func leaseCommand() *cobra.Command {
 	var f registryFlags
 	c := &cobra.Command{
@@ -36,7 +37,7 @@
 	return c
 }
 
-// listLeasesCommand prints all leases.
+// listLeasesCommand returns the command that prints all leases.
 func (f *registryFlags) listLeasesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "ls",
@@ -83,7 +84,7 @@
 	return l.Process
 }
 
-// holderNote returns what the lease holder has published about itself.
+// holderNote returns the information that the lease holder has published about itself.
 func holderNote(l registry.Lease) string {
 	if l.HolderInfo == nil {
 		return "-"
@@ -91,7 +92,7 @@
 	return cmp.Or(strings.TrimSpace(l.HolderInfo.Note+" "+l.HolderInfo.Address+" "+l.HolderInfo.Version), "-")
 }
 
-// showLeaseCommand prints one lease with its queue.
+// showLeaseCommand returns the command that prints one lease with its queue.
 func (f *registryFlags) showLeaseCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "show DUTY",
@@ -127,12 +128,13 @@
 					}
 				})
 			}
-			return fmt.Errorf("there is no duty %s; \"wrenspreadctl duty ls\" shows those there are", args[0])
+			return fmt.Errorf("there is no duty %s; \"wrenspreadctl duty ls\" lists all duties", args[0])
 		}),
 	}
 }
 
-// transferLeaseCommand requests that the holder transfers a lease to another process.
+// transferLeaseCommand returns the command that requests that the holder transfers a lease to another
+// process.
 func (f *registryFlags) transferLeaseCommand() *cobra.Command {
 	var to string
 	c := &cobra.Command{
@@ -154,7 +156,8 @@
 	return c
 }
 
-// blockCommand returns the command that blocks a process from a lease, or the one that unblocks it.
+// blockCommand returns the command that blocks a process from holding a lease, or the command that unblocks
+// the process.
 func (f *registryFlags) blockCommand(blocked bool) *cobra.Command {
 	use, short, outcome := "block", "keep a process from holding a lease; a holder has to transfer it", "blocked"
 	if !blocked {
@@ -175,7 +178,8 @@
 	}
 }
 
-// runUnderLeaseCommand waits until this process holds a lease, and then runs a program.
+// runUnderLeaseCommand returns the command that waits until this process holds a lease, and then runs a
+// program.
 func (f *registryFlags) runUnderLeaseCommand() *cobra.Command {
 	var process string
 	var ttl time.Duration
@@ -231,6 +235,6 @@
 		"INDIGO_FENCE_HEADER="+fencing.Header+": "+fencing.Format(token),
 	)
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
-	cmd.WaitDelay = ttl / 10 // less than the part of the TTL in which the work has to end
+	cmd.WaitDelay = ttl / 10 // less than the eighth of the TTL within which the command has to end
 	return cmd.Run()
 }
--- a/cmd/wrenspreadctl/list.go
+++ b/cmd/wrenspreadctl/list.go
@@ -25,7 +25,7 @@
 	addresses     string        // addresses of the registry's replicas, separated by commas
 	json          bool          // print JSON instead of tables
 	wait          time.Duration // timeout of the command
-	wantedVersion int64         // version that the entry must have for a change; negative: any
+	wantedVersion int64         // the entry is changed only if it has this version; negative: always
 }
 
 // listCommand returns the command whose subcommands read and change the endpoint list.
@@ -76,7 +76,7 @@
 		err = do(ctx, c, k, args)
 		if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, client.ErrOutcomeUnknown) {
 			return fmt.Errorf(
-				"%w (asked %s for %v; is it running, and does it have a leader?)",
+				"%w (tried %s for %v; is the registry running, and does it have a leader?)",
 				err,
 				f.addresses,
 				f.wait,
@@ -86,7 +86,7 @@
 	}
 }
 
-// versionCondition returns the version that the entry must have, or nil if none was given.
+// versionCondition returns the version of --if, or nil if the flag is not set.
 func (f *registryFlags) versionCondition() *uint64 {
 	if f.wantedVersion < 0 {
 		return nil
@@ -95,14 +95,14 @@
 	return &v
 }
 
-// addCondition adds the flag --if to a command.
+// addCondition adds the flag --if to a command and returns the command.
 func (f *registryFlags) addCondition(c *cobra.Command) *cobra.Command {
 	c.Flags().
 		Int64Var(&f.wantedVersion, "if", -1, "only if the entry has this version; 0: only if it is not there")
 	return c
 }
 
-// print writes v as JSON with --json, and otherwise the output of table.
+// print writes v as JSON if --json is set, and otherwise what table writes.
 func (f *registryFlags) print(w io.Writer, v any, table func(*tabwriter.Writer)) error {
 	if f.json {
 		e := json.NewEncoder(w)
@@ -114,7 +114,7 @@
 	return t.Flush()
 }
 
-// getCommand prints the endpoint list, or one entry.
+// getCommand returns the command that prints the endpoint list, or one entry.
 func (f *registryFlags) getCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "get [NAME]",
@@ -134,7 +134,7 @@
 					}
 				}
 				if len(matching) == 0 {
-					return fmt.Errorf("there is no %s in version %d of the list", args[0], a.Index)
+					return fmt.Errorf("no entry %s in version %d of the list", args[0], a.Index)
 				}
 				a.Endpoints = matching
 			}
@@ -173,7 +173,8 @@
 	return time.UnixMilli(startMS).UTC().Format(time.DateTime)
 }
 
-// watchCommand prints the entries of the list, and then each change until it is interrupted.
+// watchCommand returns the command that prints the entries of the list, and then each change until the
+// command is interrupted.
 func (f *registryFlags) watchCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "watch",
@@ -205,30 +206,30 @@
 	}
 }
 
-// printChanges prints the entries of list that differ from previous, and those that were removed. It then
-// updates previous, which is keyed by name.
+// printChanges prints the entries of list that differ from previous, and the entries of previous that list no
+// longer has. It updates previous, which is keyed by name, to list.
 func (f *registryFlags) printChanges(
 	w io.Writer,
 	list client.List,
 	previous map[string]registry.Endpoint,
 ) error {
 	present := map[string]bool{}
-	var all []registry.Endpoint
+	var changes []registry.Endpoint
 	for _, endpoint := range list.Endpoints {
 		present[endpoint.Name] = true
 		if previous[endpoint.Name] != endpoint {
-			all = append(all, endpoint)
+			changes = append(changes, endpoint)
 		}
 		previous[endpoint.Name] = endpoint
 	}
 	for name, e := range previous {
 		if !present[name] {
 			e.Status = registry.Removed
-			all = append(all, e)
+			changes = append(changes, e)
 			delete(previous, name)
 		}
 	}
-	for _, e := range all {
+	for _, e := range changes {
 		if f.json {
 			if err := json.NewEncoder(w).Encode(struct {
 				Version uint64 `json:"version"`
@@ -245,7 +246,7 @@
 	return nil
 }
 
-// registerCommand registers an endpoint, or changes its entry.
+// registerCommand returns the command that registers an endpoint, or changes its entry.
 func (f *registryFlags) registerCommand() *cobra.Command {
 	var e registry.Endpoint
 	var ttl time.Duration
@@ -270,7 +271,7 @@
 	return f.addCondition(c)
 }
 
-// printResult prints the versions after a change of one entry.
+// printResult prints the versions of the entry and the list after a change, or returns err if it is not nil.
 func (f *registryFlags) printResult(c *cobra.Command, result registry.Result, err error) error {
 	if err != nil {
 		return err
@@ -282,7 +283,7 @@
 	})
 }
 
-// drainCommand sets the status of an entry to draining.
+// drainCommand returns the command that sets the status of an entry to draining.
 func (f *registryFlags) drainCommand() *cobra.Command {
 	return f.entryCommand(
 		"drain",
@@ -291,7 +292,7 @@
 	)
 }
 
-// removeCommand removes an entry.
+// removeCommand returns the command that removes an entry.
 func (f *registryFlags) removeCommand() *cobra.Command {
 	return f.entryCommand("remove", "take a server off the list", (*client.Client).Remove)
 }
--- a/cmd/wrenspreadctl/members.go
+++ b/cmd/wrenspreadctl/members.go
@@ -12,7 +12,8 @@
 	"wrenspread/internal/registry/client"
 )
 
-// membersCommand prints the replicas of the registry.
+// membersCommand returns the command that prints the replicas of the registry, with subcommands that add and
+// remove replicas.
 func (f *registryFlags) membersCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "members",
@@ -22,11 +23,11 @@
 			"  wrenspreadctl list members remove r0",
 		Args: cobra.NoArgs,
 		RunE: f.withClient(func(ctx context.Context, c *cobra.Command, k *client.Client, _ []string) error {
-			all, err := k.Replicas(ctx)
+			replicas, err := k.Replicas(ctx)
 			if err != nil {
 				return err
 			}
-			return f.printReplicas(c, all)
+			return f.printReplicas(c, replicas)
 		}),
 	}
 	c.AddCommand(f.addReplicaCommand(), f.removeReplicaCommand())
@@ -34,10 +35,10 @@
 }
 
 // printReplicas prints a line for each replica.
-func (f *registryFlags) printReplicas(c *cobra.Command, all []registry.Replica) error {
-	return f.print(c.OutOrStdout(), all, func(t *tabwriter.Writer) {
+func (f *registryFlags) printReplicas(c *cobra.Command, replicas []registry.Replica) error {
+	return f.print(c.OutOrStdout(), replicas, func(t *tabwriter.Writer) {
 		besteffort.Output(fmt.Fprintln(t, "NAME\tROLE\tVOTES\tADDED AT"))
-		for _, m := range all {
+		for _, m := range replicas {
 			role, address := "follows", "-"
 			if m.Leader {
 				role = "leads"
@@ -50,7 +51,7 @@
 	})
 }
 
-// addReplicaCommand adds a replica to the registry's cluster.
+// addReplicaCommand returns the command that adds a replica to the registry's cluster.
 func (f *registryFlags) addReplicaCommand() *cobra.Command {
 	var address registry.Address
 	c := &cobra.Command{
@@ -75,7 +76,7 @@
 	return c
 }
 
-// removeReplicaCommand removes a replica from the registry's cluster.
+// removeReplicaCommand returns the command that removes a replica from the registry's cluster.
 func (f *registryFlags) removeReplicaCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "remove NAME",
@@ -86,11 +87,11 @@
 			if err := k.RemoveReplica(ctx, args[0]); err != nil {
 				return err
 			}
-			all, err := k.Replicas(ctx)
+			replicas, err := k.Replicas(ctx)
 			if err != nil {
 				return err
 			}
-			return f.printReplicas(c, all)
+			return f.printReplicas(c, replicas)
 		}),
 	}
 }
--- a/cmd/wrenspreadctl/policy.go
+++ b/cmd/wrenspreadctl/policy.go
@@ -18,7 +18,7 @@
 	"wrenspread/ratelimit"
 )
 
-const maxPolicyBytes = 1 << 20 // of a policy file that is read; the compiler's own bound is lower
+const maxPolicyBytes = 1 << 20 // size of a policy file that is read; the compiler's own bound is lower
 
 // policyCommand returns the command whose subcommands check, apply and show the policy.
 func policyCommand() *cobra.Command {
@@ -33,7 +33,7 @@
 	return c
 }
 
-// checkPolicyCommand compiles a policy file without applying it.
+// checkPolicyCommand returns the command that compiles a policy file without applying it.
 func checkPolicyCommand() *cobra.Command {
 	var settings string
 	var limits, asJSON bool
@@ -61,8 +61,8 @@
 	return c
 }
 
-// compilePolicy compiles the policy file at path. It checks the policy's names against the file settings, see
-// knownNames, and prints the compiler's errors to errorOutput.
+// compilePolicy compiles the policy file at path. It checks the names in the policy against the names in the
+// file settings (see knownNames), and prints the compiler's errors to errorOutput.
 func compilePolicy(errorOutput io.Writer, path, settings string) (*ratelimit.Table, error) {
 	known, err := knownNames(settings)
 	if err != nil {
@@ -145,7 +145,8 @@
 	return k, nil
 }
 
-// printTable prints a policy table as JSON, or its summary, with a line for each limit if limits is set.
+// printTable prints a policy table as JSON if asJSON is set. Otherwise it prints the table's summary, after a
+// line for each limit if limits is set.
 func printTable(w io.Writer, table *ratelimit.Table, limits, asJSON bool) error {
 	data := table.JSON()
 	if asJSON {
--- a/cmd/wrenspreadctl/policy_apply.go
+++ b/cmd/wrenspreadctl/policy_apply.go
@@ -12,7 +12,8 @@
 	"wrenspread/internal/registry/client"
 )
 
-// applyPolicyCommand compiles a policy and writes its table to the registry, from which the proxies read it.
+// applyPolicyCommand returns the command that compiles a policy and writes its table to the registry, from
+// which the proxies read it.
 func (f *registryFlags) applyPolicyCommand() *cobra.Command {
 	var settings string
 	c := &cobra.Command{
@@ -39,7 +40,7 @@
 			}
 			r, err := k.Put(ctx, record.CurrentKey, value, &previous)
 			if err != nil {
-				return fmt.Errorf("the policy of version %d stays: %w", previous, err)
+				return fmt.Errorf("policy version %d stays in force: %w", previous, err)
 			}
 			_, err = fmt.Fprintf(
 				c.OutOrStdout(),
@@ -67,7 +68,7 @@
 	return r.Version, err
 }
 
-// showPolicyCommand prints the policy table in the registry.
+// showPolicyCommand returns the command that prints the policy table in the registry.
 func (f *registryFlags) showPolicyCommand() *cobra.Command {
 	var limits bool
 	c := &cobra.Command{
--- a/cmd/wrenspreadctl/policy_test.go
+++ b/cmd/wrenspreadctl/policy_test.go
@@ -10,8 +10,8 @@
 	"wrenspread/ratelimit"
 )
 
-// TestPolicyCheckPrintsTableOrErrors: the command prints the table as proxies read it, or the compiler's
-// errors, and then fails.
+// TestPolicyCheckPrintsTableOrErrors: "policy check" prints the table as proxies read it. If the policy has
+// errors, it prints them and fails.
 func TestPolicyCheckPrintsTableOrErrors(t *testing.T) {
 	run := func(args ...string) (string, string, error) {
 		var out, errs bytes.Buffer
--- a/cmd/wrenspreadctl/release.go
+++ b/cmd/wrenspreadctl/release.go
@@ -52,7 +52,8 @@
 	return c
 }
 
-// planReleaseCommand checks a plan and prints the waves of its release without starting it.
+// planReleaseCommand returns the command that checks a plan and prints the waves of its release without
+// starting it.
 func (f *registryFlags) planReleaseCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "plan FILE",
@@ -131,7 +132,8 @@
 	return release.TargetsOf(a.Endpoints), err
 }
 
-// startReleaseCommand writes a release to the registry, from which a controller takes it.
+// startReleaseCommand returns the command that writes a release to the registry, from which a controller
+// reads it.
 func (f *registryFlags) startReleaseCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "start FILE",
@@ -160,7 +162,8 @@
 	}
 }
 
-// releaseStatusCommand prints the progress of one release or of all, once or each second.
+// releaseStatusCommand returns the command that prints the progress of one release or of all. With --watch it
+// prints the progress of one release again each second.
 func (f *registryFlags) releaseStatusCommand() *cobra.Command {
 	var watch bool
 	c := &cobra.Command{
@@ -184,7 +187,8 @@
 	return c
 }
 
-// printReleases prints the release that args names with its targets, or a line for each release.
+// printReleases prints the release that args[0] names with its targets, or without args a line for each
+// release.
 func (f *registryFlags) printReleases(
 	ctx context.Context,
 	c *cobra.Command,
@@ -198,12 +202,12 @@
 		}
 		return f.print(c.OutOrStdout(), s, func(t *tabwriter.Writer) { printRelease(t, s) })
 	}
-	all, err := k.Records(ctx, release.RecordPrefix)
+	records, err := k.Records(ctx, release.RecordPrefix)
 	if err != nil {
 		return err
 	}
 	var states []*release.State
-	for _, r := range all {
+	for _, r := range records {
 		s, err := release.Read(ctx, k, strings.TrimPrefix(r.Key, release.RecordPrefix))
 		if err != nil {
 			return err
@@ -268,7 +272,7 @@
 	}
 }
 
-// releaseHistoryCommand prints the events of a release.
+// releaseHistoryCommand returns the command that prints the events of a release.
 func (f *registryFlags) releaseHistoryCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "history NAME",
@@ -328,12 +332,12 @@
 // controllerConfig is the configuration of a release controller.
 type controllerConfig struct {
 	Process  string          `koanf:"process"`
-	Interval time.Duration   `koanf:"every"` // interval between two steps of the controller
+	Interval time.Duration   `koanf:"every"` // between two steps of the controller
 	Grace    time.Duration   `koanf:"grace"` // time for requests in flight at a server in maintenance
 	Proxies  []release.Proxy `koanf:"node"`
 }
 
-// runReleaseCommand runs the controller of one release.
+// runReleaseCommand returns the command that runs the controller of one release.
 func (f *registryFlags) runReleaseCommand() *cobra.Command {
 	var path string
 	var ttl time.Duration
--- a/cmd/wrenspreadctl/release_test.go
+++ b/cmd/wrenspreadctl/release_test.go
@@ -24,7 +24,8 @@
 	"wrenspread/internal/release"
 )
 
-// TestMain lets the test's own binary run as wrenspreadctl, or as a server that answers with its version.
+// TestMain runs the test binary as wrenspreadctl, or as a server that answers with its version, if a test has
+// started it for that.
 func TestMain(m *testing.M) {
 	if version := os.Getenv("RELEASE_TEST_VERSION"); version != "" {
 		http.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { besteffort.Output(fmt.Fprint(w, version)) })
@@ -38,8 +39,8 @@
 	os.Exit(m.Run())
 }
 
-// site is a registry, an agent with three servers, and a substitute for a proxy, which counts each server's
-// responses. It counts the responses of the version "bad" as failures.
+// site is a registry, an agent with three servers, and a substitute for a proxy. The substitute counts each
+// server's responses. It counts the responses of servers with the version "bad" as failures.
 type site struct {
 	t           *testing.T
 	registry    string
@@ -106,15 +107,15 @@
 func (s *site) load(ctx context.Context) error {
 	h := &http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
-		for name, at := range s.addresses {
+		for name, address := range s.addresses {
 			s.mu.Lock()
-			out := s.maintenance[name]
+			inMaintenance := s.maintenance[name]
 			s.mu.Unlock()
-			if out {
+			if inMaintenance {
 				continue
 			}
 			body := ""
-			if resp, err := h.Get("http://" + at); err == nil {
+			if resp, err := h.Get("http://" + address); err == nil {
 				raw, _ := io.ReadAll(resp.Body)
 				besteffort.Close(resp.Body)
 				body = string(raw)
@@ -144,13 +145,13 @@
 }
 
 // startController starts a process that runs a release's controller.
-func (s *site) startController(name, process string) *exec.Cmd {
+func (s *site) startController(releaseName, process string) *exec.Cmd {
 	file := filepath.Join(s.t.TempDir(), "conductor.toml")
 	text := fmt.Sprintf("process = %q\nevery = \"50ms\"\ngrace = \"100ms\"\n[[node]]\nname = \"n0\"\ncontrol = %q\n", process, s.proxy)
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		s.t.Fatal(err)
 	}
-	cmd := exec.Command(os.Args[0], "release", "conduct", name, "--list", s.registry, "--config", file, "--ttl", "1s")
+	cmd := exec.Command(os.Args[0], "release", "conduct", releaseName, "--list", s.registry, "--config", file, "--ttl", "1s")
 	cmd.Env = append(os.Environ(), "WRENSPREADCTL_AS_PROGRAM=1")
 	if err := cmd.Start(); err != nil {
 		s.t.Fatal(err)
@@ -160,17 +161,17 @@
 }
 
 // await waits until a release's state meets a condition.
-func (s *site) await(name, what string, is func(*release.State) bool) {
+func (s *site) await(name, condition string, holds func(*release.State) bool) {
 	s.t.Helper()
 	for until := time.Now().Add(labtest.Enough); ; time.Sleep(20 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
 		state, err := release.Read(ctx, s.client, name)
 		cancel()
-		if err == nil && is(state) {
+		if err == nil && holds(state) {
 			return
 		}
 		if time.Now().After(until) {
-			s.t.Fatalf("%s of %s does not come: %+v, %v", what, name, state, err)
+			s.t.Fatalf("waited in vain for %s of the release %s: %+v, %v", condition, name, state, err)
 		}
 	}
 }
@@ -211,7 +212,7 @@
 	}
 	s.run("release", "start", s.writePlan("worse", "v2", "bad"))
 	s.startController("worse", "a")
-	s.await("worse", "the way back", func(r *release.State) bool { return r.Phase == release.RolledBack })
+	s.await("worse", "the rollback", func(r *release.State) bool { return r.Phase == release.RolledBack })
 	if out := s.run("release", "history", "worse"); !strings.Contains(out, "the gate of wave 1 failed") {
 		t.Errorf("the history is %s", out)
 	}
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -103,8 +103,8 @@
 // controller.
 const pollInterval = 200 * time.Millisecond
 
-// submitAndWait submits an order once no other order is pending for the tenant, and waits until the order has
-// ended.
+// submitAndWait waits until no other order is pending for the tenant, submits the order o, and waits until o
+// has ended.
 func (f *registryFlags) submitAndWait(
 	ctx context.Context,
 	c *cobra.Command,
@@ -113,21 +113,21 @@
 	o tenant.Order,
 ) error {
 	for {
-		placed, err := tenant.SubmitOrder(ctx, k, name, o)
+		submitted, err := tenant.SubmitOrder(ctx, k, name, o)
 		if err != nil {
 			return err
 		}
-		if placed {
+		if submitted {
 			break
 		}
 		if !backoff.Sleep(ctx, pollInterval) {
 			return fmt.Errorf(
-				"%s: an order waits there already; does a conductor run (wrenspreadctl tenant conduct)?",
+				"%s: another order is pending; does a conductor run (wrenspreadctl tenant conduct)?",
 				name,
 			)
 		}
 	}
-	progress := "it waits for a conductor (wrenspreadctl tenant conduct)"
+	progress := "waits for a conductor (wrenspreadctl tenant conduct)"
 	for {
 		done, current, err := orderProgress(ctx, k, name, o)
 		if err == nil && done {
@@ -138,13 +138,13 @@
 			return err
 		}
 		if progress = cmp.Or(current, progress); !backoff.Sleep(ctx, pollInterval) {
-			return fmt.Errorf("%s: %s is not done after %v and goes on: %s", name, o.Op, f.wait, progress)
+			return fmt.Errorf("%s: %s has not ended after %v and continues: %s", name, o.Op, f.wait, progress)
 		}
 	}
 }
 
-// orderProgress reports whether an order is done, and otherwise describes its progress. It returns an error
-// if the order was rejected.
+// orderProgress reports whether an order is done, and otherwise describes its progress, with "" if the
+// progress is unknown. It returns an error if the order was rejected.
 func orderProgress(
 	ctx context.Context,
 	k *client.Client,
@@ -167,7 +167,7 @@
 	return false, progressText(s), nil
 }
 
-// progressText describes the state of a tenant and what it waits for.
+// progressText describes the state of a tenant and the proxies that the order waits for.
 func progressText(s tenant.Progress) string {
 	text := string(s.State)
 	if !s.Published {
@@ -188,7 +188,7 @@
 	return tenant.AllProgress(s, sessions), err
 }
 
-// tenantStatusCommand prints the progress of all tenants, or of one.
+// tenantStatusCommand returns the command that prints the progress of all tenants, or of one.
 func (f *registryFlags) tenantStatusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "status [NAME]",
@@ -196,23 +196,23 @@
 		Example: "  wrenspreadctl tenant status\n  wrenspreadctl tenant status kalahari --json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: f.withClient(func(ctx context.Context, c *cobra.Command, k *client.Client, args []string) error {
-			all, err := readAllProgress(ctx, k)
+			tenants, err := readAllProgress(ctx, k)
 			if err != nil {
 				return err
 			}
 			if len(args) == 1 {
-				if all = slices.DeleteFunc(
-					all,
+				if tenants = slices.DeleteFunc(
+					tenants,
 					func(s tenant.Progress) bool { return s.Name != args[0] },
 				); len(
-					all,
+					tenants,
 				) == 0 {
 					return fmt.Errorf("there is no tenant %s", args[0])
 				}
 			}
-			return f.print(c.OutOrStdout(), all, func(t *tabwriter.Writer) {
+			return f.print(c.OutOrStdout(), tenants, func(t *tabwriter.Writer) {
 				besteffort.Output(fmt.Fprintln(t, "TENANT\tSTANDS\tCATALOGUE\tLAST ORDER"))
-				for _, s := range all {
+				for _, s := range tenants {
 					last := "-"
 					if n := len(s.Outcomes); n > 0 {
 						last = cmp.Or(s.Outcomes[n-1].Reason, "done")
@@ -224,7 +224,8 @@
 	}
 }
 
-// runTenantsCommand runs the tenants' controller while this process holds its lease.
+// runTenantsCommand returns the command that runs the tenants' controller while this process holds the
+// controller's lease.
 func (f *registryFlags) runTenantsCommand() *cobra.Command {
 	var ttl time.Duration
 	var process string
--- a/cmd/wrenspreadctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -84,9 +84,9 @@
 	return d.catalogue.Decide(d.clock(), name, class, "").Kind
 }
 
-// TestTenantOrdersReachAllProxies: operators add, change, suspend and remove tenants on two proxies. In
-// between the first controller ends and the second one takes over. Orders whose quotas or routes are invalid
-// are rejected.
+// TestTenantOrdersReachAllProxies: operators add, change, suspend and remove tenants on two proxies.
+// Meanwhile the first controller ends and the second one takes over. Orders whose quotas or routes are
+// invalid are rejected.
 func TestTenantOrdersReachAllProxies(t *testing.T) {
 	address, k := labtest.List(t)
 	ctx := t.Context()
@@ -135,10 +135,10 @@
 			t.Fatalf("%v: %s, want %q", args, got, want)
 		}
 	}
-	await := func(verdict tenant.DecisionKind) {
+	await := func(decision tenant.DecisionKind) {
 		t.Helper()
-		for _, n := range proxies {
-			labtest.Await(t, verdict.String(), func() bool { return n.decision("k", "c") == verdict })
+		for _, p := range proxies {
+			labtest.Await(t, decision.String(), func() bool { return p.decision("k", "c") == decision })
 		}
 	}
 	order("done", "add", "k", file("k", "book/k", "a"))
