--- a/cmd/wrenspread-sim-adapter/main_test.go
+++ b/cmd/wrenspread-sim-adapter/main_test.go
@@ -26,7 +26,7 @@
 	}
 	replies := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(replies) != 5 || replies[0] != `{"groups":[]}` || !strings.Contains(replies[2], `"assign":{"req":"q","backend":7`) {
-		t.Errorf("%q", replies)
+		t.Errorf("the replies are %q", replies)
 	}
 }
 
--- a/cmd/wrenspreadctl/fleet_test.go
+++ b/cmd/wrenspreadctl/fleet_test.go
@@ -46,7 +46,7 @@
 		r.SetErr(&out)
 		err := r.Execute()
 		if (err != nil) != c.fails {
-			t.Errorf("%d proxies: error %v", len(c.addresses), err)
+			t.Errorf("%d proxies: unexpected result, error %v", len(c.addresses), err)
 		}
 		if err != nil {
 			out.WriteString(err.Error())
--- a/internal/sim/fault.go
+++ b/internal/sim/fault.go
@@ -13,10 +13,10 @@
 type Fault struct {
 	Kind     string
 	At       time.Duration // after the play's warm-up
-	Duration time.Duration // 0: the fault lasts for ever, or is over at once
+	Duration time.Duration // 0: the fault never ends, or has no lasting effect
 	Targets  []string      // hosts, or other arguments that the fault's kind has drawn
 	Loss     float64       // a fraction of datagrams
-	Delay    time.Duration // what is delayed depends on the kind
+	Delay    time.Duration // a delay, or another number; its meaning depends on the kind
 }
 
 func (f Fault) String() string {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// FaultKind describes how a kind of fault is drawn and what it does. Plays can add their own kinds.
+// FaultKind describes how faults of a kind are drawn and what they do. Plays can add their own kinds.
 type FaultKind struct {
 	Name string
 	Draw func(rng *rand.Rand, names []string) Fault // sets all fields but Kind and At
@@ -61,8 +61,8 @@
 	}
 }
 
-// breakLinks returns a Start that changes the matching links while the fault lasts. startText and endText go
-// to the timeline columns of the fault's targets.
+// breakLinks returns a Start that changes the matching links while the fault lasts. startText and endText are
+// added to the timeline columns of the fault's targets.
 func breakLinks(
 	startText, endText string,
 	matches func(f Fault) func(from, to string) bool,
@@ -85,7 +85,7 @@
 	}
 }
 
-// cutChange is the change of faults that cut links.
+// cutChange is the argument change of breakLinks for faults that cut links.
 func cutChange(Fault) func(*Link) { return CutLink }
 
 // linksAcross matches the links between the fault's targets and all other hosts, in both directions.
--- a/internal/sim/membership/growth.go
+++ b/internal/sim/membership/growth.go
@@ -25,17 +25,18 @@
 type GrowthResult struct {
 	Nodes                              int
 	DatagramsPerSecond, BytesPerSecond float64       // per node, in a fleet without changes
-	Joined                             time.Duration // from the last start of all, until all nodes have joined
+	Joined                             time.Duration // from the last start until all nodes have joined
 	Join                               time.Duration // of one further node
 	Death                              time.Duration // of one node
 	Heal                               time.Duration // of the cut, until all views are complete
 	PeakBytes                          int           // most bytes that one node sent in a second of the heal
-	FalseDeaths                        []float64     // running nodes taken for dead, per node and hour, by loss
+	FalseDeaths                        []float64     // of running nodes, per node and hour, by loss
 }
 
 const (
 	// maxWait bounds each measured time; a longer wait is an error.
-	maxWait  = 2 * time.Minute
+	maxWait = 2 * time.Minute
+	// idleTime is how long the send rates are measured, in a fleet without changes.
 	idleTime = 10 * time.Second
 )
 
@@ -47,7 +48,7 @@
 	fleet           *Fleet
 	alive           map[string]int // by name: number of views in which the member is alive or suspect
 	dead            map[string]int // by name: number of views in which the member is dead
-	falseDeathCount int            // running nodes that were taken for dead while no other view had them as dead
+	falseDeathCount int            // number of times that a running node became dead in a first view
 }
 
 // Measure simulates a fleet of one size through a join, a death, a cut into halves and losses of datagrams.
@@ -123,8 +124,8 @@
 	}
 }
 
-// newcomer is the node that joins alone. The rival needs all nodes in its list of peers from the beginning,
-// and so this one, too.
+// newcomer is the node that joins alone. The rival's list of peers is fixed, so it has the newcomer from the
+// beginning.
 const newcomer = "x"
 
 // begin prepares a world and a fleet without nodes.
@@ -180,8 +181,8 @@
 // half reports which half of the fleet a host belongs to, by its address.
 func (m *measurement) half(host string) bool { return m.fleet.addrs[host].Addr().As4()[3]%2 == 0 }
 
-// waitFor simulates until cond holds, and returns how long that took. A wait longer than maxWait is an error,
-// which describes cond by the text condition.
+// waitFor simulates until cond holds, and returns how long that took. A wait longer than maxWait is an error.
+// condition describes cond in that error.
 func (m *measurement) waitFor(condition string, cond func() bool) (time.Duration, error) {
 	elapsed, ok := m.world.RunUntil(
 		maxWait,
@@ -192,7 +193,7 @@
 		return 0, err
 	}
 	if !ok {
-		return 0, fmt.Errorf("%d nodes: waited %v in vain until %s", m.Nodes, maxWait, condition)
+		return 0, fmt.Errorf("%d nodes: not reached within %v: %s", m.Nodes, maxWait, condition)
 	}
 	return elapsed, nil
 }
--- a/internal/sim/membership/kinds.go
+++ b/internal/sim/membership/kinds.go
@@ -43,8 +43,8 @@
 		}
 		return nil
 	}}
-	// twins starts a second process with the name of a running node on another host. It is killed after the
-	// fault's Duration, if the fault has one.
+	// twins starts a process on a further host with the name of a node that has a host already. The process is
+	// killed after the fault's Duration, if the fault has one.
 	twins = sim.FaultKind{Name: "twin", Draw: func(rng *rand.Rand, names []string) sim.Fault {
 		f := sim.Fault{Targets: []string{names[rng.IntN(len(names))]}}
 		if rng.IntN(2) > 0 {
--- a/internal/sim/membership/play.go
+++ b/internal/sim/membership/play.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-// Mild returns a play with only those faults during which no running node may be taken for dead, such as a
+// Mild returns a play with only those faults during which no view may have a running node as dead, such as a
 // pair with bad links, a lossy network or a short pause.
 func Mild(o Options) sim.Play {
 	p := basePlay(o)
--- a/internal/sim/membership/scenarios.go
+++ b/internal/sim/membership/scenarios.go
@@ -14,7 +14,7 @@
 // Scenario is a fixed schedule of faults. Each simulation of it gives the drawing that is in testdata.
 type Scenario struct {
 	Name    string
-	Caption string // what the drawing shows, and why that is right
+	Caption string // what the drawing shows, and why that is correct
 	Nodes   int
 	Seeds   []string // nil: n1 is the only seed
 	WarmUp  time.Duration
--- a/internal/sim/membership/views_test.go
+++ b/internal/sim/membership/views_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// TestSendRateDoesNotGrowWithTheFleet: a node's send rate does not grow with the fleet, and no running node
-// is taken for dead without loss or at a loss of 30%. The rival's send rate grows, and at that loss the rival
-// takes running nodes for dead.
+// TestSendRateDoesNotGrowWithTheFleet: a node's send rate does not grow with the fleet, and no view has a
+// running node as dead, neither without loss nor at a loss of 30%. The rival's send rate grows, and at that
+// loss the rival has false deaths.
 func TestSendRateDoesNotGrowWithTheFleet(t *testing.T) {
 	small, large := measure(t, Growth{Nodes: 3}), measure(t, Growth{Nodes: 40})
 	if large.DatagramsPerSecond > 1.2*small.DatagramsPerSecond || large.BytesPerSecond > 1.2*small.BytesPerSecond {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -92,14 +92,14 @@
 		}
 		group := Group{Proxy: *received.ProxyIndex}
 		for j, keyed := range received.Events {
-			where := fmt.Sprintf("node %d, event %d", *received.ProxyIndex, j)
+			position := fmt.Sprintf("node %d, event %d", *received.ProxyIndex, j)
 			if len(keyed) != 1 {
-				return Batch{}, fmt.Errorf("%s: want one key, have %d", where, len(keyed))
+				return Batch{}, fmt.Errorf("%s: want one key, have %d", position, len(keyed))
 			}
 			for name, raw := range keyed {
 				event, err := decodeEvent(name, raw)
 				if err != nil {
-					return Batch{}, fmt.Errorf("%s, %s: %w", where, name, err)
+					return Batch{}, fmt.Errorf("%s, %s: %w", position, name, err)
 				}
 				group.Events = append(group.Events, event)
 			}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -37,16 +37,16 @@
 	s := event.Start.Settings
 	if event.Start.Seed != 9007199254740993 || s.Proxies != 3 || s.ProxyIndex != 2 || !s.PollForEndpoints || !s.WeightDynamic || !s.AllowHedging ||
 		s.LoadReports != balancer.LoadReportsInResponses || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
-		t.Errorf("%+v", event.Start)
+		t.Errorf("the start event is decoded as %+v", event.Start)
 	}
 	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpenRequests != 9 || s.ConnectionIdleTimeout != 5 ||
 		s.AttemptsPerConnection != 100 || s.Prices != (balancer.Prices{CrossZone: 0.02, EndpointUpdates: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
 		s.ScoreWeights != (balancer.ScoreWeights{WholeDay: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.KeyAffinity || s.ForwardsDeadline {
-		t.Errorf("%+v", s)
+		t.Errorf("the settings are decoded as %+v", s)
 	}
 	c := s.Classes[0]
 	if c.Idempotency != balancer.IdempotentByKey || c.DedupScope != balancer.DedupInCell || c.PriorityWeight != 12 || !c.Streamed || c.Deadline != 1200*time.Millisecond {
-		t.Errorf("%+v", c)
+		t.Errorf("the class is decoded as %+v", c)
 	}
 }
 
@@ -59,17 +59,17 @@
 	}
 	if s := class(""); s.DrainClose != 500*time.Millisecond || !s.WeightKnown || !s.WeightApproximate || s.WeightDynamic ||
 		s.Classes[0].AllowedZones != nil || s.Classes[0].AllowedMachineTypes != nil {
-		t.Errorf("%+v", s)
+		t.Errorf("the settings are decoded as %+v", s)
 	}
 	c := class(`,"failure_domains_open":["a","b"],"allowed_on":[]`).Classes[0]
 	if len(c.AllowedZones) != 2 || c.AllowedZones[1] != "b" || c.AllowedMachineTypes == nil || len(c.AllowedMachineTypes) != 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("the class is decoded as %+v", c)
 	}
 	if c := class(`,"failure_domains_open":null,"allowed_on":["k"]`).Classes[0]; c.AllowedZones != nil || len(c.AllowedMachineTypes) != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("the class is decoded as %+v", c)
 	}
 	if s := decodeOne(t, `{"up":{"seed":1,"profile_data":{}}}`).Start.Settings; s.DrainClose != 0 || s.WeightKnown || s.PollForEndpoints {
-		t.Errorf("%+v", s)
+		t.Errorf("the settings are decoded as %+v", s)
 	}
 }
 
@@ -88,7 +88,7 @@
 func TestReportWithoutKnownFieldIsNil(t *testing.T) {
 	event := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
 	if e := event.Event.(balancer.AttemptEnded); e.LoadReport != nil {
-		t.Errorf("%+v", e.LoadReport)
+		t.Errorf("the load report is decoded as %+v, want none", e.LoadReport)
 	}
 }
 
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -166,7 +166,7 @@
 }
 
 // shareWidth gives each column the width that it needs. If the sum exceeds the available width, the widest
-// columns get an equal share of what the others leave.
+// columns get equal shares of the width that the others leave.
 func shareWidth(needed []int, available int) []int {
 	order := make([]int, len(needed))
 	for i := range order {
