--- a/internal/sim/membership/broken_variants_test.go
+++ b/internal/sim/membership/broken_variants_test.go
@@ -175,7 +175,7 @@
 	for _, play := range []func(Options) sim.Play{Wild, Mild, Pairs} {
 		for _, c := range play(Options{Nodes: 5}).Build(sim.New(1)) {
 			if !found[c.Name] {
-				t.Errorf("no violation variant is found by the check %q", c.Name)
+				t.Errorf("no broken variant is found by the check %q", c.Name)
 			}
 		}
 	}
--- a/internal/sim/subset/broken_variants_test.go
+++ b/internal/sim/subset/broken_variants_test.go
@@ -118,7 +118,7 @@
 	})
 	for _, c := range play(1, nil).Build(sim.New(1)) {
 		if !found[c.Name] {
-			t.Errorf("no violation variant is found by the check %q", c.Name)
+			t.Errorf("no broken variant is found by the check %q", c.Name)
 		}
 	}
 }
