--- a/internal/proxy/departed_client_test.go
+++ b/internal/proxy/departed_client_test.go
@@ -19,15 +19,15 @@
 // lateConnectionCases are requests of which one attempt still waits for its connection when the client leaves.
 var lateConnectionCases = []struct {
 	name             string
-	lateDial         int32                                  // number of the first dial that is blocked
-	startLateAttempt func(srv *runningProxy, answer func()) // starts the late attempt after the first attempt has begun; nil if the first attempt is the late one
+	lateDial         int32                                   // number of the first dial that is blocked
+	startLateAttempt func(srv *runningProxy, respond func()) // starts the late attempt after the first attempt has begun; nil if the late attempt is the first one
 	sent             string
 }{
 	{"first attempt", 1, nil, completeGet},
 	{"recovery probe", 1, nil, completeGet},
 	{"first attempt, with a body", 1, nil, completePost},
 	{"first attempt, chunked body", 1, nil, chunkedPost},
-	{"retry after the first attempt has failed", 2, func(_ *runningProxy, answer func()) { answer() }, completeGet},
+	{"retry after the first attempt has failed", 2, func(_ *runningProxy, respond func()) { respond() }, completeGet},
 	{"hedged request during the first attempt", 2, func(srv *runningProxy, _ func()) {
 		srv.do(func() {
 			srv.carryOut(balancer.StartAttempt{ID: "q", Endpoint: srv.listedEndpoints["s-0"], WriteBy: math.MaxInt64})
@@ -68,19 +68,19 @@
 					}
 					c := srv.dial(t)
 					besteffort.Output(io.WriteString(c, testCase.sent))
-					answered := false
-					answer := func() { answered = true; close(release) }
+					responded := false
+					respond := func() { responded = true; close(release) }
 					if testCase.startLateAttempt != nil {
 						wait(t, began, "the first attempt")
-						testCase.startLateAttempt(srv, answer)
+						testCase.startLateAttempt(srv, respond)
 					}
 					wait(t, dial.started, "the connection to begin")
 					besteffort.Output(io.WriteString(c, strings.Repeat("x", extraBytes)))
 					leave(c)
 					srv.waitAbandoned(t, "q")
 					close(dial.release)
-					if !answered {
-						answer()
+					if !responded {
+						respond()
 					}
 					srv.waitNoRequests(t)
 					if len(began) > 0 {
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -158,13 +158,13 @@
 // deadline in the past.
 type blockedWriteConn struct {
 	*net.TCPConn
-	began, writeCancelled func()
-	cancelled             chan struct{}
+	writeStarted, writeCancelled func()
+	cancelled                    chan struct{}
 }
 
 func (c blockedWriteConn) SetWriteDeadline(at time.Time) error {
 	if at.After(time.Now()) {
-		c.began()
+		c.writeStarted()
 		<-c.cancelled
 	}
 	err := c.TCPConn.SetWriteDeadline(at)
--- a/internal/proxy/handoff_old_test.go
+++ b/internal/proxy/handoff_old_test.go
@@ -114,13 +114,13 @@
 	if m, err := l.receive(time.Now().Add(testTimeout)); err != nil || m.Kind != kindRelease || len(l.descriptors) != 1 {
 		t.Fatalf("%+v, %v, descriptors %v", m, err, l.descriptors)
 	}
-	next := &Server{log: discardLog, config: Config{PeerListen: ownAddr.String(), Peers: []netip.AddrPort{ownAddr, peerAddr}}, inbox: make(chan func(), 10),
+	newServer := &Server{log: discardLog, config: Config{PeerListen: ownAddr.String(), Peers: []netip.AddrPort{ownAddr, peerAddr}}, inbox: make(chan func(), 10),
 		ended: make(chan struct{}), loopState: loopState{loopContext: ctx}}
-	next.takePeerSocket(l, nil)
+	newServer.takePeerSocket(l, nil)
 	besteffort.Datagram(peerConn.WriteToUDPAddrPort([]byte("2"), ownAddr))
-	wait(t, next.inbox, "the message at the new process")
+	wait(t, newServer.inbox, "the message at the new process")
 	buf := make([]byte, 10)
-	for i, n := range []*peerSocket{old.peers.Load(), next.peers.Load()} {
+	for i, n := range []*peerSocket{old.peers.Load(), newServer.peers.Load()} {
 		n.send(1, []byte("x"))
 		besteffort.SocketOption(peerConn.SetReadDeadline(time.Now().Add(testTimeout)))
 		if _, from, err := peerConn.ReadFromUDPAddrPort(buf); err != nil || from != ownAddr {
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -71,7 +71,7 @@
 			t.Fatal("timed out waiting for a message")
 		}
 	}
-	p.send(0, []byte("nobody")) // the peer whose address is invalid
+	p.send(0, []byte("nobody")) // peer 0 has no valid address
 	p.send(7, []byte("nobody"))
 	p.send(-1, []byte("nobody"))
 	p.send(1, bytes.Repeat([]byte("z"), maxPeerMessageBytes+1))
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestProxyExchangesMessagesWithPeers: a running proxy sends the balancer's messages to its peers and
-// survives an invalid message of a peer.
+// TestProxyExchangesMessagesWithPeers: a running proxy sends the balancer's messages to its peers. It
+// continues to run after a peer has sent an invalid message.
 func TestProxyExchangesMessagesWithPeers(t *testing.T) {
 	peer, addr := udpSocket(t)
 	c := testConfig("127.0.0.1:1")
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -23,7 +23,7 @@
 	return p
 }
 
-// getRequest returns a GET request for path, as an attempt sends it.
+// getRequest returns a GET request for path.
 func getRequest(path string) *outbound {
 	return &outbound{method: http.MethodGet, url: &url.URL{Path: path}, host: "app.svc", header: http.Header{"X-Request-Id": {"q"}}}
 }
@@ -127,7 +127,7 @@
 	}))
 	attemptOnce(t, p, testTimeout)
 	<-closed
-	// The backend has closed the connection. Wait until the pool's end of it is closed.
+	// The backend has closed the connection. Wait until the close arrives at the proxy.
 	for until := time.Now().Add(testTimeout); len(p.backends[1].idle) > 0 && isOpenAndEmpty(p.backends[1].idle[0].Conn); {
 		if time.Now().After(until) {
 			t.Fatal("timed out waiting for the backend's close to arrive")
--- a/internal/proxy/read_timeouts_test.go
+++ b/internal/proxy/read_timeouts_test.go
@@ -24,10 +24,10 @@
 		t.Errorf("the timeout of a complete request is %v, want none", srv.ReadTimeout)
 	}
 	for _, c := range []struct {
-		name        string
-		head, after time.Duration // from the first byte to the head's end, and the time since then in which the proxy did not read
-		received    int64
-		least, most time.Duration // bounds of the deadline for the next part, from the first byte
+		name                     string
+		headTime, notReading     time.Duration // from the first byte to the head's end, and the time since then in which the proxy did not read
+		received                 int64
+		minDeadline, maxDeadline time.Duration // bounds of the deadline for the next part, from the first byte
 	}{
 		{"no body byte", 0, 0, 0, 2500 * time.Millisecond, 2800 * time.Millisecond},
 		{"no body byte after a slow head", headTimeout, 0, 0, headTimeout, 2950 * time.Millisecond},
@@ -36,9 +36,9 @@
 		{"not read by the server for 20 s", 0, 20 * time.Second, 32 << 10, 21 * time.Second, 22 * time.Second},
 	} {
 		start := time.Now()
-		b := bodyReader{startedAt: start, headEnd: start.Add(c.head).Add(c.after), received: c.received}
-		if by := b.progressDeadline().Sub(start); by < c.least || by > c.most {
-			t.Errorf("%s: %v, want %v to %v", c.name, by, c.least, c.most)
+		b := bodyReader{startedAt: start, headEnd: start.Add(c.headTime).Add(c.notReading), received: c.received}
+		if by := b.progressDeadline().Sub(start); by < c.minDeadline || by > c.maxDeadline {
+			t.Errorf("%s: %v, want %v to %v", c.name, by, c.minDeadline, c.maxDeadline)
 		}
 	}
 }
--- a/internal/proxy/settings_during_request_test.go
+++ b/internal/proxy/settings_during_request_test.go
@@ -40,7 +40,7 @@
 		wantStatus, wantServed int
 	}{
 		{"not idempotent, then idempotent", settings{classWith(balancer.NotIdempotent)}, "POST", "", settings{classWith(balancer.Idempotent)}, 502, 1},
-		{"idempotent by key, then idempotent", settings{classWith(balancer.IdempotentByKey)}, "POST", "k", settings{classWith(balancer.Idempotent)}, 502, 2},
+		{"idempotent by key within a cell, then idempotent", settings{classWith(balancer.IdempotentByKey)}, "POST", "k", settings{classWith(balancer.Idempotent)}, 502, 2},
 		{"not idempotent, then removed", settings{classWith(balancer.NotIdempotent)}, "POST", "", settings{renamed}, 502, 1},
 		{"idempotent, then not idempotent", settings{classWith(balancer.Idempotent)}, "GET", "", settings{classWith(balancer.NotIdempotent)}, 503, 2},
 		{"idempotent, then removed", settings{classWith(balancer.Idempotent)}, "GET", "", settings{renamed}, 503, 2},
--- a/internal/proxy/sigterm_test.go
+++ b/internal/proxy/sigterm_test.go
@@ -101,11 +101,11 @@
 
 // connectionsAtSIGTERM are states of clients' connections at SIGTERM.
 var connectionsAtSIGTERM = []struct {
-	name           string
-	open           func(srv *runningProxy, t *testing.T) clientConn
-	request        string
-	bytesRead      int  // number of bytes of request that the proxy has read before SIGTERM; the others are sent later
-	closedWhenIdle bool // the proxy closes the connection when it stops accepting
+	name              string
+	open              func(srv *runningProxy, t *testing.T) clientConn
+	request           string
+	bytesRead         int  // number of bytes of request that the proxy has read before SIGTERM; the others are sent later
+	closedAtAcceptEnd bool // the proxy closes the connection when it stops accepting
 }{
 	{"new, nothing sent", (*runningProxy).dialAccepted, completeGet, 0, false},
 	{"new, half of a head", (*runningProxy).dialAccepted, completeGet, 40, false},
@@ -144,7 +144,7 @@
 							t.Errorf("the idle connection ends with %q, %v, want an end without bytes", unexpected, err)
 						}
 						besteffort.Close(idle)
-						if c.closedWhenIdle {
+						if c.closedAtAcceptEnd {
 							besteffort.Close(conn)
 							srv.waitForCleanEnd(t)
 							return
@@ -192,12 +192,12 @@
 func TestLateRequestIsAnsweredBeforeSIGKILL(t *testing.T) {
 	server, _, _ := silentServer(t)
 	srv := startProxyWith(t, func(srv *Server) { srv.frontend.finishTime = 100 * time.Millisecond }, server)
-	c := [2]clientConn{srv.dialAccepted(t), srv.dialAccepted(t)}
+	conns := [2]clientConn{srv.dialAccepted(t), srv.dialAccepted(t)}
 	srv.stop()
 	srv.endLateAccepting()
 	wait(t, srv.listener.closed, "the listener to close")
 	waitUntil(t, "the drain deadline to be set", func() bool { return srv.frontend.drainDeadline.Load() != nil })
-	for i, c := range c { // the second request comes after the drain deadline
+	for i, c := range conns { // the second request comes after the drain deadline
 		besteffort.Output(io.WriteString(c, strings.Replace(completeGet, "Id: q", fmt.Sprint("Id: q", i), 1)))
 		if s := c.readStatus(t); s < 500 {
 			t.Errorf("response %d, want 500 or above", s)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -48,7 +48,7 @@
 			address := srv.serveControlRoutes(t)
 			a := do(t, srv.request(t, "GET", "saldo", "q", "20", nil))
 			if a.status != 200 || digestOf([]byte(a.body)) != digestOf(body) || a.header.Get("X-App") != "yes" {
-				t.Errorf("%d bytes by %s: %d, %d bytes", size, form, a.status, len(a.body))
+				t.Errorf("%d bytes, framing by %s: status %d, %d bytes", size, form, a.status, len(a.body))
 			}
 			waitForStat(t, address, "app.results.saldo.succeeded:1|c")
 			waitForStat(t, address, "app.outstanding:0|g")
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestStreamOutlivesItsRequestDeadline checks that a long response that has begun does not end at its
-// request's deadline, and that received bytes are forwarded without delay.
+// TestStreamOutlivesItsRequestDeadline checks that, after a long response has begun, only a stall ends it,
+// and not its request's deadline. Received bytes are forwarded without delay.
 func TestStreamOutlivesItsRequestDeadline(t *testing.T) {
 	resume := make(chan struct{})
 	srv := startProxy(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestDrippingResponseEndsAtItsDeadline checks that a response without a stated length that arrives byte
+// TestBytewiseResponseEndsAtItsDeadline checks that a response without a stated length that arrives byte
 // by byte ends at its request's deadline, and that its client can detect this.
-func TestDrippingResponseEndsAtItsDeadline(t *testing.T) {
+func TestBytewiseResponseEndsAtItsDeadline(t *testing.T) {
 	srv := startProxy(t, backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		if readRequest(r) == nil {
 			return
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -206,7 +206,7 @@
 func TestSubsetNeedsRegistryAndProxyIndex(t *testing.T) {
 	const on = `"list":["127.0.0.1:1"],"list_part":true,"seed"`
 	for _, c := range []struct{ slot, new, want string }{
-		{"3", `"list_part":true,"seed"`, "list_part: "}, // without a registry: the platform's discovery does not support subsets
+		{"3", `"list_part":true,"seed"`, "list_part: "}, // with the platform's discovery, which does not support subsets
 		{"3", `"list":["127.0.0.1:1"],"list_part":"yes","seed"`, "list_part"},
 		{"5", on, "5 of 5"},
 		{"3", on, ""},
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -146,7 +146,8 @@
 	if variants.planAll(tenant.NewSnapshot(2, entries...), classes); len(variants.wanted) != maxVariants {
 		t.Errorf("%d variants, want maxVariants", len(variants.wanted))
 	}
-	last := entries[len(entries)-2:]                                                                                                                    // these exceeded the limit above
+	// The last two entries exceeded the limit above.
+	last := entries[len(entries)-2:]
 	if variants.planChanges(tenant.NewSnapshot(3, last...), classes); len(variants.wanted) != 3 || len(variants.variantOf) != 4 || variants.overLimit { // class saldo allows neither zone
 		t.Errorf("after the other tenants have been removed: %d variants of %d routes", len(variants.wanted), len(variants.variantOf))
 	}
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -58,24 +58,24 @@
 // TestAbortedUploadEjectsNoEndpointAndLeavesNothing checks that, if a client breaks off an upload, no
 // backend receives a complete request, no endpoint is ejected, and no request and no reserved memory remain.
 func TestAbortedUploadEjectsNoEndpointAndLeavesNothing(t *testing.T) {
-	got, broken := make(chan bool, 1), make(chan error, 1)
+	headReceived, bodyEnded := make(chan bool, 1), make(chan error, 1)
 	srv := startProxy(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		got <- true
+		headReceived <- true
 		_, err = io.Copy(io.Discard, req.Body)
-		broken <- err
+		bodyEnded <- err
 	}))
 	address := srv.serveControlRoutes(t)
 	for _, framing := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nf4240\r\n"} {
 		c := srv.dial(t)
 		besteffort.Output(fmt.Fprintf(c, uploadHeadFormat+framing, framing[:1])) // another ID for each request, because the previous request may not have ended yet
 		besteffort.Output(c.Write(make([]byte, 200000)))
-		wait(t, got, "the head")
+		wait(t, headReceived, "the head")
 		besteffort.Close(c)
-		if err := wait(t, broken, "the body to end"); err == nil {
+		if err := wait(t, bodyEnded, "the body to end"); err == nil {
 			t.Errorf("%q: the backend received a complete request", framing)
 		}
 		waitForStat(t, address, "app.outstanding:0|g")
