--- a/internal/proxy/attempt_races_test.go
+++ b/internal/proxy/attempt_races_test.go
@@ -46,7 +46,7 @@
 // states only what the proxy can know, the connection is closed or can be reused, and the memory reserved for
 // the response is returned before another attempt can use the connection.
 func TestAttemptRacesWithPoolAndBackendEvents(t *testing.T) {
-	answer := okResponseWith(strings.Repeat("x", maxSmallBody+1)) // long enough to reserve memory
+	longResponse := okResponseWith(strings.Repeat("x", maxSmallBody+1)) // long enough to reserve memory
 	for _, c := range []struct {
 		name       string
 		event      string // occurs before the write
@@ -69,7 +69,7 @@
 			beforeWrite := make(chan struct{})
 			p := testPool(backendServer(t, func(number int, conn net.Conn, r *bufio.Reader) {
 				for readRequest(r) != nil {
-					besteffort.Output(io.WriteString(conn, answer))
+					besteffort.Output(io.WriteString(conn, longResponse))
 					if number == 0 && c.event != "" {
 						<-beforeWrite
 						if c.event == "reset" {
@@ -89,7 +89,7 @@
 			interrupted := make(chan struct{})
 			interrupt := sync.OnceFunc(func() { close(interrupted) })
 			idle := p.backends[1].idle[0]
-			hooked := &hookedConn{TCPConn: idle.Conn.(*net.TCPConn), unreadBytes: len(answer)}
+			hooked := &hookedConn{TCPConn: idle.Conn.(*net.TCPConn), unreadBytes: len(longResponse)}
 			idle.Conn = hooked
 			hooked.afterSetDeadline = func(at time.Time) {
 				if at.IsZero() && len(p.memory) != 0 {
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -112,8 +112,8 @@
 			if err != nil {
 				return
 			}
-			answer := fmt.Sprintf("%d %x", n, h.Sum(nil))
-			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(answer), answer))
+			body := fmt.Sprintf("%d %x", n, h.Sum(nil))
+			besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 		}
 	})
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -39,7 +39,7 @@
 		for c, err := server.Accept(); err == nil; c, err = server.Accept() {
 			go func() {
 				r := bufio.NewReader(c)
-				for answer := []byte(okResponse); skipHead(r, body) == nil; besteffort.Output(c.Write(answer)) {
+				for rawResponse := []byte(okResponse); skipHead(r, body) == nil; besteffort.Output(c.Write(rawResponse)) {
 				}
 			}()
 		}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -36,8 +36,8 @@
 			besteffort.Output(io.WriteString(c, okResponse))
 		}
 	}))
-	answers := make(chan receivedResponse, 2)
-	sendRequest := func(id string) { answers <- do(t, srv.request(t, "GET", "saldo", id, "20", nil)) }
+	responses := make(chan receivedResponse, 2)
+	sendRequest := func(id string) { responses <- do(t, srv.request(t, "GET", "saldo", id, "20", nil)) }
 	go sendRequest("before")
 	wait(t, got, "the attempt before the stop")
 	srv.stop()
@@ -51,7 +51,7 @@
 	srv.endLateAccepting()
 	close(release)
 	for range 2 {
-		if a := wait(t, answers, "a response"); a.status != 200 || a.body != "hi" {
+		if a := wait(t, responses, "a response"); a.status != 200 || a.body != "hi" {
 			t.Errorf("response %+v, want 200 with body hi", a)
 		}
 	}
--- a/internal/proxy/exchange_test.go
+++ b/internal/proxy/exchange_test.go
@@ -21,8 +21,8 @@
 func TestAttemptOutcomeForEachResponse(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBody+maxResponseHead+1)
 	for _, c := range []struct {
-		name, answer string // the backend closes the connection after it
-		want         balancer.Outcome
+		name, rawResponse string // the backend closes the connection after it
+		want              balancer.Outcome
 	}{
 		{"with a length", okResponse, balancer.OK},
 		{"after 1xx", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + okResponse, balancer.OK},
@@ -50,7 +50,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				if readRequest(r) != nil {
-					besteffort.Output(io.WriteString(conn, c.answer))
+					besteffort.Output(io.WriteString(conn, c.rawResponse))
 				}
 			}))
 			got := attemptOnce(t, p, testTimeout)
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -40,7 +40,7 @@
 	const te = "Transfer-Encoding: chunked\r\n"
 	for _, c := range []struct {
 		name, sent string
-		answers    []string // for each response its body if the status is 200, otherwise its status
+		responses  []string // for each response its body if the status is 200, otherwise its status
 		forwarded  []string
 	}{
 		{"length, then transfer coding", rawPost("1.1", "outer", length+te, chunk), []string{"400"}, nil},
@@ -78,7 +78,7 @@
 						besteffort.Output(io.WriteString(conn, c.sent[i:i+1]))
 					}
 				}()
-				for i, want := range c.answers {
+				for i, want := range c.responses {
 					if a := conn.readBodyOrStatus(t); a != want {
 						t.Errorf("response %d is %q, want %q", i, a, want)
 					}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -143,13 +143,13 @@
 // TestUncleanConnectionIsNotPooled checks that a connection is closed, not pooled, if bytes follow its
 // response, which would be taken for the next response, or if the backend asks to close the connection.
 func TestUncleanConnectionIsNotPooled(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, rawResponse := range map[string]string{
 		"bytes after the response": okResponse + okResponse,
 		"Connection: close":        "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
 	} {
 		p := testPool(backendServer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 			readRequest(r)
-			besteffort.Output(io.WriteString(conn, answer))
+			besteffort.Output(io.WriteString(conn, rawResponse))
 			readRequest(r)
 		}))
 		if got := attemptOnce(t, p, testTimeout); got.outcome != balancer.OK {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -173,15 +173,15 @@
 		watchConn, newDiscovery := wait(t, watch, "the watch"), newFakeAgent(t)
 		cfg := srv.currentConfig()
 		cfg.Discovery = newDiscovery.address
-		answer, lateBytes := responseWith("draining"), 0
+		rawResponse, lateBytes := responseWith("draining"), 0
 		if i%2 == 0 {
 			lateBytes = 20
 		}
-		besteffort.Output(io.WriteString(watchConn, answer[:len(answer)-lateBytes]))
+		besteffort.Output(io.WriteString(watchConn, rawResponse[:len(rawResponse)-lateBytes]))
 		srv.Reload(cfg)
 		if lateBytes > 0 {
 			srv.do(func() {}) // waits until the reload has been applied
-			besteffort.Output(io.WriteString(watchConn, answer[len(answer)-lateBytes:]))
+			besteffort.Output(io.WriteString(watchConn, rawResponse[len(rawResponse)-lateBytes:]))
 		}
 		wait(t, newDiscovery.calls, "the call to the new address")
 		draining := make(chan bool, 1)
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -118,14 +118,14 @@
 func TestDeadlineGuardAnswersAForgottenRequest(t *testing.T) {
 	server, got, gone := silentServer(t)
 	srv := startProxy(t, server)
-	answers := make(chan receivedResponse, 1)
-	go func() { answers <- do(t, srv.request(t, "GET", "saldo", "q", "60", nil)) }()
+	responses := make(chan receivedResponse, 1)
+	go func() { responses <- do(t, srv.request(t, "GET", "saldo", "q", "60", nil)) }()
 	wait(t, got, "the attempt")
 	srv.post(func() {
 		srv.balancer = balancer.New(srv.config.Settings, 1)
 		srv.requests["q"].deadlineGuard.Reset(0)
 	})
-	if a := wait(t, answers, "the response"); a.status != http.StatusGatewayTimeout {
+	if a := wait(t, responses, "the response"); a.status != http.StatusGatewayTimeout {
 		t.Errorf("response %+v, want 504", a)
 	}
 	wait(t, gone, "the attempt to end")
--- a/internal/proxy/response_test.go
+++ b/internal/proxy/response_test.go
@@ -45,7 +45,7 @@
 	long := okStatusLine + "\r\n" + strings.Repeat("x", maxBufferedBody+1)
 	const OK, Reset, TimedOut, Rejected, never = balancer.OK, balancer.ConnectionReset, balancer.TimedOut, balancer.Rejected, -1 // never: the attempt's deadline does not end the response
 	for _, c := range []struct {
-		name, answer          string
+		name, rawResponse     string
 		closed, reset, silent balancer.Outcome
 	}{
 		{"no response", "", Reset, Reset, TimedOut},
@@ -66,7 +66,7 @@
 			}
 			t.Run(c.name+", "+end, func(t *testing.T) {
 				checkOutcome(t, want, func(conn net.Conn, r *bufio.Reader) {
-					if besteffort.Output(io.WriteString(conn, c.answer)); end == "silent" {
+					if besteffort.Output(io.WriteString(conn, c.rawResponse)); end == "silent" {
 						_, _ = r.ReadByte()
 					} else if end == "reset" {
 						besteffort.SocketOption(conn.(*net.TCPConn).SetLinger(0))
--- a/internal/proxy/settings_during_request_test.go
+++ b/internal/proxy/settings_during_request_test.go
@@ -92,8 +92,8 @@
 			besteffort.Output(io.WriteString(conn, okResponse))
 		}
 	}))
-	answers := make(chan receivedResponse, 1)
-	go func() { answers <- do(t, srv.request(t, "GET", "saldo", "q", "60", nil)) }()
+	responses := make(chan receivedResponse, 1)
+	go func() { responses <- do(t, srv.request(t, "GET", "saldo", "q", "60", nil)) }()
 	wait(t, got, "the attempt")
 	srv.changeClasses(t, balancer.Class{Name: "saldo", LatencyObjective: time.Millisecond, Deadline: time.Millisecond, Idempotency: balancer.Idempotent})
 	srv.stop()
@@ -103,7 +103,7 @@
 		t.Errorf("the frontend waits for at most %v, want testTimeout or more", remaining)
 	}
 	close(release)
-	if a := wait(t, answers, "the response"); a.status != 200 {
+	if a := wait(t, responses, "the response"); a.status != 200 {
 		t.Errorf("response %+v, want 200", a)
 	}
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -20,7 +20,7 @@
 func TestStreamedResponsesArriveUnchanged(t *testing.T) {
 	for _, size := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 200000, 4 << 20} {
 		body := pattern(size)
-		for form, answer := range map[string]func(c net.Conn){
+		for form, respond := range map[string]func(c net.Conn){
 			"length": func(c net.Conn) {
 				besteffort.Output(fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-App: yes\r\nContent-Length: %d\r\n\r\n", size))
 				besteffort.Output(c.Write(body))
@@ -42,7 +42,7 @@
 		} {
 			srv := startProxy(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 				for readRequest(r) != nil {
-					answer(c)
+					respond(c)
 				}
 			}))
 			address := srv.serveControlRoutes(t)
--- a/internal/proxy/subset_test.go
+++ b/internal/proxy/subset_test.go
@@ -81,7 +81,7 @@
 	mu             sync.Mutex
 	state          *registry.State
 	withoutSubsets bool
-	changed        chan struct{} // closed and replaced to answer the waiting calls
+	changed        chan struct{} // closed and replaced to end the wait of open calls
 }
 
 func (s *subsetRegistry) update(f func()) {
@@ -112,12 +112,12 @@
 		from = 0
 	}
 	subset, err := registry.ParseSubset(q.Get("part"))
-	answer := s.state.Since(from)
+	listResponse := s.state.Since(from)
 	if !s.withoutSubsets && err == nil {
-		answer = s.state.SubsetSince(subset, from)
-		answer.Subset, answer.Total = subset.String(), s.state.Len()
+		listResponse = s.state.SubsetSince(subset, from)
+		listResponse.Subset, listResponse.Total = subset.String(), s.state.Len()
 	}
-	besteffort.Encode(json.NewEncoder(w).Encode(answer))
+	besteffort.Encode(json.NewEncoder(w).Encode(listResponse))
 }
 
 // TestProxyFollowsItsSubset: a proxy follows its subset of the list, and switches to another subset when its
@@ -189,7 +189,7 @@
 	default:
 	}
 	close(release)
-	if a := wait(t, answered, "the answer"); a.status != http.StatusOK || a.body != "done" {
+	if a := wait(t, answered, "the response"); a.status != http.StatusOK || a.body != "done" {
 		t.Errorf("the request in flight is answered %+v, want 200 with body done", a)
 	}
 	s.update(func() {
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -97,14 +97,14 @@
 // connection, before the body ends. The request was never executed. The client receives a rejection, which
 // tells it that a retry is safe, although it is still sending.
 func TestEarlyRejectionOfAnUploadReachesTheClient(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, rawResponse := range map[string]string{
 		"rejected": "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n",
 		"closed":   "",
 	} {
 		srv := startProxy(t, backendServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if req, err := http.ReadRequest(r); err == nil {
 				_, _ = io.CopyN(io.Discard, req.Body, maxBufferedBody+50000)
-				besteffort.Output(io.WriteString(c, answer))
+				besteffort.Output(io.WriteString(c, rawResponse))
 			}
 		}))
 		c := srv.dial(t)
